--- a/cmd/birchmoor/capture.go
+++ b/cmd/birchmoor/capture.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/capture"
+	"birchmoor/internal/dataplane/capture"
 	"birchmoor/internal/lab/scenario"
 	"birchmoor/internal/lab/sim"
 )
--- a/cmd/birchmoor/compare.go
+++ b/cmd/birchmoor/compare.go
@@ -24,7 +24,7 @@
 	Seeds    int      `default:"8" help:"So many pairs for each scenario."`
 	Seed     uint64   `default:"1" help:"The first seed."`
 	Host     string   `enum:"run,sim,auto" default:"auto" help:"Where to play: run, sim, or auto (run for programs, else sim)."`
-	Bin      string   `type:"existingfile" help:"The sidecar program where A and B are not; without it, dunlinsail beside this command." placeholder:"PATH"`
+	Bin      string   `type:"existingfile" help:"The sidecar program where A and B are not; without it, sidecar beside this command." placeholder:"PATH"`
 	JSON     string   `help:"File for the result as JSON; - for standard output." placeholder:"FILE"`
 }
 
@@ -47,7 +47,7 @@
 
 func (k *compareCommand) Help() string {
 	return `Examples:
-  birchmoor lab compare old/dunlinsail bin/dunlinsail --scenario lab/scenarios/burst.toml
+  birchmoor lab compare old/sidecar bin/sidecar --scenario lab/scenarios/burst.toml
   birchmoor lab compare a.json b.json --scenario lab/scenarios/burst.toml --seeds 20
   birchmoor lab compare one.toml other.toml
 
--- a/cmd/birchmoor/config.go
+++ b/cmd/birchmoor/config.go
@@ -11,9 +11,9 @@
 	"text/tabwriter"
 	"time"
 
-	"birchmoor/internal/daemon"
-	"birchmoor/internal/operate"
-	"birchmoor/internal/rollout"
+	"birchmoor/internal/controlplane/adminapi"
+	"birchmoor/internal/controlplane/daemon"
+	"birchmoor/internal/controlplane/rollout"
 	"birchmoor/internal/store/admin"
 )
 
@@ -55,14 +55,14 @@
 		return fmt.Errorf("%s: %w", k.File, err)
 	}
 	if k.Steps == "" {
-		return configure(ctx, c, &k.socketFlag, operate.Config{Settings: any, Note: k.Note})
+		return configure(ctx, c, &k.socketFlag, adminapi.Config{Settings: any, Note: k.Note})
 	}
 	steps, err := rollout.Parse(k.Steps)
 	if err != nil {
 		return err
 	}
-	if err := k.call(ctx, c, func(ctx context.Context, a *operate.Client) error {
-		if _, err := a.Configure(ctx, operate.Config{Settings: any, Note: k.Note, Steps: steps, SettleMs: k.Settle.Milliseconds()}); err != nil {
+	if err := k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
+		if _, err := a.Configure(ctx, adminapi.Config{Settings: any, Note: k.Note, Steps: steps, SettleMs: k.Settle.Milliseconds()}); err != nil {
 			return k.failed(ctx, c, err, "")
 		}
 		return nil
@@ -77,7 +77,7 @@
 	told := -2
 	for {
 		var p rollout.Plan
-		err := k.call(ctx, c, func(ctx context.Context, a *operate.Client) (err error) {
+		err := k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) (err error) {
 			p, err = a.Plan(ctx)
 			return err
 		})
@@ -112,13 +112,13 @@
 }
 
 func (k *configPlan) Run(ctx context.Context, c *console) error {
-	return k.call(ctx, c, func(ctx context.Context, a *operate.Client) error {
+	return k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
 		if k.CallOff {
 			by := "operators"
 			if u, err := user.Current(); err == nil {
 				by = u.Username
 			}
-			if _, err := a.Configure(ctx, operate.Config{CallOff: by}); err != nil {
+			if _, err := a.Configure(ctx, adminapi.Config{CallOff: by}); err != nil {
 				return k.failed(ctx, c, err, "")
 			}
 		}
@@ -144,8 +144,8 @@
 	})
 }
 
-func configure(ctx context.Context, c *console, s *socketFlag, q operate.Config) error {
-	return s.call(ctx, c, func(ctx context.Context, a *operate.Client) error {
+func configure(ctx context.Context, c *console, s *socketFlag, q adminapi.Config) error {
+	return s.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
 		v, err := a.Configure(ctx, q)
 		if err != nil {
 			return s.failed(ctx, c, err, "")
@@ -160,7 +160,7 @@
 }
 
 func (k *configGet) Run(ctx context.Context, c *console) error {
-	return k.call(ctx, c, func(ctx context.Context, a *operate.Client) error {
+	return k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
 		all, err := a.History(ctx)
 		if err != nil {
 			return err
@@ -179,7 +179,7 @@
 type configHistory struct{ socketFlag }
 
 func (k *configHistory) Run(ctx context.Context, c *console) error {
-	return k.call(ctx, c, func(ctx context.Context, a *operate.Client) error {
+	return k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
 		all, err := a.History(ctx)
 		if err != nil {
 			return err
@@ -201,5 +201,5 @@
 }
 
 func (k *configRollback) Run(ctx context.Context, c *console) error {
-	return configure(ctx, c, &k.socketFlag, operate.Config{Rollback: k.Version})
+	return configure(ctx, c, &k.socketFlag, adminapi.Config{Rollback: k.Version})
 }
--- a/cmd/birchmoor/dns.go
+++ b/cmd/birchmoor/dns.go
@@ -12,16 +12,16 @@
 
 	"github.com/miekg/dns"
 
-	"birchmoor/internal/core"
-	"birchmoor/internal/dnsfront"
-	"birchmoor/internal/dnsfront/limit"
-	"birchmoor/internal/dnsfront/route"
-	"birchmoor/internal/handover"
-	"birchmoor/internal/operator"
+	"birchmoor/internal/controlplane/operatorconfig"
+	"birchmoor/internal/dataplane/core"
+	"birchmoor/internal/dataplane/dnsfront"
+	"birchmoor/internal/dataplane/dnsfront/limit"
+	"birchmoor/internal/dataplane/dnsfront/route"
+	"birchmoor/internal/dataplane/handover"
 )
 
 // dnsSettings reads what the operator file leaves to the front.
-func dnsSettings(d *operator.DNS) (*dnsfront.Settings, error) {
+func dnsSettings(d *operatorconfig.DNS) (*dnsfront.Settings, error) {
 	s := &dnsfront.Settings{Sockets: d.Sockets, TCPServer: d.TCPServer, TCPClients: d.TCPClients, PerConn: d.PerConn,
 		Idle: time.Duration(d.Idle), Limit: limit.Settings{Open: d.Open, PerClient: d.PerClient,
 			Unproven: float64(d.Unproven) / 100, Rate: float64(d.Rate), Burst: float64(d.Burst), Slip: *d.Slip, Prefixes: d.Prefixes}}
@@ -79,7 +79,7 @@
 
 // dnsProtocol is the front as a sidecar runs it. Its sockets are its own unless ROUTER_DNS_UDP_FD and ROUTER_DNS_TCP_FD
 // name inherited ones, by which an upgrade loses nothing.
-func dnsProtocol(d *operator.DNS, getenv func(string) string) (core.Protocol, error) {
+func dnsProtocol(d *operatorconfig.DNS, getenv func(string) string) (core.Protocol, error) {
 	s, err := dnsSettings(d)
 	if err != nil {
 		return nil, err
--- a/cmd/birchmoor/drain_test.go
+++ b/cmd/birchmoor/drain_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"birchmoor/internal/discovery"
-	"birchmoor/internal/proctest"
+	"birchmoor/internal/dataplane/discovery"
+	"birchmoor/internal/testutil/processtest"
 )
 
 // counted is a slot server that counts which daemon's requests it got, and when the last came.
@@ -47,14 +47,14 @@
 type whole struct {
 	name, dir, listen, store, discovery string
 	known                               []discovery.Instance
-	process                             *proctest.Process // nil while it does not run
-	log                                 proctest.Log
+	process                             *processtest.Process // nil while it does not run
+	log                                 processtest.Log
 }
 
 func newWhole(t *testing.T, dir, name, at string, known ...discovery.Instance) *whole {
 	t.Helper()
 	w := &whole{name: name, dir: dir, discovery: at, known: known}
-	w.listen, w.store = proctest.Address(t), proctest.Address(t)
+	w.listen, w.store = processtest.Address(t), processtest.Address(t)
 	return w
 }
 
@@ -75,8 +75,8 @@
 		}
 	}
 	// A temporary folder that the next start has not.
-	cmd := proctest.Self(t, []string{asProgram + "=1", "ROUTER_CONFIG=" + w.path(".json"), "TMPDIR=" + t.TempDir()}, "run", "--config", w.path(".toml"))
-	w.process = proctest.Start(t, cmd, &w.log)
+	cmd := processtest.Self(t, []string{asProgram + "=1", "ROUTER_CONFIG=" + w.path(".json"), "TMPDIR=" + t.TempDir()}, "run", "--config", w.path(".toml"))
+	w.process = processtest.Start(t, cmd, &w.log)
 	w.until(t, "readiness", func() bool {
 		resp, err := http.Get("http://" + w.listen + "/-/ready")
 		if err != nil {
@@ -96,7 +96,7 @@
 
 func (w *whole) until(t *testing.T, what string, done func() bool) {
 	t.Helper()
-	proctest.Until(t, w.name+": "+what, done, w.log.String)
+	processtest.Until(t, w.name+": "+what, done, w.log.String)
 }
 
 var traces struct {
--- a/cmd/birchmoor/followers_test.go
+++ b/cmd/birchmoor/followers_test.go
@@ -21,16 +21,16 @@
 	"testing"
 	"time"
 
-	"birchmoor/internal/core"
-	"birchmoor/internal/daemon"
+	"birchmoor/internal/controlplane/adminapi"
+	"birchmoor/internal/controlplane/daemon"
+	"birchmoor/internal/controlplane/operatorconfig"
+	"birchmoor/internal/controlplane/quota"
+	"birchmoor/internal/dataplane/core"
 	"birchmoor/internal/lab/address"
-	"birchmoor/internal/limit"
-	"birchmoor/internal/operate"
-	"birchmoor/internal/operator"
-	"birchmoor/internal/proctest"
 	"birchmoor/internal/store"
 	"birchmoor/internal/store/admin"
 	"birchmoor/internal/store/replica"
+	"birchmoor/internal/testutil/processtest"
 )
 
 // counting forwards connections to an address, and counts the bytes that pass.
@@ -109,7 +109,7 @@
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		tb.Fatal(err)
 	}
-	f, err := operator.Read(file)
+	f, err := operatorconfig.Read(file)
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -138,13 +138,13 @@
 }
 
 // rateOfParts is a limit whose parts are the classes class0 to class3.
-func rateOfParts() *limit.Conf {
-	l := &limit.Limit{Name: "all", Kind: limit.Rate, Of: limit.Requests, Span: 1e8, Without: limit.Strict, By: []string{"class"},
-		Nodes: []limit.Node{{Most: 10000 * limit.One, Weight: 1}}}
+func rateOfParts() *quota.Conf {
+	l := &quota.Limit{Name: "all", Kind: quota.Rate, Of: quota.Requests, Span: 1e8, Without: quota.Strict, By: []string{"class"},
+		Nodes: []quota.Node{{Most: 10000 * quota.One, Weight: 1}}}
 	for i := range 4 {
-		l.Nodes = append(l.Nodes, limit.Node{Path: fmt.Sprint("class", i), Most: 5000 * limit.One, Weight: 1})
+		l.Nodes = append(l.Nodes, quota.Node{Path: fmt.Sprint("class", i), Most: 5000 * quota.One, Weight: 1})
 	}
-	return &limit.Conf{Limits: []*limit.Limit{l}}
+	return &quota.Conf{Limits: []*quota.Limit{l}}
 }
 
 // A follower's copy holds what its daemon needs; its people are shown what there is all the same, by way of a replica, or told that it is
@@ -157,24 +157,24 @@
 	defer over()
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
-	clients := map[string]*operate.Client{"a": operate.Dial(filepath.Join(dir, "a.sock"))}
-	proctest.Until(t, "limits are put", func() bool { _, err := clients["a"].PutLimits(ctx, rateOfParts()); return err == nil })
+	clients := map[string]*adminapi.Client{"a": adminapi.Dial(filepath.Join(dir, "a.sock"))}
+	processtest.Until(t, "limits are put", func() bool { _, err := clients["a"].PutLimits(ctx, rateOfParts()); return err == nil })
 	var ending sync.WaitGroup
 	defer ending.Wait()
 	for name, more := range map[string]string{"h0": "", "h1": "", "h2": "interest = \"all\"\n"} {
 		_, end := openDaemon(t, dir, name, fmt.Sprintf("follow = [\"a=%s\"]\n%s", serve, more), quiet)
 		defer ending.Go(end)
-		clients[name] = operate.Dial(filepath.Join(dir, name+".sock"))
+		clients[name] = adminapi.Dial(filepath.Join(dir, name+".sock"))
 	}
-	words := url.Values{"prefix": {limit.NeedPrefix}}
-	stale := url.Values{"prefix": {limit.NeedPrefix}, "stale": {"true"}}
-	proctest.Until(t, "all tell", func() bool {
+	words := url.Values{"prefix": {quota.NeedPrefix}}
+	stale := url.Values{"prefix": {quota.NeedPrefix}, "stale": {"true"}}
+	processtest.Until(t, "all tell", func() bool {
 		i, err := clients["a"].Range(ctx, words)
 		return err == nil && len(i.Items) == 4
 	})
-	proctest.Until(t, "each holds its own", func() bool {
+	processtest.Until(t, "each holds its own", func() bool {
 		st, err := clients["h0"].Status(ctx)
-		return err == nil && st.Holds != nil && st.Holds.Covers(limit.NeedPrefix+"h0/1") && !st.Holds.Covers(limit.NeedPrefix+"h1/1")
+		return err == nil && st.Holds != nil && st.Holds.Covers(quota.NeedPrefix+"h0/1") && !st.Holds.Covers(quota.NeedPrefix+"h1/1")
 	})
 	if i, err := clients["h0"].Range(ctx, words); err != nil || len(i.Items) != 4 {
 		t.Errorf("by way of a replica: %d, %v", len(i.Items), err)
@@ -191,7 +191,7 @@
 	if l, err := clients["h0"].Limits(ctx, ""); err != nil || l.Fault != "" || len(l.Limits) != 1 || len(l.Limits[0].Parts[0].Of) != 4 {
 		t.Errorf("limits: %+v, %v", l, err)
 	}
-	proctest.Until(t, "all take part", func() bool {
+	processtest.Until(t, "all take part", func() bool {
 		all, err := clients["h0"].Tasks(ctx, daemon.FleetTask)
 		return err == nil && len(all) == 1 && len(all[0].Places) == 4
 	})
@@ -231,14 +231,14 @@
 		if i == 0 {
 			continue
 		}
-		proctest.Until(b, "a replica more votes", func() bool {
-			c := operate.Dial(filepath.Join(dir, "a.sock"))
+		processtest.Until(b, "a replica more votes", func() bool {
+			c := adminapi.Dial(filepath.Join(dir, "a.sock"))
 			_, _ = c.Change(ctx, admin.Request{ID: store.RequestID{Client: 39, Seq: uint64(i)}, Add: &store.Join{Name: name, Address: listen}})
 			s, err := c.Status(ctx)
 			return err == nil && len(s.Peers) > i && !slices.ContainsFunc(s.Peers, func(p replica.Peer) bool { return p.Learner })
 		})
 	}
-	client := operate.Dial(filepath.Join(dir, "a.sock"))
+	client := adminapi.Dial(filepath.Join(dir, "a.sock"))
 	for begun := time.Now(); ; time.Sleep(100 * time.Millisecond) {
 		if _, err := client.PutLimits(ctx, rateOfParts()); err == nil {
 			break
--- a/cmd/birchmoor/keys.go
+++ b/cmd/birchmoor/keys.go
@@ -6,7 +6,7 @@
 	"text/tabwriter"
 	"time"
 
-	"birchmoor/internal/keys"
+	"birchmoor/internal/platform/keys"
 )
 
 type keysCommands struct {
--- a/cmd/birchmoor/lab.go
+++ b/cmd/birchmoor/lab.go
@@ -168,7 +168,7 @@
 type runCommand struct {
 	Scenario string `arg:"" type:"existingfile" help:"Scenario file, such as lab/scenarios/calm.toml."`
 	Seed     uint64 `default:"1" help:"All that is drawn comes from it."`
-	Bin      string `help:"The sidecar program; without it, dunlinsail beside this command." type:"existingfile" placeholder:"PATH"`
+	Bin      string `help:"The sidecar program; without it, sidecar beside this command." type:"existingfile" placeholder:"PATH"`
 	output   `embed:""`
 }
 
--- a/cmd/birchmoor/labchain.go
+++ b/cmd/birchmoor/labchain.go
@@ -24,7 +24,7 @@
 	Warm     time.Duration `help:"Of calls that are made first and not measured, where nothing fails; probes have their pace some 15 s after a start." default:"1s"`
 	Virtual  bool          `help:"In virtual time, by the decision modules alone, with a sidecar for each server: for attempts, not for times."`
 	Seed     uint64        `help:"All that is drawn comes from it." default:"1"`
-	Bin      string        `help:"The sidecar program; without it, dunlinsail beside this command." type:"existingfile" placeholder:"PATH"`
+	Bin      string        `help:"The sidecar program; without it, sidecar beside this command." type:"existingfile" placeholder:"PATH"`
 	JSON     bool          `help:"As JSON."`
 	Markdown bool          `help:"As tables of a page."`
 }
--- a/cmd/birchmoor/labscale.go
+++ b/cmd/birchmoor/labscale.go
@@ -11,9 +11,9 @@
 	"strings"
 	"time"
 
-	"birchmoor/internal/boot"
-	"birchmoor/internal/control"
+	"birchmoor/internal/controlplane"
 	"birchmoor/internal/lab/scale"
+	"birchmoor/internal/platform/bootclock"
 )
 
 type scaleCommand struct {
@@ -141,6 +141,6 @@
 
 func (k *hollowCommand) Run(ctx context.Context, c *console) error {
 	log := slog.New(slog.NewTextHandler(c.err, nil))
-	hollowPlant.Plant = control.Plant{Clock: boot.Clock{Pace: inside.Pace}, Session: plantedSession(), Table: plantedTable(), Limit: inside.Limit}
+	hollowPlant.Plant = controlplane.Plant{Clock: bootclock.Clock{Pace: inside.Pace}, Session: plantedSession(), Table: plantedTable(), Limit: inside.Limit}
 	return scale.Child(ctx, k.Spec, os.Stdin, c.out, log, hollowPlant)
 }
--- a/cmd/birchmoor/labscale_test.go
+++ b/cmd/birchmoor/labscale_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
+	"birchmoor/internal/controlplane/operatorconfig"
 	"birchmoor/internal/lab/scale"
-	"birchmoor/internal/operator"
-	"birchmoor/internal/proctest"
+	"birchmoor/internal/testutil/processtest"
 )
 
 // hollowPlantEnv names what the hollow sidecars of a test do wrong.
@@ -43,7 +43,7 @@
 	for i, n := range sizes {
 		dir, pictures, interest := t.TempDir(), uint64(n), ""
 		if plant == "interest-all" {
-			interest = operator.InterestAll
+			interest = operatorconfig.InterestAll
 		}
 		if plant == "picture-for-each" {
 			pictures *= uint64(n) // of one round, of each that is hollow as many as there are daemons, and one more
@@ -158,7 +158,7 @@
 		}
 		return n
 	}
-	proctest.Until(t, "that replicas, links and hollow sidecars run", func() bool { return processes() >= 1+1+8+5 })
+	processtest.Until(t, "that replicas, links and hollow sidecars run", func() bool { return processes() >= 1+1+8+5 })
 	cancel()
 	if err := <-ended; err == nil {
 		t.Error("it ended well")
--- a/cmd/birchmoor/lease.go
+++ b/cmd/birchmoor/lease.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 	"time"
 
-	"birchmoor/internal/operate"
+	"birchmoor/internal/controlplane/adminapi"
 	"birchmoor/internal/store/admin"
 )
 
@@ -81,7 +81,7 @@
 type leaseList struct{ socketFlag }
 
 func (k *leaseList) Run(ctx context.Context, c *console) error {
-	return k.call(ctx, c, func(ctx context.Context, a *operate.Client) error {
+	return k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
 		all, err := a.Leases(ctx)
 		if err != nil {
 			return err
--- a/cmd/birchmoor/lock.go
+++ b/cmd/birchmoor/lock.go
@@ -10,11 +10,11 @@
 	"syscall"
 	"time"
 
-	"birchmoor/internal/boot"
-	"birchmoor/internal/keeper"
-	"birchmoor/internal/operate"
+	"birchmoor/internal/controlplane/adminapi"
+	"birchmoor/internal/controlplane/leasetask"
+	"birchmoor/internal/controlplane/watchdog"
+	"birchmoor/internal/platform/bootclock"
 	"birchmoor/internal/store/admin"
-	"birchmoor/internal/tasks"
 )
 
 // Exit codes of lock, beside those of the command that it runs.
@@ -70,22 +70,22 @@
 	if _, err := exec.LookPath(k.Command[0]); err != nil {
 		return &exitError{exitNotRun, err}
 	}
-	if err := keeper.Adopt(); err != nil {
+	if err := watchdog.Adopt(); err != nil {
 		return err
 	}
-	defer keeper.Clear()
+	defer watchdog.Clear()
 	wait, cancel := ctx, context.CancelFunc(func() {})
 	if k.Wait > 0 {
 		wait, cancel = context.WithTimeout(ctx, k.Wait)
 	}
 	defer cancel()
 	host, _ := os.Hostname() // for people alone
-	want := tasks.Want{Task: k.Name, Slots: k.Slots, TTL: k.TTL, Note: fmt.Sprintf("lock: %.120s (pid %d, %.40s)", strings.Join(k.Command, " "), os.Getpid(), host)}
+	want := leasetask.Want{Task: k.Name, Slots: k.Slots, TTL: k.TTL, Note: fmt.Sprintf("lock: %.120s (pid %d, %.40s)", strings.Join(k.Command, " "), os.Getpid(), host)}
 	hold, drop := context.WithCancel(context.WithoutCancel(ctx)) // the connection, by which it is held
 	defer drop()
-	lines, failed := make(chan operate.LockLine, 16), make(chan error, 1)
+	lines, failed := make(chan adminapi.LockLine, 16), make(chan error, 1)
 	go func() {
-		failed <- operate.Dial(k.Socket).Lock(hold, want, func(l operate.LockLine) error {
+		failed <- adminapi.Dial(k.Socket).Lock(hold, want, func(l adminapi.LockLine) error {
 			select {
 			case lines <- l:
 				return nil
@@ -95,7 +95,7 @@
 		})
 	}()
 	told := ""
-	say := func(l operate.LockLine, text string) {
+	say := func(l adminapi.LockLine, text string) {
 		switch {
 		case k.JSON:
 			b, _ := encode(l)
@@ -141,7 +141,7 @@
 }
 
 // hold runs the command for as long as the lock is held.
-func (k *lockCommand) hold(ctx context.Context, l operate.LockLine, lines <-chan operate.LockLine, failed <-chan error, say func(operate.LockLine, string), drop func()) error {
+func (k *lockCommand) hold(ctx context.Context, l adminapi.LockLine, lines <-chan adminapi.LockLine, failed <-chan error, say func(adminapi.LockLine, string), drop func()) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
@@ -156,7 +156,7 @@
 		"--"}, k.Command...)...)
 	cmd.Env = append(os.Environ(), "BIRCHMOOR_TASK="+k.Name, fmt.Sprintf("BIRCHMOOR_TOKEN=%d", l.Token), fmt.Sprintf("BIRCHMOOR_UNTIL=%d", l.Until))
 	cmd.Stdin, cmd.Stdout, cmd.Stderr, cmd.ExtraFiles = os.Stdin, os.Stdout, os.Stderr, []*os.File{out}
-	if err := keeper.PutOff(pipe, plantedUntil(l.Until)); err != nil {
+	if err := watchdog.PutOff(pipe, plantedUntil(l.Until)); err != nil {
 		return err
 	}
 	if err := cmd.Start(); err != nil {
@@ -171,9 +171,9 @@
 		select {
 		case <-ended:
 			code := cmd.ProcessState.ExitCode()
-			keeper.Clear() // what is left if the keeper was killed: only then may another have it
+			watchdog.Clear() // what is left if the keeper was killed: only then may another have it
 			if said, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second); failed != nil {
-				_ = operate.Dial(k.Socket).Unlock(said, k.Name, l.Token) // or it has it once the time is up
+				_ = adminapi.Dial(k.Socket).Unlock(said, k.Name, l.Token) // or it has it once the time is up
 				cancel()
 			} else {
 				cancel()
@@ -193,20 +193,20 @@
 			return nil
 		case <-stop:
 			stop = nil
-			_ = keeper.End(pipe) // one that is gone ends
+			_ = watchdog.End(pipe) // one that is gone ends
 		case err := <-failed:
 			failed = nil
 			lost = fmt.Errorf("the daemon: %w", err)
-			_ = keeper.End(pipe)
+			_ = watchdog.End(pipe)
 		case l := <-lines:
 			if l.Over {
 				if lost = errors.New(l.Why); plantedRelease() {
 					drop()
 					time.Sleep(time.Second)
 				}
-				_ = keeper.End(pipe)
+				_ = watchdog.End(pipe)
 			} else if l.Until > 0 {
-				_ = keeper.PutOff(pipe, plantedUntil(l.Until))
+				_ = watchdog.PutOff(pipe, plantedUntil(l.Until))
 			}
 			if say != nil && k.JSON {
 				say(l, "")
@@ -228,13 +228,13 @@
 		k.Command = k.Command[1:]
 	}
 	syscall.CloseOnExec(3)
-	code, why := keeper.Command{Args: k.Command, Env: os.Environ(), Grace: k.Grace, Early: k.Early, Clock: boot.Clock{Pace: inside.Pace}, Late: func(by int64) {
+	code, why := watchdog.Command{Args: k.Command, Env: os.Environ(), Grace: k.Grace, Early: k.Early, Clock: bootclock.Clock{Pace: inside.Pace}, Late: func(by int64) {
 		fmt.Fprintf(os.Stderr, "birchmoor: %s with token %s: what it ran may have gone on %v past its time: this host did not run its keeper in time\n", os.Getenv("BIRCHMOOR_TASK"), os.Getenv("BIRCHMOOR_TOKEN"), time.Duration(by).Round(time.Millisecond))
 	}}.Run(os.NewFile(3, "deadlines"))
 	switch {
-	case errors.Is(why, keeper.ErrLate), errors.Is(why, keeper.ErrAlone):
+	case errors.Is(why, watchdog.ErrLate), errors.Is(why, watchdog.ErrAlone):
 		return &exitError{exitLost, nil}
-	case errors.Is(why, keeper.ErrTold):
+	case errors.Is(why, watchdog.ErrTold):
 		return &exitError{code, nil}
 	case why != nil:
 		return &exitError{exitNotRun, why}
--- a/cmd/birchmoor/plant.go
+++ b/cmd/birchmoor/plant.go
@@ -5,7 +5,7 @@
 import (
 	"time"
 
-	"birchmoor/internal/lease"
+	"birchmoor/internal/controlplane/lease"
 	"birchmoor/internal/store/admin"
 )
 
--- a/cmd/birchmoor/replay.go
+++ b/cmd/birchmoor/replay.go
@@ -16,9 +16,9 @@
 	"time"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/capture"
-	"birchmoor/internal/replay"
-	"birchmoor/internal/wire"
+	"birchmoor/internal/dataplane/capture"
+	"birchmoor/internal/dataplane/replay"
+	"birchmoor/internal/platform/wire"
 )
 
 type replayCommand struct {
--- a/cmd/birchmoor/replay_test.go
+++ b/cmd/birchmoor/replay_test.go
@@ -7,8 +7,8 @@
 	"strings"
 	"testing"
 
+	"birchmoor/internal/dataplane/replay"
 	"birchmoor/internal/lab/tasklab"
-	"birchmoor/internal/replay"
 )
 
 // asProgram has the test's binary stand for the command: another build to replay against.
--- a/cmd/birchmoor/run.go
+++ b/cmd/birchmoor/run.go
@@ -9,11 +9,11 @@
 	"os/signal"
 	"syscall"
 
-	"birchmoor/internal/boot"
-	"birchmoor/internal/config"
-	"birchmoor/internal/control"
+	"birchmoor/internal/controlplane"
+	"birchmoor/internal/controlplane/operatorconfig"
 	"birchmoor/internal/lab/tasklab"
-	"birchmoor/internal/operator"
+	"birchmoor/internal/platform/bootclock"
+	"birchmoor/internal/platform/config"
 )
 
 type daemonCommand struct {
@@ -33,7 +33,7 @@
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP) // before anything else: unheard it ends the program
 	log := slog.New(slog.NewTextHandler(c.err, nil))
-	f, err := operator.Read(k.Config)
+	f, err := operatorconfig.Read(k.Config)
 	if err != nil {
 		return err
 	}
@@ -60,8 +60,8 @@
 var inside tasklab.Inside
 
 // openStore starts what joins a replica or a follower to a sidecar, and its socket. end stops them.
-func openStore(f *operator.File, runs bool, hup chan os.Signal, log *slog.Logger) (x *extras, end func(), err error) {
-	cfg := control.Config{File: f, Hup: hup, Log: log, Plant: control.Plant{Clock: boot.Clock{Pace: inside.Pace}, File: inside.File,
+func openStore(f *operatorconfig.File, runs bool, hup chan os.Signal, log *slog.Logger) (x *extras, end func(), err error) {
+	cfg := controlplane.Config{File: f, Hup: hup, Log: log, Plant: controlplane.Plant{Clock: bootclock.Clock{Pace: inside.Pace}, File: inside.File,
 		Store: plantedStore, Session: plantedSession(), Table: plantedTable(), Limit: inside.Limit}}
 	if runs {
 		if c, err := config.Read(os.Getenv); err == nil { // else the sidecar says why
@@ -72,7 +72,7 @@
 			return err
 		}
 	}
-	p, err := control.Open(cfg)
+	p, err := controlplane.Open(cfg)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -88,7 +88,7 @@
 }
 
 func (k *checkCommand) Run(c *console) error {
-	f, err := operator.Read(k.File)
+	f, err := operatorconfig.Read(k.File)
 	if err != nil {
 		return err
 	}
--- a/cmd/birchmoor/sidecar.go
+++ b/cmd/birchmoor/sidecar.go
@@ -18,14 +18,14 @@
 	"time"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/capture"
-	"birchmoor/internal/config"
-	"birchmoor/internal/core"
-	"birchmoor/internal/daemon"
-	"birchmoor/internal/maintenance"
-	"birchmoor/internal/operator"
-	"birchmoor/internal/sidecar"
-	"birchmoor/internal/snapshot"
+	"birchmoor/internal/controlplane/daemon"
+	"birchmoor/internal/controlplane/operatorconfig"
+	"birchmoor/internal/dataplane/capture"
+	"birchmoor/internal/dataplane/core"
+	"birchmoor/internal/dataplane/maintenance"
+	"birchmoor/internal/dataplane/sidecar"
+	"birchmoor/internal/platform/config"
+	"birchmoor/internal/platform/snapshot"
 )
 
 type sidecarCommand struct {
@@ -33,7 +33,7 @@
 }
 
 func (k *sidecarCommand) Help() string {
-	return `Serves as dunlinsail does, and is told where by the same ROUTER_ variables; the operator
+	return `Serves as the sidecar program does, and is told where by the same ROUTER_ variables; the operator
 file turns on what the platform does not give: a state that outlives the process, captures, DNS.
 
 Example:
@@ -44,10 +44,10 @@
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP) // before anything else: unheard it ends the program
 	log := slog.New(slog.NewTextHandler(c.err, nil))
-	f := &operator.File{}
+	f := &operatorconfig.File{}
 	if k.Operator != "" {
 		var err error
-		if f, err = operator.Read(k.Operator); err != nil {
+		if f, err = operatorconfig.Read(k.Operator); err != nil {
 			return err
 		}
 	}
@@ -72,7 +72,7 @@
 }
 
 // serve runs a sidecar until ctx ends.
-func serve(ctx context.Context, f *operator.File, x *extras, log *slog.Logger) error {
+func serve(ctx context.Context, f *operatorconfig.File, x *extras, log *slog.Logger) error {
 	config, err := x.read()
 	if err != nil {
 		return err
@@ -111,7 +111,7 @@
 }
 
 // captureTap records what the sidecar's module is told and answers. end is called when the loop is over.
-func captureTap(c *operator.Capture, name string, log *slog.Logger) (tap core.Tap, end func(), err error) {
+func captureTap(c *operatorconfig.Capture, name string, log *slog.Logger) (tap core.Tap, end func(), err error) {
 	w, err := capture.Create(capture.Config{Dir: c.Dir, Name: name, Bytes: int64(c.BudgetMB) << 20,
 		FileBytes: int64(c.FileMB) << 20, FileAge: time.Duration(c.FileAge), Queue: c.Queue, Retry: time.Duration(c.Retry), Log: log})
 	if err != nil {
--- a/cmd/birchmoor/sidecar_test.go
+++ b/cmd/birchmoor/sidecar_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"birchmoor/internal/capture"
-	"birchmoor/internal/discovery"
-	"birchmoor/internal/proctest"
+	"birchmoor/internal/dataplane/capture"
+	"birchmoor/internal/dataplane/discovery"
+	"birchmoor/internal/testutil/processtest"
 )
 
 const settingsOfOne = `{"peers-total":1,"areas":["a"],"skus":["m"],"discovery":"automatic",
@@ -24,7 +24,7 @@
 	"reporting":{"how":"none"},"tenants":[{"name":"acme","allowance-per-s":100.0,"share":1.0}]}`
 
 // program runs the sidecar as a process of its own, and returns its address, its log and what kills it.
-func program(t *testing.T, operatorFile, server string) (addr string, log *proctest.Log, kill func()) {
+func program(t *testing.T, operatorFile, server string) (addr string, log *processtest.Log, kill func()) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -43,11 +43,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cmd := proctest.Self(t, []string{asProgram + "=1", "ROUTER_CONFIG=" + write(t, "config.json", string(config)), "ROUTER_FD=3",
+	cmd := processtest.Self(t, []string{asProgram + "=1", "ROUTER_CONFIG=" + write(t, "config.json", string(config)), "ROUTER_FD=3",
 		"TMPDIR=" + t.TempDir()}, "sidecar", "--operator", operatorFile)
-	cmd.ExtraFiles, log = []*os.File{file}, &proctest.Log{}
-	p := proctest.Start(t, cmd, log)
-	proctest.Until(t, "readiness", func() bool {
+	cmd.ExtraFiles, log = []*os.File{file}, &processtest.Log{}
+	p := processtest.Start(t, cmd, log)
+	processtest.Until(t, "readiness", func() bool {
 		resp, err := http.Get("http://" + addr + "/-/ready")
 		if err != nil {
 			return false
@@ -100,7 +100,7 @@
 		if _, err := os.Stat(kept); err == nil && frames() > 2000 {
 			break
 		}
-		if time.Since(begun) > proctest.Soon {
+		if time.Since(begun) > processtest.Soon {
 			t.Fatalf("%d bytes are recorded, and the state is not kept: %s %s", frames(), resp.Status, log)
 		}
 	}
--- a/cmd/birchmoor/steps_test.go
+++ b/cmd/birchmoor/steps_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
+	"birchmoor/internal/controlplane/rollout"
 	"birchmoor/internal/lab/fleetlab"
-	"birchmoor/internal/proctest"
-	"birchmoor/internal/rollout"
+	"birchmoor/internal/testutil/processtest"
 )
 
 // Settings come in force in steps over three replicas and two followers under load: good ones at all, though the daemon that drives is
@@ -43,7 +43,7 @@
 		all, err := f.Daemons[0].Client.Tasks(ctx, "sweep")
 		return err == nil && len(all) == 1 && len(all[0].Places) >= len(f.Daemons)
 	}
-	proctest.Until(t, "every daemon's part in the fleet", ready, logs)
+	processtest.Until(t, "every daemon's part in the fleet", ready, logs)
 	put := func(settle string, edits ...string) (code int, out string) {
 		code, o, e := birchmoor("config", "put", write(t, "s.json", fleetlab.Settings(edits...)), "--steps", "1,50%,all", "--settle", settle, "--socket", socket)
 		return code, o + e
@@ -59,7 +59,7 @@
 	}()
 	// The daemon that drives is killed once the first step is in force.
 	var p rollout.Plan
-	proctest.Until(t, "the first step", func() bool { p, err = f.Daemons[0].Client.Plan(ctx); return err == nil && p.Step >= 0 }, logs)
+	processtest.Until(t, "the first step", func() bool { p, err = f.Daemons[0].Client.Plan(ctx); return err == nil && p.Step >= 0 }, logs)
 	all, err := f.Daemons[0].Client.Tasks(ctx, "rollout")
 	if err != nil {
 		t.Fatal(err)
@@ -93,9 +93,9 @@
 			return true
 		}
 	}
-	proctest.Until(t, "the new settings at all", in(`"most-held":900`), logs)
+	processtest.Until(t, "the new settings at all", in(`"most-held":900`), logs)
 	// Settings with which nothing can be answered in time.
-	proctest.Until(t, "every daemon's part in the fleet again", ready, logs)
+	processtest.Until(t, "every daemon's part in the fleet again", ready, logs)
 	if code, out := put("1s", `"target":500000,"give-up":1000000`, `"target":1000,"give-up":2000`); code != exitMissed || !strings.Contains(out, "taken back: step 1:") {
 		t.Errorf("exit code %d:\n%s\n%s", code, out, logs())
 	}
--- a/cmd/birchmoor/store.go
+++ b/cmd/birchmoor/store.go
@@ -19,11 +19,11 @@
 	"time"
 	"unicode/utf8"
 
-	"birchmoor/internal/daemon"
+	"birchmoor/internal/controlplane/adminapi"
+	"birchmoor/internal/controlplane/daemon"
+	"birchmoor/internal/controlplane/lease"
 	"birchmoor/internal/lab/storebench"
 	"birchmoor/internal/lab/storesim"
-	"birchmoor/internal/lease"
-	"birchmoor/internal/operate"
 	"birchmoor/internal/store"
 	"birchmoor/internal/store/admin"
 	"birchmoor/internal/store/disk"
@@ -66,7 +66,7 @@
 
 // call asks the daemon, for at most the time that was given, and says on standard error that it waits if that takes
 // long.
-func (s *socketFlag) call(ctx context.Context, c *console, f func(context.Context, *operate.Client) error) error {
+func (s *socketFlag) call(ctx context.Context, c *console, f func(context.Context, *adminapi.Client) error) error {
 	if s.Timeout < timeoutLeast || s.Timeout > timeoutMost {
 		return fmt.Errorf("--timeout: %v is not within %v and %v", s.Timeout, timeoutLeast, timeoutMost)
 	}
@@ -76,7 +76,7 @@
 		fmt.Fprintf(c.err, "birchmoor: no answer yet; waiting for %v in all\n", s.Timeout)
 	})
 	defer say.Stop()
-	a := operate.Dial(s.Socket)
+	a := adminapi.Dial(s.Socket)
 	a.Timeout = s.Timeout
 	return f(ctx, a)
 }
@@ -126,7 +126,7 @@
 type storeStatus struct{ socketFlag }
 
 func (k *storeStatus) Run(ctx context.Context, c *console) error {
-	return k.call(ctx, c, func(ctx context.Context, a *operate.Client) error {
+	return k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
 		s, err := a.Status(ctx)
 		if err != nil {
 			return err
@@ -191,7 +191,7 @@
 }
 
 func (k *storeMeter) Run(ctx context.Context, c *console) error {
-	return k.call(ctx, c, func(ctx context.Context, a *operate.Client) error {
+	return k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
 		r, err := a.Meter(ctx)
 		if err != nil {
 			return err
@@ -221,7 +221,7 @@
 type storeMembers struct{ socketFlag }
 
 func (k *storeMembers) Run(ctx context.Context, c *console) error {
-	return k.call(ctx, c, func(ctx context.Context, a *operate.Client) error {
+	return k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
 		s, err := a.Status(ctx)
 		if err != nil {
 			return err
@@ -255,7 +255,7 @@
 		}
 		r.ID = store.RequestID{Client: binary.BigEndian.Uint64(b[:]) >> 1, Seq: 1}
 	}
-	return s.call(ctx, c, func(ctx context.Context, a *operate.Client) error {
+	return s.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
 		x, err := a.Change(ctx, r)
 		if err != nil {
 			return s.failed(ctx, c, err, fmt.Sprintf("%d-%d", r.ID.Client, r.ID.Seq))
@@ -322,7 +322,7 @@
 type storeOut struct{ socketFlag }
 
 func (k *storeOut) Run(ctx context.Context, c *console) error {
-	return k.call(ctx, c, func(ctx context.Context, a *operate.Client) error {
+	return k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
 		all, err := a.Out(ctx)
 		if err != nil {
 			return err
@@ -358,7 +358,7 @@
 }
 
 func (k *storeServers) Run(ctx context.Context, c *console) error {
-	return k.call(ctx, c, func(ctx context.Context, a *operate.Client) error {
+	return k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
 		all, err := a.ServersOfAll(ctx)
 		if err != nil {
 			return err
@@ -395,7 +395,7 @@
 type storeHandover struct{ socketFlag }
 
 func (k *storeHandover) Run(ctx context.Context, c *console) error {
-	return k.call(ctx, c, func(ctx context.Context, a *operate.Client) error {
+	return k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
 		if err := a.HandOver(ctx); err != nil {
 			return k.failed(ctx, c, err, "")
 		}
@@ -428,7 +428,7 @@
 	} else {
 		q.Set("key", k.Key)
 	}
-	return k.call(ctx, c, func(ctx context.Context, a *operate.Client) error {
+	return k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
 		i, err := a.Range(ctx, q)
 		if err != nil {
 			return err
@@ -516,7 +516,7 @@
 		q.Set("after", strconv.FormatUint(*k.After, 10))
 	}
 	enc := json.NewEncoder(c.out)
-	return operate.Dial(k.Socket).Watch(ctx, q, func(e store.Event) error {
+	return adminapi.Dial(k.Socket).Watch(ctx, q, func(e store.Event) error {
 		if k.JSON {
 			return enc.Encode(e)
 		}
@@ -545,7 +545,7 @@
 		return err
 	}
 	defer os.Remove(f.Name()) // without effect once renamed
-	revision, err := operate.Dial(k.Socket).Save(ctx, f)
+	revision, err := adminapi.Dial(k.Socket).Save(ctx, f)
 	if err == nil {
 		_, err = f.Seek(0, io.SeekStart)
 	}
--- a/cmd/birchmoor/store_test.go
+++ b/cmd/birchmoor/store_test.go
@@ -11,8 +11,8 @@
 	"strings"
 	"testing"
 
-	"birchmoor/internal/proctest"
-	"birchmoor/internal/store/meter"
+	"birchmoor/internal/store/usage"
+	"birchmoor/internal/testutil/processtest"
 )
 
 // replicaUnderTest runs a replica in this process until the test ends or stop is called.
@@ -23,7 +23,7 @@
 
 func newDaemon(t *testing.T, dir, name string, join bool, more ...string) *replicaUnderTest {
 	t.Helper()
-	d := &replicaUnderTest{file: filepath.Join(dir, name+".toml"), socket: filepath.Join(dir, name+".sock"), address: proctest.Address(t)}
+	d := &replicaUnderTest{file: filepath.Join(dir, name+".toml"), socket: filepath.Join(dir, name+".sock"), address: processtest.Address(t)}
 	text := fmt.Sprintf("[store]\nname = %q\ndir = %q\nsocket = %q\nlisten = %q\nplain = true\njoin = %v\ntick = \"10ms\"\n",
 		name, filepath.Join(dir, name), d.socket, d.address, join)
 	if err := os.WriteFile(d.file, []byte(text+strings.Join(more, "")), 0o600); err != nil {
@@ -54,7 +54,7 @@
 // until waits for what must come.
 func (d *replicaUnderTest) until(t *testing.T, what string, done func() bool) {
 	t.Helper()
-	proctest.Until(t, d.file+": "+what, done)
+	processtest.Until(t, d.file+": "+what, done)
 }
 
 // say runs a command of the store's at this daemon.
@@ -190,12 +190,12 @@
 			t.Errorf("no %s in\n%s", row, table)
 		}
 	}
-	var r meter.Reading
+	var r usage.Reading
 	if err := json.Unmarshal([]byte(a.must(t, "meter", "--json")), &r); err != nil {
 		t.Fatal(err)
 	}
-	if w := r.Purposes[meter.Words]; w.Purpose != "words" || w.Applied == 0 || w.AppliedBytes == 0 || r.Seconds <= 0 || r.Process.Goroutines == 0 ||
-		r.Written[meter.Log].Syncs == 0 {
+	if w := r.Purposes[usage.Words]; w.Purpose != "words" || w.Applied == 0 || w.AppliedBytes == 0 || r.Seconds <= 0 || r.Process.Goroutines == 0 ||
+		r.Written[usage.Log].Syncs == 0 {
 		t.Errorf("%+v", r)
 	}
 	a.stop()
--- a/cmd/birchmoor/task.go
+++ b/cmd/birchmoor/task.go
@@ -9,10 +9,10 @@
 	"text/tabwriter"
 	"time"
 
-	"birchmoor/internal/lease"
-	"birchmoor/internal/operate"
+	"birchmoor/internal/controlplane/adminapi"
+	"birchmoor/internal/controlplane/lease"
+	"birchmoor/internal/controlplane/leasetask"
 	"birchmoor/internal/store/admin"
-	"birchmoor/internal/tasks"
 )
 
 func encode(v any) ([]byte, error) { return json.Marshal(v) }
@@ -32,8 +32,8 @@
 type taskList struct{ socketFlag }
 
 // shown asks for tasks.
-func (s *socketFlag) shown(ctx context.Context, c *console, name string, show func([]tasks.Info) error) error {
-	return s.call(ctx, c, func(ctx context.Context, a *operate.Client) error {
+func (s *socketFlag) shown(ctx context.Context, c *console, name string, show func([]leasetask.Info) error) error {
+	return s.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
 		all, err := a.Tasks(ctx, name)
 		var told *admin.Error
 		if errors.As(err, &told) && told.Status == 404 {
@@ -48,7 +48,7 @@
 }
 
 // holderOf says who holds a task, or why nobody does.
-func holderOf(i tasks.Info) (host, token string) {
+func holderOf(i leasetask.Info) (host, token string) {
 	n := 0
 	for _, p := range i.Places {
 		if p.Holds {
@@ -66,7 +66,7 @@
 	return host, token
 }
 
-func lastOf(i tasks.Info) string {
+func lastOf(i leasetask.Info) string {
 	switch {
 	case i.Last == nil:
 		return "-"
@@ -77,7 +77,7 @@
 }
 
 func (k *taskList) Run(ctx context.Context, c *console) error {
-	return k.shown(ctx, c, "", func(all []tasks.Info) error {
+	return k.shown(ctx, c, "", func(all []leasetask.Info) error {
 		return k.print(c, all, func(w *tabwriter.Writer) {
 			fmt.Fprintln(w, "TASK\tHOLDER\tTOKEN\tSLOTS\tPLACES\tLAST\tNOTE")
 			for _, i := range all {
@@ -98,7 +98,7 @@
 }
 
 func (k *taskShow) Run(ctx context.Context, c *console) error {
-	return k.shown(ctx, c, k.Task, func(all []tasks.Info) error {
+	return k.shown(ctx, c, k.Task, func(all []leasetask.Info) error {
 		return k.print(c, all[0], func(w *tabwriter.Writer) {
 			i := all[0]
 			host, token := holderOf(i)
@@ -134,8 +134,8 @@
 	if u, err := user.Current(); err == nil {
 		o.By = u.Username // for people alone
 	}
-	return s.call(ctx, c, func(ctx context.Context, a *operate.Client) error {
-		if err := a.OrderTask(ctx, operate.Order{Task: task, Order: o}); err != nil {
+	return s.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
+		if err := a.OrderTask(ctx, adminapi.Order{Task: task, Order: o}); err != nil {
 			return s.failed(ctx, c, err, "")
 		}
 		if s.JSON {
--- a/cmd/birchmoor/task_test.go
+++ b/cmd/birchmoor/task_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"birchmoor/internal/lab/tasklab"
-	"birchmoor/internal/proctest"
+	"birchmoor/internal/testutil/processtest"
 )
 
 // torture runs locks at daemons as processes of this binary under each kind of blow in turn.
@@ -55,17 +55,17 @@
 	dir := t.TempDir()
 	a := newDaemon(t, dir, "a", false)
 	a.start(t)
-	lock := func(log *proctest.Log, args ...string) *proctest.Process {
-		return proctest.Start(t, proctest.Self(t, []string{asProgram + "=1"}, append([]string{"lock", "--socket", a.socket}, args...)...), log)
+	lock := func(log *processtest.Log, args ...string) *processtest.Process {
+		return processtest.Start(t, processtest.Self(t, []string{asProgram + "=1"}, append([]string{"lock", "--socket", a.socket}, args...)...), log)
 	}
-	var log proctest.Log
+	var log processtest.Log
 	if code := lock(&log, "job", "--", "sh", "-c", `echo "$BIRCHMOOR_TASK $BIRCHMOOR_TOKEN"; exit 7`).Code(); code != 7 || !strings.Contains(log.String(), "job ") {
 		t.Fatalf("exit code %d:\n%s", code, log.String())
 	}
 	// The second is not got while the first runs, and gets it once that is killed outright, with all that it started.
 	one, two := filepath.Join(dir, "one"), filepath.Join(dir, "two")
 	holder := lock(&log, "job", "--ttl", "1s", "--", "sh", "-c", "(trap '' TERM; while :; do echo x >> "+one+"; sleep 0.01; done) & wait")
-	proctest.Until(t, "the first one's work", func() bool { _, err := os.Stat(one); return err == nil }, log.String)
+	processtest.Until(t, "the first one's work", func() bool { _, err := os.Stat(one); return err == nil }, log.String)
 	if code := lock(&log, "job", "--ttl", "1s", "--wait", "300ms", "--", "touch", two).Code(); code != exitNotGot {
 		t.Errorf("exit code %d for a lock that is held", code)
 	}
@@ -93,7 +93,7 @@
 		_, out, _ := birchmoor("task", "show", "job", "--socket", a.socket)
 		return strings.Contains(out, "holds")
 	}
-	proctest.Until(t, "the next holder", held, log.String)
+	processtest.Until(t, "the next holder", held, log.String)
 	if code, _, errs := birchmoor("task", "pause", "job", "--socket", a.socket); code != 0 {
 		t.Fatal(errs)
 	}
--- a/cmd/dunlinsail/crowd_test.go
+++ b/cmd/sidecar/crowd_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"birchmoor/internal/proctest"
+	"birchmoor/internal/testutil/processtest"
 )
 
 // crowd holds idle connections to addr, far more than its descriptors, until the test ends: who is shut comes again.
@@ -86,11 +86,11 @@
 				t.Cleanup(func() { s.Close() })
 				return ln.Addr().String()
 			}
-			at := proctest.Address(t)
+			at := processtest.Address(t)
 			if tc.hangs {
 				discovery(at)
 			}
-			addr, desk, log := proctest.Address(t), proctest.Address(t), &proctest.Log{}
+			addr, desk, log := processtest.Address(t), processtest.Address(t), &processtest.Log{}
 			text := strings.NewReplacer(`"discovery":"127.0.0.1:1"`, fmt.Sprintf(`"discovery":"%s","mgmt":"%s","limits":{"sockets":%d}`, at, desk, tc.sockets),
 				`"127.0.0.1:1","lifecycle"`, `"`+one+`","lifecycle"`, `"cancel":true`, `"cancel":true,"probes":true`).Replace(sound)
 			file := filepath.Join(t.TempDir(), "config.json")
@@ -98,9 +98,9 @@
 				t.Fatal(err)
 			}
 			crowd(t, addr, 150)
-			p := proctest.Start(t, proctest.Self(t, []string{"ROUTER_CONFIG=" + file, "ROUTER_LISTEN=" + addr, "TMPDIR=", nofile + "=64"}), log)
+			p := processtest.Start(t, processtest.Self(t, []string{"ROUTER_CONFIG=" + file, "ROUTER_LISTEN=" + addr, "TMPDIR=", nofile + "=64"}), log)
 			web := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-			proctest.Until(t, "readiness", func() bool {
+			processtest.Until(t, "readiness", func() bool {
 				resp, err := web.Get("http://" + addr + "/-/ready")
 				if err == nil {
 					resp.Body.Close()
@@ -125,7 +125,7 @@
 			// A client that has a connection is served on it, or on another where that was shut between two requests.
 			serve := func(by string) {
 				t.Helper()
-				proctest.Until(t, "an answer of "+by, func() bool { return look() == by }, log.String)
+				processtest.Until(t, "an answer of "+by, func() bool { return look() == by }, log.String)
 			}
 			probes.Store(0)
 			for range 20 {
@@ -142,9 +142,9 @@
 				return line == "YES\n"
 			}
 			for range 20 {
-				proctest.Until(t, "the operators' answer", status, log.String)
+				processtest.Until(t, "the operators' answer", status, log.String)
 			}
-			proctest.Until(t, "a probe", func() bool { return probes.Load() > 0 }, log.String)
+			processtest.Until(t, "a probe", func() bool { return probes.Load() > 0 }, log.String)
 			back.Store(true)
 			if !tc.hangs {
 				discovery(at)
--- a/cmd/dunlinsail/main.go
+++ b/cmd/sidecar/main.go
@@ -1,4 +1,4 @@
-// Command dunlinsail is a sidecar that balances its application's requests over endpoints.
+// Command sidecar is a sidecar that balances its application's requests over endpoints.
 package main
 
 import (
@@ -9,8 +9,8 @@
 	"runtime"
 	"syscall"
 
-	"birchmoor/internal/config"
-	"birchmoor/internal/sidecar"
+	"birchmoor/internal/dataplane/sidecar"
+	"birchmoor/internal/platform/config"
 )
 
 func main() {
--- a/cmd/dunlinsail/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"testing"
 
-	"birchmoor/internal/proctest"
+	"birchmoor/internal/testutil/processtest"
 )
 
 // nofile names the variable that gives the descriptors that the system lets the program have.
@@ -41,17 +41,17 @@
 
 // program runs the program with a configuration file and a folder of its own, and returns it with what waits until
 // it is ready and what it logs. It is killed at the test's end.
-func program(t *testing.T, file, tmp string) (p *proctest.Process, ready func(), log *proctest.Log) {
+func program(t *testing.T, file, tmp string) (p *processtest.Process, ready func(), log *processtest.Log) {
 	t.Helper()
-	addr := proctest.Address(t)
+	addr := processtest.Address(t)
 	if err := os.WriteFile(file, []byte(sound), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	log = &proctest.Log{}
-	p = proctest.Start(t, proctest.Self(t, []string{"ROUTER_CONFIG=" + file, "ROUTER_LISTEN=" + addr, "TMPDIR=" + tmp}), log)
+	log = &processtest.Log{}
+	p = processtest.Start(t, processtest.Self(t, []string{"ROUTER_CONFIG=" + file, "ROUTER_LISTEN=" + addr, "TMPDIR=" + tmp}), log)
 	return p, func() {
 		t.Helper()
-		proctest.Until(t, "readiness", func() bool {
+		processtest.Until(t, "readiness", func() bool {
 			resp, err := http.Get("http://" + addr + "/-/ready")
 			if err != nil {
 				return false
@@ -104,7 +104,7 @@
 		t.Fatal(err)
 	}
 	codec := []string{"github.com/fxamacker/cbor/v2", "github.com/x448/float16"}
-	above := []string{"store", "daemon", "tasks", "lease", "limit", "limits", "rollout", "operate", "operator", "lab"}
+	above := []string{"store", "controlplane", "lab", "testutil"}
 	for _, p := range strings.Fields(string(out)) {
 		inner, ours := strings.CutPrefix(p, "birchmoor/internal/")
 		part, _, _ := strings.Cut(inner, "/")
--- a/cmd/dunlinsail/ready_test.go
+++ b/cmd/sidecar/ready_test.go
@@ -12,7 +12,7 @@
 	"strings"
 	"testing"
 
-	"birchmoor/internal/proctest"
+	"birchmoor/internal/testutil/processtest"
 )
 
 // Several processes start in the same moment, with clients that were there before them, and discovery refuses all calls, fails
@@ -51,10 +51,10 @@
 	}
 	type one struct {
 		addr string
-		log  *proctest.Log
+		log  *processtest.Log
 	}
 	var all []one
-	for name, at := range map[string]string{"refuses": proctest.Address(t), "never answers": discovery(""),
+	for name, at := range map[string]string{"refuses": processtest.Address(t), "never answers": discovery(""),
 		"fails": discovery("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")} {
 		for mode := range 2 {
 			text := strings.NewReplacer(`"discovery":"127.0.0.1:1"`, `"discovery":"`+at+`","limits":{"sockets":64}`,
@@ -64,9 +64,9 @@
 			if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			p := one{proctest.Address(t), &proctest.Log{}}
+			p := one{processtest.Address(t), &processtest.Log{}}
 			crowd(t, p.addr, 40)
-			proctest.Start(t, proctest.Self(t, []string{"ROUTER_CONFIG=" + file, "ROUTER_LISTEN=" + p.addr, "TMPDIR="}), p.log)
+			processtest.Start(t, processtest.Self(t, []string{"ROUTER_CONFIG=" + file, "ROUTER_LISTEN=" + p.addr, "TMPDIR="}), p.log)
 			all = append(all, p)
 		}
 	}
@@ -84,8 +84,8 @@
 		return string(body)
 	}
 	for _, p := range all {
-		proctest.Until(t, "readiness", func() bool { return get(p.addr, "/-/ready") == "ready\n" }, p.log.String)
-		proctest.Until(t, "an answer", func() bool { return get(p.addr, "/look") == "served" }, p.log.String)
+		processtest.Until(t, "readiness", func() bool { return get(p.addr, "/-/ready") == "ready\n" }, p.log.String)
+		processtest.Until(t, "an answer", func() bool { return get(p.addr, "/look") == "served" }, p.log.String)
 	}
 	<-calls // were made, and told them nothing
 }
--- a/cmd/dunlinsail/term_test.go
+++ b/cmd/sidecar/term_test.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"testing"
 
-	"birchmoor/internal/proctest"
+	"birchmoor/internal/testutil/processtest"
 )
 
 // Several sidecars as processes, each with a request on its attempt, are told to end: one as it runs, one while it is stopped
@@ -27,16 +27,16 @@
 		resp *http.Response
 		err  error
 	}
-	procs, answers, addrs := map[string]*proctest.Process{}, map[string]chan answer{}, map[string]string{}
+	procs, answers, addrs := map[string]*processtest.Process{}, map[string]chan answer{}, map[string]string{}
 	for _, how := range []string{"told", "told while stopped", "killed"} {
 		text := strings.NewReplacer(`"127.0.0.1:1","lifecycle"`, `"`+server.Listener.Addr().String()+`","lifecycle"`,
 			`"give-up":1000000`, `"give-up":60000000`, `"repeat":"pure"`, `"repeat":"side_effect"`).Replace(sound)
-		file, addr, log := filepath.Join(t.TempDir(), "config.json"), proctest.Address(t), &proctest.Log{}
+		file, addr, log := filepath.Join(t.TempDir(), "config.json"), processtest.Address(t), &processtest.Log{}
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		p := proctest.Start(t, proctest.Self(t, []string{"ROUTER_CONFIG=" + file, "ROUTER_LISTEN=" + addr, "TMPDIR="}), log)
-		proctest.Until(t, "readiness", func() bool {
+		p := processtest.Start(t, processtest.Self(t, []string{"ROUTER_CONFIG=" + file, "ROUTER_LISTEN=" + addr, "TMPDIR="}), log)
+		processtest.Until(t, "readiness", func() bool {
 			resp, err := http.Get("http://" + addr + "/-/ready")
 			if err == nil {
 				resp.Body.Close()
@@ -69,7 +69,7 @@
 	for _, how := range []string{"told", "told while stopped"} {
 		p := procs[how]
 		// Only what it has taken is left to wait for, once it accepts no more.
-		proctest.Until(t, "the end of accepting", func() bool {
+		processtest.Until(t, "the end of accepting", func() bool {
 			c, err := net.Dial("tcp", addrs[how])
 			if err == nil {
 				c.Close()
--- a/cmd/simhost/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command simhost hosts balancers behind the simulator's wire: batches of events
+// Command simadapter hosts balancers behind the simulator's wire: batches of events
 // on standard input, one reply each on standard output.
 package main
 
@@ -10,14 +10,14 @@
 	"runtime/debug"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/wire"
+	"birchmoor/internal/platform/wire"
 )
 
 func main() {
 	// Nothing is allocated in the steady state: collect rarely.
 	debug.SetGCPercent(400)
 	if err := run(bufio.NewReaderSize(os.Stdin, 1<<18), os.Stdout, os.Stderr); err != nil {
-		fmt.Fprintln(os.Stderr, "simhost:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
@@ -87,7 +87,7 @@
 		if e.Code < wire.Begin || e.Code > wire.Instance {
 			if !h.strange[e.Code] {
 				h.strange[e.Code] = true
-				fmt.Fprintf(h.stderr, "simhost: %v at byte %d: unknown code, skipped\n", e.Code, e.Offset)
+				fmt.Fprintf(h.stderr, "simadapter: %v at byte %d: unknown code, skipped\n", e.Code, e.Offset)
 			}
 			continue
 		}
--- a/internal/operate/limits.go
+++ b/internal/controlplane/adminapi/limits.go
@@ -1,4 +1,4 @@
-package operate
+package adminapi
 
 import (
 	"context"
@@ -6,8 +6,8 @@
 	"net/http"
 	"net/url"
 
-	"birchmoor/internal/limit"
-	"birchmoor/internal/limits"
+	"birchmoor/internal/controlplane/quota"
+	"birchmoor/internal/controlplane/quotasync"
 	"birchmoor/internal/store/admin"
 )
 
@@ -25,7 +25,7 @@
 	if s.Limits == nil {
 		return nil, errNoLimits
 	}
-	c := &limit.Conf{}
+	c := &quota.Conf{}
 	if err := admin.Decode(w, r, c); err != nil {
 		return nil, err
 	}
@@ -33,11 +33,11 @@
 }
 
 // Limits shows all limits, or the one of a name.
-func (c *Client) Limits(ctx context.Context, name string) (s limits.State, err error) {
+func (c *Client) Limits(ctx context.Context, name string) (s quotasync.State, err error) {
 	return s, c.Call(ctx, "GET", "/v1/limits", url.Values{"limit": {name}}, nil, &s)
 }
 
 // PutLimits puts limits in force.
-func (c *Client) PutLimits(ctx context.Context, conf *limit.Conf) (now limit.Conf, err error) {
+func (c *Client) PutLimits(ctx context.Context, conf *quota.Conf) (now quota.Conf, err error) {
 	return now, c.Call(ctx, "POST", "/v1/limits", nil, conf, &now)
 }
--- a/internal/operate/operate.go
+++ b/internal/controlplane/adminapi/operate.go
@@ -1,6 +1,6 @@
-// Package operate is how operators reach a running daemon: what the store's socket answers (store/admin), and beside it settings,
+// Package adminapi is how operators reach a running daemon: what the store's socket answers (store/admin), and beside it settings,
 // what is known of servers, and tasks. It stands above the parts of a daemon, which know nothing of it.
-package operate
+package adminapi
 
 import (
 	"context"
@@ -11,18 +11,18 @@
 	"sync"
 	"time"
 
-	"birchmoor/internal/boot"
-	"birchmoor/internal/daemon"
-	"birchmoor/internal/lease"
-	"birchmoor/internal/limit"
-	"birchmoor/internal/limits"
-	"birchmoor/internal/rollout"
+	"birchmoor/internal/controlplane/daemon"
+	"birchmoor/internal/controlplane/lease"
+	"birchmoor/internal/controlplane/leasetask"
+	"birchmoor/internal/controlplane/quota"
+	"birchmoor/internal/controlplane/quotasync"
+	"birchmoor/internal/controlplane/rollout"
+	"birchmoor/internal/platform/bootclock"
 	"birchmoor/internal/store"
 	"birchmoor/internal/store/admin"
 	"birchmoor/internal/store/engine"
-	"birchmoor/internal/store/meter"
-	"birchmoor/internal/store/policy"
-	"birchmoor/internal/tasks"
+	"birchmoor/internal/store/serverstate"
+	"birchmoor/internal/store/usage"
 )
 
 // Config asks for other settings, or for those of an earlier version.
@@ -46,17 +46,17 @@
 type Parts struct {
 	Servers  *daemon.Servers
 	Settings *daemon.Settings
-	Tasks    *tasks.Runner
-	Limits   *limits.Limits // nil: none are shared here
-	Clock    boot.Clock     // of entitlements
-	Meter    *meter.Meter   // nil: nothing is counted
+	Tasks    *leasetask.Runner
+	Limits   *quotasync.Limits // nil: none are shared here
+	Clock    bootclock.Clock   // of entitlements
+	Meter    *usage.Meter      // nil: nothing is counted
 }
 
 // Meter is a new one that knows what the parts of a daemon use their keys for.
-func Meter() *meter.Meter {
-	return meter.New(meter.Prefix{Prefix: policy.Prefix, Purpose: meter.Words}, meter.Prefix{Prefix: policy.StartPrefix, Purpose: meter.Words},
-		meter.Prefix{Prefix: policy.PicturePrefix, Purpose: meter.Pictures}, meter.Prefix{Prefix: daemon.ConfigPrefix, Purpose: meter.Settings},
-		meter.Prefix{Prefix: limit.Prefix, Purpose: meter.Shares}, meter.Prefix{Prefix: lease.Prefix, Purpose: meter.Tasks})
+func Meter() *usage.Meter {
+	return usage.New(usage.Prefix{Prefix: serverstate.Prefix, Purpose: usage.Words}, usage.Prefix{Prefix: serverstate.StartPrefix, Purpose: usage.Words},
+		usage.Prefix{Prefix: serverstate.PicturePrefix, Purpose: usage.Pictures}, usage.Prefix{Prefix: daemon.ConfigPrefix, Purpose: usage.Settings},
+		usage.Prefix{Prefix: quota.Prefix, Purpose: usage.Shares}, usage.Prefix{Prefix: lease.Prefix, Purpose: usage.Tasks})
 }
 
 type server struct {
@@ -98,7 +98,7 @@
 // Followers are the rules for daemons without a replica: each part says what is theirs to write.
 func (p Parts) Followers() admin.Rules {
 	return admin.Rules{Meter: p.Meter, Ages: func() map[string]time.Duration { return p.Servers.PictureAges() }, May: func(op store.Op, owner string) bool {
-		return lease.May(op, owner) || tasks.May(op, owner) || daemon.May(op, owner) || limits.May(op, owner)
+		return lease.May(op, owner) || leasetask.May(op, owner) || daemon.May(op, owner) || quotasync.May(op, owner)
 	}}
 }
 
@@ -176,12 +176,12 @@
 }
 
 // Meter tells what the control plane cost the daemon since its start.
-func (c *Client) Meter(ctx context.Context) (r meter.Reading, err error) {
+func (c *Client) Meter(ctx context.Context) (r usage.Reading, err error) {
 	return r, c.Call(ctx, "GET", "/v1/meter", nil, nil, &r)
 }
 
 // Out lists the servers that are out.
-func (c *Client) Out(ctx context.Context) (all []policy.Out, err error) {
+func (c *Client) Out(ctx context.Context) (all []serverstate.Out, err error) {
 	return all, c.Call(ctx, "GET", "/v1/out", nil, nil, &all)
 }
 
--- a/internal/operate/operate_test.go
+++ b/internal/controlplane/adminapi/operate_test.go
@@ -1,20 +1,21 @@
-package operate
+package adminapi
 
 import (
 	"go/parser"
 	"go/token"
 	"io/fs"
 	"path/filepath"
+	"strconv"
 	"strings"
 	"testing"
 
-	"birchmoor/internal/daemon"
-	"birchmoor/internal/lease"
-	"birchmoor/internal/limit"
+	"birchmoor/internal/controlplane/daemon"
+	"birchmoor/internal/controlplane/lease"
+	"birchmoor/internal/controlplane/leasetask"
+	"birchmoor/internal/controlplane/quota"
 	"birchmoor/internal/store"
-	"birchmoor/internal/store/meter"
-	"birchmoor/internal/store/policy"
-	"birchmoor/internal/tasks"
+	"birchmoor/internal/store/serverstate"
+	"birchmoor/internal/store/usage"
 )
 
 // A daemon without a replica has places of its own name, and nothing else of tasks or settings.
@@ -54,13 +55,14 @@
 
 // Arrows go one way: nothing of the store knows the parts of a daemon, and no part knows how operators reach it.
 func TestImports(t *testing.T) {
+	const control = "birchmoor/internal/controlplane/"
 	above := map[string][]string{
-		"../store":  {"daemon", "tasks", "lease", "rollout", "operate", "limit", "limits"},
-		"../lease":  {"daemon", "tasks", "operate"},
-		"../daemon": {"tasks", "operate"},
-		"../tasks":  {"operate", "limits"},
-		"../limit":  {"daemon", "tasks", "limits", "operate"},
-		"../limits": {"operate"},
+		"../../store":  {"daemon", "leasetask", "lease", "rollout", "adminapi", "quota", "quotasync"},
+		"../lease":     {"daemon", "leasetask", "adminapi"},
+		"../daemon":    {"leasetask", "adminapi"},
+		"../leasetask": {"adminapi", "quotasync"},
+		"../quota":     {"daemon", "leasetask", "quotasync", "adminapi"},
+		"../quotasync": {"adminapi"},
 	}
 	for root, banned := range above {
 		err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
@@ -73,7 +75,7 @@
 			}
 			for _, i := range f.Imports {
 				for _, b := range banned {
-					if i.Path.Value == `"birchmoor/internal/`+b+`"` {
+					if i.Path.Value == strconv.Quote(control+b) {
 						t.Errorf("%s imports %s", path, b)
 					}
 				}
@@ -89,13 +91,13 @@
 // What keys and commands are for comes from the packages that name the keys.
 func TestWhatKeysAreFor(t *testing.T) {
 	m := Meter()
-	p := policy.Process{ID: "s", Addr: "a", StartedMs: 1}
-	for key, want := range map[string]meter.Purpose{
-		policy.Key(policy.Drain, "s"): meter.Words, policy.Key(policy.Ban, "s"): meter.Words, policy.StartKey(p): meter.Words,
-		policy.PictureKey("h", "http"): meter.Pictures, daemon.ConfigPrefix + "current": meter.Settings,
-		limit.ConfKey: meter.Shares, limit.TurnKey: meter.Shares, limit.Process{Host: "h", Session: 1}.NeedKey(): meter.Shares,
-		limit.Process{Host: "h", Session: 1}.GrantKey(): meter.Shares, lease.PlaceKey("one", "h", "1"): meter.Tasks,
-		tasks.DonePrefix + "one": meter.Tasks, lease.HoldKey: meter.Tasks, "an operator's": meter.Other, "": meter.Other,
+	p := serverstate.Process{ID: "s", Addr: "a", StartedMs: 1}
+	for key, want := range map[string]usage.Purpose{
+		serverstate.Key(serverstate.Drain, "s"): usage.Words, serverstate.Key(serverstate.Ban, "s"): usage.Words, serverstate.StartKey(p): usage.Words,
+		serverstate.PictureKey("h", "http"): usage.Pictures, daemon.ConfigPrefix + "current": usage.Settings,
+		quota.ConfKey: usage.Shares, quota.TurnKey: usage.Shares, quota.Process{Host: "h", Session: 1}.NeedKey(): usage.Shares,
+		quota.Process{Host: "h", Session: 1}.GrantKey(): usage.Shares, lease.PlaceKey("one", "h", "1"): usage.Tasks,
+		leasetask.DonePrefix + "one": usage.Tasks, lease.HoldKey: usage.Tasks, "an operator's": usage.Other, "": usage.Other,
 	} {
 		if got := m.KeyPurpose(key); got != want {
 			t.Errorf("%q is for %v, and not %v", key, got, want)
@@ -104,15 +106,15 @@
 	put := func(key string) []store.Op { return []store.Op{{Key: key}} }
 	for name, x := range map[string]struct {
 		c    store.Command
-		want meter.Purpose
+		want usage.Purpose
 	}{
-		"a grant": {store.Command{Grant: &store.Grant{}}, meter.Sessions}, "a renewal": {store.Command{Renew: &store.Renew{}}, meter.Sessions},
-		"an end": {store.Command{End: &store.End{}}, meter.Sessions}, "a member": {store.Command{Join: &store.Join{}}, meter.Raft},
-		"a level": {store.Command{Raise: &store.Raise{}}, meter.Raft}, "nothing": {store.Command{}, meter.Other},
-		"a put":             {store.Command{Txn: &store.Txn{Then: put("limit/x"), Else: put("out/x")}}, meter.Shares},
-		"a put if not":      {store.Command{Txn: &store.Txn{Else: put("out/x"), If: []store.Compare{{Key: "task/x"}}}}, meter.Words},
-		"a comparison":      {store.Command{Txn: &store.Txn{If: []store.Compare{{Key: "task/x"}}}}, meter.Tasks},
-		"an empty exchange": {store.Command{Txn: &store.Txn{}}, meter.Other},
+		"a grant": {store.Command{Grant: &store.Grant{}}, usage.Sessions}, "a renewal": {store.Command{Renew: &store.Renew{}}, usage.Sessions},
+		"an end": {store.Command{End: &store.End{}}, usage.Sessions}, "a member": {store.Command{Join: &store.Join{}}, usage.Raft},
+		"a level": {store.Command{Raise: &store.Raise{}}, usage.Raft}, "nothing": {store.Command{}, usage.Other},
+		"a put":             {store.Command{Txn: &store.Txn{Then: put("limit/x"), Else: put("out/x")}}, usage.Shares},
+		"a put if not":      {store.Command{Txn: &store.Txn{Else: put("out/x"), If: []store.Compare{{Key: "task/x"}}}}, usage.Words},
+		"a comparison":      {store.Command{Txn: &store.Txn{If: []store.Compare{{Key: "task/x"}}}}, usage.Tasks},
+		"an empty exchange": {store.Command{Txn: &store.Txn{}}, usage.Other},
 	} {
 		if got := m.CommandPurpose(&x.c); got != x.want {
 			t.Errorf("%s is for %v, and not %v", name, got, x.want)
--- a/internal/operate/tasks.go
+++ b/internal/controlplane/adminapi/tasks.go
@@ -1,4 +1,4 @@
-package operate
+package adminapi
 
 import (
 	"context"
@@ -10,9 +10,9 @@
 	"sync"
 	"time"
 
-	"birchmoor/internal/lease"
+	"birchmoor/internal/controlplane/lease"
+	"birchmoor/internal/controlplane/leasetask"
 	"birchmoor/internal/store/admin"
-	"birchmoor/internal/tasks"
 )
 
 const (
@@ -39,7 +39,7 @@
 	name := r.URL.Query().Get("task")
 	all, err := s.Tasks.List(ctx, name)
 	if err == nil && name != "" && len(all) == 0 {
-		err = admin.Missing(fmt.Errorf("%s: %w", name, tasks.ErrNoTask))
+		err = admin.Missing(fmt.Errorf("%s: %w", name, leasetask.ErrNoTask))
 	}
 	return all, err
 }
@@ -71,13 +71,13 @@
 		admin.Fail(w, fmt.Errorf("%w: slots %q, ttl %q", admin.ErrBad, q.Get("slots"), q.Get("ttl")))
 		return
 	}
-	want := tasks.Want{Task: q.Get("task"), Slots: int(min(slots, lease.SlotsMost+1)), TTL: ttl, Note: q.Get("note")}
+	want := leasetask.Want{Task: q.Get("task"), Slots: int(min(slots, lease.SlotsMost+1)), TTL: ttl, Note: q.Get("note")}
 	enc, c := json.NewEncoder(w), http.NewResponseController(w)
 	lines := make(chan LockLine, 1)
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
 	type got struct {
-		h   *tasks.Hold
+		h   *leasetask.Hold
 		err error
 	}
 	done := make(chan got, 1)
@@ -101,7 +101,7 @@
 	}
 	beat := time.NewTicker(lockBeat)
 	defer beat.Stop()
-	var h *tasks.Hold
+	var h *leasetask.Hold
 	for wait := (LockLine{}); h == nil; {
 		select {
 		case wait = <-lines:
@@ -191,7 +191,7 @@
 }
 
 // Tasks lists all tasks, or those of a name.
-func (c *Client) Tasks(ctx context.Context, name string) (all []tasks.Info, err error) {
+func (c *Client) Tasks(ctx context.Context, name string) (all []leasetask.Info, err error) {
 	return all, c.Call(ctx, "GET", "/v1/tasks", url.Values{"task": {name}}, nil, &all)
 }
 
@@ -201,7 +201,7 @@
 }
 
 // Lock waits for a task and holds it until ctx ends, f fails or the daemon says that it is over; f is told of each change.
-func (c *Client) Lock(ctx context.Context, w tasks.Want, f func(LockLine) error) error {
+func (c *Client) Lock(ctx context.Context, w leasetask.Want, f func(LockLine) error) error {
 	q := url.Values{"task": {w.Task}, "slots": {strconv.Itoa(w.Slots)}, "ttl": {w.TTL.String()}, "note": {w.Note}}
 	a, err := c.Do(ctx, "GET", "/v1/lock", q, nil)
 	if err != nil {
--- a/internal/control/control.go
+++ b/internal/controlplane/control.go
@@ -1,7 +1,7 @@
-// Package control starts the parts by which a daemon works with others: its copy of the store, what it tells and hears of servers, the
+// Package controlplane starts the parts by which a daemon works with others: its copy of the store, what it tells and hears of servers, the
 // settings in force, tasks, shares of limits, and the socket of its operators. The program that is shipped runs them beside a sidecar
 // or alone; the lab runs many in one process, without sidecars, by the same function.
-package control
+package controlplane
 
 import (
 	"context"
@@ -16,27 +16,27 @@
 	"syscall"
 	"time"
 
-	"birchmoor/internal/boot"
-	"birchmoor/internal/daemon"
-	"birchmoor/internal/keys"
-	"birchmoor/internal/lease"
-	"birchmoor/internal/limit"
-	"birchmoor/internal/limits"
-	"birchmoor/internal/operate"
-	"birchmoor/internal/operator"
+	"birchmoor/internal/controlplane/adminapi"
+	"birchmoor/internal/controlplane/daemon"
+	"birchmoor/internal/controlplane/lease"
+	"birchmoor/internal/controlplane/leasetask"
+	"birchmoor/internal/controlplane/operatorconfig"
+	"birchmoor/internal/controlplane/quota"
+	"birchmoor/internal/controlplane/quotasync"
+	"birchmoor/internal/platform/bootclock"
+	"birchmoor/internal/platform/keys"
 	"birchmoor/internal/store"
 	"birchmoor/internal/store/admin"
 	"birchmoor/internal/store/disk"
 	"birchmoor/internal/store/engine"
-	"birchmoor/internal/store/follow"
-	"birchmoor/internal/store/meter"
-	"birchmoor/internal/tasks"
+	"birchmoor/internal/store/follower"
+	"birchmoor/internal/store/usage"
 )
 
 // Config says what is started.
 type Config struct {
-	File  *operator.File // with a [store]
-	Check daemon.Check   // of settings, for the sidecar that runs beside; nil where none does
+	File  *operatorconfig.File // with a [store]
+	Check daemon.Check         // of settings, for the sidecar that runs beside; nil where none does
 	// Sidecar is the name of the one that runs beside, whose picture a follower's copy holds; "" where none does, or it is not known.
 	Sidecar string
 	Hup     <-chan os.Signal // a signal of the system's to read the settings anew; nil: none comes
@@ -46,22 +46,22 @@
 
 // Plant is what builds for tests do within; no other sets it.
 type Plant struct {
-	Clock   boot.Clock // at another pace
+	Clock   bootclock.Clock // at another pace
 	File    func(*os.File)
 	Store   func(admin.Store) admin.Store // the copy that the operators' socket answers by
 	Session lease.Plant
 	Table   lease.TablePlant
-	Limit   limit.Plant
+	Limit   quota.Plant
 }
 
 // Parts are those that run. Any goroutine may use them until End.
 type Parts struct {
 	Servers  *daemon.Servers
 	Settings *daemon.Settings
-	Tasks    *tasks.Runner
-	Limits   *limits.Limits // nil where none are shared
+	Tasks    *leasetask.Runner
+	Limits   *quotasync.Limits // nil where none are shared
 	Store    Store
-	Meter    *meter.Meter
+	Meter    *usage.Meter
 
 	shut    func() error
 	cancel  context.CancelFunc
@@ -85,7 +85,7 @@
 	s, bounds, log := c.File.Store, store.DefaultLimits, c.Log
 	bounds.Total = s.TotalMB << 20
 	cfg := engine.Config{Name: s.Name, Dir: s.Dir, Address: s.Address, Join: s.Join, Limits: bounds, Tick: time.Duration(s.Tick),
-		Elect: s.Elect, Log: log, Meter: operate.Meter()}
+		Elect: s.Elect, Log: log, Meter: adminapi.Meter()}
 	for _, text := range s.Via {
 		if cfg.Via == nil {
 			cfg.Via = map[string]string{}
@@ -109,13 +109,13 @@
 		cfg.Tick = clock.Span(int64(cfg.Tick))
 	}
 	p := &Parts{log: log, Meter: cfg.Meter, Servers: daemon.NewServers(s.Name, log), Settings: daemon.NewSettings(s.Name, c.Check, log),
-		Tasks: tasks.New(tasks.Config{Host: s.Name, Skew: s.Skew, Log: log, Clock: clock, Table: c.Plant.Table, Plant: c.Plant.Session})}
+		Tasks: leasetask.New(leasetask.Config{Host: s.Name, Skew: s.Skew, Log: log, Clock: clock, Table: c.Plant.Table, Plant: c.Plant.Session})}
 	if c.Sidecar != "" {
 		p.Servers.Own(c.Sidecar)
 	}
 	parts := append(p.Servers.Parts(), p.Settings, p.Tasks)
 	if l := c.File.Limits; l != nil {
-		p.Limits = limits.New(limits.Config{Host: s.Name, TTL: time.Duration(l.Lease), Tell: time.Duration(l.Tell), Each: time.Duration(l.Each), Skew: s.Skew,
+		p.Limits = quotasync.New(quotasync.Config{Host: s.Name, TTL: time.Duration(l.Lease), Tell: time.Duration(l.Tell), Each: time.Duration(l.Each), Skew: s.Skew,
 			Clock: clock, Log: log, Plant: c.Plant.Limit}, p.Tasks)
 		parts = append(parts, p.Limits)
 	}
@@ -159,15 +159,15 @@
 }
 
 // answer serves operators and followers.
-func (p *Parts) answer(s *operator.Store, planted func(admin.Store) admin.Store, clock boot.Clock, pair *keys.Pair) error {
+func (p *Parts) answer(s *operatorconfig.Store, planted func(admin.Store) admin.Store, clock bootclock.Clock, pair *keys.Pair) error {
 	if err := os.MkdirAll(filepath.Dir(s.Socket), 0o700); err != nil {
 		return err
 	}
-	answers, by := operate.Parts{Servers: p.Servers, Settings: p.Settings, Tasks: p.Tasks, Limits: p.Limits, Clock: clock, Meter: p.Meter}, admin.Store(p.Store)
+	answers, by := adminapi.Parts{Servers: p.Servers, Settings: p.Settings, Tasks: p.Tasks, Limits: p.Limits, Clock: clock, Meter: p.Meter}, admin.Store(p.Store)
 	if planted != nil {
 		by = planted(by)
 	}
-	a, err := operate.Listen(s.Socket, by, answers)
+	a, err := adminapi.Listen(s.Socket, by, answers)
 	if err != nil {
 		return err
 	}
@@ -203,11 +203,11 @@
 }
 
 // sweep is the task of ending what nobody has told for long.
-func sweep(d *daemon.Daemon, servers *daemon.Servers, ttl time.Duration) tasks.Task {
+func sweep(d *daemon.Daemon, servers *daemon.Servers, ttl time.Duration) leasetask.Task {
 	var token uint64 // of the holding for which all is known
-	return tasks.Task{Want: tasks.Want{Task: daemon.FleetTask, TTL: ttl, Note: "ends drains, starts and pictures that nobody tells any more"},
+	return leasetask.Task{Want: leasetask.Want{Task: daemon.FleetTask, TTL: ttl, Note: "ends drains, starts and pictures that nobody tells any more"},
 		Every: sweepEvery, Most: ttl / 2, Progress: 6 * sweepEvery, HoldDown: 6 * sweepEvery,
-		Do: func(ctx context.Context, h *tasks.Hold) error {
+		Do: func(ctx context.Context, h *leasetask.Hold) error {
 			if h.Token() != token {
 				token = h.Token()
 				servers.Sweeps(h.Context())
@@ -217,14 +217,14 @@
 }
 
 // drive is the task of taking settings that come in force in steps further, or back.
-func drive(settings *daemon.Settings, ttl time.Duration) tasks.Task {
-	return tasks.Task{Want: tasks.Want{Task: daemon.RolloutTask, TTL: ttl, Note: "drives settings that come in force in steps"}, Every: driveEvery, Most: ttl / 2,
+func drive(settings *daemon.Settings, ttl time.Duration) leasetask.Task {
+	return leasetask.Task{Want: leasetask.Want{Task: daemon.RolloutTask, TTL: ttl, Note: "drives settings that come in force in steps"}, Every: driveEvery, Most: ttl / 2,
 		Progress: time.Minute, HoldDown: time.Minute,
-		Do: func(ctx context.Context, h *tasks.Hold) error { return settings.Drive(ctx, h.Token(), h.Txn) }}
+		Do: func(ctx context.Context, h *leasetask.Hold) error { return settings.Drive(ctx, h.Token(), h.Txn) }}
 }
 
 // replica starts a replica, and notes what its daemon starts with.
-func (p *Parts) replica(s *operator.Store, d *daemon.Daemon, cfg engine.Config) (Store, error) {
+func (p *Parts) replica(s *operatorconfig.Store, d *daemon.Daemon, cfg engine.Config) (Store, error) {
 	d.Hook(&cfg)
 	var written time.Time
 	if info, err := os.Stat(filepath.Join(s.Dir, disk.Name)); err == nil {
@@ -253,18 +253,18 @@
 }
 
 // follower starts a copy of others' replicas.
-func (p *Parts) follower(s *operator.Store, d *daemon.Daemon, of engine.Config) (Store, error) {
-	cfg := follow.Config{Name: s.Name, Dir: s.Dir, Keys: of.Keys, Meter: of.Meter, Wait: time.Duration(s.Wait), Log: p.log, Age: p.Servers.PictureAge}
+func (p *Parts) follower(s *operatorconfig.Store, d *daemon.Daemon, of engine.Config) (Store, error) {
+	cfg := follower.Config{Name: s.Name, Dir: s.Dir, Keys: of.Keys, Meter: of.Meter, Wait: time.Duration(s.Wait), Log: p.log, Age: p.Servers.PictureAge}
 	for _, text := range s.Follow {
 		name, addr, _ := strings.Cut(text, "=")
-		cfg.Replicas = append(cfg.Replicas, follow.Replica{Name: name, Addr: addr})
+		cfg.Replicas = append(cfg.Replicas, follower.Replica{Name: name, Addr: addr})
 	}
 	cfg.Event, cfg.Reset = d.Hooks()
 	cfg.Settled, cfg.Proved = d.Settled, d.Proved
-	if s.Interest != operator.InterestAll {
+	if s.Interest != operatorconfig.InterestAll {
 		cfg.Needs, cfg.Sum = d.Needs, d.Sum
 	}
-	f, err := follow.Open(cfg)
+	f, err := follower.Open(cfg)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/daemon/bans.go
+++ b/internal/controlplane/daemon/bans.go
@@ -9,15 +9,15 @@
 	"time"
 
 	"birchmoor/internal/store"
-	"birchmoor/internal/store/feed"
-	"birchmoor/internal/store/policy"
+	"birchmoor/internal/store/changefeed"
+	"birchmoor/internal/store/serverstate"
 )
 
 // Bans are the servers that operators took out: a word told to one daemon binds at all, and a return needs the quorum. It is a Part,
 // and a maintenance.Shared; any goroutine may use it.
 type Bans struct {
 	desk
-	guard *policy.Guard
+	guard *serverstate.Guard
 	dirty map[string]bool // servers whose state is to be told to the sidecar
 	came  arrivals
 	agree func(ctx context.Context, id string, out bool) error
@@ -25,22 +25,22 @@
 
 // NewBans returns those of the daemon of a name.
 func NewBans(name string, log *slog.Logger) *Bans {
-	b := &Bans{desk: newDesk(name, log), guard: policy.NewGuard(name), dirty: map[string]bool{}, came: arrivals{}}
-	b.guard.Only(func(kind policy.Kind, server string) bool { return !ofDrains(kind, server) })
+	b := &Bans{desk: newDesk(name, log), guard: serverstate.NewGuard(name), dirty: map[string]bool{}, came: arrivals{}}
+	b.guard.Only(func(kind serverstate.Kind, server string) bool { return !ofDrains(kind, server) })
 	return b
 }
 
 func serverOf(key string) string {
-	_, server, _ := strings.Cut(strings.TrimPrefix(key, policy.Prefix), "/")
+	_, server, _ := strings.Cut(strings.TrimPrefix(key, serverstate.Prefix), "/")
 	return server
 }
 
 // Needs is of Needy.
-func (b *Bans) Needs() feed.Needs { return needs(policy.Prefix) }
+func (b *Bans) Needs() changefeed.Needs { return needs(serverstate.Prefix) }
 
 // Event is of Part.
 func (b *Bans) Event(e store.Event) {
-	if _, drain := drainOf(e.Item.Key); drain || !strings.HasPrefix(e.Item.Key, policy.Prefix) {
+	if _, drain := drainOf(e.Item.Key); drain || !strings.HasPrefix(e.Item.Key, serverstate.Prefix) {
 		return
 	}
 	b.mu.Lock()
@@ -151,7 +151,7 @@
 // TakenOut is of maintenance.Shared.
 func (b *Bans) TakenOut(id string) {
 	b.mu.Lock()
-	op, err := b.guard.Hear(policy.Ban, id)
+	op, err := b.guard.Hear(serverstate.Ban, id)
 	b.mu.Unlock()
 	if err != nil {
 		b.log.Error("other daemons are not told of a ban", "id", id, "error", err)
@@ -163,8 +163,8 @@
 // Return is of maintenance.Shared.
 func (b *Bans) Return(ctx context.Context, id string) (asked bool, err error) {
 	b.mu.Lock()
-	key := policy.Key(policy.Ban, id)
-	t, err := b.guard.Return(policy.Ban, id)
+	key := serverstate.Key(serverstate.Ban, id)
+	t, err := b.guard.Return(serverstate.Ban, id)
 	pending := b.guard.Pending(key)
 	agree := b.agree
 	b.mu.Unlock()
@@ -188,7 +188,7 @@
 }
 
 // Outs lists the servers that are out by them, by whose word and how old that is.
-func (b *Bans) Outs() []policy.Out {
+func (b *Bans) Outs() []serverstate.Out {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.came.age(b.now(time.Now()), b.guard.All())
--- a/internal/daemon/daemon.go
+++ b/internal/controlplane/daemon/daemon.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"birchmoor/internal/store"
+	"birchmoor/internal/store/changefeed"
 	"birchmoor/internal/store/engine"
-	"birchmoor/internal/store/feed"
 )
 
 const (
@@ -53,7 +53,7 @@
 	Prover interface{ Proved(ago time.Duration) }
 	// Needy says what a part needs of a copy that does not hold all: of what else there is it is told nothing, and takes nothing for
 	// not there. The copy is told by its Rescope that this has changed. A daemon with a part that does not say needs all.
-	Needy interface{ Needs() feed.Needs }
+	Needy interface{ Needs() changefeed.Needs }
 	// Summed is told how many keys there are with a prefix of its Needs, where the copy does not hold them.
 	Summed interface {
 		Sum(prefix string, n store.Sum)
@@ -111,10 +111,10 @@
 }
 
 // Needs are what all parts need.
-func (d *Daemon) Needs() feed.Needs {
-	all := feed.Needs{Of: &store.Interest{}}
+func (d *Daemon) Needs() changefeed.Needs {
+	all := changefeed.Needs{Of: &store.Interest{}}
 	for _, p := range d.parts {
-		n := feed.Needs{}
+		n := changefeed.Needs{}
 		if p, ok := p.(Needy); ok {
 			n = p.Needs()
 		}
@@ -127,9 +127,9 @@
 func (d *Daemon) Sum(prefix string, n store.Sum) { each(d, func(s Summed) { s.Sum(prefix, n) }) }
 
 // needs are those of a part that needs some prefixes, for the next start as well.
-func needs(prefixes ...string) feed.Needs {
+func needs(prefixes ...string) changefeed.Needs {
 	of := store.Interest{Prefixes: prefixes}
-	return feed.Needs{Of: &of, Kept: of}
+	return changefeed.Needs{Of: &of, Kept: of}
 }
 
 // rescope has a copy that does not hold all asked anew what it is to hold. No part's lock is held.
--- a/internal/daemon/desk.go
+++ b/internal/controlplane/daemon/desk.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"birchmoor/internal/store"
-	"birchmoor/internal/store/policy"
+	"birchmoor/internal/store/serverstate"
 )
 
 const writesMost = 1024 // changes that a part owes at once; what has no room stays owed by who wanted it made
@@ -136,9 +136,9 @@
 }
 
 // age puts into words how old the store's are.
-func (a arrivals) age(now int64, all []policy.Out) []policy.Out {
+func (a arrivals) age(now int64, all []serverstate.Out) []serverstate.Out {
 	for i := range all {
-		if at, ok := a[policy.Key(all[i].Kind, all[i].Server)]; ok {
+		if at, ok := a[serverstate.Key(all[i].Kind, all[i].Server)]; ok {
 			all[i].AgeMs = (now - at) / 1e6
 		}
 	}
--- a/internal/daemon/drains.go
+++ b/internal/controlplane/daemon/drains.go
@@ -6,10 +6,10 @@
 	"strings"
 	"time"
 
-	"birchmoor/internal/discovery"
+	"birchmoor/internal/dataplane/discovery"
 	"birchmoor/internal/store"
-	"birchmoor/internal/store/feed"
-	"birchmoor/internal/store/policy"
+	"birchmoor/internal/store/changefeed"
+	"birchmoor/internal/store/serverstate"
 )
 
 // Drains travel like bans, but for three things. They are of a process, so that nobody has to agree that a server serves
@@ -26,37 +26,37 @@
 // Drains are the processes that drain by any daemon's discovery. It is a Part; any goroutine may use it.
 type Drains struct {
 	desk
-	guard   *policy.Guard
+	guard   *serverstate.Guard
 	bind    func(ctx context.Context, p discovery.Process, drains bool) error
-	dirty   map[policy.Process]bool // that the sidecar is to be told of
+	dirty   map[serverstate.Process]bool // that the sidecar is to be told of
 	came    arrivals
-	turns   *policy.Turns // by key
-	journal *journal      // nil where nothing is kept
+	turns   *serverstate.Turns // by key
+	journal *journal           // nil where nothing is kept
 }
 
 // NewDrains returns those of the daemon of a name.
 func NewDrains(name string, log *slog.Logger) *Drains {
-	d := &Drains{desk: newDesk(name, log), guard: policy.NewGuard(name), dirty: map[policy.Process]bool{}, came: arrivals{},
-		turns: policy.NewTurns(name, policy.TurnRules{Spread: int64(drainSpread), Renew: int64(drainRenew), Keep: int64(drainKept), Most: drainsMost})}
+	d := &Drains{desk: newDesk(name, log), guard: serverstate.NewGuard(name), dirty: map[serverstate.Process]bool{}, came: arrivals{},
+		turns: serverstate.NewTurns(name, serverstate.TurnRules{Spread: int64(drainSpread), Renew: int64(drainRenew), Keep: int64(drainKept), Most: drainsMost})}
 	d.guard.Only(ofDrains)
 	return d
 }
 
 // ofDrains says whether a server that is out is a process that drains.
-func ofDrains(kind policy.Kind, server string) bool {
-	_, ok := policy.ParseProcess(server)
-	return ok && kind == policy.Drain
+func ofDrains(kind serverstate.Kind, server string) bool {
+	_, ok := serverstate.ParseProcess(server)
+	return ok && kind == serverstate.Drain
 }
 
-func drainKey(p policy.Process) string { return policy.Key(policy.Drain, p.Server()) }
+func drainKey(p serverstate.Process) string { return serverstate.Key(serverstate.Drain, p.Server()) }
 
 // drainOf reads a key that tells of a drain.
-func drainOf(key string) (policy.Process, bool) {
-	server, ok := strings.CutPrefix(key, policy.Key(policy.Drain, ""))
+func drainOf(key string) (serverstate.Process, bool) {
+	server, ok := strings.CutPrefix(key, serverstate.Key(serverstate.Drain, ""))
 	if !ok {
-		return policy.Process{}, false
+		return serverstate.Process{}, false
 	}
-	return policy.ParseProcess(server)
+	return serverstate.ParseProcess(server)
 }
 
 // touch notes that the sidecar is to be told of a key. The lock is held.
@@ -68,7 +68,7 @@
 
 // Needs is of Needy: all, whatever servers the list tells of. One that it does not tell of yet may come with its next word, and
 // must not be sent anything in the moment until the copy knows of its drain.
-func (d *Drains) Needs() feed.Needs { return needs(policy.Prefix) }
+func (d *Drains) Needs() changefeed.Needs { return needs(serverstate.Prefix) }
 
 // Event is of Part.
 func (d *Drains) Event(e store.Event) {
@@ -90,7 +90,7 @@
 // stale notes that all that is out is to be told to the sidecar again. The lock is held.
 func (d *Drains) stale() {
 	for _, o := range d.guard.All() {
-		d.touch(policy.Key(o.Kind, o.Server))
+		d.touch(serverstate.Key(o.Kind, o.Server))
 	}
 }
 
@@ -105,7 +105,7 @@
 	}
 	d.stale()
 	d.came.reset(s)
-	drained := wordsOf(s, policy.Key(policy.Drain, ""))
+	drained := wordsOf(s, serverstate.Key(serverstate.Drain, ""))
 	d.turns.Found(d.now(time.Now()), drained)
 	for key := range drained {
 		d.note(key)
@@ -181,7 +181,7 @@
 func (d *Drains) Heard(p discovery.Process, drains bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	key, now := drainKey(policy.Process(p)), d.now(time.Now())
+	key, now := drainKey(serverstate.Process(p)), d.now(time.Now())
 	defer d.note(key)
 	if !drains {
 		d.turns.Unhear(key)
@@ -201,7 +201,7 @@
 	var ops []store.Op
 	for _, key := range keys {
 		p, _ := drainOf(key)
-		op, err := d.guard.Hear(policy.Drain, p.Server())
+		op, err := d.guard.Hear(serverstate.Drain, p.Server())
 		if err != nil {
 			d.log.Error("other daemons are not told of a drain", "id", p.ID, "error", err)
 		} else if op != nil {
@@ -226,7 +226,7 @@
 }
 
 // propose writes a drain, if nobody has written it since. What was ended meanwhile is an error: it is owed again.
-func (d *Drains) propose(ctx context.Context, p policy.Process, op store.Op) error {
+func (d *Drains) propose(ctx context.Context, p serverstate.Process, op store.Op) error {
 	d.mu.Lock()
 	agreed, over := d.guard.Agreed(p), !d.guard.Pending(op.Key)
 	d.mu.Unlock()
@@ -253,7 +253,7 @@
 		d.mu.Unlock()
 		return
 	}
-	now := map[policy.Process]bool{}
+	now := map[serverstate.Process]bool{}
 	for p := range d.dirty {
 		now[p] = d.guard.Drains(p)
 	}
@@ -277,7 +277,7 @@
 	_, over := d.turns.Due(d.now(now))
 	for _, key := range over {
 		p, _ := drainOf(key)
-		if t, err := d.guard.Return(policy.Drain, p.Server()); err == nil {
+		if t, err := d.guard.Return(serverstate.Drain, p.Server()); err == nil {
 			ends = append(ends, t)
 		}
 	}
@@ -285,7 +285,7 @@
 }
 
 // Outs lists the processes that drain, by whose word and how old that is.
-func (d *Drains) Outs() []policy.Out {
+func (d *Drains) Outs() []serverstate.Out {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.came.age(d.now(time.Now()), d.guard.All())
--- a/internal/daemon/drains_test.go
+++ b/internal/controlplane/daemon/drains_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"birchmoor/internal/discovery"
+	"birchmoor/internal/dataplane/discovery"
 	"birchmoor/internal/store"
-	"birchmoor/internal/store/policy"
+	"birchmoor/internal/store/serverstate"
 )
 
 func (s *side) bindDrain(_ context.Context, p discovery.Process, drains bool) error {
@@ -26,7 +26,7 @@
 	changes := func(p discovery.Process) uint64 {
 		var i store.Item
 		if _, err := all[0].e.View(ctx, false, func(st *store.State) {
-			i, _ = st.Get(policy.Key(policy.Drain, policy.Process(p).Server()))
+			i, _ = st.Get(serverstate.Key(serverstate.Drain, serverstate.Process(p).Server()))
 		}); err != nil {
 			t.Fatal(err)
 		}
@@ -101,5 +101,5 @@
 func (d *Drains) is(p discovery.Process) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.guard.Drains(policy.Process(p))
+	return d.guard.Drains(serverstate.Process(p))
 }
--- a/internal/daemon/interest_test.go
+++ b/internal/controlplane/daemon/interest_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"birchmoor/internal/store"
-	"birchmoor/internal/store/policy"
+	"birchmoor/internal/store/serverstate"
 )
 
 // copied is a store whose copy is told what it is to hold.
@@ -27,7 +27,7 @@
 		}
 		return s
 	}
-	own, others := policy.PictureKey("me", ""), policy.PictureKey("you", "")
+	own, others := serverstate.PictureKey("me", ""), serverstate.PictureKey("you", "")
 	k, c := NewMemory("h", slog.New(slog.DiscardHandler)), &copied{}
 	all := func() bool { return k.Needs().Of.Covers(others) }
 	k.Attach(c)
@@ -42,7 +42,7 @@
 	if k.Reset(with(others).Part(*k.Needs().Of)); !all() || !k.Needs().Kept.Covers(others) {
 		t.Errorf("with none of its own: %+v", k.Needs())
 	}
-	if k.Reset(with(others, own).Part(store.Interest{Prefixes: []string{policy.PicturesOf("me")}})); all() || k.Needs().Kept.Covers(others) {
+	if k.Reset(with(others, own).Part(store.Interest{Prefixes: []string{serverstate.PicturesOf("me")}})); all() || k.Needs().Kept.Covers(others) {
 		t.Errorf("with its own: %+v", k.Needs())
 	}
 	k.Reset(with(others).Part(*k.Needs().Of))
@@ -58,7 +58,7 @@
 	cancel()
 	for all() { // the context's end is told beside it
 	}
-	if k.Sum(policy.PicturePrefix, store.Sum{Keys: 1200, Bytes: 18 << 20}); k.sum.Bytes != 18<<20 {
+	if k.Sum(serverstate.PicturePrefix, store.Sum{Keys: 1200, Bytes: 18 << 20}); k.sum.Bytes != 18<<20 {
 		t.Error("the bytes of all are not known")
 	}
 	if k.Reset(with(others, own)); k.sum.Bytes != 0 {
@@ -72,7 +72,7 @@
 	parts := append(NewServers("h", quiet).Parts(), NewSettings("h", nil, quiet))
 	n := New(quiet, parts...).Needs()
 	for key, held := range map[string]bool{"out/drain/x": true, "out/ban/x": true, "start/x": true, keyCurrent: true, keyPlan: true, ReportKey("h"): true,
-		ReportKey("g"): false, keyCandidate: false, historyKey(1): false, policy.PictureKey("x", ""): false, "anything": false} {
+		ReportKey("g"): false, keyCandidate: false, historyKey(1): false, serverstate.PictureKey("x", ""): false, "anything": false} {
 		if n.Of.Covers(key) != held || n.Kept.Covers(key) != (held && key != ReportKey("h")) {
 			t.Errorf("%s: held %v, kept %v", key, n.Of.Covers(key), n.Kept.Covers(key))
 		}
--- a/internal/daemon/journal_test.go
+++ b/internal/controlplane/daemon/journal_test.go
@@ -9,8 +9,8 @@
 	"strings"
 	"testing"
 
-	"birchmoor/internal/discovery"
-	"birchmoor/internal/store/policy"
+	"birchmoor/internal/dataplane/discovery"
+	"birchmoor/internal/store/serverstate"
 )
 
 // A drain that one daemon heard binds after it was killed, whether or not the store had it, until the store is up to date and
@@ -38,7 +38,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(path, append(text, []byte("nonsense\n\n+out/ban/x\n+"+drainKey(policy.Process(two)))...), 0o600); err != nil {
+	if err := os.WriteFile(path, append(text, []byte("nonsense\n\n+out/ban/x\n+"+drainKey(serverstate.Process(two)))...), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	d, kill = begin()
@@ -53,7 +53,7 @@
 		t.Error("owed:", owed)
 	}
 	kill()
-	if text, err := os.ReadFile(path); err != nil || string(text) != "+"+drainKey(policy.Process(one))+"\n" {
+	if text, err := os.ReadFile(path); err != nil || string(text) != "+"+drainKey(serverstate.Process(one))+"\n" {
 		t.Errorf("kept: %q, %v", text, err)
 	}
 	if err := os.Chmod(path, 0); err == nil && os.Getuid() != 0 {
@@ -74,7 +74,7 @@
 	j.rewrite()
 	most := 0
 	for i := range 20_000 {
-		key := drainKey(policy.Process{ID: fmt.Sprint("s", i), Addr: "127.0.0.1:1"})
+		key := drainKey(serverstate.Process{ID: fmt.Sprint("s", i), Addr: "127.0.0.1:1"})
 		j.write("+" + key + "\n")
 		j.write("-" + key + "\n")
 		most = max(most, j.bytes)
--- a/internal/daemon/memory.go
+++ b/internal/controlplane/daemon/memory.go
@@ -9,11 +9,11 @@
 	"time"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/recovery"
-	"birchmoor/internal/snapshot"
+	"birchmoor/internal/platform/recovery"
+	"birchmoor/internal/platform/snapshot"
 	"birchmoor/internal/store"
-	"birchmoor/internal/store/feed"
-	"birchmoor/internal/store/policy"
+	"birchmoor/internal/store/changefeed"
+	"birchmoor/internal/store/serverstate"
 )
 
 // What the decision modules know is kept in the store, so that a host that lost its disk, or a new one, does not start blind.
@@ -24,7 +24,7 @@
 // Memory is what the decision modules of all know, as the store keeps it: their pictures. It is a Part; any goroutine may use it.
 type Memory struct {
 	desk
-	turns    *policy.Turns // for their ends alone
+	turns    *serverstate.Turns // for their ends alone
 	all      map[string]picture
 	bytes    int
 	proved   int64 // when a quorum last confirmed the copy; 0: not since the start
@@ -46,13 +46,13 @@
 
 // NewMemory returns that of the daemon of a name.
 func NewMemory(name string, log *slog.Logger) *Memory {
-	return &Memory{desk: newDesk(name, log), all: map[string]picture{}, turns: policy.NewTurns(name, policy.TurnRules{Spread: 1, Keep: int64(picturesKept)})}
+	return &Memory{desk: newDesk(name, log), all: map[string]picture{}, turns: serverstate.NewTurns(name, serverstate.TurnRules{Spread: 1, Keep: int64(picturesKept)})}
 }
 
 // Own says whose pictures are this daemon's own: those of its sidecar. It is called before the copy is opened, and by Keep.
 func (k *Memory) Own(sidecar string) {
 	k.mu.Lock()
-	if prefix := policy.PicturesOf(sidecar); !slices.Contains(k.own, prefix) {
+	if prefix := serverstate.PicturesOf(sidecar); !slices.Contains(k.own, prefix) {
 		k.own = append(k.own, prefix)
 	}
 	s := k.store
@@ -61,15 +61,15 @@
 }
 
 // Needs is of Needy. Others' pictures are of use to a sidecar that begins without one of its own, and to who ends them.
-func (k *Memory) Needs() feed.Needs {
+func (k *Memory) Needs() changefeed.Needs {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	own := store.Interest{Prefixes: k.own}
-	n := feed.Needs{Of: &own, Kept: own}
+	n := changefeed.Needs{Of: &own, Kept: own}
 	if len(k.own) > 0 {
-		n.Sums = []string{policy.PicturePrefix}
+		n.Sums = []string{serverstate.PicturePrefix}
 	}
-	all := store.Interest{Prefixes: []string{policy.PicturePrefix}}
+	all := store.Interest{Prefixes: []string{serverstate.PicturePrefix}}
 	if len(k.own) > 0 && k.seen && !k.begun && !k.has() {
 		n.Of, n.Kept = &all, all
 	}
@@ -93,7 +93,7 @@
 func (k *Memory) Sum(prefix string, n store.Sum) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if prefix == policy.PicturePrefix && k.part {
+	if prefix == serverstate.PicturePrefix && k.part {
 		k.sum = n
 	}
 }
@@ -140,7 +140,7 @@
 
 // Event is of Part. A picture may have been put at any time since a quorum last confirmed the copy.
 func (k *Memory) Event(e store.Event) {
-	if !strings.HasPrefix(e.Item.Key, policy.PicturePrefix) {
+	if !strings.HasPrefix(e.Item.Key, serverstate.PicturePrefix) {
 		return
 	}
 	k.mu.Lock()
@@ -153,7 +153,7 @@
 func (k *Memory) Reset(s *store.State) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.seen, k.part = true, holdsPart(s, policy.PicturePrefix); !k.part {
+	if k.seen, k.part = true, holdsPart(s, serverstate.PicturePrefix); !k.part {
 		k.sum = store.Sum{}
 	}
 	for key := range k.all {
@@ -161,13 +161,13 @@
 			k.set(key, picture{}, true)
 		}
 	}
-	s.Range(policy.PicturePrefix, store.PrefixEnd(policy.PicturePrefix), func(i store.Item) bool {
+	s.Range(serverstate.PicturePrefix, store.PrefixEnd(serverstate.PicturePrefix), func(i store.Item) bool {
 		if k.all[i.Key].agreed != i.Modified {
 			k.set(i.Key, picture{i.Value, 0, i.Modified}, false)
 		}
 		return true
 	})
-	k.turns.Found(k.now(time.Now()), wordsOf(s, policy.PicturePrefix))
+	k.turns.Found(k.now(time.Now()), wordsOf(s, serverstate.PicturePrefix))
 }
 
 // Over is of Sweeper: it ends those that nobody has put for long.
@@ -187,11 +187,11 @@
 	defer k.mu.Unlock()
 	now := k.now(time.Now())
 	for key, p := range k.all {
-		of, its, ok := policy.ParsePicture(key)
+		of, its, ok := serverstate.ParsePicture(key)
 		if !ok || its != protocol {
 			continue
 		}
-		v, err := policy.DecodePicture(p.value)
+		v, err := serverstate.DecodePicture(p.value)
 		var kept *snapshot.Kept
 		if err == nil {
 			kept, err = snapshot.Decode(v.Known)
@@ -259,7 +259,7 @@
 
 // Keep puts a sidecar's pictures in the store until ctx ends.
 func (k *Memory) Keep(ctx context.Context, sidecar, protocol string, take func(context.Context) ([]byte, error), paused func() bool) {
-	key := policy.PictureKey(sidecar, protocol)
+	key := serverstate.PictureKey(sidecar, protocol)
 	failing := false
 	k.mu.Lock()
 	k.begun = true
@@ -267,9 +267,9 @@
 	k.Own(sidecar)
 	for {
 		k.mu.Lock()
-		wait := time.Duration(policy.PictureWait(max(k.bytes, k.sum.Bytes)))
+		wait := time.Duration(serverstate.PictureWait(max(k.bytes, k.sum.Bytes)))
 		if k.part && !k.has() {
-			wait = time.Duration(policy.PictureWait(0)) // until then a start would find nothing of its own
+			wait = time.Duration(serverstate.PictureWait(0)) // until then a start would find nothing of its own
 		}
 		k.mu.Unlock()
 		select {
@@ -296,6 +296,6 @@
 	}
 	c, cancel := context.WithTimeout(ctx, writeWait)
 	defer cancel()
-	_, err = k.store.Do(c, store.Command{Txn: policy.Picture{By: k.name, Known: known}.Put(key)})
+	_, err = k.store.Do(c, store.Command{Txn: serverstate.Picture{By: k.name, Known: known}.Put(key)})
 	return err
 }
--- a/internal/daemon/servers.go
+++ b/internal/controlplane/daemon/servers.go
@@ -9,9 +9,9 @@
 	"sync"
 	"time"
 
-	"birchmoor/internal/snapshot"
+	"birchmoor/internal/platform/snapshot"
 	"birchmoor/internal/store"
-	"birchmoor/internal/store/policy"
+	"birchmoor/internal/store/serverstate"
 )
 
 const picturesWait = 3 * time.Second // for a replica's pictures, when people ask
@@ -51,9 +51,11 @@
 func (s *Servers) Parts() []Part { return []Part{s.Bans, s.Drains, s.Starts, s.Memory} }
 
 // Outs lists the servers that are out, by whose word and how old that is.
-func (s *Servers) Outs() []policy.Out {
+func (s *Servers) Outs() []serverstate.Out {
 	all := append(s.Bans.Outs(), s.Drains.Outs()...)
-	slices.SortFunc(all, func(a, b policy.Out) int { return cmp.Or(cmp.Compare(a.Server, b.Server), cmp.Compare(a.Kind, b.Kind)) })
+	slices.SortFunc(all, func(a, b serverstate.Out) int {
+		return cmp.Or(cmp.Compare(a.Server, b.Server), cmp.Compare(a.Kind, b.Kind))
+	})
 	return all
 }
 
@@ -63,7 +65,7 @@
 	var all []Fact
 	for _, o := range s.Outs() {
 		f := Fact{ID: o.Server, What: "banned", By: o.By, AgeMs: o.AgeMs, Agreed: o.Agreed}
-		if p, ok := drainOf(policy.Key(o.Kind, o.Server)); ok {
+		if p, ok := drainOf(serverstate.Key(o.Kind, o.Server)); ok {
 			f.ID, f.Addr, f.StartedMs, f.What = p.ID, p.Addr, p.StartedMs, "drains"
 		}
 		all = append(all, f)
@@ -86,7 +88,7 @@
 		defer cancel()
 		if _, err := k.store.View(wait, false, func(s *store.State) {
 			clear(found)
-			s.Range(policy.PicturePrefix, store.PrefixEnd(policy.PicturePrefix), func(i store.Item) bool {
+			s.Range(serverstate.PicturePrefix, store.PrefixEnd(serverstate.PicturePrefix), func(i store.Item) bool {
 				found[i.Key] = picture{value: i.Value, at: pictures[i.Key].at}
 				return true
 			})
@@ -101,7 +103,7 @@
 	}
 	at := map[server]*Fact{}
 	for _, p := range pictures {
-		v, err := policy.DecodePicture(p.value)
+		v, err := serverstate.DecodePicture(p.value)
 		if err != nil {
 			continue
 		}
--- a/internal/daemon/settings.go
+++ b/internal/controlplane/daemon/settings.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"birchmoor/internal/store"
-	"birchmoor/internal/store/feed"
+	"birchmoor/internal/store/changefeed"
 )
 
 // ConfigPrefix is that of the keys of the settings.
@@ -84,10 +84,10 @@
 
 // Needs is of Needy: what is in force or comes in force in steps. Candidates are for replicas to judge, and older versions and what
 // others report for those who ask.
-func (x *Settings) Needs() feed.Needs {
+func (x *Settings) Needs() changefeed.Needs {
 	kept := store.Interest{Keys: []string{keyCurrent, keyPlan, keyStepped}}
 	of := kept.Join(store.Interest{Keys: []string{ReportKey(x.name)}})
-	return feed.Needs{Of: &of, Kept: kept}
+	return changefeed.Needs{Of: &of, Kept: kept}
 }
 
 // Event is of Part.
--- a/internal/daemon/starts.go
+++ b/internal/controlplane/daemon/starts.go
@@ -5,33 +5,33 @@
 	"log/slog"
 	"time"
 
-	"birchmoor/internal/core"
-	"birchmoor/internal/discovery"
+	"birchmoor/internal/dataplane/core"
+	"birchmoor/internal/dataplane/discovery"
 	"birchmoor/internal/store"
-	"birchmoor/internal/store/feed"
-	"birchmoor/internal/store/policy"
+	"birchmoor/internal/store/changefeed"
+	"birchmoor/internal/store/serverstate"
 )
 
 // That a process of a server began is told like a drain: all hear it, one writes it. It is never told again, for it says
 // itself until when it matters, and then any daemon ends it. Until all voters know level 2 of commands nothing is written.
 const (
 	startSpread = 200 * time.Millisecond
-	startsMost  = policy.StartsMost
+	startsMost  = serverstate.StartsMost
 )
 
 // Starts are the processes of servers that began of late, by any daemon's word. It is a Part; any goroutine may use it.
 type Starts struct {
 	desk
-	words *policy.Starts
-	turns *policy.Turns
+	words *serverstate.Starts
+	turns *serverstate.Turns
 	bind  func(ctx context.Context, s core.Start) error
-	dirty map[policy.Process]bool // that the sidecar is to be told of
+	dirty map[serverstate.Process]bool // that the sidecar is to be told of
 }
 
 // NewStarts returns those of the daemon of a name.
 func NewStarts(name string, log *slog.Logger) *Starts {
-	return &Starts{desk: newDesk(name, log), words: policy.NewStarts(name, startsMost), dirty: map[policy.Process]bool{},
-		turns: policy.NewTurns(name, policy.TurnRules{Spread: int64(startSpread), Keep: 1 << 62, Most: startsMost})}
+	return &Starts{desk: newDesk(name, log), words: serverstate.NewStarts(name, startsMost), dirty: map[serverstate.Process]bool{},
+		turns: serverstate.NewTurns(name, serverstate.TurnRules{Spread: int64(startSpread), Keep: 1 << 62, Most: startsMost})}
 }
 
 // Run is of Part.
@@ -47,10 +47,10 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now(time.Now())
-	if !d.words.See(now, policy.Process(p), int64(ago), int64(cold)) {
+	if !d.words.See(now, serverstate.Process(p), int64(ago), int64(cold)) {
 		return
 	}
-	due, _ := d.turns.Hear(now, policy.StartKey(policy.Process(p)))
+	due, _ := d.turns.Hear(now, serverstate.StartKey(serverstate.Process(p)))
 	d.wakeAt(due, now)
 }
 
@@ -59,7 +59,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var all []core.Start
-	d.words.Cold(d.now(time.Now()), func(p policy.Process, ago, _ int64, _ string, _ bool) {
+	d.words.Cold(d.now(time.Now()), func(p serverstate.Process, ago, _ int64, _ string, _ bool) {
 		all = append(all, core.Start{Process: discovery.Process(p), Ago: time.Duration(ago)})
 	})
 	return all
@@ -74,11 +74,11 @@
 }
 
 // Needs is of Needy: all, as of drains.
-func (d *Starts) Needs() feed.Needs { return needs(policy.StartPrefix) }
+func (d *Starts) Needs() changefeed.Needs { return needs(serverstate.StartPrefix) }
 
 // Event is of Part.
 func (d *Starts) Event(e store.Event) {
-	if _, ok := policy.ParseStart(e.Item.Key); !ok {
+	if _, ok := serverstate.ParseStart(e.Item.Key); !ok {
 		return
 	}
 	d.mu.Lock()
@@ -97,13 +97,13 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now(time.Now())
-	s.Range(policy.StartPrefix, store.PrefixEnd(policy.StartPrefix), func(i store.Item) bool {
+	s.Range(serverstate.StartPrefix, store.PrefixEnd(serverstate.StartPrefix), func(i store.Item) bool {
 		if p, news := d.words.Applied(now, store.Event{Revision: i.Modified, Item: i}, 0); news {
 			d.dirty[p] = true
 		}
 		return true
 	})
-	d.turns.Found(now, wordsOf(s, policy.StartPrefix))
+	d.turns.Found(now, wordsOf(s, serverstate.StartPrefix))
 	d.poke()
 }
 
@@ -114,7 +114,7 @@
 	keys, _ := d.turns.Due(now)
 	var txns []*store.Txn
 	for _, key := range keys {
-		p, _ := policy.ParseStart(key)
+		p, _ := serverstate.ParseStart(key)
 		if t := d.words.Write(now, p); t != nil {
 			txns = append(txns, t)
 		} else {
@@ -164,7 +164,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, p := range d.words.Over(d.now(now)) {
-		d.turns.Unhear(policy.StartKey(p))
+		d.turns.Unhear(serverstate.StartKey(p))
 		if t := d.words.End(p); t != nil {
 			ends = append(ends, t)
 		}
@@ -176,7 +176,7 @@
 func (d *Starts) facts() (all []Fact) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.words.Cold(d.now(time.Now()), func(p policy.Process, ago, left int64, who string, agreed bool) {
+	d.words.Cold(d.now(time.Now()), func(p serverstate.Process, ago, left int64, who string, agreed bool) {
 		all = append(all, Fact{ID: p.ID, Addr: p.Addr, StartedMs: p.StartedMs, What: "began", By: who, AgeMs: ago / 1e6, LeftMs: left / 1e6, Agreed: agreed})
 	})
 	return all
--- a/internal/daemon/starts_test.go
+++ b/internal/controlplane/daemon/starts_test.go
@@ -8,13 +8,13 @@
 	"time"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/core"
-	"birchmoor/internal/discovery"
-	"birchmoor/internal/recovery"
-	"birchmoor/internal/sidetest"
-	"birchmoor/internal/snapshot"
+	"birchmoor/internal/dataplane/core"
+	"birchmoor/internal/dataplane/discovery"
+	"birchmoor/internal/platform/recovery"
+	"birchmoor/internal/platform/snapshot"
 	"birchmoor/internal/store"
-	"birchmoor/internal/store/policy"
+	"birchmoor/internal/store/serverstate"
+	"birchmoor/internal/testutil/sidecartest"
 )
 
 func (s *side) version(t *testing.T, key string) uint64 {
@@ -44,7 +44,7 @@
 		s.until(t, "began one", true)
 	}
 	time.Sleep(2 * startSpread) // all have had their turn by then
-	if n := all[0].version(t, policy.StartKey(policy.Process(seen))); n != 1 {
+	if n := all[0].version(t, serverstate.StartKey(serverstate.Process(seen))); n != 1 {
 		t.Errorf("three that saw it made %d changes", n)
 	}
 	if all[0].out["began all"] || all[0].out["began one"] {
@@ -52,7 +52,7 @@
 	}
 	all[1].stop()
 	b := start(t, "b", dirs[1], all[1].addr, true)
-	b.version(t, policy.StartKey(policy.Process(one))) // its copy is up to date
+	b.version(t, serverstate.StartKey(serverstate.Process(one))) // its copy is up to date
 	ago := time.Duration(-1)
 	for _, x := range b.d.Begun() {
 		if x.Process == one {
@@ -63,7 +63,7 @@
 		t.Errorf("a start knows that it began %v ago", ago)
 	}
 	later := time.Now().Add(time.Hour + time.Minute)
-	for all[2].version(t, policy.StartKey(policy.Process(one))) > 0 {
+	for all[2].version(t, serverstate.StartKey(serverstate.Process(one))) > 0 {
 		b.frame.sweep(deadline(t), later)
 	}
 }
@@ -72,7 +72,7 @@
 // ahead, does not make it new.
 func TestPictures(t *testing.T) {
 	all, dirs := three(t)
-	c := sidetest.Configure(t, "127.0.0.1:1", nil)
+	c := sidecartest.Configure(t, "127.0.0.1:1", nil)
 	m, err := balancer.New(c.Settings, 1, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -81,7 +81,7 @@
 	take := func(context.Context) ([]byte, error) {
 		return snapshot.Encode(&snapshot.Kept{Sidecar: "other", Clock: ahead, State: m.Snapshot(1e9, false)})
 	}
-	key := policy.PictureKey("other", "")
+	key := serverstate.PictureKey("other", "")
 	for err = store.ErrLevel; errors.Is(err, store.ErrLevel); { // until all know the commands that it takes
 		err = all[0].d.keep(deadline(t), key, take)
 	}
--- a/internal/daemon/steps.go
+++ b/internal/controlplane/daemon/steps.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"birchmoor/internal/lease"
-	"birchmoor/internal/rollout"
+	"birchmoor/internal/controlplane/lease"
+	"birchmoor/internal/controlplane/rollout"
 	"birchmoor/internal/store"
 )
 
--- a/internal/tasks/presence.go
+++ b/internal/controlplane/leasetask/presence.go
@@ -1,4 +1,4 @@
-package tasks
+package leasetask
 
 import "time"
 
--- a/internal/tasks/runner.go
+++ b/internal/controlplane/leasetask/runner.go
@@ -1,8 +1,8 @@
-// Package tasks lets a daemon hold leases for fleet-wide tasks: it sends what package lease asks for to the store, follows the
+// Package leasetask lets a daemon hold leases for fleet-wide tasks: it sends what package lease asks for to the store, follows the
 // queues by the copy of the store that the daemon has anyway, and runs what is to be run by one or by so many for the whole fleet.
 //
 // One goroutine a session renews it, whatever number of tasks it holds. Nothing on a request's way comes here.
-package tasks
+package leasetask
 
 import (
 	"context"
@@ -15,11 +15,11 @@
 	"sync"
 	"time"
 
-	"birchmoor/internal/boot"
-	"birchmoor/internal/daemon"
-	"birchmoor/internal/lease"
+	"birchmoor/internal/controlplane/daemon"
+	"birchmoor/internal/controlplane/lease"
+	"birchmoor/internal/platform/bootclock"
 	"birchmoor/internal/store"
-	"birchmoor/internal/store/feed"
+	"birchmoor/internal/store/changefeed"
 )
 
 // Config is what a Runner goes by.
@@ -27,7 +27,7 @@
 	Host  string // of this daemon, which its key says
 	Skew  float64
 	Log   *slog.Logger
-	Clock boot.Clock
+	Clock bootclock.Clock
 	Plant lease.Plant // for tests
 	Table lease.TablePlant
 }
@@ -87,8 +87,8 @@
 
 // Needs is of daemon.Needy: all queues. Whose turn it is follows from those before it, whoever they are; the next start has no use
 // for what goes with sessions.
-func (r *Runner) Needs() feed.Needs {
-	return feed.Needs{Of: &store.Interest{Prefixes: []string{lease.Prefix}}}
+func (r *Runner) Needs() changefeed.Needs {
+	return changefeed.Needs{Of: &store.Interest{Prefixes: []string{lease.Prefix}}}
 }
 
 // Run waits until ctx ends. With Attach, Event and Reset it makes a Runner a part of a daemon.
--- a/internal/tasks/show.go
+++ b/internal/controlplane/leasetask/show.go
@@ -1,4 +1,4 @@
-package tasks
+package leasetask
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"birchmoor/internal/lease"
+	"birchmoor/internal/controlplane/lease"
 	"birchmoor/internal/store"
 )
 
--- a/internal/tasks/task.go
+++ b/internal/controlplane/leasetask/task.go
@@ -1,4 +1,4 @@
-package tasks
+package leasetask
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"birchmoor/internal/lease"
+	"birchmoor/internal/controlplane/lease"
 	"birchmoor/internal/store"
 )
 
--- a/internal/tasks/tasks_test.go
+++ b/internal/controlplane/leasetask/tasks_test.go
@@ -1,4 +1,4 @@
-package tasks
+package leasetask
 
 import (
 	"context"
@@ -10,12 +10,12 @@
 	"testing"
 	"time"
 
-	"birchmoor/internal/daemon"
-	"birchmoor/internal/lease"
-	"birchmoor/internal/proctest"
+	"birchmoor/internal/controlplane/daemon"
+	"birchmoor/internal/controlplane/lease"
 	"birchmoor/internal/store"
 	"birchmoor/internal/store/disk"
 	"birchmoor/internal/store/engine"
+	"birchmoor/internal/testutil/processtest"
 )
 
 // hosts are daemons of these names over one copy of the store, each with what a test puts between it and the store.
@@ -58,7 +58,7 @@
 
 func acquire(t *testing.T, r *Runner, w Want) *Hold {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), proctest.Soon)
+	ctx, cancel := context.WithTimeout(t.Context(), processtest.Soon)
 	defer cancel()
 	h, err := r.Acquire(ctx, w, nil)
 	if err != nil {
@@ -276,12 +276,12 @@
 			return len(by) == shards && len(count) == len(hosts)
 		}
 	}
-	proctest.Until(t, "an even share for three", spread(4, "a", "b", "c"))
+	processtest.Until(t, "an even share for three", spread(4, "a", "b", "c"))
 	mu.Lock()
 	moved = 0
 	mu.Unlock()
 	stop["c"]()
-	proctest.Until(t, "an even share for two", spread(6, "a", "b"))
+	processtest.Until(t, "an even share for two", spread(6, "a", "b"))
 	mu.Lock()
 	if moved > 8 {
 		t.Errorf("%d of %d shards moved when one of three went", moved, shards)
--- a/internal/operator/operator.go
+++ b/internal/controlplane/operatorconfig/operator.go
@@ -1,8 +1,8 @@
-// Package operator reads the operator file: what a sidecar does beyond what the platform gives it. Without the file
+// Package operatorconfig reads the operator file: what a sidecar does beyond what the platform gives it. Without the file
 // all of it is off.
 //
 // The file is TOML, strictly read: an unknown key or a value out of range is an error that names file, line and key.
-package operator
+package operatorconfig
 
 import (
 	"errors"
@@ -15,9 +15,9 @@
 	"strings"
 	"time"
 
-	"birchmoor/internal/keys"
-	"birchmoor/internal/lease"
-	"birchmoor/internal/strict"
+	"birchmoor/internal/controlplane/lease"
+	"birchmoor/internal/platform/keys"
+	"birchmoor/internal/platform/stricttoml"
 )
 
 // File is an operator file.
@@ -127,7 +127,7 @@
 }
 
 // Error is a fault of the file.
-type Error = strict.Error
+type Error = stricttoml.Error
 
 // Read reads a file. Relative folders are within the file's own.
 func Read(path string) (*File, error) {
@@ -136,7 +136,7 @@
 		return nil, fmt.Errorf("operator file: %w", err)
 	}
 	f := &File{}
-	err = strict.Decode(path, "operator files", text, f)
+	err = stricttoml.Decode(path, "operator files", text, f)
 	var fault *Error
 	if err != nil && !(errors.As(err, &fault) && fault.Unknown) {
 		return nil, err // nothing more can be said of what is not TOML
--- a/internal/operator/operator_test.go
+++ b/internal/controlplane/operatorconfig/operator_test.go
@@ -1,4 +1,4 @@
-package operator
+package operatorconfig
 
 import (
 	"os"
--- a/internal/limit/file.go
+++ b/internal/controlplane/quota/file.go
@@ -1,4 +1,4 @@
-package limit
+package quota
 
 import (
 	"errors"
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"birchmoor/internal/strict"
+	"birchmoor/internal/platform/stricttoml"
 )
 
 // duration is written as Go does: "5m".
@@ -58,7 +58,7 @@
 // Read reads a file of limits, TOML strictly read. All faults are joined, each a *strict.Error.
 func Read(path string, text []byte) (*Conf, error) {
 	var f file
-	if err := strict.Decode(path, "files of limits", text, &f); err != nil {
+	if err := stricttoml.Decode(path, "files of limits", text, &f); err != nil {
 		return nil, err
 	}
 	c := &Conf{}
@@ -70,7 +70,7 @@
 		}
 		if err != nil {
 			key, reason, _ := strings.Cut(err.Error(), ": ")
-			faults = append(faults, &strict.Error{Path: path, Line: lineOf(text, name), Key: "limit." + name + "." + key, Reason: reason})
+			faults = append(faults, &stricttoml.Error{Path: path, Line: lineOf(text, name), Key: "limit." + name + "." + key, Reason: reason})
 			continue
 		}
 		c.Limits = append(c.Limits, l)
@@ -79,7 +79,7 @@
 		return nil, errors.Join(faults...)
 	}
 	if err := c.Check(); err != nil {
-		return nil, &strict.Error{Path: path, Reason: err.Error()}
+		return nil, &stricttoml.Error{Path: path, Reason: err.Error()}
 	}
 	return c, nil
 }
--- a/internal/limit/limit.go
+++ b/internal/controlplane/quota/limit.go
@@ -1,4 +1,4 @@
-// Package limit is limits that hold for a whole fleet: what a limit is, how a process spends its share of one (Holder), and how one
+// Package quota is limits that hold for a whole fleet: what a limit is, how a process spends its share of one (Holder), and how one
 // process divides a limit among all (Divider). It is free of I/O, clocks and chance: instants, changes of the store, sessions and
 // requests come in; decisions and what is to be written come out.
 //
@@ -16,7 +16,7 @@
 //
 // Sources: O'Neil, The escrow transactional method (TODS 1986); Gray and Cheriton, Leases (SOSP 1989); max-min fairness as in Demers,
 // Keshav and Shenker (SIGCOMM 1989).
-package limit
+package quota
 
 import (
 	"errors"
@@ -25,7 +25,7 @@
 	"strconv"
 	"strings"
 
-	"birchmoor/internal/lease"
+	"birchmoor/internal/controlplane/lease"
 )
 
 // Amount is in millionths of what a limit counts.
--- a/internal/limit/match.go
+++ b/internal/controlplane/quota/match.go
@@ -1,4 +1,4 @@
-package limit
+package quota
 
 import (
 	"slices"
--- a/internal/limits/limits.go
+++ b/internal/controlplane/quotasync/limits.go
@@ -1,7 +1,7 @@
-// Package limits has a daemon share the limits of its fleet: it tells what its sidecar wants, follows what it is given, lets requests
+// Package quotasync has a daemon share the limits of its fleet: it tells what its sidecar wants, follows what it is given, lets requests
 // through or refuses them without asking anybody, and divides for all while it holds the task of that. What is decided is package
 // limit's.
-package limits
+package quotasync
 
 import (
 	"context"
@@ -14,13 +14,13 @@
 	"sync/atomic"
 	"time"
 
-	"birchmoor/internal/boot"
-	"birchmoor/internal/core"
-	"birchmoor/internal/daemon"
-	"birchmoor/internal/limit"
+	"birchmoor/internal/controlplane/daemon"
+	"birchmoor/internal/controlplane/leasetask"
+	"birchmoor/internal/controlplane/quota"
+	"birchmoor/internal/dataplane/core"
+	"birchmoor/internal/platform/bootclock"
 	"birchmoor/internal/store"
-	"birchmoor/internal/store/feed"
-	"birchmoor/internal/tasks"
+	"birchmoor/internal/store/changefeed"
 )
 
 // Task is that of dividing.
@@ -33,9 +33,9 @@
 	Tell  time.Duration // between two words of a sidecar on what it wants, at least
 	Each  time.Duration // and for each sidecar that there is
 	Skew  float64
-	Clock boot.Clock
+	Clock bootclock.Clock
 	Log   *slog.Logger
-	Plant limit.Plant // for tests
+	Plant quota.Plant // for tests
 }
 
 const (
@@ -47,15 +47,15 @@
 // Limits is a Part of a daemon, and a core.Limiter. Any goroutine may use it.
 type Limits struct {
 	cfg    Config
-	runner *tasks.Runner
+	runner *leasetask.Runner
 	store  daemon.Store
-	match  atomic.Pointer[limit.Matcher] // nil while there are no limits
+	match  atomic.Pointer[quota.Matcher] // nil while there are no limits
 
 	mu      sync.Mutex
-	holder  *limit.Holder
-	divider *limit.Divider
-	conf    *limit.Conf
-	me      limit.Process
+	holder  *quota.Holder
+	divider *quota.Divider
+	conf    *quota.Conf
+	me      quota.Process
 	others  map[string]bool // keys by which processes tell of themselves
 	news    chan struct{}
 	said    map[string]uint64 // refusals that were logged, by limit
@@ -66,10 +66,10 @@
 }
 
 // New returns one that has no store yet.
-func New(cfg Config, runner *tasks.Runner) *Limits {
-	rules := limit.Rules{Skew: cfg.Skew, Tell: int64(cfg.Tell), Each: int64(cfg.Each)}
-	return &Limits{cfg: cfg, runner: runner, holder: limit.NewHolder(rules, cfg.Plant), divider: limit.NewDivider(rules, cfg.Plant),
-		conf: &limit.Conf{}, others: map[string]bool{}, news: make(chan struct{}, 1), said: map[string]uint64{}}
+func New(cfg Config, runner *leasetask.Runner) *Limits {
+	rules := quota.Rules{Skew: cfg.Skew, Tell: int64(cfg.Tell), Each: int64(cfg.Each)}
+	return &Limits{cfg: cfg, runner: runner, holder: quota.NewHolder(rules, cfg.Plant), divider: quota.NewDivider(rules, cfg.Plant),
+		conf: &quota.Conf{}, others: map[string]bool{}, news: make(chan struct{}, 1), said: map[string]uint64{}}
 }
 
 func (l *Limits) now() int64 { return l.cfg.Clock.Now() }
@@ -79,17 +79,17 @@
 
 // Needs is of daemon.Needy: this daemon's own shares, and how many there are that have some. Others' are for who divides, which
 // followers do not.
-func (l *Limits) Needs() feed.Needs {
-	kept := store.Interest{Keys: []string{limit.ConfKey}}
-	of := kept.Join(store.Interest{Prefixes: []string{limit.NeedPrefix + l.cfg.Host + "/", limit.GrantPrefix + l.cfg.Host + "/"}})
-	return feed.Needs{Of: &of, Kept: kept, Sums: []string{limit.NeedPrefix}}
+func (l *Limits) Needs() changefeed.Needs {
+	kept := store.Interest{Keys: []string{quota.ConfKey}}
+	of := kept.Join(store.Interest{Prefixes: []string{quota.NeedPrefix + l.cfg.Host + "/", quota.GrantPrefix + l.cfg.Host + "/"}})
+	return changefeed.Needs{Of: &of, Kept: kept, Sums: []string{quota.NeedPrefix}}
 }
 
 // Sum is of daemon.Summed.
 func (l *Limits) Sum(prefix string, n store.Sum) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if prefix == limit.NeedPrefix && l.part {
+	if prefix == quota.NeedPrefix && l.part {
 		l.sum = n
 		l.count()
 	}
@@ -100,16 +100,16 @@
 
 // Event is of daemon.Part.
 func (l *Limits) Event(e store.Event) {
-	if !strings.HasPrefix(e.Item.Key, limit.Prefix) {
+	if !strings.HasPrefix(e.Item.Key, quota.Prefix) {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.divider.Event(l.now(), e)
 	switch key := e.Item.Key; {
-	case key == limit.ConfKey:
+	case key == quota.ConfKey:
 		l.configure(e.Item.Value, e.Deleted)
-	case strings.HasPrefix(key, limit.NeedPrefix):
+	case strings.HasPrefix(key, quota.NeedPrefix):
 		if l.others[key] = true; e.Deleted {
 			delete(l.others, key)
 		}
@@ -124,11 +124,11 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.divider.Reset(l.now(), s)
-	i, there := s.Get(limit.ConfKey)
+	i, there := s.Get(quota.ConfKey)
 	l.configure(i.Value, !there)
 	clear(l.others)
-	s.Range(limit.NeedPrefix, store.PrefixEnd(limit.NeedPrefix), func(i store.Item) bool { l.others[i.Key] = true; return true })
-	if of := s.Interest(); of == nil || of.CoversPrefix(limit.NeedPrefix) {
+	s.Range(quota.NeedPrefix, store.PrefixEnd(quota.NeedPrefix), func(i store.Item) bool { l.others[i.Key] = true; return true })
+	if of := s.Interest(); of == nil || of.CoversPrefix(quota.NeedPrefix) {
 		l.part, l.sum = false, store.Sum{}
 	} else {
 		l.part = true
@@ -148,7 +148,7 @@
 
 // granted takes this process's shares. The lock is held.
 func (l *Limits) granted(i store.Item) {
-	g, err := limit.DecodeGrant(i.Value)
+	g, err := quota.DecodeGrant(i.Value)
 	if err != nil {
 		l.cfg.Log.Error("shares of limits are not read: they count as none", "key", i.Key, "error", err)
 	}
@@ -165,7 +165,7 @@
 
 // configure puts limits in force. Those that cannot be read, as of a newer build, leave the ones before. The lock is held.
 func (l *Limits) configure(text []byte, none bool) {
-	c := &limit.Conf{}
+	c := &quota.Conf{}
 	if !none {
 		if err := errors.Join(json.Unmarshal(text, c), c.Check()); err != nil {
 			if l.fault = err.Error(); l.fault != "" {
@@ -178,7 +178,7 @@
 	l.holder.SetConf(l.now(), c)
 	l.divider.SetConf(c)
 	if l.match.Store(nil); len(c.Limits) > 0 {
-		l.match.Store(limit.NewMatcher(c))
+		l.match.Store(quota.NewMatcher(c))
 	}
 	l.poke()
 }
@@ -201,7 +201,7 @@
 		l.mu.Lock()
 		fresh := id != l.me.Session
 		if l.holder.Session(l.now(), id, until); fresh {
-			l.me = limit.Process{Host: l.cfg.Host, Session: id}
+			l.me = quota.Process{Host: l.cfg.Host, Session: id}
 			l.poke()
 		}
 		l.mu.Unlock()
@@ -248,8 +248,8 @@
 		}
 		c, cancel := context.WithTimeout(ctx, min(tellTime, l.cfg.TTL/2))
 		_, err := l.store.Do(c, store.Command{Txn: &store.Txn{Owner: l.cfg.Host,
-			Then:   []store.Op{{Key: me.NeedKey(), Value: limit.Encode(n), Lease: me.Session}},
-			Bounds: []store.Bound{{Prefix: limit.NeedPrefix, Most: limit.ProcessesMost}}}})
+			Then:   []store.Op{{Key: me.NeedKey(), Value: quota.Encode(n), Lease: me.Session}},
+			Bounds: []store.Bound{{Prefix: quota.NeedPrefix, Most: quota.ProcessesMost}}}})
 		cancel()
 		if err != nil {
 			l.mu.Lock()
@@ -285,9 +285,9 @@
 }
 
 // Divide is the task of dividing, for daemons with a replica.
-func (l *Limits) Divide() tasks.Task {
-	return tasks.Task{Want: tasks.Want{Task: Task, TTL: l.cfg.TTL, Note: "divides limits among sidecars"}, Every: divideEvery, Most: l.cfg.TTL / 3,
-		Progress: time.Minute, HoldDown: time.Minute, Do: func(ctx context.Context, h *tasks.Hold) error {
+func (l *Limits) Divide() leasetask.Task {
+	return leasetask.Task{Want: leasetask.Want{Task: Task, TTL: l.cfg.TTL, Note: "divides limits among sidecars"}, Every: divideEvery, Most: l.cfg.TTL / 3,
+		Progress: time.Minute, HoldDown: time.Minute, Do: func(ctx context.Context, h *leasetask.Hold) error {
 			l.mu.Lock()
 			v := l.divider.Divide(l.now())
 			l.mu.Unlock()
@@ -306,8 +306,8 @@
 	if m == nil {
 		return nil, nil
 	}
-	var buf [4]limit.Charge
-	charges := m.Match(buf[:0], &limit.Request{Class: q.Class, Path: q.Path, Cost: limit.Amount(q.CostMs) * limit.One, Header: q.Header, Worth: q.Worth})
+	var buf [4]quota.Charge
+	charges := m.Match(buf[:0], &quota.Request{Class: q.Class, Path: q.Path, Cost: quota.Amount(q.CostMs) * quota.One, Header: q.Header, Worth: q.Worth})
 	if len(charges) == 0 {
 		return nil, nil
 	}
@@ -332,15 +332,15 @@
 
 // Put puts limits in force in the place of those that are, for all daemons. Who holds shares of what they replace goes on by them until
 // it has seen the new ones.
-func (l *Limits) Put(ctx context.Context, c *limit.Conf) (*limit.Conf, error) {
+func (l *Limits) Put(ctx context.Context, c *quota.Conf) (*quota.Conf, error) {
 	if err := c.Check(); err != nil {
 		return nil, err
 	}
-	was, at := &limit.Conf{}, uint64(0)
+	was, at := &quota.Conf{}, uint64(0)
 	var bad error
 	if _, err := l.store.View(ctx, false, func(s *store.State) {
-		*was, at, bad = limit.Conf{}, 0, nil
-		if i, ok := s.Get(limit.ConfKey); ok {
+		*was, at, bad = quota.Conf{}, 0, nil
+		if i, ok := s.Get(quota.ConfKey); ok {
 			at, bad = i.Modified, json.Unmarshal(i.Value, was)
 		}
 	}); err != nil || bad != nil {
@@ -351,7 +351,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r, err := l.store.Do(ctx, store.Command{Txn: &store.Txn{If: []store.Compare{{Key: limit.ConfKey, Modified: at}}, Then: []store.Op{{Key: limit.ConfKey, Value: b}}}})
+	r, err := l.store.Do(ctx, store.Command{Txn: &store.Txn{If: []store.Compare{{Key: quota.ConfKey, Modified: at}}, Then: []store.Op{{Key: quota.ConfKey, Value: b}}}})
 	if err == nil && !r.Held {
 		err = errors.New("the limits were changed meanwhile")
 	}
@@ -365,27 +365,27 @@
 	Divider string        `json:"divider"`         // the daemon that divides, or empty
 	Skew    float64       `json:"skew"`
 	TTLMs   int64         `json:"ttl_ms"`
-	Here    limit.Process `json:"here"`
+	Here    quota.Process `json:"here"`
 	LeftMs  int64         `json:"left_ms"` // of this daemon's entitlement, unless it is renewed
 	Limits  []*LimitState `json:"limits"`
 }
 
 // LimitState is one of them.
 type LimitState struct {
-	*limit.Limit
-	Parts []limit.View `json:"parts"`
+	*quota.Limit
+	Parts []quota.View `json:"parts"`
 	Over  string       `json:"over"` // how far over it may be now, in words
 }
 
 // dividing is what divides here, or, for people, knows what a replica knows of all. alone says that no replica told.
-func (l *Limits) dividing(ctx context.Context) (d *limit.Divider, alone bool, err error) {
+func (l *Limits) dividing(ctx context.Context) (d *quota.Divider, alone bool, err error) {
 	l.mu.Lock()
 	part, conf := l.part, l.conf
 	l.mu.Unlock()
 	if !part {
 		return l.divider, false, nil
 	}
-	d = limit.NewDivider(limit.Rules{Skew: l.cfg.Skew, Tell: int64(l.cfg.Tell), Each: int64(l.cfg.Each)}, limit.PlantNone)
+	d = quota.NewDivider(quota.Rules{Skew: l.cfg.Skew, Tell: int64(l.cfg.Tell), Each: int64(l.cfg.Each)}, quota.PlantNone)
 	wait, cancel := context.WithTimeout(ctx, tellTime)
 	defer cancel()
 	if _, err := l.store.View(wait, false, func(s *store.State) {
@@ -430,10 +430,10 @@
 		s.Limits = append(s.Limits, st)
 	}
 	if name != "" && len(s.Limits) == 0 {
-		return nil, fmt.Errorf("%s: %w", name, limit.ErrNone)
+		return nil, fmt.Errorf("%s: %w", name, quota.ErrNone)
 	}
 	return s, nil
 }
 
 // May says whether an operation is a daemon's own part in limits.
-func May(op store.Op, owner string) bool { return limit.May(op, owner) }
+func May(op store.Op, owner string) bool { return quota.May(op, owner) }
--- a/internal/keeper/keeper.go
+++ b/internal/controlplane/watchdog/keeper.go
@@ -1,10 +1,10 @@
-// Package keeper runs a command that must be over by a deadline which is put off again and again, and that must not outlive the one
+// Package watchdog runs a command that must be over by a deadline which is put off again and again, and that must not outlive the one
 // who puts it off. It ends the command with all that it started, whether or not that left its group: the keeper is the reaper of its
 // descendants (PR_SET_CHILD_SUBREAPER), so that none gets away from it by its parent's death.
 //
 // The deadlines come as lines on a pipe, so that a keeper finds the other end's death by the pipe's end, and goes by what it was last
 // told when the other end is stopped.
-package keeper
+package watchdog
 
 import (
 	"bufio"
@@ -19,7 +19,7 @@
 	"syscall"
 	"time"
 
-	"birchmoor/internal/boot"
+	"birchmoor/internal/platform/bootclock"
 
 	"golang.org/x/sys/unix"
 )
@@ -28,10 +28,10 @@
 type Command struct {
 	Args  []string
 	Env   []string
-	Grace time.Duration  // between SIGTERM and SIGKILL, at most
-	Early time.Duration  // SIGKILL comes so long before the deadline, at the latest
-	Clock boot.Clock     // of the deadlines
-	Late  func(by int64) // is told if the command may have gone on past its deadline, in nanoseconds: this process did not run in time
+	Grace time.Duration   // between SIGTERM and SIGKILL, at most
+	Early time.Duration   // SIGKILL comes so long before the deadline, at the latest
+	Clock bootclock.Clock // of the deadlines
+	Late  func(by int64)  // is told if the command may have gone on past its deadline, in nanoseconds: this process did not run in time
 }
 
 // How a command ended.
--- a/internal/budget/budget.go
+++ b/internal/dataplane/bytebudget/budget.go
@@ -1,5 +1,5 @@
-// Package budget bounds bytes that are held: whoever wants more than is left waits in turn.
-package budget
+// Package bytebudget bounds bytes that are held: whoever wants more than is left waits in turn.
+package bytebudget
 
 import (
 	"container/list"
--- a/internal/budget/budget_test.go
+++ b/internal/dataplane/bytebudget/budget_test.go
@@ -1,4 +1,4 @@
-package budget
+package bytebudget
 
 import (
 	"context"
--- a/internal/capture/capture_test.go
+++ b/internal/dataplane/capture/capture_test.go
@@ -17,7 +17,7 @@
 	"go.uber.org/goleak"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/snapshot"
+	"birchmoor/internal/platform/snapshot"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/capture/reader.go
+++ b/internal/dataplane/capture/reader.go
@@ -10,7 +10,7 @@
 	"github.com/klauspost/compress/s2"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/snapshot"
+	"birchmoor/internal/platform/snapshot"
 )
 
 // Error says where a capture is not readable.
--- a/internal/capture/record.go
+++ b/internal/dataplane/capture/record.go
@@ -14,7 +14,7 @@
 	"math"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/snapshot"
+	"birchmoor/internal/platform/snapshot"
 )
 
 // Kind is what a record tells.
--- a/internal/capture/recorder.go
+++ b/internal/dataplane/capture/recorder.go
@@ -4,7 +4,7 @@
 	"sync"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/snapshot"
+	"birchmoor/internal/platform/snapshot"
 )
 
 // Recorder stands between a host and its decision module and records what passes, both ways. Its methods are those
--- a/internal/capture/writer.go
+++ b/internal/dataplane/capture/writer.go
@@ -16,7 +16,7 @@
 
 	"github.com/klauspost/compress/s2"
 
-	"birchmoor/internal/snapshot"
+	"birchmoor/internal/platform/snapshot"
 )
 
 const (
--- a/internal/core/crossings_test.go
+++ b/internal/dataplane/core/crossings_test.go
@@ -8,17 +8,17 @@
 	"time"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/discovery"
-	"birchmoor/internal/metrics"
-	"birchmoor/internal/sidetest"
+	"birchmoor/internal/dataplane/discovery"
+	"birchmoor/internal/platform/metrics"
+	"birchmoor/internal/testutil/sidecartest"
 )
 
 // looping runs a loop before endpoints of one cell whose attempts go as send says, in virtual time.
 func looping(t *testing.T, send func(l *Loop, ctx context.Context, o Order) Reply, edits ...string) (l *Loop, end func()) {
 	t.Helper()
-	c := sidetest.Configure(t, "127.0.0.1:1", []discovery.Instance{sidetest.Up("s-1", "127.0.0.1:1"), sidetest.Up("s-2", "127.0.0.1:2")}, edits...)
+	c := sidecartest.Configure(t, "127.0.0.1:1", []discovery.Instance{sidecartest.Up("s-1", "127.0.0.1:1"), sidecartest.Up("s-2", "127.0.0.1:2")}, edits...)
 	s := stub{send: func(ctx context.Context, o Order) Reply { return send(l, ctx, o) }}
-	l, err := New(c, NewClock(), s, func(bool) {}, metrics.New(), nil, sidetest.Quiet)
+	l, err := New(c, NewClock(), s, func(bool) {}, metrics.New(), nil, sidecartest.Quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -167,13 +167,13 @@
 // first.
 func TestLateLineOfOldDiscovery(t *testing.T) {
 	for _, lateFirst := range []bool{true, false} {
-		c := sidetest.Configure(t, "127.0.0.1:1", nil)
-		l, err := New(c, NewClock(), stub{}, func(bool) {}, metrics.New(), nil, sidetest.Quiet)
+		c := sidecartest.Configure(t, "127.0.0.1:1", nil)
+		l, err := New(c, NewClock(), stub{}, func(bool) {}, metrics.New(), nil, sidecartest.Quiet)
 		if err != nil {
 			t.Fatal(err)
 		}
 		list := func(id string) discovery.List {
-			return discovery.List{Generation: 9, Reset: true, Instances: []discovery.Instance{sidetest.Up(id, "127.0.0.1:1")}}
+			return discovery.List{Generation: 9, Reset: true, Instances: []discovery.Instance{sidecartest.Up(id, "127.0.0.1:1")}}
 		}
 		// The loop is not running yet: what is told waits in its queue, as behind other events.
 		old, move := context.WithCancel(t.Context())
--- a/internal/core/drains.go
+++ b/internal/dataplane/core/drains.go
@@ -5,7 +5,7 @@
 	"context"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/discovery"
+	"birchmoor/internal/dataplane/discovery"
 )
 
 // Drains begins, before Run, the exchange with other daemons of what drains: hear is told what this sidecar's discovery
--- a/internal/core/drains_test.go
+++ b/internal/dataplane/core/drains_test.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/discovery"
-	"birchmoor/internal/metrics"
-	"birchmoor/internal/sidetest"
+	"birchmoor/internal/dataplane/discovery"
+	"birchmoor/internal/platform/metrics"
+	"birchmoor/internal/testutil/sidecartest"
 )
 
 // Others' word on a drain binds from the first instant on, for one process of a server; this sidecar's own is told to
@@ -19,8 +19,8 @@
 		return discovery.Instance{ID: id, Addr: addr, Lifecycle: lifecycle, StartedMs: started}
 	}
 	var told []string
-	l, err := New(sidetest.Configure(t, "127.0.0.1:1", []discovery.Instance{in("a", "127.0.0.1:1", "up", 5), in("b", "127.0.0.1:2", "up", 5)}),
-		NewClock(), stub{}, func(bool) {}, metrics.New(), nil, sidetest.Quiet)
+	l, err := New(sidecartest.Configure(t, "127.0.0.1:1", []discovery.Instance{in("a", "127.0.0.1:1", "up", 5), in("b", "127.0.0.1:2", "up", 5)}),
+		NewClock(), stub{}, func(bool) {}, metrics.New(), nil, sidecartest.Quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,8 +92,8 @@
 	in := func(id string, started int64) discovery.Instance {
 		return discovery.Instance{ID: id, Addr: "127.0.0.1:1", Lifecycle: "up", StartedMs: started}
 	}
-	c := sidetest.Configure(t, "127.0.0.1:1", []discovery.Instance{in("old", 0), in("began", 0), in("late", 5)})
-	l, err := New(c, NewClock(), stub{}, func(bool) {}, metrics.New(), nil, sidetest.Quiet)
+	c := sidecartest.Configure(t, "127.0.0.1:1", []discovery.Instance{in("old", 0), in("began", 0), in("late", 5)})
+	l, err := New(c, NewClock(), stub{}, func(bool) {}, metrics.New(), nil, sidecartest.Quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/core/front.go
+++ b/internal/dataplane/core/front.go
@@ -5,8 +5,8 @@
 	"log/slog"
 	"time"
 
-	"birchmoor/internal/config"
-	"birchmoor/internal/metrics"
+	"birchmoor/internal/platform/config"
+	"birchmoor/internal/platform/metrics"
 )
 
 // Front is the client side of a protocol. Its methods may be called from any goroutine, Open and StopAccepting by one at a time.
--- a/internal/core/late_test.go
+++ b/internal/dataplane/core/late_test.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/discovery"
-	"birchmoor/internal/metrics"
-	"birchmoor/internal/sidetest"
+	"birchmoor/internal/dataplane/discovery"
+	"birchmoor/internal/platform/metrics"
+	"birchmoor/internal/testutil/sidecartest"
 )
 
 // An answer that comes after its attempt's time, while another attempt is out, is the client's one answer where the
@@ -39,8 +39,8 @@
 					return Reply{Status: balancer.Cancelled}
 				}
 			}}
-			c := sidetest.Configure(t, "127.0.0.1:1", []discovery.Instance{sidetest.Up("s-1", "127.0.0.1:1"), sidetest.Up("s-2", "127.0.0.1:2")})
-			l, err := New(c, NewClock(), s, func(bool) {}, metrics.New(), nil, sidetest.Quiet)
+			c := sidecartest.Configure(t, "127.0.0.1:1", []discovery.Instance{sidecartest.Up("s-1", "127.0.0.1:1"), sidecartest.Up("s-2", "127.0.0.1:2")})
+			l, err := New(c, NewClock(), s, func(bool) {}, metrics.New(), nil, sidecartest.Quiet)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -102,8 +102,8 @@
 			close(over)
 			return Reply{Status: balancer.Cancelled}
 		}}
-		c := sidetest.Configure(t, "127.0.0.1:1", []discovery.Instance{sidetest.Up("s-1", "127.0.0.1:1")}, `"cancel":true`, `"cancel":false`)
-		l, err := New(c, NewClock(), s, func(bool) {}, metrics.New(), nil, sidetest.Quiet)
+		c := sidecartest.Configure(t, "127.0.0.1:1", []discovery.Instance{sidecartest.Up("s-1", "127.0.0.1:1")}, `"cancel":true`, `"cancel":false`)
+		l, err := New(c, NewClock(), s, func(bool) {}, metrics.New(), nil, sidecartest.Quiet)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/core/loop.go
+++ b/internal/dataplane/core/loop.go
@@ -14,11 +14,11 @@
 	"time"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/config"
-	"birchmoor/internal/discovery"
-	"birchmoor/internal/handover"
-	"birchmoor/internal/maintenance"
-	"birchmoor/internal/metrics"
+	"birchmoor/internal/dataplane/discovery"
+	"birchmoor/internal/dataplane/handover"
+	"birchmoor/internal/dataplane/maintenance"
+	"birchmoor/internal/platform/config"
+	"birchmoor/internal/platform/metrics"
 )
 
 // graceMargin is kept from the grace for drains: the send's first byte must arrive within it.
--- a/internal/core/marks.go
+++ b/internal/dataplane/core/marks.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/discovery"
-	"birchmoor/internal/maintenance"
+	"birchmoor/internal/dataplane/discovery"
+	"birchmoor/internal/dataplane/maintenance"
 )
 
 // call runs a function of the loop's ahead of all that requests bring, and returns once it has run.
--- a/internal/core/members_test.go
+++ b/internal/dataplane/core/members_test.go
@@ -10,16 +10,16 @@
 	"time"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/discovery"
-	"birchmoor/internal/metrics"
-	"birchmoor/internal/sidetest"
+	"birchmoor/internal/dataplane/discovery"
+	"birchmoor/internal/platform/metrics"
+	"birchmoor/internal/testutil/sidecartest"
 )
 
 // What can't be read of a list is passed over in one line for all of it, but a drain binds however it is told.
 func TestOddEntries(t *testing.T) {
 	var said strings.Builder
 	log := slog.New(slog.NewTextHandler(&said, nil))
-	cfg := sidetest.Configure(t, sidetest.Nowhere(t), nil)
+	cfg := sidecartest.Configure(t, sidecartest.Nowhere(t), nil)
 	clk := NewClock()
 	l, err := New(cfg, clk, stub{}, func(bool) {}, metrics.New(), nil, log)
 	if err != nil {
@@ -67,7 +67,7 @@
 
 // A dial can outlast the grace for a drain: then nothing may go out, and the request never ran.
 func TestDialOutlastsDrain(t *testing.T) {
-	drained := sidetest.Up("s-1", "127.0.0.1:1")
+	drained := sidecartest.Up("s-1", "127.0.0.1:1")
 	drained.Lifecycle = "draining"
 	for _, tc := range []struct {
 		name string
@@ -80,7 +80,7 @@
 		{"left out of a whole list", discovery.List{Reset: true}, 250 * time.Millisecond, Refused},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			cfg := sidetest.Configure(t, "127.0.0.1:1", []discovery.Instance{sidetest.Up("s-1", "127.0.0.1:1")})
+			cfg := sidecartest.Configure(t, "127.0.0.1:1", []discovery.Instance{sidecartest.Up("s-1", "127.0.0.1:1")})
 			clk, dialing := NewClock(), make(chan struct{})
 			l, err := New(cfg, clk, stub{send: func(_ context.Context, o Order) Reply {
 				close(dialing)
@@ -89,7 +89,7 @@
 					return Reply{Status: balancer.Moot, At: now}
 				}
 				return Reply{Status: balancer.OK, At: clk.Now()}
-			}}, func(bool) {}, metrics.New(), nil, sidetest.Quiet)
+			}}, func(bool) {}, metrics.New(), nil, sidecartest.Quiet)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -112,12 +112,12 @@
 
 // Without any endpoint that serves a sidecar is not ready.
 func TestReadyWithAnEndpoint(t *testing.T) {
-	l := lone(t, sidetest.Configure(t, "127.0.0.1:1", nil), sidetest.Quiet)
+	l := lone(t, sidecartest.Configure(t, "127.0.0.1:1", nil), sidecartest.Quiet)
 	l.call(t.Context(), func(balancer.Micros) {}) // it has begun
 	if l.Ready() {
 		t.Error("ready without an endpoint")
 	}
-	l.Cached(t.Context(), discovery.List{Generation: 8, Instances: []discovery.Instance{sidetest.Up("s-1", "127.0.0.1:1")}})
+	l.Cached(t.Context(), discovery.List{Generation: 8, Instances: []discovery.Instance{sidecartest.Up("s-1", "127.0.0.1:1")}})
 	if !l.Ready() {
 		t.Error("not ready with an endpoint")
 	}
--- a/internal/core/recall.go
+++ b/internal/dataplane/core/recall.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/handover"
-	"birchmoor/internal/snapshot"
+	"birchmoor/internal/dataplane/handover"
+	"birchmoor/internal/platform/snapshot"
 )
 
 // What this process knows is kept for the next one: handed over while both run, and in a file for the case that it
--- a/internal/core/recall_test.go
+++ b/internal/dataplane/core/recall_test.go
@@ -13,12 +13,12 @@
 	"time"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/config"
-	"birchmoor/internal/discovery"
-	"birchmoor/internal/handover"
-	"birchmoor/internal/metrics"
-	"birchmoor/internal/sidetest"
-	"birchmoor/internal/snapshot"
+	"birchmoor/internal/dataplane/discovery"
+	"birchmoor/internal/dataplane/handover"
+	"birchmoor/internal/platform/config"
+	"birchmoor/internal/platform/metrics"
+	"birchmoor/internal/platform/snapshot"
+	"birchmoor/internal/testutil/sidecartest"
 )
 
 // lone is a loop without sockets. It ends with the test.
@@ -74,7 +74,7 @@
 
 // What one process learned of an endpoint the next one knows by its name, whatever its number there.
 func TestRecallGoesByName(t *testing.T) {
-	old := lone(t, sidetest.Configure(t, sidetest.Nowhere(t), []discovery.Instance{sidetest.Up("s-1", "127.0.0.1:1"), sidetest.Up("s-2", "127.0.0.1:2"), sidetest.Up("s-3", "127.0.0.1:3")}), sidetest.Quiet)
+	old := lone(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", "127.0.0.1:1"), sidecartest.Up("s-2", "127.0.0.1:2"), sidecartest.Up("s-3", "127.0.0.1:3")}), sidecartest.Quiet)
 	answers(t, old, map[string]balancer.Micros{"s-1": 1000, "s-2": 2000, "s-3": 3000})
 	data, err := old.Pictured(t.Context())
 	if err != nil {
@@ -86,7 +86,7 @@
 	}
 	var said bytes.Buffer
 	log := slog.New(slog.NewTextHandler(&said, nil))
-	c := sidetest.Configure(t, sidetest.Nowhere(t), []discovery.Instance{sidetest.Up("s-9", "127.0.0.1:9"), sidetest.Up("s-3", "127.0.0.1:3"), sidetest.Up("s-2", "127.0.0.1:2")})
+	c := sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-9", "127.0.0.1:9"), sidecartest.Up("s-3", "127.0.0.1:3"), sidecartest.Up("s-2", "127.0.0.1:2")})
 	fresh := lone(t, c, log)
 	fresh.Recall(t.Context(), k, "a file")
 	if got := trips(t, fresh); got["s-2"] != 2000 || got["s-3"] != 3000 || got["s-9"] != 0 || len(got) != 3 {
@@ -101,8 +101,8 @@
 
 // Two processes side by side tell each other whom they have ejected.
 func TestEjectionsReachTheOther(t *testing.T) {
-	known := []discovery.Instance{sidetest.Up("s-1", "127.0.0.1:1"), sidetest.Up("s-2", "127.0.0.1:2"), sidetest.Up("s-3", "127.0.0.1:3")}
-	a, b := lone(t, sidetest.Configure(t, sidetest.Nowhere(t), known), sidetest.Quiet), lone(t, sidetest.Configure(t, sidetest.Nowhere(t), known[1:]), sidetest.Quiet)
+	known := []discovery.Instance{sidecartest.Up("s-1", "127.0.0.1:1"), sidecartest.Up("s-2", "127.0.0.1:2"), sidecartest.Up("s-3", "127.0.0.1:3")}
+	a, b := lone(t, sidecartest.Configure(t, sidecartest.Nowhere(t), known), sidecartest.Quiet), lone(t, sidecartest.Configure(t, sidecartest.Nowhere(t), known[1:]), sidecartest.Quiet)
 	told := make(chan []handover.Ejection, 1)
 	tell := teller(func(_ context.Context, list []handover.Ejection) error { told <- list; return nil })
 	a.tell.Store(&tell)
@@ -110,13 +110,13 @@
 		a.balancer.Heard(now, a.byName["s-2"].number, 3_000_000)
 		a.ejections(now)
 	})
-	list := sidetest.Within(t, told, "word of the ejection")
+	list := sidecartest.Within(t, told, "word of the ejection")
 	if len(list) != 1 || list[0].ID != "s-2" || list[0].Left <= 0 {
 		t.Fatalf("told %+v", list)
 	}
 	b.Heard(append(list, handover.Ejection{ID: "s-1", Left: 1_000_000}, handover.Ejection{ID: "s-3", Left: -1}))
 	b.call(t.Context(), func(balancer.Micros) {}) // the loop takes what is urgent first:
-	for end := time.Now().Add(sidetest.Soon); ; {
+	for end := time.Now().Add(sidecartest.Soon); ; {
 		var n int
 		b.call(t.Context(), func(now balancer.Micros) { n = b.balancer.Avoided(now) })
 		if n == 1 {
@@ -131,7 +131,7 @@
 func TestKeeperKeepsAtItsPace(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "known")
 	synctest.Test(t, func(t *testing.T) {
-		l := lone(t, sidetest.Configure(t, "127.0.0.1:1", []discovery.Instance{sidetest.Up("s-1", "127.0.0.1:1")}), sidetest.Quiet)
+		l := lone(t, sidecartest.Configure(t, "127.0.0.1:1", []discovery.Instance{sidecartest.Up("s-1", "127.0.0.1:1")}), sidecartest.Quiet)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		var paused atomic.Bool
--- a/internal/core/starts.go
+++ b/internal/dataplane/core/starts.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/discovery"
+	"birchmoor/internal/dataplane/discovery"
 )
 
 // Where several daemons share what they know, a process of a server that one of them saw begin is cold to all: to those whose
--- a/internal/core/time_test.go
+++ b/internal/dataplane/core/time_test.go
@@ -7,17 +7,17 @@
 	"time"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/discovery"
-	"birchmoor/internal/metrics"
-	"birchmoor/internal/sidetest"
+	"birchmoor/internal/dataplane/discovery"
+	"birchmoor/internal/platform/metrics"
+	"birchmoor/internal/testutil/sidecartest"
 )
 
 // asked has one request of a class answered whose attempts go as send says, and returns the answer and how long it took, in
 // virtual time.
 func asked(t *testing.T, class uint8, send func(ctx context.Context, o Order) Reply) (a Answer, took time.Duration) {
 	t.Helper()
-	c := sidetest.Configure(t, "127.0.0.1:1", []discovery.Instance{sidetest.Up("s-1", "127.0.0.1:1")})
-	l, err := New(c, NewClock(), stub{send: send}, func(bool) {}, metrics.New(), nil, sidetest.Quiet)
+	c := sidecartest.Configure(t, "127.0.0.1:1", []discovery.Instance{sidecartest.Up("s-1", "127.0.0.1:1")})
+	l, err := New(c, NewClock(), stub{send: send}, func(bool) {}, metrics.New(), nil, sidecartest.Quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/discovery/told_test.go
+++ b/internal/dataplane/discovery/told_test.go
@@ -15,11 +15,11 @@
 	"time"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/config"
-	"birchmoor/internal/core"
-	"birchmoor/internal/discovery"
-	"birchmoor/internal/metrics"
-	"birchmoor/internal/sidetest"
+	"birchmoor/internal/dataplane/core"
+	"birchmoor/internal/dataplane/discovery"
+	"birchmoor/internal/platform/config"
+	"birchmoor/internal/platform/metrics"
+	"birchmoor/internal/testutil/sidecartest"
 )
 
 // cause is why a call of discovery, or the watch that is open, does not tell what has changed.
@@ -76,9 +76,9 @@
 // list is the whole list.
 func (b *standIn) list() string {
 	if b.isChanged() {
-		return sidetest.Line(9, true, sidetest.Up("s-2", "127.0.0.1:2"))
+		return sidecartest.Line(9, true, sidecartest.Up("s-2", "127.0.0.1:2"))
 	}
-	return sidetest.Line(8, true, sidetest.Up("s-1", "127.0.0.1:1"), sidetest.Up("s-2", "127.0.0.1:2"))
+	return sidecartest.Line(8, true, sidecartest.Up("s-1", "127.0.0.1:1"), sidecartest.Up("s-2", "127.0.0.1:2"))
 }
 
 // Dial is a Watcher's.
@@ -152,7 +152,7 @@
 					<-gone
 					return
 				default:
-					say(sidetest.Line(9, true, sidetest.Up("s-2", "127.0.0.1:2")) + "\n")
+					say(sidecartest.Line(9, true, sidecartest.Up("s-2", "127.0.0.1:2")) + "\n")
 				}
 			}
 		}
@@ -182,11 +182,11 @@
 	if asked {
 		mode = "subscribe"
 	}
-	c := sidetest.Configure(t, "127.0.0.1:1", []discovery.Instance{sidetest.Up("s-1", "127.0.0.1:1"), sidetest.Up("s-2", "127.0.0.1:2")},
+	c := sidecartest.Configure(t, "127.0.0.1:1", []discovery.Instance{sidecartest.Up("s-1", "127.0.0.1:1"), sidecartest.Up("s-2", "127.0.0.1:2")},
 		`"discovery":"automatic"`, `"discovery":"`+mode+`"`, `"ask-within":10000000`, fmt.Sprintf(`"ask-within":%d`, within.Microseconds()))
 	f := &follower{feed: &discovery.Feed{}, heard: make(chan time.Time, 1)}
 	var err error
-	if f.loop, err = core.New(c, core.NewClock(), nothing{}, f.feed.Set, metrics.New(c.Classes...), nil, sidetest.Quiet); err != nil {
+	if f.loop, err = core.New(c, core.NewClock(), nothing{}, f.feed.Set, metrics.New(c.Classes...), nil, sidecartest.Quiet); err != nil {
 		t.Fatal(err)
 	}
 	f.feed.Watcher = f.watcher(b, 7)
@@ -206,7 +206,7 @@
 			default:
 			}
 		}
-	}, sidetest.Quiet)
+	}, sidecartest.Quiet)
 	w.Dial = b.Dial
 	return w
 }
@@ -303,7 +303,7 @@
 	if discovery.WorstPushed > discovery.Told-margin || discovery.WorstAsked > discovery.Told-margin {
 		t.Errorf("pushed: known after %v, asked: after %v", discovery.WorstPushed, discovery.WorstAsked)
 	}
-	w := discovery.NewWatcher("127.0.0.1:1", 7, 16, nil, sidetest.Quiet)
+	w := discovery.NewWatcher("127.0.0.1:1", 7, 16, nil, sidecartest.Quiet)
 	// What a silent watch misses counts as told 6 s after it fell silent; it may have said its last word right before that.
 	// One more call may stay without a word, for as long as discovery may take for one.
 	const idle = 2 * time.Second
--- a/internal/discovery/watch_test.go
+++ b/internal/dataplane/discovery/watch_test.go
@@ -11,14 +11,14 @@
 	"testing/synctest"
 	"time"
 
-	"birchmoor/internal/discovery"
-	"birchmoor/internal/sidetest"
+	"birchmoor/internal/dataplane/discovery"
+	"birchmoor/internal/testutil/sidecartest"
 )
 
 // watching starts a watcher and returns what it tells.
-func watching(t *testing.T, b *sidetest.Board, mute time.Duration) <-chan discovery.List {
+func watching(t *testing.T, b *sidecartest.Board, mute time.Duration) <-chan discovery.List {
 	told := make(chan discovery.List, 16)
-	w := discovery.NewWatcher(b.Addr, 7, 16, func(_ context.Context, l discovery.List) { told <- l }, sidetest.Quiet)
+	w := discovery.NewWatcher(b.Addr, 7, 16, func(_ context.Context, l discovery.List) { told <- l }, sidecartest.Quiet)
 	w.SilentAfter = mute
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -30,62 +30,62 @@
 // A watch that ends, is malformed or is mute is asked for again, from the latest list on. What is stale is
 // passed over.
 func TestWatch(t *testing.T) {
-	b := sidetest.NewBoard(t)
-	told := watching(t, b, sidetest.Soon)
+	b := sidecartest.NewBoard(t)
+	told := watching(t, b, sidecartest.Soon)
 	expect := func(want string) {
 		t.Helper()
-		if got := sidetest.Within(t, b.Asked, "watch"); got != want {
+		if got := sidecartest.Within(t, b.Asked, "watch"); got != want {
 			t.Errorf("watch asked with %q, want %q", got, want)
 		}
 	}
 	hear := func(want int64) {
 		t.Helper()
-		if got := sidetest.Within(t, told, "list").Generation; got != want {
+		if got := sidecartest.Within(t, told, "list").Generation; got != want {
 			t.Errorf("told of %d, want %d", got, want)
 		}
 	}
 	expect("1 7")
-	b.Lines <- sidetest.Line(8, true, sidetest.Up("s-1", "127.0.0.1:1"))
+	b.Lines <- sidecartest.Line(8, true, sidecartest.Up("s-1", "127.0.0.1:1"))
 	hear(8)
 	b.Lines <- " "
-	b.Lines <- sidetest.Line(5, true) // stale
-	b.Lines <- sidetest.Line(9, false)
+	b.Lines <- sidecartest.Line(5, true) // stale
+	b.Lines <- sidecartest.Line(9, false)
 	hear(9)
 	b.Lines <- ""
 	expect("1 9")
-	b.Lines <- sidetest.Line(10, false)
+	b.Lines <- sidecartest.Line(10, false)
 	hear(10)
 	b.Lines <- `{"generation":11,"instances":[{]}`
 	expect("1 10")
-	b.Lines <- sidetest.Line(11, false)
+	b.Lines <- sidecartest.Line(11, false)
 	hear(11)
 }
 
 // A machine that is cut off leaves the watch open and silent.
 func TestMuteWatch(t *testing.T) {
-	b := sidetest.NewBoard(t)
+	b := sidecartest.NewBoard(t)
 	watching(t, b, 50*time.Millisecond)
-	sidetest.Within(t, b.Asked, "first watch")
-	if got := sidetest.Within(t, b.Asked, "watch after a mute one"); got != "1 7" {
+	sidecartest.Within(t, b.Asked, "first watch")
+	if got := sidecartest.Within(t, b.Asked, "watch after a mute one"); got != "1 7" {
 		t.Errorf("asked with %q, want %q", got, "1 7")
 	}
 }
 
 // A list may stand on several lines, and one that ends in the middle changes nothing: the next watch tells it again.
 func TestListsOnSeveralLines(t *testing.T) {
-	b := sidetest.NewBoard(t)
-	told := watching(t, b, sidetest.Soon)
-	sidetest.Within(t, b.Asked, "watch")
+	b := sidecartest.NewBoard(t)
+	told := watching(t, b, sidecartest.Soon)
+	sidecartest.Within(t, b.Asked, "watch")
 	b.Lines <- "{\n  \"generation\": 8,\n  \"reset\": true,\n\n  \"instances\": [\n  ]\n}"
-	b.Lines <- "  " + sidetest.Line(9, false) + sidetest.Line(10, false)
+	b.Lines <- "  " + sidecartest.Line(9, false) + sidecartest.Line(10, false)
 	for _, want := range []int64{8, 9, 10} {
-		if got := sidetest.Within(t, told, "list").Generation; got != want {
+		if got := sidecartest.Within(t, told, "list").Generation; got != want {
 			t.Errorf("told of %d, want %d", got, want)
 		}
 	}
 	b.Lines <- `{"generation":11,"reset":true,"instances":[`
 	b.Lines <- ""
-	if got := sidetest.Within(t, b.Asked, "watch after half a list"); got != "1 10" || len(told) != 0 {
+	if got := sidecartest.Within(t, b.Asked, "watch after half a list"); got != "1 10" || len(told) != 0 {
 		t.Errorf("asked with %q, and told of %d lists", got, len(told))
 	}
 }
@@ -93,29 +93,29 @@
 // A watch that spoke and falls silent is opened anew by itself, also where the balancer asks for each; one that never spoke
 // is the balancer's to ask for again.
 func TestSilentWatchIsOpenedAnew(t *testing.T) {
-	b := sidetest.NewBoard(t)
+	b := sidecartest.NewBoard(t)
 	told := make(chan discovery.List, 16)
-	w := discovery.NewWatcher(b.Addr, 7, 16, func(_ context.Context, l discovery.List) { told <- l }, sidetest.Quiet)
+	w := discovery.NewWatcher(b.Addr, 7, 16, func(_ context.Context, l discovery.List) { told <- l }, sidecartest.Quiet)
 	w.SilentAfter = 50 * time.Millisecond
 	ended := make(chan struct{})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go func() { w.Once(ctx); close(ended) }()
-	sidetest.Within(t, b.Asked, "watch")
-	b.Lines <- sidetest.Line(8, true)
-	sidetest.Within(t, told, "list")
-	if got := sidetest.Within(t, b.Asked, "watch after a silent one"); got != "1 8" {
+	sidecartest.Within(t, b.Asked, "watch")
+	b.Lines <- sidecartest.Line(8, true)
+	sidecartest.Within(t, told, "list")
+	if got := sidecartest.Within(t, b.Asked, "watch after a silent one"); got != "1 8" {
 		t.Errorf("asked with %q", got)
 	}
-	sidetest.Within(t, ended, "end of a watch that never spoke")
+	sidecartest.Within(t, ended, "end of a watch that never spoke")
 }
 
 // A discovery that is down is tried at the pace that it is given: what it tells on its return may bind at once.
 func TestPauseIsBounded(t *testing.T) {
 	var tries atomic.Int32
-	addr := sidetest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) { tries.Add(1) }) // each call is closed upon
+	addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) { tries.Add(1) }) // each call is closed upon
 	synctest.Test(t, func(t *testing.T) {
-		w := discovery.NewWatcher(addr, 7, 16, nil, sidetest.Quiet)
+		w := discovery.NewWatcher(addr, 7, 16, nil, sidecartest.Quiet)
 		w.Pause = 100 * time.Millisecond
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
@@ -131,7 +131,7 @@
 func TestPauseIsNeverLong(t *testing.T) {
 	for _, hang := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			w := discovery.NewWatcher("127.0.0.1:1", 7, 16, nil, sidetest.Quiet)
+			w := discovery.NewWatcher("127.0.0.1:1", 7, 16, nil, sidecartest.Quiet)
 			w.Pause = time.Hour
 			var tries []time.Time
 			w.Dial = func(context.Context, string, string) (net.Conn, error) {
--- a/internal/dnsfront/protocol.go
+++ b/internal/dataplane/dnsfront/protocol.go
@@ -3,9 +3,9 @@
 import (
 	"log/slog"
 
-	"birchmoor/internal/config"
-	"birchmoor/internal/core"
-	"birchmoor/internal/metrics"
+	"birchmoor/internal/dataplane/core"
+	"birchmoor/internal/platform/config"
+	"birchmoor/internal/platform/metrics"
 )
 
 // Front is DNS as a sidecar runs it beside HTTP.
--- a/internal/dnsfront/server.go
+++ b/internal/dataplane/dnsfront/server.go
@@ -14,12 +14,12 @@
 	"time"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/config"
-	"birchmoor/internal/core"
-	"birchmoor/internal/dnsfront/limit"
-	"birchmoor/internal/dnsfront/route"
-	"birchmoor/internal/handover"
-	"birchmoor/internal/metrics"
+	"birchmoor/internal/dataplane/core"
+	"birchmoor/internal/dataplane/dnsfront/limit"
+	"birchmoor/internal/dataplane/dnsfront/route"
+	"birchmoor/internal/dataplane/handover"
+	"birchmoor/internal/platform/config"
+	"birchmoor/internal/platform/metrics"
 	"github.com/miekg/dns"
 )
 
--- a/internal/dnsfront/settings.go
+++ b/internal/dataplane/dnsfront/settings.go
@@ -13,10 +13,10 @@
 	"time"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/config"
-	"birchmoor/internal/dnsfront/limit"
-	"birchmoor/internal/dnsfront/route"
-	"birchmoor/internal/metrics"
+	"birchmoor/internal/dataplane/dnsfront/limit"
+	"birchmoor/internal/dataplane/dnsfront/route"
+	"birchmoor/internal/platform/config"
+	"birchmoor/internal/platform/metrics"
 	"github.com/miekg/dns"
 )
 
--- a/internal/dnsfront/sockets.go
+++ b/internal/dataplane/dnsfront/sockets.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/core"
+	"birchmoor/internal/dataplane/core"
 )
 
 const (
--- a/internal/dnsfront/streams.go
+++ b/internal/dataplane/dnsfront/streams.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/core"
+	"birchmoor/internal/dataplane/core"
 )
 
 const (
--- a/internal/dnsfront/upstream.go
+++ b/internal/dataplane/dnsfront/upstream.go
@@ -13,10 +13,10 @@
 	"time"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/config"
-	"birchmoor/internal/core"
-	"birchmoor/internal/dnsfront/resend"
-	"birchmoor/internal/metrics"
+	"birchmoor/internal/dataplane/core"
+	"birchmoor/internal/dataplane/dnsfront/resend"
+	"birchmoor/internal/platform/config"
+	"birchmoor/internal/platform/metrics"
 	"github.com/miekg/dns"
 )
 
--- a/internal/dnsfront/upstream_test.go
+++ b/internal/dataplane/dnsfront/upstream_test.go
@@ -14,16 +14,16 @@
 	"github.com/miekg/dns"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/core"
-	"birchmoor/internal/metrics"
-	"birchmoor/internal/sidetest"
+	"birchmoor/internal/dataplane/core"
+	"birchmoor/internal/platform/metrics"
+	"birchmoor/internal/testutil/sidecartest"
 )
 
 func testUpstream(t *testing.T, sockets int) *Upstream {
 	s := testSettings()
 	s.Sockets = sockets
 	r := metrics.New()
-	u := newUpstream(sidetest.Configure(t, "127.0.0.1:1", nil), &s, core.NewClock(), newCounts(r), &r.Sends, sidetest.Quiet)
+	u := newUpstream(sidecartest.Configure(t, "127.0.0.1:1", nil), &s, core.NewClock(), newCounts(r), &r.Sends, sidecartest.Quiet)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { u.Keep(ctx); close(done) }()
@@ -83,7 +83,7 @@
 	if r = try(t, u.Target(pc.LocalAddr().String()), look(), false, yes); r.Status != balancer.ConnectFailed {
 		t.Errorf("with a dead TCP port: status %v, want one that blames the server", r.Status)
 	}
-	if r = try(t, u.Target(sidetest.Nowhere(t)), look(), false, yes); r.Status != balancer.ConnectFailed {
+	if r = try(t, u.Target(sidecartest.Nowhere(t)), look(), false, yes); r.Status != balancer.ConnectFailed {
 		t.Errorf("where nobody listens: status %v", r.Status)
 	}
 }
@@ -126,7 +126,7 @@
 	count := func() uint64 {
 		return u.counts.Unasked.Value() + u.counts.Mismatched.Value() + u.counts.Doubled.Value()
 	}
-	for end := time.Now().Add(sidetest.Soon); count() < 7; {
+	for end := time.Now().Add(sidecartest.Soon); count() < 7; {
 		if time.Now().After(end) {
 			t.Fatalf("%d of 7 were counted", count())
 		}
--- a/internal/handover/handover.go
+++ b/internal/dataplane/handover/handover.go
@@ -22,7 +22,7 @@
 	"sync"
 	"time"
 
-	"birchmoor/internal/maintenance"
+	"birchmoor/internal/dataplane/maintenance"
 )
 
 // State is what an old process tells the new one.
--- a/internal/handover/handover_test.go
+++ b/internal/dataplane/handover/handover_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"birchmoor/internal/maintenance"
+	"birchmoor/internal/dataplane/maintenance"
 )
 
 var quiet = slog.New(slog.DiscardHandler)
--- a/internal/httpfront/clients.go
+++ b/internal/dataplane/httpfront/clients.go
@@ -17,7 +17,7 @@
 	"syscall"
 	"time"
 
-	"birchmoor/internal/metrics"
+	"birchmoor/internal/platform/metrics"
 )
 
 // connState is where a client's connection is in its life. Only clients changes it, under its mutex: what has been read
--- a/internal/httpfront/clients_test.go
+++ b/internal/dataplane/httpfront/clients_test.go
@@ -8,8 +8,8 @@
 	"testing/synctest"
 	"time"
 
-	"birchmoor/internal/metrics"
-	"birchmoor/internal/sidetest"
+	"birchmoor/internal/platform/metrics"
+	"birchmoor/internal/testutil/sidecartest"
 )
 
 // When there is no room, the connection goes that will be missed least, whichever came first.
@@ -26,7 +26,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				k := newClients(100, nil, new(metrics.Counter), sidetest.Quiet)
+				k := newClients(100, nil, new(metrics.Counter), sidecartest.Quiet)
 				hold := make(chan struct{})
 				var all []*client
 				k.talk = func(c *client) { all = append(all, c); <-hold }
--- a/internal/httpfront/crossings_test.go
+++ b/internal/dataplane/httpfront/crossings_test.go
@@ -16,10 +16,10 @@
 	"time"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/core"
-	"birchmoor/internal/discovery"
-	"birchmoor/internal/metrics"
-	"birchmoor/internal/sidetest"
+	"birchmoor/internal/dataplane/core"
+	"birchmoor/internal/dataplane/discovery"
+	"birchmoor/internal/platform/metrics"
+	"birchmoor/internal/testutil/sidecartest"
 )
 
 // The tests here force two events into an order, one test or one row for each order (docs/design/crossings.md).
@@ -52,11 +52,11 @@
 
 func servingOn(t testing.TB, ln net.Listener, known []discovery.Instance, edits ...string) *front {
 	t.Helper()
-	c := sidetest.Configure(t, sidetest.Nowhere(t), known, edits...)
+	c := sidecartest.Configure(t, sidecartest.Nowhere(t), known, edits...)
 	figures := metrics.New(c.Classes...)
 	f := &front{dials: make(chan string, 64)}
 	clk := core.NewClock()
-	f.up = NewUpstream(c, clk, &figures.Sends, sidetest.Quiet)
+	f.up = NewUpstream(c, clk, &figures.Sends, sidecartest.Quiet)
 	f.up.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		f.mu.Lock()
 		wait := f.release
@@ -68,11 +68,11 @@
 		return new(net.Dialer).DialContext(context.WithoutCancel(ctx), network, addr)
 	}
 	var err error
-	if f.loop, err = core.New(c, clk, f.up, func(bool) {}, figures, nil, sidetest.Quiet); err != nil {
+	if f.loop, err = core.New(c, clk, f.up, func(bool) {}, figures, nil, sidecartest.Quiet); err != nil {
 		t.Fatal(err)
 	}
 	f.addr = ln.Addr().String()
-	f.Server = NewServer(c, f.loop, on{ln}, figures, sidetest.Quiet)
+	f.Server = NewServer(c, f.loop, on{ln}, figures, sidecartest.Quiet)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { f.loop.Run(ctx); close(done) }()
@@ -111,7 +111,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetReadDeadline(time.Now().Add(sidetest.Soon))
+	c.SetReadDeadline(time.Now().Add(sidecartest.Soon))
 	return c.(*net.TCPConn)
 }
 
@@ -154,7 +154,7 @@
 // until waits for what must come to be.
 func until(t testing.TB, what string, is func() bool) {
 	t.Helper()
-	for end := time.Now().Add(sidetest.Soon); !is(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(sidecartest.Soon); !is(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%s: does not come to be", what)
 		}
@@ -170,15 +170,15 @@
 
 func newEndpoint(t *testing.T) *endpoint {
 	e := &endpoint{taken: make(chan string, 64), may: make(chan struct{}, 64)}
-	e.addr = sidetest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
+	e.addr = sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
 		for {
-			req, err := sidetest.Take(r)
+			req, err := sidecartest.Take(r)
 			if err != nil {
 				return
 			}
 			e.taken <- req.URL.Path
 			<-e.may
-			io.WriteString(c, sidetest.OKAnswer)
+			io.WriteString(c, sidecartest.OKAnswer)
 		}
 	})
 	return e
@@ -203,7 +203,7 @@
 			at := &gate{reached: make(chan struct{}), open: make(chan struct{})}
 			f.Limit(at)
 			write(t, c, text(t, r))
-			sidetest.Within(t, at.reached, "admission")
+			sidecartest.Within(t, at.reached, "admission")
 			f.stop()
 			e.may <- struct{}{}
 			close(at.open)
@@ -211,22 +211,22 @@
 		{"it waits for its first attempt", func(t *testing.T, f *front, e *endpoint, c net.Conn, r *http.Request) {
 			f.hold(true)
 			write(t, c, text(t, r))
-			sidetest.Within(t, f.dials, "dial")
+			sidecartest.Within(t, f.dials, "dial")
 			f.stop()
 			e.may <- struct{}{}
 			f.hold(false)
 		}},
 		{"on its attempt", func(t *testing.T, f *front, e *endpoint, c net.Conn, r *http.Request) {
 			write(t, c, text(t, r))
-			sidetest.Within(t, e.taken, "attempt")
+			sidecartest.Within(t, e.taken, "attempt")
 			f.stop()
 			e.may <- struct{}{}
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			e := newEndpoint(t)
-			f := serving(t, []discovery.Instance{sidetest.Up("s-1", e.addr)}, `"dial-timeout":1000000`, `"dial-timeout":100000000`)
-			c, r := f.connect(t), sidetest.Look(900_000)
+			f := serving(t, []discovery.Instance{sidecartest.Up("s-1", e.addr)}, `"dial-timeout":1000000`, `"dial-timeout":100000000`)
+			c, r := f.connect(t), sidecartest.Look(900_000)
 			tc.when(t, f, e, c, r)
 			resp, body := answer(t, c, r)
 			if resp.StatusCode != 200 || body != "ok" || !resp.Close {
@@ -285,14 +285,14 @@
 	}
 	r := &resting{there: there.(*net.TCPConn), step: make(chan func()), ending: make(chan struct{})}
 	t.Cleanup(func() { there.Close() })
-	there.SetReadDeadline(time.Now().Add(sidetest.Soon))
+	there.SetReadDeadline(time.Now().Add(sidecartest.Soon))
 	got := make(chan *client)
 	r.k = newClients(4, func(c *client) {
 		got <- c
 		for do := range r.step {
 			do()
 		}
-	}, new(metrics.Counter), sidetest.Quiet)
+	}, new(metrics.Counter), sidecartest.Quiet)
 	r.k.add(here)
 	r.c = <-got
 	r.do(func() { r.k.take(r.c); r.k.rest(r.c) })
@@ -389,10 +389,10 @@
 				r.c.raw = raw
 				got <- n
 			})
-			sidetest.Within(t, looks, "a read that begins")
+			sidecartest.Within(t, looks, "a read that begins")
 			closeAll(r.k)
 			looks <- struct{}{}
-			if n := sidetest.Within(t, got, "the read"); n != len(get) {
+			if n := sidecartest.Within(t, got, "the read"); n != len(get) {
 				t.Errorf("read %d bytes", n)
 			}
 			// The owner was woken for nothing: it reads on.
@@ -423,7 +423,7 @@
 		got := make(chan error)
 		go r.do(func() { _, err := r.c.Read(buf); got <- err })
 		r.k.closeIdle()
-		if err := sidetest.Within(t, got, "end of the wait"); !errors.Is(err, net.ErrClosed) {
+		if err := sidecartest.Within(t, got, "end of the wait"); !errors.Is(err, net.ErrClosed) {
 			t.Errorf("the owner is told %v", err)
 		}
 		close(r.step)
@@ -471,23 +471,23 @@
 		leave func(c *net.TCPConn)
 		told  int // what one that still listens is told
 	}{
-		{"close", func() *http.Request { return sidetest.Look(900_000) }, 0, func(c *net.TCPConn) { c.Close() }, 0},
-		{"half-close", func() *http.Request { return sidetest.Look(900_000) }, 0, func(c *net.TCPConn) { c.CloseWrite() }, 503},
-		{"reset", func() *http.Request { return sidetest.Look(900_000) }, 0, func(c *net.TCPConn) { c.SetLinger(0); c.Close() }, 0},
-		{"more behind the request, and close", func() *http.Request { return sidetest.Look(900_000) }, 0,
+		{"close", func() *http.Request { return sidecartest.Look(900_000) }, 0, func(c *net.TCPConn) { c.Close() }, 0},
+		{"half-close", func() *http.Request { return sidecartest.Look(900_000) }, 0, func(c *net.TCPConn) { c.CloseWrite() }, 503},
+		{"reset", func() *http.Request { return sidecartest.Look(900_000) }, 0, func(c *net.TCPConn) { c.SetLinger(0); c.Close() }, 0},
+		{"more behind the request, and close", func() *http.Request { return sidecartest.Look(900_000) }, 0,
 			func(c *net.TCPConn) { io.WriteString(c, strings.Repeat("GET /look HTTP/1.1\r\n", 400)); c.Close() }, 0},
-		{"more behind the request, and half-close", func() *http.Request { return sidetest.Look(900_000) }, 0,
+		{"more behind the request, and half-close", func() *http.Request { return sidecartest.Look(900_000) }, 0,
 			func(c *net.TCPConn) { io.WriteString(c, "GET /look HTTP/1.1\r\n"); c.CloseWrite() }, 400},
-		{"half of a long body, and close", func() *http.Request { return sidetest.Request("POST", "/pay", "pay", 900_000, long) },
+		{"half of a long body, and close", func() *http.Request { return sidecartest.Request("POST", "/pay", "pay", 900_000, long) },
 			2 * BodyMost, func(c *net.TCPConn) { c.Close() }, 0},
-		{"half of a long body, and half-close", func() *http.Request { return sidetest.Request("POST", "/pay", "pay", 900_000, long) },
+		{"half of a long body, and half-close", func() *http.Request { return sidecartest.Request("POST", "/pay", "pay", 900_000, long) },
 			2 * BodyMost, func(c *net.TCPConn) { c.CloseWrite() }, 503},
-		{"half of a long body, and reset", func() *http.Request { return sidetest.Request("POST", "/pay", "pay", 900_000, long) },
+		{"half of a long body, and reset", func() *http.Request { return sidecartest.Request("POST", "/pay", "pay", 900_000, long) },
 			2 * BodyMost, func(c *net.TCPConn) { c.SetLinger(0); c.Close() }, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			e := newEndpoint(t)
-			f := serving(t, []discovery.Instance{sidetest.Up("s-1", e.addr)}, `"dial-timeout":1000000`, `"dial-timeout":100000000`,
+			f := serving(t, []discovery.Instance{sidecartest.Up("s-1", e.addr)}, `"dial-timeout":1000000`, `"dial-timeout":100000000`,
 				`"give-up":1000000`, `"give-up":900000000`)
 			f.hold(true)
 			c, r := f.connect(t), tc.r()
@@ -496,7 +496,7 @@
 				whole = whole[:tc.part]
 			}
 			write(t, c, whole)
-			sidetest.Within(t, f.dials, "dial")
+			sidecartest.Within(t, f.dials, "dial")
 			tc.leave(c)
 			if tc.told != 0 {
 				if resp, _ := answer(t, c, r); resp.StatusCode != tc.told {
@@ -510,9 +510,9 @@
 			next := f.connect(t)
 			e.may <- struct{}{}
 			e.may <- struct{}{}
-			r = sidetest.Request("GET", "/look/next", "look", 900_000, "")
+			r = sidecartest.Request("GET", "/look/next", "look", 900_000, "")
 			write(t, next, text(t, r))
-			if got := sidetest.Within(t, e.taken, "attempt"); got != "/look/next" {
+			if got := sidecartest.Within(t, e.taken, "attempt"); got != "/look/next" {
 				t.Errorf("the endpoint got %s", got)
 			}
 			answer(t, next, r)
@@ -523,11 +523,11 @@
 // A connection that comes up when its request may not be sent any more is kept for others, and not lost.
 func TestLateConnectionIsKept(t *testing.T) {
 	e := newEndpoint(t)
-	f := serving(t, []discovery.Instance{sidetest.Up("s-1", e.addr)}, `"dial-timeout":1000000`, `"dial-timeout":100000000`)
+	f := serving(t, []discovery.Instance{sidecartest.Up("s-1", e.addr)}, `"dial-timeout":1000000`, `"dial-timeout":100000000`)
 	f.hold(true)
-	c, r := f.connect(t), sidetest.Look(150)
+	c, r := f.connect(t), sidecartest.Look(150)
 	write(t, c, text(t, r))
-	sidetest.Within(t, f.dials, "dial")
+	sidecartest.Within(t, f.dials, "dial")
 	if resp, _ := answer(t, c, r); resp.StatusCode == 200 {
 		t.Errorf("answered %s with no connection", resp.Status)
 	}
@@ -546,17 +546,17 @@
 func TestSecondAnswerOnPooledConnection(t *testing.T) {
 	second := make(chan struct{})
 	var conns, taken atomic.Int32
-	to := at(sidetest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
+	to := at(sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
 		n := conns.Add(1)
 		for {
-			if _, err := sidetest.Take(r); err != nil {
+			if _, err := sidecartest.Take(r); err != nil {
 				return
 			}
 			taken.Add(1)
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d", n)
 			if n == 1 {
 				<-second
-				io.WriteString(c, sidetest.OKAnswer)
+				io.WriteString(c, sidecartest.OKAnswer)
 			}
 		}
 	}))
@@ -579,7 +579,7 @@
 
 // What has rested for a moment goes first. Where no endpoint ever spoke unasked, none is waited for.
 func TestRestedConnectionFirst(t *testing.T) {
-	to := at(sidetest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) { r.ReadByte() }))
+	to := at(sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) { r.ReadByte() }))
 	u := newTestUpstream(t)
 	u.pause = func(context.Context, time.Duration) { t.Error("waited for a connection to rest") }
 	var both []*conn
@@ -605,13 +605,13 @@
 func TestHalfLineOnRestingConnection(t *testing.T) {
 	var conns atomic.Int32
 	speak := make(chan struct{})
-	to := at(sidetest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
+	to := at(sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
 		first := conns.Add(1) == 1
 		for {
-			if _, err := sidetest.Take(r); err != nil {
+			if _, err := sidecartest.Take(r); err != nil {
 				return
 			}
-			io.WriteString(c, sidetest.OKAnswer)
+			io.WriteString(c, sidecartest.OKAnswer)
 			if first {
 				<-speak
 				io.WriteString(c, "HTTP/1.1 20")
@@ -634,8 +634,8 @@
 func TestStopWhileAnswerFlows(t *testing.T) {
 	const length = 3 * BodyMost
 	rest := make(chan struct{})
-	addr := sidetest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
-		if _, err := sidetest.Take(r); err != nil {
+	addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
+		if _, err := sidecartest.Take(r); err != nil {
 			return
 		}
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", length, strings.Repeat("x", BodyMost))
@@ -643,8 +643,8 @@
 		io.WriteString(c, strings.Repeat("y", length-BodyMost))
 		io.Copy(io.Discard, r)
 	})
-	f := serving(t, []discovery.Instance{sidetest.Up("s-1", addr)}, `"give-up":1000000`, `"give-up":900000000`)
-	c, r := f.connect(t), sidetest.Look(900_000)
+	f := serving(t, []discovery.Instance{sidecartest.Up("s-1", addr)}, `"give-up":1000000`, `"give-up":900000000`)
+	c, r := f.connect(t), sidecartest.Look(900_000)
 	write(t, c, text(t, r))
 	br := bufio.NewReader(c)
 	resp, err := http.ReadResponse(br, r)
@@ -673,8 +673,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			begun := make(chan struct{})
-			addr := sidetest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
-				if _, err := sidetest.Take(r); err != nil {
+			addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
+				if _, err := sidecartest.Take(r); err != nil {
 					return
 				}
 				io.WriteString(c, head+strings.Repeat("x", length/2))
@@ -696,8 +696,8 @@
 				io.WriteString(c, strings.Repeat("y", length/2))
 				io.Copy(io.Discard, r)
 			})
-			f := serving(t, []discovery.Instance{sidetest.Up("s-1", addr)})
-			c, r := f.connect(t), sidetest.Request("POST", "/pay", "pay", 900, "x")
+			f := serving(t, []discovery.Instance{sidecartest.Up("s-1", addr)})
+			c, r := f.connect(t), sidecartest.Request("POST", "/pay", "pay", 900, "x")
 			write(t, c, text(t, r))
 			resp, err := http.ReadResponse(bufio.NewReader(c), r)
 			close(begun)
--- a/internal/httpfront/flow.go
+++ b/internal/dataplane/httpfront/flow.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/core"
+	"birchmoor/internal/dataplane/core"
 )
 
 // What is longer than BodyMost flows: it is passed on as it comes and never held whole.
--- a/internal/httpfront/outlook.go
+++ b/internal/dataplane/httpfront/outlook.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"birchmoor/internal/metrics"
+	"birchmoor/internal/platform/metrics"
 )
 
 // What an operator is to see before anybody who keeps a promise's score does.
--- a/internal/httpfront/outlook_test.go
+++ b/internal/dataplane/httpfront/outlook_test.go
@@ -10,8 +10,8 @@
 	"testing/synctest"
 	"time"
 
-	"birchmoor/internal/core"
-	"birchmoor/internal/metrics"
+	"birchmoor/internal/dataplane/core"
+	"birchmoor/internal/platform/metrics"
 )
 
 // A request that has no answer half a second past its time is counted, once, while it has none or when its end comes, and told of in
--- a/internal/httpfront/server.go
+++ b/internal/dataplane/httpfront/server.go
@@ -24,11 +24,11 @@
 	"time"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/budget"
-	"birchmoor/internal/config"
-	"birchmoor/internal/core"
-	"birchmoor/internal/handover"
-	"birchmoor/internal/metrics"
+	"birchmoor/internal/dataplane/bytebudget"
+	"birchmoor/internal/dataplane/core"
+	"birchmoor/internal/dataplane/handover"
+	"birchmoor/internal/platform/config"
+	"birchmoor/internal/platform/metrics"
 )
 
 // answerMargin is kept from the client's time, so that the final answer reaches it before that is up; of a time that is short, but
@@ -62,7 +62,7 @@
 	loop    *core.Loop
 	clients *clients
 	figures *metrics.Registry
-	bodies  *budget.Budget // bytes of bodies that are held
+	bodies  *bytebudget.Budget // bytes of bodies that are held
 	closing atomic.Bool
 	socket  handover.Socket
 	limits  core.Limiter // or nil
@@ -76,7 +76,7 @@
 
 // NewServer returns a server that brings its requests to l.
 func NewServer(c *config.Config, l *core.Loop, socket handover.Socket, figures *metrics.Registry, log *slog.Logger) *Server {
-	s := &Server{loop: l, socket: socket, figures: figures, bodies: budget.New(c.HeldBytes(1)), log: log}
+	s := &Server{loop: l, socket: socket, figures: figures, bodies: bytebudget.New(c.HeldBytes(1)), log: log}
 	s.clients = newClients(c.ClientConns(1), s.talk, &figures.Unanswered, log)
 	return s
 }
--- a/internal/httpfront/upstream.go
+++ b/internal/dataplane/httpfront/upstream.go
@@ -22,10 +22,10 @@
 	"time"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/budget"
-	"birchmoor/internal/config"
-	"birchmoor/internal/core"
-	"birchmoor/internal/metrics"
+	"birchmoor/internal/dataplane/bytebudget"
+	"birchmoor/internal/dataplane/core"
+	"birchmoor/internal/platform/config"
+	"birchmoor/internal/platform/metrics"
 )
 
 const (
@@ -57,7 +57,7 @@
 	pause     func(ctx context.Context, d time.Duration)
 	sends     *metrics.Counter // attempts written whole
 	reports   atomic.Pointer[reports]
-	answers   *budget.Budget // bytes of answers that are held
+	answers   *bytebudget.Budget // bytes of answers that are held
 	unsent    core.Unsent
 
 	mu      sync.Mutex
@@ -111,7 +111,7 @@
 
 // NewUpstream returns an upstream side without connections. Sends counts the attempts that were written whole.
 func NewUpstream(c *config.Config, clk core.Clock, sends *metrics.Counter, log *slog.Logger) *Upstream {
-	u := &Upstream{clock: clk, log: log, sends: sends, answers: budget.New(c.HeldBytes(1)),
+	u := &Upstream{clock: clk, log: log, sends: sends, answers: bytebudget.New(c.HeldBytes(1)),
 		// Well before the endpoint's own limit: a request that crosses its close is lost.
 		idleMost: c.KeepAlive * 2 / 3, connsMost: c.UpstreamConns(1), idle: map[*place]struct{}{}}
 	u.Adopt(c)
@@ -304,7 +304,7 @@
 	header http.Header
 	body   []byte
 	flow   *download // in place of body
-	budget *budget.Budget
+	budget *bytebudget.Budget
 	held   int  // bytes of the budget
 	last   bool // the endpoint closes the connection after it
 }
@@ -329,7 +329,7 @@
 // read reads a whole answer, or the beginning of one that flows. One that ends early or whose end is told in
 // two ways is an error: nothing but what the endpoint made for the request may pass for its answer.
 // http.ReadResponse would hide that it had both a length and chunks.
-func (c *conn) read(ctx context.Context, held *budget.Budget) (*got, error) {
+func (c *conn) read(ctx context.Context, held *bytebudget.Budget) (*got, error) {
 	for range interimMost {
 		c.paced.wait = 0
 		c.SetReadDeadline(time.Time{})
@@ -385,7 +385,7 @@
 
 // body reads what the head announces, if that is no more than BodyMost; of more, and of what comes slowly and
 // whose length is not told, it reads the beginning.
-func (c *conn) body(ctx context.Context, a *got, held *budget.Budget) error {
+func (c *conn) body(ctx context.Context, a *got, held *bytebudget.Budget) error {
 	lengths, encodings := a.header["Content-Length"], a.header["Transfer-Encoding"]
 	var length int64
 	var body io.Reader
--- a/internal/httpfront/upstream_test.go
+++ b/internal/dataplane/httpfront/upstream_test.go
@@ -15,9 +15,9 @@
 	"time"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/core"
-	"birchmoor/internal/metrics"
-	"birchmoor/internal/sidetest"
+	"birchmoor/internal/dataplane/core"
+	"birchmoor/internal/platform/metrics"
+	"birchmoor/internal/testutil/sidecartest"
 )
 
 // A figure that is missing or makes no sense must not read as an idle endpoint.
@@ -41,14 +41,14 @@
 func at(addr string) *place { return &place{addr: addr} }
 
 func newTestUpstream(t *testing.T, edits ...string) *Upstream {
-	return NewUpstream(sidetest.Configure(t, "127.0.0.1:1", nil, edits...), core.NewClock(), new(metrics.Counter), sidetest.Quiet)
+	return NewUpstream(sidecartest.Configure(t, "127.0.0.1:1", nil, edits...), core.NewClock(), new(metrics.Counter), sidecartest.Quiet)
 }
 
 // try makes one attempt with a second of time.
 func (u *Upstream) try(m *message, to *place) core.Reply { return u.tryFor(time.Second, m, to) }
 
 func (u *Upstream) tryFor(d time.Duration, m *message, to *place) core.Reply {
-	ctx, cancel := context.WithTimeout(context.Background(), 2*sidetest.Soon)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*sidecartest.Soon)
 	defer cancel()
 	return u.send(ctx, to, m, u.clock.Now()+d.Microseconds(), func(balancer.Micros) bool { return true }, nil)
 }
@@ -68,13 +68,13 @@
 	for name, m := range map[string]*message{"get": plainGet(), "keyed": keyed("x")} {
 		t.Run(name, func(t *testing.T) {
 			var taken atomic.Int32
-			to := at(sidetest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
+			to := at(sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
 				for i := 0; i < 2; i++ {
-					if _, err := sidetest.Take(r); err != nil {
+					if _, err := sidecartest.Take(r); err != nil {
 						return
 					}
 					if taken.Add(1); i == 0 {
-						io.WriteString(c, sidetest.OKAnswer)
+						io.WriteString(c, sidecartest.OKAnswer)
 					}
 				}
 			}))
@@ -109,8 +109,8 @@
 
 // Whether a request may have run turns on its last byte.
 func TestLastByteDecides(t *testing.T) {
-	addr := sidetest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
-		sidetest.Take(r)
+	addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
+		sidecartest.Take(r)
 		c.SetLinger(0) // breaks with a reset
 	})
 	m := keyed(strings.Repeat("x", 1000))
@@ -138,7 +138,7 @@
 		})
 	}
 	u := newTestUpstream(t)
-	if r := u.try(m, at(sidetest.Nowhere(t))); r.Status != balancer.ConnectFailed {
+	if r := u.try(m, at(sidecartest.Nowhere(t))); r.Status != balancer.ConnectFailed {
 		t.Errorf("refused connection: status %v, want ConnectFailed", r.Status)
 	}
 }
@@ -150,9 +150,9 @@
 		name, answer string
 		want         balancer.Status
 	}{
-		{"whole", sidetest.OKAnswer, balancer.OK},
+		{"whole", sidecartest.OKAnswer, balancer.OK},
 		{"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", balancer.OK},
-		{"after a 100", "HTTP/1.1 100 Continue\r\n\r\n" + sidetest.OKAnswer, balancer.OK},
+		{"after a 100", "HTTP/1.1 100 Continue\r\n\r\n" + sidecartest.OKAnswer, balancer.OK},
 		{"error", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", balancer.Error},
 		{"turned away", "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Full},
 		{"late", "HTTP/1.1 504 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Full},
@@ -174,13 +174,13 @@
 		{"no status", "HTTP/1.1 OK\r\nContent-Length: 2\r\n\r\nok", balancer.Reset},
 		{"no HTTP", "\x00\x01noise\r\n\r\n", balancer.Reset},
 		{"only 1xx", strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", 2*interimMost), balancer.Reset},
-		{"unreadable report", strings.Replace(sidetest.OKAnswer, "\r\n", "\r\nEndpoint-Load-Metrics: \xff{{=,,=%\r\n", 1), balancer.OK},
+		{"unreadable report", strings.Replace(sidecartest.OKAnswer, "\r\n", "\r\nEndpoint-Load-Metrics: \xff{{=,,=%\r\n", 1), balancer.OK},
 		{"too large", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nok", LongMost+1), balancer.Reset},
 		{"endless head", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", answerMost), balancer.Reset},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			addr := sidetest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
-				sidetest.Take(r)
+			addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
+				sidecartest.Take(r)
 				io.WriteString(c, tc.answer)
 			})
 			r := newTestUpstream(t).try(keyed("x"), at(addr))
@@ -203,14 +203,14 @@
 		"HTTP/1.1 200 OK\r\nContent-Le",
 		"HTTP/1.1 103 Hints\r\n\r\nHTTP/1.1 200 OK\r\n",
 	} {
-		addr := sidetest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
-			sidetest.Take(r)
+		addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
+			sidecartest.Take(r)
 			io.WriteString(c, answer)
 			r.ReadByte()
 		})
 		// Its own time is far longer: Reset, and not a time-out, says which came first.
 		u := newTestUpstream(t)
-		if r := u.tryFor(sidetest.Soon, keyed("x"), at(addr)); r.Status != balancer.Reset {
+		if r := u.tryFor(sidecartest.Soon, keyed("x"), at(addr)); r.Status != balancer.Reset {
 			t.Errorf("%q: status %v, want Reset before its time is up", answer, r.Status)
 		}
 		if u.conns != 0 {
@@ -221,11 +221,11 @@
 
 // An answer may come long after a 1xx.
 func TestSlowAfterInterim(t *testing.T) {
-	addr := sidetest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
-		sidetest.Take(r)
+	addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
+		sidecartest.Take(r)
 		io.WriteString(c, "HTTP/1.1 102 Wait\r\n\r\n")
 		time.Sleep(2 * answerStall) // the work, not a wait for another
-		io.WriteString(c, sidetest.OKAnswer)
+		io.WriteString(c, sidecartest.OKAnswer)
 	})
 	if r := newTestUpstream(t).try(keyed("x"), at(addr)); r.Status != balancer.OK {
 		t.Errorf("status %v, want OK", r.Status)
@@ -234,9 +234,9 @@
 
 // A good answer with more behind it is good, and what is behind it answers nothing.
 func TestMoreBehindAnswer(t *testing.T) {
-	addr := sidetest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
+	addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
 		for {
-			req, err := sidetest.Take(r)
+			req, err := sidecartest.Take(r)
 			if err != nil {
 				return
 			}
@@ -259,13 +259,13 @@
 // that is gone is kept.
 func TestGoneEndpointsConnections(t *testing.T) {
 	var dials atomic.Int32
-	addr := sidetest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
+	addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
 		dials.Add(1)
 		for {
-			if _, err := sidetest.Take(r); err != nil {
+			if _, err := sidecartest.Take(r); err != nil {
 				return
 			}
-			io.WriteString(c, sidetest.OKAnswer)
+			io.WriteString(c, sidecartest.OKAnswer)
 		}
 	})
 	u, old, next := newTestUpstream(t), at(addr), at(addr)
@@ -299,7 +299,7 @@
 
 // Our own shortage is no fault of the endpoint's.
 func TestShortageIsNoFault(t *testing.T) {
-	to := at(sidetest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) { sidetest.Take(r) }))
+	to := at(sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) { sidecartest.Take(r) }))
 	u := newTestUpstream(t)
 	u.connsMost = 0
 	if r := u.try(plainGet(), to); r.Status != balancer.Moot {
@@ -329,9 +329,9 @@
 // whether it ran would not be known.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	closed := make(chan struct{}, 1)
-	addr := sidetest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
-		sidetest.Take(r)
-		io.WriteString(c, sidetest.OKAnswer)
+	addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
+		sidecartest.Take(r)
+		io.WriteString(c, sidecartest.OKAnswer)
 		c.Close()
 		closed <- struct{}{}
 	})
@@ -340,20 +340,20 @@
 		if r := u.try(plainGet(), to); r.Status != balancer.OK {
 			t.Fatalf("request %d: status %v", i, r.Status)
 		}
-		sidetest.Within(t, closed, "close")
+		sidecartest.Within(t, closed, "close")
 	}
 }
 
 // An idle connection is retired well before the endpoint would close it, and the sweep closes it.
 func TestIdleConnectionIsRetired(t *testing.T) {
 	var dials atomic.Int32
-	addr := sidetest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
+	addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
 		dials.Add(1)
 		for {
-			if _, err := sidetest.Take(r); err != nil {
+			if _, err := sidecartest.Take(r); err != nil {
 				return
 			}
-			io.WriteString(c, sidetest.OKAnswer)
+			io.WriteString(c, sidecartest.OKAnswer)
 		}
 	})
 	u, to := newTestUpstream(t), at(addr)
@@ -383,7 +383,7 @@
 
 // The connection used last is used next, so that those not needed grow old and are closed.
 func TestLatestConnectionFirst(t *testing.T) {
-	addr := sidetest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) { sidetest.Take(r) })
+	addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) { sidecartest.Take(r) })
 	u, to := newTestUpstream(t), at(addr)
 	ctx := context.Background()
 	first, err := u.get(ctx, to)
@@ -403,8 +403,8 @@
 
 // Connections are bounded, so that descriptors do not run out; one that is idle elsewhere makes room.
 func TestConnectionsAreBounded(t *testing.T) {
-	one := at(sidetest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) { sidetest.Take(r) }))
-	two := at(sidetest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) { sidetest.Take(r) }))
+	one := at(sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) { sidecartest.Take(r) }))
+	two := at(sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) { sidecartest.Take(r) }))
 	u := newTestUpstream(t)
 	u.connsMost = 2
 	ctx := context.Background()
@@ -427,7 +427,7 @@
 	}
 	// One that is refused gives its place back.
 	u.connsMost = 3
-	u.get(ctx, at(sidetest.Nowhere(t)))
+	u.get(ctx, at(sidecartest.Nowhere(t)))
 	if u.conns != 2 {
 		t.Errorf("%d connections counted after one refused, want 2", u.conns)
 	}
@@ -435,7 +435,7 @@
 
 // A probe asks for the load where there are reports, for the health elsewhere, and waits only so long.
 func TestProbe(t *testing.T) {
-	addr := sidetest.Web(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := sidecartest.Web(t, func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
 		case "/-/load":
 			io.WriteString(w, "TEXT cpu_share=0.61, busy_reqs=7, served_ps=2")
@@ -453,15 +453,15 @@
 		t.Errorf("probe without reports: status %v, load %v", r.Status, r.Load)
 	}
 	ended := make(chan error, 1)
-	mute := sidetest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
-		sidetest.Take(r)
+	mute := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
+		sidecartest.Take(r)
 		_, err := r.ReadByte()
 		ended <- err
 	})
 	if r := newTestUpstream(t).probe(at(mute)); r.Status == balancer.OK {
 		t.Error("a probe that nobody answered is ok")
 	}
-	if err := sidetest.Within(t, ended, "end of a mute probe"); err == nil {
+	if err := sidecartest.Within(t, ended, "end of a mute probe"); err == nil {
 		t.Error("more was written to a mute probe")
 	}
 }
--- a/internal/replay/replay.go
+++ b/internal/dataplane/replay/replay.go
@@ -14,8 +14,8 @@
 	"github.com/cespare/xxhash/v2"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/capture"
-	"birchmoor/internal/snapshot"
+	"birchmoor/internal/dataplane/capture"
+	"birchmoor/internal/platform/snapshot"
 )
 
 // Options say what to play, and what to look at.
--- a/internal/replay/replay_test.go
+++ b/internal/dataplane/replay/replay_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/capture"
+	"birchmoor/internal/dataplane/capture"
 )
 
 // past are failures that were recorded in the lab, with what shows that the failure is in them.
--- a/internal/replay/timeline.go
+++ b/internal/dataplane/replay/timeline.go
@@ -12,7 +12,7 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/capture"
+	"birchmoor/internal/dataplane/capture"
 )
 
 // SampleEvery is how often a timeline looks, at most.
--- a/internal/sidecar/customers_test.go
+++ b/internal/dataplane/sidecar/customers_test.go
@@ -10,9 +10,9 @@
 	"strconv"
 	"testing"
 
-	"birchmoor/internal/config"
-	"birchmoor/internal/discovery"
-	"birchmoor/internal/sidetest"
+	"birchmoor/internal/dataplane/discovery"
+	"birchmoor/internal/platform/config"
+	"birchmoor/internal/testutil/sidecartest"
 )
 
 // customer is a deployment in which nothing has its usual name, size or place.
@@ -62,9 +62,9 @@
 			breaks := make(chan struct{}, 64) // one for each attempt that is to break
 			hold := make(chan struct{})       // what "hold" waits for
 			defer close(hold)
-			addr := sidetest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
+			addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
 				for {
-					req, err := sidetest.Take(r)
+					req, err := sidecartest.Take(r)
 					if err != nil {
 						return
 					}
@@ -76,17 +76,17 @@
 					case <-breaks:
 						return
 					default:
-						io.WriteString(c, sidetest.OKAnswer)
+						io.WriteString(c, sidecartest.OKAnswer)
 					}
 				}
 			})
 			var known []discovery.Instance
 			for i := range 5 {
-				in := sidetest.Up(fmt.Sprint("i-", i), addr)
+				in := sidecartest.Up(fmt.Sprint("i-", i), addr)
 				in.StartedMs, in.Zone, in.Kind = 1, "nowhere", "nothing"
 				known = append(known, in)
 			}
-			text, err := json.Marshal(map[string]any{"name": "n7", "listen": "127.0.0.1:0", "discovery": sidetest.Nowhere(t), "seed": "1",
+			text, err := json.Marshal(map[string]any{"name": "n7", "listen": "127.0.0.1:0", "discovery": sidecartest.Nowhere(t), "seed": "1",
 				"limits": map[string]int{"memory_mb": 33, "sockets": 99}, "known": discovery.List{Reset: true, Instances: known},
 				"settings": json.RawMessage(cu.settings)})
 			if err != nil {
@@ -102,7 +102,7 @@
 				if class == cu.safe {
 					method = "GET"
 				}
-				r := sidetest.Request(method, path, class, ms, "")
+				r := sidecartest.Request(method, path, class, ms, "")
 				r.Header.Set("X-Customer", "t-8")
 				if class == cu.keyed {
 					r.Header.Set("Idempotency-Key", "k")
@@ -129,7 +129,7 @@
 				}
 			}
 			for _, usual := range []string{"look", "book", "pay", "slot-search", "confirm"} {
-				if resp, _ := s.ask(t, sidetest.Request("GET", "/"+usual, usual, 900, "")); resp.StatusCode != 404 {
+				if resp, _ := s.ask(t, sidecartest.Request("GET", "/"+usual, usual, 900, "")); resp.StatusCode != 404 {
 					t.Errorf("class %q of another customer: %s", usual, resp.Status)
 				}
 			}
--- a/internal/sidecar/discovery_test.go
+++ b/internal/dataplane/sidecar/discovery_test.go
@@ -7,24 +7,24 @@
 	"testing"
 	"time"
 
-	"birchmoor/internal/discovery"
-	"birchmoor/internal/sidetest"
+	"birchmoor/internal/dataplane/discovery"
+	"birchmoor/internal/testutil/sidecartest"
 )
 
 // The list moves requests: to a new address, away from what drains or has gone, and a whole list leaves out
 // what has gone.
 func TestLists(t *testing.T) {
 	endpoint := func(name string) string {
-		return sidetest.Web(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, name) })
+		return sidecartest.Web(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, name) })
 	}
-	one, two, three := sidetest.Up("s-1", endpoint("one")), sidetest.Up("s-2", endpoint("two")), sidetest.Up("s-1", endpoint("three"))
+	one, two, three := sidecartest.Up("s-1", endpoint("one")), sidecartest.Up("s-2", endpoint("two")), sidecartest.Up("s-1", endpoint("three"))
 	state := func(in discovery.Instance, lifecycle string) discovery.Instance {
 		in.Lifecycle = lifecycle
 		return in
 	}
-	b := sidetest.NewBoard(t)
-	s := start(t, sidetest.Configure(t, b.Addr, []discovery.Instance{one}))
-	sidetest.Within(t, b.Asked, "watch")
+	b := sidecartest.NewBoard(t)
+	s := start(t, sidecartest.Configure(t, b.Addr, []discovery.Instance{one}))
+	sidecartest.Within(t, b.Asked, "watch")
 	for i, step := range []struct {
 		reset     bool
 		instances []discovery.Instance
@@ -40,11 +40,11 @@
 		{false, []discovery.Instance{state(discovery.Instance{ID: "s-2"}, "removed")}, ""},
 	} {
 		generation := int64(8 + i)
-		b.Lines <- sidetest.Line(generation, step.reset, step.instances...)
+		b.Lines <- sidecartest.Line(generation, step.reset, step.instances...)
 		// The list has arrived once requests go where they should.
 		var got string
-		for end := time.Now().Add(sidetest.Soon); ; {
-			if _, got = s.ask(t, sidetest.Look(900)); got == step.want || time.Now().After(end) {
+		for end := time.Now().Add(sidecartest.Soon); ; {
+			if _, got = s.ask(t, sidecartest.Look(900)); got == step.want || time.Now().After(end) {
 				break
 			}
 			if step.want == "" && got != "one" && got != "two" && got != "three" {
@@ -57,7 +57,7 @@
 		}
 		for range 10 {
 			// A new endpoint counts as cold, and may be spared.
-			_, got = s.ask(t, sidetest.Look(900))
+			_, got = s.ask(t, sidecartest.Look(900))
 			if step.want != "" && got != step.want && !strings.HasPrefix(got, "refused") {
 				t.Fatalf("step %d: then answered by %q, want %q", i, got, step.want)
 			}
@@ -67,25 +67,25 @@
 
 // The sidecar serves from the list that it was started with while discovery is down.
 func TestReady(t *testing.T) {
-	addr := sidetest.Web(t, func(http.ResponseWriter, *http.Request) {})
-	s := start(t, sidetest.Configure(t, sidetest.Nowhere(t), []discovery.Instance{sidetest.Up("s-1", addr)}))
-	if resp, _ := s.ask(t, sidetest.Look(900)); resp.StatusCode != 200 {
+	addr := sidecartest.Web(t, func(http.ResponseWriter, *http.Request) {})
+	s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
+	if resp, _ := s.ask(t, sidecartest.Look(900)); resp.StatusCode != 200 {
 		t.Errorf("with a known list and no discovery: %s", resp.Status)
 	}
 }
 
 // Where discovery is asked, the balancer asks for each watch and hears of one that fails.
 func TestAskedDiscovery(t *testing.T) {
-	b := sidetest.NewBoard(t)
-	addr := sidetest.Web(t, func(http.ResponseWriter, *http.Request) {})
-	s := start(t, sidetest.Configure(t, b.Addr, []discovery.Instance{sidetest.Up("s-1", sidetest.Nowhere(t))},
+	b := sidecartest.NewBoard(t)
+	addr := sidecartest.Web(t, func(http.ResponseWriter, *http.Request) {})
+	s := start(t, sidecartest.Configure(t, b.Addr, []discovery.Instance{sidecartest.Up("s-1", sidecartest.Nowhere(t))},
 		`"discovery":"automatic"`, `"discovery":"subscribe"`))
-	sidetest.Within(t, b.Asked, "first watch")
+	sidecartest.Within(t, b.Asked, "first watch")
 	b.Lines <- "" // it ends
-	sidetest.Within(t, b.Asked, "watch after one that ended")
-	b.Lines <- sidetest.Line(8, true, sidetest.Up("s-2", addr))
-	for end := time.Now().Add(sidetest.Soon); ; {
-		if resp, _ := s.ask(t, sidetest.Look(900)); resp.StatusCode == 200 {
+	sidecartest.Within(t, b.Asked, "watch after one that ended")
+	b.Lines <- sidecartest.Line(8, true, sidecartest.Up("s-2", addr))
+	for end := time.Now().Add(sidecartest.Soon); ; {
+		if resp, _ := s.ask(t, sidecartest.Look(900)); resp.StatusCode == 200 {
 			return
 		}
 		if time.Now().After(end) {
