--- a/internal/sidecar/flow_test.go
+++ b/internal/dataplane/sidecar/flow_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"birchmoor/internal/discovery"
-	"birchmoor/internal/httpfront"
-	"birchmoor/internal/sidetest"
+	"birchmoor/internal/dataplane/discovery"
+	"birchmoor/internal/dataplane/httpfront"
+	"birchmoor/internal/testutil/sidecartest"
 )
 
 // long is a text that is never held whole.
@@ -27,7 +27,7 @@
 func TestLong(t *testing.T) {
 	got := make(chan string, 1)
 	// It keeps a connection until it has said that it closes it: the next request may be on its way when it does so unsaid.
-	addr := sidetest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
+	addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
 		for as := ""; as != "end"; {
 			req, err := http.ReadRequest(r)
 			if err != nil {
@@ -47,11 +47,11 @@
 			case "end":
 				io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+long)
 			default:
-				io.WriteString(c, sidetest.OKAnswer)
+				io.WriteString(c, sidecartest.OKAnswer)
 			}
 		}
 	})
-	s := start(t, sidetest.Configure(t, sidetest.Nowhere(t), []discovery.Instance{sidetest.Up("s-1", addr)}))
+	s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
 	for _, tc := range []struct {
 		as      string
 		body    string
@@ -61,7 +61,7 @@
 		{"length", "x", false}, {"chunks", "x", false}, {"end", "x", false}, {"chunks", long, true},
 	} {
 		t.Run(fmt.Sprint(tc.as, len(tc.body), tc.chunked), func(t *testing.T) {
-			r := sidetest.Request("POST", "/pay?as="+tc.as, "pay", 900, tc.body)
+			r := sidecartest.Request("POST", "/pay?as="+tc.as, "pay", 900, tc.body)
 			if tc.chunked {
 				r.ContentLength, r.Body = -1, io.NopCloser(unsized{strings.NewReader(tc.body)})
 			}
@@ -72,7 +72,7 @@
 			if resp, text := s.ask(t, r); resp.StatusCode != 200 || text != want {
 				t.Errorf("%s, %d bytes", resp.Status, len(text))
 			}
-			if body := sidetest.Within(t, got, "body"); body != tc.body {
+			if body := sidecartest.Within(t, got, "body"); body != tc.body {
 				t.Errorf("the endpoint got %d bytes, want %d", len(body), len(tc.body))
 			}
 		})
@@ -90,20 +90,20 @@
 		fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n", 2*len(long)),
 	} {
 		var sent atomic.Int32
-		addr := sidetest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
-			if _, err := sidetest.Take(r); err == nil {
+		addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
+			if _, err := sidecartest.Take(r); err == nil {
 				sent.Add(1)
 				io.WriteString(c, head+long)
 			}
 		})
-		s := start(t, sidetest.Configure(t, sidetest.Nowhere(t), []discovery.Instance{sidetest.Up("s-1", addr), sidetest.Up("s-2", addr)}))
+		s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr), sidecartest.Up("s-2", addr)}))
 		c, err := net.Dial("tcp", s.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		sidetest.Look(900).Write(c)
-		c.SetReadDeadline(time.Now().Add(sidetest.Soon))
+		sidecartest.Look(900).Write(c)
+		c.SetReadDeadline(time.Now().Add(sidecartest.Soon))
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
 			t.Fatal(err)
@@ -115,31 +115,31 @@
 			t.Errorf("%d attempts", n)
 		}
 		s.stop()
-		sidetest.Within(t, s.ended, "end")
+		sidecartest.Within(t, s.ended, "end")
 	}
 }
 
 // A body of which a part went by is not sent again, though it never ran.
 func TestCutBody(t *testing.T) {
 	var sent atomic.Int32
-	addr := sidetest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
+	addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err == nil {
 			sent.Add(1)
 			io.CopyN(io.Discard, r, 2*httpfront.BodyMost)
 			c.SetLinger(0)
 		}
 	})
-	s := start(t, sidetest.Configure(t, sidetest.Nowhere(t), []discovery.Instance{sidetest.Up("s-1", addr), sidetest.Up("s-2", addr)}))
+	s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr), sidecartest.Up("s-2", addr)}))
 	c, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	// Far more than what sockets hold, or the whole may have gone out before the end shows.
-	r := sidetest.Request("POST", "/pay", "pay", 900, "x")
+	r := sidecartest.Request("POST", "/pay", "pay", 900, "x")
 	r.ContentLength, r.Body = httpfront.LongMost, io.NopCloser(io.LimitReader(zeros{}, httpfront.LongMost))
 	go r.Write(c)
-	c.SetReadDeadline(time.Now().Add(sidetest.Soon))
+	c.SetReadDeadline(time.Now().Add(sidecartest.Soon))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -161,26 +161,26 @@
 // A client that stops in the middle of a long body is told, and no endpoint gets a whole request.
 func TestHalfLongBody(t *testing.T) {
 	whole := make(chan bool, 1)
-	addr := sidetest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
-		_, err := sidetest.Take(r)
+	addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
+		_, err := sidecartest.Take(r)
 		whole <- err == nil
 	})
-	s := start(t, sidetest.Configure(t, sidetest.Nowhere(t), []discovery.Instance{sidetest.Up("s-1", addr)}))
+	s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
 	c, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	var text strings.Builder
-	sidetest.Request("POST", "/pay", "pay", 900, long).Write(&text)
+	sidecartest.Request("POST", "/pay", "pay", 900, long).Write(&text)
 	io.WriteString(c, text.String()[:text.Len()-httpfront.BodyMost])
 	c.(*net.TCPConn).CloseWrite()
-	c.SetReadDeadline(time.Now().Add(sidetest.Soon))
+	c.SetReadDeadline(time.Now().Add(sidecartest.Soon))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || resp.StatusCode != 400 {
 		t.Errorf("%v, %v", resp, err)
 	}
-	if sidetest.Within(t, whole, "request") {
+	if sidecartest.Within(t, whole, "request") {
 		t.Error("the endpoint took a part for the whole")
 	}
 	s.figureIs(t, "current", 0)
@@ -190,26 +190,26 @@
 func TestFlowOutlastsDeadline(t *testing.T) {
 	const ms = 100
 	release := make(chan struct{})
-	addr := sidetest.Web(t, func(w http.ResponseWriter, _ *http.Request) {
+	addr := sidecartest.Web(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", fmt.Sprint(len(long)))
 		io.WriteString(w, long[:10])
 		http.NewResponseController(w).Flush()
 		<-release
 		io.WriteString(w, long[10:])
 	})
-	s := start(t, sidetest.Configure(t, sidetest.Nowhere(t), []discovery.Instance{sidetest.Up("s-1", addr)}))
+	s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
 	// Which is of use only if its head comes in time: on a busy machine it is asked again.
 	var resp *http.Response
 	begun := time.Now()
-	for end := begun.Add(sidetest.Soon); ; {
+	for end := begun.Add(sidecartest.Soon); ; {
 		c, err := net.Dial("tcp", s.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
 		begun = time.Now()
-		sidetest.Look(ms).Write(c)
-		c.SetReadDeadline(time.Now().Add(sidetest.Soon))
+		sidecartest.Look(ms).Write(c)
+		c.SetReadDeadline(time.Now().Add(sidecartest.Soon))
 		if resp, err = http.ReadResponse(bufio.NewReader(c), nil); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/sidecar/handover_test.go
+++ b/internal/dataplane/sidecar/handover_test.go
@@ -11,11 +11,11 @@
 	"testing"
 	"time"
 
-	"birchmoor/internal/config"
-	"birchmoor/internal/discovery"
-	"birchmoor/internal/handover"
-	"birchmoor/internal/maintenance"
-	"birchmoor/internal/sidetest"
+	"birchmoor/internal/dataplane/discovery"
+	"birchmoor/internal/dataplane/handover"
+	"birchmoor/internal/dataplane/maintenance"
+	"birchmoor/internal/platform/config"
+	"birchmoor/internal/testutil/sidecartest"
 )
 
 // held is a listening socket that the platform holds: whoever closes a listener on it leaves the socket alone.
@@ -42,11 +42,11 @@
 		reload: make(chan os.Signal, 1), config: make(chan *config.Config, 1)}
 	go func() {
 		s.ended <- Run(ctx, c, Host{Socket: socket, Mgmt: desk, Bans: maintenance.File{Path: filepath.Join(dir, "b")},
-			Handover: filepath.Join(dir, "s"), Reload: s.reload, Read: s.read, Log: sidetest.Quiet})
+			Handover: filepath.Join(dir, "s"), Reload: s.reload, Read: s.read, Log: sidecartest.Quiet})
 		close(s.ended)
 	}()
 	t.Cleanup(func() { stop(); <-s.ended })
-	for end := time.Now().Add(sidetest.Soon); s.call(t, "status") != "YES\n"; {
+	for end := time.Now().Add(sidecartest.Soon); s.call(t, "status") != "YES\n"; {
 		if time.Now().After(end) {
 			t.Fatal("it does not say yes: " + s.call(t, "status"))
 		}
@@ -70,13 +70,13 @@
 	taken, release := make(chan struct{}, 1), make(chan struct{})
 	let := sync.OnceFunc(func() { close(release) })
 	t.Cleanup(let)
-	addr := sidetest.Web(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := sidecartest.Web(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/pay" {
 			taken <- struct{}{}
 			<-release
 		}
 	})
-	c := sidetest.Configure(t, sidetest.Nowhere(t), []discovery.Instance{sidetest.Up("s-1", addr), sidetest.Up("s-2", addr), sidetest.Up("s-3", addr)},
+	c := sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr), sidecartest.Up("s-2", addr), sidecartest.Up("s-3", addr)},
 		`"ramp-time":10000000`, `"ramp-time":1`, `"give-up":1000000`, `"give-up":5000000`)
 	socket := held{ln.(*net.TCPListener)}
 	old := process(t, c, socket, dir)
@@ -86,15 +86,15 @@
 		t.Fatal(err)
 	}
 	defer kept.Close()
-	if resp, _ := old.askOn(t, kept, sidetest.Look(900)); resp.Close {
+	if resp, _ := old.askOn(t, kept, sidecartest.Look(900)); resp.Close {
 		t.Error("a connection was not kept")
 	}
 	open := make(chan *http.Response, 1)
 	go func() {
-		resp, _ := old.ask(t, sidetest.Request("POST", "/pay", "pay", 5000, "x"))
+		resp, _ := old.ask(t, sidecartest.Request("POST", "/pay", "pay", 5000, "x"))
 		open <- resp
 	}()
-	sidetest.Within(t, taken, "attempt")
+	sidecartest.Within(t, taken, "attempt")
 
 	fresh := process(t, c, socket, dir)
 	fresh.figureIs(t, "cluster_unhealthy", 1)
@@ -103,19 +103,19 @@
 	fresh.figureIs(t, "cluster_unhealthy", 2)
 	fresh.says(t, "maint-off s-1", "YES")
 	old.figureIs(t, "cluster_unhealthy", 1)
-	if resp, _ := old.askOn(t, kept, sidetest.Look(900)); !resp.Close {
+	if resp, _ := old.askOn(t, kept, sidecartest.Look(900)); !resp.Close {
 		t.Error("the old process keeps a connection")
 	}
 	before := fresh.figure(t, `answered_total{group="look"}`)
-	if resp, _ := fresh.ask(t, sidetest.Look(900)); resp.StatusCode != 200 {
+	if resp, _ := fresh.ask(t, sidecartest.Look(900)); resp.StatusCode != 200 {
 		t.Error("after the handover:", resp.Status)
 	}
 	fresh.figureIs(t, `answered_total{group="look"}`, before+1)
 	let()
-	if resp := sidetest.Within(t, open, "answer"); resp.StatusCode != 200 || !resp.Close {
+	if resp := sidecartest.Within(t, open, "answer"); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("taken before: %s, close %v", resp.Status, resp.Close)
 	}
-	if err := sidetest.Within(t, old.ended, "end of the old process"); err != nil {
+	if err := sidecartest.Within(t, old.ended, "end of the old process"); err != nil {
 		t.Error(err)
 	}
 	fresh.says(t, "status", "YES")
@@ -128,20 +128,20 @@
 
 // A new process that fails to begin leaves the old one serving.
 func TestNewFails(t *testing.T) {
-	addr := sidetest.Web(t, func(http.ResponseWriter, *http.Request) {})
-	c := sidetest.Configure(t, sidetest.Nowhere(t), []discovery.Instance{sidetest.Up("s-1", addr)})
+	addr := sidecartest.Web(t, func(http.ResponseWriter, *http.Request) {})
+	c := sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)})
 	dir, err := os.MkdirTemp("", "h")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer os.RemoveAll(dir)
 	old := startIn(t, c, dir)
-	err = Run(t.Context(), c, Host{Socket: noSocket{}, Bans: maintenance.Nowhere{}, Handover: dir + "/sock", Log: sidetest.Quiet})
+	err = Run(t.Context(), c, Host{Socket: noSocket{}, Bans: maintenance.Nowhere{}, Handover: dir + "/sock", Log: sidecartest.Quiet})
 	if err == nil {
 		t.Error("it began without a socket")
 	}
 	old.says(t, "status", "YES")
-	if resp, _ := old.ask(t, sidetest.Look(900)); resp.StatusCode != 200 || resp.Close {
+	if resp, _ := old.ask(t, sidecartest.Look(900)); resp.StatusCode != 200 || resp.Close {
 		t.Errorf("%s, close %v", resp.Status, resp.Close)
 	}
 }
--- a/internal/sidecar/helper_test.go
+++ b/internal/dataplane/sidecar/helper_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"birchmoor/internal/config"
-	"birchmoor/internal/maintenance"
-	"birchmoor/internal/sidetest"
+	"birchmoor/internal/dataplane/maintenance"
+	"birchmoor/internal/platform/config"
+	"birchmoor/internal/testutil/sidecartest"
 )
 
 // running is a sidecar under test.
@@ -54,14 +54,14 @@
 		reload: make(chan os.Signal, 1), config: make(chan *config.Config, 1)}
 	go func() {
 		s.ended <- Run(ctx, c, Host{Socket: only{ln}, Mgmt: s.mgmt, Bans: maintenance.File{Path: dir + "/bans.json"}, Handover: dir + "/sock",
-			Reload: s.reload, Read: s.read, Log: sidetest.Quiet})
+			Reload: s.reload, Read: s.read, Log: sidecartest.Quiet})
 		close(s.ended)
 	}()
 	t.Cleanup(func() {
 		stop()
 		<-s.ended
 	})
-	for end := time.Now().Add(sidetest.Soon); ; {
+	for end := time.Now().Add(sidecartest.Soon); ; {
 		resp, err := http.Get("http://" + s.addr + "/-/ready")
 		if err == nil {
 			resp.Body.Close()
@@ -103,7 +103,7 @@
 	if err := r.Write(c); err != nil {
 		return nil, err
 	}
-	c.SetReadDeadline(time.Now().Add(sidetest.Soon))
+	c.SetReadDeadline(time.Now().Add(sidecartest.Soon))
 	resp, err := http.ReadResponse(bufio.NewReader(c), r)
 	if err != nil {
 		return nil, err
@@ -117,7 +117,7 @@
 	if err := r.Write(c); err != nil {
 		t.Fatal(err)
 	}
-	c.SetReadDeadline(time.Now().Add(sidetest.Soon))
+	c.SetReadDeadline(time.Now().Add(sidecartest.Soon))
 	resp, err := http.ReadResponse(bufio.NewReader(c), r)
 	if err != nil {
 		t.Fatalf("no answer: %v", err)
--- a/internal/sidecar/host.go
+++ b/internal/dataplane/sidecar/host.go
@@ -7,10 +7,10 @@
 	"os"
 	"path/filepath"
 
-	"birchmoor/internal/config"
-	"birchmoor/internal/handover"
-	"birchmoor/internal/maintenance"
-	"birchmoor/internal/snapshot"
+	"birchmoor/internal/dataplane/handover"
+	"birchmoor/internal/dataplane/maintenance"
+	"birchmoor/internal/platform/config"
+	"birchmoor/internal/platform/snapshot"
 )
 
 // HostOf makes of the environment what a program gives a sidecar: the sockets, and files in TMPDIR if that is set.
--- a/internal/sidecar/kept_test.go
+++ b/internal/dataplane/sidecar/kept_test.go
@@ -10,14 +10,14 @@
 	"strings"
 	"testing"
 
-	"birchmoor/internal/config"
-	"birchmoor/internal/core"
-	"birchmoor/internal/discovery"
-	"birchmoor/internal/httpfront"
-	"birchmoor/internal/maintenance"
-	"birchmoor/internal/metrics"
-	"birchmoor/internal/sidetest"
-	"birchmoor/internal/snapshot"
+	"birchmoor/internal/dataplane/core"
+	"birchmoor/internal/dataplane/discovery"
+	"birchmoor/internal/dataplane/httpfront"
+	"birchmoor/internal/dataplane/maintenance"
+	"birchmoor/internal/platform/config"
+	"birchmoor/internal/platform/metrics"
+	"birchmoor/internal/platform/snapshot"
+	"birchmoor/internal/testutil/sidecartest"
 )
 
 // runKept runs a sidecar with the given bytes kept for it, and returns what it logged once it was ready.
@@ -44,9 +44,9 @@
 	go func() {
 		ended <- Run(ctx, c, Host{Socket: only{ln}, Bans: maintenance.Nowhere{}, Kept: snapshot.File{Path: path}, Log: log})
 	}()
-	sidetest.Within(t, serving, "start")
+	sidecartest.Within(t, serving, "start")
 	stop()
-	if err := sidetest.Within(t, ended, "end"); err != nil {
+	if err := sidecartest.Within(t, ended, "end"); err != nil {
 		t.Error(err)
 	}
 	return said.String()
@@ -58,9 +58,9 @@
 
 // A start reads what was kept; whatever the file holds, it starts.
 func TestStartWithWhatWasKept(t *testing.T) {
-	c := sidetest.Configure(t, sidetest.Nowhere(t), []discovery.Instance{sidetest.Up("s-1", "127.0.0.1:1"), sidetest.Up("s-2", "127.0.0.1:2")})
+	c := sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", "127.0.0.1:1"), sidecartest.Up("s-2", "127.0.0.1:2")})
 	clk, figures := core.NewClock(), metrics.New()
-	old, err := core.New(c, clk, httpfront.NewUpstream(c, clk, &figures.Sends, sidetest.Quiet), func(bool) {}, figures, nil, sidetest.Quiet)
+	old, err := core.New(c, clk, httpfront.NewUpstream(c, clk, &figures.Sends, sidecartest.Quiet), func(bool) {}, figures, nil, sidecartest.Quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/lane.go
+++ b/internal/dataplane/sidecar/lane.go
@@ -5,13 +5,13 @@
 	"errors"
 	"fmt"
 
-	"birchmoor/internal/config"
-	"birchmoor/internal/core"
-	"birchmoor/internal/discovery"
-	"birchmoor/internal/httpfront"
-	"birchmoor/internal/maintenance"
-	"birchmoor/internal/metrics"
-	"birchmoor/internal/snapshot"
+	"birchmoor/internal/dataplane/core"
+	"birchmoor/internal/dataplane/discovery"
+	"birchmoor/internal/dataplane/httpfront"
+	"birchmoor/internal/dataplane/maintenance"
+	"birchmoor/internal/platform/config"
+	"birchmoor/internal/platform/metrics"
+	"birchmoor/internal/platform/snapshot"
 )
 
 // lane is a protocol as this process runs it.
--- a/internal/sidecar/maintenance_test.go
+++ b/internal/dataplane/sidecar/maintenance_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"birchmoor/internal/discovery"
-	"birchmoor/internal/sidetest"
+	"birchmoor/internal/dataplane/discovery"
+	"birchmoor/internal/testutil/sidecartest"
 )
 
 // call makes an operator's call and returns the whole answer.
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(sidetest.Soon))
+	c.SetDeadline(time.Now().Add(sidecartest.Soon))
 	if _, err := io.WriteString(c, line+"\n"); err != nil {
 		t.Fatal(err)
 	}
@@ -67,13 +67,13 @@
 
 // Operators take an endpoint out and call it back, whatever discovery says meanwhile.
 func TestMaintenance(t *testing.T) {
-	b := sidetest.NewBoard(t)
+	b := sidecartest.NewBoard(t)
 	endpoint := func(name string) string {
-		return sidetest.Web(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, name) })
+		return sidecartest.Web(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, name) })
 	}
-	one, two := sidetest.Up("s-1", endpoint("one")), sidetest.Up("s-2", endpoint("two"))
-	s := start(t, sidetest.Configure(t, b.Addr, []discovery.Instance{one, two}, `"ramp-time":10000000`, `"ramp-time":1`))
-	sidetest.Within(t, b.Asked, "call of discovery")
+	one, two := sidecartest.Up("s-1", endpoint("one")), sidecartest.Up("s-2", endpoint("two"))
+	s := start(t, sidecartest.Configure(t, b.Addr, []discovery.Instance{one, two}, `"ramp-time":10000000`, `"ramp-time":1`))
+	sidecartest.Within(t, b.Asked, "call of discovery")
 	s.says(t, "status", "YES")
 	s.says(t, "maint-on s-9", "NO s-9: unknown id")
 	s.says(t, "maint-on s-1", "YES")
@@ -83,18 +83,18 @@
 	stays := func() {
 		t.Helper()
 		for range 20 {
-			if _, got := s.ask(t, sidetest.Look(900)); got != "two" {
+			if _, got := s.ask(t, sidecartest.Look(900)); got != "two" {
 				t.Fatalf("answered by %q", got)
 			}
 		}
 	}
 	stays()
 	// It leaves and returns, restarted.
-	b.Lines <- sidetest.Line(8, true, two)
+	b.Lines <- sidecartest.Line(8, true, two)
 	for s.figure(t, "cluster_size") != 1 {
 	}
 	one.StartedMs = time.Now().UnixMilli()
-	b.Lines <- sidetest.Line(9, false, one)
+	b.Lines <- sidecartest.Line(9, false, one)
 	for s.figure(t, "cluster_size") != 2 {
 	}
 	stays()
@@ -107,21 +107,21 @@
 
 // Each final answer is counted once, under its class.
 func TestFigures(t *testing.T) {
-	addr := sidetest.Web(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := sidecartest.Web(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/pay" {
 			w.WriteHeader(500)
 		}
 	})
-	s := start(t, sidetest.Configure(t, sidetest.Nowhere(t), []discovery.Instance{sidetest.Up("s-1", addr)}, `"most-tries":3`, `"most-tries":1`))
+	s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}, `"most-tries":3`, `"most-tries":1`))
 	for range 3 {
-		s.ask(t, sidetest.Look(900))
+		s.ask(t, sidecartest.Look(900))
 	}
 	for range 2 {
-		s.ask(t, sidetest.Request("POST", "/pay", "pay", 900, "x"))
+		s.ask(t, sidecartest.Request("POST", "/pay", "pay", 900, "x"))
 	}
 	s.says(t, "maint-on s-1", "YES")
-	s.ask(t, sidetest.Look(900))
-	s.ask(t, sidetest.Request("GET", "/nothing", "nothing", 900, "")) // no class, no count
+	s.ask(t, sidecartest.Look(900))
+	s.ask(t, sidecartest.Request("GET", "/nothing", "nothing", 900, "")) // no class, no count
 	for name, want := range map[string]int{
 		"answered_total{group=%q}": 3, "deferred_total{group=%q}": 1, "errored_total{group=%q}": 0} {
 		s.figureIs(t, fmt.Sprintf(name, "look"), want)
@@ -135,15 +135,15 @@
 // A process that starts holds what operators said to the one before it.
 func TestBansOutliveTheProcess(t *testing.T) {
 	var other int
-	addr := sidetest.Web(t, func(http.ResponseWriter, *http.Request) { other++ })
-	c := sidetest.Configure(t, sidetest.Nowhere(t), []discovery.Instance{sidetest.Up("s-1", addr)})
+	addr := sidecartest.Web(t, func(http.ResponseWriter, *http.Request) { other++ })
+	c := sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)})
 	dir := t.TempDir()
 	s := startIn(t, c, dir)
 	s.says(t, "maint-on s-1", "YES")
 	s.stop()
-	sidetest.Within(t, s.ended, "end")
+	sidecartest.Within(t, s.ended, "end")
 	s = startIn(t, c, dir)
-	if resp, _ := s.ask(t, sidetest.Look(900)); resp.StatusCode != 503 || other > 0 {
+	if resp, _ := s.ask(t, sidecartest.Look(900)); resp.StatusCode != 503 || other > 0 {
 		t.Errorf("answered %s, %d requests went out", resp.Status, other)
 	}
 	s.says(t, "maint-off s-1", "YES")
--- a/internal/sidecar/reload.go
+++ b/internal/dataplane/sidecar/reload.go
@@ -7,8 +7,8 @@
 	"os"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/config"
-	"birchmoor/internal/metrics"
+	"birchmoor/internal/platform/config"
+	"birchmoor/internal/platform/metrics"
 )
 
 // reloader takes new configurations while the sidecar runs. Of a file, `settings` and `discovery` take effect
--- a/internal/sidecar/reload_test.go
+++ b/internal/dataplane/sidecar/reload_test.go
@@ -11,10 +11,10 @@
 	"testing"
 	"time"
 
-	"birchmoor/internal/config"
-	"birchmoor/internal/discovery"
-	"birchmoor/internal/metrics"
-	"birchmoor/internal/sidetest"
+	"birchmoor/internal/dataplane/discovery"
+	"birchmoor/internal/platform/config"
+	"birchmoor/internal/platform/metrics"
+	"birchmoor/internal/testutil/sidecartest"
 )
 
 // A new configuration moves the watch to the discovery that its file names, at once and with nothing held
@@ -23,23 +23,23 @@
 	for _, mode := range []string{"automatic", "subscribe"} {
 		t.Run(mode, func(t *testing.T) {
 			endpoint := func(name string) string {
-				return sidetest.Web(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, name) })
+				return sidecartest.Web(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, name) })
 			}
-			one, two, three := sidetest.Up("s-1", endpoint("one")), sidetest.Up("s-2", endpoint("two")), sidetest.Up("s-3", endpoint("three"))
+			one, two, three := sidecartest.Up("s-1", endpoint("one")), sidecartest.Up("s-2", endpoint("two")), sidecartest.Up("s-3", endpoint("three"))
 			for _, in := range []*discovery.Instance{&one, &two, &three} {
 				in.StartedMs = 1 // long ago: a cold endpoint may be spared
 			}
 			configured := func(at string) *config.Config {
-				return sidetest.Configure(t, at, []discovery.Instance{one}, `"discovery":"automatic"`, `"discovery":"`+mode+`"`)
+				return sidecartest.Configure(t, at, []discovery.Instance{one}, `"discovery":"automatic"`, `"discovery":"`+mode+`"`)
 			}
-			old, next := sidetest.NewBoard(t), sidetest.NewBoard(t)
+			old, next := sidecartest.NewBoard(t), sidecartest.NewBoard(t)
 			// As with ROUTER_DISCOVERY: the start goes by it, a file that changes goes before it.
-			c := configured(sidetest.Nowhere(t))
+			c := configured(sidecartest.Nowhere(t))
 			c.Discovery = old.Addr
 			s := start(t, c)
-			expect := func(b *sidetest.Board, want string) {
+			expect := func(b *sidecartest.Board, want string) {
 				t.Helper()
-				if got := sidetest.Within(t, b.Asked, "call of discovery"); got != want {
+				if got := sidecartest.Within(t, b.Asked, "call of discovery"); got != want {
 					t.Errorf("asked with %q, want %q", got, want)
 				}
 			}
@@ -51,16 +51,16 @@
 				s.reload <- syscall.SIGHUP
 				s.config <- c
 			}
-			old.Lines <- sidetest.Line(9, true, one, two)
+			old.Lines <- sidecartest.Line(9, true, one, two)
 
 			s.reload <- syscall.SIGHUP
 			s.config <- configured(next.Addr)
 			expect(next, " ")
-			next.Lines <- sidetest.Line(3, false, two)
+			next.Lines <- sidecartest.Line(3, false, two)
 			next.Lines <- ""
 			expect(next, "1 3")
 			s.serves(t, "two")
-			next.Lines <- sidetest.Line(4, true, three)
+			next.Lines <- sidecartest.Line(4, true, three)
 			s.serves(t, "three")
 		})
 	}
@@ -69,8 +69,8 @@
 // serves waits until only the endpoint of this name answers.
 func (s *running) serves(t *testing.T, want string) {
 	t.Helper()
-	for end, times := time.Now().Add(sidetest.Soon), 0; times < 5; {
-		_, got := s.ask(t, sidetest.Look(900))
+	for end, times := time.Now().Add(sidecartest.Soon), 0; times < 5; {
+		_, got := s.ask(t, sidecartest.Look(900))
 		if times++; got != want {
 			times = 0
 		}
@@ -82,15 +82,15 @@
 
 // Configurations may come while the sidecar stops.
 func TestReloadWhileStopping(t *testing.T) {
-	b := sidetest.NewBoard(t)
-	addr := sidetest.Web(t, func(http.ResponseWriter, *http.Request) {})
-	c := sidetest.Configure(t, sidetest.Nowhere(t), []discovery.Instance{sidetest.Up("s-1", addr)})
+	b := sidecartest.NewBoard(t)
+	addr := sidecartest.Web(t, func(http.ResponseWriter, *http.Request) {})
+	c := sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)})
 	s := start(t, c)
 	s.stop()
 	s.reload <- syscall.SIGHUP
-	s.config <- sidetest.Configure(t, b.Addr, nil)
-	sidetest.Within(t, b.Asked, "call of discovery")
-	if err := sidetest.Within(t, s.ended, "end"); err != nil {
+	s.config <- sidecartest.Configure(t, b.Addr, nil)
+	sidecartest.Within(t, b.Asked, "call of discovery")
+	if err := sidecartest.Within(t, s.ended, "end"); err != nil {
 		t.Error(err)
 	}
 }
@@ -99,7 +99,7 @@
 func TestRetune(t *testing.T) {
 	taken, release := make(chan struct{}, 8), make(chan struct{})
 	let := sync.OnceFunc(func() { close(release) })
-	addr := sidetest.Web(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := sidecartest.Web(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/pay" {
 			taken <- struct{}{}
 			<-release
@@ -107,13 +107,13 @@
 		io.WriteString(w, "ok")
 	})
 	t.Cleanup(let)
-	known := []discovery.Instance{sidetest.Up("s-1", addr)}
-	s := start(t, sidetest.Configure(t, sidetest.Nowhere(t), known))
+	known := []discovery.Instance{sidecartest.Up("s-1", addr)}
+	s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), known))
 	reload := func(c *config.Config, figure string, want int) {
 		t.Helper()
 		s.reload <- syscall.SIGHUP
 		s.config <- c
-		for end := time.Now().Add(sidetest.Soon); s.figure(t, figure) != want; {
+		for end := time.Now().Add(sidecartest.Soon); s.figure(t, figure) != want; {
 			if time.Now().After(end) {
 				t.Fatalf("%s does not become %d", figure, want)
 			}
@@ -121,37 +121,37 @@
 	}
 	open := make(chan int, 1)
 	go func() {
-		resp, _ := s.ask(t, sidetest.Request("POST", "/pay", "pay", 1000, "x"))
+		resp, _ := s.ask(t, sidecartest.Request("POST", "/pay", "pay", 1000, "x"))
 		open <- resp.StatusCode
 	}()
-	sidetest.Within(t, taken, "attempt")
+	sidecartest.Within(t, taken, "attempt")
 	const pay = `{"name":"pay","repeat":"side_effect"`
-	reload(sidetest.Configure(t, sidetest.Nowhere(t), known, pay, `{"name":"sell","repeat":"pure"`, `"most-tries":3`, `"most-tries":2`),
+	reload(sidecartest.Configure(t, sidecartest.Nowhere(t), known, pay, `{"name":"sell","repeat":"pure"`, `"most-tries":3`, `"most-tries":2`),
 		"conf_loaded_total", 1)
-	if resp, text := s.ask(t, sidetest.Request("GET", "/sell", "sell", 900, "")); resp.StatusCode != 200 || text != "ok" {
+	if resp, text := s.ask(t, sidecartest.Request("GET", "/sell", "sell", 900, "")); resp.StatusCode != 200 || text != "ok" {
 		t.Errorf("the new class: %s", resp.Status)
 	}
-	if resp, _ := s.ask(t, sidetest.Request("POST", "/pay", "pay", 900, "x")); resp.StatusCode != 404 {
+	if resp, _ := s.ask(t, sidecartest.Request("POST", "/pay", "pay", 900, "x")); resp.StatusCode != 404 {
 		t.Errorf("the dropped class: %s", resp.Status)
 	}
 	let()
-	if code := sidetest.Within(t, open, "answer"); code != 200 {
+	if code := sidecartest.Within(t, open, "answer"); code != 200 {
 		t.Errorf("what was open: %d", code)
 	}
 	s.figureIs(t, `answered_total{group="pay"}`, 1)
 	s.figureIs(t, `answered_total{group="sell"}`, 1)
 	reload(nil, "conf_invalid_total", 1)
-	if resp, _ := s.ask(t, sidetest.Request("GET", "/sell", "sell", 900, "")); resp.StatusCode != 200 {
+	if resp, _ := s.ask(t, sidecartest.Request("GET", "/sell", "sell", 900, "")); resp.StatusCode != 200 {
 		t.Errorf("after a bad file: %s", resp.Status)
 	}
 }
 
 // Every way in which a file may be wrong is found before any of it is taken, and named.
 func TestTurnedDown(t *testing.T) {
-	c := sidetest.Configure(t, "127.0.0.1:1", []discovery.Instance{sidetest.Up("s-1", "127.0.0.1:2")})
-	good := sidetest.ConfigText(t, "127.0.0.1:1", []discovery.Instance{sidetest.Up("s-1", "127.0.0.1:2")})
+	c := sidecartest.Configure(t, "127.0.0.1:1", []discovery.Instance{sidecartest.Up("s-1", "127.0.0.1:2")})
+	good := sidecartest.ConfigText(t, "127.0.0.1:1", []discovery.Instance{sidecartest.Up("s-1", "127.0.0.1:2")})
 	figures, took := metrics.New(), 0
-	r := &reloader{config: c, figures: figures, log: sidetest.Quiet,
+	r := &reloader{config: c, figures: figures, log: sidecartest.Quiet,
 		take: func(context.Context, *config.Config) error { took++; return nil }}
 	for _, tc := range []struct{ key, old, new string }{
 		{"file", string(good), ""},
--- a/internal/sidecar/server_test.go
+++ b/internal/dataplane/sidecar/server_test.go
@@ -13,10 +13,10 @@
 	"testing"
 	"time"
 
-	"birchmoor/internal/config"
-	"birchmoor/internal/discovery"
-	"birchmoor/internal/httpfront"
-	"birchmoor/internal/sidetest"
+	"birchmoor/internal/dataplane/discovery"
+	"birchmoor/internal/dataplane/httpfront"
+	"birchmoor/internal/platform/config"
+	"birchmoor/internal/testutil/sidecartest"
 )
 
 // What the client sent and what the endpoint answered go through unchanged.
@@ -26,7 +26,7 @@
 		body string
 	}
 	got := make(chan seen, 64)
-	addr := sidetest.Web(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := sidecartest.Web(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		got <- seen{r, string(b)}
 		if w.Header()["Content-Type"] = nil; r.Method == "GET" {
@@ -35,12 +35,12 @@
 		w.Header().Set("Endpoint-Load-Metrics", "TEXT busy_reqs=1")
 		io.WriteString(w, "\x00card "+string(b))
 	})
-	s := start(t, sidetest.Configure(t, sidetest.Nowhere(t), []discovery.Instance{sidetest.Up("s-1", addr)}))
+	s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
 	for _, r := range []*http.Request{
-		sidetest.Look(480),
-		sidetest.Request("GET", "/look/a%2Fb?x=%20y&z", "look", 480, ""),
-		sidetest.Request("POST", "/book", "book", 480, strings.Repeat("b", httpfront.BodyMost-6)), // the answer is as large as one may be
-		sidetest.Request("POST", "/pay?p=1", "pay", 480, ""),
+		sidecartest.Look(480),
+		sidecartest.Request("GET", "/look/a%2Fb?x=%20y&z", "look", 480, ""),
+		sidecartest.Request("POST", "/book", "book", 480, strings.Repeat("b", httpfront.BodyMost-6)), // the answer is as large as one may be
+		sidecartest.Request("POST", "/pay?p=1", "pay", 480, ""),
 	} {
 		body, _ := io.ReadAll(r.Body)
 		if len(body) > 0 {
@@ -77,8 +77,8 @@
 // What makes no sense gets a plain 4xx, and no endpoint hears of it.
 func TestBadRequests(t *testing.T) {
 	var sent atomic.Int32
-	addr := sidetest.Web(t, func(http.ResponseWriter, *http.Request) { sent.Add(1) })
-	s := start(t, sidetest.Configure(t, sidetest.Nowhere(t), []discovery.Instance{sidetest.Up("s-1", addr)}))
+	addr := sidecartest.Web(t, func(http.ResponseWriter, *http.Request) { sent.Add(1) })
+	s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
 	without := func(r *http.Request, header string) *http.Request {
 		r.Header.Del(header)
 		return r
@@ -92,15 +92,15 @@
 		r    *http.Request
 		want int
 	}{
-		{"unknown class", sidetest.Request("GET", "/sell", "sell", 400, ""), 404},
-		{"no class", without(sidetest.Request("GET", "/", "look", 400, ""), "X-Qos"), 404},
-		{"two classes", sidetest.Request("GET", "/look", "pay", 400, ""), 400},
-		{"no id", without(sidetest.Look(400), "X-Trace-Id"), 400},
-		{"keyed without key", without(sidetest.Request("POST", "/book", "book", 400, "x"), "Idempotency-Key"), 400},
-		{"wrong method", sidetest.Request("POST", "/look", "look", 400, "x"), 405},
-		{"time in words", with(sidetest.Look(400), "X-Expires-In-Ms", "soon"), 400},
-		{"negative time", sidetest.Look(-1), 400},
-		{"large head", with(sidetest.Look(400), "X-Props", strings.Repeat("x", 2*httpfront.HeaderMost)), 431},
+		{"unknown class", sidecartest.Request("GET", "/sell", "sell", 400, ""), 404},
+		{"no class", without(sidecartest.Request("GET", "/", "look", 400, ""), "X-Qos"), 404},
+		{"two classes", sidecartest.Request("GET", "/look", "pay", 400, ""), 400},
+		{"no id", without(sidecartest.Look(400), "X-Trace-Id"), 400},
+		{"keyed without key", without(sidecartest.Request("POST", "/book", "book", 400, "x"), "Idempotency-Key"), 400},
+		{"wrong method", sidecartest.Request("POST", "/look", "look", 400, "x"), 405},
+		{"time in words", with(sidecartest.Look(400), "X-Expires-In-Ms", "soon"), 400},
+		{"negative time", sidecartest.Look(-1), 400},
+		{"large head", with(sidecartest.Look(400), "X-Props", strings.Repeat("x", 2*httpfront.HeaderMost)), 431},
 	} {
 		if resp, _ := s.ask(t, tc.r); resp.StatusCode != tc.want {
 			t.Errorf("%s: %s, want %d", tc.name, resp.Status, tc.want)
@@ -190,16 +190,16 @@
 		{"no connection, unsafe", nil, "pay", true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			addr := sidetest.Nowhere(t)
+			addr := sidecartest.Nowhere(t)
 			if tc.h != nil {
-				addr = sidetest.Web(t, tc.h)
+				addr = sidecartest.Web(t, tc.h)
 			}
-			s := start(t, sidetest.Configure(t, sidetest.Nowhere(t), []discovery.Instance{sidetest.Up("s-1", addr)}))
+			s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
 			method := "POST"
 			if tc.class == "look" {
 				method = "GET"
 			}
-			resp, _ := s.ask(t, sidetest.Request(method, "/"+tc.class, tc.class, 900, ""))
+			resp, _ := s.ask(t, sidecartest.Request(method, "/"+tc.class, tc.class, 900, ""))
 			if got := resp.StatusCode == 503; got != tc.refused || resp.StatusCode < 500 {
 				t.Errorf("%s, refused should be %v", resp.Status, tc.refused)
 			}
@@ -227,16 +227,16 @@
 			var copies atomic.Int32
 			// The first to be asked breaks its connection after reading the request.
 			endpoint := func() string {
-				return sidetest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
-					if _, err := sidetest.Take(r); err == nil && copies.Add(1) > 1 {
-						io.WriteString(c, sidetest.OKAnswer)
+				return sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
+					if _, err := sidecartest.Take(r); err == nil && copies.Add(1) > 1 {
+						io.WriteString(c, sidecartest.OKAnswer)
 					}
 				})
 			}
-			other := sidetest.Up("s-2", endpoint())
+			other := sidecartest.Up("s-2", endpoint())
 			other.Cell = tc.cell
-			s := start(t, sidetest.Configure(t, sidetest.Nowhere(t), []discovery.Instance{sidetest.Up("s-1", endpoint()), other}))
-			resp, _ := s.ask(t, sidetest.Request("POST", "/"+tc.class, tc.class, 900, "x"))
+			s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", endpoint()), other}))
+			resp, _ := s.ask(t, sidecartest.Request("POST", "/"+tc.class, tc.class, 900, "x"))
 			if n := copies.Load(); n > tc.mostCopies {
 				t.Errorf("%d copies, %d at most", n, tc.mostCopies)
 			}
@@ -248,32 +248,32 @@
 }
 
 // An endpoint that is mute must not keep the client waiting for good, nor the connection open. That the answer comes at its time is
-// judged by a clock that does not run by itself, in internal/core.
+// judged by a clock that does not run by itself, in internal/dataplane/core.
 func TestDeadline(t *testing.T) {
 	ended := make(chan error, 3)
-	addr := sidetest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
-		if _, err := sidetest.Take(r); err != nil {
+	addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
+		if _, err := sidecartest.Take(r); err != nil {
 			return
 		}
 		_, err := r.ReadByte()
 		ended <- err
 	})
-	s := start(t, sidetest.Configure(t, sidetest.Nowhere(t), []discovery.Instance{sidetest.Up("s-1", addr)}))
+	s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
 	for _, tc := range []struct {
 		class string
 		want  int
 	}{{"pay", 504}, {"book", 504}} {
-		resp, _ := s.ask(t, sidetest.Request("POST", "/"+tc.class, tc.class, 200, "x"))
+		resp, _ := s.ask(t, sidecartest.Request("POST", "/"+tc.class, tc.class, 200, "x"))
 		if resp.StatusCode != tc.want {
 			t.Errorf("%s: %s, want %d", tc.class, resp.Status, tc.want)
 		}
-		if err := sidetest.Within(t, ended, "end of the attempt"); err != io.EOF {
+		if err := sidecartest.Within(t, ended, "end of the attempt"); err != io.EOF {
 			t.Errorf("%s: the endpoint read on: %v", tc.class, err)
 		}
 	}
 	// One whose time is up when it comes never ran, nor one that has no more than the 5 ms that are kept for the answer's way.
 	for _, ms := range []int{0, 5} {
-		if resp, _ := s.ask(t, sidetest.Request("POST", "/pay", "pay", ms, "x")); resp.StatusCode != 503 {
+		if resp, _ := s.ask(t, sidecartest.Request("POST", "/pay", "pay", ms, "x")); resp.StatusCode != 503 {
 			t.Errorf("%d ms: %s, want 503", ms, resp.Status)
 		}
 	}
@@ -282,24 +282,24 @@
 // A client that goes takes its attempt with it.
 func TestClientGone(t *testing.T) {
 	taken, ended := make(chan struct{}), make(chan error, 1)
-	addr := sidetest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
-		sidetest.Take(r)
+	addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
+		sidecartest.Take(r)
 		close(taken)
 		_, err := r.ReadByte()
 		ended <- err
 	})
-	cfg := sidetest.Configure(t, sidetest.Nowhere(t), []discovery.Instance{sidetest.Up("s-1", addr)}, `"give-up":1000000`, `"give-up":60000000`)
+	cfg := sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}, `"give-up":1000000`, `"give-up":60000000`)
 	s := start(t, cfg)
 	c, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := sidetest.Request("POST", "/pay", "pay", 60000, "x").Write(c); err != nil {
+	if err := sidecartest.Request("POST", "/pay", "pay", 60000, "x").Write(c); err != nil {
 		t.Fatal(err)
 	}
-	sidetest.Within(t, taken, "attempt")
+	sidecartest.Within(t, taken, "attempt")
 	c.Close()
-	if err := sidetest.Within(t, ended, "end of the attempt"); err != io.EOF {
+	if err := sidecartest.Within(t, ended, "end of the attempt"); err != io.EOF {
 		t.Errorf("the endpoint read on: %v", err)
 	}
 }
@@ -307,11 +307,11 @@
 // Requests over the settings' limit never ran.
 func TestMostOpen(t *testing.T) {
 	taken, release := make(chan struct{}, 2), make(chan struct{})
-	addr := sidetest.Web(t, func(http.ResponseWriter, *http.Request) {
+	addr := sidecartest.Web(t, func(http.ResponseWriter, *http.Request) {
 		taken <- struct{}{}
 		<-release
 	})
-	s := start(t, sidetest.Configure(t, sidetest.Nowhere(t), []discovery.Instance{sidetest.Up("s-1", addr)}, `"most-held":1000`, `"most-held":1`))
+	s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}, `"most-held":1000`, `"most-held":1`))
 	first := make(chan int)
 	c, err := net.Dial("tcp", s.addr)
 	if err != nil {
@@ -319,15 +319,15 @@
 	}
 	defer c.Close()
 	go func() {
-		resp, _ := s.askOn(t, c, sidetest.Request("POST", "/pay", "pay", 900, "x"))
+		resp, _ := s.askOn(t, c, sidecartest.Request("POST", "/pay", "pay", 900, "x"))
 		first <- resp.StatusCode
 	}()
-	sidetest.Within(t, taken, "first attempt")
-	if resp, _ := s.ask(t, sidetest.Request("POST", "/pay", "pay", 900, "x")); resp.StatusCode != 503 {
+	sidecartest.Within(t, taken, "first attempt")
+	if resp, _ := s.ask(t, sidecartest.Request("POST", "/pay", "pay", 900, "x")); resp.StatusCode != 503 {
 		t.Errorf("second: %s, want 503", resp.Status)
 	}
 	close(release)
-	if code := sidetest.Within(t, first, "first answer"); code != 200 {
+	if code := sidecartest.Within(t, first, "first answer"); code != 200 {
 		t.Errorf("first: %d, want 200", code)
 	}
 	if len(taken) != 0 {
@@ -339,13 +339,13 @@
 // sidecar a descriptor that it needs.
 func TestMostConnections(t *testing.T) {
 	taken, release := make(chan struct{}, 1), make(chan struct{})
-	addr := sidetest.Web(t, func(_ http.ResponseWriter, r *http.Request) {
+	addr := sidecartest.Web(t, func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/pay" {
 			taken <- struct{}{}
 			<-release
 		}
 	})
-	cfg := sidetest.Configure(t, sidetest.Nowhere(t), []discovery.Instance{sidetest.Up("s-1", addr)})
+	cfg := sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)})
 	cfg.Sockets = config.LeastSockets
 	s := start(t, cfg)
 	dial := func() net.Conn {
@@ -359,17 +359,17 @@
 	waiting := make(chan int, 1)
 	c := dial()
 	go func() {
-		resp, _ := s.askOn(t, c, sidetest.Request("POST", "/pay", "pay", 1000, "x"))
+		resp, _ := s.askOn(t, c, sidecartest.Request("POST", "/pay", "pay", 1000, "x"))
 		waiting <- resp.StatusCode
 	}()
-	sidetest.Within(t, taken, "attempt")
+	sidecartest.Within(t, taken, "attempt")
 	var silent []net.Conn
 	for range 2 * cfg.ClientConns(1) {
 		silent = append(silent, dial())
 	}
 	kept := dial()
 	for range 3 {
-		if resp, _ := s.askOn(t, kept, sidetest.Look(900)); resp.StatusCode != 200 || resp.Close {
+		if resp, _ := s.askOn(t, kept, sidecartest.Look(900)); resp.StatusCode != 200 || resp.Close {
 			t.Fatalf("beside silent connections: %s, close %v", resp.Status, resp.Close)
 		}
 	}
@@ -379,11 +379,11 @@
 		t.Errorf("the connection silent for longest: %v, want it closed", err)
 	}
 	last := silent[len(silent)-1]
-	if resp, _ := s.askOn(t, last, sidetest.Look(900)); resp.StatusCode != 200 {
+	if resp, _ := s.askOn(t, last, sidecartest.Look(900)); resp.StatusCode != 200 {
 		t.Errorf("a connection silent for a moment: %s", resp.Status)
 	}
 	close(release)
-	if code := sidetest.Within(t, waiting, "answer"); code != 200 {
+	if code := sidecartest.Within(t, waiting, "answer"); code != 200 {
 		t.Errorf("the request that waited meanwhile: %d", code)
 	}
 }
@@ -391,8 +391,8 @@
 // Whoever sends no whole request is told so or cut off within 3 s, before another reading and before the
 // sidecar is made to wait when it stops.
 func TestHalfRequests(t *testing.T) {
-	addr := sidetest.Web(t, func(http.ResponseWriter, *http.Request) { t.Error("an attempt was made") })
-	s := start(t, sidetest.Configure(t, sidetest.Nowhere(t), []discovery.Instance{sidetest.Up("s-1", addr)}))
+	addr := sidecartest.Web(t, func(http.ResponseWriter, *http.Request) { t.Error("an attempt was made") })
+	s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
 	for _, text := range []string{
 		"",
 		"GET /look/1 HT",
@@ -419,30 +419,30 @@
 // Two requests of one id would be one and the same to an endpoint.
 func TestOpenID(t *testing.T) {
 	taken, release := make(chan struct{}, 2), make(chan struct{})
-	addr := sidetest.Web(t, func(http.ResponseWriter, *http.Request) {
+	addr := sidecartest.Web(t, func(http.ResponseWriter, *http.Request) {
 		taken <- struct{}{}
 		<-release
 	})
-	s := start(t, sidetest.Configure(t, sidetest.Nowhere(t), []discovery.Instance{sidetest.Up("s-1", addr)}))
+	s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
 	c, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	first := make(chan int, 1)
-	r := sidetest.Look(900)
+	r := sidecartest.Look(900)
 	go func() {
 		resp, _ := s.askOn(t, c, r)
 		first <- resp.StatusCode
 	}()
-	sidetest.Within(t, taken, "attempt")
-	again := sidetest.Look(900)
+	sidecartest.Within(t, taken, "attempt")
+	again := sidecartest.Look(900)
 	again.Header.Set("X-Trace-Id", r.Header.Get("X-Trace-Id"))
 	if resp, _ := s.ask(t, again); resp.StatusCode != 409 {
 		t.Errorf("an open id: %s, want 409", resp.Status)
 	}
 	close(release)
-	if code := sidetest.Within(t, first, "answer"); code != 200 {
+	if code := sidecartest.Within(t, first, "answer"); code != 200 {
 		t.Errorf("its owner: %d, want 200", code)
 	}
 	if resp, _ := s.ask(t, again); resp.StatusCode != 200 {
@@ -461,17 +461,17 @@
 	}{
 		{"class", func(r *http.Request) bool { return r.URL.Path == "/look/1" },
 			func(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
-			func() *http.Request { return sidetest.Request("POST", "/pay", "pay", 900, "x") }},
+			func() *http.Request { return sidecartest.Request("POST", "/pay", "pay", 900, "x") }},
 		{"tenant", func(r *http.Request) bool { return r.Header.Get("X-Customer") == "zeta" },
 			func(w http.ResponseWriter, r *http.Request) {
 				w.Header().Set("X-Never-Ran", "1")
 				w.WriteHeader(503)
 			},
-			func() *http.Request { return sidetest.Look(900) }}, // of the same class
+			func() *http.Request { return sidecartest.Look(900) }}, // of the same class
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var failed, served atomic.Int32
-			half := sidetest.Web(t, func(w http.ResponseWriter, r *http.Request) {
+			half := sidecartest.Web(t, func(w http.ResponseWriter, r *http.Request) {
 				if tc.bad(r) {
 					failed.Add(1)
 					tc.handle(w, r)
@@ -479,12 +479,12 @@
 				}
 				served.Add(1)
 			})
-			whole := sidetest.Web(t, func(http.ResponseWriter, *http.Request) {})
-			s := start(t, sidetest.Configure(t, sidetest.Nowhere(t), []discovery.Instance{sidetest.Up("s-1", half), sidetest.Up("s-2", whole)},
+			whole := sidecartest.Web(t, func(http.ResponseWriter, *http.Request) {})
+			s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", half), sidecartest.Up("s-2", whole)},
 				`"tenants":[`, `"tenants":[{"name":"zeta","allowance-per-s":100.0,"share":1.0},`))
 			const rounds = 40
 			for range rounds {
-				r := sidetest.Look(60)
+				r := sidecartest.Look(60)
 				r.Header.Set("X-Customer", "zeta")
 				s.ask(t, r)
 				for range 5 {
@@ -507,32 +507,32 @@
 	var silent atomic.Bool
 	var lost atomic.Int32
 	endpoint := func(falls bool) string {
-		return sidetest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
+		return sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
 			old := falls && !silent.Load()
 			for {
-				if _, err := sidetest.Take(r); err != nil {
+				if _, err := sidecartest.Take(r); err != nil {
 					return
 				}
 				if old && silent.Load() {
 					lost.Add(1)
 					continue
 				}
-				io.WriteString(c, sidetest.OKAnswer)
+				io.WriteString(c, sidecartest.OKAnswer)
 			}
 		})
 	}
-	s := start(t, sidetest.Configure(t, sidetest.Nowhere(t), []discovery.Instance{sidetest.Up("s-1", endpoint(true)), sidetest.Up("s-2", endpoint(false))}))
+	s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", endpoint(true)), sidecartest.Up("s-2", endpoint(false))}))
 	for range 40 { // the sidecar learns how long requests take, over some connections at once
 		var several sync.WaitGroup
 		for range 8 {
-			several.Go(func() { s.ask(t, sidetest.Look(900)) })
+			several.Go(func() { s.ask(t, sidecartest.Look(900)) })
 		}
 		several.Wait()
 	}
 	silent.Store(true)
 	for i := range 60 {
 		// The breaker may refuse a few: latencies without any network vary by far more than its factor.
-		if resp, _ := s.ask(t, sidetest.Look(900)); resp.StatusCode != 200 && resp.Header.Get("Retry-After") == "" {
+		if resp, _ := s.ask(t, sidecartest.Look(900)); resp.StatusCode != 200 && resp.Header.Get("Retry-After") == "" {
 			t.Errorf("request %d: %s", i, resp.Status)
 		}
 	}
@@ -547,39 +547,39 @@
 	taken, release := make(chan struct{}, 1), make(chan struct{})
 	let := sync.OnceFunc(func() { close(release) })
 	t.Cleanup(let)
-	addr := sidetest.Web(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := sidecartest.Web(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/pay" {
 			taken <- struct{}{}
 			<-release
 		}
 	})
-	s := start(t, sidetest.Configure(t, sidetest.Nowhere(t), []discovery.Instance{sidetest.Up("s-1", addr)}))
+	s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
 	idle, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer idle.Close()
-	if resp, _ := s.askOn(t, idle, sidetest.Look(900)); resp.Close {
+	if resp, _ := s.askOn(t, idle, sidecartest.Look(900)); resp.Close {
 		t.Error("a connection was not kept")
 	}
 	var before sync.WaitGroup
 	defer before.Wait()
 	defer let()
 	before.Go(func() {
-		if resp, _ := s.ask(t, sidetest.Request("POST", "/pay", "pay", 1000, "x")); resp.StatusCode != 200 || !resp.Close {
+		if resp, _ := s.ask(t, sidecartest.Request("POST", "/pay", "pay", 1000, "x")); resp.StatusCode != 200 || !resp.Close {
 			t.Errorf("taken before: %s, close %v", resp.Status, resp.Close)
 		}
 	})
-	sidetest.Within(t, taken, "attempt")
+	sidecartest.Within(t, taken, "attempt")
 	begun := time.Now()
 	s.stop()
-	idle.SetReadDeadline(time.Now().Add(sidetest.Soon))
+	idle.SetReadDeadline(time.Now().Add(sidecartest.Soon))
 	if _, err := idle.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("idle connection: %v, want it closed", err)
 	}
 	// Until it accepts no more, which it may not do sooner than 500 ms after the order.
 	for n := 0; ; n++ {
-		resp, err := s.try(sidetest.Look(900))
+		resp, err := s.try(sidecartest.Look(900))
 		if err != nil {
 			if took := time.Since(begun); took < 500*time.Millisecond {
 				t.Fatalf("request %d after the order, after %v: %v", n, took, err)
@@ -590,13 +590,13 @@
 			t.Fatalf("after the order: %s, close %v", resp.Status, resp.Close)
 		}
 		if n == 3 {
-			if resp, err := s.try(sidetest.Request("GET", "/-/ready", "", 900, "")); err == nil && resp.StatusCode != 503 {
+			if resp, err := s.try(sidecartest.Request("GET", "/-/ready", "", 900, "")); err == nil && resp.StatusCode != 503 {
 				t.Errorf("ready: %s after the order to stop", resp.Status)
 			}
 		}
 	}
 	let()
-	if err := sidetest.Within(t, s.ended, "end"); err != nil {
+	if err := sidecartest.Within(t, s.ended, "end"); err != nil {
 		t.Errorf("ended with %v", err)
 	}
 	if took := time.Since(begun); took < 500*time.Millisecond {
@@ -609,7 +609,7 @@
 func TestEndBySettings(t *testing.T) {
 	for give, want := range map[string]time.Duration{"1000000": 1550 * time.Millisecond, "400000": 950 * time.Millisecond,
 		"22405243": 3550 * time.Millisecond} {
-		c := sidetest.Configure(t, sidetest.Nowhere(t), nil, `"give-up":1000000`, `"give-up":`+give)
+		c := sidecartest.Configure(t, sidecartest.Nowhere(t), nil, `"give-up":1000000`, `"give-up":`+give)
 		if got := endIn(&c.Settings); got != want {
 			t.Errorf("requests of %s us: %v, want %v", give, got, want)
 		}
@@ -619,27 +619,27 @@
 // What is open as the process ends has its answer before the kill, however long its client would wait.
 func TestStopAnswersAll(t *testing.T) {
 	taken, release := make(chan struct{}, 1), make(chan struct{})
-	addr := sidetest.Web(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := sidecartest.Web(t, func(w http.ResponseWriter, r *http.Request) {
 		taken <- struct{}{}
 		<-release
 	})
 	defer close(release)
-	s := start(t, sidetest.Configure(t, sidetest.Nowhere(t), []discovery.Instance{sidetest.Up("s-1", addr)},
+	s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)},
 		`"give-up":1000000`, `"give-up":600000000`))
 	told := make(chan *http.Response, 1)
 	go func() {
-		resp, err := s.try(sidetest.Request("POST", "/pay", "pay", 600_000, "x"))
+		resp, err := s.try(sidecartest.Request("POST", "/pay", "pay", 600_000, "x"))
 		if err != nil {
 			t.Error(err)
 		}
 		told <- resp
 	}()
-	sidetest.Within(t, taken, "attempt")
+	sidecartest.Within(t, taken, "attempt")
 	s.stop()
-	if resp := sidetest.Within(t, told, "answer"); resp == nil || resp.StatusCode != 502 || !resp.Close {
+	if resp := sidecartest.Within(t, told, "answer"); resp == nil || resp.StatusCode != 502 || !resp.Close {
 		t.Errorf("answered %+v", resp)
 	}
-	if err := sidetest.Within(t, s.ended, "end"); err != nil {
+	if err := sidecartest.Within(t, s.ended, "end"); err != nil {
 		t.Errorf("ended with %v", err)
 	}
 }
@@ -648,9 +648,9 @@
 func TestInstantServiceIsServed(t *testing.T) {
 	var list []discovery.Instance
 	for _, id := range []string{"s1", "s2", "s3", "s4"} {
-		list = append(list, sidetest.Up(id, sidetest.Web(t, func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "found") })))
+		list = append(list, sidecartest.Up(id, sidecartest.Web(t, func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "found") })))
 	}
-	s := start(t, sidetest.Configure(t, sidetest.Nowhere(t), list, `"probes":false`, `"probes":true`))
+	s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), list, `"probes":false`, `"probes":true`))
 	c, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -658,7 +658,7 @@
 	defer c.Close()
 	refused := 0
 	for range 1000 {
-		if resp, _ := s.askOn(t, c, sidetest.Look(1000)); resp.StatusCode != 200 {
+		if resp, _ := s.askOn(t, c, sidecartest.Look(1000)); resp.StatusCode != 200 {
 			refused++
 		}
 	}
--- a/internal/sidecar/sidecar.go
+++ b/internal/dataplane/sidecar/sidecar.go
@@ -1,5 +1,5 @@
-// Package sidecar puts a sidecar together and starts and stops it: the core (internal/core), the HTTP front
-// (internal/httpfront), discovery, operators' calls, handovers and reloads.
+// Package sidecar puts a sidecar together and starts and stops it: the core (internal/dataplane/core), the HTTP front
+// (internal/dataplane/httpfront), discovery, operators' calls, handovers and reloads.
 package sidecar
 
 import (
@@ -19,14 +19,14 @@
 	"time"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/config"
-	"birchmoor/internal/core"
-	"birchmoor/internal/discovery"
-	"birchmoor/internal/handover"
-	"birchmoor/internal/maintenance"
-	"birchmoor/internal/mgmt"
-	"birchmoor/internal/recovery"
-	"birchmoor/internal/snapshot"
+	"birchmoor/internal/dataplane/core"
+	"birchmoor/internal/dataplane/discovery"
+	"birchmoor/internal/dataplane/handover"
+	"birchmoor/internal/dataplane/maintenance"
+	"birchmoor/internal/platform/config"
+	"birchmoor/internal/platform/management"
+	"birchmoor/internal/platform/recovery"
+	"birchmoor/internal/platform/snapshot"
 )
 
 const (
@@ -169,7 +169,7 @@
 	}
 	if h.Mgmt != nil {
 		beside.Go(func() {
-			if err := mgmt.New(n, h.Log).Serve(ctx, h.Mgmt); err != nil {
+			if err := management.New(n, h.Log).Serve(ctx, h.Mgmt); err != nil {
 				h.Log.Error("operators cannot call any more", "error", err)
 			}
 		})
--- a/internal/lab/chain/chain_test.go
+++ b/internal/lab/chain/chain_test.go
@@ -21,8 +21,8 @@
 	if err != nil {
 		panic(err)
 	}
-	program = filepath.Join(dir, "dunlinsail")
-	if out, err := exec.Command("go", "build", "-o", program, "birchmoor/cmd/dunlinsail").CombinedOutput(); err != nil {
+	program = filepath.Join(dir, "sidecar")
+	if out, err := exec.Command("go", "build", "-o", program, "birchmoor/cmd/sidecar").CombinedOutput(); err != nil {
 		fmt.Println(string(out))
 		os.Exit(1)
 	}
--- a/internal/lab/chain/virtual.go
+++ b/internal/lab/chain/virtual.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/httpfront"
+	"birchmoor/internal/dataplane/httpfront"
 	"birchmoor/internal/lab/draw"
 	"birchmoor/internal/lab/evq"
 	"birchmoor/internal/lab/told"
--- a/internal/lab/dnslab/lab.go
+++ b/internal/lab/dnslab/lab.go
@@ -17,16 +17,16 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/miekg/dns"
 
-	"birchmoor/internal/config"
-	"birchmoor/internal/core"
-	"birchmoor/internal/discovery"
-	"birchmoor/internal/dnsfront"
-	"birchmoor/internal/dnsfront/limit"
-	"birchmoor/internal/dnsfront/route"
+	"birchmoor/internal/dataplane/core"
+	"birchmoor/internal/dataplane/discovery"
+	"birchmoor/internal/dataplane/dnsfront"
+	"birchmoor/internal/dataplane/dnsfront/limit"
+	"birchmoor/internal/dataplane/dnsfront/route"
+	"birchmoor/internal/dataplane/maintenance"
+	"birchmoor/internal/dataplane/sidecar"
 	"birchmoor/internal/lab/referee"
 	"birchmoor/internal/lab/trace"
-	"birchmoor/internal/maintenance"
-	"birchmoor/internal/sidecar"
+	"birchmoor/internal/platform/config"
 )
 
 const (
--- a/internal/lab/dnslab/scenario.go
+++ b/internal/lab/dnslab/scenario.go
@@ -11,7 +11,7 @@
 	"os"
 	"time"
 
-	"birchmoor/internal/strict"
+	"birchmoor/internal/platform/stricttoml"
 )
 
 // Dur is a duration, written as Go does.
@@ -110,7 +110,7 @@
 		return nil, err
 	}
 	s := &Scenario{}
-	if err := strict.Decode(path, "DNS scenarios", text, s); err != nil {
+	if err := stricttoml.Decode(path, "DNS scenarios", text, s); err != nil {
 		return nil, err
 	}
 	return s, s.fill(path)
@@ -120,7 +120,7 @@
 	var faults []error
 	need := func(ok bool, key, reason string, args ...any) {
 		if !ok {
-			faults = append(faults, &strict.Error{Path: path, Key: key, Reason: fmt.Sprintf(reason, args...)})
+			faults = append(faults, &stricttoml.Error{Path: path, Key: key, Reason: fmt.Sprintf(reason, args...)})
 		}
 	}
 	need(s.Name != "", "name", "is missing")
--- a/internal/lab/fleetlab/fleet.go
+++ b/internal/lab/fleetlab/fleet.go
@@ -23,10 +23,10 @@
 	"syscall"
 	"time"
 
-	"birchmoor/internal/discovery"
+	"birchmoor/internal/controlplane/adminapi"
+	"birchmoor/internal/dataplane/discovery"
 	"birchmoor/internal/lab/address"
 	"birchmoor/internal/lab/relay"
-	"birchmoor/internal/operate"
 	"birchmoor/internal/store"
 	"birchmoor/internal/store/admin"
 
@@ -170,7 +170,7 @@
 	in       *relay.Link            // what comes to the replica from other replicas
 	links    map[string]*relay.Link // by which it reaches each replica, by name
 	board    *Board
-	Client   *operate.Client
+	Client   *adminapi.Client
 	Known    []discovery.Instance // with which it is configured: its list of a start
 	bare     bool                 // it runs no sidecar
 	plain    bool                 // the next start is of the sidecar alone
@@ -278,7 +278,7 @@
 	if f.cfg.EnvOf != nil {
 		d.Env = append(d.Env, f.cfg.EnvOf(i)...)
 	}
-	d.Client = operate.Dial(d.path(".sock"))
+	d.Client = adminapi.Dial(d.path(".sock"))
 	for _, to := range []*string{&d.listen, &d.mgmt, &d.serve} {
 		var err error
 		if *to, err = address.Free(); err != nil {
--- a/internal/lab/fleetlab/measure.go
+++ b/internal/lab/fleetlab/measure.go
@@ -8,10 +8,10 @@
 	"sync"
 	"time"
 
-	"birchmoor/internal/discovery"
+	"birchmoor/internal/dataplane/discovery"
 	"birchmoor/internal/store"
 	"birchmoor/internal/store/admin"
-	"birchmoor/internal/store/policy"
+	"birchmoor/internal/store/serverstate"
 
 	"github.com/fxamacker/cbor/v2"
 )
@@ -305,15 +305,15 @@
 	if !d.follower {
 		return r, fmt.Errorf("it is measured of a follower, and there is none")
 	}
-	mark, err := cbor.Marshal(policy.Mark{By: "lab"})
+	mark, err := cbor.Marshal(serverstate.Mark{By: "lab"})
 	if err != nil {
 		return r, err
 	}
 	for at := 0; at < servers; at += 100 {
 		t := &store.Txn{}
 		for i := at; i < min(at+100, servers); i++ {
-			p := policy.Process{ID: fmt.Sprintf("far-%05d", i), Addr: fmt.Sprintf("127.0.0.1:%d", 1+i%60000), StartedMs: int64(1 + i)}
-			t.Then = append(t.Then, store.Op{Key: policy.Key(policy.Drain, p.Server()), Value: mark})
+			p := serverstate.Process{ID: fmt.Sprintf("far-%05d", i), Addr: fmt.Sprintf("127.0.0.1:%d", 1+i%60000), StartedMs: int64(1 + i)}
+			t.Then = append(t.Then, store.Op{Key: serverstate.Key(serverstate.Drain, p.Server()), Value: mark})
 		}
 		if _, err := f.Daemons[0].Client.Change(ctx, admin.Request{ID: store.RequestID{Client: 1 << 41, Seq: uint64(at + 1)}, Txn: t}); err != nil {
 			return r, err
--- a/internal/lab/leasemodel/model.go
+++ b/internal/lab/leasemodel/model.go
@@ -8,7 +8,7 @@
 	"fmt"
 	"hash/maphash"
 
-	"birchmoor/internal/lease"
+	"birchmoor/internal/controlplane/lease"
 )
 
 // Time is in units of a tick's tenth: a slow clock gains 10 a tick, a fast one 12, the rates' bound being a fifth.
--- a/internal/lab/leasemodel/model_test.go
+++ b/internal/lab/leasemodel/model_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"birchmoor/internal/lease"
+	"birchmoor/internal/controlplane/lease"
 )
 
 // each calls f with every choice of whose clock is fast.
--- a/internal/lab/limitlab/judge.go
+++ b/internal/lab/limitlab/judge.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"birchmoor/internal/limit"
+	"birchmoor/internal/controlplane/quota"
 )
 
 // Judge is the servers: it counts what comes, by limit and part, on one clock, and knows of limits what their file says and the formula of
@@ -17,8 +17,8 @@
 // hears a little later.
 type Judge struct {
 	begun time.Time
-	conf  *limit.Conf
-	match *limit.Matcher
+	conf  *quota.Conf
+	match *quota.Matcher
 	skew  float64
 	late  time.Duration
 	hosts int
@@ -54,7 +54,7 @@
 
 // row is one part of one limit.
 type row struct {
-	l      *limit.Limit
+	l      *quota.Limit
 	node   int
 	at     []time.Duration   // of the last windows
 	open   map[*request]bool // AtOnce: those that are there
@@ -64,8 +64,8 @@
 	broken string
 }
 
-func newJudge(conf *limit.Conf, hosts int) *Judge {
-	j := &Judge{begun: time.Now(), conf: conf, match: limit.NewMatcher(conf), skew: 0.02, late: lateMost, hosts: hosts, rows: map[string]*row{}, seen: map[string]*request{}}
+func newJudge(conf *quota.Conf, hosts int) *Judge {
+	j := &Judge{begun: time.Now(), conf: conf, match: quota.NewMatcher(conf), skew: 0.02, late: lateMost, hosts: hosts, rows: map[string]*row{}, seen: map[string]*request{}}
 	for _, l := range conf.Limits {
 		for i := range l.Nodes {
 			j.rows[l.Key(i)] = &row{l: l, node: i, open: map[*request]bool{}}
@@ -78,7 +78,7 @@
 // what a request may be late.
 func (r *row) window(late time.Duration, skew float64, away int) (time.Duration, float64) {
 	length := 4 * time.Second
-	if r.l.Kind == limit.Window {
+	if r.l.Kind == quota.Window {
 		length = max(time.Duration(r.l.Span)-late, late)
 		bound, _ := r.l.Bound(r.node, int64(length), int64(late), skew, away)
 		return length, bound
@@ -89,7 +89,7 @@
 
 // ServeHTTP takes a request as a server does, and takes a while with what is limited at once.
 func (j *Judge) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	q := limit.Request{Class: "look", Path: r.URL.Path, Header: r.Header.Get}
+	q := quota.Request{Class: "look", Path: r.URL.Path, Header: r.Header.Get}
 	id := r.Header.Get("X-Trace-Id")
 	j.mu.Lock()
 	x := j.seen[id]
@@ -111,11 +111,11 @@
 			if first {
 				row.count++
 			}
-			if row.l.Kind == limit.AtOnce {
+			if row.l.Kind == quota.AtOnce {
 				row.open[x] = true
 				held = append(held, row)
 			}
-			if first || row.l.Kind == limit.AtOnce {
+			if first || row.l.Kind == quota.AtOnce {
 				j.look(row, time.Since(j.begun))
 			}
 			if at == 0 {
@@ -144,14 +144,14 @@
 func (j *Judge) look(r *row, now time.Duration) {
 	length, bound := r.window(j.late, j.skew, j.hosts)
 	n := float64(len(r.open))
-	if r.l.Kind != limit.AtOnce {
+	if r.l.Kind != quota.AtOnce {
 		r.at = append(r.at, now)
 		for r.at[0] <= now-length {
 			r.at = r.at[1:]
 		}
 		n = float64(len(r.at))
 	}
-	if r.l.Kind == limit.AtOnce && n > bound {
+	if r.l.Kind == quota.AtOnce && n > bound {
 		c := crowd{row: r, at: now}
 		for x := range r.open {
 			c.who = append(c.who, x)
@@ -195,7 +195,7 @@
 				n++
 			}
 		}
-		bound := float64(r.l.Nodes[r.node].Most) / float64(limit.One)
+		bound := float64(r.l.Nodes[r.node].Most) / float64(quota.One)
 		r.most = max(r.most, float64(n))
 		r.near = max(r.near, float64(n)/bound)
 		if float64(n) > bound && r.broken == "" {
--- a/internal/lab/limitlab/judge_test.go
+++ b/internal/lab/limitlab/judge_test.go
@@ -10,12 +10,12 @@
 	"testing/synctest"
 	"time"
 
-	"birchmoor/internal/limit"
+	"birchmoor/internal/controlplane/quota"
 )
 
 // The servers find a limit passed, in the whole or a part; a request that is tried twice counts once, and one that was given up is not there.
 func TestServersJudge(t *testing.T) {
-	conf, err := limit.Read("limits.toml", []byte(Limits))
+	conf, err := quota.Read("limits.toml", []byte(Limits))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/limitsim/faults.go
+++ b/internal/lab/limitsim/faults.go
@@ -1,8 +1,8 @@
 package limitsim
 
 import (
-	"birchmoor/internal/lease"
-	"birchmoor/internal/limit"
+	"birchmoor/internal/controlplane/lease"
+	"birchmoor/internal/controlplane/quota"
 )
 
 // Fault is one that can be planted.
@@ -17,16 +17,16 @@
 var Faults = []Fault{
 	{"entitled-from-answer", Plant{Session: lease.FromAnswer}, "a process counts its time from the answer's arrival"},
 	{"no-rate-margin", Plant{Session: lease.NoSkew}, "clocks are taken to run at one rate"},
-	{"use-after-end", Plant{Limit: limit.UseAfterEnd}, "shares are used after the session's end"},
-	{"full-at-start", Plant{Limit: limit.FullAtStart}, "what was spent is forgotten by a start: a new process's shares begin full"},
-	{"refund-twice", Plant{Limit: limit.RefundTwice}, "what never ran is given back twice"},
-	{"aligned-window", Plant{Limit: limit.AlignedWindow}, "windows begin at multiples of their length"},
-	{"open-without-end", Plant{Limit: limit.NoEnd}, "a process out of reach goes on for as long as it likes"},
-	{"seen-early", Plant{Limit: limit.EarlySeen}, "a smaller share is told as seen before it is gone by"},
-	{"given-unseen", Plant{Limit: limit.GivenUnseen}, "a share made smaller counts as small at once"},
-	{"given-before-end", Plant{Limit: limit.GivenBefore}, "a process that says nothing for a while counts as gone"},
-	{"nothing-lingers", Plant{Limit: limit.NoLinger}, "what the gone have begun does not count"},
-	{"one-level", Plant{Limit: limit.RootAlone}, "the whole is looked at, and its parts are not"},
-	{"not-taken-over", Plant{Limit: limit.NotTakenOver}, "who divides next does not count what others gave"},
-	{"rounded-up", Plant{Limit: limit.RoundUp}, "shares are rounded up"},
+	{"use-after-end", Plant{Limit: quota.UseAfterEnd}, "shares are used after the session's end"},
+	{"full-at-start", Plant{Limit: quota.FullAtStart}, "what was spent is forgotten by a start: a new process's shares begin full"},
+	{"refund-twice", Plant{Limit: quota.RefundTwice}, "what never ran is given back twice"},
+	{"aligned-window", Plant{Limit: quota.AlignedWindow}, "windows begin at multiples of their length"},
+	{"open-without-end", Plant{Limit: quota.NoEnd}, "a process out of reach goes on for as long as it likes"},
+	{"seen-early", Plant{Limit: quota.EarlySeen}, "a smaller share is told as seen before it is gone by"},
+	{"given-unseen", Plant{Limit: quota.GivenUnseen}, "a share made smaller counts as small at once"},
+	{"given-before-end", Plant{Limit: quota.GivenBefore}, "a process that says nothing for a while counts as gone"},
+	{"nothing-lingers", Plant{Limit: quota.NoLinger}, "what the gone have begun does not count"},
+	{"one-level", Plant{Limit: quota.RootAlone}, "the whole is looked at, and its parts are not"},
+	{"not-taken-over", Plant{Limit: quota.NotTakenOver}, "who divides next does not count what others gave"},
+	{"rounded-up", Plant{Limit: quota.RoundUp}, "shares are rounded up"},
 }
--- a/internal/lab/limitsim/limitsim.go
+++ b/internal/lab/limitsim/limitsim.go
@@ -12,9 +12,9 @@
 	"fmt"
 	"math/rand/v2"
 
+	"birchmoor/internal/controlplane/lease"
+	"birchmoor/internal/controlplane/quota"
 	"birchmoor/internal/lab/evq"
-	"birchmoor/internal/lease"
-	"birchmoor/internal/limit"
 	"birchmoor/internal/store"
 )
 
@@ -32,7 +32,7 @@
 
 // Plant is a fault that is put in.
 type Plant struct {
-	Limit   limit.Plant
+	Limit   quota.Plant
 	Session lease.Plant
 }
 
@@ -79,8 +79,8 @@
 	fast      float64 // the fastest clock, by true time
 	timers    map[uint64]int64
 	away      bool
-	conf      *limit.Conf
-	match     *limit.Matcher
+	conf      *quota.Conf
+	match     *quota.Matcher
 	nodes     []*proc
 	judges    map[string]*judge
 	clean     bool
@@ -152,7 +152,7 @@
 // sum says of what use the rate limit is, and what limits cost the store, of the time before.
 func (w *world) sum() {
 	seconds := float64(calmFor/2) / float64(second)
-	w.r.Use = float64(w.got) / max(1, min(float64(w.want), seconds*float64(w.conf.Limits[0].Nodes[0].Most)/float64(limit.One)))
+	w.r.Use = float64(w.got) / max(1, min(float64(w.want), seconds*float64(w.conf.Limits[0].Nodes[0].Most)/float64(quota.One)))
 	w.r.EntriesS, w.r.BytesS = float64(w.r.Entries)/seconds, float64(w.r.Bytes)/seconds
 }
 
@@ -166,21 +166,21 @@
 // begin makes limits whose amounts grow with the fleet, and its processes.
 func (w *world) begin() {
 	n := int64(w.o.Sidecars)
-	a := func(of float64) limit.Amount { return limit.Amount(of * float64(n) * float64(limit.One)) }
-	w.conf = &limit.Conf{Version: 1, Limits: []*limit.Limit{
-		{Name: "rate", Gen: 1, Kind: limit.Rate, Of: limit.Requests, Span: 100e6, Without: limit.Strict, Paths: []string{"/rate"}, By: []string{"header:org", "header:agency"},
-			Nodes: []limit.Node{{Most: a(60), Weight: 1}, {Path: "a", Most: a(30), Least: a(12), Weight: 2}, {Path: "b", Most: a(36), Weight: 1},
+	a := func(of float64) quota.Amount { return quota.Amount(of * float64(n) * float64(quota.One)) }
+	w.conf = &quota.Conf{Version: 1, Limits: []*quota.Limit{
+		{Name: "rate", Gen: 1, Kind: quota.Rate, Of: quota.Requests, Span: 100e6, Without: quota.Strict, Paths: []string{"/rate"}, By: []string{"header:org", "header:agency"},
+			Nodes: []quota.Node{{Most: a(60), Weight: 1}, {Path: "a", Most: a(30), Least: a(12), Weight: 2}, {Path: "b", Most: a(36), Weight: 1},
 				{Path: "a/x", Parent: 1, Most: a(16), Least: a(3), Weight: 1}}},
-		{Name: "window", Gen: 1, Kind: limit.Window, Of: limit.Requests, Span: 1500e6, Without: limit.Strict, Paths: []string{"/window"}, Nodes: []limit.Node{{Most: a(12), Weight: 1}}},
-		{Name: "held", Gen: 1, Kind: limit.AtOnce, Of: limit.Requests, Span: 150e6, Without: limit.Strict, Paths: []string{"/held"}, Nodes: []limit.Node{{Most: a(3), Weight: 1}}},
-		{Name: "slow", Gen: 1, Kind: limit.Rate, Of: limit.Requests, Span: 1e9, Without: limit.Strict, Paths: []string{"/slow"}, Nodes: []limit.Node{{Most: a(6), Weight: 1}}},
-		{Name: "fair", Gen: 1, Kind: limit.Rate, Of: limit.Requests, Span: 100e6, Without: limit.Fair, Part: 0.5, Hosts: w.o.Sidecars, Paths: []string{"/fair"}, Nodes: []limit.Node{{Most: a(8), Weight: 1}}},
-		{Name: "open", Gen: 1, Kind: limit.Rate, Of: limit.Requests, Span: 500e6, Without: limit.Open, For: 300e6, Paths: []string{"/open"}, Nodes: []limit.Node{{Most: a(6), Weight: 1}}},
+		{Name: "window", Gen: 1, Kind: quota.Window, Of: quota.Requests, Span: 1500e6, Without: quota.Strict, Paths: []string{"/window"}, Nodes: []quota.Node{{Most: a(12), Weight: 1}}},
+		{Name: "held", Gen: 1, Kind: quota.AtOnce, Of: quota.Requests, Span: 150e6, Without: quota.Strict, Paths: []string{"/held"}, Nodes: []quota.Node{{Most: a(3), Weight: 1}}},
+		{Name: "slow", Gen: 1, Kind: quota.Rate, Of: quota.Requests, Span: 1e9, Without: quota.Strict, Paths: []string{"/slow"}, Nodes: []quota.Node{{Most: a(6), Weight: 1}}},
+		{Name: "fair", Gen: 1, Kind: quota.Rate, Of: quota.Requests, Span: 100e6, Without: quota.Fair, Part: 0.5, Hosts: w.o.Sidecars, Paths: []string{"/fair"}, Nodes: []quota.Node{{Most: a(8), Weight: 1}}},
+		{Name: "open", Gen: 1, Kind: quota.Rate, Of: quota.Requests, Span: 500e6, Without: quota.Open, For: 300e6, Paths: []string{"/open"}, Nodes: []quota.Node{{Most: a(6), Weight: 1}}},
 	}}
 	if err := w.conf.Check(); err != nil {
 		panic(err)
 	}
-	w.match = limit.NewMatcher(w.conf)
+	w.match = quota.NewMatcher(w.conf)
 	for _, l := range w.conf.Limits {
 		for i := range l.Nodes {
 			w.judges[l.Key(i)] = newJudge(l, i, w.fast)
@@ -354,7 +354,7 @@
 
 // judge holds one node of a limit against what comes to servers, in true time.
 type judge struct {
-	l      *limit.Limit
+	l      *quota.Limit
 	node   int
 	most   float64
 	near   float64
@@ -372,8 +372,8 @@
 	of float64
 }
 
-func newJudge(l *limit.Limit, node int, fast float64) *judge {
-	of := float64(l.Nodes[node].Most) / float64(limit.One)
+func newJudge(l *quota.Limit, node int, fast float64) *judge {
+	of := float64(l.Nodes[node].Most) / float64(quota.One)
 	j := &judge{l: l, node: node, most: of, burst: of * float64(l.Span) / 1e9, rate: of * fast}
 	j.level = j.burst
 	return j
@@ -382,19 +382,19 @@
 // seen takes a request, and says what it breaks.
 func (j *judge) seen(now int64, of float64) string {
 	switch j.l.Kind {
-	case limit.Rate:
+	case quota.Rate:
 		j.level = min(j.burst, j.level+j.rate*float64(now-j.at)/float64(second)) - of
 		j.at = now
 		j.near = max(j.near, 1-j.level/j.burst)
 		allowed := 0.0
-		if j.l.Without == limit.Fair { // a second bucket, of the part
+		if j.l.Without == quota.Fair { // a second bucket, of the part
 			allowed = j.l.Part
 			if j.level < 0 {
 				j.passed = max(j.passed, -j.level/j.most)
 			}
 			j.near = 0
 		}
-		if j.l.Without == limit.Open {
+		if j.l.Without == quota.Open {
 			j.near = 0
 			return ""
 		}
@@ -413,7 +413,7 @@
 		if j.level < -1e-6 {
 			return fmt.Sprintf("%.2f more than %g a second and %g at once", -j.level, j.most, j.burst)
 		}
-	case limit.Window:
+	case quota.Window:
 		j.log, j.sum = append(j.log, seen{now, of}), j.sum+of
 		for j.log[0].at <= now-j.l.Span/1000 {
 			j.sum -= j.log[0].of
@@ -441,8 +441,8 @@
 }
 
 // come is a request that servers see.
-func (w *world) come(p *proc, c limit.Charge) {
-	of := float64(c.Amount) / float64(limit.One)
+func (w *world) come(p *proc, c quota.Charge) {
+	of := float64(c.Amount) / float64(quota.One)
 	w.r.Let++
 	for at := c.Node; ; at = c.Limit.Nodes[at].Parent {
 		j := w.judges[c.Limit.Key(at)]
@@ -453,7 +453,7 @@
 			break
 		}
 	}
-	if since, is := w.open[p.name]; is && c.Limit.Without == limit.Open {
+	if since, is := w.open[p.name]; is && c.Limit.Without == quota.Open {
 		// Its session and the time for which it may go on are over, by the slowest clock.
 		if over := int64((float64(ttl)*float64(milli) + float64(c.Limit.For)/1000) * w.fast); w.q.Now()-since > over+milli {
 			w.broken("open without end", "%s lets through %d ms after it was cut off", p.name, (w.q.Now()-since)/milli)
@@ -461,9 +461,9 @@
 	}
 }
 
-func (w *world) gone(c limit.Charge) {
+func (w *world) gone(c quota.Charge) {
 	for at := c.Node; ; at = c.Limit.Nodes[at].Parent {
-		w.judges[c.Limit.Key(at)].held -= float64(c.Amount) / float64(limit.One)
+		w.judges[c.Limit.Key(at)].held -= float64(c.Amount) / float64(quota.One)
 		if at == 0 {
 			return
 		}
--- a/internal/lab/limitsim/proc.go
+++ b/internal/lab/limitsim/proc.go
@@ -4,8 +4,8 @@
 	"errors"
 	"fmt"
 
-	"birchmoor/internal/lease"
-	"birchmoor/internal/limit"
+	"birchmoor/internal/controlplane/lease"
+	"birchmoor/internal/controlplane/quota"
 	"birchmoor/internal/store"
 )
 
@@ -22,8 +22,8 @@
 	deaf    int64 // until when what it is sent is lost
 	session *lease.Session
 	table   *lease.Table
-	holder  *limit.Holder
-	divider *limit.Divider
+	holder  *quota.Holder
+	divider *quota.Divider
 	seen    uint64 // revision of its copy
 	seq     uint64
 	telling bool
@@ -43,7 +43,7 @@
 func (w *world) processes() int {
 	if at := w.state.Revision(); w.countedAt != at {
 		w.countedAt, w.counted = at, 0
-		w.state.Range(limit.NeedPrefix, store.PrefixEnd(limit.NeedPrefix), func(store.Item) bool { w.counted++; return true })
+		w.state.Range(quota.NeedPrefix, store.PrefixEnd(quota.NeedPrefix), func(store.Item) bool { w.counted++; return true })
 	}
 	return w.counted
 }
@@ -57,8 +57,8 @@
 	p.pace, p.origin, p.stopped = 1/w.fast+(w.fast-1/w.fast)*w.rng.Float64(), w.q.Now()-w.rng.Int64N(3600*second), 0
 	p.session = lease.NewSession(lease.Rules{TTL: ttl * 1e6, Skew: skew, Margin: 2e6}, w.o.Plant.Session)
 	p.table = lease.NewTable(lease.TableNone)
-	rules := limit.Rules{Skew: skew, Tell: 50e6, Each: 2e6}
-	p.holder, p.divider = limit.NewHolder(rules, w.o.Plant.Limit), limit.NewDivider(rules, w.o.Plant.Limit)
+	rules := quota.Rules{Skew: skew, Tell: 50e6, Each: 2e6}
+	p.holder, p.divider = quota.NewHolder(rules, w.o.Plant.Limit), quota.NewDivider(rules, w.o.Plant.Limit)
 	p.holder.SetConf(p.now(), w.conf)
 	p.divider.SetConf(w.conf)
 	p.seen, p.telling, p.place, p.putAt, p.divides, p.busy = 0, false, "", 0, false, false
@@ -212,10 +212,10 @@
 	p.step(long, p.copy)
 }
 
-func (p *proc) me() limit.Process { return limit.Process{Host: p.name, Session: p.session.ID()} }
+func (p *proc) me() quota.Process { return quota.Process{Host: p.name, Session: p.session.ID()} }
 
 func (p *proc) granted(i store.Item) {
-	g, err := limit.DecodeGrant(i.Value)
+	g, err := quota.DecodeGrant(i.Value)
 	if err != nil {
 		panic(err)
 	}
@@ -232,7 +232,7 @@
 	p.telling = true
 	p.holder.Told(p.now(), n)
 	me := p.me()
-	p.send(store.Command{Txn: &store.Txn{Owner: p.name, Then: []store.Op{{Key: me.NeedKey(), Value: limit.Encode(n), Lease: me.Session}}}}, func(_ store.Result, err error) {
+	p.send(store.Command{Txn: &store.Txn{Owner: p.name, Then: []store.Op{{Key: me.NeedKey(), Value: quota.Encode(n), Lease: me.Session}}}}, func(_ store.Result, err error) {
 		if p.telling = false; err != nil {
 			p.holder.Untold()
 		}
@@ -280,7 +280,7 @@
 	w.r.Turns++
 	p.busy = true
 	t := &store.Txn{If: append([]store.Compare{{Key: p.place, Modified: token}}, v.If...), Then: v.Then}
-	if w.o.Plant.Limit == limit.TurnUnchecked {
+	if w.o.Plant.Limit == quota.TurnUnchecked {
 		t.If = nil
 	}
 	p.send(store.Command{Txn: t}, func(store.Result, error) { p.busy = false })
@@ -321,7 +321,7 @@
 func (p *proc) ask(path string) bool {
 	w := p.w
 	w.r.Asked++
-	r := limit.Request{Path: path}
+	r := quota.Request{Path: path}
 	org, agency := []string{"a", "a", "b"}[w.rng.IntN(3)], []string{"x", "x", "y"}[w.rng.IntN(3)]
 	r.Header = func(name string) string {
 		if name == "org" {
@@ -347,11 +347,11 @@
 		return true
 	}
 	for _, c := range charges {
-		if _, there := w.state.Lease(p.session.ID()); !there && c.Limit.Without == limit.Strict {
+		if _, there := w.state.Lease(p.session.ID()); !there && c.Limit.Without == quota.Strict {
 			w.broken("used after its end", "%s lets through by a session that the store has ended", p.name)
 		}
 		w.come(p, c)
-		if c.Limit.Kind == limit.AtOnce {
+		if c.Limit.Kind == quota.AtOnce {
 			long := c.Limit.Span / 1000 * int64(40+w.rng.IntN(60)) / 100
 			w.q.After(long, func() { w.gone(c) }) // at the server, whatever becomes of the process
 			p.step(long, func() { p.holder.Done(p.now(), t) })
--- a/internal/lab/referee/referee_test.go
+++ b/internal/lab/referee/referee_test.go
@@ -195,7 +195,7 @@
 		t.Fatal(err)
 	}
 	for _, p := range strings.Fields(string(out)) {
-		if p == "birchmoor/balancer" || p == "birchmoor/internal/core" || p == "birchmoor/internal/sidecar" {
+		if p == "birchmoor/balancer" || p == "birchmoor/internal/dataplane/core" || p == "birchmoor/internal/dataplane/sidecar" {
 			t.Errorf("the referee imports %s", p)
 		}
 	}
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -446,7 +446,7 @@
 	if err != nil {
 		return "", err
 	}
-	path := filepath.Join(filepath.Dir(self), "dunlinsail")
+	path := filepath.Join(filepath.Dir(self), "sidecar")
 	if _, err := os.Stat(path); err != nil {
 		return "", fmt.Errorf("the sidecar program is not beside this one (%s): build it with go build -o bin/ ./cmd/..., or name it with --bin", path)
 	}
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -18,19 +18,19 @@
 	"time"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/config"
-	"birchmoor/internal/control"
-	"birchmoor/internal/core"
-	"birchmoor/internal/daemon"
-	"birchmoor/internal/discovery"
+	"birchmoor/internal/controlplane"
+	"birchmoor/internal/controlplane/daemon"
+	"birchmoor/internal/controlplane/lease"
+	"birchmoor/internal/controlplane/leasetask"
+	"birchmoor/internal/controlplane/operatorconfig"
+	"birchmoor/internal/dataplane/core"
+	"birchmoor/internal/dataplane/discovery"
 	"birchmoor/internal/lab/relay"
-	"birchmoor/internal/lease"
-	"birchmoor/internal/operator"
-	"birchmoor/internal/snapshot"
+	"birchmoor/internal/platform/config"
+	"birchmoor/internal/platform/snapshot"
 	"birchmoor/internal/store"
-	"birchmoor/internal/store/meter"
-	"birchmoor/internal/store/policy"
-	"birchmoor/internal/tasks"
+	"birchmoor/internal/store/serverstate"
+	"birchmoor/internal/store/usage"
 )
 
 // Spec is what a process of the run is told in a file: hollow sidecars, or the links of a zone.
@@ -73,7 +73,7 @@
 	ID    uint64         `json:",omitempty"` // of the order that it answers
 	Ready []string       `json:",omitempty"` // where links listen
 	Look  *looked        `json:",omitempty"`
-	Read  *meter.Reading `json:",omitempty"` // of all its sidecars together
+	Read  *usage.Reading `json:",omitempty"` // of all its sidecars together
 	Error string         `json:",omitempty"`
 	Set   *inForce       `json:",omitempty"`
 }
@@ -98,7 +98,7 @@
 
 // Plant is what builds for tests do wrong in hollow sidecars; no other sets it.
 type Plant struct {
-	control.Plant
+	controlplane.Plant
 	Twice bool // each has a second session
 	All   bool // each puts its picture once more for each daemon that there is
 	Told  bool // each is told of all pictures
@@ -233,7 +233,7 @@
 		}
 		return word{Look: l}
 	case "read":
-		sum := (*meter.Meter)(nil).Read()
+		sum := (*usage.Meter)(nil).Read()
 		sum.Seconds = time.Since(c.begun).Seconds()
 		for _, h := range c.all {
 			h.mu.Lock()
@@ -289,15 +289,15 @@
 	name string
 
 	mu       sync.Mutex
-	parts    *control.Parts // nil while it does not run
-	presence *tasks.Presence
+	parts    *controlplane.Parts // nil while it does not run
+	presence *leasetask.Presence
 	cancel   context.CancelFunc
 	working  sync.WaitGroup
 	mark     int
 	words    uint64
 	rng      *rand.Rand
 	list     map[string]discovery.Instance // as discovery tells it
-	past     meter.Reading                 // of its earlier processes
+	past     usage.Reading                 // of its earlier processes
 }
 
 // begin starts its parts by the function that starts those of a daemon, and gives them what a sidecar would.
@@ -322,7 +322,7 @@
 	if err := os.WriteFile(path, []byte(text+more), 0o600); err != nil {
 		return err
 	}
-	f, err := operator.Read(path)
+	f, err := operatorconfig.Read(path)
 	if err != nil {
 		return err
 	}
@@ -345,7 +345,7 @@
 		return err
 	}
 	log := h.c.log.With("sidecar", h.name)
-	p, err := control.Open(control.Config{File: f, Sidecar: h.name, Check: read, Log: log, Plant: h.c.plant.Plant})
+	p, err := controlplane.Open(controlplane.Config{File: f, Sidecar: h.name, Check: read, Log: log, Plant: h.c.plant.Plant})
 	if err != nil {
 		return err
 	}
@@ -401,9 +401,9 @@
 }
 
 // add adds what one meter counted to a sum; the process is not theirs.
-func add(sum, r *meter.Reading) {
+func add(sum, r *usage.Reading) {
 	if len(sum.Purposes) == 0 {
-		sum.Purposes, sum.Written = make([]meter.Flow, len(r.Purposes)), make([]meter.Written, len(r.Written))
+		sum.Purposes, sum.Written = make([]usage.Flow, len(r.Purposes)), make([]usage.Written, len(r.Written))
 	}
 	for i, f := range r.Purposes {
 		s := &sum.Purposes[i]
@@ -468,7 +468,7 @@
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			if _, err := p.Store.Do(ctx, store.Command{Txn: policy.Picture{By: h.name, Known: known}.Put(policy.PictureKey(h.name, ""))}); err != nil {
+			if _, err := p.Store.Do(ctx, store.Command{Txn: serverstate.Picture{By: h.name, Known: known}.Put(serverstate.PictureKey(h.name, ""))}); err != nil {
 				h.c.log.Error("a picture that is planted is not put", "sidecar", h.name, "error", err)
 			}
 		})
@@ -523,7 +523,7 @@
 }
 
 // settings goes over to those of the fleet, as a sidecar does that is told of them.
-func (h *hollow) settings(ctx context.Context, p *control.Parts, read func(json.RawMessage) error) {
+func (h *hollow) settings(ctx context.Context, p *controlplane.Parts, read func(json.RawMessage) error) {
 	for first := true; ; first = false {
 		if !first {
 			select {
@@ -552,7 +552,7 @@
 }
 
 // ask is the demand for limits: it moves by the seed every half minute.
-func (h *hollow) ask(ctx context.Context, p *control.Parts) {
+func (h *hollow) ask(ctx context.Context, p *controlplane.Parts) {
 	rng := rand.New(rand.NewPCG(h.Seed, 2))
 	none := func(string) string { return "" }
 	for next := asking(rng); ; {
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"birchmoor/internal/store/meter"
+	"birchmoor/internal/store/usage"
 )
 
 // Roles by which a run counts apart. A replica is leader or voter by who leads at the time; the one that divides limits counts as
@@ -44,8 +44,8 @@
 	cancel context.CancelFunc
 	done   chan struct{}
 
-	last    map[string]meter.Reading // by process
-	firsts  map[string]meter.Reading
+	last    map[string]usage.Reading // by process
+	firsts  map[string]usage.Reading
 	samples map[string]map[string][]sample
 	at      time.Time
 	cpu     [2]uint64 // of the machine, busy and all, at the beginning
@@ -83,7 +83,7 @@
 // begin begins to count; end ends it.
 func (s *sampler) begin(ctx context.Context) {
 	ctx, s.cancel = context.WithCancel(ctx)
-	s.done, s.last, s.firsts, s.samples = make(chan struct{}), map[string]meter.Reading{}, map[string]meter.Reading{}, map[string]map[string][]sample{}
+	s.done, s.last, s.firsts, s.samples = make(chan struct{}), map[string]usage.Reading{}, map[string]usage.Reading{}, map[string]map[string][]sample{}
 	s.at, s.lead = time.Now(), -1
 	s.cpu, s.first, s.stored = machine(), stored{}, stored{}
 	s.sentAt = time.Time{}
@@ -114,7 +114,7 @@
 	r := s.r
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	took := map[string]meter.Reading{}
+	took := map[string]usage.Reading{}
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
 	for i, d := range r.fleet.Daemons {
@@ -217,7 +217,7 @@
 }
 
 // add counts what a process did between two readings, for each of so many sidecars.
-func (s *sampler) add(role string, was, now meter.Reading, before bool, of float64) {
+func (s *sampler) add(role string, was, now usage.Reading, before bool, of float64) {
 	const mb = 1 << 20
 	p := now.Process
 	s.put(role, "resident_mb", float64(p.ResidentBytes)/mb/of, of)
@@ -308,7 +308,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := Counts{Applied: map[string]uint64{}, In: map[string]uint64{}, Out: map[string]uint64{}, Read: map[string]uint64{}, Sent: map[string]uint64{}, RealOut: map[string]uint64{}}
-	since := func(name string, f func(now, was *meter.Flow)) (seconds float64) {
+	since := func(name string, f func(now, was *usage.Flow)) (seconds float64) {
 		was, now := s.firsts[name], s.last[name]
 		for i := range was.Purposes {
 			f(&now.Purposes[i], &was.Purposes[i])
@@ -316,7 +316,7 @@
 		return now.Seconds - was.Seconds
 	}
 	for i, d := range s.r.fleet.Daemons {
-		c.Seconds = max(c.Seconds, since(d.Name(), func(now, was *meter.Flow) {
+		c.Seconds = max(c.Seconds, since(d.Name(), func(now, was *usage.Flow) {
 			if i < s.r.o.Replicas {
 				c.Applied[now.Purpose] = max(c.Applied[now.Purpose], now.Applied-was.Applied)
 			} else {
@@ -325,7 +325,7 @@
 		}))
 	}
 	for _, p := range s.r.processes() {
-		c.Seconds = max(c.Seconds, since(p.name, func(now, was *meter.Flow) {
+		c.Seconds = max(c.Seconds, since(p.name, func(now, was *usage.Flow) {
 			c.In[now.Purpose] += now.MessagesIn - was.MessagesIn
 			c.Out[now.Purpose] += now.MessagesOut - was.MessagesOut
 			c.Read[now.Purpose] += now.BytesIn - was.BytesIn
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -14,11 +14,11 @@
 	"sync/atomic"
 	"time"
 
-	"birchmoor/internal/discovery"
+	"birchmoor/internal/controlplane/adminapi"
+	"birchmoor/internal/controlplane/quota"
+	"birchmoor/internal/dataplane/discovery"
 	"birchmoor/internal/lab/fleetlab"
 	"birchmoor/internal/lab/relay"
-	"birchmoor/internal/limit"
-	"birchmoor/internal/operate"
 	"birchmoor/internal/store"
 	"birchmoor/internal/store/admin"
 )
@@ -126,7 +126,7 @@
 	if err != nil {
 		return err
 	}
-	conf, err := limit.Read("limits", fmt.Appendf(nil, limitsText, demand*float64(o.Sidecars), 3*demand*float64(o.Sidecars)))
+	conf, err := quota.Read("limits", fmt.Appendf(nil, limitsText, demand*float64(o.Sidecars), 3*demand*float64(o.Sidecars)))
 	if err != nil {
 		return err
 	}
@@ -345,7 +345,7 @@
 	wait, cancel := context.WithTimeout(ctx, 15*time.Second)
 	defer cancel()
 	begun := time.Now()
-	_, err := d.Client.Configure(wait, operate.Config{Settings: marked(json.RawMessage(fleetlab.Settings()), r.mark), Note: fmt.Sprintf("change %d", r.mark)})
+	_, err := d.Client.Configure(wait, adminapi.Config{Settings: marked(json.RawMessage(fleetlab.Settings()), r.mark), Note: fmt.Sprintf("change %d", r.mark)})
 	if err == nil {
 		r.changes.put(r.mark, begun, time.Now())
 	}
--- a/internal/lab/scale/world.go
+++ b/internal/lab/scale/world.go
@@ -13,8 +13,8 @@
 	"strings"
 	"time"
 
-	"birchmoor/internal/discovery"
-	"birchmoor/internal/operator"
+	"birchmoor/internal/controlplane/operatorconfig"
+	"birchmoor/internal/dataplane/discovery"
 
 	"golang.org/x/sys/unix"
 )
@@ -187,7 +187,7 @@
 
 // copyMB is the live memory of a copy at the end of the run.
 func (o *Options) copyMB() float64 {
-	if o.Interest != operator.InterestAll {
+	if o.Interest != operatorconfig.InterestAll {
 		return partMB
 	}
 	return float64(o.Sidecars)*pictureMB + min(historyMB, o.runs().Seconds()*secondMB)
@@ -210,7 +210,7 @@
 	files := 0.0
 	if inMemory(o.Dir) { // each copy is written beside the one before
 		files = float64(o.Replicas) * replicaMB
-		if o.Interest == operator.InterestAll {
+		if o.Interest == operatorconfig.InterestAll {
 			files += 2 * float64(o.Sidecars) * float64(o.Sidecars) * pictureMB
 		}
 	}
@@ -238,8 +238,8 @@
 		return fmt.Errorf("--burst: %d is not within 0 and 600", o.Burst)
 	case o.Each < 1 || o.Each > 400:
 		return fmt.Errorf("--each: %d is not within 1 and 400", o.Each)
-	case o.Interest != "" && o.Interest != operator.InterestOwn && o.Interest != operator.InterestAll:
-		return fmt.Errorf("--interest: %q is not %q or %q", o.Interest, operator.InterestOwn, operator.InterestAll)
+	case o.Interest != "" && o.Interest != operatorconfig.InterestOwn && o.Interest != operatorconfig.InterestAll:
+		return fmt.Errorf("--interest: %q is not %q or %q", o.Interest, operatorconfig.InterestOwn, operatorconfig.InterestAll)
 	case o.Fault != "" && faultOf(o.Fault) == nil:
 		return fmt.Errorf("--fault: %q is none of %s", o.Fault, strings.Join(FaultNames(), ", "))
 	}
--- a/internal/lab/scenario/read.go
+++ b/internal/lab/scenario/read.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"birchmoor/internal/strict"
+	"birchmoor/internal/platform/stricttoml"
 )
 
 // most bounds what a scenario may ask for, so that a slip of the pen does not take the machine down.
@@ -37,7 +37,7 @@
 func Parse(path string, text []byte) (*Scenario, error) {
 	s := defaults()
 	s.Path = path
-	if err := strict.Decode(path, "scenarios", text, s); err != nil {
+	if err := stricttoml.Decode(path, "scenarios", text, s); err != nil {
 		return nil, err
 	}
 	s.fill()
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -8,7 +8,7 @@
 	"fmt"
 	"time"
 
-	"birchmoor/internal/strict"
+	"birchmoor/internal/platform/stricttoml"
 )
 
 // Scenario is a whole file.
@@ -273,4 +273,4 @@
 }
 
 // Error is a fault of a file.
-type Error = strict.Error
+type Error = stricttoml.Error
--- a/internal/lab/storebench/bench.go
+++ b/internal/lab/storebench/bench.go
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	"birchmoor/internal/keys"
+	"birchmoor/internal/platform/keys"
 	"birchmoor/internal/store"
 	"birchmoor/internal/store/engine"
 
--- a/internal/lab/storebench/torture.go
+++ b/internal/lab/storebench/torture.go
@@ -15,8 +15,8 @@
 	"syscall"
 	"time"
 
-	"birchmoor/internal/keys"
 	"birchmoor/internal/lab/relay"
+	"birchmoor/internal/platform/keys"
 	"birchmoor/internal/store"
 	"birchmoor/internal/store/admin"
 )
--- a/internal/lab/storesim/actors.go
+++ b/internal/lab/storesim/actors.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"birchmoor/internal/store"
-	"birchmoor/internal/store/policy"
 	"birchmoor/internal/store/replica"
+	"birchmoor/internal/store/serverstate"
 
 	"github.com/anishathalye/porcupine"
 )
@@ -290,7 +290,7 @@
 	}
 	server := fmt.Sprintf("s%d", w.rng.IntN(3))
 	if w.rng.IntN(2) == 0 {
-		op, err := h.guard.Hear(policy.Drain, server)
+		op, err := h.guard.Hear(serverstate.Drain, server)
 		if err != nil {
 			w.broken("guard", "%v", err)
 			return
@@ -302,7 +302,7 @@
 		h.look()
 		return
 	}
-	if t, err := h.guard.Return(policy.Drain, server); err == nil {
+	if t, err := h.guard.Return(serverstate.Drain, server); err == nil {
 		u.seq++
 		h.propose(store.Command{ID: store.RequestID{Client: u.id, Seq: u.seq}, Txn: t}, func(replica.Done) {})
 		h.look()
@@ -311,7 +311,7 @@
 
 // owed writes once more what a host's daemon owes the store.
 func (u *outs) owed(h *host, op store.Op) {
-	if p, ok := policy.ParseProcess(op.Key[len("out/drain/"):]); ok && p.Addr != "" {
+	if p, ok := serverstate.ParseProcess(op.Key[len("out/drain/"):]); ok && p.Addr != "" {
 		h.tell(p, op)
 	} else {
 		u.write(h, op)
--- a/internal/lab/storesim/holders.go
+++ b/internal/lab/storesim/holders.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"math/rand/v2"
 
-	"birchmoor/internal/lease"
+	"birchmoor/internal/controlplane/lease"
 	"birchmoor/internal/store"
 	"birchmoor/internal/store/replica"
 )
--- a/internal/lab/storesim/storesim.go
+++ b/internal/lab/storesim/storesim.go
@@ -20,8 +20,8 @@
 
 	"birchmoor/internal/lab/evq"
 	"birchmoor/internal/store"
-	"birchmoor/internal/store/policy"
 	"birchmoor/internal/store/replica"
+	"birchmoor/internal/store/serverstate"
 
 	"github.com/cespare/xxhash/v2"
 	"go.etcd.io/raft/v3/raftpb"
@@ -143,7 +143,7 @@
 	paused  bool
 	retired bool // its member was removed
 	joining bool
-	guard   *policy.Guard
+	guard   *serverstate.Guard
 	index   uint64
 	waits   map[replica.Token]func(replica.Done)
 	token   replica.Token
@@ -332,7 +332,7 @@
 		return
 	}
 	h.node, h.index = n, n.State().Index()
-	h.guard, h.mirror = policy.NewGuard(fmt.Sprint(h.number)), map[string]uint64{}
+	h.guard, h.mirror = serverstate.NewGuard(fmt.Sprint(h.number)), map[string]uint64{}
 	if w.o.Planted&replica.EagerReturn != 0 {
 		h.guard.PlantEagerReturn()
 	}
@@ -369,7 +369,7 @@
 	for s := range h.mirror {
 		delete(h.mirror, s)
 	}
-	h.node.State().Range(policy.Prefix, store.PrefixEnd(policy.Prefix), func(i store.Item) bool {
+	h.node.State().Range(serverstate.Prefix, store.PrefixEnd(serverstate.Prefix), func(i store.Item) bool {
 		h.mirror[i.Key] = i.Modified
 		return true
 	})
@@ -382,7 +382,7 @@
 	h.guard.Applied(e)
 	if e.Deleted {
 		delete(h.mirror, e.Item.Key)
-	} else if len(e.Item.Key) > 4 && e.Item.Key[:4] == policy.Prefix {
+	} else if len(e.Item.Key) > 4 && e.Item.Key[:4] == serverstate.Prefix {
 		h.mirror[e.Item.Key] = e.Revision
 	}
 	h.watchEvent(e)
--- a/internal/lab/storesim/watch.go
+++ b/internal/lab/storesim/watch.go
@@ -6,8 +6,8 @@
 	"strings"
 
 	"birchmoor/internal/store"
-	"birchmoor/internal/store/policy"
 	"birchmoor/internal/store/replica"
+	"birchmoor/internal/store/serverstate"
 )
 
 // Servers that drain and start anew stand beside the cluster, and count. Each host has a daemon, which hears of them from a
@@ -50,8 +50,8 @@
 	drains  bool
 }
 
-func (w *world) nameOf(server int, start int64) policy.Process {
-	return policy.Process{ID: fmt.Sprintf("slot-%d", server), Addr: fmt.Sprintf("127.0.0.1:%d", 9000+server), StartedMs: start}
+func (w *world) nameOf(server int, start int64) serverstate.Process {
+	return serverstate.Process{ID: fmt.Sprintf("slot-%d", server), Addr: fmt.Sprintf("127.0.0.1:%d", 9000+server), StartedMs: start}
 }
 
 // servers is the truth of them, and what is known of their drains as the world sees it.
@@ -101,7 +101,7 @@
 
 // watcher is a host's daemon and sidecar, for as long as the process lives.
 type watcher struct {
-	turns *policy.Turns
+	turns *serverstate.Turns
 	view  []process        // what discovery has told here
 	ears  map[string]bool  // drains that were heard here
 	late  map[string]int64 // with BindLate: since when the store says so
@@ -114,14 +114,14 @@
 
 func (h *host) beginWatch() {
 	w := h.w
-	r := policy.TurnRules{Spread: simSpread, Renew: simRenew, Keep: simKeep, Most: 64}
+	r := serverstate.TurnRules{Spread: simSpread, Renew: simRenew, Keep: simKeep, Most: 64}
 	switch w.o.Watch {
 	case EndEarly:
 		r.Keep = simKeep / 4
 	case NeverRenew:
 		r.Renew = 0
 	}
-	h.watch = &watcher{turns: policy.NewTurns(fmt.Sprint(h.number), r), ears: map[string]bool{}, late: map[string]int64{},
+	h.watch = &watcher{turns: serverstate.NewTurns(fmt.Sprint(h.number), r), ears: map[string]bool{}, late: map[string]int64{},
 		alone: map[string]bool{}, pace: 0.95 + 0.1*w.rng.Float64(), born: w.q.Now()}
 	if h.alone() {
 		return
@@ -167,12 +167,12 @@
 	}
 	t.view[server] = p
 	if was.drains && (!p.drains || p.start != was.start) {
-		key := policy.Key(policy.Drain, h.w.nameOf(server, was.start).Server())
+		key := serverstate.Key(serverstate.Drain, h.w.nameOf(server, was.start).Server())
 		t.turns.Unhear(key)
 		delete(t.ears, key)
 	}
 	if p.drains {
-		key := policy.Key(policy.Drain, h.w.nameOf(server, p.start).Server())
+		key := serverstate.Key(serverstate.Drain, h.w.nameOf(server, p.start).Server())
 		t.ears[key] = true
 		t.turns.Hear(now, key)
 	}
@@ -184,8 +184,8 @@
 	now := t.own(w.q.Now())
 	speak, end := t.turns.Due(now)
 	for _, key := range speak {
-		p, _ := policy.ParseProcess(strings.TrimPrefix(key, policy.Key(policy.Drain, "")))
-		if op, err := h.guard.Hear(policy.Drain, p.Server()); err != nil {
+		p, _ := serverstate.ParseProcess(strings.TrimPrefix(key, serverstate.Key(serverstate.Drain, "")))
+		if op, err := h.guard.Hear(serverstate.Drain, p.Server()); err != nil {
 			w.broken("guard", "%v", err)
 		} else if op != nil {
 			h.tell(p, *op)
@@ -197,8 +197,8 @@
 			w.ops[0].owed(h, op)
 		}
 		for _, key := range end {
-			server := strings.TrimPrefix(key, policy.Key(policy.Drain, ""))
-			if txn, err := h.guard.Return(policy.Drain, server); err == nil {
+			server := strings.TrimPrefix(key, serverstate.Key(serverstate.Drain, ""))
+			if txn, err := h.guard.Return(serverstate.Drain, server); err == nil {
 				if w.o.Watch == EndAlone {
 					t.alone[key] = true
 				}
@@ -218,7 +218,7 @@
 }
 
 // tell proposes a drain unless it was told since, as daemons do.
-func (h *host) tell(p policy.Process, op store.Op) {
+func (h *host) tell(p serverstate.Process, op store.Op) {
 	if !h.guard.Pending(op.Key) {
 		return
 	}
@@ -234,7 +234,7 @@
 
 // watchEvent is a change of a drain that the copy shows.
 func (h *host) watchEvent(e store.Event) {
-	p, ok := policy.ParseProcess(strings.TrimPrefix(e.Item.Key, policy.Key(policy.Drain, "")))
+	p, ok := serverstate.ParseProcess(strings.TrimPrefix(e.Item.Key, serverstate.Key(serverstate.Drain, "")))
 	if !ok || p.Addr == "" || h.watch == nil {
 		return
 	}
@@ -261,7 +261,7 @@
 		if w.o.Watch == Overwrite {
 			t.turns.Unhear(key)
 			for i := range t.view {
-				if t.view[i].drains && policy.Key(policy.Drain, w.nameOf(i, t.view[i].start).Server()) == key {
+				if t.view[i].drains && serverstate.Key(serverstate.Drain, w.nameOf(i, t.view[i].start).Server()) == key {
 					t.view[i].drains = false
 				}
 			}
@@ -287,7 +287,7 @@
 // watchAdopt takes a whole copy.
 func (h *host) watchAdopt() {
 	now := map[string]uint64{}
-	h.node.State().Range(policy.Key(policy.Drain, "slot-"), store.PrefixEnd(policy.Key(policy.Drain, "slot-")), func(i store.Item) bool {
+	h.node.State().Range(serverstate.Key(serverstate.Drain, "slot-"), store.PrefixEnd(serverstate.Key(serverstate.Drain, "slot-")), func(i store.Item) bool {
 		now[i.Key], h.acted[i.Key] = i.Modified, true
 		return true
 	})
@@ -304,8 +304,8 @@
 }
 
 // holds says whether the sidecar takes a process to drain, by others' word.
-func (h *host) holds(p policy.Process) bool {
-	t, key := h.watch, policy.Key(policy.Drain, p.Server())
+func (h *host) holds(p serverstate.Process) bool {
+	t, key := h.watch, serverstate.Key(serverstate.Drain, p.Server())
 	switch {
 	case h.w.o.Watch == EndAlone && t.alone[key]:
 		return false
@@ -321,7 +321,7 @@
 	t, w := h.watch, h.w
 	for i, v := range t.view {
 		p := w.nameOf(i, v.start)
-		key := policy.Key(policy.Drain, p.Server())
+		key := serverstate.Key(serverstate.Drain, p.Server())
 		if v.version < 0 || v.drains || h.holds(p) {
 			continue
 		}
--- a/internal/lab/tasklab/standin.go
+++ b/internal/lab/tasklab/standin.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"birchmoor/internal/lease"
+	"birchmoor/internal/controlplane/lease"
 )
 
 // Act is an action as the stand-in saw it.
--- a/internal/lab/tasklab/standin_test.go
+++ b/internal/lab/tasklab/standin_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"birchmoor/internal/lease"
+	"birchmoor/internal/controlplane/lease"
 )
 
 // The stand-in finds what it is there for: two who act at once, and a fence that lets a lower token through or forgets what it saw.
--- a/internal/lab/tasklab/torture.go
+++ b/internal/lab/tasklab/torture.go
@@ -21,8 +21,8 @@
 	"syscall"
 	"time"
 
+	"birchmoor/internal/controlplane/lease"
 	"birchmoor/internal/lab/fleetlab"
-	"birchmoor/internal/lease"
 )
 
 // PlantEnv names a fault for programs that were built with the tag "planted".
--- a/internal/lab/told/told.go
+++ b/internal/lab/told/told.go
@@ -10,7 +10,7 @@
 
 	"birchmoor/balancer"
 	"birchmoor/internal/lab/scenario"
-	"birchmoor/internal/wire"
+	"birchmoor/internal/platform/wire"
 )
 
 // fields of a load report.
--- a/internal/boot/boot.go
+++ b/internal/platform/bootclock/boot.go
@@ -1,6 +1,6 @@
-// Package boot is the host's clock since its start, by which entitlements are counted: it goes on while the host sleeps, does not step,
+// Package bootclock is the host's clock since its start, by which entitlements are counted: it goes on while the host sleeps, does not step,
 // and is the same for all processes of a host. Clocks of two hosts are never compared.
-package boot
+package bootclock
 
 import (
 	"time"
--- a/internal/config/config.go
+++ b/internal/platform/config/config.go
@@ -12,9 +12,9 @@
 	"time"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/discovery"
-	"birchmoor/internal/mgmt"
-	"birchmoor/internal/wire"
+	"birchmoor/internal/dataplane/discovery"
+	"birchmoor/internal/platform/management"
+	"birchmoor/internal/platform/wire"
 )
 
 // Config is what a sidecar is told at its start.
@@ -63,7 +63,7 @@
 // ownSockets are kept for what is neither a client's nor an endpoint's: standard streams, the listeners, the
 // runtime, calls of discovery, files, and operators' calls. Idle clients may fill the descriptors while discovery is down: the
 // part of clients is theirs, and what is kept for the others nobody's.
-const ownSockets = 20 + mgmt.MostConns
+const ownSockets = 20 + management.MostConns
 
 // ClientConns is how many connections of clients may be open. The other half is for connections to endpoints:
 // an open request has one of each, and probes and second attempts want more. Part is this process's part of the
--- a/internal/config/config_test.go
+++ b/internal/platform/config/config_test.go
@@ -6,16 +6,16 @@
 	"strings"
 	"testing"
 
-	"birchmoor/internal/config"
-	"birchmoor/internal/mgmt"
-	"birchmoor/internal/sidetest"
+	"birchmoor/internal/platform/config"
+	"birchmoor/internal/platform/management"
+	"birchmoor/internal/testutil/sidecartest"
 )
 
 // A value that makes no sense stops the start with a message that names its key.
 func TestConfigErrors(t *testing.T) {
 	good := func() map[string]any {
 		return map[string]any{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1f",
-			"limits": map[string]any{}, "settings": json.RawMessage(sidetest.Settings)}
+			"limits": map[string]any{}, "settings": json.RawMessage(sidecartest.Settings)}
 	}
 	none := func(string) string { return "" }
 	for _, tc := range []struct {
@@ -67,7 +67,7 @@
 		c := &config.Config{Sockets: sockets}
 		// Standard streams, two listeners, three of the runtime's, two calls of discovery and what a handover and files take.
 		const others = 3 + 2 + 3 + 2 + 10
-		if left := sockets - c.ClientConns(1) - c.UpstreamConns(1); left < others+mgmt.MostConns || c.ClientConns(1) < 1 {
+		if left := sockets - c.ClientConns(1) - c.UpstreamConns(1); left < others+management.MostConns || c.ClientConns(1) < 1 {
 			t.Errorf("of %d descriptors %d are left beside clients' and servers'", sockets, left)
 		}
 	}
--- a/internal/mgmt/mgmt.go
+++ b/internal/platform/management/mgmt.go
@@ -1,7 +1,7 @@
-// Package mgmt answers operators at the second address: one line a connection, and an answer that begins with
+// Package management answers operators at the second address: one line a connection, and an answer that begins with
 // YES or NO, or the figures and a line END. It knows nothing of requests; what it asks of the sidecar is the
 // Desk, whose calls must not wait for the data path.
-package mgmt
+package management
 
 import (
 	"bufio"
--- a/internal/mgmt/mgmt_test.go
+++ b/internal/platform/management/mgmt_test.go
@@ -1,4 +1,4 @@
-package mgmt
+package management
 
 import (
 	"bufio"
--- a/internal/recovery/recovery.go
+++ b/internal/platform/recovery/recovery.go
@@ -12,7 +12,7 @@
 	"slices"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/snapshot"
+	"birchmoor/internal/platform/snapshot"
 )
 
 // Candidate is a picture that a start may believe.
--- a/internal/recovery/recovery_test.go
+++ b/internal/platform/recovery/recovery_test.go
@@ -5,8 +5,8 @@
 	"testing"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/sidetest"
-	"birchmoor/internal/snapshot"
+	"birchmoor/internal/platform/snapshot"
+	"birchmoor/internal/testutil/sidecartest"
 )
 
 const second = balancer.Micros(1e6)
@@ -14,7 +14,7 @@
 // kept is a picture of a sidecar that knows servers: name, address, start, and since when cold (-1: warm).
 func kept(t *testing.T, sidecar string, servers ...balancer.EndpointState) *snapshot.Kept {
 	t.Helper()
-	c := sidetest.Configure(t, "127.0.0.1:1", nil)
+	c := sidecartest.Configure(t, "127.0.0.1:1", nil)
 	b, err := balancer.New(c.Settings, 1, nothing{})
 	if err != nil {
 		t.Fatal(err)
@@ -101,7 +101,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := sidetest.Configure(t, "127.0.0.1:1", nil)
+	cfg := sidecartest.Configure(t, "127.0.0.1:1", nil)
 	b, err := balancer.New(cfg.Settings, 1, nothing{})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/strict/strict.go
+++ b/internal/platform/stricttoml/strict.go
@@ -1,5 +1,5 @@
-// Package strict reads TOML files of people: unknown keys are errors, and errors name file, line and key.
-package strict
+// Package stricttoml reads TOML files of people: unknown keys are errors, and errors name file, line and key.
+package stricttoml
 
 import (
 	"bytes"
--- a/internal/store/admin/admin.go
+++ b/internal/store/admin/admin.go
@@ -15,7 +15,7 @@
 	"strconv"
 	"time"
 
-	"birchmoor/internal/keys"
+	"birchmoor/internal/platform/keys"
 	"birchmoor/internal/store"
 	"birchmoor/internal/store/engine"
 	"birchmoor/internal/store/replica"
--- a/internal/store/admin/admin_test.go
+++ b/internal/store/admin/admin_test.go
@@ -17,7 +17,7 @@
 	"birchmoor/internal/store"
 	"birchmoor/internal/store/disk"
 	"birchmoor/internal/store/engine"
-	"birchmoor/internal/store/policy"
+	"birchmoor/internal/store/serverstate"
 )
 
 // one is a replica alone with its socket, and where followers reach it.
@@ -132,7 +132,7 @@
 		t.Cleanup(func() { resp.Body.Close() })
 		return json.NewDecoder(resp.Body)
 	}
-	key := policy.Key(policy.Ban, "s")
+	key := serverstate.Key(serverstate.Ban, "s")
 	d := stream(0)
 	var l Line
 	if err := d.Decode(&l); err != nil || l.Beat == nil || l.Beat.Cluster == 0 {
--- a/internal/store/admin/outer.go
+++ b/internal/store/admin/outer.go
@@ -12,12 +12,12 @@
 	"sync"
 	"time"
 
-	"birchmoor/internal/keys"
+	"birchmoor/internal/platform/keys"
 	"birchmoor/internal/store"
+	"birchmoor/internal/store/changefeed"
 	"birchmoor/internal/store/engine"
-	"birchmoor/internal/store/feed"
-	"birchmoor/internal/store/meter"
-	"birchmoor/internal/store/policy"
+	"birchmoor/internal/store/serverstate"
+	"birchmoor/internal/store/usage"
 )
 
 // Followers are daemons without a replica of their own. They reach replicas over TCP with the cluster's keys, or plainly on
@@ -72,7 +72,7 @@
 	http    *http.Server
 	slots   chan struct{}
 	changes chan struct{}
-	feed    *feed.Feed
+	feed    *changefeed.Feed
 	stop    context.CancelFunc
 	feeding sync.WaitGroup
 
@@ -94,7 +94,7 @@
 	// Ages are how long ago pictures came here, by key.
 	Ages func() map[string]time.Duration
 	// Meter counts what followers cost; nil: nothing is counted.
-	Meter *meter.Meter
+	Meter *usage.Meter
 }
 
 // ServeFollowers serves a listener, which Close closes. Without keys it is for loopback alone.
@@ -109,13 +109,13 @@
 		stop()
 		return nil, err
 	}
-	o.feed, o.stop = feed.New(a.Revision, feed.PlantNone), stop
+	o.feed, o.stop = changefeed.New(a.Revision, changefeed.PlantNone), stop
 	o.feeding.Go(func() { o.run(ctx) })
 	m := http.NewServeMux()
-	m.HandleFunc("GET /v1/copy", o.counted(meter.Snapshots, o.copy))
-	m.HandleFunc("GET /v1/follow", o.counted(meter.Beats, o.follow))
-	m.HandleFunc("GET /v1/revision", o.counted(meter.Requests, handle(o.revision)))
-	m.HandleFunc("POST /v1/change", o.counted(meter.Other, handle(o.change)))
+	m.HandleFunc("GET /v1/copy", o.counted(usage.Snapshots, o.copy))
+	m.HandleFunc("GET /v1/follow", o.counted(usage.Beats, o.follow))
+	m.HandleFunc("GET /v1/revision", o.counted(usage.Requests, handle(o.revision)))
+	m.HandleFunc("POST /v1/change", o.counted(usage.Other, handle(o.change)))
 	o.http = &http.Server{Handler: m, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 32 << 10}
 	ln = rules.Meter.Listener(ln)
 	if pair != nil {
@@ -137,14 +137,14 @@
 
 // counted counts an answer for a purpose, which the handler may say better by answerIs, and the request that it answers. A
 // request without a body is a message of no bytes.
-func (o *Outer) counted(of meter.Purpose, h http.HandlerFunc) http.HandlerFunc {
+func (o *Outer) counted(of usage.Purpose, h http.HandlerFunc) http.HandlerFunc {
 	if o.rules.Meter == nil {
 		return h
 	}
 	return func(w http.ResponseWriter, r *http.Request) {
 		c := &countedAnswer{ResponseWriter: w, m: o.rules.Meter, of: of, messages: 1}
 		if r.Method == http.MethodGet { // others say what they are for in their bodies
-			o.rules.Meter.Count(of, meter.In, 1, 0)
+			o.rules.Meter.Count(of, usage.In, 1, 0)
 		}
 		h(c, r)
 	}
@@ -153,13 +153,13 @@
 // countedAnswer counts a message with the first bytes that are written, before they are, and the bytes of all.
 type countedAnswer struct {
 	http.ResponseWriter
-	m        *meter.Meter
-	of       meter.Purpose
+	m        *usage.Meter
+	of       usage.Purpose
 	messages int
 }
 
 func (c *countedAnswer) Write(b []byte) (int, error) {
-	c.m.Count(c.of, meter.Out, c.messages, len(b))
+	c.m.Count(c.of, usage.Out, c.messages, len(b))
 	c.messages = 0
 	return c.ResponseWriter.Write(b)
 }
@@ -167,7 +167,7 @@
 func (c *countedAnswer) Unwrap() http.ResponseWriter { return c.ResponseWriter }
 
 // answerIs says what the message is for that is written next.
-func answerIs(w http.ResponseWriter, of meter.Purpose) {
+func answerIs(w http.ResponseWriter, of usage.Purpose) {
 	if c, ok := w.(*countedAnswer); ok {
 		c.of, c.messages = of, 1
 	}
@@ -278,13 +278,13 @@
 	after uint64 // up to where it has all
 	w     http.ResponseWriter
 	c     *http.ResponseController
-	t     *feed.Teller
+	t     *changefeed.Teller
 	ages  map[string]time.Duration // that are to go with the next beat
 	told  map[string]store.Sum
 }
 
 // send writes a line, which is for a purpose.
-func (x *stream) send(of meter.Purpose, b []byte) bool {
+func (x *stream) send(of usage.Purpose, b []byte) bool {
 	answerIs(x.w, of)
 	_ = x.c.SetWriteDeadline(time.Now().Add(waitMost))
 	_, err := x.w.Write(append(b, '\n'))
@@ -293,7 +293,7 @@
 
 func (x *stream) line(l Line) bool {
 	b, err := json.Marshal(l)
-	return err == nil && x.send(meter.Beats, b)
+	return err == nil && x.send(usage.Beats, b)
 }
 
 func (x *stream) run(ctx context.Context) {
@@ -330,7 +330,7 @@
 // catchUp tells what changed between where the follower is and where its stream begins.
 func (x *stream) catchUp(ctx context.Context) bool {
 	for done := false; !done; {
-		var txns []feed.Txn
+		var txns []changefeed.Txn
 		var gone error
 		if _, err := x.o.e.View(ctx, true, func(s *store.State) { txns, done, gone = x.t.CatchUp(s, lookMost) }); err != nil {
 			return false
@@ -347,7 +347,7 @@
 }
 
 // tell sends what some revisions changed, and up to where that is all, if it is not 0.
-func (x *stream) tell(txns []feed.Txn, through uint64) bool {
+func (x *stream) tell(txns []changefeed.Txn, through uint64) bool {
 	for i, t := range txns {
 		if x.of == nil {
 			for _, c := range t.Changes {
@@ -479,7 +479,7 @@
 	command := q.command()
 	of := o.rules.Meter.CommandPurpose(&command)
 	answerIs(w, of)
-	o.rules.Meter.Count(of, meter.In, 1, int(max(0, r.ContentLength)))
+	o.rules.Meter.Count(of, usage.In, 1, int(max(0, r.ContentLength)))
 	if err != nil {
 		return nil, err
 	}
@@ -541,7 +541,7 @@
 	}
 	for _, ops := range [][]store.Op{q.Txn.Then, q.Txn.Else} {
 		for _, op := range ops {
-			if op.End != "" || !policy.Told(op.Key) && !may(op, q.Txn.Owner) || op.Lease != 0 && policy.Told(op.Key) {
+			if op.End != "" || !serverstate.Told(op.Key) && !may(op, q.Txn.Owner) || op.Lease != 0 && serverstate.Told(op.Key) {
 				return fmt.Errorf("%w: %q is not a follower's to change", ErrBad, op.Key)
 			}
 		}
--- a/internal/store/feed/feed.go
+++ b/internal/store/changefeed/feed.go
@@ -1,9 +1,9 @@
-// Package feed is how the store's changes come to copies of it, whole ones and such as hold a part: Feed is a replica's half, Copy a
+// Package changefeed is how the store's changes come to copies of it, whole ones and such as hold a part: Feed is a replica's half, Copy a
 // follower's. It is free of I/O, clocks and chance: changes, lines and copies come in, what is to be sent or asked comes out.
 //
 // What is promised (docs/design/interest.md): a copy at revision R holds of its interest what a replica held at R, key by key, and says
 // of nothing else whether it is there.
-package feed
+package changefeed
 
 import (
 	"encoding/json"
--- a/internal/store/feed/feed_test.go
+++ b/internal/store/changefeed/feed_test.go
@@ -1,4 +1,4 @@
-package feed
+package changefeed
 
 import (
 	"bytes"
--- a/internal/store/engine/engine.go
+++ b/internal/store/engine/engine.go
@@ -20,13 +20,13 @@
 	"sync/atomic"
 	"time"
 
-	"birchmoor/internal/keys"
+	"birchmoor/internal/platform/keys"
 	"birchmoor/internal/store"
 	"birchmoor/internal/store/disk"
-	"birchmoor/internal/store/meter"
 	"birchmoor/internal/store/peer"
-	"birchmoor/internal/store/policy"
 	"birchmoor/internal/store/replica"
+	"birchmoor/internal/store/serverstate"
+	"birchmoor/internal/store/usage"
 
 	"github.com/cespare/xxhash/v2"
 	"go.etcd.io/raft/v3/raftpb"
@@ -47,7 +47,7 @@
 	Log     *slog.Logger
 	Tune    func(*replica.Config) // for tests
 	Disk    disk.Options
-	Meter   *meter.Meter // of messages, entries and what is written; nil: nothing is counted
+	Meter   *usage.Meter // of messages, entries and what is written; nil: nothing is counted
 
 	// Event is told of each change in order, Reset of a whole new state, both by the loop. They must not wait.
 	Event func(store.Event)
@@ -535,7 +535,7 @@
 	if p := e.proved.Load(); p != 0 {
 		a.Proved, a.Age = true, time.Since(e.begun)-time.Duration(p)
 	}
-	a.Stale = policy.Staleness{Confirmed: a.Proved, Age: int64(a.Age), Allowed: int64(staleFor)}.Stale()
+	a.Stale = serverstate.Staleness{Confirmed: a.Proved, Age: int64(a.Age), Allowed: int64(staleFor)}.Stale()
 	return a
 }
 
--- a/internal/store/engine/engine_test.go
+++ b/internal/store/engine/engine_test.go
@@ -14,12 +14,12 @@
 	"testing"
 	"time"
 
-	"birchmoor/internal/keys"
 	"birchmoor/internal/lab/relay"
+	"birchmoor/internal/platform/keys"
 	"birchmoor/internal/store"
 	"birchmoor/internal/store/disk"
-	"birchmoor/internal/store/meter"
 	"birchmoor/internal/store/replica"
+	"birchmoor/internal/store/usage"
 )
 
 // cluster is replicas in one process, over loopback with keys.
@@ -409,31 +409,31 @@
 
 // What one replica counts as sent the other counts as received, by messages and bytes, and both count what they apply and write.
 func TestReplicasCountTheSame(t *testing.T) {
-	meters := map[string]*meter.Meter{"a": meter.New(), "b": meter.New()}
+	meters := map[string]*usage.Meter{"a": usage.New(), "b": usage.New()}
 	c := (&cluster{t: t, first: func(cfg *Config) { cfg.Meter = meters[cfg.Name] }}).begin("a", "b")
 	c.until("b", func(s Status) bool { return s.Settled && len(s.Peers) == 2 })
 	for i := range 5 {
 		_, err := c.all["b"].Do(c.ctx(), put("k", fmt.Sprint(i)))
 		c.must(err)
 	}
-	agreed := func(p meter.Purpose, a, b meter.Reading) bool {
+	agreed := func(p usage.Purpose, a, b usage.Reading) bool {
 		x, y := a.Purposes[p], b.Purposes[p]
 		return x.MessagesOut == y.MessagesIn && x.BytesOut == y.BytesIn && y.MessagesOut == x.MessagesIn && y.BytesOut == x.BytesIn
 	}
-	var a, b meter.Reading
+	var a, b usage.Reading
 	c.until("a", func(Status) bool { // a heartbeat may be on its way at any one look
 		a, b = meters["a"].Read(), meters["b"].Read()
-		return agreed(meter.Raft, a, b) && agreed(meter.Snapshots, a, b) && agreed(meter.Other, a, b) &&
-			a.Purposes[meter.Other].Applied == b.Purposes[meter.Other].Applied
+		return agreed(usage.Raft, a, b) && agreed(usage.Snapshots, a, b) && agreed(usage.Other, a, b) &&
+			a.Purposes[usage.Other].Applied == b.Purposes[usage.Other].Applied
 	})
-	if x := a.Purposes[meter.Snapshots]; x.MessagesOut == 0 || x.BytesOut < 100*x.MessagesOut {
+	if x := a.Purposes[usage.Snapshots]; x.MessagesOut == 0 || x.BytesOut < 100*x.MessagesOut {
 		t.Errorf("b began with %+v", x)
 	}
-	if x, y := a.Purposes[meter.Other], b.Purposes[meter.Other]; y.Proposed < 5 || y.Applied < 5 || x.AppliedBytes != y.AppliedBytes {
+	if x, y := a.Purposes[usage.Other], b.Purposes[usage.Other]; y.Proposed < 5 || y.Applied < 5 || x.AppliedBytes != y.AppliedBytes {
 		t.Errorf("%+v, %+v", x, y)
 	}
-	for name, r := range map[string]meter.Reading{"a": a, "b": b} {
-		if l, s := r.Written[meter.Log], r.Written[meter.Snapshot]; l.Bytes == 0 || s.Bytes == 0 || r.Purposes[meter.Raft].BytesOut == 0 || r.Connections.BytesOut == 0 {
+	for name, r := range map[string]usage.Reading{"a": a, "b": b} {
+		if l, s := r.Written[usage.Log], r.Written[usage.Snapshot]; l.Bytes == 0 || s.Bytes == 0 || r.Purposes[usage.Raft].BytesOut == 0 || r.Connections.BytesOut == 0 {
 			t.Errorf("%s: %+v, %+v", name, l, s)
 		}
 	}
--- a/internal/store/engine/faulty_test.go
+++ b/internal/store/engine/faulty_test.go
@@ -10,8 +10,8 @@
 
 	"birchmoor/internal/store"
 	"birchmoor/internal/store/disk"
-	"birchmoor/internal/store/policy"
 	"birchmoor/internal/store/replica"
+	"birchmoor/internal/store/serverstate"
 )
 
 // become puts a device in the place of an open file, under the same descriptor: /dev/full takes no byte (ENOSPC), /dev/null
@@ -48,7 +48,7 @@
 			c.disk["b"] = disk.Options{File: func(f *os.File) { file = f }}
 			c.begin("a", "b", "c")
 			drain := func(n int) store.Command {
-				key := policy.Key(policy.Drain, policy.Process{ID: fmt.Sprint("s", n), Addr: "127.0.0.1:1", StartedMs: 1}.Server())
+				key := serverstate.Key(serverstate.Drain, serverstate.Process{ID: fmt.Sprint("s", n), Addr: "127.0.0.1:1", StartedMs: 1}.Server())
 				return store.Command{Txn: &store.Txn{Then: []store.Op{{Key: key, Value: []byte{0xa0}}}}}
 			}
 			const drains = 60
@@ -80,7 +80,7 @@
 			}
 			c.all["b"].Kill() // whose disk cannot be closed well
 			delete(c.disk, "b")
-			guard := policy.NewGuard("b")
+			guard := serverstate.NewGuard("b")
 			c.first = func(cfg *Config) {
 				cfg.Reset = func(s *store.State) { guard.Reset(s) }
 				cfg.Unsettled = func(c *store.Command) { guard.Unsettled(c) }
@@ -88,13 +88,13 @@
 			b := c.start("b", true)
 			c.first = nil
 			for n := range drains / 2 {
-				if key := drain(n).Txn.Then[0].Key; !guard.Out(strings.TrimPrefix(key, policy.Key(policy.Drain, ""))) {
+				if key := drain(n).Txn.Then[0].Key; !guard.Out(strings.TrimPrefix(key, serverstate.Key(serverstate.Drain, ""))) {
 					t.Fatalf("started again, it does not know drain %d at once", n)
 				}
 			}
 			var there int
 			if _, err := b.View(c.ctx(), false, func(s *store.State) {
-				s.Range(policy.Prefix, store.PrefixEnd(policy.Prefix), func(store.Item) bool { there++; return true })
+				s.Range(serverstate.Prefix, store.PrefixEnd(serverstate.Prefix), func(store.Item) bool { there++; return true })
 			}); err != nil || there < drains {
 				t.Errorf("%d of %d drains that were answered are there: %v", there, drains, err)
 			}
--- a/internal/store/follow/follow.go
+++ b/internal/store/follower/follow.go
@@ -1,4 +1,4 @@
-// Package follow is a copy of the store without a replica: a daemon has it whose host does not vote. It takes the whole state
+// Package follower is a copy of the store without a replica: a daemon has it whose host does not vote. It takes the whole state
 // from one of several replicas once, then what changes, and keeps it in a file for its next start. What it tells the store
 // goes through any replica that answers.
 //
@@ -7,7 +7,7 @@
 //
 // It may hold a part of the state alone (package feed; docs/design/interest.md). Who reads more of it reads a replica's copy, or is told
 // that it is not here: never that a key is not there which this copy does not hold.
-package follow
+package follower
 
 import (
 	"bufio"
@@ -33,14 +33,14 @@
 	"sync/atomic"
 	"time"
 
-	"birchmoor/internal/keys"
+	"birchmoor/internal/platform/keys"
 	"birchmoor/internal/store"
 	"birchmoor/internal/store/admin"
+	"birchmoor/internal/store/changefeed"
 	"birchmoor/internal/store/engine"
-	"birchmoor/internal/store/feed"
-	"birchmoor/internal/store/meter"
-	"birchmoor/internal/store/policy"
 	"birchmoor/internal/store/replica"
+	"birchmoor/internal/store/serverstate"
+	"birchmoor/internal/store/usage"
 )
 
 // Replica is one that may be followed.
@@ -57,7 +57,7 @@
 	Keys     *keys.Pair // nil: plain TCP on loopback
 	Wait     time.Duration
 	Log      *slog.Logger
-	Meter    *meter.Meter // of messages and the file of the copy; nil: nothing is counted
+	Meter    *usage.Meter // of messages and the file of the copy; nil: nothing is counted
 
 	// Event and Reset are told of changes and of a whole new copy, one after the other. They must not wait.
 	Event func(store.Event)
@@ -70,7 +70,7 @@
 	Age func(key string, age time.Duration)
 
 	// Needs is asked what the copy is to hold, at the start, after each whole copy, and after Rescope. nil: all.
-	Needs func() feed.Needs
+	Needs func() changefeed.Needs
 	// Sum is told of those sums that were asked for, as they change.
 	Sum func(prefix string, n store.Sum)
 }
@@ -105,8 +105,8 @@
 	saved  uint64     // the number of the copy in it
 
 	mu      sync.Mutex
-	copy    *feed.Copy
-	needs   feed.Needs
+	copy    *changefeed.Copy
+	needs   changefeed.Needs
 	rescope chan struct{} // closed when the copy is to hold something else
 	changed chan struct{} // closed when the revision goes on
 	follows string
@@ -130,7 +130,7 @@
 		return nil, err
 	}
 	f := &Follower{cfg: cfg, client: binary.BigEndian.Uint64(b[:])>>1 | 1, begun: time.Now(), changed: make(chan struct{}),
-		synced: make(chan struct{}), rescope: make(chan struct{}), copy: feed.NewCopy(nil, feed.PlantNone)}
+		synced: make(chan struct{}), rescope: make(chan struct{}), copy: changefeed.NewCopy(nil, changefeed.PlantNone)}
 	f.need()
 	for _, r := range cfg.Replicas {
 		t := &http.Transport{DialContext: f.dial, MaxIdleConnsPerHost: 4, TLSHandshakeTimeout: askTime}
@@ -294,7 +294,7 @@
 }
 
 // errBehind says that a replica has less than this copy, or is of another cluster.
-var errBehind = feed.ErrBehind
+var errBehind = changefeed.ErrBehind
 
 // errAgain says that the same replica is to be asked for something else.
 var errAgain = errors.New("something else is needed")
@@ -332,12 +332,12 @@
 		return false, whyEnded(rescope, err)
 	}
 	defer a.Body.Close()
-	f.cfg.Meter.Count(meter.Beats, meter.Out, 1, 0)
+	f.cfg.Meter.Count(usage.Beats, usage.Out, 1, 0)
 	if a.StatusCode == http.StatusGone {
 		return false, f.fetch(at, ask.Of)
 	}
 	if a.StatusCode != http.StatusOK {
-		f.cfg.Meter.Count(meter.Beats, meter.In, 1, int(max(0, a.ContentLength)))
+		f.cfg.Meter.Count(usage.Beats, usage.In, 1, int(max(0, a.ContentLength)))
 		return false, fmt.Errorf("%w: %s", errBehind, a.Status)
 	}
 	scoped := a.Header.Get(admin.Scoped) != ""
@@ -363,14 +363,14 @@
 		if err := json.Unmarshal(lines.Bytes(), &l); err != nil {
 			return heard, fmt.Errorf("%w: %w", errBehind, err)
 		}
-		of := meter.Beats
+		of := usage.Beats
 		switch {
 		case l.Event != nil:
 			of = f.cfg.Meter.KeyPurpose(l.Event.Item.Key)
 		case len(l.Events) > 0:
 			of = f.cfg.Meter.KeyPurpose(l.Events[0].Item.Key)
 		}
-		f.cfg.Meter.Count(of, meter.In, 1, len(lines.Bytes())+len("\n"))
+		f.cfg.Meter.Count(of, usage.In, 1, len(lines.Bytes())+len("\n"))
 		if l.Fault != nil && l.Fault.Oldest > 0 {
 			return heard, f.fetch(at, ask.Of)
 		}
@@ -496,13 +496,13 @@
 		return nil, err
 	}
 	defer a.Body.Close()
-	f.cfg.Meter.Count(meter.Snapshots, meter.Out, 1, 0)
-	f.cfg.Meter.Count(meter.Snapshots, meter.In, 1, 0)
+	f.cfg.Meter.Count(usage.Snapshots, usage.Out, 1, 0)
+	f.cfg.Meter.Count(usage.Snapshots, usage.In, 1, 0)
 	if a.StatusCode != http.StatusOK {
-		f.cfg.Meter.Count(meter.Snapshots, meter.In, 0, int(max(0, a.ContentLength)))
+		f.cfg.Meter.Count(usage.Snapshots, usage.In, 0, int(max(0, a.ContentLength)))
 		return nil, fmt.Errorf("%w: %s", errBehind, a.Status)
 	}
-	s, err := store.LoadPart(&countedBody{a.Body, f.cfg.Meter, meter.Snapshots})
+	s, err := store.LoadPart(&countedBody{a.Body, f.cfg.Meter, usage.Snapshots})
 	if err != nil {
 		return nil, err
 	}
@@ -538,25 +538,25 @@
 // countedBody counts the bytes of a message as they are read.
 type countedBody struct {
 	io.Reader
-	m  *meter.Meter
-	of meter.Purpose
+	m  *usage.Meter
+	of usage.Purpose
 }
 
 func (c *countedBody) Read(b []byte) (int, error) {
 	n, err := c.Reader.Read(b)
-	c.m.Count(c.of, meter.In, 0, n)
+	c.m.Count(c.of, usage.In, 0, n)
 	return n, err
 }
 
 // countedFile counts what is written to the file of the copy.
 type countedFile struct {
 	io.Writer
-	m *meter.Meter
+	m *usage.Meter
 }
 
 func (c *countedFile) Write(b []byte) (int, error) {
 	n, err := c.Writer.Write(b)
-	c.m.Wrote(meter.Copy, 0, n)
+	c.m.Wrote(usage.Copy, 0, n)
 	return n, err
 }
 
@@ -624,14 +624,14 @@
 	return err
 }
 
-func write(path string, s *store.State, m *meter.Meter) error {
+func write(path string, s *store.State, m *usage.Meter) error {
 	w, err := os.CreateTemp(filepath.Dir(path), ".copy-*")
 	if err != nil {
 		return fmt.Errorf("follow: %w", err)
 	}
 	err = s.Save(&countedFile{w, m})
 	err = errors.Join(err, w.Sync(), w.Close())
-	m.Wrote(meter.Copy, 1, 0)
+	m.Wrote(usage.Copy, 1, 0)
 	if err == nil {
 		err = os.Rename(w.Name(), path)
 	}
@@ -734,7 +734,7 @@
 }
 
 // ask puts a request to one replica. reached is set if the request may have been read.
-func (f *Follower) ask(ctx context.Context, at int, of meter.Purpose, method, path string, body []byte, out any) (reached bool, err error) {
+func (f *Follower) ask(ctx context.Context, at int, of usage.Purpose, method, path string, body []byte, out any) (reached bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, askTime)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, method, f.url(at, path, url.Values{"timeout": {(askTime - askTime/10).String()}}), bytes.NewReader(body))
@@ -746,14 +746,14 @@
 	a, err := f.http[at].Do(r)
 	if err != nil {
 		if connected.Load() {
-			f.cfg.Meter.Count(of, meter.Out, 1, len(body))
+			f.cfg.Meter.Count(of, usage.Out, 1, len(body))
 		}
 		return connected.Load(), err
 	}
 	defer a.Body.Close()
-	f.cfg.Meter.Count(of, meter.Out, 1, len(body))
+	f.cfg.Meter.Count(of, usage.Out, 1, len(body))
 	answer, err := io.ReadAll(io.LimitReader(a.Body, lineMost)) // an error shows by what is missing
-	f.cfg.Meter.Count(of, meter.In, 1, len(answer))
+	f.cfg.Meter.Count(of, usage.In, 1, len(answer))
 	if a.StatusCode != http.StatusOK {
 		e := &admin.Error{Status: a.StatusCode}
 		if err := json.Unmarshal(answer, &e.Fault); err != nil {
@@ -773,7 +773,7 @@
 func (f *Follower) View(ctx context.Context, stale bool, read func(*store.State)) (engine.Age, error) {
 	var need engine.Age
 	for at, asked := mathrand.IntN(len(f.http)), false; !stale && !asked; at = (at + 1) % len(f.http) {
-		_, err := f.ask(ctx, at, meter.Requests, http.MethodGet, "/v1/revision", nil, &need)
+		_, err := f.ask(ctx, at, usage.Requests, http.MethodGet, "/v1/revision", nil, &need)
 		if asked = err == nil; asked {
 			break
 		}
@@ -862,7 +862,7 @@
 	if a.Proved {
 		a.Age = time.Since(f.begun) - f.proved
 	}
-	a.Stale = policy.Staleness{Confirmed: a.Proved, Age: int64(a.Age), Allowed: int64(staleAfter)}.Stale()
+	a.Stale = serverstate.Staleness{Confirmed: a.Proved, Age: int64(a.Age), Allowed: int64(staleAfter)}.Stale()
 	return a
 }
 
--- a/internal/store/follow/follow_test.go
+++ b/internal/store/follower/follow_test.go
@@ -1,4 +1,4 @@
-package follow
+package follower
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"birchmoor/internal/keys"
+	"birchmoor/internal/platform/keys"
 	"birchmoor/internal/store"
 	"birchmoor/internal/store/engine"
 	"birchmoor/internal/store/replica"
--- a/internal/store/follow/meter_test.go
+++ b/internal/store/follower/meter_test.go
@@ -1,4 +1,4 @@
-package follow
+package follower
 
 import (
 	"context"
@@ -10,27 +10,27 @@
 	"testing"
 	"time"
 
-	"birchmoor/internal/proctest"
 	"birchmoor/internal/store"
 	"birchmoor/internal/store/admin"
+	"birchmoor/internal/store/changefeed"
 	"birchmoor/internal/store/disk"
 	"birchmoor/internal/store/engine"
-	"birchmoor/internal/store/feed"
-	"birchmoor/internal/store/meter"
+	"birchmoor/internal/store/usage"
+	"birchmoor/internal/testutil/processtest"
 )
 
 // A follower and its replica count the same messages and bytes, each way and for each purpose, and the replica as many entries as were
 // put to it: of a stream of all, and of one by interest, by which a line has all that a transaction changed and counts as its first key.
 func TestBothEndsCountTheSame(t *testing.T) {
-	own := feed.Needs{Of: &store.Interest{Prefixes: []string{"known/h/", "out/"}}, Sums: []string{"known/"}}
+	own := changefeed.Needs{Of: &store.Interest{Prefixes: []string{"known/h/", "out/"}}, Sums: []string{"known/"}}
 	t.Run("all", func(t *testing.T) { bothEndsCountTheSame(t, nil, [2]uint64{4, 5}) })
-	t.Run("own", func(t *testing.T) { bothEndsCountTheSame(t, func() feed.Needs { return own }, [2]uint64{4, 3}) })
+	t.Run("own", func(t *testing.T) { bothEndsCountTheSame(t, func() changefeed.Needs { return own }, [2]uint64{4, 3}) })
 }
 
 // events are those of words and of pictures that the follower is told of.
-func bothEndsCountTheSame(t *testing.T, needs func() feed.Needs, events [2]uint64) {
-	prefixes := []meter.Prefix{{Prefix: "out/", Purpose: meter.Words}, {Prefix: "known/", Purpose: meter.Pictures}}
-	here, there := meter.New(prefixes...), meter.New(prefixes...)
+func bothEndsCountTheSame(t *testing.T, needs func() changefeed.Needs, events [2]uint64) {
+	prefixes := []usage.Prefix{{Prefix: "out/", Purpose: usage.Words}, {Prefix: "known/", Purpose: usage.Pictures}}
+	here, there := usage.New(prefixes...), usage.New(prefixes...)
 	e, err := engine.Open(engine.Config{Name: "a", Dir: t.TempDir(), Tick: 5 * time.Millisecond, Disk: disk.Options{NoSync: true}, Meter: there})
 	if err != nil {
 		t.Fatal(err)
@@ -48,8 +48,8 @@
 	defer o.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
-	proctest.Until(t, "the replica leads", func() bool { _, err := e.View(ctx, false, func(*store.State) {}); return err == nil })
-	proctest.Until(t, "the cluster knows owners", func() bool {
+	processtest.Until(t, "the replica leads", func() bool { _, err := e.View(ctx, false, func(*store.State) {}); return err == nil })
+	processtest.Until(t, "the cluster knows owners", func() bool {
 		s, err := e.Status(ctx)
 		return err == nil && s.Level >= store.LevelOwners
 	})
@@ -88,9 +88,9 @@
 		t.Fatalf("a lease that ended: %v", err)
 	}
 	// A beat may be on its way at any one look.
-	var mine, its meter.Reading
+	var mine, its usage.Reading
 	var differ string
-	proctest.Until(t, "both ends agree", func() bool {
+	processtest.Until(t, "both ends agree", func() bool {
 		its, mine = there.Read(), here.Read()
 		differ = ""
 		for i, a := range mine.Purposes {
@@ -99,21 +99,21 @@
 				differ = fmt.Sprintf("the follower: %+v\nits replica: %+v", a, b)
 			}
 		}
-		return differ == "" && mine.Purposes[meter.Beats].MessagesIn > 0
+		return differ == "" && mine.Purposes[usage.Beats].MessagesIn > 0
 	}, func() string { return differ })
-	for p, want := range map[meter.Purpose][4]uint64{ // in and out of the follower, proposed and applied
-		meter.Sessions: {6, 6, 6, 6}, meter.Words: {4 + events[0], 4, 4, 4}, meter.Pictures: {3 + events[1], 3, 4, 4}, meter.Snapshots: {1, 1, 0, 0},
-		meter.Requests: {1, 1, 0, 0}, meter.Settings: {},
+	for p, want := range map[usage.Purpose][4]uint64{ // in and out of the follower, proposed and applied
+		usage.Sessions: {6, 6, 6, 6}, usage.Words: {4 + events[0], 4, 4, 4}, usage.Pictures: {3 + events[1], 3, 4, 4}, usage.Snapshots: {1, 1, 0, 0},
+		usage.Requests: {1, 1, 0, 0}, usage.Settings: {},
 	} {
 		a, b := mine.Purposes[p], its.Purposes[p]
 		if got := [4]uint64{a.MessagesIn, a.MessagesOut, b.Proposed, b.Applied}; got != want || (a.BytesIn > 0) != (want[0] > 0) || (b.AppliedBytes > 0) != (want[3] > 0) {
 			t.Errorf("%v: %v, and not %v; %+v, %+v", p, got, want, a, b)
 		}
 	}
-	if a := mine.Purposes[meter.Beats]; a.MessagesOut != 1 {
+	if a := mine.Purposes[usage.Beats]; a.MessagesOut != 1 {
 		t.Errorf("the stream was begun %d times", a.MessagesOut)
 	}
-	if w := its.Written[meter.Log]; w.Bytes == 0 || w.Syncs != 0 { // this disk does not sync
+	if w := its.Written[usage.Log]; w.Bytes == 0 || w.Syncs != 0 { // this disk does not sync
 		t.Errorf("%+v", w)
 	}
 	if err := f.Close(); err != nil {
@@ -123,7 +123,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if w := here.Read().Written[meter.Copy]; w.Syncs == 0 || w.Bytes < uint64(info.Size()) || w.Syncs == 1 && w.Bytes != uint64(info.Size()) {
+	if w := here.Read().Written[usage.Copy]; w.Syncs == 0 || w.Bytes < uint64(info.Size()) || w.Syncs == 1 && w.Bytes != uint64(info.Size()) {
 		t.Errorf("%+v, and the file has %d bytes", w, info.Size())
 	}
 	var sum uint64
--- a/internal/store/follow/part_test.go
+++ b/internal/store/follower/part_test.go
@@ -1,4 +1,4 @@
-package follow
+package follower
 
 import (
 	"bufio"
@@ -22,9 +22,9 @@
 
 	"birchmoor/internal/store"
 	"birchmoor/internal/store/admin"
+	"birchmoor/internal/store/changefeed"
 	"birchmoor/internal/store/disk"
 	"birchmoor/internal/store/engine"
-	"birchmoor/internal/store/feed"
 )
 
 // replicaHere is one copy alone that serves followers.
@@ -87,16 +87,16 @@
 
 type part struct {
 	*Follower
-	needs  atomic.Pointer[feed.Needs]
+	needs  atomic.Pointer[changefeed.Needs]
 	sum    atomic.Int64
 	resets atomic.Int64
 }
 
-func open(t *testing.T, dir string, n feed.Needs, addrs ...string) *part {
+func open(t *testing.T, dir string, n changefeed.Needs, addrs ...string) *part {
 	t.Helper()
 	p := &part{}
 	p.needs.Store(&n)
-	cfg := Config{Name: "h", Dir: dir, Wait: time.Minute, Log: slog.New(slog.DiscardHandler), Needs: func() feed.Needs { return *p.needs.Load() },
+	cfg := Config{Name: "h", Dir: dir, Wait: time.Minute, Log: slog.New(slog.DiscardHandler), Needs: func() changefeed.Needs { return *p.needs.Load() },
 		Sum: func(_ string, n store.Sum) { p.sum.Store(int64(n.Keys)) }, Reset: func(*store.State) { p.resets.Add(1) }}
 	for _, a := range addrs {
 		cfg.Replicas = append(cfg.Replicas, Replica{Name: "a", Addr: a})
@@ -144,7 +144,7 @@
 		put(t, e, fmt.Sprint("b/", i), "w")
 	}
 	dir := t.TempDir()
-	needs := feed.Needs{Of: prefixes("a/"), Kept: store.Interest{Keys: []string{"a/1"}}, Sums: []string{"b/"}}
+	needs := changefeed.Needs{Of: prefixes("a/"), Kept: store.Interest{Keys: []string{"a/1"}}, Sums: []string{"b/"}}
 	f := open(t, dir, needs, addr)
 	soon(t, "how many there are beside", func() bool { return f.sum.Load() == 5 })
 	put(t, e, "b/new", "n")
@@ -220,7 +220,7 @@
 	e, addr := replicaHere(t)
 	put(t, e, "a/1", "v")
 	put(t, e, "b/1", "w")
-	needs, dir, old := feed.Needs{Of: prefixes("a/"), Kept: *prefixes("a/")}, t.TempDir(), older(t, addr)
+	needs, dir, old := changefeed.Needs{Of: prefixes("a/"), Kept: *prefixes("a/")}, t.TempDir(), older(t, addr)
 	for i, x := range []struct {
 		addr string
 		all  bool
@@ -310,8 +310,8 @@
 	put(t, e, "a/1", "v")
 	put(t, e, "b/1", "w")
 	dir := t.TempDir()
-	wide := feed.Needs{Of: prefixes("a/", "b/"), Kept: *prefixes("a/", "b/")}
-	narrow := feed.Needs{Of: prefixes("a/"), Kept: *prefixes("a/")}
+	wide := changefeed.Needs{Of: prefixes("a/", "b/"), Kept: *prefixes("a/", "b/")}
+	narrow := changefeed.Needs{Of: prefixes("a/"), Kept: *prefixes("a/")}
 	next := func(change string) string {
 		f := open(t, dir, wide, addr)
 		f.needs.Store(&narrow)
--- a/internal/store/peer/peer.go
+++ b/internal/store/peer/peer.go
@@ -19,9 +19,9 @@
 	"sync/atomic"
 	"time"
 
-	"birchmoor/internal/keys"
-	"birchmoor/internal/store/meter"
+	"birchmoor/internal/platform/keys"
 	"birchmoor/internal/store/replica"
+	"birchmoor/internal/store/usage"
 
 	"github.com/fxamacker/cbor/v2"
 	"go.etcd.io/raft/v3/raftpb"
@@ -91,7 +91,7 @@
 	host    Host
 	keys    *keys.Pair // nil for plain TCP
 	log     *slog.Logger
-	meter   *meter.Meter
+	meter   *usage.Meter
 	Stats   Stats
 
 	ctx    context.Context
@@ -106,7 +106,7 @@
 
 // New serves a listener, which it closes at the end. Plain TCP, without keys, is for loopback alone. What crosses is counted by m, if
 // it is not nil.
-func New(name, address string, ln net.Listener, host Host, pair *keys.Pair, log *slog.Logger, m *meter.Meter) (*Net, error) {
+func New(name, address string, ln net.Listener, host Host, pair *keys.Pair, log *slog.Logger, m *usage.Meter) (*Net, error) {
 	if a, ok := ln.Addr().(*net.TCPAddr); pair == nil && (!ok || !a.IP.IsLoopback()) {
 		return nil, fmt.Errorf("store: plain TCP on %s, which is not a loopback address", ln.Addr())
 	}
@@ -188,7 +188,7 @@
 		n.Stats.Faults.Add(1)
 		return
 	}
-	n.meter.Count(meter.Other, meter.In, 1, headBytes+len(b))
+	n.meter.Count(usage.Other, usage.In, 1, headBytes+len(b))
 	switch {
 	case n.keys != nil && certified != h.Name:
 		err = fmt.Errorf("the certificate is for %q, and the greeting from %q", certified, h.Name)
@@ -208,7 +208,7 @@
 	if b, err = cbor.Marshal(&v); err != nil {
 		return
 	}
-	n.meter.Count(meter.Other, meter.Out, 1, headBytes+len(b))
+	n.meter.Count(usage.Other, usage.Out, 1, headBytes+len(b))
 	if _, err := c.Write(appendFrame(nil, kVerdict, b)); err != nil || v.Refused != "" {
 		return
 	}
@@ -229,11 +229,11 @@
 			return err
 		}
 		var data []byte
-		of := meter.Raft
+		of := usage.Raft
 		if k == kBulk {
-			of = meter.Snapshots
+			of = usage.Snapshots
 		}
-		n.meter.Count(of, meter.In, 1, headBytes+len(b))
+		n.meter.Count(of, usage.In, 1, headBytes+len(b))
 		if k == kBulk {
 			if data, b, err = n.bulk(c, r, b); err != nil {
 				return err
@@ -274,7 +274,7 @@
 		if k != kPart || len(p) == 0 || uint64(len(data)+len(p)) > size {
 			return nil, nil, ErrFrame
 		}
-		n.meter.Count(meter.Snapshots, meter.In, 0, headBytes+len(p))
+		n.meter.Count(usage.Snapshots, usage.In, 0, headBytes+len(p))
 		data = append(data, p...)
 	}
 	return data, b[8:], nil
@@ -438,7 +438,7 @@
 	if err != nil {
 		return err
 	}
-	l.n.meter.Count(meter.Other, meter.Out, 1, headBytes+len(b))
+	l.n.meter.Count(usage.Other, usage.Out, 1, headBytes+len(b))
 	if _, err := c.Write(appendFrame(nil, kHello, b)); err != nil {
 		return err
 	}
@@ -446,7 +446,7 @@
 	if err != nil {
 		return err
 	}
-	l.n.meter.Count(meter.Other, meter.In, 1, headBytes+len(b))
+	l.n.meter.Count(usage.Other, usage.In, 1, headBytes+len(b))
 	var v Verdict
 	if k != kVerdict {
 		return ErrFrame
@@ -487,7 +487,7 @@
 			var b []byte
 			if b, err = proto.Marshal(m); err == nil {
 				buf = appendFrame(buf[:0], kMessage, b)
-				l.n.meter.Count(meter.Raft, meter.Out, 1, len(buf))
+				l.n.meter.Count(usage.Raft, usage.Out, 1, len(buf))
 				_, err = w.Write(buf)
 			}
 		}
@@ -518,14 +518,14 @@
 		return err
 	}
 	buf := appendFrame(nil, kBulk, append(binary.BigEndian.AppendUint64(nil, uint64(len(data))), b...))
-	l.n.meter.Count(meter.Snapshots, meter.Out, 1, len(buf))
+	l.n.meter.Count(usage.Snapshots, usage.Out, 1, len(buf))
 	if _, err := w.Write(buf); err != nil {
 		return err
 	}
 	for at := 0; at < len(data); at += partBytes {
 		c.SetWriteDeadline(time.Now().Add(writeTime))
 		buf = appendFrame(buf[:0], kPart, data[at:min(len(data), at+partBytes)])
-		l.n.meter.Count(meter.Snapshots, meter.Out, 0, len(buf))
+		l.n.meter.Count(usage.Snapshots, usage.Out, 0, len(buf))
 		if _, err := w.Write(buf); err != nil {
 			return err
 		}
--- a/internal/store/policy/pictures.go
+++ b/internal/store/serverstate/pictures.go
@@ -1,4 +1,4 @@
-package policy
+package serverstate
 
 import (
 	"errors"
--- a/internal/store/policy/policy.go
+++ b/internal/store/serverstate/policy.go
@@ -1,4 +1,4 @@
-// Package policy decides what a daemon may believe of servers that several daemons tell of through the store. It is
+// Package serverstate decides what a daemon may believe of servers that several daemons tell of through the store. It is
 // free of I/O: what was told, committed and proven comes in, what binds comes out.
 //
 // The rule is asymmetric. That a server is out, draining or banned, binds at the first word from anyone: from the
@@ -7,7 +7,7 @@
 // word and adds its own.
 //
 // The revisions of the store only go up. A Guard never acts on one that is lower than one it has acted on.
-package policy
+package serverstate
 
 import (
 	"cmp"
--- a/internal/store/meter/meter.go
+++ b/internal/store/usage/meter.go
@@ -1,11 +1,11 @@
-// Package meter counts what the control plane costs a process, apart by purpose: messages and bytes each way, entries of the
+// Package usage counts what the control plane costs a process, apart by purpose: messages and bytes each way, entries of the
 // log, and what is synced and written to the disk.
 //
 // Messages and their bytes are those of the application's side of a connection: a body, a line of a stream or a frame as it is
 // encoded, before TLS, and without the heads and chunk sizes of HTTP. What lies between the two, and handshakes, is found in
 // the bytes of all connections together (Reading.Connections), which are counted below TLS. Both ends of a connection count the same
 // while it lasts; what was under way when it broke may be counted by one alone.
-package meter
+package usage
 
 import (
 	"net"
--- a/internal/store/meter/meter_test.go
+++ b/internal/store/usage/meter_test.go
@@ -1,4 +1,4 @@
-package meter
+package usage
 
 import (
 	"net"
--- a/internal/proctest/proctest.go
+++ b/internal/testutil/processtest/proctest.go
@@ -1,9 +1,9 @@
-// Package proctest is how tests start processes of this program, wait for them, stop them and clean up. docs/testing.md says how
+// Package processtest is how tests start processes of this program, wait for them, stop them and clean up. docs/testing.md says how
 // such a test is written.
 //
 // No process outlives its test: it ends with the test, also one that fails or panics, and it is killed by the system when the
 // test's own process ends, however that happens. What it wrote is shown when it fails.
-package proctest
+package processtest
 
 import (
 	"bytes"
--- a/internal/sidetest/sidetest.go
+++ b/internal/testutil/sidecartest/sidetest.go
@@ -1,5 +1,5 @@
-// Package sidetest holds what the tests of a sidecar's parts share: a small site, endpoints, and a discovery by hand.
-package sidetest
+// Package sidecartest holds what the tests of a sidecar's parts share: a small site, endpoints, and a discovery by hand.
+package sidecartest
 
 import (
 	"bufio"
@@ -15,8 +15,8 @@
 	"testing"
 	"time"
 
-	"birchmoor/internal/config"
-	"birchmoor/internal/discovery"
+	"birchmoor/internal/dataplane/discovery"
+	"birchmoor/internal/platform/config"
 )
 
 // Soon bounds every wait of these tests for something that must come. It is long: a busy machine may stop a process for
