--- a/cmd/birchmoor/followers_test.go
+++ b/cmd/birchmoor/followers_test.go
@@ -138,13 +138,13 @@
 }
 
 // rateOfParts is a limit whose parts are the classes class0 to class3.
-func rateOfParts() *quota.Conf {
+func rateOfParts() *quota.Config {
 	l := &quota.Limit{Name: "all", Kind: quota.Rate, Of: quota.Requests, Span: 1e8, Without: quota.Strict, By: []string{"class"},
-		Nodes: []quota.Node{{Most: 10000 * quota.One, Weight: 1}}}
+		Nodes: []quota.Node{{Most: 10000 * quota.AmountUnit, Weight: 1}}}
 	for i := range 4 {
-		l.Nodes = append(l.Nodes, quota.Node{Path: fmt.Sprint("class", i), Most: 5000 * quota.One, Weight: 1})
+		l.Nodes = append(l.Nodes, quota.Node{Path: fmt.Sprint("class", i), Most: 5000 * quota.AmountUnit, Weight: 1})
 	}
-	return &quota.Conf{Limits: []*quota.Limit{l}}
+	return &quota.Config{Limits: []*quota.Limit{l}}
 }
 
 // A follower's copy holds what its daemon needs; its people are shown what there is all the same, by way of a replica, or told that it is
@@ -166,15 +166,15 @@
 		defer ending.Go(end)
 		clients[name] = adminapi.Dial(filepath.Join(dir, name+".sock"))
 	}
-	words := url.Values{"prefix": {quota.NeedPrefix}}
-	stale := url.Values{"prefix": {quota.NeedPrefix}, "stale": {"true"}}
+	words := url.Values{"prefix": {quota.DemandPrefix}}
+	stale := url.Values{"prefix": {quota.DemandPrefix}, "stale": {"true"}}
 	processtest.Until(t, "all tell", func() bool {
 		i, err := clients["a"].Range(ctx, words)
 		return err == nil && len(i.Items) == 4
 	})
 	processtest.Until(t, "each holds its own", func() bool {
 		st, err := clients["h0"].Status(ctx)
-		return err == nil && st.Holds != nil && st.Holds.Covers(quota.NeedPrefix+"h0/1") && !st.Holds.Covers(quota.NeedPrefix+"h1/1")
+		return err == nil && st.Holds != nil && st.Holds.Covers(quota.DemandPrefix+"h0/1") && !st.Holds.Covers(quota.DemandPrefix+"h1/1")
 	})
 	if i, err := clients["h0"].Range(ctx, words); err != nil || len(i.Items) != 4 {
 		t.Errorf("by way of a replica: %d, %v", len(i.Items), err)
@@ -233,7 +233,7 @@
 		}
 		processtest.Until(b, "a replica more votes", func() bool {
 			c := adminapi.Dial(filepath.Join(dir, "a.sock"))
-			_, _ = c.Change(ctx, admin.Request{ID: store.RequestID{Client: 39, Seq: uint64(i)}, Add: &store.Join{Name: name, Address: listen}})
+			_, _ = c.Change(ctx, admin.Request{ID: store.RequestID{Client: 39, Seq: uint64(i)}, Add: &store.AddMember{Name: name, Address: listen}})
 			s, err := c.Status(ctx)
 			return err == nil && len(s.Peers) > i && !slices.ContainsFunc(s.Peers, func(p replica.Peer) bool { return p.Learner })
 		})
@@ -253,7 +253,7 @@
 		all = append(all, x)
 		known := make([]byte, 15<<10)
 		busy.Go(func() {
-			x.fleet.Keep(ctx, fmt.Sprint("sidecar", i), "", func(context.Context) ([]byte, error) { return known, nil }, func() bool { return false })
+			x.fleet.SaveSnapshots(ctx, fmt.Sprint("sidecar", i), "", func(context.Context) ([]byte, error) { return known, nil }, func() bool { return false })
 		})
 		busy.Go(func() { // what is wanted is another amount each half second
 			t := time.NewTicker(50 * time.Millisecond)
--- a/cmd/birchmoor/limit.go
+++ b/cmd/birchmoor/limit.go
@@ -27,7 +27,7 @@
 }
 
 // limits asks for limits and prints them.
-func (s *socketFlag) limits(ctx context.Context, c *console, name string, table func(*tabwriter.Writer, *quotasync.State)) error {
+func (s *socketFlag) limits(ctx context.Context, c *console, name string, table func(*tabwriter.Writer, *quotasync.Status)) error {
 	return s.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
 		st, err := a.Limits(ctx, name)
 		var told *admin.Error
@@ -49,11 +49,11 @@
 type limitList struct{ socketFlag }
 
 func (k *limitList) Run(ctx context.Context, c *console) error {
-	return k.limits(ctx, c, "", func(w *tabwriter.Writer, st *quotasync.State) {
+	return k.limits(ctx, c, "", func(w *tabwriter.Writer, st *quotasync.Status) {
 		fmt.Fprintln(w, "LIMIT\tMOST\tOUT\tWANTED\tLET THROUGH\tREFUSED\tSIDECARS\tWITHOUT THE STORE\tOVER AT MOST")
 		for _, l := range st.Limits {
 			v := sum(l)
-			fmt.Fprintf(w, "%s\t%s %s\t%s\t%s\t%d\t%d\t%d\t%s\t%s\n", l.Name, quota.Text(v.Most), l.Unit(), quota.Text(v.Counts), quota.Text(v.Want), v.Taken, v.Refused, len(v.Of), l.Without, l.Over)
+			fmt.Fprintf(w, "%s\t%s %s\t%s\t%s\t%d\t%d\t%d\t%s\t%s\n", l.Name, quota.FormatAmount(v.Most), l.Unit(), quota.FormatAmount(v.Counts), quota.FormatAmount(v.Want), v.Taken, v.Refused, len(v.Of), l.Without, l.Over)
 		}
 		if st.Divider == "" {
 			fmt.Fprintln(w, "nobody divides: shares stay as they are")
@@ -62,7 +62,7 @@
 }
 
 // sum is the whole of a limit, with what is wanted of its parts.
-func sum(l *quotasync.LimitState) quota.View {
+func sum(l *quotasync.LimitStatus) quota.NodeStatus {
 	v := l.Parts[0]
 	for _, p := range l.Parts[1:] {
 		v.Want, v.Taken, v.Refused = v.Want+p.Want, v.Taken+p.Taken, v.Refused+p.Refused
@@ -76,14 +76,14 @@
 }
 
 func (k *limitShow) Run(ctx context.Context, c *console) error {
-	return k.limits(ctx, c, k.Name, func(w *tabwriter.Writer, st *quotasync.State) {
+	return k.limits(ctx, c, k.Name, func(w *tabwriter.Writer, st *quotasync.Status) {
 		l := st.Limits[0]
-		fmt.Fprintf(w, "%s: %s %s, of %s; over at most: %s\n", l.Name, quota.Text(l.Nodes[0].Most), l.Unit(), scope(l.Limit), l.Over)
+		fmt.Fprintf(w, "%s: %s %s, of %s; over at most: %s\n", l.Name, quota.FormatAmount(l.Nodes[0].Most), l.Unit(), scope(l.Limit), l.Over)
 		fmt.Fprintf(w, "divided by: %s; a share ends %d ms after its sidecar falls silent\n", orNobody(st.Divider), st.TTLMs)
 		fmt.Fprintln(w, "PART\tMOST\tLEAST\tWEIGHT\tOUT\tOWN SHARES\tWANTED\tLET THROUGH\tREFUSED\tSIDECARS")
 		for i, v := range l.Parts {
 			n := l.Nodes[i]
-			fmt.Fprintf(w, "%s\t%s\t%s\t%g\t%s\t%s\t%s\t%d\t%d\t%d\n", partName(v.Path), quota.Text(v.Most), quota.Text(n.Least), n.Weight, quota.Text(v.Counts), quota.Text(v.Given), quota.Text(v.Want), v.Taken, v.Refused, len(v.Of))
+			fmt.Fprintf(w, "%s\t%s\t%s\t%g\t%s\t%s\t%s\t%d\t%d\t%d\n", partName(v.Path), quota.FormatAmount(v.Most), quota.FormatAmount(n.Least), n.Weight, quota.FormatAmount(v.Counts), quota.FormatAmount(v.Given), quota.FormatAmount(v.Want), v.Taken, v.Refused, len(v.Of))
 		}
 	})
 }
@@ -124,16 +124,16 @@
 func (k *limitExplain) Run(ctx context.Context, c *console) error {
 	name, path, _ := strings.Cut(k.Name, "/")
 	var missed error
-	err := k.limits(ctx, c, name, func(w *tabwriter.Writer, st *quotasync.State) {
+	err := k.limits(ctx, c, name, func(w *tabwriter.Writer, st *quotasync.Status) {
 		l := st.Limits[0]
 		for _, v := range l.Parts {
 			if v.Path != path {
 				continue
 			}
-			fmt.Fprintf(w, "%s of %s: %s of %s %s are out with this part and what is under it\n", partName(path), name, quota.Text(v.Counts), quota.Text(v.Most), l.Unit())
+			fmt.Fprintf(w, "%s of %s: %s of %s %s are out with this part and what is under it\n", partName(path), name, quota.FormatAmount(v.Counts), quota.FormatAmount(v.Most), l.Unit())
 			fmt.Fprintln(w, "SIDECAR\tSESSION\tSHARE\tCOUNTS FOR\tIN USE\tWANTS\tLET THROUGH\tREFUSED\tHEARD\tWHY IT COUNTS")
 			for _, h := range v.Of {
-				fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t%d\t%d\t%v ago\t%s\n", h.Host, h.Session, quota.Text(h.Amount), quota.Text(h.Counts), quota.Text(h.Floor), quota.Text(h.Want), h.Taken, h.Refused,
+				fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t%d\t%d\t%v ago\t%s\n", h.Host, h.Session, quota.FormatAmount(h.Amount), quota.FormatAmount(h.Counts), quota.FormatAmount(h.Floor), quota.FormatAmount(h.Want), h.Taken, h.Refused,
 					(time.Duration(h.AgeMs) * time.Millisecond).Round(100*time.Millisecond), why(&h))
 			}
 			return
@@ -143,7 +143,7 @@
 	return errors.Join(err, missed)
 }
 
-func why(h *quota.Holding) string {
+func why(h *quota.ProcessQuota) string {
 	switch {
 	case h.Gone:
 		return "its sidecar is gone: what that may have begun is waited out"
@@ -184,7 +184,7 @@
 	})
 }
 
-func readLimits(path string) (*quota.Conf, error) {
+func readLimits(path string) (*quota.Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
--- a/cmd/birchmoor/lock.go
+++ b/cmd/birchmoor/lock.go
@@ -70,7 +70,7 @@
 	if _, err := exec.LookPath(k.Command[0]); err != nil {
 		return &exitError{exitNotRun, err}
 	}
-	if err := watchdog.Adopt(); err != nil {
+	if err := watchdog.BecomeSubreaper(); err != nil {
 		return err
 	}
 	defer watchdog.Clear()
@@ -80,7 +80,7 @@
 	}
 	defer cancel()
 	host, _ := os.Hostname() // for people alone
-	want := leasetask.Want{Task: k.Name, Slots: k.Slots, TTL: k.TTL, Note: fmt.Sprintf("lock: %.120s (pid %d, %.40s)", strings.Join(k.Command, " "), os.Getpid(), host)}
+	want := leasetask.Claim{Task: k.Name, Slots: k.Slots, TTL: k.TTL, Note: fmt.Sprintf("lock: %.120s (pid %d, %.40s)", strings.Join(k.Command, " "), os.Getpid(), host)}
 	hold, drop := context.WithCancel(context.WithoutCancel(ctx)) // the connection, by which it is held
 	defer drop()
 	lines, failed := make(chan adminapi.LockLine, 16), make(chan error, 1)
@@ -156,7 +156,7 @@
 		"--"}, k.Command...)...)
 	cmd.Env = append(os.Environ(), "BIRCHMOOR_TASK="+k.Name, fmt.Sprintf("BIRCHMOOR_TOKEN=%d", l.Token), fmt.Sprintf("BIRCHMOOR_UNTIL=%d", l.Until))
 	cmd.Stdin, cmd.Stdout, cmd.Stderr, cmd.ExtraFiles = os.Stdin, os.Stdout, os.Stderr, []*os.File{out}
-	if err := watchdog.PutOff(pipe, plantedUntil(l.Until)); err != nil {
+	if err := watchdog.ExtendDeadline(pipe, plantedUntil(l.Until)); err != nil {
 		return err
 	}
 	if err := cmd.Start(); err != nil {
@@ -206,7 +206,7 @@
 				}
 				_ = watchdog.End(pipe)
 			} else if l.Until > 0 {
-				_ = watchdog.PutOff(pipe, plantedUntil(l.Until))
+				_ = watchdog.ExtendDeadline(pipe, plantedUntil(l.Until))
 			}
 			if say != nil && k.JSON {
 				say(l, "")
@@ -232,7 +232,7 @@
 		fmt.Fprintf(os.Stderr, "birchmoor: %s with token %s: what it ran may have gone on %v past its time: this host did not run its keeper in time\n", os.Getenv("BIRCHMOOR_TASK"), os.Getenv("BIRCHMOOR_TOKEN"), time.Duration(by).Round(time.Millisecond))
 	}}.Run(os.NewFile(3, "deadlines"))
 	switch {
-	case errors.Is(why, watchdog.ErrLate), errors.Is(why, watchdog.ErrAlone):
+	case errors.Is(why, watchdog.ErrDeadlinePassed), errors.Is(why, watchdog.ErrAlone):
 		return &exitError{exitLost, nil}
 	case errors.Is(why, watchdog.ErrTold):
 		return &exitError{code, nil}
--- a/cmd/birchmoor/sidecar.go
+++ b/cmd/birchmoor/sidecar.go
@@ -57,11 +57,11 @@
 // extras are what a sidecar has of a store.
 type extras struct {
 	reload   <-chan os.Signal
-	shared   maintenance.Shared
+	shared   maintenance.FleetOverrides
 	fleet    sidecar.Fleet
-	settings func() json.RawMessage // in the place of the file's, unless nil
-	limits   core.Limiter           // of the fleet, unless nil
-	figure   func(daemon.Figures)   // is given what tells how clients were answered, unless nil
+	settings func() json.RawMessage     // in the place of the file's, unless nil
+	limits   core.Limiter               // of the fleet, unless nil
+	figure   func(daemon.AnswerCounter) // is given what tells how clients were answered, unless nil
 }
 
 func (x *extras) read() (*config.Config, error) {
--- a/cmd/birchmoor/store.go
+++ b/cmd/birchmoor/store.go
@@ -298,7 +298,7 @@
 	if err != nil {
 		return err
 	}
-	return k.change(ctx, c, admin.Request{ID: id, Add: &store.Join{Name: k.Name, Address: k.Address}}, func(w *tabwriter.Writer, x admin.Change) {
+	return k.change(ctx, c, admin.Request{ID: id, Add: &store.AddMember{Name: k.Name, Address: k.Address}}, func(w *tabwriter.Writer, x admin.Change) {
 		fmt.Fprintf(w, "member %d, a learner until it has caught up\n", x.Member)
 	})
 }
@@ -364,7 +364,7 @@
 			return err
 		}
 		if k.ID != "" {
-			all = slices.DeleteFunc(all, func(f daemon.Fact) bool { return f.ID != k.ID })
+			all = slices.DeleteFunc(all, func(f daemon.ServerFact) bool { return f.ID != k.ID })
 			if len(all) == 0 {
 				fmt.Fprintf(c.err, "%s: nothing is known of it here\n", k.ID)
 				return errMissed
@@ -595,12 +595,12 @@
 	}
 	// Above what the old cluster can have given since the file was saved, and above what an earlier restoring of the same file
 	// went on with: the clock only makes that likely; what a token guards turns lower ones away in any case.
-	s.Renew(binary.BigEndian.Uint64(b[:])>>1|1, max(s.Revision()+1_000_000_000, uint64(time.Now().Unix())<<20))
+	s.Reinitialize(binary.BigEndian.Uint64(b[:])>>1|1, max(s.Revision()+1_000_000_000, uint64(time.Now().Unix())<<20))
 	if s.Level() >= store.Level {
-		s.Lay(lease.HoldKey, []byte("restored"), lease.TTLMost) // for as long as holders of the old cluster may go on
+		s.Seed(lease.SuspendKey, []byte("restored"), lease.MaxTTLMillis) // for as long as holders of the old cluster may go on
 	}
-	s.Found(k.Name, k.Address, d.Identity().Disk)
-	if err := replica.FoundFrom(d, d.Identity(), s); err != nil {
+	s.Bootstrap(k.Name, k.Address, d.Identity().Disk)
+	if err := replica.BootstrapFrom(d, d.Identity(), s); err != nil {
 		return err
 	}
 	fmt.Fprintf(c.out, "%s: a new cluster %x at revision %d, %d keys\n", k.Dir, s.Cluster(), s.Revision(), s.Len())
--- a/cmd/birchmoor/task.go
+++ b/cmd/birchmoor/task.go
@@ -32,7 +32,7 @@
 type taskList struct{ socketFlag }
 
 // shown asks for tasks.
-func (s *socketFlag) shown(ctx context.Context, c *console, name string, show func([]leasetask.Info) error) error {
+func (s *socketFlag) shown(ctx context.Context, c *console, name string, show func([]leasetask.TaskStatus) error) error {
 	return s.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
 		all, err := a.Tasks(ctx, name)
 		var told *admin.Error
@@ -48,7 +48,7 @@
 }
 
 // holderOf says who holds a task, or why nobody does.
-func holderOf(i leasetask.Info) (host, token string) {
+func holderOf(i leasetask.TaskStatus) (host, token string) {
 	n := 0
 	for _, p := range i.Places {
 		if p.Holds {
@@ -66,7 +66,7 @@
 	return host, token
 }
 
-func lastOf(i leasetask.Info) string {
+func lastOf(i leasetask.TaskStatus) string {
 	switch {
 	case i.Last == nil:
 		return "-"
@@ -77,7 +77,7 @@
 }
 
 func (k *taskList) Run(ctx context.Context, c *console) error {
-	return k.shown(ctx, c, "", func(all []leasetask.Info) error {
+	return k.shown(ctx, c, "", func(all []leasetask.TaskStatus) error {
 		return k.print(c, all, func(w *tabwriter.Writer) {
 			fmt.Fprintln(w, "TASK\tHOLDER\tTOKEN\tSLOTS\tPLACES\tLAST\tNOTE")
 			for _, i := range all {
@@ -98,7 +98,7 @@
 }
 
 func (k *taskShow) Run(ctx context.Context, c *console) error {
-	return k.shown(ctx, c, k.Task, func(all []leasetask.Info) error {
+	return k.shown(ctx, c, k.Task, func(all []leasetask.TaskStatus) error {
 		return k.print(c, all[0], func(w *tabwriter.Writer) {
 			i := all[0]
 			host, token := holderOf(i)
@@ -130,12 +130,12 @@
 }
 
 // order puts an order on a task.
-func (s *socketFlag) order(ctx context.Context, c *console, task string, o lease.Order) error {
+func (s *socketFlag) order(ctx context.Context, c *console, task string, o lease.TaskOverride) error {
 	if u, err := user.Current(); err == nil {
 		o.By = u.Username // for people alone
 	}
 	return s.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
-		if err := a.OrderTask(ctx, adminapi.Order{Task: task, Order: o}); err != nil {
+		if err := a.OrderTask(ctx, adminapi.OverrideRequest{Task: task, TaskOverride: o}); err != nil {
 			return s.failed(ctx, c, err, "")
 		}
 		if s.JSON {
@@ -157,7 +157,7 @@
 }
 
 func (k *taskPause) Run(ctx context.Context, c *console) error {
-	return k.order(ctx, c, k.Task, lease.Order{Pause: true, Note: k.Note})
+	return k.order(ctx, c, k.Task, lease.TaskOverride{Pause: true, Note: k.Note})
 }
 
 type taskResume struct {
@@ -166,7 +166,7 @@
 }
 
 func (k *taskResume) Run(ctx context.Context, c *console) error {
-	return k.order(ctx, c, k.Task, lease.Order{})
+	return k.order(ctx, c, k.Task, lease.TaskOverride{})
 }
 
 type taskMove struct {
@@ -182,5 +182,5 @@
 }
 
 func (k *taskMove) Run(ctx context.Context, c *console) error {
-	return k.order(ctx, c, k.Task, lease.Order{Host: k.Host, Note: k.Note})
+	return k.order(ctx, c, k.Task, lease.TaskOverride{Host: k.Host, Note: k.Note})
 }
--- a/cmd/birchmoor/tasklab.go
+++ b/cmd/birchmoor/tasklab.go
@@ -161,7 +161,7 @@
 	}
 	defer f.End()
 	a := f.Daemons[0].Client
-	until := func(what string, done func([]leasetask.Info) bool) error {
+	until := func(what string, done func([]leasetask.TaskStatus) bool) error {
 		for ctx, cancel := context.WithTimeout(ctx, time.Minute); ; time.Sleep(20 * time.Millisecond) {
 			list, err := a.Tasks(ctx, "")
 			if err == nil && done(list) {
@@ -190,7 +190,7 @@
 	}
 	const ttl = 5 * time.Second // the daemons' default
 	const ownTasks = 2          // in which each daemon has a place
-	if err := until("every daemon's place", func(list []leasetask.Info) bool {
+	if err := until("every daemon's place", func(list []leasetask.TaskStatus) bool {
 		return len(list) == ownTasks && len(list[0].Places) == n && len(list[1].Places) == n
 	}); err != nil {
 		return nil, err
@@ -207,10 +207,10 @@
 	defer drop()
 	for i := range k.Tasks {
 		wg.Go(func() {
-			_ = f.Daemons[n-1].Client.Lock(hold, leasetask.Want{Task: fmt.Sprintf("task%d", i), TTL: ttl}, func(adminapi.LockLine) error { return nil }) // until it is dropped
+			_ = f.Daemons[n-1].Client.Lock(hold, leasetask.Claim{Task: fmt.Sprintf("task%d", i), TTL: ttl}, func(adminapi.LockLine) error { return nil }) // until it is dropped
 		})
 	}
-	if err := until("all tasks' holders", func(list []leasetask.Info) bool { return len(list) == ownTasks+k.Tasks }); err != nil {
+	if err := until("all tasks' holders", func(list []leasetask.TaskStatus) bool { return len(list) == ownTasks+k.Tasks }); err != nil {
 		return nil, err
 	}
 	if rate, err = entries(); err != nil {
--- a/internal/controlplane/adminapi/limits.go
+++ b/internal/controlplane/adminapi/limits.go
@@ -25,7 +25,7 @@
 	if s.Limits == nil {
 		return nil, errNoLimits
 	}
-	c := &quota.Conf{}
+	c := &quota.Config{}
 	if err := admin.Decode(w, r, c); err != nil {
 		return nil, err
 	}
@@ -33,11 +33,11 @@
 }
 
 // Limits shows all limits, or the one of a name.
-func (c *Client) Limits(ctx context.Context, name string) (s quotasync.State, err error) {
+func (c *Client) Limits(ctx context.Context, name string) (s quotasync.Status, err error) {
 	return s, c.Call(ctx, "GET", "/v1/limits", url.Values{"limit": {name}}, nil, &s)
 }
 
 // PutLimits puts limits in force.
-func (c *Client) PutLimits(ctx context.Context, conf *quota.Conf) (now quota.Conf, err error) {
+func (c *Client) PutLimits(ctx context.Context, conf *quota.Config) (now quota.Config, err error) {
 	return now, c.Call(ctx, "POST", "/v1/limits", nil, conf, &now)
 }
--- a/internal/controlplane/adminapi/operate.go
+++ b/internal/controlplane/adminapi/operate.go
@@ -38,8 +38,8 @@
 // Status is how a copy of the store and what a daemon holds of servers stand.
 type Status struct {
 	engine.Status
-	Daemon daemon.Kept  `json:"daemon"`
-	Began  daemon.Began `json:"began"`
+	Daemon daemon.Counts       `json:"daemon"`
+	Began  daemon.StartupState `json:"began"`
 }
 
 // Parts are what is answered for.
@@ -47,15 +47,15 @@
 	Servers  *daemon.Servers
 	Settings *daemon.Settings
 	Tasks    *leasetask.Runner
-	Limits   *quotasync.Limits // nil: none are shared here
-	Clock    bootclock.Clock   // of entitlements
-	Meter    *usage.Meter      // nil: nothing is counted
+	Limits   *quotasync.Manager // nil: none are shared here
+	Clock    bootclock.Clock    // of entitlements
+	Meter    *usage.Meter       // nil: nothing is counted
 }
 
 // Meter is a new one that knows what the parts of a daemon use their keys for.
 func Meter() *usage.Meter {
-	return usage.New(usage.Prefix{Prefix: serverstate.Prefix, Purpose: usage.Words}, usage.Prefix{Prefix: serverstate.StartPrefix, Purpose: usage.Words},
-		usage.Prefix{Prefix: serverstate.PicturePrefix, Purpose: usage.Pictures}, usage.Prefix{Prefix: daemon.ConfigPrefix, Purpose: usage.Settings},
+	return usage.New(usage.Prefix{Prefix: serverstate.ExclusionPrefix, Purpose: usage.Words}, usage.Prefix{Prefix: serverstate.StartPrefix, Purpose: usage.Words},
+		usage.Prefix{Prefix: serverstate.SnapshotPrefix, Purpose: usage.Pictures}, usage.Prefix{Prefix: daemon.ConfigPrefix, Purpose: usage.Settings},
 		usage.Prefix{Prefix: quota.Prefix, Purpose: usage.Shares}, usage.Prefix{Prefix: lease.Prefix, Purpose: usage.Tasks})
 }
 
@@ -69,7 +69,7 @@
 func Listen(path string, s admin.Store, p Parts) (*admin.Server, error) {
 	x := &server{Parts: p, locks: make(chan struct{}, locksMost)}
 	return admin.Listen(path, admin.Config{Store: s, Calls: x.calls, Status: func(st engine.Status) any {
-		return Status{st, p.Servers.Kept(), p.Servers.Start()}
+		return Status{st, p.Servers.Counts(), p.Servers.StartupState()}
 	}})
 }
 
@@ -86,7 +86,9 @@
 	m.Call("GET /v1/meter", func(context.Context, http.ResponseWriter, *http.Request) (any, error) {
 		return s.Parts.Meter.Read(), nil
 	})
-	m.Call("GET /v1/out", func(context.Context, http.ResponseWriter, *http.Request) (any, error) { return s.Servers.Outs(), nil })
+	m.Call("GET /v1/out", func(context.Context, http.ResponseWriter, *http.Request) (any, error) {
+		return s.Servers.Exclusions(), nil
+	})
 	m.Call("GET /v1/servers", func(ctx context.Context, _ http.ResponseWriter, r *http.Request) (any, error) {
 		if r.URL.Query().Get("all") != "true" {
 			ctx = nil
@@ -98,13 +100,13 @@
 // Followers are the rules for daemons without a replica: each part says what is theirs to write.
 func (p Parts) Followers() admin.Rules {
 	return admin.Rules{Meter: p.Meter, Ages: func() map[string]time.Duration { return p.Servers.PictureAges() }, May: func(op store.Op, owner string) bool {
-		return lease.May(op, owner) || leasetask.May(op, owner) || daemon.May(op, owner) || quotasync.May(op, owner)
+		return lease.Allowed(op, owner) || leasetask.Allowed(op, owner) || daemon.Allowed(op, owner) || quotasync.Allowed(op, owner)
 	}}
 }
 
 // missing marks errors of what is not there.
 func missing(err error) error {
-	if errors.Is(err, daemon.ErrNoPlan) {
+	if errors.Is(err, daemon.ErrNoRollout) {
 		return admin.Missing(err)
 	}
 	return err
@@ -181,16 +183,16 @@
 }
 
 // Out lists the servers that are out.
-func (c *Client) Out(ctx context.Context) (all []serverstate.Out, err error) {
+func (c *Client) Out(ctx context.Context) (all []serverstate.Exclusion, err error) {
 	return all, c.Call(ctx, "GET", "/v1/out", nil, nil, &all)
 }
 
 // Servers lists what a daemon knows of servers by its own copy.
-func (c *Client) Servers(ctx context.Context) (all []daemon.Fact, err error) {
+func (c *Client) Servers(ctx context.Context) (all []daemon.ServerFact, err error) {
 	return all, c.Call(ctx, "GET", "/v1/servers", nil, nil, &all)
 }
 
 // ServersOfAll lists what is known of servers, by a replica's pictures where the daemon's copy does not hold all.
-func (c *Client) ServersOfAll(ctx context.Context) (all []daemon.Fact, err error) {
+func (c *Client) ServersOfAll(ctx context.Context) (all []daemon.ServerFact, err error) {
 	return all, c.Call(ctx, "GET", "/v1/servers", url.Values{"all": {"true"}}, nil, &all)
 }
--- a/internal/controlplane/adminapi/operate_test.go
+++ b/internal/controlplane/adminapi/operate_test.go
@@ -26,20 +26,20 @@
 		owner string
 		ok    bool
 	}{
-		"a place":                    {store.Op{Key: lease.PlaceKey("one", "f", "1"), Lease: 7}, "f", true},
-		"another's place":            {store.Op{Key: lease.PlaceKey("one", "g", "1"), Lease: 7}, "f", false},
-		"a place for good":           {store.Op{Key: lease.PlaceKey("one", "f", "1")}, "f", false},
-		"a place as nobody":          {store.Op{Key: lease.PlaceKey("one", "f", "1"), Lease: 7}, "", false},
-		"its own removed":            {store.Op{Key: lease.PlaceKey("one", "f", "1"), Delete: true}, "f", true},
-		"another's removed":          {store.Op{Key: lease.PlaceKey("one", "g", "1"), Delete: true}, "f", false},
-		"slots":                      {store.Op{Key: lease.ConfPrefix + "one"}, "f", true},
-		"slots as nobody":            {store.Op{Key: lease.ConfPrefix + "one"}, "", false},
-		"slots removed":              {store.Op{Key: lease.ConfPrefix + "one", Delete: true}, "f", false},
+		"a place":                    {store.Op{Key: lease.QueueEntryKey("one", "f", "1"), Lease: 7}, "f", true},
+		"another's place":            {store.Op{Key: lease.QueueEntryKey("one", "g", "1"), Lease: 7}, "f", false},
+		"a place for good":           {store.Op{Key: lease.QueueEntryKey("one", "f", "1")}, "f", false},
+		"a place as nobody":          {store.Op{Key: lease.QueueEntryKey("one", "f", "1"), Lease: 7}, "", false},
+		"its own removed":            {store.Op{Key: lease.QueueEntryKey("one", "f", "1"), Delete: true}, "f", true},
+		"another's removed":          {store.Op{Key: lease.QueueEntryKey("one", "g", "1"), Delete: true}, "f", false},
+		"slots":                      {store.Op{Key: lease.TaskConfigPrefix + "one"}, "f", true},
+		"slots as nobody":            {store.Op{Key: lease.TaskConfigPrefix + "one"}, "", false},
+		"slots removed":              {store.Op{Key: lease.TaskConfigPrefix + "one", Delete: true}, "f", false},
 		"what a task did":            {store.Op{Key: "task/done/one"}, "f", true},
 		"how a plan goes with it":    {store.Op{Key: "config/report/f"}, "f", true},
 		"how one goes with another":  {store.Op{Key: "config/report/g"}, "f", false},
-		"an order of operators'":     {store.Op{Key: lease.OrderPrefix + "one"}, "f", false},
-		"the end of the holding-off": {store.Op{Key: lease.HoldKey, Delete: true}, "f", false},
+		"an order of operators'":     {store.Op{Key: lease.OverridePrefix + "one"}, "f", false},
+		"the end of the holding-off": {store.Op{Key: lease.SuspendKey, Delete: true}, "f", false},
 		"what it wants of limits":    {store.Op{Key: "limit/need/f/7", Lease: 7}, "f", true},
 		"by another's session":       {store.Op{Key: "limit/need/f/7", Lease: 8}, "f", false},
 		"what another wants":         {store.Op{Key: "limit/need/g/7", Lease: 7}, "f", false},
@@ -93,11 +93,11 @@
 	m := Meter()
 	p := serverstate.Process{ID: "s", Addr: "a", StartedMs: 1}
 	for key, want := range map[string]usage.Purpose{
-		serverstate.Key(serverstate.Drain, "s"): usage.Words, serverstate.Key(serverstate.Ban, "s"): usage.Words, serverstate.StartKey(p): usage.Words,
-		serverstate.PictureKey("h", "http"): usage.Pictures, daemon.ConfigPrefix + "current": usage.Settings,
-		quota.ConfKey: usage.Shares, quota.TurnKey: usage.Shares, quota.Process{Host: "h", Session: 1}.NeedKey(): usage.Shares,
-		quota.Process{Host: "h", Session: 1}.GrantKey(): usage.Shares, lease.PlaceKey("one", "h", "1"): usage.Tasks,
-		leasetask.DonePrefix + "one": usage.Tasks, lease.HoldKey: usage.Tasks, "an operator's": usage.Other, "": usage.Other,
+		serverstate.ExclusionKey(serverstate.Drain, "s"): usage.Words, serverstate.ExclusionKey(serverstate.AdminDrain, "s"): usage.Words, serverstate.StartKey(p): usage.Words,
+		serverstate.SnapshotKey("h", "http"): usage.Pictures, daemon.ConfigPrefix + "current": usage.Settings,
+		quota.ConfigKey: usage.Shares, quota.AllocationKey: usage.Shares, quota.Process{Host: "h", Session: 1}.DemandKey(): usage.Shares,
+		quota.Process{Host: "h", Session: 1}.GrantKey(): usage.Shares, lease.QueueEntryKey("one", "h", "1"): usage.Tasks,
+		leasetask.ReportPrefix + "one": usage.Tasks, lease.SuspendKey: usage.Tasks, "an operator's": usage.Other, "": usage.Other,
 	} {
 		if got := m.KeyPurpose(key); got != want {
 			t.Errorf("%q is for %v, and not %v", key, got, want)
@@ -108,9 +108,9 @@
 		c    store.Command
 		want usage.Purpose
 	}{
-		"a grant": {store.Command{Grant: &store.Grant{}}, usage.Sessions}, "a renewal": {store.Command{Renew: &store.Renew{}}, usage.Sessions},
-		"an end": {store.Command{End: &store.End{}}, usage.Sessions}, "a member": {store.Command{Join: &store.Join{}}, usage.Raft},
-		"a level": {store.Command{Raise: &store.Raise{}}, usage.Raft}, "nothing": {store.Command{}, usage.Other},
+		"a grant": {store.Command{Grant: &store.GrantLease{}}, usage.Sessions}, "a renewal": {store.Command{Renew: &store.RenewLease{}}, usage.Sessions},
+		"an end": {store.Command{End: &store.RevokeLease{}}, usage.Sessions}, "a member": {store.Command{Join: &store.AddMember{}}, usage.Raft},
+		"a level": {store.Command{Raise: &store.RaiseLevel{}}, usage.Raft}, "nothing": {store.Command{}, usage.Other},
 		"a put":             {store.Command{Txn: &store.Txn{Then: put("limit/x"), Else: put("out/x")}}, usage.Shares},
 		"a put if not":      {store.Command{Txn: &store.Txn{Else: put("out/x"), If: []store.Compare{{Key: "task/x"}}}}, usage.Words},
 		"a comparison":      {store.Command{Txn: &store.Txn{If: []store.Compare{{Key: "task/x"}}}}, usage.Tasks},
--- a/internal/controlplane/adminapi/tasks.go
+++ b/internal/controlplane/adminapi/tasks.go
@@ -20,10 +20,10 @@
 	lockBeat  = time.Second
 )
 
-// Order is an operator's word on a task.
-type Order struct {
+// OverrideRequest is an operator's word on a task.
+type OverrideRequest struct {
 	Task string `json:"task"`
-	lease.Order
+	lease.TaskOverride
 }
 
 // LockLine is one of those that a lock's holder is sent: at each change, and every second, so that one who is gone is found.
@@ -39,17 +39,17 @@
 	name := r.URL.Query().Get("task")
 	all, err := s.Tasks.List(ctx, name)
 	if err == nil && name != "" && len(all) == 0 {
-		err = admin.Missing(fmt.Errorf("%s: %w", name, leasetask.ErrNoTask))
+		err = admin.Missing(fmt.Errorf("%s: %w", name, leasetask.ErrTaskNotFound))
 	}
 	return all, err
 }
 
 func (s *server) orderTask(ctx context.Context, w http.ResponseWriter, r *http.Request) (any, error) {
-	var o Order
+	var o OverrideRequest
 	if err := admin.Decode(w, r, &o); err != nil {
 		return nil, err
 	}
-	if err := s.Tasks.Tell(ctx, o.Task, o.Order); err != nil {
+	if err := s.Tasks.SetOverride(ctx, o.Task, o.TaskOverride); err != nil {
 		return nil, err
 	}
 	return struct{}{}, nil
@@ -71,13 +71,13 @@
 		admin.Fail(w, fmt.Errorf("%w: slots %q, ttl %q", admin.ErrBad, q.Get("slots"), q.Get("ttl")))
 		return
 	}
-	want := leasetask.Want{Task: q.Get("task"), Slots: int(min(slots, lease.SlotsMost+1)), TTL: ttl, Note: q.Get("note")}
+	want := leasetask.Claim{Task: q.Get("task"), Slots: int(min(slots, lease.MaxSlots+1)), TTL: ttl, Note: q.Get("note")}
 	enc, c := json.NewEncoder(w), http.NewResponseController(w)
 	lines := make(chan LockLine, 1)
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
 	type got struct {
-		h   *leasetask.Hold
+		h   *leasetask.Lease
 		err error
 	}
 	done := make(chan got, 1)
@@ -101,7 +101,7 @@
 	}
 	beat := time.NewTicker(lockBeat)
 	defer beat.Stop()
-	var h *leasetask.Hold
+	var h *leasetask.Lease
 	for wait := (LockLine{}); h == nil; {
 		select {
 		case wait = <-lines:
@@ -140,7 +140,7 @@
 		s.held.Delete(lockKey{want.Task, h.Token()})
 	}()
 	for {
-		until := h.Until()
+		until := h.ValidUntil()
 		if h.Context().Err() != nil {
 			_ = send(LockLine{Over: true, Why: context.Cause(h.Context()).Error(), Until: told})
 			return
@@ -191,17 +191,17 @@
 }
 
 // Tasks lists all tasks, or those of a name.
-func (c *Client) Tasks(ctx context.Context, name string) (all []leasetask.Info, err error) {
+func (c *Client) Tasks(ctx context.Context, name string) (all []leasetask.TaskStatus, err error) {
 	return all, c.Call(ctx, "GET", "/v1/tasks", url.Values{"task": {name}}, nil, &all)
 }
 
 // OrderTask puts an operator's order on a task.
-func (c *Client) OrderTask(ctx context.Context, o Order) error {
+func (c *Client) OrderTask(ctx context.Context, o OverrideRequest) error {
 	return c.Call(ctx, "POST", "/v1/task", nil, o, &struct{}{})
 }
 
 // Lock waits for a task and holds it until ctx ends, f fails or the daemon says that it is over; f is told of each change.
-func (c *Client) Lock(ctx context.Context, w leasetask.Want, f func(LockLine) error) error {
+func (c *Client) Lock(ctx context.Context, w leasetask.Claim, f func(LockLine) error) error {
 	q := url.Values{"task": {w.Task}, "slots": {strconv.Itoa(w.Slots)}, "ttl": {w.TTL.String()}, "note": {w.Note}}
 	a, err := c.Do(ctx, "GET", "/v1/lock", q, nil)
 	if err != nil {
--- a/internal/controlplane/control.go
+++ b/internal/controlplane/control.go
@@ -36,30 +36,30 @@
 // Config says what is started.
 type Config struct {
 	File  *operatorconfig.File // with a [store]
-	Check daemon.Check         // of settings, for the sidecar that runs beside; nil where none does
+	Check daemon.SettingsCheck // of settings, for the sidecar that runs beside; nil where none does
 	// Sidecar is the name of the one that runs beside, whose picture a follower's copy holds; "" where none does, or it is not known.
 	Sidecar string
 	Hup     <-chan os.Signal // a signal of the system's to read the settings anew; nil: none comes
 	Log     *slog.Logger
-	Plant   Plant
+	Plant   Defects
 }
 
-// Plant is what builds for tests do within; no other sets it.
-type Plant struct {
+// Defects is what builds for tests do within; no other sets it.
+type Defects struct {
 	Clock   bootclock.Clock // at another pace
 	File    func(*os.File)
 	Store   func(admin.Store) admin.Store // the copy that the operators' socket answers by
-	Session lease.Plant
-	Table   lease.TablePlant
-	Limit   quota.Plant
+	Session lease.Defect
+	Table   lease.TableDefect
+	Limit   quota.Defect
 }
 
-// Parts are those that run. Any goroutine may use them until End.
-type Parts struct {
+// Components are those that run. Any goroutine may use them until End.
+type Components struct {
 	Servers  *daemon.Servers
 	Settings *daemon.Settings
 	Tasks    *leasetask.Runner
-	Limits   *quotasync.Limits // nil where none are shared
+	Limits   *quotasync.Manager // nil where none are shared
 	Store    Store
 	Meter    *usage.Meter
 
@@ -81,7 +81,7 @@
 )
 
 // Open starts the parts that the file tells of. End stops them.
-func Open(c Config) (*Parts, error) {
+func Open(c Config) (*Components, error) {
 	s, bounds, log := c.File.Store, store.DefaultLimits, c.Log
 	bounds.Total = s.TotalMB << 20
 	cfg := engine.Config{Name: s.Name, Dir: s.Dir, Address: s.Address, Join: s.Join, Limits: bounds, Tick: time.Duration(s.Tick),
@@ -108,7 +108,7 @@
 	if cfg.Disk.File = c.Plant.File; clock.Pace != 0 {
 		cfg.Tick = clock.Span(int64(cfg.Tick))
 	}
-	p := &Parts{log: log, Meter: cfg.Meter, Servers: daemon.NewServers(s.Name, log), Settings: daemon.NewSettings(s.Name, c.Check, log),
+	p := &Components{log: log, Meter: cfg.Meter, Servers: daemon.NewServers(s.Name, log), Settings: daemon.NewSettings(s.Name, c.Check, log),
 		Tasks: leasetask.New(leasetask.Config{Host: s.Name, Skew: s.Skew, Log: log, Clock: clock, Table: c.Plant.Table, Plant: c.Plant.Session})}
 	if c.Sidecar != "" {
 		p.Servers.Own(c.Sidecar)
@@ -121,7 +121,7 @@
 	}
 	d := daemon.New(log, parts...)
 	d.SweepByOne()
-	if err := p.Servers.Journal(s.Dir); err != nil {
+	if err := p.Servers.OpenDrainLog(s.Dir); err != nil {
 		return nil, err
 	}
 	if len(s.Follow) > 0 {
@@ -138,18 +138,18 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	p.cancel = cancel
 	p.working.Go(func() { d.Run(ctx) })
-	p.working.Go(func() { _ = p.Tasks.Take(ctx, sweep(d, p.Servers, time.Duration(s.Lease))) }) // which has no fault to tell
+	p.working.Go(func() { _ = p.Tasks.RunTask(ctx, sweep(d, p.Servers, time.Duration(s.Lease))) }) // which has no fault to tell
 	p.working.Go(func() { p.signals(ctx, c.Hup) })
-	p.working.Go(func() { _ = p.Tasks.Take(ctx, drive(p.Settings, time.Duration(s.Lease))) })
+	p.working.Go(func() { _ = p.Tasks.RunTask(ctx, drive(p.Settings, time.Duration(s.Lease))) })
 	if p.Limits != nil && len(s.Follow) == 0 {
-		p.working.Go(func() { _ = p.Tasks.Take(ctx, p.Limits.Divide()) })
+		p.working.Go(func() { _ = p.Tasks.RunTask(ctx, p.Limits.AllocatorTask()) })
 	}
 	log.Info("the store runs", "replica", s.Name, "listen", s.Listen, "serve", s.Serve, "follows", s.Follow, "socket", s.Socket)
 	return p, nil
 }
 
 // End stops them, and gives up what is held while the store still takes that.
-func (p *Parts) End() {
+func (p *Components) End() {
 	p.Tasks.Close()
 	p.cancel()
 	p.working.Wait()
@@ -159,7 +159,7 @@
 }
 
 // answer serves operators and followers.
-func (p *Parts) answer(s *operatorconfig.Store, planted func(admin.Store) admin.Store, clock bootclock.Clock, pair *keys.Pair) error {
+func (p *Components) answer(s *operatorconfig.Store, planted func(admin.Store) admin.Store, clock bootclock.Clock, pair *keys.Pair) error {
 	if err := os.MkdirAll(filepath.Dir(s.Socket), 0o700); err != nil {
 		return err
 	}
@@ -188,7 +188,7 @@
 }
 
 // signals has a signal of the system's count as one of the store's.
-func (p *Parts) signals(ctx context.Context, hup <-chan os.Signal) {
+func (p *Components) signals(ctx context.Context, hup <-chan os.Signal) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -205,9 +205,9 @@
 // sweep is the task of ending what nobody has told for long.
 func sweep(d *daemon.Daemon, servers *daemon.Servers, ttl time.Duration) leasetask.Task {
 	var token uint64 // of the holding for which all is known
-	return leasetask.Task{Want: leasetask.Want{Task: daemon.FleetTask, TTL: ttl, Note: "ends drains, starts and pictures that nobody tells any more"},
+	return leasetask.Task{Claim: leasetask.Claim{Task: daemon.FleetTask, TTL: ttl, Note: "ends drains, starts and pictures that nobody tells any more"},
 		Every: sweepEvery, Most: ttl / 2, Progress: 6 * sweepEvery, HoldDown: 6 * sweepEvery,
-		Do: func(ctx context.Context, h *leasetask.Hold) error {
+		Do: func(ctx context.Context, h *leasetask.Lease) error {
 			if h.Token() != token {
 				token = h.Token()
 				servers.Sweeps(h.Context())
@@ -218,16 +218,16 @@
 
 // drive is the task of taking settings that come in force in steps further, or back.
 func drive(settings *daemon.Settings, ttl time.Duration) leasetask.Task {
-	return leasetask.Task{Want: leasetask.Want{Task: daemon.RolloutTask, TTL: ttl, Note: "drives settings that come in force in steps"}, Every: driveEvery, Most: ttl / 2,
+	return leasetask.Task{Claim: leasetask.Claim{Task: daemon.RolloutTask, TTL: ttl, Note: "drives settings that come in force in steps"}, Every: driveEvery, Most: ttl / 2,
 		Progress: time.Minute, HoldDown: time.Minute,
-		Do: func(ctx context.Context, h *leasetask.Hold) error { return settings.Drive(ctx, h.Token(), h.Txn) }}
+		Do: func(ctx context.Context, h *leasetask.Lease) error { return settings.Drive(ctx, h.Token(), h.Txn) }}
 }
 
 // replica starts a replica, and notes what its daemon starts with.
-func (p *Parts) replica(s *operatorconfig.Store, d *daemon.Daemon, cfg engine.Config) (Store, error) {
+func (p *Components) replica(s *operatorconfig.Store, d *daemon.Daemon, cfg engine.Config) (Store, error) {
 	d.Hook(&cfg)
 	var written time.Time
-	if info, err := os.Stat(filepath.Join(s.Dir, disk.Name)); err == nil {
+	if info, err := os.Stat(filepath.Join(s.Dir, disk.FileName)); err == nil {
 		written = info.ModTime()
 	}
 	e, err := engine.Open(cfg)
@@ -253,16 +253,16 @@
 }
 
 // follower starts a copy of others' replicas.
-func (p *Parts) follower(s *operatorconfig.Store, d *daemon.Daemon, of engine.Config) (Store, error) {
+func (p *Components) follower(s *operatorconfig.Store, d *daemon.Daemon, of engine.Config) (Store, error) {
 	cfg := follower.Config{Name: s.Name, Dir: s.Dir, Keys: of.Keys, Meter: of.Meter, Wait: time.Duration(s.Wait), Log: p.log, Age: p.Servers.PictureAge}
 	for _, text := range s.Follow {
 		name, addr, _ := strings.Cut(text, "=")
 		cfg.Replicas = append(cfg.Replicas, follower.Replica{Name: name, Addr: addr})
 	}
 	cfg.Event, cfg.Reset = d.Hooks()
-	cfg.Settled, cfg.Proved = d.Settled, d.Proved
+	cfg.CaughtUp, cfg.Confirmed = d.CaughtUp, d.Confirmed
 	if s.Interest != operatorconfig.InterestAll {
-		cfg.Needs, cfg.Sum = d.Needs, d.Sum
+		cfg.Subscription, cfg.PrefixSize = d.Subscription, d.Sum
 	}
 	f, err := follower.Open(cfg)
 	if err != nil {
--- a/internal/controlplane/daemon/bans.go
+++ b/internal/controlplane/daemon/bans.go
@@ -13,9 +13,9 @@
 	"birchmoor/internal/store/serverstate"
 )
 
-// Bans are the servers that operators took out: a word told to one daemon binds at all, and a return needs the quorum. It is a Part,
+// AdminDrains are the servers that operators took out: a word told to one daemon binds at all, and a return needs the quorum. It is a Part,
 // and a maintenance.Shared; any goroutine may use it.
-type Bans struct {
+type AdminDrains struct {
 	desk
 	guard *serverstate.Guard
 	dirty map[string]bool // servers whose state is to be told to the sidecar
@@ -23,24 +23,26 @@
 	agree func(ctx context.Context, id string, out bool) error
 }
 
-// NewBans returns those of the daemon of a name.
-func NewBans(name string, log *slog.Logger) *Bans {
-	b := &Bans{desk: newDesk(name, log), guard: serverstate.NewGuard(name), dirty: map[string]bool{}, came: arrivals{}}
+// NewAdminDrains returns those of the daemon of a name.
+func NewAdminDrains(name string, log *slog.Logger) *AdminDrains {
+	b := &AdminDrains{desk: newDesk(name, log), guard: serverstate.NewGuard(name), dirty: map[string]bool{}, came: arrivals{}}
 	b.guard.Only(func(kind serverstate.Kind, server string) bool { return !ofDrains(kind, server) })
 	return b
 }
 
 func serverOf(key string) string {
-	_, server, _ := strings.Cut(strings.TrimPrefix(key, serverstate.Prefix), "/")
+	_, server, _ := strings.Cut(strings.TrimPrefix(key, serverstate.ExclusionPrefix), "/")
 	return server
 }
 
-// Needs is of Needy.
-func (b *Bans) Needs() changefeed.Needs { return needs(serverstate.Prefix) }
+// Subscription is of Needy.
+func (b *AdminDrains) Subscription() changefeed.Subscription {
+	return needs(serverstate.ExclusionPrefix)
+}
 
 // Event is of Part.
-func (b *Bans) Event(e store.Event) {
-	if _, drain := drainOf(e.Item.Key); drain || !strings.HasPrefix(e.Item.Key, serverstate.Prefix) {
+func (b *AdminDrains) Event(e store.Event) {
+	if _, drain := drainOf(e.Item.Key); drain || !strings.HasPrefix(e.Item.Key, serverstate.ExclusionPrefix) {
 		return
 	}
 	b.mu.Lock()
@@ -52,14 +54,14 @@
 }
 
 // stale notes that all that is out is to be told to the sidecar again. The lock is held.
-func (b *Bans) stale() {
+func (b *AdminDrains) stale() {
 	for _, o := range b.guard.All() {
 		b.dirty[o.Server] = true
 	}
 }
 
 // Reset is of Part.
-func (b *Bans) Reset(s *store.State) {
+func (b *AdminDrains) Reset(s *store.State) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.stale()
@@ -72,8 +74,8 @@
 	b.poke()
 }
 
-// Unsettled is of Tail.
-func (b *Bans) Unsettled(c *store.Command) {
+// Uncommitted is of Tail.
+func (b *AdminDrains) Uncommitted(c *store.Command) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, key := range b.guard.Unsettled(c) { // a start finds thousands of commands: each costs what it says, not what is known
@@ -81,8 +83,8 @@
 	}
 }
 
-// Settled is of Tail.
-func (b *Bans) Settled() {
+// CaughtUp is of Tail.
+func (b *AdminDrains) CaughtUp() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, key := range b.guard.Settled() {
@@ -92,9 +94,9 @@
 }
 
 // Run is of Part.
-func (b *Bans) Run(ctx context.Context) { b.work(ctx, b.owed, b.tell) }
+func (b *AdminDrains) Run(ctx context.Context) { b.work(ctx, b.owed, b.tell) }
 
-func (b *Bans) owed() {
+func (b *AdminDrains) owed() {
 	b.mu.Lock()
 	owed := b.guard.Owed()
 	b.mu.Unlock()
@@ -104,7 +106,7 @@
 }
 
 // queue leaves a word of the guard's to be written; if there is no room it stays owed.
-func (b *Bans) queue(op store.Op) {
+func (b *AdminDrains) queue(op store.Op) {
 	b.owe(write{key: op.Key, wrote: func(ok bool) { b.guard.Wrote(op.Key, ok) }, do: func(ctx context.Context) error {
 		_, err := b.store.Do(ctx, store.Command{Txn: &store.Txn{Then: []store.Op{op}}})
 		return err
@@ -112,7 +114,7 @@
 }
 
 // tell makes bind in the sidecar what has changed.
-func (b *Bans) tell(ctx context.Context) {
+func (b *AdminDrains) tell(ctx context.Context) {
 	b.mu.Lock()
 	agree := b.agree
 	if agree == nil {
@@ -140,18 +142,18 @@
 	}
 }
 
-// Begin is of maintenance.Shared.
-func (b *Bans) Begin(agree func(ctx context.Context, id string, out bool) error) {
+// Subscribe is of maintenance.Shared.
+func (b *AdminDrains) Subscribe(agree func(ctx context.Context, id string, out bool) error) {
 	b.mu.Lock()
 	b.agree = agree
 	b.mu.Unlock()
 	b.poke()
 }
 
-// TakenOut is of maintenance.Shared.
-func (b *Bans) TakenOut(id string) {
+// ReportDrain is of maintenance.Shared.
+func (b *AdminDrains) ReportDrain(id string) {
 	b.mu.Lock()
-	op, err := b.guard.Hear(serverstate.Ban, id)
+	op, err := b.guard.Hear(serverstate.AdminDrain, id)
 	b.mu.Unlock()
 	if err != nil {
 		b.log.Error("other daemons are not told of a ban", "id", id, "error", err)
@@ -160,17 +162,17 @@
 	}
 }
 
-// Return is of maintenance.Shared.
-func (b *Bans) Return(ctx context.Context, id string) (asked bool, err error) {
+// RequestReturn is of maintenance.Shared.
+func (b *AdminDrains) RequestReturn(ctx context.Context, id string) (asked bool, err error) {
 	b.mu.Lock()
-	key := serverstate.Key(serverstate.Ban, id)
-	t, err := b.guard.Return(serverstate.Ban, id)
+	key := serverstate.ExclusionKey(serverstate.AdminDrain, id)
+	t, err := b.guard.Return(serverstate.AdminDrain, id)
 	pending := b.guard.Pending(key)
 	agree := b.agree
 	b.mu.Unlock()
 	if err != nil {
 		if pending {
-			return true, fmt.Errorf("%s: %w", id, ErrUnsettled)
+			return true, fmt.Errorf("%s: %w", id, ErrNotReplicated)
 		}
 		return false, nil // never told
 	}
@@ -182,13 +184,13 @@
 	out := b.guard.Out(id)
 	b.mu.Unlock()
 	if !r.Held || out {
-		return true, fmt.Errorf("%s: %w", id, ErrMeanwhile)
+		return true, fmt.Errorf("%s: %w", id, ErrExcludedAgain)
 	}
 	return true, agree(ctx, id, false)
 }
 
-// Outs lists the servers that are out by them, by whose word and how old that is.
-func (b *Bans) Outs() []serverstate.Out {
+// Exclusions lists the servers that are out by them, by whose word and how old that is.
+func (b *AdminDrains) Exclusions() []serverstate.Exclusion {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.came.age(b.now(time.Now()), b.guard.All())
--- a/internal/controlplane/daemon/daemon.go
+++ b/internal/controlplane/daemon/daemon.go
@@ -27,13 +27,13 @@
 
 // Errors of parts.
 var (
-	ErrUnsettled = errors.New("the store does not know yet that it is out: try again")
-	ErrMeanwhile = errors.New("it was taken out again meanwhile")
+	ErrNotReplicated = errors.New("the store does not know yet that it is out: try again")
+	ErrExcludedAgain = errors.New("it was taken out again meanwhile")
 )
 
-// Part is one matter that a daemon does by the store. It is told of each change that the copy shows, and of a whole new copy, by
+// Component is one matter that a daemon does by the store. It is told of each change that the copy shows, and of a whole new copy, by
 // the copy's loop: it must not wait.
-type Part interface {
+type Component interface {
 	Event(e store.Event)
 	Reset(s *store.State)
 	// Attach gives the copy, once it is open; only the hooks are called before.
@@ -44,23 +44,25 @@
 
 // What a part may do besides.
 type (
-	// Tail is told of the commands at the end of a replica's log that a start finds, and when the copy has come to where it ended.
-	Tail interface {
-		Unsettled(c *store.Command)
-		Settled()
+	// LogTailObserver is told of the commands at the end of a replica's log that a start finds, and when the copy has come to where it ended.
+	LogTailObserver interface {
+		Uncommitted(c *store.Command)
+		CaughtUp()
 	}
-	// Prover is told how long ago a quorum confirmed the copy.
-	Prover interface{ Proved(ago time.Duration) }
-	// Needy says what a part needs of a copy that does not hold all: of what else there is it is told nothing, and takes nothing for
+	// ConfirmationObserver is told how long ago a quorum confirmed the copy.
+	ConfirmationObserver interface{ Confirmed(ago time.Duration) }
+	// Subscriber says what a part needs of a copy that does not hold all: of what else there is it is told nothing, and takes nothing for
 	// not there. The copy is told by its Rescope that this has changed. A daemon with a part that does not say needs all.
-	Needy interface{ Needs() changefeed.Needs }
-	// Summed is told how many keys there are with a prefix of its Needs, where the copy does not hold them.
-	Summed interface {
-		Sum(prefix string, n store.Sum)
+	Subscriber interface {
+		Subscription() changefeed.Subscription
 	}
-	// Sweeper says how what nobody has told for long ends: transactions that do nothing if it was told again meanwhile.
-	Sweeper interface {
-		Over(now time.Time) []*store.Txn
+	// PrefixSizeObserver is told how many keys there are with a prefix of its Needs, where the copy does not hold them.
+	PrefixSizeObserver interface {
+		Sum(prefix string, n store.PrefixSize)
+	}
+	// Expirer says how what nobody has told for long ends: transactions that do nothing if it was told again meanwhile.
+	Expirer interface {
+		Expired(now time.Time) []*store.Txn
 	}
 )
 
@@ -70,7 +72,7 @@
 	Do(ctx context.Context, c store.Command) (store.Result, error)
 	// View has f read the copy, for which others are asked first unless stale is set. f may be called again, where it reads more than
 	// the copy holds: it begins anew then.
-	View(ctx context.Context, stale bool, f func(*store.State)) (engine.Age, error)
+	View(ctx context.Context, stale bool, f func(*store.State)) (engine.CopyAge, error)
 	// Next returns the changes of keys with a prefix after a revision.
 	Next(ctx context.Context, prefix string, after uint64, most int) ([]store.Event, uint64, error)
 }
@@ -79,19 +81,19 @@
 // called.
 type Daemon struct {
 	log       *slog.Logger
-	parts     []Part
+	parts     []Component
 	store     Store
 	oneSweeps bool
 }
 
 // New returns a daemon that runs nothing yet, with the parts that it is to have.
-func New(log *slog.Logger, parts ...Part) *Daemon { return &Daemon{log: log, parts: parts} }
+func New(log *slog.Logger, parts ...Component) *Daemon { return &Daemon{log: log, parts: parts} }
 
 // Hook puts the daemon's hooks into the configuration of an engine.
 func (d *Daemon) Hook(c *engine.Config) {
-	c.Event, c.Reset, c.Settled, c.Proved = d.event, d.reset, d.Settled, d.Proved
-	c.Unsettled = func(cmd *store.Command) {
-		each(d, func(t Tail) { t.Unsettled(cmd) })
+	c.Event, c.Reset, c.CaughtUp, c.Confirmed = d.event, d.reset, d.CaughtUp, d.Confirmed
+	c.Uncommitted = func(cmd *store.Command) {
+		each(d, func(t LogTailObserver) { t.Uncommitted(cmd) })
 	}
 }
 
@@ -110,13 +112,13 @@
 	}
 }
 
-// Needs are what all parts need.
-func (d *Daemon) Needs() changefeed.Needs {
-	all := changefeed.Needs{Of: &store.Interest{}}
+// Subscription are what all parts need.
+func (d *Daemon) Subscription() changefeed.Subscription {
+	all := changefeed.Subscription{Of: &store.Interest{}}
 	for _, p := range d.parts {
-		n := changefeed.Needs{}
-		if p, ok := p.(Needy); ok {
-			n = p.Needs()
+		n := changefeed.Subscription{}
+		if p, ok := p.(Subscriber); ok {
+			n = p.Subscription()
 		}
 		all = all.Join(n)
 	}
@@ -124,12 +126,14 @@
 }
 
 // Sum tells the parts how many keys there are with a prefix.
-func (d *Daemon) Sum(prefix string, n store.Sum) { each(d, func(s Summed) { s.Sum(prefix, n) }) }
+func (d *Daemon) Sum(prefix string, n store.PrefixSize) {
+	each(d, func(s PrefixSizeObserver) { s.Sum(prefix, n) })
+}
 
 // needs are those of a part that needs some prefixes, for the next start as well.
-func needs(prefixes ...string) changefeed.Needs {
+func needs(prefixes ...string) changefeed.Subscription {
 	of := store.Interest{Prefixes: prefixes}
-	return changefeed.Needs{Of: &of, Kept: of}
+	return changefeed.Subscription{Of: &of, Kept: of}
 }
 
 // rescope has a copy that does not hold all asked anew what it is to hold. No part's lock is held.
@@ -148,13 +152,15 @@
 	}
 }
 
-// Proved says that a quorum confirmed the copy so long ago. What a copy shows may have been written at any time since it was last
+// Confirmed says that a quorum confirmed the copy so long ago. What a copy shows may have been written at any time since it was last
 // confirmed: one that was away for an hour, and catches up, shows old words as they come.
-func (d *Daemon) Proved(ago time.Duration) { each(d, func(p Prover) { p.Proved(ago) }) }
+func (d *Daemon) Confirmed(ago time.Duration) {
+	each(d, func(p ConfirmationObserver) { p.Confirmed(ago) })
+}
 
-// Settled says that the copy is up to date: what an earlier process of this daemon acted on counts as the store says from now
+// CaughtUp says that the copy is up to date: what an earlier process of this daemon acted on counts as the store says from now
 // on, and what the store does not say is told. A replica's engine says so by its hook; a follower once it has heard.
-func (d *Daemon) Settled() { each(d, func(t Tail) { t.Settled() }) }
+func (d *Daemon) CaughtUp() { each(d, func(t LogTailObserver) { t.CaughtUp() }) }
 
 // Attach gives the copy of the store, once it is open and before anything else is called.
 func (d *Daemon) Attach(s Store) {
@@ -202,7 +208,7 @@
 
 func (d *Daemon) sweep(ctx context.Context, now time.Time) error {
 	var ends []*store.Txn
-	each(d, func(s Sweeper) { ends = append(ends, s.Over(now)...) })
+	each(d, func(s Expirer) { ends = append(ends, s.Expired(now)...) })
 	for _, t := range ends {
 		c, cancel := context.WithTimeout(ctx, writeWait)
 		_, err := d.store.Do(c, store.Command{Txn: t})
--- a/internal/controlplane/daemon/daemon_test.go
+++ b/internal/controlplane/daemon/daemon_test.go
@@ -72,7 +72,7 @@
 		t.Fatal(err)
 	}
 	s := &side{out: map[string]bool{}, fresh: make(chan struct{}), addr: ln.Addr().String()}
-	check := Check(limitCheck)
+	check := SettingsCheck(limitCheck)
 	if name == "c" {
 		check = nil // as where no sidecar runs
 	}
@@ -90,7 +90,7 @@
 	s.frame.Attach(s.e)
 	wg.Go(func() { s.frame.Run(ctx) })
 	s.stop = sync.OnceFunc(func() { cancel(); s.e.Kill(); wg.Wait() })
-	s.d.Begin(s.agree)
+	s.d.Subscribe(s.agree)
 	t.Cleanup(s.stop)
 	return s
 }
@@ -108,7 +108,7 @@
 		dirs = append(dirs, t.TempDir())
 		all = append(all, start(t, name, dirs[i], "127.0.0.1:0", i > 0))
 		if i > 0 {
-			if _, err := all[0].e.Do(ctx, store.Command{Join: &store.Join{Name: name, Address: all[i].addr}}); err != nil {
+			if _, err := all[0].e.Do(ctx, store.Command{Join: &store.AddMember{Name: name, Address: all[i].addr}}); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -127,14 +127,14 @@
 func TestABanToldToOneBindsAtAllAndAReturnNeedsTheQuorum(t *testing.T) {
 	all, dirs := three(t)
 	ctx := deadline(t)
-	all[0].d.TakenOut("s1")
+	all[0].d.ReportDrain("s1")
 	for _, s := range all {
 		s.until(t, "s1", true)
 	}
 	for {
-		if asked, err := all[1].d.Return(ctx, "s1"); err == nil && asked {
+		if asked, err := all[1].d.RequestReturn(ctx, "s1"); err == nil && asked {
 			break
-		} else if !errors.Is(err, ErrUnsettled) && !errors.Is(err, ErrMeanwhile) {
+		} else if !errors.Is(err, ErrNotReplicated) && !errors.Is(err, ErrExcludedAgain) {
 			t.Fatal(asked, err)
 		}
 	}
@@ -143,21 +143,21 @@
 	}
 	// Cut off from the others, one goes on adding words, and lets nothing return.
 	for _, id := range []string{"s2", "s4"} {
-		all[1].d.TakenOut(id)
+		all[1].d.ReportDrain(id)
 		all[0].until(t, id, true)
 	}
 	all[1].stop()
 	all[2].stop()
-	all[0].d.TakenOut("s3")
+	all[0].d.ReportDrain("s3")
 	short, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
 	defer cancel()
-	if _, err := all[0].d.Return(short, "s4"); err == nil { // whose outcome is not known: the others may agree once they are back
+	if _, err := all[0].d.RequestReturn(short, "s4"); err == nil { // whose outcome is not known: the others may agree once they are back
 		t.Fatal("a copy alone let a server return")
 	}
-	if _, err := all[0].d.Return(ctx, "s3"); !errors.Is(err, ErrUnsettled) {
+	if _, err := all[0].d.RequestReturn(ctx, "s3"); !errors.Is(err, ErrNotReplicated) {
 		t.Fatal(err)
 	}
-	if outs := fmt.Sprint(all[0].d.Outs()); !strings.Contains(outs, "s2 true") || !strings.Contains(outs, "s3 false") {
+	if outs := fmt.Sprint(all[0].d.Exclusions()); !strings.Contains(outs, "s2 true") || !strings.Contains(outs, "s3 false") {
 		t.Fatal(outs)
 	}
 	// The others come back: the word that they missed reaches them, and one that was told before is still known.
--- a/internal/controlplane/daemon/desk.go
+++ b/internal/controlplane/daemon/desk.go
@@ -136,9 +136,9 @@
 }
 
 // age puts into words how old the store's are.
-func (a arrivals) age(now int64, all []serverstate.Out) []serverstate.Out {
+func (a arrivals) age(now int64, all []serverstate.Exclusion) []serverstate.Exclusion {
 	for i := range all {
-		if at, ok := a[serverstate.Key(all[i].Kind, all[i].Server)]; ok {
+		if at, ok := a[serverstate.ExclusionKey(all[i].Kind, all[i].Server)]; ok {
 			all[i].AgeMs = (now - at) / 1e6
 		}
 	}
--- a/internal/controlplane/daemon/drains.go
+++ b/internal/controlplane/daemon/drains.go
@@ -30,14 +30,14 @@
 	bind    func(ctx context.Context, p discovery.Process, drains bool) error
 	dirty   map[serverstate.Process]bool // that the sidecar is to be told of
 	came    arrivals
-	turns   *serverstate.Turns // by key
-	journal *journal           // nil where nothing is kept
+	turns   *serverstate.ReportScheduler // by key
+	journal *journal                     // nil where nothing is kept
 }
 
 // NewDrains returns those of the daemon of a name.
 func NewDrains(name string, log *slog.Logger) *Drains {
 	d := &Drains{desk: newDesk(name, log), guard: serverstate.NewGuard(name), dirty: map[serverstate.Process]bool{}, came: arrivals{},
-		turns: serverstate.NewTurns(name, serverstate.TurnRules{Spread: int64(drainSpread), Renew: int64(drainRenew), Keep: int64(drainKept), Most: drainsMost})}
+		turns: serverstate.NewReportScheduler(name, serverstate.ReportSchedule{Spread: int64(drainSpread), Renew: int64(drainRenew), Keep: int64(drainKept), Most: drainsMost})}
 	d.guard.Only(ofDrains)
 	return d
 }
@@ -48,11 +48,13 @@
 	return ok && kind == serverstate.Drain
 }
 
-func drainKey(p serverstate.Process) string { return serverstate.Key(serverstate.Drain, p.Server()) }
+func drainKey(p serverstate.Process) string {
+	return serverstate.ExclusionKey(serverstate.Drain, p.Server())
+}
 
 // drainOf reads a key that tells of a drain.
 func drainOf(key string) (serverstate.Process, bool) {
-	server, ok := strings.CutPrefix(key, serverstate.Key(serverstate.Drain, ""))
+	server, ok := strings.CutPrefix(key, serverstate.ExclusionKey(serverstate.Drain, ""))
 	if !ok {
 		return serverstate.Process{}, false
 	}
@@ -66,9 +68,9 @@
 	}
 }
 
-// Needs is of Needy: all, whatever servers the list tells of. One that it does not tell of yet may come with its next word, and
+// Subscription is of Needy: all, whatever servers the list tells of. One that it does not tell of yet may come with its next word, and
 // must not be sent anything in the moment until the copy knows of its drain.
-func (d *Drains) Needs() changefeed.Needs { return needs(serverstate.Prefix) }
+func (d *Drains) Subscription() changefeed.Subscription { return needs(serverstate.ExclusionPrefix) }
 
 // Event is of Part.
 func (d *Drains) Event(e store.Event) {
@@ -90,7 +92,7 @@
 // stale notes that all that is out is to be told to the sidecar again. The lock is held.
 func (d *Drains) stale() {
 	for _, o := range d.guard.All() {
-		d.touch(serverstate.Key(o.Kind, o.Server))
+		d.touch(serverstate.ExclusionKey(o.Kind, o.Server))
 	}
 }
 
@@ -105,7 +107,7 @@
 	}
 	d.stale()
 	d.came.reset(s)
-	drained := wordsOf(s, serverstate.Key(serverstate.Drain, ""))
+	drained := wordsOf(s, serverstate.ExclusionKey(serverstate.Drain, ""))
 	d.turns.Found(d.now(time.Now()), drained)
 	for key := range drained {
 		d.note(key)
@@ -113,8 +115,8 @@
 	d.poke()
 }
 
-// Unsettled is of Tail.
-func (d *Drains) Unsettled(c *store.Command) {
+// Uncommitted is of Tail.
+func (d *Drains) Uncommitted(c *store.Command) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, key := range d.guard.Unsettled(c) {
@@ -122,8 +124,8 @@
 	}
 }
 
-// Settled is of Tail.
-func (d *Drains) Settled() {
+// CaughtUp is of Tail.
+func (d *Drains) CaughtUp() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, key := range d.guard.Settled() {
@@ -155,8 +157,8 @@
 	}
 }
 
-// Known lists the processes that drained by the store's copy here: a start knows them before it serves.
-func (d *Drains) Known() []discovery.Process {
+// DrainingProcesses lists the processes that drained by the store's copy here: a start knows them before it serves.
+func (d *Drains) DrainingProcesses() []discovery.Process {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var all []discovery.Process
@@ -166,8 +168,8 @@
 	return all
 }
 
-// Bind gives the way in which what others heard binds in the sidecar.
-func (d *Drains) Bind(bind func(ctx context.Context, p discovery.Process, drains bool) error) {
+// OnDrain gives the way in which what others heard binds in the sidecar.
+func (d *Drains) OnDrain(bind func(ctx context.Context, p discovery.Process, drains bool) error) {
 	d.mu.Lock()
 	d.bind = bind
 	for _, p := range d.guard.Draining() {
@@ -177,8 +179,8 @@
 	d.poke()
 }
 
-// Heard takes what this sidecar's discovery says of a process. It does not wait.
-func (d *Drains) Heard(p discovery.Process, drains bool) {
+// Observe takes what this sidecar's discovery says of a process. It does not wait.
+func (d *Drains) Observe(p discovery.Process, drains bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	key, now := drainKey(serverstate.Process(p)), d.now(time.Now())
@@ -240,7 +242,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.guard.Agreed(p) == 0 {
-		return ErrMeanwhile
+		return ErrExcludedAgain
 	}
 	return nil
 }
@@ -269,8 +271,8 @@
 	}
 }
 
-// Over is of Sweeper.
-func (d *Drains) Over(now time.Time) (ends []*store.Txn) {
+// Expired is of Sweeper.
+func (d *Drains) Expired(now time.Time) (ends []*store.Txn) {
 	d.speak(now)
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -284,8 +286,8 @@
 	return ends
 }
 
-// Outs lists the processes that drain, by whose word and how old that is.
-func (d *Drains) Outs() []serverstate.Out {
+// Exclusions lists the processes that drain, by whose word and how old that is.
+func (d *Drains) Exclusions() []serverstate.Exclusion {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.came.age(d.now(time.Now()), d.guard.All())
--- a/internal/controlplane/daemon/drains_test.go
+++ b/internal/controlplane/daemon/drains_test.go
@@ -21,12 +21,12 @@
 	all, dirs := three(t)
 	ctx := deadline(t)
 	for _, s := range all {
-		s.d.Bind(s.bindDrain)
+		s.d.OnDrain(s.bindDrain)
 	}
 	changes := func(p discovery.Process) uint64 {
 		var i store.Item
 		if _, err := all[0].e.View(ctx, false, func(st *store.State) {
-			i, _ = st.Get(serverstate.Key(serverstate.Drain, serverstate.Process(p).Server()))
+			i, _ = st.Get(serverstate.ExclusionKey(serverstate.Drain, serverstate.Process(p).Server()))
 		}); err != nil {
 			t.Fatal(err)
 		}
@@ -34,7 +34,7 @@
 	}
 	one, two := discovery.Process{ID: "s/1 ä@", Addr: "127.0.0.1:1", StartedMs: 5}, discovery.Process{ID: "s2", Addr: "[::1]:2"}
 	for _, s := range all {
-		s.d.Heard(one, true)
+		s.d.Observe(one, true)
 	}
 	for _, s := range all {
 		s.until(t, fmt.Sprint(one), true)
@@ -43,17 +43,17 @@
 	if n := changes(one); n != 1 {
 		t.Errorf("three that heard it made %d changes", n)
 	}
-	all[2].d.Heard(two, true)
+	all[2].d.Observe(two, true)
 	all[0].until(t, fmt.Sprint(two), true)
 	all[1].until(t, fmt.Sprint(two), true)
 	// The one that heard it is gone, and so is another; that one knows it before it hears anything.
 	all[2].stop()
 	all[1].stop()
 	b := start(t, "b", dirs[1], all[1].addr, true)
-	if known := fmt.Sprint(b.d.Known()); known != fmt.Sprint([]discovery.Process{one, two}) {
+	if known := fmt.Sprint(b.d.DrainingProcesses()); known != fmt.Sprint([]discovery.Process{one, two}) {
 		t.Errorf("a start knows %s", known)
 	}
-	b.d.Bind(b.bindDrain)
+	b.d.OnDrain(b.bindDrain)
 	b.until(t, fmt.Sprint(two), true)
 	// Long after, who hears it tells it again, and what nobody hears is over, with the word of the quorum.
 	later := time.Now().Add(drainKept + time.Minute)
@@ -66,7 +66,7 @@
 	}
 	for changes(one) < 2 { // until it is told again
 	}
-	all[0].d.Heard(one, false)
+	all[0].d.Observe(one, false)
 	all[0].frame.sweep(ctx, time.Now().Add(drainKept/2))
 	if changes(one) == 0 {
 		t.Error("a drain ended while it may matter")
@@ -75,7 +75,7 @@
 		all[0].frame.sweep(ctx, later)
 	}
 	b.until(t, fmt.Sprint(one), false)
-	if known := b.d.Known(); len(known) != 0 {
+	if known := b.d.DrainingProcesses(); len(known) != 0 {
 		t.Errorf("still known: %v", known)
 	}
 }
@@ -85,16 +85,16 @@
 func TestDrainHeardWhileCutOff(t *testing.T) {
 	all, dirs := three(t)
 	for _, s := range all {
-		s.d.Bind(s.bindDrain)
+		s.d.OnDrain(s.bindDrain)
 	}
 	all[1].stop()
 	all[2].stop()
 	p := discovery.Process{ID: "s1", Addr: "127.0.0.1:1", StartedMs: 5}
-	all[0].d.Heard(p, true)
+	all[0].d.Observe(p, true)
 	for !all[0].d.is(p) {
 	}
 	b := start(t, "b", dirs[1], all[1].addr, true)
-	b.d.Bind(b.bindDrain)
+	b.d.OnDrain(b.bindDrain)
 	b.until(t, fmt.Sprint(p), true)
 }
 
--- a/internal/controlplane/daemon/interest_test.go
+++ b/internal/controlplane/daemon/interest_test.go
@@ -27,38 +27,38 @@
 		}
 		return s
 	}
-	own, others := serverstate.PictureKey("me", ""), serverstate.PictureKey("you", "")
-	k, c := NewMemory("h", slog.New(slog.DiscardHandler)), &copied{}
-	all := func() bool { return k.Needs().Of.Covers(others) }
+	own, others := serverstate.SnapshotKey("me", ""), serverstate.SnapshotKey("you", "")
+	k, c := NewStateSnapshots("h", slog.New(slog.DiscardHandler)), &copied{}
+	all := func() bool { return k.Subscription().Of.Covers(others) }
 	k.Attach(c)
-	if k.Reset(with(others)); all() || k.Needs().Of.Covers(own) || len(k.Needs().Sums) != 0 {
-		t.Errorf("without a sidecar: %+v", k.Needs())
+	if k.Reset(with(others)); all() || k.Subscription().Of.Covers(own) || len(k.Subscription().Sums) != 0 {
+		t.Errorf("without a sidecar: %+v", k.Subscription())
 	}
-	k = NewMemory("h", slog.New(slog.DiscardHandler))
+	k = NewStateSnapshots("h", slog.New(slog.DiscardHandler))
 	k.Attach(c)
-	if k.Own("me"); c.asked != 1 || all() || !k.Needs().Of.Covers(own) {
-		t.Errorf("before the first copy: %+v", k.Needs())
+	if k.Own("me"); c.asked != 1 || all() || !k.Subscription().Of.Covers(own) {
+		t.Errorf("before the first copy: %+v", k.Subscription())
 	}
-	if k.Reset(with(others).Part(*k.Needs().Of)); !all() || !k.Needs().Kept.Covers(others) {
-		t.Errorf("with none of its own: %+v", k.Needs())
+	if k.Reset(with(others).Subset(*k.Subscription().Of)); !all() || !k.Subscription().Kept.Covers(others) {
+		t.Errorf("with none of its own: %+v", k.Subscription())
 	}
-	if k.Reset(with(others, own).Part(store.Interest{Prefixes: []string{serverstate.PicturesOf("me")}})); all() || k.Needs().Kept.Covers(others) {
-		t.Errorf("with its own: %+v", k.Needs())
+	if k.Reset(with(others, own).Subset(store.Interest{Prefixes: []string{serverstate.SnapshotPrefixOf("me")}})); all() || k.Subscription().Kept.Covers(others) {
+		t.Errorf("with its own: %+v", k.Subscription())
 	}
-	k.Reset(with(others).Part(*k.Needs().Of))
+	k.Reset(with(others).Subset(*k.Subscription().Of))
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if k.Keep(ctx, "me", "", nil, func() bool { return true }); all() {
-		t.Errorf("once it serves: %+v", k.Needs())
+	if k.SaveSnapshots(ctx, "me", "", nil, func() bool { return true }); all() {
+		t.Errorf("once it serves: %+v", k.Subscription())
 	}
 	ctx, cancel = context.WithCancel(t.Context())
-	if k.Sweeps(ctx); !all() || k.Needs().Kept.Covers(others) {
-		t.Errorf("while it ends what nobody tells: %+v", k.Needs())
+	if k.Sweeps(ctx); !all() || k.Subscription().Kept.Covers(others) {
+		t.Errorf("while it ends what nobody tells: %+v", k.Subscription())
 	}
 	cancel()
 	for all() { // the context's end is told beside it
 	}
-	if k.Sum(serverstate.PicturePrefix, store.Sum{Keys: 1200, Bytes: 18 << 20}); k.sum.Bytes != 18<<20 {
+	if k.Sum(serverstate.SnapshotPrefix, store.PrefixSize{Keys: 1200, Bytes: 18 << 20}); k.sum.Bytes != 18<<20 {
 		t.Error("the bytes of all are not known")
 	}
 	if k.Reset(with(others, own)); k.sum.Bytes != 0 {
@@ -70,14 +70,14 @@
 func TestNeedsOfADaemon(t *testing.T) {
 	quiet := slog.New(slog.DiscardHandler)
 	parts := append(NewServers("h", quiet).Parts(), NewSettings("h", nil, quiet))
-	n := New(quiet, parts...).Needs()
+	n := New(quiet, parts...).Subscription()
 	for key, held := range map[string]bool{"out/drain/x": true, "out/ban/x": true, "start/x": true, keyCurrent: true, keyPlan: true, ReportKey("h"): true,
-		ReportKey("g"): false, keyCandidate: false, historyKey(1): false, serverstate.PictureKey("x", ""): false, "anything": false} {
+		ReportKey("g"): false, keyCandidate: false, historyKey(1): false, serverstate.SnapshotKey("x", ""): false, "anything": false} {
 		if n.Of.Covers(key) != held || n.Kept.Covers(key) != (held && key != ReportKey("h")) {
 			t.Errorf("%s: held %v, kept %v", key, n.Of.Covers(key), n.Kept.Covers(key))
 		}
 	}
-	if n := New(quiet, append(parts, untold{})...).Needs(); n.Of != nil {
+	if n := New(quiet, append(parts, untold{})...).Subscription(); n.Of != nil {
 		t.Errorf("with a part that does not say: %+v", n.Of)
 	}
 }
--- a/internal/controlplane/daemon/journal.go
+++ b/internal/controlplane/daemon/journal.go
@@ -38,9 +38,9 @@
 	failing bool
 }
 
-// Journal has drains kept in a file within dir, and binds those that an earlier process kept there. It is to be
+// OpenDrainLog has drains kept in a file within dir, and binds those that an earlier process kept there. It is to be
 // called before the store is opened. A file that is not readable is an error, and is left as it is.
-func (d *Drains) Journal(dir string) error {
+func (d *Drains) OpenDrainLog(dir string) error {
 	j := &journal{path: filepath.Join(dir, journalName), held: map[string]bool{}, lines: make(chan string, journalQueue), log: d.log,
 		binds: map[string]bool{}}
 	text, err := os.ReadFile(j.path)
--- a/internal/controlplane/daemon/journal_test.go
+++ b/internal/controlplane/daemon/journal_test.go
@@ -19,7 +19,7 @@
 	dir := t.TempDir()
 	begin := func() (d *Drains, kill func()) {
 		d = NewDrains("a", slog.New(slog.DiscardHandler))
-		if err := d.Journal(dir); err != nil {
+		if err := d.OpenDrainLog(dir); err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(t.Context())
@@ -29,9 +29,9 @@
 	}
 	one, two := discovery.Process{ID: "s 1", Addr: "127.0.0.1:1", StartedMs: 5}, discovery.Process{ID: "s2", Addr: "[::1]:2"}
 	d, kill := begin()
-	d.Heard(one, true)
-	d.Heard(two, true)
-	d.Heard(two, false)
+	d.Observe(one, true)
+	d.Observe(two, true)
+	d.Observe(two, false)
 	kill()
 	path := filepath.Join(dir, journalName)
 	text, err := os.ReadFile(path)
@@ -42,14 +42,14 @@
 		t.Fatal(err)
 	}
 	d, kill = begin()
-	if known := fmt.Sprint(d.Known()); known != fmt.Sprint([]discovery.Process{one}) {
+	if known := fmt.Sprint(d.DrainingProcesses()); known != fmt.Sprint([]discovery.Process{one}) {
 		t.Errorf("a start knows %s", known)
 	}
 	if owed := d.guard.Owed(); len(owed) != 0 {
 		t.Error("told before the store is up to date:", owed)
 	}
-	d.Settled()
-	if owed := d.guard.Owed(); len(owed) != 1 || !strings.Contains(owed[0].Key, "s+1") || len(d.Known()) != 1 {
+	d.CaughtUp()
+	if owed := d.guard.Owed(); len(owed) != 1 || !strings.Contains(owed[0].Key, "s+1") || len(d.DrainingProcesses()) != 1 {
 		t.Error("owed:", owed)
 	}
 	kill()
@@ -57,7 +57,7 @@
 		t.Errorf("kept: %q, %v", text, err)
 	}
 	if err := os.Chmod(path, 0); err == nil && os.Getuid() != 0 {
-		if err := NewDrains("a", slog.New(slog.DiscardHandler)).Journal(dir); err == nil {
+		if err := NewDrains("a", slog.New(slog.DiscardHandler)).OpenDrainLog(dir); err == nil {
 			t.Error("a file that cannot be read is passed over")
 		}
 	}
@@ -67,7 +67,7 @@
 func TestTheJournalIsBounded(t *testing.T) {
 	dir := t.TempDir()
 	d := NewDrains("a", slog.New(slog.DiscardHandler))
-	if err := d.Journal(dir); err != nil {
+	if err := d.OpenDrainLog(dir); err != nil {
 		t.Fatal(err)
 	}
 	j := d.journal
--- a/internal/controlplane/daemon/memory.go
+++ b/internal/controlplane/daemon/memory.go
@@ -21,21 +21,21 @@
 // picturesKept is ended by whoever finds it.
 const picturesKept = 10 * time.Minute
 
-// Memory is what the decision modules of all know, as the store keeps it: their pictures. It is a Part; any goroutine may use it.
-type Memory struct {
+// StateSnapshots is what the decision modules of all know, as the store keeps it: their pictures. It is a Part; any goroutine may use it.
+type StateSnapshots struct {
 	desk
-	turns    *serverstate.Turns // for their ends alone
+	turns    *serverstate.ReportScheduler // for their ends alone
 	all      map[string]picture
 	bytes    int
 	proved   int64 // when a quorum last confirmed the copy; 0: not since the start
-	recalled []Recalled
+	recalled []RestoredState
 
-	own    []string  // prefixes of this daemon's sidecar's pictures
-	seen   bool      // there was a copy
-	begun  bool      // the sidecar serves: others' pictures have done their part
-	sweeps int       // this daemon ends for all what nobody puts any more
-	part   bool      // the copy does not hold all pictures:
-	sum    store.Sum // there are so many
+	own    []string         // prefixes of this daemon's sidecar's pictures
+	seen   bool             // there was a copy
+	begun  bool             // the sidecar serves: others' pictures have done their part
+	sweeps int              // this daemon ends for all what nobody puts any more
+	part   bool             // the copy does not hold all pictures:
+	sum    store.PrefixSize // there are so many
 }
 
 type picture struct {
@@ -44,15 +44,15 @@
 	agreed uint64
 }
 
-// NewMemory returns that of the daemon of a name.
-func NewMemory(name string, log *slog.Logger) *Memory {
-	return &Memory{desk: newDesk(name, log), all: map[string]picture{}, turns: serverstate.NewTurns(name, serverstate.TurnRules{Spread: 1, Keep: int64(picturesKept)})}
+// NewStateSnapshots returns that of the daemon of a name.
+func NewStateSnapshots(name string, log *slog.Logger) *StateSnapshots {
+	return &StateSnapshots{desk: newDesk(name, log), all: map[string]picture{}, turns: serverstate.NewReportScheduler(name, serverstate.ReportSchedule{Spread: 1, Keep: int64(picturesKept)})}
 }
 
 // Own says whose pictures are this daemon's own: those of its sidecar. It is called before the copy is opened, and by Keep.
-func (k *Memory) Own(sidecar string) {
+func (k *StateSnapshots) Own(sidecar string) {
 	k.mu.Lock()
-	if prefix := serverstate.PicturesOf(sidecar); !slices.Contains(k.own, prefix) {
+	if prefix := serverstate.SnapshotPrefixOf(sidecar); !slices.Contains(k.own, prefix) {
 		k.own = append(k.own, prefix)
 	}
 	s := k.store
@@ -60,16 +60,16 @@
 	rescope(s)
 }
 
-// Needs is of Needy. Others' pictures are of use to a sidecar that begins without one of its own, and to who ends them.
-func (k *Memory) Needs() changefeed.Needs {
+// Subscription is of Needy. Others' pictures are of use to a sidecar that begins without one of its own, and to who ends them.
+func (k *StateSnapshots) Subscription() changefeed.Subscription {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	own := store.Interest{Prefixes: k.own}
-	n := changefeed.Needs{Of: &own, Kept: own}
+	n := changefeed.Subscription{Of: &own, Kept: own}
 	if len(k.own) > 0 {
-		n.Sums = []string{serverstate.PicturePrefix}
+		n.Sums = []string{serverstate.SnapshotPrefix}
 	}
-	all := store.Interest{Prefixes: []string{serverstate.PicturePrefix}}
+	all := store.Interest{Prefixes: []string{serverstate.SnapshotPrefix}}
 	if len(k.own) > 0 && k.seen && !k.begun && !k.has() {
 		n.Of, n.Kept = &all, all
 	}
@@ -80,7 +80,7 @@
 }
 
 // has says whether there is a picture of its own. The lock is held.
-func (k *Memory) has() bool {
+func (k *StateSnapshots) has() bool {
 	for key := range k.all {
 		if slices.ContainsFunc(k.own, func(p string) bool { return strings.HasPrefix(key, p) }) {
 			return true
@@ -90,16 +90,16 @@
 }
 
 // Sum is of Summed.
-func (k *Memory) Sum(prefix string, n store.Sum) {
+func (k *StateSnapshots) Sum(prefix string, n store.PrefixSize) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if prefix == serverstate.PicturePrefix && k.part {
+	if prefix == serverstate.SnapshotPrefix && k.part {
 		k.sum = n
 	}
 }
 
 // Sweeps says that this daemon ends for all what nobody puts any more, until ctx ends: it needs all of it.
-func (k *Memory) Sweeps(ctx context.Context) {
+func (k *StateSnapshots) Sweeps(ctx context.Context) {
 	add := func(n int) {
 		k.mu.Lock()
 		k.sweeps += n
@@ -118,16 +118,16 @@
 }
 
 // Run is of Part: sidecars put their pictures by Keep.
-func (k *Memory) Run(ctx context.Context) { <-ctx.Done() }
+func (k *StateSnapshots) Run(ctx context.Context) { <-ctx.Done() }
 
-// Proved is of Prover.
-func (k *Memory) Proved(ago time.Duration) {
+// Confirmed is of Prover.
+func (k *StateSnapshots) Confirmed(ago time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.proved = max(k.proved, k.now(time.Now())-int64(ago))
 }
 
-func (k *Memory) set(key string, p picture, gone bool) {
+func (k *StateSnapshots) set(key string, p picture, gone bool) {
 	if was, ok := k.all[key]; ok {
 		k.bytes -= len(was.value)
 		delete(k.all, key)
@@ -139,8 +139,8 @@
 }
 
 // Event is of Part. A picture may have been put at any time since a quorum last confirmed the copy.
-func (k *Memory) Event(e store.Event) {
-	if !strings.HasPrefix(e.Item.Key, serverstate.PicturePrefix) {
+func (k *StateSnapshots) Event(e store.Event) {
+	if !strings.HasPrefix(e.Item.Key, serverstate.SnapshotPrefix) {
 		return
 	}
 	k.mu.Lock()
@@ -150,28 +150,28 @@
 }
 
 // Reset is of Part.
-func (k *Memory) Reset(s *store.State) {
+func (k *StateSnapshots) Reset(s *store.State) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.seen, k.part = true, holdsPart(s, serverstate.PicturePrefix); !k.part {
-		k.sum = store.Sum{}
+	if k.seen, k.part = true, holdsPart(s, serverstate.SnapshotPrefix); !k.part {
+		k.sum = store.PrefixSize{}
 	}
 	for key := range k.all {
 		if _, ok := s.Get(key); !ok {
 			k.set(key, picture{}, true)
 		}
 	}
-	s.Range(serverstate.PicturePrefix, store.PrefixEnd(serverstate.PicturePrefix), func(i store.Item) bool {
+	s.Range(serverstate.SnapshotPrefix, store.PrefixEnd(serverstate.SnapshotPrefix), func(i store.Item) bool {
 		if k.all[i.Key].agreed != i.Modified {
 			k.set(i.Key, picture{i.Value, 0, i.Modified}, false)
 		}
 		return true
 	})
-	k.turns.Found(k.now(time.Now()), wordsOf(s, serverstate.PicturePrefix))
+	k.turns.Found(k.now(time.Now()), wordsOf(s, serverstate.SnapshotPrefix))
 }
 
-// Over is of Sweeper: it ends those that nobody has put for long.
-func (k *Memory) Over(now time.Time) (ends []*store.Txn) {
+// Expired is of Sweeper: it ends those that nobody has put for long.
+func (k *StateSnapshots) Expired(now time.Time) (ends []*store.Txn) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	_, over := k.turns.Due(k.now(now))
@@ -181,18 +181,18 @@
 	return ends
 }
 
-// Pictures are those of a protocol that a sidecar may believe at its start.
-func (k *Memory) Pictures(sidecar, protocol string) (all []recovery.Candidate) {
+// RestoreCandidates are those of a protocol that a sidecar may believe at its start.
+func (k *StateSnapshots) RestoreCandidates(sidecar, protocol string) (all []recovery.Candidate) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.now(time.Now())
 	for key, p := range k.all {
-		of, its, ok := serverstate.ParsePicture(key)
+		of, its, ok := serverstate.ParseSnapshotKey(key)
 		if !ok || its != protocol {
 			continue
 		}
-		v, err := serverstate.DecodePicture(p.value)
-		var kept *snapshot.Kept
+		v, err := serverstate.DecodeModuleSnapshot(p.value)
+		var kept *snapshot.Saved
 		if err == nil {
 			kept, err = snapshot.Decode(v.Known)
 		}
@@ -213,29 +213,29 @@
 	return all
 }
 
-// Recalled notes what of them a sidecar's decision module went on from at its start, and how many servers that knew.
-func (k *Memory) Recalled(protocol string, c recovery.Choice, servers int) {
+// RecordRestore notes what of them a sidecar's decision module went on from at its start, and how many servers that knew.
+func (k *StateSnapshots) RecordRestore(protocol string, c recovery.Choice, servers int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.recalled = append(k.recalled, Recalled{protocol, c.From, c.Of, servers, time.Duration(c.Age) * time.Microsecond})
+	k.recalled = append(k.recalled, RestoredState{protocol, c.From, c.Of, servers, time.Duration(c.Age) * time.Microsecond})
 }
 
 // recalls lists them.
-func (k *Memory) recalls() []Recalled {
+func (k *StateSnapshots) recalls() []RestoredState {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return slices.Clone(k.recalled)
 }
 
 // held is how many there are, and their bytes.
-func (k *Memory) held() (n, bytes int) {
+func (k *StateSnapshots) held() (n, bytes int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return len(k.all), k.bytes
 }
 
 // PictureAges are those that this daemon saw come: how long ago.
-func (k *Memory) PictureAges() map[string]time.Duration {
+func (k *StateSnapshots) PictureAges() map[string]time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now, all := k.now(time.Now()), map[string]time.Duration{}
@@ -248,7 +248,7 @@
 }
 
 // PictureAge takes the word of another daemon's clock on how long ago a picture was put, where this one did not see it come.
-func (k *Memory) PictureAge(key string, age time.Duration) {
+func (k *StateSnapshots) PictureAge(key string, age time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if p, ok := k.all[key]; ok && p.at == 0 && age >= 0 {
@@ -257,9 +257,9 @@
 	}
 }
 
-// Keep puts a sidecar's pictures in the store until ctx ends.
-func (k *Memory) Keep(ctx context.Context, sidecar, protocol string, take func(context.Context) ([]byte, error), paused func() bool) {
-	key := serverstate.PictureKey(sidecar, protocol)
+// SaveSnapshots puts a sidecar's pictures in the store until ctx ends.
+func (k *StateSnapshots) SaveSnapshots(ctx context.Context, sidecar, protocol string, take func(context.Context) ([]byte, error), paused func() bool) {
+	key := serverstate.SnapshotKey(sidecar, protocol)
 	failing := false
 	k.mu.Lock()
 	k.begun = true
@@ -267,9 +267,9 @@
 	k.Own(sidecar)
 	for {
 		k.mu.Lock()
-		wait := time.Duration(serverstate.PictureWait(max(k.bytes, k.sum.Bytes)))
+		wait := time.Duration(serverstate.SnapshotInterval(max(k.bytes, k.sum.Bytes)))
 		if k.part && !k.has() {
-			wait = time.Duration(serverstate.PictureWait(0)) // until then a start would find nothing of its own
+			wait = time.Duration(serverstate.SnapshotInterval(0)) // until then a start would find nothing of its own
 		}
 		k.mu.Unlock()
 		select {
@@ -289,13 +289,13 @@
 }
 
 // keep puts one.
-func (k *Memory) keep(ctx context.Context, key string, take func(context.Context) ([]byte, error)) error {
+func (k *StateSnapshots) keep(ctx context.Context, key string, take func(context.Context) ([]byte, error)) error {
 	known, err := take(ctx)
 	if err != nil {
 		return err
 	}
 	c, cancel := context.WithTimeout(ctx, writeWait)
 	defer cancel()
-	_, err = k.store.Do(c, store.Command{Txn: serverstate.Picture{By: k.name, Known: known}.Put(key)})
+	_, err = k.store.Do(c, store.Command{Txn: serverstate.ModuleSnapshot{By: k.name, Known: known}.Put(key)})
 	return err
 }
--- a/internal/controlplane/daemon/servers.go
+++ b/internal/controlplane/daemon/servers.go
@@ -16,8 +16,8 @@
 
 const picturesWait = 3 * time.Second // for a replica's pictures, when people ask
 
-// Fact is one thing that is known of a server, from whom and how old.
-type Fact struct {
+// ServerFact is one thing that is known of a server, from whom and how old.
+type ServerFact struct {
 	ID        string `json:"id"`
 	Addr      string `json:"address,omitempty"`
 	StartedMs int64  `json:"started_ms,omitempty"` // by discovery; 0: not told
@@ -33,27 +33,29 @@
 // Servers are the parts that tell of servers, seen together: what a sidecar has of them (sidecar.Fleet, maintenance.Shared) and what
 // people do.
 type Servers struct {
-	*Bans
+	*AdminDrains
 	*Drains
 	*Starts
-	*Memory
+	*StateSnapshots
 
 	mu    sync.Mutex
-	began Began
+	began StartupState
 }
 
 // NewServers returns those of the daemon of a name.
 func NewServers(name string, log *slog.Logger) *Servers {
-	return &Servers{Bans: NewBans(name, log), Drains: NewDrains(name, log), Starts: NewStarts(name, log), Memory: NewMemory(name, log)}
+	return &Servers{AdminDrains: NewAdminDrains(name, log), Drains: NewDrains(name, log), Starts: NewStarts(name, log), StateSnapshots: NewStateSnapshots(name, log)}
 }
 
 // Parts are those of a Daemon.
-func (s *Servers) Parts() []Part { return []Part{s.Bans, s.Drains, s.Starts, s.Memory} }
+func (s *Servers) Parts() []Component {
+	return []Component{s.AdminDrains, s.Drains, s.Starts, s.StateSnapshots}
+}
 
-// Outs lists the servers that are out, by whose word and how old that is.
-func (s *Servers) Outs() []serverstate.Out {
-	all := append(s.Bans.Outs(), s.Drains.Outs()...)
-	slices.SortFunc(all, func(a, b serverstate.Out) int {
+// Exclusions lists the servers that are out, by whose word and how old that is.
+func (s *Servers) Exclusions() []serverstate.Exclusion {
+	all := append(s.AdminDrains.Exclusions(), s.Drains.Exclusions()...)
+	slices.SortFunc(all, func(a, b serverstate.Exclusion) int {
 		return cmp.Or(cmp.Compare(a.Server, b.Server), cmp.Compare(a.Kind, b.Kind))
 	})
 	return all
@@ -61,24 +63,24 @@
 
 // List lists all that this copy and this daemon know of servers. Where the copy does not hold all pictures a replica's are read, if ctx
 // is not nil.
-func (s *Servers) List(ctx context.Context) []Fact {
-	var all []Fact
-	for _, o := range s.Outs() {
-		f := Fact{ID: o.Server, What: "banned", By: o.By, AgeMs: o.AgeMs, Agreed: o.Agreed}
-		if p, ok := drainOf(serverstate.Key(o.Kind, o.Server)); ok {
+func (s *Servers) List(ctx context.Context) []ServerFact {
+	var all []ServerFact
+	for _, o := range s.Exclusions() {
+		f := ServerFact{ID: o.Server, What: "banned", By: o.By, AgeMs: o.AgeMs, Agreed: o.Agreed}
+		if p, ok := drainOf(serverstate.ExclusionKey(o.Kind, o.Server)); ok {
 			f.ID, f.Addr, f.StartedMs, f.What = p.ID, p.Addr, p.StartedMs, "drains"
 		}
 		all = append(all, f)
 	}
-	all = append(append(all, s.Starts.facts()...), s.Memory.facts(ctx)...)
-	slices.SortFunc(all, func(a, b Fact) int {
+	all = append(append(all, s.Starts.facts()...), s.StateSnapshots.facts(ctx)...)
+	slices.SortFunc(all, func(a, b ServerFact) int {
 		return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Addr, b.Addr), cmp.Compare(a.StartedMs, b.StartedMs), cmp.Compare(a.What, b.What))
 	})
 	return all
 }
 
 // facts adds up what the pictures tell: by whom a server is known, and held to be cold.
-func (k *Memory) facts(ctx context.Context) []Fact {
+func (k *StateSnapshots) facts(ctx context.Context) []ServerFact {
 	k.mu.Lock()
 	pictures, alone, now := maps.Clone(k.all), k.part, k.now(time.Now())
 	k.mu.Unlock()
@@ -88,7 +90,7 @@
 		defer cancel()
 		if _, err := k.store.View(wait, false, func(s *store.State) {
 			clear(found)
-			s.Range(serverstate.PicturePrefix, store.PrefixEnd(serverstate.PicturePrefix), func(i store.Item) bool {
+			s.Range(serverstate.SnapshotPrefix, store.PrefixEnd(serverstate.SnapshotPrefix), func(i store.Item) bool {
 				found[i.Key] = picture{value: i.Value, at: pictures[i.Key].at}
 				return true
 			})
@@ -101,9 +103,9 @@
 		start    int64
 		what     string
 	}
-	at := map[server]*Fact{}
+	at := map[server]*ServerFact{}
 	for _, p := range pictures {
-		v, err := serverstate.DecodePicture(p.value)
+		v, err := serverstate.DecodeModuleSnapshot(p.value)
 		if err != nil {
 			continue
 		}
@@ -125,7 +127,7 @@
 			}
 			f := at[s]
 			if f == nil {
-				f = &Fact{ID: s.id, Addr: s.addr, StartedMs: s.start, What: s.what, By: v.By, AgeMs: age, Agreed: true, Alone: alone}
+				f = &ServerFact{ID: s.id, Addr: s.addr, StartedMs: s.start, What: s.what, By: v.By, AgeMs: age, Agreed: true, Alone: alone}
 				at[s] = f
 			}
 			f.Sidecars++
@@ -134,15 +136,15 @@
 			}
 		}
 	}
-	all := make([]Fact, 0, len(at))
+	all := make([]ServerFact, 0, len(at))
 	for _, f := range at {
 		all = append(all, *f)
 	}
 	return all
 }
 
-// Began is what a daemon knew when it started, before it heard anything.
-type Began struct {
+// StartupState is what a daemon knew when it started, before it heard anything.
+type StartupState struct {
 	From     string `json:"from"` // "own disk", "another replica" or "nothing"
 	Revision uint64 `json:"revision"`
 	Out      int    `json:"out"`
@@ -151,11 +153,11 @@
 	Settings bool   `json:"settings"`      // of the fleet
 	Age      string `json:"age,omitempty"` // since the disk was written, by this host's clock
 
-	Recalled []Recalled `json:"recalled,omitempty"` // what the sidecar's decision modules went on from
+	Recalled []RestoredState `json:"recalled,omitempty"` // what the sidecar's decision modules went on from
 }
 
-// Recalled is what a sidecar's decision module went on from at its start.
-type Recalled struct {
+// RestoredState is what a sidecar's decision module went on from at its start.
+type RestoredState struct {
 	Protocol string        `json:"protocol,omitempty"` // "" is HTTP
 	From     string        `json:"from"`
 	Pictures int           `json:"pictures"`
@@ -165,29 +167,29 @@
 
 // Opened notes what this daemon started with, and whether that has settings. written is when its disk was, zero if there was none.
 func (s *Servers) Opened(from string, revision uint64, written time.Time, settings bool) {
-	b := Began{From: from, Revision: revision, Out: len(s.Outs()), Starts: s.Starts.count(), Settings: settings}
-	b.Pictures, _ = s.Memory.held()
+	b := StartupState{From: from, Revision: revision, Out: len(s.Exclusions()), Starts: s.Starts.count(), Settings: settings}
+	b.Pictures, _ = s.StateSnapshots.held()
 	if !written.IsZero() {
 		b.Age = time.Since(written).Round(time.Millisecond).String()
 	}
 	s.mu.Lock()
 	s.began = b
 	s.mu.Unlock()
-	s.Bans.log.Info("what the store knows at the start", "from", from, "revision", revision, "out", b.Out, "starts", b.Starts,
+	s.AdminDrains.log.Info("what the store knows at the start", "from", from, "revision", revision, "out", b.Out, "starts", b.Starts,
 		"pictures", b.Pictures, "age", b.Age)
 }
 
-// Start is what this daemon knew when it started.
-func (s *Servers) Start() Began {
+// StartupState is what this daemon knew when it started.
+func (s *Servers) StartupState() StartupState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b := s.began
-	b.Recalled = s.Memory.recalls()
+	b.Recalled = s.StateSnapshots.recalls()
 	return b
 }
 
-// Kept is how much this daemon holds of what daemons tell each other.
-type Kept struct {
+// Counts is how much this daemon holds of what daemons tell each other.
+type Counts struct {
 	Out      int `json:"out"`    // servers that are out
 	Starts   int `json:"starts"` // processes that are cold yet
 	Pictures int `json:"pictures"`
@@ -195,9 +197,9 @@
 	Owed     int `json:"owed"` // changes that wait to be written
 }
 
-// Kept returns it.
-func (s *Servers) Kept() Kept {
-	k := Kept{Out: len(s.Outs()), Starts: s.Starts.count(), Owed: len(s.Bans.writes) + len(s.Drains.writes) + len(s.Starts.writes)}
-	k.Pictures, k.Bytes = s.Memory.held()
+// Counts returns it.
+func (s *Servers) Counts() Counts {
+	k := Counts{Out: len(s.Exclusions()), Starts: s.Starts.count(), Owed: len(s.AdminDrains.writes) + len(s.Drains.writes) + len(s.Starts.writes)}
+	k.Pictures, k.Bytes = s.StateSnapshots.held()
 	return k
 }
--- a/internal/controlplane/daemon/settings.go
+++ b/internal/controlplane/daemon/settings.go
@@ -33,18 +33,18 @@
 	verdictOfNone = "no sidecar here"
 )
 
-// ErrVersion says that settings have no such version.
-var ErrVersion = errors.New("no such version")
+// ErrVersionNotFound says that settings have no such version.
+var ErrVersionNotFound = errors.New("no such version")
 
-// Check says what is wrong with settings for the sidecar of this daemon.
-type Check func(settings json.RawMessage) error
+// SettingsCheck says what is wrong with settings for the sidecar of this daemon.
+type SettingsCheck func(settings json.RawMessage) error
 
 // Settings are those of the data path that the store holds for all daemons: checked by every replica before they are committed,
 // kept by version, and told to the sidecar as SIGHUP does. It is a Part of a Daemon; any goroutine may use it.
 type Settings struct {
 	name   string
 	log    *slog.Logger
-	check  Check // nil where no sidecar runs
+	check  SettingsCheck // nil where no sidecar runs
 	store  Store
 	wake   chan struct{}
 	reload chan os.Signal
@@ -62,7 +62,7 @@
 }
 
 // NewSettings returns those of the daemon of a name.
-func NewSettings(name string, check Check, log *slog.Logger) *Settings {
+func NewSettings(name string, check SettingsCheck, log *slog.Logger) *Settings {
 	return &Settings{name: name, check: check, log: log, wake: make(chan struct{}, 1), reload: make(chan os.Signal, 1)}
 }
 
@@ -82,12 +82,12 @@
 // Attach is of Part.
 func (x *Settings) Attach(s Store) { x.store = s }
 
-// Needs is of Needy: what is in force or comes in force in steps. Candidates are for replicas to judge, and older versions and what
+// Subscription is of Needy: what is in force or comes in force in steps. Candidates are for replicas to judge, and older versions and what
 // others report for those who ask.
-func (x *Settings) Needs() changefeed.Needs {
+func (x *Settings) Subscription() changefeed.Subscription {
 	kept := store.Interest{Keys: []string{keyCurrent, keyPlan, keyStepped}}
-	of := kept.Join(store.Interest{Keys: []string{ReportKey(x.name)}})
-	return changefeed.Needs{Of: &of, Kept: kept}
+	of := kept.Union(store.Interest{Keys: []string{ReportKey(x.name)}})
+	return changefeed.Subscription{Of: &of, Kept: kept}
 }
 
 // Event is of Part.
@@ -220,7 +220,7 @@
 			return 0, err
 		}
 	}
-	held, err := x.store.Do(ctx, store.Command{Grant: &store.Grant{TTL: uint64(candidateFor.Milliseconds())}})
+	held, err := x.store.Do(ctx, store.Command{Grant: &store.GrantLease{TTL: uint64(candidateFor.Milliseconds())}})
 	if err != nil {
 		return 0, err
 	}
@@ -233,7 +233,7 @@
 		return 0, err
 	}
 	if err := x.verdicts(ctx, r.Revision, r.Revision); err != nil {
-		_, end := x.store.Do(ctx, store.Command{End: &store.End{Lease: held.Lease}})
+		_, end := x.store.Do(ctx, store.Command{End: &store.RevokeLease{Lease: held.Lease}})
 		return 0, errors.Join(err, end)
 	}
 	return r.Revision, nil
@@ -370,5 +370,5 @@
 			return x.Put(ctx, v.Settings, fmt.Sprintf("rollback to version %d", version))
 		}
 	}
-	return Version{}, fmt.Errorf("%d: %w", version, ErrVersion)
+	return Version{}, fmt.Errorf("%d: %w", version, ErrVersionNotFound)
 }
--- a/internal/controlplane/daemon/starts.go
+++ b/internal/controlplane/daemon/starts.go
@@ -16,14 +16,14 @@
 // itself until when it matters, and then any daemon ends it. Until all voters know level 2 of commands nothing is written.
 const (
 	startSpread = 200 * time.Millisecond
-	startsMost  = serverstate.StartsMost
+	startsMost  = serverstate.MaxStarts
 )
 
 // Starts are the processes of servers that began of late, by any daemon's word. It is a Part; any goroutine may use it.
 type Starts struct {
 	desk
 	words *serverstate.Starts
-	turns *serverstate.Turns
+	turns *serverstate.ReportScheduler
 	bind  func(ctx context.Context, s core.Start) error
 	dirty map[serverstate.Process]bool // that the sidecar is to be told of
 }
@@ -31,7 +31,7 @@
 // NewStarts returns those of the daemon of a name.
 func NewStarts(name string, log *slog.Logger) *Starts {
 	return &Starts{desk: newDesk(name, log), words: serverstate.NewStarts(name, startsMost), dirty: map[serverstate.Process]bool{},
-		turns: serverstate.NewTurns(name, serverstate.TurnRules{Spread: int64(startSpread), Keep: 1 << 62, Most: startsMost})}
+		turns: serverstate.NewReportScheduler(name, serverstate.ReportSchedule{Spread: int64(startSpread), Keep: 1 << 62, Most: startsMost})}
 }
 
 // Run is of Part.
@@ -42,8 +42,8 @@
 	})
 }
 
-// Began takes what this daemon's sidecar saw begin, so long ago, and cold for so long. It does not wait.
-func (d *Starts) Began(p discovery.Process, ago, cold time.Duration) {
+// ReportStart takes what this daemon's sidecar saw begin, so long ago, and cold for so long. It does not wait.
+func (d *Starts) ReportStart(p discovery.Process, ago, cold time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now(time.Now())
@@ -54,8 +54,8 @@
 	d.wakeAt(due, now)
 }
 
-// Begun lists the processes that are cold yet, as far as is known here.
-func (d *Starts) Begun() []core.Start {
+// RecentStarts lists the processes that are cold yet, as far as is known here.
+func (d *Starts) RecentStarts() []core.Start {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var all []core.Start
@@ -65,16 +65,16 @@
 	return all
 }
 
-// Warm gives the way in which others' word that a process began counts in the sidecar.
-func (d *Starts) Warm(begun func(ctx context.Context, s core.Start) error) {
+// OnStart gives the way in which others' word that a process began counts in the sidecar.
+func (d *Starts) OnStart(begun func(ctx context.Context, s core.Start) error) {
 	d.mu.Lock()
 	d.bind = begun
 	d.mu.Unlock()
 	d.poke()
 }
 
-// Needs is of Needy: all, as of drains.
-func (d *Starts) Needs() changefeed.Needs { return needs(serverstate.StartPrefix) }
+// Subscription is of Needy: all, as of drains.
+func (d *Starts) Subscription() changefeed.Subscription { return needs(serverstate.StartPrefix) }
 
 // Event is of Part.
 func (d *Starts) Event(e store.Event) {
@@ -158,8 +158,8 @@
 	}
 }
 
-// Over is of Sweeper: it ends what matters no more.
-func (d *Starts) Over(now time.Time) (ends []*store.Txn) {
+// Expired is of Sweeper: it ends what matters no more.
+func (d *Starts) Expired(now time.Time) (ends []*store.Txn) {
 	d.speak(now)
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -173,11 +173,11 @@
 }
 
 // facts are what is known of them.
-func (d *Starts) facts() (all []Fact) {
+func (d *Starts) facts() (all []ServerFact) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.words.Cold(d.now(time.Now()), func(p serverstate.Process, ago, left int64, who string, agreed bool) {
-		all = append(all, Fact{ID: p.ID, Addr: p.Addr, StartedMs: p.StartedMs, What: "began", By: who, AgeMs: ago / 1e6, LeftMs: left / 1e6, Agreed: agreed})
+		all = append(all, ServerFact{ID: p.ID, Addr: p.Addr, StartedMs: p.StartedMs, What: "began", By: who, AgeMs: ago / 1e6, LeftMs: left / 1e6, Agreed: agreed})
 	})
 	return all
 }
--- a/internal/controlplane/daemon/starts_test.go
+++ b/internal/controlplane/daemon/starts_test.go
@@ -31,15 +31,15 @@
 func TestStarts(t *testing.T) {
 	all, dirs := three(t)
 	for _, s := range all {
-		s.d.Warm(func(ctx context.Context, x core.Start) error {
+		s.d.OnStart(func(ctx context.Context, x core.Start) error {
 			return s.agree(ctx, fmt.Sprint("began ", x.Process.ID), true)
 		})
 	}
 	seen, one := discovery.Process{ID: "all", Addr: "127.0.0.1:1"}, discovery.Process{ID: "one", Addr: "127.0.0.1:2", StartedMs: 7}
 	for _, s := range all {
-		s.d.Began(seen, 0, time.Hour)
+		s.d.ReportStart(seen, 0, time.Hour)
 	}
-	all[0].d.Began(one, time.Second, time.Hour)
+	all[0].d.ReportStart(one, time.Second, time.Hour)
 	for _, s := range all[1:] {
 		s.until(t, "began one", true)
 	}
@@ -54,7 +54,7 @@
 	b := start(t, "b", dirs[1], all[1].addr, true)
 	b.version(t, serverstate.StartKey(serverstate.Process(one))) // its copy is up to date
 	ago := time.Duration(-1)
-	for _, x := range b.d.Begun() {
+	for _, x := range b.d.RecentStarts() {
 		if x.Process == one {
 			ago = x.Ago
 		}
@@ -79,9 +79,9 @@
 	}
 	ahead := snapshot.Clock{Wall: time.Now().Add(time.Hour).UnixMicro(), Boot: "of another host"}
 	take := func(context.Context) ([]byte, error) {
-		return snapshot.Encode(&snapshot.Kept{Sidecar: "other", Clock: ahead, State: m.Snapshot(1e9, false)})
+		return snapshot.Encode(&snapshot.Saved{Sidecar: "other", Clock: ahead, State: m.Snapshot(1e9, false)})
 	}
-	key := serverstate.PictureKey("other", "")
+	key := serverstate.SnapshotKey("other", "")
 	for err = store.ErrLevel; errors.Is(err, store.ErrLevel); { // until all know the commands that it takes
 		err = all[0].d.keep(deadline(t), key, take)
 	}
@@ -91,8 +91,8 @@
 	if all[1].version(t, key) != 1 {
 		t.Fatal("it is not in the store")
 	}
-	got := all[1].d.Pictures("me", "")
-	for ; len(got) == 1 && !got[0].Sure; got = all[1].d.Pictures("me", "") { // it came before a quorum had confirmed the copy
+	got := all[1].d.RestoreCandidates("me", "")
+	for ; len(got) == 1 && !got[0].Sure; got = all[1].d.RestoreCandidates("me", "") { // it came before a quorum had confirmed the copy
 		if err := all[0].d.keep(deadline(t), key, take); err != nil {
 			t.Fatal(err)
 		}
@@ -103,13 +103,13 @@
 	if x := recovery.Choose("me", got); x.Kept == nil || x.Kept.Sidecar != "me" {
 		t.Errorf("%+v", x)
 	}
-	if len(all[1].d.Pictures("me", "dns")) != 0 {
+	if len(all[1].d.RestoreCandidates("me", "dns")) != 0 {
 		t.Error("of another protocol")
 	}
 	all[1].stop()
 	b := start(t, "b", dirs[1], all[1].addr, true)
 	b.version(t, key) // its copy is up to date: it has shown the picture, which was put long before
-	got = b.d.Pictures("me", "")
+	got = b.d.RestoreCandidates("me", "")
 	if len(got) != 1 || got[0].Sure {
 		t.Fatalf("%+v", got)
 	}
@@ -117,13 +117,13 @@
 		t.Error("the age of a picture is believed by another host's clock")
 	}
 	b.d.PictureAge(key, 4*time.Second) // a replica that saw it come tells
-	if got = b.d.Pictures("me", ""); !got[0].Sure || got[0].Age < 4e6 {
+	if got = b.d.RestoreCandidates("me", ""); !got[0].Sure || got[0].Age < 4e6 {
 		t.Errorf("%+v", got)
 	}
 	for later := time.Now().Add(picturesKept + time.Minute); b.version(t, key) > 0; { // nobody puts it any more
 		b.frame.sweep(deadline(t), later)
 	}
-	if len(b.d.Pictures("me", "")) != 0 {
+	if len(b.d.RestoreCandidates("me", "")) != 0 {
 		t.Error("it is still held")
 	}
 }
--- a/internal/controlplane/daemon/steps.go
+++ b/internal/controlplane/daemon/steps.go
@@ -32,25 +32,27 @@
 
 // Errors of plans.
 var (
-	ErrPlan   = errors.New("other settings are coming in force in steps")
-	ErrNoPlan = errors.New("no settings are coming in force in steps")
+	ErrRolloutRunning = errors.New("other settings are coming in force in steps")
+	ErrNoRollout      = errors.New("no settings are coming in force in steps")
 )
 
 // ReportKey is where a daemon tells how a plan goes with it.
 func ReportKey(host string) string { return keyReport + host }
 
-// May says whether an operation is a daemon's own to make: its report of how a plan goes with it.
-func May(op store.Op, owner string) bool { return op.Key == ReportKey(owner) && lease.Puts(op, owner) }
+// Allowed says whether an operation is a daemon's own to make: its report of how a plan goes with it.
+func Allowed(op store.Op, owner string) bool {
+	return op.Key == ReportKey(owner) && lease.Puts(op, owner)
+}
 
-// Figures are what a sidecar's clients were answered since its start: served, or refused and failed.
-type Figures func() (served, not uint64, err error)
+// AnswerCounter are what a sidecar's clients were answered since its start: served, or refused and failed.
+type AnswerCounter func() (served, not uint64, err error)
 
 // stepping is this daemon's part in a plan.
 type stepping struct {
 	plan    rollout.Plan
 	set     uint64 // its revision; 0: there is none
 	text    json.RawMessage
-	figures Figures
+	figures AnswerCounter
 
 	told   rollout.Report // last
 	toldAt time.Time
@@ -62,7 +64,7 @@
 }
 
 // Figure gives what tells the answers of this daemon's sidecar.
-func (x *Settings) Figure(f Figures) {
+func (x *Settings) Figure(f AnswerCounter) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.steps.figures = f
@@ -173,7 +175,7 @@
 		Then: []store.Op{{Key: keyPlan, Value: b}, {Key: keyStepped, Value: settings}, {Key: keyCandidate, Delete: true},
 			{Key: keyReport, Delete: true, End: store.PrefixEnd(keyReport)}, {Key: keyVerdict, Delete: true, End: store.PrefixEnd(keyVerdict)}}}})
 	if err == nil && !r.Held {
-		err = ErrPlan
+		err = ErrRolloutRunning
 	}
 	return p, err
 }
@@ -181,20 +183,20 @@
 // noPlan is the revision of a plan that has ended, 0 if there never was one, and an error if one is running.
 func (x *Settings) noPlan(ctx context.Context) (set uint64, err error) {
 	p, set, err := x.Plan(ctx)
-	if errors.Is(err, ErrNoPlan) {
+	if errors.Is(err, ErrNoRollout) {
 		return set, nil
 	}
 	if err == nil && p.State == rollout.Running {
-		err = ErrPlan
+		err = ErrRolloutRunning
 	}
 	return set, err
 }
 
 // Plan is the newest plan and its revision. That there never was one is ErrNoPlan.
 func (x *Settings) Plan(ctx context.Context) (p rollout.Plan, set uint64, err error) {
-	var bad error = ErrNoPlan
+	var bad error = ErrNoRollout
 	_, err = x.store.View(ctx, false, func(s *store.State) {
-		p, set, bad = rollout.Plan{}, 0, ErrNoPlan
+		p, set, bad = rollout.Plan{}, 0, ErrNoRollout
 		if i, there := s.Get(keyPlan); there {
 			set, bad = i.Modified, json.Unmarshal(i.Value, &p)
 		}
@@ -206,7 +208,7 @@
 func (x *Settings) CallOff(ctx context.Context, by string) error {
 	p, set, err := x.Plan(ctx)
 	if err == nil && p.State != rollout.Running {
-		err = ErrNoPlan
+		err = ErrNoRollout
 	}
 	if err != nil {
 		return err
@@ -229,7 +231,7 @@
 	}
 	r, err := do(ctx, store.Txn{If: []store.Compare{{Key: keyPlan, Modified: set}}, Then: ops})
 	if err == nil && !r.Held {
-		err = ErrMeanwhile
+		err = ErrExcludedAgain
 	}
 	return err
 }
@@ -264,9 +266,9 @@
 			}
 			return true
 		})
-		places := lease.PlacePrefix + FleetTask + "/"
+		places := lease.QueuePrefix + FleetTask + "/"
 		s.Range(places, store.PrefixEnd(places), func(i store.Item) bool {
-			if _, host, _, ok := lease.ParsePlace(i.Key); ok {
+			if _, host, _, ok := lease.ParseQueueEntryKey(i.Key); ok {
 				fleet[host] = true
 			}
 			return true
@@ -300,7 +302,7 @@
 		return x.change(ctx, &p, set, nil, do)
 	case p.Step < len(p.Steps)-1:
 		p.Step++
-		p.Hosts, p.Why = rollout.Among(p.Steps[p.Step], all, p.ID), why
+		p.Hosts, p.Why = rollout.Selected(p.Steps[p.Step], all, p.ID), why
 		x.log.Info("settings go a step further", "step", p.Steps[p.Step], "daemons", len(p.Hosts), "because", why)
 		return x.change(ctx, &p, set, nil, do)
 	}
--- a/internal/controlplane/lease/fence.go
+++ b/internal/controlplane/lease/fence.go
@@ -15,29 +15,29 @@
 	mu    sync.Mutex
 	path  string
 	seen  map[string]uint64
-	plant FencePlant
+	plant FenceDefect
 }
 
-// FencePlant is a fault of a Fence.
-type FencePlant int
+// FenceDefect is a fault of a Fence.
+type FenceDefect int
 
 // The faults.
 const (
-	FenceNone   FencePlant = iota
-	FenceOpen              // it lets all pass
-	FenceForget            // it does not keep what it has seen
+	NoFenceDefect FenceDefect = iota
+	FenceOpen                 // it lets all pass
+	FenceForget               // it does not keep what it has seen
 )
 
 const fenceMost = 4096 // tasks; one more is refused
 
-// ErrFence says that a fence has no room for another task, or cannot keep what it has seen.
-var ErrFence = errors.New("the fence cannot keep the token")
+// ErrFenceUnavailable says that a fence has no room for another task, or cannot keep what it has seen.
+var ErrFenceUnavailable = errors.New("the fence cannot keep the token")
 
 // NewFence returns one that remembers for as long as it lives.
-func NewFence(p FencePlant) *Fence { return &Fence{plant: p} }
+func NewFence(p FenceDefect) *Fence { return &Fence{plant: p} }
 
 // OpenFence reads what an earlier one at this path has seen.
-func OpenFence(path string, p FencePlant) (*Fence, error) {
+func OpenFence(path string, p FenceDefect) (*Fence, error) {
 	f := &Fence{path: path, plant: p}
 	b, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) || p == FenceForget {
@@ -59,13 +59,13 @@
 	defer f.mu.Unlock()
 	seen, known := f.seen[task]
 	if token < seen && f.plant != FenceOpen {
-		return fmt.Errorf("%w: %d of %s, after %d", ErrStale, token, task, seen)
+		return fmt.Errorf("%w: %d of %s, after %d", ErrStaleToken, token, task, seen)
 	}
 	if token <= seen {
 		return nil
 	}
 	if !known && len(f.seen) >= fenceMost {
-		return fmt.Errorf("%w: %d tasks", ErrFence, len(f.seen))
+		return fmt.Errorf("%w: %d tasks", ErrFenceUnavailable, len(f.seen))
 	}
 	if f.seen == nil {
 		f.seen = map[string]uint64{}
@@ -75,7 +75,7 @@
 		if f.seen[task] = seen; !known {
 			delete(f.seen, task)
 		}
-		return fmt.Errorf("%w: %w", ErrFence, err)
+		return fmt.Errorf("%w: %w", ErrFenceUnavailable, err)
 	}
 	return nil
 }
--- a/internal/controlplane/lease/lease.go
+++ b/internal/controlplane/lease/lease.go
@@ -23,13 +23,13 @@
 
 // Errors of holders.
 var (
-	ErrLost    = errors.New("the lease is lost")
-	ErrShort   = errors.New("the lease does not last for as long as the action may take")
-	ErrStale   = errors.New("a higher token was seen")
-	ErrName    = errors.New("not the name of a task: 1 to 64 of a-z, 0-9, '.', '_' and '-'")
-	ErrSlots   = errors.New("the task has another number of slots")
-	ErrPaused  = errors.New("the task is paused")
-	ErrHeldOff = errors.New("the task is held off")
+	ErrLost            = errors.New("the lease is lost")
+	ErrLeaseTooShort   = errors.New("the lease does not last for as long as the action may take")
+	ErrStaleToken      = errors.New("a higher token was seen")
+	ErrInvalidTaskName = errors.New("not the name of a task: 1 to 64 of a-z, 0-9, '.', '_' and '-'")
+	ErrSlotsMismatch   = errors.New("the task has another number of slots")
+	ErrPaused          = errors.New("the task is paused")
+	ErrSuspended       = errors.New("the task is held off")
 )
 
 // Rules are those of a session. Times are nanoseconds.
@@ -42,21 +42,21 @@
 // DefaultSkew is far beyond what clocks of hosts do (500 ppm is what NTP corrects at most).
 const DefaultSkew = 0.02
 
-// Span is for how long a holder is entitled after it sent a renewal that was answered.
+// Validity is for how long a holder is entitled after it sent a renewal that was answered.
 //
 // A renewal that was sent at s by true time is applied at a >= s. The session ends at e >= a + TTL/(1+x), if the leader's clock
 // gains x on true time; the holder's Span takes Span/(1-y) of true time, if its clock loses y. With (1+x)/(1-y) <= 1+Skew,
 // s + Span/(1-y) <= s + TTL/(1+x) - Margin < e.
-func (r Rules) Span() int64 { return int64(float64(r.TTL)/(1+r.Skew)) - r.Margin }
+func (r Rules) Validity() int64 { return int64(float64(r.TTL)/(1+r.Skew)) - r.Margin }
 
-// Name says whether a text may name a task.
-func Name(s string) error {
+// CheckName says whether a text may name a task.
+func CheckName(s string) error {
 	if len(s) == 0 || len(s) > 64 {
-		return ErrName
+		return ErrInvalidTaskName
 	}
 	for _, c := range s {
 		if (c < 'a' || c > 'z') && (c < '0' || c > '9') && c != '.' && c != '_' && c != '-' {
-			return ErrName
+			return ErrInvalidTaskName
 		}
 	}
 	return nil
--- a/internal/controlplane/lease/table.go
+++ b/internal/controlplane/lease/table.go
@@ -12,60 +12,62 @@
 
 // Keys of tasks.
 const (
-	Prefix      = "task/"
-	PlacePrefix = "task/place/" // TASK/HOST/NONCE: a place in a task's queue
-	ConfPrefix  = "task/conf/"  // TASK: Conf
-	OrderPrefix = "task/order/" // TASK: Order, of operators
-	HoldKey     = "task/hold"   // while it is there nobody is entitled: the store was restored a moment ago
+	Prefix           = "task/"
+	QueuePrefix      = "task/place/" // TASK/HOST/NONCE: a place in a task's queue
+	TaskConfigPrefix = "task/conf/"  // TASK: Conf
+	OverridePrefix   = "task/order/" // TASK: Order, of operators
+	SuspendKey       = "task/hold"   // while it is there nobody is entitled: the store was restored a moment ago
 )
 
 // Bounds of what the store keeps.
 const (
-	TasksMost  = 1024
-	PlacesMost = 2048             // of one task
-	ValueMost  = 4096             // bytes of a place's value
-	TTLLeast   = store.OwnedLeast // milliseconds of a session
-	TTLMost    = store.OwnedMost
-	SlotsMost  = 256
+	MaxTasks        = 1024
+	MaxQueueEntries = 2048                    // of one task
+	MaxValueBytes   = 4096                    // bytes of a place's value
+	MinTTLMillis    = store.MinOwnedTTLMillis // milliseconds of a session
+	MaxTTLMillis    = store.MaxOwnedTTLMillis
+	MaxSlots        = 256
 )
 
-// Conf is what all who want a task must agree on.
-type Conf struct {
+// TaskConfig is what all who want a task must agree on.
+type TaskConfig struct {
 	Slots int `json:"slots"` // that hold it at once
 }
 
-// Order is an operator's word on a task.
-type Order struct {
+// TaskOverride is an operator's word on a task.
+type TaskOverride struct {
 	Pause bool   `json:"pause,omitempty"` // nobody is to hold it
 	Host  string `json:"host,omitempty"`  // those before its first place are to go behind it
 	By    string `json:"by,omitempty"`
 	Note  string `json:"note,omitempty"`
 }
 
-// Word is the value of a place.
-type Word struct {
+// QueueRecord is the value of a place.
+type QueueRecord struct {
 	Session uint64 `json:"session"`
 	TTL     int64  `json:"ttl_ms"`
 	Note    string `json:"note,omitempty"` // what it is for
 }
 
-// Place is one in a task's queue.
-type Place struct {
-	Word
+// QueueEntry is one in a task's queue.
+type QueueEntry struct {
+	QueueRecord
 	Key   string
 	Task  string
 	Host  string
 	Token uint64 // the revision at which it was put
 }
 
-// PlaceKey is the key of a host's place; the nonce is of one try alone.
-func PlaceKey(task, host, nonce string) string { return PlacePrefix + task + "/" + host + "/" + nonce }
+// QueueEntryKey is the key of a host's place; the nonce is of one try alone.
+func QueueEntryKey(task, host, nonce string) string {
+	return QueuePrefix + task + "/" + host + "/" + nonce
+}
 
-// ParsePlace reads the key of a place.
-func ParsePlace(key string) (task, host, nonce string, ok bool) {
-	rest, ok := strings.CutPrefix(key, PlacePrefix)
+// ParseQueueEntryKey reads the key of a place.
+func ParseQueueEntryKey(key string) (task, host, nonce string, ok bool) {
+	rest, ok := strings.CutPrefix(key, QueuePrefix)
 	parts := strings.Split(rest, "/")
-	if !ok || len(parts) != 3 || Name(parts[0]) != nil || parts[1] == "" || parts[2] == "" {
+	if !ok || len(parts) != 3 || CheckName(parts[0]) != nil || parts[1] == "" || parts[2] == "" {
 		return "", "", "", false
 	}
 	return parts[0], parts[1], parts[2], true
@@ -75,31 +77,31 @@
 type Table struct {
 	tasks   map[string]*queue
 	held    bool // HoldKey is there
-	plant   TablePlant
+	plant   TableDefect
 	counted map[string]uint64 // with ForgetTokens
 	cluster uint64
 }
 
 type queue struct {
-	places []Place // by token
-	conf   Conf
-	order  Order
+	places []QueueEntry // by token
+	conf   TaskConfig
+	order  TaskOverride
 	set    uint64 // the revision of the order; 0: there is none
 }
 
-// TablePlant is a fault of a Table.
-type TablePlant int
+// TableDefect is a fault of a Table.
+type TableDefect int
 
 // The faults.
 const (
-	TableNone    TablePlant = iota
-	CountAtMine             // permits are counted among this daemon's own places
-	IgnoreOrder             // whoever has a place may act
-	ForgetTokens            // the token is not the place's, but counted anew by this process
+	NoTableDefect TableDefect = iota
+	CountAtMine               // permits are counted among this daemon's own places
+	IgnoreOrder               // whoever has a place may act
+	ForgetTokens              // the token is not the place's, but counted anew by this process
 )
 
 // NewTable returns an empty one.
-func NewTable(p TablePlant) *Table { return &Table{tasks: map[string]*queue{}, plant: p} }
+func NewTable(p TableDefect) *Table { return &Table{tasks: map[string]*queue{}, plant: p} }
 
 // of is a task's queue.
 func (t *Table) of(task string) *queue {
@@ -132,20 +134,20 @@
 
 func (t *Table) take(i store.Item, deleted bool) {
 	key := i.Key
-	if key == HoldKey {
+	if key == SuspendKey {
 		t.held = !deleted
 		return
 	}
-	if task, host, _, ok := ParsePlace(key); ok {
+	if task, host, _, ok := ParseQueueEntryKey(key); ok {
 		q := t.of(task)
-		at := slices.IndexFunc(q.places, func(p Place) bool { return p.Key == key })
+		at := slices.IndexFunc(q.places, func(p QueueEntry) bool { return p.Key == key })
 		if at >= 0 {
 			q.places = slices.Delete(q.places, at, at+1)
 		}
 		if !deleted {
-			p := Place{Key: key, Task: task, Host: host, Token: i.Created}
-			_ = json.Unmarshal(i.Value, &p.Word) // a place holds its rank whatever its value says
-			at, _ := slices.BinarySearchFunc(q.places, p.Token, func(x Place, token uint64) int { return cmp.Compare(x.Token, token) })
+			p := QueueEntry{Key: key, Task: task, Host: host, Token: i.Created}
+			_ = json.Unmarshal(i.Value, &p.QueueRecord) // a place holds its rank whatever its value says
+			at, _ := slices.BinarySearchFunc(q.places, p.Token, func(x QueueEntry, token uint64) int { return cmp.Compare(x.Token, token) })
 			q.places = slices.Insert(q.places, at, p)
 		}
 		t.forget(task)
@@ -155,21 +157,21 @@
 		prefix string
 		do     func(q *queue)
 	}{
-		{ConfPrefix, func(q *queue) {
-			if q.conf = (Conf{}); !deleted {
+		{TaskConfigPrefix, func(q *queue) {
+			if q.conf = (TaskConfig{}); !deleted {
 				_ = json.Unmarshal(i.Value, &q.conf)
 			}
 		}},
-		{OrderPrefix, func(q *queue) {
-			if q.order, q.set = (Order{}), 0; !deleted {
+		{OverridePrefix, func(q *queue) {
+			if q.order, q.set = (TaskOverride{}), 0; !deleted {
 				q.set = i.Modified
 				if json.Unmarshal(i.Value, &q.order) != nil {
-					q.order = Order{Pause: true} // what cannot be read stops the task rather than nothing
+					q.order = TaskOverride{Pause: true} // what cannot be read stops the task rather than nothing
 				}
 			}
 		}},
 	} {
-		if task, ok := strings.CutPrefix(key, x.prefix); ok && Name(task) == nil {
+		if task, ok := strings.CutPrefix(key, x.prefix); ok && CheckName(task) == nil {
 			x.do(t.of(task))
 			t.forget(task)
 		}
@@ -178,20 +180,20 @@
 
 // forget drops a task of which nothing is known.
 func (t *Table) forget(task string) {
-	if q := t.tasks[task]; q != nil && len(q.places) == 0 && q.conf == (Conf{}) && q.set == 0 {
+	if q := t.tasks[task]; q != nil && len(q.places) == 0 && q.conf == (TaskConfig{}) && q.set == 0 {
 		delete(t.tasks, task)
 	}
 }
 
 // Find returns a place that the copy shows, and how many are before it.
-func (t *Table) Find(task, key string) (p Place, before int, ok bool) {
+func (t *Table) Find(task, key string) (p QueueEntry, before int, ok bool) {
 	q := t.tasks[task]
 	if q == nil {
-		return Place{}, 0, false
+		return QueueEntry{}, 0, false
 	}
-	at := slices.IndexFunc(q.places, func(p Place) bool { return p.Key == key })
+	at := slices.IndexFunc(q.places, func(p QueueEntry) bool { return p.Key == key })
 	if at < 0 {
-		return Place{}, 0, false
+		return QueueEntry{}, 0, false
 	}
 	return q.places[at], at, true
 }
@@ -204,16 +206,16 @@
 	return 0
 }
 
-// Order is the operators' word on a task, and its revision; 0: there is none.
-func (t *Table) Order(task string) (Order, uint64) {
+// Override is the operators' word on a task, and its revision; 0: there is none.
+func (t *Table) Override(task string) (TaskOverride, uint64) {
 	if q := t.tasks[task]; q != nil {
 		return q.order, q.set
 	}
-	return Order{}, 0
+	return TaskOverride{}, 0
 }
 
-// Held says whether nobody may act, since the store was restored a moment ago.
-func (t *Table) Held() bool { return t.held }
+// Suspended says whether nobody may act, since the store was restored a moment ago.
+func (t *Table) Suspended() bool { return t.held }
 
 // Holds says whether the place is among those that hold its task, by this copy: with an old copy too few, never too many. The
 // order of operators is not asked: it has a holder release.
@@ -245,10 +247,10 @@
 	return p.Token, before < max(1, t.Slots(task))
 }
 
-// Yields says whether a holder of this place is to release it, or one who waits to leave: the task is paused, or given to a host
+// MustRelease says whether a holder of this place is to release it, or one who waits to leave: the task is paused, or given to a host
 // that waits behind it.
-func (t *Table) Yields(task, key string) error {
-	o, _ := t.Order(task)
+func (t *Table) MustRelease(task, key string) error {
+	o, _ := t.Override(task)
 	if o.Pause {
 		return ErrPaused
 	}
@@ -277,17 +279,17 @@
 	return names
 }
 
-// Places lists a task's, first the holders.
-func (t *Table) Places(task string) []Place {
+// Queue lists a task's, first the holders.
+func (t *Table) Queue(task string) []QueueEntry {
 	if q := t.tasks[task]; q != nil {
 		return slices.Clone(q.places)
 	}
 	return nil
 }
 
-// Of lists the places of a host's sessions: what the host has no use for any more it takes away.
-func (t *Table) Of(host string, session uint64) []Place {
-	var own []Place
+// EntriesOf lists the places of a host's sessions: what the host has no use for any more it takes away.
+func (t *Table) EntriesOf(host string, session uint64) []QueueEntry {
+	var own []QueueEntry
 	for _, task := range t.Tasks() {
 		for _, p := range t.tasks[task].places {
 			if p.Host == host && p.Session == session {
@@ -298,16 +300,16 @@
 	return own
 }
 
-// May says whether an operation is a daemon's own part in tasks: its places, which go with its lease, and how many may hold a task.
-func May(op store.Op, owner string) bool {
-	if _, host, _, ok := ParsePlace(op.Key); ok {
-		return host == owner && (op.Delete || op.Lease != 0 && len(op.Value) <= ValueMost)
+// Allowed says whether an operation is a daemon's own part in tasks: its places, which go with its lease, and how many may hold a task.
+func Allowed(op store.Op, owner string) bool {
+	if _, host, _, ok := ParseQueueEntryKey(op.Key); ok {
+		return host == owner && (op.Delete || op.Lease != 0 && len(op.Value) <= MaxValueBytes)
 	}
-	task, ok := strings.CutPrefix(op.Key, ConfPrefix)
-	return ok && Name(task) == nil && Puts(op, owner)
+	task, ok := strings.CutPrefix(op.Key, TaskConfigPrefix)
+	return ok && CheckName(task) == nil && Puts(op, owner)
 }
 
 // Puts says whether an operation puts, in a daemon's name, what stays and is short.
 func Puts(op store.Op, owner string) bool {
-	return owner != "" && !op.Delete && op.Lease == 0 && len(op.Value) <= ValueMost
+	return owner != "" && !op.Delete && op.Lease == 0 && len(op.Value) <= MaxValueBytes
 }
--- a/internal/controlplane/leasetask/hold.go
+++ b/internal/controlplane/leasetask/hold.go
@@ -11,10 +11,10 @@
 	"birchmoor/internal/store"
 )
 
-// Hold is one holding of a task, from when this daemon's turn came until it is lost or released. Any goroutine may use it.
-type Hold struct {
+// Lease is one holding of a task, from when this daemon's turn came until it is lost or released. Any goroutine may use it.
+type Lease struct {
 	r     *Runner
-	want  Want
+	want  Claim
 	s     *session
 	key   string
 	token uint64
@@ -29,7 +29,7 @@
 }
 
 // queue takes a place and waits for its turn.
-func (h *Hold) queue(ctx context.Context, nonce string, waiting func(int, error)) error {
+func (h *Lease) queue(ctx context.Context, nonce string, waiting func(int, error)) error {
 	r, told, wait := h.r, -1, retryMin
 	var last error
 	say := func(before int, why error) {
@@ -45,9 +45,9 @@
 			r.mu.Unlock()
 			return ErrClosed
 		}
-		live := h.s.core.ID() != 0 && now < h.s.core.Until()
+		live := h.s.core.ID() != 0 && now < h.s.core.ValidUntil()
 		switch {
-		case h.key != "" && h.number != h.s.core.Number(): // its session has ended, and the place with it
+		case h.key != "" && h.number != h.s.core.Generation(): // its session has ended, and the place with it
 			delete(r.holds, h.key)
 			h.key = ""
 			r.mu.Unlock()
@@ -62,13 +62,13 @@
 		}
 		if h.key == "" {
 			n++
-			h.key, h.number = lease.PlaceKey(h.want.Task, r.cfg.Host, fmt.Sprintf("%s%d", nonce, n)), h.s.core.Number()
+			h.key, h.number = lease.QueueEntryKey(h.want.Task, r.cfg.Host, fmt.Sprintf("%s%d", nonce, n)), h.s.core.Generation()
 			r.holds[h.key] = h
 		}
 		_, before, there := r.table.Find(h.want.Task, h.key)
 		token, holds := r.table.Holds(h.want.Task, h.key)
-		yields := r.table.Yields(h.want.Task, h.key)
-		held, slots := r.table.Held(), max(1, r.table.Slots(h.want.Task))
+		yields := r.table.MustRelease(h.want.Task, h.key)
+		held, slots := r.table.Suspended(), max(1, r.table.Slots(h.want.Task))
 		if there && holds && yields == nil {
 			h.token, h.since = token, now
 			h.ctx, h.cancel = context.WithCancelCause(context.Background())
@@ -103,7 +103,7 @@
 			continue
 		}
 		last = r.put(ctx, h, id)
-		if errors.Is(last, lease.ErrSlots) || errors.Is(last, store.ErrFull) || errors.Is(last, store.ErrBadKey) {
+		if errors.Is(last, lease.ErrSlotsMismatch) || errors.Is(last, store.ErrFull) || errors.Is(last, store.ErrBadKey) {
 			return last
 		}
 		r.mu.Lock()
@@ -123,14 +123,14 @@
 }
 
 // entitled says until when it may act. The runner's lock is held.
-func (h *Hold) entitled(now int64) (until int64, err error) {
+func (h *Lease) entitled(now int64) (until int64, err error) {
 	if h.leaving {
 		return 0, lease.ErrLost
 	}
-	if h.number != h.s.core.Number() {
+	if h.number != h.s.core.Generation() {
 		return 0, fmt.Errorf("%w: the session has ended", lease.ErrLost)
 	}
-	if until = h.s.core.Until(); now >= until {
+	if until = h.s.core.ValidUntil(); now >= until {
 		return 0, fmt.Errorf("%w: no renewal was answered in time", lease.ErrLost)
 	}
 	if _, ok := h.r.table.Holds(h.want.Task, h.key); !ok {
@@ -140,14 +140,14 @@
 }
 
 // watch ends the hold's context once it is entitled no more, or is asked to release.
-func (h *Hold) watch() {
+func (h *Lease) watch() {
 	r := h.r
 	for {
 		r.mu.Lock()
 		changed := r.changed
 		until, err := h.entitled(r.cfg.Clock.Now())
 		if err == nil {
-			err = r.table.Yields(h.want.Task, h.key)
+			err = r.table.MustRelease(h.want.Task, h.key)
 		}
 		if err == nil && r.closed {
 			err = ErrClosed
@@ -165,13 +165,13 @@
 }
 
 // Task is what is held.
-func (h *Hold) Task() string { return h.want.Task }
+func (h *Lease) Task() string { return h.want.Task }
 
 // Token is higher than that of any earlier holder of the same task.
-func (h *Hold) Token() uint64 { return h.token }
+func (h *Lease) Token() uint64 { return h.token }
 
-// Until is when the entitlement ends unless it is renewed, by the host's boot clock in nanoseconds; 0: it has ended.
-func (h *Hold) Until() int64 {
+// ValidUntil is when the entitlement ends unless it is renewed, by the host's boot clock in nanoseconds; 0: it has ended.
+func (h *Lease) ValidUntil() int64 {
 	h.r.mu.Lock()
 	defer h.r.mu.Unlock()
 	until, err := h.entitled(h.r.cfg.Clock.Now())
@@ -182,7 +182,7 @@
 }
 
 // Renewed is closed once Until is not what it was, or the hold's context has ended.
-func (h *Hold) Renewed(was int64) <-chan struct{} {
+func (h *Lease) Renewed(was int64) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -200,7 +200,7 @@
 }
 
 // Context ends when the entitlement does, or when the holder is asked to release; its cause says why.
-func (h *Hold) Context() context.Context { return h.ctx }
+func (h *Lease) Context() context.Context { return h.ctx }
 
 // Do runs an action that takes at most so long. It does not begin what may not end within the entitlement: it waits for the next
 // renewal, and fails with ErrShort if that does not come, or if the action takes longer than a renewal can give. The action's
@@ -208,10 +208,10 @@
 //
 // A process that is stopped between Do's look at the clock and the action's effect acts late, whatever Do does: what must not see
 // that checks the token.
-func (h *Hold) Do(ctx context.Context, most time.Duration, f func(ctx context.Context, token uint64) error) error {
+func (h *Lease) Do(ctx context.Context, most time.Duration, f func(ctx context.Context, token uint64) error) error {
 	r := h.r
-	if int64(most) >= h.s.core.Rules().Span()*2/3 {
-		return fmt.Errorf("%w: %v", lease.ErrShort, most)
+	if int64(most) >= h.s.core.Rules().Validity()*2/3 {
+		return fmt.Errorf("%w: %v", lease.ErrLeaseTooShort, most)
 	}
 	for {
 		r.mu.Lock()
@@ -241,20 +241,20 @@
 }
 
 // Busy notes an action that runs elsewhere, until the function that it returns is called: a release waits for it like for one of Do.
-func (h *Hold) Busy() (done func()) {
+func (h *Lease) Busy() (done func()) {
 	h.actions.Add(1)
 	return h.actions.Done
 }
 
 // Txn makes a change of the store that takes effect only while this holder has its place: none does after a later holder's.
-func (h *Hold) Txn(ctx context.Context, t store.Txn) (store.Result, error) {
+func (h *Lease) Txn(ctx context.Context, t store.Txn) (store.Result, error) {
 	t.If = append([]store.Compare{{Key: h.key, Modified: h.token}}, t.If...)
 	return h.r.store.Do(ctx, store.Command{Txn: &t})
 }
 
 // Release gives it up: it is entitled to nothing from now on, its context ends, actions under way are waited for up to the end of
 // what they were entitled to, and then the next in order has its turn.
-func (h *Hold) Release() {
+func (h *Lease) Release() {
 	h.over.Do(func() {
 		r := h.r
 		r.mu.Lock()
--- a/internal/controlplane/leasetask/presence.go
+++ b/internal/controlplane/leasetask/presence.go
@@ -28,7 +28,7 @@
 func (p *Presence) Now() (id uint64, until int64, changed <-chan struct{}) {
 	p.r.mu.Lock()
 	defer p.r.mu.Unlock()
-	return p.s.core.ID(), p.s.core.Until(), p.r.changed
+	return p.s.core.ID(), p.s.core.ValidUntil(), p.r.changed
 }
 
 // Close ends the part in it.
--- a/internal/controlplane/leasetask/runner.go
+++ b/internal/controlplane/leasetask/runner.go
@@ -28,8 +28,8 @@
 	Skew  float64
 	Log   *slog.Logger
 	Clock bootclock.Clock
-	Plant lease.Plant // for tests
-	Table lease.TablePlant
+	Plant lease.Defect // for tests
+	Table lease.TableDefect
 }
 
 const (
@@ -42,8 +42,8 @@
 
 // Errors of a Runner.
 var (
-	ErrSessions = fmt.Errorf("%d lengths of leases are in use at this daemon already", sessionsMost)
-	ErrClosed   = errors.New("the daemon is ending")
+	ErrTooManySessions = fmt.Errorf("%d lengths of leases are in use at this daemon already", sessionsMost)
+	ErrClosed          = errors.New("the daemon is ending")
 )
 
 // Runner holds leases for one daemon. Any goroutine may use it.
@@ -57,10 +57,10 @@
 	mu       sync.Mutex
 	table    *lease.Table
 	sessions map[int64]*session
-	holds    map[string]*Hold // by the key of the place
-	loops    map[string]*loop // tasks that this daemon runs, by name
-	came     map[string]int64 // when the copy first showed a place or what a task did, by key
-	changed  chan struct{}    // closed when anything of this has changed
+	holds    map[string]*Lease // by the key of the place
+	loops    map[string]*loop  // tasks that this daemon runs, by name
+	came     map[string]int64  // when the copy first showed a place or what a task did, by key
+	changed  chan struct{}     // closed when anything of this has changed
 	closed   bool
 }
 
@@ -76,7 +76,7 @@
 	if cfg.Skew == 0 {
 		cfg.Skew = lease.DefaultSkew
 	}
-	r := &Runner{cfg: cfg, table: lease.NewTable(cfg.Table), sessions: map[int64]*session{}, holds: map[string]*Hold{},
+	r := &Runner{cfg: cfg, table: lease.NewTable(cfg.Table), sessions: map[int64]*session{}, holds: map[string]*Lease{},
 		loops: map[string]*loop{}, came: map[string]int64{}, changed: make(chan struct{})}
 	r.ctx, r.stop = context.WithCancel(context.Background())
 	return r
@@ -85,10 +85,10 @@
 // Attach gives the copy of the store, once it is open and before anything else but the hooks is called.
 func (r *Runner) Attach(s daemon.Store) { r.store = s }
 
-// Needs is of daemon.Needy: all queues. Whose turn it is follows from those before it, whoever they are; the next start has no use
+// Subscription is of daemon.Needy: all queues. Whose turn it is follows from those before it, whoever they are; the next start has no use
 // for what goes with sessions.
-func (r *Runner) Needs() changefeed.Needs {
-	return changefeed.Needs{Of: &store.Interest{Prefixes: []string{lease.Prefix}}}
+func (r *Runner) Subscription() changefeed.Subscription {
+	return changefeed.Subscription{Of: &store.Interest{Prefixes: []string{lease.Prefix}}}
 }
 
 // Run waits until ctx ends. With Attach, Event and Reset it makes a Runner a part of a daemon.
@@ -116,7 +116,7 @@
 	was := r.table.Cluster()
 	if r.table.Reset(s); was != 0 && was != s.Cluster() {
 		for _, x := range r.sessions { // they are of a store that is gone
-			x.core.Drop()
+			x.core.Reset()
 		}
 	}
 	for key := range r.came {
@@ -138,7 +138,7 @@
 func (r *Runner) Close() {
 	r.mu.Lock()
 	r.closed = true
-	var holds []*Hold
+	var holds []*Lease
 	for _, h := range r.holds {
 		holds = append(holds, h)
 	}
@@ -156,8 +156,8 @@
 // session returns the one of a length, which is begun if there is none. The lock is held.
 func (r *Runner) session(ttl time.Duration) (*session, error) {
 	ms := ttl.Milliseconds()
-	if ms < lease.TTLLeast || ms > lease.TTLMost {
-		return nil, fmt.Errorf("%v is not within %v and %v", ttl, lease.TTLLeast*time.Millisecond, lease.TTLMost*time.Millisecond)
+	if ms < lease.MinTTLMillis || ms > lease.MaxTTLMillis {
+		return nil, fmt.Errorf("%v is not within %v and %v", ttl, lease.MinTTLMillis*time.Millisecond, lease.MaxTTLMillis*time.Millisecond)
 	}
 	if s := r.sessions[ms]; s != nil {
 		return s, nil
@@ -166,7 +166,7 @@
 		return nil, ErrClosed
 	}
 	if len(r.sessions) >= sessionsMost {
-		return nil, ErrSessions
+		return nil, ErrTooManySessions
 	}
 	rules := lease.Rules{TTL: ms * 1e6, Skew: r.cfg.Skew, Margin: max(ms*1e6/marginPart, int64(marginLeast))}
 	s := &session{core: lease.NewSession(rules, r.cfg.Plant), ttl: ttl, wake: make(chan struct{}, 1)}
@@ -190,7 +190,7 @@
 		if over {
 			delete(r.sessions, ms)
 			id := s.core.ID()
-			s.core.Drop()
+			s.core.Reset()
 			r.mu.Unlock()
 			r.end(id)
 			return
@@ -198,7 +198,7 @@
 		ask, due := s.core.Next(now)
 		id := s.core.ID()
 		r.mu.Unlock()
-		if ask == lease.AskNothing {
+		if ask == lease.NoRequest {
 			t := time.NewTimer(r.cfg.Clock.Span(due - now))
 			select {
 			case <-t.C:
@@ -208,26 +208,26 @@
 			t.Stop()
 			continue
 		}
-		c := store.Command{Grant: &store.Grant{TTL: uint64(ms), Owner: r.cfg.Host}}
-		if ask == lease.AskRenew {
-			c = store.Command{Renew: &store.Renew{Lease: id, Owner: r.cfg.Host}}
+		c := store.Command{Grant: &store.GrantLease{TTL: uint64(ms), Owner: r.cfg.Host}}
+		if ask == lease.RenewRequest {
+			c = store.Command{Renew: &store.RenewLease{Lease: id, Owner: r.cfg.Host}}
 		}
 		wait, cancel := context.WithTimeout(r.ctx, max(s.ttl/2, 200*time.Millisecond))
 		res, err := r.store.Do(wait, c)
 		cancel()
 		o := lease.Done
 		switch {
-		case errors.Is(err, store.ErrNoLease):
+		case errors.Is(err, store.ErrLeaseNotFound):
 			o = lease.Gone
 		case err != nil:
 			o = lease.Unknown
 		}
 		r.mu.Lock()
-		before := s.core.Number()
-		s.core.Answered(r.cfg.Clock.Now(), o, res.Lease)
+		before := s.core.Generation()
+		s.core.HandleResponse(r.cfg.Clock.Now(), o, res.Lease)
 		r.went()
 		var orphans []string
-		if o == lease.Done && s.core.Number() == before {
+		if o == lease.Done && s.core.Generation() == before {
 			orphans = r.orphans(s)
 		}
 		r.mu.Unlock()
@@ -243,7 +243,7 @@
 // orphans are places of a session that nobody here has a use for: the answer to their putting was lost, or the one to their
 // removal. They would keep the next in order waiting. The lock is held.
 func (r *Runner) orphans(s *session) (keys []string) {
-	for _, p := range r.table.Of(r.cfg.Host, s.core.ID()) {
+	for _, p := range r.table.EntriesOf(r.cfg.Host, s.core.ID()) {
 		if r.holds[p.Key] == nil {
 			keys = append(keys, p.Key)
 		}
@@ -258,7 +258,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.ctx), time.Second)
 	defer cancel()
-	_, _ = r.store.Do(ctx, store.Command{End: &store.End{Lease: id, Owner: r.cfg.Host}})
+	_, _ = r.store.Do(ctx, store.Command{End: &store.RevokeLease{Lease: id, Owner: r.cfg.Host}})
 }
 
 // remove takes a place away.
@@ -269,8 +269,8 @@
 	return err
 }
 
-// Want says what is to be held.
-type Want struct {
+// Claim says what is to be held.
+type Claim struct {
 	Task  string
 	Slots int           // that hold it at once; all who want it must say the same. 0: one
 	TTL   time.Duration // after which another may have it when this daemon falls silent
@@ -279,15 +279,15 @@
 
 const noteMost = 256
 
-func (w *Want) check() error {
-	if err := lease.Name(w.Task); err != nil {
+func (w *Claim) check() error {
+	if err := lease.CheckName(w.Task); err != nil {
 		return fmt.Errorf("%q: %w", w.Task, err)
 	}
 	if w.Slots == 0 {
 		w.Slots = 1
 	}
-	if w.Slots < 1 || w.Slots > lease.SlotsMost {
-		return fmt.Errorf("%d slots are not within 1 and %d", w.Slots, lease.SlotsMost)
+	if w.Slots < 1 || w.Slots > lease.MaxSlots {
+		return fmt.Errorf("%d slots are not within 1 and %d", w.Slots, lease.MaxSlots)
 	}
 	if len(w.Note) > noteMost {
 		return fmt.Errorf("the note has more than %d bytes", noteMost)
@@ -297,7 +297,7 @@
 
 // Acquire waits in the task's queue until this daemon holds it, or ctx ends. Waiting is told of the place in the queue as it
 // changes, if it is not nil; it must not wait. The Hold must be released.
-func (r *Runner) Acquire(ctx context.Context, w Want, waiting func(before int, why error)) (*Hold, error) {
+func (r *Runner) Acquire(ctx context.Context, w Claim, waiting func(before int, why error)) (*Lease, error) {
 	if err := w.check(); err != nil {
 		return nil, err
 	}
@@ -317,7 +317,7 @@
 	case s.wake <- struct{}{}:
 	default:
 	}
-	h := &Hold{r: r, want: w, s: s}
+	h := &Lease{r: r, want: w, s: s}
 	if err := h.queue(ctx, hex.EncodeToString(b[:]), waiting); err != nil {
 		h.Release()
 		return nil, err
@@ -345,27 +345,27 @@
 }
 
 // put writes the place of a hold once, with the task's number of slots if nobody has said it yet.
-func (r *Runner) put(ctx context.Context, h *Hold, id uint64) error {
+func (r *Runner) put(ctx context.Context, h *Lease, id uint64) error {
 	r.mu.Lock()
 	slots := r.table.Slots(h.want.Task)
 	r.mu.Unlock()
 	if slots != 0 && slots != h.want.Slots {
-		return fmt.Errorf("%w: %d, and not %d", lease.ErrSlots, slots, h.want.Slots)
+		return fmt.Errorf("%w: %d, and not %d", lease.ErrSlotsMismatch, slots, h.want.Slots)
 	}
-	value, err := json.Marshal(lease.Word{Session: id, TTL: h.want.TTL.Milliseconds(), Note: h.want.Note})
+	value, err := json.Marshal(lease.QueueRecord{Session: id, TTL: h.want.TTL.Milliseconds(), Note: h.want.Note})
 	if err != nil {
 		return err
 	}
 	t := &store.Txn{Owner: r.cfg.Host, If: []store.Compare{{Key: h.key}}, Then: []store.Op{{Key: h.key, Value: value, Lease: id}},
-		Bounds: []store.Bound{{Prefix: lease.PlacePrefix + h.want.Task + "/", Most: lease.PlacesMost}}}
+		Bounds: []store.KeyLimit{{Prefix: lease.QueuePrefix + h.want.Task + "/", Most: lease.MaxQueueEntries}}}
 	if slots == 0 {
-		conf, err := json.Marshal(lease.Conf{Slots: h.want.Slots})
+		conf, err := json.Marshal(lease.TaskConfig{Slots: h.want.Slots})
 		if err != nil {
 			return err
 		}
-		t.If = append(t.If, store.Compare{Key: lease.ConfPrefix + h.want.Task})
-		t.Then = append(t.Then, store.Op{Key: lease.ConfPrefix + h.want.Task, Value: conf})
-		t.Bounds = append(t.Bounds, store.Bound{Prefix: lease.ConfPrefix, Most: lease.TasksMost})
+		t.If = append(t.If, store.Compare{Key: lease.TaskConfigPrefix + h.want.Task})
+		t.Then = append(t.Then, store.Op{Key: lease.TaskConfigPrefix + h.want.Task, Value: conf})
+		t.Bounds = append(t.Bounds, store.KeyLimit{Prefix: lease.TaskConfigPrefix, Most: lease.MaxTasks})
 	}
 	wait, cancel := context.WithTimeout(ctx, max(h.want.TTL/2, time.Second))
 	defer cancel()
--- a/internal/controlplane/leasetask/show.go
+++ b/internal/controlplane/leasetask/show.go
@@ -14,8 +14,8 @@
 	"birchmoor/internal/store"
 )
 
-// Place is one in a task's queue as people see it.
-type Place struct {
+// QueueEntry is one in a task's queue as people see it.
+type QueueEntry struct {
 	Host    string `json:"host"`
 	Token   uint64 `json:"token"`
 	Holds   bool   `json:"holds"`
@@ -26,28 +26,28 @@
 	UntilMs int64  `json:"left_ms,omitempty"` // of this daemon's entitlement, unless it is renewed
 }
 
-// Info is a task as people see it.
-type Info struct {
-	Task   string      `json:"task"`
-	Slots  int         `json:"slots"`
-	Order  lease.Order `json:"order"`
-	Places []Place     `json:"places"`         // the holders first
-	Why    string      `json:"why,omitempty"`  // there is no holder
-	Last   *Report     `json:"last,omitempty"` // what it did last
-	LastMs int64       `json:"last_age_ms"`    // since the copy showed that; -1: before this start
-	Here   string      `json:"here,omitempty"` // what this daemon does about it
+// TaskStatus is a task as people see it.
+type TaskStatus struct {
+	Task   string             `json:"task"`
+	Slots  int                `json:"slots"`
+	Order  lease.TaskOverride `json:"order"`
+	Places []QueueEntry       `json:"places"`         // the holders first
+	Why    string             `json:"why,omitempty"`  // there is no holder
+	Last   *ActionReport      `json:"last,omitempty"` // what it did last
+	LastMs int64              `json:"last_age_ms"`    // since the copy showed that; -1: before this start
+	Here   string             `json:"here,omitempty"` // what this daemon does about it
 }
 
 // List shows all tasks, or those of one name, as the store has them.
-func (r *Runner) List(ctx context.Context, name string) ([]Info, error) {
-	last, table := map[string]*Report{}, lease.NewTable(lease.TableNone)
+func (r *Runner) List(ctx context.Context, name string) ([]TaskStatus, error) {
+	last, table := map[string]*ActionReport{}, lease.NewTable(lease.NoTableDefect)
 	if _, err := r.store.View(ctx, false, func(s *store.State) {
 		clear(last)
 		table.Reset(s)
-		s.Range(DonePrefix, store.PrefixEnd(DonePrefix), func(i store.Item) bool {
-			var x Report
+		s.Range(ReportPrefix, store.PrefixEnd(ReportPrefix), func(i store.Item) bool {
+			var x ActionReport
 			if json.Unmarshal(i.Value, &x) == nil {
-				last[strings.TrimPrefix(i.Key, DonePrefix)] = &x
+				last[strings.TrimPrefix(i.Key, ReportPrefix)] = &x
 			}
 			return true
 		})
@@ -73,17 +73,17 @@
 	for n := range r.loops {
 		names[n] = true
 	}
-	all := []Info{}
+	all := []TaskStatus{}
 	for _, n := range slices.Sorted(maps.Keys(names)) {
 		if name != "" && n != name {
 			continue
 		}
-		i := Info{Task: n, Slots: table.Slots(n), Places: []Place{}, Last: last[n], LastMs: age(DonePrefix + n)}
-		i.Order, _ = table.Order(n)
+		i := TaskStatus{Task: n, Slots: table.Slots(n), Places: []QueueEntry{}, Last: last[n], LastMs: age(ReportPrefix + n)}
+		i.Order, _ = table.Override(n)
 		holders := 0
-		for _, p := range table.Places(n) {
+		for _, p := range table.Queue(n) {
 			_, holds := table.Holds(n, p.Key)
-			x := Place{Host: p.Host, Token: p.Token, Holds: holds && !i.Order.Pause, TTLMs: p.TTL, Note: p.Note, AgeMs: age(p.Key)}
+			x := QueueEntry{Host: p.Host, Token: p.Token, Holds: holds && !i.Order.Pause, TTLMs: p.TTL, Note: p.Note, AgeMs: age(p.Key)}
 			if h := r.holds[p.Key]; h != nil {
 				x.Here = true
 				if until, err := h.entitled(now); err == nil {
@@ -100,7 +100,7 @@
 		}
 		switch {
 		case holders > 0:
-		case table.Held():
+		case table.Suspended():
 			i.Why = "the store was restored a moment ago"
 		case i.Order.Pause:
 			i.Why = "it is paused"
@@ -119,7 +119,7 @@
 func (r *Runner) Holders(task string) (hosts []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, p := range r.table.Places(task) {
+	for _, p := range r.table.Queue(task) {
 		if _, holds := r.table.Holds(task, p.Key); holds {
 			hosts = append(hosts, p.Host)
 		}
@@ -144,18 +144,18 @@
 	return s
 }
 
-// ErrNoTask says that nothing is known of a task.
-var ErrNoTask = errors.New("no such task")
+// ErrTaskNotFound says that nothing is known of a task.
+var ErrTaskNotFound = errors.New("no such task")
 
-// Tell puts an operator's order on a task, in place of the one before; an empty one takes it away.
-func (r *Runner) Tell(ctx context.Context, task string, o lease.Order) error {
-	if err := lease.Name(task); err != nil {
+// SetOverride puts an operator's order on a task, in place of the one before; an empty one takes it away.
+func (r *Runner) SetOverride(ctx context.Context, task string, o lease.TaskOverride) error {
+	if err := lease.CheckName(task); err != nil {
 		return fmt.Errorf("%q: %w", task, err)
 	}
 	if len(o.Note)+len(o.By)+len(o.Host) > 3*noteMost {
 		return fmt.Errorf("the order has more than %d bytes", 3*noteMost)
 	}
-	op := store.Op{Key: lease.OrderPrefix + task, Delete: true}
+	op := store.Op{Key: lease.OverridePrefix + task, Delete: true}
 	if o.Pause || o.Host != "" {
 		b, err := json.Marshal(o)
 		if err != nil {
@@ -164,6 +164,6 @@
 		op = store.Op{Key: op.Key, Value: b}
 	}
 	_, err := r.store.Do(ctx, store.Command{Txn: &store.Txn{Then: []store.Op{op},
-		Bounds: []store.Bound{{Prefix: lease.OrderPrefix, Most: lease.TasksMost}}}})
+		Bounds: []store.KeyLimit{{Prefix: lease.OverridePrefix, Most: lease.MaxTasks}}}})
 	return err
 }
--- a/internal/controlplane/leasetask/task.go
+++ b/internal/controlplane/leasetask/task.go
@@ -14,21 +14,21 @@
 	"birchmoor/internal/store"
 )
 
-// DonePrefix is that of the keys that say what a task did last: task/done/TASK.
-const DonePrefix = lease.Prefix + "done/"
+// ReportPrefix is that of the keys that say what a task did last: task/done/TASK.
+const ReportPrefix = lease.Prefix + "done/"
 
 // Task is what one holder, or so many, does for the whole fleet.
 type Task struct {
-	Want
+	Claim
 	Every    time.Duration // between two actions
 	Most     time.Duration // of an action
 	Progress time.Duration // without an action that succeeds the holder gives it up,
 	HoldDown time.Duration // and does not ask for it again for so long
-	Do       func(ctx context.Context, h *Hold) error
+	Do       func(ctx context.Context, h *Lease) error
 }
 
-// Report is what a task did last, as the store has it.
-type Report struct {
+// ActionReport is what a task did last, as the store has it.
+type ActionReport struct {
 	Token uint64 `json:"token"`
 	Host  string `json:"host"`
 	Done  uint64 `json:"done"` // actions that succeeded, of this holding
@@ -38,7 +38,7 @@
 // loop is a task that this daemon runs.
 type loop struct {
 	task   Task
-	hold   *Hold
+	hold   *Lease
 	done   uint64
 	last   int64 // when an action last succeeded, or the holding began
 	off    int64 // until when it does not ask for the task; 0: it does
@@ -48,8 +48,8 @@
 
 const reportEvery = 10 * time.Second
 
-// Take takes part in a task until ctx ends.
-func (r *Runner) Take(ctx context.Context, t Task) error {
+// RunTask takes part in a task until ctx ends.
+func (r *Runner) RunTask(ctx context.Context, t Task) error {
 	if err := t.check(); err != nil {
 		return err
 	}
@@ -62,7 +62,7 @@
 	r.loops[t.Task] = l
 	r.mu.Unlock()
 	for ctx.Err() == nil && r.ctx.Err() == nil {
-		h, err := r.Acquire(ctx, t.Want, func(before int, why error) {
+		h, err := r.Acquire(ctx, t.Claim, func(before int, why error) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			l.before, l.err = before, why
@@ -80,7 +80,7 @@
 		r.note(l, h)
 		err = r.work(ctx, l, h)
 		// What is said here changes before others can hold the task: who sees the next holder does not see this one as well.
-		off := errors.Is(err, lease.ErrHeldOff)
+		off := errors.Is(err, lease.ErrSuspended)
 		r.note(l, nil)
 		if off {
 			r.mu.Lock()
@@ -109,7 +109,7 @@
 	if t.Every <= 0 || t.Most <= 0 || t.Progress < t.Every || t.Do == nil {
 		return fmt.Errorf("%s: every, most and progress are to be positive, and progress no less than every", t.Task)
 	}
-	return t.Want.check()
+	return t.Claim.check()
 }
 
 func pause(ctx context.Context, d time.Duration) error {
@@ -124,7 +124,7 @@
 }
 
 // note says who holds a loop's task here.
-func (r *Runner) note(l *loop, h *Hold) {
+func (r *Runner) note(l *loop, h *Lease) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	l.hold, l.done, l.err, l.before = h, 0, nil, -1
@@ -132,7 +132,7 @@
 }
 
 // work acts for as long as it holds the task, and says why it ended.
-func (r *Runner) work(ctx context.Context, l *loop, h *Hold) error {
+func (r *Runner) work(ctx context.Context, l *loop, h *Lease) error {
 	var reported int64
 	for {
 		err := h.Do(ctx, l.task.Most, func(in context.Context, _ uint64) error { return l.task.Do(in, h) })
@@ -152,7 +152,7 @@
 			r.report(ctx, h, done, err)
 		}
 		if stuck {
-			return fmt.Errorf("%w: nothing was done for %v: %w", lease.ErrHeldOff, l.task.Progress, err)
+			return fmt.Errorf("%w: nothing was done for %v: %w", lease.ErrSuspended, l.task.Progress, err)
 		}
 		t := time.NewTimer(l.task.Every)
 		select {
@@ -168,8 +168,8 @@
 }
 
 // report tells the store what a task did, conditional on the token.
-func (r *Runner) report(ctx context.Context, h *Hold, done uint64, err error) {
-	x := Report{Token: h.token, Host: r.cfg.Host, Done: done}
+func (r *Runner) report(ctx context.Context, h *Lease, done uint64, err error) {
+	x := ActionReport{Token: h.token, Host: r.cfg.Host, Done: done}
 	if err != nil {
 		x.Error = err.Error()
 		x.Error = x.Error[:min(len(x.Error), noteMost)]
@@ -180,16 +180,16 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	if _, err := h.Txn(ctx, store.Txn{Owner: r.cfg.Host, Then: []store.Op{{Key: DonePrefix + h.want.Task, Value: b}}}); err != nil {
+	if _, err := h.Txn(ctx, store.Txn{Owner: r.cfg.Host, Then: []store.Op{{Key: ReportPrefix + h.want.Task, Value: b}}}); err != nil {
 		r.cfg.Log.Debug("what a task did is not told", "task", h.want.Task, "error", err)
 	}
 }
 
-// TakeShards takes part in a task of n shards until ctx ends: TASK.0 and so on, each a task of its own with its own lease and token.
+// RunShards takes part in a task of n shards until ctx ends: TASK.0 and so on, each a task of its own with its own lease and token.
 // Which of them this daemon wants follows from who takes part (lease.Shards), by its copy of the store; that two reckon otherwise for a
 // while has one wait for the other. do is told which shard it is to act for.
-func (r *Runner) TakeShards(ctx context.Context, t Task, n int, do func(ctx context.Context, h *Hold, shard int) error) error {
-	t.Do = func(context.Context, *Hold) error { return nil }
+func (r *Runner) RunShards(ctx context.Context, t Task, n int, do func(ctx context.Context, h *Lease, shard int) error) error {
+	t.Do = func(context.Context, *Lease) error { return nil }
 	if err := t.check(); err != nil {
 		return err
 	}
@@ -199,8 +199,8 @@
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for ctx.Err() == nil && r.ctx.Err() == nil {
-		member := t.Want
-		member.Slots = lease.SlotsMost // all who take part hold it
+		member := t.Claim
+		member.Slots = lease.MaxSlots // all who take part hold it
 		h, err := r.Acquire(ctx, member, nil)
 		if err != nil {
 			if pause(ctx, retryMost) != nil {
@@ -214,7 +214,7 @@
 			r.mu.Lock()
 			changed := r.changed
 			var members []string
-			for _, p := range r.table.Places(t.Task) {
+			for _, p := range r.table.Queue(t.Task) {
 				members = append(members, p.Key)
 			}
 			r.mu.Unlock()
@@ -233,9 +233,9 @@
 				held[shard] = cancel
 				one := t
 				one.Task, one.Slots = fmt.Sprintf("%s.%d", t.Task, shard), 1
-				one.Do = func(ctx context.Context, h *Hold) error { return do(ctx, h, shard) }
+				one.Do = func(ctx context.Context, h *Lease) error { return do(ctx, h, shard) }
 				wg.Go(func() {
-					for in.Err() == nil && r.Take(in, one) != nil {
+					for in.Err() == nil && r.RunTask(in, one) != nil {
 						_ = pause(in, retryMin) // an earlier taking of the same shard is about to end
 					}
 				})
@@ -255,8 +255,8 @@
 
 const shardsMost = 256
 
-// May says whether an operation is a daemon's own to make: what a task that it held did.
-func May(op store.Op, owner string) bool {
-	task, ok := strings.CutPrefix(op.Key, DonePrefix)
-	return ok && lease.Name(task) == nil && lease.Puts(op, owner)
+// Allowed says whether an operation is a daemon's own to make: what a task that it held did.
+func Allowed(op store.Op, owner string) bool {
+	task, ok := strings.CutPrefix(op.Key, ReportPrefix)
+	return ok && lease.CheckName(task) == nil && lease.Puts(op, owner)
 }
--- a/internal/controlplane/leasetask/tasks_test.go
+++ b/internal/controlplane/leasetask/tasks_test.go
@@ -54,9 +54,11 @@
 }
 
 // want is long enough that a busy machine renews it in time.
-func want(task string, slots int) Want { return Want{Task: task, Slots: slots, TTL: 30 * time.Second} }
+func want(task string, slots int) Claim {
+	return Claim{Task: task, Slots: slots, TTL: 30 * time.Second}
+}
 
-func acquire(t *testing.T, r *Runner, w Want) *Hold {
+func acquire(t *testing.T, r *Runner, w Claim) *Lease {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), processtest.Soon)
 	defer cancel()
@@ -105,7 +107,7 @@
 func TestPermits(t *testing.T) {
 	all := hosts(t, "a", "b", "c")
 	one, two := acquire(t, all[0], want("restarts", 2)), acquire(t, all[1], want("restarts", 2))
-	got := make(chan *Hold, 1)
+	got := make(chan *Lease, 1)
 	waits := make(chan int, 100)
 	go func() {
 		h, err := all[2].Acquire(t.Context(), want("restarts", 2), func(before int, _ error) { waits <- before })
@@ -122,12 +124,12 @@
 	if len(got) != 0 {
 		t.Error("three hold two permits")
 	}
-	if _, err := all[0].Acquire(t.Context(), want("restarts", 3), nil); !errors.Is(err, lease.ErrSlots) {
+	if _, err := all[0].Acquire(t.Context(), want("restarts", 3), nil); !errors.Is(err, lease.ErrSlotsMismatch) {
 		t.Errorf("another number of slots: %v", err)
 	}
 	one.Release()
 	three := <-got
-	for _, h := range []*Hold{two, three} {
+	for _, h := range []*Lease{two, three} {
 		h.Release()
 	}
 }
@@ -149,7 +151,7 @@
 		})
 	}()
 	<-begun
-	next := make(chan *Hold, 1)
+	next := make(chan *Lease, 1)
 	go func() { next <- acquire(t, all[1], want("one", 1)) }()
 	go h.Release()
 	<-h.Context().Done()
@@ -166,7 +168,7 @@
 		t.Errorf("an action after the release: %v", err)
 	}
 	h = acquire(t, all[0], want("one", 1))
-	if err := h.Do(t.Context(), 30*time.Second, func(context.Context, uint64) error { return nil }); !errors.Is(err, lease.ErrShort) {
+	if err := h.Do(t.Context(), 30*time.Second, func(context.Context, uint64) error { return nil }); !errors.Is(err, lease.ErrLeaseTooShort) {
 		t.Errorf("an action as long as the lease: %v", err)
 	}
 	h.Release()
@@ -175,7 +177,7 @@
 // A change of the store by a holder that is one no more does nothing.
 func TestFencedTransactions(t *testing.T) {
 	all := hosts(t, "a", "b")
-	put := func(h *Hold, value string) bool {
+	put := func(h *Lease, value string) bool {
 		r, err := h.Txn(t.Context(), store.Txn{Then: []store.Op{{Key: "k", Value: []byte(value)}}})
 		if err != nil {
 			t.Fatal(err)
@@ -200,13 +202,13 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	task := func(do func() error) Task {
-		return Task{Want: want("work", 1), Every: time.Millisecond, Most: time.Second, Progress: 5 * time.Millisecond, HoldDown: time.Hour,
-			Do: func(context.Context, *Hold) error { return do() }}
+		return Task{Claim: want("work", 1), Every: time.Millisecond, Most: time.Second, Progress: 5 * time.Millisecond, HoldDown: time.Hour,
+			Do: func(context.Context, *Lease) error { return do() }}
 	}
 	failed, worked := make(chan struct{}, 1), make(chan struct{})
 	var wg sync.WaitGroup
 	wg.Go(func() {
-		all[0].Take(ctx, task(func() error {
+		all[0].RunTask(ctx, task(func() error {
 			select {
 			case failed <- struct{}{}:
 			default:
@@ -216,13 +218,13 @@
 	})
 	<-failed
 	once := sync.OnceFunc(func() { close(worked) })
-	wg.Go(func() { all[1].Take(ctx, task(func() error { once(); return nil })) })
+	wg.Go(func() { all[1].RunTask(ctx, task(func() error { once(); return nil })) })
 	<-worked
 	list, err := all[0].List(ctx, "work")
 	if err != nil || len(list) != 1 || list[0].Places[0].Host != "b" {
 		t.Errorf("%+v, %v", list, err)
 	}
-	if want := fmt.Sprint(lease.ErrHeldOff); len(list) == 1 && list[0].Here[:len("is held off")] != "is held off" {
+	if want := fmt.Sprint(lease.ErrSuspended); len(list) == 1 && list[0].Here[:len("is held off")] != "is held off" {
 		t.Errorf("%q, want it to say %q", list[0].Here, want)
 	}
 	cancel()
@@ -237,14 +239,14 @@
 	var mu sync.Mutex
 	by, moved := map[int]string{}, 0
 	var acting [shards]atomic.Int32
-	task := Task{Want: want("index", 1), Every: time.Millisecond, Most: 5 * time.Second, Progress: time.Hour, HoldDown: time.Second}
+	task := Task{Claim: want("index", 1), Every: time.Millisecond, Most: 5 * time.Second, Progress: time.Hour, HoldDown: time.Second}
 	var wg sync.WaitGroup
 	stop := map[string]context.CancelFunc{}
 	for _, r := range all {
 		ctx, cancel := context.WithCancel(t.Context())
 		stop[r.cfg.Host] = cancel
 		wg.Go(func() {
-			r.TakeShards(ctx, task, shards, func(_ context.Context, _ *Hold, shard int) error {
+			r.RunShards(ctx, task, shards, func(_ context.Context, _ *Lease, shard int) error {
 				if n := acting[shard].Add(1); n != 1 {
 					t.Errorf("%d act upon shard %d", n, shard)
 				}
--- a/internal/controlplane/operatorconfig/operator.go
+++ b/internal/controlplane/operatorconfig/operator.go
@@ -193,7 +193,7 @@
 		dir("store.socket", &s.Socket)
 		number("store.total_mb", &s.TotalMB, 256, 1, 4096)
 		number("store.elect_ticks", &s.Elect, 10, 3, 100)
-		span("store.lease", &s.Lease, 5*time.Second, lease.TTLLeast*time.Millisecond, lease.TTLMost*time.Millisecond)
+		span("store.lease", &s.Lease, 5*time.Second, lease.MinTTLMillis*time.Millisecond, lease.MaxTTLMillis*time.Millisecond)
 		if s.Skew == 0 {
 			s.Skew = lease.DefaultSkew
 		}
@@ -280,7 +280,7 @@
 		if f.Store == nil {
 			faults = append(faults, &Error{Path: path, Key: "limits", Reason: "are shared by the store: [store] is missing"})
 		}
-		span("limits.lease", &l.Lease, 5*time.Second, lease.TTLLeast*time.Millisecond, lease.TTLMost*time.Millisecond)
+		span("limits.lease", &l.Lease, 5*time.Second, lease.MinTTLMillis*time.Millisecond, lease.MaxTTLMillis*time.Millisecond)
 		span("limits.tell", &l.Tell, 250*time.Millisecond, 10*time.Millisecond, time.Minute)
 		span("limits.each", &l.Each, 5*time.Millisecond, 100*time.Microsecond, time.Second)
 	}
--- a/internal/controlplane/quota/bench_test.go
+++ b/internal/controlplane/quota/bench_test.go
@@ -10,19 +10,19 @@
 func BenchmarkTake(b *testing.B) {
 	for _, n := range []int{0, 1, 10, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			conf := &Conf{Version: 1}
-			grant := Grant{Of: map[string]Given{}}
+			conf := &Config{Version: 1}
+			grant := Grant{Of: map[string]Quota{}}
 			for i := range n {
 				l := &Limit{Name: fmt.Sprint("l", i), Gen: 1, Kind: Rate, Of: Requests, Span: 1e9, Without: Strict, By: []string{"header:X-Org"},
-					Nodes: []Node{{Most: 1e6 * One, Weight: 1}, {Path: "acme", Most: 1e6 * One, Weight: 1}}}
+					Nodes: []Node{{Most: 1e6 * AmountUnit, Weight: 1}, {Path: "acme", Most: 1e6 * AmountUnit, Weight: 1}}}
 				if n == 1000 {
 					l.Classes = []string{fmt.Sprint("c", i%100)}
 				}
 				conf.Limits = append(conf.Limits, l)
-				grant.Of[l.Key(1)] = Given{Amount: 1e6 * One}
+				grant.Of[l.Key(1)] = Quota{Amount: 1e6 * AmountUnit}
 			}
-			m, h := NewMatcher(conf), NewHolder(Rules{Tell: 1e6}, PlantNone)
-			h.SetConf(0, conf)
+			m, h := NewMatcher(conf), NewConsumer(Rules{Tell: 1e6}, NoDefect)
+			h.SetConfig(0, conf)
 			h.Session(0, 1, 1<<62)
 			h.Granted(0, 1, 1, grant)
 			r := &Request{Class: "c1", Path: "/c1/x", Header: func(string) string { return "acme" }, Worth: 1}
@@ -31,11 +31,11 @@
 			for b.Loop() {
 				now += 100_000
 				var buf [16]Charge
-				t, no := h.Take(now, m.Match(buf[:0], r), 1)
+				t, no := h.Reserve(now, m.Match(buf[:0], r), 1)
 				if no != nil {
 					b.Fatal(no)
 				}
-				h.Done(now, t)
+				h.Complete(now, t)
 			}
 		})
 	}
--- a/internal/controlplane/quota/divide.go
+++ b/internal/controlplane/quota/divide.go
@@ -12,12 +12,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Divider divides limits among processes by a copy of the store. It is for one goroutine at a time. Whoever runs it makes what Divide
+// Allocator divides limits among processes by a copy of the store. It is for one goroutine at a time. Whoever runs it makes what Divide
 // returns one transaction; one that did not hold, or whose outcome is not known, was on a copy that is old by now, and harms nothing.
-type Divider struct {
+type Allocator struct {
 	rules  Rules
-	plant  Plant
-	conf   *Conf
+	plant  Defect
+	conf   *Config
 	turn   uint64 // revision of the last division
 	procs  map[Process]*process
 	faults map[string]string // what could not be read, by key
@@ -33,7 +33,7 @@
 
 // process is what the copy shows of one.
 type process struct {
-	need  Need
+	need  Demand
 	here  bool // it tells of itself
 	told  int64
 	grant Grant
@@ -51,39 +51,39 @@
 	small       = 0.1          // part of a share by which it may differ from what it should be
 )
 
-// NewDivider returns one that knows nothing yet.
-func NewDivider(r Rules, p Plant) *Divider {
-	return &Divider{rules: r, plant: p, conf: &Conf{}, procs: map[Process]*process{}, faults: map[string]string{}, moved: map[Process]int64{}}
+// NewAllocator returns one that knows nothing yet.
+func NewAllocator(r Rules, p Defect) *Allocator {
+	return &Allocator{rules: r, plant: p, conf: &Config{}, procs: map[Process]*process{}, faults: map[string]string{}, moved: map[Process]int64{}}
 }
 
-// SetConf takes the limits in force.
-func (d *Divider) SetConf(c *Conf) { d.conf, d.fresh = c, true }
+// SetConfig takes the limits in force.
+func (d *Allocator) SetConfig(c *Config) { d.conf, d.fresh = c, true }
 
 // Event takes a change that the copy shows.
-func (d *Divider) Event(now int64, e store.Event) {
+func (d *Allocator) Event(now int64, e store.Event) {
 	d.fresh = true
 	switch key := e.Item.Key; {
-	case key == TurnKey:
+	case key == AllocationKey:
 		d.turn = e.Revision
-	case strings.HasPrefix(key, NeedPrefix):
-		d.take(now, strings.TrimPrefix(key, NeedPrefix), e.Item, e.Deleted, true)
+	case strings.HasPrefix(key, DemandPrefix):
+		d.take(now, strings.TrimPrefix(key, DemandPrefix), e.Item, e.Deleted, true)
 	case strings.HasPrefix(key, GrantPrefix):
 		d.take(now, strings.TrimPrefix(key, GrantPrefix), e.Item, e.Deleted, false)
 	}
 }
 
 // Reset takes a whole copy.
-func (d *Divider) Reset(now int64, s *store.State) {
+func (d *Allocator) Reset(now int64, s *store.State) {
 	was := d.procs
 	d.fresh = true
 	d.procs, d.turn = map[Process]*process{}, 0
 	clear(d.faults)
-	if i, ok := s.Get(TurnKey); ok {
+	if i, ok := s.Get(AllocationKey); ok {
 		d.turn = i.Modified
 	}
-	for _, prefix := range []string{NeedPrefix, GrantPrefix} {
+	for _, prefix := range []string{DemandPrefix, GrantPrefix} {
 		s.Range(prefix, store.PrefixEnd(prefix), func(i store.Item) bool {
-			d.take(now, strings.TrimPrefix(i.Key, prefix), i, false, prefix == NeedPrefix)
+			d.take(now, strings.TrimPrefix(i.Key, prefix), i, false, prefix == DemandPrefix)
 			return true
 		})
 	}
@@ -94,7 +94,7 @@
 	}
 }
 
-func (d *Divider) take(now int64, rest string, i store.Item, deleted, need bool) {
+func (d *Allocator) take(now int64, rest string, i store.Item, deleted, need bool) {
 	p, ok := processOf(rest)
 	if !ok {
 		return
@@ -111,8 +111,8 @@
 		x.here, x.gone = false, now
 	case need:
 		x.here, x.told, x.gone = true, now, 0
-		var n Need
-		if n, err = DecodeNeed(i.Value); err == nil {
+		var n Demand
+		if n, err = DecodeDemand(i.Value); err == nil {
 			x.need = n
 		} // else it counts as it did, and has seen nothing new
 	case deleted:
@@ -134,7 +134,7 @@
 }
 
 // Fault says why nothing is divided by this copy, or nothing.
-func (d *Divider) Fault() string {
+func (d *Allocator) Fault() string {
 	for _, key := range slices.Sorted(maps.Keys(d.faults)) {
 		return key + ": " + d.faults[key]
 	}
@@ -142,7 +142,7 @@
 }
 
 // counts is what a share counts for: what its process may use by what it has told.
-func (d *Divider) counts(x *process, key string) Amount {
+func (d *Allocator) counts(x *process, key string) Amount {
 	g := x.grant.Of[key]
 	floor := Amount(0)
 	if x.here {
@@ -155,7 +155,7 @@
 }
 
 // outlives is how long the shares of a process that is gone have outlived it, and for how long the longest counts.
-func (d *Divider) outlives(now int64, x *process) (age, linger int64) {
+func (d *Allocator) outlives(now int64, x *process) (age, linger int64) {
 	if x.gone == 0 {
 		x.gone = now
 	}
@@ -168,14 +168,14 @@
 	return x.grant.Age + now - x.gone, int64(float64(linger) * (1 + d.rules.Skew))
 }
 
-// Division is what is to be written at once.
-type Division struct {
+// Allocation is what is to be written at once.
+type Allocation struct {
 	If   []store.Compare
 	Then []store.Op
 }
 
-// Divide returns what is to be changed now, or nil.
-func (d *Divider) Divide(now int64) *Division {
+// Allocate returns what is to be changed now, or nil.
+func (d *Allocator) Allocate(now int64) *Allocation {
 	if !d.fresh && now-d.looked < lookEvery || len(d.faults) > 0 {
 		return nil // what cannot be read, as of a newer build, may count for anything
 	}
@@ -214,7 +214,7 @@
 	if len(next) == 0 && len(drop) == 0 {
 		return nil
 	}
-	v := &Division{If: []store.Compare{{Key: TurnKey, Modified: d.turn}}, Then: []store.Op{{Key: TurnKey, Value: []byte{1}}}}
+	v := &Allocation{If: []store.Compare{{Key: AllocationKey, Modified: d.turn}}, Then: []store.Op{{Key: AllocationKey, Value: []byte{1}}}}
 	if d.plant == TurnUnchecked {
 		v.If = nil
 	}
@@ -237,7 +237,7 @@
 }
 
 // clear lets go entries of shares that count for nothing any more.
-func (d *Divider) clear(all []Process, next map[Process]Grant) {
+func (d *Allocator) clear(all []Process, next map[Process]Grant) {
 	for _, p := range all {
 		x := d.procs[p]
 		if g, changed := next[p]; changed && x.here {
@@ -268,7 +268,7 @@
 
 // divide finds what is to be changed of one limit. Shares that are too large are made smaller first; what is free by what has been
 // seen is given.
-func (d *Divider) divide(now int64, l *Limit, all []Process, next map[Process]Grant) {
+func (d *Allocator) divide(now int64, l *Limit, all []Process, next map[Process]Grant) {
 	v := &division{l: l, all: all, outs: make([]Amount, len(l.Nodes)), cells: make([][]cell, len(l.Nodes)), parts: make([][]int, len(l.Nodes))}
 	keys := make([]string, len(l.Nodes))
 	for n := range l.Nodes {
@@ -335,7 +335,7 @@
 }
 
 // lost is what is out with processes that are gone.
-func (v *division) lost(d *Divider, keys []string) (sum Amount) {
+func (v *division) lost(d *Allocator, keys []string) (sum Amount) {
 	for _, p := range v.all {
 		if x := d.procs[p]; !x.here {
 			for _, key := range keys {
@@ -347,7 +347,7 @@
 }
 
 // demand is what a node and its parts want and have in use, within their most.
-func (v *division) demand(d *Divider, n int) (want, floor Amount) {
+func (v *division) demand(d *Allocator, n int) (want, floor Amount) {
 	for _, c := range v.cells[n] {
 		want, floor = want+max(c.want, c.floor), floor+c.floor
 	}
@@ -363,7 +363,7 @@
 
 // allot divides an amount among a node's own shares and its parts: what is in use, then what is promised, then by weight. It says
 // whether somebody gets less than it wants.
-func (v *division) allot(d *Divider, n int, amount Amount) (short bool) {
+func (v *division) allot(d *Allocator, n int, amount Amount) (short bool) {
 	node := &v.l.Nodes[n]
 	if amount = max(0, amount); d.plant != RootAlone || n == 0 {
 		amount = min(amount, node.Most)
@@ -413,7 +413,7 @@
 func (v *division) split(n int, amount Amount) (short bool) {
 	cells, useful := v.cells[n], v.l.useful()
 	if v.l.Kind == AtOnce {
-		amount = amount / One * One
+		amount = amount / AmountUnit * AmountUnit
 	}
 	wants := make([]Amount, len(cells))
 	for i := range cells {
@@ -425,7 +425,7 @@
 	total := amount
 	for i, a := range fill(amount, wants, nil) {
 		if v.l.Kind == AtOnce {
-			a = a / One * One
+			a = a / AmountUnit * AmountUnit
 		}
 		cells[i].gets += a
 		amount -= a
@@ -457,7 +457,7 @@
 			if c := &cells[i]; base > 0 && c.gets > 0 {
 				a := min(Amount(float64(lend)*float64(c.gets)/float64(base)), amount)
 				if v.l.Kind == AtOnce {
-					a = a / One * One
+					a = a / AmountUnit * AmountUnit
 				}
 				c.gets += a
 				amount -= a
@@ -465,7 +465,7 @@
 		}
 		each := amount / Amount(len(cells))
 		if v.l.Kind == AtOnce {
-			each = each / One * One
+			each = each / AmountUnit * AmountUnit
 		}
 		if each >= useful {
 			for i := range cells {
@@ -479,7 +479,7 @@
 }
 
 // emit writes down what changes. Where nobody is short, shares that are too large stay: they are in nobody's way.
-func (v *division) emit(d *Divider, now int64, keys []string, short, blocked bool, next map[Process]Grant) {
+func (v *division) emit(d *Allocator, now int64, keys []string, short, blocked bool, next map[Process]Grant) {
 	short = short || v.tight(d)
 	least := small
 	if d.settle {
@@ -513,7 +513,7 @@
 						continue
 					}
 					if v.l.Kind == AtOnce {
-						if gap = gap / One * One; gap == 0 {
+						if gap = gap / AmountUnit * AmountUnit; gap == 0 {
 							continue
 						}
 					}
@@ -525,7 +525,7 @@
 				if !ok {
 					g = Grant{Of: maps.Clone(x.grant.Of)}
 					if g.Of == nil {
-						g.Of = map[string]Given{}
+						g.Of = map[string]Quota{}
 					}
 					for key, old := range g.Of { // all that it may still use counts on until it has seen this
 						old.Was = d.counts(x, key)
@@ -544,7 +544,7 @@
 				if useful := v.l.useful(); d.plant == RoundUp {
 					gap = (c.has+gap+2*useful-1)/useful*useful - c.has
 				}
-				given := Given{Amount: c.has + gap, Was: c.counts, Linger: v.l.linger()}
+				given := Quota{Amount: c.has + gap, Was: c.counts, Linger: v.l.linger()}
 				if given.Was <= given.Amount {
 					given.Was = 0
 				}
@@ -564,7 +564,7 @@
 }
 
 // tight says whether what is free does not do for those who have less than they want, so that others are to give.
-func (v *division) tight(d *Divider) bool {
+func (v *division) tight(d *Allocator) bool {
 	wanted := make([]Amount, len(v.l.Nodes))
 	for n := len(v.l.Nodes) - 1; n >= 0; n-- {
 		for _, c := range v.cells[n] {
@@ -583,7 +583,7 @@
 }
 
 // stale says whether a key is of no share that there is.
-func (d *Divider) stale(key string) bool {
+func (d *Allocator) stale(key string) bool {
 	l := d.conf.Find(nameOf(key))
 	return l == nil || !strings.HasPrefix(key, l.Key(0))
 }
@@ -601,7 +601,7 @@
 }
 
 // room is what a node's shares may grow by, at all levels.
-func (v *division) room(d *Divider, n int) Amount {
+func (v *division) room(d *Allocator, n int) Amount {
 	room := v.l.Nodes[0].Most - v.outs[0]
 	for at := n; at > 0 && d.plant != RootAlone; at = v.l.Nodes[at].Parent {
 		room = min(room, v.l.Nodes[at].Most-v.outs[at])
--- a/internal/controlplane/quota/file.go
+++ b/internal/controlplane/quota/file.go
@@ -56,12 +56,12 @@
 }
 
 // Read reads a file of limits, TOML strictly read. All faults are joined, each a *strict.Error.
-func Read(path string, text []byte) (*Conf, error) {
+func Read(path string, text []byte) (*Config, error) {
 	var f file
 	if err := stricttoml.Decode(path, "files of limits", text, &f); err != nil {
 		return nil, err
 	}
-	c := &Conf{}
+	c := &Config{}
 	var faults []error
 	for _, name := range slices.Sorted(maps.Keys(f.Limit)) {
 		l, err := f.Limit[name].limit(name)
@@ -97,11 +97,11 @@
 }
 
 func amount(v float64) Amount {
-	return Amount(math.Round(min(max(v, -1), 2*amountMost) * float64(One)))
+	return Amount(math.Round(min(max(v, -1), 2*amountMost) * float64(AmountUnit)))
 }
 
 func (f *fileLimit) limit(name string) (*Limit, error) {
-	l := &Limit{Name: name, Of: Of(f.Of), Without: Mode(f.Without), Part: f.Part, For: int64(f.For), Hosts: f.Hosts, Reserve: f.Reserve,
+	l := &Limit{Name: name, Of: Unit(f.Of), Without: Mode(f.Without), Part: f.Part, For: int64(f.For), Hosts: f.Hosts, Reserve: f.Reserve,
 		Classes: f.Classes, Paths: f.Paths, By: f.By}
 	if l.Of == "" {
 		l.Of = Requests
--- a/internal/controlplane/quota/file_test.go
+++ b/internal/controlplane/quota/file_test.go
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	l := c.Limits[0]
-	if len(c.Limits) != 2 || l.Kind != Rate || l.Span != 2e9 || len(l.Nodes) != 4 || l.Nodes[2].Path != "acme/vienna" || l.Nodes[2].Parent != 1 || l.Nodes[2].Most != 40*One {
+	if len(c.Limits) != 2 || l.Kind != Rate || l.Span != 2e9 || len(l.Nodes) != 4 || l.Nodes[2].Path != "acme/vienna" || l.Nodes[2].Parent != 1 || l.Nodes[2].Most != 40*AmountUnit {
 		t.Fatalf("%+v", l)
 	}
 	m := NewMatcher(c)
--- a/internal/controlplane/quota/hold.go
+++ b/internal/controlplane/quota/hold.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Plant is a fault that is put in so that a test shows that it is found.
-type Plant int
+// Defect is a fault that is put in so that a test shows that it is found.
+type Defect int
 
 // The faults of a Holder and of a Divider.
 const (
-	PlantNone     Plant = iota
-	FullAtStart         // a new session's shares begin full
-	RefundTwice         // what never ran is given back twice
-	KeepLevel           // a share made smaller keeps what it had saved
-	AlignedWindow       // windows begin at multiples of their length
-	NoEnd               // a process out of reach goes on for as long as it likes
-	UseAfterEnd         // shares are used after the session's end
-	EarlySeen           // a smaller share is told as seen, and gone by only a while later
+	NoDefect      Defect = iota
+	FullAtStart          // a new session's shares begin full
+	RefundTwice          // what never ran is given back twice
+	KeepLevel            // a share made smaller keeps what it had saved
+	AlignedWindow        // windows begin at multiples of their length
+	NoEnd                // a process out of reach goes on for as long as it likes
+	UseAfterEnd          // shares are used after the session's end
+	EarlySeen            // a smaller share is told as seen, and gone by only a while later
 
 	GivenUnseen   // a share made smaller counts as small at once
 	GivenBefore   // a process that says nothing for a while counts as gone
@@ -38,12 +38,12 @@
 // every is the time between two words of a process in a fleet of so many.
 func (r Rules) every(processes int) int64 { return max(r.Tell, r.Each*int64(processes)) }
 
-// Holder is one process's half: what it may let through. It is for one goroutine at a time; instants are of a clock that does not step,
+// Consumer is one process's half: what it may let through. It is for one goroutine at a time; instants are of a clock that does not step,
 // in nanoseconds.
-type Holder struct {
+type Consumer struct {
 	rules   Rules
-	plant   Plant
-	conf    *Conf
+	plant   Defect
+	conf    *Config
 	session uint64 // 0: none
 	until   int64  // its entitlement's end; 0: there is none
 	lost    int64  // since when there is no entitlement; 0: there is one
@@ -53,7 +53,7 @@
 	by      map[*Limit][]*share // the same by node, of the limits in force; nil for those not used yet
 	alone   map[string]*share   // those without the store
 
-	told   Need
+	told   Demand
 	toldAt int64
 	due    bool // it is to be told at once
 }
@@ -89,13 +89,13 @@
 	quietFor = 10e9 // nanoseconds without a request after which nothing is wanted
 )
 
-// NewHolder returns one that knows of no limits.
-func NewHolder(r Rules, p Plant) *Holder {
-	return &Holder{rules: r, plant: p, conf: &Conf{}, shares: map[string]*share{}, by: map[*Limit][]*share{}, alone: map[string]*share{}}
+// NewConsumer returns one that knows of no limits.
+func NewConsumer(r Rules, p Defect) *Consumer {
+	return &Consumer{rules: r, plant: p, conf: &Config{}, shares: map[string]*share{}, by: map[*Limit][]*share{}, alone: map[string]*share{}}
 }
 
-// SetConf takes the limits in force. Shares of those that changed their meaning are gone.
-func (h *Holder) SetConf(now int64, c *Conf) {
+// SetConfig takes the limits in force. Shares of those that changed their meaning are gone.
+func (h *Consumer) SetConfig(now int64, c *Config) {
 	h.conf = c
 	keep := map[string]bool{}
 	clear(h.by)
@@ -131,16 +131,16 @@
 	}
 	of := Amount(float64(l.Nodes[node].Most) * l.Part / float64(max(1, l.Hosts)))
 	if l.Kind == AtOnce {
-		of = of / One * One
+		of = of / AmountUnit * AmountUnit
 	}
 	return of
 }
 
 // Session says which session this process has, 0 for none, and until when it is entitled by it. With another session it begins with
 // nothing: what the last one had counts elsewhere until nobody can use it.
-func (h *Holder) Session(now int64, id uint64, until int64) {
+func (h *Consumer) Session(now int64, id uint64, until int64) {
 	if id != h.session {
-		h.session, h.seen, h.told, h.due = id, 0, Need{}, true
+		h.session, h.seen, h.told, h.due = id, 0, Demand{}, true
 		for _, s := range h.shares {
 			s.amount, s.cap, s.level, s.used, s.at = 0, 0, 0, 0, now
 			clear(s.slots)
@@ -152,11 +152,11 @@
 	}
 }
 
-// Others says how many processes the store shows.
-func (h *Holder) Others(n int) { h.others = n }
+// SetProcessCount says how many processes the store shows.
+func (h *Consumer) SetProcessCount(n int) { h.others = n }
 
 // entitled says whether shares may be used, and notes since when not.
-func (h *Holder) entitled(now int64) bool {
+func (h *Consumer) entitled(now int64) bool {
 	if h.plant == UseAfterEnd && h.session != 0 {
 		return true
 	}
@@ -173,7 +173,7 @@
 }
 
 // Granted takes the shares of this process's session as the store has them at a revision. Older ones are passed over.
-func (h *Holder) Granted(now int64, session, revision uint64, g Grant) {
+func (h *Consumer) Granted(now int64, session, revision uint64, g Grant) {
 	if session != h.session || session == 0 || revision < h.seen {
 		return
 	}
@@ -196,7 +196,7 @@
 	}
 }
 
-func (h *Holder) find(key string) (*Limit, int) {
+func (h *Consumer) find(key string) (*Limit, int) {
 	l := h.conf.Find(nameOf(key))
 	if l == nil {
 		return nil, 0
@@ -210,7 +210,7 @@
 }
 
 // share is that of a node of a limit in force, nil if it is in force no more.
-func (h *Holder) share(now int64, l *Limit, node int) *share {
+func (h *Consumer) share(now int64, l *Limit, node int) *share {
 	all, ok := h.by[l]
 	if !ok {
 		return nil
@@ -234,7 +234,7 @@
 }
 
 // set changes what is granted. What a rate had saved beyond the new burst is gone.
-func (s *share) set(now int64, to Amount, p Plant) {
+func (s *share) set(now int64, to Amount, p Defect) {
 	s.fill(now)
 	if s.amount == 0 && p == FullAtStart {
 		s.level = float64(s.l.capOf(to))
@@ -257,7 +257,7 @@
 }
 
 // roll lets slots of a window go that are wholly out of it. A slot counts until the window after its end, by the slowest clock.
-func (s *share) roll(now int64, skew float64, p Plant) {
+func (s *share) roll(now int64, skew float64, p Defect) {
 	if s.l.Kind != Window {
 		return
 	}
@@ -282,8 +282,8 @@
 	}
 }
 
-// Ticket is what a request took.
-type Ticket struct {
+// Reservation is what a request took.
+type Reservation struct {
 	epoch uint64
 	begun int64
 	took  []taken
@@ -296,21 +296,21 @@
 	slot   int64
 }
 
-// Refusal says why a request is not let through, and when there will be room.
-type Refusal struct {
+// Rejection says why a request is not let through, and when there will be room.
+type Rejection struct {
 	Limit string
 	Node  string
 	After int64 // nanoseconds
 	Alone bool  // the store is out of reach
 }
 
-// Take lets a request through all its limits, or none: nothing is charged then.
-func (h *Holder) Take(now int64, charges []Charge, worth float64) (*Ticket, *Refusal) {
+// Reserve lets a request through all its limits, or none: nothing is charged then.
+func (h *Consumer) Reserve(now int64, charges []Charge, worth float64) (*Reservation, *Rejection) {
 	if len(charges) == 0 {
 		return nil, nil
 	}
 	entitled := h.entitled(now)
-	t := &Ticket{epoch: h.session, begun: now}
+	t := &Reservation{epoch: h.session, begun: now}
 	t.took = t.few[:0]
 	for _, c := range charges {
 		if s := h.share(now, c.Limit, c.Node); s != nil {
@@ -335,7 +335,7 @@
 					if over || l.Without == Strict {
 						after = h.comes(s)
 					}
-					return nil, &Refusal{l.Name, l.Nodes[at].Path, after, true}
+					return nil, &Rejection{l.Name, l.Nodes[at].Path, after, true}
 				}
 				t.took = append(t.took, taken{s: x, amount: c.Amount})
 				if at == 0 {
@@ -346,7 +346,7 @@
 		}
 		if ok, after := s.can(now, c.Amount, l.Reserve*(1-worth), h); !ok {
 			s.refuse(c.Amount)
-			return nil, &Refusal{l.Name, l.Nodes[c.Node].Path, after, false}
+			return nil, &Rejection{l.Name, l.Nodes[c.Node].Path, after, false}
 		}
 		t.took = append(t.took, taken{s: s, amount: c.Amount})
 	}
@@ -364,13 +364,13 @@
 }
 
 // aside is the share of a node without the store.
-func (h *Holder) aside(now int64, l *Limit, node int) *share {
+func (h *Consumer) aside(now int64, l *Limit, node int) *share {
 	key := l.Key(node)
 	s := h.alone[key]
 	if s == nil {
 		s = newShare(now, l)
 		s.own = true
-		s.set(now, l.without(node), PlantNone)
+		s.set(now, l.without(node), NoDefect)
 		h.alone[key] = s
 	}
 	return s
@@ -400,9 +400,9 @@
 	case s.l.Kind == AtOnce:
 		s.want -= Amount(float64(s.want) * (1 - math.Exp(-dt/smooth)))
 		s.want = max(s.want, s.peak)
-	case over > 2*math.Sqrt(expect*float64(One))+2*float64(One):
+	case over > 2*math.Sqrt(expect*float64(AmountUnit))+2*float64(AmountUnit):
 		s.want = Amount(inst)
-	case -over > 1.5*math.Sqrt(expect*float64(One))+float64(One)/2:
+	case -over > 1.5*math.Sqrt(expect*float64(AmountUnit))+float64(AmountUnit)/2:
 		s.want = (s.want + Amount(inst)) / 2
 	default:
 		s.want += Amount((inst - float64(s.want)) * (1 - math.Exp(-dt/smooth)))
@@ -412,13 +412,13 @@
 	} else if quiet := float64(now - s.heard); quiet > quietFor {
 		s.want = 0
 	} else if s.l.Kind != AtOnce { // whoever asks more often is heard in that time, six times of seven
-		s.want = min(s.want, Amount(2*float64(One)*1e9/max(1, quiet)))
+		s.want = min(s.want, Amount(2*float64(AmountUnit)*1e9/max(1, quiet)))
 	}
 	s.asked, s.peak, s.since = 0, s.used, now
 }
 
 // can says whether a share has room for an amount beside a part that is kept for what is worth more, and if not in how long.
-func (s *share) can(now int64, a Amount, reserve float64, h *Holder) (bool, int64) {
+func (s *share) can(now int64, a Amount, reserve float64, h *Consumer) (bool, int64) {
 	s.fill(now)
 	s.roll(now, h.rules.Skew, h.plant)
 	kept := s.cap * reserve
@@ -478,7 +478,7 @@
 }
 
 // comes is how long it takes until a share that is too small may be larger: two words and two divisions. Those who wait are spread.
-func (h *Holder) comes(s *share) int64 {
+func (h *Consumer) comes(s *share) int64 {
 	of := 2 * h.rules.every(h.others)
 	return of + of*int64(s.refused%16)/16
 }
@@ -505,8 +505,8 @@
 	}
 }
 
-// Back gives back what a request took that never ran. A ticket is given back once, or is done.
-func (h *Holder) Back(now int64, t *Ticket) {
+// Cancel gives back what a request took that never ran. A ticket is given back once, or is done.
+func (h *Consumer) Cancel(now int64, t *Reservation) {
 	if t == nil {
 		return
 	}
@@ -520,7 +520,7 @@
 	t.took = nil
 }
 
-func (s *share) back(now int64, x taken, h *Holder) {
+func (s *share) back(now int64, x taken, h *Consumer) {
 	switch s.l.Kind {
 	case Rate:
 		s.fill(now)
@@ -540,8 +540,8 @@
 	}
 }
 
-// Done says that a request that may have run is over.
-func (h *Holder) Done(now int64, t *Ticket) {
+// Complete says that a request that may have run is over.
+func (h *Consumer) Complete(now int64, t *Reservation) {
 	if t == nil {
 		return
 	}
@@ -558,12 +558,12 @@
 	t.took = nil
 }
 
-// Need is what is to be told now, and whether it is time; else when it will be.
-func (h *Holder) Need(now int64) (n Need, due bool, at int64) {
+// Demand is what is to be told now, and whether it is time; else when it will be.
+func (h *Consumer) Demand(now int64) (n Demand, due bool, at int64) {
 	if h.session == 0 {
-		return Need{}, false, 0
+		return Demand{}, false, 0
 	}
-	n = Need{Conf: h.conf.Version, Seen: h.seen, Of: map[string]Wants{}}
+	n = Demand{Conf: h.conf.Version, Seen: h.seen, Of: map[string]Wants{}}
 	news := h.due || h.toldAt == 0
 	every := h.rules.every(h.others)
 	for key, s := range h.shares {
@@ -602,19 +602,19 @@
 	return n, true, 0
 }
 
-// Told notes that a word is on its way; Untold that it did not come through, as far as is known.
-func (h *Holder) Told(now int64, n Need) {
+// ReportSent notes that a word is on its way; Untold that it did not come through, as far as is known.
+func (h *Consumer) ReportSent(now int64, n Demand) {
 	h.told, h.toldAt, h.due = n, now, false
 }
 
-// Untold is of Told.
-func (h *Holder) Untold() { h.due = true }
+// ReportFailed is of Told.
+func (h *Consumer) ReportFailed() { h.due = true }
 
-// Until is when the entitlement ends unless it is renewed; 0: there is none.
-func (h *Holder) Until() int64 { return h.until }
+// ValidUntil is when the entitlement ends unless it is renewed; 0: there is none.
+func (h *Consumer) ValidUntil() int64 { return h.until }
 
-// Shown is a share for people.
-type Shown struct {
+// QuotaStatus is a share for people.
+type QuotaStatus struct {
 	Key     string
 	Amount  Amount
 	Used    Amount // of a rate: what may be spent now
@@ -623,12 +623,12 @@
 	Refused uint64
 }
 
-// Shares lists those of this process.
-func (h *Holder) Shares(now int64) []Shown {
-	var all []Shown
+// Quotas lists those of this process.
+func (h *Consumer) Quotas(now int64) []QuotaStatus {
+	var all []QuotaStatus
 	for key, s := range h.shares {
 		s.fill(now)
-		x := Shown{Key: key, Amount: s.amount, Used: s.used, Want: s.want, Taken: s.taken, Refused: s.refused}
+		x := QuotaStatus{Key: key, Amount: s.amount, Used: s.used, Want: s.want, Taken: s.taken, Refused: s.refused}
 		if s.l.Kind == Rate {
 			x.Used = Amount(s.level)
 		}
--- a/internal/controlplane/quota/limit.go
+++ b/internal/controlplane/quota/limit.go
@@ -31,8 +31,8 @@
 // Amount is in millionths of what a limit counts.
 type Amount = int64
 
-// One is one request, or one of whatever is counted.
-const One Amount = 1_000_000
+// AmountUnit is one request, or one of whatever is counted.
+const AmountUnit Amount = 1_000_000
 
 // Kind of a limit.
 type Kind string
@@ -44,13 +44,13 @@
 	AtOnce Kind = "at-once" // Most at a time, none of which lasts longer than Span
 )
 
-// Of is what a limit counts.
-type Of string
+// Unit is what a limit counts.
+type Unit string
 
 // The measures.
 const (
-	Requests Of = "requests"
-	Cost     Of = "cost" // the work that the client expects, in ms; 1 where it says nothing
+	Requests Unit = "requests"
+	Cost     Unit = "cost" // the work that the client expects, in ms; 1 where it says nothing
 )
 
 // Mode is what a process does whose share has ended because the store is out of its reach.
@@ -68,7 +68,7 @@
 	Name    string   `json:"name"`
 	Gen     uint64   `json:"gen"` // of what shares mean: others' shares are not of this limit
 	Kind    Kind     `json:"kind"`
-	Of      Of       `json:"of"`
+	Of      Unit     `json:"of"`
 	Span    int64    `json:"span"` // nanoseconds
 	Without Mode     `json:"without"`
 	Part    float64  `json:"part,omitempty"`
@@ -90,24 +90,24 @@
 	Weight float64 `json:"weight"`          // beyond that
 }
 
-// Conf is all limits of a fleet.
-type Conf struct {
+// Config is all limits of a fleet.
+type Config struct {
 	Version uint64   `json:"version"`
 	Limits  []*Limit `json:"limits"`
 }
 
 // Bounds of a Conf.
 const (
-	LimitsMost = 1024
-	NodesMost  = 4096 // of one limit
+	MaxLimits  = 1024
+	MaxNodes   = 4096 // of one limit
 	levelsMost = 4
 	amountMost = 1e9 // of what is counted
 )
 
 // Errors.
 var (
-	ErrName = errors.New("1 to 64 of a-z, 0-9, '.', '_' and '-'")
-	ErrNone = errors.New("no such limit")
+	ErrInvalidName   = errors.New("1 to 64 of a-z, 0-9, '.', '_' and '-'")
+	ErrLimitNotFound = errors.New("no such limit")
 )
 
 // Check says what is wrong with a limit, and names the key.
@@ -115,18 +115,18 @@
 	fault := func(key, format string, args ...any) error {
 		return fmt.Errorf("%s: %s", key, fmt.Sprintf(format, args...))
 	}
-	if lease.Name(l.Name) != nil {
-		return fault("name", "%q: %v", l.Name, ErrName)
+	if lease.CheckName(l.Name) != nil {
+		return fault("name", "%q: %v", l.Name, ErrInvalidName)
 	}
-	if len(l.Nodes) == 0 || len(l.Nodes) > NodesMost {
-		return fault("part", "%d parts are not within 1 and %d", len(l.Nodes), NodesMost)
+	if len(l.Nodes) == 0 || len(l.Nodes) > MaxNodes {
+		return fault("part", "%d parts are not within 1 and %d", len(l.Nodes), MaxNodes)
 	}
 	if l.Span < 1e6 || l.Span > 31*24*3600e9 {
 		return fault("burst, window or longest", "not within 1ms and 744h")
 	}
 	switch l.Kind {
 	case Rate:
-		if l.capOf(l.Nodes[0].Most) < One {
+		if l.capOf(l.Nodes[0].Most) < AmountUnit {
 			return fault("burst", "a burst of less than one lets nothing through")
 		}
 	case Window, AtOnce:
@@ -173,7 +173,7 @@
 			return fault(at, "stands twice, or is part of nothing")
 		case i > 0 && strings.Count(n.Path, "/") >= len(l.By):
 			return fault(at, "is of more levels than by names")
-		case n.Most < 1 || n.Most > amountMost*One || n.Least < 0 || n.Least > n.Most:
+		case n.Most < 1 || n.Most > amountMost*AmountUnit || n.Least < 0 || n.Least > n.Most:
 			return fault(at, "most and least are out of range")
 		case !(n.Weight > 0) || n.Weight > 1e6:
 			return fault(at+".weight", "%g is not over 0", n.Weight)
@@ -184,16 +184,16 @@
 	}
 	for i, sum := range least {
 		if sum > l.Nodes[i].Most {
-			return fault(fmt.Sprintf("part.%q", l.Nodes[i].Path), "its parts are promised %s, and it is %s", Text(sum), Text(l.Nodes[i].Most))
+			return fault(fmt.Sprintf("part.%q", l.Nodes[i].Path), "its parts are promised %s, and it is %s", FormatAmount(sum), FormatAmount(l.Nodes[i].Most))
 		}
 	}
 	return nil
 }
 
 // Check says what is wrong with all of them.
-func (c *Conf) Check() error {
-	if len(c.Limits) > LimitsMost {
-		return fmt.Errorf("%d limits are more than %d", len(c.Limits), LimitsMost)
+func (c *Config) Check() error {
+	if len(c.Limits) > MaxLimits {
+		return fmt.Errorf("%d limits are more than %d", len(c.Limits), MaxLimits)
 	}
 	seen := map[string]bool{}
 	for _, l := range c.Limits {
@@ -209,7 +209,7 @@
 }
 
 // After numbers what changes the meaning of shares, against the limits that were in force before.
-func (c *Conf) After(was *Conf) {
+func (c *Config) After(was *Config) {
 	c.Version = was.Version + 1
 	for _, l := range c.Limits {
 		l.Gen = c.Version
@@ -220,7 +220,7 @@
 }
 
 // Find is the limit of a name, or nil.
-func (c *Conf) Find(name string) *Limit {
+func (c *Config) Find(name string) *Limit {
 	for _, l := range c.Limits {
 		if l.Name == name {
 			return l
@@ -251,9 +251,9 @@
 // useful is the least share by which one request ever gets through.
 func (l *Limit) useful() Amount {
 	if l.Kind == Rate {
-		return max(1, Amount(math.Ceil(float64(One)*1e9/float64(l.Span))))
+		return max(1, Amount(math.Ceil(float64(AmountUnit)*1e9/float64(l.Span))))
 	}
-	return One
+	return AmountUnit
 }
 
 // linger is for how long a share counts whose process is gone.
@@ -274,7 +274,7 @@
 		}
 		return of * math.Ceil(max(1, float64(length+late)/float64(max(1, l.Span))))
 	}
-	of := float64(l.Nodes[node].Most) / float64(One)
+	of := float64(l.Nodes[node].Most) / float64(AmountUnit)
 	if l.Kind == AtOnce {
 		base = func(of float64) float64 { return of }
 	}
@@ -287,5 +287,7 @@
 	return base(of) + base(of*l.Part*float64(away)/float64(max(l.Hosts, away))), true
 }
 
-// Text is an amount for people.
-func Text(a Amount) string { return strconv.FormatFloat(float64(a)/float64(One), 'g', 6, 64) }
+// FormatAmount is an amount for people.
+func FormatAmount(a Amount) string {
+	return strconv.FormatFloat(float64(a)/float64(AmountUnit), 'g', 6, 64)
+}
