--- a/internal/controlplane/quota/limit_test.go
+++ b/internal/controlplane/quota/limit_test.go
@@ -12,7 +12,7 @@
 const sec = int64(1e9)
 
 func rateOf(most float64, span int64) *Limit {
-	return &Limit{Name: "r", Gen: 1, Kind: Rate, Of: Requests, Span: span, Without: Strict, Nodes: []Node{{Most: Amount(most * float64(One)), Weight: 1}}}
+	return &Limit{Name: "r", Gen: 1, Kind: Rate, Of: Requests, Span: span, Without: Strict, Nodes: []Node{{Most: Amount(most * float64(AmountUnit)), Weight: 1}}}
 }
 
 // What a holder lets through in any time is no more than what its shares give in it and what the largest of them may save, whatever it
@@ -20,35 +20,35 @@
 func TestAHolderKeepsToItsShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := rateOf(1000, sec/2)
-		h := NewHolder(Rules{Skew: 0.1, Tell: 50e6}, PlantNone)
-		h.SetConf(0, &Conf{Version: 1, Limits: []*Limit{l}})
+		h := NewConsumer(Rules{Skew: 0.1, Tell: 50e6}, NoDefect)
+		h.SetConfig(0, &Config{Version: 1, Limits: []*Limit{l}})
 		h.Session(0, 1, 1<<60)
 		now, share, level, revision := int64(0), Amount(0), 0.0, uint64(0)
-		var open []*Ticket
+		var open []*Reservation
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			step := rapid.Int64Range(0, sec/4).Draw(t, "later")
 			now += step
 			level = min(float64(l.capOf(share)), level+float64(share)*float64(step)/1e9)
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
-				share = Amount(rapid.IntRange(0, 50).Draw(t, "share")) * One
+				share = Amount(rapid.IntRange(0, 50).Draw(t, "share")) * AmountUnit
 				revision++
-				h.Granted(now, 1, revision, Grant{Of: map[string]Given{l.Key(0): {Amount: share}}})
+				h.Granted(now, 1, revision, Grant{Of: map[string]Quota{l.Key(0): {Amount: share}}})
 				level = min(level, float64(l.capOf(share)))
 			case 1:
 				if len(open) > 0 {
-					h.Back(now, open[0])
-					h.Back(now, open[0]) // once alone
+					h.Cancel(now, open[0])
+					h.Cancel(now, open[0]) // once alone
 					open = open[1:]
-					level = min(float64(l.capOf(share)), level+float64(One))
+					level = min(float64(l.capOf(share)), level+float64(AmountUnit))
 				}
 			default:
-				ticket, no := h.Take(now, []Charge{{l, 0, One}}, 1)
-				if (no == nil) != (level >= float64(One)-1e-3) && (no == nil || level > float64(One)+1e-3) {
-					t.Fatalf("at %d with %.3f of share %s: %v", now, level/float64(One), Text(share), no)
+				ticket, no := h.Reserve(now, []Charge{{l, 0, AmountUnit}}, 1)
+				if (no == nil) != (level >= float64(AmountUnit)-1e-3) && (no == nil || level > float64(AmountUnit)+1e-3) {
+					t.Fatalf("at %d with %.3f of share %s: %v", now, level/float64(AmountUnit), FormatAmount(share), no)
 				}
 				if no == nil {
-					level -= float64(One)
+					level -= float64(AmountUnit)
 					open = append(open, ticket)
 				} else if no.After <= 0 {
 					t.Fatal(no)
@@ -61,18 +61,18 @@
 // A window's sum never passes the share in any time of its length, by a clock as slow as may be.
 func TestAWindowSlides(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := &Limit{Name: "w", Gen: 1, Kind: Window, Of: Requests, Span: sec, Without: Strict, Nodes: []Node{{Most: 100 * One, Weight: 1}}}
-		h := NewHolder(Rules{Skew: 0.1}, PlantNone)
-		h.SetConf(0, &Conf{Version: 1, Limits: []*Limit{l}})
+		l := &Limit{Name: "w", Gen: 1, Kind: Window, Of: Requests, Span: sec, Without: Strict, Nodes: []Node{{Most: 100 * AmountUnit, Weight: 1}}}
+		h := NewConsumer(Rules{Skew: 0.1}, NoDefect)
+		h.SetConfig(0, &Config{Version: 1, Limits: []*Limit{l}})
 		h.Session(0, 1, 1<<60)
 		share := rapid.IntRange(1, 20).Draw(t, "share")
-		h.Granted(0, 1, 1, Grant{Of: map[string]Given{l.Key(0): {Amount: Amount(share) * One}}})
+		h.Granted(0, 1, 1, Grant{Of: map[string]Quota{l.Key(0): {Amount: Amount(share) * AmountUnit}}})
 		now := int64(0)
 		var took []int64
 		let := 0
 		for range 400 {
 			now += rapid.Int64Range(0, sec/20).Draw(t, "later")
-			if _, no := h.Take(now, []Charge{{l, 0, One}}, 1); no == nil {
+			if _, no := h.Reserve(now, []Charge{{l, 0, AmountUnit}}, 1); no == nil {
 				took = append(took, now)
 				let++
 			}
@@ -93,12 +93,12 @@
 type fleet struct {
 	s     *store.State
 	index uint64
-	conf  *Conf
+	conf  *Config
 }
 
 func newFleet(l ...*Limit) *fleet {
-	f := &fleet{s: store.New(1, store.DefaultLimits), conf: &Conf{Version: 1, Limits: l}}
-	f.do(&store.Command{Raise: &store.Raise{Level: store.Level}})
+	f := &fleet{s: store.New(1, store.DefaultLimits), conf: &Config{Version: 1, Limits: l}}
+	f.do(&store.Command{Raise: &store.RaiseLevel{Level: store.Level}})
 	return f
 }
 
@@ -108,11 +108,11 @@
 }
 
 func (f *fleet) join(host string) Process {
-	return Process{host, f.do(&store.Command{Grant: &store.Grant{TTL: 1000, Owner: host}}).Lease}
+	return Process{host, f.do(&store.Command{Grant: &store.GrantLease{TTL: 1000, Owner: host}}).Lease}
 }
 
 func (f *fleet) need(p Process, seen uint64, of map[string]Wants) {
-	f.do(&store.Command{Txn: &store.Txn{Owner: p.Host, Then: []store.Op{{Key: p.NeedKey(), Lease: p.Session, Value: Encode(Need{Conf: f.conf.Version, Seen: seen, Of: of})}}}})
+	f.do(&store.Command{Txn: &store.Txn{Owner: p.Host, Then: []store.Op{{Key: p.DemandKey(), Lease: p.Session, Value: Encode(Demand{Conf: f.conf.Version, Seen: seen, Of: of})}}}})
 }
 
 func (f *fleet) grant(p Process) (g Grant, at uint64) {
@@ -123,62 +123,62 @@
 	return g, i.Modified
 }
 
-func (f *fleet) divider(p Plant) *Divider {
-	d := NewDivider(Rules{Skew: 0.1, Tell: 50e6}, p)
-	d.SetConf(f.conf)
+func (f *fleet) divider(p Defect) *Allocator {
+	d := NewAllocator(Rules{Skew: 0.1, Tell: 50e6}, p)
+	d.SetConfig(f.conf)
 	d.Reset(1, f.s)
 	return d
 }
 
-func (f *fleet) divide(d *Divider, now int64) bool {
+func (f *fleet) divide(d *Allocator, now int64) bool {
 	d.Reset(now, f.s)
-	v := d.Divide(now)
+	v := d.Allocate(now)
 	return v != nil && f.do(&store.Command{Txn: &store.Txn{If: v.If, Then: v.Then}}).Held
 }
 
 // Two who divide by the same copy: one of them changes nothing. Without that a limit is given twice.
 func TestDivisionsAreOneOnTheLast(t *testing.T) {
-	for _, plant := range []Plant{PlantNone, TurnUnchecked} {
+	for _, plant := range []Defect{NoDefect, TurnUnchecked} {
 		l := rateOf(10, sec)
 		f := newFleet(l)
 		a, b := f.join("a"), f.join("b")
-		want := map[string]Wants{l.Key(0): {Want: 100 * One}}
+		want := map[string]Wants{l.Key(0): {Want: 100 * AmountUnit}}
 		f.need(a, 0, want)
 		one, two := f.divider(plant), f.divider(plant)
-		x := one.Divide(2)
+		x := one.Allocate(2)
 		f.need(b, 0, want)
-		f.do(&store.Command{End: &store.End{Lease: a.Session, Owner: "a"}}) // and its share is given to b by another
+		f.do(&store.Command{End: &store.RevokeLease{Lease: a.Session, Owner: "a"}}) // and its share is given to b by another
 		two.Reset(3, f.s)
 		f.divide(two, 3)
 		f.divide(two, sec)
 		late := f.do(&store.Command{Txn: &store.Txn{If: x.If, Then: x.Then}}).Held
 		ga, _ := f.grant(a)
 		gb, _ := f.grant(b)
-		if sum := ga.Of[l.Key(0)].Amount + gb.Of[l.Key(0)].Amount; (sum > 10*One || late) != (plant != PlantNone) {
-			t.Errorf("plant %d: a late division held: %v, and %s of 10 are given", plant, late, Text(sum))
+		if sum := ga.Of[l.Key(0)].Amount + gb.Of[l.Key(0)].Amount; (sum > 10*AmountUnit || late) != (plant != NoDefect) {
+			t.Errorf("plant %d: a late division held: %v, and %s of 10 are given", plant, late, FormatAmount(sum))
 		}
 	}
 }
 
 // A share made smaller is nobody else's before its process has said that it goes by it, and what it had saved beyond is gone.
 func TestSmallerSharesAreSeenFirst(t *testing.T) {
-	for _, plant := range []Plant{PlantNone, KeepLevel} {
+	for _, plant := range []Defect{NoDefect, KeepLevel} {
 		l := rateOf(10, sec)
 		f := newFleet(l)
 		a, b := f.join("a"), f.join("b")
-		f.need(a, 0, map[string]Wants{l.Key(0): {Want: 100 * One}})
-		d := f.divider(PlantNone)
+		f.need(a, 0, map[string]Wants{l.Key(0): {Want: 100 * AmountUnit}})
+		d := f.divider(NoDefect)
 		f.divide(d, 1)
-		h := NewHolder(Rules{}, plant)
-		h.SetConf(1, f.conf)
+		h := NewConsumer(Rules{}, plant)
+		h.SetConfig(1, f.conf)
 		h.Session(1, a.Session, 1<<60)
 		take := func(now int64) {
 			g, at := f.grant(a)
 			h.Granted(now, a.Session, at, g)
 		}
 		take(1)
-		f.need(a, h.seen, map[string]Wants{l.Key(0): {Want: 100 * One}})
-		f.need(b, 0, map[string]Wants{l.Key(0): {Want: 100 * One}})
+		f.need(a, h.seen, map[string]Wants{l.Key(0): {Want: 100 * AmountUnit}})
+		f.need(b, 0, map[string]Wants{l.Key(0): {Want: 100 * AmountUnit}})
 		f.divide(d, 2*sec) // a is to have half
 		if g, _ := f.grant(b); g.Of[l.Key(0)].Amount > 0 {
 			t.Fatalf("given before it was seen: %+v", g)
@@ -186,16 +186,16 @@
 		take(3 * sec) // a had saved 10
 		let := 0
 		for ; let < 20; let++ {
-			if _, no := h.Take(3*sec, []Charge{{l, 0, One}}, 1); no != nil {
+			if _, no := h.Reserve(3*sec, []Charge{{l, 0, AmountUnit}}, 1); no != nil {
 				break
 			}
 		}
 		if let > 5 != (plant == KeepLevel) {
 			t.Errorf("plant %d: %d let through at once by a share of 5", plant, let)
 		}
-		f.need(a, h.seen, map[string]Wants{l.Key(0): {Want: 100 * One}})
+		f.need(a, h.seen, map[string]Wants{l.Key(0): {Want: 100 * AmountUnit}})
 		f.divide(d, 4*sec)
-		if g, _ := f.grant(b); g.Of[l.Key(0)].Amount != 5*One {
+		if g, _ := f.grant(b); g.Of[l.Key(0)].Amount != 5*AmountUnit {
 			t.Errorf("what was seen is not given: %+v", g)
 		}
 	}
@@ -206,11 +206,11 @@
 func TestDivisionOverManySidecars(t *testing.T) {
 	l := rateOf(50, sec)
 	f := newFleet(l)
-	d := f.divider(PlantNone)
+	d := f.divider(NoDefect)
 	var all []Process
 	for i := range 300 {
 		all = append(all, f.join(fmt.Sprint("h", i)))
-		f.need(all[i], 0, map[string]Wants{l.Key(0): {Want: One / 2}})
+		f.need(all[i], 0, map[string]Wants{l.Key(0): {Want: AmountUnit / 2}})
 	}
 	had := map[Process]bool{}
 	most := Amount(0)
@@ -221,15 +221,15 @@
 		for _, p := range all {
 			g, at := f.grant(p)
 			sum += d.counts(d.procs[p], l.Key(0))
-			had[p] = had[p] || g.Of[l.Key(0)].Amount >= One
-			f.need(p, at, map[string]Wants{l.Key(0): {Want: One / 2}})
+			had[p] = had[p] || g.Of[l.Key(0)].Amount >= AmountUnit
+			f.need(p, at, map[string]Wants{l.Key(0): {Want: AmountUnit / 2}})
 		}
-		if most = max(most, sum); sum > 50*One {
-			t.Fatalf("%s of 50 are given", Text(sum))
+		if most = max(most, sum); sum > 50*AmountUnit {
+			t.Fatalf("%s of 50 are given", FormatAmount(sum))
 		}
 	}
-	if len(had) != 300 || most < 49*One {
-		t.Errorf("%d of 300 had a share, and %s of 50 were given at most", len(had), Text(most))
+	if len(had) != 300 || most < 49*AmountUnit {
+		t.Errorf("%d of 300 had a share, and %s of 50 were given at most", len(had), FormatAmount(most))
 	}
 	for _, p := range all[1:] {
 		_, at := f.grant(p)
@@ -240,14 +240,14 @@
 		for i, p := range all {
 			w := Wants{}
 			if i == 0 {
-				w.Want = 200 * One
+				w.Want = 200 * AmountUnit
 			}
 			_, at := f.grant(p)
 			f.need(p, at, map[string]Wants{l.Key(0): w})
 		}
 	}
-	if g, _ := f.grant(all[0]); g.Of[l.Key(0)].Amount < 48*One {
-		t.Errorf("the busy one has %s of 50", Text(g.Of[l.Key(0)].Amount))
+	if g, _ := f.grant(all[0]); g.Of[l.Key(0)].Amount < 48*AmountUnit {
+		t.Errorf("the busy one has %s of 50", FormatAmount(g.Of[l.Key(0)].Amount))
 	}
 }
 
@@ -256,21 +256,21 @@
 func TestPartsOfALimit(t *testing.T) {
 	l := rateOf(100, sec)
 	l.By = []string{"header:org"}
-	l.Nodes = append(l.Nodes, Node{Path: "a", Most: 80 * One, Least: 30 * One, Weight: 1}, Node{Path: "b", Most: 100 * One, Weight: 3})
+	l.Nodes = append(l.Nodes, Node{Path: "a", Most: 80 * AmountUnit, Least: 30 * AmountUnit, Weight: 1}, Node{Path: "b", Most: 100 * AmountUnit, Weight: 3})
 	if err := l.Check(); err != nil {
 		t.Fatal(err)
 	}
 	f := newFleet(l)
 	p := f.join("p")
-	d := f.divider(PlantNone)
+	d := f.divider(NoDefect)
 	settle := func(from int64, a, b float64) (Amount, Amount) {
 		for now := from * sec; now < (from+8)*sec; now += sec / 4 {
 			_, at := f.grant(p)
-			f.need(p, at, map[string]Wants{l.Key(1): {Want: Amount(a * float64(One))}, l.Key(2): {Want: Amount(b * float64(One))}})
+			f.need(p, at, map[string]Wants{l.Key(1): {Want: Amount(a * float64(AmountUnit))}, l.Key(2): {Want: Amount(b * float64(AmountUnit))}})
 			f.divide(d, now)
 		}
 		g, _ := f.grant(p)
-		return g.Of[l.Key(1)].Amount / One, g.Of[l.Key(2)].Amount / One
+		return g.Of[l.Key(1)].Amount / AmountUnit, g.Of[l.Key(2)].Amount / AmountUnit
 	}
 	for i, x := range []struct {
 		a, b                 float64
@@ -288,13 +288,13 @@
 	}
 	next := *l
 	next.Span = 2 * sec
-	conf := &Conf{Limits: []*Limit{&next}}
+	conf := &Config{Limits: []*Limit{&next}}
 	conf.After(f.conf)
 	if next.Gen == 1 || conf.Version != 2 {
 		t.Fatalf("%+v", conf)
 	}
-	d.SetConf(conf)
-	want := map[string]Wants{next.Key(2): {Want: 50 * One}}
+	d.SetConfig(conf)
+	want := map[string]Wants{next.Key(2): {Want: 50 * AmountUnit}}
 	f.need(p, 1<<40, want) // by the old version
 	f.divide(d, 100*sec)
 	if g, _ := f.grant(p); g.Of[next.Key(2)].Amount != 0 {
@@ -317,18 +317,18 @@
 	}{{Strict, 0, 0, 0}, {Fair, 0, 5, 5}, {Fair, sec, 5, 0}, {Open, 0, 50, 50}, {Open, sec, 50, 0}} {
 		l := rateOf(100, sec)
 		l.Without, l.Part, l.Hosts, l.For = x.mode, 0.5, 10, x.for_
-		h := NewHolder(Rules{Tell: 50e6}, PlantNone)
-		h.SetConf(0, &Conf{Version: 1, Limits: []*Limit{l}})
+		h := NewConsumer(Rules{Tell: 50e6}, NoDefect)
+		h.SetConfig(0, &Config{Version: 1, Limits: []*Limit{l}})
 		h.Session(0, 1, sec)
-		h.Granted(0, 1, 1, Grant{Of: map[string]Given{l.Key(0): {Amount: 80 * One}}})
-		h.Take(sec, []Charge{{l, 0, One}}, 1) // its session is over: the aside begins
+		h.Granted(0, 1, 1, Grant{Of: map[string]Quota{l.Key(0): {Amount: 80 * AmountUnit}}})
+		h.Reserve(sec, []Charge{{l, 0, AmountUnit}}, 1) // its session is over: the aside begins
 		for _, at := range []struct {
 			now  int64
 			want int
 		}{{2 * sec, x.let}, {5 * sec, x.late}} {
 			n := 0
 			for ; n < 50; n++ {
-				if _, no := h.Take(at.now, []Charge{{l, 0, One}}, 1); no != nil {
+				if _, no := h.Reserve(at.now, []Charge{{l, 0, AmountUnit}}, 1); no != nil {
 					if !no.Alone || no.After <= 0 {
 						t.Errorf("%+v", no)
 					}
@@ -348,13 +348,13 @@
 	l := rateOf(100, sec)
 	l.Without, l.Part, l.Hosts = Fair, 0.5, 10
 	f := newFleet(l)
-	d := f.divider(PlantNone)
+	d := f.divider(NoDefect)
 	var all []Process
-	holders := map[Process]*Holder{}
+	holders := map[Process]*Consumer{}
 	for i := range 10 {
 		p := f.join(fmt.Sprint("h", i))
-		h := NewHolder(Rules{Tell: 50e6}, PlantNone)
-		h.SetConf(0, f.conf)
+		h := NewConsumer(Rules{Tell: 50e6}, NoDefect)
+		h.SetConfig(0, f.conf)
 		h.Session(0, p.Session, sec)
 		all, holders[p] = append(all, p), h
 	}
@@ -366,15 +366,15 @@
 				h.Session(now, p.Session, now+sec)
 				g, at := f.grant(p)
 				h.Granted(now, p.Session, at, g)
-				if n, due, _ := h.Need(now); due {
-					h.Told(now, n)
+				if n, due, _ := h.Demand(now); due {
+					h.ReportSent(now, n)
 					f.need(p, n.Seen, n.Of)
 				}
 			} else if now == 3*sec {
-				f.do(&store.Command{End: &store.End{Lease: p.Session, Owner: p.Host}})
+				f.do(&store.Command{End: &store.RevokeLease{Lease: p.Session, Owner: p.Host}})
 			}
 			for {
-				if _, no := h.Take(now, []Charge{{l, 0, One}}, 1); no != nil {
+				if _, no := h.Reserve(now, []Charge{{l, 0, AmountUnit}}, 1); no != nil {
 					break
 				}
 				if now >= from {
@@ -398,19 +398,19 @@
 
 // Who divides next counts what the one before gave.
 func TestWhatWasGivenIsTakenOver(t *testing.T) {
-	for _, plant := range []Plant{PlantNone, NotTakenOver} {
+	for _, plant := range []Defect{NoDefect, NotTakenOver} {
 		l := rateOf(10, sec)
 		f := newFleet(l)
 		a, b := f.join("a"), f.join("b")
-		f.need(a, 0, map[string]Wants{l.Key(0): {Want: 100 * One}})
-		f.divide(f.divider(PlantNone), 1)
+		f.need(a, 0, map[string]Wants{l.Key(0): {Want: 100 * AmountUnit}})
+		f.divide(f.divider(NoDefect), 1)
 		_, at := f.grant(a)
-		f.need(a, at, map[string]Wants{l.Key(0): {Want: 100 * One}})
-		f.need(b, 0, map[string]Wants{l.Key(0): {Want: 100 * One}})
+		f.need(a, at, map[string]Wants{l.Key(0): {Want: 100 * AmountUnit}})
+		f.need(b, 0, map[string]Wants{l.Key(0): {Want: 100 * AmountUnit}})
 		f.divide(f.divider(plant), sec)
 		// a goes by its 10 until it has seen less.
-		if g, _ := f.grant(b); (g.Of[l.Key(0)].Amount > 0) != (plant != PlantNone) {
-			t.Errorf("plant %d: %s of 10 are given again", plant, Text(g.Of[l.Key(0)].Amount))
+		if g, _ := f.grant(b); (g.Of[l.Key(0)].Amount > 0) != (plant != NoDefect) {
+			t.Errorf("plant %d: %s of 10 are given again", plant, FormatAmount(g.Of[l.Key(0)].Amount))
 		}
 	}
 }
@@ -420,9 +420,9 @@
 	l := rateOf(10, sec)
 	f := newFleet(l)
 	a, b := f.join("a"), f.join("b")
-	f.need(b, 0, map[string]Wants{l.Key(0): {Want: 100 * One}})
+	f.need(b, 0, map[string]Wants{l.Key(0): {Want: 100 * AmountUnit}})
 	f.do(&store.Command{Txn: &store.Txn{Then: []store.Op{{Key: a.GrantKey(), Value: []byte("newer")}}}})
-	d := f.divider(PlantNone)
+	d := f.divider(NoDefect)
 	if f.divide(d, 1) || d.Fault() == "" {
 		t.Errorf("divided beside a share that cannot be read: %q", d.Fault())
 	}
--- a/internal/controlplane/quota/match.go
+++ b/internal/controlplane/quota/match.go
@@ -17,7 +17,7 @@
 
 // Matcher finds which shares a request is of. It never changes, and any goroutine may use it.
 type Matcher struct {
-	Conf  *Conf
+	Conf  *Config
 	class map[string][]*matched // of classes that limits name, with those that name none
 	rest  []*matched            // that name none
 }
@@ -36,7 +36,7 @@
 }
 
 // NewMatcher returns that of limits that were checked.
-func NewMatcher(c *Conf) *Matcher {
+func NewMatcher(c *Config) *Matcher {
 	m := &Matcher{Conf: c, class: map[string][]*matched{}}
 	for _, l := range c.Limits {
 		for _, class := range l.Classes {
@@ -86,7 +86,7 @@
 		if len(l.Paths) > 0 && !slices.ContainsFunc(l.Paths, func(p string) bool { return strings.HasPrefix(r.Path, p) }) {
 			continue
 		}
-		c := Charge{l, x.node(r), One}
+		c := Charge{l, x.node(r), AmountUnit}
 		if l.Of == Cost && r.Cost > 0 {
 			c.Amount = r.Cost
 		}
--- a/internal/controlplane/quota/show.go
+++ b/internal/controlplane/quota/show.go
@@ -9,22 +9,22 @@
 	"time"
 )
 
-// View is a part of a limit for people.
-type View struct {
-	Path    string    `json:"path"`
-	Most    Amount    `json:"most"`
-	Counts  Amount    `json:"counts"` // of all shares, with those of its parts: never over Most, but while Most is made smaller
-	Given   Amount    `json:"given"`  // of this part's own shares
-	Want    Amount    `json:"want"`
-	Taken   uint64    `json:"taken"`
-	Refused uint64    `json:"refused"`
-	Of      []Holding `json:"of"`
+// NodeStatus is a part of a limit for people.
+type NodeStatus struct {
+	Path    string         `json:"path"`
+	Most    Amount         `json:"most"`
+	Counts  Amount         `json:"counts"` // of all shares, with those of its parts: never over Most, but while Most is made smaller
+	Given   Amount         `json:"given"`  // of this part's own shares
+	Want    Amount         `json:"want"`
+	Taken   uint64         `json:"taken"`
+	Refused uint64         `json:"refused"`
+	Of      []ProcessQuota `json:"of"`
 }
 
-// Holding is a process's share.
-type Holding struct {
+// ProcessQuota is a process's share.
+type ProcessQuota struct {
 	Process
-	Given
+	Quota
 	Wants
 	Counts Amount `json:"counts"`
 	Gone   bool   `json:"gone,omitempty"` // its process is; the share counts for a while yet
@@ -33,13 +33,13 @@
 }
 
 // Show shows a limit, the whole first.
-func (d *Divider) Show(now int64, l *Limit) []View {
-	all := make([]View, len(l.Nodes))
+func (d *Allocator) Show(now int64, l *Limit) []NodeStatus {
+	all := make([]NodeStatus, len(l.Nodes))
 	for n := range l.Nodes {
 		key, v := l.Key(n), &all[n]
-		v.Path, v.Most, v.Of = l.Nodes[n].Path, l.Nodes[n].Most, []Holding{}
+		v.Path, v.Most, v.Of = l.Nodes[n].Path, l.Nodes[n].Most, []ProcessQuota{}
 		for p, x := range d.procs {
-			h := Holding{Process: p, Given: x.grant.Of[key], Wants: x.need.Of[key], Counts: d.counts(x, key), Gone: !x.here, Seen: x.here && x.need.Seen >= x.at}
+			h := ProcessQuota{Process: p, Quota: x.grant.Of[key], Wants: x.need.Of[key], Counts: d.counts(x, key), Gone: !x.here, Seen: x.here && x.need.Seen >= x.at}
 			if h.AgeMs = (now - x.told) / 1e6; !x.here {
 				h.AgeMs = x.grant.Age / 1e6
 				if x.gone > 0 {
@@ -48,13 +48,13 @@
 				h.Wants = Wants{}
 			}
 			v.Counts += h.Counts
-			if h.Given == (Given{}) && h.Wants == (Wants{}) && n > 0 {
+			if h.Quota == (Quota{}) && h.Wants == (Wants{}) && n > 0 {
 				continue
 			}
-			v.Given, v.Want, v.Taken, v.Refused = v.Given+h.Given.Amount, v.Want+h.Want, v.Taken+h.Taken, v.Refused+h.Refused
+			v.Given, v.Want, v.Taken, v.Refused = v.Given+h.Quota.Amount, v.Want+h.Want, v.Taken+h.Taken, v.Refused+h.Refused
 			v.Of = append(v.Of, h)
 		}
-		slices.SortFunc(v.Of, func(a, b Holding) int {
+		slices.SortFunc(v.Of, func(a, b ProcessQuota) int {
 			return cmp.Or(cmp.Compare(b.Counts, a.Counts), strings.Compare(a.Host, b.Host), cmp.Compare(a.Session, b.Session))
 		})
 	}
@@ -84,7 +84,7 @@
 	var b strings.Builder
 	switch l.Kind {
 	case Rate:
-		fmt.Fprintf(&b, "%s at once beside it", Text(l.capOf(l.Nodes[0].Most)))
+		fmt.Fprintf(&b, "%s at once beside it", FormatAmount(l.capOf(l.Nodes[0].Most)))
 	default:
 		b.WriteString("none")
 	}
@@ -92,7 +92,7 @@
 	case l.Without == Fair:
 		fmt.Fprintf(&b, "; without the store %g of it for each %d sidecars out of reach", l.Part, l.Hosts)
 		if away > 0 {
-			fmt.Fprintf(&b, ", now %s", Text(Amount(math.Ceil(float64(l.Nodes[0].Most)*l.Part*float64(away)/float64(max(l.Hosts, away))))))
+			fmt.Fprintf(&b, ", now %s", FormatAmount(Amount(math.Ceil(float64(l.Nodes[0].Most)*l.Part*float64(away)/float64(max(l.Hosts, away))))))
 		}
 	case l.Without == Open:
 		b.WriteString("; without the store no bound")
--- a/internal/controlplane/quota/words.go
+++ b/internal/controlplane/quota/words.go
@@ -12,17 +12,17 @@
 
 // Keys of limits.
 const (
-	Prefix      = "limit/"
-	ConfKey     = "limit/conf"   // Conf, as JSON
-	TurnKey     = "limit/turn"   // each division is one on the last
-	NeedPrefix  = "limit/need/"  // HOST/SESSION: Need; it goes with the session
-	GrantPrefix = "limit/grant/" // HOST/SESSION: Grant
+	Prefix        = "limit/"
+	ConfigKey     = "limit/conf"   // Conf, as JSON
+	AllocationKey = "limit/turn"   // each division is one on the last
+	DemandPrefix  = "limit/need/"  // HOST/SESSION: Need; it goes with the session
+	GrantPrefix   = "limit/grant/" // HOST/SESSION: Grant
 )
 
 // Bounds of what the store keeps.
 const (
-	ProcessesMost = 8192
-	NeedMost      = 64 << 10 // bytes of a Need or a Grant
+	MaxProcesses   = 8192
+	MaxRecordBytes = 64 << 10 // bytes of a Need or a Grant
 )
 
 // Process is one that shares limits: a daemon's name and its session, which no other process ever has.
@@ -33,8 +33,8 @@
 
 func (p Process) String() string { return p.Host + "/" + strconv.FormatUint(p.Session, 10) }
 
-// NeedKey is where it tells of itself, GrantKey where its shares are.
-func (p Process) NeedKey() string { return NeedPrefix + p.String() }
+// DemandKey is where it tells of itself, GrantKey where its shares are.
+func (p Process) DemandKey() string { return DemandPrefix + p.String() }
 
 // GrantKey is of NeedKey.
 func (p Process) GrantKey() string { return GrantPrefix + p.String() }
@@ -46,8 +46,8 @@
 	return Process{host, n}, ok && err == nil && host != "" && n > 0
 }
 
-// Need is what a process tells.
-type Need struct {
+// Demand is what a process tells.
+type Demand struct {
 	Conf uint64           `cbor:"1,keyasint"` // the version of the limits that it goes by
 	Seen uint64           `cbor:"2,keyasint"` // the revision of the Grant that it goes by: of no larger one from now on
 	Of   map[string]Wants `cbor:"3,keyasint,omitempty"`
@@ -63,12 +63,12 @@
 
 // Grant is a process's shares.
 type Grant struct {
-	Of  map[string]Given `cbor:"1,keyasint,omitempty"`
+	Of  map[string]Quota `cbor:"1,keyasint,omitempty"`
 	Age int64            `cbor:"2,keyasint,omitempty"` // nanoseconds that it is known to have outlived its process
 }
 
-// Given is one share.
-type Given struct {
+// Quota is one share.
+type Quota struct {
 	Amount Amount `cbor:"1,keyasint,omitempty" json:"amount"`
 	Was    Amount `cbor:"2,keyasint,omitempty" json:"was"` // it counts for as much until the process has seen it
 	Linger int64  `cbor:"3,keyasint,omitempty" json:"linger,omitempty"`
@@ -96,8 +96,8 @@
 	return b
 }
 
-// DecodeNeed reads what Encode wrote.
-func DecodeNeed(b []byte) (n Need, err error) {
+// DecodeDemand reads what Encode wrote.
+func DecodeDemand(b []byte) (n Demand, err error) {
 	if err = decode.Unmarshal(b, &n); err != nil {
 		err = fmt.Errorf("need: %w", err)
 	}
@@ -112,9 +112,9 @@
 	return g, err
 }
 
-// May says whether an operation is a daemon's own part in limits: what its processes tell, for as long as their sessions.
-func May(op store.Op, owner string) bool {
-	rest, ok := strings.CutPrefix(op.Key, NeedPrefix)
+// Allowed says whether an operation is a daemon's own part in limits: what its processes tell, for as long as their sessions.
+func Allowed(op store.Op, owner string) bool {
+	rest, ok := strings.CutPrefix(op.Key, DemandPrefix)
 	p, is := processOf(rest)
-	return ok && is && owner != "" && p.Host == owner && (op.Delete || op.Lease == p.Session && len(op.Value) <= NeedMost)
+	return ok && is && owner != "" && p.Host == owner && (op.Delete || op.Lease == p.Session && len(op.Value) <= MaxRecordBytes)
 }
--- a/internal/controlplane/quotasync/limits.go
+++ b/internal/controlplane/quotasync/limits.go
@@ -23,8 +23,8 @@
 	"birchmoor/internal/store/changefeed"
 )
 
-// Task is that of dividing.
-const Task = "limits"
+// AllocatorTask is that of dividing.
+const AllocatorTask = "limits"
 
 // Config is what limits go by.
 type Config struct {
@@ -35,7 +35,7 @@
 	Skew  float64
 	Clock bootclock.Clock
 	Log   *slog.Logger
-	Plant quota.Plant // for tests
+	Plant quota.Defect // for tests
 }
 
 const (
@@ -44,62 +44,62 @@
 	tellTime    = 2 * time.Second
 )
 
-// Limits is a Part of a daemon, and a core.Limiter. Any goroutine may use it.
-type Limits struct {
+// Manager is a Part of a daemon, and a core.Limiter. Any goroutine may use it.
+type Manager struct {
 	cfg    Config
 	runner *leasetask.Runner
 	store  daemon.Store
 	match  atomic.Pointer[quota.Matcher] // nil while there are no limits
 
 	mu      sync.Mutex
-	holder  *quota.Holder
-	divider *quota.Divider
-	conf    *quota.Conf
+	holder  *quota.Consumer
+	divider *quota.Allocator
+	conf    *quota.Config
 	me      quota.Process
 	others  map[string]bool // keys by which processes tell of themselves
 	news    chan struct{}
 	said    map[string]uint64 // refusals that were logged, by limit
 	fault   string            // of the limits in force, or empty
 
-	part bool      // the copy does not hold what all tell:
-	sum  store.Sum // there are so many
+	part bool             // the copy does not hold what all tell:
+	sum  store.PrefixSize // there are so many
 }
 
 // New returns one that has no store yet.
-func New(cfg Config, runner *leasetask.Runner) *Limits {
+func New(cfg Config, runner *leasetask.Runner) *Manager {
 	rules := quota.Rules{Skew: cfg.Skew, Tell: int64(cfg.Tell), Each: int64(cfg.Each)}
-	return &Limits{cfg: cfg, runner: runner, holder: quota.NewHolder(rules, cfg.Plant), divider: quota.NewDivider(rules, cfg.Plant),
-		conf: &quota.Conf{}, others: map[string]bool{}, news: make(chan struct{}, 1), said: map[string]uint64{}}
+	return &Manager{cfg: cfg, runner: runner, holder: quota.NewConsumer(rules, cfg.Plant), divider: quota.NewAllocator(rules, cfg.Plant),
+		conf: &quota.Config{}, others: map[string]bool{}, news: make(chan struct{}, 1), said: map[string]uint64{}}
 }
 
-func (l *Limits) now() int64 { return l.cfg.Clock.Now() }
+func (l *Manager) now() int64 { return l.cfg.Clock.Now() }
 
 // Attach is of daemon.Part.
-func (l *Limits) Attach(s daemon.Store) { l.store = s }
+func (l *Manager) Attach(s daemon.Store) { l.store = s }
 
-// Needs is of daemon.Needy: this daemon's own shares, and how many there are that have some. Others' are for who divides, which
+// Subscription is of daemon.Needy: this daemon's own shares, and how many there are that have some. Others' are for who divides, which
 // followers do not.
-func (l *Limits) Needs() changefeed.Needs {
-	kept := store.Interest{Keys: []string{quota.ConfKey}}
-	of := kept.Join(store.Interest{Prefixes: []string{quota.NeedPrefix + l.cfg.Host + "/", quota.GrantPrefix + l.cfg.Host + "/"}})
-	return changefeed.Needs{Of: &of, Kept: kept, Sums: []string{quota.NeedPrefix}}
+func (l *Manager) Subscription() changefeed.Subscription {
+	kept := store.Interest{Keys: []string{quota.ConfigKey}}
+	of := kept.Union(store.Interest{Prefixes: []string{quota.DemandPrefix + l.cfg.Host + "/", quota.GrantPrefix + l.cfg.Host + "/"}})
+	return changefeed.Subscription{Of: &of, Kept: kept, Sums: []string{quota.DemandPrefix}}
 }
 
 // Sum is of daemon.Summed.
-func (l *Limits) Sum(prefix string, n store.Sum) {
+func (l *Manager) Sum(prefix string, n store.PrefixSize) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if prefix == quota.NeedPrefix && l.part {
+	if prefix == quota.DemandPrefix && l.part {
 		l.sum = n
 		l.count()
 	}
 }
 
 // count says how many processes there are. The lock is held.
-func (l *Limits) count() { l.holder.Others(max(len(l.others), l.sum.Keys)) }
+func (l *Manager) count() { l.holder.SetProcessCount(max(len(l.others), l.sum.Keys)) }
 
 // Event is of daemon.Part.
-func (l *Limits) Event(e store.Event) {
+func (l *Manager) Event(e store.Event) {
 	if !strings.HasPrefix(e.Item.Key, quota.Prefix) {
 		return
 	}
@@ -107,9 +107,9 @@
 	defer l.mu.Unlock()
 	l.divider.Event(l.now(), e)
 	switch key := e.Item.Key; {
-	case key == quota.ConfKey:
+	case key == quota.ConfigKey:
 		l.configure(e.Item.Value, e.Deleted)
-	case strings.HasPrefix(key, quota.NeedPrefix):
+	case strings.HasPrefix(key, quota.DemandPrefix):
 		if l.others[key] = true; e.Deleted {
 			delete(l.others, key)
 		}
@@ -120,16 +120,16 @@
 }
 
 // Reset is of daemon.Part.
-func (l *Limits) Reset(s *store.State) {
+func (l *Manager) Reset(s *store.State) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.divider.Reset(l.now(), s)
-	i, there := s.Get(quota.ConfKey)
+	i, there := s.Get(quota.ConfigKey)
 	l.configure(i.Value, !there)
 	clear(l.others)
-	s.Range(quota.NeedPrefix, store.PrefixEnd(quota.NeedPrefix), func(i store.Item) bool { l.others[i.Key] = true; return true })
-	if of := s.Interest(); of == nil || of.CoversPrefix(quota.NeedPrefix) {
-		l.part, l.sum = false, store.Sum{}
+	s.Range(quota.DemandPrefix, store.PrefixEnd(quota.DemandPrefix), func(i store.Item) bool { l.others[i.Key] = true; return true })
+	if of := s.Interest(); of == nil || of.CoversPrefix(quota.DemandPrefix) {
+		l.part, l.sum = false, store.PrefixSize{}
 	} else {
 		l.part = true
 	}
@@ -138,7 +138,7 @@
 }
 
 // regrant takes this process's shares as a copy has them. The lock is held.
-func (l *Limits) regrant(s *store.State) {
+func (l *Manager) regrant(s *store.State) {
 	if l.me.Session != 0 {
 		if i, ok := s.Get(l.me.GrantKey()); ok {
 			l.granted(i)
@@ -147,7 +147,7 @@
 }
 
 // granted takes this process's shares. The lock is held.
-func (l *Limits) granted(i store.Item) {
+func (l *Manager) granted(i store.Item) {
 	g, err := quota.DecodeGrant(i.Value)
 	if err != nil {
 		l.cfg.Log.Error("shares of limits are not read: they count as none", "key", i.Key, "error", err)
@@ -156,7 +156,7 @@
 	l.poke()
 }
 
-func (l *Limits) poke() {
+func (l *Manager) poke() {
 	select {
 	case l.news <- struct{}{}:
 	default:
@@ -164,8 +164,8 @@
 }
 
 // configure puts limits in force. Those that cannot be read, as of a newer build, leave the ones before. The lock is held.
-func (l *Limits) configure(text []byte, none bool) {
-	c := &quota.Conf{}
+func (l *Manager) configure(text []byte, none bool) {
+	c := &quota.Config{}
 	if !none {
 		if err := errors.Join(json.Unmarshal(text, c), c.Check()); err != nil {
 			if l.fault = err.Error(); l.fault != "" {
@@ -175,8 +175,8 @@
 		}
 	}
 	l.fault, l.conf = "", c
-	l.holder.SetConf(l.now(), c)
-	l.divider.SetConf(c)
+	l.holder.SetConfig(l.now(), c)
+	l.divider.SetConfig(c)
 	if l.match.Store(nil); len(c.Limits) > 0 {
 		l.match.Store(quota.NewMatcher(c))
 	}
@@ -184,7 +184,7 @@
 }
 
 // Run is of daemon.Part: it keeps the session, and tells what is wanted and seen.
-func (l *Limits) Run(ctx context.Context) {
+func (l *Manager) Run(ctx context.Context) {
 	p, err := l.runner.Presence(l.cfg.TTL)
 	if err != nil {
 		l.cfg.Log.Error("limits are not shared", "error", err)
@@ -223,13 +223,13 @@
 }
 
 // tell says to the store what is wanted here and which shares are gone by, when that is news.
-func (l *Limits) tell(ctx context.Context) {
+func (l *Manager) tell(ctx context.Context) {
 	for ctx.Err() == nil {
 		l.mu.Lock()
 		now, me := l.now(), l.me
-		n, due, at := l.holder.Need(now)
+		n, due, at := l.holder.Demand(now)
 		if due = due && me.Session != 0; due {
-			l.holder.Told(now, n)
+			l.holder.ReportSent(now, n)
 		}
 		l.mu.Unlock()
 		if !due {
@@ -248,12 +248,12 @@
 		}
 		c, cancel := context.WithTimeout(ctx, min(tellTime, l.cfg.TTL/2))
 		_, err := l.store.Do(c, store.Command{Txn: &store.Txn{Owner: l.cfg.Host,
-			Then:   []store.Op{{Key: me.NeedKey(), Value: quota.Encode(n), Lease: me.Session}},
-			Bounds: []store.Bound{{Prefix: quota.NeedPrefix, Most: quota.ProcessesMost}}}})
+			Then:   []store.Op{{Key: me.DemandKey(), Value: quota.Encode(n), Lease: me.Session}},
+			Bounds: []store.KeyLimit{{Prefix: quota.DemandPrefix, Most: quota.MaxProcesses}}}})
 		cancel()
 		if err != nil {
 			l.mu.Lock()
-			l.holder.Untold()
+			l.holder.ReportFailed()
 			l.mu.Unlock()
 			pause(ctx, l.cfg.Tell)
 		}
@@ -268,11 +268,11 @@
 }
 
 // say logs which limits have refused since the last time.
-func (l *Limits) say() {
+func (l *Manager) say() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	sums := map[string]uint64{}
-	for _, s := range l.holder.Shares(l.now()) {
+	for _, s := range l.holder.Quotas(l.now()) {
 		name, _, _ := strings.Cut(s.Key, "@")
 		sums[name] += s.Refused
 	}
@@ -284,12 +284,12 @@
 	}
 }
 
-// Divide is the task of dividing, for daemons with a replica.
-func (l *Limits) Divide() leasetask.Task {
-	return leasetask.Task{Want: leasetask.Want{Task: Task, TTL: l.cfg.TTL, Note: "divides limits among sidecars"}, Every: divideEvery, Most: l.cfg.TTL / 3,
-		Progress: time.Minute, HoldDown: time.Minute, Do: func(ctx context.Context, h *leasetask.Hold) error {
+// AllocatorTask is the task of dividing, for daemons with a replica.
+func (l *Manager) AllocatorTask() leasetask.Task {
+	return leasetask.Task{Claim: leasetask.Claim{Task: AllocatorTask, TTL: l.cfg.TTL, Note: "divides limits among sidecars"}, Every: divideEvery, Most: l.cfg.TTL / 3,
+		Progress: time.Minute, HoldDown: time.Minute, Do: func(ctx context.Context, h *leasetask.Lease) error {
 			l.mu.Lock()
-			v := l.divider.Divide(l.now())
+			v := l.divider.Allocate(l.now())
 			l.mu.Unlock()
 			if v == nil {
 				return nil
@@ -301,19 +301,19 @@
 }
 
 // Take is of core.Limiter.
-func (l *Limits) Take(q *core.Asked) (ended func(ran bool), no *core.Limited) {
+func (l *Manager) Take(q *core.Asked) (ended func(ran bool), no *core.Limited) {
 	m := l.match.Load()
 	if m == nil {
 		return nil, nil
 	}
 	var buf [4]quota.Charge
-	charges := m.Match(buf[:0], &quota.Request{Class: q.Class, Path: q.Path, Cost: quota.Amount(q.CostMs) * quota.One, Header: q.Header, Worth: q.Worth})
+	charges := m.Match(buf[:0], &quota.Request{Class: q.Class, Path: q.Path, Cost: quota.Amount(q.CostMs) * quota.AmountUnit, Header: q.Header, Worth: q.Worth})
 	if len(charges) == 0 {
 		return nil, nil
 	}
 	l.mu.Lock()
 	now := l.now() // not before: whoever waits for the lock, or is stopped, would go by a time that is over
-	t, r := l.holder.Take(now, charges, q.Worth)
+	t, r := l.holder.Reserve(now, charges, q.Worth)
 	l.mu.Unlock()
 	if r != nil {
 		return nil, &core.Limited{Limit: r.Limit, Of: r.Node, Alone: r.Alone, RetryAfter: l.cfg.Clock.Span(r.After)}
@@ -323,24 +323,24 @@
 		defer l.mu.Unlock()
 		now := l.now()
 		if ran {
-			l.holder.Done(now, t)
+			l.holder.Complete(now, t)
 		} else {
-			l.holder.Back(now, t)
+			l.holder.Cancel(now, t)
 		}
 	}, nil
 }
 
 // Put puts limits in force in the place of those that are, for all daemons. Who holds shares of what they replace goes on by them until
 // it has seen the new ones.
-func (l *Limits) Put(ctx context.Context, c *quota.Conf) (*quota.Conf, error) {
+func (l *Manager) Put(ctx context.Context, c *quota.Config) (*quota.Config, error) {
 	if err := c.Check(); err != nil {
 		return nil, err
 	}
-	was, at := &quota.Conf{}, uint64(0)
+	was, at := &quota.Config{}, uint64(0)
 	var bad error
 	if _, err := l.store.View(ctx, false, func(s *store.State) {
-		*was, at, bad = quota.Conf{}, 0, nil
-		if i, ok := s.Get(quota.ConfKey); ok {
+		*was, at, bad = quota.Config{}, 0, nil
+		if i, ok := s.Get(quota.ConfigKey); ok {
 			at, bad = i.Modified, json.Unmarshal(i.Value, was)
 		}
 	}); err != nil || bad != nil {
@@ -351,45 +351,45 @@
 	if err != nil {
 		return nil, err
 	}
-	r, err := l.store.Do(ctx, store.Command{Txn: &store.Txn{If: []store.Compare{{Key: quota.ConfKey, Modified: at}}, Then: []store.Op{{Key: quota.ConfKey, Value: b}}}})
+	r, err := l.store.Do(ctx, store.Command{Txn: &store.Txn{If: []store.Compare{{Key: quota.ConfigKey, Modified: at}}, Then: []store.Op{{Key: quota.ConfigKey, Value: b}}}})
 	if err == nil && !r.Held {
 		err = errors.New("the limits were changed meanwhile")
 	}
 	return c, err
 }
 
-// State is limits as people see them.
-type State struct {
-	Version uint64        `json:"version"`
-	Fault   string        `json:"fault,omitempty"` // why the newest are not in force here, or not divided
-	Divider string        `json:"divider"`         // the daemon that divides, or empty
-	Skew    float64       `json:"skew"`
-	TTLMs   int64         `json:"ttl_ms"`
-	Here    quota.Process `json:"here"`
-	LeftMs  int64         `json:"left_ms"` // of this daemon's entitlement, unless it is renewed
-	Limits  []*LimitState `json:"limits"`
+// Status is limits as people see them.
+type Status struct {
+	Version uint64         `json:"version"`
+	Fault   string         `json:"fault,omitempty"` // why the newest are not in force here, or not divided
+	Divider string         `json:"divider"`         // the daemon that divides, or empty
+	Skew    float64        `json:"skew"`
+	TTLMs   int64          `json:"ttl_ms"`
+	Here    quota.Process  `json:"here"`
+	LeftMs  int64          `json:"left_ms"` // of this daemon's entitlement, unless it is renewed
+	Limits  []*LimitStatus `json:"limits"`
 }
 
-// LimitState is one of them.
-type LimitState struct {
+// LimitStatus is one of them.
+type LimitStatus struct {
 	*quota.Limit
-	Parts []quota.View `json:"parts"`
-	Over  string       `json:"over"` // how far over it may be now, in words
+	Parts []quota.NodeStatus `json:"parts"`
+	Over  string             `json:"over"` // how far over it may be now, in words
 }
 
 // dividing is what divides here, or, for people, knows what a replica knows of all. alone says that no replica told.
-func (l *Limits) dividing(ctx context.Context) (d *quota.Divider, alone bool, err error) {
+func (l *Manager) dividing(ctx context.Context) (d *quota.Allocator, alone bool, err error) {
 	l.mu.Lock()
 	part, conf := l.part, l.conf
 	l.mu.Unlock()
 	if !part {
 		return l.divider, false, nil
 	}
-	d = quota.NewDivider(quota.Rules{Skew: l.cfg.Skew, Tell: int64(l.cfg.Tell), Each: int64(l.cfg.Each)}, quota.PlantNone)
+	d = quota.NewAllocator(quota.Rules{Skew: l.cfg.Skew, Tell: int64(l.cfg.Tell), Each: int64(l.cfg.Each)}, quota.NoDefect)
 	wait, cancel := context.WithTimeout(ctx, tellTime)
 	defer cancel()
 	if _, err := l.store.View(wait, false, func(s *store.State) {
-		d.SetConf(conf)
+		d.SetConfig(conf)
 		d.Reset(l.now(), s)
 	}); err != nil {
 		return l.divider, true, err
@@ -398,17 +398,17 @@
 }
 
 // Show shows them by this daemon's copy, or where that does not hold what all tell by a replica's.
-func (l *Limits) Show(ctx context.Context, name string) (*State, error) {
+func (l *Manager) Show(ctx context.Context, name string) (*Status, error) {
 	divider, alone, err := l.dividing(ctx)
 	holder := ""
-	if holders := l.runner.Holders(Task); len(holders) > 0 {
+	if holders := l.runner.Holders(AllocatorTask); len(holders) > 0 {
 		holder = holders[0]
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	s := &State{Version: l.conf.Version, Fault: l.fault, Divider: holder, Skew: l.cfg.Skew, TTLMs: l.cfg.TTL.Milliseconds(), Here: l.me,
-		LeftMs: max(0, l.holder.Until()-now) / 1e6, Limits: []*LimitState{}}
+	s := &Status{Version: l.conf.Version, Fault: l.fault, Divider: holder, Skew: l.cfg.Skew, TTLMs: l.cfg.TTL.Milliseconds(), Here: l.me,
+		LeftMs: max(0, l.holder.ValidUntil()-now) / 1e6, Limits: []*LimitStatus{}}
 	if alone {
 		s.Fault = fmt.Sprintf("no replica tells of the others: shares are this daemon's alone: %v", err)
 	}
@@ -419,7 +419,7 @@
 		if name != "" && x.Name != name {
 			continue
 		}
-		st := &LimitState{Limit: x, Parts: divider.Show(now, x)}
+		st := &LimitStatus{Limit: x, Parts: divider.Show(now, x)}
 		away := 0
 		for _, p := range st.Parts[0].Of {
 			if p.Gone {
@@ -430,10 +430,10 @@
 		s.Limits = append(s.Limits, st)
 	}
 	if name != "" && len(s.Limits) == 0 {
-		return nil, fmt.Errorf("%s: %w", name, quota.ErrNone)
+		return nil, fmt.Errorf("%s: %w", name, quota.ErrLimitNotFound)
 	}
 	return s, nil
 }
 
-// May says whether an operation is a daemon's own part in limits.
-func May(op store.Op, owner string) bool { return quota.May(op, owner) }
+// Allowed says whether an operation is a daemon's own part in limits.
+func Allowed(op store.Op, owner string) bool { return quota.Allowed(op, owner) }
--- a/internal/controlplane/rollout/rollout.go
+++ b/internal/controlplane/rollout/rollout.go
@@ -92,9 +92,9 @@
 // Runs says whether a daemon is to run the plan's settings.
 func (p *Plan) Runs(host string) bool { return p.State == Running && slices.Contains(p.Hosts, host) }
 
-// Among are the daemons that run a step, of all there are: those of each step are among those of the next. The order is drawn from
+// Selected are the daemons that run a step, of all there are: those of each step are among those of the next. The order is drawn from
 // the seed, which is the plan's own, so that not always the same go first.
-func Among(s Step, fleet []string, seed uint64) []string {
+func Selected(s Step, fleet []string, seed uint64) []string {
 	order := slices.Clone(fleet)
 	slices.SortFunc(order, func(a, b string) int {
 		return cmp.Or(cmp.Compare(rank(a, seed), rank(b, seed)), cmp.Compare(a, b))
@@ -119,12 +119,12 @@
 	Error  string `json:"error,omitempty"`
 }
 
-// Verdict on a step.
-type Verdict int
+// Decision on a step.
+type Decision int
 
 // The verdicts.
 const (
-	Wait Verdict = iota
+	Wait Decision = iota
 	GoOn
 	TakeBack
 )
@@ -136,7 +136,7 @@
 )
 
 // Judge says what follows from a step that has been in force for so long, in milliseconds. fleet are the daemons that are there.
-func (p *Plan) Judge(forMs int64, fleet []string, reports map[string]Report) (Verdict, string) {
+func (p *Plan) Judge(forMs int64, fleet []string, reports map[string]Report) (Decision, string) {
 	var mine, others Report
 	var silent []string
 	for _, host := range fleet {
--- a/internal/controlplane/rollout/rollout_test.go
+++ b/internal/controlplane/rollout/rollout_test.go
@@ -17,7 +17,7 @@
 	}
 	var before []string
 	for i, want := range []int{1, 4, 20, 40} {
-		got := Among(steps[i], fleet, 7)
+		got := Selected(steps[i], fleet, 7)
 		if len(got) != want || strings.Join(got[:len(before)], " ") != strings.Join(before, " ") {
 			t.Errorf("step %v: %d daemons: %v", steps[i], len(got), got)
 		}
@@ -38,7 +38,7 @@
 		name    string
 		forMs   int64
 		reports map[string]Report
-		want    Verdict
+		want    Decision
 	}{
 		{"all is well, too soon", 999, map[string]Report{"a": good, "b": good}, Wait},
 		{"all is well", 1000, map[string]Report{"a": good, "b": good}, GoOn},
--- a/internal/controlplane/watchdog/keeper.go
+++ b/internal/controlplane/watchdog/keeper.go
@@ -36,16 +36,16 @@
 
 // How a command ended.
 var (
-	ErrLate  = errors.New("its time was up")
-	ErrAlone = errors.New("who keeps it in time is gone")
-	ErrTold  = errors.New("it was told to end")
+	ErrDeadlinePassed = errors.New("its time was up")
+	ErrAlone          = errors.New("who keeps it in time is gone")
+	ErrTold           = errors.New("it was told to end")
 )
 
 // Lines of the pipe: a deadline in nanoseconds, or this.
 const lineEnd = "end"
 
-// PutOff writes a deadline to a keeper's pipe.
-func PutOff(w io.Writer, until int64) error { return line(w, strconv.FormatInt(until, 10)) }
+// ExtendDeadline writes a deadline to a keeper's pipe.
+func ExtendDeadline(w io.Writer, until int64) error { return line(w, strconv.FormatInt(until, 10)) }
 
 // End tells a keeper to end its command.
 func End(w io.Writer) error { return line(w, lineEnd) }
@@ -55,13 +55,13 @@
 	return err
 }
 
-// Adopt has orphans of this process's descendants become its children.
-func Adopt() error { return unix.Prctl(unix.PR_SET_CHILD_SUBREAPER, 1, 0, 0, 0) }
+// BecomeSubreaper has orphans of this process's descendants become its children.
+func BecomeSubreaper() error { return unix.Prctl(unix.PR_SET_CHILD_SUBREAPER, 1, 0, 0, 0) }
 
 // Run runs the command until it ends by itself, or must. The first deadline is to be on the pipe already. It returns the command's
 // exit code, 128 and the number of the signal if that ended it, and why it was ended if it was. Nothing that it started is left.
 func (c Command) Run(pipe io.Reader) (code int, why error) {
-	if err := Adopt(); err != nil {
+	if err := BecomeSubreaper(); err != nil {
 		return 0, err
 	}
 	lines := bufio.NewScanner(pipe)
@@ -92,7 +92,7 @@
 	cmd.Env, cmd.Stdin, cmd.Stdout, cmd.Stderr = c.Env, os.Stdin, os.Stdout, os.Stderr
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if c.Clock.Now() >= until-int64(c.Early) {
-		return 0, ErrLate
+		return 0, ErrDeadlinePassed
 	}
 	if err := cmd.Start(); err != nil {
 		return 0, err
@@ -110,7 +110,7 @@
 		now, kill := c.Clock.Now(), until-int64(c.Early)
 		term := kill - int64(c.Grace)
 		if why == nil && now >= term {
-			why = ErrLate
+			why = ErrDeadlinePassed
 		}
 		if why != nil && !termed {
 			termed = true
--- a/internal/dataplane/capture/recorder.go
+++ b/internal/dataplane/capture/recorder.go
@@ -44,7 +44,7 @@
 	segment bool            // begins one: gap and snapshot come first
 	follows bool            // the segment before, of the same process, and nothing is missing between
 	gap     *Record
-	kept    *snapshot.Kept // encoded on the way, not by the loop
+	kept    *snapshot.Saved // encoded on the way, not by the loop
 	at      balancer.Micros
 	data    []byte
 	records uint64
@@ -116,7 +116,7 @@
 	if r.lost > 0 {
 		b.gap = &Record{Kind: KindGap, At: now, Count: r.lost, Line: r.why}
 	}
-	b.kept = &snapshot.Kept{Sidecar: r.sidecar, Run: r.run, Clock: snapshot.Clock{Wall: now}, State: r.Balancer.Snapshot(now, true)}
+	b.kept = &snapshot.Saved{Sidecar: r.sidecar, Run: r.run, Clock: snapshot.Clock{Wall: now}, State: r.Balancer.Snapshot(now, true)}
 	for i := range b.kept.State.Endpoints {
 		b.kept.Names = append(b.kept.Names, r.name(b.kept.State.Endpoints[i].ID))
 	}
--- a/internal/dataplane/core/loop.go
+++ b/internal/dataplane/core/loop.go
@@ -48,7 +48,7 @@
 	byName   map[string]*endpoint
 	byNumber map[uint32]*endpoint
 	numbers  uint32
-	marks    []maintenance.Mark         // what operators said before the start
+	marks    []maintenance.Override     // what operators said before the start
 	bans     map[string]uint32          // the numbers of the endpoints that operators have taken out
 	met      recent                     // the names of those listed of late
 	drained  map[discovery.Process]bool // those that other daemons heard to drain; nil where nobody tells
@@ -118,7 +118,7 @@
 }
 
 // Marked gives what operators said before the start. It is called before run.
-func (l *Loop) Marked(marks []maintenance.Mark) { l.marks = marks }
+func (l *Loop) Marked(marks []maintenance.Override) { l.marks = marks }
 
 // Cached passes on a list that is newer than the one that the configuration brought.
 func (l *Loop) Cached(ctx context.Context, list discovery.List) error {
--- a/internal/dataplane/core/marks.go
+++ b/internal/dataplane/core/marks.go
@@ -46,7 +46,7 @@
 
 // Mark makes what operators said of an endpoint bind, and returns once it does. With force, an ID that was
 // never listed is taken, too.
-func (l *Loop) Mark(ctx context.Context, m maintenance.Mark, force bool) error {
+func (l *Loop) Mark(ctx context.Context, m maintenance.Override, force bool) error {
 	var answer error
 	if err := l.call(ctx, func(now balancer.Micros) { answer = l.setMark(now, m, force) }); err != nil {
 		return err
@@ -55,12 +55,12 @@
 }
 
 // setMark bans an endpoint or ends that. The module holds the ban; here what waits for a connection is kept in.
-func (l *Loop) setMark(now balancer.Micros, m maintenance.Mark, force bool) error {
+func (l *Loop) setMark(now balancer.Micros, m maintenance.Override, force bool) error {
 	e := l.byName[m.ID]
 	number, banned := l.bans[m.ID]
 	switch {
 	case e == nil && !banned && !force && !l.met.has(m.ID):
-		return maintenance.ErrUnknown
+		return maintenance.ErrUnknownEndpoint
 	case m.Out && !banned:
 		if e != nil {
 			number = e.number
--- a/internal/dataplane/core/recall.go
+++ b/internal/dataplane/core/recall.go
@@ -22,8 +22,8 @@
 
 // picture is the module's state with the names of its endpoints, and their addresses if it goes abroad. The loop's goroutine
 // takes it.
-func (l *Loop) picture(now balancer.Micros, abroad bool) *snapshot.Kept {
-	k := &snapshot.Kept{Sidecar: l.config.Name, State: l.balancer.Snapshot(now, false)}
+func (l *Loop) picture(now balancer.Micros, abroad bool) *snapshot.Saved {
+	k := &snapshot.Saved{Sidecar: l.config.Name, State: l.balancer.Snapshot(now, false)}
 	var addrs []string
 	k.Names = make([]string, 0, len(k.State.Endpoints))
 	known := k.State.Endpoints[:0]
@@ -58,7 +58,7 @@
 func (l *Loop) PicturedAbroad(ctx context.Context) ([]byte, error) { return l.pictured(ctx, true) }
 
 func (l *Loop) pictured(ctx context.Context, abroad bool) ([]byte, error) {
-	var k *snapshot.Kept
+	var k *snapshot.Saved
 	if err := l.call(ctx, func(now balancer.Micros) { k = l.picture(now, abroad) }); err != nil {
 		return nil, err
 	}
@@ -68,12 +68,12 @@
 
 // Recall tells the module what an earlier process knew, by the clocks that both have in common. What is not of this
 // sidecar, or makes no sense, is passed over: a start without it is as good as any.
-func (l *Loop) Recall(ctx context.Context, k *snapshot.Kept, from string) {
+func (l *Loop) Recall(ctx context.Context, k *snapshot.Saved, from string) {
 	l.RecallAt(ctx, k, from, snapshot.Now().Since(k.Clock))
 }
 
 // RecallAt does so with a picture of a known age. It returns how many servers it knew.
-func (l *Loop) RecallAt(ctx context.Context, k *snapshot.Kept, from string, age balancer.Micros) (known int) {
+func (l *Loop) RecallAt(ctx context.Context, k *snapshot.Saved, from string, age balancer.Micros) (known int) {
 	if k.Sidecar != l.config.Name {
 		l.log.Warn("snapshot of another sidecar passed over", "from", from, "its name", k.Sidecar)
 		return 0
--- a/internal/dataplane/handover/handover.go
+++ b/internal/dataplane/handover/handover.go
@@ -27,8 +27,8 @@
 
 // State is what an old process tells the new one.
 type State struct {
-	Marks []maintenance.Mark `json:"marks"`
-	List  json.RawMessage    `json:"list"` // of endpoints, in discovery's form
+	Marks []maintenance.Override `json:"marks"`
+	List  json.RawMessage        `json:"list"` // of endpoints, in discovery's form
 
 	Snapshot []byte            `json:"snapshot,omitempty"` // of the decision module, in package snapshot's form
 	Others   map[string][]byte `json:"others,omitempty"`   // of those of protocols besides HTTP
@@ -42,7 +42,7 @@
 
 // Peer is what can be told to the process beside this one.
 type Peer struct {
-	Mark  func(context.Context, maintenance.Mark) error
+	Mark  func(context.Context, maintenance.Override) error
 	Eject func(context.Context, []Ejection) error
 }
 
@@ -54,7 +54,7 @@
 	// State returns what a new process must know. It is called after Beside.
 	State(ctx context.Context) (State, error)
 	// Merge makes an operator's call to the other process bind here.
-	Merge(ctx context.Context, marks ...maintenance.Mark) error
+	Merge(ctx context.Context, marks ...maintenance.Override) error
 	// Ejected takes the other process's word on endpoints that fail.
 	Ejected(list []Ejection)
 	// Yield stops accepting: the other process does. Resume accepts again, since that one is gone.
@@ -71,12 +71,12 @@
 
 // message is one line.
 type message struct {
-	Op    string            `json:"op"`
-	Seq   uint64            `json:"seq"`
-	Mark  *maintenance.Mark `json:"mark,omitempty"`
-	State *State            `json:"state,omitempty"`
-	Out   []Ejection        `json:"out,omitempty"`
-	Error string            `json:"error,omitempty"`
+	Op    string                `json:"op"`
+	Seq   uint64                `json:"seq"`
+	Mark  *maintenance.Override `json:"mark,omitempty"`
+	State *State                `json:"state,omitempty"`
+	Out   []Ejection            `json:"out,omitempty"`
+	Error string                `json:"error,omitempty"`
 }
 
 const opReply = "reply"
@@ -168,7 +168,7 @@
 }
 
 // mark tells the other side of an operator's call.
-func (t *talk) mark(ctx context.Context, m maintenance.Mark) error {
+func (t *talk) mark(ctx context.Context, m maintenance.Override) error {
 	ctx, cancel := context.WithTimeout(ctx, replyTime)
 	defer cancel()
 	_, err := t.ask(ctx, message{Op: "mark", Mark: &m})
--- a/internal/dataplane/handover/handover_test.go
+++ b/internal/dataplane/handover/handover_test.go
@@ -25,7 +25,7 @@
 type process struct {
 	did  chan string
 	mu   sync.Mutex
-	tell func(context.Context, maintenance.Mark) error
+	tell func(context.Context, maintenance.Override) error
 	out  func(context.Context, []Ejection) error
 }
 
@@ -40,12 +40,12 @@
 }
 
 func (p *process) State(context.Context) (State, error) {
-	return State{Marks: []maintenance.Mark{{ID: "s-1", Out: true, At: 5}}, List: []byte(`{"generation":3}`)}, nil
+	return State{Marks: []maintenance.Override{{ID: "s-1", Out: true, At: 5}}, List: []byte(`{"generation":3}`)}, nil
 }
 
-func (p *process) Merge(_ context.Context, marks ...maintenance.Mark) error {
+func (p *process) Merge(_ context.Context, marks ...maintenance.Override) error {
 	if marks[0].ID == "bad" {
-		return maintenance.ErrUnknown
+		return maintenance.ErrUnknownEndpoint
 	}
 	p.did <- fmt.Sprint("mark ", marks[0].ID, " ", marks[0].Out)
 	return nil
@@ -104,15 +104,15 @@
 	}
 	old.expect(t, "beside")
 	fresh.expect(t, "beside")
-	if err := old.tell(t.Context(), maintenance.Mark{ID: "s-2", Out: true}); err != nil {
+	if err := old.tell(t.Context(), maintenance.Override{ID: "s-2", Out: true}); err != nil {
 		t.Error(err)
 	}
 	fresh.expect(t, "mark s-2 true")
-	if err := fresh.tell(t.Context(), maintenance.Mark{ID: "s-3"}); err != nil {
+	if err := fresh.tell(t.Context(), maintenance.Override{ID: "s-3"}); err != nil {
 		t.Error(err)
 	}
 	old.expect(t, "mark s-3 false")
-	if err := fresh.tell(t.Context(), maintenance.Mark{ID: "bad"}); err == nil || !strings.Contains(err.Error(), "unknown id") {
+	if err := fresh.tell(t.Context(), maintenance.Override{ID: "bad"}); err == nil || !strings.Contains(err.Error(), "unknown id") {
 		t.Error("an error of the other process was lost:", err)
 	}
 	for from, to := range map[*process]*process{old: fresh, fresh: old} {
--- a/internal/dataplane/maintenance/maintenance.go
+++ b/internal/dataplane/maintenance/maintenance.go
@@ -17,9 +17,9 @@
 	"time"
 )
 
-// Mark is the latest that operators said of one endpoint. One that was called back is kept for a while, since
+// Override is the latest that operators said of one endpoint. One that was called back is kept for a while, since
 // it is cold.
-type Mark struct {
+type Override struct {
 	ID  string `json:"id"`
 	Out bool   `json:"out"`
 	At  int64  `json:"at_us"` // Unix time in microseconds
@@ -27,15 +27,15 @@
 
 // Store keeps the marks.
 type Store interface {
-	Load() ([]Mark, error)
-	Save([]Mark) error
+	Load() ([]Override, error)
+	Save([]Override) error
 }
 
-// ErrUnknown is an ID that nobody has.
-var ErrUnknown = errors.New("unknown id")
+// ErrUnknownEndpoint is an ID that nobody has.
+var ErrUnknownEndpoint = errors.New("unknown id")
 
-// Book is the marks of one process.
-type Book struct {
+// Registry is the marks of one process.
+type Registry struct {
 	store Store
 	keep  time.Duration // for marks of endpoints that were called back
 	now   func() time.Time
@@ -43,21 +43,21 @@
 
 	// apply makes a mark bind in this process, and returns once it does. With force it takes an ID that this
 	// process has not heard of yet; else that is ErrUnknown.
-	apply func(ctx context.Context, m Mark, force bool) error
+	apply func(ctx context.Context, m Override, force bool) error
 
-	shared Shared // nil for nothing
+	shared FleetOverrides // nil for nothing
 
 	turn  chan struct{} // one call at a time
 	mu    sync.Mutex
-	marks map[string]Mark
-	tell  map[any]func(context.Context, Mark) error // the processes beside this one
+	marks map[string]Override
+	tell  map[any]func(context.Context, Override) error // the processes beside this one
 }
 
-// NewBook returns a book that holds what the store does. That the store's content is damaged is logged and no
+// NewRegistry returns a book that holds what the store does. That the store's content is damaged is logged and no
 // reason not to serve.
-func NewBook(store Store, keep time.Duration, apply func(context.Context, Mark, bool) error, log *slog.Logger) *Book {
-	b := &Book{store: store, keep: keep, now: time.Now, log: log, apply: apply, turn: make(chan struct{}, 1),
-		marks: map[string]Mark{}, tell: map[any]func(context.Context, Mark) error{}}
+func NewRegistry(store Store, keep time.Duration, apply func(context.Context, Override, bool) error, log *slog.Logger) *Registry {
+	b := &Registry{store: store, keep: keep, now: time.Now, log: log, apply: apply, turn: make(chan struct{}, 1),
+		marks: map[string]Override{}, tell: map[any]func(context.Context, Override) error{}}
 	marks, err := store.Load()
 	if err != nil {
 		log.Error("the bans kept from before are not readable", "error", err)
@@ -68,12 +68,12 @@
 	return b
 }
 
-// Marks returns all marks that still tell something, sorted by ID.
-func (b *Book) Marks() []Mark {
+// Overrides returns all marks that still tell something, sorted by ID.
+func (b *Registry) Overrides() []Override {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	oldest := b.now().Add(-b.keep).UnixMicro()
-	var marks []Mark
+	var marks []Override
 	for id, m := range b.marks {
 		if !m.Out && m.At < oldest {
 			delete(b.marks, id)
@@ -81,52 +81,52 @@
 		}
 		marks = append(marks, m)
 	}
-	slices.SortFunc(marks, func(x, y Mark) int { return cmp.Compare(x.ID, y.ID) })
+	slices.SortFunc(marks, func(x, y Override) int { return cmp.Compare(x.ID, y.ID) })
 	return marks
 }
 
-// Shared is what all daemons agree on: that an endpoint is out binds at the first word, that it may serve again needs
+// FleetOverrides is what all daemons agree on: that an endpoint is out binds at the first word, that it may serve again needs
 // their agreement.
-type Shared interface {
-	// Begin gives the way in which what others say binds here.
-	Begin(agree func(ctx context.Context, id string, out bool) error)
-	// TakenOut passes on that an endpoint is out here. It does not wait.
-	TakenOut(id string)
-	// Return asks for an endpoint to serve again, and returns once that is agreed on and binds here. It says no to
+type FleetOverrides interface {
+	// Subscribe gives the way in which what others say binds here.
+	Subscribe(agree func(ctx context.Context, id string, out bool) error)
+	// ReportDrain passes on that an endpoint is out here. It does not wait.
+	ReportDrain(id string)
+	// RequestReturn asks for an endpoint to serve again, and returns once that is agreed on and binds here. It says no to
 	// asked if the others do not know that it is out: then it is for this process alone to say.
-	Return(ctx context.Context, id string) (asked bool, err error)
+	RequestReturn(ctx context.Context, id string) (asked bool, err error)
 }
 
 // Share has calls go through what daemons agree on.
-func (b *Book) Share(s Shared) {
+func (b *Registry) Share(s FleetOverrides) {
 	b.shared = s
-	s.Begin(b.agree)
+	s.Subscribe(b.agree)
 }
 
 // agree makes bind here what was agreed on. It counts as later than all that was said here: clocks of hosts differ.
-func (b *Book) agree(ctx context.Context, id string, out bool) error {
+func (b *Registry) agree(ctx context.Context, id string, out bool) error {
 	b.mu.Lock()
 	at := max(b.now().UnixMicro(), b.marks[id].At+1)
 	b.mu.Unlock()
-	return b.Merge(ctx, Mark{ID: id, Out: out, At: at})
+	return b.Merge(ctx, Override{ID: id, Out: out, At: at})
 }
 
 // Set takes an endpoint out or calls it back, and returns once that binds here and in the processes beside.
-func (b *Book) Set(ctx context.Context, id string, out bool) error {
+func (b *Registry) Set(ctx context.Context, id string, out bool) error {
 	if b.shared != nil && !out {
-		if asked, err := b.shared.Return(ctx, id); err != nil || asked {
+		if asked, err := b.shared.RequestReturn(ctx, id); err != nil || asked {
 			return err
 		}
 	}
-	m := Mark{ID: id, Out: out, At: b.now().UnixMicro()}
+	m := Override{ID: id, Out: out, At: b.now().UnixMicro()}
 	if err := b.put(ctx, m, false); err != nil {
 		return err
 	}
 	if b.shared != nil && out {
-		b.shared.TakenOut(id)
+		b.shared.ReportDrain(id)
 	}
 	b.mu.Lock()
-	tell := make([]func(context.Context, Mark) error, 0, len(b.tell))
+	tell := make([]func(context.Context, Override) error, 0, len(b.tell))
 	for _, t := range b.tell {
 		tell = append(tell, t)
 	}
@@ -141,7 +141,7 @@
 }
 
 // Merge takes over marks from a process beside this one; of two for an endpoint, the later one holds.
-func (b *Book) Merge(ctx context.Context, marks ...Mark) error {
+func (b *Registry) Merge(ctx context.Context, marks ...Override) error {
 	for _, m := range marks {
 		b.mu.Lock()
 		old, have := b.marks[m.ID]
@@ -157,7 +157,7 @@
 }
 
 // put makes a mark bind in this process and keeps it.
-func (b *Book) put(ctx context.Context, m Mark, force bool) error {
+func (b *Registry) put(ctx context.Context, m Override, force bool) error {
 	select {
 	case b.turn <- struct{}{}:
 		defer func() { <-b.turn }()
@@ -180,14 +180,14 @@
 	b.mu.Lock()
 	b.marks[m.ID] = m
 	b.mu.Unlock()
-	if err := b.store.Save(b.Marks()); err != nil {
+	if err := b.store.Save(b.Overrides()); err != nil {
 		b.log.Error("a call binds but is not kept", "id", m.ID, "out", m.Out, "error", err)
 	}
 	return nil
 }
 
 // Beside adds a process that is to be told of each call from now on, until the returned function is called.
-func (b *Book) Beside(tell func(context.Context, Mark) error) (leave func()) {
+func (b *Registry) Beside(tell func(context.Context, Override) error) (leave func()) {
 	key := new(byte)
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -204,14 +204,14 @@
 
 // file is the form of the file.
 type file struct {
-	Version int    `json:"version"`
-	Marks   []Mark `json:"marks"`
+	Version int        `json:"version"`
+	Marks   []Override `json:"marks"`
 }
 
 const version = 1
 
 // Load reads the file; that there is none is no error.
-func (f File) Load() ([]Mark, error) {
+func (f File) Load() ([]Override, error) {
 	text, err := os.ReadFile(f.Path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -230,7 +230,7 @@
 }
 
 // Save replaces the file. A reader, or a crash, finds the old content or the new.
-func (f File) Save(marks []Mark) error {
+func (f File) Save(marks []Override) error {
 	text, err := json.Marshal(file{version, marks})
 	if err != nil {
 		return fmt.Errorf("save bans: %w", err)
@@ -254,11 +254,11 @@
 	return nil
 }
 
-// Nowhere is a Store that keeps nothing, for a place without a folder of its own.
-type Nowhere struct{}
+// Discard is a Store that keeps nothing, for a place without a folder of its own.
+type Discard struct{}
 
 // Load returns nothing.
-func (Nowhere) Load() ([]Mark, error) { return nil, nil }
+func (Discard) Load() ([]Override, error) { return nil, nil }
 
 // Save keeps nothing.
-func (Nowhere) Save([]Mark) error { return nil }
+func (Discard) Save([]Override) error { return nil }
--- a/internal/dataplane/maintenance/maintenance_test.go
+++ b/internal/dataplane/maintenance/maintenance_test.go
@@ -19,9 +19,9 @@
 // sidecar stands for what marks are applied to.
 type sidecar struct{ applied []string }
 
-func (s *sidecar) apply(_ context.Context, m Mark, force bool) error {
+func (s *sidecar) apply(_ context.Context, m Override, force bool) error {
 	if m.ID == "nobody" && !force {
-		return ErrUnknown
+		return ErrUnknownEndpoint
 	}
 	s.applied = append(s.applied, fmt.Sprint(m.ID, " ", m.Out))
 	return nil
@@ -38,7 +38,7 @@
 func TestRepeats(t *testing.T) {
 	s := &sidecar{}
 	f := File{filepath.Join(t.TempDir(), "bans.json")}
-	b := NewBook(f, time.Minute, s.apply, quiet)
+	b := NewRegistry(f, time.Minute, s.apply, quiet)
 	for _, out := range []bool{true, true, false, false} {
 		if err := b.Set(t.Context(), "s-1", out); err != nil {
 			t.Error(err)
@@ -49,7 +49,7 @@
 		t.Error(err)
 	}
 	for _, out := range []bool{true, false} {
-		if err := b.Set(t.Context(), "nobody", out); !errors.Is(err, ErrUnknown) {
+		if err := b.Set(t.Context(), "nobody", out); !errors.Is(err, ErrUnknownEndpoint) {
 			t.Errorf("got %v", err)
 		}
 	}
@@ -59,17 +59,17 @@
 func TestKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := File{filepath.Join(t.TempDir(), "bans.json")}
-		b := NewBook(f, time.Minute, (&sidecar{}).apply, quiet)
+		b := NewRegistry(f, time.Minute, (&sidecar{}).apply, quiet)
 		for _, id := range []string{"s-2", "s-1"} {
 			b.Set(t.Context(), id, true)
 		}
 		b.Set(t.Context(), "s-2", false)
-		got := NewBook(f, time.Minute, (&sidecar{}).apply, quiet).Marks()
+		got := NewRegistry(f, time.Minute, (&sidecar{}).apply, quiet).Overrides()
 		if len(got) != 2 || got[0].ID != "s-1" || !got[0].Out || got[1].ID != "s-2" || got[1].Out || got[1].At == 0 {
 			t.Errorf("kept %+v", got)
 		}
 		time.Sleep(2 * time.Minute)
-		if got := b.Marks(); len(got) != 1 || got[0].ID != "s-1" {
+		if got := b.Overrides(); len(got) != 1 || got[0].ID != "s-1" {
 			t.Errorf("later kept %+v", got)
 		}
 	})
@@ -83,7 +83,7 @@
 			t.Fatal(err)
 		}
 		var log strings.Builder
-		b := NewBook(File{path}, time.Minute, (&sidecar{}).apply, slog.New(slog.NewTextHandler(&log, nil)))
+		b := NewRegistry(File{path}, time.Minute, (&sidecar{}).apply, slog.New(slog.NewTextHandler(&log, nil)))
 		if !strings.Contains(log.String(), "not readable") {
 			t.Errorf("%q: the damage was not reported", text)
 		}
@@ -100,7 +100,7 @@
 func TestSaveFails(t *testing.T) {
 	s := &sidecar{}
 	dir := t.TempDir()
-	b := NewBook(File{filepath.Join(dir, "no", "bans.json")}, time.Minute, s.apply, quiet)
+	b := NewRegistry(File{filepath.Join(dir, "no", "bans.json")}, time.Minute, s.apply, quiet)
 	if err := b.Set(t.Context(), "s-1", true); err != nil {
 		t.Error(err)
 	}
@@ -115,16 +115,16 @@
 func TestBeside(t *testing.T) {
 	one, two := &sidecar{}, &sidecar{}
 	dir := t.TempDir()
-	a := NewBook(File{filepath.Join(dir, "a")}, time.Minute, one.apply, quiet)
-	b := NewBook(File{filepath.Join(dir, "b")}, time.Minute, two.apply, quiet)
-	leave := a.Beside(func(ctx context.Context, m Mark) error { return b.Merge(ctx, m) })
-	a.Beside(func(context.Context, Mark) error { return errors.New("hung") })
+	a := NewRegistry(File{filepath.Join(dir, "a")}, time.Minute, one.apply, quiet)
+	b := NewRegistry(File{filepath.Join(dir, "b")}, time.Minute, two.apply, quiet)
+	leave := a.Beside(func(ctx context.Context, m Override) error { return b.Merge(ctx, m) })
+	a.Beside(func(context.Context, Override) error { return errors.New("hung") })
 	if err := a.Set(t.Context(), "s-1", true); err != nil {
 		t.Error(err)
 	}
 	two.expect(t, "s-1 true")
-	late := a.Marks()[0]
-	if err := b.Merge(t.Context(), Mark{ID: "s-1", Out: false, At: late.At - 1}, Mark{ID: "nobody", Out: true, At: 1}); err != nil {
+	late := a.Overrides()[0]
+	if err := b.Merge(t.Context(), Override{ID: "s-1", Out: false, At: late.At - 1}, Override{ID: "nobody", Out: true, At: 1}); err != nil {
 		t.Error(err)
 	}
 	two.expect(t, "s-1 true", "nobody true")
@@ -138,7 +138,7 @@
 // A call behind one that does not come back ends with its own time.
 func TestTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := NewBook(Nowhere{}, time.Minute, func(ctx context.Context, _ Mark, _ bool) error {
+		b := NewRegistry(Discard{}, time.Minute, func(ctx context.Context, _ Override, _ bool) error {
 			<-ctx.Done()
 			return ctx.Err()
 		}, quiet)
--- a/internal/dataplane/replay/replay.go
+++ b/internal/dataplane/replay/replay.go
@@ -233,7 +233,7 @@
 
 // begin goes on from a snapshot. What was played up to it must have come to the same state.
 func (p *player) begin(x *capture.Record) error {
-	var k snapshot.Kept
+	var k snapshot.Saved
 	if err := snapshot.Unmarshal(x.Blob, &k); err != nil || k.State == nil {
 		p.b = nil
 		p.r.Faults = append(p.r.Faults, fmt.Sprintf("the snapshot at %d is not readable: %v", x.At, err))
--- a/internal/dataplane/sidecar/handover_test.go
+++ b/internal/dataplane/sidecar/handover_test.go
@@ -136,7 +136,7 @@
 	}
 	defer os.RemoveAll(dir)
 	old := startIn(t, c, dir)
-	err = Run(t.Context(), c, Host{Socket: noSocket{}, Bans: maintenance.Nowhere{}, Handover: dir + "/sock", Log: sidecartest.Quiet})
+	err = Run(t.Context(), c, Host{Socket: noSocket{}, Bans: maintenance.Discard{}, Handover: dir + "/sock", Log: sidecartest.Quiet})
 	if err == nil {
 		t.Error("it began without a socket")
 	}
--- a/internal/dataplane/sidecar/host.go
+++ b/internal/dataplane/sidecar/host.go
@@ -15,7 +15,7 @@
 
 // HostOf makes of the environment what a program gives a sidecar: the sockets, and files in TMPDIR if that is set.
 func HostOf(c *config.Config, getenv func(string) string, reload <-chan os.Signal, log *slog.Logger) (Host, error) {
-	h := Host{Bans: maintenance.Nowhere{}, Reload: reload, Log: log,
+	h := Host{Bans: maintenance.Discard{}, Reload: reload, Log: log,
 		Read: func() (*config.Config, error) { return config.Read(getenv) }}
 	if dir := getenv("TMPDIR"); dir != "" {
 		h.Bans = maintenance.File{Path: filepath.Join(dir, "bans.json")}
--- a/internal/dataplane/sidecar/kept_test.go
+++ b/internal/dataplane/sidecar/kept_test.go
@@ -42,7 +42,7 @@
 	}), nil))
 	ended := make(chan error, 1)
 	go func() {
-		ended <- Run(ctx, c, Host{Socket: only{ln}, Bans: maintenance.Nowhere{}, Kept: snapshot.File{Path: path}, Log: log})
+		ended <- Run(ctx, c, Host{Socket: only{ln}, Bans: maintenance.Discard{}, Kept: snapshot.File{Path: path}, Log: log})
 	}()
 	sidecartest.Within(t, serving, "start")
 	stop()
--- a/internal/dataplane/sidecar/lane.go
+++ b/internal/dataplane/sidecar/lane.go
@@ -127,18 +127,18 @@
 
 // mark makes an operator's call bind in all. An ID that one of them knows is known; the others keep a ban for the case
 // that it comes to them.
-func (ls lanes) mark(ctx context.Context, m maintenance.Mark, force bool) error {
+func (ls lanes) mark(ctx context.Context, m maintenance.Override, force bool) error {
 	unknown := 0
 	for _, n := range ls {
 		err := n.loop.Mark(ctx, m, force)
-		if errors.Is(err, maintenance.ErrUnknown) {
+		if errors.Is(err, maintenance.ErrUnknownEndpoint) {
 			unknown++
 		} else if err != nil {
 			return err
 		}
 	}
 	if unknown == len(ls) {
-		return maintenance.ErrUnknown
+		return maintenance.ErrUnknownEndpoint
 	}
 	if unknown > 0 && m.Out {
 		for _, n := range ls { // those that have it change nothing
--- a/internal/dataplane/sidecar/sidecar.go
+++ b/internal/dataplane/sidecar/sidecar.go
@@ -49,7 +49,7 @@
 	Socket   handover.Socket                // where clients connect
 	Mgmt     net.Listener                   // where operators call; nil for nowhere
 	Bans     maintenance.Store              // what operators said, over the life of a process
-	Shared   maintenance.Shared             // what daemons agree on; nil for nothing
+	Shared   maintenance.FleetOverrides     // what daemons agree on; nil for nothing
 	Fleet    Fleet                          // what daemons tell each other of servers; nil for nothing
 	Kept     snapshot.File                  // what a process knew, for the next one
 	Beside   []core.Protocol                // protocols besides HTTP
@@ -63,26 +63,26 @@
 
 // Fleet is how daemons tell each other of servers: which processes drain, which began, and what is known of them.
 type Fleet interface {
-	// Known are the processes that were known to drain before this sidecar has heard anything.
-	Known() []discovery.Process
-	// Heard takes the word of this sidecar's discovery on a drain. It does not wait.
-	Heard(p discovery.Process, drains bool)
-	// Bind gives the way in which the word of others binds here.
-	Bind(bind func(ctx context.Context, p discovery.Process, drains bool) error)
-
-	// Begun are the processes that began of late, as far as was known before this sidecar has seen anything.
-	Begun() []core.Start
-	// Began takes what this sidecar saw begin, so long ago, and cold for so long. It does not wait.
-	Began(p discovery.Process, ago, cold time.Duration)
-	// Warm gives the way in which others' word that a process began counts here.
-	Warm(begun func(ctx context.Context, s core.Start) error)
-
-	// Pictures are those of a protocol that a start may believe.
-	Pictures(sidecar, protocol string) []recovery.Candidate
-	// Recalled says what of them a start went on from, and how many servers that knew.
-	Recalled(protocol string, c recovery.Choice, servers int)
-	// Keep has the pictures of this sidecar kept until ctx ends. While paused says so another process's are.
-	Keep(ctx context.Context, sidecar, protocol string, picture func(context.Context) ([]byte, error), paused func() bool)
+	// DrainingProcesses are the processes that were known to drain before this sidecar has heard anything.
+	DrainingProcesses() []discovery.Process
+	// Observe takes the word of this sidecar's discovery on a drain. It does not wait.
+	Observe(p discovery.Process, drains bool)
+	// OnDrain gives the way in which the word of others binds here.
+	OnDrain(bind func(ctx context.Context, p discovery.Process, drains bool) error)
+
+	// RecentStarts are the processes that began of late, as far as was known before this sidecar has seen anything.
+	RecentStarts() []core.Start
+	// ReportStart takes what this sidecar saw begin, so long ago, and cold for so long. It does not wait.
+	ReportStart(p discovery.Process, ago, cold time.Duration)
+	// OnStart gives the way in which others' word that a process began counts here.
+	OnStart(begun func(ctx context.Context, s core.Start) error)
+
+	// RestoreCandidates are those of a protocol that a start may believe.
+	RestoreCandidates(sidecar, protocol string) []recovery.Candidate
+	// RecordRestore says what of them a start went on from, and how many servers that knew.
+	RecordRestore(protocol string, c recovery.Choice, servers int)
+	// SaveSnapshots has the pictures of this sidecar kept until ctx ends. While paused says so another process's are.
+	SaveSnapshots(ctx context.Context, sidecar, protocol string, picture func(context.Context) ([]byte, error), paused func() bool)
 }
 
 // node is a running sidecar.
@@ -91,7 +91,7 @@
 	host    Host
 	log     *slog.Logger
 	lanes   lanes
-	book    *maintenance.Book
+	book    *maintenance.Registry
 	closing atomic.Bool // connections end with their answers
 	yields  atomic.Bool // a new process accepts in place of this one
 	serving atomic.Bool // this process can serve, and an old one has handed over
@@ -136,20 +136,20 @@
 		}
 		n.lanes = append(n.lanes, more)
 	}
-	n.book = maintenance.NewBook(h.Bans, time.Duration(c.Settings.Contract.RampTime)*time.Microsecond, n.lanes.mark, h.Log)
+	n.book = maintenance.NewRegistry(h.Bans, time.Duration(c.Settings.Contract.RampTime)*time.Microsecond, n.lanes.mark, h.Log)
 	for _, l := range n.lanes {
-		l.loop.Marked(n.book.Marks())
+		l.loop.Marked(n.book.Overrides())
 	}
 	if h.Shared != nil {
 		n.book.Share(h.Shared)
 	}
 	if h.Fleet != nil {
 		for _, l := range n.lanes {
-			l.loop.Drains(h.Fleet.Known(), h.Fleet.Heard)
-			l.loop.Starts(h.Fleet.Begun(), h.Fleet.Began)
+			l.loop.Drains(h.Fleet.DrainingProcesses(), h.Fleet.Observe)
+			l.loop.Starts(h.Fleet.RecentStarts(), h.Fleet.ReportStart)
 		}
-		h.Fleet.Bind(n.lanes.drain)
-		h.Fleet.Warm(n.lanes.begun)
+		h.Fleet.OnDrain(n.lanes.drain)
+		h.Fleet.OnStart(n.lanes.begun)
 	}
 	d.Watcher = n.watcher(c.Discovery, c.Known.Generation)
 	d.Watch, d.Ended = (*discovery.Watcher).Keep, first.loop.Untold
@@ -200,7 +200,7 @@
 	for _, l := range n.lanes {
 		beside.Go(func() { core.Keeper{Loop: l.loop, File: l.kept}.Run(ctx, another) })
 		if h.Fleet != nil {
-			beside.Go(func() { h.Fleet.Keep(ctx, c.Name, l.name, l.loop.PicturedAbroad, another) })
+			beside.Go(func() { h.Fleet.SaveSnapshots(ctx, c.Name, l.name, l.loop.PicturedAbroad, another) })
 		}
 	}
 	h.Log.Info("serving", "name", c.Name, "listen", c.Listen)
@@ -406,12 +406,12 @@
 		all = append(all, recovery.Candidate{From: l.kept.Path, Kept: was, Own: true, Age: snapshot.Now().Since(was.Clock), Sure: true})
 	}
 	if n.host.Fleet != nil {
-		all = append(all, n.host.Fleet.Pictures(n.config.Name, l.name)...)
+		all = append(all, n.host.Fleet.RestoreCandidates(n.config.Name, l.name)...)
 	}
 	if c := recovery.Choose(n.config.Name, all); c.Kept != nil {
 		known := l.loop.RecallAt(ctx, c.Kept, c.From, c.Age)
 		if n.host.Fleet != nil {
-			n.host.Fleet.Recalled(l.name, c, known)
+			n.host.Fleet.RecordRestore(l.name, c, known)
 		}
 	} else if len(all) > 0 {
 		n.log.Info("nothing that was kept is recalled: too old, or of a time that is not sure", "pictures", len(all))
@@ -488,7 +488,7 @@
 	if err != nil {
 		return handover.State{}, err
 	}
-	s := handover.State{Marks: n.book.Marks(), List: list, Others: map[string][]byte{}}
+	s := handover.State{Marks: n.book.Overrides(), List: list, Others: map[string][]byte{}}
 	for _, l := range n.lanes {
 		known, err := l.loop.Pictured(ctx)
 		switch {
@@ -504,7 +504,7 @@
 }
 
 // Merge makes calls to the other process bind here.
-func (n *node) Merge(ctx context.Context, marks ...maintenance.Mark) error {
+func (n *node) Merge(ctx context.Context, marks ...maintenance.Override) error {
 	return n.book.Merge(ctx, marks...)
 }
 
--- a/internal/lab/dnslab/lab.go
+++ b/internal/lab/dnslab/lab.go
@@ -376,7 +376,7 @@
 	run, stop := context.WithCancel(ctx)
 	ended := make(chan error, 1)
 	go func() {
-		ended <- sidecar.Run(run, c, sidecar.Host{Socket: given{listen}, Bans: maintenance.Nowhere{}, Beside: []core.Protocol{f},
+		ended <- sidecar.Run(run, c, sidecar.Host{Socket: given{listen}, Bans: maintenance.Discard{}, Beside: []core.Protocol{f},
 			Reload: make(chan os.Signal), Read: read, Log: o.Log})
 	}()
 	shop.front = "http://" + listen.Addr().String()
--- a/internal/lab/fleetlab/fleet.go
+++ b/internal/lab/fleetlab/fleet.go
@@ -597,7 +597,7 @@
 		a := f.Daemons[0].Client
 		if !added {
 			_, last = a.Change(ctx, admin.Request{ID: store.RequestID{Client: 1 << 40, Seq: uint64(i)},
-				Add: &store.Join{Name: f.Daemons[i].name, Address: f.Daemons[i].peer}})
+				Add: &store.AddMember{Name: f.Daemons[i].name, Address: f.Daemons[i].peer}})
 			added = last == nil
 		}
 		if s, err := a.Status(ctx); err == nil && added && s.Settled && len(s.Peers) == i+1 && s.Lead != 0 && s.Level >= store.Level {
--- a/internal/lab/leasemodel/model.go
+++ b/internal/lab/leasemodel/model.go
@@ -22,7 +22,7 @@
 // Options say what is enumerated.
 type Options struct {
 	Depth int // steps
-	Plant lease.Plant
+	Plant lease.Defect
 	Early bool // the store ends a session a tick too early
 	Rest  bool // a new leader goes on with the old one's rest
 
@@ -157,7 +157,7 @@
 func ttlOf(owner uint8) int64 { return ttl * int64(owner) }
 
 // begin is the state from which all is enumerated: A holds the lease and is to renew it soon, and B waits for it.
-func begin(p lease.Plant) world {
+func begin(p lease.Defect) world {
 	w := world{clock: 1}
 	for i := range w.h {
 		h, me := &w.h[i], uint8(i+1)
@@ -165,8 +165,8 @@
 		h.session.Next(h.clock)
 		w.take(me, message{kind: grant})
 		h.back = answer{}
-		h.session.Answered(h.clock, lease.Done, uint64(me))
-		h.put, h.number = me, h.session.Number()
+		h.session.HandleResponse(h.clock, lease.Done, uint64(me))
+		h.put, h.number = me, h.session.Generation()
 		w.take(me, message{kind: put, lease: me})
 		if i == 0 {
 			w.clock, h.clock = w.clock+2*slow, h.clock+2*slow
@@ -180,7 +180,7 @@
 
 // entitled says whether a holder holds itself entitled, whether or not it runs.
 func (h *holder) entitled(me uint8) bool {
-	return h.put != 0 && !h.given && h.number == h.session.Number() && h.clock < h.session.Until() && h.view[0] == place{me, h.put}
+	return h.put != 0 && !h.given && h.number == h.session.Generation() && h.clock < h.session.ValidUntil() && h.view[0] == place{me, h.put}
 }
 
 // next lists what may happen.
@@ -200,10 +200,10 @@
 		if h.asked.kind == none && h.session.ID() < 3 {
 			x := *w
 			y := &x.h[i]
-			if ask, _ := y.session.Next(y.clock); ask != lease.AskNothing {
+			if ask, _ := y.session.Next(y.clock); ask != lease.NoRequest {
 				y.try++
 				m := message{kind: grant, try: y.try}
-				if ask == lease.AskRenew {
+				if ask == lease.RenewRequest {
 					m = message{kind: renew, try: y.try, lease: uint8(y.session.ID())}
 				}
 				y.asked = m
@@ -215,7 +215,7 @@
 		if h.asked.kind != none {
 			x := *w
 			x.h[i].asked = message{}
-			x.h[i].session.Answered(x.h[i].clock, lease.Unknown, 0)
+			x.h[i].session.HandleResponse(x.h[i].clock, lease.Unknown, 0)
 			add(x, "%s waits no more for an answer", name)
 		}
 		for k, m := range h.out {
@@ -247,19 +247,19 @@
 					out = lease.Gone
 				}
 				y.asked = message{}
-				y.session.Answered(y.clock, out, uint64(h.back.lease))
+				y.session.HandleResponse(y.clock, out, uint64(h.back.lease))
 			}
 			add(x, "%s hears %+v", name, h.back)
 		}
-		if h.put == 0 && h.session.ID() != 0 && h.clock < h.session.Until() {
+		if h.put == 0 && h.session.ID() != 0 && h.clock < h.session.ValidUntil() {
 			x := *w
 			y := &x.h[i]
-			y.put, y.number, y.given = uint8(y.session.ID()), y.session.Number(), false
+			y.put, y.number, y.given = uint8(y.session.ID()), y.session.Generation(), false
 			if y.post(message{kind: put, lease: y.put}) {
 				add(x, "%s asks for a place", name)
 			}
 		}
-		if h.put != 0 && h.number != h.session.Number() {
+		if h.put != 0 && h.number != h.session.Generation() {
 			x := *w
 			x.h[i].put = 0
 			add(x, "%s finds its session gone", name)
--- a/internal/lab/limitlab/judge.go
+++ b/internal/lab/limitlab/judge.go
@@ -17,7 +17,7 @@
 // hears a little later.
 type Judge struct {
 	begun time.Time
-	conf  *quota.Conf
+	conf  *quota.Config
 	match *quota.Matcher
 	skew  float64
 	late  time.Duration
@@ -64,7 +64,7 @@
 	broken string
 }
 
-func newJudge(conf *quota.Conf, hosts int) *Judge {
+func newJudge(conf *quota.Config, hosts int) *Judge {
 	j := &Judge{begun: time.Now(), conf: conf, match: quota.NewMatcher(conf), skew: 0.02, late: lateMost, hosts: hosts, rows: map[string]*row{}, seen: map[string]*request{}}
 	for _, l := range conf.Limits {
 		for i := range l.Nodes {
@@ -195,7 +195,7 @@
 				n++
 			}
 		}
-		bound := float64(r.l.Nodes[r.node].Most) / float64(quota.One)
+		bound := float64(r.l.Nodes[r.node].Most) / float64(quota.AmountUnit)
 		r.most = max(r.most, float64(n))
 		r.near = max(r.near, float64(n)/bound)
 		if float64(n) > bound && r.broken == "" {
--- a/internal/lab/limitlab/limitlab.go
+++ b/internal/lab/limitlab/limitlab.go
@@ -165,7 +165,7 @@
 	if err != nil {
 		return nil, err
 	}
-	conf.After(&quota.Conf{})
+	conf.After(&quota.Config{})
 	x := &run{Torture: t, judge: newJudge(conf, t.Replicas+t.Follow)}
 	x.fleet, err = fleetlab.Begin(ctx, fleetlab.Config{Program: t.Program, Args: []string{"run", "--config"}, Env: t.Env, Dir: dir, Replicas: t.Replicas,
 		Follow: t.Follow, Servers: 4, Seed: t.Seed, Handle: x.judge, More: fmt.Sprintf("[limits]\nlease = %q\ntell = \"50ms\"\neach = \"2ms\"\n", TTL)})
@@ -239,7 +239,7 @@
 }
 
 // put puts the limits in force, and waits until every daemon goes by them.
-func (x *run) put(ctx context.Context, conf *quota.Conf) error {
+func (x *run) put(ctx context.Context, conf *quota.Config) error {
 	wait, cancel := context.WithTimeout(ctx, time.Minute)
 	defer cancel()
 	if _, err := x.fleet.Daemons[0].Client.PutLimits(wait, conf); err != nil {
@@ -288,7 +288,7 @@
 		case <-time.After(wait):
 		}
 		_, after := x.judge.counts("orders")
-		r.Use = float64(after-before) / time.Since(begun).Seconds() / (float64(x.judge.conf.Find("orders").Nodes[0].Most) / float64(quota.One))
+		r.Use = float64(after-before) / time.Since(begun).Seconds() / (float64(x.judge.conf.Find("orders").Nodes[0].Most) / float64(quota.AmountUnit))
 	}
 	return nil
 }
--- a/internal/lab/limitsim/limitsim.go
+++ b/internal/lab/limitsim/limitsim.go
@@ -32,8 +32,8 @@
 
 // Plant is a fault that is put in.
 type Plant struct {
-	Limit   quota.Plant
-	Session lease.Plant
+	Limit   quota.Defect
+	Session lease.Defect
 }
 
 // Result is what came of it.
@@ -79,7 +79,7 @@
 	fast      float64 // the fastest clock, by true time
 	timers    map[uint64]int64
 	away      bool
-	conf      *quota.Conf
+	conf      *quota.Config
 	match     *quota.Matcher
 	nodes     []*proc
 	judges    map[string]*judge
@@ -123,7 +123,7 @@
 	limits := store.DefaultLimits
 	limits.Events = max(4096, 64*o.Sidecars)
 	w.state = store.New(7, limits)
-	w.state.Apply(1, &store.Command{Raise: &store.Raise{Level: store.Level}})
+	w.state.Apply(1, &store.Command{Raise: &store.RaiseLevel{Level: store.Level}})
 	w.index = 1
 	w.begin()
 	end := second + int64(o.Faults)*int64(o.Gap)*milli
@@ -152,7 +152,7 @@
 // sum says of what use the rate limit is, and what limits cost the store, of the time before.
 func (w *world) sum() {
 	seconds := float64(calmFor/2) / float64(second)
-	w.r.Use = float64(w.got) / max(1, min(float64(w.want), seconds*float64(w.conf.Limits[0].Nodes[0].Most)/float64(quota.One)))
+	w.r.Use = float64(w.got) / max(1, min(float64(w.want), seconds*float64(w.conf.Limits[0].Nodes[0].Most)/float64(quota.AmountUnit)))
 	w.r.EntriesS, w.r.BytesS = float64(w.r.Entries)/seconds, float64(w.r.Bytes)/seconds
 }
 
@@ -166,8 +166,8 @@
 // begin makes limits whose amounts grow with the fleet, and its processes.
 func (w *world) begin() {
 	n := int64(w.o.Sidecars)
-	a := func(of float64) quota.Amount { return quota.Amount(of * float64(n) * float64(quota.One)) }
-	w.conf = &quota.Conf{Version: 1, Limits: []*quota.Limit{
+	a := func(of float64) quota.Amount { return quota.Amount(of * float64(n) * float64(quota.AmountUnit)) }
+	w.conf = &quota.Config{Version: 1, Limits: []*quota.Limit{
 		{Name: "rate", Gen: 1, Kind: quota.Rate, Of: quota.Requests, Span: 100e6, Without: quota.Strict, Paths: []string{"/rate"}, By: []string{"header:org", "header:agency"},
 			Nodes: []quota.Node{{Most: a(60), Weight: 1}, {Path: "a", Most: a(30), Least: a(12), Weight: 2}, {Path: "b", Most: a(36), Weight: 1},
 				{Path: "a/x", Parent: 1, Most: a(16), Least: a(3), Weight: 1}}},
@@ -247,7 +247,7 @@
 	w.r.BusyMs = -1
 	var look func()
 	look = func() {
-		for _, s := range p.holder.Shares(p.now()) {
+		for _, s := range p.holder.Quotas(p.now()) {
 			if s.Key == l.Key(0) && s.Amount >= l.Nodes[0].Most*4/5 {
 				w.r.BusyMs = (w.q.Now() - begun) / milli
 				return
@@ -287,7 +287,7 @@
 	}
 	for _, l := range w.state.Leases() {
 		if w.leaderNow()-w.timers[l.ID] > int64(l.TTL)*milli {
-			w.apply(&store.Command{End: &store.End{Lease: l.ID, Silent: true, Renewed: l.Renewed}})
+			w.apply(&store.Command{End: &store.RevokeLease{Lease: l.ID, Silent: true, Renewed: l.Renewed}})
 			delete(w.timers, l.ID)
 		}
 	}
@@ -373,7 +373,7 @@
 }
 
 func newJudge(l *quota.Limit, node int, fast float64) *judge {
-	of := float64(l.Nodes[node].Most) / float64(quota.One)
+	of := float64(l.Nodes[node].Most) / float64(quota.AmountUnit)
 	j := &judge{l: l, node: node, most: of, burst: of * float64(l.Span) / 1e9, rate: of * fast}
 	j.level = j.burst
 	return j
@@ -442,7 +442,7 @@
 
 // come is a request that servers see.
 func (w *world) come(p *proc, c quota.Charge) {
-	of := float64(c.Amount) / float64(quota.One)
+	of := float64(c.Amount) / float64(quota.AmountUnit)
 	w.r.Let++
 	for at := c.Node; ; at = c.Limit.Nodes[at].Parent {
 		j := w.judges[c.Limit.Key(at)]
@@ -463,7 +463,7 @@
 
 func (w *world) gone(c quota.Charge) {
 	for at := c.Node; ; at = c.Limit.Nodes[at].Parent {
-		w.judges[c.Limit.Key(at)].held -= float64(c.Amount) / float64(quota.One)
+		w.judges[c.Limit.Key(at)].held -= float64(c.Amount) / float64(quota.AmountUnit)
 		if at == 0 {
 			return
 		}
--- a/internal/lab/limitsim/proc.go
+++ b/internal/lab/limitsim/proc.go
@@ -22,8 +22,8 @@
 	deaf    int64 // until when what it is sent is lost
 	session *lease.Session
 	table   *lease.Table
-	holder  *quota.Holder
-	divider *quota.Divider
+	holder  *quota.Consumer
+	divider *quota.Allocator
 	seen    uint64 // revision of its copy
 	seq     uint64
 	telling bool
@@ -43,7 +43,7 @@
 func (w *world) processes() int {
 	if at := w.state.Revision(); w.countedAt != at {
 		w.countedAt, w.counted = at, 0
-		w.state.Range(quota.NeedPrefix, store.PrefixEnd(quota.NeedPrefix), func(store.Item) bool { w.counted++; return true })
+		w.state.Range(quota.DemandPrefix, store.PrefixEnd(quota.DemandPrefix), func(store.Item) bool { w.counted++; return true })
 	}
 	return w.counted
 }
@@ -56,11 +56,11 @@
 	}
 	p.pace, p.origin, p.stopped = 1/w.fast+(w.fast-1/w.fast)*w.rng.Float64(), w.q.Now()-w.rng.Int64N(3600*second), 0
 	p.session = lease.NewSession(lease.Rules{TTL: ttl * 1e6, Skew: skew, Margin: 2e6}, w.o.Plant.Session)
-	p.table = lease.NewTable(lease.TableNone)
+	p.table = lease.NewTable(lease.NoTableDefect)
 	rules := quota.Rules{Skew: skew, Tell: 50e6, Each: 2e6}
-	p.holder, p.divider = quota.NewHolder(rules, w.o.Plant.Limit), quota.NewDivider(rules, w.o.Plant.Limit)
-	p.holder.SetConf(p.now(), w.conf)
-	p.divider.SetConf(w.conf)
+	p.holder, p.divider = quota.NewConsumer(rules, w.o.Plant.Limit), quota.NewAllocator(rules, w.o.Plant.Limit)
+	p.holder.SetConfig(p.now(), w.conf)
+	p.divider.SetConfig(w.conf)
 	p.seen, p.telling, p.place, p.putAt, p.divides, p.busy = 0, false, "", 0, false, false
 	p.step(0, p.renew)
 	p.step(0, p.copy)
@@ -151,27 +151,27 @@
 func (p *proc) renew() {
 	ask, due := p.session.Next(p.now())
 	switch ask {
-	case lease.AskNothing:
+	case lease.NoRequest:
 		p.step(max(milli, int64(float64(due-p.now())/p.pace/1000)), p.renew)
 		return
-	case lease.AskGrant:
-		p.send(store.Command{Grant: &store.Grant{TTL: ttl, Owner: p.name}}, p.renewed)
-	case lease.AskRenew:
-		p.send(store.Command{Renew: &store.Renew{Lease: p.session.ID(), Owner: p.name}}, p.renewed)
+	case lease.GrantRequest:
+		p.send(store.Command{Grant: &store.GrantLease{TTL: ttl, Owner: p.name}}, p.renewed)
+	case lease.RenewRequest:
+		p.send(store.Command{Renew: &store.RenewLease{Lease: p.session.ID(), Owner: p.name}}, p.renewed)
 	}
 }
 
 func (p *proc) renewed(r store.Result, err error) {
 	o := lease.Done
 	switch {
-	case errors.Is(err, store.ErrNoLease):
+	case errors.Is(err, store.ErrLeaseNotFound):
 		o = lease.Gone
 		p.w.r.Lost++
 	case err != nil:
 		o = lease.Unknown
 	}
-	p.session.Answered(p.now(), o, r.Lease)
-	p.holder.Session(p.now(), p.session.ID(), p.session.Until())
+	p.session.HandleResponse(p.now(), o, r.Lease)
+	p.holder.Session(p.now(), p.session.ID(), p.session.ValidUntil())
 	p.step(0, p.renew)
 }
 
@@ -203,7 +203,7 @@
 			}
 		}
 		p.seen = w.state.Revision()
-		p.holder.Others(w.processes())
+		p.holder.SetProcessCount(w.processes())
 	}
 	long := 2*milli + w.rng.Int64N(15*milli)
 	if !w.clean && w.rng.IntN(50) == 0 {
@@ -225,16 +225,16 @@
 // tell says what the process wants and has seen.
 func (p *proc) tell() {
 	defer p.step(10*milli, p.tell)
-	n, due, _ := p.holder.Need(p.now())
-	if !due || p.telling || p.session.ID() == 0 || p.now() >= p.session.Until() {
+	n, due, _ := p.holder.Demand(p.now())
+	if !due || p.telling || p.session.ID() == 0 || p.now() >= p.session.ValidUntil() {
 		return
 	}
 	p.telling = true
-	p.holder.Told(p.now(), n)
+	p.holder.ReportSent(p.now(), n)
 	me := p.me()
-	p.send(store.Command{Txn: &store.Txn{Owner: p.name, Then: []store.Op{{Key: me.NeedKey(), Value: quota.Encode(n), Lease: me.Session}}}}, func(_ store.Result, err error) {
+	p.send(store.Command{Txn: &store.Txn{Owner: p.name, Then: []store.Op{{Key: me.DemandKey(), Value: quota.Encode(n), Lease: me.Session}}}}, func(_ store.Result, err error) {
 		if p.telling = false; err != nil {
-			p.holder.Untold()
+			p.holder.ReportFailed()
 		}
 	})
 }
@@ -246,8 +246,8 @@
 	if p.number >= replicas { // the others have no part in it
 		return
 	}
-	live := p.session.ID() != 0 && p.now() < p.session.Until()
-	if p.place != "" && p.placeOf != p.session.Number() {
+	live := p.session.ID() != 0 && p.now() < p.session.ValidUntil()
+	if p.place != "" && p.placeOf != p.session.Generation() {
 		p.place = ""
 	}
 	if !live {
@@ -258,7 +258,7 @@
 	if !there && w.q.Now() > p.putAt { // the answer was lost, or what was to be answered: the same place is put again
 		if p.place == "" {
 			p.seq++
-			p.place, p.placeOf = lease.PlaceKey(divideTask, p.name, fmt.Sprintf("%d.%d", p.boot, p.seq)), p.session.Number()
+			p.place, p.placeOf = lease.QueueEntryKey(divideTask, p.name, fmt.Sprintf("%d.%d", p.boot, p.seq)), p.session.Generation()
 		}
 		p.putAt = w.q.Now() + ttl*milli/2
 		id := p.session.ID()
@@ -273,7 +273,7 @@
 	if p.divides = holds; !holds || p.busy {
 		return
 	}
-	v := p.divider.Divide(p.now())
+	v := p.divider.Allocate(p.now())
 	if v == nil {
 		return
 	}
@@ -330,7 +330,7 @@
 		return agency
 	}
 	charges := w.match.Match(nil, &r)
-	t, no := p.holder.Take(p.now(), charges, 1)
+	t, no := p.holder.Reserve(p.now(), charges, 1)
 	if r.Path == "/rate" {
 		if w.want++; no == nil {
 			w.got++
@@ -343,7 +343,7 @@
 		return false
 	}
 	if w.rng.IntN(40) == 0 { // it never runs, which is known a while later
-		p.step(w.rng.Int64N(30*milli), func() { p.holder.Back(p.now(), t) })
+		p.step(w.rng.Int64N(30*milli), func() { p.holder.Cancel(p.now(), t) })
 		return true
 	}
 	for _, c := range charges {
@@ -354,10 +354,10 @@
 		if c.Limit.Kind == quota.AtOnce {
 			long := c.Limit.Span / 1000 * int64(40+w.rng.IntN(60)) / 100
 			w.q.After(long, func() { w.gone(c) }) // at the server, whatever becomes of the process
-			p.step(long, func() { p.holder.Done(p.now(), t) })
+			p.step(long, func() { p.holder.Complete(p.now(), t) })
 			return true
 		}
 	}
-	p.holder.Done(p.now(), t)
+	p.holder.Complete(p.now(), t)
 	return true
 }
--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -329,7 +329,7 @@
 	if err := d.Start(); err != nil {
 		return "", at, nil, err
 	}
-	if err := change(admin.Request{Add: &store.Join{Name: d.Name(), Address: d.Peer()}}); err != nil {
+	if err := change(admin.Request{Add: &store.AddMember{Name: d.Name(), Address: d.Peer()}}); err != nil {
 		return "", at, nil, err
 	}
 	for ctx.Err() == nil {
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -98,7 +98,7 @@
 
 // Plant is what builds for tests do wrong in hollow sidecars; no other sets it.
 type Plant struct {
-	controlplane.Plant
+	controlplane.Defects
 	Twice bool // each has a second session
 	All   bool // each puts its picture once more for each daemon that there is
 	Told  bool // each is told of all pictures
@@ -289,7 +289,7 @@
 	name string
 
 	mu       sync.Mutex
-	parts    *controlplane.Parts // nil while it does not run
+	parts    *controlplane.Components // nil while it does not run
 	presence *leasetask.Presence
 	cancel   context.CancelFunc
 	working  sync.WaitGroup
@@ -345,7 +345,7 @@
 		return err
 	}
 	log := h.c.log.With("sidecar", h.name)
-	p, err := controlplane.Open(controlplane.Config{File: f, Sidecar: h.name, Check: read, Log: log, Plant: h.c.plant.Plant})
+	p, err := controlplane.Open(controlplane.Config{File: f, Sidecar: h.name, Check: read, Log: log, Plant: h.c.plant.Defects})
 	if err != nil {
 		return err
 	}
@@ -371,12 +371,12 @@
 	if h.c.plant.Told {
 		p.Servers.Sweeps(ctx)
 	}
-	p.Servers.Bind(func(context.Context, discovery.Process, bool) error { heard(); return nil })
-	p.Servers.Warm(func(context.Context, core.Start) error { heard(); return nil })
-	p.Servers.Begin(func(context.Context, string, bool) error { heard(); return nil })
+	p.Servers.OnDrain(func(context.Context, discovery.Process, bool) error { heard(); return nil })
+	p.Servers.OnStart(func(context.Context, core.Start) error { heard(); return nil })
+	p.Servers.Subscribe(func(context.Context, string, bool) error { heard(); return nil })
 	w := discovery.NewWatcher(h.Discovery, discovery.Unlisted, 192, h.told, log)
 	h.working.Go(func() { w.Keep(ctx) })
-	h.working.Go(func() { p.Servers.Keep(ctx, h.name, "", h.picture, func() bool { return false }) })
+	h.working.Go(func() { p.Servers.SaveSnapshots(ctx, h.name, "", h.picture, func() bool { return false }) })
 	h.working.Go(func() { h.settings(ctx, p, read) })
 	if p.Limits != nil {
 		h.working.Go(func() { h.ask(ctx, p) })
@@ -438,10 +438,10 @@
 		p := discovery.Process{ID: in.ID, Addr: in.Addr, StartedMs: in.StartedMs}
 		drains := in.Lifecycle == "draining"
 		if drains && was.Lifecycle != "draining" || known && was.Lifecycle == "draining" && !drains && was.StartedMs == in.StartedMs {
-			h.parts.Servers.Heard(p, drains)
+			h.parts.Servers.Observe(p, drains)
 		}
 		if ago := time.Since(time.UnixMilli(in.StartedMs)); known && was.StartedMs < in.StartedMs && !drains && ago < coldFor {
-			h.parts.Servers.Began(p, max(0, ago), coldFor)
+			h.parts.Servers.ReportStart(p, max(0, ago), coldFor)
 		}
 	}
 }
@@ -455,7 +455,7 @@
 	if err != nil || !h.c.plant.All || p == nil {
 		return known, err
 	}
-	daemons, places := 0, lease.PlacePrefix+daemon.FleetTask+"/" // each has one
+	daemons, places := 0, lease.QueuePrefix+daemon.FleetTask+"/" // each has one
 	if _, err := p.Store.View(ctx, true, func(s *store.State) {
 		s.Range(places, store.PrefixEnd(places), func(store.Item) bool { daemons++; return true })
 	}); err != nil {
@@ -468,7 +468,7 @@
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			if _, err := p.Store.Do(ctx, store.Command{Txn: serverstate.Picture{By: h.name, Known: known}.Put(serverstate.PictureKey(h.name, ""))}); err != nil {
+			if _, err := p.Store.Do(ctx, store.Command{Txn: serverstate.ModuleSnapshot{By: h.name, Known: known}.Put(serverstate.SnapshotKey(h.name, ""))}); err != nil {
 				h.c.log.Error("a picture that is planted is not put", "sidecar", h.name, "error", err)
 			}
 		})
@@ -484,7 +484,7 @@
 	}
 	micros := func(most int64) balancer.Micros { return balancer.Micros(h.rng.Int64N(most)) }
 	meter := func() balancer.MeterState { return balancer.MeterState{Sum: 100 * h.rng.Float64(), Age: micros(1e6)} }
-	k := &snapshot.Kept{Sidecar: h.name, Clock: snapshot.Now(), State: &balancer.Snapshot{At: micros(1e9), Random: h.rng.Uint64(), Listed: true, Subscribed: true,
+	k := &snapshot.Saved{Sidecar: h.name, Clock: snapshot.Now(), State: &balancer.Snapshot{At: micros(1e9), Random: h.rng.Uint64(), Listed: true, Subscribed: true,
 		Strong: h.rng.Float64(), Warm: h.rng.Float64(), Credit: h.rng.Float64(), Watched: h.rng.Float64(), Fleet: mean(2000), Work: mean(1000), Refused: mean(0.01),
 		Lag: mean(500), Usual: mean(2000), Service: mean(1), Demand: meter(), SentWork: meter(), Salt: h.rng.Uint64(),
 		Class: []balancer.ClassState{{Name: "look", Live: true, Worth: 1, Work: mean(1000), Asked: meter(), Good: mean(1)}}}}
@@ -523,7 +523,7 @@
 }
 
 // settings goes over to those of the fleet, as a sidecar does that is told of them.
-func (h *hollow) settings(ctx context.Context, p *controlplane.Parts, read func(json.RawMessage) error) {
+func (h *hollow) settings(ctx context.Context, p *controlplane.Components, read func(json.RawMessage) error) {
 	for first := true; ; first = false {
 		if !first {
 			select {
@@ -552,7 +552,7 @@
 }
 
 // ask is the demand for limits: it moves by the seed every half minute.
-func (h *hollow) ask(ctx context.Context, p *controlplane.Parts) {
+func (h *hollow) ask(ctx context.Context, p *controlplane.Components) {
 	rng := rand.New(rand.NewPCG(h.Seed, 2))
 	none := func(string) string { return "" }
 	for next := asking(rng); ; {
--- a/internal/lab/storesim/actors.go
+++ b/internal/lab/storesim/actors.go
@@ -14,13 +14,13 @@
 )
 
 // known says whether an answer tells what became of a request. If not, it is sent again with the same id.
-func known(d replica.Done) bool { return d.Err == nil }
+func known(d replica.Completion) bool { return d.Err == nil }
 
 // persist sends a command until its outcome is known.
-func (w *world) persist(c store.Command, f func(replica.Done)) { w.send(c, false, f) }
+func (w *world) persist(c store.Command, f func(replica.Completion)) { w.send(c, false, f) }
 
 // send does that; sent says that an earlier try may have been done.
-func (w *world) send(c store.Command, sent bool, f func(replica.Done)) {
+func (w *world) send(c store.Command, sent bool, f func(replica.Completion)) {
 	h := w.up()
 	if h == nil {
 		w.q.After(50*milli, func() { w.send(c, sent, f) })
@@ -29,15 +29,15 @@
 	if c.Since == 0 {
 		c.Since = max(1, h.index)
 	}
-	h.propose(c, func(d replica.Done) {
+	h.propose(c, func(d replica.Completion) {
 		switch {
 		case !known(d):
-			unknown := errors.Is(d.Err, replica.ErrUnknown)
+			unknown := errors.Is(d.Err, replica.ErrOutcomeUnknown)
 			if unknown {
 				w.r.Unknown++
 			}
 			w.q.After(w.rng.Int64N(60*milli), func() { w.send(c, sent || unknown, f) })
-		case !sent && errors.Is(d.Result.Err, store.ErrForgotten): // its beginning was told by a copy that is far behind
+		case !sent && errors.Is(d.Result.Err, store.ErrRequestExpired): // its beginning was told by a copy that is far behind
 			c.Since = 0
 			w.q.After(w.rng.Int64N(60*milli), func() { w.send(c, false, f) })
 		default:
@@ -106,7 +106,7 @@
 		again()
 		return
 	}
-	h.read(func(d replica.Done) {
+	h.read(func(d replica.Completion) {
 		if d.Err != nil || h.node == nil {
 			again()
 			return
@@ -122,7 +122,7 @@
 	if in.kind == 'c' {
 		t.If = []store.Compare{{Key: in.key, Modified: in.expect}}
 	}
-	c.w.persist(store.Command{ID: store.RequestID{Client: c.id, Seq: c.seq}, Txn: t}, func(d replica.Done) {
+	c.w.persist(store.Command{ID: store.RequestID{Client: c.id, Seq: c.seq}, Txn: t}, func(d replica.Completion) {
 		if d.Result.Err != nil {
 			c.w.broken("refused", "%v", d.Result.Err)
 		}
@@ -210,7 +210,7 @@
 
 const ttl = 400 // milliseconds
 
-func (l *leaseUser) send(c store.Command, f func(replica.Done)) {
+func (l *leaseUser) send(c store.Command, f func(replica.Completion)) {
 	h := l.w.up()
 	if h == nil {
 		l.w.q.After(50*milli, func() { l.send(c, f) })
@@ -225,14 +225,14 @@
 	if l.w.clean {
 		return
 	}
-	l.send(store.Command{Grant: &store.Grant{TTL: ttl}}, func(d replica.Done) {
+	l.send(store.Command{Grant: &store.GrantLease{TTL: ttl}}, func(d replica.Completion) {
 		if d.Err != nil || d.Result.Err != nil {
 			l.w.q.After(100*milli, l.begin)
 			return
 		}
 		l.lease, l.key = d.Result.Lease, fmt.Sprintf("lease/%d/%d", l.id, d.Result.Lease)
 		put := store.Op{Key: l.key, Value: []byte("held"), Lease: l.lease}
-		l.send(store.Command{Txn: &store.Txn{Then: []store.Op{put}}}, func(replica.Done) { l.renew() })
+		l.send(store.Command{Txn: &store.Txn{Then: []store.Op{put}}}, func(replica.Completion) { l.renew() })
 	})
 }
 
@@ -241,7 +241,7 @@
 		return
 	}
 	at := l.w.q.Now()
-	l.send(store.Command{Renew: &store.Renew{Lease: l.lease}}, func(d replica.Done) {
+	l.send(store.Command{Renew: &store.RenewLease{Lease: l.lease}}, func(d replica.Completion) {
 		if d.Err == nil && d.Result.Err != nil {
 			l.w.q.After(100*milli, l.begin)
 			return
@@ -304,7 +304,7 @@
 	}
 	if t, err := h.guard.Return(serverstate.Drain, server); err == nil {
 		u.seq++
-		h.propose(store.Command{ID: store.RequestID{Client: u.id, Seq: u.seq}, Txn: t}, func(replica.Done) {})
+		h.propose(store.Command{ID: store.RequestID{Client: u.id, Seq: u.seq}, Txn: t}, func(replica.Completion) {})
 		h.look()
 	}
 }
@@ -321,7 +321,7 @@
 func (u *outs) write(h *host, op store.Op) {
 	u.seq++
 	boot := h.boot
-	h.propose(store.Command{ID: store.RequestID{Client: u.id, Seq: u.seq}, Txn: &store.Txn{Then: []store.Op{op}}}, func(d replica.Done) {
+	h.propose(store.Command{ID: store.RequestID{Client: u.id, Seq: u.seq}, Txn: &store.Txn{Then: []store.Op{op}}}, func(d replica.Completion) {
 		if h.boot != boot {
 			return
 		}
--- a/internal/lab/storesim/disk.go
+++ b/internal/lab/storesim/disk.go
@@ -16,7 +16,7 @@
 // disk holds what outlives a process. A write is whole or not at all; one in which the process dies may be either.
 type disk struct {
 	rng   *rand.Rand
-	saved replica.Saved
+	saved replica.DiskContents
 	data  []byte // of the snapshot
 
 	dieIn   int  // the process dies in the write after so many, if above 0
@@ -31,7 +31,7 @@
 )
 
 func newDisk(rng *rand.Rand) *disk {
-	return &disk{rng: rng, saved: replica.Saved{Identity: replica.Identity{Disk: rng.Uint64() | 1}}}
+	return &disk{rng: rng, saved: replica.DiskContents{Identity: replica.Identity{Disk: rng.Uint64() | 1}}}
 }
 
 // begin counts a start, as the disk of a real replica does when it is opened.
@@ -76,7 +76,7 @@
 	return nil
 }
 
-func (d *disk) Load() (replica.Saved, error) {
+func (d *disk) Load() (replica.DiskContents, error) {
 	s := d.saved
 	s.Entries = make([]*raftpb.Entry, len(d.saved.Entries))
 	for i, e := range d.saved.Entries {
--- a/internal/lab/storesim/failed.go
+++ b/internal/lab/storesim/failed.go
@@ -88,12 +88,12 @@
 	case 2:
 		within = 1 // its vote for itself
 		fail()
-		lead.node.HandOver()
+		lead.node.TransferLeadership()
 		lead.drive()
 	case 3:
 		f.victim = lead
 		fail()
-		lead.node.HandOver()
+		lead.node.TransferLeadership()
 		lead.drive()
 	case 4:
 		within = 1 // its vote for another, or for itself
@@ -133,7 +133,7 @@
 		if f.over || h.boot != f.boots[h] {
 			return
 		}
-		h.propose(c, func(d replica.Done) {
+		h.propose(c, func(d replica.Completion) {
 			if f.over || h.boot != f.boots[h] {
 				return
 			}
--- a/internal/lab/storesim/faults.go
+++ b/internal/lab/storesim/faults.go
@@ -65,7 +65,7 @@
 	case 10:
 		h.pace = 0.9 + 0.2*w.rng.Float64()
 		if h.node != nil {
-			h.node.HandOver()
+			h.node.TransferLeadership()
 			h.drive()
 		}
 	case 11:
@@ -164,7 +164,7 @@
 // order has operators give a command until it is done; f gets its outcome.
 func (w *world) order(seq uint64, c store.Command, f func(store.Result)) {
 	c.ID = store.RequestID{Client: operator, Seq: seq}
-	w.persist(c, func(d replica.Done) { f(d.Result) })
+	w.persist(c, func(d replica.Completion) { f(d.Result) })
 }
 
 // join has a new host become a member.
@@ -172,7 +172,7 @@
 	h := w.addHost()
 	h.joining = true
 	name := fmt.Sprintf("r%d", h.number)
-	w.order(uint64(h.number)*10+1, store.Command{Join: &store.Join{Name: name, Address: name}}, func(r store.Result) {
+	w.order(uint64(h.number)*10+1, store.Command{Join: &store.AddMember{Name: name, Address: name}}, func(r store.Result) {
 		if r.Err != nil {
 			h.retired, h.joining = true, false
 			return
@@ -189,8 +189,8 @@
 	h := w.addHost()
 	h.joining = true
 	name := fmt.Sprintf("r%d", h.number)
-	w.order(uint64(h.number)*10+1, store.Command{Join: &store.Join{Name: name, Address: name}}, func(r store.Result) {
-		w.order(uint64(h.number)*10+2, store.Command{Leave: &store.Leave{Member: r.Member}}, func(store.Result) {
+	w.order(uint64(h.number)*10+1, store.Command{Join: &store.AddMember{Name: name, Address: name}}, func(r store.Result) {
+		w.order(uint64(h.number)*10+2, store.Command{Leave: &store.RemoveMember{Member: r.Member}}, func(store.Result) {
 			h.joining, h.retired = false, true
 		})
 	})
@@ -199,7 +199,7 @@
 // leave has a host's member removed.
 func (w *world) leave(h *host) {
 	h.joining = true
-	w.order(uint64(h.number)*10+2, store.Command{Leave: &store.Leave{Member: h.disk.saved.Identity.Member}}, func(r store.Result) {
+	w.order(uint64(h.number)*10+2, store.Command{Leave: &store.RemoveMember{Member: h.disk.saved.Identity.Member}}, func(r store.Result) {
 		h.joining = false
 		if r.Err != nil {
 			return
@@ -244,7 +244,7 @@
 		}
 		h.acted = map[string]bool{} // what that disk had shown went with it
 		h.start()
-		w.order(uint64(h.number)*10+3, store.Command{Leave: &store.Leave{Member: member}}, func(r store.Result) {
+		w.order(uint64(h.number)*10+3, store.Command{Leave: &store.RemoveMember{Member: member}}, func(r store.Result) {
 			h.joining, h.retired = false, true
 			if h.node != nil {
 				h.crash()
@@ -293,7 +293,7 @@
 // Faults are those that can be planted, by name.
 var Faults = []struct {
 	Name  string
-	Fault replica.Planted
+	Fault replica.Defects
 	Watch Watch
 	About string
 }{
--- a/internal/lab/storesim/holders.go
+++ b/internal/lab/storesim/holders.go
@@ -21,9 +21,9 @@
 
 // HolderPlant is a fault of holders, or of what they act upon, that is put in so that a run shows that it is found.
 type HolderPlant struct {
-	Session lease.Plant
-	Table   lease.TablePlant
-	Fence   lease.FencePlant
+	Session lease.Defect
+	Table   lease.TableDefect
+	Fence   lease.FenceDefect
 	Own     OwnPlant
 }
 
@@ -56,7 +56,7 @@
 	kept  map[string]uint64 // the highest token that took effect where they are checked, by task
 	loose map[string]uint64 // and where they are not
 	last  map[string]int64  // when something did, by task
-	plant lease.FencePlant
+	plant lease.FenceDefect
 }
 
 // daemonSim is one holder's process.
@@ -174,18 +174,18 @@
 func (w *world) holdersOver() bool { return w.clean && w.q.Now()-w.s.healed > 5*second/2 }
 
 // send proposes a command through any host that runs; the answer may be lost, and come late.
-func (d *daemonSim) send(c store.Command, f func(replica.Done)) {
+func (d *daemonSim) send(c store.Command, f func(replica.Completion)) {
 	w := d.w
 	d.seq++
 	c.ID = store.RequestID{Client: 1<<32 + uint64(d.number)<<16 + uint64(d.boot), Seq: d.seq}
 	answered := false
-	answer := func(x replica.Done) {
+	answer := func(x replica.Completion) {
 		if !answered {
 			answered = true
 			f(x)
 		}
 	}
-	d.step(d.w.holdTTL()/2, func() { answer(replica.Done{Err: replica.ErrUnknown}) })
+	d.step(d.w.holdTTL()/2, func() { answer(replica.Completion{Err: replica.ErrOutcomeUnknown}) })
 	way := func() int64 {
 		if !w.clean && w.rng.IntN(8) == 0 {
 			return w.rng.Int64N(w.holdTTL())
@@ -199,7 +199,7 @@
 			return
 		}
 		c.Since = max(1, h.index)
-		h.propose(c, func(x replica.Done) {
+		h.propose(c, func(x replica.Completion) {
 			if !lost {
 				d.step(way(), func() { answer(x) })
 			}
@@ -212,28 +212,28 @@
 	ask, due := d.session.Next(d.now())
 	id := d.session.ID()
 	switch ask {
-	case lease.AskNothing:
+	case lease.NoRequest:
 		d.step(max(milli, int64(float64(due-d.now())/d.pace)), d.renew)
 		return
-	case lease.AskGrant:
-		d.send(store.Command{Grant: &store.Grant{TTL: uint64(d.w.holdTTL() / milli), Owner: d.name}}, d.renewed)
-	case lease.AskRenew:
-		d.send(store.Command{Renew: &store.Renew{Lease: id, Owner: d.name}}, d.renewed)
+	case lease.GrantRequest:
+		d.send(store.Command{Grant: &store.GrantLease{TTL: uint64(d.w.holdTTL() / milli), Owner: d.name}}, d.renewed)
+	case lease.RenewRequest:
+		d.send(store.Command{Renew: &store.RenewLease{Lease: id, Owner: d.name}}, d.renewed)
 	}
 }
 
-func (d *daemonSim) renewed(x replica.Done) {
+func (d *daemonSim) renewed(x replica.Completion) {
 	o := lease.Done
 	switch {
-	case x.Err == nil && errors.Is(x.Result.Err, store.ErrNoLease):
+	case x.Err == nil && errors.Is(x.Result.Err, store.ErrLeaseNotFound):
 		o = lease.Gone
 	case x.Err != nil || x.Result.Err != nil:
 		o = lease.Unknown
 	}
-	before := d.session.Number()
-	d.session.Answered(d.now(), o, x.Result.Lease)
-	if o == lease.Done && d.session.Number() == before && d.w.o.Holder.Own != NoSweep {
-		for _, p := range d.table.Of(d.name, d.session.ID()) {
+	before := d.session.Generation()
+	d.session.HandleResponse(d.now(), o, x.Result.Lease)
+	if o == lease.Done && d.session.Generation() == before && d.w.o.Holder.Own != NoSweep {
+		for _, p := range d.table.EntriesOf(d.name, d.session.ID()) {
 			used := false
 			for _, x := range d.wants {
 				used = used || x.key == p.Key
@@ -247,7 +247,7 @@
 }
 
 func (d *daemonSim) remove(key string) {
-	d.send(store.Command{Txn: &store.Txn{Owner: d.name, Then: []store.Op{{Key: key, Delete: true}}}}, func(replica.Done) {})
+	d.send(store.Command{Txn: &store.Txn{Owner: d.name, Then: []store.Op{{Key: key, Delete: true}}}}, func(replica.Completion) {})
 }
 
 // copy has the daemon see a host's state now and then, never one that is older than what it has.
@@ -271,11 +271,11 @@
 
 // entitled says whether the daemon holds itself entitled to a task at this instant of true time, stopped or not.
 func (d *daemonSim) entitled(x *wantSim) (token uint64, until int64, ok bool) {
-	if x.key == "" || x.given || x.number != d.session.Number() || d.now() >= d.session.Until() {
+	if x.key == "" || x.given || x.number != d.session.Generation() || d.now() >= d.session.ValidUntil() {
 		return 0, 0, false
 	}
 	token, ok = d.table.Holds(x.task, x.key)
-	return token, d.session.Until(), ok
+	return token, d.session.ValidUntil(), ok
 }
 
 // judge counts who is entitled.
@@ -307,11 +307,11 @@
 	for _, t := range holdTasks {
 		x := d.wants[t.name]
 		switch token, until, ok := d.entitled(x); {
-		case x.key != "" && x.number != d.session.Number() && x.acting == 0:
+		case x.key != "" && x.number != d.session.Generation() && x.acting == 0:
 			x.key, x.held, x.given = "", false, false
-		case x.key == "" && d.session.ID() != 0 && d.now() < d.session.Until():
+		case x.key == "" && d.session.ID() != 0 && d.now() < d.session.ValidUntil():
 			d.put(x)
-		case x.key != "" && !x.held && !ok && !x.given && x.number == d.session.Number() && d.session.ID() != 0:
+		case x.key != "" && !x.held && !ok && !x.given && x.number == d.session.Generation() && d.session.ID() != 0:
 			if _, _, there := d.table.Find(x.task, x.key); !there && w.rng.IntN(20) == 0 {
 				d.put(x) // the answer was lost: the same place is put again
 			}
@@ -330,12 +330,12 @@
 func (d *daemonSim) put(x *wantSim) {
 	if x.key == "" {
 		d.seq++
-		x.key, x.number, x.held, x.given = lease.PlaceKey(x.task, d.name, fmt.Sprintf("%d.%d", d.boot, d.seq)), d.session.Number(), false, false
+		x.key, x.number, x.held, x.given = lease.QueueEntryKey(x.task, d.name, fmt.Sprintf("%d.%d", d.boot, d.seq)), d.session.Generation(), false, false
 	}
 	id := d.session.ID()
 	conf := fmt.Sprintf(`{"slots":%d}`, x.slots)
 	d.send(store.Command{Txn: &store.Txn{Owner: d.name, If: []store.Compare{{Key: x.key}}, Then: []store.Op{
-		{Key: x.key, Value: fmt.Appendf(nil, `{"session":%d}`, id), Lease: id}, {Key: lease.ConfPrefix + x.task, Value: []byte(conf)}}}}, func(replica.Done) {})
+		{Key: x.key, Value: fmt.Appendf(nil, `{"session":%d}`, id), Lease: id}, {Key: lease.TaskConfigPrefix + x.task, Value: []byte(conf)}}}}, func(replica.Completion) {})
 }
 
 // act looks at its clock, and a while later its action takes effect.
@@ -364,7 +364,7 @@
 	}
 	key := x.key
 	if d.w.o.Holder.Own == ReleaseOther {
-		if all := d.table.Places(x.task); len(all) > 0 {
+		if all := d.table.Queue(x.task); len(all) > 0 {
 			key = all[d.w.rng.IntN(len(all))].Key
 		}
 	}
@@ -417,7 +417,7 @@
 var HolderFaults = []struct {
 	Name    string
 	Plant   HolderPlant
-	Replica replica.Planted
+	Replica replica.Defects
 	About   string
 }{
 	{"entitled-from-answer", HolderPlant{Session: lease.FromAnswer}, 0, "a holder counts its time from the answer's arrival"},
--- a/internal/lab/storesim/mixed.go
+++ b/internal/lab/storesim/mixed.go
@@ -80,8 +80,8 @@
 	b.seq++
 	key := fmt.Sprintf("b/%d", w.rng.IntN(9))
 	c := store.Command{ID: store.RequestID{Client: b.id, Seq: b.seq}, Txn: &store.Txn{Then: []store.Op{{Key: key, Delete: w.rng.IntN(4) == 0}},
-		Bounds: []store.Bound{{Prefix: "b/", Most: boundMost}}}}
-	h.propose(c, func(d replica.Done) {
+		Bounds: []store.KeyLimit{{Prefix: "b/", Most: boundMost}}}}
+	h.propose(c, func(d replica.Completion) {
 		switch {
 		case d.Err != nil || errors.Is(d.Result.Err, store.ErrLevel): // also where one copy alone does not know yet
 		case d.Result.Err == nil && w.r.Raised == 0:
--- a/internal/lab/storesim/storesim.go
+++ b/internal/lab/storesim/storesim.go
@@ -36,7 +36,7 @@
 	Ops      int // requests of each client; 60
 	Faults   int // that are caused, one after another; 24
 	Gap      int // milliseconds between two of them; 300
-	Planted  replica.Planted
+	Planted  replica.Defects
 	Watch    Watch // a fault of daemons
 	Holders  int   // daemons that hold tasks; none unless it is told
 	HoldTTL  int   // milliseconds of their sessions; 400
@@ -145,8 +145,8 @@
 	joining bool
 	guard   *serverstate.Guard
 	index   uint64
-	waits   map[replica.Token]func(replica.Done)
-	token   replica.Token
+	waits   map[replica.RequestToken]func(replica.Completion)
+	token   replica.RequestToken
 	mirror  map[string]uint64 // servers that are out, as the truth of what this process was told
 
 	watch      *watcher        // nil before the first start
@@ -207,7 +207,7 @@
 	begin := int64(w.o.Replicas) * 600 * milli
 	w.beginServers(begin)
 	first := w.addHost()
-	if err := replica.Found(first.disk, 7, "r0", "r0", store.Limits{Key: 64, Value: 256, Total: 1 << 20, Ops: 16, Events: max(200, 4*w.o.Holders),
+	if err := replica.Bootstrap(first.disk, 7, "r0", "r0", store.Limits{Key: 64, Value: 256, Total: 1 << 20, Ops: 16, Events: max(200, 4*w.o.Holders),
 		History: 1 << 16, Leases: 64 + 2*w.o.Holders, Results: 20000, Members: 7}); err != nil {
 		panic(err)
 	}
@@ -320,10 +320,10 @@
 	w := h.w
 	h.boot++
 	h.disk.begin()
-	h.waits, h.paused = map[replica.Token]func(replica.Done){}, false
+	h.waits, h.paused = map[replica.RequestToken]func(replica.Completion){}, false
 	n, err := replica.New(w.config(h), h.disk)
 	if err != nil {
-		if h.old && errors.Is(err, store.ErrUnknownOp) { // as it should: operators start the newer build
+		if h.old && errors.Is(err, store.ErrUnknownCommand) { // as it should: operators start the newer build
 			h.old = false
 			h.again()
 			return
@@ -340,7 +340,7 @@
 	h.beginWatch()
 	h.adopt()
 	if w.o.Watch != ForgetDisk {
-		n.Unsettled(func(c *store.Command) { h.guard.Unsettled(c) })
+		n.Uncommitted(func(c *store.Command) { h.guard.Unsettled(c) })
 	}
 	h.restarting = false
 	boot := h.boot
@@ -369,7 +369,7 @@
 	for s := range h.mirror {
 		delete(h.mirror, s)
 	}
-	h.node.State().Range(serverstate.Prefix, store.PrefixEnd(serverstate.Prefix), func(i store.Item) bool {
+	h.node.State().Range(serverstate.ExclusionPrefix, store.PrefixEnd(serverstate.ExclusionPrefix), func(i store.Item) bool {
 		h.mirror[i.Key] = i.Modified
 		return true
 	})
@@ -382,7 +382,7 @@
 	h.guard.Applied(e)
 	if e.Deleted {
 		delete(h.mirror, e.Item.Key)
-	} else if len(e.Item.Key) > 4 && e.Item.Key[:4] == serverstate.Prefix {
+	} else if len(e.Item.Key) > 4 && e.Item.Key[:4] == serverstate.ExclusionPrefix {
 		h.mirror[e.Item.Key] = e.Revision
 	}
 	h.watchEvent(e)
@@ -421,7 +421,7 @@
 	if n == nil {
 		return
 	}
-	out := n.Drive()
+	out := n.Process()
 	if n.Leading() && n.Failed() == nil {
 		term := n.Term()
 		if was, ok := w.leader[term]; ok && was != h.number {
@@ -437,7 +437,7 @@
 		h.index = n.State().Index()
 		h.adopt()
 	}
-	if !h.settled && n.Settled() {
+	if !h.settled && n.CaughtUp() {
 		h.settled = true
 		h.guard.Settled()
 	}
@@ -466,13 +466,13 @@
 		if h.disk.broke && h == w.failed.victim {
 			return // nobody starts it again, for now
 		}
-		if h.old && errors.Is(err, store.ErrUnknownOp) {
+		if h.old && errors.Is(err, store.ErrUnknownCommand) {
 			if w.level < store.Level {
 				w.broken("level", "host %d was sent what its build does not know, and the cluster uses level %d: %v", h.number, w.level, err)
 			}
 			h.old = false // it stopped before it applied what it does not know, and said so: a newer build is started
 		}
-		if h.disk.broke || h.disk.dead || h.retired || h.joining || w.o.Mixed && errors.Is(err, store.ErrUnknownOp) {
+		if h.disk.broke || h.disk.dead || h.retired || h.joining || w.o.Mixed && errors.Is(err, store.ErrUnknownCommand) {
 			h.crash() // as its own supervisor would have it; the world starts it again
 			h.again()
 			return
@@ -637,18 +637,20 @@
 }
 
 // propose gives a host a command; f is called once, also if the process ends before it answers.
-func (h *host) propose(c store.Command, f func(replica.Done)) {
-	h.call(func(t replica.Token) { h.node.Propose(t, &c) }, f)
+func (h *host) propose(c store.Command, f func(replica.Completion)) {
+	h.call(func(t replica.RequestToken) { h.node.Propose(t, &c) }, f)
 }
 
-func (h *host) read(f func(replica.Done)) { h.call(func(t replica.Token) { h.node.Read(t) }, f) }
+func (h *host) read(f func(replica.Completion)) {
+	h.call(func(t replica.RequestToken) { h.node.Read(t) }, f)
+}
 
-func (h *host) call(do func(replica.Token), f func(replica.Done)) {
+func (h *host) call(do func(replica.RequestToken), f func(replica.Completion)) {
 	h.token++
 	t, boot, answered := h.token, h.boot, false
-	h.waits[t] = func(d replica.Done) { answered = true; f(d) }
+	h.waits[t] = func(d replica.Completion) { answered = true; f(d) }
 	if h.node == nil {
-		h.w.q.After(1, func() { f(replica.Done{Token: t, Err: replica.ErrNoLeader}) })
+		h.w.q.After(1, func() { f(replica.Completion{Token: t, Err: replica.ErrNoLeader}) })
 		return
 	}
 	do(t)
@@ -659,7 +661,7 @@
 		switch {
 		case answered:
 		case h.boot != boot:
-			f(replica.Done{Token: t, Err: replica.ErrUnknown})
+			f(replica.Completion{Token: t, Err: replica.ErrOutcomeUnknown})
 		default:
 			h.w.q.After(100*milli, watch)
 		}
--- a/internal/lab/storesim/watch.go
+++ b/internal/lab/storesim/watch.go
@@ -101,7 +101,7 @@
 
 // watcher is a host's daemon and sidecar, for as long as the process lives.
 type watcher struct {
-	turns *serverstate.Turns
+	turns *serverstate.ReportScheduler
 	view  []process        // what discovery has told here
 	ears  map[string]bool  // drains that were heard here
 	late  map[string]int64 // with BindLate: since when the store says so
@@ -114,14 +114,14 @@
 
 func (h *host) beginWatch() {
 	w := h.w
-	r := serverstate.TurnRules{Spread: simSpread, Renew: simRenew, Keep: simKeep, Most: 64}
+	r := serverstate.ReportSchedule{Spread: simSpread, Renew: simRenew, Keep: simKeep, Most: 64}
 	switch w.o.Watch {
 	case EndEarly:
 		r.Keep = simKeep / 4
 	case NeverRenew:
 		r.Renew = 0
 	}
-	h.watch = &watcher{turns: serverstate.NewTurns(fmt.Sprint(h.number), r), ears: map[string]bool{}, late: map[string]int64{},
+	h.watch = &watcher{turns: serverstate.NewReportScheduler(fmt.Sprint(h.number), r), ears: map[string]bool{}, late: map[string]int64{},
 		alone: map[string]bool{}, pace: 0.95 + 0.1*w.rng.Float64(), born: w.q.Now()}
 	if h.alone() {
 		return
@@ -167,12 +167,12 @@
 	}
 	t.view[server] = p
 	if was.drains && (!p.drains || p.start != was.start) {
-		key := serverstate.Key(serverstate.Drain, h.w.nameOf(server, was.start).Server())
+		key := serverstate.ExclusionKey(serverstate.Drain, h.w.nameOf(server, was.start).Server())
 		t.turns.Unhear(key)
 		delete(t.ears, key)
 	}
 	if p.drains {
-		key := serverstate.Key(serverstate.Drain, h.w.nameOf(server, p.start).Server())
+		key := serverstate.ExclusionKey(serverstate.Drain, h.w.nameOf(server, p.start).Server())
 		t.ears[key] = true
 		t.turns.Hear(now, key)
 	}
@@ -184,7 +184,7 @@
 	now := t.own(w.q.Now())
 	speak, end := t.turns.Due(now)
 	for _, key := range speak {
-		p, _ := serverstate.ParseProcess(strings.TrimPrefix(key, serverstate.Key(serverstate.Drain, "")))
+		p, _ := serverstate.ParseProcess(strings.TrimPrefix(key, serverstate.ExclusionKey(serverstate.Drain, "")))
 		if op, err := h.guard.Hear(serverstate.Drain, p.Server()); err != nil {
 			w.broken("guard", "%v", err)
 		} else if op != nil {
@@ -197,12 +197,12 @@
 			w.ops[0].owed(h, op)
 		}
 		for _, key := range end {
-			server := strings.TrimPrefix(key, serverstate.Key(serverstate.Drain, ""))
+			server := strings.TrimPrefix(key, serverstate.ExclusionKey(serverstate.Drain, ""))
 			if txn, err := h.guard.Return(serverstate.Drain, server); err == nil {
 				if w.o.Watch == EndAlone {
 					t.alone[key] = true
 				}
-				h.propose(store.Command{ID: h.request(), Txn: txn}, func(replica.Done) {})
+				h.propose(store.Command{ID: h.request(), Txn: txn}, func(replica.Completion) {})
 			}
 		}
 	}
@@ -224,7 +224,7 @@
 	}
 	boot := h.boot
 	t := &store.Txn{If: []store.Compare{{Key: op.Key, Modified: h.guard.Agreed(p)}}, Then: []store.Op{op}}
-	h.propose(store.Command{ID: h.request(), Txn: t}, func(d replica.Done) {
+	h.propose(store.Command{ID: h.request(), Txn: t}, func(d replica.Completion) {
 		if h.boot == boot {
 			ok := d.Err == nil && d.Result.Err == nil
 			h.guard.Wrote(op.Key, ok && (d.Result.Held || h.guard.Agreed(p) != 0))
@@ -234,7 +234,7 @@
 
 // watchEvent is a change of a drain that the copy shows.
 func (h *host) watchEvent(e store.Event) {
-	p, ok := serverstate.ParseProcess(strings.TrimPrefix(e.Item.Key, serverstate.Key(serverstate.Drain, "")))
+	p, ok := serverstate.ParseProcess(strings.TrimPrefix(e.Item.Key, serverstate.ExclusionKey(serverstate.Drain, "")))
 	if !ok || p.Addr == "" || h.watch == nil {
 		return
 	}
@@ -261,7 +261,7 @@
 		if w.o.Watch == Overwrite {
 			t.turns.Unhear(key)
 			for i := range t.view {
-				if t.view[i].drains && serverstate.Key(serverstate.Drain, w.nameOf(i, t.view[i].start).Server()) == key {
+				if t.view[i].drains && serverstate.ExclusionKey(serverstate.Drain, w.nameOf(i, t.view[i].start).Server()) == key {
 					t.view[i].drains = false
 				}
 			}
@@ -287,7 +287,7 @@
 // watchAdopt takes a whole copy.
 func (h *host) watchAdopt() {
 	now := map[string]uint64{}
-	h.node.State().Range(serverstate.Key(serverstate.Drain, "slot-"), store.PrefixEnd(serverstate.Key(serverstate.Drain, "slot-")), func(i store.Item) bool {
+	h.node.State().Range(serverstate.ExclusionKey(serverstate.Drain, "slot-"), store.PrefixEnd(serverstate.ExclusionKey(serverstate.Drain, "slot-")), func(i store.Item) bool {
 		now[i.Key], h.acted[i.Key] = i.Modified, true
 		return true
 	})
@@ -305,7 +305,7 @@
 
 // holds says whether the sidecar takes a process to drain, by others' word.
 func (h *host) holds(p serverstate.Process) bool {
-	t, key := h.watch, serverstate.Key(serverstate.Drain, p.Server())
+	t, key := h.watch, serverstate.ExclusionKey(serverstate.Drain, p.Server())
 	switch {
 	case h.w.o.Watch == EndAlone && t.alone[key]:
 		return false
@@ -321,7 +321,7 @@
 	t, w := h.watch, h.w
 	for i, v := range t.view {
 		p := w.nameOf(i, v.start)
-		key := serverstate.Key(serverstate.Drain, p.Server())
+		key := serverstate.ExclusionKey(serverstate.Drain, p.Server())
 		if v.version < 0 || v.drains || h.holds(p) {
 			continue
 		}
--- a/internal/lab/tasklab/inside.go
+++ b/internal/lab/tasklab/inside.go
@@ -22,7 +22,7 @@
 type Inside struct {
 	Pace  float64 // 0: 1
 	File  func(*os.File)
-	Limit quota.Plant // a fault of its shares of limits
+	Limit quota.Defect // a fault of its shares of limits
 }
 
 // ReadInside reads the environment, and heeds the signal. What cannot be read ends the process: a bench that plays nothing shows nothing.
@@ -42,7 +42,7 @@
 			fmt.Fprintf(os.Stderr, "%s: %q is not a fault\n", LimitEnv, text)
 			os.Exit(2)
 		}
-		in.Limit = quota.Plant(n)
+		in.Limit = quota.Defect(n)
 	}
 	var mu sync.Mutex
 	var open []*os.File
--- a/internal/lab/tasklab/standin.go
+++ b/internal/lab/tasklab/standin.go
@@ -49,7 +49,7 @@
 	First    time.Duration // of the next
 }
 
-func newStandin(path string, plant lease.FencePlant) (*Standin, error) {
+func newStandin(path string, plant lease.FenceDefect) (*Standin, error) {
 	f, err := lease.OpenFence(path, plant)
 	if err != nil {
 		return nil, err
--- a/internal/lab/tasklab/standin_test.go
+++ b/internal/lab/tasklab/standin_test.go
@@ -13,15 +13,15 @@
 func TestStandinJudges(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
-		fence   lease.FencePlant
+		fence   lease.FenceDefect
 		again   bool // it is started anew before the last action
 		stopped bool
 		broken  string
 	}{
-		{"two at once", lease.FenceNone, false, false, "two at once"},
-		{"of one that was stopped", lease.FenceNone, false, true, ""},
+		{"two at once", lease.NoFenceDefect, false, false, "two at once"},
+		{"of one that was stopped", lease.NoFenceDefect, false, true, ""},
 		{"an open fence", lease.FenceOpen, false, true, "token order"},
-		{"a start between", lease.FenceNone, true, true, ""},
+		{"a start between", lease.NoFenceDefect, true, true, ""},
 		{"a fence that forgets", lease.FenceForget, true, true, "token order"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -54,7 +54,7 @@
 			if text := strings.Join(broken, "; "); (text == "") != (tc.broken == "") || !strings.Contains(text, tc.broken) {
 				t.Errorf("judged %q, want %q", text, tc.broken)
 			}
-			if want := tc.fence != lease.FenceNone; taken != want {
+			if want := tc.fence != lease.NoFenceDefect; taken != want {
 				t.Errorf("the late action took effect: %v", taken)
 			}
 		})
--- a/internal/lab/tasklab/torture.go
+++ b/internal/lab/tasklab/torture.go
@@ -42,7 +42,7 @@
 	Every    time.Duration // between two blows, on average
 	Only     string        // blows of this kind alone, each after a calm in which all that the one before did has ended
 	Seed     uint64
-	Fence    lease.FencePlant
+	Fence    lease.FenceDefect
 	Plant    string // a fault of the program, which must be built with the tag "planted"
 	Old      string // an older build of the program, for the blow of that name
 	Inside   bool   // the program heeds Inside: clocks run apart, and disks fail their syncs
--- a/internal/platform/recovery/recovery.go
+++ b/internal/platform/recovery/recovery.go
@@ -18,19 +18,19 @@
 // Candidate is a picture that a start may believe.
 type Candidate struct {
 	From string // for the log
-	Kept *snapshot.Kept
+	Kept *snapshot.Saved
 	Own  bool            // of this sidecar
 	Age  balancer.Micros // how old it is
 	Sure bool            // by one clock; else by clocks of two hosts, which may be hours apart
 }
 
-// Oldest is the age from which on a picture is not believed: the module's own bound.
-const Oldest balancer.Micros = 300e6
+// MaxAge is the age from which on a picture is not believed: the module's own bound.
+const MaxAge balancer.Micros = 300e6
 
 // Choice is what a start believes.
 type Choice struct {
 	From string
-	Kept *snapshot.Kept // of the sidecar that starts, by name; nil: nothing
+	Kept *snapshot.Saved // of the sidecar that starts, by name; nil: nothing
 	Age  balancer.Micros
 	Of   int // pictures that it was made of
 }
@@ -41,7 +41,7 @@
 	var own, others []Candidate
 	for _, c := range all {
 		switch {
-		case c.Kept == nil || c.Kept.State == nil || c.Age < 0 || c.Age > Oldest:
+		case c.Kept == nil || c.Kept.State == nil || c.Age < 0 || c.Age > MaxAge:
 		case c.Own:
 			own = append(own, c)
 		case c.Sure:
@@ -64,7 +64,7 @@
 
 // merge makes one picture of what several sidecars know, the newest first: the newest's means of requests; of each server
 // the coldest that anyone holds it to be, and the newest pace. Servers are told apart by name, address and start.
-func merge(sidecar string, all []Candidate) *snapshot.Kept {
+func merge(sidecar string, all []Candidate) *snapshot.Saved {
 	type server struct {
 		name, addr string
 		start      balancer.Micros
@@ -73,7 +73,7 @@
 	out.Sidecar = sidecar
 	at := map[server]int{}
 	names := map[string]bool{}
-	key := func(k *snapshot.Kept, i int) server {
+	key := func(k *snapshot.Saved, i int) server {
 		s := server{name: k.Names[i], start: k.State.Endpoints[i].StartTime}
 		if i < len(k.Addrs) {
 			s.addr = k.Addrs[i]
@@ -117,7 +117,7 @@
 
 // foreign is what of a picture another sidecar may believe: what is the servers' and the requests', not what is the
 // teller's own.
-func foreign(k *snapshot.Kept) *snapshot.Kept {
+func foreign(k *snapshot.Saved) *snapshot.Saved {
 	s := *k.State
 	s.Random, s.Salt, s.Near, s.Pool, s.Bans, s.Called = 0, 0, nil, nil, nil, nil
 	s.Demand, s.SentWork, s.Refused = balancer.MeterState{}, balancer.MeterState{}, balancer.Mean{}
@@ -136,7 +136,7 @@
 		*e = balancer.EndpointState{ID: uint32(i), Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, State: e.State, Share: e.Share,
 			StartTime: e.StartTime, Cold: e.Cold, ColdFrom: e.ColdFrom, Pace: e.Pace, PaceAt: e.PaceAt}
 	}
-	return &snapshot.Kept{Sidecar: k.Sidecar, Clock: k.Clock, State: &s, Names: slices.Clone(k.Names), Addrs: slices.Clone(k.Addrs)}
+	return &snapshot.Saved{Sidecar: k.Sidecar, Clock: k.Clock, State: &s, Names: slices.Clone(k.Names), Addrs: slices.Clone(k.Addrs)}
 }
 
 const creditFull = 1e6 // the module takes of it what a start has
--- a/internal/platform/recovery/recovery_test.go
+++ b/internal/platform/recovery/recovery_test.go
@@ -12,14 +12,14 @@
 const second = balancer.Micros(1e6)
 
 // kept is a picture of a sidecar that knows servers: name, address, start, and since when cold (-1: warm).
-func kept(t *testing.T, sidecar string, servers ...balancer.EndpointState) *snapshot.Kept {
+func kept(t *testing.T, sidecar string, servers ...balancer.EndpointState) *snapshot.Saved {
 	t.Helper()
 	c := sidecartest.Configure(t, "127.0.0.1:1", nil)
 	b, err := balancer.New(c.Settings, 1, nothing{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := &snapshot.Kept{Sidecar: sidecar, State: b.Snapshot(1e9, false)}
+	k := &snapshot.Saved{Sidecar: sidecar, State: b.Snapshot(1e9, false)}
 	for i, e := range servers {
 		k.Names = append(k.Names, fmt.Sprintf("s-%d", e.ID))
 		k.Addrs = append(k.Addrs, fmt.Sprintf("127.0.0.1:%d", e.Cell))
@@ -52,9 +52,9 @@
 		"nothing":                       {nil, ""},
 		"the newer own":                 {[]Candidate{own(9, true), own(5, true)}, "own 5 true"},
 		"own before others' newer":      {[]Candidate{other(1, true), own(200*second, true)}, "own 200000000 true"},
-		"too old":                       {[]Candidate{own(Oldest+1, true)}, ""},
+		"too old":                       {[]Candidate{own(MaxAge+1, true)}, ""},
 		"of the future":                 {[]Candidate{own(-1, true), other(-1, true)}, ""},
-		"others where own is too old":   {[]Candidate{own(Oldest+1, true), other(4, true), other(3, true)}, "other 3 true"},
+		"others where own is too old":   {[]Candidate{own(MaxAge+1, true), other(4, true), other(3, true)}, "other 3 true"},
 		"others by clocks of two hosts": {[]Candidate{other(4, false)}, ""},
 		"own by clocks of two hosts":    {[]Candidate{own(4, false)}, "own 4 false"},
 		"one that is none":              {[]Candidate{{From: "x", Own: true}}, ""},
--- a/internal/platform/snapshot/file.go
+++ b/internal/platform/snapshot/file.go
@@ -31,7 +31,7 @@
 }
 
 // Load returns what is kept, nil if nothing is. Errors name the file.
-func (f File) Load() (*Kept, error) {
+func (f File) Load() (*Saved, error) {
 	if f.Path == "" {
 		return nil, nil
 	}
--- a/internal/platform/snapshot/snapshot.go
+++ b/internal/platform/snapshot/snapshot.go
@@ -33,8 +33,8 @@
 	nameMost = 1024    // bytes of a name
 )
 
-// Kept is what is carried: the module's state, and the names that its numbers stand for.
-type Kept struct {
+// Saved is what is carried: the module's state, and the names that its numbers stand for.
+type Saved struct {
 	Sidecar string             `cbor:"1,keyasint"` // whose it is
 	Clock   Clock              `cbor:"2,keyasint"` // when it was taken
 	State   *balancer.Snapshot `cbor:"3,keyasint"`
@@ -93,7 +93,7 @@
 }
 
 // Encode returns the bytes of k.
-func Encode(k *Kept) ([]byte, error) {
+func Encode(k *Saved) ([]byte, error) {
 	body, err := Marshal(k)
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
@@ -110,8 +110,8 @@
 }
 
 // Decode reads what Encode wrote, all of it or nothing.
-func Decode(data []byte) (*Kept, error) {
-	bad := func(at int, reason string, err error) (*Kept, error) { return nil, &Error{at, reason, err} }
+func Decode(data []byte) (*Saved, error) {
+	bad := func(at int, reason string, err error) (*Saved, error) { return nil, &Error{at, reason, err} }
 	if len(data) < headSize {
 		return bad(len(data), fmt.Sprintf("cut: the head takes %d bytes", headSize), nil)
 	}
@@ -133,7 +133,7 @@
 	case Checksum(data[:12], body) != binary.BigEndian.Uint32(data[12:]):
 		return bad(12, "damaged: the checksum does not hold", nil)
 	}
-	k := &Kept{}
+	k := &Saved{}
 	if err := Unmarshal(body, k); err != nil {
 		return bad(headSize, "damaged: the body is not readable", err)
 	}
@@ -143,7 +143,7 @@
 	return k, nil
 }
 
-func (k *Kept) check() error {
+func (k *Saved) check() error {
 	if k.State == nil {
 		return errors.New("no state")
 	}
@@ -170,7 +170,7 @@
 
 // Renumber gives the endpoints the numbers that another process has for their names and, where these are told, addresses;
 // those that it does not know get numbers that it does not use.
-func (k *Kept) Renumber(number func(name, addr string) (uint32, bool)) {
+func (k *Saved) Renumber(number func(name, addr string) (uint32, bool)) {
 	for i, name := range k.Names {
 		addr := ""
 		if i < len(k.Addrs) {
--- a/internal/platform/snapshot/snapshot_test.go
+++ b/internal/platform/snapshot/snapshot_test.go
@@ -16,7 +16,7 @@
 )
 
 // known returns what a sidecar with n endpoints knows, with requests under way.
-func known(t testing.TB, n int) *Kept {
+func known(t testing.TB, n int) *Saved {
 	t.Helper()
 	b, err := balancer.New(balancer.Settings{Balancers: 2, Classes: []balancer.Class{
 		{Name: "look", Aim: 400_000, GiveUp: 1_000_000, Worth: 1}}, Fields: []balancer.Field{balancer.FieldInflight},
@@ -28,7 +28,7 @@
 	now := balancer.Micros(1_700_000_000_000_000)
 	b.Start(now)
 	list := make([]balancer.Endpoint, n)
-	k := &Kept{Sidecar: "n3", Clock: Clock{Wall: now, Boot: "b", Up: 77}}
+	k := &Saved{Sidecar: "n3", Clock: Clock{Wall: now, Boot: "b", Up: 77}}
 	for i := range list {
 		list[i] = balancer.Endpoint{ID: uint32(i + 1), Share: 1}
 		k.Names = append(k.Names, fmt.Sprint("s-", i))
@@ -49,7 +49,7 @@
 	return k
 }
 
-func encoded(t testing.TB, k *Kept) []byte {
+func encoded(t testing.TB, k *Saved) []byte {
 	t.Helper()
 	data, err := Encode(k)
 	if err != nil {
--- a/internal/store/admin/admin.go
+++ b/internal/store/admin/admin.go
@@ -70,10 +70,10 @@
 
 // Items answers a read.
 type Items struct {
-	Items []store.Item `json:"items"`
-	More  bool         `json:"more,omitempty"`
-	Age   engine.Age   `json:"copy"`
-	Stale bool         `json:"stale"` // was asked for
+	Items []store.Item   `json:"items"`
+	More  bool           `json:"more,omitempty"`
+	Age   engine.CopyAge `json:"copy"`
+	Stale bool           `json:"stale"` // was asked for
 }
 
 // Change answers a change.
@@ -86,10 +86,10 @@
 
 // Request asks for a change. A request that is sent again with the same id is done once.
 type Request struct {
-	ID  store.RequestID `json:"id"`
-	Txn *store.Txn      `json:"txn,omitempty"`
-	Add *store.Join     `json:"add,omitempty"`
-	Del uint64          `json:"remove,omitempty"`
+	ID  store.RequestID  `json:"id"`
+	Txn *store.Txn       `json:"txn,omitempty"`
+	Add *store.AddMember `json:"add,omitempty"`
+	Del uint64           `json:"remove,omitempty"`
 
 	Grant uint64 `json:"grant,omitempty"` // a lease, of so many milliseconds
 	Renew uint64 `json:"renew,omitempty"` // this lease
@@ -108,11 +108,11 @@
 // Store is what a Server shows: a replica, or the copy of a daemon that has none.
 type Store interface {
 	Do(ctx context.Context, c store.Command) (store.Result, error)
-	View(ctx context.Context, stale bool, f func(*store.State)) (engine.Age, error)
+	View(ctx context.Context, stale bool, f func(*store.State)) (engine.CopyAge, error)
 	Next(ctx context.Context, prefix string, after uint64, most int) ([]store.Event, uint64, error)
 	Status(ctx context.Context) (engine.Status, error)
 	Save(ctx context.Context) (*store.State, error)
-	HandOver(ctx context.Context) error
+	TransferLeadership(ctx context.Context) error
 }
 
 // Config says what a Server answers.
@@ -190,7 +190,7 @@
 func Fail(w http.ResponseWriter, err error) {
 	f, status := Fault{Error: err.Error()}, http.StatusServiceUnavailable
 	var unknown *engine.UnknownError
-	var gone *store.ErrCompacted
+	var gone *store.CompactedError
 	switch {
 	case errors.As(err, &unknown):
 		f.Unknown, status = &unknown.ID, http.StatusGatewayTimeout
@@ -202,11 +202,11 @@
 		status = http.StatusPreconditionFailed
 	case errors.Is(err, store.ErrFull):
 		status = http.StatusInsufficientStorage
-	case errors.Is(err, store.ErrMember), errors.Is(err, store.ErrNoLease), errors.Is(err, store.ErrForgotten):
-		status, f.NoLease = http.StatusConflict, errors.Is(err, store.ErrNoLease)
+	case errors.Is(err, store.ErrUnknownMember), errors.Is(err, store.ErrLeaseNotFound), errors.Is(err, store.ErrRequestExpired):
+		status, f.NoLease = http.StatusConflict, errors.Is(err, store.ErrLeaseNotFound)
 	case errors.As(err, new(missing)):
 		status = http.StatusNotFound
-	case errors.As(err, new(*store.OutsideError)):
+	case errors.As(err, new(*store.NotHeldError)):
 		status = http.StatusMisdirectedRequest
 	case errors.Is(err, replica.ErrNoLeader):
 		w.Header().Set("Retry-After", "1")
@@ -327,16 +327,16 @@
 func (q *Request) command() store.Command {
 	c := store.Command{ID: q.ID, Txn: q.Txn, Join: q.Add}
 	if q.Del != 0 {
-		c.Leave = &store.Leave{Member: q.Del}
+		c.Leave = &store.RemoveMember{Member: q.Del}
 	}
 	if q.Grant != 0 {
-		c.Grant = &store.Grant{TTL: q.Grant, Owner: q.Owner}
+		c.Grant = &store.GrantLease{TTL: q.Grant, Owner: q.Owner}
 	}
 	if q.Renew != 0 {
-		c.Renew = &store.Renew{Lease: q.Renew, Owner: q.Owner}
+		c.Renew = &store.RenewLease{Lease: q.Renew, Owner: q.Owner}
 	}
 	if q.End != 0 {
-		c.End = &store.End{Lease: q.End, Owner: q.Owner}
+		c.End = &store.RevokeLease{Lease: q.End, Owner: q.Owner}
 	}
 	return c
 }
@@ -363,7 +363,7 @@
 }
 
 func (s *Server) handOver(ctx context.Context, w http.ResponseWriter, r *http.Request) (any, error) {
-	if err := s.cfg.Store.HandOver(ctx); err != nil {
+	if err := s.cfg.Store.TransferLeadership(ctx); err != nil {
 		return nil, err
 	}
 	return struct{}{}, nil
@@ -401,7 +401,7 @@
 				Fail(w, err)
 			} else if r.Context().Err() == nil {
 				f := Fault{Error: err.Error()}
-				var gone *store.ErrCompacted
+				var gone *store.CompactedError
 				if errors.As(err, &gone) {
 					f.Oldest = gone.Oldest
 				}
--- a/internal/store/admin/admin_test.go
+++ b/internal/store/admin/admin_test.go
@@ -73,8 +73,8 @@
 		"two things":         {Request{Txn: &store.Txn{}, Grant: 5}, http.StatusBadRequest},
 		"a key too long":     {put(string(bytes.Repeat([]byte("k"), 65)), "v"), http.StatusBadRequest},
 		"a value too long":   {put("k", string(make([]byte, 257))), http.StatusBadRequest},
-		"a name that is no":  {Request{Add: &store.Join{Name: "no name", Address: "127.0.0.1:1"}}, http.StatusBadRequest},
-		"an address of none": {Request{Add: &store.Join{Name: "b", Address: "nowhere"}}, http.StatusBadRequest},
+		"a name that is no":  {Request{Add: &store.AddMember{Name: "no name", Address: "127.0.0.1:1"}}, http.StatusBadRequest},
+		"an address of none": {Request{Add: &store.AddMember{Name: "b", Address: "nowhere"}}, http.StatusBadRequest},
 		"a lease of nobody":  {Request{Renew: 77}, http.StatusConflict},
 		"the last member":    {Request{Del: 1}, http.StatusConflict},
 	} {
@@ -132,7 +132,7 @@
 		t.Cleanup(func() { resp.Body.Close() })
 		return json.NewDecoder(resp.Body)
 	}
-	key := serverstate.Key(serverstate.Ban, "s")
+	key := serverstate.ExclusionKey(serverstate.AdminDrain, "s")
 	d := stream(0)
 	var l Line
 	if err := d.Decode(&l); err != nil || l.Beat == nil || l.Beat.Cluster == 0 {
--- a/internal/store/admin/outer.go
+++ b/internal/store/admin/outer.go
@@ -45,7 +45,7 @@
 	Age      time.Duration `json:"age_ns"`
 	Ages     []KeyAge      `json:"ages,omitempty"` // of pictures, with the first beat: how long ago they were put
 
-	Sums map[string]store.Sum `json:"sums,omitempty"` // by prefix: those that were asked for, and are others than were told
+	Sums map[string]store.PrefixSize `json:"sums,omitempty"` // by prefix: those that were asked for, and are others than were told
 }
 
 // KeyAge is how long ago the store was told of a key.
@@ -82,7 +82,7 @@
 
 // summed is a sum as it was last reckoned.
 type summed struct {
-	store.Sum
+	store.PrefixSize
 	at time.Time
 }
 
@@ -109,7 +109,7 @@
 		stop()
 		return nil, err
 	}
-	o.feed, o.stop = changefeed.New(a.Revision, changefeed.PlantNone), stop
+	o.feed, o.stop = changefeed.New(a.Revision, changefeed.NoDefect), stop
 	o.feeding.Go(func() { o.run(ctx) })
 	m := http.NewServeMux()
 	m.HandleFunc("GET /v1/copy", o.counted(usage.Snapshots, o.copy))
@@ -178,7 +178,7 @@
 	for {
 		at, _ := o.feed.At()
 		events, to, err := o.e.Next(ctx, "", at, 256)
-		var gone *store.ErrCompacted
+		var gone *store.CompactedError
 		switch {
 		case errors.As(err, &gone): // as after a leader's snapshot
 			a, err := o.e.View(ctx, true, func(*store.State) {})
@@ -203,7 +203,7 @@
 	if err := of.Check(); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrBad, err)
 	}
-	of = store.Interest{}.Join(of)
+	of = store.Interest{}.Union(of)
 	return &of, nil
 }
 
@@ -231,7 +231,7 @@
 	var s *store.State
 	if _, err := o.e.View(r.Context(), true, func(now *store.State) {
 		if of != nil {
-			s = now.Part(*of)
+			s = now.Subset(*of)
 		} else {
 			s = now.Clone()
 		}
@@ -263,7 +263,7 @@
 		Fail(w, err)
 		return
 	}
-	x := &stream{o: o, of: of, sums: sums, after: after, w: w, c: http.NewResponseController(w), told: map[string]store.Sum{}}
+	x := &stream{o: o, of: of, sums: sums, after: after, w: w, c: http.NewResponseController(w), told: map[string]store.PrefixSize{}}
 	if of != nil {
 		w.Header().Set(Scoped, "1")
 	}
@@ -278,9 +278,9 @@
 	after uint64 // up to where it has all
 	w     http.ResponseWriter
 	c     *http.ResponseController
-	t     *changefeed.Teller
+	t     *changefeed.Sender
 	ages  map[string]time.Duration // that are to go with the next beat
-	told  map[string]store.Sum
+	told  map[string]store.PrefixSize
 }
 
 // send writes a line, which is for a purpose.
@@ -335,7 +335,7 @@
 		if _, err := x.o.e.View(ctx, true, func(s *store.State) { txns, done, gone = x.t.CatchUp(s, lookMost) }); err != nil {
 			return false
 		}
-		var compacted *store.ErrCompacted
+		var compacted *store.CompactedError
 		if errors.As(gone, &compacted) {
 			x.line(Line{Fault: &Fault{Error: gone.Error(), Oldest: compacted.Oldest}})
 		}
@@ -404,7 +404,7 @@
 			}
 			if was, told := x.told[prefix]; !told || was != n {
 				if b.Sums == nil {
-					b.Sums = map[string]store.Sum{}
+					b.Sums = map[string]store.PrefixSize{}
 				}
 				x.told[prefix], b.Sums[prefix] = n, n
 			}
@@ -439,12 +439,12 @@
 }
 
 // sum adds up the keys with a prefix, for all followers that ask within a while.
-func (o *Outer) sum(ctx context.Context, prefix string) (store.Sum, error) {
+func (o *Outer) sum(ctx context.Context, prefix string) (store.PrefixSize, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := time.Now()
 	if was, ok := o.sums[prefix]; ok && now.Sub(was.at) < sumEvery {
-		return was.Sum, nil
+		return was.PrefixSize, nil
 	}
 	for p, was := range o.sums {
 		if now.Sub(was.at) >= 2*sumEvery {
@@ -452,11 +452,11 @@
 		}
 	}
 	s := summed{at: now}
-	_, err := o.e.View(ctx, true, func(now *store.State) { s.Sum = now.SumOf(prefix) })
+	_, err := o.e.View(ctx, true, func(now *store.State) { s.PrefixSize = now.PrefixSize(prefix) })
 	if err == nil {
 		o.sums[prefix] = s
 	}
-	return s.Sum, err
+	return s.PrefixSize, err
 }
 
 // revision tells up to where a copy has to be to show all that was answered before the call.
@@ -529,8 +529,8 @@
 		if host == "" || q.Owner != host {
 			return fmt.Errorf("%w: a lease of %q is not for %q", ErrBad, q.Owner, host)
 		}
-		if q.Grant != 0 && (q.Grant < store.OwnedLeast || q.Grant > store.OwnedMost) {
-			return fmt.Errorf("%w: a lease of %d ms is not within %d and %d", ErrBad, q.Grant, store.OwnedLeast, store.OwnedMost)
+		if q.Grant != 0 && (q.Grant < store.MinOwnedTTLMillis || q.Grant > store.MaxOwnedTTLMillis) {
+			return fmt.Errorf("%w: a lease of %d ms is not within %d and %d", ErrBad, q.Grant, store.MinOwnedTTLMillis, store.MaxOwnedTTLMillis)
 		}
 		return nil
 	case q.Txn == nil || leases > 0:
@@ -541,7 +541,7 @@
 	}
 	for _, ops := range [][]store.Op{q.Txn.Then, q.Txn.Else} {
 		for _, op := range ops {
-			if op.End != "" || !serverstate.Told(op.Key) && !may(op, q.Txn.Owner) || op.Lease != 0 && serverstate.Told(op.Key) {
+			if op.End != "" || !serverstate.IsServerKey(op.Key) && !may(op, q.Txn.Owner) || op.Lease != 0 && serverstate.IsServerKey(op.Key) {
 				return fmt.Errorf("%w: %q is not a follower's to change", ErrBad, op.Key)
 			}
 		}
--- a/internal/store/admin/outer_test.go
+++ b/internal/store/admin/outer_test.go
@@ -34,7 +34,7 @@
 		"what is told of servers": {txn("", store.Op{Key: "out/drain/x"}), true},
 		"that for as long as it":  {txn("f", store.Op{Key: "out/drain/x", Lease: 7}), false},
 		"a range":                 {txn("f", store.Op{Key: "own/f", End: "own0", Delete: true}), false},
-		"a member":                {Request{Add: &store.Join{Name: "f"}}, false},
+		"a member":                {Request{Add: &store.AddMember{Name: "f"}}, false},
 	} {
 		if err := followerMay(&x.q, "f", may); (err == nil) != x.ok {
 			t.Errorf("%s: %v", name, err)
--- a/internal/store/changefeed/copy.go
+++ b/internal/store/changefeed/copy.go
@@ -8,48 +8,48 @@
 	"birchmoor/internal/store"
 )
 
-// ErrBehind says that a replica has less than this copy, or is of another cluster.
-var ErrBehind = errors.New("the replica cannot be followed")
+// ErrReplicaBehind says that a replica has less than this copy, or is of another cluster.
+var ErrReplicaBehind = errors.New("the replica cannot be followed")
 
-// Needs are what a daemon needs of the store.
-type Needs struct {
+// Subscription are what a daemon needs of the store.
+type Subscription struct {
 	Of   *store.Interest // nil: all
 	Kept store.Interest  // of that, what is of use to the next start
 	Sums []string        // prefixes of which it needs to know how many keys there are
 }
 
 // Join is what either needs.
-func (n Needs) Join(o Needs) Needs {
-	all := Needs{Kept: n.Kept.Join(o.Kept), Sums: slices.Compact(slices.Sorted(slices.Values(slices.Concat(n.Sums, o.Sums))))}
+func (n Subscription) Join(o Subscription) Subscription {
+	all := Subscription{Kept: n.Kept.Union(o.Kept), Sums: slices.Compact(slices.Sorted(slices.Values(slices.Concat(n.Sums, o.Sums))))}
 	if n.Of != nil && o.Of != nil {
-		of := n.Of.Join(*o.Of)
+		of := n.Of.Union(*o.Of)
 		all.Of = &of
 	}
 	return all
 }
 
-// Copy is a follower's half: what it holds, what it is to hold, and what it has to ask for. It is for one goroutine at a time.
-type Copy struct {
+// Mirror is a follower's half: what it holds, what it is to hold, and what it has to ask for. It is for one goroutine at a time.
+type Mirror struct {
 	state *store.State    // nil before the first
 	want  *store.Interest // nil: all
 	found bool            // it is what an earlier process kept
-	plant Plant
+	plant Defect
 }
 
-// NewCopy returns one that holds nothing yet, and is to hold an interest; nil is all.
-func NewCopy(want *store.Interest, p Plant) *Copy {
-	c := &Copy{plant: p}
+// NewMirror returns one that holds nothing yet, and is to hold an interest; nil is all.
+func NewMirror(want *store.Interest, p Defect) *Mirror {
+	c := &Mirror{plant: p}
 	c.Want(want)
 	return c
 }
 
 // State is what it holds, or nil.
-func (c *Copy) State() *store.State { return c.state }
+func (c *Mirror) State() *store.State { return c.state }
 
 // Want says what it is to hold from now on, and whether that is another interest than before.
-func (c *Copy) Want(of *store.Interest) (other bool) {
+func (c *Mirror) Want(of *store.Interest) (other bool) {
 	if of != nil {
-		all := store.Interest{}.Join(*of)
+		all := store.Interest{}.Union(*of)
 		of = &all
 	}
 	if other = !same(c.want, of); other {
@@ -67,16 +67,16 @@
 	return have == nil || want != nil && have.Contains(*want)
 }
 
-// Ask is what a replica is to be asked for next.
-type Ask struct {
+// FetchRequest is what a replica is to be asked for next.
+type FetchRequest struct {
 	Fetch bool            // a copy; else what changes
 	Of    *store.Interest // nil: all
 	After uint64          // changes after this revision
 }
 
 // Ask returns it.
-func (c *Copy) Ask() Ask {
-	a := Ask{Of: c.want, Fetch: c.state == nil || !holds(c.state.Interest(), c.want)}
+func (c *Mirror) Ask() FetchRequest {
+	a := FetchRequest{Of: c.want, Fetch: c.state == nil || !holds(c.state.Interest(), c.want)}
 	if c.plant == WidenInPlace && !c.found || c.plant == PartAsWhole && c.found {
 		a.Fetch = c.state == nil
 	}
@@ -87,10 +87,10 @@
 }
 
 // Took takes a copy that a replica gave, unless it is older than what is here.
-func (c *Copy) Took(s *store.State) error {
+func (c *Mirror) Took(s *store.State) error {
 	have := c.state
 	if have != nil && (s.Cluster() != have.Cluster() || s.Revision() < have.Revision() && c.plant != WidenOld) {
-		return fmt.Errorf("%w: revision %d of cluster %x, and here is revision %d of cluster %x", ErrBehind, s.Revision(), s.Cluster(),
+		return fmt.Errorf("%w: revision %d of cluster %x, and here is revision %d of cluster %x", ErrReplicaBehind, s.Revision(), s.Cluster(),
 			have.Revision(), have.Cluster())
 	}
 	c.state, c.found = s, false
@@ -98,12 +98,12 @@
 }
 
 // Found takes what an earlier process kept.
-func (c *Copy) Found(s *store.State) { c.state, c.found = s, true }
+func (c *Mirror) Found(s *store.State) { c.state, c.found = s, true }
 
 // Scoped takes how a replica answers that was asked for changes: those of the interest, or, as one of an older version, all. What the
 // copy holds beyond its interest is let go when it will be told of no more: anew says so. fetch says that all has to be taken from
 // that replica first.
-func (c *Copy) Scoped(yes bool) (anew, fetch bool) {
+func (c *Mirror) Scoped(yes bool) (anew, fetch bool) {
 	switch have := c.state.Interest(); {
 	case !yes:
 		return false, have != nil
@@ -113,23 +113,23 @@
 	if c.plant == NarrowKeeps && holds(c.state.Interest(), c.want) {
 		return false, false
 	}
-	c.state = c.state.Narrow(*c.want)
+	c.state = c.state.SubsetWithHistory(*c.want)
 	return true, false
 }
 
 // Changes takes all that one revision changed of the interest.
-func (c *Copy) Changes(events []store.Event) error {
+func (c *Mirror) Changes(events []store.Event) error {
 	if c.plant == HalfRevision && len(events) > 1 {
-		return c.state.MirrorAll(events[:1])
+		return c.state.ApplyEvents(events[:1])
 	}
-	return c.state.MirrorAll(events)
+	return c.state.ApplyEvents(events)
 }
 
 // Change takes one change of a replica that tells of all, one by one.
-func (c *Copy) Change(e store.Event) error { return c.state.Mirror(e) }
+func (c *Mirror) Change(e store.Event) error { return c.state.ApplyEvent(e) }
 
 // Through takes up to where nothing was left out.
-func (c *Copy) Through(revision uint64) error {
+func (c *Mirror) Through(revision uint64) error {
 	if c.plant == BehindTells && revision < c.state.Revision() {
 		return nil
 	}
@@ -137,17 +137,17 @@
 }
 
 // Confirmed says whether a replica's word that a quorum confirms a revision is of this copy, too.
-func (c *Copy) Confirmed(revision uint64) bool {
+func (c *Mirror) Confirmed(revision uint64) bool {
 	return c.state != nil && revision <= c.state.Revision()
 }
 
 // Kept is what is to outlive the process: of a copy of all, all; of a part what of it is of an interest.
-func (c *Copy) Kept(of store.Interest) *store.State {
+func (c *Mirror) Kept(of store.Interest) *store.State {
 	have := c.state.Interest()
 	if have == nil {
 		return c.state.Clone()
 	}
-	return c.state.Part(meet(*have, of))
+	return c.state.Subset(meet(*have, of))
 }
 
 // meet is what both hold.
@@ -164,13 +164,13 @@
 			}
 		}
 	}
-	return store.Interest{}.Join(both)
+	return store.Interest{}.Union(both)
 }
 
 // Read has f read the copy. What f read beyond it is told: f is to be called again with a state that has all of it.
-func (c *Copy) Read(f func(*store.State)) (read store.Interest, held bool) {
-	c.state.Watch()
+func (c *Mirror) Read(f func(*store.State)) (read store.Interest, held bool) {
+	c.state.TrackReads()
 	f(c.state)
-	read, held = c.state.Watched()
+	read, held = c.state.TrackedReads()
 	return read, held || c.plant == OutsideAbsent
 }
--- a/internal/store/changefeed/feed.go
+++ b/internal/store/changefeed/feed.go
@@ -13,23 +13,23 @@
 	"birchmoor/internal/store"
 )
 
-// Plant is a fault that is put in so that a test shows that it is found.
-type Plant int
+// Defect is a fault that is put in so that a test shows that it is found.
+type Defect int
 
 // The faults.
 const (
-	PlantNone       Plant = iota
-	ProgressEarly         // a replica says up to where it told all before it has told it
-	JoinLate              // changes between the history's end and the stream's beginning are left out
-	DeletesLost           // a deletion is not told to those who hold a part
-	BehindTells           // a replica that is behind says so as progress
-	WidenInPlace          // a copy takes a wider interest without the range that it lacks
-	WidenOld              // it takes a wider copy that is older than its own
-	PartAsWhole           // a part that was kept counts as all
-	NarrowKeeps           // what is of interest no more stays, and is told of no more
-	HalfRevision          // changes of one revision are made one by one
-	OutsideAbsent         // what a copy does not hold is read as not there
-	CompactedPassed       // changes that the history does not have any more are passed over
+	NoDefect        Defect = iota
+	ProgressEarly          // a replica says up to where it told all before it has told it
+	JoinLate               // changes between the history's end and the stream's beginning are left out
+	DeletesLost            // a deletion is not told to those who hold a part
+	BehindTells            // a replica that is behind says so as progress
+	WidenInPlace           // a copy takes a wider interest without the range that it lacks
+	WidenOld               // it takes a wider copy that is older than its own
+	PartAsWhole            // a part that was kept counts as all
+	NarrowKeeps            // what is of interest no more stays, and is told of no more
+	HalfRevision           // changes of one revision are made one by one
+	OutsideAbsent          // what a copy does not hold is read as not there
+	CompactedPassed        // changes that the history does not have any more are passed over
 )
 
 const streamMost = 4 << 20 // bytes that wait for one stream; who is that far behind begins anew
@@ -57,7 +57,7 @@
 // lengths the prefixes of all have. Any goroutine may use it.
 type Feed struct {
 	mu       sync.Mutex
-	plant    Plant
+	plant    Defect
 	at       uint64 // up to where all is handed out
 	moved    chan struct{}
 	whole    map[*Stream]struct{}
@@ -76,7 +76,7 @@
 }
 
 // New returns a feed that has handed out all up to a revision.
-func New(at uint64, p Plant) *Feed {
+func New(at uint64, p Defect) *Feed {
 	return &Feed{at: at, plant: p, moved: make(chan struct{}), whole: map[*Stream]struct{}{}, keys: map[string]map[*Stream]struct{}{},
 		prefixes: map[int]map[string]map[*Stream]struct{}{}}
 }
@@ -93,7 +93,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if of != nil { // each key is of one entry alone
-		all := store.Interest{}.Join(*of)
+		all := store.Interest{}.Union(*of)
 		of = &all
 	}
 	s = &Stream{f: f, of: of, wake: make(chan struct{}, 1)}
@@ -247,9 +247,9 @@
 	return txns, s.f.at, s.over
 }
 
-// Teller tells one follower of its interest: of what changed while it was away from the history, then of what changes. It is for one
+// Sender tells one follower of its interest: of what changed while it was away from the history, then of what changes. It is for one
 // goroutine.
-type Teller struct {
+type Sender struct {
 	*Stream
 	from  uint64 // the stream has what is behind it
 	asked uint64 // up to where the follower had all when it came,
@@ -258,25 +258,25 @@
 }
 
 // Tell begins to tell a follower that has all of an interest up to a revision.
-func (f *Feed) Tell(of *store.Interest, after uint64) *Teller {
+func (f *Feed) Tell(of *store.Interest, after uint64) *Sender {
 	s, from := f.Join(of)
-	return &Teller{Stream: s, from: from, asked: after, after: after, said: after}
+	return &Sender{Stream: s, from: from, asked: after, after: after, said: after}
 }
 
 // CatchUp returns what a state's history has of what the follower does not know, of some changes at a time, and whether that was all.
 // The error is a *store.ErrCompacted if the history does not reach back: the follower has to take a copy.
-func (t *Teller) CatchUp(s *store.State, most int) (txns []Txn, done bool, err error) {
+func (t *Sender) CatchUp(s *store.State, most int) (txns []Txn, done bool, err error) {
 	if t.after >= t.from || t.f.plant == JoinLate {
 		t.after = max(t.after, t.from)
 		return nil, true, nil
 	}
-	events, to, err := s.ChangesOf(nil, t.of, t.after, most)
-	if gone := (*store.ErrCompacted)(nil); errors.As(err, &gone) && t.f.plant == CompactedPassed {
+	events, to, err := s.ChangesIn(nil, t.of, t.after, most)
+	if gone := (*store.CompactedError)(nil); errors.As(err, &gone) && t.f.plant == CompactedPassed {
 		t.after = gone.Oldest - 1
 		return nil, false, nil
 	}
 	if err == nil && to <= t.after {
-		err = store.ErrOrder // another state in the place of the one that the stream began with
+		err = store.ErrOutOfOrder // another state in the place of the one that the stream began with
 	}
 	if err != nil {
 		return nil, false, err
@@ -297,7 +297,7 @@
 
 // Take takes what is to be told: whole revisions, in order. through, if it is not 0, is to be said behind the last of them: up to there the
 // follower was told all. progress has it said also if nothing changed. over says that the stream has ended, since it was too far behind.
-func (t *Teller) Take(progress bool) (txns []Txn, through uint64, over bool) {
+func (t *Sender) Take(progress bool) (txns []Txn, through uint64, over bool) {
 	txns, at, over := t.take()
 	for len(txns) > 0 && txns[0].Revision <= t.after { // the follower is ahead of this replica
 		txns = txns[1:]
@@ -312,7 +312,7 @@
 }
 
 // Confirms is what this replica's word that a quorum confirms a revision says to the follower: nothing, if that had more when it came.
-func (t *Teller) Confirms(revision uint64, proved bool) (uint64, bool) {
+func (t *Sender) Confirms(revision uint64, proved bool) (uint64, bool) {
 	if revision < t.asked {
 		return t.asked, false
 	}
--- a/internal/store/changefeed/feed_test.go
+++ b/internal/store/changefeed/feed_test.go
@@ -14,7 +14,7 @@
 // one order drawn from a seed. What a follower holds is compared, key by key, with what the authority held at the same revision.
 type world struct {
 	rng      *rand.Rand
-	plant    Plant
+	plant    Defect
 	log      []*store.Command
 	lead     *store.State
 	truth    map[uint64]map[string]store.Item
@@ -33,12 +33,12 @@
 }
 
 type copyOf struct {
-	copy   *Copy
+	copy   *Mirror
 	kept   store.Interest
 	file   []byte
 	seen   uint64 // the highest revision that it had, of this file
 	at     *replicaOf
-	teller *Teller
+	teller *Sender
 	whole  bool // is told all, change by change
 	wire   []line
 }
@@ -62,13 +62,13 @@
 	return all
 }()
 
-func newWorld(seed uint64, p Plant) *world {
+func newWorld(seed uint64, p Defect) *world {
 	w := &world{rng: rand.New(rand.NewPCG(seed, 39)), plant: p, lead: store.New(7, small), truth: map[uint64]map[string]store.Item{0: {}}}
 	for i := range 3 {
 		w.replicas = append(w.replicas, &replicaOf{state: store.New(7, small), feed: New(0, p), old: i == 2 && seed%2 == 1})
 	}
 	for range 3 {
-		w.copies = append(w.copies, &copyOf{copy: NewCopy(w.interest(), p), kept: *w.part()})
+		w.copies = append(w.copies, &copyOf{copy: NewMirror(w.interest(), p), kept: *w.part()})
 	}
 	return w
 }
@@ -84,7 +84,7 @@
 	for range w.rng.IntN(4) {
 		of.Keys = append(of.Keys, universe[w.rng.IntN(len(universe))])
 	}
-	of = store.Interest{}.Join(of)
+	of = store.Interest{}.Union(of)
 	return &of
 }
 
@@ -101,9 +101,9 @@
 	key := func() string { return universe[w.rng.IntN(len(universe))] }
 	switch k := w.rng.IntN(12); {
 	case k == 0:
-		c.Grant = &store.Grant{TTL: 1000}
+		c.Grant = &store.GrantLease{TTL: 1000}
 	case k == 1 && len(w.leases) > 0:
-		c.End = &store.End{Lease: w.leases[w.rng.IntN(len(w.leases))]}
+		c.End = &store.RevokeLease{Lease: w.leases[w.rng.IntN(len(w.leases))]}
 	default:
 		c.Txn = &store.Txn{}
 		seen := map[string]bool{}
@@ -198,7 +198,7 @@
 		if txns, done, err = c.teller.CatchUp(r.state, 1+w.rng.IntN(8)); err != nil {
 			w.gaps++
 			c.hangUp()
-			if gone := (*store.ErrCompacted)(nil); errors.As(err, &gone) {
+			if gone := (*store.CompactedError)(nil); errors.As(err, &gone) {
 				w.fetch(c, r, of)
 			}
 			return
@@ -210,13 +210,13 @@
 func (w *world) fetch(c *copyOf, r *replicaOf, of *store.Interest) {
 	s := r.state
 	if of != nil {
-		s = s.Part(*of)
+		s = s.Subset(*of)
 	}
 	var b bytes.Buffer
 	if err := s.Save(&b); err != nil {
 		panic(err)
 	}
-	got, err := store.LoadPart(&b)
+	got, err := store.LoadSubset(&b)
 	if err != nil {
 		panic(err)
 	}
@@ -226,7 +226,7 @@
 }
 
 // sends puts on the wire what a teller took.
-func (c *copyOf) sends(txns []Txn, through uint64, p Plant) {
+func (c *copyOf) sends(txns []Txn, through uint64, p Defect) {
 	if p == ProgressEarly && through > 0 {
 		c.wire = append(c.wire, line{through: through})
 	}
@@ -310,9 +310,9 @@
 		}
 		c.file = b.Bytes()
 	}
-	c.copy, c.seen = NewCopy(w.interest(), w.plant), 0
+	c.copy, c.seen = NewMirror(w.interest(), w.plant), 0
 	if c.file != nil {
-		s, err := store.LoadPart(bytes.NewReader(c.file))
+		s, err := store.LoadSubset(bytes.NewReader(c.file))
 		if err != nil {
 			panic(err)
 		}
@@ -390,7 +390,7 @@
 func TestPartsAgreeWithTheWhole(t *testing.T) {
 	var sum world
 	for seed := range uint64(40) {
-		w := newWorld(seed, PlantNone)
+		w := newWorld(seed, NoDefect)
 		if err := w.run(1500); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
@@ -401,7 +401,7 @@
 	if min(sum.fetches, sum.narrowed, sum.gaps, sum.confirmed) < 100 {
 		t.Error("hardly anything was played")
 	}
-	for p, name := range map[Plant]string{ProgressEarly: "progress before its changes", JoinLate: "a gap before the stream", DeletesLost: "deletions are not told",
+	for p, name := range map[Defect]string{ProgressEarly: "progress before its changes", JoinLate: "a gap before the stream", DeletesLost: "deletions are not told",
 		BehindTells: "a replica that is behind says so as progress", WidenInPlace: "widened without the range", WidenOld: "widened by an older copy",
 		PartAsWhole: "a part that was kept counts as all", NarrowKeeps: "what is told of no more is kept", HalfRevision: "half of a revision",
 		OutsideAbsent: "what is not held is read as not there", CompactedPassed: "what is compacted is passed over"} {
@@ -421,7 +421,7 @@
 // What a change costs goes by whom it concerns: of a thousand streams one is woken by one daemon's word, and a change that all hear is
 // written out once.
 func TestAChangeCostsWhomItConcerns(t *testing.T) {
-	f, all := New(0, PlantNone), []*Teller{}
+	f, all := New(0, NoDefect), []*Sender{}
 	for i := range 1000 {
 		all = append(all, f.Tell(&store.Interest{Prefixes: []string{"out/", fmt.Sprintf("need/h%d/", i)}, Keys: []string{"conf"}}, 0))
 	}
@@ -462,7 +462,7 @@
 
 // Who does not take what waits is cut off before it holds more than its bound.
 func TestWhoDoesNotTakeIsCutOff(t *testing.T) {
-	f := New(0, PlantNone)
+	f := New(0, NoDefect)
 	s := f.Tell(nil, 0)
 	for i := range uint64(streamMost/(1<<20) + 1) {
 		f.Advance([]store.Event{{Revision: i + 1, Item: store.Item{Key: "k", Value: make([]byte, 1<<20)}}}, i+1)
--- a/internal/store/command.go
+++ b/internal/store/command.go
@@ -17,17 +17,17 @@
 
 // Command is one change of the state: exactly one of its pointers is set.
 type Command struct {
-	ID    RequestID `cbor:"1,keyasint"`
-	Since uint64    `cbor:"2,keyasint,omitempty"` // the index applied when the request was first made
-	Txn   *Txn      `cbor:"3,keyasint,omitempty"`
-	Grant *Grant    `cbor:"4,keyasint,omitempty"`
-	End   *End      `cbor:"5,keyasint,omitempty"`
-	Join  *Join     `cbor:"6,keyasint,omitempty"`
-	Place *Place    `cbor:"7,keyasint,omitempty"`
-	Leave *Leave    `cbor:"8,keyasint,omitempty"`
-	Raise *Raise    `cbor:"9,keyasint,omitempty"`
-	Renew *Renew    `cbor:"11,keyasint,omitempty"`
-	Newer any       `cbor:"10,keyasint,omitempty"` // a command of a later level: no replica of this one may go on
+	ID    RequestID      `cbor:"1,keyasint"`
+	Since uint64         `cbor:"2,keyasint,omitempty"` // the index applied when the request was first made
+	Txn   *Txn           `cbor:"3,keyasint,omitempty"`
+	Grant *GrantLease    `cbor:"4,keyasint,omitempty"`
+	End   *RevokeLease   `cbor:"5,keyasint,omitempty"`
+	Join  *AddMember     `cbor:"6,keyasint,omitempty"`
+	Place *RegisterStart `cbor:"7,keyasint,omitempty"`
+	Leave *RemoveMember  `cbor:"8,keyasint,omitempty"`
+	Raise *RaiseLevel    `cbor:"9,keyasint,omitempty"`
+	Renew *RenewLease    `cbor:"11,keyasint,omitempty"`
+	Newer any            `cbor:"10,keyasint,omitempty"` // a command of a later level: no replica of this one may go on
 }
 
 // Txn compares and then does one list of operations or the other, all or none.
@@ -38,14 +38,14 @@
 
 	// Bounds are checked with what Then or Else would leave; one that would be passed is ErrFull, and nothing is done.
 	// Since level 2.
-	Bounds []Bound `cbor:"4,keyasint,omitempty" json:"bounds,omitempty"`
+	Bounds []KeyLimit `cbor:"4,keyasint,omitempty" json:"bounds,omitempty"`
 
 	// Owner, if it is not empty, may tie keys to leases of its own alone; another's is ErrNoLease. Since level 3.
 	Owner string `cbor:"5,keyasint,omitempty" json:"owner,omitempty"`
 }
 
-// Bound says that no more than so many keys may have a prefix.
-type Bound struct {
+// KeyLimit says that no more than so many keys may have a prefix.
+type KeyLimit struct {
 	Prefix string `cbor:"1,keyasint" json:"prefix"`
 	Most   int    `cbor:"2,keyasint" json:"most"`
 }
@@ -67,53 +67,53 @@
 
 // Bounds of leases of owners, in milliseconds. Daemons hold to them; a state takes any.
 const (
-	OwnedLeast = 300
-	OwnedMost  = 60_000
+	MinOwnedTTLMillis = 300
+	MaxOwnedTTLMillis = 60_000
 )
 
-// Grant makes a lease.
-type Grant struct {
+// GrantLease makes a lease.
+type GrantLease struct {
 	TTL   uint64 `cbor:"1,keyasint"`           // milliseconds
 	Owner string `cbor:"2,keyasint,omitempty"` // who alone may renew and end it; empty: anybody. Since level 3
 }
 
-// Renew keeps a lease for another TTL from now on, by the leader's clock. A lease of another owner is ErrNoLease.
-type Renew struct {
+// RenewLease keeps a lease for another TTL from now on, by the leader's clock. A lease of another owner is ErrNoLease.
+type RenewLease struct {
 	Lease uint64 `cbor:"1,keyasint"`
 	Owner string `cbor:"2,keyasint,omitempty"` // since level 3
 }
 
-// End ends a lease, with its keys. One that fell silent ends only if it was not renewed meanwhile: a renewal that
+// RevokeLease ends a lease, with its keys. One that fell silent ends only if it was not renewed meanwhile: a renewal that
 // was answered holds, whoever leads.
-type End struct {
+type RevokeLease struct {
 	Lease   uint64 `cbor:"1,keyasint"`
 	Silent  bool   `cbor:"2,keyasint,omitempty"` // then only if
 	Renewed uint64 `cbor:"3,keyasint,omitempty"` // it was renewed so often
 	Owner   string `cbor:"4,keyasint,omitempty"` // as of Renew, unless Silent is set. Since level 3
 }
 
-// Join makes a place for a member, who is a learner until it is made a voter. A name that is a member's is refused.
-type Join struct {
+// AddMember makes a place for a member, who is a learner until it is made a voter. A name that is a member's is refused.
+type AddMember struct {
 	Name    string `cbor:"1,keyasint"`
 	Address string `cbor:"2,keyasint"`
 }
 
-// Place is the first word of a start of a member: which disk holds it, how often that was started, and what level of
+// RegisterStart is the first word of a start of a member: which disk holds it, how often that was started, and what level of
 // commands it knows. A place that is held by another disk is not given, nor to an older start of the same.
-type Place struct {
+type RegisterStart struct {
 	Member uint64 `cbor:"1,keyasint"`
 	Disk   uint64 `cbor:"2,keyasint"`
 	Boot   uint64 `cbor:"3,keyasint"`
 	Level  uint64 `cbor:"4,keyasint"`
 }
 
-// Leave ends a membership; the id is never given again.
-type Leave struct {
+// RemoveMember ends a membership; the id is never given again.
+type RemoveMember struct {
 	Member uint64 `cbor:"1,keyasint"`
 }
 
-// Raise has commands of a level used, once every member knows it.
-type Raise struct {
+// RaiseLevel has commands of a level used, once every member knows it.
+type RaiseLevel struct {
 	Level uint64 `cbor:"1,keyasint"`
 }
 
@@ -139,8 +139,8 @@
 	LevelOwners = 3 // leases of owners, and with them tasks
 )
 
-// Needs is the least level of commands by which this one can be read. Until the cluster uses it, the command is refused.
-func (c *Command) Needs() uint64 {
+// RequiredLevel is the least level of commands by which this one can be read. Until the cluster uses it, the command is refused.
+func (c *Command) RequiredLevel() uint64 {
 	switch {
 	case c.Txn != nil && c.Txn.Owner != "", c.Grant != nil && c.Grant.Owner != "", c.Renew != nil && c.Renew.Owner != "",
 		c.End != nil && c.End.Owner != "":
@@ -176,7 +176,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("command: %w", err)
 	}
-	return append([]byte{byte(c.Needs())}, b...), nil
+	return append([]byte{byte(c.RequiredLevel())}, b...), nil
 }
 
 // CommandLevel is the level that an encoded command needs, 0 if it is none.
@@ -194,13 +194,13 @@
 		return nil, fmt.Errorf("command: %d bytes", len(b))
 	}
 	if b[0] > Level {
-		return nil, fmt.Errorf("%w: level %d, and this build knows %d", ErrUnknownOp, b[0], Level)
+		return nil, fmt.Errorf("%w: level %d, and this build knows %d", ErrUnknownCommand, b[0], Level)
 	}
 	c := &Command{}
 	if err := decoding.Unmarshal(b[1:], c); err != nil {
 		var field *cbor.UnknownFieldError
 		if errors.As(err, &field) {
-			return nil, fmt.Errorf("%w: %v", ErrUnknownOp, err)
+			return nil, fmt.Errorf("%w: %v", ErrUnknownCommand, err)
 		}
 		return nil, fmt.Errorf("command: %w", err)
 	}
@@ -212,7 +212,7 @@
 		}
 	}
 	if c.Newer != nil {
-		return nil, ErrUnknownOp
+		return nil, ErrUnknownCommand
 	}
 	if set != 1 {
 		return nil, fmt.Errorf("command: %d things to do", set)
@@ -222,7 +222,7 @@
 
 // Check says what is wrong with a command before it is sent to all. Apply finds the same, and changes nothing.
 func (s *State) Check(c *Command) error {
-	if c.Needs() > s.level {
+	if c.RequiredLevel() > s.level {
 		return ErrLevel
 	}
 	if c.Grant != nil && len(c.Grant.Owner) > s.limits.Key {
@@ -270,7 +270,7 @@
 			return r
 		}
 		if c.Since < s.results.ring.oldest {
-			return Result{Index: index, Revision: s.revision, Err: ErrForgotten}
+			return Result{Index: index, Revision: s.revision, Err: ErrRequestExpired}
 		}
 	}
 	r := s.do(c)
@@ -281,8 +281,8 @@
 	return r
 }
 
-// Skip counts an entry of the log that holds no command.
-func (s *State) Skip(index uint64) { s.index = index }
+// SkipIndex counts an entry of the log that holds no command.
+func (s *State) SkipIndex(index uint64) { s.index = index }
 
 func (s *State) do(c *Command) Result {
 	if err := s.Check(c); err != nil {
@@ -304,13 +304,13 @@
 			return Result{Lease: l.ID}
 		}
 		if l != nil && !c.End.Silent && l.Owner != c.End.Owner {
-			return Result{Err: ErrNoLease}
+			return Result{Err: ErrLeaseNotFound}
 		}
 		return s.end(c.End.Lease)
 	case c.Renew != nil:
 		l := s.leases[c.Renew.Lease]
 		if l == nil || l.Owner != c.Renew.Owner {
-			return Result{Err: ErrNoLease}
+			return Result{Err: ErrLeaseNotFound}
 		}
 		l.Renewed++
 		return Result{Lease: l.ID}
@@ -321,7 +321,7 @@
 	case c.Leave != nil:
 		at := s.memberAt(c.Leave.Member)
 		if at < 0 || len(s.members) == 1 {
-			return Result{Err: ErrMember}
+			return Result{Err: ErrUnknownMember}
 		}
 		s.members = slices.Delete(slices.Clone(s.members), at, at+1)
 		return Result{Member: c.Leave.Member}
@@ -334,7 +334,7 @@
 		s.level = max(s.level, c.Raise.Level)
 		return Result{}
 	}
-	return Result{Err: ErrUnknownOp}
+	return Result{Err: ErrUnknownCommand}
 }
 
 func (s *State) txn(t *Txn) Result {
@@ -362,7 +362,7 @@
 			continue
 		}
 		if l, ok := s.leases[o.Lease]; o.Lease != 0 && (!ok || t.Owner != "" && l.Owner != t.Owner) {
-			return Result{Held: held, Err: ErrNoLease}
+			return Result{Held: held, Err: ErrLeaseNotFound}
 		}
 		grown += len(o.Key) + len(o.Value) + itemCost
 		if old, ok := s.items.Get(&Item{Key: o.Key}); ok {
@@ -392,7 +392,7 @@
 
 // over says whether operations would leave more keys under a prefix than it may have. A bound that was lowered under what
 // is there refuses new keys alone.
-func (s *State) over(b Bound, ops []Op) bool {
+func (s *State) over(b KeyLimit, ops []Op) bool {
 	added := 0
 	for _, o := range ops {
 		if !o.Delete && strings.HasPrefix(o.Key, b.Prefix) {
@@ -464,7 +464,7 @@
 func (s *State) end(id uint64) Result {
 	l, ok := s.leases[id]
 	if !ok {
-		return Result{Err: ErrNoLease}
+		return Result{Err: ErrLeaseNotFound}
 	}
 	delete(s.leases, id)
 	keys := make([]string, 0, len(l.keys))
@@ -479,7 +479,7 @@
 	return Result{Lease: id}
 }
 
-func (s *State) join(j *Join) Result {
+func (s *State) join(j *AddMember) Result {
 	if j.Name == "" || len(j.Name)+len(j.Address) > s.limits.Key {
 		return Result{Err: ErrBadKey}
 	}
@@ -488,7 +488,7 @@
 	}
 	for _, m := range s.members {
 		if m.Name == j.Name {
-			return Result{Member: m.ID, Err: ErrMember}
+			return Result{Member: m.ID, Err: ErrUnknownMember}
 		}
 	}
 	s.lastID++
@@ -496,14 +496,14 @@
 	return Result{Member: s.lastID}
 }
 
-func (s *State) place(p *Place) Result {
+func (s *State) place(p *RegisterStart) Result {
 	at := s.memberAt(p.Member)
 	if at < 0 {
-		return Result{Err: ErrMember}
+		return Result{Err: ErrUnknownMember}
 	}
 	m := s.members[at]
 	if m.Disk != 0 && m.Disk != p.Disk || m.Boot > p.Boot {
-		return Result{Member: p.Member, Err: ErrMember}
+		return Result{Member: p.Member, Err: ErrUnknownMember}
 	}
 	m.Disk, m.Boot, m.Level = p.Disk, p.Boot, p.Level
 	s.members = slices.Clone(s.members)
@@ -511,16 +511,16 @@
 	return Result{Member: p.Member}
 }
 
-// Seat says whether a member has a vote, as a change of the cluster's makeup that was agreed on says.
-func (s *State) Seat(id uint64, voter bool) {
+// SetVoter says whether a member has a vote, as a change of the cluster's makeup that was agreed on says.
+func (s *State) SetVoter(id uint64, voter bool) {
 	if at := s.memberAt(id); at >= 0 {
 		s.members = slices.Clone(s.members)
 		s.members[at].Learner = !voter
 	}
 }
 
-// Found makes the first member of a new cluster, a voter with the id 1.
-func (s *State) Found(name, address string, disk uint64) {
+// Bootstrap makes the first member of a new cluster, a voter with the id 1.
+func (s *State) Bootstrap(name, address string, disk uint64) {
 	s.lastID++
 	s.members = []Member{{ID: s.lastID, Name: name, Address: address, Disk: disk, Level: Level}}
 }
--- a/internal/store/disk/disk.go
+++ b/internal/store/disk/disk.go
@@ -55,10 +55,10 @@
 	castig    = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// ErrDamaged names what of a file is not what was written. Such a replica must not go on: it is removed and added anew.
-type ErrDamaged struct{ Path, What string }
+// CorruptedError names what of a file is not what was written. Such a replica must not go on: it is removed and added anew.
+type CorruptedError struct{ Path, What string }
 
-func (e *ErrDamaged) Error() string { return fmt.Sprintf("%s is damaged: %s", e.Path, e.What) }
+func (e *CorruptedError) Error() string { return fmt.Sprintf("%s is damaged: %s", e.Path, e.What) }
 
 // ErrLocked says that another process has the file open.
 var ErrLocked = errors.New("another process holds the store's file")
@@ -85,8 +85,8 @@
 
 var _ replica.Disk = (*Disk)(nil)
 
-// Name is the file's in its folder.
-const Name = "store.db"
+// FileName is the file's in its folder.
+const FileName = "store.db"
 
 // Open opens the file "store.db" in a folder, made if it is not there, and counts a start. The file is the owner's
 // alone; one that others may read or write is refused.
@@ -94,7 +94,7 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	path := filepath.Join(dir, Name)
+	path := filepath.Join(dir, FileName)
 	if i, err := os.Stat(path); err == nil && i.Mode().Perm()&0o077 != 0 {
 		return nil, fmt.Errorf("store: %s may be read or written by others (mode %04o): it must be 0600", path, i.Mode().Perm())
 	} else if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -116,7 +116,7 @@
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
-			err = &ErrDamaged{path, fmt.Sprint(r)}
+			err = &CorruptedError{path, fmt.Sprint(r)}
 		}
 	}()
 	db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Second, NoSync: o.NoSync,
@@ -132,7 +132,7 @@
 	case errors.Is(err, bbolt.ErrTimeout):
 		return nil, fmt.Errorf("store: %s: %w", path, ErrLocked)
 	case errors.Is(err, bbolt.ErrInvalid), errors.Is(err, bbolt.ErrChecksum), errors.Is(err, bbolt.ErrVersionMismatch):
-		return nil, &ErrDamaged{path, err.Error()}
+		return nil, &CorruptedError{path, err.Error()}
 	case err != nil:
 		return nil, fmt.Errorf("store: %w", err)
 	}
@@ -168,7 +168,7 @@
 
 func (d *Disk) caught(err *error) {
 	if r := recover(); r != nil {
-		*err = &ErrDamaged{d.path, fmt.Sprint(r)}
+		*err = &CorruptedError{d.path, fmt.Sprint(r)}
 	}
 	switch {
 	case *err == nil:
@@ -180,7 +180,7 @@
 }
 
 func (d *Disk) damaged(format string, args ...any) error {
-	return &ErrDamaged{d.path, fmt.Sprintf(format, args...)}
+	return &CorruptedError{d.path, fmt.Sprintf(format, args...)}
 }
 
 // begin makes the buckets, or reads whose they are.
@@ -278,8 +278,8 @@
 func bucketOf(n uint64) []byte { return fmt.Appendf(nil, "snapshot-%d", n) }
 
 // Load reads all but the snapshot's bytes, and checks it.
-func (d *Disk) Load() (replica.Saved, error) {
-	s := replica.Saved{Identity: d.now}
+func (d *Disk) Load() (replica.DiskContents, error) {
+	s := replica.DiskContents{Identity: d.now}
 	var snap named
 	err := d.update(func(tx *bbolt.Tx) error {
 		st := tx.Bucket(bState)
--- a/internal/store/disk/disk_test.go
+++ b/internal/store/disk/disk_test.go
@@ -22,7 +22,7 @@
 	return all
 }
 
-func reopen(t *testing.T, dir string) (*Disk, replica.Saved) {
+func reopen(t *testing.T, dir string) (*Disk, replica.DiskContents) {
 	t.Helper()
 	d, err := Open(dir, Options{NoSync: true})
 	if err != nil {
--- a/internal/store/engine/engine.go
+++ b/internal/store/engine/engine.go
@@ -52,13 +52,13 @@
 	// Event is told of each change in order, Reset of a whole new state, both by the loop. They must not wait.
 	Event func(store.Event)
 	Reset func(*store.State)
-	// Unsettled is told at the start what the log's end says that is not known to be agreed on, Settled once when the copy
+	// Uncommitted is told at the start what the log's end says that is not known to be agreed on, Settled once when the copy
 	// has come to that end, by the loop.
-	Unsettled func(*store.Command)
-	Settled   func()
-	// Proved is told by the loop, each time that a quorum confirms the copy, how long ago that was asked: what changes from now
+	Uncommitted func(*store.Command)
+	CaughtUp    func()
+	// Confirmed is told by the loop, each time that a quorum confirms the copy, how long ago that was asked: what changes from now
 	// on was written after it.
-	Proved func(ago time.Duration)
+	Confirmed func(ago time.Duration)
 }
 
 const (
@@ -77,10 +77,10 @@
 type UnknownError struct{ ID store.RequestID }
 
 func (e *UnknownError) Error() string {
-	return fmt.Sprintf("%v; request %x-%d", replica.ErrUnknown, e.ID.Client, e.ID.Seq)
+	return fmt.Sprintf("%v; request %x-%d", replica.ErrOutcomeUnknown, e.ID.Client, e.ID.Seq)
 }
 
-func (e *UnknownError) Unwrap() error { return replica.ErrUnknown }
+func (e *UnknownError) Unwrap() error { return replica.ErrOutcomeUnknown }
 
 // Engine is a running replica.
 type Engine struct {
@@ -101,8 +101,8 @@
 	settled bool
 	adopted replica.Identity
 	greeter map[uint64][2]string // who greeted while no members were known: they are answered
-	waits   map[replica.Token]func(replica.Done)
-	token   replica.Token
+	waits   map[replica.RequestToken]func(replica.Completion)
+	token   replica.RequestToken
 	peers   uint64 // a sum of the members that the network was told of
 
 	proved  atomic.Int64 // when a quorum last confirmed the copy, by the process's clock; 0 never
@@ -133,12 +133,12 @@
 		return nil, err
 	}
 	e := &Engine{cfg: cfg, disk: d, client: random(), calls: make(chan func(), inboxMost), inbox: make(chan *raftpb.Message, inboxMost),
-		done: make(chan struct{}), waits: map[replica.Token]func(replica.Done){}, begun: time.Now()}
+		done: make(chan struct{}), waits: map[replica.RequestToken]func(replica.Completion){}, begun: time.Now()}
 	first := make(chan struct{})
 	e.changed.Store(&first)
 	e.ctx, e.stop = context.WithCancel(context.Background())
 	if d.Identity().Cluster == 0 && !cfg.Join {
-		if err := replica.Found(d, random(), cfg.Name, cfg.Address, cfg.Limits); err != nil {
+		if err := replica.Bootstrap(d, random(), cfg.Name, cfg.Address, cfg.Limits); err != nil {
 			return nil, errors.Join(err, d.Close())
 		}
 	}
@@ -179,8 +179,8 @@
 	}
 	e.node = n
 	e.adopt()
-	if e.cfg.Unsettled != nil {
-		n.Unsettled(e.cfg.Unsettled)
+	if e.cfg.Uncommitted != nil {
+		n.Uncommitted(e.cfg.Uncommitted)
 	}
 	return nil
 }
@@ -204,7 +204,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		err := e.do(ctx, func() {
 			if e.node != nil && len(e.node.State().Members()) > 1 {
-				led = !e.node.HandOver()
+				led = !e.node.TransferLeadership()
 			}
 		})
 		cancel()
@@ -237,7 +237,7 @@
 		select {
 		case <-e.ctx.Done():
 			for t, f := range e.waits {
-				f(replica.Done{Token: t, Err: ErrClosed})
+				f(replica.Completion{Token: t, Err: ErrClosed})
 			}
 			return
 		case <-t.C:
@@ -245,11 +245,11 @@
 				e.node.Tick()
 				if now := time.Now(); now.Sub(lastProof) >= proveFor {
 					lastProof = now
-					e.read(func(d replica.Done) {
+					e.read(func(d replica.Completion) {
 						if d.Err == nil {
 							e.proved.Store(int64(now.Sub(e.begun)) + 1)
-							if e.cfg.Proved != nil {
-								e.cfg.Proved(time.Since(now))
+							if e.cfg.Confirmed != nil {
+								e.cfg.Confirmed(time.Since(now))
 							}
 						}
 					})
@@ -301,13 +301,13 @@
 
 func (e *Engine) drive() {
 	before := e.node.State().Revision()
-	out := e.node.Drive()
+	out := e.node.Process()
 	if out.Renewed {
 		e.adopt()
 	}
-	if !e.settled && e.node.Settled() {
-		if e.settled = true; e.cfg.Settled != nil {
-			e.cfg.Settled()
+	if !e.settled && e.node.CaughtUp() {
+		if e.settled = true; e.cfg.CaughtUp != nil {
+			e.cfg.CaughtUp()
 		}
 	}
 	if e.net != nil {
@@ -401,34 +401,34 @@
 	}
 }
 
-func (e *Engine) await(f func(replica.Done)) replica.Token {
+func (e *Engine) await(f func(replica.Completion)) replica.RequestToken {
 	e.token++
 	e.waits[e.token] = f
 	return e.token
 }
 
-func (e *Engine) read(f func(replica.Done)) { e.node.Read(e.await(f)) }
+func (e *Engine) read(f func(replica.Completion)) { e.node.Read(e.await(f)) }
 
 // ask has the loop put a request to the node and waits for its answer.
-func (e *Engine) ask(ctx context.Context, put func(replica.Token)) (replica.Done, error) {
-	answer := make(chan replica.Done, 1)
+func (e *Engine) ask(ctx context.Context, put func(replica.RequestToken)) (replica.Completion, error) {
+	answer := make(chan replica.Completion, 1)
 	err := e.do(ctx, func() {
 		if e.node == nil {
-			answer <- replica.Done{Err: replica.ErrNoLeader}
+			answer <- replica.Completion{Err: replica.ErrNoLeader}
 			return
 		}
-		put(e.await(func(d replica.Done) { answer <- d }))
+		put(e.await(func(d replica.Completion) { answer <- d }))
 	})
 	if err != nil {
-		return replica.Done{}, err
+		return replica.Completion{}, err
 	}
 	select {
 	case d := <-answer:
 		return d, nil
 	case <-ctx.Done():
-		return replica.Done{}, ctx.Err()
+		return replica.Completion{}, ctx.Err()
 	case <-e.done:
-		return replica.Done{Err: ErrClosed}, nil
+		return replica.Completion{Err: ErrClosed}, nil
 	}
 }
 
@@ -450,9 +450,9 @@
 	sent, wait := false, retryMin
 	var last error
 	for {
-		d, err := e.ask(ctx, func(t replica.Token) { x := c; e.node.Propose(t, &x) })
+		d, err := e.ask(ctx, func(t replica.RequestToken) { x := c; e.node.Propose(t, &x) })
 		switch {
-		case err == nil && d.Err == nil && !sent && errors.Is(d.Result.Err, store.ErrForgotten):
+		case err == nil && d.Err == nil && !sent && errors.Is(d.Result.Err, store.ErrRequestExpired):
 			// It was never sent before: its beginning was told by a copy that is far behind, not by an old request.
 			last = d.Result.Err
 			if err := e.do(ctx, func() {
@@ -488,8 +488,8 @@
 	return store.Result{}, last
 }
 
-// Age is how old a copy may be.
-type Age struct {
+// CopyAge is how old a copy may be.
+type CopyAge struct {
 	Revision uint64        `json:"revision"`
 	Proved   bool          `json:"proved"` // a quorum confirmed the copy since the start,
 	Age      time.Duration `json:"age_ns"` // so long ago
@@ -499,9 +499,9 @@
 // View has f read the state. If stale is not set, it shows all that was answered to anyone before the call; else it is
 // this copy as it is, whose age is told. f runs in the loop and must be short. Of a copy that holds a part (follow.Follower) f may be
 // called again, and begins anew then.
-func (e *Engine) View(ctx context.Context, stale bool, f func(*store.State)) (Age, error) {
+func (e *Engine) View(ctx context.Context, stale bool, f func(*store.State)) (CopyAge, error) {
 	for wait := retryMin; !stale; wait = min(2*wait, retryMost) {
-		d, err := e.ask(ctx, func(t replica.Token) { e.node.Read(t) })
+		d, err := e.ask(ctx, func(t replica.RequestToken) { e.node.Read(t) })
 		if err == nil && d.Err == nil {
 			break
 		}
@@ -509,16 +509,16 @@
 			err = d.Err
 		}
 		if errors.Is(err, ErrClosed) || errors.Is(err, replica.ErrStopped) {
-			return Age{}, err
+			return CopyAge{}, err
 		}
 		select {
 		case <-ctx.Done():
-			return Age{}, fmt.Errorf("%w: %w", err, ctx.Err())
+			return CopyAge{}, fmt.Errorf("%w: %w", err, ctx.Err())
 		case <-e.done:
 		case <-time.After(wait/2 + mathrand.N(wait)):
 		}
 	}
-	var a Age
+	var a CopyAge
 	err := e.do(ctx, func() {
 		if e.node == nil {
 			return
@@ -530,8 +530,8 @@
 	return a, err
 }
 
-func (e *Engine) age() Age {
-	var a Age
+func (e *Engine) age() CopyAge {
+	var a CopyAge
 	if p := e.proved.Load(); p != 0 {
 		a.Proved, a.Age = true, time.Since(e.begun)-time.Duration(p)
 	}
@@ -577,13 +577,13 @@
 
 	Holds *store.Interest `json:"holds,omitempty"` // what a follower's copy holds; nil: all
 
-	Age      Age   `json:"copy"`
-	Disk     int64 `json:"disk_bytes"`
-	Refused  int64 `json:"peers_refused"`
-	Untaken  int64 `json:"connections_refused"`
-	Dropped  int64 `json:"messages_dropped"`
-	Sent     int64 `json:"messages_sent"`
-	Received int64 `json:"messages_received"`
+	Age      CopyAge `json:"copy"`
+	Disk     int64   `json:"disk_bytes"`
+	Refused  int64   `json:"peers_refused"`
+	Untaken  int64   `json:"connections_refused"`
+	Dropped  int64   `json:"messages_dropped"`
+	Sent     int64   `json:"messages_sent"`
+	Received int64   `json:"messages_received"`
 }
 
 // Status returns it.
@@ -617,11 +617,11 @@
 	return s, err
 }
 
-// HandOver gives leadership away.
-func (e *Engine) HandOver(ctx context.Context) error {
+// TransferLeadership gives leadership away.
+func (e *Engine) TransferLeadership(ctx context.Context) error {
 	return e.do(ctx, func() {
 		if e.node != nil {
-			e.node.HandOver()
+			e.node.TransferLeadership()
 		}
 	})
 }
--- a/internal/store/engine/engine_test.go
+++ b/internal/store/engine/engine_test.go
@@ -98,7 +98,7 @@
 			if s.Leading && n == name {
 				return
 			}
-			c.must(e.HandOver(ctx)) // a follower does nothing
+			c.must(e.TransferLeadership(ctx)) // a follower does nothing
 		}
 	}
 }
@@ -145,7 +145,7 @@
 
 func (c *cluster) add(by, name string) uint64 {
 	c.t.Helper()
-	r, err := c.all[by].Do(c.ctx(), store.Command{Join: &store.Join{Name: name, Address: c.addr[name]}})
+	r, err := c.all[by].Do(c.ctx(), store.Command{Join: &store.AddMember{Name: name, Address: c.addr[name]}})
 	c.must(err)
 	c.until(by, func(s Status) bool { return s.Settled && len(s.Peers) > 1 })
 	return r.Member
@@ -287,7 +287,7 @@
 	if s, err := e.Status(c.ctx()); err != nil || !s.WaitingToJoin {
 		t.Fatalf("%+v %v", s, err)
 	}
-	_, err = c.all["a"].Do(c.ctx(), store.Command{Leave: &store.Leave{Member: 3}})
+	_, err = c.all["a"].Do(c.ctx(), store.Command{Leave: &store.RemoveMember{Member: 3}})
 	c.must(err)
 	c.until("a", func(s Status) bool { return s.Settled && len(s.Peers) == 2 })
 	c.add("a", "c")
@@ -300,11 +300,11 @@
 // A replica that was added and never comes is removed, and another can be added; until then writes go on.
 func TestAReplicaThatNeverComesIsRemoved(t *testing.T) {
 	c := newCluster(t, "a", "b")
-	r, err := c.all["a"].Do(c.ctx(), store.Command{Join: &store.Join{Name: "gone", Address: "127.0.0.1:1"}})
+	r, err := c.all["a"].Do(c.ctx(), store.Command{Join: &store.AddMember{Name: "gone", Address: "127.0.0.1:1"}})
 	c.must(err)
 	_, err = c.all["b"].Do(c.ctx(), put("k", "v"))
 	c.must(err)
-	_, err = c.all["a"].Do(c.ctx(), store.Command{Leave: &store.Leave{Member: r.Member}})
+	_, err = c.all["a"].Do(c.ctx(), store.Command{Leave: &store.RemoveMember{Member: r.Member}})
 	c.must(err)
 	c.until("a", func(s Status) bool { return s.Settled && len(s.Peers) == 2 })
 	c.must(keys.Issue(c.keys(), "c", time.Hour, false))
@@ -363,7 +363,7 @@
 	e, err := Open(Config{Name: "b", Dir: filepath.Join(c.dir, "b"), Join: true, Keys: pair, Listen: ln, Disk: disk.Options{NoSync: true}})
 	c.must(err)
 	defer e.Kill()
-	_, err = c.all["a"].Do(c.ctx(), store.Command{Join: &store.Join{Name: "b", Address: ln.Addr().String()}})
+	_, err = c.all["a"].Do(c.ctx(), store.Command{Join: &store.AddMember{Name: "b", Address: ln.Addr().String()}})
 	c.must(err)
 	c.until("a", func(s Status) bool { return s.Untaken > 0 })
 	if s, err := e.Status(c.ctx()); err != nil || !s.WaitingToJoin {
@@ -385,7 +385,7 @@
 			t.Fatal(err)
 		}
 	}
-	var gone *store.ErrCompacted
+	var gone *store.CompactedError
 	if _, _, err := e.Next(ctx, "k", 3, 5); !errors.As(err, &gone) || gone.Oldest != 11 {
 		t.Fatal(err)
 	}
--- a/internal/store/engine/faulty_test.go
+++ b/internal/store/engine/faulty_test.go
@@ -48,7 +48,7 @@
 			c.disk["b"] = disk.Options{File: func(f *os.File) { file = f }}
 			c.begin("a", "b", "c")
 			drain := func(n int) store.Command {
-				key := serverstate.Key(serverstate.Drain, serverstate.Process{ID: fmt.Sprint("s", n), Addr: "127.0.0.1:1", StartedMs: 1}.Server())
+				key := serverstate.ExclusionKey(serverstate.Drain, serverstate.Process{ID: fmt.Sprint("s", n), Addr: "127.0.0.1:1", StartedMs: 1}.Server())
 				return store.Command{Txn: &store.Txn{Then: []store.Op{{Key: key, Value: []byte{0xa0}}}}}
 			}
 			const drains = 60
@@ -75,7 +75,7 @@
 			if !strings.Contains(why, x.reason) && !strings.Contains(why, noSize) || !strings.Contains(why, file.Name()) {
 				t.Errorf("it says that it stopped by %q, and its file %s failed by %q or %q", why, file.Name(), x.reason, noSize)
 			}
-			if _, err := c.all["b"].Do(c.ctx(), drain(drains)); !errors.Is(err, replica.ErrStopped) && !errors.Is(err, replica.ErrUnknown) {
+			if _, err := c.all["b"].Do(c.ctx(), drain(drains)); !errors.Is(err, replica.ErrStopped) && !errors.Is(err, replica.ErrOutcomeUnknown) {
 				t.Errorf("a stopped replica answers %v", err)
 			}
 			c.all["b"].Kill() // whose disk cannot be closed well
@@ -83,18 +83,18 @@
 			guard := serverstate.NewGuard("b")
 			c.first = func(cfg *Config) {
 				cfg.Reset = func(s *store.State) { guard.Reset(s) }
-				cfg.Unsettled = func(c *store.Command) { guard.Unsettled(c) }
+				cfg.Uncommitted = func(c *store.Command) { guard.Unsettled(c) }
 			}
 			b := c.start("b", true)
 			c.first = nil
 			for n := range drains / 2 {
-				if key := drain(n).Txn.Then[0].Key; !guard.Out(strings.TrimPrefix(key, serverstate.Key(serverstate.Drain, ""))) {
+				if key := drain(n).Txn.Then[0].Key; !guard.Out(strings.TrimPrefix(key, serverstate.ExclusionKey(serverstate.Drain, ""))) {
 					t.Fatalf("started again, it does not know drain %d at once", n)
 				}
 			}
 			var there int
 			if _, err := b.View(c.ctx(), false, func(s *store.State) {
-				s.Range(serverstate.Prefix, store.PrefixEnd(serverstate.Prefix), func(store.Item) bool { there++; return true })
+				s.Range(serverstate.ExclusionPrefix, store.PrefixEnd(serverstate.ExclusionPrefix), func(store.Item) bool { there++; return true })
 			}); err != nil || there < drains {
 				t.Errorf("%d of %d drains that were answered are there: %v", there, drains, err)
 			}
