--- a/internal/store/follower/follow.go
+++ b/internal/store/follower/follow.go
@@ -62,17 +62,17 @@
 	// Event and Reset are told of changes and of a whole new copy, one after the other. They must not wait.
 	Event func(store.Event)
 	Reset func(*store.State)
-	// Settled is told once, when the copy is as a replica has it that a quorum confirms.
-	Settled func()
-	// Proved is told how long ago a quorum confirmed the copy, at each word of that.
-	Proved func(ago time.Duration)
+	// CaughtUp is told once, when the copy is as a replica has it that a quorum confirms.
+	CaughtUp func()
+	// Confirmed is told how long ago a quorum confirmed the copy, at each word of that.
+	Confirmed func(ago time.Duration)
 	// Age is told how long ago, by a replica's clock, a picture was put that the copy came with.
 	Age func(key string, age time.Duration)
 
-	// Needs is asked what the copy is to hold, at the start, after each whole copy, and after Rescope. nil: all.
-	Needs func() changefeed.Needs
-	// Sum is told of those sums that were asked for, as they change.
-	Sum func(prefix string, n store.Sum)
+	// Subscription is asked what the copy is to hold, at the start, after each whole copy, and after Rescope. nil: all.
+	Subscription func() changefeed.Subscription
+	// PrefixSize is told of those sums that were asked for, as they change.
+	PrefixSize func(prefix string, n store.PrefixSize)
 }
 
 const (
@@ -105,8 +105,8 @@
 	saved  uint64     // the number of the copy in it
 
 	mu      sync.Mutex
-	copy    *changefeed.Copy
-	needs   changefeed.Needs
+	copy    *changefeed.Mirror
+	needs   changefeed.Subscription
 	rescope chan struct{} // closed when the copy is to hold something else
 	changed chan struct{} // closed when the revision goes on
 	follows string
@@ -130,7 +130,7 @@
 		return nil, err
 	}
 	f := &Follower{cfg: cfg, client: binary.BigEndian.Uint64(b[:])>>1 | 1, begun: time.Now(), changed: make(chan struct{}),
-		synced: make(chan struct{}), rescope: make(chan struct{}), copy: changefeed.NewCopy(nil, changefeed.PlantNone)}
+		synced: make(chan struct{}), rescope: make(chan struct{}), copy: changefeed.NewMirror(nil, changefeed.NoDefect)}
 	f.need()
 	for _, r := range cfg.Replicas {
 		t := &http.Transport{DialContext: f.dial, MaxIdleConnsPerHost: 4, TLSHandshakeTimeout: askTime}
@@ -180,12 +180,12 @@
 	if err != nil {
 		return false, err
 	}
-	s, err := store.LoadPart(bytes.NewReader(b))
+	s, err := store.LoadSubset(bytes.NewReader(b))
 	if err != nil {
 		return false, err
 	}
 	if s.Level() > store.Level {
-		return false, fmt.Errorf("%w: level %d, and this build knows %d", store.ErrUnknownOp, s.Level(), store.Level)
+		return false, fmt.Errorf("%w: level %d, and this build knows %d", store.ErrUnknownCommand, s.Level(), store.Level)
 	}
 	if info, err := os.Stat(f.path()); err == nil {
 		f.kept = info.ModTime()
@@ -210,18 +210,18 @@
 
 // need takes what the copy is to hold. The lock is held, or nothing runs yet.
 func (f *Follower) need() {
-	if f.cfg.Needs == nil {
+	if f.cfg.Subscription == nil {
 		return
 	}
-	f.needs = f.cfg.Needs()
+	f.needs = f.cfg.Subscription()
 	if f.copy.Want(f.needs.Of) {
 		close(f.rescope)
 		f.rescope = make(chan struct{})
 	}
 }
 
-// Rescope has Needs asked again: what the copy is to hold has changed. It is not called by the hooks, which are asked behind.
-func (f *Follower) Rescope() {
+// UpdateInterest has Needs asked again: what the copy is to hold has changed. It is not called by the hooks, which are asked behind.
+func (f *Follower) UpdateInterest() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.need()
@@ -294,7 +294,7 @@
 }
 
 // errBehind says that a replica has less than this copy, or is of another cluster.
-var errBehind = changefeed.ErrBehind
+var errBehind = changefeed.ErrReplicaBehind
 
 // errAgain says that the same replica is to be asked for something else.
 var errAgain = errors.New("something else is needed")
@@ -460,20 +460,20 @@
 		f.proved = max(f.proved, time.Since(f.begun)-b.Age, 1)
 	}
 	f.mu.Unlock()
-	if proved && f.cfg.Proved != nil {
-		f.cfg.Proved(b.Age)
+	if proved && f.cfg.Confirmed != nil {
+		f.cfg.Confirmed(b.Age)
 	}
-	if first && f.cfg.Settled != nil {
-		f.cfg.Settled()
+	if first && f.cfg.CaughtUp != nil {
+		f.cfg.CaughtUp()
 	}
 	if f.cfg.Age != nil {
 		for _, x := range b.Ages {
 			f.cfg.Age(x.Key, x.Age)
 		}
 	}
-	if f.cfg.Sum != nil {
+	if f.cfg.PrefixSize != nil {
 		for prefix, n := range b.Sums {
-			f.cfg.Sum(prefix, n)
+			f.cfg.PrefixSize(prefix, n)
 		}
 	}
 	select {
@@ -502,13 +502,13 @@
 		f.cfg.Meter.Count(usage.Snapshots, usage.In, 0, int(max(0, a.ContentLength)))
 		return nil, fmt.Errorf("%w: %s", errBehind, a.Status)
 	}
-	s, err := store.LoadPart(&countedBody{a.Body, f.cfg.Meter, usage.Snapshots})
+	s, err := store.LoadSubset(&countedBody{a.Body, f.cfg.Meter, usage.Snapshots})
 	if err != nil {
 		return nil, err
 	}
 	if s.Level() > store.Level {
 		f.cfg.Log.Error("the cluster uses commands that this build does not know: start a newer one", "level", s.Level(), "knows", store.Level)
-		return nil, store.ErrUnknownOp
+		return nil, store.ErrUnknownCommand
 	}
 	return s, nil
 }
@@ -726,7 +726,7 @@
 		return store.ErrLevel
 	case http.StatusBadRequest, http.StatusConflict:
 		if e.NoLease {
-			return store.ErrNoLease
+			return store.ErrLeaseNotFound
 		}
 		return e
 	}
@@ -770,8 +770,8 @@
 // View has read read the copy; see engine.Engine. Unless stale is set, a replica is asked up to where the quorum is, and the
 // copy waited for. If it reads what this copy does not hold, it is called again with what a replica holds, and what it read then
 // counts; with stale set, or if no replica gives it, the error says so.
-func (f *Follower) View(ctx context.Context, stale bool, read func(*store.State)) (engine.Age, error) {
-	var need engine.Age
+func (f *Follower) View(ctx context.Context, stale bool, read func(*store.State)) (engine.CopyAge, error) {
+	var need engine.CopyAge
 	for at, asked := mathrand.IntN(len(f.http)), false; !stale && !asked; at = (at + 1) % len(f.http) {
 		_, err := f.ask(ctx, at, usage.Requests, http.MethodGet, "/v1/revision", nil, &need)
 		if asked = err == nil; asked {
@@ -779,9 +779,9 @@
 		}
 		select {
 		case <-ctx.Done():
-			return engine.Age{}, fmt.Errorf("%w: %w", err, ctx.Err())
+			return engine.CopyAge{}, fmt.Errorf("%w: %w", err, ctx.Err())
 		case <-f.ctx.Done():
-			return engine.Age{}, engine.ErrClosed
+			return engine.CopyAge{}, engine.ErrClosed
 		case <-time.After(backMin):
 		}
 	}
@@ -797,7 +797,7 @@
 			case held && there:
 				return a, nil
 			case !held && stale:
-				return a, &store.OutsideError{Of: what}
+				return a, &store.NotHeldError{Of: what}
 			case !held:
 				return f.elsewhere(ctx, need, what, read)
 			}
@@ -806,21 +806,21 @@
 		}
 		f.mu.Unlock()
 		if stale && none {
-			return engine.Age{Stale: true}, replica.ErrNoLeader
+			return engine.CopyAge{Stale: true}, replica.ErrNoLeader
 		}
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return engine.Age{}, ctx.Err()
+			return engine.CopyAge{}, ctx.Err()
 		case <-f.ctx.Done():
-			return engine.Age{}, engine.ErrClosed
+			return engine.CopyAge{}, engine.ErrClosed
 		}
 	}
 }
 
 // elsewhere has read read a replica's copy of what it reads, which has all that need has.
-func (f *Follower) elsewhere(ctx context.Context, need engine.Age, what store.Interest, read func(*store.State)) (engine.Age, error) {
-	last := error(&store.OutsideError{Of: what})
+func (f *Follower) elsewhere(ctx context.Context, need engine.CopyAge, what store.Interest, read func(*store.State)) (engine.CopyAge, error) {
+	last := error(&store.NotHeldError{Of: what})
 	at, wait := mathrand.IntN(len(f.http)), backMin
 	for more := 0; more < widerMost; {
 		of := &what
@@ -829,36 +829,36 @@
 		}
 		s, err := f.get(ctx, at, of)
 		if err == nil && s.Revision() >= need.Revision {
-			s.Watch()
+			s.TrackReads()
 			read(s)
-			found, held := s.Watched()
+			found, held := s.TrackedReads()
 			if held {
 				need.Revision = s.Revision()
 				return need, nil
 			}
-			what = what.Join(found)
+			what = what.Union(found)
 			more++
 			continue
 		}
 		if err != nil {
-			last = fmt.Errorf("%w: %w", &store.OutsideError{Of: what}, err)
+			last = fmt.Errorf("%w: %w", &store.NotHeldError{Of: what}, err)
 		}
 		at = (at + 1) % len(f.http)
 		select {
 		case <-ctx.Done():
-			return engine.Age{}, errors.Join(last, ctx.Err())
+			return engine.CopyAge{}, errors.Join(last, ctx.Err())
 		case <-f.ctx.Done():
-			return engine.Age{}, engine.ErrClosed
+			return engine.CopyAge{}, engine.ErrClosed
 		case <-time.After(wait/2 + mathrand.N(wait)):
 		}
 		wait = min(2*wait, backMost)
 	}
-	return engine.Age{}, last
+	return engine.CopyAge{}, last
 }
 
 // age is how old the copy may be. The lock is held.
-func (f *Follower) age() engine.Age {
-	a := engine.Age{Revision: f.copy.State().Revision(), Proved: f.proved > 0}
+func (f *Follower) age() engine.CopyAge {
+	a := engine.CopyAge{Revision: f.copy.State().Revision(), Proved: f.proved > 0}
 	if a.Proved {
 		a.Age = time.Since(f.begun) - f.proved
 	}
@@ -902,8 +902,8 @@
 	return s, err
 }
 
-// HandOver is not for a follower.
-func (f *Follower) HandOver(context.Context) error {
+// TransferLeadership is not for a follower.
+func (f *Follower) TransferLeadership(context.Context) error {
 	return errors.New("this daemon has no replica, and leads nothing")
 }
 
--- a/internal/store/follower/follow_test.go
+++ b/internal/store/follower/follow_test.go
@@ -32,7 +32,7 @@
 // with the word that nothing was sent.
 func TestAloneWithItsFile(t *testing.T) {
 	s := store.New(7, store.DefaultLimits)
-	s.Found("a", "a", 1)
+	s.Bootstrap("a", "a", 1)
 	s.Apply(1, &store.Command{Txn: &store.Txn{Then: []store.Op{{Key: "k", Value: []byte("v")}}}})
 	for _, damaged := range []bool{false, true} {
 		dir := t.TempDir()
@@ -71,7 +71,7 @@
 			t.Error("it is up to date without a replica")
 		}
 		cancel()
-		if _, err := f.Do(t.Context(), store.Command{Grant: &store.Grant{TTL: 5}}); err == nil {
+		if _, err := f.Do(t.Context(), store.Command{Grant: &store.GrantLease{TTL: 5}}); err == nil {
 			t.Error("a follower was given a lease")
 		}
 		if st, err := f.Status(t.Context()); err != nil || !st.Follower || st.Follows != "" || !st.Age.Stale {
--- a/internal/store/follower/meter_test.go
+++ b/internal/store/follower/meter_test.go
@@ -22,13 +22,15 @@
 // A follower and its replica count the same messages and bytes, each way and for each purpose, and the replica as many entries as were
 // put to it: of a stream of all, and of one by interest, by which a line has all that a transaction changed and counts as its first key.
 func TestBothEndsCountTheSame(t *testing.T) {
-	own := changefeed.Needs{Of: &store.Interest{Prefixes: []string{"known/h/", "out/"}}, Sums: []string{"known/"}}
+	own := changefeed.Subscription{Of: &store.Interest{Prefixes: []string{"known/h/", "out/"}}, Sums: []string{"known/"}}
 	t.Run("all", func(t *testing.T) { bothEndsCountTheSame(t, nil, [2]uint64{4, 5}) })
-	t.Run("own", func(t *testing.T) { bothEndsCountTheSame(t, func() changefeed.Needs { return own }, [2]uint64{4, 3}) })
+	t.Run("own", func(t *testing.T) {
+		bothEndsCountTheSame(t, func() changefeed.Subscription { return own }, [2]uint64{4, 3})
+	})
 }
 
 // events are those of words and of pictures that the follower is told of.
-func bothEndsCountTheSame(t *testing.T, needs func() changefeed.Needs, events [2]uint64) {
+func bothEndsCountTheSame(t *testing.T, needs func() changefeed.Subscription, events [2]uint64) {
 	prefixes := []usage.Prefix{{Prefix: "out/", Purpose: usage.Words}, {Prefix: "known/", Purpose: usage.Pictures}}
 	here, there := usage.New(prefixes...), usage.New(prefixes...)
 	e, err := engine.Open(engine.Config{Name: "a", Dir: t.TempDir(), Tick: 5 * time.Millisecond, Disk: disk.Options{NoSync: true}, Meter: there})
@@ -55,7 +57,7 @@
 	})
 	dir := t.TempDir()
 	f, err := Open(Config{Name: "h", Dir: dir, Replicas: []Replica{{Name: "a", Addr: ln.Addr().String()}}, Wait: time.Minute,
-		Log: slog.New(slog.DiscardHandler), Meter: here, Needs: needs})
+		Log: slog.New(slog.DiscardHandler), Meter: here, Subscription: needs})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,15 +70,15 @@
 		return r
 	}
 	put := func(key string) { do(store.Command{Txn: &store.Txn{Then: []store.Op{{Key: key, Value: []byte("v")}}}}) }
-	lease := do(store.Command{Grant: &store.Grant{TTL: 60_000, Owner: "h"}}).Lease
+	lease := do(store.Command{Grant: &store.GrantLease{TTL: 60_000, Owner: "h"}}).Lease
 	for range 3 {
-		do(store.Command{Renew: &store.Renew{Lease: lease, Owner: "h"}})
+		do(store.Command{Renew: &store.RenewLease{Lease: lease, Owner: "h"}})
 		put("out/drain/x")
 		put("known/h/")
 	}
 	// One that changes two keys, which is told by two lines of a stream of all, and by one of another.
 	do(store.Command{Txn: &store.Txn{Then: []store.Op{{Key: "out/drain/y", Value: []byte("v")}, {Key: "known/h/", Value: []byte("w")}}}})
-	do(store.Command{End: &store.End{Lease: lease, Owner: "h"}})
+	do(store.Command{End: &store.RevokeLease{Lease: lease, Owner: "h"}})
 	// Another's picture, of which a copy by interest is told nothing but up to where it has all.
 	if _, err := e.Do(ctx, store.Command{Txn: &store.Txn{Then: []store.Op{{Key: "known/other/", Value: []byte("v")}}}}); err != nil {
 		t.Fatal(err)
@@ -84,7 +86,7 @@
 	if _, err := f.View(ctx, false, func(*store.State) {}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := f.Do(ctx, store.Command{Renew: &store.Renew{Lease: lease, Owner: "h"}}); err != store.ErrNoLease {
+	if _, err := f.Do(ctx, store.Command{Renew: &store.RenewLease{Lease: lease, Owner: "h"}}); err != store.ErrLeaseNotFound {
 		t.Fatalf("a lease that ended: %v", err)
 	}
 	// A beat may be on its way at any one look.
--- a/internal/store/follower/part_test.go
+++ b/internal/store/follower/part_test.go
@@ -87,17 +87,17 @@
 
 type part struct {
 	*Follower
-	needs  atomic.Pointer[changefeed.Needs]
+	needs  atomic.Pointer[changefeed.Subscription]
 	sum    atomic.Int64
 	resets atomic.Int64
 }
 
-func open(t *testing.T, dir string, n changefeed.Needs, addrs ...string) *part {
+func open(t *testing.T, dir string, n changefeed.Subscription, addrs ...string) *part {
 	t.Helper()
 	p := &part{}
 	p.needs.Store(&n)
-	cfg := Config{Name: "h", Dir: dir, Wait: time.Minute, Log: slog.New(slog.DiscardHandler), Needs: func() changefeed.Needs { return *p.needs.Load() },
-		Sum: func(_ string, n store.Sum) { p.sum.Store(int64(n.Keys)) }, Reset: func(*store.State) { p.resets.Add(1) }}
+	cfg := Config{Name: "h", Dir: dir, Wait: time.Minute, Log: slog.New(slog.DiscardHandler), Subscription: func() changefeed.Subscription { return *p.needs.Load() },
+		PrefixSize: func(_ string, n store.PrefixSize) { p.sum.Store(int64(n.Keys)) }, Reset: func(*store.State) { p.resets.Add(1) }}
 	for _, a := range addrs {
 		cfg.Replicas = append(cfg.Replicas, Replica{Name: "a", Addr: a})
 	}
@@ -133,7 +133,7 @@
 	}
 }
 
-func isOutside(err error) bool { return errors.As(err, new(*store.OutsideError)) }
+func isOutside(err error) bool { return errors.As(err, new(*store.NotHeldError)) }
 
 // A follower holds what it needs, reads a replica for what else is asked, never says of that that it is not there, and holds more or less
 // while it runs; what it keeps is of use to its next start, and is not taken for all.
@@ -144,7 +144,7 @@
 		put(t, e, fmt.Sprint("b/", i), "w")
 	}
 	dir := t.TempDir()
-	needs := changefeed.Needs{Of: prefixes("a/"), Kept: store.Interest{Keys: []string{"a/1"}}, Sums: []string{"b/"}}
+	needs := changefeed.Subscription{Of: prefixes("a/"), Kept: store.Interest{Keys: []string{"a/1"}}, Sums: []string{"b/"}}
 	f := open(t, dir, needs, addr)
 	soon(t, "how many there are beside", func() bool { return f.sum.Load() == 5 })
 	put(t, e, "b/new", "n")
@@ -179,12 +179,12 @@
 	wide := needs
 	wide.Of = prefixes("a/", "b/")
 	f.needs.Store(&wide)
-	f.Rescope()
+	f.UpdateInterest()
 	soon(t, "more is held", func() bool { got, err := f.read(t, "b/1", true); return err == nil && got == "w" })
 	put(t, e, "b/1", "again")
 	soon(t, "and told of", func() bool { got, _ := f.read(t, "b/1", true); return got == "again" })
 	f.needs.Store(&needs)
-	f.Rescope()
+	f.UpdateInterest()
 	soon(t, "less is held", func() bool { _, err := f.read(t, "b/1", true); return isOutside(err) })
 	put(t, e, "a/1", "last")
 	soon(t, "and told of", func() bool { got, _ := f.read(t, "a/1", true); return got == "last" })
@@ -220,7 +220,7 @@
 	e, addr := replicaHere(t)
 	put(t, e, "a/1", "v")
 	put(t, e, "b/1", "w")
-	needs, dir, old := changefeed.Needs{Of: prefixes("a/"), Kept: *prefixes("a/")}, t.TempDir(), older(t, addr)
+	needs, dir, old := changefeed.Subscription{Of: prefixes("a/"), Kept: *prefixes("a/")}, t.TempDir(), older(t, addr)
 	for i, x := range []struct {
 		addr string
 		all  bool
@@ -283,7 +283,7 @@
 func TestInterestsOutOfBounds(t *testing.T) {
 	_, addr := replicaHere(t)
 	many := url.Values{}
-	for i := range store.InterestMost + 1 {
+	for i := range store.MaxInterestEntries + 1 {
 		many.Add("prefix", fmt.Sprint(i, "/"))
 	}
 	long := url.Values{}
@@ -310,12 +310,12 @@
 	put(t, e, "a/1", "v")
 	put(t, e, "b/1", "w")
 	dir := t.TempDir()
-	wide := changefeed.Needs{Of: prefixes("a/", "b/"), Kept: *prefixes("a/", "b/")}
-	narrow := changefeed.Needs{Of: prefixes("a/"), Kept: *prefixes("a/")}
+	wide := changefeed.Subscription{Of: prefixes("a/", "b/"), Kept: *prefixes("a/", "b/")}
+	narrow := changefeed.Subscription{Of: prefixes("a/"), Kept: *prefixes("a/")}
 	next := func(change string) string {
 		f := open(t, dir, wide, addr)
 		f.needs.Store(&narrow)
-		f.Rescope()
+		f.UpdateInterest()
 		soon(t, "less is held", func() bool { _, err := f.read(t, "b/1", true); return isOutside(err) })
 		if change != "" {
 			put(t, f, "a/1", change)
--- a/internal/store/interest.go
+++ b/internal/store/interest.go
@@ -16,17 +16,17 @@
 
 // Bounds of an interest that one may ask for.
 const (
-	InterestMost      = 128     // prefixes and keys
-	InterestBytesMost = 8 << 10 // of all of them
+	MaxInterestEntries = 128     // prefixes and keys
+	MaxInterestBytes   = 8 << 10 // of all of them
 )
 
-// ErrInterest says that an interest is out of bounds.
-var ErrInterest = errors.New("not an interest")
+// ErrInvalidInterest says that an interest is out of bounds.
+var ErrInvalidInterest = errors.New("not an interest")
 
-// OutsideError says that a copy was asked for what it does not hold: whether that is there, it cannot say.
-type OutsideError struct{ Of Interest }
+// NotHeldError says that a copy was asked for what it does not hold: whether that is there, it cannot say.
+type NotHeldError struct{ Of Interest }
 
-func (e *OutsideError) Error() string {
+func (e *NotHeldError) Error() string {
 	what := "keys"
 	if all := append(slices.Clone(e.Of.Keys), e.Of.Prefixes...); len(all) > 0 {
 		what = fmt.Sprintf("%q", all[0])
@@ -36,26 +36,26 @@
 
 // Check says what is out of bounds.
 func (i Interest) Check() error {
-	if n := len(i.Prefixes) + len(i.Keys); n > InterestMost {
-		return fmt.Errorf("%w: %d prefixes and keys are more than %d", ErrInterest, n, InterestMost)
+	if n := len(i.Prefixes) + len(i.Keys); n > MaxInterestEntries {
+		return fmt.Errorf("%w: %d prefixes and keys are more than %d", ErrInvalidInterest, n, MaxInterestEntries)
 	}
 	bytes := 0
 	for _, all := range [][]string{i.Prefixes, i.Keys} {
 		for _, k := range all {
 			if k == "" || len(k) > DefaultLimits.Key {
-				return fmt.Errorf("%w: %q is not of 1 to %d bytes", ErrInterest, k, DefaultLimits.Key)
+				return fmt.Errorf("%w: %q is not of 1 to %d bytes", ErrInvalidInterest, k, DefaultLimits.Key)
 			}
 			bytes += len(k)
 		}
 	}
-	if bytes > InterestBytesMost {
-		return fmt.Errorf("%w: %d bytes are more than %d", ErrInterest, bytes, InterestBytesMost)
+	if bytes > MaxInterestBytes {
+		return fmt.Errorf("%w: %d bytes are more than %d", ErrInvalidInterest, bytes, MaxInterestBytes)
 	}
 	return nil
 }
 
-// Join is what either of them holds, in order and each once.
-func (i Interest) Join(o Interest) Interest {
+// Union is what either of them holds, in order and each once.
+func (i Interest) Union(o Interest) Interest {
 	var all Interest
 	prefixes := slices.Concat(i.Prefixes, o.Prefixes)
 	slices.Sort(prefixes)
@@ -118,13 +118,13 @@
 	return &i
 }
 
-// Part is a state that holds what this one does of an interest, at the same revision, and no history. The items are shared;
+// Subset is a state that holds what this one does of an interest, at the same revision, and no history. The items are shared;
 // neither changes them. It is mirrored, and never given to Apply. Its cost goes by the items that it holds.
-func (s *State) Part(of Interest) *State {
+func (s *State) Subset(of Interest) *State {
 	p := New(s.cluster, s.limits)
 	p.revision, p.level, p.index, p.lastID, p.members = s.revision, s.level, s.index, s.lastID, slices.Clone(s.members)
 	p.history.oldest, p.results.ring.oldest = s.revision, s.index
-	p.part = &partial{of: Interest{}.Join(of)}
+	p.part = &partial{of: Interest{}.Union(of)}
 	take := func(i *Item) {
 		p.items.ReplaceOrInsert(i)
 		p.size += i.size()
@@ -146,9 +146,9 @@
 	return p
 }
 
-// Narrow is a Part that keeps the history of what it holds, as far as it is known and has room.
-func (s *State) Narrow(of Interest) *State {
-	p := s.Part(of)
+// SubsetWithHistory is a Part that keeps the history of what it holds, as far as it is known and has room.
+func (s *State) SubsetWithHistory(of Interest) *State {
+	p := s.Subset(of)
 	p.history.oldest = s.history.oldest
 	for n := range s.history.len() {
 		if e := s.history.at(n); p.part.of.Covers(e.Item.Key) {
@@ -158,15 +158,15 @@
 	return p
 }
 
-// Watch has it noted from now on what is read of a state that holds a part.
-func (s *State) Watch() {
+// TrackReads has it noted from now on what is read of a state that holds a part.
+func (s *State) TrackReads() {
 	if s.part != nil {
 		s.part.watching, s.part.read, s.part.outside = true, Interest{}, false
 	}
 }
 
-// Watched ends that. It returns what was read, and whether the state holds all of it.
-func (s *State) Watched() (read Interest, held bool) {
+// TrackedReads ends that. It returns what was read, and whether the state holds all of it.
+func (s *State) TrackedReads() (read Interest, held bool) {
 	if s.part == nil {
 		return Interest{}, true
 	}
@@ -179,7 +179,7 @@
 	if p == nil || !p.watching {
 		return
 	}
-	p.read = p.read.Join(o)
+	p.read = p.read.Union(o)
 	p.outside = p.outside || !p.of.Contains(o)
 }
 
@@ -198,12 +198,12 @@
 	return Interest{Prefixes: []string{from[:n]}}
 }
 
-// ChangesOf appends to buf the events of an interest after a revision, and returns the revision up to which nothing was left
+// ChangesIn appends to buf the events of an interest after a revision, and returns the revision up to which nothing was left
 // out: it looks at n events at most, but never parts those of one revision. After a revision that the history no longer covers the
 // error is ErrCompacted. nil is all keys.
-func (s *State) ChangesOf(buf []Event, of *Interest, after uint64, n int) ([]Event, uint64, error) {
+func (s *State) ChangesIn(buf []Event, of *Interest, after uint64, n int) ([]Event, uint64, error) {
 	if oldest := s.Oldest(); after+1 < oldest {
-		return buf, after, &ErrCompacted{Oldest: oldest}
+		return buf, after, &CompactedError{Oldest: oldest}
 	}
 	if after > s.revision {
 		return buf, after, nil
@@ -221,14 +221,14 @@
 	return buf, s.revision, nil
 }
 
-// Sum is how many keys a range has, and how many bytes they and their values take.
-type Sum struct {
+// PrefixSize is how many keys a range has, and how many bytes they and their values take.
+type PrefixSize struct {
 	Keys  int `json:"keys"`
 	Bytes int `json:"bytes"`
 }
 
-// SumOf adds up the keys with a prefix.
-func (s *State) SumOf(prefix string) (n Sum) {
+// PrefixSize adds up the keys with a prefix.
+func (s *State) PrefixSize(prefix string) (n PrefixSize) {
 	s.ascend(prefix, PrefixEnd(prefix), func(i *Item) bool { n.Keys++; n.Bytes += i.size(); return true })
 	return n
 }
--- a/internal/store/mirror.go
+++ b/internal/store/mirror.go
@@ -5,36 +5,36 @@
 	"fmt"
 )
 
-// ErrOrder says that a change does not follow on what a mirror has.
-var ErrOrder = errors.New("changes out of order")
+// ErrOutOfOrder says that a change does not follow on what a mirror has.
+var ErrOutOfOrder = errors.New("changes out of order")
 
-// Mirror makes in a copy the change that another state told of as an event. Such a copy knows items and their history; who
+// ApplyEvent makes in a copy the change that another state told of as an event. Such a copy knows items and their history; who
 // the members are, which leases run and what requests were answered it knows as of when it was loaded. A copy that is
 // mirrored is never given to Apply.
-func (s *State) Mirror(e Event) error {
+func (s *State) ApplyEvent(e Event) error {
 	if e.Revision < s.revision || e.Item.Key == "" {
-		return fmt.Errorf("%w: revision %d after %d", ErrOrder, e.Revision, s.revision)
+		return fmt.Errorf("%w: revision %d after %d", ErrOutOfOrder, e.Revision, s.revision)
 	}
 	if s.part != nil && !s.part.of.Covers(e.Item.Key) {
-		return fmt.Errorf("%w: %q", ErrOrder, e.Item.Key)
+		return fmt.Errorf("%w: %q", ErrOutOfOrder, e.Item.Key)
 	}
 	s.mirror(e)
 	return nil
 }
 
-// MirrorAll makes all changes of one revision that a copy is to know of, or none: whoever reads between two calls sees whole
+// ApplyEvents makes all changes of one revision that a copy is to know of, or none: whoever reads between two calls sees whole
 // revisions.
-func (s *State) MirrorAll(events []Event) error {
+func (s *State) ApplyEvents(events []Event) error {
 	if len(events) == 0 {
 		return nil
 	}
 	for i := range events {
 		e := &events[i]
 		if e.Revision <= s.revision || e.Revision != events[0].Revision || e.Item.Key == "" {
-			return fmt.Errorf("%w: revision %d after %d", ErrOrder, e.Revision, s.revision)
+			return fmt.Errorf("%w: revision %d after %d", ErrOutOfOrder, e.Revision, s.revision)
 		}
 		if s.part != nil && !s.part.of.Covers(e.Item.Key) {
-			return fmt.Errorf("%w: %q is not held", ErrOrder, e.Item.Key)
+			return fmt.Errorf("%w: %q is not held", ErrOutOfOrder, e.Item.Key)
 		}
 	}
 	for _, e := range events {
@@ -46,7 +46,7 @@
 // Progress says that the copy has been told of all that it holds up to a revision.
 func (s *State) Progress(revision uint64) error {
 	if revision < s.revision {
-		return fmt.Errorf("%w: revision %d after %d", ErrOrder, revision, s.revision)
+		return fmt.Errorf("%w: revision %d after %d", ErrOutOfOrder, revision, s.revision)
 	}
 	s.revision = revision
 	return nil
--- a/internal/store/peer/frame.go
+++ b/internal/store/peer/frame.go
@@ -27,8 +27,8 @@
 	partBytes = 256 << 10
 )
 
-// ErrFrame says that what came is not of this protocol.
-var ErrFrame = errors.New("not a frame of the store")
+// ErrInvalidFrame says that what came is not of this protocol.
+var ErrInvalidFrame = errors.New("not a frame of the store")
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
@@ -55,21 +55,21 @@
 	switch k {
 	case kHello, kVerdict, kMessage, kBulk, kPart:
 	default:
-		return 0, nil, fmt.Errorf("%w: kind %#x", ErrFrame, head[0])
+		return 0, nil, fmt.Errorf("%w: kind %#x", ErrInvalidFrame, head[0])
 	}
 	if int64(n) > int64(most) {
-		return 0, nil, fmt.Errorf("%w: %d bytes, at most %d", ErrFrame, n, most)
+		return 0, nil, fmt.Errorf("%w: %d bytes, at most %d", ErrInvalidFrame, n, most)
 	}
 	var b []byte
 	for have := 0; have < int(n); have = len(b) {
 		step := min(int(n)-have, max(64<<10, have))
 		b = append(b, make([]byte, step)...)
 		if _, err := io.ReadFull(r, b[have:]); err != nil {
-			return 0, nil, fmt.Errorf("%w: cut off: %w", ErrFrame, err)
+			return 0, nil, fmt.Errorf("%w: cut off: %w", ErrInvalidFrame, err)
 		}
 	}
 	if sum(k, b) != binary.BigEndian.Uint32(head[5:]) {
-		return 0, nil, fmt.Errorf("%w: the checksum is another", ErrFrame)
+		return 0, nil, fmt.Errorf("%w: the checksum is another", ErrInvalidFrame)
 	}
 	return k, b, nil
 }
--- a/internal/store/peer/frame_test.go
+++ b/internal/store/peer/frame_test.go
@@ -22,7 +22,7 @@
 			t.Fatalf("flipped at %d", n)
 		}
 	}
-	if _, _, err := readFrame(bytes.NewReader(whole), 5); !errors.Is(err, ErrFrame) {
+	if _, _, err := readFrame(bytes.NewReader(whole), 5); !errors.Is(err, ErrInvalidFrame) {
 		t.Fatal(err)
 	}
 }
@@ -34,7 +34,7 @@
 		for {
 			k, p, err := readFrame(r, 1<<20)
 			if err != nil {
-				if !errors.Is(err, ErrFrame) && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
+				if !errors.Is(err, ErrInvalidFrame) && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
 					t.Fatal(err)
 				}
 				return
--- a/internal/store/peer/peer.go
+++ b/internal/store/peer/peer.go
@@ -53,8 +53,8 @@
 	Address  string        `cbor:"6,keyasint"` // where the sender is reached, for one that knows no members yet
 }
 
-// Verdict answers one.
-type Verdict struct {
+// HelloReply answers one.
+type HelloReply struct {
 	Refused string        `cbor:"1,keyasint,omitempty"`
 	From    replica.Hello `cbor:"2,keyasint"`
 	Name    string        `cbor:"3,keyasint"`
@@ -179,7 +179,7 @@
 	k, b, err := readFrame(r, helloMost)
 	var h Hello
 	if err == nil && k != kHello {
-		err = ErrFrame
+		err = ErrInvalidFrame
 	}
 	if err == nil {
 		err = cbor.Unmarshal(b, &h)
@@ -199,7 +199,7 @@
 	default:
 		err = n.host.Admit(h)
 	}
-	v := Verdict{From: n.host.Hello(), Name: n.name}
+	v := HelloReply{From: n.host.Hello(), Name: n.name}
 	if err != nil {
 		v.Refused = err.Error()
 		n.Stats.Refused.Add(1)
@@ -213,7 +213,7 @@
 		return
 	}
 	if err := n.receive(c, r, h.From.Member); err != nil && n.ctx.Err() == nil {
-		if errors.Is(err, ErrFrame) {
+		if errors.Is(err, ErrInvalidFrame) {
 			n.Stats.Faults.Add(1)
 		}
 		n.log.Debug("a peer of the store is gone", "peer", h.Name, "error", err)
@@ -239,18 +239,18 @@
 				return err
 			}
 		} else if k != kMessage {
-			return ErrFrame
+			return ErrInvalidFrame
 		}
 		m := &raftpb.Message{}
 		if err := proto.Unmarshal(b, m); err != nil {
-			return fmt.Errorf("%w: %w", ErrFrame, err)
+			return fmt.Errorf("%w: %w", ErrInvalidFrame, err)
 		}
 		if m.GetFrom() != from {
-			return fmt.Errorf("%w: a message from member %d on the connection of %d", ErrFrame, m.GetFrom(), from)
+			return fmt.Errorf("%w: a message from member %d on the connection of %d", ErrInvalidFrame, m.GetFrom(), from)
 		}
 		if data != nil {
 			if m.Snapshot == nil {
-				return ErrFrame
+				return ErrInvalidFrame
 			}
 			m.Snapshot.Data = data
 		}
@@ -262,7 +262,7 @@
 // bulk reads a snapshot's parts.
 func (n *Net) bulk(c net.Conn, r *bufio.Reader, b []byte) (data, message []byte, err error) {
 	if len(b) < 8 {
-		return nil, nil, ErrFrame
+		return nil, nil, ErrInvalidFrame
 	}
 	size := binary.BigEndian.Uint64(b)
 	for uint64(len(data)) < size {
@@ -272,7 +272,7 @@
 			return nil, nil, err
 		}
 		if k != kPart || len(p) == 0 || uint64(len(data)+len(p)) > size {
-			return nil, nil, ErrFrame
+			return nil, nil, ErrInvalidFrame
 		}
 		n.meter.Count(usage.Snapshots, usage.In, 0, headBytes+len(p))
 		data = append(data, p...)
@@ -447,9 +447,9 @@
 		return err
 	}
 	l.n.meter.Count(usage.Other, usage.In, 1, headBytes+len(b))
-	var v Verdict
+	var v HelloReply
 	if k != kVerdict {
-		return ErrFrame
+		return ErrInvalidFrame
 	}
 	if err := cbor.Unmarshal(b, &v); err != nil {
 		return err
--- a/internal/store/replica/disk.go
+++ b/internal/store/replica/disk.go
@@ -24,8 +24,8 @@
 	Learners []uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// Saved is what a disk holds when a replica starts.
-type Saved struct {
+// DiskContents is what a disk holds when a replica starts.
+type DiskContents struct {
 	Identity Identity
 	Hard     *raftpb.HardState
 	Base     Meta            // the entry before the first of the log: index and term alone
@@ -37,7 +37,7 @@
 // loss of power; after an error nothing may be promised any more, and the replica stops. Append and Compact are called
 // by one goroutine; SaveSnapshot and Compact may run beside Append.
 type Disk interface {
-	Load() (Saved, error)
+	Load() (DiskContents, error)
 	Belong(Identity) error // written once, when the disk becomes a member's
 	// Append writes the hard state, if it is not nil, and entries, which replace those of the log from the first of them on.
 	Append(hard *raftpb.HardState, entries []*raftpb.Entry) error
--- a/internal/store/replica/members.go
+++ b/internal/store/replica/members.go
@@ -42,7 +42,7 @@
 		if !w.done && w.id != (store.RequestID{}) {
 			w.done = true
 			delete(n.waiting, w.id)
-			n.out.Done = append(n.out.Done, Done{Token: w.token, Err: ErrUnknown})
+			n.out.Done = append(n.out.Done, Completion{Token: w.token, Err: ErrOutcomeUnknown})
 		}
 	}
 	for _, r := range n.asked {
@@ -73,7 +73,7 @@
 	}
 	if me, ok := n.state.Member(n.self.Member); ok && !n.placed {
 		n.tried = n.now
-		n.send(&store.Command{Place: &store.Place{Member: me.ID, Disk: n.self.Disk, Boot: n.self.Boot, Level: n.cfg.Knows}})
+		n.send(&store.Command{Place: &store.RegisterStart{Member: me.ID, Disk: n.self.Disk, Boot: n.self.Boot, Level: n.cfg.Knows}})
 	}
 	if !n.leading {
 		return
@@ -88,7 +88,7 @@
 		least = min(least, m.Level)
 	}
 	if least > n.state.Level() {
-		n.send(&store.Command{Raise: &store.Raise{Level: least}})
+		n.send(&store.Command{Raise: &store.RaiseLevel{Level: least}})
 	}
 }
 
@@ -124,7 +124,7 @@
 			continue
 		}
 		n.ending[id] = n.now + int64(n.cfg.ElectTicks)
-		n.send(&store.Command{End: &store.End{Lease: id, Silent: n.cfg.Planted&BlindLease == 0, Renewed: l.Renewed}})
+		n.send(&store.Command{End: &store.RevokeLease{Lease: id, Silent: n.cfg.Planted&BlindLease == 0, Renewed: l.Renewed}})
 	}
 }
 
@@ -165,7 +165,7 @@
 	if len(gone) == 0 {
 		return nil
 	}
-	if gone[0] == n.self.Member && !n.HandOver() {
+	if gone[0] == n.self.Member && !n.TransferLeadership() {
 		return nil
 	}
 	return change(raftpb.ConfChangeRemoveNode, gone[0])
@@ -175,7 +175,7 @@
 func (n *Node) seat(cc *raftpb.ConfChange) {
 	n.conf, n.seated = n.raw.ApplyConfChange(cc), n.applied
 	if cc.GetType() != raftpb.ConfChangeRemoveNode {
-		n.state.Seat(cc.GetNodeId(), cc.GetType() == raftpb.ConfChangeAddNode)
+		n.state.SetVoter(cc.GetNodeId(), cc.GetType() == raftpb.ConfChangeAddNode)
 	}
 }
 
@@ -197,9 +197,9 @@
 		!slices.ContainsFunc(n.conf.GetLearners(), func(l uint64) bool { return l != id })
 }
 
-// HandOver gives leadership to the follower that is the furthest, and says whether this replica does not lead: before
+// TransferLeadership gives leadership to the follower that is the furthest, and says whether this replica does not lead: before
 // a planned stop it is called until it does not.
-func (n *Node) HandOver() bool {
+func (n *Node) TransferLeadership() bool {
 	if n.failed != nil || !n.leading {
 		return true
 	}
@@ -287,17 +287,17 @@
 
 // Why a greeting is refused.
 var (
-	ErrForeign  = errors.New("of another cluster")
-	ErrRemoved  = errors.New("not a member")
-	ErrDisk     = errors.New("the member's place is held by another disk: remove the member and add it anew")
-	ErrRollback = errors.New("the member's disk is older than what it has answered for: remove the member and add it anew")
+	ErrClusterMismatch = errors.New("of another cluster")
+	ErrNotMember       = errors.New("not a member")
+	ErrDiskMismatch    = errors.New("the member's place is held by another disk: remove the member and add it anew")
+	ErrDiskRolledBack  = errors.New("the member's disk is older than what it has answered for: remove the member and add it anew")
 )
 
 // Admit judges another replica's greeting. A copy that came back with an empty disk, or with an old one, under its
 // old name would make the quorum forget what it promised: it is refused, and must be added as a new member.
 func (n *Node) Admit(h Hello) error {
 	if h.Cluster != n.self.Cluster {
-		return ErrForeign
+		return ErrClusterMismatch
 	}
 	if n.conf == nil || len(n.conf.GetVoters()) == 0 {
 		return nil // just taken in, and knows nobody yet
@@ -307,16 +307,16 @@
 		if h.Member > n.state.LastID() {
 			return nil // added later than what this replica knows
 		}
-		return fmt.Errorf("%w: %d", ErrRemoved, h.Member)
+		return fmt.Errorf("%w: %d", ErrNotMember, h.Member)
 	}
 	if n.cfg.Planted&SkipCheck != 0 {
 		return nil
 	}
 	if m.Disk != 0 && m.Disk != h.Disk {
-		return ErrDisk
+		return ErrDiskMismatch
 	}
 	if m.Disk != 0 && m.Boot > h.Boot {
-		return ErrRollback
+		return ErrDiskRolledBack
 	}
 	if n.leading {
 		var match uint64
@@ -326,7 +326,7 @@
 			}
 		})
 		if match > h.Last {
-			return ErrRollback
+			return ErrDiskRolledBack
 		}
 	}
 	return nil
--- a/internal/store/replica/replica.go
+++ b/internal/store/replica/replica.go
@@ -32,8 +32,8 @@
 	ErrNoLeader = errors.New("no leader is known")
 	// ErrBusy says that the request was not taken, for as many as may wait do, or the members are about to change.
 	ErrBusy = errors.New("too busy")
-	// ErrUnknown says that a change may have been made or may yet be. Sent again with the same id it is made once.
-	ErrUnknown = errors.New("no answer in time: the change may have been made or not")
+	// ErrOutcomeUnknown says that a change may have been made or may yet be. Sent again with the same id it is made once.
+	ErrOutcomeUnknown = errors.New("no answer in time: the change may have been made or not")
 	// ErrStopped says that the replica has stopped, because its disk or its memory is not to be relied on.
 	ErrStopped = errors.New("the replica has stopped")
 )
@@ -50,7 +50,7 @@
 	KeepEntries  int    // behind a snapshot, for followers that are a little late; 4096
 	MessageBytes int    // of entries in one message; 1 MiB
 	Knows        uint64 // level of commands, for tests of earlier builds; store.Level
-	Planted      Planted
+	Planted      Defects
 
 	Observe func(*raftpb.Entry) // told of every entry before it is applied, or nil
 
@@ -58,12 +58,12 @@
 	Applied  func(c *store.Command, size int) // told of every command before it is applied, with its encoded bytes, or nil
 }
 
-// Planted are faults that are put in so that a test can show that it finds them. None is set elsewhere.
-type Planted uint32
+// Defects are faults that are put in so that a test can show that it finds them. None is set elsewhere.
+type Defects uint32
 
 // The faults.
 const (
-	AckBeforeSync   Planted = 1 << iota // messages go out before the disk has what they promise
+	AckBeforeSync   Defects = 1 << iota // messages go out before the disk has what they promise
 	ForgetVote                          // the vote is not written
 	StaleRead                           // a read is answered without asking the quorum
 	ApplyTwice                          // after a start the snapshot's last entries are applied again
@@ -98,12 +98,12 @@
 	}
 }
 
-// Token names a request to this replica, chosen by its caller.
-type Token uint64
+// RequestToken names a request to this replica, chosen by its caller.
+type RequestToken uint64
 
-// Done answers a request. Err is of this package, or nil; the outcome of a command is in Result.
-type Done struct {
-	Token  Token
+// Completion answers a request. Err is of this package, or nil; the outcome of a command is in Result.
+type Completion struct {
+	Token  RequestToken
 	Result store.Result
 	Err    error
 }
@@ -111,7 +111,7 @@
 // Output is what Drive did and what is to be done. Messages go to the other replicas in any order and may be lost.
 type Output struct {
 	Messages []*raftpb.Message
-	Done     []Done
+	Done     []Completion
 	Applied  int          // entries
 	Renewed  bool         // the state was replaced by a leader's snapshot: State is another one
 	Snapshot *SnapshotJob // to be run, also beside further calls, then given to Saved
@@ -158,7 +158,7 @@
 }
 
 type wait struct {
-	token    Token
+	token    RequestToken
 	id       store.RequestID
 	deadline int64
 	done     bool
@@ -172,8 +172,8 @@
 	waits []*wait
 }
 
-// Found makes of an empty disk the first member of a new cluster.
-func Found(disk Disk, cluster uint64, name, address string, limits store.Limits) error {
+// Bootstrap makes of an empty disk the first member of a new cluster.
+func Bootstrap(disk Disk, cluster uint64, name, address string, limits store.Limits) error {
 	saved, err := disk.Load()
 	if err != nil {
 		return err
@@ -182,17 +182,17 @@
 		return fmt.Errorf("the disk belongs to cluster %x already", saved.Identity.Cluster)
 	}
 	s := store.New(cluster, limits)
-	s.Found(name, address, saved.Identity.Disk)
-	return FoundFrom(disk, saved.Identity, s)
+	s.Bootstrap(name, address, saved.Identity.Disk)
+	return BootstrapFrom(disk, saved.Identity, s)
 }
 
-// FoundFrom makes of an empty disk the first member of a new cluster that begins with a state.
-func FoundFrom(disk Disk, self Identity, s *store.State) error {
+// BootstrapFrom makes of an empty disk the first member of a new cluster that begins with a state.
+func BootstrapFrom(disk Disk, self Identity, s *store.State) error {
 	m := s.Members()
 	if len(m) != 1 {
 		return errors.New("a cluster begins with one member")
 	}
-	s.Skip(1)
+	s.SkipIndex(1)
 	var b bytes.Buffer
 	if err := s.Save(&b); err != nil {
 		return err
@@ -286,7 +286,7 @@
 func (n *Node) knows(s *store.State) error {
 	if s.Level() > n.cfg.Knows {
 		return fmt.Errorf("%w: the cluster uses commands of level %d, and this build knows %d: start a newer build on this disk, nothing is lost",
-			store.ErrUnknownOp, s.Level(), n.cfg.Knows)
+			store.ErrUnknownCommand, s.Level(), n.cfg.Knows)
 	}
 	return nil
 }
@@ -375,13 +375,13 @@
 }
 
 // Propose asks for a change. It is answered by Drive, once.
-func (n *Node) Propose(t Token, c *store.Command) {
+func (n *Node) Propose(t RequestToken, c *store.Command) {
 	if err := n.propose(t, c); err != nil {
-		n.out.Done = append(n.out.Done, Done{Token: t, Err: err})
+		n.out.Done = append(n.out.Done, Completion{Token: t, Err: err})
 	}
 }
 
-func (n *Node) propose(t Token, c *store.Command) error {
+func (n *Node) propose(t RequestToken, c *store.Command) error {
 	if n.failed != nil {
 		return n.failed
 	}
@@ -389,12 +389,12 @@
 		return ErrBusy
 	}
 	if err := n.state.Check(c); err != nil && !(errors.Is(err, store.ErrLevel) && n.cfg.Planted&AnyLevel != 0) {
-		n.out.Done = append(n.out.Done, Done{Token: t, Result: store.Result{Revision: n.state.Revision(), Err: err}})
+		n.out.Done = append(n.out.Done, Completion{Token: t, Result: store.Result{Revision: n.state.Revision(), Err: err}})
 		return nil
 	}
-	if r, ok := n.state.Answered(c.ID); ok && n.cfg.Planted&ForgetResults == 0 {
+	if r, ok := n.state.CachedResult(c.ID); ok && n.cfg.Planted&ForgetResults == 0 {
 		r.Again = true
-		n.out.Done = append(n.out.Done, Done{Token: t, Result: r})
+		n.out.Done = append(n.out.Done, Completion{Token: t, Result: r})
 		return nil
 	}
 	if c.Join != nil && !n.settled() || c.Leave != nil && !n.settled() && !n.settledBut(c.Leave.Member) {
@@ -405,7 +405,7 @@
 	}
 	data, err := c.Encode()
 	if err != nil {
-		n.out.Done = append(n.out.Done, Done{Token: t, Result: store.Result{Err: store.ErrTooLarge}})
+		n.out.Done = append(n.out.Done, Completion{Token: t, Result: store.Result{Err: store.ErrTooLarge}})
 		return nil
 	}
 	if old := n.waiting[c.ID]; old != nil {
@@ -431,14 +431,14 @@
 }
 
 // Read asks for the moment from which the state shows all that was answered before the call. It is answered by Drive.
-func (n *Node) Read(t Token) {
+func (n *Node) Read(t RequestToken) {
 	switch {
 	case n.failed != nil:
-		n.out.Done = append(n.out.Done, Done{Token: t, Err: n.failed})
+		n.out.Done = append(n.out.Done, Completion{Token: t, Err: n.failed})
 	case n.cfg.Planted&StaleRead != 0:
-		n.out.Done = append(n.out.Done, Done{Token: t})
+		n.out.Done = append(n.out.Done, Completion{Token: t})
 	case len(n.reads) >= n.cfg.Pending:
-		n.out.Done = append(n.out.Done, Done{Token: t, Err: ErrBusy})
+		n.out.Done = append(n.out.Done, Completion{Token: t, Err: ErrBusy})
 	default:
 		w := &wait{token: t, deadline: n.now + int64(n.cfg.WaitTicks)}
 		n.reads = append(n.reads, w)
@@ -483,17 +483,17 @@
 			continue
 		}
 		w.done = true
-		err := ErrUnknown
+		err := ErrOutcomeUnknown
 		if w.id == (store.RequestID{}) {
 			err = ErrNoLeader
 		}
 		delete(n.waiting, w.id)
-		n.out.Done = append(n.out.Done, Done{Token: w.token, Err: err})
+		n.out.Done = append(n.out.Done, Completion{Token: w.token, Err: err})
 	}
 }
 
-// Drive does what the calls since the last one left to do. It waits for the disk.
-func (n *Node) Drive() Output {
+// Process does what the calls since the last one left to do. It waits for the disk.
+func (n *Node) Process() Output {
 	n.ask()
 	for n.failed == nil && n.raw.HasReady() {
 		n.must(n.step)
@@ -518,9 +518,9 @@
 			w.done = true
 			err := n.failed
 			if w.id != (store.RequestID{}) {
-				err = fmt.Errorf("%w; %w", ErrUnknown, n.failed)
+				err = fmt.Errorf("%w; %w", ErrOutcomeUnknown, n.failed)
 			}
-			n.out.Done = append(n.out.Done, Done{Token: w.token, Err: err})
+			n.out.Done = append(n.out.Done, Completion{Token: w.token, Err: err})
 		}
 	}
 	n.order, n.reads, n.waiting = nil, nil, map[store.RequestID]*wait{}
@@ -624,7 +624,7 @@
 // answerFrom answers requests that a snapshot of the leader shows to have been done.
 func (n *Node) answerFrom(s *store.State) {
 	for _, w := range n.order {
-		if r, ok := s.Answered(w.id); ok && !w.done && w.id != (store.RequestID{}) {
+		if r, ok := s.CachedResult(w.id); ok && !w.done && w.id != (store.RequestID{}) {
 			n.answer(w, r)
 		}
 	}
@@ -633,7 +633,7 @@
 func (n *Node) answer(w *wait, r store.Result) {
 	w.done = true
 	delete(n.waiting, w.id)
-	n.out.Done = append(n.out.Done, Done{Token: w.token, Result: r})
+	n.out.Done = append(n.out.Done, Completion{Token: w.token, Result: r})
 }
 
 func (n *Node) apply(e *raftpb.Entry) error {
@@ -652,21 +652,21 @@
 			return fmt.Errorf("entry %d: %w", n.applied, err)
 		}
 		n.seat(&cc)
-		n.state.Skip(n.applied)
+		n.state.SkipIndex(n.applied)
 	case e.GetType() == raftpb.EntryConfChangeV2:
 		return fmt.Errorf("entry %d: a joint change of members, which this build does not make", n.applied)
 	case len(e.Data) == 0:
-		n.state.Skip(n.applied)
+		n.state.SkipIndex(n.applied)
 	default:
 		if l := store.CommandLevel(e.Data); l > n.cfg.Knows {
-			return fmt.Errorf("entry %d: %w: level %d, and this build knows %d", n.applied, store.ErrUnknownOp, l, n.cfg.Knows)
+			return fmt.Errorf("entry %d: %w: level %d, and this build knows %d", n.applied, store.ErrUnknownCommand, l, n.cfg.Knows)
 		}
 		c, err := store.DecodeCommand(e.Data)
 		if err != nil {
 			return fmt.Errorf("entry %d: %w", n.applied, err)
 		}
 		if c.Raise != nil && c.Raise.Level > n.cfg.Knows { // it was started on an older build since it said what it knows
-			return fmt.Errorf("entry %d: %w: the cluster goes to level %d, and this build knows %d", n.applied, store.ErrUnknownOp,
+			return fmt.Errorf("entry %d: %w: the cluster goes to level %d, and this build knows %d", n.applied, store.ErrUnknownCommand,
 				c.Raise.Level, n.cfg.Knows)
 		}
 		if n.cfg.Applied != nil {
@@ -729,7 +729,7 @@
 		for _, w := range r.waits {
 			if !w.done {
 				w.done = true
-				n.out.Done = append(n.out.Done, Done{Token: w.token, Result: store.Result{Index: n.applied, Revision: n.state.Revision()}})
+				n.out.Done = append(n.out.Done, Completion{Token: w.token, Result: store.Result{Index: n.applied, Revision: n.state.Revision()}})
 			}
 		}
 		return true
@@ -824,12 +824,12 @@
 func (q quiet) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
 func (q quiet) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
 
-// Settled says whether the state has come to where the log ended at the start, so that it says all that it ever said.
-func (n *Node) Settled() bool { return n.applied >= n.tail }
+// CaughtUp says whether the state has come to where the log ended at the start, so that it says all that it ever said.
+func (n *Node) CaughtUp() bool { return n.applied >= n.tail }
 
-// Unsettled calls f with the commands at the end of the log that are not applied: at a start, what may have been
+// Uncommitted calls f with the commands at the end of the log that are not applied: at a start, what may have been
 // agreed on and may not.
-func (n *Node) Unsettled(f func(*store.Command)) {
+func (n *Node) Uncommitted(f func(*store.Command)) {
 	last, _ := n.log.LastIndex()
 	if last <= n.applied {
 		return
--- a/internal/store/replica/replica_test.go
+++ b/internal/store/replica/replica_test.go
@@ -20,7 +20,7 @@
 	dir  string
 	disk *disk.Disk
 	node *replica.Node
-	next replica.Token
+	next replica.RequestToken
 	seq  uint64
 }
 
@@ -28,7 +28,7 @@
 	t.Helper()
 	a := &alone{t: t, dir: t.TempDir()}
 	a.open()
-	if err := replica.Found(a.disk, 7, "a", "a", store.DefaultLimits); err != nil {
+	if err := replica.Bootstrap(a.disk, 7, "a", "a", store.DefaultLimits); err != nil {
 		t.Fatal(err)
 	}
 	return a
@@ -54,14 +54,14 @@
 func (a *alone) stop() { a.disk.Close() }
 
 // do makes a change and drives until it is answered.
-func (a *alone) do(c store.Command) replica.Done {
+func (a *alone) do(c store.Command) replica.Completion {
 	a.t.Helper()
 	a.next++
 	a.seq++
 	c.ID = store.RequestID{Client: 1, Seq: a.seq}
 	a.node.Propose(a.next, &c)
 	for range 1000 {
-		for _, d := range a.node.Drive().Done {
+		for _, d := range a.node.Process().Done {
 			if d.Token == a.next {
 				return d
 			}
@@ -75,12 +75,12 @@
 func (a *alone) ticks(n int) {
 	for range n {
 		a.node.Tick()
-		a.node.Drive()
+		a.node.Process()
 	}
 }
 
 func bounded(key string) store.Command {
-	return store.Command{Txn: &store.Txn{Then: []store.Op{{Key: key}}, Bounds: []store.Bound{{Prefix: "p/", Most: 1}}}}
+	return store.Command{Txn: &store.Txn{Then: []store.Op{{Key: key}}, Bounds: []store.KeyLimit{{Prefix: "p/", Most: 1}}}}
 }
 
 // An older build goes on in a cluster that uses what it knows, refuses what it does not use yet, and stops, saying why and
@@ -113,7 +113,7 @@
 	for range 100 {
 		if err == nil {
 			a.node.Tick()
-			a.node.Drive()
+			a.node.Process()
 			err = a.node.Failed()
 		}
 	}
@@ -145,7 +145,7 @@
 		{Type: raftpb.MsgAppResp.Enum(), To: proto.Uint64(1), From: proto.Uint64(55), Term: proto.Uint64(term)},
 	} {
 		a.node.Step(m)
-		a.node.Drive()
+		a.node.Process()
 	}
 	if a.node.Failed() != nil || a.node.Term() != term || !a.node.Leading() {
 		t.Error(a.node.Failed(), a.node.Term(), a.node.Leading())
--- a/internal/store/serverstate/pictures.go
+++ b/internal/store/serverstate/pictures.go
@@ -11,31 +11,31 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// PicturePrefix is that of the keys that hold what sidecars' decision modules know: known/SIDECAR/PROTOCOL.
-const PicturePrefix = "known/"
+// SnapshotPrefix is that of the keys that hold what sidecars' decision modules know: known/SIDECAR/PROTOCOL.
+const SnapshotPrefix = "known/"
 
-// PicturesMost bounds those in the store.
-const PicturesMost = 1024
+// MaxSnapshots bounds those in the store.
+const MaxSnapshots = 1024
 
-// Picture is what one sidecar's module knows of one protocol's servers, in package snapshot's form. The store does not read
+// ModuleSnapshot is what one sidecar's module knows of one protocol's servers, in package snapshot's form. The store does not read
 // it.
-type Picture struct {
+type ModuleSnapshot struct {
 	Format uint64 `cbor:"1,keyasint"`
 	By     string `cbor:"2,keyasint"` // daemon
 	Known  []byte `cbor:"3,keyasint"`
 }
 
-// PictureKey is that of a sidecar's protocol; "" is HTTP.
-func PictureKey(sidecar, protocol string) string {
-	return PicturePrefix + url.QueryEscape(sidecar) + "/" + url.QueryEscape(protocol)
+// SnapshotKey is that of a sidecar's protocol; "" is HTTP.
+func SnapshotKey(sidecar, protocol string) string {
+	return SnapshotPrefix + url.QueryEscape(sidecar) + "/" + url.QueryEscape(protocol)
 }
 
-// PicturesOf is the prefix of a sidecar's.
-func PicturesOf(sidecar string) string { return PicturePrefix + url.QueryEscape(sidecar) + "/" }
+// SnapshotPrefixOf is the prefix of a sidecar's.
+func SnapshotPrefixOf(sidecar string) string { return SnapshotPrefix + url.QueryEscape(sidecar) + "/" }
 
-// ParsePicture reads such a key.
-func ParsePicture(key string) (sidecar, protocol string, ok bool) {
-	rest, ok := strings.CutPrefix(key, PicturePrefix)
+// ParseSnapshotKey reads such a key.
+func ParseSnapshotKey(key string) (sidecar, protocol string, ok bool) {
+	rest, ok := strings.CutPrefix(key, SnapshotPrefix)
 	a, b, found := strings.Cut(rest, "/")
 	if !ok || !found {
 		return "", "", false
@@ -46,25 +46,25 @@
 }
 
 // Put is the transaction that keeps a picture.
-func (p Picture) Put(key string) *store.Txn {
+func (p ModuleSnapshot) Put(key string) *store.Txn {
 	p.Format = Format
 	b, err := cbor.Marshal(p)
 	if err != nil {
 		panic(err) // strings and bytes always can be written
 	}
-	return &store.Txn{Then: []store.Op{{Key: key, Value: b}}, Bounds: []store.Bound{{Prefix: PicturePrefix, Most: PicturesMost}}}
+	return &store.Txn{Then: []store.Op{{Key: key, Value: b}}, Bounds: []store.KeyLimit{{Prefix: SnapshotPrefix, Most: MaxSnapshots}}}
 }
 
-// DecodePicture reads a record. What is of a later format is ErrFormat.
-func DecodePicture(b []byte) (p Picture, err error) {
+// DecodeModuleSnapshot reads a record. What is of a later format is ErrFormat.
+func DecodeModuleSnapshot(b []byte) (p ModuleSnapshot, err error) {
 	if err := record.Unmarshal(b, &p); err != nil {
-		return Picture{}, fmt.Errorf("picture: %w", err)
+		return ModuleSnapshot{}, fmt.Errorf("picture: %w", err)
 	}
 	if p.Format > Format {
-		return Picture{}, fmt.Errorf("picture: %w: %d", ErrFormat, p.Format)
+		return ModuleSnapshot{}, fmt.Errorf("picture: %w: %d", ErrFormat, p.Format)
 	}
 	if p.Format == 0 || len(p.Known) == 0 {
-		return Picture{}, errors.New("picture: empty")
+		return ModuleSnapshot{}, errors.New("picture: empty")
 	}
 	return p, nil
 }
@@ -74,8 +74,8 @@
 	picturePace  = 64 << 10    // and so many bytes a second of all sidecars together
 )
 
-// PictureWait is how long a sidecar waits between two pictures where those of all take so many bytes: what the store writes
+// SnapshotInterval is how long a sidecar waits between two pictures where those of all take so many bytes: what the store writes
 // does not grow with the number of sidecars. In nanoseconds.
-func PictureWait(bytes int) int64 {
+func SnapshotInterval(bytes int) int64 {
 	return max(pictureLeast, int64(float64(bytes)/picturePace*1e9))
 }
--- a/internal/store/serverstate/policy.go
+++ b/internal/store/serverstate/policy.go
@@ -25,43 +25,43 @@
 
 // The kinds.
 const (
-	Drain Kind = "drain" // discovery told that a process of it drains; the server is a Process
-	Ban   Kind = "ban"   // operators took it out
+	Drain      Kind = "drain" // discovery told that a process of it drains; the server is a Process
+	AdminDrain Kind = "ban"   // operators took it out
 )
 
-// Prefix is that of the keys that tell of servers that are out: out/KIND/SERVER.
-const Prefix = "out/"
+// ExclusionPrefix is that of the keys that tell of servers that are out: out/KIND/SERVER.
+const ExclusionPrefix = "out/"
 
 // Errors of a Guard.
 var (
-	ErrOlder   = errors.New("the store shows an older revision than one that was acted on")
-	ErrUnheard = errors.New("the store does not know yet that it is out")
-	ErrFull    = errors.New("too many servers are out")
-	ErrName    = errors.New("not the name of a server")
+	ErrRevisionRegressed = errors.New("the store shows an older revision than one that was acted on")
+	ErrNotReported       = errors.New("the store does not know yet that it is out")
+	ErrTooManyExclusions = errors.New("too many servers are out")
+	ErrInvalidServerName = errors.New("not the name of a server")
 )
 
 const mostWords = 65536 // servers that are out, for all kinds
 
-// Mark is the value of a key under Prefix.
-type Mark struct {
+// ExclusionRecord is the value of a key under Prefix.
+type ExclusionRecord struct {
 	By string `cbor:"1,keyasint" json:"by"` // daemon that told it
 }
 
-// Told says whether a key is one by which daemons tell each other of servers.
-func Told(key string) bool {
-	return strings.HasPrefix(key, Prefix) || strings.HasPrefix(key, StartPrefix) || strings.HasPrefix(key, PicturePrefix)
+// IsServerKey says whether a key is one by which daemons tell each other of servers.
+func IsServerKey(key string) bool {
+	return strings.HasPrefix(key, ExclusionPrefix) || strings.HasPrefix(key, StartPrefix) || strings.HasPrefix(key, SnapshotPrefix)
 }
 
-// MarkOf reads a mark; what is none is an empty one.
-func MarkOf(b []byte) (m Mark) {
+// DecodeExclusion reads a mark; what is none is an empty one.
+func DecodeExclusion(b []byte) (m ExclusionRecord) {
 	if record.Unmarshal(b, &m) != nil {
-		return Mark{}
+		return ExclusionRecord{}
 	}
 	return m
 }
 
-// Out is a server that is out.
-type Out struct {
+// Exclusion is a server that is out.
+type Exclusion struct {
 	Kind   Kind   `json:"kind"`
 	Server string `json:"server"`
 	Agreed bool   `json:"agreed"` // the quorum knows; if not, it is this daemon's word alone
@@ -100,8 +100,10 @@
 // PlantEagerReturn has a server serve again at this daemon's own word: a fault for tests.
 func (g *Guard) PlantEagerReturn() { g.eager = true }
 
-// Key is that of a server that is out.
-func Key(kind Kind, server string) string { return Prefix + string(kind) + "/" + server }
+// ExclusionKey is that of a server that is out.
+func ExclusionKey(kind Kind, server string) string {
+	return ExclusionPrefix + string(kind) + "/" + server
+}
 
 // parse reads a key that is this guard's.
 func (g *Guard) parse(key string) (Kind, string, bool) {
@@ -110,31 +112,31 @@
 }
 
 func parse(key string) (Kind, string, bool) {
-	rest, ok := strings.CutPrefix(key, Prefix)
+	rest, ok := strings.CutPrefix(key, ExclusionPrefix)
 	kind, server, found := strings.Cut(rest, "/")
-	return Kind(kind), server, ok && found && server != "" && (Kind(kind) == Drain || Kind(kind) == Ban)
+	return Kind(kind), server, ok && found && server != "" && (Kind(kind) == Drain || Kind(kind) == AdminDrain)
 }
 
 // Out says whether a server is out, whoever says so.
-func (g *Guard) Out(server string) bool { return g.is(Drain, server) || g.is(Ban, server) }
+func (g *Guard) Out(server string) bool { return g.is(Drain, server) || g.is(AdminDrain, server) }
 
 // Is says whether a server is out for a reason.
 func (g *Guard) is(kind Kind, server string) bool {
-	w := g.words[Key(kind, server)]
+	w := g.words[ExclusionKey(kind, server)]
 	return w != nil && w.binds()
 }
 
 // Hear takes a word that this daemon heard itself. It binds from now on. The operation, if there is one, is to be
 // proposed, and Wrote called with what became of it.
 func (g *Guard) Hear(kind Kind, server string) (*store.Op, error) {
-	key := Key(kind, server)
+	key := ExclusionKey(kind, server)
 	if _, _, ok := g.parse(key); !ok {
-		return nil, ErrName
+		return nil, ErrInvalidServerName
 	}
 	w := g.words[key]
 	if w == nil {
 		if len(g.words) >= mostWords {
-			return nil, ErrFull
+			return nil, ErrTooManyExclusions
 		}
 		w = &word{}
 		g.words[key] = w
@@ -151,7 +153,7 @@
 }
 
 func (g *Guard) put(key string) *store.Op {
-	b, err := cbor.Marshal(Mark{By: g.by})
+	b, err := cbor.Marshal(ExclusionRecord{By: g.by})
 	if err != nil {
 		panic(err) // a string always can be written
 	}
@@ -188,10 +190,10 @@
 // Return asks that a server serve again. The transaction is to be proposed; nothing changes here until Applied shows
 // that it was agreed on. It undoes the word that the store has now: not one that comes after.
 func (g *Guard) Return(kind Kind, server string) (*store.Txn, error) {
-	key := Key(kind, server)
+	key := ExclusionKey(kind, server)
 	w := g.words[key]
 	if w == nil || w.agreed == 0 {
-		return nil, ErrUnheard
+		return nil, ErrNotReported
 	}
 	t := &store.Txn{If: []store.Compare{{Key: key, Modified: w.agreed}}, Then: []store.Op{{Key: key, Delete: true}}}
 	if g.eager {
@@ -224,7 +226,7 @@
 	default:
 		w.agreed = e.Revision
 	}
-	w.by = MarkOf(e.Item.Value).By
+	w.by = DecodeExclusion(e.Item.Value).By
 	w.said = true
 	g.tidy(e.Item.Key, w)
 	return before != g.Out(server)
@@ -240,19 +242,19 @@
 // that is older than what was acted on is refused.
 func (g *Guard) Reset(s *store.State) error {
 	if s.Revision() < g.floor {
-		return ErrOlder
+		return ErrRevisionRegressed
 	}
 	g.floor = s.Revision()
 	for key, w := range g.words {
 		w.agreed = 0
 		if i, ok := s.Get(key); ok {
-			w.agreed, w.by = i.Modified, MarkOf(i.Value).By
+			w.agreed, w.by = i.Modified, DecodeExclusion(i.Value).By
 		}
 		g.tidy(key, w)
 	}
-	s.Range(Prefix, store.PrefixEnd(Prefix), func(i store.Item) bool {
+	s.Range(ExclusionPrefix, store.PrefixEnd(ExclusionPrefix), func(i store.Item) bool {
 		if _, _, ok := g.parse(i.Key); ok && g.words[i.Key] == nil {
-			g.words[i.Key] = &word{agreed: i.Modified, by: MarkOf(i.Value).By}
+			g.words[i.Key] = &word{agreed: i.Modified, by: DecodeExclusion(i.Value).By}
 		}
 		return true
 	})
@@ -305,17 +307,17 @@
 func (g *Guard) Floor() uint64 { return g.floor }
 
 // All returns the servers that are out, in order.
-func (g *Guard) All() []Out {
-	all := make([]Out, 0, len(g.words))
+func (g *Guard) All() []Exclusion {
+	all := make([]Exclusion, 0, len(g.words))
 	for key, w := range g.words {
 		kind, server, _ := parse(key)
-		o := Out{Kind: kind, Server: server, Agreed: w.agreed > 0, By: g.by, AgeMs: -1}
+		o := Exclusion{Kind: kind, Server: server, Agreed: w.agreed > 0, By: g.by, AgeMs: -1}
 		if o.Agreed {
 			o.By = w.by
 		}
 		all = append(all, o)
 	}
-	slices.SortFunc(all, func(a, b Out) int {
+	slices.SortFunc(all, func(a, b Exclusion) int {
 		return cmp.Or(cmp.Compare(a.Server, b.Server), cmp.Compare(a.Kind, b.Kind))
 	})
 	return all
--- a/internal/store/serverstate/policy_test.go
+++ b/internal/store/serverstate/policy_test.go
@@ -50,7 +50,7 @@
 				d.g.Applied(x)
 			}
 			if e.by == d && len(e.c.Txn.If) == 0 {
-				d.g.Wrote(Key(Drain, "s"), true)
+				d.g.Wrote(ExclusionKey(Drain, "s"), true)
 				if d.own == d.read-1 {
 					d.own = -1
 				}
@@ -86,7 +86,7 @@
 			default:
 				read(d)
 			}
-			_, agreed := d.state.Get(Key(Drain, "s"))
+			_, agreed := d.state.Get(ExclusionKey(Drain, "s"))
 			if (d.own != -1 || agreed) && !d.g.Out("s") {
 				t.Fatalf("it serves: own word at %d, agreed %v", d.own, agreed)
 			}
@@ -118,28 +118,28 @@
 func TestAnOlderStateIsNotActedOn(t *testing.T) {
 	s := store.New(1, limits)
 	old := s.Clone()
-	s.Apply(1, &store.Command{Txn: &store.Txn{Then: []store.Op{{Key: Key(Ban, "s"), Value: []byte{0xa0}}}}})
+	s.Apply(1, &store.Command{Txn: &store.Txn{Then: []store.Op{{Key: ExclusionKey(AdminDrain, "s"), Value: []byte{0xa0}}}}})
 	g := NewGuard("a")
 	if err := g.Reset(s); err != nil || !g.Out("s") {
 		t.Fatal(err)
 	}
-	if err := g.Reset(old); !errors.Is(err, ErrOlder) || !g.Out("s") {
+	if err := g.Reset(old); !errors.Is(err, ErrRevisionRegressed) || !g.Out("s") {
 		t.Fatal(err)
 	}
-	if _, err := g.Hear("other", "s"); !errors.Is(err, ErrName) {
+	if _, err := g.Hear("other", "s"); !errors.Is(err, ErrInvalidServerName) {
 		t.Fatal(err)
 	}
 }
 
 func TestWhatTheLogsEndSaysIsOutBinds(t *testing.T) {
 	g := NewGuard("a")
-	g.Unsettled(&store.Command{Txn: &store.Txn{Then: []store.Op{{Key: Key(Drain, "s")}, {Key: Key(Drain, "x"), Delete: true}}}})
-	g.Unsettled(&store.Command{Txn: &store.Txn{Then: []store.Op{{Key: Key(Drain, "again")}}}})
+	g.Unsettled(&store.Command{Txn: &store.Txn{Then: []store.Op{{Key: ExclusionKey(Drain, "s")}, {Key: ExclusionKey(Drain, "x"), Delete: true}}}})
+	g.Unsettled(&store.Command{Txn: &store.Txn{Then: []store.Op{{Key: ExclusionKey(Drain, "again")}}}})
 	if owed := g.Owed(); !g.Out("s") || g.Out("x") || len(owed) != 0 {
 		t.Fatal(owed, g.All())
 	}
 	// On the way to the log's end the copy shows an older word of one, and its end: the later one may be yet to come.
-	item := store.Item{Key: Key(Drain, "again")}
+	item := store.Item{Key: ExclusionKey(Drain, "again")}
 	for i, gone := range []bool{false, true} {
 		if g.Applied(store.Event{Revision: uint64(i + 1), Deleted: gone, Item: item}); !g.Out("again") {
 			t.Fatalf("change %d lets it serve", i+1)
@@ -149,7 +149,7 @@
 	if over := g.Settled(); len(over) != 1 || over[0] != item.Key || g.Out("again") || !g.Out("s") {
 		t.Fatal(over, g.All())
 	}
-	if owed := g.Owed(); len(owed) != 1 || owed[0].Key != Key(Drain, "s") {
+	if owed := g.Owed(); len(owed) != 1 || owed[0].Key != ExclusionKey(Drain, "s") {
 		t.Fatal(owed)
 	}
 }
--- a/internal/store/serverstate/process.go
+++ b/internal/store/serverstate/process.go
@@ -37,7 +37,7 @@
 
 // Agreed is the revision of the store that says that a process drains, or 0.
 func (g *Guard) Agreed(p Process) uint64 {
-	if w := g.words[Key(Drain, p.Server())]; w != nil {
+	if w := g.words[ExclusionKey(Drain, p.Server())]; w != nil {
 		return w.agreed
 	}
 	return 0
--- a/internal/store/serverstate/starts.go
+++ b/internal/store/serverstate/starts.go
@@ -13,8 +13,8 @@
 // StartPrefix is that of the keys that tell of processes of servers that began a while ago: start/PROCESS.
 const StartPrefix = "start/"
 
-// StartsMost bounds those in the store. One more is refused, and said to be.
-const StartsMost = 16384
+// MaxStarts bounds those in the store. One more is refused, and said to be.
+const MaxStarts = 16384
 
 // Format is that of the records of starts and pictures. A reader passes over what has a later one.
 const Format = 1
@@ -22,9 +22,9 @@
 // ErrFormat says that a record is of a later version.
 var ErrFormat = errors.New("of a later format than this build reads")
 
-// Start is the word that a process of a server began. It matters while the process is cold, and says so itself: which
+// StartReport is the word that a process of a server began. It matters while the process is cold, and says so itself: which
 // configuration a reader has does not matter.
-type Start struct {
+type StartReport struct {
 	Format uint64 `cbor:"1,keyasint" json:"-"`
 	By     string `cbor:"2,keyasint" json:"by"`
 	Ago    int64  `cbor:"3,keyasint" json:"ago_ms"` // it had begun, when this was written, milliseconds before
@@ -34,7 +34,7 @@
 const longestStart = 24 * 3600 * 1000 // milliseconds; beyond it a figure makes no sense
 
 // Encode writes it.
-func (s Start) Encode() []byte {
+func (s StartReport) Encode() []byte {
 	s.Format = Format
 	b, err := cbor.Marshal(s)
 	if err != nil {
@@ -43,16 +43,16 @@
 	return b
 }
 
-// DecodeStart reads one. What is of a later format is ErrFormat.
-func DecodeStart(b []byte) (s Start, err error) {
+// DecodeStartReport reads one. What is of a later format is ErrFormat.
+func DecodeStartReport(b []byte) (s StartReport, err error) {
 	if err := record.Unmarshal(b, &s); err != nil {
-		return Start{}, fmt.Errorf("start: %w", err)
+		return StartReport{}, fmt.Errorf("start: %w", err)
 	}
 	if s.Format > Format {
-		return Start{}, fmt.Errorf("start: %w: %d", ErrFormat, s.Format)
+		return StartReport{}, fmt.Errorf("start: %w: %d", ErrFormat, s.Format)
 	}
 	if s.Format == 0 || s.Ago < 0 || s.Ago > longestStart || s.For <= 0 || s.For > longestStart {
-		return Start{}, errors.New("start: a figure is out of range")
+		return StartReport{}, errors.New("start: a figure is out of range")
 	}
 	return s, nil
 }
@@ -130,9 +130,9 @@
 	if w == nil || !w.mine || now >= w.until {
 		return nil
 	}
-	v := Start{By: s.by, Ago: (now - w.at) / 1e6, For: (w.until - w.at) / 1e6}
+	v := StartReport{By: s.by, Ago: (now - w.at) / 1e6, For: (w.until - w.at) / 1e6}
 	return &store.Txn{If: []store.Compare{{Key: key, Modified: w.agreed}}, Then: []store.Op{{Key: key, Value: v.Encode()}},
-		Bounds: []store.Bound{{Prefix: StartPrefix, Most: StartsMost}}}
+		Bounds: []store.KeyLimit{{Prefix: StartPrefix, Most: MaxStarts}}}
 }
 
 // End is the transaction that ends the store's word of a process, or nil if it has none.
@@ -161,7 +161,7 @@
 		}
 		return p, false // it had ended, or who saw it goes on by what it saw
 	}
-	v, err := DecodeStart(e.Item.Value)
+	v, err := DecodeStartReport(e.Item.Value)
 	if err != nil {
 		return p, false
 	}
--- a/internal/store/serverstate/turns.go
+++ b/internal/store/serverstate/turns.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Turns decides when a daemon speaks of what it hears and all others hear too, so that the store is told of it once.
+// ReportScheduler decides when a daemon speaks of what it hears and all others hear too, so that the store is told of it once.
 //
 // Each daemon leaves the speaking to others for a while of its own, drawn from its name and the matter, and says nothing
 // if the store knows by then: of N that hear the same, N times the store's own delay over Spread come to speak, and the
@@ -15,16 +15,16 @@
 // clock, which does not step: clocks of hosts are not compared. Times are in nanoseconds.
 //
 // A Turns is for one goroutine.
-type Turns struct {
+type ReportScheduler struct {
 	by    string
-	rules TurnRules
+	rules ReportSchedule
 	words map[string]*turn
 	heard int
 	full  bool
 }
 
-// TurnRules say how long the words of one kind are left to others, told again and kept.
-type TurnRules struct {
+// ReportSchedule say how long the words of one kind are left to others, told again and kept.
+type ReportSchedule struct {
 	Spread int64
 	Renew  int64 // 0: never
 	Keep   int64
@@ -40,13 +40,13 @@
 	at    uint64 // at this revision
 }
 
-// NewTurns returns one for a daemon that has heard nothing.
-func NewTurns(by string, rules TurnRules) *Turns {
-	return &Turns{by: by, rules: rules, words: map[string]*turn{}}
+// NewReportScheduler returns one for a daemon that has heard nothing.
+func NewReportScheduler(by string, rules ReportSchedule) *ReportScheduler {
+	return &ReportScheduler{by: by, rules: rules, words: map[string]*turn{}}
 }
 
 // lot is the while for which a word is left to others.
-func (t *Turns) lot(key string) int64 {
+func (t *ReportScheduler) lot(key string) int64 {
 	h := fnv.New64a()
 	h.Write([]byte(t.by))
 	h.Write([]byte{0})
@@ -54,7 +54,7 @@
 	return int64(h.Sum64() % uint64(max(1, t.rules.Spread)))
 }
 
-func (t *Turns) word(key string) *turn {
+func (t *ReportScheduler) word(key string) *turn {
 	w := t.words[key]
 	if w == nil {
 		w = &turn{}
@@ -63,7 +63,7 @@
 	return w
 }
 
-func (t *Turns) tidy(key string, w *turn) {
+func (t *ReportScheduler) tidy(key string, w *turn) {
 	if !w.heard && !w.known {
 		delete(t.words, key)
 	}
@@ -71,7 +71,7 @@
 
 // Hear takes a word that this daemon hears itself. It returns when Due is to be called, or 0. full is set once, when the
 // first word is passed over because too many are heard.
-func (t *Turns) Hear(now int64, key string) (due int64, full bool) {
+func (t *ReportScheduler) Hear(now int64, key string) (due int64, full bool) {
 	w := t.words[key]
 	if w != nil && w.heard {
 		return 0, false
@@ -87,7 +87,7 @@
 }
 
 // plan sets when a word that is heard here is to be told.
-func (t *Turns) plan(now int64, key string, w *turn) int64 {
+func (t *ReportScheduler) plan(now int64, key string, w *turn) int64 {
 	switch {
 	case !w.heard:
 		w.due = 0
@@ -102,7 +102,7 @@
 }
 
 // Unhear says that this daemon hears the word no more.
-func (t *Turns) Unhear(key string) {
+func (t *ReportScheduler) Unhear(key string) {
 	if w := t.words[key]; w != nil && w.heard {
 		w.heard, w.due, t.full = false, 0, false
 		t.heard--
@@ -111,14 +111,14 @@
 }
 
 // Hears says whether this daemon hears a word itself.
-func (t *Turns) Hears(key string) bool {
+func (t *ReportScheduler) Hears(key string) bool {
 	w := t.words[key]
 	return w != nil && w.heard
 }
 
 // Told takes the store's word at a revision, as it comes: that it knows, or, with gone, that it has ended. It returns when
 // Due is to be called, or 0: who still hears what others ended tells it again.
-func (t *Turns) Told(now int64, key string, at uint64, gone bool) (due int64) {
+func (t *ReportScheduler) Told(now int64, key string, at uint64, gone bool) (due int64) {
 	w := t.word(key)
 	w.known, w.told, w.at = !gone, now, at
 	due = t.plan(now, key, w)
@@ -128,7 +128,7 @@
 
 // Found takes what a whole copy says, at a start or when the leader sent one: keys, and the revisions of their latest words.
 // Of a word that was told here already the time stays; one that was told again meanwhile counts as told now.
-func (t *Turns) Found(now int64, words map[string]uint64) {
+func (t *ReportScheduler) Found(now int64, words map[string]uint64) {
 	for key, at := range words {
 		if w := t.word(key); !w.known || w.at != at {
 			w.known, w.told, w.at = true, now, at
@@ -145,7 +145,7 @@
 }
 
 // Again has a word told once more after a while, because nothing came of it. It returns when Due is to be called, or 0.
-func (t *Turns) Again(now, after int64, key string) (due int64) {
+func (t *ReportScheduler) Again(now, after int64, key string) (due int64) {
 	w := t.words[key]
 	if w == nil || !w.heard || w.known || w.due > 0 {
 		return 0
@@ -155,7 +155,7 @@
 }
 
 // Due returns what is to be told now, each once, and what nobody has told for long, in order.
-func (t *Turns) Due(now int64) (speak, end []string) {
+func (t *ReportScheduler) Due(now int64) (speak, end []string) {
 	for key, w := range t.words {
 		switch {
 		case w.heard && w.due > 0 && now >= w.due:
--- a/internal/store/serverstate/turns_test.go
+++ b/internal/store/serverstate/turns_test.go
@@ -18,10 +18,10 @@
 		n := rapid.IntRange(1, 40).Draw(t, "daemons")
 		delay := rapid.Int64Range(1, 20).Draw(t, "delay") * ms
 		late := rapid.Int64Range(0, 100).Draw(t, "late")
-		rules := TurnRules{Spread: 200 * ms, Renew: 2000 * ms, Keep: 5000 * ms, Most: 4}
-		var all []*Turns
+		rules := ReportSchedule{Spread: 200 * ms, Renew: 2000 * ms, Keep: 5000 * ms, Most: 4}
+		var all []*ReportScheduler
 		for i := range n {
-			all = append(all, NewTurns(fmt.Sprint("d", i), rules))
+			all = append(all, NewReportScheduler(fmt.Sprint("d", i), rules))
 		}
 		type change struct {
 			at   int64
@@ -75,7 +75,7 @@
 }
 
 func TestTurnsAreBounded(t *testing.T) {
-	d := NewTurns("a", TurnRules{Spread: 1, Keep: 9, Most: 2})
+	d := NewReportScheduler("a", ReportSchedule{Spread: 1, Keep: 9, Most: 2})
 	for i, want := range []bool{false, false, true, false} {
 		if _, full := d.Hear(1, fmt.Sprint(i)); full != want {
 			t.Errorf("word %d: full %v", i, full)
@@ -125,17 +125,17 @@
 }
 
 func FuzzRecords(f *testing.F) {
-	f.Add(Start{By: "a", Ago: 5, For: 10}.Encode())
-	f.Add(Picture{By: "a", Known: []byte("x")}.Put("known/a/").Then[0].Value)
+	f.Add(StartReport{By: "a", Ago: 5, For: 10}.Encode())
+	f.Add(ModuleSnapshot{By: "a", Known: []byte("x")}.Put("known/a/").Then[0].Value)
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if s, err := DecodeStart(b); err == nil {
-			if again, err := DecodeStart(s.Encode()); err != nil || again != s {
+		if s, err := DecodeStartReport(b); err == nil {
+			if again, err := DecodeStartReport(s.Encode()); err != nil || again != s {
 				t.Fatal(s, again, err)
 			}
 		}
-		if p, err := DecodePicture(b); err == nil && len(p.Known) == 0 {
+		if p, err := DecodeModuleSnapshot(b); err == nil && len(p.Known) == 0 {
 			t.Fatal("an empty picture")
 		}
-		MarkOf(b)
+		DecodeExclusion(b)
 	})
 }
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -30,16 +30,18 @@
 	recDone
 )
 
-// SavedMost bounds a record of a saved state, in bytes.
-const SavedMost = commandMost
+// MaxSavedRecordBytes bounds a record of a saved state, in bytes.
+const MaxSavedRecordBytes = commandMost
 
-// ErrDamaged says where a saved state is not what was saved.
-type ErrDamaged struct {
+// CorruptedError says where a saved state is not what was saved.
+type CorruptedError struct {
 	Offset int64
 	Reason string
 }
 
-func (e *ErrDamaged) Error() string { return fmt.Sprintf("damaged at byte %d: %s", e.Offset, e.Reason) }
+func (e *CorruptedError) Error() string {
+	return fmt.Sprintf("damaged at byte %d: %s", e.Offset, e.Reason)
+}
 
 type savedState struct {
 	Limits    Limits `cbor:"1,keyasint"`
@@ -65,7 +67,7 @@
 }
 
 // outcomes gives the errors of Apply the numbers by which they are saved and sent. They are only added to.
-var outcomes = []error{nil, ErrTooLarge, ErrFull, ErrNoLease, ErrBadKey, ErrForgotten, ErrMember, ErrLevel, ErrUnknownOp}
+var outcomes = []error{nil, ErrTooLarge, ErrFull, ErrLeaseNotFound, ErrBadKey, ErrRequestExpired, ErrUnknownMember, ErrLevel, ErrUnknownCommand}
 
 // Save writes the state. It may be called on a Clone while the state itself goes on.
 func (s *State) Save(w io.Writer) error {
@@ -136,19 +138,19 @@
 // Load reads what Save wrote of a state that holds all. All of it is checked; what is damaged, cut or of another format is an error
 // that says where, and no state.
 func Load(r io.Reader) (*State, error) {
-	s, err := LoadPart(r)
+	s, err := LoadSubset(r)
 	if err == nil && s.part != nil {
-		return nil, &ErrDamaged{Reason: "it holds a part of a store alone"}
+		return nil, &CorruptedError{Reason: "it holds a part of a store alone"}
 	}
 	return s, err
 }
 
-// LoadPart reads what Save wrote of a state that holds all, or a part; see Load.
-func LoadPart(r io.Reader) (*State, error) {
+// LoadSubset reads what Save wrote of a state that holds all, or a part; see Load.
+func LoadSubset(r io.Reader) (*State, error) {
 	l := &loader{r: bufio.NewReaderSize(r, 64<<10), sum: crc32.New(castagnoli)}
 	s, err := l.load()
 	if err != nil {
-		return nil, &ErrDamaged{Offset: l.at, Reason: err.Error()}
+		return nil, &CorruptedError{Offset: l.at, Reason: err.Error()}
 	}
 	return s, nil
 }
@@ -191,7 +193,7 @@
 			return nil, err
 		}
 		n, kind := binary.BigEndian.Uint32(head), head[4]
-		if n > SavedMost {
+		if n > MaxSavedRecordBytes {
 			return nil, fmt.Errorf("a record of %d bytes", n)
 		}
 		l.sum.Write(head)
@@ -310,30 +312,30 @@
 	return nil
 }
 
-// RevisionMost bounds what Renew may take revisions and ids to: numbers that JSON's readers keep exactly.
-const RevisionMost = 1 << 52
+// MaxRevision bounds what Renew may take revisions and ids to: numbers that JSON's readers keep exactly.
+const MaxRevision = 1 << 52
 
-// Renew makes of a loaded state that of a new cluster: with another number and its one member, and none of the
+// Reinitialize makes of a loaded state that of a new cluster: with another number and its one member, and none of the
 // outcomes and leases of the old one, whose holders cannot reach it.
 //
 // Revisions and ids go on at least at floor, up to RevisionMost. The old cluster went on after the state was saved, and gave
 // numbers that this state does not know of; floor is to be above all of them, so that no watch sees a revision twice, and
 // that a token that was given then is not given again. What watches could read of before is compacted.
-func (s *State) Renew(cluster, floor uint64) {
+func (s *State) Reinitialize(cluster, floor uint64) {
 	for _, l := range s.Leases() {
 		s.end(l.ID)
 	}
 	s.cluster, s.members, s.index, s.results = cluster, nil, 0, results{}
-	floor = min(floor, RevisionMost)
+	floor = min(floor, MaxRevision)
 	s.lastID = max(s.lastID, floor)
 	if s.revision < floor {
 		s.revision, s.history = floor, ring[Event]{oldest: floor}
 	}
 }
 
-// Lay puts keys into a state that Renew made, before it runs: the first under a lease of its own for so many milliseconds, which
+// Seed puts keys into a state that Renew made, before it runs: the first under a lease of its own for so many milliseconds, which
 // nobody can renew.
-func (s *State) Lay(key string, value []byte, ttl uint64) {
+func (s *State) Seed(key string, value []byte, ttl uint64) {
 	s.lastID++
 	s.leases[s.lastID] = &lease{Lease: Lease{ID: s.lastID, TTL: ttl, Owner: key}, keys: map[string]struct{}{}}
 	s.put(s.revision+1, Op{Key: key, Value: value, Lease: s.lastID})
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -51,20 +51,20 @@
 
 // What a command may be answered. They are outcomes, not faults of a replica: every replica answers the same.
 var (
-	ErrTooLarge  = errors.New("key, value or transaction is too large")
-	ErrFull      = errors.New("the store is full")
-	ErrNoLease   = errors.New("no such lease")
-	ErrBadKey    = errors.New("a key is empty or stands twice in a transaction")
-	ErrForgotten = errors.New("the request is too old to know whether it was done before")
-	ErrMember    = errors.New("the member is not known, or known otherwise")
-	ErrLevel     = errors.New("a member does not know that level yet")
-	ErrUnknownOp = errors.New("the command is of a newer version")
+	ErrTooLarge       = errors.New("key, value or transaction is too large")
+	ErrFull           = errors.New("the store is full")
+	ErrLeaseNotFound  = errors.New("no such lease")
+	ErrBadKey         = errors.New("a key is empty or stands twice in a transaction")
+	ErrRequestExpired = errors.New("the request is too old to know whether it was done before")
+	ErrUnknownMember  = errors.New("the member is not known, or known otherwise")
+	ErrLevel          = errors.New("a member does not know that level yet")
+	ErrUnknownCommand = errors.New("the command is of a newer version")
 )
 
-// ErrCompacted says that a watch or a read begins before what the history keeps.
-type ErrCompacted struct{ Oldest uint64 } // first revision that can still be read from
+// CompactedError says that a watch or a read begins before what the history keeps.
+type CompactedError struct{ Oldest uint64 } // first revision that can still be read from
 
-func (e *ErrCompacted) Error() string {
+func (e *CompactedError) Error() string {
 	return fmt.Sprintf("compacted: the history begins at revision %d", e.Oldest)
 }
 
@@ -241,10 +241,10 @@
 // that this state does not hold it is an OutsideError.
 func (s *State) Changes(buf []Event, prefix string, after uint64, n int) ([]Event, uint64, error) {
 	if s.part != nil && !s.part.of.CoversPrefix(prefix) {
-		return buf, after, &OutsideError{Of: Interest{Prefixes: []string{prefix}}}
+		return buf, after, &NotHeldError{Of: Interest{Prefixes: []string{prefix}}}
 	}
 	if oldest := s.Oldest(); after+1 < oldest {
-		return buf, after, &ErrCompacted{Oldest: oldest}
+		return buf, after, &CompactedError{Oldest: oldest}
 	}
 	if after > s.revision {
 		return buf, after, nil
@@ -288,8 +288,8 @@
 	return &c
 }
 
-// Answered returns what a request was answered, if that is still known.
-func (s *State) Answered(id RequestID) (Result, bool) { return s.results.find(id) }
+// CachedResult returns what a request was answered, if that is still known.
+func (s *State) CachedResult(id RequestID) (Result, bool) { return s.results.find(id) }
 
 // LastID is the highest id that a lease or a member was given.
 func (s *State) LastID() uint64 { return s.lastID }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -36,15 +36,15 @@
 	c := &Command{ID: RequestID{1, seq}, Since: rapid.Uint64Range(0, seq).Draw(t, "since")}
 	switch rapid.IntRange(0, 9).Draw(t, "kind") {
 	case 0:
-		c.Grant = &Grant{TTL: 1000}
+		c.Grant = &GrantLease{TTL: 1000}
 	case 1:
-		c.End = &End{Lease: rapid.Uint64Range(1, 6).Draw(t, "end"), Silent: rapid.Bool().Draw(t, "silent")}
+		c.End = &RevokeLease{Lease: rapid.Uint64Range(1, 6).Draw(t, "end"), Silent: rapid.Bool().Draw(t, "silent")}
 	case 2:
-		c.Join = &Join{Name: key.Draw(t, "join"), Address: "x"}
+		c.Join = &AddMember{Name: key.Draw(t, "join"), Address: "x"}
 	case 3:
-		c.Leave = &Leave{Member: rapid.Uint64Range(1, 6).Draw(t, "leave")}
+		c.Leave = &RemoveMember{Member: rapid.Uint64Range(1, 6).Draw(t, "leave")}
 	case 4:
-		c.Renew = &Renew{Lease: rapid.Uint64Range(1, 6).Draw(t, "renew")}
+		c.Renew = &RenewLease{Lease: rapid.Uint64Range(1, 6).Draw(t, "renew")}
 	default:
 		c.Txn = &Txn{Then: ops("then"), Else: ops("else")}
 		if rapid.Bool().Draw(t, "if") {
@@ -67,7 +67,7 @@
 func TestStateProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New(9, small)
-		s.Found("one", "x", 5)
+		s.Bootstrap("one", "x", 5)
 		seen := map[string]string{}
 		var at uint64
 		n := rapid.IntRange(1, 60).Draw(t, "commands")
@@ -92,7 +92,7 @@
 			if !bytes.Equal(saved(t, s), saved(t, twin)) {
 				t.Fatal("the loaded state went another way")
 			}
-			if r.Err != nil && r.Err != ErrForgotten {
+			if r.Err != nil && r.Err != ErrRequestExpired {
 				if x := s.Apply(i, c); !x.Again || x.Err != r.Err {
 					t.Fatalf("sent again: %+v, first %+v", x, r)
 				}
@@ -107,7 +107,7 @@
 				continue
 			}
 			events, to, err := s.Changes(nil, "", at, rapid.IntRange(1, 5).Draw(t, "some"))
-			var gone *ErrCompacted
+			var gone *CompactedError
 			if errors.As(err, &gone) {
 				clear(seen)
 				s.Range("", "", func(i Item) bool { seen[i.Key] = string(i.Value); return true })
@@ -132,8 +132,8 @@
 
 func example(t testing.TB) []byte {
 	s := New(3, small)
-	s.Found("one", "x", 5)
-	s.Apply(1, &Command{ID: RequestID{1, 1}, Grant: &Grant{TTL: 5}})
+	s.Bootstrap("one", "x", 5)
+	s.Apply(1, &Command{ID: RequestID{1, 1}, Grant: &GrantLease{TTL: 5}})
 	s.Apply(2, &Command{ID: RequestID{1, 2}, Txn: &Txn{Then: []Op{{Key: "a", Value: []byte("v"), Lease: 2}, {Key: "b"}}}})
 	s.Apply(3, &Command{ID: RequestID{1, 3}, Txn: &Txn{Then: []Op{{Key: "b", Delete: true}}}})
 	var b bytes.Buffer
@@ -145,7 +145,7 @@
 
 func TestEveryCutAndFlippedBitIsFound(t *testing.T) {
 	whole := example(t)
-	var damaged *ErrDamaged
+	var damaged *CorruptedError
 	for n := range whole {
 		if _, err := Load(bytes.NewReader(whole[:n])); !errors.As(err, &damaged) {
 			t.Fatalf("cut at %d: %v", n, err)
@@ -164,12 +164,12 @@
 }
 
 func TestANewerCommandStopsAReplica(t *testing.T) {
-	b, err := (&Command{Grant: &Grant{}, Newer: 1}).Encode()
+	b, err := (&Command{Grant: &GrantLease{}, Newer: 1}).Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, x := range [][]byte{b, append([]byte{Level + 1}, b[1:]...)} {
-		if _, err := DecodeCommand(x); !errors.Is(err, ErrUnknownOp) {
+		if _, err := DecodeCommand(x); !errors.Is(err, ErrUnknownCommand) {
 			t.Fatal(err)
 		}
 	}
@@ -196,14 +196,14 @@
 
 func TestBoundsOfPrefixes(t *testing.T) {
 	s := New(1, DefaultLimits)
-	s.Found("a", "a", 1)
+	s.Bootstrap("a", "a", 1)
 	put := func(index uint64, key string, gone bool) error {
-		return s.Apply(index, &Command{Txn: &Txn{Then: []Op{{Key: key, Delete: gone}}, Bounds: []Bound{{Prefix: "p/", Most: 2}}}}).Err
+		return s.Apply(index, &Command{Txn: &Txn{Then: []Op{{Key: key, Delete: gone}}, Bounds: []KeyLimit{{Prefix: "p/", Most: 2}}}}).Err
 	}
 	if err := put(1, "p/1", false); !errors.Is(err, ErrLevel) || s.Len() != 0 {
 		t.Fatal("before the cluster uses its level:", err)
 	}
-	if r := s.Apply(2, &Command{Raise: &Raise{Level: Level}}); r.Err != nil {
+	if r := s.Apply(2, &Command{Raise: &RaiseLevel{Level: Level}}); r.Err != nil {
 		t.Fatal(r.Err)
 	}
 	for i, tc := range []struct {
@@ -229,7 +229,7 @@
 			s.Apply(uint64(i+1), drawCommand(t, uint64(i+1)))
 		}
 		for _, e := range events {
-			if err := copied.Mirror(e); err != nil {
+			if err := copied.ApplyEvent(e); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -244,7 +244,7 @@
 			t.Fatal(err)
 		}
 		if len(events) > 0 && s.Revision() > 1 {
-			if err := copied.Mirror(Event{Revision: 1, Item: Item{Key: "a"}}); !errors.Is(err, ErrOrder) {
+			if err := copied.ApplyEvent(Event{Revision: 1, Item: Item{Key: "a"}}); !errors.Is(err, ErrOutOfOrder) {
 				t.Fatal(err)
 			}
 		}
@@ -254,7 +254,7 @@
 // A restored state gives no revision or id again that the old cluster may have given, keeps none of its leases, and holds tasks off.
 func TestRenewGivesNothingAgain(t *testing.T) {
 	s := New(1, DefaultLimits)
-	s.Found("a", "a", 1)
+	s.Bootstrap("a", "a", 1)
 	apply := func(c *Command) Result {
 		r := s.Apply(s.Index()+1, c)
 		if r.Err != nil {
@@ -262,22 +262,22 @@
 		}
 		return r
 	}
-	apply(&Command{Raise: &Raise{Level: Level}})
-	own := apply(&Command{Grant: &Grant{TTL: 5000, Owner: "h"}})
+	apply(&Command{Raise: &RaiseLevel{Level: Level}})
+	own := apply(&Command{Grant: &GrantLease{TTL: 5000, Owner: "h"}})
 	apply(&Command{Txn: &Txn{Owner: "h", Then: []Op{{Key: "k", Lease: own.Lease}}}})
-	for _, c := range []*Command{{Renew: &Renew{Lease: own.Lease, Owner: "x"}}, {Renew: &Renew{Lease: own.Lease}}, {End: &End{Lease: own.Lease, Owner: "x"}},
+	for _, c := range []*Command{{Renew: &RenewLease{Lease: own.Lease, Owner: "x"}}, {Renew: &RenewLease{Lease: own.Lease}}, {End: &RevokeLease{Lease: own.Lease, Owner: "x"}},
 		{Txn: &Txn{Owner: "x", Then: []Op{{Key: "j", Lease: own.Lease}}}}} {
-		if r := s.Apply(s.Index()+1, c); !errors.Is(r.Err, ErrNoLease) {
+		if r := s.Apply(s.Index()+1, c); !errors.Is(r.Err, ErrLeaseNotFound) {
 			t.Errorf("what is another's lease: %v", r.Err)
 		}
 	}
 	before, last := s.Revision(), s.LastID()
-	s.Renew(2, before+1_000_000)
-	s.Lay("hold", nil, 60_000)
+	s.Reinitialize(2, before+1_000_000)
+	s.Seed("hold", nil, 60_000)
 	if _, there := s.Get("k"); there || s.Revision() <= before+1_000_000 || s.LastID() <= last+1_000_000-1 {
 		t.Errorf("revision %d, last id %d", s.Revision(), s.LastID())
 	}
-	s.Found("b", "b", 2)
+	s.Bootstrap("b", "b", 2)
 	var b bytes.Buffer
 	if err := s.Save(&b); err != nil {
 		t.Fatal(err)
