--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -551,7 +551,7 @@
 func (b *Balancer) illsFrom(o *Balancer, e *endpoint) []ill {
 	ills := b.newIlls()
 	for at, i := range e.ills {
-		to := -1
+		var to int
 		if at < len(o.classes) {
 			to = slices.IndexFunc(b.classes, func(c classStats) bool { return c.live && c.name == o.classes[at].name })
 		} else if to = tenantAt(b.s.Tenants, o.s.Tenants[at-len(o.classes)].Name); to >= 0 {
--- a/cmd/birchmoor/followers_test.go
+++ b/cmd/birchmoor/followers_test.go
@@ -121,7 +121,7 @@
 
 // shortDir is a folder whose name leaves room for those of sockets.
 func shortDir(tb testing.TB) string {
-	dir, err := os.MkdirTemp("", "f")
+	dir, err := os.MkdirTemp("", "f") //nolint:usetesting // t.TempDir is too long for the path of a Unix socket
 	if err != nil {
 		tb.Fatal(err)
 	}
--- a/internal/controlplane/daemon/journal.go
+++ b/internal/controlplane/daemon/journal.go
@@ -11,7 +11,6 @@
 	"time"
 
 	"birchmoor/internal/store"
-	"birchmoor/internal/store/serverstate"
 )
 
 // A daemon that acted on a drain and is killed must not forget it, also where the store had not heard of it yet, or, at a
@@ -77,7 +76,7 @@
 		return
 	}
 	p, _ := drainOf(key)
-	binds := d.turns.Hears(key) || d.guard.Drains(serverstate.Process(p))
+	binds := d.turns.Hears(key) || d.guard.Drains(p)
 	if binds == j.held[key] {
 		return
 	}
--- a/internal/controlplane/daemon/memory.go
+++ b/internal/controlplane/daemon/memory.go
@@ -8,7 +8,6 @@
 	"strings"
 	"time"
 
-	"birchmoor/balancer"
 	"birchmoor/internal/platform/recovery"
 	"birchmoor/internal/platform/snapshot"
 	"birchmoor/internal/store"
@@ -204,7 +203,7 @@
 		here := snapshot.Now()
 		switch {
 		case p.at != 0:
-			c.Age, c.Sure = balancer.Micros(now-p.at)/1000, true
+			c.Age, c.Sure = (now-p.at)/1000, true
 		default:
 			c.Age, c.Sure = here.Since(kept.Clock), here.Boot != "" && here.Boot == kept.Clock.Boot
 		}
--- a/internal/controlplane/operatorconfig/operator_test.go
+++ b/internal/controlplane/operatorconfig/operator_test.go
@@ -52,7 +52,7 @@
 
 // The file that is given along turns nothing on by itself, and all that it shows is known.
 func TestGivenFile(t *testing.T) {
-	path := filepath.Join("..", "..", "deploy", "operator.toml")
+	path := filepath.Join("..", "..", "..", "deploy", "operator.toml")
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controlplane/quotasync/limits.go
+++ b/internal/controlplane/quotasync/limits.go
@@ -233,7 +233,7 @@
 		}
 		l.mu.Unlock()
 		if !due {
-			wait := time.Duration(l.cfg.Tell)
+			wait := l.cfg.Tell
 			if at > 0 {
 				wait = min(wait, max(time.Millisecond, l.cfg.Clock.Span(at-now)))
 			}
@@ -307,7 +307,7 @@
 		return nil, nil
 	}
 	var buf [4]quota.Charge
-	charges := m.Match(buf[:0], &quota.Request{Class: q.Class, Path: q.Path, Cost: quota.Amount(q.CostMs) * quota.AmountUnit, Header: q.Header, Worth: q.Worth})
+	charges := m.Match(buf[:0], &quota.Request{Class: q.Class, Path: q.Path, Cost: q.CostMs * quota.AmountUnit, Header: q.Header, Worth: q.Worth})
 	if len(charges) == 0 {
 		return nil, nil
 	}
--- a/internal/dataplane/dnsfront/server.go
+++ b/internal/dataplane/dnsfront/server.go
@@ -13,6 +13,8 @@
 	"sync/atomic"
 	"time"
 
+	"github.com/miekg/dns"
+
 	"birchmoor/balancer"
 	"birchmoor/internal/dataplane/core"
 	"birchmoor/internal/dataplane/dnsfront/limit"
@@ -20,7 +22,6 @@
 	"birchmoor/internal/dataplane/handover"
 	"birchmoor/internal/platform/config"
 	"birchmoor/internal/platform/metrics"
-	"github.com/miekg/dns"
 )
 
 // answerMargin is kept from a class's give-up, so that the final answer reaches the client before that is up.
--- a/internal/dataplane/dnsfront/settings.go
+++ b/internal/dataplane/dnsfront/settings.go
@@ -12,12 +12,13 @@
 	"slices"
 	"time"
 
+	"github.com/miekg/dns"
+
 	"birchmoor/balancer"
 	"birchmoor/internal/dataplane/dnsfront/limit"
 	"birchmoor/internal/dataplane/dnsfront/route"
 	"birchmoor/internal/platform/config"
 	"birchmoor/internal/platform/metrics"
-	"github.com/miekg/dns"
 )
 
 // Protocol is how discovery's entries name servers of this front.
--- a/internal/dataplane/dnsfront/upstream.go
+++ b/internal/dataplane/dnsfront/upstream.go
@@ -12,12 +12,13 @@
 	"syscall"
 	"time"
 
+	"github.com/miekg/dns"
+
 	"birchmoor/balancer"
 	"birchmoor/internal/dataplane/core"
 	"birchmoor/internal/dataplane/dnsfront/resend"
 	"birchmoor/internal/platform/config"
 	"birchmoor/internal/platform/metrics"
-	"github.com/miekg/dns"
 )
 
 const probeTime = 250 * time.Millisecond
--- a/internal/dataplane/handover/handover_test.go
+++ b/internal/dataplane/handover/handover_test.go
@@ -75,7 +75,7 @@
 // serving starts an old process at a fresh path.
 func serving(t *testing.T) (path string, p *process, stop func()) {
 	t.Helper()
-	dir, err := os.MkdirTemp("", "h") // a socket's path is short
+	dir, err := os.MkdirTemp("", "h") //nolint:usetesting // t.TempDir is too long for the path of a Unix socket
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dataplane/replay/replay_test.go
+++ b/internal/dataplane/replay/replay_test.go
@@ -25,7 +25,7 @@
 
 func files(t testing.TB, name string) []string {
 	t.Helper()
-	list, err := capture.Files(filepath.Join("..", "..", "lab", "captures", name), "")
+	list, err := capture.Files(filepath.Join("..", "..", "..", "lab", "captures", name), "")
 	if err != nil || len(list) == 0 {
 		t.Fatal(list, err)
 	}
--- a/internal/dataplane/sidecar/handover_test.go
+++ b/internal/dataplane/sidecar/handover_test.go
@@ -62,7 +62,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	dir, err := os.MkdirTemp("", "h") // a socket's path is short
+	dir, err := os.MkdirTemp("", "h") //nolint:usetesting // t.TempDir is too long for the path of a Unix socket
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -130,7 +130,7 @@
 func TestNewFails(t *testing.T) {
 	addr := sidecartest.Web(t, func(http.ResponseWriter, *http.Request) {})
 	c := sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)})
-	dir, err := os.MkdirTemp("", "h")
+	dir, err := os.MkdirTemp("", "h") //nolint:usetesting // t.TempDir is too long for the path of a Unix socket
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/chain/level.go
+++ b/internal/lab/chain/level.go
@@ -134,7 +134,7 @@
 			l.opened.Add(1)
 			l.open.Add(1)
 		}
-		answer := ""
+		var answer string
 		if req.URL.Path == "/-/load" || req.URL.Path == "/-/healthy" {
 			answer = fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(loaded), loaded)
 			l.probes.Add(1)
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -482,7 +482,7 @@
 	mean := func(v float64) balancer.Mean {
 		return balancer.Mean{V: v * (0.5 + h.rng.Float64()), N: 20 * h.rng.Float64()}
 	}
-	micros := func(most int64) balancer.Micros { return balancer.Micros(h.rng.Int64N(most)) }
+	micros := func(most int64) balancer.Micros { return h.rng.Int64N(most) }
 	meter := func() balancer.MeterState { return balancer.MeterState{Sum: 100 * h.rng.Float64(), Age: micros(1e6)} }
 	k := &snapshot.Saved{Sidecar: h.name, Clock: snapshot.Now(), State: &balancer.Snapshot{At: micros(1e9), Random: h.rng.Uint64(), Listed: true, Subscribed: true,
 		Strong: h.rng.Float64(), Warm: h.rng.Float64(), Credit: h.rng.Float64(), Watched: h.rng.Float64(), Fleet: mean(2000), Work: mean(1000), Refused: mean(0.01),
@@ -491,7 +491,7 @@
 	n := uint32(0)
 	for _, in := range h.list {
 		n++
-		e := balancer.EndpointState{ID: n, Cell: in.Cell, Share: 1, StartTime: balancer.Micros(in.StartedMs) * 1000, HasLoad: true, Room: h.rng.Float64(), RoomAt: micros(1e6),
+		e := balancer.EndpointState{ID: n, Cell: in.Cell, Share: 1, StartTime: in.StartedMs * 1000, HasLoad: true, Room: h.rng.Float64(), RoomAt: micros(1e6),
 			SentAt: micros(1e6), QuietFrom: micros(1e6), Asked: n, ProbedAt: micros(1e6), AnswerAt: micros(1e6), Others: h.rng.Float64(), RTT: mean(800), Pace: mean(1),
 			PaceAt: micros(1e6), Head: micros(1e6), Base: 1000 * h.rng.Float64(), Current: 1000 * h.rng.Float64(), Passed: micros(1e6)}
 		k.Names, k.Addrs, k.State.Endpoints = append(k.Names, in.ID), append(k.Addrs, in.Addr), append(k.State.Endpoints, e)
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -34,7 +34,7 @@
 // Every fault of a file is named with its line and key, and nothing is read.
 func TestBadFiles(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
-		{"unknown key", plain + "[net]\nsmae = \"1ms\"\n", "x.toml:13: net.smae: is not a key"},
+		{"unknown key", plain + "[net]\nsmae = \"1ms\"\n", "x.toml:13: net.smae: is not a key"}, //nolint:misspell // the misspelled key is the case
 		{"unknown table", plain + "[nets]\nsame = \"1ms\"\n", "x.toml:12: nets"},
 		{"range upside down", strings.Replace(plain, "[1.0, 2.0]", "[2.0, 1.0]", 1), "x.toml:4: servers[0].speed: the range 2 to 1 is upside down"},
 		{"three numbers", strings.Replace(plain, "[1.0, 2.0]", "[2.0, 1.0, 3.0]", 1), "x.toml:4: servers[0].speed: takes one number or two"},
--- a/internal/lab/tasklab/torture.go
+++ b/internal/lab/tasklab/torture.go
@@ -326,8 +326,8 @@
 	}
 	_, _, r.Acts = x.at.now()
 	r.Broken, r.Late, r.Starved = x.at.judge(x.starved())
-	more := []string(nil)
-	r.History, more = x.history.judge()
+	history, more := x.history.judge()
+	r.History = history
 	r.Broken = append(r.Broken, more...)
 	gaps, without := x.at.Gaps(), time.Duration(0)
 	for _, g := range gaps {
--- a/internal/store/admin/outer.go
+++ b/internal/store/admin/outer.go
@@ -310,7 +310,7 @@
 		progress.Stop()
 	}
 	for {
-		ok := true
+		var ok bool
 		select {
 		case <-ctx.Done():
 			return
--- a/internal/store/follower/follow.go
+++ b/internal/store/follower/follow.go
@@ -665,7 +665,7 @@
 		return store.Result{}, err
 	}
 	sent, wait := false, backMin
-	last := error(replica.ErrNoLeader)
+	last := replica.ErrNoLeader
 	for at := mathrand.IntN(len(f.http)); ctx.Err() == nil && f.ctx.Err() == nil; at = (at + 1) % len(f.http) {
 		var x admin.Change
 		reached, err := f.ask(ctx, at, f.cfg.Meter.CommandPurpose(&c), http.MethodPost, "/v1/change", body, &x)
