--- a/cmd/birchmoor/followers_test.go
+++ b/cmd/birchmoor/followers_test.go
@@ -129,14 +129,6 @@
 	return dir
 }
 
-func freeAddress(tb testing.TB) string {
-	addr, err := address.Free()
-	if err != nil {
-		tb.Fatal(err)
-	}
-	return addr
-}
-
 // rateOfParts is a limit whose parts are the classes class0 to class3.
 func rateOfParts() *quota.Config {
 	l := &quota.Limit{Name: "all", Kind: quota.Rate, Of: quota.Requests, Span: 1e8, Without: quota.Strict, By: []string{"class"},
@@ -151,8 +143,8 @@
 // not shown. One whose file says so holds all, as one of the version before.
 func TestAFollowerHoldsItsOwn(t *testing.T) {
 	t.Parallel()
-	quiet, dir, serve := slog.New(slog.DiscardHandler), shortDir(t), freeAddress(t)
-	_, end := openDaemon(t, dir, "a", fmt.Sprintf("listen = %q\nserve = %q", freeAddress(t), serve), quiet)
+	quiet, dir, serve := slog.New(slog.DiscardHandler), shortDir(t), address.Next()
+	_, end := openDaemon(t, dir, "a", fmt.Sprintf("listen = %q\nserve = %q", address.Next(), serve), quiet)
 	over := sync.OnceFunc(end)
 	defer over()
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
@@ -225,7 +217,7 @@
 	var down, up atomic.Int64
 	var via []string // a replica takes 512 followers at most
 	for i := range (n + 399) / 400 {
-		name, listen, serve := string(rune('a'+i)), freeAddress(b), freeAddress(b)
+		name, listen, serve := string(rune('a'+i)), address.Next(), address.Next()
 		open(name, fmt.Sprintf("listen = %q\nserve = %q\njoin = %v", listen, serve, i > 0))
 		via = append(via, fmt.Sprintf("%q", name+"="+counting(b, serve, &down, &up)))
 		if i == 0 {
--- a/internal/lab/address/address.go
+++ b/internal/lab/address/address.go
@@ -1,5 +1,5 @@
-// Package address gives out addresses on loopback that nobody listens at, for processes that are to be told where to listen, and to
-// listen there again after a kill.
+// Package address hands out loopback addresses for processes that are told where to listen, and that listen there again after a
+// restart.
 package address
 
 import (
@@ -9,33 +9,29 @@
 	"sync/atomic"
 )
 
-// next is the port that is looked at next. None is looked at twice: to try one that was given would take it for a moment from who has it.
-var next atomic.Int32
-
 const (
-	first = 10_000
-	most  = 55_000
+	firstPort = 10_000
+	ports     = 55_000
 )
 
-// own is an address of this process's alone among all of 127.0.0.0/8, so that no other process takes a port of it meanwhile, be it of a
-// test that runs beside this one. It is not 127.0.0.1, whose ports all connections on loopback come from.
-func own() string {
+// handedOut counts the addresses handed out so far.
+var handedOut atomic.Uint32
+
+// host is an IP address in 127.0.0.0/8 that no other process uses, since it is derived from the process ID. It is never 127.0.0.1,
+// which is the source address of outgoing loopback connections.
+func host() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 64+pid>>15&63, pid>>7&255, 1+pid&127)
 }
 
-// Free is an address that nobody listens at, nor was told of by this process. Any goroutine may call it.
-func Free() (string, error) {
-	for {
-		n := next.Add(1)
-		if n > most {
-			return "", fmt.Errorf("%d addresses were given out: there are no more", most)
-		}
-		addr := fmt.Sprintf("%s:%d", own(), first+n)
-		ln, err := net.Listen("tcp", addr)
-		if err != nil {
-			continue // somebody has it
-		}
-		return addr, ln.Close()
-	}
+// Next returns an address that this process has not handed out before, or not for the last 55,000 calls. It is safe for
+// concurrent use.
+//
+// The port is not tried first: a child process that another goroutine forks at that moment inherits the listening socket until it
+// executes its program, and a second listen on the port fails while it does.
+func Next() string {
+	return fmt.Sprintf("%s:%d", host(), firstPort+handedOut.Add(1)%ports)
 }
+
+// Listen listens on the next address.
+func Listen() (net.Listener, error) { return net.Listen("tcp", Next()) }
--- a/internal/lab/fleetlab/fleet.go
+++ b/internal/lab/fleetlab/fleet.go
@@ -207,10 +207,7 @@
 		list = append(list, s.now)
 	}
 	for i := range cfg.Replicas {
-		to, err := address.Free()
-		if err != nil {
-			return f, err
-		}
+		to := address.Next()
 		in, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return f, err
@@ -280,10 +277,7 @@
 	}
 	d.Client = adminapi.Dial(d.path(".sock"))
 	for _, to := range []*string{&d.listen, &d.mgmt, &d.serve} {
-		var err error
-		if *to, err = address.Free(); err != nil {
-			return nil, err
-		}
+		*to = address.Next()
 	}
 	file := fmt.Sprintf("[store]\nname = %q\ndir = %q\nsocket = %q\nplain = true\n", d.name, d.name, d.name+".sock")
 	if follower {
@@ -333,9 +327,7 @@
 
 // link makes a relay by which the daemon reaches another.
 func (d *Daemon) link(to *Daemon, at string, seed uint64) (addr string, err error) {
-	if addr, err = address.Free(); err != nil {
-		return "", err
-	}
+	addr = address.Next()
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return "", err
--- a/internal/lab/rig/discovery.go
+++ b/internal/lab/rig/discovery.go
@@ -8,6 +8,7 @@
 	"strconv"
 	"time"
 
+	"birchmoor/internal/lab/address"
 	"birchmoor/internal/lab/model"
 	"birchmoor/internal/lab/trace"
 )
@@ -72,7 +73,7 @@
 }
 
 func newDesk(r *rig, sidecar int) (*desk, error) {
-	ln, err := r.listen()
+	ln, err := address.Listen()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/rig/process.go
+++ b/internal/lab/rig/process.go
@@ -17,6 +17,7 @@
 	"syscall"
 	"time"
 
+	"birchmoor/internal/lab/address"
 	"birchmoor/internal/lab/told"
 )
 
@@ -58,7 +59,7 @@
 	if err := os.MkdirAll(h.dir, 0o700); err != nil {
 		return nil, err
 	}
-	ln, err := r.listen()
+	ln, err := address.Listen()
 	if err != nil {
 		return nil, err
 	}
@@ -90,7 +91,7 @@
 
 // start runs the program. The kernel ends it with the lab, however that ends.
 func (h *home) start() (*process, error) {
-	p := &process{mgmt: h.r.address(), ended: make(chan struct{})}
+	p := &process{mgmt: address.Next(), ended: make(chan struct{})}
 	config, err := h.configure(p.mgmt)
 	if err != nil {
 		return nil, err
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -7,11 +7,9 @@
 	"context"
 	"errors"
 	"fmt"
-	"net"
 	"os"
 	"path/filepath"
 	"sync"
-	"sync/atomic"
 	"syscall"
 	"time"
 
@@ -261,16 +259,6 @@
 	}
 }
 
-// address returns a loopback address that this process has to itself: the network comes from its number.
-func (r *rig) address() string {
-	pid := os.Getpid()
-	return fmt.Sprintf("127.%d.%d.%d:%d", 64+pid>>15&0x3f, pid>>7&0xff, (pid&0x7f)<<1|1, 10000+ports.Add(1)%50000)
-}
-
-var ports atomic.Int32 // over all rigs of this process
-
-func (r *rig) listen() (net.Listener, error) { return net.Listen("tcp", r.address()) }
-
 // ---- The world's words -----------------------------------------------------
 
 // Ask has a client send its request.
--- a/internal/lab/rig/server.go
+++ b/internal/lab/rig/server.go
@@ -13,6 +13,7 @@
 	"sync"
 	"time"
 
+	"birchmoor/internal/lab/address"
 	"birchmoor/internal/lab/model"
 	"birchmoor/internal/lab/relay"
 	"birchmoor/internal/lab/trace"
@@ -36,7 +37,7 @@
 func newSlot(r *rig, s *model.Server) (*slot, error) {
 	t := &slot{r: r, s: s, conns: map[*serverConn]struct{}{}, off: true}
 	for n := range r.s.Fleet.Sidecars {
-		ln, err := r.listen()
+		ln, err := address.Listen()
 		if err != nil {
 			return nil, err
 		}
@@ -48,7 +49,7 @@
 		l := relay.New(ln.Addr().String(), uint64(n)<<32|uint64(s.Number),
 			relay.Conditions{Delay: time.Duration(mean), Jitter: r.s.Net.Jitter, Stalls: r.s.Net.Stalls, Stall: time.Duration(r.s.Net.Stall)})
 		t.links = append(t.links, l)
-		t.addrs = append(t.addrs, r.address())
+		t.addrs = append(t.addrs, address.Next())
 		t.wg.Go(func() { t.accept(ln, n) })
 	}
 	return t, nil
--- a/internal/testutil/processtest/proctest.go
+++ b/internal/testutil/processtest/proctest.go
@@ -42,11 +42,7 @@
 // after a kill.
 func Address(t testing.TB) string {
 	t.Helper()
-	addr, err := address.Free()
-	if err != nil {
-		t.Fatal(err)
-	}
-	return addr
+	return address.Next()
 }
 
 // Process is one that a test started.
