--- /dev/null
+++ b/internal/store/serverstate/stored_test.go
@@ -0,0 +1,112 @@
+package serverstate
+
+import (
+	"encoding/hex"
+	"encoding/json"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+)
+
+// TestStoredFormsAreFrozen reads keys and records that an earlier build wrote to the store, and writes the same bytes again.
+func TestStoredFormsAreFrozen(t *testing.T) {
+	process := Process{ID: "s/1 a", Addr: "127.0.0.1:80", StartedMs: 1764700000123}
+	guard := NewGuard("daemon-a")
+	exclusion := func(kind Kind, server string) (string, []byte) {
+		op, err := guard.Hear(kind, server)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return op.Key, op.Value
+	}
+	start := StartReport{Format: 1, By: "daemon-a", Ago: 1500, For: 30000}
+	snapshot := ModuleSnapshot{Format: 1, By: "daemon-a", Known: []byte("\x01known")}
+	cases := map[string]struct {
+		encode func() (key string, value []byte)
+		decode func(key string, value []byte) (any, error)
+		want   any
+	}{
+		"drain": {
+			encode: func() (string, []byte) { return exclusion(Drain, process.Server()) },
+			decode: func(key string, value []byte) (any, error) {
+				kind, server, _ := parse(key)
+				p, _ := ParseProcess(server)
+				return []any{kind, p, DecodeExclusion(value)}, nil
+			},
+			want: []any{Drain, process, ExclusionRecord{By: "daemon-a"}},
+		},
+		"admin drain": {
+			encode: func() (string, []byte) { return exclusion(AdminDrain, "s-1") },
+			decode: func(key string, value []byte) (any, error) {
+				kind, server, _ := parse(key)
+				return []any{kind, server, DecodeExclusion(value)}, nil
+			},
+			want: []any{AdminDrain, "s-1", ExclusionRecord{By: "daemon-a"}},
+		},
+		"start": {
+			encode: func() (string, []byte) { return StartKey(process), start.Encode() },
+			decode: func(key string, value []byte) (any, error) {
+				p, _ := ParseStart(key)
+				report, err := DecodeStartReport(value)
+				return []any{p, report}, err
+			},
+			want: []any{process, start},
+		},
+		"module snapshot": {
+			encode: func() (string, []byte) {
+				op := snapshot.Put(SnapshotKey("side car/1", "dns")).Then[0]
+				return op.Key, op.Value
+			},
+			decode: func(key string, value []byte) (any, error) {
+				sidecar, protocol, _ := ParseSnapshotKey(key)
+				record, err := DecodeModuleSnapshot(value)
+				return []any{sidecar, protocol, record}, err
+			},
+			want: []any{"side car/1", "dns", snapshot},
+		},
+	}
+	golden, err := os.ReadFile("testdata/stored.golden")
+	if err != nil {
+		t.Fatal(err)
+	}
+	lines := strings.Split(strings.TrimSpace(string(golden)), "\n")
+	if len(lines) != len(cases) {
+		t.Errorf("%d golden records, %d cases", len(lines), len(cases))
+	}
+	for _, line := range lines {
+		fields := strings.Split(line, "\t")
+		name, key := fields[0], fields[1]
+		t.Run(name, func(t *testing.T) {
+			value, err := hex.DecodeString(fields[2])
+			if err != nil {
+				t.Fatal(err)
+			}
+			c := cases[name]
+			if got, err := c.decode(key, value); err != nil || !reflect.DeepEqual(got, c.want) {
+				t.Errorf("decoded %+v (%v), want %+v", got, err, c.want)
+			}
+			if gotKey, got := c.encode(); gotKey != key || string(got) != string(value) {
+				t.Errorf("encoded %q %x, want %q %x", gotKey, got, key, value)
+			}
+			if !IsServerKey(key) {
+				t.Errorf("%q is not a key of a server's state", key)
+			}
+		})
+	}
+}
+
+// TestJSONFormsAreFrozen compares what operators read with what an earlier build wrote.
+func TestJSONFormsAreFrozen(t *testing.T) {
+	for want, value := range map[string]any{
+		`{"by":"daemon-a"}`: ExclusionRecord{By: "daemon-a"},
+		`{"kind":"ban","server":"s-1","agreed":true,"by":"daemon-a","age_ms":-1}`: Exclusion{
+			Kind: AdminDrain, Server: "s-1", Agreed: true, By: "daemon-a", AgeMs: -1,
+		},
+		`{"by":"daemon-a","ago_ms":1500,"for_ms":30000}`: StartReport{Format: 1, By: "daemon-a", Ago: 1500, For: 30000},
+	} {
+		if got, err := json.Marshal(value); err != nil || string(got) != want {
+			t.Errorf("%T: %s (%v), want %s", value, got, err, want)
+		}
+	}
+}
