--- /dev/null
+++ b/internal/controlplane/leasetask/stored_test.go
@@ -0,0 +1,53 @@
+package leasetask
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"reflect"
+	"testing"
+
+	"birchmoor/internal/controlplane/lease"
+)
+
+// The files in testdata are of version 7105f7a.
+func TestStoredReportsAndShownTasksKeepTheirForm(t *testing.T) {
+	failed := ActionReport{Token: 9, Host: "host-a", Done: 3, Error: "no disk"}
+	tests := []struct {
+		file string
+		key  string // before the value, with a tab, where the file has one
+		want any    // a pointer to the expected value
+	}{
+		{"reports.tsv", ReportPrefix + "reindex", &failed},
+		{"reports.tsv", ReportPrefix + "backup", &ActionReport{Token: 10, Host: "host-b"}},
+		{"status.json", "", &TaskStatus{
+			Task: "reindex", Slots: 2, Order: lease.TaskOverride{Pause: true, Host: "host-b", By: "ops", Note: "disk swap"},
+			Places: []QueueEntry{
+				{Host: "host-a", Token: 9, Holds: true, TTLMs: 30000, Note: "nightly", AgeMs: -1, Here: true, UntilMs: 1500},
+				{Host: "host-b", Token: 12, TTLMs: 15000, AgeMs: 20},
+			},
+			Why: "it is paused by ops", Last: &failed, LastMs: 250, Here: "waits, 0 before it",
+		}},
+	}
+	for _, tc := range tests {
+		stored, err := os.ReadFile("testdata/" + tc.file)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if tc.key != "" {
+			_, rest, ok := bytes.Cut(stored, []byte(tc.key+"\t"))
+			if !ok {
+				t.Errorf("%s: no key %q", tc.file, tc.key)
+			}
+			stored, _, _ = bytes.Cut(rest, []byte("\n"))
+		}
+		stored = bytes.TrimSuffix(stored, []byte("\n"))
+		decoded := reflect.New(reflect.TypeOf(tc.want).Elem()).Interface()
+		if err := json.Unmarshal(stored, decoded); err != nil || !reflect.DeepEqual(decoded, tc.want) {
+			t.Errorf("%s %s: decoded %+v, %v, want %+v", tc.file, tc.key, decoded, err, tc.want)
+		}
+		if encoded, err := json.Marshal(tc.want); err != nil || !bytes.Equal(encoded, stored) {
+			t.Errorf("%s %s: encoded %s, %v, want %s", tc.file, tc.key, encoded, err, stored)
+		}
+	}
+}
