--- /dev/null
+++ b/internal/store/frozen_test.go
@@ -0,0 +1,218 @@
+package store
+
+import (
+	"bytes"
+	"encoding/hex"
+	"encoding/json"
+	"os"
+	"strings"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// The files in testdata/frozen were written by commit 7105f7a. What is stored or sent must decode to the same values and
+// encode to the same bytes for as long as its format version stands.
+
+type storedCommand struct {
+	name    string
+	command Command
+}
+
+func frozenFile(t *testing.T, name string) []byte {
+	t.Helper()
+	b, err := os.ReadFile("testdata/frozen/" + name)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return b
+}
+
+func frozenLines(t *testing.T, name string) []string {
+	t.Helper()
+	return strings.Split(strings.TrimSpace(string(frozenFile(t, name))), "\n")
+}
+
+func TestFrozenCommands(t *testing.T) {
+	lines := frozenLines(t, "commands.txt")
+	want := storedCommands()
+	if len(lines) != len(want) {
+		t.Fatalf("%d lines for %d commands", len(lines), len(want))
+	}
+	for i, c := range want {
+		name, digits, _ := strings.Cut(lines[i], ": ")
+		frozen, err := hex.DecodeString(digits)
+		if err != nil || name != c.name {
+			t.Fatalf("line %d: %q for %q: %v", i+1, name, c.name, err)
+		}
+		t.Run(name, func(t *testing.T) {
+			got, err := DecodeCommand(frozen)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if d := cmp.Diff(&c.command, got); d != "" {
+				t.Error(d)
+			}
+			encoded, err := c.command.Encode()
+			if err != nil || !bytes.Equal(encoded, frozen) {
+				t.Errorf("encoded as %x, frozen as %x: %v", encoded, frozen, err)
+			}
+		})
+	}
+}
+
+func TestFrozenSnapshots(t *testing.T) {
+	subset := Interest{Prefixes: []string{"b/"}, Keys: []string{"a"}}
+	for _, tc := range []struct {
+		name  string
+		state *State
+	}{
+		{"complete.bin", storedState()},
+		{"subset.bin", storedState().SubsetWithHistory(subset)},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			frozen := frozenFile(t, tc.name)
+			if b := saved(t, tc.state); !bytes.Equal(b, frozen) {
+				t.Errorf("the state is saved as\n%x, and was as\n%x", b, frozen)
+			}
+			loaded, err := LoadSubset(bytes.NewReader(frozen))
+			if err != nil {
+				t.Fatal(err)
+			}
+			if b := saved(t, loaded); !bytes.Equal(b, frozen) {
+				t.Errorf("the loaded state is saved as\n%x, and was as\n%x", b, frozen)
+			}
+			if d := cmp.Diff(summarize(tc.state), summarize(loaded), cmp.Comparer(bytes.Equal), cmp.Comparer(sameError)); d != "" {
+				t.Error(d)
+			}
+		})
+	}
+	if _, err := Load(bytes.NewReader(frozenFile(t, "subset.bin"))); err == nil {
+		t.Error("a subset was loaded as a complete state")
+	}
+}
+
+func sameError(a, b error) bool { return a == b }
+
+// stateSummary is what can be read of a state.
+type stateSummary struct {
+	Cluster, Revision, Index, Level, LastID, Oldest uint64
+
+	Limits   Limits
+	Interest *Interest
+	Members  []Member
+	Leases   []Lease
+	Items    []Item
+	Events   []Event
+	Results  []Result
+}
+
+func summarize(s *State) stateSummary {
+	sum := stateSummary{
+		Cluster: s.Cluster(), Revision: s.Revision(), Index: s.Index(), Level: s.Level(), LastID: s.LastID(), Oldest: s.Oldest(),
+		Limits: s.Limits(), Interest: s.Interest(), Members: s.Members(), Leases: s.Leases(),
+	}
+	s.Range("", "", func(i Item) bool {
+		sum.Items = append(sum.Items, i)
+		return true
+	})
+	for i := range s.history.len() {
+		sum.Events = append(sum.Events, *s.history.at(i))
+	}
+	for i := range s.results.ring.len() {
+		sum.Results = append(sum.Results, s.results.ring.at(i).Result)
+	}
+	return sum
+}
+
+func TestFrozenJSON(t *testing.T) {
+	lines := frozenLines(t, "types.jsonl")
+	values := storedJSON()
+	if len(lines) != len(values) {
+		t.Fatalf("%d lines for %d values", len(lines), len(values))
+	}
+	for i, v := range values {
+		b, err := json.Marshal(v)
+		if err != nil || string(b) != lines[i] {
+			t.Errorf("%T is written as\n%s, and was as\n%s: %v", v, b, lines[i], err)
+		}
+	}
+}
+
+func storedCommands() []storedCommand {
+	id := RequestID{Client: 0x1122334455667788, Seq: 7}
+	return []storedCommand{
+		{"txn at level 1", Command{ID: id, Since: 3, Txn: &Txn{
+			If:   []Compare{{Key: "a", Modified: 9}},
+			Then: []Op{{Key: "a", Value: []byte("v"), Lease: 4}, {Key: "b", Delete: true, End: "c"}},
+			Else: []Op{{Key: "a", Delete: true}},
+		}}},
+		{"txn at level 2", Command{ID: id, Txn: &Txn{
+			Then:   []Op{{Key: "p/1"}},
+			Bounds: []KeyLimit{{Prefix: "p/", Most: 5}},
+		}}},
+		{"txn at level 3", Command{ID: id, Txn: &Txn{
+			Then:  []Op{{Key: "k", Value: []byte{0, 255}, Lease: 4}},
+			Owner: "process",
+		}}},
+		{"grant at level 1", Command{ID: id, Grant: &GrantLease{TTL: 5000}}},
+		{"grant at level 3", Command{ID: id, Grant: &GrantLease{TTL: 5000, Owner: "process"}}},
+		{"renew at level 1", Command{ID: id, Renew: &RenewLease{Lease: 4}}},
+		{"renew at level 3", Command{ID: id, Renew: &RenewLease{Lease: 4, Owner: "process"}}},
+		{"revoke at level 1", Command{ID: id, End: &RevokeLease{Lease: 4}}},
+		{"revoke expired", Command{End: &RevokeLease{Lease: 4, Silent: true, Renewed: 2}}},
+		{"revoke at level 3", Command{ID: id, End: &RevokeLease{Lease: 4, Owner: "process"}}},
+		{"add member", Command{ID: id, Join: &AddMember{Name: "two", Address: "10.0.0.2:7000"}}},
+		{"register start", Command{Place: &RegisterStart{Member: 2, Disk: 77, Boot: 3, Level: 3}}},
+		{"remove member", Command{ID: id, Leave: &RemoveMember{Member: 2}}},
+		{"raise level", Command{Raise: &RaiseLevel{Level: 3}}},
+	}
+}
+
+func storedState() *State {
+	limits := Limits{Key: 24, Value: 64, Total: 4000, Ops: 4, Events: 12, History: 4000, Leases: 3, Results: 20, Members: 3}
+	s := New(0x99, limits)
+	s.Bootstrap("one", "10.0.0.1:7000", 5)
+	seq := uint64(0)
+	apply := func(c *Command) {
+		seq++
+		c.ID, c.Since = RequestID{Client: 1, Seq: seq}, 1
+		s.Apply(seq+1, c)
+	}
+	key := func(k string, lease uint64) *Command {
+		return &Command{Txn: &Txn{Then: []Op{{Key: k, Value: []byte("v" + k), Lease: lease}}}}
+	}
+	apply(&Command{Grant: &GrantLease{TTL: 5000, Owner: "p"}}) // ErrLevel
+	apply(&Command{Raise: &RaiseLevel{Level: 3}})
+	apply(&Command{Grant: &GrantLease{TTL: 5000, Owner: "p"}})
+	apply(&Command{Renew: &RenewLease{Lease: 2, Owner: "p"}})
+	apply(&Command{Grant: &GrantLease{TTL: 7000}})
+	apply(&Command{Join: &AddMember{Name: "two", Address: "10.0.0.2:7000"}})
+	apply(&Command{Place: &RegisterStart{Member: 4, Disk: 77, Boot: 3, Level: 3}})
+	apply(key("a", 2))
+	apply(key("b/1", 3))
+	apply(key("b/2", 0))
+	apply(key("b/2", 0))
+	apply(&Command{Txn: &Txn{If: []Compare{{Key: "a", Modified: 9}}, Else: []Op{{Key: "b/2", Delete: true}, {Key: "c"}}}})
+	apply(key("a key of more than 24 bytes", 0))                                                      // ErrTooLarge
+	apply(&Command{Txn: &Txn{Then: []Op{{Key: "b/3"}}, Bounds: []KeyLimit{{Prefix: "b/", Most: 1}}}}) // ErrFull
+	apply(&Command{Renew: &RenewLease{Lease: 9}})                                                     // ErrLeaseNotFound
+	apply(key("", 0))                                                                                 // ErrBadKey
+	apply(&Command{Leave: &RemoveMember{Member: 9}})                                                  // ErrUnknownMember
+	apply(&Command{})                                                                                 // ErrUnknownCommand
+	return s
+}
+
+func storedJSON() []any {
+	return []any{
+		Txn{If: []Compare{{Key: "a", Modified: 9}}, Then: []Op{{Key: "a", Value: []byte("v"), Lease: 4, Delete: true, End: "b"}},
+			Else: []Op{{Key: "b"}}, Bounds: []KeyLimit{{Prefix: "p/", Most: 5}}, Owner: "p"},
+		Item{Key: "k", Value: []byte("v"), Created: 1, Modified: 2, Version: 3, Lease: 4},
+		Event{Revision: 1, Deleted: true, Item: Item{Key: "k"}},
+		Lease{ID: 1, TTL: 2, Renewed: 3, Owner: "p"},
+		Member{ID: 1, Name: "one", Address: "x", Learner: true, Disk: 2, Boot: 3, Level: 4},
+		Interest{Prefixes: []string{"p/"}, Keys: []string{"k"}},
+		PrefixSize{Keys: 1, Bytes: 2},
+		Result{Index: 1, Revision: 2, Held: true, Lease: 3, Member: 4, Again: true},
+	}
+}
