--- /dev/null
+++ b/internal/controlplane/daemon/stored_test.go
@@ -0,0 +1,329 @@
+package daemon
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"reflect"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"birchmoor/internal/controlplane/lease"
+	"birchmoor/internal/controlplane/rollout"
+	"birchmoor/internal/dataplane/discovery"
+	"birchmoor/internal/store"
+	"birchmoor/internal/store/engine"
+	"birchmoor/internal/store/serverstate"
+)
+
+// recordingStore applies commands to a state of its own and writes each one down as text.
+type recordingStore struct {
+	state *store.State
+	index uint64
+	text  bytes.Buffer
+	reset func(*store.State) // is called after each change, if set
+}
+
+func newRecordingStore(t *testing.T) *recordingStore {
+	t.Helper()
+	r := &recordingStore{state: store.New(1, store.DefaultLimits)}
+	if err := r.apply(&store.Command{Raise: &store.RaiseLevel{Level: store.LevelOwners}}).Err; err != nil {
+		t.Fatal(err)
+	}
+	entry := &store.Txn{}
+	for _, host := range []string{"h", "i"} {
+		entry.Then = append(entry.Then, store.Op{Key: lease.QueueEntryKey(FleetTask, host, "n")})
+	}
+	if err := r.apply(&store.Command{Txn: entry}).Err; err != nil {
+		t.Fatal(err)
+	}
+	return r
+}
+
+func (r *recordingStore) apply(c *store.Command) store.Result {
+	r.index++
+	return r.state.Apply(r.index, c)
+}
+
+// clockTime matches the only part of the records that depends on the clock.
+var clockTime = regexp.MustCompile(`"at":"[^"]*"`)
+
+func (r *recordingStore) Do(_ context.Context, c store.Command) (store.Result, error) {
+	switch {
+	case c.Grant != nil:
+		fmt.Fprintf(&r.text, "grant ttl=%d\n", c.Grant.TTL)
+	case c.End != nil:
+		fmt.Fprintf(&r.text, "revoke lease=%d\n", c.End.Lease)
+	case c.Txn != nil:
+		fmt.Fprintf(&r.text, "txn owner=%q else=%d\n", c.Txn.Owner, len(c.Txn.Else))
+		for _, cmp := range c.Txn.If {
+			fmt.Fprintf(&r.text, "  if %s modified=%d\n", cmp.Key, cmp.Modified)
+		}
+		for _, op := range c.Txn.Then {
+			value := fmt.Sprintf("%x", op.Value)
+			if json.Valid(op.Value) {
+				value = clockTime.ReplaceAllString(string(op.Value), `"at":"-"`)
+			}
+			fmt.Fprintf(&r.text, "  then %s end=%q delete=%v lease=%d %s\n", op.Key, op.End, op.Delete, op.Lease, value)
+		}
+		for _, b := range c.Txn.Bounds {
+			fmt.Fprintf(&r.text, "  bound %s %d\n", b.Prefix, b.Most)
+		}
+	}
+	result := r.apply(&c)
+	if r.reset != nil {
+		r.reset(r.state)
+	}
+	return result, result.Err
+}
+
+func (r *recordingStore) View(_ context.Context, _ bool, f func(*store.State)) (engine.CopyAge, error) {
+	f(r.state)
+	return engine.CopyAge{}, nil
+}
+
+func (r *recordingStore) Next(context.Context, string, uint64, int) ([]store.Event, uint64, error) {
+	return nil, 0, context.Canceled
+}
+
+// recordSettings drives settings through versions, a rollback, and rollouts that finish and are called off.
+func recordSettings(t *testing.T, r *recordingStore) {
+	t.Helper()
+	ctx := t.Context()
+	x := NewSettings("h", limitCheck, slog.New(slog.DiscardHandler))
+	x.Attach(r)
+	x.Figure(func() (served, not uint64, err error) { return 7, 2, nil })
+	must := func(err error) {
+		t.Helper()
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	_, err := x.Put(ctx, json.RawMessage(`{"x":1}`), "first")
+	must(err)
+	_, err = x.Put(ctx, json.RawMessage(`{"x":2}`), "")
+	must(err)
+	_, err = x.Rollback(ctx, 1)
+	must(err)
+	r.text.WriteString("rollout\n")
+	_, err = x.Begin(ctx, json.RawMessage(`{"x":3}`), []rollout.Step{{Count: 1}, {Part: 1}}, time.Second, "in steps")
+	must(err)
+	do := func(ctx context.Context, txn store.Txn) (store.Result, error) {
+		return r.Do(ctx, store.Command{Txn: &txn})
+	}
+	must(x.Drive(ctx, 5, do))
+	x.Reset(r.state)
+	x.report(ctx)
+	must(x.CallOff(ctx, "operator"))
+	r.text.WriteString("rollout to its end\n")
+	_, err = x.Begin(ctx, json.RawMessage(`{"x":4}`), []rollout.Step{{Part: 1}}, 100*time.Millisecond, "")
+	must(err)
+	must(x.Drive(ctx, 6, do))
+	x.Reset(r.state)
+	x.report(ctx)
+	other, err := json.Marshal(rollout.Report{Plan: x.steps.plan.ID, Step: 0, Served: 9})
+	must(err)
+	must(r.apply(&store.Command{Txn: &store.Txn{Then: []store.Op{{Key: ReportKey("i"), Value: other}}}}).Err)
+	must(x.Drive(ctx, 6, do)) // has not settled
+	time.Sleep(110 * time.Millisecond)
+	must(x.Drive(ctx, 6, do))
+	r.text.WriteString("verdicts\n")
+	for _, text := range []string{`{"x":5}`, `{"bad":5}`} {
+		r.apply(&store.Command{Txn: &store.Txn{Then: []store.Op{{Key: keyCandidate, Value: []byte(text)}}}})
+		x.Reset(r.state)
+		x.judge(ctx)
+	}
+	replica := NewSettings("no sidecar", nil, slog.New(slog.DiscardHandler))
+	replica.Attach(r)
+	replica.Reset(r.state)
+	replica.judge(ctx)
+}
+
+// recordServers has each component that reports servers write a report and end it.
+func recordServers(t *testing.T, r *recordingStore) {
+	t.Helper()
+	ctx := t.Context()
+	s := NewServers("h", slog.New(slog.DiscardHandler))
+	for _, p := range s.Parts() {
+		p.Attach(r)
+	}
+	r.reset = func(state *store.State) {
+		for _, p := range s.Parts() {
+			p.Reset(state)
+		}
+	}
+	s.Subscribe(func(context.Context, string, bool) error { return nil })
+	flush := func(d *desk) {
+		t.Helper()
+		w := <-d.writes
+		if err := w.do(ctx); err != nil {
+			t.Fatal(err)
+		}
+		if w.wrote != nil {
+			d.mu.Lock()
+			w.wrote(true)
+			d.mu.Unlock()
+		}
+	}
+	r.text.WriteString("administrative drain\n")
+	s.ReportDrain("s/1 ä")
+	flush(&s.AdminDrains.desk)
+	if _, err := s.RequestReturn(ctx, "s/1 ä"); err != nil {
+		t.Fatal(err)
+	}
+	r.text.WriteString("drain\n")
+	p := discovery.Process{ID: "s/1 ä@", Addr: "[::1]:2", StartedMs: 5}
+	s.Observe(p, true)
+	s.Drains.speak(time.Now().Add(time.Second))
+	flush(&s.Drains.desk)
+	r.text.WriteString("start\n")
+	s.ReportStart(p, time.Minute, time.Hour)
+	s.Starts.speak(time.Now().Add(time.Second))
+	w := <-s.Starts.writes
+	if err := w.do(ctx); err != nil {
+		t.Fatal(err)
+	}
+	r.text.WriteString("snapshot\n")
+	known := func(context.Context) ([]byte, error) { return []byte("known"), nil }
+	for _, key := range []string{serverstate.SnapshotKey("side car", ""), serverstate.SnapshotKey("side car", "dns")} {
+		if err := s.keep(ctx, key, known); err != nil {
+			t.Fatal(err)
+		}
+	}
+	r.text.WriteString("expired\n")
+	for _, p := range s.Parts() {
+		if e, ok := p.(Expirer); ok {
+			later := time.Now().Add(24 * time.Hour)
+			for _, txn := range e.Expired(later) {
+				if _, err := r.Do(ctx, store.Command{Txn: txn}); err != nil {
+					t.Fatal(err)
+				}
+			}
+		}
+	}
+}
+
+// startAge matches the age within a start's record: the time between a report and its write.
+var startAge = regexp.MustCompile(`(?m)^(  then start/.* )[0-9a-f]+$`)
+
+// jsonRecords are one of each type that is encoded as JSON, full and empty.
+func jsonRecords() []any {
+	at := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
+	restored := RestoredState{Protocol: "dns", From: "the store: x", Pictures: 2, Servers: 3, Age: 4 * time.Second}
+	return []any{
+		&ServerFact{ID: "s", Addr: "a:1", StartedMs: 5, What: "cold", By: "h", Sidecars: 2, AgeMs: 3, LeftMs: 4,
+			Agreed: true, Alone: true},
+		&ServerFact{},
+		&StartupState{From: "own disk", Revision: 9, Out: 1, Starts: 2, Pictures: 3, Settings: true, Age: "1s",
+			Recalled: []RestoredState{restored, {}}},
+		&StartupState{},
+		&Counts{Out: 1, Starts: 2, Pictures: 3, Bytes: 4, Owed: 5},
+		&Version{Version: 3, Settings: json.RawMessage(`{"x":1}`), By: "h", Note: "n", At: at, Revision: 8},
+		&Version{},
+		&verdict{Candidate: 4, Error: "e", Note: "n"},
+		&verdict{},
+	}
+}
+
+func recordJSON(t *testing.T) string {
+	t.Helper()
+	var text strings.Builder
+	for _, v := range jsonRecords() {
+		b, err := json.Marshal(v)
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&text, "%s\n", b)
+	}
+	return text.String()
+}
+
+// recordDrainLog returns the drain log of a daemon that observed three drains, one of which ended.
+func recordDrainLog(t *testing.T) string {
+	t.Helper()
+	dir := t.TempDir()
+	d := NewDrains("h", slog.New(slog.DiscardHandler))
+	if err := d.OpenDrainLog(dir); err != nil {
+		t.Fatal(err)
+	}
+	d.Observe(discovery.Process{ID: "s/1 ä@", Addr: "[::1]:2", StartedMs: 5}, true)
+	d.Observe(discovery.Process{ID: "s2", Addr: "127.0.0.1:1"}, true)
+	d.Observe(discovery.Process{ID: "s2", Addr: "127.0.0.1:1"}, false)
+	d.Observe(discovery.Process{ID: "s3", Addr: "127.0.0.1:3"}, true)
+	done := make(chan struct{})
+	close(done)
+	d.journal.run(done)
+	text, err := os.ReadFile(filepath.Join(dir, "words"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+// Each file of testdata was written by the build of 7105f7a, with which this one shares stores, disks and JSON.
+func TestStoredFormsAreThoseOfEarlierBuilds(t *testing.T) {
+	settings, servers := newRecordingStore(t), newRecordingStore(t)
+	recordSettings(t, settings)
+	recordServers(t, servers)
+	for name, got := range map[string]string{
+		"settings.txt": settings.text.String(),
+		"servers.txt":  startAge.ReplaceAllString(servers.text.String(), "$1-"),
+		"json.txt":     recordJSON(t),
+		"drains.txt":   recordDrainLog(t),
+	} {
+		want, err := os.ReadFile(filepath.Join("testdata", name))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if got != string(want) {
+			t.Errorf("%s: got\n%s\nwant\n%s", name, got, want)
+		}
+	}
+}
+
+func TestJSONOfEarlierBuildsIsDecoded(t *testing.T) {
+	text, err := os.ReadFile("testdata/json.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	records := jsonRecords()
+	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
+	if len(lines) != len(records) {
+		t.Fatalf("%d records, want %d", len(lines), len(records))
+	}
+	for i, want := range records {
+		got := reflect.New(reflect.TypeOf(want).Elem()).Interface()
+		if err := json.Unmarshal([]byte(lines[i]), got); err != nil || !reflect.DeepEqual(got, want) {
+			t.Errorf("%s: got %+v, %v, want %+v", lines[i], got, err, want)
+		}
+	}
+}
+
+func TestDrainLogOfEarlierBuildIsRestored(t *testing.T) {
+	text, err := os.ReadFile("testdata/drains.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	dir := t.TempDir()
+	if err := os.WriteFile(filepath.Join(dir, "words"), text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	d := NewDrains("h", slog.New(slog.DiscardHandler))
+	if err := d.OpenDrainLog(dir); err != nil {
+		t.Fatal(err)
+	}
+	want := []discovery.Process{
+		{ID: "s/1 ä@", Addr: "[::1]:2", StartedMs: 5},
+		{ID: "s3", Addr: "127.0.0.1:3"},
+	}
+	if got := d.DrainingProcesses(); !slices.Equal(got, want) {
+		t.Errorf("got %v, want %v", got, want)
+	}
+}
