--- a/internal/controlplane/daemon/daemon.go
+++ b/internal/controlplane/daemon/daemon.go
@@ -52,7 +52,7 @@
 	// ConfirmationObserver is told how long ago a quorum confirmed the copy.
 	ConfirmationObserver interface{ Confirmed(ago time.Duration) }
 	// Subscriber says what a part needs of a copy that does not hold all: of what else there is it is told nothing, and takes nothing for
-	// not there. The copy is told by its Rescope that this has changed. A daemon with a part that does not say needs all.
+	// not there. The copy is told by its UpdateInterest that this has changed. A daemon with a part that does not say needs all.
 	Subscriber interface {
 		Subscription() changefeed.Subscription
 	}
@@ -136,10 +136,13 @@
 	return changefeed.Subscription{Of: &of, Kept: of}
 }
 
+// InterestUpdater is a copy that holds a part of the store's keys and reads the Subscription again when told to.
+type InterestUpdater interface{ UpdateInterest() }
+
 // rescope has a copy that does not hold all asked anew what it is to hold. No part's lock is held.
 func rescope(s Store) {
-	if c, ok := s.(interface{ Rescope() }); ok {
-		c.Rescope()
+	if u, ok := s.(InterestUpdater); ok {
+		u.UpdateInterest()
 	}
 }
 
--- a/internal/controlplane/daemon/interest_test.go
+++ b/internal/controlplane/daemon/interest_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"birchmoor/internal/store"
+	"birchmoor/internal/store/follower"
 	"birchmoor/internal/store/serverstate"
 )
 
@@ -15,7 +16,9 @@
 	asked int
 }
 
-func (c *copied) Rescope() { c.asked++ }
+func (c *copied) UpdateInterest() { c.asked++ }
+
+var _ InterestUpdater = (*follower.Follower)(nil)
 
 // Others' pictures are held by a sidecar that begins and has none of its own, until it serves, and by who ends them for all;
 // the pace of pictures goes by the bytes of all, also of those that are not held.
--- a/internal/store/follower/follow.go
+++ b/internal/store/follower/follow.go
@@ -69,7 +69,7 @@
 	// Age is told how long ago, by a replica's clock, a picture was put that the copy came with.
 	Age func(key string, age time.Duration)
 
-	// Subscription is asked what the copy is to hold, at the start, after each whole copy, and after Rescope. nil: all.
+	// Subscription is asked what the copy is to hold, at the start, after each whole copy, and after UpdateInterest. nil: all.
 	Subscription func() changefeed.Subscription
 	// PrefixSize is told of those sums that were asked for, as they change.
 	PrefixSize func(prefix string, n store.PrefixSize)
