--- a/cmd/birchmoor/followers_test.go
+++ b/cmd/birchmoor/followers_test.go
@@ -131,10 +131,10 @@
 
 // rateOfParts is a limit whose parts are the classes class0 to class3.
 func rateOfParts() *quota.Config {
-	l := &quota.Limit{Name: "all", Kind: quota.Rate, Of: quota.Requests, Span: 1e8, Without: quota.Strict, By: []string{"class"},
-		Nodes: []quota.Node{{Most: 10000 * quota.AmountUnit, Weight: 1}}}
+	l := &quota.Limit{Name: "all", Kind: quota.Rate, Unit: quota.Requests, Window: 1e8, Fallback: quota.Strict, PartitionBy: []string{"class"},
+		Nodes: []quota.Node{{Capacity: 10000 * quota.AmountUnit, Weight: 1}}}
 	for i := range 4 {
-		l.Nodes = append(l.Nodes, quota.Node{Path: fmt.Sprint("class", i), Most: 5000 * quota.AmountUnit, Weight: 1})
+		l.Nodes = append(l.Nodes, quota.Node{Path: fmt.Sprint("class", i), Capacity: 5000 * quota.AmountUnit, Weight: 1})
 	}
 	return &quota.Config{Limits: []*quota.Limit{l}}
 }
@@ -180,7 +180,7 @@
 	if i, err := clients["h2"].Range(ctx, stale); err != nil || len(i.Items) != 4 {
 		t.Errorf("a copy of all: %d, %v", len(i.Items), err)
 	}
-	if l, err := clients["h0"].Limits(ctx, ""); err != nil || l.Fault != "" || len(l.Limits) != 1 || len(l.Limits[0].Parts[0].Of) != 4 {
+	if l, err := clients["h0"].Limits(ctx, ""); err != nil || l.Fault != "" || len(l.Limits) != 1 || len(l.Limits[0].Parts[0].Processes) != 4 {
 		t.Errorf("limits: %+v, %v", l, err)
 	}
 	processtest.Until(t, "all take part", func() bool {
--- a/cmd/birchmoor/limit.go
+++ b/cmd/birchmoor/limit.go
@@ -53,7 +53,7 @@
 		fmt.Fprintln(w, "LIMIT\tMOST\tOUT\tWANTED\tLET THROUGH\tREFUSED\tSIDECARS\tWITHOUT THE STORE\tOVER AT MOST")
 		for _, l := range st.Limits {
 			v := sum(l)
-			fmt.Fprintf(w, "%s\t%s %s\t%s\t%s\t%d\t%d\t%d\t%s\t%s\n", l.Name, quota.FormatAmount(v.Most), l.Unit(), quota.FormatAmount(v.Counts), quota.FormatAmount(v.Want), v.Taken, v.Refused, len(v.Of), l.Without, l.Over)
+			fmt.Fprintf(w, "%s\t%s %s\t%s\t%s\t%d\t%d\t%d\t%s\t%s\n", l.Name, quota.FormatAmount(v.Capacity), l.UnitText(), quota.FormatAmount(v.Committed), quota.FormatAmount(v.Wanted), v.Admitted, v.Rejected, len(v.Processes), l.Fallback, l.Over)
 		}
 		if st.Divider == "" {
 			fmt.Fprintln(w, "nobody divides: shares stay as they are")
@@ -65,7 +65,7 @@
 func sum(l *quotasync.LimitStatus) quota.NodeStatus {
 	v := l.Parts[0]
 	for _, p := range l.Parts[1:] {
-		v.Want, v.Taken, v.Refused = v.Want+p.Want, v.Taken+p.Taken, v.Refused+p.Refused
+		v.Wanted, v.Admitted, v.Rejected = v.Wanted+p.Wanted, v.Admitted+p.Admitted, v.Rejected+p.Rejected
 	}
 	return v
 }
@@ -78,12 +78,12 @@
 func (k *limitShow) Run(ctx context.Context, c *console) error {
 	return k.limits(ctx, c, k.Name, func(w *tabwriter.Writer, st *quotasync.Status) {
 		l := st.Limits[0]
-		fmt.Fprintf(w, "%s: %s %s, of %s; over at most: %s\n", l.Name, quota.FormatAmount(l.Nodes[0].Most), l.Unit(), scope(l.Limit), l.Over)
+		fmt.Fprintf(w, "%s: %s %s, of %s; over at most: %s\n", l.Name, quota.FormatAmount(l.Nodes[0].Capacity), l.UnitText(), scope(l.Limit), l.Over)
 		fmt.Fprintf(w, "divided by: %s; a share ends %d ms after its sidecar falls silent\n", orNobody(st.Divider), st.TTLMs)
 		fmt.Fprintln(w, "PART\tMOST\tLEAST\tWEIGHT\tOUT\tOWN SHARES\tWANTED\tLET THROUGH\tREFUSED\tSIDECARS")
 		for i, v := range l.Parts {
 			n := l.Nodes[i]
-			fmt.Fprintf(w, "%s\t%s\t%s\t%g\t%s\t%s\t%s\t%d\t%d\t%d\n", partName(v.Path), quota.FormatAmount(v.Most), quota.FormatAmount(n.Least), n.Weight, quota.FormatAmount(v.Counts), quota.FormatAmount(v.Given), quota.FormatAmount(v.Want), v.Taken, v.Refused, len(v.Of))
+			fmt.Fprintf(w, "%s\t%s\t%s\t%g\t%s\t%s\t%s\t%d\t%d\t%d\n", partName(v.Path), quota.FormatAmount(v.Capacity), quota.FormatAmount(n.Guaranteed), n.Weight, quota.FormatAmount(v.Committed), quota.FormatAmount(v.Granted), quota.FormatAmount(v.Wanted), v.Admitted, v.Rejected, len(v.Processes))
 		}
 	})
 }
@@ -130,10 +130,10 @@
 			if v.Path != path {
 				continue
 			}
-			fmt.Fprintf(w, "%s of %s: %s of %s %s are out with this part and what is under it\n", partName(path), name, quota.FormatAmount(v.Counts), quota.FormatAmount(v.Most), l.Unit())
+			fmt.Fprintf(w, "%s of %s: %s of %s %s are out with this part and what is under it\n", partName(path), name, quota.FormatAmount(v.Committed), quota.FormatAmount(v.Capacity), l.UnitText())
 			fmt.Fprintln(w, "SIDECAR\tSESSION\tSHARE\tCOUNTS FOR\tIN USE\tWANTS\tLET THROUGH\tREFUSED\tHEARD\tWHY IT COUNTS")
-			for _, h := range v.Of {
-				fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t%d\t%d\t%v ago\t%s\n", h.Host, h.Session, quota.FormatAmount(h.Amount), quota.FormatAmount(h.Counts), quota.FormatAmount(h.Floor), quota.FormatAmount(h.Want), h.Taken, h.Refused,
+			for _, h := range v.Processes {
+				fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t%d\t%d\t%v ago\t%s\n", h.Host, h.Session, quota.FormatAmount(h.Amount), quota.FormatAmount(h.Committed), quota.FormatAmount(h.InUse), quota.FormatAmount(h.Wanted), h.Admitted, h.Rejected,
 					(time.Duration(h.AgeMs) * time.Millisecond).Round(100*time.Millisecond), why(&h))
 			}
 			return
@@ -147,9 +147,9 @@
 	switch {
 	case h.Gone:
 		return "its sidecar is gone: what that may have begun is waited out"
-	case !h.Seen && h.Was > h.Amount:
+	case !h.Seen && h.Previous > h.Amount:
 		return "it has not said yet that it goes by the smaller share"
-	case h.Floor > h.Amount:
+	case h.InUse > h.Amount:
 		return "so much is in use"
 	}
 	return "it may be spent"
@@ -189,7 +189,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return quota.Read(path, text)
+	return quota.ParseFile(path, text)
 }
 
 type limitCheck struct {
--- a/internal/controlplane/quota/bench_test.go
+++ b/internal/controlplane/quota/bench_test.go
@@ -11,21 +11,21 @@
 	for _, n := range []int{0, 1, 10, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			conf := &Config{Version: 1}
-			grant := Grant{Of: map[string]Quota{}}
+			grant := Grant{Quotas: map[string]Quota{}}
 			for i := range n {
-				l := &Limit{Name: fmt.Sprint("l", i), Gen: 1, Kind: Rate, Of: Requests, Span: 1e9, Without: Strict, By: []string{"header:X-Org"},
-					Nodes: []Node{{Most: 1e6 * AmountUnit, Weight: 1}, {Path: "acme", Most: 1e6 * AmountUnit, Weight: 1}}}
+				l := &Limit{Name: fmt.Sprint("l", i), Generation: 1, Kind: Rate, Unit: Requests, Window: 1e9, Fallback: Strict, PartitionBy: []string{"header:X-Org"},
+					Nodes: []Node{{Capacity: 1e6 * AmountUnit, Weight: 1}, {Path: "acme", Capacity: 1e6 * AmountUnit, Weight: 1}}}
 				if n == 1000 {
 					l.Classes = []string{fmt.Sprint("c", i%100)}
 				}
 				conf.Limits = append(conf.Limits, l)
-				grant.Of[l.Key(1)] = Quota{Amount: 1e6 * AmountUnit}
+				grant.Quotas[l.Key(1)] = Quota{Amount: 1e6 * AmountUnit}
 			}
-			m, h := NewMatcher(conf), NewConsumer(Rules{Tell: 1e6}, NoDefect)
+			m, h := NewMatcher(conf), NewConsumer(Rules{ReportInterval: 1e6}, NoDefect)
 			h.SetConfig(0, conf)
-			h.Session(0, 1, 1<<62)
-			h.Granted(0, 1, 1, grant)
-			r := &Request{Class: "c1", Path: "/c1/x", Header: func(string) string { return "acme" }, Worth: 1}
+			h.SetSession(0, 1, 1<<62)
+			h.ApplyGrant(0, 1, 1, grant)
+			r := &Request{Class: "c1", Path: "/c1/x", Header: func(string) string { return "acme" }, PriorityWeight: 1}
 			now := int64(1e9)
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/controlplane/quota/file.go
+++ b/internal/controlplane/quota/file.go
@@ -28,35 +28,35 @@
 }
 
 type fileLimit struct {
-	Rate    float64   `toml:"rate"`   // a second
-	Burst   *duration `toml:"burst"`  // so long a time's rate may come at once
-	Amount  float64   `toml:"amount"` // in any
-	Window  duration  `toml:"window"` // of this length
-	AtOnce  float64   `toml:"at_once"`
-	Longest duration  `toml:"longest"` // that one of them lasts
+	Rate        float64   `toml:"rate"`   // a second
+	Burst       *duration `toml:"burst"`  // so long a time's rate may come at once
+	Amount      float64   `toml:"amount"` // in any
+	Window      duration  `toml:"window"` // of this length
+	Concurrency float64   `toml:"at_once"`
+	MaxDuration duration  `toml:"longest"` // that one of them lasts
 
-	Of      string   `toml:"of"`
-	Classes []string `toml:"classes"`
-	Paths   []string `toml:"paths"`
-	By      []string `toml:"by"`
+	Unit        string   `toml:"of"`
+	Classes     []string `toml:"classes"`
+	Paths       []string `toml:"paths"`
+	PartitionBy []string `toml:"by"`
 
-	Without string   `toml:"without"`
-	Part    float64  `toml:"part"`
-	For     duration `toml:"for"`
-	Hosts   int      `toml:"hosts"`
-	Reserve float64  `toml:"reserve"`
+	Fallback         string   `toml:"without"`
+	FallbackFraction float64  `toml:"part"`
+	FallbackTimeout  duration `toml:"for"`
+	MinProcesses     int      `toml:"hosts"`
+	ReserveFraction  float64  `toml:"reserve"`
 
 	Parts map[string]*filePart `toml:"parts"`
 }
 
 type filePart struct {
-	Most   float64 `toml:"most"` // 0: as much as the whole that it is part of
-	Least  float64 `toml:"least"`
-	Weight float64 `toml:"weight"` // 0: 1
+	Capacity   float64 `toml:"most"` // 0: as much as the whole that it is part of
+	Guaranteed float64 `toml:"least"`
+	Weight     float64 `toml:"weight"` // 0: 1
 }
 
-// Read reads a file of limits, TOML strictly read. All faults are joined, each a *strict.Error.
-func Read(path string, text []byte) (*Config, error) {
+// ParseFile reads a file of limits, TOML strictly read. All faults are joined, each a *strict.Error.
+func ParseFile(path string, text []byte) (*Config, error) {
 	var f file
 	if err := stricttoml.Decode(path, "files of limits", text, &f); err != nil {
 		return nil, err
@@ -97,48 +97,48 @@
 }
 
 func amount(v float64) Amount {
-	return Amount(math.Round(min(max(v, -1), 2*amountMost) * float64(AmountUnit)))
+	return Amount(math.Round(min(max(v, -1), 2*maxAmount) * float64(AmountUnit)))
 }
 
 func (f *fileLimit) limit(name string) (*Limit, error) {
-	l := &Limit{Name: name, Of: Unit(f.Of), Without: Mode(f.Without), Part: f.Part, For: int64(f.For), Hosts: f.Hosts, Reserve: f.Reserve,
-		Classes: f.Classes, Paths: f.Paths, By: f.By}
-	if l.Of == "" {
-		l.Of = Requests
+	l := &Limit{Name: name, Unit: Unit(f.Unit), Fallback: FallbackMode(f.Fallback), FallbackFraction: f.FallbackFraction, FallbackTimeout: int64(f.FallbackTimeout), MinProcesses: f.MinProcesses, ReserveFraction: f.ReserveFraction,
+		Classes: f.Classes, Paths: f.Paths, PartitionBy: f.PartitionBy}
+	if l.Unit == "" {
+		l.Unit = Requests
 	}
-	if l.Without == "" {
-		l.Without = Strict
+	if l.Fallback == "" {
+		l.Fallback = Strict
 	}
 	set := 0
-	for _, v := range []float64{f.Rate, f.Amount, f.AtOnce} {
+	for _, v := range []float64{f.Rate, f.Amount, f.Concurrency} {
 		if v != 0 {
 			set++
 		}
 	}
-	most := f.Rate + f.Amount + f.AtOnce
+	most := f.Rate + f.Amount + f.Concurrency
 	switch {
 	case set != 1:
 		return nil, errors.New("rate, amount, at_once: one of them is needed")
 	case f.Rate != 0:
-		l.Kind, l.Span = Rate, int64(time.Second)
+		l.Kind, l.Window = Rate, int64(time.Second)
 		if f.Burst != nil {
-			l.Span = int64(*f.Burst)
+			l.Window = int64(*f.Burst)
 		}
 	case f.Amount != 0:
-		l.Kind, l.Span = Window, int64(f.Window)
+		l.Kind, l.Window = Window, int64(f.Window)
 		if f.Window == 0 {
 			return nil, errors.New("window: is missing")
 		}
 	default:
-		l.Kind, l.Span = AtOnce, int64(f.Longest)
-		if f.Longest == 0 {
+		l.Kind, l.Window = Concurrency, int64(f.MaxDuration)
+		if f.MaxDuration == 0 {
 			return nil, errors.New("longest: is missing: for so long what the gone had under way counts")
 		}
 	}
-	if f.Burst != nil && l.Kind != Rate || f.Window != 0 && l.Kind != Window || f.Longest != 0 && l.Kind != AtOnce {
+	if f.Burst != nil && l.Kind != Rate || f.Window != 0 && l.Kind != Window || f.MaxDuration != 0 && l.Kind != Concurrency {
 		return nil, errors.New("burst, window, longest: go with rate, amount and at_once in turn")
 	}
-	l.Nodes = []Node{{Most: amount(most), Weight: 1}}
+	l.Nodes = []Node{{Capacity: amount(most), Weight: 1}}
 	at := map[string]int{"": 0}
 	for _, path := range slices.Sorted(maps.Keys(f.Parts)) { // "a" comes before "a/b"
 		p := f.Parts[path]
@@ -150,9 +150,9 @@
 		if !ok || path == "" || strings.Contains(path, "//") {
 			return nil, fmt.Errorf("parts.%q: is part of %q, which is none", path, parent)
 		}
-		n := Node{Path: path, Parent: of, Most: amount(p.Most), Least: amount(p.Least), Weight: p.Weight}
-		if p.Most == 0 {
-			n.Most = l.Nodes[of].Most
+		n := Node{Path: path, Parent: of, Capacity: amount(p.Capacity), Guaranteed: amount(p.Guaranteed), Weight: p.Weight}
+		if p.Capacity == 0 {
+			n.Capacity = l.Nodes[of].Capacity
 		}
 		if p.Weight == 0 {
 			n.Weight = 1
--- a/internal/controlplane/quota/file_test.go
+++ b/internal/controlplane/quota/file_test.go
@@ -28,12 +28,12 @@
 `
 
 func TestAFileOfLimits(t *testing.T) {
-	c, err := Read("x.toml", []byte(sample))
+	c, err := ParseFile("x.toml", []byte(sample))
 	if err != nil {
 		t.Fatal(err)
 	}
 	l := c.Limits[0]
-	if len(c.Limits) != 2 || l.Kind != Rate || l.Span != 2e9 || len(l.Nodes) != 4 || l.Nodes[2].Path != "acme/vienna" || l.Nodes[2].Parent != 1 || l.Nodes[2].Most != 40*AmountUnit {
+	if len(c.Limits) != 2 || l.Kind != Rate || l.Window != 2e9 || len(l.Nodes) != 4 || l.Nodes[2].Path != "acme/vienna" || l.Nodes[2].Parent != 1 || l.Nodes[2].Capacity != 40*AmountUnit {
 		t.Fatalf("%+v", l)
 	}
 	m := NewMatcher(c)
@@ -73,7 +73,7 @@
 		"[limit.\"A B\"]\nrate = 5.0":             "name",
 		"[limit.a]\nrate = 5.0\nburst = \"soon\"": "x.toml:3",
 	} {
-		if _, err := Read("x.toml", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := ParseFile("x.toml", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, not %q", text, err, want)
 		}
 	}
--- a/internal/controlplane/quota/limit.go
+++ b/internal/controlplane/quota/limit.go
@@ -39,9 +39,9 @@
 
 // The kinds.
 const (
-	Rate   Kind = "rate"    // Most a second; Span of it may be spent at once
-	Window Kind = "window"  // Most in any time of the length Span
-	AtOnce Kind = "at-once" // Most at a time, none of which lasts longer than Span
+	Rate        Kind = "rate"    // Most a second; Span of it may be spent at once
+	Window      Kind = "window"  // Most in any time of the length Span
+	Concurrency Kind = "at-once" // Most at a time, none of which lasts longer than Span
 )
 
 // Unit is what a limit counts.
@@ -53,41 +53,41 @@
 	Cost     Unit = "cost" // the work that the client expects, in ms; 1 where it says nothing
 )
 
-// Mode is what a process does whose share has ended because the store is out of its reach.
-type Mode string
+// FallbackMode is what a process does whose share has ended because the store is out of its reach.
+type FallbackMode string
 
 // The modes.
 const (
-	Strict Mode = "strict" // it lets nothing through: the limit is never passed
-	Fair   Mode = "fair"   // it goes on with Part of the limit, divided by Hosts
-	Open   Mode = "open"   // it lets all through
+	Strict FallbackMode = "strict" // it lets nothing through: the limit is never passed
+	Fair   FallbackMode = "fair"   // it goes on with Part of the limit, divided by Hosts
+	Open   FallbackMode = "open"   // it lets all through
 )
 
 // Limit is one.
 type Limit struct {
-	Name    string   `json:"name"`
-	Gen     uint64   `json:"gen"` // of what shares mean: others' shares are not of this limit
-	Kind    Kind     `json:"kind"`
-	Of      Unit     `json:"of"`
-	Span    int64    `json:"span"` // nanoseconds
-	Without Mode     `json:"without"`
-	Part    float64  `json:"part,omitempty"`
-	For     int64    `json:"for,omitempty"`   // nanoseconds for which it is fair or open, and strict after; 0: for as long as it takes
-	Hosts   int      `json:"hosts,omitempty"` // processes that there are at least, for fair
-	Reserve float64  `json:"reserve,omitempty"`
-	Classes []string `json:"classes,omitempty"` // that it is for; none: all
-	Paths   []string `json:"paths,omitempty"`   // beginnings; none: all
-	By      []string `json:"by,omitempty"`      // what names the parts, a level each: header:NAME, class, or path:N
-	Nodes   []Node   `json:"nodes"`             // the whole first, and each behind the one that it is part of
+	Name             string       `json:"name"`
+	Generation       uint64       `json:"gen"` // of what shares mean: others' shares are not of this limit
+	Kind             Kind         `json:"kind"`
+	Unit             Unit         `json:"of"`
+	Window           int64        `json:"span"` // nanoseconds
+	Fallback         FallbackMode `json:"without"`
+	FallbackFraction float64      `json:"part,omitempty"`
+	FallbackTimeout  int64        `json:"for,omitempty"`   // nanoseconds for which it is fair or open, and strict after; 0: for as long as it takes
+	MinProcesses     int          `json:"hosts,omitempty"` // processes that there are at least, for fair
+	ReserveFraction  float64      `json:"reserve,omitempty"`
+	Classes          []string     `json:"classes,omitempty"` // that it is for; none: all
+	Paths            []string     `json:"paths,omitempty"`   // beginnings; none: all
+	PartitionBy      []string     `json:"by,omitempty"`      // what names the parts, a level each: header:NAME, class, or path:N
+	Nodes            []Node       `json:"nodes"`             // the whole first, and each behind the one that it is part of
 }
 
 // Node is the whole of a limit or a part of it, such as an organisation or one of its agencies.
 type Node struct {
-	Path   string  `json:"path"` // names joined by "/"; empty: the whole
-	Parent int     `json:"parent"`
-	Most   Amount  `json:"most"`
-	Least  Amount  `json:"least,omitempty"` // that it has whenever it wants it
-	Weight float64 `json:"weight"`          // beyond that
+	Path       string  `json:"path"` // names joined by "/"; empty: the whole
+	Parent     int     `json:"parent"`
+	Capacity   Amount  `json:"most"`
+	Guaranteed Amount  `json:"least,omitempty"` // that it has whenever it wants it
+	Weight     float64 `json:"weight"`          // beyond that
 }
 
 // Config is all limits of a fleet.
@@ -98,10 +98,10 @@
 
 // Bounds of a Conf.
 const (
-	MaxLimits  = 1024
-	MaxNodes   = 4096 // of one limit
-	levelsMost = 4
-	amountMost = 1e9 // of what is counted
+	MaxLimits          = 1024
+	MaxNodes           = 4096 // of one limit
+	maxPartitionLevels = 4
+	maxAmount          = 1e9 // of what is counted
 )
 
 // Errors.
@@ -121,40 +121,40 @@
 	if len(l.Nodes) == 0 || len(l.Nodes) > MaxNodes {
 		return fault("part", "%d parts are not within 1 and %d", len(l.Nodes), MaxNodes)
 	}
-	if l.Span < 1e6 || l.Span > 31*24*3600e9 {
+	if l.Window < 1e6 || l.Window > 31*24*3600e9 {
 		return fault("burst, window or longest", "not within 1ms and 744h")
 	}
 	switch l.Kind {
 	case Rate:
-		if l.capOf(l.Nodes[0].Most) < AmountUnit {
+		if l.burstOf(l.Nodes[0].Capacity) < AmountUnit {
 			return fault("burst", "a burst of less than one lets nothing through")
 		}
-	case Window, AtOnce:
+	case Window, Concurrency:
 	default:
 		return fault("kind", "%q is not a kind", l.Kind)
 	}
-	if l.Of != Requests && l.Of != Cost {
-		return fault("of", "%q is not requests or cost", l.Of)
+	if l.Unit != Requests && l.Unit != Cost {
+		return fault("of", "%q is not requests or cost", l.Unit)
 	}
-	switch l.Without {
+	switch l.Fallback {
 	case Strict, Open:
 	case Fair:
-		if !(l.Part > 0 && l.Part <= 1) {
-			return fault("part", "%g is not over 0, and 1 at most", l.Part)
+		if !(l.FallbackFraction > 0 && l.FallbackFraction <= 1) {
+			return fault("part", "%g is not over 0, and 1 at most", l.FallbackFraction)
 		}
-		if l.Hosts < 1 {
+		if l.MinProcesses < 1 {
 			return fault("hosts", "is missing: by how many a limit is divided without the store")
 		}
 	default:
-		return fault("without", "%q is not strict, fair or open", l.Without)
+		return fault("without", "%q is not strict, fair or open", l.Fallback)
 	}
-	if l.For < 0 || l.Reserve < 0 || l.Reserve > 0.5 {
+	if l.FallbackTimeout < 0 || l.ReserveFraction < 0 || l.ReserveFraction > 0.5 {
 		return fault("for or reserve", "out of range")
 	}
-	if len(l.By) > levelsMost {
-		return fault("by", "%d levels are more than %d", len(l.By), levelsMost)
+	if len(l.PartitionBy) > maxPartitionLevels {
+		return fault("by", "%d levels are more than %d", len(l.PartitionBy), maxPartitionLevels)
 	}
-	for _, by := range l.By {
+	for _, by := range l.PartitionBy {
 		kind, arg, _ := strings.Cut(by, ":")
 		n, err := strconv.Atoi(arg)
 		if by != "class" && !(kind == "header" && arg != "") && !(kind == "path" && err == nil && n >= 1 && n <= 16) {
@@ -171,20 +171,20 @@
 		switch {
 		case (i == 0) != (n.Path == "") || i > 0 && (n.Parent < 0 || n.Parent >= i) || seen[n.Path]:
 			return fault(at, "stands twice, or is part of nothing")
-		case i > 0 && strings.Count(n.Path, "/") >= len(l.By):
+		case i > 0 && strings.Count(n.Path, "/") >= len(l.PartitionBy):
 			return fault(at, "is of more levels than by names")
-		case n.Most < 1 || n.Most > amountMost*AmountUnit || n.Least < 0 || n.Least > n.Most:
+		case n.Capacity < 1 || n.Capacity > maxAmount*AmountUnit || n.Guaranteed < 0 || n.Guaranteed > n.Capacity:
 			return fault(at, "most and least are out of range")
 		case !(n.Weight > 0) || n.Weight > 1e6:
 			return fault(at+".weight", "%g is not over 0", n.Weight)
 		}
 		if seen[n.Path] = true; i > 0 {
-			least[n.Parent] += n.Least
+			least[n.Parent] += n.Guaranteed
 		}
 	}
 	for i, sum := range least {
-		if sum > l.Nodes[i].Most {
-			return fault(fmt.Sprintf("part.%q", l.Nodes[i].Path), "its parts are promised %s, and it is %s", FormatAmount(sum), FormatAmount(l.Nodes[i].Most))
+		if sum > l.Nodes[i].Capacity {
+			return fault(fmt.Sprintf("part.%q", l.Nodes[i].Path), "its parts are promised %s, and it is %s", FormatAmount(sum), FormatAmount(l.Nodes[i].Capacity))
 		}
 	}
 	return nil
@@ -208,13 +208,13 @@
 	return nil
 }
 
-// After numbers what changes the meaning of shares, against the limits that were in force before.
-func (c *Config) After(was *Config) {
+// AssignGenerations numbers what changes the meaning of shares, against the limits that were in force before.
+func (c *Config) AssignGenerations(was *Config) {
 	c.Version = was.Version + 1
 	for _, l := range c.Limits {
-		l.Gen = c.Version
-		if o := was.Find(l.Name); o != nil && o.Kind == l.Kind && o.Of == l.Of && o.Span == l.Span {
-			l.Gen = o.Gen
+		l.Generation = c.Version
+		if o := was.Find(l.Name); o != nil && o.Kind == l.Kind && o.Unit == l.Unit && o.Window == l.Window {
+			l.Generation = o.Generation
 		}
 	}
 }
@@ -231,27 +231,27 @@
 
 // Key is that of a node's share: what is granted and told goes by it.
 func (l *Limit) Key(node int) string {
-	return l.Name + "@" + strconv.FormatUint(l.Gen, 10) + "/" + l.Nodes[node].Path
+	return l.Name + "@" + strconv.FormatUint(l.Generation, 10) + "/" + l.Nodes[node].Path
 }
 
-// nameOf is the limit that a key is of, of whatever generation.
-func nameOf(key string) string {
+// limitNameOf is the limit that a key is of, of whatever generation.
+func limitNameOf(key string) string {
 	name, _, _ := strings.Cut(key, "@")
 	return name
 }
 
-// capOf is how much of a share may be spent at once.
-func (l *Limit) capOf(share Amount) Amount {
+// burstOf is how much of a share may be spent at once.
+func (l *Limit) burstOf(share Amount) Amount {
 	if l.Kind == Rate {
-		return Amount(float64(share) * float64(l.Span) / 1e9)
+		return Amount(float64(share) * float64(l.Window) / 1e9)
 	}
 	return share
 }
 
-// useful is the least share by which one request ever gets through.
-func (l *Limit) useful() Amount {
+// minUseful is the least share by which one request ever gets through.
+func (l *Limit) minUseful() Amount {
 	if l.Kind == Rate {
-		return max(1, Amount(math.Ceil(float64(AmountUnit)*1e9/float64(l.Span))))
+		return max(1, Amount(math.Ceil(float64(AmountUnit)*1e9/float64(l.Window))))
 	}
 	return AmountUnit
 }
@@ -261,30 +261,30 @@
 	if l.Kind == Rate {
 		return 0 // what was not spent is gone with it, and what was counts as any
 	}
-	return l.Span
+	return l.Window
 }
 
-// Bound is the most that servers see in any true time of a length, in nanoseconds, when so many processes are out of the store's reach
+// UpperBound is the most that servers see in any true time of a length, in nanoseconds, when so many processes are out of the store's reach
 // for longer than their sessions last. A request is sent `late` after it was let through at most; clocks gain skew on true time at most.
 // ok is false where there is none.
-func (l *Limit) Bound(node int, length, late int64, skew float64, away int) (most float64, ok bool) {
+func (l *Limit) UpperBound(node int, length, late int64, skew float64, away int) (most float64, ok bool) {
 	base := func(of float64) float64 {
 		if l.Kind == Rate {
-			return of*float64(l.Span)/1e9 + of*(1+skew)*float64(length+late)/1e9
+			return of*float64(l.Window)/1e9 + of*(1+skew)*float64(length+late)/1e9
 		}
-		return of * math.Ceil(max(1, float64(length+late)/float64(max(1, l.Span))))
+		return of * math.Ceil(max(1, float64(length+late)/float64(max(1, l.Window))))
 	}
-	of := float64(l.Nodes[node].Most) / float64(AmountUnit)
-	if l.Kind == AtOnce {
+	of := float64(l.Nodes[node].Capacity) / float64(AmountUnit)
+	if l.Kind == Concurrency {
 		base = func(of float64) float64 { return of }
 	}
 	switch {
-	case away == 0 || l.Without == Strict:
+	case away == 0 || l.Fallback == Strict:
 		return base(of), true
-	case l.Without == Open:
+	case l.Fallback == Open:
 		return 0, false
 	}
-	return base(of) + base(of*l.Part*float64(away)/float64(max(l.Hosts, away))), true
+	return base(of) + base(of*l.FallbackFraction*float64(away)/float64(max(l.MinProcesses, away))), true
 }
 
 // FormatAmount is an amount for people.
--- a/internal/controlplane/quota/limit_test.go
+++ b/internal/controlplane/quota/limit_test.go
@@ -12,7 +12,7 @@
 const sec = int64(1e9)
 
 func rateOf(most float64, span int64) *Limit {
-	return &Limit{Name: "r", Gen: 1, Kind: Rate, Of: Requests, Span: span, Without: Strict, Nodes: []Node{{Most: Amount(most * float64(AmountUnit)), Weight: 1}}}
+	return &Limit{Name: "r", Generation: 1, Kind: Rate, Unit: Requests, Window: span, Fallback: Strict, Nodes: []Node{{Capacity: Amount(most * float64(AmountUnit)), Weight: 1}}}
 }
 
 // What a holder lets through in any time is no more than what its shares give in it and what the largest of them may save, whatever it
@@ -20,27 +20,27 @@
 func TestAHolderKeepsToItsShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := rateOf(1000, sec/2)
-		h := NewConsumer(Rules{Skew: 0.1, Tell: 50e6}, NoDefect)
+		h := NewConsumer(Rules{MaxClockSkew: 0.1, ReportInterval: 50e6}, NoDefect)
 		h.SetConfig(0, &Config{Version: 1, Limits: []*Limit{l}})
-		h.Session(0, 1, 1<<60)
+		h.SetSession(0, 1, 1<<60)
 		now, share, level, revision := int64(0), Amount(0), 0.0, uint64(0)
 		var open []*Reservation
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			step := rapid.Int64Range(0, sec/4).Draw(t, "later")
 			now += step
-			level = min(float64(l.capOf(share)), level+float64(share)*float64(step)/1e9)
+			level = min(float64(l.burstOf(share)), level+float64(share)*float64(step)/1e9)
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
 				share = Amount(rapid.IntRange(0, 50).Draw(t, "share")) * AmountUnit
 				revision++
-				h.Granted(now, 1, revision, Grant{Of: map[string]Quota{l.Key(0): {Amount: share}}})
-				level = min(level, float64(l.capOf(share)))
+				h.ApplyGrant(now, 1, revision, Grant{Quotas: map[string]Quota{l.Key(0): {Amount: share}}})
+				level = min(level, float64(l.burstOf(share)))
 			case 1:
 				if len(open) > 0 {
 					h.Cancel(now, open[0])
 					h.Cancel(now, open[0]) // once alone
 					open = open[1:]
-					level = min(float64(l.capOf(share)), level+float64(AmountUnit))
+					level = min(float64(l.burstOf(share)), level+float64(AmountUnit))
 				}
 			default:
 				ticket, no := h.Reserve(now, []Charge{{l, 0, AmountUnit}}, 1)
@@ -50,7 +50,7 @@
 				if no == nil {
 					level -= float64(AmountUnit)
 					open = append(open, ticket)
-				} else if no.After <= 0 {
+				} else if no.RetryAfter <= 0 {
 					t.Fatal(no)
 				}
 			}
@@ -61,12 +61,12 @@
 // A window's sum never passes the share in any time of its length, by a clock as slow as may be.
 func TestAWindowSlides(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := &Limit{Name: "w", Gen: 1, Kind: Window, Of: Requests, Span: sec, Without: Strict, Nodes: []Node{{Most: 100 * AmountUnit, Weight: 1}}}
-		h := NewConsumer(Rules{Skew: 0.1}, NoDefect)
+		l := &Limit{Name: "w", Generation: 1, Kind: Window, Unit: Requests, Window: sec, Fallback: Strict, Nodes: []Node{{Capacity: 100 * AmountUnit, Weight: 1}}}
+		h := NewConsumer(Rules{MaxClockSkew: 0.1}, NoDefect)
 		h.SetConfig(0, &Config{Version: 1, Limits: []*Limit{l}})
-		h.Session(0, 1, 1<<60)
+		h.SetSession(0, 1, 1<<60)
 		share := rapid.IntRange(1, 20).Draw(t, "share")
-		h.Granted(0, 1, 1, Grant{Of: map[string]Quota{l.Key(0): {Amount: Amount(share) * AmountUnit}}})
+		h.ApplyGrant(0, 1, 1, Grant{Quotas: map[string]Quota{l.Key(0): {Amount: Amount(share) * AmountUnit}}})
 		now := int64(0)
 		var took []int64
 		let := 0
@@ -111,8 +111,8 @@
 	return Process{host, f.do(&store.Command{Grant: &store.GrantLease{TTL: 1000, Owner: host}}).Lease}
 }
 
-func (f *fleet) need(p Process, seen uint64, of map[string]Wants) {
-	f.do(&store.Command{Txn: &store.Txn{Owner: p.Host, Then: []store.Op{{Key: p.DemandKey(), Lease: p.Session, Value: Encode(Demand{Conf: f.conf.Version, Seen: seen, Of: of})}}}})
+func (f *fleet) need(p Process, seen uint64, of map[string]NodeDemand) {
+	f.do(&store.Command{Txn: &store.Txn{Owner: p.Host, Then: []store.Op{{Key: p.DemandKey(), Lease: p.Session, Value: Encode(Demand{ConfigVersion: f.conf.Version, SeenRevision: seen, Nodes: of})}}}})
 }
 
 func (f *fleet) grant(p Process) (g Grant, at uint64) {
@@ -124,7 +124,7 @@
 }
 
 func (f *fleet) divider(p Defect) *Allocator {
-	d := NewAllocator(Rules{Skew: 0.1, Tell: 50e6}, p)
+	d := NewAllocator(Rules{MaxClockSkew: 0.1, ReportInterval: 50e6}, p)
 	d.SetConfig(f.conf)
 	d.Reset(1, f.s)
 	return d
@@ -138,11 +138,11 @@
 
 // Two who divide by the same copy: one of them changes nothing. Without that a limit is given twice.
 func TestDivisionsAreOneOnTheLast(t *testing.T) {
-	for _, plant := range []Defect{NoDefect, TurnUnchecked} {
+	for _, plant := range []Defect{NoDefect, UncheckedRevision} {
 		l := rateOf(10, sec)
 		f := newFleet(l)
 		a, b := f.join("a"), f.join("b")
-		want := map[string]Wants{l.Key(0): {Want: 100 * AmountUnit}}
+		want := map[string]NodeDemand{l.Key(0): {Wanted: 100 * AmountUnit}}
 		f.need(a, 0, want)
 		one, two := f.divider(plant), f.divider(plant)
 		x := one.Allocate(2)
@@ -154,7 +154,7 @@
 		late := f.do(&store.Command{Txn: &store.Txn{If: x.If, Then: x.Then}}).Held
 		ga, _ := f.grant(a)
 		gb, _ := f.grant(b)
-		if sum := ga.Of[l.Key(0)].Amount + gb.Of[l.Key(0)].Amount; (sum > 10*AmountUnit || late) != (plant != NoDefect) {
+		if sum := ga.Quotas[l.Key(0)].Amount + gb.Quotas[l.Key(0)].Amount; (sum > 10*AmountUnit || late) != (plant != NoDefect) {
 			t.Errorf("plant %d: a late division held: %v, and %s of 10 are given", plant, late, FormatAmount(sum))
 		}
 	}
@@ -162,25 +162,25 @@
 
 // A share made smaller is nobody else's before its process has said that it goes by it, and what it had saved beyond is gone.
 func TestSmallerSharesAreSeenFirst(t *testing.T) {
-	for _, plant := range []Defect{NoDefect, KeepLevel} {
+	for _, plant := range []Defect{NoDefect, KeepTokens} {
 		l := rateOf(10, sec)
 		f := newFleet(l)
 		a, b := f.join("a"), f.join("b")
-		f.need(a, 0, map[string]Wants{l.Key(0): {Want: 100 * AmountUnit}})
+		f.need(a, 0, map[string]NodeDemand{l.Key(0): {Wanted: 100 * AmountUnit}})
 		d := f.divider(NoDefect)
 		f.divide(d, 1)
 		h := NewConsumer(Rules{}, plant)
 		h.SetConfig(1, f.conf)
-		h.Session(1, a.Session, 1<<60)
+		h.SetSession(1, a.Session, 1<<60)
 		take := func(now int64) {
 			g, at := f.grant(a)
-			h.Granted(now, a.Session, at, g)
+			h.ApplyGrant(now, a.Session, at, g)
 		}
 		take(1)
-		f.need(a, h.seen, map[string]Wants{l.Key(0): {Want: 100 * AmountUnit}})
-		f.need(b, 0, map[string]Wants{l.Key(0): {Want: 100 * AmountUnit}})
+		f.need(a, h.seenRevision, map[string]NodeDemand{l.Key(0): {Wanted: 100 * AmountUnit}})
+		f.need(b, 0, map[string]NodeDemand{l.Key(0): {Wanted: 100 * AmountUnit}})
 		f.divide(d, 2*sec) // a is to have half
-		if g, _ := f.grant(b); g.Of[l.Key(0)].Amount > 0 {
+		if g, _ := f.grant(b); g.Quotas[l.Key(0)].Amount > 0 {
 			t.Fatalf("given before it was seen: %+v", g)
 		}
 		take(3 * sec) // a had saved 10
@@ -190,12 +190,12 @@
 				break
 			}
 		}
-		if let > 5 != (plant == KeepLevel) {
+		if let > 5 != (plant == KeepTokens) {
 			t.Errorf("plant %d: %d let through at once by a share of 5", plant, let)
 		}
-		f.need(a, h.seen, map[string]Wants{l.Key(0): {Want: 100 * AmountUnit}})
+		f.need(a, h.seenRevision, map[string]NodeDemand{l.Key(0): {Wanted: 100 * AmountUnit}})
 		f.divide(d, 4*sec)
-		if g, _ := f.grant(b); g.Of[l.Key(0)].Amount != 5*AmountUnit {
+		if g, _ := f.grant(b); g.Quotas[l.Key(0)].Amount != 5*AmountUnit {
 			t.Errorf("what was seen is not given: %+v", g)
 		}
 	}
@@ -210,7 +210,7 @@
 	var all []Process
 	for i := range 300 {
 		all = append(all, f.join(fmt.Sprint("h", i)))
-		f.need(all[i], 0, map[string]Wants{l.Key(0): {Want: AmountUnit / 2}})
+		f.need(all[i], 0, map[string]NodeDemand{l.Key(0): {Wanted: AmountUnit / 2}})
 	}
 	had := map[Process]bool{}
 	most := Amount(0)
@@ -220,9 +220,9 @@
 		d.Reset(now, f.s)
 		for _, p := range all {
 			g, at := f.grant(p)
-			sum += d.counts(d.procs[p], l.Key(0))
-			had[p] = had[p] || g.Of[l.Key(0)].Amount >= AmountUnit
-			f.need(p, at, map[string]Wants{l.Key(0): {Want: AmountUnit / 2}})
+			sum += d.committed(d.processes[p], l.Key(0))
+			had[p] = had[p] || g.Quotas[l.Key(0)].Amount >= AmountUnit
+			f.need(p, at, map[string]NodeDemand{l.Key(0): {Wanted: AmountUnit / 2}})
 		}
 		if most = max(most, sum); sum > 50*AmountUnit {
 			t.Fatalf("%s of 50 are given", FormatAmount(sum))
@@ -233,21 +233,21 @@
 	}
 	for _, p := range all[1:] {
 		_, at := f.grant(p)
-		f.need(p, at, map[string]Wants{l.Key(0): {}})
+		f.need(p, at, map[string]NodeDemand{l.Key(0): {}})
 	}
 	for now := 130 * sec; now < 136*sec; now += sec / 4 {
 		f.divide(d, now)
 		for i, p := range all {
-			w := Wants{}
+			w := NodeDemand{}
 			if i == 0 {
-				w.Want = 200 * AmountUnit
+				w.Wanted = 200 * AmountUnit
 			}
 			_, at := f.grant(p)
-			f.need(p, at, map[string]Wants{l.Key(0): w})
+			f.need(p, at, map[string]NodeDemand{l.Key(0): w})
 		}
 	}
-	if g, _ := f.grant(all[0]); g.Of[l.Key(0)].Amount < 48*AmountUnit {
-		t.Errorf("the busy one has %s of 50", FormatAmount(g.Of[l.Key(0)].Amount))
+	if g, _ := f.grant(all[0]); g.Quotas[l.Key(0)].Amount < 48*AmountUnit {
+		t.Errorf("the busy one has %s of 50", FormatAmount(g.Quotas[l.Key(0)].Amount))
 	}
 }
 
@@ -255,8 +255,8 @@
 // most; a limit that changes its meaning is given only once all go by it.
 func TestPartsOfALimit(t *testing.T) {
 	l := rateOf(100, sec)
-	l.By = []string{"header:org"}
-	l.Nodes = append(l.Nodes, Node{Path: "a", Most: 80 * AmountUnit, Least: 30 * AmountUnit, Weight: 1}, Node{Path: "b", Most: 100 * AmountUnit, Weight: 3})
+	l.PartitionBy = []string{"header:org"}
+	l.Nodes = append(l.Nodes, Node{Path: "a", Capacity: 80 * AmountUnit, Guaranteed: 30 * AmountUnit, Weight: 1}, Node{Path: "b", Capacity: 100 * AmountUnit, Weight: 3})
 	if err := l.Check(); err != nil {
 		t.Fatal(err)
 	}
@@ -266,11 +266,11 @@
 	settle := func(from int64, a, b float64) (Amount, Amount) {
 		for now := from * sec; now < (from+8)*sec; now += sec / 4 {
 			_, at := f.grant(p)
-			f.need(p, at, map[string]Wants{l.Key(1): {Want: Amount(a * float64(AmountUnit))}, l.Key(2): {Want: Amount(b * float64(AmountUnit))}})
+			f.need(p, at, map[string]NodeDemand{l.Key(1): {Wanted: Amount(a * float64(AmountUnit))}, l.Key(2): {Wanted: Amount(b * float64(AmountUnit))}})
 			f.divide(d, now)
 		}
 		g, _ := f.grant(p)
-		return g.Of[l.Key(1)].Amount / AmountUnit, g.Of[l.Key(2)].Amount / AmountUnit
+		return g.Quotas[l.Key(1)].Amount / AmountUnit, g.Quotas[l.Key(2)].Amount / AmountUnit
 	}
 	for i, x := range []struct {
 		a, b                 float64
@@ -287,23 +287,23 @@
 		}
 	}
 	next := *l
-	next.Span = 2 * sec
+	next.Window = 2 * sec
 	conf := &Config{Limits: []*Limit{&next}}
-	conf.After(f.conf)
-	if next.Gen == 1 || conf.Version != 2 {
+	conf.AssignGenerations(f.conf)
+	if next.Generation == 1 || conf.Version != 2 {
 		t.Fatalf("%+v", conf)
 	}
 	d.SetConfig(conf)
-	want := map[string]Wants{next.Key(2): {Want: 50 * AmountUnit}}
+	want := map[string]NodeDemand{next.Key(2): {Wanted: 50 * AmountUnit}}
 	f.need(p, 1<<40, want) // by the old version
 	f.divide(d, 100*sec)
-	if g, _ := f.grant(p); g.Of[next.Key(2)].Amount != 0 {
+	if g, _ := f.grant(p); g.Quotas[next.Key(2)].Amount != 0 {
 		t.Error("given while the old one is gone by")
 	}
 	f.conf = conf
 	f.need(p, 1<<40, want)
 	f.divide(d, 101*sec)
-	if g, _ := f.grant(p); g.Of[next.Key(2)].Amount == 0 {
+	if g, _ := f.grant(p); g.Quotas[next.Key(2)].Amount == 0 {
 		t.Errorf("not given once the new one is: %+v", g)
 	}
 }
@@ -311,16 +311,16 @@
 // Without the store: nothing, a part divided by all, or all for a while.
 func TestWithoutTheStore(t *testing.T) {
 	for _, x := range []struct {
-		mode      Mode
+		mode      FallbackMode
 		for_      int64
 		let, late int
 	}{{Strict, 0, 0, 0}, {Fair, 0, 5, 5}, {Fair, sec, 5, 0}, {Open, 0, 50, 50}, {Open, sec, 50, 0}} {
 		l := rateOf(100, sec)
-		l.Without, l.Part, l.Hosts, l.For = x.mode, 0.5, 10, x.for_
-		h := NewConsumer(Rules{Tell: 50e6}, NoDefect)
+		l.Fallback, l.FallbackFraction, l.MinProcesses, l.FallbackTimeout = x.mode, 0.5, 10, x.for_
+		h := NewConsumer(Rules{ReportInterval: 50e6}, NoDefect)
 		h.SetConfig(0, &Config{Version: 1, Limits: []*Limit{l}})
-		h.Session(0, 1, sec)
-		h.Granted(0, 1, 1, Grant{Of: map[string]Quota{l.Key(0): {Amount: 80 * AmountUnit}}})
+		h.SetSession(0, 1, sec)
+		h.ApplyGrant(0, 1, 1, Grant{Quotas: map[string]Quota{l.Key(0): {Amount: 80 * AmountUnit}}})
 		h.Reserve(sec, []Charge{{l, 0, AmountUnit}}, 1) // its session is over: the aside begins
 		for _, at := range []struct {
 			now  int64
@@ -329,7 +329,7 @@
 			n := 0
 			for ; n < 50; n++ {
 				if _, no := h.Reserve(at.now, []Charge{{l, 0, AmountUnit}}, 1); no != nil {
-					if !no.Alone || no.After <= 0 {
+					if !no.StoreUnreachable || no.RetryAfter <= 0 {
 						t.Errorf("%+v", no)
 					}
 					break
@@ -346,16 +346,16 @@
 // near what the formula allows, and does not pass it; all of it is wanted everywhere.
 func TestFairComesNearItsBound(t *testing.T) {
 	l := rateOf(100, sec)
-	l.Without, l.Part, l.Hosts = Fair, 0.5, 10
+	l.Fallback, l.FallbackFraction, l.MinProcesses = Fair, 0.5, 10
 	f := newFleet(l)
 	d := f.divider(NoDefect)
 	var all []Process
 	holders := map[Process]*Consumer{}
 	for i := range 10 {
 		p := f.join(fmt.Sprint("h", i))
-		h := NewConsumer(Rules{Tell: 50e6}, NoDefect)
+		h := NewConsumer(Rules{ReportInterval: 50e6}, NoDefect)
 		h.SetConfig(0, f.conf)
-		h.Session(0, p.Session, sec)
+		h.SetSession(0, p.Session, sec)
 		all, holders[p] = append(all, p), h
 	}
 	let, from := 0, 10*sec
@@ -363,12 +363,12 @@
 		for i, p := range all {
 			h := holders[p]
 			if away := i < 5 && now > sec; !away {
-				h.Session(now, p.Session, now+sec)
+				h.SetSession(now, p.Session, now+sec)
 				g, at := f.grant(p)
-				h.Granted(now, p.Session, at, g)
+				h.ApplyGrant(now, p.Session, at, g)
 				if n, due, _ := h.Demand(now); due {
 					h.ReportSent(now, n)
-					f.need(p, n.Seen, n.Of)
+					f.need(p, n.SeenRevision, n.Nodes)
 				}
 			} else if now == 3*sec {
 				f.do(&store.Command{End: &store.RevokeLease{Lease: p.Session, Owner: p.Host}})
@@ -387,8 +387,8 @@
 		}
 	}
 	length := 30*sec - from
-	bound, ok := l.Bound(0, length, 0, 0, 5)
-	base, _ := l.Bound(0, length, 0, 0, 0)
+	bound, ok := l.UpperBound(0, length, 0, 0, 5)
+	base, _ := l.UpperBound(0, length, 0, 0, 0)
 	if over := float64(let) - 100*float64(length)/1e9; !ok || float64(let) > bound || over < (bound-base)*2/3 {
 		t.Errorf("%d let through, %.0f over; the bound is %.0f, %.0f over", let, over, bound, bound-base)
 	} else {
@@ -398,19 +398,19 @@
 
 // Who divides next counts what the one before gave.
 func TestWhatWasGivenIsTakenOver(t *testing.T) {
-	for _, plant := range []Defect{NoDefect, NotTakenOver} {
+	for _, plant := range []Defect{NoDefect, IgnorePredecessor} {
 		l := rateOf(10, sec)
 		f := newFleet(l)
 		a, b := f.join("a"), f.join("b")
-		f.need(a, 0, map[string]Wants{l.Key(0): {Want: 100 * AmountUnit}})
+		f.need(a, 0, map[string]NodeDemand{l.Key(0): {Wanted: 100 * AmountUnit}})
 		f.divide(f.divider(NoDefect), 1)
 		_, at := f.grant(a)
-		f.need(a, at, map[string]Wants{l.Key(0): {Want: 100 * AmountUnit}})
-		f.need(b, 0, map[string]Wants{l.Key(0): {Want: 100 * AmountUnit}})
+		f.need(a, at, map[string]NodeDemand{l.Key(0): {Wanted: 100 * AmountUnit}})
+		f.need(b, 0, map[string]NodeDemand{l.Key(0): {Wanted: 100 * AmountUnit}})
 		f.divide(f.divider(plant), sec)
 		// a goes by its 10 until it has seen less.
-		if g, _ := f.grant(b); (g.Of[l.Key(0)].Amount > 0) != (plant != NoDefect) {
-			t.Errorf("plant %d: %s of 10 are given again", plant, FormatAmount(g.Of[l.Key(0)].Amount))
+		if g, _ := f.grant(b); (g.Quotas[l.Key(0)].Amount > 0) != (plant != NoDefect) {
+			t.Errorf("plant %d: %s of 10 are given again", plant, FormatAmount(g.Quotas[l.Key(0)].Amount))
 		}
 	}
 }
@@ -420,7 +420,7 @@
 	l := rateOf(10, sec)
 	f := newFleet(l)
 	a, b := f.join("a"), f.join("b")
-	f.need(b, 0, map[string]Wants{l.Key(0): {Want: 100 * AmountUnit}})
+	f.need(b, 0, map[string]NodeDemand{l.Key(0): {Wanted: 100 * AmountUnit}})
 	f.do(&store.Command{Txn: &store.Txn{Then: []store.Op{{Key: a.GrantKey(), Value: []byte("newer")}}}})
 	d := f.divider(NoDefect)
 	if f.divide(d, 1) || d.Fault() == "" {
--- a/internal/controlplane/quota/match.go
+++ b/internal/controlplane/quota/match.go
@@ -8,60 +8,60 @@
 
 // Request is what limits read of one.
 type Request struct {
-	Class  string
-	Path   string
-	Cost   Amount // by what its client expects; 0: it says nothing
-	Header func(name string) string
-	Worth  float64 // of its class, by the greatest of all classes: 0 to 1
+	Class          string
+	Path           string
+	Cost           Amount // by what its client expects; 0: it says nothing
+	Header         func(name string) string
+	PriorityWeight float64 // of its class, by the greatest of all classes: 0 to 1
 }
 
 // Matcher finds which shares a request is of. It never changes, and any goroutine may use it.
 type Matcher struct {
-	Conf  *Config
-	class map[string][]*matched // of classes that limits name, with those that name none
-	rest  []*matched            // that name none
+	Config   *Config
+	byClass  map[string][]*limitMatcher // of classes that limits name, with those that name none
+	anyClass []*limitMatcher            // that name none
 }
 
-type matched struct {
-	l        *Limit
-	by       []by
-	children []map[string]int // nodes by their last name, by node
+type limitMatcher struct {
+	limit       *Limit
+	partitionBy []partitionKey
+	children    []map[string]int // nodes by their last name, by node
 }
 
-// by is what names a level of parts.
-type by struct {
-	kind string
-	arg  string
-	n    int
+// partitionKey is what names a level of parts.
+type partitionKey struct {
+	kind    string
+	arg     string
+	segment int
 }
 
 // NewMatcher returns that of limits that were checked.
 func NewMatcher(c *Config) *Matcher {
-	m := &Matcher{Conf: c, class: map[string][]*matched{}}
+	m := &Matcher{Config: c, byClass: map[string][]*limitMatcher{}}
 	for _, l := range c.Limits {
 		for _, class := range l.Classes {
-			m.class[class] = nil
+			m.byClass[class] = nil
 		}
 	}
 	for _, l := range c.Limits {
-		x := &matched{l: l, children: make([]map[string]int, len(l.Nodes))}
+		x := &limitMatcher{limit: l, children: make([]map[string]int, len(l.Nodes))}
 		for i, n := range l.Nodes[1:] {
 			if x.children[n.Parent] == nil {
 				x.children[n.Parent] = map[string]int{}
 			}
 			x.children[n.Parent][n.Path[strings.LastIndexByte(n.Path, '/')+1:]] = i + 1
 		}
-		for _, text := range l.By {
+		for _, text := range l.PartitionBy {
 			kind, arg, _ := strings.Cut(text, ":")
 			n, _ := strconv.Atoi(arg)
-			x.by = append(x.by, by{kind, arg, n})
+			x.partitionBy = append(x.partitionBy, partitionKey{kind, arg, n})
 		}
 		if len(l.Classes) == 0 {
-			m.rest = append(m.rest, x)
+			m.anyClass = append(m.anyClass, x)
 		}
-		for class := range m.class {
+		for class := range m.byClass {
 			if len(l.Classes) == 0 || slices.Contains(l.Classes, class) {
-				m.class[class] = append(m.class[class], x)
+				m.byClass[class] = append(m.byClass[class], x)
 			}
 		}
 	}
@@ -77,17 +77,17 @@
 
 // Match appends what a request takes.
 func (m *Matcher) Match(buf []Charge, r *Request) []Charge {
-	all, named := m.class[r.Class]
+	all, named := m.byClass[r.Class]
 	if !named {
-		all = m.rest
+		all = m.anyClass
 	}
 	for _, x := range all {
-		l := x.l
+		l := x.limit
 		if len(l.Paths) > 0 && !slices.ContainsFunc(l.Paths, func(p string) bool { return strings.HasPrefix(r.Path, p) }) {
 			continue
 		}
 		c := Charge{l, x.node(r), AmountUnit}
-		if l.Of == Cost && r.Cost > 0 {
+		if l.Unit == Cost && r.Cost > 0 {
 			c.Amount = r.Cost
 		}
 		buf = append(buf, c)
@@ -96,9 +96,9 @@
 }
 
 // node is the deepest that all names of the request are known for; "other" stands for those that are not.
-func (x *matched) node(r *Request) int {
+func (x *limitMatcher) node(r *Request) int {
 	at := 0
-	for _, b := range x.by {
+	for _, b := range x.partitionBy {
 		name := b.name(r)
 		if name == "" || x.children[at] == nil {
 			return at
@@ -115,7 +115,7 @@
 	return at
 }
 
-func (b *by) name(r *Request) string {
+func (b *partitionKey) name(r *Request) string {
 	switch b.kind {
 	case "class":
 		return r.Class
@@ -127,7 +127,7 @@
 		rest := strings.TrimPrefix(r.Path, "/")
 		for n := 1; ; n++ {
 			part, more, found := strings.Cut(rest, "/")
-			if n == b.n {
+			if n == b.segment {
 				return part
 			}
 			if !found {
--- a/internal/controlplane/quota/stored_test.go
+++ b/internal/controlplane/quota/stored_test.go
@@ -32,11 +32,11 @@
 // TestStoredFormatsUnchanged decodes what revision 7105f7a wrote and encodes the same bytes again.
 func TestStoredFormatsUnchanged(t *testing.T) {
 	t.Run("file of limits and stored config", func(t *testing.T) {
-		fromFile, err := Read("limits.toml", readFixture(t, "limits.toml"))
+		fromFile, err := ParseFile("limits.toml", readFixture(t, "limits.toml"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		fromFile.After(&Config{Version: 6})
+		fromFile.AssignGenerations(&Config{Version: 6})
 		stored := &Config{}
 		decoder := json.NewDecoder(bytes.NewReader(readFixture(t, "config.json")))
 		decoder.DisallowUnknownFields()
@@ -54,13 +54,13 @@
 			t.Errorf("encoded as %s, error %v", encoded, err)
 		}
 		want := &Limit{
-			Name: "bookings", Gen: 7, Kind: Rate, Of: Cost, Span: 2e9, Without: Fair, Part: 0.2, For: 300e9, Hosts: 300,
-			Reserve: 0.25, Classes: []string{"confirm", "search"}, Paths: []string{"/book", "/pay"},
-			By: []string{"header:X-Org", "path:2"},
+			Name: "bookings", Generation: 7, Kind: Rate, Unit: Cost, Window: 2e9, Fallback: Fair, FallbackFraction: 0.2, FallbackTimeout: 300e9, MinProcesses: 300,
+			ReserveFraction: 0.25, Classes: []string{"confirm", "search"}, Paths: []string{"/book", "/pay"},
+			PartitionBy: []string{"header:X-Org", "path:2"},
 			Nodes: []Node{
-				{Most: 50 * AmountUnit, Weight: 1},
-				{Path: "acme", Most: 40 * AmountUnit, Least: 10 * AmountUnit, Weight: 2},
-				{Path: "acme/vienna", Parent: 1, Most: 40 * AmountUnit, Least: 2 * AmountUnit, Weight: 1},
+				{Capacity: 50 * AmountUnit, Weight: 1},
+				{Path: "acme", Capacity: 40 * AmountUnit, Guaranteed: 10 * AmountUnit, Weight: 2},
+				{Path: "acme/vienna", Parent: 1, Capacity: 40 * AmountUnit, Guaranteed: 2 * AmountUnit, Weight: 1},
 			},
 		}
 		if !reflect.DeepEqual(stored.Limits[0], want) {
@@ -70,9 +70,9 @@
 	t.Run("demand", func(t *testing.T) {
 		stored := readHexFixture(t, "demand.cbor.hex")
 		got, err := DecodeDemand(stored)
-		want := Demand{Conf: 7, Seen: 42, Of: map[string]Wants{
-			"bookings@7/":            {Want: 1_500_000, Floor: 250_000, Taken: 11, Refused: 3},
-			"bookings@7/acme/vienna": {Want: 7},
+		want := Demand{ConfigVersion: 7, SeenRevision: 42, Nodes: map[string]NodeDemand{
+			"bookings@7/":            {Wanted: 1_500_000, InUse: 250_000, Admitted: 11, Rejected: 3},
+			"bookings@7/acme/vienna": {Wanted: 7},
 		}}
 		if err != nil || !reflect.DeepEqual(got, want) || !bytes.Equal(Encode(got), stored) {
 			t.Errorf("decoded %+v, error %v; encoded %x", got, err, Encode(got))
@@ -81,8 +81,8 @@
 	t.Run("grant", func(t *testing.T) {
 		stored := readHexFixture(t, "grant.cbor.hex")
 		got, err := DecodeGrant(stored)
-		want := Grant{Age: 5_000_000_000, Of: map[string]Quota{
-			"bookings@7/":            {Amount: 2_000_000, Was: 3_000_000, Linger: 60_000_000_000},
+		want := Grant{OutlivedNanos: 5_000_000_000, Quotas: map[string]Quota{
+			"bookings@7/":            {Amount: 2_000_000, Previous: 3_000_000, Linger: 60_000_000_000},
 			"bookings@7/acme/vienna": {Amount: 9},
 		}}
 		if err != nil || !reflect.DeepEqual(got, want) || !bytes.Equal(Encode(got), stored) {
@@ -94,7 +94,7 @@
 		if err := json.Unmarshal(readFixture(t, "keys.json"), &stored); err != nil {
 			t.Fatal(err)
 		}
-		l := &Limit{Name: "bookings", Gen: 7, Nodes: []Node{{}, {Path: "acme"}, {Path: "acme/vienna"}}}
+		l := &Limit{Name: "bookings", Generation: 7, Nodes: []Node{{}, {Path: "acme"}, {Path: "acme/vienna"}}}
 		p := Process{Host: "host-1", Session: 17}
 		keys := []string{Prefix, ConfigKey, AllocationKey, p.DemandKey(), p.GrantKey(), l.Key(0), l.Key(2)}
 		if !slices.Equal(keys, stored) {
--- a/internal/controlplane/quota/words.go
+++ b/internal/controlplane/quota/wire.go
@@ -39,8 +39,8 @@
 // GrantKey is of NeedKey.
 func (p Process) GrantKey() string { return GrantPrefix + p.String() }
 
-// processOf reads a key behind its prefix.
-func processOf(rest string) (Process, bool) {
+// parseProcess reads a key behind its prefix.
+func parseProcess(rest string) (Process, bool) {
 	host, text, ok := strings.Cut(rest, "/")
 	n, err := strconv.ParseUint(text, 10, 64)
 	return Process{host, n}, ok && err == nil && host != "" && n > 0
@@ -48,30 +48,30 @@
 
 // Demand is what a process tells.
 type Demand struct {
-	Conf uint64           `cbor:"1,keyasint"` // the version of the limits that it goes by
-	Seen uint64           `cbor:"2,keyasint"` // the revision of the Grant that it goes by: of no larger one from now on
-	Of   map[string]Wants `cbor:"3,keyasint,omitempty"`
+	ConfigVersion uint64                `cbor:"1,keyasint"` // the version of the limits that it goes by
+	SeenRevision  uint64                `cbor:"2,keyasint"` // the revision of the Grant that it goes by: of no larger one from now on
+	Nodes         map[string]NodeDemand `cbor:"3,keyasint,omitempty"`
 }
 
-// Wants are those of one share.
-type Wants struct {
-	Want    Amount `cbor:"1,keyasint,omitempty" json:"want"`    // that it could use
-	Floor   Amount `cbor:"2,keyasint,omitempty" json:"floor"`   // that it has in use, or has spent in the window
-	Taken   uint64 `cbor:"3,keyasint,omitempty" json:"taken"`   // requests since its start
-	Refused uint64 `cbor:"4,keyasint,omitempty" json:"refused"` // and of those that this share had too little for
+// NodeDemand are those of one share.
+type NodeDemand struct {
+	Wanted   Amount `cbor:"1,keyasint,omitempty" json:"want"`    // that it could use
+	InUse    Amount `cbor:"2,keyasint,omitempty" json:"floor"`   // that it has in use, or has spent in the window
+	Admitted uint64 `cbor:"3,keyasint,omitempty" json:"taken"`   // requests since its start
+	Rejected uint64 `cbor:"4,keyasint,omitempty" json:"refused"` // and of those that this share had too little for
 }
 
 // Grant is a process's shares.
 type Grant struct {
-	Of  map[string]Quota `cbor:"1,keyasint,omitempty"`
-	Age int64            `cbor:"2,keyasint,omitempty"` // nanoseconds that it is known to have outlived its process
+	Quotas        map[string]Quota `cbor:"1,keyasint,omitempty"`
+	OutlivedNanos int64            `cbor:"2,keyasint,omitempty"` // nanoseconds that it is known to have outlived its process
 }
 
 // Quota is one share.
 type Quota struct {
-	Amount Amount `cbor:"1,keyasint,omitempty" json:"amount"`
-	Was    Amount `cbor:"2,keyasint,omitempty" json:"was"` // it counts for as much until the process has seen it
-	Linger int64  `cbor:"3,keyasint,omitempty" json:"linger,omitempty"`
+	Amount   Amount `cbor:"1,keyasint,omitempty" json:"amount"`
+	Previous Amount `cbor:"2,keyasint,omitempty" json:"was"` // it counts for as much until the process has seen it
+	Linger   int64  `cbor:"3,keyasint,omitempty" json:"linger,omitempty"`
 }
 
 var (
@@ -115,6 +115,6 @@
 // Allowed says whether an operation is a daemon's own part in limits: what its processes tell, for as long as their sessions.
 func Allowed(op store.Op, owner string) bool {
 	rest, ok := strings.CutPrefix(op.Key, DemandPrefix)
-	p, is := processOf(rest)
+	p, is := parseProcess(rest)
 	return ok && is && owner != "" && p.Host == owner && (op.Delete || op.Lease == p.Session && len(op.Value) <= MaxRecordBytes)
 }
--- a/internal/controlplane/quotasync/limits.go
+++ b/internal/controlplane/quotasync/manager.go
@@ -67,7 +67,7 @@
 
 // New returns one that has no store yet.
 func New(cfg Config, runner *leasetask.Runner) *Manager {
-	rules := quota.Rules{Skew: cfg.Skew, Tell: int64(cfg.Tell), Each: int64(cfg.Each)}
+	rules := quota.Rules{MaxClockSkew: cfg.Skew, ReportInterval: int64(cfg.Tell), ReportIntervalPerProcess: int64(cfg.Each)}
 	return &Manager{cfg: cfg, runner: runner, holder: quota.NewConsumer(rules, cfg.Plant), divider: quota.NewAllocator(rules, cfg.Plant),
 		conf: &quota.Config{}, others: map[string]bool{}, news: make(chan struct{}, 1), said: map[string]uint64{}}
 }
@@ -152,7 +152,7 @@
 	if err != nil {
 		l.cfg.Log.Error("shares of limits are not read: they count as none", "key", i.Key, "error", err)
 	}
-	l.holder.Granted(l.now(), l.me.Session, i.Modified, g)
+	l.holder.ApplyGrant(l.now(), l.me.Session, i.Modified, g)
 	l.poke()
 }
 
@@ -200,7 +200,7 @@
 		id, until, changed := p.Now()
 		l.mu.Lock()
 		fresh := id != l.me.Session
-		if l.holder.Session(l.now(), id, until); fresh {
+		if l.holder.SetSession(l.now(), id, until); fresh {
 			l.me = quota.Process{Host: l.cfg.Host, Session: id}
 			l.poke()
 		}
@@ -274,7 +274,7 @@
 	sums := map[string]uint64{}
 	for _, s := range l.holder.Quotas(l.now()) {
 		name, _, _ := strings.Cut(s.Key, "@")
-		sums[name] += s.Refused
+		sums[name] += s.Rejected
 	}
 	for name, n := range sums {
 		if was := l.said[name]; n > was {
@@ -307,7 +307,7 @@
 		return nil, nil
 	}
 	var buf [4]quota.Charge
-	charges := m.Match(buf[:0], &quota.Request{Class: q.Class, Path: q.Path, Cost: q.CostMs * quota.AmountUnit, Header: q.Header, Worth: q.Worth})
+	charges := m.Match(buf[:0], &quota.Request{Class: q.Class, Path: q.Path, Cost: q.CostMs * quota.AmountUnit, Header: q.Header, PriorityWeight: q.Worth})
 	if len(charges) == 0 {
 		return nil, nil
 	}
@@ -316,7 +316,7 @@
 	t, r := l.holder.Reserve(now, charges, q.Worth)
 	l.mu.Unlock()
 	if r != nil {
-		return nil, &core.Limited{Limit: r.Limit, Of: r.Node, Alone: r.Alone, RetryAfter: l.cfg.Clock.Span(r.After)}
+		return nil, &core.Limited{Limit: r.Limit, Of: r.Node, Alone: r.StoreUnreachable, RetryAfter: l.cfg.Clock.Span(r.RetryAfter)}
 	}
 	return func(ran bool) {
 		l.mu.Lock()
@@ -346,7 +346,7 @@
 	}); err != nil || bad != nil {
 		return nil, errors.Join(err, bad)
 	}
-	c.After(was)
+	c.AssignGenerations(was)
 	b, err := json.Marshal(c)
 	if err != nil {
 		return nil, err
@@ -385,7 +385,7 @@
 	if !part {
 		return l.divider, false, nil
 	}
-	d = quota.NewAllocator(quota.Rules{Skew: l.cfg.Skew, Tell: int64(l.cfg.Tell), Each: int64(l.cfg.Each)}, quota.NoDefect)
+	d = quota.NewAllocator(quota.Rules{MaxClockSkew: l.cfg.Skew, ReportInterval: int64(l.cfg.Tell), ReportIntervalPerProcess: int64(l.cfg.Each)}, quota.NoDefect)
 	wait, cancel := context.WithTimeout(ctx, tellTime)
 	defer cancel()
 	if _, err := l.store.View(wait, false, func(s *store.State) {
@@ -419,14 +419,14 @@
 		if name != "" && x.Name != name {
 			continue
 		}
-		st := &LimitStatus{Limit: x, Parts: divider.Show(now, x)}
+		st := &LimitStatus{Limit: x, Parts: divider.Status(now, x)}
 		away := 0
-		for _, p := range st.Parts[0].Of {
+		for _, p := range st.Parts[0].Processes {
 			if p.Gone {
 				away++
 			}
 		}
-		st.Over = x.Words(away)
+		st.Over = x.DescribeOvershoot(away)
 		s.Limits = append(s.Limits, st)
 	}
 	if name != "" && len(s.Limits) == 0 {
--- a/internal/controlplane/quotasync/limits_test.go
+++ b/internal/controlplane/quotasync/manager_test.go
@@ -24,7 +24,7 @@
 		whole.Apply(whole.Index()+1, &store.Command{Txn: &store.Txn{Then: []store.Op{{Key: p.DemandKey(), Value: quota.Encode(quota.Demand{})}}}})
 	}
 	const at = int64(time.Hour)
-	l.holder.Session(at, 7, at+int64(time.Minute))
+	l.holder.SetSession(at, 7, at+int64(time.Minute))
 	pace := func() time.Duration {
 		l.holder.ReportSent(at, quota.Demand{})
 		_, _, next := l.holder.Demand(at)
--- a/internal/controlplane/quotasync/stored_test.go
+++ b/internal/controlplane/quotasync/stored_test.go
@@ -25,12 +25,12 @@
 	if err != nil || !bytes.Equal(encoded, bytes.TrimSpace(fixture)) {
 		t.Errorf("encoded as %s, error %v", encoded, err)
 	}
-	process := status.Limits[0].Parts[0].Of[0]
+	process := status.Limits[0].Parts[0].Processes[0]
 	wantProcess := quota.ProcessQuota{
-		Process: quota.Process{Host: "s51", Session: 53},
-		Quota:   quota.Quota{Amount: 55, Was: 56, Linger: 57},
-		Wants:   quota.Wants{Want: 59, Floor: 60, Taken: 61, Refused: 62},
-		Counts:  63, Gone: true, AgeMs: 65, Seen: true,
+		Process:    quota.Process{Host: "s51", Session: 53},
+		Quota:      quota.Quota{Amount: 55, Previous: 56, Linger: 57},
+		NodeDemand: quota.NodeDemand{Wanted: 59, InUse: 60, Admitted: 61, Rejected: 62},
+		Committed:  63, Gone: true, AgeMs: 65, Seen: true,
 	}
 	if process != wantProcess {
 		t.Errorf("decoded %+v, not %+v", process, wantProcess)
--- a/internal/lab/limitlab/judge.go
+++ b/internal/lab/limitlab/judge.go
@@ -79,11 +79,11 @@
 func (r *row) window(late time.Duration, skew float64, away int) (time.Duration, float64) {
 	length := 4 * time.Second
 	if r.l.Kind == quota.Window {
-		length = max(time.Duration(r.l.Span)-late, late)
-		bound, _ := r.l.Bound(r.node, int64(length), int64(late), skew, away)
+		length = max(time.Duration(r.l.Window)-late, late)
+		bound, _ := r.l.UpperBound(r.node, int64(length), int64(late), skew, away)
 		return length, bound
 	}
-	bound, _ := r.l.Bound(r.node, int64(length), int64(late), skew, away)
+	bound, _ := r.l.UpperBound(r.node, int64(length), int64(late), skew, away)
 	return length, bound
 }
 
@@ -111,11 +111,11 @@
 			if first {
 				row.count++
 			}
-			if row.l.Kind == quota.AtOnce {
+			if row.l.Kind == quota.Concurrency {
 				row.open[x] = true
 				held = append(held, row)
 			}
-			if first || row.l.Kind == quota.AtOnce {
+			if first || row.l.Kind == quota.Concurrency {
 				j.look(row, time.Since(j.begun))
 			}
 			if at == 0 {
@@ -144,14 +144,14 @@
 func (j *Judge) look(r *row, now time.Duration) {
 	length, bound := r.window(j.late, j.skew, j.hosts)
 	n := float64(len(r.open))
-	if r.l.Kind != quota.AtOnce {
+	if r.l.Kind != quota.Concurrency {
 		r.at = append(r.at, now)
 		for r.at[0] <= now-length {
 			r.at = r.at[1:]
 		}
 		n = float64(len(r.at))
 	}
-	if r.l.Kind == quota.AtOnce && n > bound {
+	if r.l.Kind == quota.Concurrency && n > bound {
 		c := crowd{row: r, at: now}
 		for x := range r.open {
 			c.who = append(c.who, x)
@@ -191,11 +191,11 @@
 		n := 0
 		r := c.row
 		for _, x := range c.who { // one that lasts for longer than the limit says is not of its terms
-			if !x.gaveUp && c.at-x.came < time.Duration(r.l.Span) {
+			if !x.gaveUp && c.at-x.came < time.Duration(r.l.Window) {
 				n++
 			}
 		}
-		bound := float64(r.l.Nodes[r.node].Most) / float64(quota.AmountUnit)
+		bound := float64(r.l.Nodes[r.node].Capacity) / float64(quota.AmountUnit)
 		r.most = max(r.most, float64(n))
 		r.near = max(r.near, float64(n)/bound)
 		if float64(n) > bound && r.broken == "" {
--- a/internal/lab/limitlab/judge_test.go
+++ b/internal/lab/limitlab/judge_test.go
@@ -15,7 +15,7 @@
 
 // The servers find a limit passed, in the whole or a part; a request that is tried twice counts once, and one that was given up is not there.
 func TestServersJudge(t *testing.T) {
-	conf, err := quota.Read("limits.toml", []byte(Limits))
+	conf, err := quota.ParseFile("limits.toml", []byte(Limits))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/limitlab/limitlab.go
+++ b/internal/lab/limitlab/limitlab.go
@@ -161,11 +161,11 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	conf, err := quota.Read("limits.toml", []byte(Limits))
+	conf, err := quota.ParseFile("limits.toml", []byte(Limits))
 	if err != nil {
 		return nil, err
 	}
-	conf.After(&quota.Config{})
+	conf.AssignGenerations(&quota.Config{})
 	x := &run{Torture: t, judge: newJudge(conf, t.Replicas+t.Follow)}
 	x.fleet, err = fleetlab.Begin(ctx, fleetlab.Config{Program: t.Program, Args: []string{"run", "--config"}, Env: t.Env, Dir: dir, Replicas: t.Replicas,
 		Follow: t.Follow, Servers: 4, Seed: t.Seed, Handle: x.judge, More: fmt.Sprintf("[limits]\nlease = %q\ntell = \"50ms\"\neach = \"2ms\"\n", TTL)})
@@ -288,7 +288,7 @@
 		case <-time.After(wait):
 		}
 		_, after := x.judge.counts("orders")
-		r.Use = float64(after-before) / time.Since(begun).Seconds() / (float64(x.judge.conf.Find("orders").Nodes[0].Most) / float64(quota.AmountUnit))
+		r.Use = float64(after-before) / time.Since(begun).Seconds() / (float64(x.judge.conf.Find("orders").Nodes[0].Capacity) / float64(quota.AmountUnit))
 	}
 	return nil
 }
--- a/internal/lab/limitsim/limitsim.go
+++ b/internal/lab/limitsim/limitsim.go
@@ -152,7 +152,7 @@
 // sum says of what use the rate limit is, and what limits cost the store, of the time before.
 func (w *world) sum() {
 	seconds := float64(calmFor/2) / float64(second)
-	w.r.Use = float64(w.got) / max(1, min(float64(w.want), seconds*float64(w.conf.Limits[0].Nodes[0].Most)/float64(quota.AmountUnit)))
+	w.r.Use = float64(w.got) / max(1, min(float64(w.want), seconds*float64(w.conf.Limits[0].Nodes[0].Capacity)/float64(quota.AmountUnit)))
 	w.r.EntriesS, w.r.BytesS = float64(w.r.Entries)/seconds, float64(w.r.Bytes)/seconds
 }
 
@@ -168,14 +168,14 @@
 	n := int64(w.o.Sidecars)
 	a := func(of float64) quota.Amount { return quota.Amount(of * float64(n) * float64(quota.AmountUnit)) }
 	w.conf = &quota.Config{Version: 1, Limits: []*quota.Limit{
-		{Name: "rate", Gen: 1, Kind: quota.Rate, Of: quota.Requests, Span: 100e6, Without: quota.Strict, Paths: []string{"/rate"}, By: []string{"header:org", "header:agency"},
-			Nodes: []quota.Node{{Most: a(60), Weight: 1}, {Path: "a", Most: a(30), Least: a(12), Weight: 2}, {Path: "b", Most: a(36), Weight: 1},
-				{Path: "a/x", Parent: 1, Most: a(16), Least: a(3), Weight: 1}}},
-		{Name: "window", Gen: 1, Kind: quota.Window, Of: quota.Requests, Span: 1500e6, Without: quota.Strict, Paths: []string{"/window"}, Nodes: []quota.Node{{Most: a(12), Weight: 1}}},
-		{Name: "held", Gen: 1, Kind: quota.AtOnce, Of: quota.Requests, Span: 150e6, Without: quota.Strict, Paths: []string{"/held"}, Nodes: []quota.Node{{Most: a(3), Weight: 1}}},
-		{Name: "slow", Gen: 1, Kind: quota.Rate, Of: quota.Requests, Span: 1e9, Without: quota.Strict, Paths: []string{"/slow"}, Nodes: []quota.Node{{Most: a(6), Weight: 1}}},
-		{Name: "fair", Gen: 1, Kind: quota.Rate, Of: quota.Requests, Span: 100e6, Without: quota.Fair, Part: 0.5, Hosts: w.o.Sidecars, Paths: []string{"/fair"}, Nodes: []quota.Node{{Most: a(8), Weight: 1}}},
-		{Name: "open", Gen: 1, Kind: quota.Rate, Of: quota.Requests, Span: 500e6, Without: quota.Open, For: 300e6, Paths: []string{"/open"}, Nodes: []quota.Node{{Most: a(6), Weight: 1}}},
+		{Name: "rate", Generation: 1, Kind: quota.Rate, Unit: quota.Requests, Window: 100e6, Fallback: quota.Strict, Paths: []string{"/rate"}, PartitionBy: []string{"header:org", "header:agency"},
+			Nodes: []quota.Node{{Capacity: a(60), Weight: 1}, {Path: "a", Capacity: a(30), Guaranteed: a(12), Weight: 2}, {Path: "b", Capacity: a(36), Weight: 1},
+				{Path: "a/x", Parent: 1, Capacity: a(16), Guaranteed: a(3), Weight: 1}}},
+		{Name: "window", Generation: 1, Kind: quota.Window, Unit: quota.Requests, Window: 1500e6, Fallback: quota.Strict, Paths: []string{"/window"}, Nodes: []quota.Node{{Capacity: a(12), Weight: 1}}},
+		{Name: "held", Generation: 1, Kind: quota.Concurrency, Unit: quota.Requests, Window: 150e6, Fallback: quota.Strict, Paths: []string{"/held"}, Nodes: []quota.Node{{Capacity: a(3), Weight: 1}}},
+		{Name: "slow", Generation: 1, Kind: quota.Rate, Unit: quota.Requests, Window: 1e9, Fallback: quota.Strict, Paths: []string{"/slow"}, Nodes: []quota.Node{{Capacity: a(6), Weight: 1}}},
+		{Name: "fair", Generation: 1, Kind: quota.Rate, Unit: quota.Requests, Window: 100e6, Fallback: quota.Fair, FallbackFraction: 0.5, MinProcesses: w.o.Sidecars, Paths: []string{"/fair"}, Nodes: []quota.Node{{Capacity: a(8), Weight: 1}}},
+		{Name: "open", Generation: 1, Kind: quota.Rate, Unit: quota.Requests, Window: 500e6, Fallback: quota.Open, FallbackTimeout: 300e6, Paths: []string{"/open"}, Nodes: []quota.Node{{Capacity: a(6), Weight: 1}}},
 	}}
 	if err := w.conf.Check(); err != nil {
 		panic(err)
@@ -248,7 +248,7 @@
 	var look func()
 	look = func() {
 		for _, s := range p.holder.Quotas(p.now()) {
-			if s.Key == l.Key(0) && s.Amount >= l.Nodes[0].Most*4/5 {
+			if s.Key == l.Key(0) && s.Amount >= l.Nodes[0].Capacity*4/5 {
 				w.r.BusyMs = (w.q.Now() - begun) / milli
 				return
 			}
@@ -373,8 +373,8 @@
 }
 
 func newJudge(l *quota.Limit, node int, fast float64) *judge {
-	of := float64(l.Nodes[node].Most) / float64(quota.AmountUnit)
-	j := &judge{l: l, node: node, most: of, burst: of * float64(l.Span) / 1e9, rate: of * fast}
+	of := float64(l.Nodes[node].Capacity) / float64(quota.AmountUnit)
+	j := &judge{l: l, node: node, most: of, burst: of * float64(l.Window) / 1e9, rate: of * fast}
 	j.level = j.burst
 	return j
 }
@@ -387,14 +387,14 @@
 		j.at = now
 		j.near = max(j.near, 1-j.level/j.burst)
 		allowed := 0.0
-		if j.l.Without == quota.Fair { // a second bucket, of the part
-			allowed = j.l.Part
+		if j.l.Fallback == quota.Fair { // a second bucket, of the part
+			allowed = j.l.FallbackFraction
 			if j.level < 0 {
 				j.passed = max(j.passed, -j.level/j.most)
 			}
 			j.near = 0
 		}
-		if j.l.Without == quota.Open {
+		if j.l.Fallback == quota.Open {
 			j.near = 0
 			return ""
 		}
@@ -406,7 +406,7 @@
 			}
 			j.log = append(j.log[:0], seen{at: now})
 			if j.held < -allowed*j.burst-1e-6 {
-				return fmt.Sprintf("%.2f over what %g of it allows", -j.held-allowed*j.burst, j.l.Part)
+				return fmt.Sprintf("%.2f over what %g of it allows", -j.held-allowed*j.burst, j.l.FallbackFraction)
 			}
 			return ""
 		}
@@ -415,7 +415,7 @@
 		}
 	case quota.Window:
 		j.log, j.sum = append(j.log, seen{now, of}), j.sum+of
-		for j.log[0].at <= now-j.l.Span/1000 {
+		for j.log[0].at <= now-j.l.Window/1000 {
 			j.sum -= j.log[0].of
 			j.log = j.log[1:]
 		}
@@ -453,9 +453,9 @@
 			break
 		}
 	}
-	if since, is := w.open[p.name]; is && c.Limit.Without == quota.Open {
+	if since, is := w.open[p.name]; is && c.Limit.Fallback == quota.Open {
 		// Its session and the time for which it may go on are over, by the slowest clock.
-		if over := int64((float64(ttl)*float64(milli) + float64(c.Limit.For)/1000) * w.fast); w.q.Now()-since > over+milli {
+		if over := int64((float64(ttl)*float64(milli) + float64(c.Limit.FallbackTimeout)/1000) * w.fast); w.q.Now()-since > over+milli {
 			w.broken("open without end", "%s lets through %d ms after it was cut off", p.name, (w.q.Now()-since)/milli)
 		}
 	}
--- a/internal/lab/limitsim/proc.go
+++ b/internal/lab/limitsim/proc.go
@@ -57,7 +57,7 @@
 	p.pace, p.origin, p.stopped = 1/w.fast+(w.fast-1/w.fast)*w.rng.Float64(), w.q.Now()-w.rng.Int64N(3600*second), 0
 	p.session = lease.NewSession(lease.Rules{TTL: ttl * 1e6, Skew: skew, Margin: 2e6}, w.o.Plant.Session)
 	p.table = lease.NewTable(lease.NoTableDefect)
-	rules := quota.Rules{Skew: skew, Tell: 50e6, Each: 2e6}
+	rules := quota.Rules{MaxClockSkew: skew, ReportInterval: 50e6, ReportIntervalPerProcess: 2e6}
 	p.holder, p.divider = quota.NewConsumer(rules, w.o.Plant.Limit), quota.NewAllocator(rules, w.o.Plant.Limit)
 	p.holder.SetConfig(p.now(), w.conf)
 	p.divider.SetConfig(w.conf)
@@ -171,7 +171,7 @@
 		o = lease.Unknown
 	}
 	p.session.HandleResponse(p.now(), o, r.Lease)
-	p.holder.Session(p.now(), p.session.ID(), p.session.ValidUntil())
+	p.holder.SetSession(p.now(), p.session.ID(), p.session.ValidUntil())
 	p.step(0, p.renew)
 }
 
@@ -219,7 +219,7 @@
 	if err != nil {
 		panic(err)
 	}
-	p.holder.Granted(p.now(), p.session.ID(), i.Modified, g)
+	p.holder.ApplyGrant(p.now(), p.session.ID(), i.Modified, g)
 }
 
 // tell says what the process wants and has seen.
@@ -280,7 +280,7 @@
 	w.r.Turns++
 	p.busy = true
 	t := &store.Txn{If: append([]store.Compare{{Key: p.place, Modified: token}}, v.If...), Then: v.Then}
-	if w.o.Plant.Limit == quota.TurnUnchecked {
+	if w.o.Plant.Limit == quota.UncheckedRevision {
 		t.If = nil
 	}
 	p.send(store.Command{Txn: t}, func(store.Result, error) { p.busy = false })
@@ -337,7 +337,7 @@
 		}
 	}
 	if no != nil {
-		if no.After <= 0 {
+		if no.RetryAfter <= 0 {
 			w.broken("no time to come back", "%+v", no)
 		}
 		return false
@@ -347,12 +347,12 @@
 		return true
 	}
 	for _, c := range charges {
-		if _, there := w.state.Lease(p.session.ID()); !there && c.Limit.Without == quota.Strict {
+		if _, there := w.state.Lease(p.session.ID()); !there && c.Limit.Fallback == quota.Strict {
 			w.broken("used after its end", "%s lets through by a session that the store has ended", p.name)
 		}
 		w.come(p, c)
-		if c.Limit.Kind == quota.AtOnce {
-			long := c.Limit.Span / 1000 * int64(40+w.rng.IntN(60)) / 100
+		if c.Limit.Kind == quota.Concurrency {
+			long := c.Limit.Window / 1000 * int64(40+w.rng.IntN(60)) / 100
 			w.q.After(long, func() { w.gone(c) }) // at the server, whatever becomes of the process
 			p.step(long, func() { p.holder.Complete(p.now(), t) })
 			return true
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -126,7 +126,7 @@
 	if err != nil {
 		return err
 	}
-	conf, err := quota.Read("limits", fmt.Appendf(nil, limitsText, demand*float64(o.Sidecars), 3*demand*float64(o.Sidecars)))
+	conf, err := quota.ParseFile("limits", fmt.Appendf(nil, limitsText, demand*float64(o.Sidecars), 3*demand*float64(o.Sidecars)))
 	if err != nil {
 		return err
 	}
