--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1046,7 +1046,8 @@
 		c := &b.classes[r.slot]
 		if !first || now-c.lastForcedAt < forcedPassInterval {
 			if now-b.lastLogged["refuse"] >= second { // made only when due: refusals come in thousands
-				b.log(now, "refuse", "refusing, "+strconv.Itoa(int(100*b.rejectionRate.value))+"% of late: the best, endpoint "+
+				b.log(now, "refuse", "refusing, "+strconv.Itoa(int(100*
+					b.rejectionRate.value))+"% of late: the best, endpoint "+
 					strconv.Itoa(int(e.ID))+", would take "+strconv.Itoa(int(x/1000))+" ms, limit "+
 					strconv.Itoa(int(most/1000))+" ms")
 			}
