--- a/cmd/birchmoor/followers_test.go
+++ b/cmd/birchmoor/followers_test.go
@@ -185,7 +185,7 @@
 	}
 	processtest.Until(t, "all take part", func() bool {
 		all, err := clients["h0"].Tasks(ctx, daemon.FleetTask)
-		return err == nil && len(all) == 1 && len(all[0].Places) == 4
+		return err == nil && len(all) == 1 && len(all[0].Queue) == 4
 	})
 	socket := filepath.Join(dir, "h0.sock")
 	if code, _, errs := birchmoor("store", "watch", "limit/", "--socket", socket); code != 2 || !strings.Contains(errs, "a replica has to be asked") {
--- a/cmd/birchmoor/lock.go
+++ b/cmd/birchmoor/lock.go
@@ -73,7 +73,7 @@
 	if err := watchdog.BecomeSubreaper(); err != nil {
 		return err
 	}
-	defer watchdog.Clear()
+	defer watchdog.KillDescendants()
 	wait, cancel := ctx, context.CancelFunc(func() {})
 	if k.Wait > 0 {
 		wait, cancel = context.WithTimeout(ctx, k.Wait)
@@ -171,7 +171,7 @@
 		select {
 		case <-ended:
 			code := cmd.ProcessState.ExitCode()
-			watchdog.Clear() // what is left if the keeper was killed: only then may another have it
+			watchdog.KillDescendants() // what is left if the keeper was killed: only then may another have it
 			if said, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second); failed != nil {
 				_ = adminapi.Dial(k.Socket).Unlock(said, k.Name, l.Token) // or it has it once the time is up
 				cancel()
@@ -193,18 +193,18 @@
 			return nil
 		case <-stop:
 			stop = nil
-			_ = watchdog.End(pipe) // one that is gone ends
+			_ = watchdog.RequestEnd(pipe) // one that is gone ends
 		case err := <-failed:
 			failed = nil
 			lost = fmt.Errorf("the daemon: %w", err)
-			_ = watchdog.End(pipe)
+			_ = watchdog.RequestEnd(pipe)
 		case l := <-lines:
 			if l.Over {
 				if lost = errors.New(l.Why); plantedRelease() {
 					drop()
 					time.Sleep(time.Second)
 				}
-				_ = watchdog.End(pipe)
+				_ = watchdog.RequestEnd(pipe)
 			} else if l.Until > 0 {
 				_ = watchdog.ExtendDeadline(pipe, plantedUntil(l.Until))
 			}
@@ -228,13 +228,13 @@
 		k.Command = k.Command[1:]
 	}
 	syscall.CloseOnExec(3)
-	code, why := watchdog.Command{Args: k.Command, Env: os.Environ(), Grace: k.Grace, Early: k.Early, Clock: bootclock.Clock{Pace: inside.Pace}, Late: func(by int64) {
+	code, why := watchdog.Command{Args: k.Command, Env: os.Environ(), GracePeriod: k.Grace, KillMargin: k.Early, Clock: bootclock.Clock{Pace: inside.Pace}, OnOverrun: func(by int64) {
 		fmt.Fprintf(os.Stderr, "birchmoor: %s with token %s: what it ran may have gone on %v past its time: this host did not run its keeper in time\n", os.Getenv("BIRCHMOOR_TASK"), os.Getenv("BIRCHMOOR_TOKEN"), time.Duration(by).Round(time.Millisecond))
 	}}.Run(os.NewFile(3, "deadlines"))
 	switch {
-	case errors.Is(why, watchdog.ErrDeadlinePassed), errors.Is(why, watchdog.ErrAlone):
+	case errors.Is(why, watchdog.ErrDeadlinePassed), errors.Is(why, watchdog.ErrParentGone):
 		return &exitError{exitLost, nil}
-	case errors.Is(why, watchdog.ErrTold):
+	case errors.Is(why, watchdog.ErrEndRequested):
 		return &exitError{code, nil}
 	case why != nil:
 		return &exitError{exitNotRun, why}
--- a/cmd/birchmoor/plant_on.go
+++ b/cmd/birchmoor/plant_on.go
@@ -7,8 +7,8 @@
 	"os"
 	"time"
 
+	"birchmoor/internal/controlplane/lease"
 	"birchmoor/internal/lab/tasklab"
-	"birchmoor/internal/lease"
 	"birchmoor/internal/store"
 	"birchmoor/internal/store/admin"
 	"birchmoor/internal/store/engine"
@@ -22,11 +22,11 @@
 func planted(name string) bool { return os.Getenv(tasklab.PlantEnv) == name }
 
 // order-ignored: whoever has a place acts.
-func plantedTable() lease.TablePlant {
+func plantedTable() lease.TableDefect {
 	if planted("order-ignored") {
-		return lease.IgnoreOrder
+		return lease.IgnoreQueueOrder
 	}
-	return lease.TableNone
+	return lease.NoTableDefect
 }
 
 // deadline-ignored: the keeper does not end the command when its time is up.
@@ -49,11 +49,11 @@
 func plantedRelease() bool { return planted("released-first") }
 
 // rate-ignored: clocks are taken to run at one rate.
-func plantedSession() lease.Plant {
+func plantedSession() lease.Defect {
 	if planted("rate-ignored") {
-		return lease.NoSkew
+		return lease.IgnoreSkew
 	}
-	return lease.PlantNone
+	return lease.NoDefect
 }
 
 // read-stale: a read asks nobody where the quorum is.
@@ -66,6 +66,6 @@
 
 type staleStore struct{ admin.Store }
 
-func (s staleStore) View(ctx context.Context, _ bool, f func(*store.State)) (engine.Age, error) {
+func (s staleStore) View(ctx context.Context, _ bool, f func(*store.State)) (engine.CopyAge, error) {
 	return s.Store.View(ctx, true, f)
 }
--- a/cmd/birchmoor/steps_test.go
+++ b/cmd/birchmoor/steps_test.go
@@ -41,7 +41,7 @@
 	}
 	ready := func() bool {
 		all, err := f.Daemons[0].Client.Tasks(ctx, "sweep")
-		return err == nil && len(all) == 1 && len(all[0].Places) >= len(f.Daemons)
+		return err == nil && len(all) == 1 && len(all[0].Queue) >= len(f.Daemons)
 	}
 	processtest.Until(t, "every daemon's part in the fleet", ready, logs)
 	put := func(settle string, edits ...string) (code int, out string) {
--- a/cmd/birchmoor/task.go
+++ b/cmd/birchmoor/task.go
@@ -50,7 +50,7 @@
 // holderOf says who holds a task, or why nobody does.
 func holderOf(i leasetask.TaskStatus) (host, token string) {
 	n := 0
-	for _, p := range i.Places {
+	for _, p := range i.Queue {
 		if p.Holds {
 			if n++; n == 1 {
 				host, token = p.Host, fmt.Sprint(p.Token)
@@ -68,12 +68,12 @@
 
 func lastOf(i leasetask.TaskStatus) string {
 	switch {
-	case i.Last == nil:
+	case i.LastReport == nil:
 		return "-"
-	case i.Last.Error != "":
-		return fmt.Sprintf("failed %s ago: %s", ageOf(i.LastMs), i.Last.Error)
+	case i.LastReport.Error != "":
+		return fmt.Sprintf("failed %s ago: %s", ageOf(i.LastReportAgeMillis), i.LastReport.Error)
 	}
-	return fmt.Sprintf("%d done, told %s ago", i.Last.Done, ageOf(i.LastMs))
+	return fmt.Sprintf("%d done, told %s ago", i.LastReport.Completed, ageOf(i.LastReportAgeMillis))
 }
 
 func (k *taskList) Run(ctx context.Context, c *console) error {
@@ -82,11 +82,11 @@
 			fmt.Fprintln(w, "TASK\tHOLDER\tTOKEN\tSLOTS\tPLACES\tLAST\tNOTE")
 			for _, i := range all {
 				host, token := holderOf(i)
-				note := i.Why
-				if note == "" && i.Order.Host != "" {
-					note = "given to " + i.Order.Host
+				note := i.NoHolderReason
+				if note == "" && i.Override.PreferredHost != "" {
+					note = "given to " + i.Override.PreferredHost
 				}
-				fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s\t%s\n", i.Task, host, token, max(1, i.Slots), len(i.Places), lastOf(i), note)
+				fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s\t%s\n", i.Task, host, token, max(1, i.Slots), len(i.Queue), lastOf(i), note)
 			}
 		})
 	})
@@ -105,25 +105,25 @@
 			for _, x := range [][2]any{{"task", i.Task}, {"holder", host}, {"token", token}, {"slots", max(1, i.Slots)}, {"last", lastOf(i)}} {
 				fmt.Fprintf(w, "%v\t%v\n", x[0], x[1])
 			}
-			if i.Why != "" {
-				fmt.Fprintf(w, "why none\t%s\n", i.Why)
+			if i.NoHolderReason != "" {
+				fmt.Fprintf(w, "why none\t%s\n", i.NoHolderReason)
 			}
-			if i.Order.Host != "" {
-				fmt.Fprintf(w, "given to\t%s, by %s\n", i.Order.Host, i.Order.By)
+			if i.Override.PreferredHost != "" {
+				fmt.Fprintf(w, "given to\t%s, by %s\n", i.Override.PreferredHost, i.Override.Operator)
 			}
-			if i.Here != "" {
-				fmt.Fprintf(w, "this daemon\t%s\n", i.Here)
+			if i.LocalState != "" {
+				fmt.Fprintf(w, "this daemon\t%s\n", i.LocalState)
 			}
 			fmt.Fprintln(w, "\nHOST\tTOKEN\tSTATE\tSINCE\tENTITLED FOR\tTTL\tNOTE")
-			for _, p := range i.Places {
+			for _, p := range i.Queue {
 				state, left := "waits", "-"
 				if p.Holds {
 					state = "holds"
 				}
-				if p.UntilMs > 0 {
-					left = (time.Duration(p.UntilMs) * time.Millisecond).String()
+				if p.ValidMillis > 0 {
+					left = (time.Duration(p.ValidMillis) * time.Millisecond).String()
 				}
-				fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%v\t%s\n", p.Host, p.Token, state, ageOf(p.AgeMs), left, time.Duration(p.TTLMs)*time.Millisecond, p.Note)
+				fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%v\t%s\n", p.Host, p.Token, state, ageOf(p.AgeMillis), left, time.Duration(p.TTLMillis)*time.Millisecond, p.Note)
 			}
 		})
 	})
@@ -132,7 +132,7 @@
 // order puts an order on a task.
 func (s *socketFlag) order(ctx context.Context, c *console, task string, o lease.TaskOverride) error {
 	if u, err := user.Current(); err == nil {
-		o.By = u.Username // for people alone
+		o.Operator = u.Username // for people alone
 	}
 	return s.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
 		if err := a.OrderTask(ctx, adminapi.OverrideRequest{Task: task, TaskOverride: o}); err != nil {
@@ -182,5 +182,5 @@
 }
 
 func (k *taskMove) Run(ctx context.Context, c *console) error {
-	return k.order(ctx, c, k.Task, lease.TaskOverride{Host: k.Host, Note: k.Note})
+	return k.order(ctx, c, k.Task, lease.TaskOverride{PreferredHost: k.Host, Note: k.Note})
 }
--- a/cmd/birchmoor/tasklab.go
+++ b/cmd/birchmoor/tasklab.go
@@ -191,7 +191,7 @@
 	const ttl = 5 * time.Second // the daemons' default
 	const ownTasks = 2          // in which each daemon has a place
 	if err := until("every daemon's place", func(list []leasetask.TaskStatus) bool {
-		return len(list) == ownTasks && len(list[0].Places) == n && len(list[1].Places) == n
+		return len(list) == ownTasks && len(list[0].Queue) == n && len(list[1].Queue) == n
 	}); err != nil {
 		return nil, err
 	}
--- a/internal/controlplane/adminapi/tasks.go
+++ b/internal/controlplane/adminapi/tasks.go
@@ -129,7 +129,7 @@
 	told := int64(0)
 	ended := s.unlocked(want.Task, h.Token())
 	defer h.Release()
-	defer h.Busy()()
+	defer h.TrackAction()()
 	defer func() {
 		t := time.NewTimer(s.Clock.Span(told - s.Clock.Now()))
 		defer t.Stop()
--- a/internal/controlplane/components.go
+++ b/internal/controlplane/components.go
@@ -109,7 +109,7 @@
 		cfg.Tick = clock.Span(int64(cfg.Tick))
 	}
 	p := &Components{log: log, Meter: cfg.Meter, Servers: daemon.NewServers(s.Name, log), Settings: daemon.NewSettings(s.Name, c.Check, log),
-		Tasks: leasetask.New(leasetask.Config{Host: s.Name, Skew: s.Skew, Log: log, Clock: clock, Table: c.Plant.Table, Plant: c.Plant.Session})}
+		Tasks: leasetask.New(leasetask.Config{Host: s.Name, Skew: s.Skew, Log: log, Clock: clock, TableDefect: c.Plant.Table, SessionDefect: c.Plant.Session})}
 	if c.Sidecar != "" {
 		p.Servers.Own(c.Sidecar)
 	}
@@ -206,7 +206,7 @@
 func sweep(d *daemon.Daemon, servers *daemon.Servers, ttl time.Duration) leasetask.Task {
 	var token uint64 // of the holding for which all is known
 	return leasetask.Task{Claim: leasetask.Claim{Task: daemon.FleetTask, TTL: ttl, Note: "ends drains, starts and pictures that nobody tells any more"},
-		Every: sweepEvery, Most: ttl / 2, Progress: 6 * sweepEvery, HoldDown: 6 * sweepEvery,
+		Interval: sweepEvery, Timeout: ttl / 2, ProgressTimeout: 6 * sweepEvery, Cooldown: 6 * sweepEvery,
 		Do: func(ctx context.Context, h *leasetask.Lease) error {
 			if h.Token() != token {
 				token = h.Token()
@@ -218,8 +218,8 @@
 
 // drive is the task of taking settings that come in force in steps further, or back.
 func drive(settings *daemon.Settings, ttl time.Duration) leasetask.Task {
-	return leasetask.Task{Claim: leasetask.Claim{Task: daemon.RolloutTask, TTL: ttl, Note: "drives settings that come in force in steps"}, Every: driveEvery, Most: ttl / 2,
-		Progress: time.Minute, HoldDown: time.Minute,
+	return leasetask.Task{Claim: leasetask.Claim{Task: daemon.RolloutTask, TTL: ttl, Note: "drives settings that come in force in steps"}, Interval: driveEvery, Timeout: ttl / 2,
+		ProgressTimeout: time.Minute, Cooldown: time.Minute,
 		Do: func(ctx context.Context, h *leasetask.Lease) error { return settings.Drive(ctx, h.Token(), h.Txn) }}
 }
 
--- a/internal/controlplane/daemon/steps.go
+++ b/internal/controlplane/daemon/steps.go
@@ -41,7 +41,7 @@
 
 // Allowed says whether an operation is a daemon's own to make: its report of how a plan goes with it.
 func Allowed(op store.Op, owner string) bool {
-	return op.Key == ReportKey(owner) && lease.Puts(op, owner)
+	return op.Key == ReportKey(owner) && lease.IsPersistentPut(op, owner)
 }
 
 // AnswerCounter are what a sidecar's clients were answered since its start: served, or refused and failed.
--- a/internal/controlplane/lease/fence.go
+++ b/internal/controlplane/lease/fence.go
@@ -12,10 +12,10 @@
 // Fence is the half of what is acted upon: it lets nothing take effect that is of a lower token than it has seen. A zero Fence
 // remembers for as long as it lives; OpenFence over starts. Any goroutine may use it.
 type Fence struct {
-	mu    sync.Mutex
-	path  string
-	seen  map[string]uint64
-	plant FenceDefect
+	mu      sync.Mutex
+	path    string
+	highest map[string]uint64
+	defect  FenceDefect
 }
 
 // FenceDefect is a fault of a Fence.
@@ -23,28 +23,28 @@
 
 // The faults.
 const (
-	NoFenceDefect FenceDefect = iota
-	FenceOpen                 // it lets all pass
-	FenceForget               // it does not keep what it has seen
+	NoFenceDefect   FenceDefect = iota
+	AdmitAllTokens              // it lets all pass
+	ForgetOnRestart             // it does not keep what it has seen
 )
 
-const fenceMost = 4096 // tasks; one more is refused
+const maxFencedTasks = 4096 // tasks; one more is refused
 
 // ErrFenceUnavailable says that a fence has no room for another task, or cannot keep what it has seen.
 var ErrFenceUnavailable = errors.New("the fence cannot keep the token")
 
 // NewFence returns one that remembers for as long as it lives.
-func NewFence(p FenceDefect) *Fence { return &Fence{plant: p} }
+func NewFence(p FenceDefect) *Fence { return &Fence{defect: p} }
 
 // OpenFence reads what an earlier one at this path has seen.
 func OpenFence(path string, p FenceDefect) (*Fence, error) {
-	f := &Fence{path: path, plant: p}
+	f := &Fence{path: path, defect: p}
 	b, err := os.ReadFile(path)
-	if errors.Is(err, os.ErrNotExist) || p == FenceForget {
+	if errors.Is(err, os.ErrNotExist) || p == ForgetOnRestart {
 		return f, nil
 	}
 	if err == nil {
-		err = json.Unmarshal(b, &f.seen)
+		err = json.Unmarshal(b, &f.highest)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("fence: %s: %w", path, err)
@@ -57,35 +57,35 @@
 func (f *Fence) Admit(task string, token uint64) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	seen, known := f.seen[task]
-	if token < seen && f.plant != FenceOpen {
+	seen, known := f.highest[task]
+	if token < seen && f.defect != AdmitAllTokens {
 		return fmt.Errorf("%w: %d of %s, after %d", ErrStaleToken, token, task, seen)
 	}
 	if token <= seen {
 		return nil
 	}
-	if !known && len(f.seen) >= fenceMost {
-		return fmt.Errorf("%w: %d tasks", ErrFenceUnavailable, len(f.seen))
+	if !known && len(f.highest) >= maxFencedTasks {
+		return fmt.Errorf("%w: %d tasks", ErrFenceUnavailable, len(f.highest))
 	}
-	if f.seen == nil {
-		f.seen = map[string]uint64{}
+	if f.highest == nil {
+		f.highest = map[string]uint64{}
 	}
-	f.seen[task] = token
-	if err := f.keep(); err != nil {
-		if f.seen[task] = seen; !known {
-			delete(f.seen, task)
+	f.highest[task] = token
+	if err := f.save(); err != nil {
+		if f.highest[task] = seen; !known {
+			delete(f.highest, task)
 		}
 		return fmt.Errorf("%w: %w", ErrFenceUnavailable, err)
 	}
 	return nil
 }
 
-// keep writes what was seen, and waits until it is on the disk.
-func (f *Fence) keep() error {
+// save writes what was seen, and waits until it is on the disk.
+func (f *Fence) save() error {
 	if f.path == "" {
 		return nil
 	}
-	b, err := json.Marshal(f.seen)
+	b, err := json.Marshal(f.highest)
 	if err != nil {
 		return err
 	}
--- a/internal/controlplane/lease/shards.go
+++ b/internal/controlplane/lease/shards.go
@@ -2,13 +2,13 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Shards says which of n shards a member is to want, by rendezvous hashing (Thaler and Ravishankar, 1998) with a bound on each
+// AssignedShards says which of n shards a member is to want, by rendezvous hashing (Thaler and Ravishankar, 1998) with a bound on each
 // one's load: all members reckon the same, and when one comes or goes few shards move. Members are in any order, without doubles;
 // the answer is sorted.
 //
 // It is a wish alone. That no shard is held twice is by a lease for each: who is to give one away releases it, and who is to have
 // it waits for its place.
-func Shards(task string, n int, members []string, me string) []int {
+func AssignedShards(task string, n int, members []string, me string) []int {
 	if len(members) == 0 || n <= 0 {
 		return nil
 	}
--- a/internal/controlplane/lease/stored_test.go
+++ b/internal/controlplane/lease/stored_test.go
@@ -35,11 +35,11 @@
 		key   string
 		value any // a pointer to the expected value
 	}{
-		{QueueEntryKey("reindex", "host-a", "00ff1"), &QueueRecord{Session: 77, TTL: 30000, Note: "nightly"}},
-		{QueueEntryKey("reindex", "host-b", "00ff2"), &QueueRecord{Session: 78, TTL: 15000}},
+		{QueueEntryKey("reindex", "host-a", "00ff1"), &QueueRecord{Session: 77, TTLMillis: 30000, Note: "nightly"}},
+		{QueueEntryKey("reindex", "host-b", "00ff2"), &QueueRecord{Session: 78, TTLMillis: 15000}},
 		{TaskConfigPrefix + "reindex", &TaskConfig{Slots: 2}},
-		{OverridePrefix + "reindex", &TaskOverride{Pause: true, Host: "host-b", By: "ops", Note: "disk swap"}},
-		{OverridePrefix + "backup", &TaskOverride{Host: "host-a"}},
+		{OverridePrefix + "reindex", &TaskOverride{Pause: true, PreferredHost: "host-b", Operator: "ops", Note: "disk swap"}},
+		{OverridePrefix + "backup", &TaskOverride{PreferredHost: "host-a"}},
 	}
 	for _, tc := range tests {
 		stored, ok := records[tc.key]
@@ -77,7 +77,7 @@
 		t.Errorf("queue %+v, want %+v", got, want)
 	}
 	override, set := table.Override("reindex")
-	if !override.Pause || override.Host != "host-b" || set != 11 || table.Slots("reindex") != 2 || !table.Suspended() {
+	if !override.Pause || override.PreferredHost != "host-b" || set != 11 || table.Slots("reindex") != 2 || !table.Suspended() {
 		t.Errorf("override %+v of %d, %d slots, suspended %v", override, set, table.Slots("reindex"), table.Suspended())
 	}
 }
--- a/internal/controlplane/lease/table.go
+++ b/internal/controlplane/lease/table.go
@@ -36,17 +36,17 @@
 
 // TaskOverride is an operator's word on a task.
 type TaskOverride struct {
-	Pause bool   `json:"pause,omitempty"` // nobody is to hold it
-	Host  string `json:"host,omitempty"`  // those before its first place are to go behind it
-	By    string `json:"by,omitempty"`
-	Note  string `json:"note,omitempty"`
+	Pause         bool   `json:"pause,omitempty"` // nobody is to hold it
+	PreferredHost string `json:"host,omitempty"`  // those before its first place are to go behind it
+	Operator      string `json:"by,omitempty"`
+	Note          string `json:"note,omitempty"`
 }
 
 // QueueRecord is the value of a place.
 type QueueRecord struct {
-	Session uint64 `json:"session"`
-	TTL     int64  `json:"ttl_ms"`
-	Note    string `json:"note,omitempty"` // what it is for
+	Session   uint64 `json:"session"`
+	TTLMillis int64  `json:"ttl_ms"`
+	Note      string `json:"note,omitempty"` // what it is for
 }
 
 // QueueEntry is one in a task's queue.
@@ -75,18 +75,18 @@
 
 // Table is what a copy of the store shows of tasks. It is for one goroutine at a time.
 type Table struct {
-	tasks   map[string]*queue
-	held    bool // HoldKey is there
-	plant   TableDefect
-	counted map[string]uint64 // with ForgetTokens
-	cluster uint64
+	tasks      map[string]*taskQueue
+	suspended  bool // HoldKey is there
+	defect     TableDefect
+	renumbered map[string]uint64 // with ForgetTokens
+	cluster    uint64
 }
 
-type queue struct {
-	places []QueueEntry // by token
-	conf   TaskConfig
-	order  TaskOverride
-	set    uint64 // the revision of the order; 0: there is none
+type taskQueue struct {
+	entries          []QueueEntry // by token
+	config           TaskConfig
+	override         TaskOverride
+	overrideRevision uint64 // the revision of the order; 0: there is none
 }
 
 // TableDefect is a fault of a Table.
@@ -94,20 +94,20 @@
 
 // The faults.
 const (
-	NoTableDefect TableDefect = iota
-	CountAtMine               // permits are counted among this daemon's own places
-	IgnoreOrder               // whoever has a place may act
-	ForgetTokens              // the token is not the place's, but counted anew by this process
+	NoTableDefect       TableDefect = iota
+	CountOwnEntriesOnly             // permits are counted among this daemon's own places
+	IgnoreQueueOrder                // whoever has a place may act
+	RenumberTokens                  // the token is not the place's, but counted anew by this process
 )
 
 // NewTable returns an empty one.
-func NewTable(p TableDefect) *Table { return &Table{tasks: map[string]*queue{}, plant: p} }
+func NewTable(p TableDefect) *Table { return &Table{tasks: map[string]*taskQueue{}, defect: p} }
 
-// of is a task's queue.
-func (t *Table) of(task string) *queue {
+// queueOf is a task's queue.
+func (t *Table) queueOf(task string) *taskQueue {
 	q := t.tasks[task]
 	if q == nil {
-		q = &queue{}
+		q = &taskQueue{}
 		t.tasks[task] = q
 	}
 	return q
@@ -118,69 +118,69 @@
 	if !strings.HasPrefix(e.Item.Key, Prefix) {
 		return false
 	}
-	t.take(e.Item, e.Deleted)
+	t.apply(e.Item, e.Deleted)
 	return true
 }
 
 // Reset takes a whole copy. Cluster is told apart: places are of the one in which they were put.
 func (t *Table) Reset(s *store.State) {
 	clear(t.tasks)
-	t.held, t.cluster = false, s.Cluster()
-	s.Range(Prefix, store.PrefixEnd(Prefix), func(i store.Item) bool { t.take(i, false); return true })
+	t.suspended, t.cluster = false, s.Cluster()
+	s.Range(Prefix, store.PrefixEnd(Prefix), func(i store.Item) bool { t.apply(i, false); return true })
 }
 
 // Cluster is that of the last whole copy.
 func (t *Table) Cluster() uint64 { return t.cluster }
 
-func (t *Table) take(i store.Item, deleted bool) {
+func (t *Table) apply(i store.Item, deleted bool) {
 	key := i.Key
 	if key == SuspendKey {
-		t.held = !deleted
+		t.suspended = !deleted
 		return
 	}
 	if task, host, _, ok := ParseQueueEntryKey(key); ok {
-		q := t.of(task)
-		at := slices.IndexFunc(q.places, func(p QueueEntry) bool { return p.Key == key })
+		q := t.queueOf(task)
+		at := slices.IndexFunc(q.entries, func(p QueueEntry) bool { return p.Key == key })
 		if at >= 0 {
-			q.places = slices.Delete(q.places, at, at+1)
+			q.entries = slices.Delete(q.entries, at, at+1)
 		}
 		if !deleted {
 			p := QueueEntry{Key: key, Task: task, Host: host, Token: i.Created}
 			_ = json.Unmarshal(i.Value, &p.QueueRecord) // a place holds its rank whatever its value says
-			at, _ := slices.BinarySearchFunc(q.places, p.Token, func(x QueueEntry, token uint64) int { return cmp.Compare(x.Token, token) })
-			q.places = slices.Insert(q.places, at, p)
+			at, _ := slices.BinarySearchFunc(q.entries, p.Token, func(x QueueEntry, token uint64) int { return cmp.Compare(x.Token, token) })
+			q.entries = slices.Insert(q.entries, at, p)
 		}
-		t.forget(task)
+		t.dropIfEmpty(task)
 		return
 	}
 	for _, x := range []struct {
 		prefix string
-		do     func(q *queue)
+		do     func(q *taskQueue)
 	}{
-		{TaskConfigPrefix, func(q *queue) {
-			if q.conf = (TaskConfig{}); !deleted {
-				_ = json.Unmarshal(i.Value, &q.conf)
+		{TaskConfigPrefix, func(q *taskQueue) {
+			if q.config = (TaskConfig{}); !deleted {
+				_ = json.Unmarshal(i.Value, &q.config)
 			}
 		}},
-		{OverridePrefix, func(q *queue) {
-			if q.order, q.set = (TaskOverride{}), 0; !deleted {
-				q.set = i.Modified
-				if json.Unmarshal(i.Value, &q.order) != nil {
-					q.order = TaskOverride{Pause: true} // what cannot be read stops the task rather than nothing
+		{OverridePrefix, func(q *taskQueue) {
+			if q.override, q.overrideRevision = (TaskOverride{}), 0; !deleted {
+				q.overrideRevision = i.Modified
+				if json.Unmarshal(i.Value, &q.override) != nil {
+					q.override = TaskOverride{Pause: true} // what cannot be read stops the task rather than nothing
 				}
 			}
 		}},
 	} {
 		if task, ok := strings.CutPrefix(key, x.prefix); ok && CheckName(task) == nil {
-			x.do(t.of(task))
-			t.forget(task)
+			x.do(t.queueOf(task))
+			t.dropIfEmpty(task)
 		}
 	}
 }
 
-// forget drops a task of which nothing is known.
-func (t *Table) forget(task string) {
-	if q := t.tasks[task]; q != nil && len(q.places) == 0 && q.conf == (TaskConfig{}) && q.set == 0 {
+// dropIfEmpty drops a task of which nothing is known.
+func (t *Table) dropIfEmpty(task string) {
+	if q := t.tasks[task]; q != nil && len(q.entries) == 0 && q.config == (TaskConfig{}) && q.overrideRevision == 0 {
 		delete(t.tasks, task)
 	}
 }
@@ -191,17 +191,17 @@
 	if q == nil {
 		return QueueEntry{}, 0, false
 	}
-	at := slices.IndexFunc(q.places, func(p QueueEntry) bool { return p.Key == key })
+	at := slices.IndexFunc(q.entries, func(p QueueEntry) bool { return p.Key == key })
 	if at < 0 {
 		return QueueEntry{}, 0, false
 	}
-	return q.places[at], at, true
+	return q.entries[at], at, true
 }
 
 // Slots is how many hold a task at once; 0: nobody has said.
 func (t *Table) Slots(task string) int {
 	if q := t.tasks[task]; q != nil {
-		return q.conf.Slots
+		return q.config.Slots
 	}
 	return 0
 }
@@ -209,40 +209,40 @@
 // Override is the operators' word on a task, and its revision; 0: there is none.
 func (t *Table) Override(task string) (TaskOverride, uint64) {
 	if q := t.tasks[task]; q != nil {
-		return q.order, q.set
+		return q.override, q.overrideRevision
 	}
 	return TaskOverride{}, 0
 }
 
 // Suspended says whether nobody may act, since the store was restored a moment ago.
-func (t *Table) Suspended() bool { return t.held }
+func (t *Table) Suspended() bool { return t.suspended }
 
 // Holds says whether the place is among those that hold its task, by this copy: with an old copy too few, never too many. The
 // order of operators is not asked: it has a holder release.
 func (t *Table) Holds(task, key string) (token uint64, ok bool) {
 	p, before, ok := t.Find(task, key)
-	if !ok || t.held {
+	if !ok || t.suspended {
 		return 0, false
 	}
-	switch t.plant {
-	case CountAtMine:
+	switch t.defect {
+	case CountOwnEntriesOnly:
 		before = 0
-		for _, x := range t.tasks[task].places {
+		for _, x := range t.tasks[task].entries {
 			if x.Token < p.Token && x.Host == p.Host {
 				before++
 			}
 		}
-	case IgnoreOrder:
+	case IgnoreQueueOrder:
 		before = 0
 	}
-	if t.plant == ForgetTokens {
-		if t.counted == nil {
-			t.counted = map[string]uint64{}
+	if t.defect == RenumberTokens {
+		if t.renumbered == nil {
+			t.renumbered = map[string]uint64{}
 		}
-		if t.counted[key] == 0 {
-			t.counted[key] = uint64(len(t.counted)) + 1
+		if t.renumbered[key] == 0 {
+			t.renumbered[key] = uint64(len(t.renumbered)) + 1
 		}
-		p.Token = t.counted[key]
+		p.Token = t.renumbered[key]
 	}
 	return p.Token, before < max(1, t.Slots(task))
 }
@@ -254,16 +254,16 @@
 	if o.Pause {
 		return ErrPaused
 	}
-	if o.Host == "" {
+	if o.PreferredHost == "" {
 		return nil
 	}
 	p, _, ok := t.Find(task, key)
-	if !ok || p.Host == o.Host {
+	if !ok || p.Host == o.PreferredHost {
 		return nil
 	}
-	for _, x := range t.tasks[task].places {
-		if x.Host == o.Host && x.Token > p.Token {
-			return fmt.Errorf("%w: it is given to %s", ErrLost, o.Host)
+	for _, x := range t.tasks[task].entries {
+		if x.Host == o.PreferredHost && x.Token > p.Token {
+			return fmt.Errorf("%w: it is given to %s", ErrLost, o.PreferredHost)
 		}
 	}
 	return nil
@@ -282,7 +282,7 @@
 // Queue lists a task's, first the holders.
 func (t *Table) Queue(task string) []QueueEntry {
 	if q := t.tasks[task]; q != nil {
-		return slices.Clone(q.places)
+		return slices.Clone(q.entries)
 	}
 	return nil
 }
@@ -291,7 +291,7 @@
 func (t *Table) EntriesOf(host string, session uint64) []QueueEntry {
 	var own []QueueEntry
 	for _, task := range t.Tasks() {
-		for _, p := range t.tasks[task].places {
+		for _, p := range t.tasks[task].entries {
 			if p.Host == host && p.Session == session {
 				own = append(own, p)
 			}
@@ -306,10 +306,10 @@
 		return host == owner && (op.Delete || op.Lease != 0 && len(op.Value) <= MaxValueBytes)
 	}
 	task, ok := strings.CutPrefix(op.Key, TaskConfigPrefix)
-	return ok && CheckName(task) == nil && Puts(op, owner)
+	return ok && CheckName(task) == nil && IsPersistentPut(op, owner)
 }
 
-// Puts says whether an operation puts, in a daemon's name, what stays and is short.
-func Puts(op store.Op, owner string) bool {
+// IsPersistentPut says whether an operation puts, in a daemon's name, what stays and is short.
+func IsPersistentPut(op store.Op, owner string) bool {
 	return owner != "" && !op.Delete && op.Lease == 0 && len(op.Value) <= MaxValueBytes
 }
--- a/internal/controlplane/leasetask/hold.go
+++ b/internal/controlplane/leasetask/lease.go
@@ -13,24 +13,24 @@
 
 // Lease is one holding of a task, from when this daemon's turn came until it is lost or released. Any goroutine may use it.
 type Lease struct {
-	r     *Runner
-	want  Claim
-	s     *session
-	key   string
-	token uint64
-	since int64
+	runner  *Runner
+	claim   Claim
+	session *session
+	key     string
+	token   uint64
+	since   int64
 
-	number  uint64 // of the session that the place is of
-	ctx     context.Context
-	cancel  context.CancelCauseFunc
-	actions sync.WaitGroup
-	over    sync.Once
-	leaving bool // under the runner's lock: it is entitled to nothing any more
+	generation  uint64 // of the session that the place is of
+	ctx         context.Context
+	cancel      context.CancelCauseFunc
+	actions     sync.WaitGroup
+	releaseOnce sync.Once
+	releasing   bool // under the runner's lock: it is entitled to nothing any more
 }
 
-// queue takes a place and waits for its turn.
-func (h *Lease) queue(ctx context.Context, nonce string, waiting func(int, error)) error {
-	r, told, wait := h.r, -1, retryMin
+// waitForTurn takes a place and waits for its turn.
+func (h *Lease) waitForTurn(ctx context.Context, nonce string, waiting func(int, error)) error {
+	r, told, wait := h.runner, -1, minRetryDelay
 	var last error
 	say := func(before int, why error) {
 		if waiting != nil && (before != told || why != nil) {
@@ -45,30 +45,30 @@
 			r.mu.Unlock()
 			return ErrClosed
 		}
-		live := h.s.core.ID() != 0 && now < h.s.core.ValidUntil()
+		live := h.session.state.ID() != 0 && now < h.session.state.ValidUntil()
 		switch {
-		case h.key != "" && h.number != h.s.core.Generation(): // its session has ended, and the place with it
-			delete(r.holds, h.key)
+		case h.key != "" && h.generation != h.session.state.Generation(): // its session has ended, and the place with it
+			delete(r.leases, h.key)
 			h.key = ""
 			r.mu.Unlock()
 			continue
 		case !live:
 			r.mu.Unlock()
 			say(-1, errors.Join(errors.New("the store does not answer"), last))
-			if err := r.wait(ctx, changed, 0); err != nil {
+			if err := r.waitForChange(ctx, changed, 0); err != nil {
 				return errors.Join(err, last)
 			}
 			continue
 		}
 		if h.key == "" {
 			n++
-			h.key, h.number = lease.QueueEntryKey(h.want.Task, r.cfg.Host, fmt.Sprintf("%s%d", nonce, n)), h.s.core.Generation()
-			r.holds[h.key] = h
+			h.key, h.generation = lease.QueueEntryKey(h.claim.Task, r.cfg.Host, fmt.Sprintf("%s%d", nonce, n)), h.session.state.Generation()
+			r.leases[h.key] = h
 		}
-		_, before, there := r.table.Find(h.want.Task, h.key)
-		token, holds := r.table.Holds(h.want.Task, h.key)
-		yields := r.table.MustRelease(h.want.Task, h.key)
-		held, slots := r.table.Suspended(), max(1, r.table.Slots(h.want.Task))
+		_, before, there := r.table.Find(h.claim.Task, h.key)
+		token, holds := r.table.Holds(h.claim.Task, h.key)
+		yields := r.table.MustRelease(h.claim.Task, h.key)
+		held, slots := r.table.Suspended(), max(1, r.table.Slots(h.claim.Task))
 		if there && holds && yields == nil {
 			h.token, h.since = token, now
 			h.ctx, h.cancel = context.WithCancelCause(context.Background())
@@ -76,13 +76,13 @@
 			r.wg.Go(h.watch)
 			return nil
 		}
-		id := h.s.core.ID()
+		id := h.session.state.ID()
 		if there && yields != nil && !errors.Is(yields, lease.ErrPaused) { // behind whom it is given to
-			delete(r.holds, h.key)
+			delete(r.leases, h.key)
 			key := h.key
 			h.key = ""
 			r.mu.Unlock()
-			if err := r.remove(ctx, key); err != nil && ctx.Err() != nil {
+			if err := r.removeEntry(ctx, key); err != nil && ctx.Err() != nil {
 				return ctx.Err()
 			}
 			continue
@@ -97,43 +97,43 @@
 			default:
 				say(max(0, before-slots+1), nil)
 			}
-			if err := r.wait(ctx, changed, 0); err != nil {
+			if err := r.waitForChange(ctx, changed, 0); err != nil {
 				return err
 			}
 			continue
 		}
-		last = r.put(ctx, h, id)
+		last = r.putEntry(ctx, h, id)
 		if errors.Is(last, lease.ErrSlotsMismatch) || errors.Is(last, store.ErrFull) || errors.Is(last, store.ErrBadKey) {
 			return last
 		}
 		r.mu.Lock()
-		_, _, there = r.table.Find(h.want.Task, h.key)
+		_, _, there = r.table.Find(h.claim.Task, h.key)
 		changed = r.changed
 		r.mu.Unlock()
 		if !there { // the copy will show it, or it is put again: it is the same place
 			if last != nil {
 				say(-1, last)
 			}
-			if err := r.wait(ctx, changed, r.cfg.Clock.Now()+int64(wait)); err != nil {
+			if err := r.waitForChange(ctx, changed, r.cfg.Clock.Now()+int64(wait)); err != nil {
 				return errors.Join(err, last)
 			}
-			wait = min(2*wait, retryMost)
+			wait = min(2*wait, maxRetryDelay)
 		}
 	}
 }
 
-// entitled says until when it may act. The runner's lock is held.
-func (h *Lease) entitled(now int64) (until int64, err error) {
-	if h.leaving {
+// validUntil says until when it may act. The runner's lock is held.
+func (h *Lease) validUntil(now int64) (until int64, err error) {
+	if h.releasing {
 		return 0, lease.ErrLost
 	}
-	if h.number != h.s.core.Generation() {
+	if h.generation != h.session.state.Generation() {
 		return 0, fmt.Errorf("%w: the session has ended", lease.ErrLost)
 	}
-	if until = h.s.core.ValidUntil(); now >= until {
+	if until = h.session.state.ValidUntil(); now >= until {
 		return 0, fmt.Errorf("%w: no renewal was answered in time", lease.ErrLost)
 	}
-	if _, ok := h.r.table.Holds(h.want.Task, h.key); !ok {
+	if _, ok := h.runner.table.Holds(h.claim.Task, h.key); !ok {
 		return 0, fmt.Errorf("%w: its place is gone", lease.ErrLost)
 	}
 	return until, nil
@@ -141,13 +141,13 @@
 
 // watch ends the hold's context once it is entitled no more, or is asked to release.
 func (h *Lease) watch() {
-	r := h.r
+	r := h.runner
 	for {
 		r.mu.Lock()
 		changed := r.changed
-		until, err := h.entitled(r.cfg.Clock.Now())
+		until, err := h.validUntil(r.cfg.Clock.Now())
 		if err == nil {
-			err = r.table.MustRelease(h.want.Task, h.key)
+			err = r.table.MustRelease(h.claim.Task, h.key)
 		}
 		if err == nil && r.closed {
 			err = ErrClosed
@@ -157,7 +157,7 @@
 			h.cancel(err)
 			return
 		}
-		if err := r.wait(h.ctx, changed, until); err != nil {
+		if err := r.waitForChange(h.ctx, changed, until); err != nil {
 			h.cancel(err)
 			return
 		}
@@ -165,16 +165,16 @@
 }
 
 // Task is what is held.
-func (h *Lease) Task() string { return h.want.Task }
+func (h *Lease) Task() string { return h.claim.Task }
 
 // Token is higher than that of any earlier holder of the same task.
 func (h *Lease) Token() uint64 { return h.token }
 
 // ValidUntil is when the entitlement ends unless it is renewed, by the host's boot clock in nanoseconds; 0: it has ended.
 func (h *Lease) ValidUntil() int64 {
-	h.r.mu.Lock()
-	defer h.r.mu.Unlock()
-	until, err := h.entitled(h.r.cfg.Clock.Now())
+	h.runner.mu.Lock()
+	defer h.runner.mu.Unlock()
+	until, err := h.validUntil(h.runner.cfg.Clock.Now())
 	if err != nil {
 		return 0
 	}
@@ -187,11 +187,11 @@
 	go func() {
 		defer close(done)
 		for h.ctx.Err() == nil {
-			h.r.mu.Lock()
-			changed := h.r.changed
-			until, err := h.entitled(h.r.cfg.Clock.Now())
-			h.r.mu.Unlock()
-			if err != nil || until != was || h.r.wait(h.ctx, changed, until) != nil {
+			h.runner.mu.Lock()
+			changed := h.runner.changed
+			until, err := h.validUntil(h.runner.cfg.Clock.Now())
+			h.runner.mu.Unlock()
+			if err != nil || until != was || h.runner.waitForChange(h.ctx, changed, until) != nil {
 				return
 			}
 		}
@@ -209,14 +209,14 @@
 // A process that is stopped between Do's look at the clock and the action's effect acts late, whatever Do does: what must not see
 // that checks the token.
 func (h *Lease) Do(ctx context.Context, most time.Duration, f func(ctx context.Context, token uint64) error) error {
-	r := h.r
-	if int64(most) >= h.s.core.Rules().Validity()*2/3 {
+	r := h.runner
+	if int64(most) >= h.session.state.Rules().Validity()*2/3 {
 		return fmt.Errorf("%w: %v", lease.ErrLeaseTooShort, most)
 	}
 	for {
 		r.mu.Lock()
 		now, changed := r.cfg.Clock.Now(), r.changed
-		until, err := h.entitled(now)
+		until, err := h.validUntil(now)
 		if err == nil && h.ctx.Err() != nil {
 			err = context.Cause(h.ctx)
 		}
@@ -234,14 +234,14 @@
 			return f(in, h.token)
 		}
 		r.mu.Unlock()
-		if err := r.wait(ctx, changed, until); err != nil {
+		if err := r.waitForChange(ctx, changed, until); err != nil {
 			return err
 		}
 	}
 }
 
-// Busy notes an action that runs elsewhere, until the function that it returns is called: a release waits for it like for one of Do.
-func (h *Lease) Busy() (done func()) {
+// TrackAction notes an action that runs elsewhere, until the function that it returns is called: a release waits for it like for one of Do.
+func (h *Lease) TrackAction() (done func()) {
 	h.actions.Add(1)
 	return h.actions.Done
 }
@@ -249,18 +249,18 @@
 // Txn makes a change of the store that takes effect only while this holder has its place: none does after a later holder's.
 func (h *Lease) Txn(ctx context.Context, t store.Txn) (store.Result, error) {
 	t.If = append([]store.Compare{{Key: h.key, Modified: h.token}}, t.If...)
-	return h.r.store.Do(ctx, store.Command{Txn: &t})
+	return h.runner.store.Do(ctx, store.Command{Txn: &t})
 }
 
 // Release gives it up: it is entitled to nothing from now on, its context ends, actions under way are waited for up to the end of
 // what they were entitled to, and then the next in order has its turn.
 func (h *Lease) Release() {
-	h.over.Do(func() {
-		r := h.r
+	h.releaseOnce.Do(func() {
+		r := h.runner
 		r.mu.Lock()
 		now := r.cfg.Clock.Now()
-		until, _ := h.entitled(now)
-		h.leaving = true
+		until, _ := h.validUntil(now)
+		h.releasing = true
 		key := h.key
 		r.mu.Unlock()
 		if h.cancel != nil {
@@ -275,17 +275,17 @@
 			t.Stop()
 		}
 		r.mu.Lock()
-		if r.holds[key] == h {
-			delete(r.holds, key) // from now on the session's renewal sweeps it, if this does not come through
+		if r.leases[key] == h {
+			delete(r.leases, key) // from now on the session's renewal sweeps it, if this does not come through
 		}
 		r.mu.Unlock()
 		if key != "" {
-			if err := r.remove(r.ctx, key); err != nil && r.ctx.Err() == nil {
-				r.cfg.Log.Debug("a place is not removed yet", "task", h.want.Task, "error", err)
+			if err := r.removeEntry(r.ctx, key); err != nil && r.ctx.Err() == nil {
+				r.cfg.Log.Debug("a place is not removed yet", "task", h.claim.Task, "error", err)
 			}
 		}
 		r.mu.Lock()
-		h.s.users--
+		h.session.users--
 		r.mu.Unlock()
 	})
 }
--- a/internal/controlplane/leasetask/tasks_test.go
+++ b/internal/controlplane/leasetask/leasetask_test.go
@@ -18,8 +18,8 @@
 	"birchmoor/internal/testutil/processtest"
 )
 
-// hosts are daemons of these names over one copy of the store, each with what a test puts between it and the store.
-func hosts(t *testing.T, names ...string) []*Runner {
+// newRunners are daemons of these names over one copy of the store, each with what a test puts between it and the store.
+func newRunners(t *testing.T, names ...string) []*Runner {
 	t.Helper()
 	quiet := slog.New(slog.DiscardHandler)
 	var all []*Runner
@@ -53,8 +53,8 @@
 	return all
 }
 
-// want is long enough that a busy machine renews it in time.
-func want(task string, slots int) Claim {
+// newClaim is long enough that a busy machine renews it in time.
+func newClaim(task string, slots int) Claim {
 	return Claim{Task: task, Slots: slots, TTL: 30 * time.Second}
 }
 
@@ -71,15 +71,15 @@
 
 // Three hundred wait for one task, on two daemons of one name and one of another: each has it once, one at a time, in the order of
 // tokens.
-func TestManyWaitInOrder(t *testing.T) {
-	all := hosts(t, "a", "b", "b")
+func TestAcquireGrantsInTokenOrderToManyWaiters(t *testing.T) {
+	all := newRunners(t, "a", "b", "b")
 	var now, most atomic.Int32
 	var mu sync.Mutex
 	var tokens []uint64
 	var wg sync.WaitGroup
 	for i := range 300 {
 		wg.Go(func() {
-			h, err := all[i%len(all)].Acquire(t.Context(), want("one", 1), nil)
+			h, err := all[i%len(all)].Acquire(t.Context(), newClaim("one", 1), nil)
 			if err != nil {
 				t.Error(err)
 				return
@@ -104,13 +104,13 @@
 }
 
 // Of three who want one of two permits one waits; who wants another number of them is refused.
-func TestPermits(t *testing.T) {
-	all := hosts(t, "a", "b", "c")
-	one, two := acquire(t, all[0], want("restarts", 2)), acquire(t, all[1], want("restarts", 2))
+func TestAcquireLimitsHoldersToSlots(t *testing.T) {
+	all := newRunners(t, "a", "b", "c")
+	one, two := acquire(t, all[0], newClaim("restarts", 2)), acquire(t, all[1], newClaim("restarts", 2))
 	got := make(chan *Lease, 1)
 	waits := make(chan int, 100)
 	go func() {
-		h, err := all[2].Acquire(t.Context(), want("restarts", 2), func(before int, _ error) { waits <- before })
+		h, err := all[2].Acquire(t.Context(), newClaim("restarts", 2), func(before int, _ error) { waits <- before })
 		if err != nil {
 			t.Error(err)
 		}
@@ -124,7 +124,7 @@
 	if len(got) != 0 {
 		t.Error("three hold two permits")
 	}
-	if _, err := all[0].Acquire(t.Context(), want("restarts", 3), nil); !errors.Is(err, lease.ErrSlotsMismatch) {
+	if _, err := all[0].Acquire(t.Context(), newClaim("restarts", 3), nil); !errors.Is(err, lease.ErrSlotsMismatch) {
 		t.Errorf("another number of slots: %v", err)
 	}
 	one.Release()
@@ -135,9 +135,9 @@
 }
 
 // A release waits for the action under way before the next has its turn, and an action that may not end in time is not begun.
-func TestReleaseWaitsForTheAction(t *testing.T) {
-	all := hosts(t, "a", "b")
-	h := acquire(t, all[0], want("one", 1))
+func TestReleaseWaitsForRunningAction(t *testing.T) {
+	all := newRunners(t, "a", "b")
+	h := acquire(t, all[0], newClaim("one", 1))
 	begun, end := make(chan struct{}), make(chan struct{})
 	var acting atomic.Bool
 	done := make(chan error, 1)
@@ -152,7 +152,7 @@
 	}()
 	<-begun
 	next := make(chan *Lease, 1)
-	go func() { next <- acquire(t, all[1], want("one", 1)) }()
+	go func() { next <- acquire(t, all[1], newClaim("one", 1)) }()
 	go h.Release()
 	<-h.Context().Done()
 	close(end)
@@ -167,7 +167,7 @@
 	if err := h.Do(t.Context(), time.Second, func(context.Context, uint64) error { return nil }); !errors.Is(err, lease.ErrLost) {
 		t.Errorf("an action after the release: %v", err)
 	}
-	h = acquire(t, all[0], want("one", 1))
+	h = acquire(t, all[0], newClaim("one", 1))
 	if err := h.Do(t.Context(), 30*time.Second, func(context.Context, uint64) error { return nil }); !errors.Is(err, lease.ErrLeaseTooShort) {
 		t.Errorf("an action as long as the lease: %v", err)
 	}
@@ -175,8 +175,8 @@
 }
 
 // A change of the store by a holder that is one no more does nothing.
-func TestFencedTransactions(t *testing.T) {
-	all := hosts(t, "a", "b")
+func TestTxnHasNoEffectAfterRelease(t *testing.T) {
+	all := newRunners(t, "a", "b")
 	put := func(h *Lease, value string) bool {
 		r, err := h.Txn(t.Context(), store.Txn{Then: []store.Op{{Key: "k", Value: []byte(value)}}})
 		if err != nil {
@@ -184,12 +184,12 @@
 		}
 		return r.Held
 	}
-	old := acquire(t, all[0], want("one", 1))
+	old := acquire(t, all[0], newClaim("one", 1))
 	if !put(old, "old") {
 		t.Error("the holder's change did nothing")
 	}
 	old.Release()
-	h := acquire(t, all[1], want("one", 1))
+	h := acquire(t, all[1], newClaim("one", 1))
 	if !put(h, "new") || put(old, "late") {
 		t.Error("a change after the release took effect, or the next one's did not")
 	}
@@ -197,12 +197,12 @@
 }
 
 // Who holds a task and gets nothing done loses it to another, and is held off.
-func TestHoldOff(t *testing.T) {
-	all := hosts(t, "a", "b")
+func TestRunTaskReleasesAndCoolsDownWithoutProgress(t *testing.T) {
+	all := newRunners(t, "a", "b")
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	task := func(do func() error) Task {
-		return Task{Claim: want("work", 1), Every: time.Millisecond, Most: time.Second, Progress: 5 * time.Millisecond, HoldDown: time.Hour,
+		return Task{Claim: newClaim("work", 1), Interval: time.Millisecond, Timeout: time.Second, ProgressTimeout: 5 * time.Millisecond, Cooldown: time.Hour,
 			Do: func(context.Context, *Lease) error { return do() }}
 	}
 	failed, worked := make(chan struct{}, 1), make(chan struct{})
@@ -221,11 +221,11 @@
 	wg.Go(func() { all[1].RunTask(ctx, task(func() error { once(); return nil })) })
 	<-worked
 	list, err := all[0].List(ctx, "work")
-	if err != nil || len(list) != 1 || list[0].Places[0].Host != "b" {
+	if err != nil || len(list) != 1 || list[0].Queue[0].Host != "b" {
 		t.Errorf("%+v, %v", list, err)
 	}
-	if want := fmt.Sprint(lease.ErrSuspended); len(list) == 1 && list[0].Here[:len("is held off")] != "is held off" {
-		t.Errorf("%q, want it to say %q", list[0].Here, want)
+	if want := fmt.Sprint(lease.ErrSuspended); len(list) == 1 && list[0].LocalState[:len("is held off")] != "is held off" {
+		t.Errorf("%q, want it to say %q", list[0].LocalState, want)
 	}
 	cancel()
 	wg.Wait()
@@ -233,13 +233,13 @@
 
 // Shards of one task are held by all who take part, each by one at a time; when one goes, the others have its shards and keep most of
 // their own.
-func TestShards(t *testing.T) {
-	all := hosts(t, "a", "b", "c")
+func TestRunShardsBalancesAndMovesFew(t *testing.T) {
+	all := newRunners(t, "a", "b", "c")
 	const shards = 12
 	var mu sync.Mutex
 	by, moved := map[int]string{}, 0
 	var acting [shards]atomic.Int32
-	task := Task{Claim: want("index", 1), Every: time.Millisecond, Most: 5 * time.Second, Progress: time.Hour, HoldDown: time.Second}
+	task := Task{Claim: newClaim("index", 1), Interval: time.Millisecond, Timeout: 5 * time.Second, ProgressTimeout: time.Hour, Cooldown: time.Second}
 	var wg sync.WaitGroup
 	stop := map[string]context.CancelFunc{}
 	for _, r := range all {
--- a/internal/controlplane/leasetask/runner.go
+++ b/internal/controlplane/leasetask/runner.go
@@ -24,25 +24,25 @@
 
 // Config is what a Runner goes by.
 type Config struct {
-	Host  string // of this daemon, which its key says
-	Skew  float64
-	Log   *slog.Logger
-	Clock bootclock.Clock
-	Plant lease.Defect // for tests
-	Table lease.TableDefect
+	Host          string // of this daemon, which its key says
+	Skew          float64
+	Log           *slog.Logger
+	Clock         bootclock.Clock
+	SessionDefect lease.Defect // for tests
+	TableDefect   lease.TableDefect
 }
 
 const (
-	sessionsMost = 8 // lengths of sessions at once
-	retryMin     = 20 * time.Millisecond
-	retryMost    = time.Second
-	marginPart   = 50 // of the TTL is given away, at least
-	marginLeast  = 20 * time.Millisecond
+	maxSessions   = 8 // lengths of sessions at once
+	minRetryDelay = 20 * time.Millisecond
+	maxRetryDelay = time.Second
+	marginDivisor = 50 // of the TTL is given away, at least
+	minMargin     = 20 * time.Millisecond
 )
 
 // Errors of a Runner.
 var (
-	ErrTooManySessions = fmt.Errorf("%d lengths of leases are in use at this daemon already", sessionsMost)
+	ErrTooManySessions = fmt.Errorf("%d lengths of leases are in use at this daemon already", maxSessions)
 	ErrClosed          = errors.New("the daemon is ending")
 )
 
@@ -54,18 +54,18 @@
 	stop  context.CancelFunc
 	wg    sync.WaitGroup
 
-	mu       sync.Mutex
-	table    *lease.Table
-	sessions map[int64]*session
-	holds    map[string]*Lease // by the key of the place
-	loops    map[string]*loop  // tasks that this daemon runs, by name
-	came     map[string]int64  // when the copy first showed a place or what a task did, by key
-	changed  chan struct{}     // closed when anything of this has changed
-	closed   bool
+	mu        sync.Mutex
+	table     *lease.Table
+	sessions  map[int64]*session
+	leases    map[string]*Lease       // by the key of the place
+	running   map[string]*runningTask // tasks that this daemon runs, by name
+	firstSeen map[string]int64        // when the copy first showed a place or what a task did, by key
+	changed   chan struct{}           // closed when anything of this has changed
+	closed    bool
 }
 
 type session struct {
-	core  *lease.Session
+	state *lease.Session
 	ttl   time.Duration
 	users int
 	wake  chan struct{}
@@ -76,8 +76,8 @@
 	if cfg.Skew == 0 {
 		cfg.Skew = lease.DefaultSkew
 	}
-	r := &Runner{cfg: cfg, table: lease.NewTable(cfg.Table), sessions: map[int64]*session{}, holds: map[string]*Lease{},
-		loops: map[string]*loop{}, came: map[string]int64{}, changed: make(chan struct{})}
+	r := &Runner{cfg: cfg, table: lease.NewTable(cfg.TableDefect), sessions: map[int64]*session{}, leases: map[string]*Lease{},
+		running: map[string]*runningTask{}, firstSeen: map[string]int64{}, changed: make(chan struct{})}
 	r.ctx, r.stop = context.WithCancel(context.Background())
 	return r
 }
@@ -102,11 +102,11 @@
 		return
 	}
 	if e.Deleted {
-		delete(r.came, e.Item.Key)
-	} else if _, seen := r.came[e.Item.Key]; !seen || e.Item.Version > 1 {
-		r.came[e.Item.Key] = r.cfg.Clock.Now()
+		delete(r.firstSeen, e.Item.Key)
+	} else if _, seen := r.firstSeen[e.Item.Key]; !seen || e.Item.Version > 1 {
+		r.firstSeen[e.Item.Key] = r.cfg.Clock.Now()
 	}
-	r.went()
+	r.notifyChanged()
 }
 
 // Reset is told of a whole copy. It does not wait.
@@ -116,19 +116,19 @@
 	was := r.table.Cluster()
 	if r.table.Reset(s); was != 0 && was != s.Cluster() {
 		for _, x := range r.sessions { // they are of a store that is gone
-			x.core.Reset()
+			x.state.Reset()
 		}
 	}
-	for key := range r.came {
+	for key := range r.firstSeen {
 		if _, there := s.Get(key); !there {
-			delete(r.came, key)
+			delete(r.firstSeen, key)
 		}
 	}
-	r.went()
+	r.notifyChanged()
 }
 
-// went wakes all who wait for a change. The lock is held.
-func (r *Runner) went() {
+// notifyChanged wakes all who wait for a change. The lock is held.
+func (r *Runner) notifyChanged() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
@@ -139,10 +139,10 @@
 	r.mu.Lock()
 	r.closed = true
 	var holds []*Lease
-	for _, h := range r.holds {
+	for _, h := range r.leases {
 		holds = append(holds, h)
 	}
-	r.went()
+	r.notifyChanged()
 	r.mu.Unlock()
 	var wg sync.WaitGroup
 	for _, h := range holds {
@@ -153,8 +153,8 @@
 	r.wg.Wait()
 }
 
-// session returns the one of a length, which is begun if there is none. The lock is held.
-func (r *Runner) session(ttl time.Duration) (*session, error) {
+// sessionFor returns the one of a length, which is begun if there is none. The lock is held.
+func (r *Runner) sessionFor(ttl time.Duration) (*session, error) {
 	ms := ttl.Milliseconds()
 	if ms < lease.MinTTLMillis || ms > lease.MaxTTLMillis {
 		return nil, fmt.Errorf("%v is not within %v and %v", ttl, lease.MinTTLMillis*time.Millisecond, lease.MaxTTLMillis*time.Millisecond)
@@ -165,18 +165,18 @@
 	if r.closed {
 		return nil, ErrClosed
 	}
-	if len(r.sessions) >= sessionsMost {
+	if len(r.sessions) >= maxSessions {
 		return nil, ErrTooManySessions
 	}
-	rules := lease.Rules{TTL: ms * 1e6, Skew: r.cfg.Skew, Margin: max(ms*1e6/marginPart, int64(marginLeast))}
-	s := &session{core: lease.NewSession(rules, r.cfg.Plant), ttl: ttl, wake: make(chan struct{}, 1)}
+	rules := lease.Rules{TTL: ms * 1e6, Skew: r.cfg.Skew, Margin: max(ms*1e6/marginDivisor, int64(minMargin))}
+	s := &session{state: lease.NewSession(rules, r.cfg.SessionDefect), ttl: ttl, wake: make(chan struct{}, 1)}
 	r.sessions[ms] = s
-	r.wg.Go(func() { r.renew(s, ms) })
+	r.wg.Go(func() { r.renewSession(s, ms) })
 	return s, nil
 }
 
-// renew keeps one session until nobody has used it for as long as it lasts.
-func (r *Runner) renew(s *session, ms int64) {
+// renewSession keeps one session until nobody has used it for as long as it lasts.
+func (r *Runner) renewSession(s *session, ms int64) {
 	var idle int64 // since when
 	for {
 		r.mu.Lock()
@@ -189,14 +189,14 @@
 		over := r.ctx.Err() != nil || idle != 0 && now-idle > int64(s.ttl)
 		if over {
 			delete(r.sessions, ms)
-			id := s.core.ID()
-			s.core.Reset()
+			id := s.state.ID()
+			s.state.Reset()
 			r.mu.Unlock()
-			r.end(id)
+			r.revokeSession(id)
 			return
 		}
-		ask, due := s.core.Next(now)
-		id := s.core.ID()
+		ask, due := s.state.Next(now)
+		id := s.state.ID()
 		r.mu.Unlock()
 		if ask == lease.NoRequest {
 			t := time.NewTimer(r.cfg.Clock.Span(due - now))
@@ -215,44 +215,44 @@
 		wait, cancel := context.WithTimeout(r.ctx, max(s.ttl/2, 200*time.Millisecond))
 		res, err := r.store.Do(wait, c)
 		cancel()
-		o := lease.Done
+		o := lease.Succeeded
 		switch {
 		case errors.Is(err, store.ErrLeaseNotFound):
-			o = lease.Gone
+			o = lease.SessionNotFound
 		case err != nil:
-			o = lease.Unknown
+			o = lease.OutcomeUnknown
 		}
 		r.mu.Lock()
-		before := s.core.Generation()
-		s.core.HandleResponse(r.cfg.Clock.Now(), o, res.Lease)
-		r.went()
+		before := s.state.Generation()
+		s.state.HandleResponse(r.cfg.Clock.Now(), o, res.Lease)
+		r.notifyChanged()
 		var orphans []string
-		if o == lease.Done && s.core.Generation() == before {
-			orphans = r.orphans(s)
+		if o == lease.Succeeded && s.state.Generation() == before {
+			orphans = r.orphanedEntries(s)
 		}
 		r.mu.Unlock()
-		if o == lease.Gone {
+		if o == lease.SessionNotFound {
 			r.cfg.Log.Warn("the session of this daemon's leases has ended", "ttl", s.ttl)
 		}
 		for _, key := range orphans {
-			_ = r.remove(r.ctx, key) // or at the next renewal
+			_ = r.removeEntry(r.ctx, key) // or at the next renewal
 		}
 	}
 }
 
-// orphans are places of a session that nobody here has a use for: the answer to their putting was lost, or the one to their
+// orphanedEntries are places of a session that nobody here has a use for: the answer to their putting was lost, or the one to their
 // removal. They would keep the next in order waiting. The lock is held.
-func (r *Runner) orphans(s *session) (keys []string) {
-	for _, p := range r.table.EntriesOf(r.cfg.Host, s.core.ID()) {
-		if r.holds[p.Key] == nil {
+func (r *Runner) orphanedEntries(s *session) (keys []string) {
+	for _, p := range r.table.EntriesOf(r.cfg.Host, s.state.ID()) {
+		if r.leases[p.Key] == nil {
 			keys = append(keys, p.Key)
 		}
 	}
 	return keys
 }
 
-// end ends a session at the store, if it can be reached: else it falls silent.
-func (r *Runner) end(id uint64) {
+// revokeSession ends a session at the store, if it can be reached: else it falls silent.
+func (r *Runner) revokeSession(id uint64) {
 	if id == 0 {
 		return
 	}
@@ -261,8 +261,8 @@
 	_, _ = r.store.Do(ctx, store.Command{End: &store.RevokeLease{Lease: id, Owner: r.cfg.Host}})
 }
 
-// remove takes a place away.
-func (r *Runner) remove(ctx context.Context, key string) error {
+// removeEntry takes a place away.
+func (r *Runner) removeEntry(ctx context.Context, key string) error {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	_, err := r.store.Do(ctx, store.Command{Txn: &store.Txn{Owner: r.cfg.Host, Then: []store.Op{{Key: key, Delete: true}}}})
@@ -277,7 +277,7 @@
 	Note  string        // for people
 }
 
-const noteMost = 256
+const maxNoteBytes = 256
 
 func (w *Claim) check() error {
 	if err := lease.CheckName(w.Task); err != nil {
@@ -289,8 +289,8 @@
 	if w.Slots < 1 || w.Slots > lease.MaxSlots {
 		return fmt.Errorf("%d slots are not within 1 and %d", w.Slots, lease.MaxSlots)
 	}
-	if len(w.Note) > noteMost {
-		return fmt.Errorf("the note has more than %d bytes", noteMost)
+	if len(w.Note) > maxNoteBytes {
+		return fmt.Errorf("the note has more than %d bytes", maxNoteBytes)
 	}
 	return nil
 }
@@ -306,7 +306,7 @@
 		return nil, err
 	}
 	r.mu.Lock()
-	s, err := r.session(w.TTL)
+	s, err := r.sessionFor(w.TTL)
 	if err != nil {
 		r.mu.Unlock()
 		return nil, err
@@ -317,16 +317,16 @@
 	case s.wake <- struct{}{}:
 	default:
 	}
-	h := &Lease{r: r, want: w, s: s}
-	if err := h.queue(ctx, hex.EncodeToString(b[:]), waiting); err != nil {
+	h := &Lease{runner: r, claim: w, session: s}
+	if err := h.waitForTurn(ctx, hex.EncodeToString(b[:]), waiting); err != nil {
 		h.Release()
 		return nil, err
 	}
 	return h, nil
 }
 
-// wait waits for a change, or until an instant of the clock; 0 is none.
-func (r *Runner) wait(ctx context.Context, changed chan struct{}, until int64) error {
+// waitForChange waits for a change, or until an instant of the clock; 0 is none.
+func (r *Runner) waitForChange(ctx context.Context, changed chan struct{}, until int64) error {
 	var at <-chan time.Time
 	if until != 0 {
 		t := time.NewTimer(r.cfg.Clock.Span(until - r.cfg.Clock.Now()))
@@ -344,30 +344,30 @@
 	return nil
 }
 
-// put writes the place of a hold once, with the task's number of slots if nobody has said it yet.
-func (r *Runner) put(ctx context.Context, h *Lease, id uint64) error {
+// putEntry writes the place of a hold once, with the task's number of slots if nobody has said it yet.
+func (r *Runner) putEntry(ctx context.Context, h *Lease, id uint64) error {
 	r.mu.Lock()
-	slots := r.table.Slots(h.want.Task)
+	slots := r.table.Slots(h.claim.Task)
 	r.mu.Unlock()
-	if slots != 0 && slots != h.want.Slots {
-		return fmt.Errorf("%w: %d, and not %d", lease.ErrSlotsMismatch, slots, h.want.Slots)
+	if slots != 0 && slots != h.claim.Slots {
+		return fmt.Errorf("%w: %d, and not %d", lease.ErrSlotsMismatch, slots, h.claim.Slots)
 	}
-	value, err := json.Marshal(lease.QueueRecord{Session: id, TTL: h.want.TTL.Milliseconds(), Note: h.want.Note})
+	value, err := json.Marshal(lease.QueueRecord{Session: id, TTLMillis: h.claim.TTL.Milliseconds(), Note: h.claim.Note})
 	if err != nil {
 		return err
 	}
 	t := &store.Txn{Owner: r.cfg.Host, If: []store.Compare{{Key: h.key}}, Then: []store.Op{{Key: h.key, Value: value, Lease: id}},
-		Bounds: []store.KeyLimit{{Prefix: lease.QueuePrefix + h.want.Task + "/", Most: lease.MaxQueueEntries}}}
+		Bounds: []store.KeyLimit{{Prefix: lease.QueuePrefix + h.claim.Task + "/", Most: lease.MaxQueueEntries}}}
 	if slots == 0 {
-		conf, err := json.Marshal(lease.TaskConfig{Slots: h.want.Slots})
+		conf, err := json.Marshal(lease.TaskConfig{Slots: h.claim.Slots})
 		if err != nil {
 			return err
 		}
-		t.If = append(t.If, store.Compare{Key: lease.TaskConfigPrefix + h.want.Task})
-		t.Then = append(t.Then, store.Op{Key: lease.TaskConfigPrefix + h.want.Task, Value: conf})
+		t.If = append(t.If, store.Compare{Key: lease.TaskConfigPrefix + h.claim.Task})
+		t.Then = append(t.Then, store.Op{Key: lease.TaskConfigPrefix + h.claim.Task, Value: conf})
 		t.Bounds = append(t.Bounds, store.KeyLimit{Prefix: lease.TaskConfigPrefix, Most: lease.MaxTasks})
 	}
-	wait, cancel := context.WithTimeout(ctx, max(h.want.TTL/2, time.Second))
+	wait, cancel := context.WithTimeout(ctx, max(h.claim.TTL/2, time.Second))
 	defer cancel()
 	_, err = r.store.Do(wait, store.Command{Txn: t})
 	return err // one that did not hold is looked at by the copy
--- a/internal/controlplane/leasetask/show.go
+++ b/internal/controlplane/leasetask/status.go
@@ -16,26 +16,26 @@
 
 // QueueEntry is one in a task's queue as people see it.
 type QueueEntry struct {
-	Host    string `json:"host"`
-	Token   uint64 `json:"token"`
-	Holds   bool   `json:"holds"`
-	TTLMs   int64  `json:"ttl_ms"`
-	Note    string `json:"note,omitempty"`
-	AgeMs   int64  `json:"age_ms"`            // since the copy showed it; -1: before this start
-	Here    bool   `json:"here,omitempty"`    // it is this daemon's
-	UntilMs int64  `json:"left_ms,omitempty"` // of this daemon's entitlement, unless it is renewed
+	Host        string `json:"host"`
+	Token       uint64 `json:"token"`
+	Holds       bool   `json:"holds"`
+	TTLMillis   int64  `json:"ttl_ms"`
+	Note        string `json:"note,omitempty"`
+	AgeMillis   int64  `json:"age_ms"`            // since the copy showed it; -1: before this start
+	Local       bool   `json:"here,omitempty"`    // it is this daemon's
+	ValidMillis int64  `json:"left_ms,omitempty"` // of this daemon's entitlement, unless it is renewed
 }
 
 // TaskStatus is a task as people see it.
 type TaskStatus struct {
-	Task   string             `json:"task"`
-	Slots  int                `json:"slots"`
-	Order  lease.TaskOverride `json:"order"`
-	Places []QueueEntry       `json:"places"`         // the holders first
-	Why    string             `json:"why,omitempty"`  // there is no holder
-	Last   *ActionReport      `json:"last,omitempty"` // what it did last
-	LastMs int64              `json:"last_age_ms"`    // since the copy showed that; -1: before this start
-	Here   string             `json:"here,omitempty"` // what this daemon does about it
+	Task                string             `json:"task"`
+	Slots               int                `json:"slots"`
+	Override            lease.TaskOverride `json:"order"`
+	Queue               []QueueEntry       `json:"places"`         // the holders first
+	NoHolderReason      string             `json:"why,omitempty"`  // there is no holder
+	LastReport          *ActionReport      `json:"last,omitempty"` // what it did last
+	LastReportAgeMillis int64              `json:"last_age_ms"`    // since the copy showed that; -1: before this start
+	LocalState          string             `json:"here,omitempty"` // what this daemon does about it
 }
 
 // List shows all tasks, or those of one name, as the store has them.
@@ -58,7 +58,7 @@
 	defer r.mu.Unlock()
 	now := r.cfg.Clock.Now()
 	age := func(key string) int64 {
-		if at, ok := r.came[key]; ok {
+		if at, ok := r.firstSeen[key]; ok {
 			return (now - at) / 1e6
 		}
 		return -1
@@ -70,7 +70,7 @@
 	for n := range last {
 		names[n] = true
 	}
-	for n := range r.loops {
+	for n := range r.running {
 		names[n] = true
 	}
 	all := []TaskStatus{}
@@ -78,37 +78,37 @@
 		if name != "" && n != name {
 			continue
 		}
-		i := TaskStatus{Task: n, Slots: table.Slots(n), Places: []QueueEntry{}, Last: last[n], LastMs: age(ReportPrefix + n)}
-		i.Order, _ = table.Override(n)
+		i := TaskStatus{Task: n, Slots: table.Slots(n), Queue: []QueueEntry{}, LastReport: last[n], LastReportAgeMillis: age(ReportPrefix + n)}
+		i.Override, _ = table.Override(n)
 		holders := 0
 		for _, p := range table.Queue(n) {
 			_, holds := table.Holds(n, p.Key)
-			x := QueueEntry{Host: p.Host, Token: p.Token, Holds: holds && !i.Order.Pause, TTLMs: p.TTL, Note: p.Note, AgeMs: age(p.Key)}
-			if h := r.holds[p.Key]; h != nil {
-				x.Here = true
-				if until, err := h.entitled(now); err == nil {
-					x.UntilMs = (until - now) / 1e6
+			x := QueueEntry{Host: p.Host, Token: p.Token, Holds: holds && !i.Override.Pause, TTLMillis: p.TTLMillis, Note: p.Note, AgeMillis: age(p.Key)}
+			if h := r.leases[p.Key]; h != nil {
+				x.Local = true
+				if until, err := h.validUntil(now); err == nil {
+					x.ValidMillis = (until - now) / 1e6
 				}
 			}
 			if x.Holds {
 				holders++
 			}
-			i.Places = append(i.Places, x)
+			i.Queue = append(i.Queue, x)
 		}
-		if l := r.loops[n]; l != nil {
-			i.Here = l.state(now)
+		if l := r.running[n]; l != nil {
+			i.LocalState = l.describe(now)
 		}
 		switch {
 		case holders > 0:
 		case table.Suspended():
-			i.Why = "the store was restored a moment ago"
-		case i.Order.Pause:
-			i.Why = "it is paused"
-			if i.Order.By != "" {
-				i.Why += " by " + i.Order.By
+			i.NoHolderReason = "the store was restored a moment ago"
+		case i.Override.Pause:
+			i.NoHolderReason = "it is paused"
+			if i.Override.Operator != "" {
+				i.NoHolderReason += " by " + i.Override.Operator
 			}
-		case len(i.Places) == 0:
-			i.Why = "nobody wants it"
+		case len(i.Queue) == 0:
+			i.NoHolderReason = "nobody wants it"
 		}
 		all = append(all, i)
 	}
@@ -127,19 +127,19 @@
 	return hosts
 }
 
-// state says what this daemon does about a task that it runs.
-func (l *loop) state(now int64) string {
+// describe says what this daemon does about a task that it runs.
+func (l *runningTask) describe(now int64) string {
 	s := "waits"
 	switch {
-	case l.hold != nil:
-		s = fmt.Sprintf("holds it, %d done, the last %v ago", l.done, time.Duration(now-l.last).Round(time.Millisecond))
-	case l.off > now:
-		s = fmt.Sprintf("is held off for another %v", time.Duration(l.off-now).Round(time.Second))
-	case l.before >= 0:
-		s = fmt.Sprintf("waits, %d before it", l.before)
+	case l.lease != nil:
+		s = fmt.Sprintf("holds it, %d done, the last %v ago", l.completed, time.Duration(now-l.lastProgress).Round(time.Millisecond))
+	case l.cooldownUntil > now:
+		s = fmt.Sprintf("is held off for another %v", time.Duration(l.cooldownUntil-now).Round(time.Second))
+	case l.ahead >= 0:
+		s = fmt.Sprintf("waits, %d before it", l.ahead)
 	}
-	if l.err != nil {
-		s += ": " + l.err.Error()
+	if l.lastErr != nil {
+		s += ": " + l.lastErr.Error()
 	}
 	return s
 }
@@ -152,11 +152,11 @@
 	if err := lease.CheckName(task); err != nil {
 		return fmt.Errorf("%q: %w", task, err)
 	}
-	if len(o.Note)+len(o.By)+len(o.Host) > 3*noteMost {
-		return fmt.Errorf("the order has more than %d bytes", 3*noteMost)
+	if len(o.Note)+len(o.Operator)+len(o.PreferredHost) > 3*maxNoteBytes {
+		return fmt.Errorf("the order has more than %d bytes", 3*maxNoteBytes)
 	}
 	op := store.Op{Key: lease.OverridePrefix + task, Delete: true}
-	if o.Pause || o.Host != "" {
+	if o.Pause || o.PreferredHost != "" {
 		b, err := json.Marshal(o)
 		if err != nil {
 			return err
--- a/internal/controlplane/leasetask/stored_test.go
+++ b/internal/controlplane/leasetask/stored_test.go
@@ -12,7 +12,7 @@
 
 // The files in testdata are of version 7105f7a.
 func TestStoredReportsAndShownTasksKeepTheirForm(t *testing.T) {
-	failed := ActionReport{Token: 9, Host: "host-a", Done: 3, Error: "no disk"}
+	failed := ActionReport{Token: 9, Host: "host-a", Completed: 3, Error: "no disk"}
 	tests := []struct {
 		file string
 		key  string // before the value, with a tab, where the file has one
@@ -21,12 +21,12 @@
 		{"reports.tsv", ReportPrefix + "reindex", &failed},
 		{"reports.tsv", ReportPrefix + "backup", &ActionReport{Token: 10, Host: "host-b"}},
 		{"status.json", "", &TaskStatus{
-			Task: "reindex", Slots: 2, Order: lease.TaskOverride{Pause: true, Host: "host-b", By: "ops", Note: "disk swap"},
-			Places: []QueueEntry{
-				{Host: "host-a", Token: 9, Holds: true, TTLMs: 30000, Note: "nightly", AgeMs: -1, Here: true, UntilMs: 1500},
-				{Host: "host-b", Token: 12, TTLMs: 15000, AgeMs: 20},
+			Task: "reindex", Slots: 2, Override: lease.TaskOverride{Pause: true, PreferredHost: "host-b", Operator: "ops", Note: "disk swap"},
+			Queue: []QueueEntry{
+				{Host: "host-a", Token: 9, Holds: true, TTLMillis: 30000, Note: "nightly", AgeMillis: -1, Local: true, ValidMillis: 1500},
+				{Host: "host-b", Token: 12, TTLMillis: 15000, AgeMillis: 20},
 			},
-			Why: "it is paused by ops", Last: &failed, LastMs: 250, Here: "waits, 0 before it",
+			NoHolderReason: "it is paused by ops", LastReport: &failed, LastReportAgeMillis: 250, LocalState: "waits, 0 before it",
 		}},
 	}
 	for _, tc := range tests {
--- a/internal/controlplane/quotasync/manager.go
+++ b/internal/controlplane/quotasync/manager.go
@@ -197,7 +197,7 @@
 	say := time.NewTicker(sayEvery)
 	defer say.Stop()
 	for {
-		id, until, changed := p.Now()
+		id, until, changed := p.Current()
 		l.mu.Lock()
 		fresh := id != l.me.Session
 		if l.holder.SetSession(l.now(), id, until); fresh {
@@ -286,8 +286,8 @@
 
 // AllocatorTask is the task of dividing, for daemons with a replica.
 func (l *Manager) AllocatorTask() leasetask.Task {
-	return leasetask.Task{Claim: leasetask.Claim{Task: AllocatorTask, TTL: l.cfg.TTL, Note: "divides limits among sidecars"}, Every: divideEvery, Most: l.cfg.TTL / 3,
-		Progress: time.Minute, HoldDown: time.Minute, Do: func(ctx context.Context, h *leasetask.Lease) error {
+	return leasetask.Task{Claim: leasetask.Claim{Task: AllocatorTask, TTL: l.cfg.TTL, Note: "divides limits among sidecars"}, Interval: divideEvery, Timeout: l.cfg.TTL / 3,
+		ProgressTimeout: time.Minute, Cooldown: time.Minute, Do: func(ctx context.Context, h *leasetask.Lease) error {
 			l.mu.Lock()
 			v := l.divider.Allocate(l.now())
 			l.mu.Unlock()
--- a/internal/controlplane/watchdog/keeper.go
+++ b/internal/controlplane/watchdog/watchdog.go
@@ -26,31 +26,33 @@
 
 // Command is what is run.
 type Command struct {
-	Args  []string
-	Env   []string
-	Grace time.Duration   // between SIGTERM and SIGKILL, at most
-	Early time.Duration   // SIGKILL comes so long before the deadline, at the latest
-	Clock bootclock.Clock // of the deadlines
-	Late  func(by int64)  // is told if the command may have gone on past its deadline, in nanoseconds: this process did not run in time
+	Args        []string
+	Env         []string
+	GracePeriod time.Duration   // between SIGTERM and SIGKILL, at most
+	KillMargin  time.Duration   // SIGKILL comes so long before the deadline, at the latest
+	Clock       bootclock.Clock // of the deadlines
+	OnOverrun   func(by int64)  // is told if the command may have gone on past its deadline, in nanoseconds: this process did not run in time
 }
 
 // How a command ended.
 var (
 	ErrDeadlinePassed = errors.New("its time was up")
-	ErrAlone          = errors.New("who keeps it in time is gone")
-	ErrTold           = errors.New("it was told to end")
+	ErrParentGone     = errors.New("who keeps it in time is gone")
+	ErrEndRequested   = errors.New("it was told to end")
 )
 
 // Lines of the pipe: a deadline in nanoseconds, or this.
-const lineEnd = "end"
+const endLine = "end"
 
 // ExtendDeadline writes a deadline to a keeper's pipe.
-func ExtendDeadline(w io.Writer, until int64) error { return line(w, strconv.FormatInt(until, 10)) }
+func ExtendDeadline(w io.Writer, until int64) error {
+	return writeLine(w, strconv.FormatInt(until, 10))
+}
 
-// End tells a keeper to end its command.
-func End(w io.Writer) error { return line(w, lineEnd) }
+// RequestEnd tells a keeper to end its command.
+func RequestEnd(w io.Writer) error { return writeLine(w, endLine) }
 
-func line(w io.Writer, s string) error {
+func writeLine(w io.Writer, s string) error {
 	_, err := io.WriteString(w, s+"\n")
 	return err
 }
@@ -66,7 +68,7 @@
 	}
 	lines := bufio.NewScanner(pipe)
 	if !lines.Scan() {
-		return 0, ErrAlone
+		return 0, ErrParentGone
 	}
 	until, err := strconv.ParseInt(lines.Text(), 10, 64)
 	if err != nil {
@@ -81,17 +83,17 @@
 		for lines.Scan() {
 			n, err := strconv.ParseInt(lines.Text(), 10, 64)
 			if err != nil {
-				news <- told{why: ErrTold}
+				news <- told{why: ErrEndRequested}
 				continue
 			}
 			news <- told{until: n}
 		}
-		news <- told{why: ErrAlone}
+		news <- told{why: ErrParentGone}
 	}()
 	cmd := exec.Command(c.Args[0], c.Args[1:]...)
 	cmd.Env, cmd.Stdin, cmd.Stdout, cmd.Stderr = c.Env, os.Stdin, os.Stdout, os.Stderr
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if c.Clock.Now() >= until-int64(c.Early) {
+	if c.Clock.Now() >= until-int64(c.KillMargin) {
 		return 0, ErrDeadlinePassed
 	}
 	if err := cmd.Start(); err != nil {
@@ -99,27 +101,27 @@
 	}
 	deadline := until // as it was last told
 	defer func() {
-		Clear()
-		if by := c.Clock.Now() - deadline; by > 0 && c.Early >= 0 && c.Late != nil {
-			c.Late(by)
+		KillDescendants()
+		if by := c.Clock.Now() - deadline; by > 0 && c.KillMargin >= 0 && c.OnOverrun != nil {
+			c.OnOverrun(by)
 		}
 	}()
 	ended := make(chan error, 1)
 	go func() { ended <- cmd.Wait() }()
 	for termed := false; ; {
-		now, kill := c.Clock.Now(), until-int64(c.Early)
-		term := kill - int64(c.Grace)
+		now, kill := c.Clock.Now(), until-int64(c.KillMargin)
+		term := kill - int64(c.GracePeriod)
 		if why == nil && now >= term {
 			why = ErrDeadlinePassed
 		}
 		if why != nil && !termed {
 			termed = true
-			signal(syscall.SIGTERM)
-			kill = min(kill, now+int64(c.Grace))
-			until = kill + int64(c.Early) // and no longer, whatever else is told
+			signalDescendants(syscall.SIGTERM)
+			kill = min(kill, now+int64(c.GracePeriod))
+			until = kill + int64(c.KillMargin) // and no longer, whatever else is told
 		}
-		if termed && now >= kill || why == ErrAlone {
-			Clear()
+		if termed && now >= kill || why == ErrParentGone {
+			KillDescendants()
 		}
 		next := term
 		if termed {
@@ -129,9 +131,9 @@
 		select {
 		case <-ended:
 			t.Stop()
-			return exitOf(cmd.ProcessState), why
+			return exitCode(cmd.ProcessState), why
 		case x := <-news:
-			if x.why != nil && (why == nil || x.why == ErrAlone) {
+			if x.why != nil && (why == nil || x.why == ErrParentGone) {
 				why = x.why
 			}
 			if x.until > until && !termed {
@@ -143,7 +145,7 @@
 	}
 }
 
-func exitOf(s *os.ProcessState) int {
+func exitCode(s *os.ProcessState) int {
 	if s == nil { // Clear was there first
 		return 128 + int(syscall.SIGKILL)
 	}
@@ -153,8 +155,8 @@
 	return s.ExitCode()
 }
 
-// signal sends a signal to all descendants.
-func signal(s syscall.Signal) (n int) {
+// signalDescendants sends a signal to all descendants.
+func signalDescendants(s syscall.Signal) (n int) {
 	for _, pid := range descendants() {
 		if syscall.Kill(pid, s) == nil {
 			n++
@@ -163,9 +165,9 @@
 	return n
 }
 
-// Clear kills all descendants, and those that they start meanwhile, until there are none.
-func Clear() {
-	for signal(syscall.SIGKILL) > 0 {
+// KillDescendants kills all descendants, and those that they start meanwhile, until there are none.
+func KillDescendants() {
+	for signalDescendants(syscall.SIGKILL) > 0 {
 		for { // orphans come to this process, which has to wait for them
 			var w syscall.WaitStatus
 			pid, err := syscall.Wait4(-1, &w, syscall.WNOHANG, nil)
--- a/internal/lab/leasemodel/model.go
+++ b/internal/lab/leasemodel/model.go
@@ -165,7 +165,7 @@
 		h.session.Next(h.clock)
 		w.take(me, message{kind: grant})
 		h.back = answer{}
-		h.session.HandleResponse(h.clock, lease.Done, uint64(me))
+		h.session.HandleResponse(h.clock, lease.Succeeded, uint64(me))
 		h.put, h.number = me, h.session.Generation()
 		w.take(me, message{kind: put, lease: me})
 		if i == 0 {
@@ -215,7 +215,7 @@
 		if h.asked.kind != none {
 			x := *w
 			x.h[i].asked = message{}
-			x.h[i].session.HandleResponse(x.h[i].clock, lease.Unknown, 0)
+			x.h[i].session.HandleResponse(x.h[i].clock, lease.OutcomeUnknown, 0)
 			add(x, "%s waits no more for an answer", name)
 		}
 		for k, m := range h.out {
@@ -242,9 +242,9 @@
 			y := &x.h[i]
 			y.back = answer{}
 			if y.asked.kind != none && y.asked.try == h.back.try { // one to a call that was given up is heard by nobody
-				out := lease.Done
+				out := lease.Succeeded
 				if h.back.gone {
-					out = lease.Gone
+					out = lease.SessionNotFound
 				}
 				y.asked = message{}
 				y.session.HandleResponse(y.clock, out, uint64(h.back.lease))
--- a/internal/lab/leasemodel/model_test.go
+++ b/internal/lab/leasemodel/model_test.go
@@ -27,8 +27,8 @@
 // Each fault of either half does, with some choice of clocks.
 func TestPlantedFaultsAreFound(t *testing.T) {
 	for name, o := range map[string]Options{
-		"entitled from the answer": {Plant: lease.FromAnswer, Store: true},
-		"no rate margin":           {Plant: lease.NoSkew, Store: true},
+		"entitled from the answer": {Plant: lease.ValidFromResponse, Store: true},
+		"no rate margin":           {Plant: lease.IgnoreSkew, Store: true},
 		"ended early":              {Early: true, Store: true},
 		"old leader's rest":        {Rest: true},
 	} {
--- a/internal/lab/limitsim/faults.go
+++ b/internal/lab/limitsim/faults.go
@@ -15,8 +15,8 @@
 // Faults are all of them but two, which unit tests of package limit hold: savings that a share made smaller keeps, and divisions that are
 // not one on the last. Hundreds of seeds did not show them beside the other half that guards against each.
 var Faults = []Fault{
-	{"entitled-from-answer", Plant{Session: lease.FromAnswer}, "a process counts its time from the answer's arrival"},
-	{"no-rate-margin", Plant{Session: lease.NoSkew}, "clocks are taken to run at one rate"},
+	{"entitled-from-answer", Plant{Session: lease.ValidFromResponse}, "a process counts its time from the answer's arrival"},
+	{"no-rate-margin", Plant{Session: lease.IgnoreSkew}, "clocks are taken to run at one rate"},
 	{"use-after-end", Plant{Limit: quota.UseAfterExpiry}, "shares are used after the session's end"},
 	{"full-at-start", Plant{Limit: quota.StartFull}, "what was spent is forgotten by a start: a new process's shares begin full"},
 	{"refund-twice", Plant{Limit: quota.RefundTwice}, "what never ran is given back twice"},
--- a/internal/lab/limitsim/proc.go
+++ b/internal/lab/limitsim/proc.go
@@ -162,13 +162,13 @@
 }
 
 func (p *proc) renewed(r store.Result, err error) {
-	o := lease.Done
+	o := lease.Succeeded
 	switch {
 	case errors.Is(err, store.ErrLeaseNotFound):
-		o = lease.Gone
+		o = lease.SessionNotFound
 		p.w.r.Lost++
 	case err != nil:
-		o = lease.Unknown
+		o = lease.OutcomeUnknown
 	}
 	p.session.HandleResponse(p.now(), o, r.Lease)
 	p.holder.SetSession(p.now(), p.session.ID(), p.session.ValidUntil())
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -593,7 +593,7 @@
 	fresh := err == nil && s.Age.Proved && !s.Age.Stale
 	session := true
 	if presence != nil {
-		id, until, _ := presence.Now()
+		id, until, _ := presence.Current()
 		session = id != 0 && until > h.c.plant.Clock.Now()
 	}
 	if l.Oldest == 0 || s.Revision < l.Oldest {
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -138,9 +138,9 @@
 				mu.Unlock()
 			}
 			if i == int(r.entry.Load()) && n%5 == 0 {
-				if all, err := d.Client.Tasks(ctx, "limits"); err == nil && len(all) > 0 && len(all[0].Places) > 0 && all[0].Places[0].Holds {
+				if all, err := d.Client.Tasks(ctx, "limits"); err == nil && len(all) > 0 && len(all[0].Queue) > 0 && all[0].Queue[0].Holds {
 					mu.Lock()
-					s.divider = all[0].Places[0].Host
+					s.divider = all[0].Queue[0].Host
 					mu.Unlock()
 				}
 			}
--- a/internal/lab/storesim/holders.go
+++ b/internal/lab/storesim/holders.go
@@ -109,7 +109,7 @@
 func (w *world) restartThing(task string) {
 	f := lease.NewFence(w.acted.plant)
 	w.acted.fence[task] = f
-	if w.acted.plant != lease.FenceForget && w.acted.kept[task] > 0 {
+	if w.acted.plant != lease.ForgetOnRestart && w.acted.kept[task] > 0 {
 		_ = f.Admit(task, w.acted.kept[task])
 	}
 }
@@ -223,16 +223,16 @@
 }
 
 func (d *daemonSim) renewed(x replica.Completion) {
-	o := lease.Done
+	o := lease.Succeeded
 	switch {
 	case x.Err == nil && errors.Is(x.Result.Err, store.ErrLeaseNotFound):
-		o = lease.Gone
+		o = lease.SessionNotFound
 	case x.Err != nil || x.Result.Err != nil:
-		o = lease.Unknown
+		o = lease.OutcomeUnknown
 	}
 	before := d.session.Generation()
 	d.session.HandleResponse(d.now(), o, x.Result.Lease)
-	if o == lease.Done && d.session.Generation() == before && d.w.o.Holder.Own != NoSweep {
+	if o == lease.Succeeded && d.session.Generation() == before && d.w.o.Holder.Own != NoSweep {
 		for _, p := range d.table.EntriesOf(d.name, d.session.ID()) {
 			used := false
 			for _, x := range d.wants {
@@ -420,18 +420,18 @@
 	Replica replica.Defects
 	About   string
 }{
-	{"entitled-from-answer", HolderPlant{Session: lease.FromAnswer}, 0, "a holder counts its time from the answer's arrival"},
-	{"no-rate-margin", HolderPlant{Session: lease.NoSkew}, 0, "clocks are taken to run at one rate"},
-	{"renewal-after-end", HolderPlant{Session: lease.RenewAfterEnd}, 0, "a renewal that the store refused counts"},
+	{"entitled-from-answer", HolderPlant{Session: lease.ValidFromResponse}, 0, "a holder counts its time from the answer's arrival"},
+	{"no-rate-margin", HolderPlant{Session: lease.IgnoreSkew}, 0, "clocks are taken to run at one rate"},
+	{"renewal-after-end", HolderPlant{Session: lease.AcceptRejectedRenewal}, 0, "a renewal that the store refused counts"},
 	{"old-leaders-rest", HolderPlant{}, replica.LeaseRest, "a new leader ends leases by the time that the old one had left"},
 	{"blind-end", HolderPlant{}, replica.BlindLease, "a silent session ends although it was renewed meanwhile"},
-	{"token-counted-anew", HolderPlant{Table: lease.ForgetTokens}, 0, "each process counts tokens for itself"},
-	{"token-not-checked", HolderPlant{Fence: lease.FenceOpen}, 0, "what is acted upon lets lower tokens through"},
-	{"receiver-forgets", HolderPlant{Fence: lease.FenceForget}, 0, "what is acted upon forgets over its restart what it has seen"},
+	{"token-counted-anew", HolderPlant{Table: lease.RenumberTokens}, 0, "each process counts tokens for itself"},
+	{"token-not-checked", HolderPlant{Fence: lease.AdmitAllTokens}, 0, "what is acted upon lets lower tokens through"},
+	{"receiver-forgets", HolderPlant{Fence: lease.ForgetOnRestart}, 0, "what is acted upon forgets over its restart what it has seen"},
 	{"release-of-anothers", HolderPlant{Own: ReleaseOther}, 0, "a release takes away another's place"},
 	{"release-before-end", HolderPlant{Own: ReleaseEarly}, 0, "the place is given up while it is acted upon"},
 	{"any-length", HolderPlant{Own: AnyLength}, 0, "an action is begun that may not end in time"},
-	{"permits-at-holder", HolderPlant{Table: lease.CountAtMine}, 0, "permits are counted among the holder's own"},
-	{"order-ignored", HolderPlant{Table: lease.IgnoreOrder}, 0, "whoever has a place may act"},
+	{"permits-at-holder", HolderPlant{Table: lease.CountOwnEntriesOnly}, 0, "permits are counted among the holder's own"},
+	{"order-ignored", HolderPlant{Table: lease.IgnoreQueueOrder}, 0, "whoever has a place may act"},
 	{"places-not-swept", HolderPlant{Own: NoSweep}, 0, "a place whose putting was answered to nobody stays"},
 }
--- a/internal/lab/tasklab/faults.go
+++ b/internal/lab/tasklab/faults.go
@@ -89,7 +89,7 @@
 		at := x.fleet.Daemons[0] // a replica: followers' operators may not
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		held := x.at.top()
-		err := at.Client.OrderTask(ctx, adminapi.OverrideRequest{Task: "task", TaskOverride: lease.TaskOverride{Host: to.Name(), By: "the bench"}})
+		err := at.Client.OrderTask(ctx, adminapi.OverrideRequest{Task: "task", TaskOverride: lease.TaskOverride{PreferredHost: to.Name(), Operator: "the bench"}})
 		return to.Name(), func(ctx context.Context) error {
 			defer cancel()
 			if err != nil {
--- a/internal/lab/tasklab/standin_test.go
+++ b/internal/lab/tasklab/standin_test.go
@@ -20,9 +20,9 @@
 	}{
 		{"two at once", lease.NoFenceDefect, false, false, "two at once"},
 		{"of one that was stopped", lease.NoFenceDefect, false, true, ""},
-		{"an open fence", lease.FenceOpen, false, true, "token order"},
+		{"an open fence", lease.AdmitAllTokens, false, true, "token order"},
 		{"a start between", lease.NoFenceDefect, true, true, ""},
-		{"a fence that forgets", lease.FenceForget, true, true, "token order"},
+		{"a fence that forgets", lease.ForgetOnRestart, true, true, "token order"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "fence")
