--- a/internal/controlplane/adminapi/wire_test.go
+++ b/internal/controlplane/adminapi/wire_test.go
@@ -48,7 +48,7 @@
 	if *lockLine.Before != 4 || lockLine.Why != "s4" || lockLine.Token != 6 || lockLine.Until != 7 || !lockLine.Over {
 		t.Errorf("lock line: %+v", lockLine)
 	}
-	if r := taskRequest; r.Task != "s2" || !r.Pause || r.Host != "s5" || r.By != "s6" || r.Note != "s7" {
+	if r := taskRequest; r.Task != "s2" || !r.Pause || r.PreferredHost != "s5" || r.Operator != "s6" || r.Note != "s7" {
 		t.Errorf("task request: %+v", r)
 	}
 	if r := settingsRequest; r.Rollback != 4 || r.Note != "s4" || r.SettleMs != 10 || r.CallOff != "s10" {
