--- a/cmd/birchmoor/store.go
+++ b/cmd/birchmoor/store.go
@@ -439,7 +439,7 @@
 		}
 		return k.print(c, i, func(w *tabwriter.Writer) {
 			for _, x := range i.Items {
-				fmt.Fprintf(w, "%s\t%s\t%d\n", x.Key, text(x.Value), x.Modified)
+				fmt.Fprintf(w, "%s\t%s\t%d\n", x.Key, text(x.Value), x.ModRevision)
 			}
 			if i.More {
 				fmt.Fprintln(w, "and more: raise --limit")
@@ -468,7 +468,7 @@
 			return err
 		}
 	}
-	return putOrDelete(ctx, c, &k.socketFlag, k.requestFlag, store.Op{Key: k.Key, Value: value, Lease: k.Lease}, k.If)
+	return putOrDelete(ctx, c, &k.socketFlag, k.requestFlag, store.Op{Key: k.Key, Value: value, LeaseID: k.Lease}, k.If)
 }
 
 func putOrDelete(ctx context.Context, c *console, s *socketFlag, r requestFlag, op store.Op, at *uint64) error {
@@ -478,7 +478,7 @@
 	}
 	t := &store.Txn{Then: []store.Op{op}}
 	if at != nil {
-		t.If = []store.Compare{{Key: op.Key, Modified: *at}}
+		t.If = []store.Compare{{Key: op.Key, ModRevision: *at}}
 	}
 	held := true
 	err = s.change(ctx, c, admin.Request{ID: id, Txn: t}, func(w *tabwriter.Writer, x admin.Change) {
--- a/internal/controlplane/adminapi/adminapi_test.go
+++ b/internal/controlplane/adminapi/adminapi_test.go
@@ -26,10 +26,10 @@
 		owner string
 		ok    bool
 	}{
-		"a place":                    {store.Op{Key: lease.QueueEntryKey("one", "f", "1"), Lease: 7}, "f", true},
-		"another's place":            {store.Op{Key: lease.QueueEntryKey("one", "g", "1"), Lease: 7}, "f", false},
+		"a place":                    {store.Op{Key: lease.QueueEntryKey("one", "f", "1"), LeaseID: 7}, "f", true},
+		"another's place":            {store.Op{Key: lease.QueueEntryKey("one", "g", "1"), LeaseID: 7}, "f", false},
 		"a place for good":           {store.Op{Key: lease.QueueEntryKey("one", "f", "1")}, "f", false},
-		"a place as nobody":          {store.Op{Key: lease.QueueEntryKey("one", "f", "1"), Lease: 7}, "", false},
+		"a place as nobody":          {store.Op{Key: lease.QueueEntryKey("one", "f", "1"), LeaseID: 7}, "", false},
 		"its own removed":            {store.Op{Key: lease.QueueEntryKey("one", "f", "1"), Delete: true}, "f", true},
 		"another's removed":          {store.Op{Key: lease.QueueEntryKey("one", "g", "1"), Delete: true}, "f", false},
 		"slots":                      {store.Op{Key: lease.TaskConfigPrefix + "one"}, "f", true},
@@ -40,9 +40,9 @@
 		"how one goes with another":  {store.Op{Key: "config/report/g"}, "f", false},
 		"an order of operators'":     {store.Op{Key: lease.OverridePrefix + "one"}, "f", false},
 		"the end of the holding-off": {store.Op{Key: lease.SuspendKey, Delete: true}, "f", false},
-		"what it wants of limits":    {store.Op{Key: "limit/need/f/7", Lease: 7}, "f", true},
-		"by another's session":       {store.Op{Key: "limit/need/f/7", Lease: 8}, "f", false},
-		"what another wants":         {store.Op{Key: "limit/need/g/7", Lease: 7}, "f", false},
+		"what it wants of limits":    {store.Op{Key: "limit/need/f/7", LeaseID: 7}, "f", true},
+		"by another's session":       {store.Op{Key: "limit/need/f/7", LeaseID: 8}, "f", false},
+		"what another wants":         {store.Op{Key: "limit/need/g/7", LeaseID: 7}, "f", false},
 		"a share":                    {store.Op{Key: "limit/grant/f/7"}, "f", false},
 		"limits":                     {store.Op{Key: "limit/conf"}, "f", false},
 		"settings":                   {store.Op{Key: "config/current"}, "f", false},
@@ -108,9 +108,9 @@
 		c    store.Command
 		want usage.Purpose
 	}{
-		"a grant": {store.Command{Grant: &store.GrantLease{}}, usage.Sessions}, "a renewal": {store.Command{Renew: &store.RenewLease{}}, usage.Sessions},
-		"an end": {store.Command{End: &store.RevokeLease{}}, usage.Sessions}, "a member": {store.Command{Join: &store.AddMember{}}, usage.Raft},
-		"a level": {store.Command{Raise: &store.RaiseLevel{}}, usage.Raft}, "nothing": {store.Command{}, usage.Other},
+		"a grant": {store.Command{GrantLease: &store.GrantLease{}}, usage.Sessions}, "a renewal": {store.Command{RenewLease: &store.RenewLease{}}, usage.Sessions},
+		"an end": {store.Command{RevokeLease: &store.RevokeLease{}}, usage.Sessions}, "a member": {store.Command{AddMember: &store.AddMember{}}, usage.Raft},
+		"a level": {store.Command{RaiseLevel: &store.RaiseLevel{}}, usage.Raft}, "nothing": {store.Command{}, usage.Other},
 		"a put":             {store.Command{Txn: &store.Txn{Then: put("limit/x"), Else: put("out/x")}}, usage.Shares},
 		"a put if not":      {store.Command{Txn: &store.Txn{Else: put("out/x"), If: []store.Compare{{Key: "task/x"}}}}, usage.Words},
 		"a comparison":      {store.Command{Txn: &store.Txn{If: []store.Compare{{Key: "task/x"}}}}, usage.Tasks},
--- a/internal/controlplane/components.go
+++ b/internal/controlplane/components.go
@@ -83,7 +83,7 @@
 // Open starts the parts that the file tells of. End stops them.
 func Open(c Config) (*Components, error) {
 	s, bounds, log := c.File.Store, store.DefaultLimits, c.Log
-	bounds.Total = s.TotalMB << 20
+	bounds.TotalBytes = s.TotalMB << 20
 	cfg := engine.Config{Name: s.Name, Dir: s.Dir, Address: s.Address, Join: s.Join, Limits: bounds, Tick: time.Duration(s.Tick),
 		Elect: s.Elect, Log: log, Meter: adminapi.Meter()}
 	for _, text := range s.Via {
--- a/internal/controlplane/daemon/bans.go
+++ b/internal/controlplane/daemon/bans.go
@@ -183,7 +183,7 @@
 	b.mu.Lock()
 	out := b.guard.Out(id)
 	b.mu.Unlock()
-	if !r.Held || out {
+	if !r.Succeeded || out {
 		return true, fmt.Errorf("%s: %w", id, ErrExcludedAgain)
 	}
 	return true, agree(ctx, id, false)
--- a/internal/controlplane/daemon/daemon_test.go
+++ b/internal/controlplane/daemon/daemon_test.go
@@ -108,7 +108,7 @@
 		dirs = append(dirs, t.TempDir())
 		all = append(all, start(t, name, dirs[i], "127.0.0.1:0", i > 0))
 		if i > 0 {
-			if _, err := all[0].e.Do(ctx, store.Command{Join: &store.AddMember{Name: name, Address: all[i].addr}}); err != nil {
+			if _, err := all[0].e.Do(ctx, store.Command{AddMember: &store.AddMember{Name: name, Address: all[i].addr}}); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/controlplane/daemon/desk.go
+++ b/internal/controlplane/daemon/desk.go
@@ -113,7 +113,7 @@
 // wordsOf are the keys with a prefix, and the revisions at which they were told.
 func wordsOf(s *store.State, prefix string) map[string]uint64 {
 	words := map[string]uint64{}
-	s.Range(prefix, store.PrefixEnd(prefix), func(i store.Item) bool { words[i.Key] = i.Modified; return true })
+	s.Range(prefix, store.PrefixEnd(prefix), func(i store.Item) bool { words[i.Key] = i.ModRevision; return true })
 	return words
 }
 
--- a/internal/controlplane/daemon/drains.go
+++ b/internal/controlplane/daemon/drains.go
@@ -235,8 +235,8 @@
 	if over {
 		return nil
 	}
-	r, err := d.store.Do(ctx, store.Command{Txn: &store.Txn{If: []store.Compare{{Key: op.Key, Modified: agreed}}, Then: []store.Op{op}}})
-	if err != nil || r.Held {
+	r, err := d.store.Do(ctx, store.Command{Txn: &store.Txn{If: []store.Compare{{Key: op.Key, ModRevision: agreed}}, Then: []store.Op{op}}})
+	if err != nil || r.Succeeded {
 		return err
 	}
 	d.mu.Lock()
--- a/internal/controlplane/daemon/memory.go
+++ b/internal/controlplane/daemon/memory.go
@@ -161,8 +161,8 @@
 		}
 	}
 	s.Range(serverstate.SnapshotPrefix, store.PrefixEnd(serverstate.SnapshotPrefix), func(i store.Item) bool {
-		if k.all[i.Key].agreed != i.Modified {
-			k.set(i.Key, picture{i.Value, 0, i.Modified}, false)
+		if k.all[i.Key].agreed != i.ModRevision {
+			k.set(i.Key, picture{i.Value, 0, i.ModRevision}, false)
 		}
 		return true
 	})
@@ -175,7 +175,7 @@
 	defer k.mu.Unlock()
 	_, over := k.turns.Due(k.now(now))
 	for _, key := range over {
-		ends = append(ends, &store.Txn{If: []store.Compare{{Key: key, Modified: k.all[key].agreed}}, Then: []store.Op{{Key: key, Delete: true}}})
+		ends = append(ends, &store.Txn{If: []store.Compare{{Key: key, ModRevision: k.all[key].agreed}}, Then: []store.Op{{Key: key, Delete: true}}})
 	}
 	return ends
 }
--- a/internal/controlplane/daemon/settings.go
+++ b/internal/controlplane/daemon/settings.go
@@ -146,17 +146,17 @@
 func (x *Settings) take(i store.Item, deleted bool) {
 	switch i.Key {
 	case keyCurrent:
-		if i.Modified <= x.version && !deleted {
+		if i.ModRevision <= x.version && !deleted {
 			return
 		}
-		x.current, x.version = i.Value, i.Modified
+		x.current, x.version = i.Value, i.ModRevision
 		if deleted {
 			x.current = nil
 		}
 		x.signal()
 	case keyCandidate:
 		if x.pending = nil; !deleted {
-			x.pending = &candidate{i.Modified, i.Value}
+			x.pending = &candidate{i.ModRevision, i.Value}
 			x.poke()
 		}
 	default:
@@ -193,7 +193,7 @@
 	wait, cancel := context.WithTimeout(ctx, writeWait)
 	defer cancel()
 	if _, err := x.store.Do(wait, store.Command{Txn: &store.Txn{
-		If:   []store.Compare{{Key: keyCandidate, Modified: c.id}},
+		If:   []store.Compare{{Key: keyCandidate, ModRevision: c.id}},
 		Then: []store.Op{{Key: keyVerdict + x.name, Value: b}}}}); err != nil {
 		x.log.Warn("a verdict on settings was not told", "error", err)
 	}
@@ -220,20 +220,20 @@
 			return 0, err
 		}
 	}
-	held, err := x.store.Do(ctx, store.Command{Grant: &store.GrantLease{TTL: uint64(candidateFor.Milliseconds())}})
+	held, err := x.store.Do(ctx, store.Command{GrantLease: &store.GrantLease{TTLMillis: uint64(candidateFor.Milliseconds())}})
 	if err != nil {
 		return 0, err
 	}
 	r, err := x.store.Do(ctx, store.Command{Txn: &store.Txn{If: []store.Compare{{Key: keyCandidate}},
-		Then: []store.Op{{Key: keyVerdict, Delete: true, End: store.PrefixEnd(keyVerdict)}, {Key: keyCandidate, Value: settings, Lease: held.Lease}}}})
-	if err == nil && !r.Held {
+		Then: []store.Op{{Key: keyVerdict, Delete: true, RangeEnd: store.PrefixEnd(keyVerdict)}, {Key: keyCandidate, Value: settings, LeaseID: held.LeaseID}}}})
+	if err == nil && !r.Succeeded {
 		err = errors.New("other settings are being put")
 	}
 	if err != nil {
 		return 0, err
 	}
 	if err := x.verdicts(ctx, r.Revision, r.Revision); err != nil {
-		_, end := x.store.Do(ctx, store.Command{End: &store.RevokeLease{Lease: held.Lease}})
+		_, end := x.store.Do(ctx, store.Command{RevokeLease: &store.RevokeLease{LeaseID: held.LeaseID}})
 		return 0, errors.Join(err, end)
 	}
 	return r.Revision, nil
@@ -259,7 +259,7 @@
 	}
 	ops := []store.Op{{Key: keyCurrent, Value: v.Settings}, {Key: historyKey(v.Version), Value: b}}
 	if v.Version > historyKept {
-		ops = append(ops, store.Op{Key: historyKey(0), Delete: true, End: historyKey(v.Version - historyKept + 1)})
+		ops = append(ops, store.Op{Key: historyKey(0), Delete: true, RangeEnd: historyKey(v.Version - historyKept + 1)})
 	}
 	return ops, nil
 }
@@ -284,10 +284,10 @@
 	if err != nil {
 		return Version{}, err
 	}
-	ops = append(ops, store.Op{Key: keyCandidate, Delete: true}, store.Op{Key: keyVerdict, Delete: true, End: store.PrefixEnd(keyVerdict)})
-	r, err := x.store.Do(ctx, store.Command{Txn: &store.Txn{If: []store.Compare{{Key: keyCandidate, Modified: id},
-		{Key: keyCurrent, Modified: old.Modified}, {Key: keyPlan, Modified: plan}}, Then: ops}})
-	if err == nil && !r.Held {
+	ops = append(ops, store.Op{Key: keyCandidate, Delete: true}, store.Op{Key: keyVerdict, Delete: true, RangeEnd: store.PrefixEnd(keyVerdict)})
+	r, err := x.store.Do(ctx, store.Command{Txn: &store.Txn{If: []store.Compare{{Key: keyCandidate, ModRevision: id},
+		{Key: keyCurrent, ModRevision: old.ModRevision}, {Key: keyPlan, ModRevision: plan}}, Then: ops}})
+	if err == nil && !r.Succeeded {
 		err = errors.New("the settings were changed meanwhile")
 	}
 	v.Revision = r.Revision
@@ -350,7 +350,7 @@
 			if err := json.Unmarshal(i.Value, &v); err != nil {
 				bad = fmt.Errorf("%s: %w", i.Key, err)
 			}
-			v.Revision = i.Modified
+			v.Revision = i.ModRevision
 			all = append(all, v)
 			return true
 		})
--- a/internal/controlplane/daemon/starts.go
+++ b/internal/controlplane/daemon/starts.go
@@ -98,7 +98,7 @@
 	defer d.mu.Unlock()
 	now := d.now(time.Now())
 	s.Range(serverstate.StartPrefix, store.PrefixEnd(serverstate.StartPrefix), func(i store.Item) bool {
-		if p, news := d.words.Applied(now, store.Event{Revision: i.Modified, Item: i}, 0); news {
+		if p, news := d.words.Applied(now, store.Event{Revision: i.ModRevision, Item: i}, 0); news {
 			d.dirty[p] = true
 		}
 		return true
--- a/internal/controlplane/daemon/steps.go
+++ b/internal/controlplane/daemon/steps.go
@@ -77,7 +77,7 @@
 	case keyPlan:
 		x.steps.plan, x.steps.set = rollout.Plan{}, 0
 		if !deleted && json.Unmarshal(i.Value, &x.steps.plan) == nil {
-			x.steps.set = i.Modified
+			x.steps.set = i.ModRevision
 		}
 	case keyStepped:
 		if x.steps.text = nil; !deleted {
@@ -137,7 +137,7 @@
 	}
 	wait, cancel := context.WithTimeout(ctx, writeWait)
 	defer cancel()
-	if _, err := x.store.Do(wait, store.Command{Txn: &store.Txn{Owner: x.name, If: []store.Compare{{Key: keyPlan, Modified: x.planSet()}},
+	if _, err := x.store.Do(wait, store.Command{Txn: &store.Txn{Owner: x.name, If: []store.Compare{{Key: keyPlan, ModRevision: x.planSet()}},
 		Then: []store.Op{{Key: ReportKey(x.name), Value: b}}}}); err != nil {
 		return // it is told again
 	}
@@ -171,10 +171,10 @@
 	if err != nil {
 		return p, err
 	}
-	r, err := x.store.Do(ctx, store.Command{Txn: &store.Txn{If: []store.Compare{{Key: keyCandidate, Modified: id}, {Key: keyPlan, Modified: set}},
+	r, err := x.store.Do(ctx, store.Command{Txn: &store.Txn{If: []store.Compare{{Key: keyCandidate, ModRevision: id}, {Key: keyPlan, ModRevision: set}},
 		Then: []store.Op{{Key: keyPlan, Value: b}, {Key: keyStepped, Value: settings}, {Key: keyCandidate, Delete: true},
-			{Key: keyReport, Delete: true, End: store.PrefixEnd(keyReport)}, {Key: keyVerdict, Delete: true, End: store.PrefixEnd(keyVerdict)}}}})
-	if err == nil && !r.Held {
+			{Key: keyReport, Delete: true, RangeEnd: store.PrefixEnd(keyReport)}, {Key: keyVerdict, Delete: true, RangeEnd: store.PrefixEnd(keyVerdict)}}}})
+	if err == nil && !r.Succeeded {
 		err = ErrRolloutRunning
 	}
 	return p, err
@@ -198,7 +198,7 @@
 	_, err = x.store.View(ctx, false, func(s *store.State) {
 		p, set, bad = rollout.Plan{}, 0, ErrNoRollout
 		if i, there := s.Get(keyPlan); there {
-			set, bad = i.Modified, json.Unmarshal(i.Value, &p)
+			set, bad = i.ModRevision, json.Unmarshal(i.Value, &p)
 		}
 	})
 	return p, set, errors.Join(err, bad)
@@ -227,10 +227,10 @@
 	}
 	ops := append([]store.Op{{Key: keyPlan, Value: b}}, more...)
 	if p.State != rollout.Running {
-		ops = append(ops, store.Op{Key: keyStepped, Delete: true}, store.Op{Key: keyReport, Delete: true, End: store.PrefixEnd(keyReport)})
+		ops = append(ops, store.Op{Key: keyStepped, Delete: true}, store.Op{Key: keyReport, Delete: true, RangeEnd: store.PrefixEnd(keyReport)})
 	}
-	r, err := do(ctx, store.Txn{If: []store.Compare{{Key: keyPlan, Modified: set}}, Then: ops})
-	if err == nil && !r.Held {
+	r, err := do(ctx, store.Txn{If: []store.Compare{{Key: keyPlan, ModRevision: set}}, Then: ops})
+	if err == nil && !r.Succeeded {
 		err = ErrExcludedAgain
 	}
 	return err
@@ -253,7 +253,7 @@
 		if !there {
 			return
 		}
-		if set, bad = i.Modified, json.Unmarshal(i.Value, &p); bad != nil || p.State != rollout.Running {
+		if set, bad = i.ModRevision, json.Unmarshal(i.Value, &p); bad != nil || p.State != rollout.Running {
 			return // a follower's copy has not what others report: it is read while there is a plan
 		}
 		if i, there := s.Get(keyStepped); there {
@@ -313,7 +313,7 @@
 		return err
 	}
 	return x.change(ctx, &p, set, ops, func(ctx context.Context, t store.Txn) (store.Result, error) {
-		t.If = append(t.If, store.Compare{Key: keyCurrent, Modified: old.Modified})
+		t.If = append(t.If, store.Compare{Key: keyCurrent, ModRevision: old.ModRevision})
 		return do(ctx, t)
 	})
 }
--- a/internal/controlplane/daemon/stored_test.go
+++ b/internal/controlplane/daemon/stored_test.go
@@ -34,7 +34,7 @@
 func newRecordingStore(t *testing.T) *recordingStore {
 	t.Helper()
 	r := &recordingStore{state: store.New(1, store.DefaultLimits)}
-	if err := r.apply(&store.Command{Raise: &store.RaiseLevel{Level: store.LevelOwners}}).Err; err != nil {
+	if err := r.apply(&store.Command{RaiseLevel: &store.RaiseLevel{Level: store.LevelOwners}}).Err; err != nil {
 		t.Fatal(err)
 	}
 	entry := &store.Txn{}
@@ -57,24 +57,24 @@
 
 func (r *recordingStore) Do(_ context.Context, c store.Command) (store.Result, error) {
 	switch {
-	case c.Grant != nil:
-		fmt.Fprintf(&r.text, "grant ttl=%d\n", c.Grant.TTL)
-	case c.End != nil:
-		fmt.Fprintf(&r.text, "revoke lease=%d\n", c.End.Lease)
+	case c.GrantLease != nil:
+		fmt.Fprintf(&r.text, "grant ttl=%d\n", c.GrantLease.TTLMillis)
+	case c.RevokeLease != nil:
+		fmt.Fprintf(&r.text, "revoke lease=%d\n", c.RevokeLease.LeaseID)
 	case c.Txn != nil:
 		fmt.Fprintf(&r.text, "txn owner=%q else=%d\n", c.Txn.Owner, len(c.Txn.Else))
 		for _, cmp := range c.Txn.If {
-			fmt.Fprintf(&r.text, "  if %s modified=%d\n", cmp.Key, cmp.Modified)
+			fmt.Fprintf(&r.text, "  if %s modified=%d\n", cmp.Key, cmp.ModRevision)
 		}
 		for _, op := range c.Txn.Then {
 			value := fmt.Sprintf("%x", op.Value)
 			if json.Valid(op.Value) {
 				value = clockTime.ReplaceAllString(string(op.Value), `"at":"-"`)
 			}
-			fmt.Fprintf(&r.text, "  then %s end=%q delete=%v lease=%d %s\n", op.Key, op.End, op.Delete, op.Lease, value)
+			fmt.Fprintf(&r.text, "  then %s end=%q delete=%v lease=%d %s\n", op.Key, op.RangeEnd, op.Delete, op.LeaseID, value)
 		}
-		for _, b := range c.Txn.Bounds {
-			fmt.Fprintf(&r.text, "  bound %s %d\n", b.Prefix, b.Most)
+		for _, b := range c.Txn.KeyLimits {
+			fmt.Fprintf(&r.text, "  bound %s %d\n", b.Prefix, b.MaxKeys)
 		}
 	}
 	result := r.apply(&c)
--- a/internal/controlplane/lease/stored_test.go
+++ b/internal/controlplane/lease/stored_test.go
@@ -64,7 +64,7 @@
 	table := NewTable(NoTableDefect)
 	revision := map[string]uint64{"task/place/reindex/host-a/00ff1": 5, "task/place/reindex/host-b/00ff2": 9, "task/order/reindex": 11}
 	for key, value := range readRecords(t) {
-		item := store.Item{Key: key, Value: []byte(value), Created: revision[key], Modified: revision[key]}
+		item := store.Item{Key: key, Value: []byte(value), CreateRevision: revision[key], ModRevision: revision[key]}
 		if !table.Event(store.Event{Item: item}) {
 			t.Errorf("%s is not taken for a key of tasks", key)
 		}
--- a/internal/controlplane/lease/table.go
+++ b/internal/controlplane/lease/table.go
@@ -145,7 +145,7 @@
 			q.entries = slices.Delete(q.entries, at, at+1)
 		}
 		if !deleted {
-			p := QueueEntry{Key: key, Task: task, Host: host, Token: i.Created}
+			p := QueueEntry{Key: key, Task: task, Host: host, Token: i.CreateRevision}
 			_ = json.Unmarshal(i.Value, &p.QueueRecord) // a place holds its rank whatever its value says
 			at, _ := slices.BinarySearchFunc(q.entries, p.Token, func(x QueueEntry, token uint64) int { return cmp.Compare(x.Token, token) })
 			q.entries = slices.Insert(q.entries, at, p)
@@ -164,7 +164,7 @@
 		}},
 		{OverridePrefix, func(q *taskQueue) {
 			if q.override, q.overrideRevision = (TaskOverride{}), 0; !deleted {
-				q.overrideRevision = i.Modified
+				q.overrideRevision = i.ModRevision
 				if json.Unmarshal(i.Value, &q.override) != nil {
 					q.override = TaskOverride{Pause: true} // what cannot be read stops the task rather than nothing
 				}
@@ -303,7 +303,7 @@
 // Allowed says whether an operation is a daemon's own part in tasks: its places, which go with its lease, and how many may hold a task.
 func Allowed(op store.Op, owner string) bool {
 	if _, host, _, ok := ParseQueueEntryKey(op.Key); ok {
-		return host == owner && (op.Delete || op.Lease != 0 && len(op.Value) <= MaxValueBytes)
+		return host == owner && (op.Delete || op.LeaseID != 0 && len(op.Value) <= MaxValueBytes)
 	}
 	task, ok := strings.CutPrefix(op.Key, TaskConfigPrefix)
 	return ok && CheckName(task) == nil && IsPersistentPut(op, owner)
@@ -311,5 +311,5 @@
 
 // IsPersistentPut says whether an operation puts, in a daemon's name, what stays and is short.
 func IsPersistentPut(op store.Op, owner string) bool {
-	return owner != "" && !op.Delete && op.Lease == 0 && len(op.Value) <= MaxValueBytes
+	return owner != "" && !op.Delete && op.LeaseID == 0 && len(op.Value) <= MaxValueBytes
 }
--- a/internal/controlplane/leasetask/lease.go
+++ b/internal/controlplane/leasetask/lease.go
@@ -248,7 +248,7 @@
 
 // Txn makes a change of the store that takes effect only while this holder has its place: none does after a later holder's.
 func (h *Lease) Txn(ctx context.Context, t store.Txn) (store.Result, error) {
-	t.If = append([]store.Compare{{Key: h.key, Modified: h.token}}, t.If...)
+	t.If = append([]store.Compare{{Key: h.key, ModRevision: h.token}}, t.If...)
 	return h.runner.store.Do(ctx, store.Command{Txn: &t})
 }
 
--- a/internal/controlplane/leasetask/leasetask_test.go
+++ b/internal/controlplane/leasetask/leasetask_test.go
@@ -182,7 +182,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return r.Held
+		return r.Succeeded
 	}
 	old := acquire(t, all[0], newClaim("one", 1))
 	if !put(old, "old") {
--- a/internal/controlplane/leasetask/runner.go
+++ b/internal/controlplane/leasetask/runner.go
@@ -208,9 +208,9 @@
 			t.Stop()
 			continue
 		}
-		c := store.Command{Grant: &store.GrantLease{TTL: uint64(ms), Owner: r.cfg.Host}}
+		c := store.Command{GrantLease: &store.GrantLease{TTLMillis: uint64(ms), Owner: r.cfg.Host}}
 		if ask == lease.RenewRequest {
-			c = store.Command{Renew: &store.RenewLease{Lease: id, Owner: r.cfg.Host}}
+			c = store.Command{RenewLease: &store.RenewLease{LeaseID: id, Owner: r.cfg.Host}}
 		}
 		wait, cancel := context.WithTimeout(r.ctx, max(s.ttl/2, 200*time.Millisecond))
 		res, err := r.store.Do(wait, c)
@@ -224,7 +224,7 @@
 		}
 		r.mu.Lock()
 		before := s.state.Generation()
-		s.state.HandleResponse(r.cfg.Clock.Now(), o, res.Lease)
+		s.state.HandleResponse(r.cfg.Clock.Now(), o, res.LeaseID)
 		r.notifyChanged()
 		var orphans []string
 		if o == lease.Succeeded && s.state.Generation() == before {
@@ -258,7 +258,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.ctx), time.Second)
 	defer cancel()
-	_, _ = r.store.Do(ctx, store.Command{End: &store.RevokeLease{Lease: id, Owner: r.cfg.Host}})
+	_, _ = r.store.Do(ctx, store.Command{RevokeLease: &store.RevokeLease{LeaseID: id, Owner: r.cfg.Host}})
 }
 
 // removeEntry takes a place away.
@@ -356,8 +356,8 @@
 	if err != nil {
 		return err
 	}
-	t := &store.Txn{Owner: r.cfg.Host, If: []store.Compare{{Key: h.key}}, Then: []store.Op{{Key: h.key, Value: value, Lease: id}},
-		Bounds: []store.KeyLimit{{Prefix: lease.QueuePrefix + h.claim.Task + "/", Most: lease.MaxQueueEntries}}}
+	t := &store.Txn{Owner: r.cfg.Host, If: []store.Compare{{Key: h.key}}, Then: []store.Op{{Key: h.key, Value: value, LeaseID: id}},
+		KeyLimits: []store.KeyLimit{{Prefix: lease.QueuePrefix + h.claim.Task + "/", MaxKeys: lease.MaxQueueEntries}}}
 	if slots == 0 {
 		conf, err := json.Marshal(lease.TaskConfig{Slots: h.claim.Slots})
 		if err != nil {
@@ -365,7 +365,7 @@
 		}
 		t.If = append(t.If, store.Compare{Key: lease.TaskConfigPrefix + h.claim.Task})
 		t.Then = append(t.Then, store.Op{Key: lease.TaskConfigPrefix + h.claim.Task, Value: conf})
-		t.Bounds = append(t.Bounds, store.KeyLimit{Prefix: lease.TaskConfigPrefix, Most: lease.MaxTasks})
+		t.KeyLimits = append(t.KeyLimits, store.KeyLimit{Prefix: lease.TaskConfigPrefix, MaxKeys: lease.MaxTasks})
 	}
 	wait, cancel := context.WithTimeout(ctx, max(h.claim.TTL/2, time.Second))
 	defer cancel()
--- a/internal/controlplane/leasetask/status.go
+++ b/internal/controlplane/leasetask/status.go
@@ -164,6 +164,6 @@
 		op = store.Op{Key: op.Key, Value: b}
 	}
 	_, err := r.store.Do(ctx, store.Command{Txn: &store.Txn{Then: []store.Op{op},
-		Bounds: []store.KeyLimit{{Prefix: lease.OverridePrefix, Most: lease.MaxTasks}}}})
+		KeyLimits: []store.KeyLimit{{Prefix: lease.OverridePrefix, MaxKeys: lease.MaxTasks}}}})
 	return err
 }
--- a/internal/controlplane/quota/allocator.go
+++ b/internal/controlplane/quota/allocator.go
@@ -79,7 +79,7 @@
 	d.processes, d.revision = map[Process]*processState{}, 0
 	clear(d.decodeErrors)
 	if i, ok := s.Get(AllocationKey); ok {
-		d.revision = i.Modified
+		d.revision = i.ModRevision
 	}
 	for _, prefix := range []string{DemandPrefix, GrantPrefix} {
 		s.Range(prefix, store.PrefixEnd(prefix), func(i store.Item) bool {
@@ -122,7 +122,7 @@
 		if g, err = DecodeGrant(i.Value); err == nil {
 			x.grant = g
 		}
-		x.grantRevision = i.Modified
+		x.grantRevision = i.ModRevision
 	}
 	if err != nil {
 		d.decodeErrors[i.Key] = err.Error()
@@ -214,7 +214,7 @@
 	if len(next) == 0 && len(drop) == 0 {
 		return nil
 	}
-	v := &Allocation{If: []store.Compare{{Key: AllocationKey, Modified: d.revision}}, Then: []store.Op{{Key: AllocationKey, Value: []byte{1}}}}
+	v := &Allocation{If: []store.Compare{{Key: AllocationKey, ModRevision: d.revision}}, Then: []store.Op{{Key: AllocationKey, Value: []byte{1}}}}
 	if d.defect == UncheckedRevision {
 		v.If = nil
 	}
--- a/internal/controlplane/quota/limit_test.go
+++ b/internal/controlplane/quota/limit_test.go
@@ -98,7 +98,7 @@
 
 func newFleet(l ...*Limit) *fleet {
 	f := &fleet{s: store.New(1, store.DefaultLimits), conf: &Config{Version: 1, Limits: l}}
-	f.do(&store.Command{Raise: &store.RaiseLevel{Level: store.Level}})
+	f.do(&store.Command{RaiseLevel: &store.RaiseLevel{Level: store.Level}})
 	return f
 }
 
@@ -108,11 +108,11 @@
 }
 
 func (f *fleet) join(host string) Process {
-	return Process{host, f.do(&store.Command{Grant: &store.GrantLease{TTL: 1000, Owner: host}}).Lease}
+	return Process{host, f.do(&store.Command{GrantLease: &store.GrantLease{TTLMillis: 1000, Owner: host}}).LeaseID}
 }
 
 func (f *fleet) need(p Process, seen uint64, of map[string]NodeDemand) {
-	f.do(&store.Command{Txn: &store.Txn{Owner: p.Host, Then: []store.Op{{Key: p.DemandKey(), Lease: p.Session, Value: Encode(Demand{ConfigVersion: f.conf.Version, SeenRevision: seen, Nodes: of})}}}})
+	f.do(&store.Command{Txn: &store.Txn{Owner: p.Host, Then: []store.Op{{Key: p.DemandKey(), LeaseID: p.Session, Value: Encode(Demand{ConfigVersion: f.conf.Version, SeenRevision: seen, Nodes: of})}}}})
 }
 
 func (f *fleet) grant(p Process) (g Grant, at uint64) {
@@ -120,7 +120,7 @@
 	if ok {
 		g, _ = DecodeGrant(i.Value)
 	}
-	return g, i.Modified
+	return g, i.ModRevision
 }
 
 func (f *fleet) divider(p Defect) *Allocator {
@@ -133,7 +133,7 @@
 func (f *fleet) divide(d *Allocator, now int64) bool {
 	d.Reset(now, f.s)
 	v := d.Allocate(now)
-	return v != nil && f.do(&store.Command{Txn: &store.Txn{If: v.If, Then: v.Then}}).Held
+	return v != nil && f.do(&store.Command{Txn: &store.Txn{If: v.If, Then: v.Then}}).Succeeded
 }
 
 // Two who divide by the same copy: one of them changes nothing. Without that a limit is given twice.
@@ -147,11 +147,11 @@
 		one, two := f.divider(plant), f.divider(plant)
 		x := one.Allocate(2)
 		f.need(b, 0, want)
-		f.do(&store.Command{End: &store.RevokeLease{Lease: a.Session, Owner: "a"}}) // and its share is given to b by another
+		f.do(&store.Command{RevokeLease: &store.RevokeLease{LeaseID: a.Session, Owner: "a"}}) // and its share is given to b by another
 		two.Reset(3, f.s)
 		f.divide(two, 3)
 		f.divide(two, sec)
-		late := f.do(&store.Command{Txn: &store.Txn{If: x.If, Then: x.Then}}).Held
+		late := f.do(&store.Command{Txn: &store.Txn{If: x.If, Then: x.Then}}).Succeeded
 		ga, _ := f.grant(a)
 		gb, _ := f.grant(b)
 		if sum := ga.Quotas[l.Key(0)].Amount + gb.Quotas[l.Key(0)].Amount; (sum > 10*AmountUnit || late) != (plant != NoDefect) {
@@ -371,7 +371,7 @@
 					f.need(p, n.SeenRevision, n.Nodes)
 				}
 			} else if now == 3*sec {
-				f.do(&store.Command{End: &store.RevokeLease{Lease: p.Session, Owner: p.Host}})
+				f.do(&store.Command{RevokeLease: &store.RevokeLease{LeaseID: p.Session, Owner: p.Host}})
 			}
 			for {
 				if _, no := h.Reserve(now, []Charge{{l, 0, AmountUnit}}, 1); no != nil {
--- a/internal/controlplane/quota/wire.go
+++ b/internal/controlplane/quota/wire.go
@@ -116,5 +116,5 @@
 func Allowed(op store.Op, owner string) bool {
 	rest, ok := strings.CutPrefix(op.Key, DemandPrefix)
 	p, is := parseProcess(rest)
-	return ok && is && owner != "" && p.Host == owner && (op.Delete || op.Lease == p.Session && len(op.Value) <= MaxRecordBytes)
+	return ok && is && owner != "" && p.Host == owner && (op.Delete || op.LeaseID == p.Session && len(op.Value) <= MaxRecordBytes)
 }
--- a/internal/controlplane/quotasync/manager.go
+++ b/internal/controlplane/quotasync/manager.go
@@ -152,7 +152,7 @@
 	if err != nil {
 		l.cfg.Log.Error("shares of limits are not read: they count as none", "key", i.Key, "error", err)
 	}
-	l.holder.ApplyGrant(l.now(), l.me.Session, i.Modified, g)
+	l.holder.ApplyGrant(l.now(), l.me.Session, i.ModRevision, g)
 	l.poke()
 }
 
@@ -248,8 +248,8 @@
 		}
 		c, cancel := context.WithTimeout(ctx, min(tellTime, l.cfg.TTL/2))
 		_, err := l.store.Do(c, store.Command{Txn: &store.Txn{Owner: l.cfg.Host,
-			Then:   []store.Op{{Key: me.DemandKey(), Value: quota.Encode(n), Lease: me.Session}},
-			Bounds: []store.KeyLimit{{Prefix: quota.DemandPrefix, Most: quota.MaxProcesses}}}})
+			Then:      []store.Op{{Key: me.DemandKey(), Value: quota.Encode(n), LeaseID: me.Session}},
+			KeyLimits: []store.KeyLimit{{Prefix: quota.DemandPrefix, MaxKeys: quota.MaxProcesses}}}})
 		cancel()
 		if err != nil {
 			l.mu.Lock()
@@ -341,7 +341,7 @@
 	if _, err := l.store.View(ctx, false, func(s *store.State) {
 		*was, at, bad = quota.Config{}, 0, nil
 		if i, ok := s.Get(quota.ConfigKey); ok {
-			at, bad = i.Modified, json.Unmarshal(i.Value, was)
+			at, bad = i.ModRevision, json.Unmarshal(i.Value, was)
 		}
 	}); err != nil || bad != nil {
 		return nil, errors.Join(err, bad)
@@ -351,8 +351,8 @@
 	if err != nil {
 		return nil, err
 	}
-	r, err := l.store.Do(ctx, store.Command{Txn: &store.Txn{If: []store.Compare{{Key: quota.ConfigKey, Modified: at}}, Then: []store.Op{{Key: quota.ConfigKey, Value: b}}}})
-	if err == nil && !r.Held {
+	r, err := l.store.Do(ctx, store.Command{Txn: &store.Txn{If: []store.Compare{{Key: quota.ConfigKey, ModRevision: at}}, Then: []store.Op{{Key: quota.ConfigKey, Value: b}}}})
+	if err == nil && !r.Succeeded {
 		err = errors.New("the limits were changed meanwhile")
 	}
 	return c, err
--- a/internal/lab/fleetlab/measure.go
+++ b/internal/lab/fleetlab/measure.go
@@ -244,9 +244,9 @@
 		i, err := f.Daemons[0].Client.Range(ctx, map[string][]string{"prefix": {prefix}})
 		n := 0
 		for _, x := range i.Items {
-			if x.Modified > words[x.Key] {
+			if x.ModRevision > words[x.Key] {
 				n += int(x.Version)
-				words[x.Key] = x.Modified
+				words[x.Key] = x.ModRevision
 			}
 		}
 		return n, err
--- a/internal/lab/limitsim/limitsim.go
+++ b/internal/lab/limitsim/limitsim.go
@@ -121,9 +121,9 @@
 		w.fast = 1.1
 	}
 	limits := store.DefaultLimits
-	limits.Events = max(4096, 64*o.Sidecars)
+	limits.HistoryEvents = max(4096, 64*o.Sidecars)
 	w.state = store.New(7, limits)
-	w.state.Apply(1, &store.Command{Raise: &store.RaiseLevel{Level: store.Level}})
+	w.state.Apply(1, &store.Command{RaiseLevel: &store.RaiseLevel{Level: store.Level}})
 	w.index = 1
 	w.begin()
 	end := second + int64(o.Faults)*int64(o.Gap)*milli
@@ -263,7 +263,7 @@
 // apply does a command, and keeps the time of leases as its leader does.
 func (w *world) apply(c *store.Command) store.Result {
 	w.index++
-	c.Since = 1
+	c.SinceIndex = 1
 	r := w.state.Apply(w.index, c)
 	w.r.Entries++
 	if c.Txn != nil {
@@ -271,8 +271,8 @@
 			w.r.Bytes += len(o.Key) + len(o.Value)
 		}
 	}
-	if r.Err == nil && (c.Grant != nil || c.Renew != nil) {
-		w.timers[r.Lease] = w.leaderNow()
+	if r.Err == nil && (c.GrantLease != nil || c.RenewLease != nil) {
+		w.timers[r.LeaseID] = w.leaderNow()
 	}
 	return r
 }
@@ -286,8 +286,8 @@
 		return
 	}
 	for _, l := range w.state.Leases() {
-		if w.leaderNow()-w.timers[l.ID] > int64(l.TTL)*milli {
-			w.apply(&store.Command{End: &store.RevokeLease{Lease: l.ID, Silent: true, Renewed: l.Renewed}})
+		if w.leaderNow()-w.timers[l.ID] > int64(l.TTLMillis)*milli {
+			w.apply(&store.Command{RevokeLease: &store.RevokeLease{LeaseID: l.ID, Expired: true, Renewals: l.Renewals}})
 			delete(w.timers, l.ID)
 		}
 	}
--- a/internal/lab/limitsim/proc.go
+++ b/internal/lab/limitsim/proc.go
@@ -155,9 +155,9 @@
 		p.step(max(milli, int64(float64(due-p.now())/p.pace/1000)), p.renew)
 		return
 	case lease.GrantRequest:
-		p.send(store.Command{Grant: &store.GrantLease{TTL: ttl, Owner: p.name}}, p.renewed)
+		p.send(store.Command{GrantLease: &store.GrantLease{TTLMillis: ttl, Owner: p.name}}, p.renewed)
 	case lease.RenewRequest:
-		p.send(store.Command{Renew: &store.RenewLease{Lease: p.session.ID(), Owner: p.name}}, p.renewed)
+		p.send(store.Command{RenewLease: &store.RenewLease{LeaseID: p.session.ID(), Owner: p.name}}, p.renewed)
 	}
 }
 
@@ -170,7 +170,7 @@
 	case err != nil:
 		o = lease.OutcomeUnknown
 	}
-	p.session.HandleResponse(p.now(), o, r.Lease)
+	p.session.HandleResponse(p.now(), o, r.LeaseID)
 	p.holder.SetSession(p.now(), p.session.ID(), p.session.ValidUntil())
 	p.step(0, p.renew)
 }
@@ -219,7 +219,7 @@
 	if err != nil {
 		panic(err)
 	}
-	p.holder.ApplyGrant(p.now(), p.session.ID(), i.Modified, g)
+	p.holder.ApplyGrant(p.now(), p.session.ID(), i.ModRevision, g)
 }
 
 // tell says what the process wants and has seen.
@@ -232,7 +232,7 @@
 	p.telling = true
 	p.holder.ReportSent(p.now(), n)
 	me := p.me()
-	p.send(store.Command{Txn: &store.Txn{Owner: p.name, Then: []store.Op{{Key: me.DemandKey(), Value: quota.Encode(n), Lease: me.Session}}}}, func(_ store.Result, err error) {
+	p.send(store.Command{Txn: &store.Txn{Owner: p.name, Then: []store.Op{{Key: me.DemandKey(), Value: quota.Encode(n), LeaseID: me.Session}}}}, func(_ store.Result, err error) {
 		if p.telling = false; err != nil {
 			p.holder.ReportFailed()
 		}
@@ -262,7 +262,7 @@
 		}
 		p.putAt = w.q.Now() + ttl*milli/2
 		id := p.session.ID()
-		p.send(store.Command{Txn: &store.Txn{Owner: p.name, If: []store.Compare{{Key: p.place}}, Then: []store.Op{{Key: p.place, Value: fmt.Appendf(nil, `{"session":%d}`, id), Lease: id}}}},
+		p.send(store.Command{Txn: &store.Txn{Owner: p.name, If: []store.Compare{{Key: p.place}}, Then: []store.Op{{Key: p.place, Value: fmt.Appendf(nil, `{"session":%d}`, id), LeaseID: id}}}},
 			func(store.Result, error) {})
 		return
 	}
@@ -279,7 +279,7 @@
 	}
 	w.r.Turns++
 	p.busy = true
-	t := &store.Txn{If: append([]store.Compare{{Key: p.place, Modified: token}}, v.If...), Then: v.Then}
+	t := &store.Txn{If: append([]store.Compare{{Key: p.place, ModRevision: token}}, v.If...), Then: v.Then}
 	if w.o.Plant.Limit == quota.UncheckedRevision {
 		t.If = nil
 	}
--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -213,7 +213,7 @@
 	defer r.meter.passOver(nil)
 	signal(syscall.SIGSTOP)
 	defer signal(syscall.SIGCONT)
-	value, puts := make([]byte, lagBytes), store.DefaultLimits.History/lagBytes*5/4 // more than the replicas keep for watches
+	value, puts := make([]byte, lagBytes), store.DefaultLimits.HistoryBytes/lagBytes*5/4 // more than the replicas keep for watches
 	for i := range puts {
 		wait, cancel := context.WithTimeout(ctx, 30*time.Second)
 		_, err := r.replicas()[int(r.entry.Load())].Client.Change(wait, admin.Request{ID: store.RequestID{Client: 1 << 42, Seq: uint64(i + 1)},
--- a/internal/lab/storebench/bench.go
+++ b/internal/lab/storebench/bench.go
@@ -177,7 +177,7 @@
 	if err := c.open(i, i > 0); err != nil || i == 0 {
 		return err
 	}
-	if _, err := c.all[0].Do(ctx, store.Command{Join: &store.AddMember{Name: fmt.Sprintf("r%d", i), Address: c.addr[i]}}); err != nil {
+	if _, err := c.all[0].Do(ctx, store.Command{AddMember: &store.AddMember{Name: fmt.Sprintf("r%d", i), Address: c.addr[i]}}); err != nil {
 		return err
 	}
 	for {
--- a/internal/lab/storesim/actors.go
+++ b/internal/lab/storesim/actors.go
@@ -26,8 +26,8 @@
 		w.q.After(50*milli, func() { w.send(c, sent, f) })
 		return
 	}
-	if c.Since == 0 {
-		c.Since = max(1, h.index)
+	if c.SinceIndex == 0 {
+		c.SinceIndex = max(1, h.index)
 	}
 	h.propose(c, func(d replica.Completion) {
 		switch {
@@ -38,7 +38,7 @@
 			}
 			w.q.After(w.rng.Int64N(60*milli), func() { w.send(c, sent || unknown, f) })
 		case !sent && errors.Is(d.Result.Err, store.ErrRequestExpired): // its beginning was told by a copy that is far behind
-			c.Since = 0
+			c.SinceIndex = 0
 			w.q.After(w.rng.Int64N(60*milli), func() { w.send(c, false, f) })
 		default:
 			f(d)
@@ -112,7 +112,7 @@
 			return
 		}
 		i, _ := h.node.State().Get(key)
-		after(input{kind: 'g', key: key}, output{value: string(i.Value), mod: i.Modified})
+		after(input{kind: 'g', key: key}, output{value: string(i.Value), mod: i.ModRevision})
 	})
 }
 
@@ -120,13 +120,13 @@
 	c.seq++
 	t := &store.Txn{Then: []store.Op{{Key: in.key, Value: []byte(in.value)}}}
 	if in.kind == 'c' {
-		t.If = []store.Compare{{Key: in.key, Modified: in.expect}}
+		t.If = []store.Compare{{Key: in.key, ModRevision: in.expect}}
 	}
 	c.w.persist(store.Command{ID: store.RequestID{Client: c.id, Seq: c.seq}, Txn: t}, func(d replica.Completion) {
 		if d.Result.Err != nil {
 			c.w.broken("refused", "%v", d.Result.Err)
 		}
-		after(in, output{mod: d.Result.Revision, held: d.Result.Held})
+		after(in, output{mod: d.Result.Revision, held: d.Result.Succeeded})
 	})
 }
 
@@ -225,13 +225,13 @@
 	if l.w.clean {
 		return
 	}
-	l.send(store.Command{Grant: &store.GrantLease{TTL: ttl}}, func(d replica.Completion) {
+	l.send(store.Command{GrantLease: &store.GrantLease{TTLMillis: ttl}}, func(d replica.Completion) {
 		if d.Err != nil || d.Result.Err != nil {
 			l.w.q.After(100*milli, l.begin)
 			return
 		}
-		l.lease, l.key = d.Result.Lease, fmt.Sprintf("lease/%d/%d", l.id, d.Result.Lease)
-		put := store.Op{Key: l.key, Value: []byte("held"), Lease: l.lease}
+		l.lease, l.key = d.Result.LeaseID, fmt.Sprintf("lease/%d/%d", l.id, d.Result.LeaseID)
+		put := store.Op{Key: l.key, Value: []byte("held"), LeaseID: l.lease}
 		l.send(store.Command{Txn: &store.Txn{Then: []store.Op{put}}}, func(replica.Completion) { l.renew() })
 	})
 }
@@ -241,7 +241,7 @@
 		return
 	}
 	at := l.w.q.Now()
-	l.send(store.Command{Renew: &store.RenewLease{Lease: l.lease}}, func(d replica.Completion) {
+	l.send(store.Command{RenewLease: &store.RenewLease{LeaseID: l.lease}}, func(d replica.Completion) {
 		if d.Err == nil && d.Result.Err != nil {
 			l.w.q.After(100*milli, l.begin)
 			return
--- a/internal/lab/storesim/failed.go
+++ b/internal/lab/storesim/failed.go
@@ -126,7 +126,7 @@
 func (f *failedDisk) ask(h *host) {
 	f.seq++
 	f.asked[h] = f.w.q.Now()
-	c := store.Command{ID: store.RequestID{Client: failedUser + uint64(h.number), Seq: f.seq}, Since: max(1, h.index),
+	c := store.Command{ID: store.RequestID{Client: failedUser + uint64(h.number), Seq: f.seq}, SinceIndex: max(1, h.index),
 		Txn: &store.Txn{Then: []store.Op{{Key: fmt.Sprintf("beside/%d", h.number), Value: fmt.Append(nil, f.seq)}}}}
 	var put func()
 	put = func() {
--- a/internal/lab/storesim/faults.go
+++ b/internal/lab/storesim/faults.go
@@ -172,13 +172,13 @@
 	h := w.addHost()
 	h.joining = true
 	name := fmt.Sprintf("r%d", h.number)
-	w.order(uint64(h.number)*10+1, store.Command{Join: &store.AddMember{Name: name, Address: name}}, func(r store.Result) {
+	w.order(uint64(h.number)*10+1, store.Command{AddMember: &store.AddMember{Name: name, Address: name}}, func(r store.Result) {
 		if r.Err != nil {
 			h.retired, h.joining = true, false
 			return
 		}
 		w.r.Joined++
-		h.disk.saved.Identity.Cluster, h.disk.saved.Identity.Member = 7, r.Member
+		h.disk.saved.Identity.Cluster, h.disk.saved.Identity.Member = 7, r.MemberID
 		h.joining = false
 		h.start()
 	})
@@ -189,8 +189,8 @@
 	h := w.addHost()
 	h.joining = true
 	name := fmt.Sprintf("r%d", h.number)
-	w.order(uint64(h.number)*10+1, store.Command{Join: &store.AddMember{Name: name, Address: name}}, func(r store.Result) {
-		w.order(uint64(h.number)*10+2, store.Command{Leave: &store.RemoveMember{Member: r.Member}}, func(store.Result) {
+	w.order(uint64(h.number)*10+1, store.Command{AddMember: &store.AddMember{Name: name, Address: name}}, func(r store.Result) {
+		w.order(uint64(h.number)*10+2, store.Command{RemoveMember: &store.RemoveMember{MemberID: r.MemberID}}, func(store.Result) {
 			h.joining, h.retired = false, true
 		})
 	})
@@ -199,7 +199,7 @@
 // leave has a host's member removed.
 func (w *world) leave(h *host) {
 	h.joining = true
-	w.order(uint64(h.number)*10+2, store.Command{Leave: &store.RemoveMember{Member: h.disk.saved.Identity.Member}}, func(r store.Result) {
+	w.order(uint64(h.number)*10+2, store.Command{RemoveMember: &store.RemoveMember{MemberID: h.disk.saved.Identity.Member}}, func(r store.Result) {
 		h.joining = false
 		if r.Err != nil {
 			return
@@ -244,7 +244,7 @@
 		}
 		h.acted = map[string]bool{} // what that disk had shown went with it
 		h.start()
-		w.order(uint64(h.number)*10+3, store.Command{Leave: &store.RemoveMember{Member: member}}, func(r store.Result) {
+		w.order(uint64(h.number)*10+3, store.Command{RemoveMember: &store.RemoveMember{MemberID: member}}, func(r store.Result) {
 			h.joining, h.retired = false, true
 			if h.node != nil {
 				h.crash()
--- a/internal/lab/storesim/holders.go
+++ b/internal/lab/storesim/holders.go
@@ -198,7 +198,7 @@
 		if h == nil {
 			return
 		}
-		c.Since = max(1, h.index)
+		c.SinceIndex = max(1, h.index)
 		h.propose(c, func(x replica.Completion) {
 			if !lost {
 				d.step(way(), func() { answer(x) })
@@ -216,9 +216,9 @@
 		d.step(max(milli, int64(float64(due-d.now())/d.pace)), d.renew)
 		return
 	case lease.GrantRequest:
-		d.send(store.Command{Grant: &store.GrantLease{TTL: uint64(d.w.holdTTL() / milli), Owner: d.name}}, d.renewed)
+		d.send(store.Command{GrantLease: &store.GrantLease{TTLMillis: uint64(d.w.holdTTL() / milli), Owner: d.name}}, d.renewed)
 	case lease.RenewRequest:
-		d.send(store.Command{Renew: &store.RenewLease{Lease: id, Owner: d.name}}, d.renewed)
+		d.send(store.Command{RenewLease: &store.RenewLease{LeaseID: id, Owner: d.name}}, d.renewed)
 	}
 }
 
@@ -231,7 +231,7 @@
 		o = lease.OutcomeUnknown
 	}
 	before := d.session.Generation()
-	d.session.HandleResponse(d.now(), o, x.Result.Lease)
+	d.session.HandleResponse(d.now(), o, x.Result.LeaseID)
 	if o == lease.Succeeded && d.session.Generation() == before && d.w.o.Holder.Own != NoSweep {
 		for _, p := range d.table.EntriesOf(d.name, d.session.ID()) {
 			used := false
@@ -335,7 +335,7 @@
 	id := d.session.ID()
 	conf := fmt.Sprintf(`{"slots":%d}`, x.slots)
 	d.send(store.Command{Txn: &store.Txn{Owner: d.name, If: []store.Compare{{Key: x.key}}, Then: []store.Op{
-		{Key: x.key, Value: fmt.Appendf(nil, `{"session":%d}`, id), Lease: id}, {Key: lease.TaskConfigPrefix + x.task, Value: []byte(conf)}}}}, func(replica.Completion) {})
+		{Key: x.key, Value: fmt.Appendf(nil, `{"session":%d}`, id), LeaseID: id}, {Key: lease.TaskConfigPrefix + x.task, Value: []byte(conf)}}}}, func(replica.Completion) {})
 }
 
 // act looks at its clock, and a while later its action takes effect.
--- a/internal/lab/storesim/mixed.go
+++ b/internal/lab/storesim/mixed.go
@@ -53,8 +53,8 @@
 	if e.GetType() != raftpb.EntryNormal || len(e.Data) == 0 {
 		return
 	}
-	if c, err := store.DecodeCommand(e.Data); err == nil && c.Raise != nil {
-		h.w.level = max(h.w.level, c.Raise.Level)
+	if c, err := store.DecodeCommand(e.Data); err == nil && c.RaiseLevel != nil {
+		h.w.level = max(h.w.level, c.RaiseLevel.Level)
 	}
 }
 
@@ -80,7 +80,7 @@
 	b.seq++
 	key := fmt.Sprintf("b/%d", w.rng.IntN(9))
 	c := store.Command{ID: store.RequestID{Client: b.id, Seq: b.seq}, Txn: &store.Txn{Then: []store.Op{{Key: key, Delete: w.rng.IntN(4) == 0}},
-		Bounds: []store.KeyLimit{{Prefix: "b/", Most: boundMost}}}}
+		KeyLimits: []store.KeyLimit{{Prefix: "b/", MaxKeys: boundMost}}}}
 	h.propose(c, func(d replica.Completion) {
 		switch {
 		case d.Err != nil || errors.Is(d.Result.Err, store.ErrLevel): // also where one copy alone does not know yet
--- a/internal/lab/storesim/storesim.go
+++ b/internal/lab/storesim/storesim.go
@@ -207,8 +207,8 @@
 	begin := int64(w.o.Replicas) * 600 * milli
 	w.beginServers(begin)
 	first := w.addHost()
-	if err := replica.Bootstrap(first.disk, 7, "r0", "r0", store.Limits{Key: 64, Value: 256, Total: 1 << 20, Ops: 16, Events: max(200, 4*w.o.Holders),
-		History: 1 << 16, Leases: 64 + 2*w.o.Holders, Results: 20000, Members: 7}); err != nil {
+	if err := replica.Bootstrap(first.disk, 7, "r0", "r0", store.Limits{KeyBytes: 64, ValueBytes: 256, TotalBytes: 1 << 20, TxnOps: 16, HistoryEvents: max(200, 4*w.o.Holders),
+		HistoryBytes: 1 << 16, Leases: 64 + 2*w.o.Holders, Results: 20000, Members: 7}); err != nil {
 		panic(err)
 	}
 	first.start()
@@ -370,11 +370,11 @@
 		delete(h.mirror, s)
 	}
 	h.node.State().Range(serverstate.ExclusionPrefix, store.PrefixEnd(serverstate.ExclusionPrefix), func(i store.Item) bool {
-		h.mirror[i.Key] = i.Modified
+		h.mirror[i.Key] = i.ModRevision
 		return true
 	})
 	h.watchAdopt()
-	h.node.State().Notify(h.event)
+	h.node.State().OnEvent(h.event)
 }
 
 // event is a change of the state, which this process is told of.
--- a/internal/lab/storesim/watch.go
+++ b/internal/lab/storesim/watch.go
@@ -223,11 +223,11 @@
 		return
 	}
 	boot := h.boot
-	t := &store.Txn{If: []store.Compare{{Key: op.Key, Modified: h.guard.Agreed(p)}}, Then: []store.Op{op}}
+	t := &store.Txn{If: []store.Compare{{Key: op.Key, ModRevision: h.guard.Agreed(p)}}, Then: []store.Op{op}}
 	h.propose(store.Command{ID: h.request(), Txn: t}, func(d replica.Completion) {
 		if h.boot == boot {
 			ok := d.Err == nil && d.Result.Err == nil
-			h.guard.Wrote(op.Key, ok && (d.Result.Held || h.guard.Agreed(p) != 0))
+			h.guard.Wrote(op.Key, ok && (d.Result.Succeeded || h.guard.Agreed(p) != 0))
 		}
 	})
 }
@@ -288,7 +288,7 @@
 func (h *host) watchAdopt() {
 	now := map[string]uint64{}
 	h.node.State().Range(serverstate.ExclusionKey(serverstate.Drain, "slot-"), store.PrefixEnd(serverstate.ExclusionKey(serverstate.Drain, "slot-")), func(i store.Item) bool {
-		now[i.Key], h.acted[i.Key] = i.Modified, true
+		now[i.Key], h.acted[i.Key] = i.ModRevision, true
 		return true
 	})
 	if h.watch != nil {
--- a/internal/store/admin/admin.go
+++ b/internal/store/admin/admin.go
@@ -300,7 +300,7 @@
 	}
 	c := q.command()
 	set := 0
-	for _, is := range []bool{c.Txn != nil, c.Join != nil, c.Leave != nil, c.Grant != nil, c.Renew != nil, c.End != nil} {
+	for _, is := range []bool{c.Txn != nil, c.AddMember != nil, c.RemoveMember != nil, c.GrantLease != nil, c.RenewLease != nil, c.RevokeLease != nil} {
 		if is {
 			set++
 		}
@@ -308,11 +308,11 @@
 	if set != 1 {
 		return nil, fmt.Errorf("%w: one of txn, add, remove, grant, renew and end", ErrBad)
 	}
-	if c.Join != nil {
-		if err := keys.CheckName(c.Join.Name); err != nil {
+	if c.AddMember != nil {
+		if err := keys.CheckName(c.AddMember.Name); err != nil {
 			return nil, fmt.Errorf("%w: %w", ErrBad, err)
 		}
-		if _, _, err := net.SplitHostPort(c.Join.Address); err != nil {
+		if _, _, err := net.SplitHostPort(c.AddMember.Address); err != nil {
 			return nil, fmt.Errorf("%w: address: %w", ErrBad, err)
 		}
 	}
@@ -320,23 +320,23 @@
 	if err != nil {
 		return nil, err
 	}
-	return Change{Revision: res.Revision, Held: res.Held, Member: res.Member, Lease: res.Lease}, nil
+	return Change{Revision: res.Revision, Held: res.Succeeded, Member: res.MemberID, Lease: res.LeaseID}, nil
 }
 
 // command is what a request asks for.
 func (q *Request) command() store.Command {
-	c := store.Command{ID: q.ID, Txn: q.Txn, Join: q.Add}
+	c := store.Command{ID: q.ID, Txn: q.Txn, AddMember: q.Add}
 	if q.Del != 0 {
-		c.Leave = &store.RemoveMember{Member: q.Del}
+		c.RemoveMember = &store.RemoveMember{MemberID: q.Del}
 	}
 	if q.Grant != 0 {
-		c.Grant = &store.GrantLease{TTL: q.Grant, Owner: q.Owner}
+		c.GrantLease = &store.GrantLease{TTLMillis: q.Grant, Owner: q.Owner}
 	}
 	if q.Renew != 0 {
-		c.Renew = &store.RenewLease{Lease: q.Renew, Owner: q.Owner}
+		c.RenewLease = &store.RenewLease{LeaseID: q.Renew, Owner: q.Owner}
 	}
 	if q.End != 0 {
-		c.End = &store.RevokeLease{Lease: q.End, Owner: q.Owner}
+		c.RevokeLease = &store.RevokeLease{LeaseID: q.End, Owner: q.Owner}
 	}
 	return c
 }
@@ -348,10 +348,10 @@
 		all = []Lease{}
 		for _, l := range st.Leases() {
 			at[l.ID] = len(all)
-			all = append(all, Lease{ID: l.ID, TTLms: l.TTL, Owner: l.Owner, Keys: []string{}})
+			all = append(all, Lease{ID: l.ID, TTLms: l.TTLMillis, Owner: l.Owner, Keys: []string{}})
 		}
 		st.Range("", "", func(i store.Item) bool {
-			if n, ok := at[i.Lease]; ok && i.Lease != 0 {
+			if n, ok := at[i.LeaseID]; ok && i.LeaseID != 0 {
 				all[n].Keys = append(all[n].Keys, i.Key)
 			}
 			return true
--- a/internal/store/admin/admin_test.go
+++ b/internal/store/admin/admin_test.go
@@ -24,7 +24,7 @@
 func one(t *testing.T) (c *Client, e *engine.Engine, outer string) {
 	t.Helper()
 	cfg := engine.Config{Name: "a", Dir: t.TempDir(), Tick: 5 * time.Millisecond, Disk: disk.Options{NoSync: true},
-		Limits: store.Limits{Key: 64, Value: 256, Total: 1 << 20, Ops: 8, Events: 20, History: 1 << 16, Leases: 4, Results: 100, Members: 3}}
+		Limits: store.Limits{KeyBytes: 64, ValueBytes: 256, TotalBytes: 1 << 20, TxnOps: 8, HistoryEvents: 20, HistoryBytes: 1 << 16, Leases: 4, Results: 100, Members: 3}}
 	e, err := engine.Open(cfg)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/store/admin/outer.go
+++ b/internal/store/admin/outer.go
@@ -200,7 +200,7 @@
 		return nil, nil
 	}
 	of := store.Interest{Prefixes: q["prefix"], Keys: q["key"]}
-	if err := of.Check(); err != nil {
+	if err := of.Validate(); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrBad, err)
 	}
 	of = store.Interest{}.Union(of)
@@ -496,7 +496,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return Change{Revision: res.Revision, Held: res.Held, Lease: res.Lease}, nil
+	return Change{Revision: res.Revision, Held: res.Succeeded, Lease: res.LeaseID}, nil
 }
 
 // hostOf is the name of the daemon that asks: what its key says, or on plain loopback what it says itself.
@@ -541,7 +541,7 @@
 	}
 	for _, ops := range [][]store.Op{q.Txn.Then, q.Txn.Else} {
 		for _, op := range ops {
-			if op.End != "" || !serverstate.IsServerKey(op.Key) && !may(op, q.Txn.Owner) || op.Lease != 0 && serverstate.IsServerKey(op.Key) {
+			if op.RangeEnd != "" || !serverstate.IsServerKey(op.Key) && !may(op, q.Txn.Owner) || op.LeaseID != 0 && serverstate.IsServerKey(op.Key) {
 				return fmt.Errorf("%w: %q is not a follower's to change", ErrBad, op.Key)
 			}
 		}
--- a/internal/store/admin/outer_test.go
+++ b/internal/store/admin/outer_test.go
@@ -8,7 +8,7 @@
 
 // may stands for what the parts of a daemon say: what is of the follower's name, and goes with a lease.
 func may(op store.Op, owner string) bool {
-	return op.Key == "own/"+owner && (op.Delete || op.Lease != 0)
+	return op.Key == "own/"+owner && (op.Delete || op.LeaseID != 0)
 }
 
 // A follower has leases of its own name, what daemons tell of servers and what parts let it have, and no members.
@@ -25,15 +25,15 @@
 		"renewed":                 {Request{Renew: 7, Owner: "f"}, true},
 		"another's renewed":       {Request{Renew: 7, Owner: "g"}, false},
 		"two things":              {Request{Renew: 7, End: 7, Owner: "f"}, false},
-		"what its part lets":      {txn("f", store.Op{Key: "own/f", Lease: 7}), true},
-		"and does not":            {txn("f", store.Op{Key: "own/g", Lease: 7}), false},
-		"in another's name":       {txn("g", store.Op{Key: "own/g", Lease: 7}), false},
-		"in nobody's":             {txn("", store.Op{Key: "own/f", Lease: 7}), false},
+		"what its part lets":      {txn("f", store.Op{Key: "own/f", LeaseID: 7}), true},
+		"and does not":            {txn("f", store.Op{Key: "own/g", LeaseID: 7}), false},
+		"in another's name":       {txn("g", store.Op{Key: "own/g", LeaseID: 7}), false},
+		"in nobody's":             {txn("", store.Op{Key: "own/f", LeaseID: 7}), false},
 		"in the other branch":     {Request{Txn: &store.Txn{Owner: "f", Else: []store.Op{{Key: "own/g", Delete: true}}}}, false},
 		"settings":                {txn("f", store.Op{Key: "config/current"}), false},
 		"what is told of servers": {txn("", store.Op{Key: "out/drain/x"}), true},
-		"that for as long as it":  {txn("f", store.Op{Key: "out/drain/x", Lease: 7}), false},
-		"a range":                 {txn("f", store.Op{Key: "own/f", End: "own0", Delete: true}), false},
+		"that for as long as it":  {txn("f", store.Op{Key: "out/drain/x", LeaseID: 7}), false},
+		"a range":                 {txn("f", store.Op{Key: "own/f", RangeEnd: "own0", Delete: true}), false},
 		"a member":                {Request{Add: &store.AddMember{Name: "f"}}, false},
 	} {
 		if err := followerMay(&x.q, "f", may); (err == nil) != x.ok {
--- a/internal/store/changefeed/copy.go
+++ b/internal/store/changefeed/copy.go
@@ -133,7 +133,7 @@
 	if c.plant == BehindTells && revision < c.state.Revision() {
 		return nil
 	}
-	return c.state.Progress(revision)
+	return c.state.AdvanceRevision(revision)
 }
 
 // Confirmed says whether a replica's word that a quorum confirms a revision is of this copy, too.
--- a/internal/store/changefeed/feed_test.go
+++ b/internal/store/changefeed/feed_test.go
@@ -51,7 +51,7 @@
 	proved  bool
 }
 
-var small = store.Limits{Key: 8, Value: 16, Total: 20000, Ops: 8, Events: 20, History: 4000, Leases: 8, Results: 6, Members: 3}
+var small = store.Limits{KeyBytes: 8, ValueBytes: 16, TotalBytes: 20000, TxnOps: 8, HistoryEvents: 20, HistoryBytes: 4000, Leases: 8, Results: 6, Members: 3}
 
 var universe = func() (all []string) {
 	for _, p := range []string{"a/", "b/", "b/x/", "c", "d/"} {
@@ -101,9 +101,9 @@
 	key := func() string { return universe[w.rng.IntN(len(universe))] }
 	switch k := w.rng.IntN(12); {
 	case k == 0:
-		c.Grant = &store.GrantLease{TTL: 1000}
+		c.GrantLease = &store.GrantLease{TTLMillis: 1000}
 	case k == 1 && len(w.leases) > 0:
-		c.End = &store.RevokeLease{Lease: w.leases[w.rng.IntN(len(w.leases))]}
+		c.RevokeLease = &store.RevokeLease{LeaseID: w.leases[w.rng.IntN(len(w.leases))]}
 	default:
 		c.Txn = &store.Txn{}
 		seen := map[string]bool{}
@@ -116,7 +116,7 @@
 			if !o.Delete {
 				o.Value = fmt.Append(nil, len(w.log))
 				if len(w.leases) > 0 && w.rng.IntN(4) == 0 {
-					o.Lease = w.leases[w.rng.IntN(len(w.leases))]
+					o.LeaseID = w.leases[w.rng.IntN(len(w.leases))]
 				}
 			}
 			c.Txn.Then = append(c.Txn.Then, o)
@@ -124,8 +124,8 @@
 	}
 	r := w.lead.Apply(uint64(len(w.log)+1), c)
 	w.log = append(w.log, c)
-	if c.Grant != nil && r.Err == nil {
-		w.leases = append(w.leases, r.Lease)
+	if c.GrantLease != nil && r.Err == nil {
+		w.leases = append(w.leases, r.LeaseID)
 	}
 	now := map[string]store.Item{}
 	w.lead.Range("", "", func(i store.Item) bool { now[i.Key] = i; return true })
@@ -348,7 +348,7 @@
 			}
 			continue
 		}
-		if !held || has != there || string(got.Value) != string(want.Value) || got.Modified != want.Modified || got.Version != want.Version {
+		if !held || has != there || string(got.Value) != string(want.Value) || got.ModRevision != want.ModRevision || got.Version != want.Version {
 			return fmt.Errorf("revision %d: %q is %+v (%v, held %v), and was %+v (%v)", at, key, got, has, held, want, there)
 		}
 	}
--- a/internal/store/engine/engine.go
+++ b/internal/store/engine/engine.go
@@ -190,7 +190,7 @@
 	if e.cfg.Reset != nil {
 		e.cfg.Reset(e.node.State())
 	}
-	e.node.State().Notify(func(x store.Event) {
+	e.node.State().OnEvent(func(x store.Event) {
 		if e.cfg.Event != nil {
 			e.cfg.Event(x)
 		}
@@ -438,10 +438,10 @@
 	if c.ID == (store.RequestID{}) {
 		c.ID = store.RequestID{Client: e.client, Seq: e.seq.Add(1)}
 	}
-	if c.Since == 0 {
+	if c.SinceIndex == 0 {
 		if err := e.do(ctx, func() {
 			if e.node != nil {
-				c.Since = max(1, e.node.State().Index())
+				c.SinceIndex = max(1, e.node.State().Index())
 			}
 		}); err != nil {
 			return store.Result{}, err
@@ -457,7 +457,7 @@
 			last = d.Result.Err
 			if err := e.do(ctx, func() {
 				if e.node != nil {
-					c.Since = max(1, e.node.State().Index())
+					c.SinceIndex = max(1, e.node.State().Index())
 				}
 			}); err != nil {
 				return store.Result{}, err
--- a/internal/store/engine/engine_test.go
+++ b/internal/store/engine/engine_test.go
@@ -145,10 +145,10 @@
 
 func (c *cluster) add(by, name string) uint64 {
 	c.t.Helper()
-	r, err := c.all[by].Do(c.ctx(), store.Command{Join: &store.AddMember{Name: name, Address: c.addr[name]}})
+	r, err := c.all[by].Do(c.ctx(), store.Command{AddMember: &store.AddMember{Name: name, Address: c.addr[name]}})
 	c.must(err)
 	c.until(by, func(s Status) bool { return s.Settled && len(s.Peers) > 1 })
-	return r.Member
+	return r.MemberID
 }
 
 // until waits for a state of a replica; what it is about shows in its watch, so that nothing is slept for in vain.
@@ -287,7 +287,7 @@
 	if s, err := e.Status(c.ctx()); err != nil || !s.WaitingToJoin {
 		t.Fatalf("%+v %v", s, err)
 	}
-	_, err = c.all["a"].Do(c.ctx(), store.Command{Leave: &store.RemoveMember{Member: 3}})
+	_, err = c.all["a"].Do(c.ctx(), store.Command{RemoveMember: &store.RemoveMember{MemberID: 3}})
 	c.must(err)
 	c.until("a", func(s Status) bool { return s.Settled && len(s.Peers) == 2 })
 	c.add("a", "c")
@@ -300,11 +300,11 @@
 // A replica that was added and never comes is removed, and another can be added; until then writes go on.
 func TestAReplicaThatNeverComesIsRemoved(t *testing.T) {
 	c := newCluster(t, "a", "b")
-	r, err := c.all["a"].Do(c.ctx(), store.Command{Join: &store.AddMember{Name: "gone", Address: "127.0.0.1:1"}})
+	r, err := c.all["a"].Do(c.ctx(), store.Command{AddMember: &store.AddMember{Name: "gone", Address: "127.0.0.1:1"}})
 	c.must(err)
 	_, err = c.all["b"].Do(c.ctx(), put("k", "v"))
 	c.must(err)
-	_, err = c.all["a"].Do(c.ctx(), store.Command{Leave: &store.RemoveMember{Member: r.Member}})
+	_, err = c.all["a"].Do(c.ctx(), store.Command{RemoveMember: &store.RemoveMember{MemberID: r.MemberID}})
 	c.must(err)
 	c.until("a", func(s Status) bool { return s.Settled && len(s.Peers) == 2 })
 	c.must(keys.Issue(c.keys(), "c", time.Hour, false))
@@ -363,7 +363,7 @@
 	e, err := Open(Config{Name: "b", Dir: filepath.Join(c.dir, "b"), Join: true, Keys: pair, Listen: ln, Disk: disk.Options{NoSync: true}})
 	c.must(err)
 	defer e.Kill()
-	_, err = c.all["a"].Do(c.ctx(), store.Command{Join: &store.AddMember{Name: "b", Address: ln.Addr().String()}})
+	_, err = c.all["a"].Do(c.ctx(), store.Command{AddMember: &store.AddMember{Name: "b", Address: ln.Addr().String()}})
 	c.must(err)
 	c.until("a", func(s Status) bool { return s.Untaken > 0 })
 	if s, err := e.Status(c.ctx()); err != nil || !s.WaitingToJoin {
@@ -373,7 +373,7 @@
 
 func TestAWatchMissesNothingOrSaysSo(t *testing.T) {
 	e, err := Open(Config{Name: "a", Dir: t.TempDir(), Disk: disk.Options{NoSync: true}, Tick: 10 * time.Millisecond,
-		Limits: store.Limits{Key: 64, Value: 64, Total: 1 << 20, Ops: 8, Events: 20, History: 1 << 20, Leases: 8, Results: 100, Members: 3}})
+		Limits: store.Limits{KeyBytes: 64, ValueBytes: 64, TotalBytes: 1 << 20, TxnOps: 8, HistoryEvents: 20, HistoryBytes: 1 << 20, Leases: 8, Results: 100, Members: 3}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/store/follower/follow.go
+++ b/internal/store/follower/follow.go
@@ -651,12 +651,12 @@
 	}
 	q := admin.Request{ID: c.ID, Txn: c.Txn}
 	switch {
-	case c.Grant != nil && c.Grant.Owner != "":
-		q.Grant, q.Owner = c.Grant.TTL, c.Grant.Owner
-	case c.Renew != nil && c.Renew.Owner != "":
-		q.Renew, q.Owner = c.Renew.Lease, c.Renew.Owner
-	case c.End != nil && c.End.Owner != "":
-		q.End, q.Owner = c.End.Lease, c.End.Owner
+	case c.GrantLease != nil && c.GrantLease.Owner != "":
+		q.Grant, q.Owner = c.GrantLease.TTLMillis, c.GrantLease.Owner
+	case c.RenewLease != nil && c.RenewLease.Owner != "":
+		q.Renew, q.Owner = c.RenewLease.LeaseID, c.RenewLease.Owner
+	case c.RevokeLease != nil && c.RevokeLease.Owner != "":
+		q.End, q.Owner = c.RevokeLease.LeaseID, c.RevokeLease.Owner
 	case c.Txn == nil:
 		return store.Result{}, errors.New("follow: this daemon has no replica, and makes transactions and leases of its own alone")
 	}
@@ -670,10 +670,10 @@
 		var x admin.Change
 		reached, err := f.ask(ctx, at, f.cfg.Meter.CommandPurpose(&c), http.MethodPost, "/v1/change", body, &x)
 		if err == nil {
-			if c.Txn != nil || c.End != nil { // the others change no keys
+			if c.Txn != nil || c.RevokeLease != nil { // the others change no keys
 				f.await(ctx, x.Revision)
 			}
-			return store.Result{Revision: x.Revision, Held: x.Held, Lease: x.Lease}, nil
+			return store.Result{Revision: x.Revision, Succeeded: x.Held, LeaseID: x.Lease}, nil
 		}
 		var told *admin.Error
 		if errors.As(err, &told) {
@@ -797,7 +797,7 @@
 			case held && there:
 				return a, nil
 			case !held && stale:
-				return a, &store.NotHeldError{Of: what}
+				return a, &store.NotHeldError{Interest: what}
 			case !held:
 				return f.elsewhere(ctx, need, what, read)
 			}
@@ -820,11 +820,11 @@
 
 // elsewhere has read read a replica's copy of what it reads, which has all that need has.
 func (f *Follower) elsewhere(ctx context.Context, need engine.CopyAge, what store.Interest, read func(*store.State)) (engine.CopyAge, error) {
-	last := error(&store.NotHeldError{Of: what})
+	last := error(&store.NotHeldError{Interest: what})
 	at, wait := mathrand.IntN(len(f.http)), backMin
 	for more := 0; more < widerMost; {
 		of := &what
-		if what.Check() != nil { // such as all keys
+		if what.Validate() != nil { // such as all keys
 			of = nil
 		}
 		s, err := f.get(ctx, at, of)
@@ -841,7 +841,7 @@
 			continue
 		}
 		if err != nil {
-			last = fmt.Errorf("%w: %w", &store.NotHeldError{Of: what}, err)
+			last = fmt.Errorf("%w: %w", &store.NotHeldError{Interest: what}, err)
 		}
 		at = (at + 1) % len(f.http)
 		select {
--- a/internal/store/follower/follow_test.go
+++ b/internal/store/follower/follow_test.go
@@ -71,7 +71,7 @@
 			t.Error("it is up to date without a replica")
 		}
 		cancel()
-		if _, err := f.Do(t.Context(), store.Command{Grant: &store.GrantLease{TTL: 5}}); err == nil {
+		if _, err := f.Do(t.Context(), store.Command{GrantLease: &store.GrantLease{TTLMillis: 5}}); err == nil {
 			t.Error("a follower was given a lease")
 		}
 		if st, err := f.Status(t.Context()); err != nil || !st.Follower || st.Follows != "" || !st.Age.Stale {
--- a/internal/store/follower/meter_test.go
+++ b/internal/store/follower/meter_test.go
@@ -70,15 +70,15 @@
 		return r
 	}
 	put := func(key string) { do(store.Command{Txn: &store.Txn{Then: []store.Op{{Key: key, Value: []byte("v")}}}}) }
-	lease := do(store.Command{Grant: &store.GrantLease{TTL: 60_000, Owner: "h"}}).Lease
+	lease := do(store.Command{GrantLease: &store.GrantLease{TTLMillis: 60_000, Owner: "h"}}).LeaseID
 	for range 3 {
-		do(store.Command{Renew: &store.RenewLease{Lease: lease, Owner: "h"}})
+		do(store.Command{RenewLease: &store.RenewLease{LeaseID: lease, Owner: "h"}})
 		put("out/drain/x")
 		put("known/h/")
 	}
 	// One that changes two keys, which is told by two lines of a stream of all, and by one of another.
 	do(store.Command{Txn: &store.Txn{Then: []store.Op{{Key: "out/drain/y", Value: []byte("v")}, {Key: "known/h/", Value: []byte("w")}}}})
-	do(store.Command{End: &store.RevokeLease{Lease: lease, Owner: "h"}})
+	do(store.Command{RevokeLease: &store.RevokeLease{LeaseID: lease, Owner: "h"}})
 	// Another's picture, of which a copy by interest is told nothing but up to where it has all.
 	if _, err := e.Do(ctx, store.Command{Txn: &store.Txn{Then: []store.Op{{Key: "known/other/", Value: []byte("v")}}}}); err != nil {
 		t.Fatal(err)
@@ -86,7 +86,7 @@
 	if _, err := f.View(ctx, false, func(*store.State) {}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := f.Do(ctx, store.Command{Renew: &store.RenewLease{Lease: lease, Owner: "h"}}); err != store.ErrLeaseNotFound {
+	if _, err := f.Do(ctx, store.Command{RenewLease: &store.RenewLease{LeaseID: lease, Owner: "h"}}); err != store.ErrLeaseNotFound {
 		t.Fatalf("a lease that ended: %v", err)
 	}
 	// A beat may be on its way at any one look.
--- a/internal/store/follower/part_test.go
+++ b/internal/store/follower/part_test.go
@@ -288,7 +288,7 @@
 	}
 	long := url.Values{}
 	for range 20 {
-		long.Add("key", strings.Repeat("k", store.DefaultLimits.Key))
+		long.Add("key", strings.Repeat("k", store.DefaultLimits.KeyBytes))
 	}
 	for want, q := range map[string]url.Values{"129 prefixes and keys are more than 128": many, "10240 bytes are more than 8192": long,
 		"is not of 1 to 512 bytes": {"prefix": {""}}, "5 prefixes are more than 4": {"sum": {"a", "b", "c", "d", "e"}}} {
--- a/internal/store/frozen_test.go
+++ b/internal/store/frozen_test.go
@@ -142,77 +142,76 @@
 func storedCommands() []storedCommand {
 	id := RequestID{Client: 0x1122334455667788, Seq: 7}
 	return []storedCommand{
-		{"txn at level 1", Command{ID: id, Since: 3, Txn: &Txn{
-			If:   []Compare{{Key: "a", Modified: 9}},
-			Then: []Op{{Key: "a", Value: []byte("v"), Lease: 4}, {Key: "b", Delete: true, End: "c"}},
+		{"txn at level 1", Command{ID: id, SinceIndex: 3, Txn: &Txn{
+			If:   []Compare{{Key: "a", ModRevision: 9}},
+			Then: []Op{{Key: "a", Value: []byte("v"), LeaseID: 4}, {Key: "b", Delete: true, RangeEnd: "c"}},
 			Else: []Op{{Key: "a", Delete: true}},
 		}}},
 		{"txn at level 2", Command{ID: id, Txn: &Txn{
-			Then:   []Op{{Key: "p/1"}},
-			Bounds: []KeyLimit{{Prefix: "p/", Most: 5}},
+			Then:      []Op{{Key: "p/1"}},
+			KeyLimits: []KeyLimit{{Prefix: "p/", MaxKeys: 5}},
 		}}},
 		{"txn at level 3", Command{ID: id, Txn: &Txn{
-			Then:  []Op{{Key: "k", Value: []byte{0, 255}, Lease: 4}},
+			Then:  []Op{{Key: "k", Value: []byte{0, 255}, LeaseID: 4}},
 			Owner: "process",
 		}}},
-		{"grant at level 1", Command{ID: id, Grant: &GrantLease{TTL: 5000}}},
-		{"grant at level 3", Command{ID: id, Grant: &GrantLease{TTL: 5000, Owner: "process"}}},
-		{"renew at level 1", Command{ID: id, Renew: &RenewLease{Lease: 4}}},
-		{"renew at level 3", Command{ID: id, Renew: &RenewLease{Lease: 4, Owner: "process"}}},
-		{"revoke at level 1", Command{ID: id, End: &RevokeLease{Lease: 4}}},
-		{"revoke expired", Command{End: &RevokeLease{Lease: 4, Silent: true, Renewed: 2}}},
-		{"revoke at level 3", Command{ID: id, End: &RevokeLease{Lease: 4, Owner: "process"}}},
-		{"add member", Command{ID: id, Join: &AddMember{Name: "two", Address: "10.0.0.2:7000"}}},
-		{"register start", Command{Place: &RegisterStart{Member: 2, Disk: 77, Boot: 3, Level: 3}}},
-		{"remove member", Command{ID: id, Leave: &RemoveMember{Member: 2}}},
-		{"raise level", Command{Raise: &RaiseLevel{Level: 3}}},
+		{"grant at level 1", Command{ID: id, GrantLease: &GrantLease{TTLMillis: 5000}}},
+		{"grant at level 3", Command{ID: id, GrantLease: &GrantLease{TTLMillis: 5000, Owner: "process"}}},
+		{"renew at level 1", Command{ID: id, RenewLease: &RenewLease{LeaseID: 4}}},
+		{"renew at level 3", Command{ID: id, RenewLease: &RenewLease{LeaseID: 4, Owner: "process"}}},
+		{"revoke at level 1", Command{ID: id, RevokeLease: &RevokeLease{LeaseID: 4}}},
+		{"revoke expired", Command{RevokeLease: &RevokeLease{LeaseID: 4, Expired: true, Renewals: 2}}},
+		{"revoke at level 3", Command{ID: id, RevokeLease: &RevokeLease{LeaseID: 4, Owner: "process"}}},
+		{"add member", Command{ID: id, AddMember: &AddMember{Name: "two", Address: "10.0.0.2:7000"}}},
+		{"register start", Command{RegisterStart: &RegisterStart{MemberID: 2, DiskID: 77, Boot: 3, Level: 3}}},
+		{"remove member", Command{ID: id, RemoveMember: &RemoveMember{MemberID: 2}}},
+		{"raise level", Command{RaiseLevel: &RaiseLevel{Level: 3}}},
 	}
 }
 
 func storedState() *State {
-	limits := Limits{Key: 24, Value: 64, Total: 4000, Ops: 4, Events: 12, History: 4000, Leases: 3, Results: 20, Members: 3}
+	limits := Limits{KeyBytes: 24, ValueBytes: 64, TotalBytes: 4000, TxnOps: 4, HistoryEvents: 12, HistoryBytes: 4000, Leases: 3, Results: 20, Members: 3}
 	s := New(0x99, limits)
 	s.Bootstrap("one", "10.0.0.1:7000", 5)
 	seq := uint64(0)
 	apply := func(c *Command) {
 		seq++
-		c.ID, c.Since = RequestID{Client: 1, Seq: seq}, 1
+		c.ID, c.SinceIndex = RequestID{Client: 1, Seq: seq}, 1
 		s.Apply(seq+1, c)
 	}
 	key := func(k string, lease uint64) *Command {
-		return &Command{Txn: &Txn{Then: []Op{{Key: k, Value: []byte("v" + k), Lease: lease}}}}
+		return &Command{Txn: &Txn{Then: []Op{{Key: k, Value: []byte("v" + k), LeaseID: lease}}}}
 	}
-	apply(&Command{Grant: &GrantLease{TTL: 5000, Owner: "p"}}) // ErrLevel
-	apply(&Command{Raise: &RaiseLevel{Level: 3}})
-	apply(&Command{Grant: &GrantLease{TTL: 5000, Owner: "p"}})
-	apply(&Command{Renew: &RenewLease{Lease: 2, Owner: "p"}})
-	apply(&Command{Grant: &GrantLease{TTL: 7000}})
-	apply(&Command{Join: &AddMember{Name: "two", Address: "10.0.0.2:7000"}})
-	apply(&Command{Place: &RegisterStart{Member: 4, Disk: 77, Boot: 3, Level: 3}})
+	apply(&Command{GrantLease: &GrantLease{TTLMillis: 5000, Owner: "p"}}) // ErrLevel
+	apply(&Command{RaiseLevel: &RaiseLevel{Level: 3}})
+	apply(&Command{GrantLease: &GrantLease{TTLMillis: 5000, Owner: "p"}})
+	apply(&Command{RenewLease: &RenewLease{LeaseID: 2, Owner: "p"}})
+	apply(&Command{GrantLease: &GrantLease{TTLMillis: 7000}})
+	apply(&Command{AddMember: &AddMember{Name: "two", Address: "10.0.0.2:7000"}})
+	apply(&Command{RegisterStart: &RegisterStart{MemberID: 4, DiskID: 77, Boot: 3, Level: 3}})
 	apply(key("a", 2))
 	apply(key("b/1", 3))
 	apply(key("b/2", 0))
 	apply(key("b/2", 0))
-	apply(&Command{Txn: &Txn{If: []Compare{{Key: "a", Modified: 9}}, Else: []Op{{Key: "b/2", Delete: true}, {Key: "c"}}}})
-	apply(key("a key of more than 24 bytes", 0))                                                      // ErrTooLarge
-	apply(&Command{Txn: &Txn{Then: []Op{{Key: "b/3"}}, Bounds: []KeyLimit{{Prefix: "b/", Most: 1}}}}) // ErrFull
-	apply(&Command{Renew: &RenewLease{Lease: 9}})                                                     // ErrLeaseNotFound
-	apply(key("", 0))                                                                                 // ErrBadKey
-	apply(&Command{Leave: &RemoveMember{Member: 9}})                                                  // ErrUnknownMember
-	apply(&Command{})                                                                                 // ErrUnknownCommand
+	apply(&Command{Txn: &Txn{If: []Compare{{Key: "a", ModRevision: 9}}, Else: []Op{{Key: "b/2", Delete: true}, {Key: "c"}}}})
+	apply(key("a key of more than 24 bytes", 0))                                                            // ErrTooLarge
+	apply(&Command{Txn: &Txn{Then: []Op{{Key: "b/3"}}, KeyLimits: []KeyLimit{{Prefix: "b/", MaxKeys: 1}}}}) // ErrFull
+	apply(&Command{RenewLease: &RenewLease{LeaseID: 9}})                                                    // ErrLeaseNotFound
+	apply(key("", 0))                                                                                       // ErrBadKey
+	apply(&Command{RemoveMember: &RemoveMember{MemberID: 9}})                                               // ErrUnknownMember
+	apply(&Command{})                                                                                       // ErrUnknownCommand
 	return s
 }
 
 func storedJSON() []any {
 	return []any{
-		Txn{If: []Compare{{Key: "a", Modified: 9}}, Then: []Op{{Key: "a", Value: []byte("v"), Lease: 4, Delete: true, End: "b"}},
-			Else: []Op{{Key: "b"}}, Bounds: []KeyLimit{{Prefix: "p/", Most: 5}}, Owner: "p"},
-		Item{Key: "k", Value: []byte("v"), Created: 1, Modified: 2, Version: 3, Lease: 4},
+		Txn{If: []Compare{{Key: "a", ModRevision: 9}}, Then: []Op{{Key: "a", Value: []byte("v"), LeaseID: 4, Delete: true, RangeEnd: "b"}},
+			Else: []Op{{Key: "b"}}, KeyLimits: []KeyLimit{{Prefix: "p/", MaxKeys: 5}}, Owner: "p"},
+		Item{Key: "k", Value: []byte("v"), CreateRevision: 1, ModRevision: 2, Version: 3, LeaseID: 4},
 		Event{Revision: 1, Deleted: true, Item: Item{Key: "k"}},
-		Lease{ID: 1, TTL: 2, Renewed: 3, Owner: "p"},
-		Member{ID: 1, Name: "one", Address: "x", Learner: true, Disk: 2, Boot: 3, Level: 4},
+		Lease{ID: 1, TTLMillis: 2, Renewals: 3, Owner: "p"},
+		Member{ID: 1, Name: "one", Address: "x", Learner: true, DiskID: 2, Boot: 3, Level: 4},
 		Interest{Prefixes: []string{"p/"}, Keys: []string{"k"}},
 		PrefixSize{Keys: 1, Bytes: 2},
-		Result{Index: 1, Revision: 2, Held: true, Lease: 3, Member: 4, Again: true},
 	}
 }
--- a/internal/store/interest.go
+++ b/internal/store/interest.go
@@ -24,26 +24,26 @@
 var ErrInvalidInterest = errors.New("not an interest")
 
 // NotHeldError says that a copy was asked for what it does not hold: whether that is there, it cannot say.
-type NotHeldError struct{ Of Interest }
+type NotHeldError struct{ Interest Interest }
 
 func (e *NotHeldError) Error() string {
 	what := "keys"
-	if all := append(slices.Clone(e.Of.Keys), e.Of.Prefixes...); len(all) > 0 {
+	if all := append(slices.Clone(e.Interest.Keys), e.Interest.Prefixes...); len(all) > 0 {
 		what = fmt.Sprintf("%q", all[0])
 	}
 	return fmt.Sprintf("this daemon's copy does not hold %s: a replica has to be asked", what)
 }
 
-// Check says what is out of bounds.
-func (i Interest) Check() error {
+// Validate says what is out of bounds.
+func (i Interest) Validate() error {
 	if n := len(i.Prefixes) + len(i.Keys); n > MaxInterestEntries {
 		return fmt.Errorf("%w: %d prefixes and keys are more than %d", ErrInvalidInterest, n, MaxInterestEntries)
 	}
 	bytes := 0
 	for _, all := range [][]string{i.Prefixes, i.Keys} {
 		for _, k := range all {
-			if k == "" || len(k) > DefaultLimits.Key {
-				return fmt.Errorf("%w: %q is not of 1 to %d bytes", ErrInvalidInterest, k, DefaultLimits.Key)
+			if k == "" || len(k) > DefaultLimits.KeyBytes {
+				return fmt.Errorf("%w: %q is not of 1 to %d bytes", ErrInvalidInterest, k, DefaultLimits.KeyBytes)
 			}
 			bytes += len(k)
 		}
@@ -97,24 +97,24 @@
 
 // Bounds of the history of a state that holds a part: it is for those who watch at that copy.
 const (
-	partEvents  = 4096
-	partHistory = 1 << 20
+	maxSubsetEvents       = 4096
+	maxSubsetHistoryBytes = 1 << 20
 )
 
-// partial is what a state has that holds a part alone.
-type partial struct {
-	of       Interest
-	watching bool     // it is noted what is read:
-	read     Interest // this,
-	outside  bool     // some of which is not held
+// subset is what a state has that holds a part alone.
+type subset struct {
+	interest Interest
+	tracking bool     // it is noted what is read:
+	tracked  Interest // this,
+	missed   bool     // some of which is not held
 }
 
 // Interest is what this state holds, or nil if it holds all.
 func (s *State) Interest() *Interest {
-	if s.part == nil {
+	if s.subset == nil {
 		return nil
 	}
-	i := s.part.of
+	i := s.subset.interest
 	return &i
 }
 
@@ -124,21 +124,21 @@
 	p := New(s.cluster, s.limits)
 	p.revision, p.level, p.index, p.lastID, p.members = s.revision, s.level, s.index, s.lastID, slices.Clone(s.members)
 	p.history.oldest, p.results.ring.oldest = s.revision, s.index
-	p.part = &partial{of: Interest{}.Union(of)}
+	p.subset = &subset{interest: Interest{}.Union(of)}
 	take := func(i *Item) {
 		p.items.ReplaceOrInsert(i)
 		p.size += i.size()
-		if l := s.leases[i.Lease]; l != nil && p.leases[i.Lease] == nil {
-			p.leases[i.Lease] = &lease{Lease: l.Lease, keys: map[string]struct{}{}}
+		if l := s.leases[i.LeaseID]; l != nil && p.leases[i.LeaseID] == nil {
+			p.leases[i.LeaseID] = &lease{Lease: l.Lease, keys: map[string]struct{}{}}
 		}
-		if l := p.leases[i.Lease]; l != nil {
+		if l := p.leases[i.LeaseID]; l != nil {
 			l.keys[i.Key] = struct{}{}
 		}
 	}
-	for _, prefix := range p.part.of.Prefixes {
+	for _, prefix := range p.subset.interest.Prefixes {
 		s.ascend(prefix, PrefixEnd(prefix), func(i *Item) bool { take(i); return true })
 	}
-	for _, key := range p.part.of.Keys {
+	for _, key := range p.subset.interest.Keys {
 		if i, ok := s.items.Get(&Item{Key: key}); ok {
 			take(i)
 		}
@@ -151,8 +151,8 @@
 	p := s.Subset(of)
 	p.history.oldest = s.history.oldest
 	for n := range s.history.len() {
-		if e := s.history.at(n); p.part.of.Covers(e.Item.Key) {
-			p.remember(*e)
+		if e := s.history.at(n); p.subset.interest.Covers(e.Item.Key) {
+			p.appendHistory(*e)
 		}
 	}
 	return p
@@ -160,31 +160,31 @@
 
 // TrackReads has it noted from now on what is read of a state that holds a part.
 func (s *State) TrackReads() {
-	if s.part != nil {
-		s.part.watching, s.part.read, s.part.outside = true, Interest{}, false
+	if s.subset != nil {
+		s.subset.tracking, s.subset.tracked, s.subset.missed = true, Interest{}, false
 	}
 }
 
 // TrackedReads ends that. It returns what was read, and whether the state holds all of it.
 func (s *State) TrackedReads() (read Interest, held bool) {
-	if s.part == nil {
+	if s.subset == nil {
 		return Interest{}, true
 	}
-	p := s.part
-	p.watching = false
-	return p.read, !p.outside
+	p := s.subset
+	p.tracking = false
+	return p.tracked, !p.missed
 }
 
-func (p *partial) reads(o Interest) {
-	if p == nil || !p.watching {
+func (p *subset) track(o Interest) {
+	if p == nil || !p.tracking {
 		return
 	}
-	p.read = p.read.Union(o)
-	p.outside = p.outside || !p.of.Contains(o)
+	p.tracked = p.tracked.Union(o)
+	p.missed = p.missed || !p.interest.Contains(o)
 }
 
-// rangeOf is an interest that covers the keys from one on and before another.
-func rangeOf(from, end string) Interest {
+// rangeInterest is an interest that covers the keys from one on and before another.
+func rangeInterest(from, end string) Interest {
 	switch {
 	case end == from+"\x00":
 		return Interest{Keys: []string{from}}
--- a/internal/store/mirror.go
+++ b/internal/store/mirror.go
@@ -15,10 +15,10 @@
 	if e.Revision < s.revision || e.Item.Key == "" {
 		return fmt.Errorf("%w: revision %d after %d", ErrOutOfOrder, e.Revision, s.revision)
 	}
-	if s.part != nil && !s.part.of.Covers(e.Item.Key) {
+	if s.subset != nil && !s.subset.interest.Covers(e.Item.Key) {
 		return fmt.Errorf("%w: %q", ErrOutOfOrder, e.Item.Key)
 	}
-	s.mirror(e)
+	s.mirrorEvent(e)
 	return nil
 }
 
@@ -33,18 +33,18 @@
 		if e.Revision <= s.revision || e.Revision != events[0].Revision || e.Item.Key == "" {
 			return fmt.Errorf("%w: revision %d after %d", ErrOutOfOrder, e.Revision, s.revision)
 		}
-		if s.part != nil && !s.part.of.Covers(e.Item.Key) {
+		if s.subset != nil && !s.subset.interest.Covers(e.Item.Key) {
 			return fmt.Errorf("%w: %q is not held", ErrOutOfOrder, e.Item.Key)
 		}
 	}
 	for _, e := range events {
-		s.mirror(e)
+		s.mirrorEvent(e)
 	}
 	return nil
 }
 
-// Progress says that the copy has been told of all that it holds up to a revision.
-func (s *State) Progress(revision uint64) error {
+// AdvanceRevision says that the copy has been told of all that it holds up to a revision.
+func (s *State) AdvanceRevision(revision uint64) error {
 	if revision < s.revision {
 		return fmt.Errorf("%w: revision %d after %d", ErrOutOfOrder, revision, s.revision)
 	}
@@ -52,7 +52,7 @@
 	return nil
 }
 
-func (s *State) mirror(e Event) {
+func (s *State) mirrorEvent(e Event) {
 	old, had := s.items.Get(&Item{Key: e.Item.Key})
 	if e.Deleted {
 		if had {
@@ -60,8 +60,8 @@
 		}
 	} else {
 		n := e.Item
-		if s.leases[n.Lease] == nil {
-			n.Lease = 0 // one that began since: its end comes as an event, too
+		if s.leases[n.LeaseID] == nil {
+			n.LeaseID = 0 // one that began since: its end comes as an event, too
 		}
 		s.size += n.size()
 		s.items.ReplaceOrInsert(&n)
@@ -70,5 +70,5 @@
 		s.size -= old.size()
 		s.detach(old)
 	}
-	s.happened(e)
+	s.recordEvent(e)
 }
--- a/internal/store/replica/members.go
+++ b/internal/store/replica/members.go
@@ -55,7 +55,7 @@
 func (n *Node) keep(id uint64) {
 	if l, ok := n.state.Lease(id); ok {
 		tick := int64(n.cfg.TickMillis)
-		n.deadline[id] = n.now + (int64(l.TTL)+tick-1)/tick + 2
+		n.deadline[id] = n.now + (int64(l.TTLMillis)+tick-1)/tick + 2
 	}
 }
 
@@ -73,7 +73,7 @@
 	}
 	if me, ok := n.state.Member(n.self.Member); ok && !n.placed {
 		n.tried = n.now
-		n.send(&store.Command{Place: &store.RegisterStart{Member: me.ID, Disk: n.self.Disk, Boot: n.self.Boot, Level: n.cfg.Knows}})
+		n.send(&store.Command{RegisterStart: &store.RegisterStart{MemberID: me.ID, DiskID: n.self.Disk, Boot: n.self.Boot, Level: n.cfg.Knows}})
 	}
 	if !n.leading {
 		return
@@ -88,7 +88,7 @@
 		least = min(least, m.Level)
 	}
 	if least > n.state.Level() {
-		n.send(&store.Command{Raise: &store.RaiseLevel{Level: least}})
+		n.send(&store.Command{RaiseLevel: &store.RaiseLevel{Level: least}})
 	}
 }
 
@@ -124,7 +124,7 @@
 			continue
 		}
 		n.ending[id] = n.now + int64(n.cfg.ElectTicks)
-		n.send(&store.Command{End: &store.RevokeLease{Lease: id, Silent: n.cfg.Planted&BlindLease == 0, Renewed: l.Renewed}})
+		n.send(&store.Command{RevokeLease: &store.RevokeLease{LeaseID: id, Expired: n.cfg.Planted&BlindLease == 0, Renewals: l.Renewals}})
 	}
 }
 
@@ -149,7 +149,7 @@
 		switch {
 		case !in:
 			return change(raftpb.ConfChangeAddLearnerNode, m.ID)
-		case p.IsLearner && m.Disk != 0 && n.hears(m.ID) && p.State == tracker.StateReplicate &&
+		case p.IsLearner && m.DiskID != 0 && n.hears(m.ID) && p.State == tracker.StateReplicate &&
 			p.Match+64 >= st.HardState.GetCommit():
 			return change(raftpb.ConfChangeAddNode, m.ID)
 		}
@@ -312,10 +312,10 @@
 	if n.cfg.Planted&SkipCheck != 0 {
 		return nil
 	}
-	if m.Disk != 0 && m.Disk != h.Disk {
+	if m.DiskID != 0 && m.DiskID != h.Disk {
 		return ErrDiskMismatch
 	}
-	if m.Disk != 0 && m.Boot > h.Boot {
+	if m.DiskID != 0 && m.Boot > h.Boot {
 		return ErrDiskRolledBack
 	}
 	if n.leading {
--- a/internal/store/replica/replica.go
+++ b/internal/store/replica/replica.go
@@ -388,20 +388,20 @@
 	if len(n.waiting) >= n.cfg.Pending {
 		return ErrBusy
 	}
-	if err := n.state.Check(c); err != nil && !(errors.Is(err, store.ErrLevel) && n.cfg.Planted&AnyLevel != 0) {
+	if err := n.state.Validate(c); err != nil && !(errors.Is(err, store.ErrLevel) && n.cfg.Planted&AnyLevel != 0) {
 		n.out.Done = append(n.out.Done, Completion{Token: t, Result: store.Result{Revision: n.state.Revision(), Err: err}})
 		return nil
 	}
 	if r, ok := n.state.CachedResult(c.ID); ok && n.cfg.Planted&ForgetResults == 0 {
-		r.Again = true
+		r.Duplicate = true
 		n.out.Done = append(n.out.Done, Completion{Token: t, Result: r})
 		return nil
 	}
-	if c.Join != nil && !n.settled() || c.Leave != nil && !n.settled() && !n.settledBut(c.Leave.Member) {
+	if c.AddMember != nil && !n.settled() || c.RemoveMember != nil && !n.settled() && !n.settledBut(c.RemoveMember.MemberID) {
 		return ErrBusy // one at a time, but for the end of one that never came to vote
 	}
-	if c.Since == 0 {
-		c.Since = max(1, n.applied)
+	if c.SinceIndex == 0 {
+		c.SinceIndex = max(1, n.applied)
 	}
 	data, err := c.Encode()
 	if err != nil {
@@ -665,9 +665,9 @@
 		if err != nil {
 			return fmt.Errorf("entry %d: %w", n.applied, err)
 		}
-		if c.Raise != nil && c.Raise.Level > n.cfg.Knows { // it was started on an older build since it said what it knows
+		if c.RaiseLevel != nil && c.RaiseLevel.Level > n.cfg.Knows { // it was started on an older build since it said what it knows
 			return fmt.Errorf("entry %d: %w: the cluster goes to level %d, and this build knows %d", n.applied, store.ErrUnknownCommand,
-				c.Raise.Level, n.cfg.Knows)
+				c.RaiseLevel.Level, n.cfg.Knows)
 		}
 		if n.cfg.Applied != nil {
 			n.cfg.Applied(c, len(e.Data))
@@ -689,16 +689,16 @@
 func (n *Node) follow(c *store.Command, r store.Result) {
 	if n.leading && r.Err == nil {
 		switch {
-		case c.Grant != nil, c.Renew != nil:
-			n.keep(r.Lease)
-		case c.End != nil:
-			if _, ok := n.state.Lease(c.End.Lease); !ok {
-				delete(n.deadline, c.End.Lease)
+		case c.GrantLease != nil, c.RenewLease != nil:
+			n.keep(r.LeaseID)
+		case c.RevokeLease != nil:
+			if _, ok := n.state.Lease(c.RevokeLease.LeaseID); !ok {
+				delete(n.deadline, c.RevokeLease.LeaseID)
 			}
-			delete(n.ending, c.End.Lease)
+			delete(n.ending, c.RevokeLease.LeaseID)
 		}
 	}
-	if c.Place != nil && c.Place.Member == n.self.Member && c.Place.Disk == n.self.Disk && c.Place.Boot == n.self.Boot {
+	if c.RegisterStart != nil && c.RegisterStart.MemberID == n.self.Member && c.RegisterStart.DiskID == n.self.Disk && c.RegisterStart.Boot == n.self.Boot {
 		if n.placed = r.Err == nil; !n.placed {
 			n.fail(fmt.Errorf("the place of member %d is held by another disk or a later start", n.self.Member))
 		}
--- a/internal/store/replica/replica_test.go
+++ b/internal/store/replica/replica_test.go
@@ -80,7 +80,7 @@
 }
 
 func bounded(key string) store.Command {
-	return store.Command{Txn: &store.Txn{Then: []store.Op{{Key: key}}, Bounds: []store.KeyLimit{{Prefix: "p/", Most: 1}}}}
+	return store.Command{Txn: &store.Txn{Then: []store.Op{{Key: key}}, KeyLimits: []store.KeyLimit{{Prefix: "p/", MaxKeys: 1}}}}
 }
 
 // An older build goes on in a cluster that uses what it knows, refuses what it does not use yet, and stops, saying why and
--- a/internal/store/ring.go
+++ b/internal/store/ring.go
@@ -4,25 +4,25 @@
 
 // ring keeps the newest of a sequence within a count and a number of bytes.
 type ring[T any] struct {
-	all    []T // from start on
+	items  []T // from start on
 	start  int
 	bytes  int
 	oldest uint64 // the revision, or index, of the newest that was let go
 }
 
-func (r *ring[T]) len() int        { return len(r.all) - r.start }
-func (r *ring[T]) at(i int) *T     { return &r.all[r.start+i] }
-func (r *ring[T]) push(v T, n int) { r.all, r.bytes = append(r.all, v), r.bytes+n }
+func (r *ring[T]) len() int        { return len(r.items) - r.start }
+func (r *ring[T]) at(i int) *T     { return &r.items[r.start+i] }
+func (r *ring[T]) push(v T, n int) { r.items, r.bytes = append(r.items, v), r.bytes+n }
 
 // drop lets the oldest go, whose cost and number are given.
 func (r *ring[T]) drop(cost int, number uint64) {
 	var none T
-	r.all[r.start] = none
+	r.items[r.start] = none
 	r.start++
 	r.bytes -= cost
 	r.oldest = number
-	if r.start > len(r.all)/2 && r.start > 64 {
-		r.all = append(r.all[:0:0], r.all[r.start:]...)
+	if r.start > len(r.items)/2 && r.start > 64 {
+		r.items = append(r.items[:0:0], r.items[r.start:]...)
 		r.start = 0
 	}
 }
@@ -35,6 +35,6 @@
 // not share the array.
 func (r *ring[T]) clone() ring[T] {
 	c := *r
-	c.all, c.start = append([]T(nil), r.all[r.start:]...), 0
+	c.items, c.start = append([]T(nil), r.items[r.start:]...), 0
 	return c
 }
--- a/internal/store/serverstate/pictures.go
+++ b/internal/store/serverstate/pictures.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		panic(err) // strings and bytes always can be written
 	}
-	return &store.Txn{Then: []store.Op{{Key: key, Value: b}}, Bounds: []store.KeyLimit{{Prefix: SnapshotPrefix, Most: MaxSnapshots}}}
+	return &store.Txn{Then: []store.Op{{Key: key, Value: b}}, KeyLimits: []store.KeyLimit{{Prefix: SnapshotPrefix, MaxKeys: MaxSnapshots}}}
 }
 
 // DecodeModuleSnapshot reads a record. What is of a later format is ErrFormat.
--- a/internal/store/serverstate/policy.go
+++ b/internal/store/serverstate/policy.go
@@ -195,7 +195,7 @@
 	if w == nil || w.agreed == 0 {
 		return nil, ErrNotReported
 	}
-	t := &store.Txn{If: []store.Compare{{Key: key, Modified: w.agreed}}, Then: []store.Op{{Key: key, Delete: true}}}
+	t := &store.Txn{If: []store.Compare{{Key: key, ModRevision: w.agreed}}, Then: []store.Op{{Key: key, Delete: true}}}
 	if g.eager {
 		w.agreed, w.pending, w.again, w.owed = 0, false, false, false
 	}
@@ -248,13 +248,13 @@
 	for key, w := range g.words {
 		w.agreed = 0
 		if i, ok := s.Get(key); ok {
-			w.agreed, w.by = i.Modified, DecodeExclusion(i.Value).By
+			w.agreed, w.by = i.ModRevision, DecodeExclusion(i.Value).By
 		}
 		g.tidy(key, w)
 	}
 	s.Range(ExclusionPrefix, store.PrefixEnd(ExclusionPrefix), func(i store.Item) bool {
 		if _, _, ok := g.parse(i.Key); ok && g.words[i.Key] == nil {
-			g.words[i.Key] = &word{agreed: i.Modified, by: DecodeExclusion(i.Value).By}
+			g.words[i.Key] = &word{agreed: i.ModRevision, by: DecodeExclusion(i.Value).By}
 		}
 		return true
 	})
--- a/internal/store/serverstate/policy_test.go
+++ b/internal/store/serverstate/policy_test.go
@@ -43,7 +43,7 @@
 			}
 			e := log[d.read]
 			var events []store.Event
-			d.state.Notify(func(x store.Event) { events = append(events, x) })
+			d.state.OnEvent(func(x store.Event) { events = append(events, x) })
 			d.read++
 			d.state.Apply(uint64(d.read), &e.c)
 			for _, x := range events {
--- a/internal/store/serverstate/starts.go
+++ b/internal/store/serverstate/starts.go
@@ -131,8 +131,8 @@
 		return nil
 	}
 	v := StartReport{By: s.by, Ago: (now - w.at) / 1e6, For: (w.until - w.at) / 1e6}
-	return &store.Txn{If: []store.Compare{{Key: key, Modified: w.agreed}}, Then: []store.Op{{Key: key, Value: v.Encode()}},
-		Bounds: []store.KeyLimit{{Prefix: StartPrefix, Most: MaxStarts}}}
+	return &store.Txn{If: []store.Compare{{Key: key, ModRevision: w.agreed}}, Then: []store.Op{{Key: key, Value: v.Encode()}},
+		KeyLimits: []store.KeyLimit{{Prefix: StartPrefix, MaxKeys: MaxStarts}}}
 }
 
 // End is the transaction that ends the store's word of a process, or nil if it has none.
@@ -142,7 +142,7 @@
 	if w == nil || w.agreed == 0 {
 		return nil
 	}
-	return &store.Txn{If: []store.Compare{{Key: key, Modified: w.agreed}}, Then: []store.Op{{Key: key, Delete: true}}}
+	return &store.Txn{If: []store.Compare{{Key: key, ModRevision: w.agreed}}, Then: []store.Op{{Key: key, Delete: true}}}
 }
 
 // Applied takes a change of the store. late is how long ago it was made, as far as that is known: 0 as it comes. It returns
--- a/internal/store/serverstate/turns_test.go
+++ b/internal/store/serverstate/turns_test.go
@@ -115,7 +115,7 @@
 	if len(b.Over(105*s)) != 0 || len(b.Over(106*s)) != 1 {
 		t.Error("it does not end by its own word")
 	}
-	if end := b.End(p); end == nil || end.If[0].Modified != 9 {
+	if end := b.End(p); end == nil || end.If[0].ModRevision != 9 {
 		t.Error(end)
 	}
 	b.Applied(107*s, store.Event{Revision: 10, Deleted: true, Item: e.Item}, 0)
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -16,22 +16,22 @@
 // Equal states are saved as equal bytes. A state that holds a part has a head of its own, so that nobody takes it for a whole one.
 
 const (
-	savedHead = "bmstore1"
-	savedPart = "bmstore2"
+	completeMagic = "bmstore1"
+	subsetMagic   = "bmstore2"
 )
 
 const (
-	recFoot = iota
-	recHead
-	recMember
-	recLease
-	recItem
-	recEvent
-	recDone
+	recordFooter = iota
+	recordHeader
+	recordMember
+	recordLease
+	recordItem
+	recordHistoryEvent
+	recordResult
 )
 
 // MaxSavedRecordBytes bounds a record of a saved state, in bytes.
-const MaxSavedRecordBytes = commandMost
+const MaxSavedRecordBytes = maxCommandBytes
 
 // CorruptedError says where a saved state is not what was saved.
 type CorruptedError struct {
@@ -43,70 +43,70 @@
 	return fmt.Sprintf("damaged at byte %d: %s", e.Offset, e.Reason)
 }
 
-type savedState struct {
-	Limits    Limits `cbor:"1,keyasint"`
-	Cluster   uint64 `cbor:"2,keyasint"`
-	Revision  uint64 `cbor:"3,keyasint"`
-	Level     uint64 `cbor:"4,keyasint"`
-	Index     uint64 `cbor:"5,keyasint"`
-	LastID    uint64 `cbor:"6,keyasint"`
-	Oldest    uint64 `cbor:"7,keyasint"` // of the history
-	Forgotten uint64 `cbor:"8,keyasint"` // of the results
+type savedHeader struct {
+	Limits        Limits `cbor:"1,keyasint"`
+	Cluster       uint64 `cbor:"2,keyasint"`
+	Revision      uint64 `cbor:"3,keyasint"`
+	Level         uint64 `cbor:"4,keyasint"`
+	Index         uint64 `cbor:"5,keyasint"`
+	LastID        uint64 `cbor:"6,keyasint"`
+	HistoryOldest uint64 `cbor:"7,keyasint"` // of the history
+	ResultsOldest uint64 `cbor:"8,keyasint"` // of the results
 
-	Part *Interest `cbor:"9,keyasint,omitempty"` // what it holds; nil: all
+	Interest *Interest `cbor:"9,keyasint,omitempty"` // what it holds; nil: all
 }
 
-type savedDone struct {
-	ID       RequestID `cbor:"1,keyasint"`
-	Index    uint64    `cbor:"2,keyasint"`
-	Revision uint64    `cbor:"3,keyasint"`
-	Held     bool      `cbor:"4,keyasint,omitempty"`
-	Lease    uint64    `cbor:"5,keyasint,omitempty"`
-	Member   uint64    `cbor:"6,keyasint,omitempty"`
-	Err      uint8     `cbor:"7,keyasint,omitempty"`
+type savedResult struct {
+	ID        RequestID `cbor:"1,keyasint"`
+	Index     uint64    `cbor:"2,keyasint"`
+	Revision  uint64    `cbor:"3,keyasint"`
+	Succeeded bool      `cbor:"4,keyasint,omitempty"`
+	LeaseID   uint64    `cbor:"5,keyasint,omitempty"`
+	MemberID  uint64    `cbor:"6,keyasint,omitempty"`
+	ErrorCode uint8     `cbor:"7,keyasint,omitempty"`
 }
 
-// outcomes gives the errors of Apply the numbers by which they are saved and sent. They are only added to.
-var outcomes = []error{nil, ErrTooLarge, ErrFull, ErrLeaseNotFound, ErrBadKey, ErrRequestExpired, ErrUnknownMember, ErrLevel, ErrUnknownCommand}
+// storedErrors gives the errors of Apply the numbers by which they are saved and sent. They are only added to.
+var storedErrors = []error{nil, ErrTooLarge, ErrFull, ErrLeaseNotFound, ErrBadKey, ErrRequestExpired, ErrUnknownMember, ErrLevel, ErrUnknownCommand}
 
 // Save writes the state. It may be called on a Clone while the state itself goes on.
 func (s *State) Save(w io.Writer) error {
-	sum := crc32.New(castagnoli)
+	sum := crc32.New(crcTable)
 	b := bufio.NewWriterSize(w, 64<<10)
 	out := &saver{w: io.MultiWriter(b, sum)}
-	head, part := savedHead, s.Interest()
+	head, part := completeMagic, s.Interest()
 	if part != nil {
-		head = savedPart
+		head = subsetMagic
 	}
 	out.bytes([]byte(head))
-	out.record(recHead, &savedState{Limits: s.limits, Cluster: s.cluster, Revision: s.revision, Level: s.level,
-		Index: s.index, LastID: s.lastID, Oldest: s.history.oldest, Forgotten: s.results.ring.oldest, Part: part})
+	out.record(recordHeader, &savedHeader{Limits: s.limits, Cluster: s.cluster, Revision: s.revision, Level: s.level,
+		Index: s.index, LastID: s.lastID, HistoryOldest: s.history.oldest, ResultsOldest: s.results.ring.oldest, Interest: part})
 	for i := range s.members {
-		out.record(recMember, &s.members[i])
+		out.record(recordMember, &s.members[i])
 	}
 	for _, l := range s.Leases() {
-		out.record(recLease, &l)
+		out.record(recordLease, &l)
 	}
-	s.items.Ascend(func(i *Item) bool { out.record(recItem, i); return out.err == nil })
+	s.items.Ascend(func(i *Item) bool { out.record(recordItem, i); return out.err == nil })
 	for i := range s.history.len() {
-		out.record(recEvent, s.history.at(i))
+		out.record(recordHistoryEvent, s.history.at(i))
 	}
 	for i := range s.results.ring.len() {
 		d := s.results.ring.at(i)
 		v := d.Result
-		at := max(0, slices.IndexFunc(outcomes, func(e error) bool { return e == v.Err }))
-		out.record(recDone, &savedDone{d.ID, v.Index, v.Revision, v.Held, v.Lease, v.Member, uint8(at)})
+		at := max(0, slices.IndexFunc(storedErrors, func(e error) bool { return e == v.Err }))
+		out.record(recordResult, &savedResult{d.ID, v.Index, v.Revision, v.Succeeded, v.LeaseID, v.MemberID, uint8(at)})
 	}
 	var foot [4]byte
 	binary.BigEndian.PutUint32(foot[:], sum.Sum32())
-	out.raw(recFoot, foot[:])
+	out.raw(recordFooter, foot[:])
 	if out.err != nil {
 		return out.err
 	}
 	return b.Flush()
 }
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
 type saver struct {
 	w   io.Writer
@@ -120,7 +120,7 @@
 }
 
 func (o *saver) record(kind byte, v any) {
-	b, err := encoding.Marshal(v)
+	b, err := encMode.Marshal(v)
 	if o.err == nil {
 		o.err = err
 	}
@@ -139,7 +139,7 @@
 // that says where, and no state.
 func Load(r io.Reader) (*State, error) {
 	s, err := LoadSubset(r)
-	if err == nil && s.part != nil {
+	if err == nil && s.subset != nil {
 		return nil, &CorruptedError{Reason: "it holds a part of a store alone"}
 	}
 	return s, err
@@ -147,19 +147,19 @@
 
 // LoadSubset reads what Save wrote of a state that holds all, or a part; see Load.
 func LoadSubset(r io.Reader) (*State, error) {
-	l := &loader{r: bufio.NewReaderSize(r, 64<<10), sum: crc32.New(castagnoli)}
+	l := &loader{r: bufio.NewReaderSize(r, 64<<10), sum: crc32.New(crcTable)}
 	s, err := l.load()
 	if err != nil {
-		return nil, &CorruptedError{Offset: l.at, Reason: err.Error()}
+		return nil, &CorruptedError{Offset: l.offset, Reason: err.Error()}
 	}
 	return s, nil
 }
 
 type loader struct {
-	r   io.Reader
-	sum hash.Hash32
-	at  int64 // where the record begins that is read
-	buf []byte
+	r      io.Reader
+	sum    hash.Hash32
+	offset int64 // where the record begins that is read
+	buf    []byte
 }
 
 func (l *loader) read(n int) ([]byte, error) {
@@ -174,18 +174,18 @@
 }
 
 func (l *loader) load() (*State, error) {
-	head, err := l.read(len(savedHead))
+	head, err := l.read(len(completeMagic))
 	if err != nil {
 		return nil, err
 	}
-	part := string(head) == savedPart
-	if string(head) != savedHead && !part {
+	part := string(head) == subsetMagic
+	if string(head) != completeMagic && !part {
 		return nil, errors.New("not a saved store of this format")
 	}
 	l.sum.Write(head)
-	l.at = int64(len(head))
+	l.offset = int64(len(head))
 	var s *State
-	last := byte(recHead)
+	last := byte(recordHeader)
 	for {
 		before := l.sum.Sum32()
 		head, err := l.read(5)
@@ -203,7 +203,7 @@
 		}
 		l.sum.Write(b)
 		switch {
-		case kind == recFoot && s != nil:
+		case kind == recordFooter && s != nil:
 			if len(b) != 4 || binary.BigEndian.Uint32(b) != before {
 				return nil, errors.New("the checksum is another")
 			}
@@ -211,14 +211,14 @@
 				return nil, errors.New("goes on after its end")
 			}
 			return s, nil
-		case kind == recHead && s == nil:
+		case kind == recordHeader && s == nil:
 			if s, err = loadHead(b); err != nil {
 				return nil, err
 			}
-			if part != (s.part != nil) {
+			if part != (s.subset != nil) {
 				return nil, errors.New("what it holds is not what its head says")
 			}
-		case s == nil || kind <= recHead || kind < last || kind > recDone:
+		case s == nil || kind <= recordHeader || kind < last || kind > recordResult:
 			return nil, fmt.Errorf("a record of kind %d where none belongs", kind)
 		default:
 			if err := s.loadRecord(kind, b); err != nil {
@@ -226,88 +226,88 @@
 			}
 			last = kind
 		}
-		l.at += int64(n) + 5
+		l.offset += int64(n) + 5
 	}
 }
 
 func loadHead(b []byte) (*State, error) {
-	var h savedState
-	if err := decoding.Unmarshal(b, &h); err != nil {
+	var h savedHeader
+	if err := decMode.Unmarshal(b, &h); err != nil {
 		return nil, err
 	}
-	if err := h.Limits.check(); err != nil {
+	if err := h.Limits.validate(); err != nil {
 		return nil, err
 	}
 	s := New(h.Cluster, h.Limits)
 	s.revision, s.level, s.index, s.lastID = h.Revision, h.Level, h.Index, h.LastID
-	s.history.oldest, s.results.ring.oldest = h.Oldest, h.Forgotten
-	if h.Part != nil {
-		s.part = &partial{of: *h.Part}
+	s.history.oldest, s.results.ring.oldest = h.HistoryOldest, h.ResultsOldest
+	if h.Interest != nil {
+		s.subset = &subset{interest: *h.Interest}
 	}
 	return s, nil
 }
 
 func (s *State) loadRecord(kind byte, b []byte) error {
 	switch kind {
-	case recMember:
+	case recordMember:
 		var m Member
-		if err := decoding.Unmarshal(b, &m); err != nil {
+		if err := decMode.Unmarshal(b, &m); err != nil {
 			return err
 		}
-		if len(s.members) >= s.limits.Members || s.memberAt(m.ID) >= 0 {
+		if len(s.members) >= s.limits.Members || s.memberIndex(m.ID) >= 0 {
 			return errors.New("a member too many")
 		}
 		s.members = append(s.members, m)
-	case recLease:
+	case recordLease:
 		var l Lease
-		if err := decoding.Unmarshal(b, &l); err != nil {
+		if err := decMode.Unmarshal(b, &l); err != nil {
 			return err
 		}
 		if len(s.leases) >= s.limits.Leases || s.leases[l.ID] != nil {
 			return errors.New("a lease too many")
 		}
 		s.leases[l.ID] = &lease{Lease: l, keys: map[string]struct{}{}}
-	case recItem:
+	case recordItem:
 		i := &Item{}
-		if err := decoding.Unmarshal(b, i); err != nil {
+		if err := decMode.Unmarshal(b, i); err != nil {
 			return err
 		}
 		if last, ok := s.items.Max(); ok && last.Key >= i.Key {
 			return errors.New("keys out of order")
 		}
-		if s.part != nil && !s.part.of.Covers(i.Key) {
+		if s.subset != nil && !s.subset.interest.Covers(i.Key) {
 			return errors.New("a key that it does not hold")
 		}
-		if i.Lease != 0 {
-			l := s.leases[i.Lease]
+		if i.LeaseID != 0 {
+			l := s.leases[i.LeaseID]
 			if l == nil {
 				return errors.New("a key of a lease that is not there")
 			}
 			l.keys[i.Key] = struct{}{}
 		}
-		if s.size += i.size(); s.size > s.limits.Total {
+		if s.size += i.size(); s.size > s.limits.TotalBytes {
 			return errors.New("more than the store may hold")
 		}
 		s.items.ReplaceOrInsert(i)
-	case recEvent:
+	case recordHistoryEvent:
 		var e Event
-		if err := decoding.Unmarshal(b, &e); err != nil {
+		if err := decMode.Unmarshal(b, &e); err != nil {
 			return err
 		}
 		if n := s.history.len(); n > 0 && s.history.at(n-1).Revision > e.Revision || e.Revision > s.revision {
 			return errors.New("events out of order")
 		}
 		s.history.push(e, e.Item.size())
-	case recDone:
-		var d savedDone
-		if err := decoding.Unmarshal(b, &d); err != nil {
+	case recordResult:
+		var d savedResult
+		if err := decMode.Unmarshal(b, &d); err != nil {
 			return err
 		}
-		if int(d.Err) >= len(outcomes) {
+		if int(d.ErrorCode) >= len(storedErrors) {
 			return errors.New("an outcome that is not known")
 		}
-		s.results.keep(d.ID, Result{Index: d.Index, Revision: d.Revision, Held: d.Held, Lease: d.Lease,
-			Member: d.Member, Err: outcomes[d.Err]}, s.limits.Results)
+		s.results.add(d.ID, Result{Index: d.Index, Revision: d.Revision, Succeeded: d.Succeeded, LeaseID: d.LeaseID,
+			MemberID: d.MemberID, Err: storedErrors[d.ErrorCode]}, s.limits.Results)
 	}
 	return nil
 }
@@ -323,7 +323,7 @@
 // that a token that was given then is not given again. What watches could read of before is compacted.
 func (s *State) Reinitialize(cluster, floor uint64) {
 	for _, l := range s.Leases() {
-		s.end(l.ID)
+		s.endLease(l.ID)
 	}
 	s.cluster, s.members, s.index, s.results = cluster, nil, 0, results{}
 	floor = min(floor, MaxRevision)
@@ -337,6 +337,6 @@
 // nobody can renew.
 func (s *State) Seed(key string, value []byte, ttl uint64) {
 	s.lastID++
-	s.leases[s.lastID] = &lease{Lease: Lease{ID: s.lastID, TTL: ttl, Owner: key}, keys: map[string]struct{}{}}
-	s.put(s.revision+1, Op{Key: key, Value: value, Lease: s.lastID})
+	s.leases[s.lastID] = &lease{Lease: Lease{ID: s.lastID, TTLMillis: ttl, Owner: key}, keys: map[string]struct{}{}}
+	s.put(s.revision+1, Op{Key: key, Value: value, LeaseID: s.lastID})
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -19,28 +19,28 @@
 
 // Limits bound a state. They are part of the cluster: all replicas hold the same, for Apply decides by them.
 type Limits struct {
-	Key     int `cbor:"1,keyasint"` // bytes of a key
-	Value   int `cbor:"2,keyasint"` // bytes of a value
-	Total   int `cbor:"3,keyasint"` // bytes of all keys and values
-	Ops     int `cbor:"4,keyasint"` // comparisons, or operations, of a transaction
-	Events  int `cbor:"5,keyasint"` // changes that are kept for watches,
-	History int `cbor:"6,keyasint"` // and their bytes
-	Leases  int `cbor:"7,keyasint"`
-	Results int `cbor:"8,keyasint"` // outcomes that are kept for requests sent again
-	Members int `cbor:"9,keyasint"`
+	KeyBytes      int `cbor:"1,keyasint"` // bytes of a key
+	ValueBytes    int `cbor:"2,keyasint"` // bytes of a value
+	TotalBytes    int `cbor:"3,keyasint"` // bytes of all keys and values
+	TxnOps        int `cbor:"4,keyasint"` // comparisons, or operations, of a transaction
+	HistoryEvents int `cbor:"5,keyasint"` // changes that are kept for watches,
+	HistoryBytes  int `cbor:"6,keyasint"` // and their bytes
+	Leases        int `cbor:"7,keyasint"`
+	Results       int `cbor:"8,keyasint"` // outcomes that are kept for requests sent again
+	Members       int `cbor:"9,keyasint"`
 }
 
 // DefaultLimits are those of a new cluster.
-var DefaultLimits = Limits{Key: 512, Value: 1 << 20, Total: 256 << 20, Ops: 128, Events: 65536, History: 32 << 20,
+var DefaultLimits = Limits{KeyBytes: 512, ValueBytes: 1 << 20, TotalBytes: 256 << 20, TxnOps: 128, HistoryEvents: 65536, HistoryBytes: 32 << 20,
 	Leases: 16384, Results: 65536, Members: 9}
 
-// check says which limit is none.
-func (l *Limits) check() error {
+// validate says which limit is none.
+func (l *Limits) validate() error {
 	for _, x := range []struct {
 		name    string
 		v, most int
-	}{{"key", l.Key, 1 << 16}, {"value", l.Value, commandMost / 2}, {"total", l.Total, 1 << 36}, {"ops", l.Ops, 1 << 12},
-		{"events", l.Events, 1 << 24}, {"history", l.History, 1 << 36}, {"leases", l.Leases, 1 << 24},
+	}{{"key", l.KeyBytes, 1 << 16}, {"value", l.ValueBytes, maxCommandBytes / 2}, {"total", l.TotalBytes, 1 << 36}, {"ops", l.TxnOps, 1 << 12},
+		{"events", l.HistoryEvents, 1 << 24}, {"history", l.HistoryBytes, 1 << 36}, {"leases", l.Leases, 1 << 24},
 		{"results", l.Results, 1 << 24}, {"members", l.Members, 64}} {
 		if x.v < 1 || x.v > x.most {
 			return fmt.Errorf("the limit %q is %d, and not within 1 and %d", x.name, x.v, x.most)
@@ -70,15 +70,15 @@
 
 // Item is a key with its value.
 type Item struct {
-	Key      string `cbor:"1,keyasint" json:"key"`
-	Value    []byte `cbor:"2,keyasint" json:"value"`
-	Created  uint64 `cbor:"3,keyasint" json:"created"`                   // revision that made the key
-	Modified uint64 `cbor:"4,keyasint" json:"modified"`                  // revision of the last put
-	Version  uint64 `cbor:"5,keyasint" json:"version"`                   // puts since Created
-	Lease    uint64 `cbor:"6,keyasint,omitempty" json:"lease,omitempty"` // with whose end the key goes, or 0
+	Key            string `cbor:"1,keyasint" json:"key"`
+	Value          []byte `cbor:"2,keyasint" json:"value"`
+	CreateRevision uint64 `cbor:"3,keyasint" json:"created"`                   // revision that made the key
+	ModRevision    uint64 `cbor:"4,keyasint" json:"modified"`                  // revision of the last put
+	Version        uint64 `cbor:"5,keyasint" json:"version"`                   // puts since Created
+	LeaseID        uint64 `cbor:"6,keyasint,omitempty" json:"lease,omitempty"` // with whose end the key goes, or 0
 }
 
-func (i *Item) size() int { return len(i.Key) + len(i.Value) + itemCost }
+func (i *Item) size() int { return len(i.Key) + len(i.Value) + itemOverheadBytes }
 
 // Event is one change of one key.
 type Event struct {
@@ -90,10 +90,10 @@
 // Lease is a promise that its keys go when its holder falls silent. The time itself is kept by the leader alone, on
 // its own clock: what the state knows is for how long, and that it ended.
 type Lease struct {
-	ID  uint64 `cbor:"1,keyasint" json:"id"`
-	TTL uint64 `cbor:"2,keyasint" json:"ttl_ms"` // milliseconds
+	ID        uint64 `cbor:"1,keyasint" json:"id"`
+	TTLMillis uint64 `cbor:"2,keyasint" json:"ttl_ms"` // milliseconds
 
-	Renewed uint64 `cbor:"3,keyasint,omitempty" json:"renewed"` // how often
+	Renewals uint64 `cbor:"3,keyasint,omitempty" json:"renewed"` // how often
 
 	Owner string `cbor:"4,keyasint,omitempty" json:"owner,omitempty"` // who alone may renew and end it; empty: anybody
 }
@@ -104,12 +104,12 @@
 	Name    string `cbor:"2,keyasint" json:"name"`
 	Address string `cbor:"3,keyasint" json:"address"`
 	Learner bool   `cbor:"4,keyasint,omitempty" json:"learner,omitempty"`
-	Disk    uint64 `cbor:"5,keyasint,omitempty" json:"disk,omitempty"` // the disk that took the place, 0 before one did
+	DiskID  uint64 `cbor:"5,keyasint,omitempty" json:"disk,omitempty"` // the disk that took the place, 0 before one did
 	Boot    uint64 `cbor:"6,keyasint,omitempty" json:"boot,omitempty"` // the highest start of it that was seen
 	Level   uint64 `cbor:"7,keyasint,omitempty" json:"level,omitempty"`
 }
 
-const itemCost = 64 // bytes that an item costs beside key and value
+const itemOverheadBytes = 64 // bytes that an item costs beside key and value
 
 // State is what all replicas agree on. It is for one goroutine; a Clone may be read by another.
 type State struct {
@@ -125,8 +125,8 @@
 	members  []Member
 	history  ring[Event]
 	results  results
-	fresh    func(Event) // told of every event as it happens, or nil
-	part     *partial    // what a copy holds that does not hold all; nil: all
+	onEvent  func(Event) // told of every event as it happens, or nil
+	subset   *subset     // what a copy holds that does not hold all; nil: all
 }
 
 type lease struct {
@@ -138,7 +138,7 @@
 
 // New returns an empty state of a cluster at revision 0.
 func New(cluster uint64, limits Limits) *State {
-	return &State{limits: limits, cluster: cluster, level: levelFirst, items: btree.NewG(32, byKey), leases: map[uint64]*lease{}}
+	return &State{limits: limits, cluster: cluster, level: levelInitial, items: btree.NewG(32, byKey), leases: map[uint64]*lease{}}
 }
 
 // Cluster is the number by which replicas know each other as of one cluster.
@@ -164,7 +164,7 @@
 
 // Get returns an item. It must not be changed.
 func (s *State) Get(key string) (Item, bool) {
-	s.part.reads(Interest{Keys: []string{key}})
+	s.subset.track(Interest{Keys: []string{key}})
 	i, ok := s.items.Get(&Item{Key: key})
 	if !ok {
 		return Item{}, false
@@ -175,7 +175,7 @@
 // Range calls f with the items from a key on and before another, in order, until f says no. An empty end is none.
 // The values must not be changed.
 func (s *State) Range(from, end string, f func(Item) bool) {
-	s.part.reads(rangeOf(from, end))
+	s.subset.track(rangeInterest(from, end))
 	s.ascend(from, end, func(i *Item) bool { return f(*i) })
 }
 
@@ -204,19 +204,19 @@
 
 // Member returns one by its id.
 func (s *State) Member(id uint64) (Member, bool) {
-	if i := s.memberAt(id); i >= 0 {
+	if i := s.memberIndex(id); i >= 0 {
 		return s.members[i], true
 	}
 	return Member{}, false
 }
 
-func (s *State) memberAt(id uint64) int {
+func (s *State) memberIndex(id uint64) int {
 	return slices.IndexFunc(s.members, func(m Member) bool { return m.ID == id })
 }
 
 // Leases are those that run, by id; a state that holds a part has those of its keys alone.
 func (s *State) Leases() []Lease {
-	s.part.reads(rangeOf("", ""))
+	s.subset.track(rangeInterest("", ""))
 	all := make([]Lease, 0, len(s.leases))
 	for _, l := range s.leases {
 		all = append(all, l.Lease)
@@ -227,7 +227,7 @@
 
 // Lease returns one by its id.
 func (s *State) Lease(id uint64) (Lease, bool) {
-	s.part.reads(rangeOf("", ""))
+	s.subset.track(rangeInterest("", ""))
 	l, ok := s.leases[id]
 	if !ok {
 		return Lease{}, false
@@ -240,8 +240,8 @@
 // parted, so that more than n may come. After a revision that the history no longer covers the error is ErrCompacted; of keys
 // that this state does not hold it is an OutsideError.
 func (s *State) Changes(buf []Event, prefix string, after uint64, n int) ([]Event, uint64, error) {
-	if s.part != nil && !s.part.of.CoversPrefix(prefix) {
-		return buf, after, &NotHeldError{Of: Interest{Prefixes: []string{prefix}}}
+	if s.subset != nil && !s.subset.interest.CoversPrefix(prefix) {
+		return buf, after, &NotHeldError{Interest: Interest{Prefixes: []string{prefix}}}
 	}
 	if oldest := s.Oldest(); after+1 < oldest {
 		return buf, after, &CompactedError{Oldest: oldest}
@@ -268,16 +268,16 @@
 // Oldest is the first revision whose events are all kept.
 func (s *State) Oldest() uint64 { return s.history.oldest + 1 }
 
-// Notify has f called with every event, before Apply returns. It must not call back.
-func (s *State) Notify(f func(Event)) { s.fresh = f }
+// OnEvent has f called with every event, before Apply returns. It must not call back.
+func (s *State) OnEvent(f func(Event)) { s.onEvent = f }
 
 // Clone is the state as it is now, for reading and saving elsewhere. It costs little: the items are shared until
 // either changes.
 func (s *State) Clone() *State {
 	c := *s
-	c.items, c.fresh = s.items.Clone(), nil
-	if s.part != nil {
-		c.part = &partial{of: s.part.of}
+	c.items, c.onEvent = s.items.Clone(), nil
+	if s.subset != nil {
+		c.subset = &subset{interest: s.subset.interest}
 	}
 	c.members = slices.Clone(s.members)
 	c.history, c.results = s.history.clone(), s.results.clone()
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -16,7 +16,7 @@
 	flag.Set("rapid.seed", "20261201") // the same verdict every time; the command line goes before it
 }
 
-var small = Limits{Key: 8, Value: 16, Total: 2000, Ops: 4, Events: 12, History: 4000, Leases: 3, Results: 6, Members: 3}
+var small = Limits{KeyBytes: 8, ValueBytes: 16, TotalBytes: 2000, TxnOps: 4, HistoryEvents: 12, HistoryBytes: 4000, Leases: 3, Results: 6, Members: 3}
 
 func drawCommand(t *rapid.T, seq uint64) *Command {
 	key := rapid.SampledFrom([]string{"a", "b", "bb", "c", "d", "toolongakey"})
@@ -25,30 +25,30 @@
 		for i := range rapid.IntRange(0, 5).Draw(t, name) {
 			o := Op{Key: key.Draw(t, fmt.Sprint(name, i)), Delete: rapid.Bool().Draw(t, "delete")}
 			if !o.Delete {
-				o.Value, o.Lease = []byte{byte(seq)}, rapid.Uint64Range(0, 4).Draw(t, "lease")*rapid.Uint64Range(0, 1).Draw(t, "leased")
+				o.Value, o.LeaseID = []byte{byte(seq)}, rapid.Uint64Range(0, 4).Draw(t, "lease")*rapid.Uint64Range(0, 1).Draw(t, "leased")
 			} else if rapid.Bool().Draw(t, "range") {
-				o.End = o.Key + "z"
+				o.RangeEnd = o.Key + "z"
 			}
 			all = append(all, o)
 		}
 		return all
 	}
-	c := &Command{ID: RequestID{1, seq}, Since: rapid.Uint64Range(0, seq).Draw(t, "since")}
+	c := &Command{ID: RequestID{1, seq}, SinceIndex: rapid.Uint64Range(0, seq).Draw(t, "since")}
 	switch rapid.IntRange(0, 9).Draw(t, "kind") {
 	case 0:
-		c.Grant = &GrantLease{TTL: 1000}
+		c.GrantLease = &GrantLease{TTLMillis: 1000}
 	case 1:
-		c.End = &RevokeLease{Lease: rapid.Uint64Range(1, 6).Draw(t, "end"), Silent: rapid.Bool().Draw(t, "silent")}
+		c.RevokeLease = &RevokeLease{LeaseID: rapid.Uint64Range(1, 6).Draw(t, "end"), Expired: rapid.Bool().Draw(t, "silent")}
 	case 2:
-		c.Join = &AddMember{Name: key.Draw(t, "join"), Address: "x"}
+		c.AddMember = &AddMember{Name: key.Draw(t, "join"), Address: "x"}
 	case 3:
-		c.Leave = &RemoveMember{Member: rapid.Uint64Range(1, 6).Draw(t, "leave")}
+		c.RemoveMember = &RemoveMember{MemberID: rapid.Uint64Range(1, 6).Draw(t, "leave")}
 	case 4:
-		c.Renew = &RenewLease{Lease: rapid.Uint64Range(1, 6).Draw(t, "renew")}
+		c.RenewLease = &RenewLease{LeaseID: rapid.Uint64Range(1, 6).Draw(t, "renew")}
 	default:
 		c.Txn = &Txn{Then: ops("then"), Else: ops("else")}
 		if rapid.Bool().Draw(t, "if") {
-			c.Txn.If = []Compare{{Key: "a", Modified: rapid.Uint64Range(0, seq).Draw(t, "modified")}}
+			c.Txn.If = []Compare{{Key: "a", ModRevision: rapid.Uint64Range(0, seq).Draw(t, "modified")}}
 		}
 	}
 	return c
@@ -93,14 +93,14 @@
 				t.Fatal("the loaded state went another way")
 			}
 			if r.Err != nil && r.Err != ErrRequestExpired {
-				if x := s.Apply(i, c); !x.Again || x.Err != r.Err {
+				if x := s.Apply(i, c); !x.Duplicate || x.Err != r.Err {
 					t.Fatalf("sent again: %+v, first %+v", x, r)
 				}
 			}
 			size := 0
 			s.Range("", "", func(i Item) bool { size += i.size(); return true })
-			if size != s.Size() || size > small.Total || s.history.len() > small.Events || s.results.ring.len() > small.Results ||
-				len(s.results.by) != s.results.ring.len() || len(s.leases) > small.Leases {
+			if size != s.Size() || size > small.TotalBytes || s.history.len() > small.HistoryEvents || s.results.ring.len() > small.Results ||
+				len(s.results.byID) != s.results.ring.len() || len(s.leases) > small.Leases {
 				t.Fatalf("size %d, counted %d; %d events, %d results", s.Size(), size, s.history.len(), s.results.ring.len())
 			}
 			if rapid.IntRange(0, 3).Draw(t, "follow") > 0 {
@@ -133,8 +133,8 @@
 func example(t testing.TB) []byte {
 	s := New(3, small)
 	s.Bootstrap("one", "x", 5)
-	s.Apply(1, &Command{ID: RequestID{1, 1}, Grant: &GrantLease{TTL: 5}})
-	s.Apply(2, &Command{ID: RequestID{1, 2}, Txn: &Txn{Then: []Op{{Key: "a", Value: []byte("v"), Lease: 2}, {Key: "b"}}}})
+	s.Apply(1, &Command{ID: RequestID{1, 1}, GrantLease: &GrantLease{TTLMillis: 5}})
+	s.Apply(2, &Command{ID: RequestID{1, 2}, Txn: &Txn{Then: []Op{{Key: "a", Value: []byte("v"), LeaseID: 2}, {Key: "b"}}}})
 	s.Apply(3, &Command{ID: RequestID{1, 3}, Txn: &Txn{Then: []Op{{Key: "b", Delete: true}}}})
 	var b bytes.Buffer
 	if err := s.Save(&b); err != nil {
@@ -143,7 +143,7 @@
 	return b.Bytes()
 }
 
-func TestEveryCutAndFlippedBitIsFound(t *testing.T) {
+func TestLoadDetectsTruncationAndBitFlips(t *testing.T) {
 	whole := example(t)
 	var damaged *CorruptedError
 	for n := range whole {
@@ -163,8 +163,8 @@
 	}
 }
 
-func TestANewerCommandStopsAReplica(t *testing.T) {
-	b, err := (&Command{Grant: &GrantLease{}, Newer: 1}).Encode()
+func TestDecodeCommandRejectsLaterLevels(t *testing.T) {
+	b, err := (&Command{GrantLease: &GrantLease{}, Newer: 1}).Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -178,7 +178,7 @@
 func FuzzLoad(f *testing.F) {
 	f.Add(example(f))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if s, err := Load(bytes.NewReader(b)); err == nil && s.Size() > s.limits.Total {
+		if s, err := Load(bytes.NewReader(b)); err == nil && s.Size() > s.limits.TotalBytes {
 			t.Fatal("more than it may hold")
 		}
 	})
@@ -194,16 +194,16 @@
 	})
 }
 
-func TestBoundsOfPrefixes(t *testing.T) {
+func TestTxnEnforcesKeyLimits(t *testing.T) {
 	s := New(1, DefaultLimits)
 	s.Bootstrap("a", "a", 1)
 	put := func(index uint64, key string, gone bool) error {
-		return s.Apply(index, &Command{Txn: &Txn{Then: []Op{{Key: key, Delete: gone}}, Bounds: []KeyLimit{{Prefix: "p/", Most: 2}}}}).Err
+		return s.Apply(index, &Command{Txn: &Txn{Then: []Op{{Key: key, Delete: gone}}, KeyLimits: []KeyLimit{{Prefix: "p/", MaxKeys: 2}}}}).Err
 	}
 	if err := put(1, "p/1", false); !errors.Is(err, ErrLevel) || s.Len() != 0 {
 		t.Fatal("before the cluster uses its level:", err)
 	}
-	if r := s.Apply(2, &Command{Raise: &RaiseLevel{Level: Level}}); r.Err != nil {
+	if r := s.Apply(2, &Command{RaiseLevel: &RaiseLevel{Level: Level}}); r.Err != nil {
 		t.Fatal(r.Err)
 	}
 	for i, tc := range []struct {
@@ -219,11 +219,11 @@
 }
 
 // A copy that is mirrored event by event has what the state has, and finds what does not follow.
-func TestMirror(t *testing.T) {
+func TestMirroredCopyEqualsState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New(1, DefaultLimits)
 		var events []Event
-		s.Notify(func(e Event) { events = append(events, e) })
+		s.OnEvent(func(e Event) { events = append(events, e) })
 		copied := New(1, DefaultLimits)
 		for i := range rapid.IntRange(1, 60).Draw(t, "commands") {
 			s.Apply(uint64(i+1), drawCommand(t, uint64(i+1)))
@@ -234,8 +234,14 @@
 			}
 		}
 		var want, got []string
-		s.Range("", "", func(i Item) bool { want = append(want, fmt.Sprint(i.Key, i.Value, i.Modified, i.Version)); return true })
-		copied.Range("", "", func(i Item) bool { got = append(got, fmt.Sprint(i.Key, i.Value, i.Modified, i.Version)); return true })
+		s.Range("", "", func(i Item) bool {
+			want = append(want, fmt.Sprint(i.Key, i.Value, i.ModRevision, i.Version))
+			return true
+		})
+		copied.Range("", "", func(i Item) bool {
+			got = append(got, fmt.Sprint(i.Key, i.Value, i.ModRevision, i.Version))
+			return true
+		})
 		if fmt.Sprint(want) != fmt.Sprint(got) || copied.Size() != s.Size() || copied.Revision() != s.Revision() {
 			t.Fatalf("%v\n%v, %d and %d bytes", want, got, s.Size(), copied.Size())
 		}
@@ -252,7 +258,7 @@
 }
 
 // A restored state gives no revision or id again that the old cluster may have given, keeps none of its leases, and holds tasks off.
-func TestRenewGivesNothingAgain(t *testing.T) {
+func TestReinitializeReusesNoIDs(t *testing.T) {
 	s := New(1, DefaultLimits)
 	s.Bootstrap("a", "a", 1)
 	apply := func(c *Command) Result {
@@ -262,11 +268,11 @@
 		}
 		return r
 	}
-	apply(&Command{Raise: &RaiseLevel{Level: Level}})
-	own := apply(&Command{Grant: &GrantLease{TTL: 5000, Owner: "h"}})
-	apply(&Command{Txn: &Txn{Owner: "h", Then: []Op{{Key: "k", Lease: own.Lease}}}})
-	for _, c := range []*Command{{Renew: &RenewLease{Lease: own.Lease, Owner: "x"}}, {Renew: &RenewLease{Lease: own.Lease}}, {End: &RevokeLease{Lease: own.Lease, Owner: "x"}},
-		{Txn: &Txn{Owner: "x", Then: []Op{{Key: "j", Lease: own.Lease}}}}} {
+	apply(&Command{RaiseLevel: &RaiseLevel{Level: Level}})
+	own := apply(&Command{GrantLease: &GrantLease{TTLMillis: 5000, Owner: "h"}})
+	apply(&Command{Txn: &Txn{Owner: "h", Then: []Op{{Key: "k", LeaseID: own.LeaseID}}}})
+	for _, c := range []*Command{{RenewLease: &RenewLease{LeaseID: own.LeaseID, Owner: "x"}}, {RenewLease: &RenewLease{LeaseID: own.LeaseID}}, {RevokeLease: &RevokeLease{LeaseID: own.LeaseID, Owner: "x"}},
+		{Txn: &Txn{Owner: "x", Then: []Op{{Key: "j", LeaseID: own.LeaseID}}}}} {
 		if r := s.Apply(s.Index()+1, c); !errors.Is(r.Err, ErrLeaseNotFound) {
 			t.Errorf("what is another's lease: %v", r.Err)
 		}
--- a/internal/store/usage/meter.go
+++ b/internal/store/usage/meter.go
@@ -108,9 +108,9 @@
 		return Other
 	}
 	switch {
-	case c.Grant != nil, c.Renew != nil, c.End != nil:
+	case c.GrantLease != nil, c.RenewLease != nil, c.RevokeLease != nil:
 		return Sessions
-	case c.Join != nil, c.Place != nil, c.Leave != nil, c.Raise != nil:
+	case c.AddMember != nil, c.RegisterStart != nil, c.RemoveMember != nil, c.RaiseLevel != nil:
 		return Raft
 	case c.Txn == nil:
 	case len(c.Txn.Then) > 0:
