--- a/balancer/module.go
+++ b/balancer/module.go
@@ -43,10 +43,17 @@
 type NoActions struct{}
 
 func (NoActions) Send(uint64, uint32, Micros) {}
-func (NoActions) Reject(uint64, Micros)       {}
-func (NoActions) Fail(uint64)                 {}
-func (NoActions) Cancel(uint64, int)          {}
-func (NoActions) Timer(Micros, uint32)        {}
-func (NoActions) Probe(uint32)                {}
-func (NoActions) Watch(bool)                  {}
-func (NoActions) Log(string)                  {}
+
+func (NoActions) Reject(uint64, Micros) {}
+
+func (NoActions) Fail(uint64) {}
+
+func (NoActions) Cancel(uint64, int) {}
+
+func (NoActions) Timer(Micros, uint32) {}
+
+func (NoActions) Probe(uint32) {}
+
+func (NoActions) Watch(bool) {}
+
+func (NoActions) Log(string) {}
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -1,450 +1,239 @@
 package balancer
 
 import (
-	"math"
+	"fmt"
 	"slices"
 )
 
-// Balancer decides for one sidecar. Make one with New.
-type Balancer struct {
-	settings Settings
-	rules    *Rules // of the requests that come now
-	out      Actions
-	rng      randSource
-
-	requests  map[uint64]*request // every request with an attempt out or no final answer
-	slots     []*request          // by timer slot
-	freeSlots []*request          // records to use again
-	open      int                 // requests without final answer
-
-	byID                map[uint32]*endpoint
-	endpoints           []*endpoint         // known endpoints in the order first heard of
-	slowStartCorrection float64             // the least warmth of cold endpoints over that which they show, 1 at most
-	apertureSeed        uint64              // of the lots that choose the aperture
-	apertureList        []*endpoint         // the aperture, as of the last count of strength
-	pool                []*endpoint         // those with a load answer, the latest last
-	waiting             []*request          // requests that wait for probes
-	pendingProbes       int                 // probes that they wait for
-	probeRound          uint32              // of held requests
-	everListed          bool                // discovery has answered since the start
-	drainedAt           map[uint32]Micros   // by ID, when operators took it out
-	capacityShare       float64             // of what cold endpoints may be sent, our part
-	undrained           []undrainedEndpoint // to be sent something soon
-
-	subscribed  bool
-	nextPollAt  Micros // next call of discovery, unless subscribed by then
-	pollBackoff Micros // before the next call, about, counted from the last one
-	lastPollAt  Micros // the last one
-
-	classes            []classStats
-	tenantDemand       []rateMeter // requests taken, by tenant
-	fleetPace          ewma        // pace of the whole fleet
-	demand             rateMeter   // requests taken
-	sentWork           rateMeter   // work sent that was not turned away unseen, as of its outcomes
-	meanWork           ewma        // mean work of a request
-	capacity           float64     // what the ready endpoints can do, in warm ones
-	warmEndpoints      float64     // of them warm
-	capacityValidUntil Micros      // when to count that again
-	rejectionRate      ewma        // share of requests refused at arrival
-	retryBudget        float64     // retry budget, in attempts
-
-	reportTime, reportChanges float64 // time over which reports were watched, and how often they changed
-	repeatProbes              int     // endpoints asked twice for that
-	repeatProbed              uint32  // the latest of them
-
-	lateReports  ewma // share of load reports that must be late
-	typicalLoad  ewma // load of others at an endpoint, over all answers
-	reportsLate  bool
-	serviceTime  ewma    // reported time of service without waiting
-	hintTrust    float64 // power of a hint that work grows with
-	latencyTrend float64 // latencies over those predicted, for all endpoints together
-
-	partsBuffer [2]int            // room for what parts returns
-	lastLogged  map[string]Micros // last line by topic
-}
-
-func (b *Balancer) newPartFailures() []failureRun {
-	return make([]failureRun, len(b.classes)+len(b.tenantDemand))
-}
-
-// Rules are the settings that a request came with.
-type Rules struct {
-	settings Settings
-	slots    []int // by class, its place in Balancer.classes
-}
-
-// classStats is what a balancer knows of a class.
-type classStats struct {
-	name           string
-	inUse          bool      // the present settings have it
-	open           int       // records of its requests
-	priorityWeight float64   // of one
-	meanWork       ewma      // mean work of a request
-	demand         rateMeter // requests taken
-	onTime         ewma      // share answered in time
-	lastForcedAt   Micros    // last request sent although it seemed too late
-}
-
-// request is the ledger's record of a request and its attempts.
-type request struct {
-	Request
-	token          uint32 // of its timers
-	slot           int    // of its class
-	arrivedAt      Micros
-	work           float64
-	cachedPriority float64 // of its class, as of valueAt; 0 if not worked out
-	priorityAt     Micros
-	logHint        float64 // logarithm of its hint over the mean of its class
-	attempts       []attempt
-	pending        int     // attempts without outcome
-	waiting        bool    // waits for probes
-	ended          bool    // the final answer is out
-	responding     bool    // an answer has begun: the attempt is the client's
-	onTime         float64 // 1 once answered within its aim
-}
-
-// attempt is one send of a request.
-type attempt struct {
-	endpoint     *endpoint
-	zone         uint8 // of ep when sent: an endpoint may move
-	cell         uint16
-	sentAt       Micros
-	expected     float64 // latency predicted when sent
-	expectedWork float64 // work times the crowding seen when sent
-	pending      bool    // no outcome yet
-	streaming    bool    // its body or its answer is under way: the endpoint owes nothing
-	mayHaveRun   bool    // it may have had its effect, or may yet
-}
-
-// endpoint is what a balancer knows of an endpoint.
-type endpoint struct {
-	Endpoint
-	inUpdate         bool // named by the list being read
-	warmingUp        bool
-	hasLoad          bool
-	probing          bool
-	slowStartAt      Micros  // start of its warm-up
-	slowStartBudget  float64 // work that it may still get while cold
-	budgetRefilledAt Micros
-
-	inflight     int     // own attempts without outcome
-	streaming    int     // of them with a body or an answer under way
-	lastSendAt   Micros  // latest own send
-	silentSince  Micros  // its latest answer since it holds any
-	reportSum    float32 // of its latest report
-	probeRound   uint32  // the round of held requests that waits for its answer
-	lastProbeAt  Micros
-	lastReportAt Micros  // latest probe answer with a load figure
-	othersLoad   float64 // load of others when it answered
-	ownAtReport  int     // own in flight then
-	rtt          ewma
-
-	pace          ewma // time taken per work and crowding
-	paceLearnedAt Micros
-	ejectedUntil  Micros       // no part of the traffic shuns it from then on
-	failures      failureRun   // failures of any request
-	partFailures  []failureRun // of each class, then of each tenant: an endpoint may fail one and serve the others
-	breaker       breaker
-}
-
-// failureRun is a run of failures.
-type failureRun struct {
-	streak           int    // failures in a row
-	ejectedUntil     Micros // ejected until then
-	ejectionDuration Micros
-	onTrial          bool // a send since the last ejection has no outcome yet
-}
-
-// breaker holds an endpoint's window of outcomes and its two latency averages.
-type breaker struct {
-	buckets       [bucketCount]bucket
-	head          int64 // number of the newest bucket
-	requests      int   // over the window
-	accepts       int
-	base, current float64
-	lastForcedAt  Micros // last forced pass
-}
-
-// bucket counts a fortieth of the window. An endpoint has a ring of them at each balancer: they are
-// kept small.
-type bucket struct{ requests, accepts, failures int32 }
-
-func (b *Balancer) newRequest(now Micros, in Request) *request {
-	var r *request
-	if n := len(b.freeSlots); n > 0 {
-		r, b.freeSlots = b.freeSlots[n-1], b.freeSlots[:n-1]
-	} else {
-		r = &request{token: uint32(len(b.slots) + firstSlot)}
-		b.slots = append(b.slots, r)
-	}
-	// The high bits count uses of the slot, so that an old timer finds nothing.
-	r.token += 1 << slotBits
-	r.Request, r.arrivedAt, r.attempts, r.pending, r.ended, r.responding = in, now, r.attempts[:0], 0,
-		false, false
-	r.onTime, r.cachedPriority = 0, 0
-	r.slot = in.Rules.slots[in.Class]
-	b.classes[r.slot].open++
-	b.requests[in.ID] = r
-	b.open++
-	return r
-}
-
-func tenantIndex(tenants []Tenant, name string) int {
-	return slices.IndexFunc(tenants, func(t Tenant) bool { return t.Name == name })
-}
-
-// applySettings makes settings the present ones and gives each class its slot: its old one, or a free
-// one.
-func (b *Balancer) applySettings(s Settings) {
-	b.settings, b.tenantDemand = s, make([]rateMeter, len(s.Tenants))
-	b.rules = &Rules{settings: s, slots: make([]int, len(s.Classes))}
-	for i := range b.classes {
-		b.classes[i].inUse = false
-	}
-	for i := range s.Classes {
-		c := &s.Classes[i]
-		at := slices.IndexFunc(b.classes, func(o classStats) bool { return o.name == c.Name && !o.inUse })
-		if at < 0 {
-			fresh := classStats{name: c.Name, meanWork: ewma{value: float64(c.LatencyObjective) / 5,
-				samples: settledSamples},
-				onTime: ewma{value: 1, samples: settledSamples}}
-			if at = b.freeSlot(s); at < 0 {
-				at = len(b.classes)
-				b.classes = append(b.classes, fresh)
-			}
-			b.classes[at] = fresh
+// Snapshot is all that a balancer decides from, as data. Instants are told as ages: microseconds
+// before At,
+// negative for what lies ahead. The times of an endpoint's start are the exception: discovery's clock
+// tells
+// them, and they serve as the name of a process. Classes and tenants go by name, endpoints by the
+// host's ID;
+// whoever keeps a snapshot for another process must keep the names that the IDs stand for.
+//
+// Resume makes a balancer that goes on exactly as the one that was pictured; Recall takes from it what
+// a new
+// process may believe. The tags are those of the encoding, and a change of their meaning is a new
+// version there.
+type Snapshot struct {
+	At      Micros       `cbor:"1,keyasint"`
+	Random  uint64       `cbor:"2,keyasint"`           // the state of the generator
+	Rules   []RulesState `cbor:"3,keyasint"`           // the present ones first, then those of open requests
+	Classes []ClassState `cbor:"4,keyasint"`           // by slot
+	Tenants []RateState  `cbor:"5,keyasint,omitempty"` // in the order of the settings
+
+	Endpoints []EndpointState `cbor:"6,keyasint,omitempty"`
+	Pool      []int           `cbor:"7,keyasint,omitempty"` // places in Endpoints, the latest answer last
+	Drains    []DrainState    `cbor:"8,keyasint,omitempty"` // by ID
+	Undrained []DrainState    `cbor:"9,keyasint,omitempty"` // back, and sent nothing since
+
+	Listed        bool      `cbor:"10,keyasint,omitempty"`
+	Subscribed    bool      `cbor:"11,keyasint,omitempty"`
+	ReportsLate   bool      `cbor:"12,keyasint,omitempty"`
+	NextPoll      Micros    `cbor:"13,keyasint,omitempty"`
+	PollBackoff   Micros    `cbor:"14,keyasint,omitempty"`
+	CapacityValid Micros    `cbor:"15,keyasint,omitempty"`
+	CapacityShare float64   `cbor:"16,keyasint,omitempty"`
+	Capacity      float64   `cbor:"17,keyasint,omitempty"`
+	WarmEndpoints float64   `cbor:"18,keyasint,omitempty"`
+	RetryBudget   float64   `cbor:"19,keyasint,omitempty"`
+	ReportTime    float64   `cbor:"20,keyasint,omitempty"`
+	ReportChanges float64   `cbor:"21,keyasint,omitempty"`
+	HintTrust     float64   `cbor:"22,keyasint,omitempty"`
+	LatencyTrend  float64   `cbor:"23,keyasint,omitempty"`
+	RepeatProbes  int       `cbor:"24,keyasint,omitempty"`
+	RepeatProbed  uint32    `cbor:"25,keyasint,omitempty"`
+	FleetPace     MeanState `cbor:"26,keyasint"`
+	MeanWork      MeanState `cbor:"27,keyasint"`
+	RejectionRate MeanState `cbor:"28,keyasint"`
+	LateReports   MeanState `cbor:"29,keyasint"`
+	TypicalLoad   MeanState `cbor:"30,keyasint"`
+	ServiceTime   MeanState `cbor:"31,keyasint"`
+	Demand        RateState `cbor:"32,keyasint"`
+	SentWork      RateState `cbor:"33,keyasint"`
+
+	// The ledger; empty in a snapshot for another process.
+	Slots         []RequestState `cbor:"34,keyasint,omitempty"`
+	Free          []int          `cbor:"35,keyasint,omitempty"` // slots to use again, the next one last
+	Waiting       []int          `cbor:"36,keyasint,omitempty"` // slots that wait for probes
+	PendingProbes int            `cbor:"37,keyasint,omitempty"`
+	ProbeRound    uint32         `cbor:"38,keyasint,omitempty"`
+	Logged        []LoggedState  `cbor:"39,keyasint,omitempty"` // by topic
+
+	ApertureSeed        uint64  `cbor:"40,keyasint,omitempty"` // of the lots that choose the aperture
+	Aperture            []int   `cbor:"41,keyasint,omitempty"` // places in Endpoints; none if it is all of them
+	SlowStartCorrection float64 `cbor:"42,keyasint,omitempty"` // none in earlier ones: 1
+
+	LastPoll Micros `cbor:"43,keyasint,omitempty"`
+}
+
+// RulesState are settings and the slots of their classes.
+type RulesState struct {
+	Settings Settings `cbor:"1,keyasint"`
+	Slots    []int    `cbor:"2,keyasint"`
+}
+
+// MeanState is a moving average and the samples in it.
+type MeanState struct {
+	V float64 `cbor:"1,keyasint,omitempty"`
+	N float64 `cbor:"2,keyasint,omitempty"`
+}
+
+// RateState is a decaying sum; Name is set for a tenant's.
+type RateState struct {
+	Sum  float64 `cbor:"1,keyasint,omitempty"`
+	Age  Micros  `cbor:"2,keyasint,omitempty"`
+	Name string  `cbor:"3,keyasint,omitempty"`
+}
+
+// ClassState is what is known of a class.
+type ClassState struct {
+	Name           string    `cbor:"1,keyasint"`
+	InUse          bool      `cbor:"2,keyasint,omitempty"`
+	Open           int       `cbor:"3,keyasint,omitempty"`
+	PriorityWeight float64   `cbor:"4,keyasint,omitempty"`
+	Work           MeanState `cbor:"5,keyasint"`
+	Demand         RateState `cbor:"6,keyasint"`
+	OnTime         MeanState `cbor:"7,keyasint"`
+	LastForced     Micros    `cbor:"8,keyasint,omitempty"`
+}
+
+// DrainState is an endpoint that operators took out, or called back, and how long ago.
+type DrainState struct {
+	ID  uint32 `cbor:"1,keyasint"`
+	Age Micros `cbor:"2,keyasint"`
+}
+
+// LoggedState is a topic of the log and the age of its latest line.
+type LoggedState struct {
+	Topic string `cbor:"1,keyasint"`
+	Age   Micros `cbor:"2,keyasint"`
+}
+
+// EndpointState is what is known of an endpoint.
+type EndpointState struct {
+	ID        uint32  `cbor:"1,keyasint"`
+	Zone      uint8   `cbor:"2,keyasint,omitempty"`
+	Kind      uint8   `cbor:"3,keyasint,omitempty"`
+	Cell      uint16  `cbor:"4,keyasint,omitempty"`
+	State     State   `cbor:"5,keyasint,omitempty"`
+	Weight    float32 `cbor:"6,keyasint,omitempty"`
+	StartTime Micros  `cbor:"7,keyasint,omitempty"` // by discovery's clock
+
+	WarmingUp       bool      `cbor:"8,keyasint,omitempty"`
+	HasLoad         bool      `cbor:"9,keyasint,omitempty"`
+	Probing         bool      `cbor:"10,keyasint,omitempty"`
+	SlowStart       Micros    `cbor:"11,keyasint,omitempty"`
+	SlowStartBudget float64   `cbor:"12,keyasint,omitempty"`
+	BudgetRefilled  Micros    `cbor:"13,keyasint,omitempty"`
+	Inflight        int       `cbor:"14,keyasint,omitempty"`
+	Streaming       int       `cbor:"15,keyasint,omitempty"`
+	LastSend        Micros    `cbor:"16,keyasint,omitempty"`
+	SilentSince     Micros    `cbor:"17,keyasint,omitempty"`
+	ReportSum       float32   `cbor:"18,keyasint,omitempty"`
+	ProbeRound      uint32    `cbor:"19,keyasint,omitempty"`
+	LastProbe       Micros    `cbor:"20,keyasint,omitempty"`
+	LastReport      Micros    `cbor:"21,keyasint,omitempty"`
+	OthersLoad      float64   `cbor:"22,keyasint,omitempty"`
+	OwnAtReport     int       `cbor:"23,keyasint,omitempty"`
+	RTT             MeanState `cbor:"24,keyasint,omitempty"`
+	Pace            MeanState `cbor:"25,keyasint,omitempty"`
+	PaceLearned     Micros    `cbor:"26,keyasint,omitempty"`
+	EjectedUntil    Micros    `cbor:"27,keyasint,omitempty"`
+
+	FailureRuns []FailureRunState `cbor:"28,keyasint,omitempty"` // the runs of failures that are not empty
+
+	// Head is the age of the newest bucket, in buckets; all that are older than the window count the same.
+	Head       Micros        `cbor:"29,keyasint,omitempty"`
+	Buckets    []BucketState `cbor:"30,keyasint,omitempty"` // those that are not empty
+	Base       float64       `cbor:"31,keyasint,omitempty"`
+	Current    float64       `cbor:"32,keyasint,omitempty"`
+	LastForced Micros        `cbor:"33,keyasint,omitempty"`
+}
+
+// FailureRunState is a run of failures: of all requests (part -1), of a class's slot, or beyond those
+// of a tenant.
+type FailureRunState struct {
+	Part             int    `cbor:"1,keyasint,omitempty"`
+	Streak           int    `cbor:"2,keyasint,omitempty"`
+	EjectedUntil     Micros `cbor:"3,keyasint,omitempty"`
+	EjectionDuration Micros `cbor:"4,keyasint,omitempty"`
+	Trial            bool   `cbor:"5,keyasint,omitempty"`
+}
+
+// BucketState counts a part of a breaker's window, so many buckets before the newest.
+type BucketState struct {
+	Back     int   `cbor:"1,keyasint,omitempty"`
+	Requests int32 `cbor:"2,keyasint,omitempty"`
+	Accepts  int32 `cbor:"3,keyasint,omitempty"`
+	Failures int32 `cbor:"4,keyasint,omitempty"`
+}
+
+// RequestState is a slot of the ledger: a request's record, or of a free one the token alone.
+type RequestState struct {
+	Token         uint32         `cbor:"1,keyasint"`
+	ID            uint64         `cbor:"2,keyasint,omitempty"`
+	Deadline      Micros         `cbor:"3,keyasint,omitempty"`
+	Hint          Micros         `cbor:"4,keyasint,omitempty"`
+	HasHint       bool           `cbor:"5,keyasint,omitempty"`
+	Retry         bool           `cbor:"6,keyasint,omitempty"`
+	Write         bool           `cbor:"7,keyasint,omitempty"`
+	BodyStreaming bool           `cbor:"8,keyasint,omitempty"`
+	Tenant        uint16         `cbor:"9,keyasint,omitempty"`
+	Class         uint8          `cbor:"10,keyasint,omitempty"`
+	Rules         int            `cbor:"11,keyasint,omitempty"` // a place in Snapshot.Rules
+	Slot          int            `cbor:"12,keyasint,omitempty"`
+	Arrived       Micros         `cbor:"13,keyasint,omitempty"`
+	Work          float64        `cbor:"14,keyasint,omitempty"`
+	LogHint       float64        `cbor:"15,keyasint,omitempty"`
+	Priority      float64        `cbor:"16,keyasint,omitempty"`
+	PriorityAge   Micros         `cbor:"17,keyasint,omitempty"`
+	Waiting       bool           `cbor:"18,keyasint,omitempty"`
+	Ended         bool           `cbor:"19,keyasint,omitempty"`
+	Responding    bool           `cbor:"20,keyasint,omitempty"`
+	OnTime        float64        `cbor:"21,keyasint,omitempty"`
+	Attempts      []AttemptState `cbor:"22,keyasint,omitempty"`
+}
+
+// AttemptState is one send of a request.
+type AttemptState struct {
+	Endpoint     int     `cbor:"1,keyasint,omitempty"` // a place in Snapshot.Endpoints; -1 for one that is forgotten
+	Zone         uint8   `cbor:"2,keyasint,omitempty"`
+	Cell         uint16  `cbor:"3,keyasint,omitempty"`
+	Age          Micros  `cbor:"4,keyasint,omitempty"`
+	Expected     float64 `cbor:"5,keyasint,omitempty"`
+	ExpectedWork float64 `cbor:"6,keyasint,omitempty"`
+	Pending      bool    `cbor:"7,keyasint,omitempty"`
+	Streaming    bool    `cbor:"8,keyasint,omitempty"`
+	MayHaveRun   bool    `cbor:"9,keyasint,omitempty"`
+}
+
+// State returns the rules as data.
+func (r *Rules) State() RulesState { return RulesState{r.settings, r.slots} }
+
+// RestoreRules returns rules for a request of a balancer that has s.Slots. The error is a
+// *SettingError or a
+// *SnapshotError.
+func (b *Balancer) RestoreRules(s RulesState) (*Rules, error) {
+	if err := s.Settings.Validate(); err != nil {
+		return nil, err
+	}
+	for _, at := range s.Slots {
+		if at < 0 || at >= len(b.classes) {
+			return nil, &SnapshotError{"Rules.Slots", "name what is not there"}
 		}
-		b.classes[at].inUse, b.classes[at].priorityWeight = true, c.PriorityWeight
-		b.rules.slots[i] = at
 	}
-}
-
-// freeSlot returns the slot of a class that is gone for good, or -1.
-func (b *Balancer) freeSlot(s Settings) int {
-	at := slices.IndexFunc(b.classes, func(o classStats) bool {
-		return !o.inUse && o.open == 0 &&
-			!slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Name == o.name })
-	})
-	for _, e := range b.endpoints {
-		if at >= 0 {
-			e.partFailures[at] = failureRun{}
-		}
-	}
-	return at
-}
-
-// ExcludedCount counts the listed endpoints that nothing goes to by the operators' word or by our own
-// choice.
-func (b *Balancer) ExcludedCount(now Micros) int {
-	n := 0
-	for _, e := range b.endpoints {
-		if e.State != Removed && (b.administrativelyDrained(e.ID) || now < e.failures.ejectedUntil) {
-			n++
-		}
+	if len(s.Slots) != len(s.Settings.Classes) {
+		return nil, &SnapshotError{"Rules.Slots", "are not one for each class"}
 	}
-	return n
-}
-
-// Ejections calls f for each endpoint that is ejected as a whole, with the time left.
-func (b *Balancer) Ejections(now Micros, f func(id uint32, left Micros)) {
-	for _, e := range b.endpoints {
-		if now < e.failures.ejectedUntil {
-			f(e.ID, e.failures.ejectedUntil-now)
+	// Requests that came under the same rules share them: a snapshot tells each once.
+	text := fmt.Sprint(s)
+	for _, r := range b.requests {
+		if fmt.Sprint(r.Rules.State()) == text {
+			return r.Rules, nil
 		}
 	}
+	return &Rules{settings: s.Settings, slots: slices.Clone(s.Slots)}, nil
 }
-
-// firstThatMayHaveRun returns the first attempt that may have run, or nil.
-func (r *request) firstThatMayHaveRun() *attempt {
-	if i := slices.IndexFunc(r.attempts, func(a attempt) bool { return a.mayHaveRun }); i >= 0 {
-		return &r.attempts[i]
-	}
-	return nil
-}
-
-func (r *request) tried(e *endpoint) bool {
-	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.endpoint == e })
-}
-
-func (k *breaker) slide(now Micros) *bucket {
-	n := now / (window / bucketCount)
-	if n-k.head >= bucketCount {
-		k.buckets, k.requests, k.accepts, k.head = [bucketCount]bucket{}, 0, 0, n
-	}
-	for k.head < n {
-		k.head++
-		old := &k.buckets[k.head%bucketCount]
-		k.requests -= int(old.requests)
-		k.accepts -= int(old.accepts)
-		*old = bucket{}
-	}
-	return &k.buckets[n%bucketCount]
-}
-
-// count adds to the newest bucket. Whatever is asked counts as a request.
-func (k *breaker) count(now Micros, accepts, failures int) {
-	at := k.slide(now)
-	at.requests++
-	at.accepts += int32(accepts)
-	at.failures += int32(failures)
-	k.requests++
-	k.accepts += accepts
-}
-
-func (k *breaker) recordLatency(x float64) {
-	if k.base <= 0 {
-		k.base, k.current = x, x
-		return
-	}
-	divisor := float64(baseRiseDivisor)
-	if x < k.base {
-		divisor = baseFallDivisor
-	}
-	k.base = (x + (divisor-1)*k.base) / divisor
-	k.current = (x + (currentDivisor-1)*k.current) / currentDivisor
-}
-
-// apertureRank is e's place, in [0,1), in this balancer's order of endpoints: the same for as long as
-// both live.
-func (b *Balancer) apertureRank(e *endpoint) float64 {
-	s := randSource(b.apertureSeed + uint64(e.ID)*0xd1342543de82ef95)
-	return s.float()
-}
-
-// meanReportInterval is the mean time between two reports of an endpoint, as far as it is known.
-func (b *Balancer) meanReportInterval() float64 { return b.reportTime / max(1, b.reportChanges) }
-
-// reportRelevance is how much e's latest answer tells of its load yet: 1 for all, 0 for nothing.
-func (b *Balancer) reportRelevance(now Micros, e *endpoint) float64 {
-	age := float64(now-e.lastReportAt) + b.meanReportInterval()/2
-	return indicator(e.hasLoad) * math.Exp(-age/(loadMemory*b.meanWork.value))
-}
-
-// guaranteedCapacity is the least share of its capacity that e has by now.
-func (e *endpoint) guaranteedCapacity(now Micros, b *Balancer) float64 {
-	if !e.isWarmingUp(now, b) {
-		return 1
-	}
-	from := b.settings.Contract.InitialCapacity
-	return from + (1-from)*float64(now-e.slowStartAt)/float64(b.settings.Contract.SlowStartDuration)
-}
-
-// estimatedCapacity is the share of its capacity that e is held to have by now: its warmth, and more
-// if what cold
-// endpoints
-// serve has shown that they are warmer than they must be. Budgets go by warmth, expectations by heat.
-func (e *endpoint) estimatedCapacity(now Micros, b *Balancer) float64 {
-	return min(1, e.guaranteedCapacity(now, b)/b.slowStartCorrection)
-}
-
-func (e *endpoint) isWarmingUp(now Micros, b *Balancer) bool {
-	if e.warmingUp && now-e.slowStartAt >= b.settings.Contract.SlowStartDuration {
-		e.warmingUp = false
-	}
-	return e.warmingUp
-}
-
-func (b *Balancer) classWeight(class int) float64 {
-	return b.classes[class].priorityWeight * (1 +
-		(b.classes[class].meanWork.value-1)*indicator(b.settings.WeightByWork))
-}
-
-// assumedCores is how many requests an endpoint is assumed to work at side by side.
-const assumedCores = 2.0
-
-// parseReport returns the load that a report tells (counted: all that the endpoint holds; else only
-// those that wait,
-// and those at work assumed), if it tells any, and its service time in microseconds or -1. Figures
-// that make no
-// sense, NaN too, are passed over.
-func parseReport(fields []Field, load []float32) (held, service float64, counted, ok bool) {
-	service = -1
-	queue := -1.0
-	for i, f := range fields[:min(len(fields), len(load))] {
-		v := float64(load[i])
-		if !(v >= 0) || math.IsInf(v, 0) {
-			continue
-		}
-		switch f {
-		case FieldInflight:
-			held, counted = v, true
-		case FieldQueue:
-			queue = v
-		case FieldLatency:
-			service = 1000 * v
-		}
-	}
-	if !counted && queue >= 0 {
-		held = queue + assumedCores*indicator(queue >= 1)
-	}
-	return held, service, counted, counted || queue >= 0
-}
-
-// ewma is a moving average that starts as a plain mean: taken whole, one odd first sample would steer
-// for long.
-type ewma struct {
-	value   float64
-	samples float64 // samples, as far as they tell
-}
-
-// settledSamples counts as many samples: only the weight given moves such an average.
-const settledSamples = 1e9
-
-func (a *ewma) add(x, weight float64) {
-	a.samples++
-	a.value += (x - a.value) * max(weight, indicator(a.samples == 1))
-}
-
-func (a *ewma) valueOr(fallback float64) float64 {
-	if a.samples > 0 {
-		return a.value
-	}
-	return fallback
-}
-
-// indicator counts a yes as a whole.
-func indicator(yes bool) float64 {
-	if yes {
-		return 1
-	}
-	return 0
-}
-
-// rateMeter is a rate a second, averaged over about two seconds.
-type rateMeter struct {
-	sum float64
-	at  Micros
-}
-
-const rateMeterSpan = 2 * second
-
-func (m *rateMeter) add(now Micros, x float64) { m.sum, m.at = m.decayed(now)+x, now }
-
-func (m *rateMeter) decayed(now Micros) float64 {
-	if m.sum == 0 {
-		return 0
-	}
-	return m.sum * math.Exp(-float64(now-m.at)/float64(rateMeterSpan))
-}
-
-func (m *rateMeter) rate(now Micros) float64 {
-	return m.decayed(now) * float64(second) / float64(rateMeterSpan)
-}
-
-// randSource is a SplitMix64 generator.
-type randSource uint64
-
-// float returns a number in [0,1).
-func (s *randSource) float() float64 {
-	*s += 0x9e3779b97f4a7c15
-	z := uint64(*s)
-	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
-	z = (z ^ z>>27) * 0x94d049bb133111eb
-	return float64((z^z>>31)>>11) / (1 << 53)
-}
-
-// index returns a number in 0..n-1, 0 for n = 0.
-func (s *randSource) index(n int) int { return int(s.float() * float64(n)) }
-
-// below returns a duration in [0,d).
-func (s *randSource) below(d Micros) Micros { return Micros(s.float() * float64(d)) }
