--- a/cmd/birchmoor/run.go
+++ b/cmd/birchmoor/run.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	x = &extras{reload: p.Settings.Reload(), shared: p.Servers, fleet: p.Servers, settings: p.Settings.Current, figure: p.Settings.Figure}
+	x = &extras{reload: p.Settings.Reload(), shared: p.Servers, fleet: p.Servers, settings: p.Settings.Current, figure: p.Settings.SetAnswerCounter}
 	if p.Limits != nil {
 		x.limits = p.Limits
 	}
--- a/internal/controlplane/adminapi/adminapi.go
+++ b/internal/controlplane/adminapi/adminapi.go
@@ -99,7 +99,7 @@
 
 // Followers are the rules for daemons without a replica: each part says what is theirs to write.
 func (p Parts) Followers() admin.Rules {
-	return admin.Rules{Meter: p.Meter, Ages: func() map[string]time.Duration { return p.Servers.PictureAges() }, May: func(op store.Op, owner string) bool {
+	return admin.Rules{Meter: p.Meter, Ages: func() map[string]time.Duration { return p.Servers.SnapshotAges() }, May: func(op store.Op, owner string) bool {
 		return lease.Allowed(op, owner) || leasetask.Allowed(op, owner) || daemon.Allowed(op, owner) || quotasync.Allowed(op, owner)
 	}}
 }
@@ -129,9 +129,9 @@
 	var err error
 	switch {
 	case q.CallOff != "":
-		return v, missing(s.Settings.CallOff(ctx, q.CallOff))
+		return v, missing(s.Settings.CancelRollout(ctx, q.CallOff))
 	case len(q.Steps) > 0:
-		_, err = s.Settings.Begin(ctx, q.Settings, q.Steps, time.Duration(q.SettleMs)*time.Millisecond, q.Note)
+		_, err = s.Settings.StartRollout(ctx, q.Settings, q.Steps, time.Duration(q.SettleMs)*time.Millisecond, q.Note)
 		return v, err
 	}
 	if q.Rollback != 0 {
--- a/internal/controlplane/components.go
+++ b/internal/controlplane/components.go
@@ -111,16 +111,16 @@
 	p := &Components{log: log, Meter: cfg.Meter, Servers: daemon.NewServers(s.Name, log), Settings: daemon.NewSettings(s.Name, c.Check, log),
 		Tasks: leasetask.New(leasetask.Config{Host: s.Name, Skew: s.Skew, Log: log, Clock: clock, TableDefect: c.Plant.Table, SessionDefect: c.Plant.Session})}
 	if c.Sidecar != "" {
-		p.Servers.Own(c.Sidecar)
+		p.Servers.AddSidecar(c.Sidecar)
 	}
-	parts := append(p.Servers.Parts(), p.Settings, p.Tasks)
+	parts := append(p.Servers.Components(), p.Settings, p.Tasks)
 	if l := c.File.Limits; l != nil {
 		p.Limits = quotasync.New(quotasync.Config{Host: s.Name, TTL: time.Duration(l.Lease), Tell: time.Duration(l.Tell), Each: time.Duration(l.Each), Skew: s.Skew,
 			Clock: clock, Log: log, Plant: c.Plant.Limit}, p.Tasks)
 		parts = append(parts, p.Limits)
 	}
 	d := daemon.New(log, parts...)
-	d.SweepByOne()
+	d.DelegateSweep()
 	if err := p.Servers.OpenDrainLog(s.Dir); err != nil {
 		return nil, err
 	}
@@ -210,7 +210,7 @@
 		Do: func(ctx context.Context, h *leasetask.Lease) error {
 			if h.Token() != token {
 				token = h.Token()
-				servers.Sweeps(h.Context())
+				servers.SubscribeAll(h.Context())
 			}
 			return d.Sweep(ctx)
 		}}
@@ -220,12 +220,14 @@
 func drive(settings *daemon.Settings, ttl time.Duration) leasetask.Task {
 	return leasetask.Task{Claim: leasetask.Claim{Task: daemon.RolloutTask, TTL: ttl, Note: "drives settings that come in force in steps"}, Interval: driveEvery, Timeout: ttl / 2,
 		ProgressTimeout: time.Minute, Cooldown: time.Minute,
-		Do: func(ctx context.Context, h *leasetask.Lease) error { return settings.Drive(ctx, h.Token(), h.Txn) }}
+		Do: func(ctx context.Context, h *leasetask.Lease) error {
+			return settings.AdvanceRollout(ctx, h.Token(), h.Txn)
+		}}
 }
 
 // replica starts a replica, and notes what its daemon starts with.
 func (p *Components) replica(s *operatorconfig.Store, d *daemon.Daemon, cfg engine.Config) (Store, error) {
-	d.Hook(&cfg)
+	d.InstallHooks(&cfg)
 	var written time.Time
 	if info, err := os.Stat(filepath.Join(s.Dir, disk.FileName)); err == nil {
 		written = info.ModTime()
@@ -248,13 +250,13 @@
 	if err != nil {
 		return nil, errors.Join(err, e.Close())
 	}
-	p.Servers.Opened(from, a.Revision, written, p.Settings.Current() != nil)
+	p.Servers.RecordStartup(from, a.Revision, written, p.Settings.Current() != nil)
 	return e, nil
 }
 
 // follower starts a copy of others' replicas.
 func (p *Components) follower(s *operatorconfig.Store, d *daemon.Daemon, of engine.Config) (Store, error) {
-	cfg := follower.Config{Name: s.Name, Dir: s.Dir, Keys: of.Keys, Meter: of.Meter, Wait: time.Duration(s.Wait), Log: p.log, Age: p.Servers.PictureAge}
+	cfg := follower.Config{Name: s.Name, Dir: s.Dir, Keys: of.Keys, Meter: of.Meter, Wait: time.Duration(s.Wait), Log: p.log, Age: p.Servers.ReportSnapshotAge}
 	for _, text := range s.Follow {
 		name, addr, _ := strings.Cut(text, "=")
 		cfg.Replicas = append(cfg.Replicas, follower.Replica{Name: name, Addr: addr})
@@ -262,7 +264,7 @@
 	cfg.Event, cfg.Reset = d.Hooks()
 	cfg.CaughtUp, cfg.Confirmed = d.CaughtUp, d.Confirmed
 	if s.Interest != operatorconfig.InterestAll {
-		cfg.Subscription, cfg.PrefixSize = d.Subscription, d.Sum
+		cfg.Subscription, cfg.PrefixSize = d.Subscription, d.ObservePrefixSize
 	}
 	f, err := follower.Open(cfg)
 	if err != nil {
@@ -274,6 +276,6 @@
 	if err != nil {
 		from = "nothing"
 	}
-	p.Servers.Opened(from, a.Revision, written, p.Settings.Current() != nil)
+	p.Servers.RecordStartup(from, a.Revision, written, p.Settings.Current() != nil)
 	return f, nil
 }
--- a/internal/controlplane/daemon/bans.go
+++ b/internal/controlplane/daemon/admindrains.go
@@ -16,45 +16,45 @@
 // AdminDrains are the servers that operators took out: a word told to one daemon binds at all, and a return needs the quorum. It is a Part,
 // and a maintenance.Shared; any goroutine may use it.
 type AdminDrains struct {
-	desk
-	guard *serverstate.Guard
-	dirty map[string]bool // servers whose state is to be told to the sidecar
-	came  arrivals
-	agree func(ctx context.Context, id string, out bool) error
+	outbox
+	guard    *serverstate.Guard
+	dirty    map[string]bool // servers whose state is to be told to the sidecar
+	arrivals arrivalTimes
+	bind     func(ctx context.Context, id string, out bool) error
 }
 
 // NewAdminDrains returns those of the daemon of a name.
 func NewAdminDrains(name string, log *slog.Logger) *AdminDrains {
-	b := &AdminDrains{desk: newDesk(name, log), guard: serverstate.NewGuard(name), dirty: map[string]bool{}, came: arrivals{}}
-	b.guard.Only(func(kind serverstate.Kind, server string) bool { return !ofDrains(kind, server) })
+	b := &AdminDrains{outbox: newOutbox(name, log), guard: serverstate.NewGuard(name), dirty: map[string]bool{}, arrivals: arrivalTimes{}}
+	b.guard.Only(func(kind serverstate.Kind, server string) bool { return !isProcessDrain(kind, server) })
 	return b
 }
 
-func serverOf(key string) string {
+func drainedServer(key string) string {
 	_, server, _ := strings.Cut(strings.TrimPrefix(key, serverstate.ExclusionPrefix), "/")
 	return server
 }
 
 // Subscription is of Needy.
 func (b *AdminDrains) Subscription() changefeed.Subscription {
-	return needs(serverstate.ExclusionPrefix)
+	return subscribeTo(serverstate.ExclusionPrefix)
 }
 
 // Event is of Part.
 func (b *AdminDrains) Event(e store.Event) {
-	if _, drain := drainOf(e.Item.Key); drain || !strings.HasPrefix(e.Item.Key, serverstate.ExclusionPrefix) {
+	if _, drain := parseDrainKey(e.Item.Key); drain || !strings.HasPrefix(e.Item.Key, serverstate.ExclusionPrefix) {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.guard.Applied(e)
-	b.came.event(b.now(time.Now()), e)
-	b.dirty[serverOf(e.Item.Key)] = true
-	b.poke()
+	b.arrivals.applyEvent(b.now(time.Now()), e)
+	b.dirty[drainedServer(e.Item.Key)] = true
+	b.wakeUp()
 }
 
-// stale notes that all that is out is to be told to the sidecar again. The lock is held.
-func (b *AdminDrains) stale() {
+// markAllDirty notes that all that is out is to be told to the sidecar again. The lock is held.
+func (b *AdminDrains) markAllDirty() {
 	for _, o := range b.guard.All() {
 		b.dirty[o.Server] = true
 	}
@@ -64,14 +64,14 @@
 func (b *AdminDrains) Reset(s *store.State) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.stale()
+	b.markAllDirty()
 	if err := b.guard.Reset(s); err != nil {
 		b.log.Error("the store's copy is not acted on", "error", err)
 		return
 	}
-	b.stale()
-	b.came.reset(s)
-	b.poke()
+	b.markAllDirty()
+	b.arrivals.retain(s)
+	b.wakeUp()
 }
 
 // Uncommitted is of Tail.
@@ -79,7 +79,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, key := range b.guard.Unsettled(c) { // a start finds thousands of commands: each costs what it says, not what is known
-		b.dirty[serverOf(key)] = true
+		b.dirty[drainedServer(key)] = true
 	}
 }
 
@@ -88,35 +88,35 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, key := range b.guard.Settled() {
-		b.dirty[serverOf(key)] = true
+		b.dirty[drainedServer(key)] = true
 	}
-	b.poke()
+	b.wakeUp()
 }
 
 // Run is of Part.
-func (b *AdminDrains) Run(ctx context.Context) { b.work(ctx, b.owed, b.tell) }
+func (b *AdminDrains) Run(ctx context.Context) { b.run(ctx, b.enqueueOwed, b.bindDirty) }
 
-func (b *AdminDrains) owed() {
+func (b *AdminDrains) enqueueOwed() {
 	b.mu.Lock()
 	owed := b.guard.Owed()
 	b.mu.Unlock()
 	for _, op := range owed {
-		b.queue(op)
+		b.enqueueWrite(op)
 	}
 }
 
-// queue leaves a word of the guard's to be written; if there is no room it stays owed.
-func (b *AdminDrains) queue(op store.Op) {
-	b.owe(write{key: op.Key, wrote: func(ok bool) { b.guard.Wrote(op.Key, ok) }, do: func(ctx context.Context) error {
+// enqueueWrite leaves a word of the guard's to be written; if there is no room it stays owed.
+func (b *AdminDrains) enqueueWrite(op store.Op) {
+	b.enqueue(pendingWrite{key: op.Key, done: func(ok bool) { b.guard.Wrote(op.Key, ok) }, apply: func(ctx context.Context) error {
 		_, err := b.store.Do(ctx, store.Command{Txn: &store.Txn{Then: []store.Op{op}}})
 		return err
 	}})
 }
 
-// tell makes bind in the sidecar what has changed.
-func (b *AdminDrains) tell(ctx context.Context) {
+// bindDirty makes bind in the sidecar what has changed.
+func (b *AdminDrains) bindDirty(ctx context.Context) {
 	b.mu.Lock()
-	agree := b.agree
+	agree := b.bind
 	if agree == nil {
 		b.mu.Unlock()
 		return // they stay dirty until a sidecar begins
@@ -145,9 +145,9 @@
 // Subscribe is of maintenance.Shared.
 func (b *AdminDrains) Subscribe(agree func(ctx context.Context, id string, out bool) error) {
 	b.mu.Lock()
-	b.agree = agree
+	b.bind = agree
 	b.mu.Unlock()
-	b.poke()
+	b.wakeUp()
 }
 
 // ReportDrain is of maintenance.Shared.
@@ -158,17 +158,17 @@
 	if err != nil {
 		b.log.Error("other daemons are not told of a ban", "id", id, "error", err)
 	} else if op != nil {
-		b.queue(*op)
+		b.enqueueWrite(*op)
 	}
 }
 
 // RequestReturn is of maintenance.Shared.
-func (b *AdminDrains) RequestReturn(ctx context.Context, id string) (asked bool, err error) {
+func (b *AdminDrains) RequestReturn(ctx context.Context, id string) (reported bool, err error) {
 	b.mu.Lock()
 	key := serverstate.ExclusionKey(serverstate.AdminDrain, id)
 	t, err := b.guard.Return(serverstate.AdminDrain, id)
 	pending := b.guard.Pending(key)
-	agree := b.agree
+	agree := b.bind
 	b.mu.Unlock()
 	if err != nil {
 		if pending {
@@ -193,5 +193,5 @@
 func (b *AdminDrains) Exclusions() []serverstate.Exclusion {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.came.age(b.now(time.Now()), b.guard.All())
+	return b.arrivals.setAges(b.now(time.Now()), b.guard.All())
 }
--- a/internal/controlplane/daemon/daemon.go
+++ b/internal/controlplane/daemon/daemon.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	writeWait = 5 * time.Second
-	owedEvery = time.Second
-	tidyEvery = 10 * time.Second
+	writeTimeout  = 5 * time.Second
+	retryInterval = time.Second
+	sweepInterval = 10 * time.Second
 )
 
 // Errors of parts.
@@ -58,7 +58,7 @@
 	}
 	// PrefixSizeObserver is told how many keys there are with a prefix of its Needs, where the copy does not hold them.
 	PrefixSizeObserver interface {
-		Sum(prefix string, n store.PrefixSize)
+		ObservePrefixSize(prefix string, n store.PrefixSize)
 	}
 	// Expirer says how what nobody has told for long ends: transactions that do nothing if it was told again meanwhile.
 	Expirer interface {
@@ -80,20 +80,20 @@
 // Daemon is the frame of the parts. Its hooks are given to the copy of the store, which is attached once it is open; then Run is
 // called.
 type Daemon struct {
-	log       *slog.Logger
-	parts     []Component
-	store     Store
-	oneSweeps bool
+	log            *slog.Logger
+	components     []Component
+	store          Store
+	sweepDelegated bool
 }
 
 // New returns a daemon that runs nothing yet, with the parts that it is to have.
-func New(log *slog.Logger, parts ...Component) *Daemon { return &Daemon{log: log, parts: parts} }
+func New(log *slog.Logger, parts ...Component) *Daemon { return &Daemon{log: log, components: parts} }
 
-// Hook puts the daemon's hooks into the configuration of an engine.
-func (d *Daemon) Hook(c *engine.Config) {
+// InstallHooks puts the daemon's hooks into the configuration of an engine.
+func (d *Daemon) InstallHooks(c *engine.Config) {
 	c.Event, c.Reset, c.CaughtUp, c.Confirmed = d.event, d.reset, d.CaughtUp, d.Confirmed
 	c.Uncommitted = func(cmd *store.Command) {
-		each(d, func(t LogTailObserver) { t.Uncommitted(cmd) })
+		forEach(d, func(t LogTailObserver) { t.Uncommitted(cmd) })
 	}
 }
 
@@ -101,13 +101,13 @@
 func (d *Daemon) Hooks() (event func(store.Event), reset func(*store.State)) { return d.event, d.reset }
 
 func (d *Daemon) event(e store.Event) {
-	for _, p := range d.parts {
+	for _, p := range d.components {
 		p.Event(e)
 	}
 }
 
 func (d *Daemon) reset(s *store.State) {
-	for _, p := range d.parts {
+	for _, p := range d.components {
 		p.Reset(s)
 	}
 }
@@ -115,7 +115,7 @@
 // Subscription are what all parts need.
 func (d *Daemon) Subscription() changefeed.Subscription {
 	all := changefeed.Subscription{Of: &store.Interest{}}
-	for _, p := range d.parts {
+	for _, p := range d.components {
 		n := changefeed.Subscription{}
 		if p, ok := p.(Subscriber); ok {
 			n = p.Subscription()
@@ -125,13 +125,13 @@
 	return all
 }
 
-// Sum tells the parts how many keys there are with a prefix.
-func (d *Daemon) Sum(prefix string, n store.PrefixSize) {
-	each(d, func(s PrefixSizeObserver) { s.Sum(prefix, n) })
+// ObservePrefixSize tells the parts how many keys there are with a prefix.
+func (d *Daemon) ObservePrefixSize(prefix string, n store.PrefixSize) {
+	forEach(d, func(s PrefixSizeObserver) { s.ObservePrefixSize(prefix, n) })
 }
 
-// needs are those of a part that needs some prefixes, for the next start as well.
-func needs(prefixes ...string) changefeed.Subscription {
+// subscribeTo are those of a part that needs some prefixes, for the next start as well.
+func subscribeTo(prefixes ...string) changefeed.Subscription {
 	of := store.Interest{Prefixes: prefixes}
 	return changefeed.Subscription{Of: &of, Kept: of}
 }
@@ -139,16 +139,16 @@
 // InterestUpdater is a copy that holds a part of the store's keys and reads the Subscription again when told to.
 type InterestUpdater interface{ UpdateInterest() }
 
-// rescope has a copy that does not hold all asked anew what it is to hold. No part's lock is held.
-func rescope(s Store) {
+// updateInterest has a copy that does not hold all asked anew what it is to hold. No part's lock is held.
+func updateInterest(s Store) {
 	if u, ok := s.(InterestUpdater); ok {
 		u.UpdateInterest()
 	}
 }
 
-// each calls f with the parts that are of a kind.
-func each[T any](d *Daemon, f func(T)) {
-	for _, p := range d.parts {
+// forEach calls f with the parts that are of a kind.
+func forEach[T any](d *Daemon, f func(T)) {
+	for _, p := range d.components {
 		if t, ok := p.(T); ok {
 			f(t)
 		}
@@ -158,17 +158,17 @@
 // Confirmed says that a quorum confirmed the copy so long ago. What a copy shows may have been written at any time since it was last
 // confirmed: one that was away for an hour, and catches up, shows old words as they come.
 func (d *Daemon) Confirmed(ago time.Duration) {
-	each(d, func(p ConfirmationObserver) { p.Confirmed(ago) })
+	forEach(d, func(p ConfirmationObserver) { p.Confirmed(ago) })
 }
 
 // CaughtUp says that the copy is up to date: what an earlier process of this daemon acted on counts as the store says from now
 // on, and what the store does not say is told. A replica's engine says so by its hook; a follower once it has heard.
-func (d *Daemon) CaughtUp() { each(d, func(t LogTailObserver) { t.CaughtUp() }) }
+func (d *Daemon) CaughtUp() { forEach(d, func(t LogTailObserver) { t.CaughtUp() }) }
 
 // Attach gives the copy of the store, once it is open and before anything else is called.
 func (d *Daemon) Attach(s Store) {
 	d.store = s
-	for _, p := range d.parts {
+	for _, p := range d.components {
 		p.Attach(s)
 	}
 }
@@ -177,32 +177,32 @@
 func (d *Daemon) Run(ctx context.Context) {
 	var working sync.WaitGroup
 	defer working.Wait()
-	for _, p := range d.parts {
+	for _, p := range d.components {
 		working.Go(func() { p.Run(ctx) })
 	}
-	tidy := time.NewTicker(tidyEvery)
+	tidy := time.NewTicker(sweepInterval)
 	defer tidy.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tidy.C:
-			if !d.sweptByOne(ctx) {
+			if !d.sweepIsDelegated(ctx) {
 				_ = d.Sweep(ctx) // it is tried again
 			}
 		}
 	}
 }
 
-// SweepByOne has the sweeping of what nobody has told for long left to whoever holds the task, once the cluster knows of tasks. It
+// DelegateSweep has the sweeping of what nobody has told for long left to whoever holds the task, once the cluster knows of tasks. It
 // is called before Run.
-func (d *Daemon) SweepByOne() { d.oneSweeps = true }
+func (d *Daemon) DelegateSweep() { d.sweepDelegated = true }
 
-// sweptByOne says whether one daemon sweeps for all.
-func (d *Daemon) sweptByOne(ctx context.Context) bool {
+// sweepIsDelegated says whether one daemon sweeps for all.
+func (d *Daemon) sweepIsDelegated(ctx context.Context) bool {
 	known := false
 	_, err := d.store.View(ctx, true, func(s *store.State) { known = s.Level() >= store.LevelOwners })
-	return d.oneSweeps && err == nil && known
+	return d.sweepDelegated && err == nil && known
 }
 
 // Sweep ends what nobody has told for long. Each end is a transaction that does nothing if the word was told again meanwhile, so
@@ -211,9 +211,9 @@
 
 func (d *Daemon) sweep(ctx context.Context, now time.Time) error {
 	var ends []*store.Txn
-	each(d, func(s Expirer) { ends = append(ends, s.Expired(now)...) })
+	forEach(d, func(s Expirer) { ends = append(ends, s.Expired(now)...) })
 	for _, t := range ends {
-		c, cancel := context.WithTimeout(ctx, writeWait)
+		c, cancel := context.WithTimeout(ctx, writeTimeout)
 		_, err := d.store.Do(c, store.Command{Txn: t})
 		cancel()
 		if err != nil && ctx.Err() == nil {
--- a/internal/controlplane/daemon/daemon_test.go
+++ b/internal/controlplane/daemon/daemon_test.go
@@ -17,35 +17,35 @@
 	"birchmoor/internal/store/engine"
 )
 
-// side is a daemon with a sidecar that notes what binds.
-type side struct {
+// testDaemon is a daemon with a sidecar that notes what binds.
+type testDaemon struct {
 	settings *Settings
 	frame    *Daemon
-	d        *Servers
-	e        *engine.Engine
+	servers  *Servers
+	engine   *engine.Engine
 	addr     string
 	stop     context.CancelFunc
 
-	mu    sync.Mutex
-	out   map[string]bool
-	fresh chan struct{} // closed when something binds
+	mu      sync.Mutex
+	bound   map[string]bool
+	changed chan struct{} // closed when something binds
 }
 
-func (s *side) agree(_ context.Context, id string, out bool) error {
+func (s *testDaemon) bind(_ context.Context, id string, out bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.out[id] = out
-	close(s.fresh)
-	s.fresh = make(chan struct{})
+	s.bound[id] = out
+	close(s.changed)
+	s.changed = make(chan struct{})
 	return nil
 }
 
-// until waits for a server to be out, or not to be.
-func (s *side) until(t *testing.T, id string, out bool) {
+// waitUntil waits for a server to be out, or not to be.
+func (s *testDaemon) waitUntil(t *testing.T, id string, out bool) {
 	t.Helper()
 	for {
 		s.mu.Lock()
-		is, fresh := s.out[id], s.fresh
+		is, fresh := s.bound[id], s.changed
 		s.mu.Unlock()
 		if is == out {
 			return
@@ -58,63 +58,63 @@
 	}
 }
 
-func limitCheck(settings json.RawMessage) error {
+func checkSettings(settings json.RawMessage) error {
 	if strings.Contains(string(settings), "bad") {
 		return errors.New("settings.x: is bad")
 	}
 	return nil
 }
 
-func start(t *testing.T, name, dir, addr string, join bool) *side {
+func startDaemon(t *testing.T, name, dir, addr string, join bool) *testDaemon {
 	t.Helper()
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &side{out: map[string]bool{}, fresh: make(chan struct{}), addr: ln.Addr().String()}
-	check := SettingsCheck(limitCheck)
+	s := &testDaemon{bound: map[string]bool{}, changed: make(chan struct{}), addr: ln.Addr().String()}
+	check := SettingsCheck(checkSettings)
 	if name == "c" {
 		check = nil // as where no sidecar runs
 	}
 	log := slog.New(slog.DiscardHandler)
 	s.settings = NewSettings(name, check, log)
-	s.d = NewServers(name, log)
-	s.frame = New(log, append(s.d.Parts(), s.settings)...)
+	s.servers = NewServers(name, log)
+	s.frame = New(log, append(s.servers.Components(), s.settings)...)
 	cfg := engine.Config{Name: name, Dir: dir, Join: join, Listen: ln, Tick: 10 * time.Millisecond, Elect: 20, Disk: disk.Options{NoSync: true}}
-	s.frame.Hook(&cfg)
-	if s.e, err = engine.Open(cfg); err != nil {
+	s.frame.InstallHooks(&cfg)
+	if s.engine, err = engine.Open(cfg); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
-	s.frame.Attach(s.e)
+	s.frame.Attach(s.engine)
 	wg.Go(func() { s.frame.Run(ctx) })
-	s.stop = sync.OnceFunc(func() { cancel(); s.e.Kill(); wg.Wait() })
-	s.d.Subscribe(s.agree)
+	s.stop = sync.OnceFunc(func() { cancel(); s.engine.Kill(); wg.Wait() })
+	s.servers.Subscribe(s.bind)
 	t.Cleanup(s.stop)
 	return s
 }
 
-func deadline(t *testing.T) context.Context {
+func testContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-func three(t *testing.T) (all []*side, dirs []string) {
+func startCluster(t *testing.T) (all []*testDaemon, dirs []string) {
 	t.Helper()
-	ctx := deadline(t)
+	ctx := testContext(t)
 	for i, name := range []string{"a", "b", "c"} {
 		dirs = append(dirs, t.TempDir())
-		all = append(all, start(t, name, dirs[i], "127.0.0.1:0", i > 0))
+		all = append(all, startDaemon(t, name, dirs[i], "127.0.0.1:0", i > 0))
 		if i > 0 {
-			if _, err := all[0].e.Do(ctx, store.Command{AddMember: &store.AddMember{Name: name, Address: all[i].addr}}); err != nil {
+			if _, err := all[0].engine.Do(ctx, store.Command{AddMember: &store.AddMember{Name: name, Address: all[i].addr}}); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 	for {
-		s, err := all[0].e.Status(ctx)
+		s, err := all[0].engine.Status(ctx)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -124,54 +124,54 @@
 	}
 }
 
-func TestABanToldToOneBindsAtAllAndAReturnNeedsTheQuorum(t *testing.T) {
-	all, dirs := three(t)
-	ctx := deadline(t)
-	all[0].d.ReportDrain("s1")
+func TestAdminDrainReachesAllDaemonsAndReturnNeedsQuorum(t *testing.T) {
+	all, dirs := startCluster(t)
+	ctx := testContext(t)
+	all[0].servers.ReportDrain("s1")
 	for _, s := range all {
-		s.until(t, "s1", true)
+		s.waitUntil(t, "s1", true)
 	}
 	for {
-		if asked, err := all[1].d.RequestReturn(ctx, "s1"); err == nil && asked {
+		if asked, err := all[1].servers.RequestReturn(ctx, "s1"); err == nil && asked {
 			break
 		} else if !errors.Is(err, ErrNotReplicated) && !errors.Is(err, ErrExcludedAgain) {
 			t.Fatal(asked, err)
 		}
 	}
 	for _, s := range all {
-		s.until(t, "s1", false)
+		s.waitUntil(t, "s1", false)
 	}
 	// Cut off from the others, one goes on adding words, and lets nothing return.
 	for _, id := range []string{"s2", "s4"} {
-		all[1].d.ReportDrain(id)
-		all[0].until(t, id, true)
+		all[1].servers.ReportDrain(id)
+		all[0].waitUntil(t, id, true)
 	}
 	all[1].stop()
 	all[2].stop()
-	all[0].d.ReportDrain("s3")
+	all[0].servers.ReportDrain("s3")
 	short, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
 	defer cancel()
-	if _, err := all[0].d.RequestReturn(short, "s4"); err == nil { // whose outcome is not known: the others may agree once they are back
+	if _, err := all[0].servers.RequestReturn(short, "s4"); err == nil { // whose outcome is not known: the others may agree once they are back
 		t.Fatal("a copy alone let a server return")
 	}
-	if _, err := all[0].d.RequestReturn(ctx, "s3"); !errors.Is(err, ErrNotReplicated) {
+	if _, err := all[0].servers.RequestReturn(ctx, "s3"); !errors.Is(err, ErrNotReplicated) {
 		t.Fatal(err)
 	}
-	if outs := fmt.Sprint(all[0].d.Exclusions()); !strings.Contains(outs, "s2 true") || !strings.Contains(outs, "s3 false") {
+	if outs := fmt.Sprint(all[0].servers.Exclusions()); !strings.Contains(outs, "s2 true") || !strings.Contains(outs, "s3 false") {
 		t.Fatal(outs)
 	}
 	// The others come back: the word that they missed reaches them, and one that was told before is still known.
-	b := start(t, "b", dirs[1], all[1].addr, true)
-	c := start(t, "c", dirs[2], all[2].addr, true)
-	for _, s := range []*side{b, c} {
-		s.until(t, "s2", true)
-		s.until(t, "s3", true)
+	b := startDaemon(t, "b", dirs[1], all[1].addr, true)
+	c := startDaemon(t, "c", dirs[2], all[2].addr, true)
+	for _, s := range []*testDaemon{b, c} {
+		s.waitUntil(t, "s2", true)
+		s.waitUntil(t, "s3", true)
 	}
 }
 
-func TestSettingsAreCheckedByAllAndCanBeRolledBack(t *testing.T) {
-	all, _ := three(t)
-	ctx := deadline(t)
+func TestSettingsAreCheckedByAllReplicasAndRolledBack(t *testing.T) {
+	all, _ := startCluster(t)
+	ctx := testContext(t)
 	for i, text := range []string{`{"x":1}`, `{"x":2}`} {
 		v, err := all[i].settings.Put(ctx, json.RawMessage(text), "try")
 		if err != nil || v.Version != uint64(i+1) {
@@ -185,7 +185,7 @@
 		t.Fatal(v, err)
 	}
 	for _, s := range all {
-		if _, err := s.e.View(ctx, false, func(*store.State) {}); err != nil {
+		if _, err := s.engine.View(ctx, false, func(*store.State) {}); err != nil {
 			t.Fatal(err)
 		}
 		if got := string(s.settings.Current()); got != `{"x":1}` {
--- a/internal/controlplane/daemon/journal_test.go
+++ b/internal/controlplane/daemon/drainlog_test.go
@@ -15,7 +15,7 @@
 
 // A drain that one daemon heard binds after it was killed, whether or not the store had it, until the store is up to date and
 // says otherwise; then it is told. A line that the process died in, and lines that are none, are passed over.
-func TestAKilledDaemonKnowsWhatItHeard(t *testing.T) {
+func TestDrainLogRestoresDrainsAfterKill(t *testing.T) {
 	dir := t.TempDir()
 	begin := func() (d *Drains, kill func()) {
 		d = NewDrains("a", slog.New(slog.DiscardHandler))
@@ -24,7 +24,7 @@
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan struct{})
-		go func() { d.journal.run(ctx.Done()); close(ended) }()
+		go func() { d.drainLog.run(ctx.Done()); close(ended) }()
 		return d, func() { cancel(); <-ended }
 	}
 	one, two := discovery.Process{ID: "s 1", Addr: "127.0.0.1:1", StartedMs: 5}, discovery.Process{ID: "s2", Addr: "[::1]:2"}
@@ -33,7 +33,7 @@
 	d.Observe(two, true)
 	d.Observe(two, false)
 	kill()
-	path := filepath.Join(dir, journalName)
+	path := filepath.Join(dir, drainLogName)
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -64,13 +64,13 @@
 }
 
 // The file stays small however many drains come and go.
-func TestTheJournalIsBounded(t *testing.T) {
+func TestDrainLogIsCompacted(t *testing.T) {
 	dir := t.TempDir()
 	d := NewDrains("a", slog.New(slog.DiscardHandler))
 	if err := d.OpenDrainLog(dir); err != nil {
 		t.Fatal(err)
 	}
-	j := d.journal
+	j := d.drainLog
 	j.rewrite()
 	most := 0
 	for i := range 20_000 {
@@ -80,7 +80,7 @@
 		most = max(most, j.bytes)
 	}
 	j.close()
-	if info, err := os.Stat(j.path); err != nil || info.Size() > journalLeast+200 || most > journalLeast+200 {
+	if info, err := os.Stat(j.path); err != nil || info.Size() > minCompactionBytes+200 || most > minCompactionBytes+200 {
 		t.Error(most, err)
 	}
 }
--- a/internal/controlplane/daemon/drains.go
+++ b/internal/controlplane/daemon/drains.go
@@ -17,33 +17,33 @@
 // writes it (policy.Turns). And they end by rule: who hears a drain sees to it that it is told again every drainRenew, one
 // write for all, and what nobody has told for drainKept is over.
 const (
-	drainSpread = 200 * time.Millisecond
-	drainRenew  = 4 * time.Minute
-	drainKept   = 10 * time.Minute
-	drainsMost  = 4096 // processes that drain, by this daemon's discovery
+	drainReportSpread  = 200 * time.Millisecond
+	drainRenewInterval = 4 * time.Minute
+	drainRetention     = 10 * time.Minute
+	maxDrains          = 4096 // processes that drain, by this daemon's discovery
 )
 
 // Drains are the processes that drain by any daemon's discovery. It is a Part; any goroutine may use it.
 type Drains struct {
-	desk
-	guard   *serverstate.Guard
-	bind    func(ctx context.Context, p discovery.Process, drains bool) error
-	dirty   map[serverstate.Process]bool // that the sidecar is to be told of
-	came    arrivals
-	turns   *serverstate.ReportScheduler // by key
-	journal *journal                     // nil where nothing is kept
+	outbox
+	guard    *serverstate.Guard
+	bind     func(ctx context.Context, p discovery.Process, drains bool) error
+	dirty    map[serverstate.Process]bool // that the sidecar is to be told of
+	arrivals arrivalTimes
+	schedule *serverstate.ReportScheduler // by key
+	drainLog *drainLog                    // nil where nothing is kept
 }
 
 // NewDrains returns those of the daemon of a name.
 func NewDrains(name string, log *slog.Logger) *Drains {
-	d := &Drains{desk: newDesk(name, log), guard: serverstate.NewGuard(name), dirty: map[serverstate.Process]bool{}, came: arrivals{},
-		turns: serverstate.NewReportScheduler(name, serverstate.ReportSchedule{Spread: int64(drainSpread), Renew: int64(drainRenew), Keep: int64(drainKept), Most: drainsMost})}
-	d.guard.Only(ofDrains)
+	d := &Drains{outbox: newOutbox(name, log), guard: serverstate.NewGuard(name), dirty: map[serverstate.Process]bool{}, arrivals: arrivalTimes{},
+		schedule: serverstate.NewReportScheduler(name, serverstate.ReportSchedule{Spread: int64(drainReportSpread), Renew: int64(drainRenewInterval), Keep: int64(drainRetention), Most: maxDrains})}
+	d.guard.Only(isProcessDrain)
 	return d
 }
 
-// ofDrains says whether a server that is out is a process that drains.
-func ofDrains(kind serverstate.Kind, server string) bool {
+// isProcessDrain says whether a server that is out is a process that drains.
+func isProcessDrain(kind serverstate.Kind, server string) bool {
 	_, ok := serverstate.ParseProcess(server)
 	return ok && kind == serverstate.Drain
 }
@@ -52,8 +52,8 @@
 	return serverstate.ExclusionKey(serverstate.Drain, p.Server())
 }
 
-// drainOf reads a key that tells of a drain.
-func drainOf(key string) (serverstate.Process, bool) {
+// parseDrainKey reads a key that tells of a drain.
+func parseDrainKey(key string) (serverstate.Process, bool) {
 	server, ok := strings.CutPrefix(key, serverstate.ExclusionKey(serverstate.Drain, ""))
 	if !ok {
 		return serverstate.Process{}, false
@@ -61,20 +61,22 @@
 	return serverstate.ParseProcess(server)
 }
 
-// touch notes that the sidecar is to be told of a key. The lock is held.
-func (d *Drains) touch(key string) {
-	if p, ok := drainOf(key); ok {
+// markDirty notes that the sidecar is to be told of a key. The lock is held.
+func (d *Drains) markDirty(key string) {
+	if p, ok := parseDrainKey(key); ok {
 		d.dirty[p] = true
 	}
 }
 
 // Subscription is of Needy: all, whatever servers the list tells of. One that it does not tell of yet may come with its next word, and
 // must not be sent anything in the moment until the copy knows of its drain.
-func (d *Drains) Subscription() changefeed.Subscription { return needs(serverstate.ExclusionPrefix) }
+func (d *Drains) Subscription() changefeed.Subscription {
+	return subscribeTo(serverstate.ExclusionPrefix)
+}
 
 // Event is of Part.
 func (d *Drains) Event(e store.Event) {
-	p, ok := drainOf(e.Item.Key)
+	p, ok := parseDrainKey(e.Item.Key)
 	if !ok {
 		return
 	}
@@ -82,17 +84,17 @@
 	defer d.mu.Unlock()
 	now, key := d.now(time.Now()), drainKey(p)
 	d.guard.Applied(e)
-	d.came.event(now, e)
+	d.arrivals.applyEvent(now, e)
 	d.dirty[p] = true
-	d.wakeAt(d.turns.Told(now, key, e.Revision, e.Deleted), now)
-	d.note(key)
-	d.poke()
+	d.wakeAt(d.schedule.Told(now, key, e.Revision, e.Deleted), now)
+	d.logDrain(key)
+	d.wakeUp()
 }
 
-// stale notes that all that is out is to be told to the sidecar again. The lock is held.
-func (d *Drains) stale() {
+// markAllDirty notes that all that is out is to be told to the sidecar again. The lock is held.
+func (d *Drains) markAllDirty() {
 	for _, o := range d.guard.All() {
-		d.touch(serverstate.ExclusionKey(o.Kind, o.Server))
+		d.markDirty(serverstate.ExclusionKey(o.Kind, o.Server))
 	}
 }
 
@@ -100,19 +102,19 @@
 func (d *Drains) Reset(s *store.State) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.stale()
+	d.markAllDirty()
 	if err := d.guard.Reset(s); err != nil {
 		d.log.Error("the store's copy is not acted on", "error", err)
 		return
 	}
-	d.stale()
-	d.came.reset(s)
-	drained := wordsOf(s, serverstate.ExclusionKey(serverstate.Drain, ""))
-	d.turns.Found(d.now(time.Now()), drained)
+	d.markAllDirty()
+	d.arrivals.retain(s)
+	drained := revisionsWithPrefix(s, serverstate.ExclusionKey(serverstate.Drain, ""))
+	d.schedule.Found(d.now(time.Now()), drained)
 	for key := range drained {
-		d.note(key)
+		d.logDrain(key)
 	}
-	d.poke()
+	d.wakeUp()
 }
 
 // Uncommitted is of Tail.
@@ -120,7 +122,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, key := range d.guard.Unsettled(c) {
-		d.touch(key)
+		d.markDirty(key)
 	}
 }
 
@@ -129,31 +131,31 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, key := range d.guard.Settled() {
-		d.touch(key)
-		d.note(key)
+		d.markDirty(key)
+		d.logDrain(key)
 	}
-	d.poke()
+	d.wakeUp()
 }
 
 // Run is of Part.
 func (d *Drains) Run(ctx context.Context) {
-	if d.journal != nil {
+	if d.drainLog != nil {
 		done := make(chan struct{})
-		go func() { defer close(done); d.journal.run(ctx.Done()) }()
+		go func() { defer close(done); d.drainLog.run(ctx.Done()) }()
 		defer func() { <-done }()
 	}
-	d.work(ctx, d.owed, func(ctx context.Context) {
-		d.speak(time.Now())
-		d.tell(ctx)
+	d.run(ctx, d.enqueueOwed, func(ctx context.Context) {
+		d.enqueueDue(time.Now())
+		d.bindDirty(ctx)
 	})
 }
 
-func (d *Drains) owed() {
+func (d *Drains) enqueueOwed() {
 	d.mu.Lock()
 	owed := d.guard.Owed()
 	d.mu.Unlock()
 	for _, op := range owed {
-		d.queue(op)
+		d.enqueueWrite(op)
 	}
 }
 
@@ -176,7 +178,7 @@
 		d.dirty[p] = true
 	}
 	d.mu.Unlock()
-	d.poke()
+	d.wakeUp()
 }
 
 // Observe takes what this sidecar's discovery says of a process. It does not wait.
@@ -184,25 +186,25 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	key, now := drainKey(serverstate.Process(p)), d.now(time.Now())
-	defer d.note(key)
+	defer d.logDrain(key)
 	if !drains {
-		d.turns.Unhear(key)
+		d.schedule.Unhear(key)
 		return
 	}
-	due, full := d.turns.Hear(now, key)
+	due, full := d.schedule.Hear(now, key)
 	if full {
-		d.log.Error("other daemons are not told of a drain: too many processes drain", "id", p.ID, "most", drainsMost)
+		d.log.Error("other daemons are not told of a drain: too many processes drain", "id", p.ID, "most", maxDrains)
 	}
 	d.wakeAt(due, now)
 }
 
-// speak writes what it is this daemon's turn to tell.
-func (d *Drains) speak(now time.Time) {
+// enqueueDue writes what it is this daemon's turn to tell.
+func (d *Drains) enqueueDue(now time.Time) {
 	d.mu.Lock()
-	keys, _ := d.turns.Due(d.now(now))
+	keys, _ := d.schedule.Due(d.now(now))
 	var ops []store.Op
 	for _, key := range keys {
-		p, _ := drainOf(key)
+		p, _ := parseDrainKey(key)
 		op, err := d.guard.Hear(serverstate.Drain, p.Server())
 		if err != nil {
 			d.log.Error("other daemons are not told of a drain", "id", p.ID, "error", err)
@@ -212,17 +214,17 @@
 	}
 	d.mu.Unlock()
 	for _, op := range ops {
-		d.queue(op)
+		d.enqueueWrite(op)
 	}
 }
 
-// queue leaves a word of the guard's to be written; if there is no room it stays owed.
-func (d *Drains) queue(op store.Op) {
-	d.owe(write{key: op.Key, wrote: func(ok bool) {
+// enqueueWrite leaves a word of the guard's to be written; if there is no room it stays owed.
+func (d *Drains) enqueueWrite(op store.Op) {
+	d.enqueue(pendingWrite{key: op.Key, done: func(ok bool) {
 		d.guard.Wrote(op.Key, ok)
-		d.note(op.Key)
-	}, do: func(ctx context.Context) error {
-		p, _ := drainOf(op.Key)
+		d.logDrain(op.Key)
+	}, apply: func(ctx context.Context) error {
+		p, _ := parseDrainKey(op.Key)
 		return d.propose(ctx, p, op)
 	}})
 }
@@ -247,8 +249,8 @@
 	return nil
 }
 
-// tell makes bind in the sidecar what has changed.
-func (d *Drains) tell(ctx context.Context) {
+// bindDirty makes bind in the sidecar what has changed.
+func (d *Drains) bindDirty(ctx context.Context) {
 	d.mu.Lock()
 	bind := d.bind
 	if bind == nil {
@@ -273,12 +275,12 @@
 
 // Expired is of Sweeper.
 func (d *Drains) Expired(now time.Time) (ends []*store.Txn) {
-	d.speak(now)
+	d.enqueueDue(now)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	_, over := d.turns.Due(d.now(now))
+	_, over := d.schedule.Due(d.now(now))
 	for _, key := range over {
-		p, _ := drainOf(key)
+		p, _ := parseDrainKey(key)
 		if t, err := d.guard.Return(serverstate.Drain, p.Server()); err == nil {
 			ends = append(ends, t)
 		}
@@ -290,5 +292,5 @@
 func (d *Drains) Exclusions() []serverstate.Exclusion {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.came.age(d.now(time.Now()), d.guard.All())
+	return d.arrivals.setAges(d.now(time.Now()), d.guard.All())
 }
--- a/internal/controlplane/daemon/steps.go
+++ b/internal/controlplane/daemon/rollout.go
@@ -18,16 +18,16 @@
 // the plan is conditional on its place and on the plan that it judged. After its loss the next goes on where the plan stands, and lets
 // the step settle anew.
 const (
-	keyPlan    = "config/plan"
-	keyStepped = "config/stepped" // the plan's settings
-	keyReport  = "config/report/" // HOST
+	keyPlan         = "config/plan"
+	keyPlanSettings = "config/stepped" // the plan's settings
+	reportPrefix    = "config/report/" // HOST
 
 	// RolloutTask is the task of driving a plan.
 	RolloutTask = "rollout"
 	// FleetTask is the task that every daemon takes part in: who has a place in its queue is there.
 	FleetTask = "sweep"
 
-	reportEvery = 250 * time.Millisecond // at least; a quarter of the settling time otherwise
+	minReportInterval = 250 * time.Millisecond // at least; a quarter of the settling time otherwise
 )
 
 // Errors of plans.
@@ -37,7 +37,7 @@
 )
 
 // ReportKey is where a daemon tells how a plan goes with it.
-func ReportKey(host string) string { return keyReport + host }
+func ReportKey(host string) string { return reportPrefix + host }
 
 // Allowed says whether an operation is a daemon's own to make: its report of how a plan goes with it.
 func Allowed(op store.Op, owner string) bool {
@@ -47,67 +47,67 @@
 // AnswerCounter are what a sidecar's clients were answered since its start: served, or refused and failed.
 type AnswerCounter func() (served, not uint64, err error)
 
-// stepping is this daemon's part in a plan.
-type stepping struct {
-	plan    rollout.Plan
-	set     uint64 // its revision; 0: there is none
-	text    json.RawMessage
-	figures AnswerCounter
+// rolloutState is this daemon's part in a plan.
+type rolloutState struct {
+	plan         rollout.Plan
+	planRevision uint64 // its revision; 0: there is none
+	settings     json.RawMessage
+	answers      AnswerCounter
 
-	told   rollout.Report // last
-	toldAt time.Time
-	base   [2]uint64 // figures when this daemon came to the step
-	from   [2]uint64 // the plan and step of base
+	lastReport   rollout.Report // last
+	reportedAt   time.Time
+	baseline     [2]uint64 // figures when this daemon came to the step
+	baselineStep [2]uint64 // the plan and step of base
 
-	seen   uint64 // the revision of the plan that this daemon, if it drives, first saw
-	seenAt time.Time
+	observedRevision uint64 // the revision of the plan that this daemon, if it drives, first saw
+	observedAt       time.Time
 }
 
-// Figure gives what tells the answers of this daemon's sidecar.
-func (x *Settings) Figure(f AnswerCounter) {
+// SetAnswerCounter gives what tells the answers of this daemon's sidecar.
+func (x *Settings) SetAnswerCounter(f AnswerCounter) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.steps.figures = f
+	x.rollout.answers = f
 }
 
-// takePlan takes a change of the plan's keys, and has the sidecar read its settings anew if they are others. The lock is held.
-func (x *Settings) takePlan(i store.Item, deleted bool) {
-	was := x.steps.plan.Runs(x.name)
+// applyPlanItem takes a change of the plan's keys, and has the sidecar read its settings anew if they are others. The lock is held.
+func (x *Settings) applyPlanItem(i store.Item, deleted bool) {
+	was := x.rollout.plan.Runs(x.name)
 	switch i.Key {
 	case keyPlan:
-		x.steps.plan, x.steps.set = rollout.Plan{}, 0
-		if !deleted && json.Unmarshal(i.Value, &x.steps.plan) == nil {
-			x.steps.set = i.ModRevision
+		x.rollout.plan, x.rollout.planRevision = rollout.Plan{}, 0
+		if !deleted && json.Unmarshal(i.Value, &x.rollout.plan) == nil {
+			x.rollout.planRevision = i.ModRevision
 		}
-	case keyStepped:
-		if x.steps.text = nil; !deleted {
-			x.steps.text = i.Value
+	case keyPlanSettings:
+		if x.rollout.settings = nil; !deleted {
+			x.rollout.settings = i.Value
 		}
 	default:
 		return
 	}
-	if was != x.steps.plan.Runs(x.name) {
-		x.signal()
+	if was != x.rollout.plan.Runs(x.name) {
+		x.notifyReload()
 	}
-	x.poke()
+	x.wakeUp()
 }
 
 // resetPlan takes the plan of a whole copy. The lock is held.
 func (x *Settings) resetPlan(s *store.State) {
-	for _, key := range []string{keyStepped, keyPlan} {
+	for _, key := range []string{keyPlanSettings, keyPlan} {
 		i, there := s.Get(key)
 		i.Key = key
-		x.takePlan(i, !there)
+		x.applyPlanItem(i, !there)
 	}
 }
 
-// report tells how the plan goes here, if there is one.
-func (x *Settings) report(ctx context.Context) {
+// reportProgress tells how the plan goes here, if there is one.
+func (x *Settings) reportProgress(ctx context.Context) {
 	x.mu.Lock()
-	st := &x.steps
-	plan, text, figures := st.plan, st.text, st.figures
-	every := max(reportEvery, time.Duration(plan.Settle)*time.Millisecond/4)
-	due := st.told.Plan != plan.ID || st.told.Step != plan.Step || time.Since(st.toldAt) >= every
+	st := &x.rollout
+	plan, text, figures := st.plan, st.settings, st.answers
+	every := max(minReportInterval, time.Duration(plan.Settle)*time.Millisecond/4)
+	due := st.lastReport.Plan != plan.ID || st.lastReport.Step != plan.Step || time.Since(st.reportedAt) >= every
 	x.mu.Unlock()
 	if plan.State != rollout.Running || plan.Step < 0 || !due {
 		return
@@ -125,44 +125,44 @@
 			return
 		}
 		x.mu.Lock()
-		if at := [2]uint64{plan.ID, uint64(plan.Step)}; st.from != at {
-			st.from, st.base = at, [2]uint64{served, not}
+		if at := [2]uint64{plan.ID, uint64(plan.Step)}; st.baselineStep != at {
+			st.baselineStep, st.baseline = at, [2]uint64{served, not}
 		}
-		r.Served, r.Not = served-min(served, st.base[0]), not-min(not, st.base[1]) // a sidecar that began anew counts from nothing
+		r.Served, r.Not = served-min(served, st.baseline[0]), not-min(not, st.baseline[1]) // a sidecar that began anew counts from nothing
 		x.mu.Unlock()
 	}
 	b, err := json.Marshal(r)
 	if err != nil {
 		return
 	}
-	wait, cancel := context.WithTimeout(ctx, writeWait)
+	wait, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	if _, err := x.store.Do(wait, store.Command{Txn: &store.Txn{Owner: x.name, If: []store.Compare{{Key: keyPlan, ModRevision: x.planSet()}},
+	if _, err := x.store.Do(wait, store.Command{Txn: &store.Txn{Owner: x.name, If: []store.Compare{{Key: keyPlan, ModRevision: x.planRevision()}},
 		Then: []store.Op{{Key: ReportKey(x.name), Value: b}}}}); err != nil {
 		return // it is told again
 	}
 	x.mu.Lock()
-	st.told, st.toldAt = r, time.Now()
+	st.lastReport, st.reportedAt = r, time.Now()
 	x.mu.Unlock()
 }
 
-func (x *Settings) planSet() uint64 {
+func (x *Settings) planRevision() uint64 {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.steps.set
+	return x.rollout.planRevision
 }
 
-// Begin has settings checked by every replica, and come in force in steps.
-func (x *Settings) Begin(ctx context.Context, settings json.RawMessage, steps []rollout.Step, settle time.Duration, note string) (rollout.Plan, error) {
+// StartRollout has settings checked by every replica, and come in force in steps.
+func (x *Settings) StartRollout(ctx context.Context, settings json.RawMessage, steps []rollout.Step, settle time.Duration, note string) (rollout.Plan, error) {
 	p := rollout.Plan{State: rollout.Running, Steps: steps, Settle: settle.Milliseconds(), Step: -1, By: x.name, Note: note}
 	if err := p.Check(); err != nil {
 		return p, err
 	}
-	set, err := x.noPlan(ctx)
+	set, err := x.finishedPlanRevision(ctx)
 	if err != nil {
 		return p, err
 	}
-	id, err := x.candidate(ctx, settings)
+	id, err := x.proposeCandidate(ctx, settings)
 	if err != nil {
 		return p, err
 	}
@@ -172,16 +172,16 @@
 		return p, err
 	}
 	r, err := x.store.Do(ctx, store.Command{Txn: &store.Txn{If: []store.Compare{{Key: keyCandidate, ModRevision: id}, {Key: keyPlan, ModRevision: set}},
-		Then: []store.Op{{Key: keyPlan, Value: b}, {Key: keyStepped, Value: settings}, {Key: keyCandidate, Delete: true},
-			{Key: keyReport, Delete: true, RangeEnd: store.PrefixEnd(keyReport)}, {Key: keyVerdict, Delete: true, RangeEnd: store.PrefixEnd(keyVerdict)}}}})
+		Then: []store.Op{{Key: keyPlan, Value: b}, {Key: keyPlanSettings, Value: settings}, {Key: keyCandidate, Delete: true},
+			{Key: reportPrefix, Delete: true, RangeEnd: store.PrefixEnd(reportPrefix)}, {Key: verdictPrefix, Delete: true, RangeEnd: store.PrefixEnd(verdictPrefix)}}}})
 	if err == nil && !r.Succeeded {
 		err = ErrRolloutRunning
 	}
 	return p, err
 }
 
-// noPlan is the revision of a plan that has ended, 0 if there never was one, and an error if one is running.
-func (x *Settings) noPlan(ctx context.Context) (set uint64, err error) {
+// finishedPlanRevision is the revision of a plan that has ended, 0 if there never was one, and an error if one is running.
+func (x *Settings) finishedPlanRevision(ctx context.Context) (set uint64, err error) {
 	p, set, err := x.Plan(ctx)
 	if errors.Is(err, ErrNoRollout) {
 		return set, nil
@@ -204,8 +204,8 @@
 	return p, set, errors.Join(err, bad)
 }
 
-// CallOff takes a running plan back.
-func (x *Settings) CallOff(ctx context.Context, by string) error {
+// CancelRollout takes a running plan back.
+func (x *Settings) CancelRollout(ctx context.Context, by string) error {
 	p, set, err := x.Plan(ctx)
 	if err == nil && p.State != rollout.Running {
 		err = ErrNoRollout
@@ -214,20 +214,20 @@
 		return err
 	}
 	p.State, p.Why = rollout.Back, "called off by "+by
-	return x.change(ctx, &p, set, nil, func(ctx context.Context, t store.Txn) (store.Result, error) {
+	return x.replacePlan(ctx, &p, set, nil, func(ctx context.Context, t store.Txn) (store.Result, error) {
 		return x.store.Do(ctx, store.Command{Txn: &t})
 	})
 }
 
-// change writes a plan in the place of the one with a revision.
-func (x *Settings) change(ctx context.Context, p *rollout.Plan, set uint64, more []store.Op, do func(context.Context, store.Txn) (store.Result, error)) error {
+// replacePlan writes a plan in the place of the one with a revision.
+func (x *Settings) replacePlan(ctx context.Context, p *rollout.Plan, set uint64, more []store.Op, do func(context.Context, store.Txn) (store.Result, error)) error {
 	b, err := json.Marshal(p)
 	if err != nil {
 		return err
 	}
 	ops := append([]store.Op{{Key: keyPlan, Value: b}}, more...)
 	if p.State != rollout.Running {
-		ops = append(ops, store.Op{Key: keyStepped, Delete: true}, store.Op{Key: keyReport, Delete: true, RangeEnd: store.PrefixEnd(keyReport)})
+		ops = append(ops, store.Op{Key: keyPlanSettings, Delete: true}, store.Op{Key: reportPrefix, Delete: true, RangeEnd: store.PrefixEnd(reportPrefix)})
 	}
 	r, err := do(ctx, store.Txn{If: []store.Compare{{Key: keyPlan, ModRevision: set}}, Then: ops})
 	if err == nil && !r.Succeeded {
@@ -236,9 +236,9 @@
 	return err
 }
 
-// Drive takes the plan a step further, or back, if it is time. do makes a transaction that takes effect only while this daemon
+// AdvanceRollout takes the plan a step further, or back, if it is time. do makes a transaction that takes effect only while this daemon
 // holds RolloutTask, with that token.
-func (x *Settings) Drive(ctx context.Context, token uint64, do func(context.Context, store.Txn) (store.Result, error)) error {
+func (x *Settings) AdvanceRollout(ctx context.Context, token uint64, do func(context.Context, store.Txn) (store.Result, error)) error {
 	var p rollout.Plan
 	var set, next uint64
 	var text json.RawMessage
@@ -256,13 +256,13 @@
 		if set, bad = i.ModRevision, json.Unmarshal(i.Value, &p); bad != nil || p.State != rollout.Running {
 			return // a follower's copy has not what others report: it is read while there is a plan
 		}
-		if i, there := s.Get(keyStepped); there {
+		if i, there := s.Get(keyPlanSettings); there {
 			text = i.Value
 		}
-		s.Range(keyReport, store.PrefixEnd(keyReport), func(i store.Item) bool {
+		s.Range(reportPrefix, store.PrefixEnd(reportPrefix), func(i store.Item) bool {
 			var r rollout.Report
 			if json.Unmarshal(i.Value, &r) == nil {
-				reports[strings.TrimPrefix(i.Key, keyReport)] = r
+				reports[strings.TrimPrefix(i.Key, reportPrefix)] = r
 			}
 			return true
 		})
@@ -279,10 +279,10 @@
 	}
 	now := time.Now()
 	x.mu.Lock()
-	if x.steps.seen != set {
-		x.steps.seen, x.steps.seenAt = set, now
+	if x.rollout.observedRevision != set {
+		x.rollout.observedRevision, x.rollout.observedAt = set, now
 	}
-	settled := now.Sub(x.steps.seenAt)
+	settled := now.Sub(x.rollout.observedAt)
 	x.mu.Unlock()
 	var all []string
 	for host := range fleet {
@@ -299,20 +299,20 @@
 	case verdict == rollout.TakeBack:
 		p.State, p.Why = rollout.Back, fmt.Sprintf("step %v: %s", p.Steps[p.Step], why)
 		x.log.Warn("settings are taken back", "step", p.Steps[p.Step], "why", why)
-		return x.change(ctx, &p, set, nil, do)
+		return x.replacePlan(ctx, &p, set, nil, do)
 	case p.Step < len(p.Steps)-1:
 		p.Step++
 		p.Hosts, p.Why = rollout.Selected(p.Steps[p.Step], all, p.ID), why
 		x.log.Info("settings go a step further", "step", p.Steps[p.Step], "daemons", len(p.Hosts), "because", why)
-		return x.change(ctx, &p, set, nil, do)
+		return x.replacePlan(ctx, &p, set, nil, do)
 	}
 	p.State, p.Why = rollout.Done, why
 	v := Version{Version: next, Settings: text, By: p.By, Note: p.Note, At: time.Now().UTC().Truncate(time.Second)}
-	ops, err := v.ops()
+	ops, err := v.commitOps()
 	if err != nil {
 		return err
 	}
-	return x.change(ctx, &p, set, ops, func(ctx context.Context, t store.Txn) (store.Result, error) {
+	return x.replacePlan(ctx, &p, set, ops, func(ctx context.Context, t store.Txn) (store.Result, error) {
 		t.If = append(t.If, store.Compare{Key: keyCurrent, ModRevision: old.ModRevision})
 		return do(ctx, t)
 	})
--- a/internal/controlplane/daemon/servers.go
+++ b/internal/controlplane/daemon/servers.go
@@ -14,7 +14,7 @@
 	"birchmoor/internal/store/serverstate"
 )
 
-const picturesWait = 3 * time.Second // for a replica's pictures, when people ask
+const snapshotsReadTimeout = 3 * time.Second // for a replica's pictures, when people ask
 
 // ServerFact is one thing that is known of a server, from whom and how old.
 type ServerFact struct {
@@ -38,8 +38,8 @@
 	*Starts
 	*StateSnapshots
 
-	mu    sync.Mutex
-	began StartupState
+	mu      sync.Mutex
+	startup StartupState
 }
 
 // NewServers returns those of the daemon of a name.
@@ -47,8 +47,8 @@
 	return &Servers{AdminDrains: NewAdminDrains(name, log), Drains: NewDrains(name, log), Starts: NewStarts(name, log), StateSnapshots: NewStateSnapshots(name, log)}
 }
 
-// Parts are those of a Daemon.
-func (s *Servers) Parts() []Component {
+// Components are those of a Daemon.
+func (s *Servers) Components() []Component {
 	return []Component{s.AdminDrains, s.Drains, s.Starts, s.StateSnapshots}
 }
 
@@ -67,7 +67,7 @@
 	var all []ServerFact
 	for _, o := range s.Exclusions() {
 		f := ServerFact{ID: o.Server, What: "banned", By: o.By, AgeMs: o.AgeMs, Agreed: o.Agreed}
-		if p, ok := drainOf(serverstate.ExclusionKey(o.Kind, o.Server)); ok {
+		if p, ok := parseDrainKey(serverstate.ExclusionKey(o.Kind, o.Server)); ok {
 			f.ID, f.Addr, f.StartedMs, f.What = p.ID, p.Addr, p.StartedMs, "drains"
 		}
 		all = append(all, f)
@@ -82,16 +82,16 @@
 // facts adds up what the pictures tell: by whom a server is known, and held to be cold.
 func (k *StateSnapshots) facts(ctx context.Context) []ServerFact {
 	k.mu.Lock()
-	pictures, alone, now := maps.Clone(k.all), k.part, k.now(time.Now())
+	pictures, alone, now := maps.Clone(k.snapshots), k.partial, k.now(time.Now())
 	k.mu.Unlock()
 	if alone && ctx != nil {
-		found := map[string]picture{}
-		wait, cancel := context.WithTimeout(ctx, picturesWait)
+		found := map[string]storedSnapshot{}
+		wait, cancel := context.WithTimeout(ctx, snapshotsReadTimeout)
 		defer cancel()
 		if _, err := k.store.View(wait, false, func(s *store.State) {
 			clear(found)
 			s.Range(serverstate.SnapshotPrefix, store.PrefixEnd(serverstate.SnapshotPrefix), func(i store.Item) bool {
-				found[i.Key] = picture{value: i.Value, at: pictures[i.Key].at}
+				found[i.Key] = storedSnapshot{value: i.Value, putAt: pictures[i.Key].putAt}
 				return true
 			})
 		}); err == nil {
@@ -114,8 +114,8 @@
 			continue
 		}
 		age := int64(-1)
-		if p.at != 0 {
-			age = (now - p.at) / 1e6
+		if p.putAt != 0 {
+			age = (now - p.putAt) / 1e6
 		}
 		for i, e := range shown.State.Endpoints {
 			s := server{id: shown.Names[i], start: e.StartTime / 1000, what: "known"}
@@ -165,15 +165,15 @@
 	Age      time.Duration `json:"age_ns"`
 }
 
-// Opened notes what this daemon started with, and whether that has settings. written is when its disk was, zero if there was none.
-func (s *Servers) Opened(from string, revision uint64, written time.Time, settings bool) {
+// RecordStartup notes what this daemon started with, and whether that has settings. written is when its disk was, zero if there was none.
+func (s *Servers) RecordStartup(from string, revision uint64, written time.Time, settings bool) {
 	b := StartupState{From: from, Revision: revision, Out: len(s.Exclusions()), Starts: s.Starts.count(), Settings: settings}
-	b.Pictures, _ = s.StateSnapshots.held()
+	b.Pictures, _ = s.StateSnapshots.size()
 	if !written.IsZero() {
 		b.Age = time.Since(written).Round(time.Millisecond).String()
 	}
 	s.mu.Lock()
-	s.began = b
+	s.startup = b
 	s.mu.Unlock()
 	s.AdminDrains.log.Info("what the store knows at the start", "from", from, "revision", revision, "out", b.Out, "starts", b.Starts,
 		"pictures", b.Pictures, "age", b.Age)
@@ -183,8 +183,8 @@
 func (s *Servers) StartupState() StartupState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	b := s.began
-	b.Recalled = s.StateSnapshots.recalls()
+	b := s.startup
+	b.Recalled = s.StateSnapshots.restoredStates()
 	return b
 }
 
@@ -199,7 +199,7 @@
 
 // Counts returns it.
 func (s *Servers) Counts() Counts {
-	k := Counts{Out: len(s.Exclusions()), Starts: s.Starts.count(), Owed: len(s.AdminDrains.writes) + len(s.Drains.writes) + len(s.Starts.writes)}
-	k.Pictures, k.Bytes = s.StateSnapshots.held()
+	k := Counts{Out: len(s.Exclusions()), Starts: s.Starts.count(), Owed: len(s.AdminDrains.pending) + len(s.Drains.pending) + len(s.Starts.pending)}
+	k.Pictures, k.Bytes = s.StateSnapshots.size()
 	return k
 }
--- a/internal/controlplane/daemon/settings.go
+++ b/internal/controlplane/daemon/settings.go
@@ -23,14 +23,14 @@
 
 // Keys of the settings.
 const (
-	keyCurrent    = "config/current"
-	keyCandidate  = "config/candidate"
-	keyHistory    = "config/history/"
-	keyVerdict    = "config/verdict/"
-	verdictWait   = 5 * time.Second
-	historyKept   = 100
-	candidateFor  = 30 * time.Second
-	verdictOfNone = "no sidecar here"
+	keyCurrent     = "config/current"
+	keyCandidate   = "config/candidate"
+	historyPrefix  = "config/history/"
+	verdictPrefix  = "config/verdict/"
+	verdictTimeout = 5 * time.Second
+	maxVersions    = 100
+	candidateTTL   = 30 * time.Second
+	noSidecarNote  = "no sidecar here"
 )
 
 // ErrVersionNotFound says that settings have no such version.
@@ -49,16 +49,16 @@
 	wake   chan struct{}
 	reload chan os.Signal
 
-	mu      sync.Mutex
-	current json.RawMessage // or nil
-	version uint64          // its revision
-	pending *candidate      // to be checked
-	steps   stepping
+	mu              sync.Mutex
+	current         json.RawMessage // or nil
+	currentRevision uint64          // its revision
+	pending         *candidate      // to be checked
+	rollout         rolloutState
 }
 
 type candidate struct {
-	id   uint64 // its revision
-	text json.RawMessage
+	revision uint64 // its revision
+	settings json.RawMessage
 }
 
 // NewSettings returns those of the daemon of a name.
@@ -73,8 +73,8 @@
 func (x *Settings) Current() json.RawMessage {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.steps.plan.Runs(x.name) && x.steps.text != nil {
-		return x.steps.text
+	if x.rollout.plan.Runs(x.name) && x.rollout.settings != nil {
+		return x.rollout.settings
 	}
 	return x.current
 }
@@ -85,7 +85,7 @@
 // Subscription is of Needy: what is in force or comes in force in steps. Candidates are for replicas to judge, and older versions and what
 // others report for those who ask.
 func (x *Settings) Subscription() changefeed.Subscription {
-	kept := store.Interest{Keys: []string{keyCurrent, keyPlan, keyStepped}}
+	kept := store.Interest{Keys: []string{keyCurrent, keyPlan, keyPlanSettings}}
 	of := kept.Union(store.Interest{Keys: []string{ReportKey(x.name)}})
 	return changefeed.Subscription{Of: &of, Kept: kept}
 }
@@ -95,7 +95,7 @@
 	if strings.HasPrefix(e.Item.Key, ConfigPrefix) {
 		x.mu.Lock()
 		defer x.mu.Unlock()
-		x.take(e.Item, e.Deleted)
+		x.applyItem(e.Item, e.Deleted)
 	}
 }
 
@@ -105,7 +105,7 @@
 	defer x.mu.Unlock()
 	for _, key := range []string{keyCurrent, keyCandidate} {
 		if i, ok := s.Get(key); ok {
-			x.take(i, false)
+			x.applyItem(i, false)
 		}
 	}
 	x.resetPlan(s)
@@ -113,54 +113,54 @@
 
 // Run is of Part: it checks candidates, and tells how a plan goes here.
 func (x *Settings) Run(ctx context.Context) {
-	t := time.NewTicker(reportEvery)
+	t := time.NewTicker(minReportInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-x.wake:
-			x.judge(ctx)
+			x.checkCandidate(ctx)
 		case <-t.C:
 		}
-		x.report(ctx)
+		x.reportProgress(ctx)
 	}
 }
 
-// poke has Run look at what is new. signal has the sidecar read its settings anew.
-func (x *Settings) poke() {
+// wakeUp has Run look at what is new. signal has the sidecar read its settings anew.
+func (x *Settings) wakeUp() {
 	select {
 	case x.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (x *Settings) signal() {
+func (x *Settings) notifyReload() {
 	select {
 	case x.reload <- syscall.SIGHUP:
 	default: // one is owed already, and will read the newest
 	}
 }
 
-// take takes a change of one of its keys.
-func (x *Settings) take(i store.Item, deleted bool) {
+// applyItem takes a change of one of its keys.
+func (x *Settings) applyItem(i store.Item, deleted bool) {
 	switch i.Key {
 	case keyCurrent:
-		if i.ModRevision <= x.version && !deleted {
+		if i.ModRevision <= x.currentRevision && !deleted {
 			return
 		}
-		x.current, x.version = i.Value, i.ModRevision
+		x.current, x.currentRevision = i.Value, i.ModRevision
 		if deleted {
 			x.current = nil
 		}
-		x.signal()
+		x.notifyReload()
 	case keyCandidate:
 		if x.pending = nil; !deleted {
 			x.pending = &candidate{i.ModRevision, i.Value}
-			x.poke()
+			x.wakeUp()
 		}
 	default:
-		x.takePlan(i, deleted)
+		x.applyPlanItem(i, deleted)
 	}
 }
 
@@ -171,8 +171,8 @@
 	Note      string `json:"note,omitempty"`
 }
 
-// judge checks the candidate, if there is one, and says so.
-func (x *Settings) judge(ctx context.Context) {
+// checkCandidate checks the candidate, if there is one, and says so.
+func (x *Settings) checkCandidate(ctx context.Context) {
 	x.mu.Lock()
 	c := x.pending
 	x.pending = nil
@@ -180,21 +180,21 @@
 	if c == nil {
 		return
 	}
-	v := verdict{Candidate: c.id}
+	v := verdict{Candidate: c.revision}
 	if x.check == nil {
-		v.Note = verdictOfNone
-	} else if err := x.check(c.text); err != nil {
+		v.Note = noSidecarNote
+	} else if err := x.check(c.settings); err != nil {
 		v.Error = err.Error()
 	}
 	b, err := json.Marshal(v)
 	if err != nil {
 		return
 	}
-	wait, cancel := context.WithTimeout(ctx, writeWait)
+	wait, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	if _, err := x.store.Do(wait, store.Command{Txn: &store.Txn{
-		If:   []store.Compare{{Key: keyCandidate, ModRevision: c.id}},
-		Then: []store.Op{{Key: keyVerdict + x.name, Value: b}}}}); err != nil {
+		If:   []store.Compare{{Key: keyCandidate, ModRevision: c.revision}},
+		Then: []store.Op{{Key: verdictPrefix + x.name, Value: b}}}}); err != nil {
 		x.log.Warn("a verdict on settings was not told", "error", err)
 	}
 }
@@ -209,9 +209,9 @@
 	Revision uint64          `json:"revision,omitempty"`
 }
 
-// candidate has settings checked by every replica, and returns the revision of the candidate that they agreed on. It is to be
+// proposeCandidate has settings checked by every replica, and returns the revision of the candidate that they agreed on. It is to be
 // deleted by the change that puts it in force; one of a daemon that went away goes with its lease.
-func (x *Settings) candidate(ctx context.Context, settings json.RawMessage) (id uint64, err error) {
+func (x *Settings) proposeCandidate(ctx context.Context, settings json.RawMessage) (id uint64, err error) {
 	if !json.Valid(settings) {
 		return 0, errors.New("settings: not JSON")
 	}
@@ -220,19 +220,19 @@
 			return 0, err
 		}
 	}
-	held, err := x.store.Do(ctx, store.Command{GrantLease: &store.GrantLease{TTLMillis: uint64(candidateFor.Milliseconds())}})
+	held, err := x.store.Do(ctx, store.Command{GrantLease: &store.GrantLease{TTLMillis: uint64(candidateTTL.Milliseconds())}})
 	if err != nil {
 		return 0, err
 	}
 	r, err := x.store.Do(ctx, store.Command{Txn: &store.Txn{If: []store.Compare{{Key: keyCandidate}},
-		Then: []store.Op{{Key: keyVerdict, Delete: true, RangeEnd: store.PrefixEnd(keyVerdict)}, {Key: keyCandidate, Value: settings, LeaseID: held.LeaseID}}}})
+		Then: []store.Op{{Key: verdictPrefix, Delete: true, RangeEnd: store.PrefixEnd(verdictPrefix)}, {Key: keyCandidate, Value: settings, LeaseID: held.LeaseID}}}})
 	if err == nil && !r.Succeeded {
 		err = errors.New("other settings are being put")
 	}
 	if err != nil {
 		return 0, err
 	}
-	if err := x.verdicts(ctx, r.Revision, r.Revision); err != nil {
+	if err := x.awaitVerdicts(ctx, r.Revision, r.Revision); err != nil {
 		_, end := x.store.Do(ctx, store.Command{RevokeLease: &store.RevokeLease{LeaseID: held.LeaseID}})
 		return 0, errors.Join(err, end)
 	}
@@ -242,8 +242,8 @@
 // nextVersion is the number of the next version, and what is in force.
 func nextVersion(s *store.State) (next uint64, now store.Item) {
 	next = 1
-	s.Range(keyHistory, store.PrefixEnd(keyHistory), func(i store.Item) bool {
-		n, _ := strconv.ParseUint(strings.TrimPrefix(i.Key, keyHistory), 10, 64)
+	s.Range(historyPrefix, store.PrefixEnd(historyPrefix), func(i store.Item) bool {
+		n, _ := strconv.ParseUint(strings.TrimPrefix(i.Key, historyPrefix), 10, 64)
 		next = max(next, n+1)
 		return true
 	})
@@ -251,26 +251,26 @@
 	return next, now
 }
 
-// ops put a version in force, and let the oldest go.
-func (v Version) ops() ([]store.Op, error) {
+// commitOps put a version in force, and let the oldest go.
+func (v Version) commitOps() ([]store.Op, error) {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return nil, err
 	}
 	ops := []store.Op{{Key: keyCurrent, Value: v.Settings}, {Key: historyKey(v.Version), Value: b}}
-	if v.Version > historyKept {
-		ops = append(ops, store.Op{Key: historyKey(0), Delete: true, RangeEnd: historyKey(v.Version - historyKept + 1)})
+	if v.Version > maxVersions {
+		ops = append(ops, store.Op{Key: historyKey(0), Delete: true, RangeEnd: historyKey(v.Version - maxVersions + 1)})
 	}
 	return ops, nil
 }
 
 // Put has settings checked by every replica and, if all agree, commits them as the next version. It returns that.
 func (x *Settings) Put(ctx context.Context, settings json.RawMessage, note string) (Version, error) {
-	plan, err := x.noPlan(ctx)
+	plan, err := x.finishedPlanRevision(ctx)
 	if err != nil {
 		return Version{}, err
 	}
-	id, err := x.candidate(ctx, settings)
+	id, err := x.proposeCandidate(ctx, settings)
 	if err != nil {
 		return Version{}, err
 	}
@@ -280,11 +280,11 @@
 		return Version{}, err
 	}
 	v := Version{Version: next, Settings: settings, By: x.name, Note: note, At: time.Now().UTC().Truncate(time.Second)}
-	ops, err := v.ops()
+	ops, err := v.commitOps()
 	if err != nil {
 		return Version{}, err
 	}
-	ops = append(ops, store.Op{Key: keyCandidate, Delete: true}, store.Op{Key: keyVerdict, Delete: true, RangeEnd: store.PrefixEnd(keyVerdict)})
+	ops = append(ops, store.Op{Key: keyCandidate, Delete: true}, store.Op{Key: verdictPrefix, Delete: true, RangeEnd: store.PrefixEnd(verdictPrefix)})
 	r, err := x.store.Do(ctx, store.Command{Txn: &store.Txn{If: []store.Compare{{Key: keyCandidate, ModRevision: id},
 		{Key: keyCurrent, ModRevision: old.ModRevision}, {Key: keyPlan, ModRevision: plan}}, Then: ops}})
 	if err == nil && !r.Succeeded {
@@ -294,15 +294,15 @@
 	return v, err
 }
 
-func historyKey(n uint64) string { return fmt.Sprintf("%s%012d", keyHistory, n) }
+func historyKey(n uint64) string { return fmt.Sprintf("%s%012d", historyPrefix, n) }
 
-// verdicts waits for every member's word on a candidate.
-func (x *Settings) verdicts(ctx context.Context, id, after uint64) error {
+// awaitVerdicts waits for every member's word on a candidate.
+func (x *Settings) awaitVerdicts(ctx context.Context, id, after uint64) error {
 	var members []store.Member
 	if _, err := x.store.View(ctx, false, func(s *store.State) { members = s.Members() }); err != nil {
 		return err
 	}
-	wait, cancel := context.WithTimeout(ctx, verdictWait)
+	wait, cancel := context.WithTimeout(ctx, verdictTimeout)
 	defer cancel()
 	missing := map[string]bool{}
 	for _, m := range members {
@@ -310,7 +310,7 @@
 	}
 	var faults []error
 	for len(missing) > 0 {
-		events, to, err := x.store.Next(wait, keyVerdict, after, 64)
+		events, to, err := x.store.Next(wait, verdictPrefix, after, 64)
 		if err != nil {
 			if wait.Err() != nil {
 				var names []string
@@ -319,14 +319,14 @@
 				}
 				slices.Sort(names)
 				return errors.Join(append(faults, fmt.Errorf("no verdict from %s within %v: nothing was changed",
-					strings.Join(names, ", "), verdictWait))...)
+					strings.Join(names, ", "), verdictTimeout))...)
 			}
 			return err
 		}
 		after = to
 		for _, e := range events {
 			var v verdict
-			name := strings.TrimPrefix(e.Item.Key, keyVerdict)
+			name := strings.TrimPrefix(e.Item.Key, verdictPrefix)
 			if e.Deleted || json.Unmarshal(e.Item.Value, &v) != nil || v.Candidate != id || !missing[name] {
 				continue
 			}
@@ -345,7 +345,7 @@
 	var bad error
 	_, err := x.store.View(ctx, false, func(s *store.State) {
 		all, bad = nil, nil
-		s.Range(keyHistory, store.PrefixEnd(keyHistory), func(i store.Item) bool {
+		s.Range(historyPrefix, store.PrefixEnd(historyPrefix), func(i store.Item) bool {
 			var v Version
 			if err := json.Unmarshal(i.Value, &v); err != nil {
 				bad = fmt.Errorf("%s: %w", i.Key, err)
--- a/internal/controlplane/daemon/memory.go
+++ b/internal/controlplane/daemon/snapshots.go
@@ -18,100 +18,100 @@
 // What the decision modules know is kept in the store, so that a host that lost its disk, or a new one, does not start blind.
 // Each sidecar puts its own picture, as often as the bytes of all allow (policy.PictureWait); one that nobody has put for
 // picturesKept is ended by whoever finds it.
-const picturesKept = 10 * time.Minute
+const snapshotRetention = 10 * time.Minute
 
 // StateSnapshots is what the decision modules of all know, as the store keeps it: their pictures. It is a Part; any goroutine may use it.
 type StateSnapshots struct {
-	desk
-	turns    *serverstate.ReportScheduler // for their ends alone
-	all      map[string]picture
-	bytes    int
-	proved   int64 // when a quorum last confirmed the copy; 0: not since the start
-	recalled []RestoredState
+	outbox
+	schedule    *serverstate.ReportScheduler // for their ends alone
+	snapshots   map[string]storedSnapshot
+	bytes       int
+	confirmedAt int64 // when a quorum last confirmed the copy; 0: not since the start
+	restored    []RestoredState
 
-	own    []string         // prefixes of this daemon's sidecar's pictures
-	seen   bool             // there was a copy
-	begun  bool             // the sidecar serves: others' pictures have done their part
-	sweeps int              // this daemon ends for all what nobody puts any more
-	part   bool             // the copy does not hold all pictures:
-	sum    store.PrefixSize // there are so many
+	ownPrefixes []string         // prefixes of this daemon's sidecar's pictures
+	hasCopy     bool             // there was a copy
+	serving     bool             // the sidecar serves: others' pictures have done their part
+	sweepers    int              // this daemon ends for all what nobody puts any more
+	partial     bool             // the copy does not hold all pictures:
+	storedSize  store.PrefixSize // there are so many
 }
 
-type picture struct {
-	value  []byte
-	at     int64 // when it was put at the earliest, by this daemon's clock; 0: not known
-	agreed uint64
+type storedSnapshot struct {
+	value    []byte
+	putAt    int64 // when it was put at the earliest, by this daemon's clock; 0: not known
+	revision uint64
 }
 
 // NewStateSnapshots returns that of the daemon of a name.
 func NewStateSnapshots(name string, log *slog.Logger) *StateSnapshots {
-	return &StateSnapshots{desk: newDesk(name, log), all: map[string]picture{}, turns: serverstate.NewReportScheduler(name, serverstate.ReportSchedule{Spread: 1, Keep: int64(picturesKept)})}
+	return &StateSnapshots{outbox: newOutbox(name, log), snapshots: map[string]storedSnapshot{}, schedule: serverstate.NewReportScheduler(name, serverstate.ReportSchedule{Spread: 1, Keep: int64(snapshotRetention)})}
 }
 
-// Own says whose pictures are this daemon's own: those of its sidecar. It is called before the copy is opened, and by Keep.
-func (k *StateSnapshots) Own(sidecar string) {
+// AddSidecar says whose pictures are this daemon's own: those of its sidecar. It is called before the copy is opened, and by Keep.
+func (k *StateSnapshots) AddSidecar(sidecar string) {
 	k.mu.Lock()
-	if prefix := serverstate.SnapshotPrefixOf(sidecar); !slices.Contains(k.own, prefix) {
-		k.own = append(k.own, prefix)
+	if prefix := serverstate.SnapshotPrefixOf(sidecar); !slices.Contains(k.ownPrefixes, prefix) {
+		k.ownPrefixes = append(k.ownPrefixes, prefix)
 	}
 	s := k.store
 	k.mu.Unlock()
-	rescope(s)
+	updateInterest(s)
 }
 
 // Subscription is of Needy. Others' pictures are of use to a sidecar that begins without one of its own, and to who ends them.
 func (k *StateSnapshots) Subscription() changefeed.Subscription {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	own := store.Interest{Prefixes: k.own}
+	own := store.Interest{Prefixes: k.ownPrefixes}
 	n := changefeed.Subscription{Of: &own, Kept: own}
-	if len(k.own) > 0 {
+	if len(k.ownPrefixes) > 0 {
 		n.Sums = []string{serverstate.SnapshotPrefix}
 	}
 	all := store.Interest{Prefixes: []string{serverstate.SnapshotPrefix}}
-	if len(k.own) > 0 && k.seen && !k.begun && !k.has() {
+	if len(k.ownPrefixes) > 0 && k.hasCopy && !k.serving && !k.hasOwn() {
 		n.Of, n.Kept = &all, all
 	}
-	if k.sweeps > 0 {
+	if k.sweepers > 0 {
 		n.Of = &all
 	}
 	return n
 }
 
-// has says whether there is a picture of its own. The lock is held.
-func (k *StateSnapshots) has() bool {
-	for key := range k.all {
-		if slices.ContainsFunc(k.own, func(p string) bool { return strings.HasPrefix(key, p) }) {
+// hasOwn says whether there is a picture of its own. The lock is held.
+func (k *StateSnapshots) hasOwn() bool {
+	for key := range k.snapshots {
+		if slices.ContainsFunc(k.ownPrefixes, func(p string) bool { return strings.HasPrefix(key, p) }) {
 			return true
 		}
 	}
 	return false
 }
 
-// Sum is of Summed.
-func (k *StateSnapshots) Sum(prefix string, n store.PrefixSize) {
+// ObservePrefixSize is of Summed.
+func (k *StateSnapshots) ObservePrefixSize(prefix string, n store.PrefixSize) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if prefix == serverstate.SnapshotPrefix && k.part {
-		k.sum = n
+	if prefix == serverstate.SnapshotPrefix && k.partial {
+		k.storedSize = n
 	}
 }
 
-// Sweeps says that this daemon ends for all what nobody puts any more, until ctx ends: it needs all of it.
-func (k *StateSnapshots) Sweeps(ctx context.Context) {
+// SubscribeAll says that this daemon ends for all what nobody puts any more, until ctx ends: it needs all of it.
+func (k *StateSnapshots) SubscribeAll(ctx context.Context) {
 	add := func(n int) {
 		k.mu.Lock()
-		k.sweeps += n
+		k.sweepers += n
 		s := k.store
 		k.mu.Unlock()
-		rescope(s)
+		updateInterest(s)
 	}
 	add(1)
 	context.AfterFunc(ctx, func() { add(-1) })
 }
 
-// holdsPart says whether a copy does not hold all keys with a prefix.
-func holdsPart(s *store.State, prefix string) bool {
+// isPartial says whether a copy does not hold all keys with a prefix.
+func isPartial(s *store.State, prefix string) bool {
 	of := s.Interest()
 	return of != nil && !of.CoversPrefix(prefix)
 }
@@ -123,16 +123,16 @@
 func (k *StateSnapshots) Confirmed(ago time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.proved = max(k.proved, k.now(time.Now())-int64(ago))
+	k.confirmedAt = max(k.confirmedAt, k.now(time.Now())-int64(ago))
 }
 
-func (k *StateSnapshots) set(key string, p picture, gone bool) {
-	if was, ok := k.all[key]; ok {
+func (k *StateSnapshots) set(key string, p storedSnapshot, gone bool) {
+	if was, ok := k.snapshots[key]; ok {
 		k.bytes -= len(was.value)
-		delete(k.all, key)
+		delete(k.snapshots, key)
 	}
 	if !gone {
-		k.all[key] = p
+		k.snapshots[key] = p
 		k.bytes += len(p.value)
 	}
 }
@@ -144,38 +144,38 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.set(e.Item.Key, picture{e.Item.Value, k.proved, e.Revision}, e.Deleted)
-	k.turns.Told(k.now(time.Now()), e.Item.Key, e.Revision, e.Deleted)
+	k.set(e.Item.Key, storedSnapshot{e.Item.Value, k.confirmedAt, e.Revision}, e.Deleted)
+	k.schedule.Told(k.now(time.Now()), e.Item.Key, e.Revision, e.Deleted)
 }
 
 // Reset is of Part.
 func (k *StateSnapshots) Reset(s *store.State) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.seen, k.part = true, holdsPart(s, serverstate.SnapshotPrefix); !k.part {
-		k.sum = store.PrefixSize{}
+	if k.hasCopy, k.partial = true, isPartial(s, serverstate.SnapshotPrefix); !k.partial {
+		k.storedSize = store.PrefixSize{}
 	}
-	for key := range k.all {
+	for key := range k.snapshots {
 		if _, ok := s.Get(key); !ok {
-			k.set(key, picture{}, true)
+			k.set(key, storedSnapshot{}, true)
 		}
 	}
 	s.Range(serverstate.SnapshotPrefix, store.PrefixEnd(serverstate.SnapshotPrefix), func(i store.Item) bool {
-		if k.all[i.Key].agreed != i.ModRevision {
-			k.set(i.Key, picture{i.Value, 0, i.ModRevision}, false)
+		if k.snapshots[i.Key].revision != i.ModRevision {
+			k.set(i.Key, storedSnapshot{i.Value, 0, i.ModRevision}, false)
 		}
 		return true
 	})
-	k.turns.Found(k.now(time.Now()), wordsOf(s, serverstate.SnapshotPrefix))
+	k.schedule.Found(k.now(time.Now()), revisionsWithPrefix(s, serverstate.SnapshotPrefix))
 }
 
 // Expired is of Sweeper: it ends those that nobody has put for long.
 func (k *StateSnapshots) Expired(now time.Time) (ends []*store.Txn) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	_, over := k.turns.Due(k.now(now))
+	_, over := k.schedule.Due(k.now(now))
 	for _, key := range over {
-		ends = append(ends, &store.Txn{If: []store.Compare{{Key: key, ModRevision: k.all[key].agreed}}, Then: []store.Op{{Key: key, Delete: true}}})
+		ends = append(ends, &store.Txn{If: []store.Compare{{Key: key, ModRevision: k.snapshots[key].revision}}, Then: []store.Op{{Key: key, Delete: true}}})
 	}
 	return ends
 }
@@ -185,7 +185,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.now(time.Now())
-	for key, p := range k.all {
+	for key, p := range k.snapshots {
 		of, its, ok := serverstate.ParseSnapshotKey(key)
 		if !ok || its != protocol {
 			continue
@@ -202,8 +202,8 @@
 		c := recovery.Candidate{From: "the store: " + of, Kept: kept, Own: of == sidecar}
 		here := snapshot.Now()
 		switch {
-		case p.at != 0:
-			c.Age, c.Sure = (now-p.at)/1000, true
+		case p.putAt != 0:
+			c.Age, c.Sure = (now-p.putAt)/1000, true
 		default:
 			c.Age, c.Sure = here.Since(kept.Clock), here.Boot != "" && here.Boot == kept.Clock.Boot
 		}
@@ -216,43 +216,43 @@
 func (k *StateSnapshots) RecordRestore(protocol string, c recovery.Choice, servers int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.recalled = append(k.recalled, RestoredState{protocol, c.From, c.Of, servers, time.Duration(c.Age) * time.Microsecond})
+	k.restored = append(k.restored, RestoredState{protocol, c.From, c.Of, servers, time.Duration(c.Age) * time.Microsecond})
 }
 
-// recalls lists them.
-func (k *StateSnapshots) recalls() []RestoredState {
+// restoredStates lists them.
+func (k *StateSnapshots) restoredStates() []RestoredState {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return slices.Clone(k.recalled)
+	return slices.Clone(k.restored)
 }
 
-// held is how many there are, and their bytes.
-func (k *StateSnapshots) held() (n, bytes int) {
+// size is how many there are, and their bytes.
+func (k *StateSnapshots) size() (n, bytes int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return len(k.all), k.bytes
+	return len(k.snapshots), k.bytes
 }
 
-// PictureAges are those that this daemon saw come: how long ago.
-func (k *StateSnapshots) PictureAges() map[string]time.Duration {
+// SnapshotAges are those that this daemon saw come: how long ago.
+func (k *StateSnapshots) SnapshotAges() map[string]time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now, all := k.now(time.Now()), map[string]time.Duration{}
-	for key, p := range k.all {
-		if p.at != 0 {
-			all[key] = time.Duration(now - p.at)
+	for key, p := range k.snapshots {
+		if p.putAt != 0 {
+			all[key] = time.Duration(now - p.putAt)
 		}
 	}
 	return all
 }
 
-// PictureAge takes the word of another daemon's clock on how long ago a picture was put, where this one did not see it come.
-func (k *StateSnapshots) PictureAge(key string, age time.Duration) {
+// ReportSnapshotAge takes the word of another daemon's clock on how long ago a picture was put, where this one did not see it come.
+func (k *StateSnapshots) ReportSnapshotAge(key string, age time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if p, ok := k.all[key]; ok && p.at == 0 && age >= 0 {
-		p.at = k.now(time.Now()) - int64(age)
-		k.all[key] = p
+	if p, ok := k.snapshots[key]; ok && p.putAt == 0 && age >= 0 {
+		p.putAt = k.now(time.Now()) - int64(age)
+		k.snapshots[key] = p
 	}
 }
 
@@ -261,13 +261,13 @@
 	key := serverstate.SnapshotKey(sidecar, protocol)
 	failing := false
 	k.mu.Lock()
-	k.begun = true
+	k.serving = true
 	k.mu.Unlock()
-	k.Own(sidecar)
+	k.AddSidecar(sidecar)
 	for {
 		k.mu.Lock()
-		wait := time.Duration(serverstate.SnapshotInterval(max(k.bytes, k.sum.Bytes)))
-		if k.part && !k.has() {
+		wait := time.Duration(serverstate.SnapshotInterval(max(k.bytes, k.storedSize.Bytes)))
+		if k.partial && !k.hasOwn() {
 			wait = time.Duration(serverstate.SnapshotInterval(0)) // until then a start would find nothing of its own
 		}
 		k.mu.Unlock()
@@ -279,7 +279,7 @@
 		if paused() {
 			continue
 		}
-		err := k.keep(ctx, key, take)
+		err := k.save(ctx, key, take)
 		if err != nil && ctx.Err() == nil && !failing && !errors.Is(err, store.ErrLevel) {
 			k.log.Warn("the store does not keep what is known here", "key", key, "error", err)
 		}
@@ -287,13 +287,13 @@
 	}
 }
 
-// keep puts one.
-func (k *StateSnapshots) keep(ctx context.Context, key string, take func(context.Context) ([]byte, error)) error {
+// save puts one.
+func (k *StateSnapshots) save(ctx context.Context, key string, take func(context.Context) ([]byte, error)) error {
 	known, err := take(ctx)
 	if err != nil {
 		return err
 	}
-	c, cancel := context.WithTimeout(ctx, writeWait)
+	c, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	_, err = k.store.Do(c, store.Command{Txn: serverstate.ModuleSnapshot{By: k.name, Known: known}.Put(key)})
 	return err
--- a/internal/controlplane/daemon/starts.go
+++ b/internal/controlplane/daemon/starts.go
@@ -15,30 +15,30 @@
 // That a process of a server began is told like a drain: all hear it, one writes it. It is never told again, for it says
 // itself until when it matters, and then any daemon ends it. Until all voters know level 2 of commands nothing is written.
 const (
-	startSpread = 200 * time.Millisecond
-	startsMost  = serverstate.MaxStarts
+	startReportSpread = 200 * time.Millisecond
+	maxStarts         = serverstate.MaxStarts
 )
 
 // Starts are the processes of servers that began of late, by any daemon's word. It is a Part; any goroutine may use it.
 type Starts struct {
-	desk
-	words *serverstate.Starts
-	turns *serverstate.ReportScheduler
-	bind  func(ctx context.Context, s core.Start) error
-	dirty map[serverstate.Process]bool // that the sidecar is to be told of
+	outbox
+	reports  *serverstate.Starts
+	schedule *serverstate.ReportScheduler
+	bind     func(ctx context.Context, s core.Start) error
+	dirty    map[serverstate.Process]bool // that the sidecar is to be told of
 }
 
 // NewStarts returns those of the daemon of a name.
 func NewStarts(name string, log *slog.Logger) *Starts {
-	return &Starts{desk: newDesk(name, log), words: serverstate.NewStarts(name, startsMost), dirty: map[serverstate.Process]bool{},
-		turns: serverstate.NewReportScheduler(name, serverstate.ReportSchedule{Spread: int64(startSpread), Keep: 1 << 62, Most: startsMost})}
+	return &Starts{outbox: newOutbox(name, log), reports: serverstate.NewStarts(name, maxStarts), dirty: map[serverstate.Process]bool{},
+		schedule: serverstate.NewReportScheduler(name, serverstate.ReportSchedule{Spread: int64(startReportSpread), Keep: 1 << 62, Most: maxStarts})}
 }
 
 // Run is of Part.
 func (d *Starts) Run(ctx context.Context) {
-	d.work(ctx, func() {}, func(ctx context.Context) {
-		d.speak(time.Now())
-		d.tell(ctx)
+	d.run(ctx, func() {}, func(ctx context.Context) {
+		d.enqueueDue(time.Now())
+		d.bindDirty(ctx)
 	})
 }
 
@@ -47,10 +47,10 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now(time.Now())
-	if !d.words.See(now, serverstate.Process(p), int64(ago), int64(cold)) {
+	if !d.reports.See(now, serverstate.Process(p), int64(ago), int64(cold)) {
 		return
 	}
-	due, _ := d.turns.Hear(now, serverstate.StartKey(serverstate.Process(p)))
+	due, _ := d.schedule.Hear(now, serverstate.StartKey(serverstate.Process(p)))
 	d.wakeAt(due, now)
 }
 
@@ -59,7 +59,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var all []core.Start
-	d.words.Cold(d.now(time.Now()), func(p serverstate.Process, ago, _ int64, _ string, _ bool) {
+	d.reports.Cold(d.now(time.Now()), func(p serverstate.Process, ago, _ int64, _ string, _ bool) {
 		all = append(all, core.Start{Process: discovery.Process(p), Ago: time.Duration(ago)})
 	})
 	return all
@@ -70,11 +70,11 @@
 	d.mu.Lock()
 	d.bind = begun
 	d.mu.Unlock()
-	d.poke()
+	d.wakeUp()
 }
 
 // Subscription is of Needy: all, as of drains.
-func (d *Starts) Subscription() changefeed.Subscription { return needs(serverstate.StartPrefix) }
+func (d *Starts) Subscription() changefeed.Subscription { return subscribeTo(serverstate.StartPrefix) }
 
 // Event is of Part.
 func (d *Starts) Event(e store.Event) {
@@ -84,11 +84,11 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now(time.Now())
-	if p, news := d.words.Applied(now, e, 0); news {
+	if p, news := d.reports.Applied(now, e, 0); news {
 		d.dirty[p] = true
-		d.poke()
+		d.wakeUp()
 	}
-	d.turns.Told(now, e.Item.Key, e.Revision, e.Deleted)
+	d.schedule.Told(now, e.Item.Key, e.Revision, e.Deleted)
 }
 
 // Reset is of Part. How long ago its words were written is not known: each counts as new, so that a process is
@@ -98,52 +98,52 @@
 	defer d.mu.Unlock()
 	now := d.now(time.Now())
 	s.Range(serverstate.StartPrefix, store.PrefixEnd(serverstate.StartPrefix), func(i store.Item) bool {
-		if p, news := d.words.Applied(now, store.Event{Revision: i.ModRevision, Item: i}, 0); news {
+		if p, news := d.reports.Applied(now, store.Event{Revision: i.ModRevision, Item: i}, 0); news {
 			d.dirty[p] = true
 		}
 		return true
 	})
-	d.turns.Found(now, wordsOf(s, serverstate.StartPrefix))
-	d.poke()
+	d.schedule.Found(now, revisionsWithPrefix(s, serverstate.StartPrefix))
+	d.wakeUp()
 }
 
-// speak writes what it is this daemon's turn to tell.
-func (d *Starts) speak(at time.Time) {
+// enqueueDue writes what it is this daemon's turn to tell.
+func (d *Starts) enqueueDue(at time.Time) {
 	now := d.now(at)
 	d.mu.Lock()
-	keys, _ := d.turns.Due(now)
+	keys, _ := d.schedule.Due(now)
 	var txns []*store.Txn
 	for _, key := range keys {
 		p, _ := serverstate.ParseStart(key)
-		if t := d.words.Write(now, p); t != nil {
+		if t := d.reports.Write(now, p); t != nil {
 			txns = append(txns, t)
 		} else {
-			d.turns.Unhear(key) // it is over
+			d.schedule.Unhear(key) // it is over
 		}
 	}
 	d.mu.Unlock()
 	for _, t := range txns {
-		d.owe(write{key: t.Then[0].Key, do: func(ctx context.Context) error {
+		d.enqueue(pendingWrite{key: t.Then[0].Key, apply: func(ctx context.Context) error {
 			_, err := d.store.Do(ctx, store.Command{Txn: t})
 			return err
-		}, wrote: func(ok bool) {
+		}, done: func(ok bool) {
 			if ok { // by this daemon or, if the comparison did not hold, by another
-				d.turns.Unhear(t.Then[0].Key)
+				d.schedule.Unhear(t.Then[0].Key)
 				return
 			}
 			now := d.now(time.Now())
-			d.wakeAt(d.turns.Again(now, int64(owedEvery), t.Then[0].Key), now)
+			d.wakeAt(d.schedule.Again(now, int64(retryInterval), t.Then[0].Key), now)
 		}})
 	}
 }
 
-// tell has what others said count in the sidecar.
-func (d *Starts) tell(ctx context.Context) {
+// bindDirty has what others said count in the sidecar.
+func (d *Starts) bindDirty(ctx context.Context) {
 	d.mu.Lock()
 	bind, now := d.bind, d.now(time.Now())
 	var news []core.Start
 	for p := range d.dirty {
-		if ago, _, ok := d.words.Of(now, p); ok && bind != nil {
+		if ago, _, ok := d.reports.Of(now, p); ok && bind != nil {
 			news = append(news, core.Start{Process: discovery.Process(p), Ago: time.Duration(ago)})
 		}
 	}
@@ -160,12 +160,12 @@
 
 // Expired is of Sweeper: it ends what matters no more.
 func (d *Starts) Expired(now time.Time) (ends []*store.Txn) {
-	d.speak(now)
+	d.enqueueDue(now)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, p := range d.words.Over(d.now(now)) {
-		d.turns.Unhear(serverstate.StartKey(p))
-		if t := d.words.End(p); t != nil {
+	for _, p := range d.reports.Over(d.now(now)) {
+		d.schedule.Unhear(serverstate.StartKey(p))
+		if t := d.reports.End(p); t != nil {
 			ends = append(ends, t)
 		}
 	}
@@ -176,7 +176,7 @@
 func (d *Starts) facts() (all []ServerFact) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.words.Cold(d.now(time.Now()), func(p serverstate.Process, ago, left int64, who string, agreed bool) {
+	d.reports.Cold(d.now(time.Now()), func(p serverstate.Process, ago, left int64, who string, agreed bool) {
 		all = append(all, ServerFact{ID: p.ID, Addr: p.Addr, StartedMs: p.StartedMs, What: "began", By: who, AgeMs: ago / 1e6, LeftMs: left / 1e6, Agreed: agreed})
 	})
 	return all
@@ -186,5 +186,5 @@
 func (d *Starts) count() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.words.Len()
+	return d.reports.Len()
 }
--- a/internal/controlplane/daemon/starts_test.go
+++ b/internal/controlplane/daemon/starts_test.go
@@ -17,10 +17,10 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-func (s *side) version(t *testing.T, key string) uint64 {
+func (s *testDaemon) version(t *testing.T, key string) uint64 {
 	t.Helper()
 	var i store.Item
-	if _, err := s.e.View(deadline(t), false, func(st *store.State) { i, _ = st.Get(key) }); err != nil {
+	if _, err := s.engine.View(testContext(t), false, func(st *store.State) { i, _ = st.Get(key) }); err != nil {
 		t.Fatal(err)
 	}
 	return i.Version
@@ -28,33 +28,33 @@
 
 // What all see begin is one change of the store; what one sees counts at the others, also at a start; and it ends by its own
 // word, whoever is left.
-func TestStarts(t *testing.T) {
-	all, dirs := three(t)
+func TestStartIsWrittenOnceAndExpires(t *testing.T) {
+	all, dirs := startCluster(t)
 	for _, s := range all {
-		s.d.OnStart(func(ctx context.Context, x core.Start) error {
-			return s.agree(ctx, fmt.Sprint("began ", x.Process.ID), true)
+		s.servers.OnStart(func(ctx context.Context, x core.Start) error {
+			return s.bind(ctx, fmt.Sprint("began ", x.Process.ID), true)
 		})
 	}
 	seen, one := discovery.Process{ID: "all", Addr: "127.0.0.1:1"}, discovery.Process{ID: "one", Addr: "127.0.0.1:2", StartedMs: 7}
 	for _, s := range all {
-		s.d.ReportStart(seen, 0, time.Hour)
+		s.servers.ReportStart(seen, 0, time.Hour)
 	}
-	all[0].d.ReportStart(one, time.Second, time.Hour)
+	all[0].servers.ReportStart(one, time.Second, time.Hour)
 	for _, s := range all[1:] {
-		s.until(t, "began one", true)
+		s.waitUntil(t, "began one", true)
 	}
-	time.Sleep(2 * startSpread) // all have had their turn by then
+	time.Sleep(2 * startReportSpread) // all have had their turn by then
 	if n := all[0].version(t, serverstate.StartKey(serverstate.Process(seen))); n != 1 {
 		t.Errorf("three that saw it made %d changes", n)
 	}
-	if all[0].out["began all"] || all[0].out["began one"] {
+	if all[0].bound["began all"] || all[0].bound["began one"] {
 		t.Error("a daemon is told of what it saw itself")
 	}
 	all[1].stop()
-	b := start(t, "b", dirs[1], all[1].addr, true)
+	b := startDaemon(t, "b", dirs[1], all[1].addr, true)
 	b.version(t, serverstate.StartKey(serverstate.Process(one))) // its copy is up to date
 	ago := time.Duration(-1)
-	for _, x := range b.d.RecentStarts() {
+	for _, x := range b.servers.RecentStarts() {
 		if x.Process == one {
 			ago = x.Ago
 		}
@@ -64,14 +64,14 @@
 	}
 	later := time.Now().Add(time.Hour + time.Minute)
 	for all[2].version(t, serverstate.StartKey(serverstate.Process(one))) > 0 {
-		b.frame.sweep(deadline(t), later)
+		b.frame.sweep(testContext(t), later)
 	}
 }
 
 // What a module knows is kept for others; a copy that was away does not know how old it is, and another host's clock, an hour
 // ahead, does not make it new.
-func TestPictures(t *testing.T) {
-	all, dirs := three(t)
+func TestSnapshotAgeIsNotTakenFromAnotherHostsClock(t *testing.T) {
+	all, dirs := startCluster(t)
 	c := sidecartest.Configure(t, "127.0.0.1:1", nil)
 	m, err := balancer.New(c.Settings, 1, nil)
 	if err != nil {
@@ -83,7 +83,7 @@
 	}
 	key := serverstate.SnapshotKey("other", "")
 	for err = store.ErrLevel; errors.Is(err, store.ErrLevel); { // until all know the commands that it takes
-		err = all[0].d.keep(deadline(t), key, take)
+		err = all[0].servers.save(testContext(t), key, take)
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -91,9 +91,9 @@
 	if all[1].version(t, key) != 1 {
 		t.Fatal("it is not in the store")
 	}
-	got := all[1].d.RestoreCandidates("me", "")
-	for ; len(got) == 1 && !got[0].Sure; got = all[1].d.RestoreCandidates("me", "") { // it came before a quorum had confirmed the copy
-		if err := all[0].d.keep(deadline(t), key, take); err != nil {
+	got := all[1].servers.RestoreCandidates("me", "")
+	for ; len(got) == 1 && !got[0].Sure; got = all[1].servers.RestoreCandidates("me", "") { // it came before a quorum had confirmed the copy
+		if err := all[0].servers.save(testContext(t), key, take); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -103,27 +103,27 @@
 	if x := recovery.Choose("me", got); x.Kept == nil || x.Kept.Sidecar != "me" {
 		t.Errorf("%+v", x)
 	}
-	if len(all[1].d.RestoreCandidates("me", "dns")) != 0 {
+	if len(all[1].servers.RestoreCandidates("me", "dns")) != 0 {
 		t.Error("of another protocol")
 	}
 	all[1].stop()
-	b := start(t, "b", dirs[1], all[1].addr, true)
+	b := startDaemon(t, "b", dirs[1], all[1].addr, true)
 	b.version(t, key) // its copy is up to date: it has shown the picture, which was put long before
-	got = b.d.RestoreCandidates("me", "")
+	got = b.servers.RestoreCandidates("me", "")
 	if len(got) != 1 || got[0].Sure {
 		t.Fatalf("%+v", got)
 	}
 	if x := recovery.Choose("me", got); x.Kept != nil {
 		t.Error("the age of a picture is believed by another host's clock")
 	}
-	b.d.PictureAge(key, 4*time.Second) // a replica that saw it come tells
-	if got = b.d.RestoreCandidates("me", ""); !got[0].Sure || got[0].Age < 4e6 {
+	b.servers.ReportSnapshotAge(key, 4*time.Second) // a replica that saw it come tells
+	if got = b.servers.RestoreCandidates("me", ""); !got[0].Sure || got[0].Age < 4e6 {
 		t.Errorf("%+v", got)
 	}
-	for later := time.Now().Add(picturesKept + time.Minute); b.version(t, key) > 0; { // nobody puts it any more
-		b.frame.sweep(deadline(t), later)
+	for later := time.Now().Add(snapshotRetention + time.Minute); b.version(t, key) > 0; { // nobody puts it any more
+		b.frame.sweep(testContext(t), later)
 	}
-	if len(b.d.RestoreCandidates("me", "")) != 0 {
+	if len(b.servers.RestoreCandidates("me", "")) != 0 {
 		t.Error("it is still held")
 	}
 }
--- a/internal/controlplane/daemon/stored_test.go
+++ b/internal/controlplane/daemon/stored_test.go
@@ -97,9 +97,9 @@
 func recordSettings(t *testing.T, r *recordingStore) {
 	t.Helper()
 	ctx := t.Context()
-	x := NewSettings("h", limitCheck, slog.New(slog.DiscardHandler))
+	x := NewSettings("h", checkSettings, slog.New(slog.DiscardHandler))
 	x.Attach(r)
-	x.Figure(func() (served, not uint64, err error) { return 7, 2, nil })
+	x.SetAnswerCounter(func() (served, not uint64, err error) { return 7, 2, nil })
 	must := func(err error) {
 		t.Helper()
 		if err != nil {
@@ -113,37 +113,37 @@
 	_, err = x.Rollback(ctx, 1)
 	must(err)
 	r.text.WriteString("rollout\n")
-	_, err = x.Begin(ctx, json.RawMessage(`{"x":3}`), []rollout.Step{{Count: 1}, {Part: 1}}, time.Second, "in steps")
+	_, err = x.StartRollout(ctx, json.RawMessage(`{"x":3}`), []rollout.Step{{Count: 1}, {Part: 1}}, time.Second, "in steps")
 	must(err)
 	do := func(ctx context.Context, txn store.Txn) (store.Result, error) {
 		return r.Do(ctx, store.Command{Txn: &txn})
 	}
-	must(x.Drive(ctx, 5, do))
+	must(x.AdvanceRollout(ctx, 5, do))
 	x.Reset(r.state)
-	x.report(ctx)
-	must(x.CallOff(ctx, "operator"))
+	x.reportProgress(ctx)
+	must(x.CancelRollout(ctx, "operator"))
 	r.text.WriteString("rollout to its end\n")
-	_, err = x.Begin(ctx, json.RawMessage(`{"x":4}`), []rollout.Step{{Part: 1}}, 100*time.Millisecond, "")
+	_, err = x.StartRollout(ctx, json.RawMessage(`{"x":4}`), []rollout.Step{{Part: 1}}, 100*time.Millisecond, "")
 	must(err)
-	must(x.Drive(ctx, 6, do))
+	must(x.AdvanceRollout(ctx, 6, do))
 	x.Reset(r.state)
-	x.report(ctx)
-	other, err := json.Marshal(rollout.Report{Plan: x.steps.plan.ID, Step: 0, Served: 9})
+	x.reportProgress(ctx)
+	other, err := json.Marshal(rollout.Report{Plan: x.rollout.plan.ID, Step: 0, Served: 9})
 	must(err)
 	must(r.apply(&store.Command{Txn: &store.Txn{Then: []store.Op{{Key: ReportKey("i"), Value: other}}}}).Err)
-	must(x.Drive(ctx, 6, do)) // has not settled
+	must(x.AdvanceRollout(ctx, 6, do)) // has not settled
 	time.Sleep(110 * time.Millisecond)
-	must(x.Drive(ctx, 6, do))
+	must(x.AdvanceRollout(ctx, 6, do))
 	r.text.WriteString("verdicts\n")
 	for _, text := range []string{`{"x":5}`, `{"bad":5}`} {
 		r.apply(&store.Command{Txn: &store.Txn{Then: []store.Op{{Key: keyCandidate, Value: []byte(text)}}}})
 		x.Reset(r.state)
-		x.judge(ctx)
+		x.checkCandidate(ctx)
 	}
 	replica := NewSettings("no sidecar", nil, slog.New(slog.DiscardHandler))
 	replica.Attach(r)
 	replica.Reset(r.state)
-	replica.judge(ctx)
+	replica.checkCandidate(ctx)
 }
 
 // recordServers has each component that reports servers write a report and end it.
@@ -151,54 +151,54 @@
 	t.Helper()
 	ctx := t.Context()
 	s := NewServers("h", slog.New(slog.DiscardHandler))
-	for _, p := range s.Parts() {
+	for _, p := range s.Components() {
 		p.Attach(r)
 	}
 	r.reset = func(state *store.State) {
-		for _, p := range s.Parts() {
+		for _, p := range s.Components() {
 			p.Reset(state)
 		}
 	}
 	s.Subscribe(func(context.Context, string, bool) error { return nil })
-	flush := func(d *desk) {
+	flush := func(d *outbox) {
 		t.Helper()
-		w := <-d.writes
-		if err := w.do(ctx); err != nil {
+		w := <-d.pending
+		if err := w.apply(ctx); err != nil {
 			t.Fatal(err)
 		}
-		if w.wrote != nil {
+		if w.done != nil {
 			d.mu.Lock()
-			w.wrote(true)
+			w.done(true)
 			d.mu.Unlock()
 		}
 	}
 	r.text.WriteString("administrative drain\n")
 	s.ReportDrain("s/1 ä")
-	flush(&s.AdminDrains.desk)
+	flush(&s.AdminDrains.outbox)
 	if _, err := s.RequestReturn(ctx, "s/1 ä"); err != nil {
 		t.Fatal(err)
 	}
 	r.text.WriteString("drain\n")
 	p := discovery.Process{ID: "s/1 ä@", Addr: "[::1]:2", StartedMs: 5}
 	s.Observe(p, true)
-	s.Drains.speak(time.Now().Add(time.Second))
-	flush(&s.Drains.desk)
+	s.Drains.enqueueDue(time.Now().Add(time.Second))
+	flush(&s.Drains.outbox)
 	r.text.WriteString("start\n")
 	s.ReportStart(p, time.Minute, time.Hour)
-	s.Starts.speak(time.Now().Add(time.Second))
-	w := <-s.Starts.writes
-	if err := w.do(ctx); err != nil {
+	s.Starts.enqueueDue(time.Now().Add(time.Second))
+	w := <-s.Starts.pending
+	if err := w.apply(ctx); err != nil {
 		t.Fatal(err)
 	}
 	r.text.WriteString("snapshot\n")
 	known := func(context.Context) ([]byte, error) { return []byte("known"), nil }
 	for _, key := range []string{serverstate.SnapshotKey("side car", ""), serverstate.SnapshotKey("side car", "dns")} {
-		if err := s.keep(ctx, key, known); err != nil {
+		if err := s.save(ctx, key, known); err != nil {
 			t.Fatal(err)
 		}
 	}
 	r.text.WriteString("expired\n")
-	for _, p := range s.Parts() {
+	for _, p := range s.Components() {
 		if e, ok := p.(Expirer); ok {
 			later := time.Now().Add(24 * time.Hour)
 			for _, txn := range e.Expired(later) {
@@ -259,7 +259,7 @@
 	d.Observe(discovery.Process{ID: "s3", Addr: "127.0.0.1:3"}, true)
 	done := make(chan struct{})
 	close(done)
-	d.journal.run(done)
+	d.drainLog.run(done)
 	text, err := os.ReadFile(filepath.Join(dir, "words"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controlplane/daemon/interest_test.go
+++ b/internal/controlplane/daemon/subscription_test.go
@@ -10,19 +10,19 @@
 	"birchmoor/internal/store/serverstate"
 )
 
-// copied is a store whose copy is told what it is to hold.
-type copied struct {
+// partialCopy is a store whose copy is told what it is to hold.
+type partialCopy struct {
 	Store
-	asked int
+	updates int
 }
 
-func (c *copied) UpdateInterest() { c.asked++ }
+func (c *partialCopy) UpdateInterest() { c.updates++ }
 
 var _ InterestUpdater = (*follower.Follower)(nil)
 
 // Others' pictures are held by a sidecar that begins and has none of its own, until it serves, and by who ends them for all;
 // the pace of pictures goes by the bytes of all, also of those that are not held.
-func TestWhichPicturesAreHeld(t *testing.T) {
+func TestSubscriptionToSnapshots(t *testing.T) {
 	with := func(keys ...string) *store.State {
 		s := store.New(1, store.DefaultLimits)
 		for i, k := range keys {
@@ -31,7 +31,7 @@
 		return s
 	}
 	own, others := serverstate.SnapshotKey("me", ""), serverstate.SnapshotKey("you", "")
-	k, c := NewStateSnapshots("h", slog.New(slog.DiscardHandler)), &copied{}
+	k, c := NewStateSnapshots("h", slog.New(slog.DiscardHandler)), &partialCopy{}
 	all := func() bool { return k.Subscription().Of.Covers(others) }
 	k.Attach(c)
 	if k.Reset(with(others)); all() || k.Subscription().Of.Covers(own) || len(k.Subscription().Sums) != 0 {
@@ -39,7 +39,7 @@
 	}
 	k = NewStateSnapshots("h", slog.New(slog.DiscardHandler))
 	k.Attach(c)
-	if k.Own("me"); c.asked != 1 || all() || !k.Subscription().Of.Covers(own) {
+	if k.AddSidecar("me"); c.updates != 1 || all() || !k.Subscription().Of.Covers(own) {
 		t.Errorf("before the first copy: %+v", k.Subscription())
 	}
 	if k.Reset(with(others).Subset(*k.Subscription().Of)); !all() || !k.Subscription().Kept.Covers(others) {
@@ -55,24 +55,24 @@
 		t.Errorf("once it serves: %+v", k.Subscription())
 	}
 	ctx, cancel = context.WithCancel(t.Context())
-	if k.Sweeps(ctx); !all() || k.Subscription().Kept.Covers(others) {
+	if k.SubscribeAll(ctx); !all() || k.Subscription().Kept.Covers(others) {
 		t.Errorf("while it ends what nobody tells: %+v", k.Subscription())
 	}
 	cancel()
 	for all() { // the context's end is told beside it
 	}
-	if k.Sum(serverstate.SnapshotPrefix, store.PrefixSize{Keys: 1200, Bytes: 18 << 20}); k.sum.Bytes != 18<<20 {
+	if k.ObservePrefixSize(serverstate.SnapshotPrefix, store.PrefixSize{Keys: 1200, Bytes: 18 << 20}); k.storedSize.Bytes != 18<<20 {
 		t.Error("the bytes of all are not known")
 	}
-	if k.Reset(with(others, own)); k.sum.Bytes != 0 {
+	if k.Reset(with(others, own)); k.storedSize.Bytes != 0 {
 		t.Error("a copy that holds all counts for itself")
 	}
 }
 
 // A daemon needs what its parts do, and all if one of them does not say.
-func TestNeedsOfADaemon(t *testing.T) {
+func TestSubscriptionJoinsComponents(t *testing.T) {
 	quiet := slog.New(slog.DiscardHandler)
-	parts := append(NewServers("h", quiet).Parts(), NewSettings("h", nil, quiet))
+	parts := append(NewServers("h", quiet).Components(), NewSettings("h", nil, quiet))
 	n := New(quiet, parts...).Subscription()
 	for key, held := range map[string]bool{"out/drain/x": true, "out/ban/x": true, "start/x": true, keyCurrent: true, keyPlan: true, ReportKey("h"): true,
 		ReportKey("g"): false, keyCandidate: false, historyKey(1): false, serverstate.SnapshotKey("x", ""): false, "anything": false} {
@@ -80,14 +80,14 @@
 			t.Errorf("%s: held %v, kept %v", key, n.Of.Covers(key), n.Kept.Covers(key))
 		}
 	}
-	if n := New(quiet, append(parts, untold{})...).Subscription(); n.Of != nil {
+	if n := New(quiet, append(parts, unsubscribed{})...).Subscription(); n.Of != nil {
 		t.Errorf("with a part that does not say: %+v", n.Of)
 	}
 }
 
-type untold struct{}
+type unsubscribed struct{}
 
-func (untold) Event(store.Event)   {}
-func (untold) Reset(*store.State)  {}
-func (untold) Attach(Store)        {}
-func (untold) Run(context.Context) {}
+func (unsubscribed) Event(store.Event)   {}
+func (unsubscribed) Reset(*store.State)  {}
+func (unsubscribed) Attach(Store)        {}
+func (unsubscribed) Run(context.Context) {}
--- a/internal/controlplane/quotasync/manager.go
+++ b/internal/controlplane/quotasync/manager.go
@@ -85,8 +85,8 @@
 	return changefeed.Subscription{Of: &of, Kept: kept, Sums: []string{quota.DemandPrefix}}
 }
 
-// Sum is of daemon.Summed.
-func (l *Manager) Sum(prefix string, n store.PrefixSize) {
+// ObservePrefixSize is of daemon.Summed.
+func (l *Manager) ObservePrefixSize(prefix string, n store.PrefixSize) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if prefix == quota.DemandPrefix && l.part {
--- a/internal/controlplane/quotasync/manager_test.go
+++ b/internal/controlplane/quotasync/manager_test.go
@@ -31,11 +31,11 @@
 		return time.Duration(next - at)
 	}
 	l.Reset(whole.Subset(*n.Of))
-	l.Sum(quota.DemandPrefix, store.PrefixSize{Keys: 1200})
+	l.ObservePrefixSize(quota.DemandPrefix, store.PrefixSize{Keys: 1200})
 	if d := pace(); d != 6*time.Second {
 		t.Errorf("among 1,200: %v", d)
 	}
-	l.Sum("other/", store.PrefixSize{Keys: 1})
+	l.ObservePrefixSize("other/", store.PrefixSize{Keys: 1})
 	l.Event(store.Event{Revision: 3, Item: store.Item{Key: me.DemandKey(), Value: quota.Encode(quota.Demand{})}})
 	if d := pace(); d != 6*time.Second {
 		t.Errorf("after a word of its own: %v", d)
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -369,7 +369,7 @@
 		h.mu.Unlock()
 	}
 	if h.c.plant.Told {
-		p.Servers.Sweeps(ctx)
+		p.Servers.SubscribeAll(ctx)
 	}
 	p.Servers.OnDrain(func(context.Context, discovery.Process, bool) error { heard(); return nil })
 	p.Servers.OnStart(func(context.Context, core.Start) error { heard(); return nil })
