--- a/internal/controlplane/lease/fence.go
+++ b/internal/controlplane/lease/fence.go
@@ -9,38 +9,42 @@
 	"sync"
 )
 
-// Fence is the half of what is acted upon: it lets nothing take effect that is of a lower token than it has seen. A zero Fence
-// remembers for as long as it lives; OpenFence over starts. Any goroutine may use it.
+// Fence guards a resource: it rejects actions whose fencing token is lower than one it has seen. A zero Fence
+// remembers tokens in memory; one from OpenFence also remembers them across restarts. It is safe for concurrent
+// use.
 type Fence struct {
 	mu      sync.Mutex
-	path    string
+	path    string // empty: in memory only
 	highest map[string]uint64
 	defect  FenceDefect
 }
 
-// FenceDefect is a fault of a Fence.
+// FenceDefect is a fault injected into a Fence, so that a test can show that the fault is detected.
 type FenceDefect int
 
-// The faults.
+// The defects of a Fence.
 const (
 	NoFenceDefect   FenceDefect = iota
-	AdmitAllTokens              // it lets all pass
-	ForgetOnRestart             // it does not keep what it has seen
+	AdmitAllTokens              // lower tokens are admitted
+	ForgetOnRestart             // the file is not read at start
 )
 
-const maxFencedTasks = 4096 // tasks; one more is refused
+const maxFencedTasks = 4096
 
-// ErrFenceUnavailable says that a fence has no room for another task, or cannot keep what it has seen.
-var ErrFenceUnavailable = errors.New("the fence cannot keep the token")
+// ErrFenceUnavailable says that a fence has reached its number of tasks, or could not store a token.
+var ErrFenceUnavailable = errors.New("the fence cannot store the token")
 
-// NewFence returns one that remembers for as long as it lives.
-func NewFence(p FenceDefect) *Fence { return &Fence{defect: p} }
+// NewFence returns a fence that remembers tokens in memory.
+func NewFence(d FenceDefect) *Fence { return &Fence{defect: d} }
 
-// OpenFence reads what an earlier one at this path has seen.
-func OpenFence(path string, p FenceDefect) (*Fence, error) {
-	f := &Fence{path: path, defect: p}
+// OpenFence returns a fence that keeps its tokens in the file at path, and reads those of an earlier one.
+func OpenFence(path string, d FenceDefect) (*Fence, error) {
+	f := &Fence{path: path, defect: d}
+	if d == ForgetOnRestart {
+		return f, nil
+	}
 	b, err := os.ReadFile(path)
-	if errors.Is(err, os.ErrNotExist) || p == ForgetOnRestart {
+	if errors.Is(err, os.ErrNotExist) {
 		return f, nil
 	}
 	if err == nil {
@@ -52,16 +56,16 @@
 	return f, nil
 }
 
-// Admit says whether an action with a token may take effect, and is ErrStale if one with a higher token did. A token that is new
-// is kept before it is admitted: what is let pass after a crash is never lower.
+// Admit returns nil if an action with this token may take effect, and ErrStaleToken if a higher token of the task was
+// admitted before. A new token is stored before it is admitted, so that no lower one passes after a crash.
 func (f *Fence) Admit(task string, token uint64) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	seen, known := f.highest[task]
-	if token < seen && f.defect != AdmitAllTokens {
-		return fmt.Errorf("%w: %d of %s, after %d", ErrStaleToken, token, task, seen)
+	highest, known := f.highest[task]
+	if token < highest && f.defect != AdmitAllTokens {
+		return fmt.Errorf("%w: %d of %s, after %d", ErrStaleToken, token, task, highest)
 	}
-	if token <= seen {
+	if token <= highest {
 		return nil
 	}
 	if !known && len(f.highest) >= maxFencedTasks {
@@ -72,7 +76,8 @@
 	}
 	f.highest[task] = token
 	if err := f.save(); err != nil {
-		if f.highest[task] = seen; !known {
+		f.highest[task] = highest
+		if !known {
 			delete(f.highest, task)
 		}
 		return fmt.Errorf("%w: %w", ErrFenceUnavailable, err)
@@ -80,7 +85,7 @@
 	return nil
 }
 
-// save writes what was seen, and waits until it is on the disk.
+// save replaces the file atomically and returns once it is on the disk.
 func (f *Fence) save() error {
 	if f.path == "" {
 		return nil
@@ -94,13 +99,19 @@
 		return err
 	}
 	_, err = w.Write(b)
-	if err = errors.Join(err, w.Sync(), w.Close()); err == nil {
+	err = errors.Join(err, w.Sync(), w.Close())
+	if err == nil {
 		err = os.Rename(w.Name(), f.path)
 	}
 	if err != nil {
 		return errors.Join(err, os.Remove(w.Name()))
 	}
-	d, err := os.Open(filepath.Dir(f.path))
+	return syncDir(filepath.Dir(f.path))
+}
+
+// syncDir makes a rename within the directory durable.
+func syncDir(path string) error {
+	d, err := os.Open(path)
 	if err != nil {
 		return err
 	}
--- a/internal/controlplane/lease/session.go
+++ b/internal/controlplane/lease/session.go
@@ -1,72 +1,81 @@
 package lease
 
-// RequestKind is what a session wants sent.
+// RequestKind is the kind of request that a session wants sent to the store.
 type RequestKind int
 
-// What there is to send. One request is under way at a time.
+// The kinds of requests. At most one request is in flight.
 const (
 	NoRequest    RequestKind = iota
-	GrantRequest             // a session, for Rules.TTL
-	RenewRequest             // ID
+	GrantRequest             // grants a new session for Rules.TTL
+	RenewRequest             // renews the session with Session.ID
 )
 
-// Outcome of a request.
+// Outcome is how a request ended.
 type Outcome int
 
-// The outcomes. An Unknown one may have been done.
+// The outcomes. A request with OutcomeUnknown may have been applied.
 const (
 	Succeeded       Outcome = iota
-	SessionNotFound         // there is no such session
-	OutcomeUnknown          // or refused
+	SessionNotFound         // the store has no such session
+	OutcomeUnknown          // or the store rejected it for another reason
 )
 
-// Defect is a fault that is put in so that a test shows that it is found.
+// Defect is a fault injected into a Session, so that a test can show that the fault is detected.
 type Defect int
 
-// The faults of a session.
+// The defects of a Session.
 const (
 	NoDefect               Defect = iota
-	ValidFromResponse             // entitled from the answer's arrival
-	IgnoreSkew                    // the clocks' rates are taken to be equal, and nothing is given away
-	AcceptRejectedRenewal         // a renewal that the store refused counts
-	KeepEntriesAcrossGrant        // places of an earlier session are held to live on in the next
+	ValidFromResponse             // validity counts from the response's arrival
+	IgnoreSkew                    // clocks are assumed to run at the same rate, without a margin
+	AcceptRejectedRenewal         // a renewal that the store rejected extends the validity
+	KeepEntriesAcrossGrant        // entries of an earlier session are taken to exist in the next
 )
 
-// Session is one daemon's. It is for one goroutine at a time.
+// renewalsPerTTL is how many times a session is renewed within its TTL: two renewals may fail before the session
+// expires.
+const renewalsPerTTL = 3
+
+// maxBackoffShift bounds the backoff after failed requests: the delay grows from 1/8 of the renewal interval to the
+// interval.
+const maxBackoffShift = 4
+
+// Session is the state of one daemon's session. It is for one goroutine at a time. Instants are nanoseconds of the
+// holder's clock.
 type Session struct {
 	rules      Rules
 	defect     Defect
 	id         uint64 // 0: none
 	validUntil int64
-	sentAt     int64       // when the request under way was first sent; 0: none is
-	pending    RequestKind // which that is
-	nextDue    int64       // when the next is to be sent
-	failures   int
-	generation uint64 // of sessions there were
+	sentAt     int64       // when the request in flight was sent
+	pending    RequestKind // the request in flight
+	nextDue    int64       // when the next request is to be sent
+	failures   int         // requests that failed since the last success
+	generation uint64      // sessions granted so far
 }
 
-// NewSession returns one that is to be granted.
-func NewSession(r Rules, p Defect) *Session {
-	if p == IgnoreSkew {
+// NewSession returns a session that is still to be granted.
+func NewSession(r Rules, d Defect) *Session {
+	if d == IgnoreSkew {
 		r.Skew, r.Margin = 0, 0
 	}
-	return &Session{rules: r, defect: p}
+	return &Session{rules: r, defect: d}
 }
 
 // ID is the store's lease, 0 if there is none.
 func (s *Session) ID() uint64 { return s.id }
 
-// ValidUntil is when the entitlement of all its places ends, unless it is renewed; 0: there is none.
+// ValidUntil is when everything held by the session ceases to be valid, unless it is renewed; 0: it is not valid.
 func (s *Session) ValidUntil() int64 { return s.validUntil }
 
-// Generation counts the sessions that there were: a place is of one of them.
+// Generation counts the sessions that were granted: a queue entry belongs to one of them.
 func (s *Session) Generation() uint64 { return s.generation }
 
-// Rules are those that it goes by.
+// Rules are the session's timing rules.
 func (s *Session) Rules() Rules { return s.rules }
 
-// Next says what is to be sent now, or when to ask again. What it returns counts as sent: the request's effect, however late it
-// comes, is after now. An instant of 0 is none: an answer is waited for.
+// Next returns the request to send now, or NoRequest and when to call again; 0 means after HandleResponse. A
+// request that it returns counts as sent at now: however late the request is applied, that is after now.
 func (s *Session) Next(now int64) (RequestKind, int64) {
 	if s.pending != NoRequest {
 		return NoRequest, 0
@@ -74,41 +83,50 @@
 	if now < s.nextDue {
 		return NoRequest, s.nextDue
 	}
-	s.sentAt, s.pending = now, RenewRequest
+	s.sentAt = now
+	s.pending = RenewRequest
 	if s.id == 0 {
 		s.pending = GrantRequest
 	}
 	return s.pending, 0
 }
 
-// HandleResponse takes what became of the request under way, and the id of the session that was granted.
+// HandleResponse takes the outcome of the request in flight, and the id of the session if one was granted.
 func (s *Session) HandleResponse(now int64, o Outcome, id uint64) {
-	ask, sent := s.pending, s.sentAt
-	if ask == NoRequest {
+	kind, sentAt := s.pending, s.sentAt
+	if kind == NoRequest {
 		return
 	}
 	s.pending = NoRequest
 	if s.defect == ValidFromResponse {
-		sent = now
+		sentAt = now
 	}
-	every := s.rules.TTL / 3
+	interval := s.rules.TTL / renewalsPerTTL
 	switch {
-	case o == Succeeded && (ask == RenewRequest || id != 0):
-		if ask == GrantRequest {
+	case o == Succeeded && (kind == RenewRequest || id != 0):
+		if kind == GrantRequest {
 			s.id = id
 			s.generation++
 		}
-		s.validUntil, s.nextDue, s.failures = max(s.validUntil, sent+s.rules.Validity()), sent+every, 0
-	case o == SessionNotFound && ask == RenewRequest && s.defect == AcceptRejectedRenewal:
-		s.validUntil, s.nextDue = sent+s.rules.Validity(), sent+every
-	case o == SessionNotFound && ask == RenewRequest:
+		s.validUntil = max(s.validUntil, sentAt+s.rules.Validity())
+		s.nextDue = sentAt + interval
+		s.failures = 0
+	case o == SessionNotFound && kind == RenewRequest && s.defect == AcceptRejectedRenewal:
+		s.validUntil = sentAt + s.rules.Validity()
+		s.nextDue = sentAt + interval
+	case o == SessionNotFound && kind == RenewRequest:
 		s.Reset()
 		s.nextDue = now
-	default: // it is tried again soon, and less and less often
+	default:
 		s.failures++
-		s.nextDue = now + every>>max(0, 4-min(s.failures, 4))
+		s.nextDue = now + interval>>max(0, maxBackoffShift-s.failures)
 	}
 }
 
-// Reset forgets the session: it has ended, or is to be let end. A request under way is answered to nobody.
-func (s *Session) Reset() { s.id, s.validUntil, s.pending, s.nextDue = 0, 0, NoRequest, 0 }
+// Reset forgets the session, because it has ended or is left to expire. A response to a request in flight is ignored.
+func (s *Session) Reset() {
+	s.id = 0
+	s.validUntil = 0
+	s.pending = NoRequest
+	s.nextDue = 0
+}
--- a/internal/controlplane/lease/shards.go
+++ b/internal/controlplane/lease/shards.go
@@ -2,33 +2,34 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// AssignedShards says which of n shards a member is to want, by rendezvous hashing (Thaler and Ravishankar, 1998) with a bound on each
-// one's load: all members reckon the same, and when one comes or goes few shards move. Members are in any order, without doubles;
-// the answer is sorted.
+// AssignedShards returns, sorted, which of n shards of a task a member is to claim. It uses rendezvous hashing
+// (Thaler and Ravishankar, 1998) with a bound on each member's load: all members compute the same assignment, and
+// few shards move when one joins or leaves. Members may be in any order and must be distinct.
 //
-// It is a wish alone. That no shard is held twice is by a lease for each: who is to give one away releases it, and who is to have
-// it waits for its place.
-func AssignedShards(task string, n int, members []string, me string) []int {
+// An assignment grants nothing. Each shard has a lease of its own, which keeps two members from holding it: the one
+// that is to give it up releases it, and the one that is to have it waits in the queue.
+func AssignedShards(task string, n int, members []string, self string) []int {
 	if len(members) == 0 || n <= 0 {
 		return nil
 	}
-	most := (n + len(members) - 1) / len(members)
+	maxLoad := (n + len(members) - 1) / len(members)
 	load := make(map[string]int, len(members))
-	var mine []int
+	var assigned []int
 	for shard := range n {
-		best, top := "", uint64(0)
-		for _, m := range members {
-			if load[m] >= most {
+		owner, highest := "", uint64(0)
+		for _, member := range members {
+			if load[member] >= maxLoad {
 				continue
 			}
-			if w := xxhash.Sum64String(task + "\x00" + m + "\x00" + string(rune(shard))); best == "" || w > top || w == top && m < best {
-				best, top = m, w
+			weight := xxhash.Sum64String(task + "\x00" + member + "\x00" + string(rune(shard)))
+			if owner == "" || weight > highest || weight == highest && member < owner {
+				owner, highest = member, weight
 			}
 		}
-		load[best]++
-		if best == me {
-			mine = append(mine, shard)
+		load[owner]++
+		if owner == self {
+			assigned = append(assigned, shard)
 		}
 	}
-	return mine
+	return assigned
 }
--- a/internal/controlplane/lease/stored_test.go
+++ b/internal/controlplane/lease/stored_test.go
@@ -38,7 +38,10 @@
 		{QueueEntryKey("reindex", "host-a", "00ff1"), &QueueRecord{Session: 77, TTLMillis: 30000, Note: "nightly"}},
 		{QueueEntryKey("reindex", "host-b", "00ff2"), &QueueRecord{Session: 78, TTLMillis: 15000}},
 		{TaskConfigPrefix + "reindex", &TaskConfig{Slots: 2}},
-		{OverridePrefix + "reindex", &TaskOverride{Pause: true, PreferredHost: "host-b", Operator: "ops", Note: "disk swap"}},
+		{
+			OverridePrefix + "reindex",
+			&TaskOverride{Pause: true, PreferredHost: "host-b", Operator: "ops", Note: "disk swap"},
+		},
 		{OverridePrefix + "backup", &TaskOverride{PreferredHost: "host-a"}},
 	}
 	for _, tc := range tests {
@@ -62,7 +65,11 @@
 
 func TestTableReadsStoredRecords(t *testing.T) {
 	table := NewTable(NoTableDefect)
-	revision := map[string]uint64{"task/place/reindex/host-a/00ff1": 5, "task/place/reindex/host-b/00ff2": 9, "task/order/reindex": 11}
+	revision := map[string]uint64{
+		"task/place/reindex/host-a/00ff1": 5,
+		"task/place/reindex/host-b/00ff2": 9,
+		"task/order/reindex":              11,
+	}
 	for key, value := range readRecords(t) {
 		item := store.Item{Key: key, Value: []byte(value), CreateRevision: revision[key], ModRevision: revision[key]}
 		if !table.Event(store.Event{Item: item}) {
@@ -76,9 +83,12 @@
 	if got := table.Queue("reindex"); !reflect.DeepEqual(got, want) {
 		t.Errorf("queue %+v, want %+v", got, want)
 	}
-	override, set := table.Override("reindex")
-	if !override.Pause || override.PreferredHost != "host-b" || set != 11 || table.Slots("reindex") != 2 || !table.Suspended() {
-		t.Errorf("override %+v of %d, %d slots, suspended %v", override, set, table.Slots("reindex"), table.Suspended())
+	override, revised := table.Override("reindex")
+	if !override.Pause || override.PreferredHost != "host-b" || revised != 11 {
+		t.Errorf("override %+v of %d", override, revised)
+	}
+	if table.Slots("reindex") != 2 || !table.Suspended() {
+		t.Errorf("%d slots, suspended %v", table.Slots("reindex"), table.Suspended())
 	}
 }
 
--- a/internal/controlplane/lease/table.go
+++ b/internal/controlplane/lease/table.go
@@ -10,110 +10,38 @@
 	"birchmoor/internal/store"
 )
 
-// Keys of tasks.
-const (
-	Prefix           = "task/"
-	QueuePrefix      = "task/place/" // TASK/HOST/NONCE: a place in a task's queue
-	TaskConfigPrefix = "task/conf/"  // TASK: Conf
-	OverridePrefix   = "task/order/" // TASK: Order, of operators
-	SuspendKey       = "task/hold"   // while it is there nobody is entitled: the store was restored a moment ago
-)
-
-// Bounds of what the store keeps.
-const (
-	MaxTasks        = 1024
-	MaxQueueEntries = 2048                    // of one task
-	MaxValueBytes   = 4096                    // bytes of a place's value
-	MinTTLMillis    = store.MinOwnedTTLMillis // milliseconds of a session
-	MaxTTLMillis    = store.MaxOwnedTTLMillis
-	MaxSlots        = 256
-)
-
-// TaskConfig is what all who want a task must agree on.
-type TaskConfig struct {
-	Slots int `json:"slots"` // that hold it at once
-}
-
-// TaskOverride is an operator's word on a task.
-type TaskOverride struct {
-	Pause         bool   `json:"pause,omitempty"` // nobody is to hold it
-	PreferredHost string `json:"host,omitempty"`  // those before its first place are to go behind it
-	Operator      string `json:"by,omitempty"`
-	Note          string `json:"note,omitempty"`
-}
-
-// QueueRecord is the value of a place.
-type QueueRecord struct {
-	Session   uint64 `json:"session"`
-	TTLMillis int64  `json:"ttl_ms"`
-	Note      string `json:"note,omitempty"` // what it is for
-}
-
-// QueueEntry is one in a task's queue.
-type QueueEntry struct {
-	QueueRecord
-	Key   string
-	Task  string
-	Host  string
-	Token uint64 // the revision at which it was put
-}
-
-// QueueEntryKey is the key of a host's place; the nonce is of one try alone.
-func QueueEntryKey(task, host, nonce string) string {
-	return QueuePrefix + task + "/" + host + "/" + nonce
-}
-
-// ParseQueueEntryKey reads the key of a place.
-func ParseQueueEntryKey(key string) (task, host, nonce string, ok bool) {
-	rest, ok := strings.CutPrefix(key, QueuePrefix)
-	parts := strings.Split(rest, "/")
-	if !ok || len(parts) != 3 || CheckName(parts[0]) != nil || parts[1] == "" || parts[2] == "" {
-		return "", "", "", false
-	}
-	return parts[0], parts[1], parts[2], true
-}
-
-// Table is what a copy of the store shows of tasks. It is for one goroutine at a time.
+// Table is the view of all tasks that a copy of the store gives. It is for one goroutine at a time.
 type Table struct {
 	tasks      map[string]*taskQueue
-	suspended  bool // HoldKey is there
+	suspended  bool // SuspendKey exists
 	defect     TableDefect
-	renumbered map[string]uint64 // with ForgetTokens
+	renumbered map[string]uint64 // tokens by key of the entry, with RenumberTokens
 	cluster    uint64
 }
 
+// taskQueue is what is known of one task.
 type taskQueue struct {
-	entries          []QueueEntry // by token
+	entries          []QueueEntry // sorted by token
 	config           TaskConfig
 	override         TaskOverride
-	overrideRevision uint64 // the revision of the order; 0: there is none
+	overrideRevision uint64 // 0: there is no override
 }
 
-// TableDefect is a fault of a Table.
+// TableDefect is a fault injected into a Table, so that a test can show that the fault is detected.
 type TableDefect int
 
-// The faults.
+// The defects of a Table.
 const (
 	NoTableDefect       TableDefect = iota
-	CountOwnEntriesOnly             // permits are counted among this daemon's own places
-	IgnoreQueueOrder                // whoever has a place may act
-	RenumberTokens                  // the token is not the place's, but counted anew by this process
+	CountOwnEntriesOnly             // slots are counted among this daemon's own entries
+	IgnoreQueueOrder                // every entry holds its task
+	RenumberTokens                  // tokens are numbered anew by this process
 )
 
-// NewTable returns an empty one.
-func NewTable(p TableDefect) *Table { return &Table{tasks: map[string]*taskQueue{}, defect: p} }
+// NewTable returns an empty table.
+func NewTable(d TableDefect) *Table { return &Table{tasks: map[string]*taskQueue{}, defect: d} }
 
-// queueOf is a task's queue.
-func (t *Table) queueOf(task string) *taskQueue {
-	q := t.tasks[task]
-	if q == nil {
-		q = &taskQueue{}
-		t.tasks[task] = q
-	}
-	return q
-}
-
-// Event takes a change that the copy shows, and says whether it is of tasks.
+// Event applies a change of the copy, and reports whether it concerns tasks.
 func (t *Table) Event(e store.Event) bool {
 	if !strings.HasPrefix(e.Item.Key, Prefix) {
 		return false
@@ -122,83 +50,108 @@
 	return true
 }
 
-// Reset takes a whole copy. Cluster is told apart: places are of the one in which they were put.
+// Reset replaces the table's contents by those of a complete copy.
 func (t *Table) Reset(s *store.State) {
 	clear(t.tasks)
-	t.suspended, t.cluster = false, s.Cluster()
-	s.Range(Prefix, store.PrefixEnd(Prefix), func(i store.Item) bool { t.apply(i, false); return true })
+	t.suspended = false
+	t.cluster = s.Cluster()
+	s.Range(Prefix, store.PrefixEnd(Prefix), func(i store.Item) bool {
+		t.apply(i, false)
+		return true
+	})
 }
 
-// Cluster is that of the last whole copy.
+// Cluster identifies the cluster of the last complete copy: queue entries belong to the cluster in which they were
+// created.
 func (t *Table) Cluster() uint64 { return t.cluster }
 
+// apply takes over an item that was put or deleted.
 func (t *Table) apply(i store.Item, deleted bool) {
-	key := i.Key
-	if key == SuspendKey {
+	if i.Key == SuspendKey {
 		t.suspended = !deleted
 		return
 	}
-	if task, host, _, ok := ParseQueueEntryKey(key); ok {
-		q := t.queueOf(task)
-		at := slices.IndexFunc(q.entries, func(p QueueEntry) bool { return p.Key == key })
-		if at >= 0 {
-			q.entries = slices.Delete(q.entries, at, at+1)
-		}
-		if !deleted {
-			p := QueueEntry{Key: key, Task: task, Host: host, Token: i.CreateRevision}
-			_ = json.Unmarshal(i.Value, &p.QueueRecord) // a place holds its rank whatever its value says
-			at, _ := slices.BinarySearchFunc(q.entries, p.Token, func(x QueueEntry, token uint64) int { return cmp.Compare(x.Token, token) })
-			q.entries = slices.Insert(q.entries, at, p)
-		}
+	if task, host, _, ok := ParseQueueEntryKey(i.Key); ok {
+		t.queueOf(task).applyEntry(i, task, host, deleted)
 		t.dropIfEmpty(task)
 		return
 	}
-	for _, x := range []struct {
-		prefix string
-		do     func(q *taskQueue)
-	}{
-		{TaskConfigPrefix, func(q *taskQueue) {
-			if q.config = (TaskConfig{}); !deleted {
-				_ = json.Unmarshal(i.Value, &q.config)
-			}
-		}},
-		{OverridePrefix, func(q *taskQueue) {
-			if q.override, q.overrideRevision = (TaskOverride{}), 0; !deleted {
-				q.overrideRevision = i.ModRevision
-				if json.Unmarshal(i.Value, &q.override) != nil {
-					q.override = TaskOverride{Pause: true} // what cannot be read stops the task rather than nothing
-				}
-			}
-		}},
-	} {
-		if task, ok := strings.CutPrefix(key, x.prefix); ok && CheckName(task) == nil {
-			x.do(t.queueOf(task))
-			t.dropIfEmpty(task)
-		}
+	if task, ok := strings.CutPrefix(i.Key, TaskConfigPrefix); ok && CheckName(task) == nil {
+		t.queueOf(task).applyConfig(i, deleted)
+		t.dropIfEmpty(task)
+		return
+	}
+	if task, ok := strings.CutPrefix(i.Key, OverridePrefix); ok && CheckName(task) == nil {
+		t.queueOf(task).applyOverride(i, deleted)
+		t.dropIfEmpty(task)
 	}
 }
 
-// dropIfEmpty drops a task of which nothing is known.
+// applyEntry removes the entry with the item's key and, unless it was deleted, inserts it at its token.
+func (q *taskQueue) applyEntry(i store.Item, task, host string, deleted bool) {
+	q.entries = slices.DeleteFunc(q.entries, func(e QueueEntry) bool { return e.Key == i.Key })
+	if deleted {
+		return
+	}
+	entry := QueueEntry{Key: i.Key, Task: task, Host: host, Token: i.CreateRevision}
+	_ = json.Unmarshal(i.Value, &entry.QueueRecord) // an entry keeps its rank whatever its value says
+	at, _ := slices.BinarySearchFunc(q.entries, entry.Token, func(e QueueEntry, token uint64) int {
+		return cmp.Compare(e.Token, token)
+	})
+	q.entries = slices.Insert(q.entries, at, entry)
+}
+
+func (q *taskQueue) applyConfig(i store.Item, deleted bool) {
+	q.config = TaskConfig{}
+	if !deleted {
+		_ = json.Unmarshal(i.Value, &q.config) // one that cannot be read counts as absent
+	}
+}
+
+func (q *taskQueue) applyOverride(i store.Item, deleted bool) {
+	q.override = TaskOverride{}
+	q.overrideRevision = 0
+	if deleted {
+		return
+	}
+	q.overrideRevision = i.ModRevision
+	if json.Unmarshal(i.Value, &q.override) != nil {
+		q.override = TaskOverride{Pause: true} // an override that cannot be read must not be ignored
+	}
+}
+
+// queueOf returns the queue of a task, a new one if the task is not known.
+func (t *Table) queueOf(task string) *taskQueue {
+	q := t.tasks[task]
+	if q == nil {
+		q = &taskQueue{}
+		t.tasks[task] = q
+	}
+	return q
+}
+
+// dropIfEmpty forgets a task of which nothing is stored.
 func (t *Table) dropIfEmpty(task string) {
-	if q := t.tasks[task]; q != nil && len(q.entries) == 0 && q.config == (TaskConfig{}) && q.overrideRevision == 0 {
+	q := t.tasks[task]
+	if q != nil && len(q.entries) == 0 && q.config == (TaskConfig{}) && q.overrideRevision == 0 {
 		delete(t.tasks, task)
 	}
 }
 
-// Find returns a place that the copy shows, and how many are before it.
-func (t *Table) Find(task, key string) (p QueueEntry, before int, ok bool) {
+// Find returns the entry with this key, and how many are ahead of it in the queue.
+func (t *Table) Find(task, key string) (entry QueueEntry, ahead int, ok bool) {
 	q := t.tasks[task]
 	if q == nil {
 		return QueueEntry{}, 0, false
 	}
-	at := slices.IndexFunc(q.entries, func(p QueueEntry) bool { return p.Key == key })
+	at := slices.IndexFunc(q.entries, func(e QueueEntry) bool { return e.Key == key })
 	if at < 0 {
 		return QueueEntry{}, 0, false
 	}
 	return q.entries[at], at, true
 }
 
-// Slots is how many hold a task at once; 0: nobody has said.
+// Slots is how many may hold a task at once; 0: it has no config.
 func (t *Table) Slots(task string) int {
 	if q := t.tasks[task]; q != nil {
 		return q.config.Slots
@@ -206,7 +159,7 @@
 	return 0
 }
 
-// Override is the operators' word on a task, and its revision; 0: there is none.
+// Override returns the operators' override of a task and its revision; 0: there is none.
 func (t *Table) Override(task string) (TaskOverride, uint64) {
 	if q := t.tasks[task]; q != nil {
 		return q.override, q.overrideRevision
@@ -214,72 +167,83 @@
 	return TaskOverride{}, 0
 }
 
-// Suspended says whether nobody may act, since the store was restored a moment ago.
+// Suspended reports whether all tasks are suspended, because the store was restored a moment ago.
 func (t *Table) Suspended() bool { return t.suspended }
 
-// Holds says whether the place is among those that hold its task, by this copy: with an old copy too few, never too many. The
-// order of operators is not asked: it has a holder release.
+// Holds reports whether the entry holds its task, and its fencing token. A stale copy shows too few holders, never
+// too many. It does not consider operators' overrides: these make a holder release.
 func (t *Table) Holds(task, key string) (token uint64, ok bool) {
-	p, before, ok := t.Find(task, key)
+	entry, ahead, ok := t.Find(task, key)
 	if !ok || t.suspended {
 		return 0, false
 	}
+	token = entry.Token
 	switch t.defect {
 	case CountOwnEntriesOnly:
-		before = 0
-		for _, x := range t.tasks[task].entries {
-			if x.Token < p.Token && x.Host == p.Host {
-				before++
-			}
-		}
+		ahead = t.ownEntriesAhead(entry)
 	case IgnoreQueueOrder:
-		before = 0
+		ahead = 0
+	case RenumberTokens:
+		token = t.renumber(key)
 	}
-	if t.defect == RenumberTokens {
-		if t.renumbered == nil {
-			t.renumbered = map[string]uint64{}
-		}
-		if t.renumbered[key] == 0 {
-			t.renumbered[key] = uint64(len(t.renumbered)) + 1
+	return token, ahead < max(1, t.Slots(task))
+}
+
+// ownEntriesAhead counts the entries of the same host ahead of this one.
+func (t *Table) ownEntriesAhead(entry QueueEntry) int {
+	ahead := 0
+	for _, e := range t.tasks[entry.Task].entries {
+		if e.Token < entry.Token && e.Host == entry.Host {
+			ahead++
 		}
-		p.Token = t.renumbered[key]
 	}
-	return p.Token, before < max(1, t.Slots(task))
+	return ahead
 }
 
-// MustRelease says whether a holder of this place is to release it, or one who waits to leave: the task is paused, or given to a host
-// that waits behind it.
+// renumber returns a token that this process counts by itself.
+func (t *Table) renumber(key string) uint64 {
+	if t.renumbered == nil {
+		t.renumbered = map[string]uint64{}
+	}
+	if t.renumbered[key] == 0 {
+		t.renumbered[key] = uint64(len(t.renumbered)) + 1
+	}
+	return t.renumbered[key]
+}
+
+// MustRelease returns why the owner of this entry must release it, whether it holds the task or waits: ErrPaused if
+// the task is paused, ErrLost if it is handed over to a host that waits behind the entry.
 func (t *Table) MustRelease(task, key string) error {
-	o, _ := t.Override(task)
-	if o.Pause {
+	override, _ := t.Override(task)
+	if override.Pause {
 		return ErrPaused
 	}
-	if o.PreferredHost == "" {
+	if override.PreferredHost == "" {
 		return nil
 	}
-	p, _, ok := t.Find(task, key)
-	if !ok || p.Host == o.PreferredHost {
+	entry, _, ok := t.Find(task, key)
+	if !ok || entry.Host == override.PreferredHost {
 		return nil
 	}
-	for _, x := range t.tasks[task].entries {
-		if x.Host == o.PreferredHost && x.Token > p.Token {
-			return fmt.Errorf("%w: it is given to %s", ErrLost, o.PreferredHost)
+	for _, e := range t.tasks[task].entries {
+		if e.Host == override.PreferredHost && e.Token > entry.Token {
+			return fmt.Errorf("%w: it is handed over to %s", ErrLost, override.PreferredHost)
 		}
 	}
 	return nil
 }
 
-// Tasks lists the names of all tasks that the copy knows.
+// Tasks returns the names of all known tasks, sorted.
 func (t *Table) Tasks() []string {
 	names := make([]string, 0, len(t.tasks))
-	for n := range t.tasks {
-		names = append(names, n)
+	for name := range t.tasks {
+		names = append(names, name)
 	}
 	slices.Sort(names)
 	return names
 }
 
-// Queue lists a task's, first the holders.
+// Queue returns a copy of a task's queue, holders first.
 func (t *Table) Queue(task string) []QueueEntry {
 	if q := t.tasks[task]; q != nil {
 		return slices.Clone(q.entries)
@@ -287,29 +251,16 @@
 	return nil
 }
 
-// EntriesOf lists the places of a host's sessions: what the host has no use for any more it takes away.
+// EntriesOf returns the queue entries of one of a host's sessions, so that the host can delete those it has no use
+// for.
 func (t *Table) EntriesOf(host string, session uint64) []QueueEntry {
 	var own []QueueEntry
 	for _, task := range t.Tasks() {
-		for _, p := range t.tasks[task].entries {
-			if p.Host == host && p.Session == session {
-				own = append(own, p)
+		for _, e := range t.tasks[task].entries {
+			if e.Host == host && e.Session == session {
+				own = append(own, e)
 			}
 		}
 	}
 	return own
 }
-
-// Allowed says whether an operation is a daemon's own part in tasks: its places, which go with its lease, and how many may hold a task.
-func Allowed(op store.Op, owner string) bool {
-	if _, host, _, ok := ParseQueueEntryKey(op.Key); ok {
-		return host == owner && (op.Delete || op.LeaseID != 0 && len(op.Value) <= MaxValueBytes)
-	}
-	task, ok := strings.CutPrefix(op.Key, TaskConfigPrefix)
-	return ok && CheckName(task) == nil && IsPersistentPut(op, owner)
-}
-
-// IsPersistentPut says whether an operation puts, in a daemon's name, what stays and is short.
-func IsPersistentPut(op store.Op, owner string) bool {
-	return owner != "" && !op.Delete && op.LeaseID == 0 && len(op.Value) <= MaxValueBytes
-}
