--- a/cmd/birchmoor/store.go
+++ b/cmd/birchmoor/store.go
@@ -330,7 +330,7 @@
 		return k.print(c, all, func(w *tabwriter.Writer) {
 			fmt.Fprintln(w, "SERVER\tWHY\tBY\tAGE\tAGREED")
 			for _, o := range all {
-				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%v\n", o.Server, o.Kind, o.By, ageOf(o.AgeMs), o.Agreed)
+				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%v\n", o.Server, o.Kind, o.ReportedBy, ageOf(o.AgeMillis), o.Committed)
 			}
 		})
 	})
--- a/internal/controlplane/daemon/admindrains.go
+++ b/internal/controlplane/daemon/admindrains.go
@@ -26,7 +26,7 @@
 // NewAdminDrains returns those of the daemon of a name.
 func NewAdminDrains(name string, log *slog.Logger) *AdminDrains {
 	b := &AdminDrains{outbox: newOutbox(name, log), guard: serverstate.NewGuard(name), dirty: map[string]bool{}, arrivals: arrivalTimes{}}
-	b.guard.Only(func(kind serverstate.Kind, server string) bool { return !isProcessDrain(kind, server) })
+	b.guard.Restrict(func(kind serverstate.Kind, server string) bool { return !isProcessDrain(kind, server) })
 	return b
 }
 
@@ -47,7 +47,7 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.guard.Applied(e)
+	b.guard.Apply(e)
 	b.arrivals.applyEvent(b.now(time.Now()), e)
 	b.dirty[drainedServer(e.Item.Key)] = true
 	b.wakeUp()
@@ -55,7 +55,7 @@
 
 // markAllDirty notes that all that is out is to be told to the sidecar again. The lock is held.
 func (b *AdminDrains) markAllDirty() {
-	for _, o := range b.guard.All() {
+	for _, o := range b.guard.Exclusions() {
 		b.dirty[o.Server] = true
 	}
 }
@@ -78,7 +78,7 @@
 func (b *AdminDrains) Uncommitted(c *store.Command) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, key := range b.guard.Unsettled(c) { // a start finds thousands of commands: each costs what it says, not what is known
+	for _, key := range b.guard.Uncommitted(c) { // a start finds thousands of commands: each costs what it says, not what is known
 		b.dirty[drainedServer(key)] = true
 	}
 }
@@ -87,7 +87,7 @@
 func (b *AdminDrains) CaughtUp() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, key := range b.guard.Settled() {
+	for _, key := range b.guard.CaughtUp() {
 		b.dirty[drainedServer(key)] = true
 	}
 	b.wakeUp()
@@ -98,7 +98,7 @@
 
 func (b *AdminDrains) enqueueOwed() {
 	b.mu.Lock()
-	owed := b.guard.Owed()
+	owed := b.guard.TakeRetries()
 	b.mu.Unlock()
 	for _, op := range owed {
 		b.enqueueWrite(op)
@@ -107,7 +107,7 @@
 
 // enqueueWrite leaves a word of the guard's to be written; if there is no room it stays owed.
 func (b *AdminDrains) enqueueWrite(op store.Op) {
-	b.enqueue(pendingWrite{key: op.Key, done: func(ok bool) { b.guard.Wrote(op.Key, ok) }, apply: func(ctx context.Context) error {
+	b.enqueue(pendingWrite{key: op.Key, done: func(ok bool) { b.guard.ProposalDone(op.Key, ok) }, apply: func(ctx context.Context) error {
 		_, err := b.store.Do(ctx, store.Command{Txn: &store.Txn{Then: []store.Op{op}}})
 		return err
 	}})
@@ -127,7 +127,7 @@
 	}
 	var words []word
 	for s := range b.dirty {
-		words = append(words, word{s, b.guard.Out(s)})
+		words = append(words, word{s, b.guard.Excluded(s)})
 	}
 	clear(b.dirty)
 	b.mu.Unlock()
@@ -153,7 +153,7 @@
 // ReportDrain is of maintenance.Shared.
 func (b *AdminDrains) ReportDrain(id string) {
 	b.mu.Lock()
-	op, err := b.guard.Hear(serverstate.AdminDrain, id)
+	op, err := b.guard.Observe(serverstate.AdminDrain, id)
 	b.mu.Unlock()
 	if err != nil {
 		b.log.Error("other daemons are not told of a ban", "id", id, "error", err)
@@ -166,7 +166,7 @@
 func (b *AdminDrains) RequestReturn(ctx context.Context, id string) (reported bool, err error) {
 	b.mu.Lock()
 	key := serverstate.ExclusionKey(serverstate.AdminDrain, id)
-	t, err := b.guard.Return(serverstate.AdminDrain, id)
+	t, err := b.guard.Readmit(serverstate.AdminDrain, id)
 	pending := b.guard.Pending(key)
 	agree := b.bind
 	b.mu.Unlock()
@@ -181,7 +181,7 @@
 		return true, fmt.Errorf("%s: %w", id, err)
 	}
 	b.mu.Lock()
-	out := b.guard.Out(id)
+	out := b.guard.Excluded(id)
 	b.mu.Unlock()
 	if !r.Succeeded || out {
 		return true, fmt.Errorf("%s: %w", id, ErrExcludedAgain)
@@ -193,5 +193,5 @@
 func (b *AdminDrains) Exclusions() []serverstate.Exclusion {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.arrivals.setAges(b.now(time.Now()), b.guard.All())
+	return b.arrivals.setAges(b.now(time.Now()), b.guard.Exclusions())
 }
--- a/internal/controlplane/daemon/drainlog.go
+++ b/internal/controlplane/daemon/drainlog.go
@@ -62,7 +62,7 @@
 	d.drainLog = j
 	for key := range j.written {
 		j.queued[key] = true
-		d.guard.Unsettled(&store.Command{Txn: &store.Txn{Then: []store.Op{{Key: key}}}})
+		d.guard.Uncommitted(&store.Command{Txn: &store.Txn{Then: []store.Op{{Key: key}}}})
 	}
 	d.markAllDirty()
 	return nil
@@ -76,7 +76,7 @@
 		return
 	}
 	p, _ := parseDrainKey(key)
-	binds := d.schedule.Hears(key) || d.guard.Drains(p)
+	binds := d.schedule.Observes(key) || d.guard.IsDraining(p)
 	if binds == j.queued[key] {
 		return
 	}
--- a/internal/controlplane/daemon/drainlog_test.go
+++ b/internal/controlplane/daemon/drainlog_test.go
@@ -45,11 +45,11 @@
 	if known := fmt.Sprint(d.DrainingProcesses()); known != fmt.Sprint([]discovery.Process{one}) {
 		t.Errorf("a start knows %s", known)
 	}
-	if owed := d.guard.Owed(); len(owed) != 0 {
+	if owed := d.guard.TakeRetries(); len(owed) != 0 {
 		t.Error("told before the store is up to date:", owed)
 	}
 	d.CaughtUp()
-	if owed := d.guard.Owed(); len(owed) != 1 || !strings.Contains(owed[0].Key, "s+1") || len(d.DrainingProcesses()) != 1 {
+	if owed := d.guard.TakeRetries(); len(owed) != 1 || !strings.Contains(owed[0].Key, "s+1") || len(d.DrainingProcesses()) != 1 {
 		t.Error("owed:", owed)
 	}
 	kill()
--- a/internal/controlplane/daemon/drains.go
+++ b/internal/controlplane/daemon/drains.go
@@ -37,8 +37,8 @@
 // NewDrains returns those of the daemon of a name.
 func NewDrains(name string, log *slog.Logger) *Drains {
 	d := &Drains{outbox: newOutbox(name, log), guard: serverstate.NewGuard(name), dirty: map[serverstate.Process]bool{}, arrivals: arrivalTimes{},
-		schedule: serverstate.NewReportScheduler(name, serverstate.ReportSchedule{Spread: int64(drainReportSpread), Renew: int64(drainRenewInterval), Keep: int64(drainRetention), Most: maxDrains})}
-	d.guard.Only(isProcessDrain)
+		schedule: serverstate.NewReportScheduler(name, serverstate.ReportSchedule{Spread: int64(drainReportSpread), RenewInterval: int64(drainRenewInterval), Retention: int64(drainRetention), MaxObserved: maxDrains})}
+	d.guard.Restrict(isProcessDrain)
 	return d
 }
 
@@ -49,7 +49,7 @@
 }
 
 func drainKey(p serverstate.Process) string {
-	return serverstate.ExclusionKey(serverstate.Drain, p.Server())
+	return serverstate.ExclusionKey(serverstate.Drain, p.ServerName())
 }
 
 // parseDrainKey reads a key that tells of a drain.
@@ -83,17 +83,17 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now, key := d.now(time.Now()), drainKey(p)
-	d.guard.Applied(e)
+	d.guard.Apply(e)
 	d.arrivals.applyEvent(now, e)
 	d.dirty[p] = true
-	d.wakeAt(d.schedule.Told(now, key, e.Revision, e.Deleted), now)
+	d.wakeAt(d.schedule.Committed(now, key, e.Revision, e.Deleted), now)
 	d.logDrain(key)
 	d.wakeUp()
 }
 
 // markAllDirty notes that all that is out is to be told to the sidecar again. The lock is held.
 func (d *Drains) markAllDirty() {
-	for _, o := range d.guard.All() {
+	for _, o := range d.guard.Exclusions() {
 		d.markDirty(serverstate.ExclusionKey(o.Kind, o.Server))
 	}
 }
@@ -110,7 +110,7 @@
 	d.markAllDirty()
 	d.arrivals.retain(s)
 	drained := revisionsWithPrefix(s, serverstate.ExclusionKey(serverstate.Drain, ""))
-	d.schedule.Found(d.now(time.Now()), drained)
+	d.schedule.Reset(d.now(time.Now()), drained)
 	for key := range drained {
 		d.logDrain(key)
 	}
@@ -121,7 +121,7 @@
 func (d *Drains) Uncommitted(c *store.Command) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, key := range d.guard.Unsettled(c) {
+	for _, key := range d.guard.Uncommitted(c) {
 		d.markDirty(key)
 	}
 }
@@ -130,7 +130,7 @@
 func (d *Drains) CaughtUp() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, key := range d.guard.Settled() {
+	for _, key := range d.guard.CaughtUp() {
 		d.markDirty(key)
 		d.logDrain(key)
 	}
@@ -152,7 +152,7 @@
 
 func (d *Drains) enqueueOwed() {
 	d.mu.Lock()
-	owed := d.guard.Owed()
+	owed := d.guard.TakeRetries()
 	d.mu.Unlock()
 	for _, op := range owed {
 		d.enqueueWrite(op)
@@ -188,10 +188,10 @@
 	key, now := drainKey(serverstate.Process(p)), d.now(time.Now())
 	defer d.logDrain(key)
 	if !drains {
-		d.schedule.Unhear(key)
+		d.schedule.Withdraw(key)
 		return
 	}
-	due, full := d.schedule.Hear(now, key)
+	due, full := d.schedule.Observe(now, key)
 	if full {
 		d.log.Error("other daemons are not told of a drain: too many processes drain", "id", p.ID, "most", maxDrains)
 	}
@@ -205,7 +205,7 @@
 	var ops []store.Op
 	for _, key := range keys {
 		p, _ := parseDrainKey(key)
-		op, err := d.guard.Hear(serverstate.Drain, p.Server())
+		op, err := d.guard.Observe(serverstate.Drain, p.ServerName())
 		if err != nil {
 			d.log.Error("other daemons are not told of a drain", "id", p.ID, "error", err)
 		} else if op != nil {
@@ -221,7 +221,7 @@
 // enqueueWrite leaves a word of the guard's to be written; if there is no room it stays owed.
 func (d *Drains) enqueueWrite(op store.Op) {
 	d.enqueue(pendingWrite{key: op.Key, done: func(ok bool) {
-		d.guard.Wrote(op.Key, ok)
+		d.guard.ProposalDone(op.Key, ok)
 		d.logDrain(op.Key)
 	}, apply: func(ctx context.Context) error {
 		p, _ := parseDrainKey(op.Key)
@@ -232,7 +232,7 @@
 // propose writes a drain, if nobody has written it since. What was ended meanwhile is an error: it is owed again.
 func (d *Drains) propose(ctx context.Context, p serverstate.Process, op store.Op) error {
 	d.mu.Lock()
-	agreed, over := d.guard.Agreed(p), !d.guard.Pending(op.Key)
+	agreed, over := d.guard.DrainRevision(p), !d.guard.Pending(op.Key)
 	d.mu.Unlock()
 	if over {
 		return nil
@@ -243,7 +243,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.guard.Agreed(p) == 0 {
+	if d.guard.DrainRevision(p) == 0 {
 		return ErrExcludedAgain
 	}
 	return nil
@@ -259,7 +259,7 @@
 	}
 	now := map[serverstate.Process]bool{}
 	for p := range d.dirty {
-		now[p] = d.guard.Drains(p)
+		now[p] = d.guard.IsDraining(p)
 	}
 	clear(d.dirty)
 	d.mu.Unlock()
@@ -281,7 +281,7 @@
 	_, over := d.schedule.Due(d.now(now))
 	for _, key := range over {
 		p, _ := parseDrainKey(key)
-		if t, err := d.guard.Return(serverstate.Drain, p.Server()); err == nil {
+		if t, err := d.guard.Readmit(serverstate.Drain, p.ServerName()); err == nil {
 			ends = append(ends, t)
 		}
 	}
@@ -292,5 +292,5 @@
 func (d *Drains) Exclusions() []serverstate.Exclusion {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.arrivals.setAges(d.now(time.Now()), d.guard.All())
+	return d.arrivals.setAges(d.now(time.Now()), d.guard.Exclusions())
 }
--- a/internal/controlplane/daemon/drains_test.go
+++ b/internal/controlplane/daemon/drains_test.go
@@ -26,7 +26,7 @@
 	changes := func(p discovery.Process) uint64 {
 		var i store.Item
 		if _, err := all[0].engine.View(ctx, false, func(st *store.State) {
-			i, _ = st.Get(serverstate.ExclusionKey(serverstate.Drain, serverstate.Process(p).Server()))
+			i, _ = st.Get(serverstate.ExclusionKey(serverstate.Drain, serverstate.Process(p).ServerName()))
 		}); err != nil {
 			t.Fatal(err)
 		}
@@ -101,5 +101,5 @@
 func (d *Drains) isDraining(p discovery.Process) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.guard.Drains(serverstate.Process(p))
+	return d.guard.IsDraining(serverstate.Process(p))
 }
--- a/internal/controlplane/daemon/outbox.go
+++ b/internal/controlplane/daemon/outbox.go
@@ -139,7 +139,7 @@
 func (a arrivalTimes) setAges(now int64, all []serverstate.Exclusion) []serverstate.Exclusion {
 	for i := range all {
 		if at, ok := a[serverstate.ExclusionKey(all[i].Kind, all[i].Server)]; ok {
-			all[i].AgeMs = (now - at) / 1e6
+			all[i].AgeMillis = (now - at) / 1e6
 		}
 	}
 	return all
--- a/internal/controlplane/daemon/servers.go
+++ b/internal/controlplane/daemon/servers.go
@@ -66,7 +66,7 @@
 func (s *Servers) List(ctx context.Context) []ServerFact {
 	var all []ServerFact
 	for _, o := range s.Exclusions() {
-		f := ServerFact{ID: o.Server, What: "banned", By: o.By, AgeMs: o.AgeMs, Agreed: o.Agreed}
+		f := ServerFact{ID: o.Server, What: "banned", By: o.ReportedBy, AgeMs: o.AgeMillis, Agreed: o.Committed}
 		if p, ok := parseDrainKey(serverstate.ExclusionKey(o.Kind, o.Server)); ok {
 			f.ID, f.Addr, f.StartedMs, f.What = p.ID, p.Addr, p.StartedMs, "drains"
 		}
@@ -109,7 +109,7 @@
 		if err != nil {
 			continue
 		}
-		shown, err := snapshot.Decode(v.Known)
+		shown, err := snapshot.Decode(v.Data)
 		if err != nil {
 			continue
 		}
@@ -127,12 +127,12 @@
 			}
 			f := at[s]
 			if f == nil {
-				f = &ServerFact{ID: s.id, Addr: s.addr, StartedMs: s.start, What: s.what, By: v.By, AgeMs: age, Agreed: true, Alone: alone}
+				f = &ServerFact{ID: s.id, Addr: s.addr, StartedMs: s.start, What: s.what, By: v.ReportedBy, AgeMs: age, Agreed: true, Alone: alone}
 				at[s] = f
 			}
 			f.Sidecars++
 			if age >= 0 && (f.AgeMs < 0 || age < f.AgeMs) {
-				f.AgeMs, f.By = age, v.By
+				f.AgeMs, f.By = age, v.ReportedBy
 			}
 		}
 	}
--- a/internal/controlplane/daemon/snapshots.go
+++ b/internal/controlplane/daemon/snapshots.go
@@ -45,7 +45,7 @@
 
 // NewStateSnapshots returns that of the daemon of a name.
 func NewStateSnapshots(name string, log *slog.Logger) *StateSnapshots {
-	return &StateSnapshots{outbox: newOutbox(name, log), snapshots: map[string]storedSnapshot{}, schedule: serverstate.NewReportScheduler(name, serverstate.ReportSchedule{Spread: 1, Keep: int64(snapshotRetention)})}
+	return &StateSnapshots{outbox: newOutbox(name, log), snapshots: map[string]storedSnapshot{}, schedule: serverstate.NewReportScheduler(name, serverstate.ReportSchedule{Spread: 1, Retention: int64(snapshotRetention)})}
 }
 
 // AddSidecar says whose pictures are this daemon's own: those of its sidecar. It is called before the copy is opened, and by Keep.
@@ -145,7 +145,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.set(e.Item.Key, storedSnapshot{e.Item.Value, k.confirmedAt, e.Revision}, e.Deleted)
-	k.schedule.Told(k.now(time.Now()), e.Item.Key, e.Revision, e.Deleted)
+	k.schedule.Committed(k.now(time.Now()), e.Item.Key, e.Revision, e.Deleted)
 }
 
 // Reset is of Part.
@@ -166,7 +166,7 @@
 		}
 		return true
 	})
-	k.schedule.Found(k.now(time.Now()), revisionsWithPrefix(s, serverstate.SnapshotPrefix))
+	k.schedule.Reset(k.now(time.Now()), revisionsWithPrefix(s, serverstate.SnapshotPrefix))
 }
 
 // Expired is of Sweeper: it ends those that nobody has put for long.
@@ -193,7 +193,7 @@
 		v, err := serverstate.DecodeModuleSnapshot(p.value)
 		var kept *snapshot.Saved
 		if err == nil {
-			kept, err = snapshot.Decode(v.Known)
+			kept, err = snapshot.Decode(v.Data)
 		}
 		if err != nil {
 			k.log.Warn("a picture in the store is passed over", "key", key, "error", err)
@@ -295,6 +295,6 @@
 	}
 	c, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	_, err = k.store.Do(c, store.Command{Txn: serverstate.ModuleSnapshot{By: k.name, Known: known}.Put(key)})
+	_, err = k.store.Do(c, store.Command{Txn: serverstate.ModuleSnapshot{ReportedBy: k.name, Data: known}.PutTxn(key)})
 	return err
 }
--- a/internal/controlplane/daemon/starts.go
+++ b/internal/controlplane/daemon/starts.go
@@ -31,7 +31,7 @@
 // NewStarts returns those of the daemon of a name.
 func NewStarts(name string, log *slog.Logger) *Starts {
 	return &Starts{outbox: newOutbox(name, log), reports: serverstate.NewStarts(name, maxStarts), dirty: map[serverstate.Process]bool{},
-		schedule: serverstate.NewReportScheduler(name, serverstate.ReportSchedule{Spread: int64(startReportSpread), Keep: 1 << 62, Most: maxStarts})}
+		schedule: serverstate.NewReportScheduler(name, serverstate.ReportSchedule{Spread: int64(startReportSpread), Retention: 1 << 62, MaxObserved: maxStarts})}
 }
 
 // Run is of Part.
@@ -47,10 +47,10 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now(time.Now())
-	if !d.reports.See(now, serverstate.Process(p), int64(ago), int64(cold)) {
+	if !d.reports.Observe(now, serverstate.Process(p), int64(ago), int64(cold)) {
 		return
 	}
-	due, _ := d.schedule.Hear(now, serverstate.StartKey(serverstate.Process(p)))
+	due, _ := d.schedule.Observe(now, serverstate.StartKey(serverstate.Process(p)))
 	d.wakeAt(due, now)
 }
 
@@ -59,7 +59,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var all []core.Start
-	d.reports.Cold(d.now(time.Now()), func(p serverstate.Process, ago, _ int64, _ string, _ bool) {
+	d.reports.WarmingUp(d.now(time.Now()), func(p serverstate.Process, ago, _ int64, _ string, _ bool) {
 		all = append(all, core.Start{Process: discovery.Process(p), Ago: time.Duration(ago)})
 	})
 	return all
@@ -84,11 +84,11 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now(time.Now())
-	if p, news := d.reports.Applied(now, e, 0); news {
+	if p, news := d.reports.Apply(now, e, 0); news {
 		d.dirty[p] = true
 		d.wakeUp()
 	}
-	d.schedule.Told(now, e.Item.Key, e.Revision, e.Deleted)
+	d.schedule.Committed(now, e.Item.Key, e.Revision, e.Deleted)
 }
 
 // Reset is of Part. How long ago its words were written is not known: each counts as new, so that a process is
@@ -98,12 +98,12 @@
 	defer d.mu.Unlock()
 	now := d.now(time.Now())
 	s.Range(serverstate.StartPrefix, store.PrefixEnd(serverstate.StartPrefix), func(i store.Item) bool {
-		if p, news := d.reports.Applied(now, store.Event{Revision: i.ModRevision, Item: i}, 0); news {
+		if p, news := d.reports.Apply(now, store.Event{Revision: i.ModRevision, Item: i}, 0); news {
 			d.dirty[p] = true
 		}
 		return true
 	})
-	d.schedule.Found(now, revisionsWithPrefix(s, serverstate.StartPrefix))
+	d.schedule.Reset(now, revisionsWithPrefix(s, serverstate.StartPrefix))
 	d.wakeUp()
 }
 
@@ -115,10 +115,10 @@
 	var txns []*store.Txn
 	for _, key := range keys {
 		p, _ := serverstate.ParseStart(key)
-		if t := d.reports.Write(now, p); t != nil {
+		if t := d.reports.ReportTxn(now, p); t != nil {
 			txns = append(txns, t)
 		} else {
-			d.schedule.Unhear(key) // it is over
+			d.schedule.Withdraw(key) // it is over
 		}
 	}
 	d.mu.Unlock()
@@ -128,11 +128,11 @@
 			return err
 		}, done: func(ok bool) {
 			if ok { // by this daemon or, if the comparison did not hold, by another
-				d.schedule.Unhear(t.Then[0].Key)
+				d.schedule.Withdraw(t.Then[0].Key)
 				return
 			}
 			now := d.now(time.Now())
-			d.wakeAt(d.schedule.Again(now, int64(retryInterval), t.Then[0].Key), now)
+			d.wakeAt(d.schedule.Retry(now, int64(retryInterval), t.Then[0].Key), now)
 		}})
 	}
 }
@@ -143,7 +143,7 @@
 	bind, now := d.bind, d.now(time.Now())
 	var news []core.Start
 	for p := range d.dirty {
-		if ago, _, ok := d.reports.Of(now, p); ok && bind != nil {
+		if ago, _, ok := d.reports.Lookup(now, p); ok && bind != nil {
 			news = append(news, core.Start{Process: discovery.Process(p), Ago: time.Duration(ago)})
 		}
 	}
@@ -163,9 +163,9 @@
 	d.enqueueDue(now)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, p := range d.reports.Over(d.now(now)) {
-		d.schedule.Unhear(serverstate.StartKey(p))
-		if t := d.reports.End(p); t != nil {
+	for _, p := range d.reports.Expired(d.now(now)) {
+		d.schedule.Withdraw(serverstate.StartKey(p))
+		if t := d.reports.DeleteTxn(p); t != nil {
 			ends = append(ends, t)
 		}
 	}
@@ -176,7 +176,7 @@
 func (d *Starts) facts() (all []ServerFact) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.reports.Cold(d.now(time.Now()), func(p serverstate.Process, ago, left int64, who string, agreed bool) {
+	d.reports.WarmingUp(d.now(time.Now()), func(p serverstate.Process, ago, left int64, who string, agreed bool) {
 		all = append(all, ServerFact{ID: p.ID, Addr: p.Addr, StartedMs: p.StartedMs, What: "began", By: who, AgeMs: ago / 1e6, LeftMs: left / 1e6, Agreed: agreed})
 	})
 	return all
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -468,7 +468,7 @@
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			if _, err := p.Store.Do(ctx, store.Command{Txn: serverstate.ModuleSnapshot{By: h.name, Known: known}.Put(serverstate.SnapshotKey(h.name, ""))}); err != nil {
+			if _, err := p.Store.Do(ctx, store.Command{Txn: serverstate.ModuleSnapshot{ReportedBy: h.name, Data: known}.PutTxn(serverstate.SnapshotKey(h.name, ""))}); err != nil {
 				h.c.log.Error("a picture that is planted is not put", "sidecar", h.name, "error", err)
 			}
 		})
--- a/internal/lab/storesim/actors.go
+++ b/internal/lab/storesim/actors.go
@@ -285,12 +285,12 @@
 	if h == nil {
 		return
 	}
-	for _, op := range h.guard.Owed() {
+	for _, op := range h.guard.TakeRetries() {
 		u.owed(h, op)
 	}
 	server := fmt.Sprintf("s%d", w.rng.IntN(3))
 	if w.rng.IntN(2) == 0 {
-		op, err := h.guard.Hear(serverstate.Drain, server)
+		op, err := h.guard.Observe(serverstate.Drain, server)
 		if err != nil {
 			w.broken("guard", "%v", err)
 			return
@@ -302,7 +302,7 @@
 		h.look()
 		return
 	}
-	if t, err := h.guard.Return(serverstate.Drain, server); err == nil {
+	if t, err := h.guard.Readmit(serverstate.Drain, server); err == nil {
 		u.seq++
 		h.propose(store.Command{ID: store.RequestID{Client: u.id, Seq: u.seq}, Txn: t}, func(replica.Completion) {})
 		h.look()
@@ -326,7 +326,7 @@
 			return
 		}
 		ok := d.Err == nil && d.Result.Err == nil
-		h.guard.Wrote(op.Key, ok)
+		h.guard.ProposalDone(op.Key, ok)
 		if ok && !h.guard.Pending(op.Key) {
 			for _, x := range u.w.ops {
 				delete(x.heard, fmt.Sprintf("%s at %d", op.Key[len("out/drain/"):], h.number))
--- a/internal/lab/storesim/storesim.go
+++ b/internal/lab/storesim/storesim.go
@@ -334,13 +334,13 @@
 	h.node, h.index = n, n.State().Index()
 	h.guard, h.mirror = serverstate.NewGuard(fmt.Sprint(h.number)), map[string]uint64{}
 	if w.o.Planted&replica.EagerReturn != 0 {
-		h.guard.PlantEagerReturn()
+		h.guard.InjectEagerReadmission()
 	}
 	h.restarting, h.settled = true, false
 	h.beginWatch()
 	h.adopt()
 	if w.o.Watch != ForgetDisk {
-		n.Uncommitted(func(c *store.Command) { h.guard.Unsettled(c) })
+		n.Uncommitted(func(c *store.Command) { h.guard.Uncommitted(c) })
 	}
 	h.restarting = false
 	boot := h.boot
@@ -379,7 +379,7 @@
 
 // event is a change of the state, which this process is told of.
 func (h *host) event(e store.Event) {
-	h.guard.Applied(e)
+	h.guard.Apply(e)
 	if e.Deleted {
 		delete(h.mirror, e.Item.Key)
 	} else if len(e.Item.Key) > 4 && e.Item.Key[:4] == serverstate.ExclusionPrefix {
@@ -395,13 +395,13 @@
 func (h *host) look() {
 	for _, u := range h.w.ops {
 		for key, at := range u.heard {
-			if at.host == h.number && at.boot == h.boot && !h.guard.Out(at.server) {
+			if at.host == h.number && at.boot == h.boot && !h.guard.Excluded(at.server) {
 				h.w.broken("stale drain", "host %d lets %s serve, which it heard to be out", h.number, key)
 			}
 		}
 	}
 	for key := range h.mirror {
-		if !h.guard.Out(key[len("out/drain/"):]) {
+		if !h.guard.Excluded(key[len("out/drain/"):]) {
 			h.w.broken("stale drain", "host %d lets serve what its copy says is out: %s", h.number, key)
 		}
 	}
@@ -439,7 +439,7 @@
 	}
 	if !h.settled && n.CaughtUp() {
 		h.settled = true
-		h.guard.Settled()
+		h.guard.CaughtUp()
 	}
 	if out.Applied > 0 || out.Renewed {
 		h.look()
--- a/internal/lab/storesim/watch.go
+++ b/internal/lab/storesim/watch.go
@@ -114,12 +114,12 @@
 
 func (h *host) beginWatch() {
 	w := h.w
-	r := serverstate.ReportSchedule{Spread: simSpread, Renew: simRenew, Keep: simKeep, Most: 64}
+	r := serverstate.ReportSchedule{Spread: simSpread, RenewInterval: simRenew, Retention: simKeep, MaxObserved: 64}
 	switch w.o.Watch {
 	case EndEarly:
-		r.Keep = simKeep / 4
+		r.Retention = simKeep / 4
 	case NeverRenew:
-		r.Renew = 0
+		r.RenewInterval = 0
 	}
 	h.watch = &watcher{turns: serverstate.NewReportScheduler(fmt.Sprint(h.number), r), ears: map[string]bool{}, late: map[string]int64{},
 		alone: map[string]bool{}, pace: 0.95 + 0.1*w.rng.Float64(), born: w.q.Now()}
@@ -167,14 +167,14 @@
 	}
 	t.view[server] = p
 	if was.drains && (!p.drains || p.start != was.start) {
-		key := serverstate.ExclusionKey(serverstate.Drain, h.w.nameOf(server, was.start).Server())
-		t.turns.Unhear(key)
+		key := serverstate.ExclusionKey(serverstate.Drain, h.w.nameOf(server, was.start).ServerName())
+		t.turns.Withdraw(key)
 		delete(t.ears, key)
 	}
 	if p.drains {
-		key := serverstate.ExclusionKey(serverstate.Drain, h.w.nameOf(server, p.start).Server())
+		key := serverstate.ExclusionKey(serverstate.Drain, h.w.nameOf(server, p.start).ServerName())
 		t.ears[key] = true
-		t.turns.Hear(now, key)
+		t.turns.Observe(now, key)
 	}
 }
 
@@ -185,7 +185,7 @@
 	speak, end := t.turns.Due(now)
 	for _, key := range speak {
 		p, _ := serverstate.ParseProcess(strings.TrimPrefix(key, serverstate.ExclusionKey(serverstate.Drain, "")))
-		if op, err := h.guard.Hear(serverstate.Drain, p.Server()); err != nil {
+		if op, err := h.guard.Observe(serverstate.Drain, p.ServerName()); err != nil {
 			w.broken("guard", "%v", err)
 		} else if op != nil {
 			h.tell(p, *op)
@@ -193,12 +193,12 @@
 	}
 	if w.q.Now()-t.tidy > simTidy {
 		t.tidy = w.q.Now()
-		for _, op := range h.guard.Owed() {
+		for _, op := range h.guard.TakeRetries() {
 			w.ops[0].owed(h, op)
 		}
 		for _, key := range end {
 			server := strings.TrimPrefix(key, serverstate.ExclusionKey(serverstate.Drain, ""))
-			if txn, err := h.guard.Return(serverstate.Drain, server); err == nil {
+			if txn, err := h.guard.Readmit(serverstate.Drain, server); err == nil {
 				if w.o.Watch == EndAlone {
 					t.alone[key] = true
 				}
@@ -223,11 +223,11 @@
 		return
 	}
 	boot := h.boot
-	t := &store.Txn{If: []store.Compare{{Key: op.Key, ModRevision: h.guard.Agreed(p)}}, Then: []store.Op{op}}
+	t := &store.Txn{If: []store.Compare{{Key: op.Key, ModRevision: h.guard.DrainRevision(p)}}, Then: []store.Op{op}}
 	h.propose(store.Command{ID: h.request(), Txn: t}, func(d replica.Completion) {
 		if h.boot == boot {
 			ok := d.Err == nil && d.Result.Err == nil
-			h.guard.Wrote(op.Key, ok && (d.Result.Succeeded || h.guard.Agreed(p) != 0))
+			h.guard.ProposalDone(op.Key, ok && (d.Result.Succeeded || h.guard.DrainRevision(p) != 0))
 		}
 	})
 }
@@ -254,14 +254,14 @@
 			}
 		}
 	}
-	t.turns.Told(t.own(w.q.Now()), key, e.Revision, e.Deleted)
+	t.turns.Committed(t.own(w.q.Now()), key, e.Revision, e.Deleted)
 	if e.Deleted {
 		delete(h.acted, key)
 		delete(t.late, key)
 		if w.o.Watch == Overwrite {
-			t.turns.Unhear(key)
+			t.turns.Withdraw(key)
 			for i := range t.view {
-				if t.view[i].drains && serverstate.ExclusionKey(serverstate.Drain, w.nameOf(i, t.view[i].start).Server()) == key {
+				if t.view[i].drains && serverstate.ExclusionKey(serverstate.Drain, w.nameOf(i, t.view[i].start).ServerName()) == key {
 					t.view[i].drains = false
 				}
 			}
@@ -292,7 +292,7 @@
 		return true
 	})
 	if h.watch != nil {
-		h.watch.turns.Found(h.watch.own(h.w.q.Now()), now)
+		h.watch.turns.Reset(h.watch.own(h.w.q.Now()), now)
 	}
 	if !h.restarting { // of a leader's snapshot: what it lacks has ended
 		for key := range h.acted {
@@ -305,15 +305,15 @@
 
 // holds says whether the sidecar takes a process to drain, by others' word.
 func (h *host) holds(p serverstate.Process) bool {
-	t, key := h.watch, serverstate.ExclusionKey(serverstate.Drain, p.Server())
+	t, key := h.watch, serverstate.ExclusionKey(serverstate.Drain, p.ServerName())
 	switch {
 	case h.w.o.Watch == EndAlone && t.alone[key]:
 		return false
 	case h.w.o.Watch == BindLate:
 		since, ok := t.late[key]
-		return h.guard.Drains(p) && ok && h.w.q.Now()-since > 500*milli
+		return h.guard.IsDraining(p) && ok && h.w.q.Now()-since > 500*milli
 	}
-	return h.guard.Drains(p)
+	return h.guard.IsDraining(p)
 }
 
 // sendAll has the sidecar send to every server that it holds to serve; the servers count.
@@ -321,16 +321,16 @@
 	t, w := h.watch, h.w
 	for i, v := range t.view {
 		p := w.nameOf(i, v.start)
-		key := serverstate.ExclusionKey(serverstate.Drain, p.Server())
+		key := serverstate.ExclusionKey(serverstate.Drain, p.ServerName())
 		if v.version < 0 || v.drains || h.holds(p) {
 			continue
 		}
 		w.r.Sent++
 		switch {
 		case h.acted[key]:
-			w.broken("stale drain served", "host %d sends to %s, whose drain its copy had shown", h.number, p.Server())
+			w.broken("stale drain served", "host %d sends to %s, whose drain its copy had shown", h.number, p.ServerName())
 		case t.ears[key]:
-			w.broken("own word undone", "host %d sends to %s, which it hears to drain", h.number, p.Server())
+			w.broken("own word undone", "host %d sends to %s, which it hears to drain", h.number, p.ServerName())
 		}
 	}
 }
@@ -346,8 +346,8 @@
 		}
 		name := w.nameOf(i, p.start)
 		for _, h := range w.members() {
-			if h.node != nil && h.watch != nil && !h.guard.Drains(name) {
-				w.broken("drain not told", "host %d does not know that %s drains, %d ms after the last fault", h.number, name.Server(),
+			if h.node != nil && h.watch != nil && !h.guard.IsDraining(name) {
+				w.broken("drain not told", "host %d does not know that %s drains, %d ms after the last fault", h.number, name.ServerName(),
 					(w.q.Now()-w.s.healed)/milli)
 			}
 		}
--- a/internal/store/engine/faulty_test.go
+++ b/internal/store/engine/faulty_test.go
@@ -48,7 +48,7 @@
 			c.disk["b"] = disk.Options{File: func(f *os.File) { file = f }}
 			c.begin("a", "b", "c")
 			drain := func(n int) store.Command {
-				key := serverstate.ExclusionKey(serverstate.Drain, serverstate.Process{ID: fmt.Sprint("s", n), Addr: "127.0.0.1:1", StartedMs: 1}.Server())
+				key := serverstate.ExclusionKey(serverstate.Drain, serverstate.Process{ID: fmt.Sprint("s", n), Addr: "127.0.0.1:1", StartedMs: 1}.ServerName())
 				return store.Command{Txn: &store.Txn{Then: []store.Op{{Key: key, Value: []byte{0xa0}}}}}
 			}
 			const drains = 60
@@ -83,12 +83,12 @@
 			guard := serverstate.NewGuard("b")
 			c.first = func(cfg *Config) {
 				cfg.Reset = func(s *store.State) { guard.Reset(s) }
-				cfg.Uncommitted = func(c *store.Command) { guard.Unsettled(c) }
+				cfg.Uncommitted = func(c *store.Command) { guard.Uncommitted(c) }
 			}
 			b := c.start("b", true)
 			c.first = nil
 			for n := range drains / 2 {
-				if key := drain(n).Txn.Then[0].Key; !guard.Out(strings.TrimPrefix(key, serverstate.ExclusionKey(serverstate.Drain, ""))) {
+				if key := drain(n).Txn.Then[0].Key; !guard.Excluded(strings.TrimPrefix(key, serverstate.ExclusionKey(serverstate.Drain, ""))) {
 					t.Fatalf("started again, it does not know drain %d at once", n)
 				}
 			}
--- a/internal/store/serverstate/guard_test.go
+++ b/internal/store/serverstate/guard_test.go
@@ -26,7 +26,7 @@
 
 // What is said of one server, by three daemons that read one log at their own pace, binds where it was heard until a
 // change that came after it in the log lets it return; and it never binds for ever.
-func TestWordsBindAtOnceAndReturnsNeedTheLog(t *testing.T) {
+func TestGuardExcludesAtOnceAndReadmitsByLogOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type entry struct {
 			c  store.Command
@@ -47,10 +47,10 @@
 			d.read++
 			d.state.Apply(uint64(d.read), &e.c)
 			for _, x := range events {
-				d.g.Applied(x)
+				d.g.Apply(x)
 			}
 			if e.by == d && len(e.c.Txn.If) == 0 {
-				d.g.Wrote(ExclusionKey(Drain, "s"), true)
+				d.g.ProposalDone(ExclusionKey(Drain, "s"), true)
 				if d.own == d.read-1 {
 					d.own = -1
 				}
@@ -64,36 +64,36 @@
 			d := rapid.SampledFrom(all).Draw(t, "daemon")
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
-				op, err := d.g.Hear(Drain, "s")
+				op, err := d.g.Observe(Drain, "s")
 				if err != nil {
 					t.Fatal(err)
 				}
 				if op == nil || rapid.Bool().Draw(t, "lost") {
 					if d.own = -2; op != nil {
-						d.g.Wrote(op.Key, false)
+						d.g.ProposalDone(op.Key, false)
 					}
 				} else {
 					write(d, *op)
 				}
 			case 1:
-				if x, err := d.g.Return(Drain, "s"); err == nil {
+				if x, err := d.g.Readmit(Drain, "s"); err == nil {
 					log = append(log, entry{store.Command{Txn: x}, d})
 				}
 			case 2:
-				for _, op := range d.g.Owed() {
+				for _, op := range d.g.TakeRetries() {
 					write(d, op)
 				}
 			default:
 				read(d)
 			}
 			_, agreed := d.state.Get(ExclusionKey(Drain, "s"))
-			if (d.own != -1 || agreed) && !d.g.Out("s") {
+			if (d.own != -1 || agreed) && !d.g.Excluded("s") {
 				t.Fatalf("it serves: own word at %d, agreed %v", d.own, agreed)
 			}
 		}
 		for range 4 { // all is written and read, and it returns
 			for _, d := range all {
-				for _, op := range d.g.Owed() {
+				for _, op := range d.g.TakeRetries() {
 					write(d, op)
 				}
 				for d.read < len(log) {
@@ -101,55 +101,55 @@
 				}
 			}
 		}
-		if x, err := all[0].g.Return(Drain, "s"); err == nil {
+		if x, err := all[0].g.Readmit(Drain, "s"); err == nil {
 			log = append(log, entry{store.Command{Txn: x}, all[0]})
 		}
 		for _, d := range all {
 			for d.read < len(log) {
 				read(d)
 			}
-			if d.g.Out("s") {
-				t.Fatalf("out for ever: %+v", d.g.words)
+			if d.g.Excluded("s") {
+				t.Fatalf("out for ever: %+v", d.g.exclusions)
 			}
 		}
 	})
 }
 
-func TestAnOlderStateIsNotActedOn(t *testing.T) {
+func TestGuardRejectsOlderState(t *testing.T) {
 	s := store.New(1, limits)
 	old := s.Clone()
 	s.Apply(1, &store.Command{Txn: &store.Txn{Then: []store.Op{{Key: ExclusionKey(AdminDrain, "s"), Value: []byte{0xa0}}}}})
 	g := NewGuard("a")
-	if err := g.Reset(s); err != nil || !g.Out("s") {
+	if err := g.Reset(s); err != nil || !g.Excluded("s") {
 		t.Fatal(err)
 	}
-	if err := g.Reset(old); !errors.Is(err, ErrRevisionRegressed) || !g.Out("s") {
+	if err := g.Reset(old); !errors.Is(err, ErrRevisionRegressed) || !g.Excluded("s") {
 		t.Fatal(err)
 	}
-	if _, err := g.Hear("other", "s"); !errors.Is(err, ErrInvalidServerName) {
+	if _, err := g.Observe("other", "s"); !errors.Is(err, ErrInvalidServerName) {
 		t.Fatal(err)
 	}
 }
 
-func TestWhatTheLogsEndSaysIsOutBinds(t *testing.T) {
+func TestGuardExcludesByUncommittedLogTail(t *testing.T) {
 	g := NewGuard("a")
-	g.Unsettled(&store.Command{Txn: &store.Txn{Then: []store.Op{{Key: ExclusionKey(Drain, "s")}, {Key: ExclusionKey(Drain, "x"), Delete: true}}}})
-	g.Unsettled(&store.Command{Txn: &store.Txn{Then: []store.Op{{Key: ExclusionKey(Drain, "again")}}}})
-	if owed := g.Owed(); !g.Out("s") || g.Out("x") || len(owed) != 0 {
-		t.Fatal(owed, g.All())
+	g.Uncommitted(&store.Command{Txn: &store.Txn{Then: []store.Op{{Key: ExclusionKey(Drain, "s")}, {Key: ExclusionKey(Drain, "x"), Delete: true}}}})
+	g.Uncommitted(&store.Command{Txn: &store.Txn{Then: []store.Op{{Key: ExclusionKey(Drain, "again")}}}})
+	if owed := g.TakeRetries(); !g.Excluded("s") || g.Excluded("x") || len(owed) != 0 {
+		t.Fatal(owed, g.Exclusions())
 	}
 	// On the way to the log's end the copy shows an older word of one, and its end: the later one may be yet to come.
 	item := store.Item{Key: ExclusionKey(Drain, "again")}
 	for i, gone := range []bool{false, true} {
-		if g.Applied(store.Event{Revision: uint64(i + 1), Deleted: gone, Item: item}); !g.Out("again") {
+		if g.Apply(store.Event{Revision: uint64(i + 1), Deleted: gone, Item: item}); !g.Excluded("again") {
 			t.Fatalf("change %d lets it serve", i+1)
 		}
 	}
 	// At the end, what the store has spoken of counts as it says; of the other it says nothing, and is told.
-	if over := g.Settled(); len(over) != 1 || over[0] != item.Key || g.Out("again") || !g.Out("s") {
-		t.Fatal(over, g.All())
+	if over := g.CaughtUp(); len(over) != 1 || over[0] != item.Key || g.Excluded("again") || !g.Excluded("s") {
+		t.Fatal(over, g.Exclusions())
 	}
-	if owed := g.Owed(); len(owed) != 1 || owed[0].Key != ExclusionKey(Drain, "s") {
+	if owed := g.TakeRetries(); len(owed) != 1 || owed[0].Key != ExclusionKey(Drain, "s") {
 		t.Fatal(owed)
 	}
 }
--- a/internal/store/serverstate/modulesnapshot.go
+++ b/internal/store/serverstate/modulesnapshot.go
@@ -20,9 +20,9 @@
 // ModuleSnapshot is what one sidecar's module knows of one protocol's servers, in package snapshot's form. The store does not read
 // it.
 type ModuleSnapshot struct {
-	Format uint64 `cbor:"1,keyasint"`
-	By     string `cbor:"2,keyasint"` // daemon
-	Known  []byte `cbor:"3,keyasint"`
+	Format     uint64 `cbor:"1,keyasint"`
+	ReportedBy string `cbor:"2,keyasint"` // daemon
+	Data       []byte `cbor:"3,keyasint"`
 }
 
 // SnapshotKey is that of a sidecar's protocol; "" is HTTP.
@@ -45,8 +45,8 @@
 	return sidecar, protocol, err == nil && err2 == nil && sidecar != ""
 }
 
-// Put is the transaction that keeps a picture.
-func (p ModuleSnapshot) Put(key string) *store.Txn {
+// PutTxn is the transaction that keeps a picture.
+func (p ModuleSnapshot) PutTxn(key string) *store.Txn {
 	p.Format = Format
 	b, err := cbor.Marshal(p)
 	if err != nil {
@@ -57,25 +57,25 @@
 
 // DecodeModuleSnapshot reads a record. What is of a later format is ErrFormat.
 func DecodeModuleSnapshot(b []byte) (p ModuleSnapshot, err error) {
-	if err := record.Unmarshal(b, &p); err != nil {
+	if err := recordDecoder.Unmarshal(b, &p); err != nil {
 		return ModuleSnapshot{}, fmt.Errorf("picture: %w", err)
 	}
 	if p.Format > Format {
 		return ModuleSnapshot{}, fmt.Errorf("picture: %w: %d", ErrFormat, p.Format)
 	}
-	if p.Format == 0 || len(p.Known) == 0 {
+	if p.Format == 0 || len(p.Data) == 0 {
 		return ModuleSnapshot{}, errors.New("picture: empty")
 	}
 	return p, nil
 }
 
 const (
-	pictureLeast = int64(10e9) // nanoseconds between two of one sidecar, at least,
-	picturePace  = 64 << 10    // and so many bytes a second of all sidecars together
+	minSnapshotInterval    = int64(10e9) // nanoseconds between two of one sidecar, at least,
+	snapshotBytesPerSecond = 64 << 10    // and so many bytes a second of all sidecars together
 )
 
 // SnapshotInterval is how long a sidecar waits between two pictures where those of all take so many bytes: what the store writes
 // does not grow with the number of sidecars. In nanoseconds.
 func SnapshotInterval(bytes int) int64 {
-	return max(pictureLeast, int64(float64(bytes)/picturePace*1e9))
+	return max(minSnapshotInterval, int64(float64(bytes)/snapshotBytesPerSecond*1e9))
 }
--- a/internal/store/serverstate/process.go
+++ b/internal/store/serverstate/process.go
@@ -14,8 +14,8 @@
 	StartedMs int64 // by that server's own clock; 0: not told
 }
 
-// Server is its name in a key.
-func (p Process) Server() string {
+// ServerName is its name in a key.
+func (p Process) ServerName() string {
 	return url.QueryEscape(p.ID) + "@" + url.QueryEscape(p.Addr) + "@" + strconv.FormatInt(p.StartedMs, 10)
 }
 
@@ -32,13 +32,13 @@
 	return p, bad == [3]error{} && p.ID != ""
 }
 
-// Drains says whether a process is known to drain, whoever says so.
-func (g *Guard) Drains(p Process) bool { return g.is(Drain, p.Server()) }
+// IsDraining says whether a process is known to drain, whoever says so.
+func (g *Guard) IsDraining(p Process) bool { return g.excludedAs(Drain, p.ServerName()) }
 
-// Agreed is the revision of the store that says that a process drains, or 0.
-func (g *Guard) Agreed(p Process) uint64 {
-	if w := g.words[ExclusionKey(Drain, p.Server())]; w != nil {
-		return w.agreed
+// DrainRevision is the revision of the store that says that a process drains, or 0.
+func (g *Guard) DrainRevision(p Process) uint64 {
+	if w := g.exclusions[ExclusionKey(Drain, p.ServerName())]; w != nil {
+		return w.committedRevision
 	}
 	return 0
 }
@@ -46,7 +46,7 @@
 // Draining lists the processes that are known to drain.
 func (g *Guard) Draining() []Process {
 	var all []Process
-	for _, o := range g.All() {
+	for _, o := range g.Exclusions() {
 		if p, ok := ParseProcess(o.Server); ok && o.Kind == Drain {
 			all = append(all, p)
 		}
--- a/internal/store/serverstate/reportscheduler.go
+++ b/internal/store/serverstate/reportscheduler.go
@@ -16,152 +16,152 @@
 //
 // A Turns is for one goroutine.
 type ReportScheduler struct {
-	by    string
-	rules ReportSchedule
-	words map[string]*turn
-	heard int
-	full  bool
+	daemon        string
+	schedule      ReportSchedule
+	reports       map[string]*reportState
+	observedCount int
+	limitReached  bool
 }
 
 // ReportSchedule say how long the words of one kind are left to others, told again and kept.
 type ReportSchedule struct {
-	Spread int64
-	Renew  int64 // 0: never
-	Keep   int64
-	Most   int // words that this daemon hears at once; more are not told
+	Spread        int64
+	RenewInterval int64 // 0: never
+	Retention     int64
+	MaxObserved   int // words that this daemon hears at once; more are not told
 }
 
-// turn is what is known of a word.
-type turn struct {
-	heard bool   // here, and not taken back
-	due   int64  // when to speak; 0: not
-	known bool   // the store has it,
-	told  int64  // and said so here, latest, then
-	at    uint64 // at this revision
+// reportState is what is known of a word.
+type reportState struct {
+	observed    bool   // here, and not taken back
+	dueAt       int64  // when to speak; 0: not
+	committed   bool   // the store has it,
+	committedAt int64  // and said so here, latest, then
+	revision    uint64 // at this revision
 }
 
 // NewReportScheduler returns one for a daemon that has heard nothing.
 func NewReportScheduler(by string, rules ReportSchedule) *ReportScheduler {
-	return &ReportScheduler{by: by, rules: rules, words: map[string]*turn{}}
+	return &ReportScheduler{daemon: by, schedule: rules, reports: map[string]*reportState{}}
 }
 
-// lot is the while for which a word is left to others.
-func (t *ReportScheduler) lot(key string) int64 {
+// delay is the while for which a word is left to others.
+func (t *ReportScheduler) delay(key string) int64 {
 	h := fnv.New64a()
-	h.Write([]byte(t.by))
+	h.Write([]byte(t.daemon))
 	h.Write([]byte{0})
 	h.Write([]byte(key))
-	return int64(h.Sum64() % uint64(max(1, t.rules.Spread)))
+	return int64(h.Sum64() % uint64(max(1, t.schedule.Spread)))
 }
 
-func (t *ReportScheduler) word(key string) *turn {
-	w := t.words[key]
+func (t *ReportScheduler) report(key string) *reportState {
+	w := t.reports[key]
 	if w == nil {
-		w = &turn{}
-		t.words[key] = w
+		w = &reportState{}
+		t.reports[key] = w
 	}
 	return w
 }
 
-func (t *ReportScheduler) tidy(key string, w *turn) {
-	if !w.heard && !w.known {
-		delete(t.words, key)
+func (t *ReportScheduler) removeIfUnused(key string, w *reportState) {
+	if !w.observed && !w.committed {
+		delete(t.reports, key)
 	}
 }
 
-// Hear takes a word that this daemon hears itself. It returns when Due is to be called, or 0. full is set once, when the
+// Observe takes a word that this daemon hears itself. It returns when Due is to be called, or 0. full is set once, when the
 // first word is passed over because too many are heard.
-func (t *ReportScheduler) Hear(now int64, key string) (due int64, full bool) {
-	w := t.words[key]
-	if w != nil && w.heard {
+func (t *ReportScheduler) Observe(now int64, key string) (due int64, full bool) {
+	w := t.reports[key]
+	if w != nil && w.observed {
 		return 0, false
 	}
-	if t.heard >= t.rules.Most {
-		full, t.full = !t.full, true
+	if t.observedCount >= t.schedule.MaxObserved {
+		full, t.limitReached = !t.limitReached, true
 		return 0, full
 	}
-	w = t.word(key)
-	w.heard = true
-	t.heard++
+	w = t.report(key)
+	w.observed = true
+	t.observedCount++
 	return t.plan(now, key, w), false
 }
 
 // plan sets when a word that is heard here is to be told.
-func (t *ReportScheduler) plan(now int64, key string, w *turn) int64 {
+func (t *ReportScheduler) plan(now int64, key string, w *reportState) int64 {
 	switch {
-	case !w.heard:
-		w.due = 0
-	case !w.known:
-		w.due = now + 1 + t.lot(key)
-	case t.rules.Renew > 0:
-		w.due = w.told + t.rules.Renew + t.lot(key)
+	case !w.observed:
+		w.dueAt = 0
+	case !w.committed:
+		w.dueAt = now + 1 + t.delay(key)
+	case t.schedule.RenewInterval > 0:
+		w.dueAt = w.committedAt + t.schedule.RenewInterval + t.delay(key)
 	default:
-		w.due = 0
+		w.dueAt = 0
 	}
-	return w.due
+	return w.dueAt
 }
 
-// Unhear says that this daemon hears the word no more.
-func (t *ReportScheduler) Unhear(key string) {
-	if w := t.words[key]; w != nil && w.heard {
-		w.heard, w.due, t.full = false, 0, false
-		t.heard--
-		t.tidy(key, w)
+// Withdraw says that this daemon hears the word no more.
+func (t *ReportScheduler) Withdraw(key string) {
+	if w := t.reports[key]; w != nil && w.observed {
+		w.observed, w.dueAt, t.limitReached = false, 0, false
+		t.observedCount--
+		t.removeIfUnused(key, w)
 	}
 }
 
-// Hears says whether this daemon hears a word itself.
-func (t *ReportScheduler) Hears(key string) bool {
-	w := t.words[key]
-	return w != nil && w.heard
+// Observes says whether this daemon hears a word itself.
+func (t *ReportScheduler) Observes(key string) bool {
+	w := t.reports[key]
+	return w != nil && w.observed
 }
 
-// Told takes the store's word at a revision, as it comes: that it knows, or, with gone, that it has ended. It returns when
+// Committed takes the store's word at a revision, as it comes: that it knows, or, with gone, that it has ended. It returns when
 // Due is to be called, or 0: who still hears what others ended tells it again.
-func (t *ReportScheduler) Told(now int64, key string, at uint64, gone bool) (due int64) {
-	w := t.word(key)
-	w.known, w.told, w.at = !gone, now, at
+func (t *ReportScheduler) Committed(now int64, key string, at uint64, gone bool) (due int64) {
+	w := t.report(key)
+	w.committed, w.committedAt, w.revision = !gone, now, at
 	due = t.plan(now, key, w)
-	t.tidy(key, w)
+	t.removeIfUnused(key, w)
 	return due
 }
 
-// Found takes what a whole copy says, at a start or when the leader sent one: keys, and the revisions of their latest words.
+// Reset takes what a whole copy says, at a start or when the leader sent one: keys, and the revisions of their latest words.
 // Of a word that was told here already the time stays; one that was told again meanwhile counts as told now.
-func (t *ReportScheduler) Found(now int64, words map[string]uint64) {
+func (t *ReportScheduler) Reset(now int64, words map[string]uint64) {
 	for key, at := range words {
-		if w := t.word(key); !w.known || w.at != at {
-			w.known, w.told, w.at = true, now, at
+		if w := t.report(key); !w.committed || w.revision != at {
+			w.committed, w.committedAt, w.revision = true, now, at
 			t.plan(now, key, w)
 		}
 	}
-	for key, w := range t.words {
-		if _, has := words[key]; w.known && !has {
-			w.known = false
+	for key, w := range t.reports {
+		if _, has := words[key]; w.committed && !has {
+			w.committed = false
 			t.plan(now, key, w)
-			t.tidy(key, w)
+			t.removeIfUnused(key, w)
 		}
 	}
 }
 
-// Again has a word told once more after a while, because nothing came of it. It returns when Due is to be called, or 0.
-func (t *ReportScheduler) Again(now, after int64, key string) (due int64) {
-	w := t.words[key]
-	if w == nil || !w.heard || w.known || w.due > 0 {
+// Retry has a word told once more after a while, because nothing came of it. It returns when Due is to be called, or 0.
+func (t *ReportScheduler) Retry(now, after int64, key string) (due int64) {
+	w := t.reports[key]
+	if w == nil || !w.observed || w.committed || w.dueAt > 0 {
 		return 0
 	}
-	w.due = now + max(1, after)
-	return w.due
+	w.dueAt = now + max(1, after)
+	return w.dueAt
 }
 
 // Due returns what is to be told now, each once, and what nobody has told for long, in order.
 func (t *ReportScheduler) Due(now int64) (speak, end []string) {
-	for key, w := range t.words {
+	for key, w := range t.reports {
 		switch {
-		case w.heard && w.due > 0 && now >= w.due:
-			w.due = 0
+		case w.observed && w.dueAt > 0 && now >= w.dueAt:
+			w.dueAt = 0
 			speak = append(speak, key)
-		case !w.heard && w.known && now-w.told >= t.rules.Keep:
+		case !w.observed && w.committed && now-w.committedAt >= t.schedule.Retention:
 			end = append(end, key)
 		}
 	}
--- a/internal/store/serverstate/starts.go
+++ b/internal/store/serverstate/starts.go
@@ -25,13 +25,13 @@
 // StartReport is the word that a process of a server began. It matters while the process is cold, and says so itself: which
 // configuration a reader has does not matter.
 type StartReport struct {
-	Format uint64 `cbor:"1,keyasint" json:"-"`
-	By     string `cbor:"2,keyasint" json:"by"`
-	Ago    int64  `cbor:"3,keyasint" json:"ago_ms"` // it had begun, when this was written, milliseconds before
-	For    int64  `cbor:"4,keyasint" json:"for_ms"` // it is cold for so many milliseconds, by its contract
+	Format       uint64 `cbor:"1,keyasint" json:"-"`
+	ReportedBy   string `cbor:"2,keyasint" json:"by"`
+	AgoMillis    int64  `cbor:"3,keyasint" json:"ago_ms"` // it had begun, when this was written, milliseconds before
+	WarmupMillis int64  `cbor:"4,keyasint" json:"for_ms"` // it is cold for so many milliseconds, by its contract
 }
 
-const longestStart = 24 * 3600 * 1000 // milliseconds; beyond it a figure makes no sense
+const maxStartMillis = 24 * 3600 * 1000 // milliseconds; beyond it a figure makes no sense
 
 // Encode writes it.
 func (s StartReport) Encode() []byte {
@@ -45,20 +45,20 @@
 
 // DecodeStartReport reads one. What is of a later format is ErrFormat.
 func DecodeStartReport(b []byte) (s StartReport, err error) {
-	if err := record.Unmarshal(b, &s); err != nil {
+	if err := recordDecoder.Unmarshal(b, &s); err != nil {
 		return StartReport{}, fmt.Errorf("start: %w", err)
 	}
 	if s.Format > Format {
 		return StartReport{}, fmt.Errorf("start: %w: %d", ErrFormat, s.Format)
 	}
-	if s.Format == 0 || s.Ago < 0 || s.Ago > longestStart || s.For <= 0 || s.For > longestStart {
+	if s.Format == 0 || s.AgoMillis < 0 || s.AgoMillis > maxStartMillis || s.WarmupMillis <= 0 || s.WarmupMillis > maxStartMillis {
 		return StartReport{}, errors.New("start: a figure is out of range")
 	}
 	return s, nil
 }
 
-// record reads values that other builds wrote: keys that it does not know are theirs.
-var record = func() cbor.DecMode {
+// recordDecoder reads values that other builds wrote: keys that it does not know are theirs.
+var recordDecoder = func() cbor.DecMode {
 	m, err := cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden,
 		TagsMd: cbor.TagsForbidden, MaxNestedLevels: 8, MaxArrayElements: 1 << 16, MaxMapPairs: 64}.DecMode()
 	if err != nil {
@@ -68,7 +68,7 @@
 }()
 
 // StartKey is that of a process.
-func StartKey(p Process) string { return StartPrefix + p.Server() }
+func StartKey(p Process) string { return StartPrefix + p.ServerName() }
 
 // ParseStart reads such a key.
 func ParseStart(key string) (Process, bool) {
@@ -79,84 +79,84 @@
 	return ParseProcess(server)
 }
 
-// begun is what is known of a process that began.
-type begun struct {
-	at     int64  // by this daemon's clock
-	until  int64  // it matters
-	mine   bool   // seen here
-	agreed uint64 // revision of the store's word, or 0
-	by     string
+// startState is what is known of a process that began.
+type startState struct {
+	startedAt         int64  // by this daemon's clock
+	warmUntil         int64  // it matters
+	observed          bool   // seen here
+	committedRevision uint64 // revision of the store's word, or 0
+	reportedBy        string
 }
 
 // Starts holds which processes of servers began a while ago, as this daemon saw and as the store says. A process begins once:
 // while the first word of it matters, a later one comes of a late list and changes nothing; so a daemon's own sight is never
 // put back. It is for one goroutine; times are nanoseconds of the daemon's own clock.
 type Starts struct {
-	by    string
-	words map[string]*begun
-	most  int
+	daemon    string
+	starts    map[string]*startState
+	maxStarts int
 }
 
 // NewStarts returns one that knows nothing. It holds no more than most.
 func NewStarts(by string, most int) *Starts {
-	return &Starts{by: by, words: map[string]*begun{}, most: most}
+	return &Starts{daemon: by, starts: map[string]*startState{}, maxStarts: most}
 }
 
-// See takes a beginning that this daemon saw: so long ago, and cold for so long. It says whether that is news here.
-func (s *Starts) See(now int64, p Process, ago, cold int64) bool {
+// Observe takes a beginning that this daemon saw: so long ago, and cold for so long. It says whether that is news here.
+func (s *Starts) Observe(now int64, p Process, ago, cold int64) bool {
 	if ago < 0 || cold <= ago {
 		return false
 	}
 	key := StartKey(p)
-	w := s.words[key]
-	if w != nil && now < w.until {
+	w := s.starts[key]
+	if w != nil && now < w.warmUntil {
 		return false
 	}
 	if w == nil {
-		if len(s.words) >= s.most {
+		if len(s.starts) >= s.maxStarts {
 			return false
 		}
-		w = &begun{}
-		s.words[key] = w
+		w = &startState{}
+		s.starts[key] = w
 	}
-	w.at, w.until, w.mine, w.by = now-ago, now-ago+cold, true, s.by
+	w.startedAt, w.warmUntil, w.observed, w.reportedBy = now-ago, now-ago+cold, true, s.daemon
 	return true
 }
 
-// Write is the transaction that tells the store of a process, or nil if there is nothing to tell.
-func (s *Starts) Write(now int64, p Process) *store.Txn {
+// ReportTxn is the transaction that tells the store of a process, or nil if there is nothing to tell.
+func (s *Starts) ReportTxn(now int64, p Process) *store.Txn {
 	key := StartKey(p)
-	w := s.words[key]
-	if w == nil || !w.mine || now >= w.until {
+	w := s.starts[key]
+	if w == nil || !w.observed || now >= w.warmUntil {
 		return nil
 	}
-	v := StartReport{By: s.by, Ago: (now - w.at) / 1e6, For: (w.until - w.at) / 1e6}
-	return &store.Txn{If: []store.Compare{{Key: key, ModRevision: w.agreed}}, Then: []store.Op{{Key: key, Value: v.Encode()}},
+	v := StartReport{ReportedBy: s.daemon, AgoMillis: (now - w.startedAt) / 1e6, WarmupMillis: (w.warmUntil - w.startedAt) / 1e6}
+	return &store.Txn{If: []store.Compare{{Key: key, ModRevision: w.committedRevision}}, Then: []store.Op{{Key: key, Value: v.Encode()}},
 		KeyLimits: []store.KeyLimit{{Prefix: StartPrefix, MaxKeys: MaxStarts}}}
 }
 
-// End is the transaction that ends the store's word of a process, or nil if it has none.
-func (s *Starts) End(p Process) *store.Txn {
+// DeleteTxn is the transaction that ends the store's word of a process, or nil if it has none.
+func (s *Starts) DeleteTxn(p Process) *store.Txn {
 	key := StartKey(p)
-	w := s.words[key]
-	if w == nil || w.agreed == 0 {
+	w := s.starts[key]
+	if w == nil || w.committedRevision == 0 {
 		return nil
 	}
-	return &store.Txn{If: []store.Compare{{Key: key, ModRevision: w.agreed}}, Then: []store.Op{{Key: key, Delete: true}}}
+	return &store.Txn{If: []store.Compare{{Key: key, ModRevision: w.committedRevision}}, Then: []store.Op{{Key: key, Delete: true}}}
 }
 
-// Applied takes a change of the store. late is how long ago it was made, as far as that is known: 0 as it comes. It returns
+// Apply takes a change of the store. late is how long ago it was made, as far as that is known: 0 as it comes. It returns
 // the process if what is known of it has changed.
-func (s *Starts) Applied(now int64, e store.Event, late int64) (Process, bool) {
+func (s *Starts) Apply(now int64, e store.Event, late int64) (Process, bool) {
 	p, ok := ParseStart(e.Item.Key)
 	if !ok {
 		return p, false
 	}
-	w := s.words[e.Item.Key]
+	w := s.starts[e.Item.Key]
 	if e.Deleted {
 		if w != nil {
-			if w.agreed = 0; !w.mine {
-				delete(s.words, e.Item.Key)
+			if w.committedRevision = 0; !w.observed {
+				delete(s.starts, e.Item.Key)
 			}
 		}
 		return p, false // it had ended, or who saw it goes on by what it saw
@@ -165,55 +165,55 @@
 	if err != nil {
 		return p, false
 	}
-	at, cold := now-late-v.Ago*1e6, v.For*1e6
+	at, cold := now-late-v.AgoMillis*1e6, v.WarmupMillis*1e6
 	if w == nil {
-		if len(s.words) >= s.most {
+		if len(s.starts) >= s.maxStarts {
 			return p, false
 		}
-		w = &begun{}
-		s.words[e.Item.Key] = w
+		w = &startState{}
+		s.starts[e.Item.Key] = w
 	}
-	w.agreed = e.Revision
-	if now < w.until {
+	w.committedRevision = e.Revision
+	if now < w.warmUntil {
 		return p, false
 	}
-	w.at, w.until, w.mine, w.by = at, at+cold, false, v.By
-	return p, now < w.until
+	w.startedAt, w.warmUntil, w.observed, w.reportedBy = at, at+cold, false, v.ReportedBy
+	return p, now < w.warmUntil
 }
 
-// Cold lists the processes that began and are cold yet, with how long ago each did and for how long it is cold.
-func (s *Starts) Cold(now int64, f func(p Process, ago, left int64, by string, agreed bool)) {
-	for key, w := range s.words {
-		if p, ok := ParseStart(key); ok && now < w.until {
-			f(p, now-w.at, w.until-now, w.by, w.agreed > 0)
+// WarmingUp lists the processes that began and are cold yet, with how long ago each did and for how long it is cold.
+func (s *Starts) WarmingUp(now int64, f func(p Process, ago, left int64, by string, agreed bool)) {
+	for key, w := range s.starts {
+		if p, ok := ParseStart(key); ok && now < w.warmUntil {
+			f(p, now-w.startedAt, w.warmUntil-now, w.reportedBy, w.committedRevision > 0)
 		}
 	}
 }
 
-// Of tells of one process.
-func (s *Starts) Of(now int64, p Process) (ago, left int64, ok bool) {
-	w := s.words[StartKey(p)]
-	if w == nil || now >= w.until {
+// Lookup tells of one process.
+func (s *Starts) Lookup(now int64, p Process) (ago, left int64, ok bool) {
+	w := s.starts[StartKey(p)]
+	if w == nil || now >= w.warmUntil {
 		return 0, 0, false
 	}
-	return now - w.at, w.until - now, true
+	return now - w.startedAt, w.warmUntil - now, true
 }
 
-// Over returns the processes whose beginning matters no more and that the store still tells of, and forgets those that
+// Expired returns the processes whose beginning matters no more and that the store still tells of, and forgets those that
 // it does not.
-func (s *Starts) Over(now int64) (over []Process) {
-	for key, w := range s.words {
-		if now < w.until {
+func (s *Starts) Expired(now int64) (over []Process) {
+	for key, w := range s.starts {
+		if now < w.warmUntil {
 			continue
 		}
-		if p, ok := ParseStart(key); ok && w.agreed > 0 {
+		if p, ok := ParseStart(key); ok && w.committedRevision > 0 {
 			over = append(over, p)
 		} else {
-			delete(s.words, key)
+			delete(s.starts, key)
 		}
 	}
 	return over
 }
 
 // Len is how many are held.
-func (s *Starts) Len() int { return len(s.words) }
+func (s *Starts) Len() int { return len(s.starts) }
--- a/internal/store/serverstate/stored_test.go
+++ b/internal/store/serverstate/stored_test.go
@@ -14,35 +14,35 @@
 	process := Process{ID: "s/1 a", Addr: "127.0.0.1:80", StartedMs: 1764700000123}
 	guard := NewGuard("daemon-a")
 	exclusion := func(kind Kind, server string) (string, []byte) {
-		op, err := guard.Hear(kind, server)
+		op, err := guard.Observe(kind, server)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return op.Key, op.Value
 	}
-	start := StartReport{Format: 1, By: "daemon-a", Ago: 1500, For: 30000}
-	snapshot := ModuleSnapshot{Format: 1, By: "daemon-a", Known: []byte("\x01known")}
+	start := StartReport{Format: 1, ReportedBy: "daemon-a", AgoMillis: 1500, WarmupMillis: 30000}
+	snapshot := ModuleSnapshot{Format: 1, ReportedBy: "daemon-a", Data: []byte("\x01known")}
 	cases := map[string]struct {
 		encode func() (key string, value []byte)
 		decode func(key string, value []byte) (any, error)
 		want   any
 	}{
 		"drain": {
-			encode: func() (string, []byte) { return exclusion(Drain, process.Server()) },
+			encode: func() (string, []byte) { return exclusion(Drain, process.ServerName()) },
 			decode: func(key string, value []byte) (any, error) {
-				kind, server, _ := parse(key)
+				kind, server, _ := parseExclusionKey(key)
 				p, _ := ParseProcess(server)
 				return []any{kind, p, DecodeExclusion(value)}, nil
 			},
-			want: []any{Drain, process, ExclusionRecord{By: "daemon-a"}},
+			want: []any{Drain, process, ExclusionRecord{ReportedBy: "daemon-a"}},
 		},
 		"admin drain": {
 			encode: func() (string, []byte) { return exclusion(AdminDrain, "s-1") },
 			decode: func(key string, value []byte) (any, error) {
-				kind, server, _ := parse(key)
+				kind, server, _ := parseExclusionKey(key)
 				return []any{kind, server, DecodeExclusion(value)}, nil
 			},
-			want: []any{AdminDrain, "s-1", ExclusionRecord{By: "daemon-a"}},
+			want: []any{AdminDrain, "s-1", ExclusionRecord{ReportedBy: "daemon-a"}},
 		},
 		"start": {
 			encode: func() (string, []byte) { return StartKey(process), start.Encode() },
@@ -55,7 +55,7 @@
 		},
 		"module snapshot": {
 			encode: func() (string, []byte) {
-				op := snapshot.Put(SnapshotKey("side car/1", "dns")).Then[0]
+				op := snapshot.PutTxn(SnapshotKey("side car/1", "dns")).Then[0]
 				return op.Key, op.Value
 			},
 			decode: func(key string, value []byte) (any, error) {
@@ -99,11 +99,11 @@
 // TestJSONFormsAreFrozen compares what operators read with what an earlier build wrote.
 func TestJSONFormsAreFrozen(t *testing.T) {
 	for want, value := range map[string]any{
-		`{"by":"daemon-a"}`: ExclusionRecord{By: "daemon-a"},
+		`{"by":"daemon-a"}`: ExclusionRecord{ReportedBy: "daemon-a"},
 		`{"kind":"ban","server":"s-1","agreed":true,"by":"daemon-a","age_ms":-1}`: Exclusion{
-			Kind: AdminDrain, Server: "s-1", Agreed: true, By: "daemon-a", AgeMs: -1,
+			Kind: AdminDrain, Server: "s-1", Committed: true, ReportedBy: "daemon-a", AgeMillis: -1,
 		},
-		`{"by":"daemon-a","ago_ms":1500,"for_ms":30000}`: StartReport{Format: 1, By: "daemon-a", Ago: 1500, For: 30000},
+		`{"by":"daemon-a","ago_ms":1500,"for_ms":30000}`: StartReport{Format: 1, ReportedBy: "daemon-a", AgoMillis: 1500, WarmupMillis: 30000},
 	} {
 		if got, err := json.Marshal(value); err != nil || string(got) != want {
 			t.Errorf("%T: %s (%v), want %s", value, got, err, want)
