--- a/internal/controlplane/lease/lease.go
+++ b/internal/controlplane/lease/lease.go
@@ -32,7 +32,6 @@
 	ErrInvalidTaskName = errors.New("not the name of a task: 1 to 64 of a-z, 0-9, '.', '_' and '-'")
 	ErrSlotsMismatch   = errors.New("the task has another number of slots")
 	ErrPaused          = errors.New("the task is paused")
-	ErrSuspended       = errors.New("the task is suspended")
 )
 
 const maxNameBytes = 64
--- a/internal/controlplane/leasetask/lease.go
+++ b/internal/controlplane/leasetask/lease.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"sync"
 	"time"
@@ -11,281 +10,233 @@
 	"birchmoor/internal/store"
 )
 
-// Lease is one holding of a task, from when this daemon's turn came until it is lost or released. Any goroutine may use it.
+// Lease is a task that this daemon holds, from when its turn came until it is lost or released. It is safe for
+// concurrent use.
 type Lease struct {
 	runner  *Runner
 	claim   Claim
 	session *session
-	key     string
+	key     string // of the queue entry
 	token   uint64
-	since   int64
 
-	generation  uint64 // of the session that the place is of
+	generation  uint64 // of the session to which the queue entry belongs
 	ctx         context.Context
 	cancel      context.CancelCauseFunc
 	actions     sync.WaitGroup
 	releaseOnce sync.Once
-	releasing   bool // under the runner's lock: it is entitled to nothing any more
+	releasing   bool // guarded by the Runner's lock: the lease is no longer valid
 }
 
-// waitForTurn takes a place and waits for its turn.
-func (h *Lease) waitForTurn(ctx context.Context, nonce string, waiting func(int, error)) error {
-	r, told, wait := h.runner, -1, minRetryDelay
-	var last error
-	say := func(before int, why error) {
-		if waiting != nil && (before != told || why != nil) {
-			told = before
-			waiting(before, why)
-		}
-	}
-	for n := 0; ; {
-		r.mu.Lock()
-		now, changed := r.cfg.Clock.Now(), r.changed
-		if r.closed {
-			r.mu.Unlock()
-			return ErrClosed
-		}
-		live := h.session.state.ID() != 0 && now < h.session.state.ValidUntil()
-		switch {
-		case h.key != "" && h.generation != h.session.state.Generation(): // its session has ended, and the place with it
-			delete(r.leases, h.key)
-			h.key = ""
-			r.mu.Unlock()
-			continue
-		case !live:
-			r.mu.Unlock()
-			say(-1, errors.Join(errors.New("the store does not answer"), last))
-			if err := r.waitForChange(ctx, changed, 0); err != nil {
-				return errors.Join(err, last)
-			}
-			continue
-		}
-		if h.key == "" {
-			n++
-			h.key, h.generation = lease.QueueEntryKey(h.claim.Task, r.cfg.Host, fmt.Sprintf("%s%d", nonce, n)), h.session.state.Generation()
-			r.leases[h.key] = h
-		}
-		_, before, there := r.table.Find(h.claim.Task, h.key)
-		token, holds := r.table.Holds(h.claim.Task, h.key)
-		yields := r.table.MustRelease(h.claim.Task, h.key)
-		held, slots := r.table.Suspended(), max(1, r.table.Slots(h.claim.Task))
-		if there && holds && yields == nil {
-			h.token, h.since = token, now
-			h.ctx, h.cancel = context.WithCancelCause(context.Background())
-			r.mu.Unlock()
-			r.wg.Go(h.watch)
-			return nil
-		}
-		id := h.session.state.ID()
-		if there && yields != nil && !errors.Is(yields, lease.ErrPaused) { // behind whom it is given to
-			delete(r.leases, h.key)
-			key := h.key
-			h.key = ""
-			r.mu.Unlock()
-			if err := r.removeEntry(ctx, key); err != nil && ctx.Err() != nil {
-				return ctx.Err()
-			}
-			continue
-		}
-		r.mu.Unlock()
-		if there {
-			switch {
-			case held:
-				say(before, errors.New("the store was restored a moment ago: nobody may act yet"))
-			case yields != nil:
-				say(before, yields)
-			default:
-				say(max(0, before-slots+1), nil)
-			}
-			if err := r.waitForChange(ctx, changed, 0); err != nil {
-				return err
-			}
-			continue
-		}
-		last = r.putEntry(ctx, h, id)
-		if errors.Is(last, lease.ErrSlotsMismatch) || errors.Is(last, store.ErrFull) || errors.Is(last, store.ErrBadKey) {
-			return last
-		}
-		r.mu.Lock()
-		_, _, there = r.table.Find(h.claim.Task, h.key)
-		changed = r.changed
-		r.mu.Unlock()
-		if !there { // the copy will show it, or it is put again: it is the same place
-			if last != nil {
-				say(-1, last)
-			}
-			if err := r.waitForChange(ctx, changed, r.cfg.Clock.Now()+int64(wait)); err != nil {
-				return errors.Join(err, last)
-			}
-			wait = min(2*wait, maxRetryDelay)
-		}
-	}
+// start makes the lease valid. The Runner's lock must be held.
+func (l *Lease) start(token uint64) {
+	l.token = token
+	l.ctx, l.cancel = context.WithCancelCause(context.Background())
+	l.runner.wg.Go(l.watch)
 }
 
-// validUntil says until when it may act. The runner's lock is held.
-func (h *Lease) validUntil(now int64) (until int64, err error) {
-	if h.releasing {
+// validUntil returns until when the holder may act, or why it may not. The Runner's lock must be held.
+func (l *Lease) validUntil(now int64) (until int64, err error) {
+	if l.releasing {
 		return 0, lease.ErrLost
 	}
-	if h.generation != h.session.state.Generation() {
-		return 0, fmt.Errorf("%w: the session has ended", lease.ErrLost)
+	if l.generation != l.session.state.Generation() {
+		return 0, fmt.Errorf("%w: the session has expired", lease.ErrLost)
 	}
-	if until = h.session.state.ValidUntil(); now >= until {
-		return 0, fmt.Errorf("%w: no renewal was answered in time", lease.ErrLost)
+	until = l.session.state.ValidUntil()
+	if now >= until {
+		return 0, fmt.Errorf("%w: no renewal was acknowledged in time", lease.ErrLost)
 	}
-	if _, ok := h.runner.table.Holds(h.claim.Task, h.key); !ok {
-		return 0, fmt.Errorf("%w: its place is gone", lease.ErrLost)
+	if _, ok := l.runner.table.Holds(l.claim.Task, l.key); !ok {
+		return 0, fmt.Errorf("%w: its queue entry is gone", lease.ErrLost)
 	}
 	return until, nil
 }
 
-// watch ends the hold's context once it is entitled no more, or is asked to release.
-func (h *Lease) watch() {
-	r := h.runner
+// watch cancels the lease's context once the lease is not valid, or must be released.
+func (l *Lease) watch() {
+	r := l.runner
 	for {
 		r.mu.Lock()
 		changed := r.changed
-		until, err := h.validUntil(r.cfg.Clock.Now())
+		until, err := l.validUntil(r.cfg.Clock.Now())
 		if err == nil {
-			err = r.table.MustRelease(h.claim.Task, h.key)
+			err = r.table.MustRelease(l.claim.Task, l.key)
 		}
 		if err == nil && r.closed {
 			err = ErrClosed
 		}
 		r.mu.Unlock()
-		if err != nil {
-			h.cancel(err)
-			return
+		if err == nil {
+			err = r.waitForChange(l.ctx, changed, until)
 		}
-		if err := r.waitForChange(h.ctx, changed, until); err != nil {
-			h.cancel(err)
+		if err != nil {
+			l.cancel(err)
 			return
 		}
 	}
 }
 
-// Task is what is held.
-func (h *Lease) Task() string { return h.claim.Task }
+// Task is the name of the task.
+func (l *Lease) Task() string { return l.claim.Task }
 
-// Token is higher than that of any earlier holder of the same task.
-func (h *Lease) Token() uint64 { return h.token }
+// Token is the fencing token. It is higher than that of any earlier holder of the same task.
+func (l *Lease) Token() uint64 { return l.token }
 
-// ValidUntil is when the entitlement ends unless it is renewed, by the host's boot clock in nanoseconds; 0: it has ended.
-func (h *Lease) ValidUntil() int64 {
-	h.runner.mu.Lock()
-	defer h.runner.mu.Unlock()
-	until, err := h.validUntil(h.runner.cfg.Clock.Now())
+// ValidUntil is when the lease ceases to be valid unless it is renewed, in nanoseconds of the host's boot clock; 0:
+// it is not valid.
+func (l *Lease) ValidUntil() int64 {
+	l.runner.mu.Lock()
+	defer l.runner.mu.Unlock()
+	until, err := l.validUntil(l.runner.cfg.Clock.Now())
 	if err != nil {
 		return 0
 	}
 	return until
 }
 
-// Renewed is closed once Until is not what it was, or the hold's context has ended.
-func (h *Lease) Renewed(was int64) <-chan struct{} {
+// Renewed returns a channel that is closed once ValidUntil is no longer validUntil, or the lease's context has ended.
+func (l *Lease) Renewed(validUntil int64) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		for h.ctx.Err() == nil {
-			h.runner.mu.Lock()
-			changed := h.runner.changed
-			until, err := h.validUntil(h.runner.cfg.Clock.Now())
-			h.runner.mu.Unlock()
-			if err != nil || until != was || h.runner.waitForChange(h.ctx, changed, until) != nil {
-				return
-			}
-		}
+		l.waitForRenewal(validUntil)
 	}()
 	return done
 }
 
-// Context ends when the entitlement does, or when the holder is asked to release; its cause says why.
-func (h *Lease) Context() context.Context { return h.ctx }
+func (l *Lease) waitForRenewal(validUntil int64) {
+	r := l.runner
+	for l.ctx.Err() == nil {
+		r.mu.Lock()
+		changed := r.changed
+		until, err := l.validUntil(r.cfg.Clock.Now())
+		r.mu.Unlock()
+		if err != nil || until != validUntil {
+			return
+		}
+		if r.waitForChange(l.ctx, changed, until) != nil {
+			return
+		}
+	}
+}
 
-// Do runs an action that takes at most so long. It does not begin what may not end within the entitlement: it waits for the next
-// renewal, and fails with ErrShort if that does not come, or if the action takes longer than a renewal can give. The action's
-// context ends with the entitlement, and after its time at most.
+// Context ends when the lease ceases to be valid, or when the holder must release it. Its cause says why.
+func (l *Lease) Context() context.Context { return l.ctx }
+
+// Do runs an action that takes no longer than timeout. It starts the action only if the lease is valid for that
+// long, and waits for the next renewal otherwise. It returns ErrLeaseTooShort if no renewal can make the lease
+// valid for that long, and ErrLost if the lease is lost first. The action's context ends with the lease's, and
+// after timeout.
 //
-// A process that is stopped between Do's look at the clock and the action's effect acts late, whatever Do does: what must not see
-// that checks the token.
-func (h *Lease) Do(ctx context.Context, most time.Duration, f func(ctx context.Context, token uint64) error) error {
-	r := h.runner
-	if int64(most) >= h.session.state.Rules().Validity()*2/3 {
-		return fmt.Errorf("%w: %v", lease.ErrLeaseTooShort, most)
+// A process that is suspended between Do's reading of the clock and the action's effect acts late, whatever Do
+// does. A resource that must not see this checks the token (see lease.Fence).
+func (l *Lease) Do(
+	ctx context.Context, timeout time.Duration, action func(ctx context.Context, token uint64) error,
+) error {
+	// Two thirds are left of the validity when a renewal, which is due after one third of the TTL, is acknowledged.
+	if int64(timeout) >= l.session.state.Rules().Validity()*2/3 {
+		return fmt.Errorf("%w: %v", lease.ErrLeaseTooShort, timeout)
 	}
 	for {
-		r.mu.Lock()
-		now, changed := r.cfg.Clock.Now(), r.changed
-		until, err := h.validUntil(now)
-		if err == nil && h.ctx.Err() != nil {
-			err = context.Cause(h.ctx)
-		}
+		begun, until, changed, err := l.beginAction(timeout)
 		if err != nil {
-			r.mu.Unlock()
 			return err
 		}
-		if now+int64(most) < until {
-			h.actions.Add(1)
-			r.mu.Unlock()
-			defer h.actions.Done()
-			in, cancel := context.WithTimeout(ctx, most)
-			defer cancel()
-			defer context.AfterFunc(h.ctx, cancel)()
-			return f(in, h.token)
+		if begun {
+			return l.runAction(ctx, timeout, action)
 		}
-		r.mu.Unlock()
-		if err := r.waitForChange(ctx, changed, until); err != nil {
+		if err := l.runner.waitForChange(ctx, changed, until); err != nil {
 			return err
 		}
 	}
 }
 
-// TrackAction notes an action that runs elsewhere, until the function that it returns is called: a release waits for it like for one of Do.
-func (h *Lease) TrackAction() (done func()) {
-	h.actions.Add(1)
-	return h.actions.Done
+// beginAction counts an action if the lease is valid for as long as it may take. If not, it returns until when the
+// lease is valid and a channel that is closed when that may have changed.
+func (l *Lease) beginAction(timeout time.Duration) (begun bool, until int64, changed <-chan struct{}, err error) {
+	r := l.runner
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.cfg.Clock.Now()
+	until, err = l.validUntil(now)
+	if err == nil && l.ctx.Err() != nil {
+		err = context.Cause(l.ctx)
+	}
+	if err != nil {
+		return false, 0, nil, err
+	}
+	begun = now+int64(timeout) < until
+	if begun {
+		l.actions.Add(1)
+	}
+	return begun, until, r.changed, nil
 }
 
-// Txn makes a change of the store that takes effect only while this holder has its place: none does after a later holder's.
-func (h *Lease) Txn(ctx context.Context, t store.Txn) (store.Result, error) {
-	t.If = append([]store.Compare{{Key: h.key, ModRevision: h.token}}, t.If...)
-	return h.runner.store.Do(ctx, store.Command{Txn: &t})
+// runAction runs an action that beginAction has counted.
+func (l *Lease) runAction(
+	ctx context.Context, timeout time.Duration, action func(ctx context.Context, token uint64) error,
+) error {
+	defer l.actions.Done()
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	defer context.AfterFunc(l.ctx, cancel)()
+	return action(ctx, l.token)
 }
 
-// Release gives it up: it is entitled to nothing from now on, its context ends, actions under way are waited for up to the end of
-// what they were entitled to, and then the next in order has its turn.
-func (h *Lease) Release() {
-	h.releaseOnce.Do(func() {
-		r := h.runner
-		r.mu.Lock()
-		now := r.cfg.Clock.Now()
-		until, _ := h.validUntil(now)
-		h.releasing = true
-		key := h.key
-		r.mu.Unlock()
-		if h.cancel != nil {
-			h.cancel(lease.ErrLost)
-			ended := make(chan struct{})
-			go func() { h.actions.Wait(); close(ended) }()
-			t := time.NewTimer(r.cfg.Clock.Span(max(0, until-now)))
-			select {
-			case <-ended:
-			case <-t.C: // an action that does not heed its context is held off by its token
-			}
-			t.Stop()
-		}
-		r.mu.Lock()
-		if r.leases[key] == h {
-			delete(r.leases, key) // from now on the session's renewal sweeps it, if this does not come through
-		}
-		r.mu.Unlock()
-		if key != "" {
-			if err := r.removeEntry(r.ctx, key); err != nil && r.ctx.Err() == nil {
-				r.cfg.Log.Debug("a place is not removed yet", "task", h.claim.Task, "error", err)
-			}
+// TrackAction counts an action that runs elsewhere until done is called. Release waits for it as for an action of Do.
+func (l *Lease) TrackAction() (done func()) {
+	l.actions.Add(1)
+	return l.actions.Done
+}
+
+// Txn makes a change of the store that takes effect only while this holder has its queue entry, so never after a
+// change by a later holder.
+func (l *Lease) Txn(ctx context.Context, t store.Txn) (store.Result, error) {
+	t.If = append([]store.Compare{{Key: l.key, ModRevision: l.token}}, t.If...)
+	return l.runner.store.Do(ctx, store.Command{Txn: &t})
+}
+
+// Release ends the lease. The lease is not valid from now on and its context ends; Release waits for running
+// actions, for as long as the lease was valid, and then lets the next in the queue have its turn.
+func (l *Lease) Release() { l.releaseOnce.Do(l.release) }
+
+func (l *Lease) release() {
+	r := l.runner
+	r.mu.Lock()
+	now := r.cfg.Clock.Now()
+	until, _ := l.validUntil(now) // 0 if it is not valid
+	l.releasing = true
+	key := l.key
+	r.mu.Unlock()
+	if l.cancel != nil {
+		l.cancel(lease.ErrLost)
+		l.waitForActions(r.cfg.Clock.Span(max(0, until-now)))
+	}
+	r.mu.Lock()
+	if r.leases[key] == l {
+		delete(r.leases, key) // a renewal removes the entry if the following deletion fails
+	}
+	r.mu.Unlock()
+	if key != "" {
+		if err := r.removeEntry(r.ctx, key); err != nil && r.ctx.Err() == nil {
+			r.cfg.Log.Debug("a queue entry could not be removed yet", "task", l.claim.Task, "error", err)
 		}
-		r.mu.Lock()
-		h.session.users--
-		r.mu.Unlock()
-	})
+	}
+	r.leaveSession(l.session)
+}
+
+// waitForActions waits until all actions have ended, or timeout has passed: an action that ignores its context is
+// then fenced off by its token.
+func (l *Lease) waitForActions(timeout time.Duration) {
+	ended := make(chan struct{})
+	go func() {
+		l.actions.Wait()
+		close(ended)
+	}()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
+	select {
+	case <-ended:
+	case <-timer.C:
+	}
 }
--- a/internal/controlplane/leasetask/leasetask_test.go
+++ b/internal/controlplane/leasetask/leasetask_test.go
@@ -3,8 +3,8 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"log/slog"
+	"strings"
 	"sync"
 	"sync/atomic"
 	"testing"
@@ -18,7 +18,7 @@
 	"birchmoor/internal/testutil/processtest"
 )
 
-// newRunners are daemons of these names over one copy of the store, each with what a test puts between it and the store.
+// newRunners returns Runners of daemons with these names over one replica of the store.
 func newRunners(t *testing.T, names ...string) []*Runner {
 	t.Helper()
 	quiet := slog.New(slog.DiscardHandler)
@@ -45,7 +45,9 @@
 		for _, r := range all {
 			r.Close()
 		}
-		e.Kill()
+		if err := e.Kill(); err != nil {
+			t.Error(err)
+		}
 	})
 	for _, r := range all {
 		r.Attach(daemon.Store(e))
@@ -53,7 +55,7 @@
 	return all
 }
 
-// newClaim is long enough that a busy machine renews it in time.
+// newClaim returns a claim whose TTL is long enough for renewals on a busy machine.
 func newClaim(task string, slots int) Claim {
 	return Claim{Task: task, Slots: slots, TTL: 30 * time.Second}
 }
@@ -69,11 +71,11 @@
 	return h
 }
 
-// Three hundred wait for one task, on two daemons of one name and one of another: each has it once, one at a time, in the order of
-// tokens.
+// Three hundred claims of one task, on two daemons with the same name and one with another, are each granted once,
+// one at a time, in the order of their tokens.
 func TestAcquireGrantsInTokenOrderToManyWaiters(t *testing.T) {
 	all := newRunners(t, "a", "b", "b")
-	var now, most atomic.Int32
+	var holders, maxHolders atomic.Int32
 	var mu sync.Mutex
 	var tokens []uint64
 	var wg sync.WaitGroup
@@ -84,17 +86,17 @@
 				t.Error(err)
 				return
 			}
-			most.Store(max(most.Load(), now.Add(1)))
+			maxHolders.Store(max(maxHolders.Load(), holders.Add(1)))
 			mu.Lock()
 			tokens = append(tokens, h.Token())
 			mu.Unlock()
-			now.Add(-1)
+			holders.Add(-1)
 			h.Release()
 		})
 	}
 	wg.Wait()
-	if most.Load() != 1 || len(tokens) != 300 {
-		t.Errorf("%d had it, %d at once", len(tokens), most.Load())
+	if maxHolders.Load() != 1 || len(tokens) != 300 {
+		t.Errorf("%d held it, %d at once", len(tokens), maxHolders.Load())
 	}
 	for i := 1; i < len(tokens); i++ {
 		if tokens[i] <= tokens[i-1] {
@@ -103,7 +105,7 @@
 	}
 }
 
-// Of three who want one of two permits one waits; who wants another number of them is refused.
+// Of three claims of a task with two slots one waits; a claim with another number of slots is rejected.
 func TestAcquireLimitsHoldersToSlots(t *testing.T) {
 	all := newRunners(t, "a", "b", "c")
 	one, two := acquire(t, all[0], newClaim("restarts", 2)), acquire(t, all[1], newClaim("restarts", 2))
@@ -117,12 +119,12 @@
 		got <- h
 	}()
 	for n := range waits {
-		if n == 1 { // one has to go before it
+		if n == 1 { // one holder must release first
 			break
 		}
 	}
 	if len(got) != 0 {
-		t.Error("three hold two permits")
+		t.Error("three hold two slots")
 	}
 	if _, err := all[0].Acquire(t.Context(), newClaim("restarts", 3), nil); !errors.Is(err, lease.ErrSlotsMismatch) {
 		t.Errorf("another number of slots: %v", err)
@@ -134,7 +136,8 @@
 	}
 }
 
-// A release waits for the action under way before the next has its turn, and an action that may not end in time is not begun.
+// A release waits for a running action before the next in the queue has its turn, and an action that may not end in
+// time is not started.
 func TestReleaseWaitsForRunningAction(t *testing.T) {
 	all := newRunners(t, "a", "b")
 	h := acquire(t, all[0], newClaim("one", 1))
@@ -145,7 +148,7 @@
 		done <- h.Do(t.Context(), 5*time.Second, func(context.Context, uint64) error {
 			acting.Store(true)
 			close(begun)
-			<-end // it does not heed its context
+			<-end // it ignores its context
 			acting.Store(false)
 			return nil
 		})
@@ -157,24 +160,25 @@
 	<-h.Context().Done()
 	close(end)
 	if h := <-next; acting.Load() {
-		t.Error("the next holds it while the action of the one before goes on")
+		t.Error("the next one holds the task while an action of the holder before it runs")
 	} else {
 		h.Release()
 	}
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
-	if err := h.Do(t.Context(), time.Second, func(context.Context, uint64) error { return nil }); !errors.Is(err, lease.ErrLost) {
+	noop := func(context.Context, uint64) error { return nil }
+	if err := h.Do(t.Context(), time.Second, noop); !errors.Is(err, lease.ErrLost) {
 		t.Errorf("an action after the release: %v", err)
 	}
 	h = acquire(t, all[0], newClaim("one", 1))
-	if err := h.Do(t.Context(), 30*time.Second, func(context.Context, uint64) error { return nil }); !errors.Is(err, lease.ErrLeaseTooShort) {
+	if err := h.Do(t.Context(), 30*time.Second, noop); !errors.Is(err, lease.ErrLeaseTooShort) {
 		t.Errorf("an action as long as the lease: %v", err)
 	}
 	h.Release()
 }
 
-// A change of the store by a holder that is one no more does nothing.
+// A change of the store by a former holder has no effect.
 func TestTxnHasNoEffectAfterRelease(t *testing.T) {
 	all := newRunners(t, "a", "b")
 	put := func(h *Lease, value string) bool {
@@ -186,96 +190,120 @@
 	}
 	old := acquire(t, all[0], newClaim("one", 1))
 	if !put(old, "old") {
-		t.Error("the holder's change did nothing")
+		t.Error("the holder's change had no effect")
 	}
 	old.Release()
 	h := acquire(t, all[1], newClaim("one", 1))
 	if !put(h, "new") || put(old, "late") {
-		t.Error("a change after the release took effect, or the next one's did not")
+		t.Error("a change after the release took effect, or the next holder's did not")
 	}
 	h.Release()
 }
 
-// Who holds a task and gets nothing done loses it to another, and is held off.
+// A holder without progress loses the task to another, and does not claim it again during the cooldown.
 func TestRunTaskReleasesAndCoolsDownWithoutProgress(t *testing.T) {
 	all := newRunners(t, "a", "b")
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	task := func(do func() error) Task {
-		return Task{Claim: newClaim("work", 1), Interval: time.Millisecond, Timeout: time.Second, ProgressTimeout: 5 * time.Millisecond, Cooldown: time.Hour,
-			Do: func(context.Context, *Lease) error { return do() }}
+		return Task{
+			Claim:           newClaim("work", 1),
+			Interval:        time.Millisecond,
+			Timeout:         time.Second,
+			ProgressTimeout: 5 * time.Millisecond,
+			Cooldown:        time.Hour,
+			Do:              func(context.Context, *Lease) error { return do() },
+		}
 	}
 	failed, worked := make(chan struct{}, 1), make(chan struct{})
 	var wg sync.WaitGroup
+	run := func(r *Runner, do func() error) {
+		if err := r.RunTask(ctx, task(do)); !errors.Is(err, context.Canceled) {
+			t.Errorf("%s: %v", r.cfg.Host, err)
+		}
+	}
 	wg.Go(func() {
-		all[0].RunTask(ctx, task(func() error {
+		run(all[0], func() error {
 			select {
 			case failed <- struct{}{}:
 			default:
 			}
 			return errors.New("no disk")
-		}))
+		})
 	})
 	<-failed
 	once := sync.OnceFunc(func() { close(worked) })
-	wg.Go(func() { all[1].RunTask(ctx, task(func() error { once(); return nil })) })
+	wg.Go(func() {
+		run(all[1], func() error {
+			once()
+			return nil
+		})
+	})
 	<-worked
 	list, err := all[0].List(ctx, "work")
 	if err != nil || len(list) != 1 || list[0].Queue[0].Host != "b" {
 		t.Errorf("%+v, %v", list, err)
 	}
-	if want := fmt.Sprint(lease.ErrSuspended); len(list) == 1 && list[0].LocalState[:len("is held off")] != "is held off" {
-		t.Errorf("%q, want it to say %q", list[0].LocalState, want)
+	if want := "cools down"; len(list) == 1 && !strings.HasPrefix(list[0].LocalState, want) {
+		t.Errorf("%q, want it to begin with %q", list[0].LocalState, want)
 	}
 	cancel()
 	wg.Wait()
 }
 
-// Shards of one task are held by all who take part, each by one at a time; when one goes, the others have its shards and keep most of
-// their own.
+// All members hold shards of a task, and each shard has one holder at a time. When a member leaves, the others take
+// over its shards and few others move.
 func TestRunShardsBalancesAndMovesFew(t *testing.T) {
 	all := newRunners(t, "a", "b", "c")
 	const shards = 12
 	var mu sync.Mutex
-	by, moved := map[int]string{}, 0
+	holder, moved := map[int]string{}, 0
 	var acting [shards]atomic.Int32
-	task := Task{Claim: newClaim("index", 1), Interval: time.Millisecond, Timeout: 5 * time.Second, ProgressTimeout: time.Hour, Cooldown: time.Second}
+	task := Task{
+		Claim:           newClaim("index", 1),
+		Interval:        time.Millisecond,
+		Timeout:         5 * time.Second,
+		ProgressTimeout: time.Hour,
+		Cooldown:        time.Second,
+	}
 	var wg sync.WaitGroup
 	stop := map[string]context.CancelFunc{}
 	for _, r := range all {
 		ctx, cancel := context.WithCancel(t.Context())
 		stop[r.cfg.Host] = cancel
 		wg.Go(func() {
-			r.RunShards(ctx, task, shards, func(_ context.Context, _ *Lease, shard int) error {
+			err := r.RunShards(ctx, task, shards, func(_ context.Context, _ *Lease, shard int) error {
 				if n := acting[shard].Add(1); n != 1 {
 					t.Errorf("%d act upon shard %d", n, shard)
 				}
 				mu.Lock()
-				if was := by[shard]; was != r.cfg.Host {
-					if by[shard] = r.cfg.Host; was != "" {
-						moved++
-					}
+				if holder[shard] != "" && holder[shard] != r.cfg.Host {
+					moved++
 				}
+				holder[shard] = r.cfg.Host
 				mu.Unlock()
 				acting[shard].Add(-1)
 				return nil
 			})
+			if !errors.Is(err, context.Canceled) {
+				t.Errorf("%s: %v", r.cfg.Host, err)
+			}
 		})
 	}
-	spread := func(most int, hosts ...string) func() bool {
+	spread := func(maxEach int, hosts ...string) func() bool {
 		return func() bool {
 			mu.Lock()
 			defer mu.Unlock()
 			count := map[string]int{}
-			for _, h := range by {
+			for _, h := range holder {
 				count[h]++
 			}
 			for _, h := range hosts {
-				if count[h] == 0 || count[h] > most {
+				if count[h] == 0 || count[h] > maxEach {
 					return false
 				}
 			}
-			return len(by) == shards && len(count) == len(hosts)
+			return len(holder) == shards && len(count) == len(hosts)
 		}
 	}
 	processtest.Until(t, "an even share for three", spread(4, "a", "b", "c"))
--- a/internal/controlplane/leasetask/status.go
+++ b/internal/controlplane/leasetask/status.go
@@ -14,156 +14,179 @@
 	"birchmoor/internal/store"
 )
 
-// QueueEntry is one in a task's queue as people see it.
+// ErrTaskNotFound says that nothing is known of a task.
+var ErrTaskNotFound = errors.New("no such task")
+
+// QueueEntry is an entry in a task's queue as operators see it.
 type QueueEntry struct {
 	Host        string `json:"host"`
 	Token       uint64 `json:"token"`
 	Holds       bool   `json:"holds"`
 	TTLMillis   int64  `json:"ttl_ms"`
 	Note        string `json:"note,omitempty"`
-	AgeMillis   int64  `json:"age_ms"`            // since the copy showed it; -1: before this start
+	AgeMillis   int64  `json:"age_ms"`            // since the copy first showed it; -1: since before this start
 	Local       bool   `json:"here,omitempty"`    // it is this daemon's
-	ValidMillis int64  `json:"left_ms,omitempty"` // of this daemon's entitlement, unless it is renewed
+	ValidMillis int64  `json:"left_ms,omitempty"` // that this daemon's lease is still valid, unless it is renewed
 }
 
-// TaskStatus is a task as people see it.
+// TaskStatus is a task as operators see it.
 type TaskStatus struct {
 	Task                string             `json:"task"`
 	Slots               int                `json:"slots"`
 	Override            lease.TaskOverride `json:"order"`
-	Queue               []QueueEntry       `json:"places"`         // the holders first
-	NoHolderReason      string             `json:"why,omitempty"`  // there is no holder
-	LastReport          *ActionReport      `json:"last,omitempty"` // what it did last
-	LastReportAgeMillis int64              `json:"last_age_ms"`    // since the copy showed that; -1: before this start
-	LocalState          string             `json:"here,omitempty"` // what this daemon does about it
+	Queue               []QueueEntry       `json:"places"` // holders first
+	NoHolderReason      string             `json:"why,omitempty"`
+	LastReport          *ActionReport      `json:"last,omitempty"`
+	LastReportAgeMillis int64              `json:"last_age_ms"`    // as QueueEntry.AgeMillis
+	LocalState          string             `json:"here,omitempty"` // what this daemon does about the task
 }
 
-// List shows all tasks, or those of one name, as the store has them.
+// List returns the status of all tasks, or of the one with this name, as the store has them.
 func (r *Runner) List(ctx context.Context, name string) ([]TaskStatus, error) {
-	last, table := map[string]*ActionReport{}, lease.NewTable(lease.NoTableDefect)
-	if _, err := r.store.View(ctx, false, func(s *store.State) {
-		clear(last)
-		table.Reset(s)
-		s.Range(ReportPrefix, store.PrefixEnd(ReportPrefix), func(i store.Item) bool {
-			var x ActionReport
-			if json.Unmarshal(i.Value, &x) == nil {
-				last[strings.TrimPrefix(i.Key, ReportPrefix)] = &x
-			}
-			return true
-		})
-	}); err != nil {
+	reports, table, err := r.readTasks(ctx)
+	if err != nil {
 		return nil, err
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	now := r.cfg.Clock.Now()
-	age := func(key string) int64 {
-		if at, ok := r.firstSeen[key]; ok {
-			return (now - at) / 1e6
-		}
-		return -1
-	}
 	names := map[string]bool{}
-	for _, n := range table.Tasks() {
-		names[n] = true
+	for _, task := range table.Tasks() {
+		names[task] = true
 	}
-	for n := range last {
-		names[n] = true
+	for task := range reports {
+		names[task] = true
 	}
-	for n := range r.running {
-		names[n] = true
+	for task := range r.running {
+		names[task] = true
 	}
 	all := []TaskStatus{}
-	for _, n := range slices.Sorted(maps.Keys(names)) {
-		if name != "" && n != name {
-			continue
+	for _, task := range slices.Sorted(maps.Keys(names)) {
+		if name == "" || task == name {
+			all = append(all, r.status(task, table, reports[task]))
 		}
-		i := TaskStatus{Task: n, Slots: table.Slots(n), Queue: []QueueEntry{}, LastReport: last[n], LastReportAgeMillis: age(ReportPrefix + n)}
-		i.Override, _ = table.Override(n)
-		holders := 0
-		for _, p := range table.Queue(n) {
-			_, holds := table.Holds(n, p.Key)
-			x := QueueEntry{Host: p.Host, Token: p.Token, Holds: holds && !i.Override.Pause, TTLMillis: p.TTLMillis, Note: p.Note, AgeMillis: age(p.Key)}
-			if h := r.leases[p.Key]; h != nil {
-				x.Local = true
-				if until, err := h.validUntil(now); err == nil {
-					x.ValidMillis = (until - now) / 1e6
-				}
-			}
-			if x.Holds {
-				holders++
-			}
-			i.Queue = append(i.Queue, x)
-		}
-		if l := r.running[n]; l != nil {
-			i.LocalState = l.describe(now)
-		}
-		switch {
-		case holders > 0:
-		case table.Suspended():
-			i.NoHolderReason = "the store was restored a moment ago"
-		case i.Override.Pause:
-			i.NoHolderReason = "it is paused"
-			if i.Override.Operator != "" {
-				i.NoHolderReason += " by " + i.Override.Operator
+	}
+	return all, nil
+}
+
+// readTasks reads the tasks and their reports from the store.
+func (r *Runner) readTasks(ctx context.Context) (map[string]*ActionReport, *lease.Table, error) {
+	reports := map[string]*ActionReport{}
+	table := lease.NewTable(lease.NoTableDefect)
+	_, err := r.store.View(ctx, false, func(s *store.State) {
+		clear(reports)
+		table.Reset(s)
+		s.Range(ReportPrefix, store.PrefixEnd(ReportPrefix), func(i store.Item) bool {
+			var report ActionReport
+			if json.Unmarshal(i.Value, &report) == nil {
+				reports[strings.TrimPrefix(i.Key, ReportPrefix)] = &report
 			}
-		case len(i.Queue) == 0:
-			i.NoHolderReason = "nobody wants it"
+			return true
+		})
+	})
+	return reports, table, err
+}
+
+// status returns the status of one task. The lock must be held.
+func (r *Runner) status(task string, table *lease.Table, report *ActionReport) TaskStatus {
+	now := r.cfg.Clock.Now()
+	s := TaskStatus{
+		Task:                task,
+		Slots:               table.Slots(task),
+		Queue:               []QueueEntry{},
+		LastReport:          report,
+		LastReportAgeMillis: r.ageMillis(now, ReportPrefix+task),
+	}
+	s.Override, _ = table.Override(task)
+	holders := 0
+	for _, entry := range table.Queue(task) {
+		shown := r.queueEntry(now, entry)
+		_, holds := table.Holds(task, entry.Key)
+		shown.Holds = holds && !s.Override.Pause
+		if shown.Holds {
+			holders++
 		}
-		all = append(all, i)
+		s.Queue = append(s.Queue, shown)
 	}
-	return all, nil
+	if holders == 0 {
+		s.NoHolderReason = noHolderReason(s, table.Suspended())
+	}
+	if t := r.running[task]; t != nil {
+		s.LocalState = t.describe(now)
+	}
+	return s
+}
+
+// queueEntry returns an entry as operators see it, but for whether it holds the task. The lock must be held.
+func (r *Runner) queueEntry(now int64, entry lease.QueueEntry) QueueEntry {
+	shown := QueueEntry{
+		Host:      entry.Host,
+		Token:     entry.Token,
+		TTLMillis: entry.TTLMillis,
+		Note:      entry.Note,
+		AgeMillis: r.ageMillis(now, entry.Key),
+	}
+	l := r.leases[entry.Key]
+	if l == nil {
+		return shown
+	}
+	shown.Local = true
+	if until, err := l.validUntil(now); err == nil {
+		shown.ValidMillis = (until - now) / int64(time.Millisecond)
+	}
+	return shown
+}
+
+// ageMillis is how long ago the copy first showed a key; -1: before this start. The lock must be held.
+func (r *Runner) ageMillis(now int64, key string) int64 {
+	since, ok := r.firstSeen[key]
+	if !ok {
+		return -1
+	}
+	return (now - since) / int64(time.Millisecond)
 }
 
-// Holders are the daemons that hold a task, by this daemon's copy.
+// noHolderReason says why a task without a holder has none.
+func noHolderReason(s TaskStatus, suspended bool) string {
+	switch {
+	case suspended:
+		return "the store was restored a moment ago"
+	case s.Override.Pause && s.Override.Operator != "":
+		return "it is paused by " + s.Override.Operator
+	case s.Override.Pause:
+		return "it is paused"
+	case len(s.Queue) == 0:
+		return "no daemon claims it"
+	}
+	return ""
+}
+
+// Holders returns the hosts that hold a task, as this daemon's copy of the store shows it.
 func (r *Runner) Holders(task string) (hosts []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, p := range r.table.Queue(task) {
-		if _, holds := r.table.Holds(task, p.Key); holds {
-			hosts = append(hosts, p.Host)
+	for _, entry := range r.table.Queue(task) {
+		if _, holds := r.table.Holds(task, entry.Key); holds {
+			hosts = append(hosts, entry.Host)
 		}
 	}
 	return hosts
 }
 
-// describe says what this daemon does about a task that it runs.
-func (l *runningTask) describe(now int64) string {
-	s := "waits"
+// describe says what this daemon does about a task that it runs. The Runner's lock must be held.
+func (t *runningTask) describe(now int64) string {
+	state := "waits"
 	switch {
-	case l.lease != nil:
-		s = fmt.Sprintf("holds it, %d done, the last %v ago", l.completed, time.Duration(now-l.lastProgress).Round(time.Millisecond))
-	case l.cooldownUntil > now:
-		s = fmt.Sprintf("is held off for another %v", time.Duration(l.cooldownUntil-now).Round(time.Second))
-	case l.ahead >= 0:
-		s = fmt.Sprintf("waits, %d before it", l.ahead)
-	}
-	if l.lastErr != nil {
-		s += ": " + l.lastErr.Error()
+	case t.lease != nil:
+		idle := time.Duration(now - t.lastProgress).Round(time.Millisecond)
+		state = fmt.Sprintf("holds it, %d done, the last %v ago", t.completed, idle)
+	case t.cooldownUntil > now:
+		left := time.Duration(t.cooldownUntil - now).Round(time.Second)
+		state = fmt.Sprintf("cools down for another %v", left)
+	case t.ahead >= 0:
+		state = fmt.Sprintf("waits, %d ahead of it", t.ahead)
 	}
-	return s
-}
-
-// ErrTaskNotFound says that nothing is known of a task.
-var ErrTaskNotFound = errors.New("no such task")
-
-// SetOverride puts an operator's order on a task, in place of the one before; an empty one takes it away.
-func (r *Runner) SetOverride(ctx context.Context, task string, o lease.TaskOverride) error {
-	if err := lease.CheckName(task); err != nil {
-		return fmt.Errorf("%q: %w", task, err)
-	}
-	if len(o.Note)+len(o.Operator)+len(o.PreferredHost) > 3*maxNoteBytes {
-		return fmt.Errorf("the order has more than %d bytes", 3*maxNoteBytes)
-	}
-	op := store.Op{Key: lease.OverridePrefix + task, Delete: true}
-	if o.Pause || o.PreferredHost != "" {
-		b, err := json.Marshal(o)
-		if err != nil {
-			return err
-		}
-		op = store.Op{Key: op.Key, Value: b}
+	if t.lastErr != nil {
+		state += ": " + t.lastErr.Error()
 	}
-	_, err := r.store.Do(ctx, store.Command{Txn: &store.Txn{Then: []store.Op{op},
-		KeyLimits: []store.KeyLimit{{Prefix: lease.OverridePrefix, MaxKeys: lease.MaxTasks}}}})
-	return err
+	return state
 }
--- a/internal/controlplane/leasetask/stored_test.go
+++ b/internal/controlplane/leasetask/stored_test.go
@@ -21,12 +21,17 @@
 		{"reports.tsv", ReportPrefix + "reindex", &failed},
 		{"reports.tsv", ReportPrefix + "backup", &ActionReport{Token: 10, Host: "host-b"}},
 		{"status.json", "", &TaskStatus{
-			Task: "reindex", Slots: 2, Override: lease.TaskOverride{Pause: true, PreferredHost: "host-b", Operator: "ops", Note: "disk swap"},
+			Task: "reindex", Slots: 2,
+			Override: lease.TaskOverride{Pause: true, PreferredHost: "host-b", Operator: "ops", Note: "disk swap"},
 			Queue: []QueueEntry{
-				{Host: "host-a", Token: 9, Holds: true, TTLMillis: 30000, Note: "nightly", AgeMillis: -1, Local: true, ValidMillis: 1500},
+				{
+					Host: "host-a", Token: 9, Holds: true, TTLMillis: 30000, Note: "nightly",
+					AgeMillis: -1, Local: true, ValidMillis: 1500,
+				},
 				{Host: "host-b", Token: 12, TTLMillis: 15000, AgeMillis: 20},
 			},
-			NoHolderReason: "it is paused by ops", LastReport: &failed, LastReportAgeMillis: 250, LocalState: "waits, 0 before it",
+			NoHolderReason: "it is paused by ops", LastReport: &failed, LastReportAgeMillis: 250,
+			LocalState: "waits, 0 before it",
 		}},
 	}
 	for _, tc := range tests {
--- a/internal/controlplane/leasetask/task.go
+++ b/internal/controlplane/leasetask/task.go
@@ -5,258 +5,232 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"slices"
 	"strings"
-	"sync"
 	"time"
 
 	"birchmoor/internal/controlplane/lease"
 	"birchmoor/internal/store"
 )
 
-// ReportPrefix is that of the keys that say what a task did last: task/done/TASK.
+// ReportPrefix is the prefix of the keys of reports: task/done/TASK.
 const ReportPrefix = lease.Prefix + "done/"
 
-// Task is what one holder, or so many, does for the whole fleet.
+const reportInterval = 10 * time.Second
+
+// ErrNoProgress says that no action of a task succeeded within its progress timeout.
+var ErrNoProgress = errors.New("the task makes no progress")
+
+// Task is a task that one daemon, or as many as its claim has slots, runs for the whole fleet.
 type Task struct {
 	Claim
 	Interval        time.Duration // between two actions
 	Timeout         time.Duration // of an action
-	ProgressTimeout time.Duration // without an action that succeeds the holder gives it up,
-	Cooldown        time.Duration // and does not ask for it again for so long
-	Do              func(ctx context.Context, h *Lease) error
+	ProgressTimeout time.Duration // a holder without an action that succeeds releases the task after this,
+	Cooldown        time.Duration // and does not claim it again for this
+	Do              func(ctx context.Context, l *Lease) error
 }
 
-// ActionReport is what a task did last, as the store has it.
+// ActionReport says what a task did last, as stored.
 type ActionReport struct {
 	Token     uint64 `json:"token"`
 	Host      string `json:"host"`
-	Completed uint64 `json:"done"` // actions that succeeded, of this holding
+	Completed uint64 `json:"done"` // actions that succeeded under this token
 	Error     string `json:"error,omitempty"`
 }
 
-// runningTask is a task that this daemon runs.
+// runningTask is the state of a task that this daemon runs. The Runner's lock guards all but task.
 type runningTask struct {
 	task          Task
-	lease         *Lease
-	completed     uint64
-	lastProgress  int64 // when an action last succeeded, or the holding began
-	cooldownUntil int64 // until when it does not ask for the task; 0: it does
-	lastErr       error // of the last action, or why there is none
-	ahead         int   // that hold or wait before this daemon; -1: it has no place
+	lease         *Lease // nil: the daemon does not hold the task
+	completed     uint64 // actions that succeeded under this lease
+	lastProgress  int64  // when an action last succeeded, or the lease was acquired
+	cooldownUntil int64  // until when the task is not claimed again; 0: it is claimed
+	lastErr       error  // of the last action, or why the task is not held
+	ahead         int    // queue entries that must go first; -1: the daemon is not in the queue
 }
 
-const reportInterval = 10 * time.Second
+func (t *Task) check() error {
+	if t.Interval <= 0 || t.Timeout <= 0 || t.ProgressTimeout < t.Interval || t.Do == nil {
+		const rule = "the interval and the timeouts must be positive, and the progress timeout no less than the interval"
+		return fmt.Errorf("%s: %s", t.Task, rule)
+	}
+	return t.Claim.check()
+}
 
-// RunTask takes part in a task until ctx ends.
+// RunTask claims a task and runs its actions while it holds it, until ctx ends.
 func (r *Runner) RunTask(ctx context.Context, t Task) error {
 	if err := t.check(); err != nil {
 		return err
 	}
-	l := &runningTask{task: t, ahead: -1}
-	r.mu.Lock()
-	if r.running[t.Task] != nil {
-		r.mu.Unlock()
+	rt := &runningTask{task: t, ahead: -1}
+	if !r.register(rt) {
 		return fmt.Errorf("%s: runs here already", t.Task)
 	}
-	r.running[t.Task] = l
-	r.mu.Unlock()
+	defer r.unregister(rt)
 	for ctx.Err() == nil && r.ctx.Err() == nil {
-		h, err := r.Acquire(ctx, t.Claim, func(before int, why error) {
-			r.mu.Lock()
-			defer r.mu.Unlock()
-			l.ahead, l.lastErr = before, why
-		})
+		l, err := r.Acquire(ctx, t.Claim, func(ahead int, reason error) { r.setWaiting(rt, ahead, reason) })
 		if err != nil {
-			r.mu.Lock()
-			l.ahead, l.lastErr = -1, err
-			r.mu.Unlock()
+			r.setWaiting(rt, -1, err)
 			if sleep(ctx, maxRetryDelay) != nil {
 				break
 			}
 			continue
 		}
-		r.cfg.Log.Info("this daemon holds a task", "task", t.Task, "token", h.Token())
-		r.setLease(l, h)
-		err = r.runActions(ctx, l, h)
-		// What is said here changes before others can hold the task: who sees the next holder does not see this one as well.
-		off := errors.Is(err, lease.ErrSuspended)
-		r.setLease(l, nil)
-		if off {
-			r.mu.Lock()
-			l.cooldownUntil = r.cfg.Clock.Now() + int64(t.Cooldown)
-			l.lastErr = err
-			r.mu.Unlock()
-		}
-		h.Release()
-		r.cfg.Log.Info("this daemon holds a task no more", "task", t.Task, "token", h.Token(), "why", err)
-		if off {
-			if sleep(ctx, t.Cooldown) != nil {
-				break
-			}
-			r.mu.Lock()
-			l.cooldownUntil = 0
-			r.mu.Unlock()
+		if r.holdTask(ctx, rt, l) && r.coolDown(ctx, rt) != nil {
+			break
 		}
 	}
-	r.mu.Lock()
-	delete(r.running, t.Task)
-	r.mu.Unlock()
 	return ctx.Err()
 }
 
-func (t *Task) check() error {
-	if t.Interval <= 0 || t.Timeout <= 0 || t.ProgressTimeout < t.Interval || t.Do == nil {
-		return fmt.Errorf("%s: every, most and progress are to be positive, and progress no less than every", t.Task)
+// holdTask runs the actions of a task until the lease is lost, and releases it. It reports whether the task must
+// cool down.
+func (r *Runner) holdTask(ctx context.Context, rt *runningTask, l *Lease) (cooldown bool) {
+	task := rt.task.Task
+	r.cfg.Log.Info("acquired the lease of a task", "task", task, "token", l.Token())
+	r.setLease(rt, l)
+	err := r.runActions(ctx, rt, l)
+	// The state changes before another daemon can hold the task, so that no one sees two holders.
+	r.setLease(rt, nil)
+	cooldown = errors.Is(err, ErrNoProgress)
+	if cooldown {
+		r.mu.Lock()
+		rt.cooldownUntil = r.cfg.Clock.Now() + int64(rt.task.Cooldown)
+		rt.lastErr = err
+		r.mu.Unlock()
 	}
-	return t.Claim.check()
+	l.Release()
+	r.cfg.Log.Info("released the lease of a task", "task", task, "token", l.Token(), "why", err)
+	return cooldown
 }
 
-func sleep(ctx context.Context, d time.Duration) error {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-t.C:
-		return nil
-	case <-ctx.Done():
-		return ctx.Err()
+// coolDown waits until the task may be claimed again.
+func (r *Runner) coolDown(ctx context.Context, rt *runningTask) error {
+	if err := sleep(ctx, rt.task.Cooldown); err != nil {
+		return err
+	}
+	r.mu.Lock()
+	rt.cooldownUntil = 0
+	r.mu.Unlock()
+	return nil
+}
+
+// register adds a running task, unless one of the same name runs already.
+func (r *Runner) register(rt *runningTask) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.running[rt.task.Task] != nil {
+		return false
 	}
+	r.running[rt.task.Task] = rt
+	return true
+}
+
+func (r *Runner) unregister(rt *runningTask) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	delete(r.running, rt.task.Task)
 }
 
-// setLease says who holds a loop's task here.
-func (r *Runner) setLease(l *runningTask, h *Lease) {
+// setWaiting records how many are ahead of this daemon in the queue, and why it waits.
+func (r *Runner) setWaiting(rt *runningTask, ahead int, reason error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	l.lease, l.completed, l.lastErr, l.ahead = h, 0, nil, -1
-	l.lastProgress = r.cfg.Clock.Now()
+	rt.ahead = ahead
+	rt.lastErr = reason
 }
 
-// runActions acts for as long as it holds the task, and says why it ended.
-func (r *Runner) runActions(ctx context.Context, l *runningTask, h *Lease) error {
-	var reported int64
+// setLease records that the task is held by l, or no longer held if l is nil.
+func (r *Runner) setLease(rt *runningTask, l *Lease) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	rt.lease = l
+	rt.completed = 0
+	rt.lastErr = nil
+	rt.ahead = -1
+	rt.lastProgress = r.cfg.Clock.Now()
+}
+
+// runActions runs the task's actions while the lease is valid, and returns why it stopped.
+func (r *Runner) runActions(ctx context.Context, rt *runningTask, l *Lease) error {
+	task := rt.task
+	var reported int64 // when the last report was stored; 0: never
 	for {
-		err := h.Do(ctx, l.task.Timeout, func(in context.Context, _ uint64) error { return l.task.Do(in, h) })
+		err := l.Do(ctx, task.Timeout, func(ctx context.Context, _ uint64) error { return task.Do(ctx, l) })
 		now := r.cfg.Clock.Now()
-		r.mu.Lock()
-		if l.lastErr = err; err == nil {
-			l.completed++
-			l.lastProgress = now
-		}
-		stuck, done := now-l.lastProgress > int64(l.task.ProgressTimeout), l.completed
-		r.mu.Unlock()
-		if err != nil && h.ctx.Err() == nil && ctx.Err() == nil {
-			r.cfg.Log.Warn("an action of a task failed", "task", l.task.Task, "error", err)
+		completed, stuck := r.recordAction(rt, now, err)
+		if err != nil && l.ctx.Err() == nil && ctx.Err() == nil {
+			r.cfg.Log.Warn("an action of a task failed", "task", task.Task, "error", err)
 		}
 		if reported == 0 || now-reported > int64(reportInterval) || err != nil {
 			reported = now
-			r.report(ctx, h, done, err)
+			r.report(ctx, l, completed, err)
 		}
 		if stuck {
-			return fmt.Errorf("%w: nothing was done for %v: %w", lease.ErrSuspended, l.task.ProgressTimeout, err)
+			return fmt.Errorf("%w: no action succeeded for %v: %w", ErrNoProgress, task.ProgressTimeout, err)
 		}
-		t := time.NewTimer(l.task.Interval)
+		timer := time.NewTimer(task.Interval)
 		select {
-		case <-t.C:
-		case <-h.ctx.Done():
-			t.Stop()
-			return context.Cause(h.ctx)
+		case <-timer.C:
+		case <-l.ctx.Done():
+			timer.Stop()
+			return context.Cause(l.ctx)
 		case <-ctx.Done():
-			t.Stop()
+			timer.Stop()
 			return ctx.Err()
 		}
 	}
 }
 
-// report tells the store what a task did, conditional on the token.
-func (r *Runner) report(ctx context.Context, h *Lease, done uint64, err error) {
-	x := ActionReport{Token: h.token, Host: r.cfg.Host, Completed: done}
-	if err != nil {
-		x.Error = err.Error()
-		x.Error = x.Error[:min(len(x.Error), maxNoteBytes)]
-	}
-	b, bad := json.Marshal(x)
-	if bad != nil {
-		return
-	}
-	ctx, cancel := context.WithTimeout(ctx, time.Second)
-	defer cancel()
-	if _, err := h.Txn(ctx, store.Txn{Owner: r.cfg.Host, Then: []store.Op{{Key: ReportPrefix + h.claim.Task, Value: b}}}); err != nil {
-		r.cfg.Log.Debug("what a task did is not told", "task", h.claim.Task, "error", err)
+// recordAction records the outcome of an action. It returns how many succeeded under this lease, and whether the
+// progress timeout has passed.
+func (r *Runner) recordAction(rt *runningTask, now int64, err error) (completed uint64, stuck bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	rt.lastErr = err
+	if err == nil {
+		rt.completed++
+		rt.lastProgress = now
 	}
+	return rt.completed, now-rt.lastProgress > int64(rt.task.ProgressTimeout)
 }
 
-// RunShards takes part in a task of n shards until ctx ends: TASK.0 and so on, each a task of its own with its own lease and token.
-// Which of them this daemon wants follows from who takes part (lease.Shards), by its copy of the store; that two reckon otherwise for a
-// while has one wait for the other. do is told which shard it is to act for.
-func (r *Runner) RunShards(ctx context.Context, t Task, n int, do func(ctx context.Context, h *Lease, shard int) error) error {
-	t.Do = func(context.Context, *Lease) error { return nil }
-	if err := t.check(); err != nil {
-		return err
+// report stores what a task did last, unless a later holder has done so.
+func (r *Runner) report(ctx context.Context, l *Lease, completed uint64, actionErr error) {
+	report := ActionReport{Token: l.token, Host: r.cfg.Host, Completed: completed}
+	if actionErr != nil {
+		text := actionErr.Error()
+		report.Error = text[:min(len(text), maxNoteBytes)]
 	}
-	if n < 1 || n > maxShards {
-		return fmt.Errorf("%s: %d shards are not within 1 and %d", t.Task, n, maxShards)
+	value, err := json.Marshal(report)
+	if err == nil {
+		var cancel context.CancelFunc
+		ctx, cancel = context.WithTimeout(ctx, storeTimeout)
+		defer cancel()
+		_, err = l.Txn(ctx, store.Txn{
+			Owner: r.cfg.Host,
+			Then:  []store.Op{{Key: ReportPrefix + l.claim.Task, Value: value}},
+		})
 	}
-	var wg sync.WaitGroup
-	defer wg.Wait()
-	for ctx.Err() == nil && r.ctx.Err() == nil {
-		member := t.Claim
-		member.Slots = lease.MaxSlots // all who take part hold it
-		h, err := r.Acquire(ctx, member, nil)
-		if err != nil {
-			if sleep(ctx, maxRetryDelay) != nil {
-				break
-			}
-			continue
-		}
-		off := context.AfterFunc(ctx, func() { h.cancel(ctx.Err()) })
-		held := map[int]context.CancelFunc{}
-		for ctx.Err() == nil && h.ctx.Err() == nil {
-			r.mu.Lock()
-			changed := r.changed
-			var members []string
-			for _, p := range r.table.Queue(t.Task) {
-				members = append(members, p.Key)
-			}
-			r.mu.Unlock()
-			want := lease.AssignedShards(t.Task, n, members, h.key)
-			for shard, cancel := range held {
-				if !slices.Contains(want, shard) {
-					cancel()
-					delete(held, shard)
-				}
-			}
-			for _, shard := range want {
-				if held[shard] != nil {
-					continue
-				}
-				in, cancel := context.WithCancel(ctx)
-				held[shard] = cancel
-				one := t
-				one.Task, one.Slots = fmt.Sprintf("%s.%d", t.Task, shard), 1
-				one.Do = func(ctx context.Context, h *Lease) error { return do(ctx, h, shard) }
-				wg.Go(func() {
-					for in.Err() == nil && r.RunTask(in, one) != nil {
-						_ = sleep(in, minRetryDelay) // an earlier taking of the same shard is about to end
-					}
-				})
-			}
-			if r.waitForChange(h.ctx, changed, 0) != nil {
-				break
-			}
-		}
-		off()
-		for _, cancel := range held {
-			cancel()
-		}
-		h.Release()
+	if err != nil {
+		r.cfg.Log.Debug("the report of a task was not stored", "task", l.claim.Task, "error", err)
 	}
-	return ctx.Err()
 }
 
-const maxShards = 256
-
-// Allowed says whether an operation is a daemon's own to make: what a task that it held did.
+// Allowed reports whether a daemon may make this change of the store on its own: to the report of a task.
 func Allowed(op store.Op, owner string) bool {
 	task, ok := strings.CutPrefix(op.Key, ReportPrefix)
 	return ok && lease.CheckName(task) == nil && lease.IsPersistentPut(op, owner)
 }
+
+// sleep waits for d, or returns ctx's error if that ends first.
+func sleep(ctx context.Context, d time.Duration) error {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+		return nil
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+}
