--- a/internal/controlplane/quota/file.go
+++ b/internal/controlplane/quota/file.go
@@ -12,10 +12,10 @@
 	"birchmoor/internal/platform/stricttoml"
 )
 
-// duration is written as Go does: "5m".
+// duration is a time.Duration in the text form of Go, such as "5m".
 type duration time.Duration
 
-// UnmarshalText reads one.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (d *duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	*d = duration(v)
@@ -29,11 +29,11 @@
 
 type fileLimit struct {
 	Rate        float64   `toml:"rate"`   // a second
-	Burst       *duration `toml:"burst"`  // so long a time's rate may come at once
-	Amount      float64   `toml:"amount"` // in any
-	Window      duration  `toml:"window"` // of this length
+	Burst       *duration `toml:"burst"`  // the rate of so long a time may come at once; default 1s
+	Amount      float64   `toml:"amount"` // in any Window
+	Window      duration  `toml:"window"`
 	Concurrency float64   `toml:"at_once"`
-	MaxDuration duration  `toml:"longest"` // that one of them lasts
+	MaxDuration duration  `toml:"longest"` // of a request under Concurrency
 
 	Unit        string   `toml:"of"`
 	Classes     []string `toml:"classes"`
@@ -50,33 +50,30 @@
 }
 
 type filePart struct {
-	Capacity   float64 `toml:"most"` // 0: as much as the whole that it is part of
+	Capacity   float64 `toml:"most"` // default: that of its parent
 	Guaranteed float64 `toml:"least"`
-	Weight     float64 `toml:"weight"` // 0: 1
+	Weight     float64 `toml:"weight"` // default: 1
 }
 
-// ParseFile reads a file of limits, TOML strictly read. All faults are joined, each a *strict.Error.
+// ParseFile reads a file of limits in TOML, in which unknown keys are errors. The path is for errors alone. All errors are
+// joined, each a *stricttoml.Error.
 func ParseFile(path string, text []byte) (*Config, error) {
 	var f file
 	if err := stricttoml.Decode(path, "files of limits", text, &f); err != nil {
 		return nil, err
 	}
 	c := &Config{}
-	var faults []error
+	var errs []error
 	for _, name := range slices.Sorted(maps.Keys(f.Limit)) {
 		l, err := f.Limit[name].limit(name)
-		if err == nil {
-			err = l.Check()
-		}
 		if err != nil {
-			key, reason, _ := strings.Cut(err.Error(), ": ")
-			faults = append(faults, &stricttoml.Error{Path: path, Line: lineOf(text, name), Key: "limit." + name + "." + key, Reason: reason})
+			errs = append(errs, locateError(path, text, name, err))
 			continue
 		}
 		c.Limits = append(c.Limits, l)
 	}
-	if len(faults) > 0 {
-		return nil, errors.Join(faults...)
+	if len(errs) > 0 {
+		return nil, errors.Join(errs...)
 	}
 	if err := c.Check(); err != nil {
 		return nil, &stricttoml.Error{Path: path, Reason: err.Error()}
@@ -84,81 +81,132 @@
 	return c, nil
 }
 
-// lineOf is the line at which a limit begins, 0 if it is not found.
+// locateError adds to an error of a limit where in the file it stands.
+func locateError(path string, text []byte, name string, err error) error {
+	located := &stricttoml.Error{Path: path, Line: lineOf(text, name), Key: "limit." + name, Reason: err.Error()}
+	var field *fieldError
+	if errors.As(err, &field) {
+		located.Key += "." + field.key
+		located.Reason = field.reason
+	}
+	return located
+}
+
+// lineOf returns the line at which a limit begins, or 0 if it is not found.
 func lineOf(text []byte, name string) int {
-	n := 0
+	number := 0
 	for line := range strings.Lines(string(text)) {
-		n++
-		if strings.HasPrefix(strings.TrimSpace(line), "[limit."+name+"]") || strings.HasPrefix(strings.TrimSpace(line), `[limit."`+name+`"]`) {
-			return n
+		number++
+		line = strings.TrimSpace(line)
+		if strings.HasPrefix(line, "[limit."+name+"]") || strings.HasPrefix(line, `[limit."`+name+`"]`) {
+			return number
 		}
 	}
 	return 0
 }
 
-func amount(v float64) Amount {
+// amountOf converts a number of the file. One that is out of range stays so, for Check to find.
+func amountOf(v float64) Amount {
 	return Amount(math.Round(min(max(v, -1), 2*maxAmount) * float64(AmountUnit)))
 }
 
+// limit converts and checks a limit of the file.
 func (f *fileLimit) limit(name string) (*Limit, error) {
-	l := &Limit{Name: name, Unit: Unit(f.Unit), Fallback: FallbackMode(f.Fallback), FallbackFraction: f.FallbackFraction, FallbackTimeout: int64(f.FallbackTimeout), MinProcesses: f.MinProcesses, ReserveFraction: f.ReserveFraction,
-		Classes: f.Classes, Paths: f.Paths, PartitionBy: f.PartitionBy}
+	l := &Limit{
+		Name:             name,
+		Unit:             Unit(f.Unit),
+		Fallback:         FallbackMode(f.Fallback),
+		FallbackFraction: f.FallbackFraction,
+		FallbackTimeout:  int64(f.FallbackTimeout),
+		MinProcesses:     f.MinProcesses,
+		ReserveFraction:  f.ReserveFraction,
+		Classes:          f.Classes,
+		Paths:            f.Paths,
+		PartitionBy:      f.PartitionBy,
+	}
 	if l.Unit == "" {
 		l.Unit = Requests
 	}
 	if l.Fallback == "" {
 		l.Fallback = Strict
 	}
-	set := 0
+	capacity, err := f.setKind(l)
+	if err != nil {
+		return nil, err
+	}
+	l.Nodes, err = f.nodes(capacity)
+	if err != nil {
+		return nil, err
+	}
+	return l, l.Check()
+}
+
+// setKind sets the kind and the window of a limit by which of the three amounts is given, and returns that amount.
+func (f *fileLimit) setKind(l *Limit) (capacity Amount, err error) {
+	given := 0
 	for _, v := range []float64{f.Rate, f.Amount, f.Concurrency} {
 		if v != 0 {
-			set++
+			given++
 		}
 	}
-	most := f.Rate + f.Amount + f.Concurrency
+	if given != 1 {
+		return 0, invalidField("rate, amount, at_once", "one of them is needed")
+	}
 	switch {
-	case set != 1:
-		return nil, errors.New("rate, amount, at_once: one of them is needed")
 	case f.Rate != 0:
-		l.Kind, l.Window = Rate, int64(time.Second)
+		l.Kind = Rate
+		l.Window = int64(time.Second)
 		if f.Burst != nil {
 			l.Window = int64(*f.Burst)
 		}
 	case f.Amount != 0:
-		l.Kind, l.Window = Window, int64(f.Window)
 		if f.Window == 0 {
-			return nil, errors.New("window: is missing")
+			return 0, invalidField("window", "is missing")
 		}
+		l.Kind = Window
+		l.Window = int64(f.Window)
 	default:
-		l.Kind, l.Window = Concurrency, int64(f.MaxDuration)
 		if f.MaxDuration == 0 {
-			return nil, errors.New("longest: is missing: for so long what the gone had under way counts")
+			return 0, invalidField("longest", "is missing: for so long what the gone had under way counts")
 		}
+		l.Kind = Concurrency
+		l.Window = int64(f.MaxDuration)
 	}
 	if f.Burst != nil && l.Kind != Rate || f.Window != 0 && l.Kind != Window || f.MaxDuration != 0 && l.Kind != Concurrency {
-		return nil, errors.New("burst, window, longest: go with rate, amount and at_once in turn")
+		return 0, invalidField("burst, window, longest", "go with rate, amount and at_once in turn")
 	}
-	l.Nodes = []Node{{Capacity: amount(most), Weight: 1}}
-	at := map[string]int{"": 0}
-	for _, path := range slices.Sorted(maps.Keys(f.Parts)) { // "a" comes before "a/b"
-		p := f.Parts[path]
-		parent := ""
+	return amountOf(f.Rate + f.Amount + f.Concurrency), nil
+}
+
+// nodes returns the root and the parts, every part after its parent.
+func (f *fileLimit) nodes(capacity Amount) ([]Node, error) {
+	nodes := []Node{{Capacity: capacity, Weight: 1}}
+	indexOf := map[string]int{"": 0}
+	for _, path := range slices.Sorted(maps.Keys(f.Parts)) { // "a" sorts before "a/b"
+		part := f.Parts[path]
+		parentPath := ""
 		if i := strings.LastIndexByte(path, '/'); i >= 0 {
-			parent = path[:i]
+			parentPath = path[:i]
 		}
-		of, ok := at[parent]
+		parent, ok := indexOf[parentPath]
 		if !ok || path == "" || strings.Contains(path, "//") {
-			return nil, fmt.Errorf("parts.%q: is part of %q, which is none", path, parent)
+			return nil, invalidField(fmt.Sprintf("parts.%q", path), "is part of %q, which is none", parentPath)
+		}
+		n := Node{
+			Path:       path,
+			Parent:     parent,
+			Capacity:   amountOf(part.Capacity),
+			Guaranteed: amountOf(part.Guaranteed),
+			Weight:     part.Weight,
 		}
-		n := Node{Path: path, Parent: of, Capacity: amount(p.Capacity), Guaranteed: amount(p.Guaranteed), Weight: p.Weight}
-		if p.Capacity == 0 {
-			n.Capacity = l.Nodes[of].Capacity
+		if part.Capacity == 0 {
+			n.Capacity = nodes[parent].Capacity
 		}
-		if p.Weight == 0 {
+		if part.Weight == 0 {
 			n.Weight = 1
 		}
-		at[path] = len(l.Nodes)
-		l.Nodes = append(l.Nodes, n)
+		indexOf[path] = len(nodes)
+		nodes = append(nodes, n)
 	}
-	return l, nil
+	return nodes, nil
 }
--- a/internal/controlplane/quota/limit_test.go
+++ b/internal/controlplane/quota/limit_test.go
@@ -220,7 +220,7 @@
 		d.Reset(now, f.s)
 		for _, p := range all {
 			g, at := f.grant(p)
-			sum += d.committed(d.processes[p], l.Key(0))
+			sum += d.committedAmount(d.processes[p], l.Key(0))
 			had[p] = had[p] || g.Quotas[l.Key(0)].Amount >= AmountUnit
 			f.need(p, at, map[string]NodeDemand{l.Key(0): {Wanted: AmountUnit / 2}})
 		}
@@ -312,11 +312,11 @@
 func TestWithoutTheStore(t *testing.T) {
 	for _, x := range []struct {
 		mode      FallbackMode
-		for_      int64
+		timeout   int64
 		let, late int
 	}{{Strict, 0, 0, 0}, {Fair, 0, 5, 5}, {Fair, sec, 5, 0}, {Open, 0, 50, 50}, {Open, sec, 50, 0}} {
 		l := rateOf(100, sec)
-		l.Fallback, l.FallbackFraction, l.MinProcesses, l.FallbackTimeout = x.mode, 0.5, 10, x.for_
+		l.Fallback, l.FallbackFraction, l.MinProcesses, l.FallbackTimeout = x.mode, 0.5, 10, x.timeout
 		h := NewConsumer(Rules{ReportInterval: 50e6}, NoDefect)
 		h.SetConfig(0, &Config{Version: 1, Limits: []*Limit{l}})
 		h.SetSession(0, 1, sec)
@@ -336,7 +336,7 @@
 				}
 			}
 			if n != at.want {
-				t.Errorf("%s for %d: %d let through at %d, not %d", x.mode, x.for_, n, at.now, at.want)
+				t.Errorf("%s for %d: %d let through at %d, not %d", x.mode, x.timeout, n, at.now, at.want)
 			}
 		}
 	}
--- a/internal/controlplane/quota/match.go
+++ b/internal/controlplane/quota/match.go
@@ -6,36 +6,55 @@
 	"strings"
 )
 
-// Request is what limits read of one.
+// otherPart is the name of the part for values that have no part of their own.
+const otherPart = "other"
+
+// Request is what limits read of a request.
 type Request struct {
 	Class          string
 	Path           string
-	Cost           Amount // by what its client expects; 0: it says nothing
-	Header         func(name string) string
-	PriorityWeight float64 // of its class, by the greatest of all classes: 0 to 1
+	Cost           Amount                   // that its client expects; 0: not given
+	Header         func(name string) string // may be nil
+	PriorityWeight float64                  // of its class, relative to the greatest of all classes: 0 to 1
 }
 
-// Matcher finds which shares a request is of. It never changes, and any goroutine may use it.
+// Charge is what a request takes of a node's quota.
+type Charge struct {
+	Limit  *Limit
+	Node   int
+	Amount Amount
+}
+
+// Matcher finds the nodes that a request is charged to. It is immutable, and any goroutine may use it.
 type Matcher struct {
 	Config   *Config
-	byClass  map[string][]*limitMatcher // of classes that limits name, with those that name none
-	anyClass []*limitMatcher            // that name none
+	byClass  map[string][]*limitMatcher // for each class that a limit names, with the limits that name none
+	anyClass []*limitMatcher            // limits that name no class
 }
 
 type limitMatcher struct {
 	limit       *Limit
 	partitionBy []partitionKey
-	children    []map[string]int // nodes by their last name, by node
+	children    []map[string]int // by node: its parts by the last name of their paths
 }
 
-// partitionKey is what names a level of parts.
+// partitionKind says which property of a request names its part.
+type partitionKind string
+
+const (
+	partitionByClass  partitionKind = "class"
+	partitionByHeader partitionKind = "header"
+	partitionByPath   partitionKind = "path"
+)
+
+// partitionKey names the parts of one level.
 type partitionKey struct {
-	kind    string
-	arg     string
-	segment int
+	kind    partitionKind
+	header  string
+	segment int // of the path, from 1
 }
 
-// NewMatcher returns that of limits that were checked.
+// NewMatcher returns the matcher of a configuration that Check found valid.
 func NewMatcher(c *Config) *Matcher {
 	m := &Matcher{Config: c, byClass: map[string][]*limitMatcher{}}
 	for _, l := range c.Limits {
@@ -44,50 +63,59 @@
 		}
 	}
 	for _, l := range c.Limits {
-		x := &limitMatcher{limit: l, children: make([]map[string]int, len(l.Nodes))}
-		for i, n := range l.Nodes[1:] {
-			if x.children[n.Parent] == nil {
-				x.children[n.Parent] = map[string]int{}
-			}
-			x.children[n.Parent][n.Path[strings.LastIndexByte(n.Path, '/')+1:]] = i + 1
-		}
-		for _, text := range l.PartitionBy {
-			kind, arg, _ := strings.Cut(text, ":")
-			n, _ := strconv.Atoi(arg)
-			x.partitionBy = append(x.partitionBy, partitionKey{kind, arg, n})
-		}
+		lm := newLimitMatcher(l)
 		if len(l.Classes) == 0 {
-			m.anyClass = append(m.anyClass, x)
+			m.anyClass = append(m.anyClass, lm)
 		}
 		for class := range m.byClass {
 			if len(l.Classes) == 0 || slices.Contains(l.Classes, class) {
-				m.byClass[class] = append(m.byClass[class], x)
+				m.byClass[class] = append(m.byClass[class], lm)
 			}
 		}
 	}
 	return m
 }
 
-// Charge is what a request takes of a share.
-type Charge struct {
-	Limit  *Limit
-	Node   int
-	Amount Amount
+func newLimitMatcher(l *Limit) *limitMatcher {
+	m := &limitMatcher{limit: l, children: make([]map[string]int, len(l.Nodes))}
+	for i, n := range l.Nodes[1:] {
+		if m.children[n.Parent] == nil {
+			m.children[n.Parent] = map[string]int{}
+		}
+		name := n.Path[strings.LastIndexByte(n.Path, '/')+1:]
+		m.children[n.Parent][name] = i + 1
+	}
+	for _, text := range l.PartitionBy {
+		m.partitionBy = append(m.partitionBy, parsePartitionKey(text))
+	}
+	return m
 }
 
-// Match appends what a request takes.
+// parsePartitionKey parses what validPartitionKey accepts.
+func parsePartitionKey(text string) partitionKey {
+	kind, arg, _ := strings.Cut(text, ":")
+	key := partitionKey{kind: partitionKind(kind)}
+	switch key.kind {
+	case partitionByHeader:
+		key.header = arg
+	case partitionByPath:
+		key.segment, _ = strconv.Atoi(arg)
+	}
+	return key
+}
+
+// Match appends to buf what a request is charged.
 func (m *Matcher) Match(buf []Charge, r *Request) []Charge {
-	all, named := m.byClass[r.Class]
+	matchers, named := m.byClass[r.Class]
 	if !named {
-		all = m.anyClass
+		matchers = m.anyClass
 	}
-	for _, x := range all {
-		l := x.limit
-		if len(l.Paths) > 0 && !slices.ContainsFunc(l.Paths, func(p string) bool { return strings.HasPrefix(r.Path, p) }) {
+	for _, lm := range matchers {
+		if !lm.matchesPath(r.Path) {
 			continue
 		}
-		c := Charge{l, x.node(r), AmountUnit}
-		if l.Unit == Cost && r.Cost > 0 {
+		c := Charge{Limit: lm.limit, Node: lm.node(r), Amount: AmountUnit}
+		if lm.limit.Unit == Cost && r.Cost > 0 {
 			c.Amount = r.Cost
 		}
 		buf = append(buf, c)
@@ -95,46 +123,60 @@
 	return buf
 }
 
-// node is the deepest that all names of the request are known for; "other" stands for those that are not.
-func (x *limitMatcher) node(r *Request) int {
-	at := 0
-	for _, b := range x.partitionBy {
-		name := b.name(r)
-		if name == "" || x.children[at] == nil {
-			return at
+func (m *limitMatcher) matchesPath(path string) bool {
+	if len(m.limit.Paths) == 0 {
+		return true
+	}
+	return slices.ContainsFunc(m.limit.Paths, func(prefix string) bool { return strings.HasPrefix(path, prefix) })
+}
+
+// node returns the deepest node whose names the request has; otherPart stands for unknown names.
+func (m *limitMatcher) node(r *Request) int {
+	current := 0
+	for i := range m.partitionBy {
+		name := m.partitionBy[i].name(r)
+		children := m.children[current]
+		if name == "" || children == nil {
+			return current
 		}
-		next, ok := x.children[at][name]
+		child, ok := children[name]
 		if !ok {
-			next, ok = x.children[at]["other"]
+			child, ok = children[otherPart]
 		}
 		if !ok {
-			return at
+			return current
 		}
-		at = next
+		current = child
 	}
-	return at
+	return current
 }
 
-func (b *partitionKey) name(r *Request) string {
-	switch b.kind {
-	case "class":
+// name returns the name of the request's part, or "" if it has none.
+func (k *partitionKey) name(r *Request) string {
+	switch k.kind {
+	case partitionByClass:
 		return r.Class
-	case "header":
+	case partitionByHeader:
 		if r.Header != nil {
-			return r.Header(b.arg)
-		}
-	case "path":
-		rest := strings.TrimPrefix(r.Path, "/")
-		for n := 1; ; n++ {
-			part, more, found := strings.Cut(rest, "/")
-			if n == b.segment {
-				return part
-			}
-			if !found {
-				return ""
-			}
-			rest = more
+			return r.Header(k.header)
 		}
+	case partitionByPath:
+		return pathSegment(r.Path, k.segment)
 	}
 	return ""
 }
+
+// pathSegment returns a segment of a path, from 1, or "" if the path is shorter.
+func pathSegment(path string, number int) string {
+	rest := strings.TrimPrefix(path, "/")
+	for n := 1; ; n++ {
+		segment, following, more := strings.Cut(rest, "/")
+		if n == number {
+			return segment
+		}
+		if !more {
+			return ""
+		}
+		rest = following
+	}
+}
--- a/internal/controlplane/quota/maxmin.go
+++ b/internal/controlplane/quota/maxmin.go
@@ -5,31 +5,33 @@
 	"slices"
 )
 
-// maxMinFair divides an amount by weights among those who want something, none more than that: max-min fairness. What it gives never adds up
-// to more than the amount.
-func maxMinFair(amount Amount, wants []Amount, weights []float64) []Amount {
-	gets := make([]Amount, len(wants))
-	order := make([]int, 0, len(wants))
-	sum := 0.0
-	for i, w := range wants {
-		if w > 0 {
+// maxMinFair divides an amount by weights among those with demand, none of whom gets more than its demand: weighted max-min
+// fairness. Nil weights are equal. What it gives never adds up to more than the amount.
+func maxMinFair(amount Amount, demands []Amount, weights []float64) []Amount {
+	allotted := make([]Amount, len(demands))
+	order := make([]int, 0, len(demands))
+	weightSum := 0.0
+	for i, demand := range demands {
+		if demand > 0 {
 			order = append(order, i)
-			sum += weightOf(weights, i)
+			weightSum += weightOf(weights, i)
 		}
 	}
-	slices.SortFunc(order, func(a, b int) int {
-		return cmp.Or(cmp.Compare(float64(wants[a])/weightOf(weights, a), float64(wants[b])/weightOf(weights, b)), cmp.Compare(a, b))
+	slices.SortFunc(order, func(a, b int) int { // smallest demand for its weight first
+		demandA := float64(demands[a]) / weightOf(weights, a)
+		demandB := float64(demands[b]) / weightOf(weights, b)
+		return cmp.Or(cmp.Compare(demandA, demandB), cmp.Compare(a, b))
 	})
-	for _, i := range order { // from the one who wants least for its weight
+	for _, i := range order {
 		if amount <= 0 {
 			break
 		}
-		w := weightOf(weights, i)
-		gets[i] = min(wants[i], amount, Amount(float64(amount)*w/sum))
-		amount -= gets[i]
-		sum -= w
+		weight := weightOf(weights, i)
+		allotted[i] = min(demands[i], amount, Amount(float64(amount)*weight/weightSum))
+		amount -= allotted[i]
+		weightSum -= weight
 	}
-	return gets
+	return allotted
 }
 
 func weightOf(weights []float64, i int) float64 {
--- a/internal/controlplane/quota/status.go
+++ b/internal/controlplane/quota/status.go
@@ -9,62 +9,87 @@
 	"time"
 )
 
-// NodeStatus is a part of a limit for people.
+// NodeStatus is how a node of a limit stands.
 type NodeStatus struct {
 	Path      string         `json:"path"`
 	Capacity  Amount         `json:"most"`
-	Committed Amount         `json:"counts"` // of all shares, with those of its parts: never over Most, but while Most is made smaller
-	Granted   Amount         `json:"given"`  // of this part's own shares
+	Committed Amount         `json:"counts"` // with the parts of the node; over Capacity only after that was reduced
+	Granted   Amount         `json:"given"`  // without parts, as are those below
 	Wanted    Amount         `json:"want"`
 	Admitted  uint64         `json:"taken"`
 	Rejected  uint64         `json:"refused"`
 	Processes []ProcessQuota `json:"of"`
 }
 
-// ProcessQuota is a process's share.
+// ProcessQuota is how a process's quota of a node stands.
 type ProcessQuota struct {
 	Process
 	Quota
 	NodeDemand
 	Committed Amount `json:"counts"`
-	Gone      bool   `json:"gone,omitempty"` // its process is; the share counts for a while yet
-	AgeMs     int64  `json:"age_ms"`         // since it told of itself, by this copy; or outlived by its share
-	Seen      bool   `json:"seen"`           // it goes by this share
+	Gone      bool   `json:"gone,omitempty"` // the process is, and its quota counts for a while yet
+	AgeMs     int64  `json:"age_ms"`         // since its report came to this copy; if gone, since its end
+	Seen      bool   `json:"seen"`           // it has acknowledged this quota
 }
 
-// Status shows a limit, the whole first.
-func (d *Allocator) Status(now int64, l *Limit) []NodeStatus {
-	all := make([]NodeStatus, len(l.Nodes))
-	for n := range l.Nodes {
-		key, v := l.Key(n), &all[n]
-		v.Path, v.Capacity, v.Processes = l.Nodes[n].Path, l.Nodes[n].Capacity, []ProcessQuota{}
-		for p, x := range d.processes {
-			h := ProcessQuota{Process: p, Quota: x.grant.Quotas[key], NodeDemand: x.demand.Nodes[key], Committed: d.committed(x, key), Gone: !x.alive, Seen: x.alive && x.demand.SeenRevision >= x.grantRevision}
-			if h.AgeMs = (now - x.reportedAt) / 1e6; !x.alive {
-				h.AgeMs = x.grant.OutlivedNanos / 1e6
-				if x.goneSince > 0 {
-					h.AgeMs += (now - x.goneSince) / 1e6
-				}
-				h.NodeDemand = NodeDemand{}
-			}
-			v.Committed += h.Committed
-			if h.Quota == (Quota{}) && h.NodeDemand == (NodeDemand{}) && n > 0 {
-				continue
-			}
-			v.Granted, v.Wanted, v.Admitted, v.Rejected = v.Granted+h.Quota.Amount, v.Wanted+h.Wanted, v.Admitted+h.Admitted, v.Rejected+h.Rejected
-			v.Processes = append(v.Processes, h)
+// Status returns how the nodes of a limit stand, the root first.
+func (a *Allocator) Status(now int64, l *Limit) []NodeStatus {
+	nodes := make([]NodeStatus, len(l.Nodes))
+	for i := range l.Nodes {
+		nodes[i] = a.nodeStatus(now, l, i)
+	}
+	for i := len(nodes) - 1; i > 0; i-- {
+		nodes[l.Nodes[i].Parent].Committed += nodes[i].Committed
+	}
+	return nodes
+}
+
+// nodeStatus returns how a node stands without its parts.
+func (a *Allocator) nodeStatus(now int64, l *Limit, node int) NodeStatus {
+	n := &l.Nodes[node]
+	status := NodeStatus{Path: n.Path, Capacity: n.Capacity, Processes: []ProcessQuota{}}
+	for p, state := range a.processes {
+		q := a.processQuota(now, p, state, l.Key(node))
+		status.Committed += q.Committed
+		isRoot := node == 0
+		if !isRoot && q.Quota == (Quota{}) && q.NodeDemand == (NodeDemand{}) {
+			continue
 		}
-		slices.SortFunc(v.Processes, func(a, b ProcessQuota) int {
-			return cmp.Or(cmp.Compare(b.Committed, a.Committed), strings.Compare(a.Host, b.Host), cmp.Compare(a.Session, b.Session))
-		})
+		status.Granted += q.Amount
+		status.Wanted += q.Wanted
+		status.Admitted += q.Admitted
+		status.Rejected += q.Rejected
+		status.Processes = append(status.Processes, q)
+	}
+	slices.SortFunc(status.Processes, func(p, q ProcessQuota) int {
+		return cmp.Or(cmp.Compare(q.Committed, p.Committed), compareProcesses(p.Process, q.Process))
+	})
+	return status
+}
+
+func (a *Allocator) processQuota(now int64, p Process, state *processState, key string) ProcessQuota {
+	q := ProcessQuota{
+		Process:   p,
+		Quota:     state.grant.Quotas[key],
+		Committed: a.committedAmount(state, key),
+		Gone:      !state.alive,
+		Seen:      state.acknowledged(),
+	}
+	if state.alive {
+		q.NodeDemand = state.demand.Nodes[key]
+		q.AgeMs = milliseconds(now - state.reportedAt)
+		return q
 	}
-	for n := len(all) - 1; n > 0; n-- {
-		all[l.Nodes[n].Parent].Committed += all[n].Committed
+	q.AgeMs = milliseconds(state.grant.OutlivedNanos)
+	if state.goneSince > 0 {
+		q.AgeMs += milliseconds(now - state.goneSince)
 	}
-	return all
+	return q
 }
 
-// UnitText is what an amount of a limit is.
+func milliseconds(nanos int64) int64 { return nanos / int64(time.Millisecond) }
+
+// UnitText says for people what an amount of the limit is.
 func (l *Limit) UnitText() string {
 	what := "requests"
 	if l.Unit == Cost {
@@ -75,26 +100,27 @@
 		return what + " a second"
 	case Window:
 		return what + " in any " + time.Duration(l.Window).String()
+	default:
+		return what + " at once"
 	}
-	return what + " at once"
 }
 
-// DescribeOvershoot says how far over its amount servers may see a limit, with so many processes out of the store's reach.
-func (l *Limit) DescribeOvershoot(away int) string {
+// DescribeOvershoot says for people how far over its capacity servers may see the limit while a number of processes cannot
+// reach the store.
+func (l *Limit) DescribeOvershoot(unreachable int) string {
 	var b strings.Builder
-	switch l.Kind {
-	case Rate:
+	if l.Kind == Rate {
 		fmt.Fprintf(&b, "%s at once beside it", FormatAmount(l.burstOf(l.Nodes[0].Capacity)))
-	default:
+	} else {
 		b.WriteString("none")
 	}
-	switch {
-	case l.Fallback == Fair:
+	switch l.Fallback {
+	case Fair:
 		fmt.Fprintf(&b, "; without the store %g of it for each %d sidecars out of reach", l.FallbackFraction, l.MinProcesses)
-		if away > 0 {
-			fmt.Fprintf(&b, ", now %s", FormatAmount(Amount(math.Ceil(float64(l.Nodes[0].Capacity)*l.FallbackFraction*float64(away)/float64(max(l.MinProcesses, away))))))
+		if unreachable > 0 {
+			fmt.Fprintf(&b, ", now %s", FormatAmount(l.fallbackSum(unreachable)))
 		}
-	case l.Fallback == Open:
+	case Open:
 		b.WriteString("; without the store no bound")
 	}
 	if l.Fallback != Strict && l.FallbackTimeout > 0 {
@@ -102,3 +128,9 @@
 	}
 	return b.String()
 }
+
+// fallbackSum returns what a number of processes without the store may spend of a Fair limit.
+func (l *Limit) fallbackSum(processes int) Amount {
+	capacity := float64(l.Nodes[0].Capacity)
+	return Amount(math.Ceil(capacity * l.FallbackFraction * float64(processes) / float64(max(l.MinProcesses, processes))))
+}
--- a/internal/controlplane/quota/wire.go
+++ b/internal/controlplane/quota/wire.go
@@ -10,74 +10,83 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Keys of limits.
+// Keys of the store.
 const (
 	Prefix        = "limit/"
-	ConfigKey     = "limit/conf"   // Conf, as JSON
-	AllocationKey = "limit/turn"   // each division is one on the last
-	DemandPrefix  = "limit/need/"  // HOST/SESSION: Need; it goes with the session
-	GrantPrefix   = "limit/grant/" // HOST/SESSION: Grant
+	ConfigKey     = "limit/conf"   // a Config as JSON
+	AllocationKey = "limit/turn"   // changes with each allocation, which is conditional on the previous one
+	DemandPrefix  = "limit/need/"  // HOST/SESSION: a Demand, which goes with the session
+	GrantPrefix   = "limit/grant/" // HOST/SESSION: a Grant
 )
 
-// Bounds of what the store keeps.
+// Bounds of what the store holds.
 const (
 	MaxProcesses   = 8192
-	MaxRecordBytes = 64 << 10 // bytes of a Need or a Grant
+	MaxRecordBytes = 64 << 10 // of a Demand or a Grant
+
+	maxMapPairs     = 1 << 14
+	maxNestedLevels = 6
 )
 
-// Process is one that shares limits: a daemon's name and its session, which no other process ever has.
+// Process identifies a process that shares limits: its daemon's name and its session, which no other process ever has.
 type Process struct {
-	Host    string
-	Session uint64
+	Host    string `json:"Host"`
+	Session uint64 `json:"Session"`
 }
 
+// String returns HOST/SESSION, as in keys of the store.
 func (p Process) String() string { return p.Host + "/" + strconv.FormatUint(p.Session, 10) }
 
-// DemandKey is where it tells of itself, GrantKey where its shares are.
+// DemandKey returns the key under which the process reports its Demand.
 func (p Process) DemandKey() string { return DemandPrefix + p.String() }
 
-// GrantKey is of NeedKey.
+// GrantKey returns the key of the process's Grant.
 func (p Process) GrantKey() string { return GrantPrefix + p.String() }
 
-// parseProcess reads a key behind its prefix.
-func parseProcess(rest string) (Process, bool) {
-	host, text, ok := strings.Cut(rest, "/")
-	n, err := strconv.ParseUint(text, 10, 64)
-	return Process{host, n}, ok && err == nil && host != "" && n > 0
+// parseProcess parses what String returns.
+func parseProcess(text string) (p Process, ok bool) {
+	host, number, found := strings.Cut(text, "/")
+	session, err := strconv.ParseUint(number, 10, 64)
+	return Process{Host: host, Session: session}, found && err == nil && host != "" && session > 0
 }
 
-// Demand is what a process tells.
+// Demand is a process's report.
 type Demand struct {
-	ConfigVersion uint64                `cbor:"1,keyasint"` // the version of the limits that it goes by
-	SeenRevision  uint64                `cbor:"2,keyasint"` // the revision of the Grant that it goes by: of no larger one from now on
-	Nodes         map[string]NodeDemand `cbor:"3,keyasint,omitempty"`
+	ConfigVersion uint64                `cbor:"1,keyasint"`           // of the limits that it enforces
+	SeenRevision  uint64                `cbor:"2,keyasint"`           // of the Grant that it keeps to from now on
+	Nodes         map[string]NodeDemand `cbor:"3,keyasint,omitempty"` // by Limit.Key
 }
 
-// NodeDemand are those of one share.
+// NodeDemand is a process's demand of one node.
 type NodeDemand struct {
 	Wanted   Amount `cbor:"1,keyasint,omitempty" json:"want"`    // that it could use
-	InUse    Amount `cbor:"2,keyasint,omitempty" json:"floor"`   // that it has in use, or has spent in the window
+	InUse    Amount `cbor:"2,keyasint,omitempty" json:"floor"`   // now, or spent in the window
 	Admitted uint64 `cbor:"3,keyasint,omitempty" json:"taken"`   // requests since its start
-	Rejected uint64 `cbor:"4,keyasint,omitempty" json:"refused"` // and of those that this share had too little for
+	Rejected uint64 `cbor:"4,keyasint,omitempty" json:"refused"` // requests since its start, for lack of quota
 }
 
-// Grant is a process's shares.
+// Grant is a process's quotas.
 type Grant struct {
-	Quotas        map[string]Quota `cbor:"1,keyasint,omitempty"`
-	OutlivedNanos int64            `cbor:"2,keyasint,omitempty"` // nanoseconds that it is known to have outlived its process
+	Quotas        map[string]Quota `cbor:"1,keyasint,omitempty"` // by Limit.Key
+	OutlivedNanos int64            `cbor:"2,keyasint,omitempty"` // for which the grant is known to have outlived its process
 }
 
-// Quota is one share.
+// Quota is a process's quota of one node.
 type Quota struct {
 	Amount   Amount `cbor:"1,keyasint,omitempty" json:"amount"`
-	Previous Amount `cbor:"2,keyasint,omitempty" json:"was"` // it counts for as much until the process has seen it
+	Previous Amount `cbor:"2,keyasint,omitempty" json:"was"` // counts, if larger, until the process has seen Amount
 	Linger   int64  `cbor:"3,keyasint,omitempty" json:"linger,omitempty"`
 }
 
 var (
-	encode = must(cbor.CoreDetEncOptions().EncMode())
-	decode = must(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: 6, MaxMapPairs: 1 << 14,
-		IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode())
+	encodeMode = must(cbor.CoreDetEncOptions().EncMode())
+	decodeMode = must(cbor.DecOptions{
+		DupMapKey:       cbor.DupMapKeyEnforcedAPF,
+		MaxNestedLevels: maxNestedLevels,
+		MaxMapPairs:     maxMapPairs,
+		IndefLength:     cbor.IndefLengthForbidden,
+		TagsMd:          cbor.TagsForbidden,
+	}.DecMode())
 )
 
 func must[T any](v T, err error) T {
@@ -87,34 +96,43 @@
 	return v
 }
 
-// Encode writes a Need or a Grant.
-func Encode(v any) []byte {
-	b, err := encode.Marshal(v)
+// Encode encodes a Demand or a Grant.
+func Encode(record any) []byte {
+	b, err := encodeMode.Marshal(record)
 	if err != nil {
-		panic(err) // such records always can be written
+		panic(err) // neither holds a type that CBOR cannot encode
 	}
 	return b
 }
 
-// DecodeDemand reads what Encode wrote.
-func DecodeDemand(b []byte) (n Demand, err error) {
-	if err = decode.Unmarshal(b, &n); err != nil {
-		err = fmt.Errorf("need: %w", err)
+// DecodeDemand decodes a Demand that Encode wrote.
+func DecodeDemand(b []byte) (Demand, error) {
+	var d Demand
+	if err := decodeMode.Unmarshal(b, &d); err != nil {
+		return d, fmt.Errorf("demand: %w", err)
 	}
-	return n, err
+	return d, nil
 }
 
-// DecodeGrant reads what Encode wrote.
-func DecodeGrant(b []byte) (g Grant, err error) {
-	if err = decode.Unmarshal(b, &g); err != nil {
-		err = fmt.Errorf("grant: %w", err)
+// DecodeGrant decodes a Grant that Encode wrote.
+func DecodeGrant(b []byte) (Grant, error) {
+	var g Grant
+	if err := decodeMode.Unmarshal(b, &g); err != nil {
+		return g, fmt.Errorf("grant: %w", err)
 	}
-	return g, err
+	return g, nil
 }
 
-// Allowed says whether an operation is a daemon's own part in limits: what its processes tell, for as long as their sessions.
+// Allowed reports whether a daemon without a replica may do an operation on limits: it may write and delete the demand of
+// its own processes, bound to their sessions.
 func Allowed(op store.Op, owner string) bool {
-	rest, ok := strings.CutPrefix(op.Key, DemandPrefix)
-	p, is := parseProcess(rest)
-	return ok && is && owner != "" && p.Host == owner && (op.Delete || op.LeaseID == p.Session && len(op.Value) <= MaxRecordBytes)
+	name, isDemand := strings.CutPrefix(op.Key, DemandPrefix)
+	if !isDemand || owner == "" {
+		return false
+	}
+	p, ok := parseProcess(name)
+	if !ok || p.Host != owner {
+		return false
+	}
+	return op.Delete || op.LeaseID == p.Session && len(op.Value) <= MaxRecordBytes
 }
--- a/internal/controlplane/quotasync/manager.go
+++ b/internal/controlplane/quotasync/manager.go
@@ -272,7 +272,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	sums := map[string]uint64{}
-	for _, s := range l.holder.Quotas(l.now()) {
+	for _, s := range l.holder.Usage(l.now()) {
 		name, _, _ := strings.Cut(s.Key, "@")
 		sums[name] += s.Rejected
 	}
--- a/internal/lab/limitsim/limitsim.go
+++ b/internal/lab/limitsim/limitsim.go
@@ -247,7 +247,7 @@
 	w.r.BusyMs = -1
 	var look func()
 	look = func() {
-		for _, s := range p.holder.Quotas(p.now()) {
+		for _, s := range p.holder.Usage(p.now()) {
 			if s.Key == l.Key(0) && s.Amount >= l.Nodes[0].Capacity*4/5 {
 				w.r.BusyMs = (w.q.Now() - begun) / milli
 				return
