--- a/internal/controlplane/daemon/drains.go
+++ b/internal/controlplane/daemon/drains.go
@@ -8,41 +8,46 @@
 
 	"birchmoor/internal/dataplane/discovery"
 	"birchmoor/internal/store"
-	"birchmoor/internal/store/changefeed"
 	"birchmoor/internal/store/serverstate"
 )
 
-// Drains travel like bans, but for three things. They are of a process, so that nobody has to agree that a server serves
-// again: a new start is another process. All daemons hear a drain from discovery at about the same time, and one of them
-// writes it (policy.Turns). And they end by rule: who hears a drain sees to it that it is told again every drainRenew, one
-// write for all, and what nobody has told for drainKept is over.
+// Drains are reported like administrative drains, with three differences. They apply to one process, so that nobody has to
+// agree that the server serves again: after a restart it is another process. All daemons observe a drain by discovery at about
+// the same time, and one of them writes it (serverstate.ReportScheduler). And they expire: daemons that observe a drain renew
+// its report every drainRenewInterval, one write for all, and one that was not renewed for drainRetention ends.
 const (
 	drainReportSpread  = 200 * time.Millisecond
 	drainRenewInterval = 4 * time.Minute
 	drainRetention     = 10 * time.Minute
-	maxDrains          = 4096 // processes that drain, by this daemon's discovery
+	maxDrains          = 4096 // draining processes by this daemon's discovery
 )
 
-// Drains are the processes that drain by any daemon's discovery. It is a Part; any goroutine may use it.
+// Drains are the processes that drain by the discovery of any daemon. It is a Component, and safe for concurrent use.
 type Drains struct {
-	outbox
-	guard    *serverstate.Guard
-	bind     func(ctx context.Context, p discovery.Process, drains bool) error
-	dirty    map[serverstate.Process]bool // that the sidecar is to be told of
-	arrivals arrivalTimes
+	exclusionReports[serverstate.Process]
 	schedule *serverstate.ReportScheduler // by key
-	drainLog *drainLog                    // nil where nothing is kept
+	drainLog *drainLog                    // nil where none is kept
 }
 
-// NewDrains returns those of the daemon of a name.
+// NewDrains returns those of the daemon with a name.
 func NewDrains(name string, log *slog.Logger) *Drains {
-	d := &Drains{outbox: newOutbox(name, log), guard: serverstate.NewGuard(name), dirty: map[serverstate.Process]bool{}, arrivals: arrivalTimes{},
-		schedule: serverstate.NewReportScheduler(name, serverstate.ReportSchedule{Spread: int64(drainReportSpread), RenewInterval: int64(drainRenewInterval), Retention: int64(drainRetention), MaxObserved: maxDrains})}
+	d := &Drains{
+		exclusionReports: newExclusionReports[serverstate.Process](name, log),
+		schedule: serverstate.NewReportScheduler(name, serverstate.ReportSchedule{
+			Spread:        int64(drainReportSpread),
+			RenewInterval: int64(drainRenewInterval),
+			Retention:     int64(drainRetention),
+			MaxObserved:   maxDrains,
+		}),
+	}
 	d.guard.Restrict(isProcessDrain)
+	d.parseKey = parseDrainKey
+	d.id = func(p serverstate.Process) string { return p.ID }
+	d.excluded = d.guard.IsDraining
 	return d
 }
 
-// isProcessDrain says whether a server that is out is a process that drains.
+// isProcessDrain reports whether an exclusion is that of a draining process.
 func isProcessDrain(kind serverstate.Kind, server string) bool {
 	_, ok := serverstate.ParseProcess(server)
 	return ok && kind == serverstate.Drain
@@ -52,7 +57,7 @@
 	return serverstate.ExclusionKey(serverstate.Drain, p.ServerName())
 }
 
-// parseDrainKey reads a key that tells of a drain.
+// parseDrainKey reads the key of a process's drain.
 func parseDrainKey(key string) (serverstate.Process, bool) {
 	server, ok := strings.CutPrefix(key, serverstate.ExclusionKey(serverstate.Drain, ""))
 	if !ok {
@@ -61,20 +66,7 @@
 	return serverstate.ParseProcess(server)
 }
 
-// markDirty notes that the sidecar is to be told of a key. The lock is held.
-func (d *Drains) markDirty(key string) {
-	if p, ok := parseDrainKey(key); ok {
-		d.dirty[p] = true
-	}
-}
-
-// Subscription is of Needy: all, whatever servers the list tells of. One that it does not tell of yet may come with its next word, and
-// must not be sent anything in the moment until the copy knows of its drain.
-func (d *Drains) Subscription() changefeed.Subscription {
-	return subscribeTo(serverstate.ExclusionPrefix)
-}
-
-// Event is of Part.
+// Event implements Component.
 func (d *Drains) Event(e store.Event) {
 	p, ok := parseDrainKey(e.Item.Key)
 	if !ok {
@@ -83,50 +75,29 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now, key := d.now(time.Now()), drainKey(p)
-	d.guard.Apply(e)
-	d.arrivals.applyEvent(now, e)
-	d.dirty[p] = true
+	d.applyEvent(now, e)
 	d.wakeAt(d.schedule.Committed(now, key, e.Revision, e.Deleted), now)
 	d.logDrain(key)
 	d.wakeUp()
 }
 
-// markAllDirty notes that all that is out is to be told to the sidecar again. The lock is held.
-func (d *Drains) markAllDirty() {
-	for _, o := range d.guard.Exclusions() {
-		d.markDirty(serverstate.ExclusionKey(o.Kind, o.Server))
-	}
-}
-
-// Reset is of Part.
+// Reset implements Component.
 func (d *Drains) Reset(s *store.State) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.markAllDirty()
-	if err := d.guard.Reset(s); err != nil {
-		d.log.Error("the store's copy is not acted on", "error", err)
+	if err := d.applyReset(s); err != nil {
+		d.log.Error("cannot use the new copy of the store for drains", "error", err)
 		return
 	}
-	d.markAllDirty()
-	d.arrivals.retain(s)
-	drained := revisionsWithPrefix(s, serverstate.ExclusionKey(serverstate.Drain, ""))
-	d.schedule.Reset(d.now(time.Now()), drained)
-	for key := range drained {
+	draining := revisionsWithPrefix(s, serverstate.ExclusionKey(serverstate.Drain, ""))
+	d.schedule.Reset(d.now(time.Now()), draining)
+	for key := range draining {
 		d.logDrain(key)
 	}
 	d.wakeUp()
 }
 
-// Uncommitted is of Tail.
-func (d *Drains) Uncommitted(c *store.Command) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for _, key := range d.guard.Uncommitted(c) {
-		d.markDirty(key)
-	}
-}
-
-// CaughtUp is of Tail.
+// CaughtUp implements LogTailObserver.
 func (d *Drains) CaughtUp() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -137,11 +108,14 @@
 	d.wakeUp()
 }
 
-// Run is of Part.
+// Run implements Component.
 func (d *Drains) Run(ctx context.Context) {
 	if d.drainLog != nil {
 		done := make(chan struct{})
-		go func() { defer close(done); d.drainLog.run(ctx.Done()) }()
+		go func() {
+			defer close(done)
+			d.drainLog.run(ctx.Done())
+		}()
 		defer func() { <-done }()
 	}
 	d.run(ctx, d.enqueueOwed, func(ctx context.Context) {
@@ -151,15 +125,12 @@
 }
 
 func (d *Drains) enqueueOwed() {
-	d.mu.Lock()
-	owed := d.guard.TakeRetries()
-	d.mu.Unlock()
-	for _, op := range owed {
+	for _, op := range d.owed() {
 		d.enqueueWrite(op)
 	}
 }
 
-// DrainingProcesses lists the processes that drained by the store's copy here: a start knows them before it serves.
+// DrainingProcesses lists the processes that drain by this copy, so that a sidecar knows them before it serves.
 func (d *Drains) DrainingProcesses() []discovery.Process {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -170,18 +141,19 @@
 	return all
 }
 
-// OnDrain gives the way in which what others heard binds in the sidecar.
+// OnDrain sets how the drains that other daemons observed are applied to the sidecar.
 func (d *Drains) OnDrain(bind func(ctx context.Context, p discovery.Process, drains bool) error) {
 	d.mu.Lock()
-	d.bind = bind
 	for _, p := range d.guard.Draining() {
 		d.dirty[p] = true
 	}
 	d.mu.Unlock()
-	d.wakeUp()
+	d.subscribe(func(ctx context.Context, p serverstate.Process, drains bool) error {
+		return bind(ctx, discovery.Process(p), drains)
+	})
 }
 
-// Observe takes what this sidecar's discovery says of a process. It does not wait.
+// Observe takes what this sidecar's discovery says of a process. It does not block.
 func (d *Drains) Observe(p discovery.Process, drains bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -193,52 +165,64 @@
 	}
 	due, full := d.schedule.Observe(now, key)
 	if full {
-		d.log.Error("other daemons are not told of a drain: too many processes drain", "id", p.ID, "most", maxDrains)
+		d.log.Error("cannot report a drain to other daemons: too many processes drain", "id", p.ID, "max", maxDrains)
 	}
 	d.wakeAt(due, now)
 }
 
-// enqueueDue writes what it is this daemon's turn to tell.
+// enqueueDue queues the reports that are this daemon's to write now.
 func (d *Drains) enqueueDue(now time.Time) {
+	for _, op := range d.dueReports(now) {
+		d.enqueueWrite(op)
+	}
+}
+
+func (d *Drains) dueReports(now time.Time) (ops []store.Op) {
 	d.mu.Lock()
+	defer d.mu.Unlock()
 	keys, _ := d.schedule.Due(d.now(now))
-	var ops []store.Op
 	for _, key := range keys {
 		p, _ := parseDrainKey(key)
 		op, err := d.guard.Observe(serverstate.Drain, p.ServerName())
-		if err != nil {
-			d.log.Error("other daemons are not told of a drain", "id", p.ID, "error", err)
-		} else if op != nil {
+		switch {
+		case err != nil:
+			d.log.Error("cannot report a drain to other daemons", "id", p.ID, "error", err)
+		case op != nil:
 			ops = append(ops, *op)
 		}
 	}
-	d.mu.Unlock()
-	for _, op := range ops {
-		d.enqueueWrite(op)
-	}
+	return ops
 }
 
-// enqueueWrite leaves a word of the guard's to be written; if there is no room it stays owed.
+// enqueueWrite queues a report of the guard; if the queue is full the guard keeps it as owed.
 func (d *Drains) enqueueWrite(op store.Op) {
-	d.enqueue(pendingWrite{key: op.Key, done: func(ok bool) {
-		d.guard.ProposalDone(op.Key, ok)
-		d.logDrain(op.Key)
-	}, apply: func(ctx context.Context) error {
-		p, _ := parseDrainKey(op.Key)
-		return d.propose(ctx, p, op)
-	}})
+	d.enqueue(pendingWrite{
+		key: op.Key,
+		apply: func(ctx context.Context) error {
+			p, _ := parseDrainKey(op.Key)
+			return d.propose(ctx, p, op)
+		},
+		done: func(ok bool) {
+			d.guard.ProposalDone(op.Key, ok)
+			d.logDrain(op.Key)
+		},
+	})
 }
 
-// propose writes a drain, if nobody has written it since. What was ended meanwhile is an error: it is owed again.
+// propose writes a drain unless another daemon has in the meantime. A drain that was ended in the meantime is an error, after
+// which the guard owes it again.
 func (d *Drains) propose(ctx context.Context, p serverstate.Process, op store.Op) error {
 	d.mu.Lock()
-	agreed, over := d.guard.DrainRevision(p), !d.guard.Pending(op.Key)
+	agreed, pending := d.guard.DrainRevision(p), d.guard.Pending(op.Key)
 	d.mu.Unlock()
-	if over {
+	if !pending {
 		return nil
 	}
-	r, err := d.store.Do(ctx, store.Command{Txn: &store.Txn{If: []store.Compare{{Key: op.Key, ModRevision: agreed}}, Then: []store.Op{op}}})
-	if err != nil || r.Succeeded {
+	result, err := d.store.Do(ctx, store.Command{Txn: &store.Txn{
+		If:   []store.Compare{{Key: op.Key, ModRevision: agreed}},
+		Then: []store.Op{op},
+	}})
+	if err != nil || result.Succeeded {
 		return err
 	}
 	d.mu.Lock()
@@ -249,48 +233,17 @@
 	return nil
 }
 
-// bindDirty makes bind in the sidecar what has changed.
-func (d *Drains) bindDirty(ctx context.Context) {
-	d.mu.Lock()
-	bind := d.bind
-	if bind == nil {
-		d.mu.Unlock()
-		return
-	}
-	now := map[serverstate.Process]bool{}
-	for p := range d.dirty {
-		now[p] = d.guard.IsDraining(p)
-	}
-	clear(d.dirty)
-	d.mu.Unlock()
-	for p, drains := range now {
-		if err := bind(ctx, discovery.Process(p), drains); err != nil && ctx.Err() == nil {
-			d.log.Error("what daemons heard of a drain does not bind here", "id", p.ID, "drains", drains, "error", err)
-			d.mu.Lock()
-			d.dirty[p] = true
-			d.mu.Unlock()
-		}
-	}
-}
-
-// Expired is of Sweeper.
-func (d *Drains) Expired(now time.Time) (ends []*store.Txn) {
+// Expired implements Expirer.
+func (d *Drains) Expired(now time.Time) (txns []*store.Txn) {
 	d.enqueueDue(now)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	_, over := d.schedule.Due(d.now(now))
-	for _, key := range over {
+	_, expired := d.schedule.Due(d.now(now))
+	for _, key := range expired {
 		p, _ := parseDrainKey(key)
-		if t, err := d.guard.Readmit(serverstate.Drain, p.ServerName()); err == nil {
-			ends = append(ends, t)
+		if txn, err := d.guard.Readmit(serverstate.Drain, p.ServerName()); err == nil {
+			txns = append(txns, txn)
 		}
 	}
-	return ends
-}
-
-// Exclusions lists the processes that drain, by whose word and how old that is.
-func (d *Drains) Exclusions() []serverstate.Exclusion {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.arrivals.setAges(d.now(time.Now()), d.guard.Exclusions())
+	return txns
 }
--- a/internal/controlplane/daemon/outbox.go
+++ b/internal/controlplane/daemon/outbox.go
@@ -8,25 +8,26 @@
 	"time"
 
 	"birchmoor/internal/store"
-	"birchmoor/internal/store/serverstate"
 )
 
-const maxPendingWrites = 1024 // changes that a part owes at once; what has no room stays owed by who wanted it made
+// maxPendingWrites bounds the queue of one component. Its owner keeps what did not fit and queues it again later.
+const maxPendingWrites = 1024
 
-// outbox is what parts that tell the store have in common: a lock, a clock that does not step, changes that are owed, and how they
-// are woken. It is a Part but for Event and Reset.
+// outbox is the common part of components that write reports to the store: a lock, a monotonic clock, a queue of pending
+// writes, and a wake-up signal. It implements Component except for Event, Reset and Run.
 type outbox struct {
-	name  string
+	name  string // of this daemon
 	log   *slog.Logger
 	store Store
-	epoch time.Time
+	epoch time.Time // of the monotonic clock
 
 	mu      sync.Mutex
 	wake    chan struct{}
 	pending chan pendingWrite
 }
 
-// pendingWrite is a change that a part owes the store. What became of it is told to wrote, under the part's lock, if that is set.
+// pendingWrite is a change that a component still has to write to the store. done, if it is set, is called with the
+// component's lock held.
 type pendingWrite struct {
 	key   string
 	apply func(context.Context) error
@@ -34,113 +35,85 @@
 }
 
 func newOutbox(name string, log *slog.Logger) outbox {
-	return outbox{name: name, log: log, epoch: time.Now(), wake: make(chan struct{}, 1), pending: make(chan pendingWrite, maxPendingWrites)}
+	return outbox{
+		name:    name,
+		log:     log,
+		epoch:   time.Now(),
+		wake:    make(chan struct{}, 1),
+		pending: make(chan pendingWrite, maxPendingWrites),
+	}
 }
 
-// Attach is of Part.
-func (d *outbox) Attach(s Store) { d.store = s }
+// Attach implements Component.
+func (o *outbox) Attach(s Store) { o.store = s }
 
-// now is an instant on the part's own clock, which does not step, in nanoseconds.
-func (d *outbox) now(t time.Time) int64 { return int64(t.Sub(d.epoch)) + 1 }
+// now converts t to the component's monotonic clock, in nanoseconds. It is never 0, which stands for no instant.
+func (o *outbox) now(t time.Time) int64 { return int64(t.Sub(o.epoch)) + 1 }
 
-// wakeAt has the part look for what is due at an instant of its clock; 0 is none.
-func (d *outbox) wakeAt(due, now int64) {
+// wakeAt wakes the component up at the instant due of its clock, unless that is 0.
+func (o *outbox) wakeAt(due, now int64) {
 	if due > 0 {
-		time.AfterFunc(time.Duration(due-now), d.wakeUp)
+		time.AfterFunc(time.Duration(due-now), o.wakeUp)
 	}
 }
 
-func (d *outbox) wakeUp() {
+func (o *outbox) wakeUp() {
 	select {
-	case d.wake <- struct{}{}:
+	case o.wake <- struct{}{}:
 	default:
 	}
 }
 
-// run has look called whenever the part is woken, and owed besides every owedEvery; and makes what is owed, until ctx ends.
-func (d *outbox) run(ctx context.Context, owed func(), look func(context.Context)) {
-	var writing sync.WaitGroup
-	defer writing.Wait()
-	writing.Go(func() { d.writePending(ctx) })
-	t := time.NewTicker(retryInterval)
-	defer t.Stop()
+// run writes what is pending until ctx ends. It calls work after each wake-up and, after enqueueOwed, every retryInterval.
+func (o *outbox) run(ctx context.Context, enqueueOwed func(), work func(context.Context)) {
+	var writer sync.WaitGroup
+	defer writer.Wait()
+	writer.Go(func() { o.writePending(ctx) })
+	ticker := time.NewTicker(retryInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-d.wake:
-		case <-t.C:
-			owed()
+		case <-o.wake:
+		case <-ticker.C:
+			enqueueOwed()
 		}
-		look(ctx)
+		work(ctx)
 	}
 }
 
-// enqueue leaves a change to be made.
-func (d *outbox) enqueue(w pendingWrite) {
+// enqueue queues a write, which fails at once if the queue is full. The lock is not held.
+func (o *outbox) enqueue(w pendingWrite) {
 	select {
-	case d.pending <- w:
+	case o.pending <- w:
 	default:
-		if w.done != nil {
-			d.mu.Lock()
-			w.done(false)
-			d.mu.Unlock()
-		}
+		o.finish(w, false)
+	}
+}
+
+func (o *outbox) finish(w pendingWrite, ok bool) {
+	if w.done == nil {
+		return
 	}
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	w.done(ok)
 }
 
-func (d *outbox) writePending(ctx context.Context) {
+func (o *outbox) writePending(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case w := <-d.pending:
-			c, cancel := context.WithTimeout(ctx, writeTimeout)
-			err := w.apply(c)
+		case w := <-o.pending:
+			writeCtx, cancel := context.WithTimeout(ctx, writeTimeout)
+			err := w.apply(writeCtx)
 			cancel()
 			if err != nil && ctx.Err() == nil && !errors.Is(err, store.ErrLevel) {
-				d.log.Warn("the store does not know yet what is known here", "key", w.key, "error", err)
+				o.log.Warn("cannot write a report to the store yet", "key", w.key, "error", err)
 			}
-			if w.done != nil {
-				d.mu.Lock()
-				w.done(err == nil)
-				d.mu.Unlock()
-			}
-		}
-	}
-}
-
-// revisionsWithPrefix are the keys with a prefix, and the revisions at which they were told.
-func revisionsWithPrefix(s *store.State, prefix string) map[string]uint64 {
-	words := map[string]uint64{}
-	s.Range(prefix, store.PrefixEnd(prefix), func(i store.Item) bool { words[i.Key] = i.ModRevision; return true })
-	return words
-}
-
-// arrivalTimes are when the store's words came here, by key.
-type arrivalTimes map[string]int64
-
-func (a arrivalTimes) applyEvent(now int64, e store.Event) {
-	if a[e.Item.Key] = now; e.Deleted {
-		delete(a, e.Item.Key)
-	}
-}
-
-// retain forgets what a whole copy does not have.
-func (a arrivalTimes) retain(s *store.State) {
-	for key := range a {
-		if _, there := s.Get(key); !there {
-			delete(a, key)
-		}
-	}
-}
-
-// setAges puts into words how old the store's are.
-func (a arrivalTimes) setAges(now int64, all []serverstate.Exclusion) []serverstate.Exclusion {
-	for i := range all {
-		if at, ok := a[serverstate.ExclusionKey(all[i].Kind, all[i].Server)]; ok {
-			all[i].AgeMillis = (now - at) / 1e6
+			o.finish(w, err == nil)
 		}
 	}
-	return all
 }
--- a/internal/controlplane/daemon/snapshots.go
+++ b/internal/controlplane/daemon/snapshots.go
@@ -110,12 +110,6 @@
 	context.AfterFunc(ctx, func() { add(-1) })
 }
 
-// isPartial says whether a copy does not hold all keys with a prefix.
-func isPartial(s *store.State, prefix string) bool {
-	of := s.Interest()
-	return of != nil && !of.CoversPrefix(prefix)
-}
-
 // Run is of Part: sidecars put their pictures by Keep.
 func (k *StateSnapshots) Run(ctx context.Context) { <-ctx.Done() }
 
