--- a/cmd/birchmoor/fleet_test.go
+++ b/cmd/birchmoor/fleet_test.go
@@ -40,7 +40,7 @@
 			t.Fatal(err)
 		}
 		for _, x := range facts {
-			known = known || x.ID == in.ID && x.What == "drains" && x.Agreed && x.By == "d0"
+			known = known || x.ID == in.ID && x.Kind == "drains" && x.Committed && x.By == "d0"
 		}
 	}
 	b.Deaf(true)
@@ -68,7 +68,7 @@
 			t.Errorf("%s: %d requests to a server that drains\n%s", what, n, b.Log())
 		}
 		s, err := b.Client.Status(ctx)
-		if err != nil || s.Began.From != from || s.Began.Out != 1 || !s.Follower || (s.Began.Age != "") != (from == "own disk") {
+		if err != nil || s.Began.From != from || s.Began.Exclusions != 1 || !s.Follower || (s.Began.Age != "") != (from == "own disk") {
 			t.Errorf("%s: %+v, %v", what, s.Began, err)
 		}
 	}
--- a/cmd/birchmoor/store.go
+++ b/cmd/birchmoor/store.go
@@ -154,22 +154,22 @@
 			if s.Age.Stale {
 				copied = "STALE, " + copied
 			}
-			began := fmt.Sprintf("%s at revision %d: %d out, %d starts, %d pictures", s.Began.From, s.Began.Revision, s.Began.Out, s.Began.Starts, s.Began.Pictures)
+			began := fmt.Sprintf("%s at revision %d: %d out, %d starts, %d pictures", s.Began.From, s.Began.Revision, s.Began.Exclusions, s.Began.Starts, s.Began.Snapshots)
 			if s.Began.Settings {
 				began += ", the fleet's settings"
 			}
 			if s.Began.Age != "" {
 				began += ", written " + s.Began.Age + " before"
 			}
-			for _, r := range s.Began.Recalled {
-				began += fmt.Sprintf("; the module recalled %d servers from %s (%d pictures), %v old", r.Servers, r.From, r.Pictures, r.Age.Round(time.Millisecond))
+			for _, r := range s.Began.Restored {
+				began += fmt.Sprintf("; the module recalled %d servers from %s (%d pictures), %v old", r.Servers, r.From, r.Snapshots, r.Age.Round(time.Millisecond))
 			}
 			if s.Holds != nil {
 				copied += fmt.Sprintf("; a part: %s", strings.Join(slices.Concat(s.Holds.Prefixes, s.Holds.Keys), " "))
 			}
 			k := s.Daemon
 			for _, x := range [][2]any{{"began with", began}, {"holds", fmt.Sprintf("%d out, %d starts, %d pictures of %d bytes; %d changes owed",
-				k.Out, k.Starts, k.Pictures, k.Bytes, k.Owed)}, {"name", s.Name}, {"cluster", fmt.Sprintf("%x", s.Self.Cluster)}, {"member", s.Self.Member}, {"state", state}, {"copy", copied},
+				k.Exclusions, k.Starts, k.Snapshots, k.SnapshotBytes, k.PendingWrites)}, {"name", s.Name}, {"cluster", fmt.Sprintf("%x", s.Self.Cluster)}, {"member", s.Self.Member}, {"state", state}, {"copy", copied},
 				{"term", s.Term}, {"revision", s.Revision}, {"keys", s.Keys}, {"bytes", s.Bytes}, {"disk", s.Disk},
 				{"applied", fmt.Sprintf("%d of %d", s.Applied, s.Commit)}, {"members settled", s.Settled},
 				{"peers refused", s.Refused}, {"connections refused", s.Untaken}, {"messages dropped", s.Dropped}} {
@@ -377,16 +377,16 @@
 				if f.StartedMs != 0 {
 					start = time.UnixMilli(f.StartedMs).UTC().Format(time.RFC3339)
 				}
-				if f.LeftMs > 0 {
-					left = (time.Duration(f.LeftMs) * time.Millisecond).String()
+				if f.RemainingMs > 0 {
+					left = (time.Duration(f.RemainingMs) * time.Millisecond).String()
 				}
 				if f.Sidecars > 1 {
 					by = fmt.Sprintf("%s and %d more", f.By, f.Sidecars-1)
 				}
-				if f.Alone {
+				if f.Partial {
 					by += " (no replica tells of the others)"
 				}
-				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%v\n", f.ID, cmp.Or(f.Addr, "-"), start, f.What, by, ageOf(f.AgeMs), left, f.Agreed)
+				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%v\n", f.ID, cmp.Or(f.Addr, "-"), start, f.Kind, by, ageOf(f.AgeMs), left, f.Committed)
 			}
 		})
 	})
--- a/internal/controlplane/daemon/servers.go
+++ b/internal/controlplane/daemon/servers.go
@@ -18,16 +18,16 @@
 
 // ServerFact is one thing that is known of a server, from whom and how old.
 type ServerFact struct {
-	ID        string `json:"id"`
-	Addr      string `json:"address,omitempty"`
-	StartedMs int64  `json:"started_ms,omitempty"` // by discovery; 0: not told
-	What      string `json:"what"`                 // "drains", "banned", "began", "cold", "known"
-	By        string `json:"by"`                   // a daemon; of "cold" and "known" how many sidecars hold it so
-	Sidecars  int    `json:"sidecars,omitempty"`
-	AgeMs     int64  `json:"age_ms"`            // since the store's latest word came here; -1: before this daemon's start
-	LeftMs    int64  `json:"left_ms,omitempty"` // for which it matters yet
-	Agreed    bool   `json:"agreed"`            // the store has it; if not, it is this daemon's word alone
-	Alone     bool   `json:"alone,omitempty"`   // counted by the pictures that this daemon's copy holds, which are not all
+	ID          string `json:"id"`
+	Addr        string `json:"address,omitempty"`
+	StartedMs   int64  `json:"started_ms,omitempty"` // by discovery; 0: not told
+	Kind        string `json:"what"`                 // "drains", "banned", "began", "cold", "known"
+	By          string `json:"by"`                   // a daemon; of "cold" and "known" how many sidecars hold it so
+	Sidecars    int    `json:"sidecars,omitempty"`
+	AgeMs       int64  `json:"age_ms"`            // since the store's latest word came here; -1: before this daemon's start
+	RemainingMs int64  `json:"left_ms,omitempty"` // for which it matters yet
+	Committed   bool   `json:"agreed"`            // the store has it; if not, it is this daemon's word alone
+	Partial     bool   `json:"alone,omitempty"`   // counted by the pictures that this daemon's copy holds, which are not all
 }
 
 // Servers are the parts that tell of servers, seen together: what a sidecar has of them (sidecar.Fleet, maintenance.Shared) and what
@@ -66,15 +66,15 @@
 func (s *Servers) List(ctx context.Context) []ServerFact {
 	var all []ServerFact
 	for _, o := range s.Exclusions() {
-		f := ServerFact{ID: o.Server, What: "banned", By: o.ReportedBy, AgeMs: o.AgeMillis, Agreed: o.Committed}
+		f := ServerFact{ID: o.Server, Kind: "banned", By: o.ReportedBy, AgeMs: o.AgeMillis, Committed: o.Committed}
 		if p, ok := parseDrainKey(serverstate.ExclusionKey(o.Kind, o.Server)); ok {
-			f.ID, f.Addr, f.StartedMs, f.What = p.ID, p.Addr, p.StartedMs, "drains"
+			f.ID, f.Addr, f.StartedMs, f.Kind = p.ID, p.Addr, p.StartedMs, "drains"
 		}
 		all = append(all, f)
 	}
 	all = append(append(all, s.Starts.facts()...), s.StateSnapshots.facts(ctx)...)
 	slices.SortFunc(all, func(a, b ServerFact) int {
-		return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Addr, b.Addr), cmp.Compare(a.StartedMs, b.StartedMs), cmp.Compare(a.What, b.What))
+		return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Addr, b.Addr), cmp.Compare(a.StartedMs, b.StartedMs), cmp.Compare(a.Kind, b.Kind))
 	})
 	return all
 }
@@ -127,7 +127,7 @@
 			}
 			f := at[s]
 			if f == nil {
-				f = &ServerFact{ID: s.id, Addr: s.addr, StartedMs: s.start, What: s.what, By: v.ReportedBy, AgeMs: age, Agreed: true, Alone: alone}
+				f = &ServerFact{ID: s.id, Addr: s.addr, StartedMs: s.start, Kind: s.what, By: v.ReportedBy, AgeMs: age, Committed: true, Partial: alone}
 				at[s] = f
 			}
 			f.Sidecars++
@@ -145,38 +145,38 @@
 
 // StartupState is what a daemon knew when it started, before it heard anything.
 type StartupState struct {
-	From     string `json:"from"` // "own disk", "another replica" or "nothing"
-	Revision uint64 `json:"revision"`
-	Out      int    `json:"out"`
-	Starts   int    `json:"starts"`
-	Pictures int    `json:"pictures"`
-	Settings bool   `json:"settings"`      // of the fleet
-	Age      string `json:"age,omitempty"` // since the disk was written, by this host's clock
-
-	Recalled []RestoredState `json:"recalled,omitempty"` // what the sidecar's decision modules went on from
+	From       string `json:"from"` // "own disk", "another replica" or "nothing"
+	Revision   uint64 `json:"revision"`
+	Exclusions int    `json:"out"`
+	Starts     int    `json:"starts"`
+	Snapshots  int    `json:"pictures"`
+	Settings   bool   `json:"settings"`      // of the fleet
+	Age        string `json:"age,omitempty"` // since the disk was written, by this host's clock
+
+	Restored []RestoredState `json:"recalled,omitempty"` // what the sidecar's decision modules went on from
 }
 
 // RestoredState is what a sidecar's decision module went on from at its start.
 type RestoredState struct {
-	Protocol string        `json:"protocol,omitempty"` // "" is HTTP
-	From     string        `json:"from"`
-	Pictures int           `json:"pictures"`
-	Servers  int           `json:"servers"`
-	Age      time.Duration `json:"age_ns"`
+	Protocol  string        `json:"protocol,omitempty"` // "" is HTTP
+	From      string        `json:"from"`
+	Snapshots int           `json:"pictures"`
+	Servers   int           `json:"servers"`
+	Age       time.Duration `json:"age_ns"`
 }
 
 // RecordStartup notes what this daemon started with, and whether that has settings. written is when its disk was, zero if there was none.
 func (s *Servers) RecordStartup(from string, revision uint64, written time.Time, settings bool) {
-	b := StartupState{From: from, Revision: revision, Out: len(s.Exclusions()), Starts: s.Starts.count(), Settings: settings}
-	b.Pictures, _ = s.StateSnapshots.size()
+	b := StartupState{From: from, Revision: revision, Exclusions: len(s.Exclusions()), Starts: s.Starts.count(), Settings: settings}
+	b.Snapshots, _ = s.StateSnapshots.size()
 	if !written.IsZero() {
 		b.Age = time.Since(written).Round(time.Millisecond).String()
 	}
 	s.mu.Lock()
 	s.startup = b
 	s.mu.Unlock()
-	s.AdminDrains.log.Info("what the store knows at the start", "from", from, "revision", revision, "out", b.Out, "starts", b.Starts,
-		"pictures", b.Pictures, "age", b.Age)
+	s.AdminDrains.log.Info("what the store knows at the start", "from", from, "revision", revision, "out", b.Exclusions, "starts", b.Starts,
+		"pictures", b.Snapshots, "age", b.Age)
 }
 
 // StartupState is what this daemon knew when it started.
@@ -184,22 +184,22 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b := s.startup
-	b.Recalled = s.StateSnapshots.restoredStates()
+	b.Restored = s.StateSnapshots.restoredStates()
 	return b
 }
 
 // Counts is how much this daemon holds of what daemons tell each other.
 type Counts struct {
-	Out      int `json:"out"`    // servers that are out
-	Starts   int `json:"starts"` // processes that are cold yet
-	Pictures int `json:"pictures"`
-	Bytes    int `json:"picture_bytes"`
-	Owed     int `json:"owed"` // changes that wait to be written
+	Exclusions    int `json:"out"`    // servers that are out
+	Starts        int `json:"starts"` // processes that are cold yet
+	Snapshots     int `json:"pictures"`
+	SnapshotBytes int `json:"picture_bytes"`
+	PendingWrites int `json:"owed"` // changes that wait to be written
 }
 
 // Counts returns it.
 func (s *Servers) Counts() Counts {
-	k := Counts{Out: len(s.Exclusions()), Starts: s.Starts.count(), Owed: len(s.AdminDrains.pending) + len(s.Drains.pending) + len(s.Starts.pending)}
-	k.Pictures, k.Bytes = s.StateSnapshots.size()
+	k := Counts{Exclusions: len(s.Exclusions()), Starts: s.Starts.count(), PendingWrites: len(s.AdminDrains.pending) + len(s.Drains.pending) + len(s.Starts.pending)}
+	k.Snapshots, k.SnapshotBytes = s.StateSnapshots.size()
 	return k
 }
--- a/internal/controlplane/daemon/starts.go
+++ b/internal/controlplane/daemon/starts.go
@@ -177,7 +177,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.reports.WarmingUp(d.now(time.Now()), func(p serverstate.Process, ago, left int64, who string, agreed bool) {
-		all = append(all, ServerFact{ID: p.ID, Addr: p.Addr, StartedMs: p.StartedMs, What: "began", By: who, AgeMs: ago / 1e6, LeftMs: left / 1e6, Agreed: agreed})
+		all = append(all, ServerFact{ID: p.ID, Addr: p.Addr, StartedMs: p.StartedMs, Kind: "began", By: who, AgeMs: ago / 1e6, RemainingMs: left / 1e6, Committed: agreed})
 	})
 	return all
 }
--- a/internal/controlplane/daemon/stored_test.go
+++ b/internal/controlplane/daemon/stored_test.go
@@ -216,15 +216,15 @@
 // jsonRecords are one of each type that is encoded as JSON, full and empty.
 func jsonRecords() []any {
 	at := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	restored := RestoredState{Protocol: "dns", From: "the store: x", Pictures: 2, Servers: 3, Age: 4 * time.Second}
+	restored := RestoredState{Protocol: "dns", From: "the store: x", Snapshots: 2, Servers: 3, Age: 4 * time.Second}
 	return []any{
-		&ServerFact{ID: "s", Addr: "a:1", StartedMs: 5, What: "cold", By: "h", Sidecars: 2, AgeMs: 3, LeftMs: 4,
-			Agreed: true, Alone: true},
+		&ServerFact{ID: "s", Addr: "a:1", StartedMs: 5, Kind: "cold", By: "h", Sidecars: 2, AgeMs: 3, RemainingMs: 4,
+			Committed: true, Partial: true},
 		&ServerFact{},
-		&StartupState{From: "own disk", Revision: 9, Out: 1, Starts: 2, Pictures: 3, Settings: true, Age: "1s",
-			Recalled: []RestoredState{restored, {}}},
+		&StartupState{From: "own disk", Revision: 9, Exclusions: 1, Starts: 2, Snapshots: 3, Settings: true, Age: "1s",
+			Restored: []RestoredState{restored, {}}},
 		&StartupState{},
-		&Counts{Out: 1, Starts: 2, Pictures: 3, Bytes: 4, Owed: 5},
+		&Counts{Exclusions: 1, Starts: 2, Snapshots: 3, SnapshotBytes: 4, PendingWrites: 5},
 		&Version{Version: 3, Settings: json.RawMessage(`{"x":1}`), By: "h", Note: "n", At: at, Revision: 8},
 		&Version{},
 		&verdict{Candidate: 4, Error: "e", Note: "n"},
--- a/internal/lab/fleetlab/measure.go
+++ b/internal/lab/fleetlab/measure.go
@@ -180,7 +180,7 @@
 			c.CloseIdleConnections()
 			b.Drained += float64(f.Servers[0].Count(d.Number)+f.Servers[1].Count(d.Number)-before) / float64(n)
 			if s, err := d.Client.Status(ctx); err == nil {
-				for _, x := range s.Began.Recalled {
+				for _, x := range s.Began.Restored {
 					b.Recalled += float64(x.Servers) / float64(n)
 				}
 			}
@@ -329,7 +329,7 @@
 			return 0, err
 		}
 		for ctx.Err() == nil {
-			if s, err := d.Client.Status(ctx); err == nil && s.Daemon.Out >= servers {
+			if s, err := d.Client.Status(ctx); err == nil && s.Daemon.Exclusions >= servers {
 				r.Bytes = s.Bytes
 				return float64(time.Since(begun)) / 1e6, nil
 			}
--- a/internal/lab/fleetlab/torture.go
+++ b/internal/lab/fleetlab/torture.go
@@ -153,7 +153,7 @@
 		now := time.Now()
 		r.mu.Lock()
 		for _, f := range facts {
-			if x := r.drains[key{at[f.ID], f.StartedMs}]; err == nil && f.What == "drains" && x != nil && x.known[d.Number].IsZero() {
+			if x := r.drains[key{at[f.ID], f.StartedMs}]; err == nil && f.Kind == "drains" && x != nil && x.known[d.Number].IsZero() {
 				x.known[d.Number] = now
 			}
 		}
