--- /dev/null
+++ b/internal/store/replica/frozen_test.go
@@ -0,0 +1,89 @@
+package replica
+
+import (
+	"bytes"
+	"encoding/hex"
+	"encoding/json"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+
+	"birchmoor/internal/store"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/google/go-cmp/cmp"
+)
+
+// frozenForm is a value that is stored or sent, as commit 7105f7a wrote it to testdata/frozen.
+type frozenForm struct {
+	name, encoding string
+	value          any
+	decoded        any // pointer to the zero value of the same type
+}
+
+func TestFrozenForms(t *testing.T) {
+	text, err := os.ReadFile("testdata/frozen/forms.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
+	forms := frozenForms()
+	if len(lines) != len(forms) {
+		t.Fatalf("%d lines for %d forms", len(lines), len(forms))
+	}
+	for i, form := range forms {
+		t.Run(form.name, func(t *testing.T) {
+			name, frozen, _ := strings.Cut(lines[i], ": ")
+			if name != form.name {
+				t.Fatalf("line %d is %q", i+1, name)
+			}
+			form.check(t, frozen)
+		})
+	}
+}
+
+func (f *frozenForm) check(t *testing.T, frozen string) {
+	t.Helper()
+	encoded, decode := []byte(frozen), json.Unmarshal
+	marshal := json.Marshal
+	if f.encoding == "cbor" {
+		var err error
+		encoded, err = hex.DecodeString(frozen)
+		if err != nil {
+			t.Fatal(err)
+		}
+		decode, marshal = cbor.Unmarshal, cbor.Marshal
+	}
+	if b, err := marshal(f.value); err != nil || !bytes.Equal(b, encoded) {
+		t.Errorf("encoded as %q, frozen as %q: %v", b, encoded, err)
+	}
+	if err := decode(encoded, f.decoded); err != nil {
+		t.Fatal(err)
+	}
+	if b, err := marshal(f.decoded); err != nil || !bytes.Equal(b, encoded) {
+		t.Errorf("decoded and encoded again as %q, frozen as %q: %v", b, encoded, err)
+	}
+	if d := cmp.Diff(reflect.ValueOf(f.decoded).Elem().Interface(), f.value); d != "" {
+		t.Error(d)
+	}
+}
+
+func frozenForms() []frozenForm {
+	self := Identity{Cluster: 0x99, Member: 2, Disk: 77, Boot: 3}
+	members := []store.Member{
+		{ID: 1, Name: "one", Address: "10.0.0.1:7000", DiskID: 5, Boot: 1, Level: 3},
+		{ID: 2, Name: "two", Address: "10.0.0.2:7000", DiskID: 77, Boot: 3, Level: 2, Learner: true},
+	}
+	return []frozenForm{
+		{"identity", "cbor", self, new(Identity)},
+		{"snapshot meta", "cbor", Meta{Index: 9, Term: 4, Voters: []uint64{1, 2}, Learners: []uint64{3}}, new(Meta)},
+		{"hello", "cbor", Hello{Identity: self, Name: "two", Last: 12}, new(Hello)},
+		{"status", "json", Status{
+			Self: self, Name: "two", Lead: 1, Leading: true, Term: 4, Commit: 11, Applied: 10, Revision: 8, Keys: 7, Bytes: 600,
+			Level: 3, Settled: true, Waiting: 5,
+			Peers:  []Peer{{Member: members[0], Leads: true, Match: 12, Active: true}, {Member: members[1]}},
+			Failed: "stopped",
+		}, new(Status)},
+	}
+}
