--- a/internal/store/replica/disk.go
+++ b/internal/store/replica/disk.go
@@ -10,10 +10,10 @@
 
 // Identity is what a disk knows of whose it is.
 type Identity struct {
-	Cluster uint64 `cbor:"1,keyasint"` // 0 before it belongs to one
-	Member  uint64 `cbor:"2,keyasint"`
-	Disk    uint64 `cbor:"3,keyasint"` // drawn when the disk was first used
-	Boot    uint64 `cbor:"4,keyasint"` // starts of a replica from it, this one included
+	Cluster uint64 `cbor:"1,keyasint" json:"Cluster"` // 0 before it belongs to one
+	Member  uint64 `cbor:"2,keyasint" json:"Member"`
+	Disk    uint64 `cbor:"3,keyasint" json:"Disk"` // drawn when the disk was first used
+	Boot    uint64 `cbor:"4,keyasint" json:"Boot"` // starts of a replica from it, this one included
 }
 
 // Meta says which state a snapshot holds.
