--- a/internal/controlplane/daemon/snapshots.go
+++ b/internal/controlplane/daemon/snapshots.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"log/slog"
 	"slices"
 	"strings"
@@ -15,280 +16,329 @@
 	"birchmoor/internal/store/serverstate"
 )
 
-// What the decision modules know is kept in the store, so that a host that lost its disk, or a new one, does not start blind.
-// Each sidecar puts its own picture, as often as the bytes of all allow (policy.PictureWait); one that nobody has put for
-// picturesKept is ended by whoever finds it.
+// The state of the decision modules is kept in the store, so that a new host, or one that lost its disk, does not start from
+// nothing. Each sidecar saves its own snapshot, as often as the bytes of all allow (serverstate.SnapshotInterval). One that was
+// not saved again for snapshotRetention is ended by any daemon.
 const snapshotRetention = 10 * time.Minute
 
-// StateSnapshots is what the decision modules of all know, as the store keeps it: their pictures. It is a Part; any goroutine may use it.
+// StateSnapshots are the snapshots of all sidecars' decision modules that the store holds. It is a Component, and safe for
+// concurrent use.
 type StateSnapshots struct {
 	outbox
-	schedule    *serverstate.ReportScheduler // for their ends alone
-	snapshots   map[string]storedSnapshot
-	bytes       int
-	confirmedAt int64 // when a quorum last confirmed the copy; 0: not since the start
+	schedule    *serverstate.ReportScheduler // used for expiry alone
+	snapshots   map[string]storedSnapshot    // by key
+	bytes       int                          // of their values
+	confirmedAt int64                        // when a quorum last confirmed the copy; 0: not since the start
 	restored    []RestoredState
 
-	ownPrefixes []string         // prefixes of this daemon's sidecar's pictures
-	hasCopy     bool             // there was a copy
-	serving     bool             // the sidecar serves: others' pictures have done their part
-	sweepers    int              // this daemon ends for all what nobody puts any more
-	partial     bool             // the copy does not hold all pictures:
-	storedSize  store.PrefixSize // there are so many
+	ownPrefixes []string         // of the keys of this daemon's sidecars
+	hasCopy     bool             // there was a Reset
+	serving     bool             // a sidecar serves, and needs no snapshot of others any more
+	sweepers    int              // tasks for which this daemon needs all snapshots
+	partial     bool             // the copy does not hold all snapshots
+	storedSize  store.PrefixSize // of all snapshots, where partial is set
 }
 
 type storedSnapshot struct {
 	value    []byte
-	putAt    int64 // when it was put at the earliest, by this daemon's clock; 0: not known
+	savedAt  int64 // the earliest instant, by this daemon's clock, at which it may have been saved; 0: not known
 	revision uint64
 }
 
-// NewStateSnapshots returns that of the daemon of a name.
+// NewStateSnapshots returns those of the daemon with a name.
 func NewStateSnapshots(name string, log *slog.Logger) *StateSnapshots {
-	return &StateSnapshots{outbox: newOutbox(name, log), snapshots: map[string]storedSnapshot{}, schedule: serverstate.NewReportScheduler(name, serverstate.ReportSchedule{Spread: 1, Retention: int64(snapshotRetention)})}
+	return &StateSnapshots{
+		outbox:    newOutbox(name, log),
+		snapshots: map[string]storedSnapshot{},
+		schedule: serverstate.NewReportScheduler(name, serverstate.ReportSchedule{
+			Spread:    1,
+			Retention: int64(snapshotRetention),
+		}),
+	}
 }
 
-// AddSidecar says whose pictures are this daemon's own: those of its sidecar. It is called before the copy is opened, and by Keep.
-func (k *StateSnapshots) AddSidecar(sidecar string) {
-	k.mu.Lock()
-	if prefix := serverstate.SnapshotPrefixOf(sidecar); !slices.Contains(k.ownPrefixes, prefix) {
-		k.ownPrefixes = append(k.ownPrefixes, prefix)
+// AddSidecar makes the snapshots of a sidecar this daemon's own. It is called before the copy is opened, and by
+// SaveSnapshots.
+func (s *StateSnapshots) AddSidecar(sidecar string) {
+	s.mu.Lock()
+	if prefix := serverstate.SnapshotPrefixOf(sidecar); !slices.Contains(s.ownPrefixes, prefix) {
+		s.ownPrefixes = append(s.ownPrefixes, prefix)
 	}
-	s := k.store
-	k.mu.Unlock()
-	updateInterest(s)
+	copied := s.store
+	s.mu.Unlock()
+	updateInterest(copied)
 }
 
-// Subscription is of Needy. Others' pictures are of use to a sidecar that begins without one of its own, and to who ends them.
-func (k *StateSnapshots) Subscription() changefeed.Subscription {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	own := store.Interest{Prefixes: k.ownPrefixes}
-	n := changefeed.Subscription{Of: &own, Kept: own}
-	if len(k.ownPrefixes) > 0 {
-		n.Sums = []string{serverstate.SnapshotPrefix}
+// Subscription implements Subscriber. Besides its own snapshots, a daemon needs those of others while a sidecar starts without
+// one of its own, and while it sweeps.
+func (s *StateSnapshots) Subscription() changefeed.Subscription {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	own := store.Interest{Prefixes: s.ownPrefixes}
+	sub := changefeed.Subscription{Of: &own, Kept: own}
+	if len(s.ownPrefixes) > 0 {
+		sub.Sums = []string{serverstate.SnapshotPrefix}
 	}
 	all := store.Interest{Prefixes: []string{serverstate.SnapshotPrefix}}
-	if len(k.ownPrefixes) > 0 && k.hasCopy && !k.serving && !k.hasOwn() {
-		n.Of, n.Kept = &all, all
+	if len(s.ownPrefixes) > 0 && s.hasCopy && !s.serving && !s.hasOwn() {
+		sub.Of, sub.Kept = &all, all
 	}
-	if k.sweepers > 0 {
-		n.Of = &all
+	if s.sweepers > 0 {
+		sub.Of = &all
 	}
-	return n
+	return sub
 }
 
-// hasOwn says whether there is a picture of its own. The lock is held.
-func (k *StateSnapshots) hasOwn() bool {
-	for key := range k.snapshots {
-		if slices.ContainsFunc(k.ownPrefixes, func(p string) bool { return strings.HasPrefix(key, p) }) {
+// hasOwn reports whether the copy holds a snapshot of this daemon's own. The lock is held.
+func (s *StateSnapshots) hasOwn() bool {
+	for key := range s.snapshots {
+		if slices.ContainsFunc(s.ownPrefixes, func(prefix string) bool { return strings.HasPrefix(key, prefix) }) {
 			return true
 		}
 	}
 	return false
 }
 
-// ObservePrefixSize is of Summed.
-func (k *StateSnapshots) ObservePrefixSize(prefix string, n store.PrefixSize) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if prefix == serverstate.SnapshotPrefix && k.partial {
-		k.storedSize = n
+// ObservePrefixSize implements PrefixSizeObserver.
+func (s *StateSnapshots) ObservePrefixSize(prefix string, n store.PrefixSize) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if prefix == serverstate.SnapshotPrefix && s.partial {
+		s.storedSize = n
 	}
 }
 
-// SubscribeAll says that this daemon ends for all what nobody puts any more, until ctx ends: it needs all of it.
-func (k *StateSnapshots) SubscribeAll(ctx context.Context) {
-	add := func(n int) {
-		k.mu.Lock()
-		k.sweepers += n
-		s := k.store
-		k.mu.Unlock()
-		updateInterest(s)
+// SubscribeAll subscribes to the snapshots of all sidecars until ctx ends: this daemon sweeps expired ones.
+func (s *StateSnapshots) SubscribeAll(ctx context.Context) {
+	addSweepers := func(n int) {
+		s.mu.Lock()
+		s.sweepers += n
+		copied := s.store
+		s.mu.Unlock()
+		updateInterest(copied)
 	}
-	add(1)
-	context.AfterFunc(ctx, func() { add(-1) })
+	addSweepers(1)
+	context.AfterFunc(ctx, func() { addSweepers(-1) })
 }
 
-// Run is of Part: sidecars put their pictures by Keep.
-func (k *StateSnapshots) Run(ctx context.Context) { <-ctx.Done() }
+// Run implements Component. Snapshots are saved by SaveSnapshots.
+func (s *StateSnapshots) Run(ctx context.Context) { <-ctx.Done() }
 
-// Confirmed is of Prover.
-func (k *StateSnapshots) Confirmed(ago time.Duration) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.confirmedAt = max(k.confirmedAt, k.now(time.Now())-int64(ago))
+// Confirmed implements ConfirmationObserver.
+func (s *StateSnapshots) Confirmed(ago time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.confirmedAt = max(s.confirmedAt, s.now(time.Now())-int64(ago))
 }
 
-func (k *StateSnapshots) set(key string, p storedSnapshot, gone bool) {
-	if was, ok := k.snapshots[key]; ok {
-		k.bytes -= len(was.value)
-		delete(k.snapshots, key)
-	}
-	if !gone {
-		k.snapshots[key] = p
-		k.bytes += len(p.value)
-	}
+func (s *StateSnapshots) set(key string, stored storedSnapshot) {
+	s.remove(key)
+	s.snapshots[key] = stored
+	s.bytes += len(stored.value)
 }
 
-// Event is of Part. A picture may have been put at any time since a quorum last confirmed the copy.
-func (k *StateSnapshots) Event(e store.Event) {
+func (s *StateSnapshots) remove(key string) {
+	s.bytes -= len(s.snapshots[key].value)
+	delete(s.snapshots, key)
+}
+
+// Event implements Component. The snapshot may have been saved at any time since a quorum last confirmed the copy.
+func (s *StateSnapshots) Event(e store.Event) {
 	if !strings.HasPrefix(e.Item.Key, serverstate.SnapshotPrefix) {
 		return
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.set(e.Item.Key, storedSnapshot{e.Item.Value, k.confirmedAt, e.Revision}, e.Deleted)
-	k.schedule.Committed(k.now(time.Now()), e.Item.Key, e.Revision, e.Deleted)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if e.Deleted {
+		s.remove(e.Item.Key)
+	} else {
+		s.set(e.Item.Key, storedSnapshot{value: e.Item.Value, savedAt: s.confirmedAt, revision: e.Revision})
+	}
+	s.schedule.Committed(s.now(time.Now()), e.Item.Key, e.Revision, e.Deleted)
 }
 
-// Reset is of Part.
-func (k *StateSnapshots) Reset(s *store.State) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.hasCopy, k.partial = true, isPartial(s, serverstate.SnapshotPrefix); !k.partial {
-		k.storedSize = store.PrefixSize{}
+// Reset implements Component.
+func (s *StateSnapshots) Reset(state *store.State) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.hasCopy = true
+	s.partial = isPartial(state, serverstate.SnapshotPrefix)
+	if !s.partial {
+		s.storedSize = store.PrefixSize{}
 	}
-	for key := range k.snapshots {
-		if _, ok := s.Get(key); !ok {
-			k.set(key, storedSnapshot{}, true)
+	for key := range s.snapshots {
+		if _, ok := state.Get(key); !ok {
+			s.remove(key)
 		}
 	}
-	s.Range(serverstate.SnapshotPrefix, store.PrefixEnd(serverstate.SnapshotPrefix), func(i store.Item) bool {
-		if k.snapshots[i.Key].revision != i.ModRevision {
-			k.set(i.Key, storedSnapshot{i.Value, 0, i.ModRevision}, false)
+	rangeSnapshots(state, func(i store.Item) {
+		if s.snapshots[i.Key].revision != i.ModRevision {
+			s.set(i.Key, storedSnapshot{value: i.Value, revision: i.ModRevision})
 		}
+	})
+	s.schedule.Reset(s.now(time.Now()), revisionsWithPrefix(state, serverstate.SnapshotPrefix))
+}
+
+func rangeSnapshots(state *store.State, f func(store.Item)) {
+	state.Range(serverstate.SnapshotPrefix, store.PrefixEnd(serverstate.SnapshotPrefix), func(i store.Item) bool {
+		f(i)
 		return true
 	})
-	k.schedule.Reset(k.now(time.Now()), revisionsWithPrefix(s, serverstate.SnapshotPrefix))
 }
 
-// Expired is of Sweeper: it ends those that nobody has put for long.
-func (k *StateSnapshots) Expired(now time.Time) (ends []*store.Txn) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	_, over := k.schedule.Due(k.now(now))
-	for _, key := range over {
-		ends = append(ends, &store.Txn{If: []store.Compare{{Key: key, ModRevision: k.snapshots[key].revision}}, Then: []store.Op{{Key: key, Delete: true}}})
+// Expired implements Expirer.
+func (s *StateSnapshots) Expired(now time.Time) (txns []*store.Txn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	_, expired := s.schedule.Due(s.now(now))
+	for _, key := range expired {
+		txns = append(txns, &store.Txn{
+			If:   []store.Compare{{Key: key, ModRevision: s.snapshots[key].revision}},
+			Then: []store.Op{{Key: key, Delete: true}},
+		})
 	}
-	return ends
+	return txns
 }
 
-// RestoreCandidates are those of a protocol that a sidecar may believe at its start.
-func (k *StateSnapshots) RestoreCandidates(sidecar, protocol string) (all []recovery.Candidate) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	now := k.now(time.Now())
-	for key, p := range k.snapshots {
-		of, its, ok := serverstate.ParseSnapshotKey(key)
-		if !ok || its != protocol {
+// RestoreCandidates returns the snapshots of a protocol from which a sidecar may restore its state at its start.
+func (s *StateSnapshots) RestoreCandidates(sidecar, protocol string) (all []recovery.Candidate) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.now(time.Now())
+	for key, stored := range s.snapshots {
+		owner, ofProtocol, ok := serverstate.ParseSnapshotKey(key)
+		if !ok || ofProtocol != protocol {
 			continue
 		}
-		v, err := serverstate.DecodeModuleSnapshot(p.value)
-		var kept *snapshot.Saved
-		if err == nil {
-			kept, err = snapshot.Decode(v.Data)
-		}
+		saved, _, err := decodeSnapshot(stored.value)
 		if err != nil {
-			k.log.Warn("a picture in the store is passed over", "key", key, "error", err)
+			s.log.Warn("a snapshot in the store is ignored", "key", key, "error", err)
 			continue
 		}
-		c := recovery.Candidate{From: "the store: " + of, Kept: kept, Own: of == sidecar}
-		here := snapshot.Now()
-		switch {
-		case p.putAt != 0:
-			c.Age, c.Sure = (now-p.putAt)/1000, true
-		default:
-			c.Age, c.Sure = here.Since(kept.Clock), here.Boot != "" && here.Boot == kept.Clock.Boot
+		c := recovery.Candidate{From: "the store: " + owner, Kept: saved, Own: owner == sidecar}
+		if stored.savedAt != 0 {
+			c.Age, c.Sure = (now-stored.savedAt)/int64(time.Microsecond), true
+		} else {
+			here := snapshot.Now()
+			c.Age = here.Since(saved.Clock)
+			c.Sure = here.Boot != "" && here.Boot == saved.Clock.Boot
 		}
 		all = append(all, c)
 	}
 	return all
 }
 
-// RecordRestore notes what of them a sidecar's decision module went on from at its start, and how many servers that knew.
-func (k *StateSnapshots) RecordRestore(protocol string, c recovery.Choice, servers int) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.restored = append(k.restored, RestoredState{protocol, c.From, c.Of, servers, time.Duration(c.Age) * time.Microsecond})
+// decodeSnapshot decodes a stored value, and returns the daemon that saved it.
+func decodeSnapshot(value []byte) (saved *snapshot.Saved, savedBy string, err error) {
+	record, err := serverstate.DecodeModuleSnapshot(value)
+	if err != nil {
+		return nil, "", fmt.Errorf("decode record: %w", err)
+	}
+	saved, err = snapshot.Decode(record.Data)
+	if err != nil {
+		return nil, "", fmt.Errorf("decode snapshot: %w", err)
+	}
+	return saved, record.ReportedBy, nil
+}
+
+// RecordRestore notes what a sidecar's decision module restored its state from, and the number of servers in that.
+func (s *StateSnapshots) RecordRestore(protocol string, c recovery.Choice, servers int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.restored = append(s.restored, RestoredState{
+		Protocol:  protocol,
+		From:      c.From,
+		Snapshots: c.Of,
+		Servers:   servers,
+		Age:       time.Duration(c.Age) * time.Microsecond,
+	})
 }
 
-// restoredStates lists them.
-func (k *StateSnapshots) restoredStates() []RestoredState {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return slices.Clone(k.restored)
+// restoredStates lists what RecordRestore noted.
+func (s *StateSnapshots) restoredStates() []RestoredState {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return slices.Clone(s.restored)
 }
 
-// size is how many there are, and their bytes.
-func (k *StateSnapshots) size() (n, bytes int) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return len(k.snapshots), k.bytes
+// size returns the number of snapshots that the copy holds, and their bytes.
+func (s *StateSnapshots) size() (n, bytes int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.snapshots), s.bytes
 }
 
-// SnapshotAges are those that this daemon saw come: how long ago.
-func (k *StateSnapshots) SnapshotAges() map[string]time.Duration {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	now, all := k.now(time.Now()), map[string]time.Duration{}
-	for key, p := range k.snapshots {
-		if p.putAt != 0 {
-			all[key] = time.Duration(now - p.putAt)
+// SnapshotAges returns, by key, the ages of the snapshots that this daemon saw arrive.
+func (s *StateSnapshots) SnapshotAges() map[string]time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now, ages := s.now(time.Now()), map[string]time.Duration{}
+	for key, stored := range s.snapshots {
+		if stored.savedAt != 0 {
+			ages[key] = time.Duration(now - stored.savedAt)
 		}
 	}
-	return all
+	return ages
 }
 
-// ReportSnapshotAge takes the word of another daemon's clock on how long ago a picture was put, where this one did not see it come.
-func (k *StateSnapshots) ReportSnapshotAge(key string, age time.Duration) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if p, ok := k.snapshots[key]; ok && p.putAt == 0 && age >= 0 {
-		p.putAt = k.now(time.Now()) - int64(age)
-		k.snapshots[key] = p
+// ReportSnapshotAge takes the age of a snapshot by another daemon's clock, for one that this daemon did not see arrive.
+func (s *StateSnapshots) ReportSnapshotAge(key string, age time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	stored, ok := s.snapshots[key]
+	if !ok || stored.savedAt != 0 || age < 0 {
+		return
 	}
+	stored.savedAt = s.now(time.Now()) - int64(age)
+	s.snapshots[key] = stored
 }
 
-// SaveSnapshots puts a sidecar's pictures in the store until ctx ends.
-func (k *StateSnapshots) SaveSnapshots(ctx context.Context, sidecar, protocol string, take func(context.Context) ([]byte, error), paused func() bool) {
+// SaveSnapshots saves the snapshots of a sidecar's protocol, which take returns, until ctx ends. While paused returns true,
+// another process saves them.
+func (s *StateSnapshots) SaveSnapshots(ctx context.Context, sidecar, protocol string,
+	take func(context.Context) ([]byte, error), paused func() bool) {
 	key := serverstate.SnapshotKey(sidecar, protocol)
+	s.mu.Lock()
+	s.serving = true
+	s.mu.Unlock()
+	s.AddSidecar(sidecar)
 	failing := false
-	k.mu.Lock()
-	k.serving = true
-	k.mu.Unlock()
-	k.AddSidecar(sidecar)
 	for {
-		k.mu.Lock()
-		wait := time.Duration(serverstate.SnapshotInterval(max(k.bytes, k.storedSize.Bytes)))
-		if k.partial && !k.hasOwn() {
-			wait = time.Duration(serverstate.SnapshotInterval(0)) // until then a start would find nothing of its own
-		}
-		k.mu.Unlock()
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(wait):
+		case <-time.After(s.saveInterval()):
 		}
 		if paused() {
 			continue
 		}
-		err := k.save(ctx, key, take)
+		err := s.save(ctx, key, take)
 		if err != nil && ctx.Err() == nil && !failing && !errors.Is(err, store.ErrLevel) {
-			k.log.Warn("the store does not keep what is known here", "key", key, "error", err)
+			s.log.Warn("cannot save a snapshot in the store", "key", key, "error", err)
 		}
 		failing = err != nil
 	}
 }
 
-// save puts one.
-func (k *StateSnapshots) save(ctx context.Context, key string, take func(context.Context) ([]byte, error)) error {
-	known, err := take(ctx)
+// saveInterval returns the time until the next snapshot.
+func (s *StateSnapshots) saveInterval() time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.partial && !s.hasOwn() {
+		return time.Duration(serverstate.SnapshotInterval(0)) // a restart would find nothing of its own yet
+	}
+	return time.Duration(serverstate.SnapshotInterval(max(s.bytes, s.storedSize.Bytes)))
+}
+
+// save takes one snapshot and writes it.
+func (s *StateSnapshots) save(ctx context.Context, key string, take func(context.Context) ([]byte, error)) error {
+	data, err := take(ctx)
 	if err != nil {
 		return err
 	}
-	c, cancel := context.WithTimeout(ctx, writeTimeout)
+	writeCtx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	_, err = k.store.Do(c, store.Command{Txn: serverstate.ModuleSnapshot{ReportedBy: k.name, Data: known}.PutTxn(key)})
+	record := serverstate.ModuleSnapshot{ReportedBy: s.name, Data: data}
+	_, err = s.store.Do(writeCtx, store.Command{Txn: record.PutTxn(key)})
 	return err
 }
--- a/internal/controlplane/daemon/starts.go
+++ b/internal/controlplane/daemon/starts.go
@@ -12,179 +12,217 @@
 	"birchmoor/internal/store/serverstate"
 )
 
-// That a process of a server began is told like a drain: all hear it, one writes it. It is never told again, for it says
-// itself until when it matters, and then any daemon ends it. Until all voters know level 2 of commands nothing is written.
+// The start of a server's process is reported like a drain: all daemons observe it and one writes it. It is never renewed,
+// since the report says until when it matters; after that any daemon ends it. Nothing is written until all voters know level 2
+// of commands.
 const (
 	startReportSpread = 200 * time.Millisecond
-	maxStarts         = serverstate.MaxStarts
+	noExpiry          = 1 << 62 // nanoseconds: reports end by their own time
 )
 
-// Starts are the processes of servers that began of late, by any daemon's word. It is a Part; any goroutine may use it.
+// Starts are the processes of servers that started a short while ago, as reported by any daemon. It is a Component, and safe
+// for concurrent use.
 type Starts struct {
 	outbox
 	reports  *serverstate.Starts
 	schedule *serverstate.ReportScheduler
-	bind     func(ctx context.Context, s core.Start) error
-	dirty    map[serverstate.Process]bool // that the sidecar is to be told of
+	dirty    map[serverstate.Process]bool // starts that are not applied to the sidecar yet
+	// bind applies the start to the sidecar; nil until one subscribes.
+	bind func(ctx context.Context, s core.Start) error
 }
 
-// NewStarts returns those of the daemon of a name.
+// NewStarts returns those of the daemon with a name.
 func NewStarts(name string, log *slog.Logger) *Starts {
-	return &Starts{outbox: newOutbox(name, log), reports: serverstate.NewStarts(name, maxStarts), dirty: map[serverstate.Process]bool{},
-		schedule: serverstate.NewReportScheduler(name, serverstate.ReportSchedule{Spread: int64(startReportSpread), Retention: 1 << 62, MaxObserved: maxStarts})}
+	return &Starts{
+		outbox:  newOutbox(name, log),
+		reports: serverstate.NewStarts(name, serverstate.MaxStarts),
+		dirty:   map[serverstate.Process]bool{},
+		schedule: serverstate.NewReportScheduler(name, serverstate.ReportSchedule{
+			Spread:      int64(startReportSpread),
+			Retention:   noExpiry,
+			MaxObserved: serverstate.MaxStarts,
+		}),
+	}
 }
 
-// Run is of Part.
-func (d *Starts) Run(ctx context.Context) {
-	d.run(ctx, func() {}, func(ctx context.Context) {
-		d.enqueueDue(time.Now())
-		d.bindDirty(ctx)
+// Run implements Component.
+func (s *Starts) Run(ctx context.Context) {
+	nothingOwed := func() {} // failed writes are scheduled again
+	s.run(ctx, nothingOwed, func(ctx context.Context) {
+		s.enqueueDue(time.Now())
+		s.bindDirty(ctx)
 	})
 }
 
-// ReportStart takes what this daemon's sidecar saw begin, so long ago, and cold for so long. It does not wait.
-func (d *Starts) ReportStart(p discovery.Process, ago, cold time.Duration) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	now := d.now(time.Now())
-	if !d.reports.Observe(now, serverstate.Process(p), int64(ago), int64(cold)) {
+// ReportStart takes a start that this daemon's sidecar observed, its age, and how long the process is warming up in all. It
+// does not block.
+func (s *Starts) ReportStart(p discovery.Process, age, warmUp time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.now(time.Now())
+	if !s.reports.Observe(now, serverstate.Process(p), int64(age), int64(warmUp)) {
 		return
 	}
-	due, _ := d.schedule.Observe(now, serverstate.StartKey(serverstate.Process(p)))
-	d.wakeAt(due, now)
+	due, _ := s.schedule.Observe(now, serverstate.StartKey(serverstate.Process(p)))
+	s.wakeAt(due, now)
 }
 
-// RecentStarts lists the processes that are cold yet, as far as is known here.
-func (d *Starts) RecentStarts() []core.Start {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// RecentStarts lists the processes that are still warming up by this copy.
+func (s *Starts) RecentStarts() []core.Start {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	var all []core.Start
-	d.reports.WarmingUp(d.now(time.Now()), func(p serverstate.Process, ago, _ int64, _ string, _ bool) {
-		all = append(all, core.Start{Process: discovery.Process(p), Ago: time.Duration(ago)})
+	s.reports.WarmingUp(s.now(time.Now()), func(p serverstate.Process, age, _ int64, _ string, _ bool) {
+		all = append(all, core.Start{Process: discovery.Process(p), Ago: time.Duration(age)})
 	})
 	return all
 }
 
-// OnStart gives the way in which others' word that a process began counts in the sidecar.
-func (d *Starts) OnStart(begun func(ctx context.Context, s core.Start) error) {
-	d.mu.Lock()
-	d.bind = begun
-	d.mu.Unlock()
-	d.wakeUp()
+// OnStart sets how the starts that other daemons observed are applied to the sidecar.
+func (s *Starts) OnStart(bind func(ctx context.Context, s core.Start) error) {
+	s.mu.Lock()
+	s.bind = bind
+	s.mu.Unlock()
+	s.wakeUp()
 }
 
-// Subscription is of Needy: all, as of drains.
-func (d *Starts) Subscription() changefeed.Subscription { return subscribeTo(serverstate.StartPrefix) }
+// Subscription implements Subscriber. It covers all servers, like that of drains.
+func (s *Starts) Subscription() changefeed.Subscription { return subscribeTo(serverstate.StartPrefix) }
 
-// Event is of Part.
-func (d *Starts) Event(e store.Event) {
+// Event implements Component.
+func (s *Starts) Event(e store.Event) {
 	if _, ok := serverstate.ParseStart(e.Item.Key); !ok {
 		return
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	now := d.now(time.Now())
-	if p, news := d.reports.Apply(now, e, 0); news {
-		d.dirty[p] = true
-		d.wakeUp()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.now(time.Now())
+	if p, changed := s.reports.Apply(now, e, 0); changed {
+		s.dirty[p] = true
+		s.wakeUp()
 	}
-	d.schedule.Committed(now, e.Item.Key, e.Revision, e.Deleted)
-}
-
-// Reset is of Part. How long ago its words were written is not known: each counts as new, so that a process is
-// held to be colder than it is and never warmer.
-func (d *Starts) Reset(s *store.State) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	now := d.now(time.Now())
-	s.Range(serverstate.StartPrefix, store.PrefixEnd(serverstate.StartPrefix), func(i store.Item) bool {
-		if p, news := d.reports.Apply(now, store.Event{Revision: i.ModRevision, Item: i}, 0); news {
-			d.dirty[p] = true
+	s.schedule.Committed(now, e.Item.Key, e.Revision, e.Deleted)
+}
+
+// Reset implements Component. The age of the copy's reports is not known. Each counts as new, so that a process is taken to
+// be warming up for too long rather than not long enough.
+func (s *Starts) Reset(state *store.State) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.now(time.Now())
+	state.Range(serverstate.StartPrefix, store.PrefixEnd(serverstate.StartPrefix), func(i store.Item) bool {
+		if p, changed := s.reports.Apply(now, store.Event{Revision: i.ModRevision, Item: i}, 0); changed {
+			s.dirty[p] = true
 		}
 		return true
 	})
-	d.schedule.Reset(now, revisionsWithPrefix(s, serverstate.StartPrefix))
-	d.wakeUp()
+	s.schedule.Reset(now, revisionsWithPrefix(state, serverstate.StartPrefix))
+	s.wakeUp()
 }
 
-// enqueueDue writes what it is this daemon's turn to tell.
-func (d *Starts) enqueueDue(at time.Time) {
-	now := d.now(at)
-	d.mu.Lock()
-	keys, _ := d.schedule.Due(now)
-	var txns []*store.Txn
+// enqueueDue queues the reports that are this daemon's to write now.
+func (s *Starts) enqueueDue(at time.Time) {
+	for _, txn := range s.dueReports(s.now(at)) {
+		s.enqueue(pendingWrite{
+			key: txn.Then[0].Key,
+			apply: func(ctx context.Context) error {
+				_, err := s.store.Do(ctx, store.Command{Txn: txn})
+				return err
+			},
+			done: func(ok bool) { s.written(txn.Then[0].Key, ok) },
+		})
+	}
+}
+
+func (s *Starts) dueReports(now int64) (txns []*store.Txn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	keys, _ := s.schedule.Due(now)
 	for _, key := range keys {
 		p, _ := serverstate.ParseStart(key)
-		if t := d.reports.ReportTxn(now, p); t != nil {
-			txns = append(txns, t)
-		} else {
-			d.schedule.Withdraw(key) // it is over
+		txn := s.reports.ReportTxn(now, p)
+		if txn == nil {
+			s.schedule.Withdraw(key) // it does not matter any more
+			continue
 		}
+		txns = append(txns, txn)
 	}
-	d.mu.Unlock()
-	for _, t := range txns {
-		d.enqueue(pendingWrite{key: t.Then[0].Key, apply: func(ctx context.Context) error {
-			_, err := d.store.Do(ctx, store.Command{Txn: t})
-			return err
-		}, done: func(ok bool) {
-			if ok { // by this daemon or, if the comparison did not hold, by another
-				d.schedule.Withdraw(t.Then[0].Key)
-				return
-			}
-			now := d.now(time.Now())
-			d.wakeAt(d.schedule.Retry(now, int64(retryInterval), t.Then[0].Key), now)
-		}})
+	return txns
+}
+
+// written notes the result of a write. The lock is held.
+func (s *Starts) written(key string, ok bool) {
+	if ok { // by this daemon or, if the comparison failed, by another
+		s.schedule.Withdraw(key)
+		return
 	}
+	now := s.now(time.Now())
+	s.wakeAt(s.schedule.Retry(now, int64(retryInterval), key), now)
 }
 
-// bindDirty has what others said count in the sidecar.
-func (d *Starts) bindDirty(ctx context.Context) {
-	d.mu.Lock()
-	bind, now := d.bind, d.now(time.Now())
-	var news []core.Start
-	for p := range d.dirty {
-		if ago, _, ok := d.reports.Lookup(now, p); ok && bind != nil {
-			news = append(news, core.Start{Process: discovery.Process(p), Ago: time.Duration(ago)})
+// bindDirty applies to the sidecar what other daemons reported. Until one subscribes starts stay dirty.
+func (s *Starts) bindDirty(ctx context.Context) {
+	bind, starts := s.takeDirty()
+	for _, start := range starts {
+		if err := bind(ctx, start); err != nil && ctx.Err() == nil {
+			s.log.Error("cannot apply a replicated start here", "id", start.Process.ID, "error", err)
 		}
 	}
-	if bind != nil {
-		clear(d.dirty)
+}
+
+func (s *Starts) takeDirty() (bind func(ctx context.Context, s core.Start) error, starts []core.Start) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.bind == nil {
+		return nil, nil
 	}
-	d.mu.Unlock()
-	for _, s := range news {
-		if err := bind(ctx, s); err != nil && ctx.Err() == nil {
-			d.log.Error("what daemons saw begin does not count here", "id", s.Process.ID, "error", err)
+	now := s.now(time.Now())
+	for p := range s.dirty {
+		if age, _, ok := s.reports.Lookup(now, p); ok {
+			starts = append(starts, core.Start{Process: discovery.Process(p), Ago: time.Duration(age)})
 		}
 	}
+	clear(s.dirty)
+	return s.bind, starts
 }
 
-// Expired is of Sweeper: it ends what matters no more.
-func (d *Starts) Expired(now time.Time) (ends []*store.Txn) {
-	d.enqueueDue(now)
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for _, p := range d.reports.Expired(d.now(now)) {
-		d.schedule.Withdraw(serverstate.StartKey(p))
-		if t := d.reports.DeleteTxn(p); t != nil {
-			ends = append(ends, t)
+// Expired implements Expirer.
+func (s *Starts) Expired(now time.Time) (txns []*store.Txn) {
+	s.enqueueDue(now)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, p := range s.reports.Expired(s.now(now)) {
+		s.schedule.Withdraw(serverstate.StartKey(p))
+		if txn := s.reports.DeleteTxn(p); txn != nil {
+			txns = append(txns, txn)
 		}
 	}
-	return ends
+	return txns
 }
 
-// facts are what is known of them.
-func (d *Starts) facts() (all []ServerFact) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.reports.WarmingUp(d.now(time.Now()), func(p serverstate.Process, ago, left int64, who string, agreed bool) {
-		all = append(all, ServerFact{ID: p.ID, Addr: p.Addr, StartedMs: p.StartedMs, Kind: "began", By: who, AgeMs: ago / 1e6, RemainingMs: left / 1e6, Committed: agreed})
-	})
+// facts lists the processes that are still warming up.
+func (s *Starts) facts() (all []ServerFact) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	add := func(p serverstate.Process, age, remaining int64, reportedBy string, committed bool) {
+		all = append(all, ServerFact{
+			ID:          p.ID,
+			Addr:        p.Addr,
+			StartedMs:   p.StartedMs,
+			Kind:        factStarted,
+			By:          reportedBy,
+			AgeMs:       age / int64(time.Millisecond),
+			RemainingMs: remaining / int64(time.Millisecond),
+			Committed:   committed,
+		})
+	}
+	s.reports.WarmingUp(s.now(time.Now()), add)
 	return all
 }
 
-// count is how many are cold yet.
-func (d *Starts) count() int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.reports.Len()
+// count returns the number of processes that are still warming up.
+func (s *Starts) count() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.reports.Len()
 }
