--- a/internal/controlplane/quota/allocate.go
+++ b/internal/controlplane/quota/allocate.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// transaction returns what writes the new grants and deletes the expired, as far as there is space: the processes that have
-// waited longest for a change come first.
+// transaction returns what writes the new grants and deletes the expired, as far as there is space: the processes
+// that have waited longest for a change come first.
 func (a *Allocator) transaction(now int64, grants map[Process]Grant, expired []Process) *Allocation {
 	t := &Allocation{
 		If:   []store.Compare{{Key: AllocationKey, ModRevision: a.revision}},
--- a/internal/controlplane/quota/allocator.go
+++ b/internal/controlplane/quota/allocator.go
@@ -191,7 +191,8 @@
 	return key + ": " + a.decodeErrors[key]
 }
 
-// committedAmount returns how much of a node counts as taken by a process: the most that it may use by what it has acknowledged.
+// committedAmount returns how much of a node counts as taken by a process: the most that it may use by what it has
+// acknowledged.
 func (a *Allocator) committedAmount(state *processState, key string) Amount {
 	quota := state.grant.Quotas[key]
 	inUse := Amount(0)
--- a/internal/controlplane/quota/bench_test.go
+++ b/internal/controlplane/quota/bench_test.go
@@ -5,37 +5,38 @@
 	"testing"
 )
 
-// BenchmarkTake is what limits cost a request: finding which it is of, and taking of its shares, with so many limits in force of which
-// all are of every request, or, of a thousand, ten.
-func BenchmarkTake(b *testing.B) {
+// BenchmarkReserve measures what limits cost a request: matching it and reserving its charges. It runs with no, one and
+// ten limits in force that all apply to the request, and with a thousand of which ten do.
+func BenchmarkReserve(b *testing.B) {
 	for _, n := range []int{0, 1, 10, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			conf := &Config{Version: 1}
+			config := &Config{Version: 1}
 			grant := Grant{Quotas: map[string]Quota{}}
 			for i := range n {
-				l := &Limit{Name: fmt.Sprint("l", i), Generation: 1, Kind: Rate, Unit: Requests, Window: 1e9, Fallback: Strict, PartitionBy: []string{"header:X-Org"},
-					Nodes: []Node{{Capacity: 1e6 * AmountUnit, Weight: 1}, {Path: "acme", Capacity: 1e6 * AmountUnit, Weight: 1}}}
+				l := newLimit(fmt.Sprint("l", i), Rate, 1e6, 1e9)
+				l.PartitionBy = []string{"header:X-Org"}
+				l.Nodes = append(l.Nodes, Node{Path: "acme", Capacity: 1e6 * AmountUnit, Weight: 1})
 				if n == 1000 {
 					l.Classes = []string{fmt.Sprint("c", i%100)}
 				}
-				conf.Limits = append(conf.Limits, l)
+				config.Limits = append(config.Limits, l)
 				grant.Quotas[l.Key(1)] = Quota{Amount: 1e6 * AmountUnit}
 			}
-			m, h := NewMatcher(conf), NewConsumer(Rules{ReportInterval: 1e6}, NoDefect)
-			h.SetConfig(0, conf)
-			h.SetSession(0, 1, 1<<62)
-			h.ApplyGrant(0, 1, 1, grant)
+			m, c := NewMatcher(config), NewConsumer(Rules{ReportInterval: 1e6}, NoDefect)
+			c.SetConfig(0, config)
+			c.SetSession(0, 1, 1<<62)
+			c.ApplyGrant(0, 1, 1, grant)
 			r := &Request{Class: "c1", Path: "/c1/x", Header: func(string) string { return "acme" }, PriorityWeight: 1}
 			now := int64(1e9)
 			b.ReportAllocs()
 			for b.Loop() {
 				now += 100_000
 				var buf [16]Charge
-				t, no := h.Reserve(now, m.Match(buf[:0], r), 1)
-				if no != nil {
-					b.Fatal(no)
+				reservation, rejection := c.Reserve(now, m.Match(buf[:0], r), 1)
+				if rejection != nil {
+					b.Fatal(rejection)
 				}
-				h.Complete(now, t)
+				c.Complete(now, reservation)
 			}
 		})
 	}
--- /dev/null
+++ b/internal/controlplane/quota/consumer_test.go
@@ -0,0 +1,153 @@
+package quota
+
+import (
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+const sec = int64(1e9)
+
+func newLimit(name string, kind Kind, capacity float64, window int64) *Limit {
+	return &Limit{
+		Name:       name,
+		Generation: 1,
+		Kind:       kind,
+		Unit:       Requests,
+		Window:     window,
+		Fallback:   Strict,
+		Nodes:      []Node{{Capacity: Amount(capacity * float64(AmountUnit)), Weight: 1}},
+	}
+}
+
+func newRateLimit(capacity float64, window int64) *Limit {
+	return newLimit("r", Rate, capacity, window)
+}
+
+// admitUpTo returns how many of n requests are admitted before the first rejection.
+func admitUpTo(n int, c *Consumer, now int64, l *Limit) (admitted int) {
+	for ; admitted < n; admitted++ {
+		if _, rejection := reserveOne(c, now, l); rejection != nil {
+			break
+		}
+	}
+	return admitted
+}
+
+// reserveOne reserves one unit of a limit's root.
+func reserveOne(c *Consumer, now int64, l *Limit) (*Reservation, *Rejection) {
+	return c.Reserve(now, []Charge{{Limit: l, Node: 0, Amount: AmountUnit}}, 1)
+}
+
+// A consumer admits what its quota and the tokens that it has saved allow, no more and no less, whatever it is
+// granted, and a refund never gives more than was taken.
+func TestConsumerAdmitsNoMoreThanQuota(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		l := newRateLimit(1000, sec/2)
+		c := NewConsumer(Rules{MaxClockSkew: 0.1, ReportInterval: 50e6}, NoDefect)
+		c.SetConfig(0, &Config{Version: 1, Limits: []*Limit{l}})
+		c.SetSession(0, 1, 1<<60)
+		now, revision := int64(0), uint64(0)
+		quota, tokens := Amount(0), 0.0
+		var open []*Reservation
+		for range rapid.IntRange(1, 200).Draw(t, "steps") {
+			step := rapid.Int64Range(0, sec/4).Draw(t, "later")
+			now += step
+			tokens = min(float64(l.burstOf(quota)), tokens+float64(quota)*float64(step)/1e9)
+			switch rapid.IntRange(0, 5).Draw(t, "what") {
+			case 0:
+				quota = Amount(rapid.IntRange(0, 50).Draw(t, "share")) * AmountUnit
+				revision++
+				c.ApplyGrant(now, 1, revision, Grant{Quotas: map[string]Quota{l.Key(0): {Amount: quota}}})
+				tokens = min(tokens, float64(l.burstOf(quota)))
+			case 1:
+				if len(open) > 0 {
+					c.Cancel(now, open[0])
+					c.Cancel(now, open[0]) // has no effect
+					open = open[1:]
+					tokens = min(float64(l.burstOf(quota)), tokens+float64(AmountUnit))
+				}
+			default:
+				const unit, tolerance = float64(AmountUnit), 1e-3
+				reservation, rejection := reserveOne(c, now, l)
+				admitted, expected := rejection == nil, tokens >= unit-tolerance
+				if admitted != expected && (admitted || tokens > unit+tolerance) {
+					t.Fatalf("at %d with %.3f tokens of quota %s: %v", now, tokens/unit, FormatAmount(quota), rejection)
+				}
+				if admitted {
+					tokens -= unit
+					open = append(open, reservation)
+				} else if rejection.RetryAfter <= 0 {
+					t.Fatal(rejection)
+				}
+			}
+		}
+	})
+}
+
+// What is admitted in any time of a window's length never exceeds the quota, by the slowest clock.
+func TestWindowAdmitsNoMoreThanQuotaInAnyTime(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		l := newLimit("w", Window, 100, sec)
+		c := NewConsumer(Rules{MaxClockSkew: 0.1}, NoDefect)
+		c.SetConfig(0, &Config{Version: 1, Limits: []*Limit{l}})
+		c.SetSession(0, 1, 1<<60)
+		quota := rapid.IntRange(1, 20).Draw(t, "share")
+		c.ApplyGrant(0, 1, 1, Grant{Quotas: map[string]Quota{l.Key(0): {Amount: Amount(quota) * AmountUnit}}})
+		now := int64(0)
+		var inWindow []int64
+		admitted := 0
+		for range 400 {
+			now += rapid.Int64Range(0, sec/20).Draw(t, "later")
+			if _, rejection := reserveOne(c, now, l); rejection == nil {
+				inWindow = append(inWindow, now)
+				admitted++
+			}
+			for len(inWindow) > 0 && inWindow[0] <= now-sec {
+				inWindow = inWindow[1:]
+			}
+			if len(inWindow) > quota {
+				t.Fatalf("%d in a window of %d", len(inWindow), quota)
+			}
+		}
+		if possible := int64(quota) * (now/sec + 1); int64(admitted) < min(possible/3, 100) && admitted < 100 {
+			t.Fatalf("%d of some %d admitted", admitted, possible)
+		}
+	})
+}
+
+// Without the store a process admits nothing, its part of the limit, or all, and the latter two for a time.
+func TestFallbackByMode(t *testing.T) {
+	for _, test := range []struct {
+		mode                    FallbackMode
+		timeout                 int64
+		admitted, admittedLater int
+	}{{Strict, 0, 0, 0}, {Fair, 0, 5, 5}, {Fair, sec, 5, 0}, {Open, 0, 50, 50}, {Open, sec, 50, 0}} {
+		l := newRateLimit(100, sec)
+		l.Fallback, l.FallbackFraction, l.MinProcesses, l.FallbackTimeout = test.mode, 0.5, 10, test.timeout
+		c := NewConsumer(Rules{ReportInterval: 50e6}, NoDefect)
+		c.SetConfig(0, &Config{Version: 1, Limits: []*Limit{l}})
+		c.SetSession(0, 1, sec)
+		c.ApplyGrant(0, 1, 1, Grant{Quotas: map[string]Quota{l.Key(0): {Amount: 80 * AmountUnit}}})
+		reserveOne(c, sec, l) // the session has ended: the fallback begins
+		for _, step := range []struct {
+			now  int64
+			want int
+		}{{2 * sec, test.admitted}, {5 * sec, test.admittedLater}} {
+			admitted := 0
+			for ; admitted < 50; admitted++ {
+				_, rejection := reserveOne(c, step.now, l)
+				if rejection == nil {
+					continue
+				}
+				if !rejection.StoreUnreachable || rejection.RetryAfter <= 0 {
+					t.Errorf("%+v", rejection)
+				}
+				break
+			}
+			if admitted != step.want {
+				t.Errorf("%s for %d: %d admitted at %d, not %d", test.mode, test.timeout, admitted, step.now, step.want)
+			}
+		}
+	}
+}
--- a/internal/controlplane/quota/demand.go
+++ b/internal/controlplane/quota/demand.go
@@ -35,8 +35,8 @@
 	l.requested += amount
 }
 
-// recordRejection counts a rejected request. Of a concurrency, rejected requests alone show how much more is wanted than is
-// in use.
+// recordRejection counts a rejected request. Of a concurrency, rejected requests alone show how much more is wanted
+// than is in use.
 func (l *limiter) recordRejection(amount Amount) {
 	l.rejected++
 	if l.limit.Kind == Concurrency {
@@ -70,8 +70,8 @@
 // decayOver returns the weight of the newest measurement, of a time in nanoseconds, in the moving average.
 func decayOver(elapsed float64) float64 { return 1 - math.Exp(-elapsed/demandAveragingNanos) }
 
-// estimateRate returns the moving average of what is requested a second. A change that is larger than chance explains is
-// followed faster, upwards at once.
+// estimateRate returns the moving average of what is requested a second. A change that is larger than chance
+// explains is followed faster, upwards at once.
 func (m *demandMeter) estimateRate(elapsed float64) Amount {
 	const unit = float64(AmountUnit)
 	measured := float64(m.requested) / elapsed * nanosPerSecond
--- a/internal/controlplane/quota/distribute.go
+++ b/internal/controlplane/quota/distribute.go
@@ -198,8 +198,8 @@
 	return total
 }
 
-// distribute divides an amount among a node's own processes and its parts: what is in use first, then guarantees, then by
-// weight. It reports whether anybody gets less than it wants.
+// distribute divides an amount among a node's own processes and its parts: what is in use first, then guarantees,
+// then by weight. It reports whether anybody gets less than it wants.
 func (v *limitAllocation) distribute(node int, amount Amount) (short bool) {
 	amount = max(0, amount)
 	if v.defect != IgnoreParts || node == 0 {
@@ -310,9 +310,9 @@
 	return xxhash.Sum64String(fmt.Sprintf("%v %d", p, v.rotation))
 }
 
-// lend adds an amount that nobody wants to targets: three quarters in proportion to targets, since demand is uneven, and
-// the rest in equal parts, so that a process that was idle has a quota at once. The sum of targets beyond what is in use is
-// distributed.
+// lend adds an amount that nobody wants to targets: three quarters in proportion to targets, since demand is
+// uneven, and the rest in equal parts, so that a process that was idle has a quota at once. The sum of targets
+// beyond what is in use is distributed.
 func (v *limitAllocation) lend(cells []cell, amount, distributed Amount) {
 	proportional := amount / 4 * 3
 	for i := range cells {
--- a/internal/controlplane/quota/file.go
+++ b/internal/controlplane/quota/file.go
@@ -55,8 +55,8 @@
 	Weight     float64 `toml:"weight"` // default: 1
 }
 
-// ParseFile reads a file of limits in TOML, in which unknown keys are errors. The path is for errors alone. All errors are
-// joined, each a *stricttoml.Error.
+// ParseFile reads a file of limits in TOML, in which unknown keys are errors. The path is for errors alone. All
+// errors are joined, each a *stricttoml.Error.
 func ParseFile(path string, text []byte) (*Config, error) {
 	var f file
 	if err := stricttoml.Decode(path, "files of limits", text, &f); err != nil {
@@ -172,7 +172,10 @@
 		l.Kind = Concurrency
 		l.Window = int64(f.MaxDuration)
 	}
-	if f.Burst != nil && l.Kind != Rate || f.Window != 0 && l.Kind != Window || f.MaxDuration != 0 && l.Kind != Concurrency {
+	misplaced := f.Burst != nil && l.Kind != Rate ||
+		f.Window != 0 && l.Kind != Window ||
+		f.MaxDuration != 0 && l.Kind != Concurrency
+	if misplaced {
 		return 0, invalidField("burst, window, longest", "go with rate, amount and at_once in turn")
 	}
 	return amountOf(f.Rate + f.Amount + f.Concurrency), nil
--- a/internal/controlplane/quota/file_test.go
+++ b/internal/controlplane/quota/file_test.go
@@ -27,17 +27,25 @@
 window = "24h"
 `
 
-func TestAFileOfLimits(t *testing.T) {
+func TestParseFile(t *testing.T) {
 	c, err := ParseFile("x.toml", []byte(sample))
 	if err != nil {
 		t.Fatal(err)
 	}
 	l := c.Limits[0]
-	if len(c.Limits) != 2 || l.Kind != Rate || l.Window != 2e9 || len(l.Nodes) != 4 || l.Nodes[2].Path != "acme/vienna" || l.Nodes[2].Parent != 1 || l.Nodes[2].Capacity != 40*AmountUnit {
+	if len(c.Limits) != 2 || l.Kind != Rate || l.Window != 2e9 || len(l.Nodes) != 4 {
 		t.Fatalf("%+v", l)
 	}
+	if vienna := l.Nodes[2]; vienna.Path != "acme/vienna" || vienna.Parent != 1 || vienna.Capacity != 40*AmountUnit {
+		t.Fatalf("%+v", vienna)
+	}
 	m := NewMatcher(c)
-	for want, names := range map[string][2]string{"acme/vienna": {"acme", "vienna"}, "acme": {"acme", "x"}, "other": {"nobody", "vienna"}, "": {"", "vienna"}} {
+	for want, names := range map[string][2]string{
+		"acme/vienna": {"acme", "vienna"},
+		"acme":        {"acme", "x"},
+		"other":       {"nobody", "vienna"},
+		"":            {"", "vienna"},
+	} {
 		got := m.Match(nil, &Request{Class: "confirm", Header: func(n string) string {
 			if n == "X-Org" {
 				return names[0]
@@ -53,7 +61,7 @@
 	}
 }
 
-func TestBadFilesOfLimits(t *testing.T) {
+func TestParseFileNamesInvalidKeys(t *testing.T) {
 	for text, want := range map[string]string{
 		"[limit.a]\nrate = 1.0\nmore = 2":                                              "x.toml:3: limit.a.more",
 		"\n[limit.a]\nwindow = \"1s\"":                                                 "x.toml:2: limit.a.rate, amount, at_once",
--- a/internal/controlplane/quota/grants.go
+++ b/internal/controlplane/quota/grants.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// writeGrants adds the grants that bring processes to their targets. If no process is short of quota, quotas that are too
-// large stay: they are in nobody's way. Reductions go first.
+// writeGrants adds the grants that bring processes to their targets. If no process is short of quota, quotas that
+// are too large stay: they are in nobody's way. Reductions go first.
 func (v *limitAllocation) writeGrants(short bool, grants map[Process]Grant) {
 	for node := range v.limit.Nodes {
 		for i, p := range v.live {
@@ -32,8 +32,8 @@
 	}
 }
 
-// mayChange reports whether the last change of a process's quotas is long enough ago. A process cannot acknowledge changes
-// faster than it reports.
+// mayChange reports whether the last change of a process's quotas is long enough ago. A process cannot acknowledge
+// changes faster than it reports.
 func (v *limitAllocation) mayChange(p Process) bool {
 	interval := max(minChangeInterval, v.rules.reportInterval(len(v.live)))
 	return v.changedAt[p] == 0 || v.now-v.changedAt[p] >= interval
@@ -59,8 +59,8 @@
 	return c.target == 0 || c.granted-c.target >= v.minChange(c)
 }
 
-// raisedAmount returns the quota that is to be granted to a process below its target: the present one, or a larger one for
-// which there is headroom.
+// raisedAmount returns the quota that is to be granted to a process below its target: the present one, or a larger
+// one for which there is headroom.
 func (v *limitAllocation) raisedAmount(node int, c *cell) Amount {
 	raise := c.target - c.granted
 	if raise < v.minChange(c) {
@@ -105,8 +105,8 @@
 	return q
 }
 
-// renewedGrant returns a copy of a process's grant in which all that it may still use counts until it has seen the copy.
-// Quotas of no limit in force are dropped.
+// renewedGrant returns a copy of a process's grant in which all that it may still use counts until it has seen the
+// copy. Quotas of no limit in force are dropped.
 func (a *Allocator) renewedGrant(state *processState) Grant {
 	grant := Grant{Quotas: maps.Clone(state.grant.Quotas)}
 	if grant.Quotas == nil {
--- a/internal/controlplane/quota/limit.go
+++ b/internal/controlplane/quota/limit.go
@@ -1,23 +1,23 @@
 // Package quota enforces limits that hold for a whole fleet: what a limit is, how a process spends its quota of one
-// (Consumer), and how one process allocates each limit among all (Allocator). It does no I/O and reads no clock: instants,
-// changes of the store, sessions and requests come in; decisions and the records to write come out. Of this module it may
-// import lease, store and stricttoml alone.
+// (Consumer), and how one process allocates each limit among all (Allocator). It does no I/O and reads no clock:
+// instants, changes of the store, sessions and requests come in; decisions and the records to write come out. Of this
+// module it may import lease, store and stricttoml alone.
 //
-// A limit is an amount for the fleet: a rate, an amount in any window of a length, or a concurrency. A process has a quota
-// of it and spends that without a round trip. The sum of what all processes may spend stays within the limit whatever is
-// stopped, killed, partitioned or slow (docs/design/limits.md has the proof):
+// A limit is an amount for the fleet: a rate, an amount in any window of a length, or a concurrency. A process has a
+// quota of it and spends that without a round trip. The sum of what all processes may spend stays within the limit
+// whatever is stopped, killed, partitioned or slow (docs/design/limits.md has the proof):
 //
-//   - A quota is used only while the process's session is valid, which ends by the process's own clock before the store
-//     ends the session (package lease compares rates of clocks, never clocks). A process reports its demand under a key
-//     that is deleted with the session.
+//   - A quota is used only while the process's session is valid, which ends by the process's own clock before the
+//     store ends the session (package lease compares rates of clocks, never clocks). A process reports its demand
+//     under a key that is deleted with the session.
 //   - A reduced quota counts at its previous amount until the process acknowledges the reduction.
-//   - The quota of a process that is gone counts until the requests that it may have admitted are over: a window's length,
-//     or for a concurrency the longest that a request lasts.
-//   - All of this is in the store, and each allocation is a transaction conditional on the previous one (AllocationKey):
-//     an allocator with an old copy, or beside another, changes nothing.
+//   - The quota of a process that is gone counts until the requests that it may have admitted are over: a window's
+//     length, or for a concurrency the longest that a request lasts.
+//   - All of this is in the store, and each allocation is a transaction conditional on the previous one
+//     (AllocationKey): an allocator with an old copy, or beside another, changes nothing.
 //
-// Sources: O'Neil, The escrow transactional method (TODS 1986); Gray and Cheriton, Leases (SOSP 1989); max-min fairness as
-// in Demers, Keshav and Shenker (SIGCOMM 1989).
+// Sources: O'Neil, The escrow transactional method (TODS 1986); Gray and Cheriton, Leases (SOSP 1989); max-min fairness
+// as in Demers, Keshav and Shenker (SIGCOMM 1989).
 package quota
 
 import (
@@ -111,8 +111,8 @@
 	return nil
 }
 
-// AssignGenerations numbers the configuration as the successor of previous. A limit keeps its generation unless a quota of
-// it has another meaning now.
+// AssignGenerations numbers the configuration as the successor of previous. A limit keeps its generation unless a
+// quota of it has another meaning now.
 func (c *Config) AssignGenerations(previous *Config) {
 	c.Version = previous.Version + 1
 	for _, l := range c.Limits {
@@ -186,10 +186,12 @@
 }
 
 // UpperBound returns the most of a node, in units, that servers see in any true time of a length while a number of
-// processes are cut off from the store for longer than their sessions last. A request is sent at most maxSendDelay after
-// it was admitted; clocks gain at most skew on true time. Length and maxSendDelay are in nanoseconds. It returns false if
-// there is no bound.
-func (l *Limit) UpperBound(node int, length, maxSendDelay int64, skew float64, unreachable int) (bound float64, ok bool) {
+// processes are cut off from the store for longer than their sessions last. A request is sent at most maxSendDelay
+// after it was admitted; clocks gain at most skew on true time. Length and maxSendDelay are in nanoseconds. It
+// returns false if there is no bound.
+func (l *Limit) UpperBound(
+	node int, length, maxSendDelay int64, skew float64, unreachable int,
+) (bound float64, ok bool) {
 	boundOf := func(capacity float64) float64 {
 		switch l.Kind {
 		case Concurrency:
--- a/internal/controlplane/quota/limiter.go
+++ b/internal/controlplane/quota/limiter.go
@@ -198,8 +198,8 @@
 	return max(minRetryAfter, int64(after))
 }
 
-// windowRetryAfter returns the nanoseconds until enough slots have left the window. Requests that are rejected one after
-// the other are sent to later slots.
+// windowRetryAfter returns the nanoseconds until enough slots have left the window. Requests that are rejected one
+// after the other are sent to later slots.
 func (l *limiter) windowRetryAfter(now int64, amount Amount, skew float64) int64 {
 	l.decayPromised(now, l.windowNanos(skew))
 	missing := float64(l.used) + float64(amount) + l.promised - float64(l.amount)
--- a/internal/controlplane/quota/maxmin.go
+++ b/internal/controlplane/quota/maxmin.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// maxMinFair divides an amount by weights among those with demand, none of whom gets more than its demand: weighted max-min
-// fairness. Nil weights are equal. What it gives never adds up to more than the amount.
+// maxMinFair divides an amount by weights among those with demand, none of whom gets more than its demand: weighted
+// max-min fairness. Nil weights are equal. What it gives never adds up to more than the amount.
 func maxMinFair(amount Amount, demands []Amount, weights []float64) []Amount {
 	allotted := make([]Amount, len(demands))
 	order := make([]int, 0, len(demands))
--- a/internal/controlplane/quota/reservation.go
+++ b/internal/controlplane/quota/reservation.go
@@ -22,8 +22,8 @@
 	StoreUnreachable bool
 }
 
-// Reserve takes all charges of a request, or rejects it and takes none. The priority weight is that of the request, from 0
-// to 1: a part of each quota is reserved for heavier ones.
+// Reserve takes all charges of a request, or rejects it and takes none. The priority weight is that of the request,
+// from 0 to 1: a part of each quota is reserved for heavier ones.
 func (c *Consumer) Reserve(now int64, charges []Charge, priorityWeight float64) (*Reservation, *Rejection) {
 	if len(charges) == 0 {
 		return nil, nil
--- a/internal/controlplane/quota/status.go
+++ b/internal/controlplane/quota/status.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// DescribeOvershoot says for people how far over its capacity servers may see the limit while a number of processes cannot
-// reach the store.
+// DescribeOvershoot says for people how far over its capacity servers may see the limit while a number of processes
+// cannot reach the store.
 func (l *Limit) DescribeOvershoot(unreachable int) string {
 	var b strings.Builder
 	if l.Kind == Rate {
--- a/internal/controlplane/quota/wire.go
+++ b/internal/controlplane/quota/wire.go
@@ -123,8 +123,8 @@
 	return g, nil
 }
 
-// Allowed reports whether a daemon without a replica may do an operation on limits: it may write and delete the demand of
-// its own processes, bound to their sessions.
+// Allowed reports whether a daemon without a replica may do an operation on limits: it may write and delete the
+// demand of its own processes, bound to their sessions.
 func Allowed(op store.Op, owner string) bool {
 	name, isDemand := strings.CutPrefix(op.Key, DemandPrefix)
 	if !isDemand || owner == "" {
