--- a/cmd/birchmoor/store.go
+++ b/cmd/birchmoor/store.go
@@ -144,7 +144,7 @@
 				state = "has a copy, and follows " + s.Follows
 			case s.Leading:
 				state = "leads"
-			case s.Lead == 0:
+			case s.LeaderID == 0:
 				state = "knows no leader"
 			}
 			copied := "not confirmed since the start"
@@ -169,9 +169,9 @@
 			}
 			k := s.Daemon
 			for _, x := range [][2]any{{"began with", began}, {"holds", fmt.Sprintf("%d out, %d starts, %d pictures of %d bytes; %d changes owed",
-				k.Exclusions, k.Starts, k.Snapshots, k.SnapshotBytes, k.PendingWrites)}, {"name", s.Name}, {"cluster", fmt.Sprintf("%x", s.Self.Cluster)}, {"member", s.Self.Member}, {"state", state}, {"copy", copied},
+				k.Exclusions, k.Starts, k.Snapshots, k.SnapshotBytes, k.PendingWrites)}, {"name", s.Name}, {"cluster", fmt.Sprintf("%x", s.Self.ClusterID)}, {"member", s.Self.MemberID}, {"state", state}, {"copy", copied},
 				{"term", s.Term}, {"revision", s.Revision}, {"keys", s.Keys}, {"bytes", s.Bytes}, {"disk", s.Disk},
-				{"applied", fmt.Sprintf("%d of %d", s.Applied, s.Commit)}, {"members settled", s.Settled},
+				{"applied", fmt.Sprintf("%d of %d", s.Applied, s.Commit)}, {"members settled", s.MembershipStable},
 				{"peers refused", s.Refused}, {"connections refused", s.Untaken}, {"messages dropped", s.Dropped}} {
 				fmt.Fprintf(w, "%v\t%v\n", x[0], x[1])
 			}
@@ -231,14 +231,14 @@
 			for _, p := range s.Peers {
 				role := "votes"
 				switch {
-				case p.Leads:
+				case p.Leader:
 					role = "leads"
 				case p.Learner:
 					role = "learns"
 				}
 				match := "-" // the leader alone knows
-				if p.Match > 0 {
-					match = strconv.FormatUint(p.Match, 10)
+				if p.MatchIndex > 0 {
+					match = strconv.FormatUint(p.MatchIndex, 10)
 				}
 				fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%d\t%d\t%s\n", p.ID, p.Name, p.Address, role, p.Level, p.Boot, match)
 			}
@@ -586,7 +586,7 @@
 		return err
 	}
 	defer d.Close()
-	if d.Identity().Cluster != 0 {
+	if d.Identity().ClusterID != 0 {
 		return fmt.Errorf("%s holds a store already", k.Dir)
 	}
 	var b [8]byte
@@ -599,7 +599,7 @@
 	if s.Level() >= store.Level {
 		s.Seed(lease.SuspendKey, []byte("restored"), lease.MaxTTLMillis) // for as long as holders of the old cluster may go on
 	}
-	s.Bootstrap(k.Name, k.Address, d.Identity().Disk)
+	s.Bootstrap(k.Name, k.Address, d.Identity().DiskID)
 	if err := replica.BootstrapFrom(d, d.Identity(), s); err != nil {
 		return err
 	}
--- a/internal/controlplane/daemon/daemon_test.go
+++ b/internal/controlplane/daemon/daemon_test.go
@@ -118,7 +118,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if s.Settled && len(s.Peers) == 3 {
+		if s.MembershipStable && len(s.Peers) == 3 {
 			return all, dirs
 		}
 	}
--- a/internal/lab/fleetlab/fleet.go
+++ b/internal/lab/fleetlab/fleet.go
@@ -592,7 +592,7 @@
 				Add: &store.AddMember{Name: f.Daemons[i].name, Address: f.Daemons[i].peer}})
 			added = last == nil
 		}
-		if s, err := a.Status(ctx); err == nil && added && s.Settled && len(s.Peers) == i+1 && s.Lead != 0 && s.Level >= store.Level {
+		if s, err := a.Status(ctx); err == nil && added && s.MembershipStable && len(s.Peers) == i+1 && s.LeaderID != 0 && s.Level >= store.Level {
 			return nil
 		}
 		time.Sleep(10 * time.Millisecond)
--- a/internal/lab/storebench/bench.go
+++ b/internal/lab/storebench/bench.go
@@ -185,7 +185,7 @@
 		if err != nil {
 			return err
 		}
-		if s.Settled && len(s.Peers) == i+1 {
+		if s.MembershipStable && len(s.Peers) == i+1 {
 			return nil
 		}
 		select {
--- a/internal/lab/storebench/torture.go
+++ b/internal/lab/storebench/torture.go
@@ -142,7 +142,7 @@
 			_, err := all[0].client.Change(ctx, admin.Request{ID: store.RequestID{Client: 1 << 40, Seq: uint64(i)}, Add: &store.AddMember{Name: all[i].name, Address: addr}})
 			added = err == nil
 		}
-		if s, err := all[0].client.Status(ctx); err == nil && added && s.Settled && len(s.Peers) == i+1 && s.Lead != 0 {
+		if s, err := all[0].client.Status(ctx); err == nil && added && s.MembershipStable && len(s.Peers) == i+1 && s.LeaderID != 0 {
 			return nil
 		}
 		time.Sleep(20 * time.Millisecond)
--- a/internal/lab/storesim/disk.go
+++ b/internal/lab/storesim/disk.go
@@ -31,7 +31,7 @@
 )
 
 func newDisk(rng *rand.Rand) *disk {
-	return &disk{rng: rng, saved: replica.DiskContents{Identity: replica.Identity{Disk: rng.Uint64() | 1}}}
+	return &disk{rng: rng, saved: replica.DiskContents{Identity: replica.Identity{DiskID: rng.Uint64() | 1}}}
 }
 
 // begin counts a start, as the disk of a real replica does when it is opened.
@@ -82,20 +82,20 @@
 	for i, e := range d.saved.Entries {
 		s.Entries[i] = proto.Clone(e).(*raftpb.Entry)
 	}
-	if s.Hard != nil {
-		s.Hard = proto.Clone(s.Hard).(*raftpb.HardState)
+	if s.HardState != nil {
+		s.HardState = proto.Clone(s.HardState).(*raftpb.HardState)
 	}
 	return s, nil
 }
 
-func (d *disk) Belong(id replica.Identity) error {
+func (d *disk) SetIdentity(id replica.Identity) error {
 	return d.write(func() { d.saved.Identity = id })
 }
 
 func (d *disk) Append(hard *raftpb.HardState, entries []*raftpb.Entry) error {
 	return d.write(func() {
 		if hard != nil {
-			d.saved.Hard = proto.Clone(hard).(*raftpb.HardState)
+			d.saved.HardState = proto.Clone(hard).(*raftpb.HardState)
 		}
 		if len(entries) == 0 {
 			return
@@ -110,7 +110,7 @@
 	})
 }
 
-func (d *disk) SaveSnapshot(meta replica.Meta, write func(io.Writer) error) error {
+func (d *disk) SaveSnapshot(meta replica.SnapshotMeta, write func(io.Writer) error) error {
 	var b bytes.Buffer
 	if err := write(&b); err != nil {
 		return err
@@ -122,23 +122,23 @@
 	})
 }
 
-func (d *disk) Install(meta replica.Meta, hard *raftpb.HardState, data []byte) error {
+func (d *disk) Install(meta replica.SnapshotMeta, hard *raftpb.HardState, data []byte) error {
 	return d.write(func() {
 		d.saved.Snapshot, d.data = meta, bytes.Clone(data)
-		d.saved.Base, d.saved.Entries = replica.Meta{Index: meta.Index, Term: meta.Term}, nil
+		d.saved.Base, d.saved.Entries = replica.SnapshotMeta{Index: meta.Index, Term: meta.Term}, nil
 		if hard != nil {
-			d.saved.Hard = proto.Clone(hard).(*raftpb.HardState)
+			d.saved.HardState = proto.Clone(hard).(*raftpb.HardState)
 		}
 	})
 }
 
-func (d *disk) Snapshot() (replica.Meta, []byte, error) {
+func (d *disk) Snapshot() (replica.SnapshotMeta, []byte, error) {
 	return d.saved.Snapshot, bytes.Clone(d.data), nil
 }
 
 func (d *disk) Compact(index, term uint64) error {
 	return d.write(func() {
-		d.saved.Base = replica.Meta{Index: index, Term: term}
+		d.saved.Base = replica.SnapshotMeta{Index: index, Term: term}
 		d.saved.Entries = slices.DeleteFunc(slices.Clone(d.saved.Entries), func(e *raftpb.Entry) bool { return e.GetIndex() <= index })
 	})
 }
--- a/internal/lab/storesim/faults.go
+++ b/internal/lab/storesim/faults.go
@@ -73,7 +73,7 @@
 			w.join()
 		}
 	case 12:
-		if !w.changing() && w.voters() > 2 && !h.retired && !h.joining && h.disk.saved.Identity.Member != 0 {
+		if !w.changing() && w.voters() > 2 && !h.retired && !h.joining && h.disk.saved.Identity.MemberID != 0 {
 			w.leave(h)
 		}
 	case 13:
@@ -138,7 +138,7 @@
 			return 0
 		}
 		st := h.node.Status()
-		if !st.Settled || st.Applied+20 < w.top {
+		if !st.MembershipStable || st.Applied+20 < w.top {
 			return 0
 		}
 		n, lead = len(st.Peers), lead || st.Leading
@@ -178,7 +178,7 @@
 			return
 		}
 		w.r.Joined++
-		h.disk.saved.Identity.Cluster, h.disk.saved.Identity.Member = 7, r.MemberID
+		h.disk.saved.Identity.ClusterID, h.disk.saved.Identity.MemberID = 7, r.MemberID
 		h.joining = false
 		h.start()
 	})
@@ -199,7 +199,7 @@
 // leave has a host's member removed.
 func (w *world) leave(h *host) {
 	h.joining = true
-	w.order(uint64(h.number)*10+2, store.Command{RemoveMember: &store.RemoveMember{MemberID: h.disk.saved.Identity.Member}}, func(r store.Result) {
+	w.order(uint64(h.number)*10+2, store.Command{RemoveMember: &store.RemoveMember{MemberID: h.disk.saved.Identity.MemberID}}, func(r store.Result) {
 		h.joining = false
 		if r.Err != nil {
 			return
@@ -235,12 +235,12 @@
 			}
 		}
 		id := h.disk.saved.Identity
-		member := id.Member
+		member := id.MemberID
 		if was != nil {
 			h.disk = was
 		} else {
 			h.disk = newDisk(w.rng)
-			h.disk.saved.Identity.Cluster, h.disk.saved.Identity.Member = id.Cluster, id.Member
+			h.disk.saved.Identity.ClusterID, h.disk.saved.Identity.MemberID = id.ClusterID, id.MemberID
 		}
 		h.acted = map[string]bool{} // what that disk had shown went with it
 		h.start()
@@ -302,16 +302,16 @@
 	{"stale-read", replica.StaleRead, WatchNone, "a read is answered without asking the quorum"},
 	{"apply-twice", replica.ApplyTwice, WatchNone, "after a start the last entries of the snapshot are applied again"},
 	{"results-forgotten", replica.ForgetResults, WatchNone, "a request sent again is done again"},
-	{"blind-lease", replica.BlindLease, WatchNone, "a silent lease ends although it was renewed meanwhile"},
-	{"log-cut-too-far", replica.LostSnapshotLog, WatchNone, "the log is cut behind what the snapshot holds"},
-	{"empty-disk-let-in", replica.SkipCheck, WatchNone, "an empty or old disk is let in under its old name"},
+	{"blind-lease", replica.RevokeRenewedLease, WatchNone, "a silent lease ends although it was renewed meanwhile"},
+	{"log-cut-too-far", replica.CompactBeyondSnapshot, WatchNone, "the log is cut behind what the snapshot holds"},
+	{"empty-disk-let-in", replica.SkipAdmission, WatchNone, "an empty or old disk is let in under its old name"},
 	{"eager-return", replica.EagerReturn, WatchNone, "a server may serve again at one copy's word"},
 	{"bind-late", 0, BindLate, "the store's word of a drain binds half a second after it came"},
 	{"own-word-undone", 0, Overwrite, "the store's word that a drain ended undoes what a daemon hears itself"},
 	{"end-early", 0, EndEarly, "a drain ends after a quarter of its time"},
 	{"end-alone", 0, EndAlone, "a daemon ends a drain for itself, without the quorum"},
 	{"log-end-forgotten", 0, ForgetDisk, "a start does not know what the log's end says is out"},
-	{"leads-on", replica.LeadsOn, WatchNone, "a leader whose disk failed goes on telling that it leads"},
-	{"any-level", replica.AnyLevel, WatchNone, "a command is sent although a voter does not know its level (with --mixed)"},
+	{"leads-on", replica.LeadAfterFailure, WatchNone, "a leader whose disk failed goes on telling that it leads"},
+	{"any-level", replica.IgnoreLevel, WatchNone, "a command is sent although a voter does not know its level (with --mixed)"},
 	{"never-renewed", 0, NeverRenew, "nobody tells a drain again"},
 }
--- a/internal/lab/storesim/storesim.go
+++ b/internal/lab/storesim/storesim.go
@@ -179,9 +179,9 @@
 }
 
 func (w *world) config(h *host) replica.Config {
-	return replica.Config{Rand: rand.New(rand.NewPCG(w.rng.Uint64(), 1)), ElectTicks: 10, TickMillis: int(tick / milli), WaitTicks: 60,
-		SnapshotLog: 2000, KeepEntries: 8 + w.rng.IntN(40), MessageBytes: 4096, Planted: w.o.Planted,
-		Knows: h.knows(), Observe: func(e *raftpb.Entry) { h.observe(e) }}
+	return replica.Config{Rand: rand.New(rand.NewPCG(w.rng.Uint64(), 1)), ElectionTicks: 10, TickMillis: int(tick / milli), RequestTimeoutTicks: 60,
+		SnapshotLogBytes: 2000, RetainedEntries: 8 + w.rng.IntN(40), MaxMessageBytes: 4096, Defects: w.o.Planted,
+		KnownLevel: h.knows(), OnEntry: func(e *raftpb.Entry) { h.observe(e) }}
 }
 
 // observe checks each entry before it is applied.
@@ -432,7 +432,7 @@
 	for _, m := range out.Messages {
 		h.send(m)
 	}
-	if out.Renewed {
+	if out.StateReplaced {
 		w.r.Installs++
 		h.index = n.State().Index()
 		h.adopt()
@@ -441,12 +441,12 @@
 		h.settled = true
 		h.guard.CaughtUp()
 	}
-	if out.Applied > 0 || out.Renewed {
+	if out.AppliedEntries > 0 || out.StateReplaced {
 		h.look()
 		h.compare()
 		h.boundsHeld()
 	}
-	for _, d := range out.Done {
+	for _, d := range out.Completions {
 		if f := h.waits[d.Token]; f != nil {
 			delete(h.waits, d.Token)
 			f(d)
@@ -457,7 +457,7 @@
 		boot := h.boot
 		w.q.After(w.rng.Int64N(60*milli), func() {
 			if h.boot == boot && h.node != nil {
-				h.node.Saved(j, j.Run())
+				h.node.SnapshotDone(j, j.Run())
 				h.drive()
 			}
 		})
@@ -529,7 +529,7 @@
 	l := w.links[[2]int{h.number, to.number}]
 	if l != nil && l.cut || w.rng.Float64() < w.net.loss {
 		if m.GetType() == raftpb.MsgSnap {
-			h.later(func() { h.node.Sent(m.GetTo(), false) })
+			h.later(func() { h.node.ReportSnapshot(m.GetTo(), false) })
 		}
 		return
 	}
@@ -565,7 +565,7 @@
 		w.q.After(delay, func() { to.receive(hello, h, b) })
 	}
 	if m.GetType() == raftpb.MsgSnap {
-		h.later(func() { h.node.Sent(m.GetTo(), true) })
+		h.later(func() { h.node.ReportSnapshot(m.GetTo(), true) })
 	}
 }
 
@@ -615,7 +615,7 @@
 // byMember finds the host whose disk is a member's. A member's place that an empty disk claims is that host's.
 func (w *world) byMember(id uint64) *host {
 	for _, h := range slices.Backward(w.hosts) {
-		if h.disk.saved.Identity.Member == id && !h.retired {
+		if h.disk.saved.Identity.MemberID == id && !h.retired {
 			return h
 		}
 	}
--- a/internal/lab/storesim/storesim_test.go
+++ b/internal/lab/storesim/storesim_test.go
@@ -73,7 +73,7 @@
 			t.Errorf("seed %d: it %s, %d answers beside it, %q", seed, r.Failed, r.Beside, r.Broken)
 		}
 	}
-	o.Planted = replica.LeadsOn
+	o.Planted = replica.LeadAfterFailure
 	found := func(seed uint64) bool {
 		return slices.ContainsFunc(Run(seed, o).Broken, func(s string) bool { return strings.HasPrefix(s, "no progress") })
 	}
--- a/internal/store/disk/disk.go
+++ b/internal/store/disk/disk.go
@@ -204,7 +204,7 @@
 			if _, err := rand.Read(b[:]); err != nil {
 				return err
 			}
-			d.now.Disk = binary.BigEndian.Uint64(b[:]) | 1
+			d.now.DiskID = binary.BigEndian.Uint64(b[:]) | 1
 		} else if len(v) != 1 || v[0] > Format {
 			return fmt.Errorf("%s has format %d, and this build knows %d", d.path, v, Format)
 		} else if err := d.get(id, kIdentity, &d.now); err != nil {
@@ -269,10 +269,10 @@
 func (d *Disk) Close() error { return d.db.Close() }
 
 type named struct {
-	Bucket uint64       `cbor:"1,keyasint"`
-	Meta   replica.Meta `cbor:"2,keyasint"`
-	Parts  int          `cbor:"3,keyasint"`
-	Bytes  int64        `cbor:"4,keyasint"`
+	Bucket uint64               `cbor:"1,keyasint"`
+	Meta   replica.SnapshotMeta `cbor:"2,keyasint"`
+	Parts  int                  `cbor:"3,keyasint"`
+	Bytes  int64                `cbor:"4,keyasint"`
 }
 
 func bucketOf(n uint64) []byte { return fmt.Appendf(nil, "snapshot-%d", n) }
@@ -288,8 +288,8 @@
 			if err != nil {
 				return err
 			}
-			s.Hard = &raftpb.HardState{}
-			if err := proto.Unmarshal(enc, s.Hard); err != nil {
+			s.HardState = &raftpb.HardState{}
+			if err := proto.Unmarshal(enc, s.HardState); err != nil {
 				return d.damaged("the hard state: %v", err)
 			}
 		}
@@ -334,18 +334,18 @@
 			return nil
 		})
 	})
-	if err == nil && s.Hard.GetCommit() > s.Base.Index+uint64(len(s.Entries)) {
-		err = d.damaged("the log ends at %d, and %d was agreed on", s.Base.Index+uint64(len(s.Entries)), s.Hard.GetCommit())
+	if err == nil && s.HardState.GetCommit() > s.Base.Index+uint64(len(s.Entries)) {
+		err = d.damaged("the log ends at %d, and %d was agreed on", s.Base.Index+uint64(len(s.Entries)), s.HardState.GetCommit())
 	}
 	return s, err
 }
 
-// Belong makes the disk a member's.
-func (d *Disk) Belong(id replica.Identity) error {
-	if d.now.Cluster != 0 {
-		return fmt.Errorf("%s belongs to cluster %x already", d.path, d.now.Cluster)
+// SetIdentity makes the disk a member's.
+func (d *Disk) SetIdentity(id replica.Identity) error {
+	if d.now.ClusterID != 0 {
+		return fmt.Errorf("%s belongs to cluster %x already", d.path, d.now.ClusterID)
 	}
-	id.Disk, id.Boot = d.now.Disk, d.now.Boot
+	id.DiskID, id.Boot = d.now.DiskID, d.now.Boot
 	if err := d.update(func(tx *bbolt.Tx) error { return d.put(tx.Bucket(bIdentity), kIdentity, id) }); err != nil {
 		return err
 	}
@@ -457,7 +457,7 @@
 }
 
 // save writes a snapshot and has finish do the rest in the transaction from which it counts.
-func (d *Disk) save(meta replica.Meta, write func(io.Writer) error, finish func(*bbolt.Tx) error) error {
+func (d *Disk) save(meta replica.SnapshotMeta, write func(io.Writer) error, finish func(*bbolt.Tx) error) error {
 	number := d.next.Add(1)
 	p := &parts{d: d, bucket: bucketOf(number)}
 	err := write(p)
@@ -492,18 +492,18 @@
 }
 
 // SaveSnapshot replaces the snapshot.
-func (d *Disk) SaveSnapshot(meta replica.Meta, write func(io.Writer) error) error {
+func (d *Disk) SaveSnapshot(meta replica.SnapshotMeta, write func(io.Writer) error) error {
 	return d.save(meta, write, func(*bbolt.Tx) error { return nil })
 }
 
 // Install replaces snapshot and log.
-func (d *Disk) Install(meta replica.Meta, hard *raftpb.HardState, data []byte) error {
+func (d *Disk) Install(meta replica.SnapshotMeta, hard *raftpb.HardState, data []byte) error {
 	write := func(w io.Writer) error { _, err := w.Write(data); return err }
 	return d.save(meta, write, func(tx *bbolt.Tx) error {
 		if err := d.putHard(tx, hard); err != nil {
 			return err
 		}
-		if err := d.put(tx.Bucket(bState), kBase, replica.Meta{Index: meta.Index, Term: meta.Term}); err != nil {
+		if err := d.put(tx.Bucket(bState), kBase, replica.SnapshotMeta{Index: meta.Index, Term: meta.Term}); err != nil {
 			return err
 		}
 		if err := tx.DeleteBucket(bLog); err != nil {
@@ -515,7 +515,7 @@
 }
 
 // Snapshot reads the snapshot.
-func (d *Disk) Snapshot() (replica.Meta, []byte, error) {
+func (d *Disk) Snapshot() (replica.SnapshotMeta, []byte, error) {
 	var n named
 	var data []byte
 	err := d.view(func(tx *bbolt.Tx) error {
@@ -553,7 +553,7 @@
 			log := tx.Bucket(bLog)
 			first, _ := log.Cursor().First()
 			if first == nil {
-				return d.put(tx.Bucket(bState), kBase, replica.Meta{Index: index, Term: term})
+				return d.put(tx.Bucket(bState), kBase, replica.SnapshotMeta{Index: index, Term: term})
 			}
 			from := binary.BigEndian.Uint64(first)
 			to := min(index, from+compactTx-1)
@@ -570,7 +570,7 @@
 			if err := cut(log, from, to); err != nil {
 				return err
 			}
-			return d.put(tx.Bucket(bState), kBase, replica.Meta{Index: to, Term: e.GetTerm()})
+			return d.put(tx.Bucket(bState), kBase, replica.SnapshotMeta{Index: to, Term: e.GetTerm()})
 		})
 		if err != nil || !more {
 			return err
--- a/internal/store/disk/disk_test.go
+++ b/internal/store/disk/disk_test.go
@@ -50,26 +50,26 @@
 func TestWhatWasWrittenIsThereAfterAStart(t *testing.T) {
 	dir := t.TempDir()
 	d, s := reopen(t, dir)
-	if s.Identity.Disk == 0 || s.Identity.Boot != 1 {
+	if s.Identity.DiskID == 0 || s.Identity.Boot != 1 {
 		t.Fatal(s.Identity)
 	}
 	big := bytes.Repeat([]byte("0123456789"), 300_000)
-	check(t, d.Belong(replica.Identity{Cluster: 7, Member: 2}),
+	check(t, d.SetIdentity(replica.Identity{ClusterID: 7, MemberID: 2}),
 		d.Append(hard(1, 3), entries(1, 9000, 1)),
 		d.Append(hard(2, 3), entries(8000, 8100, 2)), // what another leader wrote replaces the rest
-		d.SaveSnapshot(replica.Meta{Index: 6000, Term: 1, Voters: []uint64{2}}, func(w io.Writer) error { _, err := w.Write(big); return err }),
+		d.SaveSnapshot(replica.SnapshotMeta{Index: 6000, Term: 1, Voters: []uint64{2}}, func(w io.Writer) error { _, err := w.Write(big); return err }),
 		d.Compact(5900, 1), d.Close())
 	d, s = reopen(t, dir)
-	if s.Identity.Cluster != 7 || s.Identity.Boot != 2 || s.Base.Index != 5900 || len(s.Entries) != 2200 || s.Hard.GetTerm() != 2 ||
+	if s.Identity.ClusterID != 7 || s.Identity.Boot != 2 || s.Base.Index != 5900 || len(s.Entries) != 2200 || s.HardState.GetTerm() != 2 ||
 		s.Entries[2199].GetTerm() != 2 || s.Snapshot.Index != 6000 {
 		t.Fatalf("%+v: %d entries", s.Identity, len(s.Entries))
 	}
 	if _, data, err := d.Snapshot(); err != nil || !bytes.Equal(data, big) {
 		t.Fatal(err)
 	}
-	check(t, d.Install(replica.Meta{Index: 9000, Term: 3}, hard(3, 9000), []byte("x")), d.Append(nil, entries(9001, 9002, 3)),
+	check(t, d.Install(replica.SnapshotMeta{Index: 9000, Term: 3}, hard(3, 9000), []byte("x")), d.Append(nil, entries(9001, 9002, 3)),
 		// A snapshot of our own that was begun before the leader's came does not replace it.
-		d.SaveSnapshot(replica.Meta{Index: 7000, Term: 1}, func(w io.Writer) error { _, err := w.Write(big); return err }), d.Close())
+		d.SaveSnapshot(replica.SnapshotMeta{Index: 7000, Term: 1}, func(w io.Writer) error { _, err := w.Write(big); return err }), d.Close())
 	_, s = reopen(t, dir)
 	if s.Base.Index != 9000 || len(s.Entries) != 2 || s.Snapshot.Index != 9000 {
 		t.Fatalf("%+v: %d entries", s.Base, len(s.Entries))
@@ -79,9 +79,9 @@
 func TestASnapshotThatWasNotEndedDoesNotCount(t *testing.T) {
 	dir := t.TempDir()
 	d, _ := reopen(t, dir)
-	check(t, d.SaveSnapshot(replica.Meta{Index: 1, Term: 1}, func(w io.Writer) error { _, err := w.Write([]byte("first")); return err }))
+	check(t, d.SaveSnapshot(replica.SnapshotMeta{Index: 1, Term: 1}, func(w io.Writer) error { _, err := w.Write([]byte("first")); return err }))
 	failed := errors.New("the process ended")
-	if err := d.SaveSnapshot(replica.Meta{Index: 2, Term: 1}, func(w io.Writer) error {
+	if err := d.SaveSnapshot(replica.SnapshotMeta{Index: 2, Term: 1}, func(w io.Writer) error {
 		if _, err := w.Write(make([]byte, 5<<20)); err != nil {
 			return err
 		}
@@ -100,7 +100,7 @@
 func TestFlippedBytesAreFoundOrHarmless(t *testing.T) {
 	dir := t.TempDir()
 	d, _ := reopen(t, dir)
-	check(t, d.Append(hard(1, 3), entries(1, 40, 1)), d.SaveSnapshot(replica.Meta{Index: 3, Term: 1},
+	check(t, d.Append(hard(1, 3), entries(1, 40, 1)), d.SaveSnapshot(replica.SnapshotMeta{Index: 3, Term: 1},
 		func(w io.Writer) error { _, err := w.Write(bytes.Repeat([]byte("s"), 2000)); return err }), d.Close())
 	whole, err := os.ReadFile(filepath.Join(dir, "store.db"))
 	check(t, err)
--- a/internal/store/engine/engine.go
+++ b/internal/store/engine/engine.go
@@ -137,12 +137,12 @@
 	first := make(chan struct{})
 	e.changed.Store(&first)
 	e.ctx, e.stop = context.WithCancel(context.Background())
-	if d.Identity().Cluster == 0 && !cfg.Join {
+	if d.Identity().ClusterID == 0 && !cfg.Join {
 		if err := replica.Bootstrap(d, random(), cfg.Name, cfg.Address, cfg.Limits); err != nil {
 			return nil, errors.Join(err, d.Close())
 		}
 	}
-	if d.Identity().Cluster != 0 {
+	if d.Identity().ClusterID != 0 {
 		if err := e.begin(); err != nil {
 			return nil, errors.Join(err, d.Close())
 		}
@@ -168,8 +168,8 @@
 
 // begin starts the node on a disk that belongs to a cluster.
 func (e *Engine) begin() error {
-	rc := replica.Config{Rand: mathrand.New(mathrand.NewPCG(random(), random())), Log: e.cfg.Log, ElectTicks: e.cfg.Elect,
-		TickMillis: int(e.cfg.Tick / time.Millisecond), Proposed: e.cfg.Meter.Proposed, Applied: e.cfg.Meter.Applied}
+	rc := replica.Config{Rand: mathrand.New(mathrand.NewPCG(random(), random())), Log: e.cfg.Log, ElectionTicks: e.cfg.Elect,
+		TickMillis: int(e.cfg.Tick / time.Millisecond), OnProposed: e.cfg.Meter.Proposed, OnApplied: e.cfg.Meter.Applied}
 	if e.cfg.Tune != nil {
 		e.cfg.Tune(&rc)
 	}
@@ -282,10 +282,10 @@
 // step takes a message; the first one that comes to an empty disk begins its replica.
 func (e *Engine) step(m *raftpb.Message) {
 	if e.node == nil {
-		if e.adopted.Member == 0 || m.GetTo() != e.adopted.Member {
+		if e.adopted.MemberID == 0 || m.GetTo() != e.adopted.MemberID {
 			return
 		}
-		err := e.disk.Belong(e.adopted)
+		err := e.disk.SetIdentity(e.adopted)
 		if err == nil {
 			err = e.begin()
 		}
@@ -294,7 +294,7 @@
 			return
 		}
 		e.introduce()
-		e.cfg.Log.Info("the store was taken into a cluster", "member", e.adopted.Member)
+		e.cfg.Log.Info("the store was taken into a cluster", "member", e.adopted.MemberID)
 	}
 	e.node.Step(m)
 }
@@ -302,7 +302,7 @@
 func (e *Engine) drive() {
 	before := e.node.State().Revision()
 	out := e.node.Process()
-	if out.Renewed {
+	if out.StateReplaced {
 		e.adopt()
 	}
 	if !e.settled && e.node.CaughtUp() {
@@ -313,7 +313,7 @@
 	if e.net != nil {
 		e.net.Send(out.Messages)
 	}
-	for _, d := range out.Done {
+	for _, d := range out.Completions {
 		if f := e.waits[d.Token]; f != nil {
 			delete(e.waits, d.Token)
 			f(d)
@@ -325,15 +325,15 @@
 			defer e.wg.Done()
 			err := j.Run()
 			select {
-			case e.calls <- func() { e.node.Saved(j, err) }:
+			case e.calls <- func() { e.node.SnapshotDone(j, err) }:
 			case <-e.done:
 			}
 		}()
 	}
-	if out.Applied > 0 || out.Renewed {
+	if out.AppliedEntries > 0 || out.StateReplaced {
 		e.introduce()
 	}
-	if out.Renewed || e.node.State().Revision() != before {
+	if out.StateReplaced || e.node.State().Revision() != before {
 		next := make(chan struct{})
 		close(*e.changed.Swap(&next))
 	}
@@ -352,7 +352,7 @@
 	sum := uint64(len(all)) + 1
 	for _, m := range members {
 		sum = sum*31 + xxhash.Sum64String(fmt.Sprint(m.ID, m.Name, m.Address))
-		if m.ID != e.node.Self().Member {
+		if m.ID != e.node.Self().MemberID {
 			all[m.ID] = [2]string{m.Name, m.Address}
 		}
 	}
@@ -634,8 +634,8 @@
 	var out replica.Hello
 	_ = e.do(e.ctx, func() {
 		out = replica.Hello{Identity: e.disk.Identity(), Name: e.cfg.Name}
-		if e.adopted.Member != 0 { // a disk that was greeted answers as the member that it is to become
-			out.Cluster, out.Member = e.adopted.Cluster, e.adopted.Member
+		if e.adopted.MemberID != 0 { // a disk that was greeted answers as the member that it is to become
+			out.ClusterID, out.MemberID = e.adopted.ClusterID, e.adopted.MemberID
 		}
 		if e.node != nil {
 			out = e.node.Hello()
@@ -650,17 +650,17 @@
 	err := e.do(e.ctx, func() {
 		switch {
 		case e.node != nil:
-			if x.Member != 0 && x.Member != e.node.Self().Member {
-				verdict = fmt.Errorf("this is member %d, and %d was meant", e.node.Self().Member, x.Member)
+			if x.Member != 0 && x.Member != e.node.Self().MemberID {
+				verdict = fmt.Errorf("this is member %d, and %d was meant", e.node.Self().MemberID, x.Member)
 				return
 			}
 			if verdict = e.node.Admit(x.From); verdict == nil {
 				e.greeted(x)
 			}
-		case x.Member == 0 || x.From.Cluster == 0:
+		case x.Member == 0 || x.From.ClusterID == 0:
 			verdict = errors.New("this replica waits to be taken into a cluster")
 		default:
-			e.adopted = replica.Identity{Cluster: x.From.Cluster, Member: x.Member}
+			e.adopted = replica.Identity{ClusterID: x.From.ClusterID, MemberID: x.Member}
 			e.greeted(x)
 		}
 	})
@@ -675,7 +675,7 @@
 	if e.greeter == nil {
 		e.greeter = map[uint64][2]string{}
 	}
-	e.greeter[x.From.Member] = [2]string{x.Name, x.Address}
+	e.greeter[x.From.MemberID] = [2]string{x.Name, x.Address}
 	e.introduce()
 }
 
@@ -687,9 +687,13 @@
 	}
 }
 
-func (h *host) Unreachable(member uint64) { h.tell(func(n *replica.Node) { n.Unreachable(member) }) }
+func (h *host) Unreachable(member uint64) {
+	h.tell(func(n *replica.Node) { n.ReportUnreachable(member) })
+}
 
-func (h *host) Sent(member uint64, ok bool) { h.tell(func(n *replica.Node) { n.Sent(member, ok) }) }
+func (h *host) Sent(member uint64, ok bool) {
+	h.tell(func(n *replica.Node) { n.ReportSnapshot(member, ok) })
+}
 
 // tell leaves word with the loop if there is room. It is called by the loop itself, too, which must not wait.
 func (h *host) tell(f func(*replica.Node)) {
--- a/internal/store/engine/engine_test.go
+++ b/internal/store/engine/engine_test.go
@@ -78,7 +78,7 @@
 		cancel()
 		stuck = stuck || errors.Is(err, context.DeadlineExceeded)
 		fmt.Fprintf(&out, "\n%s: member %d, %d leads in term %d, commit %d, applied %d, %d wait, %d messages sent, %d received, %d dropped, "+
-			"%d greetings refused, stopped by %q, status %v", name, s.Self.Member, s.Lead, s.Term, s.Commit, s.Applied, s.Waiting, s.Sent, s.Received,
+			"%d greetings refused, stopped by %q, status %v", name, s.Self.MemberID, s.LeaderID, s.Term, s.Commit, s.Applied, s.PendingRequests, s.Sent, s.Received,
 			s.Dropped, s.Refused, s.Failed, err)
 	}
 	if stuck {
@@ -127,7 +127,7 @@
 		o.NoSync = true
 	}
 	cfg := Config{Name: name, Dir: filepath.Join(c.dir, name), Address: c.addr[name], Join: join, Keys: pair, Listen: ln,
-		Tick: 10 * time.Millisecond, Elect: 20, Disk: o, Tune: func(r *replica.Config) { r.SnapshotLog, r.KeepEntries = 20000, 50 }}
+		Tick: 10 * time.Millisecond, Elect: 20, Disk: o, Tune: func(r *replica.Config) { r.SnapshotLogBytes, r.RetainedEntries = 20000, 50 }}
 	if c.first != nil {
 		c.first(&cfg)
 	}
@@ -147,7 +147,7 @@
 	c.t.Helper()
 	r, err := c.all[by].Do(c.ctx(), store.Command{AddMember: &store.AddMember{Name: name, Address: c.addr[name]}})
 	c.must(err)
-	c.until(by, func(s Status) bool { return s.Settled && len(s.Peers) > 1 })
+	c.until(by, func(s Status) bool { return s.MembershipStable && len(s.Peers) > 1 })
 	return r.MemberID
 }
 
@@ -223,7 +223,7 @@
 		mu.Lock()
 		c.start(name, true)
 		mu.Unlock()
-		c.until(name, func(s Status) bool { return s.Lead != 0 })
+		c.until(name, func(s Status) bool { return s.LeaderID != 0 })
 	}
 	close(stop)
 	wg.Wait()
@@ -289,9 +289,9 @@
 	}
 	_, err = c.all["a"].Do(c.ctx(), store.Command{RemoveMember: &store.RemoveMember{MemberID: 3}})
 	c.must(err)
-	c.until("a", func(s Status) bool { return s.Settled && len(s.Peers) == 2 })
+	c.until("a", func(s Status) bool { return s.MembershipStable && len(s.Peers) == 2 })
 	c.add("a", "c")
-	c.until("a", func(s Status) bool { return s.Settled && len(s.Peers) == 3 })
+	c.until("a", func(s Status) bool { return s.MembershipStable && len(s.Peers) == 3 })
 	if v := c.get("c", "k"); v != "v" {
 		t.Fatal(v)
 	}
@@ -306,7 +306,7 @@
 	c.must(err)
 	_, err = c.all["a"].Do(c.ctx(), store.Command{RemoveMember: &store.RemoveMember{MemberID: r.MemberID}})
 	c.must(err)
-	c.until("a", func(s Status) bool { return s.Settled && len(s.Peers) == 2 })
+	c.until("a", func(s Status) bool { return s.MembershipStable && len(s.Peers) == 2 })
 	c.must(keys.Issue(c.keys(), "c", time.Hour, false))
 	c.start("c", true)
 	c.add("a", "c")
@@ -411,7 +411,7 @@
 func TestReplicasCountTheSame(t *testing.T) {
 	meters := map[string]*usage.Meter{"a": usage.New(), "b": usage.New()}
 	c := (&cluster{t: t, first: func(cfg *Config) { cfg.Meter = meters[cfg.Name] }}).begin("a", "b")
-	c.until("b", func(s Status) bool { return s.Settled && len(s.Peers) == 2 })
+	c.until("b", func(s Status) bool { return s.MembershipStable && len(s.Peers) == 2 })
 	for i := range 5 {
 		_, err := c.all["b"].Do(c.ctx(), put("k", fmt.Sprint(i)))
 		c.must(err)
--- a/internal/store/follower/follow.go
+++ b/internal/store/follower/follow.go
@@ -919,7 +919,7 @@
 		return s, nil
 	}
 	s.Age, s.Holds = f.age(), now.Interest()
-	s.Self.Cluster, s.Revision, s.Keys, s.Bytes, s.Level = now.Cluster(), now.Revision(), now.Len(), now.Size(), now.Level()
+	s.Self.ClusterID, s.Revision, s.Keys, s.Bytes, s.Level = now.Cluster(), now.Revision(), now.Len(), now.Size(), now.Level()
 	for _, m := range now.Members() {
 		s.Peers = append(s.Peers, replica.Peer{Member: m})
 	}
--- a/internal/store/peer/peer.go
+++ b/internal/store/peer/peer.go
@@ -212,7 +212,7 @@
 	if _, err := c.Write(appendFrame(nil, kVerdict, b)); err != nil || v.Refused != "" {
 		return
 	}
-	if err := n.receive(c, r, h.From.Member); err != nil && n.ctx.Err() == nil {
+	if err := n.receive(c, r, h.From.MemberID); err != nil && n.ctx.Err() == nil {
 		if errors.Is(err, ErrInvalidFrame) {
 			n.Stats.Faults.Add(1)
 		}
--- a/internal/store/replica/frozen_test.go
+++ b/internal/store/replica/frozen_test.go
@@ -70,19 +70,19 @@
 }
 
 func frozenForms() []frozenForm {
-	self := Identity{Cluster: 0x99, Member: 2, Disk: 77, Boot: 3}
+	self := Identity{ClusterID: 0x99, MemberID: 2, DiskID: 77, Boot: 3}
 	members := []store.Member{
 		{ID: 1, Name: "one", Address: "10.0.0.1:7000", DiskID: 5, Boot: 1, Level: 3},
 		{ID: 2, Name: "two", Address: "10.0.0.2:7000", DiskID: 77, Boot: 3, Level: 2, Learner: true},
 	}
 	return []frozenForm{
 		{"identity", "cbor", self, new(Identity)},
-		{"snapshot meta", "cbor", Meta{Index: 9, Term: 4, Voters: []uint64{1, 2}, Learners: []uint64{3}}, new(Meta)},
-		{"hello", "cbor", Hello{Identity: self, Name: "two", Last: 12}, new(Hello)},
+		{"snapshot meta", "cbor", SnapshotMeta{Index: 9, Term: 4, Voters: []uint64{1, 2}, Learners: []uint64{3}}, new(SnapshotMeta)},
+		{"hello", "cbor", Hello{Identity: self, Name: "two", LastIndex: 12}, new(Hello)},
 		{"status", "json", Status{
-			Self: self, Name: "two", Lead: 1, Leading: true, Term: 4, Commit: 11, Applied: 10, Revision: 8, Keys: 7, Bytes: 600,
-			Level: 3, Settled: true, Waiting: 5,
-			Peers:  []Peer{{Member: members[0], Leads: true, Match: 12, Active: true}, {Member: members[1]}},
+			Self: self, Name: "two", LeaderID: 1, Leading: true, Term: 4, Commit: 11, Applied: 10, Revision: 8, Keys: 7, Bytes: 600,
+			Level: 3, MembershipStable: true, PendingRequests: 5,
+			Peers:  []Peer{{Member: members[0], Leader: true, MatchIndex: 12, Active: true}, {Member: members[1]}},
 			Failed: "stopped",
 		}, new(Status)},
 	}
--- a/internal/store/replica/replica_test.go
+++ b/internal/store/replica/replica_test.go
@@ -14,8 +14,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// alone runs a replica of a cluster of one on a real file.
-type alone struct {
+// singleReplica runs a replica of a cluster of one on a real file.
+type singleReplica struct {
 	t    *testing.T
 	dir  string
 	disk *disk.Disk
@@ -24,9 +24,9 @@
 	seq  uint64
 }
 
-func found(t *testing.T) *alone {
+func newSingleReplica(t *testing.T) *singleReplica {
 	t.Helper()
-	a := &alone{t: t, dir: t.TempDir()}
+	a := &singleReplica{t: t, dir: t.TempDir()}
 	a.open()
 	if err := replica.Bootstrap(a.disk, 7, "a", "a", store.DefaultLimits); err != nil {
 		t.Fatal(err)
@@ -34,7 +34,7 @@
 	return a
 }
 
-func (a *alone) open() {
+func (a *singleReplica) open() {
 	a.t.Helper()
 	d, err := disk.Open(a.dir, disk.Options{NoSync: true})
 	if err != nil {
@@ -45,23 +45,23 @@
 }
 
 // start begins a build that knows commands up to a level.
-func (a *alone) start(knows uint64) error {
-	n, err := replica.New(replica.Config{Rand: rand.New(rand.NewPCG(1, 1)), Knows: knows, SnapshotLog: 1 << 20}, a.disk)
+func (a *singleReplica) start(knows uint64) error {
+	n, err := replica.New(replica.Config{Rand: rand.New(rand.NewPCG(1, 1)), KnownLevel: knows, SnapshotLogBytes: 1 << 20}, a.disk)
 	a.node = n
 	return err
 }
 
-func (a *alone) stop() { a.disk.Close() }
+func (a *singleReplica) stop() { a.disk.Close() }
 
 // do makes a change and drives until it is answered.
-func (a *alone) do(c store.Command) replica.Completion {
+func (a *singleReplica) do(c store.Command) replica.Completion {
 	a.t.Helper()
 	a.next++
 	a.seq++
 	c.ID = store.RequestID{Client: 1, Seq: a.seq}
 	a.node.Propose(a.next, &c)
 	for range 1000 {
-		for _, d := range a.node.Process().Done {
+		for _, d := range a.node.Process().Completions {
 			if d.Token == a.next {
 				return d
 			}
@@ -72,7 +72,7 @@
 	panic("unreachable")
 }
 
-func (a *alone) ticks(n int) {
+func (a *singleReplica) ticks(n int) {
 	for range n {
 		a.node.Tick()
 		a.node.Process()
@@ -85,8 +85,8 @@
 
 // An older build goes on in a cluster that uses what it knows, refuses what it does not use yet, and stops, saying why and
 // having changed nothing, once the cluster uses more: at the start, and on a file that was a newer build's meanwhile.
-func TestAnOlderBuildStopsBeforeItApplies(t *testing.T) {
-	a := found(t)
+func TestOlderBuildStopsBeforeApplyingLaterLevel(t *testing.T) {
+	a := newSingleReplica(t)
 	if err := a.start(1); err != nil {
 		t.Fatal(err)
 	}
@@ -132,8 +132,8 @@
 }
 
 // What is not a message of another replica is taken by none: messages of raft's own, to others, and from strangers.
-func TestStrayMessagesAreNotTaken(t *testing.T) {
-	a := found(t)
+func TestStepIgnoresStrayMessages(t *testing.T) {
+	a := newSingleReplica(t)
 	if err := a.start(0); err != nil {
 		t.Fatal(err)
 	}
