--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -5,6 +5,15 @@
 	"strconv"
 )
 
+const (
+	maxQueueShare = 0.6 // of what the latency objective leaves, that a request of the highest priority may wait
+	minQueueShare = 0.2 // and one of the lowest
+	// A rejected client is told to come back after a part of its latency objective: spread, and while it still wants an
+	// answer.
+	minRetryAfterShare    = 0.1
+	retryAfterShareSpread = 0.2
+)
+
 // Request handles a client's request.
 func (b *Balancer) Request(now Micros, in Request) {
 	if b.requests[in.ID] != nil {
@@ -14,7 +23,7 @@
 		in.Rules = b.rules
 	}
 	if int(in.Class) >= len(in.Rules.slots) {
-		b.out.Reject(in.ID, 0) // taken, so it is owed an answer; nothing is known of it, and nothing was sent
+		b.out.Reject(in.ID, 0) // of no known class; it is owed an answer all the same
 		return
 	}
 	r := b.admit(now, in)
@@ -27,7 +36,7 @@
 	}
 }
 
-// admit enters a request into the ledger and the averages.
+// admit takes a request into the records and the averages.
 func (b *Balancer) admit(now Micros, in Request) *request {
 	r := b.newRequest(now, in)
 	b.demand.add(now, 1)
@@ -38,16 +47,17 @@
 		b.tenantDemand[in.Tenant].add(now, 1)
 	}
 	r.work = c.meanWork.value
-	if r.logHint = 0; in.HasHint && in.Hint > 0 {
-		c.meanWork.add(float64(in.Hint), 0.02)
+	r.logHint = 0
+	if in.HasHint && in.Hint > 0 {
+		c.meanWork.add(float64(in.Hint), workWeight)
 		r.logHint = math.Log(float64(in.Hint) / c.meanWork.value)
 		r.work = c.meanWork.value * math.Exp(b.hintTrust*r.logHint)
 	}
-	b.meanWork.add(r.work, 0.02)
+	b.meanWork.add(r.work, workWeight)
 	return r
 }
 
-// dispatch sends a new request or refuses it.
+// dispatch makes the first attempt of a request, or rejects it.
 func (b *Balancer) dispatch(now Micros, r *request) {
 	sent := b.tryAttempt(now, r, true)
 	b.rejectionRate.add(indicator(!sent), shareWeight)
@@ -56,73 +66,81 @@
 	}
 }
 
-// tryAttempt picks and sends; a pick that the breaker refuses tries one more.
+// tryAttempt picks an endpoint and sends the request there. If the breaker rejects the pick, the next best gets a chance.
 func (b *Balancer) tryAttempt(now Micros, r *request, first bool) bool {
 	if e := b.undrainedCandidate(now, r); e != nil && first {
 		return b.send(now, r, e)
 	}
 	e := b.pick(now, r, nil)
-	if e == nil {
+	if e == nil || !b.inTime(now, r, e, first) {
 		return false
 	}
-	if x, most := b.predict(now, e, r.work), b.latencyBudget(now, r, e); x > most {
-		// It would come too late to be worth its work. As with the breaker, one passes
-		// now and then, so that a wrong guess does not feed itself.
-		c := &b.classes[r.slot]
-		if !first || now-c.lastForcedAt < forcedPassInterval {
-			if now-b.lastLogged["refuse"] >= second { // made only when due: refusals come in thousands
-				b.log(now, "refuse", "refusing, "+strconv.Itoa(int(100*
-					b.rejectionRate.value))+"% of late: the best, endpoint "+
-					strconv.Itoa(int(e.ID))+", would take "+strconv.Itoa(int(x/1000))+" ms, limit "+
-					strconv.Itoa(int(most/1000))+" ms")
-			}
-			return false
-		}
-		c.lastForcedAt = now
+	if b.breakerAllows(now, r, e) {
+		return b.send(now, r, e)
 	}
-	if !b.breakerAllows(now, r, e) {
-		if e = b.pick(now, r, e); e == nil || !b.breakerAllows(now, r, e) {
-			return false
-		}
+	e = b.pick(now, r, e)
+	if e == nil || !b.breakerAllows(now, r, e) {
+		return false
 	}
 	return b.send(now, r, e)
 }
 
-// latencyBudget is the longest predicted latency at which r is still sent to e: its time there without a
-// queue, and
-// a part of what the aim leaves for waiting. Classes of little value for their work give way first.
+// inTime reports whether a request is predicted to be answered by e within its latency budget. A first attempt that is
+// not passes now and then all the same, so that a wrong prediction is corrected.
+func (b *Balancer) inTime(now Micros, r *request, e *endpoint, first bool) bool {
+	predicted, limit := b.predict(now, e, r.work), b.latencyBudget(now, r, e)
+	if predicted <= limit {
+		return true
+	}
+	c := &b.classes[r.slot]
+	if first && now-c.lastForcedAt >= forcedPassInterval {
+		c.lastForcedAt = now
+		return true
+	}
+	if now-b.lastLogged["refuse"] >= second { // the line is built only when it is due: rejections come in thousands
+		b.log(now, "refuse", "refusing, "+strconv.Itoa(int(100*b.rejectionRate.value))+
+			"% of late: the best, endpoint "+strconv.Itoa(int(e.ID))+", would take "+
+			strconv.Itoa(int(predicted/1000))+" ms, limit "+strconv.Itoa(int(limit/1000))+" ms")
+	}
+	return false
+}
+
+// latencyBudget is the longest predicted latency at which r is still sent to e: its latency there without a queue, and a
+// part of what the latency objective leaves for waiting. Classes of low priority for their work give way first.
 func (b *Balancer) latencyBudget(now Micros, r *request, e *endpoint) float64 {
-	alone := e.rtt.valueOr(0) + r.work*b.slowdown()*e.currentPace(now, b)
+	alone := b.latencyAlone(now, e, r.work, 1)
 	share := max(minQueueShare, maxQueueShare*b.priority(now, r))
 	if b.reportsLate {
-		share = 1 // the least loaded endpoint is not known: averages must not refuse what it would serve
+		share = 1 // the least loaded endpoint is not known: averages must not reject what it would serve
 	}
 	spare := float64(b.class(r).LatencyObjective) - float64(now-r.arrivedAt) - alone
 	return min(alone+share*spare, float64(r.Deadline-now))
 }
 
+// mayReject reports whether a rejection would be true: it promises that a retry is harmless.
 func (b *Balancer) mayReject(r *request) bool {
 	c := b.class(r)
 	return c.Idempotency == Idempotent || r.firstThatMayHaveRun() == nil ||
 		c.Idempotency == WithIdempotencyKey && c.DedupScope == DedupAll
 }
 
-// reject gives the final answer "refused" where that is true, else "failed".
-func (b *Balancer) reject(now Micros, r *request) {
+// reject gives the final answer "rejected" if that is true, else "failed".
+func (b *Balancer) reject(_ Micros, r *request) {
 	if r.ended || !b.mayReject(r) {
 		b.fail(r)
 		return
 	}
-	var after Micros
+	var retryAfter Micros
 	if b.settings.Limits.RetryAfter {
-		// Spread the returns, and let them come while an answer is still wanted.
-		after = Micros((0.1 + 0.2*b.rng.float()) * float64(b.class(r).LatencyObjective))
-		after = min(after, b.settings.Limits.MaxRetryAfter)
+		share := minRetryAfterShare + retryAfterShareSpread*b.rng.float()
+		retryAfter = Micros(share * float64(b.class(r).LatencyObjective))
+		retryAfter = min(retryAfter, b.settings.Limits.MaxRetryAfter)
 	}
-	b.out.Reject(r.ID, after)
+	b.out.Reject(r.ID, retryAfter)
 	b.finish(r)
 }
 
+// fail gives the final answer "failed".
 func (b *Balancer) fail(r *request) {
 	if !r.ended {
 		b.out.Fail(r.ID)
--- a/balancer/average.go
+++ b/balancer/average.go
@@ -2,21 +2,22 @@
 
 import "math"
 
-// ewma is a moving average that starts as a plain mean: taken whole, one odd first sample would steer
-// for long.
+// settledSamples is a number of samples so high that an average moves by the given weight alone.
+const settledSamples = 1e9
+
+// ewma is an exponentially weighted moving average that begins as a plain mean, so that one odd first sample does not
+// steer it for long.
 type ewma struct {
 	value   float64
-	samples float64 // samples, as far as they tell
+	samples float64
 }
 
-// settledSamples counts as many samples: only the weight given moves such an average.
-const settledSamples = 1e9
-
 func (a *ewma) add(x, weight float64) {
 	a.samples++
 	a.value += (x - a.value) * max(weight, indicator(a.samples == 1))
 }
 
+// valueOr returns the average, or a fallback if there is no sample.
 func (a *ewma) valueOr(fallback float64) float64 {
 	if a.samples > 0 {
 		return a.value
@@ -24,15 +25,19 @@
 	return fallback
 }
 
-// rateMeter is a rate a second, averaged over about two seconds.
+// rateMeterSpan is the time constant of a rateMeter.
+const rateMeterSpan = 2 * second
+
+// rateMeter measures a rate a second as an exponentially decaying sum.
 type rateMeter struct {
 	sum float64
-	at  Micros
+	at  Micros // the instant of sum
 }
 
-const rateMeterSpan = 2 * second
-
-func (m *rateMeter) add(now Micros, x float64) { m.sum, m.at = m.decayed(now)+x, now }
+func (m *rateMeter) add(now Micros, x float64) {
+	m.sum = m.decayed(now) + x
+	m.at = now
+}
 
 func (m *rateMeter) decayed(now Micros) float64 {
 	if m.sum == 0 {
@@ -45,9 +50,9 @@
 	return m.decayed(now) * float64(second) / float64(rateMeterSpan)
 }
 
-// indicator counts a yes as a whole.
-func indicator(yes bool) float64 {
-	if yes {
+// indicator is 1 for true and 0 for false.
+func indicator(condition bool) float64 {
+	if condition {
 		return 1
 	}
 	return 0
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,9 +1,26 @@
-// Package balancer makes the decisions of a client-side sidecar balancer.
+// Package balancer makes the decisions of a client-side load balancer: which endpoint gets a request, when a request is
+// rejected, when it is retried, which endpoints are ejected, and what is probed.
 //
-// Settings, events and actions stand in api.go, the records kept in state.go; all decisions stand here.
-// A Balancer is a deterministic state machine for one caller at a time: the host passes each event with
-// its instant, and the balancer calls Actions. Reading order: lifecycle and request ledger, membership and
-// warm-up, probe pool and pick, breaker, attempts.
+// A Balancer is a deterministic state machine for one caller at a time. The host passes each event with its instant
+// (api.go) and the balancer calls Actions; it does no I/O and reads no clock, and randomness comes from a seed. The
+// package imports the standard library alone.
+//
+// Each file holds one mechanism with its constants and its state:
+//
+//	settings.go, reload.go       what a balancer is configured with, and how that changes
+//	request.go, attempts.go      the record of open requests; sending attempts and taking their outcomes
+//	admission.go, priority.go    whether a request is dispatched or rejected, and which classes give way first
+//	waiting.go                   holding a request until fresh load reports have come
+//	pick.go, latency.go          the choice of an endpoint, and the latency predicted for each
+//	probes.go, reports.go        probing, the pool of load reports, and how far a report is to be believed
+//	membership.go, polling.go    the endpoint list, and polling discovery for it
+//	aperture.go                  the subset of endpoints that this balancer uses
+//	slowstart.go                 what an endpoint that is warming up may be sent
+//	drain.go                     administrative drains
+//	breaker.go, outlier.go       the circuit breaker, and ejecting endpoints that fail in a row
+//	snapshot.go, resume.go       the whole state as data, and a balancer made from it
+//	restore.go                   what a new process takes over from an earlier one's snapshot
+//	explain.go                   what was weighed, for operators
 package balancer
 
 const second Micros = 1_000_000
@@ -11,71 +28,80 @@
 // Balancer decides for one sidecar. Make one with New.
 type Balancer struct {
 	settings Settings
-	rules    *Rules // of the requests that come now
+	rules    *Rules // of requests that arrive now
 	out      Actions
 	rng      randSource
 
-	requests  map[uint64]*request // every request with an attempt out or no final answer
+	requests  map[uint64]*request // by ID: all with a pending attempt or without a final answer
 	slots     []*request          // by timer slot
 	freeSlots []*request          // records to use again
-	open      int                 // requests without final answer
-
-	byID                map[uint32]*endpoint
-	endpoints           []*endpoint         // known endpoints in the order first heard of
-	slowStartCorrection float64             // the least warmth of cold endpoints over that which they show, 1 at most
-	apertureSeed        uint64              // of the lots that choose the aperture
-	apertureList        []*endpoint         // the aperture, as of the last count of strength
-	pool                []*endpoint         // those with a load answer, the latest last
-	waiting             []*request          // requests that wait for probes
-	pendingProbes       int                 // probes that they wait for
-	probeRound          uint32              // of held requests
-	everListed          bool                // discovery has answered since the start
-	drainedAt           map[uint32]Micros   // by ID, when operators took it out
-	capacityShare       float64             // of what cold endpoints may be sent, our part
-	undrained           []undrainedEndpoint // to be sent something soon
+	open      int                 // requests without a final answer
+
+	byID       map[uint32]*endpoint
+	endpoints  []*endpoint // in the order in which they were first listed
+	everListed bool        // discovery has answered since the start
 
 	subscribed  bool
-	nextPollAt  Micros // next call of discovery, unless subscribed by then
-	pollBackoff Micros // before the next call, about, counted from the last one
-	lastPollAt  Micros // the last one
-
-	classes            []classStats
-	tenantDemand       []rateMeter // requests taken, by tenant
-	fleetPace          ewma        // pace of the whole fleet
-	demand             rateMeter   // requests taken
-	sentWork           rateMeter   // work sent that was not turned away unseen, as of its outcomes
-	meanWork           ewma        // mean work of a request
-	capacity           float64     // what the ready endpoints can do, in warm ones
-	warmEndpoints      float64     // of them warm
-	capacityValidUntil Micros      // when to count that again
-	rejectionRate      ewma        // share of requests refused at arrival
-	retryBudget        float64     // retry budget, in attempts
-
-	reportTime, reportChanges float64 // time over which reports were watched, and how often they changed
-	repeatProbes              int     // endpoints asked twice for that
-	repeatProbed              uint32  // the latest of them
-
-	lateReports  ewma // share of load reports that must be late
-	typicalLoad  ewma // load of others at an endpoint, over all answers
-	reportsLate  bool
-	serviceTime  ewma    // reported time of service without waiting
-	hintTrust    float64 // power of a hint that work grows with
-	latencyTrend float64 // latencies over those predicted, for all endpoints together
-
-	partsBuffer [2]int            // room for what parts returns
-	lastLogged  map[string]Micros // last line by topic
+	nextPollAt  Micros // unless subscribed by then
+	pollBackoff Micros // mean pause, counted from lastPollAt
+	lastPollAt  Micros
+
+	drainedAt map[uint32]Micros   // by endpoint ID: administrative drains in force
+	undrained []undrainedEndpoint // that are due a first request
+
+	apertureSeed       uint64
+	apertureList       []*endpoint
+	capacity           float64 // of the available endpoints in aperture terms, in fully warm ones
+	warmEndpoints      float64 // of these, the number that are fully warm
+	capacityValidUntil Micros  // of apertureList, capacity and warmEndpoints
+
+	slowStartCorrection float64 // guaranteed over observed capacity of endpoints that warm up, at most 1
+	capacityShare       float64 // this process's share of slow-start budgets
+
+	pool          []*endpoint // with a load report, the latest last
+	waiting       []*request  // that wait for probes
+	pendingProbes int         // that they wait for
+	probeRound    uint32      // of waiting requests
+
+	reportTime    float64 // microseconds over which load reports were observed,
+	reportChanges float64 // and how often they changed meanwhile
+	repeatProbes  int     // endpoints that were probed twice to observe that
+	repeatProbed  uint32  // ID of the latest of them
+	lateReports   ewma    // share of load reports that must be late
+	reportsLate   bool    // so many that the pool is not to be relied on
+	typicalLoad   ewma    // requests of others at an endpoint, over all reports
+	serviceTime   ewma    // reported service time, without queueing
+
+	classes      []classStats
+	tenantDemand []rateMeter // requests, by tenant
+	demand       rateMeter   // requests
+	sentWork     rateMeter   // work of attempts that may have run, as of their outcomes
+	meanWork     ewma        // of a request
+	fleetPace    ewma        // time per unit of work, over all endpoints
+	latencyTrend float64     // observed over predicted latency, over all endpoints
+	hintTrust    float64     // exponent by which a request's work grows with its hint
+
+	rejectionRate ewma    // share of requests rejected on arrival
+	retryBudget   float64 // attempts
+
+	partsBuffer [2]int            // backs the result of parts
+	lastLogged  map[string]Micros // by topic
 }
 
-// New returns a balancer, or a *SettingError for settings that make no sense.
-// Call Start before any other event.
+// New returns a balancer, or a *SettingError for invalid settings. Call Start before any other event.
 func New(s Settings, seed uint64, out Actions) (*Balancer, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
 	}
 	b := &Balancer{
-		out: out, rng: randSource(seed), apertureSeed: seed,
-		requests: map[uint64]*request{}, byID: map[uint32]*endpoint{}, lastLogged: map[string]Micros{},
-		drainedAt: map[uint32]Micros{}, capacityShare: 1,
+		out:           out,
+		rng:           randSource(seed),
+		apertureSeed:  seed,
+		requests:      map[uint64]*request{},
+		byID:          map[uint32]*endpoint{},
+		lastLogged:    map[string]Micros{},
+		drainedAt:     map[uint32]Micros{},
+		capacityShare: 1,
 	}
 	b.applySettings(s)
 	for i := range b.classes {
@@ -84,13 +110,17 @@
 	return b, nil
 }
 
-// Start begins the balancer's life.
+// Start begins polling and probing.
 func (b *Balancer) Start(now Micros) {
-	b.lateReports.samples, b.rejectionRate.samples = settledSamples, settledSamples
-	b.latencyTrend, b.hintTrust, b.slowStartCorrection = 1, 0.5, 1
-	b.retryBudget, b.probeRound = maxRetryBudget, 1
+	b.lateReports.samples = settledSamples
+	b.rejectionRate.samples = settledSamples
+	b.latencyTrend = 1
+	b.hintTrust = 0.5
+	b.slowStartCorrection = 1
+	b.retryBudget = maxRetryBudget
+	b.probeRound = 1
 	if b.settings.Subscribe {
-		// All instances of a fleet may start at once: spread their first calls.
+		// All instances of a fleet may start at once: spread their first polls.
 		b.schedulePoll(now, 1+b.rng.below(min(b.settings.Contract.PollInterval/10, second)))
 	}
 	if b.settings.Limits.Probes {
@@ -98,29 +128,47 @@
 	}
 }
 
-// Timer handles a token given to Actions.Timer.
+// Timer tokens below firstSlot are the balancer's own; others name a request.
+const (
+	tokenProbe = iota
+	tokenDiscovery
+	tokenRepeatProbe
+	firstSlot = 16
+	slotBits  = 20
+)
+
+// Timer handles a token that was given to Actions.Timer.
 func (b *Balancer) Timer(now Micros, token uint32) {
 	switch {
 	case token == tokenProbe:
 		b.startProbeRound(now)
 	case token == tokenDiscovery:
 		b.poll(now)
-	case token == tokenCheck:
+	case token == tokenRepeatProbe:
 		if e := b.byID[b.repeatProbed]; e != nil {
 			b.probe(now, e)
 		}
 	case token >= firstSlot:
-		slot := int(token&(1<<slotBits-1)) - firstSlot
-		if slot < 0 || slot >= len(b.slots) {
-			return
-		}
-		if r := b.slots[slot]; r.token != token || r.ended || r.responding {
-			return
-		} else if r.waiting {
-			b.releaseWaiting(now) // it was held long enough
-		} else if now >= r.Deadline {
-			b.reject(now, r)
-		}
+		b.requestTimer(now, token)
+	}
+}
+
+// requestTimer ends a request's wait for probes, or the request itself at its deadline.
+func (b *Balancer) requestTimer(now Micros, token uint32) {
+	slot := slotIndex(token)
+	if slot < 0 || slot >= len(b.slots) {
+		return
+	}
+	r := b.slots[slot]
+	if r.token != token || r.ended || r.responding {
+		return
+	}
+	if r.waiting {
+		b.releaseWaiting(now)
+		return
+	}
+	if now >= r.Deadline {
+		b.reject(now, r)
 	}
 }
 
@@ -132,12 +180,3 @@
 	b.lastLogged[topic] = now
 	b.out.Log(line)
 }
-
-// Timer tokens below firstSlot belong to the balancer; others name a request.
-const (
-	tokenProbe = iota
-	tokenDiscovery
-	tokenCheck
-	firstSlot = 16
-	slotBits  = 20
-)
--- a/balancer/breaker.go
+++ b/balancer/breaker.go
@@ -1,39 +1,44 @@
 package balancer
 
-// go-zero's constants.
+// The circuit breaker is that of go-zero: it rejects attempts at an endpoint at random, the more of them the more of the
+// latest ones failed or the slower the endpoint has become. The figures are go-zero's.
 const (
 	window              = 10 * second
 	bucketCount         = 40
-	maxK                = 1.5
+	maxK                = 1.5 // requests by accepted ones, above which attempts are rejected; less the longer it fails
 	minK                = 1.1
-	protectedRequests   = 5
+	protectedRequests   = 5 // in the window, below which nothing is rejected
 	forcedPassInterval  = second
-	latencyActivation   = 3
-	latencyCeilingShare = 0.95
+	latencyActivation   = 3    // times the base latency, above which attempts are rejected
+	latencyCeilingShare = 0.95 // of the timeout, at which the most are rejected
 	baseFallDivisor     = 4
 	baseRiseDivisor     = 100
 	currentDivisor      = 4
 	maxLatencyRejection = 0.3
 )
 
-// breaker holds an endpoint's window of outcomes and its two latency averages.
+// breaker holds the outcomes of an endpoint in a sliding window and two averages of its latency.
 type breaker struct {
-	buckets       [bucketCount]bucket
-	head          int64 // number of the newest bucket
-	requests      int   // over the window
-	accepts       int
-	base, current float64
-	lastForcedAt  Micros // last forced pass
+	buckets      [bucketCount]bucket
+	head         int64 // number of the newest bucket, counted from instant 0
+	requests     int   // in the window
+	accepts      int   // in the window
+	base         float64
+	current      float64
+	lastForcedAt Micros // last attempt that passed although the breaker was open
 }
 
-// bucket counts a fortieth of the window. An endpoint has a ring of them at each balancer: they are
-// kept small.
+// bucket counts a part of the window. There are bucketCount for each endpoint, hence the small types.
 type bucket struct{ requests, accepts, failures int32 }
 
+// slide moves the window up to now and returns the newest bucket.
 func (k *breaker) slide(now Micros) *bucket {
 	n := now / (window / bucketCount)
 	if n-k.head >= bucketCount {
-		k.buckets, k.requests, k.accepts, k.head = [bucketCount]bucket{}, 0, 0, n
+		k.buckets = [bucketCount]bucket{}
+		k.requests = 0
+		k.accepts = 0
+		k.head = n
 	}
 	for k.head < n {
 		k.head++
@@ -45,34 +50,38 @@
 	return &k.buckets[n%bucketCount]
 }
 
-// count adds to the newest bucket. Whatever is asked counts as a request.
+// count adds one request to the newest bucket; one that the breaker rejects has neither an accept nor a failure.
 func (k *breaker) count(now Micros, accepts, failures int) {
-	at := k.slide(now)
-	at.requests++
-	at.accepts += int32(accepts)
-	at.failures += int32(failures)
+	newest := k.slide(now)
+	newest.requests++
+	newest.accepts += int32(accepts)
+	newest.failures += int32(failures)
 	k.requests++
 	k.accepts += accepts
 }
 
-func (k *breaker) recordLatency(x float64) {
+// recordLatency takes a latency into the averages: base falls quickly and rises slowly, current follows.
+func (k *breaker) recordLatency(latency float64) {
 	if k.base <= 0 {
-		k.base, k.current = x, x
+		k.base = latency
+		k.current = latency
 		return
 	}
 	divisor := float64(baseRiseDivisor)
-	if x < k.base {
+	if latency < k.base {
 		divisor = baseFallDivisor
 	}
-	k.base = (x + (divisor-1)*k.base) / divisor
-	k.current = (x + (currentDivisor-1)*k.current) / currentDivisor
+	k.base = (latency + (divisor-1)*k.base) / divisor
+	k.current = (latency + (currentDivisor-1)*k.current) / currentDivisor
 }
 
+// errorChance is the chance that an attempt is rejected because of failures.
 func (k *breaker) errorChance(now Micros) float64 {
 	k.slide(now)
-	failing := 0
+	failing := 0 // buckets with failures alone, since the latest accept
 	for i := k.head + 1; i <= k.head+bucketCount; i++ {
-		if at := &k.buckets[i%bucketCount]; at.accepts > 0 {
+		at := &k.buckets[i%bucketCount]
+		if at.accepts > 0 {
 			failing = 0
 		} else if at.failures > 0 {
 			failing++
@@ -83,6 +92,7 @@
 	return max(0, (total-protectedRequests-weight*float64(k.accepts))/(total+1))
 }
 
+// latencyChance is the chance that an attempt is rejected because of latency.
 func (k *breaker) latencyChance(timeout float64) float64 {
 	threshold := latencyActivation * k.base
 	ceiling := latencyCeilingShare * timeout
@@ -92,7 +102,7 @@
 	return min(maxLatencyRejection, max(0, (k.current-threshold)/(ceiling-threshold)*maxLatencyRejection))
 }
 
-// breakerAllows draws the breaker's lot for a request; a refusal counts as a request.
+// breakerAllows decides at random whether e's breaker lets an attempt pass. A rejected one counts as a request.
 func (b *Balancer) breakerAllows(now Micros, r *request, e *endpoint) bool {
 	chance := max(e.breaker.errorChance(now), e.breaker.latencyChance(float64(b.class(r).Timeout)))
 	if chance <= 0 {
--- a/balancer/drain.go
+++ b/balancer/drain.go
@@ -2,21 +2,9 @@
 
 import "slices"
 
-// ---- Maintenance -----------------------------------------------------------
-//
-// What operators take out stands apart from what discovery tells: a ban is on an ID, known or not, and
-// holds
-// whatever the list says until the call back.
-
-// undrainedEndpoint is an endpoint that was called back and has been sent nothing since.
-type undrainedEndpoint struct {
-	id uint32
-	at Micros
-}
-
+// An endpoint that is back in service looks slower than any other while it warms up, and would get nothing until it is
+// warm. It is due a first request: soon one that it is predicted to answer in time, then an idempotent one, then any.
 const (
-	// After its call back an endpoint gets a request that it would serve in time, then one that is harmless
-	// to repeat, and then any: what is never sent anything shows nothing.
 	undrainDelay           = second
 	undrainIdempotentDelay = 2 * second
 	undrainAnyDelay        = 3 * second
@@ -24,14 +12,21 @@
 	maxUndrained           = 64
 )
 
+// undrainedEndpoint is an endpoint whose administrative drain has ended and that has been sent nothing since.
+type undrainedEndpoint struct {
+	id uint32
+	at Micros
+}
+
+// administrativelyDrained reports whether operators have drained an endpoint. A drain is on an ID, listed or not, and
+// holds whatever discovery says until it is ended.
 func (b *Balancer) administrativelyDrained(id uint32) bool {
-	_, out := b.drainedAt[id]
-	return out
+	_, drained := b.drainedAt[id]
+	return drained
 }
 
-// DrainEndpoint bans an endpoint, by a call at an instant not in the future. Nothing goes there from now
-// on, probes
-// included; what is out there goes on.
+// DrainEndpoint begins an administrative drain, ordered at an instant that is not in the future. From now on nothing
+// is sent to the endpoint, probes included; attempts in flight continue.
 func (b *Balancer) DrainEndpoint(id uint32, at Micros) {
 	b.drainedAt[id] = at
 	b.capacityValidUntil = 0
@@ -40,26 +35,24 @@
 	}
 }
 
-// UndrainEndpoint ends the ban of an endpoint, at an instant not in the future. It counts as cold: from
-// when it was
-// restarted, if discovery told of that since the ban, else from the call back on.
+// UndrainEndpoint ends an administrative drain, ordered at an instant that is not in the future. The endpoint warms up:
+// since its restart if discovery reported one during the drain, else since that instant.
 func (b *Balancer) UndrainEndpoint(now Micros, id uint32, at Micros) {
-	outAt, wasOut := b.drainedAt[id]
+	drainedAt, wasDrained := b.drainedAt[id]
 	delete(b.drainedAt, id)
 	b.capacityValidUntil = 0
-	b.undrained = slices.DeleteFunc(b.undrained, func(c undrainedEndpoint) bool {
-		return c.id == id ||
-			now-c.at > undrainTimeout
+	b.undrained = slices.DeleteFunc(b.undrained, func(u undrainedEndpoint) bool {
+		return u.id == id || now-u.at > undrainTimeout
 	})
 	if len(b.undrained) < maxUndrained {
 		b.undrained = append(b.undrained, undrainedEndpoint{id, now})
 	}
 	e := b.byID[id]
 	if e == nil {
-		return // how cold it is shows when it is listed again
+		return // its start time shows how warm it is, once it is listed again
 	}
 	b.resetEndpoint(e)
-	if wasOut && e.StartTime > outAt {
+	if wasDrained && e.StartTime > drainedAt {
 		at = min(at, e.StartTime)
 	}
 	if now-at < b.settings.Contract.SlowStartDuration {
@@ -67,12 +60,10 @@
 	}
 }
 
-// undrainedCandidate returns an endpoint that was called back and may have r for its first request. While
-// it is cold it
-// looks slower than any other and would wait for one until it is warm.
+// undrainedCandidate returns an endpoint that is back in service and may have r for its first request, or nil.
 func (b *Balancer) undrainedCandidate(now Micros, r *request) *endpoint {
-	for _, c := range b.undrained {
-		e, since := b.byID[c.id], now-c.at
+	for _, u := range b.undrained {
+		e, since := b.byID[u.id], now-u.at
 		if e == nil || since < undrainDelay || since > undrainTimeout || !b.maySend(now, r, e) {
 			continue
 		}
--- a/balancer/hold_test.go
+++ b/balancer/hold_test.go
@@ -246,7 +246,7 @@
 		b.ProbeCompleted(now, 1, OK, 500, []float32{load})
 		now += 10 * second
 		for i, token := range r.timers {
-			if token == tokenCheck {
+			if token == tokenRepeatProbe {
 				load++
 				b.ProbeCompleted(now-10*second+r.delays[i]+5000, 1, OK, 500, []float32{load})
 			}
--- a/balancer/membership.go
+++ b/balancer/membership.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// UpdateEndpoints handles discovery's news.
+// UpdateEndpoints handles a change of the endpoint list, or a failed call of discovery.
 func (b *Balancer) UpdateEndpoints(now Micros, kind ListKind, entries []Endpoint) {
 	if kind == ListFailed {
 		b.subscribed = false
@@ -11,50 +11,57 @@
 		return
 	}
 	if kind != ListCached && b.settings.Subscribe {
-		b.subscribed, b.pollBackoff = true, 0
+		b.subscribed = true
+		b.pollBackoff = 0
 	}
-	whole := kind != ListDelta
 	for _, e := range b.endpoints {
 		e.inUpdate = false
 	}
 	for i := range entries {
 		b.updateEndpoint(now, &entries[i])
 	}
-	b.endpoints = slices.DeleteFunc(b.endpoints, func(e *endpoint) bool {
-		if whole && !e.inUpdate {
-			e.State = Removed
-		}
-		forget := e.State == Removed && e.inflight == 0
-		if e.State != Ready {
-			b.removeFromPool(e)
-		}
-		if forget {
-			delete(b.byID, e.ID)
-		}
-		return forget
-	})
+	complete := kind != ListDelta
+	b.endpoints = slices.DeleteFunc(b.endpoints, func(e *endpoint) bool { return b.removeIfGone(e, complete) })
 	b.capacityValidUntil = now
 	b.everListed = b.everListed || kind != ListCached || !b.settings.Subscribe
 }
 
+// removeIfGone marks an endpoint that a complete list does not name as removed, and reports whether its record may be
+// dropped: it is removed and no attempt is in flight there.
+func (b *Balancer) removeIfGone(e *endpoint, complete bool) bool {
+	if complete && !e.inUpdate {
+		e.State = Removed
+	}
+	if e.State != Ready {
+		b.removeFromPool(e)
+	}
+	if e.State != Removed || e.inflight > 0 {
+		return false
+	}
+	delete(b.byID, e.ID)
+	return true
+}
+
+// updateEndpoint handles one entry of a list.
 func (b *Balancer) updateEndpoint(now Micros, in *Endpoint) {
 	e := b.byID[in.ID]
-	fresh := e == nil
-	if fresh {
+	isNew := e == nil
+	if isNew {
 		e = &endpoint{partFailures: b.newPartFailures()}
 		b.byID[in.ID] = e
 		b.endpoints = append(b.endpoints, e)
 	}
-	restarted := !fresh && in.StartTime != 0 && in.StartTime != e.StartTime
+	restarted := !isNew && in.StartTime != 0 && in.StartTime != e.StartTime
 	if restarted {
 		b.resetEndpoint(e)
 	}
 	started := in.StartTime
-	if started == 0 && fresh && b.everListed {
-		started = now // it appeared while we watched
+	if started == 0 && isNew && b.everListed {
+		started = now // it appeared while this balancer was running
 	}
-	e.Endpoint, e.inUpdate = *in, true
-	if started != 0 && now-started < b.settings.Contract.SlowStartDuration && (fresh || restarted) {
+	e.Endpoint = *in
+	e.inUpdate = true
+	if started != 0 && now-started < b.settings.Contract.SlowStartDuration && (isNew || restarted) {
 		b.startSlowStart(now, e, started)
 	}
 }
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -2,17 +2,27 @@
 
 import "strconv"
 
-// failureRun is a run of failures.
+const (
+	ejectionThreshold     = 3 // failures in a row
+	partEjectionThreshold = 4 // of one class or tenant; one more, so that where all fail the endpoint is ejected first
+	minEjection           = second
+	maxEjection           = window
+	maxPeerEjection       = 2 * window
+	maxEjectedShare       = 1.0 / 2 // of the endpoints
+	maxPartEjectedShare   = 1.0/2 + 1.0/6
+	allParts              = -1 // stands for all requests, where a class or tenant is named
+)
+
+// failureRun is a run of failures of an endpoint.
 type failureRun struct {
-	streak           int    // failures in a row
-	ejectedUntil     Micros // ejected until then
+	streak           int // failures in a row
+	ejectedUntil     Micros
 	ejectionDuration Micros
-	onTrial          bool // a send since the last ejection has no outcome yet
+	onTrial          bool // an attempt since the last ejection has no outcome yet
 }
 
-// parts tells which parts of the traffic r belongs to, by their places in ills: its class and its tenant.
-// An
-// endpoint may fail one part, or limit it, and serve the others.
+// parts returns the indices in partFailures of the parts of the traffic that r belongs to: its class and its tenant. An
+// endpoint may fail or limit one part and serve the others. The result is valid until the next call.
 func (b *Balancer) parts(r *request) []int {
 	if t := int(r.Tenant); t < len(b.tenantDemand) {
 		return append(b.partsBuffer[:0], r.slot, len(b.classes)+t)
@@ -20,70 +30,108 @@
 	return append(b.partsBuffer[:0], r.slot)
 }
 
-// recordFailure counts a failure of a part, or of any for -1, and ejects the endpoint for it after a few
-// in a row.
-// When it is let in again the first request is a trial: until its outcome no other follows.
-func (b *Balancer) recordFailure(now Micros, e *endpoint, part int, i *failureRun) {
-	i.streak++
-	if i.streak < ejectionThreshold+int(indicator(part >= 0)) || now < i.ejectedUntil && !i.onTrial ||
-		!b.mayEject(now, e, part) {
+// recordSuccess ends the failure runs that a request belongs to.
+func (b *Balancer) recordSuccess(r *request, e *endpoint) {
+	e.failures = failureRun{}
+	for _, part := range b.parts(r) {
+		e.partFailures[part] = failureRun{}
+	}
+}
+
+// recordFailures counts a failure in the runs that a request belongs to.
+func (b *Balancer) recordFailures(now Micros, r *request, e *endpoint) {
+	b.recordFailure(now, e, allParts, &e.failures)
+	for _, part := range b.parts(r) {
+		b.recordFailure(now, e, part, &e.partFailures[part])
+	}
+}
+
+// recordFailure counts a failure in a run and ejects the endpoint after a few. Once the ejection is over the first
+// request is a trial: no other follows before its outcome.
+func (b *Balancer) recordFailure(now Micros, e *endpoint, part int, run *failureRun) {
+	run.streak++
+	threshold := ejectionThreshold
+	if part != allParts {
+		threshold = partEjectionThreshold
+	}
+	ejected := now < run.ejectedUntil && !run.onTrial
+	if run.streak < threshold || ejected || !b.mayEject(now, e, part) {
 		return
 	}
-	i.onTrial = false
-	i.ejectionDuration = min(max(2*i.ejectionDuration, second), window)
-	i.ejectedUntil = now + i.ejectionDuration/2 + b.rng.below(i.ejectionDuration)
-	e.ejectedUntil = max(e.ejectedUntil, i.ejectedUntil)
+	run.onTrial = false
+	run.ejectionDuration = min(max(2*run.ejectionDuration, minEjection), maxEjection)
+	run.ejectedUntil = now + run.ejectionDuration/2 + b.rng.below(run.ejectionDuration)
+	e.ejectedUntil = max(e.ejectedUntil, run.ejectedUntil)
 	of := ""
-	if part >= 0 {
+	if part != allParts {
 		of = " of part " + strconv.Itoa(part)
 	}
-	b.log(now, "eject", "endpoint "+strconv.Itoa(int(e.ID))+": "+strconv.Itoa(i.streak)+" failures"+of+
-		" in a row, ejected for "+strconv.Itoa(int((i.ejectedUntil-now)/1000))+" ms")
+	b.log(now, "eject", "endpoint "+strconv.Itoa(int(e.ID))+": "+strconv.Itoa(run.streak)+" failures"+of+
+		" in a row, ejected for "+strconv.Itoa(int((run.ejectedUntil-now)/1000))+" ms")
 }
 
-// startTrial notes a send: to an endpoint that was ejected it is a trial.
-func (i *failureRun) startTrial(now Micros) {
-	if i.ejectionDuration > 0 {
-		i.ejectedUntil, i.onTrial = max(i.ejectedUntil, now+i.ejectionDuration), true
+// startTrials notes an attempt at an endpoint, which is a trial in every run that it was ejected for.
+func (b *Balancer) startTrials(now Micros, r *request, e *endpoint) {
+	e.failures.startTrial(now)
+	e.ejectedUntil = max(e.ejectedUntil, e.failures.ejectedUntil)
+	for _, part := range b.parts(r) {
+		e.partFailures[part].startTrial(now)
+		e.ejectedUntil = max(e.ejectedUntil, e.partFailures[part].ejectedUntil)
 	}
 }
 
-// ejectedFor says whether e is ejected, for a part that r belongs to or as a whole.
+func (run *failureRun) startTrial(now Micros) {
+	if run.ejectionDuration > 0 {
+		run.ejectedUntil = max(run.ejectedUntil, now+run.ejectionDuration)
+		run.onTrial = true
+	}
+}
+
+// ejectedFor reports whether e is ejected for all requests or for a part that r belongs to.
 func (b *Balancer) ejectedFor(now Micros, e *endpoint, r *request) bool {
 	if now >= e.ejectedUntil {
 		return false
 	}
-	for _, i := range b.parts(r) {
-		if now < e.partFailures[i].ejectedUntil {
+	for _, part := range b.parts(r) {
+		if now < e.partFailures[part].ejectedUntil {
 			return true
 		}
 	}
 	return now < e.failures.ejectedUntil
 }
 
-// mayEject keeps most endpoints in: if many fail at once, the few left would only be overrun. A part of the
-// traffic may crowd into fewer.
+// mayEject keeps most endpoints in use: if many failed at once, the few that are left would only be overloaded. A part of
+// the traffic may crowd into fewer.
 func (b *Balancer) mayEject(now Micros, e *endpoint, part int) bool {
-	out := 1.0
+	ejected := 1.0
+	limit := maxEjectedShare
+	if part != allParts {
+		limit = maxPartEjectedShare
+	}
 	for _, o := range b.endpoints {
-		out += indicator(o != e && (now < o.failures.ejectedUntil || part >= 0 &&
-			now < o.partFailures[part].ejectedUntil))
+		isEjected := now < o.failures.ejectedUntil ||
+			part != allParts && now < o.partFailures[part].ejectedUntil
+		ejected += indicator(o != e && isEjected)
 	}
-	return out <= (1.0/2+indicator(part >= 0)/6)*float64(len(b.endpoints))
+	return ejected <= limit*float64(len(b.endpoints))
 }
 
-// PeerEjected takes the word of a process beside this one that it has ejected an endpoint for so long yet.
+// PeerEjected handles the report of another process of this sidecar that it has ejected an endpoint for some time yet.
 func (b *Balancer) PeerEjected(now Micros, id uint32, left Micros) {
+	left = min(left, maxPeerEjection)
 	e := b.byID[id]
-	if left = min(left, 2*window); e == nil || now+left <= e.failures.ejectedUntil || !b.mayEject(now, e, -1) {
+	if e == nil || now+left <= e.failures.ejectedUntil || !b.mayEject(now, e, allParts) {
 		return
 	}
-	e.failures = failureRun{streak: e.failures.streak, ejectedUntil: now + left,
-		ejectionDuration: max(e.failures.ejectionDuration, second)}
+	e.failures = failureRun{
+		streak:           e.failures.streak,
+		ejectedUntil:     now + left,
+		ejectionDuration: max(e.failures.ejectionDuration, minEjection),
+	}
 	e.ejectedUntil = max(e.ejectedUntil, e.failures.ejectedUntil)
 }
 
-// Ejections calls f for each endpoint that is ejected as a whole, with the time left.
+// Ejections calls f for each endpoint that is ejected for all requests, with the time left.
 func (b *Balancer) Ejections(now Micros, f func(id uint32, left Micros)) {
 	for _, e := range b.endpoints {
 		if now < e.failures.ejectedUntil {
@@ -92,8 +140,7 @@
 	}
 }
 
-// ExcludedCount counts the listed endpoints that nothing goes to by the operators' word or by our own
-// choice.
+// ExcludedCount counts the listed endpoints that get nothing: drained by an operator, or ejected for all requests.
 func (b *Balancer) ExcludedCount(now Micros) int {
 	n := 0
 	for _, e := range b.endpoints {
--- a/balancer/reload.go
+++ b/balancer/reload.go
@@ -2,50 +2,65 @@
 
 import "slices"
 
-// Rules are the settings that a request came with.
+const (
+	// initialWorkDivisor: the work of a class is taken to be such a part of its latency objective until it is observed.
+	initialWorkDivisor = 5
+)
+
+// Rules are the settings that a request arrived under. They never change.
 type Rules struct {
 	settings Settings
-	slots    []int // by class, its place in Balancer.classes
+	slots    []int // by class, its index in Balancer.classes
 }
 
-// Rules returns those that requests come with at present.
+// classStats is what a balancer has observed of a class.
+type classStats struct {
+	name           string
+	inUse          bool      // in the current settings
+	open           int       // records of its requests
+	priorityWeight float64   // of one request
+	meanWork       ewma      // of a request
+	demand         rateMeter // requests
+	onTime         ewma      // share answered within the latency objective
+	lastForcedAt   Micros    // last request sent although it was predicted to be late
+}
+
+// Rules returns those of requests that arrive now.
 func (b *Balancer) Rules() *Rules { return b.rules }
 
-// Reload takes new settings, or returns a *SettingError and changes nothing. Requests keep the rules that
-// they came with; what is known of endpoints, and of classes and tenants that stay, is kept. How discovery
-// is
-// asked stays as it was at the start.
+// Reload applies new settings, or returns a *SettingError and changes nothing. Requests keep the rules that they
+// arrived under. What is known of endpoints, and of classes and tenants that remain, is kept. Whether discovery is
+// polled stays as it was at the start.
 func (b *Balancer) Reload(s Settings) (*Rules, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
 	}
 	s.Subscribe = b.settings.Subscribe
-	old, classes := b.settings.Tenants, len(b.classes)
-	tenants := b.tenantDemand
+	oldTenants, oldClasses, oldDemand := b.settings.Tenants, len(b.classes), b.tenantDemand
 	b.applySettings(s)
 	for _, e := range b.endpoints {
-		ills := b.newPartFailures()
-		copy(ills, e.partFailures[:classes])
+		failures := b.newPartFailures()
+		copy(failures, e.partFailures[:oldClasses])
 		for i, t := range s.Tenants {
-			if at := tenantIndex(old, t.Name); at >= 0 {
-				ills[len(b.classes)+i] = e.partFailures[classes+at]
+			if at := tenantIndex(oldTenants, t.Name); at >= 0 {
+				failures[len(b.classes)+i] = e.partFailures[oldClasses+at]
 			}
 		}
-		e.partFailures = ills
+		e.partFailures = failures
 	}
 	for i, t := range s.Tenants {
-		if at := tenantIndex(old, t.Name); at >= 0 {
-			b.tenantDemand[i] = tenants[at]
+		if at := tenantIndex(oldTenants, t.Name); at >= 0 {
+			b.tenantDemand[i] = oldDemand[at]
 		}
 	}
 	b.capacityValidUntil = 0
 	return b.rules, nil
 }
 
-// applySettings makes settings the present ones and gives each class its slot: its old one, or a free
-// one.
+// applySettings makes settings the current ones and gives each class a slot: the one it had, or a free one.
 func (b *Balancer) applySettings(s Settings) {
-	b.settings, b.tenantDemand = s, make([]rateMeter, len(s.Tenants))
+	b.settings = s
+	b.tenantDemand = make([]rateMeter, len(s.Tenants))
 	b.rules = &Rules{settings: s, slots: make([]int, len(s.Classes))}
 	for i := range b.classes {
 		b.classes[i].inUse = false
@@ -54,21 +69,31 @@
 		c := &s.Classes[i]
 		at := slices.IndexFunc(b.classes, func(o classStats) bool { return o.name == c.Name && !o.inUse })
 		if at < 0 {
-			fresh := classStats{name: c.Name, meanWork: ewma{value: float64(c.LatencyObjective) / 5,
-				samples: settledSamples},
-				onTime: ewma{value: 1, samples: settledSamples}}
-			if at = b.freeSlot(s); at < 0 {
-				at = len(b.classes)
-				b.classes = append(b.classes, fresh)
-			}
-			b.classes[at] = fresh
+			at = b.newClass(s, c)
 		}
-		b.classes[at].inUse, b.classes[at].priorityWeight = true, c.PriorityWeight
+		b.classes[at].inUse = true
+		b.classes[at].priorityWeight = c.PriorityWeight
 		b.rules.slots[i] = at
 	}
 }
 
-// freeSlot returns the slot of a class that is gone for good, or -1.
+// newClass returns the slot of a class that has not been seen before.
+func (b *Balancer) newClass(s Settings, c *Class) int {
+	fresh := classStats{
+		name:     c.Name,
+		meanWork: ewma{value: float64(c.LatencyObjective) / initialWorkDivisor, samples: settledSamples},
+		onTime:   ewma{value: 1, samples: settledSamples},
+	}
+	at := b.freeSlot(s)
+	if at < 0 {
+		b.classes = append(b.classes, fresh)
+		return len(b.classes) - 1
+	}
+	b.classes[at] = fresh
+	return at
+}
+
+// freeSlot returns the slot of a class that the settings no longer have and that no request belongs to, or -1.
 func (b *Balancer) freeSlot(s Settings) int {
 	at := slices.IndexFunc(b.classes, func(o classStats) bool {
 		return !o.inUse && o.open == 0 &&
@@ -82,27 +107,12 @@
 	return at
 }
 
-func tenantIndex(tenants []Tenant, name string) int {
-	return slices.IndexFunc(tenants, func(t Tenant) bool { return t.Name == name })
-}
-
-// classStats is what a balancer knows of a class.
-type classStats struct {
-	name           string
-	inUse          bool      // the present settings have it
-	open           int       // records of its requests
-	priorityWeight float64   // of one
-	meanWork       ewma      // mean work of a request
-	demand         rateMeter // requests taken
-	onTime         ewma      // share answered in time
-	lastForcedAt   Micros    // last request sent although it seemed too late
-}
-
-func (b *Balancer) newPartFailures() []failureRun {
-	return make([]failureRun, len(b.classes)+len(b.tenantDemand))
+// classWeight is the priority weight of a request of a class.
+func (b *Balancer) classWeight(class int) float64 {
+	c := &b.classes[class]
+	return c.priorityWeight * (1 + (c.meanWork.value-1)*indicator(b.settings.WeightByWork))
 }
 
-func (b *Balancer) classWeight(class int) float64 {
-	return b.classes[class].priorityWeight * (1 +
-		(b.classes[class].meanWork.value-1)*indicator(b.settings.WeightByWork))
+func tenantIndex(tenants []Tenant, name string) int {
+	return slices.IndexFunc(tenants, func(t Tenant) bool { return t.Name == name })
 }
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -1,47 +1,53 @@
 package balancer
 
-// A cold endpoint gets at most a share of its warmth's part of our own mean work per warm endpoint. All
-// balancers doing so, their sum stays well under what it bears; none needs to know of the others. Each send
-// is charged a little more than its work, for the handshake that it may cost.
+// An endpoint that warms up is sent at most a share of its guaranteed capacity's part of this balancer's mean work per
+// warm endpoint. When all balancers do so their sum stays below what overloads it, and none needs to know of the others.
 const (
-	slowStartShare   = 0.6 // of the multiple at which it falls over, by its warmth, the least that it can do,
-	maxSlowStartRate = 1.4 // and of what it can do by its heat, at most
-	slowStartCharge  = 1.15
-	rejectionGain    = 2.0  // a share of refusals above the half of which this is the inverse counts as whole
-	probeCharge      = 0.01 // of a request's work, taken from a cold endpoint's room by a probe
+	slowStartShare   = 0.6  // of the multiple of its guaranteed capacity at which it is overloaded
+	maxSlowStartRate = 1.4  // times its estimated capacity
+	slowStartCharge  = 1.15 // times the work of a request, for the handshake that it may cost
+	rejectionGain    = 2.0  // times the rejection rate counts the estimate by pace
+	probeCharge      = 0.01 // of a request's work, for a probe
 )
 
+// startSlowStart has an endpoint warm up from an instant on.
 func (b *Balancer) startSlowStart(now Micros, e *endpoint, started Micros) {
-	// A random part of a request's room: with many quiet balancers none would ever save up a whole one.
-	e.warmingUp, e.slowStartAt, e.slowStartBudget, e.budgetRefilledAt = true, min(started, now),
-		b.rng.float()*b.meanWork.value*slowStartCharge, now
+	e.warmingUp = true
+	e.slowStartAt = min(started, now)
+	// A random part of a request's work: of many quiet balancers, none would ever save up for one.
+	e.slowStartBudget = b.rng.float() * b.meanWork.value * slowStartCharge
+	e.budgetRefilledAt = now
 }
 
-// fitsSlowStartBudget refills the token bucket of a cold endpoint and says whether a
-// request of this work fits.
+// fitsSlowStartBudget refills the token bucket of an endpoint that warms up and reports whether a request of this work
+// fits.
 func (b *Balancer) fitsSlowStartBudget(now Micros, e *endpoint, work float64) bool {
+	fill := b.slowStartRate(now, e, work)
+	limit := max(fill*float64(b.settings.Contract.OverloadWindow)/float64(second)/2, work*slowStartCharge)
+	e.slowStartBudget = min(limit, e.slowStartBudget+fill*float64(now-e.budgetRefilledAt)/float64(second))
+	e.budgetRefilledAt = now
+	return e.slowStartBudget >= work*slowStartCharge
+}
+
+// slowStartRate is the work a second that this balancer may send to an endpoint that warms up.
+func (b *Balancer) slowStartRate(now Micros, e *endpoint, work float64) float64 {
 	rate := b.sentWork.rate(now)
-	if b.warmEndpoints == 0 { // what is sent would only follow what cold ones are let have
+	if b.warmEndpoints == 0 {
+		// What was sent would only follow the budgets of endpoints that warm up.
 		rate = b.demand.rate(now) * work
 	}
 	each := rate / max(1, b.capacity)
-	// While requests are refused little is sent, and a part of that would keep cold endpoints idle and the
-	// refusals going. Then the guide is what its pace lets an endpoint of few cores do, for all who use it.
+	// While requests are rejected little is sent, and a part of that would keep these endpoints idle and the rejections
+	// going. The guide is then what an endpoint of this pace can do, over all balancers that use it.
 	users := float64(b.settings.Balancers*len(b.aperture(now))) / float64(len(b.endpoints))
-	able := assumedCores / (e.currentPace(now, b) * e.estimatedCapacity(now, b)) * float64(second) / max(1,
-		users)
+	able := assumedCores / (e.currentPace(now, b) * e.estimatedCapacity(now, b)) * float64(second) / max(1, users)
 	each = max(each, min(1, rejectionGain*b.rejectionRate.value)*able)
-	fill := b.capacityShare * each * min(maxSlowStartRate*e.estimatedCapacity(now, b),
+	return b.capacityShare * each * min(maxSlowStartRate*e.estimatedCapacity(now, b),
 		slowStartShare*b.settings.Contract.OverloadMultiple*e.guaranteedCapacity(now, b))
-	most := max(fill*float64(b.settings.Contract.OverloadWindow)/float64(second)/2, work*slowStartCharge)
-	e.slowStartBudget = min(most, e.slowStartBudget+fill*float64(now-e.budgetRefilledAt)/float64(second))
-	e.budgetRefilledAt = now
-	return e.slowStartBudget >= work*slowStartCharge
 }
 
-// SetCapacityShare sets this balancer's part of what cold endpoints may be sent: two processes share it
-// while one takes
-// over from the other, and to an endpoint they are one. What was saved up is shared, too.
+// SetCapacityShare sets the part of the slow-start budgets that this process may use. Two processes of a sidecar share
+// them during a handover, since to an endpoint they are one. What was saved up is shared, too.
 func (b *Balancer) SetCapacityShare(part float64) {
 	for _, e := range b.endpoints {
 		e.slowStartBudget *= min(1, part/b.capacityShare)
@@ -49,6 +55,7 @@
 	b.capacityShare = part
 }
 
+// isWarmingUp reports whether e is still within its slow start.
 func (e *endpoint) isWarmingUp(now Micros, b *Balancer) bool {
 	if e.warmingUp && now-e.slowStartAt >= b.settings.Contract.SlowStartDuration {
 		e.warmingUp = false
@@ -56,7 +63,7 @@
 	return e.warmingUp
 }
 
-// guaranteedCapacity is the least share of its capacity that e has by now.
+// guaranteedCapacity is the least share of its capacity that e has by now, by the contract.
 func (e *endpoint) guaranteedCapacity(now Micros, b *Balancer) float64 {
 	if !e.isWarmingUp(now, b) {
 		return 1
@@ -65,10 +72,8 @@
 	return from + (1-from)*float64(now-e.slowStartAt)/float64(b.settings.Contract.SlowStartDuration)
 }
 
-// estimatedCapacity is the share of its capacity that e is held to have by now: its warmth, and more
-// if what cold
-// endpoints
-// serve has shown that they are warmer than they must be. Budgets go by warmth, expectations by heat.
+// estimatedCapacity is the share of its capacity that e is taken to have by now: the guaranteed one, and more if what
+// endpoints have served while warming up shows it. Budgets go by the guaranteed one, predictions by the estimate.
 func (e *endpoint) estimatedCapacity(now Micros, b *Balancer) float64 {
 	return min(1, e.guaranteedCapacity(now, b)/b.slowStartCorrection)
 }
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -94,10 +94,10 @@
 		s.Slots = append(s.Slots, x)
 	}
 	for _, r := range b.freeSlots {
-		s.Free = append(s.Free, r.slotIndex())
+		s.Free = append(s.Free, slotIndex(r.token))
 	}
 	for _, r := range b.waiting {
-		s.Waiting = append(s.Waiting, r.slotIndex())
+		s.Waiting = append(s.Waiting, slotIndex(r.token))
 	}
 	for topic, at := range b.lastLogged {
 		s.Logged = append(s.Logged, LoggedState{topic, now - at})
