--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -8,8 +8,8 @@
 const (
 	maxQueueShare = 0.6 // of what the latency objective leaves, that a request of the highest priority may wait
 	minQueueShare = 0.2 // and one of the lowest
-	// A rejected client is told to come back after a part of its latency objective: spread, and while it still wants an
-	// answer.
+	// A rejected client is told to come back after a part of its latency objective: spread, and while it still
+	// wants an answer.
 	minRetryAfterShare    = 0.1
 	retryAfterShareSpread = 0.2
 )
@@ -66,7 +66,8 @@
 	}
 }
 
-// tryAttempt picks an endpoint and sends the request there. If the breaker rejects the pick, the next best gets a chance.
+// tryAttempt picks an endpoint and sends the request there. If the breaker rejects the pick, the next best gets a
+// chance.
 func (b *Balancer) tryAttempt(now Micros, r *request, first bool) bool {
 	if e := b.undrainedCandidate(now, r); e != nil && first {
 		return b.send(now, r, e)
@@ -85,8 +86,8 @@
 	return b.send(now, r, e)
 }
 
-// inTime reports whether a request is predicted to be answered by e within its latency budget. A first attempt that is
-// not passes now and then all the same, so that a wrong prediction is corrected.
+// inTime reports whether a request is predicted to be answered by e within its latency budget. A first attempt that
+// is not passes now and then all the same, so that a wrong prediction is corrected.
 func (b *Balancer) inTime(now Micros, r *request, e *endpoint, first bool) bool {
 	predicted, limit := b.predict(now, e, r.work), b.latencyBudget(now, r, e)
 	if predicted <= limit {
@@ -105,8 +106,9 @@
 	return false
 }
 
-// latencyBudget is the longest predicted latency at which r is still sent to e: its latency there without a queue, and a
-// part of what the latency objective leaves for waiting. Classes of low priority for their work give way first.
+// latencyBudget is the longest predicted latency at which r is still sent to e: its latency there without a queue,
+// and a part of what the latency objective leaves for waiting. Classes of low priority for their work give way
+// first.
 func (b *Balancer) latencyBudget(now Micros, r *request, e *endpoint) float64 {
 	alone := b.latencyAlone(now, e, r.work, 1)
 	share := max(minQueueShare, maxQueueShare*b.priority(now, r))
--- a/balancer/aperture.go
+++ b/balancer/aperture.go
@@ -16,9 +16,9 @@
 // apertureHashMultiplier spreads endpoint IDs over the seeds of their ranks; any odd number with mixed bits does.
 const apertureHashMultiplier = 0xd1342543de82ef95
 
-// aperture returns the endpoints in use, in whose place others come for those that are unavailable or ejected. It also
-// adds up what these and the ejected ones can do: were only those in use counted, the part of each endpoint that warms
-// up would seem large.
+// aperture returns the endpoints in use, in whose place others come for those that are unavailable or ejected. It
+// also adds up what these and the ejected ones can do: were only those in use counted, the part of each endpoint
+// that warms up would seem large.
 func (b *Balancer) aperture(now Micros) []*endpoint {
 	if now < b.capacityValidUntil {
 		return b.apertureList
@@ -47,7 +47,8 @@
 	return b.apertureList
 }
 
-// apertureRank is e's rank, in [0,1), in this balancer's order of endpoints. It stays the same for as long as both exist.
+// apertureRank is e's rank, in [0,1), in this balancer's order of endpoints. It stays the same for as long as both
+// exist.
 func (b *Balancer) apertureRank(e *endpoint) float64 {
 	s := randSource(b.apertureSeed + uint64(e.ID)*apertureHashMultiplier)
 	return s.float()
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -100,9 +100,9 @@
 	return true
 }
 
-// attemptTimeout is how long to wait for an attempt; 0 is for as long as the client waits. An attempt that takes several
-// times the predicted latency most often sits on a connection that has fallen silent: where a retry is harmless and would
-// still be in time, another endpoint gets the request.
+// attemptTimeout is how long to wait for an attempt; 0 is for as long as the client waits. An attempt that takes
+// several times the predicted latency most often sits on a connection that has fallen silent: where a retry is
+// harmless and would still be in time, another endpoint gets the request.
 func (b *Balancer) attemptTimeout(now Micros, r *request, expected float64) Micros {
 	c := b.class(r)
 	timeout := max(minAttemptTimeout, attemptTimeoutFactor*expected)
@@ -130,8 +130,8 @@
 	a.endpoint.silentSince = now
 }
 
-// ResponseStarted handles the start of a streamed answer. From now on neither a deadline nor another attempt concerns the
-// request.
+// ResponseStarted handles the start of a streamed answer. From now on neither a deadline nor another attempt
+// concerns the request.
 func (b *Balancer) ResponseStarted(now Micros, id uint64, attempt int, _ Micros) {
 	r := b.requests[id]
 	if r == nil || r.ended || !r.isPending(attempt) {
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,5 +1,5 @@
-// Package balancer makes the decisions of a client-side load balancer: which endpoint gets a request, when a request is
-// rejected, when it is retried, which endpoints are ejected, and what is probed.
+// Package balancer makes the decisions of a client-side load balancer: which endpoint gets a request, when a
+// request is rejected, when it is retried, which endpoints are ejected, and what is probed.
 //
 // A Balancer is a deterministic state machine for one caller at a time. The host passes each event with its instant
 // (api.go) and the balancer calls Actions; it does no I/O and reads no clock, and randomness comes from a seed. The
--- a/balancer/breaker.go
+++ b/balancer/breaker.go
@@ -1,7 +1,7 @@
 package balancer
 
-// The circuit breaker is that of go-zero: it rejects attempts at an endpoint at random, the more of them the more of the
-// latest ones failed or the slower the endpoint has become. The figures are go-zero's.
+// The circuit breaker is that of go-zero: it rejects attempts at an endpoint at random, the more of them the more
+// of the latest ones failed or the slower the endpoint has become. The figures are go-zero's.
 const (
 	window              = 10 * second
 	bucketCount         = 40
--- a/balancer/drain.go
+++ b/balancer/drain.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// An endpoint that is back in service looks slower than any other while it warms up, and would get nothing until it is
-// warm. It is due a first request: soon one that it is predicted to answer in time, then an idempotent one, then any.
+// An endpoint that is back in service looks slower than any other while it warms up, and would get nothing until it
+// is warm. It is due a first request: soon one that it is predicted to answer in time, then an idempotent one, then
+// any.
 const (
 	undrainDelay           = second
 	undrainIdempotentDelay = 2 * second
@@ -35,8 +36,8 @@
 	}
 }
 
-// UndrainEndpoint ends an administrative drain, ordered at an instant that is not in the future. The endpoint warms up:
-// since its restart if discovery reported one during the drain, else since that instant.
+// UndrainEndpoint ends an administrative drain, ordered at an instant that is not in the future. The endpoint warms
+// up: since its restart if discovery reported one during the drain, else since that instant.
 func (b *Balancer) UndrainEndpoint(now Micros, id uint32, at Micros) {
 	drainedAt, wasDrained := b.drainedAt[id]
 	delete(b.drainedAt, id)
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -20,8 +20,8 @@
 )
 
 // load is the number of requests at e: by its latest report, plus own sends and less own answers since. Some of the
-// other balancers are taken to send as this one does, since they have that report, too, and would all pile up where it
-// is low. As the report ages it says less and less of how e differs from the typical endpoint.
+// other balancers are taken to send as this one does, since they have that report, too, and would all pile up where
+// it is low. As the report ages it says less and less of how e differs from the typical endpoint.
 func (b *Balancer) load(now Micros, e *endpoint) float64 {
 	typical := b.typicalLoad.value * e.estimatedCapacity(now, b)
 	if b.reportsLate || !e.hasLoad {
@@ -45,8 +45,8 @@
 	return max(1, (b.load(now, e)*b.coreShare()+1)/assumedCores)
 }
 
-// currentPace is e's time per unit of work, longer while it warms up. If it was not observed for long it is the fleet's,
-// so that an endpoint that once seemed slow is tried again.
+// currentPace is e's time per unit of work, longer while it warms up. If it was not observed for long it is the
+// fleet's, so that an endpoint that once seemed slow is tried again.
 func (e *endpoint) currentPace(now Micros, b *Balancer) float64 {
 	usual := b.fleetPace.valueOr(1)
 	trust := max(0, 1-float64(now-e.paceLearnedAt)/float64(paceMemory)) * indicator(e.pace.samples > 0)
@@ -104,8 +104,8 @@
 	b.classes[r.slot].meanWork.add(max(minWork, observed*r.work/pace), workWeight)
 }
 
-// updateLatencyTrend shifts what is expected of all endpoints by one outcome. When the whole fleet slows down or recovers,
-// the paces of endpoints that get little of our traffic are learned far too late.
+// updateLatencyTrend shifts what is expected of all endpoints by one outcome. When the whole fleet slows down or
+// recovers, the paces of endpoints that get little of our traffic are learned far too late.
 func (b *Balancer) updateLatencyTrend(ratio float64) {
 	step := min(ratio, maxTrendStep) - 1
 	b.latencyTrend = min(maxTrend, max(1/maxTrend, b.latencyTrend*(1+trendWeight*step)))
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -21,8 +21,8 @@
 	onTrial          bool // an attempt since the last ejection has no outcome yet
 }
 
-// parts returns the indices in partFailures of the parts of the traffic that r belongs to: its class and its tenant. An
-// endpoint may fail or limit one part and serve the others. The result is valid until the next call.
+// parts returns the indices in partFailures of the parts of the traffic that r belongs to: its class and its
+// tenant. An endpoint may fail or limit one part and serve the others. The result is valid until the next call.
 func (b *Balancer) parts(r *request) []int {
 	if t := int(r.Tenant); t < len(b.tenantDemand) {
 		return append(b.partsBuffer[:0], r.slot, len(b.classes)+t)
@@ -100,8 +100,8 @@
 	return now < e.failures.ejectedUntil
 }
 
-// mayEject keeps most endpoints in use: if many failed at once, the few that are left would only be overloaded. A part of
-// the traffic may crowd into fewer.
+// mayEject keeps most endpoints in use: if many failed at once, the few that are left would only be overloaded. A
+// part of the traffic may crowd into fewer.
 func (b *Balancer) mayEject(now Micros, e *endpoint, part int) bool {
 	ejected := 1.0
 	limit := maxEjectedShare
@@ -116,7 +116,8 @@
 	return ejected <= limit*float64(len(b.endpoints))
 }
 
-// PeerEjected handles the report of another process of this sidecar that it has ejected an endpoint for some time yet.
+// PeerEjected handles the report of another process of this sidecar that it has ejected an endpoint for some time
+// yet.
 func (b *Balancer) PeerEjected(now Micros, id uint32, left Micros) {
 	left = min(left, maxPeerEjection)
 	e := b.byID[id]
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -42,9 +42,9 @@
 	return true
 }
 
-// pick returns the endpoint of least cost among those with a fresh load report and, while these are few, some random
-// ones. It leaves out not, those that were tried and, unless nothing else is left, ejected ones. It returns nil if there
-// is none.
+// pick returns the endpoint of least cost among those with a fresh load report and, while these are few, some
+// random ones. It leaves out not, those that were tried and, unless nothing else is left, ejected ones. It returns
+// nil if there is none.
 func (b *Balancer) pick(now Micros, r *request, not *endpoint) *endpoint {
 	aperture := b.aperture(now)
 	oldest := now - b.freshFor(now)
--- a/balancer/priority.go
+++ b/balancer/priority.go
@@ -53,8 +53,8 @@
 }
 
 // quotaWeight is the mean weight of a request of r's tenant, given how much of the tenant's traffic is beyond its
-// allowance. Only this balancer's traffic and rejections are known: the demand of the fleet is taken to exceed the sum
-// of the allowances as far as demand exceeds what is admitted here.
+// allowance. Only this balancer's traffic and rejections are known: the demand of the fleet is taken to exceed the
+// sum of the allowances as far as demand exceeds what is admitted here.
 func (b *Balancer) quotaWeight(now Micros, r *request) float64 {
 	if int(r.Tenant) >= len(b.tenantDemand) {
 		return 1
--- a/balancer/reload.go
+++ b/balancer/reload.go
@@ -3,7 +3,8 @@
 import "slices"
 
 const (
-	// initialWorkDivisor: the work of a class is taken to be such a part of its latency objective until it is observed.
+	// initialWorkDivisor: the work of a class is taken to be such a part of its latency objective until it is
+	// observed.
 	initialWorkDivisor = 5
 )
 
--- a/balancer/reports.go
+++ b/balancer/reports.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// checkReportLate compares a report with this balancer's own requests there: one that counts fewer is late, unless some
-// are still on their way. If that happens often the pool misleads, and averages are used in its place.
+// checkReportLate compares a report with this balancer's own requests there: one that counts fewer is late, unless
+// some are still on their way. If that happens often the pool misleads, and averages are used in its place.
 func (b *Balancer) checkReportLate(now Micros, e *endpoint, held float64) {
 	own := e.inflight - e.streaming
 	if own <= 0 || float64(now-e.lastSendAt) <= arrivalRTTs*e.rtt.value {
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -1,7 +1,7 @@
 package balancer
 
-// Retries draw on a budget that requests fill. Retries of attempts that never ran draw on it, too: where most endpoints
-// are full, free retries would be a storm.
+// Retries draw on a budget that requests fill. Retries of attempts that never ran draw on it, too: where most
+// endpoints are full, free retries would be a storm.
 const (
 	maxRetryBudget    = 10.0 // attempts
 	retriesPerRequest = 0.2
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -1,7 +1,8 @@
 package balancer
 
-// An endpoint that warms up is sent at most a share of its guaranteed capacity's part of this balancer's mean work per
-// warm endpoint. When all balancers do so their sum stays below what overloads it, and none needs to know of the others.
+// An endpoint that warms up is sent at most a share of its guaranteed capacity's part of this balancer's mean work
+// per warm endpoint. When all balancers do so their sum stays below what overloads it, and none needs to know of
+// the others.
 const (
 	slowStartShare   = 0.6  // of the multiple of its guaranteed capacity at which it is overloaded
 	maxSlowStartRate = 1.4  // times its estimated capacity
@@ -19,8 +20,8 @@
 	e.budgetRefilledAt = now
 }
 
-// fitsSlowStartBudget refills the token bucket of an endpoint that warms up and reports whether a request of this work
-// fits.
+// fitsSlowStartBudget refills the token bucket of an endpoint that warms up and reports whether a request of this
+// work fits.
 func (b *Balancer) fitsSlowStartBudget(now Micros, e *endpoint, work float64) bool {
 	fill := b.slowStartRate(now, e, work)
 	limit := max(fill*float64(b.settings.Contract.OverloadWindow)/float64(second)/2, work*slowStartCharge)
@@ -37,8 +38,8 @@
 		rate = b.demand.rate(now) * work
 	}
 	each := rate / max(1, b.capacity)
-	// While requests are rejected little is sent, and a part of that would keep these endpoints idle and the rejections
-	// going. The guide is then what an endpoint of this pace can do, over all balancers that use it.
+	// While requests are rejected little is sent, and a part of that would keep these endpoints idle and the
+	// rejections going. The guide is then what an endpoint of this pace can do, over all balancers that use it.
 	users := float64(b.settings.Balancers*len(b.aperture(now))) / float64(len(b.endpoints))
 	able := assumedCores / (e.currentPace(now, b) * e.estimatedCapacity(now, b)) * float64(second) / max(1, users)
 	each = max(each, min(1, rejectionGain*b.rejectionRate.value)*able)
@@ -46,8 +47,8 @@
 		slowStartShare*b.settings.Contract.OverloadMultiple*e.guaranteedCapacity(now, b))
 }
 
-// SetCapacityShare sets the part of the slow-start budgets that this process may use. Two processes of a sidecar share
-// them during a handover, since to an endpoint they are one. What was saved up is shared, too.
+// SetCapacityShare sets the part of the slow-start budgets that this process may use. Two processes of a sidecar
+// share them during a handover, since to an endpoint they are one. What was saved up is shared, too.
 func (b *Balancer) SetCapacityShare(part float64) {
 	for _, e := range b.endpoints {
 		e.slowStartBudget *= min(1, part/b.capacityShare)
