--- a/balancer/aperture_test.go
+++ b/balancer/aperture_test.go
@@ -16,18 +16,20 @@
 	return b, r
 }
 
-// Connections to an endpoint are shared by all balancers: each uses a part of the endpoints, and together they
-// use all of them alike, without a word between them.
+// Connections to an endpoint are shared by all balancers: each uses a part of the endpoints, and together they use
+// all of them alike, without any message between them.
 func TestApertureIsAFairShare(t *testing.T) {
 	for _, c := range []struct{ balancers, endpoints, want int }{
-		{1, 5, 5}, {4, 9, 9}, {6, 13, 13}, {12, 60, 40}, {24, 60, 20}, {80, 60, 6}, {320, 60, 6}, {2000, 200, 6}, {80, 3, 3},
+		{1, 5, 5}, {4, 9, 9}, {6, 13, 13}, {12, 60, 40}, {24, 60, 20}, {80, 60, 6}, {320, 60, 6}, {2000, 200,
+			6}, {80, 3, 3},
 	} {
 		users := map[uint32]int{}
 		for seed := range uint64(min(c.balancers, 80)) {
 			b, r := fleetMember(t, seed*0x9e37, c.balancers, c.endpoints)
 			near := b.aperture(0)
 			if len(near) != c.want {
-				t.Fatalf("%d balancers, %d endpoints: an aperture of %d, want %d", c.balancers, c.endpoints, len(near), c.want)
+				t.Fatalf("%d balancers, %d endpoints: an aperture of %d, want %d", c.balancers, c.endpoints,
+					len(near), c.want)
 			}
 			for _, e := range near {
 				users[e.ID]++
@@ -65,8 +67,9 @@
 	return false
 }
 
-// What is ejected, drains or was taken out is replaced, and has its place again afterwards.
-func TestApertureReplacesWhatIsOut(t *testing.T) {
+// Endpoints that are ejected, draining or drained by an operator are replaced, and return to the aperture
+// afterwards.
+func TestApertureReplacesUnavailableEndpoints(t *testing.T) {
 	b, _ := fleetMember(t, 1, 80, 60)
 	was := append([]*endpoint(nil), b.aperture(0)...)
 	ejected, drains, banned := was[0], was[1], was[2]
@@ -75,17 +78,19 @@
 	b.DrainEndpoint(banned.ID, 1)
 	now := second / 2
 	near := b.aperture(now)
-	if len(near) != len(was) || inAperture(b, ejected.ID) || inAperture(b, drains.ID) || inAperture(b, banned.ID) {
+	if len(near) != len(was) || inAperture(b, ejected.ID) || inAperture(b, drains.ID) || inAperture(b,
+		banned.ID) {
 		t.Fatal("an endpoint that is out still has a place, or no other has taken it")
 	}
 	b.aperture(2 * second)
 	if !inAperture(b, ejected.ID) || inAperture(b, drains.ID) {
-		t.Error("who is let in again has no place, or who drains has one")
+		t.Error("an endpoint whose ejection is over is left out, or a draining one is in")
 	}
 }
 
-// The part of a cold endpoint's work that each may send is reckoned for those who use it: others send nothing.
-func TestNoColdEndpointOutsideTheAperture(t *testing.T) {
+// The slow-start budget of an endpoint is divided among the balancers that have it in their aperture:
+// others send nothing.
+func TestSlowStartOnlyWithinTheAperture(t *testing.T) {
 	b, r := fleetMember(t, 1, 80, 60)
 	b.aperture(second)
 	for _, e := range b.endpoints {
@@ -102,9 +107,9 @@
 	}
 }
 
-// The number of balancers may be told wrongly, and lists shrink and grow: there is always something to choose from,
-// never more than the list holds.
-func TestApertureOfOddFleets(t *testing.T) {
+// The number of balancers may be configured wrongly, and lists shrink and grow: there is always something to choose
+// from, never more than the list holds.
+func TestApertureOfUnusualFleets(t *testing.T) {
 	for balancers, want := range map[int]int{20: 24, 80: 6, 320: 6, 1 << 30: 6, 1: 60} {
 		if b, _ := fleetMember(t, 3, balancers, 60); len(b.aperture(0)) != want {
 			t.Errorf("told of %d balancers, an aperture of %d, want %d", balancers, len(b.apertureList), want)
@@ -114,7 +119,7 @@
 	now := 100 * second
 	for i, n := range []int{60, 3, 0, 60, 1} {
 		now += second
-		list := append(ready(n), ready(n)...) // each told twice
+		list := append(ready(n), ready(n)...) // each listed twice
 		for i := range list {
 			list[i].StartTime = 1 // long ago
 		}
@@ -128,7 +133,8 @@
 			t.Errorf("a list of %d: sent %v, refused %v", n, sent, len(r.refused) > refused)
 		}
 		if n > 0 {
-			b.Outcome(now+1000, Outcome{ID: uint64(i), Endpoint: r.sends[len(r.sends)-1].endpoint, Status: OK, Latency: 900, Answered: true})
+			b.Outcome(now+1000, Outcome{ID: uint64(i), Endpoint: r.sends[len(r.sends)-1].endpoint, Status: OK,
+				Latency: 900, Answered: true})
 		}
 	}
 }
@@ -138,7 +144,8 @@
 	for _, c := range []struct {
 		name                 string
 		balancers, endpoints int
-	}{{"8 servers, 3 sidecars", 3, 8}, {"60 servers, 3 sidecars", 3, 60}, {"60 servers, 80 sidecars", 80, 60}} {
+	}{{"8 servers, 3 sidecars", 3, 8}, {"60 servers, 3 sidecars", 3, 60}, {"60 servers, 80 sidecars", 80,
+		60}} {
 		bench.Run(c.name, func(bench *testing.B) {
 			s, r := testSettings(), &recorder{}
 			s.Balancers = c.balancers
@@ -160,7 +167,8 @@
 					b.ProbeCompleted(now, uint32(id/16)%uint32(c.endpoints)+1, OK, 500, []float32{float32(id % 3)})
 				}
 				for _, at := range r.sends {
-					b.Outcome(now+1000, Outcome{ID: at.id, Endpoint: at.endpoint, Status: OK, Latency: 40_000, Answered: true})
+					b.Outcome(now+1000, Outcome{ID: at.id, Endpoint: at.endpoint, Status: OK, Latency: 40_000,
+						Answered: true})
 				}
 				*r = recorder{sends: r.sends[:0]}
 			}
@@ -168,9 +176,9 @@
 	}
 }
 
-// Ejected endpoints are out of use but not of the count: where a part of the list is full and ejected, the cold ones that take
-// their places must not seem to be all that there is, and be given all that is asked.
-func TestEjectedEndpointsCountAsStrength(t *testing.T) {
+// Ejected endpoints are out of use but not of the count: where a part of the list is full and ejected, the cold
+// ones that take their places must not seem to be all that there is, and be given all that is asked.
+func TestEjectedEndpointsCountAsCapacity(t *testing.T) {
 	b, _ := fleetMember(t, 3, 320, 60)
 	now := second
 	b.aperture(now)
--- a/balancer/breaker_test.go
+++ b/balancer/breaker_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestWindowForgets(t *testing.T) {
+func TestBreakerWindowForgets(t *testing.T) {
 	var k breaker
 	for range 100 {
 		k.count(100*second, 0, 1)
@@ -127,7 +127,7 @@
 }
 
 // When all endpoints fail at once, ejection must not leave the few last ones with everything.
-func TestAtMostHalfAreEjected(t *testing.T) {
+func TestEjectionKeepsHalfInUse(t *testing.T) {
 	for _, c := range []struct{ endpoints, most int }{{1, 0}, {2, 1}, {3, 1}, {4, 2}, {9, 4}} {
 		b, r := start(t, testSettings(), ready(c.endpoints))
 		worst := 0
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -11,10 +11,14 @@
 		Balancers: 2, Zones: 1, Kinds: 1, Tick: 5000,
 		Classes: []Class{
 			{Name: "read", Idempotency: Idempotent, LatencyObjective: 400_000, Timeout: second, PriorityWeight: 1},
-			{Name: "keyed-all", Idempotency: WithIdempotencyKey, DedupScope: DedupAll, DedupWindow: 500_000, LatencyObjective: 400_000, Timeout: second, PriorityWeight: 1},
-			{Name: "keyed-zone", Idempotency: WithIdempotencyKey, DedupScope: DedupZone, DedupWindow: 500_000, LatencyObjective: 400_000, Timeout: second, PriorityWeight: 1},
-			{Name: "keyed-cell", Idempotency: WithIdempotencyKey, DedupScope: DedupCell, DedupWindow: 500_000, LatencyObjective: 400_000, Timeout: second, PriorityWeight: 1},
-			{Name: "write", Idempotency: NotIdempotent, LatencyObjective: 400_000, Timeout: second, PriorityWeight: 1},
+			{Name: "keyed-all", Idempotency: WithIdempotencyKey, DedupScope: DedupAll, DedupWindow: 500_000,
+				LatencyObjective: 400_000, Timeout: second, PriorityWeight: 1},
+			{Name: "keyed-zone", Idempotency: WithIdempotencyKey, DedupScope: DedupZone, DedupWindow: 500_000,
+				LatencyObjective: 400_000, Timeout: second, PriorityWeight: 1},
+			{Name: "keyed-cell", Idempotency: WithIdempotencyKey, DedupScope: DedupCell, DedupWindow: 500_000,
+				LatencyObjective: 400_000, Timeout: second, PriorityWeight: 1},
+			{Name: "write", Idempotency: NotIdempotent, LatencyObjective: 400_000, Timeout: second,
+				PriorityWeight: 1},
 		},
 		Fields: []Field{FieldInflight},
 		Limits: Limits{Cancel: true, Probes: true, HedgedRequests: true, RetryAfter: true,
@@ -83,7 +87,7 @@
 	return Request{ID: id, Class: class, Deadline: now + second}
 }
 
-func TestNewNamesBadSetting(t *testing.T) {
+func TestNewNamesInvalidSetting(t *testing.T) {
 	for _, c := range []struct {
 		key   string
 		spoil func(*Settings)
--- a/balancer/hold_test.go
+++ b/balancer/hold_test.go
@@ -12,7 +12,7 @@
 }
 
 // A quiet balancer's pooled answers are old: without fresh ones it would send by what was true long ago.
-func TestQuietBalancerAsksBeforeItSends(t *testing.T) {
+func TestQuietBalancerProbesBeforeItSends(t *testing.T) {
 	b, r := start(t, holding(), ready(4))
 	b.Request(second, request0(1, 0, second))
 	if len(r.sends) != 0 || len(r.probes) != 3 {
@@ -27,8 +27,8 @@
 	}
 }
 
-// Probes may be lost: a held request must go out all the same, and end by its deadline.
-func TestHeldRequestDoesNotWaitForLostProbes(t *testing.T) {
+// Probes may be lost: a waiting request must go out all the same, and end by its deadline.
+func TestWaitingRequestGoesOutWhenProbesAreLost(t *testing.T) {
 	for _, left := range []Micros{second, 10_000} {
 		b, r := start(t, holding(), ready(4))
 		b.Request(second, Request{ID: 1, Deadline: second + left})
@@ -54,8 +54,8 @@
 	}
 }
 
-// A client may leave while its request is held: the record must not be sent later for another.
-func TestHeldRequestOfGoneClient(t *testing.T) {
+// A client may leave while its request waits: the record must not be sent later for another.
+func TestWaitingRequestOfDisconnectedClient(t *testing.T) {
 	b, r := start(t, holding(), ready(4))
 	b.Request(second, request0(1, 0, second))
 	b.ClientDisconnected(second+1, 1)
@@ -67,11 +67,12 @@
 	}
 }
 
-// Where reports are made anew more seldom than work is done, all who ask follow the same old one.
-func TestNoHoldOnRarelyRenewedReports(t *testing.T) {
+// Where reports are renewed more seldom than work is done, all balancers that probe follow the same old
+// one.
+func TestNoWaitOnRarelyRenewedReports(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		next  float32 // what the endpoint says each time it is asked again
+		next  float32 // what the endpoint reports at each further probe
 		holds bool
 	}{{"renewed", 1, true}, {"the same for long", 0, false}} {
 		b, r := start(t, holding(), ready(4))
@@ -90,7 +91,7 @@
 }
 
 // An old low answer must not win over what is known now.
-func TestAnswersFadeToTheUsualLoad(t *testing.T) {
+func TestOldReportsFadeToTheTypicalLoad(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(4))
 	b.ProbeCompleted(0, 1, OK, 500, []float32{0})
 	b.typicalLoad = ewma{value: 4, samples: settledSamples}
@@ -103,9 +104,9 @@
 	}
 }
 
-// With a thousand balancers at a cold endpoint, each alone saves too slowly for one request; their sum must
-// still come near what the endpoint can do, and never near what pushes it over.
-func TestColdRoomOfManyQuietBalancers(t *testing.T) {
+// With a thousand balancers at an endpoint that warms up, each alone saves too slowly for one request; their sum
+// must still come near what the endpoint can do, and never near what pushes it over.
+func TestSlowStartBudgetOfManyQuietBalancers(t *testing.T) {
 	s := testSettings()
 	const balancers, perSecond, endpoints, work = 400, 2.0, 41, 40_000.0
 	sent := 0.0
@@ -139,8 +140,9 @@
 	}
 }
 
-// In a deploy most endpoints are cold at once: the few warm ones are no measure of what each cold one can take.
-func TestColdRoomWhenFewAreWarm(t *testing.T) {
+// In a release most endpoints warm up at once: the few warm ones are no measure of what each of the others
+// can take.
+func TestSlowStartBudgetWhenFewAreWarm(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1
 	list := ready(10)
@@ -150,7 +152,7 @@
 	b, _ := start(t, s, nil)
 	b.UpdateEndpoints(10*second, ListDelta, list)
 	for now := 9 * second; now <= 10*second; now += 10_000 {
-		b.sentWork.add(now, 40_000) // four cores' worth a second
+		b.sentWork.add(now, 40_000) // the work of four cores a second
 	}
 	e := b.byID[2]
 	e.slowStartBudget, e.budgetRefilledAt = 0, 10*second
@@ -162,7 +164,7 @@
 }
 
 // Each quiet balancer sees few tenants, often one: that says nothing of anyone's share.
-func TestQuietBalancerDoesNotJudgeShares(t *testing.T) {
+func TestQuietBalancerDoesNotJudgeTenantQuotas(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{Name: "a", Allowance: 100}, {Name: "b", Allowance: 100}}
 	s.OverQuotaWeight = 0.1
@@ -183,7 +185,7 @@
 
 // Where much of a request's time is waiting for others, requests held side by side slow each other little: taken
 // for crowding, that refused requests on quiet days.
-func TestReportedServiceTimeTellsCoreShare(t *testing.T) {
+func TestCoreShareFollowsReportedServiceTime(t *testing.T) {
 	s := testSettings()
 	s.Fields = []Field{FieldLatency, FieldInflight}
 	b, _ := start(t, s, ready(2))
@@ -195,13 +197,14 @@
 		crowd[ms] = b.crowding(second, b.byID[1])
 	}
 	if crowd[200] < 3.9 || crowd[50] > 1.5 {
-		t.Errorf("crowding at 7 held: %.2f if all of the time needs a core, %.2f if a quarter", crowd[200], crowd[50])
+		t.Errorf("crowding at 7 held: %.2f if all of the time needs a core, %.2f if a quarter", crowd[200],
+			crowd[50])
 	}
 }
 
-// With most endpoints full, each retry of what never ran meets the next full one: without a budget, the retries
-// of a jam outnumber its requests many times.
-func TestFullAnswersSpendTheRetryBudget(t *testing.T) {
+// With most endpoints full, each retry of what never ran meets the next full one: without a budget, the retries of
+// a jam outnumber its requests many times.
+func TestRejectedAttemptsSpendTheRetryBudget(t *testing.T) {
 	s := testSettings()
 	s.Limits.MaxAttempts = 50
 	b, r := start(t, s, ready(40))
@@ -218,7 +221,8 @@
 	}
 }
 
-// At the start of a small fleet two answers are pooled before the others: they must not take all the traffic.
+// At the start of a small fleet two answers are pooled before the others: they must not take all the
+// traffic.
 func TestPoolOfFewDoesNotTakeAll(t *testing.T) {
 	b, r := start(t, testSettings(), ready(10))
 	b.ProbeCompleted(1000, 1, OK, 500, []float32{1})
@@ -257,8 +261,9 @@
 	}
 }
 
-// Where probes are dear, one request in a few is held for one: they cost the same part of the result at any price.
-func TestProbesOfHeldRequestsCostAPartOfTheResult(t *testing.T) {
+// Where probes are dear, one request in a few is held for one: they cost the same part of the result at
+// any price.
+func TestProbesOfWaitingRequestsCostAPartOfTheResult(t *testing.T) {
 	for _, price := range []float64{0.04, 0.08, 0.3} {
 		s := testSettings()
 		s.Prices.Probe = price
@@ -276,7 +281,8 @@
 			if len(r.sends) != 1 {
 				t.Fatalf("sends %v", r.sends)
 			}
-			b.Outcome(now+50_000, Outcome{ID: id, Endpoint: r.sends[0].endpoint, Status: OK, Latency: 49_000, Answered: true})
+			b.Outcome(now+50_000, Outcome{ID: id, Endpoint: r.sends[0].endpoint, Status: OK, Latency: 49_000,
+				Answered: true})
 			r.sends = r.sends[:0]
 		}
 		if got, want := float64(probes)/n*price, 0.03; got < 0.85*want || got > 1.15*want {
--- a/balancer/maintenance_test.go
+++ b/balancer/maintenance_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// ask makes a request and returns the endpoint that it went to, 0 if it went nowhere.
-func ask(b *Balancer, out *recorder, now Micros, id uint64, class uint8) uint32 {
+// requestEndpoint makes a request and returns the endpoint that it went to, 0 if it went nowhere.
+func requestEndpoint(b *Balancer, out *recorder, now Micros, id uint64) uint32 {
 	n := len(out.sends)
-	b.Request(now, request0(id, class, now))
+	b.Request(now, request0(id, 0, now))
 	if len(out.sends) == n {
 		return 0
 	}
@@ -18,7 +18,7 @@
 }
 
 // A ban binds whatever discovery says: lists, a restart, and the endpoint's leaving and return.
-func TestTakenOut(t *testing.T) {
+func TestDrainedEndpointGetsNothing(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		news func(b *Balancer, list []Endpoint)
@@ -44,7 +44,7 @@
 			now := 2 * second
 			for id := range uint64(50) {
 				now += 30_000
-				if at := ask(b, out, now, id+1, 0); at != 2 {
+				if at := requestEndpoint(b, out, now, id+1); at != 2 {
 					t.Fatalf("request %d went to %d", id+1, at)
 				}
 			}
@@ -63,7 +63,7 @@
 }
 
 // Where all are out, requests are refused, and a second attempt goes to none of them.
-func TestAllTakenOut(t *testing.T) {
+func TestAllEndpointsDrained(t *testing.T) {
 	b, out := start(t, testSettings(), ready(2))
 	b.Request(0, request0(1, 0, 0))
 	b.DrainEndpoint(1, 0)
@@ -76,7 +76,7 @@
 }
 
 // A request that waits for probes when the ban comes does not go there either.
-func TestTakenOutWhileHeld(t *testing.T) {
+func TestDrainWhileRequestWaits(t *testing.T) {
 	s := testSettings()
 	s.Prices.Probe = 0.001
 	b, out := start(t, s, ready(1))
@@ -93,24 +93,25 @@
 	}
 }
 
-// After its call back an endpoint is cold, though its start is long ago, and soon gets something to do.
-func TestCalledBack(t *testing.T) {
+// After the end of its drain an endpoint warms up, though its start is long ago, and soon gets a request.
+func TestUndrainedEndpointWarmsUp(t *testing.T) {
 	b, out := start(t, testSettings(), ready(4))
 	b.DrainEndpoint(1, 0)
 	now := Micros(0)
 	var id uint64
 	for range 200 {
 		now, id = now+20_000, id+1
-		ask(b, out, now, id, 0)
+		requestEndpoint(b, out, now, id)
 	}
 	b.UndrainEndpoint(now, 1, now)
-	if e := b.byID[1]; !e.isWarmingUp(now, b) || e.guaranteedCapacity(now, b) != b.settings.Contract.InitialCapacity {
+	if e := b.byID[1]; !e.isWarmingUp(now, b) || e.guaranteedCapacity(now,
+		b) != b.settings.Contract.InitialCapacity {
 		t.Errorf("cold %v, warmth %v", e.isWarmingUp(now, b), e.guaranteedCapacity(now, b))
 	}
 	back, used := now, 0
 	for range 250 {
 		now, id = now+20_000, id+1
-		used += int(indicator(ask(b, out, now, id, 0) == 1))
+		used += int(indicator(requestEndpoint(b, out, now, id) == 1))
 	}
 	if used == 0 {
 		t.Errorf("nothing was sent to it in %d s", (now-back)/second)
@@ -123,8 +124,8 @@
 	}
 }
 
-// A call back for what nobody knows, and a second one, change nothing.
-func TestCalledBackTwice(t *testing.T) {
+// Ending the drain of an unknown endpoint, or ending it twice, changes nothing.
+func TestUndrainTwiceOrUnknown(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(2))
 	b.DrainEndpoint(1, 0)
 	b.DrainEndpoint(1, 0)
@@ -136,7 +137,7 @@
 }
 
 // A body or an answer under way is no silence: the endpoint is not thought jammed, and nothing times out.
-func TestFlows(t *testing.T) {
+func TestStreamingBodies(t *testing.T) {
 	b, out := start(t, testSettings(), ready(1))
 	r := request0(1, 0, 0)
 	r.BodyStreaming, r.Deadline = true, 60*second
@@ -164,20 +165,21 @@
 }
 
 // What cannot be sent again is not, though it never ran and a repeat would be harmless.
-func TestSpent(t *testing.T) {
+func TestNotReplayableRequestIsNotRetried(t *testing.T) {
 	for _, spent := range []bool{false, true} {
 		b, out := start(t, testSettings(), ready(2))
 		b.Request(0, request0(1, 4, 0))
-		b.Outcome(1000, Outcome{ID: 1, Endpoint: out.sends[0].endpoint, Status: ConnectFailed, NotReplayable: spent})
+		b.Outcome(1000, Outcome{ID: 1, Endpoint: out.sends[0].endpoint, Status: ConnectFailed,
+			NotReplayable: spent})
 		if again := len(out.sends) == 2; again == spent || spent != (len(out.refused) == 1) {
 			t.Errorf("spent %v: sent %v, refused %v", spent, out.sends, out.refused)
 		}
 	}
 }
 
-// One that discovery saw restarted during the ban is as cold as its start tells, and one that started before
-// the ban is as cold as can be.
-func TestCalledBackAfterRestart(t *testing.T) {
+// One that discovery saw restarted during the ban is as cold as its start tells, and one that started before the
+// ban is as cold as can be.
+func TestUndrainAfterRestart(t *testing.T) {
 	for _, tc := range []struct{ started, cold Micros }{{3 * second, 3 * second}, {second, 5 * second}} {
 		list := ready(2)
 		b, _ := start(t, testSettings(), list)
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestPickTakesLeastLoadPlusOwnSends(t *testing.T) {
+func TestPickPrefersLowestLoadPlusOwnSends(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1
 	b, r := start(t, s, ready(3))
@@ -15,7 +15,7 @@
 	for id := range uint64(4) {
 		b.Request(2000, request0(id, 0, 2000))
 	}
-	// Endpoint 2 stays least until it holds as many as endpoint 1 reported.
+	// Endpoint 2 has the lowest load until it has as many requests as endpoint 1 reported.
 	for i, s := range r.sends {
 		if s.endpoint != 2 {
 			t.Errorf("send %d went to %d", i, s.endpoint)
@@ -30,7 +30,7 @@
 }
 
 // In a large fleet all balancers learn of the same idle endpoint: none may fill it alone.
-func TestOneLowAnswerDrawsNoHerd(t *testing.T) {
+func TestOneLowReportDrawsNoHerd(t *testing.T) {
 	for _, c := range []struct{ balancers, most int }{{1, 5}, {3, 3}, {15, 2}} {
 		s := testSettings()
 		s.Balancers = c.balancers
@@ -62,7 +62,8 @@
 	seen := map[uint32]bool{}
 	for id := range uint64(20) {
 		b.Request(now, request0(id, 0, now))
-		b.Outcome(now, Outcome{ID: id, Endpoint: r.sends[len(r.sends)-1].endpoint, Status: OK, Latency: 1000, Answered: true})
+		b.Outcome(now, Outcome{ID: id, Endpoint: r.sends[len(r.sends)-1].endpoint, Status: OK, Latency: 1000,
+			Answered: true})
 		seen[r.sends[len(r.sends)-1].endpoint] = true
 	}
 	if len(seen) != 2 {
@@ -70,7 +71,7 @@
 	}
 }
 
-func TestOddReports(t *testing.T) {
+func TestInvalidReports(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(1))
 	nan := float32(math.NaN())
 	for _, load := range [][]float32{nil, {}, {nan}, {-3}, {float32(math.Inf(1))}} {
@@ -116,7 +117,7 @@
 }
 
 // A wrong guess of a class's work must not refuse that class for ever.
-func TestLatenessRefusalLetsOnePass(t *testing.T) {
+func TestLatenessRejectionLetsOnePass(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.classes[0].meanWork.value = float64(100 * second)
 	for i := range uint64(30) {
@@ -167,7 +168,7 @@
 	}
 }
 
-func TestTenantBeyondItsShareWeighsLess(t *testing.T) {
+func TestTenantBeyondItsQuotaWeighsLess(t *testing.T) {
 	s := testSettings()
 	s.OverQuotaWeight = 0.05
 	s.Tenants = []Tenant{{Name: "a", Allowance: 50}, {Name: "b", Allowance: 50}}
@@ -178,7 +179,8 @@
 			b.tenantDemand[1].add(i*1000, 1)
 		}
 	}
-	over, within := &request{Request: Request{Rules: b.rules, Tenant: 0}}, &request{Request: Request{Tenant: 1}}
+	over, within := &request{Request: Request{Rules: b.rules, Tenant: 0}},
+		&request{Request: Request{Tenant: 1}}
 	b.rejectionRate.value = 0.5
 	if o, w := b.quotaWeight(100_000, over), b.quotaWeight(100_000, within); w != 1 || o > 0.6 {
 		t.Errorf("weights %v over, %v within the share", o, w)
@@ -189,7 +191,7 @@
 }
 
 // At a start only few endpoints have answered; they must not get everything.
-func TestFewAnswersDoNotTakeAll(t *testing.T) {
+func TestFewReportsDoNotAttractAll(t *testing.T) {
 	b, r := start(t, testSettings(), ready(8))
 	b.ProbeCompleted(1000, 3, OK, 500, []float32{0})
 	for id := range uint64(24) {
@@ -206,21 +208,22 @@
 
 // While reports are late, averages decide; they must not refuse what an
 // endpoint that they cannot show would serve.
-func TestLateReportsAllowTheWholeAim(t *testing.T) {
+func TestLateReportsAllowTheFullLatencyObjective(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(1))
 	r := &request{Request: request0(1, 0, 0), work: 50_000}
 	r.Rules = b.rules
 	b.classes[0].demand.add(0, 1)
 	before := b.latencyBudget(0, r, b.endpoints[0])
 	b.reportsLate = true
-	if after := b.latencyBudget(0, r, b.endpoints[0]); after <= before || after != float64(b.settings.Classes[0].LatencyObjective) {
+	if after := b.latencyBudget(0, r, b.endpoints[0]); after <= before ||
+		after != float64(b.settings.Classes[0].LatencyObjective) {
 		t.Errorf("limit %v before, %v while late", before, after)
 	}
 }
 
 // What a cold endpoint can do grows with its warmth, and so must what is
 // expected of it, also once its pace has been learned.
-func TestColdEndpointIsExpectedToBeSlow(t *testing.T) {
+func TestPredictionIsHigherDuringSlowStart(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(2))
 	b.UpdateEndpoints(1000, ListDelta, []Endpoint{{ID: 9, State: Ready, StartTime: 1000}})
 	e := b.byID[9]
@@ -299,7 +302,7 @@
 }
 
 // A hint must count for as much as it tells, or idle endpoints refuse what is only said to be large.
-func TestTrustInHintsIsLearned(t *testing.T) {
+func TestHintTrustIsLearned(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		latency  func(hint Micros) Micros
@@ -326,7 +329,7 @@
 }
 
 // A balancer that refuses everything must still learn when it may stop.
-func TestProbesGoOnWhileAllIsRefused(t *testing.T) {
+func TestProbesContinueWhileAllIsRejected(t *testing.T) {
 	s := testSettings()
 	s.Prices.Probe = probeCostShare // one probe a request
 	b, _ := start(t, s, ready(4))
@@ -336,7 +339,8 @@
 	now := 5 * second
 	b.rejectionRate.value = 0
 	all := b.probeRate(now)
-	for _, c := range []struct{ refused, want float64 }{{0.5, 0.5}, {0.9, minAdmittedShare}, {1, minAdmittedShare}} {
+	for _, c := range []struct{ refused, want float64 }{{0.5, 0.5}, {0.9, minAdmittedShare}, {1,
+		minAdmittedShare}} {
 		b.rejectionRate.value = c.refused
 		if got := b.probeRate(now) / all; math.Abs(got-c.want) > 0.001 {
 			t.Errorf("refused %v: %v of the pace, want %v", c.refused, got, c.want)
--- a/balancer/range_test.go
+++ b/balancer/range_test.go
@@ -36,9 +36,9 @@
 	}
 }
 
-// While requests are refused, a cold endpoint may get what its pace lets it do, and no more than this balancer's part
-// of that: what little is sent must not keep it idle.
-func TestColdEndpointsHelpWhileRefusing(t *testing.T) {
+// While requests are refused, a cold endpoint may get what its pace lets it do, and no more than this balancer's
+// part of that: what little is sent must not keep it idle.
+func TestSlowStartBudgetGrowsWhileRejecting(t *testing.T) {
 	fill := func(refused float64, balancers int) float64 {
 		s := testSettings()
 		s.Balancers = balancers
@@ -57,13 +57,15 @@
 		e.slowStartBudget, e.budgetRefilledAt = 0, 2*second
 		b.sentWork.add(2*second, 100_000) // next to nothing
 		b.fitsSlowStartBudget(3*second, e, 1_000_000)
-		return e.slowStartBudget / (b.capacityShare * min(maxSlowStartRate, slowStartShare*s.Contract.OverloadMultiple) * e.guaranteedCapacity(3*second, b))
+		return e.slowStartBudget / (b.capacityShare * min(maxSlowStartRate,
+			slowStartShare*s.Contract.OverloadMultiple) * e.guaranteedCapacity(3*second, b))
 	}
 	quiet, half, busy, shared := fill(0, 2), fill(0.25, 2), fill(1, 2), fill(1, 8)
 	if want := assumedCores * float64(second) / 2; math.Abs(busy-want) > 0.02*want {
 		t.Errorf("while all is refused it may get %v a second, want %v", busy, want)
 	}
 	if math.Abs(half-busy/2) > 0.02*busy || math.Abs(shared-busy/4) > 0.02*busy || quiet > busy/10 {
-		t.Errorf("it may get %v without refusals, %v with a quarter refused, %v as one of eight balancers", quiet, half, shared)
+		t.Errorf("it may get %v without refusals, %v with a quarter refused, %v as one of eight balancers",
+			quiet, half, shared)
 	}
 }
--- a/balancer/reload_test.go
+++ b/balancer/reload_test.go
@@ -17,17 +17,20 @@
 	b.Request(0, request0(1, 0, 0)) // of "read", three attempts
 
 	s.Limits.MaxAttempts = 1
-	s.Classes = []Class{{Name: "new", Idempotency: NotIdempotent, LatencyObjective: 300_000, Timeout: second, PriorityWeight: 2}, s.Classes[4]}
+	s.Classes = []Class{{Name: "new", Idempotency: NotIdempotent, LatencyObjective: 300_000, Timeout: second,
+		PriorityWeight: 2}, s.Classes[4]}
 	rules, err := b.Reload(s)
 	if err != nil {
 		t.Fatal(err)
 	}
 	// "write" has another place, and all that was known of it.
-	if slot := rules.slots[1]; b.classes[slot].meanWork.value != work || b.byID[1].partFailures[slot].streak != 7 {
+	if slot := rules.slots[1]; b.classes[slot].meanWork.value != work ||
+		b.byID[1].partFailures[slot].streak != 7 {
 		t.Error("what was known of a class that stays is gone")
 	}
 	fails := func(id uint64, attempt int) {
-		b.Outcome(1000, Outcome{ID: id, Attempt: attempt, Endpoint: out.sends[len(out.sends)-1].endpoint, Status: Error})
+		b.Outcome(1000, Outcome{ID: id, Attempt: attempt, Endpoint: out.sends[len(out.sends)-1].endpoint,
+			Status: Error})
 	}
 	fails(1, 0)
 	if len(out.sends) != 2 {
@@ -48,7 +51,7 @@
 	}
 }
 
-func TestReloadTurnsDown(t *testing.T) {
+func TestReloadRejectsInvalidSettings(t *testing.T) {
 	s := testSettings()
 	b, _ := start(t, s, ready(1))
 	before := b.Rules()
@@ -61,17 +64,18 @@
 }
 
 // Places of classes that are gone are used again, so that reloads without end take no room without end.
-func TestReloadsWithoutEnd(t *testing.T) {
+func TestManyReloadsReuseSlots(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{Name: "a", Allowance: 1}, {Name: "b", Allowance: 1}}
 	b, out := start(t, s, ready(2))
 	for i := range 50 {
-		s.Classes = []Class{{Name: fmt.Sprint("class", i), Idempotency: Idempotent, LatencyObjective: 300_000, Timeout: second, PriorityWeight: 1}}
+		s.Classes = []Class{{Name: fmt.Sprint("class", i), Idempotency: Idempotent, LatencyObjective: 300_000,
+			Timeout: second, PriorityWeight: 1}}
 		s.Tenants[0], s.Tenants[1] = s.Tenants[1], s.Tenants[0]
 		if _, err := b.Reload(s); err != nil {
 			t.Fatal(err)
 		}
-		if at := ask(b, out, Micros(i)*second, uint64(i+1), 0); at == 0 {
+		if at := requestEndpoint(b, out, Micros(i)*second, uint64(i+1)); at == 0 {
 			t.Fatal("refused")
 		}
 	}
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -11,21 +11,21 @@
 
 // checker hosts a balancer and asserts the rules on every action.
 type checker struct {
-	s        Settings
-	now      Micros
-	states   map[uint32]Endpoint
-	cold     map[uint32]Micros   // endpoint: told start
-	coldWork map[uint32]float64  // requests sent while cold
-	reqs     map[uint64]*checked // open and ended
-	bad      []string
-	timers   []pending
-	probes   []uint32
+	s             Settings
+	now           Micros
+	states        map[uint32]Endpoint
+	slowStarts    map[uint32]Micros   // by endpoint: start as listed
+	slowStartWork map[uint32]float64  // by endpoint: requests sent during slow start
+	reqs          map[uint64]*checked // open and ended
+	bad           []string
+	timers        []pending
+	probes        []uint32
 }
 
 type checked struct {
 	in       Request
 	answered int
-	told     bool // it was told that the request is over
+	ended    bool // its client has the final answer or has left
 	attempts []checkedAttempt
 }
 
@@ -62,7 +62,7 @@
 	}
 	e, known := c.states[endpoint]
 	class := c.s.Classes[r.in.Class]
-	if r.answered > 0 || r.told {
+	if r.answered > 0 || r.ended {
 		c.fault("send after the end of %d", id)
 	}
 	if !known || e.State != Ready {
@@ -83,15 +83,15 @@
 			c.fault("repeat of %d (%s) may have a second effect", id, class.Name)
 		}
 	}
-	if _, cold := c.cold[endpoint]; cold {
-		c.coldWork[endpoint]++
+	if _, cold := c.slowStarts[endpoint]; cold {
+		c.slowStartWork[endpoint]++
 	}
 	r.attempts = append(r.attempts, checkedAttempt{ep: e, at: c.now, out: true, mayRun: true})
 }
 
 func (c *checker) final(id uint64) *checked {
 	r := c.reqs[id]
-	if r == nil || r.answered > 0 || r.told {
+	if r == nil || r.answered > 0 || r.ended {
 		c.fault("final answer for %d, which is not open", id)
 		return nil
 	}
@@ -102,7 +102,8 @@
 func (c *checker) Reject(id uint64, _ Micros) {
 	if r := c.final(id); r != nil && r.bound() != nil {
 		class := c.s.Classes[r.in.Class]
-		if class.Idempotency == NotIdempotent || class.Idempotency == WithIdempotencyKey && class.DedupScope != DedupAll {
+		if class.Idempotency == NotIdempotent || class.Idempotency == WithIdempotencyKey &&
+			class.DedupScope != DedupAll {
 			c.fault("refusal of %d (%s), which may have run", id, class.Name)
 		}
 	}
@@ -142,8 +143,8 @@
 func play(t *testing.T, s Settings, seed int64) []string {
 	t.Helper()
 	rnd := rand.New(rand.NewSource(seed))
-	c := &checker{s: s, now: 1_000_000, states: map[uint32]Endpoint{}, cold: map[uint32]Micros{},
-		coldWork: map[uint32]float64{}, reqs: map[uint64]*checked{}}
+	c := &checker{s: s, now: 1_000_000, states: map[uint32]Endpoint{}, slowStarts: map[uint32]Micros{},
+		slowStartWork: map[uint32]float64{}, reqs: map[uint64]*checked{}}
 	b, err := New(s, uint64(seed), c)
 	if err != nil {
 		t.Fatal(err)
@@ -194,10 +195,10 @@
 				if status == Rejected || status == ConnectFailed || status == NotSent {
 					a.mayRun = false
 				}
-				if status == OK && r.answered == 0 && !r.told {
-					r.told = true
+				if status == OK && r.answered == 0 && !r.ended {
+					r.ended = true
 				}
-				settled := r.answered > 0 || r.told
+				settled := r.answered > 0 || r.ended
 				b.Outcome(c.now, Outcome{ID: r.in.ID, Attempt: i, Endpoint: a.ep.ID, Status: status,
 					Latency: c.now - a.at, Answered: settled})
 				break
@@ -205,7 +206,7 @@
 		case n < 16 && len(open) > 0:
 			r := c.reqs[open[rnd.Intn(len(open))]]
 			if r.answered == 0 {
-				r.told = true
+				r.ended = true
 			}
 			b.ClientDisconnected(c.now, r.in.ID)
 		case n < 18:
@@ -245,7 +246,7 @@
 		}
 	}
 	for id, r := range c.reqs {
-		if r.answered == 0 && !r.told {
+		if r.answered == 0 && !r.ended {
 			c.fault("request %d never got a final answer", id)
 		}
 	}
@@ -259,7 +260,7 @@
 		s.Limits.HedgedRequests = seed%3 != 0
 		s.Limits.Probes = seed%5 != 0
 		s.Limits.MaxAttempts = 1 + int(seed%4)
-		s.Prices.Probe *= float64(seed % 7 / 3) // held requests, too
+		s.Prices.Probe *= float64(seed % 7 / 3) // waiting requests, too
 		for i, bad := range play(t, s, seed) {
 			if i < 5 {
 				t.Errorf("seed %d: %s", seed, bad)
@@ -281,15 +282,23 @@
 		return c
 	}
 	for name, do := range map[string]func(*checker){
-		"two final answers":      func(c *checker) { c.Reject(0, 0); c.Fail(0) },
-		"send after the end":     func(c *checker) { c.Fail(0); c.Send(0, 1, 0) },
-		"send to the drained":    func(c *checker) { c.states[1] = Endpoint{ID: 1, State: Draining}; c.Send(0, 1, 0) },
+		"two final answers":  func(c *checker) { c.Reject(0, 0); c.Fail(0) },
+		"send after the end": func(c *checker) { c.Fail(0); c.Send(0, 1, 0) },
+		"send to the drained": func(c *checker) {
+			c.states[1] = Endpoint{ID: 1, State: Draining}
+			c.Send(0, 1, 0)
+		},
 		"unsafe sent twice":      func(c *checker) { c.Send(4, 1, 0); c.Send(4, 2, 0) },
 		"unsafe refused":         func(c *checker) { c.Send(4, 1, 0); c.Reject(4, 0) },
 		"keyed outside its zone": func(c *checker) { c.Send(2, 1, 0); c.Send(2, 3, 0) },
 		"keyed outside its cell": func(c *checker) { c.Send(3, 1, 0); c.Send(3, 3, 0) },
 		"keyed after its window": func(c *checker) { c.Send(1, 1, 0); c.now = second; c.Send(1, 2, 0) },
-		"too many attempts":      func(c *checker) { c.Send(0, 1, 0); c.Send(0, 2, 0); c.Send(0, 3, 0); c.Send(0, 4, 0) },
+		"too many attempts": func(c *checker) {
+			c.Send(0, 1, 0)
+			c.Send(0, 2, 0)
+			c.Send(0, 3, 0)
+			c.Send(0, 4, 0)
+		},
 	} {
 		c := fresh()
 		if do(c); len(c.bad) == 0 {
@@ -299,7 +308,7 @@
 }
 
 // Each kind of effect against each outcome of its first attempt.
-func TestLedger(t *testing.T) {
+func TestRequestRecords(t *testing.T) {
 	never := map[Status]bool{Rejected: true, ConnectFailed: true, NotSent: true}
 	for class := range uint8(5) {
 		for status := Error; status <= NotSent; status++ {
@@ -337,7 +346,7 @@
 	}
 }
 
-func TestNoEndpointMeansRefusal(t *testing.T) {
+func TestNoEndpointMeansRejection(t *testing.T) {
 	b, r := start(t, testSettings(), nil)
 	b.Request(1000, request0(1, 4, 1000))
 	b.Request(1000, Request{ID: 2, Deadline: 500})
@@ -365,7 +374,7 @@
 	}
 }
 
-func TestDrainingGetsNothing(t *testing.T) {
+func TestDrainingEndpointGetsNothing(t *testing.T) {
 	b, r := start(t, testSettings(), ready(2))
 	b.UpdateEndpoints(1000, ListDelta, []Endpoint{{ID: 1, State: Draining}})
 	b.UpdateEndpoints(1000, ListFull, []Endpoint{{ID: 1, State: Draining}, {ID: 3, State: Ready}})
@@ -379,9 +388,9 @@
 	}
 }
 
-// coldSends counts sends to a cold endpoint over the overload window just
+// slowStartSends counts sends to a cold endpoint over the overload window just
 // after its start, beside nine warm ones under a steady load.
-func coldSends(t *testing.T, rate int, colds int) (cold []int, warm float64) {
+func slowStartSends(t *testing.T, rate int, colds int) (cold []int, warm float64) {
 	t.Helper()
 	s := testSettings()
 	list := ready(10)
@@ -405,7 +414,8 @@
 	run(0, 5*second)
 	clear(counts)
 	for i := range colds {
-		b.UpdateEndpoints(5*second, ListDelta, []Endpoint{{ID: uint32(11 + i), State: Ready, StartTime: 5 * second}})
+		b.UpdateEndpoints(5*second, ListDelta, []Endpoint{{ID: uint32(11 + i), State: Ready,
+			StartTime: 5 * second}})
 	}
 	run(5*second, 6*second)
 	for e, n := range counts {
@@ -418,9 +428,9 @@
 	return cold, warm
 }
 
-func TestColdEndpointGetsItsRampShare(t *testing.T) {
+func TestSlowStartEndpointGetsItsShare(t *testing.T) {
 	for _, c := range []struct{ rate, colds int }{{100, 1}, {500, 1}, {500, 2}, {2000, 2}} {
-		cold, warm := coldSends(t, c.rate, c.colds)
+		cold, warm := slowStartSends(t, c.rate, c.colds)
 		for _, n := range cold {
 			// Warmth goes from 0.2 to 0.28 in this second; one request may round up.
 			if float64(n) > 0.28*warm+1 {
@@ -430,7 +440,7 @@
 	}
 }
 
-func TestOneServerFleetRestarts(t *testing.T) {
+func TestRestartOfTheOnlyEndpoint(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1)[:1])
 	b.UpdateEndpoints(second, ListDelta, []Endpoint{{ID: 1, State: Ready, StartTime: second}})
 	for i := range uint64(400) {
@@ -445,7 +455,7 @@
 	}
 }
 
-func TestSubscriptionIsAskedForAgain(t *testing.T) {
+func TestBrokenSubscriptionIsRetried(t *testing.T) {
 	s := testSettings()
 	s.Subscribe = true
 	b, r := start(t, s, ready(2))
@@ -482,14 +492,15 @@
 	n := r.watches
 	b.Timer(now+100*second, tokenDiscovery)
 	if r.watches != n {
-		t.Error("asked again while subscribed")
+		t.Error("polled again while subscribed")
 	}
 }
 
-// A call that failed is made again with backoff that the settings cannot make long, nor so short that calls are made without a
-// pause; the first call comes soon as well.
-func TestAskingIsBounded(t *testing.T) {
-	for _, within := range []Micros{0, 1, second / 2, 2 * second, 10 * second, 3600 * second, math.MaxInt64 / 4} {
+// A call that failed is made again with backoff that the settings cannot make long, nor so short that calls are
+// made without a pause; the first call comes soon as well.
+func TestPollBackoffIsBounded(t *testing.T) {
+	for _, within := range []Micros{0, 1, second / 2, 2 * second, 10 * second, 3600 * second,
+		math.MaxInt64 / 4} {
 		s := testSettings()
 		s.Subscribe, s.Contract.PollInterval = true, within
 		b, r := start(t, s, ready(2))
@@ -511,7 +522,8 @@
 			}
 			b.UpdateEndpoints(now+took, ListFailed, nil)
 			pause := next()
-			if r.watches != n+1 || pause > max(MaxPollInterval*3/2-took, PollJitter)+1 || took+pause < MinPollInterval/2 {
+			if r.watches != n+1 || pause > max(MaxPollInterval*3/2-took, PollJitter)+1 ||
+				took+pause < MinPollInterval/2 {
 				t.Errorf("asking within %d: call %d, %d after it failed, which took %d", within, r.watches, pause, took)
 			}
 			now += took + pause
@@ -519,7 +531,7 @@
 	}
 }
 
-func TestStreamIsLeftAlone(t *testing.T) {
+func TestStreamedAnswerIsLeftAlone(t *testing.T) {
 	b, r := start(t, testSettings(), ready(2))
 	b.Request(1000, request0(1, 0, 1000))
 	b.ResponseStarted(2000, 1, 0, 1000)
@@ -527,9 +539,10 @@
 	if len(r.sends) != 1 || len(r.refused)+len(r.failed) != 0 {
 		t.Error("a stream that began was given an end or a copy")
 	}
-	b.Outcome(3*second, Outcome{ID: 1, Endpoint: r.sends[0].endpoint, Status: OK, Latency: 3 * second, Answered: true})
+	b.Outcome(3*second, Outcome{ID: 1, Endpoint: r.sends[0].endpoint, Status: OK, Latency: 3 * second,
+		Answered: true})
 	if len(b.requests) != 0 {
-		t.Error("record kept")
+		t.Error("record retained")
 	}
 }
 
@@ -580,7 +593,7 @@
 }
 
 // Staff must learn why requests are refused, in one line a second and not in thousands.
-func TestRefusalsAreToldOnceASecond(t *testing.T) {
+func TestRejectionsAreLoggedOnceASecond(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.ProbeCompleted(1000, 1, OK, 500, []float32{50})
 	for id := range uint64(200) {
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -1,6 +1,7 @@
 package balancer
 
 import (
+	"errors"
 	"flag"
 	"fmt"
 	"slices"
@@ -10,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// history plays a random life to one balancer, and later to a second one, and keeps what each asks for.
+// history plays random events to one balancer, and later to a second one, and records the actions of each.
 type history struct {
 	t      *rapid.T
 	now    Micros
@@ -25,7 +26,7 @@
 	probes []uint32
 }
 
-// side is the actions of one of the balancers. What the first asks for is done for both.
+// side records the actions of one of the balancers. Those of the first are carried out for both.
 type side struct {
 	h  *history
 	at int
@@ -87,14 +88,16 @@
 	}
 	entry := func() Endpoint {
 		id := rapid.Uint32Range(1, 8).Draw(h.t, "endpoint")
-		return Endpoint{ID: id, Zone: uint8(id / 3), Cell: uint16(id / 2), State: State(rapid.IntRange(0, 2).Draw(h.t, "state")),
+		return Endpoint{ID: id, Zone: uint8(id / 3), Cell: uint16(id / 2), State: State(rapid.IntRange(0,
+			2).Draw(h.t, "state")),
 			StartTime: Micros(rapid.IntRange(0, 1).Draw(h.t, "started")) * (h.now - second)}
 	}
 	switch rapid.IntRange(0, 15).Draw(h.t, "what") {
 	case 0, 1, 2, 3, 4:
 		h.last++
 		r := Request{ID: h.last, Class: uint8(rapid.IntRange(0, 4).Draw(h.t, "class")), Deadline: h.now + second,
-			Tenant: uint16(rapid.IntRange(0, 2).Draw(h.t, "tenant")), BodyStreaming: rapid.IntRange(0, 9).Draw(h.t, "flows") == 0}
+			Tenant: uint16(rapid.IntRange(0, 2).Draw(h.t, "tenant")), BodyStreaming: rapid.IntRange(0, 9).Draw(h.t,
+				"flows") == 0}
 		if r.HasHint = rapid.Bool().Draw(h.t, "hinted"); r.HasHint {
 			r.Hint = Micros(rapid.IntRange(1, 200_000).Draw(h.t, "hint"))
 		}
@@ -135,7 +138,11 @@
 			next.Classes = slices.Clone(s.Classes)
 			next.Classes[0].Name = rapid.SampledFrom([]string{"read", "other"}).Draw(h.t, "name")
 			next.Tenants = []Tenant{{Name: "b", Allowance: 3}, {Name: "c", Allowance: 9}}
-			h.each(func(b *Balancer) { b.Reload(next) })
+			h.each(func(b *Balancer) {
+				if _, err := b.Reload(next); err != nil {
+					h.t.Error(err)
+				}
+			})
 		case 1:
 			h.each(func(b *Balancer) { b.ClientDisconnected(h.now, h.last) })
 		case 2:
@@ -149,8 +156,8 @@
 	}
 }
 
-// A balancer made from a snapshot goes on as the one that was pictured, whatever was under way.
-func TestResumeGoesOnExactly(t *testing.T) {
+// A balancer made from a snapshot continues as the one that it was taken of, whatever was under way.
+func TestResumeContinuesExactly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := testSettings()
 		s.Subscribe = rapid.Bool().Draw(t, "subscribe")
@@ -179,7 +186,8 @@
 		if diff := cmp.Diff(h.said[0][cut:], h.said[1]); diff != "" {
 			t.Fatalf("decisions differ (-pictured +resumed):\n%s", diff)
 		}
-		if diff := cmp.Diff(first.Snapshot(h.now, true), second.Snapshot(h.now, true), cmp.AllowUnexported(Rules{})); diff != "" {
+		if diff := cmp.Diff(first.Snapshot(h.now, true), second.Snapshot(h.now, true),
+			cmp.AllowUnexported(Rules{})); diff != "" {
 			t.Fatalf("states differ:\n%s", diff)
 		}
 	})
@@ -214,7 +222,7 @@
 	return b
 }
 
-func TestRecallKnowsPacesOfThoseThatStayed(t *testing.T) {
+func TestRestoreKeepsPacesOfRemainingEndpoints(t *testing.T) {
 	b, now := taught(t, 6, func(uint32) Status { return OK })
 	list := ready(6)
 	list[2].StartTime = now - 500 // started again meanwhile
@@ -227,11 +235,12 @@
 		was := b.byID[id]
 		if id == 3 {
 			if e.pace.samples > 0 || !e.warmingUp {
-				t.Error("the restarted endpoint kept its record")
+				t.Error("the restarted endpoint still has its record")
 			}
 			continue
 		}
-		if e.pace != was.pace || e.breaker.base != was.breaker.base || e.breaker.requests != was.breaker.requests {
+		if e.pace != was.pace || e.breaker.base != was.breaker.base ||
+			e.breaker.requests != was.breaker.requests {
 			t.Errorf("endpoint %d: pace %v of %v", id, e.pace, was.pace)
 		}
 	}
@@ -241,7 +250,7 @@
 }
 
 // Belief fades: what is old changes less, and beyond its time nothing.
-func TestRecallFadesWithAge(t *testing.T) {
+func TestRestoreFadesWithAge(t *testing.T) {
 	b, now := taught(t, 6, func(uint32) Status { return OK })
 	for range 400 {
 		b.byID[6].breaker.count(now, 0, 1)
@@ -274,7 +283,7 @@
 }
 
 // A process that thought all endpoints sick teaches a new one no failure.
-func TestRecallDropsTheWordOfOneThatSawAllSick(t *testing.T) {
+func TestRestoreDropsFailuresWhereMostFailed(t *testing.T) {
 	b, now := taught(t, 6, func(uint32) Status { return Error })
 	n := fresh(t, now, ready(6))
 	known, err := n.Restore(now, b.Snapshot(now, false), 0)
@@ -292,7 +301,7 @@
 }
 
 // What an earlier process still has at an endpoint is load of others there.
-func TestRecallCountsTheEarlierProcessRequests(t *testing.T) {
+func TestRestoreCountsTheEarlierProcessRequests(t *testing.T) {
 	b, r := start(t, testSettings(), ready(4))
 	for id := uint32(1); id <= 4; id++ {
 		b.ProbeCompleted(1000, id, OK, 1000, []float32{1})
@@ -313,7 +322,7 @@
 	}
 }
 
-func TestHeardEjectionKeepsMostIn(t *testing.T) {
+func TestPeerEjectionKeepsHalfInUse(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(4))
 	for id := uint32(1); id <= 4; id++ {
 		b.PeerEjected(0, id, 100*second)
@@ -326,8 +335,8 @@
 	b.PeerEjected(0, 99, second) // not known
 }
 
-// Two processes that share what cold endpoints may get start with no more than one of them had saved.
-func TestShareSplitsSavedRoom(t *testing.T) {
+// Two processes that share slow-start budgets start with no more than one of them had saved.
+func TestCapacityShareSplitsSavedBudget(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(1))
 	b.endpoints[0].slowStartBudget = 8
 	b.SetCapacityShare(0.5)
@@ -339,7 +348,7 @@
 	}
 }
 
-func TestResumeNamesWhatMakesNoSense(t *testing.T) {
+func TestResumeNamesInvalidField(t *testing.T) {
 	b, now := taught(t, 4, func(uint32) Status { return OK })
 	for field, spoil := range map[string]func(*Snapshot){
 		"Rules":              func(s *Snapshot) { s.Rules = nil },
@@ -356,13 +365,21 @@
 		s.Rules[0].Slots = slices.Clone(s.Rules[0].Slots)
 		spoil(s)
 		_, err := Resume(s, &recorder{})
-		bad, ok := err.(*SnapshotError)
-		if !ok || bad.Field != field && !(field == "Endpoints.Head" && bad.Field == "Endpoints") {
+		var bad *SnapshotError
+		if !errors.As(err, &bad) {
+			t.Errorf("%s: %v", field, err)
+			continue
+		}
+		headIsInstant := field == "Endpoints.Head" && bad.Field == "Endpoints"
+		if bad.Field != field && !headIsInstant {
 			t.Errorf("%s: %v", field, err)
 		}
 	}
 }
 
 func init() {
-	flag.Set("rapid.seed", "20261201") // the same verdict every time; the command line goes before it
+	// The same verdict every time; the command line goes before it.
+	if err := flag.Set("rapid.seed", "20261201"); err != nil {
+		panic(err)
+	}
 }
--- a/balancer/warm_test.go
+++ b/balancer/warm_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// Others send a cold endpoint less, too: what it holds while nothing is told of it is its warmth's part of the usual.
-func TestColdEndpointIsNotHeldToBeAsBusyAsWarmOnes(t *testing.T) {
+// Others send a cold endpoint less, too: what it holds while nothing is told of it is its warmth's part of
+// the usual.
+func TestTypicalLoadIsScaledDuringSlowStart(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(3))
 	b.startSlowStart(second, b.byID[1], second)
 	b.typicalLoad = ewma{value: 5, samples: settledSamples}
@@ -26,13 +27,15 @@
 	b.startSlowStart(second, b.byID[1], second)
 	b.ProbeCompleted(2*second, 1, OK, 500, []float32{9})
 	b.typicalLoad = ewma{value: 5, samples: settledSamples}
-	if fresh, old := b.load(2*second, b.byID[1]), b.load(4*second, b.byID[1]); math.Abs(fresh-9) > 0.1 || math.Abs(old-2.2) > 0.1 {
+	if fresh, old := b.load(2*second, b.byID[1]), b.load(4*second, b.byID[1]); math.Abs(fresh-9) > 0.1 ||
+		math.Abs(old-2.2) > 0.1 {
 		t.Errorf("load %v as told and %v long after, want 9 and 2.2", fresh, old)
 	}
 }
 
-// Settings tell the least that a cold endpoint can do. What cold ones show is learned, for all of them together.
-func TestColdEndpointsShowHowWarmTheyAre(t *testing.T) {
+// Settings tell the least that a cold endpoint can do. What cold ones show is learned, for all of them
+// together.
+func TestSlowStartCorrectionIsLearned(t *testing.T) {
 	for _, c := range []struct {
 		slower   float64 // than warm, of what is to be expected of the least warmth
 		from, to float64 // of heat over warmth, after a few answers
@@ -40,11 +43,13 @@
 		s := testSettings()
 		s.Contract.SlowStartDuration = 1000 * second
 		b, r := start(t, s, ready(8))
-		b.fleetPace, b.meanWork, b.classes[0].meanWork = ewma{value: 1, samples: settledSamples}, ewma{value: 1000, samples: settledSamples}, ewma{value: 1000, samples: settledSamples}
+		b.fleetPace, b.meanWork, b.classes[0].meanWork = ewma{value: 1, samples: settledSamples},
+			ewma{value: 1000, samples: settledSamples}, ewma{value: 1000, samples: settledSamples}
 		for id := range uint64(200) {
 			now := second + Micros(id)*second/10
 			for _, e := range b.endpoints {
-				e.warmingUp, e.slowStartAt, e.slowStartBudget, e.failures, e.partFailures = true, now-100*second, 1e12, failureRun{}, b.newPartFailures()
+				e.warmingUp, e.slowStartAt, e.slowStartBudget, e.failures, e.partFailures = true, now-100*second,
+					1e12, failureRun{}, b.newPartFailures()
 			}
 			b.Request(now, Request{ID: id, Deadline: now + 100*second, Hint: 1000, HasHint: true})
 			if len(r.sends) != int(id)+1 {
@@ -65,7 +70,8 @@
 		}
 		// A new process believes it, too: of cold servers it would meet as few.
 		next, _ := start(t, s, ready(8))
-		if _, err := next.Restore(now, b.Snapshot(now, false), second); err != nil || next.slowStartCorrection != b.slowStartCorrection {
+		if _, err := next.Restore(now, b.Snapshot(now, false), second); err != nil ||
+			next.slowStartCorrection != b.slowStartCorrection {
 			t.Errorf("recalled %v of %v (%v)", next.slowStartCorrection, b.slowStartCorrection, err)
 		}
 	}
@@ -73,7 +79,7 @@
 
 // After a start the first endpoint that answers may be a jammed one, asked several times to learn how old reports
 // are. What is thought of all others must not be that for long: with few probes it would be for the whole day.
-func TestOneJammedEndpointIsNotTheUsualLoad(t *testing.T) {
+func TestOneJammedEndpointIsNotTheTypicalLoad(t *testing.T) {
 	s := testSettings()
 	b, _ := start(t, s, ready(10))
 	now := second
@@ -93,8 +99,9 @@
 	}
 }
 
-// What a cold endpoint may get follows what cold ones show, but never the multiple of the least that it can do.
-func TestColdBudgetFollowsWhatIsShown(t *testing.T) {
+// What a cold endpoint may get follows what cold ones show, but never the multiple of the least that it
+// can do.
+func TestSlowStartBudgetFollowsCorrection(t *testing.T) {
 	for _, c := range []struct{ chill, want float64 }{{1, 1.4}, {0.9, 1.4 / 0.9}, {0.5, 1.8}, {0.2, 1.8}} {
 		s := testSettings()
 		s.Contract.OverloadMultiple = 3
@@ -108,16 +115,18 @@
 		b.slowStartCorrection, e.slowStartBudget = c.chill, 0
 		each := b.sentWork.rate(now+1000) / b.capacity
 		b.fitsSlowStartBudget(now+1000, e, 1e6)
-		if got := e.slowStartBudget / (each * 0.001 * e.guaranteedCapacity(now+1000, b)); math.Abs(got-c.want) > 0.01 {
+		if got := e.slowStartBudget / (each * 0.001 * e.guaranteedCapacity(now+1000,
+			b)); math.Abs(got-c.want) > 0.01 {
 			t.Errorf("chill %v: a budget of %.3f times the least that it can do, want %.3f", c.chill, got, c.want)
 		}
 	}
 }
 
-// The guide to a cold budget is what warm endpoints carry. What was turned away unseen they do not: tried again and again it
-// would raise the budget as often.
-func TestWhatIsTurnedAwayRaisesNoColdBudget(t *testing.T) {
-	for status, counts := range map[Status]bool{OK: true, Error: true, Timeout: true, Reset: true, Rejected: false, ConnectFailed: false, NotSent: false} {
+// The guide to a cold budget is what warm endpoints carry. What was turned away unseen they do not: tried again and
+// again it would raise the budget as often.
+func TestRejectedAttemptsRaiseNoSlowStartBudget(t *testing.T) {
+	for status, counts := range map[Status]bool{OK: true, Error: true, Timeout: true, Reset: true,
+		Rejected: false, ConnectFailed: false, NotSent: false} {
 		s := testSettings()
 		s.Limits.MaxAttempts = 1
 		b, r := start(t, s, ready(4))
