--- a/internal/controlplane/daemon/component.go
+++ b/internal/controlplane/daemon/component.go
@@ -76,7 +76,7 @@
 // start.
 func subscribeTo(prefixes ...string) changefeed.Subscription {
 	interest := store.Interest{Prefixes: prefixes}
-	return changefeed.Subscription{Of: &interest, Kept: interest}
+	return changefeed.Subscription{Interest: &interest, Retained: interest}
 }
 
 // isPartial reports whether a copy lacks some of the keys with a prefix.
--- a/internal/controlplane/daemon/daemon.go
+++ b/internal/controlplane/daemon/daemon.go
@@ -72,13 +72,13 @@
 
 // Subscription joins those of all components.
 func (d *Daemon) Subscription() changefeed.Subscription {
-	all := changefeed.Subscription{Of: &store.Interest{}}
+	all := changefeed.Subscription{Interest: &store.Interest{}}
 	for _, c := range d.components {
 		part := changefeed.Subscription{} // all keys
 		if s, ok := c.(Subscriber); ok {
 			part = s.Subscription()
 		}
-		all = all.Join(part)
+		all = all.Union(part)
 	}
 	return all
 }
--- a/internal/controlplane/daemon/settings.go
+++ b/internal/controlplane/daemon/settings.go
@@ -87,7 +87,7 @@
 func (x *Settings) Subscription() changefeed.Subscription {
 	kept := store.Interest{Keys: []string{keyCurrent, keyPlan, keyPlanSettings}}
 	of := kept.Union(store.Interest{Keys: []string{ReportKey(x.name)}})
-	return changefeed.Subscription{Of: &of, Kept: kept}
+	return changefeed.Subscription{Interest: &of, Retained: kept}
 }
 
 // Event is of Part.
--- a/internal/controlplane/daemon/snapshots.go
+++ b/internal/controlplane/daemon/snapshots.go
@@ -75,16 +75,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	own := store.Interest{Prefixes: s.ownPrefixes}
-	sub := changefeed.Subscription{Of: &own, Kept: own}
+	sub := changefeed.Subscription{Interest: &own, Retained: own}
 	if len(s.ownPrefixes) > 0 {
-		sub.Sums = []string{serverstate.SnapshotPrefix}
+		sub.SizePrefixes = []string{serverstate.SnapshotPrefix}
 	}
 	all := store.Interest{Prefixes: []string{serverstate.SnapshotPrefix}}
 	if len(s.ownPrefixes) > 0 && s.hasCopy && !s.serving && !s.hasOwn() {
-		sub.Of, sub.Kept = &all, all
+		sub.Interest, sub.Retained = &all, all
 	}
 	if s.sweepers > 0 {
-		sub.Of = &all
+		sub.Interest = &all
 	}
 	return sub
 }
--- a/internal/controlplane/daemon/subscription_test.go
+++ b/internal/controlplane/daemon/subscription_test.go
@@ -32,30 +32,30 @@
 	}
 	own, others := serverstate.SnapshotKey("me", ""), serverstate.SnapshotKey("you", "")
 	k, c := NewStateSnapshots("h", slog.New(slog.DiscardHandler)), &partialCopy{}
-	all := func() bool { return k.Subscription().Of.Covers(others) }
+	all := func() bool { return k.Subscription().Interest.Covers(others) }
 	k.Attach(c)
-	if k.Reset(with(others)); all() || k.Subscription().Of.Covers(own) || len(k.Subscription().Sums) != 0 {
+	if k.Reset(with(others)); all() || k.Subscription().Interest.Covers(own) || len(k.Subscription().SizePrefixes) != 0 {
 		t.Errorf("without a sidecar: %+v", k.Subscription())
 	}
 	k = NewStateSnapshots("h", slog.New(slog.DiscardHandler))
 	k.Attach(c)
-	if k.AddSidecar("me"); c.updates != 1 || all() || !k.Subscription().Of.Covers(own) {
+	if k.AddSidecar("me"); c.updates != 1 || all() || !k.Subscription().Interest.Covers(own) {
 		t.Errorf("before the first copy: %+v", k.Subscription())
 	}
-	if k.Reset(with(others).Subset(*k.Subscription().Of)); !all() || !k.Subscription().Kept.Covers(others) {
+	if k.Reset(with(others).Subset(*k.Subscription().Interest)); !all() || !k.Subscription().Retained.Covers(others) {
 		t.Errorf("with none of its own: %+v", k.Subscription())
 	}
-	if k.Reset(with(others, own).Subset(store.Interest{Prefixes: []string{serverstate.SnapshotPrefixOf("me")}})); all() || k.Subscription().Kept.Covers(others) {
+	if k.Reset(with(others, own).Subset(store.Interest{Prefixes: []string{serverstate.SnapshotPrefixOf("me")}})); all() || k.Subscription().Retained.Covers(others) {
 		t.Errorf("with its own: %+v", k.Subscription())
 	}
-	k.Reset(with(others).Subset(*k.Subscription().Of))
+	k.Reset(with(others).Subset(*k.Subscription().Interest))
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if k.SaveSnapshots(ctx, "me", "", nil, func() bool { return true }); all() {
 		t.Errorf("once it serves: %+v", k.Subscription())
 	}
 	ctx, cancel = context.WithCancel(t.Context())
-	if k.SubscribeAll(ctx); !all() || k.Subscription().Kept.Covers(others) {
+	if k.SubscribeAll(ctx); !all() || k.Subscription().Retained.Covers(others) {
 		t.Errorf("while it ends what nobody tells: %+v", k.Subscription())
 	}
 	cancel()
@@ -76,12 +76,12 @@
 	n := New(quiet, parts...).Subscription()
 	for key, held := range map[string]bool{"out/drain/x": true, "out/ban/x": true, "start/x": true, keyCurrent: true, keyPlan: true, ReportKey("h"): true,
 		ReportKey("g"): false, keyCandidate: false, historyKey(1): false, serverstate.SnapshotKey("x", ""): false, "anything": false} {
-		if n.Of.Covers(key) != held || n.Kept.Covers(key) != (held && key != ReportKey("h")) {
-			t.Errorf("%s: held %v, kept %v", key, n.Of.Covers(key), n.Kept.Covers(key))
+		if n.Interest.Covers(key) != held || n.Retained.Covers(key) != (held && key != ReportKey("h")) {
+			t.Errorf("%s: held %v, kept %v", key, n.Interest.Covers(key), n.Retained.Covers(key))
 		}
 	}
-	if n := New(quiet, append(parts, unsubscribed{})...).Subscription(); n.Of != nil {
-		t.Errorf("with a part that does not say: %+v", n.Of)
+	if n := New(quiet, append(parts, unsubscribed{})...).Subscription(); n.Interest != nil {
+		t.Errorf("with a part that does not say: %+v", n.Interest)
 	}
 }
 
--- a/internal/controlplane/leasetask/runner.go
+++ b/internal/controlplane/leasetask/runner.go
@@ -81,7 +81,7 @@
 // Subscription implements daemon.Subscriber: it covers the queues of all hosts, since a host's turn depends on
 // those ahead of it. The next start has no use for keys that expire with sessions.
 func (r *Runner) Subscription() changefeed.Subscription {
-	return changefeed.Subscription{Of: &store.Interest{Prefixes: []string{lease.Prefix}}}
+	return changefeed.Subscription{Interest: &store.Interest{Prefixes: []string{lease.Prefix}}}
 }
 
 // Run waits until ctx ends. With Attach, Event and Reset it makes a Runner a component of a daemon.
--- a/internal/controlplane/quotasync/manager.go
+++ b/internal/controlplane/quotasync/manager.go
@@ -82,7 +82,7 @@
 func (l *Manager) Subscription() changefeed.Subscription {
 	kept := store.Interest{Keys: []string{quota.ConfigKey}}
 	of := kept.Union(store.Interest{Prefixes: []string{quota.DemandPrefix + l.cfg.Host + "/", quota.GrantPrefix + l.cfg.Host + "/"}})
-	return changefeed.Subscription{Of: &of, Kept: kept, Sums: []string{quota.DemandPrefix}}
+	return changefeed.Subscription{Interest: &of, Retained: kept, SizePrefixes: []string{quota.DemandPrefix}}
 }
 
 // ObservePrefixSize is of daemon.Summed.
--- a/internal/controlplane/quotasync/manager_test.go
+++ b/internal/controlplane/quotasync/manager_test.go
@@ -16,7 +16,7 @@
 		Log: slog.New(slog.DiscardHandler)}, nil)
 	n := l.Subscription()
 	me, other := quota.Process{Host: "h", Session: 7}, quota.Process{Host: "h2", Session: 8}
-	if !n.Of.Covers(me.DemandKey()) || !n.Of.Covers(me.GrantKey()) || !n.Of.Covers(quota.ConfigKey) || n.Of.Covers(other.DemandKey()) || n.Kept.Covers(me.DemandKey()) {
+	if !n.Interest.Covers(me.DemandKey()) || !n.Interest.Covers(me.GrantKey()) || !n.Interest.Covers(quota.ConfigKey) || n.Interest.Covers(other.DemandKey()) || n.Retained.Covers(me.DemandKey()) {
 		t.Errorf("%+v", n)
 	}
 	whole := store.New(1, store.DefaultLimits)
@@ -30,7 +30,7 @@
 		_, _, next := l.holder.Demand(at)
 		return time.Duration(next - at)
 	}
-	l.Reset(whole.Subset(*n.Of))
+	l.Reset(whole.Subset(*n.Interest))
 	l.ObservePrefixSize(quota.DemandPrefix, store.PrefixSize{Keys: 1200})
 	if d := pace(); d != 6*time.Second {
 		t.Errorf("among 1,200: %v", d)
--- a/internal/store/admin/outer.go
+++ b/internal/store/admin/outer.go
@@ -176,7 +176,7 @@
 // run hands out what changes: one reader of the history for all streams.
 func (o *Outer) run(ctx context.Context) {
 	for {
-		at, _ := o.feed.At()
+		at, _ := o.feed.Position()
 		events, to, err := o.e.Next(ctx, "", at, 256)
 		var gone *store.CompactedError
 		switch {
@@ -298,8 +298,8 @@
 
 func (x *stream) run(ctx context.Context) {
 	x.ages = x.o.rules.Ages()
-	x.t = x.o.feed.Tell(x.of, x.after)
-	defer x.o.feed.Leave(x.t.Stream)
+	x.t = x.o.feed.NewSender(x.of, x.after)
+	defer x.o.feed.Unsubscribe(x.t.Stream)
 	if !x.beat(ctx, false) || !x.catchUp(ctx) || !x.beat(ctx, true) { // a beat first, so that it is known of which cluster this is
 		return
 	}
@@ -314,7 +314,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-x.t.Wake():
+		case <-x.t.Ready():
 			ok = x.take(false)
 		case <-progress.C:
 			ok = x.take(true)
@@ -330,7 +330,7 @@
 // catchUp tells what changed between where the follower is and where its stream begins.
 func (x *stream) catchUp(ctx context.Context) bool {
 	for done := false; !done; {
-		var txns []changefeed.Txn
+		var txns []changefeed.Batch
 		var gone error
 		if _, err := x.o.e.View(ctx, true, func(s *store.State) { txns, done, gone = x.t.CatchUp(s, lookMost) }); err != nil {
 			return false
@@ -347,7 +347,7 @@
 }
 
 // tell sends what some revisions changed, and up to where that is all, if it is not 0.
-func (x *stream) tell(txns []changefeed.Txn, through uint64) bool {
+func (x *stream) tell(txns []changefeed.Batch, through uint64) bool {
 	for i, t := range txns {
 		if x.of == nil {
 			for _, c := range t.Changes {
@@ -410,7 +410,7 @@
 			}
 		}
 	}
-	b.Revision, b.Proved = x.t.Confirms(a.Revision, a.Proved)
+	b.Revision, b.Proved = x.t.ConfirmedRevision(a.Revision, a.Proved)
 	b.Age = a.Age
 	for key, age := range x.ages {
 		if x.of == nil || x.of.Covers(key) {
@@ -426,7 +426,7 @@
 	wait, cancel := context.WithTimeout(ctx, beatEvery)
 	defer cancel()
 	for {
-		at, moved := o.feed.At()
+		at, moved := o.feed.Position()
 		if at >= revision {
 			return
 		}
--- a/internal/store/changefeed/feed_test.go
+++ b/internal/store/changefeed/feed_test.go
@@ -152,7 +152,7 @@
 }
 
 func (w *world) hands(r *replicaOf) {
-	at, _ := r.feed.At()
+	at, _ := r.feed.Position()
 	events, to, err := r.state.Changes(nil, "", at, 1+w.rng.IntN(8))
 	if err != nil {
 		r.feed.Skip(r.state.Revision())
@@ -163,7 +163,7 @@
 
 func (c *copyOf) hangUp() {
 	if c.teller != nil {
-		c.at.feed.Leave(c.teller.Stream)
+		c.at.feed.Unsubscribe(c.teller.Stream)
 	}
 	c.teller, c.wire = nil, nil
 }
@@ -172,17 +172,17 @@
 func (w *world) connects(c *copyOf) {
 	c.hangUp()
 	r := w.replicas[w.rng.IntN(len(w.replicas))]
-	a := c.copy.Ask()
-	of := a.Of
+	a := c.copy.NextRequest()
+	of := a.Interest
 	if r.old {
 		of = nil
 	}
-	if a.Fetch {
+	if a.Snapshot {
 		w.fetch(c, r, of)
 		return
 	}
-	if a.Of != nil {
-		anew, fetch := c.copy.Scoped(!r.old)
+	if a.Interest != nil {
+		anew, fetch := c.copy.StreamOpened(!r.old)
 		if anew {
 			w.narrowed++
 		}
@@ -191,9 +191,9 @@
 			return
 		}
 	}
-	c.at, c.whole, c.teller = r, of == nil, r.feed.Tell(of, a.After)
+	c.at, c.whole, c.teller = r, of == nil, r.feed.NewSender(of, a.After)
 	for done := false; !done; {
-		var txns []Txn
+		var txns []Batch
 		var err error
 		if txns, done, err = c.teller.CatchUp(r.state, 1+w.rng.IntN(8)); err != nil {
 			w.gaps++
@@ -220,13 +220,13 @@
 	if err != nil {
 		panic(err)
 	}
-	if c.copy.Took(got) == nil {
+	if c.copy.Replace(got) == nil {
 		w.fetches++
 	}
 }
 
 // sends puts on the wire what a teller took.
-func (c *copyOf) sends(txns []Txn, through uint64, p Defect) {
+func (c *copyOf) sends(txns []Batch, through uint64, p Defect) {
 	if p == ProgressEarly && through > 0 {
 		c.wire = append(c.wire, line{through: through})
 	}
@@ -253,7 +253,7 @@
 	beat := w.rng.IntN(3) == 0
 	stands := c.at.state.Revision()
 	if beat {
-		for at, _ := c.at.feed.At(); at < stands; at, _ = c.at.feed.At() {
+		for at, _ := c.at.feed.Position(); at < stands; at, _ = c.at.feed.Position() {
 			w.hands(c.at)
 		}
 	}
@@ -264,7 +264,7 @@
 	}
 	c.sends(txns, through, w.plant)
 	if beat {
-		of, proved := c.teller.Confirms(stands, true)
+		of, proved := c.teller.ConfirmedRevision(stands, true)
 		c.wire = append(c.wire, line{beat: true, of: of, proved: proved})
 	}
 }
@@ -277,18 +277,18 @@
 		var err error
 		if c.whole {
 			for _, e := range l.events {
-				err = errors.Join(err, c.copy.Change(e))
+				err = errors.Join(err, c.copy.ApplyEvent(e))
 			}
 		} else {
-			err = c.copy.Changes(l.events)
+			err = c.copy.ApplyRevision(l.events)
 			if err == nil && l.through > 0 {
-				err = c.copy.Through(l.through)
+				err = c.copy.Progress(l.through)
 			}
 		}
 		if err != nil {
 			return fmt.Errorf("a replica's word is refused: %w", err)
 		}
-		if l.beat && l.proved && c.copy.Confirmed(l.of) {
+		if l.beat && l.proved && c.copy.HasRevision(l.of) {
 			w.confirmed++
 		} else if l.beat && l.proved {
 			return fmt.Errorf("revision %d is confirmed to who was told all of %d", l.of, c.copy.State().Revision())
@@ -305,7 +305,7 @@
 	c.hangUp()
 	if s := c.copy.State(); s != nil && w.rng.IntN(2) == 0 {
 		var b bytes.Buffer
-		if err := c.copy.Kept(c.kept).Save(&b); err != nil {
+		if err := c.copy.Retained(c.kept).Save(&b); err != nil {
 			panic(err)
 		}
 		c.file = b.Bytes()
@@ -316,7 +316,7 @@
 		if err != nil {
 			panic(err)
 		}
-		c.copy.Found(s)
+		c.copy.Restore(s)
 	}
 }
 
@@ -372,7 +372,7 @@
 		case k < 96:
 			w.connects(c)
 		case k < 99:
-			if c.copy.Want(w.interest()) {
+			if c.copy.SetInterest(w.interest()) {
 				c.hangUp()
 			}
 		default:
@@ -387,7 +387,7 @@
 
 // A follower holds of its interest what the store held at its revision, over lagging replicas of two versions, cut streams, compaction,
 // other interests and restarts; and each planted fault shows.
-func TestPartsAgreeWithTheWhole(t *testing.T) {
+func TestMirrorsAgreeWithStore(t *testing.T) {
 	var sum world
 	for seed := range uint64(40) {
 		w := newWorld(seed, NoDefect)
@@ -401,10 +401,10 @@
 	if min(sum.fetches, sum.narrowed, sum.gaps, sum.confirmed) < 100 {
 		t.Error("hardly anything was played")
 	}
-	for p, name := range map[Defect]string{ProgressEarly: "progress before its changes", JoinLate: "a gap before the stream", DeletesLost: "deletions are not told",
-		BehindTells: "a replica that is behind says so as progress", WidenInPlace: "widened without the range", WidenOld: "widened by an older copy",
-		PartAsWhole: "a part that was kept counts as all", NarrowKeeps: "what is told of no more is kept", HalfRevision: "half of a revision",
-		OutsideAbsent: "what is not held is read as not there", CompactedPassed: "what is compacted is passed over"} {
+	for p, name := range map[Defect]string{ProgressEarly: "progress before its changes", SubscribeLate: "a gap before the stream", DeletionsLost: "deletions are not told",
+		ProgressRegresses: "a replica that is behind says so as progress", WidenInPlace: "widened without the range", WidenFromOlder: "widened by an older copy",
+		PartialAsComplete: "a part that was kept counts as all", NarrowRetains: "what is told of no more is kept", RevisionSplit: "half of a revision",
+		NotHeldAsAbsent: "what is not held is read as not there", CompactionIgnored: "what is compacted is passed over"} {
 		found := false
 		for seed := uint64(0); seed < 40 && !found; seed++ {
 			if err := newWorld(seed, p).run(1500); err != nil {
@@ -420,16 +420,16 @@
 
 // What a change costs goes by whom it concerns: of a thousand streams one is woken by one daemon's word, and a change that all hear is
 // written out once.
-func TestAChangeCostsWhomItConcerns(t *testing.T) {
+func TestChangeWakesOnlyInterestedStreams(t *testing.T) {
 	f, all := New(0, NoDefect), []*Sender{}
 	for i := range 1000 {
-		all = append(all, f.Tell(&store.Interest{Prefixes: []string{"out/", fmt.Sprintf("need/h%d/", i)}, Keys: []string{"conf"}}, 0))
+		all = append(all, f.NewSender(&store.Interest{Prefixes: []string{"out/", fmt.Sprintf("need/h%d/", i)}, Keys: []string{"conf"}}, 0))
 	}
 	word := func(revision uint64, key string) (told int, first *Change) {
 		f.Advance([]store.Event{{Revision: revision, Item: store.Item{Key: key}}}, revision)
 		for _, s := range all {
 			select {
-			case <-s.Wake():
+			case <-s.Ready():
 			default:
 				continue
 			}
@@ -453,18 +453,18 @@
 		if txns, through, _ := s.Take(true); len(txns) != 0 || through != 6 {
 			t.Fatalf("%+v through %d", txns, through)
 		}
-		f.Leave(s.Stream)
+		f.Unsubscribe(s.Stream)
 	}
-	if len(f.keys)+len(f.prefixes)+len(f.whole) != 0 {
+	if len(f.byKey)+len(f.byPrefix)+len(f.unfiltered) != 0 {
 		t.Error("streams that left are held")
 	}
 }
 
 // Who does not take what waits is cut off before it holds more than its bound.
-func TestWhoDoesNotTakeIsCutOff(t *testing.T) {
+func TestSlowStreamIsClosed(t *testing.T) {
 	f := New(0, NoDefect)
-	s := f.Tell(nil, 0)
-	for i := range uint64(streamMost/(1<<20) + 1) {
+	s := f.NewSender(nil, 0)
+	for i := range uint64(maxStreamBytes/(1<<20) + 1) {
 		f.Advance([]store.Event{{Revision: i + 1, Item: store.Item{Key: "k", Value: make([]byte, 1<<20)}}}, i+1)
 	}
 	if txns, _, over := s.Take(true); !over || len(txns) != 0 || s.bytes != 0 {
--- a/internal/store/follower/follow.go
+++ b/internal/store/follower/follow.go
@@ -191,7 +191,7 @@
 		f.kept = info.ModTime()
 	}
 	f.mu.Lock()
-	f.copy.Found(s)
+	f.copy.Restore(s)
 	f.adopted()
 	f.mu.Unlock()
 	f.cfg.Log.Info("the store's copy of an earlier start", "revision", s.Revision(), "keys", s.Len(),
@@ -214,7 +214,7 @@
 		return
 	}
 	f.needs = f.cfg.Subscription()
-	if f.copy.Want(f.needs.Of) {
+	if f.copy.SetInterest(f.needs.Interest) {
 		close(f.rescope)
 		f.rescope = make(chan struct{})
 	}
@@ -302,10 +302,10 @@
 // follow hears one replica until that ends, or rescope is closed, and says whether it was heard at all.
 func (f *Follower) follow(at int, rescope chan struct{}) (heard bool, err error) {
 	f.mu.Lock()
-	ask, sums := f.copy.Ask(), f.needs.Sums
+	ask, sums := f.copy.NextRequest(), f.needs.SizePrefixes
 	f.mu.Unlock()
-	if ask.Fetch {
-		if err := f.fetch(at, ask.Of); err != nil {
+	if ask.Snapshot {
+		if err := f.fetch(at, ask.Interest); err != nil {
 			return false, err
 		}
 		return false, errAgain // what is there now says what is needed
@@ -316,9 +316,9 @@
 	ctx, cancel := context.WithCancel(f.ctx)
 	defer cancel()
 	defer until(rescope, cancel)()
-	q := admin.Query(ask.Of)
+	q := admin.Query(ask.Interest)
 	q.Set("after", strconv.FormatUint(ask.After, 10))
-	if ask.Of != nil {
+	if ask.Interest != nil {
 		q["sum"] = sums
 	}
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, f.url(at, "/v1/follow", q), nil)
@@ -334,16 +334,16 @@
 	defer a.Body.Close()
 	f.cfg.Meter.Count(usage.Beats, usage.Out, 1, 0)
 	if a.StatusCode == http.StatusGone {
-		return false, f.fetch(at, ask.Of)
+		return false, f.fetch(at, ask.Interest)
 	}
 	if a.StatusCode != http.StatusOK {
 		f.cfg.Meter.Count(usage.Beats, usage.In, 1, int(max(0, a.ContentLength)))
 		return false, fmt.Errorf("%w: %s", errBehind, a.Status)
 	}
 	scoped := a.Header.Get(admin.Scoped) != ""
-	if ask.Of != nil {
+	if ask.Interest != nil {
 		f.mu.Lock()
-		anew, fetch := f.copy.Scoped(scoped)
+		anew, fetch := f.copy.StreamOpened(scoped)
 		if anew { // what the file has beyond it is as true as it was, and of use to a start until something changes
 			f.adopted()
 		}
@@ -372,7 +372,7 @@
 		}
 		f.cfg.Meter.Count(of, usage.In, 1, len(lines.Bytes())+len("\n"))
 		if l.Fault != nil && l.Fault.Oldest > 0 {
-			return heard, f.fetch(at, ask.Of)
+			return heard, f.fetch(at, ask.Interest)
 		}
 		if l.Fault != nil {
 			return heard, fmt.Errorf("%w: %s", errBehind, l.Fault.Error)
@@ -425,23 +425,23 @@
 	events := l.Events
 	switch {
 	case l.Event != nil:
-		if err := f.copy.Change(*l.Event); err != nil {
+		if err := f.copy.ApplyEvent(*l.Event); err != nil {
 			return err
 		}
 		events = []store.Event{*l.Event}
 	case len(events) > 0:
-		if err := f.copy.Changes(events); err != nil {
+		if err := f.copy.ApplyRevision(events); err != nil {
 			return err
 		}
 	}
 	for _, e := range events {
-		f.fresh = f.fresh || f.copy.State().Interest() == nil || f.needs.Kept.Covers(e.Item.Key)
+		f.fresh = f.fresh || f.copy.State().Interest() == nil || f.needs.Retained.Covers(e.Item.Key)
 		if f.cfg.Event != nil {
 			f.cfg.Event(e)
 		}
 	}
 	if l.Through > 0 {
-		if err := f.copy.Through(l.Through); err != nil {
+		if err := f.copy.Progress(l.Through); err != nil {
 			return err
 		}
 	}
@@ -454,7 +454,7 @@
 func (f *Follower) beat(at int, b *admin.Beat) {
 	f.mu.Lock()
 	f.follows = f.cfg.Replicas[at].Addr
-	first, proved := false, b.Proved && f.copy.Confirmed(b.Revision)
+	first, proved := false, b.Proved && f.copy.HasRevision(b.Revision)
 	if proved {
 		first = f.proved == 0
 		f.proved = max(f.proved, time.Since(f.begun)-b.Age, 1)
@@ -521,7 +521,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.copy.Took(s); err != nil {
+	if err := f.copy.Replace(s); err != nil {
 		return err
 	}
 	f.fresh = true
@@ -607,7 +607,7 @@
 func (f *Follower) keeps() (*store.State, uint64) {
 	f.fresh = false
 	f.number++
-	return f.copy.Kept(f.needs.Kept), f.number
+	return f.copy.Retained(f.needs.Retained), f.number
 }
 
 // put writes a copy in the place of the file, unless a newer one is there.
@@ -702,7 +702,7 @@
 func (f *Follower) await(ctx context.Context, revision uint64) {
 	for {
 		f.mu.Lock()
-		changed, there := f.changed, f.copy.Confirmed(revision)
+		changed, there := f.changed, f.copy.HasRevision(revision)
 		f.mu.Unlock()
 		if there {
 			return
@@ -788,7 +788,7 @@
 	for looked := false; ; {
 		f.mu.Lock()
 		changed, none := f.changed, f.copy.State() == nil
-		there := f.copy.Confirmed(need.Revision)
+		there := f.copy.HasRevision(need.Revision)
 		if there || !none && !looked && f.copy.State().Interest() != nil { // what is not held need not be waited for
 			a := f.age()
 			what, held := f.copy.Read(read)
--- a/internal/store/follower/part_test.go
+++ b/internal/store/follower/part_test.go
@@ -144,7 +144,7 @@
 		put(t, e, fmt.Sprint("b/", i), "w")
 	}
 	dir := t.TempDir()
-	needs := changefeed.Subscription{Of: prefixes("a/"), Kept: store.Interest{Keys: []string{"a/1"}}, Sums: []string{"b/"}}
+	needs := changefeed.Subscription{Interest: prefixes("a/"), Retained: store.Interest{Keys: []string{"a/1"}}, SizePrefixes: []string{"b/"}}
 	f := open(t, dir, needs, addr)
 	soon(t, "how many there are beside", func() bool { return f.sum.Load() == 5 })
 	put(t, e, "b/new", "n")
@@ -177,7 +177,7 @@
 	}
 
 	wide := needs
-	wide.Of = prefixes("a/", "b/")
+	wide.Interest = prefixes("a/", "b/")
 	f.needs.Store(&wide)
 	f.UpdateInterest()
 	soon(t, "more is held", func() bool { got, err := f.read(t, "b/1", true); return err == nil && got == "w" })
@@ -220,7 +220,7 @@
 	e, addr := replicaHere(t)
 	put(t, e, "a/1", "v")
 	put(t, e, "b/1", "w")
-	needs, dir, old := changefeed.Subscription{Of: prefixes("a/"), Kept: *prefixes("a/")}, t.TempDir(), older(t, addr)
+	needs, dir, old := changefeed.Subscription{Interest: prefixes("a/"), Retained: *prefixes("a/")}, t.TempDir(), older(t, addr)
 	for i, x := range []struct {
 		addr string
 		all  bool
@@ -310,8 +310,8 @@
 	put(t, e, "a/1", "v")
 	put(t, e, "b/1", "w")
 	dir := t.TempDir()
-	wide := changefeed.Subscription{Of: prefixes("a/", "b/"), Kept: *prefixes("a/", "b/")}
-	narrow := changefeed.Subscription{Of: prefixes("a/"), Kept: *prefixes("a/")}
+	wide := changefeed.Subscription{Interest: prefixes("a/", "b/"), Retained: *prefixes("a/", "b/")}
+	narrow := changefeed.Subscription{Interest: prefixes("a/"), Retained: *prefixes("a/")}
 	next := func(change string) string {
 		f := open(t, dir, wide, addr)
 		f.needs.Store(&narrow)
