--- a/cmd/birchmoor/config.go
+++ b/cmd/birchmoor/config.go
@@ -55,14 +55,14 @@
 		return fmt.Errorf("%s: %w", k.File, err)
 	}
 	if k.Steps == "" {
-		return configure(ctx, c, &k.socketFlag, adminapi.Config{Settings: any, Note: k.Note})
+		return configure(ctx, c, &k.socketFlag, adminapi.SettingsRequest{Settings: any, Note: k.Note})
 	}
 	steps, err := rollout.Parse(k.Steps)
 	if err != nil {
 		return err
 	}
 	if err := k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
-		if _, err := a.Configure(ctx, adminapi.Config{Settings: any, Note: k.Note, Steps: steps, SettleMs: k.Settle.Milliseconds()}); err != nil {
+		if _, err := a.ChangeSettings(ctx, adminapi.SettingsRequest{Settings: any, Note: k.Note, Steps: steps, SettleMs: k.Settle.Milliseconds()}); err != nil {
 			return k.failed(ctx, c, err, "")
 		}
 		return nil
@@ -78,7 +78,7 @@
 	for {
 		var p rollout.Plan
 		err := k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) (err error) {
-			p, err = a.Plan(ctx)
+			p, err = a.Rollout(ctx)
 			return err
 		})
 		switch {
@@ -118,11 +118,11 @@
 			if u, err := user.Current(); err == nil {
 				by = u.Username
 			}
-			if _, err := a.Configure(ctx, adminapi.Config{CallOff: by}); err != nil {
+			if _, err := a.ChangeSettings(ctx, adminapi.SettingsRequest{AbortBy: by}); err != nil {
 				return k.failed(ctx, c, err, "")
 			}
 		}
-		p, err := a.Plan(ctx)
+		p, err := a.Rollout(ctx)
 		var told *admin.Error
 		if errors.As(err, &told) && told.Status == 404 {
 			fmt.Fprintln(c.err, err)
@@ -144,9 +144,9 @@
 	})
 }
 
-func configure(ctx context.Context, c *console, s *socketFlag, q adminapi.Config) error {
+func configure(ctx context.Context, c *console, s *socketFlag, q adminapi.SettingsRequest) error {
 	return s.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
-		v, err := a.Configure(ctx, q)
+		v, err := a.ChangeSettings(ctx, q)
 		if err != nil {
 			return s.failed(ctx, c, err, "")
 		}
@@ -161,7 +161,7 @@
 
 func (k *configGet) Run(ctx context.Context, c *console) error {
 	return k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
-		all, err := a.History(ctx)
+		all, err := a.SettingsHistory(ctx)
 		if err != nil {
 			return err
 		}
@@ -180,7 +180,7 @@
 
 func (k *configHistory) Run(ctx context.Context, c *console) error {
 	return k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
-		all, err := a.History(ctx)
+		all, err := a.SettingsHistory(ctx)
 		if err != nil {
 			return err
 		}
@@ -201,5 +201,5 @@
 }
 
 func (k *configRollback) Run(ctx context.Context, c *console) error {
-	return configure(ctx, c, &k.socketFlag, adminapi.Config{Rollback: k.Version})
+	return configure(ctx, c, &k.socketFlag, adminapi.SettingsRequest{Rollback: k.Version})
 }
--- a/cmd/birchmoor/dns.go
+++ b/cmd/birchmoor/dns.go
@@ -22,16 +22,16 @@
 
 // dnsSettings reads what the operator file leaves to the front.
 func dnsSettings(d *operatorconfig.DNS) (*dnsfront.Settings, error) {
-	s := &dnsfront.Settings{Sockets: d.Sockets, TCPServer: d.TCPServer, TCPClients: d.TCPClients, PerConn: d.PerConn,
-		Idle: time.Duration(d.Idle), Limit: limit.Settings{Open: d.Open, PerClient: d.PerClient,
-			Unproven: float64(d.Unproven) / 100, Rate: float64(d.Rate), Burst: float64(d.Burst), Slip: *d.Slip, Prefixes: d.Prefixes}}
+	s := &dnsfront.Settings{Sockets: d.MaxUDPSockets, TCPServer: d.MaxTCPPerServer, TCPClients: d.MaxTCPClients, PerConn: d.MaxOpenPerConn,
+		Idle: time.Duration(d.IdleTimeout), Limit: limit.Settings{Open: d.MaxOpenQueries, PerClient: d.MaxOpenPerClient,
+			Unproven: float64(d.UnverifiedPercent) / 100, Rate: float64(d.RatePerClient), Burst: float64(d.BurstPerClient), Slip: *d.TruncateEvery, Prefixes: d.MaxClientPrefixes}}
 	var faults []error
 	for name, c := range d.Class {
 		bad := func(key, format string, args ...any) {
 			faults = append(faults, fmt.Errorf("dns.class.%s.%s: %s", name, key, fmt.Sprintf(format, args...)))
 		}
-		class := dnsfront.Class{Name: name, Aim: time.Duration(c.Aim), GiveUp: time.Duration(c.GiveUp), Worth: c.Worth,
-			LateWorth: *c.LateWorth, Attempts: c.Attempts, Share: c.Share, Route: route.Class{Suffixes: c.Suffixes}}
+		class := dnsfront.Class{Name: name, Aim: time.Duration(c.LatencyObjective), GiveUp: time.Duration(c.Timeout), Worth: c.PriorityWeight,
+			LateWorth: *c.LatePriorityWeight, Attempts: c.MaxAttempts, Share: c.Coalesce, Route: route.Class{Suffixes: c.Suffixes}}
 		for _, suffix := range c.Suffixes {
 			if !dnsfront.ValidName(suffix) {
 				bad("suffixes", "%q is no name", suffix)
@@ -55,7 +55,7 @@
 			}
 		}
 		queries := 0
-		for _, op := range c.Ops {
+		for _, op := range c.Operations {
 			v, ok := dnsfront.ParseOpcode(op)
 			if !ok {
 				bad("ops", "%q is not query, update or notify", op)
@@ -65,10 +65,10 @@
 			}
 			class.Route.Opcodes = append(class.Route.Opcodes, v)
 		}
-		if queries > 0 && queries < len(c.Ops) {
+		if queries > 0 && queries < len(c.Operations) {
 			bad("ops", "query may be repeated, the others may not: they need a class of their own")
 		}
-		if queries == 0 && len(c.Ops) > 0 && c.Share {
+		if queries == 0 && len(c.Operations) > 0 && c.Coalesce {
 			bad("share", "is for queries alone")
 		}
 		s.Classes = append(s.Classes, class)
--- a/cmd/birchmoor/fleet_test.go
+++ b/cmd/birchmoor/fleet_test.go
@@ -68,8 +68,8 @@
 			t.Errorf("%s: %d requests to a server that drains\n%s", what, n, b.Log())
 		}
 		s, err := b.Client.Status(ctx)
-		if err != nil || s.Began.From != from || s.Began.Exclusions != 1 || !s.Follower || (s.Began.Age != "") != (from == "own disk") {
-			t.Errorf("%s: %+v, %v", what, s.Began, err)
+		if err != nil || s.Startup.From != from || s.Startup.Exclusions != 1 || !s.Follower || (s.Startup.Age != "") != (from == "own disk") {
+			t.Errorf("%s: %+v, %v", what, s.Startup, err)
 		}
 	}
 	start("an empty disk", "another replica")
--- a/cmd/birchmoor/followers_test.go
+++ b/cmd/birchmoor/followers_test.go
@@ -180,7 +180,7 @@
 	if i, err := clients["h2"].Range(ctx, stale); err != nil || len(i.Items) != 4 {
 		t.Errorf("a copy of all: %d, %v", len(i.Items), err)
 	}
-	if l, err := clients["h0"].Limits(ctx, ""); err != nil || l.Fault != "" || len(l.Limits) != 1 || len(l.Limits[0].Parts[0].Processes) != 4 {
+	if l, err := clients["h0"].Limits(ctx, ""); err != nil || l.Fault != "" || len(l.Limits) != 1 || len(l.Limits[0].NodeStatuses[0].Processes) != 4 {
 		t.Errorf("limits: %+v, %v", l, err)
 	}
 	processtest.Until(t, "all take part", func() bool {
--- a/cmd/birchmoor/limit.go
+++ b/cmd/birchmoor/limit.go
@@ -53,9 +53,9 @@
 		fmt.Fprintln(w, "LIMIT\tMOST\tOUT\tWANTED\tLET THROUGH\tREFUSED\tSIDECARS\tWITHOUT THE STORE\tOVER AT MOST")
 		for _, l := range st.Limits {
 			v := sum(l)
-			fmt.Fprintf(w, "%s\t%s %s\t%s\t%s\t%d\t%d\t%d\t%s\t%s\n", l.Name, quota.FormatAmount(v.Capacity), l.UnitText(), quota.FormatAmount(v.Committed), quota.FormatAmount(v.Wanted), v.Admitted, v.Rejected, len(v.Processes), l.Fallback, l.Over)
+			fmt.Fprintf(w, "%s\t%s %s\t%s\t%s\t%d\t%d\t%d\t%s\t%s\n", l.Name, quota.FormatAmount(v.Capacity), l.UnitText(), quota.FormatAmount(v.Committed), quota.FormatAmount(v.Wanted), v.Admitted, v.Rejected, len(v.Processes), l.Fallback, l.Overshoot)
 		}
-		if st.Divider == "" {
+		if st.AllocatorHost == "" {
 			fmt.Fprintln(w, "nobody divides: shares stay as they are")
 		}
 	})
@@ -63,8 +63,8 @@
 
 // sum is the whole of a limit, with what is wanted of its parts.
 func sum(l *quotasync.LimitStatus) quota.NodeStatus {
-	v := l.Parts[0]
-	for _, p := range l.Parts[1:] {
+	v := l.NodeStatuses[0]
+	for _, p := range l.NodeStatuses[1:] {
 		v.Wanted, v.Admitted, v.Rejected = v.Wanted+p.Wanted, v.Admitted+p.Admitted, v.Rejected+p.Rejected
 	}
 	return v
@@ -78,10 +78,10 @@
 func (k *limitShow) Run(ctx context.Context, c *console) error {
 	return k.limits(ctx, c, k.Name, func(w *tabwriter.Writer, st *quotasync.Status) {
 		l := st.Limits[0]
-		fmt.Fprintf(w, "%s: %s %s, of %s; over at most: %s\n", l.Name, quota.FormatAmount(l.Nodes[0].Capacity), l.UnitText(), scope(l.Limit), l.Over)
-		fmt.Fprintf(w, "divided by: %s; a share ends %d ms after its sidecar falls silent\n", orNobody(st.Divider), st.TTLMs)
+		fmt.Fprintf(w, "%s: %s %s, of %s; over at most: %s\n", l.Name, quota.FormatAmount(l.Nodes[0].Capacity), l.UnitText(), scope(l.Limit), l.Overshoot)
+		fmt.Fprintf(w, "divided by: %s; a share ends %d ms after its sidecar falls silent\n", orNobody(st.AllocatorHost), st.TTLMs)
 		fmt.Fprintln(w, "PART\tMOST\tLEAST\tWEIGHT\tOUT\tOWN SHARES\tWANTED\tLET THROUGH\tREFUSED\tSIDECARS")
-		for i, v := range l.Parts {
+		for i, v := range l.NodeStatuses {
 			n := l.Nodes[i]
 			fmt.Fprintf(w, "%s\t%s\t%s\t%g\t%s\t%s\t%s\t%d\t%d\t%d\n", partName(v.Path), quota.FormatAmount(v.Capacity), quota.FormatAmount(n.Guaranteed), n.Weight, quota.FormatAmount(v.Committed), quota.FormatAmount(v.Granted), quota.FormatAmount(v.Wanted), v.Admitted, v.Rejected, len(v.Processes))
 		}
@@ -126,7 +126,7 @@
 	var missed error
 	err := k.limits(ctx, c, name, func(w *tabwriter.Writer, st *quotasync.Status) {
 		l := st.Limits[0]
-		for _, v := range l.Parts {
+		for _, v := range l.NodeStatuses {
 			if v.Path != path {
 				continue
 			}
--- a/cmd/birchmoor/lock.go
+++ b/cmd/birchmoor/lock.go
@@ -83,9 +83,9 @@
 	want := leasetask.Claim{Task: k.Name, Slots: k.Slots, TTL: k.TTL, Note: fmt.Sprintf("lock: %.120s (pid %d, %.40s)", strings.Join(k.Command, " "), os.Getpid(), host)}
 	hold, drop := context.WithCancel(context.WithoutCancel(ctx)) // the connection, by which it is held
 	defer drop()
-	lines, failed := make(chan adminapi.LockLine, 16), make(chan error, 1)
+	lines, failed := make(chan adminapi.LockStatus, 16), make(chan error, 1)
 	go func() {
-		failed <- adminapi.Dial(k.Socket).Lock(hold, want, func(l adminapi.LockLine) error {
+		failed <- adminapi.Dial(k.Socket).Lock(hold, want, func(l adminapi.LockStatus) error {
 			select {
 			case lines <- l:
 				return nil
@@ -95,7 +95,7 @@
 		})
 	}()
 	told := ""
-	say := func(l adminapi.LockLine, text string) {
+	say := func(l adminapi.LockStatus, text string) {
 		switch {
 		case k.JSON:
 			b, _ := encode(l)
@@ -120,13 +120,13 @@
 			return &exitError{exitNotGot, fmt.Errorf("%s: the daemon at %s: %w", k.Name, k.Socket, err)}
 		case l := <-lines:
 			switch {
-			case l.Over:
-				return &exitError{exitNotGot, fmt.Errorf("%s: %s", k.Name, l.Why)}
+			case l.Ended:
+				return &exitError{exitNotGot, fmt.Errorf("%s: %s", k.Name, l.Reason)}
 			case l.Token == 0:
-				if l.Before != nil {
-					text := fmt.Sprintf("%s: waits, %d before it", k.Name, *l.Before)
-					if l.Why != "" {
-						text = fmt.Sprintf("%s: waits: %s", k.Name, l.Why)
+				if l.Position != nil {
+					text := fmt.Sprintf("%s: waits, %d before it", k.Name, *l.Position)
+					if l.Reason != "" {
+						text = fmt.Sprintf("%s: waits: %s", k.Name, l.Reason)
 					}
 					say(l, text)
 				}
@@ -141,7 +141,7 @@
 }
 
 // hold runs the command for as long as the lock is held.
-func (k *lockCommand) hold(ctx context.Context, l adminapi.LockLine, lines <-chan adminapi.LockLine, failed <-chan error, say func(adminapi.LockLine, string), drop func()) error {
+func (k *lockCommand) hold(ctx context.Context, l adminapi.LockStatus, lines <-chan adminapi.LockStatus, failed <-chan error, say func(adminapi.LockStatus, string), drop func()) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
@@ -154,9 +154,9 @@
 	// No exec.CommandContext: the keeper ends with its command.
 	cmd := exec.Command(self, append([]string{"keeper", "--grace", min(time.Second, k.TTL/8).String(), "--early=" + plantedEarly(max(50*time.Millisecond, k.TTL/10)).String(),
 		"--"}, k.Command...)...)
-	cmd.Env = append(os.Environ(), "BIRCHMOOR_TASK="+k.Name, fmt.Sprintf("BIRCHMOOR_TOKEN=%d", l.Token), fmt.Sprintf("BIRCHMOOR_UNTIL=%d", l.Until))
+	cmd.Env = append(os.Environ(), "BIRCHMOOR_TASK="+k.Name, fmt.Sprintf("BIRCHMOOR_TOKEN=%d", l.Token), fmt.Sprintf("BIRCHMOOR_UNTIL=%d", l.ValidUntil))
 	cmd.Stdin, cmd.Stdout, cmd.Stderr, cmd.ExtraFiles = os.Stdin, os.Stdout, os.Stderr, []*os.File{out}
-	if err := watchdog.ExtendDeadline(pipe, plantedUntil(l.Until)); err != nil {
+	if err := watchdog.ExtendDeadline(pipe, plantedUntil(l.ValidUntil)); err != nil {
 		return err
 	}
 	if err := cmd.Start(); err != nil {
@@ -199,14 +199,14 @@
 			lost = fmt.Errorf("the daemon: %w", err)
 			_ = watchdog.RequestEnd(pipe)
 		case l := <-lines:
-			if l.Over {
-				if lost = errors.New(l.Why); plantedRelease() {
+			if l.Ended {
+				if lost = errors.New(l.Reason); plantedRelease() {
 					drop()
 					time.Sleep(time.Second)
 				}
 				_ = watchdog.RequestEnd(pipe)
-			} else if l.Until > 0 {
-				_ = watchdog.ExtendDeadline(pipe, plantedUntil(l.Until))
+			} else if l.ValidUntil > 0 {
+				_ = watchdog.ExtendDeadline(pipe, plantedUntil(l.ValidUntil))
 			}
 			if say != nil && k.JSON {
 				say(l, "")
--- a/cmd/birchmoor/run.go
+++ b/cmd/birchmoor/run.go
@@ -61,13 +61,13 @@
 
 // openStore starts what joins a replica or a follower to a sidecar, and its socket. end stops them.
 func openStore(f *operatorconfig.File, runs bool, hup chan os.Signal, log *slog.Logger) (x *extras, end func(), err error) {
-	cfg := controlplane.Config{File: f, Hup: hup, Log: log, Plant: controlplane.Defects{Clock: bootclock.Clock{Pace: inside.Pace}, File: inside.File,
-		Store: plantedStore, Session: plantedSession(), Table: plantedTable(), Limit: inside.Limit}}
+	cfg := controlplane.Config{File: f, Reload: hup, Log: log, Defects: controlplane.Defects{Clock: bootclock.Clock{Pace: inside.Pace}, WrapStoreFile: inside.File,
+		WrapStore: plantedStore, LeaseSession: plantedSession(), LeaseTable: plantedTable(), Quota: inside.Limit}}
 	if runs {
 		if c, err := config.Read(os.Getenv); err == nil { // else the sidecar says why
 			cfg.Sidecar = c.Name
 		}
-		cfg.Check = func(settings json.RawMessage) error {
+		cfg.SettingsCheck = func(settings json.RawMessage) error {
 			_, err := config.ReadWith(os.Getenv, settings)
 			return err
 		}
@@ -80,7 +80,7 @@
 	if p.Limits != nil {
 		x.limits = p.Limits
 	}
-	return x, p.End, nil
+	return x, p.Close, nil
 }
 
 type checkCommand struct {
--- a/cmd/birchmoor/sidecar.go
+++ b/cmd/birchmoor/sidecar.go
@@ -86,11 +86,11 @@
 		at := h.Mgmt.Addr().String()
 		x.figure(func() (uint64, uint64, error) { return answered(at) })
 	}
-	if f.Keep != nil {
-		if err := os.MkdirAll(f.Keep.Dir, 0o755); err != nil {
+	if f.StateSnapshot != nil {
+		if err := os.MkdirAll(f.StateSnapshot.Dir, 0o755); err != nil {
 			return err
 		}
-		h.Kept = snapshot.File{Path: filepath.Join(f.Keep.Dir, config.Name+".snapshot")}
+		h.Kept = snapshot.File{Path: filepath.Join(f.StateSnapshot.Dir, config.Name+".snapshot")}
 	}
 	if f.Capture != nil {
 		tap, end, err := captureTap(f.Capture, config.Name, log)
@@ -113,7 +113,7 @@
 // captureTap records what the sidecar's module is told and answers. end is called when the loop is over.
 func captureTap(c *operatorconfig.Capture, name string, log *slog.Logger) (tap core.Tap, end func(), err error) {
 	w, err := capture.Create(capture.Config{Dir: c.Dir, Name: name, Bytes: int64(c.BudgetMB) << 20,
-		FileBytes: int64(c.FileMB) << 20, FileAge: time.Duration(c.FileAge), Queue: c.Queue, Retry: time.Duration(c.Retry), Log: log})
+		FileBytes: int64(c.MaxFileMB) << 20, FileAge: time.Duration(c.MaxFileAge), Queue: c.MaxQueuedBatches, Retry: time.Duration(c.RetryDelay), Log: log})
 	if err != nil {
 		return nil, nil, err
 	}
@@ -122,7 +122,7 @@
 		balancer.Module, error) {
 		var err error
 		r, err = capture.New(capture.Options{Sidecar: name, Run: uint64(time.Now().UnixMicro()),
-			Every: time.Duration(c.Segment).Microseconds(), Name: names, Sink: w}, out, begin)
+			Every: time.Duration(c.SnapshotInterval).Microseconds(), Name: names, Sink: w}, out, begin)
 		if err != nil {
 			return nil, fmt.Errorf("capture: %w", err)
 		}
--- a/cmd/birchmoor/store.go
+++ b/cmd/birchmoor/store.go
@@ -154,14 +154,14 @@
 			if s.Age.Stale {
 				copied = "STALE, " + copied
 			}
-			began := fmt.Sprintf("%s at revision %d: %d out, %d starts, %d pictures", s.Began.From, s.Began.Revision, s.Began.Exclusions, s.Began.Starts, s.Began.Snapshots)
-			if s.Began.Settings {
+			began := fmt.Sprintf("%s at revision %d: %d out, %d starts, %d pictures", s.Startup.From, s.Startup.Revision, s.Startup.Exclusions, s.Startup.Starts, s.Startup.Snapshots)
+			if s.Startup.Settings {
 				began += ", the fleet's settings"
 			}
-			if s.Began.Age != "" {
-				began += ", written " + s.Began.Age + " before"
+			if s.Startup.Age != "" {
+				began += ", written " + s.Startup.Age + " before"
 			}
-			for _, r := range s.Began.Restored {
+			for _, r := range s.Startup.Restored {
 				began += fmt.Sprintf("; the module recalled %d servers from %s (%d pictures), %v old", r.Servers, r.From, r.Snapshots, r.Age.Round(time.Millisecond))
 			}
 			if s.Holds != nil {
@@ -192,7 +192,7 @@
 
 func (k *storeMeter) Run(ctx context.Context, c *console) error {
 	return k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
-		r, err := a.Meter(ctx)
+		r, err := a.Usage(ctx)
 		if err != nil {
 			return err
 		}
@@ -323,7 +323,7 @@
 
 func (k *storeOut) Run(ctx context.Context, c *console) error {
 	return k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
-		all, err := a.Out(ctx)
+		all, err := a.Exclusions(ctx)
 		if err != nil {
 			return err
 		}
@@ -359,7 +359,7 @@
 
 func (k *storeServers) Run(ctx context.Context, c *console) error {
 	return k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
-		all, err := a.ServersOfAll(ctx)
+		all, err := a.FleetServers(ctx)
 		if err != nil {
 			return err
 		}
--- a/cmd/birchmoor/task.go
+++ b/cmd/birchmoor/task.go
@@ -135,7 +135,7 @@
 		o.Operator = u.Username // for people alone
 	}
 	return s.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
-		if err := a.OrderTask(ctx, adminapi.OverrideRequest{Task: task, TaskOverride: o}); err != nil {
+		if err := a.OverrideTask(ctx, adminapi.OverrideRequest{Task: task, TaskOverride: o}); err != nil {
 			return s.failed(ctx, c, err, "")
 		}
 		if s.JSON {
--- a/cmd/birchmoor/tasklab.go
+++ b/cmd/birchmoor/tasklab.go
@@ -207,7 +207,7 @@
 	defer drop()
 	for i := range k.Tasks {
 		wg.Go(func() {
-			_ = f.Daemons[n-1].Client.Lock(hold, leasetask.Claim{Task: fmt.Sprintf("task%d", i), TTL: ttl}, func(adminapi.LockLine) error { return nil }) // until it is dropped
+			_ = f.Daemons[n-1].Client.Lock(hold, leasetask.Claim{Task: fmt.Sprintf("task%d", i), TTL: ttl}, func(adminapi.LockStatus) error { return nil }) // until it is dropped
 		})
 	}
 	if err := until("all tasks' holders", func(list []leasetask.TaskStatus) bool { return len(list) == ownTasks+k.Tasks }); err != nil {
--- a/internal/controlplane/adminapi/adminapi.go
+++ b/internal/controlplane/adminapi/adminapi.go
@@ -25,25 +25,25 @@
 	"birchmoor/internal/store/usage"
 )
 
-// Config asks for other settings, or for those of an earlier version.
-type Config struct {
+// SettingsRequest asks for other settings, or for those of an earlier version.
+type SettingsRequest struct {
 	Settings json.RawMessage `json:"settings,omitempty"`
 	Rollback uint64          `json:"rollback,omitempty"`
 	Note     string          `json:"note,omitempty"`
 	Steps    []rollout.Step  `json:"steps,omitempty"` // in which they come in force; none: at once
 	SettleMs int64           `json:"settle_ms,omitempty"`
-	CallOff  string          `json:"call_off,omitempty"` // the plan that is running, by whom
+	AbortBy  string          `json:"call_off,omitempty"` // the plan that is running, by whom
 }
 
 // Status is how a copy of the store and what a daemon holds of servers stand.
 type Status struct {
 	engine.Status
-	Daemon daemon.Counts       `json:"daemon"`
-	Began  daemon.StartupState `json:"began"`
+	Daemon  daemon.Counts       `json:"daemon"`
+	Startup daemon.StartupState `json:"began"`
 }
 
-// Parts are what is answered for.
-type Parts struct {
+// Components are what is answered for.
+type Components struct {
 	Servers  *daemon.Servers
 	Settings *daemon.Settings
 	Tasks    *leasetask.Runner
@@ -52,39 +52,39 @@
 	Meter    *usage.Meter       // nil: nothing is counted
 }
 
-// Meter is a new one that knows what the parts of a daemon use their keys for.
-func Meter() *usage.Meter {
+// NewMeter is a new one that knows what the parts of a daemon use their keys for.
+func NewMeter() *usage.Meter {
 	return usage.New(usage.Prefix{Prefix: serverstate.ExclusionPrefix, Purpose: usage.Words}, usage.Prefix{Prefix: serverstate.StartPrefix, Purpose: usage.Words},
 		usage.Prefix{Prefix: serverstate.SnapshotPrefix, Purpose: usage.Pictures}, usage.Prefix{Prefix: daemon.ConfigPrefix, Purpose: usage.Settings},
 		usage.Prefix{Prefix: quota.Prefix, Purpose: usage.Shares}, usage.Prefix{Prefix: lease.Prefix, Purpose: usage.Tasks})
 }
 
 type server struct {
-	Parts
-	locks chan struct{}
-	held  sync.Map // by lockKey, of what ends it
+	Components
+	lockSlots chan struct{}
+	heldLocks sync.Map // by lockKey, of what ends it
 }
 
 // Listen makes the socket and serves it.
-func Listen(path string, s admin.Store, p Parts) (*admin.Server, error) {
-	x := &server{Parts: p, locks: make(chan struct{}, locksMost)}
-	return admin.Listen(path, admin.Config{Store: s, Calls: x.calls, Status: func(st engine.Status) any {
+func Listen(path string, s admin.Store, p Components) (*admin.Server, error) {
+	x := &server{Components: p, lockSlots: make(chan struct{}, maxLocks)}
+	return admin.Listen(path, admin.Config{Store: s, Calls: x.register, Status: func(st engine.Status) any {
 		return Status{st, p.Servers.Counts(), p.Servers.StartupState()}
 	}})
 }
 
-func (s *server) calls(m *admin.Mux) {
-	m.Call("GET /v1/config", s.history)
-	m.Call("POST /v1/config", s.configure)
-	m.Call("GET /v1/plan", s.plan)
+func (s *server) register(m *admin.Mux) {
+	m.Call("GET /v1/config", s.settingsHistory)
+	m.Call("POST /v1/config", s.changeSettings)
+	m.Call("GET /v1/plan", s.rollout)
 	m.Call("GET /v1/tasks", s.listTasks)
-	m.Call("POST /v1/task", s.orderTask)
+	m.Call("POST /v1/task", s.overrideTask)
 	m.Stream("GET /v1/lock", s.lock)
 	m.Call("GET /v1/limits", s.listLimits)
 	m.Call("POST /v1/limits", s.putLimits)
 	m.Call("POST /v1/unlock", s.unlock)
 	m.Call("GET /v1/meter", func(context.Context, http.ResponseWriter, *http.Request) (any, error) {
-		return s.Parts.Meter.Read(), nil
+		return s.Components.Meter.Read(), nil
 	})
 	m.Call("GET /v1/out", func(context.Context, http.ResponseWriter, *http.Request) (any, error) {
 		return s.Servers.Exclusions(), nil
@@ -97,22 +97,22 @@
 	})
 }
 
-// Followers are the rules for daemons without a replica: each part says what is theirs to write.
-func (p Parts) Followers() admin.Rules {
+// FollowerRules are the rules for daemons without a replica: each part says what is theirs to write.
+func (p Components) FollowerRules() admin.Rules {
 	return admin.Rules{Meter: p.Meter, Ages: func() map[string]time.Duration { return p.Servers.SnapshotAges() }, May: func(op store.Op, owner string) bool {
 		return lease.Allowed(op, owner) || leasetask.Allowed(op, owner) || daemon.Allowed(op, owner) || quotasync.Allowed(op, owner)
 	}}
 }
 
-// missing marks errors of what is not there.
-func missing(err error) error {
+// notFound marks errors of what is not there.
+func notFound(err error) error {
 	if errors.Is(err, daemon.ErrNoRollout) {
 		return admin.Missing(err)
 	}
 	return err
 }
 
-func (s *server) history(ctx context.Context, w http.ResponseWriter, r *http.Request) (any, error) {
+func (s *server) settingsHistory(ctx context.Context, w http.ResponseWriter, r *http.Request) (any, error) {
 	all, err := s.Settings.History(ctx)
 	if err != nil {
 		return nil, err
@@ -120,16 +120,16 @@
 	return all, nil
 }
 
-func (s *server) configure(ctx context.Context, w http.ResponseWriter, r *http.Request) (any, error) {
-	var q Config
+func (s *server) changeSettings(ctx context.Context, w http.ResponseWriter, r *http.Request) (any, error) {
+	var q SettingsRequest
 	if err := admin.Decode(w, r, &q); err != nil {
 		return nil, err
 	}
 	var v daemon.Version
 	var err error
 	switch {
-	case q.CallOff != "":
-		return v, missing(s.Settings.CancelRollout(ctx, q.CallOff))
+	case q.AbortBy != "":
+		return v, notFound(s.Settings.CancelRollout(ctx, q.AbortBy))
 	case len(q.Steps) > 0:
 		_, err = s.Settings.StartRollout(ctx, q.Settings, q.Steps, time.Duration(q.SettleMs)*time.Millisecond, q.Note)
 		return v, err
@@ -146,9 +146,9 @@
 	return v, nil
 }
 
-func (s *server) plan(ctx context.Context, w http.ResponseWriter, r *http.Request) (any, error) {
+func (s *server) rollout(ctx context.Context, w http.ResponseWriter, r *http.Request) (any, error) {
 	p, _, err := s.Settings.Plan(ctx)
-	return p, missing(err)
+	return p, notFound(err)
 }
 
 // Client asks a daemon.
@@ -162,28 +162,28 @@
 	return s, c.Call(ctx, "GET", "/v1/status", nil, nil, &s)
 }
 
-// Configure puts settings, or those of an earlier version.
-func (c *Client) Configure(ctx context.Context, q Config) (v daemon.Version, err error) {
+// ChangeSettings puts settings, or those of an earlier version.
+func (c *Client) ChangeSettings(ctx context.Context, q SettingsRequest) (v daemon.Version, err error) {
 	return v, c.Call(ctx, "POST", "/v1/config", nil, q, &v)
 }
 
-// History lists the versions of the settings, the newest first.
-func (c *Client) History(ctx context.Context) (all []daemon.Version, err error) {
+// SettingsHistory lists the versions of the settings, the newest first.
+func (c *Client) SettingsHistory(ctx context.Context) (all []daemon.Version, err error) {
 	return all, c.Call(ctx, "GET", "/v1/config", nil, nil, &all)
 }
 
-// Plan is the newest of settings that come, or came, in force in steps.
-func (c *Client) Plan(ctx context.Context) (p rollout.Plan, err error) {
+// Rollout is the newest of settings that come, or came, in force in steps.
+func (c *Client) Rollout(ctx context.Context) (p rollout.Plan, err error) {
 	return p, c.Call(ctx, "GET", "/v1/plan", nil, nil, &p)
 }
 
-// Meter tells what the control plane cost the daemon since its start.
-func (c *Client) Meter(ctx context.Context) (r usage.Reading, err error) {
+// Usage tells what the control plane cost the daemon since its start.
+func (c *Client) Usage(ctx context.Context) (r usage.Reading, err error) {
 	return r, c.Call(ctx, "GET", "/v1/meter", nil, nil, &r)
 }
 
-// Out lists the servers that are out.
-func (c *Client) Out(ctx context.Context) (all []serverstate.Exclusion, err error) {
+// Exclusions lists the servers that are out.
+func (c *Client) Exclusions(ctx context.Context) (all []serverstate.Exclusion, err error) {
 	return all, c.Call(ctx, "GET", "/v1/out", nil, nil, &all)
 }
 
@@ -192,7 +192,7 @@
 	return all, c.Call(ctx, "GET", "/v1/servers", nil, nil, &all)
 }
 
-// ServersOfAll lists what is known of servers, by a replica's pictures where the daemon's copy does not hold all.
-func (c *Client) ServersOfAll(ctx context.Context) (all []daemon.ServerFact, err error) {
+// FleetServers lists what is known of servers, by a replica's pictures where the daemon's copy does not hold all.
+func (c *Client) FleetServers(ctx context.Context) (all []daemon.ServerFact, err error) {
 	return all, c.Call(ctx, "GET", "/v1/servers", url.Values{"all": {"true"}}, nil, &all)
 }
--- a/internal/controlplane/adminapi/adminapi_test.go
+++ b/internal/controlplane/adminapi/adminapi_test.go
@@ -20,7 +20,7 @@
 
 // A daemon without a replica has places of its own name, and nothing else of tasks or settings.
 func TestWhatIsAFollowersToWrite(t *testing.T) {
-	p := Parts{}
+	p := Components{}
 	for name, x := range map[string]struct {
 		op    store.Op
 		owner string
@@ -47,7 +47,7 @@
 		"limits":                     {store.Op{Key: "limit/conf"}, "f", false},
 		"settings":                   {store.Op{Key: "config/current"}, "f", false},
 	} {
-		if ok := p.Followers().May(x.op, x.owner); ok != x.ok {
+		if ok := p.FollowerRules().May(x.op, x.owner); ok != x.ok {
 			t.Errorf("%s: %v", name, ok)
 		}
 	}
@@ -90,7 +90,7 @@
 
 // What keys and commands are for comes from the packages that name the keys.
 func TestWhatKeysAreFor(t *testing.T) {
-	m := Meter()
+	m := NewMeter()
 	p := serverstate.Process{ID: "s", Addr: "a", StartedMs: 1}
 	for key, want := range map[string]usage.Purpose{
 		serverstate.ExclusionKey(serverstate.Drain, "s"): usage.Words, serverstate.ExclusionKey(serverstate.AdminDrain, "s"): usage.Words, serverstate.StartKey(p): usage.Words,
--- a/internal/controlplane/adminapi/limits.go
+++ b/internal/controlplane/adminapi/limits.go
@@ -17,7 +17,7 @@
 	if s.Limits == nil {
 		return nil, errNoLimits
 	}
-	st, err := s.Limits.Show(ctx, r.URL.Query().Get("limit"))
+	st, err := s.Limits.Status(ctx, r.URL.Query().Get("limit"))
 	return st, admin.Missing(err)
 }
 
--- a/internal/controlplane/adminapi/tasks.go
+++ b/internal/controlplane/adminapi/tasks.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	locksMost = 256 // held or waited for through the socket at once
-	lockBeat  = time.Second
+	maxLocks      = 256 // held or waited for through the socket at once
+	lockHeartbeat = time.Second
 )
 
 // OverrideRequest is an operator's word on a task.
@@ -26,13 +26,13 @@
 	lease.TaskOverride
 }
 
-// LockLine is one of those that a lock's holder is sent: at each change, and every second, so that one who is gone is found.
-type LockLine struct {
-	Before *int   `json:"before,omitempty"` // it waits, and so many are to go before it; -1: it has no place yet
-	Why    string `json:"why,omitempty"`    // it waits for, or is to end
-	Token  uint64 `json:"token,omitempty"`  // it holds
-	Until  int64  `json:"until,omitempty"`  // and may act up to then, by the host's boot clock in nanoseconds
-	Over   bool   `json:"over,omitempty"`   // it is to end now, at Until at the latest
+// LockStatus is one of those that a lock's holder is sent: at each change, and every second, so that one who is gone is found.
+type LockStatus struct {
+	Position   *int   `json:"before,omitempty"` // it waits, and so many are to go before it; -1: it has no place yet
+	Reason     string `json:"why,omitempty"`    // it waits for, or is to end
+	Token      uint64 `json:"token,omitempty"`  // it holds
+	ValidUntil int64  `json:"until,omitempty"`  // and may act up to then, by the host's boot clock in nanoseconds
+	Ended      bool   `json:"over,omitempty"`   // it is to end now, at Until at the latest
 }
 
 func (s *server) listTasks(ctx context.Context, w http.ResponseWriter, r *http.Request) (any, error) {
@@ -44,7 +44,7 @@
 	return all, err
 }
 
-func (s *server) orderTask(ctx context.Context, w http.ResponseWriter, r *http.Request) (any, error) {
+func (s *server) overrideTask(ctx context.Context, w http.ResponseWriter, r *http.Request) (any, error) {
 	var o OverrideRequest
 	if err := admin.Decode(w, r, &o); err != nil {
 		return nil, err
@@ -58,10 +58,10 @@
 // lock holds a task for as long as the connection lasts.
 func (s *server) lock(w http.ResponseWriter, r *http.Request) {
 	select {
-	case s.locks <- struct{}{}:
-		defer func() { <-s.locks }()
+	case s.lockSlots <- struct{}{}:
+		defer func() { <-s.lockSlots }()
 	default:
-		admin.Fail(w, fmt.Errorf("%d locks are held or waited for at this daemon already", locksMost))
+		admin.Fail(w, fmt.Errorf("%d locks are held or waited for at this daemon already", maxLocks))
 		return
 	}
 	q := r.URL.Query()
@@ -73,7 +73,7 @@
 	}
 	want := leasetask.Claim{Task: q.Get("task"), Slots: int(min(slots, lease.MaxSlots+1)), TTL: ttl, Note: q.Get("note")}
 	enc, c := json.NewEncoder(w), http.NewResponseController(w)
-	lines := make(chan LockLine, 1)
+	lines := make(chan LockStatus, 1)
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
 	type got struct {
@@ -83,9 +83,9 @@
 	done := make(chan got, 1)
 	go func() {
 		h, err := s.Tasks.Acquire(ctx, want, func(before int, why error) {
-			l := LockLine{Before: &before}
+			l := LockStatus{Position: &before}
 			if why != nil {
-				l.Why = why.Error()
+				l.Reason = why.Error()
 			}
 			select { // the newest counts
 			case <-lines:
@@ -95,21 +95,21 @@
 		})
 		done <- got{h, err}
 	}()
-	send := func(l LockLine) bool {
-		_ = c.SetWriteDeadline(time.Now().Add(lockBeat))
+	send := func(l LockStatus) bool {
+		_ = c.SetWriteDeadline(time.Now().Add(lockHeartbeat))
 		return enc.Encode(l) == nil && c.Flush() == nil
 	}
-	beat := time.NewTicker(lockBeat)
+	beat := time.NewTicker(lockHeartbeat)
 	defer beat.Stop()
 	var h *leasetask.Lease
-	for wait := (LockLine{}); h == nil; {
+	for wait := (LockStatus{}); h == nil; {
 		select {
 		case wait = <-lines:
 		case <-beat.C:
 		case x := <-done:
 			if x.err != nil {
 				if r.Context().Err() == nil {
-					_ = send(LockLine{Over: true, Why: x.err.Error()})
+					_ = send(LockStatus{Ended: true, Reason: x.err.Error()})
 				}
 				return
 			}
@@ -127,7 +127,7 @@
 	// Until the client says that its command has ended, or its time as it was told is up, the command may be at it: also when the
 	// connection is gone, and when this daemon ends.
 	told := int64(0)
-	ended := s.unlocked(want.Task, h.Token())
+	ended := s.expectUnlock(want.Task, h.Token())
 	defer h.Release()
 	defer h.TrackAction()()
 	defer func() {
@@ -137,17 +137,17 @@
 		case <-ended:
 		case <-t.C:
 		}
-		s.held.Delete(lockKey{want.Task, h.Token()})
+		s.heldLocks.Delete(lockKey{want.Task, h.Token()})
 	}()
 	for {
 		until := h.ValidUntil()
 		if h.Context().Err() != nil {
-			_ = send(LockLine{Over: true, Why: context.Cause(h.Context()).Error(), Until: told})
+			_ = send(LockStatus{Ended: true, Reason: context.Cause(h.Context()).Error(), ValidUntil: told})
 			return
 		}
 		if until != told {
 			told = until
-			if !send(LockLine{Token: h.Token(), Until: until}) {
+			if !send(LockStatus{Token: h.Token(), ValidUntil: until}) {
 				return
 			}
 		}
@@ -167,10 +167,10 @@
 	token uint64
 }
 
-// unlocked is closed once the client says that what it did under a lock has ended.
-func (s *server) unlocked(task string, token uint64) <-chan struct{} {
+// expectUnlock is closed once the client says that what it did under a lock has ended.
+func (s *server) expectUnlock(task string, token uint64) <-chan struct{} {
 	ended := make(chan struct{})
-	s.held.Store(lockKey{task, token}, sync.OnceFunc(func() { close(ended) }))
+	s.heldLocks.Store(lockKey{task, token}, sync.OnceFunc(func() { close(ended) }))
 	return ended
 }
 
@@ -179,7 +179,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if end, ok := s.held.Load(lockKey{r.URL.Query().Get("task"), token}); ok {
+	if end, ok := s.heldLocks.Load(lockKey{r.URL.Query().Get("task"), token}); ok {
 		end.(func())()
 	}
 	return struct{}{}, nil
@@ -195,13 +195,13 @@
 	return all, c.Call(ctx, "GET", "/v1/tasks", url.Values{"task": {name}}, nil, &all)
 }
 
-// OrderTask puts an operator's order on a task.
-func (c *Client) OrderTask(ctx context.Context, o OverrideRequest) error {
+// OverrideTask puts an operator's order on a task.
+func (c *Client) OverrideTask(ctx context.Context, o OverrideRequest) error {
 	return c.Call(ctx, "POST", "/v1/task", nil, o, &struct{}{})
 }
 
 // Lock waits for a task and holds it until ctx ends, f fails or the daemon says that it is over; f is told of each change.
-func (c *Client) Lock(ctx context.Context, w leasetask.Claim, f func(LockLine) error) error {
+func (c *Client) Lock(ctx context.Context, w leasetask.Claim, f func(LockStatus) error) error {
 	q := url.Values{"task": {w.Task}, "slots": {strconv.Itoa(w.Slots)}, "ttl": {w.TTL.String()}, "note": {w.Note}}
 	a, err := c.Do(ctx, "GET", "/v1/lock", q, nil)
 	if err != nil {
@@ -209,7 +209,7 @@
 	}
 	defer a.Body.Close()
 	for d := json.NewDecoder(a.Body); ; {
-		var l LockLine
+		var l LockStatus
 		if err := d.Decode(&l); err != nil {
 			return err
 		}
--- a/internal/controlplane/adminapi/wire_test.go
+++ b/internal/controlplane/adminapi/wire_test.go
@@ -17,7 +17,7 @@
 // TestWireFormatsUnchanged decodes the JSON of requests and answers that revision 7105f7a wrote, every field of them set,
 // and encodes the same bytes again.
 func TestWireFormatsUnchanged(t *testing.T) {
-	lockLine, taskRequest, settingsRequest := new(LockLine), new(OverrideRequest), new(Config)
+	lockLine, taskRequest, settingsRequest := new(LockStatus), new(OverrideRequest), new(SettingsRequest)
 	for name, value := range map[string]any{
 		"settings-request": settingsRequest,
 		"settings-history": new([]daemon.Version),
@@ -45,13 +45,13 @@
 			t.Errorf("%s: encoded as %s, error %v", name, encoded, err)
 		}
 	}
-	if *lockLine.Before != 4 || lockLine.Why != "s4" || lockLine.Token != 6 || lockLine.Until != 7 || !lockLine.Over {
+	if *lockLine.Position != 4 || lockLine.Reason != "s4" || lockLine.Token != 6 || lockLine.ValidUntil != 7 || !lockLine.Ended {
 		t.Errorf("lock line: %+v", lockLine)
 	}
 	if r := taskRequest; r.Task != "s2" || !r.Pause || r.PreferredHost != "s5" || r.Operator != "s6" || r.Note != "s7" {
 		t.Errorf("task request: %+v", r)
 	}
-	if r := settingsRequest; r.Rollback != 4 || r.Note != "s4" || r.SettleMs != 10 || r.CallOff != "s10" {
+	if r := settingsRequest; r.Rollback != 4 || r.Note != "s4" || r.SettleMs != 10 || r.AbortBy != "s10" {
 		t.Errorf("settings request: %+v", r)
 	}
 }
--- a/internal/controlplane/components.go
+++ b/internal/controlplane/components.go
@@ -35,23 +35,23 @@
 
 // Config says what is started.
 type Config struct {
-	File  *operatorconfig.File // with a [store]
-	Check daemon.SettingsCheck // of settings, for the sidecar that runs beside; nil where none does
+	File          *operatorconfig.File // with a [store]
+	SettingsCheck daemon.SettingsCheck // of settings, for the sidecar that runs beside; nil where none does
 	// Sidecar is the name of the one that runs beside, whose picture a follower's copy holds; "" where none does, or it is not known.
 	Sidecar string
-	Hup     <-chan os.Signal // a signal of the system's to read the settings anew; nil: none comes
+	Reload  <-chan os.Signal // a signal of the system's to read the settings anew; nil: none comes
 	Log     *slog.Logger
-	Plant   Defects
+	Defects Defects
 }
 
 // Defects is what builds for tests do within; no other sets it.
 type Defects struct {
-	Clock   bootclock.Clock // at another pace
-	File    func(*os.File)
-	Store   func(admin.Store) admin.Store // the copy that the operators' socket answers by
-	Session lease.Defect
-	Table   lease.TableDefect
-	Limit   quota.Defect
+	Clock         bootclock.Clock // at another pace
+	WrapStoreFile func(*os.File)
+	WrapStore     func(admin.Store) admin.Store // the copy that the operators' socket answers by
+	LeaseSession  lease.Defect
+	LeaseTable    lease.TableDefect
+	Quota         quota.Defect
 }
 
 // Components are those that run. Any goroutine may use them until End.
@@ -63,10 +63,10 @@
 	Store    Store
 	Meter    *usage.Meter
 
-	shut    func() error
-	cancel  context.CancelFunc
-	working sync.WaitGroup
-	log     *slog.Logger
+	closeServers func() error
+	cancel       context.CancelFunc
+	workers      sync.WaitGroup
+	log          *slog.Logger
 }
 
 // Store is a copy of the store, a replica's or a follower's.
@@ -76,17 +76,17 @@
 }
 
 const (
-	sweepEvery = 10 * time.Second
-	driveEvery = 250 * time.Millisecond
+	sweepInterval   = 10 * time.Second
+	rolloutInterval = 250 * time.Millisecond
 )
 
 // Open starts the parts that the file tells of. End stops them.
 func Open(c Config) (*Components, error) {
 	s, bounds, log := c.File.Store, store.DefaultLimits, c.Log
-	bounds.TotalBytes = s.TotalMB << 20
+	bounds.TotalBytes = s.MaxTotalMB << 20
 	cfg := engine.Config{Name: s.Name, Dir: s.Dir, Address: s.Address, Join: s.Join, Limits: bounds, Tick: time.Duration(s.Tick),
-		Elect: s.Elect, Log: log, Meter: adminapi.Meter()}
-	for _, text := range s.Via {
+		Elect: s.ElectionTicks, Log: log, Meter: adminapi.NewMeter()}
+	for _, text := range s.PeerRoutes {
 		if cfg.Via == nil {
 			cfg.Via = map[string]string{}
 		}
@@ -104,19 +104,19 @@
 			return nil, fmt.Errorf("store: %w", err)
 		}
 	}
-	clock := c.Plant.Clock
-	if cfg.Disk.File = c.Plant.File; clock.Pace != 0 {
+	clock := c.Defects.Clock
+	if cfg.Disk.File = c.Defects.WrapStoreFile; clock.Pace != 0 {
 		cfg.Tick = clock.Span(int64(cfg.Tick))
 	}
-	p := &Components{log: log, Meter: cfg.Meter, Servers: daemon.NewServers(s.Name, log), Settings: daemon.NewSettings(s.Name, c.Check, log),
-		Tasks: leasetask.New(leasetask.Config{Host: s.Name, Skew: s.Skew, Log: log, Clock: clock, TableDefect: c.Plant.Table, SessionDefect: c.Plant.Session})}
+	p := &Components{log: log, Meter: cfg.Meter, Servers: daemon.NewServers(s.Name, log), Settings: daemon.NewSettings(s.Name, c.SettingsCheck, log),
+		Tasks: leasetask.New(leasetask.Config{Host: s.Name, Skew: s.MaxClockSkew, Log: log, Clock: clock, TableDefect: c.Defects.LeaseTable, SessionDefect: c.Defects.LeaseSession})}
 	if c.Sidecar != "" {
 		p.Servers.AddSidecar(c.Sidecar)
 	}
 	parts := append(p.Servers.Components(), p.Settings, p.Tasks)
 	if l := c.File.Limits; l != nil {
-		p.Limits = quotasync.New(quotasync.Config{Host: s.Name, TTL: time.Duration(l.Lease), Tell: time.Duration(l.Tell), Each: time.Duration(l.Each), Skew: s.Skew,
-			Clock: clock, Log: log, Plant: c.Plant.Limit}, p.Tasks)
+		p.Limits = quotasync.New(quotasync.Config{Host: s.Name, TTL: time.Duration(l.SessionTTL), ReportInterval: time.Duration(l.ReportInterval), ReportIntervalPerProcess: time.Duration(l.ReportIntervalPerProcess), MaxClockSkew: s.MaxClockSkew,
+			Clock: clock, Log: log, Defect: c.Defects.Quota}, p.Tasks)
 		parts = append(parts, p.Limits)
 	}
 	d := daemon.New(log, parts...)
@@ -125,45 +125,45 @@
 		return nil, err
 	}
 	if len(s.Follow) > 0 {
-		p.Store, err = p.follower(s, d, cfg)
+		p.Store, err = p.openFollower(s, d, cfg)
 	} else {
-		p.Store, err = p.replica(s, d, cfg)
+		p.Store, err = p.openReplica(s, d, cfg)
 	}
 	if err != nil {
 		return nil, err
 	}
-	if err := p.answer(s, c.Plant.Store, clock, cfg.Keys); err != nil {
+	if err := p.serve(s, c.Defects.WrapStore, clock, cfg.Keys); err != nil {
 		return nil, errors.Join(err, p.Store.Close())
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	p.cancel = cancel
-	p.working.Go(func() { d.Run(ctx) })
-	p.working.Go(func() { _ = p.Tasks.RunTask(ctx, sweep(d, p.Servers, time.Duration(s.Lease))) }) // which has no fault to tell
-	p.working.Go(func() { p.signals(ctx, c.Hup) })
-	p.working.Go(func() { _ = p.Tasks.RunTask(ctx, drive(p.Settings, time.Duration(s.Lease))) })
+	p.workers.Go(func() { d.Run(ctx) })
+	p.workers.Go(func() { _ = p.Tasks.RunTask(ctx, sweepTask(d, p.Servers, time.Duration(s.TaskTTL))) }) // which has no fault to tell
+	p.workers.Go(func() { p.forwardReloads(ctx, c.Reload) })
+	p.workers.Go(func() { _ = p.Tasks.RunTask(ctx, rolloutTask(p.Settings, time.Duration(s.TaskTTL))) })
 	if p.Limits != nil && len(s.Follow) == 0 {
-		p.working.Go(func() { _ = p.Tasks.RunTask(ctx, p.Limits.AllocatorTask()) })
+		p.workers.Go(func() { _ = p.Tasks.RunTask(ctx, p.Limits.AllocatorTask()) })
 	}
-	log.Info("the store runs", "replica", s.Name, "listen", s.Listen, "serve", s.Serve, "follows", s.Follow, "socket", s.Socket)
+	log.Info("the store runs", "replica", s.Name, "listen", s.Listen, "serve", s.FollowerListen, "follows", s.Follow, "socket", s.Socket)
 	return p, nil
 }
 
-// End stops them, and gives up what is held while the store still takes that.
-func (p *Components) End() {
+// Close stops them, and gives up what is held while the store still takes that.
+func (p *Components) Close() {
 	p.Tasks.Close()
 	p.cancel()
-	p.working.Wait()
-	if err := errors.Join(p.shut(), p.Store.Close()); err != nil {
+	p.workers.Wait()
+	if err := errors.Join(p.closeServers(), p.Store.Close()); err != nil {
 		p.log.Warn("the store did not close well", "error", err)
 	}
 }
 
-// answer serves operators and followers.
-func (p *Components) answer(s *operatorconfig.Store, planted func(admin.Store) admin.Store, clock bootclock.Clock, pair *keys.Pair) error {
+// serve serves operators and followers.
+func (p *Components) serve(s *operatorconfig.Store, planted func(admin.Store) admin.Store, clock bootclock.Clock, pair *keys.Pair) error {
 	if err := os.MkdirAll(filepath.Dir(s.Socket), 0o700); err != nil {
 		return err
 	}
-	answers, by := adminapi.Parts{Servers: p.Servers, Settings: p.Settings, Tasks: p.Tasks, Limits: p.Limits, Clock: clock, Meter: p.Meter}, admin.Store(p.Store)
+	answers, by := adminapi.Components{Servers: p.Servers, Settings: p.Settings, Tasks: p.Tasks, Limits: p.Limits, Clock: clock, Meter: p.Meter}, admin.Store(p.Store)
 	if planted != nil {
 		by = planted(by)
 	}
@@ -171,24 +171,24 @@
 	if err != nil {
 		return err
 	}
-	p.shut = a.Close
-	if s.Serve == "" {
+	p.closeServers = a.Close
+	if s.FollowerListen == "" {
 		return nil
 	}
-	ln, err := net.Listen("tcp", s.Serve)
+	ln, err := net.Listen("tcp", s.FollowerListen)
 	if err != nil {
 		return errors.Join(fmt.Errorf("store: %w", err), a.Close())
 	}
-	o, err := admin.ServeFollowers(ln, p.Store.(*engine.Engine), answers.Followers(), pair)
+	o, err := admin.ServeFollowers(ln, p.Store.(*engine.Engine), answers.FollowerRules(), pair)
 	if err != nil {
 		return errors.Join(err, ln.Close(), a.Close())
 	}
-	p.shut = func() error { return errors.Join(o.Close(), a.Close()) }
+	p.closeServers = func() error { return errors.Join(o.Close(), a.Close()) }
 	return nil
 }
 
-// signals has a signal of the system's count as one of the store's.
-func (p *Components) signals(ctx context.Context, hup <-chan os.Signal) {
+// forwardReloads has a signal of the system's count as one of the store's.
+func (p *Components) forwardReloads(ctx context.Context, hup <-chan os.Signal) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -202,11 +202,11 @@
 	}
 }
 
-// sweep is the task of ending what nobody has told for long.
-func sweep(d *daemon.Daemon, servers *daemon.Servers, ttl time.Duration) leasetask.Task {
+// sweepTask is the task of ending what nobody has told for long.
+func sweepTask(d *daemon.Daemon, servers *daemon.Servers, ttl time.Duration) leasetask.Task {
 	var token uint64 // of the holding for which all is known
 	return leasetask.Task{Claim: leasetask.Claim{Task: daemon.FleetTask, TTL: ttl, Note: "ends drains, starts and pictures that nobody tells any more"},
-		Interval: sweepEvery, Timeout: ttl / 2, ProgressTimeout: 6 * sweepEvery, Cooldown: 6 * sweepEvery,
+		Interval: sweepInterval, Timeout: ttl / 2, ProgressTimeout: 6 * sweepInterval, Cooldown: 6 * sweepInterval,
 		Do: func(ctx context.Context, h *leasetask.Lease) error {
 			if h.Token() != token {
 				token = h.Token()
@@ -216,17 +216,17 @@
 		}}
 }
 
-// drive is the task of taking settings that come in force in steps further, or back.
-func drive(settings *daemon.Settings, ttl time.Duration) leasetask.Task {
-	return leasetask.Task{Claim: leasetask.Claim{Task: daemon.RolloutTask, TTL: ttl, Note: "drives settings that come in force in steps"}, Interval: driveEvery, Timeout: ttl / 2,
+// rolloutTask is the task of taking settings that come in force in steps further, or back.
+func rolloutTask(settings *daemon.Settings, ttl time.Duration) leasetask.Task {
+	return leasetask.Task{Claim: leasetask.Claim{Task: daemon.RolloutTask, TTL: ttl, Note: "drives settings that come in force in steps"}, Interval: rolloutInterval, Timeout: ttl / 2,
 		ProgressTimeout: time.Minute, Cooldown: time.Minute,
 		Do: func(ctx context.Context, h *leasetask.Lease) error {
 			return settings.AdvanceRollout(ctx, h.Token(), h.Txn)
 		}}
 }
 
-// replica starts a replica, and notes what its daemon starts with.
-func (p *Components) replica(s *operatorconfig.Store, d *daemon.Daemon, cfg engine.Config) (Store, error) {
+// openReplica starts a replica, and notes what its daemon starts with.
+func (p *Components) openReplica(s *operatorconfig.Store, d *daemon.Daemon, cfg engine.Config) (Store, error) {
 	d.InstallHooks(&cfg)
 	var written time.Time
 	if info, err := os.Stat(filepath.Join(s.Dir, disk.FileName)); err == nil {
@@ -254,9 +254,9 @@
 	return e, nil
 }
 
-// follower starts a copy of others' replicas.
-func (p *Components) follower(s *operatorconfig.Store, d *daemon.Daemon, of engine.Config) (Store, error) {
-	cfg := follower.Config{Name: s.Name, Dir: s.Dir, Keys: of.Keys, Meter: of.Meter, Wait: time.Duration(s.Wait), Log: p.log, Age: p.Servers.ReportSnapshotAge}
+// openFollower starts a copy of others' replicas.
+func (p *Components) openFollower(s *operatorconfig.Store, d *daemon.Daemon, of engine.Config) (Store, error) {
+	cfg := follower.Config{Name: s.Name, Dir: s.Dir, Keys: of.Keys, Meter: of.Meter, Wait: time.Duration(s.FirstCopyTimeout), Log: p.log, Age: p.Servers.ReportSnapshotAge}
 	for _, text := range s.Follow {
 		name, addr, _ := strings.Cut(text, "=")
 		cfg.Replicas = append(cfg.Replicas, follower.Replica{Name: name, Addr: addr})
--- a/internal/controlplane/operatorconfig/file_test.go
+++ b/internal/controlplane/operatorconfig/file_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	c := f.Capture
-	if f.Keep != nil || !filepath.IsAbs(c.Dir) || c.FileMB != 2 || time.Duration(c.Segment) != time.Minute || c.Queue != 32 {
+	if f.StateSnapshot != nil || !filepath.IsAbs(c.Dir) || c.MaxFileMB != 2 || time.Duration(c.SnapshotInterval) != time.Minute || c.MaxQueuedBatches != 32 {
 		t.Errorf("%+v", c)
 	}
 	if f, err := read(t, ""); err != nil || f.Capture != nil {
@@ -57,7 +57,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f, err := Read(path); err != nil || f.Capture != nil || f.Keep != nil {
+	if f, err := Read(path); err != nil || f.Capture != nil || f.StateSnapshot != nil {
 		t.Errorf("%+v, %v", f, err)
 	}
 	shown := strings.NewReplacer("\n#[", "\n[", "\n#", "\n").Replace("\n" + string(text))
@@ -68,7 +68,7 @@
 			kept = append(kept, line)
 		}
 	}
-	if f, err := read(t, strings.Join(kept, "\n")); err != nil || f.Capture == nil || f.Keep == nil {
+	if f, err := read(t, strings.Join(kept, "\n")); err != nil || f.Capture == nil || f.StateSnapshot == nil {
 		t.Errorf("%+v, %v", f, err)
 	}
 }
@@ -86,7 +86,7 @@
 func TestFollowers(t *testing.T) {
 	base := "[store]\nname = \"h\"\ndir = \"d\"\nsocket = \"s\"\n"
 	f, err := read(t, base+"plain = true\nfollow = [\"a=127.0.0.1:1\", \"b=[::1]:2\"]\n")
-	if err != nil || len(f.Store.Follow) != 2 || f.Store.Interest != InterestOwn || time.Duration(f.Store.Wait) != 500*time.Millisecond {
+	if err != nil || len(f.Store.Follow) != 2 || f.Store.Interest != InterestOwn || time.Duration(f.Store.FirstCopyTimeout) != 500*time.Millisecond {
 		t.Errorf("%+v, %v", f, err)
 	}
 	for text, want := range map[string]string{
--- a/internal/controlplane/operatorconfig/format_test.go
+++ b/internal/controlplane/operatorconfig/format_test.go
@@ -33,8 +33,8 @@
 		files[name] = f
 	}
 	full := files["full"]
-	if full.Store.Elect != 11 || time.Duration(full.Store.Wait) != 510*time.Millisecond || full.Limits.Tell != Duration(260e6) ||
-		full.DNS.PerConn != 66 || full.DNS.Class["lookup"].Aim != Duration(251e6) || full.Capture.FileAge != Duration(31*time.Minute) {
+	if full.Store.ElectionTicks != 11 || time.Duration(full.Store.FirstCopyTimeout) != 510*time.Millisecond || full.Limits.ReportInterval != Duration(260e6) ||
+		full.DNS.MaxOpenPerConn != 66 || full.DNS.Class["lookup"].LatencyObjective != Duration(251e6) || full.Capture.MaxFileAge != Duration(31*time.Minute) {
 		t.Errorf("%+v", full)
 	}
 }
--- a/internal/controlplane/quotasync/manager.go
+++ b/internal/controlplane/quotasync/manager.go
@@ -28,48 +28,48 @@
 
 // Config is what limits go by.
 type Config struct {
-	Host  string
-	TTL   time.Duration // of the session: a share ends so long after its sidecar falls silent
-	Tell  time.Duration // between two words of a sidecar on what it wants, at least
-	Each  time.Duration // and for each sidecar that there is
-	Skew  float64
-	Clock bootclock.Clock
-	Log   *slog.Logger
-	Plant quota.Defect // for tests
+	Host                     string
+	TTL                      time.Duration // of the session: a share ends so long after its sidecar falls silent
+	ReportInterval           time.Duration // between two words of a sidecar on what it wants, at least
+	ReportIntervalPerProcess time.Duration // and for each sidecar that there is
+	MaxClockSkew             float64
+	Clock                    bootclock.Clock
+	Log                      *slog.Logger
+	Defect                   quota.Defect // for tests
 }
 
 const (
-	divideEvery = 100 * time.Millisecond
-	sayEvery    = 10 * time.Second
-	tellTime    = 2 * time.Second
+	allocateInterval     = 100 * time.Millisecond
+	rejectionLogInterval = 10 * time.Second
+	requestTimeout       = 2 * time.Second
 )
 
 // Manager is a Part of a daemon, and a core.Limiter. Any goroutine may use it.
 type Manager struct {
-	cfg    Config
-	runner *leasetask.Runner
-	store  daemon.Store
-	match  atomic.Pointer[quota.Matcher] // nil while there are no limits
-
-	mu      sync.Mutex
-	holder  *quota.Consumer
-	divider *quota.Allocator
-	conf    *quota.Config
-	me      quota.Process
-	others  map[string]bool // keys by which processes tell of themselves
-	news    chan struct{}
-	said    map[string]uint64 // refusals that were logged, by limit
-	fault   string            // of the limits in force, or empty
-
-	part bool             // the copy does not hold what all tell:
-	sum  store.PrefixSize // there are so many
+	cfg     Config
+	runner  *leasetask.Runner
+	store   daemon.Store
+	matcher atomic.Pointer[quota.Matcher] // nil while there are no limits
+
+	mu               sync.Mutex
+	consumer         *quota.Consumer
+	allocator        *quota.Allocator
+	config           *quota.Config
+	process          quota.Process
+	reporting        map[string]bool // keys by which processes tell of themselves
+	wakeReporter     chan struct{}
+	loggedRejections map[string]uint64 // refusals that were logged, by limit
+	configFault      string            // of the limits in force, or empty
+
+	partialCopy   bool             // the copy does not hold what all tell:
+	reportingSize store.PrefixSize // there are so many
 }
 
 // New returns one that has no store yet.
 func New(cfg Config, runner *leasetask.Runner) *Manager {
-	rules := quota.Rules{MaxClockSkew: cfg.Skew, ReportInterval: int64(cfg.Tell), ReportIntervalPerProcess: int64(cfg.Each)}
-	return &Manager{cfg: cfg, runner: runner, holder: quota.NewConsumer(rules, cfg.Plant), divider: quota.NewAllocator(rules, cfg.Plant),
-		conf: &quota.Config{}, others: map[string]bool{}, news: make(chan struct{}, 1), said: map[string]uint64{}}
+	rules := quota.Rules{MaxClockSkew: cfg.MaxClockSkew, ReportInterval: int64(cfg.ReportInterval), ReportIntervalPerProcess: int64(cfg.ReportIntervalPerProcess)}
+	return &Manager{cfg: cfg, runner: runner, consumer: quota.NewConsumer(rules, cfg.Defect), allocator: quota.NewAllocator(rules, cfg.Defect),
+		config: &quota.Config{}, reporting: map[string]bool{}, wakeReporter: make(chan struct{}, 1), loggedRejections: map[string]uint64{}}
 }
 
 func (l *Manager) now() int64 { return l.cfg.Clock.Now() }
@@ -89,14 +89,16 @@
 func (l *Manager) ObservePrefixSize(prefix string, n store.PrefixSize) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if prefix == quota.DemandPrefix && l.part {
-		l.sum = n
-		l.count()
+	if prefix == quota.DemandPrefix && l.partialCopy {
+		l.reportingSize = n
+		l.updateProcessCount()
 	}
 }
 
-// count says how many processes there are. The lock is held.
-func (l *Manager) count() { l.holder.SetProcessCount(max(len(l.others), l.sum.Keys)) }
+// updateProcessCount says how many processes there are. The lock is held.
+func (l *Manager) updateProcessCount() {
+	l.consumer.SetProcessCount(max(len(l.reporting), l.reportingSize.Keys))
+}
 
 // Event is of daemon.Part.
 func (l *Manager) Event(e store.Event) {
@@ -105,17 +107,17 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.divider.Event(l.now(), e)
+	l.allocator.Event(l.now(), e)
 	switch key := e.Item.Key; {
 	case key == quota.ConfigKey:
-		l.configure(e.Item.Value, e.Deleted)
+		l.setConfig(e.Item.Value, e.Deleted)
 	case strings.HasPrefix(key, quota.DemandPrefix):
-		if l.others[key] = true; e.Deleted {
-			delete(l.others, key)
+		if l.reporting[key] = true; e.Deleted {
+			delete(l.reporting, key)
 		}
-		l.count()
-	case !e.Deleted && l.me.Session != 0 && key == l.me.GrantKey():
-		l.granted(e.Item)
+		l.updateProcessCount()
+	case !e.Deleted && l.process.Session != 0 && key == l.process.GrantKey():
+		l.applyGrant(e.Item)
 	}
 }
 
@@ -123,64 +125,64 @@
 func (l *Manager) Reset(s *store.State) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.divider.Reset(l.now(), s)
+	l.allocator.Reset(l.now(), s)
 	i, there := s.Get(quota.ConfigKey)
-	l.configure(i.Value, !there)
-	clear(l.others)
-	s.Range(quota.DemandPrefix, store.PrefixEnd(quota.DemandPrefix), func(i store.Item) bool { l.others[i.Key] = true; return true })
+	l.setConfig(i.Value, !there)
+	clear(l.reporting)
+	s.Range(quota.DemandPrefix, store.PrefixEnd(quota.DemandPrefix), func(i store.Item) bool { l.reporting[i.Key] = true; return true })
 	if of := s.Interest(); of == nil || of.CoversPrefix(quota.DemandPrefix) {
-		l.part, l.sum = false, store.PrefixSize{}
+		l.partialCopy, l.reportingSize = false, store.PrefixSize{}
 	} else {
-		l.part = true
+		l.partialCopy = true
 	}
-	l.count()
-	l.regrant(s)
+	l.updateProcessCount()
+	l.applyGrantOf(s)
 }
 
-// regrant takes this process's shares as a copy has them. The lock is held.
-func (l *Manager) regrant(s *store.State) {
-	if l.me.Session != 0 {
-		if i, ok := s.Get(l.me.GrantKey()); ok {
-			l.granted(i)
+// applyGrantOf takes this process's shares as a copy has them. The lock is held.
+func (l *Manager) applyGrantOf(s *store.State) {
+	if l.process.Session != 0 {
+		if i, ok := s.Get(l.process.GrantKey()); ok {
+			l.applyGrant(i)
 		}
 	}
 }
 
-// granted takes this process's shares. The lock is held.
-func (l *Manager) granted(i store.Item) {
+// applyGrant takes this process's shares. The lock is held.
+func (l *Manager) applyGrant(i store.Item) {
 	g, err := quota.DecodeGrant(i.Value)
 	if err != nil {
 		l.cfg.Log.Error("shares of limits are not read: they count as none", "key", i.Key, "error", err)
 	}
-	l.holder.ApplyGrant(l.now(), l.me.Session, i.ModRevision, g)
-	l.poke()
+	l.consumer.ApplyGrant(l.now(), l.process.Session, i.ModRevision, g)
+	l.wake()
 }
 
-func (l *Manager) poke() {
+func (l *Manager) wake() {
 	select {
-	case l.news <- struct{}{}:
+	case l.wakeReporter <- struct{}{}:
 	default:
 	}
 }
 
-// configure puts limits in force. Those that cannot be read, as of a newer build, leave the ones before. The lock is held.
-func (l *Manager) configure(text []byte, none bool) {
+// setConfig puts limits in force. Those that cannot be read, as of a newer build, leave the ones before. The lock is held.
+func (l *Manager) setConfig(text []byte, none bool) {
 	c := &quota.Config{}
 	if !none {
 		if err := errors.Join(json.Unmarshal(text, c), c.Check()); err != nil {
-			if l.fault = err.Error(); l.fault != "" {
+			if l.configFault = err.Error(); l.configFault != "" {
 				l.cfg.Log.Error("limits are not taken: the ones before stay in force here", "error", err)
 			}
 			return
 		}
 	}
-	l.fault, l.conf = "", c
-	l.holder.SetConfig(l.now(), c)
-	l.divider.SetConfig(c)
-	if l.match.Store(nil); len(c.Limits) > 0 {
-		l.match.Store(quota.NewMatcher(c))
+	l.configFault, l.config = "", c
+	l.consumer.SetConfig(l.now(), c)
+	l.allocator.SetConfig(c)
+	if l.matcher.Store(nil); len(c.Limits) > 0 {
+		l.matcher.Store(quota.NewMatcher(c))
 	}
-	l.poke()
+	l.wake()
 }
 
 // Run is of daemon.Part: it keeps the session, and tells what is wanted and seen.
@@ -193,23 +195,23 @@
 	defer p.Close()
 	var telling sync.WaitGroup
 	defer telling.Wait()
-	telling.Go(func() { l.tell(ctx) })
-	say := time.NewTicker(sayEvery)
+	telling.Go(func() { l.report(ctx) })
+	say := time.NewTicker(rejectionLogInterval)
 	defer say.Stop()
 	for {
 		id, until, changed := p.Current()
 		l.mu.Lock()
-		fresh := id != l.me.Session
-		if l.holder.SetSession(l.now(), id, until); fresh {
-			l.me = quota.Process{Host: l.cfg.Host, Session: id}
-			l.poke()
+		fresh := id != l.process.Session
+		if l.consumer.SetSession(l.now(), id, until); fresh {
+			l.process = quota.Process{Host: l.cfg.Host, Session: id}
+			l.wake()
 		}
 		l.mu.Unlock()
 		if fresh && id != 0 { // what came before it was known whose it is
 			_, _ = l.store.View(ctx, true, func(s *store.State) {
 				l.mu.Lock()
 				defer l.mu.Unlock()
-				l.regrant(s)
+				l.applyGrantOf(s)
 			})
 		}
 		select {
@@ -217,23 +219,23 @@
 			return
 		case <-changed:
 		case <-say.C:
-			l.say()
+			l.logRejections()
 		}
 	}
 }
 
-// tell says to the store what is wanted here and which shares are gone by, when that is news.
-func (l *Manager) tell(ctx context.Context) {
+// report says to the store what is wanted here and which shares are gone by, when that is news.
+func (l *Manager) report(ctx context.Context) {
 	for ctx.Err() == nil {
 		l.mu.Lock()
-		now, me := l.now(), l.me
-		n, due, at := l.holder.Demand(now)
+		now, me := l.now(), l.process
+		n, due, at := l.consumer.Demand(now)
 		if due = due && me.Session != 0; due {
-			l.holder.ReportSent(now, n)
+			l.consumer.ReportSent(now, n)
 		}
 		l.mu.Unlock()
 		if !due {
-			wait := l.cfg.Tell
+			wait := l.cfg.ReportInterval
 			if at > 0 {
 				wait = min(wait, max(time.Millisecond, l.cfg.Clock.Span(at-now)))
 			}
@@ -241,21 +243,21 @@
 			select {
 			case <-ctx.Done():
 			case <-t.C:
-			case <-l.news:
+			case <-l.wakeReporter:
 			}
 			t.Stop()
 			continue
 		}
-		c, cancel := context.WithTimeout(ctx, min(tellTime, l.cfg.TTL/2))
+		c, cancel := context.WithTimeout(ctx, min(requestTimeout, l.cfg.TTL/2))
 		_, err := l.store.Do(c, store.Command{Txn: &store.Txn{Owner: l.cfg.Host,
 			Then:      []store.Op{{Key: me.DemandKey(), Value: quota.Encode(n), LeaseID: me.Session}},
 			KeyLimits: []store.KeyLimit{{Prefix: quota.DemandPrefix, MaxKeys: quota.MaxProcesses}}}})
 		cancel()
 		if err != nil {
 			l.mu.Lock()
-			l.holder.ReportFailed()
+			l.consumer.ReportFailed()
 			l.mu.Unlock()
-			pause(ctx, l.cfg.Tell)
+			pause(ctx, l.cfg.ReportInterval)
 		}
 	}
 }
@@ -267,29 +269,29 @@
 	}
 }
 
-// say logs which limits have refused since the last time.
-func (l *Manager) say() {
+// logRejections logs which limits have refused since the last time.
+func (l *Manager) logRejections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	sums := map[string]uint64{}
-	for _, s := range l.holder.Usage(l.now()) {
+	for _, s := range l.consumer.Usage(l.now()) {
 		name, _, _ := strings.Cut(s.Key, "@")
 		sums[name] += s.Rejected
 	}
 	for name, n := range sums {
-		if was := l.said[name]; n > was {
-			l.cfg.Log.Info("a limit of the fleet refuses requests", "limit", name, "since_last", n-was, "every", sayEvery)
+		if was := l.loggedRejections[name]; n > was {
+			l.cfg.Log.Info("a limit of the fleet refuses requests", "limit", name, "since_last", n-was, "every", rejectionLogInterval)
 		}
-		l.said[name] = n
+		l.loggedRejections[name] = n
 	}
 }
 
 // AllocatorTask is the task of dividing, for daemons with a replica.
 func (l *Manager) AllocatorTask() leasetask.Task {
-	return leasetask.Task{Claim: leasetask.Claim{Task: AllocatorTask, TTL: l.cfg.TTL, Note: "divides limits among sidecars"}, Interval: divideEvery, Timeout: l.cfg.TTL / 3,
+	return leasetask.Task{Claim: leasetask.Claim{Task: AllocatorTask, TTL: l.cfg.TTL, Note: "divides limits among sidecars"}, Interval: allocateInterval, Timeout: l.cfg.TTL / 3,
 		ProgressTimeout: time.Minute, Cooldown: time.Minute, Do: func(ctx context.Context, h *leasetask.Lease) error {
 			l.mu.Lock()
-			v := l.divider.Allocate(l.now())
+			v := l.allocator.Allocate(l.now())
 			l.mu.Unlock()
 			if v == nil {
 				return nil
@@ -302,7 +304,7 @@
 
 // Take is of core.Limiter.
 func (l *Manager) Take(q *core.Asked) (ended func(ran bool), no *core.Limited) {
-	m := l.match.Load()
+	m := l.matcher.Load()
 	if m == nil {
 		return nil, nil
 	}
@@ -313,7 +315,7 @@
 	}
 	l.mu.Lock()
 	now := l.now() // not before: whoever waits for the lock, or is stopped, would go by a time that is over
-	t, r := l.holder.Reserve(now, charges, q.Worth)
+	t, r := l.consumer.Reserve(now, charges, q.Worth)
 	l.mu.Unlock()
 	if r != nil {
 		return nil, &core.Limited{Limit: r.Limit, Of: r.Node, Alone: r.StoreUnreachable, RetryAfter: l.cfg.Clock.Span(r.RetryAfter)}
@@ -323,9 +325,9 @@
 		defer l.mu.Unlock()
 		now := l.now()
 		if ran {
-			l.holder.Complete(now, t)
+			l.consumer.Complete(now, t)
 		} else {
-			l.holder.Cancel(now, t)
+			l.consumer.Cancel(now, t)
 		}
 	}, nil
 }
@@ -360,46 +362,46 @@
 
 // Status is limits as people see them.
 type Status struct {
-	Version uint64         `json:"version"`
-	Fault   string         `json:"fault,omitempty"` // why the newest are not in force here, or not divided
-	Divider string         `json:"divider"`         // the daemon that divides, or empty
-	Skew    float64        `json:"skew"`
-	TTLMs   int64          `json:"ttl_ms"`
-	Here    quota.Process  `json:"here"`
-	LeftMs  int64          `json:"left_ms"` // of this daemon's entitlement, unless it is renewed
-	Limits  []*LimitStatus `json:"limits"`
+	Version       uint64         `json:"version"`
+	Fault         string         `json:"fault,omitempty"` // why the newest are not in force here, or not divided
+	AllocatorHost string         `json:"divider"`         // the daemon that divides, or empty
+	MaxClockSkew  float64        `json:"skew"`
+	TTLMs         int64          `json:"ttl_ms"`
+	Process       quota.Process  `json:"here"`
+	ValidForMs    int64          `json:"left_ms"` // of this daemon's entitlement, unless it is renewed
+	Limits        []*LimitStatus `json:"limits"`
 }
 
 // LimitStatus is one of them.
 type LimitStatus struct {
 	*quota.Limit
-	Parts []quota.NodeStatus `json:"parts"`
-	Over  string             `json:"over"` // how far over it may be now, in words
+	NodeStatuses []quota.NodeStatus `json:"parts"`
+	Overshoot    string             `json:"over"` // how far over it may be now, in words
 }
 
-// dividing is what divides here, or, for people, knows what a replica knows of all. alone says that no replica told.
-func (l *Manager) dividing(ctx context.Context) (d *quota.Allocator, alone bool, err error) {
+// allocatorForStatus is what divides here, or, for people, knows what a replica knows of all. alone says that no replica told.
+func (l *Manager) allocatorForStatus(ctx context.Context) (d *quota.Allocator, alone bool, err error) {
 	l.mu.Lock()
-	part, conf := l.part, l.conf
+	part, conf := l.partialCopy, l.config
 	l.mu.Unlock()
 	if !part {
-		return l.divider, false, nil
+		return l.allocator, false, nil
 	}
-	d = quota.NewAllocator(quota.Rules{MaxClockSkew: l.cfg.Skew, ReportInterval: int64(l.cfg.Tell), ReportIntervalPerProcess: int64(l.cfg.Each)}, quota.NoDefect)
-	wait, cancel := context.WithTimeout(ctx, tellTime)
+	d = quota.NewAllocator(quota.Rules{MaxClockSkew: l.cfg.MaxClockSkew, ReportInterval: int64(l.cfg.ReportInterval), ReportIntervalPerProcess: int64(l.cfg.ReportIntervalPerProcess)}, quota.NoDefect)
+	wait, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	if _, err := l.store.View(wait, false, func(s *store.State) {
 		d.SetConfig(conf)
 		d.Reset(l.now(), s)
 	}); err != nil {
-		return l.divider, true, err
+		return l.allocator, true, err
 	}
 	return d, false, nil
 }
 
-// Show shows them by this daemon's copy, or where that does not hold what all tell by a replica's.
-func (l *Manager) Show(ctx context.Context, name string) (*Status, error) {
-	divider, alone, err := l.dividing(ctx)
+// Status shows them by this daemon's copy, or where that does not hold what all tell by a replica's.
+func (l *Manager) Status(ctx context.Context, name string) (*Status, error) {
+	divider, alone, err := l.allocatorForStatus(ctx)
 	holder := ""
 	if holders := l.runner.Holders(AllocatorTask); len(holders) > 0 {
 		holder = holders[0]
@@ -407,26 +409,26 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	s := &Status{Version: l.conf.Version, Fault: l.fault, Divider: holder, Skew: l.cfg.Skew, TTLMs: l.cfg.TTL.Milliseconds(), Here: l.me,
-		LeftMs: max(0, l.holder.ValidUntil()-now) / 1e6, Limits: []*LimitStatus{}}
+	s := &Status{Version: l.config.Version, Fault: l.configFault, AllocatorHost: holder, MaxClockSkew: l.cfg.MaxClockSkew, TTLMs: l.cfg.TTL.Milliseconds(), Process: l.process,
+		ValidForMs: max(0, l.consumer.ValidUntil()-now) / 1e6, Limits: []*LimitStatus{}}
 	if alone {
 		s.Fault = fmt.Sprintf("no replica tells of the others: shares are this daemon's alone: %v", err)
 	}
 	if why := divider.Fault(); s.Fault == "" && why != "" {
 		s.Fault = "nothing is divided here: " + why
 	}
-	for _, x := range l.conf.Limits {
+	for _, x := range l.config.Limits {
 		if name != "" && x.Name != name {
 			continue
 		}
-		st := &LimitStatus{Limit: x, Parts: divider.Status(now, x)}
+		st := &LimitStatus{Limit: x, NodeStatuses: divider.Status(now, x)}
 		away := 0
-		for _, p := range st.Parts[0].Processes {
+		for _, p := range st.NodeStatuses[0].Processes {
 			if p.Gone {
 				away++
 			}
 		}
-		st.Over = x.DescribeOvershoot(away)
+		st.Overshoot = x.DescribeOvershoot(away)
 		s.Limits = append(s.Limits, st)
 	}
 	if name != "" && len(s.Limits) == 0 {
--- a/internal/controlplane/quotasync/manager_test.go
+++ b/internal/controlplane/quotasync/manager_test.go
@@ -12,7 +12,7 @@
 
 // A copy that holds no others' words paces its own by how many there are, as it is told.
 func TestWordsArePacedByAll(t *testing.T) {
-	l := New(Config{Host: "h", TTL: 5 * time.Second, Tell: 250 * time.Millisecond, Each: 5 * time.Millisecond, Clock: bootclock.Clock{},
+	l := New(Config{Host: "h", TTL: 5 * time.Second, ReportInterval: 250 * time.Millisecond, ReportIntervalPerProcess: 5 * time.Millisecond, Clock: bootclock.Clock{},
 		Log: slog.New(slog.DiscardHandler)}, nil)
 	n := l.Subscription()
 	me, other := quota.Process{Host: "h", Session: 7}, quota.Process{Host: "h2", Session: 8}
@@ -24,10 +24,10 @@
 		whole.Apply(whole.Index()+1, &store.Command{Txn: &store.Txn{Then: []store.Op{{Key: p.DemandKey(), Value: quota.Encode(quota.Demand{})}}}})
 	}
 	const at = int64(time.Hour)
-	l.holder.SetSession(at, 7, at+int64(time.Minute))
+	l.consumer.SetSession(at, 7, at+int64(time.Minute))
 	pace := func() time.Duration {
-		l.holder.ReportSent(at, quota.Demand{})
-		_, _, next := l.holder.Demand(at)
+		l.consumer.ReportSent(at, quota.Demand{})
+		_, _, next := l.consumer.Demand(at)
 		return time.Duration(next - at)
 	}
 	l.Reset(whole.Subset(*n.Interest))
--- a/internal/controlplane/quotasync/stored_test.go
+++ b/internal/controlplane/quotasync/stored_test.go
@@ -25,7 +25,7 @@
 	if err != nil || !bytes.Equal(encoded, bytes.TrimSpace(fixture)) {
 		t.Errorf("encoded as %s, error %v", encoded, err)
 	}
-	process := status.Limits[0].Parts[0].Processes[0]
+	process := status.Limits[0].NodeStatuses[0].Processes[0]
 	wantProcess := quota.ProcessQuota{
 		Process:    quota.Process{Host: "s51", Session: 53},
 		Quota:      quota.Quota{Amount: 55, Previous: 56, Linger: 57},
@@ -36,7 +36,7 @@
 		t.Errorf("decoded %+v, not %+v", process, wantProcess)
 	}
 	here := quota.Process{Host: "s8", Session: 10}
-	if status.Version != 3 || status.Divider != "s4" || status.TTLMs != 7 || status.Here != here || status.LeftMs != 11 {
+	if status.Version != 3 || status.AllocatorHost != "s4" || status.TTLMs != 7 || status.Process != here || status.ValidForMs != 11 {
 		t.Errorf("decoded %+v", status)
 	}
 }
--- a/internal/lab/fleetlab/measure.go
+++ b/internal/lab/fleetlab/measure.go
@@ -180,7 +180,7 @@
 			c.CloseIdleConnections()
 			b.Drained += float64(f.Servers[0].Count(d.Number)+f.Servers[1].Count(d.Number)-before) / float64(n)
 			if s, err := d.Client.Status(ctx); err == nil {
-				for _, x := range s.Began.Restored {
+				for _, x := range s.Startup.Restored {
 					b.Recalled += float64(x.Servers) / float64(n)
 				}
 			}
--- a/internal/lab/limitlab/limitlab.go
+++ b/internal/lab/limitlab/limitlab.go
@@ -248,7 +248,7 @@
 	for _, d := range x.fleet.Daemons {
 		for {
 			s, err := d.Client.Limits(wait, "")
-			if err == nil && s.Version == conf.Version && s.Here.Session != 0 {
+			if err == nil && s.Version == conf.Version && s.Process.Session != 0 {
 				break
 			}
 			if wait.Err() != nil {
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -345,7 +345,7 @@
 		return err
 	}
 	log := h.c.log.With("sidecar", h.name)
-	p, err := controlplane.Open(controlplane.Config{File: f, Sidecar: h.name, Check: read, Log: log, Plant: h.c.plant.Defects})
+	p, err := controlplane.Open(controlplane.Config{File: f, Sidecar: h.name, SettingsCheck: read, Log: log, Defects: h.c.plant.Defects})
 	if err != nil {
 		return err
 	}
@@ -353,12 +353,12 @@
 	h.mu.Lock()
 	h.parts, h.cancel, h.list, h.rng = p, cancel, map[string]discovery.Instance{}, rand.New(rand.NewPCG(h.Seed, 1))
 	if p.Limits != nil {
-		if h.presence, err = p.Tasks.Presence(time.Duration(f.Limits.Lease)); err != nil {
+		if h.presence, err = p.Tasks.Presence(time.Duration(f.Limits.SessionTTL)); err != nil {
 			h.c.log.Error("no session is seen", "error", err)
 		}
 	}
 	if h.c.plant.Twice {
-		if _, err := p.Tasks.Presence(time.Duration(f.Limits.Lease) - time.Millisecond); err != nil {
+		if _, err := p.Tasks.Presence(time.Duration(f.Limits.SessionTTL) - time.Millisecond); err != nil {
 			h.c.log.Error("no second session", "error", err)
 		}
 	}
@@ -395,7 +395,7 @@
 	h.mu.Unlock()
 	if p != nil {
 		cancel()
-		p.End()
+		p.Close()
 		h.working.Wait()
 	}
 }
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -119,7 +119,7 @@
 	defer cancel()
 	for i, d := range r.fleet.Daemons {
 		wg.Go(func() {
-			x, err := d.Client.Meter(ctx)
+			x, err := d.Client.Usage(ctx)
 			if err != nil {
 				return
 			}
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -345,7 +345,7 @@
 	wait, cancel := context.WithTimeout(ctx, 15*time.Second)
 	defer cancel()
 	begun := time.Now()
-	_, err := d.Client.Configure(wait, adminapi.Config{Settings: marked(json.RawMessage(fleetlab.Settings()), r.mark), Note: fmt.Sprintf("change %d", r.mark)})
+	_, err := d.Client.ChangeSettings(wait, adminapi.SettingsRequest{Settings: marked(json.RawMessage(fleetlab.Settings()), r.mark), Note: fmt.Sprintf("change %d", r.mark)})
 	if err == nil {
 		r.changes.put(r.mark, begun, time.Now())
 	}
--- a/internal/lab/tasklab/faults.go
+++ b/internal/lab/tasklab/faults.go
@@ -89,7 +89,7 @@
 		at := x.fleet.Daemons[0] // a replica: followers' operators may not
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		held := x.at.top()
-		err := at.Client.OrderTask(ctx, adminapi.OverrideRequest{Task: "task", TaskOverride: lease.TaskOverride{PreferredHost: to.Name(), Operator: "the bench"}})
+		err := at.Client.OverrideTask(ctx, adminapi.OverrideRequest{Task: "task", TaskOverride: lease.TaskOverride{PreferredHost: to.Name(), Operator: "the bench"}})
 		return to.Name(), func(ctx context.Context) error {
 			defer cancel()
 			if err != nil {
@@ -98,7 +98,7 @@
 			if err := x.goesOn(ctx, 1, held+1); err != nil {
 				return err
 			}
-			return at.Client.OrderTask(ctx, adminapi.OverrideRequest{Task: "task"})
+			return at.Client.OverrideTask(ctx, adminapi.OverrideRequest{Task: "task"})
 		}
 	}},
 	{"pair-cut", "the leader does not hear one other replica, and is heard by it", false, func(x *run) (string, func(context.Context) error) {
