--- /dev/null
+++ b/internal/controlplane/rollout/stored_test.go
@@ -0,0 +1,42 @@
+package rollout
+
+import (
+	"encoding/json"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+)
+
+// The files in testdata are of version 7105f7a.
+func TestPlansAndReportsKeepStoredForm(t *testing.T) {
+	tests := []struct {
+		file string
+		want any // a pointer to the expected value
+	}{
+		{"plan.json", &Plan{
+			ID: 9, State: Back, Steps: []Step{{Count: 1}, {Part: 0.1}, {Part: 1}}, Settle: 30000, Step: 1,
+			Hosts: []string{"host-a", "host-b"}, Why: "host-b: no disk", By: "ops", Note: "larger pool", Token: 77,
+		}},
+		{"plan-new.json", &Plan{ID: 10, State: Running, Steps: []Step{{Part: 1}}, Settle: 100, Step: -1}},
+		{"plan-done.json", &Plan{
+			ID: 11, State: Done, Steps: []Step{{Part: 1}}, Settle: 100, Hosts: []string{"host-a"}, By: "ops",
+		}},
+		{"report.json", &Report{Plan: 9, Step: 1, Served: 1000, Not: 3, Error: "settings.x: is bad"}},
+		{"report-good.json", &Report{Plan: 9, Step: 2, Served: 5}},
+	}
+	for _, tc := range tests {
+		text, err := os.ReadFile("testdata/" + tc.file)
+		if err != nil {
+			t.Fatal(err)
+		}
+		stored := strings.TrimSuffix(string(text), "\n")
+		decoded := reflect.New(reflect.TypeOf(tc.want).Elem()).Interface()
+		if err := json.Unmarshal(text, decoded); err != nil || !reflect.DeepEqual(decoded, tc.want) {
+			t.Errorf("%s: decoded %+v, %v, want %+v", tc.file, decoded, err, tc.want)
+		}
+		if encoded, err := json.Marshal(tc.want); err != nil || string(encoded) != stored {
+			t.Errorf("%s: encoded %s, %v, want %s", tc.file, encoded, err, stored)
+		}
+	}
+}
--- /dev/null
+++ b/internal/platform/snapshot/stored_test.go
@@ -0,0 +1,47 @@
+package snapshot
+
+import (
+	"encoding/base64"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// testdata/known.snapshot.base64 is a file of version 7105f7a.
+func TestFileKeepsStoredForm(t *testing.T) {
+	text, err := os.ReadFile("testdata/known.snapshot.base64")
+	if err != nil {
+		t.Fatal(err)
+	}
+	stored, err := base64.StdEncoding.DecodeString(strings.ReplaceAll(string(text), "\n", ""))
+	if err != nil {
+		t.Fatal(err)
+	}
+	path := filepath.Join(t.TempDir(), "known.snapshot")
+	if err := os.WriteFile(path, stored, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	k, err := File{path}.Load()
+	if err != nil {
+		t.Fatal(err)
+	}
+	clock := Clock{Wall: 1_700_000_000_000_000, Boot: "b", Up: 77}
+	if k.Sidecar != "n3" || k.Clock != clock || k.Run != 987654321 {
+		t.Errorf("decoded %q, %+v, run %d", k.Sidecar, k.Clock, k.Run)
+	}
+	if !slices.Equal(k.Names, []string{"s-0", "s-1"}) || !slices.Equal(k.Addrs, []string{"10.0.0.1:80", "10.0.0.2:80"}) {
+		t.Errorf("decoded names %q and addresses %q", k.Names, k.Addrs)
+	}
+	s := k.State
+	if s.At != 1_700_000_000_004_000 || len(s.Rules) != 1 || len(s.Classes) != 1 || len(s.Slots) == 0 {
+		t.Errorf("decoded a state of %d with %d rules, %d classes, %d slots", s.At, len(s.Rules), len(s.Classes), len(s.Slots))
+	}
+	if len(s.Endpoints) != 2 || s.Endpoints[0].ID != 1 || s.Endpoints[1].ID != 2 {
+		t.Errorf("decoded endpoints %+v", s.Endpoints)
+	}
+	if encoded, err := Encode(k); err != nil || string(encoded) != string(stored) {
+		t.Errorf("encoded to %d bytes other than the stored %d, error %v", len(encoded), len(stored), err)
+	}
+}
