--- a/cmd/birchmoor/run.go
+++ b/cmd/birchmoor/run.go
@@ -11,9 +11,9 @@
 
 	"birchmoor/internal/controlplane"
 	"birchmoor/internal/controlplane/operatorconfig"
+	"birchmoor/internal/dataplane/config"
 	"birchmoor/internal/lab/tasklab"
 	"birchmoor/internal/platform/bootclock"
-	"birchmoor/internal/platform/config"
 )
 
 type daemonCommand struct {
--- a/cmd/birchmoor/sidecar.go
+++ b/cmd/birchmoor/sidecar.go
@@ -21,10 +21,10 @@
 	"birchmoor/internal/controlplane/daemon"
 	"birchmoor/internal/controlplane/operatorconfig"
 	"birchmoor/internal/dataplane/capture"
+	"birchmoor/internal/dataplane/config"
 	"birchmoor/internal/dataplane/core"
 	"birchmoor/internal/dataplane/maintenance"
 	"birchmoor/internal/dataplane/sidecar"
-	"birchmoor/internal/platform/config"
 	"birchmoor/internal/platform/snapshot"
 )
 
--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -9,8 +9,8 @@
 	"runtime"
 	"syscall"
 
+	"birchmoor/internal/dataplane/config"
 	"birchmoor/internal/dataplane/sidecar"
-	"birchmoor/internal/platform/config"
 )
 
 func main() {
--- a/internal/platform/config/config_test.go
+++ b/internal/dataplane/config/config_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"birchmoor/internal/platform/config"
+	"birchmoor/internal/dataplane/config"
 	"birchmoor/internal/platform/management"
 	"birchmoor/internal/testutil/sidecartest"
 )
--- a/internal/dataplane/core/call.go
+++ b/internal/dataplane/core/call.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"birchmoor/balancer"
+	"birchmoor/internal/dataplane/config"
 	"birchmoor/internal/dataplane/discovery"
-	"birchmoor/internal/platform/config"
 )
 
 // Clock tells microseconds: Unix time at its start, monotonic from there.
--- a/internal/dataplane/core/front.go
+++ b/internal/dataplane/core/front.go
@@ -5,7 +5,7 @@
 	"log/slog"
 	"time"
 
-	"birchmoor/internal/platform/config"
+	"birchmoor/internal/dataplane/config"
 	"birchmoor/internal/platform/metrics"
 )
 
--- a/internal/dataplane/core/loop.go
+++ b/internal/dataplane/core/loop.go
@@ -14,10 +14,10 @@
 	"time"
 
 	"birchmoor/balancer"
+	"birchmoor/internal/dataplane/config"
 	"birchmoor/internal/dataplane/discovery"
 	"birchmoor/internal/dataplane/handover"
 	"birchmoor/internal/dataplane/maintenance"
-	"birchmoor/internal/platform/config"
 	"birchmoor/internal/platform/metrics"
 )
 
--- a/internal/dataplane/core/recall_test.go
+++ b/internal/dataplane/core/recall_test.go
@@ -13,9 +13,9 @@
 	"time"
 
 	"birchmoor/balancer"
+	"birchmoor/internal/dataplane/config"
 	"birchmoor/internal/dataplane/discovery"
 	"birchmoor/internal/dataplane/handover"
-	"birchmoor/internal/platform/config"
 	"birchmoor/internal/platform/metrics"
 	"birchmoor/internal/platform/snapshot"
 	"birchmoor/internal/testutil/sidecartest"
--- a/internal/dataplane/discovery/told_test.go
+++ b/internal/dataplane/discovery/told_test.go
@@ -15,9 +15,9 @@
 	"time"
 
 	"birchmoor/balancer"
+	"birchmoor/internal/dataplane/config"
 	"birchmoor/internal/dataplane/core"
 	"birchmoor/internal/dataplane/discovery"
-	"birchmoor/internal/platform/config"
 	"birchmoor/internal/platform/metrics"
 	"birchmoor/internal/testutil/sidecartest"
 )
--- a/internal/dataplane/dnsfront/front_test.go
+++ b/internal/dataplane/dnsfront/front_test.go
@@ -17,6 +17,7 @@
 
 	"github.com/miekg/dns"
 
+	"birchmoor/internal/dataplane/config"
 	"birchmoor/internal/dataplane/core"
 	"birchmoor/internal/dataplane/discovery"
 	"birchmoor/internal/dataplane/dnsfront/limit"
@@ -24,7 +25,6 @@
 	"birchmoor/internal/dataplane/handover"
 	"birchmoor/internal/dataplane/maintenance"
 	"birchmoor/internal/dataplane/sidecar"
-	"birchmoor/internal/platform/config"
 	"birchmoor/internal/testutil/sidecartest"
 )
 
--- a/internal/dataplane/dnsfront/protocol.go
+++ b/internal/dataplane/dnsfront/protocol.go
@@ -3,8 +3,8 @@
 import (
 	"log/slog"
 
+	"birchmoor/internal/dataplane/config"
 	"birchmoor/internal/dataplane/core"
-	"birchmoor/internal/platform/config"
 	"birchmoor/internal/platform/metrics"
 )
 
--- a/internal/dataplane/dnsfront/server.go
+++ b/internal/dataplane/dnsfront/server.go
@@ -16,11 +16,11 @@
 	"github.com/miekg/dns"
 
 	"birchmoor/balancer"
+	"birchmoor/internal/dataplane/config"
 	"birchmoor/internal/dataplane/core"
 	"birchmoor/internal/dataplane/dnsfront/limit"
 	"birchmoor/internal/dataplane/dnsfront/route"
 	"birchmoor/internal/dataplane/handover"
-	"birchmoor/internal/platform/config"
 	"birchmoor/internal/platform/metrics"
 )
 
--- a/internal/dataplane/dnsfront/settings.go
+++ b/internal/dataplane/dnsfront/settings.go
@@ -15,9 +15,9 @@
 	"github.com/miekg/dns"
 
 	"birchmoor/balancer"
+	"birchmoor/internal/dataplane/config"
 	"birchmoor/internal/dataplane/dnsfront/limit"
 	"birchmoor/internal/dataplane/dnsfront/route"
-	"birchmoor/internal/platform/config"
 	"birchmoor/internal/platform/metrics"
 )
 
--- a/internal/dataplane/dnsfront/upstream.go
+++ b/internal/dataplane/dnsfront/upstream.go
@@ -15,9 +15,9 @@
 	"github.com/miekg/dns"
 
 	"birchmoor/balancer"
+	"birchmoor/internal/dataplane/config"
 	"birchmoor/internal/dataplane/core"
 	"birchmoor/internal/dataplane/dnsfront/resend"
-	"birchmoor/internal/platform/config"
 	"birchmoor/internal/platform/metrics"
 )
 
--- a/internal/dataplane/httpfront/server.go
+++ b/internal/dataplane/httpfront/server.go
@@ -25,9 +25,9 @@
 
 	"birchmoor/balancer"
 	"birchmoor/internal/dataplane/bytebudget"
+	"birchmoor/internal/dataplane/config"
 	"birchmoor/internal/dataplane/core"
 	"birchmoor/internal/dataplane/handover"
-	"birchmoor/internal/platform/config"
 	"birchmoor/internal/platform/metrics"
 )
 
--- a/internal/dataplane/httpfront/upstream.go
+++ b/internal/dataplane/httpfront/upstream.go
@@ -23,8 +23,8 @@
 
 	"birchmoor/balancer"
 	"birchmoor/internal/dataplane/bytebudget"
+	"birchmoor/internal/dataplane/config"
 	"birchmoor/internal/dataplane/core"
-	"birchmoor/internal/platform/config"
 	"birchmoor/internal/platform/metrics"
 )
 
--- a/internal/dataplane/sidecar/customers_test.go
+++ b/internal/dataplane/sidecar/customers_test.go
@@ -10,8 +10,8 @@
 	"strconv"
 	"testing"
 
+	"birchmoor/internal/dataplane/config"
 	"birchmoor/internal/dataplane/discovery"
-	"birchmoor/internal/platform/config"
 	"birchmoor/internal/testutil/sidecartest"
 )
 
--- a/internal/dataplane/sidecar/handover_test.go
+++ b/internal/dataplane/sidecar/handover_test.go
@@ -11,10 +11,10 @@
 	"testing"
 	"time"
 
+	"birchmoor/internal/dataplane/config"
 	"birchmoor/internal/dataplane/discovery"
 	"birchmoor/internal/dataplane/handover"
 	"birchmoor/internal/dataplane/maintenance"
-	"birchmoor/internal/platform/config"
 	"birchmoor/internal/testutil/sidecartest"
 )
 
--- a/internal/dataplane/sidecar/helper_test.go
+++ b/internal/dataplane/sidecar/helper_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
+	"birchmoor/internal/dataplane/config"
 	"birchmoor/internal/dataplane/maintenance"
-	"birchmoor/internal/platform/config"
 	"birchmoor/internal/testutil/sidecartest"
 )
 
--- a/internal/dataplane/sidecar/host.go
+++ b/internal/dataplane/sidecar/host.go
@@ -7,9 +7,9 @@
 	"os"
 	"path/filepath"
 
+	"birchmoor/internal/dataplane/config"
 	"birchmoor/internal/dataplane/handover"
 	"birchmoor/internal/dataplane/maintenance"
-	"birchmoor/internal/platform/config"
 	"birchmoor/internal/platform/snapshot"
 )
 
--- a/internal/dataplane/sidecar/kept_test.go
+++ b/internal/dataplane/sidecar/kept_test.go
@@ -10,11 +10,11 @@
 	"strings"
 	"testing"
 
+	"birchmoor/internal/dataplane/config"
 	"birchmoor/internal/dataplane/core"
 	"birchmoor/internal/dataplane/discovery"
 	"birchmoor/internal/dataplane/httpfront"
 	"birchmoor/internal/dataplane/maintenance"
-	"birchmoor/internal/platform/config"
 	"birchmoor/internal/platform/metrics"
 	"birchmoor/internal/platform/snapshot"
 	"birchmoor/internal/testutil/sidecartest"
--- a/internal/dataplane/sidecar/lane.go
+++ b/internal/dataplane/sidecar/lane.go
@@ -5,11 +5,11 @@
 	"errors"
 	"fmt"
 
+	"birchmoor/internal/dataplane/config"
 	"birchmoor/internal/dataplane/core"
 	"birchmoor/internal/dataplane/discovery"
 	"birchmoor/internal/dataplane/httpfront"
 	"birchmoor/internal/dataplane/maintenance"
-	"birchmoor/internal/platform/config"
 	"birchmoor/internal/platform/metrics"
 	"birchmoor/internal/platform/snapshot"
 )
--- a/internal/dataplane/sidecar/reload.go
+++ b/internal/dataplane/sidecar/reload.go
@@ -7,7 +7,7 @@
 	"os"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/platform/config"
+	"birchmoor/internal/dataplane/config"
 	"birchmoor/internal/platform/metrics"
 )
 
--- a/internal/dataplane/sidecar/reload_test.go
+++ b/internal/dataplane/sidecar/reload_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
+	"birchmoor/internal/dataplane/config"
 	"birchmoor/internal/dataplane/discovery"
-	"birchmoor/internal/platform/config"
 	"birchmoor/internal/platform/metrics"
 	"birchmoor/internal/testutil/sidecartest"
 )
--- a/internal/dataplane/sidecar/server_test.go
+++ b/internal/dataplane/sidecar/server_test.go
@@ -13,9 +13,9 @@
 	"testing"
 	"time"
 
+	"birchmoor/internal/dataplane/config"
 	"birchmoor/internal/dataplane/discovery"
 	"birchmoor/internal/dataplane/httpfront"
-	"birchmoor/internal/platform/config"
 	"birchmoor/internal/testutil/sidecartest"
 )
 
--- a/internal/dataplane/sidecar/sidecar.go
+++ b/internal/dataplane/sidecar/sidecar.go
@@ -19,11 +19,11 @@
 	"time"
 
 	"birchmoor/balancer"
+	"birchmoor/internal/dataplane/config"
 	"birchmoor/internal/dataplane/core"
 	"birchmoor/internal/dataplane/discovery"
 	"birchmoor/internal/dataplane/handover"
 	"birchmoor/internal/dataplane/maintenance"
-	"birchmoor/internal/platform/config"
 	"birchmoor/internal/platform/management"
 	"birchmoor/internal/platform/recovery"
 	"birchmoor/internal/platform/snapshot"
--- a/internal/lab/bench/peer.go
+++ b/internal/lab/bench/peer.go
@@ -18,10 +18,10 @@
 	"strings"
 	"sync/atomic"
 
+	"birchmoor/internal/dataplane/config"
 	"birchmoor/internal/dataplane/handover"
 	"birchmoor/internal/dataplane/maintenance"
 	"birchmoor/internal/dataplane/sidecar"
-	"birchmoor/internal/platform/config"
 )
 
 // Memory is what a peer has allocated so far.
--- a/internal/lab/dnslab/lab.go
+++ b/internal/lab/dnslab/lab.go
@@ -17,6 +17,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/miekg/dns"
 
+	"birchmoor/internal/dataplane/config"
 	"birchmoor/internal/dataplane/core"
 	"birchmoor/internal/dataplane/discovery"
 	"birchmoor/internal/dataplane/dnsfront"
@@ -26,7 +27,6 @@
 	"birchmoor/internal/dataplane/sidecar"
 	"birchmoor/internal/lab/referee"
 	"birchmoor/internal/lab/trace"
-	"birchmoor/internal/platform/config"
 )
 
 const (
--- a/internal/testutil/sidecartest/sidetest.go
+++ b/internal/testutil/sidecartest/sidetest.go
@@ -15,8 +15,8 @@
 	"testing"
 	"time"
 
+	"birchmoor/internal/dataplane/config"
 	"birchmoor/internal/dataplane/discovery"
-	"birchmoor/internal/platform/config"
 )
 
 // Soon bounds every wait of these tests for something that must come. It is long: a busy machine may stop a process for
