--- a/cmd/birchmoor/config.go
+++ b/cmd/birchmoor/config.go
@@ -57,7 +57,7 @@
 	if k.Steps == "" {
 		return configure(ctx, c, &k.socketFlag, adminapi.SettingsRequest{Settings: any, Note: k.Note})
 	}
-	steps, err := rollout.Parse(k.Steps)
+	steps, err := rollout.ParseSteps(k.Steps)
 	if err != nil {
 		return err
 	}
@@ -87,16 +87,16 @@
 		case err != nil:
 			fmt.Fprintf(c.err, "birchmoor: the daemon does not say how it goes: %v\n", err)
 		case p.State != rollout.Running:
-			if err := k.print(c, p, func(w *tabwriter.Writer) { fmt.Fprintf(w, "%s: %s\n", p.State, p.Why) }); err != nil {
+			if err := k.print(c, p, func(w *tabwriter.Writer) { fmt.Fprintf(w, "%s: %s\n", p.State, p.Reason) }); err != nil {
 				return err
 			}
-			if p.State != rollout.Done {
+			if p.State != rollout.Completed {
 				return errMissed
 			}
 			return nil
 		case p.Step != told:
 			if told = p.Step; p.Step >= 0 {
-				fmt.Fprintf(c.err, "birchmoor: step %v: %d daemons; %s\n", p.Steps[p.Step], len(p.Hosts), p.Why)
+				fmt.Fprintf(c.err, "birchmoor: step %v: %d daemons; %s\n", p.Steps[p.Step], len(p.Hosts), p.Reason)
 			}
 		}
 		select {
@@ -136,8 +136,8 @@
 			if p.Step >= 0 {
 				at = fmt.Sprintf("%v, %d of %d: %d daemons", p.Steps[p.Step], p.Step+1, len(p.Steps), len(p.Hosts))
 			}
-			for _, x := range [][2]any{{"state", p.State}, {"step", at}, {"settle", time.Duration(p.Settle) * time.Millisecond}, {"judged by", p.Why}, {"driver's token", p.Token},
-				{"by", p.By}, {"note", p.Note}} {
+			for _, x := range [][2]any{{"state", p.State}, {"step", at}, {"settle", time.Duration(p.SettleMillis) * time.Millisecond}, {"judged by", p.Reason}, {"driver's token", p.Token},
+				{"by", p.Operator}, {"note", p.Note}} {
 				fmt.Fprintf(w, "%v\t%v\n", x[0], x[1])
 			}
 		})
--- a/cmd/birchmoor/steps_test.go
+++ b/cmd/birchmoor/steps_test.go
@@ -80,7 +80,7 @@
 	if x := <-done; x.code != 0 || !strings.Contains(x.out, "done") {
 		t.Fatalf("exit code %d:\n%s\n%s", x.code, x.out, logs())
 	}
-	if now, err := f.Daemons[0].Client.Rollout(ctx); err != nil || now.State != rollout.Done || now.Token <= p.Token {
+	if now, err := f.Daemons[0].Client.Rollout(ctx); err != nil || now.State != rollout.Completed || now.Token <= p.Token {
 		t.Errorf("%+v after the driver with token %d was killed, %v", now, p.Token, err)
 	}
 	in := func(text string) func() bool {
--- a/internal/controlplane/daemon/rollout.go
+++ b/internal/controlplane/daemon/rollout.go
@@ -72,7 +72,7 @@
 
 // applyPlanItem takes a change of the plan's keys, and has the sidecar read its settings anew if they are others. The lock is held.
 func (x *Settings) applyPlanItem(i store.Item, deleted bool) {
-	was := x.rollout.plan.Runs(x.name)
+	was := x.rollout.plan.RunsOn(x.name)
 	switch i.Key {
 	case keyPlan:
 		x.rollout.plan, x.rollout.planRevision = rollout.Plan{}, 0
@@ -86,7 +86,7 @@
 	default:
 		return
 	}
-	if was != x.rollout.plan.Runs(x.name) {
+	if was != x.rollout.plan.RunsOn(x.name) {
 		x.notifyReload()
 	}
 	x.wakeUp()
@@ -106,14 +106,14 @@
 	x.mu.Lock()
 	st := &x.rollout
 	plan, text, figures := st.plan, st.settings, st.answers
-	every := max(minReportInterval, time.Duration(plan.Settle)*time.Millisecond/4)
-	due := st.lastReport.Plan != plan.ID || st.lastReport.Step != plan.Step || time.Since(st.reportedAt) >= every
+	every := max(minReportInterval, time.Duration(plan.SettleMillis)*time.Millisecond/4)
+	due := st.lastReport.PlanID != plan.ID || st.lastReport.Step != plan.Step || time.Since(st.reportedAt) >= every
 	x.mu.Unlock()
 	if plan.State != rollout.Running || plan.Step < 0 || !due {
 		return
 	}
-	r := rollout.Report{Plan: plan.ID, Step: plan.Step}
-	if plan.Runs(x.name) && x.check != nil && text != nil {
+	r := rollout.Report{PlanID: plan.ID, Step: plan.Step}
+	if plan.RunsOn(x.name) && x.check != nil && text != nil {
 		if err := x.check(text); err != nil {
 			r.Error = err.Error()
 		}
@@ -128,7 +128,7 @@
 		if at := [2]uint64{plan.ID, uint64(plan.Step)}; st.baselineStep != at {
 			st.baselineStep, st.baseline = at, [2]uint64{served, not}
 		}
-		r.Served, r.Not = served-min(served, st.baseline[0]), not-min(not, st.baseline[1]) // a sidecar that began anew counts from nothing
+		r.Served, r.Unserved = served-min(served, st.baseline[0]), not-min(not, st.baseline[1]) // a sidecar that began anew counts from nothing
 		x.mu.Unlock()
 	}
 	b, err := json.Marshal(r)
@@ -154,8 +154,8 @@
 
 // StartRollout has settings checked by every replica, and come in force in steps.
 func (x *Settings) StartRollout(ctx context.Context, settings json.RawMessage, steps []rollout.Step, settle time.Duration, note string) (rollout.Plan, error) {
-	p := rollout.Plan{State: rollout.Running, Steps: steps, Settle: settle.Milliseconds(), Step: -1, By: x.name, Note: note}
-	if err := p.Check(); err != nil {
+	p := rollout.Plan{State: rollout.Running, Steps: steps, SettleMillis: settle.Milliseconds(), Step: -1, Operator: x.name, Note: note}
+	if err := p.Validate(); err != nil {
 		return p, err
 	}
 	set, err := x.finishedPlanRevision(ctx)
@@ -213,7 +213,7 @@
 	if err != nil {
 		return err
 	}
-	p.State, p.Why = rollout.Back, "called off by "+by
+	p.State, p.Reason = rollout.RolledBack, "called off by "+by
 	return x.replacePlan(ctx, &p, set, nil, func(ctx context.Context, t store.Txn) (store.Result, error) {
 		return x.store.Do(ctx, store.Command{Txn: &t})
 	})
@@ -288,26 +288,26 @@
 	for host := range fleet {
 		all = append(all, host)
 	}
-	verdict, why := rollout.GoOn, ""
+	verdict, why := rollout.Advance, ""
 	if p.Step >= 0 {
-		verdict, why = p.Judge(settled.Milliseconds(), all, reports)
+		verdict, why = p.Evaluate(settled.Milliseconds(), all, reports)
 	}
 	p.Token = token
 	switch {
 	case verdict == rollout.Wait:
 		return nil
-	case verdict == rollout.TakeBack:
-		p.State, p.Why = rollout.Back, fmt.Sprintf("step %v: %s", p.Steps[p.Step], why)
+	case verdict == rollout.RollBack:
+		p.State, p.Reason = rollout.RolledBack, fmt.Sprintf("step %v: %s", p.Steps[p.Step], why)
 		x.log.Warn("settings are taken back", "step", p.Steps[p.Step], "why", why)
 		return x.replacePlan(ctx, &p, set, nil, do)
 	case p.Step < len(p.Steps)-1:
 		p.Step++
-		p.Hosts, p.Why = rollout.Selected(p.Steps[p.Step], all, p.ID), why
+		p.Hosts, p.Reason = rollout.SelectHosts(p.Steps[p.Step], all, p.ID), why
 		x.log.Info("settings go a step further", "step", p.Steps[p.Step], "daemons", len(p.Hosts), "because", why)
 		return x.replacePlan(ctx, &p, set, nil, do)
 	}
-	p.State, p.Why = rollout.Done, why
-	v := Version{Version: next, Settings: text, By: p.By, Note: p.Note, At: time.Now().UTC().Truncate(time.Second)}
+	p.State, p.Reason = rollout.Completed, why
+	v := Version{Version: next, Settings: text, By: p.Operator, Note: p.Note, At: time.Now().UTC().Truncate(time.Second)}
 	ops, err := v.commitOps()
 	if err != nil {
 		return err
--- a/internal/controlplane/daemon/serverfacts.go
+++ b/internal/controlplane/daemon/serverfacts.go
@@ -103,8 +103,8 @@
 func (c factCounts) add(saved *snapshot.Saved, savedBy string, ageMs int64, partial bool) {
 	for i, e := range saved.State.Endpoints {
 		key := factKey{id: saved.Names[i], startedMs: e.StartTime / 1000, kind: factKnown}
-		if i < len(saved.Addrs) {
-			key.addr = saved.Addrs[i]
+		if i < len(saved.Addresses) {
+			key.addr = saved.Addresses[i]
 		}
 		if e.WarmingUp {
 			key.kind = factWarmingUp
--- a/internal/controlplane/daemon/settings.go
+++ b/internal/controlplane/daemon/settings.go
@@ -73,7 +73,7 @@
 func (x *Settings) Current() json.RawMessage {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.rollout.plan.Runs(x.name) && x.rollout.settings != nil {
+	if x.rollout.plan.RunsOn(x.name) && x.rollout.settings != nil {
 		return x.rollout.settings
 	}
 	return x.current
--- a/internal/controlplane/daemon/snapshots.go
+++ b/internal/controlplane/daemon/snapshots.go
@@ -215,13 +215,13 @@
 			s.log.Warn("a snapshot in the store is ignored", "key", key, "error", err)
 			continue
 		}
-		c := recovery.Candidate{From: "the store: " + owner, Kept: saved, Own: owner == sidecar}
+		c := recovery.Candidate{Source: "the store: " + owner, Snapshot: saved, Own: owner == sidecar}
 		if stored.savedAt != 0 {
-			c.Age, c.Sure = (now-stored.savedAt)/int64(time.Microsecond), true
+			c.Age, c.SameClock = (now-stored.savedAt)/int64(time.Microsecond), true
 		} else {
-			here := snapshot.Now()
+			here := snapshot.ReadClock()
 			c.Age = here.Since(saved.Clock)
-			c.Sure = here.Boot != "" && here.Boot == saved.Clock.Boot
+			c.SameClock = here.BootID != "" && here.BootID == saved.Clock.BootID
 		}
 		all = append(all, c)
 	}
@@ -247,8 +247,8 @@
 	defer s.mu.Unlock()
 	s.restored = append(s.restored, RestoredState{
 		Protocol:  protocol,
-		From:      c.From,
-		Snapshots: c.Of,
+		From:      c.Source,
+		Snapshots: c.Sources,
 		Servers:   servers,
 		Age:       time.Duration(c.Age) * time.Microsecond,
 	})
--- a/internal/controlplane/daemon/starts_test.go
+++ b/internal/controlplane/daemon/starts_test.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ahead := snapshot.Clock{Wall: time.Now().Add(time.Hour).UnixMicro(), Boot: "of another host"}
+	ahead := snapshot.Clock{WallMicros: time.Now().Add(time.Hour).UnixMicro(), BootID: "of another host"}
 	take := func(context.Context) ([]byte, error) {
 		return snapshot.Encode(&snapshot.Saved{Sidecar: "other", Clock: ahead, State: m.Snapshot(1e9, false)})
 	}
@@ -92,15 +92,15 @@
 		t.Fatal("it is not in the store")
 	}
 	got := all[1].servers.RestoreCandidates("me", "")
-	for ; len(got) == 1 && !got[0].Sure; got = all[1].servers.RestoreCandidates("me", "") { // it came before a quorum had confirmed the copy
+	for ; len(got) == 1 && !got[0].SameClock; got = all[1].servers.RestoreCandidates("me", "") { // it came before a quorum had confirmed the copy
 		if err := all[0].servers.save(testContext(t), key, take); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if len(got) != 1 || !got[0].Sure || got[0].Own || got[0].Age < 0 || got[0].Age > 60e6 {
+	if len(got) != 1 || !got[0].SameClock || got[0].Own || got[0].Age < 0 || got[0].Age > 60e6 {
 		t.Fatalf("%+v", got)
 	}
-	if x := recovery.Choose("me", got); x.Kept == nil || x.Kept.Sidecar != "me" {
+	if x := recovery.Choose("me", got); x.Snapshot == nil || x.Snapshot.Sidecar != "me" {
 		t.Errorf("%+v", x)
 	}
 	if len(all[1].servers.RestoreCandidates("me", "dns")) != 0 {
@@ -110,14 +110,14 @@
 	b := startDaemon(t, "b", dirs[1], all[1].addr, true)
 	b.version(t, key) // its copy is up to date: it has shown the picture, which was put long before
 	got = b.servers.RestoreCandidates("me", "")
-	if len(got) != 1 || got[0].Sure {
+	if len(got) != 1 || got[0].SameClock {
 		t.Fatalf("%+v", got)
 	}
-	if x := recovery.Choose("me", got); x.Kept != nil {
+	if x := recovery.Choose("me", got); x.Snapshot != nil {
 		t.Error("the age of a picture is believed by another host's clock")
 	}
 	b.servers.ReportSnapshotAge(key, 4*time.Second) // a replica that saw it come tells
-	if got = b.servers.RestoreCandidates("me", ""); !got[0].Sure || got[0].Age < 4e6 {
+	if got = b.servers.RestoreCandidates("me", ""); !got[0].SameClock || got[0].Age < 4e6 {
 		t.Errorf("%+v", got)
 	}
 	for later := time.Now().Add(snapshotRetention + time.Minute); b.version(t, key) > 0; { // nobody puts it any more
--- a/internal/controlplane/daemon/stored_test.go
+++ b/internal/controlplane/daemon/stored_test.go
@@ -113,7 +113,7 @@
 	_, err = x.Rollback(ctx, 1)
 	must(err)
 	r.text.WriteString("rollout\n")
-	_, err = x.StartRollout(ctx, json.RawMessage(`{"x":3}`), []rollout.Step{{Count: 1}, {Part: 1}}, time.Second, "in steps")
+	_, err = x.StartRollout(ctx, json.RawMessage(`{"x":3}`), []rollout.Step{{Count: 1}, {Fraction: 1}}, time.Second, "in steps")
 	must(err)
 	do := func(ctx context.Context, txn store.Txn) (store.Result, error) {
 		return r.Do(ctx, store.Command{Txn: &txn})
@@ -123,12 +123,12 @@
 	x.reportProgress(ctx)
 	must(x.CancelRollout(ctx, "operator"))
 	r.text.WriteString("rollout to its end\n")
-	_, err = x.StartRollout(ctx, json.RawMessage(`{"x":4}`), []rollout.Step{{Part: 1}}, 100*time.Millisecond, "")
+	_, err = x.StartRollout(ctx, json.RawMessage(`{"x":4}`), []rollout.Step{{Fraction: 1}}, 100*time.Millisecond, "")
 	must(err)
 	must(x.AdvanceRollout(ctx, 6, do))
 	x.Reset(r.state)
 	x.reportProgress(ctx)
-	other, err := json.Marshal(rollout.Report{Plan: x.rollout.plan.ID, Step: 0, Served: 9})
+	other, err := json.Marshal(rollout.Report{PlanID: x.rollout.plan.ID, Step: 0, Served: 9})
 	must(err)
 	must(r.apply(&store.Command{Txn: &store.Txn{Then: []store.Op{{Key: ReportKey("i"), Value: other}}}}).Err)
 	must(x.AdvanceRollout(ctx, 6, do)) // has not settled
--- a/internal/controlplane/rollout/rollout_test.go
+++ b/internal/controlplane/rollout/rollout_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-func TestSteps(t *testing.T) {
-	steps, err := Parse("1, 10%,50%")
+func TestSelectHostsKeepsHostsOfEarlierSteps(t *testing.T) {
+	steps, err := ParseSteps("1, 10%,50%")
 	if err != nil || fmt.Sprint(steps) != "[1 10% 50% all]" {
 		t.Fatal(steps, err)
 	}
@@ -17,23 +17,23 @@
 	}
 	var before []string
 	for i, want := range []int{1, 4, 20, 40} {
-		got := Selected(steps[i], fleet, 7)
+		got := SelectHosts(steps[i], fleet, 7)
 		if len(got) != want || strings.Join(got[:len(before)], " ") != strings.Join(before, " ") {
 			t.Errorf("step %v: %d daemons: %v", steps[i], len(got), got)
 		}
 		before = got
 	}
 	for _, bad := range []string{"", "0", "x", "110%", "-1%", "1,,2", strings.Repeat("1,", 20) + "2"} {
-		if _, err := Parse(bad); err == nil {
+		if _, err := ParseSteps(bad); err == nil {
 			t.Errorf("%q is taken", bad)
 		}
 	}
 }
 
-func TestJudge(t *testing.T) {
-	p := Plan{ID: 9, State: Running, Settle: 1000, Step: 0, Hosts: []string{"a"}}
+func TestEvaluateComparesServedShares(t *testing.T) {
+	p := Plan{ID: 9, State: Running, SettleMillis: 1000, Step: 0, Hosts: []string{"a"}}
 	fleet := []string{"a", "b", "c"}
-	good, bad := Report{Plan: 9, Served: 100}, Report{Plan: 9, Served: 80, Not: 20}
+	good, bad := Report{PlanID: 9, Served: 100}, Report{PlanID: 9, Served: 80, Unserved: 20}
 	for _, tc := range []struct {
 		name    string
 		forMs   int64
@@ -41,18 +41,18 @@
 		want    Decision
 	}{
 		{"all is well, too soon", 999, map[string]Report{"a": good, "b": good}, Wait},
-		{"all is well", 1000, map[string]Report{"a": good, "b": good}, GoOn},
-		{"worse, at once", 10, map[string]Report{"a": bad, "b": good}, TakeBack},
-		{"as bad as the others", 1000, map[string]Report{"a": bad, "b": bad}, GoOn},
-		{"few requests", 1000, map[string]Report{"a": {Plan: 9, Not: 3}, "b": good}, GoOn},
+		{"all is well", 1000, map[string]Report{"a": good, "b": good}, Advance},
+		{"worse, at once", 10, map[string]Report{"a": bad, "b": good}, RollBack},
+		{"as bad as the others", 1000, map[string]Report{"a": bad, "b": bad}, Advance},
+		{"few requests", 1000, map[string]Report{"a": {PlanID: 9, Unserved: 3}, "b": good}, Advance},
 		{"silent", 2999, map[string]Report{"b": good}, Wait},
-		{"silent for long", 3000, map[string]Report{"b": good}, TakeBack},
-		{"of another plan", 1000, map[string]Report{"a": {Plan: 8, Served: 100}}, Wait},
-		{"of another step", 1000, map[string]Report{"a": {Plan: 9, Step: 1, Served: 100}}, Wait},
-		{"turned down", 0, map[string]Report{"a": {Plan: 9, Error: "settings.x: is bad"}}, TakeBack},
-		{"nobody to compare with, bad", 0, map[string]Report{"a": {Plan: 9, Served: 10, Not: 90}}, TakeBack},
+		{"silent for long", 3000, map[string]Report{"b": good}, RollBack},
+		{"of another plan", 1000, map[string]Report{"a": {PlanID: 8, Served: 100}}, Wait},
+		{"of another step", 1000, map[string]Report{"a": {PlanID: 9, Step: 1, Served: 100}}, Wait},
+		{"turned down", 0, map[string]Report{"a": {PlanID: 9, Error: "settings.x: is bad"}}, RollBack},
+		{"nobody to compare with, bad", 0, map[string]Report{"a": {PlanID: 9, Served: 10, Unserved: 90}}, RollBack},
 	} {
-		if got, why := p.Judge(tc.forMs, fleet, tc.reports); got != tc.want {
+		if got, why := p.Evaluate(tc.forMs, fleet, tc.reports); got != tc.want {
 			t.Errorf("%s: verdict %v, %s", tc.name, got, why)
 		}
 	}
--- a/internal/dataplane/capture/recorder.go
+++ b/internal/dataplane/capture/recorder.go
@@ -116,7 +116,7 @@
 	if r.lost > 0 {
 		b.gap = &Record{Kind: KindGap, At: now, Count: r.lost, Line: r.why}
 	}
-	b.kept = &snapshot.Saved{Sidecar: r.sidecar, Run: r.run, Clock: snapshot.Clock{Wall: now}, State: r.Balancer.Snapshot(now, true)}
+	b.kept = &snapshot.Saved{Sidecar: r.sidecar, RunID: r.run, Clock: snapshot.Clock{WallMicros: now}, State: r.Balancer.Snapshot(now, true)}
 	for i := range b.kept.State.Endpoints {
 		b.kept.Names = append(b.kept.Names, r.name(b.kept.State.Endpoints[i].ID))
 	}
--- a/internal/dataplane/core/loop.go
+++ b/internal/dataplane/core/loop.go
@@ -153,13 +153,13 @@
 	// What operators said before this process began binds before anything is sent. A ban is on an ID, listed or
 	// not; of one that was called back only that it is cold matters, if it is listed.
 	for _, m := range l.marks {
-		if m.Out {
+		if m.Drained {
 			l.setMark(now, m, true)
 		}
 	}
 	l.members(now, balancer.ListCached, l.config.Known)
 	for _, m := range l.marks {
-		if !m.Out {
+		if !m.Drained {
 			l.setMark(now, m, true)
 		}
 	}
--- a/internal/dataplane/core/marks.go
+++ b/internal/dataplane/core/marks.go
@@ -61,7 +61,7 @@
 	switch {
 	case e == nil && !banned && !force && !l.met.has(m.ID):
 		return maintenance.ErrUnknownEndpoint
-	case m.Out && !banned:
+	case m.Drained && !banned:
 		if e != nil {
 			number = e.number
 			e.banned = true
@@ -74,15 +74,15 @@
 			number = l.numbers
 		}
 		l.bans[m.ID] = number
-		l.balancer.DrainEndpoint(now, number, min(now, m.At))
-	case !m.Out && (banned || force && e != nil):
+		l.balancer.DrainEndpoint(now, number, min(now, m.UnixMicros))
+	case !m.Drained && (banned || force && e != nil):
 		delete(l.bans, m.ID)
 		if e != nil {
 			number = e.number
 			e.banned = false
 			l.setState(now, m.ID, e, e.state) // one that drains stays shut: its grace was over long ago
 		}
-		l.balancer.UndrainEndpoint(now, number, min(now, m.At))
+		l.balancer.UndrainEndpoint(now, number, min(now, m.UnixMicros))
 	}
 	l.figures.Unhealthy.Set(int64(l.balancer.ExcludedCount(now)))
 	return nil
--- a/internal/dataplane/core/recall.go
+++ b/internal/dataplane/core/recall.go
@@ -46,7 +46,7 @@
 	}
 	k.State.Endpoints, k.State.Pool = known, pool
 	if abroad {
-		k.Addrs = addrs
+		k.Addresses = addrs
 	}
 	return k
 }
@@ -62,14 +62,14 @@
 	if err := l.call(ctx, func(now balancer.Micros) { k = l.picture(now, abroad) }); err != nil {
 		return nil, err
 	}
-	k.Clock = snapshot.Now()
+	k.Clock = snapshot.ReadClock()
 	return snapshot.Encode(k)
 }
 
 // Recall tells the module what an earlier process knew, by the clocks that both have in common. What is not of this
 // sidecar, or makes no sense, is passed over: a start without it is as good as any.
 func (l *Loop) Recall(ctx context.Context, k *snapshot.Saved, from string) {
-	l.RecallAt(ctx, k, from, snapshot.Now().Since(k.Clock))
+	l.RecallAt(ctx, k, from, snapshot.ReadClock().Since(k.Clock))
 }
 
 // RecallAt does so with a picture of a known age. It returns how many servers it knew.
--- a/internal/dataplane/handover/handover_test.go
+++ b/internal/dataplane/handover/handover_test.go
@@ -40,14 +40,14 @@
 }
 
 func (p *process) State(context.Context) (State, error) {
-	return State{Marks: []maintenance.Override{{ID: "s-1", Out: true, At: 5}}, List: []byte(`{"generation":3}`)}, nil
+	return State{Marks: []maintenance.Override{{ID: "s-1", Drained: true, UnixMicros: 5}}, List: []byte(`{"generation":3}`)}, nil
 }
 
 func (p *process) Merge(_ context.Context, marks ...maintenance.Override) error {
 	if marks[0].ID == "bad" {
 		return maintenance.ErrUnknownEndpoint
 	}
-	p.did <- fmt.Sprint("mark ", marks[0].ID, " ", marks[0].Out)
+	p.did <- fmt.Sprint("mark ", marks[0].ID, " ", marks[0].Drained)
 	return nil
 }
 
@@ -104,7 +104,7 @@
 	}
 	old.expect(t, "beside")
 	fresh.expect(t, "beside")
-	if err := old.tell(t.Context(), maintenance.Override{ID: "s-2", Out: true}); err != nil {
+	if err := old.tell(t.Context(), maintenance.Override{ID: "s-2", Drained: true}); err != nil {
 		t.Error(err)
 	}
 	fresh.expect(t, "mark s-2 true")
--- a/internal/dataplane/maintenance/maintenance.go
+++ b/internal/dataplane/maintenance/maintenance.go
@@ -20,9 +20,9 @@
 // Override is the latest that operators said of one endpoint. One that was called back is kept for a while, since
 // it is cold.
 type Override struct {
-	ID  string `json:"id"`
-	Out bool   `json:"out"`
-	At  int64  `json:"at_us"` // Unix time in microseconds
+	ID         string `json:"id"`
+	Drained    bool   `json:"out"`
+	UnixMicros int64  `json:"at_us"` // Unix time in microseconds
 }
 
 // Store keeps the marks.
@@ -36,34 +36,34 @@
 
 // Registry is the marks of one process.
 type Registry struct {
-	store Store
-	keep  time.Duration // for marks of endpoints that were called back
-	now   func() time.Time
-	log   *slog.Logger
+	store     Store
+	retention time.Duration // for marks of endpoints that were called back
+	now       func() time.Time
+	log       *slog.Logger
 
 	// apply makes a mark bind in this process, and returns once it does. With force it takes an ID that this
 	// process has not heard of yet; else that is ErrUnknown.
 	apply func(ctx context.Context, m Override, force bool) error
 
-	shared FleetOverrides // nil for nothing
+	fleet FleetOverrides // nil for nothing
 
-	turn  chan struct{} // one call at a time
-	mu    sync.Mutex
-	marks map[string]Override
-	tell  map[any]func(context.Context, Override) error // the processes beside this one
+	turn      chan struct{} // one call at a time
+	mu        sync.Mutex
+	overrides map[string]Override
+	peers     map[any]func(context.Context, Override) error // the processes beside this one
 }
 
 // NewRegistry returns a book that holds what the store does. That the store's content is damaged is logged and no
 // reason not to serve.
 func NewRegistry(store Store, keep time.Duration, apply func(context.Context, Override, bool) error, log *slog.Logger) *Registry {
-	b := &Registry{store: store, keep: keep, now: time.Now, log: log, apply: apply, turn: make(chan struct{}, 1),
-		marks: map[string]Override{}, tell: map[any]func(context.Context, Override) error{}}
+	b := &Registry{store: store, retention: keep, now: time.Now, log: log, apply: apply, turn: make(chan struct{}, 1),
+		overrides: map[string]Override{}, peers: map[any]func(context.Context, Override) error{}}
 	marks, err := store.Load()
 	if err != nil {
 		log.Error("the bans kept from before are not readable", "error", err)
 	}
 	for _, m := range marks {
-		b.marks[m.ID] = m
+		b.overrides[m.ID] = m
 	}
 	return b
 }
@@ -72,11 +72,11 @@
 func (b *Registry) Overrides() []Override {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	oldest := b.now().Add(-b.keep).UnixMicro()
+	oldest := b.now().Add(-b.retention).UnixMicro()
 	var marks []Override
-	for id, m := range b.marks {
-		if !m.Out && m.At < oldest {
-			delete(b.marks, id)
+	for id, m := range b.overrides {
+		if !m.Drained && m.UnixMicros < oldest {
+			delete(b.overrides, id)
 			continue
 		}
 		marks = append(marks, m)
@@ -97,37 +97,37 @@
 	RequestReturn(ctx context.Context, id string) (asked bool, err error)
 }
 
-// Share has calls go through what daemons agree on.
-func (b *Registry) Share(s FleetOverrides) {
-	b.shared = s
-	s.Subscribe(b.agree)
+// JoinFleet has calls go through what daemons agree on.
+func (b *Registry) JoinFleet(s FleetOverrides) {
+	b.fleet = s
+	s.Subscribe(b.applyAgreed)
 }
 
-// agree makes bind here what was agreed on. It counts as later than all that was said here: clocks of hosts differ.
-func (b *Registry) agree(ctx context.Context, id string, out bool) error {
+// applyAgreed makes bind here what was agreed on. It counts as later than all that was said here: clocks of hosts differ.
+func (b *Registry) applyAgreed(ctx context.Context, id string, out bool) error {
 	b.mu.Lock()
-	at := max(b.now().UnixMicro(), b.marks[id].At+1)
+	at := max(b.now().UnixMicro(), b.overrides[id].UnixMicros+1)
 	b.mu.Unlock()
-	return b.Merge(ctx, Override{ID: id, Out: out, At: at})
+	return b.Merge(ctx, Override{ID: id, Drained: out, UnixMicros: at})
 }
 
 // Set takes an endpoint out or calls it back, and returns once that binds here and in the processes beside.
 func (b *Registry) Set(ctx context.Context, id string, out bool) error {
-	if b.shared != nil && !out {
-		if asked, err := b.shared.RequestReturn(ctx, id); err != nil || asked {
+	if b.fleet != nil && !out {
+		if asked, err := b.fleet.RequestReturn(ctx, id); err != nil || asked {
 			return err
 		}
 	}
-	m := Override{ID: id, Out: out, At: b.now().UnixMicro()}
-	if err := b.put(ctx, m, false); err != nil {
+	m := Override{ID: id, Drained: out, UnixMicros: b.now().UnixMicro()}
+	if err := b.update(ctx, m, false); err != nil {
 		return err
 	}
-	if b.shared != nil && out {
-		b.shared.ReportDrain(id)
+	if b.fleet != nil && out {
+		b.fleet.ReportDrain(id)
 	}
 	b.mu.Lock()
-	tell := make([]func(context.Context, Override) error, 0, len(b.tell))
-	for _, t := range b.tell {
+	tell := make([]func(context.Context, Override) error, 0, len(b.peers))
+	for _, t := range b.peers {
 		tell = append(tell, t)
 	}
 	b.mu.Unlock()
@@ -144,20 +144,20 @@
 func (b *Registry) Merge(ctx context.Context, marks ...Override) error {
 	for _, m := range marks {
 		b.mu.Lock()
-		old, have := b.marks[m.ID]
+		old, have := b.overrides[m.ID]
 		b.mu.Unlock()
-		if have && old.At >= m.At {
+		if have && old.UnixMicros >= m.UnixMicros {
 			continue
 		}
-		if err := b.put(ctx, m, true); err != nil {
+		if err := b.update(ctx, m, true); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// put makes a mark bind in this process and keeps it.
-func (b *Registry) put(ctx context.Context, m Override, force bool) error {
+// update makes a mark bind in this process and keeps it.
+func (b *Registry) update(ctx context.Context, m Override, force bool) error {
 	select {
 	case b.turn <- struct{}{}:
 		defer func() { <-b.turn }()
@@ -165,10 +165,10 @@
 		return ctx.Err()
 	}
 	b.mu.Lock()
-	old, have := b.marks[m.ID]
+	old, have := b.overrides[m.ID]
 	b.mu.Unlock()
 	// A repeat changes nothing: an endpoint does not get colder by being called back twice.
-	repeat := have && old.Out == m.Out || !have && !m.Out && !force
+	repeat := have && old.Drained == m.Drained || !have && !m.Drained && !force
 	if !repeat || !have {
 		if err := b.apply(ctx, m, force); err != nil {
 			return fmt.Errorf("%s: %w", m.ID, err)
@@ -178,37 +178,37 @@
 		return nil
 	}
 	b.mu.Lock()
-	b.marks[m.ID] = m
+	b.overrides[m.ID] = m
 	b.mu.Unlock()
 	if err := b.store.Save(b.Overrides()); err != nil {
-		b.log.Error("a call binds but is not kept", "id", m.ID, "out", m.Out, "error", err)
+		b.log.Error("a call binds but is not kept", "id", m.ID, "out", m.Drained, "error", err)
 	}
 	return nil
 }
 
-// Beside adds a process that is to be told of each call from now on, until the returned function is called.
-func (b *Registry) Beside(tell func(context.Context, Override) error) (leave func()) {
+// AddPeer adds a process that is to be told of each call from now on, until the returned function is called.
+func (b *Registry) AddPeer(tell func(context.Context, Override) error) (leave func()) {
 	key := new(byte)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tell[key] = tell
+	b.peers[key] = tell
 	return func() {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		delete(b.tell, key)
+		delete(b.peers, key)
 	}
 }
 
 // File is a Store in one file, replaced as a whole.
 type File struct{ Path string }
 
-// file is the form of the file.
-type file struct {
-	Version int        `json:"version"`
-	Marks   []Override `json:"marks"`
+// fileContent is the form of the file.
+type fileContent struct {
+	Version   int        `json:"version"`
+	Overrides []Override `json:"marks"`
 }
 
-const version = 1
+const fileVersion = 1
 
 // Load reads the file; that there is none is no error.
 func (f File) Load() ([]Override, error) {
@@ -219,19 +219,19 @@
 	if err != nil {
 		return nil, fmt.Errorf("load bans: %w", err)
 	}
-	var content file
+	var content fileContent
 	if err := json.Unmarshal(text, &content); err != nil {
 		return nil, fmt.Errorf("load bans: %s: %w", f.Path, err)
 	}
-	if content.Version != version {
+	if content.Version != fileVersion {
 		return nil, fmt.Errorf("load bans: %s: version %d is not known", f.Path, content.Version)
 	}
-	return content.Marks, nil
+	return content.Overrides, nil
 }
 
 // Save replaces the file. A reader, or a crash, finds the old content or the new.
 func (f File) Save(marks []Override) error {
-	text, err := json.Marshal(file{version, marks})
+	text, err := json.Marshal(fileContent{fileVersion, marks})
 	if err != nil {
 		return fmt.Errorf("save bans: %w", err)
 	}
--- a/internal/dataplane/maintenance/maintenance_test.go
+++ b/internal/dataplane/maintenance/maintenance_test.go
@@ -23,7 +23,7 @@
 	if m.ID == "nobody" && !force {
 		return ErrUnknownEndpoint
 	}
-	s.applied = append(s.applied, fmt.Sprint(m.ID, " ", m.Out))
+	s.applied = append(s.applied, fmt.Sprint(m.ID, " ", m.Drained))
 	return nil
 }
 
@@ -35,7 +35,7 @@
 }
 
 // Two calls out need one call back; a call back for what is in service is harmless; unknown IDs get an error.
-func TestRepeats(t *testing.T) {
+func TestSetIgnoresRepeats(t *testing.T) {
 	s := &sidecar{}
 	f := File{filepath.Join(t.TempDir(), "bans.json")}
 	b := NewRegistry(f, time.Minute, s.apply, quiet)
@@ -56,7 +56,7 @@
 }
 
 // A new process finds what the old one was told, and no more of a call back once the endpoint is warm.
-func TestKept(t *testing.T) {
+func TestOverridesSurviveRestartUntilRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := File{filepath.Join(t.TempDir(), "bans.json")}
 		b := NewRegistry(f, time.Minute, (&sidecar{}).apply, quiet)
@@ -65,7 +65,7 @@
 		}
 		b.Set(t.Context(), "s-2", false)
 		got := NewRegistry(f, time.Minute, (&sidecar{}).apply, quiet).Overrides()
-		if len(got) != 2 || got[0].ID != "s-1" || !got[0].Out || got[1].ID != "s-2" || got[1].Out || got[1].At == 0 {
+		if len(got) != 2 || got[0].ID != "s-1" || !got[0].Drained || got[1].ID != "s-2" || got[1].Drained || got[1].UnixMicros == 0 {
 			t.Errorf("kept %+v", got)
 		}
 		time.Sleep(2 * time.Minute)
@@ -76,7 +76,7 @@
 }
 
 // A damaged file is reported and does not keep the process from serving; the next call replaces it.
-func TestDamagedFile(t *testing.T) {
+func TestNewRegistryReportsDamagedFile(t *testing.T) {
 	for _, text := range []string{"", "{", `{"version":2}`, `{"version":1,"marks":[{"id":3}]}`, "\x00\xff"} {
 		path := filepath.Join(t.TempDir(), "bans.json")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -97,7 +97,7 @@
 }
 
 // What cannot be kept still binds, and nothing is left lying about.
-func TestSaveFails(t *testing.T) {
+func TestSetAppliesWhenSaveFails(t *testing.T) {
 	s := &sidecar{}
 	dir := t.TempDir()
 	b := NewRegistry(File{filepath.Join(dir, "no", "bans.json")}, time.Minute, s.apply, quiet)
@@ -112,19 +112,19 @@
 
 // Processes beside this one are told and obey, also what they have not heard of; a later mark goes before an
 // earlier one, whichever comes first; one that is hung is no reason to fail.
-func TestBeside(t *testing.T) {
+func TestSetNotifiesPeers(t *testing.T) {
 	one, two := &sidecar{}, &sidecar{}
 	dir := t.TempDir()
 	a := NewRegistry(File{filepath.Join(dir, "a")}, time.Minute, one.apply, quiet)
 	b := NewRegistry(File{filepath.Join(dir, "b")}, time.Minute, two.apply, quiet)
-	leave := a.Beside(func(ctx context.Context, m Override) error { return b.Merge(ctx, m) })
-	a.Beside(func(context.Context, Override) error { return errors.New("hung") })
+	leave := a.AddPeer(func(ctx context.Context, m Override) error { return b.Merge(ctx, m) })
+	a.AddPeer(func(context.Context, Override) error { return errors.New("hung") })
 	if err := a.Set(t.Context(), "s-1", true); err != nil {
 		t.Error(err)
 	}
 	two.expect(t, "s-1 true")
 	late := a.Overrides()[0]
-	if err := b.Merge(t.Context(), Override{ID: "s-1", Out: false, At: late.At - 1}, Override{ID: "nobody", Out: true, At: 1}); err != nil {
+	if err := b.Merge(t.Context(), Override{ID: "s-1", Drained: false, UnixMicros: late.UnixMicros - 1}, Override{ID: "nobody", Drained: true, UnixMicros: 1}); err != nil {
 		t.Error(err)
 	}
 	two.expect(t, "s-1 true", "nobody true")
@@ -136,7 +136,7 @@
 }
 
 // A call behind one that does not come back ends with its own time.
-func TestTurn(t *testing.T) {
+func TestSetBehindHungCallTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := NewRegistry(Discard{}, time.Minute, func(ctx context.Context, _ Override, _ bool) error {
 			<-ctx.Done()
--- a/internal/dataplane/maintenance/stored_test.go
+++ b/internal/dataplane/maintenance/stored_test.go
@@ -11,8 +11,8 @@
 func TestFileKeepsStoredForm(t *testing.T) {
 	stored := filepath.Join("testdata", "bans.json")
 	want := []Override{
-		{ID: "s-1", Out: true, At: 1700000000000001},
-		{ID: "10.0.0.2:80", Out: false, At: 1700000000000002},
+		{ID: "s-1", Drained: true, UnixMicros: 1700000000000001},
+		{ID: "10.0.0.2:80", Drained: false, UnixMicros: 1700000000000002},
 	}
 	if got, err := (File{stored}).Load(); err != nil || !slices.Equal(got, want) {
 		t.Errorf("decoded %+v, %v, want %+v", got, err, want)
--- a/internal/dataplane/replay/replay.go
+++ b/internal/dataplane/replay/replay.go
@@ -239,7 +239,7 @@
 		p.r.Faults = append(p.r.Faults, fmt.Sprintf("the snapshot at %d is not readable: %v", x.At, err))
 		return nil
 	}
-	if p.b != nil && p.whole && x.Flag && k.Run == p.run && p.o.Settings == nil {
+	if p.b != nil && p.whole && x.Flag && k.RunID == p.run && p.o.Settings == nil {
 		mine, err := snapshot.Marshal(p.b.Snapshot(x.At, true))
 		if err != nil {
 			return err
@@ -259,7 +259,7 @@
 		p.r.Faults = append(p.r.Faults, fmt.Sprintf("at %d: %v", x.At, err))
 		return nil
 	}
-	p.b, p.whole, p.run = b, true, k.Run
+	p.b, p.whole, p.run = b, true, k.RunID
 	p.r.Segments++
 	clear(p.names)
 	for i, e := range k.State.Endpoints {
--- a/internal/dataplane/sidecar/lane.go
+++ b/internal/dataplane/sidecar/lane.go
@@ -140,7 +140,7 @@
 	if unknown == len(ls) {
 		return maintenance.ErrUnknownEndpoint
 	}
-	if unknown > 0 && m.Out {
+	if unknown > 0 && m.Drained {
 		for _, n := range ls { // those that have it change nothing
 			if err := n.loop.Mark(ctx, m, true); err != nil {
 				return err
--- a/internal/dataplane/sidecar/sidecar.go
+++ b/internal/dataplane/sidecar/sidecar.go
@@ -141,7 +141,7 @@
 		l.loop.Marked(n.book.Overrides())
 	}
 	if h.Shared != nil {
-		n.book.Share(h.Shared)
+		n.book.JoinFleet(h.Shared)
 	}
 	if h.Fleet != nil {
 		for _, l := range n.lanes {
@@ -403,13 +403,13 @@
 	} else if was != nil && was.Sidecar != n.config.Name {
 		n.log.Warn("snapshot of another sidecar passed over", "from", l.kept.Path, "its name", was.Sidecar)
 	} else if was != nil {
-		all = append(all, recovery.Candidate{From: l.kept.Path, Kept: was, Own: true, Age: snapshot.Now().Since(was.Clock), Sure: true})
+		all = append(all, recovery.Candidate{Source: l.kept.Path, Snapshot: was, Own: true, Age: snapshot.ReadClock().Since(was.Clock), SameClock: true})
 	}
 	if n.host.Fleet != nil {
 		all = append(all, n.host.Fleet.RestoreCandidates(n.config.Name, l.name)...)
 	}
-	if c := recovery.Choose(n.config.Name, all); c.Kept != nil {
-		known := l.loop.RecallAt(ctx, c.Kept, c.From, c.Age)
+	if c := recovery.Choose(n.config.Name, all); c.Snapshot != nil {
+		known := l.loop.RecallAt(ctx, c.Snapshot, c.Source, c.Age)
 		if n.host.Fleet != nil {
 			n.host.Fleet.RecordRestore(l.name, c, known)
 		}
@@ -457,7 +457,7 @@
 
 // Beside begins a time in which another process serves beside this one.
 func (n *node) Beside(other handover.Peer) (leave func()) {
-	forget := n.book.Beside(other.Mark)
+	forget := n.book.AddPeer(other.Mark)
 	var leaves []func()
 	for _, l := range n.lanes {
 		leaves = append(leaves, l.loop.Beside(other.Eject))
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -484,7 +484,7 @@
 	}
 	micros := func(most int64) balancer.Micros { return h.rng.Int64N(most) }
 	meter := func() balancer.RateState { return balancer.RateState{Sum: 100 * h.rng.Float64(), Age: micros(1e6)} }
-	k := &snapshot.Saved{Sidecar: h.name, Clock: snapshot.Now(), State: &balancer.Snapshot{At: micros(1e9), Random: h.rng.Uint64(), Listed: true, Subscribed: true,
+	k := &snapshot.Saved{Sidecar: h.name, Clock: snapshot.ReadClock(), State: &balancer.Snapshot{At: micros(1e9), Random: h.rng.Uint64(), Listed: true, Subscribed: true,
 		Capacity: h.rng.Float64(), WarmEndpoints: h.rng.Float64(), RetryBudget: h.rng.Float64(), ReportTime: h.rng.Float64(), FleetPace: mean(2000), MeanWork: mean(1000), RejectionRate: mean(0.01),
 		LateReports: mean(500), TypicalLoad: mean(2000), ServiceTime: mean(1), Demand: meter(), SentWork: meter(), ApertureSeed: h.rng.Uint64(),
 		Classes: []balancer.ClassState{{Name: "look", InUse: true, PriorityWeight: 1, Work: mean(1000), Demand: meter(), OnTime: mean(1)}}}}
@@ -494,7 +494,7 @@
 		e := balancer.EndpointState{ID: n, Cell: in.Cell, Weight: 1, StartTime: in.StartedMs * 1000, HasLoad: true, SlowStartBudget: h.rng.Float64(), BudgetRefilled: micros(1e6),
 			LastSend: micros(1e6), SilentSince: micros(1e6), ProbeRound: n, LastProbe: micros(1e6), LastReport: micros(1e6), OthersLoad: h.rng.Float64(), RTT: mean(800), Pace: mean(1),
 			PaceLearned: micros(1e6), Head: micros(1e6), Base: 1000 * h.rng.Float64(), Current: 1000 * h.rng.Float64(), LastForced: micros(1e6)}
-		k.Names, k.Addrs, k.State.Endpoints = append(k.Names, in.ID), append(k.Addrs, in.Addr), append(k.State.Endpoints, e)
+		k.Names, k.Addresses, k.State.Endpoints = append(k.Names, in.ID), append(k.Addresses, in.Addr), append(k.State.Endpoints, e)
 	}
 	return snapshot.Encode(k)
 }
--- a/internal/platform/recovery/recovery.go
+++ b/internal/platform/recovery/recovery.go
@@ -17,11 +17,11 @@
 
 // Candidate is a picture that a start may believe.
 type Candidate struct {
-	From string // for the log
-	Kept *snapshot.Saved
-	Own  bool            // of this sidecar
-	Age  balancer.Micros // how old it is
-	Sure bool            // by one clock; else by clocks of two hosts, which may be hours apart
+	Source    string // for the log
+	Snapshot  *snapshot.Saved
+	Own       bool            // of this sidecar
+	Age       balancer.Micros // how old it is
+	SameClock bool            // by one clock; else by clocks of two hosts, which may be hours apart
 }
 
 // MaxAge is the age from which on a picture is not believed: the module's own bound.
@@ -29,10 +29,10 @@
 
 // Choice is what a start believes.
 type Choice struct {
-	From string
-	Kept *snapshot.Saved // of the sidecar that starts, by name; nil: nothing
-	Age  balancer.Micros
-	Of   int // pictures that it was made of
+	Source   string
+	Snapshot *snapshot.Saved // of the sidecar that starts, by name; nil: nothing
+	Age      balancer.Micros
+	Sources  int // pictures that it was made of
 }
 
 // Choose returns what a sidecar believes at its start. Candidates whose age is not sure count only if they are its own: two
@@ -41,23 +41,23 @@
 	var own, others []Candidate
 	for _, c := range all {
 		switch {
-		case c.Kept == nil || c.Kept.State == nil || c.Age < 0 || c.Age > MaxAge:
+		case c.Snapshot == nil || c.Snapshot.State == nil || c.Age < 0 || c.Age > MaxAge:
 		case c.Own:
 			own = append(own, c)
-		case c.Sure:
+		case c.SameClock:
 			others = append(others, c)
 		}
 	}
 	newest := func(list []Candidate) Candidate {
-		return slices.MinFunc(list, func(a, b Candidate) int { return cmp.Or(cmp.Compare(a.Age, b.Age), cmp.Compare(a.From, b.From)) })
+		return slices.MinFunc(list, func(a, b Candidate) int { return cmp.Or(cmp.Compare(a.Age, b.Age), cmp.Compare(a.Source, b.Source)) })
 	}
 	switch {
 	case len(own) > 0:
 		c := newest(own)
-		return Choice{c.From, c.Kept, c.Age, 1}
+		return Choice{c.Source, c.Snapshot, c.Age, 1}
 	case len(others) > 0:
-		slices.SortStableFunc(others, func(a, b Candidate) int { return cmp.Or(cmp.Compare(a.Age, b.Age), cmp.Compare(a.From, b.From)) })
-		return Choice{others[0].From, merge(sidecar, others), others[0].Age, len(others)}
+		slices.SortStableFunc(others, func(a, b Candidate) int { return cmp.Or(cmp.Compare(a.Age, b.Age), cmp.Compare(a.Source, b.Source)) })
+		return Choice{others[0].Source, merge(sidecar, others), others[0].Age, len(others)}
 	}
 	return Choice{}
 }
@@ -69,14 +69,14 @@
 		name, addr string
 		start      balancer.Micros
 	}
-	out := foreign(all[0].Kept)
+	out := withoutLocalState(all[0].Snapshot)
 	out.Sidecar = sidecar
 	at := map[server]int{}
 	names := map[string]bool{}
 	key := func(k *snapshot.Saved, i int) server {
 		s := server{name: k.Names[i], start: k.State.Endpoints[i].StartTime}
-		if i < len(k.Addrs) {
-			s.addr = k.Addrs[i]
+		if i < len(k.Addresses) {
+			s.addr = k.Addresses[i]
 		}
 		return s
 	}
@@ -86,18 +86,18 @@
 	for _, c := range all[1:] {
 		// As of the newest's instant, by which the ages of all are told.
 		older := c.Age - all[0].Age
-		next := foreign(c.Kept)
+		next := withoutLocalState(c.Snapshot)
 		for i := range next.State.Endpoints {
 			e, k := next.State.Endpoints[i], key(next, i)
 			e.SlowStart, e.PaceLearned = e.SlowStart+older, e.PaceLearned+older
 			have, met := at[k]
 			if !met {
-				if names[k.name] || len(out.Names) >= serversMost {
+				if names[k.name] || len(out.Names) >= maxServers {
 					continue // the newer picture knows another process under that name
 				}
 				e.ID = uint32(len(out.Names))
 				at[k], names[k.name] = len(out.Names), true
-				out.Names, out.Addrs = append(out.Names, k.name), append(out.Addrs, k.addr)
+				out.Names, out.Addresses = append(out.Names, k.name), append(out.Addresses, k.addr)
 				out.State.Endpoints = append(out.State.Endpoints, e)
 				continue
 			}
@@ -113,15 +113,15 @@
 	return out
 }
 
-const serversMost = 4096 // as a picture may name
+const maxServers = 4096 // as a picture may name
 
-// foreign is what of a picture another sidecar may believe: what is the servers' and the requests', not what is the
+// withoutLocalState is what of a picture another sidecar may believe: what is the servers' and the requests', not what is the
 // teller's own.
-func foreign(k *snapshot.Saved) *snapshot.Saved {
+func withoutLocalState(k *snapshot.Saved) *snapshot.Saved {
 	s := *k.State
 	s.Random, s.ApertureSeed, s.Aperture, s.Pool, s.Drains, s.Undrained = 0, 0, nil, nil, nil, nil
 	s.Demand, s.SentWork, s.RejectionRate = balancer.RateState{}, balancer.RateState{}, balancer.MeanState{}
-	s.LatencyTrend, s.RetryBudget = 1, creditFull
+	s.LatencyTrend, s.RetryBudget = 1, initialRetryCredit
 	s.Classes = slices.Clone(s.Classes)
 	for i := range s.Classes {
 		s.Classes[i].Demand, s.Classes[i].Open = balancer.RateState{}, 0
@@ -136,7 +136,7 @@
 		*e = balancer.EndpointState{ID: uint32(i), Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, State: e.State, Weight: e.Weight,
 			StartTime: e.StartTime, WarmingUp: e.WarmingUp, SlowStart: e.SlowStart, Pace: e.Pace, PaceLearned: e.PaceLearned}
 	}
-	return &snapshot.Saved{Sidecar: k.Sidecar, Clock: k.Clock, State: &s, Names: slices.Clone(k.Names), Addrs: slices.Clone(k.Addrs)}
+	return &snapshot.Saved{Sidecar: k.Sidecar, Clock: k.Clock, State: &s, Names: slices.Clone(k.Names), Addresses: slices.Clone(k.Addresses)}
 }
 
-const creditFull = 1e6 // the module takes of it what a start has
+const initialRetryCredit = 1e6 // the module takes of it what a start has
--- a/internal/platform/snapshot/snapshot.go
+++ b/internal/platform/snapshot/codec.go
@@ -26,21 +26,21 @@
 const Version = 1
 
 const (
-	magic    = "BMsn"
-	headSize = 16      // magic, version, length, checksum of what follows the checksum's place
-	most     = 8 << 20 // bytes of a body; 1,000 servers take well under one MiB
-	namesMax = 4096    // endpoints
-	nameMost = 1024    // bytes of a name
+	magic        = "BMsn"
+	headSize     = 16      // magic, version, length, checksum of what follows the checksum's place
+	maxBodyBytes = 8 << 20 // bytes of a body; 1,000 servers take well under one MiB
+	maxNames     = 4096    // endpoints
+	maxNameBytes = 1024    // bytes of a name
 )
 
 // Saved is what is carried: the module's state, and the names that its numbers stand for.
 type Saved struct {
-	Sidecar string             `cbor:"1,keyasint"` // whose it is
-	Clock   Clock              `cbor:"2,keyasint"` // when it was taken
-	State   *balancer.Snapshot `cbor:"3,keyasint"`
-	Names   []string           `cbor:"4,keyasint"`           // of State.Endpoints, in their order
-	Run     uint64             `cbor:"5,keyasint,omitempty"` // of a capture: names the process
-	Addrs   []string           `cbor:"6,keyasint,omitempty"` // of State.Endpoints, where another host is to read it; no file has them
+	Sidecar   string             `cbor:"1,keyasint"` // whose it is
+	Clock     Clock              `cbor:"2,keyasint"` // when it was taken
+	State     *balancer.Snapshot `cbor:"3,keyasint"`
+	Names     []string           `cbor:"4,keyasint"`           // of State.Endpoints, in their order
+	RunID     uint64             `cbor:"5,keyasint,omitempty"` // of a capture: names the process
+	Addresses []string           `cbor:"6,keyasint,omitempty"` // of State.Endpoints, where another host is to read it; no file has them
 }
 
 // Error says what is wrong with a snapshot.
@@ -67,7 +67,7 @@
 	decoder = must(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden,
 		TagsMd: cbor.TagsForbidden, ExtraReturnErrors: cbor.ExtraDecErrorUnknownField, MaxNestedLevels: 16,
 		MaxArrayElements: 1 << 20, MaxMapPairs: 4096}.DecMode())
-	table = crc32.MakeTable(crc32.Castagnoli)
+	castagnoli = crc32.MakeTable(crc32.Castagnoli)
 )
 
 func must[T any](v T, err error) T {
@@ -87,7 +87,7 @@
 func Checksum(parts ...[]byte) uint32 {
 	sum := uint32(0)
 	for _, p := range parts {
-		sum = crc32.Update(sum, table, p)
+		sum = crc32.Update(sum, castagnoli, p)
 	}
 	return sum
 }
@@ -98,8 +98,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	if len(body) > most {
-		return nil, &Error{0, fmt.Sprintf("%d bytes are over %d", len(body), most), nil}
+	if len(body) > maxBodyBytes {
+		return nil, &Error{0, fmt.Sprintf("%d bytes are over %d", len(body), maxBodyBytes), nil}
 	}
 	out := make([]byte, headSize, headSize+len(body))
 	copy(out, magic)
@@ -124,7 +124,7 @@
 	}
 	body := data[headSize:]
 	switch {
-	case version == 0 || length > most:
+	case version == 0 || length > maxBodyBytes:
 		return bad(4, "damaged: the head makes no sense", nil)
 	case len(body) < int(length):
 		return bad(len(data), fmt.Sprintf("cut: the body takes %d bytes", length), nil)
@@ -147,21 +147,21 @@
 	if k.State == nil {
 		return errors.New("no state")
 	}
-	if len(k.Names) != len(k.State.Endpoints) || len(k.Names) > namesMax {
+	if len(k.Names) != len(k.State.Endpoints) || len(k.Names) > maxNames {
 		return fmt.Errorf("%d names for %d endpoints", len(k.Names), len(k.State.Endpoints))
 	}
 	met := make(map[string]bool, len(k.Names))
 	for _, name := range k.Names {
-		if name == "" || len(name) > nameMost || met[name] {
+		if name == "" || len(name) > maxNameBytes || met[name] {
 			return fmt.Errorf("the name %.40q is empty, too long, or there twice", name)
 		}
 		met[name] = true
 	}
-	if len(k.Addrs) > 0 && len(k.Addrs) != len(k.Names) {
-		return fmt.Errorf("%d addresses for %d endpoints", len(k.Addrs), len(k.Names))
+	if len(k.Addresses) > 0 && len(k.Addresses) != len(k.Names) {
+		return fmt.Errorf("%d addresses for %d endpoints", len(k.Addresses), len(k.Names))
 	}
-	for _, addr := range k.Addrs {
-		if len(addr) > nameMost {
+	for _, addr := range k.Addresses {
+		if len(addr) > maxNameBytes {
 			return fmt.Errorf("the address %.40q is too long", addr)
 		}
 	}
@@ -173,8 +173,8 @@
 func (k *Saved) Renumber(number func(name, addr string) (uint32, bool)) {
 	for i, name := range k.Names {
 		addr := ""
-		if i < len(k.Addrs) {
-			addr = k.Addrs[i]
+		if i < len(k.Addresses) {
+			addr = k.Addresses[i]
 		}
 		n, known := number(name, addr)
 		if !known {
@@ -187,14 +187,14 @@
 
 // Clock is an instant by the clocks that two processes of a machine have in common.
 type Clock struct {
-	Wall int64  `cbor:"1,keyasint"`           // microseconds of Unix time: it may be set
-	Boot string `cbor:"2,keyasint,omitempty"` // names the machine's start; empty if not known
-	Up   int64  `cbor:"3,keyasint,omitempty"` // microseconds since that: it only goes forward
+	WallMicros   int64  `cbor:"1,keyasint"`           // microseconds of Unix time: it may be set
+	BootID       string `cbor:"2,keyasint,omitempty"` // names the machine's start; empty if not known
+	UptimeMicros int64  `cbor:"3,keyasint,omitempty"` // microseconds since that: it only goes forward
 }
 
-// Now reads the clocks.
-func Now() Clock {
-	c := Clock{Wall: time.Now().UnixMicro()}
+// ReadClock reads the clocks.
+func ReadClock() Clock {
+	c := Clock{WallMicros: time.Now().UnixMicro()}
 	id, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	up, err2 := os.ReadFile("/proc/uptime")
 	if err != nil || err2 != nil {
@@ -202,22 +202,22 @@
 	}
 	first, _, _ := strings.Cut(string(up), " ")
 	if s, err := strconv.ParseFloat(first, 64); err == nil {
-		c.Boot, c.Up = strings.TrimSpace(string(id)), int64(s*1e6)
+		c.BootID, c.UptimeMicros = strings.TrimSpace(string(id)), int64(s*1e6)
 	}
 	return c
 }
 
-// upGrain is how coarsely the time since the machine's start is told.
-const upGrain = 10_000
+// uptimeGrainMicros is how coarsely the time since the machine's start is told.
+const uptimeGrainMicros = 10_000
 
 // Since is the time from then to c, in microseconds. Within one start of the machine a wall clock that was set in
 // between does not matter; else it is believed, and the result is negative if it was set back.
 func (c Clock) Since(then Clock) int64 {
-	if c.Boot == "" || c.Boot != then.Boot {
-		return c.Wall - then.Wall
+	if c.BootID == "" || c.BootID != then.BootID {
+		return c.WallMicros - then.WallMicros
 	}
-	up := c.Up - then.Up
-	if wall := c.Wall - then.Wall; wall >= up-upGrain && wall <= up+upGrain {
+	up := c.UptimeMicros - then.UptimeMicros
+	if wall := c.WallMicros - then.WallMicros; wall >= up-uptimeGrainMicros && wall <= up+uptimeGrainMicros {
 		return max(0, wall) // the finer of two that agree
 	}
 	return up
--- a/internal/platform/snapshot/file.go
+++ b/internal/platform/snapshot/file.go
@@ -49,7 +49,7 @@
 			os.Remove(path)
 		}
 	}
-	data, err := io.ReadAll(io.LimitReader(in, headSize+most+1))
+	data, err := io.ReadAll(io.LimitReader(in, headSize+maxBodyBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
--- a/internal/platform/snapshot/snapshot_test.go
+++ b/internal/platform/snapshot/snapshot_test.go
@@ -15,8 +15,8 @@
 	"birchmoor/balancer"
 )
 
-// known returns what a sidecar with n endpoints knows, with requests under way.
-func known(t testing.TB, n int) *Saved {
+// newSaved returns what a sidecar with n endpoints knows, with requests under way.
+func newSaved(t testing.TB, n int) *Saved {
 	t.Helper()
 	b, err := balancer.New(balancer.Settings{Balancers: 2, Classes: []balancer.Class{
 		{Name: "look", LatencyObjective: 400_000, Timeout: 1_000_000, PriorityWeight: 1}}, Fields: []balancer.Field{balancer.FieldInflight},
@@ -28,7 +28,7 @@
 	now := balancer.Micros(1_700_000_000_000_000)
 	b.Start(now)
 	list := make([]balancer.Endpoint, n)
-	k := &Saved{Sidecar: "n3", Clock: Clock{Wall: now, Boot: "b", Up: 77}}
+	k := &Saved{Sidecar: "n3", Clock: Clock{WallMicros: now, BootID: "b", UptimeMicros: 77}}
 	for i := range list {
 		list[i] = balancer.Endpoint{ID: uint32(i + 1), Weight: 1}
 		k.Names = append(k.Names, fmt.Sprint("s-", i))
@@ -58,8 +58,8 @@
 	return data
 }
 
-func TestEncodingIsExact(t *testing.T) {
-	k := known(t, 6)
+func TestDecodeReturnsWhatEncodeWrote(t *testing.T) {
+	k := newSaved(t, 6)
 	data := encoded(t, k)
 	back, err := Decode(data)
 	if err != nil {
@@ -77,8 +77,8 @@
 }
 
 // Every cut and every flipped bit is found.
-func TestDamageIsFound(t *testing.T) {
-	data := encoded(t, known(t, 2))
+func TestDecodeRejectsCutsAndFlippedBits(t *testing.T) {
+	data := encoded(t, newSaved(t, 2))
 	for n := range data {
 		if _, err := Decode(data[:n]); err == nil || !strings.Contains(err.Error(), "cut") {
 			t.Fatalf("cut at %d: %v", n, err)
@@ -96,8 +96,8 @@
 	}
 }
 
-// sealed gives a body a head that holds.
-func sealed(version uint32, body []byte) []byte {
+// encodeBody gives a body a head that holds.
+func encodeBody(version uint32, body []byte) []byte {
 	out := append([]byte(magic), make([]byte, 12)...)
 	binary.BigEndian.PutUint32(out[4:], version)
 	binary.BigEndian.PutUint32(out[8:], uint32(len(body)))
@@ -105,9 +105,9 @@
 	return append(out, body...)
 }
 
-func TestDecodeNamesWhatIsWrong(t *testing.T) {
-	whole := encoded(t, known(t, 2))
-	twice := known(t, 2)
+func TestDecodeErrorNamesOffsetAndReason(t *testing.T) {
+	whole := encoded(t, newSaved(t, 2))
+	twice := newSaved(t, 2)
 	twice.Names[1] = twice.Names[0]
 	for _, c := range []struct {
 		data []byte
@@ -115,12 +115,12 @@
 	}{
 		{nil, "byte 0: cut"},
 		{[]byte("{\"bans\": [\"s-1\"]}\n"), "byte 0: foreign"},
-		{sealed(Version+1, whole[headSize:]), "byte 4: newer: of version 2"},
-		{sealed(0, nil), "byte 4: damaged"},
-		{sealed(Version, []byte{0xa1, 0x18, 99, 0}), "not readable"},      // a key that is not known
-		{sealed(Version, []byte{0xa2, 1, 0x60, 1, 0x60}), "not readable"}, // a key twice
-		{sealed(Version, []byte{0xbf, 0xff}), "not readable"},             // of open length
-		{sealed(Version, []byte{0xa0}), "no state"},
+		{encodeBody(Version+1, whole[headSize:]), "byte 4: newer: of version 2"},
+		{encodeBody(0, nil), "byte 4: damaged"},
+		{encodeBody(Version, []byte{0xa1, 0x18, 99, 0}), "not readable"},      // a key that is not known
+		{encodeBody(Version, []byte{0xa2, 1, 0x60, 1, 0x60}), "not readable"}, // a key twice
+		{encodeBody(Version, []byte{0xbf, 0xff}), "not readable"},             // of open length
+		{encodeBody(Version, []byte{0xa0}), "no state"},
 		{encoded(t, twice), "there twice"},
 	} {
 		_, err := Decode(c.data)
@@ -131,8 +131,8 @@
 	}
 }
 
-func TestRenumberKeepsForeignNamesApart(t *testing.T) {
-	k := known(t, 3)
+func TestRenumberGivesUnknownNamesUnusedNumbers(t *testing.T) {
+	k := newSaved(t, 3)
 	k.Renumber(func(name, _ string) (uint32, bool) { return 1, name == "s-2" })
 	if s := k.State.Endpoints; s[2].ID != 1 || s[0].ID == s[1].ID || s[0].ID < 1<<31 {
 		t.Errorf("numbers %d %d %d", s[0].ID, s[1].ID, s[2].ID)
@@ -142,35 +142,35 @@
 	}
 }
 
-func TestSinceDoesNotFollowAClockThatWasSet(t *testing.T) {
-	then := Clock{Wall: 1_000_000_000, Boot: "x", Up: 50_000_000}
+func TestSinceIgnoresChangesOfWallClock(t *testing.T) {
+	then := Clock{WallMicros: 1_000_000_000, BootID: "x", UptimeMicros: 50_000_000}
 	for _, c := range []struct {
 		now  Clock
 		want int64
 	}{
-		{Clock{Wall: 1_000_003_210, Boot: "x", Up: 50_000_000}, 3_210},              // finer than the grain
-		{Clock{Wall: 1_000_000_000 + 3600e6, Boot: "x", Up: 52_000_000}, 2_000_000}, // set forward
-		{Clock{Wall: 0, Boot: "x", Up: 52_000_000}, 2_000_000},                      // set back
-		{Clock{Wall: 1_000_500_000, Boot: "y", Up: 1}, 500_000},                     // the machine started again
-		{Clock{Wall: 0}, -1_000_000_000},                                            // nothing else to go by
+		{Clock{WallMicros: 1_000_003_210, BootID: "x", UptimeMicros: 50_000_000}, 3_210},              // finer than the grain
+		{Clock{WallMicros: 1_000_000_000 + 3600e6, BootID: "x", UptimeMicros: 52_000_000}, 2_000_000}, // set forward
+		{Clock{WallMicros: 0, BootID: "x", UptimeMicros: 52_000_000}, 2_000_000},                      // set back
+		{Clock{WallMicros: 1_000_500_000, BootID: "y", UptimeMicros: 1}, 500_000},                     // the machine started again
+		{Clock{WallMicros: 0}, -1_000_000_000},                                                        // nothing else to go by
 	} {
 		if got := c.now.Since(then); got != c.want {
 			t.Errorf("%+v: %d, want %d", c.now, got, c.want)
 		}
 	}
-	if now := Now(); now.Wall == 0 || now.Since(now) != 0 {
+	if now := ReadClock(); now.WallMicros == 0 || now.Since(now) != 0 {
 		t.Errorf("now is %+v", now)
 	}
 }
 
-func TestFileIsReplacedWhole(t *testing.T) {
+func TestSaveReplacesFileAtomically(t *testing.T) {
 	dir := t.TempDir()
 	f := File{filepath.Join(dir, "known")}
 	if k, err := f.Load(); k != nil || err != nil {
 		t.Error("nothing is kept:", k, err)
 	}
 	for _, n := range []int{4, 1} {
-		if err := f.Save(encoded(t, known(t, n))); err != nil {
+		if err := f.Save(encoded(t, newSaved(t, n))); err != nil {
 			t.Fatal(err)
 		}
 		if k, err := f.Load(); err != nil || len(k.Names) != n {
@@ -200,12 +200,12 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	whole := encoded(f, known(f, 2))
+	whole := encoded(f, newSaved(f, 2))
 	f.Add(whole[headSize:])
 	f.Add([]byte{0xa0})
 	f.Fuzz(func(t *testing.T, body []byte) {
 		// The checksum would keep nearly all away from what is to be tried.
-		k, err := Decode(sealed(Version, body))
+		k, err := Decode(encodeBody(Version, body))
 		if err != nil {
 			return
 		}
@@ -224,7 +224,7 @@
 // The time and size of a snapshot, by the number of endpoints. Only "take" holds the loop.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
-		k := known(b, n)
+		k := newSaved(b, n)
 		m, err := balancer.Resume(k.State, balancer.NoActions{})
 		if err != nil {
 			b.Fatal(err)
--- a/internal/platform/snapshot/stored_test.go
+++ b/internal/platform/snapshot/stored_test.go
@@ -27,12 +27,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	clock := Clock{Wall: 1_700_000_000_000_000, Boot: "b", Up: 77}
-	if k.Sidecar != "n3" || k.Clock != clock || k.Run != 987654321 {
-		t.Errorf("decoded %q, %+v, run %d", k.Sidecar, k.Clock, k.Run)
+	clock := Clock{WallMicros: 1_700_000_000_000_000, BootID: "b", UptimeMicros: 77}
+	if k.Sidecar != "n3" || k.Clock != clock || k.RunID != 987654321 {
+		t.Errorf("decoded %q, %+v, run %d", k.Sidecar, k.Clock, k.RunID)
 	}
-	if !slices.Equal(k.Names, []string{"s-0", "s-1"}) || !slices.Equal(k.Addrs, []string{"10.0.0.1:80", "10.0.0.2:80"}) {
-		t.Errorf("decoded names %q and addresses %q", k.Names, k.Addrs)
+	if !slices.Equal(k.Names, []string{"s-0", "s-1"}) || !slices.Equal(k.Addresses, []string{"10.0.0.1:80", "10.0.0.2:80"}) {
+		t.Errorf("decoded names %q and addresses %q", k.Names, k.Addresses)
 	}
 	s := k.State
 	if s.At != 1_700_000_000_004_000 || len(s.Rules) != 1 || len(s.Classes) != 1 || len(s.Slots) == 0 {
