--- /dev/null
+++ b/internal/controlplane/quotasync/limiter.go
@@ -0,0 +1,57 @@
+package quotasync
+
+import (
+	"birchmoor/internal/controlplane/quota"
+	"birchmoor/internal/dataplane/core"
+)
+
+// inlineCharges is how many charges of a request are matched without an allocation.
+const inlineCharges = 4
+
+// Take implements core.Limiter.
+func (m *Manager) Take(r *core.Asked) (ended func(ran bool), limited *core.Limited) {
+	matcher := m.matcher.Load()
+	if matcher == nil {
+		return nil, nil
+	}
+	var buf [inlineCharges]quota.Charge
+	charges := matcher.Match(buf[:0], &quota.Request{
+		Class:          r.Class,
+		Path:           r.Path,
+		Cost:           r.CostMs * quota.AmountUnit,
+		Header:         r.Header,
+		PriorityWeight: r.Worth,
+	})
+	if len(charges) == 0 {
+		return nil, nil
+	}
+	reservation, rejection := m.reserve(charges, r.Worth)
+	if rejection != nil {
+		return nil, &core.Limited{
+			Limit:      rejection.Limit,
+			Of:         rejection.Node,
+			Alone:      rejection.StoreUnreachable,
+			RetryAfter: m.cfg.Clock.Span(rejection.RetryAfter),
+		}
+	}
+	return func(ran bool) { m.release(reservation, ran) }, nil
+}
+
+func (m *Manager) reserve(charges []quota.Charge, priorityWeight float64) (*quota.Reservation, *quota.Rejection) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	now := m.now() // under the lock: the session may end while the lock is waited for
+	return m.consumer.Reserve(now, charges, priorityWeight)
+}
+
+// release ends a request: what never ran is not charged.
+func (m *Manager) release(r *quota.Reservation, ran bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	now := m.now()
+	if ran {
+		m.consumer.Complete(now, r)
+		return
+	}
+	m.consumer.Cancel(now, r)
+}
--- a/internal/controlplane/quotasync/manager_test.go
+++ b/internal/controlplane/quotasync/manager_test.go
@@ -10,38 +10,56 @@
 	"birchmoor/internal/store"
 )
 
-// A copy that holds no others' words paces its own by how many there are, as it is told.
-func TestWordsArePacedByAll(t *testing.T) {
-	l := New(Config{Host: "h", TTL: 5 * time.Second, ReportInterval: 250 * time.Millisecond, ReportIntervalPerProcess: 5 * time.Millisecond, Clock: bootclock.Clock{},
-		Log: slog.New(slog.DiscardHandler)}, nil)
-	n := l.Subscription()
-	me, other := quota.Process{Host: "h", Session: 7}, quota.Process{Host: "h2", Session: 8}
-	if !n.Interest.Covers(me.DemandKey()) || !n.Interest.Covers(me.GrantKey()) || !n.Interest.Covers(quota.ConfigKey) || n.Interest.Covers(other.DemandKey()) || n.Retained.Covers(me.DemandKey()) {
-		t.Errorf("%+v", n)
+// A partial copy, which holds no other process, paces its reports by the number of processes that it is notified of.
+func TestReportIntervalGrowsWithProcessCount(t *testing.T) {
+	m := New(Config{
+		Host:                     "h",
+		TTL:                      5 * time.Second,
+		ReportInterval:           250 * time.Millisecond,
+		ReportIntervalPerProcess: 5 * time.Millisecond,
+		Clock:                    bootclock.Clock{},
+		Log:                      slog.New(slog.DiscardHandler),
+	}, nil)
+	own, other := quota.Process{Host: "h", Session: 7}, quota.Process{Host: "h2", Session: 8}
+	subscription := m.Subscription()
+	interest := subscription.Interest
+	for key, want := range map[string]bool{
+		own.DemandKey(): true, own.GrantKey(): true, quota.ConfigKey: true, other.DemandKey(): false,
+	} {
+		if interest.Covers(key) != want {
+			t.Errorf("the subscription covers %s: %v", key, !want)
+		}
 	}
-	whole := store.New(1, store.DefaultLimits)
-	for _, p := range []quota.Process{me, other} {
-		whole.Apply(whole.Index()+1, &store.Command{Txn: &store.Txn{Then: []store.Op{{Key: p.DemandKey(), Value: quota.Encode(quota.Demand{})}}}})
+	if subscription.Retained.Covers(own.DemandKey()) {
+		t.Errorf("%s is retained", own.DemandKey())
 	}
-	const at = int64(time.Hour)
-	l.consumer.SetSession(at, 7, at+int64(time.Minute))
-	pace := func() time.Duration {
-		l.consumer.ReportSent(at, quota.Demand{})
-		_, _, next := l.consumer.Demand(at)
-		return time.Duration(next - at)
+
+	full := store.New(1, store.DefaultLimits)
+	put := func(key string) {
+		op := store.Op{Key: key, Value: quota.Encode(quota.Demand{})}
+		full.Apply(full.Index()+1, &store.Command{Txn: &store.Txn{Then: []store.Op{op}}})
+	}
+	put(own.DemandKey())
+	put(other.DemandKey())
+	const now = int64(time.Hour)
+	m.consumer.SetSession(now, own.Session, now+int64(time.Minute))
+	interval := func() time.Duration {
+		m.consumer.ReportSent(now, quota.Demand{})
+		_, _, next := m.consumer.Demand(now)
+		return time.Duration(next - now)
 	}
-	l.Reset(whole.Subset(*n.Interest))
-	l.ObservePrefixSize(quota.DemandPrefix, store.PrefixSize{Keys: 1200})
-	if d := pace(); d != 6*time.Second {
-		t.Errorf("among 1,200: %v", d)
+	m.Reset(full.Subset(*interest))
+	m.ObservePrefixSize(quota.DemandPrefix, store.PrefixSize{Keys: 1200})
+	if d := interval(); d != 6*time.Second {
+		t.Errorf("among 1,200 processes: %v", d)
 	}
-	l.ObservePrefixSize("other/", store.PrefixSize{Keys: 1})
-	l.Event(store.Event{Revision: 3, Item: store.Item{Key: me.DemandKey(), Value: quota.Encode(quota.Demand{})}})
-	if d := pace(); d != 6*time.Second {
-		t.Errorf("after a word of its own: %v", d)
+	m.ObservePrefixSize("other/", store.PrefixSize{Keys: 1})
+	m.Event(store.Event{Revision: 3, Item: store.Item{Key: own.DemandKey(), Value: quota.Encode(quota.Demand{})}})
+	if d := interval(); d != 6*time.Second {
+		t.Errorf("after a report of its own: %v", d)
 	}
-	l.Reset(whole)
-	if d := pace(); d != 250*time.Millisecond {
+	m.Reset(full)
+	if d := interval(); d != 250*time.Millisecond {
 		t.Errorf("with a copy of all: %v", d)
 	}
 }
