--- a/internal/store/changefeed/mirror.go
+++ b/internal/store/changefeed/mirror.go
@@ -3,174 +3,151 @@
 import (
 	"errors"
 	"fmt"
-	"slices"
 
 	"birchmoor/internal/store"
 )
 
-// ErrReplicaBehind says that a replica has less than this copy, or is of another cluster.
+// ErrReplicaBehind reports a replica whose revision is lower than that of the mirror, or that is of another
+// cluster.
 var ErrReplicaBehind = errors.New("the replica cannot be followed")
 
-// Subscription are what a daemon needs of the store.
-type Subscription struct {
-	Interest     *store.Interest // nil: all
-	Retained     store.Interest  // of that, what is of use to the next start
-	SizePrefixes []string        // prefixes of which it needs to know how many keys there are
-}
-
-// Union is what either needs.
-func (n Subscription) Union(o Subscription) Subscription {
-	all := Subscription{Retained: n.Retained.Union(o.Retained), SizePrefixes: slices.Compact(slices.Sorted(slices.Values(slices.Concat(n.SizePrefixes, o.SizePrefixes))))}
-	if n.Interest != nil && o.Interest != nil {
-		of := n.Interest.Union(*o.Interest)
-		all.Interest = &of
-	}
-	return all
-}
-
-// Mirror is a follower's half: what it holds, what it is to hold, and what it has to ask for. It is for one goroutine at a time.
+// Mirror is a follower's half of the feed: what it holds, what it is to hold, and what it has to request. It is
+// not safe for concurrent use.
 type Mirror struct {
-	state    *store.State    // nil before the first
-	interest *store.Interest // nil: all
-	restored bool            // it is what an earlier process kept
+	state    *store.State    // nil: nothing yet
+	interest *store.Interest // what it is to hold; nil: all keys
+	restored bool            // state is what an earlier process saved
 	defect   Defect
 }
 
-// NewMirror returns one that holds nothing yet, and is to hold an interest; nil is all.
-func NewMirror(want *store.Interest, p Defect) *Mirror {
-	c := &Mirror{defect: p}
-	c.SetInterest(want)
-	return c
+// NewMirror returns a mirror that holds nothing yet and is to hold an interest; nil is all keys.
+func NewMirror(interest *store.Interest, defect Defect) *Mirror {
+	return &Mirror{interest: normalized(interest), defect: defect}
 }
 
-// State is what it holds, or nil.
-func (c *Mirror) State() *store.State { return c.state }
+// State is what the mirror holds, or nil.
+func (m *Mirror) State() *store.State { return m.state }
 
-// SetInterest says what it is to hold from now on, and whether that is another interest than before.
-func (c *Mirror) SetInterest(of *store.Interest) (other bool) {
-	if of != nil {
-		all := store.Interest{}.Union(*of)
-		of = &all
+// SetInterest sets what the mirror is to hold, nil for all keys, and reports whether that changed.
+func (m *Mirror) SetInterest(interest *store.Interest) (changed bool) {
+	interest = normalized(interest)
+	if equalInterests(m.interest, interest) {
+		return false
 	}
-	if other = !equalInterests(c.interest, of); other {
-		c.interest = of
-	}
-	return other
-}
-
-func equalInterests(a, b *store.Interest) bool {
-	return a == nil && b == nil || a != nil && b != nil && a.Equal(*b)
+	m.interest = interest
+	return true
 }
 
-// coversInterest says whether who has one interest has all of another.
-func coversInterest(have, want *store.Interest) bool {
-	return have == nil || want != nil && have.Contains(*want)
+// FetchRequest is what is to be requested from a replica next.
+type FetchRequest struct {
+	Snapshot bool            // a snapshot; else a stream of changes
+	Interest *store.Interest // nil: all keys
+	After    uint64          // the stream begins after this revision
 }
 
-// FetchRequest is what a replica is to be asked for next.
-type FetchRequest struct {
-	Snapshot bool            // a copy; else what changes
-	Interest *store.Interest // nil: all
-	After    uint64          // changes after this revision
+// NextRequest returns what is to be requested next.
+func (m *Mirror) NextRequest() FetchRequest {
+	request := FetchRequest{Interest: m.interest, Snapshot: m.needsSnapshot()}
+	if !request.Snapshot {
+		request.After = m.state.Revision()
+	}
+	return request
 }
 
-// NextRequest returns it.
-func (c *Mirror) NextRequest() FetchRequest {
-	a := FetchRequest{Interest: c.interest, Snapshot: c.state == nil || !coversInterest(c.state.Interest(), c.interest)}
-	if c.defect == WidenInPlace && !c.restored || c.defect == PartialAsComplete && c.restored {
-		a.Snapshot = c.state == nil
+func (m *Mirror) needsSnapshot() bool {
+	if m.state == nil {
+		return true
 	}
-	if !a.Snapshot {
-		a.After = c.state.Revision()
+	if m.defect == WidenInPlace && !m.restored || m.defect == PartialAsComplete && m.restored {
+		return false
 	}
-	return a
+	return !coversInterest(m.state.Interest(), m.interest)
 }
 
-// Replace takes a copy that a replica gave, unless it is older than what is here.
-func (c *Mirror) Replace(s *store.State) error {
-	have := c.state
-	if have != nil && (s.Cluster() != have.Cluster() || s.Revision() < have.Revision() && c.defect != WidenFromOlder) {
-		return fmt.Errorf("%w: revision %d of cluster %x, and here is revision %d of cluster %x", ErrReplicaBehind, s.Revision(), s.Cluster(),
-			have.Revision(), have.Cluster())
+// Replace takes a snapshot of a replica in the place of the state. The error wraps ErrReplicaBehind, and
+// nothing changes, if it is older than the state or of another cluster.
+func (m *Mirror) Replace(snapshot *store.State) error {
+	have := m.state
+	if have == nil {
+		m.adopt(snapshot, false)
+		return nil
 	}
-	c.state, c.restored = s, false
+	older := snapshot.Revision() < have.Revision() && m.defect != WidenFromOlder
+	if older || snapshot.Cluster() != have.Cluster() {
+		return fmt.Errorf("%w: revision %d of cluster %x, and here is revision %d of cluster %x", ErrReplicaBehind,
+			snapshot.Revision(), snapshot.Cluster(), have.Revision(), have.Cluster())
+	}
+	m.adopt(snapshot, false)
 	return nil
 }
 
-// Restore takes what an earlier process kept.
-func (c *Mirror) Restore(s *store.State) { c.state, c.restored = s, true }
+// Restore takes what an earlier process saved.
+func (m *Mirror) Restore(saved *store.State) { m.adopt(saved, true) }
+
+func (m *Mirror) adopt(state *store.State, restored bool) {
+	m.state = state
+	m.restored = restored
+}
 
-// StreamOpened takes how a replica answers that was asked for changes: those of the interest, or, as one of an older version, all. What the
-// copy holds beyond its interest is let go when it will be told of no more: anew says so. fetch says that all has to be taken from
-// that replica first.
-func (c *Mirror) StreamOpened(yes bool) (anew, fetch bool) {
-	switch have := c.state.Interest(); {
-	case !yes:
+// StreamOpened takes how a replica answered a request for the changes of an interest. scoped says that it sends
+// those of the interest alone; a replica of an older version sends all. needsSnapshot says that a snapshot of
+// all keys has to be fetched from that replica first. narrowed says that the state was cut down to the
+// interest, since changes of the rest are not sent.
+func (m *Mirror) StreamOpened(scoped bool) (narrowed, needsSnapshot bool) {
+	have := m.state.Interest()
+	if !scoped {
 		return false, have != nil
-	case c.interest == nil || equalInterests(have, c.interest):
+	}
+	if m.interest == nil || equalInterests(have, m.interest) {
 		return false, false
 	}
-	if c.defect == NarrowRetains && coversInterest(c.state.Interest(), c.interest) {
+	if m.defect == NarrowRetains && coversInterest(have, m.interest) {
 		return false, false
 	}
-	c.state = c.state.SubsetWithHistory(*c.interest)
+	m.state = m.state.SubsetWithHistory(*m.interest)
 	return true, false
 }
 
-// ApplyRevision takes all that one revision changed of the interest.
-func (c *Mirror) ApplyRevision(events []store.Event) error {
-	if c.defect == RevisionSplit && len(events) > 1 {
-		return c.state.ApplyEvents(events[:1])
+// ApplyRevision applies all that one revision changed of the interest.
+func (m *Mirror) ApplyRevision(events []store.Event) error {
+	if m.defect == RevisionSplit && len(events) > 1 {
+		events = events[:1]
 	}
-	return c.state.ApplyEvents(events)
+	return m.state.ApplyEvents(events)
 }
 
-// ApplyEvent takes one change of a replica that tells of all, one by one.
-func (c *Mirror) ApplyEvent(e store.Event) error { return c.state.ApplyEvent(e) }
+// ApplyEvent applies one change of a replica that sends all changes one by one.
+func (m *Mirror) ApplyEvent(event store.Event) error { return m.state.ApplyEvent(event) }
 
-// Progress takes up to where nothing was left out.
-func (c *Mirror) Progress(revision uint64) error {
-	if c.defect == ProgressRegresses && revision < c.state.Revision() {
+// Progress takes a revision up to which the replica left out no change of the interest.
+func (m *Mirror) Progress(revision uint64) error {
+	if m.defect == ProgressRegresses && revision < m.state.Revision() {
 		return nil
 	}
-	return c.state.AdvanceRevision(revision)
+	return m.state.AdvanceRevision(revision)
 }
 
-// HasRevision says whether a replica's word that a quorum confirms a revision is of this copy, too.
-func (c *Mirror) HasRevision(revision uint64) bool {
-	return c.state != nil && revision <= c.state.Revision()
+// HasRevision reports whether the state is at a revision or beyond, so that a quorum's confirmation of the
+// revision applies to it, too.
+func (m *Mirror) HasRevision(revision uint64) bool {
+	return m.state != nil && revision <= m.state.Revision()
 }
 
-// Retained is what is to outlive the process: of a copy of all, all; of a part what of it is of an interest.
-func (c *Mirror) Retained(of store.Interest) *store.State {
-	have := c.state.Interest()
+// Retained is a copy of what is to be saved for the next process: of a state of all keys all, of a part what an
+// interest covers of it.
+func (m *Mirror) Retained(interest store.Interest) *store.State {
+	have := m.state.Interest()
 	if have == nil {
-		return c.state.Clone()
-	}
-	return c.state.Subset(intersect(*have, of))
-}
-
-// intersect is what both hold.
-func intersect(a, b store.Interest) (both store.Interest) {
-	for _, x := range [][2]store.Interest{{a, b}, {b, a}} {
-		for _, p := range x[0].Prefixes {
-			if x[1].CoversPrefix(p) {
-				both.Prefixes = append(both.Prefixes, p)
-			}
-		}
-		for _, k := range x[0].Keys {
-			if x[1].Covers(k) {
-				both.Keys = append(both.Keys, k)
-			}
-		}
+		return m.state.Clone()
 	}
-	return store.Interest{}.Union(both)
+	return m.state.Subset(intersect(*have, interest))
 }
 
-// Read has f read the copy. What f read beyond it is told: f is to be called again with a state that has all of it.
-func (c *Mirror) Read(f func(*store.State)) (read store.Interest, held bool) {
-	c.state.TrackReads()
-	f(c.state)
-	read, held = c.state.TrackedReads()
-	return read, held || c.defect == NotHeldAsAbsent
+// Read calls read with the state, and returns what it read. complete is false if it read something that the
+// mirror does not hold; what read made of that is void.
+func (m *Mirror) Read(read func(*store.State)) (what store.Interest, complete bool) {
+	m.state.TrackReads()
+	read(m.state)
+	what, complete = m.state.TrackedReads()
+	return what, complete || m.defect == NotHeldAsAbsent
 }
