--- a/internal/controlplane/daemon/settings.go
+++ b/internal/controlplane/daemon/settings.go
@@ -3,12 +3,8 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
-	"fmt"
 	"log/slog"
 	"os"
-	"slices"
-	"strconv"
 	"strings"
 	"sync"
 	"syscall"
@@ -18,29 +14,29 @@
 	"birchmoor/internal/store/changefeed"
 )
 
-// ConfigPrefix is that of the keys of the settings.
-const ConfigPrefix = "config/"
-
 // Keys of the settings.
 const (
-	keyCurrent     = "config/current"
-	keyCandidate   = "config/candidate"
-	historyPrefix  = "config/history/"
-	verdictPrefix  = "config/verdict/"
-	verdictTimeout = 5 * time.Second
-	maxVersions    = 100
-	candidateTTL   = 30 * time.Second
-	noSidecarNote  = "no sidecar here"
+	// ConfigPrefix is that of all of them.
+	ConfigPrefix = "config/"
+
+	keyCurrent      = "config/current"
+	keyCandidate    = "config/candidate"
+	historyPrefix   = "config/history/" // VERSION
+	verdictPrefix   = "config/verdict/" // DAEMON
+	keyPlan         = "config/plan"
+	keyPlanSettings = "config/stepped"
+	reportPrefix    = "config/report/" // DAEMON
 )
 
-// ErrVersionNotFound says that settings have no such version.
-var ErrVersionNotFound = errors.New("no such version")
+// noSidecarNote is the stored note of a verdict by a daemon that cannot check settings.
+const noSidecarNote = "no sidecar here"
 
-// SettingsCheck says what is wrong with settings for the sidecar of this daemon.
+// SettingsCheck returns what is wrong with settings for the sidecar of this daemon.
 type SettingsCheck func(settings json.RawMessage) error
 
-// Settings are those of the data path that the store holds for all daemons: checked by every replica before they are committed,
-// kept by version, and told to the sidecar as SIGHUP does. It is a Part of a Daemon; any goroutine may use it.
+// Settings are the settings of the data path that the store holds for all daemons. Every replica checks them before they are
+// committed; they are kept by version, and the sidecar is notified of a change the way SIGHUP does. It is a Component, and
+// safe for concurrent use.
 type Settings struct {
 	name   string
 	log    *slog.Logger
@@ -50,325 +46,173 @@
 	reload chan os.Signal
 
 	mu              sync.Mutex
-	current         json.RawMessage // or nil
-	currentRevision uint64          // its revision
-	pending         *candidate      // to be checked
+	current         json.RawMessage // nil: none are committed
+	currentRevision uint64
+	pending         *candidate // that is still to be checked
 	rollout         rolloutState
 }
 
+// candidate is settings that every replica has to check.
 type candidate struct {
-	revision uint64 // its revision
+	revision uint64
 	settings json.RawMessage
 }
 
-// NewSettings returns those of the daemon of a name.
+// verdict is a replica's answer to a candidate.
+type verdict struct {
+	Candidate uint64 `json:"candidate"` // its revision
+	Error     string `json:"error,omitempty"`
+	Note      string `json:"note,omitempty"`
+}
+
+// NewSettings returns those of the daemon with a name.
 func NewSettings(name string, check SettingsCheck, log *slog.Logger) *Settings {
-	return &Settings{name: name, check: check, log: log, wake: make(chan struct{}, 1), reload: make(chan os.Signal, 1)}
+	return &Settings{
+		name:   name,
+		check:  check,
+		log:    log,
+		wake:   make(chan struct{}, 1),
+		reload: make(chan os.Signal, 1),
+	}
 }
 
-// Reload is told when settings have changed.
-func (x *Settings) Reload() chan os.Signal { return x.reload }
+// Reload receives a signal when Current has changed.
+func (s *Settings) Reload() chan os.Signal { return s.reload }
 
-// Current are those of the store for this daemon, or nil.
-func (x *Settings) Current() json.RawMessage {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if x.rollout.plan.RunsOn(x.name) && x.rollout.settings != nil {
-		return x.rollout.settings
+// Current returns the settings in effect at this daemon, which are those of a rollout if it selected this daemon, or nil.
+func (s *Settings) Current() json.RawMessage {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.rollout.plan.RunsOn(s.name) && s.rollout.settings != nil {
+		return s.rollout.settings
 	}
-	return x.current
+	return s.current
 }
 
-// Attach is of Part.
-func (x *Settings) Attach(s Store) { x.store = s }
+// Attach implements Component.
+func (s *Settings) Attach(copied Store) { s.store = copied }
 
-// Subscription is of Needy: what is in force or comes in force in steps. Candidates are for replicas to judge, and older versions and what
-// others report for those who ask.
-func (x *Settings) Subscription() changefeed.Subscription {
+// Subscription implements Subscriber: the settings in effect and those of a rollout. Candidates are checked by replicas;
+// older versions and the reports of others are read on demand.
+func (s *Settings) Subscription() changefeed.Subscription {
 	kept := store.Interest{Keys: []string{keyCurrent, keyPlan, keyPlanSettings}}
-	of := kept.Union(store.Interest{Keys: []string{ReportKey(x.name)}})
-	return changefeed.Subscription{Interest: &of, Retained: kept}
+	interest := kept.Union(store.Interest{Keys: []string{ReportKey(s.name)}})
+	return changefeed.Subscription{Interest: &interest, Retained: kept}
 }
 
-// Event is of Part.
-func (x *Settings) Event(e store.Event) {
-	if strings.HasPrefix(e.Item.Key, ConfigPrefix) {
-		x.mu.Lock()
-		defer x.mu.Unlock()
-		x.applyItem(e.Item, e.Deleted)
+// Event implements Component.
+func (s *Settings) Event(e store.Event) {
+	if !strings.HasPrefix(e.Item.Key, ConfigPrefix) {
+		return
 	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.applyItem(e.Item, e.Deleted)
 }
 
-// Reset is of Part.
-func (x *Settings) Reset(s *store.State) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
+// Reset implements Component.
+func (s *Settings) Reset(state *store.State) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for _, key := range []string{keyCurrent, keyCandidate} {
-		if i, ok := s.Get(key); ok {
-			x.applyItem(i, false)
+		if i, ok := state.Get(key); ok {
+			s.applyItem(i, false)
 		}
 	}
-	x.resetPlan(s)
+	s.resetPlan(state)
 }
 
-// Run is of Part: it checks candidates, and tells how a plan goes here.
-func (x *Settings) Run(ctx context.Context) {
-	t := time.NewTicker(minReportInterval)
-	defer t.Stop()
+// Run implements Component. It checks candidates, and reports the progress of a rollout.
+func (s *Settings) Run(ctx context.Context) {
+	ticker := time.NewTicker(minReportInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-x.wake:
-			x.checkCandidate(ctx)
-		case <-t.C:
+		case <-s.wake:
+			s.checkCandidate(ctx)
+		case <-ticker.C:
 		}
-		x.reportProgress(ctx)
+		s.reportProgress(ctx)
 	}
 }
 
-// wakeUp has Run look at what is new. signal has the sidecar read its settings anew.
-func (x *Settings) wakeUp() {
+func (s *Settings) wakeUp() {
 	select {
-	case x.wake <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (x *Settings) notifyReload() {
+// notifyReload has the sidecar read Current.
+func (s *Settings) notifyReload() {
 	select {
-	case x.reload <- syscall.SIGHUP:
-	default: // one is owed already, and will read the newest
+	case s.reload <- syscall.SIGHUP:
+	default: // a signal is pending already, after which the latest are read
 	}
 }
 
-// applyItem takes a change of one of its keys.
-func (x *Settings) applyItem(i store.Item, deleted bool) {
+// applyItem applies a change of one key. The lock is held.
+func (s *Settings) applyItem(i store.Item, deleted bool) {
 	switch i.Key {
 	case keyCurrent:
-		if i.ModRevision <= x.currentRevision && !deleted {
-			return
-		}
-		x.current, x.currentRevision = i.Value, i.ModRevision
-		if deleted {
-			x.current = nil
-		}
-		x.notifyReload()
+		s.applyCurrent(i, deleted)
 	case keyCandidate:
-		if x.pending = nil; !deleted {
-			x.pending = &candidate{i.ModRevision, i.Value}
-			x.wakeUp()
+		s.pending = nil
+		if !deleted {
+			s.pending = &candidate{revision: i.ModRevision, settings: i.Value}
+			s.wakeUp()
 		}
 	default:
-		x.applyPlanItem(i, deleted)
+		s.applyPlanItem(i, deleted)
 	}
 }
 
-// verdict is what a replica says of a candidate.
-type verdict struct {
-	Candidate uint64 `json:"candidate"`
-	Error     string `json:"error,omitempty"`
-	Note      string `json:"note,omitempty"`
+func (s *Settings) applyCurrent(i store.Item, deleted bool) {
+	if i.ModRevision <= s.currentRevision && !deleted {
+		return
+	}
+	s.current, s.currentRevision = i.Value, i.ModRevision
+	if deleted {
+		s.current = nil
+	}
+	s.notifyReload()
 }
 
-// checkCandidate checks the candidate, if there is one, and says so.
-func (x *Settings) checkCandidate(ctx context.Context) {
-	x.mu.Lock()
-	c := x.pending
-	x.pending = nil
-	x.mu.Unlock()
+// takeCandidate returns the candidate that is still to be checked, or nil.
+func (s *Settings) takeCandidate() *candidate {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	c := s.pending
+	s.pending = nil
+	return c
+}
+
+// checkCandidate checks the candidate, if there is one, and writes the verdict.
+func (s *Settings) checkCandidate(ctx context.Context) {
+	c := s.takeCandidate()
 	if c == nil {
 		return
 	}
 	v := verdict{Candidate: c.revision}
-	if x.check == nil {
+	if s.check == nil {
 		v.Note = noSidecarNote
-	} else if err := x.check(c.settings); err != nil {
+	} else if err := s.check(c.settings); err != nil {
 		v.Error = err.Error()
 	}
-	b, err := json.Marshal(v)
+	value, err := json.Marshal(v)
 	if err != nil {
+		s.log.Error("cannot encode a verdict on settings", "error", err)
 		return
 	}
-	wait, cancel := context.WithTimeout(ctx, writeTimeout)
+	writeCtx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	if _, err := x.store.Do(wait, store.Command{Txn: &store.Txn{
+	_, err = s.store.Do(writeCtx, store.Command{Txn: &store.Txn{
 		If:   []store.Compare{{Key: keyCandidate, ModRevision: c.revision}},
-		Then: []store.Op{{Key: verdictPrefix + x.name, Value: b}}}}); err != nil {
-		x.log.Warn("a verdict on settings was not told", "error", err)
-	}
-}
-
-// Version is settings as they were put.
-type Version struct {
-	Version  uint64          `json:"version"`
-	Settings json.RawMessage `json:"settings,omitempty"`
-	By       string          `json:"by"`
-	Note     string          `json:"note,omitempty"`
-	At       time.Time       `json:"at"` // by the clock of the replica that took it; it decides nothing
-	Revision uint64          `json:"revision,omitempty"`
-}
-
-// proposeCandidate has settings checked by every replica, and returns the revision of the candidate that they agreed on. It is to be
-// deleted by the change that puts it in force; one of a daemon that went away goes with its lease.
-func (x *Settings) proposeCandidate(ctx context.Context, settings json.RawMessage) (id uint64, err error) {
-	if !json.Valid(settings) {
-		return 0, errors.New("settings: not JSON")
-	}
-	if x.check != nil {
-		if err := x.check(settings); err != nil {
-			return 0, err
-		}
-	}
-	held, err := x.store.Do(ctx, store.Command{GrantLease: &store.GrantLease{TTLMillis: uint64(candidateTTL.Milliseconds())}})
-	if err != nil {
-		return 0, err
-	}
-	r, err := x.store.Do(ctx, store.Command{Txn: &store.Txn{If: []store.Compare{{Key: keyCandidate}},
-		Then: []store.Op{{Key: verdictPrefix, Delete: true, RangeEnd: store.PrefixEnd(verdictPrefix)}, {Key: keyCandidate, Value: settings, LeaseID: held.LeaseID}}}})
-	if err == nil && !r.Succeeded {
-		err = errors.New("other settings are being put")
-	}
+		Then: []store.Op{{Key: verdictPrefix + s.name, Value: value}},
+	}})
 	if err != nil {
-		return 0, err
-	}
-	if err := x.awaitVerdicts(ctx, r.Revision, r.Revision); err != nil {
-		_, end := x.store.Do(ctx, store.Command{RevokeLease: &store.RevokeLease{LeaseID: held.LeaseID}})
-		return 0, errors.Join(err, end)
-	}
-	return r.Revision, nil
-}
-
-// nextVersion is the number of the next version, and what is in force.
-func nextVersion(s *store.State) (next uint64, now store.Item) {
-	next = 1
-	s.Range(historyPrefix, store.PrefixEnd(historyPrefix), func(i store.Item) bool {
-		n, _ := strconv.ParseUint(strings.TrimPrefix(i.Key, historyPrefix), 10, 64)
-		next = max(next, n+1)
-		return true
-	})
-	now, _ = s.Get(keyCurrent)
-	return next, now
-}
-
-// commitOps put a version in force, and let the oldest go.
-func (v Version) commitOps() ([]store.Op, error) {
-	b, err := json.Marshal(v)
-	if err != nil {
-		return nil, err
-	}
-	ops := []store.Op{{Key: keyCurrent, Value: v.Settings}, {Key: historyKey(v.Version), Value: b}}
-	if v.Version > maxVersions {
-		ops = append(ops, store.Op{Key: historyKey(0), Delete: true, RangeEnd: historyKey(v.Version - maxVersions + 1)})
-	}
-	return ops, nil
-}
-
-// Put has settings checked by every replica and, if all agree, commits them as the next version. It returns that.
-func (x *Settings) Put(ctx context.Context, settings json.RawMessage, note string) (Version, error) {
-	plan, err := x.finishedPlanRevision(ctx)
-	if err != nil {
-		return Version{}, err
-	}
-	id, err := x.proposeCandidate(ctx, settings)
-	if err != nil {
-		return Version{}, err
-	}
-	var next uint64
-	var old store.Item
-	if _, err := x.store.View(ctx, false, func(s *store.State) { next, old = nextVersion(s) }); err != nil {
-		return Version{}, err
-	}
-	v := Version{Version: next, Settings: settings, By: x.name, Note: note, At: time.Now().UTC().Truncate(time.Second)}
-	ops, err := v.commitOps()
-	if err != nil {
-		return Version{}, err
-	}
-	ops = append(ops, store.Op{Key: keyCandidate, Delete: true}, store.Op{Key: verdictPrefix, Delete: true, RangeEnd: store.PrefixEnd(verdictPrefix)})
-	r, err := x.store.Do(ctx, store.Command{Txn: &store.Txn{If: []store.Compare{{Key: keyCandidate, ModRevision: id},
-		{Key: keyCurrent, ModRevision: old.ModRevision}, {Key: keyPlan, ModRevision: plan}}, Then: ops}})
-	if err == nil && !r.Succeeded {
-		err = errors.New("the settings were changed meanwhile")
-	}
-	v.Revision = r.Revision
-	return v, err
-}
-
-func historyKey(n uint64) string { return fmt.Sprintf("%s%012d", historyPrefix, n) }
-
-// awaitVerdicts waits for every member's word on a candidate.
-func (x *Settings) awaitVerdicts(ctx context.Context, id, after uint64) error {
-	var members []store.Member
-	if _, err := x.store.View(ctx, false, func(s *store.State) { members = s.Members() }); err != nil {
-		return err
-	}
-	wait, cancel := context.WithTimeout(ctx, verdictTimeout)
-	defer cancel()
-	missing := map[string]bool{}
-	for _, m := range members {
-		missing[m.Name] = true
-	}
-	var faults []error
-	for len(missing) > 0 {
-		events, to, err := x.store.Next(wait, verdictPrefix, after, 64)
-		if err != nil {
-			if wait.Err() != nil {
-				var names []string
-				for n := range missing {
-					names = append(names, n)
-				}
-				slices.Sort(names)
-				return errors.Join(append(faults, fmt.Errorf("no verdict from %s within %v: nothing was changed",
-					strings.Join(names, ", "), verdictTimeout))...)
-			}
-			return err
-		}
-		after = to
-		for _, e := range events {
-			var v verdict
-			name := strings.TrimPrefix(e.Item.Key, verdictPrefix)
-			if e.Deleted || json.Unmarshal(e.Item.Value, &v) != nil || v.Candidate != id || !missing[name] {
-				continue
-			}
-			delete(missing, name)
-			if v.Error != "" {
-				faults = append(faults, fmt.Errorf("%s: %s", name, v.Error))
-			}
-		}
-	}
-	return errors.Join(faults...)
-}
-
-// History lists the versions, the newest first.
-func (x *Settings) History(ctx context.Context) ([]Version, error) {
-	var all []Version
-	var bad error
-	_, err := x.store.View(ctx, false, func(s *store.State) {
-		all, bad = nil, nil
-		s.Range(historyPrefix, store.PrefixEnd(historyPrefix), func(i store.Item) bool {
-			var v Version
-			if err := json.Unmarshal(i.Value, &v); err != nil {
-				bad = fmt.Errorf("%s: %w", i.Key, err)
-			}
-			v.Revision = i.ModRevision
-			all = append(all, v)
-			return true
-		})
-	})
-	slices.Reverse(all)
-	return all, errors.Join(err, bad)
-}
-
-// Rollback puts the settings of an earlier version again, as a new one, checked like any.
-func (x *Settings) Rollback(ctx context.Context, version uint64) (Version, error) {
-	all, err := x.History(ctx)
-	if err != nil {
-		return Version{}, err
-	}
-	for _, v := range all {
-		if v.Version == version {
-			return x.Put(ctx, v.Settings, fmt.Sprintf("rollback to version %d", version))
-		}
+		s.log.Warn("cannot write a verdict on settings", "error", err)
 	}
-	return Version{}, fmt.Errorf("%d: %w", version, ErrVersionNotFound)
 }
