--- a/internal/controlplane/daemon/admindrains.go
+++ b/internal/controlplane/daemon/admindrains.go
@@ -11,8 +11,8 @@
 	"birchmoor/internal/store/serverstate"
 )
 
-// AdminDrains are the servers that operators drained. A drain reported to one daemon takes effect at all of them; a return
-// needs the quorum. It is a Component and a maintenance.FleetOverrides, and safe for concurrent use.
+// AdminDrains are the servers that operators drained. A drain reported to one daemon takes effect at all of them; a
+// return needs the quorum. It is a Component and a maintenance.FleetOverrides, and safe for concurrent use.
 type AdminDrains struct {
 	exclusionReports[string] // by the server's ID
 }
--- a/internal/controlplane/daemon/component.go
+++ b/internal/controlplane/daemon/component.go
@@ -9,15 +9,15 @@
 	"birchmoor/internal/store/engine"
 )
 
-// Component is one concern of a daemon that depends on the replicated store. Event and Reset are called by the loop of the
-// store's copy and must not block.
+// Component is one concern of a daemon that depends on the replicated store. Event and Reset are called by the loop of
+// the store's copy and must not block.
 type Component interface {
 	// Event applies one change that the copy shows.
 	Event(e store.Event)
 	// Reset replaces everything known with a new copy.
 	Reset(s *store.State)
-	// Attach sets the copy once it is open. Only the hooks (Event, Reset and those of the optional interfaces) are called
-	// before.
+	// Attach sets the copy once it is open. Only the hooks (Event, Reset and those of the optional interfaces) are
+	// called before.
 	Attach(s Store)
 	// Run works until ctx ends.
 	Run(ctx context.Context)
@@ -39,13 +39,13 @@
 	Subscriber interface {
 		Subscription() changefeed.Subscription
 	}
-	// PrefixSizeObserver is notified of the number and bytes of the keys with a prefix of its Subscription's Sums, where the
-	// copy does not hold them.
+	// PrefixSizeObserver is notified of the number and bytes of the keys with a prefix of its Subscription's
+	// SizePrefixes, where the copy does not hold them.
 	PrefixSizeObserver interface {
 		ObservePrefixSize(prefix string, n store.PrefixSize)
 	}
-	// Expirer returns transactions that end reports which have not been renewed in time. Each does nothing if its report was
-	// renewed in the meantime.
+	// Expirer returns transactions that end reports which have not been renewed in time. Each does nothing if its
+	// report was renewed in the meantime.
 	Expirer interface {
 		Expired(now time.Time) []*store.Txn
 	}
@@ -55,8 +55,8 @@
 type Store interface {
 	// Do makes a change; see engine.Engine.
 	Do(ctx context.Context, c store.Command) (store.Result, error)
-	// View calls f with the copy, which is confirmed by a quorum before unless stale is set. If f reads keys that a partial
-	// copy does not hold, it is called again and must start over.
+	// View calls f with the copy, which is confirmed by a quorum before unless stale is set. If f reads keys that a
+	// partial copy does not hold, it is called again and must start over.
 	View(ctx context.Context, stale bool, f func(*store.State)) (engine.CopyAge, error)
 	// Next returns up to limit changes of keys with a prefix after a revision, and the revision that they reach.
 	Next(ctx context.Context, prefix string, after uint64, limit int) ([]store.Event, uint64, error)
@@ -72,8 +72,8 @@
 	}
 }
 
-// subscribeTo returns a subscription to the keys with the given prefixes, which the copy also keeps on disk for the next
-// start.
+// subscribeTo returns a subscription to the keys with the given prefixes, which the copy also keeps on disk for the
+// next start.
 func subscribeTo(prefixes ...string) changefeed.Subscription {
 	interest := store.Interest{Prefixes: prefixes}
 	return changefeed.Subscription{Interest: &interest, Retained: interest}
--- a/internal/controlplane/daemon/daemon.go
+++ b/internal/controlplane/daemon/daemon.go
@@ -1,13 +1,14 @@
-// Package daemon joins a sidecar to the replicated store. A Daemon runs components, each of which is responsible for one
-// concern: what it watches in the store, what it writes there and what it passes on to the sidecar. AdminDrains, Drains,
-// Starts and StateSnapshots report on servers and are combined by Servers; Settings holds the settings of the data path and
-// their rollouts.
+// Package daemon joins a sidecar to the replicated store. A Daemon runs components, each of which is responsible for
+// one concern: what it watches in the store, what it writes there and what it passes on to the sidecar. AdminDrains,
+// Drains, Starts and StateSnapshots report on servers and are combined by Servers; Settings holds the settings of the
+// data path and their rollouts.
 //
-// Package store/serverstate decides which reports take effect; this package moves them. A report made here takes effect at
-// once and is written until the store has it. A report from the store takes effect as soon as this copy applies it. Settings
-// are checked by every replica before they are committed, and reach a sidecar the way SIGHUP does.
+// Package store/serverstate decides which reports take effect; this package moves them. A report made here takes effect
+// at once and is written until the store has it. A report from the store takes effect as soon as this copy applies it.
+// Settings are checked by every replica before they are committed, and reach a sidecar the way SIGHUP does.
 //
-// It may import the store, the platform's packages and, of the data path, the types that components exchange with a sidecar.
+// It may import the store, the platform's packages and, of the data path, the types that components exchange with a
+// sidecar.
 package daemon
 
 import (
@@ -34,7 +35,8 @@
 	ErrExcludedAgain = errors.New("it was drained again in the meantime")
 )
 
-// Daemon runs components. Its hooks are given to a copy of the store, which is attached once it is open; then Run is called.
+// Daemon runs components. Its hooks are given to a copy of the store, which is attached once it is open; then Run is
+// called.
 type Daemon struct {
 	log            *slog.Logger
 	components     []Component
@@ -97,15 +99,15 @@
 	}
 }
 
-// Confirmed reports how long ago a quorum confirmed the copy. A change that the copy shows may have been written at any time
-// since it was last confirmed: a copy that was cut off for an hour shows old reports as it catches up.
+// Confirmed reports how long ago a quorum confirmed the copy. A change that the copy shows may have been written at any
+// time since it was last confirmed: a copy that was cut off for an hour shows old reports as it catches up.
 func (d *Daemon) Confirmed(ago time.Duration) {
 	forEach(d, func(o ConfirmationObserver) { o.Confirmed(ago) })
 }
 
-// CaughtUp reports that the copy is up to date: from now on the store decides about what an earlier process of this daemon
-// acted on, and what the store does not have is reported. A replica's engine calls it; a follower does once it has
-// received the changes it missed.
+// CaughtUp reports that the copy is up to date: from now on the store decides about what an earlier process of this
+// daemon acted on, and what the store does not have is reported. A replica's engine calls it; a follower does once it
+// has received the changes it missed.
 func (d *Daemon) CaughtUp() { forEach(d, func(o LogTailObserver) { o.CaughtUp() }) }
 
 // Attach sets the copy of the store, once it is open and before Run.
@@ -137,8 +139,8 @@
 	}
 }
 
-// DelegateSweep leaves the sweep of expired reports to the lease holder of FleetTask, once all replicas know tasks. It is
-// called before Run.
+// DelegateSweep leaves the sweep of expired reports to the lease holder of FleetTask, once all replicas know tasks. It
+// is called before Run.
 func (d *Daemon) DelegateSweep() { d.sweepDelegated = true }
 
 // sweepIsDelegated reports whether one daemon sweeps for all.
@@ -148,8 +150,8 @@
 	return d.sweepDelegated && err == nil && tasksKnown
 }
 
-// Sweep ends expired reports. Each end is a transaction that does nothing if its report was renewed in the meantime, so that
-// concurrent or late sweeps end nothing that is still reported.
+// Sweep ends expired reports. Each end is a transaction that does nothing if its report was renewed in the meantime, so
+// that concurrent or late sweeps end nothing that is still reported.
 func (d *Daemon) Sweep(ctx context.Context) error { return d.sweep(ctx, time.Now()) }
 
 func (d *Daemon) sweep(ctx context.Context, now time.Time) error {
--- a/internal/controlplane/daemon/daemon_test.go
+++ b/internal/controlplane/daemon/daemon_test.go
@@ -17,7 +17,7 @@
 	"birchmoor/internal/store/engine"
 )
 
-// testDaemon is a daemon with a sidecar that notes what binds.
+// testDaemon is a daemon with a sidecar that records which drains were applied to it.
 type testDaemon struct {
 	settings *Settings
 	frame    *Daemon
@@ -28,7 +28,7 @@
 
 	mu      sync.Mutex
 	bound   map[string]bool
-	changed chan struct{} // closed when something binds
+	changed chan struct{} // closed when a drain is applied
 }
 
 func (s *testDaemon) bind(_ context.Context, id string, out bool) error {
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// waitUntil waits for a server to be out, or not to be.
+// waitUntil waits for a server to be drained, or not to be.
 func (s *testDaemon) waitUntil(t *testing.T, id string, out bool) {
 	t.Helper()
 	for {
@@ -53,7 +53,7 @@
 		select {
 		case <-fresh:
 		case <-time.After(time.Minute):
-			t.Fatalf("%s: out %v", id, is)
+			t.Fatalf("%s: drained %v", id, is)
 		}
 	}
 }
@@ -74,13 +74,21 @@
 	s := &testDaemon{bound: map[string]bool{}, changed: make(chan struct{}), addr: ln.Addr().String()}
 	check := SettingsCheck(checkSettings)
 	if name == "c" {
-		check = nil // as where no sidecar runs
+		check = nil // no sidecar runs
 	}
 	log := slog.New(slog.DiscardHandler)
 	s.settings = NewSettings(name, check, log)
 	s.servers = NewServers(name, log)
 	s.frame = New(log, append(s.servers.Components(), s.settings)...)
-	cfg := engine.Config{Name: name, Dir: dir, Join: join, Listen: ln, Tick: 10 * time.Millisecond, Elect: 20, Disk: disk.Options{NoSync: true}}
+	cfg := engine.Config{
+		Name:   name,
+		Dir:    dir,
+		Join:   join,
+		Listen: ln,
+		Tick:   10 * time.Millisecond,
+		Elect:  20,
+		Disk:   disk.Options{NoSync: true},
+	}
 	s.frame.InstallHooks(&cfg)
 	if s.engine, err = engine.Open(cfg); err != nil {
 		t.Fatal(err)
@@ -89,13 +97,18 @@
 	var wg sync.WaitGroup
 	s.frame.Attach(s.engine)
 	wg.Go(func() { s.frame.Run(ctx) })
-	s.stop = sync.OnceFunc(func() { cancel(); s.engine.Kill(); wg.Wait() })
+	s.stop = sync.OnceFunc(func() {
+		cancel()
+		_ = s.engine.Kill() // what a crash leaves is the point
+		wg.Wait()
+	})
 	s.servers.Subscribe(s.bind)
 	t.Cleanup(s.stop)
 	return s
 }
 
 func testContext(t *testing.T) context.Context {
+	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	t.Cleanup(cancel)
 	return ctx
@@ -108,7 +121,8 @@
 		dirs = append(dirs, t.TempDir())
 		all = append(all, startDaemon(t, name, dirs[i], "127.0.0.1:0", i > 0))
 		if i > 0 {
-			if _, err := all[0].engine.Do(ctx, store.Command{AddMember: &store.AddMember{Name: name, Address: all[i].addr}}); err != nil {
+			member := &store.AddMember{Name: name, Address: all[i].addr}
+			if _, err := all[0].engine.Do(ctx, store.Command{AddMember: member}); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -141,7 +155,7 @@
 	for _, s := range all {
 		s.waitUntil(t, "s1", false)
 	}
-	// Cut off from the others, one goes on adding words, and lets nothing return.
+	// Without a quorum a daemon still adds drains, and lets no server return.
 	for _, id := range []string{"s2", "s4"} {
 		all[1].servers.ReportDrain(id)
 		all[0].waitUntil(t, id, true)
@@ -151,16 +165,18 @@
 	all[0].servers.ReportDrain("s3")
 	short, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
 	defer cancel()
-	if _, err := all[0].servers.RequestReturn(short, "s4"); err == nil { // whose outcome is not known: the others may agree once they are back
-		t.Fatal("a copy alone let a server return")
+	// The outcome of this one is not known: it may be committed once the others are back.
+	if _, err := all[0].servers.RequestReturn(short, "s4"); err == nil {
+		t.Fatal("a server returned without a quorum")
 	}
 	if _, err := all[0].servers.RequestReturn(ctx, "s3"); !errors.Is(err, ErrNotReplicated) {
 		t.Fatal(err)
 	}
-	if outs := fmt.Sprint(all[0].servers.Exclusions()); !strings.Contains(outs, "s2 true") || !strings.Contains(outs, "s3 false") {
-		t.Fatal(outs)
+	exclusions := fmt.Sprint(all[0].servers.Exclusions())
+	if !strings.Contains(exclusions, "s2 true") || !strings.Contains(exclusions, "s3 false") {
+		t.Fatal(exclusions)
 	}
-	// The others come back: the word that they missed reaches them, and one that was told before is still known.
+	// The others return: they receive the drain that they missed and still know the one from before.
 	b := startDaemon(t, "b", dirs[1], all[1].addr, true)
 	c := startDaemon(t, "c", dirs[2], all[2].addr, true)
 	for _, s := range []*testDaemon{b, c} {
@@ -178,7 +194,8 @@
 			t.Fatal(v, err)
 		}
 	}
-	if _, err := all[2].settings.Put(ctx, json.RawMessage(`{"bad":1}`), ""); err == nil || !strings.Contains(err.Error(), "a: settings.x: is bad") {
+	_, err := all[2].settings.Put(ctx, json.RawMessage(`{"bad":1}`), "")
+	if err == nil || !strings.Contains(err.Error(), "a: settings.x: is bad") {
 		t.Fatal(err)
 	}
 	if v, err := all[1].settings.Rollback(ctx, 1); err != nil || v.Version != 3 {
--- a/internal/controlplane/daemon/drainlog.go
+++ b/internal/controlplane/daemon/drainlog.go
@@ -13,10 +13,11 @@
 	"birchmoor/internal/store"
 )
 
-// A daemon that is killed must not forget a drain that it acted on, even if the store did not have it yet or, at a follower,
-// the copy's file was not written yet. So the drains in effect here are logged to a small file: a line for each that begins (+)
-// or ends (-). A goroutine of its own writes it without fsync, since it has to outlive the process, not the machine. What a
-// start finds there takes effect like the uncommitted end of the log (serverstate.Guard.Uncommitted).
+// A daemon that is killed must not forget a drain that it acted on, even if the store did not have it yet or, at a
+// follower, the copy's file was not written yet. So the drains in effect here are logged to a small file: a line for
+// each that begins (+) or ends (-). A goroutine of its own writes it without fsync, since it has to outlive the
+// process, not the machine. What a start finds there takes effect like the uncommitted end of the log
+// (serverstate.Guard.Uncommitted).
 const (
 	drainLogName       = "words" // within the store's directory; earlier builds read this name
 	drainLogQueueSize  = 4096    // lines
@@ -40,8 +41,8 @@
 	failing bool
 }
 
-// OpenDrainLog logs drains to a file in dir, and puts those into effect that an earlier process logged there. It is called
-// before the store is opened. A file that cannot be read is an error and is left as it is.
+// OpenDrainLog logs drains to a file in dir, and puts those into effect that an earlier process logged there. It is
+// called before the store is opened. A file that cannot be read is an error and is left as it is.
 func (d *Drains) OpenDrainLog(dir string) error {
 	l := &drainLog{
 		path:    filepath.Join(dir, drainLogName),
@@ -68,7 +69,8 @@
 	return nil
 }
 
-// restore applies a line of an earlier process. It ignores one that is cut off, since the process was killed writing it.
+// restore applies a line of an earlier process. It ignores one that is cut off, since the process was killed writing
+// it.
 func (l *drainLog) restore(line string) {
 	key, complete := strings.CutSuffix(line[1:], "\n")
 	if _, ok := parseDrainKey(key); !complete || !ok {
@@ -82,8 +84,8 @@
 	}
 }
 
-// logDrain queues a line if it has changed whether a drain is in effect. The lock is held. It does not block: if the queue is
-// full the line is written with the next change of that drain.
+// logDrain queues a line if it has changed whether a drain is in effect. The lock is held. It does not block: if the
+// queue is full the line is written with the next change of that drain.
 func (d *Drains) logDrain(key string) {
 	l := d.drainLog
 	if l == nil {
--- a/internal/controlplane/daemon/drainlog_test.go
+++ b/internal/controlplane/daemon/drainlog_test.go
@@ -13,8 +13,8 @@
 	"birchmoor/internal/store/serverstate"
 )
 
-// A drain that one daemon heard binds after it was killed, whether or not the store had it, until the store is up to date and
-// says otherwise; then it is told. A line that the process died in, and lines that are none, are passed over.
+// A drain that a daemon observed is in effect after it was killed, whether or not the store had it, until the copy is
+// up to date; then it is reported. A line that is cut off and invalid lines are ignored.
 func TestDrainLogRestoresDrainsAfterKill(t *testing.T) {
 	dir := t.TempDir()
 	begin := func() (d *Drains, kill func()) {
@@ -27,7 +27,8 @@
 		go func() { d.drainLog.run(ctx.Done()); close(ended) }()
 		return d, func() { cancel(); <-ended }
 	}
-	one, two := discovery.Process{ID: "s 1", Addr: "127.0.0.1:1", StartedMs: 5}, discovery.Process{ID: "s2", Addr: "[::1]:2"}
+	one := discovery.Process{ID: "s 1", Addr: "127.0.0.1:1", StartedMs: 5}
+	two := discovery.Process{ID: "s2", Addr: "[::1]:2"}
 	d, kill := begin()
 	d.Observe(one, true)
 	d.Observe(two, true)
@@ -38,18 +39,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(path, append(text, []byte("nonsense\n\n+out/ban/x\n+"+drainKey(serverstate.Process(two)))...), 0o600); err != nil {
+	invalid := "nonsense\n\n+out/ban/x\n+" + drainKey(serverstate.Process(two))
+	if err := os.WriteFile(path, append(text, invalid...), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	d, kill = begin()
 	if known := fmt.Sprint(d.DrainingProcesses()); known != fmt.Sprint([]discovery.Process{one}) {
-		t.Errorf("a start knows %s", known)
+		t.Errorf("a restarted daemon knows %s", known)
 	}
 	if owed := d.guard.TakeRetries(); len(owed) != 0 {
-		t.Error("told before the store is up to date:", owed)
+		t.Error("reported before the copy is up to date:", owed)
 	}
 	d.CaughtUp()
-	if owed := d.guard.TakeRetries(); len(owed) != 1 || !strings.Contains(owed[0].Key, "s+1") || len(d.DrainingProcesses()) != 1 {
+	owed := d.guard.TakeRetries()
+	if len(owed) != 1 || !strings.Contains(owed[0].Key, "s+1") || len(d.DrainingProcesses()) != 1 {
 		t.Error("owed:", owed)
 	}
 	kill()
@@ -58,29 +61,30 @@
 	}
 	if err := os.Chmod(path, 0); err == nil && os.Getuid() != 0 {
 		if err := NewDrains("a", slog.New(slog.DiscardHandler)).OpenDrainLog(dir); err == nil {
-			t.Error("a file that cannot be read is passed over")
+			t.Error("a file that cannot be read is ignored")
 		}
 	}
 }
 
-// The file stays small however many drains come and go.
+// The file stays small however many drains begin and end.
 func TestDrainLogIsCompacted(t *testing.T) {
 	dir := t.TempDir()
 	d := NewDrains("a", slog.New(slog.DiscardHandler))
 	if err := d.OpenDrainLog(dir); err != nil {
 		t.Fatal(err)
 	}
-	j := d.drainLog
-	j.rewrite()
-	most := 0
+	l := d.drainLog
+	l.rewrite()
+	maxBytes := 0
 	for i := range 20_000 {
 		key := drainKey(serverstate.Process{ID: fmt.Sprint("s", i), Addr: "127.0.0.1:1"})
-		j.write("+" + key + "\n")
-		j.write("-" + key + "\n")
-		most = max(most, j.bytes)
+		l.write("+" + key + "\n")
+		l.write("-" + key + "\n")
+		maxBytes = max(maxBytes, l.bytes)
 	}
-	j.close()
-	if info, err := os.Stat(j.path); err != nil || info.Size() > minCompactionBytes+200 || most > minCompactionBytes+200 {
-		t.Error(most, err)
+	l.close()
+	const limit = minCompactionBytes + 200
+	if info, err := os.Stat(l.path); err != nil || info.Size() > limit || maxBytes > limit {
+		t.Error(maxBytes, err)
 	}
 }
--- a/internal/controlplane/daemon/drains.go
+++ b/internal/controlplane/daemon/drains.go
@@ -11,10 +11,11 @@
 	"birchmoor/internal/store/serverstate"
 )
 
-// Drains are reported like administrative drains, with three differences. They apply to one process, so that nobody has to
-// agree that the server serves again: after a restart it is another process. All daemons observe a drain by discovery at about
-// the same time, and one of them writes it (serverstate.ReportScheduler). And they expire: daemons that observe a drain renew
-// its report every drainRenewInterval, one write for all, and one that was not renewed for drainRetention ends.
+// Drains are reported like administrative drains, with three differences. They apply to one process, so that nobody has
+// to agree that the server serves again: after a restart it is another process. All daemons observe a drain by
+// discovery at about the same time, and one of them writes it (serverstate.ReportScheduler). And they expire: daemons
+// that observe a drain renew its report every drainRenewInterval, one write for all, and one that was not renewed for
+// drainRetention ends.
 const (
 	drainReportSpread  = 200 * time.Millisecond
 	drainRenewInterval = 4 * time.Minute
@@ -209,8 +210,8 @@
 	})
 }
 
-// propose writes a drain unless another daemon has in the meantime. A drain that was ended in the meantime is an error, after
-// which the guard owes it again.
+// propose writes a drain unless another daemon has in the meantime. A drain that was ended in the meantime is an error,
+// after which the guard owes it again.
 func (d *Drains) propose(ctx context.Context, p serverstate.Process, op store.Op) error {
 	d.mu.Lock()
 	agreed, pending := d.guard.DrainRevision(p), d.guard.Pending(op.Key)
--- a/internal/controlplane/daemon/drains_test.go
+++ b/internal/controlplane/daemon/drains_test.go
@@ -15,8 +15,8 @@
 	return s.bind(context.Background(), fmt.Sprint(p), drains)
 }
 
-// A drain that all hear is one change of the store; one that one hears binds at all, outlives every copy, and ends only
-// once nobody has told it for long. Another process of the server is not concerned.
+// A drain that all daemons observe is written once. One that a single daemon observes takes effect at all, survives
+// restarts, and ends only once it was not renewed for drainRetention. Other processes are not affected.
 func TestDrainIsWrittenOnceAndExpires(t *testing.T) {
 	all, dirs := startCluster(t)
 	ctx := testContext(t)
@@ -32,56 +32,59 @@
 		}
 		return i.Version
 	}
-	one, two := discovery.Process{ID: "s/1 ä@", Addr: "127.0.0.1:1", StartedMs: 5}, discovery.Process{ID: "s2", Addr: "[::1]:2"}
+	one := discovery.Process{ID: "s/1 ä@", Addr: "127.0.0.1:1", StartedMs: 5}
+	two := discovery.Process{ID: "s2", Addr: "[::1]:2"}
 	for _, s := range all {
 		s.servers.Observe(one, true)
 	}
 	for _, s := range all {
 		s.waitUntil(t, fmt.Sprint(one), true)
 	}
-	time.Sleep(2 * drainReportSpread) // all have had their turn by then
+	time.Sleep(2 * drainReportSpread) // all were scheduled by then
 	if n := changes(one); n != 1 {
-		t.Errorf("three that heard it made %d changes", n)
+		t.Errorf("three daemons that observed it made %d changes", n)
 	}
 	all[2].servers.Observe(two, true)
 	all[0].waitUntil(t, fmt.Sprint(two), true)
 	all[1].waitUntil(t, fmt.Sprint(two), true)
-	// The one that heard it is gone, and so is another; that one knows it before it hears anything.
+	// The daemon that observed it is gone, and another restarts: it knows the drain before it receives anything.
 	all[2].stop()
 	all[1].stop()
 	b := startDaemon(t, "b", dirs[1], all[1].addr, true)
 	if known := fmt.Sprint(b.servers.DrainingProcesses()); known != fmt.Sprint([]discovery.Process{one, two}) {
-		t.Errorf("a start knows %s", known)
+		t.Errorf("a restarted daemon knows %s", known)
 	}
 	b.servers.OnDrain(b.bindDrain)
 	b.waitUntil(t, fmt.Sprint(two), true)
-	// Long after, who hears it tells it again, and what nobody hears is over, with the word of the quorum.
+	// Long after, a daemon that still observes a drain renews it, and one that none observes ends.
 	later := time.Now().Add(drainRetention + time.Minute)
-	for all[0].servers.isDraining(two) { // what b found in its log without knowing that it was agreed on it tells again, once
-		all[0].frame.sweep(ctx, later)
+	// Daemon b reports once more what it found uncommitted at the end of its log.
+	for all[0].servers.isDraining(two) {
+		_ = all[0].frame.sweep(ctx, later) // tried again
 	}
 	for _, s := range []*testDaemon{all[0], b} {
 		s.waitUntil(t, fmt.Sprint(two), false)
 		s.waitUntil(t, fmt.Sprint(one), true)
 	}
-	for changes(one) < 2 { // until it is told again
+	for changes(one) < 2 { // until it is renewed
 	}
 	all[0].servers.Observe(one, false)
-	all[0].frame.sweep(ctx, time.Now().Add(drainRetention/2))
+	if err := all[0].frame.sweep(ctx, time.Now().Add(drainRetention/2)); err != nil {
+		t.Fatal(err)
+	}
 	if changes(one) == 0 {
-		t.Error("a drain ended while it may matter")
+		t.Error("a drain ended before its retention")
 	}
 	for all[0].servers.isDraining(one) {
-		all[0].frame.sweep(ctx, later)
+		_ = all[0].frame.sweep(ctx, later) // tried again
 	}
 	b.waitUntil(t, fmt.Sprint(one), false)
 	if known := b.servers.DrainingProcesses(); len(known) != 0 {
-		t.Errorf("still known: %v", known)
+		t.Errorf("still draining: %v", known)
 	}
 }
 
-// A copy that is cut off takes what it hears into the cluster once it is back, and what ended meanwhile without it does not
-// undo what it heard after.
+// A drain that a daemon observes without a quorum is replicated once there is one.
 func TestDrainObservedDuringPartitionIsReplicated(t *testing.T) {
 	all, dirs := startCluster(t)
 	for _, s := range all {
--- a/internal/controlplane/daemon/exclusions.go
+++ b/internal/controlplane/daemon/exclusions.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// Subscription implements Subscriber. It covers all servers: one that is not on the endpoint list yet may appear there at
-// any time, and must not be sent requests until the copy knows of its drain.
+// Subscription implements Subscriber. It covers all servers: one that is not on the endpoint list yet may appear there
+// at any time, and must not be sent requests until the copy knows of its drain.
 func (r *exclusionReports[T]) Subscription() changefeed.Subscription {
 	return subscribeTo(serverstate.ExclusionPrefix)
 }
@@ -108,7 +108,8 @@
 	r.wakeUp()
 }
 
-// bindDirty applies to the sidecar what has changed. Until one subscribes servers stay dirty, and so do those that fail.
+// bindDirty applies to the sidecar what has changed. Until one subscribes servers stay dirty, and so do those that
+// fail.
 func (r *exclusionReports[T]) bindDirty(ctx context.Context) {
 	type change struct {
 		server   T
@@ -148,8 +149,8 @@
 	return all
 }
 
-// arrivalTimes are the instants, in nanoseconds of a component's clock, at which this copy showed the latest change of a
-// key.
+// arrivalTimes are the instants, in nanoseconds of a component's clock, at which this copy showed the latest change of
+// a key.
 type arrivalTimes map[string]int64
 
 func (a arrivalTimes) applyEvent(now int64, e store.Event) {
--- a/internal/controlplane/daemon/outbox.go
+++ b/internal/controlplane/daemon/outbox.go
@@ -13,8 +13,8 @@
 // maxPendingWrites bounds the queue of one component. Its owner keeps what did not fit and queues it again later.
 const maxPendingWrites = 1024
 
-// outbox is the common part of components that write reports to the store: a lock, a monotonic clock, a queue of pending
-// writes, and a wake-up signal. It implements Component except for Event, Reset and Run.
+// outbox is the common part of components that write reports to the store: a lock, a monotonic clock, a queue of
+// pending writes, and a wake-up signal. It implements Component except for Event, Reset and Run.
 type outbox struct {
 	name  string // of this daemon
 	log   *slog.Logger
@@ -64,7 +64,8 @@
 	}
 }
 
-// run writes what is pending until ctx ends. It calls work after each wake-up and, after enqueueOwed, every retryInterval.
+// run writes what is pending until ctx ends. It calls work after each wake-up and, after enqueueOwed, every
+// retryInterval.
 func (o *outbox) run(ctx context.Context, enqueueOwed func(), work func(context.Context)) {
 	var writer sync.WaitGroup
 	defer writer.Wait()
--- a/internal/controlplane/daemon/rollout.go
+++ b/internal/controlplane/daemon/rollout.go
@@ -12,9 +12,9 @@
 	"birchmoor/internal/store"
 )
 
-// Settings may take effect by a rollout, in steps. The plan and its settings are keys of the store, by which each daemon finds
-// whether it runs the new settings; it then reports how its clients are answered. One daemon drives the plan: the lease
-// holder of RolloutTask, see rolloutdriver.go.
+// Settings may take effect by a rollout, in steps. The plan and its settings are keys of the store, by which each
+// daemon finds whether it runs the new settings; it then reports how its clients are answered. One daemon drives the
+// plan: the lease holder of RolloutTask, see rolloutdriver.go.
 const (
 	// RolloutTask is the task of driving a plan.
 	RolloutTask = "rollout"
@@ -97,8 +97,8 @@
 	s.rollout.answers = counter
 }
 
-// applyPlanItem applies a change of the plan or its settings, and notifies the sidecar if other settings are in effect now.
-// The lock is held.
+// applyPlanItem applies a change of the plan or its settings, and notifies the sidecar if other settings are in effect
+// now. The lock is held.
 func (s *Settings) applyPlanItem(i store.Item, deleted bool) {
 	selectedBefore := s.rollout.plan.RunsOn(s.name)
 	switch i.Key {
@@ -192,10 +192,10 @@
 	return s.rollout.planRevision
 }
 
-// StartRollout has settings checked by every replica, and starts a rollout of them. Each step settles for a time before it is
-// judged. ErrRolloutRunning says that another rollout is running.
-func (s *Settings) StartRollout(ctx context.Context, settings json.RawMessage, steps []rollout.Step, settle time.Duration,
-	note string) (rollout.Plan, error) {
+// StartRollout has settings checked by every replica, and starts a rollout of them. Each step settles for a time before
+// it is judged. ErrRolloutRunning says that another rollout is running.
+func (s *Settings) StartRollout(ctx context.Context, settings json.RawMessage, steps []rollout.Step,
+	settle time.Duration, note string) (rollout.Plan, error) {
 	plan := rollout.Plan{
 		State:        rollout.Running,
 		Steps:        steps,
@@ -264,8 +264,8 @@
 	return plan, revision, errors.Join(err, planErr)
 }
 
-// CancelRollout ends the running rollout, so that all daemons run the settings from before it. ErrNoRollout says that none is
-// running.
+// CancelRollout ends the running rollout, so that all daemons run the settings from before it. ErrNoRollout says that
+// none is running.
 func (s *Settings) CancelRollout(ctx context.Context, by string) error {
 	plan, revision, err := s.Plan(ctx)
 	if err != nil {
--- a/internal/controlplane/daemon/rolloutdriver.go
+++ b/internal/controlplane/daemon/rolloutdriver.go
@@ -15,8 +15,9 @@
 	"birchmoor/internal/store"
 )
 
-// The driver of a rollout makes every change of the plan on condition that it still holds RolloutTask and that the plan is the
-// one it judged. If it is lost, the next holder continues with the plan as it is, and lets the step settle again.
+// The driver of a rollout makes every change of the plan on condition that it still holds RolloutTask and that the plan
+// is the one it judged. If it is lost, the next holder continues with the plan as it is, and lets the step settle
+// again.
 
 // txnFunc makes a transaction.
 type txnFunc func(context.Context, store.Txn) (store.Result, error)
@@ -32,8 +33,8 @@
 	current      store.Item
 }
 
-// readRollout reads everything of the running plan. Of one that has ended it reads only the plan, since a follower's copy
-// holds the rest only while it reads it.
+// readRollout reads everything of the running plan. Of one that has ended it reads only the plan, since a follower's
+// copy holds the rest only while it reads it.
 func (s *Settings) readRollout(ctx context.Context) (rolloutView, error) {
 	var view rolloutView
 	var decodeErr error
@@ -84,7 +85,8 @@
 }
 
 // AdvanceRollout judges the current step of the running plan and, if it is time, goes on to the next step or takes the
-// settings back. do makes a transaction that takes effect only while this daemon holds RolloutTask with the fencing token.
+// settings back. do makes a transaction that takes effect only while this daemon holds RolloutTask with the fencing
+// token.
 func (s *Settings) AdvanceRollout(ctx context.Context, token uint64,
 	do func(context.Context, store.Txn) (store.Result, error)) error {
 	view, err := s.readRollout(ctx)
@@ -135,15 +137,17 @@
 		return err
 	}
 	unlessChanged := store.Compare{Key: keyCurrent, ModRevision: view.current.ModRevision}
-	return s.replacePlan(ctx, plan, view.planRevision, ops, func(ctx context.Context, txn store.Txn) (store.Result, error) {
+	doUnlessChanged := func(ctx context.Context, txn store.Txn) (store.Result, error) {
 		txn.If = append(txn.If, unlessChanged)
 		return do(ctx, txn)
-	})
+	}
+	return s.replacePlan(ctx, plan, view.planRevision, ops, doUnlessChanged)
 }
 
-// replacePlan writes a plan in place of the one with a revision, together with other operations. ErrPlanChanged says that the
-// plan is not of that revision any more.
-func (s *Settings) replacePlan(ctx context.Context, plan *rollout.Plan, revision uint64, more []store.Op, do txnFunc) error {
+// replacePlan writes a plan in place of the one with a revision, together with other operations. ErrPlanChanged says
+// that the plan is not of that revision any more.
+func (s *Settings) replacePlan(ctx context.Context, plan *rollout.Plan, revision uint64, more []store.Op,
+	do txnFunc) error {
 	value, err := json.Marshal(plan)
 	if err != nil {
 		return fmt.Errorf("encode a plan: %w", err)
--- a/internal/controlplane/daemon/serverfacts.go
+++ b/internal/controlplane/daemon/serverfacts.go
@@ -33,10 +33,10 @@
 	Kind        string `json:"what"`                 // "drains", "banned", "began", "cold" or "known"
 	By          string `json:"by"`                   // a daemon; of "cold" and "known" the one with the latest snapshot
 	Sidecars    int    `json:"sidecars,omitempty"`   // with a snapshot that says so, of "cold" and "known"
-	AgeMs       int64  `json:"age_ms"`               // since the store's latest report arrived here; -1: before this daemon's start
+	AgeMs       int64  `json:"age_ms"`               // since the report arrived here; -1: before this daemon's start
 	RemainingMs int64  `json:"left_ms,omitempty"`    // for which it still matters
 	Committed   bool   `json:"agreed"`               // the store has it; if not, it is this daemon's report alone
-	Partial     bool   `json:"alone,omitempty"`      // from the snapshots that this daemon's copy holds, which are not all
+	Partial     bool   `json:"alone,omitempty"`      // this daemon's copy holds only some of the snapshots
 }
 
 func exclusionFact(e serverstate.Exclusion) ServerFact {
@@ -77,7 +77,8 @@
 }
 
 // readAll reads the snapshots of a replica. It takes the ages from those that this copy holds.
-func (s *StateSnapshots) readAll(ctx context.Context, held map[string]storedSnapshot) (map[string]storedSnapshot, error) {
+func (s *StateSnapshots) readAll(ctx context.Context, held map[string]storedSnapshot) (
+	map[string]storedSnapshot, error) {
 	readCtx, cancel := context.WithTimeout(ctx, snapshotsReadTimeout)
 	defer cancel()
 	all := map[string]storedSnapshot{}
@@ -90,7 +91,7 @@
 	return all, err
 }
 
-// factCounts are facts of which several snapshots may tell.
+// factCounts are facts of that several snapshots may report.
 type factCounts map[factKey]*ServerFact
 
 type factKey struct {
@@ -111,8 +112,16 @@
 		}
 		fact := c[key]
 		if fact == nil {
-			fact = &ServerFact{ID: key.id, Addr: key.addr, StartedMs: key.startedMs, Kind: key.kind, By: savedBy, AgeMs: ageMs,
-				Committed: true, Partial: partial}
+			fact = &ServerFact{
+				ID:        key.id,
+				Addr:      key.addr,
+				StartedMs: key.startedMs,
+				Kind:      key.kind,
+				By:        savedBy,
+				AgeMs:     ageMs,
+				Committed: true,
+				Partial:   partial,
+			}
 			c[key] = fact
 		}
 		fact.Sidecars++
--- a/internal/controlplane/daemon/servers.go
+++ b/internal/controlplane/daemon/servers.go
@@ -11,8 +11,8 @@
 	"birchmoor/internal/store/serverstate"
 )
 
-// Servers combines the components that report on servers, for a sidecar (sidecar.Fleet, maintenance.FleetOverrides) and for
-// operators.
+// Servers combines the components that report on servers, for a sidecar (sidecar.Fleet, maintenance.FleetOverrides) and
+// for operators.
 type Servers struct {
 	*AdminDrains
 	*Drains
@@ -50,8 +50,8 @@
 	return all
 }
 
-// List lists everything that is known of servers here. Where the copy does not hold all snapshots, those of a replica are
-// read, unless ctx is nil.
+// List lists everything that is known of servers here. Where the copy does not hold all snapshots, those of a replica
+// are read, unless ctx is nil.
 func (s *Servers) List(ctx context.Context) []ServerFact {
 	var all []ServerFact
 	for _, e := range s.Exclusions() {
@@ -88,17 +88,17 @@
 	Age       time.Duration `json:"age_ns"`
 }
 
-// RecordStartup notes what this daemon started with, and whether that includes settings. written is when its disk was last
-// written, zero if there was none.
+// RecordStartup notes what this daemon started with, and whether that includes settings. written is when its disk was
+// last written, zero if there was none.
 func (s *Servers) RecordStartup(from string, revision uint64, written time.Time, settings bool) {
 	state := StartupState{
 		From:       from,
 		Revision:   revision,
 		Exclusions: len(s.Exclusions()),
-		Starts:     s.Starts.count(),
+		Starts:     s.count(),
 		Settings:   settings,
 	}
-	state.Snapshots, _ = s.StateSnapshots.size()
+	state.Snapshots, _ = s.size()
 	if !written.IsZero() {
 		state.Age = time.Since(written).Round(time.Millisecond).String()
 	}
@@ -131,7 +131,7 @@
 func (s *Servers) Counts() Counts {
 	counts := Counts{
 		Exclusions:    len(s.Exclusions()),
-		Starts:        s.Starts.count(),
+		Starts:        s.count(),
 		PendingWrites: len(s.AdminDrains.pending) + len(s.Drains.pending) + len(s.Starts.pending),
 	}
 	counts.Snapshots, counts.SnapshotBytes = s.size()
--- a/internal/controlplane/daemon/settings.go
+++ b/internal/controlplane/daemon/settings.go
@@ -34,9 +34,9 @@
 // SettingsCheck returns what is wrong with settings for the sidecar of this daemon.
 type SettingsCheck func(settings json.RawMessage) error
 
-// Settings are the settings of the data path that the store holds for all daemons. Every replica checks them before they are
-// committed; they are kept by version, and the sidecar is notified of a change the way SIGHUP does. It is a Component, and
-// safe for concurrent use.
+// Settings are the settings of the data path that the store holds for all daemons. Every replica checks them before
+// they are committed; they are kept by version, and the sidecar is notified of a change the way SIGHUP does. It is a
+// Component, and safe for concurrent use.
 type Settings struct {
 	name   string
 	log    *slog.Logger
@@ -79,7 +79,8 @@
 // Reload receives a signal when Current has changed.
 func (s *Settings) Reload() chan os.Signal { return s.reload }
 
-// Current returns the settings in effect at this daemon, which are those of a rollout if it selected this daemon, or nil.
+// Current returns the settings in effect at this daemon, which are those of a rollout if it selected this daemon, or
+// nil.
 func (s *Settings) Current() json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,8 +93,8 @@
 // Attach implements Component.
 func (s *Settings) Attach(copied Store) { s.store = copied }
 
-// Subscription implements Subscriber: the settings in effect and those of a rollout. Candidates are checked by replicas;
-// older versions and the reports of others are read on demand.
+// Subscription implements Subscriber: the settings in effect and those of a rollout. Candidates are checked by
+// replicas; older versions and the reports of others are read on demand.
 func (s *Settings) Subscription() changefeed.Subscription {
 	kept := store.Interest{Keys: []string{keyCurrent, keyPlan, keyPlanSettings}}
 	interest := kept.Union(store.Interest{Keys: []string{ReportKey(s.name)}})
--- a/internal/controlplane/daemon/snapshots.go
+++ b/internal/controlplane/daemon/snapshots.go
@@ -16,13 +16,13 @@
 	"birchmoor/internal/store/serverstate"
 )
 
-// The state of the decision modules is kept in the store, so that a new host, or one that lost its disk, does not start from
-// nothing. Each sidecar saves its own snapshot, as often as the bytes of all allow (serverstate.SnapshotInterval). One that was
-// not saved again for snapshotRetention is ended by any daemon.
+// The state of the decision modules is kept in the store, so that a new host, or one that lost its disk, does not start
+// from nothing. Each sidecar saves its own snapshot, as often as the bytes of all allow (serverstate.SnapshotInterval).
+// One that was not saved again for snapshotRetention is ended by any daemon.
 const snapshotRetention = 10 * time.Minute
 
-// StateSnapshots are the snapshots of all sidecars' decision modules that the store holds. It is a Component, and safe for
-// concurrent use.
+// StateSnapshots are the snapshots of all sidecars' decision modules that the store holds. It is a Component, and safe
+// for concurrent use.
 type StateSnapshots struct {
 	outbox
 	schedule    *serverstate.ReportScheduler // used for expiry alone
@@ -69,8 +69,8 @@
 	updateInterest(copied)
 }
 
-// Subscription implements Subscriber. Besides its own snapshots, a daemon needs those of others while a sidecar starts without
-// one of its own, and while it sweeps.
+// Subscription implements Subscriber. Besides its own snapshots, a daemon needs those of others while a sidecar starts
+// without one of its own, and while it sweeps.
 func (s *StateSnapshots) Subscription() changefeed.Subscription {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -293,8 +293,8 @@
 	s.snapshots[key] = stored
 }
 
-// SaveSnapshots saves the snapshots of a sidecar's protocol, which take returns, until ctx ends. While paused returns true,
-// another process saves them.
+// SaveSnapshots saves the snapshots of a sidecar's protocol, which take returns, until ctx ends. While paused returns
+// true, another process saves them.
 func (s *StateSnapshots) SaveSnapshots(ctx context.Context, sidecar, protocol string,
 	take func(context.Context) ([]byte, error), paused func() bool) {
 	key := serverstate.SnapshotKey(sidecar, protocol)
--- a/internal/controlplane/daemon/starts.go
+++ b/internal/controlplane/daemon/starts.go
@@ -12,16 +12,16 @@
 	"birchmoor/internal/store/serverstate"
 )
 
-// The start of a server's process is reported like a drain: all daemons observe it and one writes it. It is never renewed,
-// since the report says until when it matters; after that any daemon ends it. Nothing is written until all voters know level 2
-// of commands.
+// The start of a server's process is reported like a drain: all daemons observe it and one writes it. It is never
+// renewed, since the report says until when it matters; after that any daemon ends it. Nothing is written until all
+// voters know level 2 of commands.
 const (
 	startReportSpread = 200 * time.Millisecond
 	noExpiry          = 1 << 62 // nanoseconds: reports end by their own time
 )
 
-// Starts are the processes of servers that started a short while ago, as reported by any daemon. It is a Component, and safe
-// for concurrent use.
+// Starts are the processes of servers that started a short while ago, as reported by any daemon. It is a Component, and
+// safe for concurrent use.
 type Starts struct {
 	outbox
 	reports  *serverstate.Starts
@@ -54,8 +54,8 @@
 	})
 }
 
-// ReportStart takes a start that this daemon's sidecar observed, its age, and how long the process is warming up in all. It
-// does not block.
+// ReportStart takes a start that this daemon's sidecar observed, its age, and how long the process is warming up in
+// all. It does not block.
 func (s *Starts) ReportStart(p discovery.Process, age, warmUp time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,8 +104,8 @@
 	s.schedule.Committed(now, e.Item.Key, e.Revision, e.Deleted)
 }
 
-// Reset implements Component. The age of the copy's reports is not known. Each counts as new, so that a process is taken to
-// be warming up for too long rather than not long enough.
+// Reset implements Component. The age of the copy's reports is not known. Each counts as new, so that a process is
+// taken to be warming up for too long rather than not long enough.
 func (s *Starts) Reset(state *store.State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controlplane/daemon/starts_test.go
+++ b/internal/controlplane/daemon/starts_test.go
@@ -26,8 +26,8 @@
 	return i.Version
 }
 
-// What all see begin is one change of the store; what one sees counts at the others, also at a start; and it ends by its own
-// word, whoever is left.
+// A start that all daemons observe is written once. One that a single daemon observes takes effect at the others, also
+// after a restart, and ends at the time that its report says, whichever daemons are left.
 func TestStartIsWrittenOnceAndExpires(t *testing.T) {
 	all, dirs := startCluster(t)
 	for _, s := range all {
@@ -35,7 +35,8 @@
 			return s.bind(ctx, fmt.Sprint("began ", x.Process.ID), true)
 		})
 	}
-	seen, one := discovery.Process{ID: "all", Addr: "127.0.0.1:1"}, discovery.Process{ID: "one", Addr: "127.0.0.1:2", StartedMs: 7}
+	seen := discovery.Process{ID: "all", Addr: "127.0.0.1:1"}
+	one := discovery.Process{ID: "one", Addr: "127.0.0.1:2", StartedMs: 7}
 	for _, s := range all {
 		s.servers.ReportStart(seen, 0, time.Hour)
 	}
@@ -43,12 +44,12 @@
 	for _, s := range all[1:] {
 		s.waitUntil(t, "began one", true)
 	}
-	time.Sleep(2 * startReportSpread) // all have had their turn by then
+	time.Sleep(2 * startReportSpread) // all were scheduled by then
 	if n := all[0].version(t, serverstate.StartKey(serverstate.Process(seen))); n != 1 {
-		t.Errorf("three that saw it made %d changes", n)
+		t.Errorf("three daemons that observed it made %d changes", n)
 	}
 	if all[0].bound["began all"] || all[0].bound["began one"] {
-		t.Error("a daemon is told of what it saw itself")
+		t.Error("a daemon is notified of a start that it observed itself")
 	}
 	all[1].stop()
 	b := startDaemon(t, "b", dirs[1], all[1].addr, true)
@@ -59,17 +60,18 @@
 			ago = x.Ago
 		}
 	}
-	if ago < time.Second || ago > time.Minute { // it counts as when it was written: colder than it is, not warmer
-		t.Errorf("a start knows that it began %v ago", ago)
+	// Its age counts from when the report was written, so that it warms up for too long rather than too short.
+	if ago < time.Second || ago > time.Minute {
+		t.Errorf("a restarted daemon knows that it started %v ago", ago)
 	}
 	later := time.Now().Add(time.Hour + time.Minute)
 	for all[2].version(t, serverstate.StartKey(serverstate.Process(one))) > 0 {
-		b.frame.sweep(testContext(t), later)
+		_ = b.frame.sweep(testContext(t), later) // tried again
 	}
 }
 
-// What a module knows is kept for others; a copy that was away does not know how old it is, and another host's clock, an hour
-// ahead, does not make it new.
+// A decision module's snapshot is stored for others. A copy that was away does not know its age, and the clock of
+// another host, an hour ahead, does not make it new.
 func TestSnapshotAgeIsNotTakenFromAnotherHostsClock(t *testing.T) {
 	all, dirs := startCluster(t)
 	c := sidecartest.Configure(t, "127.0.0.1:1", nil)
@@ -82,7 +84,7 @@
 		return snapshot.Encode(&snapshot.Saved{Sidecar: "other", Clock: ahead, State: m.Snapshot(1e9, false)})
 	}
 	key := serverstate.SnapshotKey("other", "")
-	for err = store.ErrLevel; errors.Is(err, store.ErrLevel); { // until all know the commands that it takes
+	for err = store.ErrLevel; errors.Is(err, store.ErrLevel); { // until all replicas know the commands that it needs
 		err = all[0].servers.save(testContext(t), key, take)
 	}
 	if err != nil {
@@ -92,7 +94,8 @@
 		t.Fatal("it is not in the store")
 	}
 	got := all[1].servers.RestoreCandidates("me", "")
-	for ; len(got) == 1 && !got[0].SameClock; got = all[1].servers.RestoreCandidates("me", "") { // it came before a quorum had confirmed the copy
+	// Until then it arrived before a quorum had confirmed the copy.
+	for ; len(got) == 1 && !got[0].SameClock; got = all[1].servers.RestoreCandidates("me", "") {
 		if err := all[0].servers.save(testContext(t), key, take); err != nil {
 			t.Fatal(err)
 		}
@@ -108,22 +111,22 @@
 	}
 	all[1].stop()
 	b := startDaemon(t, "b", dirs[1], all[1].addr, true)
-	b.version(t, key) // its copy is up to date: it has shown the picture, which was put long before
+	b.version(t, key) // its copy is up to date and shows the snapshot from before
 	got = b.servers.RestoreCandidates("me", "")
 	if len(got) != 1 || got[0].SameClock {
 		t.Fatalf("%+v", got)
 	}
 	if x := recovery.Choose("me", got); x.Snapshot != nil {
-		t.Error("the age of a picture is believed by another host's clock")
+		t.Error("the age of a snapshot was taken from another host's clock")
 	}
-	b.servers.ReportSnapshotAge(key, 4*time.Second) // a replica that saw it come tells
+	b.servers.ReportSnapshotAge(key, 4*time.Second) // from a replica that saw it arrive
 	if got = b.servers.RestoreCandidates("me", ""); !got[0].SameClock || got[0].Age < 4e6 {
 		t.Errorf("%+v", got)
 	}
-	for later := time.Now().Add(snapshotRetention + time.Minute); b.version(t, key) > 0; { // nobody puts it any more
-		b.frame.sweep(testContext(t), later)
+	for later := time.Now().Add(snapshotRetention + time.Minute); b.version(t, key) > 0; { // it is not saved any more
+		_ = b.frame.sweep(testContext(t), later) // tried again
 	}
 	if len(b.servers.RestoreCandidates("me", "")) != 0 {
-		t.Error("it is still held")
+		t.Error("it is still there")
 	}
 }
--- a/internal/controlplane/daemon/stored_test.go
+++ b/internal/controlplane/daemon/stored_test.go
@@ -71,7 +71,8 @@
 			if json.Valid(op.Value) {
 				value = clockTime.ReplaceAllString(string(op.Value), `"at":"-"`)
 			}
-			fmt.Fprintf(&r.text, "  then %s end=%q delete=%v lease=%d %s\n", op.Key, op.RangeEnd, op.Delete, op.LeaseID, value)
+			fmt.Fprintf(&r.text, "  then %s end=%q delete=%v lease=%d %s\n",
+				op.Key, op.RangeEnd, op.Delete, op.LeaseID, value)
 		}
 		for _, b := range c.Txn.KeyLimits {
 			fmt.Fprintf(&r.text, "  bound %s %d\n", b.Prefix, b.MaxKeys)
@@ -113,7 +114,8 @@
 	_, err = x.Rollback(ctx, 1)
 	must(err)
 	r.text.WriteString("rollout\n")
-	_, err = x.StartRollout(ctx, json.RawMessage(`{"x":3}`), []rollout.Step{{Count: 1}, {Fraction: 1}}, time.Second, "in steps")
+	steps := []rollout.Step{{Count: 1}, {Fraction: 1}}
+	_, err = x.StartRollout(ctx, json.RawMessage(`{"x":3}`), steps, time.Second, "in steps")
 	must(err)
 	do := func(ctx context.Context, txn store.Txn) (store.Result, error) {
 		return r.Do(ctx, store.Command{Txn: &txn})
--- a/internal/controlplane/daemon/subscription_test.go
+++ b/internal/controlplane/daemon/subscription_test.go
@@ -6,11 +6,12 @@
 	"testing"
 
 	"birchmoor/internal/store"
+	"birchmoor/internal/store/changefeed"
 	"birchmoor/internal/store/follower"
 	"birchmoor/internal/store/serverstate"
 )
 
-// partialCopy is a store whose copy is told what it is to hold.
+// partialCopy counts how often it was notified of a changed subscription.
 type partialCopy struct {
 	Store
 	updates int
@@ -20,8 +21,8 @@
 
 var _ InterestUpdater = (*follower.Follower)(nil)
 
-// Others' pictures are held by a sidecar that begins and has none of its own, until it serves, and by who ends them for all;
-// the pace of pictures goes by the bytes of all, also of those that are not held.
+// The copy holds others' snapshots for a sidecar that starts without one of its own, until it serves, and for a daemon
+// that sweeps. The interval of snapshots depends on the bytes of all, also of those that the copy does not hold.
 func TestSubscriptionToSnapshots(t *testing.T) {
 	with := func(keys ...string) *store.State {
 		s := store.New(1, store.DefaultLimits)
@@ -31,57 +32,88 @@
 		return s
 	}
 	own, others := serverstate.SnapshotKey("me", ""), serverstate.SnapshotKey("you", "")
-	k, c := NewStateSnapshots("h", slog.New(slog.DiscardHandler)), &partialCopy{}
-	all := func() bool { return k.Subscription().Interest.Covers(others) }
-	k.Attach(c)
-	if k.Reset(with(others)); all() || k.Subscription().Interest.Covers(own) || len(k.Subscription().SizePrefixes) != 0 {
-		t.Errorf("without a sidecar: %+v", k.Subscription())
+	quiet := slog.New(slog.DiscardHandler)
+	snapshots, copied := NewStateSnapshots("h", quiet), &partialCopy{}
+	subscription := func() changefeed.Subscription { return snapshots.Subscription() }
+	coversOthers := func() bool { return subscription().Interest.Covers(others) }
+
+	snapshots.Attach(copied)
+	snapshots.Reset(with(others))
+	if coversOthers() || subscription().Interest.Covers(own) || len(subscription().SizePrefixes) != 0 {
+		t.Errorf("without a sidecar: %+v", subscription())
 	}
-	k = NewStateSnapshots("h", slog.New(slog.DiscardHandler))
-	k.Attach(c)
-	if k.AddSidecar("me"); c.updates != 1 || all() || !k.Subscription().Interest.Covers(own) {
-		t.Errorf("before the first copy: %+v", k.Subscription())
+
+	snapshots = NewStateSnapshots("h", quiet)
+	snapshots.Attach(copied)
+	snapshots.AddSidecar("me")
+	if copied.updates != 1 || coversOthers() || !subscription().Interest.Covers(own) {
+		t.Errorf("before the first copy: %+v", subscription())
 	}
-	if k.Reset(with(others).Subset(*k.Subscription().Interest)); !all() || !k.Subscription().Retained.Covers(others) {
-		t.Errorf("with none of its own: %+v", k.Subscription())
+
+	snapshots.Reset(with(others).Subset(*subscription().Interest))
+	if !coversOthers() || !subscription().Retained.Covers(others) {
+		t.Errorf("with none of its own: %+v", subscription())
 	}
-	if k.Reset(with(others, own).Subset(store.Interest{Prefixes: []string{serverstate.SnapshotPrefixOf("me")}})); all() || k.Subscription().Retained.Covers(others) {
-		t.Errorf("with its own: %+v", k.Subscription())
+
+	ownInterest := store.Interest{Prefixes: []string{serverstate.SnapshotPrefixOf("me")}}
+	snapshots.Reset(with(others, own).Subset(ownInterest))
+	if coversOthers() || subscription().Retained.Covers(others) {
+		t.Errorf("with its own: %+v", subscription())
 	}
-	k.Reset(with(others).Subset(*k.Subscription().Interest))
+
+	snapshots.Reset(with(others).Subset(*subscription().Interest))
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if k.SaveSnapshots(ctx, "me", "", nil, func() bool { return true }); all() {
-		t.Errorf("once it serves: %+v", k.Subscription())
+	snapshots.SaveSnapshots(ctx, "me", "", nil, func() bool { return true })
+	if coversOthers() {
+		t.Errorf("once it serves: %+v", subscription())
 	}
+
 	ctx, cancel = context.WithCancel(t.Context())
-	if k.SubscribeAll(ctx); !all() || k.Subscription().Retained.Covers(others) {
-		t.Errorf("while it ends what nobody tells: %+v", k.Subscription())
+	snapshots.SubscribeAll(ctx)
+	if !coversOthers() || subscription().Retained.Covers(others) {
+		t.Errorf("while it sweeps: %+v", subscription())
 	}
 	cancel()
-	for all() { // the context's end is told beside it
+	for coversOthers() { // the end of the context is noted by another goroutine
 	}
-	if k.ObservePrefixSize(serverstate.SnapshotPrefix, store.PrefixSize{Keys: 1200, Bytes: 18 << 20}); k.storedSize.Bytes != 18<<20 {
+
+	snapshots.ObservePrefixSize(serverstate.SnapshotPrefix, store.PrefixSize{Keys: 1200, Bytes: 18 << 20})
+	if snapshots.storedSize.Bytes != 18<<20 {
 		t.Error("the bytes of all are not known")
 	}
-	if k.Reset(with(others, own)); k.storedSize.Bytes != 0 {
-		t.Error("a copy that holds all counts for itself")
+	snapshots.Reset(with(others, own))
+	if snapshots.storedSize.Bytes != 0 {
+		t.Error("the size of a complete copy comes from elsewhere")
 	}
 }
 
-// A daemon needs what its parts do, and all if one of them does not say.
+// A daemon needs what its components need, and all keys if one of them is no Subscriber.
 func TestSubscriptionJoinsComponents(t *testing.T) {
 	quiet := slog.New(slog.DiscardHandler)
-	parts := append(NewServers("h", quiet).Components(), NewSettings("h", nil, quiet))
-	n := New(quiet, parts...).Subscription()
-	for key, held := range map[string]bool{"out/drain/x": true, "out/ban/x": true, "start/x": true, keyCurrent: true, keyPlan: true, ReportKey("h"): true,
-		ReportKey("g"): false, keyCandidate: false, historyKey(1): false, serverstate.SnapshotKey("x", ""): false, "anything": false} {
-		if n.Interest.Covers(key) != held || n.Retained.Covers(key) != (held && key != ReportKey("h")) {
-			t.Errorf("%s: held %v, kept %v", key, n.Interest.Covers(key), n.Retained.Covers(key))
+	components := append(NewServers("h", quiet).Components(), NewSettings("h", nil, quiet))
+	joined := New(quiet, components...).Subscription()
+	for key, want := range map[string]bool{
+		"out/drain/x":                    true,
+		"out/ban/x":                      true,
+		"start/x":                        true,
+		keyCurrent:                       true,
+		keyPlan:                          true,
+		ReportKey("h"):                   true,
+		ReportKey("g"):                   false,
+		keyCandidate:                     false,
+		historyKey(1):                    false,
+		serverstate.SnapshotKey("x", ""): false,
+		"anything":                       false,
+	} {
+		wantKept := want && key != ReportKey("h")
+		if joined.Interest.Covers(key) != want || joined.Retained.Covers(key) != wantKept {
+			t.Errorf("%s: covered %v, kept %v", key, joined.Interest.Covers(key), joined.Retained.Covers(key))
 		}
 	}
-	if n := New(quiet, append(parts, unsubscribed{})...).Subscription(); n.Interest != nil {
-		t.Errorf("with a part that does not say: %+v", n.Interest)
+	joined = New(quiet, append(components, unsubscribed{})...).Subscription()
+	if joined.Interest != nil {
+		t.Errorf("with a component that is no Subscriber: %+v", joined.Interest)
 	}
 }
 
--- a/internal/controlplane/daemon/versions.go
+++ b/internal/controlplane/daemon/versions.go
@@ -81,7 +81,8 @@
 	return store.Op{Key: prefix, Delete: true, RangeEnd: store.PrefixEnd(prefix)}
 }
 
-// Put has settings checked by every replica and, if all accept them, commits them as the next version, which it returns.
+// Put has settings checked by every replica and, if all accept them, commits them as the next version, which it
+// returns.
 func (s *Settings) Put(ctx context.Context, settings json.RawMessage, note string) (Version, error) {
 	planRevision, err := s.finishedPlanRevision(ctx)
 	if err != nil {
@@ -117,8 +118,8 @@
 	return v, err
 }
 
-// proposeCandidate has settings checked by every replica, and returns the revision of the candidate that they accepted. The
-// change that puts it into effect has to delete it; its lease deletes that of a daemon which went away.
+// proposeCandidate has settings checked by every replica, and returns the revision of the candidate that they accepted.
+// The change that puts it into effect has to delete it; its lease deletes that of a daemon which went away.
 func (s *Settings) proposeCandidate(ctx context.Context, settings json.RawMessage) (revision uint64, err error) {
 	if !json.Valid(settings) {
 		return 0, errNotJSON
@@ -226,8 +227,8 @@
 	return all, errors.Join(err, decodeErr)
 }
 
-// Rollback puts the settings of an earlier version again, as a new one, checked like any other. ErrVersionNotFound says that
-// there is no such version.
+// Rollback puts the settings of an earlier version again, as a new one, checked like any other. ErrVersionNotFound says
+// that there is no such version.
 func (s *Settings) Rollback(ctx context.Context, version uint64) (Version, error) {
 	all, err := s.History(ctx)
 	if err != nil {
