--- a/internal/controlplane/daemon/drains_test.go
+++ b/internal/controlplane/daemon/drains_test.go
@@ -67,6 +67,7 @@
 		s.waitUntil(t, fmt.Sprint(one), true)
 	}
 	for changes(one) < 2 { // until it is renewed
+		time.Sleep(time.Millisecond)
 	}
 	all[0].servers.Observe(one, false)
 	if err := all[0].frame.sweep(ctx, time.Now().Add(drainRetention/2)); err != nil {
@@ -95,6 +96,7 @@
 	p := discovery.Process{ID: "s1", Addr: "127.0.0.1:1", StartedMs: 5}
 	all[0].servers.Observe(p, true)
 	for !all[0].servers.isDraining(p) {
+		time.Sleep(time.Millisecond)
 	}
 	b := startDaemon(t, "b", dirs[1], all[1].addr, true)
 	b.servers.OnDrain(b.bindDrain)
--- a/internal/controlplane/daemon/subscription_test.go
+++ b/internal/controlplane/daemon/subscription_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"log/slog"
 	"testing"
+	"time"
 
 	"birchmoor/internal/store"
 	"birchmoor/internal/store/changefeed"
@@ -76,6 +77,7 @@
 	}
 	cancel()
 	for coversOthers() { // the end of the context is noted by another goroutine
+		time.Sleep(time.Millisecond)
 	}
 
 	snapshots.ObservePrefixSize(serverstate.SnapshotPrefix, store.PrefixSize{Keys: 1200, Bytes: 18 << 20})
