--- a/internal/controlplane/adminapi/wire_test.go
+++ b/internal/controlplane/adminapi/wire_test.go
@@ -14,10 +14,10 @@
 	"birchmoor/internal/store/usage"
 )
 
-// TestWireFormatsUnchanged decodes the JSON of requests and answers that revision 7105f7a wrote, every field of them set,
-// and encodes the same bytes again.
+// TestWireFormatsUnchanged decodes the JSON of requests and answers that revision 7105f7a wrote, every field of
+// them set, and encodes the same bytes again.
 func TestWireFormatsUnchanged(t *testing.T) {
-	lockLine, taskRequest, settingsRequest := new(LockStatus), new(OverrideRequest), new(SettingsRequest)
+	lockStatus, taskRequest, settingsRequest := new(LockStatus), new(OverrideRequest), new(SettingsRequest)
 	for name, value := range map[string]any{
 		"settings-request": settingsRequest,
 		"settings-history": new([]daemon.Version),
@@ -28,7 +28,7 @@
 		"meter":            new(usage.Reading),
 		"tasks":            new([]leasetask.TaskStatus),
 		"task-request":     taskRequest,
-		"lock-line":        lockLine,
+		"lock-line":        lockStatus,
 	} {
 		fixture, err := os.ReadFile(filepath.Join("testdata", name+".json"))
 		if err != nil {
@@ -45,8 +45,8 @@
 			t.Errorf("%s: encoded as %s, error %v", name, encoded, err)
 		}
 	}
-	if *lockLine.Position != 4 || lockLine.Reason != "s4" || lockLine.Token != 6 || lockLine.ValidUntil != 7 || !lockLine.Ended {
-		t.Errorf("lock line: %+v", lockLine)
+	if l := lockStatus; *l.Position != 4 || l.Reason != "s4" || l.Token != 6 || l.ValidUntil != 7 || !l.Ended {
+		t.Errorf("lock status: %+v", l)
 	}
 	if r := taskRequest; r.Task != "s2" || !r.Pause || r.PreferredHost != "s5" || r.Operator != "s6" || r.Note != "s7" {
 		t.Errorf("task request: %+v", r)
--- a/internal/controlplane/quotasync/manager.go
+++ b/internal/controlplane/quotasync/manager.go
@@ -93,7 +93,8 @@
 // report. The demand and the grants of others are for allocators, which followers do not run.
 func (m *Manager) Subscription() changefeed.Subscription {
 	retained := store.Interest{Keys: []string{quota.ConfigKey}}
-	own := store.Interest{Prefixes: []string{quota.DemandPrefix + m.cfg.Host + "/", quota.GrantPrefix + m.cfg.Host + "/"}}
+	ownPrefix := m.cfg.Host + "/"
+	own := store.Interest{Prefixes: []string{quota.DemandPrefix + ownPrefix, quota.GrantPrefix + ownPrefix}}
 	all := retained.Union(own)
 	return changefeed.Subscription{Interest: &all, Retained: retained, SizePrefixes: []string{quota.DemandPrefix}}
 }
