--- a/internal/platform/snapshot/file.go
+++ b/internal/platform/snapshot/file.go
@@ -9,28 +9,28 @@
 	"path/filepath"
 )
 
-// File keeps one snapshot. The zero File keeps nothing.
+// File stores one snapshot. The zero File stores nothing.
 type File struct{ Path string }
 
-// Save puts data in the place of what is kept. A process that ends at any moment leaves the old file or the new
-// one, whole. It is not forced to the disk: what must outlive is the process, not the machine.
+// Save replaces the stored snapshot by data. Whenever the process ends, the file has either snapshot, complete.
+// Save does not wait for the disk: the snapshot is to outlive the process, not the machine.
 func (f File) Save(data []byte) error {
 	if f.Path == "" {
 		return nil
 	}
-	fresh := fmt.Sprintf("%s.%d", f.Path, os.Getpid())
-	err := os.WriteFile(fresh, data, 0o600)
+	temporary := fmt.Sprintf("%s.%d", f.Path, os.Getpid())
+	err := os.WriteFile(temporary, data, 0o600)
 	if err == nil {
-		err = os.Rename(fresh, f.Path)
+		err = os.Rename(temporary, f.Path)
 	}
 	if err != nil {
-		os.Remove(fresh) // it may take the last of the room
+		_ = os.Remove(temporary) // it may fill the disk
 		return fmt.Errorf("snapshot: %w", err)
 	}
 	return nil
 }
 
-// Load returns what is kept, nil if nothing is. Errors name the file.
+// Load returns the stored snapshot, nil if there is none. Errors name the file.
 func (f File) Load() (*Saved, error) {
 	if f.Path == "" {
 		return nil, nil
@@ -43,19 +43,25 @@
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
 	defer in.Close()
-	// Processes that were killed while they saved left these.
-	if left, err := filepath.Glob(f.Path + ".*"); err == nil {
-		for _, path := range left {
-			os.Remove(path)
-		}
-	}
-	data, err := io.ReadAll(io.LimitReader(in, headSize+maxBodyBytes+1))
+	f.removeTemporaries()
+	data, err := io.ReadAll(io.LimitReader(in, headerBytes+maxBodyBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	k, err := Decode(data)
+	s, err := Decode(data)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", f.Path, err)
 	}
-	return k, nil
+	return s, nil
+}
+
+// removeTemporaries removes the files of processes that were killed while they saved.
+func (f File) removeTemporaries() {
+	paths, err := filepath.Glob(f.Path + ".*")
+	if err != nil {
+		return // the path is no pattern
+	}
+	for _, path := range paths {
+		_ = os.Remove(path) // the next Load retries it
+	}
 }
--- a/internal/platform/snapshot/snapshot_test.go
+++ b/internal/platform/snapshot/snapshot_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"encoding/binary"
 	"errors"
 	"fmt"
 	"os"
@@ -15,15 +14,19 @@
 	"birchmoor/balancer"
 )
 
-// newSaved returns what a sidecar with n endpoints knows, with requests under way.
-func newSaved(t testing.TB, n int) *Saved {
-	t.Helper()
-	b, err := balancer.New(balancer.Settings{Balancers: 2, Classes: []balancer.Class{
-		{Name: "look", LatencyObjective: 400_000, Timeout: 1_000_000, PriorityWeight: 1}}, Fields: []balancer.Field{balancer.FieldInflight},
-		Limits:   balancer.Limits{Probes: true, MaxAttempts: 3, MaxOpen: 1000},
-		Contract: balancer.Contract{InitialCapacity: 0.2, SlowStartDuration: 1_000_000, OverloadMultiple: 2}}, 5, balancer.NoActions{})
+// newSaved returns the snapshot of a sidecar with n endpoints and requests in flight.
+func newSaved(tb testing.TB, n int) *Saved {
+	tb.Helper()
+	settings := balancer.Settings{
+		Balancers: 2,
+		Classes:   []balancer.Class{{Name: "look", LatencyObjective: 400_000, Timeout: 1_000_000, PriorityWeight: 1}},
+		Fields:    []balancer.Field{balancer.FieldInflight},
+		Limits:    balancer.Limits{Probes: true, MaxAttempts: 3, MaxOpen: 1000},
+		Contract:  balancer.Contract{InitialCapacity: 0.2, SlowStartDuration: 1_000_000, OverloadMultiple: 2},
+	}
+	b, err := balancer.New(settings, 5, balancer.NoActions{})
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	now := balancer.Micros(1_700_000_000_000_000)
 	b.Start(now)
@@ -38,22 +41,20 @@
 		now += 500
 		b.Request(now, balancer.Request{ID: i + 1, Deadline: now + 1_000_000})
 		b.ProbeCompleted(now, uint32(i)%uint32(n)+1, balancer.OK, 900, []float32{1})
-		for e := range uint32(n) {
-			if i%5 > 0 {
-				b.Outcome(now+300, balancer.Outcome{ID: i + 1, Endpoint: e + 1, Status: balancer.Status(i % 2), Latency: 300})
-				break
-			}
+		if i%5 > 0 {
+			outcome := balancer.Outcome{ID: i + 1, Endpoint: 1, Status: balancer.Status(i % 2), Latency: 300}
+			b.Outcome(now+300, outcome)
 		}
 	}
 	k.State = b.Snapshot(now+1000, true)
 	return k
 }
 
-func encoded(t testing.TB, k *Saved) []byte {
-	t.Helper()
+func encoded(tb testing.TB, k *Saved) []byte {
+	tb.Helper()
 	data, err := Encode(k)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return data
 }
@@ -66,17 +67,17 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(k, back); diff != "" {
-		t.Fatalf("not what was written:\n%s", diff)
+		t.Fatalf("decoded other than encoded:\n%s", diff)
 	}
 	if !bytes.Equal(data, encoded(t, back)) {
-		t.Error("written again it has other bytes")
+		t.Error("encoded again it has other bytes")
 	}
 	if _, err := balancer.Resume(back.State, balancer.NoActions{}); err != nil {
 		t.Error(err)
 	}
 }
 
-// Every cut and every flipped bit is found.
+// Every truncation and every flipped bit is detected.
 func TestDecodeRejectsCutsAndFlippedBits(t *testing.T) {
 	data := encoded(t, newSaved(t, 2))
 	for n := range data {
@@ -92,19 +93,10 @@
 		data[at/8] ^= 1 << (at % 8)
 	}
 	if _, err := Decode(append(data, 0)); err == nil {
-		t.Error("a byte more is not found")
+		t.Error("an additional byte is not detected")
 	}
 }
 
-// encodeBody gives a body a head that holds.
-func encodeBody(version uint32, body []byte) []byte {
-	out := append([]byte(magic), make([]byte, 12)...)
-	binary.BigEndian.PutUint32(out[4:], version)
-	binary.BigEndian.PutUint32(out[8:], uint32(len(body)))
-	binary.BigEndian.PutUint32(out[12:], Checksum(out[:12], body))
-	return append(out, body...)
-}
-
 func TestDecodeErrorNamesOffsetAndReason(t *testing.T) {
 	whole := encoded(t, newSaved(t, 2))
 	twice := newSaved(t, 2)
@@ -115,7 +107,7 @@
 	}{
 		{nil, "byte 0: cut"},
 		{[]byte("{\"bans\": [\"s-1\"]}\n"), "byte 0: foreign"},
-		{encodeBody(Version+1, whole[headSize:]), "byte 4: newer: of version 2"},
+		{encodeBody(Version+1, whole[headerBytes:]), "byte 4: newer: of version 2"},
 		{encodeBody(0, nil), "byte 4: damaged"},
 		{encodeBody(Version, []byte{0xa1, 0x18, 99, 0}), "not readable"},      // a key that is not known
 		{encodeBody(Version, []byte{0xa2, 1, 0x60, 1, 0x60}), "not readable"}, // a key twice
@@ -148,11 +140,16 @@
 		now  Clock
 		want int64
 	}{
-		{Clock{WallMicros: 1_000_003_210, BootID: "x", UptimeMicros: 50_000_000}, 3_210},              // finer than the grain
-		{Clock{WallMicros: 1_000_000_000 + 3600e6, BootID: "x", UptimeMicros: 52_000_000}, 2_000_000}, // set forward
-		{Clock{WallMicros: 0, BootID: "x", UptimeMicros: 52_000_000}, 2_000_000},                      // set back
-		{Clock{WallMicros: 1_000_500_000, BootID: "y", UptimeMicros: 1}, 500_000},                     // the machine started again
-		{Clock{WallMicros: 0}, -1_000_000_000},                                                        // nothing else to go by
+		// finer than the resolution.
+		{Clock{WallMicros: 1_000_003_210, BootID: "x", UptimeMicros: 50_000_000}, 3_210},
+		// set forward.
+		{Clock{WallMicros: 1_000_000_000 + 3600e6, BootID: "x", UptimeMicros: 52_000_000}, 2_000_000},
+		// set back.
+		{Clock{WallMicros: 0, BootID: "x", UptimeMicros: 52_000_000}, 2_000_000},
+		// the machine rebooted.
+		{Clock{WallMicros: 1_000_500_000, BootID: "y", UptimeMicros: 1}, 500_000},
+		// no boot id.
+		{Clock{WallMicros: 0}, -1_000_000_000},
 	} {
 		if got := c.now.Since(then); got != c.want {
 			t.Errorf("%+v: %d, want %d", c.now, got, c.want)
@@ -167,7 +164,7 @@
 	dir := t.TempDir()
 	f := File{filepath.Join(dir, "known")}
 	if k, err := f.Load(); k != nil || err != nil {
-		t.Error("nothing is kept:", k, err)
+		t.Error("without a file:", k, err)
 	}
 	for _, n := range []int{4, 1} {
 		if err := f.Save(encoded(t, newSaved(t, n))); err != nil {
@@ -180,19 +177,23 @@
 	if left, _ := os.ReadDir(dir); len(left) != 1 {
 		t.Errorf("%d files are left", len(left))
 	}
-	os.WriteFile(f.Path+".77", []byte("half"), 0o600) // of a process that was killed
+	if err := os.WriteFile(f.Path+".77", []byte("half"), 0o600); err != nil { // of a process that was killed
+		t.Fatal(err)
+	}
 	if _, err := f.Load(); err != nil {
 		t.Error(err)
 	}
 	if _, err := os.Stat(f.Path + ".77"); err == nil {
-		t.Error("what a killed process left stays for ever")
+		t.Error("the file of a killed process is not removed")
+	}
+	if err := os.WriteFile(f.Path, []byte("BMsn"), 0o600); err != nil {
+		t.Fatal(err)
 	}
-	os.WriteFile(f.Path, []byte("BMsn"), 0o600)
 	if k, err := f.Load(); k != nil || err == nil || !strings.Contains(err.Error(), f.Path) {
-		t.Errorf("a cut file: %v", err)
+		t.Errorf("a truncated file: %v", err)
 	}
 	if err := (File{filepath.Join(dir, "no", "known")}).Save(nil); err == nil {
-		t.Error("saved where nothing is")
+		t.Error("saved in a directory that does not exist")
 	}
 	if err := (File{}).Save(nil); err != nil {
 		t.Error(err)
@@ -201,10 +202,10 @@
 
 func FuzzDecode(f *testing.F) {
 	whole := encoded(f, newSaved(f, 2))
-	f.Add(whole[headSize:])
+	f.Add(whole[headerBytes:])
 	f.Add([]byte{0xa0})
-	f.Fuzz(func(t *testing.T, body []byte) {
-		// The checksum would keep nearly all away from what is to be tried.
+	f.Fuzz(func(_ *testing.T, body []byte) {
+		// The right checksum, or else next to no input would reach what is under test.
 		k, err := Decode(encodeBody(Version, body))
 		if err != nil {
 			return
@@ -221,7 +222,8 @@
 	})
 }
 
-// The time and size of a snapshot, by the number of endpoints. Only "take" holds the loop.
+// BenchmarkSnapshot measures time and size of a snapshot by the number of endpoints. Only "take" runs on the event
+// loop.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		k := newSaved(b, n)
--- a/internal/platform/snapshot/stored_test.go
+++ b/internal/platform/snapshot/stored_test.go
@@ -31,12 +31,16 @@
 	if k.Sidecar != "n3" || k.Clock != clock || k.RunID != 987654321 {
 		t.Errorf("decoded %q, %+v, run %d", k.Sidecar, k.Clock, k.RunID)
 	}
-	if !slices.Equal(k.Names, []string{"s-0", "s-1"}) || !slices.Equal(k.Addresses, []string{"10.0.0.1:80", "10.0.0.2:80"}) {
-		t.Errorf("decoded names %q and addresses %q", k.Names, k.Addresses)
+	if want := []string{"s-0", "s-1"}; !slices.Equal(k.Names, want) {
+		t.Errorf("decoded names %q, want %q", k.Names, want)
+	}
+	if want := []string{"10.0.0.1:80", "10.0.0.2:80"}; !slices.Equal(k.Addresses, want) {
+		t.Errorf("decoded addresses %q, want %q", k.Addresses, want)
 	}
 	s := k.State
 	if s.At != 1_700_000_000_004_000 || len(s.Rules) != 1 || len(s.Classes) != 1 || len(s.Slots) == 0 {
-		t.Errorf("decoded a state of %d with %d rules, %d classes, %d slots", s.At, len(s.Rules), len(s.Classes), len(s.Slots))
+		t.Errorf("decoded a state of %d with %d rules, %d classes, %d slots",
+			s.At, len(s.Rules), len(s.Classes), len(s.Slots))
 	}
 	if len(s.Endpoints) != 2 || s.Endpoints[0].ID != 1 || s.Endpoints[1].ID != 2 {
 		t.Errorf("decoded endpoints %+v", s.Endpoints)
