--- a/internal/platform/recovery/recovery_test.go
+++ b/internal/platform/recovery/recovery_test.go
@@ -11,7 +11,7 @@
 
 const second = balancer.Micros(1e6)
 
-// newSnapshot is a picture of a sidecar that knows servers: name, address, start, and since when cold (-1: warm).
+// newSnapshot returns a snapshot of a sidecar that knows servers. The Cell of a server is the port of its address.
 func newSnapshot(t *testing.T, sidecar string, servers ...balancer.EndpointState) *snapshot.Saved {
 	t.Helper()
 	c := sidecartest.Configure(t, "127.0.0.1:1", nil)
@@ -31,19 +31,34 @@
 
 type noActions struct{ balancer.Actions }
 
-// newServer makes one with a round trip, ejected and busy, which are the teller's own.
-func newServer(id uint32, port uint16, start, coldFrom balancer.Micros, pace float64, paceAge balancer.Micros) balancer.EndpointState {
-	return balancer.EndpointState{ID: id, Cell: port, StartTime: start, WarmingUp: coldFrom >= 0, SlowStart: max(0, coldFrom),
-		Pace: balancer.MeanState{V: pace, N: 5}, PaceLearned: paceAge, RTT: balancer.MeanState{V: 7, N: 3}, Inflight: 4, HasLoad: true,
-		FailureRuns: []balancer.FailureRunState{{Part: -1, Streak: 3, EjectedUntil: -second}}}
+// newServer returns a server's state, with latency, ejection and load, which are local to the sidecar that saved
+// them. A server that has been warming up for -1 is warm.
+func newServer(id uint32, port uint16, start, warmingUp balancer.Micros, pace float64, paceAge balancer.Micros) (
+	e balancer.EndpointState,
+) {
+	return balancer.EndpointState{
+		ID:          id,
+		Cell:        port,
+		StartTime:   start,
+		WarmingUp:   warmingUp >= 0,
+		SlowStart:   max(0, warmingUp),
+		Pace:        balancer.MeanState{V: pace, N: 5},
+		PaceLearned: paceAge,
+		RTT:         balancer.MeanState{V: 7, N: 3},
+		Inflight:    4,
+		HasLoad:     true,
+		FailureRuns: []balancer.FailureRunState{{Part: -1, Streak: 3, EjectedUntil: -second}},
+	}
 }
 
 func TestChoosePrefersNewestOwnSnapshot(t *testing.T) {
-	own := func(age balancer.Micros, sure bool) Candidate {
-		return Candidate{Source: fmt.Sprint("own ", age, sure), Snapshot: newSnapshot(t, "me"), Own: true, Age: age, SameClock: sure}
+	own := func(age balancer.Micros, sameClock bool) Candidate {
+		source := fmt.Sprint("own ", age, sameClock)
+		return Candidate{Source: source, Snapshot: newSnapshot(t, "me"), Own: true, Age: age, SameClock: sameClock}
 	}
-	other := func(age balancer.Micros, sure bool) Candidate {
-		return Candidate{Source: fmt.Sprint("other ", age, sure), Snapshot: newSnapshot(t, "other"), Age: age, SameClock: sure}
+	other := func(age balancer.Micros, sameClock bool) Candidate {
+		source := fmt.Sprint("other ", age, sameClock)
+		return Candidate{Source: source, Snapshot: newSnapshot(t, "other"), Age: age, SameClock: sameClock}
 	}
 	for what, tc := range map[string]struct {
 		all  []Candidate
@@ -57,7 +72,7 @@
 		"others where own is too old":   {[]Candidate{own(MaxAge+1, true), other(4, true), other(3, true)}, "other 3 true"},
 		"others by clocks of two hosts": {[]Candidate{other(4, false)}, ""},
 		"own by clocks of two hosts":    {[]Candidate{own(4, false)}, "own 4 false"},
-		"one that is none":              {[]Candidate{{Source: "x", Own: true}}, ""},
+		"without a snapshot":            {[]Candidate{{Source: "x", Own: true}}, ""},
 	} {
 		got := Choose("me", tc.all)
 		if got.Source != tc.want || (got.Snapshot == nil) != (tc.want == "") || got.Snapshot != nil && got.Snapshot.Sidecar != "me" {
@@ -66,31 +81,42 @@
 	}
 }
 
-// Of others' pictures the coldest word of a server counts, at one instant, and the newest pace; a server is one by name,
-// address and start; and what is the teller's own is not believed. What comes out is a picture that a module takes.
+// Of a server the shortest warm-up that any snapshot says counts, at one instant, and the newest pace. A server is
+// identified by name, address and start. Local state is not restored. The result is a snapshot that a module takes.
 func TestChooseMergesServersOfOtherSidecars(t *testing.T) {
-	one := newSnapshot(t, "one", newServer(1, 1, 0, 4*second, 2, second), newServer(2, 2, 50, -1, 3, 9*second), newServer(3, 3, 0, -1, 1, second))
-	two := newSnapshot(t, "two", newServer(1, 1, 0, second, 5, 0), newServer(2, 2, 40, 2*second, 9, 0), newServer(3, 9, 0, second, 9, 0), newServer(4, 4, 0, second, 8, 0))
-	c := Choose("me", []Candidate{{Source: "two", Snapshot: two, Age: 3 * second, SameClock: true}, {Source: "one", Snapshot: one, Age: second, SameClock: true}})
+	one := newSnapshot(t, "one",
+		newServer(1, 1, 0, 4*second, 2, second),
+		newServer(2, 2, 50, -1, 3, 9*second),
+		newServer(3, 3, 0, -1, 1, second))
+	two := newSnapshot(t, "two",
+		newServer(1, 1, 0, second, 5, 0),
+		newServer(2, 2, 40, 2*second, 9, 0),
+		newServer(3, 9, 0, second, 9, 0),
+		newServer(4, 4, 0, second, 8, 0))
+	c := Choose("me", []Candidate{
+		{Source: "two", Snapshot: two, Age: 3 * second, SameClock: true},
+		{Source: "one", Snapshot: one, Age: second, SameClock: true},
+	})
 	if c.Source != "one" || c.Sources != 2 || c.Age != second || len(c.Snapshot.Names) != 4 {
 		t.Fatalf("%+v %v", c, c.Snapshot.Names)
 	}
 	want := map[string]string{
-		"s-1": "cold 3000000 pace 2", // two's word, two seconds older, is colder; its pace is 2 s old, one's 1 s
-		"s-2": "warm pace 3",         // two's is of an earlier process
-		"s-3": "warm pace 1",         // two's is at another address
-		"s-4": "cold 3000000 pace 8",
+		"s-1": "warming up for 3000000, pace 2", // two's warm-up, 2 s older, is shorter; its pace is 2 s old, one's 1 s
+		"s-2": "warm, pace 3",                   // two's is of an earlier process
+		"s-3": "warm, pace 1",                   // two's is at another address
+		"s-4": "warming up for 3000000, pace 8",
 	}
 	for i, e := range c.Snapshot.State.Endpoints {
 		got := "warm"
 		if e.WarmingUp {
-			got = fmt.Sprint("cold ", e.SlowStart)
+			got = fmt.Sprint("warming up for ", e.SlowStart)
 		}
-		if got += fmt.Sprint(" pace ", e.Pace.V); got != want[c.Snapshot.Names[i]] {
-			t.Errorf("%s: %s, want %s", c.Snapshot.Names[i], got, want[c.Snapshot.Names[i]])
+		got += fmt.Sprint(", pace ", e.Pace.V)
+		if name := c.Snapshot.Names[i]; got != want[name] {
+			t.Errorf("%s: %s, want %s", name, got, want[name])
 		}
 		if e.RTT.N != 0 || e.Inflight != 0 || e.HasLoad || len(e.FailureRuns) != 0 || e.ID != uint32(i) {
-			t.Errorf("%s: %+v is believed", c.Snapshot.Names[i], e)
+			t.Errorf("%s: %+v is restored", c.Snapshot.Names[i], e)
 		}
 	}
 	raw, err := snapshot.Encode(c.Snapshot)
@@ -110,6 +136,6 @@
 		t.Error(err)
 	}
 	if one.State.Endpoints[0].RTT.N == 0 {
-		t.Error("the teller's own picture was changed")
+		t.Error("the candidate's snapshot was changed")
 	}
 }
