--- a/internal/controlplane/operatorconfig/file_test.go
+++ b/internal/controlplane/operatorconfig/file_test.go
@@ -17,13 +17,16 @@
 	return Read(path)
 }
 
-func TestReadFillsWhatIsNotGiven(t *testing.T) {
+func TestReadSetsDefaults(t *testing.T) {
 	f, err := read(t, "[capture]\ndir = \"c\"\nbudget_mb = 8\nsegment = \"1m\"\n")
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := f.Capture
-	if f.StateSnapshot != nil || !filepath.IsAbs(c.Dir) || c.MaxFileMB != 2 || time.Duration(c.SnapshotInterval) != time.Minute || c.MaxQueuedBatches != 32 {
+	if f.StateSnapshot != nil {
+		t.Errorf("%+v", f.StateSnapshot)
+	}
+	if !filepath.IsAbs(c.Dir) || c.MaxFileMB != 2 || c.SnapshotInterval != Duration(time.Minute) || c.MaxQueuedBatches != 32 {
 		t.Errorf("%+v", c)
 	}
 	if f, err := read(t, ""); err != nil || f.Capture != nil {
@@ -31,7 +34,7 @@
 	}
 }
 
-func TestReadNamesFaults(t *testing.T) {
+func TestReadNamesInvalidKeys(t *testing.T) {
 	for text, want := range map[string]string{
 		"[capture]\ndir=\"c\"\nbugdet_mb=3\n":       ":3: capture.bugdet_mb: is not a key",
 		"[capture]\n":                               "capture.dir: is missing",
@@ -50,8 +53,8 @@
 	}
 }
 
-// The file that is given along turns nothing on by itself, and all that it shows is known.
-func TestGivenFile(t *testing.T) {
+// The operator file of deploy/ turns nothing on by itself, and all keys in its comments are known.
+func TestDeployedFileTurnsNothingOn(t *testing.T) {
 	path := filepath.Join("..", "..", "..", "deploy", "operator.toml")
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -73,7 +76,7 @@
 	}
 }
 
-func TestAllFaultsOfAStoreAreNamed(t *testing.T) {
+func TestReadNamesAllInvalidKeysOfStore(t *testing.T) {
 	_, err := read(t, "[store]\nname = \"A\"\nlisten = \"192.0.2.1:7\"\nplain = true\nfoo = 1\n")
 	for _, want := range []string{"store.foo", "store.name", "store.dir", "store.socket", "store.plain"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
@@ -82,12 +85,16 @@
 	}
 }
 
-// A daemon without a replica names replicas to follow, by key and address, and nothing of a replica.
-func TestFollowers(t *testing.T) {
+// A daemon without a replica has replicas to follow, by name and address, and no key of a replica.
+func TestReadChecksKeysOfFollowers(t *testing.T) {
 	base := "[store]\nname = \"h\"\ndir = \"d\"\nsocket = \"s\"\n"
 	f, err := read(t, base+"plain = true\nfollow = [\"a=127.0.0.1:1\", \"b=[::1]:2\"]\n")
-	if err != nil || len(f.Store.Follow) != 2 || f.Store.Interest != InterestOwn || time.Duration(f.Store.FirstCopyTimeout) != 500*time.Millisecond {
-		t.Errorf("%+v, %v", f, err)
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := f.Store
+	if len(s.Follow) != 2 || s.Interest != InterestOwn || s.FirstCopyTimeout != Duration(500*time.Millisecond) {
+		t.Errorf("%+v", s)
 	}
 	for text, want := range map[string]string{
 		"plain = true\nfollow = [\"127.0.0.1:1\"]\n":                             "store.follow[0]",
--- a/internal/controlplane/operatorconfig/format_test.go
+++ b/internal/controlplane/operatorconfig/format_test.go
@@ -33,8 +33,17 @@
 		files[name] = f
 	}
 	full := files["full"]
-	if full.Store.ElectionTicks != 11 || time.Duration(full.Store.FirstCopyTimeout) != 510*time.Millisecond || full.Limits.ReportInterval != Duration(260e6) ||
-		full.DNS.MaxOpenPerConn != 66 || full.DNS.Class["lookup"].LatencyObjective != Duration(251e6) || full.Capture.MaxFileAge != Duration(31*time.Minute) {
-		t.Errorf("%+v", full)
+	for name, ok := range map[string]bool{
+		"store.elect_ticks": full.Store.ElectionTicks == 11,
+		"store.wait":        full.Store.FirstCopyTimeout == Duration(510*time.Millisecond),
+		"store.skew":        full.Store.MaxClockSkew == 0.03,
+		"limits.tell":       full.Limits.ReportInterval == Duration(260*time.Millisecond),
+		"dns.per_conn":      full.DNS.MaxOpenPerConn == 66,
+		"dns.class.aim":     full.DNS.Class["lookup"].LatencyObjective == Duration(251*time.Millisecond),
+		"capture.file_age":  full.Capture.MaxFileAge == Duration(31*time.Minute),
+	} {
+		if !ok {
+			t.Errorf("%s is read into another field: %+v", name, full)
+		}
 	}
 }
