--- a/cmd/birchmoor/store_test.go
+++ b/cmd/birchmoor/store_test.go
@@ -194,8 +194,8 @@
 	if err := json.Unmarshal([]byte(a.must(t, "meter", "--json")), &r); err != nil {
 		t.Fatal(err)
 	}
-	if w := r.Purposes[usage.Words]; w.Purpose != "words" || w.Applied == 0 || w.AppliedBytes == 0 || r.Seconds <= 0 || r.Process.Goroutines == 0 ||
-		r.Written[usage.Log].Syncs == 0 {
+	if w := r.Purposes[usage.ServerReports]; w.Purpose != "words" || w.Applied == 0 || w.AppliedBytes == 0 || r.Seconds <= 0 || r.Process.Goroutines == 0 ||
+		r.Written[usage.LogFile].Syncs == 0 {
 		t.Errorf("%+v", r)
 	}
 	a.stop()
--- a/internal/controlplane/adminapi/adminapi.go
+++ b/internal/controlplane/adminapi/adminapi.go
@@ -50,17 +50,17 @@
 	Tasks    *leasetask.Runner
 	Limits   *quotasync.Manager // nil: the daemon shares no limits
 	Clock    bootclock.Clock    // of leases
-	Meter    *usage.Meter       // nil: nothing is counted
+	Meter    *usage.Recorder    // nil: nothing is counted
 }
 
 // NewMeter returns a meter that knows the purposes of the components' keys.
-func NewMeter() *usage.Meter {
+func NewMeter() *usage.Recorder {
 	return usage.New(
-		usage.Prefix{Prefix: serverstate.ExclusionPrefix, Purpose: usage.Words},
-		usage.Prefix{Prefix: serverstate.StartPrefix, Purpose: usage.Words},
-		usage.Prefix{Prefix: serverstate.SnapshotPrefix, Purpose: usage.Pictures},
+		usage.Prefix{Prefix: serverstate.ExclusionPrefix, Purpose: usage.ServerReports},
+		usage.Prefix{Prefix: serverstate.StartPrefix, Purpose: usage.ServerReports},
+		usage.Prefix{Prefix: serverstate.SnapshotPrefix, Purpose: usage.ModuleSnapshots},
 		usage.Prefix{Prefix: daemon.ConfigPrefix, Purpose: usage.Settings},
-		usage.Prefix{Prefix: quota.Prefix, Purpose: usage.Shares},
+		usage.Prefix{Prefix: quota.Prefix, Purpose: usage.Quotas},
 		usage.Prefix{Prefix: lease.Prefix, Purpose: usage.Tasks},
 	)
 }
--- a/internal/controlplane/components.go
+++ b/internal/controlplane/components.go
@@ -61,7 +61,7 @@
 	Tasks    *leasetask.Runner
 	Limits   *quotasync.Manager // nil where none are shared
 	Store    Store
-	Meter    *usage.Meter
+	Meter    *usage.Recorder
 
 	closeServers func() error
 	cancel       context.CancelFunc
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -233,13 +233,13 @@
 		}
 		return word{Look: l}
 	case "read":
-		sum := (*usage.Meter)(nil).Read()
+		sum := (*usage.Recorder)(nil).Read()
 		sum.Seconds = time.Since(c.begun).Seconds()
 		for _, h := range c.all {
 			h.mu.Lock()
 			add(&sum, &h.past)
 			if h.parts != nil {
-				now := h.parts.Meter.Counted()
+				now := h.parts.Meter.ReadCounters()
 				add(&sum, &now)
 			}
 			h.mu.Unlock()
@@ -389,7 +389,7 @@
 	p, cancel := h.parts, h.cancel
 	h.parts, h.presence = nil, nil
 	if p != nil {
-		now := p.Meter.Counted()
+		now := p.Meter.ReadCounters()
 		add(&h.past, &now)
 	}
 	h.mu.Unlock()
@@ -403,7 +403,7 @@
 // add adds what one meter counted to a sum; the process is not theirs.
 func add(sum, r *usage.Reading) {
 	if len(sum.Purposes) == 0 {
-		sum.Purposes, sum.Written = make([]usage.Flow, len(r.Purposes)), make([]usage.Written, len(r.Written))
+		sum.Purposes, sum.Written = make([]usage.PurposeUsage, len(r.Purposes)), make([]usage.FileUsage, len(r.Written))
 	}
 	for i, f := range r.Purposes {
 		s := &sum.Purposes[i]
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -308,7 +308,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := Counts{Applied: map[string]uint64{}, In: map[string]uint64{}, Out: map[string]uint64{}, Read: map[string]uint64{}, Sent: map[string]uint64{}, RealOut: map[string]uint64{}}
-	since := func(name string, f func(now, was *usage.Flow)) (seconds float64) {
+	since := func(name string, f func(now, was *usage.PurposeUsage)) (seconds float64) {
 		was, now := s.firsts[name], s.last[name]
 		for i := range was.Purposes {
 			f(&now.Purposes[i], &was.Purposes[i])
@@ -316,7 +316,7 @@
 		return now.Seconds - was.Seconds
 	}
 	for i, d := range s.r.fleet.Daemons {
-		c.Seconds = max(c.Seconds, since(d.Name(), func(now, was *usage.Flow) {
+		c.Seconds = max(c.Seconds, since(d.Name(), func(now, was *usage.PurposeUsage) {
 			if i < s.r.o.Replicas {
 				c.Applied[now.Purpose] = max(c.Applied[now.Purpose], now.Applied-was.Applied)
 			} else {
@@ -325,7 +325,7 @@
 		}))
 	}
 	for _, p := range s.r.processes() {
-		c.Seconds = max(c.Seconds, since(p.name, func(now, was *usage.Flow) {
+		c.Seconds = max(c.Seconds, since(p.name, func(now, was *usage.PurposeUsage) {
 			c.In[now.Purpose] += now.MessagesIn - was.MessagesIn
 			c.Out[now.Purpose] += now.MessagesOut - was.MessagesOut
 			c.Read[now.Purpose] += now.BytesIn - was.BytesIn
--- a/internal/store/admin/outer.go
+++ b/internal/store/admin/outer.go
@@ -94,7 +94,7 @@
 	// Ages are how long ago pictures came here, by key.
 	Ages func() map[string]time.Duration
 	// Meter counts what followers cost; nil: nothing is counted.
-	Meter *usage.Meter
+	Meter *usage.Recorder
 }
 
 // ServeFollowers serves a listener, which Close closes. Without keys it is for loopback alone.
@@ -113,11 +113,11 @@
 	o.feeding.Go(func() { o.run(ctx) })
 	m := http.NewServeMux()
 	m.HandleFunc("GET /v1/copy", o.counted(usage.Snapshots, o.copy))
-	m.HandleFunc("GET /v1/follow", o.counted(usage.Beats, o.follow))
+	m.HandleFunc("GET /v1/follow", o.counted(usage.Heartbeats, o.follow))
 	m.HandleFunc("GET /v1/revision", o.counted(usage.Requests, handle(o.revision)))
 	m.HandleFunc("POST /v1/change", o.counted(usage.Other, handle(o.change)))
 	o.http = &http.Server{Handler: m, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 32 << 10}
-	ln = rules.Meter.Listener(ln)
+	ln = rules.Meter.WrapListener(ln)
 	if pair != nil {
 		o.http.TLSConfig = pair.Server()
 		go o.http.ServeTLS(ln, "", "")
@@ -153,7 +153,7 @@
 // countedAnswer counts a message with the first bytes that are written, before they are, and the bytes of all.
 type countedAnswer struct {
 	http.ResponseWriter
-	m        *usage.Meter
+	m        *usage.Recorder
 	of       usage.Purpose
 	messages int
 }
@@ -293,7 +293,7 @@
 
 func (x *stream) line(l Line) bool {
 	b, err := json.Marshal(l)
-	return err == nil && x.send(usage.Beats, b)
+	return err == nil && x.send(usage.Heartbeats, b)
 }
 
 func (x *stream) run(ctx context.Context) {
--- a/internal/store/disk/disk.go
+++ b/internal/store/disk/disk.go
@@ -70,7 +70,7 @@
 	File func(*os.File)
 	// Meter counts what is written; nil: nothing is counted. A snapshot is what its own transactions write, the log all else.
 	// The bytes are those of bbolt's pages, and a commit waits for two syncs; those by which the file grows are not counted.
-	Meter *usage.Meter
+	Meter *usage.Recorder
 }
 
 // Disk is an open file. It is safe for concurrent use as replica.Disk asks.
@@ -78,7 +78,7 @@
 	db   *bbolt.DB
 	path string
 	now  replica.Identity
-	m    *usage.Meter
+	m    *usage.Recorder
 	page int           // bytes of a page
 	next atomic.Uint64 // number of the snapshot's bucket
 }
@@ -140,7 +140,7 @@
 }
 
 // update runs a transaction that writes the log and what else is small.
-func (d *Disk) update(f func(*bbolt.Tx) error) (err error) { return d.updateOf(usage.Log, f) }
+func (d *Disk) update(f func(*bbolt.Tx) error) (err error) { return d.updateOf(usage.LogFile, f) }
 
 // updateOf runs a transaction. What bbolt makes of a damaged page, a panic or a fault in its map, is an error. Each names
 // the file.
@@ -156,7 +156,7 @@
 	if d.db.NoSync {
 		syncs = 0
 	}
-	d.m.Wrote(what, syncs, int(s.GetPageAlloc())+d.page)
+	d.m.CountWrite(what, syncs, int(s.GetPageAlloc())+d.page)
 	return nil
 }
 
@@ -437,7 +437,7 @@
 	if len(p.buf) > 0 {
 		p.pending, p.buf = append(p.pending, p.buf), nil
 	}
-	err := p.d.updateOf(usage.Snapshot, func(tx *bbolt.Tx) error {
+	err := p.d.updateOf(usage.SnapshotFile, func(tx *bbolt.Tx) error {
 		b, err := tx.CreateBucketIfNotExists(p.bucket)
 		if err != nil {
 			return err
@@ -465,7 +465,7 @@
 		err = p.flush()
 	}
 	if err == nil {
-		err = d.updateOf(usage.Snapshot, func(tx *bbolt.Tx) error {
+		err = d.updateOf(usage.SnapshotFile, func(tx *bbolt.Tx) error {
 			st := tx.Bucket(bState)
 			var old named
 			if err := d.get(st, kSnapshot, &old); err != nil {
--- a/internal/store/engine/engine.go
+++ b/internal/store/engine/engine.go
@@ -47,7 +47,7 @@
 	Log     *slog.Logger
 	Tune    func(*replica.Config) // for tests
 	Disk    disk.Options
-	Meter   *usage.Meter // of messages, entries and what is written; nil: nothing is counted
+	Meter   *usage.Recorder // of messages, entries and what is written; nil: nothing is counted
 
 	// Event is told of each change in order, Reset of a whole new state, both by the loop. They must not wait.
 	Event func(store.Event)
@@ -169,7 +169,7 @@
 // begin starts the node on a disk that belongs to a cluster.
 func (e *Engine) begin() error {
 	rc := replica.Config{Rand: mathrand.New(mathrand.NewPCG(random(), random())), Log: e.cfg.Log, ElectionTicks: e.cfg.Elect,
-		TickMillis: int(e.cfg.Tick / time.Millisecond), OnProposed: e.cfg.Meter.Proposed, OnApplied: e.cfg.Meter.Applied}
+		TickMillis: int(e.cfg.Tick / time.Millisecond), OnProposed: e.cfg.Meter.CountProposal, OnApplied: e.cfg.Meter.CountApplied}
 	if e.cfg.Tune != nil {
 		e.cfg.Tune(&rc)
 	}
--- a/internal/store/engine/engine_test.go
+++ b/internal/store/engine/engine_test.go
@@ -409,7 +409,7 @@
 
 // What one replica counts as sent the other counts as received, by messages and bytes, and both count what they apply and write.
 func TestReplicasCountTheSame(t *testing.T) {
-	meters := map[string]*usage.Meter{"a": usage.New(), "b": usage.New()}
+	meters := map[string]*usage.Recorder{"a": usage.New(), "b": usage.New()}
 	c := (&cluster{t: t, first: func(cfg *Config) { cfg.Meter = meters[cfg.Name] }}).begin("a", "b")
 	c.until("b", func(s Status) bool { return s.MembershipStable && len(s.Peers) == 2 })
 	for i := range 5 {
@@ -433,7 +433,7 @@
 		t.Errorf("%+v, %+v", x, y)
 	}
 	for name, r := range map[string]usage.Reading{"a": a, "b": b} {
-		if l, s := r.Written[usage.Log], r.Written[usage.Snapshot]; l.Bytes == 0 || s.Bytes == 0 || r.Purposes[usage.Raft].BytesOut == 0 || r.Connections.BytesOut == 0 {
+		if l, s := r.Written[usage.LogFile], r.Written[usage.SnapshotFile]; l.Bytes == 0 || s.Bytes == 0 || r.Purposes[usage.Raft].BytesOut == 0 || r.Connections.BytesOut == 0 {
 			t.Errorf("%s: %+v, %+v", name, l, s)
 		}
 	}
--- a/internal/store/follower/follow.go
+++ b/internal/store/follower/follow.go
@@ -57,7 +57,7 @@
 	Keys     *keys.Pair // nil: plain TCP on loopback
 	Wait     time.Duration
 	Log      *slog.Logger
-	Meter    *usage.Meter // of messages and the file of the copy; nil: nothing is counted
+	Meter    *usage.Recorder // of messages and the file of the copy; nil: nothing is counted
 
 	// Event and Reset are told of changes and of a whole new copy, one after the other. They must not wait.
 	Event func(store.Event)
@@ -166,7 +166,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return f.cfg.Meter.Conn(c), nil
+	return f.cfg.Meter.WrapConn(c), nil
 }
 
 func (f *Follower) path() string { return filepath.Join(f.cfg.Dir, "copy") }
@@ -332,12 +332,12 @@
 		return false, whyEnded(rescope, err)
 	}
 	defer a.Body.Close()
-	f.cfg.Meter.Count(usage.Beats, usage.Out, 1, 0)
+	f.cfg.Meter.Count(usage.Heartbeats, usage.Out, 1, 0)
 	if a.StatusCode == http.StatusGone {
 		return false, f.fetch(at, ask.Interest)
 	}
 	if a.StatusCode != http.StatusOK {
-		f.cfg.Meter.Count(usage.Beats, usage.In, 1, int(max(0, a.ContentLength)))
+		f.cfg.Meter.Count(usage.Heartbeats, usage.In, 1, int(max(0, a.ContentLength)))
 		return false, fmt.Errorf("%w: %s", errBehind, a.Status)
 	}
 	scoped := a.Header.Get(admin.Scoped) != ""
@@ -363,7 +363,7 @@
 		if err := json.Unmarshal(lines.Bytes(), &l); err != nil {
 			return heard, fmt.Errorf("%w: %w", errBehind, err)
 		}
-		of := usage.Beats
+		of := usage.Heartbeats
 		switch {
 		case l.Event != nil:
 			of = f.cfg.Meter.KeyPurpose(l.Event.Item.Key)
@@ -538,7 +538,7 @@
 // countedBody counts the bytes of a message as they are read.
 type countedBody struct {
 	io.Reader
-	m  *usage.Meter
+	m  *usage.Recorder
 	of usage.Purpose
 }
 
@@ -551,12 +551,12 @@
 // countedFile counts what is written to the file of the copy.
 type countedFile struct {
 	io.Writer
-	m *usage.Meter
+	m *usage.Recorder
 }
 
 func (c *countedFile) Write(b []byte) (int, error) {
 	n, err := c.Writer.Write(b)
-	c.m.Wrote(usage.Copy, 0, n)
+	c.m.CountWrite(usage.CopyFile, 0, n)
 	return n, err
 }
 
@@ -624,14 +624,14 @@
 	return err
 }
 
-func write(path string, s *store.State, m *usage.Meter) error {
+func write(path string, s *store.State, m *usage.Recorder) error {
 	w, err := os.CreateTemp(filepath.Dir(path), ".copy-*")
 	if err != nil {
 		return fmt.Errorf("follow: %w", err)
 	}
 	err = s.Save(&countedFile{w, m})
 	err = errors.Join(err, w.Sync(), w.Close())
-	m.Wrote(usage.Copy, 1, 0)
+	m.CountWrite(usage.CopyFile, 1, 0)
 	if err == nil {
 		err = os.Rename(w.Name(), path)
 	}
--- a/internal/store/follower/meter_test.go
+++ b/internal/store/follower/meter_test.go
@@ -31,7 +31,7 @@
 
 // events are those of words and of pictures that the follower is told of.
 func bothEndsCountTheSame(t *testing.T, needs func() changefeed.Subscription, events [2]uint64) {
-	prefixes := []usage.Prefix{{Prefix: "out/", Purpose: usage.Words}, {Prefix: "known/", Purpose: usage.Pictures}}
+	prefixes := []usage.Prefix{{Prefix: "out/", Purpose: usage.ServerReports}, {Prefix: "known/", Purpose: usage.ModuleSnapshots}}
 	here, there := usage.New(prefixes...), usage.New(prefixes...)
 	e, err := engine.Open(engine.Config{Name: "a", Dir: t.TempDir(), Tick: 5 * time.Millisecond, Disk: disk.Options{NoSync: true}, Meter: there})
 	if err != nil {
@@ -101,10 +101,10 @@
 				differ = fmt.Sprintf("the follower: %+v\nits replica: %+v", a, b)
 			}
 		}
-		return differ == "" && mine.Purposes[usage.Beats].MessagesIn > 0
+		return differ == "" && mine.Purposes[usage.Heartbeats].MessagesIn > 0
 	}, func() string { return differ })
 	for p, want := range map[usage.Purpose][4]uint64{ // in and out of the follower, proposed and applied
-		usage.Sessions: {6, 6, 6, 6}, usage.Words: {4 + events[0], 4, 4, 4}, usage.Pictures: {3 + events[1], 3, 4, 4}, usage.Snapshots: {1, 1, 0, 0},
+		usage.Sessions: {6, 6, 6, 6}, usage.ServerReports: {4 + events[0], 4, 4, 4}, usage.ModuleSnapshots: {3 + events[1], 3, 4, 4}, usage.Snapshots: {1, 1, 0, 0},
 		usage.Requests: {1, 1, 0, 0}, usage.Settings: {},
 	} {
 		a, b := mine.Purposes[p], its.Purposes[p]
@@ -112,10 +112,10 @@
 			t.Errorf("%v: %v, and not %v; %+v, %+v", p, got, want, a, b)
 		}
 	}
-	if a := mine.Purposes[usage.Beats]; a.MessagesOut != 1 {
+	if a := mine.Purposes[usage.Heartbeats]; a.MessagesOut != 1 {
 		t.Errorf("the stream was begun %d times", a.MessagesOut)
 	}
-	if w := its.Written[usage.Log]; w.Bytes == 0 || w.Syncs != 0 { // this disk does not sync
+	if w := its.Written[usage.LogFile]; w.Bytes == 0 || w.Syncs != 0 { // this disk does not sync
 		t.Errorf("%+v", w)
 	}
 	if err := f.Close(); err != nil {
@@ -125,7 +125,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if w := here.Read().Written[usage.Copy]; w.Syncs == 0 || w.Bytes < uint64(info.Size()) || w.Syncs == 1 && w.Bytes != uint64(info.Size()) {
+	if w := here.Read().Written[usage.CopyFile]; w.Syncs == 0 || w.Bytes < uint64(info.Size()) || w.Syncs == 1 && w.Bytes != uint64(info.Size()) {
 		t.Errorf("%+v, and the file has %d bytes", w, info.Size())
 	}
 	var sum uint64
--- a/internal/store/peer/peer.go
+++ b/internal/store/peer/peer.go
@@ -91,7 +91,7 @@
 	host    Host
 	keys    *keys.Pair // nil for plain TCP
 	log     *slog.Logger
-	meter   *usage.Meter
+	meter   *usage.Recorder
 	Stats   Stats
 
 	ctx    context.Context
@@ -106,11 +106,11 @@
 
 // New serves a listener, which it closes at the end. Plain TCP, without keys, is for loopback alone. What crosses is counted by m, if
 // it is not nil.
-func New(name, address string, ln net.Listener, host Host, pair *keys.Pair, log *slog.Logger, m *usage.Meter) (*Net, error) {
+func New(name, address string, ln net.Listener, host Host, pair *keys.Pair, log *slog.Logger, m *usage.Recorder) (*Net, error) {
 	if a, ok := ln.Addr().(*net.TCPAddr); pair == nil && (!ok || !a.IP.IsLoopback()) {
 		return nil, fmt.Errorf("store: plain TCP on %s, which is not a loopback address", ln.Addr())
 	}
-	n := &Net{name: name, address: address, host: host, keys: pair, log: log, meter: m, ln: m.Listener(ln), slots: make(chan struct{}, connsMost), links: map[uint64]*link{}}
+	n := &Net{name: name, address: address, host: host, keys: pair, log: log, meter: m, ln: m.WrapListener(ln), slots: make(chan struct{}, connsMost), links: map[uint64]*link{}}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	n.wg.Add(1)
 	go n.accept()
@@ -409,7 +409,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c = l.n.meter.Conn(c)
+	c = l.n.meter.WrapConn(c)
 	if l.n.keys != nil {
 		conf, err := l.n.keys.Client(l.name)
 		if err != nil {
--- a/internal/store/usage/meter.go
+++ b/internal/store/usage/recorder.go
@@ -21,21 +21,21 @@
 
 // The purposes. A transaction has that of its first key.
 const (
-	Other     Purpose = iota
-	Sessions          // leases that are granted, renewed or ended
-	Words             // of drains, bans and starts of servers
-	Pictures          // what sidecars' decision modules know of servers
-	Settings          // of the data path
-	Shares            // of limits
-	Tasks             // who holds one
-	Raft              // between replicas: entries, heartbeats, votes and their answers
-	Snapshots         // whole copies, between replicas and to followers
-	Beats             // of the stream that a follower hears, and its beginning
-	Requests          // of followers, up to where the quorum is
-	purposes
+	Other           Purpose = iota
+	Sessions                // leases that are granted, renewed or ended
+	ServerReports           // of drains, bans and starts of servers
+	ModuleSnapshots         // what sidecars' decision modules know of servers
+	Settings                // of the data path
+	Quotas                  // of limits
+	Tasks                   // who holds one
+	Raft                    // between replicas: entries, heartbeats, votes and their answers
+	Snapshots               // whole copies, between replicas and to followers
+	Heartbeats              // of the stream that a follower hears, and its beginning
+	Requests                // of followers, up to where the quorum is
+	purposeCount
 )
 
-var purposeNames = [purposes]string{"other", "sessions", "words", "pictures", "settings", "shares", "tasks", "raft", "snapshots", "beats", "requests"}
+var purposeNames = [purposeCount]string{"other", "sessions", "words", "pictures", "settings", "shares", "tasks", "raft", "snapshots", "beats", "requests"}
 
 func (p Purpose) String() string { return purposeNames[p] }
 
@@ -53,13 +53,13 @@
 
 // The files. Log and Snapshot share one, and are told apart by what a transaction of it is for.
 const (
-	Log      File = iota // of a replica, with its hard state
-	Snapshot             // of a replica
-	Copy                 // of a follower
-	files
+	LogFile      File = iota // of a replica, with its hard state
+	SnapshotFile             // of a replica
+	CopyFile                 // of a follower
+	fileCount
 )
 
-var fileNames = [files]string{"log", "snapshot", "copy"}
+var fileNames = [fileCount]string{"log", "snapshot", "copy"}
 
 func (f File) String() string { return fileNames[f] }
 
@@ -69,27 +69,27 @@
 	Purpose Purpose
 }
 
-// Meter counts, from when it was made. All methods may be called by any goroutine, and of a nil Meter, which counts nothing.
+// Recorder counts, from when it was made. All methods may be called by any goroutine, and of a nil Meter, which counts nothing.
 // Counting takes no lock and no memory.
-type Meter struct {
-	begun    time.Time
-	prefixes []Prefix
-	moved    [purposes][2]amount
-	wire     [2]atomic.Uint64
-	conns    atomic.Uint64
-	proposed [purposes]atomic.Uint64
-	applied  [purposes]amount
-	wrote    [files]struct{ syncs, bytes atomic.Uint64 }
+type Recorder struct {
+	startedAt   time.Time
+	prefixes    []Prefix
+	messages    [purposeCount][2]amount
+	connBytes   [2]atomic.Uint64
+	connections atomic.Uint64
+	proposed    [purposeCount]atomic.Uint64
+	applied     [purposeCount]amount
+	written     [fileCount]struct{ syncs, bytes atomic.Uint64 }
 }
 
 type amount struct{ messages, bytes atomic.Uint64 }
 
 // New returns a meter that knows what keys are for by the first of the prefixes with which they begin. Whoever puts a process together
 // names them, from the parts that own the keys.
-func New(prefixes ...Prefix) *Meter { return &Meter{begun: time.Now(), prefixes: prefixes} }
+func New(prefixes ...Prefix) *Recorder { return &Recorder{startedAt: time.Now(), prefixes: prefixes} }
 
 // KeyPurpose is what a key is for: Other, if no prefix says.
-func (m *Meter) KeyPurpose(key string) Purpose {
+func (m *Recorder) KeyPurpose(key string) Purpose {
 	if m == nil {
 		return Other
 	}
@@ -103,7 +103,7 @@
 
 // CommandPurpose is what a command is for: a transaction's is that of the first key that it puts or deletes, or else compares.
 // Changes of members are for Raft.
-func (m *Meter) CommandPurpose(c *store.Command) Purpose {
+func (m *Recorder) CommandPurpose(c *store.Command) Purpose {
 	if m == nil {
 		return Other
 	}
@@ -124,23 +124,23 @@
 }
 
 // Count adds messages and bytes that were sent or received.
-func (m *Meter) Count(p Purpose, d Direction, messages, bytes int) {
+func (m *Recorder) Count(p Purpose, d Direction, messages, bytes int) {
 	if m == nil {
 		return
 	}
-	m.moved[p][d].messages.Add(uint64(messages))
-	m.moved[p][d].bytes.Add(uint64(bytes))
+	m.messages[p][d].messages.Add(uint64(messages))
+	m.messages[p][d].bytes.Add(uint64(bytes))
 }
 
-// Proposed counts an entry that this process put to the leader, or to itself as such. It may come to nothing.
-func (m *Meter) Proposed(c *store.Command) {
+// CountProposal counts an entry that this process put to the leader, or to itself as such. It may come to nothing.
+func (m *Recorder) CountProposal(c *store.Command) {
 	if m != nil {
 		m.proposed[m.CommandPurpose(c)].Add(1)
 	}
 }
 
-// Applied counts an entry of the log that this replica applied, of so many encoded bytes.
-func (m *Meter) Applied(c *store.Command, bytes int) {
+// CountApplied counts an entry of the log that this replica applied, of so many encoded bytes.
+func (m *Recorder) CountApplied(c *store.Command, bytes int) {
 	if m != nil {
 		a := &m.applied[m.CommandPurpose(c)]
 		a.messages.Add(1)
@@ -148,72 +148,72 @@
 	}
 }
 
-// Wrote counts bytes that were written to a file, and the syncs that were waited for.
-func (m *Meter) Wrote(f File, syncs, bytes int) {
+// CountWrite counts bytes that were written to a file, and the syncs that were waited for.
+func (m *Recorder) CountWrite(f File, syncs, bytes int) {
 	if m == nil {
 		return
 	}
-	m.wrote[f].syncs.Add(uint64(syncs))
-	m.wrote[f].bytes.Add(uint64(bytes))
+	m.written[f].syncs.Add(uint64(syncs))
+	m.written[f].bytes.Add(uint64(bytes))
 }
 
-// Conn counts a connection, and what crosses it from now on. It is to be put below TLS.
-func (m *Meter) Conn(c net.Conn) net.Conn {
+// WrapConn counts a connection, and what crosses it from now on. It is to be put below TLS.
+func (m *Recorder) WrapConn(c net.Conn) net.Conn {
 	if m == nil {
 		return c
 	}
-	m.conns.Add(1)
-	return &conn{c, m}
+	m.connections.Add(1)
+	return &countedConn{c, m}
 }
 
-type conn struct {
+type countedConn struct {
 	net.Conn
-	m *Meter
+	m *Recorder
 }
 
-func (c *conn) Read(b []byte) (int, error) {
+func (c *countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.m.wire[In].Add(uint64(max(0, n)))
+	c.m.connBytes[In].Add(uint64(max(0, n)))
 	return n, err
 }
 
-func (c *conn) Write(b []byte) (int, error) {
+func (c *countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.m.wire[Out].Add(uint64(max(0, n)))
+	c.m.connBytes[Out].Add(uint64(max(0, n)))
 	return n, err
 }
 
 // CloseWrite is what an HTTP server looks for, so that its last words are read before it closes.
-func (c *conn) CloseWrite() error {
+func (c *countedConn) CloseWrite() error {
 	if x, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return x.CloseWrite()
 	}
 	return nil
 }
 
-// Listener counts what comes to a listener. It is to be put below TLS.
-func (m *Meter) Listener(ln net.Listener) net.Listener {
+// WrapListener counts what comes to a listener. It is to be put below TLS.
+func (m *Recorder) WrapListener(ln net.Listener) net.Listener {
 	if m == nil {
 		return ln
 	}
-	return &listener{ln, m}
+	return &countedListener{ln, m}
 }
 
-type listener struct {
+type countedListener struct {
 	net.Listener
-	m *Meter
+	m *Recorder
 }
 
-func (l *listener) Accept() (net.Conn, error) {
+func (l *countedListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return l.m.Conn(c), nil
+	return l.m.WrapConn(c), nil
 }
 
-// Flow is what was counted for one purpose. Entries and their bytes are of the log, as it is encoded.
-type Flow struct {
+// PurposeUsage is what was counted for one purpose. Entries and their bytes are of the log, as it is encoded.
+type PurposeUsage struct {
 	Purpose      string `json:"purpose"`
 	MessagesIn   uint64 `json:"messages_in"`
 	BytesIn      uint64 `json:"bytes_in"`
@@ -224,8 +224,8 @@
 	AppliedBytes uint64 `json:"entries_applied_bytes"`
 }
 
-// Written is what was written for one file.
-type Written struct {
+// FileUsage is what was written for one file.
+type FileUsage struct {
 	File  string `json:"file"`
 	Syncs uint64 `json:"syncs"`
 	Bytes uint64 `json:"bytes"`
@@ -241,41 +241,41 @@
 // Reading is all that was counted. Its figures are read one after another: those that belong together may differ by what happens
 // meanwhile.
 type Reading struct {
-	Seconds     float64     `json:"seconds"` // since the meter was made
-	Purposes    []Flow      `json:"purposes"`
-	Connections Connections `json:"connections"`
-	Written     []Written   `json:"written"`
-	Process     Process     `json:"process"`
+	Seconds     float64        `json:"seconds"` // since the meter was made
+	Purposes    []PurposeUsage `json:"purposes"`
+	Connections Connections    `json:"connections"`
+	Written     []FileUsage    `json:"written"`
+	Process     Process        `json:"process"`
 }
 
 // Read returns what was counted, every purpose and file in its order, and how the process stands now.
-func (m *Meter) Read() Reading {
-	r := m.Counted()
+func (m *Recorder) Read() Reading {
+	r := m.ReadCounters()
 	r.Process = ReadProcess()
 	return r
 }
 
-// Counted is Read without the process, for one in which several count.
-func (m *Meter) Counted() Reading {
-	r := Reading{Purposes: make([]Flow, purposes), Written: make([]Written, files)}
-	for p := range purposes {
+// ReadCounters is Read without the process, for one in which several count.
+func (m *Recorder) ReadCounters() Reading {
+	r := Reading{Purposes: make([]PurposeUsage, purposeCount), Written: make([]FileUsage, fileCount)}
+	for p := range purposeCount {
 		r.Purposes[p].Purpose = p.String()
 	}
-	for f := range files {
+	for f := range fileCount {
 		r.Written[f].File = f.String()
 	}
 	if m == nil {
 		return r
 	}
-	r.Seconds = time.Since(m.begun).Seconds()
+	r.Seconds = time.Since(m.startedAt).Seconds()
 	for p := range r.Purposes {
-		x, in, out := &r.Purposes[p], &m.moved[p][In], &m.moved[p][Out]
+		x, in, out := &r.Purposes[p], &m.messages[p][In], &m.messages[p][Out]
 		x.MessagesIn, x.BytesIn, x.MessagesOut, x.BytesOut = in.messages.Load(), in.bytes.Load(), out.messages.Load(), out.bytes.Load()
 		x.Proposed, x.Applied, x.AppliedBytes = m.proposed[p].Load(), m.applied[p].messages.Load(), m.applied[p].bytes.Load()
 	}
 	for f := range r.Written {
-		r.Written[f].Syncs, r.Written[f].Bytes = m.wrote[f].syncs.Load(), m.wrote[f].bytes.Load()
+		r.Written[f].Syncs, r.Written[f].Bytes = m.written[f].syncs.Load(), m.written[f].bytes.Load()
 	}
-	r.Connections = Connections{Opened: m.conns.Load(), BytesIn: m.wire[In].Load(), BytesOut: m.wire[Out].Load()}
+	r.Connections = Connections{Opened: m.connections.Load(), BytesIn: m.connBytes[In].Load(), BytesOut: m.connBytes[Out].Load()}
 	return r
 }
--- a/internal/store/usage/wire_test.go
+++ b/internal/store/usage/wire_test.go
@@ -15,7 +15,7 @@
 	}
 	m := New()
 	n := 0
-	for p := range purposes {
+	for p := range purposeCount {
 		n++
 		m.Count(p, In, n, 100+n)
 		m.Count(p, Out, 20+n, 200+n)
@@ -23,14 +23,14 @@
 		m.applied[p].messages.Add(uint64(400 + n))
 		m.applied[p].bytes.Add(uint64(500 + n))
 	}
-	for f := range files {
+	for f := range fileCount {
 		n++
-		m.Wrote(f, n, 1000+n)
+		m.CountWrite(f, n, 1000+n)
 	}
-	m.conns.Add(3)
-	m.wire[In].Add(7)
-	m.wire[Out].Add(8)
-	reading := m.Counted()
+	m.connections.Add(3)
+	m.connBytes[In].Add(7)
+	m.connBytes[Out].Add(8)
+	reading := m.ReadCounters()
 	reading.Seconds = 12.5
 	reading.Process = Process{
 		CPUUserSeconds: 1.5, CPUSystemSeconds: 0.25, HeapBytes: 9, ResidentBytes: 10, Descriptors: 11, Goroutines: 12,
