--- /dev/null
+++ b/internal/store/usage/conn.go
@@ -0,0 +1,59 @@
+package usage
+
+import "net"
+
+// WrapConn counts a connection, and what crosses it from now on. It belongs below TLS.
+func (r *Recorder) WrapConn(conn net.Conn) net.Conn {
+	if r == nil {
+		return conn
+	}
+	r.connections.Add(1)
+	return &countedConn{conn, r}
+}
+
+// WrapListener counts the connections that a listener accepts. It belongs below TLS.
+func (r *Recorder) WrapListener(listener net.Listener) net.Listener {
+	if r == nil {
+		return listener
+	}
+	return &countedListener{listener, r}
+}
+
+type countedConn struct {
+	net.Conn
+	recorder *Recorder
+}
+
+func (c *countedConn) Read(b []byte) (int, error) {
+	n, err := c.Conn.Read(b)
+	c.recorder.connBytes[In].Add(uint64(max(0, n)))
+	return n, err
+}
+
+func (c *countedConn) Write(b []byte) (int, error) {
+	n, err := c.Conn.Write(b)
+	c.recorder.connBytes[Out].Add(uint64(max(0, n)))
+	return n, err
+}
+
+// CloseWrite closes the sending direction, if the connection can. An HTTP server looks for this method, so that
+// the client reads the last answer before the connection closes.
+func (c *countedConn) CloseWrite() error {
+	if halfCloser, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return halfCloser.CloseWrite()
+	}
+	return nil
+}
+
+type countedListener struct {
+	net.Listener
+	recorder *Recorder
+}
+
+func (l *countedListener) Accept() (net.Conn, error) {
+	conn, err := l.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	return l.recorder.WrapConn(conn), nil
+}
--- a/internal/store/usage/process.go
+++ b/internal/store/usage/process.go
@@ -9,39 +9,77 @@
 	"syscall"
 )
 
-// Process is how a whole process stands, whatever runs in it beside the control plane. What the system does not tell is -1.
+// unknown is a figure that the system does not provide.
+const unknown = -1
+
+// Process is the resources of a process, whatever runs in it besides the control plane. A figure that the
+// system does not provide is -1.
 type Process struct {
-	CPUUserSeconds   float64 `json:"cpu_user_seconds"` // by getrusage, since its start
+	CPUUserSeconds   float64 `json:"cpu_user_seconds"` // since its start, by getrusage
 	CPUSystemSeconds float64 `json:"cpu_system_seconds"`
 	HeapBytes        int64   `json:"heap_bytes"`     // in objects, live or not yet swept
-	ResidentBytes    int64   `json:"resident_bytes"` // now, not the most that there were
+	ResidentBytes    int64   `json:"resident_bytes"` // at present
 	Descriptors      int64   `json:"descriptors"`
 	Goroutines       int64   `json:"goroutines"`
 }
 
-// ReadProcess looks at the process that calls. It reads files of /proc and stops no goroutine.
+// ReadProcess reads the resources of this process. It reads files of /proc and stops no goroutine.
 func ReadProcess() Process {
-	p := Process{CPUUserSeconds: -1, CPUSystemSeconds: -1, ResidentBytes: -1, Descriptors: -1, Goroutines: int64(runtime.NumGoroutine())}
-	var u syscall.Rusage
-	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) == nil {
-		p.CPUUserSeconds, p.CPUSystemSeconds = float64(u.Utime.Nano())/1e9, float64(u.Stime.Nano())/1e9
-	}
-	heap := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
-	if metrics.Read(heap); heap[0].Value.Kind() == metrics.KindUint64 {
-		p.HeapBytes = int64(heap[0].Value.Uint64())
-	}
-	if b, err := os.ReadFile("/proc/self/statm"); err == nil {
-		if f := strings.Fields(string(b)); len(f) > 1 {
-			if n, err := strconv.ParseInt(f[1], 10, 64); err == nil {
-				p.ResidentBytes = n * int64(os.Getpagesize())
-			}
-		}
-	}
-	if d, err := os.Open("/proc/self/fd"); err == nil {
-		names, err := d.Readdirnames(-1)
-		if d.Close(); err == nil {
-			p.Descriptors = int64(len(names)) - 1 // without the one that looks
-		}
-	}
-	return p
+	user, system := readCPUSeconds()
+	return Process{
+		CPUUserSeconds:   user,
+		CPUSystemSeconds: system,
+		HeapBytes:        readHeapBytes(),
+		ResidentBytes:    readResidentBytes(),
+		Descriptors:      countDescriptors(),
+		Goroutines:       int64(runtime.NumGoroutine()),
+	}
+}
+
+func readCPUSeconds() (user, system float64) {
+	var usage syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
+		return unknown, unknown
+	}
+	const nanosPerSecond = 1e9
+	return float64(usage.Utime.Nano()) / nanosPerSecond, float64(usage.Stime.Nano()) / nanosPerSecond
+}
+
+// readHeapBytes is 0 where the runtime has no such metric.
+func readHeapBytes() int64 {
+	samples := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
+	metrics.Read(samples)
+	if samples[0].Value.Kind() != metrics.KindUint64 {
+		return 0
+	}
+	return int64(samples[0].Value.Uint64())
+}
+
+func readResidentBytes() int64 {
+	statm, err := os.ReadFile("/proc/self/statm")
+	if err != nil {
+		return unknown
+	}
+	fields := strings.Fields(string(statm))
+	if len(fields) < 2 {
+		return unknown
+	}
+	pages, err := strconv.ParseInt(fields[1], 10, 64)
+	if err != nil {
+		return unknown
+	}
+	return pages * int64(os.Getpagesize())
+}
+
+func countDescriptors() int64 {
+	dir, err := os.Open("/proc/self/fd")
+	if err != nil {
+		return unknown
+	}
+	names, err := dir.Readdirnames(-1)
+	_ = dir.Close() // opened for reading alone
+	if err != nil {
+		return unknown
+	}
+	return int64(len(names)) - 1 // without the one of dir
 }
--- a/internal/store/usage/recorder_test.go
+++ b/internal/store/usage/recorder_test.go
@@ -7,9 +7,9 @@
 	"birchmoor/internal/store"
 )
 
-// A meter counts what it is told, apart by purpose, direction and file; none at all counts nothing; and neither takes memory.
+// A recorder counts by purpose, direction and file; a nil one counts nothing; and neither allocates.
 func TestRecorderCountsByPurpose(t *testing.T) {
-	m := New(Prefix{"a/", ServerReports}, Prefix{"a", Tasks})
+	recorder := New(Prefix{"a/", ServerReports}, Prefix{"a", Tasks})
 	c := &store.Command{Txn: &store.Txn{Then: []store.Op{{Key: "a/x"}}}}
 	count := func(m *Recorder) {
 		m.Count(Heartbeats, In, 1, 70)
@@ -18,31 +18,37 @@
 		m.CountApplied(c, 30)
 		m.CountWrite(CopyFile, 1, 900)
 	}
-	count(m)
-	r := m.Read()
-	if got, want := r.Purposes[Heartbeats], (PurposeUsage{Purpose: "beats", MessagesIn: 1, BytesIn: 70, MessagesOut: 2, BytesOut: 5}); got != want {
-		t.Errorf("%+v, and not %+v", got, want)
+	count(recorder)
+	r := recorder.Read()
+	wantHeartbeats := PurposeUsage{Purpose: "beats", MessagesIn: 1, BytesIn: 70, MessagesOut: 2, BytesOut: 5}
+	if got, want := r.Purposes[Heartbeats], wantHeartbeats; got != want {
+		t.Errorf("got %+v, want %+v", got, want)
 	}
-	if got, want := r.Purposes[ServerReports], (PurposeUsage{Purpose: "words", Proposed: 1, Applied: 1, AppliedBytes: 30}); got != want {
-		t.Errorf("%+v, and not %+v", got, want)
+	wantReports := PurposeUsage{Purpose: "words", Proposed: 1, Applied: 1, AppliedBytes: 30}
+	if got, want := r.Purposes[ServerReports], wantReports; got != want {
+		t.Errorf("got %+v, want %+v", got, want)
 	}
 	if got, want := r.Written[CopyFile], (FileUsage{"copy", 1, 900}); got != want {
-		t.Errorf("%+v, and not %+v", got, want)
+		t.Errorf("got %+v, want %+v", got, want)
 	}
-	if got := m.KeyPurpose("ab"); got != Tasks {
+	if got := recorder.KeyPurpose("ab"); got != Tasks {
 		t.Errorf("a key of the second prefix is for %v", got)
 	}
-	if p := r.Process; p.CPUUserSeconds < 0 || p.HeapBytes <= 0 || p.ResidentBytes <= p.HeapBytes/2 || p.Descriptors < 3 || p.Goroutines < 1 {
+	p := r.Process
+	validMemory := p.HeapBytes > 0 && p.ResidentBytes > p.HeapBytes/2
+	if p.CPUUserSeconds < 0 || !validMemory || p.Descriptors < 3 || p.Goroutines < 1 {
 		t.Errorf("the process: %+v", p)
 	}
 	var none *Recorder
 	count(none)
-	if r := none.Read(); r.Purposes[Heartbeats] != (PurposeUsage{Purpose: "beats"}) || r.Written[CopyFile] != (FileUsage{File: "copy"}) || r.Seconds != 0 {
-		t.Errorf("no meter counted %+v", r)
+	empty := none.Read()
+	noHeartbeats, nothingWritten := PurposeUsage{Purpose: "beats"}, FileUsage{File: "copy"}
+	if empty.Purposes[Heartbeats] != noHeartbeats || empty.Written[CopyFile] != nothingWritten || empty.Seconds != 0 {
+		t.Errorf("a nil recorder counted %+v", empty)
 	}
-	for _, m := range []*Recorder{m, none} {
+	for _, m := range []*Recorder{recorder, none} {
 		if n := testing.AllocsPerRun(100, func() { count(m) }); n != 0 {
-			t.Errorf("counting takes memory %v times", n)
+			t.Errorf("counting allocates %v times", n)
 		}
 	}
 }
@@ -78,13 +84,13 @@
 		_, err = s.Read(b)
 	}
 	if got, want := there.Read().Connections, (Connections{Opened: 1, BytesOut: 5}); got != want {
-		t.Errorf("%+v, and not %+v", got, want)
+		t.Errorf("got %+v, want %+v", got, want)
 	}
 	if got, want := here.Read().Connections, (Connections{Opened: 1, BytesIn: 5}); got != want {
-		t.Errorf("%+v, and not %+v", got, want)
+		t.Errorf("got %+v, want %+v", got, want)
 	}
 	var none *Recorder
 	if none.WrapConn(raw) != raw || none.WrapListener(ln) != ln {
-		t.Error("without a meter something is between")
+		t.Error("a nil recorder wraps")
 	}
 }
--- a/internal/store/usage/wire_test.go
+++ b/internal/store/usage/wire_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// TestReadingJSONIsFrozen counts what an earlier build counted, and compares the reading with the one that it wrote.
+// TestReadingJSONIsFrozen counts what an earlier build counted, and compares the reading with the one that it
+// wrote.
 func TestReadingJSONIsFrozen(t *testing.T) {
 	want, err := os.ReadFile("testdata/reading.golden.json")
 	if err != nil {
