--- a/cmd/birchmoor/followers_test.go
+++ b/cmd/birchmoor/followers_test.go
@@ -261,7 +261,7 @@
 					k, class = rand.IntN(20), rand.IntN(4)
 				}
 				for range k {
-					if ended, no := x.limits.Take(&core.Asked{Class: fmt.Sprint("class", class), Worth: 1}); no == nil && ended != nil {
+					if ended, no := x.limits.Admit(&core.LimiterRequest{Class: fmt.Sprint("class", class), PriorityWeight: 1}); no == nil && ended != nil {
 						ended(true)
 					}
 				}
--- a/internal/controlplane/daemon/starts.go
+++ b/internal/controlplane/daemon/starts.go
@@ -73,7 +73,7 @@
 	defer s.mu.Unlock()
 	var all []core.Start
 	s.reports.WarmingUp(s.now(time.Now()), func(p serverstate.Process, age, _ int64, _ string, _ bool) {
-		all = append(all, core.Start{Process: discovery.Process(p), Ago: time.Duration(age)})
+		all = append(all, core.Start{Process: discovery.Process(p), Age: time.Duration(age)})
 	})
 	return all
 }
@@ -179,7 +179,7 @@
 	now := s.now(time.Now())
 	for p := range s.dirty {
 		if age, _, ok := s.reports.Lookup(now, p); ok {
-			starts = append(starts, core.Start{Process: discovery.Process(p), Ago: time.Duration(age)})
+			starts = append(starts, core.Start{Process: discovery.Process(p), Age: time.Duration(age)})
 		}
 	}
 	clear(s.dirty)
--- a/internal/controlplane/daemon/starts_test.go
+++ b/internal/controlplane/daemon/starts_test.go
@@ -57,7 +57,7 @@
 	ago := time.Duration(-1)
 	for _, x := range b.servers.RecentStarts() {
 		if x.Process == one {
-			ago = x.Ago
+			ago = x.Age
 		}
 	}
 	// Its age counts from when the report was written, so that it warms up for too long rather than too short.
--- a/internal/controlplane/quotasync/limiter.go
+++ b/internal/controlplane/quotasync/limiter.go
@@ -8,8 +8,8 @@
 // inlineCharges is how many charges of a request are matched without an allocation.
 const inlineCharges = 4
 
-// Take implements core.Limiter.
-func (m *Manager) Take(r *core.Asked) (ended func(ran bool), limited *core.Limited) {
+// Admit implements core.Limiter.
+func (m *Manager) Admit(r *core.LimiterRequest) (ended func(ran bool), limited *core.LimitExceeded) {
 	matcher := m.matcher.Load()
 	if matcher == nil {
 		return nil, nil
@@ -20,18 +20,18 @@
 		Path:           r.Path,
 		Cost:           r.CostMs * quota.AmountUnit,
 		Header:         r.Header,
-		PriorityWeight: r.Worth,
+		PriorityWeight: r.PriorityWeight,
 	})
 	if len(charges) == 0 {
 		return nil, nil
 	}
-	reservation, rejection := m.reserve(charges, r.Worth)
+	reservation, rejection := m.reserve(charges, r.PriorityWeight)
 	if rejection != nil {
-		return nil, &core.Limited{
-			Limit:      rejection.Limit,
-			Of:         rejection.Node,
-			Alone:      rejection.StoreUnreachable,
-			RetryAfter: m.cfg.Clock.Span(rejection.RetryAfter),
+		return nil, &core.LimitExceeded{
+			Limit:            rejection.Limit,
+			Part:             rejection.Node,
+			StoreUnreachable: rejection.StoreUnreachable,
+			RetryAfter:       m.cfg.Clock.Span(rejection.RetryAfter),
 		}
 	}
 	return func(ran bool) { m.release(reservation, ran) }, nil
--- a/internal/dataplane/core/time_test.go
+++ b/internal/dataplane/core/deadline_test.go
@@ -12,9 +12,9 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// asked has one request of a class answered whose attempts go as send says, and returns the answer and how long it took, in
+// ask has one request of a class answered whose attempts go as send says, and returns the answer and how long it took, in
 // virtual time.
-func asked(t *testing.T, class uint8, send func(ctx context.Context, o Order) Reply) (a Answer, took time.Duration) {
+func ask(t *testing.T, class uint8, send func(ctx context.Context, o Attempt) Reply) (a Answer, took time.Duration) {
 	t.Helper()
 	c := sidecartest.Configure(t, "127.0.0.1:1", []discovery.Instance{sidecartest.Up("s-1", "127.0.0.1:1")})
 	l, err := New(c, NewClock(), stub{send: send}, func(bool) {}, metrics.New(), nil, sidecartest.Quiet)
@@ -24,10 +24,10 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { l.Run(ctx); close(done) }()
-	k := &Call{ID: "1", Class: l.View().Classes[class], View: l.View(), Answer: make(chan Answer, 1),
-		In: balancer.Request{Class: class, Deadline: l.Now() + 900_000, Rules: l.View().Rules, Key: 7}}
+	k := &Request{ID: "1", Class: l.ConfigSnapshot().Classes[class], Config: l.ConfigSnapshot(), Answer: make(chan Answer, 1),
+		Input: balancer.Request{Class: class, Deadline: l.Now() + 900_000, Rules: l.ConfigSnapshot().Rules, Key: 7}}
 	begun := time.Now()
-	l.Arrived(k)
+	l.Submit(k)
 	a = <-k.Answer
 	took = time.Since(begun)
 	cancel()
@@ -36,32 +36,32 @@
 }
 
 // An endpoint that is mute does not keep a request beyond its time, and the answer comes no later than that.
-func TestMuteEndpoint(t *testing.T) {
+func TestSilentEndpointDoesNotOutlastDeadline(t *testing.T) {
 	for class := range uint8(3) {
 		synctest.Test(t, func(t *testing.T) {
-			a, took := asked(t, class, func(ctx context.Context, o Order) Reply {
-				o.Go(0)
+			a, took := ask(t, class, func(ctx context.Context, o Attempt) Reply {
+				o.Begin(0)
 				<-ctx.Done()
 				return Reply{Status: balancer.Cancelled}
 			})
-			if a.Verdict == Served || took > 900*time.Millisecond {
-				t.Errorf("class %d: verdict %v after %v, want none served, within its 900 ms", class, a.Verdict, took)
+			if a.Disposition == Served || took > 900*time.Millisecond {
+				t.Errorf("class %d: verdict %v after %v, want none served, within its 900 ms", class, a.Disposition, took)
 			}
 		})
 	}
 }
 
 // What is given up is answered at once, not held back until its time.
-func TestGivenUpAtOnce(t *testing.T) {
+func TestFailedRequestIsAnsweredAtOnce(t *testing.T) {
 	for _, status := range []balancer.Status{balancer.Reset, balancer.ConnectFailed, balancer.Rejected} {
 		synctest.Test(t, func(t *testing.T) {
 			const pay = 2 // which is not repeated once it may have run
-			a, took := asked(t, pay, func(ctx context.Context, o Order) Reply {
-				o.Go(0)
+			a, took := ask(t, pay, func(ctx context.Context, o Attempt) Reply {
+				o.Begin(0)
 				return Reply{Status: status}
 			})
-			if a.Verdict == Served || took > 450*time.Millisecond {
-				t.Errorf("%v: verdict %v after %v", status, a.Verdict, took)
+			if a.Disposition == Served || took > 450*time.Millisecond {
+				t.Errorf("%v: verdict %v after %v", status, a.Disposition, took)
 			}
 		})
 	}
--- a/internal/dataplane/core/drains_test.go
+++ b/internal/dataplane/core/drains_test.go
@@ -14,7 +14,7 @@
 
 // Others' word on a drain binds from the first instant on, for one process of a server; this sidecar's own is told to
 // others once, and is not undone by theirs.
-func TestDrainsOfOthers(t *testing.T) {
+func TestPeerDrainsApplyToOneProcess(t *testing.T) {
 	in := func(id, addr, lifecycle string, started int64) discovery.Instance {
 		return discovery.Instance{ID: id, Addr: addr, Lifecycle: lifecycle, StartedMs: started}
 	}
@@ -27,7 +27,7 @@
 	process := func(id, addr string, started int64) discovery.Process {
 		return discovery.Process{ID: id, Addr: addr, StartedMs: started}
 	}
-	l.Drains([]discovery.Process{process("a", "127.0.0.1:1", 5)}, func(p discovery.Process, drains bool) {
+	l.ShareDrains([]discovery.Process{process("a", "127.0.0.1:1", 5)}, func(p discovery.Process, drains bool) {
 		told = append(told, fmt.Sprintf("%s%d%v", p.ID, p.StartedMs, drains))
 	})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -37,7 +37,7 @@
 	serve := func(what, want string) {
 		t.Helper()
 		got := ""
-		l.call(ctx, func(balancer.Micros) {
+		l.do(ctx, func(balancer.Micros) {
 			for _, id := range []string{"a", "b", "c"} {
 				if e := l.byName[id]; e != nil && e.state == balancer.Ready {
 					got += id
@@ -49,7 +49,7 @@
 		}
 	}
 	list := func(all ...discovery.Instance) {
-		l.call(ctx, func(now balancer.Micros) { l.members(now, balancer.ListDelta, discovery.List{Instances: all}) })
+		l.do(ctx, func(now balancer.Micros) { l.applyList(now, balancer.ListDelta, discovery.List{Instances: all}) })
 	}
 	serve("known at the start", "b")
 	list(in("a", "127.0.0.1:1", "up", 5))
@@ -60,23 +60,23 @@
 	serve("its address under another id", "bc")
 	list(in("a", "127.0.0.1:1", "up", 6))
 	serve("a new start", "abc")
-	l.Drain(ctx, process("b", "127.0.0.1:2", 4), true)
+	l.ApplyDrain(ctx, process("b", "127.0.0.1:2", 4), true)
 	serve("of an earlier start", "abc")
-	l.Drain(ctx, process("b", "127.0.0.1:2", 5), true)
+	l.ApplyDrain(ctx, process("b", "127.0.0.1:2", 5), true)
 	serve("another's word", "ac")
-	l.Drain(ctx, process("b", "127.0.0.1:2", 5), false)
+	l.ApplyDrain(ctx, process("b", "127.0.0.1:2", 5), false)
 	serve("which has ended", "abc")
-	l.Drain(ctx, process("a", "127.0.0.1:1", 9), true)
+	l.ApplyDrain(ctx, process("a", "127.0.0.1:1", 9), true)
 	serve("of a later process than its list knows", "bc")
-	l.Drain(ctx, process("a", "127.0.0.1:1", 9), false)
+	l.ApplyDrain(ctx, process("a", "127.0.0.1:1", 9), false)
 	serve("and that has ended", "abc")
 	if len(told) > 0 {
 		t.Errorf("told %v of what it did not hear", told)
 	}
 	list(in("c", "127.0.0.1:1", "draining", 5))
 	list(in("c", "", "draining", 0)) // as short as a drain may be told
-	l.Drain(ctx, process("c", "127.0.0.1:1", 5), true)
-	l.Drain(ctx, process("c", "127.0.0.1:1", 5), false)
+	l.ApplyDrain(ctx, process("c", "127.0.0.1:1", 5), true)
+	l.ApplyDrain(ctx, process("c", "127.0.0.1:1", 5), false)
 	serve("its own word, whatever others say", "ab")
 	list(in("c", "127.0.0.1:1", "up", 7))
 	list(in("b", "127.0.0.1:2", "draining", 5))
@@ -88,7 +88,7 @@
 
 // What others saw begin is cold here: where discovery does not tell starts, and where this sidecar's list is late. What it
 // saw itself is told once, and not put back.
-func TestStartsOfOthers(t *testing.T) {
+func TestPeerStartsWarmUpHere(t *testing.T) {
 	in := func(id string, started int64) discovery.Instance {
 		return discovery.Instance{ID: id, Addr: "127.0.0.1:1", Lifecycle: "up", StartedMs: started}
 	}
@@ -102,8 +102,8 @@
 		return Start{discovery.Process{ID: id, Addr: "127.0.0.1:1", StartedMs: started}, ago}
 	}
 	now := time.Now().UnixMilli()
-	l.Drains([]discovery.Process{{ID: "late", Addr: "127.0.0.1:1", StartedMs: 5}}, func(discovery.Process, bool) {})
-	l.Starts([]Start{word("began", 0, time.Second)}, func(p discovery.Process, ago, cold time.Duration) {
+	l.ShareDrains([]discovery.Process{{ID: "late", Addr: "127.0.0.1:1", StartedMs: 5}}, func(discovery.Process, bool) {})
+	l.ShareStarts([]Start{word("began", 0, time.Second)}, func(p discovery.Process, ago, cold time.Duration) {
 		told = append(told, p.ID)
 	})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -113,8 +113,8 @@
 	cold := func(what, want string) {
 		t.Helper()
 		got := ""
-		l.call(ctx, func(now balancer.Micros) {
-			k := l.picture(now, true)
+		l.do(ctx, func(now balancer.Micros) {
+			k := l.takeSnapshot(now, true)
 			for i, e := range k.State.Endpoints {
 				if e.WarmingUp {
 					got += k.Names[i] + " "
@@ -126,21 +126,21 @@
 		}
 	}
 	cold("known at the start", "began ")
-	l.Begun(ctx, word("late", now, time.Second))
+	l.ApplyStart(ctx, word("late", now, time.Second))
 	cold("a newer process than the list knows", "began late ")
 	if e := l.byName["late"]; e.state != balancer.Ready {
 		t.Error("the drain of the process before it binds it")
 	}
 	full := func(all ...discovery.Instance) {
-		l.call(ctx, func(now balancer.Micros) {
-			l.members(now, balancer.ListFull, discovery.List{Reset: true, Instances: all})
+		l.do(ctx, func(now balancer.Micros) {
+			l.applyList(now, balancer.ListFull, discovery.List{Reset: true, Instances: all})
 		})
 	}
 	full(in("old", 0), in("began", 0), in("late", 5))
 	full(in("old", 0), in("began", 0), in("late", now), in("new", 0))
 	cold("seen to begin", "began late new ")
-	l.Begun(ctx, word("new", 0, time.Hour))
-	l.Begun(ctx, word("old", 0, time.Hour))
+	l.ApplyStart(ctx, word("new", 0, time.Hour))
+	l.ApplyStart(ctx, word("old", 0, time.Hour))
 	full(in("old", 0), in("began", 0), in("late", now), in("new", 0))
 	cold("what others know to be long ago", "began late new ")
 	if got := fmt.Sprint(told); got != "[late new]" {
--- a/internal/dataplane/core/members_test.go
+++ b/internal/dataplane/core/endpointlist_test.go
@@ -16,7 +16,7 @@
 )
 
 // What can't be read of a list is passed over in one line for all of it, but a drain binds however it is told.
-func TestOddEntries(t *testing.T) {
+func TestInvalidListEntriesAreLoggedOnce(t *testing.T) {
 	var said strings.Builder
 	log := slog.New(slog.NewTextHandler(&said, nil))
 	cfg := sidecartest.Configure(t, sidecartest.Nowhere(t), nil)
@@ -48,7 +48,7 @@
 		{"empty", balancer.ListFull, nil, "", 0, ""},
 	} {
 		said.Reset()
-		l.members(now, c.kind, discovery.List{Generation: 7, Instances: c.list})
+		l.applyList(now, c.kind, discovery.List{Generation: 7, Instances: c.list})
 		var ready []string
 		for name, e := range l.byName {
 			if e.state == balancer.Ready {
@@ -66,26 +66,26 @@
 }
 
 // A dial can outlast the grace for a drain: then nothing may go out, and the request never ran.
-func TestDialOutlastsDrain(t *testing.T) {
+func TestConnectionAfterDrainGraceSendsNothing(t *testing.T) {
 	drained := sidecartest.Up("s-1", "127.0.0.1:1")
 	drained.Lifecycle = "draining"
 	for _, tc := range []struct {
 		name string
 		news discovery.List
 		wait time.Duration // until the connection is up
-		want Verdict
+		want Disposition
 	}{
 		{"within the grace", discovery.List{Instances: []discovery.Instance{drained}}, 0, Served},
-		{"past the grace", discovery.List{Instances: []discovery.Instance{drained}}, 250 * time.Millisecond, Refused},
-		{"left out of a whole list", discovery.List{Reset: true}, 250 * time.Millisecond, Refused},
+		{"past the grace", discovery.List{Instances: []discovery.Instance{drained}}, 250 * time.Millisecond, Rejected},
+		{"left out of a whole list", discovery.List{Reset: true}, 250 * time.Millisecond, Rejected},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			cfg := sidecartest.Configure(t, "127.0.0.1:1", []discovery.Instance{sidecartest.Up("s-1", "127.0.0.1:1")})
 			clk, dialing := NewClock(), make(chan struct{})
-			l, err := New(cfg, clk, stub{send: func(_ context.Context, o Order) Reply {
+			l, err := New(cfg, clk, stub{send: func(_ context.Context, o Attempt) Reply {
 				close(dialing)
 				time.Sleep(tc.wait + time.Millisecond) // the list is here by then
-				if now := clk.Now(); !o.Go(now) {
+				if now := clk.Now(); !o.Begin(now) {
 					return Reply{Status: balancer.NotSent, At: now}
 				}
 				return Reply{Status: balancer.OK, At: clk.Now()}
@@ -96,13 +96,13 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan struct{})
 			go func() { l.Run(ctx); close(done) }()
-			c := &Call{ID: "1", Class: "pay", View: l.View(), Answer: make(chan Answer, 1),
-				In: balancer.Request{Class: 2, Deadline: l.Now() + 900_000, Rules: l.View().Rules}}
-			l.Arrived(c)
+			c := &Request{ID: "1", Class: "pay", Config: l.ConfigSnapshot(), Answer: make(chan Answer, 1),
+				Input: balancer.Request{Class: 2, Deadline: l.Now() + 900_000, Rules: l.ConfigSnapshot().Rules}}
+			l.Submit(c)
 			<-dialing
-			l.Told(t.Context(), tc.news)
-			if a := <-c.Answer; a.Verdict != tc.want {
-				t.Errorf("%s: verdict %v, want %v", tc.name, a.Verdict, tc.want)
+			l.WatchEvent(t.Context(), tc.news)
+			if a := <-c.Answer; a.Disposition != tc.want {
+				t.Errorf("%s: verdict %v, want %v", tc.name, a.Disposition, tc.want)
 			}
 			cancel()
 			<-done
@@ -111,13 +111,13 @@
 }
 
 // Without any endpoint that serves a sidecar is not ready.
-func TestReadyWithAnEndpoint(t *testing.T) {
-	l := lone(t, sidecartest.Configure(t, "127.0.0.1:1", nil), sidecartest.Quiet)
-	l.call(t.Context(), func(balancer.Micros) {}) // it has begun
+func TestNotReadyWithoutEndpoint(t *testing.T) {
+	l := startLoneLoop(t, sidecartest.Configure(t, "127.0.0.1:1", nil), sidecartest.Quiet)
+	l.do(t.Context(), func(balancer.Micros) {}) // it has begun
 	if l.Ready() {
 		t.Error("ready without an endpoint")
 	}
-	l.Cached(t.Context(), discovery.List{Generation: 8, Instances: []discovery.Instance{sidecartest.Up("s-1", "127.0.0.1:1")}})
+	l.ApplyCachedList(t.Context(), discovery.List{Generation: 8, Instances: []discovery.Instance{sidecartest.Up("s-1", "127.0.0.1:1")}})
 	if !l.Ready() {
 		t.Error("not ready with an endpoint")
 	}
--- a/internal/dataplane/core/late_test.go
+++ b/internal/dataplane/core/latereply_test.go
@@ -23,8 +23,8 @@
 			sent := make(chan int, 8)
 			var attempts, withdrawn atomic.Int32
 			var hot atomic.Bool // the module has been taught
-			s := stub{late: late, send: func(ctx context.Context, o Order) Reply {
-				o.Go(0)
+			s := stub{late: late, send: func(ctx context.Context, o Attempt) Reply {
+				o.Begin(0)
 				if !hot.Load() {
 					time.Sleep(time.Millisecond)
 					return Reply{Status: balancer.OK, At: o.Request.(balancer.Micros) + 1000}
@@ -49,27 +49,27 @@
 			go func() { l.Run(ctx); close(done) }()
 			// Quick answers teach the module what to expect of both, so that its patience is its least.
 			for range 100 {
-				var two [2]*Call
+				var two [2]*Request
 				for i := range two {
-					two[i] = &Call{ID: strconv.Itoa(i), Class: "look", View: l.View(), Answer: make(chan Answer, 1), Out: l.Now(),
-						In: balancer.Request{Deadline: l.Now() + 900_000, Rules: l.View().Rules}}
-					l.Arrived(two[i])
+					two[i] = &Request{ID: strconv.Itoa(i), Class: "look", Config: l.ConfigSnapshot(), Answer: make(chan Answer, 1), Payload: l.Now(),
+						Input: balancer.Request{Deadline: l.Now() + 900_000, Rules: l.ConfigSnapshot().Rules}}
+					l.Submit(two[i])
 				}
 				<-two[0].Answer
 				<-two[1].Answer
 			}
 			hot.Store(true)
-			k := &Call{ID: "1", Class: "look", View: l.View(), Answer: make(chan Answer, 1),
-				In: balancer.Request{Deadline: l.Now() + 900_000, Rules: l.View().Rules}}
+			k := &Request{ID: "1", Class: "look", Config: l.ConfigSnapshot(), Answer: make(chan Answer, 1),
+				Input: balancer.Request{Deadline: l.Now() + 900_000, Rules: l.ConfigSnapshot().Rules}}
 			begun := time.Now()
-			l.Arrived(k)
+			l.Submit(k)
 			a := <-k.Answer
 			took := time.Since(begun)
 			if len(sent) != 2 {
 				t.Fatalf("%d attempts, answered after %v", len(sent), took)
 			}
-			if a.Verdict != Served {
-				t.Fatalf("late %v: verdict %v", late, a.Verdict)
+			if a.Disposition != Served {
+				t.Fatalf("late %v: verdict %v", late, a.Disposition)
 			}
 			want := 0 // the first attempt's
 			if !late {
@@ -82,8 +82,8 @@
 				t.Errorf("answered after %v", took)
 			}
 			synctest.Wait()
-			if withdrawn.Load() != 1 || len(l.calls) != 0 || len(k.Answer) != 0 {
-				t.Errorf("late %v: %d withdrawn, %d calls kept", late, withdrawn.Load(), len(l.calls))
+			if withdrawn.Load() != 1 || len(l.requests) != 0 || len(k.Answer) != 0 {
+				t.Errorf("late %v: %d withdrawn, %d calls kept", late, withdrawn.Load(), len(l.requests))
 			}
 			cancel()
 			<-done
@@ -92,11 +92,11 @@
 }
 
 // Where nothing may be withdrawn, an attempt whose request has ended goes on to its time and no longer.
-func TestNobodyWaitsForTheLate(t *testing.T) {
+func TestAttemptOfEndedRequestStopsAtItsTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sent, over := make(chan struct{}), make(chan struct{})
-		s := stub{late: true, send: func(ctx context.Context, o Order) Reply {
-			o.Go(0)
+		s := stub{late: true, send: func(ctx context.Context, o Attempt) Reply {
+			o.Begin(0)
 			close(sent)
 			<-ctx.Done()
 			close(over)
@@ -110,11 +110,11 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { l.Run(ctx); close(done) }()
-		k := &Call{ID: "1", Class: "look", View: l.View(), Answer: make(chan Answer, 1),
-			In: balancer.Request{Deadline: l.Now() + 900_000, Rules: l.View().Rules}}
-		l.Arrived(k)
+		k := &Request{ID: "1", Class: "look", Config: l.ConfigSnapshot(), Answer: make(chan Answer, 1),
+			Input: balancer.Request{Deadline: l.Now() + 900_000, Rules: l.ConfigSnapshot().Rules}}
+		l.Submit(k)
 		<-sent
-		l.Left(k)
+		l.ClientLeft(k)
 		time.Sleep(time.Second) // past its time
 		synctest.Wait()
 		select {
--- a/internal/dataplane/core/limit.go
+++ b/internal/dataplane/core/limit.go
@@ -4,24 +4,24 @@
 
 // Limiter lets requests through, or refuses them, before they are taken. Any goroutine may use it; it does not wait.
 type Limiter interface {
-	// Take is asked once for a request. Ended, unless it is nil, is to be told once, when the request is over, whether it may have run:
+	// Admit is asked once for a request. Ended, unless it is nil, is to be told once, when the request is over, whether it may have run:
 	// what never did is not charged.
-	Take(a *Asked) (ended func(ran bool), no *Limited)
+	Admit(a *LimiterRequest) (ended func(ran bool), no *LimitExceeded)
 }
 
-// Asked is what limits read of a request.
-type Asked struct {
-	Class  string
-	Path   string
-	CostMs int64   // work that the client expects; 0: it says nothing
-	Worth  float64 // of its class, by the greatest of all: 0 to 1
-	Header func(name string) string
+// LimiterRequest is what limits read of a request.
+type LimiterRequest struct {
+	Class          string
+	Path           string
+	CostMs         int64   // work that the client expects; 0: it says nothing
+	PriorityWeight float64 // of its class, by the greatest of all: 0 to 1
+	Header         func(name string) string
 }
 
-// Limited says which limit a request found spent, and when there will be room.
-type Limited struct {
-	Limit      string
-	Of         string // the part, empty for the whole
-	Alone      bool   // the store is out of reach
-	RetryAfter time.Duration
+// LimitExceeded says which limit a request found spent, and when there will be room.
+type LimitExceeded struct {
+	Limit            string
+	Part             string // the part, empty for the whole
+	StoreUnreachable bool   // the store is out of reach
+	RetryAfter       time.Duration
 }
--- a/internal/dataplane/core/crossings_test.go
+++ b/internal/dataplane/core/races_test.go
@@ -13,11 +13,11 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// looping runs a loop before endpoints of one cell whose attempts go as send says, in virtual time.
-func looping(t *testing.T, send func(l *Loop, ctx context.Context, o Order) Reply, edits ...string) (l *Loop, end func()) {
+// startLoop runs a loop before endpoints of one cell whose attempts go as send says, in virtual time.
+func startLoop(t *testing.T, send func(l *EventLoop, ctx context.Context, o Attempt) Reply, edits ...string) (l *EventLoop, end func()) {
 	t.Helper()
 	c := sidecartest.Configure(t, "127.0.0.1:1", []discovery.Instance{sidecartest.Up("s-1", "127.0.0.1:1"), sidecartest.Up("s-2", "127.0.0.1:2")}, edits...)
-	s := stub{send: func(ctx context.Context, o Order) Reply { return send(l, ctx, o) }}
+	s := stub{send: func(ctx context.Context, o Attempt) Reply { return send(l, ctx, o) }}
 	l, err := New(c, NewClock(), s, func(bool) {}, metrics.New(), nil, sidecartest.Quiet)
 	if err != nil {
 		t.Fatal(err)
@@ -28,16 +28,16 @@
 	return l, func() { cancel(); <-done }
 }
 
-func (l *Loop) request(id string, class uint8) *Call {
-	k := &Call{ID: id, Class: l.View().Classes[class], View: l.View(), Answer: make(chan Answer, 1),
-		In: balancer.Request{Class: class, Deadline: l.Now() + 900_000, Rules: l.View().Rules}}
-	l.Arrived(k)
+func (l *EventLoop) submitRequest(id string, class uint8) *Request {
+	k := &Request{ID: id, Class: l.ConfigSnapshot().Classes[class], Config: l.ConfigSnapshot(), Answer: make(chan Answer, 1),
+		Input: balancer.Request{Class: class, Deadline: l.Now() + 900_000, Rules: l.ConfigSnapshot().Rules}}
+	l.Submit(k)
 	return k
 }
 
 // A repeat that is chosen within the window in which those who drop repeats remember the first, and whose connection comes
 // up after it, is not sent; one whose connection comes up within it is.
-func TestRepeatAtWindowsEnd(t *testing.T) {
+func TestRetryIsNotSentAfterIdempotencyWindow(t *testing.T) {
 	const book = 1 // keyed; its window is 400 ms
 	for _, tc := range []struct {
 		name string
@@ -50,22 +50,22 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				n, went := 0, false
-				l, end := looping(t, func(l *Loop, ctx context.Context, o Order) Reply {
+				l, end := startLoop(t, func(l *EventLoop, ctx context.Context, o Attempt) Reply {
 					if n++; n == 1 {
-						o.Go(l.Now())
+						o.Begin(l.Now())
 						time.Sleep(380 * time.Millisecond)
 						return Reply{Status: balancer.Reset, At: l.Now()} // it may have run
 					}
 					time.Sleep(tc.dial)
-					if went = o.Go(l.Now()); went {
+					if went = o.Begin(l.Now()); went {
 						return Reply{Status: balancer.OK, At: l.Now()}
 					}
 					return Reply{Status: balancer.NotSent, At: l.Now()}
 				})
 				defer end()
-				a := <-l.request("1", book).Answer
-				if n != 2 || went != tc.went || (a.Verdict == Served) != tc.went {
-					t.Errorf("%d attempts, the second went out: %v, want %v; verdict %v", n, went, tc.went, a.Verdict)
+				a := <-l.submitRequest("1", book).Answer
+				if n != 2 || went != tc.went || (a.Disposition == Served) != tc.went {
+					t.Errorf("%d attempts, the second went out: %v, want %v; verdict %v", n, went, tc.went, a.Disposition)
 				}
 			})
 		})
@@ -73,74 +73,74 @@
 }
 
 // What proves that it never ran opens no window.
-func TestNoWindowBeforeItMayHaveRun(t *testing.T) {
+func TestWindowOpensOnlyOnceAttemptMayHaveRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := 0
-		l, end := looping(t, func(l *Loop, ctx context.Context, o Order) Reply {
+		l, end := startLoop(t, func(l *EventLoop, ctx context.Context, o Attempt) Reply {
 			if n++; n == 1 {
 				time.Sleep(200 * time.Millisecond)
 				return Reply{Status: balancer.ConnectFailed, At: l.Now()}
 			}
-			if !o.Go(l.Now()) {
+			if !o.Begin(l.Now()) {
 				return Reply{Status: balancer.NotSent, At: l.Now()}
 			}
 			return Reply{Status: balancer.OK, At: l.Now()}
 		}, `"window":400000`, `"window":100000`)
 		defer end()
-		if a := <-l.request("1", 1).Answer; n != 2 || a.Verdict != Served {
-			t.Errorf("%d attempts, verdict %v", n, a.Verdict)
+		if a := <-l.submitRequest("1", 1).Answer; n != 2 || a.Disposition != Served {
+			t.Errorf("%d attempts, verdict %v", n, a.Disposition)
 		}
 	})
 }
 
 // Before the process is killed all that is open has its answer: what never went out is refused, what may have run failed;
 // and what comes later is refused at once, with nothing sent on.
-func TestAllAnsweredBeforeTheKill(t *testing.T) {
+func TestEndAfterAnswersAllOpenRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var sent atomic.Int32
-		l, end := looping(t, func(l *Loop, ctx context.Context, o Order) Reply {
+		l, end := startLoop(t, func(l *EventLoop, ctx context.Context, o Attempt) Reply {
 			sent.Add(1)
 			if o.Request == "goes out" {
-				o.Go(l.Now())
+				o.Begin(l.Now())
 			}
 			<-ctx.Done()
 			return Reply{Status: balancer.Cancelled, At: l.Now()}
 		}, `"give-up":1000000`, `"give-up":60000000`)
 		defer end()
-		open := map[string]*Call{}
+		open := map[string]*Request{}
 		for _, out := range []string{"goes out", "dials"} {
-			k := &Call{ID: out, Class: "pay", View: l.View(), Answer: make(chan Answer, 1), Out: out,
-				In: balancer.Request{Class: 2, Deadline: l.Now() + 50_000_000, Rules: l.View().Rules}}
-			l.Arrived(k)
+			k := &Request{ID: out, Class: "pay", Config: l.ConfigSnapshot(), Answer: make(chan Answer, 1), Payload: out,
+				Input: balancer.Request{Class: 2, Deadline: l.Now() + 50_000_000, Rules: l.ConfigSnapshot().Rules}}
+			l.Submit(k)
 			open[out] = k
 		}
 		synctest.Wait()
 		begun := time.Now()
-		l.EndIn(3 * time.Second)
-		for out, want := range map[string]Verdict{"goes out": Failed, "dials": Refused} {
+		l.EndAfter(3 * time.Second)
+		for out, want := range map[string]Disposition{"goes out": Failed, "dials": Rejected} {
 			a := <-open[out].Answer
-			if took := time.Since(begun); a.Verdict != want || took != 3*time.Second {
-				t.Errorf("%s: verdict %v after %v, want %v", out, a.Verdict, took, want)
+			if took := time.Since(begun); a.Disposition != want || took != 3*time.Second {
+				t.Errorf("%s: verdict %v after %v, want %v", out, a.Disposition, took, want)
 			}
 		}
-		if a := <-l.request("late", 2).Answer; a.Verdict != Refused || sent.Load() != 2 || time.Since(begun) != 3*time.Second {
-			t.Errorf("what came later: verdict %v, %d attempts in all, after %v", a.Verdict, sent.Load(), time.Since(begun))
+		if a := <-l.submitRequest("late", 2).Answer; a.Disposition != Rejected || sent.Load() != 2 || time.Since(begun) != 3*time.Second {
+			t.Errorf("what came later: verdict %v, %d attempts in all, after %v", a.Disposition, sent.Load(), time.Since(begun))
 		}
 	})
 }
 
 // A client that leaves as the answer comes: whichever is first, there is one answer, and it is told.
-func TestLeftCrossesAnswer(t *testing.T) {
+func TestClientLeavingAsAnswerComesGetsOneAnswer(t *testing.T) {
 	for _, first := range []string{"left", "answer"} {
 		synctest.Test(t, func(t *testing.T) {
 			go1 := make(chan struct{})
-			l, end := looping(t, func(l *Loop, ctx context.Context, o Order) Reply {
-				o.Go(l.Now())
+			l, end := startLoop(t, func(l *EventLoop, ctx context.Context, o Attempt) Reply {
+				o.Begin(l.Now())
 				<-go1
 				return Reply{Status: balancer.OK, At: l.Now()}
 			})
 			defer end()
-			k := l.request("1", 0)
+			k := l.submitRequest("1", 0)
 			synctest.Wait()
 			want := Failed // it may have run
 			if first == "answer" {
@@ -148,9 +148,9 @@
 				close(go1)
 				synctest.Wait()
 			}
-			l.Left(k)
-			if a := <-k.Answer; a.Verdict != want {
-				t.Errorf("%s first: verdict %v, want %v", first, a.Verdict, want)
+			l.ClientLeft(k)
+			if a := <-k.Answer; a.Disposition != want {
+				t.Errorf("%s first: verdict %v, want %v", first, a.Disposition, want)
 			}
 			if first == "left" {
 				close(go1)
@@ -165,7 +165,7 @@
 
 // A line of the discovery that was left, read before and handled after the move, changes nothing, whichever of the two tells
 // first.
-func TestLateLineOfOldDiscovery(t *testing.T) {
+func TestLateEventOfEndedWatchIsIgnored(t *testing.T) {
 	for _, lateFirst := range []bool{true, false} {
 		c := sidecartest.Configure(t, "127.0.0.1:1", nil)
 		l, err := New(c, NewClock(), stub{}, func(bool) {}, metrics.New(), nil, sidecartest.Quiet)
@@ -179,12 +179,12 @@
 		old, move := context.WithCancel(t.Context())
 		ctx, cancel := context.WithCancel(t.Context())
 		if lateFirst {
-			l.Told(old, list("old"))
+			l.WatchEvent(old, list("old"))
 		}
 		move()
-		l.Told(ctx, list("new"))
+		l.WatchEvent(ctx, list("new"))
 		if !lateFirst {
-			l.Told(old, list("old"))
+			l.WatchEvent(old, list("old"))
 		}
 		done := make(chan struct{})
 		go func() { l.Run(ctx); close(done) }()
@@ -203,14 +203,14 @@
 
 // Where the settings allow no second copy, an attempt that was given up is out until its connection is closed, and the next
 // one begins after that; where they do, it does not wait.
-func TestNoSecondCopyBesideOneGivenUp(t *testing.T) {
+func TestRetryWaitsForCancelledAttemptWithoutHedging(t *testing.T) {
 	for _, copies := range []string{"true", "false"} {
 		synctest.Test(t, func(t *testing.T) {
 			closing := make(chan struct{})
 			var n, out, most atomic.Int32
 			var taught atomic.Bool
-			l, end := looping(t, func(l *Loop, ctx context.Context, o Order) Reply {
-				o.Go(l.Now())
+			l, end := startLoop(t, func(l *EventLoop, ctx context.Context, o Attempt) Reply {
+				o.Begin(l.Now())
 				if !taught.Load() {
 					time.Sleep(time.Millisecond)
 					return Reply{Status: balancer.OK, At: l.Now()}
@@ -226,10 +226,10 @@
 			}, `"second-copies":true`, `"second-copies":`+copies)
 			defer end()
 			for range 200 { // quick answers, so that a slow one is given up soon
-				<-l.request("0", 0).Answer
+				<-l.submitRequest("0", 0).Answer
 			}
 			taught.Store(true)
-			k := l.request("1", 0)
+			k := l.submitRequest("1", 0)
 			time.Sleep(60 * time.Millisecond) // past the patience for the first, and within that for the second
 			synctest.Wait()
 			if got, want := n.Load(), map[string]int32{"true": 2, "false": 1}[copies]; got != want {
@@ -237,8 +237,8 @@
 			}
 			close(closing)
 			a := <-k.Answer
-			if want := map[string]int32{"true": 2, "false": 1}[copies]; most.Load() != want || a.Verdict != Served {
-				t.Errorf("second copies %s: %d out at once, want %d; verdict %v", copies, most.Load(), want, a.Verdict)
+			if want := map[string]int32{"true": 2, "false": 1}[copies]; most.Load() != want || a.Disposition != Served {
+				t.Errorf("second copies %s: %d out at once, want %d; verdict %v", copies, most.Load(), want, a.Disposition)
 			}
 		})
 	}
@@ -246,16 +246,16 @@
 
 // For a client that has gone no attempt goes out any more, which of its request's it may be, though nothing has told the loop: what
 // waits for its connection looks, and the loop hears of it from there. The request has its one answer then.
-func TestNoAttemptForWhoHasGone(t *testing.T) {
+func TestNoAttemptIsSentForClientThatHasGone(t *testing.T) {
 	const dial = 20 * time.Millisecond // in which the client leaves
 	for _, tc := range []struct {
 		name   string
 		first  balancer.Status // what comes of the first attempt, where it went out
 		out    int             // attempts that went out before
-		answer Verdict
+		answer Disposition
 	}{
-		{"the first", 0, 0, Refused},
-		{"the next, behind one that never ran", balancer.ConnectFailed, 1, Refused},
+		{"the first", 0, 0, Rejected},
+		{"the next, behind one that never ran", balancer.ConnectFailed, 1, Rejected},
 		{"the next, behind one that may have run", balancer.Reset, 1, Failed},
 		{"the second beside one that is out", balancer.Timeout, 1, Failed},
 	} {
@@ -263,14 +263,14 @@
 			synctest.Test(t, func(t *testing.T) {
 				var taught, gone atomic.Bool
 				var n, went, dials atomic.Int32
-				l, end := looping(t, func(l *Loop, ctx context.Context, o Order) Reply {
+				l, end := startLoop(t, func(l *EventLoop, ctx context.Context, o Attempt) Reply {
 					if !taught.Load() {
-						o.Go(l.Now())
+						o.Begin(l.Now())
 						time.Sleep(time.Millisecond)
 						return Reply{Status: balancer.OK, At: l.Now()}
 					}
 					if int(n.Add(1)) <= tc.out {
-						o.Go(l.Now())
+						o.Begin(l.Now())
 						if tc.first == balancer.Timeout {
 							<-ctx.Done()
 							return Reply{Status: balancer.Cancelled, At: l.Now()}
@@ -279,7 +279,7 @@
 					}
 					dials.Add(1)
 					time.Sleep(dial)
-					if !o.Go(l.Now()) {
+					if !o.Begin(l.Now()) {
 						return Reply{Status: balancer.NotSent, At: l.Now()}
 					}
 					went.Add(1)
@@ -287,12 +287,12 @@
 				})
 				defer end()
 				for range 200 { // quick answers, so that a slow one has another beside it soon
-					<-l.request("0", 0).Answer
+					<-l.submitRequest("0", 0).Answer
 				}
 				taught.Store(true)
-				k := &Call{ID: "1", Class: "look", View: l.View(), Answer: make(chan Answer, 1), Gone: gone.Load,
-					In: balancer.Request{Deadline: l.Now() + 900_000, Rules: l.View().Rules}}
-				l.Arrived(k)
+				k := &Request{ID: "1", Class: "look", Config: l.ConfigSnapshot(), Answer: make(chan Answer, 1), ClientGone: gone.Load,
+					Input: balancer.Request{Deadline: l.Now() + 900_000, Rules: l.ConfigSnapshot().Rules}}
+				l.Submit(k)
 				for dials.Load() == 0 {
 					time.Sleep(time.Millisecond)
 				}
@@ -300,8 +300,8 @@
 				a := <-k.Answer
 				time.Sleep(time.Second)
 				synctest.Wait()
-				if went.Load() != 0 || a.Verdict != tc.answer || len(k.Answer) != 0 || len(l.calls) != 0 {
-					t.Errorf("%d attempts went out, verdict %v, want %v; %d more answers, %d calls kept", went.Load(), a.Verdict, tc.answer, len(k.Answer), len(l.calls))
+				if went.Load() != 0 || a.Disposition != tc.answer || len(k.Answer) != 0 || len(l.requests) != 0 {
+					t.Errorf("%d attempts went out, verdict %v, want %v; %d more answers, %d calls kept", went.Load(), a.Disposition, tc.answer, len(k.Answer), len(l.requests))
 				}
 			})
 		})
--- a/internal/dataplane/discovery/told_test.go
+++ b/internal/dataplane/discovery/told_test.go
@@ -162,18 +162,18 @@
 // nothing is a protocol without an upstream side.
 type nothing struct{}
 
-func (nothing) Target(string) core.Target                       { return nothing{} }
-func (nothing) Adopt(*config.Config)                            {}
-func (nothing) KeepsLate() bool                                 { return false }
-func (nothing) Drop()                                           {}
-func (nothing) Flush(time.Time)                                 {}
-func (nothing) Probe() core.Reply                               { return core.Reply{Status: balancer.ConnectFailed} }
-func (nothing) Send(context.Context, core.Order) (r core.Reply) { return r }
+func (nothing) Target(string) core.Target                         { return nothing{} }
+func (nothing) SetConfig(*config.Config)                          {}
+func (nothing) AcceptsLateReplies() bool                          { return false }
+func (nothing) Close()                                            {}
+func (nothing) CloseUnusedSince(time.Time)                        {}
+func (nothing) Probe() core.Reply                                 { return core.Reply{Status: balancer.ConnectFailed} }
+func (nothing) Send(context.Context, core.Attempt) (r core.Reply) { return r }
 
 // follower is a sidecar's side of discovery, whole: feed, watcher, loop and decision module.
 type follower struct {
 	feed  *discovery.Feed
-	loop  *core.Loop
+	loop  *core.EventLoop
 	heard chan time.Time // when s-1 was first known not to take anything new
 }
 
@@ -190,7 +190,7 @@
 		t.Fatal(err)
 	}
 	f.feed.Watcher = f.watcher(b, 7)
-	f.feed.Watch, f.feed.Ended = (*discovery.Watcher).Keep, f.loop.Untold
+	f.feed.Watch, f.feed.Ended = (*discovery.Watcher).Keep, f.loop.WatchFailed
 	if asked {
 		f.feed.Watch = (*discovery.Watcher).Once
 	}
@@ -199,7 +199,7 @@
 
 func (f *follower) watcher(b *standIn, after int64) *discovery.Watcher {
 	w := discovery.NewWatcher("127.0.0.1:1", after, 16, func(watch context.Context, l discovery.List) {
-		f.loop.Told(watch, l)
+		f.loop.WatchEvent(watch, l)
 		if l.Reset && !slices.ContainsFunc(l.Instances, func(in discovery.Instance) bool { return in.ID == "s-1" }) && watch.Err() == nil {
 			select {
 			case f.heard <- time.Now():
--- a/internal/dataplane/dnsfront/message.go
+++ b/internal/dataplane/dnsfront/message.go
@@ -193,8 +193,8 @@
 	msg *dns.Msg // nil where it is passed on as it is
 }
 
-// Flows says that it is whole.
-func (a *answer) Flows() bool { return false }
+// Streams says that it is whole.
+func (a *answer) Streams() bool { return false }
 
 // Release does nothing: what an answer holds is its own.
 func (a *answer) Release() {}
--- a/internal/dataplane/dnsfront/protocol.go
+++ b/internal/dataplane/dnsfront/protocol.go
@@ -26,13 +26,13 @@
 // Config is the configuration of its core.
 func (f *Front) Config(c *config.Config) (*config.Config, error) { return f.Settings.Config(c) }
 
-// Upstream makes the side of servers.
-func (f *Front) Upstream(c *config.Config, clk core.Clock, figures *metrics.Registry, log *slog.Logger) core.Upstream {
+// NewUpstream makes the side of servers.
+func (f *Front) NewUpstream(c *config.Config, clk core.Clock, figures *metrics.Registry, log *slog.Logger) core.Upstream {
 	f.counts = newCounts(figures)
 	return newUpstream(c, &f.Settings, clk, f.counts, &figures.Sends, log)
 }
 
-// Front makes the side of clients.
-func (f *Front) Front(l *core.Loop, figures *metrics.Registry, log *slog.Logger) core.Front {
+// NewFrontend makes the side of clients.
+func (f *Front) NewFrontend(l *core.EventLoop, figures *metrics.Registry, log *slog.Logger) core.Frontend {
 	return NewServer(&f.Settings, l, f.Sockets, f.counts, figures, log)
 }
--- a/internal/dataplane/dnsfront/server.go
+++ b/internal/dataplane/dnsfront/server.go
@@ -30,7 +30,7 @@
 // Server takes clients' queries and gives each one answer. Those of one client that repeat an open one (the same id,
 // address and question) join it; those that ask the same as an open one of a class that shares get its answer.
 type Server struct {
-	loop    *core.Loop
+	loop    *core.EventLoop
 	s       *Settings
 	routes  *route.Table
 	counts  *Counts
@@ -82,14 +82,14 @@
 
 // flight is a query on its way through the core, and all who wait for its answer.
 type flight struct {
-	call    *core.Call
+	call    *core.Request
 	key     string // in flights; "" if nobody may join
 	waiters []*waiter
 	left    chan struct{} // closed once all clients have gone
 }
 
 // NewServer returns a server that brings queries to l.
-func NewServer(s *Settings, l *core.Loop, sockets Sockets, counts *Counts, figures *metrics.Registry, log *slog.Logger) *Server {
+func NewServer(s *Settings, l *core.EventLoop, sockets Sockets, counts *Counts, figures *metrics.Registry, log *slog.Logger) *Server {
 	classes := make([]route.Class, len(s.Classes))
 	for i := range s.Classes {
 		classes[i] = s.Classes[i].Route
@@ -150,8 +150,8 @@
 // past is a deadline that ends a read at once.
 var past = time.Unix(1, 0)
 
-// Close says whether connections are to be closed once they are idle.
-func (s *Server) Close(on bool) {
+// SetClosing says whether connections are to be closed once they are idle.
+func (s *Server) SetClosing(on bool) {
 	s.closing.Store(on)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -171,8 +171,8 @@
 	return 0
 }
 
-// Share sets the part of the limits that is for this process.
-func (s *Server) Share(_ *config.Config, part float64) {
+// SetCapacityShare sets the part of the limits that is for this process.
+func (s *Server) SetCapacityShare(_ *config.Config, part float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.gate.Resize(int(float64(s.s.Limit.Open) * part))
@@ -300,13 +300,13 @@
 		s.flights[share] = f
 	}
 	s.mu.Unlock()
-	view := s.loop.View()
-	f.call = &core.Call{ID: strconv.FormatUint(s.lastID.Add(1), 10), Class: w.class, View: view, Answer: make(chan core.Answer, 1),
-		Most: class.Attempts, Out: &request{q: w.q, tcp: !class.safe()},
-		In: balancer.Request{Class: uint8(place), Tenant: math.MaxUint16, Rules: view.Rules, Write: !class.safe(),
+	view := s.loop.ConfigSnapshot()
+	f.call = &core.Request{ID: strconv.FormatUint(s.lastID.Add(1), 10), Class: w.class, Config: view, Answer: make(chan core.Answer, 1),
+		MaxAttempts: class.Attempts, Payload: &request{q: w.q, tcp: !class.safe()},
+		Input: balancer.Request{Class: uint8(place), Tenant: math.MaxUint16, Rules: view.Rules, Write: !class.safe(),
 			Deadline: s.loop.Now() + (class.GiveUp - answerMargin).Microseconds()}}
 	s.talks.Go(func() {
-		s.loop.Arrived(f.call)
+		s.loop.Submit(f.call)
 		select {
 		case a := <-f.call.Answer:
 			for _, w := range s.land(f) {
@@ -317,8 +317,8 @@
 				}
 			}
 		case <-f.left:
-			s.loop.Left(f.call)
-			(<-f.call.Answer).Drop()
+			s.loop.ClientLeft(f.call)
+			(<-f.call.Answer).Discard()
 		}
 	})
 }
@@ -381,7 +381,7 @@
 func (s *Server) answer(w *waiter, a core.Answer) {
 	count := s.figures.Class(w.class)
 	var raw []byte
-	switch a.Verdict {
+	switch a.Disposition {
 	case core.Served:
 		var err error
 		if raw, err = w.q.pack(a.Reply.Content.(*answer), s.reply(w)); err == nil {
@@ -390,14 +390,14 @@
 		}
 		raw = w.q.refusal(dns.RcodeServerFailure, dns.ExtendedErrorCodeInvalidData, "the answer cannot be written", s.reply(w))
 		count.Errored.Inc()
-	case core.Refused:
+	case core.Rejected:
 		text := "refused: try again later"
 		if a.RetryAfter > 0 {
 			text = fmt.Sprintf("refused: try again in %d ms", a.RetryAfter.Milliseconds())
 		}
 		raw = w.q.refusal(dns.RcodeRefused, dns.ExtendedErrorCodeOther, text, s.reply(w))
 		count.Deferred.Inc()
-	case core.FailedLate:
+	case core.FailedTimeout:
 		raw = w.q.refusal(dns.RcodeServerFailure, dns.ExtendedErrorCodeNoReachableAuthority, "no answer in time", s.reply(w))
 		count.Errored.Inc()
 	default:
--- a/internal/dataplane/dnsfront/sockets.go
+++ b/internal/dataplane/dnsfront/sockets.go
@@ -100,7 +100,7 @@
 	switch {
 	case r.gone:
 		u.mu.Unlock()
-		return nil, core.ErrGone
+		return nil, core.ErrEndpointRemoved
 	case u.sockets < u.socketsMost:
 	case len(u.resting) > 0:
 		u.closeLocked(u.resting[0])
@@ -120,7 +120,7 @@
 		}
 		u.mu.Unlock()
 		if shared == nil {
-			return nil, core.ErrNoRoom
+			return nil, core.ErrConnectionsExhausted
 		}
 		return shared, nil
 	}
--- a/internal/dataplane/dnsfront/streams.go
+++ b/internal/dataplane/dnsfront/streams.go
@@ -87,7 +87,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if r.gone {
-		return nil, core.ErrGone
+		return nil, core.ErrEndpointRemoved
 	}
 	var least *stream
 	for _, s := range r.streams {
@@ -102,7 +102,7 @@
 		go least.run()
 	}
 	if least == nil || least.load >= streamMost {
-		return nil, core.ErrNoRoom
+		return nil, core.ErrConnectionsExhausted
 	}
 	least.load++
 	return least, nil
--- a/internal/dataplane/dnsfront/upstream.go
+++ b/internal/dataplane/dnsfront/upstream.go
@@ -43,7 +43,7 @@
 	dial   func(ctx context.Context, network, addr string) (net.Conn, error)
 	secret *secret
 	s      *Settings
-	unsent core.Unsent
+	unsent core.ConnectErrors
 
 	mu          sync.Mutex
 	socketsMost int
@@ -176,14 +176,14 @@
 	return &resolver{up: u, addr: addr, link: resend.New()}
 }
 
-// Adopt does nothing: what concerns servers is not in the settings.
-func (u *Upstream) Adopt(*config.Config) {}
+// SetConfig does nothing: what concerns servers is not in the settings.
+func (u *Upstream) SetConfig(*config.Config) {}
 
-// KeepsLate says that a late answer is waited for: that holds no more than a port.
-func (u *Upstream) KeepsLate() bool { return true }
+// AcceptsLateReplies says that a late answer is waited for: that holds no more than a port.
+func (u *Upstream) AcceptsLateReplies() bool { return true }
 
-// Keep closes what rests once ctx ends; until then everything closes by itself.
-func (u *Upstream) Keep(ctx context.Context) {
+// Maintain closes what rests once ctx ends; until then everything closes by itself.
+func (u *Upstream) Maintain(ctx context.Context) {
 	<-ctx.Done()
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -195,8 +195,8 @@
 	}
 }
 
-// Share sets the part of the limits that is for this process.
-func (u *Upstream) Share(_ *config.Config, part float64) {
+// SetCapacityShare sets the part of the limits that is for this process.
+func (u *Upstream) SetCapacityShare(_ *config.Config, part float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.socketsMost = max(1, int(float64(u.s.Sockets)*part))
@@ -206,19 +206,19 @@
 }
 
 // Send makes one attempt.
-func (r *resolver) Send(ctx context.Context, o core.Order) core.Reply {
+func (r *resolver) Send(ctx context.Context, o core.Attempt) core.Reply {
 	req := o.Request.(*request)
 	var raw []byte
 	var status balancer.Status
 	if req.tcp {
-		raw, status = r.stream(ctx, req.q, o.Go)
+		raw, status = r.stream(ctx, req.q, o.Begin)
 	} else {
-		if raw, status = r.datagram(ctx, req.q, o.Go, o.More); status == balancer.OK && r.newCookie(req.q, raw) {
-			raw, status = r.datagram(ctx, req.q, o.More, o.More)
+		if raw, status = r.datagram(ctx, req.q, o.Begin, o.MayContinue); status == balancer.OK && r.newCookie(req.q, raw) {
+			raw, status = r.datagram(ctx, req.q, o.MayContinue, o.MayContinue)
 		}
 		if status == balancer.OK && truncated(raw) {
 			r.up.counts.Truncated.Inc()
-			raw, status = r.stream(ctx, req.q, o.More)
+			raw, status = r.stream(ctx, req.q, o.MayContinue)
 		}
 	}
 	reply := core.Reply{Status: status, At: r.up.clock.Now()}
@@ -262,8 +262,8 @@
 	return core.Reply{Status: status, At: r.up.clock.Now()}
 }
 
-// Drop ends the use of a server. What is out there goes on.
-func (r *resolver) Drop() {
+// Close ends the use of a server. What is out there goes on.
+func (r *resolver) Close() {
 	r.up.mu.Lock()
 	defer r.up.mu.Unlock()
 	r.gone = true
@@ -277,8 +277,8 @@
 	}
 }
 
-// Flush gives up connections on which nothing has come since an instant: the next query opens another.
-func (r *resolver) Flush(before time.Time) {
+// CloseUnusedSince gives up connections on which nothing has come since an instant: the next query opens another.
+func (r *resolver) CloseUnusedSince(before time.Time) {
 	r.up.mu.Lock()
 	defer r.up.mu.Unlock()
 	for _, s := range slices.Clone(r.streams) {
--- a/internal/dataplane/dnsfront/upstream_test.go
+++ b/internal/dataplane/dnsfront/upstream_test.go
@@ -26,7 +26,7 @@
 	u := newUpstream(sidecartest.Configure(t, "127.0.0.1:1", nil), &s, core.NewClock(), newCounts(r), &r.Sends, sidecartest.Quiet)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { u.Keep(ctx); close(done) }()
+	go func() { u.Maintain(ctx); close(done) }()
 	t.Cleanup(func() { cancel(); <-done })
 	return u
 }
@@ -46,7 +46,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	return to.Send(ctx, core.Order{Request: &request{q: q, tcp: tcp}, Go: yes, More: more})
+	return to.Send(ctx, core.Attempt{Request: &request{q: q, tcp: tcp}, Begin: yes, MayContinue: more})
 }
 
 func look() *dns.Msg { return new(dns.Msg).SetQuestion("a.look.test.", dns.TypeA) }
@@ -199,7 +199,7 @@
 			raw, _ := new(dns.Msg).SetQuestion(fmt.Sprintf("q%d.look.test.", i), dns.TypeA).Pack()
 			q, _ := parse(raw)
 			room <- struct{}{}
-			r := to.Send(ctx, core.Order{Request: &request{q: q}, Go: yes, More: yes})
+			r := to.Send(ctx, core.Attempt{Request: &request{q: q}, Begin: yes, MayContinue: yes})
 			if r.Status != balancer.OK {
 				if wrong.Add(1) == 1 {
 					t.Errorf("query %d: status %v after %v", i, r.Status, ctx.Err())
@@ -301,7 +301,7 @@
 	if r := try(t, to, look(), true, yes); r.Status != balancer.OK || conns.Load() != 2 {
 		t.Errorf("afterwards: status %v, %d connections", r.Status, conns.Load())
 	}
-	to.Drop()
+	to.Close()
 	if r := try(t, to, look(), true, yes); r.Status != balancer.NotSent {
 		t.Errorf("of what is gone: status %v", r.Status)
 	}
--- a/internal/dataplane/httpfront/crossings_test.go
+++ b/internal/dataplane/httpfront/crossings_test.go
@@ -27,7 +27,7 @@
 // front is an HTTP front with its loop and upstream side, whose dials wait while they are held.
 type front struct {
 	*Server
-	loop *core.Loop
+	loop *core.EventLoop
 	up   *Upstream
 	addr string
 
@@ -117,7 +117,7 @@
 
 // stop is what an order to stop does to a front at once.
 func (f *front) stop() {
-	f.Close(true)
+	f.SetClosing(true)
 	f.CloseIdle()
 }
 
@@ -242,7 +242,7 @@
 // gate is a limiter that lets all through, once it may.
 type gate struct{ reached, open chan struct{} }
 
-func (g *gate) Take(*core.Asked) (func(bool), *core.Limited) {
+func (g *gate) Admit(*core.LimiterRequest) (func(bool), *core.LimitExceeded) {
 	close(g.reached)
 	<-g.open
 	return nil, nil
--- a/internal/dataplane/httpfront/flow.go
+++ b/internal/dataplane/httpfront/flow.go
@@ -131,11 +131,11 @@
 	more   io.Reader // what comes behind that
 	length int64     // of the whole; -1: not known
 	buf    []byte    // to pass it on through; begin is a part of it
-	done   func(how core.FlowEnd)
+	done   func(how core.StreamEnd)
 }
 
 // copyTo passes the answer's body on, and says how that went.
-func (d *download) copyTo(w io.Writer, progress func()) core.FlowEnd {
+func (d *download) copyTo(w io.Writer, progress func()) core.StreamEnd {
 	var out io.Writer = w
 	var chunks io.WriteCloser
 	if d.length < 0 {
@@ -147,32 +147,32 @@
 		if len(piece) > 0 {
 			progress()
 			if _, err := out.Write(piece); err != nil {
-				return core.FlowLeft
+				return core.StreamAbandoned
 			}
 		}
 		n, err := d.more.Read(d.buf)
 		piece = d.buf[:n]
 		if total += int64(n); total > LongMost {
-			return core.FlowCut
+			return core.StreamCut
 		}
 		if err == io.EOF {
 			if n > 0 {
 				progress()
 				if _, err := out.Write(piece); err != nil {
-					return core.FlowLeft
+					return core.StreamAbandoned
 				}
 			}
 			break
 		}
 		if err != nil {
-			return core.FlowCut
+			return core.StreamCut
 		}
 	}
 	if chunks != nil {
 		progress()
 		if _, err := io.WriteString(w, "0\r\n\r\n"); err != nil {
-			return core.FlowLeft
+			return core.StreamAbandoned
 		}
 	}
-	return core.FlowWhole
+	return core.StreamComplete
 }
--- a/internal/dataplane/httpfront/outlook_test.go
+++ b/internal/dataplane/httpfront/outlook_test.go
@@ -89,9 +89,9 @@
 				for i := range tc.requests {
 					if tc.sends > 0 && i > 0 && i%tc.sends == 0 {
 						s.figures.Sends.Inc()
-						s.ended(&core.Call{Class: "look"}, core.Served)
+						s.ended(&core.Request{Class: "look"}, core.Served)
 					}
-					s.ended(&core.Call{Class: "look"}, core.Refused)
+					s.ended(&core.Request{Class: "look"}, core.Rejected)
 					time.Sleep(tc.every)
 				}
 				lines := strings.Count(log.String(), "every request is turned away")
--- a/internal/dataplane/httpfront/server.go
+++ b/internal/dataplane/httpfront/server.go
@@ -59,7 +59,7 @@
 
 // Server takes clients' requests and gives their answers.
 type Server struct {
-	loop    *core.Loop
+	loop    *core.EventLoop
 	clients *clients
 	figures *metrics.Registry
 	bodies  *bytebudget.Budget // bytes of bodies that are held
@@ -75,7 +75,7 @@
 }
 
 // NewServer returns a server that brings its requests to l.
-func NewServer(c *config.Config, l *core.Loop, socket handover.Socket, figures *metrics.Registry, log *slog.Logger) *Server {
+func NewServer(c *config.Config, l *core.EventLoop, socket handover.Socket, figures *metrics.Registry, log *slog.Logger) *Server {
 	s := &Server{loop: l, socket: socket, figures: figures, bodies: bytebudget.New(c.HeldBytes(1)), log: log}
 	s.clients = newClients(c.ClientConns(1), s.talk, &figures.Unanswered, log)
 	return s
@@ -121,11 +121,11 @@
 	<-ended
 }
 
-// Close says whether each answer is to close its connection. Clients are told that the server is not ready then.
-func (s *Server) Close(on bool) { s.closing.Store(on) }
+// SetClosing says whether each answer is to close its connection. Clients are told that the server is not ready then.
+func (s *Server) SetClosing(on bool) { s.closing.Store(on) }
 
-// Share sets the part of the limits that is for this process.
-func (s *Server) Share(c *config.Config, part float64) {
+// SetCapacityShare sets the part of the limits that is for this process.
+func (s *Server) SetCapacityShare(c *config.Config, part float64) {
 	s.clients.resize(c.ClientConns(part))
 	s.bodies.Resize(c.HeldBytes(part))
 }
@@ -183,7 +183,7 @@
 	}
 	k, err := s.parse(c, r, head)
 	if k != nil {
-		defer func() { s.bodies.Give(k.Held) }()
+		defer func() { s.bodies.Give(k.BudgetBytes) }()
 	}
 	if err != nil {
 		code := http.StatusBadRequest
@@ -198,7 +198,7 @@
 	}
 	ran := true // where nobody says otherwise
 	if s.limits != nil {
-		ended, no := s.limits.Take(asked(k, r))
+		ended, no := s.limits.Admit(asked(k, r))
 		if no != nil {
 			return s.limited(c, k, r, no)
 		}
@@ -208,13 +208,13 @@
 	}
 	var gone, sent <-chan error
 	var left <-chan struct{}
-	if up := k.Out.(*message).upload; up != nil {
+	if up := k.Payload.(*message).upload; up != nil {
 		sent = up.ended
 		left, up.begin = c.watchLeft()
 	} else {
 		gone = s.whole(c, k)
 	}
-	s.loop.Arrived(k)
+	s.loop.Submit(k)
 	for {
 		select {
 		case err := <-sent:
@@ -222,18 +222,18 @@
 			if err != nil {
 				// The client's fault, or an endpoint's: then the answer tells.
 				if fault := (*clientError)(nil); errors.As(err, &fault) {
-					s.loop.Left(k)
-					(<-k.Answer).Drop()
+					s.loop.ClientLeft(k)
+					(<-k.Answer).Discard()
 					s.halfBody(c, fault)
 					return false
 				}
 				a := <-k.Answer
-				ran = a.Ran
+				ran = a.MayHaveRun
 				return s.early(c, k, a)
 			}
 			gone = s.whole(c, k)
 		case a := <-k.Answer:
-			ran = a.Ran
+			ran = a.MayHaveRun
 			if gone == nil {
 				// The last byte may have gone out just before.
 				select {
@@ -249,7 +249,7 @@
 			}
 			c.SetReadDeadline(past)
 			if err := <-gone; err == nil {
-				a.Drop()
+				a.Discard()
 				s.ended(k, core.Failed)
 				c.reject(http.StatusBadRequest, surplus)
 				return false
@@ -257,19 +257,19 @@
 			return s.answer(c, k, a, r.Close)
 		case <-left:
 			// As below; its body is not read any more.
-			s.loop.Left(k)
+			s.loop.ClientLeft(k)
 			a := <-k.Answer
-			ran = a.Ran
+			ran = a.MayHaveRun
 			return s.early(c, k, a)
 		case err := <-gone:
-			s.loop.Left(k)
+			s.loop.ClientLeft(k)
 			a := <-k.Answer
-			if ran = a.Ran; errors.Is(err, io.EOF) {
+			if ran = a.MayHaveRun; errors.Is(err, io.EOF) {
 				// An end of sending is taken for the client's leaving, and nothing begins for it any more. One that still
 				// listens is told so.
 				return s.answer(c, k, a, true)
 			}
-			a.Drop()
+			a.Discard()
 			s.ended(k, core.Failed)
 			if err == nil {
 				c.reject(http.StatusBadRequest, surplus)
@@ -280,30 +280,30 @@
 }
 
 // asked is what limits read of a request.
-func asked(k *core.Call, r *http.Request) *core.Asked {
-	a := &core.Asked{Class: k.Class, Path: r.URL.Path, Header: r.Header.Get}
-	if k.In.HasHint {
-		a.CostMs = k.In.Hint
+func asked(k *core.Request, r *http.Request) *core.LimiterRequest {
+	a := &core.LimiterRequest{Class: k.Class, Path: r.URL.Path, Header: r.Header.Get}
+	if k.Input.HasHint {
+		a.CostMs = k.Input.Hint
 	}
 	most := 0.0
-	for _, c := range k.View.Settings.Classes {
+	for _, c := range k.Config.Settings.Classes {
 		most = max(most, c.PriorityWeight)
 	}
-	if a.Worth = 1; most > 0 {
-		a.Worth = k.View.Settings.Classes[k.In.Class].PriorityWeight / most
+	if a.PriorityWeight = 1; most > 0 {
+		a.PriorityWeight = k.Config.Settings.Classes[k.Input.Class].PriorityWeight / most
 	}
 	return a
 }
 
 // limited refuses a request that a limit of the fleet has no room for: it was not taken.
-func (s *Server) limited(c *client, k *core.Call, r *http.Request, no *core.Limited) bool {
+func (s *Server) limited(c *client, k *core.Request, r *http.Request, no *core.LimitExceeded) bool {
 	s.figures.Limited(no.Limit).Inc()
 	s.figures.Class(k.Class).Deferred.Inc()
 	s.away.one(s.figures, s.log)
 	a := newResponse(http.StatusTooManyRequests, "limited: "+no.Limit)
 	a.header.Set("Retry-After", strconv.FormatFloat(no.RetryAfter.Seconds(), 'f', 3, 64))
 	last := r.Close || s.closing.Load()
-	if up := k.Out.(*message).upload; up != nil { // its body still comes
+	if up := k.Payload.(*message).upload; up != nil { // its body still comes
 		c.write(a, true)
 		c.linger(up.body, LongMost, bodyStart)
 		return false
@@ -314,8 +314,8 @@
 }
 
 // whole notes that a request has come whole, and watches its client.
-func (s *Server) whole(c *client, k *core.Call) <-chan error {
-	s.clients.expect(c, time.Duration(k.Left)*time.Microsecond+answerMargin)
+func (s *Server) whole(c *client, k *core.Request) <-chan error {
+	s.clients.expect(c, time.Duration(k.TimeAfterBody)*time.Microsecond+answerMargin)
 	c.paced.wait = 0
 	s.figures.Current.Add(1)
 	return c.watch()
@@ -323,15 +323,15 @@
 
 // early gives an answer while the body still comes, and reads the rest for a little: closing on unread bytes
 // would take the answer away again.
-func (s *Server) early(c *client, k *core.Call, a core.Answer) bool {
-	a.Drop()
-	if a.Verdict == core.Served {
-		a.Verdict = core.Failed // to a part of a body, whatever it says
+func (s *Server) early(c *client, k *core.Request, a core.Answer) bool {
+	a.Discard()
+	if a.Disposition == core.Served {
+		a.Disposition = core.Failed // to a part of a body, whatever it says
 	}
 	s.figures.Current.Add(1)
-	s.ended(k, a.Verdict)
+	s.ended(k, a.Disposition)
 	c.write(responseTo(a), true)
-	up := k.Out.(*message).upload
+	up := k.Payload.(*message).upload
 	up.begin()
 	up.halted.Store(true)
 	if up.taken.Load() {
@@ -356,13 +356,13 @@
 }
 
 // ended counts the end of a request that was taken. It is the one place that does.
-func (s *Server) ended(k *core.Call, v core.Verdict) {
+func (s *Server) ended(k *core.Request, v core.Disposition) {
 	s.figures.Current.Add(-1)
 	class := s.figures.Class(k.Class)
 	switch v {
 	case core.Served:
 		class.Answered.Inc()
-	case core.Refused:
+	case core.Rejected:
 		class.Deferred.Inc()
 		s.away.one(s.figures, s.log)
 	default:
@@ -392,7 +392,7 @@
 // response returns the final answer as it goes to the client.
 func responseTo(a core.Answer) *response {
 	var r *response
-	switch a.Verdict {
+	switch a.Disposition {
 	case core.Served:
 		g := a.Reply.Content.(*got)
 		r = &response{code: http.StatusOK, header: http.Header{}, body: g.body}
@@ -401,14 +401,14 @@
 				r.header[k] = v
 			}
 		}
-	case core.Refused:
+	case core.Rejected:
 		r = newResponse(http.StatusServiceUnavailable, "refused: try again later")
 		if a.RetryAfter > 0 {
 			r.header.Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64))
 		}
-	case core.IDOpen:
+	case core.DuplicateID:
 		r = newResponse(http.StatusConflict, "a request with this X-Trace-Id is open")
-	case core.FailedLate:
+	case core.FailedTimeout:
 		r = newResponse(http.StatusGatewayTimeout, "no answer in time")
 	default:
 		r = newResponse(http.StatusBadGateway, "failed")
@@ -417,26 +417,26 @@
 }
 
 // answer gives the final answer, and says whether the connection may serve another request.
-func (s *Server) answer(c *client, k *core.Call, a core.Answer, last bool) bool {
-	last = last || s.closing.Load() || a.Verdict == core.IDOpen
+func (s *Server) answer(c *client, k *core.Request, a core.Answer, last bool) bool {
+	last = last || s.closing.Load() || a.Disposition == core.DuplicateID
 	r := responseTo(a)
-	if a.Flowed == nil {
-		s.ended(k, a.Verdict)
+	if a.StreamEnded == nil {
+		s.ended(k, a.Disposition)
 		whole := c.write(r, last)
-		a.Drop()
+		a.Discard()
 		s.clients.rest(c)
 		return whole && !last
 	}
 	s.clients.begun(c)
 	flow := a.Reply.Content.(*got).flow
-	how := core.FlowLeft
+	how := core.StreamAbandoned
 	c.SetWriteDeadline(time.Now().Add(flowStall))
 	if _, err := c.Write(r.head(flow.length, last)); err == nil {
 		how = flow.copyTo(c, func() { c.SetWriteDeadline(time.Now().Add(flowStall)) })
 	}
 	flow.done(how)
-	a.Flowed(how)
-	if how != core.FlowWhole {
+	a.StreamEnded(how)
+	if how != core.StreamComplete {
 		s.ended(k, core.Failed)
 		return false // short of its end, so that the client can tell
 	}
@@ -458,8 +458,8 @@
 }
 
 // parse reads the rest of a request and says what is wrong with it.
-func (s *Server) parse(conn *client, r *http.Request, head []byte) (*core.Call, error) {
-	config := s.loop.View()
+func (s *Server) parse(conn *client, r *http.Request, head []byte) (*core.Request, error) {
+	config := s.loop.ConfigSnapshot()
 	switch {
 	case !r.ProtoAtLeast(1, 1) || r.ProtoMajor != 1:
 		return nil, bad(http.StatusHTTPVersionNotSupported, "this version of HTTP is not spoken here")
@@ -516,22 +516,22 @@
 		}
 		left = min(left, int64(min(ms, math.MaxInt32))*1000)
 	}
-	c := &core.Call{ID: id, Class: name, View: config, Answer: make(chan core.Answer, 1), In: balancer.Request{Class: uint8(class), Tenant: tenant(config.Config, r), Rules: config.Rules,
+	c := &core.Request{ID: id, Class: name, Config: config, Answer: make(chan core.Answer, 1), Input: balancer.Request{Class: uint8(class), Tenant: tenant(config.Config, r), Rules: config.Rules,
 		Key: key(r.Header.Get("X-Object")), Retry: r.Header.Get("X-Second-Try") == "1"},
-		Left: left - Margin(left)}
+		TimeAfterBody: left - Margin(left)}
 	if hint, err := strconv.ParseInt(r.Header.Get("X-Size-Hint"), 10, 64); err == nil && hint > 0 {
-		c.In.Hint, c.In.HasHint = hint, true
+		c.Input.Hint, c.Input.HasHint = hint, true
 	}
-	c.Gone = conn.gone
+	c.ClientGone = conn.gone
 	out := &message{method: r.Method, uri: r.RequestURI, host: r.Host, header: http.Header{}}
-	c.Out = out
+	c.Payload = out
 	if err := s.body(conn, r, c); err != nil {
 		return c, err
 	}
 	// The time of a request counts from its last byte.
-	c.In.Deadline = s.loop.Now() + c.Left
-	if c.Flows = out.upload != nil; c.Flows {
-		c.In.BodyStreaming, c.In.Deadline = true, s.loop.Now()+uploadMost.Microseconds()
+	c.Input.Deadline = s.loop.Now() + c.TimeAfterBody
+	if c.StreamsBody = out.upload != nil; c.StreamsBody {
+		c.Input.BodyStreaming, c.Input.Deadline = true, s.loop.Now()+uploadMost.Microseconds()
 	}
 	for k, v := range r.Header {
 		if !hopByHop(k, r.Header) && k != "X-Expires-In-Ms" {
@@ -551,7 +551,7 @@
 // body reads the body, or the beginning of a long one. What follows it before the answer is no request: clients
 // send one at a time, so the length is wrong, and who sent it must not be served with what an endpoint makes of
 // a part.
-func (s *Server) body(c *client, r *http.Request, k *core.Call) error {
+func (s *Server) body(c *client, r *http.Request, k *core.Request) error {
 	length := r.ContentLength
 	if expect := r.Header.Get("Expect"); strings.EqualFold(expect, "100-continue") && length != 0 {
 		io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n") // that it failed shows when reading
@@ -565,7 +565,7 @@
 		if s.bodies.Take(ctx, want) != nil {
 			return bad(http.StatusServiceUnavailable, "no room for the body")
 		}
-		k.Held = want
+		k.BudgetBytes = want
 	}
 	if c.limit.N = 2 * LongMost; length >= 0 {
 		c.limit.N = max(0, length-int64(c.r.Buffered())) + 1
@@ -584,10 +584,10 @@
 			return bad(http.StatusBadRequest, "the body is not whole")
 		}
 	}
-	out := k.Out.(*message)
+	out := k.Payload.(*message)
 	out.body = buf[:n]
 	if int64(n) != length {
-		out.upload = &upload{body: r.Body, length: length, left: k.Left, begun: n, buf: buf,
+		out.upload = &upload{body: r.Body, length: length, left: k.TimeAfterBody, begun: n, buf: buf,
 			ended: make(chan error, 1), idle: make(chan struct{})}
 		return nil
 	}
--- a/internal/dataplane/httpfront/upstream.go
+++ b/internal/dataplane/httpfront/upstream.go
@@ -58,7 +58,7 @@
 	sends     *metrics.Counter // attempts written whole
 	reports   atomic.Pointer[reports]
 	answers   *bytebudget.Budget // bytes of answers that are held
-	unsent    core.Unsent
+	unsent    core.ConnectErrors
 
 	mu      sync.Mutex
 	unasked time.Time           // when an endpoint last sent what nothing had asked for
@@ -80,18 +80,18 @@
 func (u *Upstream) Target(addr string) core.Target { return &place{up: u, addr: addr} }
 
 // Send makes one attempt.
-func (p *place) Send(ctx context.Context, o core.Order) core.Reply {
-	return p.up.send(ctx, p, o.Request.(*message), o.Deadline, o.Go, o.Whole)
+func (p *place) Send(ctx context.Context, o core.Attempt) core.Reply {
+	return p.up.send(ctx, p, o.Request.(*message), o.Deadline, o.Begin, o.BodySent)
 }
 
 // Probe asks for the endpoint's load.
 func (p *place) Probe() core.Reply { return p.up.probe(p) }
 
-// Drop closes what is idle.
-func (p *place) Drop() { p.up.drop(p) }
+// Close closes what is idle.
+func (p *place) Close() { p.up.drop(p) }
 
-// Flush closes what was last used before an instant.
-func (p *place) Flush(before time.Time) { p.up.flush(p, before) }
+// CloseUnusedSince closes what was last used before an instant.
+func (p *place) CloseUnusedSince(before time.Time) { p.up.flush(p, before) }
 
 type conn struct {
 	net.Conn
@@ -114,7 +114,7 @@
 	u := &Upstream{clock: clk, log: log, sends: sends, answers: bytebudget.New(c.HeldBytes(1)),
 		// Well before the endpoint's own limit: a request that crosses its close is lost.
 		idleMost: c.KeepAlive * 2 / 3, connsMost: c.UpstreamConns(1), idle: map[*place]struct{}{}}
-	u.Adopt(c)
+	u.SetConfig(c)
 	u.pause = func(ctx context.Context, d time.Duration) {
 		select {
 		case <-time.After(d):
@@ -144,11 +144,11 @@
 	onAnswers bool
 }
 
-// KeepsLate says no: an attempt that goes on holds a connection.
-func (u *Upstream) KeepsLate() bool { return false }
+// AcceptsLateReplies says no: an attempt that goes on holds a connection.
+func (u *Upstream) AcceptsLateReplies() bool { return false }
 
-// Adopt takes what a configuration says of load reports.
-func (u *Upstream) Adopt(c *config.Config) { u.reports.Store(&reports{c.Fields, c.OnAnswers}) }
+// SetConfig takes what a configuration says of load reports.
+func (u *Upstream) SetConfig(c *config.Config) { u.reports.Store(&reports{c.Fields, c.OnAnswers}) }
 
 // send makes one attempt. mayGo is asked last, right before the first byte; if it says no, nothing goes out.
 // Whole is called when a body that flows has gone out. When ctx ends, the connection is closed, unless the
@@ -219,14 +219,14 @@
 		if rest.taken.Swap(true) {
 			stop()
 			u.discard(c)
-			return core.Reply{Status: balancer.ConnectFailed, At: u.clock.Now(), Spent: true}
+			return core.Reply{Status: balancer.ConnectFailed, At: u.clock.Now(), RequestConsumed: true}
 		}
 		rest.begin()
 		// What has gone out of the beginning is copied there, and its place serves for the rest.
 		if err := rest.copyTo(c, rest.begun, rest.buf); err != nil {
 			stop()
 			u.discard(c)
-			r := core.Reply{Status: balancer.ConnectFailed, At: u.clock.Now(), Spent: true}
+			r := core.Reply{Status: balancer.ConnectFailed, At: u.clock.Now(), RequestConsumed: true}
 			if fault := (*clientError)(nil); errors.As(err, &fault) {
 				r.Status = balancer.NotSent // the endpoint did nothing wrong
 			}
@@ -237,18 +237,18 @@
 	sends.Inc()
 	a, err := c.read(ctx, u.answers)
 	r := u.ended(balancer.Reset)
-	r.Spent = rest != nil
+	r.RequestConsumed = rest != nil
 	if err == nil && a.flow != nil && a.code != http.StatusOK {
 		a.release() // of an error nothing but the code is wanted
 		a.flow, a.last = nil, true
 	}
 	if err == nil && a.flow != nil && stop() {
 		r.Status, r.Content = balancer.OK, a
-		a.flow.done = func(how core.FlowEnd) {
+		a.flow.done = func(how core.StreamEnd) {
 			a.release()
 			c.paced.wait = 0
 			c.SetReadDeadline(time.Time{})
-			if how != core.FlowWhole || a.last || c.r.Buffered() > 0 {
+			if how != core.StreamComplete || a.last || c.r.Buffered() > 0 {
 				u.discard(c)
 			} else {
 				u.put(c)
@@ -309,14 +309,14 @@
 	last   bool // the endpoint closes the connection after it
 }
 
-// Flows says whether there is more than what has been read.
-func (a *got) Flows() bool { return a.flow != nil }
+// Streams says whether there is more than what has been read.
+func (a *got) Streams() bool { return a.flow != nil }
 
 // Release gives back what is held, and the connection of what flows.
 func (a *got) Release() {
 	if flow := a.flow; flow != nil {
 		a.flow = nil
-		flow.done(core.FlowLeft)
+		flow.done(core.StreamAbandoned)
 	}
 	a.release()
 }
@@ -559,9 +559,9 @@
 	err := error(nil)
 	switch {
 	case to.gone:
-		err = core.ErrGone
+		err = core.ErrEndpointRemoved
 	case u.conns >= u.connsMost && !u.evictLocked(): // descriptors must not run out: one idle elsewhere makes room
-		err = core.ErrNoRoom
+		err = core.ErrConnectionsExhausted
 	default:
 		u.conns++
 	}
@@ -579,7 +579,7 @@
 	c := newConn(nc, to)
 	if to.gone {
 		u.closeLocked(c) // another may listen there by now
-		return nil, core.ErrGone
+		return nil, core.ErrEndpointRemoved
 	}
 	return c, nil
 }
@@ -668,8 +668,8 @@
 	}
 }
 
-// Share sets the part of the limits that is for this process.
-func (u *Upstream) Share(c *config.Config, part float64) {
+// SetCapacityShare sets the part of the limits that is for this process.
+func (u *Upstream) SetCapacityShare(c *config.Config, part float64) {
 	u.resize(c.UpstreamConns(part))
 	u.answers.Resize(c.HeldBytes(part))
 }
@@ -696,8 +696,8 @@
 	}
 }
 
-// Keep sweeps until ctx ends, and then closes what is idle.
-func (u *Upstream) Keep(ctx context.Context) {
+// Maintain sweeps until ctx ends, and then closes what is idle.
+func (u *Upstream) Maintain(ctx context.Context) {
 	tick := time.NewTicker(sweepEvery)
 	defer tick.Stop()
 	for {
--- a/internal/dataplane/httpfront/upstream_test.go
+++ b/internal/dataplane/httpfront/upstream_test.go
@@ -415,8 +415,8 @@
 	if _, err := u.get(ctx, one); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := u.get(ctx, two); err != core.ErrNoRoom {
-		t.Fatalf("third connection: error %v, want %v", err, core.ErrNoRoom)
+	if _, err := u.get(ctx, two); err != core.ErrConnectionsExhausted {
+		t.Fatalf("third connection: error %v, want %v", err, core.ErrConnectionsExhausted)
 	}
 	u.put(a)
 	if _, err := u.get(ctx, two); err != nil {
--- a/internal/dataplane/sidecar/kept_test.go
+++ b/internal/dataplane/sidecar/kept_test.go
@@ -67,7 +67,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	go old.Run(ctx)
-	data, err := old.Pictured(ctx)
+	data, err := old.Snapshot(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dataplane/sidecar/lane.go
+++ b/internal/dataplane/sidecar/lane.go
@@ -20,9 +20,9 @@
 	config  *config.Config
 	derive  func(*config.Config) (*config.Config, error)
 	figures *metrics.Registry
-	loop    *core.Loop
+	loop    *core.EventLoop
 	up      core.Upstream
-	front   core.Front
+	front   core.Frontend
 	kept    snapshot.File
 }
 
@@ -60,19 +60,19 @@
 		n.kept.Path += "." + n.name
 	}
 	n.figures = metrics.NewFor(n.name, n.config.Classes...)
-	n.up = p.Upstream(n.config, clk, n.figures, log)
+	n.up = p.NewUpstream(n.config, clk, n.figures, log)
 	if n.loop, err = core.New(n.config, clk, n.up, func(bool) {}, n.figures, nil, log); err != nil {
 		return nil, err
 	}
-	n.front = p.Front(n.loop, n.figures, log)
+	n.front = p.NewFrontend(n.loop, n.figures, log)
 	return n, nil
 }
 
 // share sets this process's part of the limits.
 func (n *lane) share(part float64) {
-	n.front.Share(n.config, part)
-	n.up.Share(n.config, part)
-	n.loop.Share(part)
+	n.front.SetCapacityShare(n.config, part)
+	n.up.SetCapacityShare(n.config, part)
+	n.loop.SetCapacityShare(part)
 }
 
 // lanes are all protocols of a process, HTTP first.
@@ -81,14 +81,14 @@
 // told passes on a list.
 func (ls lanes) told(watch context.Context, list discovery.List) {
 	for _, n := range ls {
-		n.loop.Told(watch, list.For(n.name))
+		n.loop.WatchEvent(watch, list.For(n.name))
 	}
 }
 
 // cached passes on a list of an old process.
 func (ls lanes) cached(ctx context.Context, list discovery.List) {
 	for _, n := range ls {
-		n.loop.Cached(ctx, list.For(n.name)) // fails only where the loop has ended
+		n.loop.ApplyCachedList(ctx, list.For(n.name)) // fails only where the loop has ended
 	}
 }
 
@@ -108,7 +108,7 @@
 // drain makes another daemon's word on a process bind.
 func (ls lanes) drain(ctx context.Context, p discovery.Process, drains bool) error {
 	for _, n := range ls {
-		if err := n.loop.Drain(ctx, p, drains); err != nil {
+		if err := n.loop.ApplyDrain(ctx, p, drains); err != nil {
 			return err
 		}
 	}
@@ -118,7 +118,7 @@
 // begun has another daemon's word that a process began count.
 func (ls lanes) begun(ctx context.Context, s core.Start) error {
 	for _, n := range ls {
-		if err := n.loop.Begun(ctx, s); err != nil {
+		if err := n.loop.ApplyStart(ctx, s); err != nil {
 			return err
 		}
 	}
@@ -130,7 +130,7 @@
 func (ls lanes) mark(ctx context.Context, m maintenance.Override, force bool) error {
 	unknown := 0
 	for _, n := range ls {
-		err := n.loop.Mark(ctx, m, force)
+		err := n.loop.ApplyOverride(ctx, m, force)
 		if errors.Is(err, maintenance.ErrUnknownEndpoint) {
 			unknown++
 		} else if err != nil {
@@ -142,7 +142,7 @@
 	}
 	if unknown > 0 && m.Drained {
 		for _, n := range ls { // those that have it change nothing
-			if err := n.loop.Mark(ctx, m, true); err != nil {
+			if err := n.loop.ApplyOverride(ctx, m, true); err != nil {
 				return err
 			}
 		}
--- a/internal/dataplane/sidecar/sidecar.go
+++ b/internal/dataplane/sidecar/sidecar.go
@@ -138,21 +138,21 @@
 	}
 	n.book = maintenance.NewRegistry(h.Bans, time.Duration(c.Settings.Contract.SlowStartDuration)*time.Microsecond, n.lanes.mark, h.Log)
 	for _, l := range n.lanes {
-		l.loop.Marked(n.book.Overrides())
+		l.loop.SetInitialOverrides(n.book.Overrides())
 	}
 	if h.Shared != nil {
 		n.book.JoinFleet(h.Shared)
 	}
 	if h.Fleet != nil {
 		for _, l := range n.lanes {
-			l.loop.Drains(h.Fleet.DrainingProcesses(), h.Fleet.Observe)
-			l.loop.Starts(h.Fleet.RecentStarts(), h.Fleet.ReportStart)
+			l.loop.ShareDrains(h.Fleet.DrainingProcesses(), h.Fleet.Observe)
+			l.loop.ShareStarts(h.Fleet.RecentStarts(), h.Fleet.ReportStart)
 		}
 		h.Fleet.OnDrain(n.lanes.drain)
 		h.Fleet.OnStart(n.lanes.begun)
 	}
 	d.Watcher = n.watcher(c.Discovery, c.Known.Generation)
-	d.Watch, d.Ended = (*discovery.Watcher).Keep, first.loop.Untold
+	d.Watch, d.Ended = (*discovery.Watcher).Keep, first.loop.WatchFailed
 	if c.Settings.Subscribe {
 		d.Watch = (*discovery.Watcher).Once
 	}
@@ -165,7 +165,7 @@
 	defer cancel()
 	for _, l := range n.lanes {
 		beside.Go(func() { l.loop.Run(ctx) })
-		beside.Go(func() { l.up.Keep(ctx) })
+		beside.Go(func() { l.up.Maintain(ctx) })
 	}
 	if h.Mgmt != nil {
 		beside.Go(func() {
@@ -198,9 +198,9 @@
 	beside.Go(func() { n.takeOver(ctx, old) })
 	another := func() bool { return !n.serving.Load() || n.yields.Load() }
 	for _, l := range n.lanes {
-		beside.Go(func() { core.Keeper{Loop: l.loop, File: l.kept}.Run(ctx, another) })
+		beside.Go(func() { core.SnapshotSaver{Loop: l.loop, File: l.kept}.Run(ctx, another) })
 		if h.Fleet != nil {
-			beside.Go(func() { h.Fleet.SaveSnapshots(ctx, c.Name, l.name, l.loop.PicturedAbroad, another) })
+			beside.Go(func() { h.Fleet.SaveSnapshots(ctx, c.Name, l.name, l.loop.PortableSnapshot, another) })
 		}
 	}
 	h.Log.Info("serving", "name", c.Name, "listen", c.Listen)
@@ -229,7 +229,7 @@
 // tells on its return binds at once, so that one that is down is tried several times within the grace of a drain.
 func (n *node) watcher(addr string, after int64) *discovery.Watcher {
 	w := discovery.NewWatcher(addr, after, n.config.MemoryMB, n.lanes.told, n.log)
-	grace := time.Duration(n.lanes[0].loop.View().Settings.Contract.DrainGrace) * time.Microsecond
+	grace := time.Duration(n.lanes[0].loop.ConfigSnapshot().Settings.Contract.DrainGrace) * time.Microsecond
 	w.Pause = min(w.Pause, max(pauseLeast, grace/gracePart))
 	return w
 }
@@ -263,12 +263,12 @@
 func (n *node) close(on bool) {
 	n.closing.Store(on)
 	for _, l := range n.lanes {
-		l.front.Close(on)
+		l.front.SetClosing(on)
 	}
 }
 
 // count adds up what each protocol still has.
-func (n *node) count(of func(core.Front) int) (left int) {
+func (n *node) count(of func(core.Frontend) int) (left int) {
 	for _, l := range n.lanes {
 		left += of(l.front)
 	}
@@ -290,10 +290,10 @@
 	n.log.Info("stopping")
 	end := time.Duration(0)
 	for _, l := range n.lanes {
-		end = max(end, endIn(&l.loop.View().Settings))
+		end = max(end, endIn(&l.loop.ConfigSnapshot().Settings))
 	}
 	for _, l := range n.lanes {
-		l.loop.EndIn(end)
+		l.loop.EndAfter(end)
 	}
 	n.mu.Lock()
 	n.stopping = true
@@ -308,13 +308,13 @@
 	begun := time.Now()
 	time.Sleep(comeFor)
 	for time.Since(begun) < acceptFor-settleEvery {
-		n.count(func(f core.Front) int { return f.CloseUnused(false) })
+		n.count(func(f core.Frontend) int { return f.CloseUnused(false) })
 		time.Sleep(settleEvery)
 	}
 	time.Sleep(acceptFor - time.Since(begun))
 	n.stopAccepting()
 	// Whoever is still writing is waited for, until what comes could not be answered any more.
-	for n.count(func(f core.Front) int { return f.CloseUnused(time.Since(begun) > end) }) > 0 {
+	for n.count(func(f core.Frontend) int { return f.CloseUnused(time.Since(begun) > end) }) > 0 {
 		time.Sleep(settleEvery)
 	}
 	closeIdle()
@@ -393,7 +393,7 @@
 			n.log.Warn("snapshot passed over", "from", "the old process", "error", err)
 			return
 		}
-		l.loop.Recall(ctx, was, "the old process")
+		l.loop.Restore(ctx, was, "the old process")
 		return
 	}
 	var all []recovery.Candidate
@@ -409,7 +409,7 @@
 		all = append(all, n.host.Fleet.RestoreCandidates(n.config.Name, l.name)...)
 	}
 	if c := recovery.Choose(n.config.Name, all); c.Snapshot != nil {
-		known := l.loop.RecallAt(ctx, c.Snapshot, c.Source, c.Age)
+		known := l.loop.RestoreAged(ctx, c.Snapshot, c.Source, c.Age)
 		if n.host.Fleet != nil {
 			n.host.Fleet.RecordRestore(l.name, c, known)
 		}
@@ -460,7 +460,7 @@
 	forget := n.book.AddPeer(other.Mark)
 	var leaves []func()
 	for _, l := range n.lanes {
-		leaves = append(leaves, l.loop.Beside(other.Eject))
+		leaves = append(leaves, l.loop.ReportEjections(other.Eject))
 	}
 	count := func(more int) {
 		n.mu.Lock()
@@ -490,7 +490,7 @@
 	}
 	s := handover.State{Marks: n.book.Overrides(), List: list, Others: map[string][]byte{}}
 	for _, l := range n.lanes {
-		known, err := l.loop.Pictured(ctx)
+		known, err := l.loop.Snapshot(ctx)
 		switch {
 		case err != nil:
 			n.log.Warn("the new process will not know what is known here", "protocol", l.name, "error", err)
@@ -511,7 +511,7 @@
 // Ejected takes the other process's word on endpoints that fail.
 func (n *node) Ejected(list []handover.Ejection) {
 	for _, l := range n.lanes {
-		l.loop.Heard(list)
+		l.loop.ApplyEjections(list)
 	}
 }
 
@@ -528,7 +528,7 @@
 	go func() {
 		tick := time.NewTicker(settleEvery)
 		defer tick.Stop()
-		for n.count(func(f core.Front) int { return f.CloseIdleFor(settleFor) }) > 0 {
+		for n.count(func(f core.Frontend) int { return f.CloseIdleFor(settleFor) }) > 0 {
 			select {
 			case <-tick.C:
 			case <-ctx.Done():
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -559,7 +559,7 @@
 		if pause(ctx, next()); ctx.Err() != nil {
 			return
 		}
-		if ended, _ := p.Limits.Take(&core.Asked{Class: "look", Path: "/look/1", Worth: 1, Header: none}); ended != nil {
+		if ended, _ := p.Limits.Admit(&core.LimiterRequest{Class: "look", Path: "/look/1", PriorityWeight: 1, Header: none}); ended != nil {
 			ended(true)
 		}
 	}
