--- a/internal/store/replica/frozen_test.go
+++ b/internal/store/replica/frozen_test.go
@@ -75,13 +75,14 @@
 		{ID: 1, Name: "one", Address: "10.0.0.1:7000", DiskID: 5, Boot: 1, Level: 3},
 		{ID: 2, Name: "two", Address: "10.0.0.2:7000", DiskID: 77, Boot: 3, Level: 2, Learner: true},
 	}
+	meta := SnapshotMeta{Index: 9, Term: 4, Voters: []uint64{1, 2}, Learners: []uint64{3}}
 	return []frozenForm{
 		{"identity", "cbor", self, new(Identity)},
-		{"snapshot meta", "cbor", SnapshotMeta{Index: 9, Term: 4, Voters: []uint64{1, 2}, Learners: []uint64{3}}, new(SnapshotMeta)},
+		{"snapshot meta", "cbor", meta, new(SnapshotMeta)},
 		{"hello", "cbor", Hello{Identity: self, Name: "two", LastIndex: 12}, new(Hello)},
 		{"status", "json", Status{
-			Self: self, Name: "two", LeaderID: 1, Leading: true, Term: 4, Commit: 11, Applied: 10, Revision: 8, Keys: 7, Bytes: 600,
-			Level: 3, MembershipStable: true, PendingRequests: 5,
+			Self: self, Name: "two", LeaderID: 1, Leading: true, Term: 4, Commit: 11, Applied: 10, Revision: 8,
+			Keys: 7, Bytes: 600, Level: 3, MembershipStable: true, PendingRequests: 5,
 			Peers:  []Peer{{Member: members[0], Leader: true, MatchIndex: 12, Active: true}, {Member: members[1]}},
 			Failed: "stopped",
 		}, new(Status)},
--- a/internal/store/replica/replica_test.go
+++ b/internal/store/replica/replica_test.go
@@ -14,7 +14,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// singleReplica runs a replica of a cluster of one on a real file.
+// singleReplica runs the only replica of a cluster on a real file.
 type singleReplica struct {
 	t    *testing.T
 	dir  string
@@ -44,16 +44,17 @@
 	a.disk = d
 }
 
-// start begins a build that knows commands up to a level.
-func (a *singleReplica) start(knows uint64) error {
-	n, err := replica.New(replica.Config{Rand: rand.New(rand.NewPCG(1, 1)), KnownLevel: knows, SnapshotLogBytes: 1 << 20}, a.disk)
+// start starts a build that knows commands up to a level.
+func (a *singleReplica) start(knownLevel uint64) error {
+	cfg := replica.Config{Rand: rand.New(rand.NewPCG(1, 1)), KnownLevel: knownLevel, SnapshotLogBytes: 1 << 20}
+	n, err := replica.New(cfg, a.disk)
 	a.node = n
 	return err
 }
 
 func (a *singleReplica) stop() { a.disk.Close() }
 
-// do makes a change and drives until it is answered.
+// do proposes a change and processes until it is completed.
 func (a *singleReplica) do(c store.Command) replica.Completion {
 	a.t.Helper()
 	a.next++
@@ -79,19 +80,21 @@
 	}
 }
 
-func bounded(key string) store.Command {
-	return store.Command{Txn: &store.Txn{Then: []store.Op{{Key: key}}, KeyLimits: []store.KeyLimit{{Prefix: "p/", MaxKeys: 1}}}}
+// putWithKeyLimit is a command of level 2.
+func putWithKeyLimit(key string) store.Command {
+	limits := []store.KeyLimit{{Prefix: "p/", MaxKeys: 1}}
+	return store.Command{Txn: &store.Txn{Then: []store.Op{{Key: key}}, KeyLimits: limits}}
 }
 
-// An older build goes on in a cluster that uses what it knows, refuses what it does not use yet, and stops, saying why and
-// having changed nothing, once the cluster uses more: at the start, and on a file that was a newer build's meanwhile.
+// An older build works in a cluster that uses only the level that it knows, and rejects commands of a later one. Started
+// on the file of a newer build after the cluster's level was raised, it stops with an error and changes nothing.
 func TestOlderBuildStopsBeforeApplyingLaterLevel(t *testing.T) {
 	a := newSingleReplica(t)
 	if err := a.start(1); err != nil {
 		t.Fatal(err)
 	}
 	a.ticks(40)
-	if d := a.do(bounded("p/1")); !errors.Is(d.Result.Err, store.ErrLevel) || a.node.State().Level() != 1 {
+	if d := a.do(putWithKeyLimit("p/1")); !errors.Is(d.Result.Err, store.ErrLevel) || a.node.State().Level() != 1 {
 		t.Fatal("at level 1:", d, a.node.State().Level())
 	}
 	a.stop()
@@ -100,11 +103,11 @@
 		t.Fatal(err)
 	}
 	a.ticks(80)
-	if d := a.do(bounded("p/1")); d.Err != nil || d.Result.Err != nil {
+	if d := a.do(putWithKeyLimit("p/1")); d.Err != nil || d.Result.Err != nil {
 		t.Fatal("at level 2:", d)
 	}
-	if d := a.do(bounded("p/2")); !errors.Is(d.Result.Err, store.ErrFull) {
-		t.Fatal("over the bound:", d)
+	if d := a.do(putWithKeyLimit("p/2")); !errors.Is(d.Result.Err, store.ErrFull) {
+		t.Fatal("over the key limit:", d)
 	}
 	revision, applied := a.node.State().Revision(), a.node.Status().Applied
 	a.stop()
@@ -131,7 +134,7 @@
 	}
 }
 
-// What is not a message of another replica is taken by none: messages of raft's own, to others, and from strangers.
+// A replica ignores local messages of raft, messages to other replicas, and messages of replicas that are not members.
 func TestStepIgnoresStrayMessages(t *testing.T) {
 	a := newSingleReplica(t)
 	if err := a.start(0); err != nil {
