--- a/internal/dataplane/maintenance/maintenance_test.go
+++ b/internal/dataplane/maintenance/maintenance_test.go
@@ -16,11 +16,11 @@
 
 var quiet = slog.New(slog.DiscardHandler)
 
-// sidecar stands for what marks are applied to.
+// sidecar records the overrides that are applied to it.
 type sidecar struct{ applied []string }
 
 func (s *sidecar) apply(_ context.Context, m Override, force bool) error {
-	if m.ID == "nobody" && !force {
+	if m.ID == "unknown" && !force {
 		return ErrUnknownEndpoint
 	}
 	s.applied = append(s.applied, fmt.Sprint(m.ID, " ", m.Drained))
@@ -34,13 +34,14 @@
 	}
 }
 
-// Two calls out need one call back; a call back for what is in service is harmless; unknown IDs get an error.
+// Two drains need one return to service; the return of an endpoint that is in service is harmless; unknown IDs are
+// an error.
 func TestSetIgnoresRepeats(t *testing.T) {
 	s := &sidecar{}
 	f := File{filepath.Join(t.TempDir(), "bans.json")}
 	b := NewRegistry(f, time.Minute, s.apply, quiet)
-	for _, out := range []bool{true, true, false, false} {
-		if err := b.Set(t.Context(), "s-1", out); err != nil {
+	for _, drained := range []bool{true, true, false, false} {
+		if err := b.Set(t.Context(), "s-1", drained); err != nil {
 			t.Error(err)
 		}
 	}
@@ -48,22 +49,26 @@
 	if err := b.Set(t.Context(), "s-2", false); err != nil {
 		t.Error(err)
 	}
-	for _, out := range []bool{true, false} {
-		if err := b.Set(t.Context(), "nobody", out); !errors.Is(err, ErrUnknownEndpoint) {
+	for _, drained := range []bool{true, false} {
+		if err := b.Set(t.Context(), "unknown", drained); !errors.Is(err, ErrUnknownEndpoint) {
 			t.Errorf("got %v", err)
 		}
 	}
 }
 
-// A new process finds what the old one was told, and no more of a call back once the endpoint is warm.
+// A new process finds the overrides of the old one, and no return to service once the endpoint is warm.
 func TestOverridesSurviveRestartUntilRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := File{filepath.Join(t.TempDir(), "bans.json")}
 		b := NewRegistry(f, time.Minute, (&sidecar{}).apply, quiet)
 		for _, id := range []string{"s-2", "s-1"} {
-			b.Set(t.Context(), id, true)
+			if err := b.Set(t.Context(), id, true); err != nil {
+				t.Error(err)
+			}
+		}
+		if err := b.Set(t.Context(), "s-2", false); err != nil {
+			t.Error(err)
 		}
-		b.Set(t.Context(), "s-2", false)
 		got := NewRegistry(f, time.Minute, (&sidecar{}).apply, quiet).Overrides()
 		if len(got) != 2 || got[0].ID != "s-1" || !got[0].Drained || got[1].ID != "s-2" || got[1].Drained || got[1].UnixMicros == 0 {
 			t.Errorf("kept %+v", got)
@@ -75,7 +80,7 @@
 	})
 }
 
-// A damaged file is reported and does not keep the process from serving; the next call replaces it.
+// A damaged file is reported and does not keep the process from serving; the next override replaces it.
 func TestNewRegistryReportsDamagedFile(t *testing.T) {
 	for _, text := range []string{"", "{", `{"version":2}`, `{"version":1,"marks":[{"id":3}]}`, "\x00\xff"} {
 		path := filepath.Join(t.TempDir(), "bans.json")
@@ -84,7 +89,7 @@
 		}
 		var log strings.Builder
 		b := NewRegistry(File{path}, time.Minute, (&sidecar{}).apply, slog.New(slog.NewTextHandler(&log, nil)))
-		if !strings.Contains(log.String(), "not readable") {
+		if !strings.Contains(log.String(), "cannot be read") {
 			t.Errorf("%q: the damage was not reported", text)
 		}
 		if err := b.Set(t.Context(), "s-1", true); err != nil {
@@ -96,7 +101,7 @@
 	}
 }
 
-// What cannot be kept still binds, and nothing is left lying about.
+// An override that cannot be stored is in effect all the same, and no temporary file is left.
 func TestSetAppliesWhenSaveFails(t *testing.T) {
 	s := &sidecar{}
 	dir := t.TempDir()
@@ -110,8 +115,8 @@
 	}
 }
 
-// Processes beside this one are told and obey, also what they have not heard of; a later mark goes before an
-// earlier one, whichever comes first; one that is hung is no reason to fail.
+// Peers are notified and obey, also for endpoints that they do not know; of two overrides the later one counts,
+// whichever comes first; a hung peer is no reason to fail.
 func TestSetNotifiesPeers(t *testing.T) {
 	one, two := &sidecar{}, &sidecar{}
 	dir := t.TempDir()
@@ -124,25 +129,31 @@
 	}
 	two.expect(t, "s-1 true")
 	late := a.Overrides()[0]
-	if err := b.Merge(t.Context(), Override{ID: "s-1", Drained: false, UnixMicros: late.UnixMicros - 1}, Override{ID: "nobody", Drained: true, UnixMicros: 1}); err != nil {
+	early := Override{ID: "s-1", Drained: false, UnixMicros: late.UnixMicros - 1}
+	unknown := Override{ID: "unknown", Drained: true, UnixMicros: 1}
+	if err := b.Merge(t.Context(), early, unknown); err != nil {
 		t.Error(err)
 	}
-	two.expect(t, "s-1 true", "nobody true")
+	two.expect(t, "s-1 true", "unknown true")
 	leave()
 	if err := a.Set(t.Context(), "s-1", false); err != nil {
 		t.Error(err)
 	}
-	two.expect(t, "s-1 true", "nobody true")
+	two.expect(t, "s-1 true", "unknown true")
 }
 
-// A call behind one that does not come back ends with its own time.
+// A call behind one that does not return ends with its own deadline.
 func TestSetBehindHungCallTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := NewRegistry(Discard{}, time.Minute, func(ctx context.Context, _ Override, _ bool) error {
 			<-ctx.Done()
 			return ctx.Err()
 		}, quiet)
-		go b.Set(t.Context(), "s-1", true)
+		go func() {
+			if err := b.Set(t.Context(), "s-1", true); !errors.Is(err, context.Canceled) {
+				t.Errorf("the hung call: %v", err)
+			}
+		}()
 		synctest.Wait()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
