--- /dev/null
+++ b/internal/controlplane/tasks.go
@@ -0,0 +1,80 @@
+package controlplane
+
+import (
+	"context"
+	"os"
+	"syscall"
+	"time"
+
+	"birchmoor/internal/controlplane/daemon"
+	"birchmoor/internal/controlplane/leasetask"
+)
+
+const (
+	sweepInterval   = 10 * time.Second
+	rolloutInterval = 250 * time.Millisecond
+)
+
+// runTask has a worker run a task of the fleet.
+func (p *Components) runTask(ctx context.Context, t leasetask.Task) {
+	p.workers.Go(func() {
+		// Its error is that of an invalid claim, or of ctx.
+		_ = p.Tasks.RunTask(ctx, t)
+	})
+}
+
+// sweepTask returns the task of expiring what has not been reported for long.
+func sweepTask(d *daemon.Daemon, servers *daemon.Servers, ttl time.Duration) leasetask.Task {
+	var subscribedToken uint64 // of the lease under which the copy holds all that is swept
+	return leasetask.Task{
+		Claim: leasetask.Claim{
+			Task: daemon.FleetTask,
+			TTL:  ttl,
+			Note: "ends drains, starts and pictures that nobody tells any more",
+		},
+		Interval:        sweepInterval,
+		Timeout:         ttl / 2,
+		ProgressTimeout: 6 * sweepInterval,
+		Cooldown:        6 * sweepInterval,
+		Do: func(ctx context.Context, l *leasetask.Lease) error {
+			if l.Token() != subscribedToken {
+				subscribedToken = l.Token()
+				servers.SubscribeAll(l.Context())
+			}
+			return d.Sweep(ctx)
+		},
+	}
+}
+
+// rolloutTask returns the task of advancing a rollout of settings, or rolling it back.
+func rolloutTask(settings *daemon.Settings, ttl time.Duration) leasetask.Task {
+	return leasetask.Task{
+		Claim: leasetask.Claim{
+			Task: daemon.RolloutTask,
+			TTL:  ttl,
+			Note: "drives settings that come in force in steps",
+		},
+		Interval:        rolloutInterval,
+		Timeout:         ttl / 2,
+		ProgressTimeout: time.Minute,
+		Cooldown:        time.Minute,
+		Do: func(ctx context.Context, l *leasetask.Lease) error {
+			return settings.AdvanceRollout(ctx, l.Token(), l.Txn)
+		},
+	}
+}
+
+// forwardReloads has the settings of the fleet reloaded at each signal, until ctx ends.
+func (p *Components) forwardReloads(ctx context.Context, signals <-chan os.Signal) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-signals:
+			select {
+			case p.Settings.Reload() <- syscall.SIGHUP:
+			default: // a reload is pending
+			}
+		}
+	}
+}
