--- /dev/null
+++ b/internal/store/admin/wire_test.go
@@ -0,0 +1,167 @@
+package admin
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"birchmoor/internal/store"
+	"birchmoor/internal/store/engine"
+	"birchmoor/internal/store/replica"
+)
+
+// TestMessagesAreFrozen decodes requests, answers and lines of streams that an earlier build wrote, compares
+// each with what it meant, and encodes the same bytes again.
+func TestMessagesAreFrozen(t *testing.T) {
+	const age = 1500 * time.Microsecond
+	id := store.RequestID{Client: 7, Seq: 8}
+	item := store.Item{Key: "k/1", Value: []byte("v"), CreateRevision: 2, ModRevision: 3, Version: 2, LeaseID: 5}
+	put := store.Event{Revision: 3, Item: item}
+	deletion := store.Event{Revision: 4, Deleted: true, Item: store.Item{Key: "k/1"}}
+	txn := &store.Txn{
+		If:        []store.Compare{{Key: "k/1", ModRevision: 3}},
+		Then:      []store.Op{{Key: "k/1", Value: []byte("v"), LeaseID: 5}},
+		Else:      []store.Op{{Key: "k/", Delete: true, RangeEnd: "k0"}},
+		KeyLimits: []store.KeyLimit{{Prefix: "k/", MaxKeys: 4}},
+		Owner:     "daemon-a",
+	}
+	messages := map[string]any{
+		"fault": &Fault{Error: "what went wrong", Unknown: &id, Oldest: 12, NoLease: true},
+		"items": &Items{
+			Items: []store.Item{item}, More: true, Stale: true,
+			Age: engine.CopyAge{Revision: 9, Proved: true, Age: age, Stale: true},
+		},
+		"change":         &Change{Revision: 9, Held: true, Member: 2, Lease: 5},
+		"request txn":    &Request{ID: id, Txn: txn},
+		"request add":    &Request{ID: id, Add: &store.AddMember{Name: "b", Address: "127.0.0.1:1"}},
+		"request remove": &Request{ID: id, Del: 2},
+		"request grant":  &Request{ID: id, Grant: 5000, Owner: "daemon-a"},
+		"request renew":  &Request{ID: id, Renew: 5, Owner: "daemon-a"},
+		"request end":    &Request{ID: id, End: 5, Owner: "daemon-a"},
+		"lease":          &Lease{ID: 5, TTLms: 5000, Owner: "daemon-a", Keys: []string{"k/1"}},
+		"line event":     &Line{Event: &put},
+		"line deletion":  &Line{Event: &deletion},
+		"line events":    &Line{Events: []store.Event{put, deletion}, Through: 4},
+		"line through":   &Line{Through: 6},
+		"line fault":     &Line{Fault: &Fault{Error: "compacted", Oldest: 12}},
+		"line beat": &Line{Beat: &Beat{
+			Cluster: 11, Revision: 9, Proved: true, Age: age,
+			Ages: []KeyAge{{Key: "known/h/", Age: time.Second}},
+			Sums: map[string]store.PrefixSize{"known/": {Keys: 3, Bytes: 40}},
+		}},
+	}
+	golden, err := os.ReadFile("testdata/messages.golden")
+	if err != nil {
+		t.Fatal(err)
+	}
+	lines := strings.Split(strings.TrimSpace(string(golden)), "\n")
+	if len(lines) != len(messages) {
+		t.Errorf("%d golden messages, %d cases", len(lines), len(messages))
+	}
+	for _, line := range lines {
+		name, text, _ := strings.Cut(line, "\t")
+		t.Run(name, func(t *testing.T) {
+			want := messages[name]
+			got := reflect.New(reflect.TypeOf(want).Elem()).Interface()
+			decoder := json.NewDecoder(strings.NewReader(text))
+			decoder.DisallowUnknownFields()
+			if err := decoder.Decode(got); err != nil || !reflect.DeepEqual(got, want) {
+				t.Errorf("decoded %+v (%v), want %+v", got, err, want)
+			}
+			if encoded, err := json.Marshal(want); err != nil || string(encoded) != text {
+				t.Errorf("encoded %s (%v), want %s", encoded, err, text)
+			}
+		})
+	}
+}
+
+// TestErrorResponsesAreFrozen compares the status, header and fields of each error with what an earlier build
+// answered. The text of the error is for people and may change.
+func TestErrorResponsesAreFrozen(t *testing.T) {
+	id := store.RequestID{Client: 7, Seq: 8}
+	for _, c := range []struct {
+		err    error
+		status int
+		fields string // besides the text
+	}{
+		{errors.New("any"), http.StatusServiceUnavailable, `{}`},
+		{fmt.Errorf("x: %w", replica.ErrNoLeader), http.StatusServiceUnavailable, `{}`},
+		{&engine.UnknownError{ID: id}, http.StatusGatewayTimeout, `{"unknown":{"Client":7,"Seq":8}}`},
+		{&store.CompactedError{Oldest: 12}, http.StatusGone, `{"oldest":12}`},
+		{store.ErrTooLarge, http.StatusBadRequest, `{}`},
+		{store.ErrBadKey, http.StatusBadRequest, `{}`},
+		{ErrBad, http.StatusBadRequest, `{}`},
+		{store.ErrLevel, http.StatusPreconditionFailed, `{}`},
+		{store.ErrFull, http.StatusInsufficientStorage, `{}`},
+		{store.ErrUnknownMember, http.StatusConflict, `{}`},
+		{store.ErrLeaseNotFound, http.StatusConflict, `{"no_lease":true}`},
+		{store.ErrRequestExpired, http.StatusConflict, `{}`},
+		{Missing(errors.New("no such thing")), http.StatusNotFound, `{}`},
+		{&store.NotHeldError{}, http.StatusMisdirectedRequest, `{}`},
+	} {
+		w := httptest.NewRecorder()
+		Fail(w, c.err)
+		wantRetry := ""
+		if errors.Is(c.err, replica.ErrNoLeader) {
+			wantRetry = "1"
+		}
+		if retry := w.Header().Get("Retry-After"); w.Code != c.status || retry != wantRetry {
+			t.Errorf("%v: status %d, Retry-After %q; want %d, %q", c.err, w.Code, retry, c.status, wantRetry)
+		}
+		var fields map[string]json.RawMessage
+		if err := json.Unmarshal(w.Body.Bytes(), &fields); err != nil {
+			t.Fatal(err)
+		}
+		text, err := json.Marshal(c.err.Error())
+		if err != nil {
+			t.Fatal(err)
+		}
+		if !bytes.Equal(fields["error"], text) {
+			t.Errorf("%v: text %s", c.err, fields["error"])
+		}
+		delete(fields, "error")
+		if got, err := json.Marshal(fields); err != nil || string(got) != c.fields {
+			t.Errorf("%v: %s (%v), want %s", c.err, got, err, c.fields)
+		}
+	}
+}
+
+// TestPathsAreFrozen checks that operators and followers find each call where earlier builds look for it.
+func TestPathsAreFrozen(t *testing.T) {
+	c, _, outer := one(t)
+	exists := func(client *http.Client, base, call string) {
+		method, path, _ := strings.Cut(call, " ")
+		r, err := http.NewRequestWithContext(t.Context(), method, base+path, strings.NewReader("{"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		a, err := client.Do(r)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer a.Body.Close()
+		if a.StatusCode == http.StatusNotFound || a.StatusCode == http.StatusMethodNotAllowed {
+			t.Errorf("%s: %s", call, a.Status)
+		}
+	}
+	for _, call := range []string{
+		"GET /v1/status", "GET /v1/range", "GET /v1/watch?after=x", "GET /v1/snapshot", "POST /v1/change", "POST /v1/handover",
+		"GET /v1/leases",
+	} {
+		exists(c.http, "http://store", call)
+	}
+	for _, call := range []string{"GET /v1/copy", "GET /v1/follow?after=x", "GET /v1/revision", "POST /v1/change"} {
+		exists(http.DefaultClient, outer, call)
+	}
+	if Scoped != "Store-Scoped" {
+		t.Error(Scoped)
+	}
+}
