--- /dev/null
+++ b/internal/store/peer/frozen_test.go
@@ -0,0 +1,96 @@
+package peer
+
+import (
+	"bytes"
+	"encoding/hex"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+
+	"birchmoor/internal/store/replica"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/google/go-cmp/cmp"
+)
+
+// frozenForm is a value that is stored or sent, as commit 7105f7a wrote it to testdata/frozen.
+type frozenForm struct {
+	name    string
+	value   any
+	decoded any // pointer to the zero value of the same type; nil for a frame
+}
+
+func TestFrozenForms(t *testing.T) {
+	text, err := os.ReadFile("testdata/frozen/forms.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
+	forms := frozenForms()
+	if len(lines) != len(forms) {
+		t.Fatalf("%d lines for %d forms", len(lines), len(forms))
+	}
+	for i, form := range forms {
+		t.Run(form.name, func(t *testing.T) {
+			name, frozen, _ := strings.Cut(lines[i], ": ")
+			if name != form.name {
+				t.Fatalf("line %d is %q", i+1, name)
+			}
+			form.check(t, frozen)
+		})
+	}
+}
+
+func (f *frozenForm) check(t *testing.T, frozen string) {
+	t.Helper()
+	encoded, err := hex.DecodeString(frozen)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if frame, ok := f.value.(frozenFrame); ok {
+		frame.check(t, encoded)
+		return
+	}
+	if b, err := cbor.Marshal(f.value); err != nil || !bytes.Equal(b, encoded) {
+		t.Errorf("encoded as %x, frozen as %x: %v", b, encoded, err)
+	}
+	if err := cbor.Unmarshal(encoded, f.decoded); err != nil {
+		t.Fatal(err)
+	}
+	if d := cmp.Diff(reflect.ValueOf(f.decoded).Elem().Interface(), f.value); d != "" {
+		t.Error(d)
+	}
+}
+
+type frozenFrame struct {
+	kind    kind
+	payload string
+}
+
+func (f *frozenFrame) check(t *testing.T, encoded []byte) {
+	t.Helper()
+	if b := appendFrame(nil, f.kind, []byte(f.payload)); !bytes.Equal(b, encoded) {
+		t.Errorf("encoded as %x, frozen as %x", b, encoded)
+	}
+	k, payload, err := readFrame(bytes.NewReader(encoded), len(f.payload))
+	if err != nil || k != f.kind || string(payload) != f.payload {
+		t.Errorf("read as %c %q: %v", k, payload, err)
+	}
+}
+
+func frozenForms() []frozenForm {
+	identity := replica.Identity{ClusterID: 0x99, MemberID: 2, DiskID: 77, Boot: 3}
+	self := replica.Hello{Identity: identity, Name: "two", LastIndex: 12}
+	hello := Hello{Protocol: Protocol, From: self, Name: "two", To: "one", Member: 1, Address: "10.0.0.2:7000"}
+	return []frozenForm{
+		{"hello", hello, new(Hello)},
+		{"reply", HelloReply{From: self, Name: "one"}, new(HelloReply)},
+		{"rejection", HelloReply{Refused: "not a member", From: self, Name: "one"}, new(HelloReply)},
+		{"hello frame", frozenFrame{kHello, "payload"}, nil},
+		{"reply frame", frozenFrame{kVerdict, "payload"}, nil},
+		{"message frame", frozenFrame{kMessage, "payload"}, nil},
+		{"snapshot frame", frozenFrame{kBulk, "payload"}, nil},
+		{"snapshot part frame", frozenFrame{kPart, ""}, nil},
+	}
+}
