--- a/cmd/birchmoor/keys.go
+++ b/cmd/birchmoor/keys.go
@@ -70,7 +70,7 @@
 }
 
 func (k *keysShow) Run(c *console) error {
-	all, err := keys.Show(k.Dir)
+	all, err := keys.List(k.Dir)
 	if err != nil {
 		return err
 	}
@@ -84,7 +84,7 @@
 		if !i.Trusted {
 			trusted = i.Reason
 		}
-		fmt.Fprintf(w, "%s\t%v\t%s\t%s\t%s\n", i.Name, i.CA, i.Ends.Format(time.DateTime), trusted, i.File)
+		fmt.Fprintf(w, "%s\t%v\t%s\t%s\t%s\n", i.Name, i.CA, i.NotAfter.Format(time.DateTime), trusted, i.File)
 	}
 	return w.Flush()
 }
--- a/cmd/birchmoor/labscale.go
+++ b/cmd/birchmoor/labscale.go
@@ -141,6 +141,6 @@
 
 func (k *hollowCommand) Run(ctx context.Context, c *console) error {
 	log := slog.New(slog.NewTextHandler(c.err, nil))
-	hollowPlant.Defects = controlplane.Defects{Clock: bootclock.Clock{Pace: inside.Pace}, LeaseSession: plantedSession(), LeaseTable: plantedTable(), Quota: inside.Limit}
+	hollowPlant.Defects = controlplane.Defects{Clock: bootclock.Clock{Rate: inside.Pace}, LeaseSession: plantedSession(), LeaseTable: plantedTable(), Quota: inside.Limit}
 	return scale.Child(ctx, k.Spec, os.Stdin, c.out, log, hollowPlant)
 }
--- a/cmd/birchmoor/lock.go
+++ b/cmd/birchmoor/lock.go
@@ -228,7 +228,7 @@
 		k.Command = k.Command[1:]
 	}
 	syscall.CloseOnExec(3)
-	code, why := watchdog.Command{Args: k.Command, Env: os.Environ(), GracePeriod: k.Grace, KillMargin: k.Early, Clock: bootclock.Clock{Pace: inside.Pace}, OnOverrun: func(by int64) {
+	code, why := watchdog.Command{Args: k.Command, Env: os.Environ(), GracePeriod: k.Grace, KillMargin: k.Early, Clock: bootclock.Clock{Rate: inside.Pace}, OnOverrun: func(by int64) {
 		fmt.Fprintf(os.Stderr, "birchmoor: %s with token %s: what it ran may have gone on %v past its time: this host did not run its keeper in time\n", os.Getenv("BIRCHMOOR_TASK"), os.Getenv("BIRCHMOOR_TOKEN"), time.Duration(by).Round(time.Millisecond))
 	}}.Run(os.NewFile(3, "deadlines"))
 	switch {
--- a/cmd/birchmoor/run.go
+++ b/cmd/birchmoor/run.go
@@ -61,7 +61,7 @@
 
 // openStore starts what joins a replica or a follower to a sidecar, and its socket. end stops them.
 func openStore(f *operatorconfig.File, runs bool, hup chan os.Signal, log *slog.Logger) (x *extras, end func(), err error) {
-	cfg := controlplane.Config{File: f, Reload: hup, Log: log, Defects: controlplane.Defects{Clock: bootclock.Clock{Pace: inside.Pace}, WrapStoreFile: inside.File,
+	cfg := controlplane.Config{File: f, Reload: hup, Log: log, Defects: controlplane.Defects{Clock: bootclock.Clock{Rate: inside.Pace}, WrapStoreFile: inside.File,
 		WrapStore: plantedStore, LeaseSession: plantedSession(), LeaseTable: plantedTable(), Quota: inside.Limit}}
 	if runs {
 		if c, err := config.Read(os.Getenv); err == nil { // else the sidecar says why
--- a/internal/controlplane/adminapi/lock.go
+++ b/internal/controlplane/adminapi/lock.go
@@ -221,7 +221,7 @@
 
 // waitUntil waits for an instant of the boot clock, or until the client has unlocked.
 func (s *server) waitUntil(instant int64, unlocked <-chan struct{}) {
-	timer := time.NewTimer(s.Clock.Span(instant - s.Clock.Now()))
+	timer := time.NewTimer(s.Clock.TimerDuration(instant - s.Clock.Now()))
 	defer timer.Stop()
 	select {
 	case <-unlocked:
--- a/internal/controlplane/leasetask/lease.go
+++ b/internal/controlplane/leasetask/lease.go
@@ -210,7 +210,7 @@
 	r.mu.Unlock()
 	if l.cancel != nil {
 		l.cancel(lease.ErrLost)
-		l.waitForActions(r.cfg.Clock.Span(max(0, until-now)))
+		l.waitForActions(r.cfg.Clock.TimerDuration(max(0, until-now)))
 	}
 	r.mu.Lock()
 	if r.leases[key] == l {
--- a/internal/controlplane/leasetask/runner.go
+++ b/internal/controlplane/leasetask/runner.go
@@ -133,7 +133,7 @@
 func (r *Runner) waitForChange(ctx context.Context, changed <-chan struct{}, until int64) error {
 	var due <-chan time.Time
 	if until != 0 {
-		timer := time.NewTimer(r.cfg.Clock.Span(until - r.cfg.Clock.Now()))
+		timer := time.NewTimer(r.cfg.Clock.TimerDuration(until - r.cfg.Clock.Now()))
 		defer timer.Stop()
 		due = timer.C
 	}
--- a/internal/controlplane/leasetask/session.go
+++ b/internal/controlplane/leasetask/session.go
@@ -125,7 +125,7 @@
 	defer r.mu.Unlock()
 	now := r.cfg.Clock.Now()
 	kind, due := s.state.Next(now)
-	return kind, s.state.ID(), r.cfg.Clock.Span(due - now)
+	return kind, s.state.ID(), r.cfg.Clock.TimerDuration(due - now)
 }
 
 // sendRequest sends a request of the session to the store, and gives the session its outcome.
--- a/internal/controlplane/operatorconfig/file.go
+++ b/internal/controlplane/operatorconfig/file.go
@@ -69,7 +69,7 @@
 	f := &File{}
 	decodeErr := stricttoml.Decode(path, "operator files", text, f)
 	var invalid *Error
-	if decodeErr != nil && (!errors.As(decodeErr, &invalid) || !invalid.Unknown) {
+	if decodeErr != nil && (!errors.As(decodeErr, &invalid) || !invalid.UnknownKey) {
 		return nil, decodeErr // the rest of the file was not read
 	}
 	if err := errors.Join(decodeErr, f.check(path)); err != nil {
--- a/internal/controlplane/quotasync/limiter.go
+++ b/internal/controlplane/quotasync/limiter.go
@@ -31,7 +31,7 @@
 			Limit:            rejection.Limit,
 			Part:             rejection.Node,
 			StoreUnreachable: rejection.StoreUnreachable,
-			RetryAfter:       m.cfg.Clock.Span(rejection.RetryAfter),
+			RetryAfter:       m.cfg.Clock.TimerDuration(rejection.RetryAfter),
 		}
 	}
 	return func(ran bool) { m.release(reservation, ran) }, nil
--- a/internal/controlplane/quotasync/run.go
+++ b/internal/controlplane/quotasync/run.go
@@ -124,7 +124,7 @@
 	}
 	wait := m.cfg.ReportInterval
 	if nextAt > 0 {
-		wait = min(wait, max(time.Millisecond, m.cfg.Clock.Span(nextAt-now)))
+		wait = min(wait, max(time.Millisecond, m.cfg.Clock.TimerDuration(nextAt-now)))
 	}
 	return pendingReport{wait: wait}
 }
--- a/internal/controlplane/storecopy.go
+++ b/internal/controlplane/storecopy.go
@@ -47,8 +47,8 @@
 		Via:     peerRoutes(s.PeerRoutes),
 	}
 	cfg.Disk.File = c.Defects.WrapStoreFile
-	if c.Defects.Clock.Pace != 0 {
-		cfg.Tick = c.Defects.Clock.Span(int64(cfg.Tick))
+	if c.Defects.Clock.Rate != 0 {
+		cfg.Tick = c.Defects.Clock.TimerDuration(int64(cfg.Tick))
 	}
 	var err error
 	if s.Keys != "" {
--- a/internal/controlplane/watchdog/watchdog.go
+++ b/internal/controlplane/watchdog/watchdog.go
@@ -102,7 +102,7 @@
 func (x *execution) supervise() {
 	for {
 		now, next := x.enforce()
-		timer := time.NewTimer(max(minTimer, x.Clock.Span(next-now)))
+		timer := time.NewTimer(max(minTimer, x.Clock.TimerDuration(next-now)))
 		select {
 		case <-x.ended:
 			timer.Stop()
--- a/internal/dataplane/config/config.go
+++ b/internal/dataplane/config/config.go
@@ -63,7 +63,7 @@
 // ownSockets are kept for what is neither a client's nor an endpoint's: standard streams, the listeners, the
 // runtime, calls of discovery, files, and operators' calls. Idle clients may fill the descriptors while discovery is down: the
 // part of clients is theirs, and what is kept for the others nobody's.
-const ownSockets = 20 + management.MostConns
+const ownSockets = 20 + management.MaxConns
 
 // ClientConns is how many connections of clients may be open. The other half is for connections to endpoints:
 // an open request has one of each, and probes and second attempts want more. Part is this process's part of the
--- a/internal/dataplane/config/config_test.go
+++ b/internal/dataplane/config/config_test.go
@@ -67,7 +67,7 @@
 		c := &config.Config{Sockets: sockets}
 		// Standard streams, two listeners, three of the runtime's, two calls of discovery and what a handover and files take.
 		const others = 3 + 2 + 3 + 2 + 10
-		if left := sockets - c.ClientConns(1) - c.UpstreamConns(1); left < others+management.MostConns || c.ClientConns(1) < 1 {
+		if left := sockets - c.ClientConns(1) - c.UpstreamConns(1); left < others+management.MaxConns || c.ClientConns(1) < 1 {
 			t.Errorf("of %d descriptors %d are left beside clients' and servers'", sockets, left)
 		}
 	}
--- a/internal/dataplane/core/loop.go
+++ b/internal/dataplane/core/loop.go
@@ -481,8 +481,8 @@
 		l.log.Warn("list with odd entries", "generation", list.Generation, "odd", len(odd), "first", odd[0])
 	}
 	l.balancer.UpdateEndpoints(now, kind, entries)
-	l.metrics.Listed.Set(int64(len(l.byName)))
-	l.metrics.Unhealthy.Set(int64(l.balancer.ExcludedCount(now)))
+	l.metrics.Endpoints.Set(int64(len(l.byName)))
+	l.metrics.UnhealthyEndpoints.Set(int64(l.balancer.ExcludedCount(now)))
 	// Nine in ten restarted processes are ready within 10 s: a process is once an endpoint is known to serve, by whatever list,
 	// so also by the one that it was configured with. Nobody's answer is waited for, neither discovery's nor a server's.
 	for _, e := range l.byName {
--- a/internal/dataplane/core/overrides.go
+++ b/internal/dataplane/core/overrides.go
@@ -39,7 +39,7 @@
 
 // updateGauges shows how many endpoints are avoided, again and again.
 func (l *EventLoop) updateGauges(now balancer.Micros) {
-	l.metrics.Unhealthy.Set(int64(l.balancer.ExcludedCount(now)))
+	l.metrics.UnhealthyEndpoints.Set(int64(l.balancer.ExcludedCount(now)))
 	l.reportEjections(now)
 	l.setTimer(now+gaugeInterval.Microseconds(), l.updateGauges)
 }
@@ -84,7 +84,7 @@
 		}
 		l.balancer.UndrainEndpoint(now, number, min(now, m.UnixMicros))
 	}
-	l.metrics.Unhealthy.Set(int64(l.balancer.ExcludedCount(now)))
+	l.metrics.UnhealthyEndpoints.Set(int64(l.balancer.ExcludedCount(now)))
 	return nil
 }
 
--- a/internal/dataplane/dnsfront/protocol.go
+++ b/internal/dataplane/dnsfront/protocol.go
@@ -29,7 +29,7 @@
 // NewUpstream makes the side of servers.
 func (f *Front) NewUpstream(c *config.Config, clk core.Clock, figures *metrics.Registry, log *slog.Logger) core.Upstream {
 	f.counts = newCounts(figures)
-	return newUpstream(c, &f.Settings, clk, f.counts, &figures.Sends, log)
+	return newUpstream(c, &f.Settings, clk, f.counts, &figures.AttemptsSent, log)
 }
 
 // NewFrontend makes the side of clients.
--- a/internal/dataplane/dnsfront/server.go
+++ b/internal/dataplane/dnsfront/server.go
@@ -276,7 +276,7 @@
 func (s *Server) take(w *waiter, place int) {
 	class := &s.s.Classes[place]
 	w.class = figure(class.Name)
-	s.figures.Current.Add(1)
+	s.figures.InFlight.Add(1)
 	share := ""
 	if class.Share && class.safe() && !w.q.asIs() {
 		share = strconv.Itoa(place) + "/" + w.key.key
@@ -367,7 +367,7 @@
 
 // end ends a query that was taken.
 func (s *Server) end(w *waiter) {
-	s.figures.Current.Add(-1)
+	s.figures.InFlight.Add(-1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.open, w.key)
--- a/internal/dataplane/dnsfront/settings.go
+++ b/internal/dataplane/dnsfront/settings.go
@@ -137,9 +137,9 @@
 
 // newCounts returns counts that r shows.
 func newCounts(r *metrics.Registry) *Counts {
-	return &Counts{Malformed: r.Counter("malformed_total"), Unrouted: r.Counter("unrouted_total"),
-		Joined: r.Counter("joined_total"), Followed: r.Counter("followed_total"), Shed: r.Counter("shed_total"),
-		Slipped: r.Counter("slipped_total"), Dropped: r.Counter("dropped_total"), Unsent: r.Counter("unsent_total"),
-		Resent: r.Counter("resent_total"), Truncated: r.Counter("truncated_total"), Shared: r.Counter("shared_sockets_total"),
-		Unasked: r.Counter("unasked_total"), Mismatched: r.Counter("mismatched_total"), Doubled: r.Counter("doubled_total")}
+	return &Counts{Malformed: r.NewCounter("malformed_total"), Unrouted: r.NewCounter("unrouted_total"),
+		Joined: r.NewCounter("joined_total"), Followed: r.NewCounter("followed_total"), Shed: r.NewCounter("shed_total"),
+		Slipped: r.NewCounter("slipped_total"), Dropped: r.NewCounter("dropped_total"), Unsent: r.NewCounter("unsent_total"),
+		Resent: r.NewCounter("resent_total"), Truncated: r.NewCounter("truncated_total"), Shared: r.NewCounter("shared_sockets_total"),
+		Unasked: r.NewCounter("unasked_total"), Mismatched: r.NewCounter("mismatched_total"), Doubled: r.NewCounter("doubled_total")}
 }
--- a/internal/dataplane/dnsfront/upstream_test.go
+++ b/internal/dataplane/dnsfront/upstream_test.go
@@ -23,7 +23,7 @@
 	s := testSettings()
 	s.Sockets = sockets
 	r := metrics.New()
-	u := newUpstream(sidecartest.Configure(t, "127.0.0.1:1", nil), &s, core.NewClock(), newCounts(r), &r.Sends, sidecartest.Quiet)
+	u := newUpstream(sidecartest.Configure(t, "127.0.0.1:1", nil), &s, core.NewClock(), newCounts(r), &r.AttemptsSent, sidecartest.Quiet)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { u.Maintain(ctx); close(done) }()
--- a/internal/dataplane/httpfront/crossings_test.go
+++ b/internal/dataplane/httpfront/crossings_test.go
@@ -56,7 +56,7 @@
 	figures := metrics.New(c.Classes...)
 	f := &front{dials: make(chan string, 64)}
 	clk := core.NewClock()
-	f.up = NewUpstream(c, clk, &figures.Sends, sidecartest.Quiet)
+	f.up = NewUpstream(c, clk, &figures.AttemptsSent, sidecartest.Quiet)
 	f.up.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		f.mu.Lock()
 		wait := f.release
--- a/internal/dataplane/httpfront/gone_test.go
+++ b/internal/dataplane/httpfront/gone_test.go
@@ -126,10 +126,10 @@
 		}},
 		{"room for its body", 2 * freeBytes, 0, 0, func(t *testing.T, f *front, send func()) func() {
 			f.bodies.Resize(freeBytes)
-			f.bodies.Take(context.Background(), freeBytes)
+			f.bodies.Acquire(context.Background(), freeBytes)
 			send()
 			until(t, "a request that is being read", func() bool { return reading(f) == 1 })
-			return func() { f.bodies.Give(freeBytes) }
+			return func() { f.bodies.Release(freeBytes) }
 		}},
 	} {
 		for how, leave := range leaves {
--- a/internal/dataplane/httpfront/outlook.go
+++ b/internal/dataplane/httpfront/outlook.go
@@ -83,7 +83,7 @@
 func (t *turnedAway) one(figures *metrics.Registry, log *slog.Logger) {
 	t.mu.Lock()
 	now := time.Now()
-	if sends := figures.Sends.Value(); t.n == 0 || sends != t.sends {
+	if sends := figures.AttemptsSent.Value(); t.n == 0 || sends != t.sends {
 		t.since, t.sends, t.n, t.told = now, sends, 0, false
 	}
 	t.n++
@@ -92,7 +92,7 @@
 	n, span := t.n, now.Sub(t.since)
 	t.mu.Unlock()
 	if tell {
-		figures.AllRefused.Inc()
+		figures.AllEndpointsRefused.Inc()
 		log.Warn("every request is turned away, and no attempt is made", "requests", n, "for", span.Round(time.Millisecond))
 	}
 }
--- a/internal/dataplane/httpfront/outlook_test.go
+++ b/internal/dataplane/httpfront/outlook_test.go
@@ -88,14 +88,14 @@
 				s := &Server{figures: metrics.New("look"), log: slog.New(slog.NewTextHandler(&log, nil))}
 				for i := range tc.requests {
 					if tc.sends > 0 && i > 0 && i%tc.sends == 0 {
-						s.figures.Sends.Inc()
+						s.figures.AttemptsSent.Inc()
 						s.ended(&core.Request{Class: "look"}, core.Served)
 					}
 					s.ended(&core.Request{Class: "look"}, core.Rejected)
 					time.Sleep(tc.every)
 				}
 				lines := strings.Count(log.String(), "every request is turned away")
-				if n := s.figures.AllRefused.Value(); n != tc.want || lines != int(tc.want) {
+				if n := s.figures.AllEndpointsRefused.Value(); n != tc.want || lines != int(tc.want) {
 					t.Errorf("counted %d, %d lines, want %d", n, lines, tc.want)
 				}
 			})
--- a/internal/dataplane/httpfront/server.go
+++ b/internal/dataplane/httpfront/server.go
@@ -183,7 +183,7 @@
 	}
 	k, err := s.parse(c, r, head)
 	if k != nil {
-		defer func() { s.bodies.Give(k.BudgetBytes) }()
+		defer func() { s.bodies.Release(k.BudgetBytes) }()
 	}
 	if err != nil {
 		code := http.StatusBadRequest
@@ -297,7 +297,7 @@
 
 // limited refuses a request that a limit of the fleet has no room for: it was not taken.
 func (s *Server) limited(c *client, k *core.Request, r *http.Request, no *core.LimitExceeded) bool {
-	s.figures.Limited(no.Limit).Inc()
+	s.figures.LimitRejections(no.Limit).Inc()
 	s.figures.Class(k.Class).Deferred.Inc()
 	s.away.one(s.figures, s.log)
 	a := newResponse(http.StatusTooManyRequests, "limited: "+no.Limit)
@@ -317,7 +317,7 @@
 func (s *Server) whole(c *client, k *core.Request) <-chan error {
 	s.clients.expect(c, time.Duration(k.TimeAfterBody)*time.Microsecond+answerMargin)
 	c.paced.wait = 0
-	s.figures.Current.Add(1)
+	s.figures.InFlight.Add(1)
 	return c.watch()
 }
 
@@ -328,7 +328,7 @@
 	if a.Disposition == core.Served {
 		a.Disposition = core.Failed // to a part of a body, whatever it says
 	}
-	s.figures.Current.Add(1)
+	s.figures.InFlight.Add(1)
 	s.ended(k, a.Disposition)
 	c.write(responseTo(a), true)
 	up := k.Payload.(*message).upload
@@ -357,7 +357,7 @@
 
 // ended counts the end of a request that was taken. It is the one place that does.
 func (s *Server) ended(k *core.Request, v core.Disposition) {
-	s.figures.Current.Add(-1)
+	s.figures.InFlight.Add(-1)
 	class := s.figures.Class(k.Class)
 	switch v {
 	case core.Served:
@@ -562,7 +562,7 @@
 	if want > freeBytes {
 		ctx, cancel := context.WithTimeout(context.Background(), placeTime)
 		defer cancel()
-		if s.bodies.Take(ctx, want) != nil {
+		if s.bodies.Acquire(ctx, want) != nil {
 			return bad(http.StatusServiceUnavailable, "no room for the body")
 		}
 		k.BudgetBytes = want
--- a/internal/dataplane/httpfront/upstream.go
+++ b/internal/dataplane/httpfront/upstream.go
@@ -322,7 +322,7 @@
 }
 
 func (a *got) release() {
-	a.budget.Give(a.held)
+	a.budget.Release(a.held)
 	a.held = 0
 }
 
@@ -415,7 +415,7 @@
 	a.held = int(min(uint64(length), BodyMost)) // all that may be for a length that is not known
 	if a.held <= freeBytes {
 		a.held = 0
-	} else if err := held.Take(ctx, a.held); err != nil {
+	} else if err := held.Acquire(ctx, a.held); err != nil {
 		a.held = 0
 		return err
 	}
--- a/internal/dataplane/sidecar/kept_test.go
+++ b/internal/dataplane/sidecar/kept_test.go
@@ -60,7 +60,7 @@
 func TestStartWithWhatWasKept(t *testing.T) {
 	c := sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", "127.0.0.1:1"), sidecartest.Up("s-2", "127.0.0.1:2")})
 	clk, figures := core.NewClock(), metrics.New()
-	old, err := core.New(c, clk, httpfront.NewUpstream(c, clk, &figures.Sends, sidecartest.Quiet), func(bool) {}, figures, nil, sidecartest.Quiet)
+	old, err := core.New(c, clk, httpfront.NewUpstream(c, clk, &figures.AttemptsSent, sidecartest.Quiet), func(bool) {}, figures, nil, sidecartest.Quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dataplane/sidecar/lane.go
+++ b/internal/dataplane/sidecar/lane.go
@@ -34,7 +34,7 @@
 		return &d, nil
 	}, figures: metrics.New(c.Classes...), kept: h.Kept}
 	n.config, _ = n.derive(c)
-	up := httpfront.NewUpstream(n.config, clk, &n.figures.Sends, h.Log)
+	up := httpfront.NewUpstream(n.config, clk, &n.figures.AttemptsSent, h.Log)
 	n.up = up
 	var err error
 	if n.loop, err = core.New(n.config, clk, up, watch, n.figures, h.Tap, h.Log); err != nil {
@@ -59,7 +59,7 @@
 	if n.kept.Path != "" {
 		n.kept.Path += "." + n.name
 	}
-	n.figures = metrics.NewFor(n.name, n.config.Classes...)
+	n.figures = metrics.NewForProtocol(n.name, n.config.Classes...)
 	n.up = p.NewUpstream(n.config, clk, n.figures, log)
 	if n.loop, err = core.New(n.config, clk, n.up, func(bool) {}, n.figures, nil, log); err != nil {
 		return nil, err
--- a/internal/dataplane/sidecar/reload.go
+++ b/internal/dataplane/sidecar/reload.go
@@ -32,7 +32,7 @@
 			return
 		}
 		if err := r.reload(ctx); err != nil {
-			r.figures.Invalid.Inc()
+			r.figures.ConfigsRejected.Inc()
 			key := "file"
 			if at := (*config.Error)(nil); errors.As(err, &at) {
 				key = at.Key
@@ -59,7 +59,7 @@
 	}
 	moved := next.FileDiscovery != r.config.FileDiscovery && next.FileDiscovery != ""
 	r.config = next
-	r.figures.Loaded.Inc()
+	r.figures.ConfigsLoaded.Inc()
 	r.log.Info("configuration taken", "moved", moved, "discovery", next.FileDiscovery, "classes", next.Classes)
 	if moved {
 		r.move(next.FileDiscovery)
--- a/internal/platform/bootclock/bootclock.go
+++ b/internal/platform/bootclock/bootclock.go
@@ -10,7 +10,7 @@
 
 // Clock is CLOCK_BOOTTIME, or, for the bench between processes, one that runs at another pace. The zero value is the host's.
 type Clock struct {
-	Pace float64 // of it, by the host's; 0: 1
+	Rate float64 // of it, by the host's; 0: 1
 }
 
 // Now is in nanoseconds.
@@ -19,16 +19,16 @@
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
 		panic(err) // Linux has it since 2.6.39
 	}
-	if c.Pace == 0 {
+	if c.Rate == 0 {
 		return t.Nano()
 	}
-	return int64(float64(t.Nano()) * c.Pace)
+	return int64(float64(t.Nano()) * c.Rate)
 }
 
-// Span is for how long a timer of the process is to run for so much of this clock.
-func (c Clock) Span(of int64) time.Duration {
-	if c.Pace == 0 {
+// TimerDuration is for how long a timer of the process is to run for so much of this clock.
+func (c Clock) TimerDuration(of int64) time.Duration {
+	if c.Rate == 0 {
 		return time.Duration(of)
 	}
-	return time.Duration(float64(of) / c.Pace)
+	return time.Duration(float64(of) / c.Rate)
 }
--- a/internal/platform/keys/keys.go
+++ b/internal/platform/keys/keys.go
@@ -27,8 +27,8 @@
 )
 
 const (
-	caFor    = 10 * 365 * 24 * time.Hour
-	backdate = time.Hour // for clocks that are behind
+	authorityValidity = 10 * 365 * 24 * time.Hour
+	backdate          = time.Hour // for clocks that are behind
 )
 
 // ErrExists says that keys would be written over.
@@ -52,20 +52,20 @@
 	if _, err := os.Stat(filepath.Join(dir, "ca.pem")); err == nil {
 		return fmt.Errorf("%s %w", filepath.Join(dir, "ca.pem"), ErrExists)
 	}
-	cert, key, err := authority(cluster)
+	cert, key, err := createAuthority(cluster)
 	if err != nil {
 		return err
 	}
-	return errors.Join(write(dir, "ca.key", key), write(dir, "ca.pem", cert))
+	return errors.Join(replaceFile(dir, "ca.key", key), replaceFile(dir, "ca.pem", cert))
 }
 
-func authority(cluster string) (cert, key []byte, err error) {
-	return make509(&x509.Certificate{Subject: pkix.Name{CommonName: "birchmoor store " + cluster}, IsCA: true,
-		BasicConstraintsValid: true, MaxPathLenZero: true, KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageDigitalSignature}, caFor, nil, nil)
+func createAuthority(cluster string) (cert, key []byte, err error) {
+	return createCertificate(&x509.Certificate{Subject: pkix.Name{CommonName: "birchmoor store " + cluster}, IsCA: true,
+		BasicConstraintsValid: true, MaxPathLenZero: true, KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageDigitalSignature}, authorityValidity, nil, nil)
 }
 
-// make509 makes a key and a certificate for it, signed by an authority or, without one, by itself.
-func make509(t *x509.Certificate, life time.Duration, ca *x509.Certificate, caKey any) (cert, key []byte, err error) {
+// createCertificate makes a key and a certificate for it, signed by an authority or, without one, by itself.
+func createCertificate(t *x509.Certificate, life time.Duration, ca *x509.Certificate, caKey any) (cert, key []byte, err error) {
 	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, nil, err
@@ -89,8 +89,8 @@
 	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: kb}), nil
 }
 
-// write replaces a file of the owner's alone.
-func write(dir, name string, b []byte) error {
+// replaceFile replaces a file of the owner's alone.
+func replaceFile(dir, name string, b []byte) error {
 	f, err := os.CreateTemp(dir, "."+name+"-*") // of mode 0600
 	if err != nil {
 		return err
@@ -114,21 +114,21 @@
 	if _, err := os.Stat(filepath.Join(dir, name+".pem")); err == nil && !replace {
 		return fmt.Errorf("%s %w", filepath.Join(dir, name+".pem"), ErrExists)
 	}
-	if err := secret(filepath.Join(dir, "ca.key")); err != nil {
+	if err := checkPrivate(filepath.Join(dir, "ca.key")); err != nil {
 		return err
 	}
 	pair, err := tls.LoadX509KeyPair(filepath.Join(dir, "ca.pem"), filepath.Join(dir, "ca.key"))
 	if err != nil {
 		return fmt.Errorf("the authority in %s: %w", dir, err)
 	}
-	cert, key, err := make509(&x509.Certificate{Subject: pkix.Name{CommonName: name}, DNSNames: []string{name},
+	cert, key, err := createCertificate(&x509.Certificate{Subject: pkix.Name{CommonName: name}, DNSNames: []string{name},
 		KeyUsage: x509.KeyUsageDigitalSignature, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}},
 		life, pair.Leaf, pair.PrivateKey)
 	if err != nil {
 		return err
 	}
 	// Both in one file as well as each: a reader never sees a key of one and a certificate of another.
-	return errors.Join(write(dir, name+".key", slices.Concat(key, cert)), write(dir, name+".pem", cert))
+	return errors.Join(replaceFile(dir, name+".key", slices.Concat(key, cert)), replaceFile(dir, name+".pem", cert))
 }
 
 // Rotate makes a new authority, which signs from now on; the ones before stay trusted until Retire.
@@ -137,11 +137,11 @@
 	if err != nil {
 		return err
 	}
-	cert, key, err := authority(cluster)
+	cert, key, err := createAuthority(cluster)
 	if err != nil {
 		return err
 	}
-	return errors.Join(write(dir, "ca.key", key), write(dir, "ca.pem", slices.Concat(cert, old)))
+	return errors.Join(replaceFile(dir, "ca.key", key), replaceFile(dir, "ca.pem", slices.Concat(cert, old)))
 }
 
 // Retire ends the trust in all authorities but the newest.
@@ -154,32 +154,32 @@
 	if first == nil {
 		return fmt.Errorf("%s holds no certificate", filepath.Join(dir, "ca.pem"))
 	}
-	return write(dir, "ca.pem", pem.EncodeToMemory(first))
+	return replaceFile(dir, "ca.pem", pem.EncodeToMemory(first))
 }
 
-// Info tells of a certificate.
-type Info struct {
-	File    string    `json:"file"`
-	Name    string    `json:"name"`
-	CA      bool      `json:"ca"`
-	Serial  string    `json:"serial"`
-	Begins  time.Time `json:"begins"`
-	Ends    time.Time `json:"ends"`
-	Trusted bool      `json:"trusted"` // by the authorities of the folder, now
-	Reason  string    `json:"reason,omitempty"`
+// Certificate tells of a certificate.
+type Certificate struct {
+	File      string    `json:"file"`
+	Name      string    `json:"name"`
+	CA        bool      `json:"ca"`
+	Serial    string    `json:"serial"`
+	NotBefore time.Time `json:"begins"`
+	NotAfter  time.Time `json:"ends"`
+	Trusted   bool      `json:"trusted"` // by the authorities of the folder, now
+	Reason    string    `json:"reason,omitempty"`
 }
 
-// Show lists the certificates of a folder.
-func Show(dir string) ([]Info, error) {
+// List lists the certificates of a folder.
+func List(dir string) ([]Certificate, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.pem"))
 	if err != nil {
 		return nil, err
 	}
-	pool, err := pool(dir)
+	pool, err := loadAuthorities(dir)
 	if err != nil {
 		return nil, err
 	}
-	var all []Info
+	var all []Certificate
 	for _, f := range files {
 		b, err := os.ReadFile(f)
 		if err != nil {
@@ -190,7 +190,7 @@
 			if err != nil {
 				return nil, fmt.Errorf("%s: %w", f, err)
 			}
-			i := Info{File: f, Name: c.Subject.CommonName, CA: c.IsCA, Serial: c.SerialNumber.Text(16), Begins: c.NotBefore, Ends: c.NotAfter}
+			i := Certificate{File: f, Name: c.Subject.CommonName, CA: c.IsCA, Serial: c.SerialNumber.Text(16), NotBefore: c.NotBefore, NotAfter: c.NotAfter}
 			_, err = c.Verify(x509.VerifyOptions{Roots: pool, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny}})
 			if i.Trusted = err == nil; err != nil {
 				i.Reason = err.Error()
@@ -201,7 +201,7 @@
 	return all, nil
 }
 
-func pool(dir string) (*x509.CertPool, error) {
+func loadAuthorities(dir string) (*x509.CertPool, error) {
 	b, err := os.ReadFile(filepath.Join(dir, "ca.pem"))
 	if err != nil {
 		return nil, err
@@ -213,8 +213,8 @@
 	return p, nil
 }
 
-// secret says whether a file is its owner's alone.
-func secret(path string) error {
+// checkPrivate says whether a file is its owner's alone.
+func checkPrivate(path string) error {
 	i, err := os.Stat(path)
 	if err != nil {
 		return err
@@ -240,14 +240,14 @@
 
 func (p *Pair) read() (*tls.Certificate, *x509.CertPool, error) {
 	file := filepath.Join(p.dir, p.name+".key")
-	if err := secret(file); err != nil {
+	if err := checkPrivate(file); err != nil {
 		return nil, nil, fmt.Errorf("keys: %w", err)
 	}
 	c, err := tls.LoadX509KeyPair(file, file)
 	if err != nil {
 		return nil, nil, fmt.Errorf("keys: %s: %w", file, err)
 	}
-	pool, err := pool(p.dir)
+	pool, err := loadAuthorities(p.dir)
 	if err != nil {
 		return nil, nil, fmt.Errorf("keys: %w", err)
 	}
@@ -275,8 +275,8 @@
 	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{*c}, RootCAs: pool, ServerName: name}, nil
 }
 
-// Names are those that the other side's certificate is for.
-func Names(s tls.ConnectionState) string {
+// PeerNames are those that the other side's certificate is for.
+func PeerNames(s tls.ConnectionState) string {
 	if len(s.PeerCertificates) == 0 {
 		return ""
 	}
--- a/internal/platform/keys/keys_test.go
+++ b/internal/platform/keys/keys_test.go
@@ -89,7 +89,7 @@
 		t.Fatal("the old authority is trusted still")
 	}
 	ok(t, Issue(dir, "b", time.Hour, true), meet(t, a, b, "a"))
-	all, err := Show(dir)
+	all, err := List(dir)
 	if err != nil || len(all) != 3 || !all[0].Trusted || !all[2].Trusted {
 		t.Fatalf("%+v %v", all, err)
 	}
--- a/internal/platform/management/mgmt.go
+++ b/internal/platform/management/mgmt.go
@@ -17,8 +17,8 @@
 	"time"
 )
 
-// Desk is what operators' calls are answered from.
-type Desk interface {
+// Backend is what operators' calls are answered from.
+type Backend interface {
 	// Status returns nil once this process can serve, or says why not.
 	Status() error
 	// Stats writes the figures.
@@ -30,31 +30,33 @@
 // Bounds on callers. A caller that finishes no call holds a connection and a goroutine at most until lineTime
 // is over or a newer caller needs its place.
 const (
-	MostConns = 12
-	lineMost  = 512
-	lineTime  = 5 * time.Second
-	callTime  = 900 * time.Millisecond // callers wait 1 s
-	writeTime = 2 * time.Second
+	MaxConns     = 12
+	maxLineBytes = 512
+	lineTimeout  = 5 * time.Second
+	callTimeout  = 900 * time.Millisecond // callers wait 1 s
+	writeTimeout = 2 * time.Second
 )
 
 // Server serves one listener.
 type Server struct {
-	desk Desk
-	log  *slog.Logger
+	backend Backend
+	log     *slog.Logger
 
 	mu    sync.Mutex
-	open  *list.List // *conn: the one that has been open for longest first
+	conns *list.List // *conn: the one that has been open for longest first
 	calls sync.WaitGroup
 }
 
 type conn struct {
 	net.Conn
-	place *list.Element
-	heard bool // its line is whole: it is owed its answer
+	element  *list.Element
+	lineRead bool // its line is whole: it is owed its answer
 }
 
 // New returns a server of the desk's.
-func New(desk Desk, log *slog.Logger) *Server { return &Server{desk: desk, log: log, open: list.New()} }
+func New(desk Backend, log *slog.Logger) *Server {
+	return &Server{backend: desk, log: log, conns: list.New()}
+}
 
 // Serve answers callers until ctx ends, and returns once the calls that it has heard are answered.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
@@ -93,24 +95,24 @@
 func (s *Server) add(ctx context.Context, nc net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.open.Len() >= MostConns && !s.evictLocked() {
+	if s.conns.Len() >= MaxConns && !s.evictLocked() {
 		nc.Close()
 		return
 	}
 	c := &conn{Conn: nc}
-	c.place = s.open.PushBack(c)
+	c.element = s.conns.PushBack(c)
 	s.calls.Go(func() {
 		defer s.remove(c)
-		s.call(ctx, c)
+		s.handle(ctx, c)
 	})
 }
 
 // evictLocked closes the connection that has been silent for longest.
 func (s *Server) evictLocked() bool {
-	for at := s.open.Front(); at != nil; at = at.Next() {
-		if c := at.Value.(*conn); !c.heard {
-			s.open.Remove(at)
-			c.place = nil
+	for at := s.conns.Front(); at != nil; at = at.Next() {
+		if c := at.Value.(*conn); !c.lineRead {
+			s.conns.Remove(at)
+			c.element = nil
 			c.Close()
 			return true
 		}
@@ -122,59 +124,59 @@
 	c.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c.place != nil {
-		s.open.Remove(c.place)
+	if c.element != nil {
+		s.conns.Remove(c.element)
 	}
 }
 
-// call reads one line and answers it.
-func (s *Server) call(ctx context.Context, c *conn) {
-	c.SetReadDeadline(time.Now().Add(lineTime))
+// handle reads one line and answers it.
+func (s *Server) handle(ctx context.Context, c *conn) {
+	c.SetReadDeadline(time.Now().Add(lineTimeout))
 	line, err := readLine(c)
-	if err != nil && !errors.Is(err, errLine) {
+	if err != nil && !errors.Is(err, errMalformedLine) {
 		return // gone, silent for too long, or cut off
 	}
 	s.mu.Lock()
-	c.heard = true
-	evicted := c.place == nil
+	c.lineRead = true
+	evicted := c.element == nil
 	s.mu.Unlock()
 	if evicted {
 		return
 	}
-	c.SetWriteDeadline(time.Now().Add(writeTime))
+	c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if err != nil {
 		s.answer(c, "NO %v", err)
 		return
 	}
 	// The caller's wait bounds the call, not the end of this process: what was heard is answered.
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTime)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
-	s.do(ctx, c, strings.Fields(line))
+	s.execute(ctx, c, strings.Fields(line))
 }
 
-// errLine is a line that is no call.
-var errLine = errors.New("malformed line")
+// errMalformedLine is a line that is no call.
+var errMalformedLine = errors.New("malformed line")
 
 // readLine reads up to the first end of a line. A line without one, closed after some text, is whole too.
 func readLine(r io.Reader) (string, error) {
-	b := bufio.NewReaderSize(r, lineMost)
+	b := bufio.NewReaderSize(r, maxLineBytes)
 	text, err := b.ReadSlice('\n')
 	switch {
 	case errors.Is(err, bufio.ErrBufferFull):
-		return "", fmt.Errorf("%w: over %d bytes", errLine, lineMost)
+		return "", fmt.Errorf("%w: over %d bytes", errMalformedLine, maxLineBytes)
 	case errors.Is(err, io.EOF) && len(text) > 0:
 	case err != nil:
 		return "", err
 	}
 	line := strings.TrimRight(string(text), "\r\n")
 	if strings.ContainsFunc(line, func(r rune) bool { return r < ' ' || r > '~' }) {
-		return "", fmt.Errorf("%w: not plain text", errLine)
+		return "", fmt.Errorf("%w: not plain text", errMalformedLine)
 	}
 	return line, nil
 }
 
-// do carries out one call.
-func (s *Server) do(ctx context.Context, c io.Writer, words []string) {
+// execute carries out one call.
+func (s *Server) execute(ctx context.Context, c io.Writer, words []string) {
 	if len(words) == 0 {
 		s.answer(c, "NO empty line")
 		return
@@ -192,14 +194,14 @@
 	var err error
 	switch words[0] {
 	case "status":
-		err = s.desk.Status()
+		err = s.backend.Status()
 	case "stats":
-		if err := s.desk.Stats(c); err == nil {
+		if err := s.backend.Stats(c); err == nil {
 			s.answer(c, "END")
 		}
 		return
 	default:
-		err = s.desk.Maintain(ctx, words[1], words[0] == "maint-on")
+		err = s.backend.Maintain(ctx, words[1], words[0] == "maint-on")
 		s.log.Info("maintenance call", "call", words[0], "id", words[1], "error", err)
 	}
 	if err != nil {
--- a/internal/platform/management/mgmt_test.go
+++ b/internal/platform/management/mgmt_test.go
@@ -109,7 +109,7 @@
 			{"STATUS\n", "NO unknown call\n"},
 			{"GET / HTTP/1.1\r\n\r\n", "NO unknown call\n"},
 			{"st\x00atus\n", "NO malformed line: not plain text\n"},
-			{strings.Repeat("x", lineMost), "NO malformed line: over 512 bytes\n"},
+			{strings.Repeat("x", maxLineBytes), "NO malformed line: over 512 bytes\n"},
 		} {
 			if got := p.say(c.say); got != c.want {
 				t.Errorf("%.20q: got %q, want %q", c.say, got, c.want)
@@ -130,7 +130,7 @@
 	serving(t, &desk{}, func(t *testing.T, p *pipes) {
 		begun := time.Now()
 		var silent []net.Conn
-		for range 3 * MostConns {
+		for range 3 * MaxConns {
 			silent = append(silent, p.dial())
 		}
 		if got := p.say("status\n"); got != "YES\n" {
@@ -144,7 +144,7 @@
 				t.Error("a silent caller was answered")
 			}
 		}
-		if passed := time.Since(begun); passed > lineTime {
+		if passed := time.Since(begun); passed > lineTimeout {
 			t.Errorf("a silent caller was kept for %v", passed)
 		}
 	})
--- a/internal/platform/metrics/metrics.go
+++ b/internal/platform/metrics/metrics.go
@@ -41,36 +41,36 @@
 
 // Registry is all figures of one process, from its start.
 type Registry struct {
-	Sends      Counter // attempts written whole to endpoints
-	Current    Gauge   // requests taken and not ended
-	Listed     Gauge   // endpoints in the list
-	Unhealthy  Gauge   // of them avoided now, by hand or by choice
-	Unanswered Counter // requests with no answer half a second past their time
-	AllRefused Counter // times that all were refused for seconds, and no attempt was made
-	Loaded     Counter // configurations taken at a reload
-	Invalid    Counter // and turned down
+	AttemptsSent        Counter // attempts written whole to endpoints
+	InFlight            Gauge   // requests taken and not ended
+	Endpoints           Gauge   // endpoints in the list
+	UnhealthyEndpoints  Gauge   // of them avoided now, by hand or by choice
+	Unanswered          Counter // requests with no answer half a second past their time
+	AllEndpointsRefused Counter // times that all were refused for seconds, and no attempt was made
+	ConfigsLoaded       Counter // configurations taken at a reload
+	ConfigsRejected     Counter // and turned down
 
 	prefix string // begins the name of every figure
 
-	mu      sync.RWMutex
-	classes map[string]*Class
-	order   []string            // as first named
-	limited map[string]*Counter // by limit
-	limits  []string            // as first named
-	more    []named
+	mu         sync.RWMutex
+	classes    map[string]*Class
+	classOrder []string            // as first named
+	byLimit    map[string]*Counter // by limit
+	limitOrder []string            // as first named
+	extra      []namedCounter
 }
 
-// named is a counter that only one protocol has.
-type named struct {
+// namedCounter is a counter that only one protocol has.
+type namedCounter struct {
 	name  string
 	count *Counter
 }
 
 // New returns a registry that shows the named classes from the beginning.
-func New(classes ...string) *Registry { return NewFor("", classes...) }
+func New(classes ...string) *Registry { return NewForProtocol("", classes...) }
 
-// NewFor returns one for a protocol beside HTTP, whose figures bear its name.
-func NewFor(protocol string, classes ...string) *Registry {
+// NewForProtocol returns one for a protocol beside HTTP, whose figures bear its name.
+func NewForProtocol(protocol string, classes ...string) *Registry {
 	r := &Registry{classes: map[string]*Class{}, prefix: prefix}
 	if protocol != "" {
 		r.prefix += protocol + "_"
@@ -94,33 +94,33 @@
 	if c = r.classes[name]; c == nil {
 		c = &Class{}
 		r.classes[name] = c
-		r.order = append(r.order, name)
+		r.classOrder = append(r.classOrder, name)
 	}
 	return c
 }
 
-// Limited returns the count of requests that a limit of the fleet refused.
-func (r *Registry) Limited(limit string) *Counter {
+// LimitRejections returns the count of requests that a limit of the fleet refused.
+func (r *Registry) LimitRejections(limit string) *Counter {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	c := r.limited[limit]
+	c := r.byLimit[limit]
 	if c == nil {
-		if r.limited == nil {
-			r.limited = map[string]*Counter{}
+		if r.byLimit == nil {
+			r.byLimit = map[string]*Counter{}
 		}
 		c = &Counter{}
-		r.limited[limit] = c
-		r.limits = append(r.limits, limit)
+		r.byLimit[limit] = c
+		r.limitOrder = append(r.limitOrder, limit)
 	}
 	return c
 }
 
-// Counter returns a new counter that is shown under a name.
-func (r *Registry) Counter(name string) *Counter {
+// NewCounter returns a new counter that is shown under a name.
+func (r *Registry) NewCounter(name string) *Counter {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c := &Counter{}
-	r.more = append(r.more, named{name, c})
+	r.extra = append(r.extra, namedCounter{name, c})
 	return c
 }
 
@@ -133,7 +133,7 @@
 func (r *Registry) WriteText(w io.Writer) error {
 	b := bufio.NewWriter(w)
 	r.mu.RLock()
-	for _, name := range r.order {
+	for _, name := range r.classOrder {
 		c := r.classes[name]
 		for _, f := range [...]struct {
 			name  string
@@ -142,23 +142,23 @@
 			fmt.Fprintf(b, "%s%s{group=\"%s\"} %d\n", r.prefix, f.name, escape.Replace(name), f.count.Value())
 		}
 	}
-	for _, name := range r.limits {
-		fmt.Fprintf(b, "%slimited_total{limit=\"%s\"} %d\n", r.prefix, escape.Replace(name), r.limited[name].Value())
+	for _, name := range r.limitOrder {
+		fmt.Fprintf(b, "%slimited_total{limit=\"%s\"} %d\n", r.prefix, escape.Replace(name), r.byLimit[name].Value())
 	}
-	more := r.more
+	more := r.extra
 	r.mu.RUnlock()
 	for _, f := range [...]struct {
 		name  string
 		value int64
 	}{
-		{"sends_total", int64(r.Sends.Value())},
-		{"current", r.Current.Value()},
-		{"cluster_size", r.Listed.Value()},
-		{"cluster_unhealthy", r.Unhealthy.Value()},
+		{"sends_total", int64(r.AttemptsSent.Value())},
+		{"current", r.InFlight.Value()},
+		{"cluster_size", r.Endpoints.Value()},
+		{"cluster_unhealthy", r.UnhealthyEndpoints.Value()},
 		{"unanswered_total", int64(r.Unanswered.Value())},
-		{"all_refused_total", int64(r.AllRefused.Value())},
-		{"conf_loaded_total", int64(r.Loaded.Value())},
-		{"conf_invalid_total", int64(r.Invalid.Value())},
+		{"all_refused_total", int64(r.AllEndpointsRefused.Value())},
+		{"conf_loaded_total", int64(r.ConfigsLoaded.Value())},
+		{"conf_invalid_total", int64(r.ConfigsRejected.Value())},
 	} {
 		fmt.Fprintf(b, "%s%s %d\n", r.prefix, f.name, f.value)
 	}
--- a/internal/platform/stricttoml/stricttoml.go
+++ b/internal/platform/stricttoml/stricttoml.go
@@ -17,7 +17,7 @@
 	Key    string // such as servers[1].speed
 	Reason string
 
-	Unknown bool // a key that is not known; all others were read
+	UnknownKey bool // a key that is not known; all others were read
 }
 
 // Error tells the place, the key and the reason.
--- a/internal/store/peer/peer.go
+++ b/internal/store/peer/peer.go
@@ -173,7 +173,7 @@
 			n.log.Warn("a peer of the store was not let in", "from", c.RemoteAddr(), "error", err)
 			return
 		}
-		certified, c = keys.Names(t.ConnectionState()), t
+		certified, c = keys.PeerNames(t.ConnectionState()), t
 	}
 	r := bufio.NewReaderSize(c, 64<<10)
 	k, b, err := readFrame(r, helloMost)
