--- a/cmd/birchmoor/followers_test.go
+++ b/cmd/birchmoor/followers_test.go
@@ -166,7 +166,7 @@
 	})
 	processtest.Until(t, "each holds its own", func() bool {
 		st, err := clients["h0"].Status(ctx)
-		return err == nil && st.Holds != nil && st.Holds.Covers(quota.DemandPrefix+"h0/1") && !st.Holds.Covers(quota.DemandPrefix+"h1/1")
+		return err == nil && st.Interest != nil && st.Interest.Covers(quota.DemandPrefix+"h0/1") && !st.Interest.Covers(quota.DemandPrefix+"h1/1")
 	})
 	if i, err := clients["h0"].Range(ctx, words); err != nil || len(i.Items) != 4 {
 		t.Errorf("by way of a replica: %d, %v", len(i.Items), err)
--- a/cmd/birchmoor/store.go
+++ b/cmd/birchmoor/store.go
@@ -138,20 +138,20 @@
 				state = "stopped: " + s.Failed
 			case s.WaitingToJoin:
 				state = "waits to be taken into a cluster"
-			case s.Follower && s.Follows == "":
+			case s.Follower && s.Following == "":
 				state = "has a copy, and hears no replica"
 			case s.Follower:
-				state = "has a copy, and follows " + s.Follows
+				state = "has a copy, and follows " + s.Following
 			case s.Leading:
 				state = "leads"
 			case s.LeaderID == 0:
 				state = "knows no leader"
 			}
 			copied := "not confirmed since the start"
-			if s.Age.Proved {
-				copied = fmt.Sprintf("confirmed by a quorum %v ago", s.Age.Age.Round(time.Millisecond))
+			if s.CopyAge.Confirmed {
+				copied = fmt.Sprintf("confirmed by a quorum %v ago", s.CopyAge.Age.Round(time.Millisecond))
 			}
-			if s.Age.Stale {
+			if s.CopyAge.Stale {
 				copied = "STALE, " + copied
 			}
 			began := fmt.Sprintf("%s at revision %d: %d out, %d starts, %d pictures", s.Startup.From, s.Startup.Revision, s.Startup.Exclusions, s.Startup.Starts, s.Startup.Snapshots)
@@ -164,15 +164,15 @@
 			for _, r := range s.Startup.Restored {
 				began += fmt.Sprintf("; the module recalled %d servers from %s (%d pictures), %v old", r.Servers, r.From, r.Snapshots, r.Age.Round(time.Millisecond))
 			}
-			if s.Holds != nil {
-				copied += fmt.Sprintf("; a part: %s", strings.Join(slices.Concat(s.Holds.Prefixes, s.Holds.Keys), " "))
+			if s.Interest != nil {
+				copied += fmt.Sprintf("; a part: %s", strings.Join(slices.Concat(s.Interest.Prefixes, s.Interest.Keys), " "))
 			}
 			k := s.Daemon
 			for _, x := range [][2]any{{"began with", began}, {"holds", fmt.Sprintf("%d out, %d starts, %d pictures of %d bytes; %d changes owed",
 				k.Exclusions, k.Starts, k.Snapshots, k.SnapshotBytes, k.PendingWrites)}, {"name", s.Name}, {"cluster", fmt.Sprintf("%x", s.Self.ClusterID)}, {"member", s.Self.MemberID}, {"state", state}, {"copy", copied},
-				{"term", s.Term}, {"revision", s.Revision}, {"keys", s.Keys}, {"bytes", s.Bytes}, {"disk", s.Disk},
+				{"term", s.Term}, {"revision", s.Revision}, {"keys", s.Keys}, {"bytes", s.Bytes}, {"disk", s.DiskBytes},
 				{"applied", fmt.Sprintf("%d of %d", s.Applied, s.Commit)}, {"members settled", s.MembershipStable},
-				{"peers refused", s.Refused}, {"connections refused", s.Untaken}, {"messages dropped", s.Dropped}} {
+				{"peers refused", s.PeersRejected}, {"connections refused", s.ConnectionsRejected}, {"messages dropped", s.MessagesDropped}} {
 				fmt.Fprintf(w, "%v\t%v\n", x[0], x[1])
 			}
 		})
--- a/internal/controlplane/daemon/daemon.go
+++ b/internal/controlplane/daemon/daemon.go
@@ -51,8 +51,8 @@
 
 // InstallHooks puts the daemon's hooks into the configuration of a replica's engine.
 func (d *Daemon) InstallHooks(c *engine.Config) {
-	c.Event, c.Reset, c.CaughtUp, c.Confirmed = d.event, d.reset, d.CaughtUp, d.Confirmed
-	c.Uncommitted = func(cmd *store.Command) {
+	c.OnEvent, c.OnReset, c.OnCaughtUp, c.OnConfirmed = d.event, d.reset, d.CaughtUp, d.Confirmed
+	c.OnUncommitted = func(cmd *store.Command) {
 		forEach(d, func(o LogTailObserver) { o.Uncommitted(cmd) })
 	}
 }
--- a/internal/controlplane/daemon/daemon_test.go
+++ b/internal/controlplane/daemon/daemon_test.go
@@ -81,13 +81,13 @@
 	s.servers = NewServers(name, log)
 	s.frame = New(log, append(s.servers.Components(), s.settings)...)
 	cfg := engine.Config{
-		Name:   name,
-		Dir:    dir,
-		Join:   join,
-		Listen: ln,
-		Tick:   10 * time.Millisecond,
-		Elect:  20,
-		Disk:   disk.Options{NoSync: true},
+		Name:          name,
+		Dir:           dir,
+		Join:          join,
+		Listener:      ln,
+		TickInterval:  10 * time.Millisecond,
+		ElectionTicks: 20,
+		DiskOptions:   disk.Options{NoSync: true},
 	}
 	s.frame.InstallHooks(&cfg)
 	if s.engine, err = engine.Open(cfg); err != nil {
--- a/internal/controlplane/leasetask/leasetask_test.go
+++ b/internal/controlplane/leasetask/leasetask_test.go
@@ -26,13 +26,13 @@
 	for _, n := range names {
 		all = append(all, New(Config{Host: n, Log: quiet}))
 	}
-	cfg := engine.Config{Name: "a", Dir: t.TempDir(), Tick: 10 * time.Millisecond, Disk: disk.Options{NoSync: true}}
-	cfg.Event = func(e store.Event) {
+	cfg := engine.Config{Name: "a", Dir: t.TempDir(), TickInterval: 10 * time.Millisecond, DiskOptions: disk.Options{NoSync: true}}
+	cfg.OnEvent = func(e store.Event) {
 		for _, r := range all {
 			r.Event(e)
 		}
 	}
-	cfg.Reset = func(s *store.State) {
+	cfg.OnReset = func(s *store.State) {
 		for _, r := range all {
 			r.Reset(s)
 		}
--- a/internal/controlplane/storecopy.go
+++ b/internal/controlplane/storecopy.go
@@ -35,20 +35,20 @@
 	limits := store.DefaultLimits
 	limits.TotalBytes = s.MaxTotalMB << 20
 	cfg := engine.Config{
-		Name:    s.Name,
-		Dir:     s.Dir,
-		Address: s.Address,
-		Join:    s.Join,
-		Limits:  limits,
-		Tick:    time.Duration(s.Tick),
-		Elect:   s.ElectionTicks,
-		Log:     c.Log,
-		Meter:   adminapi.NewMeter(),
-		Via:     peerRoutes(s.PeerRoutes),
+		Name:             s.Name,
+		Dir:              s.Dir,
+		Address:          s.Address,
+		Join:             s.Join,
+		Limits:           limits,
+		TickInterval:     time.Duration(s.Tick),
+		ElectionTicks:    s.ElectionTicks,
+		Log:              c.Log,
+		Meter:            adminapi.NewMeter(),
+		AddressOverrides: peerRoutes(s.PeerRoutes),
 	}
-	cfg.Disk.File = c.Defects.WrapStoreFile
+	cfg.DiskOptions.OnOpen = c.Defects.WrapStoreFile
 	if c.Defects.Clock.Rate != 0 {
-		cfg.Tick = c.Defects.Clock.TimerDuration(int64(cfg.Tick))
+		cfg.TickInterval = c.Defects.Clock.TimerDuration(int64(cfg.TickInterval))
 	}
 	var err error
 	if s.Keys != "" {
@@ -58,7 +58,7 @@
 		}
 	}
 	if s.Listen != "" {
-		cfg.Listen, err = net.Listen("tcp", s.Listen)
+		cfg.Listener, err = net.Listen("tcp", s.Listen)
 		if err != nil {
 			return engine.Config{}, fmt.Errorf("store: %w", err)
 		}
@@ -90,8 +90,8 @@
 	}
 	replica, err := engine.Open(cfg)
 	if err != nil {
-		if cfg.Listen != nil {
-			err = errors.Join(err, cfg.Listen.Close())
+		if cfg.Listener != nil {
+			err = errors.Join(err, cfg.Listener.Close())
 		}
 		return nil, err
 	}
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -590,7 +590,7 @@
 	}
 	l.Runs++
 	s, err := p.Store.Status(context.Background())
-	fresh := err == nil && s.Age.Proved && !s.Age.Stale
+	fresh := err == nil && s.CopyAge.Confirmed && !s.CopyAge.Stale
 	session := true
 	if presence != nil {
 		id, until, _ := presence.Current()
--- a/internal/lab/storebench/bench.go
+++ b/internal/lab/storebench/bench.go
@@ -163,7 +163,7 @@
 	if err != nil {
 		return err
 	}
-	e, err := engine.Open(engine.Config{Name: name, Dir: filepath.Join(c.dir, name), Join: join, Keys: pair, Listen: ln})
+	e, err := engine.Open(engine.Config{Name: name, Dir: filepath.Join(c.dir, name), Join: join, Keys: pair, Listener: ln})
 	if err != nil {
 		return err
 	}
@@ -277,7 +277,7 @@
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	s, err := e.Status(ctx)
-	r.Writes, r.HeapMB, r.DiskMB = o.Million/workers*workers, float64(m.HeapAlloc)/(1<<20), float64(s.Disk)/(1<<20)
+	r.Writes, r.HeapMB, r.DiskMB = o.Million/workers*workers, float64(m.HeapAlloc)/(1<<20), float64(s.DiskBytes)/(1<<20)
 	return err
 }
 
--- a/internal/store/admin/admin_test.go
+++ b/internal/store/admin/admin_test.go
@@ -23,7 +23,7 @@
 // one is a replica alone with its socket, and where followers reach it.
 func one(t *testing.T) (c *Client, e *engine.Engine, outer string) {
 	t.Helper()
-	cfg := engine.Config{Name: "a", Dir: t.TempDir(), Tick: 5 * time.Millisecond, Disk: disk.Options{NoSync: true},
+	cfg := engine.Config{Name: "a", Dir: t.TempDir(), TickInterval: 5 * time.Millisecond, DiskOptions: disk.Options{NoSync: true},
 		Limits: store.Limits{KeyBytes: 64, ValueBytes: 256, TotalBytes: 1 << 20, TxnOps: 8, HistoryEvents: 20, HistoryBytes: 1 << 16, Leases: 4, Results: 100, Members: 3}}
 	e, err := engine.Open(cfg)
 	if err != nil {
--- a/internal/store/admin/outer.go
+++ b/internal/store/admin/outer.go
@@ -410,7 +410,7 @@
 			}
 		}
 	}
-	b.Revision, b.Proved = x.t.ConfirmedRevision(a.Revision, a.Proved)
+	b.Revision, b.Proved = x.t.ConfirmedRevision(a.Revision, a.Confirmed)
 	b.Age = a.Age
 	for key, age := range x.ages {
 		if x.of == nil || x.of.Covers(key) {
--- a/internal/store/admin/wire_test.go
+++ b/internal/store/admin/wire_test.go
@@ -37,7 +37,7 @@
 		"fault": &Fault{Error: "what went wrong", Unknown: &id, Oldest: 12, NoLease: true},
 		"items": &Items{
 			Items: []store.Item{item}, More: true, Stale: true,
-			Age: engine.CopyAge{Revision: 9, Proved: true, Age: age, Stale: true},
+			Age: engine.CopyAge{Revision: 9, Confirmed: true, Age: age, Stale: true},
 		},
 		"change":         &Change{Revision: 9, Held: true, Member: 2, Lease: 5},
 		"request txn":    &Request{ID: id, Txn: txn},
--- a/internal/store/disk/disk.go
+++ b/internal/store/disk/disk.go
@@ -38,21 +38,21 @@
 const Format = 1
 
 const (
-	partBytes = 256 << 10 // of a snapshot, in one value
-	partsTx   = 8         // of a snapshot, in one transaction
+	partBytes   = 256 << 10 // of a snapshot, in one value
+	partsPerTxn = 8         // of a snapshot, in one transaction
 )
 
 var (
-	bIdentity = []byte("identity")
-	bLog      = []byte("log")
-	bState    = []byte("state")
-	kFormat   = []byte("format")
-	kIdentity = []byte("identity")
-	kHard     = []byte("hard")
-	kBase     = []byte("base")
-	kSnapshot = []byte("snapshot")
-	kMeta     = []byte("meta")
-	castig    = crc32.MakeTable(crc32.Castagnoli)
+	identityBucket = []byte("identity")
+	logBucket      = []byte("log")
+	stateBucket    = []byte("state")
+	formatKey      = []byte("format")
+	identityKey    = []byte("identity")
+	hardStateKey   = []byte("hard")
+	baseKey        = []byte("base")
+	snapshotKey    = []byte("snapshot")
+	kMeta          = []byte("meta")
+	crcTable       = crc32.MakeTable(crc32.Castagnoli)
 )
 
 // CorruptedError names what of a file is not what was written. Such a replica must not go on: it is removed and added anew.
@@ -66,8 +66,8 @@
 // Options are for tests, Meter excepted.
 type Options struct {
 	NoSync bool // the file does not outlive a loss of power
-	// File is told of the file that was opened, so that a test can have it fail under the disk's hands.
-	File func(*os.File)
+	// OnOpen is told of the file that was opened, so that a test can have it fail under the disk's hands.
+	OnOpen func(*os.File)
 	// Meter counts what is written; nil: nothing is counted. A snapshot is what its own transactions write, the log all else.
 	// The bytes are those of bbolt's pages, and a commit waits for two syncs; those by which the file grows are not counted.
 	Meter *usage.Recorder
@@ -75,12 +75,12 @@
 
 // Disk is an open file. It is safe for concurrent use as replica.Disk asks.
 type Disk struct {
-	db   *bbolt.DB
-	path string
-	now  replica.Identity
-	m    *usage.Recorder
-	page int           // bytes of a page
-	next atomic.Uint64 // number of the snapshot's bucket
+	db                 *bbolt.DB
+	path               string
+	identity           replica.Identity
+	meter              *usage.Recorder
+	pageBytes          int           // bytes of a page
+	lastSnapshotBucket atomic.Uint64 // number of the snapshot's bucket
 }
 
 var _ replica.Disk = (*Disk)(nil)
@@ -100,18 +100,18 @@
 	} else if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	db, err := open(path, o)
+	db, err := openBolt(path, o)
 	if err != nil {
 		return nil, err
 	}
-	d := &Disk{db: db, path: path, m: o.Meter, page: db.Info().PageSize}
-	if err := d.begin(); err != nil {
+	d := &Disk{db: db, path: path, meter: o.Meter, pageBytes: db.Info().PageSize}
+	if err := d.initialize(); err != nil {
 		return nil, errors.Join(err, db.Close())
 	}
 	return d, nil
 }
 
-func open(path string, o Options) (db *bbolt.DB, err error) {
+func openBolt(path string, o Options) (db *bbolt.DB, err error) {
 	// bbolt finds some damage by running into it.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -122,8 +122,8 @@
 	db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Second, NoSync: o.NoSync,
 		OpenFile: func(name string, flag int, mode os.FileMode) (*os.File, error) {
 			f, err := os.OpenFile(name, flag, mode)
-			if err == nil && o.File != nil {
-				o.File(f)
+			if err == nil && o.OnOpen != nil {
+				o.OnOpen(f)
 			}
 			return f, err
 		},
@@ -140,13 +140,13 @@
 }
 
 // update runs a transaction that writes the log and what else is small.
-func (d *Disk) update(f func(*bbolt.Tx) error) (err error) { return d.updateOf(usage.LogFile, f) }
+func (d *Disk) update(f func(*bbolt.Tx) error) (err error) { return d.updateFile(usage.LogFile, f) }
 
-// updateOf runs a transaction. What bbolt makes of a damaged page, a panic or a fault in its map, is an error. Each names
+// updateFile runs a transaction. What bbolt makes of a damaged page, a panic or a fault in its map, is an error. Each names
 // the file.
-func (d *Disk) updateOf(what usage.File, f func(*bbolt.Tx) error) (err error) {
+func (d *Disk) updateFile(what usage.File, f func(*bbolt.Tx) error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
-	defer d.caught(&err)
+	defer d.recoverFault(&err)
 	var done *bbolt.Tx
 	if err = d.db.Update(func(tx *bbolt.Tx) error { done = tx; return f(tx) }); err != nil {
 		return err
@@ -156,17 +156,17 @@
 	if d.db.NoSync {
 		syncs = 0
 	}
-	d.m.CountWrite(what, syncs, int(s.GetPageAlloc())+d.page)
+	d.meter.CountWrite(what, syncs, int(s.GetPageAlloc())+d.pageBytes)
 	return nil
 }
 
 func (d *Disk) view(f func(*bbolt.Tx) error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
-	defer d.caught(&err)
+	defer d.recoverFault(&err)
 	return d.db.View(f)
 }
 
-func (d *Disk) caught(err *error) {
+func (d *Disk) recoverFault(err *error) {
 	if r := recover(); r != nil {
 		*err = &CorruptedError{d.path, fmt.Sprint(r)}
 	}
@@ -179,49 +179,49 @@
 	}
 }
 
-func (d *Disk) damaged(format string, args ...any) error {
+func (d *Disk) corrupted(format string, args ...any) error {
 	return &CorruptedError{d.path, fmt.Sprintf(format, args...)}
 }
 
-// begin makes the buckets, or reads whose they are.
-func (d *Disk) begin() error {
+// initialize makes the buckets, or reads whose they are.
+func (d *Disk) initialize() error {
 	return d.update(func(tx *bbolt.Tx) error {
-		id, err := tx.CreateBucketIfNotExists(bIdentity)
+		id, err := tx.CreateBucketIfNotExists(identityBucket)
 		if err != nil {
 			return err
 		}
-		if _, err = tx.CreateBucketIfNotExists(bLog); err != nil {
+		if _, err = tx.CreateBucketIfNotExists(logBucket); err != nil {
 			return err
 		}
-		if _, err = tx.CreateBucketIfNotExists(bState); err != nil {
+		if _, err = tx.CreateBucketIfNotExists(stateBucket); err != nil {
 			return err
 		}
-		if v := id.Get(kFormat); v == nil {
-			if err := id.Put(kFormat, []byte{Format}); err != nil {
+		if v := id.Get(formatKey); v == nil {
+			if err := id.Put(formatKey, []byte{Format}); err != nil {
 				return err
 			}
 			var b [8]byte
 			if _, err := rand.Read(b[:]); err != nil {
 				return err
 			}
-			d.now.DiskID = binary.BigEndian.Uint64(b[:]) | 1
+			d.identity.DiskID = binary.BigEndian.Uint64(b[:]) | 1
 		} else if len(v) != 1 || v[0] > Format {
 			return fmt.Errorf("%s has format %d, and this build knows %d", d.path, v, Format)
-		} else if err := d.get(id, kIdentity, &d.now); err != nil {
+		} else if err := d.get(id, identityKey, &d.identity); err != nil {
 			return err
 		}
-		d.now.Boot++
-		return d.put(id, kIdentity, d.now)
+		d.identity.Boot++
+		return d.put(id, identityKey, d.identity)
 	})
 }
 
-func sealed(b []byte) []byte {
-	return append(binary.BigEndian.AppendUint32(make([]byte, 0, len(b)+4), crc32.Checksum(b, castig)), b...)
+func seal(b []byte) []byte {
+	return append(binary.BigEndian.AppendUint32(make([]byte, 0, len(b)+4), crc32.Checksum(b, crcTable)), b...)
 }
 
 func (d *Disk) unseal(what string, v []byte) ([]byte, error) {
-	if len(v) < 4 || crc32.Checksum(v[4:], castig) != binary.BigEndian.Uint32(v) {
-		return nil, d.damaged("the checksum of %s", what)
+	if len(v) < 4 || crc32.Checksum(v[4:], crcTable) != binary.BigEndian.Uint32(v) {
+		return nil, d.corrupted("the checksum of %s", what)
 	}
 	return v[4:], nil
 }
@@ -231,7 +231,7 @@
 	if err != nil {
 		return err
 	}
-	return b.Put(key, sealed(enc))
+	return b.Put(key, seal(enc))
 }
 
 // get reads a value; one that is not there leaves v as it is.
@@ -245,13 +245,13 @@
 		return err
 	}
 	if err := cbor.Unmarshal(enc, v); err != nil {
-		return d.damaged("%s: %v", key, err)
+		return d.corrupted("%s: %v", key, err)
 	}
 	return nil
 }
 
 // Identity is whose the disk is.
-func (d *Disk) Identity() replica.Identity { return d.now }
+func (d *Disk) Identity() replica.Identity { return d.identity }
 
 // Path is that of the file.
 func (d *Disk) Path() string { return d.path }
@@ -268,43 +268,43 @@
 // Close ends the use of the file.
 func (d *Disk) Close() error { return d.db.Close() }
 
-type named struct {
+type snapshotRecord struct {
 	Bucket uint64               `cbor:"1,keyasint"`
 	Meta   replica.SnapshotMeta `cbor:"2,keyasint"`
 	Parts  int                  `cbor:"3,keyasint"`
 	Bytes  int64                `cbor:"4,keyasint"`
 }
 
-func bucketOf(n uint64) []byte { return fmt.Appendf(nil, "snapshot-%d", n) }
+func snapshotBucketName(n uint64) []byte { return fmt.Appendf(nil, "snapshot-%d", n) }
 
 // Load reads all but the snapshot's bytes, and checks it.
 func (d *Disk) Load() (replica.DiskContents, error) {
-	s := replica.DiskContents{Identity: d.now}
-	var snap named
+	s := replica.DiskContents{Identity: d.identity}
+	var snap snapshotRecord
 	err := d.update(func(tx *bbolt.Tx) error {
-		st := tx.Bucket(bState)
-		if raw := st.Get(kHard); raw != nil {
+		st := tx.Bucket(stateBucket)
+		if raw := st.Get(hardStateKey); raw != nil {
 			enc, err := d.unseal("the hard state", raw)
 			if err != nil {
 				return err
 			}
 			s.HardState = &raftpb.HardState{}
 			if err := proto.Unmarshal(enc, s.HardState); err != nil {
-				return d.damaged("the hard state: %v", err)
+				return d.corrupted("the hard state: %v", err)
 			}
 		}
-		if err := d.get(st, kBase, &s.Base); err != nil {
+		if err := d.get(st, baseKey, &s.Base); err != nil {
 			return err
 		}
-		if err := d.get(st, kSnapshot, &snap); err != nil {
+		if err := d.get(st, snapshotKey, &snap); err != nil {
 			return err
 		}
 		s.Snapshot = snap.Meta
-		d.next.Store(snap.Bucket)
+		d.lastSnapshotBucket.Store(snap.Bucket)
 		// Snapshots that were begun and not ended.
 		var stray [][]byte
 		if err := tx.ForEach(func(name []byte, _ *bbolt.Bucket) error {
-			if bytes.HasPrefix(name, []byte("snapshot-")) && !bytes.Equal(name, bucketOf(snap.Bucket)) {
+			if bytes.HasPrefix(name, []byte("snapshot-")) && !bytes.Equal(name, snapshotBucketName(snap.Bucket)) {
 				stray = append(stray, bytes.Clone(name))
 			}
 			return nil
@@ -317,9 +317,9 @@
 			}
 		}
 		want := s.Base.Index + 1
-		return tx.Bucket(bLog).ForEach(func(k, v []byte) error {
+		return tx.Bucket(logBucket).ForEach(func(k, v []byte) error {
 			if len(k) != 8 || binary.BigEndian.Uint64(k) != want {
-				return d.damaged("entry %x where %d belongs", k, want)
+				return d.corrupted("entry %x where %d belongs", k, want)
 			}
 			enc, err := d.unseal(fmt.Sprintf("entry %d", want), v)
 			if err != nil {
@@ -327,7 +327,7 @@
 			}
 			e := &raftpb.Entry{}
 			if err := proto.Unmarshal(enc, e); err != nil || e.GetIndex() != want {
-				return d.damaged("entry %d: %v", want, err)
+				return d.corrupted("entry %d: %v", want, err)
 			}
 			s.Entries = append(s.Entries, e)
 			want++
@@ -335,27 +335,27 @@
 		})
 	})
 	if err == nil && s.HardState.GetCommit() > s.Base.Index+uint64(len(s.Entries)) {
-		err = d.damaged("the log ends at %d, and %d was agreed on", s.Base.Index+uint64(len(s.Entries)), s.HardState.GetCommit())
+		err = d.corrupted("the log ends at %d, and %d was agreed on", s.Base.Index+uint64(len(s.Entries)), s.HardState.GetCommit())
 	}
 	return s, err
 }
 
 // SetIdentity makes the disk a member's.
 func (d *Disk) SetIdentity(id replica.Identity) error {
-	if d.now.ClusterID != 0 {
-		return fmt.Errorf("%s belongs to cluster %x already", d.path, d.now.ClusterID)
+	if d.identity.ClusterID != 0 {
+		return fmt.Errorf("%s belongs to cluster %x already", d.path, d.identity.ClusterID)
 	}
-	id.DiskID, id.Boot = d.now.DiskID, d.now.Boot
-	if err := d.update(func(tx *bbolt.Tx) error { return d.put(tx.Bucket(bIdentity), kIdentity, id) }); err != nil {
+	id.DiskID, id.Boot = d.identity.DiskID, d.identity.Boot
+	if err := d.update(func(tx *bbolt.Tx) error { return d.put(tx.Bucket(identityBucket), identityKey, id) }); err != nil {
 		return err
 	}
-	d.now = id
+	d.identity = id
 	return nil
 }
 
-func key(i uint64) []byte { return binary.BigEndian.AppendUint64(nil, i) }
+func indexKey(i uint64) []byte { return binary.BigEndian.AppendUint64(nil, i) }
 
-func (d *Disk) putHard(tx *bbolt.Tx, hard *raftpb.HardState) error {
+func (d *Disk) putHardState(tx *bbolt.Tx, hard *raftpb.HardState) error {
 	if hard == nil {
 		return nil
 	}
@@ -363,13 +363,13 @@
 	if err != nil {
 		return err
 	}
-	return tx.Bucket(bState).Put(kHard, sealed(enc))
+	return tx.Bucket(stateBucket).Put(hardStateKey, seal(enc))
 }
 
-// cut deletes entries of the log: those from an index on, or those up to it.
-func cut(log *bbolt.Bucket, from, to uint64) error {
+// deleteEntries deletes entries of the log: those from an index on, or those up to it.
+func deleteEntries(log *bbolt.Bucket, from, to uint64) error {
 	c := log.Cursor()
-	for k, _ := c.Seek(key(from)); k != nil && binary.BigEndian.Uint64(k) <= to; k, _ = c.Seek(key(from)) {
+	for k, _ := c.Seek(indexKey(from)); k != nil && binary.BigEndian.Uint64(k) <= to; k, _ = c.Seek(indexKey(from)) {
 		if err := c.Delete(); err != nil {
 			return err
 		}
@@ -380,13 +380,13 @@
 // Append writes to the log.
 func (d *Disk) Append(hard *raftpb.HardState, entries []*raftpb.Entry) error {
 	return d.update(func(tx *bbolt.Tx) error {
-		if err := d.putHard(tx, hard); err != nil || len(entries) == 0 {
+		if err := d.putHardState(tx, hard); err != nil || len(entries) == 0 {
 			return err
 		}
-		log := tx.Bucket(bLog)
+		log := tx.Bucket(logBucket)
 		log.FillPercent = 0.9 // keys only grow
 		if last, _ := log.Cursor().Last(); last != nil && binary.BigEndian.Uint64(last) >= entries[0].GetIndex() {
-			if err := cut(log, entries[0].GetIndex(), 1<<63); err != nil {
+			if err := deleteEntries(log, entries[0].GetIndex(), 1<<63); err != nil {
 				return err
 			}
 		}
@@ -395,7 +395,7 @@
 			if err != nil {
 				return err
 			}
-			if err := log.Put(key(e.GetIndex()), sealed(enc)); err != nil {
+			if err := log.Put(indexKey(e.GetIndex()), seal(enc)); err != nil {
 				return err
 			}
 		}
@@ -403,8 +403,8 @@
 	})
 }
 
-// parts writes a snapshot into a bucket, in transactions of a few parts each.
-type parts struct {
+// snapshotWriter writes a snapshot into a bucket, in transactions of a few parts each.
+type snapshotWriter struct {
 	d       *Disk
 	bucket  []byte
 	n       int
@@ -413,7 +413,7 @@
 	buf     []byte
 }
 
-func (p *parts) Write(b []byte) (int, error) {
+func (p *snapshotWriter) Write(b []byte) (int, error) {
 	n := len(b)
 	for len(b) > 0 {
 		if p.buf == nil {
@@ -424,7 +424,7 @@
 		if len(p.buf) == partBytes {
 			p.pending, p.buf = append(p.pending, p.buf), nil
 		}
-		if len(p.pending) == partsTx {
+		if len(p.pending) == partsPerTxn {
 			if err := p.flush(); err != nil {
 				return 0, err
 			}
@@ -433,18 +433,18 @@
 	return n, nil
 }
 
-func (p *parts) flush() error {
+func (p *snapshotWriter) flush() error {
 	if len(p.buf) > 0 {
 		p.pending, p.buf = append(p.pending, p.buf), nil
 	}
-	err := p.d.updateOf(usage.SnapshotFile, func(tx *bbolt.Tx) error {
+	err := p.d.updateFile(usage.SnapshotFile, func(tx *bbolt.Tx) error {
 		b, err := tx.CreateBucketIfNotExists(p.bucket)
 		if err != nil {
 			return err
 		}
 		b.FillPercent = 1
 		for i, part := range p.pending {
-			if err := b.Put(key(uint64(p.n+i)), sealed(part)); err != nil {
+			if err := b.Put(indexKey(uint64(p.n+i)), seal(part)); err != nil {
 				return err
 			}
 			p.bytes += int64(len(part))
@@ -456,30 +456,30 @@
 	return err
 }
 
-// save writes a snapshot and has finish do the rest in the transaction from which it counts.
-func (d *Disk) save(meta replica.SnapshotMeta, write func(io.Writer) error, finish func(*bbolt.Tx) error) error {
-	number := d.next.Add(1)
-	p := &parts{d: d, bucket: bucketOf(number)}
+// writeSnapshot writes a snapshot and has finish do the rest in the transaction from which it counts.
+func (d *Disk) writeSnapshot(meta replica.SnapshotMeta, write func(io.Writer) error, finish func(*bbolt.Tx) error) error {
+	number := d.lastSnapshotBucket.Add(1)
+	p := &snapshotWriter{d: d, bucket: snapshotBucketName(number)}
 	err := write(p)
 	if err == nil {
 		err = p.flush()
 	}
 	if err == nil {
-		err = d.updateOf(usage.SnapshotFile, func(tx *bbolt.Tx) error {
-			st := tx.Bucket(bState)
-			var old named
-			if err := d.get(st, kSnapshot, &old); err != nil {
+		err = d.updateFile(usage.SnapshotFile, func(tx *bbolt.Tx) error {
+			st := tx.Bucket(stateBucket)
+			var old snapshotRecord
+			if err := d.get(st, snapshotKey, &old); err != nil {
 				return err
 			}
 			if old.Meta.Index > meta.Index { // the leader's came first
 				return tx.DeleteBucket(p.bucket)
 			}
 			if old.Bucket != 0 {
-				if err := tx.DeleteBucket(bucketOf(old.Bucket)); err != nil && !errors.Is(err, bbolt.ErrBucketNotFound) {
+				if err := tx.DeleteBucket(snapshotBucketName(old.Bucket)); err != nil && !errors.Is(err, bbolt.ErrBucketNotFound) {
 					return err
 				}
 			}
-			if err := d.put(st, kSnapshot, named{Bucket: number, Meta: meta, Parts: p.n, Bytes: p.bytes}); err != nil {
+			if err := d.put(st, snapshotKey, snapshotRecord{Bucket: number, Meta: meta, Parts: p.n, Bytes: p.bytes}); err != nil {
 				return err
 			}
 			return finish(tx)
@@ -493,45 +493,45 @@
 
 // SaveSnapshot replaces the snapshot.
 func (d *Disk) SaveSnapshot(meta replica.SnapshotMeta, write func(io.Writer) error) error {
-	return d.save(meta, write, func(*bbolt.Tx) error { return nil })
+	return d.writeSnapshot(meta, write, func(*bbolt.Tx) error { return nil })
 }
 
 // Install replaces snapshot and log.
 func (d *Disk) Install(meta replica.SnapshotMeta, hard *raftpb.HardState, data []byte) error {
 	write := func(w io.Writer) error { _, err := w.Write(data); return err }
-	return d.save(meta, write, func(tx *bbolt.Tx) error {
-		if err := d.putHard(tx, hard); err != nil {
+	return d.writeSnapshot(meta, write, func(tx *bbolt.Tx) error {
+		if err := d.putHardState(tx, hard); err != nil {
 			return err
 		}
-		if err := d.put(tx.Bucket(bState), kBase, replica.SnapshotMeta{Index: meta.Index, Term: meta.Term}); err != nil {
+		if err := d.put(tx.Bucket(stateBucket), baseKey, replica.SnapshotMeta{Index: meta.Index, Term: meta.Term}); err != nil {
 			return err
 		}
-		if err := tx.DeleteBucket(bLog); err != nil {
+		if err := tx.DeleteBucket(logBucket); err != nil {
 			return err
 		}
-		_, err := tx.CreateBucket(bLog)
+		_, err := tx.CreateBucket(logBucket)
 		return err
 	})
 }
 
 // Snapshot reads the snapshot.
 func (d *Disk) Snapshot() (replica.SnapshotMeta, []byte, error) {
-	var n named
+	var n snapshotRecord
 	var data []byte
 	err := d.view(func(tx *bbolt.Tx) error {
-		if err := d.get(tx.Bucket(bState), kSnapshot, &n); err != nil {
+		if err := d.get(tx.Bucket(stateBucket), snapshotKey, &n); err != nil {
 			return err
 		}
 		if n.Bucket == 0 {
 			return nil
 		}
-		b := tx.Bucket(bucketOf(n.Bucket))
+		b := tx.Bucket(snapshotBucketName(n.Bucket))
 		if b == nil || n.Bytes < 0 || n.Bytes > int64(n.Parts)*partBytes {
-			return d.damaged("the snapshot is not there")
+			return d.corrupted("the snapshot is not there")
 		}
 		data = make([]byte, 0, n.Bytes)
 		for i := range n.Parts {
-			part, err := d.unseal(fmt.Sprintf("part %d of the snapshot", i), b.Get(key(uint64(i))))
+			part, err := d.unseal(fmt.Sprintf("part %d of the snapshot", i), b.Get(indexKey(uint64(i))))
 			if err != nil {
 				return err
 			}
@@ -542,35 +542,35 @@
 	return n.Meta, data, err
 }
 
-// compactTx is how many entries a transaction lets go: few, so that what is to be written waits for a short time.
-const compactTx = 4096
+// maxCompactedPerTxn is how many entries a transaction lets go: few, so that what is to be written waits for a short time.
+const maxCompactedPerTxn = 4096
 
 // Compact lets go of the log up to an entry.
 func (d *Disk) Compact(index, term uint64) error {
 	for {
 		more := false
 		err := d.update(func(tx *bbolt.Tx) error {
-			log := tx.Bucket(bLog)
+			log := tx.Bucket(logBucket)
 			first, _ := log.Cursor().First()
 			if first == nil {
-				return d.put(tx.Bucket(bState), kBase, replica.SnapshotMeta{Index: index, Term: term})
+				return d.put(tx.Bucket(stateBucket), baseKey, replica.SnapshotMeta{Index: index, Term: term})
 			}
 			from := binary.BigEndian.Uint64(first)
-			to := min(index, from+compactTx-1)
+			to := min(index, from+maxCompactedPerTxn-1)
 			more = to < index
 			// Each step ends at an entry whose term is known, so that any of them may be the last.
-			raw, err := d.unseal("an entry", log.Get(key(to)))
+			raw, err := d.unseal("an entry", log.Get(indexKey(to)))
 			if err != nil {
 				return err
 			}
 			e := &raftpb.Entry{}
 			if err := proto.Unmarshal(raw, e); err != nil {
-				return d.damaged("entry %d: %v", to, err)
+				return d.corrupted("entry %d: %v", to, err)
 			}
-			if err := cut(log, from, to); err != nil {
+			if err := deleteEntries(log, from, to); err != nil {
 				return err
 			}
-			return d.put(tx.Bucket(bState), kBase, replica.SnapshotMeta{Index: to, Term: e.GetTerm()})
+			return d.put(tx.Bucket(stateBucket), baseKey, replica.SnapshotMeta{Index: to, Term: e.GetTerm()})
 		})
 		if err != nil || !more {
 			return err
--- a/internal/store/disk/disk_test.go
+++ b/internal/store/disk/disk_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestWhatWasWrittenIsThereAfterAStart(t *testing.T) {
+func TestReopenLoadsWhatWasWritten(t *testing.T) {
 	dir := t.TempDir()
 	d, s := reopen(t, dir)
 	if s.Identity.DiskID == 0 || s.Identity.Boot != 1 {
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestASnapshotThatWasNotEndedDoesNotCount(t *testing.T) {
+func TestUnfinishedSnapshotIsIgnored(t *testing.T) {
 	dir := t.TempDir()
 	d, _ := reopen(t, dir)
 	check(t, d.SaveSnapshot(replica.SnapshotMeta{Index: 1, Term: 1}, func(w io.Writer) error { _, err := w.Write([]byte("first")); return err }))
@@ -97,7 +97,7 @@
 }
 
 // Whatever byte is flipped, the start fails by name, or what is read is what was written.
-func TestFlippedBytesAreFoundOrHarmless(t *testing.T) {
+func TestFlippedBytesAreDetectedOrHarmless(t *testing.T) {
 	dir := t.TempDir()
 	d, _ := reopen(t, dir)
 	check(t, d.Append(hard(1, 3), entries(1, 40, 1)), d.SaveSnapshot(replica.SnapshotMeta{Index: 3, Term: 1},
@@ -148,7 +148,7 @@
 	return true
 }
 
-func TestAFileOfOthersOrOfAnotherProcessIsRefused(t *testing.T) {
+func TestOpenRejectsSharedOrLockedFile(t *testing.T) {
 	dir := t.TempDir()
 	d, _ := reopen(t, dir)
 	if _, err := Open(dir, Options{}); !errors.Is(err, ErrLocked) {
--- a/internal/store/disk/frozen_test.go
+++ b/internal/store/disk/frozen_test.go
@@ -24,9 +24,9 @@
 
 func TestFrozenFileIsWritten(t *testing.T) {
 	d, _ := reopen(t, t.TempDir())
-	d.now.DiskID = 0x77 // drawn at random
+	d.identity.DiskID = 0x77 // drawn at random
 	check(t,
-		d.update(func(tx *bbolt.Tx) error { return d.put(tx.Bucket(bIdentity), kIdentity, d.now) }),
+		d.update(func(tx *bbolt.Tx) error { return d.put(tx.Bucket(identityBucket), identityKey, d.identity) }),
 		d.SetIdentity(replica.Identity{ClusterID: 0x99, MemberID: 2}),
 		d.Append(hard(3, 5), entries(1, 6, 3)),
 		d.SaveSnapshot(frozenMeta, func(w io.Writer) error {
--- a/internal/store/engine/engine.go
+++ b/internal/store/engine/engine.go
@@ -34,40 +34,40 @@
 
 // Config is what a store runs by.
 type Config struct {
-	Name    string // of this replica
-	Dir     string // of its disk
-	Address string // by which others reach it; of Listener, if empty
-	Join    bool   // an empty disk waits to be taken in; else it founds a cluster of its own
-	Limits  store.Limits
-	Via     map[string]string // where this replica reaches others, by name, if it is not where all do
-	Keys    *keys.Pair        // nil: plain TCP on loopback
-	Listen  net.Listener      // nil: one copy alone, reached by no one
-	Tick    time.Duration
-	Elect   int // ticks
-	Log     *slog.Logger
-	Tune    func(*replica.Config) // for tests
-	Disk    disk.Options
-	Meter   *usage.Recorder // of messages, entries and what is written; nil: nothing is counted
-
-	// Event is told of each change in order, Reset of a whole new state, both by the loop. They must not wait.
-	Event func(store.Event)
-	Reset func(*store.State)
-	// Uncommitted is told at the start what the log's end says that is not known to be agreed on, Settled once when the copy
+	Name             string // of this replica
+	Dir              string // of its disk
+	Address          string // by which others reach it; of Listener, if empty
+	Join             bool   // an empty disk waits to be taken in; else it founds a cluster of its own
+	Limits           store.Limits
+	AddressOverrides map[string]string // where this replica reaches others, by name, if it is not where all do
+	Keys             *keys.Pair        // nil: plain TCP on loopback
+	Listener         net.Listener      // nil: one copy alone, reached by no one
+	TickInterval     time.Duration
+	ElectionTicks    int // ticks
+	Log              *slog.Logger
+	TuneReplica      func(*replica.Config) // for tests
+	DiskOptions      disk.Options
+	Meter            *usage.Recorder // of messages, entries and what is written; nil: nothing is counted
+
+	// OnEvent is told of each change in order, Reset of a whole new state, both by the loop. They must not wait.
+	OnEvent func(store.Event)
+	OnReset func(*store.State)
+	// OnUncommitted is told at the start what the log's end says that is not known to be agreed on, Settled once when the copy
 	// has come to that end, by the loop.
-	Uncommitted func(*store.Command)
-	CaughtUp    func()
-	// Confirmed is told by the loop, each time that a quorum confirms the copy, how long ago that was asked: what changes from now
+	OnUncommitted func(*store.Command)
+	OnCaughtUp    func()
+	// OnConfirmed is told by the loop, each time that a quorum confirms the copy, how long ago that was asked: what changes from now
 	// on was written after it.
-	Confirmed func(ago time.Duration)
+	OnConfirmed func(ago time.Duration)
 }
 
 const (
-	roundMost = 256 // inputs of one round
-	inboxMost = 1024
-	retryMin  = 20 * time.Millisecond
-	retryMost = 500 * time.Millisecond
-	proveFor  = time.Second // how often a quorum is asked to confirm the copy
-	staleFor  = 3 * proveFor
+	maxRoundInputs     = 256 // inputs of one round
+	inboxSize          = 1024
+	minRetryDelay      = 20 * time.Millisecond
+	maxRetryDelay      = 500 * time.Millisecond
+	confirmInterval    = time.Second // how often a quorum is asked to confirm the copy
+	maxConfirmationAge = 3 * confirmInterval
 )
 
 // ErrClosed says that the store has ended.
@@ -84,36 +84,36 @@
 
 // Engine is a running replica.
 type Engine struct {
-	cfg    Config
-	disk   *disk.Disk
-	net    *peer.Net
-	client uint64
-	seq    atomic.Uint64
-
-	calls chan func()
-	inbox chan *raftpb.Message
-	done  chan struct{}
-	stop  context.CancelFunc
-	ctx   context.Context
-	wg    sync.WaitGroup
-
-	node    *replica.Node // nil while an empty disk waits to be taken in
-	settled bool
-	adopted replica.Identity
-	greeter map[uint64][2]string // who greeted while no members were known: they are answered
-	waits   map[replica.RequestToken]func(replica.Completion)
-	token   replica.RequestToken
-	peers   uint64 // a sum of the members that the network was told of
-
-	proved  atomic.Int64 // when a quorum last confirmed the copy, by the process's clock; 0 never
-	begun   time.Time
-	changed atomic.Pointer[chan struct{}] // closed when the revision goes on
+	cfg       Config
+	disk      *disk.Disk
+	transport *peer.Transport
+	clientID  uint64
+	seq       atomic.Uint64
+
+	calls  chan func()
+	inbox  chan *raftpb.Message
+	done   chan struct{}
+	cancel context.CancelFunc
+	ctx    context.Context
+	wg     sync.WaitGroup
+
+	node       *replica.Node // nil while an empty disk waits to be taken in
+	caughtUp   bool
+	assigned   replica.Identity
+	helloPeers map[uint64][2]string // who greeted while no members were known: they are answered
+	handlers   map[replica.RequestToken]func(replica.Completion)
+	lastToken  replica.RequestToken
+	peersHash  uint64 // a sum of the members that the network was told of
+
+	confirmedAfter  atomic.Int64 // when a quorum last confirmed the copy, by the process's clock; 0 never
+	startedAt       time.Time
+	revisionChanged atomic.Pointer[chan struct{}] // closed when the revision goes on
 }
 
 // Open starts a replica. It must be closed.
 func Open(cfg Config) (*Engine, error) {
-	if cfg.Tick == 0 {
-		cfg.Tick = 100 * time.Millisecond
+	if cfg.TickInterval == 0 {
+		cfg.TickInterval = 100 * time.Millisecond
 	}
 	if cfg.Limits == (store.Limits{}) {
 		cfg.Limits = store.DefaultLimits
@@ -124,41 +124,41 @@
 	if err := keys.CheckName(cfg.Name); err != nil {
 		return nil, err
 	}
-	if cfg.Address == "" && cfg.Listen != nil {
-		cfg.Address = cfg.Listen.Addr().String()
+	if cfg.Address == "" && cfg.Listener != nil {
+		cfg.Address = cfg.Listener.Addr().String()
 	}
-	cfg.Disk.Meter = cfg.Meter
-	d, err := disk.Open(cfg.Dir, cfg.Disk)
+	cfg.DiskOptions.Meter = cfg.Meter
+	d, err := disk.Open(cfg.Dir, cfg.DiskOptions)
 	if err != nil {
 		return nil, err
 	}
-	e := &Engine{cfg: cfg, disk: d, client: random(), calls: make(chan func(), inboxMost), inbox: make(chan *raftpb.Message, inboxMost),
-		done: make(chan struct{}), waits: map[replica.RequestToken]func(replica.Completion){}, begun: time.Now()}
+	e := &Engine{cfg: cfg, disk: d, clientID: randomID(), calls: make(chan func(), inboxSize), inbox: make(chan *raftpb.Message, inboxSize),
+		done: make(chan struct{}), handlers: map[replica.RequestToken]func(replica.Completion){}, startedAt: time.Now()}
 	first := make(chan struct{})
-	e.changed.Store(&first)
-	e.ctx, e.stop = context.WithCancel(context.Background())
+	e.revisionChanged.Store(&first)
+	e.ctx, e.cancel = context.WithCancel(context.Background())
 	if d.Identity().ClusterID == 0 && !cfg.Join {
-		if err := replica.Bootstrap(d, random(), cfg.Name, cfg.Address, cfg.Limits); err != nil {
+		if err := replica.Bootstrap(d, randomID(), cfg.Name, cfg.Address, cfg.Limits); err != nil {
 			return nil, errors.Join(err, d.Close())
 		}
 	}
 	if d.Identity().ClusterID != 0 {
-		if err := e.begin(); err != nil {
+		if err := e.startNode(); err != nil {
 			return nil, errors.Join(err, d.Close())
 		}
 	}
-	if cfg.Listen != nil {
-		if e.net, err = peer.New(cfg.Name, cfg.Address, cfg.Listen, (*host)(e), cfg.Keys, cfg.Log, cfg.Meter); err != nil {
+	if cfg.Listener != nil {
+		if e.transport, err = peer.New(cfg.Name, cfg.Address, cfg.Listener, (*host)(e), cfg.Keys, cfg.Log, cfg.Meter); err != nil {
 			return nil, errors.Join(err, d.Close())
 		}
-		e.introduce()
+		e.updatePeers()
 	}
 	e.wg.Add(1)
 	go e.loop()
 	return e, nil
 }
 
-func random() uint64 {
+func randomID() uint64 {
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
 		panic(err)
@@ -166,33 +166,33 @@
 	return binary.BigEndian.Uint64(b[:])>>1 | 1
 }
 
-// begin starts the node on a disk that belongs to a cluster.
-func (e *Engine) begin() error {
-	rc := replica.Config{Rand: mathrand.New(mathrand.NewPCG(random(), random())), Log: e.cfg.Log, ElectionTicks: e.cfg.Elect,
-		TickMillis: int(e.cfg.Tick / time.Millisecond), OnProposed: e.cfg.Meter.CountProposal, OnApplied: e.cfg.Meter.CountApplied}
-	if e.cfg.Tune != nil {
-		e.cfg.Tune(&rc)
+// startNode starts the node on a disk that belongs to a cluster.
+func (e *Engine) startNode() error {
+	rc := replica.Config{Rand: mathrand.New(mathrand.NewPCG(randomID(), randomID())), Log: e.cfg.Log, ElectionTicks: e.cfg.ElectionTicks,
+		TickMillis: int(e.cfg.TickInterval / time.Millisecond), OnProposed: e.cfg.Meter.CountProposal, OnApplied: e.cfg.Meter.CountApplied}
+	if e.cfg.TuneReplica != nil {
+		e.cfg.TuneReplica(&rc)
 	}
 	n, err := replica.New(rc, e.disk)
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
 	e.node = n
-	e.adopt()
-	if e.cfg.Uncommitted != nil {
-		n.Uncommitted(e.cfg.Uncommitted)
+	e.attachState()
+	if e.cfg.OnUncommitted != nil {
+		n.Uncommitted(e.cfg.OnUncommitted)
 	}
 	return nil
 }
 
-// adopt listens to a state that is new as a whole.
-func (e *Engine) adopt() {
-	if e.cfg.Reset != nil {
-		e.cfg.Reset(e.node.State())
+// attachState listens to a state that is new as a whole.
+func (e *Engine) attachState() {
+	if e.cfg.OnReset != nil {
+		e.cfg.OnReset(e.node.State())
 	}
 	e.node.State().OnEvent(func(x store.Event) {
-		if e.cfg.Event != nil {
-			e.cfg.Event(x)
+		if e.cfg.OnEvent != nil {
+			e.cfg.OnEvent(x)
 		}
 	})
 }
@@ -202,7 +202,7 @@
 	for range 30 {
 		led := false
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		err := e.do(ctx, func() {
+		err := e.run(ctx, func() {
 			if e.node != nil && len(e.node.State().Members()) > 1 {
 				led = !e.node.TransferLeadership()
 			}
@@ -211,17 +211,17 @@
 		if err != nil || !led {
 			break
 		}
-		time.Sleep(e.cfg.Tick / 2)
+		time.Sleep(e.cfg.TickInterval / 2)
 	}
 	return e.Kill()
 }
 
 // Kill stops at once, as a crash would but for the disk, which is closed.
 func (e *Engine) Kill() error {
-	e.stop()
+	e.cancel()
 	<-e.done
-	if e.net != nil {
-		e.net.Close()
+	if e.transport != nil {
+		e.transport.Close()
 	}
 	e.wg.Wait()
 	return e.disk.Close()
@@ -230,26 +230,26 @@
 func (e *Engine) loop() {
 	defer e.wg.Done()
 	defer close(e.done)
-	t := time.NewTicker(e.cfg.Tick)
+	t := time.NewTicker(e.cfg.TickInterval)
 	defer t.Stop()
 	var lastProof time.Time
 	for {
 		select {
 		case <-e.ctx.Done():
-			for t, f := range e.waits {
+			for t, f := range e.handlers {
 				f(replica.Completion{Token: t, Err: ErrClosed})
 			}
 			return
 		case <-t.C:
 			if e.node != nil {
 				e.node.Tick()
-				if now := time.Now(); now.Sub(lastProof) >= proveFor {
+				if now := time.Now(); now.Sub(lastProof) >= confirmInterval {
 					lastProof = now
 					e.read(func(d replica.Completion) {
 						if d.Err == nil {
-							e.proved.Store(int64(now.Sub(e.begun)) + 1)
-							if e.cfg.Confirmed != nil {
-								e.cfg.Confirmed(time.Since(now))
+							e.confirmedAfter.Store(int64(now.Sub(e.startedAt)) + 1)
+							if e.cfg.OnConfirmed != nil {
+								e.cfg.OnConfirmed(time.Since(now))
 							}
 						}
 					})
@@ -258,64 +258,64 @@
 		case f := <-e.calls:
 			f()
 		case m := <-e.inbox:
-			e.step(m)
+			e.handleMessage(m)
 		}
-		for range roundMost { // what else came meanwhile is written together
+		for range maxRoundInputs { // what else came meanwhile is written together
 			select {
 			case f := <-e.calls:
 				f()
 				continue
 			case m := <-e.inbox:
-				e.step(m)
+				e.handleMessage(m)
 				continue
 			default:
 			}
 			break
 		}
 		if e.node != nil {
-			e.drive()
+			e.process()
 		}
 		runtime.Gosched()
 	}
 }
 
-// step takes a message; the first one that comes to an empty disk begins its replica.
-func (e *Engine) step(m *raftpb.Message) {
+// handleMessage takes a message; the first one that comes to an empty disk begins its replica.
+func (e *Engine) handleMessage(m *raftpb.Message) {
 	if e.node == nil {
-		if e.adopted.MemberID == 0 || m.GetTo() != e.adopted.MemberID {
+		if e.assigned.MemberID == 0 || m.GetTo() != e.assigned.MemberID {
 			return
 		}
-		err := e.disk.SetIdentity(e.adopted)
+		err := e.disk.SetIdentity(e.assigned)
 		if err == nil {
-			err = e.begin()
+			err = e.startNode()
 		}
 		if err != nil {
 			e.cfg.Log.Error("the store cannot join", "error", err)
 			return
 		}
-		e.introduce()
-		e.cfg.Log.Info("the store was taken into a cluster", "member", e.adopted.MemberID)
+		e.updatePeers()
+		e.cfg.Log.Info("the store was taken into a cluster", "member", e.assigned.MemberID)
 	}
 	e.node.Step(m)
 }
 
-func (e *Engine) drive() {
+func (e *Engine) process() {
 	before := e.node.State().Revision()
 	out := e.node.Process()
 	if out.StateReplaced {
-		e.adopt()
+		e.attachState()
 	}
-	if !e.settled && e.node.CaughtUp() {
-		if e.settled = true; e.cfg.CaughtUp != nil {
-			e.cfg.CaughtUp()
+	if !e.caughtUp && e.node.CaughtUp() {
+		if e.caughtUp = true; e.cfg.OnCaughtUp != nil {
+			e.cfg.OnCaughtUp()
 		}
 	}
-	if e.net != nil {
-		e.net.Send(out.Messages)
+	if e.transport != nil {
+		e.transport.Send(out.Messages)
 	}
 	for _, d := range out.Completions {
-		if f := e.waits[d.Token]; f != nil {
-			delete(e.waits, d.Token)
+		if f := e.handlers[d.Token]; f != nil {
+			delete(e.handlers, d.Token)
 			f(d)
 		}
 	}
@@ -331,23 +331,23 @@
 		}()
 	}
 	if out.AppliedEntries > 0 || out.StateReplaced {
-		e.introduce()
+		e.updatePeers()
 	}
 	if out.StateReplaced || e.node.State().Revision() != before {
 		next := make(chan struct{})
-		close(*e.changed.Swap(&next))
+		close(*e.revisionChanged.Swap(&next))
 	}
 }
 
-// introduce tells the network who the members are.
-func (e *Engine) introduce() {
-	if e.net == nil || e.node == nil {
+// updatePeers tells the network who the members are.
+func (e *Engine) updatePeers() {
+	if e.transport == nil || e.node == nil {
 		return
 	}
 	all := map[uint64][2]string{}
 	members := e.node.State().Members()
 	if len(members) == 0 {
-		all = maps.Clone(e.greeter)
+		all = maps.Clone(e.helloPeers)
 	}
 	sum := uint64(len(all)) + 1
 	for _, m := range members {
@@ -357,18 +357,18 @@
 		}
 	}
 	for id, p := range all {
-		if via := e.cfg.Via[p[0]]; via != "" {
+		if via := e.cfg.AddressOverrides[p[0]]; via != "" {
 			all[id] = [2]string{p[0], via}
 		}
 	}
-	if sum != e.peers {
-		e.peers = sum
-		e.net.Peers(all)
+	if sum != e.peersHash {
+		e.peersHash = sum
+		e.transport.SetPeers(all)
 	}
 }
 
-// do has the loop run f, and waits for it. f does not run after do has returned.
-func (e *Engine) do(ctx context.Context, f func()) error {
+// run has the loop run f, and waits for it. f does not run after do has returned.
+func (e *Engine) run(ctx context.Context, f func()) error {
 	ran := make(chan struct{})
 	var taken atomic.Bool // by the loop, or by the one who gave up
 	call := func() {
@@ -401,23 +401,23 @@
 	}
 }
 
-func (e *Engine) await(f func(replica.Completion)) replica.RequestToken {
-	e.token++
-	e.waits[e.token] = f
-	return e.token
+func (e *Engine) onCompletion(f func(replica.Completion)) replica.RequestToken {
+	e.lastToken++
+	e.handlers[e.lastToken] = f
+	return e.lastToken
 }
 
-func (e *Engine) read(f func(replica.Completion)) { e.node.Read(e.await(f)) }
+func (e *Engine) read(f func(replica.Completion)) { e.node.Read(e.onCompletion(f)) }
 
-// ask has the loop put a request to the node and waits for its answer.
-func (e *Engine) ask(ctx context.Context, put func(replica.RequestToken)) (replica.Completion, error) {
+// request has the loop put a request to the node and waits for its answer.
+func (e *Engine) request(ctx context.Context, put func(replica.RequestToken)) (replica.Completion, error) {
 	answer := make(chan replica.Completion, 1)
-	err := e.do(ctx, func() {
+	err := e.run(ctx, func() {
 		if e.node == nil {
 			answer <- replica.Completion{Err: replica.ErrNoLeader}
 			return
 		}
-		put(e.await(func(d replica.Completion) { answer <- d }))
+		put(e.onCompletion(func(d replica.Completion) { answer <- d }))
 	})
 	if err != nil {
 		return replica.Completion{}, err
@@ -436,10 +436,10 @@
 // known or ctx ends; then the error is an UnknownError if the change may have been made.
 func (e *Engine) Do(ctx context.Context, c store.Command) (store.Result, error) {
 	if c.ID == (store.RequestID{}) {
-		c.ID = store.RequestID{Client: e.client, Seq: e.seq.Add(1)}
+		c.ID = store.RequestID{Client: e.clientID, Seq: e.seq.Add(1)}
 	}
 	if c.SinceIndex == 0 {
-		if err := e.do(ctx, func() {
+		if err := e.run(ctx, func() {
 			if e.node != nil {
 				c.SinceIndex = max(1, e.node.State().Index())
 			}
@@ -447,15 +447,15 @@
 			return store.Result{}, err
 		}
 	}
-	sent, wait := false, retryMin
+	sent, wait := false, minRetryDelay
 	var last error
 	for {
-		d, err := e.ask(ctx, func(t replica.RequestToken) { x := c; e.node.Propose(t, &x) })
+		d, err := e.request(ctx, func(t replica.RequestToken) { x := c; e.node.Propose(t, &x) })
 		switch {
 		case err == nil && d.Err == nil && !sent && errors.Is(d.Result.Err, store.ErrRequestExpired):
 			// It was never sent before: its beginning was told by a copy that is far behind, not by an old request.
 			last = d.Result.Err
-			if err := e.do(ctx, func() {
+			if err := e.run(ctx, func() {
 				if e.node != nil {
 					c.SinceIndex = max(1, e.node.State().Index())
 				}
@@ -480,7 +480,7 @@
 		case <-e.done:
 		case <-time.After(wait/2 + mathrand.N(wait)):
 		}
-		wait = min(2*wait, retryMost)
+		wait = min(2*wait, maxRetryDelay)
 	}
 	if sent {
 		return store.Result{}, &UnknownError{c.ID}
@@ -490,18 +490,18 @@
 
 // CopyAge is how old a copy may be.
 type CopyAge struct {
-	Revision uint64        `json:"revision"`
-	Proved   bool          `json:"proved"` // a quorum confirmed the copy since the start,
-	Age      time.Duration `json:"age_ns"` // so long ago
-	Stale    bool          `json:"stale"`  // longer than a few questions to the quorum take
+	Revision  uint64        `json:"revision"`
+	Confirmed bool          `json:"proved"` // a quorum confirmed the copy since the start,
+	Age       time.Duration `json:"age_ns"` // so long ago
+	Stale     bool          `json:"stale"`  // longer than a few questions to the quorum take
 }
 
 // View has f read the state. If stale is not set, it shows all that was answered to anyone before the call; else it is
 // this copy as it is, whose age is told. f runs in the loop and must be short. Of a copy that holds a part (follow.Follower) f may be
 // called again, and begins anew then.
 func (e *Engine) View(ctx context.Context, stale bool, f func(*store.State)) (CopyAge, error) {
-	for wait := retryMin; !stale; wait = min(2*wait, retryMost) {
-		d, err := e.ask(ctx, func(t replica.RequestToken) { e.node.Read(t) })
+	for wait := minRetryDelay; !stale; wait = min(2*wait, maxRetryDelay) {
+		d, err := e.request(ctx, func(t replica.RequestToken) { e.node.Read(t) })
 		if err == nil && d.Err == nil {
 			break
 		}
@@ -519,23 +519,23 @@
 		}
 	}
 	var a CopyAge
-	err := e.do(ctx, func() {
+	err := e.run(ctx, func() {
 		if e.node == nil {
 			return
 		}
-		a = e.age()
+		a = e.copyAge()
 		a.Revision = e.node.State().Revision()
 		f(e.node.State())
 	})
 	return a, err
 }
 
-func (e *Engine) age() CopyAge {
+func (e *Engine) copyAge() CopyAge {
 	var a CopyAge
-	if p := e.proved.Load(); p != 0 {
-		a.Proved, a.Age = true, time.Since(e.begun)-time.Duration(p)
+	if p := e.confirmedAfter.Load(); p != 0 {
+		a.Confirmed, a.Age = true, time.Since(e.startedAt)-time.Duration(p)
 	}
-	a.Stale = serverstate.Staleness{Confirmed: a.Proved, Age: int64(a.Age), Allowed: int64(staleFor)}.Stale()
+	a.Stale = serverstate.Staleness{Confirmed: a.Confirmed, Age: int64(a.Age), Allowed: int64(maxConfirmationAge)}.Stale()
 	return a
 }
 
@@ -543,11 +543,11 @@
 // go. The error is a *store.ErrCompacted if the history no longer reaches back. A reader that does not come costs nothing.
 func (e *Engine) Next(ctx context.Context, prefix string, after uint64, most int) ([]store.Event, uint64, error) {
 	for {
-		changed := *e.changed.Load()
+		changed := *e.revisionChanged.Load()
 		var events []store.Event
 		var to uint64
 		var gone error
-		if err := e.do(ctx, func() {
+		if err := e.run(ctx, func() {
 			if to = after; e.node != nil {
 				events, to, gone = e.node.State().Changes(nil, prefix, after, most)
 			}
@@ -573,36 +573,36 @@
 	replica.Status
 	WaitingToJoin bool   `json:"waiting_to_join,omitempty"`
 	Follower      bool   `json:"follower,omitempty"` // has no replica: a copy of others'
-	Follows       string `json:"follows,omitempty"`  // the replica that it hears now, or "" for none
+	Following     string `json:"follows,omitempty"`  // the replica that it hears now, or "" for none
 
-	Holds *store.Interest `json:"holds,omitempty"` // what a follower's copy holds; nil: all
+	Interest *store.Interest `json:"holds,omitempty"` // what a follower's copy holds; nil: all
 
-	Age      CopyAge `json:"copy"`
-	Disk     int64   `json:"disk_bytes"`
-	Refused  int64   `json:"peers_refused"`
-	Untaken  int64   `json:"connections_refused"`
-	Dropped  int64   `json:"messages_dropped"`
-	Sent     int64   `json:"messages_sent"`
-	Received int64   `json:"messages_received"`
+	CopyAge             CopyAge `json:"copy"`
+	DiskBytes           int64   `json:"disk_bytes"`
+	PeersRejected       int64   `json:"peers_refused"`
+	ConnectionsRejected int64   `json:"connections_refused"`
+	MessagesDropped     int64   `json:"messages_dropped"`
+	MessagesSent        int64   `json:"messages_sent"`
+	MessagesReceived    int64   `json:"messages_received"`
 }
 
 // Status returns it.
 func (e *Engine) Status(ctx context.Context) (Status, error) {
 	var s Status
-	err := e.do(ctx, func() {
+	err := e.run(ctx, func() {
 		if e.node == nil {
 			s.WaitingToJoin, s.Name, s.Self = true, e.cfg.Name, e.disk.Identity()
 			return
 		}
 		s.Status = e.node.Status()
-		s.Age = e.age()
-		s.Age.Revision = s.Revision
+		s.CopyAge = e.copyAge()
+		s.CopyAge.Revision = s.Revision
 	})
-	s.Disk = e.disk.Size()
-	if e.net != nil {
-		st := &e.net.Stats
-		s.Refused, s.Untaken, s.Dropped = st.Refused.Load(), st.Untaken.Load(), st.Dropped.Load()
-		s.Sent, s.Received = st.Sent.Load(), st.Received.Load()
+	s.DiskBytes = e.disk.Size()
+	if e.transport != nil {
+		st := &e.transport.Stats
+		s.PeersRejected, s.ConnectionsRejected, s.MessagesDropped = st.HellosRejected.Load(), st.ConnectionsRejected.Load(), st.MessagesDropped.Load()
+		s.MessagesSent, s.MessagesReceived = st.MessagesSent.Load(), st.MessagesReceived.Load()
 	}
 	return s, err
 }
@@ -619,7 +619,7 @@
 
 // TransferLeadership gives leadership away.
 func (e *Engine) TransferLeadership(ctx context.Context) error {
-	return e.do(ctx, func() {
+	return e.run(ctx, func() {
 		if e.node != nil {
 			e.node.TransferLeadership()
 		}
@@ -632,10 +632,10 @@
 func (h *host) Hello() replica.Hello {
 	e := (*Engine)(h)
 	var out replica.Hello
-	_ = e.do(e.ctx, func() {
+	_ = e.run(e.ctx, func() {
 		out = replica.Hello{Identity: e.disk.Identity(), Name: e.cfg.Name}
-		if e.adopted.MemberID != 0 { // a disk that was greeted answers as the member that it is to become
-			out.ClusterID, out.MemberID = e.adopted.ClusterID, e.adopted.MemberID
+		if e.assigned.MemberID != 0 { // a disk that was greeted answers as the member that it is to become
+			out.ClusterID, out.MemberID = e.assigned.ClusterID, e.assigned.MemberID
 		}
 		if e.node != nil {
 			out = e.node.Hello()
@@ -647,36 +647,36 @@
 func (h *host) Admit(x peer.Hello) error {
 	e := (*Engine)(h)
 	var verdict error
-	err := e.do(e.ctx, func() {
+	err := e.run(e.ctx, func() {
 		switch {
 		case e.node != nil:
-			if x.Member != 0 && x.Member != e.node.Self().MemberID {
-				verdict = fmt.Errorf("this is member %d, and %d was meant", e.node.Self().MemberID, x.Member)
+			if x.RecipientID != 0 && x.RecipientID != e.node.Self().MemberID {
+				verdict = fmt.Errorf("this is member %d, and %d was meant", e.node.Self().MemberID, x.RecipientID)
 				return
 			}
 			if verdict = e.node.Admit(x.From); verdict == nil {
-				e.greeted(x)
+				e.rememberPeer(x)
 			}
-		case x.Member == 0 || x.From.ClusterID == 0:
+		case x.RecipientID == 0 || x.From.ClusterID == 0:
 			verdict = errors.New("this replica waits to be taken into a cluster")
 		default:
-			e.adopted = replica.Identity{ClusterID: x.From.ClusterID, MemberID: x.Member}
-			e.greeted(x)
+			e.assigned = replica.Identity{ClusterID: x.From.ClusterID, MemberID: x.RecipientID}
+			e.rememberPeer(x)
 		}
 	})
 	return errors.Join(err, verdict)
 }
 
-// greeted keeps where a greeter is reached, until the members are known.
-func (e *Engine) greeted(x peer.Hello) {
-	if e.node != nil && len(e.node.State().Members()) > 0 || x.Address == "" || len(e.greeter) >= 16 {
+// rememberPeer keeps where a greeter is reached, until the members are known.
+func (e *Engine) rememberPeer(x peer.Hello) {
+	if e.node != nil && len(e.node.State().Members()) > 0 || x.Address == "" || len(e.helloPeers) >= 16 {
 		return
 	}
-	if e.greeter == nil {
-		e.greeter = map[uint64][2]string{}
+	if e.helloPeers == nil {
+		e.helloPeers = map[uint64][2]string{}
 	}
-	e.greeter[x.From.MemberID] = [2]string{x.Name, x.Address}
-	e.introduce()
+	e.helloPeers[x.From.MemberID] = [2]string{x.Name, x.Address}
+	e.updatePeers()
 }
 
 func (h *host) Deliver(ctx context.Context, m *raftpb.Message) {
@@ -687,16 +687,16 @@
 	}
 }
 
-func (h *host) Unreachable(member uint64) {
-	h.tell(func(n *replica.Node) { n.ReportUnreachable(member) })
+func (h *host) ReportUnreachable(member uint64) {
+	h.post(func(n *replica.Node) { n.ReportUnreachable(member) })
 }
 
-func (h *host) Sent(member uint64, ok bool) {
-	h.tell(func(n *replica.Node) { n.ReportSnapshot(member, ok) })
+func (h *host) ReportSnapshot(member uint64, ok bool) {
+	h.post(func(n *replica.Node) { n.ReportSnapshot(member, ok) })
 }
 
-// tell leaves word with the loop if there is room. It is called by the loop itself, too, which must not wait.
-func (h *host) tell(f func(*replica.Node)) {
+// post leaves word with the loop if there is room. It is called by the loop itself, too, which must not wait.
+func (h *host) post(f func(*replica.Node)) {
 	select {
 	case h.calls <- func() {
 		if h.node != nil {
--- a/internal/store/engine/engine_test.go
+++ b/internal/store/engine/engine_test.go
@@ -78,8 +78,8 @@
 		cancel()
 		stuck = stuck || errors.Is(err, context.DeadlineExceeded)
 		fmt.Fprintf(&out, "\n%s: member %d, %d leads in term %d, commit %d, applied %d, %d wait, %d messages sent, %d received, %d dropped, "+
-			"%d greetings refused, stopped by %q, status %v", name, s.Self.MemberID, s.LeaderID, s.Term, s.Commit, s.Applied, s.PendingRequests, s.Sent, s.Received,
-			s.Dropped, s.Refused, s.Failed, err)
+			"%d greetings refused, stopped by %q, status %v", name, s.Self.MemberID, s.LeaderID, s.Term, s.Commit, s.Applied, s.PendingRequests, s.MessagesSent, s.MessagesReceived,
+			s.MessagesDropped, s.PeersRejected, s.Failed, err)
 	}
 	if stuck {
 		b := make([]byte, 1<<20)
@@ -126,8 +126,8 @@
 	if !ok {
 		o.NoSync = true
 	}
-	cfg := Config{Name: name, Dir: filepath.Join(c.dir, name), Address: c.addr[name], Join: join, Keys: pair, Listen: ln,
-		Tick: 10 * time.Millisecond, Elect: 20, Disk: o, Tune: func(r *replica.Config) { r.SnapshotLogBytes, r.RetainedEntries = 20000, 50 }}
+	cfg := Config{Name: name, Dir: filepath.Join(c.dir, name), Address: c.addr[name], Join: join, Keys: pair, Listener: ln,
+		TickInterval: 10 * time.Millisecond, ElectionTicks: 20, DiskOptions: o, TuneReplica: func(r *replica.Config) { r.SnapshotLogBytes, r.RetainedEntries = 20000, 50 }}
 	if c.first != nil {
 		c.first(&cfg)
 	}
@@ -160,7 +160,7 @@
 		if ok(s) {
 			return
 		}
-		c.must(c.all[name].do(ctx, func() {}))
+		c.must(c.all[name].run(ctx, func() {}))
 	}
 }
 
@@ -180,7 +180,7 @@
 }
 
 // Writers go on while each replica in turn is killed and started again: nothing that was answered is lost.
-func TestNothingAnsweredIsLostWhenReplicasAreKilledInTurn(t *testing.T) {
+func TestAcknowledgedWritesSurviveRollingKills(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	var mu sync.Mutex
 	answered := map[string]string{}
@@ -218,7 +218,7 @@
 		before := count()
 		c.must(at(name).Kill())
 		for count() < min(150, before+20) { // the others go on
-			c.must(at(names[(1+indexOf(names, name))%3]).do(c.ctx(), func() {}))
+			c.must(at(names[(1+indexOf(names, name))%3]).run(c.ctx(), func() {}))
 		}
 		mu.Lock()
 		c.start(name, true)
@@ -243,7 +243,7 @@
 	return -1
 }
 
-func TestAReplicaThatWasLongAwayCatchesUpBySnapshot(t *testing.T) {
+func TestLaggingReplicaCatchesUpBySnapshot(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.must(c.all["c"].Kill())
 	for i := range 400 {
@@ -256,7 +256,7 @@
 	}
 }
 
-func TestAnEmptyDiskUnderAnOldNameIsRefusedUntilAddedAnew(t *testing.T) {
+func TestEmptyDiskUnderOldNameIsRejectedUntilAddedAnew(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.must(c.all["c"].Kill())
 	delete(c.all, "c")
@@ -268,11 +268,11 @@
 	c.must(err)
 	ln, err := net.Listen("tcp", c.addr["c"])
 	c.must(err)
-	e, err := Open(Config{Name: "c", Dir: filepath.Join(c.dir, "c"), Join: true, Keys: pair, Listen: ln, Tick: 10 * time.Millisecond, Elect: 20,
-		Disk: disk.Options{NoSync: true}})
+	e, err := Open(Config{Name: "c", Dir: filepath.Join(c.dir, "c"), Join: true, Keys: pair, Listener: ln, TickInterval: 10 * time.Millisecond, ElectionTicks: 20,
+		DiskOptions: disk.Options{NoSync: true}})
 	c.must(err)
 	c.all["c"] = e
-	refused := func(s Status) bool { return s.Refused > 0 }
+	refused := func(s Status) bool { return s.PeersRejected > 0 }
 	both := func() bool {
 		x, err := c.all["a"].Status(c.ctx())
 		c.must(err)
@@ -298,7 +298,7 @@
 }
 
 // A replica that was added and never comes is removed, and another can be added; until then writes go on.
-func TestAReplicaThatNeverComesIsRemoved(t *testing.T) {
+func TestMemberThatNeverStartedIsRemoved(t *testing.T) {
 	c := newCluster(t, "a", "b")
 	r, err := c.all["a"].Do(c.ctx(), store.Command{AddMember: &store.AddMember{Name: "gone", Address: "127.0.0.1:1"}})
 	c.must(err)
@@ -317,7 +317,7 @@
 
 // The leader goes on sending and hears nobody: a cut of one direction. Another leads, and the old one answers no read
 // as if it still did.
-func TestALeaderThatHearsNobodyIsReplacedAndReadsNothingOld(t *testing.T) {
+func TestLeaderWithoutInboundTrafficIsReplacedAndServesNoStaleRead(t *testing.T) {
 	c := (&cluster{t: t, relays: map[string]*relay.Link{}}).begin("a", "b", "c")
 	_, err := c.all["a"].Do(c.ctx(), put("k", "old"))
 	c.must(err)
@@ -351,7 +351,7 @@
 	}
 }
 
-func TestAForeignCertificateIsNotLetIn(t *testing.T) {
+func TestForeignCertificateIsRejected(t *testing.T) {
 	c := newCluster(t, "a")
 	foreign := filepath.Join(c.dir, "foreign")
 	c.must(keys.Init(foreign, "other"))
@@ -360,19 +360,19 @@
 	c.must(err)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	c.must(err)
-	e, err := Open(Config{Name: "b", Dir: filepath.Join(c.dir, "b"), Join: true, Keys: pair, Listen: ln, Disk: disk.Options{NoSync: true}})
+	e, err := Open(Config{Name: "b", Dir: filepath.Join(c.dir, "b"), Join: true, Keys: pair, Listener: ln, DiskOptions: disk.Options{NoSync: true}})
 	c.must(err)
 	defer e.Kill()
 	_, err = c.all["a"].Do(c.ctx(), store.Command{AddMember: &store.AddMember{Name: "b", Address: ln.Addr().String()}})
 	c.must(err)
-	c.until("a", func(s Status) bool { return s.Untaken > 0 })
+	c.until("a", func(s Status) bool { return s.ConnectionsRejected > 0 })
 	if s, err := e.Status(c.ctx()); err != nil || !s.WaitingToJoin {
 		t.Fatalf("%+v %v", s, err)
 	}
 }
 
-func TestAWatchMissesNothingOrSaysSo(t *testing.T) {
-	e, err := Open(Config{Name: "a", Dir: t.TempDir(), Disk: disk.Options{NoSync: true}, Tick: 10 * time.Millisecond,
+func TestNextReturnsAllChangesOrCompacted(t *testing.T) {
+	e, err := Open(Config{Name: "a", Dir: t.TempDir(), DiskOptions: disk.Options{NoSync: true}, TickInterval: 10 * time.Millisecond,
 		Limits: store.Limits{KeyBytes: 64, ValueBytes: 64, TotalBytes: 1 << 20, TxnOps: 8, HistoryEvents: 20, HistoryBytes: 1 << 20, Leases: 8, Results: 100, Members: 3}})
 	if err != nil {
 		t.Fatal(err)
@@ -408,7 +408,7 @@
 }
 
 // What one replica counts as sent the other counts as received, by messages and bytes, and both count what they apply and write.
-func TestReplicasCountTheSame(t *testing.T) {
+func TestMetersOfReplicasAgree(t *testing.T) {
 	meters := map[string]*usage.Recorder{"a": usage.New(), "b": usage.New()}
 	c := (&cluster{t: t, first: func(cfg *Config) { cfg.Meter = meters[cfg.Name] }}).begin("a", "b")
 	c.until("b", func(s Status) bool { return s.MembershipStable && len(s.Peers) == 2 })
--- a/internal/store/engine/faulty_test.go
+++ b/internal/store/engine/faulty_test.go
@@ -31,7 +31,7 @@
 
 // A real file whose disk is full, or whose syncs fail, in the middle of drains being written: that replica stops and says why,
 // the others go on, nothing that was answered is lost, and started again on the same file it knows all that it had acted on.
-func TestAFileThatFailsUnderAReplica(t *testing.T) {
+func TestReplicaStopsWhenItsFileFails(t *testing.T) {
 	const noSize = "file size too small"
 	for _, x := range []struct {
 		name, device, reason string
@@ -45,7 +45,7 @@
 		t.Run(x.name, func(t *testing.T) {
 			c := &cluster{t: t, disk: map[string]disk.Options{}}
 			var file *os.File
-			c.disk["b"] = disk.Options{File: func(f *os.File) { file = f }}
+			c.disk["b"] = disk.Options{OnOpen: func(f *os.File) { file = f }}
 			c.begin("a", "b", "c")
 			drain := func(n int) store.Command {
 				key := serverstate.ExclusionKey(serverstate.Drain, serverstate.Process{ID: fmt.Sprint("s", n), Addr: "127.0.0.1:1", StartedMs: 1}.ServerName())
@@ -82,8 +82,8 @@
 			delete(c.disk, "b")
 			guard := serverstate.NewGuard("b")
 			c.first = func(cfg *Config) {
-				cfg.Reset = func(s *store.State) { guard.Reset(s) }
-				cfg.Uncommitted = func(c *store.Command) { guard.Uncommitted(c) }
+				cfg.OnReset = func(s *store.State) { guard.Reset(s) }
+				cfg.OnUncommitted = func(c *store.Command) { guard.Uncommitted(c) }
 			}
 			b := c.start("b", true)
 			c.first = nil
--- a/internal/store/engine/frozen_test.go
+++ b/internal/store/engine/frozen_test.go
@@ -55,13 +55,13 @@
 }
 
 func frozenForms() []frozenForm {
-	age := CopyAge{Revision: 8, Proved: true, Age: 1500, Stale: true}
+	age := CopyAge{Revision: 8, Confirmed: true, Age: 1500, Stale: true}
 	return []frozenForm{
 		{"copy age", age, new(CopyAge)},
 		{"status", Status{
 			Status: replica.Status{Self: replica.Identity{ClusterID: 9}, Name: "one", LeaderID: 1}, WaitingToJoin: true,
-			Follower: true, Follows: "two", Holds: &store.Interest{Keys: []string{"k"}}, Age: age, Disk: 1,
-			Refused: 2, Untaken: 3, Dropped: 4, Sent: 5, Received: 6,
+			Follower: true, Following: "two", Interest: &store.Interest{Keys: []string{"k"}}, CopyAge: age, DiskBytes: 1,
+			PeersRejected: 2, ConnectionsRejected: 3, MessagesDropped: 4, MessagesSent: 5, MessagesReceived: 6,
 		}, new(Status)},
 	}
 }
--- a/internal/store/follower/follow.go
+++ b/internal/store/follower/follow.go
@@ -858,11 +858,11 @@
 
 // age is how old the copy may be. The lock is held.
 func (f *Follower) age() engine.CopyAge {
-	a := engine.CopyAge{Revision: f.copy.State().Revision(), Proved: f.proved > 0}
-	if a.Proved {
+	a := engine.CopyAge{Revision: f.copy.State().Revision(), Confirmed: f.proved > 0}
+	if a.Confirmed {
 		a.Age = time.Since(f.begun) - f.proved
 	}
-	a.Stale = serverstate.Staleness{Confirmed: a.Proved, Age: int64(a.Age), Allowed: int64(staleAfter)}.Stale()
+	a.Stale = serverstate.Staleness{Confirmed: a.Confirmed, Age: int64(a.Age), Allowed: int64(staleAfter)}.Stale()
 	return a
 }
 
@@ -911,20 +911,20 @@
 func (f *Follower) Status(context.Context) (engine.Status, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s := engine.Status{Follower: true, Follows: f.follows}
+	s := engine.Status{Follower: true, Following: f.follows}
 	s.Name = f.cfg.Name
 	now := f.copy.State()
 	if now == nil {
-		s.Age.Stale = true
+		s.CopyAge.Stale = true
 		return s, nil
 	}
-	s.Age, s.Holds = f.age(), now.Interest()
+	s.CopyAge, s.Interest = f.age(), now.Interest()
 	s.Self.ClusterID, s.Revision, s.Keys, s.Bytes, s.Level = now.Cluster(), now.Revision(), now.Len(), now.Size(), now.Level()
 	for _, m := range now.Members() {
 		s.Peers = append(s.Peers, replica.Peer{Member: m})
 	}
 	if info, err := os.Stat(f.path()); err == nil {
-		s.Disk = info.Size()
+		s.DiskBytes = info.Size()
 	}
 	return s, nil
 }
--- a/internal/store/follower/follow_test.go
+++ b/internal/store/follower/follow_test.go
@@ -74,7 +74,7 @@
 		if _, err := f.Do(t.Context(), store.Command{GrantLease: &store.GrantLease{TTLMillis: 5}}); err == nil {
 			t.Error("a follower was given a lease")
 		}
-		if st, err := f.Status(t.Context()); err != nil || !st.Follower || st.Follows != "" || !st.Age.Stale {
+		if st, err := f.Status(t.Context()); err != nil || !st.Follower || st.Following != "" || !st.CopyAge.Stale {
 			t.Errorf("%+v, %v", st, err)
 		}
 		if err := f.Close(); err != nil {
--- a/internal/store/follower/meter_test.go
+++ b/internal/store/follower/meter_test.go
@@ -33,7 +33,7 @@
 func bothEndsCountTheSame(t *testing.T, needs func() changefeed.Subscription, events [2]uint64) {
 	prefixes := []usage.Prefix{{Prefix: "out/", Purpose: usage.ServerReports}, {Prefix: "known/", Purpose: usage.ModuleSnapshots}}
 	here, there := usage.New(prefixes...), usage.New(prefixes...)
-	e, err := engine.Open(engine.Config{Name: "a", Dir: t.TempDir(), Tick: 5 * time.Millisecond, Disk: disk.Options{NoSync: true}, Meter: there})
+	e, err := engine.Open(engine.Config{Name: "a", Dir: t.TempDir(), TickInterval: 5 * time.Millisecond, DiskOptions: disk.Options{NoSync: true}, Meter: there})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/store/follower/part_test.go
+++ b/internal/store/follower/part_test.go
@@ -30,7 +30,7 @@
 // replicaHere is one copy alone that serves followers.
 func replicaHere(t *testing.T) (*engine.Engine, string) {
 	t.Helper()
-	e, err := engine.Open(engine.Config{Name: "a", Dir: t.TempDir(), Tick: 10 * time.Millisecond, Disk: disk.Options{NoSync: true}})
+	e, err := engine.Open(engine.Config{Name: "a", Dir: t.TempDir(), TickInterval: 10 * time.Millisecond, DiskOptions: disk.Options{NoSync: true}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -165,7 +165,7 @@
 	if s, err := f.Save(t.Context()); err != nil || s.Len() != 11 || s.Interest() != nil {
 		t.Errorf("the whole: %v", err)
 	}
-	if st, err := f.Status(t.Context()); err != nil || st.Holds == nil || st.Keys != 5 {
+	if st, err := f.Status(t.Context()); err != nil || st.Interest == nil || st.Keys != 5 {
 		t.Errorf("%+v, %v", st, err)
 	}
 	all := 0
@@ -228,7 +228,7 @@
 		f := open(t, dir, needs, x.addr)
 		soon(t, fmt.Sprint("all, or a part: ", i), func() bool {
 			st, err := f.Status(t.Context())
-			return err == nil && st.Follows != "" && (st.Holds == nil) == x.all
+			return err == nil && st.Following != "" && (st.Interest == nil) == x.all
 		})
 		value := fmt.Sprint("v", i)
 		put(t, e, "a/1", value)
--- a/internal/store/peer/frame.go
+++ b/internal/store/peer/frame.go
@@ -10,50 +10,50 @@
 
 // A frame is its kind in a byte, the length of its payload in four, the CRC-32C of kind and payload in four, big
 // endian, and the payload.
-type kind byte
+type frameKind byte
 
 const (
-	kHello   kind = 'h' // who the sender is, CBOR
-	kVerdict kind = 'v' // whether it is heard, CBOR
-	kMessage kind = 'm' // of raft, protobuf
-	kBulk    kind = 's' // of raft, without its snapshot's data, which follows in parts; eight bytes of length before it
-	kPart    kind = 'p'
+	kindHello        frameKind = 'h' // who the sender is, CBOR
+	kindHelloReply   frameKind = 'v' // whether it is heard, CBOR
+	kindMessage      frameKind = 'm' // of raft, protobuf
+	kindSnapshot     frameKind = 's' // of raft, without its snapshot's data, which follows in parts; eight bytes of length before it
+	kindSnapshotPart frameKind = 'p'
 )
 
 const (
-	headBytes = 9
-	frameMost = 24 << 20 // a message holds a megabyte of entries, or one entry that is longer
-	helloMost = 4 << 10
-	partBytes = 256 << 10
+	frameHeaderBytes  = 9
+	maxFrameBytes     = 24 << 20 // a message holds a megabyte of entries, or one entry that is longer
+	maxHelloBytes     = 4 << 10
+	snapshotPartBytes = 256 << 10
 )
 
 // ErrInvalidFrame says that what came is not of this protocol.
 var ErrInvalidFrame = errors.New("not a frame of the store")
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-func sum(k kind, b []byte) uint32 {
-	return crc32.Update(crc32.Checksum([]byte{byte(k)}, castagnoli), castagnoli, b)
+func checksum(k frameKind, b []byte) uint32 {
+	return crc32.Update(crc32.Checksum([]byte{byte(k)}, crcTable), crcTable, b)
 }
 
 // appendFrame adds a frame to buf.
-func appendFrame(buf []byte, k kind, payload []byte) []byte {
+func appendFrame(buf []byte, k frameKind, payload []byte) []byte {
 	buf = append(buf, byte(k))
 	buf = binary.BigEndian.AppendUint32(buf, uint32(len(payload)))
-	buf = binary.BigEndian.AppendUint32(buf, sum(k, payload))
+	buf = binary.BigEndian.AppendUint32(buf, checksum(k, payload))
 	return append(buf, payload...)
 }
 
 // readFrame reads one whose payload is at most so long. The memory is taken as the bytes come, so that a length alone
 // costs nothing.
-func readFrame(r io.Reader, most int) (kind, []byte, error) {
-	var head [headBytes]byte
+func readFrame(r io.Reader, most int) (frameKind, []byte, error) {
+	var head [frameHeaderBytes]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return 0, nil, err
 	}
-	k, n := kind(head[0]), binary.BigEndian.Uint32(head[1:])
+	k, n := frameKind(head[0]), binary.BigEndian.Uint32(head[1:])
 	switch k {
-	case kHello, kVerdict, kMessage, kBulk, kPart:
+	case kindHello, kindHelloReply, kindMessage, kindSnapshot, kindSnapshotPart:
 	default:
 		return 0, nil, fmt.Errorf("%w: kind %#x", ErrInvalidFrame, head[0])
 	}
@@ -68,7 +68,7 @@
 			return 0, nil, fmt.Errorf("%w: cut off: %w", ErrInvalidFrame, err)
 		}
 	}
-	if sum(k, b) != binary.BigEndian.Uint32(head[5:]) {
+	if checksum(k, b) != binary.BigEndian.Uint32(head[5:]) {
 		return 0, nil, fmt.Errorf("%w: the checksum is another", ErrInvalidFrame)
 	}
 	return k, b, nil
--- a/internal/store/peer/frame_test.go
+++ b/internal/store/peer/frame_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-func TestFramesCutOrFlippedAreFound(t *testing.T) {
-	whole := appendFrame(nil, kMessage, []byte("what was sent"))
-	if k, b, err := readFrame(bytes.NewReader(whole), 100); err != nil || k != kMessage || string(b) != "what was sent" {
+func TestReadFrameDetectsTruncationAndBitFlips(t *testing.T) {
+	whole := appendFrame(nil, kindMessage, []byte("what was sent"))
+	if k, b, err := readFrame(bytes.NewReader(whole), 100); err != nil || k != kindMessage || string(b) != "what was sent" {
 		t.Fatal(k, b, err)
 	}
 	for n := range whole {
@@ -28,7 +28,7 @@
 }
 
 func FuzzReadFrame(f *testing.F) {
-	f.Add(appendFrame(nil, kHello, []byte("x")))
+	f.Add(appendFrame(nil, kindHello, []byte("x")))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		r := bytes.NewReader(b)
 		for {
--- a/internal/store/peer/frozen_test.go
+++ b/internal/store/peer/frozen_test.go
@@ -64,7 +64,7 @@
 }
 
 type frozenFrame struct {
-	kind    kind
+	kind    frameKind
 	payload string
 }
 
@@ -82,15 +82,15 @@
 func frozenForms() []frozenForm {
 	identity := replica.Identity{ClusterID: 0x99, MemberID: 2, DiskID: 77, Boot: 3}
 	self := replica.Hello{Identity: identity, Name: "two", LastIndex: 12}
-	hello := Hello{Protocol: Protocol, From: self, Name: "two", To: "one", Member: 1, Address: "10.0.0.2:7000"}
+	hello := Hello{Protocol: Protocol, From: self, Name: "two", RecipientName: "one", RecipientID: 1, Address: "10.0.0.2:7000"}
 	return []frozenForm{
 		{"hello", hello, new(Hello)},
 		{"reply", HelloReply{From: self, Name: "one"}, new(HelloReply)},
-		{"rejection", HelloReply{Refused: "not a member", From: self, Name: "one"}, new(HelloReply)},
-		{"hello frame", frozenFrame{kHello, "payload"}, nil},
-		{"reply frame", frozenFrame{kVerdict, "payload"}, nil},
-		{"message frame", frozenFrame{kMessage, "payload"}, nil},
-		{"snapshot frame", frozenFrame{kBulk, "payload"}, nil},
-		{"snapshot part frame", frozenFrame{kPart, ""}, nil},
+		{"rejection", HelloReply{Rejection: "not a member", From: self, Name: "one"}, new(HelloReply)},
+		{"hello frame", frozenFrame{kindHello, "payload"}, nil},
+		{"reply frame", frozenFrame{kindHelloReply, "payload"}, nil},
+		{"message frame", frozenFrame{kindMessage, "payload"}, nil},
+		{"snapshot frame", frozenFrame{kindSnapshot, "payload"}, nil},
+		{"snapshot part frame", frozenFrame{kindSnapshotPart, ""}, nil},
 	}
 }
--- a/internal/store/peer/peer.go
+++ b/internal/store/peer/peer.go
@@ -32,32 +32,32 @@
 const Protocol = 1
 
 const (
-	dialTime   = 2 * time.Second
-	helloTime  = 3 * time.Second
-	idleTime   = 30 * time.Second // heartbeats come far more often
-	writeTime  = 5 * time.Second
-	backMin    = 50 * time.Millisecond
-	backMost   = 2 * time.Second
-	queueMsgs  = 512
-	queueBytes = 32 << 20
-	connsMost  = 64 // taken at once, those that have not greeted included
+	dialTimeout       = 2 * time.Second
+	helloTimeout      = 3 * time.Second
+	idleTimeout       = 30 * time.Second // heartbeats come far more often
+	writeTimeout      = 5 * time.Second
+	minBackoff        = 50 * time.Millisecond
+	maxBackoff        = 2 * time.Second
+	maxQueuedMessages = 512
+	maxQueuedBytes    = 32 << 20
+	maxConnections    = 64 // taken at once, those that have not greeted included
 )
 
 // Hello opens a connection.
 type Hello struct {
-	Protocol int           `cbor:"1,keyasint"`
-	From     replica.Hello `cbor:"2,keyasint"`
-	Name     string        `cbor:"3,keyasint"` // of the sender
-	To       string        `cbor:"4,keyasint"` // whom it means
-	Member   uint64        `cbor:"5,keyasint"` // and that one's id
-	Address  string        `cbor:"6,keyasint"` // where the sender is reached, for one that knows no members yet
+	Protocol      int           `cbor:"1,keyasint"`
+	From          replica.Hello `cbor:"2,keyasint"`
+	Name          string        `cbor:"3,keyasint"` // of the sender
+	RecipientName string        `cbor:"4,keyasint"` // whom it means
+	RecipientID   uint64        `cbor:"5,keyasint"` // and that one's id
+	Address       string        `cbor:"6,keyasint"` // where the sender is reached, for one that knows no members yet
 }
 
 // HelloReply answers one.
 type HelloReply struct {
-	Refused string        `cbor:"1,keyasint,omitempty"`
-	From    replica.Hello `cbor:"2,keyasint"`
-	Name    string        `cbor:"3,keyasint"`
+	Rejection string        `cbor:"1,keyasint,omitempty"`
+	From      replica.Hello `cbor:"2,keyasint"`
+	Name      string        `cbor:"3,keyasint"`
 }
 
 // Host is the replica that a Net speaks for. Its methods may be called by any goroutine.
@@ -68,24 +68,24 @@
 	Admit(h Hello) error
 	// Deliver takes a message. It may wait, which slows the sender down.
 	Deliver(ctx context.Context, m *raftpb.Message)
-	Unreachable(member uint64)
-	Sent(member uint64, ok bool)
+	ReportUnreachable(member uint64)
+	ReportSnapshot(member uint64, ok bool)
 }
 
 var errIdle = errors.New("nothing to send")
 
 // Stats counts what a Net did.
 type Stats struct {
-	Refused  atomic.Int64 // greetings, by either side
-	Untaken  atomic.Int64 // connections over the bound, or without the right keys
-	Dropped  atomic.Int64 // messages that found the queue full or no connection
-	Sent     atomic.Int64
-	Received atomic.Int64
-	Faults   atomic.Int64 // connections that ended with a frame that is none
+	HellosRejected      atomic.Int64 // greetings, by either side
+	ConnectionsRejected atomic.Int64 // connections over the bound, or without the right keys
+	MessagesDropped     atomic.Int64 // messages that found the queue full or no connection
+	MessagesSent        atomic.Int64
+	MessagesReceived    atomic.Int64
+	InvalidFrames       atomic.Int64 // connections that ended with a frame that is none
 }
 
-// Net is a replica's side of the network.
-type Net struct {
+// Transport is a replica's side of the network.
+type Transport struct {
 	name    string
 	address string
 	host    Host
@@ -106,11 +106,11 @@
 
 // New serves a listener, which it closes at the end. Plain TCP, without keys, is for loopback alone. What crosses is counted by m, if
 // it is not nil.
-func New(name, address string, ln net.Listener, host Host, pair *keys.Pair, log *slog.Logger, m *usage.Recorder) (*Net, error) {
+func New(name, address string, ln net.Listener, host Host, pair *keys.Pair, log *slog.Logger, m *usage.Recorder) (*Transport, error) {
 	if a, ok := ln.Addr().(*net.TCPAddr); pair == nil && (!ok || !a.IP.IsLoopback()) {
 		return nil, fmt.Errorf("store: plain TCP on %s, which is not a loopback address", ln.Addr())
 	}
-	n := &Net{name: name, address: address, host: host, keys: pair, log: log, meter: m, ln: m.WrapListener(ln), slots: make(chan struct{}, connsMost), links: map[uint64]*link{}}
+	n := &Transport{name: name, address: address, host: host, keys: pair, log: log, meter: m, ln: m.WrapListener(ln), slots: make(chan struct{}, maxConnections), links: map[uint64]*link{}}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	n.wg.Add(1)
 	go n.accept()
@@ -118,16 +118,16 @@
 }
 
 // Close ends all connections and waits for their goroutines.
-func (n *Net) Close() {
+func (n *Transport) Close() {
 	n.cancel()
 	n.ln.Close()
 	n.wg.Wait()
 }
 
 // Addr is where it listens.
-func (n *Net) Addr() net.Addr { return n.ln.Addr() }
+func (n *Transport) Addr() net.Addr { return n.ln.Addr() }
 
-func (n *Net) accept() {
+func (n *Transport) accept() {
 	defer n.wg.Done()
 	for {
 		c, err := n.ln.Accept()
@@ -138,14 +138,14 @@
 			select { // such as too many open files
 			case <-n.ctx.Done():
 				return
-			case <-time.After(backMin):
+			case <-time.After(minBackoff):
 			}
 			continue
 		}
 		select {
 		case n.slots <- struct{}{}:
 		default:
-			n.Stats.Untaken.Add(1)
+			n.Stats.ConnectionsRejected.Add(1)
 			c.Close()
 			continue
 		}
@@ -158,42 +158,44 @@
 	}
 }
 
-// bound closes a connection when the Net ends.
-func (n *Net) bound(c net.Conn) func() bool { return context.AfterFunc(n.ctx, func() { c.Close() }) }
+// closeOnShutdown closes a connection when the Net ends.
+func (n *Transport) closeOnShutdown(c net.Conn) func() bool {
+	return context.AfterFunc(n.ctx, func() { c.Close() })
+}
 
-func (n *Net) serve(c net.Conn) {
+func (n *Transport) serve(c net.Conn) {
 	defer c.Close()
-	defer n.bound(c)()
-	c.SetDeadline(time.Now().Add(helloTime))
+	defer n.closeOnShutdown(c)()
+	c.SetDeadline(time.Now().Add(helloTimeout))
 	certified := ""
 	if n.keys != nil {
 		t := tls.Server(c, n.keys.Server())
 		if err := t.HandshakeContext(n.ctx); err != nil {
-			n.Stats.Untaken.Add(1)
+			n.Stats.ConnectionsRejected.Add(1)
 			n.log.Warn("a peer of the store was not let in", "from", c.RemoteAddr(), "error", err)
 			return
 		}
 		certified, c = keys.PeerNames(t.ConnectionState()), t
 	}
 	r := bufio.NewReaderSize(c, 64<<10)
-	k, b, err := readFrame(r, helloMost)
+	k, b, err := readFrame(r, maxHelloBytes)
 	var h Hello
-	if err == nil && k != kHello {
+	if err == nil && k != kindHello {
 		err = ErrInvalidFrame
 	}
 	if err == nil {
 		err = cbor.Unmarshal(b, &h)
 	}
 	if err != nil {
-		n.Stats.Faults.Add(1)
+		n.Stats.InvalidFrames.Add(1)
 		return
 	}
-	n.meter.Count(usage.Other, usage.In, 1, headBytes+len(b))
+	n.meter.Count(usage.Other, usage.In, 1, frameHeaderBytes+len(b))
 	switch {
 	case n.keys != nil && certified != h.Name:
 		err = fmt.Errorf("the certificate is for %q, and the greeting from %q", certified, h.Name)
-	case h.To != n.name:
-		err = fmt.Errorf("this is %q, and %q was meant", n.name, h.To)
+	case h.RecipientName != n.name:
+		err = fmt.Errorf("this is %q, and %q was meant", n.name, h.RecipientName)
 	case h.Protocol < 1:
 		err = fmt.Errorf("protocol %d", h.Protocol)
 	default:
@@ -201,44 +203,44 @@
 	}
 	v := HelloReply{From: n.host.Hello(), Name: n.name}
 	if err != nil {
-		v.Refused = err.Error()
-		n.Stats.Refused.Add(1)
+		v.Rejection = err.Error()
+		n.Stats.HellosRejected.Add(1)
 		n.log.Warn("a peer of the store was refused", "peer", h.Name, "reason", err)
 	}
 	if b, err = cbor.Marshal(&v); err != nil {
 		return
 	}
-	n.meter.Count(usage.Other, usage.Out, 1, headBytes+len(b))
-	if _, err := c.Write(appendFrame(nil, kVerdict, b)); err != nil || v.Refused != "" {
+	n.meter.Count(usage.Other, usage.Out, 1, frameHeaderBytes+len(b))
+	if _, err := c.Write(appendFrame(nil, kindHelloReply, b)); err != nil || v.Rejection != "" {
 		return
 	}
 	if err := n.receive(c, r, h.From.MemberID); err != nil && n.ctx.Err() == nil {
 		if errors.Is(err, ErrInvalidFrame) {
-			n.Stats.Faults.Add(1)
+			n.Stats.InvalidFrames.Add(1)
 		}
 		n.log.Debug("a peer of the store is gone", "peer", h.Name, "error", err)
 	}
 }
 
 // receive takes messages until the connection ends.
-func (n *Net) receive(c net.Conn, r *bufio.Reader, from uint64) error {
+func (n *Transport) receive(c net.Conn, r *bufio.Reader, from uint64) error {
 	for {
-		c.SetDeadline(time.Now().Add(idleTime))
-		k, b, err := readFrame(r, frameMost)
+		c.SetDeadline(time.Now().Add(idleTimeout))
+		k, b, err := readFrame(r, maxFrameBytes)
 		if err != nil {
 			return err
 		}
 		var data []byte
 		of := usage.Raft
-		if k == kBulk {
+		if k == kindSnapshot {
 			of = usage.Snapshots
 		}
-		n.meter.Count(of, usage.In, 1, headBytes+len(b))
-		if k == kBulk {
-			if data, b, err = n.bulk(c, r, b); err != nil {
+		n.meter.Count(of, usage.In, 1, frameHeaderBytes+len(b))
+		if k == kindSnapshot {
+			if data, b, err = n.receiveSnapshot(c, r, b); err != nil {
 				return err
 			}
-		} else if k != kMessage {
+		} else if k != kindMessage {
 			return ErrInvalidFrame
 		}
 		m := &raftpb.Message{}
@@ -254,27 +256,27 @@
 			}
 			m.Snapshot.Data = data
 		}
-		n.Stats.Received.Add(1)
+		n.Stats.MessagesReceived.Add(1)
 		n.host.Deliver(n.ctx, m)
 	}
 }
 
-// bulk reads a snapshot's parts.
-func (n *Net) bulk(c net.Conn, r *bufio.Reader, b []byte) (data, message []byte, err error) {
+// receiveSnapshot reads a snapshot's parts.
+func (n *Transport) receiveSnapshot(c net.Conn, r *bufio.Reader, b []byte) (data, message []byte, err error) {
 	if len(b) < 8 {
 		return nil, nil, ErrInvalidFrame
 	}
 	size := binary.BigEndian.Uint64(b)
 	for uint64(len(data)) < size {
-		c.SetDeadline(time.Now().Add(idleTime))
-		k, p, err := readFrame(r, partBytes)
+		c.SetDeadline(time.Now().Add(idleTimeout))
+		k, p, err := readFrame(r, snapshotPartBytes)
 		if err != nil {
 			return nil, nil, err
 		}
-		if k != kPart || len(p) == 0 || uint64(len(data)+len(p)) > size {
+		if k != kindSnapshotPart || len(p) == 0 || uint64(len(data)+len(p)) > size {
 			return nil, nil, ErrInvalidFrame
 		}
-		n.meter.Count(usage.Snapshots, usage.In, 0, headBytes+len(p))
+		n.meter.Count(usage.Snapshots, usage.In, 0, frameHeaderBytes+len(p))
 		data = append(data, p...)
 	}
 	return data, b[8:], nil
@@ -282,19 +284,19 @@
 
 // link is how messages go to one member.
 type link struct {
-	n             *Net
-	member        uint64
+	transport     *Transport
+	memberID      uint64
 	name, address string
 	cancel        context.CancelFunc
 	ctx           context.Context
 
-	queue chan *raftpb.Message
-	bulk  chan *raftpb.Message
-	bytes atomic.Int64
+	queue       chan *raftpb.Message
+	snapshots   chan *raftpb.Message
+	queuedBytes atomic.Int64
 }
 
-// Peers sets whom messages can go to, by member. A member that is not there any more, or elsewhere, is let go.
-func (n *Net) Peers(all map[uint64][2]string) {
+// SetPeers sets whom messages can go to, by member. A member that is not there any more, or elsewhere, is let go.
+func (n *Transport) SetPeers(all map[uint64][2]string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for id, l := range n.links {
@@ -307,17 +309,17 @@
 		if n.links[id] != nil || n.ctx.Err() != nil {
 			continue
 		}
-		l := &link{n: n, member: id, name: p[0], address: p[1], queue: make(chan *raftpb.Message, queueMsgs), bulk: make(chan *raftpb.Message, 1)}
+		l := &link{transport: n, memberID: id, name: p[0], address: p[1], queue: make(chan *raftpb.Message, maxQueuedMessages), snapshots: make(chan *raftpb.Message, 1)}
 		l.ctx, l.cancel = context.WithCancel(n.ctx)
 		n.links[id] = l
 		n.wg.Add(2)
 		go l.run(l.queue)
-		go l.run(l.bulk)
+		go l.run(l.snapshots)
 	}
 }
 
 // Send hands messages over; it never waits.
-func (n *Net) Send(all []*raftpb.Message) {
+func (n *Transport) Send(all []*raftpb.Message) {
 	for _, m := range all {
 		n.mu.Lock()
 		l := n.links[m.GetTo()]
@@ -329,35 +331,35 @@
 		}
 		q := l.queue
 		if snap {
-			q = l.bulk
+			q = l.snapshots
 		}
 		size := int64(proto.Size(m))
-		if l.bytes.Load()+size > queueBytes && !snap {
+		if l.queuedBytes.Load()+size > maxQueuedBytes && !snap {
 			n.drop(m)
 			continue
 		}
 		select {
 		case q <- m:
-			l.bytes.Add(size)
+			l.queuedBytes.Add(size)
 		default:
 			n.drop(m)
 		}
 	}
 }
 
-func (n *Net) drop(m *raftpb.Message) {
-	n.Stats.Dropped.Add(1)
+func (n *Transport) drop(m *raftpb.Message) {
+	n.Stats.MessagesDropped.Add(1)
 	if m.GetType() == raftpb.MsgSnap {
-		n.host.Sent(m.GetTo(), false)
+		n.host.ReportSnapshot(m.GetTo(), false)
 	} else {
-		n.host.Unreachable(m.GetTo())
+		n.host.ReportUnreachable(m.GetTo())
 	}
 }
 
 // run sends what a queue holds, on one connection after another.
 func (l *link) run(queue chan *raftpb.Message) {
-	defer l.n.wg.Done()
-	back := backMin
+	defer l.transport.wg.Done()
+	back := minBackoff
 	for {
 		var m *raftpb.Message
 		select {
@@ -367,26 +369,26 @@
 		}
 		c, err := l.dial()
 		if err == nil {
-			back = backMin
+			back = minBackoff
 			err = l.send(c, m, queue)
 			c.Close()
 			if errors.Is(err, errIdle) {
 				continue
 			}
 		} else {
-			l.took(m)
-			l.n.drop(m)
+			l.dequeued(m)
+			l.transport.drop(m)
 		}
 		if l.ctx.Err() != nil {
 			return
 		}
-		l.n.log.Debug("no way to a peer of the store", "peer", l.name, "error", err)
+		l.transport.log.Debug("no way to a peer of the store", "peer", l.name, "error", err)
 		// What waited is old by now; raft sends anew.
 		for more := true; more; {
 			select {
 			case m = <-queue:
-				l.took(m)
-				l.n.drop(m)
+				l.dequeued(m)
+				l.transport.drop(m)
 			default:
 				more = false
 			}
@@ -396,71 +398,71 @@
 			return
 		case <-time.After(back/2 + rand.N(back)):
 		}
-		back = min(2*back, backMost)
+		back = min(2*back, maxBackoff)
 	}
 }
 
-func (l *link) took(m *raftpb.Message) { l.bytes.Add(-int64(proto.Size(m))) }
+func (l *link) dequeued(m *raftpb.Message) { l.queuedBytes.Add(-int64(proto.Size(m))) }
 
 func (l *link) dial() (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(l.ctx, dialTime)
+	ctx, cancel := context.WithTimeout(l.ctx, dialTimeout)
 	defer cancel()
 	c, err := (&net.Dialer{}).DialContext(ctx, "tcp", l.address)
 	if err != nil {
 		return nil, err
 	}
-	c = l.n.meter.WrapConn(c)
-	if l.n.keys != nil {
-		conf, err := l.n.keys.Client(l.name)
+	c = l.transport.meter.WrapConn(c)
+	if l.transport.keys != nil {
+		conf, err := l.transport.keys.Client(l.name)
 		if err != nil {
 			c.Close()
 			return nil, err
 		}
 		t := tls.Client(c, conf)
 		if err := t.HandshakeContext(ctx); err != nil {
-			l.n.Stats.Untaken.Add(1)
+			l.transport.Stats.ConnectionsRejected.Add(1)
 			c.Close()
 			return nil, err
 		}
 		c = t
 	}
-	if err := l.greet(c); err != nil {
+	if err := l.exchangeHellos(c); err != nil {
 		c.Close()
 		return nil, err
 	}
 	return c, nil
 }
 
-func (l *link) greet(c net.Conn) error {
-	c.SetDeadline(time.Now().Add(helloTime))
-	b, err := cbor.Marshal(&Hello{Protocol: Protocol, From: l.n.host.Hello(), Name: l.n.name, To: l.name, Member: l.member,
-		Address: l.n.address})
+func (l *link) exchangeHellos(c net.Conn) error {
+	c.SetDeadline(time.Now().Add(helloTimeout))
+	b, err := cbor.Marshal(&Hello{Protocol: Protocol, From: l.transport.host.Hello(), Name: l.transport.name, RecipientName: l.name, RecipientID: l.memberID,
+		Address: l.transport.address})
 	if err != nil {
 		return err
 	}
-	l.n.meter.Count(usage.Other, usage.Out, 1, headBytes+len(b))
-	if _, err := c.Write(appendFrame(nil, kHello, b)); err != nil {
+	l.transport.meter.Count(usage.Other, usage.Out, 1, frameHeaderBytes+len(b))
+	if _, err := c.Write(appendFrame(nil, kindHello, b)); err != nil {
 		return err
 	}
-	k, b, err := readFrame(c, helloMost)
+	k, b, err := readFrame(c, maxHelloBytes)
 	if err != nil {
 		return err
 	}
-	l.n.meter.Count(usage.Other, usage.In, 1, headBytes+len(b))
+	l.transport.meter.Count(usage.Other, usage.In, 1, frameHeaderBytes+len(b))
 	var v HelloReply
-	if k != kVerdict {
+	if k != kindHelloReply {
 		return ErrInvalidFrame
 	}
 	if err := cbor.Unmarshal(b, &v); err != nil {
 		return err
 	}
-	if v.Refused != "" {
-		l.n.Stats.Refused.Add(1)
-		return fmt.Errorf("refused: %s", v.Refused)
+	if v.Rejection != "" {
+		l.transport.Stats.HellosRejected.Add(1)
+		return fmt.Errorf("refused: %s", v.Rejection)
 	}
-	if err := l.n.host.Admit(Hello{Protocol: Protocol, From: v.From, Name: v.Name}); err != nil {
-		l.n.Stats.Refused.Add(1)
-		l.n.log.Warn("a peer of the store was refused", "peer", v.Name, "reason", err)
+	if err := l.transport.host.Admit(Hello{Protocol: Protocol, From: v.From, Name: v.Name}); err != nil {
+		l.transport.Stats.HellosRejected.Add(1)
+		l.transport.log.Warn("a peer of the store was refused", "peer", v.Name, "reason", err)
 		return err
 	}
 	c.SetDeadline(time.Time{})
@@ -469,25 +471,25 @@
 
 // send writes messages until it fails or, on the connection for snapshots, one is sent.
 func (l *link) send(c net.Conn, m *raftpb.Message, queue chan *raftpb.Message) error {
-	defer l.n.bound(c)()
+	defer l.transport.closeOnShutdown(c)()
 	defer context.AfterFunc(l.ctx, func() { c.Close() })()
 	w := bufio.NewWriterSize(c, 64<<10)
 	var buf []byte
 	for {
-		c.SetWriteDeadline(time.Now().Add(writeTime))
-		l.took(m)
+		c.SetWriteDeadline(time.Now().Add(writeTimeout))
+		l.dequeued(m)
 		var err error
 		if m.GetType() == raftpb.MsgSnap {
-			err = l.sendBulk(c, w, m)
-			l.n.host.Sent(l.member, err == nil)
+			err = l.sendSnapshot(c, w, m)
+			l.transport.host.ReportSnapshot(l.memberID, err == nil)
 			if err != nil {
 				return err
 			}
 		} else {
 			var b []byte
 			if b, err = proto.Marshal(m); err == nil {
-				buf = appendFrame(buf[:0], kMessage, b)
-				l.n.meter.Count(usage.Raft, usage.Out, 1, len(buf))
+				buf = appendFrame(buf[:0], kindMessage, b)
+				l.transport.meter.Count(usage.Raft, usage.Out, 1, len(buf))
 				_, err = w.Write(buf)
 			}
 		}
@@ -495,21 +497,21 @@
 			err = w.Flush()
 		}
 		if err != nil {
-			l.n.host.Unreachable(l.member)
+			l.transport.host.ReportUnreachable(l.memberID)
 			return err
 		}
-		l.n.Stats.Sent.Add(1)
+		l.transport.Stats.MessagesSent.Add(1)
 		select {
 		case <-l.ctx.Done():
 			return l.ctx.Err()
-		case <-time.After(idleTime / 2):
+		case <-time.After(idleTimeout / 2):
 			return errIdle // the other side would give up soon
 		case m = <-queue:
 		}
 	}
 }
 
-func (l *link) sendBulk(c net.Conn, w *bufio.Writer, m *raftpb.Message) error {
+func (l *link) sendSnapshot(c net.Conn, w *bufio.Writer, m *raftpb.Message) error {
 	data := m.Snapshot.Data
 	bare := proto.Clone(&raftpb.Message{Type: m.Type, To: m.To, From: m.From, Term: m.Term, LogTerm: m.LogTerm, Index: m.Index,
 		Commit: m.Commit, Snapshot: &raftpb.Snapshot{Metadata: m.Snapshot.Metadata}}).(*raftpb.Message)
@@ -517,15 +519,15 @@
 	if err != nil {
 		return err
 	}
-	buf := appendFrame(nil, kBulk, append(binary.BigEndian.AppendUint64(nil, uint64(len(data))), b...))
-	l.n.meter.Count(usage.Snapshots, usage.Out, 1, len(buf))
+	buf := appendFrame(nil, kindSnapshot, append(binary.BigEndian.AppendUint64(nil, uint64(len(data))), b...))
+	l.transport.meter.Count(usage.Snapshots, usage.Out, 1, len(buf))
 	if _, err := w.Write(buf); err != nil {
 		return err
 	}
-	for at := 0; at < len(data); at += partBytes {
-		c.SetWriteDeadline(time.Now().Add(writeTime))
-		buf = appendFrame(buf[:0], kPart, data[at:min(len(data), at+partBytes)])
-		l.n.meter.Count(usage.Snapshots, usage.Out, 0, len(buf))
+	for at := 0; at < len(data); at += snapshotPartBytes {
+		c.SetWriteDeadline(time.Now().Add(writeTimeout))
+		buf = appendFrame(buf[:0], kindSnapshotPart, data[at:min(len(data), at+snapshotPartBytes)])
+		l.transport.meter.Count(usage.Snapshots, usage.Out, 0, len(buf))
 		if _, err := w.Write(buf); err != nil {
 			return err
 		}
