--- a/internal/platform/bootclock/bootclock.go
+++ b/internal/platform/bootclock/bootclock.go
@@ -1,5 +1,6 @@
-// Package bootclock is the host's clock since its start, by which entitlements are counted: it goes on while the host sleeps, does not step,
-// and is the same for all processes of a host. Clocks of two hosts are never compared.
+// Package bootclock reads the host's clock since its boot, by which leases are counted. It goes on while the host
+// is suspended, does not step, and is the same for all processes of a host. Clocks of two hosts must never be
+// compared. The package imports nothing of this module.
 package bootclock
 
 import (
@@ -8,16 +9,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock is CLOCK_BOOTTIME, or, for the bench between processes, one that runs at another pace. The zero value is the host's.
+// Clock is CLOCK_BOOTTIME, or for tests among processes a clock at another rate. The zero value is the host's.
 type Clock struct {
-	Rate float64 // of it, by the host's; 0: 1
+	Rate float64 // relative to the host's clock; 0: 1
 }
 
-// Now is in nanoseconds.
+// Now returns the nanoseconds since the host's boot.
 func (c Clock) Now() int64 {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic(err) // Linux has it since 2.6.39
+		panic(err) // Linux has the clock since 2.6.39
 	}
 	if c.Rate == 0 {
 		return t.Nano()
@@ -25,10 +26,10 @@
 	return int64(float64(t.Nano()) * c.Rate)
 }
 
-// TimerDuration is for how long a timer of the process is to run for so much of this clock.
-func (c Clock) TimerDuration(of int64) time.Duration {
+// TimerDuration returns for how long a timer of the process must run until this clock has advanced by some nanoseconds.
+func (c Clock) TimerDuration(nanos int64) time.Duration {
 	if c.Rate == 0 {
-		return time.Duration(of)
+		return time.Duration(nanos)
 	}
-	return time.Duration(float64(of) / c.Rate)
+	return time.Duration(float64(nanos) / c.Rate)
 }
--- a/internal/platform/keys/keys_test.go
+++ b/internal/platform/keys/keys_test.go
@@ -1,7 +1,9 @@
 package keys
 
 import (
+	"bytes"
 	"crypto/tls"
+	"encoding/json"
 	"errors"
 	"net"
 	"os"
@@ -10,35 +12,32 @@
 	"time"
 )
 
-// meet has two sides greet over TLS, and says what either found wrong.
-func meet(t *testing.T, server, client *Pair, name string) error {
+// handshake returns the errors of both sides of a TLS handshake.
+func handshake(t *testing.T, server, client *Pair, name string) error {
 	t.Helper()
 	a, b := net.Pipe()
-	defer a.Close()
-	defer b.Close()
-	failed := make(chan error, 1)
+	t.Cleanup(func() { ok(t, a.Close(), b.Close()) }) // has no effect if they are closed below
+	serverErr := make(chan error, 1)
 	go func() {
 		s := tls.Server(a, server.Server())
 		err := s.Handshake()
 		if err == nil {
 			_, err = s.Write([]byte{1})
 		}
-		failed <- err
-		a.Close()
+		serverErr <- errors.Join(err, a.Close())
 	}()
-	conf, err := client.Client(name)
+	config, err := client.Client(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := tls.Client(b, conf)
+	c := tls.Client(b, config)
 	if err = c.Handshake(); err == nil {
 		_, err = c.Read(make([]byte, 1))
 	}
-	b.Close()
-	return errors.Join(err, <-failed)
+	return errors.Join(err, b.Close(), <-serverErr)
 }
 
-func pair(t *testing.T, dir, name string) *Pair {
+func openPair(t *testing.T, dir, name string) *Pair {
 	t.Helper()
 	p, err := Open(dir, name)
 	if err != nil {
@@ -54,19 +53,19 @@
 	}
 }
 
-func TestWhoIsLetIn(t *testing.T) {
+func TestHandshakeRequiresNameAuthorityAndValidity(t *testing.T) {
 	dir, other := t.TempDir(), t.TempDir()
-	ok(t, Init(dir, "one"), Issue(dir, "a", time.Hour, false), Issue(dir, "b", time.Hour, false), Issue(dir, "late", -time.Minute, false),
-		Init(other, "two"), Issue(other, "b", time.Hour, false))
-	a, b := pair(t, dir, "a"), pair(t, dir, "b")
-	ok(t, meet(t, a, b, "a"))
+	ok(t, Init(dir, "one"), Issue(dir, "a", time.Hour, false), Issue(dir, "b", time.Hour, false),
+		Issue(dir, "late", -time.Minute, false), Init(other, "two"), Issue(other, "b", time.Hour, false))
+	a, b := openPair(t, dir, "a"), openPair(t, dir, "b")
+	ok(t, handshake(t, a, b, "a"))
 	for what, err := range map[string]error{
-		"wrong name":        meet(t, a, b, "c"),
-		"foreign authority": meet(t, a, pair(t, other, "b"), "a"),
-		"expired":           meet(t, a, pair(t, dir, "late"), "a"),
+		"wrong name":        handshake(t, a, b, "c"),
+		"foreign authority": handshake(t, a, openPair(t, other, "b"), "a"),
+		"expired":           handshake(t, a, openPair(t, dir, "late"), "a"),
 	} {
 		if err == nil {
-			t.Errorf("%s was let in", what)
+			t.Errorf("%s: the handshake succeeded", what)
 		}
 	}
 	if err := Init(dir, "one"); !errors.Is(err, ErrExists) {
@@ -77,31 +76,52 @@
 	}
 }
 
-// Keys are replaced while both sides hold the Pair that they opened at first.
-func TestRotationWithoutARestart(t *testing.T) {
+// Keys are replaced while both sides keep the Pair that they opened at first.
+func TestKeysAreReplacedWithoutRestart(t *testing.T) {
 	dir := t.TempDir()
 	ok(t, Init(dir, "one"), Issue(dir, "a", time.Hour, false), Issue(dir, "b", time.Hour, false))
-	a, b := pair(t, dir, "a"), pair(t, dir, "b")
-	ok(t, meet(t, a, b, "a"), Rotate(dir, "one"), meet(t, a, b, "a"))
-	ok(t, Issue(dir, "a", time.Hour, true), meet(t, a, b, "a")) // one of the new authority, one of the old
+	a, b := openPair(t, dir, "a"), openPair(t, dir, "b")
+	ok(t, handshake(t, a, b, "a"), Rotate(dir, "one"), handshake(t, a, b, "a"))
+	ok(t, Issue(dir, "a", time.Hour, true), handshake(t, a, b, "a")) // one certificate of the new authority, one of the old
 	ok(t, Retire(dir))
-	if err := meet(t, a, b, "a"); err == nil {
-		t.Fatal("the old authority is trusted still")
+	if err := handshake(t, a, b, "a"); err == nil {
+		t.Fatal("the retired authority is still trusted")
 	}
-	ok(t, Issue(dir, "b", time.Hour, true), meet(t, a, b, "a"))
+	ok(t, Issue(dir, "b", time.Hour, true), handshake(t, a, b, "a"))
 	all, err := List(dir)
 	if err != nil || len(all) != 3 || !all[0].Trusted || !all[2].Trusted {
 		t.Fatalf("%+v %v", all, err)
 	}
 }
 
-func TestKeysThatOthersMayReadAreRefused(t *testing.T) {
+func TestOpenRejectsFilesThatOthersMayRead(t *testing.T) {
 	dir := t.TempDir()
 	ok(t, Init(dir, "one"), Issue(dir, "a", time.Hour, false), os.Chmod(filepath.Join(dir, "a.key"), 0o644))
 	if _, err := Open(dir, "a"); err == nil {
-		t.Fatal("let in")
+		t.Fatal("opened")
 	}
 	if _, err := Open(dir, "../a"); err == nil {
-		t.Fatal("not a name")
+		t.Fatal("opened by an invalid name")
+	}
+}
+
+// TestCertificateFormatUnchanged decodes the JSON that revision 7105f7a wrote and encodes the same bytes again.
+func TestCertificateFormatUnchanged(t *testing.T) {
+	fixture, err := os.ReadFile("testdata/certificate.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got Certificate
+	decoder := json.NewDecoder(bytes.NewReader(fixture))
+	decoder.DisallowUnknownFields()
+	ok(t, decoder.Decode(&got))
+	notBefore := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
+	want := Certificate{
+		File: "f.pem", Name: "n", CA: true, Serial: "1f",
+		NotBefore: notBefore, NotAfter: notBefore.Add(time.Hour), Trusted: true, Reason: "r",
+	}
+	encoded, err := json.Marshal(got)
+	if err != nil || got != want || !bytes.Equal(encoded, bytes.TrimSpace(fixture)) {
+		t.Errorf("decoded %+v, encoded %s, error %v", got, encoded, err)
 	}
 }
--- a/internal/platform/stricttoml/stricttoml.go
+++ b/internal/platform/stricttoml/stricttoml.go
@@ -1,4 +1,5 @@
-// Package stricttoml reads TOML files of people: unknown keys are errors, and errors name file, line and key.
+// Package stricttoml reads TOML files that people write: unknown keys are errors, and errors name file, line and
+// key. It imports nothing of this module.
 package stricttoml
 
 import (
@@ -10,46 +11,66 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Error is a fault of a file.
+// Error is an error of a file's content.
 type Error struct {
-	Path   string
-	Line   int    // from 1; 0 if the key is not written
-	Key    string // such as servers[1].speed
-	Reason string
-
-	UnknownKey bool // a key that is not known; all others were read
+	Path       string
+	Line       int    // from 1; 0: the key is not in the file
+	Key        string // such as servers[1].speed; empty: the file as a whole
+	Reason     string
+	UnknownKey bool // all known keys were read
 }
 
-// Error tells the place, the key and the reason.
+// Error returns the path, the line, the key and the reason.
 func (e *Error) Error() string {
-	s := e.Path
+	var b strings.Builder
+	b.WriteString(e.Path)
 	if e.Line > 0 {
-		s += fmt.Sprintf(":%d", e.Line)
+		fmt.Fprintf(&b, ":%d", e.Line)
 	}
-	if s += ": "; e.Key != "" {
-		s += e.Key + ": "
+	b.WriteString(": ")
+	if e.Key != "" {
+		b.WriteString(e.Key + ": ")
 	}
-	return s + e.Reason
+	b.WriteString(e.Reason)
+	return b.String()
 }
 
-// Decode reads text into v; path and what, such as "scenarios", are for errors. All of them are joined, each an
-// *Error.
-func Decode(path, what string, text []byte, v any) error {
+// Decode decodes text into v. The path and the kind of files, such as "scenarios", are for errors alone. All errors are
+// joined, each an *Error.
+func Decode(path, kind string, text []byte, v any) error {
 	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(v)
 	if err == nil {
 		return nil
 	}
-	if unknown := (*toml.StrictMissingError)(nil); errors.As(err, &unknown) {
-		var all []error
-		for _, e := range unknown.Errors {
-			line, _ := e.Position()
-			all = append(all, &Error{path, line, strings.Join(e.Key(), "."), "is not a key of " + what, true})
-		}
-		return errors.Join(all...)
+	var unknownKeys *toml.StrictMissingError
+	if errors.As(err, &unknownKeys) {
+		return joinUnknownKeys(path, kind, unknownKeys)
 	}
-	if wrong := (*toml.DecodeError)(nil); errors.As(err, &wrong) {
-		line, _ := wrong.Position()
-		return &Error{path, line, strings.Join(wrong.Key(), "."), strings.TrimPrefix(wrong.Error(), "toml: "), false}
+	var decodeErr *toml.DecodeError
+	if errors.As(err, &decodeErr) {
+		line, _ := decodeErr.Position()
+		return &Error{
+			Path:   path,
+			Line:   line,
+			Key:    strings.Join(decodeErr.Key(), "."),
+			Reason: strings.TrimPrefix(decodeErr.Error(), "toml: "),
+		}
 	}
 	return &Error{Path: path, Reason: err.Error()}
 }
+
+func joinUnknownKeys(path, kind string, unknownKeys *toml.StrictMissingError) error {
+	var errs []error
+	for i := range unknownKeys.Errors {
+		decodeErr := &unknownKeys.Errors[i]
+		line, _ := decodeErr.Position()
+		errs = append(errs, &Error{
+			Path:       path,
+			Line:       line,
+			Key:        strings.Join(decodeErr.Key(), "."),
+			Reason:     "is not a key of " + kind,
+			UnknownKey: true,
+		})
+	}
+	return errors.Join(errs...)
+}
