--- a/cmd/birchmoor/sidecar_test.go
+++ b/cmd/birchmoor/sidecar_test.go
@@ -112,7 +112,7 @@
 	}
 	_, log, kill = program(t, op, strings.TrimPrefix(server.URL, "http://"))
 	kill()
-	if !strings.Contains(log.String(), "recalled what an earlier process knew") || !strings.Contains(log.String(), "endpoints=1 of=1") {
+	if !strings.Contains(log.String(), "restored the state of an earlier process") || !strings.Contains(log.String(), "endpoints=1 of=1") {
 		t.Errorf("the log:\n%s", log)
 	}
 }
--- a/internal/dataplane/core/connecterrors.go
+++ b/internal/dataplane/core/connecterrors.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"log/slog"
+	"slices"
 	"sync"
 	"syscall"
 	"time"
@@ -11,37 +12,44 @@
 	"birchmoor/balancer"
 )
 
-// Why a transport has no connection for an attempt, besides what the system says.
+// Reasons for which a transport has no connection for an attempt, besides the system's.
 var (
 	ErrConnectionsExhausted = errors.New("all connections are in use")
-	ErrEndpointRemoved      = errors.New("the endpoint is gone")
+	ErrEndpointRemoved      = errors.New("the endpoint was removed")
 )
 
-// ConnectErrors says what it means that there is no connection for an attempt, which never ran. The zero value is ready; it may be
-// used by many goroutines at once.
+// exhaustionErrors are errors of this host and not of an endpoint.
+var exhaustionErrors = []error{ErrConnectionsExhausted, syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL}
+
+const exhaustionLogInterval = time.Second
+
+// ConnectErrors classifies the errors of attempts that found no connection. The zero value is ready; it is safe for
+// concurrent use.
 type ConnectErrors struct {
 	mu         sync.Mutex
-	lastLogged time.Time // when a shortage was last logged
+	lastLogged time.Time // of an exhaustion
 }
 
-// Status is the attempt's. What is our own doing, a shortage or an end that we asked for, says nothing of the endpoint:
-// blamed for it, a sound one would be ejected.
-func (u *ConnectErrors) Status(ctx context.Context, err error, log *slog.Logger) balancer.Status {
-	shortage := errors.Is(err, ErrConnectionsExhausted) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) ||
-		errors.Is(err, syscall.EADDRNOTAVAIL)
-	if shortage {
-		u.mu.Lock()
-		due := time.Since(u.lastLogged) > time.Second
-		if due {
-			u.lastLogged = time.Now()
-		}
-		u.mu.Unlock()
-		if due {
-			log.Warn("no connection for an attempt", "error", err)
-		}
+// Status returns the status of an attempt that found no connection. The attempt never ran. What is not the endpoint's fault,
+// an exhaustion here or a cancellation, is NotSent, so that no healthy endpoint is ejected for it.
+func (c *ConnectErrors) Status(ctx context.Context, err error, log *slog.Logger) balancer.Status {
+	exhausted := slices.ContainsFunc(exhaustionErrors, func(e error) bool { return errors.Is(err, e) })
+	if exhausted && c.logDue() {
+		log.Warn("no connection for an attempt", "error", err)
 	}
-	if shortage || errors.Is(err, ErrEndpointRemoved) || errors.Is(ctx.Err(), context.Canceled) {
+	if exhausted || errors.Is(err, ErrEndpointRemoved) || errors.Is(ctx.Err(), context.Canceled) {
 		return balancer.NotSent
 	}
 	return balancer.ConnectFailed
 }
+
+// logDue reports whether exhaustionLogInterval has passed since the last time that it did.
+func (c *ConnectErrors) logDue() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if time.Since(c.lastLogged) <= exhaustionLogInterval {
+		return false
+	}
+	c.lastLogged = time.Now()
+	return true
+}
--- a/internal/dataplane/core/drains.go
+++ b/internal/dataplane/core/drains.go
@@ -8,73 +8,90 @@
 	"birchmoor/internal/dataplane/discovery"
 )
 
-// ShareDrains begins, before Run, the exchange with other daemons of what drains: hear is told what this sidecar's discovery
-// says, at once and without waiting for it, and known drains from the beginning.
-func (l *EventLoop) ShareDrains(known []discovery.Process, hear func(p discovery.Process, drains bool)) {
-	l.reportDrain, l.peerDrains, l.peerLatestStart = hear, map[discovery.Process]bool{}, map[serverAddr]int64{}
+const lifecycleDraining = "draining" // of an entry of discovery's list
+
+// drainExchange is what daemons report to each other of draining processes.
+type drainExchange struct {
+	report      func(p discovery.Process, drains bool) // nil where there is no exchange
+	draining    map[discovery.Process]bool             // by other daemons
+	latestStart map[serverAddr]int64                   // of those, in milliseconds
+}
+
+// ShareDrains starts the exchange of drains with other daemons. report is called with what this sidecar's discovery says and
+// must not block; known are the processes that drain already. It is called before Run.
+func (l *EventLoop) ShareDrains(known []discovery.Process, report func(p discovery.Process, drains bool)) {
+	l.drains = drainExchange{
+		report:      report,
+		draining:    map[discovery.Process]bool{},
+		latestStart: map[serverAddr]int64{},
+	}
 	for _, p := range known {
-		l.notePeerDrain(p, true)
+		l.drains.apply(p, true)
 	}
 }
 
-// ApplyDrain makes another's word on a process bind, and returns once it does. That one drains no more by others' word
-// changes nothing where this sidecar's own discovery says that it does.
+// ApplyDrain applies another daemon's report on a process, and returns once it is in effect. A report that the process drains
+// no more has no effect while this sidecar's own discovery says that it does.
 func (l *EventLoop) ApplyDrain(ctx context.Context, p discovery.Process, drains bool) error {
 	return l.do(ctx, func(now balancer.Micros) {
-		l.notePeerDrain(p, drains)
-		if e := l.byName[p.ID]; e != nil && e.addr == p.Addr {
-			l.applyList(now, balancer.ListDelta, discovery.List{Instances: []discovery.Instance{e.entry}})
-		}
+		l.drains.apply(p, drains)
+		l.reapplyEntry(now, p)
 	})
 }
 
-// notePeerDrain notes others' word on a process.
-func (l *EventLoop) notePeerDrain(p discovery.Process, drains bool) {
+// reapplyEntry applies the latest entry of a process's server again, after other daemons reported something of it.
+func (l *EventLoop) reapplyEntry(now balancer.Micros, p discovery.Process) {
+	if e := l.byName[p.ID]; e != nil && e.addr == p.Addr {
+		l.applyList(now, balancer.ListDelta, discovery.List{Instances: []discovery.Instance{e.entry}})
+	}
+}
+
+func (d *drainExchange) apply(p discovery.Process, drains bool) {
 	at := serverAddr{p.ID, p.Addr}
 	if drains {
-		l.peerDrains[p] = true
-		l.peerLatestStart[at] = max(l.peerLatestStart[at], p.StartedMs)
+		d.draining[p] = true
+		d.latestStart[at] = max(d.latestStart[at], p.StartedMs)
 		return
 	}
-	delete(l.peerDrains, p)
-	delete(l.peerLatestStart, at)
-	for o := range l.peerDrains {
-		if (serverAddr{o.ID, o.Addr}) == at {
-			l.peerLatestStart[at] = max(l.peerLatestStart[at], o.StartedMs)
+	delete(d.draining, p)
+	delete(d.latestStart, at)
+	for other := range d.draining {
+		if (serverAddr{other.ID, other.Addr}) == at {
+			d.latestStart[at] = max(d.latestStart[at], other.StartedMs)
 		}
 	}
 }
 
-// process is who an entry is about.
-func (e *endpoint) process() discovery.Process {
-	return discovery.Process{ID: e.entry.ID, Addr: e.addr, StartedMs: e.entry.StartedMs}
-}
-
-// drainState tells others what the latest entry says, and returns the state that binds here. An entry that drains may lack what
-// does not matter to a drain; it is of the process that was told before.
+// drainState reports to other daemons what the latest entry says of a drain, and returns the state that applies here. The
+// entry of a drain may lack everything else; it is then about the process of the entry before.
 func (l *EventLoop) drainState(e *endpoint, state balancer.State) balancer.State {
-	none := discovery.Process{}
 	p := e.process()
-	if e.entry.Lifecycle == "draining" && state != balancer.Removed {
-		p.StartedMs = cmp.Or(p.StartedMs, e.entryStartedMs)
+	drainListed := e.entry.Lifecycle == lifecycleDraining
+	if drainListed && state != balancer.Removed {
+		p.StartedMs = cmp.Or(p.StartedMs, e.drainedStartMs)
 	} else {
-		e.entryStartedMs = e.entry.StartedMs
+		e.drainedStartMs = e.entry.StartedMs
 	}
-	told := e.entry.Lifecycle == "draining" && state == balancer.Draining
-	if e.reportedDrain != none && (!told || e.reportedDrain != p) {
-		l.reportDrain(e.reportedDrain, false)
-		e.reportedDrain = none
-	}
-	if told && e.reportedDrain == none {
-		e.reportedDrain = p
-		l.reportDrain(p, true)
-	}
-	// Where others know of a newer process than this sidecar's list, it is the one that is reached there: whether that
-	// drains counts, and no more whether the one before it did.
+	l.reportDrain(e, p, drainListed && state == balancer.Draining)
+	// Other daemons may know of a later process than this sidecar's list. That one is reached at the address, so that it
+	// matters whether it drains, and not whether the one before it did.
 	at := serverAddr{p.ID, p.Addr}
-	p.StartedMs = max(p.StartedMs, l.starts.byPeers[at].startedMs, l.peerLatestStart[at])
-	if state == balancer.Ready && l.peerDrains[p] {
+	p.StartedMs = max(p.StartedMs, l.starts.byPeers[at].startedMs, l.drains.latestStart[at])
+	if state == balancer.Ready && l.drains.draining[p] {
 		return balancer.Draining
 	}
 	return state
 }
+
+// reportDrain reports that a process drains, and that the one reported before does so no more.
+func (l *EventLoop) reportDrain(e *endpoint, p discovery.Process, drains bool) {
+	none := discovery.Process{}
+	if e.reportedDrain != none && (!drains || e.reportedDrain != p) {
+		l.drains.report(e.reportedDrain, false)
+		e.reportedDrain = none
+	}
+	if drains && e.reportedDrain == none {
+		e.reportedDrain = p
+		l.drains.report(p, true)
+	}
+}
--- a/internal/dataplane/core/endpointlist_test.go
+++ b/internal/dataplane/core/endpointlist_test.go
@@ -40,8 +40,8 @@
 	}{
 		{"sound", balancer.ListFull, []discovery.Instance{in("a", "127.0.0.1:1", "up"), in("b", "127.0.0.1:2", "up")}, "a b", 0, ""},
 		{"many odd ones", balancer.ListDelta, []discovery.Instance{in("", "127.0.0.1:3", "up"), in("c", "", "up"), in("d", "no port", "up"),
-			in("e", "127.0.0.1:5", "up")}, "a b e", 1, "odd=3"},
-		{"told twice", balancer.ListDelta, []discovery.Instance{in("e", "127.0.0.1:5", "up"), in("e", "127.0.0.1:6", "up")}, "a b e", 1, "told twice"},
+			in("e", "127.0.0.1:5", "up")}, "a b e", 1, "invalid=3"},
+		{"listed twice", balancer.ListDelta, []discovery.Instance{in("e", "127.0.0.1:5", "up"), in("e", "127.0.0.1:6", "up")}, "a b e", 1, "listed twice"},
 		{"drains at no address", balancer.ListDelta, []discovery.Instance{in("a", "no port", "draining"), in("b", "", "draining")}, "e", 0, ""},
 		{"a word that is not known", balancer.ListDelta, []discovery.Instance{in("e", "127.0.0.1:6", "resting")}, "", 1, "resting"},
 		{"back", balancer.ListDelta, []discovery.Instance{in("a", "127.0.0.1:1", "up")}, "a", 0, ""},
@@ -59,7 +59,7 @@
 		if got := strings.Join(ready, " "); got != c.ready {
 			t.Errorf("%s: %q serve, want %q", c.name, got, c.ready)
 		}
-		if n := strings.Count(said.String(), "list with odd entries"); n != c.lines || !strings.Contains(said.String(), c.says) {
+		if n := strings.Count(said.String(), "endpoint list with invalid entries"); n != c.lines || !strings.Contains(said.String(), c.says) {
 			t.Errorf("%s: %d lines, want %d with %q: %s", c.name, n, c.lines, c.says, said.String())
 		}
 	}
--- a/internal/dataplane/core/frontend.go
+++ b/internal/dataplane/core/frontend.go
@@ -9,30 +9,47 @@
 	"birchmoor/internal/platform/metrics"
 )
 
-// Frontend is the client side of a protocol. Its methods may be called from any goroutine, Open and StopAccepting by one at a time.
+// Frontend is the client side of a protocol. It is safe for concurrent use, except that only one goroutine at a time may call
+// Open and StopAccepting.
 type Frontend interface {
-	Open(broken func(error)) error      // takes what comes; is told once if that ends unasked
-	StopAccepting()                     // takes no more; it may have been stopped before
-	SetClosing(on bool)                 // whether connections are to end with their answers
-	CloseIdle()                         // closes what is idle
-	CloseUnused(all bool) int           // closes what has asked nothing, all or what is not about to, and counts the rest
-	CloseIdleFor(age time.Duration) int // closes what has been idle for longer, and counts what is open
-	SetCapacityShare(c *config.Config, part float64)
-	Wait() // until all that was taken has its answer
+	// Open accepts requests. broken is called once if that ends without StopAccepting.
+	Open(broken func(error)) error
+	// StopAccepting stops accepting requests. Further calls do nothing.
+	StopAccepting()
+	// SetClosing sets whether connections are closed with their next answer.
+	SetClosing(on bool)
+	// CloseIdle closes idle connections.
+	CloseIdle()
+	// CloseUnused closes connections without a request so far, either all of them or those on which none is about to come,
+	// and returns how many remain.
+	CloseUnused(all bool) int
+	// CloseIdleFor closes connections that have been idle for longer than age, and returns how many remain.
+	CloseIdleFor(age time.Duration) int
+	// SetCapacityShare sets this process's share of the limits, from 0 to 1.
+	SetCapacityShare(c *config.Config, share float64)
+	// Wait waits until all accepted requests have their answers.
+	Wait()
 }
 
-// Upstream is the other side.
+// Upstream is a Transport with what a sidecar needs to run it.
 type Upstream interface {
 	Transport
-	Maintain(ctx context.Context) // looks after what is open, until ctx ends
-	SetCapacityShare(c *config.Config, part float64)
+	// Maintain maintains the open connections until ctx ends.
+	Maintain(ctx context.Context)
+	// SetCapacityShare sets this process's share of the limits, from 0 to 1.
+	SetCapacityShare(c *config.Config, share float64)
 }
 
-// Protocol is one that a host adds beside HTTP. It has a core of its own.
+// Protocol is a protocol besides HTTP, which has an event loop of its own.
 type Protocol interface {
-	Name() string                                    // as discovery's entries have it
-	Descriptors() int                                // that it may hold
-	Config(c *config.Config) (*config.Config, error) // of its core
-	NewUpstream(c *config.Config, clk Clock, figures *metrics.Registry, log *slog.Logger) Upstream
-	NewFrontend(l *EventLoop, figures *metrics.Registry, log *slog.Logger) Frontend
+	// Name is the name by which entries of discovery's list refer to it.
+	Name() string
+	// Descriptors is the number of file descriptors that it may use.
+	Descriptors() int
+	// Config derives the configuration of its event loop.
+	Config(c *config.Config) (*config.Config, error)
+	// NewUpstream returns the upstream side of its event loop.
+	NewUpstream(c *config.Config, clock Clock, registry *metrics.Registry, log *slog.Logger) Upstream
+	// NewFrontend returns the client side for its event loop.
+	NewFrontend(l *EventLoop, registry *metrics.Registry, log *slog.Logger) Frontend
 }
--- a/internal/dataplane/core/overrides.go
+++ b/internal/dataplane/core/overrides.go
@@ -2,113 +2,94 @@
 
 import (
 	"context"
-	"time"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/dataplane/discovery"
 	"birchmoor/internal/dataplane/maintenance"
 )
 
-// do runs a function of the loop's ahead of all that requests bring, and returns once it has run.
-func (l *EventLoop) do(ctx context.Context, do func(now balancer.Micros)) error {
-	done := make(chan struct{})
-	select {
-	case l.urgent <- func(now balancer.Micros) { do(now); close(done) }:
-		<-done
-		return nil
-	case <-l.done:
-		return context.Canceled
-	case <-ctx.Done():
-		return ctx.Err()
+// ApplyOverride applies an operator's override of an endpoint, and returns once it is in effect. maintenance.ErrUnknownEndpoint
+// says that its ID was not listed lately; with force that is no error.
+func (l *EventLoop) ApplyOverride(ctx context.Context, o maintenance.Override, force bool) error {
+	var rejected error
+	if err := l.do(ctx, func(now balancer.Micros) { rejected = l.setOverride(now, o, force) }); err != nil {
+		return err
 	}
+	return rejected
 }
 
-// List returns the list as it is held now.
-func (l *EventLoop) List(ctx context.Context) (discovery.List, error) {
-	held := discovery.List{Reset: true}
-	err := l.do(ctx, func(balancer.Micros) {
-		for _, e := range l.byName {
-			held.Instances = append(held.Instances, e.entry)
-		}
-	})
-	return held, err
-}
-
-// gaugeInterval is how old a gauge that only the loop can read may get.
-const gaugeInterval = 100 * time.Millisecond
-
-// updateGauges shows how many endpoints are avoided, again and again.
-func (l *EventLoop) updateGauges(now balancer.Micros) {
-	l.metrics.UnhealthyEndpoints.Set(int64(l.balancer.ExcludedCount(now)))
-	l.reportEjections(now)
-	l.setTimer(now+gaugeInterval.Microseconds(), l.updateGauges)
+// setOverride drains an endpoint or ends that.
+func (l *EventLoop) setOverride(now balancer.Micros, o maintenance.Override, force bool) error {
+	e := l.byName[o.ID]
+	_, drained := l.adminDrained[o.ID]
+	if e == nil && !drained && !force && !l.recentNames.has(o.ID) {
+		return maintenance.ErrUnknownEndpoint
+	}
+	switch {
+	case o.Drained && !drained:
+		l.drainEndpoint(now, e, o)
+	case !o.Drained && (drained || force && e != nil):
+		l.undrainEndpoint(now, e, o)
+	}
+	l.exportExcluded(now)
+	return nil
 }
 
-// ApplyOverride makes what operators said of an endpoint bind, and returns once it does. With force, an ID that was
-// never listed is taken, too.
-func (l *EventLoop) ApplyOverride(ctx context.Context, m maintenance.Override, force bool) error {
-	var answer error
-	if err := l.do(ctx, func(now balancer.Micros) { answer = l.setOverride(now, m, force) }); err != nil {
-		return err
+// drainEndpoint drains an endpoint, which is nil if it is not listed. The module holds the drain; here attempts that wait for
+// a connection are kept from being sent.
+func (l *EventLoop) drainEndpoint(now balancer.Micros, e *endpoint, o maintenance.Override) {
+	var number uint32
+	if e == nil {
+		l.lastNumber++
+		number = l.lastNumber
+	} else {
+		number = e.number
+		e.adminDrained = true
+		e.stopAt.Store(stoppedLongAgo)
+		// Idle connections will not be used, and attempts that wait for a new one find the target closed.
+		e.target.Close()
+		e.target = l.upstream.Target(e.addr)
 	}
-	return answer
+	l.adminDrained[o.ID] = number
+	l.balancer.DrainEndpoint(now, number, min(now, o.UnixMicros))
 }
 
-// setOverride bans an endpoint or ends that. The module holds the ban; here what waits for a connection is kept in.
-func (l *EventLoop) setOverride(now balancer.Micros, m maintenance.Override, force bool) error {
-	e := l.byName[m.ID]
-	number, banned := l.adminDrained[m.ID]
-	switch {
-	case e == nil && !banned && !force && !l.recentNames.has(m.ID):
-		return maintenance.ErrUnknownEndpoint
-	case m.Drained && !banned:
-		if e != nil {
-			number = e.number
-			e.adminDrained = true
-			e.stopAt.Store(1)
-			// Its idle connections will not be used, and whatever waits for a new one finds the target gone.
-			e.target.Close()
-			e.target = l.upstream.Target(e.addr)
-		} else {
-			l.lastNumber++
-			number = l.lastNumber
-		}
-		l.adminDrained[m.ID] = number
-		l.balancer.DrainEndpoint(now, number, min(now, m.UnixMicros))
-	case !m.Drained && (banned || force && e != nil):
-		delete(l.adminDrained, m.ID)
-		if e != nil {
-			number = e.number
-			e.adminDrained = false
-			l.setState(now, m.ID, e, e.state) // one that drains stays shut: its grace was over long ago
-		}
-		l.balancer.UndrainEndpoint(now, number, min(now, m.UnixMicros))
+// undrainEndpoint ends the drain of an endpoint, which is nil if it is not listed. One that drains by discovery too stays
+// stopped, since its grace was over long ago.
+func (l *EventLoop) undrainEndpoint(now balancer.Micros, e *endpoint, o maintenance.Override) {
+	number := l.adminDrained[o.ID]
+	delete(l.adminDrained, o.ID)
+	if e != nil {
+		number = e.number
+		e.adminDrained = false
+		l.setState(now, o.ID, e, e.state)
 	}
-	l.metrics.UnhealthyEndpoints.Set(int64(l.balancer.ExcludedCount(now)))
-	return nil
+	l.balancer.UndrainEndpoint(now, number, min(now, o.UnixMicros))
 }
 
+// maxRecentNames bounds a recentSet.
+const maxRecentNames = 1024
+
 // recentSet is a bounded set of names: operators may name an endpoint that has just left the list.
 type recentSet struct {
 	names map[string]struct{}
 	order []string
 }
 
-const maxRecentNames = 1024
+func newRecentSet() recentSet { return recentSet{names: map[string]struct{}{}} }
 
-func (r *recentSet) add(name string) {
-	if r.has(name) {
+func (s *recentSet) add(name string) {
+	if s.has(name) {
 		return
 	}
-	if len(r.order) == maxRecentNames {
-		delete(r.names, r.order[0])
-		r.order = r.order[1:]
+	if len(s.order) == maxRecentNames {
+		delete(s.names, s.order[0])
+		s.order = s.order[1:]
 	}
-	r.names[name] = struct{}{}
-	r.order = append(r.order, name)
+	s.names[name] = struct{}{}
+	s.order = append(s.order, name)
 }
 
-func (r *recentSet) has(name string) bool {
-	_, ok := r.names[name]
+func (s *recentSet) has(name string) bool {
+	_, ok := s.names[name]
 	return ok
 }
--- a/internal/dataplane/core/restore.go
+++ b/internal/dataplane/core/restore.go
@@ -5,195 +5,97 @@
 	"time"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/dataplane/handover"
 	"birchmoor/internal/platform/snapshot"
 )
 
-// What this process knows is kept for the next one: handed over while both run, and in a file for the case that it
-// is killed. What of it the next one believes, the module decides.
+// The state of the decision module is kept for the next process: it is handed over while both run, and saved to a file in case
+// this one is killed. The module decides what of it the next one uses.
 
-const (
-	minSaveInterval       = 2 * time.Second // between two files, at least,
-	saveTimeFactor        = 200             // and no more than such a part of a core goes into them,
-	maxSaveBytesPerSecond = 64 << 10        // nor more bytes a second than this
-	maxReportedEjections  = 1024            // ejections told at once
-	ejectionReportTimeout = 500 * time.Millisecond
-)
-
-// takeSnapshot is the module's state with the names of its endpoints, and their addresses if it goes abroad. The loop's goroutine
-// takes it.
-func (l *EventLoop) takeSnapshot(now balancer.Micros, abroad bool) *snapshot.Saved {
-	k := &snapshot.Saved{Sidecar: l.config.Name, State: l.balancer.Snapshot(now, false)}
-	var addrs []string
-	k.Names = make([]string, 0, len(k.State.Endpoints))
-	known := k.State.Endpoints[:0]
-	places := make([]int, len(k.State.Endpoints))
-	for i, e := range k.State.Endpoints {
-		places[i] = -1
-		// One that has left the list, and still owes an answer, has no name any more.
-		if named := l.byNumber[e.ID]; named != nil {
-			places[i] = len(known)
-			known = append(known, e)
-			k.Names = append(k.Names, named.entry.ID)
-			addrs = append(addrs, named.addr)
-		}
-	}
-	pool := k.State.Pool[:0]
-	for _, at := range k.State.Pool {
-		if places[at] >= 0 {
-			pool = append(pool, places[at])
-		}
-	}
-	k.State.Endpoints, k.State.Pool = known, pool
-	if abroad {
-		k.Addresses = addrs
-	}
-	return k
-}
-
-// Snapshot returns the picture as bytes. Only taking it holds the loop.
+// Snapshot returns the encoded state for a process on this host. Only taking it occupies the loop.
 func (l *EventLoop) Snapshot(ctx context.Context) ([]byte, error) {
 	return l.encodeSnapshot(ctx, false)
 }
 
-// PortableSnapshot returns it for readers on other hosts, who know servers by name and address.
+// PortableSnapshot returns the encoded state for other hosts, which know servers by name and address.
 func (l *EventLoop) PortableSnapshot(ctx context.Context) ([]byte, error) {
 	return l.encodeSnapshot(ctx, true)
 }
 
-func (l *EventLoop) encodeSnapshot(ctx context.Context, abroad bool) ([]byte, error) {
-	var k *snapshot.Saved
-	if err := l.do(ctx, func(now balancer.Micros) { k = l.takeSnapshot(now, abroad) }); err != nil {
+func (l *EventLoop) encodeSnapshot(ctx context.Context, withAddresses bool) ([]byte, error) {
+	var saved *snapshot.Saved
+	err := l.do(ctx, func(now balancer.Micros) { saved = l.takeSnapshot(now, withAddresses) })
+	if err != nil {
 		return nil, err
 	}
-	k.Clock = snapshot.ReadClock()
-	return snapshot.Encode(k)
-}
-
-// Restore tells the module what an earlier process knew, by the clocks that both have in common. What is not of this
-// sidecar, or makes no sense, is passed over: a start without it is as good as any.
-func (l *EventLoop) Restore(ctx context.Context, k *snapshot.Saved, from string) {
-	l.RestoreAged(ctx, k, from, snapshot.ReadClock().Since(k.Clock))
-}
-
-// RestoreAged does so with a picture of a known age. It returns how many servers it knew.
-func (l *EventLoop) RestoreAged(ctx context.Context, k *snapshot.Saved, from string, age balancer.Micros) (known int) {
-	if k.Sidecar != l.config.Name {
-		l.log.Warn("snapshot of another sidecar passed over", "from", from, "its name", k.Sidecar)
-		return 0
-	}
-	var err error
-	failed := l.do(ctx, func(now balancer.Micros) {
-		k.Renumber(func(name, addr string) (uint32, bool) {
-			if e := l.byName[name]; e != nil && (addr == "" || addr == e.addr) {
-				return e.number, true
-			}
-			return 0, false
-		})
-		known, err = l.balancer.Restore(now, k.State, age)
-	})
-	switch {
-	case failed != nil:
-	case err != nil:
-		l.log.Warn("snapshot passed over", "from", from, "error", err)
-	default:
-		l.log.Info("recalled what an earlier process knew", "from", from, "endpoints", known, "of", len(k.Names),
-			"age", time.Duration(age)*time.Microsecond)
-	}
-	return known
-}
-
-// ReportEjections has the process beside this one told of ejections, until forget is called.
-func (l *EventLoop) ReportEjections(eject func(context.Context, []handover.Ejection) error) (forget func()) {
-	tell := newEjectionReporter(eject)
-	l.reportPeer.Store(&tell)
-	return func() { l.reportPeer.CompareAndSwap(&tell, nil) }
+	saved.Clock = snapshot.ReadClock()
+	return snapshot.Encode(saved)
 }
 
-// reportEjections tells the process beside this one whom the module has ejected, if there is one to tell.
-func (l *EventLoop) reportEjections(now balancer.Micros) {
-	tell := l.reportPeer.Load()
-	if tell == nil {
-		return
-	}
-	var list []handover.Ejection
-	l.balancer.Ejections(now, func(id uint32, left balancer.Micros) {
-		if e := l.byNumber[id]; e != nil && len(list) < maxReportedEjections {
-			list = append(list, handover.Ejection{ID: e.entry.ID, Left: left})
+// takeSnapshot returns the module's state with the names of its endpoints, and their addresses if asked for.
+func (l *EventLoop) takeSnapshot(now balancer.Micros, withAddresses bool) *snapshot.Saved {
+	state := l.balancer.Snapshot(now, false)
+	saved := &snapshot.Saved{Sidecar: l.config.Name, State: state, Names: make([]string, 0, len(state.Endpoints))}
+	var addrs []string
+	// Endpoints that have left the list, and still owe an answer, have no name any more and are left out.
+	named := state.Endpoints[:0]
+	newIndex := make([]int, len(state.Endpoints)) // -1: left out
+	for i, endpoint := range state.Endpoints {
+		e := l.byNumber[endpoint.ID]
+		if e == nil {
+			newIndex[i] = -1
+			continue
 		}
-	})
-	if len(list) > 0 {
-		(*tell)(list)
+		newIndex[i] = len(named)
+		named = append(named, endpoint)
+		saved.Names = append(saved.Names, e.entry.ID)
+		addrs = append(addrs, e.addr)
 	}
-}
-
-// ApplyEjections passes on whom the process beside this one has ejected.
-func (l *EventLoop) ApplyEjections(list []handover.Ejection) {
-	l.post(func(now balancer.Micros) {
-		for _, x := range list[:min(len(list), maxReportedEjections)] {
-			if e := l.byName[x.ID]; e != nil && x.Left > 0 {
-				l.balancer.PeerEjected(now, e.number, x.Left)
-			}
+	pool := state.Pool[:0]
+	for _, i := range state.Pool {
+		if newIndex[i] >= 0 {
+			pool = append(pool, newIndex[i])
 		}
-	})
+	}
+	state.Endpoints, state.Pool = named, pool
+	if withAddresses {
+		saved.Addresses = addrs
+	}
+	return saved
 }
 
-// SnapshotSaver keeps the picture in a file.
-type SnapshotSaver struct {
-	Loop *EventLoop
-	File snapshot.File
+// Restore passes the state of an earlier process on to the module. Its age is that by the clocks that both processes share.
+// State of another sidecar, or that the module rejects, is ignored: the process starts without it.
+func (l *EventLoop) Restore(ctx context.Context, saved *snapshot.Saved, from string) {
+	l.RestoreAged(ctx, saved, from, snapshot.ReadClock().Since(saved.Clock))
 }
 
-// Run keeps on until ctx ends. While paused says so another process is the one to keep it.
-func (k SnapshotSaver) Run(ctx context.Context, paused func() bool) {
-	if k.File.Path == "" {
-		return
+// RestoreAged does so with state of a known age. It returns the number of endpoints that were restored.
+func (l *EventLoop) RestoreAged(ctx context.Context, saved *snapshot.Saved, from string, age balancer.Micros) (endpoints int) {
+	if saved.Sidecar != l.config.Name {
+		l.log.Warn("snapshot of another sidecar ignored", "from", from, "its name", saved.Sidecar)
+		return 0
 	}
-	wait := minSaveInterval
-	failing := false
-	for {
-		timer := time.NewTimer(wait)
-		select {
-		case <-timer.C:
-		case <-ctx.Done():
-			timer.Stop()
-			return
-		}
-		if paused() {
-			continue
-		}
-		began := time.Now()
-		data, err := k.Loop.Snapshot(ctx)
-		if err == nil {
-			err = k.File.Save(data)
-		}
-		wait = saveInterval(time.Since(began), len(data))
-		if err != nil && ctx.Err() == nil && !failing {
-			k.Loop.log.Warn("what is known here is not kept", "error", err)
-		}
-		failing = err != nil
+	var rejected error
+	err := l.do(ctx, func(now balancer.Micros) {
+		saved.Renumber(l.endpointNumber)
+		endpoints, rejected = l.balancer.Restore(now, saved.State, age)
+	})
+	switch {
+	case err != nil: // the loop has ended
+	case rejected != nil:
+		l.log.Warn("snapshot ignored", "from", from, "error", rejected)
+	default:
+		l.log.Info("restored the state of an earlier process", "from", from, "endpoints", endpoints, "of", len(saved.Names),
+			"age", time.Duration(age)*time.Microsecond)
 	}
+	return endpoints
 }
 
-// saveInterval is how long to wait after a file that took so long and has so many bytes.
-func saveInterval(took time.Duration, bytes int) time.Duration {
-	return max(minSaveInterval, saveTimeFactor*took, time.Duration(bytes)*time.Second/maxSaveBytesPerSecond)
-}
-
-// newEjectionReporter returns what hands ejections to another process one after the other: while one list is under way, later
-// ones are dropped, since the next is soon made.
-func newEjectionReporter(eject func(context.Context, []handover.Ejection) error) func([]handover.Ejection) {
-	busy := make(chan struct{}, 1)
-	return func(list []handover.Ejection) {
-		select {
-		case busy <- struct{}{}:
-			go func() {
-				defer func() { <-busy }()
-				ctx, cancel := context.WithTimeout(context.Background(), ejectionReportTimeout)
-				defer cancel()
-				eject(ctx, list) // one that does not hear finds out by itself
-			}()
-		default:
-		}
+// endpointNumber returns the number of an endpoint with a name and, unless that is empty, an address.
+func (l *EventLoop) endpointNumber(name, addr string) (number uint32, ok bool) {
+	e := l.byName[name]
+	if e == nil || addr != "" && addr != e.addr {
+		return 0, false
 	}
+	return e.number, true
 }
--- a/internal/dataplane/core/restore_test.go
+++ b/internal/dataplane/core/restore_test.go
@@ -105,7 +105,7 @@
 	a, b := startLoneLoop(t, sidecartest.Configure(t, sidecartest.Nowhere(t), known), sidecartest.Quiet), startLoneLoop(t, sidecartest.Configure(t, sidecartest.Nowhere(t), known[1:]), sidecartest.Quiet)
 	told := make(chan []handover.Ejection, 1)
 	tell := newEjectionReporter(func(_ context.Context, list []handover.Ejection) error { told <- list; return nil })
-	a.reportPeer.Store(&tell)
+	a.peer.Store(&tell)
 	a.do(t.Context(), func(now balancer.Micros) {
 		a.balancer.PeerEjected(now, a.byName["s-2"].number, 3_000_000)
 		a.reportEjections(now)
--- a/internal/dataplane/sidecar/sidecar.go
+++ b/internal/dataplane/sidecar/sidecar.go
@@ -390,7 +390,7 @@
 	if len(told) > 0 {
 		was, err := snapshot.Decode(told)
 		if err != nil {
-			n.log.Warn("snapshot passed over", "from", "the old process", "error", err)
+			n.log.Warn("snapshot ignored", "from", "the old process", "error", err)
 			return
 		}
 		l.loop.Restore(ctx, was, "the old process")
@@ -399,9 +399,9 @@
 	var all []recovery.Candidate
 	was, err := l.kept.Load()
 	if err != nil {
-		n.log.Warn("snapshot passed over", "from", l.kept.Path, "error", err)
+		n.log.Warn("snapshot ignored", "from", l.kept.Path, "error", err)
 	} else if was != nil && was.Sidecar != n.config.Name {
-		n.log.Warn("snapshot of another sidecar passed over", "from", l.kept.Path, "its name", was.Sidecar)
+		n.log.Warn("snapshot of another sidecar ignored", "from", l.kept.Path, "its name", was.Sidecar)
 	} else if was != nil {
 		all = append(all, recovery.Candidate{Source: l.kept.Path, Snapshot: was, Own: true, Age: snapshot.ReadClock().Since(was.Clock), SameClock: true})
 	}
@@ -460,7 +460,7 @@
 	forget := n.book.AddPeer(other.Mark)
 	var leaves []func()
 	for _, l := range n.lanes {
-		leaves = append(leaves, l.loop.ReportEjections(other.Eject))
+		leaves = append(leaves, l.loop.ReportEjectionsTo(other.Eject))
 	}
 	count := func(more int) {
 		n.mu.Lock()
