--- /dev/null
+++ b/internal/controlplane/rollout/plan.go
@@ -0,0 +1,53 @@
+// Package rollout decides how settings take effect in steps: which daemons run them at each step, and whether the
+// next step may begin or the settings are rolled back. It does no I/O, reads no clock and draws no random numbers,
+// and imports nothing else of birchmoor.
+package rollout
+
+import (
+	"errors"
+	"slices"
+	"time"
+)
+
+const (
+	minSettleMillis = int64(100)
+	maxSettleMillis = int64(24 * time.Hour / time.Millisecond)
+)
+
+// State is the state of a plan.
+type State string
+
+// The states, as stored.
+const (
+	Running    State = "running"
+	Completed  State = "done"       // all daemons run the new settings
+	RolledBack State = "taken back" // all daemons run the earlier settings
+)
+
+// Plan is the rollout of settings, as stored.
+type Plan struct {
+	ID           uint64   `json:"id"` // the revision that began it
+	State        State    `json:"state"`
+	Steps        []Step   `json:"steps"`
+	SettleMillis int64    `json:"settle_ms"`       // how long each step is in effect before it is evaluated
+	Step         int      `json:"step"`            // the one in effect; -1: none yet
+	Hosts        []string `json:"hosts,omitempty"` // that run the new settings
+	Reason       string   `json:"why,omitempty"`   // for the rollback, or the outcome of the last step
+	Operator     string   `json:"by"`
+	Note         string   `json:"note,omitempty"`
+	Token        uint64   `json:"token,omitempty"` // the fencing token of the daemon that last drove it
+}
+
+// Validate returns what is wrong with a plan that is to begin.
+func (p *Plan) Validate() error {
+	switch {
+	case len(p.Steps) == 0 || len(p.Steps) > maxSteps:
+		return errors.New("steps: none, or too many")
+	case p.SettleMillis < minSettleMillis || p.SettleMillis > maxSettleMillis:
+		return errors.New("settle: not within 100ms and 24h")
+	}
+	return nil
+}
+
+// RunsOn reports whether a host is to run the plan's settings.
+func (p *Plan) RunsOn(host string) bool { return p.State == Running && slices.Contains(p.Hosts, host) }
--- a/internal/controlplane/rollout/rollout_test.go
+++ b/internal/controlplane/rollout/rollout_test.go
@@ -25,7 +25,7 @@
 	}
 	for _, bad := range []string{"", "0", "x", "110%", "-1%", "1,,2", strings.Repeat("1,", 20) + "2"} {
 		if _, err := ParseSteps(bad); err == nil {
-			t.Errorf("%q is taken", bad)
+			t.Errorf("%q is accepted", bad)
 		}
 	}
 }
@@ -36,12 +36,12 @@
 	good, bad := Report{PlanID: 9, Served: 100}, Report{PlanID: 9, Served: 80, Unserved: 20}
 	for _, tc := range []struct {
 		name    string
-		forMs   int64
+		elapsed int64
 		reports map[string]Report
 		want    Decision
 	}{
-		{"all is well, too soon", 999, map[string]Report{"a": good, "b": good}, Wait},
-		{"all is well", 1000, map[string]Report{"a": good, "b": good}, Advance},
+		{"good, but too soon", 999, map[string]Report{"a": good, "b": good}, Wait},
+		{"good", 1000, map[string]Report{"a": good, "b": good}, Advance},
 		{"worse, at once", 10, map[string]Report{"a": bad, "b": good}, RollBack},
 		{"as bad as the others", 1000, map[string]Report{"a": bad, "b": bad}, Advance},
 		{"few requests", 1000, map[string]Report{"a": {PlanID: 9, Unserved: 3}, "b": good}, Advance},
@@ -49,11 +49,14 @@
 		{"silent for long", 3000, map[string]Report{"b": good}, RollBack},
 		{"of another plan", 1000, map[string]Report{"a": {PlanID: 8, Served: 100}}, Wait},
 		{"of another step", 1000, map[string]Report{"a": {PlanID: 9, Step: 1, Served: 100}}, Wait},
-		{"turned down", 0, map[string]Report{"a": {PlanID: 9, Error: "settings.x: is bad"}}, RollBack},
-		{"nobody to compare with, bad", 0, map[string]Report{"a": {PlanID: 9, Served: 10, Unserved: 90}}, RollBack},
+		{"rejected by a host", 0, map[string]Report{"a": {PlanID: 9, Error: "settings.x: is bad"}}, RollBack},
+		{
+			"bad, without hosts to compare with", 0,
+			map[string]Report{"a": {PlanID: 9, Served: 10, Unserved: 90}}, RollBack,
+		},
 	} {
-		if got, why := p.Evaluate(tc.forMs, fleet, tc.reports); got != tc.want {
-			t.Errorf("%s: verdict %v, %s", tc.name, got, why)
+		if got, why := p.Evaluate(tc.elapsed, fleet, tc.reports); got != tc.want {
+			t.Errorf("%s: decision %v, %s", tc.name, got, why)
 		}
 	}
 }
--- a/internal/controlplane/rollout/stored_test.go
+++ b/internal/controlplane/rollout/stored_test.go
@@ -15,12 +15,14 @@
 		want any // a pointer to the expected value
 	}{
 		{"plan.json", &Plan{
-			ID: 9, State: RolledBack, Steps: []Step{{Count: 1}, {Fraction: 0.1}, {Fraction: 1}}, SettleMillis: 30000, Step: 1,
-			Hosts: []string{"host-a", "host-b"}, Reason: "host-b: no disk", Operator: "ops", Note: "larger pool", Token: 77,
+			ID: 9, State: RolledBack, Steps: []Step{{Count: 1}, {Fraction: 0.1}, {Fraction: 1}},
+			SettleMillis: 30000, Step: 1, Hosts: []string{"host-a", "host-b"}, Reason: "host-b: no disk",
+			Operator: "ops", Note: "larger pool", Token: 77,
 		}},
 		{"plan-new.json", &Plan{ID: 10, State: Running, Steps: []Step{{Fraction: 1}}, SettleMillis: 100, Step: -1}},
 		{"plan-done.json", &Plan{
-			ID: 11, State: Completed, Steps: []Step{{Fraction: 1}}, SettleMillis: 100, Hosts: []string{"host-a"}, Operator: "ops",
+			ID: 11, State: Completed, Steps: []Step{{Fraction: 1}}, SettleMillis: 100, Hosts: []string{"host-a"},
+			Operator: "ops",
 		}},
 		{"report.json", &Report{PlanID: 9, Step: 1, Served: 1000, Unserved: 3, Error: "settings.x: is bad"}},
 		{"report-good.json", &Report{PlanID: 9, Step: 2, Served: 5}},
--- a/internal/dataplane/maintenance/maintenance_test.go
+++ b/internal/dataplane/maintenance/maintenance_test.go
@@ -70,12 +70,15 @@
 			t.Error(err)
 		}
 		got := NewRegistry(f, time.Minute, (&sidecar{}).apply, quiet).Overrides()
-		if len(got) != 2 || got[0].ID != "s-1" || !got[0].Drained || got[1].ID != "s-2" || got[1].Drained || got[1].UnixMicros == 0 {
-			t.Errorf("kept %+v", got)
+		if len(got) != 2 || got[0].ID != "s-1" || !got[0].Drained {
+			t.Fatalf("stored %+v", got)
+		}
+		if got[1].ID != "s-2" || got[1].Drained || got[1].UnixMicros == 0 {
+			t.Errorf("stored %+v", got)
 		}
 		time.Sleep(2 * time.Minute)
 		if got := b.Overrides(); len(got) != 1 || got[0].ID != "s-1" {
-			t.Errorf("later kept %+v", got)
+			t.Errorf("later stored %+v", got)
 		}
 	})
 }
@@ -96,7 +99,7 @@
 			t.Errorf("%q: %v", text, err)
 		}
 		if got, err := (File{path}).Load(); err != nil || len(got) != 1 {
-			t.Errorf("%q: then kept %v, %v", text, got, err)
+			t.Errorf("%q: then stored %v, %v", text, got, err)
 		}
 	}
 }
--- a/internal/platform/recovery/recovery_test.go
+++ b/internal/platform/recovery/recovery_test.go
@@ -69,15 +69,20 @@
 		"own before others' newer":      {[]Candidate{other(1, true), own(200*second, true)}, "own 200000000 true"},
 		"too old":                       {[]Candidate{own(MaxAge+1, true)}, ""},
 		"of the future":                 {[]Candidate{own(-1, true), other(-1, true)}, ""},
-		"others where own is too old":   {[]Candidate{own(MaxAge+1, true), other(4, true), other(3, true)}, "other 3 true"},
+		"others where own is too old": {
+			[]Candidate{own(MaxAge+1, true), other(4, true), other(3, true)}, "other 3 true",
+		},
 		"others by clocks of two hosts": {[]Candidate{other(4, false)}, ""},
 		"own by clocks of two hosts":    {[]Candidate{own(4, false)}, "own 4 false"},
 		"without a snapshot":            {[]Candidate{{Source: "x", Own: true}}, ""},
 	} {
 		got := Choose("me", tc.all)
-		if got.Source != tc.want || (got.Snapshot == nil) != (tc.want == "") || got.Snapshot != nil && got.Snapshot.Sidecar != "me" {
+		if got.Source != tc.want || (got.Snapshot == nil) != (tc.want == "") {
 			t.Errorf("%s: %q, want %q", what, got.Source, tc.want)
 		}
+		if got.Snapshot != nil && got.Snapshot.Sidecar != "me" {
+			t.Errorf("%s: a snapshot of %q", what, got.Snapshot.Sidecar)
+		}
 	}
 }
 
