--- a/internal/platform/recovery/recovery_test.go
+++ b/internal/platform/recovery/recovery_test.go
@@ -64,11 +64,11 @@
 		all  []Candidate
 		want string
 	}{
-		"nothing":                       {nil, ""},
-		"the newer own":                 {[]Candidate{own(9, true), own(5, true)}, "own 5 true"},
-		"own before others' newer":      {[]Candidate{other(1, true), own(200*second, true)}, "own 200000000 true"},
-		"too old":                       {[]Candidate{own(MaxAge+1, true)}, ""},
-		"of the future":                 {[]Candidate{own(-1, true), other(-1, true)}, ""},
+		"nothing":                  {nil, ""},
+		"the newer own":            {[]Candidate{own(9, true), own(5, true)}, "own 5 true"},
+		"own before others' newer": {[]Candidate{other(1, true), own(200*second, true)}, "own 200000000 true"},
+		"too old":                  {[]Candidate{own(MaxAge+1, true)}, ""},
+		"of the future":            {[]Candidate{own(-1, true), other(-1, true)}, ""},
 		"others where own is too old": {
 			[]Candidate{own(MaxAge+1, true), other(4, true), other(3, true)}, "other 3 true",
 		},
