--- a/cmd/birchmoor/config.go
+++ b/cmd/birchmoor/config.go
@@ -123,7 +123,7 @@
 			}
 		}
 		p, err := a.Rollout(ctx)
-		var told *admin.Error
+		var told *admin.ResponseError
 		if errors.As(err, &told) && told.Status == 404 {
 			fmt.Fprintln(c.err, err)
 			return errMissed
--- a/cmd/birchmoor/followers_test.go
+++ b/cmd/birchmoor/followers_test.go
@@ -225,7 +225,7 @@
 		}
 		processtest.Until(b, "a replica more votes", func() bool {
 			c := adminapi.Dial(filepath.Join(dir, "a.sock"))
-			_, _ = c.Change(ctx, admin.Request{ID: store.RequestID{Client: 39, Seq: uint64(i)}, Add: &store.AddMember{Name: name, Address: listen}})
+			_, _ = c.Change(ctx, admin.ChangeRequest{ID: store.RequestID{Client: 39, Seq: uint64(i)}, AddMember: &store.AddMember{Name: name, Address: listen}})
 			s, err := c.Status(ctx)
 			return err == nil && len(s.Peers) > i && !slices.ContainsFunc(s.Peers, func(p replica.Peer) bool { return p.Learner })
 		})
--- a/cmd/birchmoor/lease.go
+++ b/cmd/birchmoor/lease.go
@@ -41,8 +41,8 @@
 	if err != nil {
 		return err
 	}
-	return k.change(ctx, c, admin.Request{ID: id, Grant: uint64(k.TTL.Milliseconds())}, func(w *tabwriter.Writer, x admin.Change) {
-		fmt.Fprintln(w, x.Lease)
+	return k.change(ctx, c, admin.ChangeRequest{ID: id, GrantMillis: uint64(k.TTL.Milliseconds())}, func(w *tabwriter.Writer, x admin.ChangeResponse) {
+		fmt.Fprintln(w, x.LeaseID)
 	})
 }
 
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	return k.change(ctx, c, admin.Request{ID: id, Renew: k.Lease}, func(w *tabwriter.Writer, x admin.Change) {
+	return k.change(ctx, c, admin.ChangeRequest{ID: id, RenewLease: k.Lease}, func(w *tabwriter.Writer, x admin.ChangeResponse) {
 		fmt.Fprintf(w, "lease %d goes on\n", k.Lease)
 	})
 }
@@ -73,7 +73,7 @@
 	if err != nil {
 		return err
 	}
-	return k.change(ctx, c, admin.Request{ID: id, End: k.Lease}, func(w *tabwriter.Writer, x admin.Change) {
+	return k.change(ctx, c, admin.ChangeRequest{ID: id, RevokeLease: k.Lease}, func(w *tabwriter.Writer, x admin.ChangeResponse) {
 		fmt.Fprintf(w, "lease %d has ended, and its keys are gone\n", k.Lease)
 	})
 }
@@ -89,7 +89,7 @@
 		return k.print(c, all, func(w *tabwriter.Writer) {
 			fmt.Fprintln(w, "ID\tTIME\tKEYS")
 			for _, l := range all {
-				fmt.Fprintf(w, "%d\t%v\t%s\n", l.ID, time.Duration(l.TTLms)*time.Millisecond, strings.Join(l.Keys, " "))
+				fmt.Fprintf(w, "%d\t%v\t%s\n", l.ID, time.Duration(l.TTLMillis)*time.Millisecond, strings.Join(l.Keys, " "))
 			}
 		})
 	})
--- a/cmd/birchmoor/limit.go
+++ b/cmd/birchmoor/limit.go
@@ -30,7 +30,7 @@
 func (s *socketFlag) limits(ctx context.Context, c *console, name string, table func(*tabwriter.Writer, *quotasync.Status)) error {
 	return s.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
 		st, err := a.Limits(ctx, name)
-		var told *admin.Error
+		var told *admin.ResponseError
 		if errors.As(err, &told) && told.Status == 404 {
 			return &exitError{exitMissed, err}
 		}
--- a/cmd/birchmoor/lock.go
+++ b/cmd/birchmoor/lock.go
@@ -113,7 +113,7 @@
 			}
 			return &exitError{exitNotGot, fmt.Errorf("%s: not got within %v%s", k.Name, k.Wait, strings.TrimPrefix(": "+told, ": "+k.Name))}
 		case err := <-failed:
-			var told *admin.Error
+			var told *admin.ResponseError
 			if errors.As(err, &told) && told.Status == 400 {
 				return err
 			}
--- a/cmd/birchmoor/store.go
+++ b/cmd/birchmoor/store.go
@@ -91,10 +91,10 @@
 // failed says what an error means for a change: that nothing was changed, or that it is not known whether. request, if
 // it is not empty, is what to say again.
 func (s *socketFlag) failed(ctx context.Context, c *console, err error, request string) error {
-	var told *admin.Error
+	var told *admin.ResponseError
 	x := failure{Error: err.Error(), Outcome: "unchanged"}
 	switch {
-	case errors.As(err, &told) && told.Unknown != nil, told == nil && ctx.Err() != nil:
+	case errors.As(err, &told) && told.OutcomeUnknown != nil, told == nil && ctx.Err() != nil:
 		// The daemon sent it on and heard nothing, or did not even answer us.
 		x.Outcome, x.Request = "unknown", request
 		err = fmt.Errorf("the outcome is unknown: %w", err)
@@ -247,7 +247,7 @@
 }
 
 // change makes a change, and prints a note if its outcome is unknown.
-func (s *socketFlag) change(ctx context.Context, c *console, r admin.Request, table func(*tabwriter.Writer, admin.Change)) error {
+func (s *socketFlag) change(ctx context.Context, c *console, r admin.ChangeRequest, table func(*tabwriter.Writer, admin.ChangeResponse)) error {
 	if r.ID == (store.RequestID{}) {
 		var b [8]byte
 		if _, err := rand.Read(b[:]); err != nil {
@@ -298,8 +298,8 @@
 	if err != nil {
 		return err
 	}
-	return k.change(ctx, c, admin.Request{ID: id, Add: &store.AddMember{Name: k.Name, Address: k.Address}}, func(w *tabwriter.Writer, x admin.Change) {
-		fmt.Fprintf(w, "member %d, a learner until it has caught up\n", x.Member)
+	return k.change(ctx, c, admin.ChangeRequest{ID: id, AddMember: &store.AddMember{Name: k.Name, Address: k.Address}}, func(w *tabwriter.Writer, x admin.ChangeResponse) {
+		fmt.Fprintf(w, "member %d, a learner until it has caught up\n", x.MemberID)
 	})
 }
 
@@ -314,7 +314,7 @@
 	if err != nil {
 		return err
 	}
-	return k.change(ctx, c, admin.Request{ID: id, Del: k.Member}, func(w *tabwriter.Writer, x admin.Change) {
+	return k.change(ctx, c, admin.ChangeRequest{ID: id, RemoveMember: k.Member}, func(w *tabwriter.Writer, x admin.ChangeResponse) {
 		fmt.Fprintf(w, "member %d is removed\n", k.Member)
 	})
 }
@@ -396,7 +396,7 @@
 
 func (k *storeHandover) Run(ctx context.Context, c *console) error {
 	return k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
-		if err := a.HandOver(ctx); err != nil {
+		if err := a.TransferLeadership(ctx); err != nil {
 			return k.failed(ctx, c, err, "")
 		}
 		return nil
@@ -434,7 +434,7 @@
 			return err
 		}
 		if len(i.Items) == 0 && !k.Prefix {
-			fmt.Fprintf(c.err, "%s: no such key at revision %d\n", k.Key, i.Age.Revision)
+			fmt.Fprintf(c.err, "%s: no such key at revision %d\n", k.Key, i.CopyAge.Revision)
 			return errMissed
 		}
 		return k.print(c, i, func(w *tabwriter.Writer) {
@@ -445,7 +445,7 @@
 				fmt.Fprintln(w, "and more: raise --limit")
 			}
 			if k.Stale {
-				fmt.Fprintf(w, "stale: revision %d, confirmed %v ago\n", i.Age.Revision, i.Age.Age.Round(time.Millisecond))
+				fmt.Fprintf(w, "stale: revision %d, confirmed %v ago\n", i.CopyAge.Revision, i.CopyAge.Age.Round(time.Millisecond))
 			}
 		})
 	})
@@ -481,8 +481,8 @@
 		t.If = []store.Compare{{Key: op.Key, ModRevision: *at}}
 	}
 	held := true
-	err = s.change(ctx, c, admin.Request{ID: id, Txn: t}, func(w *tabwriter.Writer, x admin.Change) {
-		if held = x.Held; held {
+	err = s.change(ctx, c, admin.ChangeRequest{ID: id, Txn: t}, func(w *tabwriter.Writer, x admin.ChangeResponse) {
+		if held = x.Succeeded; held {
 			fmt.Fprintf(w, "revision %d\n", x.Revision)
 		}
 	})
@@ -545,7 +545,7 @@
 		return err
 	}
 	defer os.Remove(f.Name()) // without effect once renamed
-	revision, err := adminapi.Dial(k.Socket).Save(ctx, f)
+	revision, err := adminapi.Dial(k.Socket).SaveSnapshot(ctx, f)
 	if err == nil {
 		_, err = f.Seek(0, io.SeekStart)
 	}
--- a/cmd/birchmoor/task.go
+++ b/cmd/birchmoor/task.go
@@ -35,7 +35,7 @@
 func (s *socketFlag) shown(ctx context.Context, c *console, name string, show func([]leasetask.TaskStatus) error) error {
 	return s.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
 		all, err := a.Tasks(ctx, name)
-		var told *admin.Error
+		var told *admin.ResponseError
 		if errors.As(err, &told) && told.Status == 404 {
 			fmt.Fprintln(c.err, err)
 			return errMissed
--- a/internal/controlplane/adminapi/adminapi.go
+++ b/internal/controlplane/adminapi/adminapi.go
@@ -66,11 +66,11 @@
 }
 
 // FollowerRules returns the rules for daemons without a replica: each component says which operations are theirs.
-func (c Components) FollowerRules() admin.Rules {
-	return admin.Rules{
-		Meter: c.Meter,
-		Ages:  func() map[string]time.Duration { return c.Servers.SnapshotAges() },
-		May: func(op store.Op, owner string) bool {
+func (c Components) FollowerRules() admin.FollowerConfig {
+	return admin.FollowerConfig{
+		Usage:        c.Meter,
+		SnapshotAges: func() map[string]time.Duration { return c.Servers.SnapshotAges() },
+		Allowed: func(op store.Op, owner string) bool {
 			return lease.Allowed(op, owner) || leasetask.Allowed(op, owner) ||
 				daemon.Allowed(op, owner) || quotasync.Allowed(op, owner)
 		},
@@ -86,22 +86,22 @@
 // Listen serves a Unix socket at a path until the server is closed.
 func Listen(path string, s admin.Store, components Components) (*admin.Server, error) {
 	srv := &server{Components: components, locks: newLockTable()}
-	return admin.Listen(path, admin.Config{Store: s, Calls: srv.register, Status: srv.status})
+	return admin.Listen(path, admin.Config{Store: s, RegisterCalls: srv.register, Status: srv.status})
 }
 
 func (s *server) register(m *admin.Mux) {
-	m.Call("GET "+pathConfig, s.settingsHistory)
-	m.Call("POST "+pathConfig, s.changeSettings)
-	m.Call("GET "+pathPlan, s.rollout)
-	m.Call("GET "+pathTasks, s.listTasks)
-	m.Call("POST "+pathTask, s.overrideTask)
-	m.Stream("GET "+pathLock, s.lock)
-	m.Call("POST "+pathUnlock, s.unlock)
-	m.Call("GET "+pathLimits, s.listLimits)
-	m.Call("POST "+pathLimits, s.putLimits)
-	m.Call("GET "+pathMeter, s.usage)
-	m.Call("GET "+pathOut, s.exclusions)
-	m.Call("GET "+pathServers, s.servers)
+	m.HandleCall("GET "+pathConfig, s.settingsHistory)
+	m.HandleCall("POST "+pathConfig, s.changeSettings)
+	m.HandleCall("GET "+pathPlan, s.rollout)
+	m.HandleCall("GET "+pathTasks, s.listTasks)
+	m.HandleCall("POST "+pathTask, s.overrideTask)
+	m.HandleStream("GET "+pathLock, s.lock)
+	m.HandleCall("POST "+pathUnlock, s.unlock)
+	m.HandleCall("GET "+pathLimits, s.listLimits)
+	m.HandleCall("POST "+pathLimits, s.putLimits)
+	m.HandleCall("GET "+pathMeter, s.usage)
+	m.HandleCall("GET "+pathOut, s.exclusions)
+	m.HandleCall("GET "+pathServers, s.servers)
 }
 
 func (s *server) status(st engine.Status) any {
--- a/internal/controlplane/adminapi/adminapi_test.go
+++ b/internal/controlplane/adminapi/adminapi_test.go
@@ -48,7 +48,7 @@
 		"limits":                              {store.Op{Key: "limit/conf"}, "f", false},
 		"settings":                            {store.Op{Key: "config/current"}, "f", false},
 	} {
-		if ok := rules.May(test.op, test.owner); ok != test.ok {
+		if ok := rules.Allowed(test.op, test.owner); ok != test.ok {
 			t.Errorf("%s: %v", name, ok)
 		}
 	}
--- a/internal/controlplane/adminapi/limits.go
+++ b/internal/controlplane/adminapi/limits.go
@@ -16,7 +16,7 @@
 		return nil, errNoLimits
 	}
 	status, err := s.Limits.Status(ctx, r.URL.Query().Get("limit"))
-	return status, admin.Missing(err)
+	return status, admin.NotFound(err)
 }
 
 func (s *server) putLimits(ctx context.Context, w http.ResponseWriter, r *http.Request) (any, error) {
@@ -24,7 +24,7 @@
 		return nil, errNoLimits
 	}
 	config := &quota.Config{}
-	if err := admin.Decode(w, r, config); err != nil {
+	if err := admin.DecodeJSON(w, r, config); err != nil {
 		return nil, err
 	}
 	return s.Limits.Put(ctx, config)
--- a/internal/controlplane/adminapi/lock.go
+++ b/internal/controlplane/adminapi/lock.go
@@ -93,13 +93,13 @@
 func (s *server) lock(w http.ResponseWriter, r *http.Request) {
 	end, ok := s.locks.begin()
 	if !ok {
-		admin.Fail(w, fmt.Errorf("%d locks are held or waited for at this daemon already", maxLocks))
+		admin.WriteError(w, fmt.Errorf("%d locks are held or waited for at this daemon already", maxLocks))
 		return
 	}
 	defer end()
 	claim, err := parseClaim(r.URL.Query())
 	if err != nil {
-		admin.Fail(w, err)
+		admin.WriteError(w, err)
 		return
 	}
 	stream := newLockStream(w)
@@ -114,10 +114,10 @@
 }
 
 func parseClaim(q url.Values) (leasetask.Claim, error) {
-	slots, slotsErr := admin.Number(q, "slots")
+	slots, slotsErr := admin.ParseNumber(q, "slots")
 	ttl, ttlErr := time.ParseDuration(q.Get("ttl"))
 	if slotsErr != nil || ttlErr != nil {
-		return leasetask.Claim{}, fmt.Errorf("%w: slots %q, ttl %q", admin.ErrBad, q.Get("slots"), q.Get("ttl"))
+		return leasetask.Claim{}, fmt.Errorf("%w: slots %q, ttl %q", admin.ErrBadRequest, q.Get("slots"), q.Get("ttl"))
 	}
 	return leasetask.Claim{
 		Task:  q.Get("task"),
@@ -231,7 +231,7 @@
 
 func (s *server) unlock(_ context.Context, _ http.ResponseWriter, r *http.Request) (any, error) {
 	q := r.URL.Query()
-	token, err := admin.Number(q, "token")
+	token, err := admin.ParseNumber(q, "token")
 	if err != nil {
 		return nil, err
 	}
--- a/internal/controlplane/adminapi/settings.go
+++ b/internal/controlplane/adminapi/settings.go
@@ -28,7 +28,7 @@
 
 func (s *server) changeSettings(ctx context.Context, w http.ResponseWriter, r *http.Request) (any, error) {
 	var request SettingsRequest
-	if err := admin.Decode(w, r, &request); err != nil {
+	if err := admin.DecodeJSON(w, r, &request); err != nil {
 		return nil, err
 	}
 	if request.AbortBy != "" {
@@ -59,7 +59,7 @@
 // notFound marks errors that say that something does not exist.
 func notFound(err error) error {
 	if errors.Is(err, daemon.ErrNoRollout) {
-		return admin.Missing(err)
+		return admin.NotFound(err)
 	}
 	return err
 }
--- a/internal/controlplane/adminapi/tasks.go
+++ b/internal/controlplane/adminapi/tasks.go
@@ -20,14 +20,14 @@
 	name := r.URL.Query().Get("task")
 	tasks, err := s.Tasks.List(ctx, name)
 	if err == nil && name != "" && len(tasks) == 0 {
-		err = admin.Missing(fmt.Errorf("%s: %w", name, leasetask.ErrTaskNotFound))
+		err = admin.NotFound(fmt.Errorf("%s: %w", name, leasetask.ErrTaskNotFound))
 	}
 	return tasks, err
 }
 
 func (s *server) overrideTask(ctx context.Context, w http.ResponseWriter, r *http.Request) (any, error) {
 	var request OverrideRequest
-	if err := admin.Decode(w, r, &request); err != nil {
+	if err := admin.DecodeJSON(w, r, &request); err != nil {
 		return nil, err
 	}
 	if err := s.Tasks.SetOverride(ctx, request.Task, request.TaskOverride); err != nil {
--- a/internal/lab/fleetlab/fleet.go
+++ b/internal/lab/fleetlab/fleet.go
@@ -588,8 +588,8 @@
 	for ctx.Err() == nil {
 		a := f.Daemons[0].Client
 		if !added {
-			_, last = a.Change(ctx, admin.Request{ID: store.RequestID{Client: 1 << 40, Seq: uint64(i)},
-				Add: &store.AddMember{Name: f.Daemons[i].name, Address: f.Daemons[i].peer}})
+			_, last = a.Change(ctx, admin.ChangeRequest{ID: store.RequestID{Client: 1 << 40, Seq: uint64(i)},
+				AddMember: &store.AddMember{Name: f.Daemons[i].name, Address: f.Daemons[i].peer}})
 			added = last == nil
 		}
 		if s, err := a.Status(ctx); err == nil && added && s.MembershipStable && len(s.Peers) == i+1 && s.LeaderID != 0 && s.Level >= store.Level {
--- a/internal/lab/fleetlab/measure.go
+++ b/internal/lab/fleetlab/measure.go
@@ -315,7 +315,7 @@
 			p := serverstate.Process{ID: fmt.Sprintf("far-%05d", i), Addr: fmt.Sprintf("127.0.0.1:%d", 1+i%60000), StartedMs: int64(1 + i)}
 			t.Then = append(t.Then, store.Op{Key: serverstate.ExclusionKey(serverstate.Drain, p.ServerName()), Value: mark})
 		}
-		if _, err := f.Daemons[0].Client.Change(ctx, admin.Request{ID: store.RequestID{Client: 1 << 41, Seq: uint64(at + 1)}, Txn: t}); err != nil {
+		if _, err := f.Daemons[0].Client.Change(ctx, admin.ChangeRequest{ID: store.RequestID{Client: 1 << 41, Seq: uint64(at + 1)}, Txn: t}); err != nil {
 			return r, err
 		}
 	}
--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -216,7 +216,7 @@
 	value, puts := make([]byte, lagBytes), store.DefaultLimits.HistoryBytes/lagBytes*5/4 // more than the replicas keep for watches
 	for i := range puts {
 		wait, cancel := context.WithTimeout(ctx, 30*time.Second)
-		_, err := r.replicas()[int(r.entry.Load())].Client.Change(wait, admin.Request{ID: store.RequestID{Client: 1 << 42, Seq: uint64(i + 1)},
+		_, err := r.replicas()[int(r.entry.Load())].Client.Change(wait, admin.ChangeRequest{ID: store.RequestID{Client: 1 << 42, Seq: uint64(i + 1)},
 			Txn: &store.Txn{Then: []store.Op{{Key: "lab/lag", Value: value}}}})
 		cancel()
 		if err != nil {
@@ -308,7 +308,7 @@
 	}
 	at := time.Now()
 	seq := uint64(0)
-	change := func(q admin.Request) error {
+	change := func(q admin.ChangeRequest) error {
 		for wait := time.Now().Add(time.Minute); ; {
 			seq++
 			q.ID = store.RequestID{Client: 1<<43 + uint64(d.Number), Seq: seq}
@@ -321,7 +321,7 @@
 	}
 	for _, p := range s.Peers {
 		if p.Name == d.Name() {
-			if err := change(admin.Request{Del: p.ID}); err != nil {
+			if err := change(admin.ChangeRequest{RemoveMember: p.ID}); err != nil {
 				return "", at, nil, err
 			}
 		}
@@ -329,7 +329,7 @@
 	if err := d.Start(); err != nil {
 		return "", at, nil, err
 	}
-	if err := change(admin.Request{Add: &store.AddMember{Name: d.Name(), Address: d.Peer()}}); err != nil {
+	if err := change(admin.ChangeRequest{AddMember: &store.AddMember{Name: d.Name(), Address: d.Peer()}}); err != nil {
 		return "", at, nil, err
 	}
 	for ctx.Err() == nil {
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -388,7 +388,7 @@
 	wait, cancel := soon(ctx)
 	defer cancel()
 	r.touched++
-	c, err := r.replicas()[int(r.entry.Load())].Client.Change(wait, admin.Request{ID: store.RequestID{Client: 1 << 41, Seq: r.touched},
+	c, err := r.replicas()[int(r.entry.Load())].Client.Change(wait, admin.ChangeRequest{ID: store.RequestID{Client: 1 << 41, Seq: r.touched},
 		Txn: &store.Txn{Then: []store.Op{{Key: "lab/touched", Value: fmt.Append(nil, r.touched)}}}})
 	return c.Revision, err
 }
--- a/internal/lab/storebench/torture.go
+++ b/internal/lab/storebench/torture.go
@@ -139,7 +139,7 @@
 	added := i == 0
 	for ctx.Err() == nil {
 		if !added {
-			_, err := all[0].client.Change(ctx, admin.Request{ID: store.RequestID{Client: 1 << 40, Seq: uint64(i)}, Add: &store.AddMember{Name: all[i].name, Address: addr}})
+			_, err := all[0].client.Change(ctx, admin.ChangeRequest{ID: store.RequestID{Client: 1 << 40, Seq: uint64(i)}, AddMember: &store.AddMember{Name: all[i].name, Address: addr}})
 			added = err == nil
 		}
 		if s, err := all[0].client.Status(ctx); err == nil && added && s.MembershipStable && len(s.Peers) == i+1 && s.LeaderID != 0 {
@@ -169,7 +169,7 @@
 		key := fmt.Sprintf("w%d", w)
 		wg.Go(func() { // the same request until it is answered: the count never goes back, nor is one left out
 			for n := 1; short.Err() == nil; n++ {
-				q := admin.Request{ID: store.RequestID{Client: uint64(w + 1), Seq: uint64(n)}, Txn: &store.Txn{
+				q := admin.ChangeRequest{ID: store.RequestID{Client: uint64(w + 1), Seq: uint64(n)}, Txn: &store.Txn{
 					Then: []store.Op{{Key: key, Value: strconv.AppendInt(nil, int64(n), 10)}}}}
 				for try := w; ; try++ {
 					c, done := context.WithTimeout(ctx, 3*time.Second)
@@ -260,7 +260,7 @@
 	}
 	wg.Wait()
 	for w, n := range answered {
-		var i admin.Items
+		var i admin.RangeResponse
 		var err error
 		for try := 0; try < 200; try++ {
 			c, done := context.WithTimeout(ctx, 3*time.Second)
--- a/internal/lab/tasklab/history.go
+++ b/internal/lab/tasklab/history.go
@@ -119,7 +119,7 @@
 		if d.Follower() { // its operators may change nothing but by its own parts
 			return "", false
 		}
-		_, err := d.Client.Change(ctx, admin.Request{ID: id, Txn: &store.Txn{Then: []store.Op{{Key: key, Value: []byte(write)}}}})
+		_, err := d.Client.Change(ctx, admin.ChangeRequest{ID: id, Txn: &store.Txn{Then: []store.Op{{Key: key, Value: []byte(write)}}}})
 		return "", err == nil
 	}
 	i, err := d.Client.Range(ctx, url.Values{"key": {key}})
--- a/internal/store/admin/admin.go
+++ b/internal/store/admin/admin.go
@@ -22,87 +22,87 @@
 )
 
 const (
-	bodyMost  = 4 << 20
-	rangeMost = 10000
-	waitMost  = 10 * time.Second // for a request's outcome, unless it says how long
-	waitLimit = 10 * time.Minute
-	watchMost = 64 // watches at once
+	maxBodyBytes   = 4 << 20
+	maxRangeItems  = 10000
+	defaultTimeout = 10 * time.Second // for a request's outcome, unless it says how long
+	maxTimeout     = 10 * time.Minute
+	maxWatches     = 64 // watches at once
 )
 
-// wait bounds a request by the time that it gives itself.
-func wait(r *http.Request) (context.Context, context.CancelFunc, error) {
-	span := waitMost
+// withRequestTimeout bounds a request by the time that it gives itself.
+func withRequestTimeout(r *http.Request) (context.Context, context.CancelFunc, error) {
+	span := defaultTimeout
 	if text := r.URL.Query().Get("timeout"); text != "" {
 		var err error
-		if span, err = time.ParseDuration(text); err != nil || span <= 0 || span > waitLimit {
-			return nil, nil, fmt.Errorf("%w: timeout: %q is not a duration within 0 and %v", ErrBad, text, waitLimit)
+		if span, err = time.ParseDuration(text); err != nil || span <= 0 || span > maxTimeout {
+			return nil, nil, fmt.Errorf("%w: timeout: %q is not a duration within 0 and %v", ErrBadRequest, text, maxTimeout)
 		}
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), span)
 	return ctx, cancel, nil
 }
 
-// handle makes a handler of what answers within the time that the request gives itself.
-func handle(f func(context.Context, http.ResponseWriter, *http.Request) (any, error)) http.HandlerFunc {
+// callHandler makes a handler of what answers within the time that the request gives itself.
+func callHandler(f func(context.Context, http.ResponseWriter, *http.Request) (any, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		ctx, cancel, err := wait(r)
+		ctx, cancel, err := withRequestTimeout(r)
 		if err != nil {
-			Fail(w, err)
+			WriteError(w, err)
 			return
 		}
 		defer cancel()
 		v, err := f(ctx, w, r)
 		if err != nil {
-			Fail(w, err)
+			WriteError(w, err)
 			return
 		}
-		answer(w, http.StatusOK, v)
+		writeJSON(w, http.StatusOK, v)
 	}
 }
 
-// Fault is an error as it is told.
-type Fault struct {
-	Error   string           `json:"error"`
-	Unknown *store.RequestID `json:"unknown,omitempty"` // the change may have been made
-	Oldest  uint64           `json:"oldest,omitempty"`  // of a watch that is compacted
-	NoLease bool             `json:"no_lease,omitempty"`
+// ErrorBody is an error as it is told.
+type ErrorBody struct {
+	Error          string           `json:"error"`
+	OutcomeUnknown *store.RequestID `json:"unknown,omitempty"` // the change may have been made
+	OldestRevision uint64           `json:"oldest,omitempty"`  // of a watch that is compacted
+	LeaseNotFound  bool             `json:"no_lease,omitempty"`
 }
 
-// Items answers a read.
-type Items struct {
-	Items []store.Item   `json:"items"`
-	More  bool           `json:"more,omitempty"`
-	Age   engine.CopyAge `json:"copy"`
-	Stale bool           `json:"stale"` // was asked for
+// RangeResponse answers a read.
+type RangeResponse struct {
+	Items   []store.Item   `json:"items"`
+	More    bool           `json:"more,omitempty"`
+	CopyAge engine.CopyAge `json:"copy"`
+	Stale   bool           `json:"stale"` // was asked for
 }
 
-// Change answers a change.
-type Change struct {
-	Revision uint64 `json:"revision"`
-	Held     bool   `json:"held"`
-	Member   uint64 `json:"member,omitempty"`
-	Lease    uint64 `json:"lease,omitempty"`
+// ChangeResponse answers a change.
+type ChangeResponse struct {
+	Revision  uint64 `json:"revision"`
+	Succeeded bool   `json:"held"`
+	MemberID  uint64 `json:"member,omitempty"`
+	LeaseID   uint64 `json:"lease,omitempty"`
 }
 
-// Request asks for a change. A request that is sent again with the same id is done once.
-type Request struct {
-	ID  store.RequestID  `json:"id"`
-	Txn *store.Txn       `json:"txn,omitempty"`
-	Add *store.AddMember `json:"add,omitempty"`
-	Del uint64           `json:"remove,omitempty"`
+// ChangeRequest asks for a change. A request that is sent again with the same id is done once.
+type ChangeRequest struct {
+	ID           store.RequestID  `json:"id"`
+	Txn          *store.Txn       `json:"txn,omitempty"`
+	AddMember    *store.AddMember `json:"add,omitempty"`
+	RemoveMember uint64           `json:"remove,omitempty"`
 
-	Grant uint64 `json:"grant,omitempty"` // a lease, of so many milliseconds
-	Renew uint64 `json:"renew,omitempty"` // this lease
-	End   uint64 `json:"end,omitempty"`   // this lease, and its keys with it
-	Owner string `json:"owner,omitempty"` // of the lease
+	GrantMillis uint64 `json:"grant,omitempty"` // a lease, of so many milliseconds
+	RenewLease  uint64 `json:"renew,omitempty"` // this lease
+	RevokeLease uint64 `json:"end,omitempty"`   // this lease, and its keys with it
+	Owner       string `json:"owner,omitempty"` // of the lease
 }
 
-// Lease is one as operators see it.
-type Lease struct {
-	ID    uint64   `json:"id"`
-	TTLms uint64   `json:"ttl_ms"`
-	Owner string   `json:"owner,omitempty"` // the daemon that alone renews it
-	Keys  []string `json:"keys"`
+// LeaseInfo is one as operators see it.
+type LeaseInfo struct {
+	ID        uint64   `json:"id"`
+	TTLMillis uint64   `json:"ttl_ms"`
+	Owner     string   `json:"owner,omitempty"` // the daemon that alone renews it
+	Keys      []string `json:"keys"`
 }
 
 // Store is what a Server shows: a replica, or the copy of a daemon that has none.
@@ -117,29 +117,29 @@
 
 // Config says what a Server answers.
 type Config struct {
-	Store  Store
-	Status func(engine.Status) any // what it says of itself; nil: how the store stands
-	Calls  func(*Mux)              // adds what others answer at the same socket; nil: nothing
+	Store         Store
+	Status        func(engine.Status) any // what it says of itself; nil: how the store stands
+	RegisterCalls func(*Mux)              // adds what others answer at the same socket; nil: nothing
 }
 
 // Server answers operators.
 type Server struct {
-	cfg     Config
-	http    *http.Server
-	ln      net.Listener
-	watches chan struct{}
+	cfg        Config
+	http       *http.Server
+	listener   net.Listener
+	watchSlots chan struct{}
 }
 
 // Mux is what a server answers, by method and path.
-type Mux struct{ m *http.ServeMux }
+type Mux struct{ mux *http.ServeMux }
 
-// Call adds an answer of JSON, or a Fault, within the time that the request gives itself.
-func (m *Mux) Call(pattern string, f func(context.Context, http.ResponseWriter, *http.Request) (any, error)) {
-	m.m.HandleFunc(pattern, handle(f))
+// HandleCall adds an answer of JSON, or a Fault, within the time that the request gives itself.
+func (m *Mux) HandleCall(pattern string, f func(context.Context, http.ResponseWriter, *http.Request) (any, error)) {
+	m.mux.HandleFunc(pattern, callHandler(f))
 }
 
-// Stream adds what lasts for as long as its connection.
-func (m *Mux) Stream(pattern string, f http.HandlerFunc) { m.m.HandleFunc(pattern, f) }
+// HandleStream adds what lasts for as long as its connection.
+func (m *Mux) HandleStream(pattern string, f http.HandlerFunc) { m.mux.HandleFunc(pattern, f) }
 
 // Listen makes the socket and serves it. A socket that a process that is gone left behind is replaced.
 func Listen(path string, c Config) (*Server, error) {
@@ -160,19 +160,19 @@
 	if c.Status == nil {
 		c.Status = func(st engine.Status) any { return st }
 	}
-	s := &Server{cfg: c, ln: ln, watches: make(chan struct{}, watchMost)}
+	s := &Server{cfg: c, listener: ln, watchSlots: make(chan struct{}, maxWatches)}
 	m := &Mux{http.NewServeMux()}
-	m.Call("GET /v1/status", s.status)
-	m.Call("GET /v1/range", s.read)
-	m.Stream("GET /v1/watch", s.watch)
-	m.Stream("GET /v1/snapshot", s.save)
-	m.Call("POST /v1/change", s.change)
-	m.Call("POST /v1/handover", s.handOver)
-	m.Call("GET /v1/leases", s.leases)
-	if c.Calls != nil {
-		c.Calls(m)
-	}
-	s.http = &http.Server{Handler: m.m, ReadHeaderTimeout: 5 * time.Second, MaxHeaderBytes: 16 << 10}
+	m.HandleCall("GET /v1/status", s.status)
+	m.HandleCall("GET /v1/range", s.readRange)
+	m.HandleStream("GET /v1/watch", s.watch)
+	m.HandleStream("GET /v1/snapshot", s.snapshot)
+	m.HandleCall("POST /v1/change", s.change)
+	m.HandleCall("POST /v1/handover", s.transferLeadership)
+	m.HandleCall("GET /v1/leases", s.leases)
+	if c.RegisterCalls != nil {
+		c.RegisterCalls(m)
+	}
+	s.http = &http.Server{Handler: m.mux, ReadHeaderTimeout: 5 * time.Second, MaxHeaderBytes: 16 << 10}
 	go s.http.Serve(ln)
 	return s, nil
 }
@@ -180,74 +180,74 @@
 // Close ends all requests.
 func (s *Server) Close() error { return s.http.Close() }
 
-func answer(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// Fail answers with a Fault.
-func Fail(w http.ResponseWriter, err error) {
-	f, status := Fault{Error: err.Error()}, http.StatusServiceUnavailable
+// WriteError answers with a Fault.
+func WriteError(w http.ResponseWriter, err error) {
+	f, status := ErrorBody{Error: err.Error()}, http.StatusServiceUnavailable
 	var unknown *engine.UnknownError
 	var gone *store.CompactedError
 	switch {
 	case errors.As(err, &unknown):
-		f.Unknown, status = &unknown.ID, http.StatusGatewayTimeout
+		f.OutcomeUnknown, status = &unknown.ID, http.StatusGatewayTimeout
 	case errors.As(err, &gone):
-		f.Oldest, status = gone.Oldest, http.StatusGone
-	case errors.Is(err, store.ErrTooLarge), errors.Is(err, store.ErrBadKey), errors.Is(err, ErrBad):
+		f.OldestRevision, status = gone.Oldest, http.StatusGone
+	case errors.Is(err, store.ErrTooLarge), errors.Is(err, store.ErrBadKey), errors.Is(err, ErrBadRequest):
 		status = http.StatusBadRequest
 	case errors.Is(err, store.ErrLevel):
 		status = http.StatusPreconditionFailed
 	case errors.Is(err, store.ErrFull):
 		status = http.StatusInsufficientStorage
 	case errors.Is(err, store.ErrUnknownMember), errors.Is(err, store.ErrLeaseNotFound), errors.Is(err, store.ErrRequestExpired):
-		status, f.NoLease = http.StatusConflict, errors.Is(err, store.ErrLeaseNotFound)
-	case errors.As(err, new(missing)):
+		status, f.LeaseNotFound = http.StatusConflict, errors.Is(err, store.ErrLeaseNotFound)
+	case errors.As(err, new(notFoundError)):
 		status = http.StatusNotFound
 	case errors.As(err, new(*store.NotHeldError)):
 		status = http.StatusMisdirectedRequest
 	case errors.Is(err, replica.ErrNoLeader):
 		w.Header().Set("Retry-After", "1")
 	}
-	answer(w, status, f)
+	writeJSON(w, status, f)
 }
 
-// missing is an error of something that is not there.
-type missing struct{ error }
+// notFoundError is an error of something that is not there.
+type notFoundError struct{ error }
 
-func (m missing) Unwrap() error { return m.error }
+func (m notFoundError) Unwrap() error { return m.error }
 
-// Missing marks an error as one of something that is not there, unless there is none.
-func Missing(err error) error {
+// NotFound marks an error as one of something that is not there, unless there is none.
+func NotFound(err error) error {
 	if err == nil {
 		return nil
 	}
-	return missing{err}
+	return notFoundError{err}
 }
 
-// ErrBad says that a request is wrong in itself.
-var ErrBad = errors.New("bad request")
+// ErrBadRequest says that a request is wrong in itself.
+var ErrBadRequest = errors.New("bad request")
 
-// Decode reads a body of bounded length; an unknown key is an error.
-func Decode(w http.ResponseWriter, r *http.Request, v any) error {
-	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, bodyMost))
+// DecodeJSON reads a body of bounded length; an unknown key is an error.
+func DecodeJSON(w http.ResponseWriter, r *http.Request, v any) error {
+	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	d.DisallowUnknownFields()
 	if err := d.Decode(v); err != nil {
-		return fmt.Errorf("%w: byte %d: %w", ErrBad, d.InputOffset(), err)
+		return fmt.Errorf("%w: byte %d: %w", ErrBadRequest, d.InputOffset(), err)
 	}
 	return nil
 }
 
-// Number reads a parameter; one that is not there is 0.
-func Number(q url.Values, key string) (uint64, error) {
+// ParseNumber reads a parameter; one that is not there is 0.
+func ParseNumber(q url.Values, key string) (uint64, error) {
 	if q.Get(key) == "" {
 		return 0, nil
 	}
 	v, err := strconv.ParseUint(q.Get(key), 10, 64)
 	if err != nil {
-		return 0, fmt.Errorf("%w: %s: %q is not a number", ErrBad, key, q.Get(key))
+		return 0, fmt.Errorf("%w: %s: %q is not a number", ErrBadRequest, key, q.Get(key))
 	}
 	return v, nil
 }
@@ -260,14 +260,14 @@
 	return s.cfg.Status(st), nil
 }
 
-func (s *Server) read(ctx context.Context, w http.ResponseWriter, r *http.Request) (any, error) {
+func (s *Server) readRange(ctx context.Context, w http.ResponseWriter, r *http.Request) (any, error) {
 	q := r.URL.Query()
-	limit, err := Number(q, "limit")
+	limit, err := ParseNumber(q, "limit")
 	if err != nil {
 		return nil, err
 	}
-	if limit == 0 || limit > rangeMost {
-		limit = rangeMost
+	if limit == 0 || limit > maxRangeItems {
+		limit = maxRangeItems
 	}
 	from, end := q.Get("from"), q.Get("end")
 	if q.Has("prefix") {
@@ -276,8 +276,8 @@
 	if q.Has("key") {
 		from, end = q.Get("key"), q.Get("key")+"\x00"
 	}
-	out := Items{Items: []store.Item{}, Stale: q.Get("stale") == "true"}
-	out.Age, err = s.cfg.Store.View(ctx, out.Stale, func(st *store.State) {
+	out := RangeResponse{Items: []store.Item{}, Stale: q.Get("stale") == "true"}
+	out.CopyAge, err = s.cfg.Store.View(ctx, out.Stale, func(st *store.State) {
 		out.Items, out.More = []store.Item{}, false
 		st.Range(from, end, func(i store.Item) bool {
 			if out.More = uint64(len(out.Items)) == limit; out.More {
@@ -294,8 +294,8 @@
 }
 
 func (s *Server) change(ctx context.Context, w http.ResponseWriter, r *http.Request) (any, error) {
-	var q Request
-	if err := Decode(w, r, &q); err != nil {
+	var q ChangeRequest
+	if err := DecodeJSON(w, r, &q); err != nil {
 		return nil, err
 	}
 	c := q.command()
@@ -306,49 +306,49 @@
 		}
 	}
 	if set != 1 {
-		return nil, fmt.Errorf("%w: one of txn, add, remove, grant, renew and end", ErrBad)
+		return nil, fmt.Errorf("%w: one of txn, add, remove, grant, renew and end", ErrBadRequest)
 	}
 	if c.AddMember != nil {
 		if err := keys.CheckName(c.AddMember.Name); err != nil {
-			return nil, fmt.Errorf("%w: %w", ErrBad, err)
+			return nil, fmt.Errorf("%w: %w", ErrBadRequest, err)
 		}
 		if _, _, err := net.SplitHostPort(c.AddMember.Address); err != nil {
-			return nil, fmt.Errorf("%w: address: %w", ErrBad, err)
+			return nil, fmt.Errorf("%w: address: %w", ErrBadRequest, err)
 		}
 	}
 	res, err := s.cfg.Store.Do(ctx, c)
 	if err != nil {
 		return nil, err
 	}
-	return Change{Revision: res.Revision, Held: res.Succeeded, Member: res.MemberID, Lease: res.LeaseID}, nil
+	return ChangeResponse{Revision: res.Revision, Succeeded: res.Succeeded, MemberID: res.MemberID, LeaseID: res.LeaseID}, nil
 }
 
 // command is what a request asks for.
-func (q *Request) command() store.Command {
-	c := store.Command{ID: q.ID, Txn: q.Txn, AddMember: q.Add}
-	if q.Del != 0 {
-		c.RemoveMember = &store.RemoveMember{MemberID: q.Del}
+func (q *ChangeRequest) command() store.Command {
+	c := store.Command{ID: q.ID, Txn: q.Txn, AddMember: q.AddMember}
+	if q.RemoveMember != 0 {
+		c.RemoveMember = &store.RemoveMember{MemberID: q.RemoveMember}
 	}
-	if q.Grant != 0 {
-		c.GrantLease = &store.GrantLease{TTLMillis: q.Grant, Owner: q.Owner}
+	if q.GrantMillis != 0 {
+		c.GrantLease = &store.GrantLease{TTLMillis: q.GrantMillis, Owner: q.Owner}
 	}
-	if q.Renew != 0 {
-		c.RenewLease = &store.RenewLease{LeaseID: q.Renew, Owner: q.Owner}
+	if q.RenewLease != 0 {
+		c.RenewLease = &store.RenewLease{LeaseID: q.RenewLease, Owner: q.Owner}
 	}
-	if q.End != 0 {
-		c.RevokeLease = &store.RevokeLease{LeaseID: q.End, Owner: q.Owner}
+	if q.RevokeLease != 0 {
+		c.RevokeLease = &store.RevokeLease{LeaseID: q.RevokeLease, Owner: q.Owner}
 	}
 	return c
 }
 
 func (s *Server) leases(ctx context.Context, w http.ResponseWriter, r *http.Request) (any, error) {
-	all := []Lease{}
+	all := []LeaseInfo{}
 	if _, err := s.cfg.Store.View(ctx, false, func(st *store.State) {
 		at := map[uint64]int{}
-		all = []Lease{}
+		all = []LeaseInfo{}
 		for _, l := range st.Leases() {
 			at[l.ID] = len(all)
-			all = append(all, Lease{ID: l.ID, TTLms: l.TTLMillis, Owner: l.Owner, Keys: []string{}})
+			all = append(all, LeaseInfo{ID: l.ID, TTLMillis: l.TTLMillis, Owner: l.Owner, Keys: []string{}})
 		}
 		st.Range("", "", func(i store.Item) bool {
 			if n, ok := at[i.LeaseID]; ok && i.LeaseID != 0 {
@@ -362,7 +362,7 @@
 	return all, nil
 }
 
-func (s *Server) handOver(ctx context.Context, w http.ResponseWriter, r *http.Request) (any, error) {
+func (s *Server) transferLeadership(ctx context.Context, w http.ResponseWriter, r *http.Request) (any, error) {
 	if err := s.cfg.Store.TransferLeadership(ctx); err != nil {
 		return nil, err
 	}
@@ -372,21 +372,21 @@
 // watch sends events as lines of JSON for as long as the connection lasts.
 func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
 	select {
-	case s.watches <- struct{}{}:
-		defer func() { <-s.watches }()
+	case s.watchSlots <- struct{}{}:
+		defer func() { <-s.watchSlots }()
 	default:
-		Fail(w, replica.ErrBusy)
+		WriteError(w, replica.ErrBusy)
 		return
 	}
-	after, err := Number(r.URL.Query(), "after")
+	after, err := ParseNumber(r.URL.Query(), "after")
 	if err != nil {
-		Fail(w, err)
+		WriteError(w, err)
 		return
 	}
 	if !r.URL.Query().Has("after") { // from now on
 		a, err := s.cfg.Store.View(r.Context(), false, func(*store.State) {})
 		if err != nil {
-			Fail(w, err)
+			WriteError(w, err)
 			return
 		}
 		after = a.Revision
@@ -398,12 +398,12 @@
 		events, to, err := s.cfg.Store.Next(r.Context(), r.URL.Query().Get("prefix"), after, 256)
 		if err != nil {
 			if !begun {
-				Fail(w, err)
+				WriteError(w, err)
 			} else if r.Context().Err() == nil {
-				f := Fault{Error: err.Error()}
+				f := ErrorBody{Error: err.Error()}
 				var gone *store.CompactedError
 				if errors.As(err, &gone) {
-					f.Oldest = gone.Oldest
+					f.OldestRevision = gone.Oldest
 				}
 				_ = enc.Encode(f)
 			}
@@ -412,7 +412,7 @@
 		begun, after = true, to
 		for i := range events {
 			// A reader that does not read is cut off, and comes back from where it was.
-			_ = c.SetWriteDeadline(time.Now().Add(waitMost))
+			_ = c.SetWriteDeadline(time.Now().Add(defaultTimeout))
 			if enc.Encode(&events[i]) != nil {
 				return
 			}
@@ -423,10 +423,10 @@
 	}
 }
 
-func (s *Server) save(w http.ResponseWriter, r *http.Request) {
+func (s *Server) snapshot(w http.ResponseWriter, r *http.Request) {
 	st, err := s.cfg.Store.Save(r.Context())
 	if err != nil {
-		Fail(w, err)
+		WriteError(w, err)
 		return
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
@@ -450,13 +450,13 @@
 	}}}}
 }
 
-// Error is what a Server answered in place of an answer.
-type Error struct {
+// ResponseError is what a Server answered in place of an answer.
+type ResponseError struct {
 	Status int
-	Fault
+	ErrorBody
 }
 
-func (e *Error) Error() string { return e.Fault.Error }
+func (e *ResponseError) Error() string { return e.ErrorBody.Error }
 
 // Do asks, and returns what answers well; it is to be closed.
 func (c *Client) Do(ctx context.Context, method, path string, q url.Values, body io.Reader) (*http.Response, error) {
@@ -477,8 +477,8 @@
 		return a, nil
 	}
 	defer a.Body.Close()
-	e := &Error{Status: a.StatusCode}
-	if err := json.NewDecoder(io.LimitReader(a.Body, bodyMost)).Decode(&e.Fault); err != nil {
+	e := &ResponseError{Status: a.StatusCode}
+	if err := json.NewDecoder(io.LimitReader(a.Body, maxBodyBytes)).Decode(&e.ErrorBody); err != nil {
 		return nil, fmt.Errorf("the store answered %s", a.Status)
 	}
 	return nil, e
@@ -506,27 +506,27 @@
 }
 
 // Range reads keys; the query is of /v1/range.
-func (c *Client) Range(ctx context.Context, q url.Values) (i Items, err error) {
+func (c *Client) Range(ctx context.Context, q url.Values) (i RangeResponse, err error) {
 	return i, c.Call(ctx, "GET", "/v1/range", q, nil, &i)
 }
 
 // Change asks for a change.
-func (c *Client) Change(ctx context.Context, r Request) (x Change, err error) {
+func (c *Client) Change(ctx context.Context, r ChangeRequest) (x ChangeResponse, err error) {
 	return x, c.Call(ctx, "POST", "/v1/change", nil, r, &x)
 }
 
 // Leases lists all leases and their keys.
-func (c *Client) Leases(ctx context.Context) (all []Lease, err error) {
+func (c *Client) Leases(ctx context.Context) (all []LeaseInfo, err error) {
 	return all, c.Call(ctx, "GET", "/v1/leases", nil, nil, &all)
 }
 
-// HandOver gives leadership away, if the replica has it.
-func (c *Client) HandOver(ctx context.Context) error {
+// TransferLeadership gives leadership away, if the replica has it.
+func (c *Client) TransferLeadership(ctx context.Context) error {
 	return c.Call(ctx, "POST", "/v1/handover", nil, nil, &struct{}{})
 }
 
-// Save writes the state, and says at which revision.
-func (c *Client) Save(ctx context.Context, w io.Writer) (string, error) {
+// SaveSnapshot writes the state, and says at which revision.
+func (c *Client) SaveSnapshot(ctx context.Context, w io.Writer) (string, error) {
 	a, err := c.Do(ctx, "GET", "/v1/snapshot", nil, nil)
 	if err != nil {
 		return "", err
@@ -547,13 +547,13 @@
 	for {
 		var line struct {
 			store.Event
-			Fault
+			ErrorBody
 		}
 		if err := d.Decode(&line); err != nil {
 			return err
 		}
-		if line.Fault.Error != "" {
-			return &Error{Status: http.StatusGone, Fault: line.Fault}
+		if line.ErrorBody.Error != "" {
+			return &ResponseError{Status: http.StatusGone, ErrorBody: line.ErrorBody}
 		}
 		if err := f(line.Event); err != nil {
 			return err
--- a/internal/store/admin/admin_test.go
+++ b/internal/store/admin/admin_test.go
@@ -20,8 +20,8 @@
 	"birchmoor/internal/store/serverstate"
 )
 
-// one is a replica alone with its socket, and where followers reach it.
-func one(t *testing.T) (c *Client, e *engine.Engine, outer string) {
+// startReplica is a replica alone with its socket, and where followers reach it.
+func startReplica(t *testing.T) (c *Client, e *engine.Engine, outer string) {
 	t.Helper()
 	cfg := engine.Config{Name: "a", Dir: t.TempDir(), TickInterval: 5 * time.Millisecond, DiskOptions: disk.Options{NoSync: true},
 		Limits: store.Limits{KeyBytes: 64, ValueBytes: 256, TotalBytes: 1 << 20, TxnOps: 8, HistoryEvents: 20, HistoryBytes: 1 << 16, Leases: 4, Results: 100, Members: 3}}
@@ -38,7 +38,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o, err := ServeFollowers(ln, e, Rules{May: may, Ages: func() map[string]time.Duration { return nil }}, nil)
+	o, err := ServeFollowers(ln, e, FollowerConfig{Allowed: ownKeysAllowed, SnapshotAges: func() map[string]time.Duration { return nil }}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,13 +46,13 @@
 	return Dial(path), e, "http://" + ln.Addr().String()
 }
 
-func put(key, value string) Request {
-	return Request{ID: store.RequestID{Client: 9, Seq: uint64(time.Now().UnixNano())}, Txn: &store.Txn{Then: []store.Op{{Key: key, Value: []byte(value)}}}}
+func put(key, value string) ChangeRequest {
+	return ChangeRequest{ID: store.RequestID{Client: 9, Seq: uint64(time.Now().UnixNano())}, Txn: &store.Txn{Then: []store.Op{{Key: key, Value: []byte(value)}}}}
 }
 
 // What operators say wrongly is told apart from what the store cannot do, and changes nothing.
-func TestWrongRequestsChangeNothing(t *testing.T) {
-	c, e, outer := one(t)
+func TestRejectedRequestsChangeNothing(t *testing.T) {
+	c, e, outer := startReplica(t)
 	ctx := t.Context()
 	if _, err := c.Change(ctx, put("k", "v")); err != nil {
 		t.Fatal(err)
@@ -66,20 +66,20 @@
 	}
 	before := revision()
 	for what, tc := range map[string]struct {
-		r    Request
+		r    ChangeRequest
 		want int
 	}{
-		"nothing to do":      {Request{}, http.StatusBadRequest},
-		"two things":         {Request{Txn: &store.Txn{}, Grant: 5}, http.StatusBadRequest},
+		"nothing to do":      {ChangeRequest{}, http.StatusBadRequest},
+		"two things":         {ChangeRequest{Txn: &store.Txn{}, GrantMillis: 5}, http.StatusBadRequest},
 		"a key too long":     {put(string(bytes.Repeat([]byte("k"), 65)), "v"), http.StatusBadRequest},
 		"a value too long":   {put("k", string(make([]byte, 257))), http.StatusBadRequest},
-		"a name that is no":  {Request{Add: &store.AddMember{Name: "no name", Address: "127.0.0.1:1"}}, http.StatusBadRequest},
-		"an address of none": {Request{Add: &store.AddMember{Name: "b", Address: "nowhere"}}, http.StatusBadRequest},
-		"a lease of nobody":  {Request{Renew: 77}, http.StatusConflict},
-		"the last member":    {Request{Del: 1}, http.StatusConflict},
+		"a name that is no":  {ChangeRequest{AddMember: &store.AddMember{Name: "no name", Address: "127.0.0.1:1"}}, http.StatusBadRequest},
+		"an address of none": {ChangeRequest{AddMember: &store.AddMember{Name: "b", Address: "nowhere"}}, http.StatusBadRequest},
+		"a lease of nobody":  {ChangeRequest{RenewLease: 77}, http.StatusConflict},
+		"the last member":    {ChangeRequest{RemoveMember: 1}, http.StatusConflict},
 	} {
-		var told *Error
-		if _, err := c.Change(ctx, tc.r); !errors.As(err, &told) || told.Status != tc.want || told.Unknown != nil {
+		var told *ResponseError
+		if _, err := c.Change(ctx, tc.r); !errors.As(err, &told) || told.Status != tc.want || told.OutcomeUnknown != nil {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
@@ -119,8 +119,8 @@
 
 // A stream of a follower begins with a beat that names the cluster, has each change once and in order, and says so when it
 // begins before what the history keeps.
-func TestAFollowersStream(t *testing.T) {
-	c, _, outer := one(t)
+func TestFollowerStreamSendsEachChangeOnce(t *testing.T) {
+	c, _, outer := startReplica(t)
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	stream := func(after uint64) *json.Decoder {
@@ -134,8 +134,8 @@
 	}
 	key := serverstate.ExclusionKey(serverstate.AdminDrain, "s")
 	d := stream(0)
-	var l Line
-	if err := d.Decode(&l); err != nil || l.Beat == nil || l.Beat.Cluster == 0 {
+	var l StreamLine
+	if err := d.Decode(&l); err != nil || l.Heartbeat == nil || l.Heartbeat.Cluster == 0 {
 		t.Fatalf("%+v %v", l, err)
 	}
 	for range 15 {
@@ -144,7 +144,7 @@
 		}
 	}
 	for last := uint64(0); last < 15; {
-		l = Line{}
+		l = StreamLine{}
 		if err := d.Decode(&l); err != nil {
 			t.Fatal(err)
 		}
@@ -162,11 +162,11 @@
 		}
 	}
 	for d := stream(1); ; {
-		l = Line{}
+		l = StreamLine{}
 		if err := d.Decode(&l); err != nil {
 			t.Fatal(err)
 		}
-		if l.Fault != nil && l.Fault.Oldest > 1 {
+		if l.Error != nil && l.Error.OldestRevision > 1 {
 			break
 		}
 		if l.Event != nil {
--- a/internal/store/admin/wire_test.go
+++ b/internal/store/admin/wire_test.go
@@ -34,28 +34,28 @@
 		Owner:     "daemon-a",
 	}
 	messages := map[string]any{
-		"fault": &Fault{Error: "what went wrong", Unknown: &id, Oldest: 12, NoLease: true},
-		"items": &Items{
+		"fault": &ErrorBody{Error: "what went wrong", OutcomeUnknown: &id, OldestRevision: 12, LeaseNotFound: true},
+		"items": &RangeResponse{
 			Items: []store.Item{item}, More: true, Stale: true,
-			Age: engine.CopyAge{Revision: 9, Confirmed: true, Age: age, Stale: true},
+			CopyAge: engine.CopyAge{Revision: 9, Confirmed: true, Age: age, Stale: true},
 		},
-		"change":         &Change{Revision: 9, Held: true, Member: 2, Lease: 5},
-		"request txn":    &Request{ID: id, Txn: txn},
-		"request add":    &Request{ID: id, Add: &store.AddMember{Name: "b", Address: "127.0.0.1:1"}},
-		"request remove": &Request{ID: id, Del: 2},
-		"request grant":  &Request{ID: id, Grant: 5000, Owner: "daemon-a"},
-		"request renew":  &Request{ID: id, Renew: 5, Owner: "daemon-a"},
-		"request end":    &Request{ID: id, End: 5, Owner: "daemon-a"},
-		"lease":          &Lease{ID: 5, TTLms: 5000, Owner: "daemon-a", Keys: []string{"k/1"}},
-		"line event":     &Line{Event: &put},
-		"line deletion":  &Line{Event: &deletion},
-		"line events":    &Line{Events: []store.Event{put, deletion}, Through: 4},
-		"line through":   &Line{Through: 6},
-		"line fault":     &Line{Fault: &Fault{Error: "compacted", Oldest: 12}},
-		"line beat": &Line{Beat: &Beat{
-			Cluster: 11, Revision: 9, Proved: true, Age: age,
-			Ages: []KeyAge{{Key: "known/h/", Age: time.Second}},
-			Sums: map[string]store.PrefixSize{"known/": {Keys: 3, Bytes: 40}},
+		"change":         &ChangeResponse{Revision: 9, Succeeded: true, MemberID: 2, LeaseID: 5},
+		"request txn":    &ChangeRequest{ID: id, Txn: txn},
+		"request add":    &ChangeRequest{ID: id, AddMember: &store.AddMember{Name: "b", Address: "127.0.0.1:1"}},
+		"request remove": &ChangeRequest{ID: id, RemoveMember: 2},
+		"request grant":  &ChangeRequest{ID: id, GrantMillis: 5000, Owner: "daemon-a"},
+		"request renew":  &ChangeRequest{ID: id, RenewLease: 5, Owner: "daemon-a"},
+		"request end":    &ChangeRequest{ID: id, RevokeLease: 5, Owner: "daemon-a"},
+		"lease":          &LeaseInfo{ID: 5, TTLMillis: 5000, Owner: "daemon-a", Keys: []string{"k/1"}},
+		"line event":     &StreamLine{Event: &put},
+		"line deletion":  &StreamLine{Event: &deletion},
+		"line events":    &StreamLine{Events: []store.Event{put, deletion}, Through: 4},
+		"line through":   &StreamLine{Through: 6},
+		"line fault":     &StreamLine{Error: &ErrorBody{Error: "compacted", OldestRevision: 12}},
+		"line beat": &StreamLine{Heartbeat: &Heartbeat{
+			Cluster: 11, Revision: 9, Confirmed: true, Age: age,
+			Ages:        []KeyAge{{Key: "known/h/", Age: time.Second}},
+			PrefixSizes: map[string]store.PrefixSize{"known/": {Keys: 3, Bytes: 40}},
 		}},
 	}
 	golden, err := os.ReadFile("testdata/messages.golden")
@@ -98,17 +98,17 @@
 		{&store.CompactedError{Oldest: 12}, http.StatusGone, `{"oldest":12}`},
 		{store.ErrTooLarge, http.StatusBadRequest, `{}`},
 		{store.ErrBadKey, http.StatusBadRequest, `{}`},
-		{ErrBad, http.StatusBadRequest, `{}`},
+		{ErrBadRequest, http.StatusBadRequest, `{}`},
 		{store.ErrLevel, http.StatusPreconditionFailed, `{}`},
 		{store.ErrFull, http.StatusInsufficientStorage, `{}`},
 		{store.ErrUnknownMember, http.StatusConflict, `{}`},
 		{store.ErrLeaseNotFound, http.StatusConflict, `{"no_lease":true}`},
 		{store.ErrRequestExpired, http.StatusConflict, `{}`},
-		{Missing(errors.New("no such thing")), http.StatusNotFound, `{}`},
+		{NotFound(errors.New("no such thing")), http.StatusNotFound, `{}`},
 		{&store.NotHeldError{}, http.StatusMisdirectedRequest, `{}`},
 	} {
 		w := httptest.NewRecorder()
-		Fail(w, c.err)
+		WriteError(w, c.err)
 		wantRetry := ""
 		if errors.Is(c.err, replica.ErrNoLeader) {
 			wantRetry = "1"
@@ -136,7 +136,7 @@
 
 // TestPathsAreFrozen checks that operators and followers find each call where earlier builds look for it.
 func TestPathsAreFrozen(t *testing.T) {
-	c, _, outer := one(t)
+	c, _, outer := startReplica(t)
 	exists := func(client *http.Client, base, call string) {
 		method, path, _ := strings.Cut(call, " ")
 		r, err := http.NewRequestWithContext(t.Context(), method, base+path, strings.NewReader("{"))
@@ -161,7 +161,7 @@
 	for _, call := range []string{"GET /v1/copy", "GET /v1/follow?after=x", "GET /v1/revision", "POST /v1/change"} {
 		exists(http.DefaultClient, outer, call)
 	}
-	if Scoped != "Store-Scoped" {
-		t.Error(Scoped)
+	if ScopedHeader != "Store-Scoped" {
+		t.Error(ScopedHeader)
 	}
 }
--- a/internal/store/follower/follow.go
+++ b/internal/store/follower/follow.go
@@ -316,7 +316,7 @@
 	ctx, cancel := context.WithCancel(f.ctx)
 	defer cancel()
 	defer until(rescope, cancel)()
-	q := admin.Query(ask.Interest)
+	q := admin.InterestQuery(ask.Interest)
 	q.Set("after", strconv.FormatUint(ask.After, 10))
 	if ask.Interest != nil {
 		q["sum"] = sums
@@ -340,7 +340,7 @@
 		f.cfg.Meter.Count(usage.Heartbeats, usage.In, 1, int(max(0, a.ContentLength)))
 		return false, fmt.Errorf("%w: %s", errBehind, a.Status)
 	}
-	scoped := a.Header.Get(admin.Scoped) != ""
+	scoped := a.Header.Get(admin.ScopedHeader) != ""
 	if ask.Interest != nil {
 		f.mu.Lock()
 		anew, fetch := f.copy.StreamOpened(scoped)
@@ -359,7 +359,7 @@
 	lines.Buffer(make([]byte, 0, 4<<10), lineMost)
 	for lines.Scan() {
 		silence.Reset(silentFor)
-		var l admin.Line
+		var l admin.StreamLine
 		if err := json.Unmarshal(lines.Bytes(), &l); err != nil {
 			return heard, fmt.Errorf("%w: %w", errBehind, err)
 		}
@@ -371,23 +371,23 @@
 			of = f.cfg.Meter.KeyPurpose(l.Events[0].Item.Key)
 		}
 		f.cfg.Meter.Count(of, usage.In, 1, len(lines.Bytes())+len("\n"))
-		if l.Fault != nil && l.Fault.Oldest > 0 {
+		if l.Error != nil && l.Error.OldestRevision > 0 {
 			return heard, f.fetch(at, ask.Interest)
 		}
-		if l.Fault != nil {
-			return heard, fmt.Errorf("%w: %s", errBehind, l.Fault.Error)
+		if l.Error != nil {
+			return heard, fmt.Errorf("%w: %s", errBehind, l.Error.Error)
 		}
-		if l.Beat != nil && l.Beat.Cluster != cluster {
-			return heard, fmt.Errorf("%w: it is of cluster %x, and this copy of %x", errBehind, l.Beat.Cluster, cluster)
+		if l.Heartbeat != nil && l.Heartbeat.Cluster != cluster {
+			return heard, fmt.Errorf("%w: it is of cluster %x, and this copy of %x", errBehind, l.Heartbeat.Cluster, cluster)
 		}
 		if err := f.line(&l); err != nil {
 			return heard, err
 		}
-		if l.Beat != nil {
+		if l.Heartbeat != nil {
 			heard = true
-			f.beat(at, l.Beat)
+			f.beat(at, l.Heartbeat)
 			// One that is cut off from the quorum tells nothing new: another may.
-			if (!l.Beat.Proved || l.Beat.Age > staleAfter) && len(f.cfg.Replicas) > 1 {
+			if (!l.Heartbeat.Confirmed || l.Heartbeat.Age > staleAfter) && len(f.cfg.Replicas) > 1 {
 				return false, fmt.Errorf("%w: no quorum confirms its copy", errBehind)
 			}
 		}
@@ -419,7 +419,7 @@
 }
 
 // line takes what changed, and up to where that is all.
-func (f *Follower) line(l *admin.Line) error {
+func (f *Follower) line(l *admin.StreamLine) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	events := l.Events
@@ -451,10 +451,10 @@
 	return nil
 }
 
-func (f *Follower) beat(at int, b *admin.Beat) {
+func (f *Follower) beat(at int, b *admin.Heartbeat) {
 	f.mu.Lock()
 	f.follows = f.cfg.Replicas[at].Addr
-	first, proved := false, b.Proved && f.copy.HasRevision(b.Revision)
+	first, proved := false, b.Confirmed && f.copy.HasRevision(b.Revision)
 	if proved {
 		first = f.proved == 0
 		f.proved = max(f.proved, time.Since(f.begun)-b.Age, 1)
@@ -472,7 +472,7 @@
 		}
 	}
 	if f.cfg.PrefixSize != nil {
-		for prefix, n := range b.Sums {
+		for prefix, n := range b.PrefixSizes {
 			f.cfg.PrefixSize(prefix, n)
 		}
 	}
@@ -487,7 +487,7 @@
 func (f *Follower) get(ctx context.Context, at int, of *store.Interest) (*store.State, error) {
 	ctx, cancel := context.WithTimeout(ctx, loadMost)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, f.url(at, "/v1/copy", admin.Query(of)), nil)
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, f.url(at, "/v1/copy", admin.InterestQuery(of)), nil)
 	if err != nil {
 		return nil, err
 	}
@@ -649,14 +649,14 @@
 	if c.ID == (store.RequestID{}) {
 		c.ID = store.RequestID{Client: f.client, Seq: f.seq.Add(1)}
 	}
-	q := admin.Request{ID: c.ID, Txn: c.Txn}
+	q := admin.ChangeRequest{ID: c.ID, Txn: c.Txn}
 	switch {
 	case c.GrantLease != nil && c.GrantLease.Owner != "":
-		q.Grant, q.Owner = c.GrantLease.TTLMillis, c.GrantLease.Owner
+		q.GrantMillis, q.Owner = c.GrantLease.TTLMillis, c.GrantLease.Owner
 	case c.RenewLease != nil && c.RenewLease.Owner != "":
-		q.Renew, q.Owner = c.RenewLease.LeaseID, c.RenewLease.Owner
+		q.RenewLease, q.Owner = c.RenewLease.LeaseID, c.RenewLease.Owner
 	case c.RevokeLease != nil && c.RevokeLease.Owner != "":
-		q.End, q.Owner = c.RevokeLease.LeaseID, c.RevokeLease.Owner
+		q.RevokeLease, q.Owner = c.RevokeLease.LeaseID, c.RevokeLease.Owner
 	case c.Txn == nil:
 		return store.Result{}, errors.New("follow: this daemon has no replica, and makes transactions and leases of its own alone")
 	}
@@ -667,20 +667,20 @@
 	sent, wait := false, backMin
 	last := replica.ErrNoLeader
 	for at := mathrand.IntN(len(f.http)); ctx.Err() == nil && f.ctx.Err() == nil; at = (at + 1) % len(f.http) {
-		var x admin.Change
+		var x admin.ChangeResponse
 		reached, err := f.ask(ctx, at, f.cfg.Meter.CommandPurpose(&c), http.MethodPost, "/v1/change", body, &x)
 		if err == nil {
 			if c.Txn != nil || c.RevokeLease != nil { // the others change no keys
 				f.await(ctx, x.Revision)
 			}
-			return store.Result{Revision: x.Revision, Succeeded: x.Held, LeaseID: x.Lease}, nil
+			return store.Result{Revision: x.Revision, Succeeded: x.Succeeded, LeaseID: x.LeaseID}, nil
 		}
-		var told *admin.Error
+		var told *admin.ResponseError
 		if errors.As(err, &told) {
 			if final := finalOf(told); final != nil {
 				return store.Result{}, final
 			}
-			sent = sent || told.Unknown != nil
+			sent = sent || told.OutcomeUnknown != nil
 		} else {
 			sent = sent || reached
 		}
@@ -718,14 +718,14 @@
 }
 
 // finalOf is the outcome that a replica's answer tells, or nil if another may be asked.
-func finalOf(e *admin.Error) error {
+func finalOf(e *admin.ResponseError) error {
 	switch e.Status {
 	case http.StatusInsufficientStorage:
 		return store.ErrFull
 	case http.StatusPreconditionFailed:
 		return store.ErrLevel
 	case http.StatusBadRequest, http.StatusConflict:
-		if e.NoLease {
+		if e.LeaseNotFound {
 			return store.ErrLeaseNotFound
 		}
 		return e
@@ -755,8 +755,8 @@
 	answer, err := io.ReadAll(io.LimitReader(a.Body, lineMost)) // an error shows by what is missing
 	f.cfg.Meter.Count(of, usage.In, 1, len(answer))
 	if a.StatusCode != http.StatusOK {
-		e := &admin.Error{Status: a.StatusCode}
-		if err := json.Unmarshal(answer, &e.Fault); err != nil {
+		e := &admin.ResponseError{Status: a.StatusCode}
+		if err := json.Unmarshal(answer, &e.ErrorBody); err != nil {
 			return true, fmt.Errorf("the replica answered %s", a.Status)
 		}
 		return true, e
--- a/internal/store/follower/meter_test.go
+++ b/internal/store/follower/meter_test.go
@@ -42,8 +42,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o, err := admin.ServeFollowers(ln, e, admin.Rules{May: func(store.Op, string) bool { return true },
-		Ages: func() map[string]time.Duration { return nil }, Meter: there}, nil)
+	o, err := admin.ServeFollowers(ln, e, admin.FollowerConfig{Allowed: func(store.Op, string) bool { return true },
+		SnapshotAges: func() map[string]time.Duration { return nil }, Usage: there}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/store/follower/part_test.go
+++ b/internal/store/follower/part_test.go
@@ -39,8 +39,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o, err := admin.ServeFollowers(ln, e, admin.Rules{May: func(store.Op, string) bool { return true },
-		Ages: func() map[string]time.Duration { return nil }}, nil)
+	o, err := admin.ServeFollowers(ln, e, admin.FollowerConfig{Allowed: func(store.Op, string) bool { return true },
+		SnapshotAges: func() map[string]time.Duration { return nil }}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -263,18 +263,18 @@
 		if !lines.Scan() {
 			t.Fatal(lines.Err())
 		}
-		var l admin.Line
+		var l admin.StreamLine
 		if err := json.Unmarshal(lines.Bytes(), &l); err != nil || len(l.Events) > 0 || l.Through > 0 {
 			t.Fatalf("%s, %v", lines.Text(), err)
 		}
 		if l.Event != nil {
 			events++
 		}
-		if l.Beat != nil {
+		if l.Heartbeat != nil {
 			beats++
 		}
 	}
-	if a.Header.Get(admin.Scoped) != "" {
+	if a.Header.Get(admin.ScopedHeader) != "" {
 		t.Error("who asked for all is told a part")
 	}
 }
