--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -77,14 +77,14 @@
 			return err
 		}
 		switch e.Code {
-		case wire.Manifest:
+		case wire.EventEndpointList:
 			continue
-		case wire.Instance:
+		case wire.EventSelectInstance:
 			current, named = e.Instance, true
-			h.reply.As(current)
+			h.reply.SelectInstance(current)
 			continue
 		}
-		if e.Code < wire.Begin || e.Code > wire.Instance {
+		if e.Code < wire.EventStart || e.Code > wire.EventSelectInstance {
 			if !h.strange[e.Code] {
 				h.strange[e.Code] = true
 				fmt.Fprintf(h.stderr, "simadapter: %v at byte %d: unknown code, skipped\n", e.Code, e.Offset)
@@ -96,7 +96,7 @@
 		}
 		i := h.balance[current]
 		if i == nil {
-			if e.Code != wire.Begin {
+			if e.Code != wire.EventStart {
 				return &wire.FrameError{Record: e.Code.String(), Offset: e.Offset,
 					Reason: fmt.Sprintf("instance %d has not begun", current)}
 			}
@@ -112,14 +112,14 @@
 	defer func() {
 		if p := recover(); p != nil {
 			i.balancer = nil
-			i.reply.Exception(fmt.Sprintf("panic in %v: %v", e.Code, p))
+			i.reply.ReportError(fmt.Sprintf("panic in %v: %v", e.Code, p))
 		}
 	}()
 	switch e.Code {
-	case wire.Begin:
+	case wire.EventStart:
 		i.begin(now, e)
 		return
-	case wire.Stop:
+	case wire.EventStop:
 		i.balancer = nil
 	}
 	b := i.balancer
@@ -127,19 +127,19 @@
 		return
 	}
 	switch e.Code {
-	case wire.Membership:
+	case wire.EventEndpointUpdate:
 		b.UpdateEndpoints(now, e.Kind, e.Entries)
-	case wire.Request:
+	case wire.EventRequest:
 		b.Request(now, e.Request)
-	case wire.Headers:
+	case wire.EventResponseStarted:
 		b.ResponseStarted(now, e.Outcome.ID, e.Outcome.Attempt, e.Outcome.Latency)
-	case wire.Answer:
+	case wire.EventOutcome:
 		b.Outcome(now, e.Outcome)
-	case wire.CancelledByClient:
+	case wire.EventClientDisconnected:
 		b.ClientDisconnected(now, e.Outcome.ID)
-	case wire.TimeoutFired:
+	case wire.EventTimer:
 		b.Timer(now, e.Token)
-	case wire.HealthResult:
+	case wire.EventProbeResult:
 		b.ProbeCompleted(now, e.Endpoint, e.Status, e.Latency, e.Load)
 	}
 }
@@ -151,7 +151,7 @@
 		i.balancer, err = balancer.New(s, e.Seed, i)
 	}
 	if err != nil {
-		i.reply.Exception(err.Error())
+		i.reply.ReportError(err.Error())
 		return
 	}
 	i.balancer.Start(now)
@@ -159,26 +159,26 @@
 
 // Send writes a deliver record.
 func (i *instance) Send(id uint64, endpoint uint32, timeout balancer.Micros) {
-	i.reply.Deliver(id, endpoint, timeout)
+	i.reply.Send(id, endpoint, timeout)
 }
 
 // Reject writes a decline record.
-func (i *instance) Reject(id uint64, retryAfter balancer.Micros) { i.reply.Decline(id, retryAfter) }
+func (i *instance) Reject(id uint64, retryAfter balancer.Micros) { i.reply.Reject(id, retryAfter) }
 
 // Fail writes a fail record.
 func (i *instance) Fail(id uint64) { i.reply.Fail(id) }
 
 // Cancel writes a revoke record.
-func (i *instance) Cancel(id uint64, attempt int) { i.reply.Revoke(id, attempt) }
+func (i *instance) Cancel(id uint64, attempt int) { i.reply.Cancel(id, attempt) }
 
 // Timer writes an arm record.
-func (i *instance) Timer(delay balancer.Micros, token uint32) { i.reply.Arm(delay, token) }
+func (i *instance) Timer(delay balancer.Micros, token uint32) { i.reply.SetTimer(delay, token) }
 
 // Probe writes a sound_out record.
-func (i *instance) Probe(endpoint uint32) { i.reply.SoundOut(endpoint) }
+func (i *instance) Probe(endpoint uint32) { i.reply.Probe(endpoint) }
 
 // Watch writes a track record.
-func (i *instance) Watch(on bool) { i.reply.Track(on) }
+func (i *instance) Watch(on bool) { i.reply.Watch(on) }
 
 // Log writes a trace record.
-func (i *instance) Log(line string) { i.reply.Trace(line) }
+func (i *instance) Log(line string) { i.reply.Log(line) }
--- a/internal/platform/wire/wire.go
+++ b/internal/platform/wire/wire.go
@@ -17,42 +17,42 @@
 
 // Codes of events.
 const (
-	Begin             Code = 16
-	Membership        Code = 17
-	Request           Code = 18
-	Headers           Code = 19
-	Answer            Code = 20
-	CancelledByClient Code = 21
-	TimeoutFired      Code = 22
-	HealthResult      Code = 23
-	Whisper           Code = 24
-	Stop              Code = 25
-	Manifest          Code = 26
-	Instance          Code = 27
+	EventStart              Code = 16
+	EventEndpointUpdate     Code = 17
+	EventRequest            Code = 18
+	EventResponseStarted    Code = 19
+	EventOutcome            Code = 20
+	EventClientDisconnected Code = 21
+	EventTimer              Code = 22
+	EventProbeResult        Code = 23
+	EventPeerMessage        Code = 24
+	EventStop               Code = 25
+	EventEndpointList       Code = 26
+	EventSelectInstance     Code = 27
 )
 
 // Codes of actions.
 const (
-	Deliver   Code = 80
-	Decline   Code = 81
-	Fail      Code = 82
-	Revoke    Code = 83
-	Arm       Code = 84
-	SoundOut  Code = 85
-	LetGo     Code = 86
-	WritePeer Code = 87
-	Trace     Code = 88
-	Exception Code = 89
-	Track     Code = 90
-	ListAll   Code = 91
-	As        Code = 92
+	ActionSend            Code = 80
+	ActionReject          Code = 81
+	ActionFail            Code = 82
+	ActionCancel          Code = 83
+	ActionSetTimer        Code = 84
+	ActionProbe           Code = 85
+	ActionReleaseEndpoint Code = 86
+	ActionSendPeerMessage Code = 87
+	ActionLog             Code = 88
+	ActionReportError     Code = 89
+	ActionWatch           Code = 90
+	ActionRequestList     Code = 91
+	ActionSelectInstance  Code = 92
 )
 
 var eventNames = map[Code]string{
-	Begin: "begin", Membership: "membership", Request: "request", Headers: "headers",
-	Answer: "answer", CancelledByClient: "cancelled_by_client", TimeoutFired: "timeout_fired",
-	HealthResult: "health_result", Whisper: "whisper", Stop: "stop", Manifest: "manifest",
-	Instance: "instance",
+	EventStart: "begin", EventEndpointUpdate: "membership", EventRequest: "request", EventResponseStarted: "headers",
+	EventOutcome: "answer", EventClientDisconnected: "cancelled_by_client", EventTimer: "timeout_fired",
+	EventProbeResult: "health_result", EventPeerMessage: "whisper", EventStop: "stop", EventEndpointList: "manifest",
+	EventSelectInstance: "instance",
 }
 
 // String returns the event's name on the wire.
@@ -64,12 +64,12 @@
 }
 
 const (
-	batchHeader = 16
-	replyHeader = 12
-	recHeader   = 5
-	entrySize   = 21
-	lists       = 16
-	maxFrame    = 1 << 30
+	batchHeaderBytes  = 16
+	replyHeaderBytes  = 12
+	recordHeaderBytes = 5
+	entryBytes        = 21
+	maxLists          = 16
+	maxFrameBytes     = 1 << 30
 )
 
 // FrameError says which record is malformed and at which byte of its frame.
@@ -87,10 +87,10 @@
 // ReadFrame reads one batch into buf, growing it as needed. It returns io.EOF
 // only at a clean end of input.
 func ReadFrame(r io.Reader, buf []byte) ([]byte, error) {
-	if cap(buf) < batchHeader {
+	if cap(buf) < batchHeaderBytes {
 		buf = make([]byte, 1<<16)
 	}
-	buf = buf[:batchHeader]
+	buf = buf[:batchHeaderBytes]
 	if n, err := io.ReadFull(r, buf); err != nil {
 		if errors.Is(err, io.EOF) {
 			return nil, io.EOF
@@ -98,10 +98,10 @@
 		return nil, &FrameError{"batch header", n, "input ends inside it"}
 	}
 	size := int(binary.BigEndian.Uint32(buf[4:]))
-	if size < batchHeader || size > maxFrame {
+	if size < batchHeaderBytes || size > maxFrameBytes {
 		return nil, &FrameError{"batch header", 4, fmt.Sprintf("frame size %d is out of range", size)}
 	}
-	for have := batchHeader; have < size; {
+	for have := batchHeaderBytes; have < size; {
 		// Grow as bytes arrive: a size alone must not take memory.
 		step := min(size-have, 1<<20)
 		if cap(buf) < have+step {
@@ -143,34 +143,34 @@
 // Decoder reads the records of batches. It keeps the numbered lists, which
 // outlive a batch.
 type Decoder struct {
-	frame   []byte
-	at      int
-	rec     []byte
-	recAt   int
-	recName string
-	off     int
-	err     error
-
-	lists [lists][]balancer.Endpoint
-	known [lists]bool
-	load  []float32
+	frame        []byte
+	nextOffset   int
+	record       []byte
+	recordOffset int
+	recordName   string
+	offset       int
+	err          error
+
+	lists   [maxLists][]balancer.Endpoint
+	hasList [maxLists]bool
+	load    []float32
 }
 
 // Reset starts on a frame from ReadFrame and returns its number and clock.
 func (d *Decoder) Reset(frame []byte) (batch uint32, now balancer.Micros, err error) {
-	if len(frame) < batchHeader {
+	if len(frame) < batchHeaderBytes {
 		return 0, 0, &FrameError{"batch header", len(frame), "shorter than a header"}
 	}
 	if size := int(binary.BigEndian.Uint32(frame[4:])); size != len(frame) {
 		return 0, 0, &FrameError{"batch header", 4, fmt.Sprintf("size %d but %d bytes", size, len(frame))}
 	}
-	d.frame, d.at = frame, batchHeader
+	d.frame, d.nextOffset = frame, batchHeaderBytes
 	return binary.BigEndian.Uint32(frame), balancer.Micros(binary.BigEndian.Uint64(frame[8:])), nil
 }
 
 func (d *Decoder) fail(reason string) {
 	if d.err == nil {
-		d.err = &FrameError{d.recName, d.recAt + d.off, reason}
+		d.err = &FrameError{d.recordName, d.recordOffset + d.offset, reason}
 	}
 }
 
@@ -179,12 +179,12 @@
 	if d.err != nil {
 		return nil
 	}
-	if n < 0 || len(d.rec)-d.off < n {
-		d.fail(fmt.Sprintf("needs %d more bytes, has %d", n, len(d.rec)-d.off))
+	if n < 0 || len(d.record)-d.offset < n {
+		d.fail(fmt.Sprintf("needs %d more bytes, has %d", n, len(d.record)-d.offset))
 		return nil
 	}
-	p := d.rec[d.off : d.off+n]
-	d.off += n
+	p := d.record[d.offset : d.offset+n]
+	d.offset += n
 	return p
 }
 
@@ -237,7 +237,7 @@
 		return balancer.NotSent
 	}
 	if d.err == nil {
-		d.off -= 2
+		d.offset -= 2
 		d.fail(fmt.Sprintf("unknown status %d", code))
 	}
 	return balancer.Error
@@ -256,86 +256,86 @@
 // Next decodes one record into e. It returns io.EOF after the last one. A
 // record of an unknown code is returned with its code alone.
 func (d *Decoder) Next(e *Event) error {
-	left := len(d.frame) - d.at
+	left := len(d.frame) - d.nextOffset
 	if left == 0 {
 		return io.EOF
 	}
-	d.recAt, d.recName, d.off, d.err = d.at, "record", 0, nil
-	if left < recHeader {
-		d.fail(fmt.Sprintf("a record header needs %d bytes, has %d", recHeader, left))
+	d.recordOffset, d.recordName, d.offset, d.err = d.nextOffset, "record", 0, nil
+	if left < recordHeaderBytes {
+		d.fail(fmt.Sprintf("a record header needs %d bytes, has %d", recordHeaderBytes, left))
 		return d.err
 	}
-	code := Code(d.frame[d.at])
-	d.recName = code.String()
-	size := int(binary.BigEndian.Uint32(d.frame[d.at+1:]))
-	if size > left-recHeader {
-		d.off = 1
-		d.fail(fmt.Sprintf("fields of %d bytes overrun the frame, which has %d left", size, left-recHeader))
+	code := Code(d.frame[d.nextOffset])
+	d.recordName = code.String()
+	size := int(binary.BigEndian.Uint32(d.frame[d.nextOffset+1:]))
+	if size > left-recordHeaderBytes {
+		d.offset = 1
+		d.fail(fmt.Sprintf("fields of %d bytes overrun the frame, which has %d left", size, left-recordHeaderBytes))
 		return d.err
 	}
-	d.rec, d.off = d.frame[d.at:d.at+recHeader+size], recHeader
-	e.Code, e.Offset = code, d.at
+	d.record, d.offset = d.frame[d.nextOffset:d.nextOffset+recordHeaderBytes+size], recordHeaderBytes
+	e.Code, e.Offset = code, d.nextOffset
 	switch code {
-	case Begin:
+	case EventStart:
 		e.Seed = d.u64()
 		e.Config = string(d.take(int(d.u32())))
-	case Manifest:
-		d.manifest()
-	case Membership:
+	case EventEndpointList:
+		d.endpointList()
+	case EventEndpointUpdate:
 		d.u32()
-		d.membership(e)
-	case Request:
+		d.endpointUpdate(e)
+	case EventRequest:
 		r := &e.Request
 		r.ID, r.Key, r.Deadline, r.Hint = d.u64(), d.u64(), balancer.Micros(d.u64()), balancer.Micros(d.u32())
 		opts := d.u8()
 		r.HasHint, r.Retry, r.Write = opts&1 != 0, opts&2 != 0, opts&4 != 0
 		r.Tenant, r.Class = d.u16(), d.u8()
-	case Headers:
+	case EventResponseStarted:
 		o := &e.Outcome
 		o.ID, o.Attempt, o.Endpoint, o.Latency = d.u64(), int(d.u16()), d.u32(), balancer.Micros(d.u32())
-	case Answer:
+	case EventOutcome:
 		o := &e.Outcome
 		o.ID, o.Attempt, o.Endpoint = d.u64(), int(d.u16()), d.u32()
 		o.Status, o.Latency, o.Answered = d.status(), balancer.Micros(d.u32()), d.u8() != 0
 		o.Load = d.loads()
-	case CancelledByClient:
+	case EventClientDisconnected:
 		e.Outcome.ID = d.u64()
-	case TimeoutFired:
+	case EventTimer:
 		e.Token = d.u32()
-	case HealthResult:
+	case EventProbeResult:
 		e.Endpoint, e.Status, e.Latency = d.u32(), d.status(), balancer.Micros(d.u32())
 		e.Load = d.loads()
-	case Whisper:
+	case EventPeerMessage:
 		e.From = d.u16()
 		e.Data = d.take(int(d.u16()))
-	case Stop:
-	case Instance:
+	case EventStop:
+	case EventSelectInstance:
 		e.Instance = d.u32()
 	default:
-		d.off = len(d.rec)
+		d.offset = len(d.record)
 	}
-	if d.err == nil && d.off < len(d.rec) {
-		d.fail(fmt.Sprintf("%d bytes too many", len(d.rec)-d.off))
+	if d.err == nil && d.offset < len(d.record) {
+		d.fail(fmt.Sprintf("%d bytes too many", len(d.record)-d.offset))
 	}
-	d.at += len(d.rec)
+	d.nextOffset += len(d.record)
 	return d.err
 }
 
 func (d *Decoder) listNumber() int {
 	n := int(d.u8())
-	if n >= lists && d.err == nil {
-		d.off--
-		d.fail(fmt.Sprintf("list number %d is over %d", n, lists-1))
+	if n >= maxLists && d.err == nil {
+		d.offset--
+		d.fail(fmt.Sprintf("list number %d is over %d", n, maxLists-1))
 		return 0
 	}
 	return n
 }
 
-func (d *Decoder) manifest() {
+func (d *Decoder) endpointList() {
 	id := d.listNumber()
 	n := int(d.u32())
-	if d.err == nil && n*entrySize > len(d.rec)-d.off {
-		d.off -= 4
+	if d.err == nil && n*entryBytes > len(d.record)-d.offset {
+		d.offset -= 4
 		d.fail(fmt.Sprintf("%d entries overrun the record", n))
 	}
 	if d.err != nil {
@@ -353,17 +353,17 @@
 		case 3:
 			e.State = balancer.Removed
 		default:
-			d.off--
+			d.offset--
 			d.fail(fmt.Sprintf("unknown endpoint status %d", state))
 		}
 		e.Weight = math.Float32frombits(d.u32())
 		e.StartTime = balancer.Micros(d.u64())
 		list = append(list, e)
 	}
-	d.lists[id], d.known[id] = list, true
+	d.lists[id], d.hasList[id] = list, true
 }
 
-func (d *Decoder) membership(e *Event) {
+func (d *Decoder) endpointUpdate(e *Event) {
 	id := d.u8()
 	e.Entries = nil
 	switch kind := d.u8(); kind {
@@ -377,14 +377,14 @@
 		e.Kind = balancer.ListFailed
 		return
 	default:
-		d.off--
+		d.offset--
 		d.fail(fmt.Sprintf("unknown kind %d", kind))
 	}
 	if d.err != nil {
 		return
 	}
-	if id >= lists || !d.known[id] {
-		d.off -= 2
+	if id >= maxLists || !d.hasList[id] {
+		d.offset -= 2
 		d.fail(fmt.Sprintf("list number %d has not been conveyed", id))
 		return
 	}
@@ -411,7 +411,7 @@
 	return w.buf
 }
 
-func (w *Reply) rec(c Code, size int) {
+func (w *Reply) beginRecord(c Code, size int) {
 	w.count++
 	w.buf = append(w.buf, byte(c))
 	w.u32(uint32(size))
@@ -423,54 +423,60 @@
 
 func (w *Reply) micros(v balancer.Micros) { w.u32(uint32(min(max(v, 0), math.MaxUint32))) }
 
-// As names the instance that issues the following actions.
-func (w *Reply) As(instance uint32) { w.rec(As, 4); w.u32(instance) }
+// SelectInstance names the instance that issues the following actions.
+func (w *Reply) SelectInstance(instance uint32) {
+	w.beginRecord(ActionSelectInstance, 4)
+	w.u32(instance)
+}
 
-// Deliver writes a deliver record.
-func (w *Reply) Deliver(id uint64, endpoint uint32, timeout balancer.Micros) {
-	w.rec(Deliver, 16)
+// Send writes a deliver record.
+func (w *Reply) Send(id uint64, endpoint uint32, timeout balancer.Micros) {
+	w.beginRecord(ActionSend, 16)
 	w.u64(id)
 	w.u32(endpoint)
 	w.micros(timeout)
 }
 
-// Decline writes a decline record.
-func (w *Reply) Decline(id uint64, retryIn balancer.Micros) {
-	w.rec(Decline, 12)
+// Reject writes a decline record.
+func (w *Reply) Reject(id uint64, retryIn balancer.Micros) {
+	w.beginRecord(ActionReject, 12)
 	w.u64(id)
 	w.micros(retryIn)
 }
 
 // Fail writes a fail record.
-func (w *Reply) Fail(id uint64) { w.rec(Fail, 8); w.u64(id) }
+func (w *Reply) Fail(id uint64) { w.beginRecord(ActionFail, 8); w.u64(id) }
 
-// Revoke writes a revoke record.
-func (w *Reply) Revoke(id uint64, attempt int) {
-	w.rec(Revoke, 10)
+// Cancel writes a revoke record.
+func (w *Reply) Cancel(id uint64, attempt int) {
+	w.beginRecord(ActionCancel, 10)
 	w.u64(id)
 	w.u16(uint16(attempt))
 }
 
-// Arm writes an arm record.
-func (w *Reply) Arm(delay balancer.Micros, token uint32) {
-	w.rec(Arm, 8)
+// SetTimer writes an arm record.
+func (w *Reply) SetTimer(delay balancer.Micros, token uint32) {
+	w.beginRecord(ActionSetTimer, 8)
 	w.micros(delay)
 	w.u32(token)
 }
 
-// SoundOut writes a sound_out record.
-func (w *Reply) SoundOut(endpoint uint32) { w.rec(SoundOut, 4); w.u32(endpoint) }
+// Probe writes a sound_out record.
+func (w *Reply) Probe(endpoint uint32) { w.beginRecord(ActionProbe, 4); w.u32(endpoint) }
 
-// LetGo writes a let_go record.
-func (w *Reply) LetGo(endpoint uint32) { w.rec(LetGo, 4); w.u32(endpoint) }
+// ReleaseEndpoint writes a let_go record.
+func (w *Reply) ReleaseEndpoint(endpoint uint32) {
+	w.beginRecord(ActionReleaseEndpoint, 4)
+	w.u32(endpoint)
+}
 
 // AllPeers addresses WritePeer to every peer.
 const AllPeers uint32 = math.MaxUint32
 
-// WritePeer writes a write_peer record; data beyond 256 bytes is cut off.
-func (w *Reply) WritePeer(peer uint32, data []byte) {
+// SendPeerMessage writes a write_peer record; data beyond 256 bytes is cut off.
+func (w *Reply) SendPeerMessage(peer uint32, data []byte) {
 	data = data[:min(len(data), 256)]
-	w.rec(WritePeer, 6+len(data))
+	w.beginRecord(ActionSendPeerMessage, 6+len(data))
 	w.u32(peer)
 	w.u16(uint16(len(data)))
 	w.buf = append(w.buf, data...)
@@ -478,20 +484,20 @@
 
 func (w *Reply) text(c Code, line string) {
 	line = line[:min(len(line), math.MaxUint16)]
-	w.rec(c, 2+len(line))
+	w.beginRecord(c, 2+len(line))
 	w.u16(uint16(len(line)))
 	w.buf = append(w.buf, line...)
 }
 
-// Trace writes a trace record.
-func (w *Reply) Trace(line string) { w.text(Trace, line) }
+// Log writes a trace record.
+func (w *Reply) Log(line string) { w.text(ActionLog, line) }
 
-// Exception writes an exception record.
-func (w *Reply) Exception(line string) { w.text(Exception, line) }
+// ReportError writes an exception record.
+func (w *Reply) ReportError(line string) { w.text(ActionReportError, line) }
 
-// Track writes a track record.
-func (w *Reply) Track(on bool) {
-	w.rec(Track, 1)
+// Watch writes a track record.
+func (w *Reply) Watch(on bool) {
+	w.beginRecord(ActionWatch, 1)
 	if on {
 		w.buf = append(w.buf, 1)
 	} else {
@@ -499,5 +505,5 @@
 	}
 }
 
-// ListAll writes a list_all record.
-func (w *Reply) ListAll() { w.rec(ListAll, 0) }
+// RequestList writes a list_all record.
+func (w *Reply) RequestList() { w.beginRecord(ActionRequestList, 0) }
--- a/internal/platform/wire/wire_test.go
+++ b/internal/platform/wire/wire_test.go
@@ -26,7 +26,7 @@
 func frame(records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	f := binary.BigEndian.AppendUint32(nil, 12)
-	f = binary.BigEndian.AppendUint32(f, uint32(batchHeader+len(body)))
+	f = binary.BigEndian.AppendUint32(f, uint32(batchHeaderBytes+len(body)))
 	f = binary.BigEndian.AppendUint64(f, 0x805c5a)
 	return append(f, body...)
 }
@@ -105,11 +105,11 @@
 		t.Errorf("empty reply %x", got)
 	}
 	w.Reset(12)
-	w.As(3)
-	w.Deliver(0x5bf975d3a91c4, 0x3124a07, 80000)
-	w.Arm(500000, 77)
-	w.As(5)
-	w.Trace("two servers known")
+	w.SelectInstance(3)
+	w.Send(0x5bf975d3a91c4, 0x3124a07, 80000)
+	w.SetTimer(500000, 77)
+	w.SelectInstance(5)
+	w.Log("two servers known")
 	want := unhex(t, "0000000c 00000058 00000005 5c 00000004 00000003",
 		"50 00000010 0005bf975d3a91c4 03124a07 00013880 54 00000008 0007a120 0000004d",
 		"5c 00000004 00000005 58 00000013 0011 74776f2073657276657273206b6e6f776e")
@@ -117,20 +117,20 @@
 		t.Errorf("got  %x\nwant %x", got, want)
 	}
 	w.Reset(0)
-	w.Decline(0xbf5a10e6f2b19, 250000)
+	w.Reject(0xbf5a10e6f2b19, 250000)
 	w.Fail(0xbf5a10e6f2b19)
-	w.Revoke(0x5bf975d3a91c4, 0)
-	w.SoundOut(0x2c9011f2)
-	w.LetGo(0x2c9011f2)
-	w.WritePeer(AllPeers, []byte("hi 7"))
-	w.Exception("index out of range")
-	w.Track(true)
-	w.ListAll()
+	w.Cancel(0x5bf975d3a91c4, 0)
+	w.Probe(0x2c9011f2)
+	w.ReleaseEndpoint(0x2c9011f2)
+	w.SendPeerMessage(AllPeers, []byte("hi 7"))
+	w.ReportError("index out of range")
+	w.Watch(true)
+	w.RequestList()
 	want = unhex(t, "51 0000000c 000bf5a10e6f2b19 0003d090 52 00000008 000bf5a10e6f2b19",
 		"53 0000000a 0005bf975d3a91c4 0000 55 00000004 2c9011f2 56 00000004 2c9011f2",
 		"57 0000000a ffffffff 0004 68692037 59 00000014 0012 696e646578206f7574206f662072616e6765",
 		"5a 00000001 01 5b 00000000")
-	if got := w.Bytes()[replyHeader:]; !bytes.Equal(got, want) {
+	if got := w.Bytes()[replyHeaderBytes:]; !bytes.Equal(got, want) {
 		t.Errorf("got  %x\nwant %x", got, want)
 	}
 }
@@ -138,9 +138,9 @@
 func TestNumbersOutOfRangeAreClamped(t *testing.T) {
 	var w Reply
 	w.Reset(0)
-	w.Arm(-5, 1)
-	w.Arm(math.MaxInt64, 1)
-	b := w.Bytes()[replyHeader:]
+	w.SetTimer(-5, 1)
+	w.SetTimer(math.MaxInt64, 1)
+	b := w.Bytes()[replyHeaderBytes:]
 	if binary.BigEndian.Uint32(b[5:]) != 0 || binary.BigEndian.Uint32(b[18:]) != math.MaxUint32 {
 		t.Errorf("%x", b)
 	}
@@ -187,7 +187,7 @@
 		var e Event
 		err := d.Next(&e)
 		var bad *FrameError
-		if !errors.As(err, &bad) || bad.Record != c.record || !strings.Contains(bad.Reason, c.reason) || bad.Offset < batchHeader {
+		if !errors.As(err, &bad) || bad.Record != c.record || !strings.Contains(bad.Reason, c.reason) || bad.Offset < batchHeaderBytes {
 			t.Errorf("%s: %v", c.name, err)
 		}
 	}
