--- a/internal/platform/wire/settings.go
+++ b/internal/platform/wire/settings.go
@@ -9,13 +9,20 @@
 	"birchmoor/balancer"
 )
 
-// settingsReader holds the pairs of a config text and the first error met.
+// settingsReader holds the pairs of a settings text and the first error in it.
 type settingsReader struct {
 	pairs map[string]string
 	err   error
 }
 
-// get returns the value of a key, parsed; a key that is absent gives def.
+// fail notes the first error.
+func (t *settingsReader) fail(key, value, reason string) {
+	if t.err == nil {
+		t.err = &balancer.SettingError{Key: key, Value: value, Reason: reason}
+	}
+}
+
+// get returns the parsed value of a key, or def if the key is absent.
 func get[T any](t *settingsReader, key string, def T, what string, parse func(string) (T, error)) T {
 	text, ok := t.pairs[key]
 	if !ok {
@@ -23,9 +30,7 @@
 	}
 	v, err := parse(text)
 	if err != nil {
-		if t.err == nil {
-			t.err = &balancer.SettingError{Key: key, Value: text, Reason: "not " + what}
-		}
+		t.fail(key, text, "not "+what)
 		return def
 	}
 	return v
@@ -47,11 +52,11 @@
 	})
 }
 
-func (t *settingsReader) flag(key string, def bool) bool {
-	return get(t, key, def, "true or false", strconv.ParseBool)
+func (t *settingsReader) flag(key string) bool {
+	return get(t, key, false, "true or false", strconv.ParseBool)
 }
 
-// keyword returns the meaning of a word; what an unlisted word means is an error.
+// keyword returns the value that a word stands for; an unknown word is an error.
 func keyword[T any](t *settingsReader, key string, def T, words map[string]T) T {
 	return get(t, key, def, "a known word", func(s string) (T, error) {
 		if v, ok := words[s]; ok {
@@ -61,34 +66,37 @@
 	})
 }
 
+// maxListLength is the longest list of objects in settings.
+const maxListLength = 256
+
 // listLength returns the length of a list of objects, each of which must be there.
 func (t *settingsReader) listLength(key string, required bool) int {
-	if _, ok := t.pairs[key+".count"]; !ok && required && t.err == nil {
-		t.err = &balancer.SettingError{Key: key + ".count", Value: "", Reason: "is missing"}
+	countKey := key + ".count"
+	if _, ok := t.pairs[countKey]; !ok && required {
+		t.fail(countKey, "", "is missing")
 	}
-	n := t.integer(key+".count", 0)
-	if n < 0 || n > 256 {
-		if t.err == nil {
-			t.err = &balancer.SettingError{Key: key + ".count", Value: strconv.FormatInt(n, 10), Reason: "out of range"}
-		}
+	n := t.integer(countKey, 0)
+	if n < 0 || n > maxListLength {
+		t.fail(countKey, strconv.FormatInt(n, 10), "out of range")
 		return 0
 	}
 	for i := range int(n) {
-		found := false
-		for k := range t.pairs {
-			if strings.HasPrefix(k, fmt.Sprintf("%s.%d.", key, i)) {
-				found = true
-				break
-			}
-		}
-		if !found && t.err == nil {
-			t.err = &balancer.SettingError{Key: key + ".count", Value: strconv.FormatInt(n, 10),
-				Reason: fmt.Sprintf("%s.%d is missing", key, i)}
+		if !t.hasKeysUnder(fmt.Sprintf("%s.%d.", key, i)) {
+			t.fail(countKey, strconv.FormatInt(n, 10), fmt.Sprintf("%s.%d is missing", key, i))
 		}
 	}
 	return int(n)
 }
 
+func (t *settingsReader) hasKeysUnder(prefix string) bool {
+	for key := range t.pairs {
+		if strings.HasPrefix(key, prefix) {
+			return true
+		}
+	}
+	return false
+}
+
 // items counts the comma-separated items of a list of plain values.
 func items(text string) int {
 	if text == "" {
@@ -97,27 +105,24 @@
 	return strings.Count(text, ",") + 1
 }
 
+// fieldNames are the names of the figures of a load report in settings.
 var fieldNames = map[string]balancer.Field{
-	"busy_reqs": balancer.FieldInflight, "pending": balancer.FieldQueue, "cpu_share": balancer.FieldUtil,
-	"svc_ms": balancer.FieldLatency, "served_ps": balancer.FieldServed, "failed_ps": balancer.FieldErrors,
+	"busy_reqs": balancer.FieldInflight,
+	"pending":   balancer.FieldQueue,
+	"cpu_share": balancer.FieldUtil,
+	"svc_ms":    balancer.FieldLatency,
+	"served_ps": balancer.FieldServed,
+	"failed_ps": balancer.FieldErrors,
 }
 
-// ParseSettings reads the config text of a begin record. Keys that it does not
-// know are skipped. Errors are *balancer.SettingError and name the key on the wire.
+// ParseSettings reads the settings text of a start event. Keys that it does not know are skipped. Errors are
+// *balancer.SettingError and name the key on the wire.
 func ParseSettings(text string) (balancer.Settings, error) {
-	t := &settingsReader{pairs: map[string]string{}}
-	for i, line := range strings.Split(text, "\n") {
-		line = strings.TrimSuffix(line, "\r")
-		if line == "" {
-			continue
-		}
-		key, value, ok := strings.Cut(line, "=")
-		if !ok {
-			return balancer.Settings{}, &balancer.SettingError{Key: fmt.Sprintf("line %d", i+1), Value: line,
-				Reason: "not of the form path=value"}
-		}
-		t.pairs[key] = value
+	pairs, err := parsePairs(text)
+	if err != nil {
+		return balancer.Settings{}, err
 	}
+	t := &settingsReader{pairs: pairs}
 	s := balancer.Settings{
 		Balancers: int(t.integer("peers-total", 1)),
 		Position:  int(t.integer("position", 0)),
@@ -126,26 +131,8 @@
 		Kinds:     items(t.pairs["skus"]),
 		Subscribe: keyword(t, "discovery", false, map[string]bool{"automatic": false, "subscribe": true}),
 		Tick:      t.integer("tick", 0),
-		Limits: balancer.Limits{
-			Cancel:         t.flag("limits.cancel", false),
-			Probes:         t.flag("limits.probes", false),
-			HedgedRequests: t.flag("limits.second-copies", false),
-			RetryAfter:     t.flag("limits.retry-after", false),
-			PeerMessages:   t.flag("limits.may-tell", false),
-			MaxAttempts:    int(t.integer("limits.most-tries", 1)),
-			MaxOpen:        int(t.integer("limits.most-held", math.MaxInt32)),
-			MaxRetryAfter:  t.integer("limits.max-retry-after", 0),
-			DialTimeout:    t.integer("limits.dial-timeout", 0),
-		},
-		Contract: balancer.Contract{
-			DrainGrace:        t.integer("contract.drain-grace", 0),
-			InitialCapacity:   t.number("contract.cold-from", 1),
-			SlowStartDuration: t.integer("contract.ramp-time", 0),
-			OverloadMultiple:  t.number("contract.fall-multiple", 1),
-			OverloadWindow:    t.integer("contract.overload-for", 0),
-			PollInterval:      t.integer("contract.ask-within", 10_000_000),
-			AnswerSlack:       t.integer("contract.answer-slack", 0),
-		},
+		Limits:    t.limits(),
+		Contract:  t.contract(),
 		Prices: balancer.Prices{
 			CrossZone: t.number("prices.cross-zone", 0),
 			Probe:     t.number("prices.probe", 0),
@@ -159,35 +146,11 @@
 			WorstTenant: t.number("goal.worst-tenant", 0),
 		},
 		OverQuotaWeight: t.number("over-share-worth", 1),
-		WeightByWork: keyword(t, "value-by", false,
-			map[string]bool{"request": false, "work": true}),
-	}
-	how := keyword(t, "reporting.how", "none", map[string]string{"answers": "answers", "probe": "probe", "none": "none"})
-	if fields := t.pairs["reporting.fields"]; how != "none" && fields != "" {
-		for _, f := range strings.Split(fields, ",") {
-			s.Fields = append(s.Fields, fieldNames[f])
-		}
+		WeightByWork:    keyword(t, "value-by", false, map[string]bool{"request": false, "work": true}),
+		Fields:          t.reportFields(),
 	}
 	for i := range t.listLength("classes", true) {
-		at := fmt.Sprintf("classes.%d.", i)
-		for _, key := range [...]string{"target", "give-up", "repeat"} {
-			if _, ok := t.pairs[at+key]; !ok && t.err == nil {
-				t.err = &balancer.SettingError{Key: at + key, Value: "", Reason: "is missing"}
-			}
-		}
-		s.Classes = append(s.Classes, balancer.Class{
-			Name: t.pairs[at+"name"],
-			Idempotency: keyword(t, at+"repeat", balancer.NotIdempotent, map[string]balancer.Idempotency{
-				"pure": balancer.Idempotent, "token": balancer.WithIdempotencyKey, "side_effect": balancer.NotIdempotent}),
-			DedupScope: keyword(t, at+"group", balancer.DedupCell, map[string]balancer.DedupScope{
-				"all": balancer.DedupAll, "zone": balancer.DedupZone, "cell": balancer.DedupCell}),
-			DedupWindow:        t.integer(at+"window", 0),
-			LatencyObjective:   t.integer(at+"target", 0),
-			Timeout:            t.integer(at+"give-up", 0),
-			PriorityWeight:     t.number(at+"credit", 1),
-			LatePriorityWeight: t.number(at+"late-value", 0),
-			Stream:             t.flag(at+"stream", false),
-		})
+		s.Classes = append(s.Classes, t.class(fmt.Sprintf("classes.%d.", i)))
 	}
 	for i := range t.listLength("tenants", false) {
 		at := fmt.Sprintf("tenants.%d.", i)
@@ -199,3 +162,95 @@
 	}
 	return s, t.err
 }
+
+// parsePairs splits a settings text into its lines of the form path=value.
+func parsePairs(text string) (map[string]string, error) {
+	pairs := map[string]string{}
+	for i, line := range strings.Split(text, "\n") {
+		line = strings.TrimSuffix(line, "\r")
+		if line == "" {
+			continue
+		}
+		key, value, ok := strings.Cut(line, "=")
+		if !ok {
+			return nil, &balancer.SettingError{Key: fmt.Sprintf("line %d", i+1), Value: line,
+				Reason: "not of the form path=value"}
+		}
+		pairs[key] = value
+	}
+	return pairs, nil
+}
+
+func (t *settingsReader) limits() balancer.Limits {
+	return balancer.Limits{
+		Cancel:         t.flag("limits.cancel"),
+		Probes:         t.flag("limits.probes"),
+		HedgedRequests: t.flag("limits.second-copies"),
+		RetryAfter:     t.flag("limits.retry-after"),
+		PeerMessages:   t.flag("limits.may-tell"),
+		MaxAttempts:    int(t.integer("limits.most-tries", 1)),
+		MaxOpen:        int(t.integer("limits.most-held", math.MaxInt32)),
+		MaxRetryAfter:  t.integer("limits.max-retry-after", 0),
+		DialTimeout:    t.integer("limits.dial-timeout", 0),
+	}
+}
+
+const defaultPollInterval balancer.Micros = 10_000_000
+
+func (t *settingsReader) contract() balancer.Contract {
+	return balancer.Contract{
+		DrainGrace:        t.integer("contract.drain-grace", 0),
+		InitialCapacity:   t.number("contract.cold-from", 1),
+		SlowStartDuration: t.integer("contract.ramp-time", 0),
+		OverloadMultiple:  t.number("contract.fall-multiple", 1),
+		OverloadWindow:    t.integer("contract.overload-for", 0),
+		PollInterval:      t.integer("contract.ask-within", defaultPollInterval),
+		AnswerSlack:       t.integer("contract.answer-slack", 0),
+	}
+}
+
+// reportFields returns the figures of a load report; an unknown one is balancer.FieldOther.
+func (t *settingsReader) reportFields() []balancer.Field {
+	reported := keyword(t, "reporting.how", false, map[string]bool{"answers": true, "probe": true, "none": false})
+	names := t.pairs["reporting.fields"]
+	if !reported || names == "" {
+		return nil
+	}
+	var fields []balancer.Field
+	for _, name := range strings.Split(names, ",") {
+		fields = append(fields, fieldNames[name])
+	}
+	return fields
+}
+
+var idempotencyNames = map[string]balancer.Idempotency{
+	"pure":        balancer.Idempotent,
+	"token":       balancer.WithIdempotencyKey,
+	"side_effect": balancer.NotIdempotent,
+}
+
+var dedupScopeNames = map[string]balancer.DedupScope{
+	"all":  balancer.DedupAll,
+	"zone": balancer.DedupZone,
+	"cell": balancer.DedupCell,
+}
+
+// class reads the class whose keys begin with a path.
+func (t *settingsReader) class(at string) balancer.Class {
+	for _, key := range [...]string{"target", "give-up", "repeat"} {
+		if _, ok := t.pairs[at+key]; !ok {
+			t.fail(at+key, "", "is missing")
+		}
+	}
+	return balancer.Class{
+		Name:               t.pairs[at+"name"],
+		Idempotency:        keyword(t, at+"repeat", balancer.NotIdempotent, idempotencyNames),
+		DedupScope:         keyword(t, at+"group", balancer.DedupCell, dedupScopeNames),
+		DedupWindow:        t.integer(at+"window", 0),
+		LatencyObjective:   t.integer(at+"target", 0),
+		Timeout:            t.integer(at+"give-up", 0),
+		PriorityWeight:     t.number(at+"credit", 1),
+		LatePriorityWeight: t.number(at+"late-value", 0),
+		Stream:             t.flag(at + "stream"),
+	}
+}
--- a/internal/platform/wire/wire_test.go
+++ b/internal/platform/wire/wire_test.go
@@ -13,11 +13,11 @@
 	"birchmoor/balancer"
 )
 
-func unhex(t testing.TB, parts ...string) []byte {
-	t.Helper()
+func unhex(tb testing.TB, parts ...string) []byte {
+	tb.Helper()
 	b, err := hex.DecodeString(strings.ReplaceAll(strings.Join(parts, ""), " ", ""))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return b
 }
@@ -55,7 +55,7 @@
 	for {
 		var e Event
 		err := d.Next(&e)
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return all
 		}
 		if err != nil {
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestPageExamples(t *testing.T) {
+func TestDecoderReadsDocumentedExamples(t *testing.T) {
 	f := unhex(t, "0000000c 0000005d 0000000000805c5a", exInstance, exRequest, exTimer, "1b 00000004 00000005", exGone)
 	got, err := ReadFrame(bytes.NewReader(f), nil)
 	if err != nil || !bytes.Equal(got, f) {
@@ -98,7 +98,7 @@
 	}
 }
 
-func TestReplyExamples(t *testing.T) {
+func TestReplyWritesDocumentedExamples(t *testing.T) {
 	var w Reply
 	w.Reset(1)
 	if got := w.Bytes(); !bytes.Equal(got, unhex(t, "00000001 0000000c 00000000")) {
@@ -135,7 +135,7 @@
 	}
 }
 
-func TestNumbersOutOfRangeAreClamped(t *testing.T) {
+func TestReplyClampsNumbersOutOfRange(t *testing.T) {
 	var w Reply
 	w.Reset(0)
 	w.SetTimer(-5, 1)
@@ -147,7 +147,7 @@
 }
 
 // A list number stands for the list last conveyed before, in event order.
-func TestListsAreResolvedInOrder(t *testing.T) {
+func TestDecoderResolvesListsInOrder(t *testing.T) {
 	one := "1a 0000001a 00 00000001 00000001 00 00 0000 00 3f800000 0000000000000000"
 	two := "1a 0000001a 00 00000001 00000002 00 00 0000 01 3f800000 0000000000000000"
 	d := new(Decoder)
@@ -164,7 +164,7 @@
 	}
 }
 
-func TestMalformedRecords(t *testing.T) {
+func TestDecoderNamesMalformedRecord(t *testing.T) {
 	for _, c := range []struct{ name, records, record, reason string }{
 		{"header cut", "12 0000", "record", "needs 5 bytes"},
 		{"fields overrun", "12 00000021 00", "request", "overrun"},
@@ -193,7 +193,7 @@
 	}
 }
 
-func TestMalformedFrames(t *testing.T) {
+func TestReadFrameRejectsMalformedFrames(t *testing.T) {
 	for name, text := range map[string]string{
 		"header cut":            "0000000c 000000",
 		"size under the header": "0000000c 0000000f 0000000000805c5a",
@@ -206,7 +206,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if _, err := ReadFrame(bytes.NewReader(nil), nil); err != io.EOF {
+	if _, err := ReadFrame(bytes.NewReader(nil), nil); !errors.Is(err, io.EOF) {
 		t.Errorf("clean end: %v", err)
 	}
 }
@@ -226,7 +226,7 @@
 			err := d.Next(&e)
 			if err != nil {
 				var bad *FrameError
-				if err != io.EOF && !errors.As(err, &bad) {
+				if !errors.Is(err, io.EOF) && !errors.As(err, &bad) {
 					t.Fatalf("error of another kind: %v", err)
 				}
 				return
@@ -265,7 +265,7 @@
 value-by=work
 `
 
-func TestSettings(t *testing.T) {
+func TestParseSettings(t *testing.T) {
 	s, err := ParseSettings(goodSettings)
 	if err != nil {
 		t.Fatal(err)
@@ -286,7 +286,7 @@
 	}
 }
 
-func TestBadSettings(t *testing.T) {
+func TestParseSettingsNamesInvalidKey(t *testing.T) {
 	for _, c := range []struct{ old, new, key string }{
 		{"classes.count=2", "classes.count=3", "classes.count"},
 		{"classes.count=2\n", "", "classes.count"},
