--- a/internal/dataplane/core/answer.go
+++ b/internal/dataplane/core/answer.go
@@ -55,8 +55,8 @@
 
 // Content is an answer in the terms of its protocol.
 type Content interface {
-	// Streams reports whether it is passed on while it arrives. It is then the final answer, and how it ends is reported
-	// later.
+	// Streams reports whether it is passed on while it arrives. It is then the final answer, and how it ends is
+	// reported later.
 	Streams() bool
 	// Release frees its resources. Further calls do nothing.
 	Release()
--- a/internal/dataplane/core/attempts.go
+++ b/internal/dataplane/core/attempts.go
@@ -48,8 +48,8 @@
 	}()
 }
 
-// attemptCondition returns a function that reports whether an attempt may still be sent. The dial may have outlasted the
-// grace of a drain, the time of the request, or the window for its retries.
+// attemptCondition returns a function that reports whether an attempt may still be sent. The dial may have outlasted
+// the grace of a drain, the time of the request, or the window for its retries.
 func (l *EventLoop) attemptCondition(a *attemptState, retryDeadline balancer.Micros) func(now balancer.Micros) bool {
 	endpoint, deadline := a.endpoint, min(a.deadline, retryDeadline)
 	return func(now balancer.Micros) bool {
@@ -123,7 +123,8 @@
 	}
 }
 
-// attemptEnded passes the outcome of an attempt on to the module. The first complete reply of an endpoint is the client's.
+// attemptEnded passes the outcome of an attempt on to the module. The first complete reply of an endpoint is the
+// client's.
 func (l *EventLoop) attemptEnded(now balancer.Micros, a *attemptState, reply Reply) {
 	r := a.request
 	if a.phase != attemptOpen {
@@ -159,8 +160,8 @@
 	})
 }
 
-// replyAfterOutcome handles the result of an attempt whose outcome the module has already. After a timeout the client may
-// still want it.
+// replyAfterOutcome handles the result of an attempt whose outcome the module has already. After a timeout the client
+// may still want it.
 func (l *EventLoop) replyAfterOutcome(now balancer.Micros, a *attemptState, reply Reply) {
 	if a.phase == attemptLateReply && !a.request.ended && reply.Status == balancer.OK {
 		l.lateReply(now, a.request, reply)
@@ -169,8 +170,8 @@
 	reply.Release()
 }
 
-// lateReply answers a request by an attempt that timed out for the module. Open attempts are cancelled, by which the module
-// learns that the request has its answer.
+// lateReply answers a request by an attempt that timed out for the module. Open attempts are cancelled, by which the
+// module learns that the request has its answer.
 func (l *EventLoop) lateReply(now balancer.Micros, r *Request, reply Reply) {
 	l.answer(r, Answer{Disposition: Served, Reply: &reply})
 	cancelled := false
--- a/internal/dataplane/core/connecterrors.go
+++ b/internal/dataplane/core/connecterrors.go
@@ -30,8 +30,8 @@
 	lastLogged time.Time // of an exhaustion
 }
 
-// Status returns the status of an attempt that found no connection. The attempt never ran. What is not the endpoint's fault,
-// an exhaustion here or a cancellation, is NotSent, so that no healthy endpoint is ejected for it.
+// Status returns the status of an attempt that found no connection. The attempt never ran. What is not the endpoint's
+// fault, an exhaustion here or a cancellation, is NotSent, so that no healthy endpoint is ejected for it.
 func (c *ConnectErrors) Status(ctx context.Context, err error, log *slog.Logger) balancer.Status {
 	exhausted := slices.ContainsFunc(exhaustionErrors, func(e error) bool { return errors.Is(err, e) })
 	if exhausted && c.logDue() {
--- a/internal/dataplane/core/drains.go
+++ b/internal/dataplane/core/drains.go
@@ -17,8 +17,8 @@
 	latestStart map[serverAddr]int64                   // of those, in milliseconds
 }
 
-// ShareDrains starts the exchange of drains with other daemons. report is called with what this sidecar's discovery says and
-// must not block; known are the processes that drain already. It is called before Run.
+// ShareDrains starts the exchange of drains with other daemons. report is called with what this sidecar's discovery
+// says and must not block; known are the processes that drain already. It is called before Run.
 func (l *EventLoop) ShareDrains(known []discovery.Process, report func(p discovery.Process, drains bool)) {
 	l.drains = drainExchange{
 		report:      report,
@@ -30,8 +30,8 @@
 	}
 }
 
-// ApplyDrain applies another daemon's report on a process, and returns once it is in effect. A report that the process drains
-// no more has no effect while this sidecar's own discovery says that it does.
+// ApplyDrain applies another daemon's report on a process, and returns once it is in effect. A report that the process
+// drains no more has no effect while this sidecar's own discovery says that it does.
 func (l *EventLoop) ApplyDrain(ctx context.Context, p discovery.Process, drains bool) error {
 	return l.do(ctx, func(now balancer.Micros) {
 		l.drains.apply(p, drains)
@@ -62,8 +62,8 @@
 	}
 }
 
-// drainState reports to other daemons what the latest entry says of a drain, and returns the state that applies here. The
-// entry of a drain may lack everything else; it is then about the process of the entry before.
+// drainState reports to other daemons what the latest entry says of a drain, and returns the state that applies here.
+// The entry of a drain may lack everything else; it is then about the process of the entry before.
 func (l *EventLoop) drainState(e *endpoint, state balancer.State) balancer.State {
 	p := e.process()
 	drainListed := e.entry.Lifecycle == lifecycleDraining
@@ -73,8 +73,8 @@
 		e.drainedStartMs = e.entry.StartedMs
 	}
 	l.reportDrain(e, p, drainListed && state == balancer.Draining)
-	// Other daemons may know of a later process than this sidecar's list. That one is reached at the address, so that it
-	// matters whether it drains, and not whether the one before it did.
+	// Other daemons may know of a later process than this sidecar's list. That one is reached at the address, so that
+	// it matters whether it drains, and not whether the one before it did.
 	at := serverAddr{p.ID, p.Addr}
 	p.StartedMs = max(p.StartedMs, l.starts.byPeers[at].startedMs, l.drains.latestStart[at])
 	if state == balancer.Ready && l.drains.draining[p] {
--- a/internal/dataplane/core/drains_test.go
+++ b/internal/dataplane/core/drains_test.go
@@ -1,43 +1,35 @@
 package core
 
 import (
-	"context"
 	"fmt"
 	"testing"
 	"time"
 
 	"birchmoor/balancer"
 	"birchmoor/internal/dataplane/discovery"
-	"birchmoor/internal/platform/metrics"
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// Others' word on a drain binds from the first instant on, for one process of a server; this sidecar's own is told to
-// others once, and is not undone by theirs.
+// A drain that other daemons report applies from the first instant on, to one process of a server. What this sidecar's
+// own discovery says is reported once, and not undone by others.
 func TestPeerDrainsApplyToOneProcess(t *testing.T) {
 	in := func(id, addr, lifecycle string, started int64) discovery.Instance {
 		return discovery.Instance{ID: id, Addr: addr, Lifecycle: lifecycle, StartedMs: started}
 	}
-	var told []string
-	l, err := New(sidecartest.Configure(t, "127.0.0.1:1", []discovery.Instance{in("a", "127.0.0.1:1", "up", 5), in("b", "127.0.0.1:2", "up", 5)}),
-		NewClock(), stub{}, func(bool) {}, metrics.New(), nil, sidecartest.Quiet)
-	if err != nil {
-		t.Fatal(err)
-	}
 	process := func(id, addr string, started int64) discovery.Process {
 		return discovery.Process{ID: id, Addr: addr, StartedMs: started}
 	}
+	known := []discovery.Instance{in("a", "127.0.0.1:1", "up", 5), in("b", "127.0.0.1:2", "up", 5)}
+	l := newLoop(t, sidecartest.Configure(t, anyAddr, known), stub{}, sidecartest.Quiet)
+	var reported []string
 	l.ShareDrains([]discovery.Process{process("a", "127.0.0.1:1", 5)}, func(p discovery.Process, drains bool) {
-		told = append(told, fmt.Sprintf("%s%d%v", p.ID, p.StartedMs, drains))
+		reported = append(reported, fmt.Sprintf("%s%d%v", p.ID, p.StartedMs, drains))
 	})
-	ctx, cancel := context.WithCancel(t.Context())
-	done := make(chan struct{})
-	go func() { l.Run(ctx); close(done) }()
-	defer func() { cancel(); <-done }()
-	serve := func(what, want string) {
+	defer runLoop(t, l)()
+	wantReady := func(step, want string) {
 		t.Helper()
 		got := ""
-		l.do(ctx, func(balancer.Micros) {
+		mustDo(t, l, func(balancer.Micros) {
 			for _, id := range []string{"a", "b", "c"} {
 				if e := l.byName[id]; e != nil && e.state == balancer.Ready {
 					got += id
@@ -45,105 +37,116 @@
 			}
 		})
 		if got != want {
-			t.Errorf("%s: %q serve, want %q", what, got, want)
+			t.Errorf("%s: %q serve, want %q", step, got, want)
 		}
 	}
 	list := func(all ...discovery.Instance) {
-		l.do(ctx, func(now balancer.Micros) { l.applyList(now, balancer.ListDelta, discovery.List{Instances: all}) })
+		t.Helper()
+		mustDo(t, l, func(now balancer.Micros) {
+			l.applyList(now, balancer.ListDelta, discovery.List{Instances: all})
+		})
 	}
-	serve("known at the start", "b")
+	peerReports := func(p discovery.Process, drains bool) {
+		t.Helper()
+		if err := l.ApplyDrain(t.Context(), p, drains); err != nil {
+			t.Fatal(err)
+		}
+	}
+	wantReady("known at the start", "b")
 	list(in("a", "127.0.0.1:1", "up", 5))
-	serve("an old list again", "b")
+	wantReady("the same entry again", "b")
 	list(in("a", "127.0.0.1:9", "up", 5))
-	serve("its id elsewhere", "ab")
+	wantReady("its ID at another address", "ab")
 	list(in("a", "127.0.0.1:1", "up", 5), in("c", "127.0.0.1:1", "up", 5))
-	serve("its address under another id", "bc")
+	wantReady("its address with another ID", "bc")
 	list(in("a", "127.0.0.1:1", "up", 6))
-	serve("a new start", "abc")
-	l.ApplyDrain(ctx, process("b", "127.0.0.1:2", 4), true)
-	serve("of an earlier start", "abc")
-	l.ApplyDrain(ctx, process("b", "127.0.0.1:2", 5), true)
-	serve("another's word", "ac")
-	l.ApplyDrain(ctx, process("b", "127.0.0.1:2", 5), false)
-	serve("which has ended", "abc")
-	l.ApplyDrain(ctx, process("a", "127.0.0.1:1", 9), true)
-	serve("of a later process than its list knows", "bc")
-	l.ApplyDrain(ctx, process("a", "127.0.0.1:1", 9), false)
-	serve("and that has ended", "abc")
-	if len(told) > 0 {
-		t.Errorf("told %v of what it did not hear", told)
+	wantReady("a new start", "abc")
+	peerReports(process("b", "127.0.0.1:2", 4), true)
+	wantReady("a drain of an earlier start", "abc")
+	peerReports(process("b", "127.0.0.1:2", 5), true)
+	wantReady("a drain", "ac")
+	peerReports(process("b", "127.0.0.1:2", 5), false)
+	wantReady("the end of the drain", "abc")
+	peerReports(process("a", "127.0.0.1:1", 9), true)
+	wantReady("a drain of a later process than listed", "bc")
+	peerReports(process("a", "127.0.0.1:1", 9), false)
+	wantReady("the end of that", "abc")
+	if len(reported) > 0 {
+		t.Errorf("reported %v, which its discovery did not say", reported)
 	}
 	list(in("c", "127.0.0.1:1", "draining", 5))
-	list(in("c", "", "draining", 0)) // as short as a drain may be told
-	l.ApplyDrain(ctx, process("c", "127.0.0.1:1", 5), true)
-	l.ApplyDrain(ctx, process("c", "127.0.0.1:1", 5), false)
-	serve("its own word, whatever others say", "ab")
+	list(in("c", "", "draining", 0)) // the shortest form of a drain
+	peerReports(process("c", "127.0.0.1:1", 5), true)
+	peerReports(process("c", "127.0.0.1:1", 5), false)
+	wantReady("its own drain, whatever others report", "ab")
 	list(in("c", "127.0.0.1:1", "up", 7))
 	list(in("b", "127.0.0.1:2", "draining", 5))
 	list(in("b", "", "removed", 0))
-	if got := fmt.Sprint(told); got != "[c5true c5false b5true b5false]" {
-		t.Errorf("told %s", got)
+	if got := fmt.Sprint(reported); got != "[c5true c5false b5true b5false]" {
+		t.Errorf("reported %s", got)
 	}
 }
 
-// What others saw begin is cold here: where discovery does not tell starts, and where this sidecar's list is late. What it
-// saw itself is told once, and not put back.
+// A process that other daemons observed starting is warming up here, where discovery has no starts and where this
+// sidecar's list is late. What this sidecar observed is reported once, and not changed by others.
 func TestPeerStartsWarmUpHere(t *testing.T) {
 	in := func(id string, started int64) discovery.Instance {
-		return discovery.Instance{ID: id, Addr: "127.0.0.1:1", Lifecycle: "up", StartedMs: started}
-	}
-	c := sidecartest.Configure(t, "127.0.0.1:1", []discovery.Instance{in("old", 0), in("began", 0), in("late", 5)})
-	l, err := New(c, NewClock(), stub{}, func(bool) {}, metrics.New(), nil, sidecartest.Quiet)
-	if err != nil {
-		t.Fatal(err)
+		return discovery.Instance{ID: id, Addr: anyAddr, Lifecycle: "up", StartedMs: started}
 	}
-	var told []string
-	word := func(id string, started int64, ago time.Duration) Start {
-		return Start{discovery.Process{ID: id, Addr: "127.0.0.1:1", StartedMs: started}, ago}
+	start := func(id string, started int64, age time.Duration) Start {
+		return Start{discovery.Process{ID: id, Addr: anyAddr, StartedMs: started}, age}
 	}
+	known := []discovery.Instance{in("old", 0), in("began", 0), in("late", 5)}
+	l := newLoop(t, sidecartest.Configure(t, anyAddr, known), stub{}, sidecartest.Quiet)
 	now := time.Now().UnixMilli()
-	l.ShareDrains([]discovery.Process{{ID: "late", Addr: "127.0.0.1:1", StartedMs: 5}}, func(discovery.Process, bool) {})
-	l.ShareStarts([]Start{word("began", 0, time.Second)}, func(p discovery.Process, ago, cold time.Duration) {
-		told = append(told, p.ID)
+	draining := discovery.Process{ID: "late", Addr: anyAddr, StartedMs: 5}
+	l.ShareDrains([]discovery.Process{draining}, func(discovery.Process, bool) {})
+	var reported []string
+	l.ShareStarts([]Start{start("began", 0, time.Second)}, func(p discovery.Process, _, _ time.Duration) {
+		reported = append(reported, p.ID)
 	})
-	ctx, cancel := context.WithCancel(t.Context())
-	done := make(chan struct{})
-	go func() { l.Run(ctx); close(done) }()
-	defer func() { cancel(); <-done }()
-	cold := func(what, want string) {
+	defer runLoop(t, l)()
+	wantWarmingUp := func(step, want string) {
 		t.Helper()
 		got := ""
-		l.do(ctx, func(now balancer.Micros) {
-			k := l.takeSnapshot(now, true)
-			for i, e := range k.State.Endpoints {
+		mustDo(t, l, func(now balancer.Micros) {
+			saved := l.takeSnapshot(now, true)
+			for i, e := range saved.State.Endpoints {
 				if e.WarmingUp {
-					got += k.Names[i] + " "
+					got += saved.Names[i] + " "
 				}
 			}
 		})
 		if got != want {
-			t.Errorf("%s: cold are %q, want %q", what, got, want)
+			t.Errorf("%s: %q are warming up, want %q", step, got, want)
 		}
 	}
-	cold("known at the start", "began ")
-	l.ApplyStart(ctx, word("late", now, time.Second))
-	cold("a newer process than the list knows", "began late ")
-	if e := l.byName["late"]; e.state != balancer.Ready {
-		t.Error("the drain of the process before it binds it")
+	peerReports := func(s Start) {
+		t.Helper()
+		if err := l.ApplyStart(t.Context(), s); err != nil {
+			t.Fatal(err)
+		}
 	}
-	full := func(all ...discovery.Instance) {
-		l.do(ctx, func(now balancer.Micros) {
+	list := func(all ...discovery.Instance) {
+		t.Helper()
+		mustDo(t, l, func(now balancer.Micros) {
 			l.applyList(now, balancer.ListFull, discovery.List{Reset: true, Instances: all})
 		})
 	}
-	full(in("old", 0), in("began", 0), in("late", 5))
-	full(in("old", 0), in("began", 0), in("late", now), in("new", 0))
-	cold("seen to begin", "began late new ")
-	l.ApplyStart(ctx, word("new", 0, time.Hour))
-	l.ApplyStart(ctx, word("old", 0, time.Hour))
-	full(in("old", 0), in("began", 0), in("late", now), in("new", 0))
-	cold("what others know to be long ago", "began late new ")
-	if got := fmt.Sprint(told); got != "[late new]" {
-		t.Errorf("told %s", got)
+	wantWarmingUp("known at the start", "began ")
+	peerReports(start("late", now, time.Second))
+	wantWarmingUp("a later process than listed", "began late ")
+	if e := l.byName["late"]; e.state != balancer.Ready {
+		t.Error("the drain of the process before it applies to it")
+	}
+	list(in("old", 0), in("began", 0), in("late", 5))
+	list(in("old", 0), in("began", 0), in("late", now), in("new", 0))
+	wantWarmingUp("observed here", "began late new ")
+	peerReports(start("new", 0, time.Hour))
+	peerReports(start("old", 0, time.Hour))
+	list(in("old", 0), in("began", 0), in("late", now), in("new", 0))
+	wantWarmingUp("started long ago by others", "began late new ")
+	if got := fmt.Sprint(reported); got != "[late new]" {
+		t.Errorf("reported %s", got)
 	}
 }
--- a/internal/dataplane/core/ejections.go
+++ b/internal/dataplane/core/ejections.go
@@ -16,15 +16,16 @@
 // ejectionReporter passes ejections on to the process beside this one.
 type ejectionReporter func([]handover.Ejection)
 
-// ReportEjectionsTo reports the endpoints that the module has ejected to the process beside this one, until stop is called.
+// ReportEjectionsTo reports the endpoints that the module has ejected to the process beside this one, until stop is
+// called.
 func (l *EventLoop) ReportEjectionsTo(eject func(context.Context, []handover.Ejection) error) (stop func()) {
 	report := newEjectionReporter(eject)
 	l.peer.Store(&report)
 	return func() { l.peer.CompareAndSwap(&report, nil) }
 }
 
-// newEjectionReporter returns a reporter that makes one report at a time. Those in the meantime are dropped, since the next
-// follows soon.
+// newEjectionReporter returns a reporter that makes one report at a time. Those in the meantime are dropped, since the
+// next follows soon.
 func newEjectionReporter(eject func(context.Context, []handover.Ejection) error) ejectionReporter {
 	busy := make(chan struct{}, 1)
 	return func(ejections []handover.Ejection) {
--- a/internal/dataplane/core/endpointlist_test.go
+++ b/internal/dataplane/core/endpointlist_test.go
@@ -11,44 +11,72 @@
 
 	"birchmoor/balancer"
 	"birchmoor/internal/dataplane/discovery"
-	"birchmoor/internal/platform/metrics"
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// What can't be read of a list is passed over in one line for all of it, but a drain binds however it is told.
+// Invalid entries of a list are ignored and logged in one line, but a drain applies whatever else its entry says.
 func TestInvalidListEntriesAreLoggedOnce(t *testing.T) {
-	var said strings.Builder
-	log := slog.New(slog.NewTextHandler(&said, nil))
-	cfg := sidecartest.Configure(t, sidecartest.Nowhere(t), nil)
-	clk := NewClock()
-	l, err := New(cfg, clk, stub{}, func(bool) {}, metrics.New(), nil, log)
-	if err != nil {
-		t.Fatal(err)
-	}
-	now := clk.Now()
+	var logged strings.Builder
+	log := slog.New(slog.NewTextHandler(&logged, nil))
+	l := newLoop(t, sidecartest.Configure(t, sidecartest.Nowhere(t), nil), stub{}, log)
+	now := l.Now()
 	l.balancer.Start(now)
 	in := func(id, addr, lifecycle string) discovery.Instance {
 		return discovery.Instance{ID: id, Addr: addr, Lifecycle: lifecycle}
 	}
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		name  string
 		kind  balancer.ListKind
 		list  []discovery.Instance
-		ready string // who serves afterwards
+		ready string // names of the endpoints that serve afterwards
 		lines int
-		says  string
+		text  string
 	}{
-		{"sound", balancer.ListFull, []discovery.Instance{in("a", "127.0.0.1:1", "up"), in("b", "127.0.0.1:2", "up")}, "a b", 0, ""},
-		{"many odd ones", balancer.ListDelta, []discovery.Instance{in("", "127.0.0.1:3", "up"), in("c", "", "up"), in("d", "no port", "up"),
-			in("e", "127.0.0.1:5", "up")}, "a b e", 1, "invalid=3"},
-		{"listed twice", balancer.ListDelta, []discovery.Instance{in("e", "127.0.0.1:5", "up"), in("e", "127.0.0.1:6", "up")}, "a b e", 1, "listed twice"},
-		{"drains at no address", balancer.ListDelta, []discovery.Instance{in("a", "no port", "draining"), in("b", "", "draining")}, "e", 0, ""},
-		{"a word that is not known", balancer.ListDelta, []discovery.Instance{in("e", "127.0.0.1:6", "resting")}, "", 1, "resting"},
-		{"back", balancer.ListDelta, []discovery.Instance{in("a", "127.0.0.1:1", "up")}, "a", 0, ""},
-		{"empty", balancer.ListFull, nil, "", 0, ""},
+		{
+			name:  "valid",
+			kind:  balancer.ListFull,
+			list:  []discovery.Instance{in("a", "127.0.0.1:1", "up"), in("b", "127.0.0.1:2", "up")},
+			ready: "a b",
+		},
+		{
+			name: "several invalid ones",
+			kind: balancer.ListDelta,
+			list: []discovery.Instance{
+				in("", "127.0.0.1:3", "up"),
+				in("c", "", "up"),
+				in("d", "no port", "up"),
+				in("e", "127.0.0.1:5", "up"),
+			},
+			ready: "a b e", lines: 1, text: "invalid=3",
+		},
+		{
+			name:  "listed twice",
+			kind:  balancer.ListDelta,
+			list:  []discovery.Instance{in("e", "127.0.0.1:5", "up"), in("e", "127.0.0.1:6", "up")},
+			ready: "a b e", lines: 1, text: "listed twice",
+		},
+		{
+			name:  "drains without an address",
+			kind:  balancer.ListDelta,
+			list:  []discovery.Instance{in("a", "no port", "draining"), in("b", "", "draining")},
+			ready: "e",
+		},
+		{
+			name:  "unknown lifecycle",
+			kind:  balancer.ListDelta,
+			list:  []discovery.Instance{in("e", "127.0.0.1:6", "resting")},
+			lines: 1, text: "resting",
+		},
+		{
+			name:  "back",
+			kind:  balancer.ListDelta,
+			list:  []discovery.Instance{in("a", "127.0.0.1:1", "up")},
+			ready: "a",
+		},
+		{name: "empty", kind: balancer.ListFull},
 	} {
-		said.Reset()
-		l.applyList(now, c.kind, discovery.List{Generation: 7, Instances: c.list})
+		logged.Reset()
+		l.applyList(now, tc.kind, discovery.List{Generation: 7, Instances: tc.list})
 		var ready []string
 		for name, e := range l.byName {
 			if e.state == balancer.Ready {
@@ -56,68 +84,62 @@
 			}
 		}
 		slices.Sort(ready)
-		if got := strings.Join(ready, " "); got != c.ready {
-			t.Errorf("%s: %q serve, want %q", c.name, got, c.ready)
+		if got := strings.Join(ready, " "); got != tc.ready {
+			t.Errorf("%s: %q serve, want %q", tc.name, got, tc.ready)
 		}
-		if n := strings.Count(said.String(), "endpoint list with invalid entries"); n != c.lines || !strings.Contains(said.String(), c.says) {
-			t.Errorf("%s: %d lines, want %d with %q: %s", c.name, n, c.lines, c.says, said.String())
+		lines := strings.Count(logged.String(), "endpoint list with invalid entries")
+		if lines != tc.lines || !strings.Contains(logged.String(), tc.text) {
+			t.Errorf("%s: %d lines, want %d with %q: %s", tc.name, lines, tc.lines, tc.text, logged.String())
 		}
 	}
 }
 
-// A dial can outlast the grace for a drain: then nothing may go out, and the request never ran.
+// A dial can outlast the grace of a drain: then nothing may be sent, and the request never ran.
 func TestConnectionAfterDrainGraceSendsNothing(t *testing.T) {
-	drained := sidecartest.Up("s-1", "127.0.0.1:1")
-	drained.Lifecycle = "draining"
+	drained := sidecartest.Up("s-1", anyAddr)
+	drained.Lifecycle = lifecycleDraining
 	for _, tc := range []struct {
 		name string
-		news discovery.List
-		wait time.Duration // until the connection is up
+		list discovery.List
+		dial time.Duration // after the list
 		want Disposition
 	}{
 		{"within the grace", discovery.List{Instances: []discovery.Instance{drained}}, 0, Served},
 		{"past the grace", discovery.List{Instances: []discovery.Instance{drained}}, 250 * time.Millisecond, Rejected},
-		{"left out of a whole list", discovery.List{Reset: true}, 250 * time.Millisecond, Rejected},
+		{"not in a complete list", discovery.List{Reset: true}, 250 * time.Millisecond, Rejected},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			cfg := sidecartest.Configure(t, "127.0.0.1:1", []discovery.Instance{sidecartest.Up("s-1", "127.0.0.1:1")})
-			clk, dialing := NewClock(), make(chan struct{})
-			l, err := New(cfg, clk, stub{send: func(_ context.Context, o Attempt) Reply {
+			dialing := make(chan struct{})
+			var l *EventLoop
+			transport := stub{send: func(_ context.Context, a Attempt) Reply {
 				close(dialing)
-				time.Sleep(tc.wait + time.Millisecond) // the list is here by then
-				if now := clk.Now(); !o.Begin(now) {
+				time.Sleep(tc.dial + time.Millisecond) // the list is here by then
+				if now := l.Now(); !a.Begin(now) {
 					return Reply{Status: balancer.NotSent, At: now}
 				}
-				return Reply{Status: balancer.OK, At: clk.Now()}
-			}}, func(bool) {}, metrics.New(), nil, sidecartest.Quiet)
-			if err != nil {
-				t.Fatal(err)
-			}
-			ctx, cancel := context.WithCancel(t.Context())
-			done := make(chan struct{})
-			go func() { l.Run(ctx); close(done) }()
-			c := &Request{ID: "1", Class: "pay", Config: l.ConfigSnapshot(), Answer: make(chan Answer, 1),
-				Input: balancer.Request{Class: 2, Deadline: l.Now() + 900_000, Rules: l.ConfigSnapshot().Rules}}
-			l.Submit(c)
+				return Reply{Status: balancer.OK, At: l.Now()}
+			}}
+			l = newLoop(t, sidecartest.Configure(t, anyAddr, endpoints(1)), transport, sidecartest.Quiet)
+			defer runLoop(t, l)()
+			r := submit(l, "1", classPay)
 			<-dialing
-			l.WatchEvent(t.Context(), tc.news)
-			if a := <-c.Answer; a.Disposition != tc.want {
-				t.Errorf("%s: verdict %v, want %v", tc.name, a.Disposition, tc.want)
+			l.WatchEvent(t.Context(), tc.list)
+			if a := <-r.Answer; a.Disposition != tc.want {
+				t.Errorf("%s: disposition %v, want %v", tc.name, a.Disposition, tc.want)
 			}
-			cancel()
-			<-done
 		})
 	}
 }
 
-// Without any endpoint that serves a sidecar is not ready.
 func TestNotReadyWithoutEndpoint(t *testing.T) {
-	l := startLoneLoop(t, sidecartest.Configure(t, "127.0.0.1:1", nil), sidecartest.Quiet)
-	l.do(t.Context(), func(balancer.Micros) {}) // it has begun
+	l := startLoneLoop(t, sidecartest.Configure(t, anyAddr, nil), sidecartest.Quiet)
+	mustDo(t, l, func(balancer.Micros) {}) // it has started
 	if l.Ready() {
 		t.Error("ready without an endpoint")
 	}
-	l.ApplyCachedList(t.Context(), discovery.List{Generation: 8, Instances: []discovery.Instance{sidecartest.Up("s-1", "127.0.0.1:1")}})
+	if err := l.ApplyCachedList(t.Context(), discovery.List{Generation: 8, Instances: endpoints(1)}); err != nil {
+		t.Fatal(err)
+	}
 	if !l.Ready() {
 		t.Error("not ready with an endpoint")
 	}
--- a/internal/dataplane/core/endpoints.go
+++ b/internal/dataplane/core/endpoints.go
@@ -109,8 +109,8 @@
 	l.updateReady()
 }
 
-// checkEntry returns the state that an entry asks for and what is wrong with it. An entry that is not ok is ignored. A drain
-// applies whatever its address is.
+// checkEntry returns the state that an entry asks for and what is wrong with it. An entry that is not ok is ignored. A
+// drain applies whatever its address is.
 func checkEntry(in discovery.Instance) (state balancer.State, faults []string, ok bool) {
 	state, known := discovery.States[in.Lifecycle]
 	if !known {
@@ -184,8 +184,8 @@
 	}
 }
 
-// updateReady makes the process ready once an endpoint is known to serve, by whichever list, also the configured one. It does
-// not wait for an answer of discovery or a server, so that a restarted process is ready soon.
+// updateReady makes the process ready once an endpoint is known to serve, by whichever list, also the configured one.
+// It does not wait for an answer of discovery or a server, so that a restarted process is ready soon.
 func (l *EventLoop) updateReady() {
 	for _, e := range l.byName {
 		if e.state == balancer.Ready {
@@ -195,8 +195,8 @@
 	}
 }
 
-// setState notes from when on nothing new may be sent to an endpoint. The module stops at once; this is for attempts that are
-// waiting for a connection.
+// setState notes from when on nothing new may be sent to an endpoint. The module stops at once; this is for attempts
+// that are waiting for a connection.
 func (l *EventLoop) setState(now balancer.Micros, name string, e *endpoint, state balancer.State) {
 	switch {
 	case e.adminDrained:
--- a/internal/dataplane/core/eventloop.go
+++ b/internal/dataplane/core/eventloop.go
@@ -1,10 +1,11 @@
 // Package core is the part of a sidecar that is independent of protocols: one event loop that owns the decision module
-// (package balancer), the endpoint list, operators' overrides, timers, the current settings and the open requests. A Frontend
-// submits a Request and receives its one Answer; a Transport makes the attempts and probes that the module asks for.
+// (package balancer), the endpoint list, operators' overrides, timers, the current settings and the open requests. A
+// Frontend submits a Request and receives its one Answer; a Transport makes the attempts and probes that the module
+// asks for.
 //
-// Everything that belongs to the event loop runs on its goroutine and does no I/O; other goroutines post events to it. Only
-// methods of EventLoop call the balancer. The package may import the balancer, the packages of the data path that know no
-// protocol, and the platform's; never a front, the control plane or the store.
+// Everything that belongs to the event loop runs on its goroutine and does no I/O; other goroutines post events to it.
+// Only methods of EventLoop call the balancer. The package may import the balancer, the packages of the data path that
+// know no protocol, and the platform's; never a front, the control plane or the store.
 package core
 
 import (
@@ -82,8 +83,8 @@
 	Rules *balancer.Rules
 }
 
-// Tap interposes on the calls between the loop and the decision module, in both directions. It receives the loop's actions, a
-// function that creates the balancer with the actions that it should have, and the names of endpoints.
+// Tap interposes on the calls between the loop and the decision module, in both directions. It receives the loop's
+// actions, a function that creates the balancer with the actions that it should have, and the names of endpoints.
 type Tap func(out balancer.Actions, begin func(balancer.Actions) (*balancer.Balancer, error),
 	name func(id uint32) string) (balancer.Module, error)
 
@@ -148,8 +149,8 @@
 // SetCapacityShare sets this process's share of the limits, from 0 to 1, by which the module counts its open requests.
 func (l *EventLoop) SetCapacityShare(share float64) { l.capacityShare.Store(&share) }
 
-// Reload applies a new configuration, or changes nothing and returns an error. Open requests keep the snapshot they came
-// with.
+// Reload applies a new configuration, or changes nothing and returns an error. Open requests keep the snapshot they
+// came with.
 func (l *EventLoop) Reload(ctx context.Context, c *config.Config) error {
 	var rejected error
 	err := l.do(ctx, func(now balancer.Micros) {
@@ -226,8 +227,8 @@
 	}
 }
 
-// start brings the module to the state from before this process, so that overrides apply before anything is sent. Drains
-// apply to names, listed or not; a return matters only for a listed endpoint, which is warming up.
+// start brings the module to the state from before this process, so that overrides apply before anything is sent.
+// Drains apply to names, listed or not; a return matters only for a listed endpoint, which is warming up.
 func (l *EventLoop) start(now balancer.Micros) {
 	l.balancer.Start(now)
 	l.applyInitialOverrides(now, true)
--- a/internal/dataplane/core/frontend.go
+++ b/internal/dataplane/core/frontend.go
@@ -9,8 +9,8 @@
 	"birchmoor/internal/platform/metrics"
 )
 
-// Frontend is the client side of a protocol. It is safe for concurrent use, except that only one goroutine at a time may call
-// Open and StopAccepting.
+// Frontend is the client side of a protocol. It is safe for concurrent use, except that only one goroutine at a time
+// may call Open and StopAccepting.
 type Frontend interface {
 	// Open accepts requests. broken is called once if that ends without StopAccepting.
 	Open(broken func(error)) error
@@ -20,8 +20,8 @@
 	SetClosing(on bool)
 	// CloseIdle closes idle connections.
 	CloseIdle()
-	// CloseUnused closes connections without a request so far, either all of them or those on which none is about to come,
-	// and returns how many remain.
+	// CloseUnused closes connections without a request so far, either all of them or those on which none is about to
+	// come, and returns how many remain.
 	CloseUnused(all bool) int
 	// CloseIdleFor closes connections that have been idle for longer than age, and returns how many remain.
 	CloseIdleFor(age time.Duration) int
--- a/internal/dataplane/core/latereply_test.go
+++ b/internal/dataplane/core/latereply_test.go
@@ -9,120 +9,105 @@
 	"time"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/dataplane/discovery"
-	"birchmoor/internal/platform/metrics"
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// An answer that comes after its attempt's time, while another attempt is out, is the client's one answer where the
-// protocol keeps it: the other attempt is withdrawn, and its answer is nobody's.
+// twoAttempts is a transport whose first replies are quick, so that the module expects that of others. Once slow is
+// set, the first attempt replies after its timeout, while the second is open.
+type twoAttempts struct {
+	slow                atomic.Bool
+	attempts, cancelled atomic.Int32
+}
+
+var replyDelays = []time.Duration{70 * time.Millisecond, 40 * time.Millisecond}
+
+func (s *twoAttempts) send(ctx context.Context, a Attempt) Reply {
+	a.Begin(0)
+	if !s.slow.Load() {
+		time.Sleep(time.Millisecond)
+		return Reply{Status: balancer.OK, At: a.Request.(balancer.Micros) + 1000}
+	}
+	number := s.attempts.Add(1) - 1 // the loop starts one after the other
+	select {
+	case <-time.After(replyDelays[number]):
+		return Reply{Status: balancer.OK, At: balancer.Micros(number)}
+	case <-ctx.Done():
+		s.cancelled.Add(1)
+		return Reply{Status: balancer.Cancelled}
+	}
+}
+
+// A reply that comes after its attempt's timeout, while another attempt is open, is the client's one answer where the
+// protocol accepts it: the other attempt is cancelled, and its reply dropped.
 func TestLateAnswer(t *testing.T) {
 	for _, late := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			answersAfter := []time.Duration{70 * time.Millisecond, 40 * time.Millisecond}
-			sent := make(chan int, 8)
-			var attempts, withdrawn atomic.Int32
-			var hot atomic.Bool // the module has been taught
-			s := stub{late: late, send: func(ctx context.Context, o Attempt) Reply {
-				o.Begin(0)
-				if !hot.Load() {
-					time.Sleep(time.Millisecond)
-					return Reply{Status: balancer.OK, At: o.Request.(balancer.Micros) + 1000}
-				}
-				n := attempts.Add(1) - 1 // the loop sends one after the other
-				sent <- int(n)
-				select {
-				case <-time.After(answersAfter[n]):
-					return Reply{Status: balancer.OK, At: balancer.Micros(n)}
-				case <-ctx.Done():
-					withdrawn.Add(1)
-					return Reply{Status: balancer.Cancelled}
-				}
-			}}
-			c := sidecartest.Configure(t, "127.0.0.1:1", []discovery.Instance{sidecartest.Up("s-1", "127.0.0.1:1"), sidecartest.Up("s-2", "127.0.0.1:2")})
-			l, err := New(c, NewClock(), s, func(bool) {}, metrics.New(), nil, sidecartest.Quiet)
-			if err != nil {
-				t.Fatal(err)
-			}
-			ctx, cancel := context.WithCancel(t.Context())
-			done := make(chan struct{})
-			go func() { l.Run(ctx); close(done) }()
-			// Quick answers teach the module what to expect of both, so that its patience is its least.
-			for range 100 {
+			var upstream twoAttempts
+			transport := stub{acceptsLateReplies: late, send: upstream.send}
+			l := newLoop(t, sidecartest.Configure(t, anyAddr, endpoints(2)), transport, sidecartest.Quiet)
+			defer runLoop(t, l)()
+			for range 100 { // teaches the module of both endpoints
 				var two [2]*Request
 				for i := range two {
-					two[i] = &Request{ID: strconv.Itoa(i), Class: "look", Config: l.ConfigSnapshot(), Answer: make(chan Answer, 1), Payload: l.Now(),
-						Input: balancer.Request{Deadline: l.Now() + 900_000, Rules: l.ConfigSnapshot().Rules}}
+					two[i] = newRequest(l, strconv.Itoa(i), classLook)
+					two[i].Payload = l.Now()
 					l.Submit(two[i])
 				}
 				<-two[0].Answer
 				<-two[1].Answer
 			}
-			hot.Store(true)
-			k := &Request{ID: "1", Class: "look", Config: l.ConfigSnapshot(), Answer: make(chan Answer, 1),
-				Input: balancer.Request{Deadline: l.Now() + 900_000, Rules: l.ConfigSnapshot().Rules}}
+			upstream.slow.Store(true)
 			begun := time.Now()
-			l.Submit(k)
-			a := <-k.Answer
+			r := submit(l, "1", classLook)
+			a := <-r.Answer
 			took := time.Since(begun)
-			if len(sent) != 2 {
-				t.Fatalf("%d attempts, answered after %v", len(sent), took)
+			if n := upstream.attempts.Load(); n != 2 {
+				t.Fatalf("%d attempts, answered after %v", n, took)
 			}
 			if a.Disposition != Served {
-				t.Fatalf("late %v: verdict %v", late, a.Disposition)
+				t.Fatalf("late %v: disposition %v", late, a.Disposition)
 			}
-			want := 0 // the first attempt's
-			if !late {
-				want = 1
+			wantAttempt := balancer.Micros(1)
+			if late {
+				wantAttempt = 0
 			}
-			if int(a.Reply.At) != want {
-				t.Errorf("late %v: the answer of attempt %d, after %v", late, a.Reply.At, took)
+			if a.Reply.At != wantAttempt {
+				t.Errorf("late %v: the reply of attempt %d, after %v", late, a.Reply.At, took)
 			}
-			if late && took != answersAfter[0] {
+			if late && took != replyDelays[0] {
 				t.Errorf("answered after %v", took)
 			}
 			synctest.Wait()
-			if withdrawn.Load() != 1 || len(l.requests) != 0 || len(k.Answer) != 0 {
-				t.Errorf("late %v: %d withdrawn, %d calls kept", late, withdrawn.Load(), len(l.requests))
+			if n := upstream.cancelled.Load(); n != 1 || len(l.requests) != 0 || len(r.Answer) != 0 {
+				t.Errorf("late %v: %d cancelled, %d requests left", late, n, len(l.requests))
 			}
-			cancel()
-			<-done
 		})
 	}
 }
 
-// Where nothing may be withdrawn, an attempt whose request has ended goes on to its time and no longer.
+// Where attempts are not cancelled, one whose request has ended continues to its timeout and no longer.
 func TestAttemptOfEndedRequestStopsAtItsTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sent, over := make(chan struct{}), make(chan struct{})
-		s := stub{late: true, send: func(ctx context.Context, o Attempt) Reply {
-			o.Begin(0)
+		sent, ended := make(chan struct{}), make(chan struct{})
+		transport := stub{acceptsLateReplies: true, send: func(ctx context.Context, a Attempt) Reply {
+			a.Begin(0)
 			close(sent)
 			<-ctx.Done()
-			close(over)
+			close(ended)
 			return Reply{Status: balancer.Cancelled}
 		}}
-		c := sidecartest.Configure(t, "127.0.0.1:1", []discovery.Instance{sidecartest.Up("s-1", "127.0.0.1:1")}, `"cancel":true`, `"cancel":false`)
-		l, err := New(c, NewClock(), s, func(bool) {}, metrics.New(), nil, sidecartest.Quiet)
-		if err != nil {
-			t.Fatal(err)
-		}
-		ctx, cancel := context.WithCancel(t.Context())
-		done := make(chan struct{})
-		go func() { l.Run(ctx); close(done) }()
-		k := &Request{ID: "1", Class: "look", Config: l.ConfigSnapshot(), Answer: make(chan Answer, 1),
-			Input: balancer.Request{Deadline: l.Now() + 900_000, Rules: l.ConfigSnapshot().Rules}}
-		l.Submit(k)
+		c := sidecartest.Configure(t, anyAddr, endpoints(1), `"cancel":true`, `"cancel":false`)
+		l := newLoop(t, c, transport, sidecartest.Quiet)
+		defer runLoop(t, l)()
+		r := submit(l, "1", classLook)
 		<-sent
-		l.ClientLeft(k)
-		time.Sleep(time.Second) // past its time
+		l.ClientLeft(r)
+		time.Sleep(time.Second) // past its timeout
 		synctest.Wait()
 		select {
-		case <-over:
+		case <-ended:
 		default:
-			t.Error("the attempt is still out")
+			t.Error("the attempt is still running")
 		}
-		cancel()
-		<-done
 	})
 }
--- a/internal/dataplane/core/overrides.go
+++ b/internal/dataplane/core/overrides.go
@@ -7,8 +7,8 @@
 	"birchmoor/internal/dataplane/maintenance"
 )
 
-// ApplyOverride applies an operator's override of an endpoint, and returns once it is in effect. maintenance.ErrUnknownEndpoint
-// says that its ID was not listed lately; with force that is no error.
+// ApplyOverride applies an operator's override of an endpoint, and returns once it is in effect.
+// maintenance.ErrUnknownEndpoint says that its ID was not listed lately; with force that is no error.
 func (l *EventLoop) ApplyOverride(ctx context.Context, o maintenance.Override, force bool) error {
 	var rejected error
 	if err := l.do(ctx, func(now balancer.Micros) { rejected = l.setOverride(now, o, force) }); err != nil {
@@ -34,8 +34,8 @@
 	return nil
 }
 
-// drainEndpoint drains an endpoint, which is nil if it is not listed. The module holds the drain; here attempts that wait for
-// a connection are kept from being sent.
+// drainEndpoint drains an endpoint, which is nil if it is not listed. The module holds the drain; here attempts that
+// wait for a connection are kept from being sent.
 func (l *EventLoop) drainEndpoint(now balancer.Micros, e *endpoint, o maintenance.Override) {
 	var number uint32
 	if e == nil {
@@ -53,8 +53,8 @@
 	l.balancer.DrainEndpoint(now, number, min(now, o.UnixMicros))
 }
 
-// undrainEndpoint ends the drain of an endpoint, which is nil if it is not listed. One that drains by discovery too stays
-// stopped, since its grace was over long ago.
+// undrainEndpoint ends the drain of an endpoint, which is nil if it is not listed. One that drains by discovery too
+// stays stopped, since its grace was over long ago.
 func (l *EventLoop) undrainEndpoint(now balancer.Micros, e *endpoint, o maintenance.Override) {
 	number := l.adminDrained[o.ID]
 	delete(l.adminDrained, o.ID)
--- a/internal/dataplane/core/request.go
+++ b/internal/dataplane/core/request.go
@@ -22,7 +22,8 @@
 	BudgetBytes   int              // of the front's budget that its body takes
 	TimeAfterBody balancer.Micros  // for a streamed body: the client's time from its last byte on
 	MaxAttempts   int              // where the protocol allows fewer than the settings; 0 for theirs
-	// ClientGone reports whether the client has closed its connection. It may be called from any goroutine; nil: not known.
+	// ClientGone reports whether the client has closed its connection. It may be called from any goroutine; nil: not
+	// known.
 	ClientGone func() bool
 
 	// The following belong to the loop's goroutine.
@@ -55,8 +56,8 @@
 	}
 }
 
-// retryDeadline returns the instant from which on no attempt may begin: servers that drop retries by their idempotency key
-// remember the key only for the class's window, from the first attempt that may have run.
+// retryDeadline returns the instant from which on no attempt may begin: servers that drop retries by their idempotency
+// key remember the key only for the class's window, from the first attempt that may have run.
 func (r *Request) retryDeadline() balancer.Micros {
 	class := &r.Config.Settings.Classes[r.Input.Class]
 	if class.Idempotency != balancer.WithIdempotencyKey {
@@ -79,8 +80,8 @@
 	attemptLateReply              // the module has a timeout as its outcome, but a late reply is still accepted
 )
 
-// attemptState is one call of Target.Send. Its goroutine posts one result to the loop, which passes one outcome on to the
-// module.
+// attemptState is one call of Target.Send. Its goroutine posts one result to the loop, which passes one outcome on to
+// the module.
 type attemptState struct {
 	request     *Request
 	number      int
--- a/internal/dataplane/core/requests.go
+++ b/internal/dataplane/core/requests.go
@@ -28,15 +28,16 @@
 	})
 }
 
-// ClientLeft reports that the client of a request has gone. The one answer still comes on r.Answer: one that was made in the
-// meantime, or that the request was abandoned.
+// ClientLeft reports that the client of a request has gone. The one answer still comes on r.Answer: one that was made
+// in the meantime, or that the request was abandoned.
 func (l *EventLoop) ClientLeft(r *Request) {
 	l.post(func(now balancer.Micros) { l.abandon(now, r) })
 }
 
-// clientGone reports whether the client of a request has gone, and has the loop abandon the request then. An attempt calls it
-// right before its first byte, since no attempt may begin more than 0.1 s after the client closed its connection, and the event
-// of ClientLeft may be late: the client may have gone before the request was read, and the event waits behind others.
+// clientGone reports whether the client of a request has gone, and has the loop abandon the request then. An attempt
+// calls it right before its first byte, since no attempt may begin more than 0.1 s after the client closed its
+// connection, and the event of ClientLeft may be late: the client may have gone before the request was read, and the
+// event waits behind others.
 func (l *EventLoop) clientGone(r *Request) bool {
 	if r.ClientGone == nil || !r.ClientGone() {
 		return false
@@ -45,8 +46,8 @@
 	return true
 }
 
-// abandon ends a request that has no answer yet: as rejected if nothing was sent for it, since now nothing will be, else as
-// failed.
+// abandon ends a request that has no answer yet: as rejected if nothing was sent for it, since now nothing will be,
+// else as failed.
 func (l *EventLoop) abandon(now balancer.Micros, r *Request) {
 	if r.ended {
 		return
@@ -61,8 +62,8 @@
 	l.balancer.ClientDisconnected(now, r.Input.ID)
 }
 
-// EndAfter answers all requests that are still open after a delay, and from then on new ones at once: this process is about
-// to be killed, which would lose them.
+// EndAfter answers all requests that are still open after a delay, and from then on new ones at once: this process is
+// about to be killed, which would lose them.
 func (l *EventLoop) EndAfter(delay time.Duration) {
 	l.post(func(now balancer.Micros) {
 		l.setTimer(now+delay.Microseconds(), l.close)
--- a/internal/dataplane/core/restore.go
+++ b/internal/dataplane/core/restore.go
@@ -8,8 +8,8 @@
 	"birchmoor/internal/platform/snapshot"
 )
 
-// The state of the decision module is kept for the next process: it is handed over while both run, and saved to a file in case
-// this one is killed. The module decides what of it the next one uses.
+// The state of the decision module is kept for the next process: it is handed over while both run, and saved to a file
+// in case this one is killed. The module decides what of it the next one uses.
 
 // Snapshot returns the encoded state for a process on this host. Only taking it occupies the loop.
 func (l *EventLoop) Snapshot(ctx context.Context) ([]byte, error) {
@@ -63,14 +63,15 @@
 	return saved
 }
 
-// Restore passes the state of an earlier process on to the module. Its age is that by the clocks that both processes share.
-// State of another sidecar, or that the module rejects, is ignored: the process starts without it.
+// Restore passes the state of an earlier process on to the module. Its age is that by the clocks that both processes
+// share. State of another sidecar, or that the module rejects, is ignored: the process starts without it.
 func (l *EventLoop) Restore(ctx context.Context, saved *snapshot.Saved, from string) {
 	l.RestoreAged(ctx, saved, from, snapshot.ReadClock().Since(saved.Clock))
 }
 
 // RestoreAged does so with state of a known age. It returns the number of endpoints that were restored.
-func (l *EventLoop) RestoreAged(ctx context.Context, saved *snapshot.Saved, from string, age balancer.Micros) (endpoints int) {
+func (l *EventLoop) RestoreAged(ctx context.Context, saved *snapshot.Saved, from string, age balancer.Micros) (
+	endpoints int) {
 	if saved.Sidecar != l.config.Name {
 		l.log.Warn("snapshot of another sidecar ignored", "from", from, "its name", saved.Sidecar)
 		return 0
@@ -85,8 +86,8 @@
 	case rejected != nil:
 		l.log.Warn("snapshot ignored", "from", from, "error", rejected)
 	default:
-		l.log.Info("restored the state of an earlier process", "from", from, "endpoints", endpoints, "of", len(saved.Names),
-			"age", time.Duration(age)*time.Microsecond)
+		l.log.Info("restored the state of an earlier process", "from", from,
+			"endpoints", endpoints, "of", len(saved.Names), "age", time.Duration(age)*time.Microsecond)
 	}
 	return endpoints
 }
--- a/internal/dataplane/core/snapshotsaver.go
+++ b/internal/dataplane/core/snapshotsaver.go
@@ -19,8 +19,8 @@
 	File snapshot.File
 }
 
-// Run saves the state repeatedly until ctx ends. While paused returns true, another process saves it. It returns at once if
-// there is no file.
+// Run saves the state repeatedly until ctx ends. While paused returns true, another process saves it. It returns at
+// once if there is no file.
 func (s SnapshotSaver) Run(ctx context.Context, paused func() bool) {
 	if s.File.Path == "" {
 		return
--- a/internal/dataplane/core/starts.go
+++ b/internal/dataplane/core/starts.go
@@ -8,9 +8,9 @@
 	"birchmoor/internal/dataplane/discovery"
 )
 
-// Where daemons share what they know, a server's process that one of them observed starting is warming up for all: for those
-// whose own list is late, for those that start and find it on their first list, and where discovery has no starts. What this
-// sidecar observed itself takes precedence.
+// Where daemons share what they know, a server's process that one of them observed starting is warming up for all: for
+// those whose own list is late, for those that start and find it on their first list, and where discovery has no
+// starts. What this sidecar observed itself takes precedence.
 
 const (
 	// maxPeerStarts bounds the servers of which other daemons may report a start.
@@ -57,8 +57,8 @@
 	listReceived bool // a complete list has come from discovery, so that new entries of later ones are starts
 }
 
-// ShareStarts starts the exchange of starts with other daemons. report is called with what this sidecar observes and must not
-// block; known are the recent starts. It is called before Run.
+// ShareStarts starts the exchange of starts with other daemons. report is called with what this sidecar observes and
+// must not block; known are the recent starts. It is called before Run.
 func (l *EventLoop) ShareStarts(known []Start, report func(p discovery.Process, age, warmUp time.Duration)) {
 	l.starts.report, l.starts.byPeers = report, map[serverAddr]peerStart{}
 	now := l.clock.Now()
@@ -103,8 +103,8 @@
 	}
 }
 
-// startTime returns when the process of an endpoint's latest entry started, for the module, and reports a start that this
-// sidecar observes. isNew is set for a new endpoint or address; startedBefore is the start in the entry before.
+// startTime returns when the process of an endpoint's latest entry started, for the module, and reports a start that
+// this sidecar observes. isNew is set for a new endpoint or address; startedBefore is the start in the entry before.
 func (l *EventLoop) startTime(now balancer.Micros, e *endpoint, isNew bool, startedBefore int64) balancer.Micros {
 	listed := e.entry.StartedMs
 	byPeers, reported := l.starts.byPeers[serverAddr{e.entry.ID, e.addr}]
