--- a/internal/platform/metrics/metrics_test.go
+++ b/internal/platform/metrics/metrics_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"os"
 	"strings"
 	"sync"
 	"testing"
@@ -46,32 +47,61 @@
 	}
 }
 
-type broken struct{}
+type failingWriter struct{}
 
-var errBroken = errors.New("broken")
+var errWriter = errors.New("write failed")
 
-func (broken) Write([]byte) (int, error) { return 0, errBroken }
+func (failingWriter) Write([]byte) (int, error) { return 0, errWriter }
 
-func TestWriteTextFails(t *testing.T) {
-	if err := New().WriteText(broken{}); !errors.Is(err, errBroken) {
+func TestWriteTextReturnsErrorOfWriter(t *testing.T) {
+	if err := New().WriteText(failingWriter{}); !errors.Is(err, errWriter) {
 		t.Error("got", err)
 	}
 }
 
-// Counting and reading go on side by side, and a class is made once however many ask for it at the same time.
-func TestSideBySide(t *testing.T) {
+// Counters count while metrics are written, and a class that several goroutines use first is created once.
+func TestCountingIsSafeForConcurrentUse(t *testing.T) {
 	r := New()
-	var all sync.WaitGroup
+	var workers sync.WaitGroup
 	for range 8 {
-		all.Go(func() {
+		workers.Go(func() {
 			for range 100 {
 				r.Class("look").Answered.Inc()
-				r.WriteText(&strings.Builder{})
+				if err := r.WriteText(&strings.Builder{}); err != nil {
+					t.Error(err)
+				}
 			}
 		})
 	}
-	all.Wait()
+	workers.Wait()
 	if n := r.Class("look").Answered.Value(); n != 800 {
 		t.Errorf("counted %d, want 800", n)
 	}
 }
+
+// TestNamesUnchanged compares the metrics of a protocol with what revision 7105f7a wrote.
+func TestNamesUnchanged(t *testing.T) {
+	fixture, err := os.ReadFile("testdata/protocol.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := NewForProtocol("dns", "lookup")
+	r.Class("lookup").Deferred.Inc()
+	r.LimitRejections(`a"b`).Inc()
+	r.LimitRejections("c").Inc()
+	r.NewCounter("truncated_total").Inc()
+	r.InFlight.Set(2)
+	r.Endpoints.Set(3)
+	r.UnhealthyEndpoints.Set(4)
+	for counter, n := range map[*Counter]int{
+		&r.AttemptsSent: 1, &r.Unanswered: 5, &r.AllEndpointsRefused: 6, &r.ConfigsLoaded: 7, &r.ConfigsRejected: 8,
+	} {
+		for range n {
+			counter.Inc()
+		}
+	}
+	var b strings.Builder
+	if err := r.WriteText(&b); err != nil || b.String() != string(fixture) {
+		t.Errorf("got\n%swant\n%serror %v", b.String(), fixture, err)
+	}
+}
