--- a/internal/dataplane/bytebudget/budget.go
+++ b/internal/dataplane/bytebudget/budget.go
@@ -1,4 +1,4 @@
-// Package bytebudget bounds bytes that are held: whoever wants more than is left waits in turn.
+// Package bytebudget bounds the bytes that are held at once. It imports nothing of this module.
 package bytebudget
 
 import (
@@ -7,24 +7,25 @@
 	"sync"
 )
 
-// Budget bounds the bytes that are held for bodies or answers. Whoever wants more than is left waits in turn,
-// and with it the peer whose bytes they are.
+// Budget bounds the bytes that are held for bodies or answers. Who needs more than is left waits in a queue, and with it
+// the peer that sends those bytes. It is safe for concurrent use.
 type Budget struct {
 	mu       sync.Mutex
 	capacity int
 	used     int
-	queue    list.List // *waiter
+	queue    list.List // of *waiter, the first in line first
 }
 
 type waiter struct {
 	bytes   int
-	granted chan struct{}
+	granted chan struct{} // closed when the bytes are the waiter's
 }
 
-// New returns a budget of most bytes.
-func New(most int) *Budget { return &Budget{capacity: most} }
+// New returns a budget with a capacity in bytes.
+func New(capacity int) *Budget { return &Budget{capacity: capacity} }
 
-// Acquire waits for n bytes. What is larger than the whole budget goes when nothing else does.
+// Acquire waits for n bytes, which must be released. More than the capacity is granted when nothing else is held. It
+// returns ctx's error if that ends first.
 func (b *Budget) Acquire(ctx context.Context, n int) error {
 	b.mu.Lock()
 	if b.queue.Len() == 0 && b.fitsLocked(n) {
@@ -32,24 +33,30 @@
 		b.mu.Unlock()
 		return nil
 	}
-	w := &waiter{n, make(chan struct{})}
-	place := b.queue.PushBack(w)
+	w := &waiter{bytes: n, granted: make(chan struct{})}
+	element := b.queue.PushBack(w)
 	b.mu.Unlock()
 	select {
 	case <-w.granted:
 		return nil
 	case <-ctx.Done():
+		b.abandon(element)
+		return ctx.Err()
 	}
+}
+
+// abandon ends a wait. Bytes that were granted in the meantime are released.
+func (b *Budget) abandon(element *list.Element) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
+	w := element.Value.(*waiter)
 	select {
-	case <-w.granted: // just now
-		b.used -= n
+	case <-w.granted:
+		b.used -= w.bytes
 	default:
-		b.queue.Remove(place)
+		b.queue.Remove(element)
 	}
 	b.grantLocked()
-	return ctx.Err()
 }
 
 func (b *Budget) fitsLocked(n int) bool { return b.used == 0 || b.used+n <= b.capacity }
@@ -62,14 +69,15 @@
 	b.grantLocked()
 }
 
-// Resize changes the whole. What is out stays out.
-func (b *Budget) Resize(most int) {
+// Resize changes the capacity. Bytes that are held beyond it stay held.
+func (b *Budget) Resize(capacity int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.capacity = most
+	b.capacity = capacity
 	b.grantLocked()
 }
 
+// grantLocked grants bytes to the waiters first in line, as far as they fit.
 func (b *Budget) grantLocked() {
 	for first := b.queue.Front(); first != nil; first = b.queue.Front() {
 		w := first.Value.(*waiter)
--- a/internal/platform/management/server_test.go
+++ b/internal/platform/management/server_test.go
@@ -99,6 +99,7 @@
 func TestCallsAreAnswered(t *testing.T) {
 	backend := &fakeBackend{}
 	withServer(t, backend, func(t *testing.T, l *pipeListener) {
+		t.Helper()
 		for _, test := range []struct{ text, want string }{
 			{"status\n", "YES\n"},
 			{"status\r\n", "YES\n"},
@@ -132,6 +133,7 @@
 // Silent callers, however many, do not delay a call, and their connections are closed after lineTimeout.
 func TestSilentCallersDoNotDelayCalls(t *testing.T) {
 	withServer(t, &fakeBackend{}, func(t *testing.T, l *pipeListener) {
+		t.Helper()
 		start := time.Now()
 		var silent []net.Conn
 		for range 3 * MaxConns {
@@ -157,6 +159,7 @@
 // A call that the backend does not carry out in time is answered NO while the caller still waits.
 func TestStalledCallIsAnsweredInTime(t *testing.T) {
 	withServer(t, &fakeBackend{stall: true}, func(t *testing.T, l *pipeListener) {
+		t.Helper()
 		start := time.Now()
 		if got := l.call("maint-on s-1\n"); got != "NO context deadline exceeded\n" {
 			t.Errorf("got %q", got)
