--- a/internal/dataplane/bytebudget/budget.go
+++ b/internal/dataplane/bytebudget/budget.go
@@ -7,8 +7,8 @@
 	"sync"
 )
 
-// Budget bounds the bytes that are held for bodies or answers. Who needs more than is left waits in a queue, and with it
-// the peer that sends those bytes. It is safe for concurrent use.
+// Budget bounds the bytes that are held for bodies or answers. Who needs more than is left waits in a queue, and
+// with it the peer that sends those bytes. It is safe for concurrent use.
 type Budget struct {
 	mu       sync.Mutex
 	capacity int
--- a/internal/dataplane/bytebudget/budget_test.go
+++ b/internal/dataplane/bytebudget/budget_test.go
@@ -24,8 +24,8 @@
 			t.Error("what did not fit was granted")
 		}
 		select {
-		case <-granted:
-			t.Error("granted beyond the capacity")
+		case err := <-granted:
+			t.Error("granted beyond the capacity:", err)
 		default:
 		}
 		b.Release(50)
