--- a/cmd/birchmoor/capture.go
+++ b/cmd/birchmoor/capture.go
@@ -24,13 +24,13 @@
 	return func(start int, out balancer.Actions, begin func(balancer.Actions) (*balancer.Balancer, error)) (
 		balancer.Module, func(), error) {
 		name := fmt.Sprintf("sidecar-%d.%d", sidecar, start)
-		w, err := capture.Create(capture.Config{Dir: dir, Name: name, Bytes: simBytes, FileBytes: simFile, FileAge: time.Hour,
-			Queue: 16, Retry: time.Second, Log: slog.New(slog.DiscardHandler), Wait: true})
+		w, err := capture.Create(capture.Config{Dir: dir, Name: name, MaxBytes: simBytes, MaxFileBytes: simFile, MaxFileAge: time.Hour,
+			QueueLength: 16, RetryDelay: time.Second, Log: slog.New(slog.DiscardHandler), BlockWhenFull: true})
 		if err != nil {
 			return nil, nil, err
 		}
-		r, err := capture.New(capture.Options{Sidecar: fmt.Sprintf("n%d", sidecar), Every: simSegment, Sink: w,
-			Name: func(id uint32) string { return serverName(s, int(id)-1) }}, out, begin)
+		r, err := capture.New(capture.Options{Sidecar: fmt.Sprintf("n%d", sidecar), SegmentInterval: simSegment, Sink: w,
+			EndpointName: func(id uint32) string { return serverName(s, int(id)-1) }}, out, begin)
 		if err != nil {
 			w.Close()
 			return nil, nil, err
--- a/cmd/birchmoor/sidecar.go
+++ b/cmd/birchmoor/sidecar.go
@@ -112,8 +112,8 @@
 
 // captureTap records what the sidecar's module is told and answers. end is called when the loop is over.
 func captureTap(c *operatorconfig.Capture, name string, log *slog.Logger) (tap core.Tap, end func(), err error) {
-	w, err := capture.Create(capture.Config{Dir: c.Dir, Name: name, Bytes: int64(c.BudgetMB) << 20,
-		FileBytes: int64(c.MaxFileMB) << 20, FileAge: time.Duration(c.MaxFileAge), Queue: c.MaxQueuedBatches, Retry: time.Duration(c.RetryDelay), Log: log})
+	w, err := capture.Create(capture.Config{Dir: c.Dir, Name: name, MaxBytes: int64(c.BudgetMB) << 20,
+		MaxFileBytes: int64(c.MaxFileMB) << 20, MaxFileAge: time.Duration(c.MaxFileAge), QueueLength: c.MaxQueuedBatches, RetryDelay: time.Duration(c.RetryDelay), Log: log})
 	if err != nil {
 		return nil, nil, err
 	}
@@ -121,8 +121,8 @@
 	tap = func(out balancer.Actions, begin func(balancer.Actions) (*balancer.Balancer, error), names func(uint32) string) (
 		balancer.Module, error) {
 		var err error
-		r, err = capture.New(capture.Options{Sidecar: name, Run: uint64(time.Now().UnixMicro()),
-			Every: time.Duration(c.SnapshotInterval).Microseconds(), Name: names, Sink: w}, out, begin)
+		r, err = capture.New(capture.Options{Sidecar: name, RunID: uint64(time.Now().UnixMicro()),
+			SegmentInterval: time.Duration(c.SnapshotInterval).Microseconds(), EndpointName: names, Sink: w}, out, begin)
 		if err != nil {
 			return nil, fmt.Errorf("capture: %w", err)
 		}
--- a/internal/dataplane/capture/capture_test.go
+++ b/internal/dataplane/capture/capture_test.go
@@ -33,7 +33,7 @@
 // recorder returns one over a started module of three servers.
 func recorder(t testing.TB, sink Sink, every balancer.Micros) *Recorder {
 	t.Helper()
-	r, err := New(Options{Sidecar: "n0", Every: every, Sink: sink, Name: func(id uint32) string { return fmt.Sprint("s-", id) }},
+	r, err := New(Options{Sidecar: "n0", SegmentInterval: every, Sink: sink, EndpointName: func(id uint32) string { return fmt.Sprint("s-", id) }},
 		balancer.NoActions{}, func(out balancer.Actions) (*balancer.Balancer, error) { return balancer.New(settings(), 7, out) })
 	if err != nil {
 		t.Fatal(err)
@@ -55,8 +55,8 @@
 }
 
 func config(dir string) Config {
-	return Config{Dir: dir, Name: "c", Bytes: 1 << 20, FileBytes: 1 << 19, FileAge: time.Hour, Queue: 8, Retry: time.Second,
-		Log: slog.New(slog.DiscardHandler), Wait: true}
+	return Config{Dir: dir, Name: "c", MaxBytes: 1 << 20, MaxFileBytes: 1 << 19, MaxFileAge: time.Hour, QueueLength: 8, RetryDelay: time.Second,
+		Log: slog.New(slog.DiscardHandler), BlockWhenFull: true}
 }
 
 // capture returns the bytes of a small capture.
@@ -114,7 +114,7 @@
 		t.Fatal(err)
 	}
 	n := kindsOf(list)
-	if n[KindRequest] != 40 || n[KindOutcome] != 120 || n[KindSend] != 40 || n[KindSnapshot] < 2 || n[KindMembers] != 1 || n[KindGap] != 0 {
+	if n[KindRequest] != 40 || n[KindOutcome] != 120 || n[KindSend] != 40 || n[KindSnapshot] < 2 || n[KindUpdateEndpoints] != 1 || n[KindGap] != 0 {
 		t.Errorf("recorded %v", n)
 	}
 	if list[0].Kind != KindSnapshot || list[0].Flag {
@@ -124,7 +124,7 @@
 		if x.Request.Key != 0 {
 			t.Fatal("a key was recorded")
 		}
-		if x.Kind == KindMembers && x.Names[2] != "s-3" {
+		if x.Kind == KindUpdateEndpoints && x.Names[2] != "s-3" {
 			t.Errorf("names %v", x.Names)
 		}
 	}
@@ -140,7 +140,7 @@
 	last := 0
 	for n := range data {
 		list, err := read(data[:n])
-		if bad := (*Error)(nil); err != nil && (!errors.As(err, &bad) || !bad.Cut) {
+		if bad := (*Error)(nil); err != nil && (!errors.As(err, &bad) || !bad.Truncated) {
 			t.Fatalf("cut at %d: %v", n, err)
 		} else if err == nil && len(list) == len(whole) {
 			t.Fatalf("cut at %d: all is there", n)
@@ -177,7 +177,7 @@
 func TestFilesStayUnderTheBudget(t *testing.T) {
 	dir := t.TempDir()
 	c := config(dir)
-	c.FileBytes, c.Bytes = 4<<10, 20<<10
+	c.MaxFileBytes, c.MaxBytes = 4<<10, 20<<10
 	other := filepath.Join(dir, "other-1.capture")
 	os.WriteFile(other, make([]byte, 99), 0o600)
 	w, err := Create(c)
@@ -203,7 +203,7 @@
 		}
 	}
 	// A file ends with the segment that fills it: each may be over by one segment.
-	if made := w.Counts.Files.Load(); made < 10 || len(files) >= int(made) || total > c.Bytes+c.FileBytes {
+	if made := w.Counts.Files.Load(); made < 10 || len(files) >= int(made) || total > c.MaxBytes+c.MaxFileBytes {
 		t.Errorf("%d files made, %d left with %d bytes", made, len(files), total)
 	}
 	if _, err := os.Stat(other); err != nil {
@@ -237,7 +237,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		room, files := 20_000, []*bytes.Buffer{}
 		c := config(t.TempDir())
-		c.Wait = false
+		c.BlockWhenFull = false
 		c.create = func(string) (file, error) {
 			b := &bytes.Buffer{}
 			files = append(files, b)
@@ -256,7 +256,7 @@
 			t.Fatal("the disk is not full")
 		}
 		room = 1 << 20
-		time.Sleep(c.Retry + 1)
+		time.Sleep(c.RetryDelay + 1)
 		synctest.Wait()
 		live(r, 20_000, 250)
 		r.Close()
@@ -289,7 +289,7 @@
 // A disk that hangs holds up nothing: the queue fills, and the rest is dropped.
 func TestSlowDiskHoldsUpNothing(t *testing.T) {
 	c := config(t.TempDir())
-	c.Wait, c.Queue = false, 4
+	c.BlockWhenFull, c.QueueLength = false, 4
 	let := make(chan struct{})
 	c.create = func(string) (file, error) { return slowDisk{let}, nil }
 	w, err := Create(c)
@@ -343,7 +343,7 @@
 	for _, on := range []bool{false, true} {
 		b.Run(fmt.Sprint("recorded=", on), func(b *testing.B) {
 			c := config(b.TempDir())
-			c.FileBytes, c.Bytes = 64<<20, 256<<20
+			c.MaxFileBytes, c.MaxBytes = 64<<20, 256<<20
 			w, err := Create(c)
 			if err != nil {
 				b.Fatal(err)
@@ -422,7 +422,7 @@
 			t.Fatal(err)
 		}
 		if r.Offset() != last {
-			if last = r.Offset(); x.Kind.Answer() {
+			if last = r.Offset(); x.Kind.IsAction() {
 				t.Fatalf("a frame begins with %s", x.String())
 			}
 			frames++
--- a/internal/dataplane/capture/reader.go
+++ b/internal/dataplane/capture/reader.go
@@ -15,9 +15,9 @@
 
 // Error says where a capture is not readable.
 type Error struct {
-	Offset int64 // of the frame
-	Reason string
-	Cut    bool // it ends there: what came before is whole
+	Offset    int64 // of the frame
+	Reason    string
+	Truncated bool // it ends there: what came before is whole
 }
 
 // Error names the offset.
@@ -25,21 +25,21 @@
 
 // Reader reads the records of one file.
 type Reader struct {
-	in     *bufio.Reader
-	offset int64
-	body   []byte
-	raw    []byte
-	p      parser
-	last   balancer.Micros
-	at     int64 // of the frame under way
+	in          *bufio.Reader
+	offset      int64
+	body        []byte
+	raw         []byte
+	parser      parser
+	lastInstant balancer.Micros
+	frameOffset int64 // of the frame under way
 }
 
 // NewReader reads a file's head.
 func NewReader(in io.Reader) (*Reader, error) {
 	r := &Reader{in: bufio.NewReaderSize(in, 4<<10)}
-	var head [fileHead]byte
+	var head [fileHeaderBytes]byte
 	if n, err := io.ReadFull(r.in, head[:]); err != nil {
-		return nil, &Error{0, fmt.Sprintf("cut: the file's head has %d bytes of %d", n, fileHead), true}
+		return nil, &Error{0, fmt.Sprintf("cut: the file's head has %d bytes of %d", n, fileHeaderBytes), true}
 	}
 	if string(head[:len(fileMagic)]) != fileMagic {
 		return nil, &Error{0, "foreign: no capture of ours begins so", false}
@@ -47,44 +47,44 @@
 	if v := binary.BigEndian.Uint16(head[6:]); v != fileVersion {
 		return nil, &Error{6, fmt.Sprintf("of version %d, read is %d", v, fileVersion), false}
 	}
-	r.offset = fileHead
+	r.offset = fileHeaderBytes
 	return r, nil
 }
 
 // Next returns the next record, or io.EOF after the last one. Any other error is an *Error; the records before it
 // are whole. The slices of a record are good until the next call.
 func (r *Reader) Next() (Record, error) {
-	for r.p.at >= len(r.p.in) {
+	for r.parser.at >= len(r.parser.in) {
 		if err := r.frame(); err != nil {
 			return Record{}, err
 		}
 	}
-	x := r.p.next(r.last)
-	if r.p.err != nil {
-		err := &Error{r.at, "damaged: " + r.p.err.Error(), false}
-		r.p = parser{}
+	x := r.parser.next(r.lastInstant)
+	if r.parser.err != nil {
+		err := &Error{r.frameOffset, "damaged: " + r.parser.err.Error(), false}
+		r.parser = parser{}
 		return Record{}, err
 	}
-	r.last = x.At
+	r.lastInstant = x.At
 	return x, nil
 }
 
 // Offset is that of the frame which the latest record stands in.
-func (r *Reader) Offset() int64 { return r.at }
+func (r *Reader) Offset() int64 { return r.frameOffset }
 
 func (r *Reader) frame() error {
-	r.at = r.offset
-	var head [frameHead]byte
+	r.frameOffset = r.offset
+	var head [frameHeaderBytes]byte
 	n, err := io.ReadFull(r.in, head[:])
 	switch {
 	case errors.Is(err, io.EOF) && n == 0:
 		return io.EOF
 	case err != nil:
-		return &Error{r.at, fmt.Sprintf("cut: %d bytes of a frame's head", n), true}
+		return &Error{r.frameOffset, fmt.Sprintf("cut: %d bytes of a frame's head", n), true}
 	}
 	length, raw := binary.BigEndian.Uint32(head[:]), binary.BigEndian.Uint32(head[4:])
-	if length > frameMost || raw > frameMost {
-		return &Error{r.at, "damaged: a frame of more bytes than any has", false}
+	if length > maxFrameBytes || raw > maxFrameBytes {
+		return &Error{r.frameOffset, "damaged: a frame of more bytes than any has", false}
 	}
 	r.body = append(r.body[:0], make([]byte, min(int(length), 64<<10))...)
 	for got := 0; got < int(length); {
@@ -95,19 +95,19 @@
 		n, err := io.ReadFull(r.in, r.body[got:])
 		got += n
 		if err != nil {
-			return &Error{r.at, fmt.Sprintf("cut: %d bytes of a frame of %d", got, length), true}
+			return &Error{r.frameOffset, fmt.Sprintf("cut: %d bytes of a frame of %d", got, length), true}
 		}
 	}
 	if snapshot.Checksum(head[:24], r.body) != binary.BigEndian.Uint32(head[24:]) {
-		return &Error{r.at, "damaged: the checksum does not hold", false}
+		return &Error{r.frameOffset, "damaged: the checksum does not hold", false}
 	}
 	if n, err := s2.DecodedLen(r.body); err != nil || n != int(raw) {
-		return &Error{r.at, "damaged: not compressed as it says", false}
+		return &Error{r.frameOffset, "damaged: not compressed as it says", false}
 	}
 	if r.raw, err = s2.Decode(nil, r.body); err != nil {
-		return &Error{r.at, "damaged: " + err.Error(), false}
+		return &Error{r.frameOffset, "damaged: " + err.Error(), false}
 	}
-	r.offset += frameHead + int64(length)
-	r.p, r.last = parser{in: r.raw}, int64(binary.BigEndian.Uint64(head[8:]))
+	r.offset += frameHeaderBytes + int64(length)
+	r.parser, r.lastInstant = parser{in: r.raw}, int64(binary.BigEndian.Uint64(head[8:]))
 	return nil
 }
--- a/internal/dataplane/capture/record.go
+++ b/internal/dataplane/capture/record.go
@@ -25,80 +25,80 @@
 	KindGap      Kind = iota + 1 // a stretch is missing: Count records, for Line's reason
 	KindSnapshot                 // Blob: package snapshot's form, without names of endpoints that are not listed. Flag: it follows the segment before
 
-	KindMembers
+	KindUpdateEndpoints
 	KindRequest
-	KindHeaders
-	KindUploaded
+	KindResponseStarted
+	KindUploadComplete
 	KindOutcome
-	KindClientGone
+	KindClientDisconnected
 	KindTimer
-	KindProbed
-	KindTakeOut
-	KindCallBack
-	KindShare
+	KindProbeCompleted
+	KindDrainEndpoint
+	KindUndrainEndpoint
+	KindSetCapacityShare
 	KindReload // Blob: the settings
-	KindHeard
-	KindRecall // Blob: the snapshot, of an age
+	KindPeerEjected
+	KindRestore // Blob: the snapshot, of an age
 
 	KindSend
-	KindRefuse
+	KindReject
 	KindFail
 	KindCancel
 	KindSetTimer
 	KindProbe
 	KindWatch
 	KindLog
-	kinds
+	kindCount
 )
 
-var kindNames = [kinds]string{KindGap: "gap", KindSnapshot: "snapshot", KindMembers: "members",
-	KindRequest: "request", KindHeaders: "headers", KindUploaded: "uploaded", KindOutcome: "outcome",
-	KindClientGone: "client-gone", KindTimer: "timer", KindProbed: "probed", KindTakeOut: "take-out",
-	KindCallBack: "call-back", KindShare: "share", KindReload: "reload", KindHeard: "heard", KindRecall: "recall",
-	KindSend: "send", KindRefuse: "refuse", KindFail: "fail", KindCancel: "cancel", KindSetTimer: "set-timer",
+var kindNames = [kindCount]string{KindGap: "gap", KindSnapshot: "snapshot", KindUpdateEndpoints: "members",
+	KindRequest: "request", KindResponseStarted: "headers", KindUploadComplete: "uploaded", KindOutcome: "outcome",
+	KindClientDisconnected: "client-gone", KindTimer: "timer", KindProbeCompleted: "probed", KindDrainEndpoint: "take-out",
+	KindUndrainEndpoint: "call-back", KindSetCapacityShare: "share", KindReload: "reload", KindPeerEjected: "heard", KindRestore: "recall",
+	KindSend: "send", KindReject: "refuse", KindFail: "fail", KindCancel: "cancel", KindSetTimer: "set-timer",
 	KindProbe: "probe", KindWatch: "watch", KindLog: "log"}
 
 // String is the kind's name.
 func (k Kind) String() string {
-	if k < kinds && kindNames[k] != "" {
+	if k < kindCount && kindNames[k] != "" {
 		return kindNames[k]
 	}
 	return fmt.Sprintf("kind %d", uint8(k))
 }
 
-// Answer says whether a record is what the module answered; all others are what it was told.
-func (k Kind) Answer() bool { return k >= KindSend && k < kinds }
+// IsAction says whether a record is what the module answered; all others are what it was told.
+func (k Kind) IsAction() bool { return k >= KindSend && k < kindCount }
 
 // Record is one of them. Which fields count depends on the kind.
 type Record struct {
-	Kind     Kind
-	At       balancer.Micros // of the event; answers have that of what they follow
-	ID       uint64          // of the request
-	Endpoint uint32
-	Attempt  int
-	Token    uint32
-	Time     balancer.Micros // a delay, an age, a latency, a retry-after, or an operator's instant
-	Status   balancer.Status
-	List     balancer.ListKind
-	Flag     bool // settled, or on
-	Spent    bool
-	Part     float64
-	Count    uint64
-	Line     string
-	Blob     []byte
-	Load     []float32
-	Entries  []balancer.Endpoint
-	Names    []string // of Entries
-	Request  balancer.Request
-	Rules    []byte // of a request that came with old ones: balancer.RulesState in CBOR
+	Kind          Kind
+	At            balancer.Micros // of the event; answers have that of what they follow
+	ID            uint64          // of the request
+	Endpoint      uint32
+	Attempt       int
+	Token         uint32
+	Time          balancer.Micros // a delay, an age, a latency, a retry-after, or an operator's instant
+	Status        balancer.Status
+	List          balancer.ListKind
+	Flag          bool // settled, or on
+	NotReplayable bool
+	Part          float64
+	Count         uint64
+	Line          string
+	Blob          []byte
+	Load          []float32
+	Entries       []balancer.Endpoint
+	Names         []string // of Entries
+	Request       balancer.Request
+	Rules         []byte // of a request that came with old ones: balancer.RulesState in CBOR
 }
 
 const (
-	lineMost   = 4 << 10
-	blobMost   = 16 << 20
-	loadMost   = 256
-	entryMost  = 1 << 16
-	nameLength = 1024
+	maxLineBytes   = 4 << 10
+	maxBlobBytes   = 16 << 20
+	maxLoadFigures = 256
+	maxEntries     = 1 << 16
+	maxNameBytes   = 1024
 )
 
 // append adds r's bytes to out; the instant is told as the time since last.
@@ -119,7 +119,7 @@
 		out = append(out, s...)
 	}
 	out = append(out, byte(r.Kind))
-	if !r.Kind.Answer() {
+	if !r.Kind.IsAction() {
 		i(r.At - last)
 	}
 	switch r.Kind {
@@ -131,10 +131,10 @@
 		text(string(r.Blob))
 	case KindReload:
 		text(string(r.Blob))
-	case KindRecall:
+	case KindRestore:
 		i(r.Time)
 		text(string(r.Blob))
-	case KindMembers:
+	case KindUpdateEndpoints:
 		out = append(out, byte(r.List))
 		u(uint64(len(r.Entries)))
 		for n := range r.Entries {
@@ -163,32 +163,32 @@
 		if r.Rules != nil {
 			text(string(r.Rules))
 		}
-	case KindHeaders, KindOutcome:
+	case KindResponseStarted, KindOutcome:
 		u(r.ID)
 		i(int64(r.Attempt))
 		i(r.Time)
 		if r.Kind == KindOutcome {
 			u(uint64(r.Endpoint))
-			flags(r.Flag, r.Spent)
+			flags(r.Flag, r.NotReplayable)
 			out = append(out, byte(r.Status))
 			out = appendLoad(out, r.Load)
 		}
-	case KindUploaded, KindRefuse:
+	case KindUploadComplete, KindReject:
 		u(r.ID)
 		i(r.Time)
-	case KindClientGone, KindFail:
+	case KindClientDisconnected, KindFail:
 		u(r.ID)
 	case KindTimer:
 		u(uint64(r.Token))
-	case KindProbed:
+	case KindProbeCompleted:
 		u(uint64(r.Endpoint))
 		out = append(out, byte(r.Status))
 		i(r.Time)
 		out = appendLoad(out, r.Load)
-	case KindTakeOut, KindCallBack, KindHeard:
+	case KindDrainEndpoint, KindUndrainEndpoint, KindPeerEjected:
 		u(uint64(r.Endpoint))
 		i(r.Time)
-	case KindShare:
+	case KindSetCapacityShare:
 		u(math.Float64bits(r.Part))
 	case KindSend:
 		u(r.ID)
@@ -205,7 +205,7 @@
 	case KindWatch:
 		flags(r.Flag)
 	case KindLog:
-		text(r.Line[:min(len(r.Line), lineMost)])
+		text(r.Line[:min(len(r.Line), maxLineBytes)])
 	}
 	return out
 }
@@ -218,7 +218,7 @@
 	return out
 }
 
-var errShort = errors.New("it ends within a record")
+var errTruncated = errors.New("it ends within a record")
 
 // parser reads records from a frame's bytes. The first fault ends it.
 type parser struct {
@@ -236,7 +236,7 @@
 func (p *parser) byte() byte {
 	if p.at >= len(p.in) {
 		if p.err == nil {
-			p.err = errShort
+			p.err = errTruncated
 		}
 		return 0
 	}
@@ -248,7 +248,7 @@
 	n := read(p.in[min(p.at, len(p.in)):])
 	if n <= 0 {
 		if p.err == nil {
-			p.err = errShort
+			p.err = errTruncated
 		}
 		return
 	}
@@ -273,7 +273,7 @@
 	n := int(p.u(most))
 	if p.err != nil || n > len(p.in)-p.at {
 		if p.err == nil {
-			p.err = errShort
+			p.err = errTruncated
 		}
 		return nil
 	}
@@ -292,12 +292,12 @@
 }
 
 func (p *parser) load() []float32 {
-	n := int(p.u(loadMost))
+	n := int(p.u(maxLoadFigures))
 	if p.err != nil || n == 0 {
 		return nil
 	}
 	if 4*n > len(p.in)-p.at {
-		p.err = errShort
+		p.err = errTruncated
 		return nil
 	}
 	list := make([]float32, n)
@@ -311,37 +311,37 @@
 // next reads a record. Blobs stay parts of the frame's bytes.
 func (p *parser) next(last balancer.Micros) Record {
 	r := Record{Kind: Kind(p.byte()), At: last}
-	if p.err == nil && (r.Kind == 0 || r.Kind >= kinds) {
+	if p.err == nil && (r.Kind == 0 || r.Kind >= kindCount) {
 		p.fail("a kind is not known: " + r.Kind.String())
 	}
 	if p.err != nil {
 		return r
 	}
-	if !r.Kind.Answer() {
+	if !r.Kind.IsAction() {
 		r.At += p.i()
 	}
 	number := func() uint32 { return uint32(p.u(math.MaxUint32)) }
 	switch r.Kind {
 	case KindGap:
 		r.Count = p.u(math.MaxUint64)
-		r.Line = string(p.blob(lineMost))
+		r.Line = string(p.blob(maxLineBytes))
 	case KindSnapshot:
 		p.flags(&r.Flag)
-		r.Blob = p.blob(blobMost)
+		r.Blob = p.blob(maxBlobBytes)
 	case KindReload:
-		r.Blob = p.blob(blobMost)
-	case KindRecall:
+		r.Blob = p.blob(maxBlobBytes)
+	case KindRestore:
 		r.Time = p.i()
-		r.Blob = p.blob(blobMost)
-	case KindMembers:
+		r.Blob = p.blob(maxBlobBytes)
+	case KindUpdateEndpoints:
 		r.List = balancer.ListKind(p.byte())
-		n := int(p.u(entryMost))
+		n := int(p.u(maxEntries))
 		for range n {
 			e := balancer.Endpoint{ID: number(), Zone: p.byte(), Kind: p.byte(), State: balancer.State(p.byte())}
 			e.Cell = uint16(p.u(math.MaxUint16))
 			e.Weight = math.Float32frombits(number())
 			e.StartTime = p.i()
-			name := p.blob(nameLength)
+			name := p.blob(maxNameBytes)
 			if p.err != nil {
 				return r
 			}
@@ -359,34 +359,34 @@
 		q.Tenant = uint16(p.u(math.MaxUint16))
 		q.Class = p.byte()
 		if old {
-			r.Rules = p.blob(blobMost)
+			r.Rules = p.blob(maxBlobBytes)
 		}
-	case KindHeaders, KindOutcome:
+	case KindResponseStarted, KindOutcome:
 		r.ID = p.u(math.MaxUint64)
 		r.Attempt = int(p.i())
 		r.Time = p.i()
 		if r.Kind == KindOutcome {
 			r.Endpoint = number()
-			p.flags(&r.Flag, &r.Spent)
+			p.flags(&r.Flag, &r.NotReplayable)
 			r.Status = balancer.Status(p.byte())
 			r.Load = p.load()
 		}
-	case KindUploaded, KindRefuse:
+	case KindUploadComplete, KindReject:
 		r.ID = p.u(math.MaxUint64)
 		r.Time = p.i()
-	case KindClientGone, KindFail:
+	case KindClientDisconnected, KindFail:
 		r.ID = p.u(math.MaxUint64)
 	case KindTimer:
 		r.Token = number()
-	case KindProbed:
+	case KindProbeCompleted:
 		r.Endpoint = number()
 		r.Status = balancer.Status(p.byte())
 		r.Time = p.i()
 		r.Load = p.load()
-	case KindTakeOut, KindCallBack, KindHeard:
+	case KindDrainEndpoint, KindUndrainEndpoint, KindPeerEjected:
 		r.Endpoint = number()
 		r.Time = p.i()
-	case KindShare:
+	case KindSetCapacityShare:
 		r.Part = math.Float64frombits(p.u(math.MaxUint64))
 		if !(r.Part > 0 && r.Part <= 1) {
 			p.fail("a share is not within 0 and 1")
@@ -406,7 +406,7 @@
 	case KindWatch:
 		p.flags(&r.Flag)
 	case KindLog:
-		r.Line = string(p.blob(lineMost))
+		r.Line = string(p.blob(maxLineBytes))
 	}
 	if r.Status > balancer.NotSent || r.List > balancer.ListFailed {
 		p.fail("a status is not known")
@@ -422,31 +422,31 @@
 	switch r.Kind {
 	case KindGap:
 		return fmt.Sprintf("gap: %d records lost: %s", r.Count, r.Line)
-	case KindSnapshot, KindReload, KindRecall:
+	case KindSnapshot, KindReload, KindRestore:
 		return fmt.Sprintf("%v of %d bytes, %08x", r.Kind, len(r.Blob), snapshot.Checksum(r.Blob))
-	case KindMembers:
+	case KindUpdateEndpoints:
 		return fmt.Sprintf("members: kind %d, %d entries", r.List, len(r.Entries))
 	case KindRequest:
 		return fmt.Sprintf("request %d: class %d, tenant %d, %d us", r.Request.ID, r.Request.Class, r.Request.Tenant,
 			r.Request.Deadline-r.At)
-	case KindHeaders:
+	case KindResponseStarted:
 		return fmt.Sprintf("headers of request %d, attempt %d", r.ID, r.Attempt)
 	case KindOutcome:
 		return fmt.Sprintf("outcome of request %d, attempt %d at %d: status %d after %d us", r.ID, r.Attempt, r.Endpoint,
 			r.Status, r.Time)
-	case KindUploaded, KindClientGone:
+	case KindUploadComplete, KindClientDisconnected:
 		return fmt.Sprintf("%v: request %d", r.Kind, r.ID)
 	case KindTimer:
 		return fmt.Sprintf("timer %d", r.Token)
-	case KindProbed:
+	case KindProbeCompleted:
 		return fmt.Sprintf("probed %d: status %d after %d us, %v", r.Endpoint, r.Status, r.Time, r.Load)
-	case KindTakeOut, KindCallBack, KindHeard:
+	case KindDrainEndpoint, KindUndrainEndpoint, KindPeerEjected:
 		return fmt.Sprintf("%v %d", r.Kind, r.Endpoint)
-	case KindShare:
+	case KindSetCapacityShare:
 		return fmt.Sprintf("share %v", r.Part)
 	case KindSend:
 		return fmt.Sprintf("send %d to %d within %d us", r.ID, r.Endpoint, r.Time)
-	case KindRefuse:
+	case KindReject:
 		return fmt.Sprintf("refuse %d, again after %d us", r.ID, r.Time)
 	case KindFail:
 		return fmt.Sprintf("fail %d", r.ID)
--- a/internal/dataplane/capture/recorder.go
+++ b/internal/dataplane/capture/recorder.go
@@ -13,19 +13,19 @@
 	*balancer.Balancer // whose methods that only look are as they are
 	out                balancer.Actions
 	sink               Sink
-	name               func(id uint32) string
+	endpointName       func(id uint32) string
 	sidecar            string
-	run                uint64
-	every              balancer.Micros // between two segments, at most
+	runID              uint64
+	segmentInterval    balancer.Micros // between two segments, at most
 
 	batch           *batch
-	last            balancer.Micros // instant of the latest record of the batch
+	lastInstant     balancer.Micros // instant of the latest record of the batch
 	now             balancer.Micros // of the event under way
-	begunAt         balancer.Micros // of the segment
-	begun           bool            // a segment is under way
+	segmentStart    balancer.Micros // of the segment
+	inSegment       bool            // a segment is under way
 	lost            uint64          // records dropped since it ended
-	why             string
-	going           bool // a segment has been begun
+	lossReason      string
+	anySegment      bool // a segment has been begun
 	closed, started bool
 }
 
@@ -34,64 +34,64 @@
 type Sink interface {
 	Offer(b *batch) bool
 	Ready() bool
-	Fresh() bool
-	Lose(records uint64) // counts what was dropped
+	WantsSegment() bool
+	CountLost(records uint64) // counts what was dropped
 }
 
 // batch is a row of records on its way to a file: a frame.
 type batch struct {
-	base    balancer.Micros // what the first record's instant is told from
-	segment bool            // begins one: gap and snapshot come first
-	follows bool            // the segment before, of the same process, and nothing is missing between
-	gap     *Record
-	kept    *snapshot.Saved // encoded on the way, not by the loop
-	at      balancer.Micros
-	data    []byte
-	records uint64
+	base          balancer.Micros // what the first record's instant is told from
+	beginsSegment bool            // begins one: gap and snapshot come first
+	follows       bool            // the segment before, of the same process, and nothing is missing between
+	gap           *Record
+	snapshot      *snapshot.Saved // encoded on the way, not by the loop
+	createdAt     balancer.Micros
+	data          []byte
+	records       uint64
 }
 
 const (
-	batchBytes = 24 << 10
-	batchSpan  = 250_000 // microseconds that records wait at most, while more come
+	maxBatchBytes = 24 << 10
+	maxBatchAge   = 250_000 // microseconds that records wait at most, while more come
 )
 
-var batches = sync.Pool{New: func() any { return &batch{data: make([]byte, 0, batchBytes+4<<10)} }}
+var batches = sync.Pool{New: func() any { return &batch{data: make([]byte, 0, maxBatchBytes+4<<10)} }}
 
 // Options say how a recorder works.
 type Options struct {
-	Sidecar string
-	Run     uint64                 // names the process, where several of a sidecar record into one folder
-	Every   balancer.Micros        // a fresh segment at least so often
-	Name    func(id uint32) string // of an endpoint, "" if it has none; nil for none
-	Sink    Sink
+	Sidecar         string
+	RunID           uint64                 // names the process, where several of a sidecar record into one folder
+	SegmentInterval balancer.Micros        // a fresh segment at least so often
+	EndpointName    func(id uint32) string // of an endpoint, "" if it has none; nil for none
+	Sink            Sink
 }
 
 // New returns a recorder around the balancer that begin makes with the actions given to it.
 func New(o Options, out balancer.Actions, begin func(balancer.Actions) (*balancer.Balancer, error)) (*Recorder, error) {
-	r := &Recorder{out: out, sink: o.Sink, name: o.Name, sidecar: o.Sidecar, run: o.Run, every: o.Every}
-	if r.name == nil {
-		r.name = func(uint32) string { return "" }
+	r := &Recorder{out: out, sink: o.Sink, endpointName: o.EndpointName, sidecar: o.Sidecar, runID: o.RunID, segmentInterval: o.SegmentInterval}
+	if r.endpointName == nil {
+		r.endpointName = func(uint32) string { return "" }
 	}
 	var err error
-	r.Balancer, err = begin(answers{r})
+	r.Balancer, err = begin(recordedActions{r})
 	return r, err
 }
 
-// tell records an event before the module hears of it.
-func (r *Recorder) tell(now balancer.Micros, x Record) {
+// recordEvent records an event before the module hears of it.
+func (r *Recorder) recordEvent(now balancer.Micros, x Record) {
 	r.now = now
 	x.At = now
-	if r.begun && (now-r.begunAt >= r.every || r.sink.Fresh()) {
+	if r.inSegment && (now-r.segmentStart >= r.segmentInterval || r.sink.WantsSegment()) {
 		r.flush()
-		r.begun = false
+		r.inSegment = false
 	}
-	if !r.begun && !r.begin(now) {
+	if !r.inSegment && !r.beginSegment(now) {
 		r.drop(1)
 		return
 	}
 	// A batch ends between two events: a process that is killed leaves no event without its answers.
-	if b := r.batch; b != nil && r.begun && b.records > 0 && (len(b.data) >= batchBytes || now-b.at >= batchSpan) {
-		if r.flush(); !r.begun && !r.begin(now) {
+	if b := r.batch; b != nil && r.inSegment && b.records > 0 && (len(b.data) >= maxBatchBytes || now-b.createdAt >= maxBatchAge) {
+		if r.flush(); !r.inSegment && !r.beginSegment(now) {
 			r.drop(1)
 			return
 		}
@@ -99,28 +99,28 @@
 	r.add(&x)
 }
 
-// begin begins a segment with a snapshot, if the sink has room.
-func (r *Recorder) begin(now balancer.Micros) bool {
+// beginSegment begins a segment with a snapshot, if the sink has room.
+func (r *Recorder) beginSegment(now balancer.Micros) bool {
 	if r.closed || !r.started {
 		return false
 	}
 	if !r.sink.Ready() {
-		if r.why == "" {
-			r.why = "no room"
+		if r.lossReason == "" {
+			r.lossReason = "no room"
 		}
 		return false
 	}
 	b := batches.Get().(*batch)
-	*b = batch{base: now, segment: true, at: now, data: b.data[:0]}
-	b.follows, r.going = r.going && r.lost == 0, true
+	*b = batch{base: now, beginsSegment: true, createdAt: now, data: b.data[:0]}
+	b.follows, r.anySegment = r.anySegment && r.lost == 0, true
 	if r.lost > 0 {
-		b.gap = &Record{Kind: KindGap, At: now, Count: r.lost, Line: r.why}
+		b.gap = &Record{Kind: KindGap, At: now, Count: r.lost, Line: r.lossReason}
 	}
-	b.kept = &snapshot.Saved{Sidecar: r.sidecar, RunID: r.run, Clock: snapshot.Clock{WallMicros: now}, State: r.Balancer.Snapshot(now, true)}
-	for i := range b.kept.State.Endpoints {
-		b.kept.Names = append(b.kept.Names, r.name(b.kept.State.Endpoints[i].ID))
+	b.snapshot = &snapshot.Saved{Sidecar: r.sidecar, RunID: r.runID, Clock: snapshot.Clock{WallMicros: now}, State: r.Balancer.Snapshot(now, true)}
+	for i := range b.snapshot.State.Endpoints {
+		b.snapshot.Names = append(b.snapshot.Names, r.endpointName(b.snapshot.State.Endpoints[i].ID))
 	}
-	r.batch, r.last, r.begun, r.begunAt, r.lost, r.why = b, now, true, now, 0, ""
+	r.batch, r.lastInstant, r.inSegment, r.segmentStart, r.lost, r.lossReason = b, now, true, now, 0, ""
 	return true
 }
 
@@ -128,12 +128,12 @@
 func (r *Recorder) add(x *Record) {
 	if r.batch == nil {
 		b := batches.Get().(*batch)
-		*b = batch{base: r.now, at: r.now, data: b.data[:0]}
-		r.batch, r.last = b, r.now
+		*b = batch{base: r.now, createdAt: r.now, data: b.data[:0]}
+		r.batch, r.lastInstant = b, r.now
 	}
-	r.batch.data = x.append(r.batch.data, r.last)
+	r.batch.data = x.append(r.batch.data, r.lastInstant)
 	r.batch.records++
-	r.last = r.now
+	r.lastInstant = r.now
 }
 
 // flush offers the batch to the sink. If it is not taken, all up to the next segment is lost.
@@ -144,9 +144,9 @@
 		return
 	}
 	if n := b.records; !r.sink.Offer(b) {
-		r.begun = false
+		r.inSegment = false
 		r.drop(n)
-		r.why = "the queue was full"
+		r.lossReason = "the queue was full"
 		if b.gap != nil {
 			r.lost += b.gap.Count
 		}
@@ -157,18 +157,18 @@
 func (r *Recorder) drop(n uint64) {
 	if r.started && !r.closed {
 		r.lost += n
-		r.sink.Lose(n)
+		r.sink.CountLost(n)
 	}
 }
 
 // Close sends off what is recorded and ends that. The module may still be told things.
 func (r *Recorder) Close() {
 	r.flush()
-	r.begun, r.closed = false, true
+	r.inSegment, r.closed = false, true
 }
 
-func (r *Recorder) answer(x Record) {
-	if !r.begun {
+func (r *Recorder) recordAction(x Record) {
+	if !r.inSegment {
 		r.drop(1)
 		return
 	}
@@ -187,12 +187,12 @@
 
 // UpdateEndpoints records and passes on.
 func (r *Recorder) UpdateEndpoints(now balancer.Micros, kind balancer.ListKind, entries []balancer.Endpoint) {
-	x := Record{Kind: KindMembers, List: kind, Entries: entries, Names: make([]string, len(entries))}
+	x := Record{Kind: KindUpdateEndpoints, List: kind, Entries: entries, Names: make([]string, len(entries))}
 	for i := range entries {
-		x.Names[i] = r.name(entries[i].ID)
-		x.Names[i] = x.Names[i][:min(len(x.Names[i]), nameLength)]
+		x.Names[i] = r.endpointName(entries[i].ID)
+		x.Names[i] = x.Names[i][:min(len(x.Names[i]), maxNameBytes)]
 	}
-	r.tell(now, x)
+	r.recordEvent(now, x)
 	r.Balancer.UpdateEndpoints(now, kind, entries)
 }
 
@@ -203,62 +203,62 @@
 	if in.Rules != nil && in.Rules != r.Rules() {
 		x.Rules, _ = snapshot.Marshal(in.Rules.State()) // it came while a reload was under way
 	}
-	r.tell(now, x)
+	r.recordEvent(now, x)
 	r.Balancer.Request(now, in)
 }
 
 // ResponseStarted records and passes on.
 func (r *Recorder) ResponseStarted(now balancer.Micros, id uint64, attempt int, latency balancer.Micros) {
-	r.tell(now, Record{Kind: KindHeaders, ID: id, Attempt: attempt, Time: latency})
+	r.recordEvent(now, Record{Kind: KindResponseStarted, ID: id, Attempt: attempt, Time: latency})
 	r.Balancer.ResponseStarted(now, id, attempt, latency)
 }
 
 // UploadComplete records and passes on.
 func (r *Recorder) UploadComplete(now balancer.Micros, id uint64, deadline balancer.Micros) {
-	r.tell(now, Record{Kind: KindUploaded, ID: id, Time: deadline - now})
+	r.recordEvent(now, Record{Kind: KindUploadComplete, ID: id, Time: deadline - now})
 	r.Balancer.UploadComplete(now, id, deadline)
 }
 
 // Outcome records and passes on.
 func (r *Recorder) Outcome(now balancer.Micros, o balancer.Outcome) {
-	r.tell(now, Record{Kind: KindOutcome, ID: o.ID, Attempt: o.Attempt, Endpoint: o.Endpoint, Status: o.Status,
-		Time: o.Latency, Flag: o.Answered, Spent: o.NotReplayable, Load: o.Load})
+	r.recordEvent(now, Record{Kind: KindOutcome, ID: o.ID, Attempt: o.Attempt, Endpoint: o.Endpoint, Status: o.Status,
+		Time: o.Latency, Flag: o.Answered, NotReplayable: o.NotReplayable, Load: o.Load})
 	r.Balancer.Outcome(now, o)
 }
 
 // ClientDisconnected records and passes on.
 func (r *Recorder) ClientDisconnected(now balancer.Micros, id uint64) {
-	r.tell(now, Record{Kind: KindClientGone, ID: id})
+	r.recordEvent(now, Record{Kind: KindClientDisconnected, ID: id})
 	r.Balancer.ClientDisconnected(now, id)
 }
 
 // Timer records and passes on. As an action it is SetTimer's.
 func (r *Recorder) Timer(now balancer.Micros, token uint32) {
-	r.tell(now, Record{Kind: KindTimer, Token: token})
+	r.recordEvent(now, Record{Kind: KindTimer, Token: token})
 	r.Balancer.Timer(now, token)
 }
 
 // ProbeCompleted records and passes on.
 func (r *Recorder) ProbeCompleted(now balancer.Micros, id uint32, s balancer.Status, latency balancer.Micros, load []float32) {
-	r.tell(now, Record{Kind: KindProbed, Endpoint: id, Status: s, Time: latency, Load: load})
+	r.recordEvent(now, Record{Kind: KindProbeCompleted, Endpoint: id, Status: s, Time: latency, Load: load})
 	r.Balancer.ProbeCompleted(now, id, s, latency, load)
 }
 
 // DrainEndpoint records and passes on. The operators' instant is told as its age.
 func (r *Recorder) DrainEndpoint(now balancer.Micros, id uint32, at balancer.Micros) {
-	r.tell(now, Record{Kind: KindTakeOut, Endpoint: id, Time: now - at})
+	r.recordEvent(now, Record{Kind: KindDrainEndpoint, Endpoint: id, Time: now - at})
 	r.Balancer.DrainEndpoint(id, at)
 }
 
 // UndrainEndpoint records and passes on.
 func (r *Recorder) UndrainEndpoint(now balancer.Micros, id uint32, at balancer.Micros) {
-	r.tell(now, Record{Kind: KindCallBack, Endpoint: id, Time: now - at})
+	r.recordEvent(now, Record{Kind: KindUndrainEndpoint, Endpoint: id, Time: now - at})
 	r.Balancer.UndrainEndpoint(now, id, at)
 }
 
 // SetCapacityShare records and passes on.
 func (r *Recorder) SetCapacityShare(now balancer.Micros, part float64) {
-	r.tell(now, Record{Kind: KindShare, Part: part})
+	r.recordEvent(now, Record{Kind: KindSetCapacityShare, Part: part})
 	r.Balancer.SetCapacityShare(part)
 }
 
@@ -268,13 +268,13 @@
 	if err != nil {
 		return nil, err
 	}
-	r.tell(now, Record{Kind: KindReload, Blob: blob})
+	r.recordEvent(now, Record{Kind: KindReload, Blob: blob})
 	return r.Balancer.Reload(s)
 }
 
 // PeerEjected records and passes on.
 func (r *Recorder) PeerEjected(now balancer.Micros, id uint32, left balancer.Micros) {
-	r.tell(now, Record{Kind: KindHeard, Endpoint: id, Time: left})
+	r.recordEvent(now, Record{Kind: KindPeerEjected, Endpoint: id, Time: left})
 	r.Balancer.PeerEjected(now, id, left)
 }
 
@@ -284,53 +284,53 @@
 	if err != nil {
 		return 0, err
 	}
-	r.tell(now, Record{Kind: KindRecall, Blob: blob, Time: age})
+	r.recordEvent(now, Record{Kind: KindRestore, Blob: blob, Time: age})
 	return r.Balancer.Restore(now, s, age)
 }
 
 // ---- What it answers -----------------------------------------------------------
 
-// answers is the recorder as the module's Actions.
-type answers struct{ *Recorder }
+// recordedActions is the recorder as the module's Actions.
+type recordedActions struct{ *Recorder }
 
-func (a answers) Send(id uint64, e uint32, timeout balancer.Micros) {
-	a.answer(Record{Kind: KindSend, ID: id, Endpoint: e, Time: timeout})
+func (a recordedActions) Send(id uint64, e uint32, timeout balancer.Micros) {
+	a.recordAction(Record{Kind: KindSend, ID: id, Endpoint: e, Time: timeout})
 	a.out.Send(id, e, timeout)
 }
 
-func (a answers) Reject(id uint64, after balancer.Micros) {
-	a.answer(Record{Kind: KindRefuse, ID: id, Time: after})
+func (a recordedActions) Reject(id uint64, after balancer.Micros) {
+	a.recordAction(Record{Kind: KindReject, ID: id, Time: after})
 	a.out.Reject(id, after)
 }
 
-func (a answers) Fail(id uint64) {
-	a.answer(Record{Kind: KindFail, ID: id})
+func (a recordedActions) Fail(id uint64) {
+	a.recordAction(Record{Kind: KindFail, ID: id})
 	a.out.Fail(id)
 }
 
-func (a answers) Cancel(id uint64, attempt int) {
-	a.answer(Record{Kind: KindCancel, ID: id, Attempt: attempt})
+func (a recordedActions) Cancel(id uint64, attempt int) {
+	a.recordAction(Record{Kind: KindCancel, ID: id, Attempt: attempt})
 	a.out.Cancel(id, attempt)
 }
 
-func (a answers) Timer(delay balancer.Micros, token uint32) {
-	a.answer(Record{Kind: KindSetTimer, Time: delay, Token: token})
+func (a recordedActions) Timer(delay balancer.Micros, token uint32) {
+	a.recordAction(Record{Kind: KindSetTimer, Time: delay, Token: token})
 	a.out.Timer(delay, token)
 }
 
-func (a answers) Probe(e uint32) {
-	a.answer(Record{Kind: KindProbe, Endpoint: e})
+func (a recordedActions) Probe(e uint32) {
+	a.recordAction(Record{Kind: KindProbe, Endpoint: e})
 	a.out.Probe(e)
 }
 
-func (a answers) Watch(on bool) {
-	a.answer(Record{Kind: KindWatch, Flag: on})
+func (a recordedActions) Watch(on bool) {
+	a.recordAction(Record{Kind: KindWatch, Flag: on})
 	a.out.Watch(on)
 }
 
-func (a answers) Log(line string) {
-	a.answer(Record{Kind: KindLog, Line: line[:min(len(line), lineMost)]})
+func (a recordedActions) Log(line string) {
+	a.recordAction(Record{Kind: KindLog, Line: line[:min(len(line), maxLineBytes)]})
 	a.out.Log(line)
 }
 
-var _ balancer.Actions = answers{}
+var _ balancer.Actions = recordedActions{}
--- a/internal/dataplane/capture/writer.go
+++ b/internal/dataplane/capture/writer.go
@@ -20,26 +20,26 @@
 )
 
 const (
-	fileMagic   = "BMcapt"
-	fileVersion = 1
-	fileHead    = 8
-	frameHead   = 28
-	frameMost   = 32 << 20 // bytes of a frame, before compression
-	flagSegment = 1
-	suffix      = ".capture"
+	fileMagic        = "BMcapt"
+	fileVersion      = 1
+	fileHeaderBytes  = 8
+	frameHeaderBytes = 28
+	maxFrameBytes    = 32 << 20 // bytes of a frame, before compression
+	flagSegment      = 1
+	suffix           = ".capture"
 )
 
 // Config says where a capture goes and how large it may become.
 type Config struct {
-	Dir       string
-	Name      string        // begins the files' names
-	Bytes     int64         // all files of this name together; the oldest go first
-	FileBytes int64         // a file begins anew beyond this
-	FileAge   time.Duration // or after this
-	Queue     int           // batches on their way, at most; each is about 24 KiB
-	Retry     time.Duration // after the disk failed
-	Log       *slog.Logger
-	Wait      bool // offers wait for room: for simulations, where time stands still meanwhile
+	Dir           string
+	Name          string        // begins the files' names
+	MaxBytes      int64         // all files of this name together; the oldest go first
+	MaxFileBytes  int64         // a file begins anew beyond this
+	MaxFileAge    time.Duration // or after this
+	QueueLength   int           // batches on their way, at most; each is about 24 KiB
+	RetryDelay    time.Duration // after the disk failed
+	Log           *slog.Logger
+	BlockWhenFull bool // offers wait for room: for simulations, where time stands still meanwhile
 
 	create func(path string) (file, error) // nil for the disk's
 }
@@ -59,20 +59,20 @@
 type Writer struct {
 	Counts Counts
 
-	c      Config
-	queue  chan *batch
-	fresh  atomic.Bool // the file is full: the next segment begins another
-	broken atomic.Bool // the disk failed, and it is not yet time to try again
-	done   sync.WaitGroup
+	cfg      Config
+	queue    chan *batch
+	fileFull atomic.Bool // the file is full: the next segment begins another
+	broken   atomic.Bool // the disk failed, and it is not yet time to try again
+	done     sync.WaitGroup
 
 	// The goroutine's own.
-	f       file
-	size    int64
-	opened  time.Time
-	skip    bool   // until the next segment: its beginning is not on the disk
-	pending uint64 // records lost since the last segment on the disk
-	scratch []byte
-	packed  []byte
+	file           file
+	size           int64
+	opened         time.Time
+	skipToSegment  bool   // until the next segment: its beginning is not on the disk
+	unreportedLoss uint64 // records lost since the last segment on the disk
+	scratch        []byte
+	packed         []byte
 }
 
 // Create returns a writer. It makes the folder if it is not there.
@@ -85,7 +85,7 @@
 			return os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 		}
 	}
-	w := &Writer{c: c, queue: make(chan *batch, c.Queue)}
+	w := &Writer{cfg: c, queue: make(chan *batch, c.QueueLength)}
 	w.done.Go(w.run)
 	return w, nil
 }
@@ -95,7 +95,7 @@
 	if w.broken.Load() {
 		return false
 	}
-	if w.c.Wait {
+	if w.cfg.BlockWhenFull {
 		w.queue <- b
 		return true
 	}
@@ -107,16 +107,16 @@
 	}
 }
 
-// Lose is Sink's.
-func (w *Writer) Lose(records uint64) { w.Counts.Lost.Add(records) }
+// CountLost is Sink's.
+func (w *Writer) CountLost(records uint64) { w.Counts.Lost.Add(records) }
 
 // Ready is Sink's: half of the queue is free, so that a segment begun now is more than its beginning.
 func (w *Writer) Ready() bool {
-	return !w.broken.Load() && (w.c.Wait || len(w.queue) <= cap(w.queue)/2)
+	return !w.broken.Load() && (w.cfg.BlockWhenFull || len(w.queue) <= cap(w.queue)/2)
 }
 
-// Fresh is Sink's.
-func (w *Writer) Fresh() bool { return w.fresh.Load() }
+// WantsSegment is Sink's.
+func (w *Writer) WantsSegment() bool { return w.fileFull.Load() }
 
 // Close writes what is queued and ends. Nothing may be offered any more.
 func (w *Writer) Close() {
@@ -126,7 +126,7 @@
 
 // run writes batches until the queue is closed.
 func (w *Writer) run() {
-	defer w.shut()
+	defer w.closeFile()
 	var again <-chan time.Time
 	for {
 		select {
@@ -135,13 +135,13 @@
 				return
 			}
 			if err := w.write(b); err != nil {
-				w.c.Log.Error("capture: a stretch is lost", "error", err)
-				w.shut()
+				w.cfg.Log.Error("capture: a stretch is lost", "error", err)
+				w.closeFile()
 				w.broken.Store(true)
-				w.skip = true
-				again = time.After(w.c.Retry)
+				w.skipToSegment = true
+				again = time.After(w.cfg.RetryDelay)
 			}
-			if b.kept = nil; cap(b.data) <= 2*batchBytes {
+			if b.snapshot = nil; cap(b.data) <= 2*maxBatchBytes {
 				batches.Put(b)
 			}
 		case <-again:
@@ -153,69 +153,69 @@
 
 // write puts a batch into the file, or says why not and leaves there what was whole.
 func (w *Writer) write(b *batch) error {
-	if w.skip && !b.segment {
-		w.lose(b)
+	if w.skipToSegment && !b.beginsSegment {
+		w.countLost(b)
 		return nil
 	}
-	w.skip = false
-	if b.segment && w.f != nil && (w.size >= w.c.FileBytes || time.Since(w.opened) >= w.c.FileAge) {
-		w.shut()
+	w.skipToSegment = false
+	if b.beginsSegment && w.file != nil && (w.size >= w.cfg.MaxFileBytes || time.Since(w.opened) >= w.cfg.MaxFileAge) {
+		w.closeFile()
 	}
-	if w.f == nil {
-		if !b.segment {
-			w.lose(b)
+	if w.file == nil {
+		if !b.beginsSegment {
+			w.countLost(b)
 			return nil
 		}
-		if err := w.open(b); err != nil {
-			w.lose(b)
+		if err := w.openFile(b); err != nil {
+			w.countLost(b)
 			return err
 		}
 	}
-	frame, err := w.frame(b)
+	frame, err := w.encodeFrame(b)
 	if err == nil {
-		_, err = w.f.Write(frame)
+		_, err = w.file.Write(frame)
 	}
 	if err != nil {
-		w.lose(b)
+		w.countLost(b)
 		// What stands there of the frame would be reported as cut.
-		return errors.Join(err, w.f.Truncate(w.size))
+		return errors.Join(err, w.file.Truncate(w.size))
 	}
 	w.size += int64(len(frame))
 	w.Counts.Bytes.Add(uint64(len(frame)))
 	w.Counts.Frames.Add(1)
 	w.Counts.Records.Add(b.records)
-	if b.segment {
+	if b.beginsSegment {
 		if b.gap != nil {
-			w.c.Log.Warn("capture: a gap", "records", b.gap.Count, "reason", b.gap.Line)
+			w.cfg.Log.Warn("capture: a gap", "records", b.gap.Count, "reason", b.gap.Line)
 		}
 		w.Counts.Segments.Add(1)
-		w.pending = 0
+		w.unreportedLoss = 0
 	}
-	if w.size >= w.c.FileBytes || time.Since(w.opened) >= w.c.FileAge {
-		w.fresh.Store(true)
+	if w.size >= w.cfg.MaxFileBytes || time.Since(w.opened) >= w.cfg.MaxFileAge {
+		w.fileFull.Store(true)
 	}
 	return nil
 }
 
-func (w *Writer) lose(b *batch) {
+func (w *Writer) countLost(b *batch) {
 	w.Counts.Lost.Add(b.records)
-	w.pending += b.records
+	w.unreportedLoss += b.records
 }
 
-// frame returns a batch as bytes. They are good until the next call.
-func (w *Writer) frame(b *batch) ([]byte, error) {
+// encodeFrame returns a batch as bytes. They are good until the next call.
+func (w *Writer) encodeFrame(b *batch) ([]byte, error) {
 	raw, flags := b.data, uint32(0)
-	if b.segment {
+	if b.beginsSegment {
 		flags = flagSegment
 		w.scratch = w.scratch[:0]
-		if gap := b.gap; gap != nil || w.pending > 0 {
+		if gap := b.gap; gap != nil || w.unreportedLoss > 0 {
 			if gap == nil {
 				gap = &Record{Kind: KindGap, At: b.base, Line: "the disk failed"}
 			}
-			gap.Count += w.pending
+			gap.Count += w.unreportedLoss
 			w.scratch = gap.append(w.scratch, b.base)
 		}
-		blob, err := snapshot.Marshal(b.kept)
+		blob, err := snapshot.Marshal(b.snapshot)
 		if err != nil {
 			return nil, err
 		}
@@ -224,12 +224,12 @@
 		w.scratch = append(w.scratch, b.data...)
 		raw = w.scratch
 	}
-	if need := frameHead + s2.MaxEncodedLen(len(raw)); cap(w.packed) < need {
+	if need := frameHeaderBytes + s2.MaxEncodedLen(len(raw)); cap(w.packed) < need {
 		w.packed = make([]byte, need)
 	}
 	w.packed = w.packed[:cap(w.packed)]
-	body := s2.Encode(w.packed[frameHead:], raw)
-	out := w.packed[:frameHead+len(body)]
+	body := s2.Encode(w.packed[frameHeaderBytes:], raw)
+	out := w.packed[:frameHeaderBytes+len(body)]
 	binary.BigEndian.PutUint32(out, uint32(len(body)))
 	binary.BigEndian.PutUint32(out[4:], uint32(len(raw)))
 	binary.BigEndian.PutUint64(out[8:], uint64(b.base))
@@ -239,13 +239,13 @@
 	return out, nil
 }
 
-// open begins a file, after old ones have made room.
-func (w *Writer) open(b *batch) error {
-	if err := w.trim(); err != nil {
+// openFile begins a file, after old ones have made room.
+func (w *Writer) openFile(b *batch) error {
+	if err := w.removeOldFiles(); err != nil {
 		return err
 	}
-	path := filepath.Join(w.c.Dir, fmt.Sprintf("%s-%020d-%06d%s", w.c.Name, b.base, w.Counts.Files.Load(), suffix))
-	f, err := w.c.create(path)
+	path := filepath.Join(w.cfg.Dir, fmt.Sprintf("%s-%020d-%06d%s", w.cfg.Name, b.base, w.Counts.Files.Load(), suffix))
+	f, err := w.cfg.create(path)
 	if err != nil {
 		return err
 	}
@@ -255,16 +255,16 @@
 		os.Remove(path)
 		return err
 	}
-	w.f, w.size, w.opened = f, fileHead, time.Now()
-	w.fresh.Store(false)
+	w.file, w.size, w.opened = f, fileHeaderBytes, time.Now()
+	w.fileFull.Store(false)
 	w.Counts.Files.Add(1)
-	w.Counts.Bytes.Add(fileHead)
+	w.Counts.Bytes.Add(fileHeaderBytes)
 	return nil
 }
 
-// trim removes the oldest files until another one finds room under the budget.
-func (w *Writer) trim() error {
-	list, err := Files(w.c.Dir, w.c.Name)
+// removeOldFiles removes the oldest files until another one finds room under the budget.
+func (w *Writer) removeOldFiles() error {
+	list, err := Files(w.cfg.Dir, w.cfg.Name)
 	if err != nil {
 		return err
 	}
@@ -276,7 +276,7 @@
 		}
 	}
 	for i, path := range list {
-		if total+w.c.FileBytes <= w.c.Bytes {
+		if total+w.cfg.MaxFileBytes <= w.cfg.MaxBytes {
 			break
 		}
 		if err := os.Remove(path); err != nil {
@@ -287,12 +287,12 @@
 	return nil
 }
 
-func (w *Writer) shut() {
-	if w.f != nil {
-		if err := w.f.Close(); err != nil {
-			w.c.Log.Error("capture", "error", err)
+func (w *Writer) closeFile() {
+	if w.file != nil {
+		if err := w.file.Close(); err != nil {
+			w.cfg.Log.Error("capture", "error", err)
 		}
-		w.f = nil
+		w.file = nil
 	}
 }
 
--- a/internal/dataplane/replay/replay.go
+++ b/internal/dataplane/replay/replay.go
@@ -190,7 +190,7 @@
 
 // record takes one record.
 func (p *player) record(x *capture.Record) error {
-	if x.Kind.Answer() {
+	if x.Kind.IsAction() {
 		if p.b != nil {
 			p.expected = append(p.expected, *x)
 		}
@@ -285,7 +285,7 @@
 func (p *player) feed(x *capture.Record) error {
 	b, at := p.b, x.At
 	switch x.Kind {
-	case capture.KindMembers:
+	case capture.KindUpdateEndpoints:
 		for i, e := range x.Entries {
 			if x.Names[i] != "" {
 				p.names[e.ID] = x.Names[i]
@@ -305,26 +305,26 @@
 			}
 		}
 		b.Request(at, in)
-	case capture.KindHeaders:
+	case capture.KindResponseStarted:
 		b.ResponseStarted(at, x.ID, x.Attempt, x.Time)
-	case capture.KindUploaded:
+	case capture.KindUploadComplete:
 		b.UploadComplete(at, x.ID, at+x.Time)
 	case capture.KindOutcome:
 		b.Outcome(at, balancer.Outcome{ID: x.ID, Attempt: x.Attempt, Endpoint: x.Endpoint, Status: x.Status, Latency: x.Time,
-			Answered: x.Flag, NotReplayable: x.Spent, Load: x.Load})
-	case capture.KindClientGone:
+			Answered: x.Flag, NotReplayable: x.NotReplayable, Load: x.Load})
+	case capture.KindClientDisconnected:
 		b.ClientDisconnected(at, x.ID)
 	case capture.KindTimer:
 		b.Timer(at, x.Token)
-	case capture.KindProbed:
+	case capture.KindProbeCompleted:
 		b.ProbeCompleted(at, x.Endpoint, x.Status, x.Time, x.Load)
-	case capture.KindTakeOut:
+	case capture.KindDrainEndpoint:
 		b.DrainEndpoint(x.Endpoint, at-x.Time)
-	case capture.KindCallBack:
+	case capture.KindUndrainEndpoint:
 		b.UndrainEndpoint(at, x.Endpoint, at-x.Time)
-	case capture.KindShare:
+	case capture.KindSetCapacityShare:
 		b.SetCapacityShare(x.Part)
-	case capture.KindHeard:
+	case capture.KindPeerEjected:
 		b.PeerEjected(at, x.Endpoint, x.Time)
 	case capture.KindReload:
 		if p.o.Settings != nil {
@@ -335,7 +335,7 @@
 			return fmt.Errorf("replay: settings of a reload: %w", err)
 		}
 		b.Reload(s) // those that it turned down it turns down again
-	case capture.KindRecall:
+	case capture.KindRestore:
 		var s balancer.Snapshot
 		if err := snapshot.Unmarshal(x.Blob, &s); err != nil {
 			return fmt.Errorf("replay: a recalled snapshot: %w", err)
@@ -412,7 +412,7 @@
 	for i, x := range p.got {
 		if x.ID == p.o.Explain && x.Kind != capture.KindSetTimer {
 			mine = append(mine, p.lines(p.got[i:i+1])...)
-			p.open = p.open && x.Kind != capture.KindRefuse && x.Kind != capture.KindFail
+			p.open = p.open && x.Kind != capture.KindReject && x.Kind != capture.KindFail
 		}
 	}
 	ended := p.input.Kind == capture.KindOutcome && p.input.ID == p.o.Explain && p.input.Flag
@@ -470,7 +470,7 @@
 	h.add(capture.Record{Kind: capture.KindSend, ID: id, Endpoint: e, Time: t})
 }
 func (h hand) Reject(id uint64, t balancer.Micros) {
-	h.add(capture.Record{Kind: capture.KindRefuse, ID: id, Time: t})
+	h.add(capture.Record{Kind: capture.KindReject, ID: id, Time: t})
 }
 func (h hand) Fail(id uint64) { h.add(capture.Record{Kind: capture.KindFail, ID: id}) }
 func (h hand) Cancel(id uint64, attempt int) {
--- a/internal/dataplane/replay/replay_test.go
+++ b/internal/dataplane/replay/replay_test.go
@@ -105,15 +105,15 @@
 func tampered(t *testing.T, tamper func(r *capture.Recorder, now balancer.Micros)) []string {
 	t.Helper()
 	dir := t.TempDir()
-	w, err := capture.Create(capture.Config{Dir: dir, Name: "x", Bytes: 1 << 20, FileBytes: 1 << 20, FileAge: time.Hour, Queue: 4,
-		Retry: time.Second, Log: slog.New(slog.DiscardHandler), Wait: true})
+	w, err := capture.Create(capture.Config{Dir: dir, Name: "x", MaxBytes: 1 << 20, MaxFileBytes: 1 << 20, MaxFileAge: time.Hour, QueueLength: 4,
+		RetryDelay: time.Second, Log: slog.New(slog.DiscardHandler), BlockWhenFull: true})
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := balancer.Settings{Balancers: 1, Classes: []balancer.Class{{Name: "look", LatencyObjective: 400_000, Timeout: 900_000, PriorityWeight: 1}},
 		Limits:   balancer.Limits{MaxAttempts: 2, MaxOpen: 100},
 		Contract: balancer.Contract{InitialCapacity: 0.2, SlowStartDuration: 1_000_000, OverloadMultiple: 2}}
-	r, err := capture.New(capture.Options{Every: 200_000, Sink: w, Name: func(id uint32) string { return fmt.Sprint("s-", id) }},
+	r, err := capture.New(capture.Options{SegmentInterval: 200_000, Sink: w, EndpointName: func(id uint32) string { return fmt.Sprint("s-", id) }},
 		balancer.NoActions{}, func(out balancer.Actions) (*balancer.Balancer, error) { return balancer.New(s, 3, out) })
 	if err != nil {
 		t.Fatal(err)
