--- a/internal/dataplane/capture/capture_test.go
+++ b/internal/dataplane/capture/capture_test.go
@@ -23,20 +23,25 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 func settings() balancer.Settings {
-	return balancer.Settings{Balancers: 2, Classes: []balancer.Class{{Name: "look", LatencyObjective: 400_000, Timeout: 1_000_000, PriorityWeight: 1}},
-		Fields: []balancer.Field{balancer.FieldInflight}, Limits: balancer.Limits{Probes: true, Cancel: true, MaxAttempts: 3, MaxOpen: 1000},
-		Contract: balancer.Contract{InitialCapacity: 0.2, SlowStartDuration: 1_000_000, OverloadMultiple: 2}, Prices: balancer.Prices{Probe: 1000}}
+	return balancer.Settings{Balancers: 2,
+		Classes:  []balancer.Class{{Name: "look", LatencyObjective: 400_000, Timeout: 1_000_000, PriorityWeight: 1}},
+		Fields:   []balancer.Field{balancer.FieldInflight},
+		Limits:   balancer.Limits{Probes: true, Cancel: true, MaxAttempts: 3, MaxOpen: 1000},
+		Contract: balancer.Contract{InitialCapacity: 0.2, SlowStartDuration: 1_000_000, OverloadMultiple: 2},
+		Prices:   balancer.Prices{Probe: 1000}}
 }
 
 const began = 1_700_000_000_000_000
 
 // recorder returns one over a started module of three servers.
-func recorder(t testing.TB, sink Sink, every balancer.Micros) *Recorder {
-	t.Helper()
-	r, err := New(Options{Sidecar: "n0", SegmentInterval: every, Sink: sink, EndpointName: func(id uint32) string { return fmt.Sprint("s-", id) }},
-		balancer.NoActions{}, func(out balancer.Actions) (*balancer.Balancer, error) { return balancer.New(settings(), 7, out) })
+func recorder(tb testing.TB, sink Sink, every balancer.Micros) *Recorder {
+	tb.Helper()
+	name := func(id uint32) string { return fmt.Sprint("s-", id) }
+	begin := func(out balancer.Actions) (*balancer.Balancer, error) { return balancer.New(settings(), 7, out) }
+	o := Options{Sidecar: "n0", SegmentInterval: every, Sink: sink, EndpointName: name}
+	r, err := New(o, balancer.NoActions{}, begin)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	r.Start(began)
 	r.UpdateEndpoints(began, balancer.ListFull, []balancer.Endpoint{{ID: 1}, {ID: 2}, {ID: 3}})
@@ -55,29 +60,29 @@
 }
 
 func config(dir string) Config {
-	return Config{Dir: dir, Name: "c", MaxBytes: 1 << 20, MaxFileBytes: 1 << 19, MaxFileAge: time.Hour, QueueLength: 8, RetryDelay: time.Second,
-		Log: slog.New(slog.DiscardHandler), BlockWhenFull: true}
+	return Config{Dir: dir, Name: "c", MaxBytes: 1 << 20, MaxFileBytes: 1 << 19, MaxFileAge: time.Hour,
+		QueueLength: 8, RetryDelay: time.Second, Log: slog.New(slog.DiscardHandler), BlockWhenFull: true}
 }
 
 // capture returns the bytes of a small capture.
-func captured(t testing.TB, n int) []byte {
-	t.Helper()
-	dir := t.TempDir()
+func captured(tb testing.TB, n int) []byte {
+	tb.Helper()
+	dir := tb.TempDir()
 	w, err := Create(config(dir))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	r := recorder(t, w, 5_000)
+	r := recorder(tb, w, 5_000)
 	live(r, 1, n)
 	r.Close()
 	w.Close()
 	files, err := Files(dir, "c")
 	if err != nil || len(files) != 1 {
-		t.Fatal(files, err)
+		tb.Fatal(files, err)
 	}
 	data, err := os.ReadFile(files[0])
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return data
 }
@@ -108,13 +113,14 @@
 	return n
 }
 
-func TestWhatPassesIsRecorded(t *testing.T) {
+func TestRecorderRecordsEventsAndActions(t *testing.T) {
 	list, err := read(captured(t, 40))
 	if err != nil {
 		t.Fatal(err)
 	}
 	n := kindsOf(list)
-	if n[KindRequest] != 40 || n[KindOutcome] != 120 || n[KindSend] != 40 || n[KindSnapshot] < 2 || n[KindUpdateEndpoints] != 1 || n[KindGap] != 0 {
+	if n[KindRequest] != 40 || n[KindOutcome] != 120 || n[KindSend] != 40 || n[KindSnapshot] < 2 ||
+		n[KindUpdateEndpoints] != 1 || n[KindGap] != 0 {
 		t.Errorf("recorded %v", n)
 	}
 	if list[0].Kind != KindSnapshot || list[0].Flag {
@@ -130,8 +136,8 @@
 	}
 }
 
-// Of a file that is cut anywhere, all whole frames before the cut are read, and the rest is reported.
-func TestEveryCut(t *testing.T) {
+// Of a file that is cut anywhere, all complete frames before the cut are read, and the rest is reported.
+func TestReaderReadsAllFramesBeforeACut(t *testing.T) {
 	data := captured(t, 10)
 	whole, err := read(data)
 	if err != nil {
@@ -160,8 +166,8 @@
 	}
 }
 
-// A flipped bit anywhere is found, and nothing but what stands before its frame is told.
-func TestEveryFlippedBit(t *testing.T) {
+// A flipped bit anywhere is detected, and nothing but the records before its frame is returned.
+func TestReaderDetectsEveryFlippedBit(t *testing.T) {
 	data := captured(t, 3)
 	whole, _ := read(data)
 	for at := range 8 * len(data) {
@@ -174,12 +180,14 @@
 	}
 }
 
-func TestFilesStayUnderTheBudget(t *testing.T) {
+func TestWriterKeepsFilesUnderTheBudget(t *testing.T) {
 	dir := t.TempDir()
 	c := config(dir)
 	c.MaxFileBytes, c.MaxBytes = 4<<10, 20<<10
 	other := filepath.Join(dir, "other-1.capture")
-	os.WriteFile(other, make([]byte, 99), 0o600)
+	if err := os.WriteFile(other, make([]byte, 99), 0o600); err != nil {
+		t.Fatal(err)
+	}
 	w, err := Create(c)
 	if err != nil {
 		t.Fatal(err)
@@ -232,8 +240,8 @@
 func (f fullDisk) Truncate(size int64) error { f.b.Truncate(int(size)); return nil }
 func (f fullDisk) Close() error              { return nil }
 
-// When the disk is full a whole stretch is missing, marked and counted, and what is there can be read.
-func TestFullDiskLeavesAMarkedGap(t *testing.T) {
+// When the disk is full a complete stretch is missing, marked and counted, and what is there can be read.
+func TestFullDiskLeavesARecordedGap(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		room, files := 20_000, []*bytes.Buffer{}
 		c := config(t.TempDir())
@@ -287,7 +295,7 @@
 func (slowDisk) Close() error                  { return nil }
 
 // A disk that hangs holds up nothing: the queue fills, and the rest is dropped.
-func TestSlowDiskHoldsUpNothing(t *testing.T) {
+func TestSlowDiskDoesNotBlockTheRecorder(t *testing.T) {
 	c := config(t.TempDir())
 	c.BlockWhenFull, c.QueueLength = false, 4
 	let := make(chan struct{})
@@ -308,7 +316,7 @@
 
 func FuzzReader(f *testing.F) {
 	f.Add(captured(f, 5))
-	f.Fuzz(func(t *testing.T, data []byte) { read(data) })
+	f.Fuzz(func(_ *testing.T, data []byte) { _, _ = read(data) }) // any error will do: it must not panic
 }
 
 // The records of a frame, behind a checksum that holds.
@@ -362,7 +370,7 @@
 	}
 }
 
-func TestRulesOfAReloadUnderWayAreRecorded(t *testing.T) {
+func TestRulesOfAConcurrentReloadAreRecorded(t *testing.T) {
 	dir := t.TempDir()
 	w, err := Create(config(dir))
 	if err != nil {
@@ -398,7 +406,7 @@
 	}
 }
 
-func TestReaderNamesWhatIsForeign(t *testing.T) {
+func TestReaderRejectsForeignFiles(t *testing.T) {
 	for data, want := range map[string]string{"": "cut", "{\"a\": 1}....": "foreign", "BMcapt\x00\x09": "version 9"} {
 		if _, err := NewReader(strings.NewReader(data)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", data, err)
--- a/internal/dataplane/capture/reader.go
+++ b/internal/dataplane/capture/reader.go
@@ -13,11 +13,11 @@
 	"birchmoor/internal/platform/snapshot"
 )
 
-// Error says where a capture is not readable.
+// Error says where a capture cannot be read.
 type Error struct {
 	Offset    int64 // of the frame
 	Reason    string
-	Truncated bool // it ends there: what came before is whole
+	Truncated bool // the file ends there: all records before it were returned
 }
 
 // Error names the offset.
@@ -51,8 +51,8 @@
 	return r, nil
 }
 
-// Next returns the next record, or io.EOF after the last one. Any other error is an *Error; the records before it
-// are whole. The slices of a record are good until the next call.
+// Next returns the next record, or io.EOF after the last one. Any other error is an *Error. The slices of a record
+// are valid until the next call.
 func (r *Reader) Next() (Record, error) {
 	for r.parser.at >= len(r.parser.in) {
 		if err := r.frame(); err != nil {
@@ -69,9 +69,10 @@
 	return x, nil
 }
 
-// Offset is that of the frame which the latest record stands in.
+// Offset returns the offset of the frame that holds the latest record.
 func (r *Reader) Offset() int64 { return r.frameOffset }
 
+// frame reads the next frame, for Next to return its records.
 func (r *Reader) frame() error {
 	r.frameOffset = r.offset
 	var head [frameHeaderBytes]byte
@@ -80,34 +81,53 @@
 	case errors.Is(err, io.EOF) && n == 0:
 		return io.EOF
 	case err != nil:
-		return &Error{r.frameOffset, fmt.Sprintf("cut: %d bytes of a frame's head", n), true}
+		return r.truncated("%d bytes of a frame's head", n)
 	}
-	length, raw := binary.BigEndian.Uint32(head[:]), binary.BigEndian.Uint32(head[4:])
-	if length > maxFrameBytes || raw > maxFrameBytes {
-		return &Error{r.frameOffset, "damaged: a frame of more bytes than any has", false}
+	length := binary.BigEndian.Uint32(head[:])
+	rawLength := binary.BigEndian.Uint32(head[4:])
+	if length > maxFrameBytes || rawLength > maxFrameBytes {
+		return r.damaged("a frame of more bytes than any has")
 	}
-	r.body = append(r.body[:0], make([]byte, min(int(length), 64<<10))...)
-	for got := 0; got < int(length); {
-		// A length that is not true must not take memory that is not filled.
-		if got == len(r.body) {
-			r.body = append(r.body, make([]byte, min(int(length)-got, len(r.body)))...)
-		}
-		n, err := io.ReadFull(r.in, r.body[got:])
-		got += n
-		if err != nil {
-			return &Error{r.frameOffset, fmt.Sprintf("cut: %d bytes of a frame of %d", got, length), true}
-		}
+	if err := r.readBody(int(length)); err != nil {
+		return err
 	}
 	if snapshot.Checksum(head[:24], r.body) != binary.BigEndian.Uint32(head[24:]) {
-		return &Error{r.frameOffset, "damaged: the checksum does not hold", false}
+		return r.damaged("the checksum does not hold")
 	}
-	if n, err := s2.DecodedLen(r.body); err != nil || n != int(raw) {
-		return &Error{r.frameOffset, "damaged: not compressed as it says", false}
+	if n, err := s2.DecodedLen(r.body); err != nil || n != int(rawLength) {
+		return r.damaged("not compressed as it says")
 	}
 	if r.raw, err = s2.Decode(nil, r.body); err != nil {
-		return &Error{r.frameOffset, "damaged: " + err.Error(), false}
+		return r.damaged(err.Error())
 	}
 	r.offset += frameHeaderBytes + int64(length)
-	r.parser, r.lastInstant = parser{in: r.raw}, int64(binary.BigEndian.Uint64(head[8:]))
+	r.parser = parser{in: r.raw}
+	r.lastInstant = int64(binary.BigEndian.Uint64(head[8:]))
+	return nil
+}
+
+// readBody reads a frame's compressed records.
+func (r *Reader) readBody(length int) error {
+	const firstChunk = 64 << 10
+	r.body = append(r.body[:0], make([]byte, min(length, firstChunk))...)
+	for got := 0; got < length; {
+		// Memory grows with the bytes that come, so that a wrong length does not take it.
+		if got == len(r.body) {
+			r.body = append(r.body, make([]byte, min(length-got, len(r.body)))...)
+		}
+		n, err := io.ReadFull(r.in, r.body[got:])
+		got += n
+		if err != nil {
+			return r.truncated("%d bytes of a frame of %d", got, length)
+		}
+	}
 	return nil
 }
+
+func (r *Reader) truncated(format string, args ...any) *Error {
+	return &Error{Offset: r.frameOffset, Reason: "cut: " + fmt.Sprintf(format, args...), Truncated: true}
+}
+
+func (r *Reader) damaged(reason string) *Error {
+	return &Error{Offset: r.frameOffset, Reason: "damaged: " + reason}
+}
--- a/internal/dataplane/capture/recorder.go
+++ b/internal/dataplane/capture/recorder.go
@@ -7,68 +7,83 @@
 	"birchmoor/internal/platform/snapshot"
 )
 
-// Recorder stands between a host and its decision module and records what passes, both ways. Its methods are those
-// of the module, for one caller at a time. They never wait: what finds no room is dropped, up to the next segment.
+// Recorder stands between a host and its decision module and records what passes in both directions. Its methods
+// are those of balancer.Module, for one caller at a time. They never block: what the sink has no space for is
+// dropped, up to the next segment.
 type Recorder struct {
-	*balancer.Balancer // whose methods that only look are as they are
-	out                balancer.Actions
-	sink               Sink
-	endpointName       func(id uint32) string
-	sidecar            string
-	runID              uint64
-	segmentInterval    balancer.Micros // between two segments, at most
+	*balancer.Balancer // its methods that change nothing are used as they are
 
-	batch           *batch
-	lastInstant     balancer.Micros // instant of the latest record of the batch
-	now             balancer.Micros // of the event under way
-	segmentStart    balancer.Micros // of the segment
-	inSegment       bool            // a segment is under way
-	lost            uint64          // records dropped since it ended
-	lossReason      string
-	anySegment      bool // a segment has been begun
-	closed, started bool
+	out             balancer.Actions
+	sink            Sink
+	endpointName    func(id uint32) string
+	sidecar         string
+	runID           uint64
+	segmentInterval balancer.Micros
+
+	now        balancer.Micros // of the current event
+	started    bool
+	closed     bool
+	inSegment  bool
+	anySegment bool   // one has been recorded before
+	lost       uint64 // records dropped since the latest segment
+	lossReason string
+
+	segmentStart balancer.Micros
+	batch        *batch
+	lastInstant  balancer.Micros // of the latest record of the batch
 }
 
-// Sink takes batches. Offer says whether it took one; it never waits. Ready says whether there is room to begin a
-// segment, and Fresh whether one is wanted now.
+// Sink takes batches. Its methods do not block.
 type Sink interface {
+	// Offer takes a batch, or reports that it did not.
 	Offer(b *batch) bool
+	// Ready reports whether there is space to begin a segment.
 	Ready() bool
+	// WantsSegment reports whether one should begin now.
 	WantsSegment() bool
-	CountLost(records uint64) // counts what was dropped
+	// CountLost counts records that were dropped.
+	CountLost(records uint64)
 }
 
-// batch is a row of records on its way to a file: a frame.
+// batch is a sequence of records on its way to a file, where it is one frame.
 type batch struct {
-	base          balancer.Micros // what the first record's instant is told from
-	beginsSegment bool            // begins one: gap and snapshot come first
-	follows       bool            // the segment before, of the same process, and nothing is missing between
-	gap           *Record
-	snapshot      *snapshot.Saved // encoded on the way, not by the loop
-	createdAt     balancer.Micros
-	data          []byte
-	records       uint64
+	base      balancer.Micros // to which the first record's instant is relative
+	createdAt balancer.Micros
+	data      []byte
+	records   uint64
+
+	beginsSegment bool            // then gap, if any, and snapshot come first
+	follows       bool            // continues the segment before: nothing is missing in between
+	gap           *Record         // or nil
+	snapshot      *snapshot.Saved // encoded by the sink, not on the event loop
 }
 
 const (
-	maxBatchBytes = 24 << 10
-	maxBatchAge   = 250_000 // microseconds that records wait at most, while more come
+	maxBatchBytes                 = 24 << 10
+	maxBatchAge   balancer.Micros = 250_000 // while more records come
 )
 
 var batches = sync.Pool{New: func() any { return &batch{data: make([]byte, 0, maxBatchBytes+4<<10)} }}
 
-// Options say how a recorder works.
+// Options configures a Recorder.
 type Options struct {
 	Sidecar         string
-	RunID           uint64                 // names the process, where several of a sidecar record into one folder
-	SegmentInterval balancer.Micros        // a fresh segment at least so often
-	EndpointName    func(id uint32) string // of an endpoint, "" if it has none; nil for none
+	RunID           uint64                 // tells processes apart that record into one folder
+	SegmentInterval balancer.Micros        // a segment begins at least this often
+	EndpointName    func(id uint32) string // "" for an endpoint without a name; nil if none has one
 	Sink            Sink
 }
 
 // New returns a recorder around the balancer that begin makes with the actions given to it.
 func New(o Options, out balancer.Actions, begin func(balancer.Actions) (*balancer.Balancer, error)) (*Recorder, error) {
-	r := &Recorder{out: out, sink: o.Sink, endpointName: o.EndpointName, sidecar: o.Sidecar, runID: o.RunID, segmentInterval: o.SegmentInterval}
+	r := &Recorder{
+		out:             out,
+		sink:            o.Sink,
+		endpointName:    o.EndpointName,
+		sidecar:         o.Sidecar,
+		runID:           o.RunID,
+		segmentInterval: o.SegmentInterval,
+	}
 	if r.endpointName == nil {
 		r.endpointName = func(uint32) string { return "" }
 	}
@@ -77,7 +92,7 @@
 	return r, err
 }
 
-// recordEvent records an event before the module hears of it.
+// recordEvent records an event before the module gets it.
 func (r *Recorder) recordEvent(now balancer.Micros, x Record) {
 	r.now = now
 	x.At = now
@@ -89,9 +104,10 @@
 		r.drop(1)
 		return
 	}
-	// A batch ends between two events: a process that is killed leaves no event without its answers.
-	if b := r.batch; b != nil && r.inSegment && b.records > 0 && (len(b.data) >= maxBatchBytes || now-b.createdAt >= maxBatchAge) {
-		if r.flush(); !r.inSegment && !r.beginSegment(now) {
+	// A batch ends between two events: a process that is killed leaves no event without its actions.
+	if r.inSegment && r.batchIsFull(now) {
+		r.flush()
+		if !r.inSegment && !r.beginSegment(now) {
 			r.drop(1)
 			return
 		}
@@ -99,7 +115,16 @@
 	r.add(&x)
 }
 
-// beginSegment begins a segment with a snapshot, if the sink has room.
+// batchIsFull reports whether the batch is due to go out.
+func (r *Recorder) batchIsFull(now balancer.Micros) bool {
+	b := r.batch
+	if b == nil || b.records == 0 {
+		return false
+	}
+	return len(b.data) >= maxBatchBytes || now-b.createdAt >= maxBatchAge
+}
+
+// beginSegment begins a segment with a snapshot, if the sink has space.
 func (r *Recorder) beginSegment(now balancer.Micros) bool {
 	if r.closed || !r.started {
 		return false
@@ -110,26 +135,48 @@
 		}
 		return false
 	}
-	b := batches.Get().(*batch)
-	*b = batch{base: now, beginsSegment: true, createdAt: now, data: b.data[:0]}
-	b.follows, r.anySegment = r.anySegment && r.lost == 0, true
+	b := newBatch(now)
+	b.beginsSegment = true
+	b.follows = r.anySegment && r.lost == 0
 	if r.lost > 0 {
 		b.gap = &Record{Kind: KindGap, At: now, Count: r.lost, Line: r.lossReason}
 	}
-	b.snapshot = &snapshot.Saved{Sidecar: r.sidecar, RunID: r.runID, Clock: snapshot.Clock{WallMicros: now}, State: r.Balancer.Snapshot(now, true)}
-	for i := range b.snapshot.State.Endpoints {
-		b.snapshot.Names = append(b.snapshot.Names, r.endpointName(b.snapshot.State.Endpoints[i].ID))
-	}
-	r.batch, r.lastInstant, r.inSegment, r.segmentStart, r.lost, r.lossReason = b, now, true, now, 0, ""
+	b.snapshot = r.takeSnapshot(now)
+	r.batch = b
+	r.lastInstant = now
+	r.inSegment = true
+	r.anySegment = true
+	r.segmentStart = now
+	r.lost = 0
+	r.lossReason = ""
 	return true
 }
 
-// add appends to the batch.
+// takeSnapshot returns the module's state with the endpoints' names.
+func (r *Recorder) takeSnapshot(now balancer.Micros) *snapshot.Saved {
+	s := &snapshot.Saved{
+		Sidecar: r.sidecar,
+		RunID:   r.runID,
+		Clock:   snapshot.Clock{WallMicros: now},
+		State:   r.Snapshot(now, true),
+	}
+	for i := range s.State.Endpoints {
+		s.Names = append(s.Names, r.endpointName(s.State.Endpoints[i].ID))
+	}
+	return s
+}
+
+func newBatch(now balancer.Micros) *batch {
+	b := batches.Get().(*batch)
+	*b = batch{base: now, createdAt: now, data: b.data[:0]}
+	return b
+}
+
+// add appends a record to the batch.
 func (r *Recorder) add(x *Record) {
 	if r.batch == nil {
-		b := batches.Get().(*batch)
-		*b = batch{base: r.now, createdAt: r.now, data: b.data[:0]}
-		r.batch, r.lastInstant = b, r.now
+		r.batch = newBatch(r.now)
+		r.lastInstant = r.now
 	}
 	r.batch.data = x.append(r.batch.data, r.lastInstant)
 	r.batch.records++
@@ -143,17 +190,19 @@
 	if b == nil {
 		return
 	}
-	if n := b.records; !r.sink.Offer(b) {
-		r.inSegment = false
-		r.drop(n)
-		r.lossReason = "the queue was full"
-		if b.gap != nil {
-			r.lost += b.gap.Count
-		}
+	records := b.records // the sink owns the batch from here on
+	if r.sink.Offer(b) {
+		return
+	}
+	r.inSegment = false
+	r.drop(records)
+	r.lossReason = "the queue was full"
+	if b.gap != nil {
+		r.lost += b.gap.Count
 	}
 }
 
-// drop counts what is missing. Before the start and after the end nothing is.
+// drop counts records that are missing. Before the start and after Close none are.
 func (r *Recorder) drop(n uint64) {
 	if r.started && !r.closed {
 		r.lost += n
@@ -161,12 +210,14 @@
 	}
 }
 
-// Close sends off what is recorded and ends that. The module may still be told things.
+// Close flushes what is recorded and ends the recording. The module may still get events.
 func (r *Recorder) Close() {
 	r.flush()
-	r.inSegment, r.closed = false, true
+	r.inSegment = false
+	r.closed = true
 }
 
+// recordAction records an action that follows the current event.
 func (r *Recorder) recordAction(x Record) {
 	if !r.inSegment {
 		r.drop(1)
@@ -175,162 +226,3 @@
 	x.At = r.now
 	r.add(&x)
 }
-
-// ---- What the module is told -------------------------------------------------
-
-// Start records and passes on. The first segment begins after it.
-func (r *Recorder) Start(now balancer.Micros) {
-	r.now = now
-	r.Balancer.Start(now)
-	r.started, r.lost = true, 0 // what a start asks for is in the snapshot that follows
-}
-
-// UpdateEndpoints records and passes on.
-func (r *Recorder) UpdateEndpoints(now balancer.Micros, kind balancer.ListKind, entries []balancer.Endpoint) {
-	x := Record{Kind: KindUpdateEndpoints, List: kind, Entries: entries, Names: make([]string, len(entries))}
-	for i := range entries {
-		x.Names[i] = r.endpointName(entries[i].ID)
-		x.Names[i] = x.Names[i][:min(len(x.Names[i]), maxNameBytes)]
-	}
-	r.recordEvent(now, x)
-	r.Balancer.UpdateEndpoints(now, kind, entries)
-}
-
-// Request records and passes on.
-func (r *Recorder) Request(now balancer.Micros, in balancer.Request) {
-	x := Record{Kind: KindRequest, Request: in}
-	x.Request.Key, x.Request.Rules = 0, nil
-	if in.Rules != nil && in.Rules != r.Rules() {
-		x.Rules, _ = snapshot.Marshal(in.Rules.State()) // it came while a reload was under way
-	}
-	r.recordEvent(now, x)
-	r.Balancer.Request(now, in)
-}
-
-// ResponseStarted records and passes on.
-func (r *Recorder) ResponseStarted(now balancer.Micros, id uint64, attempt int, latency balancer.Micros) {
-	r.recordEvent(now, Record{Kind: KindResponseStarted, ID: id, Attempt: attempt, Time: latency})
-	r.Balancer.ResponseStarted(now, id, attempt, latency)
-}
-
-// UploadComplete records and passes on.
-func (r *Recorder) UploadComplete(now balancer.Micros, id uint64, deadline balancer.Micros) {
-	r.recordEvent(now, Record{Kind: KindUploadComplete, ID: id, Time: deadline - now})
-	r.Balancer.UploadComplete(now, id, deadline)
-}
-
-// Outcome records and passes on.
-func (r *Recorder) Outcome(now balancer.Micros, o balancer.Outcome) {
-	r.recordEvent(now, Record{Kind: KindOutcome, ID: o.ID, Attempt: o.Attempt, Endpoint: o.Endpoint, Status: o.Status,
-		Time: o.Latency, Flag: o.Answered, NotReplayable: o.NotReplayable, Load: o.Load})
-	r.Balancer.Outcome(now, o)
-}
-
-// ClientDisconnected records and passes on.
-func (r *Recorder) ClientDisconnected(now balancer.Micros, id uint64) {
-	r.recordEvent(now, Record{Kind: KindClientDisconnected, ID: id})
-	r.Balancer.ClientDisconnected(now, id)
-}
-
-// Timer records and passes on. As an action it is SetTimer's.
-func (r *Recorder) Timer(now balancer.Micros, token uint32) {
-	r.recordEvent(now, Record{Kind: KindTimer, Token: token})
-	r.Balancer.Timer(now, token)
-}
-
-// ProbeCompleted records and passes on.
-func (r *Recorder) ProbeCompleted(now balancer.Micros, id uint32, s balancer.Status, latency balancer.Micros, load []float32) {
-	r.recordEvent(now, Record{Kind: KindProbeCompleted, Endpoint: id, Status: s, Time: latency, Load: load})
-	r.Balancer.ProbeCompleted(now, id, s, latency, load)
-}
-
-// DrainEndpoint records and passes on. The operators' instant is told as its age.
-func (r *Recorder) DrainEndpoint(now balancer.Micros, id uint32, at balancer.Micros) {
-	r.recordEvent(now, Record{Kind: KindDrainEndpoint, Endpoint: id, Time: now - at})
-	r.Balancer.DrainEndpoint(id, at)
-}
-
-// UndrainEndpoint records and passes on.
-func (r *Recorder) UndrainEndpoint(now balancer.Micros, id uint32, at balancer.Micros) {
-	r.recordEvent(now, Record{Kind: KindUndrainEndpoint, Endpoint: id, Time: now - at})
-	r.Balancer.UndrainEndpoint(now, id, at)
-}
-
-// SetCapacityShare records and passes on.
-func (r *Recorder) SetCapacityShare(now balancer.Micros, part float64) {
-	r.recordEvent(now, Record{Kind: KindSetCapacityShare, Part: part})
-	r.Balancer.SetCapacityShare(part)
-}
-
-// Reload records and passes on.
-func (r *Recorder) Reload(now balancer.Micros, s balancer.Settings) (*balancer.Rules, error) {
-	blob, err := snapshot.Marshal(&s)
-	if err != nil {
-		return nil, err
-	}
-	r.recordEvent(now, Record{Kind: KindReload, Blob: blob})
-	return r.Balancer.Reload(s)
-}
-
-// PeerEjected records and passes on.
-func (r *Recorder) PeerEjected(now balancer.Micros, id uint32, left balancer.Micros) {
-	r.recordEvent(now, Record{Kind: KindPeerEjected, Endpoint: id, Time: left})
-	r.Balancer.PeerEjected(now, id, left)
-}
-
-// Restore records and passes on.
-func (r *Recorder) Restore(now balancer.Micros, s *balancer.Snapshot, age balancer.Micros) (int, error) {
-	blob, err := snapshot.Marshal(s)
-	if err != nil {
-		return 0, err
-	}
-	r.recordEvent(now, Record{Kind: KindRestore, Blob: blob, Time: age})
-	return r.Balancer.Restore(now, s, age)
-}
-
-// ---- What it answers -----------------------------------------------------------
-
-// recordedActions is the recorder as the module's Actions.
-type recordedActions struct{ *Recorder }
-
-func (a recordedActions) Send(id uint64, e uint32, timeout balancer.Micros) {
-	a.recordAction(Record{Kind: KindSend, ID: id, Endpoint: e, Time: timeout})
-	a.out.Send(id, e, timeout)
-}
-
-func (a recordedActions) Reject(id uint64, after balancer.Micros) {
-	a.recordAction(Record{Kind: KindReject, ID: id, Time: after})
-	a.out.Reject(id, after)
-}
-
-func (a recordedActions) Fail(id uint64) {
-	a.recordAction(Record{Kind: KindFail, ID: id})
-	a.out.Fail(id)
-}
-
-func (a recordedActions) Cancel(id uint64, attempt int) {
-	a.recordAction(Record{Kind: KindCancel, ID: id, Attempt: attempt})
-	a.out.Cancel(id, attempt)
-}
-
-func (a recordedActions) Timer(delay balancer.Micros, token uint32) {
-	a.recordAction(Record{Kind: KindSetTimer, Time: delay, Token: token})
-	a.out.Timer(delay, token)
-}
-
-func (a recordedActions) Probe(e uint32) {
-	a.recordAction(Record{Kind: KindProbe, Endpoint: e})
-	a.out.Probe(e)
-}
-
-func (a recordedActions) Watch(on bool) {
-	a.recordAction(Record{Kind: KindWatch, Flag: on})
-	a.out.Watch(on)
-}
-
-func (a recordedActions) Log(line string) {
-	a.recordAction(Record{Kind: KindLog, Line: line[:min(len(line), maxLineBytes)]})
-	a.out.Log(line)
-}
-
-var _ balancer.Actions = recordedActions{}
--- a/internal/dataplane/capture/writer.go
+++ b/internal/dataplane/capture/writer.go
@@ -29,17 +29,17 @@
 	suffix           = ".capture"
 )
 
-// Config says where a capture goes and how large it may become.
+// Config says where a capture is stored and how large it may become.
 type Config struct {
 	Dir           string
 	Name          string        // begins the files' names
-	MaxBytes      int64         // all files of this name together; the oldest go first
-	MaxFileBytes  int64         // a file begins anew beyond this
-	MaxFileAge    time.Duration // or after this
-	QueueLength   int           // batches on their way, at most; each is about 24 KiB
-	RetryDelay    time.Duration // after the disk failed
+	MaxBytes      int64         // of all files of this name together; the oldest are removed first
+	MaxFileBytes  int64         // after which the next segment begins another file
+	MaxFileAge    time.Duration // likewise
+	QueueLength   int           // batches; each is about 24 KiB
+	RetryDelay    time.Duration // after a write failed
 	Log           *slog.Logger
-	BlockWhenFull bool // offers wait for room: for simulations, where time stands still meanwhile
+	BlockWhenFull bool // Offer blocks when the queue is full: for simulations, where time stands still meanwhile
 
 	create func(path string) (file, error) // nil for the disk's
 }
@@ -50,32 +50,32 @@
 	Truncate(size int64) error
 }
 
-// Counts is what a writer has done. They may be read at any time.
+// Counts is what a writer has done so far. Any goroutine may read it.
 type Counts struct {
 	Records, Bytes, Frames, Files, Segments, Lost atomic.Uint64
 }
 
-// Writer puts batches into files, by a goroutine of its own. It is a Sink.
+// Writer is a Sink that writes batches into files, in a goroutine of its own.
 type Writer struct {
 	Counts Counts
 
 	cfg      Config
 	queue    chan *batch
-	fileFull atomic.Bool // the file is full: the next segment begins another
-	broken   atomic.Bool // the disk failed, and it is not yet time to try again
+	fileFull atomic.Bool // the next segment begins another
+	broken   atomic.Bool // a write failed, and RetryDelay is not over
 	done     sync.WaitGroup
 
-	// The goroutine's own.
+	// Used by the goroutine alone.
 	file           file
 	size           int64
 	opened         time.Time
-	skipToSegment  bool   // until the next segment: its beginning is not on the disk
-	unreportedLoss uint64 // records lost since the last segment on the disk
+	skipToSegment  bool   // drop records up to the next segment, since the beginning of theirs is not stored
+	unreportedLoss uint64 // records lost since the last segment that was stored
 	scratch        []byte
 	packed         []byte
 }
 
-// Create returns a writer. It makes the folder if it is not there.
+// Create starts a writer, and creates the folder if it does not exist. Close ends it.
 func Create(c Config) (*Writer, error) {
 	if c.create == nil {
 		if err := os.MkdirAll(c.Dir, 0o755); err != nil {
@@ -90,7 +90,7 @@
 	return w, nil
 }
 
-// Offer is Sink's.
+// Offer implements Sink.
 func (w *Writer) Offer(b *batch) bool {
 	if w.broken.Load() {
 		return false
@@ -107,18 +107,18 @@
 	}
 }
 
-// CountLost is Sink's.
+// CountLost implements Sink.
 func (w *Writer) CountLost(records uint64) { w.Counts.Lost.Add(records) }
 
-// Ready is Sink's: half of the queue is free, so that a segment begun now is more than its beginning.
+// Ready implements Sink: half of the queue is free, so that more than the beginning of a segment fits.
 func (w *Writer) Ready() bool {
 	return !w.broken.Load() && (w.cfg.BlockWhenFull || len(w.queue) <= cap(w.queue)/2)
 }
 
-// WantsSegment is Sink's.
+// WantsSegment implements Sink.
 func (w *Writer) WantsSegment() bool { return w.fileFull.Load() }
 
-// Close writes what is queued and ends. Nothing may be offered any more.
+// Close writes what is queued and ends the writer. Nothing may be offered any more.
 func (w *Writer) Close() {
 	close(w.queue)
 	w.done.Wait()
@@ -141,7 +141,8 @@
 				w.skipToSegment = true
 				again = time.After(w.cfg.RetryDelay)
 			}
-			if b.snapshot = nil; cap(b.data) <= 2*maxBatchBytes {
+			b.snapshot = nil
+			if cap(b.data) <= 2*maxBatchBytes {
 				batches.Put(b)
 			}
 		case <-again:
@@ -151,14 +152,14 @@
 	}
 }
 
-// write puts a batch into the file, or says why not and leaves there what was whole.
+// write writes a batch into the file. On an error the file ends with the last complete frame.
 func (w *Writer) write(b *batch) error {
 	if w.skipToSegment && !b.beginsSegment {
 		w.countLost(b)
 		return nil
 	}
 	w.skipToSegment = false
-	if b.beginsSegment && w.file != nil && (w.size >= w.cfg.MaxFileBytes || time.Since(w.opened) >= w.cfg.MaxFileAge) {
+	if b.beginsSegment && w.file != nil && w.fileIsFull() {
 		w.closeFile()
 	}
 	if w.file == nil {
@@ -177,54 +178,54 @@
 	}
 	if err != nil {
 		w.countLost(b)
-		// What stands there of the frame would be reported as cut.
+		// A part of a frame would be read as a truncated file.
 		return errors.Join(err, w.file.Truncate(w.size))
 	}
-	w.size += int64(len(frame))
-	w.Counts.Bytes.Add(uint64(len(frame)))
+	w.countWritten(b, len(frame))
+	if w.fileIsFull() {
+		w.fileFull.Store(true)
+	}
+	return nil
+}
+
+func (w *Writer) fileIsFull() bool {
+	return w.size >= w.cfg.MaxFileBytes || time.Since(w.opened) >= w.cfg.MaxFileAge
+}
+
+func (w *Writer) countWritten(b *batch, frameBytes int) {
+	w.size += int64(frameBytes)
+	w.Counts.Bytes.Add(uint64(frameBytes))
 	w.Counts.Frames.Add(1)
 	w.Counts.Records.Add(b.records)
-	if b.beginsSegment {
-		if b.gap != nil {
-			w.cfg.Log.Warn("capture: a gap", "records", b.gap.Count, "reason", b.gap.Line)
-		}
-		w.Counts.Segments.Add(1)
-		w.unreportedLoss = 0
+	if !b.beginsSegment {
+		return
 	}
-	if w.size >= w.cfg.MaxFileBytes || time.Since(w.opened) >= w.cfg.MaxFileAge {
-		w.fileFull.Store(true)
+	if b.gap != nil {
+		w.cfg.Log.Warn("capture: a gap", "records", b.gap.Count, "reason", b.gap.Line)
 	}
-	return nil
+	w.Counts.Segments.Add(1)
+	w.unreportedLoss = 0
 }
 
+// countLost counts a batch that is not stored.
 func (w *Writer) countLost(b *batch) {
 	w.Counts.Lost.Add(b.records)
 	w.unreportedLoss += b.records
 }
 
-// encodeFrame returns a batch as bytes. They are good until the next call.
+// encodeFrame returns a batch as a frame, which is valid until the next call.
 func (w *Writer) encodeFrame(b *batch) ([]byte, error) {
-	raw, flags := b.data, uint32(0)
+	raw := b.data
+	flags := uint32(0)
 	if b.beginsSegment {
 		flags = flagSegment
-		w.scratch = w.scratch[:0]
-		if gap := b.gap; gap != nil || w.unreportedLoss > 0 {
-			if gap == nil {
-				gap = &Record{Kind: KindGap, At: b.base, Line: "the disk failed"}
-			}
-			gap.Count += w.unreportedLoss
-			w.scratch = gap.append(w.scratch, b.base)
-		}
-		blob, err := snapshot.Marshal(b.snapshot)
-		if err != nil {
+		var err error
+		if raw, err = w.segmentRecords(b); err != nil {
 			return nil, err
 		}
-		first := Record{Kind: KindSnapshot, At: b.base, Blob: blob, Flag: b.follows && len(w.scratch) == 0}
-		w.scratch = first.append(w.scratch, b.base)
-		w.scratch = append(w.scratch, b.data...)
-		raw = w.scratch
 	}
-	if need := frameHeaderBytes + s2.MaxEncodedLen(len(raw)); cap(w.packed) < need {
+	need := frameHeaderBytes + s2.MaxEncodedLen(len(raw))
+	if cap(w.packed) < need {
 		w.packed = make([]byte, need)
 	}
 	w.packed = w.packed[:cap(w.packed)]
@@ -239,7 +240,28 @@
 	return out, nil
 }
 
-// openFile begins a file, after old ones have made room.
+// segmentRecords returns the records of a batch that begins a segment: the gap before it, the snapshot, and its own.
+func (w *Writer) segmentRecords(b *batch) ([]byte, error) {
+	w.scratch = w.scratch[:0]
+	gap := b.gap
+	if gap == nil && w.unreportedLoss > 0 {
+		gap = &Record{Kind: KindGap, At: b.base, Line: "the disk failed"}
+	}
+	if gap != nil {
+		gap.Count += w.unreportedLoss
+		w.scratch = gap.append(w.scratch, b.base)
+	}
+	blob, err := snapshot.Marshal(b.snapshot)
+	if err != nil {
+		return nil, err
+	}
+	first := Record{Kind: KindSnapshot, At: b.base, Blob: blob, Flag: b.follows && gap == nil}
+	w.scratch = first.append(w.scratch, b.base)
+	w.scratch = append(w.scratch, b.data...)
+	return w.scratch, nil
+}
+
+// openFile begins a file, after removing old ones for it.
 func (w *Writer) openFile(b *batch) error {
 	if err := w.removeOldFiles(); err != nil {
 		return err
@@ -251,24 +273,25 @@
 	}
 	head := append([]byte(fileMagic), 0, fileVersion)
 	if _, err := f.Write(head); err != nil {
-		f.Close()
-		os.Remove(path)
-		return err
+		return errors.Join(err, f.Close(), os.Remove(path))
 	}
-	w.file, w.size, w.opened = f, fileHeaderBytes, time.Now()
+	w.file = f
+	w.size = fileHeaderBytes
+	w.opened = time.Now()
 	w.fileFull.Store(false)
 	w.Counts.Files.Add(1)
 	w.Counts.Bytes.Add(fileHeaderBytes)
 	return nil
 }
 
-// removeOldFiles removes the oldest files until another one finds room under the budget.
+// removeOldFiles removes the oldest files until another one fits into MaxBytes.
 func (w *Writer) removeOldFiles() error {
 	list, err := Files(w.cfg.Dir, w.cfg.Name)
 	if err != nil {
 		return err
 	}
-	sizes, total := make([]int64, len(list)), int64(0)
+	sizes := make([]int64, len(list))
+	var total int64
 	for i, path := range list {
 		if info, err := os.Stat(path); err == nil {
 			sizes[i] = info.Size()
@@ -296,7 +319,7 @@
 	}
 }
 
-// Files returns the files of a capture in their order. name is that of Config; empty for all.
+// Files returns the paths of a capture's files in order. name is that of Config; empty for all captures.
 func Files(dir, name string) ([]string, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -304,7 +327,9 @@
 	}
 	var list []string
 	for _, e := range entries {
-		if n := e.Name(); strings.HasSuffix(n, suffix) && (name == "" || strings.HasPrefix(n, name+"-")) && !e.IsDir() {
+		n := e.Name()
+		ofName := name == "" || strings.HasPrefix(n, name+"-")
+		if ofName && strings.HasSuffix(n, suffix) && !e.IsDir() {
 			list = append(list, filepath.Join(dir, n))
 		}
 	}
