--- a/internal/controlplane/operatorconfig/file_test.go
+++ b/internal/controlplane/operatorconfig/file_test.go
@@ -26,7 +26,8 @@
 	if f.StateSnapshot != nil {
 		t.Errorf("%+v", f.StateSnapshot)
 	}
-	if !filepath.IsAbs(c.Dir) || c.MaxFileMB != 2 || c.SnapshotInterval != Duration(time.Minute) || c.MaxQueuedBatches != 32 {
+	if !filepath.IsAbs(c.Dir) || c.MaxFileMB != 2 || c.MaxQueuedBatches != 32 ||
+		c.SnapshotInterval != Duration(time.Minute) {
 		t.Errorf("%+v", c)
 	}
 	if f, err := read(t, ""); err != nil || f.Capture != nil {
--- a/internal/controlplane/quota/allocator_test.go
+++ b/internal/controlplane/quota/allocator_test.go
@@ -285,7 +285,8 @@
 	bound, ok := l.UpperBound(0, length, 0, 0, 5)
 	base, _ := l.UpperBound(0, length, 0, 0, 0)
 	overshoot := float64(admitted) - 100*float64(length)/1e9
-	t.Logf("%d admitted in %d s, %.0f over; the bound is %.0f, %.0f over", admitted, length/sec, overshoot, bound, bound-base)
+	t.Logf("%d admitted in %d s, %.0f over; the bound is %.0f, %.0f over",
+		admitted, length/sec, overshoot, bound, bound-base)
 	if !ok || float64(admitted) > bound || overshoot < (bound-base)*2/3 {
 		t.Error("not near the bound, or over it")
 	}
--- a/internal/controlplane/quota/file_test.go
+++ b/internal/controlplane/quota/file_test.go
@@ -62,24 +62,25 @@
 }
 
 func TestParseFileNamesInvalidKeys(t *testing.T) {
+	const parts = "[limit.a]\nrate = 5.0\nby = [\"class\"]\n"
 	for text, want := range map[string]string{
-		"[limit.a]\nrate = 1.0\nmore = 2":                                              "x.toml:3: limit.a.more",
-		"\n[limit.a]\nwindow = \"1s\"":                                                 "x.toml:2: limit.a.rate, amount, at_once",
-		"[limit.a]\nrate = 1.0\namount = 2.0":                                          "one of them is needed",
-		"[limit.a]\namount = 2.0":                                                      "limit.a.window: is missing",
-		"[limit.a]\nat_once = 2.0":                                                     "limit.a.longest: is missing",
-		"[limit.a]\nrate = 0.5":                                                        "limit.a.burst",
-		"[limit.a]\nrate = -5.0":                                                       "limit.a",
-		"[limit.a]\nrate = 5.0\nwindow = \"1s\"":                                       "go with",
-		"[limit.a]\nrate = 5.0\nwithout = \"maybe\"":                                   "limit.a.without",
-		"[limit.a]\nrate = 5.0\nwithout = \"fair\"\npart = 0.5":                        "limit.a.hosts: is missing",
-		"[limit.a]\nrate = 5.0\nby = [\"cookie:x\"]":                                   "limit.a.by",
-		"[limit.a]\nrate = 5.0\n[limit.a.parts.\"x\"]\nmost = 1.0":                     "more levels than by names",
-		"[limit.a]\nrate = 5.0\nby = [\"class\"]\n[limit.a.parts.\"x/y\"]\nmost = 1.0": "is part of",
-		"[limit.a]\nrate = 5.0\nby = [\"class\"]\n[limit.a.parts.\"x\"]\nleast = 9.0":  "most and least are out of range",
-		"[limit.a]\nrate = 5.0\nby = [\"class\"]\n[limit.a.parts.x]\nleast = 3.0\n[limit.a.parts.y]\nleast = 3.0": "its parts are promised 6, and it is 5",
-		"[limit.\"A B\"]\nrate = 5.0":             "name",
-		"[limit.a]\nrate = 5.0\nburst = \"soon\"": "x.toml:3",
+		"[limit.a]\nrate = 1.0\nmore = 2":                                        "x.toml:3: limit.a.more",
+		"\n[limit.a]\nwindow = \"1s\"":                                           "x.toml:2: limit.a.rate, amount, at_once",
+		"[limit.a]\nrate = 1.0\namount = 2.0":                                    "one of them is needed",
+		"[limit.a]\namount = 2.0":                                                "limit.a.window: is missing",
+		"[limit.a]\nat_once = 2.0":                                               "limit.a.longest: is missing",
+		"[limit.a]\nrate = 0.5":                                                  "limit.a.burst",
+		"[limit.a]\nrate = -5.0":                                                 "limit.a",
+		"[limit.a]\nrate = 5.0\nwindow = \"1s\"":                                 "go with",
+		"[limit.a]\nrate = 5.0\nwithout = \"maybe\"":                             "limit.a.without",
+		"[limit.a]\nrate = 5.0\nwithout = \"fair\"\npart = 0.5":                  "limit.a.hosts: is missing",
+		"[limit.a]\nrate = 5.0\nby = [\"cookie:x\"]":                             "limit.a.by",
+		"[limit.a]\nrate = 5.0\n[limit.a.parts.\"x\"]\nmost = 1.0":               "more levels than by names",
+		parts + "[limit.a.parts.\"x/y\"]\nmost = 1.0":                            "is part of",
+		parts + "[limit.a.parts.\"x\"]\nleast = 9.0":                             "most and least are out of range",
+		parts + "[limit.a.parts.x]\nleast = 3.0\n[limit.a.parts.y]\nleast = 3.0": "its parts are promised 6, and it is 5",
+		"[limit.\"A B\"]\nrate = 5.0":                                            "name",
+		"[limit.a]\nrate = 5.0\nburst = \"soon\"":                                "x.toml:3",
 	} {
 		if _, err := ParseFile("x.toml", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, not %q", text, err, want)
--- a/internal/controlplane/quota/wire.go
+++ b/internal/controlplane/quota/wire.go
@@ -68,7 +68,7 @@
 // Grant is a process's quotas.
 type Grant struct {
 	Quotas        map[string]Quota `cbor:"1,keyasint,omitempty"` // by Limit.Key
-	OutlivedNanos int64            `cbor:"2,keyasint,omitempty"` // for which the grant is known to have outlived its process
+	OutlivedNanos int64            `cbor:"2,keyasint,omitempty"` // since its process is gone, as far as known
 }
 
 // Quota is a process's quota of one node.
--- a/internal/controlplane/quotasync/limiter.go
+++ b/internal/controlplane/quotasync/limiter.go
@@ -9,7 +9,7 @@
 const inlineCharges = 4
 
 // Admit implements core.Limiter.
-func (m *Manager) Admit(r *core.LimiterRequest) (ended func(ran bool), limited *core.LimitExceeded) {
+func (m *Manager) Admit(r *core.LimiterRequest) (ended func(mayHaveRun bool), exceeded *core.LimitExceeded) {
 	matcher := m.matcher.Load()
 	if matcher == nil {
 		return nil, nil
@@ -34,7 +34,7 @@
 			RetryAfter:       m.cfg.Clock.TimerDuration(rejection.RetryAfter),
 		}
 	}
-	return func(ran bool) { m.release(reservation, ran) }, nil
+	return func(mayHaveRun bool) { m.release(reservation, mayHaveRun) }, nil
 }
 
 func (m *Manager) reserve(charges []quota.Charge, priorityWeight float64) (*quota.Reservation, *quota.Rejection) {
@@ -45,11 +45,11 @@
 }
 
 // release ends a request: what never ran is not charged.
-func (m *Manager) release(r *quota.Reservation, ran bool) {
+func (m *Manager) release(r *quota.Reservation, mayHaveRun bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
-	if ran {
+	if mayHaveRun {
 		m.consumer.Complete(now, r)
 		return
 	}
--- a/internal/platform/keys/keys_test.go
+++ b/internal/platform/keys/keys_test.go
@@ -82,7 +82,8 @@
 	ok(t, Init(dir, "one"), Issue(dir, "a", time.Hour, false), Issue(dir, "b", time.Hour, false))
 	a, b := openPair(t, dir, "a"), openPair(t, dir, "b")
 	ok(t, handshake(t, a, b, "a"), Rotate(dir, "one"), handshake(t, a, b, "a"))
-	ok(t, Issue(dir, "a", time.Hour, true), handshake(t, a, b, "a")) // one certificate of the new authority, one of the old
+	// One certificate is of the new authority, and one of the old.
+	ok(t, Issue(dir, "a", time.Hour, true), handshake(t, a, b, "a"))
 	ok(t, Retire(dir))
 	if err := handshake(t, a, b, "a"); err == nil {
 		t.Fatal("the retired authority is still trusted")
