--- a/internal/store/admin/wire_test.go
+++ b/internal/store/admin/wire_test.go
@@ -136,7 +136,7 @@
 
 // TestPathsAreFrozen checks that operators and followers find each call where earlier builds look for it.
 func TestPathsAreFrozen(t *testing.T) {
-	c, _, outer := startReplica(t)
+	client, _, followersURL := startReplica(t)
 	exists := func(client *http.Client, base, call string) {
 		method, path, _ := strings.Cut(call, " ")
 		r, err := http.NewRequestWithContext(t.Context(), method, base+path, strings.NewReader("{"))
@@ -153,15 +153,26 @@
 		}
 	}
 	for _, call := range []string{
-		"GET /v1/status", "GET /v1/range", "GET /v1/watch?after=x", "GET /v1/snapshot", "POST /v1/change", "POST /v1/handover",
-		"GET /v1/leases",
+		"GET /v1/status", "GET /v1/range", "GET /v1/watch?after=x", "GET /v1/snapshot", "POST /v1/change",
+		"POST /v1/handover", "GET /v1/leases",
 	} {
-		exists(c.http, "http://store", call)
+		exists(client.http, "http://store", call)
 	}
 	for _, call := range []string{"GET /v1/copy", "GET /v1/follow?after=x", "GET /v1/revision", "POST /v1/change"} {
-		exists(http.DefaultClient, outer, call)
+		exists(http.DefaultClient, followersURL, call)
 	}
 	if ScopedHeader != "Store-Scoped" {
 		t.Error(ScopedHeader)
 	}
+	interest := &store.Interest{Prefixes: []string{"a/", "b/"}, Keys: []string{"k"}}
+	for want, got := range map[string]string{
+		"key=k&prefix=a%2F&prefix=b%2F": CopyQuery(interest).Encode(),
+		"key=%00":                       CopyQuery(&store.Interest{}).Encode(),
+		"after=7":                       StreamQuery(nil, 7, []string{"s/"}).Encode(),
+		"after=7&key=k&prefix=a%2F&prefix=b%2F&sum=s%2F": StreamQuery(interest, 7, []string{"s/"}).Encode(),
+	} {
+		if got != want {
+			t.Errorf("query %s, want %s", got, want)
+		}
+	}
 }
--- a/internal/store/follower/follow.go
+++ b/internal/store/follower/follow.go
@@ -28,7 +28,6 @@
 	"net/url"
 	"os"
 	"path/filepath"
-	"strconv"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -316,12 +315,8 @@
 	ctx, cancel := context.WithCancel(f.ctx)
 	defer cancel()
 	defer until(rescope, cancel)()
-	q := admin.InterestQuery(ask.Interest)
-	q.Set("after", strconv.FormatUint(ask.After, 10))
-	if ask.Interest != nil {
-		q["sum"] = sums
-	}
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, f.url(at, "/v1/follow", q), nil)
+	q := admin.StreamQuery(ask.Interest, ask.After, sums)
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, f.url(at, admin.StreamPath, q), nil)
 	if err != nil {
 		return false, err
 	}
@@ -487,7 +482,7 @@
 func (f *Follower) get(ctx context.Context, at int, of *store.Interest) (*store.State, error) {
 	ctx, cancel := context.WithTimeout(ctx, loadMost)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, f.url(at, "/v1/copy", admin.InterestQuery(of)), nil)
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, f.url(at, admin.CopyPath, admin.CopyQuery(of)), nil)
 	if err != nil {
 		return nil, err
 	}
@@ -668,7 +663,7 @@
 	last := replica.ErrNoLeader
 	for at := mathrand.IntN(len(f.http)); ctx.Err() == nil && f.ctx.Err() == nil; at = (at + 1) % len(f.http) {
 		var x admin.ChangeResponse
-		reached, err := f.ask(ctx, at, f.cfg.Meter.CommandPurpose(&c), http.MethodPost, "/v1/change", body, &x)
+		reached, err := f.ask(ctx, at, f.cfg.Meter.CommandPurpose(&c), http.MethodPost, admin.ChangePath, body, &x)
 		if err == nil {
 			if c.Txn != nil || c.RevokeLease != nil { // the others change no keys
 				f.await(ctx, x.Revision)
@@ -773,7 +768,7 @@
 func (f *Follower) View(ctx context.Context, stale bool, read func(*store.State)) (engine.CopyAge, error) {
 	var need engine.CopyAge
 	for at, asked := mathrand.IntN(len(f.http)), false; !stale && !asked; at = (at + 1) % len(f.http) {
-		_, err := f.ask(ctx, at, usage.Requests, http.MethodGet, "/v1/revision", nil, &need)
+		_, err := f.ask(ctx, at, usage.Requests, http.MethodGet, admin.RevisionPath, nil, &need)
 		if asked = err == nil; asked {
 			break
 		}
