--- a/internal/store/engine/engine_test.go
+++ b/internal/store/engine/engine_test.go
@@ -22,16 +22,16 @@
 	"birchmoor/internal/store/usage"
 )
 
-// cluster is replicas in one process, over loopback with keys.
+// cluster runs replicas in one process, over loopback with keys.
 type cluster struct {
 	t    *testing.T
 	dir  string
 	addr map[string]string
 	all  map[string]*Engine
 
-	relays map[string]*relay.Link // what comes in to each, or nil
+	relays map[string]*relay.Link // inbound traffic of each replica passes through one, unless nil
 	disk   map[string]disk.Options
-	first  func(*Config) // adds to the next one's configuration, or nil
+	tune   func(*Config) // changes the configuration of each replica that is started, unless nil
 }
 
 func newCluster(t *testing.T, names ...string) *cluster {
@@ -53,7 +53,7 @@
 	}
 	t.Cleanup(func() {
 		for _, e := range c.all {
-			e.Kill()
+			_ = e.Kill() // the test may have killed it
 		}
 	})
 	return c
@@ -64,12 +64,13 @@
 func (c *cluster) must(err error) {
 	c.t.Helper()
 	if err != nil {
-		c.t.Fatal(err, c.stands())
+		c.t.Fatal(err, c.describe())
 	}
 }
 
-// stands says how each replica stands, for the message of a test that failed; if a loop takes no call, also where all wait.
-func (c *cluster) stands() string {
+// describe returns the status of each replica, for the message of a failed test. If a loop does not answer, it includes
+// the stacks of all goroutines.
+func (c *cluster) describe() string {
 	var out strings.Builder
 	stuck := false
 	for _, name := range slices.Sorted(maps.Keys(c.all)) {
@@ -77,9 +78,11 @@
 		s, err := c.all[name].Status(ctx)
 		cancel()
 		stuck = stuck || errors.Is(err, context.DeadlineExceeded)
-		fmt.Fprintf(&out, "\n%s: member %d, %d leads in term %d, commit %d, applied %d, %d wait, %d messages sent, %d received, %d dropped, "+
-			"%d greetings refused, stopped by %q, status %v", name, s.Self.MemberID, s.LeaderID, s.Term, s.Commit, s.Applied, s.PendingRequests, s.MessagesSent, s.MessagesReceived,
-			s.MessagesDropped, s.PeersRejected, s.Failed, err)
+		fmt.Fprintf(&out, "\n%s: member %d, leader %d, term %d, commit %d, applied %d, %d pending", name,
+			s.Self.MemberID, s.LeaderID, s.Term, s.Commit, s.Applied, s.PendingRequests)
+		fmt.Fprintf(&out, "; messages: %d sent, %d received, %d dropped", s.MessagesSent, s.MessagesReceived,
+			s.MessagesDropped)
+		fmt.Fprintf(&out, "; %d hellos rejected, stopped by %q, status %v", s.PeersRejected, s.Failed, err)
 	}
 	if stuck {
 		b := make([]byte, 1<<20)
@@ -88,7 +91,7 @@
 	return out.String()
 }
 
-// lead has a replica lead.
+// lead makes a replica the leader.
 func (c *cluster) lead(name string) {
 	c.t.Helper()
 	for ctx := c.ctx(); ; {
@@ -126,10 +129,13 @@
 	if !ok {
 		o.NoSync = true
 	}
-	cfg := Config{Name: name, Dir: filepath.Join(c.dir, name), Address: c.addr[name], Join: join, Keys: pair, Listener: ln,
-		TickInterval: 10 * time.Millisecond, ElectionTicks: 20, DiskOptions: o, TuneReplica: func(r *replica.Config) { r.SnapshotLogBytes, r.RetainedEntries = 20000, 50 }}
-	if c.first != nil {
-		c.first(&cfg)
+	cfg := Config{
+		Name: name, Dir: filepath.Join(c.dir, name), Address: c.addr[name], Join: join, Keys: pair, Listener: ln,
+		TickInterval: 10 * time.Millisecond, ElectionTicks: 20, DiskOptions: o,
+		TuneReplica: func(r *replica.Config) { r.SnapshotLogBytes, r.RetainedEntries = 20000, 50 },
+	}
+	if c.tune != nil {
+		c.tune(&cfg)
 	}
 	e, err := Open(cfg)
 	c.must(err)
@@ -143,15 +149,14 @@
 	return ctx
 }
 
-func (c *cluster) add(by, name string) uint64 {
+func (c *cluster) add(by, name string) {
 	c.t.Helper()
-	r, err := c.all[by].Do(c.ctx(), store.Command{AddMember: &store.AddMember{Name: name, Address: c.addr[name]}})
+	_, err := c.all[by].Do(c.ctx(), store.Command{AddMember: &store.AddMember{Name: name, Address: c.addr[name]}})
 	c.must(err)
 	c.until(by, func(s Status) bool { return s.MembershipStable && len(s.Peers) > 1 })
-	return r.MemberID
 }
 
-// until waits for a state of a replica; what it is about shows in its watch, so that nothing is slept for in vain.
+// until polls the status of a replica, without sleeping, until ok returns true.
 func (c *cluster) until(name string, ok func(Status) bool) {
 	c.t.Helper()
 	for ctx := c.ctx(); ; {
@@ -179,7 +184,7 @@
 	return v
 }
 
-// Writers go on while each replica in turn is killed and started again: nothing that was answered is lost.
+// No acknowledged write is lost while each replica in turn is killed and started again.
 func TestAcknowledgedWritesSurviveRollingKills(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	var mu sync.Mutex
@@ -217,7 +222,7 @@
 	for _, name := range names {
 		before := count()
 		c.must(at(name).Kill())
-		for count() < min(150, before+20) { // the others go on
+		for count() < min(150, before+20) { // the others still acknowledge writes
 			c.must(at(names[(1+indexOf(names, name))%3]).run(c.ctx(), func() {}))
 		}
 		mu.Lock()
@@ -268,17 +273,19 @@
 	c.must(err)
 	ln, err := net.Listen("tcp", c.addr["c"])
 	c.must(err)
-	e, err := Open(Config{Name: "c", Dir: filepath.Join(c.dir, "c"), Join: true, Keys: pair, Listener: ln, TickInterval: 10 * time.Millisecond, ElectionTicks: 20,
-		DiskOptions: disk.Options{NoSync: true}})
+	e, err := Open(Config{
+		Name: "c", Dir: filepath.Join(c.dir, "c"), Join: true, Keys: pair, Listener: ln,
+		TickInterval: 10 * time.Millisecond, ElectionTicks: 20, DiskOptions: disk.Options{NoSync: true},
+	})
 	c.must(err)
 	c.all["c"] = e
-	refused := func(s Status) bool { return s.PeersRejected > 0 }
+	rejected := func(s Status) bool { return s.PeersRejected > 0 }
 	both := func() bool {
 		x, err := c.all["a"].Status(c.ctx())
 		c.must(err)
 		y, err := c.all["b"].Status(c.ctx())
 		c.must(err)
-		return refused(x) || refused(y)
+		return rejected(x) || rejected(y)
 	}
 	for !both() {
 		_, err := c.all["a"].Do(c.ctx(), put("k", "v"))
@@ -297,7 +304,7 @@
 	}
 }
 
-// A replica that was added and never comes is removed, and another can be added; until then writes go on.
+// A member that was added and never started is removed, and another can be added. Until then writes are acknowledged.
 func TestMemberThatNeverStartedIsRemoved(t *testing.T) {
 	c := newCluster(t, "a", "b")
 	r, err := c.all["a"].Do(c.ctx(), store.Command{AddMember: &store.AddMember{Name: "gone", Address: "127.0.0.1:1"}})
@@ -315,8 +322,8 @@
 	}
 }
 
-// The leader goes on sending and hears nobody: a cut of one direction. Another leads, and the old one answers no read
-// as if it still did.
+// The leader can send, but receives nothing: a partition of one direction. Another replica becomes the leader, and the
+// former one serves no stale read.
 func TestLeaderWithoutInboundTrafficIsReplacedAndServesNoStaleRead(t *testing.T) {
 	c := (&cluster{t: t, relays: map[string]*relay.Link{}}).begin("a", "b", "c")
 	_, err := c.all["a"].Do(c.ctx(), put("k", "old"))
@@ -360,9 +367,12 @@
 	c.must(err)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	c.must(err)
-	e, err := Open(Config{Name: "b", Dir: filepath.Join(c.dir, "b"), Join: true, Keys: pair, Listener: ln, DiskOptions: disk.Options{NoSync: true}})
+	e, err := Open(Config{
+		Name: "b", Dir: filepath.Join(c.dir, "b"), Join: true, Keys: pair, Listener: ln,
+		DiskOptions: disk.Options{NoSync: true},
+	})
 	c.must(err)
-	defer e.Kill()
+	defer func() { _ = e.Kill() }()
 	_, err = c.all["a"].Do(c.ctx(), store.Command{AddMember: &store.AddMember{Name: "b", Address: ln.Addr().String()}})
 	c.must(err)
 	c.until("a", func(s Status) bool { return s.ConnectionsRejected > 0 })
@@ -372,8 +382,13 @@
 }
 
 func TestNextReturnsAllChangesOrCompacted(t *testing.T) {
-	e, err := Open(Config{Name: "a", Dir: t.TempDir(), DiskOptions: disk.Options{NoSync: true}, TickInterval: 10 * time.Millisecond,
-		Limits: store.Limits{KeyBytes: 64, ValueBytes: 64, TotalBytes: 1 << 20, TxnOps: 8, HistoryEvents: 20, HistoryBytes: 1 << 20, Leases: 8, Results: 100, Members: 3}})
+	e, err := Open(Config{
+		Name: "a", Dir: t.TempDir(), DiskOptions: disk.Options{NoSync: true}, TickInterval: 10 * time.Millisecond,
+		Limits: store.Limits{
+			KeyBytes: 64, ValueBytes: 64, TotalBytes: 1 << 20, TxnOps: 8, HistoryEvents: 20, HistoryBytes: 1 << 20,
+			Leases: 8, Results: 100, Members: 3,
+		},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -407,10 +422,11 @@
 	}
 }
 
-// What one replica counts as sent the other counts as received, by messages and bytes, and both count what they apply and write.
+// What one replica counts as sent the other counts as received, in messages and bytes. Both count what they apply and
+// write.
 func TestMetersOfReplicasAgree(t *testing.T) {
 	meters := map[string]*usage.Recorder{"a": usage.New(), "b": usage.New()}
-	c := (&cluster{t: t, first: func(cfg *Config) { cfg.Meter = meters[cfg.Name] }}).begin("a", "b")
+	c := (&cluster{t: t, tune: func(cfg *Config) { cfg.Meter = meters[cfg.Name] }}).begin("a", "b")
 	c.until("b", func(s Status) bool { return s.MembershipStable && len(s.Peers) == 2 })
 	for i := range 5 {
 		_, err := c.all["b"].Do(c.ctx(), put("k", fmt.Sprint(i)))
@@ -418,10 +434,11 @@
 	}
 	agreed := func(p usage.Purpose, a, b usage.Reading) bool {
 		x, y := a.Purposes[p], b.Purposes[p]
-		return x.MessagesOut == y.MessagesIn && x.BytesOut == y.BytesIn && y.MessagesOut == x.MessagesIn && y.BytesOut == x.BytesIn
+		return x.MessagesOut == y.MessagesIn && x.BytesOut == y.BytesIn &&
+			y.MessagesOut == x.MessagesIn && y.BytesOut == x.BytesIn
 	}
 	var a, b usage.Reading
-	c.until("a", func(Status) bool { // a heartbeat may be on its way at any one look
+	c.until("a", func(Status) bool { // at any one time, a heartbeat may be in flight
 		a, b = meters["a"].Read(), meters["b"].Read()
 		return agreed(usage.Raft, a, b) && agreed(usage.Snapshots, a, b) && agreed(usage.Other, a, b) &&
 			a.Purposes[usage.Other].Applied == b.Purposes[usage.Other].Applied
@@ -429,12 +446,17 @@
 	if x := a.Purposes[usage.Snapshots]; x.MessagesOut == 0 || x.BytesOut < 100*x.MessagesOut {
 		t.Errorf("b began with %+v", x)
 	}
-	if x, y := a.Purposes[usage.Other], b.Purposes[usage.Other]; y.Proposed < 5 || y.Applied < 5 || x.AppliedBytes != y.AppliedBytes {
+	x, y := a.Purposes[usage.Other], b.Purposes[usage.Other]
+	if y.Proposed < 5 || y.Applied < 5 || x.AppliedBytes != y.AppliedBytes {
 		t.Errorf("%+v, %+v", x, y)
 	}
 	for name, r := range map[string]usage.Reading{"a": a, "b": b} {
-		if l, s := r.Written[usage.LogFile], r.Written[usage.SnapshotFile]; l.Bytes == 0 || s.Bytes == 0 || r.Purposes[usage.Raft].BytesOut == 0 || r.Connections.BytesOut == 0 {
-			t.Errorf("%s: %+v, %+v", name, l, s)
+		log, snapshot := r.Written[usage.LogFile], r.Written[usage.SnapshotFile]
+		if log.Bytes == 0 || snapshot.Bytes == 0 {
+			t.Errorf("%s: %+v, %+v", name, log, snapshot)
+		}
+		if r.Purposes[usage.Raft].BytesOut == 0 || r.Connections.BytesOut == 0 {
+			t.Errorf("%s: %+v, %+v", name, r.Purposes[usage.Raft], r.Connections)
 		}
 	}
 }
--- a/internal/store/engine/frozen_test.go
+++ b/internal/store/engine/frozen_test.go
@@ -59,8 +59,9 @@
 	return []frozenForm{
 		{"copy age", age, new(CopyAge)},
 		{"status", Status{
-			Status: replica.Status{Self: replica.Identity{ClusterID: 9}, Name: "one", LeaderID: 1}, WaitingToJoin: true,
-			Follower: true, Following: "two", Interest: &store.Interest{Keys: []string{"k"}}, CopyAge: age, DiskBytes: 1,
+			Status:        replica.Status{Self: replica.Identity{ClusterID: 9}, Name: "one", LeaderID: 1},
+			WaitingToJoin: true, Follower: true, Following: "two", Interest: &store.Interest{Keys: []string{"k"}},
+			CopyAge: age, DiskBytes: 1,
 			PeersRejected: 2, ConnectionsRejected: 3, MessagesDropped: 4, MessagesSent: 5, MessagesReceived: 6,
 		}, new(Status)},
 	}
--- a/internal/store/peer/frame_test.go
+++ b/internal/store/peer/frame_test.go
@@ -8,21 +8,22 @@
 )
 
 func TestReadFrameDetectsTruncationAndBitFlips(t *testing.T) {
-	whole := appendFrame(nil, kindMessage, []byte("what was sent"))
-	if k, b, err := readFrame(bytes.NewReader(whole), 100); err != nil || k != kindMessage || string(b) != "what was sent" {
+	complete := appendFrame(nil, kindMessage, []byte("what was sent"))
+	k, b, err := readFrame(bytes.NewReader(complete), 100)
+	if err != nil || k != kindMessage || string(b) != "what was sent" {
 		t.Fatal(k, b, err)
 	}
-	for n := range whole {
-		if _, _, err := readFrame(bytes.NewReader(whole[:n]), 100); err == nil {
-			t.Fatalf("cut at %d", n)
+	for n := range complete {
+		if _, _, err := readFrame(bytes.NewReader(complete[:n]), 100); err == nil {
+			t.Fatalf("truncated at %d", n)
 		}
-		b := bytes.Clone(whole)
+		b := bytes.Clone(complete)
 		b[n] ^= 4
 		if _, _, err := readFrame(bytes.NewReader(b), 100); err == nil {
 			t.Fatalf("flipped at %d", n)
 		}
 	}
-	if _, _, err := readFrame(bytes.NewReader(whole), 5); !errors.Is(err, ErrInvalidFrame) {
+	if _, _, err := readFrame(bytes.NewReader(complete), 5); !errors.Is(err, ErrInvalidFrame) {
 		t.Fatal(err)
 	}
 }
@@ -40,7 +41,7 @@
 				return
 			}
 			if again := appendFrame(nil, k, p); !bytes.Contains(b, again) {
-				t.Fatal("it reads what was not there")
+				t.Fatal("a frame was read that is not in the input")
 			}
 		}
 	})
--- a/internal/store/peer/frozen_test.go
+++ b/internal/store/peer/frozen_test.go
@@ -82,7 +82,9 @@
 func frozenForms() []frozenForm {
 	identity := replica.Identity{ClusterID: 0x99, MemberID: 2, DiskID: 77, Boot: 3}
 	self := replica.Hello{Identity: identity, Name: "two", LastIndex: 12}
-	hello := Hello{Protocol: Protocol, From: self, Name: "two", RecipientName: "one", RecipientID: 1, Address: "10.0.0.2:7000"}
+	hello := Hello{
+		Protocol: Protocol, From: self, Name: "two", RecipientName: "one", RecipientID: 1, Address: "10.0.0.2:7000",
+	}
 	return []frozenForm{
 		{"hello", hello, new(Hello)},
 		{"reply", HelloReply{From: self, Name: "one"}, new(HelloReply)},
