--- a/internal/dataplane/handover/handover_test.go
+++ b/internal/dataplane/handover/handover_test.go
@@ -21,12 +21,11 @@
 
 var quiet = slog.New(slog.DiscardHandler)
 
-// process is a sidecar that notes what it is asked to do.
+// process is a sidecar that records which of its methods are called.
 type process struct {
 	did  chan string
 	mu   sync.Mutex
-	tell func(context.Context, maintenance.Override) error
-	out  func(context.Context, []Ejection) error
+	peer Peer
 }
 
 func newProcess() *process { return &process{did: make(chan string, 32)} }
@@ -34,28 +33,29 @@
 func (p *process) AddPeer(other Peer) func() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.tell, p.out = other.ApplyOverride, other.ReportEjections
-	p.did <- "beside"
-	return func() { p.did <- "alone" }
+	p.peer = other
+	p.did <- "joined"
+	return func() { p.did <- "left" }
 }
 
 func (p *process) State(context.Context) (State, error) {
-	return State{Overrides: []maintenance.Override{{ID: "s-1", Drained: true, UnixMicros: 5}}, List: []byte(`{"generation":3}`)}, nil
+	overrides := []maintenance.Override{{ID: "s-1", Drained: true, UnixMicros: 5}}
+	return State{Overrides: overrides, List: []byte(`{"generation":3}`)}, nil
 }
 
-func (p *process) Merge(_ context.Context, marks ...maintenance.Override) error {
-	if marks[0].ID == "bad" {
+func (p *process) Merge(_ context.Context, overrides ...maintenance.Override) error {
+	if overrides[0].ID == "bad" {
 		return maintenance.ErrUnknownEndpoint
 	}
-	p.did <- fmt.Sprint("mark ", marks[0].ID, " ", marks[0].Drained)
+	p.did <- fmt.Sprint("override ", overrides[0].ID, " ", overrides[0].Drained)
 	return nil
 }
 
 func (p *process) ApplyEjections(list []Ejection) {
-	p.did <- fmt.Sprint("out ", list[0].ID, " ", list[0].LeftMicros)
+	p.did <- fmt.Sprint("eject ", list[0].ID, " ", list[0].LeftMicros)
 }
 
-func (p *process) StopAccepting()   { p.did <- "yield" }
+func (p *process) StopAccepting()   { p.did <- "stop" }
 func (p *process) ResumeAccepting() { p.did <- "resume" }
 
 func (p *process) expect(t *testing.T, want ...string) {
@@ -72,7 +72,7 @@
 	}
 }
 
-// startOldProcess starts an old process at a fresh path.
+// startOldProcess serves an old process at a new path.
 func startOldProcess(t *testing.T) (path string, p *process, stop func()) {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "h") //nolint:usetesting // t.TempDir is too long for the path of a Unix socket
@@ -88,49 +88,60 @@
 	p = newProcess()
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { Serve(ctx, ln, p, quiet); close(ended) }()
-	stop = sync.OnceFunc(func() { cancel(); <-ended })
+	go func() {
+		defer close(ended)
+		Serve(ctx, ln, p, quiet)
+	}()
+	stop = sync.OnceFunc(func() {
+		cancel()
+		<-ended
+	})
 	t.Cleanup(stop)
 	return path, p, stop
 }
 
-// The whole way: the new process learns what the old one knows, calls bind in both, and the old one yields.
+// The complete handover: the new process gets the state of the old one, overrides are in effect in both, and the
+// old one stops accepting.
 func TestTakeOverMovesServiceToNewProcess(t *testing.T) {
 	path, old, stop := startOldProcess(t)
 	fresh := newProcess()
 	o, state := Join(t.Context(), path, fresh, quiet)
-	if o == nil || len(state.Overrides) != 1 || state.Overrides[0].ID != "s-1" || string(state.List) != `{"generation":3}` {
-		t.Fatalf("joined %v, told %+v", o, state)
+	if o == nil || len(state.Overrides) != 1 || state.Overrides[0].ID != "s-1" {
+		t.Fatalf("joined %v, state %+v", o, state)
 	}
-	old.expect(t, "beside")
-	fresh.expect(t, "beside")
-	if err := old.tell(t.Context(), maintenance.Override{ID: "s-2", Drained: true}); err != nil {
+	if string(state.List) != `{"generation":3}` {
+		t.Errorf("list %s", state.List)
+	}
+	old.expect(t, "joined")
+	fresh.expect(t, "joined")
+	if err := old.peer.ApplyOverride(t.Context(), maintenance.Override{ID: "s-2", Drained: true}); err != nil {
 		t.Error(err)
 	}
-	fresh.expect(t, "mark s-2 true")
-	if err := fresh.tell(t.Context(), maintenance.Override{ID: "s-3"}); err != nil {
+	fresh.expect(t, "override s-2 true")
+	if err := fresh.peer.ApplyOverride(t.Context(), maintenance.Override{ID: "s-3"}); err != nil {
 		t.Error(err)
 	}
-	old.expect(t, "mark s-3 false")
-	if err := fresh.tell(t.Context(), maintenance.Override{ID: "bad"}); err == nil || !strings.Contains(err.Error(), "unknown id") {
+	old.expect(t, "override s-3 false")
+	err := fresh.peer.ApplyOverride(t.Context(), maintenance.Override{ID: "bad"})
+	if err == nil || !strings.Contains(err.Error(), "unknown id") {
 		t.Error("an error of the other process was lost:", err)
 	}
 	for from, to := range map[*process]*process{old: fresh, fresh: old} {
-		if err := from.out(t.Context(), []Ejection{{"s-4", 900}}); err != nil {
+		if err := from.peer.ReportEjections(t.Context(), []Ejection{{"s-4", 900}}); err != nil {
 			t.Error(err)
 		}
-		to.expect(t, "out s-4 900")
+		to.expect(t, "eject s-4 900")
 	}
 	o.TakeOver(t.Context(), quiet)
-	old.expect(t, "yield")
-	// The new one is found from now on; that the old one ends does not take its path away.
+	old.expect(t, "stop")
+	// The new process is found from now on; the end of the old one does not remove its path.
 	ln, err := Listen(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
 	stop()
-	fresh.expect(t, "alone")
+	fresh.expect(t, "left")
 	if _, err := os.Stat(path); err != nil {
 		t.Error(err)
 	}
@@ -140,11 +151,11 @@
 func TestServeResumesWhenNewProcessDies(t *testing.T) {
 	path, old, _ := startOldProcess(t)
 	o, _ := Join(t.Context(), path, newProcess(), quiet)
-	old.expect(t, "beside")
+	old.expect(t, "joined")
 	o.Close()
-	old.expect(t, "alone")
+	old.expect(t, "left")
 	for {
-		// The old one talks to one at a time, and has not yet seen that the first is gone, perhaps.
+		// The old process talks to one at a time, and may not have seen yet that the first is gone.
 		var state State
 		if o, state = Join(t.Context(), path, newProcess(), quiet); len(state.Overrides) > 0 {
 			break
@@ -153,14 +164,14 @@
 			o.Close()
 		}
 	}
-	old.expect(t, "beside")
+	old.expect(t, "joined")
 	o.TakeOver(t.Context(), quiet)
-	old.expect(t, "yield")
+	old.expect(t, "stop")
 	o.Close()
-	old.expect(t, "alone", "resume")
+	old.expect(t, "left", "resume")
 }
 
-// What a dead process left, and nothing at all, are no old process.
+// The socket of a dead process, and a path without one, are no old process.
 func TestJoinIgnoresStaleSocket(t *testing.T) {
 	path, _, stop := startOldProcess(t)
 	stop()
@@ -176,48 +187,54 @@
 	}
 }
 
-// An old process that is hung, or speaks nonsense, does not keep the new one from going on. What a hung one
-// holds counts until it is gone.
+// An old process that is hung, or sends nonsense, does not keep the new one from starting. The budgets that a hung
+// one holds count until it is gone.
 func TestJoinContinuesWithoutHungProcess(t *testing.T) {
-	for _, says := range []string{"", "nonsense\n", "{}\n"} {
+	for _, sent := range []string{"", "nonsense\n", "{}\n"} {
 		path := filepath.Join(t.TempDir(), "s")
 		ln, err := net.Listen("unix", path)
 		if err != nil {
-			t.Skip("the folder's name is too long for a socket:", err)
+			t.Skip("the directory's name is too long for a socket:", err)
 		}
 		kill := make(chan struct{})
 		go func() {
 			c, err := ln.Accept()
 			if err == nil {
-				io.WriteString(c, says)
+				if _, err := io.WriteString(c, sent); err != nil {
+					t.Error(err)
+				}
 				<-kill
-				c.Close()
+				_ = c.Close()
 			}
 		}()
 		p := newProcess()
 		o, state := Join(t.Context(), path, p, quiet)
 		if o == nil || len(state.Overrides) > 0 {
-			t.Fatalf("%q: joined %v, told %+v", says, o, state)
+			t.Fatalf("%q: joined %v, state %+v", sent, o, state)
 		}
-		p.expect(t, "beside")
+		p.expect(t, "joined")
 		o.TakeOver(t.Context(), quiet)
 		close(kill)
-		p.expect(t, "alone")
+		p.expect(t, "left")
 		ln.Close()
 	}
 }
 
-// Whoever connects and says nonsense changes nothing.
+// A connection that sends nonsense changes nothing.
 func TestServeIgnoresStrangers(t *testing.T) {
 	path, old, _ := startOldProcess(t)
-	for _, says := range []string{"nonsense\n", `{"op":"yield","seq":1}` + "\n", `{"op":"mark","seq":1}` + "\n"} {
+	for _, sent := range []string{"nonsense\n", `{"op":"yield","seq":1}` + "\n", `{"op":"mark","seq":1}` + "\n"} {
 		c, err := net.Dial("unix", path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		io.WriteString(c, says)
-		c.SetReadDeadline(time.Now().Add(10 * time.Second))
-		bufio.NewReader(c).ReadString('\n') // an error, or the end
+		if _, err := io.WriteString(c, sent); err != nil {
+			t.Error(err)
+		}
+		if err := c.SetReadDeadline(time.Now().Add(10 * time.Second)); err != nil {
+			t.Error(err)
+		}
+		_, _ = bufio.NewReader(c).ReadString('\n') // an error reply, or the end
 		c.Close()
 	}
 	for {
@@ -233,12 +250,12 @@
 	for len(old.did) > 0 {
 		did = append(did, <-old.did)
 	}
-	if slices.Contains(did, "yield") || slices.Contains(did, "resume") {
+	if slices.Contains(did, "stop") || slices.Contains(did, "resume") {
 		t.Error("it did", did)
 	}
 }
 
-// A copy of the inherited socket is closed without touching the socket.
+// Closing a copy of the inherited socket does not close the socket.
 func TestInheritedSocketOutlivesItsCopies(t *testing.T) {
 	held, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -277,7 +294,7 @@
 	}
 	for _, text := range []string{"", "x", "-1", "1000000"} {
 		if _, err := Inherit(text); err == nil {
-			t.Errorf("%q was taken for a socket", text)
+			t.Errorf("%q was accepted as a socket", text)
 		}
 	}
 }
--- a/internal/dataplane/handover/socket.go
+++ b/internal/dataplane/handover/socket.go
@@ -1,84 +1,71 @@
 package handover
 
 import (
+	"errors"
 	"fmt"
 	"net"
 	"os"
 	"strconv"
 )
 
-// Socket is where clients connect. It can be listened on more than once: a process that has stopped accepting
-// may have to begin again.
+// Socket is where clients connect. A process that has stopped accepting may have to begin again, so it can be
+// listened on several times.
 type Socket interface {
 	Listen() (net.Listener, error)
 }
 
-// PacketSocket is where datagrams of clients come. What one process does not read of a shared one the other does.
+// PacketSocket is where clients send datagrams. Each datagram is read by one of the processes that share the socket.
 type PacketSocket interface {
 	ListenPacket() (*net.UDPConn, error)
 }
 
-// ExclusiveAddress is an address that this process alone listens on.
+// ExclusiveAddress is an address that only this process listens on.
 type ExclusiveAddress string
 
-// Listen binds the address.
+// Listen binds the address for connections.
 func (a ExclusiveAddress) Listen() (net.Listener, error) { return net.Listen("tcp", string(a)) }
 
 // ListenPacket binds the address for datagrams.
 func (a ExclusiveAddress) ListenPacket() (*net.UDPConn, error) {
-	at, err := net.ResolveUDPAddr("udp", string(a))
+	address, err := net.ResolveUDPAddr("udp", string(a))
 	if err != nil {
 		return nil, err
 	}
-	return net.ListenUDP("udp", at)
+	return net.ListenUDP("udp", address)
 }
 
-// InheritPacket takes the socket for datagrams at the descriptor named by text, which stays open as with Inherit.
-func InheritPacket(text string) (*Inherited, error) {
-	s, err := inherit(text)
+// Inherited is a listening socket that the platform holds open and that every process inherits. The descriptor
+// stays open: each listener is on a copy of it, and closing the copy leaves the socket alone.
+type Inherited struct{ file *os.File }
+
+// Inherit returns the socket for connections at the descriptor with this number.
+func Inherit(descriptor string) (*Inherited, error) {
+	s, err := openInherited(descriptor)
 	if err != nil {
 		return nil, err
 	}
-	conn, err := s.ListenPacket()
+	ln, err := s.Listen()
 	if err != nil {
 		return nil, err
 	}
-	return s, conn.Close()
-}
-
-// ListenPacket returns a socket on a copy of the descriptor.
-func (s *Inherited) ListenPacket() (*net.UDPConn, error) {
-	conn, err := net.FilePacketConn(s.file)
-	if err != nil {
-		return nil, fmt.Errorf("inherited descriptor: %w", err)
-	}
-	udp, ok := conn.(*net.UDPConn)
-	if !ok {
-		conn.Close()
-		return nil, fmt.Errorf("inherited descriptor: it is no UDP socket")
-	}
-	return udp, nil
+	return s, ln.Close()
 }
 
-// Inherited is a listening socket that the platform holds and every process inherits.
-type Inherited struct{ file *os.File }
-
-// Inherit takes the socket at the descriptor named by text. The descriptor stays open: each Listen works on a
-// copy, and closing the copy leaves the socket alone.
-func Inherit(text string) (*Inherited, error) {
-	s, err := inherit(text)
+// InheritPacket returns the socket for datagrams at the descriptor with this number.
+func InheritPacket(descriptor string) (*Inherited, error) {
+	s, err := openInherited(descriptor)
 	if err != nil {
 		return nil, err
 	}
-	ln, err := s.Listen()
+	conn, err := s.ListenPacket()
 	if err != nil {
 		return nil, err
 	}
-	return s, ln.Close()
+	return s, conn.Close()
 }
 
-func inherit(text string) (*Inherited, error) {
-	fd, err := strconv.ParseUint(text, 10, 31)
+func openInherited(descriptor string) (*Inherited, error) {
+	fd, err := strconv.ParseUint(descriptor, 10, 31)
 	if err != nil {
 		return nil, fmt.Errorf("inherited descriptor: %w", err)
 	}
@@ -93,3 +80,17 @@
 	}
 	return ln, nil
 }
+
+// ListenPacket returns a socket on a copy of the descriptor.
+func (s *Inherited) ListenPacket() (*net.UDPConn, error) {
+	conn, err := net.FilePacketConn(s.file)
+	if err != nil {
+		return nil, fmt.Errorf("inherited descriptor: %w", err)
+	}
+	udp, ok := conn.(*net.UDPConn)
+	if !ok {
+		_ = conn.Close()
+		return nil, errors.New("inherited descriptor: it is no UDP socket")
+	}
+	return udp, nil
+}
