--- a/cmd/birchmoor/sidecar.go
+++ b/cmd/birchmoor/sidecar.go
@@ -77,20 +77,20 @@
 	if err != nil {
 		return err
 	}
-	h, err := sidecar.HostOf(config, os.Getenv, x.reload, log)
+	h, err := sidecar.HostFromEnv(config, os.Getenv, x.reload, log)
 	if err != nil {
 		return err
 	}
-	h.Shared, h.Fleet, h.Limits, h.Read = x.shared, x.fleet, x.limits, x.read
-	if x.figure != nil && h.Mgmt != nil {
-		at := h.Mgmt.Addr().String()
+	h.FleetOverrides, h.Fleet, h.Limiter, h.ReadConfig = x.shared, x.fleet, x.limits, x.read
+	if x.figure != nil && h.Management != nil {
+		at := h.Management.Addr().String()
 		x.figure(func() (uint64, uint64, error) { return answered(at) })
 	}
 	if f.StateSnapshot != nil {
 		if err := os.MkdirAll(f.StateSnapshot.Dir, 0o755); err != nil {
 			return err
 		}
-		h.Kept = snapshot.File{Path: filepath.Join(f.StateSnapshot.Dir, config.Name+".snapshot")}
+		h.SnapshotFile = snapshot.File{Path: filepath.Join(f.StateSnapshot.Dir, config.Name+".snapshot")}
 	}
 	if f.Capture != nil {
 		tap, end, err := captureTap(f.Capture, config.Name, log)
@@ -105,7 +105,7 @@
 		if err != nil {
 			return err
 		}
-		h.Beside = append(h.Beside, p)
+		h.Protocols = append(h.Protocols, p)
 	}
 	return sidecar.Run(ctx, config, h)
 }
--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -34,7 +34,7 @@
 	}
 	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
-	h, err := sidecar.HostOf(config, os.Getenv, reload, log)
+	h, err := sidecar.HostFromEnv(config, os.Getenv, reload, log)
 	if err != nil {
 		return err
 	}
--- a/internal/dataplane/dnsfront/front_test.go
+++ b/internal/dataplane/dnsfront/front_test.go
@@ -164,10 +164,10 @@
 	if r.desk, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	host := sidecar.Host{Socket: only{ln}, Mgmt: r.desk, Bans: maintenance.Discard{}, Beside: []core.Protocol{r.front},
-		Reload: make(chan os.Signal), Read: func() (*config.Config, error) { return c, nil }, Log: sidecartest.Quiet}
+	host := sidecar.Host{Socket: only{ln}, Management: r.desk, Overrides: maintenance.Discard{}, Protocols: []core.Protocol{r.front},
+		Reload: make(chan os.Signal), ReadConfig: func() (*config.Config, error) { return c, nil }, Log: sidecartest.Quiet}
 	if dir != "" {
-		host.Handover = filepath.Join(dir, "sock")
+		host.HandoverPath = filepath.Join(dir, "sock")
 	}
 	go func() { r.ended <- sidecar.Run(ctx, c, host); close(r.ended) }()
 	t.Cleanup(func() { r.stop(); <-r.ended })
--- a/internal/dataplane/sidecar/customers_test.go
+++ b/internal/dataplane/sidecar/deployments_test.go
@@ -15,8 +15,8 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// customer is a deployment in which nothing has its usual name, size or place.
-type customer struct {
+// deployment is a deployment in which nothing has its usual name, size or place.
+type deployment struct {
 	name     string
 	settings string
 	safe     string // classes by their effect
@@ -27,7 +27,7 @@
 	advice   bool
 }
 
-var customers = []customer{
+var deployments = []deployment{
 	{name: "keyed first, long deadlines, one try, no tenants, no reports", safe: "views", keyed: "permits", unsafe: "erasures",
 		giveUpMs: map[string]int{"views": 41_000, "permits": 52_000, "erasures": 63_000}, tries: 1,
 		settings: `{"peers-total":77,"position":3,"areas":["x9"],"skus":["q","r","s"],"discovery":"subscribe","zone":0,
@@ -55,8 +55,8 @@
 
 // Under settings in which nothing is as in the deployment that the sidecar was first made for, nothing of that one shows on
 // the wire: classes, methods, keys, times, attempts, limits and advice are those of the settings.
-func TestOtherCustomers(t *testing.T) {
-	for _, cu := range customers {
+func TestSettingsOfOtherDeployments(t *testing.T) {
+	for _, cu := range deployments {
 		t.Run(cu.name, func(t *testing.T) {
 			got := make(chan *http.Request, 64)
 			breaks := make(chan struct{}, 64) // one for each attempt that is to break
@@ -96,7 +96,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			s := start(t, c)
+			s := startSidecar(t, c)
 			request := func(class, path string, ms int) *http.Request {
 				method := "POST"
 				if class == cu.safe {
@@ -111,7 +111,7 @@
 			}
 			for class, most := range cu.giveUpMs {
 				// A client may wait longer than its class allows: what it is given is the settings' time.
-				resp, body := s.ask(t, request(class, "/"+class+"/7", 3*most))
+				resp, body := s.do(t, request(class, "/"+class+"/7", 3*most))
 				if resp.StatusCode != 200 || body != "ok" {
 					t.Fatalf("%s: %s %q", class, resp.Status, body)
 				}
@@ -124,16 +124,16 @@
 				if wrong.Method = "GET"; class == cu.safe {
 					wrong.Method = "POST"
 				}
-				if resp, _ := s.ask(t, wrong); resp.StatusCode != http.StatusMethodNotAllowed {
+				if resp, _ := s.do(t, wrong); resp.StatusCode != http.StatusMethodNotAllowed {
 					t.Errorf("%s by %s: %s", class, wrong.Method, resp.Status)
 				}
 			}
 			for _, usual := range []string{"look", "book", "pay", "slot-search", "confirm"} {
-				if resp, _ := s.ask(t, sidecartest.Request("GET", "/"+usual, usual, 900, "")); resp.StatusCode != 404 {
+				if resp, _ := s.do(t, sidecartest.Request("GET", "/"+usual, usual, 900, "")); resp.StatusCode != 404 {
 					t.Errorf("class %q of another customer: %s", usual, resp.Status)
 				}
 			}
-			if resp, _ := s.ask(t, func() *http.Request {
+			if resp, _ := s.do(t, func() *http.Request {
 				r := request(cu.keyed, "/"+cu.keyed, 900)
 				r.Header.Del("Idempotency-Key")
 				return r
@@ -146,7 +146,7 @@
 				for range want {
 					breaks <- struct{}{}
 				}
-				resp, _ := s.ask(t, request(class, "/"+class, 20_000))
+				resp, _ := s.do(t, request(class, "/"+class, 20_000))
 				n := 0
 				for ; len(got) > 0; n++ {
 					<-got
@@ -158,10 +158,10 @@
 			// One more than may be held is refused, with the advice that the settings allow.
 			for range 5 {
 				r := request(cu.unsafe, "/"+cu.unsafe+"?hold", 20_000)
-				go s.try(r)
+				go s.tryDo(r)
 				<-got
 			}
-			resp, _ := s.ask(t, request(cu.safe, "/"+cu.safe, 20_000))
+			resp, _ := s.do(t, request(cu.safe, "/"+cu.safe, 20_000))
 			after, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 			if resp.StatusCode != 503 || (err == nil) != cu.advice || after > 0.077 {
 				t.Errorf("the sixth: %s, come again after %q", resp.Status, resp.Header.Get("Retry-After"))
--- a/internal/dataplane/sidecar/discovery_test.go
+++ b/internal/dataplane/sidecar/discovery_test.go
@@ -13,7 +13,7 @@
 
 // The list moves requests: to a new address, away from what drains or has gone, and a whole list leaves out
 // what has gone.
-func TestLists(t *testing.T) {
+func TestRequestsFollowEndpointList(t *testing.T) {
 	endpoint := func(name string) string {
 		return sidecartest.Web(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, name) })
 	}
@@ -23,7 +23,7 @@
 		return in
 	}
 	b := sidecartest.NewBoard(t)
-	s := start(t, sidecartest.Configure(t, b.Addr, []discovery.Instance{one}))
+	s := startSidecar(t, sidecartest.Configure(t, b.Addr, []discovery.Instance{one}))
 	sidecartest.Within(t, b.Asked, "watch")
 	for i, step := range []struct {
 		reset     bool
@@ -44,7 +44,7 @@
 		// The list has arrived once requests go where they should.
 		var got string
 		for end := time.Now().Add(sidecartest.Soon); ; {
-			if _, got = s.ask(t, sidecartest.Look(900)); got == step.want || time.Now().After(end) {
+			if _, got = s.do(t, sidecartest.Look(900)); got == step.want || time.Now().After(end) {
 				break
 			}
 			if step.want == "" && got != "one" && got != "two" && got != "three" {
@@ -57,7 +57,7 @@
 		}
 		for range 10 {
 			// A new endpoint counts as cold, and may be spared.
-			_, got = s.ask(t, sidecartest.Look(900))
+			_, got = s.do(t, sidecartest.Look(900))
 			if step.want != "" && got != step.want && !strings.HasPrefix(got, "refused") {
 				t.Fatalf("step %d: then answered by %q, want %q", i, got, step.want)
 			}
@@ -66,26 +66,26 @@
 }
 
 // The sidecar serves from the list that it was started with while discovery is down.
-func TestReady(t *testing.T) {
+func TestServesFromKnownListWithoutDiscovery(t *testing.T) {
 	addr := sidecartest.Web(t, func(http.ResponseWriter, *http.Request) {})
-	s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
-	if resp, _ := s.ask(t, sidecartest.Look(900)); resp.StatusCode != 200 {
+	s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
+	if resp, _ := s.do(t, sidecartest.Look(900)); resp.StatusCode != 200 {
 		t.Errorf("with a known list and no discovery: %s", resp.Status)
 	}
 }
 
 // Where discovery is asked, the balancer asks for each watch and hears of one that fails.
-func TestAskedDiscovery(t *testing.T) {
+func TestPolledDiscoveryIsWatchedAgainAfterFailure(t *testing.T) {
 	b := sidecartest.NewBoard(t)
 	addr := sidecartest.Web(t, func(http.ResponseWriter, *http.Request) {})
-	s := start(t, sidecartest.Configure(t, b.Addr, []discovery.Instance{sidecartest.Up("s-1", sidecartest.Nowhere(t))},
+	s := startSidecar(t, sidecartest.Configure(t, b.Addr, []discovery.Instance{sidecartest.Up("s-1", sidecartest.Nowhere(t))},
 		`"discovery":"automatic"`, `"discovery":"subscribe"`))
 	sidecartest.Within(t, b.Asked, "first watch")
 	b.Lines <- "" // it ends
 	sidecartest.Within(t, b.Asked, "watch after one that ended")
 	b.Lines <- sidecartest.Line(8, true, sidecartest.Up("s-2", addr))
 	for end := time.Now().Add(sidecartest.Soon); ; {
-		if resp, _ := s.ask(t, sidecartest.Look(900)); resp.StatusCode == 200 {
+		if resp, _ := s.do(t, sidecartest.Look(900)); resp.StatusCode == 200 {
 			return
 		}
 		if time.Now().After(end) {
--- a/internal/dataplane/sidecar/handover_test.go
+++ b/internal/dataplane/sidecar/handover_test.go
@@ -18,10 +18,10 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// held is a listening socket that the platform holds: whoever closes a listener on it leaves the socket alone.
-type held struct{ ln *net.TCPListener }
+// sharedSocket is a listening socket that the platform holds: whoever closes a listener on it leaves the socket alone.
+type sharedSocket struct{ ln *net.TCPListener }
 
-func (h held) Listen() (net.Listener, error) {
+func (h sharedSocket) Listen() (net.Listener, error) {
 	f, err := h.ln.File()
 	if err != nil {
 		return nil, err
@@ -30,25 +30,25 @@
 	return net.FileListener(f)
 }
 
-// process is a sidecar that shares a socket and a folder with others.
-func process(t *testing.T, c *config.Config, socket handover.Socket, dir string) *running {
+// startProcess is a sidecar that shares a socket and a folder with others.
+func startProcess(t *testing.T, c *config.Config, socket handover.Socket, dir string) *testSidecar {
 	t.Helper()
 	desk, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	s := &running{addr: socket.(held).ln.Addr().String(), mgmt: desk, stop: stop, ended: make(chan error, 1),
+	s := &testSidecar{addr: socket.(sharedSocket).ln.Addr().String(), management: desk, stop: stop, ended: make(chan error, 1),
 		reload: make(chan os.Signal, 1), config: make(chan *config.Config, 1)}
 	go func() {
-		s.ended <- Run(ctx, c, Host{Socket: socket, Mgmt: desk, Bans: maintenance.File{Path: filepath.Join(dir, "b")},
-			Handover: filepath.Join(dir, "s"), Reload: s.reload, Read: s.read, Log: sidecartest.Quiet})
+		s.ended <- Run(ctx, c, Host{Socket: socket, Management: desk, Overrides: maintenance.File{Path: filepath.Join(dir, "b")},
+			HandoverPath: filepath.Join(dir, "s"), Reload: s.reload, ReadConfig: s.read, Log: sidecartest.Quiet})
 		close(s.ended)
 	}()
 	t.Cleanup(func() { stop(); <-s.ended })
-	for end := time.Now().Add(sidecartest.Soon); s.call(t, "status") != "YES\n"; {
+	for end := time.Now().Add(sidecartest.Soon); s.manage(t, "status") != "YES\n"; {
 		if time.Now().After(end) {
-			t.Fatal("it does not say yes: " + s.call(t, "status"))
+			t.Fatal("it does not say yes: " + s.manage(t, "status"))
 		}
 	}
 	return s
@@ -56,7 +56,7 @@
 
 // A new process takes over under load: bans go along, calls bind in both, the old one answers what it has and
 // ends by itself, and nobody is turned back.
-func TestHandover(t *testing.T) {
+func TestHandoverUnderLoad(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -78,39 +78,39 @@
 	})
 	c := sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr), sidecartest.Up("s-2", addr), sidecartest.Up("s-3", addr)},
 		`"ramp-time":10000000`, `"ramp-time":1`, `"give-up":1000000`, `"give-up":5000000`)
-	socket := held{ln.(*net.TCPListener)}
-	old := process(t, c, socket, dir)
-	old.says(t, "maint-on s-1", "YES")
+	socket := sharedSocket{ln.(*net.TCPListener)}
+	old := startProcess(t, c, socket, dir)
+	old.wantReply(t, "maint-on s-1", "YES")
 	kept, err := net.Dial("tcp", old.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer kept.Close()
-	if resp, _ := old.askOn(t, kept, sidecartest.Look(900)); resp.Close {
+	if resp, _ := old.doOn(t, kept, sidecartest.Look(900)); resp.Close {
 		t.Error("a connection was not kept")
 	}
 	open := make(chan *http.Response, 1)
 	go func() {
-		resp, _ := old.ask(t, sidecartest.Request("POST", "/pay", "pay", 5000, "x"))
+		resp, _ := old.do(t, sidecartest.Request("POST", "/pay", "pay", 5000, "x"))
 		open <- resp
 	}()
 	sidecartest.Within(t, taken, "attempt")
 
-	fresh := process(t, c, socket, dir)
-	fresh.figureIs(t, "cluster_unhealthy", 1)
-	old.says(t, "status", "NO stopping")
-	old.says(t, "maint-on s-2", "YES")
-	fresh.figureIs(t, "cluster_unhealthy", 2)
-	fresh.says(t, "maint-off s-1", "YES")
-	old.figureIs(t, "cluster_unhealthy", 1)
-	if resp, _ := old.askOn(t, kept, sidecartest.Look(900)); !resp.Close {
+	fresh := startProcess(t, c, socket, dir)
+	fresh.wantMetric(t, "cluster_unhealthy", 1)
+	old.wantReply(t, "status", "NO stopping")
+	old.wantReply(t, "maint-on s-2", "YES")
+	fresh.wantMetric(t, "cluster_unhealthy", 2)
+	fresh.wantReply(t, "maint-off s-1", "YES")
+	old.wantMetric(t, "cluster_unhealthy", 1)
+	if resp, _ := old.doOn(t, kept, sidecartest.Look(900)); !resp.Close {
 		t.Error("the old process keeps a connection")
 	}
-	before := fresh.figure(t, `answered_total{group="look"}`)
-	if resp, _ := fresh.ask(t, sidecartest.Look(900)); resp.StatusCode != 200 {
+	before := fresh.metric(t, `answered_total{group="look"}`)
+	if resp, _ := fresh.do(t, sidecartest.Look(900)); resp.StatusCode != 200 {
 		t.Error("after the handover:", resp.Status)
 	}
-	fresh.figureIs(t, `answered_total{group="look"}`, before+1)
+	fresh.wantMetric(t, `answered_total{group="look"}`, before+1)
 	let()
 	if resp := sidecartest.Within(t, open, "answer"); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("taken before: %s, close %v", resp.Status, resp.Close)
@@ -118,7 +118,7 @@
 	if err := sidecartest.Within(t, old.ended, "end of the old process"); err != nil {
 		t.Error(err)
 	}
-	fresh.says(t, "status", "YES")
+	fresh.wantReply(t, "status", "YES")
 }
 
 // noSocket is a socket that is not there.
@@ -127,7 +127,7 @@
 func (noSocket) Listen() (net.Listener, error) { return nil, errors.New("none") }
 
 // A new process that fails to begin leaves the old one serving.
-func TestNewFails(t *testing.T) {
+func TestFailedStartLeavesOldProcessServing(t *testing.T) {
 	addr := sidecartest.Web(t, func(http.ResponseWriter, *http.Request) {})
 	c := sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)})
 	dir, err := os.MkdirTemp("", "h") //nolint:usetesting // t.TempDir is too long for the path of a Unix socket
@@ -136,12 +136,12 @@
 	}
 	defer os.RemoveAll(dir)
 	old := startIn(t, c, dir)
-	err = Run(t.Context(), c, Host{Socket: noSocket{}, Bans: maintenance.Discard{}, Handover: dir + "/sock", Log: sidecartest.Quiet})
+	err = Run(t.Context(), c, Host{Socket: noSocket{}, Overrides: maintenance.Discard{}, HandoverPath: dir + "/sock", Log: sidecartest.Quiet})
 	if err == nil {
 		t.Error("it began without a socket")
 	}
-	old.says(t, "status", "YES")
-	if resp, _ := old.ask(t, sidecartest.Look(900)); resp.StatusCode != 200 || resp.Close {
+	old.wantReply(t, "status", "YES")
+	if resp, _ := old.do(t, sidecartest.Look(900)); resp.StatusCode != 200 || resp.Close {
 		t.Errorf("%s, close %v", resp.Status, resp.Close)
 	}
 }
--- a/internal/dataplane/sidecar/helper_test.go
+++ b/internal/dataplane/sidecar/helper_test.go
@@ -16,30 +16,30 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// running is a sidecar under test.
-type running struct {
-	addr  string
-	mgmt  net.Listener
-	stop  context.CancelFunc
-	ended chan error
+// testSidecar is a sidecar under test.
+type testSidecar struct {
+	addr       string
+	management net.Listener
+	stop       context.CancelFunc
+	ended      chan error
 
 	reload chan os.Signal
 	config chan *config.Config // what is read at a reload; nil is an error
 }
 
-// start runs a sidecar and waits until it is ready. It is stopped with the test.
-func start(t *testing.T, c *config.Config) *running {
+// startSidecar runs a sidecar and waits until it is ready. It is stopped with the test.
+func startSidecar(t *testing.T, c *config.Config) *testSidecar {
 	t.Helper()
 	return startIn(t, c, t.TempDir())
 }
 
-// only is a listener of the test's own.
-type only struct{ net.Listener }
+// singleListener is a listener of the test's own.
+type singleListener struct{ net.Listener }
 
-func (o only) Listen() (net.Listener, error) { return o.Listener, nil }
+func (o singleListener) Listen() (net.Listener, error) { return o.Listener, nil }
 
 // startIn runs a sidecar that keeps its files in dir.
-func startIn(t *testing.T, c *config.Config, dir string) *running {
+func startIn(t *testing.T, c *config.Config, dir string) *testSidecar {
 	t.Helper()
 	ln, err := net.Listen("tcp", c.Listen)
 	if err != nil {
@@ -50,11 +50,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &running{addr: ln.Addr().String(), mgmt: desk, stop: stop, ended: make(chan error, 1),
+	s := &testSidecar{addr: ln.Addr().String(), management: desk, stop: stop, ended: make(chan error, 1),
 		reload: make(chan os.Signal, 1), config: make(chan *config.Config, 1)}
 	go func() {
-		s.ended <- Run(ctx, c, Host{Socket: only{ln}, Mgmt: s.mgmt, Bans: maintenance.File{Path: dir + "/bans.json"}, Handover: dir + "/sock",
-			Reload: s.reload, Read: s.read, Log: sidecartest.Quiet})
+		s.ended <- Run(ctx, c, Host{Socket: singleListener{ln}, Management: s.management, Overrides: maintenance.File{Path: dir + "/bans.json"}, HandoverPath: dir + "/sock",
+			Reload: s.reload, ReadConfig: s.read, Log: sidecartest.Quiet})
 		close(s.ended)
 	}()
 	t.Cleanup(func() {
@@ -65,7 +65,7 @@
 		resp, err := http.Get("http://" + s.addr + "/-/ready")
 		if err == nil {
 			resp.Body.Close()
-			if resp.StatusCode == 200 && s.call(t, "status") == "YES\n" {
+			if resp.StatusCode == 200 && s.manage(t, "status") == "YES\n" {
 				return s
 			}
 		}
@@ -75,26 +75,26 @@
 	}
 }
 
-func (s *running) read() (*config.Config, error) {
+func (s *testSidecar) read() (*config.Config, error) {
 	if c := <-s.config; c != nil {
 		return c, nil
 	}
 	return nil, errors.New("no sense")
 }
 
-// ask sends a request to the sidecar on a connection of its own and returns the whole answer.
-func (s *running) ask(t *testing.T, r *http.Request) (*http.Response, string) {
+// do sends a request to the sidecar on a connection of its own and returns the whole answer.
+func (s *testSidecar) do(t *testing.T, r *http.Request) (*http.Response, string) {
 	t.Helper()
 	c, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	return s.askOn(t, c, r)
+	return s.doOn(t, c, r)
 }
 
-// try sends a request on a connection of its own to a sidecar that may take none any more.
-func (s *running) try(r *http.Request) (*http.Response, error) {
+// tryDo sends a request on a connection of its own to a sidecar that may take none any more.
+func (s *testSidecar) tryDo(r *http.Request) (*http.Response, error) {
 	c, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		return nil, err
@@ -112,7 +112,7 @@
 	return resp, err
 }
 
-func (s *running) askOn(t *testing.T, c net.Conn, r *http.Request) (*http.Response, string) {
+func (s *testSidecar) doOn(t *testing.T, c net.Conn, r *http.Request) (*http.Response, string) {
 	t.Helper()
 	if err := r.Write(c); err != nil {
 		t.Fatal(err)
--- a/internal/dataplane/sidecar/host.go
+++ b/internal/dataplane/sidecar/host.go
@@ -13,18 +13,18 @@
 	"birchmoor/internal/platform/snapshot"
 )
 
-// HostOf makes of the environment what a program gives a sidecar: the sockets, and files in TMPDIR if that is set.
-func HostOf(c *config.Config, getenv func(string) string, reload <-chan os.Signal, log *slog.Logger) (Host, error) {
-	h := Host{Bans: maintenance.Discard{}, Reload: reload, Log: log,
-		Read: func() (*config.Config, error) { return config.Read(getenv) }}
+// HostFromEnv makes of the environment what a program gives a sidecar: the sockets, and files in TMPDIR if that is set.
+func HostFromEnv(c *config.Config, getenv func(string) string, reload <-chan os.Signal, log *slog.Logger) (Host, error) {
+	h := Host{Overrides: maintenance.Discard{}, Reload: reload, Log: log,
+		ReadConfig: func() (*config.Config, error) { return config.Read(getenv) }}
 	if dir := getenv("TMPDIR"); dir != "" {
-		h.Bans = maintenance.File{Path: filepath.Join(dir, "bans.json")}
-		h.Kept = snapshot.File{Path: filepath.Join(dir, "known.snapshot")}
-		h.Handover = filepath.Join(dir, "handover.sock")
+		h.Overrides = maintenance.File{Path: filepath.Join(dir, "bans.json")}
+		h.SnapshotFile = snapshot.File{Path: filepath.Join(dir, "known.snapshot")}
+		h.HandoverPath = filepath.Join(dir, "handover.sock")
 	}
 	var err error
 	if c.Mgmt != "" {
-		if h.Mgmt, err = net.Listen("tcp", c.Mgmt); err != nil {
+		if h.Management, err = net.Listen("tcp", c.Mgmt); err != nil {
 			return Host{}, fmt.Errorf("listen for operators: %w", err)
 		}
 	}
--- a/internal/dataplane/sidecar/maintenance_test.go
+++ b/internal/dataplane/sidecar/maintenance_test.go
@@ -14,10 +14,10 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// call makes an operator's call and returns the whole answer.
-func (s *running) call(t *testing.T, line string) string {
+// manage makes an operator's call and returns the whole answer.
+func (s *testSidecar) manage(t *testing.T, line string) string {
 	t.Helper()
-	c, err := net.Dial("tcp", s.mgmt.Addr().String())
+	c, err := net.Dial("tcp", s.management.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,18 +33,18 @@
 	return string(answer)
 }
 
-// says makes a call and compares its answer.
-func (s *running) says(t *testing.T, line, want string) {
+// wantReply makes a call and compares its answer.
+func (s *testSidecar) wantReply(t *testing.T, line, want string) {
 	t.Helper()
-	if got := s.call(t, line); got != want+"\n" {
+	if got := s.manage(t, line); got != want+"\n" {
 		t.Errorf("%s: got %q, want %q", line, got, want)
 	}
 }
 
-// figure returns one figure.
-func (s *running) figure(t *testing.T, name string) int {
+// metric returns one figure.
+func (s *testSidecar) metric(t *testing.T, name string) int {
 	t.Helper()
-	text, whole := strings.CutSuffix(s.call(t, "stats"), "END\n")
+	text, whole := strings.CutSuffix(s.manage(t, "stats"), "END\n")
 	for line := range strings.Lines(text) {
 		if key, value, _ := strings.Cut(strings.TrimSpace(line), " "); key == "app_"+name && whole {
 			n, err := strconv.Atoi(value)
@@ -58,32 +58,32 @@
 	return 0
 }
 
-func (s *running) figureIs(t *testing.T, name string, want int) {
+func (s *testSidecar) wantMetric(t *testing.T, name string, want int) {
 	t.Helper()
-	if got := s.figure(t, name); got != want {
+	if got := s.metric(t, name); got != want {
 		t.Errorf("%s is %d, want %d", name, got, want)
 	}
 }
 
 // Operators take an endpoint out and call it back, whatever discovery says meanwhile.
-func TestMaintenance(t *testing.T) {
+func TestOperatorsDrainAndReturnEndpoint(t *testing.T) {
 	b := sidecartest.NewBoard(t)
 	endpoint := func(name string) string {
 		return sidecartest.Web(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, name) })
 	}
 	one, two := sidecartest.Up("s-1", endpoint("one")), sidecartest.Up("s-2", endpoint("two"))
-	s := start(t, sidecartest.Configure(t, b.Addr, []discovery.Instance{one, two}, `"ramp-time":10000000`, `"ramp-time":1`))
+	s := startSidecar(t, sidecartest.Configure(t, b.Addr, []discovery.Instance{one, two}, `"ramp-time":10000000`, `"ramp-time":1`))
 	sidecartest.Within(t, b.Asked, "call of discovery")
-	s.says(t, "status", "YES")
-	s.says(t, "maint-on s-9", "NO s-9: unknown id")
-	s.says(t, "maint-on s-1", "YES")
-	s.says(t, "maint-on s-1", "YES")
-	s.figureIs(t, "cluster_size", 2)
-	s.figureIs(t, "cluster_unhealthy", 1)
+	s.wantReply(t, "status", "YES")
+	s.wantReply(t, "maint-on s-9", "NO s-9: unknown id")
+	s.wantReply(t, "maint-on s-1", "YES")
+	s.wantReply(t, "maint-on s-1", "YES")
+	s.wantMetric(t, "cluster_size", 2)
+	s.wantMetric(t, "cluster_unhealthy", 1)
 	stays := func() {
 		t.Helper()
 		for range 20 {
-			if _, got := s.ask(t, sidecartest.Look(900)); got != "two" {
+			if _, got := s.do(t, sidecartest.Look(900)); got != "two" {
 				t.Fatalf("answered by %q", got)
 			}
 		}
@@ -91,61 +91,61 @@
 	stays()
 	// It leaves and returns, restarted.
 	b.Lines <- sidecartest.Line(8, true, two)
-	for s.figure(t, "cluster_size") != 1 {
+	for s.metric(t, "cluster_size") != 1 {
 	}
 	one.StartedMs = time.Now().UnixMilli()
 	b.Lines <- sidecartest.Line(9, false, one)
-	for s.figure(t, "cluster_size") != 2 {
+	for s.metric(t, "cluster_size") != 2 {
 	}
 	stays()
-	s.says(t, "maint-off s-1", "YES")
-	s.says(t, "maint-off s-1", "YES")
-	s.figureIs(t, "cluster_unhealthy", 0)
-	s.says(t, "maint-on s-2", "YES")
-	s.serves(t, "one")
+	s.wantReply(t, "maint-off s-1", "YES")
+	s.wantReply(t, "maint-off s-1", "YES")
+	s.wantMetric(t, "cluster_unhealthy", 0)
+	s.wantReply(t, "maint-on s-2", "YES")
+	s.waitServedBy(t, "one")
 }
 
 // Each final answer is counted once, under its class.
-func TestFigures(t *testing.T) {
+func TestAnswersAreCountedByClass(t *testing.T) {
 	addr := sidecartest.Web(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/pay" {
 			w.WriteHeader(500)
 		}
 	})
-	s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}, `"most-tries":3`, `"most-tries":1`))
+	s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}, `"most-tries":3`, `"most-tries":1`))
 	for range 3 {
-		s.ask(t, sidecartest.Look(900))
+		s.do(t, sidecartest.Look(900))
 	}
 	for range 2 {
-		s.ask(t, sidecartest.Request("POST", "/pay", "pay", 900, "x"))
+		s.do(t, sidecartest.Request("POST", "/pay", "pay", 900, "x"))
 	}
-	s.says(t, "maint-on s-1", "YES")
-	s.ask(t, sidecartest.Look(900))
-	s.ask(t, sidecartest.Request("GET", "/nothing", "nothing", 900, "")) // no class, no count
+	s.wantReply(t, "maint-on s-1", "YES")
+	s.do(t, sidecartest.Look(900))
+	s.do(t, sidecartest.Request("GET", "/nothing", "nothing", 900, "")) // no class, no count
 	for name, want := range map[string]int{
 		"answered_total{group=%q}": 3, "deferred_total{group=%q}": 1, "errored_total{group=%q}": 0} {
-		s.figureIs(t, fmt.Sprintf(name, "look"), want)
+		s.wantMetric(t, fmt.Sprintf(name, "look"), want)
 	}
-	s.figureIs(t, `errored_total{group="pay"}`, 2)
-	s.figureIs(t, "sends_total", 5)
-	s.figureIs(t, "current", 0)
-	s.figureIs(t, "conf_loaded_total", 0)
+	s.wantMetric(t, `errored_total{group="pay"}`, 2)
+	s.wantMetric(t, "sends_total", 5)
+	s.wantMetric(t, "current", 0)
+	s.wantMetric(t, "conf_loaded_total", 0)
 }
 
 // A process that starts holds what operators said to the one before it.
-func TestBansOutliveTheProcess(t *testing.T) {
+func TestOverridesSurviveRestart(t *testing.T) {
 	var other int
 	addr := sidecartest.Web(t, func(http.ResponseWriter, *http.Request) { other++ })
 	c := sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)})
 	dir := t.TempDir()
 	s := startIn(t, c, dir)
-	s.says(t, "maint-on s-1", "YES")
+	s.wantReply(t, "maint-on s-1", "YES")
 	s.stop()
 	sidecartest.Within(t, s.ended, "end")
 	s = startIn(t, c, dir)
-	if resp, _ := s.ask(t, sidecartest.Look(900)); resp.StatusCode != 503 || other > 0 {
+	if resp, _ := s.do(t, sidecartest.Look(900)); resp.StatusCode != 503 || other > 0 {
 		t.Errorf("answered %s, %d requests went out", resp.Status, other)
 	}
-	s.says(t, "maint-off s-1", "YES")
-	s.figureIs(t, "cluster_unhealthy", 0)
+	s.wantReply(t, "maint-off s-1", "YES")
+	s.wantMetric(t, "cluster_unhealthy", 0)
 }
--- a/internal/dataplane/sidecar/reload.go
+++ b/internal/dataplane/sidecar/reload.go
@@ -15,12 +15,12 @@
 // at once; all else does at the next start. ROUTER_DISCOVERY goes before the file at the start only, or no new
 // file could ever name another. A file that makes no sense changes nothing.
 type reloader struct {
-	config  *config.Config // in force
-	read    func() (*config.Config, error)
-	take    func(context.Context, *config.Config) error
-	move    func(discovery string)
-	figures *metrics.Registry
-	log     *slog.Logger
+	config        *config.Config // in force
+	read          func() (*config.Config, error)
+	apply         func(context.Context, *config.Config) error
+	moveDiscovery func(discovery string)
+	metrics       *metrics.Registry
+	log           *slog.Logger
 }
 
 // run reads the file at each signal until ctx ends.
@@ -32,7 +32,7 @@
 			return
 		}
 		if err := r.reload(ctx); err != nil {
-			r.figures.ConfigsRejected.Inc()
+			r.metrics.ConfigsRejected.Inc()
 			key := "file"
 			if at := (*config.Error)(nil); errors.As(err, &at) {
 				key = at.Key
@@ -54,15 +54,15 @@
 	if err := next.Follows(r.config); err != nil {
 		return err
 	}
-	if err := r.take(ctx, next); err != nil {
+	if err := r.apply(ctx, next); err != nil {
 		return &config.Error{Key: "settings", Err: err}
 	}
 	moved := next.FileDiscovery != r.config.FileDiscovery && next.FileDiscovery != ""
 	r.config = next
-	r.figures.ConfigsLoaded.Inc()
+	r.metrics.ConfigsLoaded.Inc()
 	r.log.Info("configuration taken", "moved", moved, "discovery", next.FileDiscovery, "classes", next.Classes)
 	if moved {
-		r.move(next.FileDiscovery)
+		r.moveDiscovery(next.FileDiscovery)
 	}
 	return nil
 }
--- a/internal/dataplane/sidecar/reload_test.go
+++ b/internal/dataplane/sidecar/reload_test.go
@@ -19,7 +19,7 @@
 
 // A new configuration moves the watch to the discovery that its file names, at once and with nothing held
 // against it that the old one told: generations there are its own, and what it does not list is gone.
-func TestReload(t *testing.T) {
+func TestReloadMovesWatch(t *testing.T) {
 	for _, mode := range []string{"automatic", "subscribe"} {
 		t.Run(mode, func(t *testing.T) {
 			endpoint := func(name string) string {
@@ -36,7 +36,7 @@
 			// As with ROUTER_DISCOVERY: the start goes by it, a file that changes goes before it.
 			c := configured(sidecartest.Nowhere(t))
 			c.Discovery = old.Addr
-			s := start(t, c)
+			s := startSidecar(t, c)
 			expect := func(b *sidecartest.Board, want string) {
 				t.Helper()
 				if got := sidecartest.Within(t, b.Asked, "call of discovery"); got != want {
@@ -59,18 +59,18 @@
 			next.Lines <- sidecartest.Line(3, false, two)
 			next.Lines <- ""
 			expect(next, "1 3")
-			s.serves(t, "two")
+			s.waitServedBy(t, "two")
 			next.Lines <- sidecartest.Line(4, true, three)
-			s.serves(t, "three")
+			s.waitServedBy(t, "three")
 		})
 	}
 }
 
-// serves waits until only the endpoint of this name answers.
-func (s *running) serves(t *testing.T, want string) {
+// waitServedBy waits until only the endpoint of this name answers.
+func (s *testSidecar) waitServedBy(t *testing.T, want string) {
 	t.Helper()
 	for end, times := time.Now().Add(sidecartest.Soon), 0; times < 5; {
-		_, got := s.ask(t, sidecartest.Look(900))
+		_, got := s.do(t, sidecartest.Look(900))
 		if times++; got != want {
 			times = 0
 		}
@@ -85,7 +85,7 @@
 	b := sidecartest.NewBoard(t)
 	addr := sidecartest.Web(t, func(http.ResponseWriter, *http.Request) {})
 	c := sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)})
-	s := start(t, c)
+	s := startSidecar(t, c)
 	s.stop()
 	s.reload <- syscall.SIGHUP
 	s.config <- sidecartest.Configure(t, b.Addr, nil)
@@ -96,7 +96,7 @@
 }
 
 // Classes come and go, with rules of their own; a file that makes no sense changes nothing and is counted.
-func TestRetune(t *testing.T) {
+func TestReloadChangesClasses(t *testing.T) {
 	taken, release := make(chan struct{}, 8), make(chan struct{})
 	let := sync.OnceFunc(func() { close(release) })
 	addr := sidecartest.Web(t, func(w http.ResponseWriter, r *http.Request) {
@@ -108,12 +108,12 @@
 	})
 	t.Cleanup(let)
 	known := []discovery.Instance{sidecartest.Up("s-1", addr)}
-	s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), known))
+	s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), known))
 	reload := func(c *config.Config, figure string, want int) {
 		t.Helper()
 		s.reload <- syscall.SIGHUP
 		s.config <- c
-		for end := time.Now().Add(sidecartest.Soon); s.figure(t, figure) != want; {
+		for end := time.Now().Add(sidecartest.Soon); s.metric(t, figure) != want; {
 			if time.Now().After(end) {
 				t.Fatalf("%s does not become %d", figure, want)
 			}
@@ -121,38 +121,38 @@
 	}
 	open := make(chan int, 1)
 	go func() {
-		resp, _ := s.ask(t, sidecartest.Request("POST", "/pay", "pay", 1000, "x"))
+		resp, _ := s.do(t, sidecartest.Request("POST", "/pay", "pay", 1000, "x"))
 		open <- resp.StatusCode
 	}()
 	sidecartest.Within(t, taken, "attempt")
 	const pay = `{"name":"pay","repeat":"side_effect"`
 	reload(sidecartest.Configure(t, sidecartest.Nowhere(t), known, pay, `{"name":"sell","repeat":"pure"`, `"most-tries":3`, `"most-tries":2`),
 		"conf_loaded_total", 1)
-	if resp, text := s.ask(t, sidecartest.Request("GET", "/sell", "sell", 900, "")); resp.StatusCode != 200 || text != "ok" {
+	if resp, text := s.do(t, sidecartest.Request("GET", "/sell", "sell", 900, "")); resp.StatusCode != 200 || text != "ok" {
 		t.Errorf("the new class: %s", resp.Status)
 	}
-	if resp, _ := s.ask(t, sidecartest.Request("POST", "/pay", "pay", 900, "x")); resp.StatusCode != 404 {
+	if resp, _ := s.do(t, sidecartest.Request("POST", "/pay", "pay", 900, "x")); resp.StatusCode != 404 {
 		t.Errorf("the dropped class: %s", resp.Status)
 	}
 	let()
 	if code := sidecartest.Within(t, open, "answer"); code != 200 {
 		t.Errorf("what was open: %d", code)
 	}
-	s.figureIs(t, `answered_total{group="pay"}`, 1)
-	s.figureIs(t, `answered_total{group="sell"}`, 1)
+	s.wantMetric(t, `answered_total{group="pay"}`, 1)
+	s.wantMetric(t, `answered_total{group="sell"}`, 1)
 	reload(nil, "conf_invalid_total", 1)
-	if resp, _ := s.ask(t, sidecartest.Request("GET", "/sell", "sell", 900, "")); resp.StatusCode != 200 {
+	if resp, _ := s.do(t, sidecartest.Request("GET", "/sell", "sell", 900, "")); resp.StatusCode != 200 {
 		t.Errorf("after a bad file: %s", resp.Status)
 	}
 }
 
 // Every way in which a file may be wrong is found before any of it is taken, and named.
-func TestTurnedDown(t *testing.T) {
+func TestInvalidConfigurationChangesNothing(t *testing.T) {
 	c := sidecartest.Configure(t, "127.0.0.1:1", []discovery.Instance{sidecartest.Up("s-1", "127.0.0.1:2")})
 	good := sidecartest.ConfigText(t, "127.0.0.1:1", []discovery.Instance{sidecartest.Up("s-1", "127.0.0.1:2")})
 	figures, took := metrics.New(), 0
-	r := &reloader{config: c, figures: figures, log: sidecartest.Quiet,
-		take: func(context.Context, *config.Config) error { took++; return nil }}
+	r := &reloader{config: c, metrics: figures, log: sidecartest.Quiet,
+		apply: func(context.Context, *config.Config) error { took++; return nil }}
 	for _, tc := range []struct{ key, old, new string }{
 		{"file", string(good), ""},
 		{"file", string(good), "{}"[:1]},
--- a/internal/dataplane/sidecar/server_test.go
+++ b/internal/dataplane/sidecar/server_test.go
@@ -20,7 +20,7 @@
 )
 
 // What the client sent and what the endpoint answered go through unchanged.
-func TestServes(t *testing.T) {
+func TestRequestsAndAnswersPassUnchanged(t *testing.T) {
 	type seen struct {
 		r    *http.Request
 		body string
@@ -35,7 +35,7 @@
 		w.Header().Set("Endpoint-Load-Metrics", "TEXT busy_reqs=1")
 		io.WriteString(w, "\x00card "+string(b))
 	})
-	s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
+	s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
 	for _, r := range []*http.Request{
 		sidecartest.Look(480),
 		sidecartest.Request("GET", "/look/a%2Fb?x=%20y&z", "look", 480, ""),
@@ -46,7 +46,7 @@
 		if len(body) > 0 {
 			r.Body = io.NopCloser(strings.NewReader(string(body)))
 		}
-		resp, text := s.ask(t, r)
+		resp, text := s.do(t, r)
 		kind := "" // where the endpoint names no type, none is guessed
 		if r.Method == "GET" {
 			kind = "application/x-card"
@@ -75,10 +75,10 @@
 }
 
 // What makes no sense gets a plain 4xx, and no endpoint hears of it.
-func TestBadRequests(t *testing.T) {
+func TestInvalidRequestsGetClientErrors(t *testing.T) {
 	var sent atomic.Int32
 	addr := sidecartest.Web(t, func(http.ResponseWriter, *http.Request) { sent.Add(1) })
-	s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
+	s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
 	without := func(r *http.Request, header string) *http.Request {
 		r.Header.Del(header)
 		return r
@@ -102,7 +102,7 @@
 		{"negative time", sidecartest.Look(-1), 400},
 		{"large head", with(sidecartest.Look(400), "X-Props", strings.Repeat("x", 2*httpfront.HeaderMost)), 431},
 	} {
-		if resp, _ := s.ask(t, tc.r); resp.StatusCode != tc.want {
+		if resp, _ := s.do(t, tc.r); resp.StatusCode != tc.want {
 			t.Errorf("%s: %s, want %d", tc.name, resp.Status, tc.want)
 		}
 	}
@@ -162,7 +162,7 @@
 
 // A refusal promises that the request never ran; where that is not known it is a failure, whatever the
 // endpoint said.
-func TestRefusedOrFailed(t *testing.T) {
+func TestRejectionPromisesThatRequestNeverRan(t *testing.T) {
 	never := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Never-Ran", "1")
 		w.WriteHeader(503)
@@ -194,12 +194,12 @@
 			if tc.h != nil {
 				addr = sidecartest.Web(t, tc.h)
 			}
-			s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
+			s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
 			method := "POST"
 			if tc.class == "look" {
 				method = "GET"
 			}
-			resp, _ := s.ask(t, sidecartest.Request(method, "/"+tc.class, tc.class, 900, ""))
+			resp, _ := s.do(t, sidecartest.Request(method, "/"+tc.class, tc.class, 900, ""))
 			if got := resp.StatusCode == 503; got != tc.refused || resp.StatusCode < 500 {
 				t.Errorf("%s, refused should be %v", resp.Status, tc.refused)
 			}
@@ -212,7 +212,7 @@
 
 // A request that may have run goes to no endpoint again if it is unsafe, and only to one of the same cell if
 // it is keyed.
-func TestResends(t *testing.T) {
+func TestRetriesFollowIdempotency(t *testing.T) {
 	for _, tc := range []struct {
 		class      string
 		cell       uint16 // of the second endpoint
@@ -235,8 +235,8 @@
 			}
 			other := sidecartest.Up("s-2", endpoint())
 			other.Cell = tc.cell
-			s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", endpoint()), other}))
-			resp, _ := s.ask(t, sidecartest.Request("POST", "/"+tc.class, tc.class, 900, "x"))
+			s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", endpoint()), other}))
+			resp, _ := s.do(t, sidecartest.Request("POST", "/"+tc.class, tc.class, 900, "x"))
 			if n := copies.Load(); n > tc.mostCopies {
 				t.Errorf("%d copies, %d at most", n, tc.mostCopies)
 			}
@@ -249,7 +249,7 @@
 
 // An endpoint that is mute must not keep the client waiting for good, nor the connection open. That the answer comes at its time is
 // judged by a clock that does not run by itself, in internal/dataplane/core.
-func TestDeadline(t *testing.T) {
+func TestSilentEndpointIsClosedAtDeadline(t *testing.T) {
 	ended := make(chan error, 3)
 	addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
 		if _, err := sidecartest.Take(r); err != nil {
@@ -258,12 +258,12 @@
 		_, err := r.ReadByte()
 		ended <- err
 	})
-	s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
+	s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
 	for _, tc := range []struct {
 		class string
 		want  int
 	}{{"pay", 504}, {"book", 504}} {
-		resp, _ := s.ask(t, sidecartest.Request("POST", "/"+tc.class, tc.class, 200, "x"))
+		resp, _ := s.do(t, sidecartest.Request("POST", "/"+tc.class, tc.class, 200, "x"))
 		if resp.StatusCode != tc.want {
 			t.Errorf("%s: %s, want %d", tc.class, resp.Status, tc.want)
 		}
@@ -273,14 +273,14 @@
 	}
 	// One whose time is up when it comes never ran, nor one that has no more than the 5 ms that are kept for the answer's way.
 	for _, ms := range []int{0, 5} {
-		if resp, _ := s.ask(t, sidecartest.Request("POST", "/pay", "pay", ms, "x")); resp.StatusCode != 503 {
+		if resp, _ := s.do(t, sidecartest.Request("POST", "/pay", "pay", ms, "x")); resp.StatusCode != 503 {
 			t.Errorf("%d ms: %s, want 503", ms, resp.Status)
 		}
 	}
 }
 
 // A client that goes takes its attempt with it.
-func TestClientGone(t *testing.T) {
+func TestAttemptEndsWhenClientLeaves(t *testing.T) {
 	taken, ended := make(chan struct{}), make(chan error, 1)
 	addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
 		sidecartest.Take(r)
@@ -289,7 +289,7 @@
 		ended <- err
 	})
 	cfg := sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}, `"give-up":1000000`, `"give-up":60000000`)
-	s := start(t, cfg)
+	s := startSidecar(t, cfg)
 	c, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -305,13 +305,13 @@
 }
 
 // Requests over the settings' limit never ran.
-func TestMostOpen(t *testing.T) {
+func TestRequestsOverLimitAreRejected(t *testing.T) {
 	taken, release := make(chan struct{}, 2), make(chan struct{})
 	addr := sidecartest.Web(t, func(http.ResponseWriter, *http.Request) {
 		taken <- struct{}{}
 		<-release
 	})
-	s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}, `"most-held":1000`, `"most-held":1`))
+	s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}, `"most-held":1000`, `"most-held":1`))
 	first := make(chan int)
 	c, err := net.Dial("tcp", s.addr)
 	if err != nil {
@@ -319,11 +319,11 @@
 	}
 	defer c.Close()
 	go func() {
-		resp, _ := s.askOn(t, c, sidecartest.Request("POST", "/pay", "pay", 900, "x"))
+		resp, _ := s.doOn(t, c, sidecartest.Request("POST", "/pay", "pay", 900, "x"))
 		first <- resp.StatusCode
 	}()
 	sidecartest.Within(t, taken, "first attempt")
-	if resp, _ := s.ask(t, sidecartest.Request("POST", "/pay", "pay", 900, "x")); resp.StatusCode != 503 {
+	if resp, _ := s.do(t, sidecartest.Request("POST", "/pay", "pay", 900, "x")); resp.StatusCode != 503 {
 		t.Errorf("second: %s, want 503", resp.Status)
 	}
 	close(release)
@@ -337,7 +337,7 @@
 
 // Connections that ask for nothing make room for those that do, the longest silent first, and none costs the
 // sidecar a descriptor that it needs.
-func TestMostConnections(t *testing.T) {
+func TestIdleConnectionsMakeRoom(t *testing.T) {
 	taken, release := make(chan struct{}, 1), make(chan struct{})
 	addr := sidecartest.Web(t, func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/pay" {
@@ -347,7 +347,7 @@
 	})
 	cfg := sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)})
 	cfg.Sockets = config.LeastSockets
-	s := start(t, cfg)
+	s := startSidecar(t, cfg)
 	dial := func() net.Conn {
 		c, err := net.Dial("tcp", s.addr)
 		if err != nil {
@@ -359,7 +359,7 @@
 	waiting := make(chan int, 1)
 	c := dial()
 	go func() {
-		resp, _ := s.askOn(t, c, sidecartest.Request("POST", "/pay", "pay", 1000, "x"))
+		resp, _ := s.doOn(t, c, sidecartest.Request("POST", "/pay", "pay", 1000, "x"))
 		waiting <- resp.StatusCode
 	}()
 	sidecartest.Within(t, taken, "attempt")
@@ -369,7 +369,7 @@
 	}
 	kept := dial()
 	for range 3 {
-		if resp, _ := s.askOn(t, kept, sidecartest.Look(900)); resp.StatusCode != 200 || resp.Close {
+		if resp, _ := s.doOn(t, kept, sidecartest.Look(900)); resp.StatusCode != 200 || resp.Close {
 			t.Fatalf("beside silent connections: %s, close %v", resp.Status, resp.Close)
 		}
 	}
@@ -379,7 +379,7 @@
 		t.Errorf("the connection silent for longest: %v, want it closed", err)
 	}
 	last := silent[len(silent)-1]
-	if resp, _ := s.askOn(t, last, sidecartest.Look(900)); resp.StatusCode != 200 {
+	if resp, _ := s.doOn(t, last, sidecartest.Look(900)); resp.StatusCode != 200 {
 		t.Errorf("a connection silent for a moment: %s", resp.Status)
 	}
 	close(release)
@@ -390,9 +390,9 @@
 
 // Whoever sends no whole request is told so or cut off within 3 s, before another reading and before the
 // sidecar is made to wait when it stops.
-func TestHalfRequests(t *testing.T) {
+func TestIncompleteRequestsTimeOut(t *testing.T) {
 	addr := sidecartest.Web(t, func(http.ResponseWriter, *http.Request) { t.Error("an attempt was made") })
-	s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
+	s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
 	for _, text := range []string{
 		"",
 		"GET /look/1 HT",
@@ -417,13 +417,13 @@
 }
 
 // Two requests of one id would be one and the same to an endpoint.
-func TestOpenID(t *testing.T) {
+func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	taken, release := make(chan struct{}, 2), make(chan struct{})
 	addr := sidecartest.Web(t, func(http.ResponseWriter, *http.Request) {
 		taken <- struct{}{}
 		<-release
 	})
-	s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
+	s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
 	c, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -432,27 +432,27 @@
 	first := make(chan int, 1)
 	r := sidecartest.Look(900)
 	go func() {
-		resp, _ := s.askOn(t, c, r)
+		resp, _ := s.doOn(t, c, r)
 		first <- resp.StatusCode
 	}()
 	sidecartest.Within(t, taken, "attempt")
 	again := sidecartest.Look(900)
 	again.Header.Set("X-Trace-Id", r.Header.Get("X-Trace-Id"))
-	if resp, _ := s.ask(t, again); resp.StatusCode != 409 {
+	if resp, _ := s.do(t, again); resp.StatusCode != 409 {
 		t.Errorf("an open id: %s, want 409", resp.Status)
 	}
 	close(release)
 	if code := sidecartest.Within(t, first, "answer"); code != 200 {
 		t.Errorf("its owner: %d, want 200", code)
 	}
-	if resp, _ := s.ask(t, again); resp.StatusCode != 200 {
+	if resp, _ := s.do(t, again); resp.StatusCode != 200 {
 		t.Errorf("an id that is free again: %s", resp.Status)
 	}
 }
 
 // An endpoint that leaves one class unanswered, or turns one tenant away, gets little of that, and still the
 // rest.
-func TestEndpointFailsOnePart(t *testing.T) {
+func TestEndpointFailingOneClassOrTenantServesOthers(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		bad    func(r *http.Request) bool
@@ -480,15 +480,15 @@
 				served.Add(1)
 			})
 			whole := sidecartest.Web(t, func(http.ResponseWriter, *http.Request) {})
-			s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", half), sidecartest.Up("s-2", whole)},
+			s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", half), sidecartest.Up("s-2", whole)},
 				`"tenants":[`, `"tenants":[{"name":"zeta","allowance-per-s":100.0,"share":1.0},`))
 			const rounds = 40
 			for range rounds {
 				r := sidecartest.Look(60)
 				r.Header.Set("X-Customer", "zeta")
-				s.ask(t, r)
+				s.do(t, r)
 				for range 5 {
-					s.ask(t, tc.rest())
+					s.do(t, tc.rest())
 				}
 			}
 			if n := failed.Load(); n > rounds/3 { // it is asked again now and then
@@ -503,7 +503,7 @@
 
 // Kept connections may fall silent. A safe request on one goes elsewhere long before its time is up, and the
 // others that have been idle for as long are not tried one after another.
-func TestSilentConnections(t *testing.T) {
+func TestRequestOnSilentConnectionIsRetried(t *testing.T) {
 	var silent atomic.Bool
 	var lost atomic.Int32
 	endpoint := func(falls bool) string {
@@ -521,18 +521,18 @@
 			}
 		})
 	}
-	s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", endpoint(true)), sidecartest.Up("s-2", endpoint(false))}))
+	s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", endpoint(true)), sidecartest.Up("s-2", endpoint(false))}))
 	for range 40 { // the sidecar learns how long requests take, over some connections at once
 		var several sync.WaitGroup
 		for range 8 {
-			several.Go(func() { s.ask(t, sidecartest.Look(900)) })
+			several.Go(func() { s.do(t, sidecartest.Look(900)) })
 		}
 		several.Wait()
 	}
 	silent.Store(true)
 	for i := range 60 {
 		// The breaker may refuse a few: latencies without any network vary by far more than its factor.
-		if resp, _ := s.ask(t, sidecartest.Look(900)); resp.StatusCode != 200 && resp.Header.Get("Retry-After") == "" {
+		if resp, _ := s.do(t, sidecartest.Look(900)); resp.StatusCode != 200 && resp.Header.Get("Retry-After") == "" {
 			t.Errorf("request %d: %s", i, resp.Status)
 		}
 	}
@@ -543,7 +543,7 @@
 
 // After the order to stop clients still connect for a while. All that they send is answered, with
 // Connection: close, what was taken before is finished, and the sidecar ends without error.
-func TestStop(t *testing.T) {
+func TestStopAnswersNewAndOpenRequests(t *testing.T) {
 	taken, release := make(chan struct{}, 1), make(chan struct{})
 	let := sync.OnceFunc(func() { close(release) })
 	t.Cleanup(let)
@@ -553,20 +553,20 @@
 			<-release
 		}
 	})
-	s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
+	s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
 	idle, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer idle.Close()
-	if resp, _ := s.askOn(t, idle, sidecartest.Look(900)); resp.Close {
+	if resp, _ := s.doOn(t, idle, sidecartest.Look(900)); resp.Close {
 		t.Error("a connection was not kept")
 	}
 	var before sync.WaitGroup
 	defer before.Wait()
 	defer let()
 	before.Go(func() {
-		if resp, _ := s.ask(t, sidecartest.Request("POST", "/pay", "pay", 1000, "x")); resp.StatusCode != 200 || !resp.Close {
+		if resp, _ := s.do(t, sidecartest.Request("POST", "/pay", "pay", 1000, "x")); resp.StatusCode != 200 || !resp.Close {
 			t.Errorf("taken before: %s, close %v", resp.Status, resp.Close)
 		}
 	})
@@ -579,7 +579,7 @@
 	}
 	// Until it accepts no more, which it may not do sooner than 500 ms after the order.
 	for n := 0; ; n++ {
-		resp, err := s.try(sidecartest.Look(900))
+		resp, err := s.tryDo(sidecartest.Look(900))
 		if err != nil {
 			if took := time.Since(begun); took < 500*time.Millisecond {
 				t.Fatalf("request %d after the order, after %v: %v", n, took, err)
@@ -590,7 +590,7 @@
 			t.Fatalf("after the order: %s, close %v", resp.Status, resp.Close)
 		}
 		if n == 3 {
-			if resp, err := s.try(sidecartest.Request("GET", "/-/ready", "", 900, "")); err == nil && resp.StatusCode != 503 {
+			if resp, err := s.tryDo(sidecartest.Request("GET", "/-/ready", "", 900, "")); err == nil && resp.StatusCode != 503 {
 				t.Errorf("ready: %s after the order to stop", resp.Status)
 			}
 		}
@@ -606,29 +606,29 @@
 
 // The kill comes the longest time of a request, 3 s at most, and 0.7 s after the order to stop: how long all must have its
 // answer in follows from the settings.
-func TestEndBySettings(t *testing.T) {
+func TestEndDelayFollowsSettings(t *testing.T) {
 	for give, want := range map[string]time.Duration{"1000000": 1550 * time.Millisecond, "400000": 950 * time.Millisecond,
 		"22405243": 3550 * time.Millisecond} {
 		c := sidecartest.Configure(t, sidecartest.Nowhere(t), nil, `"give-up":1000000`, `"give-up":`+give)
-		if got := endIn(&c.Settings); got != want {
+		if got := endDelay(&c.Settings); got != want {
 			t.Errorf("requests of %s us: %v, want %v", give, got, want)
 		}
 	}
 }
 
 // What is open as the process ends has its answer before the kill, however long its client would wait.
-func TestStopAnswersAll(t *testing.T) {
+func TestStopAnswersOpenRequestsBeforeKill(t *testing.T) {
 	taken, release := make(chan struct{}, 1), make(chan struct{})
 	addr := sidecartest.Web(t, func(w http.ResponseWriter, r *http.Request) {
 		taken <- struct{}{}
 		<-release
 	})
 	defer close(release)
-	s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)},
+	s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)},
 		`"give-up":1000000`, `"give-up":600000000`))
 	told := make(chan *http.Response, 1)
 	go func() {
-		resp, err := s.try(sidecartest.Request("POST", "/pay", "pay", 600_000, "x"))
+		resp, err := s.tryDo(sidecartest.Request("POST", "/pay", "pay", 600_000, "x"))
 		if err != nil {
 			t.Error(err)
 		}
@@ -645,12 +645,12 @@
 }
 
 // A service that answers in microseconds leaves attempts little time; none may be given up unsent for that.
-func TestInstantServiceIsServed(t *testing.T) {
+func TestFastServiceIsServed(t *testing.T) {
 	var list []discovery.Instance
 	for _, id := range []string{"s1", "s2", "s3", "s4"} {
 		list = append(list, sidecartest.Up(id, sidecartest.Web(t, func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "found") })))
 	}
-	s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), list, `"probes":false`, `"probes":true`))
+	s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), list, `"probes":false`, `"probes":true`))
 	c, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -658,7 +658,7 @@
 	defer c.Close()
 	refused := 0
 	for range 1000 {
-		if resp, _ := s.askOn(t, c, sidecartest.Look(1000)); resp.StatusCode != 200 {
+		if resp, _ := s.doOn(t, c, sidecartest.Look(1000)); resp.StatusCode != 200 {
 			refused++
 		}
 	}
--- a/internal/dataplane/sidecar/kept_test.go
+++ b/internal/dataplane/sidecar/snapshotfile_test.go
@@ -20,8 +20,8 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// runKept runs a sidecar with the given bytes kept for it, and returns what it logged once it was ready.
-func runKept(t *testing.T, c *config.Config, data []byte) string {
+// runWithSnapshot runs a sidecar with the given bytes kept for it, and returns what it logged once it was ready.
+func runWithSnapshot(t *testing.T, c *config.Config, data []byte) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "known")
 	if err := os.WriteFile(path, data, 0o600); err != nil {
@@ -34,7 +34,7 @@
 	var said bytes.Buffer
 	ctx, stop := context.WithCancel(t.Context())
 	serving := make(chan struct{}, 1)
-	log := slog.New(slog.NewTextHandler(writer(func(p []byte) {
+	log := slog.New(slog.NewTextHandler(logWriter(func(p []byte) {
 		said.Write(p)
 		if bytes.Contains(p, []byte("msg=serving")) {
 			serving <- struct{}{}
@@ -42,7 +42,7 @@
 	}), nil))
 	ended := make(chan error, 1)
 	go func() {
-		ended <- Run(ctx, c, Host{Socket: only{ln}, Bans: maintenance.Discard{}, Kept: snapshot.File{Path: path}, Log: log})
+		ended <- Run(ctx, c, Host{Socket: singleListener{ln}, Overrides: maintenance.Discard{}, SnapshotFile: snapshot.File{Path: path}, Log: log})
 	}()
 	sidecartest.Within(t, serving, "start")
 	stop()
@@ -52,12 +52,12 @@
 	return said.String()
 }
 
-type writer func(p []byte)
+type logWriter func(p []byte)
 
-func (w writer) Write(p []byte) (int, error) { w(p); return len(p), nil }
+func (w logWriter) Write(p []byte) (int, error) { w(p); return len(p), nil }
 
 // A start reads what was kept; whatever the file holds, it starts.
-func TestStartWithWhatWasKept(t *testing.T) {
+func TestStartRestoresSnapshotFile(t *testing.T) {
 	c := sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", "127.0.0.1:1"), sidecartest.Up("s-2", "127.0.0.1:2")})
 	clk, figures := core.NewClock(), metrics.New()
 	old, err := core.New(c, clk, httpfront.NewUpstream(c, clk, &figures.AttemptsSent, sidecartest.Quiet), func(bool) {}, figures, nil, sidecartest.Quiet)
@@ -77,7 +77,7 @@
 		data []byte
 		want string
 	}{{data, "endpoints=2 of=2"}, {data[:len(data)/2], "cut"}, {newer, "newer"}, {[]byte(strings.Repeat("x", 99)), "foreign"}} {
-		if said := runKept(t, c, x.data); !strings.Contains(said, x.want) {
+		if said := runWithSnapshot(t, c, x.data); !strings.Contains(said, x.want) {
 			t.Errorf("want %q in:\n%s", x.want, said)
 		}
 	}
--- a/internal/dataplane/sidecar/flow_test.go
+++ b/internal/dataplane/sidecar/streaming_test.go
@@ -17,14 +17,14 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// long is a text that is never held whole.
-var long = strings.Repeat("0123456789abcdef", 20*httpfront.BodyMost/16) + "end"
+// longText is a text that is never held whole.
+var longText = strings.Repeat("0123456789abcdef", 20*httpfront.BodyMost/16) + "end"
 
-// unsized hides a text's length, so that it goes in chunks.
-type unsized struct{ io.Reader }
+// unsizedReader hides a text's length, so that it goes in chunks.
+type unsizedReader struct{ io.Reader }
 
 // Long bodies and answers go through unchanged, in every form that HTTP/1.1 has for them.
-func TestLong(t *testing.T) {
+func TestLongBodiesAndAnswersPassUnchanged(t *testing.T) {
 	got := make(chan string, 1)
 	// It keeps a connection until it has said that it closes it: the next request may be on its way when it does so unsaid.
 	addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
@@ -41,35 +41,35 @@
 			io.WriteString(c, "HTTP/1.1 103 Early Hints\r\n\r\n")
 			switch as = req.URL.Query().Get("as"); as {
 			case "length":
-				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long)
+				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(longText), longText)
 			case "chunks":
-				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\nX-Sum: 1\r\n\r\n", len(long), long)
+				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\nX-Sum: 1\r\n\r\n", len(longText), longText)
 			case "end":
-				io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+long)
+				io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+longText)
 			default:
 				io.WriteString(c, sidecartest.OKAnswer)
 			}
 		}
 	})
-	s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
+	s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
 	for _, tc := range []struct {
 		as      string
 		body    string
 		chunked bool
 	}{
-		{"short", long, false}, {"short", long, true}, {"short", "short", true}, {"short", long[:httpfront.BodyMost], true},
-		{"length", "x", false}, {"chunks", "x", false}, {"end", "x", false}, {"chunks", long, true},
+		{"short", longText, false}, {"short", longText, true}, {"short", "short", true}, {"short", longText[:httpfront.BodyMost], true},
+		{"length", "x", false}, {"chunks", "x", false}, {"end", "x", false}, {"chunks", longText, true},
 	} {
 		t.Run(fmt.Sprint(tc.as, len(tc.body), tc.chunked), func(t *testing.T) {
 			r := sidecartest.Request("POST", "/pay?as="+tc.as, "pay", 900, tc.body)
 			if tc.chunked {
-				r.ContentLength, r.Body = -1, io.NopCloser(unsized{strings.NewReader(tc.body)})
+				r.ContentLength, r.Body = -1, io.NopCloser(unsizedReader{strings.NewReader(tc.body)})
 			}
-			want := long
+			want := longText
 			if tc.as == "short" {
 				want = "ok"
 			}
-			if resp, text := s.ask(t, r); resp.StatusCode != 200 || text != want {
+			if resp, text := s.do(t, r); resp.StatusCode != 200 || text != want {
 				t.Errorf("%s, %d bytes", resp.Status, len(text))
 			}
 			if body := sidecartest.Within(t, got, "body"); body != tc.body {
@@ -77,26 +77,26 @@
 			}
 		})
 	}
-	s.figureIs(t, `answered_total{group="pay"}`, 8)
-	s.figureIs(t, "sends_total", 8)
-	s.figureIs(t, "current", 0)
+	s.wantMetric(t, `answered_total{group="pay"}`, 8)
+	s.wantMetric(t, "sends_total", 8)
+	s.wantMetric(t, "current", 0)
 }
 
 // Once the client has the beginning, nothing is sent a second time, though a repeat would be harmless, and the
 // client can tell that the rest is missing.
-func TestCutAnswer(t *testing.T) {
+func TestCutAnswerIsNotRetried(t *testing.T) {
 	for _, head := range []string{
-		fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 2*len(long)),
-		fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n", 2*len(long)),
+		fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 2*len(longText)),
+		fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n", 2*len(longText)),
 	} {
 		var sent atomic.Int32
 		addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
 			if _, err := sidecartest.Take(r); err == nil {
 				sent.Add(1)
-				io.WriteString(c, head+long)
+				io.WriteString(c, head+longText)
 			}
 		})
-		s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr), sidecartest.Up("s-2", addr)}))
+		s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr), sidecartest.Up("s-2", addr)}))
 		c, err := net.Dial("tcp", s.addr)
 		if err != nil {
 			t.Fatal(err)
@@ -108,7 +108,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if text, err := io.ReadAll(resp.Body); !errors.Is(err, io.ErrUnexpectedEOF) || !strings.HasPrefix(long, string(text)) {
+		if text, err := io.ReadAll(resp.Body); !errors.Is(err, io.ErrUnexpectedEOF) || !strings.HasPrefix(longText, string(text)) {
 			t.Errorf("%d bytes, %v", len(text), err)
 		}
 		if n := sent.Load(); n != 1 {
@@ -120,7 +120,7 @@
 }
 
 // A body of which a part went by is not sent again, though it never ran.
-func TestCutBody(t *testing.T) {
+func TestStreamedBodyIsNotSentAgain(t *testing.T) {
 	var sent atomic.Int32
 	addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err == nil {
@@ -129,7 +129,7 @@
 			c.SetLinger(0)
 		}
 	})
-	s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr), sidecartest.Up("s-2", addr)}))
+	s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr), sidecartest.Up("s-2", addr)}))
 	c, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -150,7 +150,7 @@
 	if n := sent.Load(); n != 1 {
 		t.Errorf("%d attempts", n)
 	}
-	s.figureIs(t, `deferred_total{group="pay"}`, 1)
+	s.wantMetric(t, `deferred_total{group="pay"}`, 1)
 }
 
 // zeros never ends.
@@ -159,20 +159,20 @@
 func (zeros) Read(b []byte) (int, error) { clear(b); return len(b), nil }
 
 // A client that stops in the middle of a long body is told, and no endpoint gets a whole request.
-func TestHalfLongBody(t *testing.T) {
+func TestIncompleteBodyIsRejected(t *testing.T) {
 	whole := make(chan bool, 1)
 	addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
 		_, err := sidecartest.Take(r)
 		whole <- err == nil
 	})
-	s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
+	s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
 	c, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	var text strings.Builder
-	sidecartest.Request("POST", "/pay", "pay", 900, long).Write(&text)
+	sidecartest.Request("POST", "/pay", "pay", 900, longText).Write(&text)
 	io.WriteString(c, text.String()[:text.Len()-httpfront.BodyMost])
 	c.(*net.TCPConn).CloseWrite()
 	c.SetReadDeadline(time.Now().Add(sidecartest.Soon))
@@ -183,21 +183,21 @@
 	if sidecartest.Within(t, whole, "request") {
 		t.Error("the endpoint took a part for the whole")
 	}
-	s.figureIs(t, "current", 0)
+	s.wantMetric(t, "current", 0)
 }
 
 // A deadline does not cut what has begun to flow.
-func TestFlowOutlastsDeadline(t *testing.T) {
+func TestStreamedAnswerOutlastsDeadline(t *testing.T) {
 	const ms = 100
 	release := make(chan struct{})
 	addr := sidecartest.Web(t, func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set("Content-Length", fmt.Sprint(len(long)))
-		io.WriteString(w, long[:10])
+		w.Header().Set("Content-Length", fmt.Sprint(len(longText)))
+		io.WriteString(w, longText[:10])
 		http.NewResponseController(w).Flush()
 		<-release
-		io.WriteString(w, long[10:])
+		io.WriteString(w, longText[10:])
 	})
-	s := start(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
+	s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
 	// Which is of use only if its head comes in time: on a busy machine it is asked again.
 	var resp *http.Response
 	begun := time.Now()
@@ -226,7 +226,7 @@
 	}
 	time.Sleep(time.Until(begun.Add(2 * ms * time.Millisecond))) // the deadline goes by
 	close(release)
-	if rest, err := io.ReadAll(resp.Body); err != nil || string(first)+string(rest) != long {
+	if rest, err := io.ReadAll(resp.Body); err != nil || string(first)+string(rest) != longText {
 		t.Errorf("%d bytes, %v", len(rest), err)
 	}
 }
--- a/internal/lab/bench/peer.go
+++ b/internal/lab/bench/peer.go
@@ -180,7 +180,7 @@
 	if err != nil {
 		return nil, err
 	}
-	go sidecar.Run(ctx, c, sidecar.Host{Socket: given{ln}, Bans: maintenance.Discard{}, Reload: make(chan os.Signal), Read: read,
+	go sidecar.Run(ctx, c, sidecar.Host{Socket: given{ln}, Overrides: maintenance.Discard{}, Reload: make(chan os.Signal), ReadConfig: read,
 		Log: slog.New(slog.DiscardHandler)})
 	return []string{ln.Addr().String()}, nil
 }
--- a/internal/lab/dnslab/lab.go
+++ b/internal/lab/dnslab/lab.go
@@ -376,8 +376,8 @@
 	run, stop := context.WithCancel(ctx)
 	ended := make(chan error, 1)
 	go func() {
-		ended <- sidecar.Run(run, c, sidecar.Host{Socket: given{listen}, Bans: maintenance.Discard{}, Beside: []core.Protocol{f},
-			Reload: make(chan os.Signal), Read: read, Log: o.Log})
+		ended <- sidecar.Run(run, c, sidecar.Host{Socket: given{listen}, Overrides: maintenance.Discard{}, Protocols: []core.Protocol{f},
+			Reload: make(chan os.Signal), ReadConfig: read, Log: o.Log})
 	}()
 	shop.front = "http://" + listen.Addr().String()
 	end := func() {
