--- a/cmd/birchmoor/replay.go
+++ b/cmd/birchmoor/replay.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		return err
 	}
-	begin, err := replay.Begins(files)
+	begin, err := replay.StartOf(files)
 	if err != nil {
 		return err
 	}
@@ -89,7 +89,7 @@
 	var t *replay.Timeline
 	if k.Timeline != "" {
 		t = replay.NewTimeline(k.Timeline, begin)
-		o.Sample, o.Every = t.Sample, replay.SampleEvery
+		o.Sample, o.SampleInterval = t.Sample, replay.SampleIntervalMicros
 	}
 	r, err := replay.Files(ctx, files, o)
 	if err != nil {
@@ -248,7 +248,7 @@
 	for _, f := range r.Faults {
 		fmt.Fprintln(w, "not readable:", f)
 	}
-	for _, x := range r.Weighed {
+	for _, x := range r.Explanations {
 		fmt.Fprintf(w, "\nat %s: %s\n", at(x.At), x.Input)
 		for _, d := range x.Decisions {
 			fmt.Fprintln(w, "  decided:", d)
@@ -265,7 +265,7 @@
 		}
 		fmt.Fprintln(w, "  (* has a fresh load answer; least cost first)")
 	}
-	if k.Explain > 0 && len(r.Weighed) == 0 {
+	if k.Explain > 0 && len(r.Explanations) == 0 {
 		fmt.Fprintf(w, "request %d is not decided upon there\n", k.Explain)
 	}
 	if d := r.First; d != nil {
--- a/internal/dataplane/replay/replay.go
+++ b/internal/dataplane/replay/replay.go
@@ -20,29 +20,29 @@
 
 // Options say what to play, and what to look at.
 type Options struct {
-	From, To balancer.Micros    // what is counted and shown; 0 for from the beginning, and to the end
-	Pace     bool               // as fast as it happened, not as fast as it can
-	Settings *balancer.Settings // told to the module at each snapshot and reload, in place of the recorded ones
-	Log      io.Writer          // of decisions, a line each; nil for none
-	Explain  uint64             // a request
-	Sample   func(now balancer.Micros, b *balancer.Balancer, number func(name string) (uint32, bool))
-	Every    balancer.Micros // between two samples
+	From, To       balancer.Micros    // what is counted and shown; 0 for from the beginning, and to the end
+	Pace           bool               // as fast as it happened, not as fast as it can
+	Settings       *balancer.Settings // told to the module at each snapshot and reload, in place of the recorded ones
+	Log            io.Writer          // of decisions, a line each; nil for none
+	Explain        uint64             // a request
+	Sample         func(now balancer.Micros, b *balancer.Balancer, number func(name string) (uint32, bool))
+	SampleInterval balancer.Micros // between two samples
 }
 
 // Report is what a replay found.
 type Report struct {
-	From        balancer.Micros `json:"from_us"`
-	To          balancer.Micros `json:"to_us"`
-	Segments    int             `json:"segments"`
-	Inputs      int             `json:"inputs"`
-	Decisions   int             `json:"decisions"`
-	Digest      string          `json:"digest"` // of the decisions, xxHash64
-	Gaps        int             `json:"gaps"`
-	Lost        uint64          `json:"lost"` // records in the gaps
-	Differences int             `json:"differences"`
-	First       *Difference     `json:"first,omitempty"`
-	Faults      []string        `json:"faults,omitempty"` // what was not readable
-	Weighed     []Weighed       `json:"explain,omitempty"`
+	From         balancer.Micros `json:"from_us"`
+	To           balancer.Micros `json:"to_us"`
+	Segments     int             `json:"segments"`
+	Inputs       int             `json:"inputs"`
+	Decisions    int             `json:"decisions"`
+	Digest       string          `json:"digest"` // of the decisions, xxHash64
+	Gaps         int             `json:"gaps"`
+	Lost         uint64          `json:"lost"` // records in the gaps
+	Differences  int             `json:"differences"`
+	First        *Difference     `json:"first,omitempty"`
+	Faults       []string        `json:"faults,omitempty"` // what was not readable
+	Explanations []Explanation   `json:"explain,omitempty"`
 }
 
 // Difference is where the module did not answer as recorded.
@@ -53,55 +53,55 @@
 	Replayed []string        `json:"replayed"`
 }
 
-// Weighed is a moment at which a request was decided upon.
-type Weighed struct {
-	At         balancer.Micros `json:"at_us"`
-	Input      string          `json:"input"`
-	Decisions  []string        `json:"decisions"`
-	Candidates []Named         `json:"candidates"`
+// Explanation is a moment at which a request was decided upon.
+type Explanation struct {
+	At         balancer.Micros  `json:"at_us"`
+	Input      string           `json:"input"`
+	Decisions  []string         `json:"decisions"`
+	Candidates []NamedCandidate `json:"candidates"`
 }
 
-// Named is a candidate with its server's name.
-type Named struct {
+// NamedCandidate is a candidate with its server's name.
+type NamedCandidate struct {
 	Server string `json:"server"`
 	balancer.Candidate
 }
 
-const weighedMost = 64
+const maxExplanations = 64
 
 // player holds a replay.
 type player struct {
-	o      Options
-	r      Report
-	digest *xxhash.Digest
-	b      *balancer.Balancer
-	names  map[uint32]string
-
-	input    capture.Record // the latest
-	got      []capture.Record
-	expected []capture.Record
-	before   *balancer.Snapshot // the state that the latest input met, if the request to explain is open
-	open     bool               // that request is
-	whole    bool               // nothing is missing since the latest snapshot
-	run      uint64             // the process that recorded it
-	muted    bool               // what the module answers to our own settings does not count
-
-	began  time.Time
-	origin balancer.Micros
-	sample balancer.Micros
+	options  Options
+	report   Report
+	digest   *xxhash.Digest
+	balancer *balancer.Balancer
+	names    map[uint32]string
+
+	input           capture.Record // the latest
+	replayed        []capture.Record
+	recorded        []capture.Record
+	stateBefore     *balancer.Snapshot // the state that the latest input met, if the request to explain is open
+	explainedIsOpen bool               // that request is
+	complete        bool               // nothing is missing since the latest snapshot
+	runID           uint64             // the process that recorded it
+	muted           bool               // what the module answers to our own settings does not count
+
+	startedAt    time.Time
+	origin       balancer.Micros
+	nextSampleAt balancer.Micros
 }
 
 // Files plays the files of a capture, in their order. What is not readable is in the report, and ends its file.
 // The error is for what keeps the replay from being one at all.
 func Files(ctx context.Context, paths []string, o Options) (*Report, error) {
-	p := &player{o: o, digest: xxhash.New(), names: map[uint32]string{}}
-	start, err := lastBefore(paths, o.From)
+	p := &player{options: o, digest: xxhash.New(), names: map[uint32]string{}}
+	start, err := lastSnapshotBefore(paths, o.From)
 	if err != nil {
 		return nil, err
 	}
 	seen := 0
 	for _, path := range paths {
-		over, err := p.file(ctx, path, func(x *capture.Record) bool {
+		over, err := p.playFile(ctx, path, func(x *capture.Record) bool {
 			if x.Kind == capture.KindSnapshot {
 				seen++
 			}
@@ -114,22 +114,22 @@
 			break
 		}
 	}
-	p.settle()
-	p.r.Digest = fmt.Sprintf("%016x", p.digest.Sum64())
-	if p.r.Segments == 0 && len(p.r.Faults) == 0 {
+	p.compareActions()
+	p.report.Digest = fmt.Sprintf("%016x", p.digest.Sum64())
+	if p.report.Segments == 0 && len(p.report.Faults) == 0 {
 		return nil, errors.New("replay: nothing is recorded there")
 	}
-	return &p.r, nil
+	return &p.report, nil
 }
 
-// lastBefore returns the number, from 1, of the last snapshot before an instant; 0 to play all.
-func lastBefore(paths []string, from balancer.Micros) (int, error) {
+// lastSnapshotBefore returns the number, from 1, of the last snapshot before an instant; 0 to play all.
+func lastSnapshotBefore(paths []string, from balancer.Micros) (int, error) {
 	seen, last := 0, 0
 	if from == 0 {
 		return 0, nil
 	}
 	for _, path := range paths {
-		err := each(path, func(x *capture.Record) error {
+		err := forEachRecord(path, func(x *capture.Record) error {
 			if x.Kind == capture.KindSnapshot {
 				if seen++; x.At <= from {
 					last = seen
@@ -144,7 +144,7 @@
 	return last, nil
 }
 
-func each(path string, do func(*capture.Record) error) error {
+func forEachRecord(path string, do func(*capture.Record) error) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return fmt.Errorf("replay: %w", err)
@@ -163,11 +163,11 @@
 	return err
 }
 
-var errOver = errors.New("over")
+var errEndOfRange = errors.New("over")
 
-// file plays one file, and says whether the end of what is to be played was reached.
-func (p *player) file(ctx context.Context, path string, wanted func(*capture.Record) bool) (over bool, err error) {
-	err = each(path, func(x *capture.Record) error {
+// playFile plays one file, and says whether the end of what is to be played was reached.
+func (p *player) playFile(ctx context.Context, path string, wanted func(*capture.Record) bool) (over bool, err error) {
+	err = forEachRecord(path, func(x *capture.Record) error {
 		if !wanted(x) {
 			return nil
 		}
@@ -176,13 +176,13 @@
 		}
 		return p.record(x)
 	})
-	if errors.Is(err, errOver) {
+	if errors.Is(err, errEndOfRange) {
 		return true, nil
 	}
 	if bad := (*capture.Error)(nil); errors.As(err, &bad) {
-		p.settle()
-		p.b, p.whole = nil, false // what follows does not follow from what was read
-		p.r.Faults = append(p.r.Faults, path+": "+err.Error())
+		p.compareActions()
+		p.balancer, p.complete = nil, false // what follows does not follow from what was read
+		p.report.Faults = append(p.report.Faults, path+": "+err.Error())
 		return false, nil
 	}
 	return false, err
@@ -191,56 +191,56 @@
 // record takes one record.
 func (p *player) record(x *capture.Record) error {
 	if x.Kind.IsAction() {
-		if p.b != nil {
-			p.expected = append(p.expected, *x)
+		if p.balancer != nil {
+			p.recorded = append(p.recorded, *x)
 		}
 		return nil
 	}
-	p.settle()
-	if p.o.To > 0 && x.At > p.o.To {
-		return errOver
+	p.compareActions()
+	if p.options.To > 0 && x.At > p.options.To {
+		return errEndOfRange
 	}
 	switch x.Kind {
 	case capture.KindGap:
-		p.r.Gaps++
-		p.r.Lost += x.Count
-		p.b, p.whole = nil, false
+		p.report.Gaps++
+		p.report.Lost += x.Count
+		p.balancer, p.complete = nil, false
 		return nil
 	case capture.KindSnapshot:
-		return p.begin(x)
+		return p.resume(x)
 	}
-	if p.b == nil {
+	if p.balancer == nil {
 		return nil // of a segment whose beginning was not readable
 	}
-	p.wait(x.At)
+	p.pace(x.At)
 	p.input = *x
-	if p.counts(x.At) {
-		p.r.Inputs++
-		if p.r.From == 0 {
-			p.r.From = x.At
+	if p.inRange(x.At) {
+		p.report.Inputs++
+		if p.report.From == 0 {
+			p.report.From = x.At
 		}
-		p.r.To = x.At
-		if p.o.Sample != nil && x.At >= p.sample {
-			p.o.Sample(x.At, p.b, p.number)
-			p.sample = x.At + max(1, p.o.Every)
+		p.report.To = x.At
+		if p.options.Sample != nil && x.At >= p.nextSampleAt {
+			p.options.Sample(x.At, p.balancer, p.endpointID)
+			p.nextSampleAt = x.At + max(1, p.options.SampleInterval)
 		}
 	}
-	p.look(x)
+	p.keepStateBefore(x)
 	return p.feed(x)
 }
 
-func (p *player) counts(at balancer.Micros) bool { return at >= p.o.From }
+func (p *player) inRange(at balancer.Micros) bool { return at >= p.options.From }
 
-// begin goes on from a snapshot. What was played up to it must have come to the same state.
-func (p *player) begin(x *capture.Record) error {
+// resume goes on from a snapshot. What was played up to it must have come to the same state.
+func (p *player) resume(x *capture.Record) error {
 	var k snapshot.Saved
 	if err := snapshot.Unmarshal(x.Blob, &k); err != nil || k.State == nil {
-		p.b = nil
-		p.r.Faults = append(p.r.Faults, fmt.Sprintf("the snapshot at %d is not readable: %v", x.At, err))
+		p.balancer = nil
+		p.report.Faults = append(p.report.Faults, fmt.Sprintf("the snapshot at %d is not readable: %v", x.At, err))
 		return nil
 	}
-	if p.b != nil && p.whole && x.Flag && k.RunID == p.run && p.o.Settings == nil {
-		mine, err := snapshot.Marshal(p.b.Snapshot(x.At, true))
+	if p.balancer != nil && p.complete && x.Flag && k.RunID == p.runID && p.options.Settings == nil {
+		mine, err := snapshot.Marshal(p.balancer.Snapshot(x.At, true))
 		if err != nil {
 			return err
 		}
@@ -249,41 +249,41 @@
 			return err
 		}
 		if !bytes.Equal(mine, theirs) {
-			p.differ(x.At, "the state at a snapshot", []string{fmt.Sprintf("%08x", snapshot.Checksum(theirs))},
+			p.addDifference(x.At, "the state at a snapshot", []string{fmt.Sprintf("%08x", snapshot.Checksum(theirs))},
 				[]string{fmt.Sprintf("%08x", snapshot.Checksum(mine))})
 		}
 	}
-	b, err := balancer.Resume(k.State, hand{p})
+	b, err := balancer.Resume(k.State, actions{p})
 	if err != nil {
-		p.b = nil
-		p.r.Faults = append(p.r.Faults, fmt.Sprintf("at %d: %v", x.At, err))
+		p.balancer = nil
+		p.report.Faults = append(p.report.Faults, fmt.Sprintf("at %d: %v", x.At, err))
 		return nil
 	}
-	p.b, p.whole, p.run = b, true, k.RunID
-	p.r.Segments++
+	p.balancer, p.complete, p.runID = b, true, k.RunID
+	p.report.Segments++
 	clear(p.names)
 	for i, e := range k.State.Endpoints {
 		if i < len(k.Names) {
 			p.names[e.ID] = k.Names[i]
 		}
 	}
-	return p.against()
+	return p.applySettings()
 }
 
-// against tells the module the settings that it is to be tried with.
-func (p *player) against() error {
-	if p.o.Settings == nil {
+// applySettings tells the module the settings that it is to be tried with.
+func (p *player) applySettings() error {
+	if p.options.Settings == nil {
 		return nil
 	}
 	p.muted = true
 	defer func() { p.muted = false }()
-	_, err := p.b.Reload(*p.o.Settings)
+	_, err := p.balancer.Reload(*p.options.Settings)
 	return err
 }
 
 // feed tells the module what was told.
 func (p *player) feed(x *capture.Record) error {
-	b, at := p.b, x.At
+	b, at := p.balancer, x.At
 	switch x.Kind {
 	case capture.KindUpdateEndpoints:
 		for i, e := range x.Entries {
@@ -294,7 +294,7 @@
 		b.UpdateEndpoints(at, x.List, x.Entries)
 	case capture.KindRequest:
 		in := x.Request
-		if x.Rules != nil && p.o.Settings == nil {
+		if x.Rules != nil && p.options.Settings == nil {
 			var s balancer.RulesState
 			if err := snapshot.Unmarshal(x.Rules, &s); err != nil {
 				return fmt.Errorf("replay: rules of request %d: %w", in.ID, err)
@@ -327,7 +327,7 @@
 	case capture.KindPeerEjected:
 		b.PeerEjected(at, x.Endpoint, x.Time)
 	case capture.KindReload:
-		if p.o.Settings != nil {
+		if p.options.Settings != nil {
 			return nil // it would take back those that are tried
 		}
 		var s balancer.Settings
@@ -345,34 +345,34 @@
 	return nil
 }
 
-// settle holds the answers to the latest input against those recorded.
-func (p *player) settle() {
-	defer func() { p.got, p.expected, p.before = p.got[:0], p.expected[:0], nil }()
-	if p.b == nil || !p.counts(p.input.At) {
+// compareActions holds the answers to the latest input against those recorded.
+func (p *player) compareActions() {
+	defer func() { p.replayed, p.recorded, p.stateBefore = p.replayed[:0], p.recorded[:0], nil }()
+	if p.balancer == nil || !p.inRange(p.input.At) {
 		return
 	}
-	same := len(p.got) == len(p.expected)
-	for i := 0; same && i < len(p.got); i++ {
-		same = bytes.Equal(p.got[i].Bytes(), p.expected[i].Bytes())
+	same := len(p.replayed) == len(p.recorded)
+	for i := 0; same && i < len(p.replayed); i++ {
+		same = bytes.Equal(p.replayed[i].Bytes(), p.recorded[i].Bytes())
 	}
 	if !same {
-		p.differ(p.input.At, p.input.String(), p.lines(p.expected), p.lines(p.got))
+		p.addDifference(p.input.At, p.input.String(), p.lines(p.recorded), p.lines(p.replayed))
 	}
-	for i := range p.got {
-		p.r.Decisions++
-		line := fmt.Sprintf("%d %s\n", p.input.At, p.got[i].String())
+	for i := range p.replayed {
+		p.report.Decisions++
+		line := fmt.Sprintf("%d %s\n", p.input.At, p.replayed[i].String())
 		p.digest.WriteString(line)
-		if p.o.Log != nil {
-			io.WriteString(p.o.Log, line)
+		if p.options.Log != nil {
+			io.WriteString(p.options.Log, line)
 		}
 	}
-	p.weigh()
+	p.explain()
 }
 
-func (p *player) differ(at balancer.Micros, input string, recorded, replayed []string) {
-	p.r.Differences++
-	if p.r.First == nil {
-		p.r.First = &Difference{at, input, recorded, replayed}
+func (p *player) addDifference(at balancer.Micros, input string, recorded, replayed []string) {
+	p.report.Differences++
+	if p.report.First == nil {
+		p.report.First = &Difference{at, input, recorded, replayed}
 	}
 }
 
@@ -389,53 +389,53 @@
 
 // ---- Explaining ---------------------------------------------------------------
 
-// look keeps the state that an input meets, if the request to explain may be decided upon by it.
-func (p *player) look(x *capture.Record) {
-	p.before = nil
-	if p.o.Explain == 0 || len(p.r.Weighed) >= weighedMost {
+// keepStateBefore keeps the state that an input meets, if the request to explain may be decided upon by it.
+func (p *player) keepStateBefore(x *capture.Record) {
+	p.stateBefore = nil
+	if p.options.Explain == 0 || len(p.report.Explanations) >= maxExplanations {
 		return
 	}
-	if x.Kind == capture.KindRequest && x.Request.ID == p.o.Explain {
-		p.open = true
+	if x.Kind == capture.KindRequest && x.Request.ID == p.options.Explain {
+		p.explainedIsOpen = true
 	}
-	if p.open {
-		p.before = p.b.Snapshot(x.At, true)
+	if p.explainedIsOpen {
+		p.stateBefore = p.balancer.Snapshot(x.At, true)
 	}
 }
 
-// weigh tells what was weighed, if the latest input decided upon the request.
-func (p *player) weigh() {
-	if p.before == nil {
+// explain tells what was weighed, if the latest input decided upon the request.
+func (p *player) explain() {
+	if p.stateBefore == nil {
 		return
 	}
 	var mine []string
-	for i, x := range p.got {
-		if x.ID == p.o.Explain && x.Kind != capture.KindSetTimer {
-			mine = append(mine, p.lines(p.got[i:i+1])...)
-			p.open = p.open && x.Kind != capture.KindReject && x.Kind != capture.KindFail
+	for i, x := range p.replayed {
+		if x.ID == p.options.Explain && x.Kind != capture.KindSetTimer {
+			mine = append(mine, p.lines(p.replayed[i:i+1])...)
+			p.explainedIsOpen = p.explainedIsOpen && x.Kind != capture.KindReject && x.Kind != capture.KindFail
 		}
 	}
-	ended := p.input.Kind == capture.KindOutcome && p.input.ID == p.o.Explain && p.input.Flag
-	p.open = p.open && !ended
+	ended := p.input.Kind == capture.KindOutcome && p.input.ID == p.options.Explain && p.input.Flag
+	p.explainedIsOpen = p.explainedIsOpen && !ended
 	if len(mine) == 0 {
 		return
 	}
-	copied, err := balancer.Resume(p.before, balancer.NoActions{})
+	copied, err := balancer.Resume(p.stateBefore, balancer.NoActions{})
 	if err != nil {
 		return // it was one a moment ago
 	}
-	in := balancer.Request{ID: p.o.Explain}
+	in := balancer.Request{ID: p.options.Explain}
 	if p.input.Kind == capture.KindRequest {
 		in = p.input.Request
 	}
-	w := Weighed{At: p.input.At, Input: p.input.String(), Decisions: mine}
+	w := Explanation{At: p.input.At, Input: p.input.String(), Decisions: mine}
 	for _, c := range copied.Explain(p.input.At, in) {
-		w.Candidates = append(w.Candidates, Named{p.names[c.Endpoint], c})
+		w.Candidates = append(w.Candidates, NamedCandidate{p.names[c.Endpoint], c})
 	}
-	p.r.Weighed = append(p.r.Weighed, w)
+	p.report.Explanations = append(p.report.Explanations, w)
 }
 
-func (p *player) number(name string) (uint32, bool) {
+func (p *player) endpointID(name string) (uint32, bool) {
 	for id, n := range p.names {
 		if n == name {
 			return id, true
@@ -444,41 +444,41 @@
 	return 0, false
 }
 
-// wait lets as much time pass as did.
-func (p *player) wait(at balancer.Micros) {
-	if !p.o.Pace {
+// pace lets as much time pass as did.
+func (p *player) pace(at balancer.Micros) {
+	if !p.options.Pace {
 		return
 	}
-	if p.began.IsZero() {
-		p.began, p.origin = time.Now(), at
+	if p.startedAt.IsZero() {
+		p.startedAt, p.origin = time.Now(), at
 	}
-	time.Sleep(time.Duration(at-p.origin)*time.Microsecond - time.Since(p.began))
+	time.Sleep(time.Duration(at-p.origin)*time.Microsecond - time.Since(p.startedAt))
 }
 
-// hand takes the module's answers.
-type hand struct{ p *player }
+// actions takes the module's answers.
+type actions struct{ p *player }
 
-func (h hand) add(x capture.Record) {
+func (h actions) record(x capture.Record) {
 	if h.p.muted {
 		return
 	}
 	x.At = h.p.input.At
-	h.p.got = append(h.p.got, x)
+	h.p.replayed = append(h.p.replayed, x)
 }
 
-func (h hand) Send(id uint64, e uint32, t balancer.Micros) {
-	h.add(capture.Record{Kind: capture.KindSend, ID: id, Endpoint: e, Time: t})
+func (h actions) Send(id uint64, e uint32, t balancer.Micros) {
+	h.record(capture.Record{Kind: capture.KindSend, ID: id, Endpoint: e, Time: t})
 }
-func (h hand) Reject(id uint64, t balancer.Micros) {
-	h.add(capture.Record{Kind: capture.KindReject, ID: id, Time: t})
+func (h actions) Reject(id uint64, t balancer.Micros) {
+	h.record(capture.Record{Kind: capture.KindReject, ID: id, Time: t})
 }
-func (h hand) Fail(id uint64) { h.add(capture.Record{Kind: capture.KindFail, ID: id}) }
-func (h hand) Cancel(id uint64, attempt int) {
-	h.add(capture.Record{Kind: capture.KindCancel, ID: id, Attempt: attempt})
+func (h actions) Fail(id uint64) { h.record(capture.Record{Kind: capture.KindFail, ID: id}) }
+func (h actions) Cancel(id uint64, attempt int) {
+	h.record(capture.Record{Kind: capture.KindCancel, ID: id, Attempt: attempt})
 }
-func (h hand) Timer(t balancer.Micros, token uint32) {
-	h.add(capture.Record{Kind: capture.KindSetTimer, Time: t, Token: token})
+func (h actions) Timer(t balancer.Micros, token uint32) {
+	h.record(capture.Record{Kind: capture.KindSetTimer, Time: t, Token: token})
 }
-func (h hand) Probe(e uint32)  { h.add(capture.Record{Kind: capture.KindProbe, Endpoint: e}) }
-func (h hand) Watch(on bool)   { h.add(capture.Record{Kind: capture.KindWatch, Flag: on}) }
-func (h hand) Log(line string) { h.add(capture.Record{Kind: capture.KindLog, Line: line}) }
+func (h actions) Probe(e uint32)  { h.record(capture.Record{Kind: capture.KindProbe, Endpoint: e}) }
+func (h actions) Watch(on bool)   { h.record(capture.Record{Kind: capture.KindWatch, Flag: on}) }
+func (h actions) Log(line string) { h.record(capture.Record{Kind: capture.KindLog, Line: line}) }
--- a/internal/dataplane/replay/replay_test.go
+++ b/internal/dataplane/replay/replay_test.go
@@ -86,7 +86,7 @@
 // A part is decided upon as it is within the whole.
 func TestPartOfACapture(t *testing.T) {
 	list := files(t, "gray-failure")
-	begin, err := Begins(list)
+	begin, err := StartOf(list)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -195,10 +195,10 @@
 
 func TestExplainTellsWhoWasWeighed(t *testing.T) {
 	r := play(t, files(t, "gray-failure"), Options{Explain: 700})
-	if len(r.Weighed) == 0 || len(r.Weighed[0].Candidates) != 8 || r.Differences > 0 {
+	if len(r.Explanations) == 0 || len(r.Explanations[0].Candidates) != 8 || r.Differences > 0 {
 		t.Fatalf("%+v", r)
 	}
-	w := r.Weighed[0]
+	w := r.Explanations[0]
 	best := w.Candidates[0]
 	for _, c := range w.Candidates {
 		if c.Server == "" || c.Predicted <= 0 || c.Cost <= 0 {
@@ -216,7 +216,7 @@
 func TestTimelineIsDrawn(t *testing.T) {
 	list := files(t, "gray-failure")
 	line := NewTimeline("mid-3.2", 0)
-	play(t, list, Options{Sample: line.Sample, Every: SampleEvery})
+	play(t, list, Options{Sample: line.Sample, SampleInterval: SampleIntervalMicros})
 	var svg bytes.Buffer
 	if err := line.Write(&svg); err != nil || !strings.Contains(svg.String(), "mid-3.2") || len(line.rows[0]) < 200 {
 		t.Errorf("%v, %d bytes, %d samples", err, svg.Len(), len(line.rows[0]))
--- a/internal/dataplane/replay/timeline.go
+++ b/internal/dataplane/replay/timeline.go
@@ -15,8 +15,8 @@
 	"birchmoor/internal/dataplane/capture"
 )
 
-// SampleEvery is how often a timeline looks, at most.
-const SampleEvery = 50_000
+// SampleIntervalMicros is how often a timeline looks, at most.
+const SampleIntervalMicros = 50_000
 
 // Timeline is what a module believed of a server, over time.
 type Timeline struct {
@@ -30,13 +30,13 @@
 	return &Timeline{Server: server, origin: origin}
 }
 
-// Begins returns the instant at which a capture begins.
-func Begins(paths []string) (balancer.Micros, error) {
+// StartOf returns the instant at which a capture begins.
+func StartOf(paths []string) (balancer.Micros, error) {
 	for _, path := range paths {
 		at, found := balancer.Micros(0), false
-		err := each(path, func(x *capture.Record) error {
+		err := forEachRecord(path, func(x *capture.Record) error {
 			at, found = x.At, true
-			return errOver
+			return errEndOfRange
 		})
 		if found {
 			return at, nil
