--- a/internal/dataplane/replay/replay_test.go
+++ b/internal/dataplane/replay/replay_test.go
@@ -23,27 +23,27 @@
 	"discovery-down":     {"discovery call failed"},
 }
 
-func files(t testing.TB, name string) []string {
-	t.Helper()
+func files(tb testing.TB, name string) []string {
+	tb.Helper()
 	list, err := capture.Files(filepath.Join("..", "..", "..", "lab", "captures", name), "")
 	if err != nil || len(list) == 0 {
-		t.Fatal(list, err)
+		tb.Fatal(list, err)
 	}
 	return list
 }
 
-func play(t testing.TB, list []string, o Options) *Report {
-	t.Helper()
+func play(tb testing.TB, list []string, o Options) *Report {
+	tb.Helper()
 	r, err := Files(context.Background(), list, o)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return r
 }
 
 // The module decides in past failures as it did. If it is meant to decide otherwise now, record them anew:
 // birchmoor lab sim lab/scenarios/NAME.toml --capture lab/captures/NAME
-func TestPastFailures(t *testing.T) {
+func TestCapturesOfPastFailuresReplay(t *testing.T) {
 	for name, marks := range past {
 		t.Run(name, func(t *testing.T) {
 			var log bytes.Buffer
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestTenReplaysAndBothSpeedsAreTheSame(t *testing.T) {
+func TestReplaysAtEitherSpeedAreEqual(t *testing.T) {
 	list := files(t, "discovery-down")
 	first := play(t, list, Options{})
 	for range 9 {
@@ -83,17 +83,17 @@
 	})
 }
 
-// A part is decided upon as it is within the whole.
-func TestPartOfACapture(t *testing.T) {
+// A range is decided upon as it is within the full capture.
+func TestReplayOfARangeDecidesAsTheFullReplay(t *testing.T) {
 	list := files(t, "gray-failure")
 	begin, err := StartOf(list)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var whole, part bytes.Buffer
-	play(t, list, Options{Log: &whole})
+	var full, part bytes.Buffer
+	play(t, list, Options{Log: &full})
 	r := play(t, list, Options{Log: &part, From: begin + 12_000_000, To: begin + 14_000_000})
-	if r.Differences > 0 || part.Len() < 1000 || !strings.Contains(whole.String(), part.String()) {
+	if r.Differences > 0 || part.Len() < 1000 || !strings.Contains(full.String(), part.String()) {
 		t.Errorf("%d differences, %d bytes", r.Differences, part.Len())
 	}
 	if r.Segments != 1 {
@@ -101,19 +101,22 @@
 	}
 }
 
-// tampered records a life in which something happens to the module that is not recorded.
+// tampered records a run in which something happens to the module that is not recorded.
 func tampered(t *testing.T, tamper func(r *capture.Recorder, now balancer.Micros)) []string {
 	t.Helper()
 	dir := t.TempDir()
-	w, err := capture.Create(capture.Config{Dir: dir, Name: "x", MaxBytes: 1 << 20, MaxFileBytes: 1 << 20, MaxFileAge: time.Hour, QueueLength: 4,
+	w, err := capture.Create(capture.Config{Dir: dir, Name: "x", MaxBytes: 1 << 20,
+		MaxFileBytes: 1 << 20, MaxFileAge: time.Hour, QueueLength: 4,
 		RetryDelay: time.Second, Log: slog.New(slog.DiscardHandler), BlockWhenFull: true})
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := balancer.Settings{Balancers: 1, Classes: []balancer.Class{{Name: "look", LatencyObjective: 400_000, Timeout: 900_000, PriorityWeight: 1}},
+	s := balancer.Settings{Balancers: 1,
+		Classes:  []balancer.Class{{Name: "look", LatencyObjective: 400_000, Timeout: 900_000, PriorityWeight: 1}},
 		Limits:   balancer.Limits{MaxAttempts: 2, MaxOpen: 100},
 		Contract: balancer.Contract{InitialCapacity: 0.2, SlowStartDuration: 1_000_000, OverloadMultiple: 2}}
-	r, err := capture.New(capture.Options{SegmentInterval: 200_000, Sink: w, EndpointName: func(id uint32) string { return fmt.Sprint("s-", id) }},
+	r, err := capture.New(capture.Options{SegmentInterval: 200_000, Sink: w,
+		EndpointName: func(id uint32) string { return fmt.Sprint("s-", id) }},
 		balancer.NoActions{}, func(out balancer.Actions) (*balancer.Balancer, error) { return balancer.New(s, 3, out) })
 	if err != nil {
 		t.Fatal(err)
@@ -140,12 +143,14 @@
 	return list
 }
 
-// The replay shows what is planted: a state that was changed behind its back, a decision it would not take.
-func TestReplayShowsPlantedFaults(t *testing.T) {
+// The replay detects injected defects: a state that was changed behind its back, a decision it would not take.
+func TestReplayDetectsInjectedDefects(t *testing.T) {
 	if r := play(t, tampered(t, func(*capture.Recorder, balancer.Micros) {}), Options{}); r.Differences != 0 {
 		t.Fatalf("nothing is planted, and %+v", r.First)
 	}
-	r := play(t, tampered(t, func(r *capture.Recorder, _ balancer.Micros) { r.Balancer.SetCapacityShare(0.25) }), Options{})
+	r := play(t, tampered(t, func(r *capture.Recorder, _ balancer.Micros) {
+		r.Balancer.SetCapacityShare(0.25)
+	}), Options{})
 	if r.Differences == 0 || r.First.Input != "the state at a snapshot" {
 		t.Errorf("a changed share: %+v", r.First)
 	}
@@ -161,9 +166,10 @@
 	}
 }
 
-func TestAgainstOtherSettingsTellsTheFirstDifference(t *testing.T) {
+func TestOtherSettingsReportTheFirstDifference(t *testing.T) {
 	list := tampered(t, func(*capture.Recorder, balancer.Micros) {})
-	s := balancer.Settings{Balancers: 1, Classes: []balancer.Class{{Name: "look", LatencyObjective: 400_000, Timeout: 900_000, PriorityWeight: 1}},
+	s := balancer.Settings{Balancers: 1,
+		Classes:  []balancer.Class{{Name: "look", LatencyObjective: 400_000, Timeout: 900_000, PriorityWeight: 1}},
 		Limits:   balancer.Limits{MaxAttempts: 2, MaxOpen: 100, RetryAfter: true, Cancel: true},
 		Contract: balancer.Contract{InitialCapacity: 0.2, SlowStartDuration: 1_000_000, OverloadMultiple: 2}}
 	if r := play(t, list, Options{Settings: &s}); r.Differences != 0 {
@@ -171,7 +177,7 @@
 	}
 	s.Classes[0].LatencyObjective = 100
 	if r := play(t, list, Options{Settings: &s}); r.Differences == 0 || r.First == nil {
-		t.Error("an aim that nothing meets changes nothing")
+		t.Error("a latency objective that nothing meets changes nothing")
 	}
 }
 
@@ -193,7 +199,7 @@
 	}
 }
 
-func TestExplainTellsWhoWasWeighed(t *testing.T) {
+func TestExplainListsCandidates(t *testing.T) {
 	r := play(t, files(t, "gray-failure"), Options{Explain: 700})
 	if len(r.Explanations) == 0 || len(r.Explanations[0].Candidates) != 8 || r.Differences > 0 {
 		t.Fatalf("%+v", r)
@@ -227,11 +233,12 @@
 }
 
 // A reload drops a class while a request of it is on its way, and another is open: both replay.
-func TestReloadThatDropsAClass(t *testing.T) {
+func TestReloadThatRemovesAClass(t *testing.T) {
 	list := tampered(t, func(r *capture.Recorder, now balancer.Micros) {
 		old := r.Rules()
 		r.Request(now+1, balancer.Request{ID: 9001, Deadline: now + 400_000})
-		s := balancer.Settings{Balancers: 1, Classes: []balancer.Class{{Name: "other", LatencyObjective: 300_000, Timeout: 900_000, PriorityWeight: 2}},
+		s := balancer.Settings{Balancers: 1,
+			Classes:  []balancer.Class{{Name: "other", LatencyObjective: 300_000, Timeout: 900_000, PriorityWeight: 2}},
 			Limits:   balancer.Limits{MaxAttempts: 1, MaxOpen: 100, RetryAfter: true},
 			Contract: balancer.Contract{InitialCapacity: 0.2, SlowStartDuration: 1_000_000, OverloadMultiple: 2}}
 		if _, err := r.Reload(now+2, s); err != nil {
--- a/internal/dataplane/replay/timeline.go
+++ b/internal/dataplane/replay/timeline.go
@@ -1,6 +1,7 @@
 package replay
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -15,27 +16,29 @@
 	"birchmoor/internal/dataplane/capture"
 )
 
-// SampleIntervalMicros is how often a timeline looks, at most.
+// SampleIntervalMicros is the interval between two samples of a timeline.
 const SampleIntervalMicros = 50_000
 
-// Timeline is what a module believed of a server, over time.
+// Timeline is what a module estimated of an endpoint over time.
 type Timeline struct {
 	Server string
 	origin balancer.Micros
-	rows   [4]plotter.XYs // load, latency in ms, chance of refusal, what keeps it out
+	rows   [len(rowNames)]plotter.XYs
 }
 
-// NewTimeline returns an empty one; times are told from origin on.
+// NewTimeline returns an empty timeline, whose time axis begins at origin.
 func NewTimeline(server string, origin balancer.Micros) *Timeline {
 	return &Timeline{Server: server, origin: origin}
 }
 
-// StartOf returns the instant at which a capture begins.
+// StartOf returns the instant of the first record of a capture.
 func StartOf(paths []string) (balancer.Micros, error) {
 	for _, path := range paths {
-		at, found := balancer.Micros(0), false
+		var at balancer.Micros
+		found := false
 		err := forEachRecord(path, func(x *capture.Record) error {
-			at, found = x.At, true
+			at = x.At
+			found = true
 			return errEndOfRange
 		})
 		if found {
@@ -48,7 +51,15 @@
 	return 0, nil
 }
 
-// Sample is Options.Sample.
+// Values of a timeline's last row.
+const (
+	stateInService = 0.0
+	stateWarmingUp = 1.0
+	stateEjected   = 2.0
+	stateNotListed = 3.0
+)
+
+// Sample takes a sample; it is for Options.Sample.
 func (t *Timeline) Sample(now balancer.Micros, b *balancer.Balancer, number func(string) (uint32, bool)) {
 	x := float64(now-t.origin) / 1e6
 	id, listed := number(t.Server)
@@ -57,27 +68,31 @@
 		c = b.Estimate(now, id, 0)
 		listed = len(c.Exclusions) == 0
 	}
-	out := 0.0
+	state := stateInService
 	switch {
 	case !listed:
-		out = 3
+		state = stateNotListed
 	case c.EjectedFor > 0:
-		out = 2
+		state = stateEjected
 	case c.Capacity < 1:
-		out = 1
+		state = stateWarmingUp
 	}
-	for i, y := range [...]float64{c.Load, c.Predicted / 1000, c.ErrorChance, out} {
+	for i, y := range [...]float64{c.Load, c.Predicted / 1000, c.ErrorChance, state} {
 		t.rows[i] = append(t.rows[i], plotter.XY{X: x, Y: y})
 	}
 }
 
-var rowNames = [...]string{"load believed (requests)", "latency expected of a mean request (ms)", "breaker's chance of refusal",
-	"1 cold, 2 ejected, 3 not listed"}
+var rowNames = [...]string{
+	"load believed (requests)",
+	"latency expected of a mean request (ms)",
+	"breaker's chance of refusal",
+	"1 cold, 2 ejected, 3 not listed",
+}
 
-// Write draws it as SVG.
+// Write draws the timeline as SVG.
 func (t *Timeline) Write(w io.Writer) error {
 	if len(t.rows[0]) == 0 {
-		return fmt.Errorf("timeline: nothing was replayed")
+		return errors.New("timeline: nothing was replayed")
 	}
 	const width, height = 24 * vg.Centimeter, 7 * vg.Centimeter
 	c := vgsvg.New(width, height*vg.Length(len(t.rows)))
@@ -87,7 +102,8 @@
 		if i == 0 {
 			p.Title.Text = t.Server
 		}
-		p.X.Label.Text, p.Y.Label.Text = "s", rowNames[i]
+		p.X.Label.Text = "s"
+		p.Y.Label.Text = rowNames[i]
 		line, err := plotter.NewLine(xy)
 		if err != nil {
 			return err
@@ -102,16 +118,14 @@
 	return err
 }
 
-// Save draws it into a file.
+// Save draws the timeline as SVG into a file, which it removes again if that fails.
 func (t *Timeline) Save(path string) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return err
 	}
 	if err := t.Write(f); err != nil {
-		f.Close()
-		os.Remove(path)
-		return err
+		return errors.Join(err, f.Close(), os.Remove(path))
 	}
 	return f.Close()
 }
