--- a/internal/controlplane/operatorconfig/dns.go
+++ b/internal/controlplane/operatorconfig/dns.go
@@ -85,7 +85,8 @@
 		return
 	}
 	if ip := net.ParseIP(host); ip == nil || ip.IsUnspecified() {
-		c.invalid(key, "%q is not the address of one interface: answers over UDP must leave by the one that was asked", host)
+		const reason = "%q is not the address of one interface: answers over UDP must leave by the one that was asked"
+		c.invalid(key, reason, host)
 	}
 }
 
--- a/internal/controlplane/quota/allocator_test.go
+++ b/internal/controlplane/quota/allocator_test.go
@@ -82,7 +82,8 @@
 		grantB, _ := f.grant(b)
 		sum := grantA.Quotas[l.Key(0)].Amount + grantB.Quotas[l.Key(0)].Amount
 		if exceeded := sum > 10*AmountUnit || held; exceeded != (defect != NoDefect) {
-			t.Errorf("defect %d: the outdated allocation held: %v, and %s of 10 are granted", defect, held, FormatAmount(sum))
+			t.Errorf("defect %d: the outdated allocation held: %v, and %s of 10 are granted",
+				defect, held, FormatAmount(sum))
 		}
 	}
 }
--- a/internal/controlplane/quota/status.go
+++ b/internal/controlplane/quota/status.go
@@ -116,7 +116,8 @@
 	}
 	switch l.Fallback {
 	case Fair:
-		fmt.Fprintf(&b, "; without the store %g of it for each %d sidecars out of reach", l.FallbackFraction, l.MinProcesses)
+		fmt.Fprintf(&b, "; without the store %g of it for each %d sidecars out of reach",
+			l.FallbackFraction, l.MinProcesses)
 		if unreachable > 0 {
 			fmt.Fprintf(&b, ", now %s", FormatAmount(l.fallbackSum(unreachable)))
 		}
@@ -132,5 +133,6 @@
 // fallbackSum returns what a number of processes without the store may spend of a Fair limit.
 func (l *Limit) fallbackSum(processes int) Amount {
 	capacity := float64(l.Nodes[0].Capacity)
-	return Amount(math.Ceil(capacity * l.FallbackFraction * float64(processes) / float64(max(l.MinProcesses, processes))))
+	divisor := float64(max(l.MinProcesses, processes))
+	return Amount(math.Ceil(capacity * l.FallbackFraction * float64(processes) / divisor))
 }
--- a/internal/controlplane/quota/validate.go
+++ b/internal/controlplane/quota/validate.go
@@ -33,6 +33,7 @@
 // fieldError is an invalid field of a limit. Its key is that of the file of limits.
 type fieldError struct{ key, reason string }
 
+// Error returns the key and the reason.
 func (e *fieldError) Error() string { return e.key + ": " + e.reason }
 
 func invalidField(key, format string, args ...any) error {
--- a/internal/controlplane/quotasync/stored_test.go
+++ b/internal/controlplane/quotasync/stored_test.go
@@ -36,7 +36,10 @@
 		t.Errorf("decoded %+v, not %+v", process, wantProcess)
 	}
 	here := quota.Process{Host: "s8", Session: 10}
-	if s := status; s.Version != 3 || s.AllocatorHost != "s4" || s.TTLMs != 7 || s.Process != here || s.ValidForMs != 11 {
-		t.Errorf("decoded %+v", s)
+	if status.Version != 3 || status.AllocatorHost != "s4" || status.TTLMs != 7 {
+		t.Errorf("decoded %+v", status)
+	}
+	if status.Process != here || status.ValidForMs != 11 {
+		t.Errorf("decoded %+v", status)
 	}
 }
