--- /dev/null
+++ b/internal/store/follower/frozen_test.go
@@ -0,0 +1,167 @@
+package follower
+
+import (
+	"bytes"
+	"context"
+	"encoding/hex"
+	"io"
+	"log/slog"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"birchmoor/internal/store"
+	"birchmoor/internal/store/changefeed"
+)
+
+// goldenCopies are files of copies that an earlier build wrote, by name.
+func goldenCopies(t *testing.T) map[string][]byte {
+	t.Helper()
+	golden, err := os.ReadFile("testdata/copies.golden")
+	if err != nil {
+		t.Fatal(err)
+	}
+	copies := map[string][]byte{}
+	for line := range strings.Lines(string(golden)) {
+		name, text, _ := strings.Cut(strings.TrimSpace(line), "\t")
+		if copies[name], err = hex.DecodeString(text); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return copies
+}
+
+// TestCopyFileIsFrozen reads files of copies that an earlier build wrote, of all keys and of a part, compares
+// what they hold, and writes the same bytes again.
+func TestCopyFileIsFrozen(t *testing.T) {
+	part := &store.Interest{Prefixes: []string{"out/"}, Keys: []string{"known/h/"}}
+	wantItems := []store.Item{
+		{Key: "known/h/", Value: []byte("w"), CreateRevision: 1, ModRevision: 1, Version: 1},
+		{Key: "out/ban/y", Value: []byte("z"), CreateRevision: 2, ModRevision: 2, Version: 1},
+	}
+	for name, file := range goldenCopies(t) {
+		t.Run(name, func(t *testing.T) {
+			dir := t.TempDir()
+			path := filepath.Join(dir, "copy")
+			if err := os.WriteFile(path, file, 0o600); err != nil {
+				t.Fatal(err)
+			}
+			f, err := Open(Config{
+				Name: "h", Dir: dir, Replicas: []Replica{{Name: "a", Addr: nowhere(t)}}, Log: slog.New(slog.DiscardHandler),
+			})
+			if err != nil {
+				t.Fatal(err)
+			}
+			var copied *store.State
+			if _, err := f.View(t.Context(), true, func(s *store.State) { copied = s }); err != nil {
+				t.Fatal(err)
+			}
+			if err := f.Close(); err != nil {
+				t.Fatal(err)
+			}
+			if copied.Cluster() != 7 || copied.Revision() != 2 {
+				t.Errorf("revision %d of cluster %x", copied.Revision(), copied.Cluster())
+			}
+			wantInterest := part
+			if name == "copy all" {
+				wantInterest = nil
+			}
+			if got := copied.Interest(); !reflect.DeepEqual(got, wantInterest) {
+				t.Errorf("interest %+v, want %+v", got, wantInterest)
+			}
+			var items []store.Item
+			copied.Range("", "", func(i store.Item) bool { items = append(items, i); return true })
+			if !reflect.DeepEqual(items, wantItems) {
+				t.Errorf("items %+v, want %+v", items, wantItems)
+			}
+			if err := write(path, copied, nil); err != nil {
+				t.Fatal(err)
+			}
+			if again, err := os.ReadFile(path); err != nil || !bytes.Equal(again, file) {
+				t.Errorf("written again (%v):\n%x\nwant\n%x", err, again, file)
+			}
+		})
+	}
+}
+
+// TestRequestsAreFrozen compares the requests of a follower, with a copy on its disk and without one, with
+// those of an earlier build.
+func TestRequestsAreFrozen(t *testing.T) {
+	golden, err := os.ReadFile("testdata/requests.golden")
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := strings.Split(strings.TrimSuffix(string(golden), "\n"), "\n")
+	var mu sync.Mutex
+	var requests []string
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		body, err := io.ReadAll(r.Body)
+		if err != nil {
+			t.Error(err)
+		}
+		mu.Lock()
+		requests = append(requests, r.Method+" "+r.URL.String()+" "+string(body))
+		mu.Unlock()
+		w.WriteHeader(http.StatusBadRequest)
+		_, _ = io.WriteString(w, `{"error":"no"}`)
+	}))
+	defer server.Close()
+	withCopy := t.TempDir()
+	if err := os.WriteFile(filepath.Join(withCopy, "copy"), goldenCopies(t)["copy part"], 0o600); err != nil {
+		t.Fatal(err)
+	}
+	subscription := changefeed.Subscription{
+		Interest:     &store.Interest{Prefixes: []string{"out/"}, Keys: []string{"known/h/"}},
+		SizePrefixes: []string{"known/"},
+	}
+	sent := func() []string {
+		mu.Lock()
+		defer mu.Unlock()
+		return slices.Compact(slices.Sorted(slices.Values(requests)))
+	}
+	for _, dir := range []string{withCopy, t.TempDir()} {
+		f, err := Open(Config{
+			Name: "h", Dir: dir, Replicas: []Replica{{Name: "a", Addr: server.Listener.Addr().String()}},
+			Log: slog.New(slog.DiscardHandler), Subscription: func() changefeed.Subscription { return subscription },
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+		id := store.RequestID{Client: 7, Seq: 8}
+		for _, command := range []store.Command{
+			{ID: id, Txn: &store.Txn{Then: []store.Op{{Key: "out/ban/y", Value: []byte("z")}}}},
+			{ID: id, GrantLease: &store.GrantLease{TTLMillis: 5000, Owner: "h"}},
+			{ID: id, RenewLease: &store.RenewLease{LeaseID: 3, Owner: "h"}},
+			{ID: id, RevokeLease: &store.RevokeLease{LeaseID: 3, Owner: "h"}},
+		} {
+			if _, err := f.Do(t.Context(), command); err == nil {
+				t.Error("a rejected command has no error")
+			}
+		}
+		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
+		if _, err := f.View(ctx, false, func(*store.State) {}); err == nil {
+			t.Error("a rejected read has no error")
+		}
+		cancel()
+		path := "GET /v1/copy"
+		if dir == withCopy {
+			path = "GET /v1/follow"
+		}
+		soon(t, path, func() bool {
+			return slices.ContainsFunc(sent(), func(request string) bool { return strings.HasPrefix(request, path) })
+		})
+		if err := f.Close(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if got := sent(); !slices.Equal(got, want) {
+		t.Errorf("requests\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
+	}
+}
