--- a/internal/controlplane/storecopy.go
+++ b/internal/controlplane/storecopy.go
@@ -111,31 +111,31 @@
 	s *operatorconfig.Store, d *daemon.Daemon, replicaConfig engine.Config,
 ) (Store, error) {
 	cfg := follower.Config{
-		Name:  s.Name,
-		Dir:   s.Dir,
-		Keys:  replicaConfig.Keys,
-		Meter: replicaConfig.Meter,
-		Wait:  time.Duration(s.FirstCopyTimeout),
-		Log:   p.log,
-		Age:   p.Servers.ReportSnapshotAge,
+		Name:             s.Name,
+		Dir:              s.Dir,
+		Keys:             replicaConfig.Keys,
+		Usage:            replicaConfig.Meter,
+		FirstCopyTimeout: time.Duration(s.FirstCopyTimeout),
+		Log:              p.log,
+		OnSnapshotAge:    p.Servers.ReportSnapshotAge,
 	}
 	for _, text := range s.Follow {
 		name, address, _ := strings.Cut(text, "=")
 		cfg.Replicas = append(cfg.Replicas, follower.Replica{Name: name, Addr: address})
 	}
-	cfg.Event, cfg.Reset = d.Hooks()
-	cfg.CaughtUp = d.CaughtUp
-	cfg.Confirmed = d.Confirmed
+	cfg.OnEvent, cfg.OnReset = d.Hooks()
+	cfg.OnCaughtUp = d.CaughtUp
+	cfg.OnConfirmed = d.Confirmed
 	if s.Interest != operatorconfig.InterestAll {
 		cfg.Subscription = d.Subscription
-		cfg.PrefixSize = d.ObservePrefixSize
+		cfg.OnPrefixSize = d.ObservePrefixSize
 	}
 	f, err := follower.Open(cfg)
 	if err != nil {
 		return nil, err
 	}
 	d.Attach(f)
-	startedFrom, written := f.Found()
+	startedFrom, written := f.StartedFrom()
 	age, err := f.View(context.Background(), true, func(*store.State) {})
 	if err != nil {
 		startedFrom = startedFromNothing
--- a/internal/store/follower/follow_test.go
+++ b/internal/store/follower/follower_test.go
@@ -17,8 +17,8 @@
 	"birchmoor/internal/store/replica"
 )
 
-// nowhere is an address that refuses connections.
-func nowhere(t *testing.T) string {
+// refusedAddress is an address that refuses connections.
+func refusedAddress(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.2:0")
 	if err != nil {
@@ -30,14 +30,14 @@
 
 // Without a replica a follower starts with its file; a damaged one is not used, and left as it is; and what it is asked ends
 // with the word that nothing was sent.
-func TestAloneWithItsFile(t *testing.T) {
+func TestFollowerWithoutReplicaServesItsFile(t *testing.T) {
 	s := store.New(7, store.DefaultLimits)
 	s.Bootstrap("a", "a", 1)
 	s.Apply(1, &store.Command{Txn: &store.Txn{Then: []store.Op{{Key: "k", Value: []byte("v")}}}})
 	for _, damaged := range []bool{false, true} {
 		dir := t.TempDir()
 		path := filepath.Join(dir, "copy")
-		if err := write(path, s, nil); err != nil {
+		if err := writeFile(path, s, nil); err != nil {
 			t.Fatal(err)
 		}
 		if damaged {
@@ -51,8 +51,8 @@
 			}
 		}
 		resets := 0
-		f, err := Open(Config{Name: "h", Dir: dir, Replicas: []Replica{{Name: "a", Addr: nowhere(t)}}, Wait: time.Millisecond,
-			Log: slog.New(slog.DiscardHandler), Reset: func(*store.State) { resets++ }})
+		f, err := Open(Config{Name: "h", Dir: dir, Replicas: []Replica{{Name: "a", Addr: refusedAddress(t)}}, FirstCopyTimeout: time.Millisecond,
+			Log: slog.New(slog.DiscardHandler), OnReset: func(*store.State) { resets++ }})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -91,7 +91,7 @@
 }
 
 // A change whose time is up while a replica is still being connected to was not sent.
-func TestTimeUpBeforeTheConnection(t *testing.T) {
+func TestTimeoutBeforeConnectionMeansNotSent(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0") // it takes connections, and never answers their greeting
 	if err != nil {
 		t.Fatal(err)
@@ -105,7 +105,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := Open(Config{Name: "h", Dir: t.TempDir(), Replicas: []Replica{{Name: "a", Addr: ln.Addr().String()}}, Keys: pair, Wait: time.Millisecond,
+	f, err := Open(Config{Name: "h", Dir: t.TempDir(), Replicas: []Replica{{Name: "a", Addr: ln.Addr().String()}}, Keys: pair, FirstCopyTimeout: time.Millisecond,
 		Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/store/follower/frozen_test.go
+++ b/internal/store/follower/frozen_test.go
@@ -54,7 +54,7 @@
 				t.Fatal(err)
 			}
 			f, err := Open(Config{
-				Name: "h", Dir: dir, Replicas: []Replica{{Name: "a", Addr: nowhere(t)}}, Log: slog.New(slog.DiscardHandler),
+				Name: "h", Dir: dir, Replicas: []Replica{{Name: "a", Addr: refusedAddress(t)}}, Log: slog.New(slog.DiscardHandler),
 			})
 			if err != nil {
 				t.Fatal(err)
@@ -81,7 +81,7 @@
 			if !reflect.DeepEqual(items, wantItems) {
 				t.Errorf("items %+v, want %+v", items, wantItems)
 			}
-			if err := write(path, copied, nil); err != nil {
+			if err := writeFile(path, copied, nil); err != nil {
 				t.Fatal(err)
 			}
 			if again, err := os.ReadFile(path); err != nil || !bytes.Equal(again, file) {
@@ -154,7 +154,7 @@
 		if dir == withCopy {
 			path = "GET /v1/follow"
 		}
-		soon(t, path, func() bool {
+		eventually(t, path, func() bool {
 			return slices.ContainsFunc(sent(), func(request string) bool { return strings.HasPrefix(request, path) })
 		})
 		if err := f.Close(); err != nil {
--- a/internal/store/follower/part_test.go
+++ b/internal/store/follower/interest_test.go
@@ -27,8 +27,8 @@
 	"birchmoor/internal/store/engine"
 )
 
-// replicaHere is one copy alone that serves followers.
-func replicaHere(t *testing.T) (*engine.Engine, string) {
+// startReplica is one copy alone that serves followers.
+func startReplica(t *testing.T) (*engine.Engine, string) {
 	t.Helper()
 	e, err := engine.Open(engine.Config{Name: "a", Dir: t.TempDir(), TickInterval: 10 * time.Millisecond, DiskOptions: disk.Options{NoSync: true}})
 	if err != nil {
@@ -48,8 +48,8 @@
 	return e, ln.Addr().String()
 }
 
-// older passes on to a replica as one of a version that knows of no interests answers.
-func older(t *testing.T, addr string) string {
+// proxyOfOldVersion passes on to a replica as one of a version that knows of no interests answers.
+func proxyOfOldVersion(t *testing.T, addr string) string {
 	t.Helper()
 	p := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: addr})
 	p.FlushInterval = -1
@@ -85,19 +85,19 @@
 
 func prefixes(all ...string) *store.Interest { return &store.Interest{Prefixes: all} }
 
-type part struct {
+type testFollower struct {
 	*Follower
 	needs  atomic.Pointer[changefeed.Subscription]
 	sum    atomic.Int64
 	resets atomic.Int64
 }
 
-func open(t *testing.T, dir string, n changefeed.Subscription, addrs ...string) *part {
+func open(t *testing.T, dir string, n changefeed.Subscription, addrs ...string) *testFollower {
 	t.Helper()
-	p := &part{}
+	p := &testFollower{}
 	p.needs.Store(&n)
-	cfg := Config{Name: "h", Dir: dir, Wait: time.Minute, Log: slog.New(slog.DiscardHandler), Subscription: func() changefeed.Subscription { return *p.needs.Load() },
-		PrefixSize: func(_ string, n store.PrefixSize) { p.sum.Store(int64(n.Keys)) }, Reset: func(*store.State) { p.resets.Add(1) }}
+	cfg := Config{Name: "h", Dir: dir, FirstCopyTimeout: time.Minute, Log: slog.New(slog.DiscardHandler), Subscription: func() changefeed.Subscription { return *p.needs.Load() },
+		OnPrefixSize: func(_ string, n store.PrefixSize) { p.sum.Store(int64(n.Keys)) }, OnReset: func(*store.State) { p.resets.Add(1) }}
 	for _, a := range addrs {
 		cfg.Replicas = append(cfg.Replicas, Replica{Name: "a", Addr: a})
 	}
@@ -110,7 +110,7 @@
 }
 
 // read is a key as a follower has it, and what became of the reading.
-func (p *part) read(t *testing.T, key string, stale bool) (string, error) {
+func (p *testFollower) read(t *testing.T, key string, stale bool) (string, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
@@ -124,7 +124,7 @@
 	return got, err
 }
 
-func soon(t *testing.T, what string, is func() bool) {
+func eventually(t *testing.T, what string, is func() bool) {
 	t.Helper()
 	for begun := time.Now(); !is(); time.Sleep(5 * time.Millisecond) {
 		if time.Since(begun) > time.Minute {
@@ -133,12 +133,12 @@
 	}
 }
 
-func isOutside(err error) bool { return errors.As(err, new(*store.NotHeldError)) }
+func isNotHeld(err error) bool { return errors.As(err, new(*store.NotHeldError)) }
 
 // A follower holds what it needs, reads a replica for what else is asked, never says of that that it is not there, and holds more or less
 // while it runs; what it keeps is of use to its next start, and is not taken for all.
-func TestAPartOfTheStore(t *testing.T) {
-	e, addr := replicaHere(t)
+func TestPartialFollowerReadsTheRestFromReplica(t *testing.T) {
+	e, addr := startReplica(t)
 	for i := range 5 {
 		put(t, e, fmt.Sprint("a/", i), "v")
 		put(t, e, fmt.Sprint("b/", i), "w")
@@ -146,7 +146,7 @@
 	dir := t.TempDir()
 	needs := changefeed.Subscription{Interest: prefixes("a/"), Retained: store.Interest{Keys: []string{"a/1"}}, SizePrefixes: []string{"b/"}}
 	f := open(t, dir, needs, addr)
-	soon(t, "how many there are beside", func() bool { return f.sum.Load() == 5 })
+	eventually(t, "how many there are beside", func() bool { return f.sum.Load() == 5 })
 	put(t, e, "b/new", "n")
 	put(t, e, "a/1", "changed")
 	for key, want := range map[string]string{"a/1": "changed", "a/9": "none", "b/1": "w", "b/new": "n", "b/9": "none"} {
@@ -154,12 +154,12 @@
 			t.Errorf("%s: %q, %v", key, got, err)
 		}
 		got, err := f.read(t, key, true)
-		if strings.HasPrefix(key, "a/") && (err != nil || got != want) || strings.HasPrefix(key, "b/") && !isOutside(err) {
+		if strings.HasPrefix(key, "a/") && (err != nil || got != want) || strings.HasPrefix(key, "b/") && !isNotHeld(err) {
 			t.Errorf("%s, as this copy has it: %q, %v", key, got, err)
 		}
 	}
-	soon(t, "one more", func() bool { return f.sum.Load() == 6 })
-	if _, _, err := f.Next(t.Context(), "b/", 0, 1); !isOutside(err) {
+	eventually(t, "one more", func() bool { return f.sum.Load() == 6 })
+	if _, _, err := f.Next(t.Context(), "b/", 0, 1); !isNotHeld(err) {
 		t.Errorf("a watch of what is not held: %v", err)
 	}
 	if s, err := f.Save(t.Context()); err != nil || s.Len() != 11 || s.Interest() != nil {
@@ -180,14 +180,14 @@
 	wide.Interest = prefixes("a/", "b/")
 	f.needs.Store(&wide)
 	f.UpdateInterest()
-	soon(t, "more is held", func() bool { got, err := f.read(t, "b/1", true); return err == nil && got == "w" })
+	eventually(t, "more is held", func() bool { got, err := f.read(t, "b/1", true); return err == nil && got == "w" })
 	put(t, e, "b/1", "again")
-	soon(t, "and told of", func() bool { got, _ := f.read(t, "b/1", true); return got == "again" })
+	eventually(t, "and told of", func() bool { got, _ := f.read(t, "b/1", true); return got == "again" })
 	f.needs.Store(&needs)
 	f.UpdateInterest()
-	soon(t, "less is held", func() bool { _, err := f.read(t, "b/1", true); return isOutside(err) })
+	eventually(t, "less is held", func() bool { _, err := f.read(t, "b/1", true); return isNotHeld(err) })
 	put(t, e, "a/1", "last")
-	soon(t, "and told of", func() bool { got, _ := f.read(t, "a/1", true); return got == "last" })
+	eventually(t, "and told of", func() bool { got, _ := f.read(t, "a/1", true); return got == "last" })
 	if err := f.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -199,11 +199,11 @@
 	if _, err := store.Load(bytes.NewReader(b)); err == nil {
 		t.Error("a part is taken for a whole store")
 	}
-	f = open(t, dir, needs, nowhere(t))
+	f = open(t, dir, needs, refusedAddress(t))
 	if got, err := f.read(t, "a/1", true); err != nil || got != "last" {
 		t.Errorf("what was kept: %q, %v", got, err)
 	}
-	if got, err := f.read(t, "a/2", true); !isOutside(err) {
+	if got, err := f.read(t, "a/2", true); !isNotHeld(err) {
 		t.Errorf("what was not: %q, %v", got, err)
 	}
 	if err := f.Close(); err != nil {
@@ -211,32 +211,32 @@
 	}
 	f = open(t, dir, needs, addr)
 	defer f.Close()
-	soon(t, "the rest is taken", func() bool { got, err := f.read(t, "a/2", true); return err == nil && got == "v" })
+	eventually(t, "the rest is taken", func() bool { got, err := f.read(t, "a/2", true); return err == nil && got == "v" })
 }
 
 // Where a replica is of a version that knows of no interests, a follower holds all, as one of that version does; with the next replica
 // that does, a part. What one of that version keeps is of use to this one. One that asks as that version does is told as it was.
-func TestReplicasOfTwoVersions(t *testing.T) {
-	e, addr := replicaHere(t)
+func TestFollowerOfReplicasOfTwoVersions(t *testing.T) {
+	e, addr := startReplica(t)
 	put(t, e, "a/1", "v")
 	put(t, e, "b/1", "w")
-	needs, dir, old := changefeed.Subscription{Interest: prefixes("a/"), Retained: *prefixes("a/")}, t.TempDir(), older(t, addr)
+	needs, dir, old := changefeed.Subscription{Interest: prefixes("a/"), Retained: *prefixes("a/")}, t.TempDir(), proxyOfOldVersion(t, addr)
 	for i, x := range []struct {
 		addr string
 		all  bool
 	}{{old, true}, {addr, false}, {old, true}, {old, true}, {addr, false}, {addr, false}} {
 		f := open(t, dir, needs, x.addr)
-		soon(t, fmt.Sprint("all, or a part: ", i), func() bool {
+		eventually(t, fmt.Sprint("all, or a part: ", i), func() bool {
 			st, err := f.Status(t.Context())
 			return err == nil && st.Following != "" && (st.Interest == nil) == x.all
 		})
 		value := fmt.Sprint("v", i)
 		put(t, e, "a/1", value)
 		put(t, e, "b/1", value)
-		soon(t, "what changes", func() bool { got, _ := f.read(t, "a/1", true); return got == value })
-		soon(t, "what else does", func() bool {
+		eventually(t, "what changes", func() bool { got, _ := f.read(t, "a/1", true); return got == value })
+		eventually(t, "what else does", func() bool {
 			got, err := f.read(t, "b/1", true)
-			return x.all && got == value || !x.all && isOutside(err)
+			return x.all && got == value || !x.all && isNotHeld(err)
 		})
 		put(t, f, "a/2", value) // by way of the replica, and seen here
 		if got, err := f.read(t, "a/2", true); err != nil || got != value {
@@ -280,8 +280,8 @@
 }
 
 // An interest that is out of bounds is refused with its reason.
-func TestInterestsOutOfBounds(t *testing.T) {
-	_, addr := replicaHere(t)
+func TestInterestOutOfBoundsIsRejected(t *testing.T) {
+	_, addr := startReplica(t)
 	many := url.Values{}
 	for i := range store.MaxInterestEntries + 1 {
 		many.Add("prefix", fmt.Sprint(i, "/"))
@@ -305,8 +305,8 @@
 }
 
 // What a first copy had is kept for the next start also where less is held a moment later, until something of what is kept changes.
-func TestTheFirstCopyIsKept(t *testing.T) {
-	e, addr := replicaHere(t)
+func TestFirstCopyIsSavedBeforeItIsNarrowed(t *testing.T) {
+	e, addr := startReplica(t)
 	put(t, e, "a/1", "v")
 	put(t, e, "b/1", "w")
 	dir := t.TempDir()
@@ -316,17 +316,17 @@
 		f := open(t, dir, wide, addr)
 		f.needs.Store(&narrow)
 		f.UpdateInterest()
-		soon(t, "less is held", func() bool { _, err := f.read(t, "b/1", true); return isOutside(err) })
+		eventually(t, "less is held", func() bool { _, err := f.read(t, "b/1", true); return isNotHeld(err) })
 		if change != "" {
 			put(t, f, "a/1", change)
 		}
 		if err := f.Close(); err != nil {
 			t.Fatal(err)
 		}
-		f = open(t, dir, narrow, nowhere(t))
+		f = open(t, dir, narrow, refusedAddress(t))
 		defer f.Close()
 		got, err := f.read(t, "b/1", true)
-		if isOutside(err) {
+		if isNotHeld(err) {
 			return "not held"
 		}
 		return got
--- a/internal/store/follower/meter_test.go
+++ b/internal/store/follower/usage_test.go
@@ -21,7 +21,7 @@
 
 // A follower and its replica count the same messages and bytes, each way and for each purpose, and the replica as many entries as were
 // put to it: of a stream of all, and of one by interest, by which a line has all that a transaction changed and counts as its first key.
-func TestBothEndsCountTheSame(t *testing.T) {
+func TestFollowerAndReplicaCountTheSameUsage(t *testing.T) {
 	own := changefeed.Subscription{Interest: &store.Interest{Prefixes: []string{"known/h/", "out/"}}, SizePrefixes: []string{"known/"}}
 	t.Run("all", func(t *testing.T) { bothEndsCountTheSame(t, nil, [2]uint64{4, 5}) })
 	t.Run("own", func(t *testing.T) {
@@ -56,8 +56,8 @@
 		return err == nil && s.Level >= store.LevelOwners
 	})
 	dir := t.TempDir()
-	f, err := Open(Config{Name: "h", Dir: dir, Replicas: []Replica{{Name: "a", Addr: ln.Addr().String()}}, Wait: time.Minute,
-		Log: slog.New(slog.DiscardHandler), Meter: here, Subscription: needs})
+	f, err := Open(Config{Name: "h", Dir: dir, Replicas: []Replica{{Name: "a", Addr: ln.Addr().String()}}, FirstCopyTimeout: time.Minute,
+		Log: slog.New(slog.DiscardHandler), Usage: here, Subscription: needs})
 	if err != nil {
 		t.Fatal(err)
 	}
