--- a/cmd/birchmoor/sidecar_test.go
+++ b/cmd/birchmoor/sidecar_test.go
@@ -100,7 +100,7 @@
 		if _, err := os.Stat(kept); err == nil && frames() > 2000 {
 			break
 		}
-		if time.Since(begun) > processtest.Soon {
+		if time.Since(begun) > processtest.WaitTimeout {
 			t.Fatalf("%d bytes are recorded, and the state is not kept: %s %s", frames(), resp.Status, log)
 		}
 	}
--- a/cmd/birchmoor/task_test.go
+++ b/cmd/birchmoor/task_test.go
@@ -59,14 +59,14 @@
 		return processtest.Start(t, processtest.Self(t, []string{asProgram + "=1"}, append([]string{"lock", "--socket", a.socket}, args...)...), log)
 	}
 	var log processtest.Log
-	if code := lock(&log, "job", "--", "sh", "-c", `echo "$BIRCHMOOR_TASK $BIRCHMOOR_TOKEN"; exit 7`).Code(); code != 7 || !strings.Contains(log.String(), "job ") {
+	if code := lock(&log, "job", "--", "sh", "-c", `echo "$BIRCHMOOR_TASK $BIRCHMOOR_TOKEN"; exit 7`).ExitCode(); code != 7 || !strings.Contains(log.String(), "job ") {
 		t.Fatalf("exit code %d:\n%s", code, log.String())
 	}
 	// The second is not got while the first runs, and gets it once that is killed outright, with all that it started.
 	one, two := filepath.Join(dir, "one"), filepath.Join(dir, "two")
 	holder := lock(&log, "job", "--ttl", "1s", "--", "sh", "-c", "(trap '' TERM; while :; do echo x >> "+one+"; sleep 0.01; done) & wait")
 	processtest.Until(t, "the first one's work", func() bool { _, err := os.Stat(one); return err == nil }, log.String)
-	if code := lock(&log, "job", "--ttl", "1s", "--wait", "300ms", "--", "touch", two).Code(); code != exitNotGot {
+	if code := lock(&log, "job", "--ttl", "1s", "--wait", "300ms", "--", "touch", two).ExitCode(); code != exitNotGot {
 		t.Errorf("exit code %d for a lock that is held", code)
 	}
 	if code, out, errs := birchmoor("task", "show", "job", "--socket", a.socket); code != 0 || !strings.Contains(out, "holds") {
@@ -80,7 +80,7 @@
 		}
 		return info.Size()
 	}
-	if code := lock(&log, "job", "--ttl", "20s", "--", "cp", one, two).Code(); code != 0 {
+	if code := lock(&log, "job", "--ttl", "20s", "--", "cp", one, two).ExitCode(); code != 0 {
 		t.Fatalf("exit code %d after the first was killed:\n%s", code, log.String())
 	}
 	after := size()
@@ -97,7 +97,7 @@
 	if code, _, errs := birchmoor("task", "pause", "job", "--socket", a.socket); code != 0 {
 		t.Fatal(errs)
 	}
-	if code := holder.Code(); code != exitLost {
+	if code := holder.ExitCode(); code != exitLost {
 		t.Errorf("exit code %d of one whose task was paused", code)
 	}
 	if _, out, _ := birchmoor("task", "list", "--socket", a.socket); !strings.Contains(out, "it is paused") {
@@ -107,7 +107,7 @@
 		t.Error("not resumed")
 	}
 	for _, args := range [][]string{{"Bad Name", "--", "true"}, {"job", "--ttl", "1ms", "--", "true"}, {"job", "--slots", "3", "--", "true"}, {"job", "--", "no-such-command"}} {
-		if code := lock(&log, append([]string{"--wait", "20s"}, args...)...).Code(); code == 0 {
+		if code := lock(&log, append([]string{"--wait", "20s"}, args...)...).ExitCode(); code == 0 {
 			t.Errorf("%v: exit code 0", args)
 		}
 	}
--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -1,4 +1,4 @@
-// Command sidecar is a sidecar that balances its application's requests over endpoints.
+// Command sidecar balances its application's requests over endpoints. It is configured by the environment (README.md).
 package main
 
 import (
@@ -14,11 +14,11 @@
 )
 
 func main() {
-	// First of all, since a SIGHUP that nobody waits for ends the program.
+	// First of all, since an unhandled SIGHUP would end the program.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	// One core is ours, and other sidecars may share it.
+	// The platform gives one core, which other sidecars may share.
 	runtime.GOMAXPROCS(1)
 	if err := run(reload, log); err != nil {
 		log.Error("ended", "error", err)
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -75,7 +75,7 @@
 		ready()
 	}
 	p.Signal(syscall.SIGTERM)
-	if code := p.Code(); code != 0 {
+	if code := p.ExitCode(); code != 0 {
 		t.Errorf("exit code %d after SIGTERM:\n%s", code, p.Log())
 	}
 }
@@ -89,7 +89,7 @@
 	p, ready, log := program(t, filepath.Join(t.TempDir(), "config.json"), tmp)
 	ready()
 	p.Signal(syscall.SIGTERM)
-	if code := p.Code(); code != 0 {
+	if code := p.ExitCode(); code != 0 {
 		t.Errorf("exit code %d after SIGTERM:\n%s", code, p.Log())
 	}
 	if n := strings.Count(log.String(), "a new process will not find this one"); n != 1 {
--- a/cmd/sidecar/term_test.go
+++ b/cmd/sidecar/term_test.go
@@ -57,7 +57,7 @@
 		}()
 		<-taken
 	}
-	procs["told while stopped"].Freeze()
+	procs["told while stopped"].Pause()
 	for _, how := range []string{"told", "told while stopped"} {
 		procs[how].Signal(syscall.SIGTERM)
 	}
@@ -65,7 +65,7 @@
 	if a := <-answers["killed"]; a.err == nil {
 		t.Errorf("killed: answered %s", a.resp.Status)
 	}
-	procs["told while stopped"].Thaw()
+	procs["told while stopped"].Resume()
 	for _, how := range []string{"told", "told while stopped"} {
 		p := procs[how]
 		// Only what it has taken is left to wait for, once it accepts no more.
@@ -83,7 +83,7 @@
 		if a := <-answers[how]; a.err != nil || a.resp.StatusCode != 200 && a.resp.StatusCode != 502 || !a.resp.Close {
 			t.Errorf("%s: %+v", how, a)
 		}
-		if code := procs[how].Code(); code != 0 {
+		if code := procs[how].ExitCode(); code != 0 {
 			t.Errorf("%s: exit code %d:\n%s", how, code, procs[how].Log())
 		}
 	}
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,9 +1,10 @@
-// Command simadapter hosts balancers behind the simulator's wire: batches of events
-// on standard input, one reply each on standard output.
+// Command simadapter hosts balancers behind the simulator's wire: it reads batches of events from standard input and writes a
+// reply to each on standard output.
 package main
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -13,9 +14,11 @@
 	"birchmoor/internal/platform/wire"
 )
 
+// gcPercent is high since nothing is allocated in the steady state.
+const gcPercent = 400
+
 func main() {
-	// Nothing is allocated in the steady state: collect rarely.
-	debug.SetGCPercent(400)
+	debug.SetGCPercent(gcPercent)
 	if err := run(bufio.NewReaderSize(os.Stdin, 1<<18), os.Stdout, os.Stderr); err != nil {
 		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
@@ -24,11 +27,11 @@
 
 // host runs the instances of one process. They share nothing but its buffers.
 type host struct {
-	decoder wire.Decoder
-	reply   wire.Reply
-	balance map[uint32]*instance
-	strange [256]bool // unknown codes already reported
-	stderr  io.Writer
+	decoder   wire.Decoder
+	reply     wire.Reply
+	instances map[uint32]*instance
+	reported  [256]bool // unknown codes that were reported
+	stderr    io.Writer
 }
 
 // instance is one balancer with its number, and the Actions given to it.
@@ -38,12 +41,13 @@
 	balancer *balancer.Balancer // nil once stopped or faulty
 }
 
+// run answers batches until the input ends.
 func run(in io.Reader, out, stderr io.Writer) error {
-	h := &host{balance: map[uint32]*instance{}, stderr: stderr}
+	h := &host{instances: map[uint32]*instance{}, stderr: stderr}
 	var frame []byte
 	for {
 		next, err := wire.ReadFrame(in, frame)
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
@@ -59,6 +63,7 @@
 	}
 }
 
+// batch handles the events of a frame and builds the reply.
 func (h *host) batch(frame []byte) error {
 	number, now, err := h.decoder.Reset(frame)
 	if err != nil {
@@ -70,7 +75,7 @@
 	named := false
 	for {
 		err := h.decoder.Next(&e)
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
@@ -80,13 +85,14 @@
 		case wire.EventEndpointList:
 			continue
 		case wire.EventSelectInstance:
-			current, named = e.Instance, true
+			current = e.Instance
+			named = true
 			h.reply.SelectInstance(current)
 			continue
 		}
 		if e.Code < wire.EventStart || e.Code > wire.EventSelectInstance {
-			if !h.strange[e.Code] {
-				h.strange[e.Code] = true
+			if !h.reported[e.Code] {
+				h.reported[e.Code] = true
 				fmt.Fprintf(h.stderr, "simadapter: %v at byte %d: unknown code, skipped\n", e.Code, e.Offset)
 			}
 			continue
@@ -94,20 +100,20 @@
 		if !named {
 			return &wire.FrameError{Record: e.Code.String(), Offset: e.Offset, Reason: "comes before any instance"}
 		}
-		i := h.balance[current]
+		i := h.instances[current]
 		if i == nil {
 			if e.Code != wire.EventStart {
 				return &wire.FrameError{Record: e.Code.String(), Offset: e.Offset,
 					Reason: fmt.Sprintf("instance %d has not begun", current)}
 			}
 			i = &instance{host: h, number: current}
-			h.balance[current] = i
+			h.instances[current] = i
 		}
 		i.handle(now, &e)
 	}
 }
 
-// handle passes an event on. A panic becomes an exception on the wire.
+// handle passes an event to the balancer. A panic is reported on the wire and ends the instance.
 func (i *instance) handle(now balancer.Micros, e *wire.Event) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -117,7 +123,7 @@
 	}()
 	switch e.Code {
 	case wire.EventStart:
-		i.begin(now, e)
+		i.start(now, e)
 		return
 	case wire.EventStop:
 		i.balancer = nil
@@ -144,7 +150,8 @@
 	}
 }
 
-func (i *instance) begin(now balancer.Micros, e *wire.Event) {
+// start makes the balancer of an instance, or reports invalid settings on the wire.
+func (i *instance) start(now balancer.Micros, e *wire.Event) {
 	i.balancer = nil
 	s, err := wire.ParseSettings(e.Config)
 	if err == nil {
@@ -157,28 +164,28 @@
 	i.balancer.Start(now)
 }
 
-// Send writes a deliver record.
+// Send implements balancer.Actions.
 func (i *instance) Send(id uint64, endpoint uint32, timeout balancer.Micros) {
 	i.reply.Send(id, endpoint, timeout)
 }
 
-// Reject writes a decline record.
+// Reject implements balancer.Actions.
 func (i *instance) Reject(id uint64, retryAfter balancer.Micros) { i.reply.Reject(id, retryAfter) }
 
-// Fail writes a fail record.
+// Fail implements balancer.Actions.
 func (i *instance) Fail(id uint64) { i.reply.Fail(id) }
 
-// Cancel writes a revoke record.
+// Cancel implements balancer.Actions.
 func (i *instance) Cancel(id uint64, attempt int) { i.reply.Cancel(id, attempt) }
 
-// Timer writes an arm record.
+// Timer implements balancer.Actions.
 func (i *instance) Timer(delay balancer.Micros, token uint32) { i.reply.SetTimer(delay, token) }
 
-// Probe writes a sound_out record.
+// Probe implements balancer.Actions.
 func (i *instance) Probe(endpoint uint32) { i.reply.Probe(endpoint) }
 
-// Watch writes a track record.
+// Watch implements balancer.Actions.
 func (i *instance) Watch(on bool) { i.reply.Watch(on) }
 
-// Log writes a trace record.
+// Log implements balancer.Actions.
 func (i *instance) Log(line string) { i.reply.Log(line) }
--- a/internal/controlplane/leasetask/leasetask_test.go
+++ b/internal/controlplane/leasetask/leasetask_test.go
@@ -62,7 +62,7 @@
 
 func acquire(t *testing.T, r *Runner, w Claim) *Lease {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), processtest.Soon)
+	ctx, cancel := context.WithTimeout(t.Context(), processtest.WaitTimeout)
 	defer cancel()
 	h, err := r.Acquire(ctx, w, nil)
 	if err != nil {
--- a/internal/dataplane/core/deadline_test.go
+++ b/internal/dataplane/core/deadline_test.go
@@ -15,7 +15,7 @@
 func answerOf(t *testing.T, class uint8, send func(ctx context.Context, a Attempt) Reply) (
 	a Answer, took time.Duration) {
 	t.Helper()
-	l := newLoop(t, sidecartest.Configure(t, anyAddr, endpoints(1)), stub{send: send}, sidecartest.Quiet)
+	l := newLoop(t, sidecartest.Configure(t, anyAddr, endpoints(1)), stub{send: send}, sidecartest.DiscardLog)
 	defer runLoop(t, l)()
 	r := newRequest(l, "1", class)
 	r.Input.Key = 7
--- a/internal/dataplane/core/drains_test.go
+++ b/internal/dataplane/core/drains_test.go
@@ -20,7 +20,7 @@
 		return discovery.Process{ID: id, Addr: addr, StartedMs: started}
 	}
 	known := []discovery.Instance{in("a", "127.0.0.1:1", "up", 5), in("b", "127.0.0.1:2", "up", 5)}
-	l := newLoop(t, sidecartest.Configure(t, anyAddr, known), stub{}, sidecartest.Quiet)
+	l := newLoop(t, sidecartest.Configure(t, anyAddr, known), stub{}, sidecartest.DiscardLog)
 	var reported []string
 	l.ShareDrains([]discovery.Process{process("a", "127.0.0.1:1", 5)}, func(p discovery.Process, drains bool) {
 		reported = append(reported, fmt.Sprintf("%s%d%v", p.ID, p.StartedMs, drains))
@@ -97,7 +97,7 @@
 		return Start{discovery.Process{ID: id, Addr: anyAddr, StartedMs: started}, age}
 	}
 	known := []discovery.Instance{in("old", 0), in("began", 0), in("late", 5)}
-	l := newLoop(t, sidecartest.Configure(t, anyAddr, known), stub{}, sidecartest.Quiet)
+	l := newLoop(t, sidecartest.Configure(t, anyAddr, known), stub{}, sidecartest.DiscardLog)
 	now := time.Now().UnixMilli()
 	draining := discovery.Process{ID: "late", Addr: anyAddr, StartedMs: 5}
 	l.ShareDrains([]discovery.Process{draining}, func(discovery.Process, bool) {})
--- a/internal/dataplane/core/endpointlist_test.go
+++ b/internal/dataplane/core/endpointlist_test.go
@@ -18,7 +18,7 @@
 func TestInvalidListEntriesAreLoggedOnce(t *testing.T) {
 	var logged strings.Builder
 	log := slog.New(slog.NewTextHandler(&logged, nil))
-	l := newLoop(t, sidecartest.Configure(t, sidecartest.Nowhere(t), nil), stub{}, log)
+	l := newLoop(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), nil), stub{}, log)
 	now := l.Now()
 	l.balancer.Start(now)
 	in := func(id, addr, lifecycle string) discovery.Instance {
@@ -96,7 +96,7 @@
 
 // A dial can outlast the grace of a drain: then nothing may be sent, and the request never ran.
 func TestConnectionAfterDrainGraceSendsNothing(t *testing.T) {
-	drained := sidecartest.Up("s-1", anyAddr)
+	drained := sidecartest.ReadyInstance("s-1", anyAddr)
 	drained.Lifecycle = lifecycleDraining
 	for _, tc := range []struct {
 		name string
@@ -119,7 +119,7 @@
 				}
 				return Reply{Status: balancer.OK, At: l.Now()}
 			}}
-			l = newLoop(t, sidecartest.Configure(t, anyAddr, endpoints(1)), transport, sidecartest.Quiet)
+			l = newLoop(t, sidecartest.Configure(t, anyAddr, endpoints(1)), transport, sidecartest.DiscardLog)
 			defer runLoop(t, l)()
 			r := submit(l, "1", classPay)
 			<-dialing
@@ -132,7 +132,7 @@
 }
 
 func TestNotReadyWithoutEndpoint(t *testing.T) {
-	l := startLoneLoop(t, sidecartest.Configure(t, anyAddr, nil), sidecartest.Quiet)
+	l := startLoneLoop(t, sidecartest.Configure(t, anyAddr, nil), sidecartest.DiscardLog)
 	mustDo(t, l, func(balancer.Micros) {}) // it has started
 	if l.Ready() {
 		t.Error("ready without an endpoint")
--- a/internal/dataplane/core/helper_test.go
+++ b/internal/dataplane/core/helper_test.go
@@ -44,7 +44,7 @@
 func endpoints(n int) []discovery.Instance {
 	var all []discovery.Instance
 	for i := range n {
-		all = append(all, sidecartest.Up(fmt.Sprint("s-", i+1), fmt.Sprint("127.0.0.1:", i+1)))
+		all = append(all, sidecartest.ReadyInstance(fmt.Sprint("s-", i+1), fmt.Sprint("127.0.0.1:", i+1)))
 	}
 	return all
 }
@@ -79,7 +79,7 @@
 	t.Helper()
 	c := sidecartest.Configure(t, anyAddr, endpoints(2), edits...)
 	transport := stub{send: func(ctx context.Context, a Attempt) Reply { return send(ctx, l, a) }}
-	l = newLoop(t, c, transport, sidecartest.Quiet)
+	l = newLoop(t, c, transport, sidecartest.DiscardLog)
 	return l, runLoop(t, l)
 }
 
--- a/internal/dataplane/core/latereply_test.go
+++ b/internal/dataplane/core/latereply_test.go
@@ -44,7 +44,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			var upstream twoAttempts
 			transport := stub{acceptsLateReplies: late, send: upstream.send}
-			l := newLoop(t, sidecartest.Configure(t, anyAddr, endpoints(2)), transport, sidecartest.Quiet)
+			l := newLoop(t, sidecartest.Configure(t, anyAddr, endpoints(2)), transport, sidecartest.DiscardLog)
 			defer runLoop(t, l)()
 			for range 100 { // teaches the module of both endpoints
 				var two [2]*Request
@@ -97,7 +97,7 @@
 			return Reply{Status: balancer.Cancelled}
 		}}
 		c := sidecartest.Configure(t, anyAddr, endpoints(1), `"cancel":true`, `"cancel":false`)
-		l := newLoop(t, c, transport, sidecartest.Quiet)
+		l := newLoop(t, c, transport, sidecartest.DiscardLog)
 		defer runLoop(t, l)()
 		r := submit(l, "1", classLook)
 		<-sent
--- a/internal/dataplane/core/races_test.go
+++ b/internal/dataplane/core/races_test.go
@@ -152,11 +152,11 @@
 // sends first.
 func TestLateEventOfEndedWatchIsIgnored(t *testing.T) {
 	list := func(id string) discovery.List {
-		instances := []discovery.Instance{sidecartest.Up(id, anyAddr)}
+		instances := []discovery.Instance{sidecartest.ReadyInstance(id, anyAddr)}
 		return discovery.List{Generation: 9, Reset: true, Instances: instances}
 	}
 	for _, lateFirst := range []bool{true, false} {
-		l := newLoop(t, sidecartest.Configure(t, anyAddr, nil), stub{}, sidecartest.Quiet)
+		l := newLoop(t, sidecartest.Configure(t, anyAddr, nil), stub{}, sidecartest.DiscardLog)
 		// The loop is not running yet, so that events wait in its queue.
 		old, move := context.WithCancel(t.Context())
 		if lateFirst {
--- a/internal/dataplane/core/restore_test.go
+++ b/internal/dataplane/core/restore_test.go
@@ -42,7 +42,7 @@
 
 // What one process learned of an endpoint the next one knows by the endpoint's name, whatever its number there.
 func TestRestoreMatchesEndpointsByName(t *testing.T) {
-	old := startLoneLoop(t, sidecartest.Configure(t, sidecartest.Nowhere(t), endpoints(3)), sidecartest.Quiet)
+	old := startLoneLoop(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), endpoints(3)), sidecartest.DiscardLog)
 	answerProbes(t, old, map[string]balancer.Micros{"s-1": 1000, "s-2": 2000, "s-3": 3000})
 	data, err := old.Snapshot(t.Context())
 	if err != nil {
@@ -55,9 +55,9 @@
 	var logged bytes.Buffer
 	log := slog.New(slog.NewTextHandler(&logged, nil))
 	known := endpoints(3)
-	known[0] = sidecartest.Up("s-9", "127.0.0.1:9")
+	known[0] = sidecartest.ReadyInstance("s-9", "127.0.0.1:9")
 	known[1], known[2] = known[2], known[1]
-	next := startLoneLoop(t, sidecartest.Configure(t, sidecartest.Nowhere(t), known), log)
+	next := startLoneLoop(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), known), log)
 	next.Restore(t.Context(), saved, "a file")
 	if got := roundTrips(t, next); got["s-2"] != 2000 || got["s-3"] != 3000 || got["s-9"] != 0 || len(got) != 3 {
 		t.Errorf("round trips %v", got)
@@ -73,8 +73,8 @@
 // Two processes side by side report their ejections to each other.
 func TestEjectionsAreReportedToPeerProcess(t *testing.T) {
 	known := endpoints(3)
-	one := startLoneLoop(t, sidecartest.Configure(t, sidecartest.Nowhere(t), known), sidecartest.Quiet)
-	other := startLoneLoop(t, sidecartest.Configure(t, sidecartest.Nowhere(t), known[1:]), sidecartest.Quiet)
+	one := startLoneLoop(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), known), sidecartest.DiscardLog)
+	other := startLoneLoop(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), known[1:]), sidecartest.DiscardLog)
 	reports := make(chan []handover.Ejection, 1)
 	report := newEjectionReporter(func(_ context.Context, ejections []handover.Ejection) error {
 		reports <- ejections
@@ -85,14 +85,14 @@
 		one.balancer.PeerEjected(now, one.byName["s-2"].number, 3_000_000)
 		one.reportEjections(now)
 	})
-	ejections := sidecartest.Within(t, reports, "report of the ejection")
+	ejections := sidecartest.Receive(t, reports, "report of the ejection")
 	if len(ejections) != 1 || ejections[0].ID != "s-2" || ejections[0].LeftMicros <= 0 {
 		t.Fatalf("reported %+v", ejections)
 	}
 	unknown, ended := handover.Ejection{ID: "s-1", LeftMicros: 1_000_000}, handover.Ejection{ID: "s-3", LeftMicros: -1}
 	other.ApplyEjections(append(ejections, unknown, ended))
 	mustDo(t, other, func(balancer.Micros) {}) // urgent events go ahead of it
-	for end := time.Now().Add(sidecartest.Soon); ; {
+	for end := time.Now().Add(sidecartest.WaitTimeout); ; {
 		var n int
 		mustDo(t, other, func(now balancer.Micros) { n = other.balancer.ExcludedCount(now) })
 		if n == 1 {
@@ -107,7 +107,7 @@
 func TestSnapshotSaverInterval(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "known")
 	synctest.Test(t, func(t *testing.T) {
-		l := startLoneLoop(t, sidecartest.Configure(t, anyAddr, endpoints(1)), sidecartest.Quiet)
+		l := startLoneLoop(t, sidecartest.Configure(t, anyAddr, endpoints(1)), sidecartest.DiscardLog)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		var paused atomic.Bool
--- a/internal/dataplane/discovery/delay_test.go
+++ b/internal/dataplane/discovery/delay_test.go
@@ -76,9 +76,9 @@
 // list is the complete list.
 func (b *fakeDiscovery) list() string {
 	if b.isChanged() {
-		return sidecartest.Line(9, true, sidecartest.Up("s-2", "127.0.0.1:2"))
+		return sidecartest.ListLine(9, true, sidecartest.ReadyInstance("s-2", "127.0.0.1:2"))
 	}
-	return sidecartest.Line(8, true, sidecartest.Up("s-1", "127.0.0.1:1"), sidecartest.Up("s-2", "127.0.0.1:2"))
+	return sidecartest.ListLine(8, true, sidecartest.ReadyInstance("s-1", "127.0.0.1:1"), sidecartest.ReadyInstance("s-2", "127.0.0.1:2"))
 }
 
 // Dial is for Watcher.Dial.
@@ -155,7 +155,7 @@
 					<-gone
 					return
 				default:
-					send(sidecartest.Line(9, true, sidecartest.Up("s-2", "127.0.0.1:2")) + "\n")
+					send(sidecartest.ListLine(9, true, sidecartest.ReadyInstance("s-2", "127.0.0.1:2")) + "\n")
 				}
 			}
 		}
@@ -186,14 +186,14 @@
 	if polled {
 		mode = "subscribe"
 	}
-	known := []discovery.Instance{sidecartest.Up("s-1", "127.0.0.1:1"), sidecartest.Up("s-2", "127.0.0.1:2")}
+	known := []discovery.Instance{sidecartest.ReadyInstance("s-1", "127.0.0.1:1"), sidecartest.ReadyInstance("s-2", "127.0.0.1:2")}
 	c := sidecartest.Configure(t, "127.0.0.1:1", known,
 		`"discovery":"automatic"`, `"discovery":"`+mode+`"`,
 		`"ask-within":10000000`, fmt.Sprintf(`"ask-within":%d`, within.Microseconds()))
 	f := &follower{feed: &discovery.Feed{}, known: make(chan time.Time, 1)}
 	var err error
 	figures := metrics.New(c.Classes...)
-	f.loop, err = core.New(c, core.NewClock(), nothing{}, f.feed.SetEnabled, figures, nil, sidecartest.Quiet)
+	f.loop, err = core.New(c, core.NewClock(), nothing{}, f.feed.SetEnabled, figures, nil, sidecartest.DiscardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -215,7 +215,7 @@
 			default:
 			}
 		}
-	}, sidecartest.Quiet)
+	}, sidecartest.DiscardLog)
 	w.Dial = b.Dial
 	return w
 }
@@ -329,7 +329,7 @@
 			t.Errorf("%s: known after %v", name, delay)
 		}
 	}
-	w := discovery.NewWatcher("127.0.0.1:1", 7, 16, nil, sidecartest.Quiet)
+	w := discovery.NewWatcher("127.0.0.1:1", 7, 16, nil, sidecartest.DiscardLog)
 	// A change that a silent watch misses must be known MaxChangeDelay after the last data, which may have come
 	// right before it. One more call may stay without data, for as long as discovery may take to answer one.
 	const idle = 2 * time.Second
--- a/internal/dataplane/discovery/watch_test.go
+++ b/internal/dataplane/discovery/watch_test.go
@@ -16,11 +16,11 @@
 )
 
 // startWatcher runs a watcher and returns the lists that it receives.
-func startWatcher(t *testing.T, b *sidecartest.Board, idleTimeout time.Duration) <-chan discovery.List {
+func startWatcher(t *testing.T, b *sidecartest.Discovery, idleTimeout time.Duration) <-chan discovery.List {
 	t.Helper()
 	received := make(chan discovery.List, 16)
 	onList := func(_ context.Context, l discovery.List) { received <- l }
-	w := discovery.NewWatcher(b.Addr, 7, 16, onList, sidecartest.Quiet)
+	w := discovery.NewWatcher(b.Addr, 7, 16, onList, sidecartest.DiscardLog)
 	w.IdleTimeout = idleTimeout
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -37,62 +37,62 @@
 
 // A watch that ends, is malformed or is silent is reopened, from the latest list on. A stale list is ignored.
 func TestRunReopensBrokenWatch(t *testing.T) {
-	b := sidecartest.NewBoard(t)
-	received := startWatcher(t, b, sidecartest.Soon)
+	b := sidecartest.NewDiscovery(t)
+	received := startWatcher(t, b, sidecartest.WaitTimeout)
 	expect := func(want string) {
 		t.Helper()
-		if got := sidecartest.Within(t, b.Asked, "watch"); got != want {
+		if got := sidecartest.Receive(t, b.Watches, "watch"); got != want {
 			t.Errorf("watched with %q, want %q", got, want)
 		}
 	}
 	receive := func(want int64) {
 		t.Helper()
-		if got := sidecartest.Within(t, received, "list").Generation; got != want {
+		if got := sidecartest.Receive(t, received, "list").Generation; got != want {
 			t.Errorf("received list %d, want %d", got, want)
 		}
 	}
 	expect("1 7")
-	b.Lines <- sidecartest.Line(8, true, sidecartest.Up("s-1", "127.0.0.1:1"))
+	b.Lines <- sidecartest.ListLine(8, true, sidecartest.ReadyInstance("s-1", "127.0.0.1:1"))
 	receive(8)
 	b.Lines <- " "
-	b.Lines <- sidecartest.Line(5, true) // stale
-	b.Lines <- sidecartest.Line(9, false)
+	b.Lines <- sidecartest.ListLine(5, true) // stale
+	b.Lines <- sidecartest.ListLine(9, false)
 	receive(9)
 	b.Lines <- ""
 	expect("1 9")
-	b.Lines <- sidecartest.Line(10, false)
+	b.Lines <- sidecartest.ListLine(10, false)
 	receive(10)
 	b.Lines <- `{"generation":11,"instances":[{]}`
 	expect("1 10")
-	b.Lines <- sidecartest.Line(11, false)
+	b.Lines <- sidecartest.ListLine(11, false)
 	receive(11)
 }
 
 // A host that is cut off leaves the watch open and silent.
 func TestRunReopensSilentWatch(t *testing.T) {
-	b := sidecartest.NewBoard(t)
+	b := sidecartest.NewDiscovery(t)
 	startWatcher(t, b, 50*time.Millisecond)
-	sidecartest.Within(t, b.Asked, "first watch")
-	if got := sidecartest.Within(t, b.Asked, "watch after a silent one"); got != "1 7" {
+	sidecartest.Receive(t, b.Watches, "first watch")
+	if got := sidecartest.Receive(t, b.Watches, "watch after a silent one"); got != "1 7" {
 		t.Errorf("watched with %q, want %q", got, "1 7")
 	}
 }
 
 // A list may take several lines. An incomplete list changes nothing: the next watch brings it again.
 func TestRunReadsListsOnSeveralLines(t *testing.T) {
-	b := sidecartest.NewBoard(t)
-	received := startWatcher(t, b, sidecartest.Soon)
-	sidecartest.Within(t, b.Asked, "watch")
+	b := sidecartest.NewDiscovery(t)
+	received := startWatcher(t, b, sidecartest.WaitTimeout)
+	sidecartest.Receive(t, b.Watches, "watch")
 	b.Lines <- "{\n  \"generation\": 8,\n  \"reset\": true,\n\n  \"instances\": [\n  ]\n}"
-	b.Lines <- "  " + sidecartest.Line(9, false) + sidecartest.Line(10, false)
+	b.Lines <- "  " + sidecartest.ListLine(9, false) + sidecartest.ListLine(10, false)
 	for _, want := range []int64{8, 9, 10} {
-		if got := sidecartest.Within(t, received, "list").Generation; got != want {
+		if got := sidecartest.Receive(t, received, "list").Generation; got != want {
 			t.Errorf("received list %d, want %d", got, want)
 		}
 	}
 	b.Lines <- `{"generation":11,"reset":true,"instances":[`
 	b.Lines <- ""
-	if got := sidecartest.Within(t, b.Asked, "watch after half a list"); got != "1 10" || len(received) != 0 {
+	if got := sidecartest.Receive(t, b.Watches, "watch after half a list"); got != "1 10" || len(received) != 0 {
 		t.Errorf("watched with %q, and received %d lists", got, len(received))
 	}
 }
@@ -100,10 +100,10 @@
 // A watch that sent data and falls silent is reopened by the watcher, also where the balancer polls for each; one
 // that never sent any is for the balancer to poll again.
 func TestRunOnceReopensWatchThatFellSilent(t *testing.T) {
-	b := sidecartest.NewBoard(t)
+	b := sidecartest.NewDiscovery(t)
 	received := make(chan discovery.List, 16)
 	onList := func(_ context.Context, l discovery.List) { received <- l }
-	w := discovery.NewWatcher(b.Addr, 7, 16, onList, sidecartest.Quiet)
+	w := discovery.NewWatcher(b.Addr, 7, 16, onList, sidecartest.DiscardLog)
 	w.IdleTimeout = 50 * time.Millisecond
 	ended := make(chan struct{})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -112,21 +112,21 @@
 		defer close(ended)
 		w.RunOnce(ctx)
 	}()
-	sidecartest.Within(t, b.Asked, "watch")
-	b.Lines <- sidecartest.Line(8, true)
-	sidecartest.Within(t, received, "list")
-	if got := sidecartest.Within(t, b.Asked, "watch after a silent one"); got != "1 8" {
+	sidecartest.Receive(t, b.Watches, "watch")
+	b.Lines <- sidecartest.ListLine(8, true)
+	sidecartest.Receive(t, received, "list")
+	if got := sidecartest.Receive(t, b.Watches, "watch after a silent one"); got != "1 8" {
 		t.Errorf("watched with %q", got)
 	}
-	sidecartest.Within(t, ended, "end of a watch that never sent data")
+	sidecartest.Receive(t, ended, "end of a watch that never sent data")
 }
 
 // A discovery that is down is called at the given interval: what it has on its return may be in effect at once.
 func TestRunRetriesWithinMaxRetryDelay(t *testing.T) {
 	var attempts atomic.Int32
-	addr := sidecartest.Raw(t, func(*net.TCPConn, *bufio.Reader) { attempts.Add(1) }) // it closes each call
+	addr := sidecartest.RawEndpoint(t, func(*net.TCPConn, *bufio.Reader) { attempts.Add(1) }) // it closes each call
 	synctest.Test(t, func(t *testing.T) {
-		w := discovery.NewWatcher(addr, 7, 16, nil, sidecartest.Quiet)
+		w := discovery.NewWatcher(addr, 7, 16, nil, sidecartest.DiscardLog)
 		w.MaxRetryDelay = 100 * time.Millisecond
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
@@ -142,7 +142,7 @@
 func TestRunRetryDelayHasUpperBound(t *testing.T) {
 	for _, hang := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			w := discovery.NewWatcher("127.0.0.1:1", 7, 16, nil, sidecartest.Quiet)
+			w := discovery.NewWatcher("127.0.0.1:1", 7, 16, nil, sidecartest.DiscardLog)
 			w.MaxRetryDelay = time.Hour
 			var attempts []time.Time
 			w.Dial = func(context.Context, string, string) (net.Conn, error) {
--- a/internal/dataplane/dnsfront/front_test.go
+++ b/internal/dataplane/dnsfront/front_test.go
@@ -134,7 +134,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(sidecartest.Soon))
+	c.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	io.WriteString(c, line+"\n")
 	answer, err := io.ReadAll(c)
 	if err != nil {
@@ -147,12 +147,12 @@
 	t.Helper()
 	var known []discovery.Instance
 	for i, a := range addrs {
-		in := sidecartest.Up(fmt.Sprintf("d-%d", i), a)
+		in := sidecartest.ReadyInstance(fmt.Sprintf("d-%d", i), a)
 		in.Protocol, in.StartedMs = Protocol, 1
 		known = append(known, in)
 	}
-	known = append(known, sidecartest.Up("web", sidecartest.Web(t, func(http.ResponseWriter, *http.Request) {})))
-	c := sidecartest.Configure(t, sidecartest.Nowhere(t), known)
+	known = append(known, sidecartest.ReadyInstance("web", sidecartest.HTTPEndpoint(t, func(http.ResponseWriter, *http.Request) {})))
+	c := sidecartest.Configure(t, sidecartest.ClosedAddress(t), known)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -165,13 +165,13 @@
 		t.Fatal(err)
 	}
 	host := sidecar.Host{Socket: only{ln}, Management: r.desk, Overrides: maintenance.Discard{}, Protocols: []core.Protocol{r.front},
-		Reload: make(chan os.Signal), ReadConfig: func() (*config.Config, error) { return c, nil }, Log: sidecartest.Quiet}
+		Reload: make(chan os.Signal), ReadConfig: func() (*config.Config, error) { return c, nil }, Log: sidecartest.DiscardLog}
 	if dir != "" {
 		host.HandoverPath = filepath.Join(dir, "sock")
 	}
 	go func() { r.ended <- sidecar.Run(ctx, c, host); close(r.ended) }()
 	t.Cleanup(func() { r.stop(); <-r.ended })
-	for end := time.Now().Add(sidecartest.Soon); ; {
+	for end := time.Now().Add(sidecartest.WaitTimeout); ; {
 		m, err := dns.Exchange(new(dns.Msg).SetQuestion("a.look.test.", dns.TypeA), r.addr)
 		if err == nil && m.Rcode == dns.RcodeSuccess || len(addrs) == 0 {
 			break
@@ -180,7 +180,7 @@
 			t.Fatalf("the front does not answer: %v %v", m, err)
 		}
 	}
-	for end := time.Now().Add(sidecartest.Soon); dir != "" && r.call(t, "status") != "YES\n"; { // then the next process finds it
+	for end := time.Now().Add(sidecartest.WaitTimeout); dir != "" && r.call(t, "status") != "YES\n"; { // then the next process finds it
 		if time.Now().After(end) {
 			t.Fatal("the front does not come to serve")
 		}
@@ -226,7 +226,7 @@
 		t.Errorf("a name that does not exist: %v", err)
 	}
 	for _, network := range []string{"udp", "tcp"} {
-		m, _, err := (&dns.Client{Net: network, Timeout: sidecartest.Soon}).Exchange(new(dns.Msg).SetQuestion("many.look.test.", dns.TypeA), r.addr)
+		m, _, err := (&dns.Client{Net: network, Timeout: sidecartest.WaitTimeout}).Exchange(new(dns.Msg).SetQuestion("many.look.test.", dns.TypeA), r.addr)
 		if err != nil || m.Truncated != (network == "udp") || network == "tcp" && len(m.Answer) != 200 {
 			t.Errorf("%s: %v", network, err)
 		}
@@ -313,7 +313,7 @@
 	for _, raw := range [][]byte{{1}, make([]byte, 12), answer} { // short, no question, and an answer: talk to no server
 		c.Write(raw)
 	}
-	c.SetReadDeadline(time.Now().Add(sidecartest.Soon))
+	c.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	buf := make([]byte, 512)
 	n, err := c.Read(buf) // of the second alone
 	if err != nil || n < 12 || buf[3]&0xf != dns.RcodeFormatError {
@@ -357,7 +357,7 @@
 	for i, c := range conns {
 		ask(c, uint16(10+i), "slow.same.test.")
 	}
-	for end := time.Now().Add(sidecartest.Soon); r.front.counts.Joined.Value() < 2 || r.front.counts.Followed.Value() < 2; {
+	for end := time.Now().Add(sidecartest.WaitTimeout); r.front.counts.Joined.Value() < 2 || r.front.counts.Followed.Value() < 2; {
 		if time.Now().After(end) {
 			t.Fatalf("%d joined, %d followed", r.front.counts.Joined.Value(), r.front.counts.Followed.Value())
 		}
@@ -370,7 +370,7 @@
 			want[1] = true
 		}
 		for len(want) > 0 {
-			c.SetReadDeadline(time.Now().Add(sidecartest.Soon))
+			c.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout))
 			if _, err := c.Read(buf); err != nil {
 				t.Fatalf("client %d lacks %v: %v", i, want, err)
 			}
@@ -423,7 +423,7 @@
 	}()
 	// Meanwhile each query of another client is answered, though the module may refuse it: the one server has much to do. Once the
 	// flood is over it is served.
-	other := dns.Client{Timeout: sidecartest.Soon}
+	other := dns.Client{Timeout: sidecartest.WaitTimeout}
 	ask := func() bool {
 		m, _, err := other.Exchange(new(dns.Msg).SetQuestion("a.look.test.", dns.TypeA), r.addr)
 		if err != nil {
@@ -431,7 +431,7 @@
 		}
 		return m.Rcode == dns.RcodeSuccess
 	}
-	asked, end := 0, time.Now().Add(sidecartest.Soon)
+	asked, end := 0, time.Now().Add(sidecartest.WaitTimeout)
 	for ; r.front.counts.Unsent.Value() == 0; asked++ {
 		if time.Now().After(end) {
 			t.Fatal("it is not given up")
@@ -443,7 +443,7 @@
 	}
 	c.Close()
 	<-closed
-	for end := time.Now().Add(sidecartest.Soon); !ask(); {
+	for end := time.Now().Add(sidecartest.WaitTimeout); !ask(); {
 		if time.Now().After(end) {
 			t.Fatal("another client is not served after it")
 		}
@@ -467,7 +467,7 @@
 					return
 				default:
 				}
-				m, _, err := (&dns.Client{Net: network, Timeout: sidecartest.Soon}).Exchange(new(dns.Msg).SetQuestion("a.look.test.", dns.TypeA), old.addr)
+				m, _, err := (&dns.Client{Net: network, Timeout: sidecartest.WaitTimeout}).Exchange(new(dns.Msg).SetQuestion("a.look.test.", dns.TypeA), old.addr)
 				if asked.Add(1); err != nil {
 					failed.Add(1)
 				} else if m.Rcode != dns.RcodeSuccess { // an answer all the same: a machine that stands still fails some
@@ -477,11 +477,11 @@
 		})
 	}
 	next := start(t, testSettings(), held{udp, tcp}, dir, server)
-	if err := sidecartest.Within(t, old.ended, "the old process's end"); err != nil {
+	if err := sidecartest.Receive(t, old.ended, "the old process's end"); err != nil {
 		t.Error(err)
 	}
 	before := asked.Load()
-	for end := time.Now().Add(sidecartest.Soon); asked.Load() < before+100 && time.Now().Before(end); {
+	for end := time.Now().Add(sidecartest.WaitTimeout); asked.Load() < before+100 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	close(stop)
--- a/internal/dataplane/dnsfront/upstream_test.go
+++ b/internal/dataplane/dnsfront/upstream_test.go
@@ -23,7 +23,7 @@
 	s := testSettings()
 	s.Sockets = sockets
 	r := metrics.New()
-	u := newUpstream(sidecartest.Configure(t, "127.0.0.1:1", nil), &s, core.NewClock(), newCounts(r), &r.AttemptsSent, sidecartest.Quiet)
+	u := newUpstream(sidecartest.Configure(t, "127.0.0.1:1", nil), &s, core.NewClock(), newCounts(r), &r.AttemptsSent, sidecartest.DiscardLog)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { u.Maintain(ctx); close(done) }()
@@ -83,7 +83,7 @@
 	if r = try(t, u.Target(pc.LocalAddr().String()), look(), false, yes); r.Status != balancer.ConnectFailed {
 		t.Errorf("with a dead TCP port: status %v, want one that blames the server", r.Status)
 	}
-	if r = try(t, u.Target(sidecartest.Nowhere(t)), look(), false, yes); r.Status != balancer.ConnectFailed {
+	if r = try(t, u.Target(sidecartest.ClosedAddress(t)), look(), false, yes); r.Status != balancer.ConnectFailed {
 		t.Errorf("where nobody listens: status %v", r.Status)
 	}
 }
@@ -126,7 +126,7 @@
 	count := func() uint64 {
 		return u.counts.Unasked.Value() + u.counts.Mismatched.Value() + u.counts.Doubled.Value()
 	}
-	for end := time.Now().Add(sidecartest.Soon); count() < 7; {
+	for end := time.Now().Add(sidecartest.WaitTimeout); count() < 7; {
 		if time.Now().After(end) {
 			t.Fatalf("%d of 7 were counted", count())
 		}
--- a/internal/dataplane/httpfront/clients_test.go
+++ b/internal/dataplane/httpfront/clients_test.go
@@ -26,7 +26,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				k := newClients(100, nil, new(metrics.Counter), sidecartest.Quiet)
+				k := newClients(100, nil, new(metrics.Counter), sidecartest.DiscardLog)
 				hold := make(chan struct{})
 				var all []*client
 				k.talk = func(c *client) { all = append(all, c); <-hold }
--- a/internal/dataplane/httpfront/crossings_test.go
+++ b/internal/dataplane/httpfront/crossings_test.go
@@ -52,11 +52,11 @@
 
 func servingOn(t testing.TB, ln net.Listener, known []discovery.Instance, edits ...string) *front {
 	t.Helper()
-	c := sidecartest.Configure(t, sidecartest.Nowhere(t), known, edits...)
+	c := sidecartest.Configure(t, sidecartest.ClosedAddress(t), known, edits...)
 	figures := metrics.New(c.Classes...)
 	f := &front{dials: make(chan string, 64)}
 	clk := core.NewClock()
-	f.up = NewUpstream(c, clk, &figures.AttemptsSent, sidecartest.Quiet)
+	f.up = NewUpstream(c, clk, &figures.AttemptsSent, sidecartest.DiscardLog)
 	f.up.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		f.mu.Lock()
 		wait := f.release
@@ -68,11 +68,11 @@
 		return new(net.Dialer).DialContext(context.WithoutCancel(ctx), network, addr)
 	}
 	var err error
-	if f.loop, err = core.New(c, clk, f.up, func(bool) {}, figures, nil, sidecartest.Quiet); err != nil {
+	if f.loop, err = core.New(c, clk, f.up, func(bool) {}, figures, nil, sidecartest.DiscardLog); err != nil {
 		t.Fatal(err)
 	}
 	f.addr = ln.Addr().String()
-	f.Server = NewServer(c, f.loop, on{ln}, figures, sidecartest.Quiet)
+	f.Server = NewServer(c, f.loop, on{ln}, figures, sidecartest.DiscardLog)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { f.loop.Run(ctx); close(done) }()
@@ -111,7 +111,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetReadDeadline(time.Now().Add(sidecartest.Soon))
+	c.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	return c.(*net.TCPConn)
 }
 
@@ -154,7 +154,7 @@
 // until waits for what must come to be.
 func until(t testing.TB, what string, is func() bool) {
 	t.Helper()
-	for end := time.Now().Add(sidecartest.Soon); !is(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(sidecartest.WaitTimeout); !is(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%s: does not come to be", what)
 		}
@@ -170,9 +170,9 @@
 
 func newEndpoint(t *testing.T) *endpoint {
 	e := &endpoint{taken: make(chan string, 64), may: make(chan struct{}, 64)}
-	e.addr = sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
+	e.addr = sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 		for {
-			req, err := sidecartest.Take(r)
+			req, err := sidecartest.ReadRequest(r)
 			if err != nil {
 				return
 			}
@@ -203,7 +203,7 @@
 			at := &gate{reached: make(chan struct{}), open: make(chan struct{})}
 			f.Limit(at)
 			write(t, c, text(t, r))
-			sidecartest.Within(t, at.reached, "admission")
+			sidecartest.Receive(t, at.reached, "admission")
 			f.stop()
 			e.may <- struct{}{}
 			close(at.open)
@@ -211,22 +211,22 @@
 		{"it waits for its first attempt", func(t *testing.T, f *front, e *endpoint, c net.Conn, r *http.Request) {
 			f.hold(true)
 			write(t, c, text(t, r))
-			sidecartest.Within(t, f.dials, "dial")
+			sidecartest.Receive(t, f.dials, "dial")
 			f.stop()
 			e.may <- struct{}{}
 			f.hold(false)
 		}},
 		{"on its attempt", func(t *testing.T, f *front, e *endpoint, c net.Conn, r *http.Request) {
 			write(t, c, text(t, r))
-			sidecartest.Within(t, e.taken, "attempt")
+			sidecartest.Receive(t, e.taken, "attempt")
 			f.stop()
 			e.may <- struct{}{}
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			e := newEndpoint(t)
-			f := serving(t, []discovery.Instance{sidecartest.Up("s-1", e.addr)}, `"dial-timeout":1000000`, `"dial-timeout":100000000`)
-			c, r := f.connect(t), sidecartest.Look(900_000)
+			f := serving(t, []discovery.Instance{sidecartest.ReadyInstance("s-1", e.addr)}, `"dial-timeout":1000000`, `"dial-timeout":100000000`)
+			c, r := f.connect(t), sidecartest.IdempotentRequest(900_000)
 			tc.when(t, f, e, c, r)
 			resp, body := answer(t, c, r)
 			if resp.StatusCode != 200 || body != "ok" || !resp.Close {
@@ -285,14 +285,14 @@
 	}
 	r := &resting{there: there.(*net.TCPConn), step: make(chan func()), ending: make(chan struct{})}
 	t.Cleanup(func() { there.Close() })
-	there.SetReadDeadline(time.Now().Add(sidecartest.Soon))
+	there.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	got := make(chan *client)
 	r.k = newClients(4, func(c *client) {
 		got <- c
 		for do := range r.step {
 			do()
 		}
-	}, new(metrics.Counter), sidecartest.Quiet)
+	}, new(metrics.Counter), sidecartest.DiscardLog)
 	r.k.add(here)
 	r.c = <-got
 	r.do(func() { r.k.take(r.c); r.k.rest(r.c) })
@@ -389,10 +389,10 @@
 				r.c.raw = raw
 				got <- n
 			})
-			sidecartest.Within(t, looks, "a read that begins")
+			sidecartest.Receive(t, looks, "a read that begins")
 			closeAll(r.k)
 			looks <- struct{}{}
-			if n := sidecartest.Within(t, got, "the read"); n != len(get) {
+			if n := sidecartest.Receive(t, got, "the read"); n != len(get) {
 				t.Errorf("read %d bytes", n)
 			}
 			// The owner was woken for nothing: it reads on.
@@ -423,7 +423,7 @@
 		got := make(chan error)
 		go r.do(func() { _, err := r.c.Read(buf); got <- err })
 		r.k.closeIdle()
-		if err := sidecartest.Within(t, got, "end of the wait"); !errors.Is(err, net.ErrClosed) {
+		if err := sidecartest.Receive(t, got, "end of the wait"); !errors.Is(err, net.ErrClosed) {
 			t.Errorf("the owner is told %v", err)
 		}
 		close(r.step)
@@ -471,12 +471,12 @@
 		leave func(c *net.TCPConn)
 		told  int // what one that still listens is told
 	}{
-		{"close", func() *http.Request { return sidecartest.Look(900_000) }, 0, func(c *net.TCPConn) { c.Close() }, 0},
-		{"half-close", func() *http.Request { return sidecartest.Look(900_000) }, 0, func(c *net.TCPConn) { c.CloseWrite() }, 503},
-		{"reset", func() *http.Request { return sidecartest.Look(900_000) }, 0, func(c *net.TCPConn) { c.SetLinger(0); c.Close() }, 0},
-		{"more behind the request, and close", func() *http.Request { return sidecartest.Look(900_000) }, 0,
+		{"close", func() *http.Request { return sidecartest.IdempotentRequest(900_000) }, 0, func(c *net.TCPConn) { c.Close() }, 0},
+		{"half-close", func() *http.Request { return sidecartest.IdempotentRequest(900_000) }, 0, func(c *net.TCPConn) { c.CloseWrite() }, 503},
+		{"reset", func() *http.Request { return sidecartest.IdempotentRequest(900_000) }, 0, func(c *net.TCPConn) { c.SetLinger(0); c.Close() }, 0},
+		{"more behind the request, and close", func() *http.Request { return sidecartest.IdempotentRequest(900_000) }, 0,
 			func(c *net.TCPConn) { io.WriteString(c, strings.Repeat("GET /look HTTP/1.1\r\n", 400)); c.Close() }, 0},
-		{"more behind the request, and half-close", func() *http.Request { return sidecartest.Look(900_000) }, 0,
+		{"more behind the request, and half-close", func() *http.Request { return sidecartest.IdempotentRequest(900_000) }, 0,
 			func(c *net.TCPConn) { io.WriteString(c, "GET /look HTTP/1.1\r\n"); c.CloseWrite() }, 400},
 		{"half of a long body, and close", func() *http.Request { return sidecartest.Request("POST", "/pay", "pay", 900_000, long) },
 			2 * BodyMost, func(c *net.TCPConn) { c.Close() }, 0},
@@ -487,7 +487,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			e := newEndpoint(t)
-			f := serving(t, []discovery.Instance{sidecartest.Up("s-1", e.addr)}, `"dial-timeout":1000000`, `"dial-timeout":100000000`,
+			f := serving(t, []discovery.Instance{sidecartest.ReadyInstance("s-1", e.addr)}, `"dial-timeout":1000000`, `"dial-timeout":100000000`,
 				`"give-up":1000000`, `"give-up":900000000`)
 			f.hold(true)
 			c, r := f.connect(t), tc.r()
@@ -496,7 +496,7 @@
 				whole = whole[:tc.part]
 			}
 			write(t, c, whole)
-			sidecartest.Within(t, f.dials, "dial")
+			sidecartest.Receive(t, f.dials, "dial")
 			tc.leave(c)
 			if tc.told != 0 {
 				if resp, _ := answer(t, c, r); resp.StatusCode != tc.told {
@@ -512,7 +512,7 @@
 			e.may <- struct{}{}
 			r = sidecartest.Request("GET", "/look/next", "look", 900_000, "")
 			write(t, next, text(t, r))
-			if got := sidecartest.Within(t, e.taken, "attempt"); got != "/look/next" {
+			if got := sidecartest.Receive(t, e.taken, "attempt"); got != "/look/next" {
 				t.Errorf("the endpoint got %s", got)
 			}
 			answer(t, next, r)
@@ -523,11 +523,11 @@
 // A connection that comes up when its request may not be sent any more is kept for others, and not lost.
 func TestLateConnectionIsKept(t *testing.T) {
 	e := newEndpoint(t)
-	f := serving(t, []discovery.Instance{sidecartest.Up("s-1", e.addr)}, `"dial-timeout":1000000`, `"dial-timeout":100000000`)
+	f := serving(t, []discovery.Instance{sidecartest.ReadyInstance("s-1", e.addr)}, `"dial-timeout":1000000`, `"dial-timeout":100000000`)
 	f.hold(true)
-	c, r := f.connect(t), sidecartest.Look(150)
+	c, r := f.connect(t), sidecartest.IdempotentRequest(150)
 	write(t, c, text(t, r))
-	sidecartest.Within(t, f.dials, "dial")
+	sidecartest.Receive(t, f.dials, "dial")
 	if resp, _ := answer(t, c, r); resp.StatusCode == 200 {
 		t.Errorf("answered %s with no connection", resp.Status)
 	}
@@ -546,10 +546,10 @@
 func TestSecondAnswerOnPooledConnection(t *testing.T) {
 	second := make(chan struct{})
 	var conns, taken atomic.Int32
-	to := at(sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
+	to := at(sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 		n := conns.Add(1)
 		for {
-			if _, err := sidecartest.Take(r); err != nil {
+			if _, err := sidecartest.ReadRequest(r); err != nil {
 				return
 			}
 			taken.Add(1)
@@ -579,7 +579,7 @@
 
 // What has rested for a moment goes first. Where no endpoint ever spoke unasked, none is waited for.
 func TestRestedConnectionFirst(t *testing.T) {
-	to := at(sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) { r.ReadByte() }))
+	to := at(sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) { r.ReadByte() }))
 	u := newTestUpstream(t)
 	u.pause = func(context.Context, time.Duration) { t.Error("waited for a connection to rest") }
 	var both []*conn
@@ -605,10 +605,10 @@
 func TestHalfLineOnRestingConnection(t *testing.T) {
 	var conns atomic.Int32
 	speak := make(chan struct{})
-	to := at(sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
+	to := at(sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 		first := conns.Add(1) == 1
 		for {
-			if _, err := sidecartest.Take(r); err != nil {
+			if _, err := sidecartest.ReadRequest(r); err != nil {
 				return
 			}
 			io.WriteString(c, sidecartest.OKAnswer)
@@ -634,8 +634,8 @@
 func TestStopWhileAnswerFlows(t *testing.T) {
 	const length = 3 * BodyMost
 	rest := make(chan struct{})
-	addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
-		if _, err := sidecartest.Take(r); err != nil {
+	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
+		if _, err := sidecartest.ReadRequest(r); err != nil {
 			return
 		}
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", length, strings.Repeat("x", BodyMost))
@@ -643,8 +643,8 @@
 		io.WriteString(c, strings.Repeat("y", length-BodyMost))
 		io.Copy(io.Discard, r)
 	})
-	f := serving(t, []discovery.Instance{sidecartest.Up("s-1", addr)}, `"give-up":1000000`, `"give-up":900000000`)
-	c, r := f.connect(t), sidecartest.Look(900_000)
+	f := serving(t, []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)}, `"give-up":1000000`, `"give-up":900000000`)
+	c, r := f.connect(t), sidecartest.IdempotentRequest(900_000)
 	write(t, c, text(t, r))
 	br := bufio.NewReader(c)
 	resp, err := http.ReadResponse(br, r)
@@ -673,8 +673,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			begun := make(chan struct{})
-			addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
-				if _, err := sidecartest.Take(r); err != nil {
+			addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
+				if _, err := sidecartest.ReadRequest(r); err != nil {
 					return
 				}
 				io.WriteString(c, head+strings.Repeat("x", length/2))
@@ -696,7 +696,7 @@
 				io.WriteString(c, strings.Repeat("y", length/2))
 				io.Copy(io.Discard, r)
 			})
-			f := serving(t, []discovery.Instance{sidecartest.Up("s-1", addr)})
+			f := serving(t, []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)})
 			c, r := f.connect(t), sidecartest.Request("POST", "/pay", "pay", 900, "x")
 			write(t, c, text(t, r))
 			resp, err := http.ReadResponse(bufio.NewReader(c), r)
--- a/internal/dataplane/httpfront/gone_test.go
+++ b/internal/dataplane/httpfront/gone_test.go
@@ -97,7 +97,7 @@
 	held := func(t *testing.T, f *front, send func()) func() {
 		f.hold(true)
 		send()
-		sidecartest.Within(t, f.dials, "dial")
+		sidecartest.Receive(t, f.dials, "dial")
 		return func() { f.hold(false) }
 	}
 	for _, tc := range []struct {
@@ -113,7 +113,7 @@
 		{"a further attempt's connection", 0, 0, 1, func(t *testing.T, f *front, send func()) func() {
 			send()
 			for range 2 {
-				sidecartest.Within(t, f.dials, "dial")
+				sidecartest.Receive(t, f.dials, "dial")
 			}
 			return func() { f.hold(false) }
 		}},
@@ -121,7 +121,7 @@
 			at := &gate{reached: make(chan struct{}), open: make(chan struct{})}
 			f.Limit(at)
 			send()
-			sidecartest.Within(t, at.reached, "admission")
+			sidecartest.Receive(t, at.reached, "admission")
 			return func() { close(at.open) }
 		}},
 		{"room for its body", 2 * freeBytes, 0, 0, func(t *testing.T, f *front, send func()) func() {
@@ -136,7 +136,7 @@
 			t.Run(tc.waits+", "+how, func(t *testing.T) {
 				var f *front
 				var taken atomic.Int32
-				refuses := sidecartest.Web(t, func(w http.ResponseWriter, r *http.Request) {
+				refuses := sidecartest.HTTPEndpoint(t, func(w http.ResponseWriter, r *http.Request) {
 					if int(taken.Add(1)) <= tc.began {
 						f.hold(true) // the next attempt's
 					}
@@ -148,9 +148,9 @@
 					t.Fatal(err)
 				}
 				l := &deafListener{Listener: ln, conns: make(chan *deafConn, 1)}
-				f = servingOn(t, l, []discovery.Instance{sidecartest.Up("s-1", refuses), sidecartest.Up("s-2", refuses)},
+				f = servingOn(t, l, []discovery.Instance{sidecartest.ReadyInstance("s-1", refuses), sidecartest.ReadyInstance("s-2", refuses)},
 					`"dial-timeout":1000000`, `"dial-timeout":100000000`, `"give-up":1000000`, `"give-up":900000000`)
-				c, r := f.connect(t), sidecartest.Look(ms)
+				c, r := f.connect(t), sidecartest.IdempotentRequest(ms)
 				if tc.body > 0 {
 					r = sidecartest.Request("POST", "/pay", "pay", ms, strings.Repeat("x", tc.body))
 				}
@@ -161,7 +161,7 @@
 				l.deaf.Store(true)
 				release := tc.wait(t, f, func() { write(t, c, whole) })
 				l.still.Store(tc.part > 0)
-				here := sidecartest.Within(t, l.conns, "connection")
+				here := sidecartest.Receive(t, l.conns, "connection")
 				leave(c)
 				raw, _ := here.TCPConn.SyscallConn()
 				until(t, "the leaving, at the other end", func() (left bool) {
@@ -201,9 +201,9 @@
 	for _, others := range []int{0, 16, 64} {
 		b.Run(fmt.Sprint("others=", others), func(b *testing.B) {
 			taken, ended := make(chan struct{}), make(chan time.Time)
-			addr := sidecartest.Raw(b, func(c *net.TCPConn, r *bufio.Reader) {
+			addr := sidecartest.RawEndpoint(b, func(c *net.TCPConn, r *bufio.Reader) {
 				for {
-					req, err := sidecartest.Take(r)
+					req, err := sidecartest.ReadRequest(r)
 					if err != nil {
 						return
 					}
@@ -216,7 +216,7 @@
 					io.WriteString(c, sidecartest.OKAnswer)
 				}
 			})
-			f := serving(b, []discovery.Instance{sidecartest.Up("s-1", addr)}, `"give-up":1000000`, `"give-up":900000000`,
+			f := serving(b, []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)}, `"give-up":1000000`, `"give-up":900000000`,
 				`"allowance-per-s":100.0`, `"allowance-per-s":1000000.0`)
 			var asked atomic.Int64
 			var all sync.WaitGroup
@@ -232,7 +232,7 @@
 							return
 						default:
 						}
-						if sidecartest.Look(900_000).Write(c) != nil {
+						if sidecartest.IdempotentRequest(900_000).Write(c) != nil {
 							return
 						}
 						resp, err := http.ReadResponse(r, nil)
--- a/internal/dataplane/httpfront/upstream_test.go
+++ b/internal/dataplane/httpfront/upstream_test.go
@@ -41,14 +41,14 @@
 func at(addr string) *place { return &place{addr: addr} }
 
 func newTestUpstream(t *testing.T, edits ...string) *Upstream {
-	return NewUpstream(sidecartest.Configure(t, "127.0.0.1:1", nil, edits...), core.NewClock(), new(metrics.Counter), sidecartest.Quiet)
+	return NewUpstream(sidecartest.Configure(t, "127.0.0.1:1", nil, edits...), core.NewClock(), new(metrics.Counter), sidecartest.DiscardLog)
 }
 
 // try makes one attempt with a second of time.
 func (u *Upstream) try(m *message, to *place) core.Reply { return u.tryFor(time.Second, m, to) }
 
 func (u *Upstream) tryFor(d time.Duration, m *message, to *place) core.Reply {
-	ctx, cancel := context.WithTimeout(context.Background(), 2*sidecartest.Soon)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*sidecartest.WaitTimeout)
 	defer cancel()
 	return u.send(ctx, to, m, u.clock.Now()+d.Microseconds(), func(balancer.Micros) bool { return true }, nil)
 }
@@ -68,9 +68,9 @@
 	for name, m := range map[string]*message{"get": plainGet(), "keyed": keyed("x")} {
 		t.Run(name, func(t *testing.T) {
 			var taken atomic.Int32
-			to := at(sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
+			to := at(sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 				for i := 0; i < 2; i++ {
-					if _, err := sidecartest.Take(r); err != nil {
+					if _, err := sidecartest.ReadRequest(r); err != nil {
 						return
 					}
 					if taken.Add(1); i == 0 {
@@ -109,8 +109,8 @@
 
 // Whether a request may have run turns on its last byte.
 func TestLastByteDecides(t *testing.T) {
-	addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
-		sidecartest.Take(r)
+	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
+		sidecartest.ReadRequest(r)
 		c.SetLinger(0) // breaks with a reset
 	})
 	m := keyed(strings.Repeat("x", 1000))
@@ -138,7 +138,7 @@
 		})
 	}
 	u := newTestUpstream(t)
-	if r := u.try(m, at(sidecartest.Nowhere(t))); r.Status != balancer.ConnectFailed {
+	if r := u.try(m, at(sidecartest.ClosedAddress(t))); r.Status != balancer.ConnectFailed {
 		t.Errorf("refused connection: status %v, want ConnectFailed", r.Status)
 	}
 }
@@ -179,8 +179,8 @@
 		{"endless head", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", answerMost), balancer.Reset},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
-				sidecartest.Take(r)
+			addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
+				sidecartest.ReadRequest(r)
 				io.WriteString(c, tc.answer)
 			})
 			r := newTestUpstream(t).try(keyed("x"), at(addr))
@@ -203,14 +203,14 @@
 		"HTTP/1.1 200 OK\r\nContent-Le",
 		"HTTP/1.1 103 Hints\r\n\r\nHTTP/1.1 200 OK\r\n",
 	} {
-		addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
-			sidecartest.Take(r)
+		addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
+			sidecartest.ReadRequest(r)
 			io.WriteString(c, answer)
 			r.ReadByte()
 		})
 		// Its own time is far longer: Reset, and not a time-out, says which came first.
 		u := newTestUpstream(t)
-		if r := u.tryFor(sidecartest.Soon, keyed("x"), at(addr)); r.Status != balancer.Reset {
+		if r := u.tryFor(sidecartest.WaitTimeout, keyed("x"), at(addr)); r.Status != balancer.Reset {
 			t.Errorf("%q: status %v, want Reset before its time is up", answer, r.Status)
 		}
 		if u.conns != 0 {
@@ -221,8 +221,8 @@
 
 // An answer may come long after a 1xx.
 func TestSlowAfterInterim(t *testing.T) {
-	addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
-		sidecartest.Take(r)
+	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
+		sidecartest.ReadRequest(r)
 		io.WriteString(c, "HTTP/1.1 102 Wait\r\n\r\n")
 		time.Sleep(2 * answerStall) // the work, not a wait for another
 		io.WriteString(c, sidecartest.OKAnswer)
@@ -234,9 +234,9 @@
 
 // A good answer with more behind it is good, and what is behind it answers nothing.
 func TestMoreBehindAnswer(t *testing.T) {
-	addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
+	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 		for {
-			req, err := sidecartest.Take(r)
+			req, err := sidecartest.ReadRequest(r)
 			if err != nil {
 				return
 			}
@@ -259,10 +259,10 @@
 // that is gone is kept.
 func TestGoneEndpointsConnections(t *testing.T) {
 	var dials atomic.Int32
-	addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
+	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 		dials.Add(1)
 		for {
-			if _, err := sidecartest.Take(r); err != nil {
+			if _, err := sidecartest.ReadRequest(r); err != nil {
 				return
 			}
 			io.WriteString(c, sidecartest.OKAnswer)
@@ -299,7 +299,7 @@
 
 // Our own shortage is no fault of the endpoint's.
 func TestShortageIsNoFault(t *testing.T) {
-	to := at(sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) { sidecartest.Take(r) }))
+	to := at(sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) { sidecartest.ReadRequest(r) }))
 	u := newTestUpstream(t)
 	u.connsMost = 0
 	if r := u.try(plainGet(), to); r.Status != balancer.NotSent {
@@ -329,8 +329,8 @@
 // whether it ran would not be known.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	closed := make(chan struct{}, 1)
-	addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
-		sidecartest.Take(r)
+	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
+		sidecartest.ReadRequest(r)
 		io.WriteString(c, sidecartest.OKAnswer)
 		c.Close()
 		closed <- struct{}{}
@@ -340,17 +340,17 @@
 		if r := u.try(plainGet(), to); r.Status != balancer.OK {
 			t.Fatalf("request %d: status %v", i, r.Status)
 		}
-		sidecartest.Within(t, closed, "close")
+		sidecartest.Receive(t, closed, "close")
 	}
 }
 
 // An idle connection is retired well before the endpoint would close it, and the sweep closes it.
 func TestIdleConnectionIsRetired(t *testing.T) {
 	var dials atomic.Int32
-	addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
+	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 		dials.Add(1)
 		for {
-			if _, err := sidecartest.Take(r); err != nil {
+			if _, err := sidecartest.ReadRequest(r); err != nil {
 				return
 			}
 			io.WriteString(c, sidecartest.OKAnswer)
@@ -383,7 +383,7 @@
 
 // The connection used last is used next, so that those not needed grow old and are closed.
 func TestLatestConnectionFirst(t *testing.T) {
-	addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) { sidecartest.Take(r) })
+	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) { sidecartest.ReadRequest(r) })
 	u, to := newTestUpstream(t), at(addr)
 	ctx := context.Background()
 	first, err := u.get(ctx, to)
@@ -403,8 +403,8 @@
 
 // Connections are bounded, so that descriptors do not run out; one that is idle elsewhere makes room.
 func TestConnectionsAreBounded(t *testing.T) {
-	one := at(sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) { sidecartest.Take(r) }))
-	two := at(sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) { sidecartest.Take(r) }))
+	one := at(sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) { sidecartest.ReadRequest(r) }))
+	two := at(sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) { sidecartest.ReadRequest(r) }))
 	u := newTestUpstream(t)
 	u.connsMost = 2
 	ctx := context.Background()
@@ -427,7 +427,7 @@
 	}
 	// One that is refused gives its place back.
 	u.connsMost = 3
-	u.get(ctx, at(sidecartest.Nowhere(t)))
+	u.get(ctx, at(sidecartest.ClosedAddress(t)))
 	if u.conns != 2 {
 		t.Errorf("%d connections counted after one refused, want 2", u.conns)
 	}
@@ -435,7 +435,7 @@
 
 // A probe asks for the load where there are reports, for the health elsewhere, and waits only so long.
 func TestProbe(t *testing.T) {
-	addr := sidecartest.Web(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := sidecartest.HTTPEndpoint(t, func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
 		case "/-/load":
 			io.WriteString(w, "TEXT cpu_share=0.61, busy_reqs=7, served_ps=2")
@@ -453,15 +453,15 @@
 		t.Errorf("probe without reports: status %v, load %v", r.Status, r.Load)
 	}
 	ended := make(chan error, 1)
-	mute := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
-		sidecartest.Take(r)
+	mute := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
+		sidecartest.ReadRequest(r)
 		_, err := r.ReadByte()
 		ended <- err
 	})
 	if r := newTestUpstream(t).probe(at(mute)); r.Status == balancer.OK {
 		t.Error("a probe that nobody answered is ok")
 	}
-	if err := sidecartest.Within(t, ended, "end of a mute probe"); err == nil {
+	if err := sidecartest.Receive(t, ended, "end of a mute probe"); err == nil {
 		t.Error("more was written to a mute probe")
 	}
 }
--- a/internal/dataplane/sidecar/deployments_test.go
+++ b/internal/dataplane/sidecar/deployments_test.go
@@ -62,9 +62,9 @@
 			breaks := make(chan struct{}, 64) // one for each attempt that is to break
 			hold := make(chan struct{})       // what "hold" waits for
 			defer close(hold)
-			addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
+			addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 				for {
-					req, err := sidecartest.Take(r)
+					req, err := sidecartest.ReadRequest(r)
 					if err != nil {
 						return
 					}
@@ -82,11 +82,11 @@
 			})
 			var known []discovery.Instance
 			for i := range 5 {
-				in := sidecartest.Up(fmt.Sprint("i-", i), addr)
+				in := sidecartest.ReadyInstance(fmt.Sprint("i-", i), addr)
 				in.StartedMs, in.Zone, in.Kind = 1, "nowhere", "nothing"
 				known = append(known, in)
 			}
-			text, err := json.Marshal(map[string]any{"name": "n7", "listen": "127.0.0.1:0", "discovery": sidecartest.Nowhere(t), "seed": "1",
+			text, err := json.Marshal(map[string]any{"name": "n7", "listen": "127.0.0.1:0", "discovery": sidecartest.ClosedAddress(t), "seed": "1",
 				"limits": map[string]int{"memory_mb": 33, "sockets": 99}, "known": discovery.List{Reset: true, Instances: known},
 				"settings": json.RawMessage(cu.settings)})
 			if err != nil {
--- a/internal/dataplane/sidecar/discovery_test.go
+++ b/internal/dataplane/sidecar/discovery_test.go
@@ -15,16 +15,16 @@
 // what has gone.
 func TestRequestsFollowEndpointList(t *testing.T) {
 	endpoint := func(name string) string {
-		return sidecartest.Web(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, name) })
+		return sidecartest.HTTPEndpoint(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, name) })
 	}
-	one, two, three := sidecartest.Up("s-1", endpoint("one")), sidecartest.Up("s-2", endpoint("two")), sidecartest.Up("s-1", endpoint("three"))
+	one, two, three := sidecartest.ReadyInstance("s-1", endpoint("one")), sidecartest.ReadyInstance("s-2", endpoint("two")), sidecartest.ReadyInstance("s-1", endpoint("three"))
 	state := func(in discovery.Instance, lifecycle string) discovery.Instance {
 		in.Lifecycle = lifecycle
 		return in
 	}
-	b := sidecartest.NewBoard(t)
+	b := sidecartest.NewDiscovery(t)
 	s := startSidecar(t, sidecartest.Configure(t, b.Addr, []discovery.Instance{one}))
-	sidecartest.Within(t, b.Asked, "watch")
+	sidecartest.Receive(t, b.Watches, "watch")
 	for i, step := range []struct {
 		reset     bool
 		instances []discovery.Instance
@@ -40,11 +40,11 @@
 		{false, []discovery.Instance{state(discovery.Instance{ID: "s-2"}, "removed")}, ""},
 	} {
 		generation := int64(8 + i)
-		b.Lines <- sidecartest.Line(generation, step.reset, step.instances...)
+		b.Lines <- sidecartest.ListLine(generation, step.reset, step.instances...)
 		// The list has arrived once requests go where they should.
 		var got string
-		for end := time.Now().Add(sidecartest.Soon); ; {
-			if _, got = s.do(t, sidecartest.Look(900)); got == step.want || time.Now().After(end) {
+		for end := time.Now().Add(sidecartest.WaitTimeout); ; {
+			if _, got = s.do(t, sidecartest.IdempotentRequest(900)); got == step.want || time.Now().After(end) {
 				break
 			}
 			if step.want == "" && got != "one" && got != "two" && got != "three" {
@@ -57,7 +57,7 @@
 		}
 		for range 10 {
 			// A new endpoint counts as cold, and may be spared.
-			_, got = s.do(t, sidecartest.Look(900))
+			_, got = s.do(t, sidecartest.IdempotentRequest(900))
 			if step.want != "" && got != step.want && !strings.HasPrefix(got, "refused") {
 				t.Fatalf("step %d: then answered by %q, want %q", i, got, step.want)
 			}
@@ -67,25 +67,25 @@
 
 // The sidecar serves from the list that it was started with while discovery is down.
 func TestServesFromKnownListWithoutDiscovery(t *testing.T) {
-	addr := sidecartest.Web(t, func(http.ResponseWriter, *http.Request) {})
-	s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
-	if resp, _ := s.do(t, sidecartest.Look(900)); resp.StatusCode != 200 {
+	addr := sidecartest.HTTPEndpoint(t, func(http.ResponseWriter, *http.Request) {})
+	s := startSidecar(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)}))
+	if resp, _ := s.do(t, sidecartest.IdempotentRequest(900)); resp.StatusCode != 200 {
 		t.Errorf("with a known list and no discovery: %s", resp.Status)
 	}
 }
 
 // Where discovery is asked, the balancer asks for each watch and hears of one that fails.
 func TestPolledDiscoveryIsWatchedAgainAfterFailure(t *testing.T) {
-	b := sidecartest.NewBoard(t)
-	addr := sidecartest.Web(t, func(http.ResponseWriter, *http.Request) {})
-	s := startSidecar(t, sidecartest.Configure(t, b.Addr, []discovery.Instance{sidecartest.Up("s-1", sidecartest.Nowhere(t))},
+	b := sidecartest.NewDiscovery(t)
+	addr := sidecartest.HTTPEndpoint(t, func(http.ResponseWriter, *http.Request) {})
+	s := startSidecar(t, sidecartest.Configure(t, b.Addr, []discovery.Instance{sidecartest.ReadyInstance("s-1", sidecartest.ClosedAddress(t))},
 		`"discovery":"automatic"`, `"discovery":"subscribe"`))
-	sidecartest.Within(t, b.Asked, "first watch")
+	sidecartest.Receive(t, b.Watches, "first watch")
 	b.Lines <- "" // it ends
-	sidecartest.Within(t, b.Asked, "watch after one that ended")
-	b.Lines <- sidecartest.Line(8, true, sidecartest.Up("s-2", addr))
-	for end := time.Now().Add(sidecartest.Soon); ; {
-		if resp, _ := s.do(t, sidecartest.Look(900)); resp.StatusCode == 200 {
+	sidecartest.Receive(t, b.Watches, "watch after one that ended")
+	b.Lines <- sidecartest.ListLine(8, true, sidecartest.ReadyInstance("s-2", addr))
+	for end := time.Now().Add(sidecartest.WaitTimeout); ; {
+		if resp, _ := s.do(t, sidecartest.IdempotentRequest(900)); resp.StatusCode == 200 {
 			return
 		}
 		if time.Now().After(end) {
--- a/internal/dataplane/sidecar/handover_test.go
+++ b/internal/dataplane/sidecar/handover_test.go
@@ -42,11 +42,11 @@
 		reload: make(chan os.Signal, 1), config: make(chan *config.Config, 1)}
 	go func() {
 		s.ended <- Run(ctx, c, Host{Socket: socket, Management: desk, Overrides: maintenance.File{Path: filepath.Join(dir, "b")},
-			HandoverPath: filepath.Join(dir, "s"), Reload: s.reload, ReadConfig: s.read, Log: sidecartest.Quiet})
+			HandoverPath: filepath.Join(dir, "s"), Reload: s.reload, ReadConfig: s.read, Log: sidecartest.DiscardLog})
 		close(s.ended)
 	}()
 	t.Cleanup(func() { stop(); <-s.ended })
-	for end := time.Now().Add(sidecartest.Soon); s.manage(t, "status") != "YES\n"; {
+	for end := time.Now().Add(sidecartest.WaitTimeout); s.manage(t, "status") != "YES\n"; {
 		if time.Now().After(end) {
 			t.Fatal("it does not say yes: " + s.manage(t, "status"))
 		}
@@ -70,13 +70,13 @@
 	taken, release := make(chan struct{}, 1), make(chan struct{})
 	let := sync.OnceFunc(func() { close(release) })
 	t.Cleanup(let)
-	addr := sidecartest.Web(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := sidecartest.HTTPEndpoint(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/pay" {
 			taken <- struct{}{}
 			<-release
 		}
 	})
-	c := sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr), sidecartest.Up("s-2", addr), sidecartest.Up("s-3", addr)},
+	c := sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", addr), sidecartest.ReadyInstance("s-2", addr), sidecartest.ReadyInstance("s-3", addr)},
 		`"ramp-time":10000000`, `"ramp-time":1`, `"give-up":1000000`, `"give-up":5000000`)
 	socket := sharedSocket{ln.(*net.TCPListener)}
 	old := startProcess(t, c, socket, dir)
@@ -86,7 +86,7 @@
 		t.Fatal(err)
 	}
 	defer kept.Close()
-	if resp, _ := old.doOn(t, kept, sidecartest.Look(900)); resp.Close {
+	if resp, _ := old.doOn(t, kept, sidecartest.IdempotentRequest(900)); resp.Close {
 		t.Error("a connection was not kept")
 	}
 	open := make(chan *http.Response, 1)
@@ -94,7 +94,7 @@
 		resp, _ := old.do(t, sidecartest.Request("POST", "/pay", "pay", 5000, "x"))
 		open <- resp
 	}()
-	sidecartest.Within(t, taken, "attempt")
+	sidecartest.Receive(t, taken, "attempt")
 
 	fresh := startProcess(t, c, socket, dir)
 	fresh.wantMetric(t, "cluster_unhealthy", 1)
@@ -103,19 +103,19 @@
 	fresh.wantMetric(t, "cluster_unhealthy", 2)
 	fresh.wantReply(t, "maint-off s-1", "YES")
 	old.wantMetric(t, "cluster_unhealthy", 1)
-	if resp, _ := old.doOn(t, kept, sidecartest.Look(900)); !resp.Close {
+	if resp, _ := old.doOn(t, kept, sidecartest.IdempotentRequest(900)); !resp.Close {
 		t.Error("the old process keeps a connection")
 	}
 	before := fresh.metric(t, `answered_total{group="look"}`)
-	if resp, _ := fresh.do(t, sidecartest.Look(900)); resp.StatusCode != 200 {
+	if resp, _ := fresh.do(t, sidecartest.IdempotentRequest(900)); resp.StatusCode != 200 {
 		t.Error("after the handover:", resp.Status)
 	}
 	fresh.wantMetric(t, `answered_total{group="look"}`, before+1)
 	let()
-	if resp := sidecartest.Within(t, open, "answer"); resp.StatusCode != 200 || !resp.Close {
+	if resp := sidecartest.Receive(t, open, "answer"); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("taken before: %s, close %v", resp.Status, resp.Close)
 	}
-	if err := sidecartest.Within(t, old.ended, "end of the old process"); err != nil {
+	if err := sidecartest.Receive(t, old.ended, "end of the old process"); err != nil {
 		t.Error(err)
 	}
 	fresh.wantReply(t, "status", "YES")
@@ -128,20 +128,20 @@
 
 // A new process that fails to begin leaves the old one serving.
 func TestFailedStartLeavesOldProcessServing(t *testing.T) {
-	addr := sidecartest.Web(t, func(http.ResponseWriter, *http.Request) {})
-	c := sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)})
+	addr := sidecartest.HTTPEndpoint(t, func(http.ResponseWriter, *http.Request) {})
+	c := sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)})
 	dir, err := os.MkdirTemp("", "h") //nolint:usetesting // t.TempDir is too long for the path of a Unix socket
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer os.RemoveAll(dir)
 	old := startIn(t, c, dir)
-	err = Run(t.Context(), c, Host{Socket: noSocket{}, Overrides: maintenance.Discard{}, HandoverPath: dir + "/sock", Log: sidecartest.Quiet})
+	err = Run(t.Context(), c, Host{Socket: noSocket{}, Overrides: maintenance.Discard{}, HandoverPath: dir + "/sock", Log: sidecartest.DiscardLog})
 	if err == nil {
 		t.Error("it began without a socket")
 	}
 	old.wantReply(t, "status", "YES")
-	if resp, _ := old.do(t, sidecartest.Look(900)); resp.StatusCode != 200 || resp.Close {
+	if resp, _ := old.do(t, sidecartest.IdempotentRequest(900)); resp.StatusCode != 200 || resp.Close {
 		t.Errorf("%s, close %v", resp.Status, resp.Close)
 	}
 }
--- a/internal/dataplane/sidecar/helper_test.go
+++ b/internal/dataplane/sidecar/helper_test.go
@@ -54,14 +54,14 @@
 		reload: make(chan os.Signal, 1), config: make(chan *config.Config, 1)}
 	go func() {
 		s.ended <- Run(ctx, c, Host{Socket: singleListener{ln}, Management: s.management, Overrides: maintenance.File{Path: dir + "/bans.json"}, HandoverPath: dir + "/sock",
-			Reload: s.reload, ReadConfig: s.read, Log: sidecartest.Quiet})
+			Reload: s.reload, ReadConfig: s.read, Log: sidecartest.DiscardLog})
 		close(s.ended)
 	}()
 	t.Cleanup(func() {
 		stop()
 		<-s.ended
 	})
-	for end := time.Now().Add(sidecartest.Soon); ; {
+	for end := time.Now().Add(sidecartest.WaitTimeout); ; {
 		resp, err := http.Get("http://" + s.addr + "/-/ready")
 		if err == nil {
 			resp.Body.Close()
@@ -103,7 +103,7 @@
 	if err := r.Write(c); err != nil {
 		return nil, err
 	}
-	c.SetReadDeadline(time.Now().Add(sidecartest.Soon))
+	c.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	resp, err := http.ReadResponse(bufio.NewReader(c), r)
 	if err != nil {
 		return nil, err
@@ -117,7 +117,7 @@
 	if err := r.Write(c); err != nil {
 		t.Fatal(err)
 	}
-	c.SetReadDeadline(time.Now().Add(sidecartest.Soon))
+	c.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	resp, err := http.ReadResponse(bufio.NewReader(c), r)
 	if err != nil {
 		t.Fatalf("no answer: %v", err)
--- a/internal/dataplane/sidecar/maintenance_test.go
+++ b/internal/dataplane/sidecar/maintenance_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(sidecartest.Soon))
+	c.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	if _, err := io.WriteString(c, line+"\n"); err != nil {
 		t.Fatal(err)
 	}
@@ -67,13 +67,13 @@
 
 // Operators take an endpoint out and call it back, whatever discovery says meanwhile.
 func TestOperatorsDrainAndReturnEndpoint(t *testing.T) {
-	b := sidecartest.NewBoard(t)
+	b := sidecartest.NewDiscovery(t)
 	endpoint := func(name string) string {
-		return sidecartest.Web(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, name) })
+		return sidecartest.HTTPEndpoint(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, name) })
 	}
-	one, two := sidecartest.Up("s-1", endpoint("one")), sidecartest.Up("s-2", endpoint("two"))
+	one, two := sidecartest.ReadyInstance("s-1", endpoint("one")), sidecartest.ReadyInstance("s-2", endpoint("two"))
 	s := startSidecar(t, sidecartest.Configure(t, b.Addr, []discovery.Instance{one, two}, `"ramp-time":10000000`, `"ramp-time":1`))
-	sidecartest.Within(t, b.Asked, "call of discovery")
+	sidecartest.Receive(t, b.Watches, "call of discovery")
 	s.wantReply(t, "status", "YES")
 	s.wantReply(t, "maint-on s-9", "NO s-9: unknown id")
 	s.wantReply(t, "maint-on s-1", "YES")
@@ -83,18 +83,18 @@
 	stays := func() {
 		t.Helper()
 		for range 20 {
-			if _, got := s.do(t, sidecartest.Look(900)); got != "two" {
+			if _, got := s.do(t, sidecartest.IdempotentRequest(900)); got != "two" {
 				t.Fatalf("answered by %q", got)
 			}
 		}
 	}
 	stays()
 	// It leaves and returns, restarted.
-	b.Lines <- sidecartest.Line(8, true, two)
+	b.Lines <- sidecartest.ListLine(8, true, two)
 	for s.metric(t, "cluster_size") != 1 {
 	}
 	one.StartedMs = time.Now().UnixMilli()
-	b.Lines <- sidecartest.Line(9, false, one)
+	b.Lines <- sidecartest.ListLine(9, false, one)
 	for s.metric(t, "cluster_size") != 2 {
 	}
 	stays()
@@ -107,20 +107,20 @@
 
 // Each final answer is counted once, under its class.
 func TestAnswersAreCountedByClass(t *testing.T) {
-	addr := sidecartest.Web(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := sidecartest.HTTPEndpoint(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/pay" {
 			w.WriteHeader(500)
 		}
 	})
-	s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}, `"most-tries":3`, `"most-tries":1`))
+	s := startSidecar(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)}, `"most-tries":3`, `"most-tries":1`))
 	for range 3 {
-		s.do(t, sidecartest.Look(900))
+		s.do(t, sidecartest.IdempotentRequest(900))
 	}
 	for range 2 {
 		s.do(t, sidecartest.Request("POST", "/pay", "pay", 900, "x"))
 	}
 	s.wantReply(t, "maint-on s-1", "YES")
-	s.do(t, sidecartest.Look(900))
+	s.do(t, sidecartest.IdempotentRequest(900))
 	s.do(t, sidecartest.Request("GET", "/nothing", "nothing", 900, "")) // no class, no count
 	for name, want := range map[string]int{
 		"answered_total{group=%q}": 3, "deferred_total{group=%q}": 1, "errored_total{group=%q}": 0} {
@@ -135,15 +135,15 @@
 // A process that starts holds what operators said to the one before it.
 func TestOverridesSurviveRestart(t *testing.T) {
 	var other int
-	addr := sidecartest.Web(t, func(http.ResponseWriter, *http.Request) { other++ })
-	c := sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)})
+	addr := sidecartest.HTTPEndpoint(t, func(http.ResponseWriter, *http.Request) { other++ })
+	c := sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)})
 	dir := t.TempDir()
 	s := startIn(t, c, dir)
 	s.wantReply(t, "maint-on s-1", "YES")
 	s.stop()
-	sidecartest.Within(t, s.ended, "end")
+	sidecartest.Receive(t, s.ended, "end")
 	s = startIn(t, c, dir)
-	if resp, _ := s.do(t, sidecartest.Look(900)); resp.StatusCode != 503 || other > 0 {
+	if resp, _ := s.do(t, sidecartest.IdempotentRequest(900)); resp.StatusCode != 503 || other > 0 {
 		t.Errorf("answered %s, %d requests went out", resp.Status, other)
 	}
 	s.wantReply(t, "maint-off s-1", "YES")
--- a/internal/dataplane/sidecar/reload_test.go
+++ b/internal/dataplane/sidecar/reload_test.go
@@ -23,23 +23,23 @@
 	for _, mode := range []string{"automatic", "subscribe"} {
 		t.Run(mode, func(t *testing.T) {
 			endpoint := func(name string) string {
-				return sidecartest.Web(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, name) })
+				return sidecartest.HTTPEndpoint(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, name) })
 			}
-			one, two, three := sidecartest.Up("s-1", endpoint("one")), sidecartest.Up("s-2", endpoint("two")), sidecartest.Up("s-3", endpoint("three"))
+			one, two, three := sidecartest.ReadyInstance("s-1", endpoint("one")), sidecartest.ReadyInstance("s-2", endpoint("two")), sidecartest.ReadyInstance("s-3", endpoint("three"))
 			for _, in := range []*discovery.Instance{&one, &two, &three} {
 				in.StartedMs = 1 // long ago: a cold endpoint may be spared
 			}
 			configured := func(at string) *config.Config {
 				return sidecartest.Configure(t, at, []discovery.Instance{one}, `"discovery":"automatic"`, `"discovery":"`+mode+`"`)
 			}
-			old, next := sidecartest.NewBoard(t), sidecartest.NewBoard(t)
+			old, next := sidecartest.NewDiscovery(t), sidecartest.NewDiscovery(t)
 			// As with ROUTER_DISCOVERY: the start goes by it, a file that changes goes before it.
-			c := configured(sidecartest.Nowhere(t))
+			c := configured(sidecartest.ClosedAddress(t))
 			c.Discovery = old.Addr
 			s := startSidecar(t, c)
-			expect := func(b *sidecartest.Board, want string) {
+			expect := func(b *sidecartest.Discovery, want string) {
 				t.Helper()
-				if got := sidecartest.Within(t, b.Asked, "call of discovery"); got != want {
+				if got := sidecartest.Receive(t, b.Watches, "call of discovery"); got != want {
 					t.Errorf("asked with %q, want %q", got, want)
 				}
 			}
@@ -51,16 +51,16 @@
 				s.reload <- syscall.SIGHUP
 				s.config <- c
 			}
-			old.Lines <- sidecartest.Line(9, true, one, two)
+			old.Lines <- sidecartest.ListLine(9, true, one, two)
 
 			s.reload <- syscall.SIGHUP
 			s.config <- configured(next.Addr)
 			expect(next, " ")
-			next.Lines <- sidecartest.Line(3, false, two)
+			next.Lines <- sidecartest.ListLine(3, false, two)
 			next.Lines <- ""
 			expect(next, "1 3")
 			s.waitServedBy(t, "two")
-			next.Lines <- sidecartest.Line(4, true, three)
+			next.Lines <- sidecartest.ListLine(4, true, three)
 			s.waitServedBy(t, "three")
 		})
 	}
@@ -69,8 +69,8 @@
 // waitServedBy waits until only the endpoint of this name answers.
 func (s *testSidecar) waitServedBy(t *testing.T, want string) {
 	t.Helper()
-	for end, times := time.Now().Add(sidecartest.Soon), 0; times < 5; {
-		_, got := s.do(t, sidecartest.Look(900))
+	for end, times := time.Now().Add(sidecartest.WaitTimeout), 0; times < 5; {
+		_, got := s.do(t, sidecartest.IdempotentRequest(900))
 		if times++; got != want {
 			times = 0
 		}
@@ -82,15 +82,15 @@
 
 // Configurations may come while the sidecar stops.
 func TestReloadWhileStopping(t *testing.T) {
-	b := sidecartest.NewBoard(t)
-	addr := sidecartest.Web(t, func(http.ResponseWriter, *http.Request) {})
-	c := sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)})
+	b := sidecartest.NewDiscovery(t)
+	addr := sidecartest.HTTPEndpoint(t, func(http.ResponseWriter, *http.Request) {})
+	c := sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)})
 	s := startSidecar(t, c)
 	s.stop()
 	s.reload <- syscall.SIGHUP
 	s.config <- sidecartest.Configure(t, b.Addr, nil)
-	sidecartest.Within(t, b.Asked, "call of discovery")
-	if err := sidecartest.Within(t, s.ended, "end"); err != nil {
+	sidecartest.Receive(t, b.Watches, "call of discovery")
+	if err := sidecartest.Receive(t, s.ended, "end"); err != nil {
 		t.Error(err)
 	}
 }
@@ -99,7 +99,7 @@
 func TestReloadChangesClasses(t *testing.T) {
 	taken, release := make(chan struct{}, 8), make(chan struct{})
 	let := sync.OnceFunc(func() { close(release) })
-	addr := sidecartest.Web(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := sidecartest.HTTPEndpoint(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/pay" {
 			taken <- struct{}{}
 			<-release
@@ -107,13 +107,13 @@
 		io.WriteString(w, "ok")
 	})
 	t.Cleanup(let)
-	known := []discovery.Instance{sidecartest.Up("s-1", addr)}
-	s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), known))
+	known := []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)}
+	s := startSidecar(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), known))
 	reload := func(c *config.Config, figure string, want int) {
 		t.Helper()
 		s.reload <- syscall.SIGHUP
 		s.config <- c
-		for end := time.Now().Add(sidecartest.Soon); s.metric(t, figure) != want; {
+		for end := time.Now().Add(sidecartest.WaitTimeout); s.metric(t, figure) != want; {
 			if time.Now().After(end) {
 				t.Fatalf("%s does not become %d", figure, want)
 			}
@@ -124,9 +124,9 @@
 		resp, _ := s.do(t, sidecartest.Request("POST", "/pay", "pay", 1000, "x"))
 		open <- resp.StatusCode
 	}()
-	sidecartest.Within(t, taken, "attempt")
+	sidecartest.Receive(t, taken, "attempt")
 	const pay = `{"name":"pay","repeat":"side_effect"`
-	reload(sidecartest.Configure(t, sidecartest.Nowhere(t), known, pay, `{"name":"sell","repeat":"pure"`, `"most-tries":3`, `"most-tries":2`),
+	reload(sidecartest.Configure(t, sidecartest.ClosedAddress(t), known, pay, `{"name":"sell","repeat":"pure"`, `"most-tries":3`, `"most-tries":2`),
 		"conf_loaded_total", 1)
 	if resp, text := s.do(t, sidecartest.Request("GET", "/sell", "sell", 900, "")); resp.StatusCode != 200 || text != "ok" {
 		t.Errorf("the new class: %s", resp.Status)
@@ -135,7 +135,7 @@
 		t.Errorf("the dropped class: %s", resp.Status)
 	}
 	let()
-	if code := sidecartest.Within(t, open, "answer"); code != 200 {
+	if code := sidecartest.Receive(t, open, "answer"); code != 200 {
 		t.Errorf("what was open: %d", code)
 	}
 	s.wantMetric(t, `answered_total{group="pay"}`, 1)
@@ -148,10 +148,10 @@
 
 // Every way in which a file may be wrong is found before any of it is taken, and named.
 func TestInvalidConfigurationChangesNothing(t *testing.T) {
-	c := sidecartest.Configure(t, "127.0.0.1:1", []discovery.Instance{sidecartest.Up("s-1", "127.0.0.1:2")})
-	good := sidecartest.ConfigText(t, "127.0.0.1:1", []discovery.Instance{sidecartest.Up("s-1", "127.0.0.1:2")})
+	c := sidecartest.Configure(t, "127.0.0.1:1", []discovery.Instance{sidecartest.ReadyInstance("s-1", "127.0.0.1:2")})
+	good := sidecartest.ConfigText(t, "127.0.0.1:1", []discovery.Instance{sidecartest.ReadyInstance("s-1", "127.0.0.1:2")})
 	figures, took := metrics.New(), 0
-	r := &reloader{config: c, metrics: figures, log: sidecartest.Quiet,
+	r := &reloader{config: c, metrics: figures, log: sidecartest.DiscardLog,
 		apply: func(context.Context, *config.Config) error { took++; return nil }}
 	for _, tc := range []struct{ key, old, new string }{
 		{"file", string(good), ""},
--- a/internal/dataplane/sidecar/server_test.go
+++ b/internal/dataplane/sidecar/server_test.go
@@ -26,7 +26,7 @@
 		body string
 	}
 	got := make(chan seen, 64)
-	addr := sidecartest.Web(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := sidecartest.HTTPEndpoint(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		got <- seen{r, string(b)}
 		if w.Header()["Content-Type"] = nil; r.Method == "GET" {
@@ -35,9 +35,9 @@
 		w.Header().Set("Endpoint-Load-Metrics", "TEXT busy_reqs=1")
 		io.WriteString(w, "\x00card "+string(b))
 	})
-	s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
+	s := startSidecar(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)}))
 	for _, r := range []*http.Request{
-		sidecartest.Look(480),
+		sidecartest.IdempotentRequest(480),
 		sidecartest.Request("GET", "/look/a%2Fb?x=%20y&z", "look", 480, ""),
 		sidecartest.Request("POST", "/book", "book", 480, strings.Repeat("b", httpfront.BodyMost-6)), // the answer is as large as one may be
 		sidecartest.Request("POST", "/pay?p=1", "pay", 480, ""),
@@ -77,8 +77,8 @@
 // What makes no sense gets a plain 4xx, and no endpoint hears of it.
 func TestInvalidRequestsGetClientErrors(t *testing.T) {
 	var sent atomic.Int32
-	addr := sidecartest.Web(t, func(http.ResponseWriter, *http.Request) { sent.Add(1) })
-	s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
+	addr := sidecartest.HTTPEndpoint(t, func(http.ResponseWriter, *http.Request) { sent.Add(1) })
+	s := startSidecar(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)}))
 	without := func(r *http.Request, header string) *http.Request {
 		r.Header.Del(header)
 		return r
@@ -95,12 +95,12 @@
 		{"unknown class", sidecartest.Request("GET", "/sell", "sell", 400, ""), 404},
 		{"no class", without(sidecartest.Request("GET", "/", "look", 400, ""), "X-Qos"), 404},
 		{"two classes", sidecartest.Request("GET", "/look", "pay", 400, ""), 400},
-		{"no id", without(sidecartest.Look(400), "X-Trace-Id"), 400},
+		{"no id", without(sidecartest.IdempotentRequest(400), "X-Trace-Id"), 400},
 		{"keyed without key", without(sidecartest.Request("POST", "/book", "book", 400, "x"), "Idempotency-Key"), 400},
 		{"wrong method", sidecartest.Request("POST", "/look", "look", 400, "x"), 405},
-		{"time in words", with(sidecartest.Look(400), "X-Expires-In-Ms", "soon"), 400},
-		{"negative time", sidecartest.Look(-1), 400},
-		{"large head", with(sidecartest.Look(400), "X-Props", strings.Repeat("x", 2*httpfront.HeaderMost)), 431},
+		{"time in words", with(sidecartest.IdempotentRequest(400), "X-Expires-In-Ms", "soon"), 400},
+		{"negative time", sidecartest.IdempotentRequest(-1), 400},
+		{"large head", with(sidecartest.IdempotentRequest(400), "X-Props", strings.Repeat("x", 2*httpfront.HeaderMost)), 431},
 	} {
 		if resp, _ := s.do(t, tc.r); resp.StatusCode != tc.want {
 			t.Errorf("%s: %s, want %d", tc.name, resp.Status, tc.want)
@@ -190,11 +190,11 @@
 		{"no connection, unsafe", nil, "pay", true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			addr := sidecartest.Nowhere(t)
+			addr := sidecartest.ClosedAddress(t)
 			if tc.h != nil {
-				addr = sidecartest.Web(t, tc.h)
+				addr = sidecartest.HTTPEndpoint(t, tc.h)
 			}
-			s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
+			s := startSidecar(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)}))
 			method := "POST"
 			if tc.class == "look" {
 				method = "GET"
@@ -227,15 +227,15 @@
 			var copies atomic.Int32
 			// The first to be asked breaks its connection after reading the request.
 			endpoint := func() string {
-				return sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
-					if _, err := sidecartest.Take(r); err == nil && copies.Add(1) > 1 {
+				return sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
+					if _, err := sidecartest.ReadRequest(r); err == nil && copies.Add(1) > 1 {
 						io.WriteString(c, sidecartest.OKAnswer)
 					}
 				})
 			}
-			other := sidecartest.Up("s-2", endpoint())
+			other := sidecartest.ReadyInstance("s-2", endpoint())
 			other.Cell = tc.cell
-			s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", endpoint()), other}))
+			s := startSidecar(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", endpoint()), other}))
 			resp, _ := s.do(t, sidecartest.Request("POST", "/"+tc.class, tc.class, 900, "x"))
 			if n := copies.Load(); n > tc.mostCopies {
 				t.Errorf("%d copies, %d at most", n, tc.mostCopies)
@@ -251,14 +251,14 @@
 // judged by a clock that does not run by itself, in internal/dataplane/core.
 func TestSilentEndpointIsClosedAtDeadline(t *testing.T) {
 	ended := make(chan error, 3)
-	addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
-		if _, err := sidecartest.Take(r); err != nil {
+	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
+		if _, err := sidecartest.ReadRequest(r); err != nil {
 			return
 		}
 		_, err := r.ReadByte()
 		ended <- err
 	})
-	s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
+	s := startSidecar(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)}))
 	for _, tc := range []struct {
 		class string
 		want  int
@@ -267,7 +267,7 @@
 		if resp.StatusCode != tc.want {
 			t.Errorf("%s: %s, want %d", tc.class, resp.Status, tc.want)
 		}
-		if err := sidecartest.Within(t, ended, "end of the attempt"); err != io.EOF {
+		if err := sidecartest.Receive(t, ended, "end of the attempt"); err != io.EOF {
 			t.Errorf("%s: the endpoint read on: %v", tc.class, err)
 		}
 	}
@@ -282,13 +282,13 @@
 // A client that goes takes its attempt with it.
 func TestAttemptEndsWhenClientLeaves(t *testing.T) {
 	taken, ended := make(chan struct{}), make(chan error, 1)
-	addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
-		sidecartest.Take(r)
+	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
+		sidecartest.ReadRequest(r)
 		close(taken)
 		_, err := r.ReadByte()
 		ended <- err
 	})
-	cfg := sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}, `"give-up":1000000`, `"give-up":60000000`)
+	cfg := sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)}, `"give-up":1000000`, `"give-up":60000000`)
 	s := startSidecar(t, cfg)
 	c, err := net.Dial("tcp", s.addr)
 	if err != nil {
@@ -297,9 +297,9 @@
 	if err := sidecartest.Request("POST", "/pay", "pay", 60000, "x").Write(c); err != nil {
 		t.Fatal(err)
 	}
-	sidecartest.Within(t, taken, "attempt")
+	sidecartest.Receive(t, taken, "attempt")
 	c.Close()
-	if err := sidecartest.Within(t, ended, "end of the attempt"); err != io.EOF {
+	if err := sidecartest.Receive(t, ended, "end of the attempt"); err != io.EOF {
 		t.Errorf("the endpoint read on: %v", err)
 	}
 }
@@ -307,11 +307,11 @@
 // Requests over the settings' limit never ran.
 func TestRequestsOverLimitAreRejected(t *testing.T) {
 	taken, release := make(chan struct{}, 2), make(chan struct{})
-	addr := sidecartest.Web(t, func(http.ResponseWriter, *http.Request) {
+	addr := sidecartest.HTTPEndpoint(t, func(http.ResponseWriter, *http.Request) {
 		taken <- struct{}{}
 		<-release
 	})
-	s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}, `"most-held":1000`, `"most-held":1`))
+	s := startSidecar(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)}, `"most-held":1000`, `"most-held":1`))
 	first := make(chan int)
 	c, err := net.Dial("tcp", s.addr)
 	if err != nil {
@@ -322,12 +322,12 @@
 		resp, _ := s.doOn(t, c, sidecartest.Request("POST", "/pay", "pay", 900, "x"))
 		first <- resp.StatusCode
 	}()
-	sidecartest.Within(t, taken, "first attempt")
+	sidecartest.Receive(t, taken, "first attempt")
 	if resp, _ := s.do(t, sidecartest.Request("POST", "/pay", "pay", 900, "x")); resp.StatusCode != 503 {
 		t.Errorf("second: %s, want 503", resp.Status)
 	}
 	close(release)
-	if code := sidecartest.Within(t, first, "first answer"); code != 200 {
+	if code := sidecartest.Receive(t, first, "first answer"); code != 200 {
 		t.Errorf("first: %d, want 200", code)
 	}
 	if len(taken) != 0 {
@@ -339,13 +339,13 @@
 // sidecar a descriptor that it needs.
 func TestIdleConnectionsMakeRoom(t *testing.T) {
 	taken, release := make(chan struct{}, 1), make(chan struct{})
-	addr := sidecartest.Web(t, func(_ http.ResponseWriter, r *http.Request) {
+	addr := sidecartest.HTTPEndpoint(t, func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/pay" {
 			taken <- struct{}{}
 			<-release
 		}
 	})
-	cfg := sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)})
+	cfg := sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)})
 	cfg.Sockets = config.LeastSockets
 	s := startSidecar(t, cfg)
 	dial := func() net.Conn {
@@ -362,14 +362,14 @@
 		resp, _ := s.doOn(t, c, sidecartest.Request("POST", "/pay", "pay", 1000, "x"))
 		waiting <- resp.StatusCode
 	}()
-	sidecartest.Within(t, taken, "attempt")
+	sidecartest.Receive(t, taken, "attempt")
 	var silent []net.Conn
 	for range 2 * cfg.ClientConns(1) {
 		silent = append(silent, dial())
 	}
 	kept := dial()
 	for range 3 {
-		if resp, _ := s.doOn(t, kept, sidecartest.Look(900)); resp.StatusCode != 200 || resp.Close {
+		if resp, _ := s.doOn(t, kept, sidecartest.IdempotentRequest(900)); resp.StatusCode != 200 || resp.Close {
 			t.Fatalf("beside silent connections: %s, close %v", resp.Status, resp.Close)
 		}
 	}
@@ -379,11 +379,11 @@
 		t.Errorf("the connection silent for longest: %v, want it closed", err)
 	}
 	last := silent[len(silent)-1]
-	if resp, _ := s.doOn(t, last, sidecartest.Look(900)); resp.StatusCode != 200 {
+	if resp, _ := s.doOn(t, last, sidecartest.IdempotentRequest(900)); resp.StatusCode != 200 {
 		t.Errorf("a connection silent for a moment: %s", resp.Status)
 	}
 	close(release)
-	if code := sidecartest.Within(t, waiting, "answer"); code != 200 {
+	if code := sidecartest.Receive(t, waiting, "answer"); code != 200 {
 		t.Errorf("the request that waited meanwhile: %d", code)
 	}
 }
@@ -391,8 +391,8 @@
 // Whoever sends no whole request is told so or cut off within 3 s, before another reading and before the
 // sidecar is made to wait when it stops.
 func TestIncompleteRequestsTimeOut(t *testing.T) {
-	addr := sidecartest.Web(t, func(http.ResponseWriter, *http.Request) { t.Error("an attempt was made") })
-	s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
+	addr := sidecartest.HTTPEndpoint(t, func(http.ResponseWriter, *http.Request) { t.Error("an attempt was made") })
+	s := startSidecar(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)}))
 	for _, text := range []string{
 		"",
 		"GET /look/1 HT",
@@ -419,30 +419,30 @@
 // Two requests of one id would be one and the same to an endpoint.
 func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	taken, release := make(chan struct{}, 2), make(chan struct{})
-	addr := sidecartest.Web(t, func(http.ResponseWriter, *http.Request) {
+	addr := sidecartest.HTTPEndpoint(t, func(http.ResponseWriter, *http.Request) {
 		taken <- struct{}{}
 		<-release
 	})
-	s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
+	s := startSidecar(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)}))
 	c, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	first := make(chan int, 1)
-	r := sidecartest.Look(900)
+	r := sidecartest.IdempotentRequest(900)
 	go func() {
 		resp, _ := s.doOn(t, c, r)
 		first <- resp.StatusCode
 	}()
-	sidecartest.Within(t, taken, "attempt")
-	again := sidecartest.Look(900)
+	sidecartest.Receive(t, taken, "attempt")
+	again := sidecartest.IdempotentRequest(900)
 	again.Header.Set("X-Trace-Id", r.Header.Get("X-Trace-Id"))
 	if resp, _ := s.do(t, again); resp.StatusCode != 409 {
 		t.Errorf("an open id: %s, want 409", resp.Status)
 	}
 	close(release)
-	if code := sidecartest.Within(t, first, "answer"); code != 200 {
+	if code := sidecartest.Receive(t, first, "answer"); code != 200 {
 		t.Errorf("its owner: %d, want 200", code)
 	}
 	if resp, _ := s.do(t, again); resp.StatusCode != 200 {
@@ -467,11 +467,11 @@
 				w.Header().Set("X-Never-Ran", "1")
 				w.WriteHeader(503)
 			},
-			func() *http.Request { return sidecartest.Look(900) }}, // of the same class
+			func() *http.Request { return sidecartest.IdempotentRequest(900) }}, // of the same class
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var failed, served atomic.Int32
-			half := sidecartest.Web(t, func(w http.ResponseWriter, r *http.Request) {
+			half := sidecartest.HTTPEndpoint(t, func(w http.ResponseWriter, r *http.Request) {
 				if tc.bad(r) {
 					failed.Add(1)
 					tc.handle(w, r)
@@ -479,12 +479,12 @@
 				}
 				served.Add(1)
 			})
-			whole := sidecartest.Web(t, func(http.ResponseWriter, *http.Request) {})
-			s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", half), sidecartest.Up("s-2", whole)},
+			whole := sidecartest.HTTPEndpoint(t, func(http.ResponseWriter, *http.Request) {})
+			s := startSidecar(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", half), sidecartest.ReadyInstance("s-2", whole)},
 				`"tenants":[`, `"tenants":[{"name":"zeta","allowance-per-s":100.0,"share":1.0},`))
 			const rounds = 40
 			for range rounds {
-				r := sidecartest.Look(60)
+				r := sidecartest.IdempotentRequest(60)
 				r.Header.Set("X-Customer", "zeta")
 				s.do(t, r)
 				for range 5 {
@@ -507,10 +507,10 @@
 	var silent atomic.Bool
 	var lost atomic.Int32
 	endpoint := func(falls bool) string {
-		return sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
+		return sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 			old := falls && !silent.Load()
 			for {
-				if _, err := sidecartest.Take(r); err != nil {
+				if _, err := sidecartest.ReadRequest(r); err != nil {
 					return
 				}
 				if old && silent.Load() {
@@ -521,18 +521,18 @@
 			}
 		})
 	}
-	s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", endpoint(true)), sidecartest.Up("s-2", endpoint(false))}))
+	s := startSidecar(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", endpoint(true)), sidecartest.ReadyInstance("s-2", endpoint(false))}))
 	for range 40 { // the sidecar learns how long requests take, over some connections at once
 		var several sync.WaitGroup
 		for range 8 {
-			several.Go(func() { s.do(t, sidecartest.Look(900)) })
+			several.Go(func() { s.do(t, sidecartest.IdempotentRequest(900)) })
 		}
 		several.Wait()
 	}
 	silent.Store(true)
 	for i := range 60 {
 		// The breaker may refuse a few: latencies without any network vary by far more than its factor.
-		if resp, _ := s.do(t, sidecartest.Look(900)); resp.StatusCode != 200 && resp.Header.Get("Retry-After") == "" {
+		if resp, _ := s.do(t, sidecartest.IdempotentRequest(900)); resp.StatusCode != 200 && resp.Header.Get("Retry-After") == "" {
 			t.Errorf("request %d: %s", i, resp.Status)
 		}
 	}
@@ -547,19 +547,19 @@
 	taken, release := make(chan struct{}, 1), make(chan struct{})
 	let := sync.OnceFunc(func() { close(release) })
 	t.Cleanup(let)
-	addr := sidecartest.Web(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := sidecartest.HTTPEndpoint(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/pay" {
 			taken <- struct{}{}
 			<-release
 		}
 	})
-	s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
+	s := startSidecar(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)}))
 	idle, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer idle.Close()
-	if resp, _ := s.doOn(t, idle, sidecartest.Look(900)); resp.Close {
+	if resp, _ := s.doOn(t, idle, sidecartest.IdempotentRequest(900)); resp.Close {
 		t.Error("a connection was not kept")
 	}
 	var before sync.WaitGroup
@@ -570,16 +570,16 @@
 			t.Errorf("taken before: %s, close %v", resp.Status, resp.Close)
 		}
 	})
-	sidecartest.Within(t, taken, "attempt")
+	sidecartest.Receive(t, taken, "attempt")
 	begun := time.Now()
 	s.stop()
-	idle.SetReadDeadline(time.Now().Add(sidecartest.Soon))
+	idle.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	if _, err := idle.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("idle connection: %v, want it closed", err)
 	}
 	// Until it accepts no more, which it may not do sooner than 500 ms after the order.
 	for n := 0; ; n++ {
-		resp, err := s.tryDo(sidecartest.Look(900))
+		resp, err := s.tryDo(sidecartest.IdempotentRequest(900))
 		if err != nil {
 			if took := time.Since(begun); took < 500*time.Millisecond {
 				t.Fatalf("request %d after the order, after %v: %v", n, took, err)
@@ -596,7 +596,7 @@
 		}
 	}
 	let()
-	if err := sidecartest.Within(t, s.ended, "end"); err != nil {
+	if err := sidecartest.Receive(t, s.ended, "end"); err != nil {
 		t.Errorf("ended with %v", err)
 	}
 	if took := time.Since(begun); took < 500*time.Millisecond {
@@ -609,7 +609,7 @@
 func TestEndDelayFollowsSettings(t *testing.T) {
 	for give, want := range map[string]time.Duration{"1000000": 1550 * time.Millisecond, "400000": 950 * time.Millisecond,
 		"22405243": 3550 * time.Millisecond} {
-		c := sidecartest.Configure(t, sidecartest.Nowhere(t), nil, `"give-up":1000000`, `"give-up":`+give)
+		c := sidecartest.Configure(t, sidecartest.ClosedAddress(t), nil, `"give-up":1000000`, `"give-up":`+give)
 		if got := endDelay(&c.Settings); got != want {
 			t.Errorf("requests of %s us: %v, want %v", give, got, want)
 		}
@@ -619,12 +619,12 @@
 // What is open as the process ends has its answer before the kill, however long its client would wait.
 func TestStopAnswersOpenRequestsBeforeKill(t *testing.T) {
 	taken, release := make(chan struct{}, 1), make(chan struct{})
-	addr := sidecartest.Web(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := sidecartest.HTTPEndpoint(t, func(w http.ResponseWriter, r *http.Request) {
 		taken <- struct{}{}
 		<-release
 	})
 	defer close(release)
-	s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)},
+	s := startSidecar(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)},
 		`"give-up":1000000`, `"give-up":600000000`))
 	told := make(chan *http.Response, 1)
 	go func() {
@@ -634,12 +634,12 @@
 		}
 		told <- resp
 	}()
-	sidecartest.Within(t, taken, "attempt")
+	sidecartest.Receive(t, taken, "attempt")
 	s.stop()
-	if resp := sidecartest.Within(t, told, "answer"); resp == nil || resp.StatusCode != 502 || !resp.Close {
+	if resp := sidecartest.Receive(t, told, "answer"); resp == nil || resp.StatusCode != 502 || !resp.Close {
 		t.Errorf("answered %+v", resp)
 	}
-	if err := sidecartest.Within(t, s.ended, "end"); err != nil {
+	if err := sidecartest.Receive(t, s.ended, "end"); err != nil {
 		t.Errorf("ended with %v", err)
 	}
 }
@@ -648,9 +648,9 @@
 func TestFastServiceIsServed(t *testing.T) {
 	var list []discovery.Instance
 	for _, id := range []string{"s1", "s2", "s3", "s4"} {
-		list = append(list, sidecartest.Up(id, sidecartest.Web(t, func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "found") })))
+		list = append(list, sidecartest.ReadyInstance(id, sidecartest.HTTPEndpoint(t, func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "found") })))
 	}
-	s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), list, `"probes":false`, `"probes":true`))
+	s := startSidecar(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), list, `"probes":false`, `"probes":true`))
 	c, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -658,7 +658,7 @@
 	defer c.Close()
 	refused := 0
 	for range 1000 {
-		if resp, _ := s.doOn(t, c, sidecartest.Look(1000)); resp.StatusCode != 200 {
+		if resp, _ := s.doOn(t, c, sidecartest.IdempotentRequest(1000)); resp.StatusCode != 200 {
 			refused++
 		}
 	}
--- a/internal/dataplane/sidecar/snapshotfile_test.go
+++ b/internal/dataplane/sidecar/snapshotfile_test.go
@@ -44,9 +44,9 @@
 	go func() {
 		ended <- Run(ctx, c, Host{Socket: singleListener{ln}, Overrides: maintenance.Discard{}, SnapshotFile: snapshot.File{Path: path}, Log: log})
 	}()
-	sidecartest.Within(t, serving, "start")
+	sidecartest.Receive(t, serving, "start")
 	stop()
-	if err := sidecartest.Within(t, ended, "end"); err != nil {
+	if err := sidecartest.Receive(t, ended, "end"); err != nil {
 		t.Error(err)
 	}
 	return said.String()
@@ -58,9 +58,9 @@
 
 // A start reads what was kept; whatever the file holds, it starts.
 func TestStartRestoresSnapshotFile(t *testing.T) {
-	c := sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", "127.0.0.1:1"), sidecartest.Up("s-2", "127.0.0.1:2")})
+	c := sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", "127.0.0.1:1"), sidecartest.ReadyInstance("s-2", "127.0.0.1:2")})
 	clk, figures := core.NewClock(), metrics.New()
-	old, err := core.New(c, clk, httpfront.NewUpstream(c, clk, &figures.AttemptsSent, sidecartest.Quiet), func(bool) {}, figures, nil, sidecartest.Quiet)
+	old, err := core.New(c, clk, httpfront.NewUpstream(c, clk, &figures.AttemptsSent, sidecartest.DiscardLog), func(bool) {}, figures, nil, sidecartest.DiscardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dataplane/sidecar/streaming_test.go
+++ b/internal/dataplane/sidecar/streaming_test.go
@@ -27,7 +27,7 @@
 func TestLongBodiesAndAnswersPassUnchanged(t *testing.T) {
 	got := make(chan string, 1)
 	// It keeps a connection until it has said that it closes it: the next request may be on its way when it does so unsaid.
-	addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
+	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 		for as := ""; as != "end"; {
 			req, err := http.ReadRequest(r)
 			if err != nil {
@@ -51,7 +51,7 @@
 			}
 		}
 	})
-	s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
+	s := startSidecar(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)}))
 	for _, tc := range []struct {
 		as      string
 		body    string
@@ -72,7 +72,7 @@
 			if resp, text := s.do(t, r); resp.StatusCode != 200 || text != want {
 				t.Errorf("%s, %d bytes", resp.Status, len(text))
 			}
-			if body := sidecartest.Within(t, got, "body"); body != tc.body {
+			if body := sidecartest.Receive(t, got, "body"); body != tc.body {
 				t.Errorf("the endpoint got %d bytes, want %d", len(body), len(tc.body))
 			}
 		})
@@ -90,20 +90,20 @@
 		fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n", 2*len(longText)),
 	} {
 		var sent atomic.Int32
-		addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
-			if _, err := sidecartest.Take(r); err == nil {
+		addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
+			if _, err := sidecartest.ReadRequest(r); err == nil {
 				sent.Add(1)
 				io.WriteString(c, head+longText)
 			}
 		})
-		s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr), sidecartest.Up("s-2", addr)}))
+		s := startSidecar(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", addr), sidecartest.ReadyInstance("s-2", addr)}))
 		c, err := net.Dial("tcp", s.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		sidecartest.Look(900).Write(c)
-		c.SetReadDeadline(time.Now().Add(sidecartest.Soon))
+		sidecartest.IdempotentRequest(900).Write(c)
+		c.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout))
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
 			t.Fatal(err)
@@ -115,21 +115,21 @@
 			t.Errorf("%d attempts", n)
 		}
 		s.stop()
-		sidecartest.Within(t, s.ended, "end")
+		sidecartest.Receive(t, s.ended, "end")
 	}
 }
 
 // A body of which a part went by is not sent again, though it never ran.
 func TestStreamedBodyIsNotSentAgain(t *testing.T) {
 	var sent atomic.Int32
-	addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
+	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err == nil {
 			sent.Add(1)
 			io.CopyN(io.Discard, r, 2*httpfront.BodyMost)
 			c.SetLinger(0)
 		}
 	})
-	s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr), sidecartest.Up("s-2", addr)}))
+	s := startSidecar(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", addr), sidecartest.ReadyInstance("s-2", addr)}))
 	c, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -139,7 +139,7 @@
 	r := sidecartest.Request("POST", "/pay", "pay", 900, "x")
 	r.ContentLength, r.Body = httpfront.LongMost, io.NopCloser(io.LimitReader(zeros{}, httpfront.LongMost))
 	go r.Write(c)
-	c.SetReadDeadline(time.Now().Add(sidecartest.Soon))
+	c.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -161,11 +161,11 @@
 // A client that stops in the middle of a long body is told, and no endpoint gets a whole request.
 func TestIncompleteBodyIsRejected(t *testing.T) {
 	whole := make(chan bool, 1)
-	addr := sidecartest.Raw(t, func(c *net.TCPConn, r *bufio.Reader) {
-		_, err := sidecartest.Take(r)
+	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
+		_, err := sidecartest.ReadRequest(r)
 		whole <- err == nil
 	})
-	s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
+	s := startSidecar(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)}))
 	c, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -175,12 +175,12 @@
 	sidecartest.Request("POST", "/pay", "pay", 900, longText).Write(&text)
 	io.WriteString(c, text.String()[:text.Len()-httpfront.BodyMost])
 	c.(*net.TCPConn).CloseWrite()
-	c.SetReadDeadline(time.Now().Add(sidecartest.Soon))
+	c.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || resp.StatusCode != 400 {
 		t.Errorf("%v, %v", resp, err)
 	}
-	if sidecartest.Within(t, whole, "request") {
+	if sidecartest.Receive(t, whole, "request") {
 		t.Error("the endpoint took a part for the whole")
 	}
 	s.wantMetric(t, "current", 0)
@@ -190,26 +190,26 @@
 func TestStreamedAnswerOutlastsDeadline(t *testing.T) {
 	const ms = 100
 	release := make(chan struct{})
-	addr := sidecartest.Web(t, func(w http.ResponseWriter, _ *http.Request) {
+	addr := sidecartest.HTTPEndpoint(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", fmt.Sprint(len(longText)))
 		io.WriteString(w, longText[:10])
 		http.NewResponseController(w).Flush()
 		<-release
 		io.WriteString(w, longText[10:])
 	})
-	s := startSidecar(t, sidecartest.Configure(t, sidecartest.Nowhere(t), []discovery.Instance{sidecartest.Up("s-1", addr)}))
+	s := startSidecar(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)}))
 	// Which is of use only if its head comes in time: on a busy machine it is asked again.
 	var resp *http.Response
 	begun := time.Now()
-	for end := begun.Add(sidecartest.Soon); ; {
+	for end := begun.Add(sidecartest.WaitTimeout); ; {
 		c, err := net.Dial("tcp", s.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
 		begun = time.Now()
-		sidecartest.Look(ms).Write(c)
-		c.SetReadDeadline(time.Now().Add(sidecartest.Soon))
+		sidecartest.IdempotentRequest(ms).Write(c)
+		c.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout))
 		if resp, err = http.ReadResponse(bufio.NewReader(c), nil); err != nil {
 			t.Fatal(err)
 		}
