--- a/internal/store/disk/frozen_test.go
+++ b/internal/store/disk/frozen_test.go
@@ -66,7 +66,8 @@
 	if contents.Identity != want {
 		t.Errorf("identity %+v", contents.Identity)
 	}
-	if base := (replica.SnapshotMeta{Index: 4, Term: 3}); !cmp.Equal(contents.Base, base) || !cmp.Equal(contents.Snapshot, frozenMeta) {
+	base := replica.SnapshotMeta{Index: 4, Term: 3}
+	if !cmp.Equal(contents.Base, base) || !cmp.Equal(contents.Snapshot, frozenMeta) {
 		t.Errorf("base %+v, snapshot %+v", contents.Base, contents.Snapshot)
 	}
 	if !proto.Equal(contents.HardState, hard(3, 5)) {
