--- a/internal/store/follower/follower_test.go
+++ b/internal/store/follower/follower_test.go
@@ -28,8 +28,8 @@
 	return ln.Addr().String()
 }
 
-// Without a replica a follower starts with its file; a damaged one is not used, and left as it is; and what it is asked ends
-// with the word that nothing was sent.
+// Without a replica a follower starts with its file; a damaged one is not used, and left as it is; and what it
+// is asked ends with the word that nothing was sent.
 func TestFollowerWithoutReplicaServesItsFile(t *testing.T) {
 	s := store.New(7, store.DefaultLimits)
 	s.Bootstrap("a", "a", 1)
--- a/internal/store/follower/interest_test.go
+++ b/internal/store/follower/interest_test.go
@@ -135,8 +135,9 @@
 
 func isNotHeld(err error) bool { return errors.As(err, new(*store.NotHeldError)) }
 
-// A follower holds what it needs, reads a replica for what else is asked, never says of that that it is not there, and holds more or less
-// while it runs; what it keeps is of use to its next start, and is not taken for all.
+// A follower holds what it needs, reads a replica for what else is asked, never says of that that it is not
+// there, and holds more or less while it runs; what it keeps is of use to its next start, and is not taken for
+// all.
 func TestPartialFollowerReadsTheRestFromReplica(t *testing.T) {
 	e, addr := startReplica(t)
 	for i := range 5 {
@@ -214,8 +215,9 @@
 	eventually(t, "the rest is taken", func() bool { got, err := f.read(t, "a/2", true); return err == nil && got == "v" })
 }
 
-// Where a replica is of a version that knows of no interests, a follower holds all, as one of that version does; with the next replica
-// that does, a part. What one of that version keeps is of use to this one. One that asks as that version does is told as it was.
+// Where a replica is of a version that knows of no interests, a follower holds all, as one of that version
+// does; with the next replica that does, a part. What one of that version keeps is of use to this one. One that
+// asks as that version does is told as it was.
 func TestFollowerOfReplicasOfTwoVersions(t *testing.T) {
 	e, addr := startReplica(t)
 	put(t, e, "a/1", "v")
@@ -304,7 +306,8 @@
 	}
 }
 
-// What a first copy had is kept for the next start also where less is held a moment later, until something of what is kept changes.
+// What a first copy had is kept for the next start also where less is held a moment later, until something of
+// what is kept changes.
 func TestFirstCopyIsSavedBeforeItIsNarrowed(t *testing.T) {
 	e, addr := startReplica(t)
 	put(t, e, "a/1", "v")
--- a/internal/store/follower/usage_test.go
+++ b/internal/store/follower/usage_test.go
@@ -19,8 +19,9 @@
 	"birchmoor/internal/testutil/processtest"
 )
 
-// A follower and its replica count the same messages and bytes, each way and for each purpose, and the replica as many entries as were
-// put to it: of a stream of all, and of one by interest, by which a line has all that a transaction changed and counts as its first key.
+// A follower and its replica count the same messages and bytes, each way and for each purpose, and the replica
+// as many entries as were put to it: of a stream of all, and of one by interest, by which a line has all that a
+// transaction changed and counts as its first key.
 func TestFollowerAndReplicaCountTheSameUsage(t *testing.T) {
 	own := changefeed.Subscription{Interest: &store.Interest{Prefixes: []string{"known/h/", "out/"}}, SizePrefixes: []string{"known/"}}
 	t.Run("all", func(t *testing.T) { bothEndsCountTheSame(t, nil, [2]uint64{4, 5}) })
