--- a/cmd/sidecar/crowd_test.go
+++ b/cmd/sidecar/crowd_test.go
@@ -19,8 +19,13 @@
 	"birchmoor/internal/testutil/processtest"
 )
 
-// crowd holds idle connections to addr, far more than its descriptors, until the test ends: who is shut comes again.
+// writeAll writes a text to a peer, which may be gone.
+func writeAll(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
+
+// crowd keeps idle connections open to addr, far more than its descriptors, until the test ends. Closed ones are
+// opened again.
 func crowd(t *testing.T, addr string, conns int) {
+	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	for range conns {
@@ -31,7 +36,7 @@
 				}
 				if c, err := net.Dial("tcp", addr); err == nil {
 					stop := context.AfterFunc(ctx, func() { c.Close() })
-					io.Copy(io.Discard, c) // until it is shut
+					_, _ = io.Copy(io.Discard, c) // until it is closed
 					stop()
 					c.Close()
 				}
@@ -42,13 +47,16 @@
 			}
 		})
 	}
-	t.Cleanup(func() { cancel(); all.Wait() })
+	t.Cleanup(func() {
+		cancel()
+		all.Wait()
+	})
 }
 
-// Idle clients come before the process listens, and hold more connections than it has descriptors, while discovery is down, or
-// takes calls and never answers. The process gets ready; a client that is served goes on being served; operators are answered;
-// probes go out; and as discovery returns its list is taken. The system gives no more descriptors than the limit says, and in
-// one case fewer.
+// Idle clients come before the process listens, and open more connections than it has descriptors, while discovery
+// is down, or accepts calls and never answers. The process becomes ready; a client continues to be served;
+// operators are answered; probes go out; and when discovery returns its list is used. The system allows no more
+// descriptors than the limit, and in one case fewer.
 func TestIdleClientsFillDescriptors(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -62,7 +70,7 @@
 					if strings.HasPrefix(r.URL.Path, "/-/") {
 						probes.Add(1)
 					}
-					io.WriteString(w, name)
+					writeAll(w, name)
 				}))
 				t.Cleanup(s.Close)
 				return s.Listener.Addr().String()
@@ -70,48 +78,50 @@
 			one, two := server("one"), server("two")
 			list := `{"generation":9,"reset":true,"instances":[{"instanceId":"s-2","hostPort":"` + two + `","lifecycle":"up"}]}`
 			var back atomic.Bool
-			discovery := func(at string) (addr string) {
+			discovery := func(at string) {
 				ln, err := net.Listen("tcp", at)
 				if err != nil {
 					t.Fatal(err)
 				}
 				s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 					if back.Load() {
-						io.WriteString(w, list+"\n")
-						http.NewResponseController(w).Flush()
+						writeAll(w, list+"\n")
+						_ = http.NewResponseController(w).Flush()
 					}
 					<-r.Context().Done()
 				})}
-				go s.Serve(ln)
+				go func() { _ = s.Serve(ln) }() // until it is closed
 				t.Cleanup(func() { s.Close() })
-				return ln.Addr().String()
 			}
 			at := processtest.Address(t)
 			if tc.hangs {
 				discovery(at)
 			}
-			addr, desk, log := processtest.Address(t), processtest.Address(t), &processtest.Log{}
-			text := strings.NewReplacer(`"discovery":"127.0.0.1:1"`, fmt.Sprintf(`"discovery":"%s","mgmt":"%s","limits":{"sockets":%d}`, at, desk, tc.sockets),
+			addr, management, log := processtest.Address(t), processtest.Address(t), &processtest.Log{}
+			text := strings.NewReplacer(
+				`"discovery":"127.0.0.1:1"`,
+				fmt.Sprintf(`"discovery":"%s","mgmt":"%s","limits":{"sockets":%d}`, at, management, tc.sockets),
 				`"127.0.0.1:1","lifecycle"`, `"`+one+`","lifecycle"`, `"cancel":true`, `"cancel":true,"probes":true`).Replace(sound)
 			file := filepath.Join(t.TempDir(), "config.json")
 			if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 				t.Fatal(err)
 			}
 			crowd(t, addr, 150)
-			p := processtest.Start(t, processtest.Self(t, []string{"ROUTER_CONFIG=" + file, "ROUTER_LISTEN=" + addr, "TMPDIR=", nofile + "=64"}), log)
+			env := []string{"ROUTER_CONFIG=" + file, "ROUTER_LISTEN=" + addr, "TMPDIR=", nofile + "=64"}
+			p := processtest.Start(t, processtest.Self(t, env), log)
 			web := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 			processtest.Until(t, "readiness", func() bool {
 				resp, err := web.Get("http://" + addr + "/-/ready")
 				if err == nil {
 					resp.Body.Close()
 				}
-				return err == nil && resp.StatusCode == 200
+				return err == nil && resp.StatusCode == http.StatusOK
 			}, log.String)
 
 			var ids atomic.Int32
 			known := &http.Client{}
 			look := func() string {
-				r, _ := http.NewRequest("GET", "http://"+addr+"/look", nil)
+				r, _ := http.NewRequest(http.MethodGet, "http://"+addr+"/look", nil)
 				r.Header.Set("X-Trace-Id", fmt.Sprint(ids.Add(1)))
 				r.Header.Set("X-Qos", "look")
 				resp, err := known.Do(r)
@@ -122,7 +132,7 @@
 				body, _ := io.ReadAll(resp.Body)
 				return string(body)
 			}
-			// A client that has a connection is served on it, or on another where that was shut between two requests.
+			// A client that has a connection is served on it, or on another if it was closed between two requests.
 			serve := func(by string) {
 				t.Helper()
 				processtest.Until(t, "an answer of "+by, func() bool { return look() == by }, log.String)
@@ -132,12 +142,12 @@
 				serve("one")
 			}
 			status := func() bool {
-				c, err := net.Dial("tcp", desk)
+				c, err := net.Dial("tcp", management)
 				if err != nil {
 					return false
 				}
 				defer c.Close()
-				io.WriteString(c, "status\n")
+				writeAll(c, "status\n")
 				line, _ := bufio.NewReader(c).ReadString('\n')
 				return line == "YES\n"
 			}
--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -1,4 +1,5 @@
-// Command sidecar balances its application's requests over endpoints. It is configured by the environment (README.md).
+// Command sidecar balances its application's requests over endpoints. It is configured by the environment
+// (README.md).
 package main
 
 import (
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -57,7 +57,7 @@
 				return false
 			}
 			resp.Body.Close()
-			return resp.StatusCode == 200
+			return resp.StatusCode == http.StatusOK
 		}, log.String)
 	}, log
 }
@@ -97,7 +97,8 @@
 	}
 }
 
-// The platform's program links nothing of the store or of what stands on it, and nothing from elsewhere but a CBOR codec.
+// The platform's program links nothing of the store or of what stands on it, and nothing from elsewhere but a CBOR
+// codec.
 func TestImports(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", "-f", "{{if not .Standard}}{{.ImportPath}}{{end}}", ".").Output()
 	if err != nil {
--- a/cmd/sidecar/ready_test.go
+++ b/cmd/sidecar/ready_test.go
@@ -15,10 +15,10 @@
 	"birchmoor/internal/testutil/processtest"
 )
 
-// Several processes start in the same moment, with clients that were there before them, and discovery refuses all calls, fails
-// them or never answers: each is ready, and serves, while discovery has told it nothing.
+// Several processes start at the same time, with clients that were there before them, and discovery refuses all
+// calls, fails them or never answers: each becomes ready, and serves, without anything from discovery.
 func TestReadyWhateverOthersDo(t *testing.T) {
-	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "served") }))
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { writeAll(w, "served") }))
 	defer server.Close()
 	calls := make(chan struct{}, 1024) // that a discovery has taken
 	discovery := func(answer string) (addr string) {
@@ -35,14 +35,14 @@
 				}
 				go func() {
 					defer c.Close()
-					http.ReadRequest(bufio.NewReader(c))
+					_, _ = http.ReadRequest(bufio.NewReader(c))
 					select {
 					case calls <- struct{}{}:
 					default:
 					}
-					io.WriteString(c, answer)
+					writeAll(c, answer)
 					if answer == "" {
-						io.Copy(io.Discard, c) // until it is given up
+						_, _ = io.Copy(io.Discard, c) // until the caller gives up
 					}
 				}()
 			}
@@ -59,20 +59,22 @@
 		for mode := range 2 {
 			text := strings.NewReplacer(`"discovery":"127.0.0.1:1"`, `"discovery":"`+at+`","limits":{"sockets":64}`,
 				`"discovery":"automatic"`, []string{`"discovery":"automatic"`, `"discovery":"subscribe"`}[mode],
-				`"127.0.0.1:1","lifecycle"`, `"`+server.Listener.Addr().String()+`","lifecycle"`, `"ask-within":10000000`, `"ask-within":1000000`).Replace(sound)
+				`"127.0.0.1:1","lifecycle"`, `"`+server.Listener.Addr().String()+`","lifecycle"`,
+				`"ask-within":10000000`, `"ask-within":1000000`).Replace(sound)
 			file := filepath.Join(t.TempDir(), fmt.Sprintf("%s-%d.json", strings.Fields(name)[0], mode))
 			if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 				t.Fatal(err)
 			}
 			p := one{processtest.Address(t), &processtest.Log{}}
 			crowd(t, p.addr, 40)
-			processtest.Start(t, processtest.Self(t, []string{"ROUTER_CONFIG=" + file, "ROUTER_LISTEN=" + p.addr, "TMPDIR="}), p.log)
+			env := []string{"ROUTER_CONFIG=" + file, "ROUTER_LISTEN=" + p.addr, "TMPDIR="}
+			processtest.Start(t, processtest.Self(t, env), p.log)
 			all = append(all, p)
 		}
 	}
 	web := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	get := func(addr, path string) string {
-		r, _ := http.NewRequest("GET", "http://"+addr+path, nil)
+		r, _ := http.NewRequest(http.MethodGet, "http://"+addr+path, nil)
 		r.Header.Set("X-Trace-Id", "1")
 		r.Header.Set("X-Qos", "look")
 		resp, err := web.Do(r)
@@ -87,5 +89,5 @@
 		processtest.Until(t, "readiness", func() bool { return get(p.addr, "/-/ready") == "ready\n" }, p.log.String)
 		processtest.Until(t, "an answer", func() bool { return get(p.addr, "/look") == "served" }, p.log.String)
 	}
-	<-calls // were made, and told them nothing
+	<-calls // calls were made, and brought nothing
 }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter hosts balancers behind the simulator's wire: it reads batches of events from standard input and writes a
-// reply to each on standard output.
+// Command simadapter hosts balancers behind the simulator's wire: it reads batches of events from standard input
+// and writes a reply to each on standard output.
 package main
 
 import (
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -47,15 +47,15 @@
 
 func begin(text string) []byte { return rec(16, uint64(5), uint32(len(text)), text) }
 
-func manifest(list uint8, ids ...uint32) []byte {
-	fields := []any{list, uint32(len(ids))}
+func manifest(ids ...uint32) []byte {
+	fields := []any{uint8(0), uint32(len(ids))}
 	for _, id := range ids {
 		fields = append(fields, id, uint8(0), uint8(0), uint16(0), uint8(0), float32(1), uint64(0))
 	}
 	return rec(26, fields...)
 }
 
-func members(list, kind uint8) []byte { return rec(17, uint32(1), list, kind) }
+func cachedMembers() []byte { return rec(17, uint32(1), uint8(0), uint8(3)) }
 
 func request(id uint64, deadline uint64) []byte {
 	return rec(18, id, uint64(0), deadline, uint32(0), uint8(0), uint16(0), uint8(0))
@@ -96,7 +96,7 @@
 }
 
 func TestRequestIsDelivered(t *testing.T) {
-	out, stderr, err := drive(t, batch(7, 1000, at(3), begin(settings), manifest(0, 11, 12), members(0, 3),
+	out, stderr, err := drive(t, batch(7, 1000, at(3), begin(settings), manifest(11, 12), cachedMembers(),
 		request(5, 500_000)))
 	if err != nil || stderr != "" {
 		t.Fatal(stderr, err)
@@ -109,8 +109,8 @@
 
 func TestStopAndBeginInOneBatch(t *testing.T) {
 	out, _, err := drive(t,
-		batch(1, 1000, at(3), begin(settings), manifest(0, 11), members(0, 3), request(5, 500_000)),
-		batch(2, 2000, at(3), rec(25), begin(settings), manifest(0, 12), members(0, 3), answer(5, 11, 500, 0),
+		batch(1, 1000, at(3), begin(settings), manifest(11), cachedMembers(), request(5, 500_000)),
+		batch(2, 2000, at(3), rec(25), begin(settings), manifest(12), cachedMembers(), answer(5, 11, 500, 0),
 			request(6, 500_000)))
 	if err != nil {
 		t.Fatal(err)
@@ -126,9 +126,9 @@
 	script := func(instances ...uint32) [][]byte {
 		var all [][]byte
 		var records [][]byte
-		records = append(records, manifest(0, 11, 12, 13))
+		records = append(records, manifest(11, 12, 13))
 		for _, i := range instances {
-			records = append(records, at(i), begin(settings), members(0, 3))
+			records = append(records, at(i), begin(settings), cachedMembers())
 		}
 		all = append(all, batch(1, 1000, records...))
 		for n := range uint64(30) {
--- a/internal/testutil/processtest/processtest.go
+++ b/internal/testutil/processtest/processtest.go
@@ -1,8 +1,8 @@
-// Package processtest helps tests to start processes of this program, wait for them, stop them and clean up. docs/testing.md says
-// how such a test is written.
+// Package processtest helps tests to start processes of this program, wait for them, stop them and clean up.
+// docs/testing.md says how such a test is written.
 //
-// No process outlives its test: it ends with the test, also one that fails or panics, and the system kills it when the test's own
-// process ends. What it wrote is shown when the test fails.
+// No process outlives its test: it ends with the test, also one that fails or panics, and the system kills it when
+// the test's own process ends. What it wrote is shown when the test fails.
 package processtest
 
 import (
@@ -18,8 +18,8 @@
 	"birchmoor/internal/lab/address"
 )
 
-// WaitTimeout bounds every wait for an expected event. It is long, since a busy machine may stop a process for seconds, and no
-// verdict may depend on that.
+// WaitTimeout bounds every wait for an expected event. It is long, since a busy machine may stop a process for
+// seconds, and no verdict may depend on that.
 const WaitTimeout = time.Minute
 
 const pollInterval = 5 * time.Millisecond
@@ -72,8 +72,8 @@
 	return l.b.String()
 }
 
-// Start runs a command until the test ends or Kill is called. Its standard error, and its standard output unless that is set, go
-// to the log.
+// Start runs a command until the test ends or Kill is called. Its standard error, and its standard output unless
+// that is set, go to the log.
 func Start(tb testing.TB, cmd *exec.Cmd, log *Log) *Process {
 	tb.Helper()
 	cmd.Stderr = log
--- a/internal/testutil/sidecartest/sidecartest.go
+++ b/internal/testutil/sidecartest/sidecartest.go
@@ -1,4 +1,5 @@
-// Package sidecartest holds what tests of the data plane share: a small configuration, endpoints, and a scripted discovery.
+// Package sidecartest holds what tests of the data plane share: a small configuration, endpoints, and a scripted
+// discovery.
 package sidecartest
 
 import (
@@ -19,12 +20,12 @@
 	"birchmoor/internal/dataplane/discovery"
 )
 
-// WaitTimeout bounds every wait for an expected event. It is long, since a busy machine may stop a process for seconds, and no
-// verdict may depend on that.
+// WaitTimeout bounds every wait for an expected event. It is long, since a busy machine may stop a process for
+// seconds, and no verdict may depend on that.
 const WaitTimeout = time.Minute
 
-// Settings are those of a small site without probes: a class that is idempotent, one with an idempotency key, and one that is
-// not idempotent.
+// Settings are those of a small site without probes: a class that is idempotent, one with an idempotency key, and
+// one that is not idempotent.
 const Settings = `{"peers-total":1,"areas":["a","b"],"skus":["m1"],"discovery":"automatic",
 	"classes":[
 	{"name":"look","repeat":"pure","target":500000,"give-up":1000000,"credit":1.0},
