--- a/internal/dataplane/sidecar/protocolstack.go
+++ b/internal/dataplane/sidecar/protocolstack.go
@@ -14,9 +14,12 @@
 	"birchmoor/internal/platform/snapshot"
 )
 
-// protocolStack is a protocol as this process runs it.
+// httpName is the name of HTTP among the protocols.
+const httpName = ""
+
+// protocolStack is a protocol as this process runs it: its event loop, and both its sides.
 type protocolStack struct {
-	name         string // "" is HTTP
+	name         string
 	config       *config.Config
 	deriveConfig func(*config.Config) (*config.Config, error)
 	metrics      *metrics.Registry
@@ -26,141 +29,186 @@
 	snapshotFile snapshot.File
 }
 
-// newHTTPStack is the lane that every sidecar has.
-func newHTTPStack(c *config.Config, h *Host, clk core.Clock, watch func(bool)) (*protocolStack, error) {
-	n := &protocolStack{deriveConfig: func(c *config.Config) (*config.Config, error) {
-		d := *c
-		d.Known = c.Known.ForProtocol("")
-		return &d, nil
-	}, metrics: metrics.New(c.Classes...), snapshotFile: h.SnapshotFile}
-	n.config, _ = n.deriveConfig(c)
-	up := httpfront.NewUpstream(n.config, clk, &n.metrics.AttemptsSent, h.Log)
-	n.upstream = up
-	var err error
-	if n.loop, err = core.New(n.config, clk, up, watch, n.metrics, h.Tap, h.Log); err != nil {
+// protocolStacks are all protocols of a process, HTTP first.
+type protocolStacks []*protocolStack
+
+// newStacks returns the stacks of HTTP and the host's further protocols. setWatch subscribes to changes of discovery's
+// list, or ends the subscription.
+func newStacks(c *config.Config, h *Host, setWatch func(bool)) (protocolStacks, error) {
+	clock := core.NewClock()
+	first, err := newHTTPStack(c, h, clock, setWatch)
+	if err != nil {
 		return nil, err
 	}
-	front := httpfront.NewServer(n.config, n.loop, h.Socket, n.metrics, h.Log)
-	if h.Limiter != nil {
-		front.Limit(h.Limiter)
+	stacks := protocolStacks{first}
+	for _, p := range h.Protocols {
+		s, err := newStack(p, c, h, clock)
+		if err != nil {
+			return nil, err
+		}
+		stacks = append(stacks, s)
 	}
-	n.frontend = front
-	return n, nil
+	return stacks, nil
 }
 
-// newStack is the lane of a protocol beside HTTP.
-func newStack(p core.Protocol, c *config.Config, h *Host, clk core.Clock) (*protocolStack, error) {
-	log := h.Log.With("protocol", p.Name())
-	n := &protocolStack{name: p.Name(), deriveConfig: p.Config, snapshotFile: h.SnapshotFile}
-	var err error
-	if n.config, err = n.deriveConfig(c); err != nil {
+func newHTTPStack(c *config.Config, h *Host, clock core.Clock, setWatch func(bool)) (*protocolStack, error) {
+	own, err := deriveHTTPConfig(c)
+	if err != nil {
+		return nil, err
+	}
+	registry := metrics.New(c.Classes...)
+	upstream := httpfront.NewUpstream(own, clock, &registry.AttemptsSent, h.Log)
+	loop, err := core.New(own, clock, upstream, setWatch, registry, h.Tap, h.Log)
+	if err != nil {
 		return nil, err
 	}
-	if n.snapshotFile.Path != "" {
-		n.snapshotFile.Path += "." + n.name
+	server := httpfront.NewServer(own, loop, h.Socket, registry, h.Log)
+	if h.Limiter != nil {
+		server.Limit(h.Limiter)
+	}
+	return &protocolStack{
+		name:         httpName,
+		config:       own,
+		deriveConfig: deriveHTTPConfig,
+		metrics:      registry,
+		loop:         loop,
+		upstream:     upstream,
+		frontend:     server,
+		snapshotFile: h.SnapshotFile,
+	}, nil
+}
+
+func deriveHTTPConfig(c *config.Config) (*config.Config, error) {
+	own := *c
+	own.Known = c.Known.ForProtocol(httpName)
+	return &own, nil
+}
+
+// newStack returns the stack of a protocol besides HTTP.
+func newStack(p core.Protocol, c *config.Config, h *Host, clock core.Clock) (*protocolStack, error) {
+	own, err := p.Config(c)
+	if err != nil {
+		return nil, err
 	}
-	n.metrics = metrics.NewForProtocol(n.name, n.config.Classes...)
-	n.upstream = p.NewUpstream(n.config, clk, n.metrics, log)
-	if n.loop, err = core.New(n.config, clk, n.upstream, func(bool) {}, n.metrics, nil, log); err != nil {
+	log := h.Log.With("protocol", p.Name())
+	registry := metrics.NewForProtocol(p.Name(), own.Classes...)
+	upstream := p.NewUpstream(own, clock, registry, log)
+	neverWatch := func(bool) {} // HTTP's stack does
+	loop, err := core.New(own, clock, upstream, neverWatch, registry, nil, log)
+	if err != nil {
 		return nil, err
 	}
-	n.frontend = p.NewFrontend(n.loop, n.metrics, log)
-	return n, nil
+	file := h.SnapshotFile
+	if file.Path != "" {
+		file.Path += "." + p.Name()
+	}
+	return &protocolStack{
+		name:         p.Name(),
+		config:       own,
+		deriveConfig: p.Config,
+		metrics:      registry,
+		loop:         loop,
+		upstream:     upstream,
+		frontend:     p.NewFrontend(loop, registry, log),
+		snapshotFile: file,
+	}, nil
 }
 
-// setCapacityShare sets this process's part of the limits.
-func (n *protocolStack) setCapacityShare(part float64) {
-	n.frontend.SetCapacityShare(n.config, part)
-	n.upstream.SetCapacityShare(n.config, part)
-	n.loop.SetCapacityShare(part)
+// setCapacityShare sets this process's share of the limits, from 0 to 1.
+func (s *protocolStack) setCapacityShare(share float64) {
+	s.frontend.SetCapacityShare(s.config, share)
+	s.upstream.SetCapacityShare(s.config, share)
+	s.loop.SetCapacityShare(share)
 }
 
-// protocolStacks are all protocols of a process, HTTP first.
-type protocolStacks []*protocolStack
+func (ss protocolStacks) http() *protocolStack { return ss[0] }
 
-// watchEvent passes on a list.
-func (ls protocolStacks) watchEvent(watch context.Context, list discovery.List) {
-	for _, n := range ls {
-		n.loop.WatchEvent(watch, list.ForProtocol(n.name))
+// watchEvent passes on a list that a watch received.
+func (ss protocolStacks) watchEvent(watch context.Context, list discovery.List) {
+	for _, s := range ss {
+		s.loop.WatchEvent(watch, list.ForProtocol(s.name))
 	}
 }
 
-// applyCachedList passes on a list of an old process.
-func (ls protocolStacks) applyCachedList(ctx context.Context, list discovery.List) {
-	for _, n := range ls {
-		n.loop.ApplyCachedList(ctx, list.ForProtocol(n.name)) // fails only where the loop has ended
+// applyCachedList passes on the list of an old process.
+func (ss protocolStacks) applyCachedList(ctx context.Context, list discovery.List) {
+	for _, s := range ss {
+		_ = s.loop.ApplyCachedList(ctx, list.ForProtocol(s.name)) // fails only once the loop has ended
 	}
 }
 
-// list is what all hold.
-func (ls protocolStacks) list(ctx context.Context) (discovery.List, error) {
-	whole := discovery.List{Reset: true}
-	for _, n := range ls {
-		l, err := n.loop.List(ctx)
+// list returns the current list of all protocols.
+func (ss protocolStacks) list(ctx context.Context) (discovery.List, error) {
+	all := discovery.List{Reset: true}
+	for _, s := range ss {
+		list, err := s.loop.List(ctx)
 		if err != nil {
 			return discovery.List{}, err
 		}
-		whole.Instances = append(whole.Instances, l.Instances...)
+		all.Instances = append(all.Instances, list.Instances...)
 	}
-	return whole, nil
+	return all, nil
 }
 
-// applyDrain makes another daemon's word on a process bind.
-func (ls protocolStacks) applyDrain(ctx context.Context, p discovery.Process, drains bool) error {
-	for _, n := range ls {
-		if err := n.loop.ApplyDrain(ctx, p, drains); err != nil {
+// applyDrain applies another daemon's report of a drain.
+func (ss protocolStacks) applyDrain(ctx context.Context, p discovery.Process, drains bool) error {
+	for _, s := range ss {
+		if err := s.loop.ApplyDrain(ctx, p, drains); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// applyStart has another daemon's word that a process began count.
-func (ls protocolStacks) applyStart(ctx context.Context, s core.Start) error {
-	for _, n := range ls {
-		if err := n.loop.ApplyStart(ctx, s); err != nil {
+// applyStart applies another daemon's report of a start.
+func (ss protocolStacks) applyStart(ctx context.Context, start core.Start) error {
+	for _, s := range ss {
+		if err := s.loop.ApplyStart(ctx, start); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// applyOverride makes an operator's call bind in all. An ID that one of them knows is known; the others keep a ban for the case
-// that it comes to them.
-func (ls protocolStacks) applyOverride(ctx context.Context, m maintenance.Override, force bool) error {
+// applyOverride applies an operator's override in all protocols. An ID is known if one of them knows it; the others
+// keep a drain in case the endpoint is listed for them later.
+func (ss protocolStacks) applyOverride(ctx context.Context, o maintenance.Override, force bool) error {
 	unknown := 0
-	for _, n := range ls {
-		err := n.loop.ApplyOverride(ctx, m, force)
-		if errors.Is(err, maintenance.ErrUnknownEndpoint) {
+	for _, s := range ss {
+		err := s.loop.ApplyOverride(ctx, o, force)
+		switch {
+		case errors.Is(err, maintenance.ErrUnknownEndpoint):
 			unknown++
-		} else if err != nil {
+		case err != nil:
 			return err
 		}
 	}
-	if unknown == len(ls) {
+	if unknown == len(ss) {
 		return maintenance.ErrUnknownEndpoint
 	}
-	if unknown > 0 && m.Drained {
-		for _, n := range ls { // those that have it change nothing
-			if err := n.loop.ApplyOverride(ctx, m, true); err != nil {
-				return err
-			}
+	if unknown == 0 || !o.Drained {
+		return nil
+	}
+	for _, s := range ss { // without effect where it is applied already
+		if err := s.loop.ApplyOverride(ctx, o, true); err != nil {
+			return err
 		}
 	}
 	return nil
 }
 
-// reload takes a new configuration, in all or in none.
-func (ls protocolStacks) reload(ctx context.Context, c *config.Config) error {
-	next := make([]*config.Config, len(ls))
-	for i, n := range ls {
-		var err error
-		if next[i], err = n.deriveConfig(c); err != nil {
-			return fmt.Errorf("%s: %w", n.name, err)
+// reload applies a new configuration in all protocols. It changes nothing if one of them cannot derive its own.
+func (ss protocolStacks) reload(ctx context.Context, c *config.Config) error {
+	derived := make([]*config.Config, len(ss))
+	for i, s := range ss {
+		own, err := s.deriveConfig(c)
+		if err != nil {
+			return fmt.Errorf("%s: %w", s.name, err)
 		}
+		derived[i] = own
 	}
-	for i, n := range ls {
-		if err := n.loop.Reload(ctx, next[i]); err != nil {
+	for i, s := range ss {
+		if err := s.loop.Reload(ctx, derived[i]); err != nil {
 			return err
 		}
 	}
--- a/internal/dataplane/sidecar/reload.go
+++ b/internal/dataplane/sidecar/reload.go
@@ -11,19 +11,19 @@
 	"birchmoor/internal/platform/metrics"
 )
 
-// reloader takes new configurations while the sidecar runs. Of a file, `settings` and `discovery` take effect
-// at once; all else does at the next start. ROUTER_DISCOVERY goes before the file at the start only, or no new
-// file could ever name another. A file that makes no sense changes nothing.
+// reloader applies new configurations while the sidecar runs. Of a file, `settings` and `discovery` take effect at
+// once, and all else at the next start. ROUTER_DISCOVERY takes precedence over the file only at the start; otherwise no
+// new file could name another discovery. An invalid file changes nothing.
 type reloader struct {
-	config        *config.Config // in force
+	config        *config.Config // in effect
 	read          func() (*config.Config, error)
 	apply         func(context.Context, *config.Config) error
-	moveDiscovery func(discovery string)
+	moveDiscovery func(addr string)
 	metrics       *metrics.Registry
 	log           *slog.Logger
 }
 
-// run reads the file at each signal until ctx ends.
+// run reloads at each signal until ctx ends.
 func (r *reloader) run(ctx context.Context, signals <-chan os.Signal) {
 	for {
 		select {
@@ -33,19 +33,26 @@
 		}
 		if err := r.reload(ctx); err != nil {
 			r.metrics.ConfigsRejected.Inc()
-			key := "file"
-			if at := (*config.Error)(nil); errors.As(err, &at) {
-				key = at.Key
-			}
-			if in := (*balancer.SettingError)(nil); errors.As(err, &in) {
-				key += "." + in.Key
-			}
-			r.log.Error("configuration turned down, the old one is kept", "key", key, "error", err)
+			r.log.Error("configuration rejected, the previous one stays in effect", "key", rejectedKey(err), "error", err)
 		}
 	}
 }
 
-// reload reads the whole file, looks at all of it, and only then takes it.
+// rejectedKey returns the key of the file that an error of reload is about.
+func rejectedKey(err error) string {
+	key := "file"
+	var configErr *config.Error
+	if errors.As(err, &configErr) {
+		key = configErr.Key
+	}
+	var settingErr *balancer.SettingError
+	if errors.As(err, &settingErr) {
+		key += "." + settingErr.Key
+	}
+	return key
+}
+
+// reload reads the file, validates all of it, and only then applies it.
 func (r *reloader) reload(ctx context.Context) error {
 	next, err := r.read()
 	if err != nil {
@@ -57,10 +64,10 @@
 	if err := r.apply(ctx, next); err != nil {
 		return &config.Error{Key: "settings", Err: err}
 	}
-	moved := next.FileDiscovery != r.config.FileDiscovery && next.FileDiscovery != ""
+	moved := next.FileDiscovery != "" && next.FileDiscovery != r.config.FileDiscovery
 	r.config = next
 	r.metrics.ConfigsLoaded.Inc()
-	r.log.Info("configuration taken", "moved", moved, "discovery", next.FileDiscovery, "classes", next.Classes)
+	r.log.Info("configuration applied", "moved", moved, "discovery", next.FileDiscovery, "classes", next.Classes)
 	if moved {
 		r.moveDiscovery(next.FileDiscovery)
 	}
