--- /dev/null
+++ b/internal/dataplane/config/stored_test.go
@@ -0,0 +1,56 @@
+package config_test
+
+import (
+	"os"
+	"reflect"
+	"testing"
+	"time"
+
+	"birchmoor/internal/dataplane/config"
+	"birchmoor/internal/dataplane/discovery"
+)
+
+// testdata/config.json has all keys of a file; the values are those that version 7105f7a reads from it.
+func TestParseReadsAllKeysOfFile(t *testing.T) {
+	text, err := os.ReadFile("testdata/config.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	c, err := config.Parse(text, func(string) string { return "" })
+	if err != nil {
+		t.Fatal(err)
+	}
+	known := discovery.List{Generation: 7, Reset: true, Instances: []discovery.Instance{{
+		ID: "s-1", Addr: "10.0.0.1:80", Zone: "a", Kind: "m1", Cell: 7, Lifecycle: "up", Weight: 0.5, StartedMs: 5,
+	}}}
+	for _, tc := range []struct {
+		name      string
+		got, want any
+	}{
+		{"name", c.Name, "n0"},
+		{"listen", c.Listen, "127.0.0.1:8080"},
+		{"discovery", c.Discovery, "127.0.0.1:81"},
+		{"discovery of the file", c.FileDiscovery, "127.0.0.1:81"},
+		{"mgmt", c.Mgmt, "127.0.0.1:82"},
+		{"seed", c.Seed, uint64(0x8c1f30d27a5be964)},
+		{"memory_mb", c.MemoryMB, 100},
+		{"sockets", c.Sockets, 500},
+		{"known", c.Known, known},
+		{"classes", c.Classes, []string{"look", "book"}},
+		{"tenants", c.Tenants, []string{"acme"}},
+		{"areas", c.Zones, []string{"a", "b"}},
+		{"skus", c.Kinds, []string{"m1"}},
+		{"fields", c.Fields, []string{"busy_reqs", "cpu_share"}},
+		{"how", c.OnAnswers, true},
+		{"keepalive", c.KeepAlive, 7 * time.Second},
+		{"balancers", c.Settings.Balancers, 3},
+		{"classes of the module", len(c.Settings.Classes), 2},
+		{"client connections", c.ClientConns(1), 234},
+		{"upstream connections of a half", c.UpstreamConns(0.5), 109},
+		{"bytes of bodies", c.HeldBytes(1), 100 << 20 / 12},
+	} {
+		if !reflect.DeepEqual(tc.got, tc.want) {
+			t.Errorf("%s: read %v, want %v", tc.name, tc.got, tc.want)
+		}
+	}
+}
