--- a/internal/dataplane/httpfront/clients.go
+++ b/internal/dataplane/httpfront/clients.go
@@ -36,33 +36,33 @@
 // client is a client's connection. Its goroutine owns it: that one reads, answers and closes. Others ask for its end.
 type client struct {
 	net.Conn
-	of    *clients
-	raw   syscall.RawConn // nil where the connection has none
-	paced paced
-	limit io.LimitedReader // what may still be read for the present request
-	r     *bufio.Reader
+	clients *clients
+	raw     syscall.RawConn // nil where the connection has none
+	paced   pacedConn
+	limit   io.LimitedReader // what may still be read for the present request
+	r       *bufio.Reader
 
-	taken    bool // the owner's: a request is open, so that nobody else ends the connection
-	lingered bool // the owner's: what still came has been read out
+	hasRequest bool // the owner's: a request is open, so that nobody else ends the connection
+	lingered   bool // the owner's: what still came has been read out
 
 	// Guarded by clients.mu.
-	state   connState
-	leaving bool          // to end where nothing of another request has come
-	ending  bool          // nothing more of a request that is not whole is to be read
-	place   *list.Element // in one of clients' lists
-	in      *list.List    // that list
-	since   time.Time     // that it has been there
-	due     time.Time     // when its open request is past its time without an answer; zero: it is not waited for that
-
-	heard atomic.Int64 // when it last sent something, in Unix microseconds; 0: never
+	state       connState
+	askedToEnd  bool          // to end where nothing of another request has come
+	endsReading bool          // nothing more of a request that is not whole is to be read
+	element     *list.Element // in one of clients' lists
+	list        *list.List    // that list
+	since       time.Time     // that it has been there
+	dueAt       time.Time     // when its open request is past its time without an answer; zero: it is not waited for that
+
+	lastReadAt atomic.Int64 // when it last sent something, in Unix microseconds; 0: never
 }
 
 // clients accepts connections and bounds their number. The sidecar does this itself, not http.Server, since it
 // must know what else waits on a connection behind a request, and which connection it can best do without.
 type clients struct {
-	most int
-	talk func(*client) // until the connection is to be closed
-	log  *slog.Logger
+	maxConns int
+	serve    func(*client) // until the connection is to be closed
+	log      *slog.Logger
 
 	mu        sync.Mutex
 	active    *list.List // *client: those with an open request
@@ -70,49 +70,49 @@
 	idle      *list.List // *client: those that have had one, the one without for longest first
 	lingering *list.List // *client: those whose end has begun
 	closing   bool
-	talks     sync.WaitGroup
+	serving   sync.WaitGroup
 
-	unanswered *metrics.Counter // requests past their time
-	late       int              // of them, those that have not been logged
-	looker     *time.Timer      // to look for more
-	looks      bool             // it is running
+	unanswered   *metrics.Counter // requests past their time
+	overdue      int              // of them, those that have not been logged
+	overdueTimer *time.Timer      // to look for more
+	timerRunning bool             // it is running
 }
 
 func newClients(most int, talk func(*client), unanswered *metrics.Counter, log *slog.Logger) *clients {
-	return &clients{most: most, talk: talk, unanswered: unanswered, log: log,
+	return &clients{maxConns: most, serve: talk, unanswered: unanswered, log: log,
 		active: list.New(), unused: list.New(), idle: list.New(), lingering: list.New()}
 }
 
 const (
-	acceptWaitLeast = 5 * time.Millisecond
-	acceptWaitMost  = time.Second
+	minAcceptBackoff = 5 * time.Millisecond
+	maxAcceptBackoff = time.Second
 )
 
 // accept serves connections until ln is closed or its deadline has passed.
 func (k *clients) accept(ln net.Listener) error {
-	wait := acceptWaitLeast
+	wait := minAcceptBackoff
 	for {
 		nc, err := ln.Accept()
 		switch {
 		case err == nil:
-			wait = acceptWaitLeast
+			wait = minAcceptBackoff
 			k.add(nc)
 		case errors.Is(err, net.ErrClosed), errors.Is(err, os.ErrDeadlineExceeded):
 			return nil
 		default:
 			// No descriptor is left, perhaps: one that is not needed makes room.
-			if wait == acceptWaitLeast {
+			if wait == minAcceptBackoff {
 				k.log.Warn("accept", "error", err)
 			}
 			k.evict()
 			time.Sleep(wait)
-			wait = min(2*wait, acceptWaitMost)
+			wait = min(2*wait, maxAcceptBackoff)
 		}
 	}
 }
 
 func (k *clients) add(nc net.Conn) {
-	c := &client{Conn: nc, of: k, since: time.Now()}
+	c := &client{Conn: nc, clients: k, since: time.Now()}
 	if sc, ok := nc.(syscall.Conn); ok {
 		c.raw, _ = sc.SyscallConn()
 	}
@@ -121,16 +121,16 @@
 	c.r = bufio.NewReader(&c.limit)
 	k.mu.Lock()
 	var out *client
-	if k.lenLocked() >= k.most {
+	if k.lenLocked() >= k.maxConns {
 		if out = k.evictLocked(); out == nil {
 			k.mu.Unlock()
 			nc.Close() // all others are waiting for their answers
 			return
 		}
 	}
-	k.listLocked(c, k.unused)
-	k.talks.Go(func() {
-		k.talk(c)
+	k.moveLocked(c, k.unused)
+	k.serving.Go(func() {
+		k.serve(c)
 		k.remove(c)
 	})
 	k.mu.Unlock()
@@ -140,22 +140,22 @@
 }
 
 const (
-	saySoon  = 100 * time.Millisecond // whoever connects to ask does it within this
-	goOn     = 500 * time.Millisecond // and has not stopped half way if it has said something within this
-	useAgain = time.Second            // a connection without a request for so long is hardly missed
+	firstRequestTimeout   = 100 * time.Millisecond // whoever connects to ask does it within this
+	stalledRequestTimeout = 500 * time.Millisecond // and has not stopped half way if it has said something within this
+	reuseTimeout          = time.Second            // a connection without a request for so long is hardly missed
 )
 
 func (k *clients) lenLocked() int {
 	return k.active.Len() + k.unused.Len() + k.idle.Len() + k.lingering.Len()
 }
 
-// listLocked moves a connection to the end of a list, or out of all.
-func (k *clients) listLocked(c *client, to *list.List) {
-	if c.place != nil {
-		c.in.Remove(c.place)
+// moveLocked moves a connection to the end of a list, or out of all.
+func (k *clients) moveLocked(c *client, to *list.List) {
+	if c.element != nil {
+		c.list.Remove(c.element)
 	}
-	if c.place, c.in = nil, to; to != nil {
-		c.place = to.PushBack(c)
+	if c.element, c.list = nil, to; to != nil {
+		c.element = to.PushBack(c)
 	}
 }
 
@@ -180,10 +180,10 @@
 	var silent, half, kept, oldest *client
 	for at := k.unused.Front(); at != nil && silent == nil; at = at.Next() {
 		c := at.Value.(*client)
-		switch heard := c.heard.Load(); {
-		case heard == 0 && silent == nil && now.Sub(c.since) > saySoon:
+		switch heard := c.lastReadAt.Load(); {
+		case heard == 0 && silent == nil && now.Sub(c.since) > firstRequestTimeout:
 			silent = c
-		case heard != 0 && now.Sub(time.UnixMicro(heard)) > goOn && (half == nil || heard < half.heard.Load()):
+		case heard != 0 && now.Sub(time.UnixMicro(heard)) > stalledRequestTimeout && (half == nil || heard < half.lastReadAt.Load()):
 			half = c
 		}
 		if oldest == nil && c.state == stateNew {
@@ -191,7 +191,7 @@
 		}
 	}
 	for at := k.idle.Front(); at != nil && kept == nil; at = at.Next() {
-		if c := at.Value.(*client); c.state == stateIdle || now.Sub(time.UnixMicro(c.heard.Load())) > goOn {
+		if c := at.Value.(*client); c.state == stateIdle || now.Sub(time.UnixMicro(c.lastReadAt.Load())) > stalledRequestTimeout {
 			kept = c
 		}
 	}
@@ -203,14 +203,14 @@
 		out = silent
 	case half != nil:
 		out = half
-	case kept != nil && (oldest == nil || now.Sub(kept.since) > useAgain):
+	case kept != nil && (oldest == nil || now.Sub(kept.since) > reuseTimeout):
 		out = kept
 	case oldest != nil:
 		out = oldest
 	default:
 		return nil
 	}
-	k.listLocked(out, nil)
+	k.moveLocked(out, nil)
 	out.state = stateClosed
 	return out
 }
@@ -218,15 +218,15 @@
 // Read reads what the client sends. As long as no request is taken, whether something is read or the connection is given
 // up is decided under the mutex, one or the other: what was read has its request served, and what was not is not.
 func (c *client) Read(b []byte) (n int, err error) {
-	if c.taken || c.raw == nil {
+	if c.hasRequest || c.raw == nil {
 		n, err = c.Conn.Read(b)
-		c.hear(n)
+		c.noteRead(n)
 		return n, err
 	}
 	n, err = c.readOwned(b)
-	if errors.Is(err, os.ErrDeadlineExceeded) && c.of.leaves(c) {
+	if errors.Is(err, os.ErrDeadlineExceeded) && c.clients.mayEnd(c) {
 		// Woken to leave: a last look at what has come decides.
-		c.SetReadDeadline(time.Now().Add(RequestTime))
+		c.SetReadDeadline(time.Now().Add(RequestTimeout))
 		n, err = c.readOwned(b)
 	}
 	return n, err
@@ -234,13 +234,13 @@
 
 func (c *client) readOwned(b []byte) (n int, err error) {
 	wait := c.raw.Read(func(fd uintptr) bool {
-		c.of.mu.Lock()
-		defer c.of.mu.Unlock()
+		c.clients.mu.Lock()
+		defer c.clients.mu.Unlock()
 		switch {
 		case c.state >= stateLingering:
 			err = net.ErrClosed
 			return true
-		case c.ending:
+		case c.endsReading:
 			err = os.ErrDeadlineExceeded
 			return true
 		}
@@ -249,16 +249,16 @@
 			n, err = syscall.Read(int(fd), b)
 		}
 		n = max(n, 0)
-		c.hear(n)
+		c.noteRead(n)
 		switch {
 		case n > 0:
-			if c.leaving {
-				c.SetReadDeadline(time.Now().Add(RequestTime)) // woken, and read all the same
+			if c.askedToEnd {
+				c.SetReadDeadline(time.Now().Add(RequestTimeout)) // woken, and read all the same
 			}
-			c.state, c.leaving = stateReading, false
-		case err == syscall.EAGAIN && c.leaving:
+			c.state, c.askedToEnd = stateReading, false
+		case err == syscall.EAGAIN && c.askedToEnd:
 			c.state, err = stateLingering, net.ErrClosed
-			c.of.listLocked(c, c.of.lingering)
+			c.clients.moveLocked(c, c.clients.lingering)
 		case err == syscall.EAGAIN:
 			err = nil
 			return false
@@ -273,46 +273,46 @@
 	return n, err
 }
 
-func (c *client) hear(n int) {
+func (c *client) noteRead(n int) {
 	if n > 0 {
-		c.heard.Store(time.Now().UnixMicro())
+		c.lastReadAt.Store(time.Now().UnixMicro())
 	}
 }
 
-// take notes that a connection has an open request, unless its place was wanted before that was whole.
-func (k *clients) take(c *client) bool {
+// beginRequest notes that a connection has an open request, unless its place was wanted before that was whole.
+func (k *clients) beginRequest(c *client) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if c.state >= stateLingering {
-		k.late++
+		k.overdue++
 		k.unanswered.Inc()
-		k.lookLocked()
+		k.scheduleReportLocked()
 		return false
 	}
-	k.listLocked(c, k.active)
-	c.state, c.taken = stateActive, true
-	k.lookLocked()
+	k.moveLocked(c, k.active)
+	c.state, c.hasRequest = stateActive, true
+	k.scheduleReportLocked()
 	return true
 }
 
-// rest notes that a request has its answer. Where connections end with their answers, a last look decides, as for those
+// endRequest notes that a request has its answer. Where connections end with their answers, a last look decides, as for those
 // that rested before.
-func (k *clients) rest(c *client) {
+func (k *clients) endRequest(c *client) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.overdueLocked(c, time.Now())
-	c.due = time.Time{}
-	c.since, c.state, c.taken, c.leaving = time.Now(), stateIdle, false, k.closing
-	k.listLocked(c, k.idle)
+	c.dueAt = time.Time{}
+	c.since, c.state, c.hasRequest, c.askedToEnd = time.Now(), stateIdle, false, k.closing
+	k.moveLocked(c, k.idle)
 }
 
-// again notes that what was read was answered without being taken, and says whether the connection may stay open.
-func (k *clients) again(c *client) bool {
+// keepOpen notes that what was read was answered without being taken, and says whether the connection may stay open.
+func (k *clients) keepOpen(c *client) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if c.state == stateReading && !c.ending {
+	if c.state == stateReading && !c.endsReading {
 		c.state = stateIdle
-		if c.in == k.unused {
+		if c.list == k.unused {
 			c.state = stateNew
 		}
 		return true
@@ -328,42 +328,42 @@
 		k.overdueLocked(c, time.Now())
 	}
 	if c.state != stateClosed {
-		c.state, c.taken = stateLingering, true
-		k.listLocked(c, k.lingering)
+		c.state, c.hasRequest = stateLingering, true
+		k.moveLocked(c, k.lingering)
 	}
 	lingers := c.state == stateLingering && !c.lingered
 	k.mu.Unlock()
 	if lingers {
 		if tcp, ok := c.Conn.(*net.TCPConn); ok && tcp.CloseWrite() == nil {
-			c.linger(c.Conn, lingerMost, lingerTime)
+			c.linger(c.Conn, maxLingerBytes, lingerTimeout)
 		}
 	}
 	c.Close()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	c.state = stateClosed
-	k.listLocked(c, nil)
+	k.moveLocked(c, nil)
 }
 
-// leaveLocked asks for the end of a connection: its owner takes a last look, and where nothing of another request has come,
+// askToEndLocked asks for the end of a connection: its owner takes a last look, and where nothing of another request has come,
 // ends it. Of a request that has begun to be read, it ends the reading, and what is whole by then is served. The owner is woken with
 // the mutex held: a wake behind the reading of a request would end that, or pass for its client's leaving.
-func (k *clients) leaveLocked(c *client) {
-	c.leaving, c.ending = c.state != stateReading, c.state == stateReading
+func (k *clients) askToEndLocked(c *client) {
+	c.askedToEnd, c.endsReading = c.state != stateReading, c.state == stateReading
 	c.SetReadDeadline(past)
 }
 
-// leaves says whether a connection is asked to end, and nothing of a request has been read.
-func (k *clients) leaves(c *client) bool {
+// mayEnd says whether a connection is asked to end, and nothing of a request has been read.
+func (k *clients) mayEnd(c *client) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return c.leaving && (c.state == stateNew || c.state == stateIdle)
+	return c.askedToEnd && (c.state == stateNew || c.state == stateIdle)
 }
 
 // resize changes how many connections may be open.
 func (k *clients) resize(most int) {
 	k.mu.Lock()
-	k.most = most
+	k.maxConns = most
 	var out []*client
 	for k.lenLocked() > most {
 		c := k.evictLocked()
@@ -385,7 +385,7 @@
 	defer k.mu.Unlock()
 	for at := k.idle.Front(); at != nil && time.Since(at.Value.(*client).since) > age; at = at.Next() {
 		if c := at.Value.(*client); c.state == stateIdle {
-			k.leaveLocked(c)
+			k.askToEndLocked(c)
 		}
 	}
 	return k.lenLocked()
@@ -399,7 +399,7 @@
 	k.closing = true
 	for at := k.idle.Front(); at != nil; at = at.Next() {
 		if c := at.Value.(*client); c.state == stateIdle {
-			k.leaveLocked(c)
+			k.askToEndLocked(c)
 		}
 	}
 }
@@ -413,8 +413,8 @@
 	for _, of := range []*list.List{k.unused, k.idle} {
 		for at := of.Front(); at != nil; at = at.Next() {
 			c := at.Value.(*client)
-			if all || of == k.unused && c.state == stateNew && now.Sub(c.since) > saySoon {
-				k.leaveLocked(c)
+			if all || of == k.unused && c.state == stateNew && now.Sub(c.since) > firstRequestTimeout {
+				k.askToEndLocked(c)
 			}
 			if of == k.unused || c.state == stateReading {
 				asking++
@@ -442,9 +442,9 @@
 	return gone
 }
 
-// watchLeft watches for the leaving of a client whose body still comes, and must not be read yet: its end stands behind what
+// watchDuringUpload watches for the leaving of a client whose body still comes, and must not be read yet: its end stands behind what
 // it has sent, but the system has it. Left is closed then. Stop ends the watch, and must be called before anybody reads.
-func (c *client) watchLeft() (left <-chan struct{}, stop func()) {
+func (c *client) watchDuringUpload() (left <-chan struct{}, stop func()) {
 	if c.raw == nil {
 		return nil, func() {}
 	}
@@ -453,7 +453,7 @@
 	go func() {
 		defer close(over)
 		// Asked at each change of the connection.
-		if err := c.raw.Read(func(fd uintptr) bool { return !stands(fd) }); err == nil {
+		if err := c.raw.Read(func(fd uintptr) bool { return !isEstablished(fd) }); err == nil {
 			close(gone)
 		}
 	}()
@@ -463,9 +463,9 @@
 	})
 }
 
-// gone looks whether the client has closed its connection, or ended its sending, also behind bytes that nobody has read. Any
+// hasLeft looks whether the client has closed its connection, or ended its sending, also behind bytes that nobody has read. Any
 // goroutine may ask, also beside a read; of a connection that is closed here it says that it has.
-func (c *client) gone() bool {
+func (c *client) hasLeft() bool {
 	if c.raw == nil {
 		return false
 	}
@@ -476,26 +476,26 @@
 		case err == syscall.EAGAIN:
 			gone = false
 		case n > 0:
-			gone = !stands(fd)
+			gone = !isEstablished(fd)
 		}
 	})
 	return gone
 }
 
-// stands says whether neither side of a connection has ended, whatever stands unread on it. Where the system does not tell it does.
-func stands(fd uintptr) bool {
+// isEstablished says whether neither side of a connection has ended, whatever stands unread on it. Where the system does not tell it does.
+func isEstablished(fd uintptr) bool {
 	info, err := syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_INFO)
 	var state [4]byte // the first of what the system tells
 	binary.NativeEndian.PutUint32(state[:], uint32(info))
-	return err != nil || state[0] == established
+	return err != nil || state[0] == tcpEstablished
 }
 
-const established = 1 // of a TCP connection's states, the one in which neither side has ended
+const tcpEstablished = 1 // of a TCP connection's states, the one in which neither side has ended
 
 const (
-	writeTime  = time.Second
-	lingerTime = 200 * time.Millisecond
-	lingerMost = 64 << 10
+	writeTimeout   = time.Second
+	lingerTimeout  = 200 * time.Millisecond
+	maxLingerBytes = 64 << 10
 )
 
 // reject answers what is not taken, and ends the connection's use.
@@ -503,7 +503,7 @@
 
 // linger reads what the client may still be sending, for a while.
 func (c *client) linger(r io.Reader, most int64, span time.Duration) {
-	c.lingered, c.paced.wait = true, 0
+	c.lingered, c.paced.readTimeout = true, 0
 	c.SetReadDeadline(time.Now().Add(span))
 	io.CopyN(io.Discard, r, most)
 }
@@ -522,7 +522,7 @@
 // write writes a whole answer in one piece, and says whether that went well.
 func (c *client) write(r *response, last bool) bool {
 	text := append(r.head(int64(len(r.body)), last), r.body...)
-	c.SetWriteDeadline(time.Now().Add(writeTime))
+	c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := c.Write(text)
 	return err == nil
 }
--- a/internal/dataplane/httpfront/clients_test.go
+++ b/internal/dataplane/httpfront/clients_test.go
@@ -29,7 +29,7 @@
 				k := newClients(100, nil, new(metrics.Counter), sidecartest.DiscardLog)
 				hold := make(chan struct{})
 				var all []*client
-				k.talk = func(c *client) { all = append(all, c); <-hold }
+				k.serve = func(c *client) { all = append(all, c); <-hold }
 				for i, kind := range tc.conns {
 					here, there := net.Pipe()
 					defer here.Close()
@@ -38,10 +38,10 @@
 					c := all[i]
 					switch kind {
 					case "kept", "kept now":
-						k.take(c)
-						k.rest(c)
+						k.beginRequest(c)
+						k.endRequest(c)
 					case "half", "writes":
-						c.heard.Store(time.Now().UnixMicro())
+						c.lastReadAt.Store(time.Now().UnixMicro())
 					}
 					if i < len(tc.conns)-1 || kind != "now" && kind != "kept now" {
 						time.Sleep(1200 * time.Millisecond)
@@ -49,7 +49,7 @@
 				}
 				for i, c := range all {
 					if tc.conns[i] == "writes" {
-						c.heard.Store(time.Now().UnixMicro())
+						c.lastReadAt.Store(time.Now().UnixMicro())
 					}
 				}
 				time.Sleep(time.Millisecond)
@@ -66,7 +66,7 @@
 					t.Errorf("went %v, want %v", got, tc.want)
 				}
 				close(hold)
-				k.talks.Wait()
+				k.serving.Wait()
 				if n := k.lenLocked(); n != 0 {
 					t.Errorf("%d are left", n)
 				}
--- a/internal/dataplane/httpfront/crossings_test.go
+++ b/internal/dataplane/httpfront/crossings_test.go
@@ -201,7 +201,7 @@
 		}},
 		{"between its last byte and its admission", func(t *testing.T, f *front, e *endpoint, c net.Conn, r *http.Request) {
 			at := &gate{reached: make(chan struct{}), open: make(chan struct{})}
-			f.Limit(at)
+			f.SetLimiter(at)
 			write(t, c, text(t, r))
 			sidecartest.Receive(t, at.reached, "admission")
 			f.stop()
@@ -295,7 +295,7 @@
 	}, new(metrics.Counter), sidecartest.DiscardLog)
 	r.k.add(here)
 	r.c = <-got
-	r.do(func() { r.k.take(r.c); r.k.rest(r.c) })
+	r.do(func() { r.k.beginRequest(r.c); r.k.endRequest(r.c) })
 	return r
 }
 
@@ -335,12 +335,12 @@
 			r.do(func() { r.c.Read(buf) })
 			closeAll(r.k)
 			var taken bool
-			r.do(func() { taken = r.k.take(r.c) })
+			r.do(func() { taken = r.k.beginRequest(r.c) })
 			if !taken {
 				t.Error("what was read is not served")
 			}
 			close(r.step)
-			r.k.talks.Wait()
+			r.k.serving.Wait()
 		})
 		t.Run(name+", there and not read", func(t *testing.T) {
 			r := newResting(t)
@@ -348,12 +348,12 @@
 			closeAll(r.k)
 			var n int
 			var taken bool
-			r.do(func() { n, _ = r.c.Read(buf); taken = r.k.take(r.c) })
+			r.do(func() { n, _ = r.c.Read(buf); taken = r.k.beginRequest(r.c) })
 			if n != len(get) || !taken {
 				t.Errorf("read %d bytes, taken %v", n, taken)
 			}
 			close(r.step)
-			r.k.talks.Wait()
+			r.k.serving.Wait()
 		})
 		t.Run(name+", behind the last look", func(t *testing.T) {
 			r := newResting(t)
@@ -365,7 +365,7 @@
 			}
 			r.arrive(t, get)
 			r.do(func() { _, err = r.c.Read(buf) })
-			if !errors.Is(err, net.ErrClosed) || r.k.take(r.c) {
+			if !errors.Is(err, net.ErrClosed) || r.k.beginRequest(r.c) {
 				t.Errorf("a request behind the last look is read: %v", err)
 			}
 			close(r.step)
@@ -373,7 +373,7 @@
 				t.Errorf("the client finds %v, want the end in order", err)
 			}
 			r.there.Close()
-			r.k.talks.Wait()
+			r.k.serving.Wait()
 		})
 	}
 	for name, closeAll := range closers {
@@ -404,19 +404,19 @@
 			}
 			close(r.step)
 			r.there.Close()
-			r.k.talks.Wait()
+			r.k.serving.Wait()
 		})
 	}
 	t.Run("behind the last answer", func(t *testing.T) {
 		r := newResting(t)
-		r.do(func() { r.k.take(r.c); r.k.rest(r.c) })
+		r.do(func() { r.k.beginRequest(r.c); r.k.endRequest(r.c) })
 		r.arrive(t, get)
 		close(r.step) // its answer said that it is the last
 		if _, err := r.there.Read(buf); err != io.EOF {
 			t.Errorf("the client finds %v, want the end in order", err)
 		}
 		r.there.Close()
-		r.k.talks.Wait()
+		r.k.serving.Wait()
 	})
 	t.Run("stop, while the owner waits", func(t *testing.T) {
 		r := newResting(t)
@@ -428,13 +428,13 @@
 		}
 		close(r.step)
 		r.there.Close()
-		r.k.talks.Wait()
+		r.k.serving.Wait()
 	})
 	t.Run("stop, before the answer is out", func(t *testing.T) {
 		r := newResting(t)
-		r.do(func() { r.c.Read(buf[:0]); r.k.take(r.c) })
+		r.do(func() { r.c.Read(buf[:0]); r.k.beginRequest(r.c) })
 		r.k.closeIdle()
-		r.do(func() { r.k.rest(r.c) })
+		r.do(func() { r.k.endRequest(r.c) })
 		var err error
 		r.do(func() { _, err = r.c.Read(buf) })
 		if !errors.Is(err, net.ErrClosed) {
@@ -442,7 +442,7 @@
 		}
 		close(r.step)
 		r.there.Close()
-		r.k.talks.Wait()
+		r.k.serving.Wait()
 	})
 }
 
@@ -463,7 +463,7 @@
 // A client that leaves while its request waits for its first attempt, however it leaves: nothing is sent on for it any more,
 // though a connection comes up. One that only ends its sending is told so.
 func TestLeftWhileWaiting(t *testing.T) {
-	long := strings.Repeat("x", 3*BodyMost)
+	long := strings.Repeat("x", 3*MaxBufferedBody)
 	for _, tc := range []struct {
 		name  string
 		r     func() *http.Request
@@ -479,11 +479,11 @@
 		{"more behind the request, and half-close", func() *http.Request { return sidecartest.IdempotentRequest(900_000) }, 0,
 			func(c *net.TCPConn) { io.WriteString(c, "GET /look HTTP/1.1\r\n"); c.CloseWrite() }, 400},
 		{"half of a long body, and close", func() *http.Request { return sidecartest.Request("POST", "/pay", "pay", 900_000, long) },
-			2 * BodyMost, func(c *net.TCPConn) { c.Close() }, 0},
+			2 * MaxBufferedBody, func(c *net.TCPConn) { c.Close() }, 0},
 		{"half of a long body, and half-close", func() *http.Request { return sidecartest.Request("POST", "/pay", "pay", 900_000, long) },
-			2 * BodyMost, func(c *net.TCPConn) { c.CloseWrite() }, 503},
+			2 * MaxBufferedBody, func(c *net.TCPConn) { c.CloseWrite() }, 503},
 		{"half of a long body, and reset", func() *http.Request { return sidecartest.Request("POST", "/pay", "pay", 900_000, long) },
-			2 * BodyMost, func(c *net.TCPConn) { c.SetLinger(0); c.Close() }, 0},
+			2 * MaxBufferedBody, func(c *net.TCPConn) { c.SetLinger(0); c.Close() }, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			e := newEndpoint(t)
@@ -565,14 +565,14 @@
 		t.Fatalf("first: status %v", r.Status)
 	}
 	first := to.idle[0]
-	first.idle = time.Now().Add(time.Hour) // it never comes to rest while this test lasts
-	u.unasked = time.Now()
+	first.idleSince = time.Now().Add(time.Hour) // it never comes to rest while this test lasts
+	u.unsolicitedAt = time.Now()
 	u.pause = func(context.Context, time.Duration) {
 		close(second)
-		until(t, "the second answer", func() bool { _, spoke := first.rests(); return spoke })
+		until(t, "the second answer", func() bool { _, spoke := first.idleState(); return spoke })
 	}
 	r := u.try(plainGet(), to)
-	if got := r.Content.(*got); string(got.body) != "2" {
+	if got := r.Content.(*upstreamAnswer); string(got.body) != "2" {
 		t.Errorf("answered %q: what was sent for the request before", got.body)
 	}
 }
@@ -593,7 +593,7 @@
 	for _, c := range both {
 		u.put(c)
 	}
-	both[0].idle, both[1].idle = time.Now().Add(-time.Second), time.Now().Add(time.Hour)
+	both[0].idleSince, both[1].idleSince = time.Now().Add(-time.Second), time.Now().Add(time.Hour)
 	for i, want := range both {
 		if c, err := u.get(t.Context(), to); err != nil || c != want {
 			t.Errorf("%d: %v, not the one that rested", i, err)
@@ -624,7 +624,7 @@
 	}
 	rests := to.idle[0]
 	close(speak)
-	until(t, "half a line", func() bool { _, spoke := rests.rests(); return spoke })
+	until(t, "half a line", func() bool { _, spoke := rests.idleState(); return spoke })
 	if r := u.try(plainGet(), to); r.Status != balancer.OK || conns.Load() != 2 {
 		t.Errorf("status %v, over %d connections", r.Status, conns.Load())
 	}
@@ -632,15 +632,15 @@
 
 // An order to stop while a long answer is on its way to the client: it comes whole.
 func TestStopWhileAnswerFlows(t *testing.T) {
-	const length = 3 * BodyMost
+	const length = 3 * MaxBufferedBody
 	rest := make(chan struct{})
 	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 		if _, err := sidecartest.ReadRequest(r); err != nil {
 			return
 		}
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", length, strings.Repeat("x", BodyMost))
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", length, strings.Repeat("x", MaxBufferedBody))
 		<-rest
-		io.WriteString(c, strings.Repeat("y", length-BodyMost))
+		io.WriteString(c, strings.Repeat("y", length-MaxBufferedBody))
 		io.Copy(io.Discard, r)
 	})
 	f := serving(t, []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)}, `"give-up":1000000`, `"give-up":900000000`)
@@ -665,7 +665,7 @@
 // A long answer that its server goes on giving, with pauses, is the client's whole: cutting it off loses the request. One that
 // only the end of its connection ends, and that is reset on the way, is cut: "a reset is no end".
 func TestSlowAndResetAnswers(t *testing.T) {
-	const length = 2 * BodyMost
+	const length = 2 * MaxBufferedBody
 	for name, head := range map[string]string{
 		"slow":  fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", length),
 		"reset": "HTTP/1.1 200 OK\r\n\r\n",
@@ -682,7 +682,7 @@
 					select {
 					case <-begun:
 						waiting = false
-					case <-time.After(flowAfter / 2): // the pace of what comes; nothing waits for it
+					case <-time.After(streamAfter / 2): // the pace of what comes; nothing waits for it
 						if name == "reset" {
 							io.WriteString(c, "x")
 						}
--- a/internal/dataplane/httpfront/gone_test.go
+++ b/internal/dataplane/httpfront/gone_test.go
@@ -109,7 +109,7 @@
 		wait func(t *testing.T, f *front, send func()) func()
 	}{
 		{"its connection", 0, 0, 0, held},
-		{"its connection, half of a long body", 3 * BodyMost, BodyMost + 4<<10, 0, held},
+		{"its connection, half of a long body", 3 * MaxBufferedBody, MaxBufferedBody + 4<<10, 0, held},
 		{"a further attempt's connection", 0, 0, 1, func(t *testing.T, f *front, send func()) func() {
 			send()
 			for range 2 {
@@ -119,17 +119,17 @@
 		}},
 		{"a limit", 0, 0, 0, func(t *testing.T, f *front, send func()) func() {
 			at := &gate{reached: make(chan struct{}), open: make(chan struct{})}
-			f.Limit(at)
+			f.SetLimiter(at)
 			send()
 			sidecartest.Receive(t, at.reached, "admission")
 			return func() { close(at.open) }
 		}},
-		{"room for its body", 2 * freeBytes, 0, 0, func(t *testing.T, f *front, send func()) func() {
-			f.bodies.Resize(freeBytes)
-			f.bodies.Acquire(context.Background(), freeBytes)
+		{"room for its body", 2 * unbudgetedBytes, 0, 0, func(t *testing.T, f *front, send func()) func() {
+			f.bodies.Resize(unbudgetedBytes)
+			f.bodies.Acquire(context.Background(), unbudgetedBytes)
 			send()
 			until(t, "a request that is being read", func() bool { return reading(f) == 1 })
-			return func() { f.bodies.Release(freeBytes) }
+			return func() { f.bodies.Release(unbudgetedBytes) }
 		}},
 	} {
 		for how, leave := range leaves {
@@ -165,7 +165,7 @@
 				leave(c)
 				raw, _ := here.TCPConn.SyscallConn()
 				until(t, "the leaving, at the other end", func() (left bool) {
-					err := raw.Control(func(fd uintptr) { left = !stands(fd) })
+					err := raw.Control(func(fd uintptr) { left = !isEstablished(fd) })
 					return left || err != nil
 				})
 				release()
@@ -300,7 +300,7 @@
 	c.raw, _ = here.(syscall.Conn).SyscallConn()
 	b.ReportAllocs()
 	for b.Loop() {
-		if c.gone() {
+		if c.hasLeft() {
 			b.Fatal("it is there")
 		}
 	}
--- a/internal/dataplane/httpfront/margin_test.go
+++ b/internal/dataplane/httpfront/margin_test.go
@@ -8,8 +8,8 @@
 	for _, tc := range []struct{ ms, least, most int64 }{{1000, 930, 930}, {50, 20, 40}, {10, 10, 10}, {5, 0, 0}} {
 		left := tc.ms * 1000
 		for level := range 14 {
-			m := Margin(left)
-			if m < 0 || m > answerMargin.Microseconds() || left > answerMargin.Microseconds() && 20*m > left {
+			m := AnswerMargin(left)
+			if m < 0 || m > maxAnswerMargin.Microseconds() || left > maxAnswerMargin.Microseconds() && 20*m > left {
 				t.Errorf("level %d keeps %d of %d us", level+1, m, left)
 			}
 			left = (left - m + 999) / 1000 * 1000
--- a/internal/dataplane/httpfront/outlook.go
+++ b/internal/dataplane/httpfront/outlook.go
@@ -10,32 +10,32 @@
 
 // What an operator is to see before anybody who keeps a promise's score does.
 const (
-	unansweredAfter = 500 * time.Millisecond // past its time a request without an answer is lost
-	lookEvery       = time.Second
-	turnedAwayLeast = 15              // requests, of which every one was turned away,
-	turnedAwayFor   = 4 * time.Second // for so long, with no attempt in between
+	unansweredGrace  = 500 * time.Millisecond // past its time a request without an answer is lost
+	overdueInterval  = time.Second
+	minAllRejected   = 15              // requests, of which every one was turned away,
+	allRejectedAfter = 4 * time.Second // for so long, with no attempt in between
 )
 
 // overdueLocked counts a request whose time is up by unansweredAfter, and that has no answer. Clients' mutex is held.
 func (k *clients) overdueLocked(c *client, now time.Time) {
-	if c.due.IsZero() || now.Before(c.due) {
+	if c.dueAt.IsZero() || now.Before(c.dueAt) {
 		return
 	}
-	k.late, c.due = k.late+1, time.Time{}
+	k.overdue, c.dueAt = k.overdue+1, time.Time{}
 	k.unanswered.Inc()
 }
 
-// look counts what is overdue, while anything is open, and logs it, once each time.
-func (k *clients) look() {
+// reportOverdue counts what is overdue, while anything is open, and logs it, once each time.
+func (k *clients) reportOverdue() {
 	k.mu.Lock()
 	now := time.Now()
 	for at := k.active.Front(); at != nil; at = at.Next() {
 		k.overdueLocked(at.Value.(*client), now)
 	}
-	late, open := k.late, k.active.Len()
-	k.late = 0
-	if k.looks = open > 0; k.looks {
-		k.looker.Reset(lookEvery)
+	late, open := k.overdue, k.active.Len()
+	k.overdue = 0
+	if k.timerRunning = open > 0; k.timerRunning {
+		k.overdueTimer.Reset(overdueInterval)
 	}
 	k.mu.Unlock()
 	if late > 0 {
@@ -43,53 +43,53 @@
 	}
 }
 
-// lookLocked has look called from time to time while anything is open.
-func (k *clients) lookLocked() {
+// scheduleReportLocked has look called from time to time while anything is open.
+func (k *clients) scheduleReportLocked() {
 	switch {
-	case k.looks:
-	case k.looker == nil:
-		k.looker = time.AfterFunc(lookEvery, k.look)
+	case k.timerRunning:
+	case k.overdueTimer == nil:
+		k.overdueTimer = time.AfterFunc(overdueInterval, k.reportOverdue)
 	default:
-		k.looker.Reset(lookEvery)
+		k.overdueTimer.Reset(overdueInterval)
 	}
-	k.looks = true
+	k.timerRunning = true
 }
 
 // expect notes how long the client of a request that has come whole waits for its answer.
 func (k *clients) expect(c *client, left time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	c.due = time.Now().Add(left + unansweredAfter)
+	c.dueAt = time.Now().Add(left + unansweredGrace)
 }
 
-// begun notes that the answer to a request has begun to go out: how long the rest takes is its server's matter.
-func (k *clients) begun(c *client) {
+// answerStarted notes that the answer to a request has begun to go out: how long the rest takes is its server's matter.
+func (k *clients) answerStarted(c *client) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.overdueLocked(c, time.Now())
-	c.due = time.Time{}
+	c.dueAt = time.Time{}
 }
 
-// turnedAway finds out that all that comes is turned away. The zero value is ready; it may be used by many goroutines at once.
-type turnedAway struct {
-	mu    sync.Mutex
-	since time.Time // the first of those of now
-	sends uint64    // the attempts up to then
-	n     int
-	told  bool
+// rejectionEpisode finds out that all that comes is turned away. The zero value is ready; it may be used by many goroutines at once.
+type rejectionEpisode struct {
+	mu             sync.Mutex
+	since          time.Time // the first of those of now
+	attemptsBefore uint64    // the attempts up to then
+	rejections     int
+	logged         bool
 }
 
-// one notes a request that was turned away, and counts and logs an episode, once.
-func (t *turnedAway) one(figures *metrics.Registry, log *slog.Logger) {
+// recordRejection notes a request that was turned away, and counts and logs an episode, once.
+func (t *rejectionEpisode) recordRejection(figures *metrics.Registry, log *slog.Logger) {
 	t.mu.Lock()
 	now := time.Now()
-	if sends := figures.AttemptsSent.Value(); t.n == 0 || sends != t.sends {
-		t.since, t.sends, t.n, t.told = now, sends, 0, false
+	if sends := figures.AttemptsSent.Value(); t.rejections == 0 || sends != t.attemptsBefore {
+		t.since, t.attemptsBefore, t.rejections, t.logged = now, sends, 0, false
 	}
-	t.n++
-	tell := !t.told && t.n >= turnedAwayLeast && now.Sub(t.since) >= turnedAwayFor
-	t.told = t.told || tell
-	n, span := t.n, now.Sub(t.since)
+	t.rejections++
+	tell := !t.logged && t.rejections >= minAllRejected && now.Sub(t.since) >= allRejectedAfter
+	t.logged = t.logged || tell
+	n, span := t.rejections, now.Sub(t.since)
 	t.mu.Unlock()
 	if tell {
 		figures.AllEndpointsRefused.Inc()
--- a/internal/dataplane/httpfront/outlook_test.go
+++ b/internal/dataplane/httpfront/outlook_test.go
@@ -24,11 +24,11 @@
 		how  func(k *clients, c *client)
 		want uint64
 	}{
-		{"never", time.Minute, (*clients).rest, 1},
-		{"late", left + unansweredAfter, (*clients).rest, 1},
-		{"late, its client gone", left + unansweredAfter, func(*clients, *client) {}, 1},
-		{"in time", left + unansweredAfter - 1, (*clients).rest, 0},
-		{"begun in time", left + unansweredAfter - 1, func(k *clients, c *client) { k.begun(c); time.Sleep(time.Minute) }, 0},
+		{"never", time.Minute, (*clients).endRequest, 1},
+		{"late", left + unansweredGrace, (*clients).endRequest, 1},
+		{"late, its client gone", left + unansweredGrace, func(*clients, *client) {}, 1},
+		{"in time", left + unansweredGrace - 1, (*clients).endRequest, 0},
+		{"begun in time", left + unansweredGrace - 1, func(k *clients, c *client) { k.answerStarted(c); time.Sleep(time.Minute) }, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -36,8 +36,8 @@
 				count := new(metrics.Counter)
 				k := newClients(100, nil, count, slog.New(slog.NewTextHandler(&log, nil)))
 				var seen atomic.Uint64
-				k.talk = func(c *client) {
-					k.take(c)
+				k.serve = func(c *client) {
+					k.beginRequest(c)
 					k.expect(c, left)
 					time.Sleep(tc.ends)
 					seen.Store(count.Value())
@@ -48,8 +48,8 @@
 					defer here.Close()
 					k.add(there)
 				}
-				k.talks.Wait()
-				time.Sleep(2 * lookEvery)
+				k.serving.Wait()
+				time.Sleep(2 * overdueInterval)
 				synctest.Wait()
 				lines := strings.Count(log.String(), "requests had no answer")
 				if n := count.Value(); n != 20*tc.want || lines != int(tc.want) {
@@ -58,7 +58,7 @@
 				if tc.ends == time.Minute && seen.Load() != 20 {
 					t.Errorf("counted %d while they had no answer yet", seen.Load())
 				}
-				if k.looks {
+				if k.timerRunning {
 					t.Error("it looks on, though nothing is open")
 				}
 			})
@@ -75,12 +75,12 @@
 		sends    int           // an attempt behind so many; 0: none
 		want     uint64
 	}{
-		{"all, for four seconds", 17, turnedAwayFor / 15, 0, 1},
-		{"for long", 1000, turnedAwayFor / 15, 0, 1},
-		{"not for so long", 17, turnedAwayFor / 17, 0, 0},
-		{"not so many", turnedAwayLeast - 1, turnedAwayFor / 10, 0, 0},
-		{"an attempt in between", 40, turnedAwayFor / 15, 10, 0},
-		{"twice", 40, turnedAwayFor / 15, 20, 2},
+		{"all, for four seconds", 17, allRejectedAfter / 15, 0, 1},
+		{"for long", 1000, allRejectedAfter / 15, 0, 1},
+		{"not for so long", 17, allRejectedAfter / 17, 0, 0},
+		{"not so many", minAllRejected - 1, allRejectedAfter / 10, 0, 0},
+		{"an attempt in between", 40, allRejectedAfter / 15, 10, 0},
+		{"twice", 40, allRejectedAfter / 15, 20, 2},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -89,9 +89,9 @@
 				for i := range tc.requests {
 					if tc.sends > 0 && i > 0 && i%tc.sends == 0 {
 						s.figures.AttemptsSent.Inc()
-						s.ended(&core.Request{Class: "look"}, core.Served)
+						s.countEnd(&core.Request{Class: "look"}, core.Served)
 					}
-					s.ended(&core.Request{Class: "look"}, core.Rejected)
+					s.countEnd(&core.Request{Class: "look"}, core.Rejected)
 					time.Sleep(tc.every)
 				}
 				lines := strings.Count(log.String(), "every request is turned away")
--- a/internal/dataplane/httpfront/server.go
+++ b/internal/dataplane/httpfront/server.go
@@ -31,58 +31,58 @@
 	"birchmoor/internal/platform/metrics"
 )
 
-// answerMargin is kept from the client's time, so that the final answer reaches it before that is up; of a time that is short, but
+// maxAnswerMargin is kept from the client's time, so that the final answer reaches it before that is up; of a time that is short, but
 // longer than this, one part in marginShare.
 const (
-	answerMargin = 5 * time.Millisecond
-	marginShare  = 20
+	maxAnswerMargin     = 5 * time.Millisecond
+	answerMarginDivisor = 20
 )
 
-// Margin is what is kept of a client's time, in microseconds. Calls come in rows: each level is told what the one above will wait,
+// AnswerMargin is what is kept of a client's time, in microseconds. Calls come in rows: each level is told what the one above will wait,
 // which may be little beside its own client's time, and were 5 ms kept of that at each, the eleventh would have none of 50 ms. A time
 // that is no longer than the margin is all kept: nothing is begun in it.
-func Margin(left balancer.Micros) balancer.Micros {
-	most := answerMargin.Microseconds()
+func AnswerMargin(left balancer.Micros) balancer.Micros {
+	most := maxAnswerMargin.Microseconds()
 	if left <= most {
 		return left
 	}
-	return min(most, left/marginShare)
+	return min(most, left/answerMarginDivisor)
 }
 
 const (
-	HeaderMost  = 16 << 10
-	RequestTime = 2700 * time.Millisecond // for a head, from its first byte or the connection's beginning
-	placeTime   = 2 * time.Second         // for room for a body
-	idleTime    = 15 * time.Second        // between requests
-	lastAccepts = 5 * time.Millisecond    // to take what waits to be accepted, before that ends
+	MaxHeaderBytes     = 16 << 10
+	RequestTimeout     = 2700 * time.Millisecond // for a head, from its first byte or the connection's beginning
+	budgetTimeout      = 2 * time.Second         // for room for a body
+	idleTimeout        = 15 * time.Second        // between requests
+	finalAcceptTimeout = 5 * time.Millisecond    // to take what waits to be accepted, before that ends
 )
 
 // Server takes clients' requests and gives their answers.
 type Server struct {
-	loop    *core.EventLoop
-	clients *clients
-	figures *metrics.Registry
-	bodies  *bytebudget.Budget // bytes of bodies that are held
-	closing atomic.Bool
-	socket  handover.Socket
-	limits  core.Limiter // or nil
-	log     *slog.Logger
-	away    turnedAway
-
-	mu       sync.Mutex
-	ln       net.Listener
-	accepted chan struct{} // closed once that ended
+	loop        *core.EventLoop
+	clients     *clients
+	figures     *metrics.Registry
+	bodies      *bytebudget.Budget // bytes of bodies that are held
+	closing     atomic.Bool
+	socket      handover.Socket
+	limits      core.Limiter // or nil
+	log         *slog.Logger
+	allRejected rejectionEpisode
+
+	mu          sync.Mutex
+	listener    net.Listener
+	acceptEnded chan struct{} // closed once that ended
 }
 
 // NewServer returns a server that brings its requests to l.
 func NewServer(c *config.Config, l *core.EventLoop, socket handover.Socket, figures *metrics.Registry, log *slog.Logger) *Server {
 	s := &Server{loop: l, socket: socket, figures: figures, bodies: bytebudget.New(c.HeldBytes(1)), log: log}
-	s.clients = newClients(c.ClientConns(1), s.talk, &figures.Unanswered, log)
+	s.clients = newClients(c.ClientConns(1), s.serve, &figures.Unanswered, log)
 	return s
 }
 
-// Limit has requests let through by l alone. It is called before Open.
-func (s *Server) Limit(l core.Limiter) { s.limits = l }
+// SetLimiter has requests let through by l alone. It is called before Open.
+func (s *Server) SetLimiter(l core.Limiter) { s.limits = l }
 
 // Open begins to accept connections. It is told if that ends unasked.
 func (s *Server) Open(broken func(error)) error {
@@ -93,7 +93,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ended := make(chan struct{})
-	s.ln, s.accepted = ln, ended
+	s.listener, s.acceptEnded = ln, ended
 	go func() {
 		err := s.clients.accept(ln)
 		close(ended)
@@ -108,13 +108,13 @@
 // reset it, and a request that has been written to it.
 func (s *Server) StopAccepting() {
 	s.mu.Lock()
-	ln, ended := s.ln, s.accepted
-	s.ln = nil
+	ln, ended := s.listener, s.acceptEnded
+	s.listener = nil
 	s.mu.Unlock()
 	if ln == nil {
 		return
 	}
-	if timed, ok := ln.(interface{ SetDeadline(time.Time) error }); ok && timed.SetDeadline(time.Now().Add(lastAccepts)) == nil {
+	if timed, ok := ln.(interface{ SetDeadline(time.Time) error }); ok && timed.SetDeadline(time.Now().Add(finalAcceptTimeout)) == nil {
 		<-ended
 	}
 	ln.Close()
@@ -141,11 +141,11 @@
 func (s *Server) CloseUnused(all bool) int { return s.clients.closeUnused(all) }
 
 // Wait returns once all connections have ended.
-func (s *Server) Wait() { s.clients.talks.Wait() }
+func (s *Server) Wait() { s.clients.serving.Wait() }
 
-// talk serves a connection, one request at a time.
-func (s *Server) talk(c *client) {
-	until := time.Now().Add(RequestTime)
+// serve serves a connection, one request at a time.
+func (s *Server) serve(c *client) {
+	until := time.Now().Add(RequestTimeout)
 	for s.exchange(c, until) {
 		until = time.Time{}
 	}
@@ -154,21 +154,21 @@
 // exchange takes one request, which must be whole by then or, if that is zero, soon after its first byte, and
 // gives its answer. It says whether the connection may serve another.
 func (s *Server) exchange(c *client, until time.Time) bool {
-	c.limit.N = HeaderMost
-	c.paced.wait, c.paced.keep, c.paced.kept = 0, true, nil
+	c.limit.N = MaxHeaderBytes
+	c.paced.readTimeout, c.paced.recording, c.paced.recorded = 0, true, nil
 	if until.IsZero() {
-		c.SetReadDeadline(time.Now().Add(idleTime))
+		c.SetReadDeadline(time.Now().Add(idleTimeout))
 		if _, err := c.r.Peek(1); err != nil {
 			return false
 		}
-		until = time.Now().Add(RequestTime)
+		until = time.Now().Add(RequestTimeout)
 	}
 	c.SetReadDeadline(until)
 	r, err := http.ReadRequest(c.r)
-	head := c.paced.kept
-	c.paced.keep, c.paced.kept = false, nil
+	head := c.paced.recorded
+	c.paced.recording, c.paced.recorded = false, nil
 	if err != nil {
-		if code := s.unreadable(c, err); code != 0 {
+		if code := s.errorCode(c, err); code != 0 {
 			c.reject(code, http.StatusText(code))
 		}
 		return false
@@ -179,7 +179,7 @@
 			a = newResponse(http.StatusServiceUnavailable, "not ready")
 		}
 		last := r.Close || s.closing.Load()
-		return c.write(a, last) && !last && s.clients.again(c)
+		return c.write(a, last) && !last && s.clients.keepOpen(c)
 	}
 	k, err := s.parse(c, r, head)
 	if k != nil {
@@ -193,14 +193,14 @@
 		c.reject(code, err.Error())
 		return false
 	}
-	if !s.clients.take(c) {
+	if !s.clients.beginRequest(c) {
 		return false
 	}
 	ran := true // where nobody says otherwise
 	if s.limits != nil {
-		ended, no := s.limits.Admit(asked(k, r))
+		ended, no := s.limits.Admit(limiterRequest(k, r))
 		if no != nil {
-			return s.limited(c, k, r, no)
+			return s.rejectOverLimit(c, k, r, no)
 		}
 		if ended != nil {
 			defer func() { ended(ran) }()
@@ -210,9 +210,9 @@
 	var left <-chan struct{}
 	if up := k.Payload.(*message).upload; up != nil {
 		sent = up.ended
-		left, up.begin = c.watchLeft()
+		left, up.endWatch = c.watchDuringUpload()
 	} else {
-		gone = s.whole(c, k)
+		gone = s.requestComplete(c, k)
 	}
 	s.loop.Submit(k)
 	for {
@@ -224,14 +224,14 @@
 				if fault := (*clientError)(nil); errors.As(err, &fault) {
 					s.loop.ClientLeft(k)
 					(<-k.Answer).Discard()
-					s.halfBody(c, fault)
+					s.rejectBody(c, fault)
 					return false
 				}
 				a := <-k.Answer
 				ran = a.MayHaveRun
-				return s.early(c, k, a)
+				return s.answerEarly(c, k, a)
 			}
-			gone = s.whole(c, k)
+			gone = s.requestComplete(c, k)
 		case a := <-k.Answer:
 			ran = a.MayHaveRun
 			if gone == nil {
@@ -239,19 +239,19 @@
 				select {
 				case err := <-sent:
 					if err == nil {
-						gone = s.whole(c, k)
+						gone = s.requestComplete(c, k)
 					}
 				default:
 				}
 			}
 			if gone == nil {
-				return s.early(c, k, a)
+				return s.answerEarly(c, k, a)
 			}
 			c.SetReadDeadline(past)
 			if err := <-gone; err == nil {
 				a.Discard()
-				s.ended(k, core.Failed)
-				c.reject(http.StatusBadRequest, surplus)
+				s.countEnd(k, core.Failed)
+				c.reject(http.StatusBadRequest, surplusReason)
 				return false
 			}
 			return s.answer(c, k, a, r.Close)
@@ -260,7 +260,7 @@
 			s.loop.ClientLeft(k)
 			a := <-k.Answer
 			ran = a.MayHaveRun
-			return s.early(c, k, a)
+			return s.answerEarly(c, k, a)
 		case err := <-gone:
 			s.loop.ClientLeft(k)
 			a := <-k.Answer
@@ -270,17 +270,17 @@
 				return s.answer(c, k, a, true)
 			}
 			a.Discard()
-			s.ended(k, core.Failed)
+			s.countEnd(k, core.Failed)
 			if err == nil {
-				c.reject(http.StatusBadRequest, surplus)
+				c.reject(http.StatusBadRequest, surplusReason)
 			}
 			return false
 		}
 	}
 }
 
-// asked is what limits read of a request.
-func asked(k *core.Request, r *http.Request) *core.LimiterRequest {
+// limiterRequest is what limits read of a request.
+func limiterRequest(k *core.Request, r *http.Request) *core.LimiterRequest {
 	a := &core.LimiterRequest{Class: k.Class, Path: r.URL.Path, Header: r.Header.Get}
 	if k.Input.HasHint {
 		a.CostMs = k.Input.Hint
@@ -295,55 +295,55 @@
 	return a
 }
 
-// limited refuses a request that a limit of the fleet has no room for: it was not taken.
-func (s *Server) limited(c *client, k *core.Request, r *http.Request, no *core.LimitExceeded) bool {
+// rejectOverLimit refuses a request that a limit of the fleet has no room for: it was not taken.
+func (s *Server) rejectOverLimit(c *client, k *core.Request, r *http.Request, no *core.LimitExceeded) bool {
 	s.figures.LimitRejections(no.Limit).Inc()
 	s.figures.Class(k.Class).Deferred.Inc()
-	s.away.one(s.figures, s.log)
+	s.allRejected.recordRejection(s.figures, s.log)
 	a := newResponse(http.StatusTooManyRequests, "limited: "+no.Limit)
 	a.header.Set("Retry-After", strconv.FormatFloat(no.RetryAfter.Seconds(), 'f', 3, 64))
 	last := r.Close || s.closing.Load()
 	if up := k.Payload.(*message).upload; up != nil { // its body still comes
 		c.write(a, true)
-		c.linger(up.body, LongMost, bodyStart)
+		c.linger(up.body, MaxBody, bodyGrace)
 		return false
 	}
 	whole := c.write(a, last)
-	s.clients.rest(c)
+	s.clients.endRequest(c)
 	return whole && !last
 }
 
-// whole notes that a request has come whole, and watches its client.
-func (s *Server) whole(c *client, k *core.Request) <-chan error {
-	s.clients.expect(c, time.Duration(k.TimeAfterBody)*time.Microsecond+answerMargin)
-	c.paced.wait = 0
+// requestComplete notes that a request has come whole, and watches its client.
+func (s *Server) requestComplete(c *client, k *core.Request) <-chan error {
+	s.clients.expect(c, time.Duration(k.TimeAfterBody)*time.Microsecond+maxAnswerMargin)
+	c.paced.readTimeout = 0
 	s.figures.InFlight.Add(1)
 	return c.watch()
 }
 
-// early gives an answer while the body still comes, and reads the rest for a little: closing on unread bytes
+// answerEarly gives an answer while the body still comes, and reads the rest for a little: closing on unread bytes
 // would take the answer away again.
-func (s *Server) early(c *client, k *core.Request, a core.Answer) bool {
+func (s *Server) answerEarly(c *client, k *core.Request, a core.Answer) bool {
 	a.Discard()
 	if a.Disposition == core.Served {
 		a.Disposition = core.Failed // to a part of a body, whatever it says
 	}
 	s.figures.InFlight.Add(1)
-	s.ended(k, a.Disposition)
+	s.countEnd(k, a.Disposition)
 	c.write(responseTo(a), true)
 	up := k.Payload.(*message).upload
-	up.begin()
+	up.endWatch()
 	up.halted.Store(true)
 	if up.taken.Load() {
 		c.SetReadDeadline(past)
-		<-up.idle
+		<-up.unread
 	}
-	c.linger(up.body, LongMost, bodyStart)
+	c.linger(up.body, MaxBody, bodyGrace)
 	return false
 }
 
-// halfBody answers a body that did not come as announced.
-func (s *Server) halfBody(c *client, fault *clientError) {
+// rejectBody answers a body that did not come as announced.
+func (s *Server) rejectBody(c *client, fault *clientError) {
 	var timeout net.Error
 	switch {
 	case errors.Is(fault, errLongBody):
@@ -355,8 +355,8 @@
 	}
 }
 
-// ended counts the end of a request that was taken. It is the one place that does.
-func (s *Server) ended(k *core.Request, v core.Disposition) {
+// countEnd counts the end of a request that was taken. It is the one place that does.
+func (s *Server) countEnd(k *core.Request, v core.Disposition) {
 	s.figures.InFlight.Add(-1)
 	class := s.figures.Class(k.Class)
 	switch v {
@@ -364,20 +364,20 @@
 		class.Answered.Inc()
 	case core.Rejected:
 		class.Deferred.Inc()
-		s.away.one(s.figures, s.log)
+		s.allRejected.recordRejection(s.figures, s.log)
 	default:
 		class.Errored.Inc()
 	}
 }
 
-const surplus = "more was sent than the request's length tells"
+const surplusReason = "more was sent than the request's length tells"
 
-// unreadable returns the code for what is no request, 0 if the client has sent nothing or has gone.
-func (s *Server) unreadable(c *client, err error) int {
+// errorCode returns the code for what is no request, 0 if the client has sent nothing or has gone.
+func (s *Server) errorCode(c *client, err error) int {
 	var timeout net.Error
 	switch {
 	case errors.As(err, &timeout) && timeout.Timeout():
-		if c.limit.N == HeaderMost {
+		if c.limit.N == MaxHeaderBytes {
 			return 0
 		}
 		return http.StatusRequestTimeout
@@ -394,7 +394,7 @@
 	var r *response
 	switch a.Disposition {
 	case core.Served:
-		g := a.Reply.Content.(*got)
+		g := a.Reply.Content.(*upstreamAnswer)
 		r = &response{code: http.StatusOK, header: http.Header{}, body: g.body}
 		for k, v := range g.header {
 			if !hopByHop(k, g.header) && k != "Endpoint-Load-Metrics" {
@@ -421,27 +421,27 @@
 	last = last || s.closing.Load() || a.Disposition == core.DuplicateID
 	r := responseTo(a)
 	if a.StreamEnded == nil {
-		s.ended(k, a.Disposition)
+		s.countEnd(k, a.Disposition)
 		whole := c.write(r, last)
 		a.Discard()
-		s.clients.rest(c)
+		s.clients.endRequest(c)
 		return whole && !last
 	}
-	s.clients.begun(c)
-	flow := a.Reply.Content.(*got).flow
+	s.clients.answerStarted(c)
+	flow := a.Reply.Content.(*upstreamAnswer).stream
 	how := core.StreamAbandoned
-	c.SetWriteDeadline(time.Now().Add(flowStall))
+	c.SetWriteDeadline(time.Now().Add(maxStreamStall))
 	if _, err := c.Write(r.head(flow.length, last)); err == nil {
-		how = flow.copyTo(c, func() { c.SetWriteDeadline(time.Now().Add(flowStall)) })
+		how = flow.copyTo(c, func() { c.SetWriteDeadline(time.Now().Add(maxStreamStall)) })
 	}
 	flow.done(how)
 	a.StreamEnded(how)
 	if how != core.StreamComplete {
-		s.ended(k, core.Failed)
+		s.countEnd(k, core.Failed)
 		return false // short of its end, so that the client can tell
 	}
-	s.ended(k, core.Served)
-	s.clients.rest(c)
+	s.countEnd(k, core.Served)
+	s.clients.endRequest(c)
 	return !last
 }
 
@@ -453,7 +453,7 @@
 
 func (e *badRequest) Error() string { return e.reason }
 
-func bad(code int, format string, args ...any) error {
+func newBadRequest(code int, format string, args ...any) error {
 	return &badRequest{code, fmt.Sprintf(format, args...)}
 }
 
@@ -462,20 +462,20 @@
 	config := s.loop.ConfigSnapshot()
 	switch {
 	case !r.ProtoAtLeast(1, 1) || r.ProtoMajor != 1:
-		return nil, bad(http.StatusHTTPVersionNotSupported, "this version of HTTP is not spoken here")
+		return nil, newBadRequest(http.StatusHTTPVersionNotSupported, "this version of HTTP is not spoken here")
 	case len(r.TransferEncoding) > 0 && hasLength(head):
 		// A reader that goes by the one header may find a request in what is a body by the other.
-		return nil, bad(http.StatusBadRequest, "a Content-Length or chunks, not both")
-	case r.ContentLength > LongMost:
-		return nil, bad(http.StatusRequestEntityTooLarge, "the body is over %d bytes", LongMost)
+		return nil, newBadRequest(http.StatusBadRequest, "a Content-Length or chunks, not both")
+	case r.ContentLength > MaxBody:
+		return nil, newBadRequest(http.StatusRequestEntityTooLarge, "the body is over %d bytes", MaxBody)
 	case !strings.HasPrefix(r.RequestURI, "/"):
-		return nil, bad(http.StatusBadRequest, "the target must be a path")
-	case !visible(r.Host):
-		return nil, bad(http.StatusBadRequest, "Host makes no sense")
+		return nil, newBadRequest(http.StatusBadRequest, "the target must be a path")
+	case !isVisibleASCII(r.Host):
+		return nil, newBadRequest(http.StatusBadRequest, "Host makes no sense")
 	}
 	for _, name := range []string{"X-Trace-Id", "X-Qos", "X-Expires-In-Ms", "Idempotency-Key"} {
-		if v := r.Header[name]; len(v) > 1 || len(v) == 1 && !visible(v[0]) {
-			return nil, bad(http.StatusBadRequest, "%s makes no sense", name)
+		if v := r.Header[name]; len(v) > 1 || len(v) == 1 && !isVisibleASCII(v[0]) {
+			return nil, newBadRequest(http.StatusBadRequest, "%s makes no sense", name)
 		}
 	}
 	first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
@@ -485,14 +485,14 @@
 	}
 	class := slices.Index(config.Classes, name)
 	if class < 0 {
-		return nil, bad(http.StatusNotFound, "unknown class %q", name)
+		return nil, newBadRequest(http.StatusNotFound, "unknown class %q", name)
 	}
 	if name != first {
-		return nil, bad(http.StatusBadRequest, "X-Qos %q is not the first part of the path", name)
+		return nil, newBadRequest(http.StatusBadRequest, "X-Qos %q is not the first part of the path", name)
 	}
 	id := r.Header.Get("X-Trace-Id")
 	if id == "" {
-		return nil, bad(http.StatusBadRequest, "X-Trace-Id is missing")
+		return nil, newBadRequest(http.StatusBadRequest, "X-Trace-Id is missing")
 	}
 	settings := &config.Settings.Classes[class]
 	method := http.MethodPost
@@ -500,29 +500,29 @@
 		method = http.MethodGet
 	}
 	if r.Method != method {
-		return nil, bad(http.StatusMethodNotAllowed, "class %q takes %s", name, method)
+		return nil, newBadRequest(http.StatusMethodNotAllowed, "class %q takes %s", name, method)
 	}
 	if method == http.MethodGet && r.ContentLength != 0 {
-		return nil, bad(http.StatusBadRequest, "class %q takes no body", name)
+		return nil, newBadRequest(http.StatusBadRequest, "class %q takes no body", name)
 	}
 	if settings.Idempotency == balancer.WithIdempotencyKey && r.Header.Get("Idempotency-Key") == "" {
-		return nil, bad(http.StatusBadRequest, "Idempotency-Key is missing") // a repeat would not be known as one
+		return nil, newBadRequest(http.StatusBadRequest, "Idempotency-Key is missing") // a repeat would not be known as one
 	}
 	left := settings.Timeout
 	if text := r.Header.Get("X-Expires-In-Ms"); text != "" {
 		ms, err := strconv.ParseUint(text, 10, 63)
 		if err != nil {
-			return nil, bad(http.StatusBadRequest, "X-Expires-In-Ms is not a whole number of milliseconds")
+			return nil, newBadRequest(http.StatusBadRequest, "X-Expires-In-Ms is not a whole number of milliseconds")
 		}
 		left = min(left, int64(min(ms, math.MaxInt32))*1000)
 	}
 	c := &core.Request{ID: id, Class: name, Config: config, Answer: make(chan core.Answer, 1), Input: balancer.Request{Class: uint8(class), Tenant: tenant(config.Config, r), Rules: config.Rules,
-		Key: key(r.Header.Get("X-Object")), Retry: r.Header.Get("X-Second-Try") == "1"},
-		TimeAfterBody: left - Margin(left)}
+		Key: idempotencyKey(r.Header.Get("X-Object")), Retry: r.Header.Get("X-Second-Try") == "1"},
+		TimeAfterBody: left - AnswerMargin(left)}
 	if hint, err := strconv.ParseInt(r.Header.Get("X-Size-Hint"), 10, 64); err == nil && hint > 0 {
 		c.Input.Hint, c.Input.HasHint = hint, true
 	}
-	c.ClientGone = conn.gone
+	c.ClientGone = conn.hasLeft
 	out := &message{method: r.Method, uri: r.RequestURI, host: r.Host, header: http.Header{}}
 	c.Payload = out
 	if err := s.body(conn, r, c); err != nil {
@@ -531,7 +531,7 @@
 	// The time of a request counts from its last byte.
 	c.Input.Deadline = s.loop.Now() + c.TimeAfterBody
 	if c.StreamsBody = out.upload != nil; c.StreamsBody {
-		c.Input.BodyStreaming, c.Input.Deadline = true, s.loop.Now()+uploadMost.Microseconds()
+		c.Input.BodyStreaming, c.Input.Deadline = true, s.loop.Now()+maxUploadTime.Microseconds()
 	}
 	for k, v := range r.Header {
 		if !hopByHop(k, r.Header) && k != "X-Expires-In-Ms" {
@@ -556,21 +556,21 @@
 	if expect := r.Header.Get("Expect"); strings.EqualFold(expect, "100-continue") && length != 0 {
 		io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n") // that it failed shows when reading
 	} else if expect != "" {
-		return bad(http.StatusExpectationFailed, "Expect makes no sense")
+		return newBadRequest(http.StatusExpectationFailed, "Expect makes no sense")
 	}
-	want := int(min(uint64(length), BodyMost)) // all that may be for a length that is not known
-	if want > freeBytes {
-		ctx, cancel := context.WithTimeout(context.Background(), placeTime)
+	want := int(min(uint64(length), MaxBufferedBody)) // all that may be for a length that is not known
+	if want > unbudgetedBytes {
+		ctx, cancel := context.WithTimeout(context.Background(), budgetTimeout)
 		defer cancel()
 		if s.bodies.Acquire(ctx, want) != nil {
-			return bad(http.StatusServiceUnavailable, "no room for the body")
+			return newBadRequest(http.StatusServiceUnavailable, "no room for the body")
 		}
 		k.BudgetBytes = want
 	}
-	if c.limit.N = 2 * LongMost; length >= 0 {
+	if c.limit.N = 2 * MaxBody; length >= 0 {
 		c.limit.N = max(0, length-int64(c.r.Buffered())) + 1
 	}
-	c.paced.wait = bodyStall
+	c.paced.readTimeout = maxBodyStall
 	buf := make([]byte, want)
 	n, begun := 0, time.Now()
 	for n < want {
@@ -580,26 +580,26 @@
 			length = int64(n)
 			break
 		}
-		if err != nil || time.Since(begun) > bodyStart+time.Duration(n)*time.Second/bodyRate {
-			return bad(http.StatusBadRequest, "the body is not whole")
+		if err != nil || time.Since(begun) > bodyGrace+time.Duration(n)*time.Second/minBodyRate {
+			return newBadRequest(http.StatusBadRequest, "the body is not whole")
 		}
 	}
 	out := k.Payload.(*message)
 	out.body = buf[:n]
 	if int64(n) != length {
-		out.upload = &upload{body: r.Body, length: length, left: k.TimeAfterBody, begun: n, buf: buf,
-			ended: make(chan error, 1), idle: make(chan struct{})}
+		out.upload = &upload{body: r.Body, length: length, answerTime: k.TimeAfterBody, beginningBytes: n, buf: buf,
+			ended: make(chan error, 1), unread: make(chan struct{})}
 		return nil
 	}
-	c.paced.wait = 0
+	c.paced.readTimeout = 0
 	if c.r.Buffered() > 0 {
-		return bad(http.StatusBadRequest, surplus)
+		return newBadRequest(http.StatusBadRequest, surplusReason)
 	}
 	return nil
 }
 
-// visible says whether a header's value is plain text of some length.
-func visible(v string) bool {
+// isVisibleASCII says whether a header's value is plain text of some length.
+func isVisibleASCII(v string) bool {
 	return v != "" && !strings.ContainsFunc(v, func(c rune) bool { return c <= ' ' || c > '~' })
 }
 
@@ -611,8 +611,8 @@
 	return math.MaxUint16
 }
 
-// key turns what a request is about into a number; 0 is none.
-func key(object string) uint64 {
+// idempotencyKey turns what a request is about into a number; 0 is none.
+func idempotencyKey(object string) uint64 {
 	if object == "" {
 		return 0
 	}
--- a/internal/dataplane/httpfront/upstream.go
+++ b/internal/dataplane/httpfront/upstream.go
@@ -29,12 +29,12 @@
 )
 
 const (
-	BodyMost     = 64 << 10
-	answerMost   = BodyMost + 64<<10 // with its head and framing
-	probeTimeout = 250 * time.Millisecond
-	sweepEvery   = time.Second
-	restLeast    = 10 * time.Millisecond // behind an answer, in which a second one may come
-	unaskedFor   = 10 * time.Minute      // one that did is remembered
+	MaxBufferedBody   = 64 << 10
+	maxBufferedAnswer = MaxBufferedBody + 64<<10 // with its head and framing
+	probeTimeout      = 250 * time.Millisecond
+	sweepInterval     = time.Second
+	minRest           = 10 * time.Millisecond // behind an answer, in which a second one may come
+	unsolicitedMemory = 10 * time.Minute      // one that did is remembered
 )
 
 // message is a client's request as it goes on to an endpoint, but for the time that it has left.
@@ -49,61 +49,61 @@
 // sends some requests again by itself when a kept connection breaks, and does not tell whether the last
 // byte was written. Here an attempt is written at most once, in one piece.
 type Upstream struct {
-	clock     core.Clock
-	log       *slog.Logger
-	idleMost  time.Duration
-	connsMost int
-	dial      func(ctx context.Context, network, addr string) (net.Conn, error)
-	pause     func(ctx context.Context, d time.Duration)
-	sends     *metrics.Counter // attempts written whole
-	reports   atomic.Pointer[reports]
-	answers   *bytebudget.Budget // bytes of answers that are held
-	unsent    core.ConnectErrors
-
-	mu      sync.Mutex
-	unasked time.Time           // when an endpoint last sent what nothing had asked for
-	conns   int                 // open or being opened
-	idle    map[*place]struct{} // those with idle connections
-}
-
-// place is where one endpoint listens. Its connections are its own.
-type place struct {
-	up   *Upstream
-	addr string
+	clock         core.Clock
+	log           *slog.Logger
+	maxIdle       time.Duration
+	maxConns      int
+	dial          func(ctx context.Context, network, addr string) (net.Conn, error)
+	pause         func(ctx context.Context, d time.Duration)
+	sends         *metrics.Counter // attempts written whole
+	reports       atomic.Pointer[reportConfig]
+	answerBudget  *bytebudget.Budget // bytes of answers that are held
+	connectErrors core.ConnectErrors
+
+	mu            sync.Mutex
+	unsolicitedAt time.Time            // when an endpoint last sent what nothing had asked for
+	conns         int                  // open or being opened
+	idle          map[*target]struct{} // those with idle connections
+}
+
+// target is where one endpoint listens. Its connections are its own.
+type target struct {
+	upstream *Upstream
+	addr     string
 
 	// Guarded by upstream.mu.
-	idle []*conn
-	gone bool // nothing new goes there
+	idle    []*conn
+	removed bool // nothing new goes there
 }
 
 // Target returns a place without connections.
-func (u *Upstream) Target(addr string) core.Target { return &place{up: u, addr: addr} }
+func (u *Upstream) Target(addr string) core.Target { return &target{upstream: u, addr: addr} }
 
 // Send makes one attempt.
-func (p *place) Send(ctx context.Context, o core.Attempt) core.Reply {
-	return p.up.send(ctx, p, o.Request.(*message), o.Deadline, o.Begin, o.BodySent)
+func (p *target) Send(ctx context.Context, o core.Attempt) core.Reply {
+	return p.upstream.send(ctx, p, o.Request.(*message), o.Deadline, o.Begin, o.BodySent)
 }
 
 // Probe asks for the endpoint's load.
-func (p *place) Probe() core.Reply { return p.up.probe(p) }
+func (p *target) Probe() core.Reply { return p.upstream.probe(p) }
 
 // Close closes what is idle.
-func (p *place) Close() { p.up.drop(p) }
+func (p *target) Close() { p.upstream.removeTarget(p) }
 
 // CloseUnusedSince closes what was last used before an instant.
-func (p *place) CloseUnusedSince(before time.Time) { p.up.flush(p, before) }
+func (p *target) CloseUnusedSince(before time.Time) { p.upstream.closeIdleSince(p, before) }
 
 type conn struct {
 	net.Conn
-	paced paced
-	limit io.LimitedReader // what an answer may still take, head and all
-	r     *bufio.Reader
-	to    *place
-	idle  time.Time // since when
+	paced     pacedConn
+	limit     io.LimitedReader // what an answer may still take, head and all
+	r         *bufio.Reader
+	target    *target
+	idleSince time.Time // since when
 }
 
-func newConn(nc net.Conn, to *place) *conn {
-	c := &conn{Conn: nc, to: to, paced: paced{Conn: nc}}
+func newConn(nc net.Conn, to *target) *conn {
+	c := &conn{Conn: nc, target: to, paced: pacedConn{Conn: nc}}
 	c.limit.R = &c.paced
 	c.r = bufio.NewReaderSize(&c.limit, 4096)
 	return c
@@ -111,9 +111,9 @@
 
 // NewUpstream returns an upstream side without connections. Sends counts the attempts that were written whole.
 func NewUpstream(c *config.Config, clk core.Clock, sends *metrics.Counter, log *slog.Logger) *Upstream {
-	u := &Upstream{clock: clk, log: log, sends: sends, answers: bytebudget.New(c.HeldBytes(1)),
+	u := &Upstream{clock: clk, log: log, sends: sends, answerBudget: bytebudget.New(c.HeldBytes(1)),
 		// Well before the endpoint's own limit: a request that crosses its close is lost.
-		idleMost: c.KeepAlive * 2 / 3, connsMost: c.UpstreamConns(1), idle: map[*place]struct{}{}}
+		maxIdle: c.KeepAlive * 2 / 3, maxConns: c.UpstreamConns(1), idle: map[*target]struct{}{}}
 	u.SetConfig(c)
 	u.pause = func(ctx context.Context, d time.Duration) {
 		select {
@@ -121,25 +121,25 @@
 		case <-ctx.Done():
 		}
 	}
-	u.dial = (&net.Dialer{Timeout: dialWait(time.Duration(c.Settings.Limits.DialTimeout) * time.Microsecond)}).DialContext
+	u.dial = (&net.Dialer{Timeout: dialTimeout(time.Duration(c.Settings.Limits.DialTimeout) * time.Microsecond)}).DialContext
 	return u
 }
 
-// dialParts is the part of the dial time-out that a connection is waited for. One takes a round trip, under a
+// dialTimeoutDivisor is the part of the dial time-out that a connection is waited for. One takes a round trip, under a
 // millisecond here; one that is not up in many times that belongs to a machine that is cut off or gone, and the
 // request, which never ran, may still be in time elsewhere.
-const dialParts = 4
+const dialTimeoutDivisor = 4
 
-// dialWait is how long a connection is waited for, where the settings allow most; 0 for no word of theirs.
-func dialWait(most time.Duration) time.Duration {
+// dialTimeout is how long a connection is waited for, where the settings allow most; 0 for no word of theirs.
+func dialTimeout(most time.Duration) time.Duration {
 	if most <= 0 {
 		most = probeTimeout
 	}
-	return most / dialParts
+	return most / dialTimeoutDivisor
 }
 
-// reports is what load reports hold, and where.
-type reports struct {
+// reportConfig is what load reports hold, and where.
+type reportConfig struct {
 	fields    []string
 	onAnswers bool
 }
@@ -148,25 +148,25 @@
 func (u *Upstream) AcceptsLateReplies() bool { return false }
 
 // SetConfig takes what a configuration says of load reports.
-func (u *Upstream) SetConfig(c *config.Config) { u.reports.Store(&reports{c.Fields, c.OnAnswers}) }
+func (u *Upstream) SetConfig(c *config.Config) { u.reports.Store(&reportConfig{c.Fields, c.OnAnswers}) }
 
 // send makes one attempt. mayGo is asked last, right before the first byte; if it says no, nothing goes out.
 // Whole is called when a body that flows has gone out. When ctx ends, the connection is closed, unless the
 // answer has begun to flow: then it is the caller's.
-func (u *Upstream) send(ctx context.Context, to *place, m *message, deadline balancer.Micros,
+func (u *Upstream) send(ctx context.Context, to *target, m *message, deadline balancer.Micros,
 	mayGo func(now balancer.Micros) bool, whole func(now balancer.Micros)) core.Reply {
 	c, err := u.get(ctx, to)
 	if err != nil {
-		return u.ended(u.unsent.Status(ctx, err, u.log))
+		return u.reply(u.connectErrors.Status(ctx, err, u.log))
 	}
 	now := u.clock.Now()
 	left := millisLeft(deadline - now)
 	if m.upload != nil {
-		left = millisLeft(m.upload.left) // from its last byte on
+		left = millisLeft(m.upload.answerTime) // from its last byte on
 	}
 	if left < 1 || !mayGo(now) {
 		u.put(c)
-		return u.ended(balancer.NotSent)
+		return u.reply(balancer.NotSent)
 	}
 	return u.exchange(ctx, c, m.bytes(left), m.upload, u.sends, whole)
 }
@@ -176,12 +176,12 @@
 func millisLeft(left balancer.Micros) balancer.Micros { return (max(0, left) + 999) / 1000 }
 
 // probe asks an endpoint for its load, or for its health where there are no load reports.
-func (u *Upstream) probe(to *place) core.Reply {
+func (u *Upstream) probe(to *target) core.Reply {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	c, err := u.get(ctx, to)
 	if err != nil {
-		return u.ended(u.unsent.Status(ctx, err, u.log))
+		return u.reply(u.connectErrors.Status(ctx, err, u.log))
 	}
 	m := message{method: http.MethodGet, uri: "/-/healthy", host: to.addr}
 	fields := u.reports.Load().fields
@@ -191,12 +191,12 @@
 	r := u.exchange(ctx, c, m.bytes(0), nil, new(metrics.Counter), nil)
 	r.Release()
 	if r.Status == balancer.OK && len(fields) > 0 {
-		r.Load = parseLoad(fields, string(r.Content.(*got).body))
+		r.Load = parseLoad(fields, string(r.Content.(*upstreamAnswer).body))
 	}
 	return r
 }
 
-func (u *Upstream) ended(status balancer.Status) core.Reply {
+func (u *Upstream) reply(status balancer.Status) core.Reply {
 	return core.Reply{Status: status, At: u.clock.Now()}
 }
 
@@ -205,15 +205,15 @@
 func (u *Upstream) exchange(ctx context.Context, c *conn, text []byte, rest *upload, sends *metrics.Counter,
 	whole func(balancer.Micros)) core.Reply {
 	stop := context.AfterFunc(ctx, func() { c.Conn.Close() })
-	c.limit.N = answerMost
+	c.limit.N = maxBufferedAnswer
 	n, err := c.Write(text)
 	if err != nil {
 		stop()
 		u.discard(c)
 		if n < len(text) {
-			return u.ended(balancer.ConnectFailed) // its last byte was not written, so it never ran
+			return u.reply(balancer.ConnectFailed) // its last byte was not written, so it never ran
 		}
-		return u.ended(balancer.Reset)
+		return u.reply(balancer.Reset)
 	}
 	if rest != nil {
 		if rest.taken.Swap(true) {
@@ -221,9 +221,9 @@
 			u.discard(c)
 			return core.Reply{Status: balancer.ConnectFailed, At: u.clock.Now(), RequestConsumed: true}
 		}
-		rest.begin()
+		rest.endWatch()
 		// What has gone out of the beginning is copied there, and its place serves for the rest.
-		if err := rest.copyTo(c, rest.begun, rest.buf); err != nil {
+		if err := rest.copyTo(c, rest.beginningBytes, rest.buf); err != nil {
 			stop()
 			u.discard(c)
 			r := core.Reply{Status: balancer.ConnectFailed, At: u.clock.Now(), RequestConsumed: true}
@@ -235,20 +235,20 @@
 		whole(u.clock.Now())
 	}
 	sends.Inc()
-	a, err := c.read(ctx, u.answers)
-	r := u.ended(balancer.Reset)
+	a, err := c.read(ctx, u.answerBudget)
+	r := u.reply(balancer.Reset)
 	r.RequestConsumed = rest != nil
-	if err == nil && a.flow != nil && a.code != http.StatusOK {
-		a.release() // of an error nothing but the code is wanted
-		a.flow, a.last = nil, true
+	if err == nil && a.stream != nil && a.code != http.StatusOK {
+		a.releaseBudget() // of an error nothing but the code is wanted
+		a.stream, a.closesConnection = nil, true
 	}
-	if err == nil && a.flow != nil && stop() {
+	if err == nil && a.stream != nil && stop() {
 		r.Status, r.Content = balancer.OK, a
-		a.flow.done = func(how core.StreamEnd) {
-			a.release()
-			c.paced.wait = 0
+		a.stream.done = func(how core.StreamEnd) {
+			a.releaseBudget()
+			c.paced.readTimeout = 0
 			c.SetReadDeadline(time.Time{})
-			if how != core.StreamComplete || a.last || c.r.Buffered() > 0 {
+			if how != core.StreamComplete || a.closesConnection || c.r.Buffered() > 0 {
 				u.discard(c)
 			} else {
 				u.put(c)
@@ -259,9 +259,9 @@
 		}
 		return r
 	}
-	if !stop() || err != nil || a.flow != nil || a.last || c.r.Buffered() > 0 {
-		if err == nil && a.flow != nil {
-			a.release()
+	if !stop() || err != nil || a.stream != nil || a.closesConnection || c.r.Buffered() > 0 {
+		if err == nil && a.stream != nil {
+			a.releaseBudget()
 			err = context.Canceled
 		}
 		u.discard(c)
@@ -288,55 +288,55 @@
 }
 
 const (
-	interimMost = 8       // answers 1xx ahead of the one that counts
-	freeBytes   = 4 << 10 // an answer of no more is not counted
+	maxInterimAnswers = 8       // answers 1xx ahead of the one that counts
+	unbudgetedBytes   = 4 << 10 // an answer of no more is not counted
 )
 
 var (
-	errNotWhole = errors.New("nothing tells for sure where the answer ends")
-	errTooLarge = errors.New("the answer is too large")
-	errNoHTTP   = errors.New("the answer is no HTTP/1")
+	errAmbiguousLength = errors.New("nothing tells for sure where the answer ends")
+	errAnswerTooLarge  = errors.New("the answer is too large")
+	errNotHTTP         = errors.New("the answer is no HTTP/1")
 )
 
-// got is a whole answer, or one that flows.
-type got struct {
-	code   int
-	header http.Header
-	body   []byte
-	flow   *download // in place of body
-	budget *bytebudget.Budget
-	held   int  // bytes of the budget
-	last   bool // the endpoint closes the connection after it
+// upstreamAnswer is a whole answer, or one that flows.
+type upstreamAnswer struct {
+	code             int
+	header           http.Header
+	body             []byte
+	stream           *download // in place of body
+	budget           *bytebudget.Budget
+	budgetBytes      int  // bytes of the budget
+	closesConnection bool // the endpoint closes the connection after it
 }
 
 // Streams says whether there is more than what has been read.
-func (a *got) Streams() bool { return a.flow != nil }
+func (a *upstreamAnswer) Streams() bool { return a.stream != nil }
 
 // Release gives back what is held, and the connection of what flows.
-func (a *got) Release() {
-	if flow := a.flow; flow != nil {
-		a.flow = nil
+func (a *upstreamAnswer) Release() {
+	if flow := a.stream; flow != nil {
+		a.stream = nil
 		flow.done(core.StreamAbandoned)
 	}
-	a.release()
+	a.releaseBudget()
 }
 
-func (a *got) release() {
-	a.budget.Release(a.held)
-	a.held = 0
+func (a *upstreamAnswer) releaseBudget() {
+	a.budget.Release(a.budgetBytes)
+	a.budgetBytes = 0
 }
 
 // read reads a whole answer, or the beginning of one that flows. One that ends early or whose end is told in
 // two ways is an error: nothing but what the endpoint made for the request may pass for its answer.
 // http.ReadResponse would hide that it had both a length and chunks.
-func (c *conn) read(ctx context.Context, held *bytebudget.Budget) (*got, error) {
-	for range interimMost {
-		c.paced.wait = 0
+func (c *conn) read(ctx context.Context, held *bytebudget.Budget) (*upstreamAnswer, error) {
+	for range maxInterimAnswers {
+		c.paced.readTimeout = 0
 		c.SetReadDeadline(time.Time{})
 		if _, err := c.r.Peek(1); err != nil {
 			return nil, err
 		}
-		c.paced.wait = answerStall
+		c.paced.readTimeout = maxAnswerStall
 		a, err := c.head()
 		if err != nil {
 			return nil, err
@@ -346,19 +346,19 @@
 		}
 		a.budget = held
 		if err = c.body(ctx, a, held); err != nil {
-			a.release()
+			a.releaseBudget()
 		}
-		if a.flow == nil {
-			c.paced.wait = 0
+		if a.stream == nil {
+			c.paced.readTimeout = 0
 			c.SetReadDeadline(time.Time{})
 		}
 		return a, err
 	}
-	return nil, errTooLarge
+	return nil, errAnswerTooLarge
 }
 
 // head reads a status line and headers.
-func (c *conn) head() (*got, error) {
+func (c *conn) head() (*upstreamAnswer, error) {
 	text := textproto.NewReader(c.r)
 	line, err := text.ReadLine()
 	if err != nil {
@@ -366,26 +366,26 @@
 	}
 	version, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
-	a := &got{}
+	a := &upstreamAnswer{}
 	if a.code, err = strconv.Atoi(code); err != nil || len(code) != 3 || a.code < 100 ||
 		version != "HTTP/1.1" && version != "HTTP/1.0" {
-		return nil, errNoHTTP
+		return nil, errNotHTTP
 	}
 	header, err := text.ReadMIMEHeader()
 	if err != nil {
 		return nil, err
 	}
 	a.header = http.Header(header)
-	a.last = version == "HTTP/1.0"
+	a.closesConnection = version == "HTTP/1.0"
 	for _, v := range a.header["Connection"] {
-		a.last = a.last || strings.Contains(strings.ToLower(v), "close")
+		a.closesConnection = a.closesConnection || strings.Contains(strings.ToLower(v), "close")
 	}
 	return a, nil
 }
 
 // body reads what the head announces, if that is no more than BodyMost; of more, and of what comes slowly and
 // whose length is not told, it reads the beginning.
-func (c *conn) body(ctx context.Context, a *got, held *bytebudget.Budget) error {
+func (c *conn) body(ctx context.Context, a *upstreamAnswer, held *bytebudget.Budget) error {
 	lengths, encodings := a.header["Content-Length"], a.header["Transfer-Encoding"]
 	var length int64
 	var body io.Reader
@@ -397,37 +397,37 @@
 		if err != nil {
 			return err
 		}
-		if n > LongMost {
-			return errTooLarge
+		if n > MaxBody {
+			return errAnswerTooLarge
 		}
 		length = int64(n)
 		body = io.LimitReader(c.r, length)
 	case len(lengths) == 0 && len(encodings) == 1 && strings.EqualFold(encodings[0], "chunked"):
 		length = -1
-		body = &chunked{r: httputil.NewChunkedReader(c.r), c: c}
+		body = &chunkedReader{r: httputil.NewChunkedReader(c.r), c: c}
 	case len(lengths) == 0 && len(encodings) == 0:
 		// Only the end of the connection ends it.
-		length, a.last = -1, true
+		length, a.closesConnection = -1, true
 		body = c.r
 	default:
-		return errNotWhole
+		return errAmbiguousLength
 	}
-	a.held = int(min(uint64(length), BodyMost)) // all that may be for a length that is not known
-	if a.held <= freeBytes {
-		a.held = 0
-	} else if err := held.Acquire(ctx, a.held); err != nil {
-		a.held = 0
+	a.budgetBytes = int(min(uint64(length), MaxBufferedBody)) // all that may be for a length that is not known
+	if a.budgetBytes <= unbudgetedBytes {
+		a.budgetBytes = 0
+	} else if err := held.Acquire(ctx, a.budgetBytes); err != nil {
+		a.budgetBytes = 0
 		return err
 	}
-	c.limit.N = 2*LongMost + answerMost // chunks have some framing
-	if length >= 0 && length <= BodyMost {
+	c.limit.N = 2*MaxBody + maxBufferedAnswer // chunks have some framing
+	if length >= 0 && length <= MaxBufferedBody {
 		a.body = make([]byte, length)
 		_, err := io.ReadFull(body, a.body)
 		return err
 	}
-	buf := make([]byte, BodyMost)
+	buf := make([]byte, MaxBufferedBody)
 	n, begun := 0, time.Now()
-	for n < len(buf) && (n == 0 || length < 0 && time.Since(begun) < flowAfter) {
+	for n < len(buf) && (n == 0 || length < 0 && time.Since(begun) < streamAfter) {
 		more, err := body.Read(buf[n:])
 		n += more
 		if err == io.EOF && length < 0 {
@@ -439,20 +439,20 @@
 		}
 	}
 	if length >= 0 {
-		body = &exactly{body, length - int64(n)}
+		body = &exactReader{body, length - int64(n)}
 	}
-	c.paced.wait = flowStall
-	a.flow = &download{begin: buf[:n], more: body, length: length, buf: buf}
+	c.paced.readTimeout = maxStreamStall
+	a.stream = &download{beginning: buf[:n], more: body, length: length, buf: buf}
 	return nil
 }
 
-// chunked reads chunks and, behind the last, the trailer.
-type chunked struct {
+// chunkedReader reads chunks and, behind the last, the trailer.
+type chunkedReader struct {
 	r io.Reader
 	c *conn
 }
 
-func (r *chunked) Read(b []byte) (int, error) {
+func (r *chunkedReader) Read(b []byte) (int, error) {
 	n, err := r.r.Read(b)
 	if err == io.EOF {
 		if _, bad := textproto.NewReader(r.c.r).ReadMIMEHeader(); bad != nil {
@@ -462,13 +462,13 @@
 	return n, err
 }
 
-// exactly ends with an error unless all that is left comes.
-type exactly struct {
+// exactReader ends with an error unless all that is left comes.
+type exactReader struct {
 	r    io.Reader
 	left int64
 }
 
-func (r *exactly) Read(b []byte) (int, error) {
+func (r *exactReader) Read(b []byte) (int, error) {
 	n, err := r.r.Read(b)
 	if r.left -= int64(n); err == io.EOF && r.left > 0 {
 		err = io.ErrUnexpectedEOF
@@ -534,23 +534,23 @@
 // get returns the idle connection used last, since the others may then grow old, or a new one. One that has rested for a
 // moment goes first: an endpoint may send more than one answer to a request, some milliseconds apart, and behind the next
 // request the second would pass for that one's. Where any has done so of late, none goes before it has rested.
-func (u *Upstream) get(ctx context.Context, to *place) (*conn, error) {
+func (u *Upstream) get(ctx context.Context, to *target) (*conn, error) {
 	u.mu.Lock()
-	for !to.gone && len(to.idle) > 0 {
-		at, rested := len(to.idle)-1, time.Now().Add(-restLeast)
-		for at > 0 && to.idle[at].idle.After(rested) {
+	for !to.removed && len(to.idle) > 0 {
+		at, rested := len(to.idle)-1, time.Now().Add(-minRest)
+		for at > 0 && to.idle[at].idleSince.After(rested) {
 			at--
 		}
-		if to.idle[at].idle.After(rested) {
+		if to.idle[at].idleSince.After(rested) {
 			at = len(to.idle) - 1
 		}
 		c := u.popLocked(to, at)
-		if wait := c.idle.Sub(rested); wait > 0 && !u.unasked.IsZero() && time.Since(u.unasked) < unaskedFor {
+		if wait := c.idleSince.Sub(rested); wait > 0 && !u.unsolicitedAt.IsZero() && time.Since(u.unsolicitedAt) < unsolicitedMemory {
 			u.mu.Unlock()
 			u.pause(ctx, wait)
 			u.mu.Lock()
 		}
-		if !to.gone && u.usable(c) {
+		if !to.removed && u.usable(c) {
 			u.mu.Unlock()
 			return c, nil
 		}
@@ -558,9 +558,9 @@
 	}
 	err := error(nil)
 	switch {
-	case to.gone:
+	case to.removed:
 		err = core.ErrEndpointRemoved
-	case u.conns >= u.connsMost && !u.evictLocked(): // descriptors must not run out: one idle elsewhere makes room
+	case u.conns >= u.maxConns && !u.evictLocked(): // descriptors must not run out: one idle elsewhere makes room
 		err = core.ErrConnectionsExhausted
 	default:
 		u.conns++
@@ -577,7 +577,7 @@
 		return nil, err
 	}
 	c := newConn(nc, to)
-	if to.gone {
+	if to.removed {
 		u.closeLocked(c) // another may listen there by now
 		return nil, core.ErrEndpointRemoved
 	}
@@ -586,29 +586,29 @@
 
 // usable says whether an idle connection may serve a request. It is called with the mutex held.
 func (u *Upstream) usable(c *conn) bool {
-	quiet, spoke := c.rests()
+	quiet, spoke := c.idleState()
 	if spoke {
-		u.unasked = time.Now()
+		u.unsolicitedAt = time.Now()
 	}
-	return quiet && time.Since(c.idle) < u.idleMost
+	return quiet && time.Since(c.idleSince) < u.maxIdle
 }
 
 func (u *Upstream) heardUnasked() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.unasked = time.Now()
+	u.unsolicitedAt = time.Now()
 }
 
 func (u *Upstream) put(c *conn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if c.to.gone {
+	if c.target.removed {
 		u.closeLocked(c)
 		return
 	}
-	c.idle = time.Now()
-	c.to.idle = append(c.to.idle, c)
-	u.idle[c.to] = struct{}{}
+	c.idleSince = time.Now()
+	c.target.idle = append(c.target.idle, c)
+	u.idle[c.target] = struct{}{}
 }
 
 func (u *Upstream) discard(c *conn) {
@@ -623,7 +623,7 @@
 }
 
 // popLocked takes an idle connection out.
-func (u *Upstream) popLocked(to *place, i int) *conn {
+func (u *Upstream) popLocked(to *target, i int) *conn {
 	c := to.idle[i]
 	if to.idle = slices.Delete(to.idle, i, i+1); len(to.idle) == 0 {
 		delete(u.idle, to)
@@ -633,9 +633,9 @@
 
 // evictLocked closes the connection that has been idle for longest.
 func (u *Upstream) evictLocked() bool {
-	var oldest *place
+	var oldest *target
 	for to := range u.idle {
-		if oldest == nil || to.idle[0].idle.Before(oldest.idle[0].idle) {
+		if oldest == nil || to.idle[0].idleSince.Before(oldest.idle[0].idleSince) {
 			oldest = to
 		}
 	}
@@ -646,23 +646,23 @@
 	return true
 }
 
-// drop ends the use of a target. What is out there goes on.
-func (u *Upstream) drop(to *place) {
+// removeTarget ends the use of a target. What is out there goes on.
+func (u *Upstream) removeTarget(to *target) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	to.gone = true
+	to.removed = true
 	for len(to.idle) > 0 {
 		u.closeLocked(u.popLocked(to, 0))
 	}
 }
 
-// flush closes the idle connections to an endpoint that were last used before an instant: one that has been
+// closeIdleSince closes the idle connections to an endpoint that were last used before an instant: one that has been
 // silent since then may not be the only one.
-func (u *Upstream) flush(to *place, before time.Time) {
+func (u *Upstream) closeIdleSince(to *target, before time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for i := len(to.idle) - 1; i >= 0; i-- {
-		if to.idle[i].idle.Before(before) {
+		if to.idle[i].idleSince.Before(before) {
 			u.closeLocked(u.popLocked(to, i))
 		}
 	}
@@ -671,14 +671,14 @@
 // SetCapacityShare sets the part of the limits that is for this process.
 func (u *Upstream) SetCapacityShare(c *config.Config, part float64) {
 	u.resize(c.UpstreamConns(part))
-	u.answers.Resize(c.HeldBytes(part))
+	u.answerBudget.Resize(c.HeldBytes(part))
 }
 
 // resize changes how many connections may be open, and closes idle ones beyond that.
 func (u *Upstream) resize(most int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.connsMost = most
+	u.maxConns = most
 	for u.conns > most && u.evictLocked() {
 	}
 }
@@ -698,7 +698,7 @@
 
 // Maintain sweeps until ctx ends, and then closes what is idle.
 func (u *Upstream) Maintain(ctx context.Context) {
-	tick := time.NewTicker(sweepEvery)
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -714,9 +714,9 @@
 	}
 }
 
-// rests looks, without waiting, whether an idle connection is open and quiet, or the endpoint has sent something on it
+// idleState looks, without waiting, whether an idle connection is open and quiet, or the endpoint has sent something on it
 // unasked. A request written to one that is neither would be lost and might have run.
-func (c *conn) rests() (quiet, spoke bool) {
+func (c *conn) idleState() (quiet, spoke bool) {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return false, false
--- a/internal/dataplane/httpfront/upstream_test.go
+++ b/internal/dataplane/httpfront/upstream_test.go
@@ -38,16 +38,16 @@
 	}
 }
 
-func at(addr string) *place { return &place{addr: addr} }
+func at(addr string) *target { return &target{addr: addr} }
 
 func newTestUpstream(t *testing.T, edits ...string) *Upstream {
 	return NewUpstream(sidecartest.Configure(t, "127.0.0.1:1", nil, edits...), core.NewClock(), new(metrics.Counter), sidecartest.DiscardLog)
 }
 
 // try makes one attempt with a second of time.
-func (u *Upstream) try(m *message, to *place) core.Reply { return u.tryFor(time.Second, m, to) }
+func (u *Upstream) try(m *message, to *target) core.Reply { return u.tryFor(time.Second, m, to) }
 
-func (u *Upstream) tryFor(d time.Duration, m *message, to *place) core.Reply {
+func (u *Upstream) tryFor(d time.Duration, m *message, to *target) core.Reply {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*sidecartest.WaitTimeout)
 	defer cancel()
 	return u.send(ctx, to, m, u.clock.Now()+d.Microseconds(), func(balancer.Micros) bool { return true }, nil)
@@ -173,10 +173,10 @@
 		{"wrong chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nokay\r\n0\r\n\r\n", balancer.Reset},
 		{"no status", "HTTP/1.1 OK\r\nContent-Length: 2\r\n\r\nok", balancer.Reset},
 		{"no HTTP", "\x00\x01noise\r\n\r\n", balancer.Reset},
-		{"only 1xx", strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", 2*interimMost), balancer.Reset},
+		{"only 1xx", strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", 2*maxInterimAnswers), balancer.Reset},
 		{"unreadable report", strings.Replace(sidecartest.OKAnswer, "\r\n", "\r\nEndpoint-Load-Metrics: \xff{{=,,=%\r\n", 1), balancer.OK},
-		{"too large", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nok", LongMost+1), balancer.Reset},
-		{"endless head", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", answerMost), balancer.Reset},
+		{"too large", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nok", MaxBody+1), balancer.Reset},
+		{"endless head", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", maxBufferedAnswer), balancer.Reset},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
@@ -187,8 +187,8 @@
 			if r.Status != tc.want {
 				t.Errorf("status %v, want %v", r.Status, tc.want)
 			}
-			if r.Status == balancer.OK && string(r.Content.(*got).body) != "ok" {
-				t.Errorf("body %q", r.Content.(*got).body)
+			if r.Status == balancer.OK && string(r.Content.(*upstreamAnswer).body) != "ok" {
+				t.Errorf("body %q", r.Content.(*upstreamAnswer).body)
 			}
 		})
 	}
@@ -224,7 +224,7 @@
 	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 		sidecartest.ReadRequest(r)
 		io.WriteString(c, "HTTP/1.1 102 Wait\r\n\r\n")
-		time.Sleep(2 * answerStall) // the work, not a wait for another
+		time.Sleep(2 * maxAnswerStall) // the work, not a wait for another
 		io.WriteString(c, sidecartest.OKAnswer)
 	})
 	if r := newTestUpstream(t).try(keyed("x"), at(addr)); r.Status != balancer.OK {
@@ -249,7 +249,7 @@
 	for i := range 4 {
 		m := plainGet()
 		m.header.Set("X-Trace-Id", fmt.Sprint(i))
-		if r := u.try(m, to); r.Status != balancer.OK || string(r.Content.(*got).body) != fmt.Sprint(i) {
+		if r := u.try(m, to); r.Status != balancer.OK || string(r.Content.(*upstreamAnswer).body) != fmt.Sprint(i) {
 			t.Errorf("request %d: status %v, answer %q", i, r.Status, r.Content)
 		}
 	}
@@ -278,7 +278,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	u.drop(old)
+	u.removeTarget(old)
 	u.put(out)
 	if u.conns != 1 || len(old.idle) != 0 {
 		t.Errorf("%d connections open, %d idle to what is gone, want 1 and 0", u.conns, len(old.idle))
@@ -289,7 +289,7 @@
 	late := at(addr)
 	dial := u.dial
 	u.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		u.drop(late)
+		u.removeTarget(late)
 		return dial(ctx, network, addr)
 	}
 	if r := u.try(plainGet(), late); r.Status != balancer.NotSent || u.conns != 1 {
@@ -301,11 +301,11 @@
 func TestShortageIsNoFault(t *testing.T) {
 	to := at(sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) { sidecartest.ReadRequest(r) }))
 	u := newTestUpstream(t)
-	u.connsMost = 0
+	u.maxConns = 0
 	if r := u.try(plainGet(), to); r.Status != balancer.NotSent {
 		t.Errorf("all connections in use: status %v, want Moot", r.Status)
 	}
-	u.connsMost = 1
+	u.maxConns = 1
 	for _, e := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL} {
 		u.dial = func(context.Context, string, string) (net.Conn, error) {
 			return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", e)}
@@ -357,12 +357,12 @@
 		}
 	})
 	u, to := newTestUpstream(t), at(addr)
-	if most := 12 * time.Second; u.idleMost > most {
-		t.Errorf("kept idle for %v where the endpoint closes after 15 s", u.idleMost)
+	if most := 12 * time.Second; u.maxIdle > most {
+		t.Errorf("kept idle for %v where the endpoint closes after 15 s", u.maxIdle)
 	}
 	age := func() {
 		for _, c := range to.idle {
-			c.idle = c.idle.Add(-u.idleMost)
+			c.idleSince = c.idleSince.Add(-u.maxIdle)
 		}
 	}
 	u.try(plainGet(), to)
@@ -406,7 +406,7 @@
 	one := at(sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) { sidecartest.ReadRequest(r) }))
 	two := at(sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) { sidecartest.ReadRequest(r) }))
 	u := newTestUpstream(t)
-	u.connsMost = 2
+	u.maxConns = 2
 	ctx := context.Background()
 	a, err := u.get(ctx, one)
 	if err != nil {
@@ -426,7 +426,7 @@
 		t.Errorf("%d connections counted, want 2", u.conns)
 	}
 	// One that is refused gives its place back.
-	u.connsMost = 3
+	u.maxConns = 3
 	u.get(ctx, at(sidecartest.ClosedAddress(t)))
 	if u.conns != 2 {
 		t.Errorf("%d connections counted after one refused, want 2", u.conns)
@@ -470,7 +470,7 @@
 func TestDialLeavesTimeForAnother(t *testing.T) {
 	for most, want := range map[time.Duration]time.Duration{200 * time.Millisecond: 50 * time.Millisecond,
 		time.Second: 250 * time.Millisecond, 0: probeTimeout / 4, -1: probeTimeout / 4} {
-		if got := dialWait(most); got != want {
+		if got := dialTimeout(most); got != want {
 			t.Errorf("of %v, a connection is waited for for %v, want %v", most, got, want)
 		}
 	}
--- a/internal/dataplane/sidecar/protocolstack.go
+++ b/internal/dataplane/sidecar/protocolstack.go
@@ -64,7 +64,7 @@
 	}
 	server := httpfront.NewServer(own, loop, h.Socket, registry, h.Log)
 	if h.Limiter != nil {
-		server.Limit(h.Limiter)
+		server.SetLimiter(h.Limiter)
 	}
 	return &protocolStack{
 		name:         httpName,
--- a/internal/dataplane/sidecar/server_test.go
+++ b/internal/dataplane/sidecar/server_test.go
@@ -39,7 +39,7 @@
 	for _, r := range []*http.Request{
 		sidecartest.IdempotentRequest(480),
 		sidecartest.Request("GET", "/look/a%2Fb?x=%20y&z", "look", 480, ""),
-		sidecartest.Request("POST", "/book", "book", 480, strings.Repeat("b", httpfront.BodyMost-6)), // the answer is as large as one may be
+		sidecartest.Request("POST", "/book", "book", 480, strings.Repeat("b", httpfront.MaxBufferedBody-6)), // the answer is as large as one may be
 		sidecartest.Request("POST", "/pay?p=1", "pay", 480, ""),
 	} {
 		body, _ := io.ReadAll(r.Body)
@@ -100,7 +100,7 @@
 		{"wrong method", sidecartest.Request("POST", "/look", "look", 400, "x"), 405},
 		{"time in words", with(sidecartest.IdempotentRequest(400), "X-Expires-In-Ms", "soon"), 400},
 		{"negative time", sidecartest.IdempotentRequest(-1), 400},
-		{"large head", with(sidecartest.IdempotentRequest(400), "X-Props", strings.Repeat("x", 2*httpfront.HeaderMost)), 431},
+		{"large head", with(sidecartest.IdempotentRequest(400), "X-Props", strings.Repeat("x", 2*httpfront.MaxHeaderBytes)), 431},
 	} {
 		if resp, _ := s.do(t, tc.r); resp.StatusCode != tc.want {
 			t.Errorf("%s: %s, want %d", tc.name, resp.Status, tc.want)
@@ -115,11 +115,11 @@
 	for _, tc := range []struct{ name, text, want string }{
 		{"no HTTP", "LOOK\r\n\r\n", "400"},
 		{"old HTTP", "GET /look HTTP/1.0\r\nX-Trace-Id: 1\r\n\r\n", "505"},
-		{"endless head", "GET /look HTTP/1.1\r\nX: " + strings.Repeat("x", httpfront.HeaderMost), "431"},
+		{"endless head", "GET /look HTTP/1.1\r\nX: " + strings.Repeat("x", httpfront.MaxHeaderBytes), "431"},
 		{"hidden request", head("Content-Length: 5", "Transfer-Encoding: chunked") + "0\r\n\r\n" + hidden, "400"},
 		{"cut chunks", head("Transfer-Encoding: chunked") + "zz\r\n", "400"},
 		{"more behind chunks", head("Transfer-Encoding: chunked") + "0\r\n\r\n" + hidden, "400"},
-		{"long body", head(fmt.Sprintf("Content-Length: %d", httpfront.LongMost+1)), "413"},
+		{"long body", head(fmt.Sprintf("Content-Length: %d", httpfront.MaxBody+1)), "413"},
 		{"old chunks", strings.Replace(head("Content-Length: 5", "Transfer-Encoding: chunked"), "1.1", "1.0", 1) + chunked, "505"},
 		{"unknown encoding", head("Content-Length: 5", "Transfer-Encoding: xchunked") + chunked, "400"},
 		{"two lengths", head("Content-Length: 5", "Content-Length: 6") + "123456", "400"},
@@ -148,7 +148,7 @@
 			t.Fatal(err)
 		}
 		io.WriteString(c, tc.text)
-		c.SetReadDeadline(time.Now().Add(httpfront.RequestTime / 2))
+		c.SetReadDeadline(time.Now().Add(httpfront.RequestTimeout / 2))
 		if got, err := io.ReadAll(c); err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 "+tc.want+" ") ||
 			strings.Count(string(got), "HTTP/1.1") != 1 {
 			t.Errorf("%s: answered %q, %v, want one %s and the end", tc.name, got, err, tc.want)
@@ -374,7 +374,7 @@
 		}
 	}
 	first := silent[0]
-	first.SetReadDeadline(time.Now().Add(httpfront.RequestTime / 2))
+	first.SetReadDeadline(time.Now().Add(httpfront.RequestTimeout / 2))
 	if _, err := first.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("the connection silent for longest: %v, want it closed", err)
 	}
--- a/internal/dataplane/sidecar/streaming_test.go
+++ b/internal/dataplane/sidecar/streaming_test.go
@@ -18,7 +18,7 @@
 )
 
 // longText is a text that is never held whole.
-var longText = strings.Repeat("0123456789abcdef", 20*httpfront.BodyMost/16) + "end"
+var longText = strings.Repeat("0123456789abcdef", 20*httpfront.MaxBufferedBody/16) + "end"
 
 // unsizedReader hides a text's length, so that it goes in chunks.
 type unsizedReader struct{ io.Reader }
@@ -57,7 +57,7 @@
 		body    string
 		chunked bool
 	}{
-		{"short", longText, false}, {"short", longText, true}, {"short", "short", true}, {"short", longText[:httpfront.BodyMost], true},
+		{"short", longText, false}, {"short", longText, true}, {"short", "short", true}, {"short", longText[:httpfront.MaxBufferedBody], true},
 		{"length", "x", false}, {"chunks", "x", false}, {"end", "x", false}, {"chunks", longText, true},
 	} {
 		t.Run(fmt.Sprint(tc.as, len(tc.body), tc.chunked), func(t *testing.T) {
@@ -125,7 +125,7 @@
 	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err == nil {
 			sent.Add(1)
-			io.CopyN(io.Discard, r, 2*httpfront.BodyMost)
+			io.CopyN(io.Discard, r, 2*httpfront.MaxBufferedBody)
 			c.SetLinger(0)
 		}
 	})
@@ -137,7 +137,7 @@
 	defer c.Close()
 	// Far more than what sockets hold, or the whole may have gone out before the end shows.
 	r := sidecartest.Request("POST", "/pay", "pay", 900, "x")
-	r.ContentLength, r.Body = httpfront.LongMost, io.NopCloser(io.LimitReader(zeros{}, httpfront.LongMost))
+	r.ContentLength, r.Body = httpfront.MaxBody, io.NopCloser(io.LimitReader(zeros{}, httpfront.MaxBody))
 	go r.Write(c)
 	c.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -173,7 +173,7 @@
 	defer c.Close()
 	var text strings.Builder
 	sidecartest.Request("POST", "/pay", "pay", 900, longText).Write(&text)
-	io.WriteString(c, text.String()[:text.Len()-httpfront.BodyMost])
+	io.WriteString(c, text.String()[:text.Len()-httpfront.MaxBufferedBody])
 	c.(*net.TCPConn).CloseWrite()
 	c.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
--- a/internal/lab/chain/virtual.go
+++ b/internal/lab/chain/virtual.go
@@ -139,7 +139,7 @@
 	v.ids++
 	v.open++
 	id, now, told := v.ids, v.q.Now(), min(left, rootMs)*1000
-	c := &vcall{root: root, came: left, deadline: now + told - httpfront.Margin(told), answer: answer}
+	c := &vcall{root: root, came: left, deadline: now + told - httpfront.AnswerMargin(told), answer: answer}
 	n.calls[id] = c
 	n.b.Request(n.now(), balancer.Request{ID: id, Class: classIndex(v.o.Class), Deadline: origin + c.deadline})
 }
