--- a/internal/store/engine/engine.go
+++ b/internal/store/engine/engine.go
@@ -3,8 +3,7 @@
 // The loop takes a bounded number of inputs, has the replica process them together, which waits for the disk only once,
 // and completes the requests. It yields between rounds, so that a busy store does not starve the rest of the process.
 //
-// The package joins the packages replica, disk and peer; of the other packages of the store it imports only those that
-// these share with it.
+// It joins the packages replica, disk and peer. Besides these it imports store, serverstate, usage and platform/keys.
 package engine
 
 import (
--- a/internal/store/peer/send.go
+++ b/internal/store/peer/send.go
@@ -204,7 +204,7 @@
 	w := &messageWriter{conn: c, buffered: bufio.NewWriterSize(c, bufferBytes), meter: l.transport.meter}
 	for {
 		l.dequeued(m)
-		if err := l.write(w, m, len(queue) == 0); err != nil {
+		if err := l.write(w, m, queue); err != nil {
 			return err
 		}
 		l.transport.Stats.MessagesSent.Add(1)
@@ -218,8 +218,9 @@
 	}
 }
 
-// write writes a message, and reports to the host whether a snapshot, or that another message, was not sent.
-func (l *link) write(w *messageWriter, m *raftpb.Message, flush bool) error {
+// write writes a message, and flushes if nothing else is queued. It reports to the host whether a snapshot was sent, and
+// that another message was not.
+func (l *link) write(w *messageWriter, m *raftpb.Message, queue chan *raftpb.Message) error {
 	if m.GetType() == raftpb.MsgSnap {
 		err := w.writeSnapshot(m)
 		l.transport.host.ReportSnapshot(l.memberID, err == nil)
@@ -230,7 +231,7 @@
 		l.transport.host.ReportUnreachable(l.memberID)
 		return err
 	}
-	if !flush {
+	if len(queue) > 0 {
 		return nil
 	}
 	if err := w.buffered.Flush(); err != nil {
