--- /dev/null
+++ b/internal/dataplane/httpfront/answer.go
@@ -0,0 +1,103 @@
+package httpfront
+
+import (
+	"bytes"
+	"net/http"
+	"strconv"
+	"time"
+
+	"birchmoor/internal/dataplane/core"
+)
+
+// response returns the final answer as it goes to the client.
+func responseTo(a core.Answer) *response {
+	var r *response
+	switch a.Disposition {
+	case core.Served:
+		g := a.Reply.Content.(*upstreamAnswer)
+		r = &response{code: http.StatusOK, header: http.Header{}, body: g.body}
+		for k, v := range g.header {
+			if !hopByHop(k, g.header) && k != "Endpoint-Load-Metrics" {
+				r.header[k] = v
+			}
+		}
+	case core.Rejected:
+		r = newResponse(http.StatusServiceUnavailable, "refused: try again later")
+		if a.RetryAfter > 0 {
+			r.header.Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64))
+		}
+	case core.DuplicateID:
+		r = newResponse(http.StatusConflict, "a request with this X-Trace-Id is open")
+	case core.FailedTimeout:
+		r = newResponse(http.StatusGatewayTimeout, "no answer in time")
+	default:
+		r = newResponse(http.StatusBadGateway, "failed")
+	}
+	return r
+}
+
+// answer gives the final answer, and says whether the connection may serve another request.
+func (s *Server) answer(c *client, k *core.Request, a core.Answer, last bool) bool {
+	last = last || s.closing.Load() || a.Disposition == core.DuplicateID
+	r := responseTo(a)
+	if a.StreamEnded == nil {
+		s.countEnd(k, a.Disposition)
+		whole := c.write(r, last)
+		a.Discard()
+		s.clients.endRequest(c)
+		return whole && !last
+	}
+	s.clients.answerStarted(c)
+	flow := a.Reply.Content.(*upstreamAnswer).stream
+	how := core.StreamAbandoned
+	c.SetWriteDeadline(time.Now().Add(maxStreamStall))
+	if _, err := c.Write(r.head(flow.length, last)); err == nil {
+		how = flow.copyTo(c, func() { c.SetWriteDeadline(time.Now().Add(maxStreamStall)) })
+	}
+	flow.done(how)
+	a.StreamEnded(how)
+	if how != core.StreamComplete {
+		s.countEnd(k, core.Failed)
+		return false // short of its end, so that the client can tell
+	}
+	s.countEnd(k, core.Served)
+	s.clients.endRequest(c)
+	return !last
+}
+
+// response is a final answer as it goes to the client.
+type response struct {
+	code   int
+	header http.Header
+	body   []byte
+}
+
+func newResponse(code int, text string) *response {
+	return &response{code: code, header: http.Header{"Content-Type": {"text/plain; charset=utf-8"}}, body: []byte(text + "\n")}
+}
+
+// write writes a whole answer in one piece, and says whether that went well.
+func (c *client) write(r *response, last bool) bool {
+	text := append(r.head(int64(len(r.body)), last), r.body...)
+	c.SetWriteDeadline(time.Now().Add(writeTimeout))
+	_, err := c.Write(text)
+	return err == nil
+}
+
+// head returns the head of the answer, for a body of this length or, if that is negative, in chunks.
+func (r *response) head(length int64, last bool) []byte {
+	var b bytes.Buffer
+	b.Grow(256 + len(r.body))
+	b.WriteString("HTTP/1.1 " + strconv.Itoa(r.code) + " " + http.StatusText(r.code) + "\r\n")
+	r.header.Write(&b) // writing to memory does not fail
+	if length < 0 {
+		b.WriteString("Transfer-Encoding: chunked\r\n")
+	} else {
+		b.WriteString("Content-Length: " + strconv.FormatInt(length, 10) + "\r\n")
+	}
+	if last {
+		b.WriteString("Connection: close\r\n")
+	}
+	b.WriteString("\r\n")
+	return b.Bytes()
+}
--- a/internal/dataplane/httpfront/flow.go
+++ b/internal/dataplane/httpfront/upload.go
@@ -11,40 +11,8 @@
 	"time"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/dataplane/core"
 )
 
-// What is longer than BodyMost flows: it is passed on as it comes and never held whole.
-const (
-	MaxBody        = 64 << 20         // and beyond this is turned away, or cut off
-	maxBodyStall   = 2 * time.Second  // a body that says nothing for so long is given up
-	bodyGrace      = 5 * time.Second  // and so is one that, after this,
-	minBodyRate    = 16 << 10         // has come with fewer bytes a second
-	maxUploadTime  = 30 * time.Minute // that is, for LongMost at that rate with some to spare
-	maxAnswerStall = 250 * time.Millisecond
-	maxStreamStall = 10 * time.Second // for an answer that has begun to reach the client, either way
-	streamAfter    = 50 * time.Millisecond
-)
-
-// pacedConn reads from a connection with a bound on each wait, and keeps a copy of what it reads if asked to.
-type pacedConn struct {
-	net.Conn
-	readTimeout time.Duration // 0: as long as it takes, or whatever deadline is set
-	recording   bool
-	recorded    []byte
-}
-
-func (p *pacedConn) Read(b []byte) (int, error) {
-	if p.readTimeout > 0 {
-		p.Conn.SetReadDeadline(time.Now().Add(p.readTimeout))
-	}
-	n, err := p.Conn.Read(b)
-	if p.recording {
-		p.recorded = append(p.recorded, b[:n]...)
-	}
-	return n, err
-}
-
 // upload is the rest of a client's body, of which the beginning is held.
 type upload struct {
 	body           io.Reader       // what comes behind the beginning
@@ -73,6 +41,7 @@
 type clientError struct{ err error }
 
 func (e *clientError) Error() string { return "body: " + e.err.Error() }
+
 func (e *clientError) Unwrap() error { return e.err }
 
 // copyTo passes the rest on to an endpoint, piece by piece through buf.
@@ -123,56 +92,3 @@
 	c.SetWriteDeadline(time.Time{})
 	return nil
 }
-
-// download is an answer that is passed on while it comes. One goroutine has it at a time; whoever has it last
-// calls done.
-type download struct {
-	beginning []byte    // what has been read
-	more      io.Reader // what comes behind that
-	length    int64     // of the whole; -1: not known
-	buf       []byte    // to pass it on through; begin is a part of it
-	done      func(how core.StreamEnd)
-}
-
-// copyTo passes the answer's body on, and says how that went.
-func (d *download) copyTo(w io.Writer, progress func()) core.StreamEnd {
-	var out io.Writer = w
-	var chunks io.WriteCloser
-	if d.length < 0 {
-		chunks = httputil.NewChunkedWriter(w)
-		out = chunks
-	}
-	piece, total := d.beginning, int64(0)
-	for {
-		if len(piece) > 0 {
-			progress()
-			if _, err := out.Write(piece); err != nil {
-				return core.StreamAbandoned
-			}
-		}
-		n, err := d.more.Read(d.buf)
-		piece = d.buf[:n]
-		if total += int64(n); total > MaxBody {
-			return core.StreamCut
-		}
-		if err == io.EOF {
-			if n > 0 {
-				progress()
-				if _, err := out.Write(piece); err != nil {
-					return core.StreamAbandoned
-				}
-			}
-			break
-		}
-		if err != nil {
-			return core.StreamCut
-		}
-	}
-	if chunks != nil {
-		progress()
-		if _, err := io.WriteString(w, "0\r\n\r\n"); err != nil {
-			return core.StreamAbandoned
-		}
-	}
-	return core.StreamComplete
-}
