--- a/cmd/birchmoor/run.go
+++ b/cmd/birchmoor/run.go
@@ -68,7 +68,7 @@
 			cfg.Sidecar = c.Name
 		}
 		cfg.SettingsCheck = func(settings json.RawMessage) error {
-			_, err := config.ReadWith(os.Getenv, settings)
+			_, err := config.ReadWithSettings(os.Getenv, settings)
 			return err
 		}
 	}
--- a/cmd/birchmoor/sidecar.go
+++ b/cmd/birchmoor/sidecar.go
@@ -68,7 +68,7 @@
 	if x.settings == nil {
 		return config.Read(os.Getenv)
 	}
-	return config.ReadWith(os.Getenv, x.settings())
+	return config.ReadWithSettings(os.Getenv, x.settings())
 }
 
 // serve runs a sidecar until ctx ends.
--- a/internal/dataplane/config/config.go
+++ b/internal/dataplane/config/config.go
@@ -19,26 +19,26 @@
 
 // Config is what a sidecar is told at its start.
 type Config struct {
-	Name      string
-	Listen    string // where clients connect
-	Discovery string
-	Mgmt      string // where operators call; empty for nowhere
-	Seed      uint64
-	MemoryMB  int
-	Sockets   int // file descriptors
-	Known     discovery.List
-
-	Settings  balancer.Settings
-	Classes   []string // names as on the sockets, in the order of the settings
-	Tenants   []string
-	Zones     []string
-	Kinds     []string
-	Fields    []string      // of a load report
-	OnAnswers bool          // answers carry load reports, too
-	KeepAlive time.Duration // an endpoint closes a connection idle for so long
-
-	FileDiscovery string // as the file alone names it
-	file          any    // all of it
+	Name           string
+	Listen         string // where clients connect
+	Discovery      string
+	Management     string // where operators call; empty for nowhere
+	Seed           uint64
+	MemoryMB       int
+	MaxDescriptors int // file descriptors
+	InitialList    discovery.List
+
+	Settings         balancer.Settings
+	Classes          []string // names as on the sockets, in the order of the settings
+	Tenants          []string
+	Zones            []string
+	Kinds            []string
+	LoadFields       []string      // of a load report
+	LoadOnResponses  bool          // answers carry load reports, too
+	KeepAliveTimeout time.Duration // an endpoint closes a connection idle for so long
+
+	DiscoveryInFile string // as the file alone names it
+	file            any    // all of it
 }
 
 // ConfigError names the part of the configuration that makes no sense.
@@ -54,38 +54,40 @@
 func (e *Error) Unwrap() error { return e.Err }
 
 const (
-	defaultMemoryMB  = 192
-	defaultSockets   = 1024
-	LeastSockets     = 64
-	defaultKeepAlive = 15 * time.Second
+	defaultMemoryMB       = 192
+	defaultMaxDescriptors = 1024
+	MinDescriptors        = 64
+	defaultKeepAlive      = 15 * time.Second
 )
 
-// ownSockets are kept for what is neither a client's nor an endpoint's: standard streams, the listeners, the
+// reservedDescriptors are kept for what is neither a client's nor an endpoint's: standard streams, the listeners, the
 // runtime, calls of discovery, files, and operators' calls. Idle clients may fill the descriptors while discovery is down: the
 // part of clients is theirs, and what is kept for the others nobody's.
-const ownSockets = 20 + management.MaxConns
+const reservedDescriptors = 20 + management.MaxConns
 
-// ClientConns is how many connections of clients may be open. The other half is for connections to endpoints:
+// MaxClientConns is how many connections of clients may be open. The other half is for connections to endpoints:
 // an open request has one of each, and probes and second attempts want more. Part is this process's part of the
 // limits: two share them while one takes over from the other.
-func (c *Config) ClientConns(part float64) int {
-	return max(8, (int(float64(c.Sockets)*part)-ownSockets)/2)
+func (c *Config) MaxClientConns(part float64) int {
+	return max(8, (int(float64(c.MaxDescriptors)*part)-reservedDescriptors)/2)
 }
 
-// UpstreamConns is how many connections to endpoints may be open.
-func (c *Config) UpstreamConns(part float64) int { return c.ClientConns(part) }
+// MaxUpstreamConns is how many connections to endpoints may be open.
+func (c *Config) MaxUpstreamConns(part float64) int { return c.MaxClientConns(part) }
 
-// heldShare is the part of the memory that bodies may take, and that answers may.
-const heldShare = 12
+// bufferedMemoryDivisor is the part of the memory that bodies may take, and that answers may.
+const bufferedMemoryDivisor = 12
 
-// HeldBytes is how much may be held of bodies, and how much of answers.
-func (c *Config) HeldBytes(part float64) int { return int(float64(c.MemoryMB<<20) * part / heldShare) }
+// MaxBufferedBytes is how much may be held of bodies, and how much of answers.
+func (c *Config) MaxBufferedBytes(part float64) int {
+	return int(float64(c.MemoryMB<<20) * part / bufferedMemoryDivisor)
+}
 
 // ReadConfig reads the file named by ROUTER_CONFIG. The other ROUTER_ variables, where set, go before it.
-func Read(getenv func(string) string) (*Config, error) { return ReadWith(getenv, nil) }
+func Read(getenv func(string) string) (*Config, error) { return ReadWithSettings(getenv, nil) }
 
 // ReadConfigWith does the same with other settings, if they are not nil, in the place of the file's.
-func ReadWith(getenv func(string) string, settings json.RawMessage) (*Config, error) {
+func ReadWithSettings(getenv func(string) string, settings json.RawMessage) (*Config, error) {
 	path := getenv("ROUTER_CONFIG")
 	if path == "" {
 		return nil, &Error{"ROUTER_CONFIG", errors.New("is not set")}
@@ -138,23 +140,23 @@
 		}
 		return nil, &Error{key, err}
 	}
-	c := &Config{file: whole, Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, FileDiscovery: file.Discovery,
-		Mgmt: file.Mgmt, MemoryMB: defaultMemoryMB, Sockets: defaultSockets}
+	c := &Config{file: whole, Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, DiscoveryInFile: file.Discovery,
+		Management: file.Mgmt, MemoryMB: defaultMemoryMB, MaxDescriptors: defaultMaxDescriptors}
 	for name, to := range map[string]*string{
 		"ROUTER_NAME": &c.Name, "ROUTER_LISTEN": &c.Listen, "ROUTER_DISCOVERY": &c.Discovery,
-		"ROUTER_MGMT": &c.Mgmt} {
+		"ROUTER_MGMT": &c.Management} {
 		if v := getenv(name); v != "" {
 			*to = v
 		}
 	}
 	for _, a := range []struct{ key, addr string }{{"listen", c.Listen}, {"discovery", c.Discovery},
-		{"discovery", cmp.Or(c.FileDiscovery, c.Discovery)}} {
+		{"discovery", cmp.Or(c.DiscoveryInFile, c.Discovery)}} {
 		if _, _, err := net.SplitHostPort(a.addr); err != nil {
 			return nil, &Error{a.key, err}
 		}
 	}
-	if c.Mgmt != "" {
-		if _, _, err := net.SplitHostPort(c.Mgmt); err != nil {
+	if c.Management != "" {
+		if _, _, err := net.SplitHostPort(c.Management); err != nil {
 			return nil, &Error{"mgmt", err}
 		}
 	}
@@ -167,22 +169,22 @@
 		}
 	}
 	if v := file.Limits.Sockets; v != nil {
-		if c.Sockets = *v; *v < LeastSockets {
-			return nil, &Error{"limits.sockets", fmt.Errorf("%d is under %d", *v, LeastSockets)}
+		if c.MaxDescriptors = *v; *v < MinDescriptors {
+			return nil, &Error{"limits.sockets", fmt.Errorf("%d is under %d", *v, MinDescriptors)}
 		}
 	}
 	if file.Known != nil {
-		c.Known = *file.Known
+		c.InitialList = *file.Known
 	}
 	if len(file.Settings) == 0 {
 		return nil, &Error{"settings", errors.New("is missing")}
 	}
-	return c, c.settings(file.Settings)
+	return c, c.parseSettings(file.Settings)
 }
 
-// settings reads the settings twice: as the simulator's text, by the parser that the simulator's host uses,
+// parseSettings reads the settings twice: as the simulator's text, by the parser that the simulator's host uses,
 // and for the names that only the sockets need.
-func (c *Config) settings(raw json.RawMessage) error {
+func (c *Config) parseSettings(raw json.RawMessage) error {
 	var names struct {
 		Areas   []string `json:"areas"`
 		Skus    []string `json:"skus"`
@@ -228,11 +230,11 @@
 		c.Tenants = append(c.Tenants, t.Name)
 	}
 	if names.Reporting.How != "none" {
-		c.Fields = names.Reporting.Fields
+		c.LoadFields = names.Reporting.Fields
 	}
-	c.OnAnswers = names.Reporting.How == "answers"
-	if c.KeepAlive = time.Duration(names.Limits.KeepAlive) * time.Microsecond; c.KeepAlive <= 0 {
-		c.KeepAlive = defaultKeepAlive
+	c.LoadOnResponses = names.Reporting.How == "answers"
+	if c.KeepAliveTimeout = time.Duration(names.Limits.KeepAlive) * time.Microsecond; c.KeepAliveTimeout <= 0 {
+		c.KeepAliveTimeout = defaultKeepAlive
 	}
 	return nil
 }
--- a/internal/dataplane/config/config_test.go
+++ b/internal/dataplane/config/config_test.go
@@ -12,7 +12,7 @@
 )
 
 // A value that makes no sense stops the start with a message that names its key.
-func TestConfigErrors(t *testing.T) {
+func TestParseErrorNamesKey(t *testing.T) {
 	good := func() map[string]any {
 		return map[string]any{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1f",
 			"limits": map[string]any{}, "settings": json.RawMessage(sidecartest.Settings)}
@@ -62,12 +62,12 @@
 
 // Idle clients may fill the descriptors that are theirs, and servers' connections those that are the servers': what is kept for
 // discovery, operators and the process itself stays.
-func TestDescriptorsAreKept(t *testing.T) {
-	for sockets := config.LeastSockets; sockets < 70_000; sockets += 1 + sockets/50 {
-		c := &config.Config{Sockets: sockets}
+func TestConnectionLimitsLeaveReservedDescriptors(t *testing.T) {
+	for sockets := config.MinDescriptors; sockets < 70_000; sockets += 1 + sockets/50 {
+		c := &config.Config{MaxDescriptors: sockets}
 		// Standard streams, two listeners, three of the runtime's, two calls of discovery and what a handover and files take.
 		const others = 3 + 2 + 3 + 2 + 10
-		if left := sockets - c.ClientConns(1) - c.UpstreamConns(1); left < others+management.MaxConns || c.ClientConns(1) < 1 {
+		if left := sockets - c.MaxClientConns(1) - c.MaxUpstreamConns(1); left < others+management.MaxConns || c.MaxClientConns(1) < 1 {
 			t.Errorf("of %d descriptors %d are left beside clients' and servers'", sockets, left)
 		}
 	}
--- a/internal/dataplane/config/follow.go
+++ b/internal/dataplane/config/reload.go
@@ -5,16 +5,16 @@
 	"fmt"
 )
 
-// Follows says what a file lacks that the one in force has, or where it has something of another kind.
-func (c *Config) Follows(old *Config) error { return follows("", old.file, c.file) }
+// CheckReload says what a file lacks that the one in force has, or where it has something of another kind.
+func (c *Config) CheckReload(old *Config) error { return checkReplacement("", old.file, c.file) }
 
-// optional are the keys that a file may leave out though the one before had them.
-var optional = map[string]bool{"aim-stretch": true, "passes-deadline": true, "warm-keys": true}
+// removableKeys are the keys that a file may leave out though the one before had them.
+var removableKeys = map[string]bool{"aim-stretch": true, "passes-deadline": true, "warm-keys": true}
 
-// follows says what a file lacks that the one in force has, or where it has something of another kind. At the
+// checkReplacement says what a file lacks that the one in force has, or where it has something of another kind. At the
 // start what is missing has a default; a file that loses a key while we run has been cut or mistyped. Every
 // item of a list must have the keys that all items had.
-func follows(at string, old, next any) error {
+func checkReplacement(at string, old, next any) error {
 	wrong := func(reason string) error {
 		if at == "" {
 			at = ".file"
@@ -30,11 +30,11 @@
 		}
 		for key, value := range old {
 			item, ok := next[key]
-			if !ok && !optional[key] {
+			if !ok && !removableKeys[key] {
 				return &Error{(at + "." + key)[1:], errors.New("is missing")}
 			}
 			if ok {
-				if err := follows(at+"."+key, value, item); err != nil {
+				if err := checkReplacement(at+"."+key, value, item); err != nil {
 					return err
 				}
 			}
@@ -47,9 +47,9 @@
 		if len(old) == 0 {
 			return nil
 		}
-		common := shared(old)
+		common := commonItem(old)
 		for i, item := range next {
-			if err := follows(fmt.Sprintf("%s.%d", at, i), common, item); err != nil {
+			if err := checkReplacement(fmt.Sprintf("%s.%d", at, i), common, item); err != nil {
 				return err
 			}
 		}
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// shared returns an item with the keys that all items of a list have.
-func shared(list []any) any {
+// commonItem returns an item with the keys that all items of a list have.
+func commonItem(list []any) any {
 	first, ok := list[0].(map[string]any)
 	if !ok {
 		return list[0]
--- a/internal/dataplane/core/eventloop.go
+++ b/internal/dataplane/core/eventloop.go
@@ -232,7 +232,7 @@
 func (l *EventLoop) start(now balancer.Micros) {
 	l.balancer.Start(now)
 	l.applyInitialOverrides(now, true)
-	l.applyList(now, balancer.ListCached, l.config.Known)
+	l.applyList(now, balancer.ListCached, l.config.InitialList)
 	l.applyInitialOverrides(now, false)
 	l.updateGauges(now)
 }
--- a/internal/dataplane/dnsfront/settings.go
+++ b/internal/dataplane/dnsfront/settings.go
@@ -67,8 +67,8 @@
 // site's, the classes the front's. Servers are judged by their answers alone.
 func (s *Settings) Config(c *config.Config) (*config.Config, error) {
 	d := *c
-	d.Known = c.Known.ForProtocol(Protocol)
-	d.Classes, d.Tenants, d.Fields, d.OnAnswers = nil, nil, nil, false
+	d.InitialList = c.InitialList.ForProtocol(Protocol)
+	d.Classes, d.Tenants, d.LoadFields, d.LoadOnResponses = nil, nil, nil, false
 	b := &d.Settings
 	b.Classes, b.Tenants, b.Fields, b.Subscribe, b.WeightByWork = nil, nil, nil, false, false
 	b.Limits.Probes = false
--- a/internal/dataplane/httpfront/server.go
+++ b/internal/dataplane/httpfront/server.go
@@ -37,8 +37,8 @@
 
 // NewServer returns a server that brings its requests to l.
 func NewServer(c *config.Config, l *core.EventLoop, socket handover.Socket, figures *metrics.Registry, log *slog.Logger) *Server {
-	s := &Server{loop: l, socket: socket, figures: figures, bodies: bytebudget.New(c.HeldBytes(1)), log: log}
-	s.clients = newClients(c.ClientConns(1), s.serve, &figures.Unanswered, log)
+	s := &Server{loop: l, socket: socket, figures: figures, bodies: bytebudget.New(c.MaxBufferedBytes(1)), log: log}
+	s.clients = newClients(c.MaxClientConns(1), s.serve, &figures.Unanswered, log)
 	return s
 }
 
@@ -87,8 +87,8 @@
 
 // SetCapacityShare sets the part of the limits that is for this process.
 func (s *Server) SetCapacityShare(c *config.Config, part float64) {
-	s.clients.resize(c.ClientConns(part))
-	s.bodies.Resize(c.HeldBytes(part))
+	s.clients.resize(c.MaxClientConns(part))
+	s.bodies.Resize(c.MaxBufferedBytes(part))
 }
 
 // CloseIdleFor closes the connections that were used and have been idle for longer than age, and returns how many are open.
--- a/internal/dataplane/httpfront/upstream.go
+++ b/internal/dataplane/httpfront/upstream.go
@@ -40,9 +40,9 @@
 
 // NewUpstream returns an upstream side without connections. Sends counts the attempts that were written whole.
 func NewUpstream(c *config.Config, clk core.Clock, sends *metrics.Counter, log *slog.Logger) *Upstream {
-	u := &Upstream{clock: clk, log: log, sends: sends, answerBudget: bytebudget.New(c.HeldBytes(1)),
+	u := &Upstream{clock: clk, log: log, sends: sends, answerBudget: bytebudget.New(c.MaxBufferedBytes(1)),
 		// Well before the endpoint's own limit: a request that crosses its close is lost.
-		maxIdle: c.KeepAlive * 2 / 3, maxConns: c.UpstreamConns(1), idle: map[*target]struct{}{}}
+		maxIdle: c.KeepAliveTimeout * 2 / 3, maxConns: c.MaxUpstreamConns(1), idle: map[*target]struct{}{}}
 	u.SetConfig(c)
 	u.pause = func(ctx context.Context, d time.Duration) {
 		select {
@@ -91,12 +91,14 @@
 func (u *Upstream) AcceptsLateReplies() bool { return false }
 
 // SetConfig takes what a configuration says of load reports.
-func (u *Upstream) SetConfig(c *config.Config) { u.reports.Store(&reportConfig{c.Fields, c.OnAnswers}) }
+func (u *Upstream) SetConfig(c *config.Config) {
+	u.reports.Store(&reportConfig{c.LoadFields, c.LoadOnResponses})
+}
 
 // SetCapacityShare sets the part of the limits that is for this process.
 func (u *Upstream) SetCapacityShare(c *config.Config, part float64) {
-	u.resize(c.UpstreamConns(part))
-	u.answerBudget.Resize(c.HeldBytes(part))
+	u.resize(c.MaxUpstreamConns(part))
+	u.answerBudget.Resize(c.MaxBufferedBytes(part))
 }
 
 // Maintain sweeps until ctx ends, and then closes what is idle.
--- a/internal/dataplane/sidecar/host.go
+++ b/internal/dataplane/sidecar/host.go
@@ -52,8 +52,8 @@
 		h.SnapshotFile = snapshot.File{Path: filepath.Join(dir, snapshotFileName)}
 		h.HandoverPath = filepath.Join(dir, handoverSocketName)
 	}
-	if c.Mgmt != "" {
-		ln, err := net.Listen("tcp", c.Mgmt)
+	if c.Management != "" {
+		ln, err := net.Listen("tcp", c.Management)
 		if err != nil {
 			return Host{}, fmt.Errorf("listen for operators: %w", err)
 		}
--- a/internal/dataplane/sidecar/protocolstack.go
+++ b/internal/dataplane/sidecar/protocolstack.go
@@ -80,7 +80,7 @@
 
 func deriveHTTPConfig(c *config.Config) (*config.Config, error) {
 	own := *c
-	own.Known = c.Known.ForProtocol(httpName)
+	own.InitialList = c.InitialList.ForProtocol(httpName)
 	return &own, nil
 }
 
--- a/internal/dataplane/sidecar/reload.go
+++ b/internal/dataplane/sidecar/reload.go
@@ -58,18 +58,18 @@
 	if err != nil {
 		return err
 	}
-	if err := next.Follows(r.config); err != nil {
+	if err := next.CheckReload(r.config); err != nil {
 		return err
 	}
 	if err := r.apply(ctx, next); err != nil {
 		return &config.Error{Key: "settings", Err: err}
 	}
-	moved := next.FileDiscovery != "" && next.FileDiscovery != r.config.FileDiscovery
+	moved := next.DiscoveryInFile != "" && next.DiscoveryInFile != r.config.DiscoveryInFile
 	r.config = next
 	r.metrics.ConfigsLoaded.Inc()
-	r.log.Info("configuration applied", "moved", moved, "discovery", next.FileDiscovery, "classes", next.Classes)
+	r.log.Info("configuration applied", "moved", moved, "discovery", next.DiscoveryInFile, "classes", next.Classes)
 	if moved {
-		r.moveDiscovery(next.FileDiscovery)
+		r.moveDiscovery(next.DiscoveryInFile)
 	}
 	return nil
 }
--- a/internal/dataplane/sidecar/server_test.go
+++ b/internal/dataplane/sidecar/server_test.go
@@ -346,7 +346,7 @@
 		}
 	})
 	cfg := sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)})
-	cfg.Sockets = config.LeastSockets
+	cfg.MaxDescriptors = config.MinDescriptors
 	s := startSidecar(t, cfg)
 	dial := func() net.Conn {
 		c, err := net.Dial("tcp", s.addr)
@@ -364,7 +364,7 @@
 	}()
 	sidecartest.Receive(t, taken, "attempt")
 	var silent []net.Conn
-	for range 2 * cfg.ClientConns(1) {
+	for range 2 * cfg.MaxClientConns(1) {
 		silent = append(silent, dial())
 	}
 	kept := dial()
--- a/internal/dataplane/sidecar/sidecar.go
+++ b/internal/dataplane/sidecar/sidecar.go
@@ -122,7 +122,7 @@
 		s.loop.SetInitialOverrides(n.overrides.Overrides())
 	}
 	n.joinFleet()
-	n.feed.Watcher = n.newWatcher(c.Discovery, c.Known.Generation)
+	n.feed.Watcher = n.newWatcher(c.Discovery, c.InitialList.Generation)
 	n.feed.Run, n.feed.OnEnded = (*discovery.Watcher).Run, n.stacks.http().loop.WatchFailed
 	if c.Settings.Subscribe {
 		n.feed.Run = (*discovery.Watcher).RunOnce
@@ -135,15 +135,15 @@
 func withOwnDescriptors(c *config.Config, h *Host) (*config.Config, error) {
 	own := *c
 	for _, p := range h.Protocols {
-		own.Sockets -= p.Descriptors()
+		own.MaxDescriptors -= p.Descriptors()
 	}
-	if own.Sockets < config.LeastSockets {
+	if own.MaxDescriptors < config.MinDescriptors {
 		return nil, fmt.Errorf("the protocols besides HTTP leave %d of %d descriptors: %d are needed",
-			own.Sockets, c.Sockets, config.LeastSockets)
+			own.MaxDescriptors, c.MaxDescriptors, config.MinDescriptors)
 	}
-	if allowed := descriptorLimit(); allowed < own.Sockets {
-		h.Log.Warn("the system allows fewer descriptors than the configured limit", "allowed", allowed, "limit", own.Sockets)
-		own.Sockets = allowed
+	if allowed := descriptorLimit(); allowed < own.MaxDescriptors {
+		h.Log.Warn("the system allows fewer descriptors than the configured limit", "allowed", allowed, "limit", own.MaxDescriptors)
+		own.MaxDescriptors = allowed
 	}
 	return &own, nil
 }
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -336,7 +336,7 @@
 		return err
 	}
 	read := func(settings json.RawMessage) error {
-		_, err := config.ReadWith(func(key string) string {
+		_, err := config.ReadWithSettings(func(key string) string {
 			if key == "ROUTER_CONFIG" {
 				return configured
 			}
