--- a/internal/store/follower/follower.go
+++ b/internal/store/follower/follower.go
@@ -52,7 +52,7 @@
 	// FirstCopyTimeout is how long Open waits for a replica's copy if there is no file.
 	FirstCopyTimeout time.Duration
 
-	// OnEvent is called with each change, OnReset with each state that replaces the copy as a whole, one after
+	// OnEvent is called with each change, OnReset with each state that replaces the copy, one after
 	// the other.
 	OnEvent func(store.Event)
 	OnReset func(*store.State)
@@ -210,7 +210,7 @@
 	}
 }
 
-// stateReplaced reports a state that replaced the copy as a whole. The lock is held.
+// stateReplaced reports a state that replaced the copy. The lock is held.
 func (f *Follower) stateReplaced() {
 	f.notifyAdvanced()
 	if f.cfg.OnReset != nil {
--- a/internal/store/follower/follower_test.go
+++ b/internal/store/follower/follower_test.go
@@ -5,7 +5,6 @@
 	"context"
 	"errors"
 	"log/slog"
-	"net"
 	"os"
 	"path/filepath"
 	"testing"
@@ -17,86 +16,123 @@
 	"birchmoor/internal/store/replica"
 )
 
-// refusedAddress is an address that refuses connections.
-func refusedAddress(t *testing.T) string {
-	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.2:0")
+// Without a replica a follower starts with its file, and its changes and reads end with errors that say that
+// nothing was sent.
+func TestFollowerWithoutReplicaServesItsFile(t *testing.T) {
+	path := saveTestCopy(t)
+	resets := 0
+	f := openAlone(t, path, &resets)
+	value := ""
+	age, err := f.View(t.Context(), true, func(state *store.State) {
+		item, _ := state.Get("k")
+		value = string(item.Value)
+	})
+	if err != nil || value != "v" || resets != 1 || !age.Stale {
+		t.Errorf("%q, %v, %+v, %d resets", value, err, age, resets)
+	}
+	checkCallsFailUnsent(t, f)
+	if err := f.Close(); err != nil {
+		t.Error(err)
+	}
+	file, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln.Close()
-	return ln.Addr().String()
+	if _, err := store.Load(bytes.NewReader(file)); err != nil {
+		t.Errorf("the file is damaged: %v", err)
+	}
+	if _, err := Open(Config{Name: "h", Dir: t.TempDir()}); err == nil {
+		t.Error("a follower without replicas")
+	}
 }
 
-// Without a replica a follower starts with its file; a damaged one is not used, and left as it is; and what it
-// is asked ends with the word that nothing was sent.
-func TestFollowerWithoutReplicaServesItsFile(t *testing.T) {
-	s := store.New(7, store.DefaultLimits)
-	s.Bootstrap("a", "a", 1)
-	s.Apply(1, &store.Command{Txn: &store.Txn{Then: []store.Op{{Key: "k", Value: []byte("v")}}}})
-	for _, damaged := range []bool{false, true} {
-		dir := t.TempDir()
-		path := filepath.Join(dir, "copy")
-		if err := writeFile(path, s, nil); err != nil {
-			t.Fatal(err)
-		}
-		if damaged {
-			b, err := os.ReadFile(path)
-			if err != nil {
-				t.Fatal(err)
-			}
-			b[len(b)/2] ^= 1
-			if err := os.WriteFile(path, b, 0o600); err != nil {
-				t.Fatal(err)
-			}
-		}
-		resets := 0
-		f, err := Open(Config{Name: "h", Dir: dir, Replicas: []Replica{{Name: "a", Addr: refusedAddress(t)}}, FirstCopyTimeout: time.Millisecond,
-			Log: slog.New(slog.DiscardHandler), OnReset: func(*store.State) { resets++ }})
-		if err != nil {
-			t.Fatal(err)
-		}
-		got := ""
-		age, err := f.View(t.Context(), true, func(s *store.State) { i, _ := s.Get("k"); got = string(i.Value) })
-		if damaged && (!errors.Is(err, replica.ErrNoLeader) || resets != 0) || !damaged && (err != nil || got != "v" || resets != 1) || !age.Stale {
-			t.Errorf("damaged %v: %q, %v, %+v, %d whole copies", damaged, got, err, age, resets)
-		}
-		ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
-		_, err = f.Do(ctx, store.Command{Txn: &store.Txn{Then: []store.Op{{Key: "out/ban/x"}}}})
-		var unknown *engine.UnknownError
-		if err == nil || errors.As(err, &unknown) {
-			t.Errorf("a change that went nowhere: %v", err)
-		}
-		if _, err := f.View(ctx, false, func(*store.State) {}); err == nil {
-			t.Error("it is up to date without a replica")
-		}
-		cancel()
-		if _, err := f.Do(t.Context(), store.Command{GrantLease: &store.GrantLease{TTLMillis: 5}}); err == nil {
-			t.Error("a follower was given a lease")
-		}
-		if st, err := f.Status(t.Context()); err != nil || !st.Follower || st.Following != "" || !st.CopyAge.Stale {
-			t.Errorf("%+v, %v", st, err)
-		}
-		if err := f.Close(); err != nil {
-			t.Error(err)
-		}
-		left, err := os.ReadFile(path)
-		if _, bad := store.Load(bytes.NewReader(left)); err != nil || (bad != nil) != damaged {
-			t.Errorf("damaged %v: the file is another now: %v %v", damaged, err, bad)
-		}
+// A damaged file is not used, and left as it is.
+func TestFollowerDoesNotUseDamagedFile(t *testing.T) {
+	path := saveTestCopy(t)
+	file, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
 	}
-	if _, err := Open(Config{Name: "h", Dir: t.TempDir()}); err == nil {
-		t.Error("a follower of nobody")
+	file[len(file)/2] ^= 1
+	if err := os.WriteFile(path, file, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	resets := 0
+	f := openAlone(t, path, &resets)
+	age, err := f.View(t.Context(), true, func(*store.State) { t.Error("a damaged file is read") })
+	if !errors.Is(err, replica.ErrNoLeader) || resets != 0 || !age.Stale {
+		t.Errorf("%v, %+v, %d resets", err, age, resets)
+	}
+	checkCallsFailUnsent(t, f)
+	if err := f.Close(); err != nil {
+		t.Error(err)
+	}
+	if left, err := os.ReadFile(path); err != nil || !bytes.Equal(left, file) {
+		t.Errorf("the file is another now: %v", err)
 	}
 }
 
-// A change whose time is up while a replica is still being connected to was not sent.
-func TestTimeoutBeforeConnectionMeansNotSent(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0") // it takes connections, and never answers their greeting
+// saveTestCopy writes a file with one key, and returns its path.
+func saveTestCopy(t *testing.T) string {
+	t.Helper()
+	state := store.New(7, store.DefaultLimits)
+	state.Bootstrap("a", "a", 1)
+	command := putCommand("k", "v")
+	state.Apply(1, &command)
+	path := filepath.Join(t.TempDir(), "copy")
+	if err := writeFile(path, state, nil); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+// openAlone opens a follower with a file, whose replica cannot be reached.
+func openAlone(t *testing.T, path string, resets *int) *Follower {
+	t.Helper()
+	f, err := Open(Config{
+		Name: "h", Dir: filepath.Dir(path), Replicas: []Replica{{Name: "a", Addr: refusedAddress(t)}},
+		FirstCopyTimeout: time.Millisecond, Log: slog.New(slog.DiscardHandler),
+		OnReset: func(*store.State) { *resets++ },
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	return f
+}
+
+// checkCallsFailUnsent checks that changes and reads of a follower without a replica fail, and say that nothing
+// was sent.
+func checkCallsFailUnsent(t *testing.T, f *Follower) {
+	t.Helper()
+	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
+	defer cancel()
+	checkUnsent(ctx, t, f)
+	if _, err := f.View(ctx, false, func(*store.State) {}); err == nil {
+		t.Error("a read is up to date without a replica")
+	}
+	if _, err := f.Do(t.Context(), store.Command{GrantLease: &store.GrantLease{TTLMillis: 5}}); err == nil {
+		t.Error("a follower was granted a lease without an owner")
+	}
+	status, err := f.Status(t.Context())
+	if err != nil || !status.Follower || status.Following != "" || !status.CopyAge.Stale {
+		t.Errorf("%+v, %v", status, err)
+	}
+}
+
+// checkUnsent checks that a change fails, and that its outcome is known.
+func checkUnsent(ctx context.Context, t *testing.T, f *Follower) {
+	t.Helper()
+	_, err := f.Do(ctx, putCommand("out/ban/x", ""))
+	var unknown *engine.UnknownError
+	if err == nil || errors.As(err, &unknown) {
+		t.Errorf("a change that was not sent: %v", err)
+	}
+}
+
+// A change whose time is up while a replica is still being connected to was not sent.
+func TestTimeoutBeforeConnectionMeansNotSent(t *testing.T) {
+	listener := listen(t, "127.0.0.1:0") // it accepts connections, and never answers their TLS handshake
+	defer func() { _ = listener.Close() }()
 	dir := t.TempDir()
 	if err := errors.Join(keys.Init(dir, "c"), keys.Issue(dir, "h", time.Hour, false)); err != nil {
 		t.Fatal(err)
@@ -105,16 +141,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := Open(Config{Name: "h", Dir: t.TempDir(), Replicas: []Replica{{Name: "a", Addr: ln.Addr().String()}}, Keys: pair, FirstCopyTimeout: time.Millisecond,
-		Log: slog.New(slog.DiscardHandler)})
+	f, err := Open(Config{
+		Name: "h", Dir: t.TempDir(), Replicas: []Replica{{Name: "a", Addr: listener.Addr().String()}}, Keys: pair,
+		FirstCopyTimeout: time.Millisecond, Log: slog.New(slog.DiscardHandler),
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
-	_, err = f.Do(ctx, store.Command{Txn: &store.Txn{Then: []store.Op{{Key: "out/ban/x"}}}})
-	if unknown := (*engine.UnknownError)(nil); err == nil || errors.As(err, &unknown) {
-		t.Errorf("a change that went nowhere: %v", err)
-	}
+	checkUnsent(ctx, t, f)
 }
--- a/internal/store/follower/frozen_test.go
+++ b/internal/store/follower/frozen_test.go
@@ -15,7 +15,6 @@
 	"strings"
 	"sync"
 	"testing"
-	"time"
 
 	"birchmoor/internal/store"
 	"birchmoor/internal/store/changefeed"
@@ -54,7 +53,8 @@
 				t.Fatal(err)
 			}
 			f, err := Open(Config{
-				Name: "h", Dir: dir, Replicas: []Replica{{Name: "a", Addr: refusedAddress(t)}}, Log: slog.New(slog.DiscardHandler),
+				Name: "h", Dir: dir, Replicas: []Replica{{Name: "a", Addr: refusedAddress(t)}},
+				Log: slog.New(slog.DiscardHandler),
 			})
 			if err != nil {
 				t.Fatal(err)
@@ -145,18 +145,27 @@
 				t.Error("a rejected command has no error")
 			}
 		}
-		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
-		if _, err := f.View(ctx, false, func(*store.State) {}); err == nil {
-			t.Error("a rejected read has no error")
+		isSent := func(prefix string) func() bool {
+			return func() bool {
+				return slices.ContainsFunc(sent(), func(request string) bool { return strings.HasPrefix(request, prefix) })
+			}
 		}
+		ctx, cancel := context.WithCancel(t.Context())
+		readErr := make(chan error, 1)
+		go func() {
+			_, err := f.View(ctx, false, func(*store.State) {})
+			readErr <- err
+		}()
+		eventually(t, "a read is sent", isSent("GET /v1/revision"))
 		cancel()
-		path := "GET /v1/copy"
+		if err := <-readErr; err == nil {
+			t.Error("a rejected read has no error")
+		}
 		if dir == withCopy {
-			path = "GET /v1/follow"
+			eventually(t, "a stream is requested", isSent("GET /v1/follow"))
+		} else {
+			eventually(t, "a copy is requested", isSent("GET /v1/copy"))
 		}
-		eventually(t, path, func() bool {
-			return slices.ContainsFunc(sent(), func(request string) bool { return strings.HasPrefix(request, path) })
-		})
 		if err := f.Close(); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/store/follower/propose.go
+++ b/internal/store/follower/propose.go
@@ -14,6 +14,9 @@
 	"birchmoor/internal/store/usage"
 )
 
+var errNotAFollowersCommand = errors.New(
+	"follower: a daemon without a replica makes only transactions and changes of its own leases")
+
 // Do makes a transaction, or grants, renews or revokes a lease that this daemon owns; see engine.Engine. It
 // tries one replica after another until ctx ends. The error is an *engine.UnknownError if a replica may have
 // read the command and none answered what became of it.
@@ -64,7 +67,7 @@
 	case revoke != nil && revoke.Owner != "":
 		request.RevokeLease, request.Owner = revoke.LeaseID, revoke.Owner
 	case command.Txn == nil:
-		return nil, errors.New("follower: a daemon without a replica makes only transactions and changes of its own leases")
+		return nil, errNotAFollowersCommand
 	}
 	return json.Marshal(request)
 }
--- a/internal/store/follower/read.go
+++ b/internal/store/follower/read.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// confirmedRevision asks one replica after another for the revision that a quorum confirms.
+// confirmedRevision requests the revision that a quorum confirms from one replica after another.
 func (f *Follower) confirmedRevision(ctx context.Context) (engine.CopyAge, error) {
 	for at := rand.IntN(len(f.clients)); ; at = f.nextReplica(at) {
 		var confirmed engine.CopyAge
