--- a/internal/dataplane/httpfront/answer.go
+++ b/internal/dataplane/httpfront/answer.go
@@ -50,9 +50,9 @@
 	s.clients.answerStarted(c)
 	flow := a.Reply.Content.(*upstreamAnswer).stream
 	how := core.StreamAbandoned
-	c.SetWriteDeadline(time.Now().Add(maxStreamStall))
+	c.setWriteDeadline(time.Now().Add(maxStreamStall))
 	if _, err := c.Write(r.head(flow.length, last)); err == nil {
-		how = flow.copyTo(c, func() { c.SetWriteDeadline(time.Now().Add(maxStreamStall)) })
+		how = flow.copyTo(c, func() { c.setWriteDeadline(time.Now().Add(maxStreamStall)) })
 	}
 	flow.done(how)
 	a.StreamEnded(how)
@@ -79,7 +79,7 @@
 // write writes a whole answer in one piece, and says whether that went well.
 func (c *client) write(r *response, last bool) bool {
 	text := append(r.head(int64(len(r.body)), last), r.body...)
-	c.SetWriteDeadline(time.Now().Add(writeTimeout))
+	c.setWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := c.Write(text)
 	return err == nil
 }
--- a/internal/dataplane/httpfront/clientconn.go
+++ b/internal/dataplane/httpfront/clientconn.go
@@ -25,7 +25,7 @@
 	n, err = c.readOwned(b)
 	if errors.Is(err, os.ErrDeadlineExceeded) && c.clients.mayEnd(c) {
 		// Woken to leave: a last look at what has come decides.
-		c.SetReadDeadline(time.Now().Add(RequestTimeout))
+		c.setReadDeadline(time.Now().Add(RequestTimeout))
 		n, err = c.readOwned(b)
 	}
 	return n, err
@@ -52,7 +52,7 @@
 		switch {
 		case n > 0:
 			if c.askedToEnd {
-				c.SetReadDeadline(time.Now().Add(RequestTimeout)) // woken, and read all the same
+				c.setReadDeadline(time.Now().Add(RequestTimeout)) // woken, and read all the same
 			}
 			c.state, c.askedToEnd = stateReading, false
 		case err == syscall.EAGAIN && c.askedToEnd:
@@ -81,7 +81,7 @@
 // watch returns a channel on which one error comes when the client leaves, or nil when it sends something
 // before it has its answer. To end the watch, set a deadline in the past.
 func (c *client) watch() <-chan error {
-	c.SetReadDeadline(time.Time{})
+	c.setReadDeadline(time.Time{})
 	c.limit.N = 1
 	gone := make(chan error, 1)
 	go func() {
@@ -98,7 +98,7 @@
 		return nil, func() {}
 	}
 	gone, over := make(chan struct{}), make(chan struct{})
-	c.SetReadDeadline(time.Time{})
+	c.setReadDeadline(time.Time{})
 	go func() {
 		defer close(over)
 		// Asked at each change of the connection.
@@ -107,7 +107,7 @@
 		}
 	}()
 	return gone, sync.OnceFunc(func() {
-		c.SetReadDeadline(past)
+		c.setReadDeadline(past)
 		<-over
 	})
 }
@@ -153,6 +153,12 @@
 // linger reads what the client may still be sending, for a while.
 func (c *client) linger(r io.Reader, most int64, span time.Duration) {
 	c.lingered, c.paced.readTimeout = true, 0
-	c.SetReadDeadline(time.Now().Add(span))
+	c.setReadDeadline(time.Now().Add(span))
 	io.CopyN(io.Discard, r, most)
 }
+
+// setReadDeadline sets the deadline of reads. It fails on a closed connection alone, where reads fail as well.
+func (c *client) setReadDeadline(at time.Time) { _ = c.SetReadDeadline(at) }
+
+// setWriteDeadline sets the deadline of writes. It fails on a closed connection alone, where writes fail as well.
+func (c *client) setWriteDeadline(at time.Time) { _ = c.SetWriteDeadline(at) }
--- a/internal/dataplane/httpfront/eviction.go
+++ b/internal/dataplane/httpfront/eviction.go
@@ -72,7 +72,7 @@
 // the mutex held: a wake behind the reading of a request would end that, or pass for its client's leaving.
 func (k *clients) askToEndLocked(c *client) {
 	c.askedToEnd, c.endsReading = c.state != stateReading, c.state == stateReading
-	c.SetReadDeadline(past)
+	c.setReadDeadline(past)
 }
 
 // mayEnd says whether a connection is asked to end, and nothing of a request has been read.
--- a/internal/dataplane/httpfront/exchange.go
+++ b/internal/dataplane/httpfront/exchange.go
@@ -12,132 +12,196 @@
 	"birchmoor/internal/dataplane/core"
 )
 
-// exchange takes one request, which must be whole by then or, if that is zero, soon after its first byte, and
-// gives its answer. It says whether the connection may serve another.
+// exchange reads one request and gives its answer. The request must be complete by an instant or, if that is zero, within
+// RequestTimeout of its first byte. It reports whether the connection may serve another one.
 func (s *Server) exchange(c *client, until time.Time) bool {
-	c.limit.N = MaxHeaderBytes
-	c.paced.readTimeout, c.paced.recording, c.paced.recorded = 0, true, nil
-	if until.IsZero() {
-		c.SetReadDeadline(time.Now().Add(idleTimeout))
-		if _, err := c.r.Peek(1); err != nil {
-			return false
-		}
-		until = time.Now().Add(RequestTimeout)
-	}
-	c.SetReadDeadline(until)
-	r, err := http.ReadRequest(c.r)
-	head := c.paced.recorded
-	c.paced.recording, c.paced.recorded = false, nil
-	if err != nil {
-		if code := s.errorCode(c, err); code != 0 {
-			c.reject(code, http.StatusText(code))
-		}
+	r, head, ok := s.readHead(c, until)
+	if !ok {
 		return false
 	}
-	if r.URL.Path == "/-/ready" && r.ContentLength == 0 && len(r.TransferEncoding) == 0 {
-		a := newResponse(http.StatusOK, "ready")
-		if s.closing.Load() || !s.loop.Ready() {
-			a = newResponse(http.StatusServiceUnavailable, "not ready")
-		}
-		last := r.Close || s.closing.Load()
-		return c.write(a, last) && !last && s.clients.keepOpen(c)
+	if r.URL.Path == readinessPath && r.ContentLength == 0 && len(r.TransferEncoding) == 0 {
+		return s.answerReadiness(c, r)
 	}
 	k, err := s.parse(c, r, head)
 	if k != nil {
 		defer func() { s.bodies.Release(k.BudgetBytes) }()
 	}
 	if err != nil {
-		code := http.StatusBadRequest
-		if bad := (*badRequest)(nil); errors.As(err, &bad) {
-			code = bad.code
-		}
-		c.reject(code, err.Error())
+		c.reject(errorStatus(err), err.Error())
 		return false
 	}
 	if !s.clients.beginRequest(c) {
 		return false
 	}
-	ran := true // where nobody says otherwise
+	x := &exchange{server: s, client: c, request: k, closes: r.Close, mayHaveRun: true}
 	if s.limits != nil {
-		ended, no := s.limits.Admit(limiterRequest(k, r))
-		if no != nil {
-			return s.rejectOverLimit(c, k, r, no)
+		ended, exceeded := s.limits.Admit(limiterRequest(k, r))
+		if exceeded != nil {
+			return s.rejectOverLimit(c, k, r, exceeded)
 		}
 		if ended != nil {
-			defer func() { ended(ran) }()
+			defer func() { ended(x.mayHaveRun) }()
+		}
+	}
+	return x.run()
+}
+
+// readinessPath is answered here, for whoever checks whether the sidecar serves.
+const readinessPath = "/-/ready"
+
+// readHead reads a request up to its body, and returns its head as it was sent, too.
+func (s *Server) readHead(c *client, until time.Time) (r *http.Request, head []byte, ok bool) {
+	c.limit.N = MaxHeaderBytes
+	c.paced.readTimeout = 0
+	c.paced.recording = true
+	c.paced.recorded = nil
+	if until.IsZero() {
+		c.setReadDeadline(time.Now().Add(idleTimeout))
+		if _, err := c.r.Peek(1); err != nil {
+			return nil, nil, false
 		}
+		until = time.Now().Add(RequestTimeout)
+	}
+	c.setReadDeadline(until)
+	r, err := http.ReadRequest(c.r)
+	head = c.paced.recorded
+	c.paced.recording = false
+	c.paced.recorded = nil
+	if err != nil {
+		if code := s.errorCode(c, err); code != 0 {
+			c.reject(code, http.StatusText(code))
+		}
+		return nil, nil, false
+	}
+	return r, head, true
+}
+
+// answerReadiness answers a readiness check, and reports whether the connection may serve another request.
+func (s *Server) answerReadiness(c *client, r *http.Request) bool {
+	a := newResponse(http.StatusOK, "ready")
+	if s.closing.Load() || !s.loop.Ready() {
+		a = newResponse(http.StatusServiceUnavailable, "not ready")
+	}
+	last := r.Close || s.closing.Load()
+	return c.write(a, last) && !last && s.clients.keepOpen(c)
+}
+
+// errorStatus returns the status for an error of parse.
+func errorStatus(err error) int {
+	var bad *badRequest
+	if errors.As(err, &bad) {
+		return bad.code
 	}
-	var gone, sent <-chan error
-	var left <-chan struct{}
+	return http.StatusBadRequest
+}
+
+// exchange is a request that was submitted to the event loop, until its answer has gone out.
+type exchange struct {
+	server     *Server
+	client     *client
+	request    *core.Request
+	closes     bool // the client asked for the connection to close
+	mayHaveRun bool
+
+	uploaded <-chan error    // how the upload of a streamed body ended; nil: there is none, or it has ended
+	gone     <-chan error    // the client's leaving, once the request is complete; nil before
+	left     <-chan struct{} // its leaving while its body is still coming
+}
+
+// run submits the request, and returns once its answer has gone out. It reports whether the connection may serve another one.
+func (x *exchange) run() bool {
+	s, k := x.server, x.request
 	if up := k.Payload.(*message).upload; up != nil {
-		sent = up.ended
-		left, up.endWatch = c.watchDuringUpload()
+		x.uploaded = up.ended
+		x.left, up.endWatch = x.client.watchDuringUpload()
 	} else {
-		gone = s.requestComplete(c, k)
+		x.gone = s.requestComplete(x.client, k)
 	}
 	s.loop.Submit(k)
 	for {
 		select {
-		case err := <-sent:
-			sent = nil
+		case err := <-x.uploaded:
+			x.uploaded = nil
 			if err != nil {
-				// The client's fault, or an endpoint's: then the answer tells.
-				if fault := (*clientError)(nil); errors.As(err, &fault) {
-					s.loop.ClientLeft(k)
-					(<-k.Answer).Discard()
-					s.rejectBody(c, fault)
-					return false
-				}
-				a := <-k.Answer
-				ran = a.MayHaveRun
-				return s.answerEarly(c, k, a)
+				return x.uploadFailed(err)
 			}
-			gone = s.requestComplete(c, k)
+			x.gone = s.requestComplete(x.client, k)
 		case a := <-k.Answer:
-			ran = a.MayHaveRun
-			if gone == nil {
-				// The last byte may have gone out just before.
-				select {
-				case err := <-sent:
-					if err == nil {
-						gone = s.requestComplete(c, k)
-					}
-				default:
-				}
-			}
-			if gone == nil {
-				return s.answerEarly(c, k, a)
-			}
-			c.SetReadDeadline(past)
-			if err := <-gone; err == nil {
-				a.Discard()
-				s.countEnd(k, core.Failed)
-				c.reject(http.StatusBadRequest, surplusReason)
-				return false
-			}
-			return s.answer(c, k, a, r.Close)
-		case <-left:
-			// As below; its body is not read any more.
+			return x.answered(a)
+		case <-x.left:
+			// As if it had left after its body, which is not read any more.
 			s.loop.ClientLeft(k)
-			a := <-k.Answer
-			ran = a.MayHaveRun
-			return s.answerEarly(c, k, a)
-		case err := <-gone:
-			s.loop.ClientLeft(k)
-			a := <-k.Answer
-			if ran = a.MayHaveRun; errors.Is(err, io.EOF) {
-				// An end of sending is taken for the client's leaving, and nothing begins for it any more. One that still
-				// listens is told so.
-				return s.answer(c, k, a, true)
-			}
-			a.Discard()
-			s.countEnd(k, core.Failed)
+			return s.answerEarly(x.client, k, x.awaitAnswer())
+		case err := <-x.gone:
+			return x.clientLeft(err)
+		}
+	}
+}
+
+// awaitAnswer returns the final answer.
+func (x *exchange) awaitAnswer() core.Answer {
+	a := <-x.request.Answer
+	x.mayHaveRun = a.MayHaveRun
+	return a
+}
+
+// uploadFailed ends an exchange whose body could not be passed on, by the client's fault or an endpoint's.
+func (x *exchange) uploadFailed(err error) bool {
+	s, k := x.server, x.request
+	var fault *clientError
+	if errors.As(err, &fault) {
+		s.loop.ClientLeft(k)
+		a := <-k.Answer
+		a.Discard()
+		s.rejectBody(x.client, fault)
+		return false
+	}
+	return s.answerEarly(x.client, k, x.awaitAnswer())
+}
+
+// answered ends an exchange with the final answer.
+func (x *exchange) answered(a core.Answer) bool {
+	s, c, k := x.server, x.client, x.request
+	x.mayHaveRun = a.MayHaveRun
+	if x.gone == nil {
+		// The last byte of the body may have gone out just before.
+		select {
+		case err := <-x.uploaded:
 			if err == nil {
-				c.reject(http.StatusBadRequest, surplusReason)
+				x.gone = s.requestComplete(c, k)
 			}
-			return false
+		default:
 		}
 	}
+	if x.gone == nil {
+		return s.answerEarly(c, k, a)
+	}
+	c.setReadDeadline(past)
+	if err := <-x.gone; err == nil {
+		a.Discard()
+		s.countEnd(k, core.Failed)
+		c.reject(http.StatusBadRequest, surplusReason)
+		return false
+	}
+	return s.answer(c, k, a, x.closes)
+}
+
+// clientLeft ends an exchange whose client closed its connection, ended its sending, or sent more than its request.
+func (x *exchange) clientLeft(err error) bool {
+	s, c, k := x.server, x.client, x.request
+	s.loop.ClientLeft(k)
+	a := x.awaitAnswer()
+	if errors.Is(err, io.EOF) {
+		// The end of sending is taken for the client's leaving, and nothing begins for it any more. A client that still
+		// listens gets an answer that says so.
+		return s.answer(c, k, a, true)
+	}
+	a.Discard()
+	s.countEnd(k, core.Failed)
+	if err == nil {
+		c.reject(http.StatusBadRequest, surplusReason)
+	}
+	return false
 }
 
 // limiterRequest is what limits read of a request.
@@ -196,7 +260,7 @@
 	up.endWatch()
 	up.halted.Store(true)
 	if up.taken.Load() {
-		c.SetReadDeadline(past)
+		c.setReadDeadline(past)
 		<-up.unread
 	}
 	c.linger(up.body, MaxBody, bodyGrace)
