--- a/internal/controlplane/adminapi/adminapi.go
+++ b/internal/controlplane/adminapi/adminapi.go
@@ -50,11 +50,11 @@
 	Tasks    *leasetask.Runner
 	Limits   *quotasync.Manager // nil: the daemon shares no limits
 	Clock    bootclock.Clock    // of leases
-	Meter    *usage.Recorder    // nil: nothing is counted
+	Usage    *usage.Recorder    // nil: nothing is counted
 }
 
-// NewMeter returns a meter that knows the purposes of the components' keys.
-func NewMeter() *usage.Recorder {
+// NewUsageRecorder returns a recorder that knows the purposes of the components' keys.
+func NewUsageRecorder() *usage.Recorder {
 	return usage.New(
 		usage.Prefix{Prefix: serverstate.ExclusionPrefix, Purpose: usage.ServerReports},
 		usage.Prefix{Prefix: serverstate.StartPrefix, Purpose: usage.ServerReports},
@@ -68,7 +68,7 @@
 // FollowerRules returns the rules for daemons without a replica: each component says which operations are theirs.
 func (c Components) FollowerRules() admin.FollowerConfig {
 	return admin.FollowerConfig{
-		Usage:        c.Meter,
+		Usage:        c.Usage,
 		SnapshotAges: func() map[string]time.Duration { return c.Servers.SnapshotAges() },
 		Allowed: func(op store.Op, owner string) bool {
 			return lease.Allowed(op, owner) || leasetask.Allowed(op, owner) ||
@@ -109,7 +109,7 @@
 }
 
 func (s *server) usage(context.Context, http.ResponseWriter, *http.Request) (any, error) {
-	return s.Meter.Read(), nil
+	return s.Usage.Read(), nil
 }
 
 func (s *server) exclusions(context.Context, http.ResponseWriter, *http.Request) (any, error) {
--- a/internal/controlplane/adminapi/adminapi_test.go
+++ b/internal/controlplane/adminapi/adminapi_test.go
@@ -91,7 +91,7 @@
 
 // The purposes of keys and commands come from the packages that name the keys.
 func TestMeterKnowsPurposesOfKeysAndCommands(t *testing.T) {
-	meter := NewMeter()
+	meter := NewUsageRecorder()
 	server := serverstate.Process{ID: "s", Addr: "a", StartedMs: 1}
 	process := quota.Process{Host: "h", Session: 1}
 	for key, want := range map[string]usage.Purpose{
--- a/internal/controlplane/components.go
+++ b/internal/controlplane/components.go
@@ -50,7 +50,7 @@
 	Tasks    *leasetask.Runner
 	Limits   *quotasync.Manager // nil: no limits are shared
 	Store    Store
-	Meter    *usage.Recorder
+	Usage    *usage.Recorder
 
 	clock        bootclock.Clock
 	log          *slog.Logger
@@ -72,7 +72,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := newComponents(&c, storeConfig.Meter)
+	p := newComponents(&c, storeConfig.Usage)
 	d := daemon.New(c.Log, p.daemonComponents()...)
 	d.DelegateSweep()
 	if err := p.Servers.OpenDrainLog(s.Dir); err != nil {
@@ -98,7 +98,7 @@
 func isFollower(s *operatorconfig.Store) bool { return len(s.Follow) > 0 }
 
 // newComponents returns components that are not running yet.
-func newComponents(c *Config, meter *usage.Recorder) *Components {
+func newComponents(c *Config, recorder *usage.Recorder) *Components {
 	s := c.File.Store
 	p := &Components{
 		Servers:  daemon.NewServers(s.Name, c.Log),
@@ -111,7 +111,7 @@
 			TableDefect:   c.Defects.LeaseTable,
 			SessionDefect: c.Defects.LeaseSession,
 		}),
-		Meter: meter,
+		Usage: recorder,
 		clock: c.Defects.Clock,
 		log:   c.Log,
 	}
--- a/internal/controlplane/serve.go
+++ b/internal/controlplane/serve.go
@@ -25,7 +25,7 @@
 		Tasks:    p.Tasks,
 		Limits:   p.Limits,
 		Clock:    p.clock,
-		Meter:    p.Meter,
+		Usage:    p.Usage,
 	}
 	copyOfStore := admin.Store(p.Store)
 	if wrapStore != nil {
--- a/internal/controlplane/storecopy.go
+++ b/internal/controlplane/storecopy.go
@@ -43,7 +43,7 @@
 		TickInterval:     time.Duration(s.Tick),
 		ElectionTicks:    s.ElectionTicks,
 		Log:              c.Log,
-		Meter:            adminapi.NewMeter(),
+		Usage:            adminapi.NewUsageRecorder(),
 		AddressOverrides: peerRoutes(s.PeerRoutes),
 	}
 	cfg.DiskOptions.OnOpen = c.Defects.WrapStoreFile
@@ -114,7 +114,7 @@
 		Name:             s.Name,
 		Dir:              s.Dir,
 		Keys:             replicaConfig.Keys,
-		Usage:            replicaConfig.Meter,
+		Usage:            replicaConfig.Usage,
 		FirstCopyTimeout: time.Duration(s.FirstCopyTimeout),
 		Log:              p.log,
 		OnSnapshotAge:    p.Servers.ReportSnapshotAge,
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -239,7 +239,7 @@
 			h.mu.Lock()
 			add(&sum, &h.past)
 			if h.parts != nil {
-				now := h.parts.Meter.ReadCounters()
+				now := h.parts.Usage.ReadCounters()
 				add(&sum, &now)
 			}
 			h.mu.Unlock()
@@ -389,7 +389,7 @@
 	p, cancel := h.parts, h.cancel
 	h.parts, h.presence = nil, nil
 	if p != nil {
-		now := p.Meter.ReadCounters()
+		now := p.Usage.ReadCounters()
 		add(&h.past, &now)
 	}
 	h.mu.Unlock()
--- a/internal/lab/storesim/watch.go
+++ b/internal/lab/storesim/watch.go
@@ -12,7 +12,7 @@
 
 // Servers that drain and start anew stand beside the cluster, and count. Each host has a daemon, which hears of them from a
 // discovery of its own, late or not at all for a while, and tells the store by the rules that real daemons go by
-// (policy.Turns, policy.Guard); and a sidecar, which sends to every server that it holds to serve. What is checked:
+// (serverstate.ReportScheduler, serverstate.Guard); and a sidecar, which sends to every server that it holds to serve. What is checked:
 //
 //   - a copy that a drain has reached by the store sends its process nothing from then on, also after it was killed, and
 //     also on the word of an old list; unless the drain ended by rule,
--- a/internal/store/disk/disk.go
+++ b/internal/store/disk/disk.go
@@ -48,15 +48,15 @@
 // ErrLocked reports that another process has the file open.
 var ErrLocked = errors.New("another process has the store's file open")
 
-// Options configure a disk. All but Meter are for tests.
+// Options configure a disk. All but Usage are for tests.
 type Options struct {
 	// NoSync writes without syncs: the file may be lost with the power.
 	NoSync bool
 	// OnOpen is called with the file after it was opened, so that a test can have it fail.
 	OnOpen func(*os.File)
-	// Meter counts the writes, unless it is nil: those of snapshots' transactions, and all others as those of the log.
+	// Usage counts the writes, unless it is nil: those of snapshots' transactions, and all others as those of the log.
 	// The bytes are those of bbolt's pages, and a commit waits for two syncs. Growth of the file is not counted.
-	Meter *usage.Recorder
+	Usage *usage.Recorder
 }
 
 // Disk is an open file. It may be used concurrently as replica.Disk allows.
@@ -64,7 +64,7 @@
 	db                 *bbolt.DB
 	path               string
 	identity           replica.Identity
-	meter              *usage.Recorder
+	usage              *usage.Recorder
 	pageBytes          int
 	lastSnapshotBucket atomic.Uint64 // number
 }
@@ -85,7 +85,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &Disk{db: db, path: path, meter: o.Meter, pageBytes: db.Info().PageSize}
+	d := &Disk{db: db, path: path, usage: o.Usage, pageBytes: db.Info().PageSize}
 	if err := d.initialize(); err != nil {
 		return nil, errors.Join(err, db.Close())
 	}
--- a/internal/store/disk/txn.go
+++ b/internal/store/disk/txn.go
@@ -34,7 +34,7 @@
 		syncs = 0
 	}
 	stats := committed.Stats()
-	d.meter.CountWrite(purpose, syncs, int(stats.GetPageAlloc())+d.pageBytes)
+	d.usage.CountWrite(purpose, syncs, int(stats.GetPageAlloc())+d.pageBytes)
 	return nil
 }
 
--- a/internal/store/engine/engine.go
+++ b/internal/store/engine/engine.go
@@ -44,7 +44,7 @@
 	Log              *slog.Logger      // nil: nothing is logged
 	TuneReplica      func(*replica.Config)
 	DiskOptions      disk.Options
-	Meter            *usage.Recorder // of messages, commands and writes; nil: nothing is counted
+	Usage            *usage.Recorder // of messages, commands and writes; nil: nothing is counted
 
 	// OnEvent is called with each change in order, and OnReset with each new state that replaces the former one. All
 	// hooks but OnUncommitted are called by the loop and must not block.
@@ -129,7 +129,7 @@
 	if c.Address == "" && c.Listener != nil {
 		c.Address = c.Listener.Addr().String()
 	}
-	c.DiskOptions.Meter = c.Meter
+	c.DiskOptions.Usage = c.Usage
 }
 
 func newEngine(cfg Config, d *disk.Disk) *Engine {
@@ -163,7 +163,7 @@
 	}
 	if e.cfg.Listener != nil {
 		cfg := &e.cfg
-		transport, err := peer.New(cfg.Name, cfg.Address, cfg.Listener, host{e}, cfg.Keys, cfg.Log, cfg.Meter)
+		transport, err := peer.New(cfg.Name, cfg.Address, cfg.Listener, host{e}, cfg.Keys, cfg.Log, cfg.Usage)
 		if err != nil {
 			return err
 		}
@@ -191,8 +191,8 @@
 		Log:           e.cfg.Log,
 		ElectionTicks: e.cfg.ElectionTicks,
 		TickMillis:    int(e.cfg.TickInterval / time.Millisecond),
-		OnProposed:    e.cfg.Meter.CountProposal,
-		OnApplied:     e.cfg.Meter.CountApplied,
+		OnProposed:    e.cfg.Usage.CountProposal,
+		OnApplied:     e.cfg.Usage.CountApplied,
 	}
 	if e.cfg.TuneReplica != nil {
 		e.cfg.TuneReplica(&cfg)
--- a/internal/store/engine/engine_test.go
+++ b/internal/store/engine/engine_test.go
@@ -426,7 +426,7 @@
 // write.
 func TestMetersOfReplicasAgree(t *testing.T) {
 	meters := map[string]*usage.Recorder{"a": usage.New(), "b": usage.New()}
-	c := (&cluster{t: t, tune: func(cfg *Config) { cfg.Meter = meters[cfg.Name] }}).begin("a", "b")
+	c := (&cluster{t: t, tune: func(cfg *Config) { cfg.Usage = meters[cfg.Name] }}).begin("a", "b")
 	c.until("b", func(s Status) bool { return s.MembershipStable && len(s.Peers) == 2 })
 	for i := range 5 {
 		_, err := c.all["b"].Do(c.ctx(), put("k", fmt.Sprint(i)))
--- a/internal/store/follower/helpers_test.go
+++ b/internal/store/follower/helpers_test.go
@@ -48,7 +48,7 @@
 	t.Helper()
 	replica, err := engine.Open(engine.Config{
 		Name: "a", Dir: t.TempDir(), TickInterval: 5 * time.Millisecond, DiskOptions: disk.Options{NoSync: true},
-		Meter: recorder,
+		Usage: recorder,
 	})
 	if err != nil {
 		t.Fatal(err)
