--- a/internal/dataplane/config/config_test.go
+++ b/internal/dataplane/config/config_test.go
@@ -11,7 +11,7 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// A value that makes no sense stops the start with a message that names its key.
+// An invalid value is an error that names its key.
 func TestParseErrorNamesKey(t *testing.T) {
 	good := func() map[string]any {
 		return map[string]any{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1f",
@@ -55,19 +55,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := fmt.Sprint(c.Name, c.Listen, c.Discovery, c.Seed, c.Classes, c.Settings.Contract.DrainGrace); got != "n9127.0.0.9:1127.0.0.1:131 [look book pay] 250000" {
-		t.Errorf("read as %s", got)
+	got := fmt.Sprint(c.Name, c.Listen, c.Discovery, c.Seed, c.Classes, c.Settings.Contract.DrainGrace)
+	if want := "n9127.0.0.9:1127.0.0.1:131 [look book pay] 250000"; got != want {
+		t.Errorf("read as %s, want %s", got, want)
 	}
 }
 
-// Idle clients may fill the descriptors that are theirs, and servers' connections those that are the servers': what is kept for
-// discovery, operators and the process itself stays.
+// Clients and servers may fill the descriptors that are theirs: those of discovery, operators and the process
+// itself stay free.
 func TestConnectionLimitsLeaveReservedDescriptors(t *testing.T) {
 	for sockets := config.MinDescriptors; sockets < 70_000; sockets += 1 + sockets/50 {
 		c := &config.Config{MaxDescriptors: sockets}
-		// Standard streams, two listeners, three of the runtime's, two calls of discovery and what a handover and files take.
+		// Standard streams, two listeners, three of the runtime, two calls of discovery, and those of a handover
+		// and files.
 		const others = 3 + 2 + 3 + 2 + 10
-		if left := sockets - c.MaxClientConns(1) - c.MaxUpstreamConns(1); left < others+management.MaxConns || c.MaxClientConns(1) < 1 {
+		left := sockets - c.MaxClientConns(1) - c.MaxUpstreamConns(1)
+		if left < others+management.MaxConns || c.MaxClientConns(1) < 1 {
 			t.Errorf("of %d descriptors %d are left beside clients' and servers'", sockets, left)
 		}
 	}
--- a/internal/dataplane/config/reload.go
+++ b/internal/dataplane/config/reload.go
@@ -3,59 +3,69 @@
 import (
 	"errors"
 	"fmt"
+	"reflect"
 )
 
-// CheckReload says what a file lacks that the one in force has, or where it has something of another kind.
-func (c *Config) CheckReload(old *Config) error { return checkReplacement("", old.file, c.file) }
+// CheckReload returns an *Error if the file lacks a key that the current one has, or has a value of another type.
+// At the start a missing key has its default; a file that loses one while the sidecar runs was truncated or
+// mistyped.
+func (c *Config) CheckReload(current *Config) error { return checkValue("", current.file, c.file) }
 
-// removableKeys are the keys that a file may leave out though the one before had them.
+// removableKeys may be missing in a file though the current one has them.
 var removableKeys = map[string]bool{"aim-stretch": true, "passes-deadline": true, "warm-keys": true}
 
-// checkReplacement says what a file lacks that the one in force has, or where it has something of another kind. At the
-// start what is missing has a default; a file that loses a key while we run has been cut or mistyped. Every
-// item of a list must have the keys that all items had.
-func checkReplacement(at string, old, next any) error {
-	wrong := func(reason string) error {
-		if at == "" {
-			at = ".file"
-		}
-		return &Error{at[1:], errors.New(reason)}
-	}
-	switch old := old.(type) {
+// initialListPath is a list that may be null if it is empty.
+const initialListPath = ".known.instances"
+
+// checkValue compares the value at a path, such as ".limits.sockets", with the current one.
+func checkValue(path string, current, next any) error {
+	switch current := current.(type) {
 	case nil:
+		return nil
 	case map[string]any:
-		next, ok := next.(map[string]any)
-		if !ok {
-			return wrong("is no object")
-		}
-		for key, value := range old {
-			item, ok := next[key]
-			if !ok && !removableKeys[key] {
-				return &Error{(at + "." + key)[1:], errors.New("is missing")}
-			}
-			if ok {
-				if err := checkReplacement(at+"."+key, value, item); err != nil {
-					return err
-				}
-			}
-		}
+		return checkObject(path, current, next)
 	case []any:
-		next, ok := next.([]any)
-		if !ok && at != ".known.instances" { // which may be empty, written as null
-			return wrong("is no list")
+		return checkList(path, current, next)
+	}
+	if reflect.TypeOf(current) != reflect.TypeOf(next) {
+		return errorAt(path, fmt.Sprintf("is %v, of another kind than before", next))
+	}
+	return nil
+}
+
+func checkObject(path string, current map[string]any, next any) error {
+	object, ok := next.(map[string]any)
+	if !ok {
+		return errorAt(path, "is no object")
+	}
+	for key, value := range current {
+		item, ok := object[key]
+		if !ok && !removableKeys[key] {
+			return errorAt(path+"."+key, "is missing")
 		}
-		if len(old) == 0 {
-			return nil
+		if !ok {
+			continue
 		}
-		common := commonItem(old)
-		for i, item := range next {
-			if err := checkReplacement(fmt.Sprintf("%s.%d", at, i), common, item); err != nil {
-				return err
-			}
+		if err := checkValue(path+"."+key, value, item); err != nil {
+			return err
 		}
-	default:
-		if fmt.Sprintf("%T", old) != fmt.Sprintf("%T", next) {
-			return wrong(fmt.Sprintf("is %v, of another kind than before", next))
+	}
+	return nil
+}
+
+// checkList compares each item with the keys that all current items have.
+func checkList(path string, current []any, next any) error {
+	list, ok := next.([]any)
+	if !ok && path != initialListPath {
+		return errorAt(path, "is no list")
+	}
+	if len(current) == 0 {
+		return nil
+	}
+	common := commonItem(current)
+	for i, item := range list {
+		if err := checkValue(fmt.Sprintf("%s.%d", path, i), common, item); err != nil {
+			return err
 		}
 	}
 	return nil
@@ -78,3 +88,11 @@
 	}
 	return common
 }
+
+// errorAt returns an *Error for a path; the empty one is that of the file.
+func errorAt(path, reason string) error {
+	if path == "" {
+		path = ".file"
+	}
+	return &Error{path[1:], errors.New(reason)}
+}
