--- a/internal/dataplane/httpfront/answer.go
+++ b/internal/dataplane/httpfront/answer.go
@@ -24,7 +24,7 @@
 	case core.Rejected:
 		r = newResponse(http.StatusServiceUnavailable, "refused: try again later")
 		if a.RetryAfter > 0 {
-			r.header.Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64))
+			r.setRetryAfter(a.RetryAfter)
 		}
 	case core.DuplicateID:
 		r = newResponse(http.StatusConflict, "a request with this X-Trace-Id is open")
@@ -36,16 +36,16 @@
 	return r
 }
 
-// answer gives the final answer, and says whether the connection may serve another request.
+// answer writes the final answer, and reports whether the connection may serve another request.
 func (s *Server) answer(c *client, k *core.Request, a core.Answer, last bool) bool {
 	last = last || s.closing.Load() || a.Disposition == core.DuplicateID
 	r := responseTo(a)
 	if a.StreamEnded == nil {
 		s.countEnd(k, a.Disposition)
-		whole := c.write(r, last)
+		written := c.write(r, last)
 		a.Discard()
 		s.clients.endRequest(c)
-		return whole && !last
+		return written && !last
 	}
 	s.clients.answerStarted(c)
 	flow := a.Reply.Content.(*upstreamAnswer).stream
@@ -58,25 +58,34 @@
 	a.StreamEnded(how)
 	if how != core.StreamComplete {
 		s.countEnd(k, core.Failed)
-		return false // short of its end, so that the client can tell
+		return false // the missing end shows the client that it failed
 	}
 	s.countEnd(k, core.Served)
 	s.clients.endRequest(c)
 	return !last
 }
 
-// response is a final answer as it goes to the client.
+// response is a final answer as it is written to the client.
 type response struct {
 	code   int
 	header http.Header
 	body   []byte
 }
 
+// headBytes is the typical size of an answer's head.
+const headBytes = 256
+
+// newResponse returns an answer of one line of text.
 func newResponse(code int, text string) *response {
 	return &response{code: code, header: http.Header{"Content-Type": {"text/plain; charset=utf-8"}}, body: []byte(text + "\n")}
 }
 
-// write writes a whole answer in one piece, and says whether that went well.
+// setRetryAfter tells the client when to come back, in seconds.
+func (r *response) setRetryAfter(d time.Duration) {
+	r.header.Set("Retry-After", strconv.FormatFloat(d.Seconds(), 'f', 3, 64))
+}
+
+// write writes a complete answer in one piece, and reports whether that succeeded.
 func (c *client) write(r *response, last bool) bool {
 	text := append(r.head(int64(len(r.body)), last), r.body...)
 	c.setWriteDeadline(time.Now().Add(writeTimeout))
@@ -84,12 +93,12 @@
 	return err == nil
 }
 
-// head returns the head of the answer, for a body of this length or, if that is negative, in chunks.
+// head returns the head of the answer, for a body of a length or, if that is negative, for chunks.
 func (r *response) head(length int64, last bool) []byte {
 	var b bytes.Buffer
-	b.Grow(256 + len(r.body))
+	b.Grow(headBytes + len(r.body))
 	b.WriteString("HTTP/1.1 " + strconv.Itoa(r.code) + " " + http.StatusText(r.code) + "\r\n")
-	r.header.Write(&b) // writing to memory does not fail
+	_ = r.header.Write(&b) // writing to memory does not fail
 	if length < 0 {
 		b.WriteString("Transfer-Encoding: chunked\r\n")
 	} else {
--- a/internal/dataplane/httpfront/exchange.go
+++ b/internal/dataplane/httpfront/exchange.go
@@ -5,7 +5,6 @@
 	"io"
 	"net"
 	"net/http"
-	"strconv"
 	"syscall"
 	"time"
 
@@ -204,41 +203,41 @@
 	return false
 }
 
-// limiterRequest is what limits read of a request.
+// limiterRequest returns what quotas read of a request.
 func limiterRequest(k *core.Request, r *http.Request) *core.LimiterRequest {
-	a := &core.LimiterRequest{Class: k.Class, Path: r.URL.Path, Header: r.Header.Get}
+	a := &core.LimiterRequest{Class: k.Class, Path: r.URL.Path, Header: r.Header.Get, PriorityWeight: 1}
 	if k.Input.HasHint {
 		a.CostMs = k.Input.Hint
 	}
-	most := 0.0
+	highest := 0.0
 	for _, c := range k.Config.Settings.Classes {
-		most = max(most, c.PriorityWeight)
+		highest = max(highest, c.PriorityWeight)
 	}
-	if a.PriorityWeight = 1; most > 0 {
-		a.PriorityWeight = k.Config.Settings.Classes[k.Input.Class].PriorityWeight / most
+	if highest > 0 {
+		a.PriorityWeight = k.Config.Settings.Classes[k.Input.Class].PriorityWeight / highest
 	}
 	return a
 }
 
-// rejectOverLimit refuses a request that a limit of the fleet has no room for: it was not taken.
-func (s *Server) rejectOverLimit(c *client, k *core.Request, r *http.Request, no *core.LimitExceeded) bool {
-	s.figures.LimitRejections(no.Limit).Inc()
+// rejectOverLimit rejects a request that is over a quota of the fleet. It was not submitted.
+func (s *Server) rejectOverLimit(c *client, k *core.Request, r *http.Request, exceeded *core.LimitExceeded) bool {
+	s.figures.LimitRejections(exceeded.Limit).Inc()
 	s.figures.Class(k.Class).Deferred.Inc()
 	s.allRejected.recordRejection(s.figures, s.log)
-	a := newResponse(http.StatusTooManyRequests, "limited: "+no.Limit)
-	a.header.Set("Retry-After", strconv.FormatFloat(no.RetryAfter.Seconds(), 'f', 3, 64))
+	a := newResponse(http.StatusTooManyRequests, "limited: "+exceeded.Limit)
+	a.setRetryAfter(exceeded.RetryAfter)
 	last := r.Close || s.closing.Load()
-	if up := k.Payload.(*message).upload; up != nil { // its body still comes
+	if up := k.Payload.(*message).upload; up != nil { // its body is still coming
 		c.write(a, true)
 		c.linger(up.body, MaxBody, bodyGrace)
 		return false
 	}
-	whole := c.write(a, last)
+	written := c.write(a, last)
 	s.clients.endRequest(c)
-	return whole && !last
+	return written && !last
 }
 
-// requestComplete notes that a request has come whole, and watches its client.
+// requestComplete notes that the last byte of a request has come, and watches its client.
 func (s *Server) requestComplete(c *client, k *core.Request) <-chan error {
 	s.clients.expect(c, time.Duration(k.TimeAfterBody)*time.Microsecond+maxAnswerMargin)
 	c.paced.readTimeout = 0
@@ -246,12 +245,12 @@
 	return c.watch()
 }
 
-// answerEarly gives an answer while the body still comes, and reads the rest for a little: closing on unread bytes
-// would take the answer away again.
+// answerEarly gives the answer while the body is still coming, and reads the rest for a while: closing the connection with unread
+// bytes would reset it, and the answer with it.
 func (s *Server) answerEarly(c *client, k *core.Request, a core.Answer) bool {
 	a.Discard()
 	if a.Disposition == core.Served {
-		a.Disposition = core.Failed // to a part of a body, whatever it says
+		a.Disposition = core.Failed // it answers a part of a body
 	}
 	s.figures.InFlight.Add(1)
 	s.countEnd(k, a.Disposition)
@@ -267,7 +266,7 @@
 	return false
 }
 
-// rejectBody answers a body that did not come as announced.
+// rejectBody answers a client whose body did not come as announced.
 func (s *Server) rejectBody(c *client, fault *clientError) {
 	var timeout net.Error
 	switch {
@@ -280,11 +279,11 @@
 	}
 }
 
-// countEnd counts the end of a request that was taken. It is the one place that does.
-func (s *Server) countEnd(k *core.Request, v core.Disposition) {
+// countEnd counts the end of a request. Each request that beginRequest accepted comes here once.
+func (s *Server) countEnd(k *core.Request, disposition core.Disposition) {
 	s.figures.InFlight.Add(-1)
 	class := s.figures.Class(k.Class)
-	switch v {
+	switch disposition {
 	case core.Served:
 		class.Answered.Inc()
 	case core.Rejected:
@@ -295,9 +294,11 @@
 	}
 }
 
+// surplusReason rejects a client that sends more before it has its answer: the length was wrong, or it sends requests
+// ahead.
 const surplusReason = "more was sent than the request's length tells"
 
-// errorCode returns the code for what is no request, 0 if the client has sent nothing or has gone.
+// errorCode returns the status for what is not a request, 0 if the client has sent nothing or has left.
 func (s *Server) errorCode(c *client, err error) int {
 	var timeout net.Error
 	switch {
--- a/internal/dataplane/httpfront/parse.go
+++ b/internal/dataplane/httpfront/parse.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"bytes"
 	"context"
+	"errors"
 	"fmt"
 	"hash/fnv"
 	"io"
@@ -20,39 +21,107 @@
 	"birchmoor/internal/dataplane/core"
 )
 
-// badRequest says why a request is not taken.
+// badRequest is a request that is not accepted.
 type badRequest struct {
-	code   int
+	code   int // status
 	reason string
 }
 
+// Error returns the reason.
 func (e *badRequest) Error() string { return e.reason }
 
 func newBadRequest(code int, format string, args ...any) error {
 	return &badRequest{code, fmt.Sprintf(format, args...)}
 }
 
-// parse reads the rest of a request and says what is wrong with it.
+// parse checks a request and reads its body, or the beginning of a long one. If it returns a request beside an error, its budget
+// is to be released.
 func (s *Server) parse(conn *client, r *http.Request, head []byte) (*core.Request, error) {
 	config := s.loop.ConfigSnapshot()
+	if err := checkHead(r, head); err != nil {
+		return nil, err
+	}
+	class, err := classOf(config.Config, r)
+	if err != nil {
+		return nil, err
+	}
+	id := r.Header.Get("X-Trace-Id")
+	if id == "" {
+		return nil, newBadRequest(http.StatusBadRequest, "X-Trace-Id is missing")
+	}
+	settings := &config.Settings.Classes[class]
+	if err := checkMethod(r, settings, config.Classes[class]); err != nil {
+		return nil, err
+	}
+	timeout, err := clientTimeout(r, settings)
+	if err != nil {
+		return nil, err
+	}
+	k := &core.Request{
+		ID:            id,
+		Class:         config.Classes[class],
+		Config:        config,
+		Answer:        make(chan core.Answer, 1),
+		TimeAfterBody: timeout - AnswerMargin(timeout),
+		ClientGone:    conn.hasLeft,
+		Input: balancer.Request{
+			Class:  uint8(class),
+			Tenant: tenant(config.Config, r),
+			Rules:  config.Rules,
+			Key:    idempotencyKey(r.Header.Get("X-Object")),
+			Retry:  r.Header.Get("X-Second-Try") == "1",
+		},
+	}
+	if hint, err := strconv.ParseInt(r.Header.Get("X-Size-Hint"), 10, 64); err == nil && hint > 0 {
+		k.Input.Hint = hint
+		k.Input.HasHint = true
+	}
+	out := &message{method: r.Method, uri: r.RequestURI, host: r.Host, header: http.Header{}}
+	k.Payload = out
+	if err := s.body(conn, r, k); err != nil {
+		return k, err
+	}
+	// The time of a request counts from its last byte.
+	k.Input.Deadline = s.loop.Now() + k.TimeAfterBody
+	if out.upload != nil {
+		k.StreamsBody = true
+		k.Input.BodyStreaming = true
+		k.Input.Deadline = s.loop.Now() + maxUploadTime.Microseconds()
+	}
+	for name, values := range r.Header {
+		if !hopByHop(name, r.Header) && name != "X-Expires-In-Ms" {
+			out.header[name] = values
+		}
+	}
+	return k, nil
+}
+
+// checkHead checks what does not depend on the configuration.
+func checkHead(r *http.Request, head []byte) error {
 	switch {
 	case !r.ProtoAtLeast(1, 1) || r.ProtoMajor != 1:
-		return nil, newBadRequest(http.StatusHTTPVersionNotSupported, "this version of HTTP is not spoken here")
+		return newBadRequest(http.StatusHTTPVersionNotSupported, "this version of HTTP is not spoken here")
 	case len(r.TransferEncoding) > 0 && hasLength(head):
-		// A reader that goes by the one header may find a request in what is a body by the other.
-		return nil, newBadRequest(http.StatusBadRequest, "a Content-Length or chunks, not both")
+		// A server that goes by one of the headers may find a request in what is a body by the other.
+		return newBadRequest(http.StatusBadRequest, "a Content-Length or chunks, not both")
 	case r.ContentLength > MaxBody:
-		return nil, newBadRequest(http.StatusRequestEntityTooLarge, "the body is over %d bytes", MaxBody)
+		return newBadRequest(http.StatusRequestEntityTooLarge, "the body is over %d bytes", MaxBody)
 	case !strings.HasPrefix(r.RequestURI, "/"):
-		return nil, newBadRequest(http.StatusBadRequest, "the target must be a path")
+		return newBadRequest(http.StatusBadRequest, "the target must be a path")
 	case !isVisibleASCII(r.Host):
-		return nil, newBadRequest(http.StatusBadRequest, "Host makes no sense")
+		return newBadRequest(http.StatusBadRequest, "Host makes no sense")
 	}
 	for _, name := range []string{"X-Trace-Id", "X-Qos", "X-Expires-In-Ms", "Idempotency-Key"} {
-		if v := r.Header[name]; len(v) > 1 || len(v) == 1 && !isVisibleASCII(v[0]) {
-			return nil, newBadRequest(http.StatusBadRequest, "%s makes no sense", name)
+		values := r.Header[name]
+		if len(values) > 1 || len(values) == 1 && !isVisibleASCII(values[0]) {
+			return newBadRequest(http.StatusBadRequest, "%s makes no sense", name)
 		}
 	}
+	return nil
+}
+
+// classOf returns the index of a request's class, which is named by a header, by the path, or by both alike.
+func classOf(config *config.Config, r *http.Request) (int, error) {
 	first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	name := r.Header.Get("X-Qos")
 	if name == "" {
@@ -60,80 +129,61 @@
 	}
 	class := slices.Index(config.Classes, name)
 	if class < 0 {
-		return nil, newBadRequest(http.StatusNotFound, "unknown class %q", name)
+		return 0, newBadRequest(http.StatusNotFound, "unknown class %q", name)
 	}
 	if name != first {
-		return nil, newBadRequest(http.StatusBadRequest, "X-Qos %q is not the first part of the path", name)
-	}
-	id := r.Header.Get("X-Trace-Id")
-	if id == "" {
-		return nil, newBadRequest(http.StatusBadRequest, "X-Trace-Id is missing")
+		return 0, newBadRequest(http.StatusBadRequest, "X-Qos %q is not the first part of the path", name)
 	}
-	settings := &config.Settings.Classes[class]
+	return class, nil
+}
+
+// checkMethod checks method, body and idempotency key against the class.
+func checkMethod(r *http.Request, class *balancer.Class, name string) error {
 	method := http.MethodPost
-	if settings.Idempotency == balancer.Idempotent {
+	if class.Idempotency == balancer.Idempotent {
 		method = http.MethodGet
 	}
 	if r.Method != method {
-		return nil, newBadRequest(http.StatusMethodNotAllowed, "class %q takes %s", name, method)
+		return newBadRequest(http.StatusMethodNotAllowed, "class %q takes %s", name, method)
 	}
 	if method == http.MethodGet && r.ContentLength != 0 {
-		return nil, newBadRequest(http.StatusBadRequest, "class %q takes no body", name)
-	}
-	if settings.Idempotency == balancer.WithIdempotencyKey && r.Header.Get("Idempotency-Key") == "" {
-		return nil, newBadRequest(http.StatusBadRequest, "Idempotency-Key is missing") // a repeat would not be known as one
+		return newBadRequest(http.StatusBadRequest, "class %q takes no body", name)
 	}
-	left := settings.Timeout
-	if text := r.Header.Get("X-Expires-In-Ms"); text != "" {
-		ms, err := strconv.ParseUint(text, 10, 63)
-		if err != nil {
-			return nil, newBadRequest(http.StatusBadRequest, "X-Expires-In-Ms is not a whole number of milliseconds")
-		}
-		left = min(left, int64(min(ms, math.MaxInt32))*1000)
+	if class.Idempotency == balancer.WithIdempotencyKey && r.Header.Get("Idempotency-Key") == "" {
+		// Without it no endpoint would recognise a repetition.
+		return newBadRequest(http.StatusBadRequest, "Idempotency-Key is missing")
 	}
-	c := &core.Request{ID: id, Class: name, Config: config, Answer: make(chan core.Answer, 1), Input: balancer.Request{Class: uint8(class), Tenant: tenant(config.Config, r), Rules: config.Rules,
-		Key: idempotencyKey(r.Header.Get("X-Object")), Retry: r.Header.Get("X-Second-Try") == "1"},
-		TimeAfterBody: left - AnswerMargin(left)}
-	if hint, err := strconv.ParseInt(r.Header.Get("X-Size-Hint"), 10, 64); err == nil && hint > 0 {
-		c.Input.Hint, c.Input.HasHint = hint, true
-	}
-	c.ClientGone = conn.hasLeft
-	out := &message{method: r.Method, uri: r.RequestURI, host: r.Host, header: http.Header{}}
-	c.Payload = out
-	if err := s.body(conn, r, c); err != nil {
-		return c, err
-	}
-	// The time of a request counts from its last byte.
-	c.Input.Deadline = s.loop.Now() + c.TimeAfterBody
-	if c.StreamsBody = out.upload != nil; c.StreamsBody {
-		c.Input.BodyStreaming, c.Input.Deadline = true, s.loop.Now()+maxUploadTime.Microseconds()
+	return nil
+}
+
+// clientTimeout returns how long the client waits: by the class, or by a header if that is less.
+func clientTimeout(r *http.Request, class *balancer.Class) (balancer.Micros, error) {
+	text := r.Header.Get("X-Expires-In-Ms")
+	if text == "" {
+		return class.Timeout, nil
 	}
-	for k, v := range r.Header {
-		if !hopByHop(k, r.Header) && k != "X-Expires-In-Ms" {
-			out.header[k] = v
-		}
+	ms, err := strconv.ParseUint(text, 10, 63)
+	if err != nil {
+		return 0, newBadRequest(http.StatusBadRequest, "X-Expires-In-Ms is not a whole number of milliseconds")
 	}
-	return c, nil
+	return min(class.Timeout, int64(min(ms, math.MaxInt32))*1000), nil
 }
 
-// hasLength says whether a head names a Content-Length. http.ReadRequest drops it where there are chunks.
+// hasLength reports whether a head has a Content-Length, which http.ReadRequest drops if there are chunks.
 func hasLength(head []byte) bool {
 	_, head, _ = bytes.Cut(head, []byte("\n"))
 	header, _ := textproto.NewReader(bufio.NewReader(bytes.NewReader(head))).ReadMIMEHeader()
 	return len(header["Content-Length"]) > 0
 }
 
-// body reads the body, or the beginning of a long one. What follows it before the answer is no request: clients
-// send one at a time, so the length is wrong, and who sent it must not be served with what an endpoint makes of
-// a part.
+// body reads the body, or the beginning of a long one. Bytes that follow it before the answer are not another request, since
+// clients send one at a time: the length is wrong, and the client must not be served with the answer to a part.
 func (s *Server) body(c *client, r *http.Request, k *core.Request) error {
-	length := r.ContentLength
-	if expect := r.Header.Get("Expect"); strings.EqualFold(expect, "100-continue") && length != 0 {
-		io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n") // that it failed shows when reading
-	} else if expect != "" {
-		return newBadRequest(http.StatusExpectationFailed, "Expect makes no sense")
+	if err := acceptExpect(c, r); err != nil {
+		return err
 	}
-	want := int(min(uint64(length), MaxBufferedBody)) // all that may be for a length that is not known
+	length := r.ContentLength
+	want := int(min(uint64(length), MaxBufferedBody)) // the maximum for an unknown length, which is negative
 	if want > unbudgetedBytes {
 		ctx, cancel := context.WithTimeout(context.Background(), budgetTimeout)
 		defer cancel()
@@ -142,28 +192,27 @@
 		}
 		k.BudgetBytes = want
 	}
-	if c.limit.N = 2 * MaxBody; length >= 0 {
+	c.limit.N = 2 * MaxBody
+	if length >= 0 {
 		c.limit.N = max(0, length-int64(c.r.Buffered())) + 1
 	}
 	c.paced.readTimeout = maxBodyStall
-	buf := make([]byte, want)
-	n, begun := 0, time.Now()
-	for n < want {
-		more, err := r.Body.Read(buf[n:])
-		n += more
-		if err == io.EOF && (length < 0 || int64(n) == length) {
-			length = int64(n)
-			break
-		}
-		if err != nil || time.Since(begun) > bodyGrace+time.Duration(n)*time.Second/minBodyRate {
-			return newBadRequest(http.StatusBadRequest, "the body is not whole")
-		}
+	buf, n, length, err := readBeginning(r.Body, want, length)
+	if err != nil {
+		return err
 	}
 	out := k.Payload.(*message)
 	out.body = buf[:n]
 	if int64(n) != length {
-		out.upload = &upload{body: r.Body, length: length, answerTime: k.TimeAfterBody, beginningBytes: n, buf: buf,
-			ended: make(chan error, 1), unread: make(chan struct{})}
+		out.upload = &upload{
+			body:           r.Body,
+			length:         length,
+			answerTime:     k.TimeAfterBody,
+			beginningBytes: n,
+			buf:            buf,
+			ended:          make(chan error, 1),
+			unread:         make(chan struct{}),
+		}
 		return nil
 	}
 	c.paced.readTimeout = 0
@@ -173,12 +222,43 @@
 	return nil
 }
 
-// isVisibleASCII says whether a header's value is plain text of some length.
+// acceptExpect answers an expectation before the body.
+func acceptExpect(c *client, r *http.Request) error {
+	expect := r.Header.Get("Expect")
+	if strings.EqualFold(expect, "100-continue") && r.ContentLength != 0 {
+		_, _ = io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n") // a failure shows when the body is read
+		return nil
+	}
+	if expect != "" {
+		return newBadRequest(http.StatusExpectationFailed, "Expect makes no sense")
+	}
+	return nil
+}
+
+// readBeginning reads up to want bytes of a body into a buffer. It returns how many came, and the body's length, which is
+// known at its end if it was not before.
+func readBeginning(body io.Reader, want int, length int64) (buf []byte, n int, knownLength int64, err error) {
+	buf = make([]byte, want)
+	begun := time.Now()
+	for n < want {
+		more, err := body.Read(buf[n:])
+		n += more
+		if errors.Is(err, io.EOF) && (length < 0 || int64(n) == length) {
+			return buf, n, int64(n), nil
+		}
+		if err != nil || time.Since(begun) > bodyGrace+time.Duration(n)*time.Second/minBodyRate {
+			return nil, n, length, newBadRequest(http.StatusBadRequest, "the body is not whole")
+		}
+	}
+	return buf, n, length, nil
+}
+
+// isVisibleASCII reports whether a header's value is visible ASCII text and not empty.
 func isVisibleASCII(v string) bool {
 	return v != "" && !strings.ContainsFunc(v, func(c rune) bool { return c <= ' ' || c > '~' })
 }
 
-// tenant returns the tenant's place in the settings, or one past all places.
+// tenant returns the index of the request's tenant in the settings, or one beyond all.
 func tenant(c *config.Config, r *http.Request) uint16 {
 	if i := slices.Index(c.Tenants, r.Header.Get("X-Customer")); i >= 0 {
 		return uint16(i)
@@ -186,7 +266,7 @@
 	return math.MaxUint16
 }
 
-// idempotencyKey turns what a request is about into a number; 0 is none.
+// idempotencyKey returns a number for the object of a request; 0 for none.
 func idempotencyKey(object string) uint64 {
 	if object == "" {
 		return 0
@@ -195,11 +275,11 @@
 		return v
 	}
 	h := fnv.New64a()
-	io.WriteString(h, object)
+	_, _ = io.WriteString(h, object) // it never fails
 	return h.Sum64()
 }
 
-// hopByHop says whether a header concerns one connection only.
+// hopByHop reports whether a header concerns one connection only.
 func hopByHop(name string, h http.Header) bool {
 	switch name {
 	case "Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
