--- a/internal/dataplane/httpfront/clientconn.go
+++ b/internal/dataplane/httpfront/clientconn.go
@@ -14,8 +14,8 @@
 // past is a deadline that ends a read at once.
 var past = time.Unix(1, 0)
 
-// Read reads what the client sends. As long as no request is taken, whether something is read or the connection is given
-// up is decided under the mutex, one or the other: what was read has its request served, and what was not is not.
+// Read reads what the client sends. While no request is open, whether something is read or the connection is given
+// up is decided under the mutex: a request of which something was read is served, and no other.
 func (c *client) Read(b []byte) (n int, err error) {
 	if c.hasRequest || c.raw == nil {
 		n, err = c.Conn.Read(b)
@@ -24,13 +24,14 @@
 	}
 	n, err = c.readOwned(b)
 	if errors.Is(err, os.ErrDeadlineExceeded) && c.clients.mayEnd(c) {
-		// Woken to leave: a last look at what has come decides.
+		// Woken to end: what has come by now decides.
 		c.setReadDeadline(time.Now().Add(RequestTimeout))
 		n, err = c.readOwned(b)
 	}
 	return n, err
 }
 
+// readOwned reads under the mutex, and changes the state by what has come.
 func (c *client) readOwned(b []byte) (n int, err error) {
 	wait := c.raw.Read(func(fd uintptr) bool {
 		c.clients.mu.Lock()
@@ -44,7 +45,7 @@
 			return true
 		}
 		n, err = syscall.Read(int(fd), b)
-		for err == syscall.EINTR {
+		for errors.Is(err, syscall.EINTR) {
 			n, err = syscall.Read(int(fd), b)
 		}
 		n = max(n, 0)
@@ -52,13 +53,15 @@
 		switch {
 		case n > 0:
 			if c.askedToEnd {
-				c.setReadDeadline(time.Now().Add(RequestTimeout)) // woken, and read all the same
+				c.setReadDeadline(time.Now().Add(RequestTimeout)) // woken to end, but a request has begun
 			}
-			c.state, c.askedToEnd = stateReading, false
-		case err == syscall.EAGAIN && c.askedToEnd:
-			c.state, err = stateLingering, net.ErrClosed
+			c.state = stateReading
+			c.askedToEnd = false
+		case errors.Is(err, syscall.EAGAIN) && c.askedToEnd:
+			c.state = stateLingering
+			err = net.ErrClosed
 			c.clients.moveLocked(c, c.clients.lingering)
-		case err == syscall.EAGAIN:
+		case errors.Is(err, syscall.EAGAIN):
 			err = nil
 			return false
 		case err == nil:
@@ -72,14 +75,15 @@
 	return n, err
 }
 
+// noteRead notes that n bytes have come.
 func (c *client) noteRead(n int) {
 	if n > 0 {
 		c.lastReadAt.Store(time.Now().UnixMicro())
 	}
 }
 
-// watch returns a channel on which one error comes when the client leaves, or nil when it sends something
-// before it has its answer. To end the watch, set a deadline in the past.
+// watch returns a channel that gets one error: why the client left, or nil if it sent something before its answer.
+// To end the watch, set a deadline in the past.
 func (c *client) watch() <-chan error {
 	c.setReadDeadline(time.Time{})
 	c.limit.N = 1
@@ -91,8 +95,9 @@
 	return gone
 }
 
-// watchDuringUpload watches for the leaving of a client whose body still comes, and must not be read yet: its end stands behind what
-// it has sent, but the system has it. Left is closed then. Stop ends the watch, and must be called before anybody reads.
+// watchDuringUpload watches for the leaving of a client whose body is still coming and must not be read yet: its
+// end is behind unread bytes, but the system knows of it. left is closed then. stop ends the watch, and must be
+// called before anything is read.
 func (c *client) watchDuringUpload() (left <-chan struct{}, stop func()) {
 	if c.raw == nil {
 		return nil, func() {}
@@ -101,7 +106,7 @@
 	c.setReadDeadline(time.Time{})
 	go func() {
 		defer close(over)
-		// Asked at each change of the connection.
+		// The function is called at each change of the connection.
 		if err := c.raw.Read(func(fd uintptr) bool { return !isEstablished(fd) }); err == nil {
 			close(gone)
 		}
@@ -112,17 +117,17 @@
 	})
 }
 
-// hasLeft looks whether the client has closed its connection, or ended its sending, also behind bytes that nobody has read. Any
-// goroutine may ask, also beside a read; of a connection that is closed here it says that it has.
+// hasLeft reports whether the client has closed its connection or ended its sending, also behind unread bytes, or
+// the connection was closed here. Any goroutine may call it, also beside a read.
 func (c *client) hasLeft() bool {
 	if c.raw == nil {
 		return false
 	}
 	gone := true
-	c.raw.Control(func(fd uintptr) {
+	_ = c.raw.Control(func(fd uintptr) { // fails once the connection is closed here
 		var b [1]byte
 		switch n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT); {
-		case err == syscall.EAGAIN:
+		case errors.Is(err, syscall.EAGAIN):
 			gone = false
 		case n > 0:
 			gone = !isEstablished(fd)
@@ -131,15 +136,16 @@
 	return gone
 }
 
-// isEstablished says whether neither side of a connection has ended, whatever stands unread on it. Where the system does not tell it does.
+// isEstablished reports whether neither side of a connection has ended, whatever is unread on it. Where the system
+// does not say, it returns true.
 func isEstablished(fd uintptr) bool {
 	info, err := syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_INFO)
-	var state [4]byte // the first of what the system tells
+	var state [4]byte // the first bytes of struct tcp_info, of which the state is the first
 	binary.NativeEndian.PutUint32(state[:], uint32(info))
 	return err != nil || state[0] == tcpEstablished
 }
 
-const tcpEstablished = 1 // of a TCP connection's states, the one in which neither side has ended
+const tcpEstablished = 1 // TCP_ESTABLISHED of Linux
 
 const (
 	writeTimeout   = time.Second
@@ -147,14 +153,15 @@
 	maxLingerBytes = 64 << 10
 )
 
-// reject answers what is not taken, and ends the connection's use.
+// reject answers what is not submitted, and closes the connection.
 func (c *client) reject(code int, reason string) { c.write(newResponse(code, reason), true) }
 
-// linger reads what the client may still be sending, for a while.
-func (c *client) linger(r io.Reader, most int64, span time.Duration) {
-	c.lingered, c.paced.readTimeout = true, 0
+// linger discards what the client may still be sending, for a while.
+func (c *client) linger(r io.Reader, limit int64, span time.Duration) {
+	c.lingered = true
+	c.paced.readTimeout = 0
 	c.setReadDeadline(time.Now().Add(span))
-	io.CopyN(io.Discard, r, most)
+	_, _ = io.CopyN(io.Discard, r, limit) // what comes, or fails to, does not matter
 }
 
 // setReadDeadline sets the deadline of reads. It fails on a closed connection alone, where reads fail as well.
--- a/internal/dataplane/httpfront/clients.go
+++ b/internal/dataplane/httpfront/clients.go
@@ -16,62 +16,63 @@
 	"birchmoor/internal/platform/metrics"
 )
 
-// connState is where a client's connection is in its life. Only clients changes it, under its mutex: what has been read
-// of a request and whether the connection is given up are decided in one place.
+// connState is the state of a client's connection. It changes under the mutex of clients alone: whether something
+// of a request was read, and whether the connection is given up, is decided in one place.
 type connState uint8
 
 const (
-	stateNew       connState = iota // nothing has been read from it
-	stateReading                    // a request has begun to be read, and is not taken yet
-	stateActive                     // a request was taken, and is owed its answer
-	stateIdle                       // it has had an answer, and nothing of another request has been read
-	stateLingering                  // nothing is taken any more: our sending ends, and what still comes is read out
+	stateNew       connState = iota // nothing has been read
+	stateReading                    // a request is being read
+	stateActive                     // a request was submitted, and will get its answer
+	stateIdle                       // it has had an answer, and nothing of another request was read
+	stateLingering                  // no request is accepted any more: sending has ended, and what still comes is discarded
 	stateClosed
 )
 
-// client is a client's connection. Its goroutine owns it: that one reads, answers and closes. Others ask for its end.
+// client is a client's connection. Its goroutine owns it: it reads, answers and closes. Others may only ask for its
+// end.
 type client struct {
 	net.Conn
 	clients *clients
 	raw     syscall.RawConn // nil where the connection has none
 	paced   pacedConn
-	limit   io.LimitedReader // what may still be read for the present request
+	limit   io.LimitedReader // what may still be read of the current request
 	r       *bufio.Reader
 
-	hasRequest bool // the owner's: a request is open, so that nobody else ends the connection
-	lingered   bool // the owner's: what still came has been read out
+	hasRequest bool // used by the owner: a request is open, so that the owner alone ends the connection
+	lingered   bool // used by the owner: what still came has been discarded
 
 	// Guarded by clients.mu.
 	state       connState
-	askedToEnd  bool          // to end where nothing of another request has come
-	endsReading bool          // nothing more of a request that is not whole is to be read
-	element     *list.Element // in one of clients' lists
-	list        *list.List    // that list
-	since       time.Time     // that it has been there
-	dueAt       time.Time     // when its open request is past its time without an answer; zero: it is not waited for that
-
-	lastReadAt atomic.Int64 // when it last sent something, in Unix microseconds; 0: never
+	askedToEnd  bool          // to end unless something of another request has come
+	endsReading bool          // the reading of an incomplete request is to end
+	element     *list.Element // in list
+	list        *list.List    // one of those of clients
+	since       time.Time     // when it was added to list
+	dueAt       time.Time     // when its open request counts as unanswered; zero: it does not
+
+	lastReadAt atomic.Int64 // Unix microseconds; 0: never
 }
 
-// clients accepts connections and bounds their number. The sidecar does this itself, not http.Server, since it
-// must know what else waits on a connection behind a request, and which connection it can best do without.
+// clients accepts connections and bounds their number. http.Server is not used, since it does not show what else
+// waits on a connection behind a request, nor which connection is needed least.
 type clients struct {
 	maxConns int
-	serve    func(*client) // until the connection is to be closed
+	serve    func(*client) // serves a connection until it is to be closed
 	log      *slog.Logger
 
 	mu        sync.Mutex
-	active    *list.List // *client: those with an open request
-	unused    *list.List // *client: those that have had none yet, the oldest first
-	idle      *list.List // *client: those that have had one, the one without for longest first
-	lingering *list.List // *client: those whose end has begun
+	active    *list.List // *client with an open request
+	unused    *list.List // *client without a request so far, the oldest first
+	idle      *list.List // *client that had one, the one idle for longest first
+	lingering *list.List // *client whose end has begun
 	closing   bool
 	serving   sync.WaitGroup
 
-	unanswered   *metrics.Counter // requests past their time
-	overdue      int              // of them, those that have not been logged
-	overdueTimer *time.Timer      // to look for more
-	timerRunning bool             // it is running
+	unanswered   *metrics.Counter // requests past their deadline
+	overdue      int              // of them, those that were not logged yet
+	overdueTimer *time.Timer      // calls reportOverdue
+	timerRunning bool             // of overdueTimer
 }
 
 func newClients(most int, talk func(*client), unanswered *metrics.Counter, log *slog.Logger) *clients {
@@ -85,7 +86,7 @@
 )
 
 // accept serves connections until ln is closed or its deadline has passed.
-func (k *clients) accept(ln net.Listener) error {
+func (k *clients) accept(ln net.Listener) {
 	wait := minAcceptBackoff
 	for {
 		nc, err := ln.Accept()
@@ -94,9 +95,9 @@
 			wait = minAcceptBackoff
 			k.add(nc)
 		case errors.Is(err, net.ErrClosed), errors.Is(err, os.ErrDeadlineExceeded):
-			return nil
+			return
 		default:
-			// No descriptor is left, perhaps: one that is not needed makes room.
+			// Descriptors may have run out: closing a connection frees one.
 			if wait == minAcceptBackoff {
 				k.log.Warn("accept", "error", err)
 			}
@@ -107,6 +108,7 @@
 	}
 }
 
+// add serves a new connection, in place of another one if there are too many.
 func (k *clients) add(nc net.Conn) {
 	c := &client{Conn: nc, clients: k, since: time.Now()}
 	if sc, ok := nc.(syscall.Conn); ok {
@@ -120,7 +122,7 @@
 	if k.lenLocked() >= k.maxConns {
 		if out = k.evictLocked(); out == nil {
 			k.mu.Unlock()
-			nc.Close() // all others are waiting for their answers
+			nc.Close() // all others wait for their answers
 			return
 		}
 	}
@@ -139,17 +141,20 @@
 	return k.active.Len() + k.unused.Len() + k.idle.Len() + k.lingering.Len()
 }
 
-// moveLocked moves a connection to the end of a list, or out of all.
+// moveLocked moves a connection to the end of a list; nil removes it from its list.
 func (k *clients) moveLocked(c *client, to *list.List) {
 	if c.element != nil {
 		c.list.Remove(c.element)
 	}
-	if c.element, c.list = nil, to; to != nil {
+	c.element = nil
+	c.list = to
+	if to != nil {
 		c.element = to.PushBack(c)
 	}
 }
 
-// beginRequest notes that a connection has an open request, unless its place was wanted before that was whole.
+// beginRequest notes that a connection has an open request. It returns false if the connection was given up before
+// the request was complete.
 func (k *clients) beginRequest(c *client) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -160,23 +165,28 @@
 		return false
 	}
 	k.moveLocked(c, k.active)
-	c.state, c.hasRequest = stateActive, true
+	c.state = stateActive
+	c.hasRequest = true
 	k.scheduleReportLocked()
 	return true
 }
 
-// endRequest notes that a request has its answer. Where connections end with their answers, a last look decides, as for those
-// that rested before.
+// endRequest notes that a request has its answer. If connections end with their answers, the owner still looks
+// whether another request has begun.
 func (k *clients) endRequest(c *client) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.overdueLocked(c, time.Now())
 	c.dueAt = time.Time{}
-	c.since, c.state, c.hasRequest, c.askedToEnd = time.Now(), stateIdle, false, k.closing
+	c.since = time.Now()
+	c.state = stateIdle
+	c.hasRequest = false
+	c.askedToEnd = k.closing
 	k.moveLocked(c, k.idle)
 }
 
-// keepOpen notes that what was read was answered without being taken, and says whether the connection may stay open.
+// keepOpen notes that what was read was answered without being submitted, and reports whether the connection may
+// stay open.
 func (k *clients) keepOpen(c *client) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -190,15 +200,16 @@
 	return false
 }
 
-// remove ends a connection: our sending, then what the client may still be sending, which is read out for a little, since
-// closing on unread bytes would take the last answer away from it again, and then all.
+// remove ends a connection: first sending, then, after what the client may still be sending was read for a while,
+// all. Closing with unread bytes would reset the connection, and the last answer with it.
 func (k *clients) remove(c *client) {
 	k.mu.Lock()
 	if c.state == stateActive {
 		k.overdueLocked(c, time.Now())
 	}
 	if c.state != stateClosed {
-		c.state, c.hasRequest = stateLingering, true
+		c.state = stateLingering
+		c.hasRequest = true
 		k.moveLocked(c, k.lingering)
 	}
 	lingers := c.state == stateLingering && !c.lingered
--- a/internal/dataplane/httpfront/download.go
+++ b/internal/dataplane/httpfront/download.go
@@ -1,31 +1,32 @@
 package httpfront
 
 import (
+	"errors"
 	"io"
 	"net/http/httputil"
 
 	"birchmoor/internal/dataplane/core"
 )
 
-// download is an answer that is passed on while it comes. One goroutine has it at a time; whoever has it last
-// calls done.
+// download is an answer that is passed on while it comes. One goroutine owns it at a time; the last one calls done.
 type download struct {
-	beginning []byte    // what has been read
-	more      io.Reader // what comes behind that
-	length    int64     // of the whole; -1: not known
-	buf       []byte    // to pass it on through; begin is a part of it
+	beginning []byte    // what was read so far
+	more      io.Reader // what follows that
+	length    int64     // of the complete body; -1: unknown
+	buf       []byte    // through which it is passed on; beginning is a part of it
 	done      func(how core.StreamEnd)
 }
 
-// copyTo passes the answer's body on, and says how that went.
+// copyTo passes the body on, and returns how that ended. progress is called before each write.
 func (d *download) copyTo(w io.Writer, progress func()) core.StreamEnd {
-	var out io.Writer = w
+	out := w
 	var chunks io.WriteCloser
 	if d.length < 0 {
 		chunks = httputil.NewChunkedWriter(w)
 		out = chunks
 	}
-	piece, total := d.beginning, int64(0)
+	piece := d.beginning
+	var total int64
 	for {
 		if len(piece) > 0 {
 			progress()
@@ -35,10 +36,11 @@
 		}
 		n, err := d.more.Read(d.buf)
 		piece = d.buf[:n]
-		if total += int64(n); total > MaxBody {
+		total += int64(n)
+		if total > MaxBody {
 			return core.StreamCut
 		}
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			if n > 0 {
 				progress()
 				if _, err := out.Write(piece); err != nil {
--- a/internal/dataplane/httpfront/eviction.go
+++ b/internal/dataplane/httpfront/eviction.go
@@ -5,85 +5,110 @@
 	"time"
 )
 
+// The connection that is closed for a new one, or when descriptors run out, is one that is hardly missed.
 const (
-	firstRequestTimeout   = 100 * time.Millisecond // whoever connects to ask does it within this
-	stalledRequestTimeout = 500 * time.Millisecond // and has not stopped half way if it has said something within this
-	reuseTimeout          = time.Second            // a connection without a request for so long is hardly missed
+	firstRequestTimeout   = 100 * time.Millisecond // in which a client that connects to send a request begins it
+	stalledRequestTimeout = 500 * time.Millisecond // after which a request that is not complete counts as stalled
+	reuseTimeout          = time.Second            // after which an idle connection counts as not used any more
 )
 
-// evict closes the connection that will be missed least, and says whether there was one.
-func (k *clients) evict() bool {
+// evict closes the connection that is needed least, if there is one.
+func (k *clients) evict() {
 	k.mu.Lock()
 	c := k.evictLocked()
 	k.mu.Unlock()
-	if c == nil {
-		return false
+	if c != nil {
+		c.Close()
 	}
-	c.Close()
-	return true
 }
 
-// evictLocked gives up the connection without an open request that will be missed least: one whose end has begun; one
-// that has never said anything, then one that stopped half way in its first request, then one that was used long ago;
-// and if all seem in use, the oldest that has asked nothing yet. The caller closes it, at once since its place is wanted,
-// and once it holds the mutex no more: closing waits for a read, and a read for the mutex.
+// evictLocked gives up the connection without an open request that is needed least, and returns it, or nil. The
+// caller closes it at once, but without the mutex: closing waits for a read, and a read for the mutex.
 func (k *clients) evictLocked() *client {
+	out := k.leastNeededLocked()
+	if out == nil {
+		return nil
+	}
+	k.moveLocked(out, nil)
+	out.state = stateClosed
+	return out
+}
+
+// leastNeededLocked returns a connection whose end has begun; else one that never sent anything, one that stalled
+// in its first request, or one that was used long ago, in this order; and if all seem in use, the oldest without a
+// request.
+func (k *clients) leastNeededLocked() *client {
 	now := time.Now()
-	var silent, half, kept, oldest *client
+	silent, stalled, oldest := k.unusedCandidatesLocked(now)
+	idle := k.idleCandidateLocked(now)
+	switch {
+	case k.lingering.Len() > 0:
+		return k.lingering.Front().Value.(*client)
+	case silent != nil:
+		return silent
+	case stalled != nil:
+		return stalled
+	case idle != nil && (oldest == nil || now.Sub(idle.since) > reuseTimeout):
+		return idle
+	default:
+		return oldest
+	}
+}
+
+// unusedCandidatesLocked returns, of the connections without a request so far, the oldest that is silent, the one
+// that has been stalled for longest, and the oldest of which nothing was read.
+func (k *clients) unusedCandidatesLocked(now time.Time) (silent, stalled, oldest *client) {
 	for at := k.unused.Front(); at != nil && silent == nil; at = at.Next() {
 		c := at.Value.(*client)
-		switch heard := c.lastReadAt.Load(); {
-		case heard == 0 && silent == nil && now.Sub(c.since) > firstRequestTimeout:
-			silent = c
-		case heard != 0 && now.Sub(time.UnixMicro(heard)) > stalledRequestTimeout && (half == nil || heard < half.lastReadAt.Load()):
-			half = c
+		lastRead := c.lastReadAt.Load()
+		switch {
+		case lastRead == 0:
+			if now.Sub(c.since) > firstRequestTimeout {
+				silent = c
+			}
+		case now.Sub(time.UnixMicro(lastRead)) > stalledRequestTimeout:
+			if stalled == nil || lastRead < stalled.lastReadAt.Load() {
+				stalled = c
+			}
 		}
 		if oldest == nil && c.state == stateNew {
 			oldest = c
 		}
 	}
-	for at := k.idle.Front(); at != nil && kept == nil; at = at.Next() {
-		if c := at.Value.(*client); c.state == stateIdle || now.Sub(time.UnixMicro(c.lastReadAt.Load())) > stalledRequestTimeout {
-			kept = c
+	return silent, stalled, oldest
+}
+
+// idleCandidateLocked returns the connection that has been idle for longest, or whose next request stalled.
+func (k *clients) idleCandidateLocked(now time.Time) *client {
+	for at := k.idle.Front(); at != nil; at = at.Next() {
+		c := at.Value.(*client)
+		stalled := now.Sub(time.UnixMicro(c.lastReadAt.Load())) > stalledRequestTimeout
+		if c.state == stateIdle || stalled {
+			return c
 		}
 	}
-	var out *client
-	switch {
-	case k.lingering.Len() > 0:
-		out = k.lingering.Front().Value.(*client)
-	case silent != nil:
-		out = silent
-	case half != nil:
-		out = half
-	case kept != nil && (oldest == nil || now.Sub(kept.since) > reuseTimeout):
-		out = kept
-	case oldest != nil:
-		out = oldest
-	default:
-		return nil
-	}
-	k.moveLocked(out, nil)
-	out.state = stateClosed
-	return out
+	return nil
 }
 
-// askToEndLocked asks for the end of a connection: its owner takes a last look, and where nothing of another request has come,
-// ends it. Of a request that has begun to be read, it ends the reading, and what is whole by then is served. The owner is woken with
-// the mutex held: a wake behind the reading of a request would end that, or pass for its client's leaving.
+// askToEndLocked wakes the owner of a connection. If nothing of another request has come it ends the connection; if
+// a request is being read it ends the reading, and serves the request if that is complete by then. The wake is
+// given under the mutex: after the request was read it would end that, or pass for its client's leaving.
 func (k *clients) askToEndLocked(c *client) {
-	c.askedToEnd, c.endsReading = c.state != stateReading, c.state == stateReading
+	reading := c.state == stateReading
+	c.askedToEnd = !reading
+	c.endsReading = reading
 	c.setReadDeadline(past)
 }
 
-// mayEnd says whether a connection is asked to end, and nothing of a request has been read.
+// mayEnd reports whether a connection was asked to end, and nothing of a request has been read.
 func (k *clients) mayEnd(c *client) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return c.askedToEnd && (c.state == stateNew || c.state == stateIdle)
 }
 
-// closeIdleFor ends the connections that were used and have had no open request for longer than age, and returns
-// how many are open then. Those that have asked nothing yet have a time of their own.
+// closeIdleFor ends connections that were used and have had no open request for longer than age, and returns how
+// many are open. Those without a request so far have a timeout of their own.
 func (k *clients) closeIdleFor(age time.Duration) int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -95,8 +120,7 @@
 	return k.lenLocked()
 }
 
-// closeIdle ends the connections that were used and have no open request; those with one end once they have
-// their answers.
+// closeIdle ends connections that were used and have no open request; those with one end with their answers.
 func (k *clients) closeIdle() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -108,9 +132,9 @@
 	}
 }
 
-// closeUnused ends the connections that have asked nothing yet, but for those that are about to unless all are to
-// go, and returns how many are still about to ask, also again.
-func (k *clients) closeUnused(all bool) (asking int) {
+// closeUnused ends connections without a request so far: all, or those that are not expected to send one. It
+// returns how many are expected to, or are reading another one.
+func (k *clients) closeUnused(all bool) (expected int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
@@ -121,9 +145,9 @@
 				k.askToEndLocked(c)
 			}
 			if of == k.unused || c.state == stateReading {
-				asking++
+				expected++
 			}
 		}
 	}
-	return asking
+	return expected
 }
--- a/internal/dataplane/httpfront/exchange.go
+++ b/internal/dataplane/httpfront/exchange.go
@@ -11,8 +11,8 @@
 	"birchmoor/internal/dataplane/core"
 )
 
-// exchange reads one request and gives its answer. The request must be complete by an instant or, if that is zero, within
-// RequestTimeout of its first byte. It reports whether the connection may serve another one.
+// exchange reads one request and gives its answer. The request must be complete by an instant or, if that is zero,
+// within RequestTimeout of its first byte. It reports whether the connection may serve another one.
 func (s *Server) exchange(c *client, until time.Time) bool {
 	r, head, ok := s.readHead(c, until)
 	if !ok {
@@ -107,7 +107,8 @@
 	left     <-chan struct{} // its leaving while its body is still coming
 }
 
-// run submits the request, and returns once its answer has gone out. It reports whether the connection may serve another one.
+// run submits the request, and returns once its answer has gone out. It reports whether the connection may serve
+// another one.
 func (x *exchange) run() bool {
 	s, k := x.server, x.request
 	if up := k.Payload.(*message).upload; up != nil {
@@ -191,8 +192,8 @@
 	s.loop.ClientLeft(k)
 	a := x.awaitAnswer()
 	if errors.Is(err, io.EOF) {
-		// The end of sending is taken for the client's leaving, and nothing begins for it any more. A client that still
-		// listens gets an answer that says so.
+		// The end of sending is taken for the client's leaving, and nothing begins for it any more. A client that
+		// still listens gets an answer that says so.
 		return s.answer(c, k, a, true)
 	}
 	a.Discard()
@@ -245,8 +246,8 @@
 	return c.watch()
 }
 
-// answerEarly gives the answer while the body is still coming, and reads the rest for a while: closing the connection with unread
-// bytes would reset it, and the answer with it.
+// answerEarly gives the answer while the body is still coming, and reads the rest for a while: closing the
+// connection with unread bytes would reset it, and the answer with it.
 func (s *Server) answerEarly(c *client, k *core.Request, a core.Answer) bool {
 	a.Discard()
 	if a.Disposition == core.Served {
--- a/internal/dataplane/httpfront/message.go
+++ b/internal/dataplane/httpfront/message.go
@@ -11,24 +11,23 @@
 	"birchmoor/balancer"
 )
 
-// message is a client's request as it goes on to an endpoint, but for the time that it has left.
+// message is a client's request as it is forwarded, but for the time left.
 type message struct {
 	method, uri, host string
 	header            http.Header // end-to-end headers
-	body              []byte      // the whole, or the beginning of upload
-	upload            *upload     // nil if body is the whole
+	body              []byte      // the complete body, or the beginning of upload
+	upload            *upload     // nil if body is complete
 }
 
-// millisLeft is what an endpoint is told of the time left, in whole milliseconds. Only when none is left is it 0:
-// what is due soon is not yet late.
+// millisLeft returns the time left as it is sent to an endpoint, in milliseconds rounded up: 0 only if none is left.
 func millisLeft(left balancer.Micros) balancer.Micros { return (max(0, left) + 999) / 1000 }
 
-// bytes writes the request in one piece, with the time that is left for it in milliseconds, if any.
+// bytes returns the request in one piece, with the time that is left for it in milliseconds, if any.
 func (m *message) bytes(leftMs int64) []byte {
 	var b bytes.Buffer
 	b.Grow(512 + len(m.body))
 	b.WriteString(m.method + " " + m.uri + " HTTP/1.1\r\nHost: " + m.host + "\r\n")
-	m.header.Write(&b) // writing to memory does not fail
+	_ = m.header.Write(&b) // writing to memory does not fail
 	if leftMs > 0 {
 		b.WriteString("X-Expires-In-Ms: " + strconv.FormatInt(leftMs, 10) + "\r\n")
 	}
@@ -49,15 +48,15 @@
 	return b.Bytes()
 }
 
-// parseLoad reads a report, TEXT name=value, name=value, into the order of fields. A figure that is missing
-// or makes no sense is NaN, never zero; a report without any sound figure is none.
+// parseLoad reads a load report of the form "TEXT name=value, name=value" in the order of fields. A figure that is
+// missing or invalid is NaN, never zero; a report without any valid figure is nil.
 func parseLoad(fields []string, text string) []float32 {
 	text = strings.TrimPrefix(strings.TrimSpace(text), "TEXT ")
 	load := make([]float32, len(fields))
 	for i := range load {
 		load[i] = float32(math.NaN())
 	}
-	any := false
+	found := false
 	for _, pair := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		v, err := strconv.ParseFloat(strings.TrimSpace(value), 32)
@@ -66,11 +65,12 @@
 		}
 		for i, f := range fields {
 			if f == strings.TrimSpace(name) {
-				load[i], any = float32(v), true
+				load[i] = float32(v)
+				found = true
 			}
 		}
 	}
-	if !any {
+	if !found {
 		return nil
 	}
 	return load
--- a/internal/dataplane/httpfront/overdue.go
+++ b/internal/dataplane/httpfront/overdue.go
@@ -2,16 +2,22 @@
 
 import "time"
 
-// overdueLocked counts a request whose time is up by unansweredAfter, and that has no answer. Clients' mutex is held.
+const (
+	unansweredGrace = 500 * time.Millisecond // after its time, when a request without an answer counts as unanswered
+	overdueInterval = time.Second            // between two looks for such requests
+)
+
+// overdueLocked counts a request that has no answer unansweredGrace after its time.
 func (k *clients) overdueLocked(c *client, now time.Time) {
 	if c.dueAt.IsZero() || now.Before(c.dueAt) {
 		return
 	}
-	k.overdue, c.dueAt = k.overdue+1, time.Time{}
+	k.overdue++
+	c.dueAt = time.Time{}
 	k.unanswered.Inc()
 }
 
-// reportOverdue counts what is overdue, while anything is open, and logs it, once each time.
+// reportOverdue counts and logs overdue requests, and is called again while any request is open.
 func (k *clients) reportOverdue() {
 	k.mu.Lock()
 	now := time.Now()
@@ -20,7 +26,8 @@
 	}
 	late, open := k.overdue, k.active.Len()
 	k.overdue = 0
-	if k.timerRunning = open > 0; k.timerRunning {
+	k.timerRunning = open > 0
+	if k.timerRunning {
 		k.overdueTimer.Reset(overdueInterval)
 	}
 	k.mu.Unlock()
@@ -29,7 +36,7 @@
 	}
 }
 
-// scheduleReportLocked has look called from time to time while anything is open.
+// scheduleReportLocked has reportOverdue called at intervals while any request is open.
 func (k *clients) scheduleReportLocked() {
 	switch {
 	case k.timerRunning:
@@ -41,25 +48,18 @@
 	k.timerRunning = true
 }
 
-// expect notes how long the client of a request that has come whole waits for its answer.
+// expect notes how long the client of a complete request waits for its answer.
 func (k *clients) expect(c *client, left time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	c.dueAt = time.Now().Add(left + unansweredGrace)
 }
 
-// answerStarted notes that the answer to a request has begun to go out: how long the rest takes is its server's matter.
+// answerStarted notes that the answer to a request has begun to go out: how long the rest takes depends on its
+// endpoint.
 func (k *clients) answerStarted(c *client) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.overdueLocked(c, time.Now())
 	c.dueAt = time.Time{}
 }
-
-// What an operator is to see before anybody who keeps a promise's score does.
-const (
-	unansweredGrace  = 500 * time.Millisecond // past its time a request without an answer is lost
-	overdueInterval  = time.Second
-	minAllRejected   = 15              // requests, of which every one was turned away,
-	allRejectedAfter = 4 * time.Second // for so long, with no attempt in between
-)
--- a/internal/dataplane/httpfront/parse.go
+++ b/internal/dataplane/httpfront/parse.go
@@ -34,8 +34,8 @@
 	return &badRequest{code, fmt.Sprintf(format, args...)}
 }
 
-// parse checks a request and reads its body, or the beginning of a long one. If it returns a request beside an error, its budget
-// is to be released.
+// parse checks a request and reads its body, or the beginning of a long one. If it returns a request beside an
+// error, its budget is to be released.
 func (s *Server) parse(conn *client, r *http.Request, head []byte) (*core.Request, error) {
 	config := s.loop.ConfigSnapshot()
 	if err := checkHead(r, head); err != nil {
@@ -176,8 +176,9 @@
 	return len(header["Content-Length"]) > 0
 }
 
-// body reads the body, or the beginning of a long one. Bytes that follow it before the answer are not another request, since
-// clients send one at a time: the length is wrong, and the client must not be served with the answer to a part.
+// body reads the body, or the beginning of a long one. Bytes that follow it before the answer are not another
+// request, since clients send one at a time: the length is wrong, and the client must not be served with the answer
+// to a part.
 func (s *Server) body(c *client, r *http.Request, k *core.Request) error {
 	if err := acceptExpect(c, r); err != nil {
 		return err
@@ -235,8 +236,8 @@
 	return nil
 }
 
-// readBeginning reads up to want bytes of a body into a buffer. It returns how many came, and the body's length, which is
-// known at its end if it was not before.
+// readBeginning reads up to want bytes of a body into a buffer. It returns how many came, and the body's length,
+// which is known at its end if it was not before.
 func readBeginning(body io.Reader, want int, length int64) (buf []byte, n int, knownLength int64, err error) {
 	buf = make([]byte, want)
 	begun := time.Now()
--- a/internal/dataplane/httpfront/rejections.go
+++ b/internal/dataplane/httpfront/rejections.go
@@ -8,29 +8,43 @@
 	"birchmoor/internal/platform/metrics"
 )
 
-// rejectionEpisode finds out that all that comes is turned away. The zero value is ready; it may be used by many goroutines at once.
+const (
+	minAllRejected   = 15              // requests, all of which were rejected,
+	allRejectedAfter = 4 * time.Second // for so long, with no attempt in between: an episode
+)
+
+// rejectionEpisode detects that all requests are rejected. The zero value is ready to use, by any number of
+// goroutines.
 type rejectionEpisode struct {
 	mu             sync.Mutex
-	since          time.Time // the first of those of now
-	attemptsBefore uint64    // the attempts up to then
+	since          time.Time // the first rejection of the episode
+	attemptsBefore uint64    // attempts made before it
 	rejections     int
 	logged         bool
 }
 
-// recordRejection notes a request that was turned away, and counts and logs an episode, once.
+// recordRejection records the rejection of a request, and counts and logs an episode once.
 func (t *rejectionEpisode) recordRejection(figures *metrics.Registry, log *slog.Logger) {
 	t.mu.Lock()
 	now := time.Now()
-	if sends := figures.AttemptsSent.Value(); t.rejections == 0 || sends != t.attemptsBefore {
-		t.since, t.attemptsBefore, t.rejections, t.logged = now, sends, 0, false
+	attempts := figures.AttemptsSent.Value()
+	if t.rejections == 0 || attempts != t.attemptsBefore {
+		t.since = now
+		t.attemptsBefore = attempts
+		t.rejections = 0
+		t.logged = false
 	}
 	t.rejections++
-	tell := !t.logged && t.rejections >= minAllRejected && now.Sub(t.since) >= allRejectedAfter
-	t.logged = t.logged || tell
-	n, span := t.rejections, now.Sub(t.since)
+	rejections := t.rejections
+	duration := now.Sub(t.since)
+	report := !t.logged && rejections >= minAllRejected && duration >= allRejectedAfter
+	if report {
+		t.logged = true
+	}
 	t.mu.Unlock()
-	if tell {
+	if report {
 		figures.AllEndpointsRefused.Inc()
-		log.Warn("every request is turned away, and no attempt is made", "requests", n, "for", span.Round(time.Millisecond))
+		log.Warn("all requests are rejected, and no attempt is made",
+			"requests", rejections, "for", duration.Round(time.Millisecond))
 	}
 }
--- a/internal/dataplane/httpfront/server.go
+++ b/internal/dataplane/httpfront/server.go
@@ -18,12 +18,12 @@
 	"birchmoor/internal/platform/metrics"
 )
 
-// Server takes clients' requests and gives their answers.
+// Server reads clients' requests and writes their answers.
 type Server struct {
 	loop        *core.EventLoop
 	clients     *clients
 	figures     *metrics.Registry
-	bodies      *bytebudget.Budget // bytes of bodies that are held
+	bodies      *bytebudget.Budget // bytes of buffered bodies
 	closing     atomic.Bool
 	socket      handover.Socket
 	limits      core.Limiter // or nil
@@ -35,18 +35,19 @@
 	acceptEnded chan struct{} // closed once that ended
 }
 
-// NewServer returns a server that brings its requests to l.
-func NewServer(c *config.Config, l *core.EventLoop, socket handover.Socket, figures *metrics.Registry, log *slog.Logger) *Server {
+// NewServer returns a server that submits its requests to l. Open begins to accept.
+func NewServer(c *config.Config, l *core.EventLoop, socket handover.Socket, figures *metrics.Registry,
+	log *slog.Logger) *Server {
 	s := &Server{loop: l, socket: socket, figures: figures, bodies: bytebudget.New(c.MaxBufferedBytes(1)), log: log}
 	s.clients = newClients(c.MaxClientConns(1), s.serve, &figures.Unanswered, log)
 	return s
 }
 
-// SetLimiter has requests let through by l alone. It is called before Open.
+// SetLimiter has l admit each request. It is called before Open.
 func (s *Server) SetLimiter(l core.Limiter) { s.limits = l }
 
-// Open begins to accept connections. It is told if that ends unasked.
-func (s *Server) Open(broken func(error)) error {
+// Open begins to accept connections. Accepting is retried after errors, so that broken is never called.
+func (s *Server) Open(_ func(error)) error {
 	ln, err := s.socket.Listen()
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
@@ -54,19 +55,17 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ended := make(chan struct{})
-	s.listener, s.acceptEnded = ln, ended
+	s.listener = ln
+	s.acceptEnded = ended
 	go func() {
-		err := s.clients.accept(ln)
+		s.clients.accept(ln)
 		close(ended)
-		if err != nil {
-			broken(err)
-		}
 	}()
 	return nil
 }
 
-// StopAccepting stops accepting; it may have been stopped before. What the system has accepted by then is taken: closing would
-// reset it, and a request that has been written to it.
+// StopAccepting stops accepting; it may have been stopped before. Connections that the system has accepted by then
+// are served: closing the listener would reset them, with requests that were written to them.
 func (s *Server) StopAccepting() {
 	s.mu.Lock()
 	ln, ended := s.listener, s.acceptEnded
@@ -75,30 +74,37 @@
 	if ln == nil {
 		return
 	}
-	if timed, ok := ln.(interface{ SetDeadline(time.Time) error }); ok && timed.SetDeadline(time.Now().Add(finalAcceptTimeout)) == nil {
+	if acceptUntil(ln, time.Now().Add(finalAcceptTimeout)) {
 		<-ended
 	}
 	ln.Close()
 	<-ended
 }
 
-// SetClosing says whether each answer is to close its connection. Clients are told that the server is not ready then.
+// acceptUntil sets a listener's deadline, and reports whether that was possible.
+func acceptUntil(ln net.Listener, at time.Time) bool {
+	timed, ok := ln.(interface{ SetDeadline(time.Time) error })
+	return ok && timed.SetDeadline(at) == nil
+}
+
+// SetClosing says whether each answer closes its connection. Readiness checks fail then.
 func (s *Server) SetClosing(on bool) { s.closing.Store(on) }
 
-// SetCapacityShare sets the part of the limits that is for this process.
+// SetCapacityShare sets this process's part of the limits.
 func (s *Server) SetCapacityShare(c *config.Config, part float64) {
 	s.clients.resize(c.MaxClientConns(part))
 	s.bodies.Resize(c.MaxBufferedBytes(part))
 }
 
-// CloseIdleFor closes the connections that were used and have been idle for longer than age, and returns how many are open.
+// CloseIdleFor closes connections that were used and have been idle for longer than age, and returns how many are
+// open.
 func (s *Server) CloseIdleFor(age time.Duration) int { return s.clients.closeIdleFor(age) }
 
-// CloseIdle closes idle connections that were used; others close once they have their answers.
+// CloseIdle closes connections that were used and are idle; others close with their answers.
 func (s *Server) CloseIdle() { s.clients.closeIdle() }
 
-// CloseUnused closes the connections that have asked nothing, all or those that are not about to, and returns how many
-// of them are left.
+// CloseUnused closes connections that have sent no request, all or those that are not expected to, and returns how
+// many are left.
 func (s *Server) CloseUnused(all bool) int { return s.clients.closeUnused(all) }
 
 // Wait returns once all connections have ended.
@@ -112,28 +118,31 @@
 	}
 }
 
-// maxAnswerMargin is kept from the client's time, so that the final answer reaches it before that is up; of a time that is short, but
-// longer than this, one part in marginShare.
+// The margin is subtracted from the client's time, so that the final answer reaches the client in time: a part of a
+// short time, and maxAnswerMargin of a long one.
 const (
 	maxAnswerMargin     = 5 * time.Millisecond
 	answerMarginDivisor = 20
 )
 
-// AnswerMargin is what is kept of a client's time, in microseconds. Calls come in rows: each level is told what the one above will wait,
-// which may be little beside its own client's time, and were 5 ms kept of that at each, the eleventh would have none of 50 ms. A time
-// that is no longer than the margin is all kept: nothing is begun in it.
+// AnswerMargin returns the margin of a client's time, in microseconds. Calls may pass several sidecars in a row,
+// each of which waits for as long as the one before allows: a fixed margin would leave nothing of a short time
+// after some levels. Of a time that is no longer than the margin all is margin: nothing is begun.
 func AnswerMargin(left balancer.Micros) balancer.Micros {
-	most := maxAnswerMargin.Microseconds()
-	if left <= most {
+	limit := maxAnswerMargin.Microseconds()
+	if left <= limit {
 		return left
 	}
-	return min(most, left/answerMarginDivisor)
+	return min(limit, left/answerMarginDivisor)
 }
 
 const (
-	MaxHeaderBytes     = 16 << 10
-	RequestTimeout     = 2700 * time.Millisecond // for a head, from its first byte or the connection's beginning
-	budgetTimeout      = 2 * time.Second         // for room for a body
-	idleTimeout        = 15 * time.Second        // between requests
-	finalAcceptTimeout = 5 * time.Millisecond    // to take what waits to be accepted, before that ends
+	// MaxHeaderBytes bounds a request's head.
+	MaxHeaderBytes = 16 << 10
+	// RequestTimeout is for a request's head, from its first byte or the beginning of the connection.
+	RequestTimeout = 2700 * time.Millisecond
+
+	budgetTimeout      = 2 * time.Second      // for the memory of a body
+	idleTimeout        = 15 * time.Second     // between requests
+	finalAcceptTimeout = 5 * time.Millisecond // for connections that the system has accepted, before the listener closes
 )
--- a/internal/dataplane/httpfront/upload.go
+++ b/internal/dataplane/httpfront/upload.go
@@ -13,22 +13,22 @@
 	"birchmoor/balancer"
 )
 
-// upload is the rest of a client's body, of which the beginning is held.
+// upload is the rest of a client's body, whose beginning was buffered.
 type upload struct {
-	body           io.Reader       // what comes behind the beginning
-	length         int64           // of the whole body; -1: chunked
-	answerTime     balancer.Micros // for the answer once the body is whole
-	beginningBytes int             // bytes of the beginning
-	buf            []byte          // to pass the rest on through
+	body           io.Reader       // what follows the beginning
+	length         int64           // of the complete body; -1: chunked
+	answerTime     balancer.Micros // for the answer, from the last byte of the body on
+	beginningBytes int
+	buf            []byte // through which the rest is passed on
 	ended          chan error
-	unread         chan struct{} // closed once nobody reads body any more
+	unread         chan struct{} // closed once no goroutine reads body any more
 	once           sync.Once
-	endWatch       func()      // ends the watch for the client's leaving, before anybody reads body
-	taken          atomic.Bool // an attempt has begun to read the rest: it cannot be sent again
+	endWatch       func()      // ends the watch for the client's leaving, before body is read
+	taken          atomic.Bool // an attempt has begun to read the rest, which cannot be sent again
 	halted         atomic.Bool // nothing more is to be read
 }
 
-// reportEnd tells the client's side, once, how reading went: nil when the body is whole.
+// reportEnd reports once, to the client's side, how reading ended: nil when the body is complete.
 func (u *upload) reportEnd(err error) { u.once.Do(func() { u.ended <- err }) }
 
 var (
@@ -37,14 +37,17 @@
 	errHalted   = errors.New("the body is not wanted any more")
 )
 
-// clientError is a body that did not come as announced: no endpoint is to blame.
+// clientError is a body that did not come as announced. No endpoint is to blame.
 type clientError struct{ err error }
 
+// Error names the body.
 func (e *clientError) Error() string { return "body: " + e.err.Error() }
 
+// Unwrap returns the cause.
 func (e *clientError) Unwrap() error { return e.err }
 
-// copyTo passes the rest on to an endpoint, piece by piece through buf.
+// copyTo passes the rest on to an endpoint, piece by piece through buf. begin is the number of bytes that were sent
+// before.
 func (u *upload) copyTo(c net.Conn, begin int, buf []byte) (err error) {
 	defer close(u.unread)
 	defer func() { u.reportEnd(err) }()
@@ -54,7 +57,8 @@
 		chunks = httputil.NewChunkedWriter(c)
 		w = chunks
 	}
-	begun, total := time.Now(), begin
+	begun := time.Now()
+	total := begin
 	for {
 		if u.halted.Load() {
 			return &clientError{errHalted}
@@ -67,16 +71,16 @@
 		case time.Since(begun) > bodyGrace+time.Duration(total)*time.Second/minBodyRate:
 			err = errSlowBody
 		}
-		if err != nil && err != io.EOF {
+		if err != nil && !errors.Is(err, io.EOF) {
 			return &clientError{err}
 		}
 		if n > 0 {
-			c.SetWriteDeadline(time.Now().Add(maxStreamStall))
+			setWriteDeadline(c, maxStreamStall)
 			if _, err := w.Write(buf[:n]); err != nil {
 				return fmt.Errorf("write body: %w", err)
 			}
 		}
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			break
 		}
 	}
@@ -84,11 +88,21 @@
 		return &clientError{io.ErrUnexpectedEOF}
 	}
 	if chunks != nil {
-		c.SetWriteDeadline(time.Now().Add(maxStreamStall))
+		setWriteDeadline(c, maxStreamStall)
 		if _, err := io.WriteString(c, "0\r\n\r\n"); err != nil {
 			return fmt.Errorf("write body: %w", err)
 		}
 	}
-	c.SetWriteDeadline(time.Time{})
+	setWriteDeadline(c, 0)
 	return nil
 }
+
+// setWriteDeadline sets the time that a write may take; 0 is for no limit. It fails on a closed connection alone,
+// where writes fail as well.
+func setWriteDeadline(c net.Conn, timeout time.Duration) {
+	var deadline time.Time
+	if timeout > 0 {
+		deadline = time.Now().Add(timeout)
+	}
+	_ = c.SetWriteDeadline(deadline)
+}
--- a/internal/dataplane/httpfront/upstream.go
+++ b/internal/dataplane/httpfront/upstream.go
@@ -17,8 +17,8 @@
 	"birchmoor/internal/platform/metrics"
 )
 
-// Upstream talks to endpoints over a small pool of connections. It is not an http.Transport since that
-// sends some requests again by itself when a kept connection breaks, and does not tell whether the last
+// Upstream sends attempts and probes to endpoints over a small pool of connections. http.Transport is not used,
+// since it sends some requests again by itself when an idle connection breaks, and does not tell whether the last
 // byte was written. Here an attempt is written at most once, in one piece.
 type Upstream struct {
 	clock         core.Clock
@@ -27,18 +27,18 @@
 	maxConns      int
 	dial          func(ctx context.Context, network, addr string) (net.Conn, error)
 	pause         func(ctx context.Context, d time.Duration)
-	sends         *metrics.Counter // attempts written whole
+	sends         *metrics.Counter // attempts that were written completely
 	reports       atomic.Pointer[reportConfig]
-	answerBudget  *bytebudget.Budget // bytes of answers that are held
+	answerBudget  *bytebudget.Budget // bytes of buffered answers
 	connectErrors core.ConnectErrors
 
 	mu            sync.Mutex
-	unsolicitedAt time.Time            // when an endpoint last sent what nothing had asked for
+	unsolicitedAt time.Time            // when an endpoint last sent something unsolicited
 	conns         int                  // open or being opened
-	idle          map[*target]struct{} // those with idle connections
+	idle          map[*target]struct{} // with idle connections
 }
 
-// NewUpstream returns an upstream side without connections. Sends counts the attempts that were written whole.
+// NewUpstream returns an upstream without connections. sends counts the attempts that were written completely.
 func NewUpstream(c *config.Config, clk core.Clock, sends *metrics.Counter, log *slog.Logger) *Upstream {
 	u := &Upstream{clock: clk, log: log, sends: sends, answerBudget: bytebudget.New(c.MaxBufferedBytes(1)),
 		// Well before the endpoint's own limit: a request that crosses its close is lost.
@@ -54,54 +54,54 @@
 	return u
 }
 
-// target is where one endpoint listens. Its connections are its own.
+// target is the address of one endpoint, with connections of its own.
 type target struct {
 	upstream *Upstream
 	addr     string
 
 	// Guarded by upstream.mu.
 	idle    []*conn
-	removed bool // nothing new goes there
+	removed bool // nothing new is sent there
 }
 
-// Target returns a place without connections.
+// Target returns a target without connections.
 func (u *Upstream) Target(addr string) core.Target { return &target{upstream: u, addr: addr} }
 
 // Send makes one attempt.
-func (p *target) Send(ctx context.Context, o core.Attempt) core.Reply {
-	return p.upstream.send(ctx, p, o.Request.(*message), o.Deadline, o.Begin, o.BodySent)
+func (t *target) Send(ctx context.Context, o core.Attempt) core.Reply {
+	return t.upstream.send(ctx, t, o.Request.(*message), o.Deadline, o.Begin, o.BodySent)
 }
 
-// Probe asks for the endpoint's load.
-func (p *target) Probe() core.Reply { return p.upstream.probe(p) }
+// Probe asks the endpoint for its load.
+func (t *target) Probe() core.Reply { return t.upstream.probe(t) }
 
-// Close closes what is idle.
-func (p *target) Close() { p.upstream.removeTarget(p) }
+// Close ends the use of the target: idle connections are closed, attempts in flight continue.
+func (t *target) Close() { t.upstream.removeTarget(t) }
 
-// CloseUnusedSince closes what was last used before an instant.
-func (p *target) CloseUnusedSince(before time.Time) { p.upstream.closeIdleSince(p, before) }
+// CloseUnusedSince closes idle connections that were last used before an instant.
+func (t *target) CloseUnusedSince(before time.Time) { t.upstream.closeIdleSince(t, before) }
 
-// reportConfig is what load reports hold, and where.
+// reportConfig says what load reports hold, and whether they come with answers.
 type reportConfig struct {
 	fields    []string
 	onAnswers bool
 }
 
-// AcceptsLateReplies says no: an attempt that goes on holds a connection.
+// AcceptsLateReplies returns false: an attempt that continues would occupy a connection.
 func (u *Upstream) AcceptsLateReplies() bool { return false }
 
-// SetConfig takes what a configuration says of load reports.
+// SetConfig applies what a configuration says of load reports.
 func (u *Upstream) SetConfig(c *config.Config) {
 	u.reports.Store(&reportConfig{c.LoadFields, c.LoadOnResponses})
 }
 
-// SetCapacityShare sets the part of the limits that is for this process.
+// SetCapacityShare sets this process's part of the limits.
 func (u *Upstream) SetCapacityShare(c *config.Config, part float64) {
 	u.resize(c.MaxUpstreamConns(part))
 	u.answerBudget.Resize(c.MaxBufferedBytes(part))
 }
 
-// Maintain sweeps until ctx ends, and then closes what is idle.
+// Maintain closes stale connections at intervals until ctx ends, and all idle ones then.
 func (u *Upstream) Maintain(ctx context.Context) {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
@@ -119,11 +119,11 @@
 	}
 }
 
-// send makes one attempt. mayGo is asked last, right before the first byte; if it says no, nothing goes out.
-// Whole is called when a body that flows has gone out. When ctx ends, the connection is closed, unless the
-// answer has begun to flow: then it is the caller's.
+// send makes one attempt. mayGo is called last, right before the first byte; if it returns false, nothing is sent.
+// bodySent is called when a streamed body has gone out. When ctx ends the connection is closed, unless the answer
+// is being streamed by then.
 func (u *Upstream) send(ctx context.Context, to *target, m *message, deadline balancer.Micros,
-	mayGo func(now balancer.Micros) bool, whole func(now balancer.Micros)) core.Reply {
+	mayGo func(now balancer.Micros) bool, bodySent func(now balancer.Micros)) core.Reply {
 	c, err := u.get(ctx, to)
 	if err != nil {
 		return u.reply(u.connectErrors.Status(ctx, err, u.log))
@@ -137,7 +137,7 @@
 		u.put(c)
 		return u.reply(balancer.NotSent)
 	}
-	return u.exchange(ctx, c, m.bytes(left), m.upload, u.sends, whole)
+	return u.exchange(ctx, c, m.bytes(left), m.upload, u.sends, bodySent)
 }
 
 // probe asks an endpoint for its load, or for its health where there are no load reports.
@@ -161,15 +161,16 @@
 	return r
 }
 
+// reply returns a reply of now with a status.
 func (u *Upstream) reply(status balancer.Status) core.Reply {
 	return core.Reply{Status: status, At: u.clock.Now()}
 }
 
-// exchange writes a request, counts it once it is written whole, and reads its answer. The connection is kept
-// if both are whole.
+// exchange writes a request, counts it once it is written completely, and reads its answer. The connection is used
+// again if both are complete.
 func (u *Upstream) exchange(ctx context.Context, c *conn, text []byte, rest *upload, sends *metrics.Counter,
-	whole func(balancer.Micros)) core.Reply {
-	stop := context.AfterFunc(ctx, func() { c.Conn.Close() })
+	bodySent func(balancer.Micros)) core.Reply {
+	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	c.limit.N = maxBufferedAnswer
 	n, err := c.Write(text)
 	if err != nil {
@@ -181,47 +182,29 @@
 		return u.reply(balancer.Reset)
 	}
 	if rest != nil {
-		if rest.taken.Swap(true) {
+		if status := u.sendRest(c, rest); status != balancer.OK {
 			stop()
 			u.discard(c)
-			return core.Reply{Status: balancer.ConnectFailed, At: u.clock.Now(), RequestConsumed: true}
-		}
-		rest.endWatch()
-		// What has gone out of the beginning is copied there, and its place serves for the rest.
-		if err := rest.copyTo(c, rest.beginningBytes, rest.buf); err != nil {
-			stop()
-			u.discard(c)
-			r := core.Reply{Status: balancer.ConnectFailed, At: u.clock.Now(), RequestConsumed: true}
-			if fault := (*clientError)(nil); errors.As(err, &fault) {
-				r.Status = balancer.NotSent // the endpoint did nothing wrong
-			}
+			r := u.reply(status)
+			r.RequestConsumed = true
 			return r
 		}
-		whole(u.clock.Now())
+		bodySent(u.clock.Now())
 	}
 	sends.Inc()
 	a, err := c.read(ctx, u.answerBudget)
 	r := u.reply(balancer.Reset)
 	r.RequestConsumed = rest != nil
 	if err == nil && a.stream != nil && a.code != http.StatusOK {
-		a.releaseBudget() // of an error nothing but the code is wanted
-		a.stream, a.closesConnection = nil, true
+		a.releaseBudget() // of an error the status is enough
+		a.stream = nil
+		a.closesConnection = true
 	}
 	if err == nil && a.stream != nil && stop() {
-		r.Status, r.Content = balancer.OK, a
-		a.stream.done = func(how core.StreamEnd) {
-			a.releaseBudget()
-			c.paced.readTimeout = 0
-			c.SetReadDeadline(time.Time{})
-			if how != core.StreamComplete || a.closesConnection || c.r.Buffered() > 0 {
-				u.discard(c)
-			} else {
-				u.put(c)
-			}
-		}
-		if on := u.reports.Load(); on.onAnswers {
-			r.Load = parseLoad(on.fields, a.header.Get("Endpoint-Load-Metrics"))
-		}
+		a.stream.done = u.afterStream(c, a)
+		r.Status = balancer.OK
+		r.Content = a
+		r.Load = u.loadOf(a)
 		return r
 	}
 	if !stop() || err != nil || a.stream != nil || a.closesConnection || c.r.Buffered() > 0 {
@@ -237,39 +220,70 @@
 		return r
 	}
 	r.Content = a
-	switch {
-	case a.code == http.StatusOK:
-		r.Status = balancer.OK
-	case (a.code == http.StatusServiceUnavailable || a.code == http.StatusGatewayTimeout) &&
-		a.header.Get("X-Never-Ran") == "1":
-		r.Status = balancer.Rejected
-	default:
-		r.Status = balancer.Error
+	r.Status = a.status()
+	r.Load = u.loadOf(a)
+	return r
+}
+
+// sendRest sends the rest of a streamed body. A status other than balancer.OK says why it could not.
+func (u *Upstream) sendRest(c *conn, rest *upload) balancer.Status {
+	if rest.taken.Swap(true) {
+		return balancer.ConnectFailed // another attempt has read it
 	}
-	if on := u.reports.Load(); on.onAnswers {
-		r.Load = parseLoad(on.fields, a.header.Get("Endpoint-Load-Metrics"))
+	rest.endWatch()
+	// The beginning has been copied into the request, so that its buffer serves for the rest.
+	err := rest.copyTo(c, rest.beginningBytes, rest.buf)
+	if err == nil {
+		return balancer.OK
+	}
+	var fault *clientError
+	if errors.As(err, &fault) {
+		return balancer.NotSent // the endpoint did nothing wrong
+	}
+	return balancer.ConnectFailed
+}
+
+// afterStream returns what is to be done with the connection once an answer was streamed.
+func (u *Upstream) afterStream(c *conn, a *upstreamAnswer) func(core.StreamEnd) {
+	return func(end core.StreamEnd) {
+		a.releaseBudget()
+		c.paced.readTimeout = 0
+		c.clearReadDeadline()
+		if end != core.StreamComplete || a.closesConnection || c.r.Buffered() > 0 {
+			u.discard(c)
+		} else {
+			u.put(c)
+		}
 	}
-	return r
+}
+
+// loadOf returns the load report in an answer, or nil.
+func (u *Upstream) loadOf(a *upstreamAnswer) []float32 {
+	reports := u.reports.Load()
+	if !reports.onAnswers {
+		return nil
+	}
+	return parseLoad(reports.fields, a.header.Get("Endpoint-Load-Metrics"))
 }
 
 const (
-	MaxBufferedBody   = 64 << 10
+	// MaxBufferedBody bounds what is buffered of a body; a longer one is streamed.
+	MaxBufferedBody = 64 << 10
+
 	maxBufferedAnswer = MaxBufferedBody + 64<<10 // with its head and framing
 	probeTimeout      = 250 * time.Millisecond
 	sweepInterval     = time.Second
-	minRest           = 10 * time.Millisecond // behind an answer, in which a second one may come
-	unsolicitedMemory = 10 * time.Minute      // one that did is remembered
-)
 
-// dialTimeoutDivisor is the part of the dial time-out that a connection is waited for. One takes a round trip, under a
-// millisecond here; one that is not up in many times that belongs to a machine that is cut off or gone, and the
-// request, which never ran, may still be in time elsewhere.
-const dialTimeoutDivisor = 4
+	// A connection takes a round trip, under a millisecond between hosts of a site. One that takes many times as
+	// long belongs to a host that is cut off or gone, and the request, which never ran, may still be answered in
+	// time elsewhere.
+	dialTimeoutDivisor = 4
+)
 
-// dialTimeout is how long a connection is waited for, where the settings allow most; 0 for no word of theirs.
-func dialTimeout(most time.Duration) time.Duration {
-	if most <= 0 {
-		most = probeTimeout
+// dialTimeout returns how long to wait for a connection, by the limit of the settings; 0 if they have none.
+func dialTimeout(limit time.Duration) time.Duration {
+	if limit <= 0 {
+		limit = probeTimeout
 	}
-	return most / dialTimeoutDivisor
+	return limit / dialTimeoutDivisor
 }
--- a/internal/dataplane/httpfront/upstreamanswer.go
+++ b/internal/dataplane/httpfront/upstreamanswer.go
@@ -12,36 +12,37 @@
 	"strings"
 	"time"
 
+	"birchmoor/balancer"
 	"birchmoor/internal/dataplane/bytebudget"
 	"birchmoor/internal/dataplane/core"
 )
 
 const (
-	maxInterimAnswers = 8       // answers 1xx ahead of the one that counts
-	unbudgetedBytes   = 4 << 10 // an answer of no more is not counted
+	maxInterimAnswers = 8       // answers 1xx before the final one
+	unbudgetedBytes   = 4 << 10 // an answer of no more is not charged to the budget
 )
 
 var (
-	errAmbiguousLength = errors.New("nothing tells for sure where the answer ends")
+	errAmbiguousLength = errors.New("the answer has both a length and chunks, or neither in a known form")
 	errAnswerTooLarge  = errors.New("the answer is too large")
 	errNotHTTP         = errors.New("the answer is no HTTP/1")
 )
 
-// upstreamAnswer is a whole answer, or one that flows.
+// upstreamAnswer is an endpoint's answer: complete, or streamed.
 type upstreamAnswer struct {
 	code             int
 	header           http.Header
 	body             []byte
-	stream           *download // in place of body
+	stream           *download // instead of body
 	budget           *bytebudget.Budget
-	budgetBytes      int  // bytes of the budget
-	closesConnection bool // the endpoint closes the connection after it
+	budgetBytes      int  // charged to budget
+	closesConnection bool // the connection cannot be used again
 }
 
-// Streams says whether there is more than what has been read.
+// Streams reports whether the answer is streamed.
 func (a *upstreamAnswer) Streams() bool { return a.stream != nil }
 
-// Release gives back what is held, and the connection of what flows.
+// Release gives back the budget, and the connection of a streamed answer.
 func (a *upstreamAnswer) Release() {
 	if flow := a.stream; flow != nil {
 		a.stream = nil
@@ -50,18 +51,19 @@
 	a.releaseBudget()
 }
 
+// releaseBudget gives back the budget.
 func (a *upstreamAnswer) releaseBudget() {
 	a.budget.Release(a.budgetBytes)
 	a.budgetBytes = 0
 }
 
-// read reads a whole answer, or the beginning of one that flows. One that ends early or whose end is told in
-// two ways is an error: nothing but what the endpoint made for the request may pass for its answer.
-// http.ReadResponse would hide that it had both a length and chunks.
-func (c *conn) read(ctx context.Context, held *bytebudget.Budget) (*upstreamAnswer, error) {
+// read reads a complete answer, or the beginning of a streamed one. An answer that ends early, or whose length is
+// ambiguous, is an error: nothing but what the endpoint made for the request may pass for its answer.
+// http.ReadResponse would hide that an answer had both a length and chunks.
+func (c *conn) read(ctx context.Context, budget *bytebudget.Budget) (*upstreamAnswer, error) {
 	for range maxInterimAnswers {
 		c.paced.readTimeout = 0
-		c.SetReadDeadline(time.Time{})
+		c.clearReadDeadline()
 		if _, err := c.r.Peek(1); err != nil {
 			return nil, err
 		}
@@ -73,13 +75,13 @@
 		if a.code < 200 {
 			continue
 		}
-		a.budget = held
-		if err = c.body(ctx, a, held); err != nil {
+		a.budget = budget
+		if err = c.body(ctx, a); err != nil {
 			a.releaseBudget()
 		}
 		if a.stream == nil {
 			c.paced.readTimeout = 0
-			c.SetReadDeadline(time.Time{})
+			c.clearReadDeadline()
 		}
 		return a, err
 	}
@@ -112,40 +114,17 @@
 	return a, nil
 }
 
-// body reads what the head announces, if that is no more than BodyMost; of more, and of what comes slowly and
-// whose length is not told, it reads the beginning.
-func (c *conn) body(ctx context.Context, a *upstreamAnswer, held *bytebudget.Budget) error {
-	lengths, encodings := a.header["Content-Length"], a.header["Transfer-Encoding"]
-	var length int64
-	var body io.Reader
-	switch {
-	case a.code == http.StatusNoContent || a.code == http.StatusNotModified:
+// body reads a body of up to MaxBufferedBody bytes. Of a longer one, and of one that comes slowly and whose length
+// is unknown, it reads the beginning.
+func (c *conn) body(ctx context.Context, a *upstreamAnswer) error {
+	if a.code == http.StatusNoContent || a.code == http.StatusNotModified {
 		return nil
-	case len(lengths) == 1 && len(encodings) == 0:
-		n, err := strconv.ParseUint(lengths[0], 10, 63)
-		if err != nil {
-			return err
-		}
-		if n > MaxBody {
-			return errAnswerTooLarge
-		}
-		length = int64(n)
-		body = io.LimitReader(c.r, length)
-	case len(lengths) == 0 && len(encodings) == 1 && strings.EqualFold(encodings[0], "chunked"):
-		length = -1
-		body = &chunkedReader{r: httputil.NewChunkedReader(c.r), c: c}
-	case len(lengths) == 0 && len(encodings) == 0:
-		// Only the end of the connection ends it.
-		length, a.closesConnection = -1, true
-		body = c.r
-	default:
-		return errAmbiguousLength
 	}
-	a.budgetBytes = int(min(uint64(length), MaxBufferedBody)) // all that may be for a length that is not known
-	if a.budgetBytes <= unbudgetedBytes {
-		a.budgetBytes = 0
-	} else if err := held.Acquire(ctx, a.budgetBytes); err != nil {
-		a.budgetBytes = 0
+	body, length, err := c.bodyReader(a)
+	if err != nil {
+		return err
+	}
+	if err := a.chargeBudget(ctx, length); err != nil {
 		return err
 	}
 	c.limit.N = 2*MaxBody + maxBufferedAnswer // chunks have some framing
@@ -155,11 +134,12 @@
 		return err
 	}
 	buf := make([]byte, MaxBufferedBody)
-	n, begun := 0, time.Now()
+	n := 0
+	begun := time.Now()
 	for n < len(buf) && (n == 0 || length < 0 && time.Since(begun) < streamAfter) {
 		more, err := body.Read(buf[n:])
 		n += more
-		if err == io.EOF && length < 0 {
+		if errors.Is(err, io.EOF) && length < 0 {
 			a.body = buf[:n]
 			return nil
 		}
@@ -175,15 +155,52 @@
 	return nil
 }
 
-// chunkedReader reads chunks and, behind the last, the trailer.
+// bodyReader returns a reader of the body that the head announces, and its length, -1 if that is unknown.
+func (c *conn) bodyReader(a *upstreamAnswer) (io.Reader, int64, error) {
+	lengths, encodings := a.header["Content-Length"], a.header["Transfer-Encoding"]
+	switch {
+	case len(lengths) == 1 && len(encodings) == 0:
+		length, err := strconv.ParseUint(lengths[0], 10, 63)
+		if err != nil {
+			return nil, 0, err
+		}
+		if length > MaxBody {
+			return nil, 0, errAnswerTooLarge
+		}
+		return io.LimitReader(c.r, int64(length)), int64(length), nil
+	case len(lengths) == 0 && len(encodings) == 1 && strings.EqualFold(encodings[0], "chunked"):
+		return &chunkedReader{r: httputil.NewChunkedReader(c.r), c: c}, -1, nil
+	case len(lengths) == 0 && len(encodings) == 0:
+		a.closesConnection = true // the end of the connection alone ends the body
+		return c.r, -1, nil
+	default:
+		return nil, 0, errAmbiguousLength
+	}
+}
+
+// chargeBudget charges the budget for what is buffered of a body, the maximum if its length is unknown.
+func (a *upstreamAnswer) chargeBudget(ctx context.Context, length int64) error {
+	charge := int(min(uint64(length), MaxBufferedBody))
+	if charge <= unbudgetedBytes {
+		return nil
+	}
+	if err := a.budget.Acquire(ctx, charge); err != nil {
+		return err
+	}
+	a.budgetBytes = charge
+	return nil
+}
+
+// chunkedReader reads chunks and, after the last one, the trailer.
 type chunkedReader struct {
 	r io.Reader
 	c *conn
 }
 
+// Read implements io.Reader.
 func (r *chunkedReader) Read(b []byte) (int, error) {
 	n, err := r.r.Read(b)
-	if err == io.EOF {
+	if errors.Is(err, io.EOF) {
 		if _, bad := textproto.NewReader(r.c.r).ReadMIMEHeader(); bad != nil {
 			err = fmt.Errorf("trailer: %w", bad)
 		}
@@ -191,16 +208,31 @@
 	return n, err
 }
 
-// exactReader ends with an error unless all that is left comes.
+// exactReader ends with an error unless all bytes that are left come.
 type exactReader struct {
 	r    io.Reader
 	left int64
 }
 
+// Read implements io.Reader.
 func (r *exactReader) Read(b []byte) (int, error) {
 	n, err := r.r.Read(b)
-	if r.left -= int64(n); err == io.EOF && r.left > 0 {
+	r.left -= int64(n)
+	if errors.Is(err, io.EOF) && r.left > 0 {
 		err = io.ErrUnexpectedEOF
 	}
 	return n, err
 }
+
+// status returns what the answer means for its attempt.
+func (a *upstreamAnswer) status() balancer.Status {
+	switch {
+	case a.code == http.StatusOK:
+		return balancer.OK
+	case (a.code == http.StatusServiceUnavailable || a.code == http.StatusGatewayTimeout) &&
+		a.header.Get("X-Never-Ran") == "1":
+		return balancer.Rejected
+	default:
+		return balancer.Error
+	}
+}
