--- a/internal/store/codec.go
+++ b/internal/store/codec.go
@@ -49,8 +49,8 @@
 	return uint64(b[0])
 }
 
-// DecodeCommand decodes what Encode returned. A command of a later level is ErrUnknownCommand: a replica that finds one in
-// its log must stop, because skipping it would make its state differ from the others'.
+// DecodeCommand decodes what Encode returned. A command of a later level is ErrUnknownCommand: a replica that finds
+// one in its log must stop, because skipping it would make its state differ from the others'.
 func DecodeCommand(b []byte) (*Command, error) {
 	if len(b) == 0 || len(b) > maxCommandBytes {
 		return nil, fmt.Errorf("command: %d bytes", len(b))
--- a/internal/store/command.go
+++ b/internal/store/command.go
@@ -29,11 +29,12 @@
 	Then []Op      `cbor:"2,keyasint,omitempty" json:"then,omitempty"`
 	Else []Op      `cbor:"3,keyasint,omitempty" json:"else,omitempty"`
 
-	// KeyLimits are checked against the outcome of the chosen operations. A limit that would be exceeded is ErrFull, and
-	// the transaction changes nothing. Since level 2.
+	// KeyLimits are checked against the outcome of the operations that are applied. A limit that would be exceeded is
+	// ErrFull, and the transaction changes nothing. Since level 2.
 	KeyLimits []KeyLimit `cbor:"4,keyasint,omitempty" json:"bounds,omitempty"`
 
-	// Owner, if not empty, may attach keys only to leases that it owns; any other lease is ErrLeaseNotFound. Since level 3.
+	// Owner, if not empty, may attach keys only to leases that it owns; any other lease is ErrLeaseNotFound. Since
+	// level 3.
 	Owner string `cbor:"5,keyasint,omitempty" json:"owner,omitempty"`
 }
 
@@ -76,8 +77,9 @@
 	Owner   string `cbor:"2,keyasint,omitempty"` // since level 3
 }
 
-// RevokeLease ends a lease and deletes its keys. The leader sets Expired for a lease whose TTL has passed; such a command
-// has no effect if the lease was renewed in the meantime, so that an acknowledged renewal holds across changes of leader.
+// RevokeLease ends a lease and deletes its keys. The leader sets Expired for a lease whose TTL has passed; such a
+// command has no effect if the lease was renewed in the meantime, so that an acknowledged renewal holds across
+// changes of leader.
 type RevokeLease struct {
 	LeaseID  uint64 `cbor:"1,keyasint"`
 	Expired  bool   `cbor:"2,keyasint,omitempty"`
@@ -91,9 +93,9 @@
 	Address string `cbor:"2,keyasint"`
 }
 
-// RegisterStart is the first command of each start of a member. It reports the member's disk, the number of starts from
-// that disk and the level of commands that the build knows. It is rejected if the member is registered with another disk,
-// or with a later start of the same disk.
+// RegisterStart is the first command of each start of a member. It reports the member's disk, the number of starts
+// from that disk and the level of commands that the build knows. It is rejected if the member is registered with
+// another disk, or with a later start of the same disk.
 type RegisterStart struct {
 	MemberID uint64 `cbor:"1,keyasint"`
 	DiskID   uint64 `cbor:"2,keyasint"`
--- a/internal/store/disk/load.go
+++ b/internal/store/disk/load.go
@@ -12,8 +12,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Load returns what the file contains, apart from the data of the snapshot. It checks all of that, and deletes snapshots
-// that were not finished.
+// Load returns what the file contains, apart from the data of the snapshot. It checks all of that, and deletes
+// snapshots that were not finished.
 func (d *Disk) Load() (replica.DiskContents, error) {
 	contents := replica.DiskContents{Identity: d.identity}
 	err := d.update(func(tx *bbolt.Tx) error {
--- a/internal/store/disk/log.go
+++ b/internal/store/disk/log.go
@@ -17,7 +17,8 @@
 	logFillPercent = 0.9
 )
 
-// Append writes the hard state, unless it is nil, and entries, which replace those of the log from the first of them on.
+// Append writes the hard state, unless it is nil, and entries, which replace those of the log from the first of them
+// on.
 func (d *Disk) Append(hard *raftpb.HardState, entries []*raftpb.Entry) error {
 	return d.update(func(tx *bbolt.Tx) error {
 		if err := putHardState(tx, hard); err != nil {
@@ -82,8 +83,8 @@
 	}
 }
 
-// compactStep drops some of the entries. Each step records the last entry that it drops as the base of the log, so that the
-// file is valid after any of them.
+// compactStep drops some of the entries. Each step records the last entry that it drops as the base of the log, so
+// that the file is valid after any of them.
 func (d *Disk) compactStep(index, term uint64) (finished bool, err error) {
 	err = d.update(func(tx *bbolt.Tx) error {
 		log, state := tx.Bucket(logBucket), tx.Bucket(stateBucket)
--- a/internal/store/disk/snapshot.go
+++ b/internal/store/disk/snapshot.go
@@ -46,7 +46,8 @@
 }
 
 // writeSnapshot writes a snapshot, and calls finish in the transaction that makes it the current one.
-func (d *Disk) writeSnapshot(meta replica.SnapshotMeta, write func(io.Writer) error, finish func(*bbolt.Tx) error) error {
+func (d *Disk) writeSnapshot(meta replica.SnapshotMeta, write func(io.Writer) error,
+	finish func(*bbolt.Tx) error) error {
 	number := d.lastSnapshotBucket.Add(1)
 	w := &snapshotWriter{disk: d, bucket: snapshotBucketName(number)}
 	err := write(w)
@@ -65,8 +66,8 @@
 	return nil
 }
 
-// replaceSnapshot makes a snapshot the current one and deletes the former. If the former is newer, because a snapshot of
-// the leader was installed in the meantime, it stays, and the new one is deleted.
+// replaceSnapshot makes a snapshot the current one and deletes the former. If the former is newer, because a snapshot
+// of the leader was installed in the meantime, it stays, and the new one is deleted.
 func (d *Disk) replaceSnapshot(tx *bbolt.Tx, record snapshotRecord, finish func(*bbolt.Tx) error) error {
 	state := tx.Bucket(stateBucket)
 	var former snapshotRecord
--- a/internal/store/disk/txn.go
+++ b/internal/store/disk/txn.go
@@ -15,8 +15,8 @@
 // update runs a transaction that writes anything but a snapshot.
 func (d *Disk) update(f func(*bbolt.Tx) error) error { return d.updateFile(usage.LogFile, f) }
 
-// updateFile runs a transaction and counts what it writes. If bbolt panics or faults on a corrupted page, that is an error.
-// All errors name the file.
+// updateFile runs a transaction and counts what it writes. If bbolt panics or faults on a corrupted page, that is an
+// error. All errors name the file.
 func (d *Disk) updateFile(purpose usage.File, f func(*bbolt.Tx) error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer d.recoverFault(&err)
@@ -45,7 +45,8 @@
 	return d.db.View(f)
 }
 
-// recoverFault turns a panic into a *CorruptedError, and adds the file's path to an error that lacks it. It must be deferred.
+// recoverFault turns a panic into a *CorruptedError, and adds the file's path to an error that lacks it. It must be
+// deferred.
 func (d *Disk) recoverFault(err *error) {
 	if r := recover(); r != nil {
 		*err = &CorruptedError{d.path, fmt.Sprint(r)}
--- a/internal/store/engine/diskfailure_test.go
+++ b/internal/store/engine/diskfailure_test.go
@@ -15,8 +15,8 @@
 )
 
 // replaceFile replaces an open file by a device, under the same descriptor. /dev/full accepts no byte (ENOSPC);
-// /dev/null discards all, and fails to sync. Neither has a size: if the first write that fails needs more pages than the
-// file has free, bbolt fails earlier, when it checks the size.
+// /dev/null discards all, and fails to sync. Neither has a size: if the first write that fails needs more pages than
+// the file has free, bbolt fails earlier, when it checks the size.
 func replaceFile(t *testing.T, f *os.File, device string) {
 	t.Helper()
 	to, err := os.OpenFile(device, os.O_RDWR, 0)
--- a/internal/store/engine/host.go
+++ b/internal/store/engine/host.go
@@ -17,7 +17,7 @@
 // maxHelloPeers bounds the peers that are remembered while no members are known.
 const maxHelloPeers = 16
 
-// updatePeers tells the transport which peers to connect to: the members or, while none are known, the peers that have
+// updatePeers sets the peers to which the transport connects: the members or, while none are known, the peers that have
 // connected.
 func (e *Engine) updatePeers() {
 	if e.transport == nil || e.node == nil {
--- a/internal/store/engine/loop.go
+++ b/internal/store/engine/loop.go
@@ -13,7 +13,7 @@
 
 const (
 	maxRoundInputs  = 256         // calls and messages that are processed together
-	confirmInterval = time.Second // how often a quorum is asked to confirm the copy
+	confirmInterval = time.Second // between requests to a quorum to confirm the copy
 )
 
 // loop owns the replica until the engine is closed.
@@ -71,7 +71,7 @@
 	return now
 }
 
-// confirm asks a quorum to confirm that the copy is current as of now.
+// confirm requests that a quorum confirm that the copy is current as of now.
 func (e *Engine) confirm(now time.Time) {
 	e.node.Read(e.onCompletion(func(c replica.Completion) {
 		if c.Err != nil {
--- a/internal/store/engine/request.go
+++ b/internal/store/engine/request.go
@@ -19,6 +19,7 @@
 // UnknownError reports that a change may have been made. A retry with the same ID finds out.
 type UnknownError struct{ ID store.RequestID }
 
+// Error implements error.
 func (e *UnknownError) Error() string {
 	return fmt.Sprintf("%v; request %x-%d", replica.ErrOutcomeUnknown, e.ID.Client, e.ID.Seq)
 }
@@ -26,8 +27,8 @@
 // Unwrap returns replica.ErrOutcomeUnknown.
 func (e *UnknownError) Unwrap() error { return replica.ErrOutcomeUnknown }
 
-// Do makes a change and returns its outcome. A request without an ID gets one. It is retried until its outcome is known or
-// ctx ends; then the error is an *UnknownError if the change may have been made.
+// Do makes a change and returns its outcome. A request without an ID gets one. It is retried until its outcome is
+// known or ctx ends; then the error is an *UnknownError if the change may have been made.
 func (e *Engine) Do(ctx context.Context, c store.Command) (store.Result, error) {
 	if c.ID == (store.RequestID{}) {
 		c.ID = store.RequestID{Client: e.clientID, Seq: e.seq.Add(1)}
@@ -111,8 +112,8 @@
 
 func nextDelay(delay time.Duration) time.Duration { return min(2*delay, maxRetryDelay) }
 
-// sleep waits for between half and one and a half of a delay, or until the engine is closed. It reports whether ctx ended
-// first.
+// sleep waits for between half and one and a half of a delay, or until the engine is closed. It reports whether ctx
+// ended first.
 func (e *Engine) sleep(ctx context.Context, delay time.Duration) (cancelled bool) {
 	select {
 	case <-ctx.Done():
--- a/internal/store/engine/status.go
+++ b/internal/store/engine/status.go
@@ -12,7 +12,7 @@
 	replica.Status
 	WaitingToJoin       bool            `json:"waiting_to_join,omitempty"`
 	Follower            bool            `json:"follower,omitempty"` // the process has no replica, but a copy
-	Following           string          `json:"follows,omitempty"`  // replica from which a follower receives changes, if any
+	Following           string          `json:"follows,omitempty"`  // replica that a follower follows
 	Interest            *store.Interest `json:"holds,omitempty"`    // of a follower's copy; nil: all keys
 	CopyAge             CopyAge         `json:"copy"`
 	DiskBytes           int64           `json:"disk_bytes"`
--- a/internal/store/engine/view.go
+++ b/internal/store/engine/view.go
@@ -21,9 +21,9 @@
 	Stale     bool          `json:"stale"`  // the copy was not confirmed for several intervals
 }
 
-// View calls f with the state. Unless stale is set, the state includes every change that was acknowledged to anyone before
-// the call; otherwise it is this copy as it is, of the age that is returned. The loop calls f, which must be short. The
-// View of a partial copy (package follower) may call f again, so that f must start anew on each call.
+// View calls f with the state. Unless stale is set, the state includes every change that was acknowledged to anyone
+// before the call; otherwise it is this copy as it is, of the age that is returned. The loop calls f, which must be
+// short. The View of a partial copy (package follower) may call f again, so that f must start anew on each call.
 func (e *Engine) View(ctx context.Context, stale bool, f func(*store.State)) (CopyAge, error) {
 	if !stale {
 		if err := e.awaitRead(ctx); err != nil {
@@ -79,9 +79,9 @@
 	return s, err
 }
 
-// Next returns the next changes after a revision of keys with a prefix, and the revision up to which they are complete. It
-// waits until there is one. It returns up to n events, but never splits those of one revision. The error is a
-// *store.CompactedError if the history does not reach back to the revision.
+// Next returns the next changes after a revision of keys with a prefix, and the revision up to which they are
+// complete. It waits until there is one. It returns up to n events, but never splits those of one revision. The error
+// is a *store.CompactedError if the history does not reach back to the revision.
 func (e *Engine) Next(ctx context.Context, prefix string, after uint64, n int) ([]store.Event, uint64, error) {
 	for {
 		changed := *e.revisionChanged.Load()
--- a/internal/store/history.go
+++ b/internal/store/history.go
@@ -8,6 +8,7 @@
 // CompactedError reports that a watch or a read starts before the retained history.
 type CompactedError struct{ Oldest uint64 } // first revision that can still be read
 
+// Error implements error.
 func (e *CompactedError) Error() string {
 	return fmt.Sprintf("compacted: the history begins at revision %d", e.Oldest)
 }
@@ -48,10 +49,10 @@
 	}
 }
 
-// Changes appends to buf up to n events after a revision of keys with a prefix. It returns the revision up to which the
-// events are complete, from which the next call continues. Events of one revision are never split, so that more than n may
-// be returned. The error is a *CompactedError if the history does not reach back to the revision, and a *NotHeldError if
-// this state does not hold the keys.
+// Changes appends to buf up to n events after a revision of keys with a prefix. It returns the revision up to which
+// the events are complete, from which the next call continues. Events of one revision are never split, so that more
+// than n may be returned. The error is a *CompactedError if the history does not reach back to the revision, and a
+// *NotHeldError if this state does not hold the keys.
 func (s *State) Changes(buf []Event, prefix string, after uint64, n int) ([]Event, uint64, error) {
 	if s.subset != nil && !s.subset.interest.CoversPrefix(prefix) {
 		return buf, after, &NotHeldError{Interest: Interest{Prefixes: []string{prefix}}}
--- a/internal/store/lease.go
+++ b/internal/store/lease.go
@@ -10,8 +10,10 @@
 type Lease struct {
 	ID        uint64 `cbor:"1,keyasint" json:"id"`
 	TTLMillis uint64 `cbor:"2,keyasint" json:"ttl_ms"`
-	Renewals  uint64 `cbor:"3,keyasint,omitempty" json:"renewed"`         // how often it was renewed
-	Owner     string `cbor:"4,keyasint,omitempty" json:"owner,omitempty"` // who alone may renew and revoke it; empty: anyone
+	Renewals  uint64 `cbor:"3,keyasint,omitempty" json:"renewed"` // how often it was renewed
+
+	// Owner is who alone may renew and revoke the lease; empty: anyone.
+	Owner string `cbor:"4,keyasint,omitempty" json:"owner,omitempty"`
 }
 
 type lease struct {
--- a/internal/store/load.go
+++ b/internal/store/load.go
@@ -16,6 +16,7 @@
 	Reason string
 }
 
+// Error implements error.
 func (e *CorruptedError) Error() string {
 	return fmt.Sprintf("corrupted at byte %d: %s", e.Offset, e.Reason)
 }
@@ -132,8 +133,8 @@
 	return nil
 }
 
-// loadRecord adds a record other than the footer to the state. The header comes first, and the kinds of the others are in
-// ascending order.
+// loadRecord adds a record other than the footer to the state. The header comes first, and the kinds of the others
+// are in ascending order.
 func (l *loader) loadRecord(record savedRecord, isSubset bool) error {
 	if l.state == nil && record.kind == recordHeader {
 		state, err := loadHeader(record.data)
--- a/internal/store/member.go
+++ b/internal/store/member.go
@@ -8,8 +8,8 @@
 	Name    string `cbor:"2,keyasint" json:"name"`
 	Address string `cbor:"3,keyasint" json:"address"`
 	Learner bool   `cbor:"4,keyasint,omitempty" json:"learner,omitempty"`
-	DiskID  uint64 `cbor:"5,keyasint,omitempty" json:"disk,omitempty"` // disk that registered as this member, 0 before one did
-	Boot    uint64 `cbor:"6,keyasint,omitempty" json:"boot,omitempty"` // its highest registered start
+	DiskID  uint64 `cbor:"5,keyasint,omitempty" json:"disk,omitempty"` // that registered as this member, or 0
+	Boot    uint64 `cbor:"6,keyasint,omitempty" json:"boot,omitempty"` // highest start that it registered
 	Level   uint64 `cbor:"7,keyasint,omitempty" json:"level,omitempty"`
 }
 
@@ -56,7 +56,8 @@
 		}
 	}
 	s.lastID++
-	s.members = append(slices.Clone(s.members), Member{ID: s.lastID, Name: add.Name, Address: add.Address, Learner: true})
+	added := Member{ID: s.lastID, Name: add.Name, Address: add.Address, Learner: true}
+	s.members = append(slices.Clone(s.members), added)
 	return Result{MemberID: s.lastID}
 }
 
--- a/internal/store/peer/hello.go
+++ b/internal/store/peer/hello.go
@@ -33,8 +33,8 @@
 	Name      string        `cbor:"3,keyasint"`
 }
 
-// answerHello reads the hello on an accepted connection and replies to it. It reports whether the hello was admitted. The
-// name of the sender's certificate is empty without keys.
+// answerHello reads the hello on an accepted connection and replies to it. It reports whether the hello was admitted.
+// The name of the sender's certificate is empty without keys.
 func (t *Transport) answerHello(c net.Conn, r *bufio.Reader, certified string) (Hello, bool) {
 	hello, err := t.readHello(r)
 	if err != nil {
@@ -83,8 +83,8 @@
 	return t.host.Admit(hello)
 }
 
-// sendHello sends a hello on a connection that this side opened, and handles the reply. It returns an error if either side
-// rejects the other.
+// sendHello sends a hello on a connection that this side opened, and handles the reply. It returns an error if either
+// side rejects the other.
 func (l *link) sendHello(c net.Conn) error {
 	t := l.transport
 	if err := c.SetDeadline(time.Now().Add(helloTimeout)); err != nil {
--- a/internal/store/peer/send.go
+++ b/internal/store/peer/send.go
@@ -218,8 +218,8 @@
 	}
 }
 
-// write writes a message, and flushes if nothing else is queued. It reports to the host whether a snapshot was sent, and
-// that another message was not.
+// write writes a message, and flushes if nothing else is queued. It reports to the host whether a snapshot was sent,
+// and that another message was not.
 func (l *link) write(w *messageWriter, m *raftpb.Message, queue chan *raftpb.Message) error {
 	if m.GetType() == raftpb.MsgSnap {
 		err := w.writeSnapshot(m)
--- a/internal/store/replica/admission.go
+++ b/internal/store/replica/admission.go
@@ -27,11 +27,11 @@
 	ErrClusterMismatch = errors.New("of another cluster")
 	ErrNotMember       = errors.New("not a member")
 	ErrDiskMismatch    = errors.New("the member is registered with another disk: remove the member and add it anew")
-	ErrDiskRolledBack  = errors.New("the member's disk is older than what it acknowledged: remove the member and add it anew")
+	ErrDiskRolledBack  = errors.New("the member's disk lost what it acknowledged: remove the member and add it anew")
 )
 
-// Admit returns an error if another replica must be rejected. A replica that comes back under its old name with an empty
-// or an old disk could make the quorum lose what it acknowledged: it must be added as a new member.
+// Admit returns an error if another replica must be rejected. A replica that comes back under its old name with an
+// empty or an old disk could make the quorum lose what it acknowledged: it must be added as a new member.
 func (n *Node) Admit(h Hello) error {
 	if h.ClusterID != n.self.ClusterID {
 		return ErrClusterMismatch
--- a/internal/store/replica/config.go
+++ b/internal/store/replica/config.go
@@ -35,7 +35,7 @@
 const (
 	AckBeforeSync          Defects = 1 << iota // messages are sent before the disk has what they promise
 	ForgetVote                                 // the vote is not written
-	StaleRead                                  // a read is answered without asking the quorum
+	StaleRead                                  // a read is answered without a quorum
 	ApplyTwice                                 // after a start the snapshot's last entries are applied again
 	ForgetResults                              // a retried request is applied again
 	RevokeRenewedLease                         // an expired lease ends although it was renewed in the meantime
@@ -44,7 +44,7 @@
 	EagerReturn                                // a server may serve again by the state of a single replica
 	IgnoreLevel                                // a command is proposed although a voter does not know its level
 	ShortenInheritedLeases                     // a new leader assumes that leases were renewed long before it led
-	LeadAfterFailure                           // a leader whose disk failed goes on sending heartbeats
+	LeadAfterFailure                           // a leader whose disk failed continues to send heartbeats
 )
 
 // has reports whether a defect is injected.
--- a/internal/store/replica/leader.go
+++ b/internal/store/replica/leader.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// TransferLeadership starts to transfer leadership to the active follower with the most entries. It reports whether this
-// replica does not lead. Before a planned stop it is called until it returns true.
+// TransferLeadership starts to transfer leadership to the active follower with the most entries. It reports whether
+// this replica does not lead. Before a planned stop it is called until it returns true.
 func (n *Node) TransferLeadership() bool {
 	if n.failed != nil || !n.leading {
 		return true
--- a/internal/store/replica/lease.go
+++ b/internal/store/replica/lease.go
@@ -8,8 +8,8 @@
 
 const maxRevokesPerTick = 64
 
-// startLeaseTimer starts the TTL of a lease, rounded up. Two more ticks are needed: the next tick may follow at once, and a
-// tick that is already due may be counted late.
+// startLeaseTimer starts the TTL of a lease, rounded up. Two more ticks are needed: the next tick may follow at once,
+// and a tick that is already due may be counted late.
 func (n *Node) startLeaseTimer(id uint64) {
 	l, ok := n.state.Lease(id)
 	if !ok {
@@ -19,8 +19,8 @@
 	n.leaseDeadlines[id] = n.now + (int64(l.TTLMillis)+tickMillis-1)/tickMillis + 2
 }
 
-// restartLeaseTimers starts the full TTL of every lease when this replica becomes the leader, because the former leader may
-// just have renewed them.
+// restartLeaseTimers starts the full TTL of every lease when this replica becomes the leader, because the former
+// leader may just have renewed them.
 func (n *Node) restartLeaseTimers() {
 	clear(n.leaseDeadlines)
 	clear(n.revokeRetryAt)
--- a/internal/store/replica/membership.go
+++ b/internal/store/replica/membership.go
@@ -14,8 +14,8 @@
 // maxPromotionLag is how many entries a learner may lack of the committed ones when it is made a voter.
 const maxPromotionLag = 64
 
-// maintain proposes what the cluster needs: this replica's registration and, from the leader, the end of expired leases, one
-// step of a change of the members at a time, and a higher level of commands.
+// maintain proposes what the cluster needs: this replica's registration and, from the leader, the end of expired
+// leases, one step of a change of the members at a time, and a higher level of commands.
 func (n *Node) maintain() {
 	if n.failed != nil || n.leaderID == 0 {
 		return
@@ -117,8 +117,8 @@
 // membershipStable reports whether raft's configuration matches the members of the state, and all of them vote.
 func (n *Node) membershipStable() bool { return n.membershipStableExcept(0) }
 
-// membershipStableExcept is membershipStable without a member that does not vote, such as one that was added and was never
-// started.
+// membershipStableExcept is membershipStable without a member that does not vote, such as one that was added and was
+// never started.
 func (n *Node) membershipStableExcept(id uint64) bool {
 	voters, learners := n.confState.GetVoters(), n.confState.GetLearners()
 	others := 0
--- a/internal/store/replica/process.go
+++ b/internal/store/replica/process.go
@@ -28,8 +28,8 @@
 	return out
 }
 
-// failPending completes all pending requests after a failure. No message is sent, because what it promises may not be on
-// disk.
+// failPending completes all pending requests after a failure. No message is sent, because what it promises may not be
+// on disk.
 func (n *Node) failPending() {
 	if !n.cfg.Defects.has(AckBeforeSync | LeadAfterFailure) {
 		n.out.Messages = nil
--- a/internal/store/replica/propose.go
+++ b/internal/store/replica/propose.go
@@ -63,8 +63,8 @@
 	return err
 }
 
-// mustWaitForMembership reports whether a change of the members has to wait for an earlier one. A member that has not become
-// a voter can be removed at any time.
+// mustWaitForMembership reports whether a change of the members has to wait for an earlier one. A member that has not
+// become a voter can be removed at any time.
 func (n *Node) mustWaitForMembership(c *store.Command) bool {
 	switch {
 	case c.AddMember != nil:
--- a/internal/store/replica/raftlogger.go
+++ b/internal/store/replica/raftlogger.go
@@ -5,8 +5,8 @@
 	"log/slog"
 )
 
-// raftLogger implements raft.Logger by a slog.Logger. What raft logs in normal operation goes to the debug level, without
-// its own debug messages. Fatal messages are panics, as raft expects; catchPanic handles them.
+// raftLogger implements raft.Logger by a slog.Logger. What raft logs in normal operation goes to the debug level,
+// without its own debug messages. Fatal messages are panics, as raft expects; catchPanic handles them.
 type raftLogger struct{ log *slog.Logger }
 
 // Debug implements raft.Logger.
--- a/internal/store/replica/read.go
+++ b/internal/store/replica/read.go
@@ -14,7 +14,7 @@
 	readContextBytes = 24 // member, boot and number of the round
 )
 
-// readRound asks the quorum once for all reads that were queued before it.
+// readRound is one request to the quorum, for all reads that were queued before it.
 type readRound struct {
 	number    uint64
 	startedAt int64  // tick
@@ -70,8 +70,8 @@
 	}
 }
 
-// readContext encodes what identifies a round. It includes the start, because confirmations of rounds of an earlier start
-// may still arrive.
+// readContext encodes what identifies a round. It includes the start, because confirmations of rounds of an earlier
+// start may still arrive.
 func (n *Node) readContext(round uint64) []byte {
 	ctx := make([]byte, 0, readContextBytes)
 	ctx = binary.BigEndian.AppendUint64(ctx, n.self.MemberID)
--- a/internal/store/replica/replica_test.go
+++ b/internal/store/replica/replica_test.go
@@ -86,8 +86,9 @@
 	return store.Command{Txn: &store.Txn{Then: []store.Op{{Key: key}}, KeyLimits: limits}}
 }
 
-// An older build works in a cluster that uses only the level that it knows, and rejects commands of a later one. Started
-// on the file of a newer build after the cluster's level was raised, it stops with an error and changes nothing.
+// An older build works in a cluster that uses only the level that it knows, and rejects commands of a later one.
+// Started on the file of a newer build after the cluster's level was raised, it stops with an error and changes
+// nothing.
 func TestOlderBuildStopsBeforeApplyingLaterLevel(t *testing.T) {
 	a := newSingleReplica(t)
 	if err := a.start(1); err != nil {
--- a/internal/store/replica/snapshot.go
+++ b/internal/store/replica/snapshot.go
@@ -34,7 +34,8 @@
 	}
 }
 
-// isStaleSnapshot reports whether a snapshot is older than the last configuration change. If it is, a new one is wanted.
+// isStaleSnapshot reports whether a snapshot is older than the last configuration change. If it is, a new one is
+// wanted.
 func (n *Node) isStaleSnapshot(index uint64) bool {
 	stale := index < n.confIndex
 	n.snapshotWanted = n.snapshotWanted || stale
--- a/internal/store/replica/start.go
+++ b/internal/store/replica/start.go
@@ -93,8 +93,8 @@
 	return n, n.failed
 }
 
-// loadState loads the state from the snapshot. A member that was just added has none: it starts empty, without knowing the
-// other members, until the leader sends a snapshot.
+// loadState loads the state from the snapshot. A member that was just added has none: it starts empty, without
+// knowing the other members, until the leader sends a snapshot.
 func (n *Node) loadState(saved *DiskContents) error {
 	n.state, n.confState = store.New(saved.Identity.ClusterID, store.DefaultLimits), &raftpb.ConfState{}
 	if saved.Snapshot.Index != 0 {
@@ -180,8 +180,8 @@
 	})
 }
 
-// isOnlyVoter reports whether this replica is the only voter, and no entry of its log may change that. It need not wait for
-// a leader then.
+// isOnlyVoter reports whether this replica is the only voter, and no entry of its log may change that. It need not
+// wait for a leader then.
 func (n *Node) isOnlyVoter(log []*raftpb.Entry) bool {
 	voters := n.confState.GetVoters()
 	if len(voters) != 1 || voters[0] != n.self.MemberID {
--- a/internal/store/replica/tick.go
+++ b/internal/store/replica/tick.go
@@ -60,8 +60,9 @@
 	}
 }
 
-// recentlyActive reports whether another replica sent a message within the minimum election timeout. Raft's RecentActive is
-// of no use here: raft resets it at regular ticks, which are the ones at which a leader would look at it.
+// recentlyActive reports whether another replica sent a message within the minimum election timeout. Raft's
+// RecentActive is of no use here: raft resets it at regular ticks, which are the ones at which a leader would look at
+// it.
 func (n *Node) recentlyActive(id uint64) bool {
 	received, ok := n.lastReceived[id]
 	return ok && n.now-received < int64(n.cfg.ElectionTicks)
--- a/internal/store/save.go
+++ b/internal/store/save.go
@@ -8,9 +8,10 @@
 	"slices"
 )
 
-// A saved state is a magic number of eight bytes, records and a footer. A record is its length in four bytes, big endian,
-// its kind in one byte, and CBOR. The footer is a record of kind recordFooter with the CRC-32C of all bytes before it. Equal
-// states are saved as equal bytes. A subset has a magic number of its own, so that it cannot be taken for a complete state.
+// A saved state is a magic number of eight bytes, records and a footer. A record is its length in four bytes, big
+// endian, its kind in one byte, and CBOR. The footer is a record of kind recordFooter with the CRC-32C of all bytes
+// before it. Equal states are saved as equal bytes. A subset has a magic number of its own, so that it cannot be
+// taken for a complete state.
 
 const (
 	completeMagic = "bmstore1"
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -194,7 +194,7 @@
 func FuzzDecodeCommand(f *testing.F) {
 	b, _ := (&Command{ID: RequestID{1, 2}, Txn: &Txn{Then: []Op{{Key: "a", Value: []byte("v")}}}}).Encode()
 	f.Add(b)
-	f.Fuzz(func(t *testing.T, b []byte) {
+	f.Fuzz(func(_ *testing.T, b []byte) {
 		if c, err := DecodeCommand(b); err == nil {
 			New(1, small).Apply(1, c)
 		}
--- a/internal/store/subset.go
+++ b/internal/store/subset.go
@@ -16,12 +16,13 @@
 	interest Interest // the keys that it holds
 	tracking bool     // reads are recorded in the fields below
 	tracked  Interest // the keys that were read
-	missed   bool     // some of them are not held
+	missed   bool     // some of them are not in the interest
 }
 
 // NotHeldError reports a read of keys that a partial copy does not hold, so that it cannot say whether they exist.
 type NotHeldError struct{ Interest Interest }
 
+// Error implements error.
 func (e *NotHeldError) Error() string {
 	what := "keys"
 	if all := slices.Concat(e.Interest.Keys, e.Interest.Prefixes); len(all) > 0 {
@@ -39,9 +40,9 @@
 	return &interest
 }
 
-// Subset returns a partial copy of the keys of an interest at the same revision, without history. The items are shared, and
-// neither state modifies them. The copy follows by ApplyEvent and must not be given to Apply. The cost is proportional to
-// the items of the copy.
+// Subset returns a partial copy of the keys of an interest at the same revision, without history. The items are
+// shared, and neither state modifies them. The copy follows by ApplyEvent and must not be given to Apply. The cost is
+// proportional to the items of the copy.
 func (s *State) Subset(of Interest) *State {
 	c := New(s.cluster, s.limits)
 	c.revision, c.level, c.index, c.lastID = s.revision, s.level, s.index, s.lastID
--- a/internal/store/txn.go
+++ b/internal/store/txn.go
@@ -8,7 +8,8 @@
 	if !succeeded {
 		ops = t.Else
 	}
-	// Whatever can fail is checked before the first change. Space that the transaction's own deletions free does not count.
+	// Whatever can fail is checked before the first change. Space that the transaction's own deletions free does not
+	// count.
 	if err := s.checkOps(t, ops); err != nil {
 		return Result{Succeeded: succeeded, Err: err}
 	}
