--- a/internal/dataplane/sidecar/discovery_test.go
+++ b/internal/dataplane/sidecar/discovery_test.go
@@ -1,7 +1,6 @@
 package sidecar
 
 import (
-	"io"
 	"net/http"
 	"strings"
 	"testing"
@@ -11,13 +10,11 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// The list moves requests: to a new address, away from what drains or has gone, and a whole list leaves out
-// what has gone.
+// Requests follow the list: to a new address, and away from endpoints that drain, were removed, or are not in a
+// complete list.
 func TestRequestsFollowEndpointList(t *testing.T) {
-	endpoint := func(name string) string {
-		return sidecartest.HTTPEndpoint(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, name) })
-	}
-	one, two, three := sidecartest.ReadyInstance("s-1", endpoint("one")), sidecartest.ReadyInstance("s-2", endpoint("two")), sidecartest.ReadyInstance("s-1", endpoint("three"))
+	one, two := namedEndpoint(t, "s-1", "one"), namedEndpoint(t, "s-2", "two")
+	three := namedEndpoint(t, "s-1", "three")
 	state := func(in discovery.Instance, lifecycle string) discovery.Instance {
 		in.Lifecycle = lifecycle
 		return in
@@ -41,7 +38,7 @@
 	} {
 		generation := int64(8 + i)
 		b.Lines <- sidecartest.ListLine(generation, step.reset, step.instances...)
-		// The list has arrived once requests go where they should.
+		// The list has arrived once requests are sent where they should.
 		var got string
 		for end := time.Now().Add(sidecartest.WaitTimeout); ; {
 			if _, got = s.do(t, sidecartest.IdempotentRequest(900)); got == step.want || time.Now().After(end) {
@@ -56,7 +53,7 @@
 			t.Fatalf("step %d: answered by %q, want %q", i, got, step.want)
 		}
 		for range 10 {
-			// A new endpoint counts as cold, and may be spared.
+			// A new endpoint is warming up and may get few requests.
 			_, got = s.do(t, sidecartest.IdempotentRequest(900))
 			if step.want != "" && got != step.want && !strings.HasPrefix(got, "refused") {
 				t.Fatalf("step %d: then answered by %q, want %q", i, got, step.want)
@@ -68,24 +65,25 @@
 // The sidecar serves from the list that it was started with while discovery is down.
 func TestServesFromKnownListWithoutDiscovery(t *testing.T) {
 	addr := sidecartest.HTTPEndpoint(t, func(http.ResponseWriter, *http.Request) {})
-	s := startSidecar(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)}))
-	if resp, _ := s.do(t, sidecartest.IdempotentRequest(900)); resp.StatusCode != 200 {
+	s := startWithEndpoints(t, []string{addr})
+	if resp, _ := s.do(t, sidecartest.IdempotentRequest(900)); resp.StatusCode != http.StatusOK {
 		t.Errorf("with a known list and no discovery: %s", resp.Status)
 	}
 }
 
-// Where discovery is asked, the balancer asks for each watch and hears of one that fails.
+// Where discovery is polled, the decision module requests each watch and is notified of one that fails.
 func TestPolledDiscoveryIsWatchedAgainAfterFailure(t *testing.T) {
 	b := sidecartest.NewDiscovery(t)
 	addr := sidecartest.HTTPEndpoint(t, func(http.ResponseWriter, *http.Request) {})
-	s := startSidecar(t, sidecartest.Configure(t, b.Addr, []discovery.Instance{sidecartest.ReadyInstance("s-1", sidecartest.ClosedAddress(t))},
+	known := []discovery.Instance{sidecartest.ReadyInstance("s-1", sidecartest.ClosedAddress(t))}
+	s := startSidecar(t, sidecartest.Configure(t, b.Addr, known,
 		`"discovery":"automatic"`, `"discovery":"subscribe"`))
 	sidecartest.Receive(t, b.Watches, "first watch")
 	b.Lines <- "" // it ends
 	sidecartest.Receive(t, b.Watches, "watch after one that ended")
 	b.Lines <- sidecartest.ListLine(8, true, sidecartest.ReadyInstance("s-2", addr))
 	for end := time.Now().Add(sidecartest.WaitTimeout); ; {
-		if resp, _ := s.do(t, sidecartest.IdempotentRequest(900)); resp.StatusCode == 200 {
+		if resp, _ := s.do(t, sidecartest.IdempotentRequest(900)); resp.StatusCode == http.StatusOK {
 			return
 		}
 		if time.Now().After(end) {
--- a/internal/dataplane/sidecar/handover_test.go
+++ b/internal/dataplane/sidecar/handover_test.go
@@ -1,7 +1,6 @@
 package sidecar
 
 import (
-	"context"
 	"errors"
 	"net"
 	"net/http"
@@ -12,17 +11,15 @@
 	"time"
 
 	"birchmoor/internal/dataplane/config"
-	"birchmoor/internal/dataplane/discovery"
-	"birchmoor/internal/dataplane/handover"
 	"birchmoor/internal/dataplane/maintenance"
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// sharedSocket is a listening socket that the platform holds: whoever closes a listener on it leaves the socket alone.
+// sharedSocket is a listening socket that the platform holds: closing a listener on it does not close the socket.
 type sharedSocket struct{ ln *net.TCPListener }
 
-func (h sharedSocket) Listen() (net.Listener, error) {
-	f, err := h.ln.File()
+func (s sharedSocket) Listen() (net.Listener, error) {
+	f, err := s.ln.File()
 	if err != nil {
 		return nil, err
 	}
@@ -30,32 +27,20 @@
 	return net.FileListener(f)
 }
 
-// startProcess is a sidecar that shares a socket and a folder with others.
-func startProcess(t *testing.T, c *config.Config, socket handover.Socket, dir string) *testSidecar {
+// startProcess runs a sidecar that shares a socket and a folder with others, and waits until it serves.
+func startProcess(t *testing.T, c *config.Config, socket sharedSocket, dir string) *testSidecar {
 	t.Helper()
-	desk, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	ctx, stop := context.WithCancel(context.Background())
-	s := &testSidecar{addr: socket.(sharedSocket).ln.Addr().String(), management: desk, stop: stop, ended: make(chan error, 1),
-		reload: make(chan os.Signal, 1), config: make(chan *config.Config, 1)}
-	go func() {
-		s.ended <- Run(ctx, c, Host{Socket: socket, Management: desk, Overrides: maintenance.File{Path: filepath.Join(dir, "b")},
-			HandoverPath: filepath.Join(dir, "s"), Reload: s.reload, ReadConfig: s.read, Log: sidecartest.DiscardLog})
-		close(s.ended)
-	}()
-	t.Cleanup(func() { stop(); <-s.ended })
+	s := launchSidecar(t, c, socket, socket.ln.Addr().String(), dir)
 	for end := time.Now().Add(sidecartest.WaitTimeout); s.manage(t, "status") != "YES\n"; {
 		if time.Now().After(end) {
-			t.Fatal("it does not say yes: " + s.manage(t, "status"))
+			t.Fatal("it does not serve: " + s.manage(t, "status"))
 		}
 	}
 	return s
 }
 
-// A new process takes over under load: bans go along, calls bind in both, the old one answers what it has and
-// ends by itself, and nobody is turned back.
+// A new process takes over under load: it has the old one's drains, overrides apply in both, the old one answers its
+// open requests and ends by itself, and no client is rejected.
 func TestHandoverUnderLoad(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -70,13 +55,13 @@
 	taken, release := make(chan struct{}, 1), make(chan struct{})
 	let := sync.OnceFunc(func() { close(release) })
 	t.Cleanup(let)
-	addr := sidecartest.HTTPEndpoint(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := sidecartest.HTTPEndpoint(t, func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/pay" {
 			taken <- struct{}{}
 			<-release
 		}
 	})
-	c := sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", addr), sidecartest.ReadyInstance("s-2", addr), sidecartest.ReadyInstance("s-3", addr)},
+	c := configure(t, []string{addr, addr, addr},
 		`"ramp-time":10000000`, `"ramp-time":1`, `"give-up":1000000`, `"give-up":5000000`)
 	socket := sharedSocket{ln.(*net.TCPListener)}
 	old := startProcess(t, c, socket, dir)
@@ -87,7 +72,7 @@
 	}
 	defer kept.Close()
 	if resp, _ := old.doOn(t, kept, sidecartest.IdempotentRequest(900)); resp.Close {
-		t.Error("a connection was not kept")
+		t.Error("a connection was closed with its answer")
 	}
 	open := make(chan *http.Response, 1)
 	go func() {
@@ -104,16 +89,16 @@
 	fresh.wantReply(t, "maint-off s-1", "YES")
 	old.wantMetric(t, "cluster_unhealthy", 1)
 	if resp, _ := old.doOn(t, kept, sidecartest.IdempotentRequest(900)); !resp.Close {
-		t.Error("the old process keeps a connection")
+		t.Error("the old process leaves a connection open")
 	}
 	before := fresh.metric(t, `answered_total{group="look"}`)
-	if resp, _ := fresh.do(t, sidecartest.IdempotentRequest(900)); resp.StatusCode != 200 {
+	if resp, _ := fresh.do(t, sidecartest.IdempotentRequest(900)); resp.StatusCode != http.StatusOK {
 		t.Error("after the handover:", resp.Status)
 	}
 	fresh.wantMetric(t, `answered_total{group="look"}`, before+1)
 	let()
-	if resp := sidecartest.Receive(t, open, "answer"); resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("taken before: %s, close %v", resp.Status, resp.Close)
+	if resp := sidecartest.Receive(t, open, "answer"); resp.StatusCode != http.StatusOK || !resp.Close {
+		t.Errorf("a request from before: %s, close %v", resp.Status, resp.Close)
 	}
 	if err := sidecartest.Receive(t, old.ended, "end of the old process"); err != nil {
 		t.Error(err)
@@ -121,27 +106,32 @@
 	fresh.wantReply(t, "status", "YES")
 }
 
-// noSocket is a socket that is not there.
+// noSocket is a socket that cannot be listened on.
 type noSocket struct{}
 
 func (noSocket) Listen() (net.Listener, error) { return nil, errors.New("none") }
 
-// A new process that fails to begin leaves the old one serving.
+// A new process that fails to start leaves the old one serving.
 func TestFailedStartLeavesOldProcessServing(t *testing.T) {
 	addr := sidecartest.HTTPEndpoint(t, func(http.ResponseWriter, *http.Request) {})
-	c := sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)})
+	c := configure(t, []string{addr})
 	dir, err := os.MkdirTemp("", "h") //nolint:usetesting // t.TempDir is too long for the path of a Unix socket
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer os.RemoveAll(dir)
 	old := startIn(t, c, dir)
-	err = Run(t.Context(), c, Host{Socket: noSocket{}, Overrides: maintenance.Discard{}, HandoverPath: dir + "/sock", Log: sidecartest.DiscardLog})
-	if err == nil {
-		t.Error("it began without a socket")
+	host := Host{
+		Socket:       noSocket{},
+		Overrides:    maintenance.Discard{},
+		HandoverPath: filepath.Join(dir, "sock"),
+		Log:          sidecartest.DiscardLog,
+	}
+	if err := Run(t.Context(), c, host); err == nil {
+		t.Error("it started without a socket")
 	}
 	old.wantReply(t, "status", "YES")
-	if resp, _ := old.do(t, sidecartest.IdempotentRequest(900)); resp.StatusCode != 200 || resp.Close {
+	if resp, _ := old.do(t, sidecartest.IdempotentRequest(900)); resp.StatusCode != http.StatusOK || resp.Close {
 		t.Errorf("%s, close %v", resp.Status, resp.Close)
 	}
 }
--- a/internal/dataplane/sidecar/host.go
+++ b/internal/dataplane/sidecar/host.go
@@ -40,7 +40,8 @@
 
 // HostFromEnv returns what a program provides to a sidecar by its environment: sockets and, if TMPDIR is set, files
 // there.
-func HostFromEnv(c *config.Config, getenv func(string) string, reload <-chan os.Signal, log *slog.Logger) (Host, error) {
+func HostFromEnv(c *config.Config, getenv func(string) string, reload <-chan os.Signal, log *slog.Logger) (
+	Host, error) {
 	h := Host{
 		Overrides:  maintenance.Discard{},
 		Reload:     reload,
--- a/internal/dataplane/sidecar/maintenance_test.go
+++ b/internal/dataplane/sidecar/maintenance_test.go
@@ -7,6 +7,7 @@
 	"net/http"
 	"strconv"
 	"strings"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -14,7 +15,7 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// manage makes an operator's call and returns the whole answer.
+// manage makes an operator's call and returns the complete answer.
 func (s *testSidecar) manage(t *testing.T, line string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", s.management.Addr().String())
@@ -22,7 +23,9 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
+	if err := c.SetDeadline(time.Now().Add(sidecartest.WaitTimeout)); err != nil {
+		t.Fatal(err)
+	}
 	if _, err := io.WriteString(c, line+"\n"); err != nil {
 		t.Fatal(err)
 	}
@@ -44,9 +47,9 @@
 // metric returns one figure.
 func (s *testSidecar) metric(t *testing.T, name string) int {
 	t.Helper()
-	text, whole := strings.CutSuffix(s.manage(t, "stats"), "END\n")
+	text, complete := strings.CutSuffix(s.manage(t, "stats"), "END\n")
 	for line := range strings.Lines(text) {
-		if key, value, _ := strings.Cut(strings.TrimSpace(line), " "); key == "app_"+name && whole {
+		if key, value, _ := strings.Cut(strings.TrimSpace(line), " "); key == "app_"+name && complete {
 			n, err := strconv.Atoi(value)
 			if err != nil {
 				t.Fatal(err)
@@ -65,14 +68,22 @@
 	}
 }
 
-// Operators take an endpoint out and call it back, whatever discovery says meanwhile.
+// awaitMetric waits until a metric has a value.
+func (s *testSidecar) awaitMetric(t *testing.T, name string, want int) {
+	t.Helper()
+	for end := time.Now().Add(sidecartest.WaitTimeout); s.metric(t, name) != want; {
+		if time.Now().After(end) {
+			t.Fatalf("%s does not become %d", name, want)
+		}
+	}
+}
+
+// Operators drain an endpoint and return it, whatever discovery says in the meantime.
 func TestOperatorsDrainAndReturnEndpoint(t *testing.T) {
 	b := sidecartest.NewDiscovery(t)
-	endpoint := func(name string) string {
-		return sidecartest.HTTPEndpoint(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, name) })
-	}
-	one, two := sidecartest.ReadyInstance("s-1", endpoint("one")), sidecartest.ReadyInstance("s-2", endpoint("two"))
-	s := startSidecar(t, sidecartest.Configure(t, b.Addr, []discovery.Instance{one, two}, `"ramp-time":10000000`, `"ramp-time":1`))
+	one, two := namedEndpoint(t, "s-1", "one"), namedEndpoint(t, "s-2", "two")
+	c := sidecartest.Configure(t, b.Addr, []discovery.Instance{one, two}, `"ramp-time":10000000`, `"ramp-time":1`)
+	s := startSidecar(t, c)
 	sidecartest.Receive(t, b.Watches, "call of discovery")
 	s.wantReply(t, "status", "YES")
 	s.wantReply(t, "maint-on s-9", "NO s-9: unknown id")
@@ -91,12 +102,10 @@
 	stays()
 	// It leaves and returns, restarted.
 	b.Lines <- sidecartest.ListLine(8, true, two)
-	for s.metric(t, "cluster_size") != 1 {
-	}
+	s.awaitMetric(t, "cluster_size", 1)
 	one.StartedMs = time.Now().UnixMilli()
 	b.Lines <- sidecartest.ListLine(9, false, one)
-	for s.metric(t, "cluster_size") != 2 {
-	}
+	s.awaitMetric(t, "cluster_size", 2)
 	stays()
 	s.wantReply(t, "maint-off s-1", "YES")
 	s.wantReply(t, "maint-off s-1", "YES")
@@ -109,10 +118,10 @@
 func TestAnswersAreCountedByClass(t *testing.T) {
 	addr := sidecartest.HTTPEndpoint(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/pay" {
-			w.WriteHeader(500)
+			w.WriteHeader(http.StatusInternalServerError)
 		}
 	})
-	s := startSidecar(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)}, `"most-tries":3`, `"most-tries":1`))
+	s := startWithEndpoints(t, []string{addr}, `"most-tries":3`, `"most-tries":1`)
 	for range 3 {
 		s.do(t, sidecartest.IdempotentRequest(900))
 	}
@@ -132,19 +141,22 @@
 	s.wantMetric(t, "conf_loaded_total", 0)
 }
 
-// A process that starts holds what operators said to the one before it.
+// A process starts with the overrides that operators made at the one before it.
 func TestOverridesSurviveRestart(t *testing.T) {
-	var other int
-	addr := sidecartest.HTTPEndpoint(t, func(http.ResponseWriter, *http.Request) { other++ })
-	c := sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)})
+	var sent atomic.Int32
+	addr := sidecartest.HTTPEndpoint(t, func(http.ResponseWriter, *http.Request) { sent.Add(1) })
+	c := configure(t, []string{addr})
 	dir := t.TempDir()
 	s := startIn(t, c, dir)
 	s.wantReply(t, "maint-on s-1", "YES")
 	s.stop()
-	sidecartest.Receive(t, s.ended, "end")
+	if err := sidecartest.Receive(t, s.ended, "end"); err != nil {
+		t.Error(err)
+	}
 	s = startIn(t, c, dir)
-	if resp, _ := s.do(t, sidecartest.IdempotentRequest(900)); resp.StatusCode != 503 || other > 0 {
-		t.Errorf("answered %s, %d requests went out", resp.Status, other)
+	resp, _ := s.do(t, sidecartest.IdempotentRequest(900))
+	if resp.StatusCode != http.StatusServiceUnavailable || sent.Load() > 0 {
+		t.Errorf("answered %s, %d requests were sent", resp.Status, sent.Load())
 	}
 	s.wantReply(t, "maint-off s-1", "YES")
 	s.wantMetric(t, "cluster_unhealthy", 0)
--- a/internal/dataplane/sidecar/reload.go
+++ b/internal/dataplane/sidecar/reload.go
@@ -33,7 +33,8 @@
 		}
 		if err := r.reload(ctx); err != nil {
 			r.metrics.ConfigsRejected.Inc()
-			r.log.Error("configuration rejected, the previous one stays in effect", "key", rejectedKey(err), "error", err)
+			r.log.Error("configuration rejected, the previous one stays in effect",
+				"key", rejectedKey(err), "error", err)
 		}
 	}
 }
--- a/internal/dataplane/sidecar/reload_test.go
+++ b/internal/dataplane/sidecar/reload_test.go
@@ -17,35 +17,34 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// A new configuration moves the watch to the discovery that its file names, at once and with nothing held
-// against it that the old one told: generations there are its own, and what it does not list is gone.
+// A new configuration moves the watch to the discovery that its file names, at once and without anything from the old
+// one: generations are its own, and endpoints that it does not list are removed.
 func TestReloadMovesWatch(t *testing.T) {
 	for _, mode := range []string{"automatic", "subscribe"} {
 		t.Run(mode, func(t *testing.T) {
-			endpoint := func(name string) string {
-				return sidecartest.HTTPEndpoint(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, name) })
-			}
-			one, two, three := sidecartest.ReadyInstance("s-1", endpoint("one")), sidecartest.ReadyInstance("s-2", endpoint("two")), sidecartest.ReadyInstance("s-3", endpoint("three"))
+			one, two := namedEndpoint(t, "s-1", "one"), namedEndpoint(t, "s-2", "two")
+			three := namedEndpoint(t, "s-3", "three")
 			for _, in := range []*discovery.Instance{&one, &two, &three} {
-				in.StartedMs = 1 // long ago: a cold endpoint may be spared
+				in.StartedMs = 1 // long ago: one that is warming up may get few requests
 			}
 			configured := func(at string) *config.Config {
-				return sidecartest.Configure(t, at, []discovery.Instance{one}, `"discovery":"automatic"`, `"discovery":"`+mode+`"`)
+				return sidecartest.Configure(t, at, []discovery.Instance{one},
+					`"discovery":"automatic"`, `"discovery":"`+mode+`"`)
 			}
 			old, next := sidecartest.NewDiscovery(t), sidecartest.NewDiscovery(t)
-			// As with ROUTER_DISCOVERY: the start goes by it, a file that changes goes before it.
+			// As with ROUTER_DISCOVERY, which applies at the start, until a file names another.
 			c := configured(sidecartest.ClosedAddress(t))
 			c.Discovery = old.Addr
 			s := startSidecar(t, c)
 			expect := func(b *sidecartest.Discovery, want string) {
 				t.Helper()
 				if got := sidecartest.Receive(t, b.Watches, "call of discovery"); got != want {
-					t.Errorf("asked with %q, want %q", got, want)
+					t.Errorf("called with %q, want %q", got, want)
 				}
 			}
 			expect(old, "1 7")
 
-			// What makes no sense and what names nothing new leave the watch alone.
+			// An invalid file and one that names the same discovery do not move the watch.
 			same := *c
 			for _, c := range []*config.Config{nil, &same} {
 				s.reload <- syscall.SIGHUP
@@ -80,11 +79,11 @@
 	}
 }
 
-// Configurations may come while the sidecar stops.
+// A configuration may arrive while the sidecar stops.
 func TestReloadWhileStopping(t *testing.T) {
 	b := sidecartest.NewDiscovery(t)
 	addr := sidecartest.HTTPEndpoint(t, func(http.ResponseWriter, *http.Request) {})
-	c := sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)})
+	c := configure(t, []string{addr})
 	s := startSidecar(t, c)
 	s.stop()
 	s.reload <- syscall.SIGHUP
@@ -95,7 +94,7 @@
 	}
 }
 
-// Classes come and go, with rules of their own; a file that makes no sense changes nothing and is counted.
+// A reload adds and removes classes, with rules of their own. An invalid file changes nothing and is counted.
 func TestReloadChangesClasses(t *testing.T) {
 	taken, release := make(chan struct{}, 8), make(chan struct{})
 	let := sync.OnceFunc(func() { close(release) })
@@ -104,20 +103,16 @@
 			taken <- struct{}{}
 			<-release
 		}
-		io.WriteString(w, "ok")
+		_, _ = io.WriteString(w, "ok")
 	})
 	t.Cleanup(let)
 	known := []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)}
 	s := startSidecar(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), known))
-	reload := func(c *config.Config, figure string, want int) {
+	reload := func(c *config.Config, metric string, want int) {
 		t.Helper()
 		s.reload <- syscall.SIGHUP
 		s.config <- c
-		for end := time.Now().Add(sidecartest.WaitTimeout); s.metric(t, figure) != want; {
-			if time.Now().After(end) {
-				t.Fatalf("%s does not become %d", figure, want)
-			}
-		}
+		s.awaitMetric(t, metric, want)
 	}
 	open := make(chan int, 1)
 	go func() {
@@ -126,33 +121,37 @@
 	}()
 	sidecartest.Receive(t, taken, "attempt")
 	const pay = `{"name":"pay","repeat":"side_effect"`
-	reload(sidecartest.Configure(t, sidecartest.ClosedAddress(t), known, pay, `{"name":"sell","repeat":"pure"`, `"most-tries":3`, `"most-tries":2`),
-		"conf_loaded_total", 1)
-	if resp, text := s.do(t, sidecartest.Request("GET", "/sell", "sell", 900, "")); resp.StatusCode != 200 || text != "ok" {
+	next := sidecartest.Configure(t, sidecartest.ClosedAddress(t), known,
+		pay, `{"name":"sell","repeat":"pure"`, `"most-tries":3`, `"most-tries":2`)
+	reload(next, "conf_loaded_total", 1)
+	resp, text := s.do(t, sidecartest.Request("GET", "/sell", "sell", 900, ""))
+	if resp.StatusCode != http.StatusOK || text != "ok" {
 		t.Errorf("the new class: %s", resp.Status)
 	}
-	if resp, _ := s.do(t, sidecartest.Request("POST", "/pay", "pay", 900, "x")); resp.StatusCode != 404 {
+	resp, _ = s.do(t, sidecartest.Request("POST", "/pay", "pay", 900, "x"))
+	if resp.StatusCode != http.StatusNotFound {
 		t.Errorf("the dropped class: %s", resp.Status)
 	}
 	let()
-	if code := sidecartest.Receive(t, open, "answer"); code != 200 {
-		t.Errorf("what was open: %d", code)
+	if code := sidecartest.Receive(t, open, "answer"); code != http.StatusOK {
+		t.Errorf("the open request: %d", code)
 	}
 	s.wantMetric(t, `answered_total{group="pay"}`, 1)
 	s.wantMetric(t, `answered_total{group="sell"}`, 1)
 	reload(nil, "conf_invalid_total", 1)
-	if resp, _ := s.do(t, sidecartest.Request("GET", "/sell", "sell", 900, "")); resp.StatusCode != 200 {
-		t.Errorf("after a bad file: %s", resp.Status)
+	if resp, _ := s.do(t, sidecartest.Request("GET", "/sell", "sell", 900, "")); resp.StatusCode != http.StatusOK {
+		t.Errorf("after an invalid file: %s", resp.Status)
 	}
 }
 
-// Every way in which a file may be wrong is found before any of it is taken, and named.
+// Whatever is wrong with a file is found before any of it is applied, and its key is named.
 func TestInvalidConfigurationChangesNothing(t *testing.T) {
-	c := sidecartest.Configure(t, "127.0.0.1:1", []discovery.Instance{sidecartest.ReadyInstance("s-1", "127.0.0.1:2")})
-	good := sidecartest.ConfigText(t, "127.0.0.1:1", []discovery.Instance{sidecartest.ReadyInstance("s-1", "127.0.0.1:2")})
-	figures, took := metrics.New(), 0
-	r := &reloader{config: c, metrics: figures, log: sidecartest.DiscardLog,
-		apply: func(context.Context, *config.Config) error { took++; return nil }}
+	known := []discovery.Instance{sidecartest.ReadyInstance("s-1", "127.0.0.1:2")}
+	c := sidecartest.Configure(t, "127.0.0.1:1", known)
+	good := sidecartest.ConfigText(t, "127.0.0.1:1", known)
+	registry, applied := metrics.New(), 0
+	r := &reloader{config: c, metrics: registry, log: sidecartest.DiscardLog,
+		apply: func(context.Context, *config.Config) error { applied++; return nil }}
 	for _, tc := range []struct{ key, old, new string }{
 		{"file", string(good), ""},
 		{"file", string(good), "{}"[:1]},
@@ -184,11 +183,11 @@
 			t.Errorf("%q: got %v, want an error for %s", tc.new, err, tc.key)
 		}
 	}
-	if took > 0 {
-		t.Errorf("%d bad files were taken", took)
+	if applied > 0 {
+		t.Errorf("%d invalid files were applied", applied)
 	}
 	r.read = func() (*config.Config, error) { return config.Parse(good, func(string) string { return "" }) }
-	if err := r.reload(t.Context()); err != nil || took != 1 {
-		t.Errorf("the good file: %v", err)
+	if err := r.reload(t.Context()); err != nil || applied != 1 {
+		t.Errorf("the valid file: %v", err)
 	}
 }
--- a/internal/dataplane/sidecar/sidecar.go
+++ b/internal/dataplane/sidecar/sidecar.go
@@ -32,7 +32,7 @@
 	minWatchRetryInterval = 50 * time.Millisecond
 
 	minMemoryLimitBytes = 12 << 20 // with less the garbage collector would run all the time
-	memoryLimitDivisor  = 2        // the collector works harder from this part of the limit at which the process is killed
+	memoryLimitDivisor  = 2        // the collector works harder from this part of the configured limit on
 )
 
 // instance is a running sidecar.
@@ -142,7 +142,8 @@
 			own.MaxDescriptors, c.MaxDescriptors, config.MinDescriptors)
 	}
 	if allowed := descriptorLimit(); allowed < own.MaxDescriptors {
-		h.Log.Warn("the system allows fewer descriptors than the configured limit", "allowed", allowed, "limit", own.MaxDescriptors)
+		h.Log.Warn("the system allows fewer descriptors than the configured limit",
+			"allowed", allowed, "limit", own.MaxDescriptors)
 		own.MaxDescriptors = allowed
 	}
 	return &own, nil
--- a/internal/dataplane/sidecar/snapshotfile_test.go
+++ b/internal/dataplane/sidecar/snapshotfile_test.go
@@ -12,7 +12,6 @@
 
 	"birchmoor/internal/dataplane/config"
 	"birchmoor/internal/dataplane/core"
-	"birchmoor/internal/dataplane/discovery"
 	"birchmoor/internal/dataplane/httpfront"
 	"birchmoor/internal/dataplane/maintenance"
 	"birchmoor/internal/platform/metrics"
@@ -20,7 +19,7 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// runWithSnapshot runs a sidecar with the given bytes kept for it, and returns what it logged once it was ready.
+// runWithSnapshot runs a sidecar with the given snapshot file, and returns its log lines once it was ready.
 func runWithSnapshot(t *testing.T, c *config.Config, data []byte) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "known")
@@ -31,36 +30,45 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var said bytes.Buffer
+	var logged bytes.Buffer
 	ctx, stop := context.WithCancel(t.Context())
 	serving := make(chan struct{}, 1)
 	log := slog.New(slog.NewTextHandler(logWriter(func(p []byte) {
-		said.Write(p)
+		logged.Write(p)
 		if bytes.Contains(p, []byte("msg=serving")) {
 			serving <- struct{}{}
 		}
 	}), nil))
 	ended := make(chan error, 1)
 	go func() {
-		ended <- Run(ctx, c, Host{Socket: singleListener{ln}, Overrides: maintenance.Discard{}, SnapshotFile: snapshot.File{Path: path}, Log: log})
+		ended <- Run(ctx, c, Host{
+			Socket:       singleListener{ln},
+			Overrides:    maintenance.Discard{},
+			SnapshotFile: snapshot.File{Path: path},
+			Log:          log,
+		})
 	}()
 	sidecartest.Receive(t, serving, "start")
 	stop()
 	if err := sidecartest.Receive(t, ended, "end"); err != nil {
 		t.Error(err)
 	}
-	return said.String()
+	return logged.String()
 }
 
 type logWriter func(p []byte)
 
-func (w logWriter) Write(p []byte) (int, error) { w(p); return len(p), nil }
+func (w logWriter) Write(p []byte) (int, error) {
+	w(p)
+	return len(p), nil
+}
 
-// A start reads what was kept; whatever the file holds, it starts.
+// A sidecar restores its state from the file, and starts whatever the file contains.
 func TestStartRestoresSnapshotFile(t *testing.T) {
-	c := sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", "127.0.0.1:1"), sidecartest.ReadyInstance("s-2", "127.0.0.1:2")})
-	clk, figures := core.NewClock(), metrics.New()
-	old, err := core.New(c, clk, httpfront.NewUpstream(c, clk, &figures.AttemptsSent, sidecartest.DiscardLog), func(bool) {}, figures, nil, sidecartest.DiscardLog)
+	c := configure(t, []string{"127.0.0.1:1", "127.0.0.1:2"})
+	clock, registry := core.NewClock(), metrics.New()
+	upstream := httpfront.NewUpstream(c, clock, &registry.AttemptsSent, sidecartest.DiscardLog)
+	old, err := core.New(c, clock, upstream, func(bool) {}, registry, nil, sidecartest.DiscardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,12 +81,17 @@
 	}
 	newer := bytes.Clone(data)
 	newer[7]++
-	for _, x := range []struct {
+	for _, tc := range []struct {
 		data []byte
 		want string
-	}{{data, "endpoints=2 of=2"}, {data[:len(data)/2], "cut"}, {newer, "newer"}, {[]byte(strings.Repeat("x", 99)), "foreign"}} {
-		if said := runWithSnapshot(t, c, x.data); !strings.Contains(said, x.want) {
-			t.Errorf("want %q in:\n%s", x.want, said)
+	}{
+		{data, "endpoints=2 of=2"},
+		{data[:len(data)/2], "cut"},
+		{newer, "newer"},
+		{[]byte(strings.Repeat("x", 99)), "foreign"},
+	} {
+		if logged := runWithSnapshot(t, c, tc.data); !strings.Contains(logged, tc.want) {
+			t.Errorf("want %q in:\n%s", tc.want, logged)
 		}
 	}
 }
--- a/internal/dataplane/sidecar/streaming_test.go
+++ b/internal/dataplane/sidecar/streaming_test.go
@@ -12,21 +12,20 @@
 	"testing"
 	"time"
 
-	"birchmoor/internal/dataplane/discovery"
 	"birchmoor/internal/dataplane/httpfront"
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// longText is a text that is never held whole.
+// longText is longer than any buffer of the sidecar.
 var longText = strings.Repeat("0123456789abcdef", 20*httpfront.MaxBufferedBody/16) + "end"
 
-// unsizedReader hides a text's length, so that it goes in chunks.
+// unsizedReader hides the length of a text, so that it is sent in chunks.
 type unsizedReader struct{ io.Reader }
 
-// Long bodies and answers go through unchanged, in every form that HTTP/1.1 has for them.
+// Long bodies and answers are passed on unchanged, in every form that HTTP/1.1 has for them.
 func TestLongBodiesAndAnswersPassUnchanged(t *testing.T) {
 	got := make(chan string, 1)
-	// It keeps a connection until it has said that it closes it: the next request may be on its way when it does so unsaid.
+	// It closes a connection only after it has said so, since the next request may be on its way.
 	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 		for as := ""; as != "end"; {
 			req, err := http.ReadRequest(r)
@@ -38,27 +37,34 @@
 				return
 			}
 			got <- string(body)
-			io.WriteString(c, "HTTP/1.1 103 Early Hints\r\n\r\n")
+			_, _ = io.WriteString(c, "HTTP/1.1 103 Early Hints\r\n\r\n")
 			switch as = req.URL.Query().Get("as"); as {
 			case "length":
 				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(longText), longText)
 			case "chunks":
-				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\nX-Sum: 1\r\n\r\n", len(longText), longText)
+				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\nX-Sum: 1\r\n\r\n",
+					len(longText), longText)
 			case "end":
-				io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+longText)
+				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+longText)
 			default:
-				io.WriteString(c, sidecartest.OKAnswer)
+				_, _ = io.WriteString(c, sidecartest.OKAnswer)
 			}
 		}
 	})
-	s := startSidecar(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)}))
+	s := startWithEndpoints(t, []string{addr})
 	for _, tc := range []struct {
 		as      string
 		body    string
 		chunked bool
 	}{
-		{"short", longText, false}, {"short", longText, true}, {"short", "short", true}, {"short", longText[:httpfront.MaxBufferedBody], true},
-		{"length", "x", false}, {"chunks", "x", false}, {"end", "x", false}, {"chunks", longText, true},
+		{"short", longText, false},
+		{"short", longText, true},
+		{"short", "short", true},
+		{"short", longText[:httpfront.MaxBufferedBody], true},
+		{"length", "x", false},
+		{"chunks", "x", false},
+		{"end", "x", false},
+		{"chunks", longText, true},
 	} {
 		t.Run(fmt.Sprint(tc.as, len(tc.body), tc.chunked), func(t *testing.T) {
 			r := sidecartest.Request("POST", "/pay?as="+tc.as, "pay", 900, tc.body)
@@ -69,7 +75,7 @@
 			if tc.as == "short" {
 				want = "ok"
 			}
-			if resp, text := s.do(t, r); resp.StatusCode != 200 || text != want {
+			if resp, text := s.do(t, r); resp.StatusCode != http.StatusOK || text != want {
 				t.Errorf("%s, %d bytes", resp.Status, len(text))
 			}
 			if body := sidecartest.Receive(t, got, "body"); body != tc.body {
@@ -82,8 +88,8 @@
 	s.wantMetric(t, "current", 0)
 }
 
-// Once the client has the beginning, nothing is sent a second time, though a repeat would be harmless, and the
-// client can tell that the rest is missing.
+// Once the client has the beginning of an answer there is no retry, though one would be harmless, and the client can
+// tell that the rest is missing.
 func TestCutAnswerIsNotRetried(t *testing.T) {
 	for _, head := range []string{
 		fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 2*len(longText)),
@@ -93,58 +99,55 @@
 		addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 			if _, err := sidecartest.ReadRequest(r); err == nil {
 				sent.Add(1)
-				io.WriteString(c, head+longText)
+				_, _ = io.WriteString(c, head+longText)
 			}
 		})
-		s := startSidecar(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", addr), sidecartest.ReadyInstance("s-2", addr)}))
-		c, err := net.Dial("tcp", s.addr)
-		if err != nil {
+		s := startWithEndpoints(t, []string{addr, addr})
+		c := s.dial(t)
+		if err := sidecartest.IdempotentRequest(900).Write(c); err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		sidecartest.IdempotentRequest(900).Write(c)
-		c.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout))
+		setReadDeadline(t, c, sidecartest.WaitTimeout)
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if text, err := io.ReadAll(resp.Body); !errors.Is(err, io.ErrUnexpectedEOF) || !strings.HasPrefix(longText, string(text)) {
+		text, err := io.ReadAll(resp.Body)
+		if !errors.Is(err, io.ErrUnexpectedEOF) || !strings.HasPrefix(longText, string(text)) {
 			t.Errorf("%d bytes, %v", len(text), err)
 		}
 		if n := sent.Load(); n != 1 {
 			t.Errorf("%d attempts", n)
 		}
 		s.stop()
-		sidecartest.Receive(t, s.ended, "end")
+		if err := sidecartest.Receive(t, s.ended, "end"); err != nil {
+			t.Error(err)
+		}
 	}
 }
 
-// A body of which a part went by is not sent again, though it never ran.
+// A streamed body of which a part was sent is not sent again, though the request never ran.
 func TestStreamedBodyIsNotSentAgain(t *testing.T) {
 	var sent atomic.Int32
 	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err == nil {
 			sent.Add(1)
-			io.CopyN(io.Discard, r, 2*httpfront.MaxBufferedBody)
-			c.SetLinger(0)
+			_, _ = io.CopyN(io.Discard, r, 2*httpfront.MaxBufferedBody)
+			_ = c.SetLinger(0) // resets the connection
 		}
 	})
-	s := startSidecar(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", addr), sidecartest.ReadyInstance("s-2", addr)}))
-	c, err := net.Dial("tcp", s.addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
-	// Far more than what sockets hold, or the whole may have gone out before the end shows.
+	s := startWithEndpoints(t, []string{addr, addr})
+	c := s.dial(t)
+	// Far more than sockets buffer, so that it cannot all be sent before the reset shows.
 	r := sidecartest.Request("POST", "/pay", "pay", 900, "x")
 	r.ContentLength, r.Body = httpfront.MaxBody, io.NopCloser(io.LimitReader(zeros{}, httpfront.MaxBody))
-	go r.Write(c)
-	c.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout))
+	go func() { _ = r.Write(c) }() // is cut off
+	setReadDeadline(t, c, sidecartest.WaitTimeout)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if resp.StatusCode != 503 || !resp.Close {
+	if resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
 		t.Errorf("%s, close %v", resp.Status, resp.Close)
 	}
 	if n := sent.Load(); n != 1 {
@@ -153,67 +156,70 @@
 	s.wantMetric(t, `deferred_total{group="pay"}`, 1)
 }
 
-// zeros never ends.
+// zeros is an endless body.
 type zeros struct{}
 
-func (zeros) Read(b []byte) (int, error) { clear(b); return len(b), nil }
+func (zeros) Read(b []byte) (int, error) {
+	clear(b)
+	return len(b), nil
+}
 
-// A client that stops in the middle of a long body is told, and no endpoint gets a whole request.
+// A client that stops within a long body gets an error, and no endpoint gets a complete request.
 func TestIncompleteBodyIsRejected(t *testing.T) {
-	whole := make(chan bool, 1)
-	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
+	complete := make(chan bool, 1)
+	addr := sidecartest.RawEndpoint(t, func(_ *net.TCPConn, r *bufio.Reader) {
 		_, err := sidecartest.ReadRequest(r)
-		whole <- err == nil
+		complete <- err == nil
 	})
-	s := startSidecar(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)}))
-	c, err := net.Dial("tcp", s.addr)
-	if err != nil {
+	s := startWithEndpoints(t, []string{addr})
+	c := s.dial(t)
+	var text strings.Builder
+	if err := sidecartest.Request("POST", "/pay", "pay", 900, longText).Write(&text); err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	var text strings.Builder
-	sidecartest.Request("POST", "/pay", "pay", 900, longText).Write(&text)
-	io.WriteString(c, text.String()[:text.Len()-httpfront.MaxBufferedBody])
-	c.(*net.TCPConn).CloseWrite()
-	c.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout))
+	_, _ = io.WriteString(c, text.String()[:text.Len()-httpfront.MaxBufferedBody])
+	if err := c.(*net.TCPConn).CloseWrite(); err != nil {
+		t.Fatal(err)
+	}
+	setReadDeadline(t, c, sidecartest.WaitTimeout)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
-	if err != nil || resp.StatusCode != 400 {
+	if err != nil || resp.StatusCode != http.StatusBadRequest {
 		t.Errorf("%v, %v", resp, err)
 	}
-	if sidecartest.Receive(t, whole, "request") {
-		t.Error("the endpoint took a part for the whole")
+	if sidecartest.Receive(t, complete, "request") {
+		t.Error("the endpoint received a complete request")
 	}
 	s.wantMetric(t, "current", 0)
 }
 
-// A deadline does not cut what has begun to flow.
+// A deadline does not cut an answer that has begun to stream.
 func TestStreamedAnswerOutlastsDeadline(t *testing.T) {
 	const ms = 100
 	release := make(chan struct{})
 	addr := sidecartest.HTTPEndpoint(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", fmt.Sprint(len(longText)))
-		io.WriteString(w, longText[:10])
+		_, _ = io.WriteString(w, longText[:10])
 		http.NewResponseController(w).Flush()
 		<-release
-		io.WriteString(w, longText[10:])
+		_, _ = io.WriteString(w, longText[10:])
 	})
-	s := startSidecar(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)}))
-	// Which is of use only if its head comes in time: on a busy machine it is asked again.
+	s := startWithEndpoints(t, []string{addr})
+	// The head has to come in time; on a busy machine the request is made again.
 	var resp *http.Response
 	begun := time.Now()
 	for end := begun.Add(sidecartest.WaitTimeout); ; {
-		c, err := net.Dial("tcp", s.addr)
-		if err != nil {
+		c := s.dial(t)
+		begun = time.Now()
+		if err := sidecartest.IdempotentRequest(ms).Write(c); err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		begun = time.Now()
-		sidecartest.IdempotentRequest(ms).Write(c)
-		c.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout))
-		if resp, err = http.ReadResponse(bufio.NewReader(c), nil); err != nil {
+		setReadDeadline(t, c, sidecartest.WaitTimeout)
+		var err error
+		resp, err = http.ReadResponse(bufio.NewReader(c), nil)
+		if err != nil {
 			t.Fatal(err)
 		}
-		if resp.StatusCode == 200 {
+		if resp.StatusCode == http.StatusOK {
 			break
 		}
 		if time.Now().After(end) {
@@ -224,7 +230,7 @@
 	if _, err := io.ReadFull(resp.Body, first); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(time.Until(begun.Add(2 * ms * time.Millisecond))) // the deadline goes by
+	time.Sleep(time.Until(begun.Add(2 * ms * time.Millisecond))) // past the deadline
 	close(release)
 	if rest, err := io.ReadAll(resp.Body); err != nil || string(first)+string(rest) != longText {
 		t.Errorf("%d bytes, %v", len(rest), err)
