--- a/cmd/birchmoor/dns.go
+++ b/cmd/birchmoor/dns.go
@@ -22,16 +22,16 @@
 
 // dnsSettings reads what the operator file leaves to the front.
 func dnsSettings(d *operatorconfig.DNS) (*dnsfront.Settings, error) {
-	s := &dnsfront.Settings{Sockets: d.MaxUDPSockets, TCPServer: d.MaxTCPPerServer, TCPClients: d.MaxTCPClients, PerConn: d.MaxOpenPerConn,
-		Idle: time.Duration(d.IdleTimeout), Limit: limit.Settings{Open: d.MaxOpenQueries, PerClient: d.MaxOpenPerClient,
-			Unproven: float64(d.UnverifiedPercent) / 100, Rate: float64(d.RatePerClient), Burst: float64(d.BurstPerClient), Slip: *d.TruncateEvery, Prefixes: d.MaxClientPrefixes}}
+	s := &dnsfront.Settings{MaxSockets: d.MaxUDPSockets, MaxConnsPerServer: d.MaxTCPPerServer, MaxClientConns: d.MaxTCPClients, MaxQueriesPerConn: d.MaxOpenPerConn,
+		IdleTimeout: time.Duration(d.IdleTimeout), Limit: limit.Settings{MaxOpen: d.MaxOpenQueries, MaxOpenPerPrefix: d.MaxOpenPerClient,
+			UnverifiedShare: float64(d.UnverifiedPercent) / 100, AnswersPerSecond: float64(d.RatePerClient), Burst: float64(d.BurstPerClient), TruncateEvery: *d.TruncateEvery, MaxPrefixes: d.MaxClientPrefixes}}
 	var faults []error
 	for name, c := range d.Class {
 		bad := func(key, format string, args ...any) {
 			faults = append(faults, fmt.Errorf("dns.class.%s.%s: %s", name, key, fmt.Sprintf(format, args...)))
 		}
-		class := dnsfront.Class{Name: name, Aim: time.Duration(c.LatencyObjective), GiveUp: time.Duration(c.Timeout), Worth: c.PriorityWeight,
-			LateWorth: *c.LatePriorityWeight, Attempts: c.MaxAttempts, Share: c.Coalesce, Route: route.Class{Suffixes: c.Suffixes}}
+		class := dnsfront.Class{Name: name, LatencyObjective: time.Duration(c.LatencyObjective), Timeout: time.Duration(c.Timeout), PriorityWeight: c.PriorityWeight,
+			LatePriorityWeight: *c.LatePriorityWeight, MaxAttempts: c.MaxAttempts, ShareAnswers: c.Coalesce, Route: route.Class{Suffixes: c.Suffixes}}
 		for _, suffix := range c.Suffixes {
 			if !dnsfront.ValidName(suffix) {
 				bad("suffixes", "%q is no name", suffix)
--- a/internal/dataplane/dnsfront/front_test.go
+++ b/internal/dataplane/dnsfront/front_test.go
@@ -28,8 +28,8 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// both is a UDP and a TCP socket at one free address.
-func both(t *testing.T) (*net.UDPConn, *net.TCPListener) {
+// listenUDPAndTCP is a UDP and a TCP socket at one free address.
+func listenUDPAndTCP(t *testing.T) (*net.UDPConn, *net.TCPListener) {
 	t.Helper()
 	for range 50 {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,13 +48,13 @@
 	return nil, nil
 }
 
-// names is a stand-in server; it answers A queries with 192.0.2.1 unless it is given something else to do.
-func names(t *testing.T, handle dns.HandlerFunc) string {
+// startServer is a stand-in server; it answers A queries with 192.0.2.1 unless it is given something else to do.
+func startServer(t *testing.T, handle dns.HandlerFunc) string {
 	t.Helper()
 	if handle == nil {
-		handle = func(w dns.ResponseWriter, m *dns.Msg) { w.WriteMsg(reached(m, 1)) }
+		handle = func(w dns.ResponseWriter, m *dns.Msg) { w.WriteMsg(answerWith(m, 1)) }
 	}
-	udp, tcp := both(t)
+	udp, tcp := listenUDPAndTCP(t)
 	for _, s := range []*dns.Server{{PacketConn: udp, Handler: handle, MsgAcceptFunc: func(dns.Header) dns.MsgAcceptAction { return dns.MsgAccept }},
 		{Listener: tcp, Handler: handle, MsgAcceptFunc: func(dns.Header) dns.MsgAcceptAction { return dns.MsgAccept }}} {
 		go s.ActivateAndServe()
@@ -63,8 +63,8 @@
 	return udp.LocalAddr().String()
 }
 
-// reached is an answer with n addresses.
-func reached(m *dns.Msg, n int) *dns.Msg {
+// answerWith is an answer with n addresses.
+func answerWith(m *dns.Msg, n int) *dns.Msg {
 	a := new(dns.Msg)
 	a.SetReply(m)
 	a.Compress = true
@@ -77,21 +77,21 @@
 
 func testSettings() Settings {
 	class := func(name string, share bool, ops ...int) Class {
-		return Class{Name: name, Aim: 500 * time.Millisecond, GiveUp: 1500 * time.Millisecond, Worth: 1, LateWorth: 0.5, Attempts: 3,
-			Share: share, Route: route.Class{Suffixes: []string{name + ".test"}, Opcodes: ops}}
+		return Class{Name: name, LatencyObjective: 500 * time.Millisecond, Timeout: 1500 * time.Millisecond, PriorityWeight: 1, LatePriorityWeight: 0.5, MaxAttempts: 3,
+			ShareAnswers: share, Route: route.Class{Suffixes: []string{name + ".test"}, Opcodes: ops}}
 	}
-	return Settings{Sockets: 64, TCPServer: 2, TCPClients: 8, PerConn: 32, Idle: 2 * time.Second,
-		Limit:   limit.Settings{Open: 1000, PerClient: 1000, Unproven: 1, Rate: 1e6, Burst: 1e6, Slip: 2, Prefixes: 100},
+	return Settings{MaxSockets: 64, MaxConnsPerServer: 2, MaxClientConns: 8, MaxQueriesPerConn: 32, IdleTimeout: 2 * time.Second,
+		Limit:   limit.Settings{MaxOpen: 1000, MaxOpenPerPrefix: 1000, UnverifiedShare: 1, AnswersPerSecond: 1e6, Burst: 1e6, TruncateEvery: 2, MaxPrefixes: 100},
 		Classes: []Class{class("look", false), class("same", true), class("change", false, dns.OpcodeUpdate)}}
 }
 
-// held is sockets that outlive those who listen on them, as the platform's do.
-type held struct {
+// retainedSockets is sockets that outlive those who listen on them, as the platform's do.
+type retainedSockets struct {
 	udp *net.UDPConn
 	tcp *net.TCPListener
 }
 
-func (h held) ListenPacket() (*net.UDPConn, error) {
+func (h retainedSockets) ListenPacket() (*net.UDPConn, error) {
 	f, err := h.udp.File()
 	if err != nil {
 		return nil, err
@@ -104,7 +104,7 @@
 	return c.(*net.UDPConn), nil
 }
 
-func (h held) Listen() (net.Listener, error) {
+func (h retainedSockets) Listen() (net.Listener, error) {
 	f, err := h.tcp.File()
 	if err != nil {
 		return nil, err
@@ -113,23 +113,23 @@
 	return net.FileListener(f)
 }
 
-type only struct{ net.Listener }
+type fixedListener struct{ net.Listener }
 
-func (o only) Listen() (net.Listener, error) { return o.Listener, nil }
+func (o fixedListener) Listen() (net.Listener, error) { return o.Listener, nil }
 
-// running is a sidecar with the front, over servers at addrs.
-type running struct {
+// testSidecar is a sidecar with the front, over servers at addrs.
+type testSidecar struct {
 	addr  string
 	front *Front
-	desk  net.Listener // operators'
+	management  net.Listener // operators'
 	stop  context.CancelFunc
 	ended chan error
 }
 
 // call makes an operator's call.
-func (r *running) call(t *testing.T, line string) string {
+func (r *testSidecar) call(t *testing.T, line string) string {
 	t.Helper()
-	c, err := net.Dial("tcp", r.desk.Addr().String())
+	c, err := net.Dial("tcp", r.management.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -143,7 +143,7 @@
 	return string(answer)
 }
 
-func start(t *testing.T, s Settings, h held, dir string, addrs ...string) *running {
+func startSidecar(t *testing.T, s Settings, h retainedSockets, dir string, addrs ...string) *testSidecar {
 	t.Helper()
 	var known []discovery.Instance
 	for i, a := range addrs {
@@ -157,14 +157,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &running{addr: h.udp.LocalAddr().String(), ended: make(chan error, 1),
+	r := &testSidecar{addr: h.udp.LocalAddr().String(), ended: make(chan error, 1),
 		front: &Front{Settings: s, Sockets: Sockets{UDP: h, TCP: h}}}
 	var ctx context.Context
 	ctx, r.stop = context.WithCancel(context.Background())
-	if r.desk, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+	if r.management, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	host := sidecar.Host{Socket: only{ln}, Management: r.desk, Overrides: maintenance.Discard{}, Protocols: []core.Protocol{r.front},
+	host := sidecar.Host{Socket: fixedListener{ln}, Management: r.management, Overrides: maintenance.Discard{}, Protocols: []core.Protocol{r.front},
 		Reload: make(chan os.Signal), ReadConfig: func() (*config.Config, error) { return c, nil }, Log: sidecartest.DiscardLog}
 	if dir != "" {
 		host.HandoverPath = filepath.Join(dir, "sock")
@@ -188,23 +188,23 @@
 	return r
 }
 
-func startOver(t *testing.T, addrs ...string) *running {
-	udp, tcp := both(t)
-	return start(t, testSettings(), held{udp, tcp}, "", addrs...)
+func startSidecarWith(t *testing.T, addrs ...string) *testSidecar {
+	udp, tcp := listenUDPAndTCP(t)
+	return startSidecar(t, testSettings(), retainedSockets{udp, tcp}, "", addrs...)
 }
 
 // Programs that nobody here wrote are content: the standard library's resolver, and miekg's client over both transports.
-func TestOthersClients(t *testing.T) {
-	r := startOver(t, names(t, func(w dns.ResponseWriter, m *dns.Msg) {
+func TestStandardClientsAreServed(t *testing.T) {
+	r := startSidecarWith(t, startServer(t, func(w dns.ResponseWriter, m *dns.Msg) {
 		if m.Question[0].Qtype == dns.TypeAAAA {
-			w.WriteMsg(reached(m, 0))
+			w.WriteMsg(answerWith(m, 0))
 			return
 		}
 		n := 2
 		if strings.HasPrefix(m.Question[0].Name, "many.") {
 			n = 200
 		}
-		a := reached(m, n)
+		a := answerWith(m, n)
 		if _, tcp := w.RemoteAddr().(*net.TCPAddr); !tcp {
 			a.Truncate(512)
 		}
@@ -230,7 +230,7 @@
 		if err != nil || m.Truncated != (network == "udp") || network == "tcp" && len(m.Answer) != 200 {
 			t.Errorf("%s: %v", network, err)
 		}
-		if m.Compress = true; network == "udp" && m.Len() > udpPlain {
+		if m.Compress = true; network == "udp" && m.Len() > maxPlainUDPSize {
 			t.Errorf("%d bytes to a client without EDNS", m.Len())
 		}
 	}
@@ -243,12 +243,12 @@
 }
 
 // An operator's ban binds for servers of this front as for those of HTTP, and its figures stand beside.
-func TestBan(t *testing.T) {
+func TestAdminDrainAppliesToDNSServers(t *testing.T) {
 	var asked [2]atomic.Int32
 	server := func(i int) string {
-		return names(t, func(w dns.ResponseWriter, m *dns.Msg) { asked[i].Add(1); w.WriteMsg(reached(m, 1)) })
+		return startServer(t, func(w dns.ResponseWriter, m *dns.Msg) { asked[i].Add(1); w.WriteMsg(answerWith(m, 1)) })
 	}
-	r := startOver(t, server(0), server(1))
+	r := startSidecarWith(t, server(0), server(1))
 	if got := r.call(t, "maint-on d-0"); got != "YES\n" {
 		t.Fatal(got)
 	}
@@ -270,8 +270,8 @@
 }
 
 // What is no query of a class has an answer that says why, or none.
-func TestTurnedAway(t *testing.T) {
-	r := startOver(t, names(t, nil))
+func TestInvalidQueriesAreRejectedWithReason(t *testing.T) {
+	r := startSidecarWith(t, startServer(t, nil))
 	ask := func(m *dns.Msg) *dns.Msg {
 		t.Helper()
 		m.SetEdns0(1232, false)
@@ -309,7 +309,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	answer, _ := reached(new(dns.Msg).SetQuestion("a.look.test.", dns.TypeA), 1).Pack()
+	answer, _ := answerWith(new(dns.Msg).SetQuestion("a.look.test.", dns.TypeA), 1).Pack()
 	for _, raw := range [][]byte{{1}, make([]byte, 12), answer} { // short, no question, and an answer: talk to no server
 		c.Write(raw)
 	}
@@ -319,22 +319,22 @@
 	if err != nil || n < 12 || buf[3]&0xf != dns.RcodeFormatError {
 		t.Errorf("%d bytes, %v", n, err)
 	}
-	if got := r.front.counts.Malformed.Value(); got < 4 {
+	if got := r.front.counters.Malformed.Value(); got < 4 {
 		t.Errorf("%d counted as malformed", got)
 	}
 }
 
 // A client that repeats its open query gets one answer, and one query goes out; in a class that shares, queries of others
 // that ask the same have its answer, each with its own id.
-func TestJoinAndShare(t *testing.T) {
+func TestRepeatedAndSharedQueriesAreSentOnce(t *testing.T) {
 	var asked atomic.Int32
 	release := make(chan struct{})
-	r := startOver(t, names(t, func(w dns.ResponseWriter, m *dns.Msg) {
+	r := startSidecarWith(t, startServer(t, func(w dns.ResponseWriter, m *dns.Msg) {
 		if strings.HasPrefix(m.Question[0].Name, "slow.") {
 			asked.Add(1)
 			<-release
 		}
-		w.WriteMsg(reached(m, 1))
+		w.WriteMsg(answerWith(m, 1))
 	}))
 	var conns []net.Conn
 	ask := func(c net.Conn, id uint16, name string) {
@@ -357,9 +357,9 @@
 	for i, c := range conns {
 		ask(c, uint16(10+i), "slow.same.test.")
 	}
-	for end := time.Now().Add(sidecartest.WaitTimeout); r.front.counts.Joined.Value() < 2 || r.front.counts.Followed.Value() < 2; {
+	for end := time.Now().Add(sidecartest.WaitTimeout); r.front.counters.Repeated.Value() < 2 || r.front.counters.AnswersShared.Value() < 2; {
 		if time.Now().After(end) {
-			t.Fatalf("%d joined, %d followed", r.front.counts.Joined.Value(), r.front.counts.Followed.Value())
+			t.Fatalf("%d joined, %d followed", r.front.counters.Repeated.Value(), r.front.counters.AnswersShared.Value())
 		}
 	}
 	close(release)
@@ -392,13 +392,13 @@
 
 // A client that sends a thousand queries and reads nothing has no more than its share open, loses its connection, and
 // costs others nothing.
-func TestClientThatReadsNothing(t *testing.T) {
-	r := startOver(t, names(t, func(w dns.ResponseWriter, m *dns.Msg) {
+func TestClientThatReadsNothingIsDisconnected(t *testing.T) {
+	r := startSidecarWith(t, startServer(t, func(w dns.ResponseWriter, m *dns.Msg) {
 		n := 1
 		if strings.HasPrefix(m.Question[0].Name, "big.") {
 			n = 250
 		}
-		a := reached(m, n)
+		a := answerWith(m, n)
 		if _, tcp := w.RemoteAddr().(*net.TCPAddr); !tcp {
 			a.Truncate(1232)
 		}
@@ -432,7 +432,7 @@
 		return m.Rcode == dns.RcodeSuccess
 	}
 	asked, end := 0, time.Now().Add(sidecartest.WaitTimeout)
-	for ; r.front.counts.Unsent.Value() == 0; asked++ {
+	for ; r.front.counters.Unsent.Value() == 0; asked++ {
 		if time.Now().After(end) {
 			t.Fatal("it is not given up")
 		}
@@ -451,10 +451,10 @@
 }
 
 // A new process takes over both listeners under load: each query has one answer, whichever process had it.
-func TestHandoverUnderLoad(t *testing.T) {
-	udp, tcp := both(t)
-	dir, server := t.TempDir(), names(t, nil)
-	old := start(t, testSettings(), held{udp, tcp}, dir, server)
+func TestHandoverUnderLoadAnswersEachQueryOnce(t *testing.T) {
+	udp, tcp := listenUDPAndTCP(t)
+	dir, server := t.TempDir(), startServer(t, nil)
+	old := startSidecar(t, testSettings(), retainedSockets{udp, tcp}, dir, server)
 	var clients sync.WaitGroup
 	stop := make(chan struct{})
 	var asked, failed, unserved atomic.Int32
@@ -476,7 +476,7 @@
 			}
 		})
 	}
-	next := start(t, testSettings(), held{udp, tcp}, dir, server)
+	next := startSidecar(t, testSettings(), retainedSockets{udp, tcp}, dir, server)
 	if err := sidecartest.Receive(t, old.ended, "the old process's end"); err != nil {
 		t.Error(err)
 	}
@@ -492,4 +492,4 @@
 	next.stop()
 }
 
-var _ handover.PacketSocket = held{}
+var _ handover.PacketSocket = retainedSockets{}
--- a/internal/dataplane/dnsfront/limit/limit.go
+++ b/internal/dataplane/dnsfront/limit/limit.go
@@ -13,28 +13,28 @@
 
 // Settings are the bounds. All counts are at least 1 but for Slip.
 type Settings struct {
-	Open      int     // queries open at once
-	PerClient int     // of one prefix
-	Unproven  float64 // part of Open that queries of unproven addresses may take
-	Rate      float64 // answers a second to an unproven prefix
+	MaxOpen      int     // queries open at once
+	MaxOpenPerPrefix int     // of one prefix
+	UnverifiedShare  float64 // part of Open that queries of unproven addresses may take
+	AnswersPerSecond      float64 // answers a second to an unproven prefix
 	Burst     float64 // and at once, after a quiet time
-	Slip      int     // of so many queries over the rate one is answered truncated; 0: none
-	Prefixes  int     // remembered at once; those that were quiet for longest are forgotten
+	TruncateEvery      int     // of so many queries over the rate one is answered truncated; 0: none
+	MaxPrefixes  int     // remembered at once; those that were quiet for longest are forgotten
 }
 
-// Verdict is what becomes of a query.
-type Verdict uint8
+// Decision is what becomes of a query.
+type Decision uint8
 
 // The verdicts.
 const (
-	Take Verdict = iota // Done is owed
+	Admit Decision = iota // Done is owed
 	Shed                // no room: refuse it
-	Slip                // over the rate: answer truncated
+	Truncate                // over the rate: answer truncated
 	Drop                // over the rate: say nothing
 )
 
-// Client is whom a query counts for: the addresses of one network, since one party may hold them all.
-func Client(a netip.Addr) netip.Prefix {
+// ClientPrefix is whom a query counts for: the addresses of one network, since one party may hold them all.
+func ClientPrefix(a netip.Addr) netip.Prefix {
 	a = a.Unmap()
 	bits := 24
 	if a.Is6() {
@@ -44,91 +44,91 @@
 	return p
 }
 
-// Gate counts what is open and what was answered.
-type Gate struct {
-	s        Settings
+// Admission counts what is open and what was answered.
+type Admission struct {
+	settings        Settings
 	open     int
-	unproven int // of open
-	seen     map[netip.Prefix]*list.Element
-	order    *list.List // *state, the one quiet for longest first
+	openUnverified int // of open
+	prefixes     map[netip.Prefix]*list.Element
+	byLastUse    *list.List // *state, the one quiet for longest first
 }
 
-type state struct {
+type prefixState struct {
 	prefix netip.Prefix
 	open   int
 	tokens float64
-	at     int64
-	over   int // queries over the rate since the last that slipped
+	refilledAt     int64
+	overRate   int // queries over the rate since the last that slipped
 }
 
 // New returns a gate with nothing open.
-func New(s Settings) *Gate {
-	return &Gate{s: s, seen: map[netip.Prefix]*list.Element{}, order: list.New()}
+func New(s Settings) *Admission {
+	return &Admission{settings: s, prefixes: map[netip.Prefix]*list.Element{}, byLastUse: list.New()}
 }
 
-// Ask decides on a query of a client that comes now, in microseconds.
-func (g *Gate) Ask(now int64, client netip.Prefix, proven bool) Verdict {
-	c := g.state(now, client)
+// Decide decides on a query of a client that comes now, in microseconds.
+func (g *Admission) Decide(now int64, client netip.Prefix, proven bool) Decision {
+	c := g.prefixState(now, client)
 	if !proven {
-		c.tokens = min(g.s.Burst, c.tokens+float64(now-c.at)/1e6*g.s.Rate)
-		c.at = now
+		c.tokens = min(g.settings.Burst, c.tokens+float64(now-c.refilledAt)/1e6*g.settings.AnswersPerSecond)
+		c.refilledAt = now
 		if c.tokens < 1 {
-			if c.over++; g.s.Slip > 0 && c.over%g.s.Slip == 0 {
-				return Slip
+			if c.overRate++; g.settings.TruncateEvery > 0 && c.overRate%g.settings.TruncateEvery == 0 {
+				return Truncate
 			}
 			return Drop
 		}
 		c.tokens--
-		c.over = 0
+		c.overRate = 0
 	}
-	if g.open >= g.s.Open || c.open >= g.s.PerClient || !proven && float64(g.unproven) >= g.s.Unproven*float64(g.s.Open) {
+	if g.open >= g.settings.MaxOpen || c.open >= g.settings.MaxOpenPerPrefix || !proven && float64(g.openUnverified) >= g.settings.UnverifiedShare*float64(g.settings.MaxOpen) {
 		return Shed
 	}
 	g.open++
 	c.open++
 	if !proven {
-		g.unproven++
+		g.openUnverified++
 	}
-	return Take
+	return Admit
 }
 
 // Done tells that a query that was taken has its answer.
-func (g *Gate) Done(client netip.Prefix, proven bool) {
+func (g *Admission) Done(client netip.Prefix, proven bool) {
 	g.open--
 	if !proven {
-		g.unproven--
+		g.openUnverified--
 	}
-	if e := g.seen[client]; e != nil {
-		e.Value.(*state).open--
+	if e := g.prefixes[client]; e != nil {
+		e.Value.(*prefixState).open--
 	}
 }
 
 // Open is how many queries are open.
-func (g *Gate) Open() int { return g.open }
+func (g *Admission) Open() int { return g.open }
 
 // Resize changes how many queries may be open.
-func (g *Gate) Resize(open int) { g.s.Open = max(1, open) }
+func (g *Admission) Resize(open int) { g.settings.MaxOpen = max(1, open) }
 
-// state returns what is known of a client, and forgets another where the table is full. One with open queries is not
+// prefixState returns what is known of a client, and forgets another where the table is full. One with open queries is not
 // forgotten: there are fewer of those than the table has places, or the query is shed anyway.
-func (g *Gate) state(now int64, client netip.Prefix) *state {
-	if e := g.seen[client]; e != nil {
-		g.order.MoveToBack(e)
-		return e.Value.(*state)
+func (g *Admission) prefixState(now int64, client netip.Prefix) *prefixState {
+	if e := g.prefixes[client]; e != nil {
+		g.byLastUse.MoveToBack(e)
+		return e.Value.(*prefixState)
 	}
-	for range g.order.Len() {
-		if len(g.seen) < max(g.s.Prefixes, g.s.Open+1) {
+	for range g.byLastUse.Len() {
+		if len(g.prefixes) < max(g.settings.MaxPrefixes, g.settings.MaxOpen+1) {
 			break
 		}
-		first := g.order.Front()
-		if old := first.Value.(*state); old.open == 0 {
-			g.order.Remove(first)
-			delete(g.seen, old.prefix)
+		first := g.byLastUse.Front()
+		if old := first.Value.(*prefixState); old.open == 0 {
+			g.byLastUse.Remove(first)
+			delete(g.prefixes, old.prefix)
 		} else {
-			g.order.MoveToBack(first)
+			g.byLastUse.MoveToBack(first)
 		}
 	}
-	c := &state{prefix: client, tokens: g.s.Burst, at: now}
-	g.seen[client] = g.order.PushBack(c)
+	c := &prefixState{prefix: client, tokens: g.settings.Burst, refilledAt: now}
+	g.prefixes[client] = g.byLastUse.PushBack(c)
 	return c
 }
--- a/internal/dataplane/dnsfront/limit/limit_test.go
+++ b/internal/dataplane/dnsfront/limit/limit_test.go
@@ -8,44 +8,44 @@
 )
 
 // A flood of one network is cut down to its rate, some of it answered truncated, and costs another nothing.
-func TestFlood(t *testing.T) {
-	g := New(Settings{Open: 100, PerClient: 100, Unproven: 0.5, Rate: 10, Burst: 20, Slip: 3, Prefixes: 10})
-	bad, good := Client(netip.MustParseAddr("198.51.100.7")), Client(netip.MustParseAddr("192.0.2.1"))
-	if bad != Client(netip.MustParseAddr("198.51.100.250")) {
+func TestFloodOfOnePrefixLeavesOthersTheirRate(t *testing.T) {
+	g := New(Settings{MaxOpen: 100, MaxOpenPerPrefix: 100, UnverifiedShare: 0.5, AnswersPerSecond: 10, Burst: 20, TruncateEvery: 3, MaxPrefixes: 10})
+	bad, good := ClientPrefix(netip.MustParseAddr("198.51.100.7")), ClientPrefix(netip.MustParseAddr("192.0.2.1"))
+	if bad != ClientPrefix(netip.MustParseAddr("198.51.100.250")) {
 		t.Error("addresses of one network count apart")
 	}
 	var got [4]int
 	for i := range 1000 { // in one second
-		v := g.Ask(int64(i)*1000, bad, false)
-		if got[v]++; v == Take {
+		v := g.Decide(int64(i)*1000, bad, false)
+		if got[v]++; v == Admit {
 			g.Done(bad, false)
 		}
 		if i%200 == 0 {
-			if v := g.Ask(int64(i)*1000, good, false); v != Take {
+			if v := g.Decide(int64(i)*1000, good, false); v != Admit {
 				t.Errorf("another network's: %v", v)
 			} else {
 				g.Done(good, false)
 			}
 		}
 	}
-	if got[Take] != 29 || got[Slip] != (1000-29)/3 || got[Shed] != 0 {
+	if got[Admit] != 29 || got[Truncate] != (1000-29)/3 || got[Shed] != 0 {
 		t.Errorf("taken, shed, slipped, dropped: %v", got)
 	}
 	for i := range 60 { // those who proved themselves have room that the others cannot take
-		v := g.Ask(2_000_000, netip.PrefixFrom(netip.AddrFrom4([4]byte{10, 0, byte(i), 0}), 24), false)
-		if want := i < 50; (v == Take) != want {
+		v := g.Decide(2_000_000, netip.PrefixFrom(netip.AddrFrom4([4]byte{10, 0, byte(i), 0}), 24), false)
+		if want := i < 50; (v == Admit) != want {
 			t.Fatalf("unproven query %d: %v", i, v)
 		}
 	}
-	if v := g.Ask(2_000_000, bad, true); v != Take {
+	if v := g.Decide(2_000_000, bad, true); v != Admit {
 		t.Errorf("a proven one: %v", v)
 	}
 }
 
 // Whatever comes, the counts agree with a plain model, and what is remembered is bounded.
-func TestBounds(t *testing.T) {
+func TestAdmissionAgreesWithModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := Settings{Open: 8, PerClient: 3, Unproven: 0.6, Rate: 2, Burst: 3, Slip: 2, Prefixes: 4}
+		s := Settings{MaxOpen: 8, MaxOpenPerPrefix: 3, UnverifiedShare: 0.6, AnswersPerSecond: 2, Burst: 3, TruncateEvery: 2, MaxPrefixes: 4}
 		g := New(s)
 		type query struct {
 			client netip.Prefix
@@ -71,16 +71,16 @@
 					unproven++
 				}
 			}
-			room := len(open) < s.Open && mine < s.PerClient && (q.proven || float64(unproven) < s.Unproven*float64(s.Open))
-			v := g.Ask(now, q.client, q.proven)
-			if v == Take {
+			room := len(open) < s.MaxOpen && mine < s.MaxOpenPerPrefix && (q.proven || float64(unproven) < s.UnverifiedShare*float64(s.MaxOpen))
+			v := g.Decide(now, q.client, q.proven)
+			if v == Admit {
 				open = append(open, q)
 			}
-			if v == Take && !room || q.proven && (v == Take) != room || v == Shed && room {
+			if v == Admit && !room || q.proven && (v == Admit) != room || v == Shed && room {
 				t.Fatalf("%v with %d open, %d of the client, %d unproven", v, len(open), mine, unproven)
 			}
-			if g.Open() != len(open) || len(g.seen) > s.Open+1 || len(g.seen) != g.order.Len() {
-				t.Fatalf("%d open, counted %d; %d remembered", len(open), g.Open(), len(g.seen))
+			if g.Open() != len(open) || len(g.prefixes) > s.MaxOpen+1 || len(g.prefixes) != g.byLastUse.Len() {
+				t.Fatalf("%d open, counted %d; %d remembered", len(open), g.Open(), len(g.prefixes))
 			}
 		}
 	})
--- a/internal/dataplane/dnsfront/message_test.go
+++ b/internal/dataplane/dnsfront/message_test.go
@@ -23,8 +23,8 @@
 		f.Add(x, y)
 	}
 	plain := new(dns.Msg).SetQuestion("a.look.test.", dns.TypeA)
-	add(plain, reached(plain, 1))
-	add(plain, reached(plain, 150))
+	add(plain, answerWith(plain, 1))
+	add(plain, answerWith(plain, 150))
 	edns := new(dns.Msg).SetQuestion("b.look.test.", dns.TypeTXT)
 	edns.SetEdns0(4096, true)
 	edns.IsEdns0().Option = []dns.EDNS0{&dns.EDNS0_COOKIE{Code: dns.EDNS0COOKIE, Cookie: "0011223344556677"}, &dns.EDNS0_TCP_KEEPALIVE{Code: dns.EDNS0TCPKEEPALIVE}}
@@ -33,35 +33,35 @@
 	add(edns, bad)
 	add(new(dns.Msg).SetUpdate("look.test."), new(dns.Msg).SetRcode(plain, dns.RcodeNotImplemented))
 	f.Fuzz(func(t *testing.T, client, server []byte) {
-		q, err := parse(client)
+		q, err := parseQuery(client)
 		if err != nil {
-			if _, ok := err.(*fault); ok {
-				q.refusal(dns.RcodeFormatError, 0, "x", reply{})
+			if _, ok := err.(*queryError); ok {
+				q.errorAnswer(dns.RcodeFormatError, 0, "x", replyOptions{})
 			}
 			return
 		}
-		sent, err := q.onward("00112233445566770011223344556677")
+		sent, err := q.forServer("00112233445566770011223344556677")
 		if err != nil {
 			return // it can be read, and not be written
 		}
-		again, err := parse(sent)
-		if err != nil || again.opcode != q.opcode || !q.asIs() && again.msg.Question[0] != q.msg.Question[0] {
+		again, err := parseQuery(sent)
+		if err != nil || again.opcode != q.opcode || !q.isPassedThrough() && again.msg.Question[0] != q.msg.Question[0] {
 			t.Fatalf("passed on as %x: %v", sent, err)
 		}
-		q.short(nil, reply{cookie: "x"})
-		if len(server) > 0xffff || !q.answers(server) {
+		q.truncatedAnswer(nil, replyOptions{cookie: "x"})
+		if len(server) > 0xffff || !q.isAnsweredBy(server) {
 			return
 		}
-		a, _, err := q.read(server)
+		a, _, err := q.readAnswer(server)
 		if err != nil {
 			return
 		}
 		for _, tcp := range []bool{false, true} {
-			raw, err := q.pack(a, reply{tcp: tcp, cookie: "00112233445566770011223344556677", keep: time.Second})
+			raw, err := q.packAnswer(a, replyOptions{tcp: tcp, cookie: "00112233445566770011223344556677", keepalive: time.Second})
 			if err != nil {
 				continue
 			}
-			if raw == nil || raw[0] != client[0] || raw[1] != client[1] || raw[2]&0x80 == 0 || !tcp && len(raw) > q.size {
+			if raw == nil || raw[0] != client[0] || raw[1] != client[1] || raw[2]&0x80 == 0 || !tcp && len(raw) > q.maxUDPSize {
 				t.Fatalf("to %x, over TCP %v: %d bytes, %x", client, tcp, len(raw), raw)
 			}
 		}
@@ -69,20 +69,20 @@
 }
 
 // A cookie proves the address that it was given to, for a time, to who gave it.
-func TestClientsCookies(t *testing.T) {
+func TestClientCookieProvesAddressForALimitedTime(t *testing.T) {
 	now, a := time.Unix(1_800_000_000, 0), netip.MustParseAddr("192.0.2.7")
-	s, other := &secret{1}, &secret{2}
+	s, other := &cookieSecret{1}, &cookieSecret{2}
 	const part = "0011223344556677"
-	c := s.forClient(now, a, part)
+	c := s.serverPart(now, a, part)
 	for name, ok := range map[string]bool{
-		"it":                 s.proves(now.Add(time.Minute), a, part, c),
-		"mapped":             s.proves(now, netip.MustParseAddr("::ffff:192.0.2.7"), part, c),
-		"not old":            !s.proves(now.Add(2*time.Hour), a, part, c),
-		"not from ahead":     !s.proves(now.Add(-time.Hour), a, part, c),
-		"not another's":      !s.proves(now, netip.MustParseAddr("192.0.2.8"), part, c),
-		"not another key":    !other.proves(now, a, part, c),
-		"not another's part": !s.proves(now, a, "1011223344556677", c),
-		"not cut":            !s.proves(now, a, part, c[:10]) && !s.proves(now, a, part, ""),
+		"it":                 s.verify(now.Add(time.Minute), a, part, c),
+		"mapped":             s.verify(now, netip.MustParseAddr("::ffff:192.0.2.7"), part, c),
+		"not old":            !s.verify(now.Add(2*time.Hour), a, part, c),
+		"not from ahead":     !s.verify(now.Add(-time.Hour), a, part, c),
+		"not another's":      !s.verify(now, netip.MustParseAddr("192.0.2.8"), part, c),
+		"not another key":    !other.verify(now, a, part, c),
+		"not another's part": !s.verify(now, a, "1011223344556677", c),
+		"not cut":            !s.verify(now, a, part, c[:10]) && !s.verify(now, a, part, ""),
 	} {
 		if !ok {
 			t.Error(name)
--- a/internal/dataplane/dnsfront/protocol.go
+++ b/internal/dataplane/dnsfront/protocol.go
@@ -12,7 +12,7 @@
 type Front struct {
 	Settings Settings
 	Sockets  Sockets
-	counts   *Counts
+	counters   *Counters
 }
 
 var _ core.Protocol = (*Front)(nil)
@@ -28,11 +28,11 @@
 
 // NewUpstream makes the side of servers.
 func (f *Front) NewUpstream(c *config.Config, clk core.Clock, figures *metrics.Registry, log *slog.Logger) core.Upstream {
-	f.counts = newCounts(figures)
-	return newUpstream(c, &f.Settings, clk, f.counts, &figures.AttemptsSent, log)
+	f.counters = newCounters(figures)
+	return newUpstream(c, &f.Settings, clk, f.counters, &figures.AttemptsSent, log)
 }
 
 // NewFrontend makes the side of clients.
 func (f *Front) NewFrontend(l *core.EventLoop, figures *metrics.Registry, log *slog.Logger) core.Frontend {
-	return NewServer(&f.Settings, l, f.Sockets, f.counts, figures, log)
+	return NewServer(&f.Settings, l, f.Sockets, f.counters, figures, log)
 }
--- a/internal/dataplane/dnsfront/resend/resend.go
+++ b/internal/dataplane/dnsfront/resend/resend.go
@@ -10,37 +10,37 @@
 import "time"
 
 const (
-	earned  = 0.5 // resends for each answer: with a third of the round trips lost 0.4 are needed
-	most    = 10  // saved up, and at the beginning
-	unknown = 100 * time.Millisecond
-	least   = 10 * time.Millisecond // two datagrams in so short a time meet the same shortage
-	times   = 2                     // an attempt
+	creditPerAnswer  = 0.5 // resends for each answer: with a third of the round trips lost 0.4 are needed
+	maxCredit    = 10  // saved up, and at the beginning
+	initialDelay = 100 * time.Millisecond
+	minDelay   = 10 * time.Millisecond // two datagrams in so short a time meet the same shortage
+	maxResends   = 2                     // an attempt
 )
 
 // Link is what is known of the way to a server. It is for one goroutine at a time.
 type Link struct {
-	seen      bool
-	trip, dev time.Duration
+	hasRTT      bool
+	smoothedRTT, rttVariation time.Duration
 	credit    float64
 }
 
 // New returns a link of which nothing is known.
-func New() *Link { return &Link{credit: most} }
+func New() *Link { return &Link{credit: maxCredit} }
 
-// Wait is how long after the n-th sending of an attempt, counted from 0, the next is due; false if there is none.
-func (l *Link) Wait(n int) (time.Duration, bool) {
-	if n >= times {
+// Delay is how long after the n-th sending of an attempt, counted from 0, the next is due; false if there is none.
+func (l *Link) Delay(n int) (time.Duration, bool) {
+	if n >= maxResends {
 		return 0, false
 	}
-	wait := unknown
-	if l.seen {
-		wait = max(least, l.trip+4*l.dev)
+	wait := initialDelay
+	if l.hasRTT {
+		wait = max(minDelay, l.smoothedRTT+4*l.rttVariation)
 	}
 	return wait << n, true
 }
 
-// Take says whether something may be sent again now, and pays for it.
-func (l *Link) Take() bool {
+// TakeCredit says whether something may be sent again now, and pays for it.
+func (l *Link) TakeCredit() bool {
 	if l.credit < 1 {
 		return false
 	}
@@ -50,13 +50,13 @@
 
 // Answered takes an answer, after a round trip; once says that its query went out once.
 func (l *Link) Answered(trip time.Duration, once bool) {
-	l.credit = min(most, l.credit+earned)
+	l.credit = min(maxCredit, l.credit+creditPerAnswer)
 	switch {
 	case !once:
-	case !l.seen:
-		l.seen, l.trip, l.dev = true, trip, trip/2
+	case !l.hasRTT:
+		l.hasRTT, l.smoothedRTT, l.rttVariation = true, trip, trip/2
 	default:
-		l.dev += ((l.trip - trip).Abs() - l.dev) / 4
-		l.trip += (trip - l.trip) / 8
+		l.rttVariation += ((l.smoothedRTT - trip).Abs() - l.rttVariation) / 4
+		l.smoothedRTT += (trip - l.smoothedRTT) / 8
 	}
 }
--- a/internal/dataplane/dnsfront/resend/resend_test.go
+++ b/internal/dataplane/dnsfront/resend/resend_test.go
@@ -6,48 +6,48 @@
 )
 
 // The wait follows round trips, and what went out twice teaches nothing of them.
-func TestWait(t *testing.T) {
+func TestDelayFollowsRoundTripTime(t *testing.T) {
 	l := New()
-	if w, ok := l.Wait(0); !ok || w != unknown {
+	if w, ok := l.Delay(0); !ok || w != initialDelay {
 		t.Errorf("of nothing known: %v", w)
 	}
 	for range 100 {
 		l.Answered(20*time.Millisecond, true)
 		l.Answered(time.Second, false)
 	}
-	if w, _ := l.Wait(0); w < 20*time.Millisecond || w > 25*time.Millisecond {
+	if w, _ := l.Delay(0); w < 20*time.Millisecond || w > 25*time.Millisecond {
 		t.Errorf("of a steady 20 ms: %v", w)
 	}
-	one, _ := l.Wait(0)
-	if two, ok := l.Wait(1); !ok || two != 2*one {
+	one, _ := l.Delay(0)
+	if two, ok := l.Delay(1); !ok || two != 2*one {
 		t.Errorf("the second: %v", two)
 	}
-	if _, ok := l.Wait(times); ok {
+	if _, ok := l.Delay(maxResends); ok {
 		t.Error("sent again without end")
 	}
 	for range 100 {
 		l.Answered(time.Millisecond, true)
 	}
-	if w, _ := l.Wait(0); w != least {
+	if w, _ := l.Delay(0); w != minDelay {
 		t.Errorf("of a quick one: %v", w)
 	}
 }
 
 // A server that does not answer is sent little again; one behind a network that loses a third is sent all that is lost.
-func TestBudget(t *testing.T) {
+func TestResendBudgetFollowsAnswers(t *testing.T) {
 	l, dead := New(), 0
 	for range 1000 {
-		if l.Take() {
+		if l.TakeCredit() {
 			dead++
 		}
 	}
-	if dead != most {
+	if dead != maxCredit {
 		t.Errorf("%d of 1000 to a dead server", dead)
 	}
 	l, refused := New(), 0
 	for i := range 1000 {
 		lost := i%3 == 0
-		if lost && !l.Take() {
+		if lost && !l.TakeCredit() {
 			refused++
 			continue
 		}
--- a/internal/dataplane/dnsfront/route/route.go
+++ b/internal/dataplane/dnsfront/route/route.go
@@ -50,21 +50,21 @@
 			opcodes = []int{0}
 		}
 		for _, s := range suffixes {
-			t.rules = append(t.rules, rule{class: i, suffix: canonical(s), types: c.Types, opcodes: opcodes,
+			t.rules = append(t.rules, rule{class: i, suffix: canonicalName(s), types: c.Types, opcodes: opcodes,
 				udp: c.UDP || !c.TCP, tcp: c.TCP || !c.UDP})
 		}
 	}
 	slices.SortStableFunc(t.rules, func(a, b rule) int {
 		return cmp.Or(
 			cmp.Compare(strings.Count(b.suffix, "."), strings.Count(a.suffix, ".")),
-			first(len(a.types) > 0, len(b.types) > 0),
-			first(a.udp != a.tcp, b.udp != b.tcp))
+			trueFirst(len(a.types) > 0, len(b.types) > 0),
+			trueFirst(a.udp != a.tcp, b.udp != b.tcp))
 	})
 	return t
 }
 
-// first puts what holds before what does not.
-func first(a, b bool) int {
+// trueFirst puts what holds before what does not.
+func trueFirst(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
@@ -74,8 +74,8 @@
 	return 1
 }
 
-// canonical gives a name a dot at both ends, so that a suffix ends at a label's beginning.
-func canonical(name string) string {
+// canonicalName gives a name a dot at both ends, so that a suffix ends at a label's beginning.
+func canonicalName(name string) string {
 	name = strings.ToLower(strings.Trim(name, "."))
 	if name == "" {
 		return "."
@@ -85,7 +85,7 @@
 
 // Find returns the place of the query's class, or false if it belongs to none.
 func (t *Table) Find(q Query) (int, bool) {
-	name := canonical(q.Name)
+	name := canonicalName(q.Name)
 	for i := range t.rules {
 		r := &t.rules[i]
 		if strings.HasSuffix(name, r.suffix) && slices.Contains(r.opcodes, q.Opcode) &&
--- a/internal/dataplane/dnsfront/route/route_test.go
+++ b/internal/dataplane/dnsfront/route/route_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestMostSpecificCounts(t *testing.T) {
+func TestFindPrefersMostSpecificRule(t *testing.T) {
 	table := New([]Class{
 		0: {},
 		1: {Suffixes: []string{"example.org"}},
--- a/internal/dataplane/dnsfront/server.go
+++ b/internal/dataplane/dnsfront/server.go
@@ -30,28 +30,28 @@
 // Server takes clients' queries and gives each one answer. Those of one client that repeat an open one (the same id,
 // address and question) join it; those that ask the same as an open one of a class that shares get its answer.
 type Server struct {
-	loop    *core.EventLoop
-	s       *Settings
+	eventLoop    *core.EventLoop
+	settings       *Settings
 	routes  *route.Table
-	counts  *Counts
-	figures *metrics.Registry
+	counters  *Counters
+	metrics *metrics.Registry
 	log     *slog.Logger
-	secret  *secret
+	secret  *cookieSecret
 	sockets Sockets
 	closing atomic.Bool
-	lastID  atomic.Uint64
-	talks   sync.WaitGroup // flights, and clients' connections
+	lastRequestID  atomic.Uint64
+	inFlight   sync.WaitGroup // flights, and clients' connections
 
 	mu      sync.Mutex
-	gate    *limit.Gate
-	open    map[asked]struct{}
-	flights map[string]*flight // those that others may join
-	streams clientStreams
+	admission    *limit.Admission
+	openQueries    map[queryID]struct{}
+	sharedLookups map[string]*lookup // those that others may join
+	conns clientConns
 
 	accepting sync.Mutex // one call of Open or StopAccepting at a time
 	udp       *net.UDPConn
 	tcp       net.Listener
-	ended     sync.WaitGroup // of taking queries
+	readers     sync.WaitGroup // of taking queries
 }
 
 // Sockets is where clients ask.
@@ -60,44 +60,44 @@
 	TCP handover.Socket
 }
 
-// asked is an open query as its client may repeat it.
-type asked struct {
+// queryID is an open query as its client may repeat it.
+type queryID struct {
 	from netip.AddrPort
-	conn *clientStream // nil over UDP
+	conn *clientConn // nil over UDP
 	id   uint16
-	key  string
+	question  string
 }
 
-// waiter is a query that was taken and has no answer yet.
-type waiter struct {
-	q      *question
+// openQuery is a query that was taken and has no answer yet.
+type openQuery struct {
+	question      *question
 	from   netip.AddrPort
-	conn   *clientStream // nil over UDP
-	key    asked
+	conn   *clientConn // nil over UDP
+	id    queryID
 	class  string // among the figures
 	client netip.Prefix
 	proven bool
-	flight *flight
+	lookup *lookup
 }
 
-// flight is a query on its way through the core, and all who wait for its answer.
-type flight struct {
-	call    *core.Request
+// lookup is a query on its way through the core, and all who wait for its answer.
+type lookup struct {
+	request    *core.Request
 	key     string // in flights; "" if nobody may join
-	waiters []*waiter
-	left    chan struct{} // closed once all clients have gone
+	waiters []*openQuery
+	abandoned    chan struct{} // closed once all clients have gone
 }
 
 // NewServer returns a server that brings queries to l.
-func NewServer(s *Settings, l *core.EventLoop, sockets Sockets, counts *Counts, figures *metrics.Registry, log *slog.Logger) *Server {
+func NewServer(s *Settings, l *core.EventLoop, sockets Sockets, counts *Counters, figures *metrics.Registry, log *slog.Logger) *Server {
 	classes := make([]route.Class, len(s.Classes))
 	for i := range s.Classes {
 		classes[i] = s.Classes[i].Route
 	}
-	v := &Server{loop: l, s: s, routes: route.New(classes), counts: counts, figures: figures, log: log, secret: new(secret),
-		sockets: sockets, gate: limit.New(s.Limit), open: map[asked]struct{}{}, flights: map[string]*flight{}}
+	v := &Server{eventLoop: l, settings: s, routes: route.New(classes), counters: counts, metrics: figures, log: log, secret: new(cookieSecret),
+		sockets: sockets, admission: limit.New(s.Limit), openQueries: map[queryID]struct{}{}, sharedLookups: map[string]*lookup{}}
 	rand.Read(v.secret[:])
-	v.streams.init(s.TCPClients)
+	v.conns.init(s.MaxClientConns)
 	return v
 }
 
@@ -120,13 +120,13 @@
 	}
 	s.tcp = tcp
 	udp := s.udp
-	s.ended.Go(func() {
-		if err := s.datagrams(udp); err != nil {
+	s.readers.Go(func() {
+		if err := s.serveUDP(udp); err != nil {
 			broken(err)
 		}
 	})
-	s.ended.Go(func() {
-		if err := s.accept(tcp); err != nil {
+	s.readers.Go(func() {
+		if err := s.serveTCP(tcp); err != nil {
 			broken(err)
 		}
 	})
@@ -144,7 +144,7 @@
 	s.udp.SetReadDeadline(past)
 	s.tcp.Close()
 	s.tcp = nil
-	s.ended.Wait()
+	s.readers.Wait()
 }
 
 // past is a deadline that ends a read at once.
@@ -155,14 +155,14 @@
 	s.closing.Store(on)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.streams.closing = on
+	s.conns.closing = on
 }
 
 // CloseIdle closes connections without a query.
 func (s *Server) CloseIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.streams.shed(0)
+	s.conns.closeIdleFor(0)
 }
 
 // CloseUnused does the same: who connects to ask does it at once, or finds another way.
@@ -175,8 +175,8 @@
 func (s *Server) SetCapacityShare(_ *config.Config, part float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.gate.Resize(int(float64(s.s.Limit.Open) * part))
-	s.streams.most = max(1, int(float64(s.s.TCPClients)*part))
+	s.admission.Resize(int(float64(s.settings.Limit.MaxOpen) * part))
+	s.conns.maxConns = max(1, int(float64(s.settings.MaxClientConns)*part))
 }
 
 // CloseIdleFor closes connections that have had no query for longer than age, and returns what is left: connections, and open
@@ -184,13 +184,13 @@
 func (s *Server) CloseIdleFor(age time.Duration) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.streams.shed(age)
-	return s.streams.len() + s.gate.Open()
+	s.conns.closeIdleFor(age)
+	return s.conns.len() + s.admission.Open()
 }
 
 // Wait returns once every query that was taken has its answer and all connections have ended, and closes the socket.
 func (s *Server) Wait() {
-	s.talks.Wait()
+	s.inFlight.Wait()
 	s.accepting.Lock()
 	defer s.accepting.Unlock()
 	if s.udp != nil {
@@ -199,146 +199,146 @@
 	}
 }
 
-// datagrams takes queries over UDP until reading is ended.
-func (s *Server) datagrams(conn *net.UDPConn) error {
+// serveUDP takes queries over UDP until reading is ended.
+func (s *Server) serveUDP(conn *net.UDPConn) error {
 	buf := make([]byte, dns.MaxMsgSize)
 	for {
 		n, from, err := conn.ReadFromUDPAddrPort(buf)
 		if err != nil {
-			if s.over(err) {
+			if s.isReadEnd(err) {
 				return nil
 			}
 			return fmt.Errorf("dns: %w", err)
 		}
-		s.query(append([]byte(nil), buf[:n]...), from, nil)
+		s.receive(append([]byte(nil), buf[:n]...), from, nil)
 	}
 }
 
-// over says whether an error is how our own end of reading shows.
-func (s *Server) over(err error) bool {
+// isReadEnd says whether an error is how our own end of reading shows.
+func (s *Server) isReadEnd(err error) bool {
 	var timeout net.Error
 	return errors.Is(err, net.ErrClosed) || errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// query takes one message of a client, or turns it away.
-func (s *Server) query(raw []byte, from netip.AddrPort, conn *clientStream) {
-	q, err := parse(raw)
+// receive takes one message of a client, or turns it away.
+func (s *Server) receive(raw []byte, from netip.AddrPort, conn *clientConn) {
+	q, err := parseQuery(raw)
 	if q == nil {
-		s.counts.Malformed.Inc()
+		s.counters.Malformed.Inc()
 		return
 	}
 	now := time.Now()
-	w := &waiter{q: q, from: from, conn: conn, client: limit.Client(from.Addr())}
-	w.proven = conn != nil || q.cookie != "" && q.ours != "" && s.secret.proves(now, from.Addr(), q.cookie, q.ours)
+	w := &openQuery{question: q, from: from, conn: conn, client: limit.ClientPrefix(from.Addr())}
+	w.proven = conn != nil || q.clientCookie != "" && q.serverCookie != "" && s.secret.verify(now, from.Addr(), q.clientCookie, q.serverCookie)
 	class, routed := -1, false
 	if err == nil {
 		d := q.msg.Question[0]
 		class, routed = s.routes.Find(route.Query{Name: d.Name, Type: d.Qtype, Opcode: q.opcode, TCP: conn != nil})
-		w.key = asked{from, conn, q.id, q.key()}
+		w.id = queryID{from, conn, q.id, q.key()}
 	}
 	s.mu.Lock()
-	if _, joined := s.open[w.key]; joined && err == nil {
+	if _, joined := s.openQueries[w.id]; joined && err == nil {
 		s.mu.Unlock()
-		s.counts.Joined.Inc() // the answer to the open one goes to the same place
+		s.counters.Repeated.Inc() // the answer to the open one goes to the same place
 		return
 	}
-	verdict := s.gate.Ask(s.loop.Now(), w.client, w.proven)
-	if verdict == limit.Take && !routed {
-		s.gate.Done(w.client, w.proven)
-	} else if verdict == limit.Take {
-		s.open[w.key] = struct{}{}
+	verdict := s.admission.Decide(s.eventLoop.Now(), w.client, w.proven)
+	if verdict == limit.Admit && !routed {
+		s.admission.Done(w.client, w.proven)
+	} else if verdict == limit.Admit {
+		s.openQueries[w.id] = struct{}{}
 	}
 	s.mu.Unlock()
-	var bad *fault
+	var bad *queryError
 	switch {
 	case verdict == limit.Drop:
-		s.counts.Dropped.Inc()
-	case verdict == limit.Slip:
-		s.counts.Slipped.Inc()
-		s.send(w, q.short(nil, s.reply(w)))
+		s.counters.RateDropped.Inc()
+	case verdict == limit.Truncate:
+		s.counters.RateTruncated.Inc()
+		s.send(w, q.truncatedAnswer(nil, s.replyOptions(w)))
 	case errors.As(err, &bad):
-		s.counts.Malformed.Inc()
-		s.send(w, q.refusal(bad.rcode, dns.ExtendedErrorCodeNotSupported, bad.text, s.reply(w)))
+		s.counters.Malformed.Inc()
+		s.send(w, q.errorAnswer(bad.rcode, dns.ExtendedErrorCodeNotSupported, bad.text, s.replyOptions(w)))
 	case !routed:
-		s.counts.Unrouted.Inc()
-		s.send(w, q.refusal(dns.RcodeRefused, dns.ExtendedErrorCodeProhibited, "no class for this name, type or operation", s.reply(w)))
+		s.counters.Unrouted.Inc()
+		s.send(w, q.errorAnswer(dns.RcodeRefused, dns.ExtendedErrorCodeProhibited, "no class for this name, type or operation", s.replyOptions(w)))
 	case verdict == limit.Shed:
-		s.counts.Shed.Inc()
-		w.class = figure(s.s.Classes[class].Name)
-		s.figures.Class(w.class).Deferred.Inc()
-		s.send(w, q.refusal(dns.RcodeRefused, dns.ExtendedErrorCodeOther, "refused: too many queries are open", s.reply(w)))
+		s.counters.Shed.Inc()
+		w.class = className(s.settings.Classes[class].Name)
+		s.metrics.Class(w.class).Deferred.Inc()
+		s.send(w, q.errorAnswer(dns.RcodeRefused, dns.ExtendedErrorCodeOther, "refused: too many queries are open", s.replyOptions(w)))
 	default:
-		s.take(w, class)
+		s.submit(w, class)
 	}
 }
 
-// take brings a query into the core, or has it join one that asks the same.
-func (s *Server) take(w *waiter, place int) {
-	class := &s.s.Classes[place]
-	w.class = figure(class.Name)
-	s.figures.InFlight.Add(1)
+// submit brings a query into the core, or has it join one that asks the same.
+func (s *Server) submit(w *openQuery, place int) {
+	class := &s.settings.Classes[place]
+	w.class = className(class.Name)
+	s.metrics.InFlight.Add(1)
 	share := ""
-	if class.Share && class.safe() && !w.q.asIs() {
-		share = strconv.Itoa(place) + "/" + w.key.key
+	if class.ShareAnswers && class.isIdempotent() && !w.question.isPassedThrough() {
+		share = strconv.Itoa(place) + "/" + w.id.question
 	}
-	f := &flight{key: share, waiters: []*waiter{w}, left: make(chan struct{})}
+	f := &lookup{key: share, waiters: []*openQuery{w}, abandoned: make(chan struct{})}
 	s.mu.Lock()
-	if w.conn != nil && !s.streams.begin(w.conn, w) {
+	if w.conn != nil && !s.conns.beginQuery(w.conn, w) {
 		s.mu.Unlock()
-		s.gone(w) // its connection has ended meanwhile
+		s.countAbandoned(w) // its connection has ended meanwhile
 		return
 	}
-	if other := s.flights[share]; share != "" && other != nil {
+	if other := s.sharedLookups[share]; share != "" && other != nil {
 		other.waiters = append(other.waiters, w)
-		w.flight = other
+		w.lookup = other
 		s.mu.Unlock()
-		s.counts.Followed.Inc()
+		s.counters.AnswersShared.Inc()
 		return
 	}
-	w.flight = f
+	w.lookup = f
 	if share != "" {
-		s.flights[share] = f
+		s.sharedLookups[share] = f
 	}
 	s.mu.Unlock()
-	view := s.loop.ConfigSnapshot()
-	f.call = &core.Request{ID: strconv.FormatUint(s.lastID.Add(1), 10), Class: w.class, Config: view, Answer: make(chan core.Answer, 1),
-		MaxAttempts: class.Attempts, Payload: &request{q: w.q, tcp: !class.safe()},
-		Input: balancer.Request{Class: uint8(place), Tenant: math.MaxUint16, Rules: view.Rules, Write: !class.safe(),
-			Deadline: s.loop.Now() + (class.GiveUp - answerMargin).Microseconds()}}
-	s.talks.Go(func() {
-		s.loop.Submit(f.call)
+	view := s.eventLoop.ConfigSnapshot()
+	f.request = &core.Request{ID: strconv.FormatUint(s.lastRequestID.Add(1), 10), Class: w.class, Config: view, Answer: make(chan core.Answer, 1),
+		MaxAttempts: class.MaxAttempts, Payload: &upstreamQuery{question: w.question, tcp: !class.isIdempotent()},
+		Input: balancer.Request{Class: uint8(place), Tenant: math.MaxUint16, Rules: view.Rules, Write: !class.isIdempotent(),
+			Deadline: s.eventLoop.Now() + (class.Timeout - answerMargin).Microseconds()}}
+	s.inFlight.Go(func() {
+		s.eventLoop.Submit(f.request)
 		select {
-		case a := <-f.call.Answer:
-			for _, w := range s.land(f) {
+		case a := <-f.request.Answer:
+			for _, w := range s.finish(f) {
 				if w.conn != nil { // which may take nothing for a while
-					s.talks.Go(func() { s.answer(w, a) })
+					s.inFlight.Go(func() { s.answer(w, a) })
 				} else {
 					s.answer(w, a)
 				}
 			}
-		case <-f.left:
-			s.loop.ClientLeft(f.call)
-			(<-f.call.Answer).Discard()
+		case <-f.abandoned:
+			s.eventLoop.ClientLeft(f.request)
+			(<-f.request.Answer).Discard()
 		}
 	})
 }
 
-// land ends a flight, and returns who waits for its answer.
-func (s *Server) land(f *flight) []*waiter {
+// finish ends a flight, and returns who waits for its answer.
+func (s *Server) finish(f *lookup) []*openQuery {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if f.key != "" && s.flights[f.key] == f {
-		delete(s.flights, f.key)
+	if f.key != "" && s.sharedLookups[f.key] == f {
+		delete(s.sharedLookups, f.key)
 	}
 	waiters := f.waiters
 	f.waiters = nil
 	return waiters
 }
 
-// leave tells that the client of a query has gone.
-func (s *Server) leave(w *waiter) {
+// clientLeft tells that the client of a query has gone.
+func (s *Server) clientLeft(w *openQuery) {
 	s.mu.Lock()
-	f := w.flight
+	f := w.lookup
 	there := false
 	for i, o := range f.waiters {
 		if o == w {
@@ -348,83 +348,83 @@
 		}
 	}
 	if there && len(f.waiters) == 0 {
-		if f.key != "" && s.flights[f.key] == f {
-			delete(s.flights, f.key)
+		if f.key != "" && s.sharedLookups[f.key] == f {
+			delete(s.sharedLookups, f.key)
 		}
-		close(f.left)
+		close(f.abandoned)
 	}
 	s.mu.Unlock()
 	if there {
-		s.gone(w)
+		s.countAbandoned(w)
 	}
 }
 
-// gone counts the end of a query whose client does not wait for its answer.
-func (s *Server) gone(w *waiter) {
-	s.end(w)
-	s.figures.Class(w.class).Errored.Inc()
+// countAbandoned counts the end of a query whose client does not wait for its answer.
+func (s *Server) countAbandoned(w *openQuery) {
+	s.release(w)
+	s.metrics.Class(w.class).Errored.Inc()
 }
 
-// end ends a query that was taken.
-func (s *Server) end(w *waiter) {
-	s.figures.InFlight.Add(-1)
+// release ends a query that was taken.
+func (s *Server) release(w *openQuery) {
+	s.metrics.InFlight.Add(-1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.open, w.key)
-	s.gate.Done(w.client, w.proven)
+	delete(s.openQueries, w.id)
+	s.admission.Done(w.client, w.proven)
 	if w.conn != nil {
-		s.streams.done(w.conn, w)
+		s.conns.endQuery(w.conn, w)
 	}
 }
 
 // answer gives the final answer.
-func (s *Server) answer(w *waiter, a core.Answer) {
-	count := s.figures.Class(w.class)
+func (s *Server) answer(w *openQuery, a core.Answer) {
+	count := s.metrics.Class(w.class)
 	var raw []byte
 	switch a.Disposition {
 	case core.Served:
 		var err error
-		if raw, err = w.q.pack(a.Reply.Content.(*answer), s.reply(w)); err == nil {
+		if raw, err = w.question.packAnswer(a.Reply.Content.(*answer), s.replyOptions(w)); err == nil {
 			count.Answered.Inc()
 			break
 		}
-		raw = w.q.refusal(dns.RcodeServerFailure, dns.ExtendedErrorCodeInvalidData, "the answer cannot be written", s.reply(w))
+		raw = w.question.errorAnswer(dns.RcodeServerFailure, dns.ExtendedErrorCodeInvalidData, "the answer cannot be written", s.replyOptions(w))
 		count.Errored.Inc()
 	case core.Rejected:
 		text := "refused: try again later"
 		if a.RetryAfter > 0 {
 			text = fmt.Sprintf("refused: try again in %d ms", a.RetryAfter.Milliseconds())
 		}
-		raw = w.q.refusal(dns.RcodeRefused, dns.ExtendedErrorCodeOther, text, s.reply(w))
+		raw = w.question.errorAnswer(dns.RcodeRefused, dns.ExtendedErrorCodeOther, text, s.replyOptions(w))
 		count.Deferred.Inc()
 	case core.FailedTimeout:
-		raw = w.q.refusal(dns.RcodeServerFailure, dns.ExtendedErrorCodeNoReachableAuthority, "no answer in time", s.reply(w))
+		raw = w.question.errorAnswer(dns.RcodeServerFailure, dns.ExtendedErrorCodeNoReachableAuthority, "no answer in time", s.replyOptions(w))
 		count.Errored.Inc()
 	default:
-		raw = w.q.refusal(dns.RcodeServerFailure, dns.ExtendedErrorCodeNetworkError, "no server answered", s.reply(w))
+		raw = w.question.errorAnswer(dns.RcodeServerFailure, dns.ExtendedErrorCodeNetworkError, "no server answered", s.replyOptions(w))
 		count.Errored.Inc()
 	}
 	// What is open ends before the answer goes: a client may use the id again at once.
-	s.end(w)
+	s.release(w)
 	s.send(w, raw)
 }
 
-// reply is what this client gets besides the answer.
-func (s *Server) reply(w *waiter) reply {
-	r := reply{tcp: w.conn != nil}
-	if w.q.cookie != "" {
-		r.cookie = s.secret.forClient(time.Now(), w.from.Addr(), w.q.cookie)
+// replyOptions is what this client gets besides the answer.
+func (s *Server) replyOptions(w *openQuery) replyOptions {
+	r := replyOptions{tcp: w.conn != nil}
+	if w.question.clientCookie != "" {
+		r.cookie = s.secret.serverPart(time.Now(), w.from.Addr(), w.question.clientCookie)
 	}
 	if !s.closing.Load() {
-		r.keep = s.s.Idle
+		r.keepalive = s.settings.IdleTimeout
 	}
 	return r
 }
 
 // send writes a message to the client, whole or not at all.
-func (s *Server) send(w *waiter, raw []byte) {
+func (s *Server) send(w *openQuery, raw []byte) {
 	if raw == nil {
-		s.counts.Unsent.Inc()
+		s.counters.Unsent.Inc()
 		return
 	}
 	var err error
@@ -434,6 +434,6 @@
 		_, err = s.udp.WriteToUDPAddrPort(raw, w.from)
 	}
 	if err != nil {
-		s.counts.Unsent.Inc()
+		s.counters.Unsent.Inc()
 	}
 }
--- a/internal/dataplane/dnsfront/settings.go
+++ b/internal/dataplane/dnsfront/settings.go
@@ -28,16 +28,16 @@
 type Class struct {
 	Name      string
 	Route     route.Class
-	Aim       time.Duration
-	GiveUp    time.Duration
-	Worth     float64
-	LateWorth float64
-	Attempts  int
-	Share     bool // queries that ask the same while one is open share its answer
+	LatencyObjective       time.Duration
+	Timeout    time.Duration
+	PriorityWeight     float64
+	LatePriorityWeight float64
+	MaxAttempts  int
+	ShareAnswers     bool // queries that ask the same while one is open share its answer
 }
 
-// safe says whether a query of the class may be asked again.
-func (c *Class) safe() bool {
+// isIdempotent says whether a query of the class may be asked again.
+func (c *Class) isIdempotent() bool {
 	for _, op := range c.Route.Opcodes {
 		if op != dns.OpcodeQuery {
 			return false
@@ -49,19 +49,19 @@
 // Settings are those of the front.
 type Settings struct {
 	Limit      limit.Settings
-	Sockets    int           // UDP sockets to servers
-	TCPServer  int           // connections to one server
-	TCPClients int           // connections of clients
-	PerConn    int           // queries open on one of them
-	Idle       time.Duration // after which one without queries is closed
+	MaxSockets    int           // UDP sockets to servers
+	MaxConnsPerServer  int           // connections to one server
+	MaxClientConns int           // connections of clients
+	MaxQueriesPerConn    int           // queries open on one of them
+	IdleTimeout       time.Duration // after which one without queries is closed
 	Classes    []Class
 }
 
 // Descriptors is how many the front may hold.
-func (s *Settings) Descriptors() int { return s.Sockets + s.TCPClients + s.streams() + 4 }
+func (s *Settings) Descriptors() int { return s.MaxSockets + s.MaxClientConns + s.maxServerConns() + 4 }
 
-// streams is how many connections to servers may be open in all: those with queries are few at a time.
-func (s *Settings) streams() int { return 8 * s.TCPServer }
+// maxServerConns is how many connections to servers may be open in all: those with queries are few at a time.
+func (s *Settings) maxServerConns() int { return 8 * s.MaxConnsPerServer }
 
 // Config makes the configuration of the front's core from the sidecar's: the contract, the limits and the prices are the
 // site's, the classes the front's. Servers are judged by their answers alone.
@@ -72,18 +72,18 @@
 	b := &d.Settings
 	b.Classes, b.Tenants, b.Fields, b.Subscribe, b.WeightByWork = nil, nil, nil, false, false
 	b.Limits.Probes = false
-	b.Limits.MaxOpen = s.Limit.Open
+	b.Limits.MaxOpen = s.Limit.MaxOpen
 	b.Limits.MaxAttempts = 1
 	for i := range s.Classes {
 		class := &s.Classes[i]
 		repeat := balancer.NotIdempotent
-		if class.safe() {
+		if class.isIdempotent() {
 			repeat = balancer.Idempotent
 		}
-		b.Limits.MaxAttempts = max(b.Limits.MaxAttempts, class.Attempts)
-		d.Classes = append(d.Classes, figure(class.Name))
-		b.Classes = append(b.Classes, balancer.Class{Name: class.Name, Idempotency: repeat, LatencyObjective: class.Aim.Microseconds(),
-			Timeout: class.GiveUp.Microseconds(), PriorityWeight: class.Worth, LatePriorityWeight: class.LateWorth})
+		b.Limits.MaxAttempts = max(b.Limits.MaxAttempts, class.MaxAttempts)
+		d.Classes = append(d.Classes, className(class.Name))
+		b.Classes = append(b.Classes, balancer.Class{Name: class.Name, Idempotency: repeat, LatencyObjective: class.LatencyObjective.Microseconds(),
+			Timeout: class.Timeout.Microseconds(), PriorityWeight: class.PriorityWeight, LatePriorityWeight: class.LatePriorityWeight})
 	}
 	if err := b.Validate(); err != nil {
 		return nil, fmt.Errorf("dns: %w", err)
@@ -91,8 +91,8 @@
 	return &d, nil
 }
 
-// figure is a class's name among the figures.
-func figure(class string) string { return Protocol + "." + class }
+// className is a class's name among the figures.
+func className(class string) string { return Protocol + "." + class }
 
 // ParseType reads a type of record, such as AAAA.
 func ParseType(name string) (uint16, bool) {
@@ -117,29 +117,29 @@
 	slices.SortFunc(list, func(a, b Class) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// Counts are what the front counts besides the final answers of classes.
-type Counts struct {
+// Counters are what the front counts besides the final answers of classes.
+type Counters struct {
 	Malformed  *metrics.Counter // queries that could not be read, or are none
 	Unrouted   *metrics.Counter // of no class
-	Joined     *metrics.Counter // a client's repetitions of its open query
-	Followed   *metrics.Counter // queries that shared another's answer
+	Repeated     *metrics.Counter // a client's repetitions of its open query
+	AnswersShared   *metrics.Counter // queries that shared another's answer
 	Shed       *metrics.Counter // turned away for want of room
-	Slipped    *metrics.Counter // over the rate, answered truncated
-	Dropped    *metrics.Counter // over the rate, not answered
+	RateTruncated    *metrics.Counter // over the rate, answered truncated
+	RateDropped    *metrics.Counter // over the rate, not answered
 	Unsent     *metrics.Counter // answers that the client's socket or connection did not take
 	Resent     *metrics.Counter // datagrams sent once more to the same server
 	Truncated  *metrics.Counter // servers' answers asked for again over TCP
-	Shared     *metrics.Counter // queries without a socket of their own
-	Unasked    *metrics.Counter // servers' messages that no open query has the id of: late, forged
+	SocketsShared     *metrics.Counter // queries without a socket of their own
+	UnknownID    *metrics.Counter // servers' messages that no open query has the id of: late, forged
 	Mismatched *metrics.Counter // with an id, but not the answer to its query
-	Doubled    *metrics.Counter // a second answer to an open query
+	Duplicate    *metrics.Counter // a second answer to an open query
 }
 
-// newCounts returns counts that r shows.
-func newCounts(r *metrics.Registry) *Counts {
-	return &Counts{Malformed: r.NewCounter("malformed_total"), Unrouted: r.NewCounter("unrouted_total"),
-		Joined: r.NewCounter("joined_total"), Followed: r.NewCounter("followed_total"), Shed: r.NewCounter("shed_total"),
-		Slipped: r.NewCounter("slipped_total"), Dropped: r.NewCounter("dropped_total"), Unsent: r.NewCounter("unsent_total"),
-		Resent: r.NewCounter("resent_total"), Truncated: r.NewCounter("truncated_total"), Shared: r.NewCounter("shared_sockets_total"),
-		Unasked: r.NewCounter("unasked_total"), Mismatched: r.NewCounter("mismatched_total"), Doubled: r.NewCounter("doubled_total")}
+// newCounters returns counts that r shows.
+func newCounters(r *metrics.Registry) *Counters {
+	return &Counters{Malformed: r.NewCounter("malformed_total"), Unrouted: r.NewCounter("unrouted_total"),
+		Repeated: r.NewCounter("joined_total"), AnswersShared: r.NewCounter("followed_total"), Shed: r.NewCounter("shed_total"),
+		RateTruncated: r.NewCounter("slipped_total"), RateDropped: r.NewCounter("dropped_total"), Unsent: r.NewCounter("unsent_total"),
+		Resent: r.NewCounter("resent_total"), Truncated: r.NewCounter("truncated_total"), SocketsShared: r.NewCounter("shared_sockets_total"),
+		UnknownID: r.NewCounter("unasked_total"), Mismatched: r.NewCounter("mismatched_total"), Duplicate: r.NewCounter("doubled_total")}
 }
--- a/internal/dataplane/dnsfront/upstream.go
+++ b/internal/dataplane/dnsfront/upstream.go
@@ -21,11 +21,11 @@
 	"birchmoor/internal/platform/metrics"
 )
 
-const probeTime = 250 * time.Millisecond
+const probeTimeout = 250 * time.Millisecond
 
-// request is a query on its way to a server.
-type request struct {
-	q   *question
+// upstreamQuery is a query on its way to a server.
+type upstreamQuery struct {
+	question   *question
 	tcp bool // from the beginning: over UDP it might have to be sent twice
 }
 
@@ -38,69 +38,69 @@
 type Upstream struct {
 	clock  core.Clock
 	log    *slog.Logger
-	counts *Counts
-	sends  *metrics.Counter
+	counters *Counters
+	sent  *metrics.Counter
 	dial   func(ctx context.Context, network, addr string) (net.Conn, error)
-	secret *secret
-	s      *Settings
-	unsent core.ConnectErrors
+	secret *cookieSecret
+	settings      *Settings
+	connectErrors core.ConnectErrors
 
 	mu          sync.Mutex
-	socketsMost int
+	maxSockets int
 	sockets     int                  // open or being opened
-	resting     []*socket            // without a query, the oldest first
-	streams     map[*stream]struct{} // being opened or open
+	idleSockets     []*socket            // without a query, the oldest first
+	conns     map[*serverConn]struct{} // being opened or open
 }
 
-// resolver is where one server listens. What it has open is its own.
-type resolver struct {
-	up   *Upstream
+// server is where one server listens. What it has open is its own.
+type server struct {
+	upstream   *Upstream
 	addr string
 
 	// Guarded by up.mu.
 	sockets []*socket
-	streams []*stream
+	conns []*serverConn
 	link    *resend.Link
 	cookie  string // the server's part, in hex
-	gone    bool
+	removed    bool
 }
 
 // pending is a query that waits for its answer.
 type pending struct {
-	q    *question
-	got  chan []byte // holds the one answer
-	done bool        // it is there
-	lost chan error  // or why none can come
+	question    *question
+	answer  chan []byte // holds the one answer
+	answered bool        // it is there
+	failure chan error  // or why none can come
 }
 
 func newPending(q *question) *pending {
-	return &pending{q: q, got: make(chan []byte, 1), lost: make(chan error, 1)}
+	return &pending{question: q, answer: make(chan []byte, 1), failure: make(chan error, 1)}
 }
 
 // fail tells once that no answer can come.
 func (p *pending) fail(err error) {
 	select {
-	case p.lost <- err:
+	case p.failure <- err:
 	default:
 	}
 }
 
-// table is the queries that share a socket or a connection, by their ids.
-type table struct {
+// queryTable is the queries that share a socket or a connection, by their ids.
+type queryTable struct {
 	mu    sync.Mutex
 	open  map[uint16]*pending
-	ended error // nothing more is taken
+	closedErr error // nothing more is taken
 }
 
 // add gives a query an id that no other has.
-func (t *table) add(p *pending) (uint16, error) {
+func (t *queryTable) add(p *pending) (uint16, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.ended != nil {
-		return 0, t.ended
+	if t.closedErr != nil {
+		return 0, t.closedErr
 	}
 	for {
-		id := draw()
+		id := randomID()
 		if t.open[id] == nil {
 			t.open[id] = p
 			return id, nil
@@ -108,26 +108,26 @@
 	}
 }
 
-func (t *table) drop(id uint16) {
+func (t *queryTable) remove(id uint16) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.open, id)
 }
 
-// end tells all that wait that nothing comes.
-func (t *table) end(err error, forGood bool) {
+// failAll tells all that wait that nothing comes.
+func (t *queryTable) failAll(err error, forGood bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if forGood {
-		t.ended = err
+		t.closedErr = err
 	}
 	for _, p := range t.open {
 		p.fail(err)
 	}
 }
 
-// take looks whom a message is for. Whatever it is not is counted, and is no outcome for anybody.
-func (t *table) take(raw []byte, c *Counts) {
+// deliver looks whom a message is for. Whatever it is not is counted, and is no outcome for anybody.
+func (t *queryTable) deliver(raw []byte, c *Counters) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(raw) < headerSize {
@@ -137,43 +137,43 @@
 	p := t.open[binary.BigEndian.Uint16(raw)]
 	switch {
 	case p == nil:
-		c.Unasked.Inc()
-	case !p.q.answers(raw):
+		c.UnknownID.Inc()
+	case !p.question.isAnsweredBy(raw):
 		c.Mismatched.Inc()
-	case p.done:
-		c.Doubled.Inc()
+	case p.answered:
+		c.Duplicate.Inc()
 	default:
-		p.done = true
-		p.got <- append([]byte(nil), raw...) // room for one
+		p.answered = true
+		p.answer <- append([]byte(nil), raw...) // room for one
 	}
 }
 
-// draw returns a random id that nobody can foretell.
-func draw() uint16 {
+// randomID returns a random id that nobody can foretell.
+func randomID() uint16 {
 	var b [2]byte
 	rand.Read(b[:]) // never fails
 	return binary.BigEndian.Uint16(b[:])
 }
 
-func newUpstream(c *config.Config, s *Settings, clk core.Clock, counts *Counts, sends *metrics.Counter, log *slog.Logger) *Upstream {
-	u := &Upstream{clock: clk, log: log, counts: counts, sends: sends, secret: new(secret), s: s, socketsMost: s.Sockets,
-		streams: map[*stream]struct{}{}}
+func newUpstream(c *config.Config, s *Settings, clk core.Clock, counts *Counters, sends *metrics.Counter, log *slog.Logger) *Upstream {
+	u := &Upstream{clock: clk, log: log, counters: counts, sent: sends, secret: new(cookieSecret), settings: s, maxSockets: s.MaxSockets,
+		conns: map[*serverConn]struct{}{}}
 	rand.Read(u.secret[:])
 	most := time.Duration(c.Settings.Limits.DialTimeout) * time.Microsecond
 	if most <= 0 {
-		most = probeTime * dialParts
+		most = probeTimeout * dialTimeoutDivisor
 	}
-	u.dial = (&net.Dialer{Timeout: most / dialParts}).DialContext
+	u.dial = (&net.Dialer{Timeout: most / dialTimeoutDivisor}).DialContext
 	return u
 }
 
-// dialParts is the part of the dial time-out that a connection is waited for, as for HTTP: a machine that takes longer is
+// dialTimeoutDivisor is the part of the dial time-out that a connection is waited for, as for HTTP: a machine that takes longer is
 // cut off or gone, and the query may still be in time elsewhere.
-const dialParts = 4
+const dialTimeoutDivisor = 4
 
 // Target returns a server without sockets.
 func (u *Upstream) Target(addr string) core.Target {
-	return &resolver{up: u, addr: addr, link: resend.New()}
+	return &server{upstream: u, addr: addr, link: resend.New()}
 }
 
 // SetConfig does nothing: what concerns servers is not in the settings.
@@ -187,10 +187,10 @@
 	<-ctx.Done()
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for len(u.resting) > 0 {
-		u.closeLocked(u.resting[0])
+	for len(u.idleSockets) > 0 {
+		u.closeLocked(u.idleSockets[0])
 	}
-	for s := range u.streams {
+	for s := range u.conns {
 		s.retireLocked()
 	}
 }
@@ -199,41 +199,41 @@
 func (u *Upstream) SetCapacityShare(_ *config.Config, part float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.socketsMost = max(1, int(float64(u.s.Sockets)*part))
-	for len(u.resting) > 0 && u.sockets > u.socketsMost {
-		u.closeLocked(u.resting[0])
+	u.maxSockets = max(1, int(float64(u.settings.MaxSockets)*part))
+	for len(u.idleSockets) > 0 && u.sockets > u.maxSockets {
+		u.closeLocked(u.idleSockets[0])
 	}
 }
 
 // Send makes one attempt.
-func (r *resolver) Send(ctx context.Context, o core.Attempt) core.Reply {
-	req := o.Request.(*request)
+func (r *server) Send(ctx context.Context, o core.Attempt) core.Reply {
+	req := o.Request.(*upstreamQuery)
 	var raw []byte
 	var status balancer.Status
 	if req.tcp {
-		raw, status = r.stream(ctx, req.q, o.Begin)
+		raw, status = r.queryTCP(ctx, req.question, o.Begin)
 	} else {
-		if raw, status = r.datagram(ctx, req.q, o.Begin, o.MayContinue); status == balancer.OK && r.newCookie(req.q, raw) {
-			raw, status = r.datagram(ctx, req.q, o.MayContinue, o.MayContinue)
+		if raw, status = r.queryUDP(ctx, req.question, o.Begin, o.MayContinue); status == balancer.OK && r.mustResendWithCookie(req.question, raw) {
+			raw, status = r.queryUDP(ctx, req.question, o.MayContinue, o.MayContinue)
 		}
-		if status == balancer.OK && truncated(raw) {
-			r.up.counts.Truncated.Inc()
-			raw, status = r.stream(ctx, req.q, o.MayContinue)
+		if status == balancer.OK && isTruncated(raw) {
+			r.upstream.counters.Truncated.Inc()
+			raw, status = r.queryTCP(ctx, req.question, o.MayContinue)
 		}
 	}
-	reply := core.Reply{Status: status, At: r.up.clock.Now()}
+	reply := core.Reply{Status: status, At: r.upstream.clock.Now()}
 	if status != balancer.OK {
 		return reply
 	}
-	a, cookie, err := req.q.read(raw)
+	a, cookie, err := req.question.readAnswer(raw)
 	if err != nil {
-		r.up.counts.Mismatched.Inc()
+		r.upstream.counters.Mismatched.Inc()
 		reply.Status = balancer.Error
 		return reply
 	}
-	if !r.keep(cookie) {
+	if !r.storeCookie(cookie) {
 		// Who does not know the cookie that we sent is not whom we sent it to (RFC 7873, 5.3).
-		r.up.counts.Mismatched.Inc()
+		r.upstream.counters.Mismatched.Inc()
 		reply.Status = balancer.Error
 		return reply
 	}
@@ -253,78 +253,78 @@
 }
 
 // Probe asks for the root's servers: whatever a server says of that, it lives.
-func (r *resolver) Probe() core.Reply {
-	ctx, cancel := context.WithTimeout(context.Background(), probeTime)
+func (r *server) Probe() core.Reply {
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	q := &question{msg: new(dns.Msg).SetQuestion(".", dns.TypeNS)}
 	always := func(balancer.Micros) bool { return true }
-	_, status := r.datagram(ctx, q, always, always)
-	return core.Reply{Status: status, At: r.up.clock.Now()}
+	_, status := r.queryUDP(ctx, q, always, always)
+	return core.Reply{Status: status, At: r.upstream.clock.Now()}
 }
 
 // Close ends the use of a server. What is out there goes on.
-func (r *resolver) Close() {
-	r.up.mu.Lock()
-	defer r.up.mu.Unlock()
-	r.gone = true
+func (r *server) Close() {
+	r.upstream.mu.Lock()
+	defer r.upstream.mu.Unlock()
+	r.removed = true
 	for _, s := range slices.Clone(r.sockets) {
-		if s.rests {
-			r.up.closeLocked(s)
+		if s.idle {
+			r.upstream.closeLocked(s)
 		}
 	}
-	for _, s := range slices.Clone(r.streams) {
+	for _, s := range slices.Clone(r.conns) {
 		s.retireLocked()
 	}
 }
 
 // CloseUnusedSince gives up connections on which nothing has come since an instant: the next query opens another.
-func (r *resolver) CloseUnusedSince(before time.Time) {
-	r.up.mu.Lock()
-	defer r.up.mu.Unlock()
-	for _, s := range slices.Clone(r.streams) {
-		if s.heard.Before(before) {
+func (r *server) CloseUnusedSince(before time.Time) {
+	r.upstream.mu.Lock()
+	defer r.upstream.mu.Unlock()
+	for _, s := range slices.Clone(r.conns) {
+		if s.lastReadAt.Before(before) {
 			s.retireLocked()
 		}
 	}
 }
 
-// cookieNow is the cookie for the next query to a server: our part and, once it told, its own.
-func (r *resolver) cookieNow() string {
-	r.up.mu.Lock()
-	defer r.up.mu.Unlock()
-	return r.up.secret.forServer(r.addr) + r.cookie
+// currentCookie is the cookie for the next query to a server: our part and, once it told, its own.
+func (r *server) currentCookie() string {
+	r.upstream.mu.Lock()
+	defer r.upstream.mu.Unlock()
+	return r.upstream.secret.clientPart(r.addr) + r.cookie
 }
 
-// keep takes the cookie of an answer, and says whether it may be the server's.
-func (r *resolver) keep(cookie string) bool {
-	mine := r.up.secret.forServer(r.addr)
+// storeCookie takes the cookie of an answer, and says whether it may be the server's.
+func (r *server) storeCookie(cookie string) bool {
+	mine := r.upstream.secret.clientPart(r.addr)
 	if cookie == "" {
 		return true // a server need not know cookies
 	}
 	if len(cookie) <= len(mine) || cookie[:len(mine)] != mine {
 		return false
 	}
-	r.up.mu.Lock()
-	defer r.up.mu.Unlock()
+	r.upstream.mu.Lock()
+	defer r.upstream.mu.Unlock()
 	r.cookie = cookie[len(mine):]
 	return true
 }
 
-// newCookie says whether a server did nothing but tell its new cookie: the query is to go again with that.
-func (r *resolver) newCookie(q *question, raw []byte) bool {
-	if q.asIs() || raw[3]&0xf != dns.RcodeBadCookie&0xf {
+// mustResendWithCookie says whether a server did nothing but tell its new cookie: the query is to go again with that.
+func (r *server) mustResendWithCookie(q *question, raw []byte) bool {
+	if q.isPassedThrough() || raw[3]&0xf != dns.RcodeBadCookie&0xf {
 		return false
 	}
-	a, cookie, err := q.read(raw)
-	return err == nil && a.msg.Rcode == dns.RcodeBadCookie && cookie != "" && r.keep(cookie)
+	a, cookie, err := q.readAnswer(raw)
+	return err == nil && a.msg.Rcode == dns.RcodeBadCookie && cookie != "" && r.storeCookie(cookie)
 }
 
 // wait waits for the answer to a query that is out, and says whether its wait is over; if not, it is late.
 func (p *pending) wait(ctx context.Context, late <-chan time.Time) (raw []byte, status balancer.Status, over bool) {
 	select {
-	case raw := <-p.got:
+	case raw := <-p.answer:
 		return raw, balancer.OK, true
-	case err := <-p.lost:
+	case err := <-p.failure:
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			return nil, balancer.ConnectFailed, true // nobody listens: it never ran
 		}
--- a/internal/dataplane/dnsfront/upstream_test.go
+++ b/internal/dataplane/dnsfront/upstream_test.go
@@ -21,9 +21,9 @@
 
 func testUpstream(t *testing.T, sockets int) *Upstream {
 	s := testSettings()
-	s.Sockets = sockets
+	s.MaxSockets = sockets
 	r := metrics.New()
-	u := newUpstream(sidecartest.Configure(t, "127.0.0.1:1", nil), &s, core.NewClock(), newCounts(r), &r.AttemptsSent, sidecartest.DiscardLog)
+	u := newUpstream(sidecartest.Configure(t, "127.0.0.1:1", nil), &s, core.NewClock(), newCounters(r), &r.AttemptsSent, sidecartest.DiscardLog)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { u.Maintain(ctx); close(done) }()
@@ -31,32 +31,32 @@
 	return u
 }
 
-func yes(balancer.Micros) bool { return true }
+func always(balancer.Micros) bool { return true }
 
-// try makes one attempt. It is given up after some time, as the loop would.
-func try(t *testing.T, to core.Target, m *dns.Msg, tcp bool, more func(balancer.Micros) bool) core.Reply {
+// sendAttempt makes one attempt. It is given up after some time, as the loop would.
+func sendAttempt(t *testing.T, to core.Target, m *dns.Msg, tcp bool, more func(balancer.Micros) bool) core.Reply {
 	t.Helper()
 	raw, err := m.Pack()
 	if err != nil {
 		t.Fatal(err)
 	}
-	q, err := parse(raw)
+	q, err := parseQuery(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	return to.Send(ctx, core.Attempt{Request: &request{q: q, tcp: tcp}, Begin: yes, MayContinue: more})
+	return to.Send(ctx, core.Attempt{Request: &upstreamQuery{question: q, tcp: tcp}, Begin: always, MayContinue: more})
 }
 
-func look() *dns.Msg { return new(dns.Msg).SetQuestion("a.look.test.", dns.TypeA) }
+func addressQuery() *dns.Msg { return new(dns.Msg).SetQuestion("a.look.test.", dns.TypeA) }
 
 // A truncated answer is continued over TCP at the same server as a part of the attempt, unless the server drains by then
 // or its TCP port is dead.
-func TestTruncatedGoesOn(t *testing.T) {
+func TestTruncatedAnswerIsRetriedOverTCP(t *testing.T) {
 	var connections atomic.Int32
 	big := func(w dns.ResponseWriter, m *dns.Msg) {
-		a := reached(m, 200)
+		a := answerWith(m, 200)
 		if _, tcp := w.RemoteAddr().(*net.TCPAddr); !tcp {
 			a.Truncate(1232)
 		} else {
@@ -65,12 +65,12 @@
 		w.WriteMsg(a)
 	}
 	u := testUpstream(t, 8)
-	to := u.Target(names(t, big))
-	r := try(t, to, look(), false, func(balancer.Micros) bool { return false })
+	to := u.Target(startServer(t, big))
+	r := sendAttempt(t, to, addressQuery(), false, func(balancer.Micros) bool { return false })
 	if r.Status != balancer.NotSent || connections.Load() != 0 {
 		t.Errorf("at a server that drains: status %v, %d asked over TCP", r.Status, connections.Load())
 	}
-	if r = try(t, to, look(), false, yes); r.Status != balancer.OK || len(r.Content.(*answer).msg.Answer) != 200 || connections.Load() != 1 {
+	if r = sendAttempt(t, to, addressQuery(), false, always); r.Status != balancer.OK || len(r.Content.(*answer).msg.Answer) != 200 || connections.Load() != 1 {
 		t.Errorf("status %v, %d asked over TCP", r.Status, connections.Load())
 	}
 	pc, err := net.ListenPacket("udp", "127.0.0.1:0") // and nobody listens for TCP there
@@ -80,51 +80,51 @@
 	s := &dns.Server{PacketConn: pc, Handler: dns.HandlerFunc(big)}
 	go s.ActivateAndServe()
 	t.Cleanup(func() { s.Shutdown() })
-	if r = try(t, u.Target(pc.LocalAddr().String()), look(), false, yes); r.Status != balancer.ConnectFailed {
+	if r = sendAttempt(t, u.Target(pc.LocalAddr().String()), addressQuery(), false, always); r.Status != balancer.ConnectFailed {
 		t.Errorf("with a dead TCP port: status %v, want one that blames the server", r.Status)
 	}
-	if r = try(t, u.Target(sidecartest.ClosedAddress(t)), look(), false, yes); r.Status != balancer.ConnectFailed {
+	if r = sendAttempt(t, u.Target(sidecartest.ClosedAddress(t)), addressQuery(), false, always); r.Status != balancer.ConnectFailed {
 		t.Errorf("where nobody listens: status %v", r.Status)
 	}
 }
 
 // What a server says counts for it, or does not, by what it means.
-func TestOutcomes(t *testing.T) {
+func TestResponseCodesMapToStatuses(t *testing.T) {
 	u := testUpstream(t, 8)
 	for rcode, want := range map[int]balancer.Status{dns.RcodeSuccess: balancer.OK, dns.RcodeNameError: balancer.OK,
 		dns.RcodeServerFailure: balancer.Error, dns.RcodeRefused: balancer.Rejected, dns.RcodeNotImplemented: balancer.OK} {
-		to := u.Target(names(t, func(w dns.ResponseWriter, m *dns.Msg) { w.WriteMsg(new(dns.Msg).SetRcode(m, rcode)) }))
-		if r := try(t, to, look(), false, yes); r.Status != want {
+		to := u.Target(startServer(t, func(w dns.ResponseWriter, m *dns.Msg) { w.WriteMsg(new(dns.Msg).SetRcode(m, rcode)) }))
+		if r := sendAttempt(t, to, addressQuery(), false, always); r.Status != want {
 			t.Errorf("%s: status %v, want %v", dns.RcodeToString[rcode], r.Status, want)
 		}
 	}
 }
 
 // Messages that are not the answer are nobody's outcome; the true one behind them counts.
-func TestForgedAnswers(t *testing.T) {
+func TestForgedAnswersAreIgnored(t *testing.T) {
 	other := func(m *dns.Msg, change func(*dns.Msg)) *dns.Msg {
-		a := reached(m, 1)
+		a := answerWith(m, 1)
 		a.Answer[0].(*dns.A).A = net.IPv4(203, 0, 113, 9)
 		change(a)
 		return a
 	}
 	u := testUpstream(t, 8)
-	to := u.Target(names(t, func(w dns.ResponseWriter, m *dns.Msg) {
+	to := u.Target(startServer(t, func(w dns.ResponseWriter, m *dns.Msg) {
 		w.WriteMsg(other(m, func(a *dns.Msg) { a.Id++ }))
 		w.WriteMsg(other(m, func(a *dns.Msg) { a.Question[0].Name = "b.look.test." }))
 		w.WriteMsg(other(m, func(a *dns.Msg) { a.Question[0].Qtype = dns.TypeTXT }))
 		w.WriteMsg(other(m, func(a *dns.Msg) { a.Response = false }))
 		w.WriteMsg(other(m, func(a *dns.Msg) { a.Question = nil }))
 		w.Write([]byte{1, 2, 3})
-		w.WriteMsg(reached(m, 1))
-		w.WriteMsg(reached(m, 1))
+		w.WriteMsg(answerWith(m, 1))
+		w.WriteMsg(answerWith(m, 1))
 	}))
-	r := try(t, to, look(), false, yes)
+	r := sendAttempt(t, to, addressQuery(), false, always)
 	if r.Status != balancer.OK || !r.Content.(*answer).msg.Answer[0].(*dns.A).A.Equal(net.IPv4(192, 0, 2, 1)) {
 		t.Fatalf("status %v, %v", r.Status, r.Content)
 	}
 	count := func() uint64 {
-		return u.counts.Unasked.Value() + u.counts.Mismatched.Value() + u.counts.Doubled.Value()
+		return u.counters.UnknownID.Value() + u.counters.Mismatched.Value() + u.counters.Duplicate.Value()
 	}
 	for end := time.Now().Add(sidecartest.WaitTimeout); count() < 7; {
 		if time.Now().After(end) {
@@ -134,43 +134,43 @@
 }
 
 // A server's cookie goes along from then on; an answer with another cookie of ours is not the server's.
-func TestServersCookies(t *testing.T) {
+func TestServerCookieIsReturnedAndVerified(t *testing.T) {
 	var spoil atomic.Bool
 	var seen atomic.Pointer[string]
 	u := testUpstream(t, 8)
-	to := u.Target(names(t, func(w dns.ResponseWriter, m *dns.Msg) {
-		a := reached(m, 1)
+	to := u.Target(startServer(t, func(w dns.ResponseWriter, m *dns.Msg) {
+		a := answerWith(m, 1)
 		opt := m.IsEdns0()
-		if opt == nil || opt.UDPSize() != udpMost || len(opt.Option) != 1 {
+		if opt == nil || opt.UDPSize() != maxUDPSize || len(opt.Option) != 1 {
 			t.Errorf("asked with %v", opt)
 			return
 		}
 		c := opt.Option[0].(*dns.EDNS0_COOKIE).Cookie
 		seen.Store(&c)
 		a.SetEdns0(1232, false)
-		mine := c[:clientsCookie]
+		mine := c[:clientCookieDigits]
 		if spoil.Load() {
-			mine = strings.Repeat("0", clientsCookie)
+			mine = strings.Repeat("0", clientCookieDigits)
 		}
 		a.IsEdns0().Option = []dns.EDNS0{&dns.EDNS0_COOKIE{Code: dns.EDNS0COOKIE, Cookie: mine + "0123456789abcdef"}}
-		if len(c) == clientsCookie { // it does not know us yet
+		if len(c) == clientCookieDigits { // it does not know us yet
 			a.Rcode, a.Answer = dns.RcodeBadCookie, nil
 		}
 		w.WriteMsg(a)
 	}))
-	if r := try(t, to, look(), false, yes); r.Status != balancer.OK || !strings.HasSuffix(*seen.Load(), "0123456789abcdef") {
+	if r := sendAttempt(t, to, addressQuery(), false, always); r.Status != balancer.OK || !strings.HasSuffix(*seen.Load(), "0123456789abcdef") {
 		t.Errorf("status %v, cookie %s", r.Status, *seen.Load())
 	}
 	spoil.Store(true)
-	if r := try(t, to, look(), false, yes); r.Status != balancer.Error {
+	if r := sendAttempt(t, to, addressQuery(), false, always); r.Status != balancer.Error {
 		t.Errorf("with another's cookie: status %v", r.Status)
 	}
 }
 
 // Ten thousand queries open at once on four sockets never share an id on one, and each has its own answer, in any order.
-func TestTenThousandOpen(t *testing.T) {
+func TestTenThousandOpenQueriesHaveDistinctIDs(t *testing.T) {
 	const open = 10_000
-	udp, _ := both(t)
+	udp, _ := listenUDPAndTCP(t)
 	udp.SetReadBuffer(8 << 20)
 	type from struct {
 		raw []byte
@@ -197,9 +197,9 @@
 	for i := range open {
 		wait.Go(func() {
 			raw, _ := new(dns.Msg).SetQuestion(fmt.Sprintf("q%d.look.test.", i), dns.TypeA).Pack()
-			q, _ := parse(raw)
+			q, _ := parseQuery(raw)
 			room <- struct{}{}
-			r := to.Send(ctx, core.Attempt{Request: &request{q: q}, Begin: yes, MayContinue: yes})
+			r := to.Send(ctx, core.Attempt{Request: &upstreamQuery{question: q}, Begin: always, MayContinue: always})
 			if r.Status != balancer.OK {
 				if wrong.Add(1) == 1 {
 					t.Errorf("query %d: status %v after %v", i, r.Status, ctx.Err())
@@ -238,7 +238,7 @@
 		if err := m.Unpack(f.raw); err != nil {
 			t.Fatal(err)
 		}
-		raw, _ := reached(m, 1).Pack()
+		raw, _ := answerWith(m, 1).Pack()
 		udp.WriteToUDP(raw, f.at)
 		for i >= int(answered.Load()+wrong.Load())+100 && ctx.Err() == nil { // or the sockets' buffers overflow
 			time.Sleep(50 * time.Microsecond)
@@ -251,7 +251,7 @@
 }
 
 // A connection that closes with queries in flight tells each of them once; the next opens another.
-func TestConnectionClosesInFlight(t *testing.T) {
+func TestConnectionLossFailsEachQueryInFlightOnce(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -277,7 +277,7 @@
 					}
 					m := new(dns.Msg)
 					m.Unpack(raw)
-					text, _ := reached(m, 1).Pack()
+					text, _ := answerWith(m, 1).Pack()
 					c.Write(append(binary.BigEndian.AppendUint16(nil, uint16(len(text))), text...))
 				}
 			}()
@@ -289,7 +289,7 @@
 	var reset atomic.Int32
 	for range 10 {
 		wait.Go(func() {
-			if try(t, to, look(), true, yes).Status == balancer.Reset {
+			if sendAttempt(t, to, addressQuery(), true, always).Status == balancer.Reset {
 				reset.Add(1)
 			}
 		})
@@ -298,27 +298,27 @@
 	if reset.Load() != 10 || conns.Load() != 1 {
 		t.Errorf("%d of 10 in flight were told, over %d connections", reset.Load(), conns.Load())
 	}
-	if r := try(t, to, look(), true, yes); r.Status != balancer.OK || conns.Load() != 2 {
+	if r := sendAttempt(t, to, addressQuery(), true, always); r.Status != balancer.OK || conns.Load() != 2 {
 		t.Errorf("afterwards: status %v, %d connections", r.Status, conns.Load())
 	}
 	to.Close()
-	if r := try(t, to, look(), true, yes); r.Status != balancer.NotSent {
+	if r := sendAttempt(t, to, addressQuery(), true, always); r.Status != balancer.NotSent {
 		t.Errorf("of what is gone: status %v", r.Status)
 	}
 }
 
 // Connections to many servers stay within the descriptors that the front counts on: idle ones make room.
-func TestConnectionsInAllAreBounded(t *testing.T) {
+func TestServerConnectionsAreBounded(t *testing.T) {
 	u := testUpstream(t, 4)
-	for i := range 2 * u.s.streams() {
-		if r := try(t, u.Target(names(t, nil)), look(), true, yes); r.Status != balancer.OK {
+	for i := range 2 * u.settings.maxServerConns() {
+		if r := sendAttempt(t, u.Target(startServer(t, nil)), addressQuery(), true, always); r.Status != balancer.OK {
 			t.Fatalf("server %d: status %v", i, r.Status)
 		}
 		u.mu.Lock()
-		n := len(u.streams)
+		n := len(u.conns)
 		u.mu.Unlock()
-		if n > u.s.streams() {
-			t.Fatalf("%d connections are open, %d may be", n, u.s.streams())
+		if n > u.settings.maxServerConns() {
+			t.Fatalf("%d connections are open, %d may be", n, u.settings.maxServerConns())
 		}
 	}
 }
--- a/internal/lab/dnslab/lab.go
+++ b/internal/lab/dnslab/lab.go
@@ -408,13 +408,13 @@
 	}
 	x := &l.s.Front
 	class := func(name string, ops ...int) dnsfront.Class {
-		return dnsfront.Class{Name: name, Aim: time.Duration(x.Aim), GiveUp: time.Duration(x.GiveUp), Worth: 1, LateWorth: 0.5,
-			Attempts: or(x.Attempts, 3), Route: route.Class{Suffixes: []string{"example.org"}, Opcodes: ops}}
+		return dnsfront.Class{Name: name, LatencyObjective: time.Duration(x.Aim), Timeout: time.Duration(x.GiveUp), PriorityWeight: 1, LatePriorityWeight: 0.5,
+			MaxAttempts: or(x.Attempts, 3), Route: route.Class{Suffixes: []string{"example.org"}, Opcodes: ops}}
 	}
 	open := or(x.Open, 2000)
-	return dnsfront.Settings{Sockets: or(x.Sockets, 512), TCPServer: 2, TCPClients: 64, PerConn: 256, Idle: 10 * time.Second,
-		Limit: limit.Settings{Open: open, PerClient: open, Unproven: 0.9, Rate: float64(or(x.Rate, 100_000)),
-			Burst: float64(or(x.Burst, 100_000)), Slip: 2, Prefixes: 10_000},
+	return dnsfront.Settings{MaxSockets: or(x.Sockets, 512), MaxConnsPerServer: 2, MaxClientConns: 64, MaxQueriesPerConn: 256, IdleTimeout: 10 * time.Second,
+		Limit: limit.Settings{MaxOpen: open, MaxOpenPerPrefix: open, UnverifiedShare: 0.9, AnswersPerSecond: float64(or(x.Rate, 100_000)),
+			Burst: float64(or(x.Burst, 100_000)), TruncateEvery: 2, MaxPrefixes: 10_000},
 		Classes: []dnsfront.Class{class("lookup"), class("update", dns.OpcodeUpdate)}}
 }
 
