--- a/internal/dataplane/dnsfront/front_test.go
+++ b/internal/dataplane/dnsfront/front_test.go
@@ -119,11 +119,11 @@
 
 // testSidecar is a sidecar with the front, over servers at addrs.
 type testSidecar struct {
-	addr  string
-	front *Front
-	management  net.Listener // operators'
-	stop  context.CancelFunc
-	ended chan error
+	addr       string
+	front      *Front
+	management net.Listener // operators'
+	stop       context.CancelFunc
+	ended      chan error
 }
 
 // call makes an operator's call.
--- a/internal/dataplane/dnsfront/limit/limit.go
+++ b/internal/dataplane/dnsfront/limit/limit.go
@@ -13,13 +13,13 @@
 
 // Settings are the bounds. All counts are at least 1 but for Slip.
 type Settings struct {
-	MaxOpen      int     // queries open at once
+	MaxOpen          int     // queries open at once
 	MaxOpenPerPrefix int     // of one prefix
 	UnverifiedShare  float64 // part of Open that queries of unproven addresses may take
-	AnswersPerSecond      float64 // answers a second to an unproven prefix
-	Burst     float64 // and at once, after a quiet time
-	TruncateEvery      int     // of so many queries over the rate one is answered truncated; 0: none
-	MaxPrefixes  int     // remembered at once; those that were quiet for longest are forgotten
+	AnswersPerSecond float64 // answers a second to an unproven prefix
+	Burst            float64 // and at once, after a quiet time
+	TruncateEvery    int     // of so many queries over the rate one is answered truncated; 0: none
+	MaxPrefixes      int     // remembered at once; those that were quiet for longest are forgotten
 }
 
 // Decision is what becomes of a query.
@@ -27,10 +27,10 @@
 
 // The verdicts.
 const (
-	Admit Decision = iota // Done is owed
-	Shed                // no room: refuse it
-	Truncate                // over the rate: answer truncated
-	Drop                // over the rate: say nothing
+	Admit    Decision = iota // Done is owed
+	Shed                     // no room: refuse it
+	Truncate                 // over the rate: answer truncated
+	Drop                     // over the rate: say nothing
 )
 
 // ClientPrefix is whom a query counts for: the addresses of one network, since one party may hold them all.
@@ -46,18 +46,18 @@
 
 // Admission counts what is open and what was answered.
 type Admission struct {
-	settings        Settings
-	open     int
+	settings       Settings
+	open           int
 	openUnverified int // of open
-	prefixes     map[netip.Prefix]*list.Element
-	byLastUse    *list.List // *state, the one quiet for longest first
+	prefixes       map[netip.Prefix]*list.Element
+	byLastUse      *list.List // *state, the one quiet for longest first
 }
 
 type prefixState struct {
-	prefix netip.Prefix
-	open   int
-	tokens float64
-	refilledAt     int64
+	prefix     netip.Prefix
+	open       int
+	tokens     float64
+	refilledAt int64
 	overRate   int // queries over the rate since the last that slipped
 }
 
--- a/internal/dataplane/dnsfront/protocol.go
+++ b/internal/dataplane/dnsfront/protocol.go
@@ -12,7 +12,7 @@
 type Front struct {
 	Settings Settings
 	Sockets  Sockets
-	counters   *Counters
+	counters *Counters
 }
 
 var _ core.Protocol = (*Front)(nil)
--- a/internal/dataplane/dnsfront/resend/resend.go
+++ b/internal/dataplane/dnsfront/resend/resend.go
@@ -10,18 +10,18 @@
 import "time"
 
 const (
-	creditPerAnswer  = 0.5 // resends for each answer: with a third of the round trips lost 0.4 are needed
-	maxCredit    = 10  // saved up, and at the beginning
-	initialDelay = 100 * time.Millisecond
-	minDelay   = 10 * time.Millisecond // two datagrams in so short a time meet the same shortage
-	maxResends   = 2                     // an attempt
+	creditPerAnswer = 0.5 // resends for each answer: with a third of the round trips lost 0.4 are needed
+	maxCredit       = 10  // saved up, and at the beginning
+	initialDelay    = 100 * time.Millisecond
+	minDelay        = 10 * time.Millisecond // two datagrams in so short a time meet the same shortage
+	maxResends      = 2                     // an attempt
 )
 
 // Link is what is known of the way to a server. It is for one goroutine at a time.
 type Link struct {
-	hasRTT      bool
+	hasRTT                    bool
 	smoothedRTT, rttVariation time.Duration
-	credit    float64
+	credit                    float64
 }
 
 // New returns a link of which nothing is known.
--- a/internal/dataplane/dnsfront/streams.go
+++ b/internal/dataplane/dnsfront/tcp.go
@@ -17,26 +17,26 @@
 )
 
 const (
-	pipelineDepth  = 32   // queries on a connection before another is opened,
-	maxPipelineDepth = 1024 // and on each once there may be no more
-	streamIdleTimeout = 8 * time.Second
-	streamReadTimeout = 2 * time.Second // for a message, from its first byte
+	pipelineDepth      = 32   // queries on a connection before another is opened,
+	maxPipelineDepth   = 1024 // and on each once there may be no more
+	streamIdleTimeout  = 8 * time.Second
+	streamReadTimeout  = 2 * time.Second // for a message, from its first byte
 	streamWriteTimeout = 2 * time.Second
 )
 
 // serverConn is a TCP connection to a server, being opened or open.
 type serverConn struct {
-	server    *server
-	ready chan struct{} // closed once it is open or failed
-	conn  net.Conn
-	err   error // why it failed
+	server *server
+	ready  chan struct{} // closed once it is open or failed
+	conn   net.Conn
+	err    error // why it failed
 	queryTable
 	writeMu sync.Mutex
 
 	// Guarded by up.mu.
 	queries    int
-	lastReadAt   time.Time // when it was opened, or something last came
-	retired bool      // nothing new goes on it, and it is closed once it has no query
+	lastReadAt time.Time // when it was opened, or something last came
+	retired    bool      // nothing new goes on it, and it is closed once it has no query
 }
 
 // queryTCP asks over TCP, once. may is asked right before the query goes out.
--- a/internal/dataplane/dnsfront/sockets.go
+++ b/internal/dataplane/dnsfront/udp.go
@@ -22,11 +22,11 @@
 
 // socket is a UDP socket connected to one server: the kernel lets nothing through from elsewhere.
 type socket struct {
-	server   *server
-	conn net.Conn
+	server *server
+	conn   net.Conn
 	queryTable
-	queries  int  // queries that have it; guarded by up.mu
-	idle bool // and it is in up.resting
+	queries int  // queries that have it; guarded by up.mu
+	idle    bool // and it is in up.resting
 }
 
 // queryUDP asks over UDP. may is asked right before the query goes out, more before it goes out again.
