--- a/cmd/birchmoor/run.go
+++ b/cmd/birchmoor/daemon.go
@@ -82,21 +82,3 @@
 	}
 	return x, p.Close, nil
 }
-
-type checkCommand struct {
-	File string `arg:"" type:"existingfile" help:"Operator file."`
-}
-
-func (k *checkCommand) Run(c *console) error {
-	f, err := operatorconfig.Read(k.File)
-	if err != nil {
-		return err
-	}
-	if f.DNS != nil {
-		if _, err := dnsSettings(f.DNS); err != nil {
-			return fmt.Errorf("%s: %w", k.File, err)
-		}
-	}
-	fmt.Fprintf(c.out, "%s: no faults\n", k.File)
-	return nil
-}
--- /dev/null
+++ b/cmd/birchmoor/labrun.go
@@ -0,0 +1,45 @@
+package main
+
+import (
+	"context"
+	"fmt"
+
+	"birchmoor/internal/lab/rig"
+	"birchmoor/internal/lab/scenario"
+)
+
+// load reads a scenario and sees that a host can play it.
+func load(path, host string) (*scenario.Scenario, error) {
+	s, err := scenario.Read(path)
+	if err != nil {
+		return nil, err
+	}
+	if !s.On(host) {
+		return nil, fmt.Errorf("%s: can be played by %v only", path, s.Hosts)
+	}
+	return s, nil
+}
+
+type runCommand struct {
+	Scenario string `arg:"" type:"existingfile" help:"Scenario file, such as lab/scenarios/calm.toml."`
+	Seed     uint64 `default:"1" help:"All that is drawn comes from it."`
+	Bin      string `help:"The sidecar program; without it, sidecar beside this command." type:"existingfile" placeholder:"PATH"`
+	output   `embed:""`
+}
+
+func (k *runCommand) Run(ctx context.Context, c *console) error {
+	s, err := load(k.Scenario, "run")
+	if err != nil {
+		return err
+	}
+	if k.Bin == "" {
+		if k.Bin, err = rig.Program(); err != nil {
+			return err
+		}
+	}
+	x, err := rig.Run(ctx, s, rig.Options{Seed: k.Seed, Bin: k.Bin, Dir: k.Out, Progress: c.progress(s.Name)})
+	if err != nil {
+		return err
+	}
+	return k.finish(c, x)
+}
--- a/cmd/birchmoor/limitlab.go
+++ b/cmd/birchmoor/limitsim.go
@@ -3,17 +3,11 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
-	"os"
 	"runtime"
 	"sync"
-	"text/tabwriter"
-	"time"
 
-	"birchmoor/internal/lab/limitlab"
 	"birchmoor/internal/lab/limitsim"
-	"birchmoor/internal/lab/tasklab"
 )
 
 type limitSim struct {
@@ -141,67 +135,3 @@
 	}
 	return nil
 }
-
-type limitTorture struct {
-	Dir      string        `help:"Folder for what it writes." default:"." type:"existingdir"`
-	For      time.Duration `help:"Long." default:"1m"`
-	Every    time.Duration `help:"A blow, on average." default:"1s"`
-	Replicas int           `help:"Daemons with a replica." default:"3"`
-	Follow   int           `help:"Daemons without one." default:"5"`
-	Seed     uint64        `help:"Of what is done to whom." default:"1"`
-	Plant    int           `help:"A fault of shares, by its number in package limit; for programs built with -tags planted." placeholder:"N"`
-	Play     string        `help:"Play this schedule in place of one drawn from the seed." type:"existingfile" placeholder:"FILE"`
-	JSON     bool          `help:"As JSON."`
-}
-
-func (k *limitTorture) Help() string {
-	return `Sidecars as processes are asked for more than four limits let through, while they are killed, stopped, cut and slowed; servers count what
-comes, by limit and part, and hold it against the formula of docs/limits.md. Exit code 1 if a bound was passed.
-
-Example:
-  birchmoor limit torture --for 10m --seed 7 --json`
-}
-
-func (k *limitTorture) Run(ctx context.Context, c *console) error {
-	self, err := os.Executable()
-	if err != nil {
-		return err
-	}
-	if k.Plant != 0 && !isPlanted {
-		return errors.New("--plant: this program was not built with -tags planted")
-	}
-	t := limitlab.Torture{Program: self, Dir: k.Dir, Replicas: k.Replicas, Follow: k.Follow, For: k.For, Every: k.Every, Seed: k.Seed,
-		Say: func(s string) { fmt.Fprintln(c.err, s) }}
-	if k.Plant != 0 {
-		t.Env = []string{fmt.Sprintf("%s=%d", tasklab.LimitEnv, k.Plant)}
-	}
-	if k.Play != "" {
-		b, err := os.ReadFile(k.Play)
-		if err == nil {
-			err = json.Unmarshal(b, &t.Play)
-		}
-		if err != nil {
-			return fmt.Errorf("%s: %w", k.Play, err)
-		}
-	}
-	r, err := t.Run(ctx)
-	if r != nil && k.JSON {
-		if bad := json.NewEncoder(c.out).Encode(r); bad != nil {
-			return bad
-		}
-	} else if r != nil {
-		w := tabwriter.NewWriter(c.out, 0, 4, 2, ' ', 0)
-		fmt.Fprintln(w, "LIMIT\tPART\tSEEN\tMOST IN WINDOW\tBOUND\tNEAR")
-		for _, s := range r.Seen {
-			fmt.Fprintf(w, "%s\t%s\t%d\t%.0f\t%.1f\t%.2f\n", s.Limit, partName(s.Part), s.Count, s.Most, s.Bound, s.Near)
-		}
-		if bad := w.Flush(); bad != nil {
-			return bad
-		}
-		fmt.Fprintf(c.out, "%d requests, %d refused (%d without a time), blows %v; %.2f of the rate used once calm; broken: %q\n", r.Requests, r.Refused, r.NoTime, r.Blows, r.Use, r.Broken)
-	}
-	if err == nil && len(r.Broken) > 0 {
-		return errMissed
-	}
-	return err
-}
--- a/cmd/birchmoor/lock.go
+++ b/cmd/birchmoor/lock.go
@@ -7,31 +7,14 @@
 	"os"
 	"os/exec"
 	"strings"
-	"syscall"
 	"time"
 
 	"birchmoor/internal/controlplane/adminapi"
 	"birchmoor/internal/controlplane/leasetask"
 	"birchmoor/internal/controlplane/watchdog"
-	"birchmoor/internal/platform/bootclock"
 	"birchmoor/internal/store/admin"
 )
 
-// Exit codes of lock, beside those of the command that it runs.
-const (
-	exitNotGot = 124
-	exitLost   = 125
-	exitNotRun = 126
-)
-
-// exitError ends the program with a code of its own.
-type exitError struct {
-	code int
-	err  error // told on standard error, or nil
-}
-
-func (e *exitError) Error() string { return fmt.Sprint(e.err) }
-
 type lockCommand struct {
 	Socket  string        `help:"Socket of a running daemon." default:"store.sock" env:"BIRCHMOOR_STORE" placeholder:"PATH"`
 	Name    string        `arg:"" help:"Task that is held while the command runs."`
@@ -214,32 +197,3 @@
 		}
 	}
 }
-
-// keeperCommand is how lock runs itself around the command, so that the command is ended in time also while lock is stopped, and
-// does not outlive it.
-type keeperCommand struct {
-	Grace   time.Duration `required:""`
-	Early   time.Duration `required:""`
-	Command []string      `arg:"" passthrough:""`
-}
-
-func (k *keeperCommand) Run() error {
-	if len(k.Command) > 0 && k.Command[0] == "--" {
-		k.Command = k.Command[1:]
-	}
-	syscall.CloseOnExec(3)
-	code, why := watchdog.Command{Args: k.Command, Env: os.Environ(), GracePeriod: k.Grace, KillMargin: k.Early, Clock: bootclock.Clock{Rate: inside.Pace}, OnOverrun: func(by int64) {
-		fmt.Fprintf(os.Stderr, "birchmoor: %s with token %s: what it ran may have gone on %v past its time: this host did not run its keeper in time\n", os.Getenv("BIRCHMOOR_TASK"), os.Getenv("BIRCHMOOR_TOKEN"), time.Duration(by).Round(time.Millisecond))
-	}}.Run(os.NewFile(3, "deadlines"))
-	switch {
-	case errors.Is(why, watchdog.ErrDeadlinePassed), errors.Is(why, watchdog.ErrParentGone):
-		return &exitError{exitLost, nil}
-	case errors.Is(why, watchdog.ErrEndRequested):
-		return &exitError{code, nil}
-	case why != nil:
-		return &exitError{exitNotRun, why}
-	case code != 0:
-		return &exitError{code, nil}
-	}
-	return nil
-}
--- a/cmd/birchmoor/main.go
+++ b/cmd/birchmoor/main.go
@@ -13,16 +13,9 @@
 	"strings"
 	"syscall"
 
-	"birchmoor/internal/lab/scale"
-
 	"github.com/alecthomas/kong"
-)
 
-// Exit codes.
-const (
-	exitMissed = 1
-	exitInput  = 2
-	exitStop   = 130
+	"birchmoor/internal/lab/scale"
 )
 
 type commands struct {
@@ -42,9 +35,6 @@
 	Replay  replayCommand  `cmd:"" help:"Play a capture again: what the decision module was told, and whether it decides the same."`
 }
 
-// errMissed says that a run was judged, and not kindly; what is wrong has been printed.
-var errMissed = errors.New("missed")
-
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/cmd/birchmoor/tasksim.go
+++ b/cmd/birchmoor/tasksim.go
@@ -7,7 +7,6 @@
 	"runtime"
 	"sync"
 
-	"birchmoor/internal/lab/leasemodel"
 	"birchmoor/internal/lab/storesim"
 )
 
@@ -135,36 +134,3 @@
 	}
 	return nil
 }
-
-type taskCheck struct {
-	Depth int  `help:"Steps." default:"10"`
-	JSON  bool `help:"A line of JSON for each choice of clocks."`
-}
-
-func (k *taskCheck) Help() string {
-	return `All interleavings of two holders and the store, up to the depth, with each choice of whose clock runs fast: lost, doubled and late
-messages, another leader, releases that cross renewals. Depth 12 takes some 20 s and 1 GB each. Exit code 1 if two are entitled at once.`
-}
-
-func (k *taskCheck) Run(ctx context.Context, c *console) error {
-	broken := false
-	for n := range 8 {
-		if ctx.Err() != nil {
-			return ctx.Err()
-		}
-		o := leasemodel.Options{Depth: k.Depth, Store: n&1 != 0, A: n&2 != 0, B: n&4 != 0}
-		r := leasemodel.Run(o)
-		broken = broken || r.Broken != nil
-		if k.JSON {
-			if err := json.NewEncoder(c.out).Encode(r); err != nil {
-				return err
-			}
-			continue
-		}
-		fmt.Fprintf(c.out, "fast: store %v, A %v, B %v: %d states, %d steps between them, to depth %d: %q\n", o.Store, o.A, o.B, r.States, r.Steps, r.Depth, r.Broken)
-	}
-	if broken {
-		return errMissed
-	}
-	return nil
-}
