--- a/internal/store/admin/call.go
+++ b/internal/store/admin/call.go
@@ -62,7 +62,7 @@
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // the client has gone, and nothing is left to tell it
+	_ = json.NewEncoder(w).Encode(body) // the client has gone
 }
 
 // WriteError answers with an ErrorBody, and with the status and the details of the error's kind.
@@ -137,6 +137,7 @@
 // notFoundError marks an error of something that does not exist.
 type notFoundError struct{ error }
 
+// Unwrap returns the marked error.
 func (e notFoundError) Unwrap() error { return e.error }
 
 // NotFound marks an error as one of something that does not exist; nil stays nil.
--- a/internal/store/admin/client.go
+++ b/internal/store/admin/client.go
@@ -38,6 +38,7 @@
 	ErrorBody
 }
 
+// Error is the text that the server sent.
 func (e *ResponseError) Error() string { return e.ErrorBody.Error }
 
 // Do sends a request and returns the response if its status is OK; its body is to be closed. Another status is a
@@ -126,7 +127,7 @@
 	return response.Header.Get(revisionHeader), err
 }
 
-// Watch calls onEvent with changes until ctx ends, onEvent fails, or the store cannot go on; that last is a
+// Watch calls onEvent with changes until ctx ends, onEvent fails, or the store cannot continue; that last is a
 // *ResponseError of status http.StatusGone. The query has prefix and after.
 func (c *Client) Watch(ctx context.Context, query url.Values, onEvent func(store.Event) error) error {
 	response, err := c.Do(ctx, http.MethodGet, watchPath, query, nil)
--- a/internal/store/admin/messages.go
+++ b/internal/store/admin/messages.go
@@ -9,7 +9,7 @@
 type ErrorBody struct {
 	Error          string           `json:"error"`
 	OutcomeUnknown *store.RequestID `json:"unknown,omitempty"` // the change of this request may have been made
-	OldestRevision uint64           `json:"oldest,omitempty"`  // of the history, if it is compacted beyond what was requested
+	OldestRevision uint64           `json:"oldest,omitempty"`  // of a history that is compacted
 	LeaseNotFound  bool             `json:"no_lease,omitempty"`
 }
 
--- a/internal/store/changefeed/sender.go
+++ b/internal/store/changefeed/sender.go
@@ -13,7 +13,7 @@
 	streamStart    uint64 // the stream has the changes after this revision
 	requestedAfter uint64 // the follower's revision when it connected
 	sentThrough    uint64 // the revision up to which everything was taken for sending
-	announced      uint64 // the last revision up to which the follower was told that it has everything
+	announced      uint64 // the last revision up to which it was announced that the follower has everything
 }
 
 // NewSender begins to send the changes of an interest to a follower that has everything up to a revision. The
--- a/internal/store/follower/frozen_test.go
+++ b/internal/store/follower/frozen_test.go
@@ -147,7 +147,8 @@
 		}
 		isSent := func(prefix string) func() bool {
 			return func() bool {
-				return slices.ContainsFunc(sent(), func(request string) bool { return strings.HasPrefix(request, prefix) })
+				hasPrefix := func(request string) bool { return strings.HasPrefix(request, prefix) }
+				return slices.ContainsFunc(sent(), hasPrefix)
 			}
 		}
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/store/follower/helpers_test.go
+++ b/internal/store/follower/helpers_test.go
@@ -114,7 +114,7 @@
 type testFollower struct {
 	*Follower
 	wanted     atomic.Pointer[changefeed.Subscription]
-	prefixKeys atomic.Int64 // of the prefix whose size it is told
+	prefixKeys atomic.Int64 // number of keys of the prefix that it subscribes to
 }
 
 func openFollower(t *testing.T, dir string, subscription changefeed.Subscription, addrs ...string) *testFollower {
