--- a/cmd/birchmoor/config.go
+++ b/cmd/birchmoor/config.go
@@ -26,7 +26,7 @@
 }
 
 type configPut struct {
-	socketFlag
+	clientFlags
 	File string `arg:"" type:"existingfile" help:"JSON file with the settings object of the data path."`
 	Note string `help:"Why, for the history."`
 
@@ -55,7 +55,7 @@
 		return fmt.Errorf("%s: %w", k.File, err)
 	}
 	if k.Steps == "" {
-		return configure(ctx, c, &k.socketFlag, adminapi.SettingsRequest{Settings: any, Note: k.Note})
+		return changeSettings(ctx, c, &k.clientFlags, adminapi.SettingsRequest{Settings: any, Note: k.Note})
 	}
 	steps, err := rollout.ParseSteps(k.Steps)
 	if err != nil {
@@ -63,17 +63,17 @@
 	}
 	if err := k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
 		if _, err := a.ChangeSettings(ctx, adminapi.SettingsRequest{Settings: any, Note: k.Note, Steps: steps, SettleMs: k.Settle.Milliseconds()}); err != nil {
-			return k.failed(ctx, c, err, "")
+			return k.changeFailed(ctx, c, err, "")
 		}
 		return nil
 	}); err != nil || !k.Follow {
 		return err
 	}
-	return k.follow(ctx, c)
+	return k.waitForRollout(ctx, c)
 }
 
-// follow waits until a plan has ended.
-func (k *configPut) follow(ctx context.Context, c *console) error {
+// waitForRollout waits until a plan has ended.
+func (k *configPut) waitForRollout(ctx context.Context, c *console) error {
 	told := -2
 	for {
 		var p rollout.Plan
@@ -91,7 +91,7 @@
 				return err
 			}
 			if p.State != rollout.Completed {
-				return errMissed
+				return errRunFailed
 			}
 			return nil
 		case p.Step != told:
@@ -107,26 +107,26 @@
 }
 
 type configPlan struct {
-	socketFlag
-	CallOff bool `help:"Take it back."`
+	clientFlags
+	Abort bool `name:"call-off" help:"Take it back."`
 }
 
 func (k *configPlan) Run(ctx context.Context, c *console) error {
 	return k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
-		if k.CallOff {
+		if k.Abort {
 			by := "operators"
 			if u, err := user.Current(); err == nil {
 				by = u.Username
 			}
 			if _, err := a.ChangeSettings(ctx, adminapi.SettingsRequest{AbortBy: by}); err != nil {
-				return k.failed(ctx, c, err, "")
+				return k.changeFailed(ctx, c, err, "")
 			}
 		}
 		p, err := a.Rollout(ctx)
 		var told *admin.ResponseError
 		if errors.As(err, &told) && told.Status == 404 {
 			fmt.Fprintln(c.err, err)
-			return errMissed
+			return errRunFailed
 		}
 		if err != nil {
 			return err
@@ -144,18 +144,18 @@
 	})
 }
 
-func configure(ctx context.Context, c *console, s *socketFlag, q adminapi.SettingsRequest) error {
+func changeSettings(ctx context.Context, c *console, s *clientFlags, q adminapi.SettingsRequest) error {
 	return s.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
 		v, err := a.ChangeSettings(ctx, q)
 		if err != nil {
-			return s.failed(ctx, c, err, "")
+			return s.changeFailed(ctx, c, err, "")
 		}
 		return s.print(c, v, func(w *tabwriter.Writer) { fmt.Fprintf(w, "version %d, revision %d\n", v.Version, v.Revision) })
 	})
 }
 
 type configGet struct {
-	socketFlag
+	clientFlags
 	Version uint64 `help:"Of this version." placeholder:"N"`
 }
 
@@ -172,11 +172,11 @@
 			}
 		}
 		fmt.Fprintln(c.err, "there are no such settings in the store: the file of each sidecar is in force")
-		return errMissed
+		return errRunFailed
 	})
 }
 
-type configHistory struct{ socketFlag }
+type configHistory struct{ clientFlags }
 
 func (k *configHistory) Run(ctx context.Context, c *console) error {
 	return k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
@@ -184,11 +184,11 @@
 		if err != nil {
 			return err
 		}
-		return k.print(c, all, func(w *tabwriter.Writer) { versions(w, all) })
+		return k.print(c, all, func(w *tabwriter.Writer) { printVersions(w, all) })
 	})
 }
 
-func versions(w *tabwriter.Writer, all []daemon.Version) {
+func printVersions(w *tabwriter.Writer, all []daemon.Version) {
 	fmt.Fprintln(w, "VERSION\tREVISION\tAT\tBY\tNOTE")
 	for _, v := range all {
 		fmt.Fprintf(w, "%d\t%d\t%s\t%s\t%s\n", v.Version, v.Revision, v.At.Format(time.DateTime), v.By, v.Note)
@@ -196,10 +196,10 @@
 }
 
 type configRollback struct {
-	socketFlag
+	clientFlags
 	Version uint64 `arg:"" help:"Version whose settings are put in force again."`
 }
 
 func (k *configRollback) Run(ctx context.Context, c *console) error {
-	return configure(ctx, c, &k.socketFlag, adminapi.SettingsRequest{Rollback: k.Version})
+	return changeSettings(ctx, c, &k.clientFlags, adminapi.SettingsRequest{Rollback: k.Version})
 }
--- a/cmd/birchmoor/configput_test.go
+++ b/cmd/birchmoor/configput_test.go
@@ -12,8 +12,9 @@
 	"birchmoor/internal/testutil/processtest"
 )
 
-// Settings come in force in steps over three replicas and two followers under load: good ones at all, though the daemon that drives is
-// killed on the way and another goes on; bad ones at the first step alone, and are taken back.
+// Settings come in force in steps over three replicas and two followers under load: good ones at all, though the
+// daemon that drives is killed on the way and another goes on; bad ones at the first step alone, and are taken
+// back.
 func TestSettingsInSteps(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
@@ -21,7 +22,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
-	f, err := fleetlab.Begin(ctx, fleetlab.Config{Program: self, Args: []string{"run", "--config"}, Env: []string{asProgram + "=1"}, Dir: t.TempDir(), Replicas: 3, Follow: 2,
+	f, err := fleetlab.Begin(ctx, fleetlab.Config{Program: self, Args: []string{"run", "--config"}, Env: []string{asProgramEnv + "=1"}, Dir: t.TempDir(), Replicas: 3, Follow: 2,
 		Servers: 4, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
@@ -45,7 +46,7 @@
 	}
 	processtest.Until(t, "every daemon's part in the fleet", ready, logs)
 	put := func(settle string, edits ...string) (code int, out string) {
-		code, o, e := birchmoor("config", "put", write(t, "s.json", fleetlab.Settings(edits...)), "--steps", "1,50%,all", "--settle", settle, "--socket", socket)
+		code, o, e := birchmoor("config", "put", writeFile(t, "s.json", fleetlab.Settings(edits...)), "--steps", "1,50%,all", "--settle", settle, "--socket", socket)
 		return code, o + e
 	}
 	type ended struct {
@@ -64,7 +65,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	host, _ := holderOf(all[0])
+	host, _ := taskHolder(all[0])
 	for _, d := range f.Daemons {
 		if d.Name() != host {
 			continue
@@ -96,7 +97,7 @@
 	processtest.Until(t, "the new settings at all", in(`"most-held":900`), logs)
 	// Settings with which nothing can be answered in time.
 	processtest.Until(t, "every daemon's part in the fleet again", ready, logs)
-	if code, out := put("1s", `"target":500000,"give-up":1000000`, `"target":1000,"give-up":2000`); code != exitMissed || !strings.Contains(out, "taken back: step 1:") {
+	if code, out := put("1s", `"target":500000,"give-up":1000000`, `"target":1000,"give-up":2000`); code != exitFailure || !strings.Contains(out, "taken back: step 1:") {
 		t.Errorf("exit code %d:\n%s\n%s", code, out, logs())
 	}
 	if !in(`"most-held":900`)() {
--- a/cmd/birchmoor/daemon.go
+++ b/cmd/birchmoor/daemon.go
@@ -42,9 +42,9 @@
 		return fmt.Errorf("%s has no [store], and ROUTER_CONFIG names no sidecar: there is nothing to run", k.Config)
 	}
 	if f.Store == nil {
-		return serve(ctx, f, &extras{reload: hup}, log)
+		return serve(ctx, f, &fleetServices{reload: hup}, log)
 	}
-	x, end, err := openStore(f, runs, hup, log)
+	x, end, err := openControlPlane(f, runs, hup, log)
 	if err != nil {
 		return err
 	}
@@ -56,13 +56,13 @@
 	return nil
 }
 
-// inside is what the bench between processes does within this process: builds for tests alone set it.
-var inside tasklab.Inside
+// processFaults is what the bench between processes does within this process: builds for tests alone set it.
+var processFaults tasklab.Inside
 
-// openStore starts what joins a replica or a follower to a sidecar, and its socket. end stops them.
-func openStore(f *operatorconfig.File, runs bool, hup chan os.Signal, log *slog.Logger) (x *extras, end func(), err error) {
-	cfg := controlplane.Config{File: f, Reload: hup, Log: log, Defects: controlplane.Defects{Clock: bootclock.Clock{Rate: inside.Pace}, WrapStoreFile: inside.File,
-		WrapStore: plantedStore, LeaseSession: plantedSession(), LeaseTable: plantedTable(), Quota: inside.Limit}}
+// openControlPlane starts what joins a replica or a follower to a sidecar, and its socket. end stops them.
+func openControlPlane(f *operatorconfig.File, runs bool, hup chan os.Signal, log *slog.Logger) (x *fleetServices, end func(), err error) {
+	cfg := controlplane.Config{File: f, Reload: hup, Log: log, Defects: controlplane.Defects{Clock: bootclock.Clock{Rate: processFaults.Pace}, WrapStoreFile: processFaults.File,
+		WrapStore: storeWithDefect, LeaseSession: leaseSessionDefect(), LeaseTable: leaseTableDefect(), Quota: processFaults.Limit}}
 	if runs {
 		if c, err := config.Read(os.Getenv); err == nil { // else the sidecar says why
 			cfg.Sidecar = c.Name
@@ -76,9 +76,9 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	x = &extras{reload: p.Settings.Reload(), shared: p.Servers, fleet: p.Servers, settings: p.Settings.Current, figure: p.Settings.SetAnswerCounter}
+	x = &fleetServices{reload: p.Settings.Reload(), overrides: p.Servers, fleet: p.Servers, currentSettings: p.Settings.Current, setAnswerCounter: p.Settings.SetAnswerCounter}
 	if p.Limits != nil {
-		x.limits = p.Limits
+		x.limiter = p.Limits
 	}
 	return x, p.Close, nil
 }
--- a/cmd/birchmoor/defects_off.go
+++ b/cmd/birchmoor/defects_off.go
@@ -10,11 +10,11 @@
 )
 
 // What a program that is built with the tag "planted" does wrong; this one does not.
-const isPlanted = false
+const isDefectBuild = false
 
-func plantedTable() lease.TableDefect            { return lease.NoTableDefect }
-func plantedEarly(d time.Duration) time.Duration { return d }
-func plantedUntil(until int64) int64             { return until }
-func plantedRelease() bool                       { return false }
-func plantedSession() lease.Defect               { return lease.NoDefect }
-func plantedStore(s admin.Store) admin.Store     { return s }
+func leaseTableDefect() lease.TableDefect                { return lease.NoTableDefect }
+func killMarginWithDefect(d time.Duration) time.Duration { return d }
+func deadlineWithDefect(until int64) int64               { return until }
+func releasesLockEarly() bool                            { return false }
+func leaseSessionDefect() lease.Defect                   { return lease.NoDefect }
+func storeWithDefect(s admin.Store) admin.Store          { return s }
--- a/cmd/birchmoor/dns_test.go
+++ b/cmd/birchmoor/dns_test.go
@@ -41,11 +41,11 @@
 		{[]string{"there.test", "TXT", "--at", at}, 0, `"a b"`},
 		{[]string{"there.test", "txt", "--at", at, "--json"}, 0, `"status":"NOERROR"`},
 		{[]string{"none.test", "--at", at}, 0, "NXDOMAIN"},
-		{[]string{"other.test", "--at", at}, exitMissed, "18 no class"},
-		{[]string{"there.test", "--at", at, "--tcp", "--timeout", "1s"}, exitMissed, "no answer from"}, // nobody listens there
-		{[]string{"there.test", "NOTYPE", "--at", at}, exitInput, "no type of record"},
-		{[]string{"there.test", "--at", "nowhere"}, exitInput, "--at"},
-		{[]string{"a..b", "--at", at}, exitInput, "no name"},
+		{[]string{"other.test", "--at", at}, exitFailure, "18 no class"},
+		{[]string{"there.test", "--at", at, "--tcp", "--timeout", "1s"}, exitFailure, "no answer from"}, // nobody listens there
+		{[]string{"there.test", "NOTYPE", "--at", at}, exitUsage, "no type of record"},
+		{[]string{"there.test", "--at", "nowhere"}, exitUsage, "--at"},
+		{[]string{"a..b", "--at", at}, exitUsage, "no name"},
 	} {
 		code, out, errs := birchmoor(append([]string{"dns", "query"}, c.args...)...)
 		if code != c.code || !strings.Contains(out+errs, c.says) {
@@ -74,12 +74,12 @@
 		"[dns]\nlisten = \"127.0.0.1:53\"\n" + class + "aim = \"3s\"\ngive_up = \"2s\"\n":   "dns.class.look.aim: is over give_up",
 		"[dns]\nlisten = \"127.0.0.1:53\"\n" + class + "late_worth = 1.5\n":                 "dns.class.look.late_worth: 1.5",
 	} {
-		code, out, errs := birchmoor("check", write(t, "op.toml", text))
-		if code != exitInput || !strings.Contains(errs, want) {
+		code, out, errs := birchmoor("check", writeFile(t, "op.toml", text))
+		if code != exitUsage || !strings.Contains(errs, want) {
 			t.Errorf("%q: exit code %d, want %q: %s%s", text, code, want, out, errs)
 		}
 	}
-	if code, _, errs := birchmoor("check", write(t, "op.toml", "[dns]\nlisten = \"127.0.0.1:5353\"\n"+class)); code != 0 {
+	if code, _, errs := birchmoor("check", writeFile(t, "op.toml", "[dns]\nlisten = \"127.0.0.1:5353\"\n"+class)); code != 0 {
 		t.Errorf("a sound file: exit code %d: %s", code, errs)
 	}
 }
--- a/cmd/birchmoor/dnsfront.go
+++ b/cmd/birchmoor/dnsfront.go
@@ -70,8 +70,8 @@
 	return s, errors.Join(faults...)
 }
 
-// dnsProtocol is the front as a sidecar runs it. Its sockets are its own unless ROUTER_DNS_UDP_FD and ROUTER_DNS_TCP_FD
-// name inherited ones, by which an upgrade loses nothing.
+// dnsProtocol is the front as a sidecar runs it. Its sockets are its own unless ROUTER_DNS_UDP_FD and
+// ROUTER_DNS_TCP_FD name inherited ones, by which an upgrade loses nothing.
 func dnsProtocol(d *operatorconfig.DNS, getenv func(string) string) (core.Protocol, error) {
 	s, err := dnsSettings(d)
 	if err != nil {
--- a/cmd/birchmoor/dnsquery.go
+++ b/cmd/birchmoor/dnsquery.go
@@ -21,7 +21,7 @@
 type dnsQueryCommand struct {
 	Name    string        `arg:"" help:"Name to look up."`
 	Type    string        `arg:"" optional:"" default:"A" help:"Type of record, such as A, AAAA, TXT."`
-	At      string        `default:"127.0.0.1:53" help:"Whom to ask." placeholder:"ADDR"`
+	Server  string        `name:"at" default:"127.0.0.1:53" help:"Whom to ask." placeholder:"ADDR"`
 	TCP     bool          `help:"Ask over TCP. Over UDP, a truncated answer is asked for again over TCP."`
 	DNSSEC  bool          `name:"dnssec" help:"Ask for signatures."`
 	JSON    bool          `name:"json" help:"Print one JSON object."`
@@ -59,7 +59,7 @@
 	if !dnsfront.ValidName(k.Name) {
 		return fmt.Errorf("%q is no name", k.Name)
 	}
-	if _, _, err := net.SplitHostPort(k.At); err != nil {
+	if _, _, err := net.SplitHostPort(k.Server); err != nil {
 		return fmt.Errorf("--at: %w", err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, k.Timeout)
@@ -71,16 +71,16 @@
 		network = "tcp"
 	}
 	begun := time.Now()
-	r, _, err := (&dns.Client{Net: network, Timeout: k.Timeout}).ExchangeContext(ctx, m, k.At)
+	r, _, err := (&dns.Client{Net: network, Timeout: k.Timeout}).ExchangeContext(ctx, m, k.Server)
 	if err == nil && r.Truncated && network == "udp" {
 		network = "tcp"
-		r, _, err = (&dns.Client{Net: network, Timeout: k.Timeout}).ExchangeContext(ctx, m, k.At)
+		r, _, err = (&dns.Client{Net: network, Timeout: k.Timeout}).ExchangeContext(ctx, m, k.Server)
 	}
 	if err != nil {
-		fmt.Fprintf(c.err, "birchmoor: no answer from %s over %s: %v\n", k.At, network, err)
-		return errMissed
+		fmt.Fprintf(c.err, "birchmoor: no answer from %s over %s: %v\n", k.Server, network, err)
+		return errRunFailed
 	}
-	a := dnsAnswer{Name: dns.Fqdn(k.Name), Type: dns.TypeToString[kind], At: k.At, Transport: network,
+	a := dnsAnswer{Name: dns.Fqdn(k.Name), Type: dns.TypeToString[kind], At: k.Server, Transport: network,
 		Status: dns.RcodeToString[r.Rcode], Answer: []string{}, Bytes: r.Len(), TookMs: float64(time.Since(begun).Microseconds()) / 1000}
 	for _, f := range []struct {
 		name string
@@ -105,7 +105,7 @@
 		return err
 	}
 	if r.Rcode != dns.RcodeSuccess && r.Rcode != dns.RcodeNameError {
-		return errMissed
+		return errRunFailed
 	}
 	return nil
 }
--- a/cmd/birchmoor/drain_test.go
+++ b/cmd/birchmoor/drain_test.go
@@ -17,16 +17,16 @@
 	"birchmoor/internal/testutil/processtest"
 )
 
-// counted is a slot server that counts which daemon's requests it got, and when the last came.
-type counted struct {
+// countingServer is a slot server that counts which daemon's requests it got, and when the last came.
+type countingServer struct {
 	*httptest.Server
 	mu   sync.Mutex
 	from map[string]int
 	last time.Time
 }
 
-func newCounted(t *testing.T) *counted {
-	c := &counted{from: map[string]int{}}
+func newCountingServer(t *testing.T) *countingServer {
+	c := &countingServer{from: map[string]int{}}
 	c.Server = httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -37,33 +37,33 @@
 	return c
 }
 
-func (c *counted) count(from string) int {
+func (c *countingServer) count(from string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.from[from]
 }
 
-// whole is a process with a replica and a sidecar.
-type whole struct {
+// daemonProcess is a process with a replica and a sidecar.
+type daemonProcess struct {
 	name, dir, listen, store, discovery string
 	known                               []discovery.Instance
 	process                             *processtest.Process // nil while it does not run
 	log                                 processtest.Log
 }
 
-func newWhole(t *testing.T, dir, name, at string, known ...discovery.Instance) *whole {
+func newDaemonProcess(t *testing.T, dir, name, at string, known ...discovery.Instance) *daemonProcess {
 	t.Helper()
-	w := &whole{name: name, dir: dir, discovery: at, known: known}
+	w := &daemonProcess{name: name, dir: dir, discovery: at, known: known}
 	w.listen, w.store = processtest.Address(t), processtest.Address(t)
 	return w
 }
 
-func (w *whole) path(of string) string { return filepath.Join(w.dir, w.name+of) }
+func (w *daemonProcess) path(of string) string { return filepath.Join(w.dir, w.name+of) }
 
-func (w *whole) start(t *testing.T, join bool) {
+func (w *daemonProcess) start(t *testing.T, join bool) {
 	t.Helper()
 	config, err := json.Marshal(map[string]any{"name": w.name, "listen": w.listen, "discovery": w.discovery, "seed": "8c1f30d27a5be964",
-		"known": discovery.List{Generation: 1, Reset: true, Instances: w.known}, "settings": json.RawMessage(settingsOfOne)})
+		"known": discovery.List{Generation: 1, Reset: true, Instances: w.known}, "settings": json.RawMessage(singleSidecarSettings)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,7 +75,7 @@
 		}
 	}
 	// A temporary folder that the next start has not.
-	cmd := processtest.Self(t, []string{asProgram + "=1", "ROUTER_CONFIG=" + w.path(".json"), "TMPDIR=" + t.TempDir()}, "run", "--config", w.path(".toml"))
+	cmd := processtest.Self(t, []string{asProgramEnv + "=1", "ROUTER_CONFIG=" + w.path(".json"), "TMPDIR=" + t.TempDir()}, "run", "--config", w.path(".toml"))
 	w.process = processtest.Start(t, cmd, &w.log)
 	w.until(t, "readiness", func() bool {
 		resp, err := http.Get("http://" + w.listen + "/-/ready")
@@ -87,14 +87,14 @@
 	})
 }
 
-func (w *whole) kill() {
+func (w *daemonProcess) kill() {
 	if w.process != nil {
 		w.process.Kill()
 		w.process = nil
 	}
 }
 
-func (w *whole) until(t *testing.T, what string, done func() bool) {
+func (w *daemonProcess) until(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	processtest.Until(t, w.name+": "+what, done, w.log.String)
 }
@@ -104,8 +104,8 @@
 	n int
 }
 
-// ask sends requests through its sidecar.
-func (w *whole) ask(t *testing.T, n int) {
+// sendRequests sends requests through its sidecar.
+func (w *daemonProcess) sendRequests(t *testing.T, n int) {
 	t.Helper()
 	for range n {
 		req, err := http.NewRequest("GET", "http://"+w.listen+"/look/1", nil)
@@ -128,16 +128,16 @@
 	}
 }
 
-func (w *whole) tellStore(args ...string) (int, string) {
+func (w *daemonProcess) runStore(args ...string) (int, string) {
 	code, out, errs := birchmoor(append(append([]string{"store"}, args...), "--socket", w.path(".sock"))...)
 	return code, out + errs
 }
 
-// Three copies, of which only one hears discovery, and each is killed outright in turn: no copy that a drain has reached ever
-// sends the server another request, also not a start whose own list is older than the drain.
+// Three copies, of which only one hears discovery, and each is killed outright in turn: no copy that a drain has
+// reached ever sends the server another request, also not a start whose own list is older than the drain.
 func TestKilledCopiesServeNoStaleDrain(t *testing.T) {
-	drained, other := newCounted(t), newCounted(t)
-	in := func(id string, s *counted, lifecycle string) discovery.Instance {
+	drained, other := newCountingServer(t), newCountingServer(t)
+	in := func(id string, s *countingServer, lifecycle string) discovery.Instance {
 		return discovery.Instance{ID: id, Addr: s.Listener.Addr().String(), Zone: "a", Kind: "m", Cell: 1, Lifecycle: lifecycle, Weight: 1, StartedMs: 1}
 	}
 	known := []discovery.Instance{in("s-1", drained, "up"), in("s-2", other, "up")}
@@ -158,35 +158,35 @@
 	}))
 	t.Cleanup(board.CloseClientConnections) // the processes are killed after it
 	dir := t.TempDir()
-	a := newWhole(t, dir, "a", strings.TrimPrefix(board.URL, "http://"), known...)
-	b, c := newWhole(t, dir, "b", "127.0.0.1:1", known...), newWhole(t, dir, "c", "127.0.0.1:1", known...)
-	all := []*whole{a, b, c}
+	a := newDaemonProcess(t, dir, "a", strings.TrimPrefix(board.URL, "http://"), known...)
+	b, c := newDaemonProcess(t, dir, "b", "127.0.0.1:1", known...), newDaemonProcess(t, dir, "c", "127.0.0.1:1", known...)
+	all := []*daemonProcess{a, b, c}
 	for i, w := range all {
 		w.start(t, i > 0)
 		if i == 0 {
-			a.until(t, "a store", func() bool { code, _ := a.tellStore("put", "k", "v"); return code == 0 })
+			a.until(t, "a store", func() bool { code, _ := a.runStore("put", "k", "v"); return code == 0 })
 			continue
 		}
-		a.until(t, w.name+" in the cluster", func() bool { code, _ := a.tellStore("add", w.name, w.store); return code == 0 })
+		a.until(t, w.name+" in the cluster", func() bool { code, _ := a.runStore("add", w.name, w.store); return code == 0 })
 		a.until(t, w.name+"'s vote", func() bool {
-			_, out := a.tellStore("members")
-			_, status := a.tellStore("status")
+			_, out := a.runStore("members")
+			_, status := a.runStore("status")
 			return strings.Count(out, "votes")+strings.Count(out, "leads") == i+1 && strings.Contains(status, "members settled      true")
 		})
 	}
 	for _, w := range all {
 		w.until(t, "traffic at both servers", func() bool {
-			w.ask(t, 10)
+			w.sendRequests(t, 10)
 			return drained.count(w.name) > 0 && other.count(w.name) > 0
 		})
 	}
 	told := time.Now()
 	tell <- discovery.List{Generation: 2, Instances: []discovery.Instance{in("s-1", drained, "draining")}}
 	// It has reached a copy once none of many requests goes there.
-	reached := func(w *whole) {
+	reached := func(w *daemonProcess) {
 		w.until(t, "the drain", func() bool {
 			before := drained.count(w.name)
-			w.ask(t, 60)
+			w.sendRequests(t, 60)
 			return drained.count(w.name) == before
 		})
 	}
@@ -204,13 +204,13 @@
 			if w.process == nil {
 				continue
 			}
-			w.ask(t, 100)
+			w.sendRequests(t, 100)
 			if got := drained.count(w.name); got != before[w.name] {
 				t.Errorf("%s: %s sent %d requests to the server that drains\n%s", when, w.name, got-before[w.name], w.log.String())
 			}
 		}
 	}
-	for _, w := range []*whole{b, c} {
+	for _, w := range []*daemonProcess{b, c} {
 		w.kill()
 		check(w.name + " killed")
 		w.start(t, true)
--- a/cmd/birchmoor/exitcodes.go
+++ b/cmd/birchmoor/exitcodes.go
@@ -7,16 +7,16 @@
 
 // Exit codes.
 const (
-	exitMissed = 1
-	exitInput  = 2
-	exitStop   = 130
+	exitFailure     = 1
+	exitUsage       = 2
+	exitInterrupted = 130
 )
 
 // Exit codes of lock, beside those of the command that it runs.
 const (
-	exitNotGot = 124
-	exitLost   = 125
-	exitNotRun = 126
+	exitLockNotAcquired = 124
+	exitLockLost        = 125
+	exitCommandNotRun   = 126
 )
 
 // exitError ends the program with a code of its own.
@@ -27,5 +27,5 @@
 
 func (e *exitError) Error() string { return fmt.Sprint(e.err) }
 
-// errMissed says that a run was judged, and not kindly; what is wrong has been printed.
-var errMissed = errors.New("missed")
+// errRunFailed says that a run was judged, and not kindly; what is wrong has been printed.
+var errRunFailed = errors.New("missed")
--- a/cmd/birchmoor/keys.go
+++ b/cmd/birchmoor/keys.go
@@ -30,17 +30,17 @@
 }
 
 type keysIssue struct {
-	Dir     string        `arg:"" type:"existingdir" help:"Folder of the authority."`
-	Name    string        `arg:"" help:"Name of the replica."`
-	Life    time.Duration `help:"For how long it holds." default:"2160h"`
-	Replace bool          `help:"Replace the one that is there; a running replica shows the new one from its next connection on."`
+	Dir      string        `arg:"" type:"existingdir" help:"Folder of the authority."`
+	Name     string        `arg:"" help:"Name of the replica."`
+	Validity time.Duration `name:"life" help:"For how long it holds." default:"2160h"`
+	Replace  bool          `help:"Replace the one that is there; a running replica shows the new one from its next connection on."`
 }
 
 func (k *keysIssue) Run(c *console) error {
-	if err := keys.Issue(k.Dir, k.Name, k.Life, k.Replace); err != nil {
+	if err := keys.Issue(k.Dir, k.Name, k.Validity, k.Replace); err != nil {
 		return err
 	}
-	fmt.Fprintf(c.out, "%s: a certificate for %q, for %v\n", k.Dir, k.Name, k.Life)
+	fmt.Fprintf(c.out, "%s: a certificate for %q, for %v\n", k.Dir, k.Name, k.Validity)
 	return nil
 }
 
--- a/cmd/birchmoor/labbench.go
+++ b/cmd/birchmoor/labbench.go
@@ -11,12 +11,12 @@
 )
 
 type benchCommand struct {
-	JSON    string        `help:"File for the result as JSON; - for standard output." placeholder:"FILE"`
-	For     time.Duration `default:"2s" help:"How long each measurement takes."`
-	Rounds  int           `default:"2" help:"How often each is repeated, the parties in turn."`
-	Conns   []int         `default:"1,16,128" help:"Connections with one request at a time each."`
-	Servers []int         `default:"10,100,1000" help:"Servers in the list, for the growth at 16 connections."`
-	Profile string        `type:"path" help:"Folder for CPU profiles of the sidecar." placeholder:"DIR"`
+	JSON     string        `help:"File for the result as JSON; - for standard output." placeholder:"FILE"`
+	Duration time.Duration `name:"for" default:"2s" help:"How long each measurement takes."`
+	Rounds   int           `default:"2" help:"How often each is repeated, the parties in turn."`
+	Conns    []int         `default:"1,16,128" help:"Connections with one request at a time each."`
+	Servers  []int         `default:"10,100,1000" help:"Servers in the list, for the growth at 16 connections."`
+	Profile  string        `type:"path" help:"Folder for CPU profiles of the sidecar." placeholder:"DIR"`
 }
 
 func (k *benchCommand) Help() string {
@@ -40,7 +40,7 @@
 			return fmt.Errorf("%d is not within 1 and 1500", n)
 		}
 	}
-	rows, err := bench.Run(ctx, bench.Options{Self: []string{self, "lab", "bench-peer"}, Conns: k.Conns, Sizes: k.Servers, For: k.For,
+	rows, err := bench.Run(ctx, bench.Options{Self: []string{self, "lab", "bench-peer"}, Conns: k.Conns, Sizes: k.Servers, For: k.Duration,
 		Rounds: max(1, k.Rounds), Profile: k.Profile, Progress: c.count("bench")})
 	if err != nil {
 		return err
--- a/cmd/birchmoor/labcapture.go
+++ b/cmd/birchmoor/labcapture.go
@@ -14,9 +14,9 @@
 
 // Of a simulated sidecar all is kept, in segments of ten seconds.
 const (
-	simSegment = 10_000_000
-	simBytes   = 1 << 30
-	simFile    = 64 << 20
+	captureSegmentMicros = 10_000_000
+	captureMaxBytes      = 1 << 30
+	captureMaxFileBytes  = 64 << 20
 )
 
 // simTap records the processes of one simulated sidecar. Each has files of its own: its module is another one.
@@ -24,12 +24,12 @@
 	return func(start int, out balancer.Actions, begin func(balancer.Actions) (*balancer.Balancer, error)) (
 		balancer.Module, func(), error) {
 		name := fmt.Sprintf("sidecar-%d.%d", sidecar, start)
-		w, err := capture.Create(capture.Config{Dir: dir, Name: name, MaxBytes: simBytes, MaxFileBytes: simFile, MaxFileAge: time.Hour,
+		w, err := capture.Create(capture.Config{Dir: dir, Name: name, MaxBytes: captureMaxBytes, MaxFileBytes: captureMaxFileBytes, MaxFileAge: time.Hour,
 			QueueLength: 16, RetryDelay: time.Second, Log: slog.New(slog.DiscardHandler), BlockWhenFull: true})
 		if err != nil {
 			return nil, nil, err
 		}
-		r, err := capture.New(capture.Options{Sidecar: fmt.Sprintf("n%d", sidecar), SegmentInterval: simSegment, Sink: w,
+		r, err := capture.New(capture.Options{Sidecar: fmt.Sprintf("n%d", sidecar), SegmentInterval: captureSegmentMicros, Sink: w,
 			EndpointName: func(id uint32) string { return serverName(s, int(id)-1) }}, out, begin)
 		if err != nil {
 			w.Close()
--- a/cmd/birchmoor/labchain.go
+++ b/cmd/birchmoor/labchain.go
@@ -12,21 +12,21 @@
 )
 
 type chainCommand struct {
-	Depth    int           `help:"Sidecars in the row." default:"14"`
-	Servers  int           `help:"That each sidecar knows." default:"10"`
-	Rate     float64       `help:"Calls a second of the root." default:"225"`
-	For      time.Duration `help:"How long calls are made." default:"10s"`
-	Attempts []int         `help:"max_attempts of the sidecars; several are played in turn." default:"3" placeholder:"N,..."`
-	Class    string        `help:"How calls may be repeated: look (safe), book (with a key) or pay (not)." default:"look"`
-	Fail     string        `help:"What fails: leaf, the last server." placeholder:"leaf"`
-	How      string        `help:"How it fails: error, refuse (unseen) or silent." default:"error"`
-	Share    []float64     `help:"Of what reaches the leaf, that fails; several are played in turn." default:"1" placeholder:"X,..."`
-	Warm     time.Duration `help:"Of calls that are made first and not measured, where nothing fails; probes have their pace some 15 s after a start." default:"1s"`
-	Virtual  bool          `help:"In virtual time, by the decision modules alone, with a sidecar for each server: for attempts, not for times."`
-	Seed     uint64        `help:"All that is drawn comes from it." default:"1"`
-	Bin      string        `help:"The sidecar program; without it, sidecar beside this command." type:"existingfile" placeholder:"PATH"`
-	JSON     bool          `help:"As JSON."`
-	Markdown bool          `help:"As tables of a page."`
+	Depth          int           `help:"Sidecars in the row." default:"14"`
+	Servers        int           `help:"That each sidecar knows." default:"10"`
+	Rate           float64       `help:"Calls a second of the root." default:"225"`
+	Duration       time.Duration `name:"for" help:"How long calls are made." default:"10s"`
+	Attempts       []int         `help:"max_attempts of the sidecars; several are played in turn." default:"3" placeholder:"N,..."`
+	Class          string        `help:"How calls may be repeated: look (safe), book (with a key) or pay (not)." default:"look"`
+	Fail           string        `help:"What fails: leaf, the last server." placeholder:"leaf"`
+	FailureMode    string        `name:"how" help:"How it fails: error, refuse (unseen) or silent." default:"error"`
+	FailureRatio   []float64     `name:"share" help:"Of what reaches the leaf, that fails; several are played in turn." default:"1" placeholder:"X,..."`
+	WarmupDuration time.Duration `name:"warm" help:"Of calls that are made first and not measured, where nothing fails; probes have their pace some 15 s after a start." default:"1s"`
+	Virtual        bool          `help:"In virtual time, by the decision modules alone, with a sidecar for each server: for attempts, not for times."`
+	Seed           uint64        `help:"All that is drawn comes from it." default:"1"`
+	Bin            string        `help:"The sidecar program; without it, sidecar beside this command." type:"existingfile" placeholder:"PATH"`
+	JSON           bool          `help:"As JSON."`
+	Markdown       bool          `help:"As tables of a page."`
 }
 
 func (k *chainCommand) Help() string {
@@ -45,15 +45,15 @@
 	if k.JSON && k.Markdown {
 		return errors.New("--markdown: not beside --json")
 	}
-	how := chain.How(k.How)
-	shares := k.Share
+	how := chain.How(k.FailureMode)
+	shares := k.FailureRatio
 	if k.Fail == "" {
 		shares = []float64{0}
 	}
 	var all []chain.Options
 	for _, share := range shares { // before any is started
 		for _, n := range k.Attempts {
-			o := chain.Options{Bin: k.Bin, Depth: k.Depth, Servers: k.Servers, Rate: k.Rate, For: k.For, Warm: k.Warm, Attempts: n, Class: k.Class, Fail: how, Share: share, Seed: k.Seed}
+			o := chain.Options{Bin: k.Bin, Depth: k.Depth, Servers: k.Servers, Rate: k.Rate, For: k.Duration, Warm: k.WarmupDuration, Attempts: n, Class: k.Class, Fail: how, Share: share, Seed: k.Seed}
 			if err := o.Check(); err != nil {
 				return err
 			}
--- a/cmd/birchmoor/labchain_test.go
+++ b/cmd/birchmoor/labchain_test.go
@@ -15,7 +15,7 @@
 		{"--fail leaf --share 0.5,1.5", "--share: 1.5"}, {"--fail leaf --share NaN", "--share: NaN"}, {"--json --markdown", "--markdown"}, {"--warm=-1s", "--warm: -1s"},
 	} {
 		code, out, errs := birchmoor(append([]string{"lab", "chain"}, strings.Fields(c.args)...)...)
-		if code != exitInput || !strings.Contains(errs, c.want) || strings.Count(errs, "\n") != 1 || out != "" {
+		if code != exitUsage || !strings.Contains(errs, c.want) || strings.Count(errs, "\n") != 1 || out != "" {
 			t.Errorf("%s: exit %d, %q, %q", c.args, code, out, errs)
 		}
 	}
--- a/cmd/birchmoor/labcompare.go
+++ b/cmd/birchmoor/labcompare.go
@@ -72,7 +72,7 @@
 			var pair [2]*figures.Result
 			for i := range sides { // A B A B
 				show(done, 2*total)
-				if pair[i], err = play(ctx, sides[i].scenarios[n], host, sides[i].bin, seed); err != nil {
+				if pair[i], err = runScenario(ctx, sides[i].scenarios[n], host, sides[i].bin, seed); err != nil {
 					return err
 				}
 				done++
@@ -104,7 +104,7 @@
 	}
 	out.print(c)
 	if out.Broken[0]+out.Broken[1] > 0 {
-		return errMissed
+		return errRunFailed
 	}
 	return nil
 }
@@ -172,12 +172,12 @@
 			files = []string{path}
 		}
 		for _, file := range files {
-			s, err := load(file, host)
+			s, err := readScenario(file, host)
 			if err != nil {
 				return sides, host, err
 			}
 			if kind == ".json" {
-				if s.Overlay, err = settings(path, s); err != nil {
+				if s.Overlay, err = readOverlay(path, s); err != nil {
 					return sides, host, err
 				}
 			}
@@ -188,8 +188,8 @@
 	return sides, host, nil
 }
 
-// settings reads what is told otherwise.
-func settings(path string, s *scenario.Scenario) (map[string]any, error) {
+// readOverlay reads what is told otherwise.
+func readOverlay(path string, s *scenario.Scenario) (map[string]any, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -208,7 +208,7 @@
 	return over, nil
 }
 
-func play(ctx context.Context, s *scenario.Scenario, host, bin string, seed uint64) (*figures.Result, error) {
+func runScenario(ctx context.Context, s *scenario.Scenario, host, bin string, seed uint64) (*figures.Result, error) {
 	if host == "sim" {
 		return sim.Run(ctx, s, sim.Options{Seed: seed})
 	}
--- a/cmd/birchmoor/labdns.go
+++ b/cmd/birchmoor/labdns.go
@@ -82,7 +82,7 @@
 		}
 	}
 	if missed {
-		return errMissed
+		return errRunFailed
 	}
 	return nil
 }
--- a/cmd/birchmoor/labdnsbench.go
+++ b/cmd/birchmoor/labdnsbench.go
@@ -11,12 +11,12 @@
 )
 
 type dnsBenchCommand struct {
-	JSON    string        `help:"File for the result as JSON; - for standard output." placeholder:"FILE"`
-	For     time.Duration `default:"3s" help:"How long each measurement takes."`
-	Rounds  int           `default:"2" help:"How often each is repeated, the parties in turn; the best counts."`
-	Open    []int         `default:"1,64,512" help:"Queries open at once."`
-	Profile string        `type:"path" help:"Folder for CPU profiles of the sidecar." placeholder:"DIR"`
-	Held    int           `default:"10000" help:"Queries open at once while resolvers take a second to answer; 0: not measured."`
+	JSON        string        `help:"File for the result as JSON; - for standard output." placeholder:"FILE"`
+	Duration    time.Duration `name:"for" default:"3s" help:"How long each measurement takes."`
+	Rounds      int           `default:"2" help:"How often each is repeated, the parties in turn; the best counts."`
+	Open        []int         `default:"1,64,512" help:"Queries open at once."`
+	Profile     string        `type:"path" help:"Folder for CPU profiles of the sidecar." placeholder:"DIR"`
+	HeldQueries int           `name:"held" default:"10000" help:"Queries open at once while resolvers take a second to answer; 0: not measured."`
 }
 
 func (k *dnsBenchCommand) Help() string {
@@ -40,15 +40,15 @@
 			loads = append(loads, dnslab.BenchLoad{TCP: tcp, Open: n})
 		}
 	}
-	if k.Held > 0 {
-		loads = append(loads, dnslab.BenchLoad{Open: k.Held, Wait: time.Second})
+	if k.HeldQueries > 0 {
+		loads = append(loads, dnslab.BenchLoad{Open: k.HeldQueries, Wait: time.Second})
 	}
 	if k.Profile != "" {
 		if err := os.MkdirAll(k.Profile, 0o755); err != nil {
 			return err
 		}
 	}
-	rows, err := dnslab.Bench(ctx, dnslab.BenchOptions{Self: []string{self, "lab", "dns-peer"}, Loads: loads, For: k.For,
+	rows, err := dnslab.Bench(ctx, dnslab.BenchOptions{Self: []string{self, "lab", "dns-peer"}, Loads: loads, For: k.Duration,
 		Rounds: max(1, k.Rounds), Profile: k.Profile, Progress: c.count("dns-bench")})
 	if err != nil {
 		return err
--- a/cmd/birchmoor/labresult.go
+++ b/cmd/birchmoor/labresult.go
@@ -9,13 +9,13 @@
 	"birchmoor/internal/lab/figures"
 )
 
-type output struct {
+type resultFlags struct {
 	Out  string `help:"Folder for the result and what the report needs." type:"path" placeholder:"DIR"`
 	JSON string `help:"File for the result as JSON; - for standard output." placeholder:"FILE"`
 }
 
-// finish prints a result and keeps it where it was asked for.
-func (o *output) finish(c *console, x *figures.Result) error {
+// report prints a result and keeps it where it was asked for.
+func (o *resultFlags) report(c *console, x *figures.Result) error {
 	c.clear()
 	if o.Out != "" {
 		if err := os.MkdirAll(o.Out, 0o755); err != nil {
@@ -34,13 +34,13 @@
 		printResult(c.out, x)
 	}
 	if !x.Passed() {
-		return errMissed
+		return errRunFailed
 	}
 	return nil
 }
 
-// fleetWords say what a figure of a fleet is.
-var fleetWords = map[string]string{"probes": "probes a server and second", "handshakes": "handshakes", "connections": "connections of the cap",
+// fleetFigureLabels say what a figure of a fleet is.
+var fleetFigureLabels = map[string]string{"probes": "probes a server and second", "handshakes": "handshakes", "connections": "connections of the cap",
 	"shut": "turned away at the cap", "cold": "cold work of what pushes over",
 	"ramp": "cold work in a window of N + 2 roots of N + 2", "calls": "calls of discovery a second",
 	"call_wait_ms": "their wait in ms"}
@@ -64,7 +64,7 @@
 		if i > 0 {
 			fmt.Fprint(w, ",")
 		}
-		fmt.Fprintf(w, " %s %.3g and %.3g", fleetWords[l.Name], l.Mean, l.Worst)
+		fmt.Fprintf(w, " %s %.3g and %.3g", fleetFigureLabels[l.Name], l.Mean, l.Worst)
 	}
 	fmt.Fprintln(w)
 	fmt.Fprintf(w, "attempts into other zones %.3f, worst 10 s %.3f, took %.1f s, at most %.0f MB", f["crossings"], x.Worst10s, x.Took, x.MemoryMB)
--- a/cmd/birchmoor/labrun.go
+++ b/cmd/birchmoor/labrun.go
@@ -8,8 +8,8 @@
 	"birchmoor/internal/lab/scenario"
 )
 
-// load reads a scenario and sees that a host can play it.
-func load(path, host string) (*scenario.Scenario, error) {
+// readScenario reads a scenario and sees that a host can play it.
+func readScenario(path, host string) (*scenario.Scenario, error) {
 	s, err := scenario.Read(path)
 	if err != nil {
 		return nil, err
@@ -21,14 +21,14 @@
 }
 
 type runCommand struct {
-	Scenario string `arg:"" type:"existingfile" help:"Scenario file, such as lab/scenarios/calm.toml."`
-	Seed     uint64 `default:"1" help:"All that is drawn comes from it."`
-	Bin      string `help:"The sidecar program; without it, sidecar beside this command." type:"existingfile" placeholder:"PATH"`
-	output   `embed:""`
+	Scenario    string `arg:"" type:"existingfile" help:"Scenario file, such as lab/scenarios/calm.toml."`
+	Seed        uint64 `default:"1" help:"All that is drawn comes from it."`
+	Bin         string `help:"The sidecar program; without it, sidecar beside this command." type:"existingfile" placeholder:"PATH"`
+	resultFlags `embed:""`
 }
 
 func (k *runCommand) Run(ctx context.Context, c *console) error {
-	s, err := load(k.Scenario, "run")
+	s, err := readScenario(k.Scenario, "run")
 	if err != nil {
 		return err
 	}
@@ -41,5 +41,5 @@
 	if err != nil {
 		return err
 	}
-	return k.finish(c, x)
+	return k.report(c, x)
 }
--- a/cmd/birchmoor/labscale.go
+++ b/cmd/birchmoor/labscale.go
@@ -17,24 +17,24 @@
 )
 
 type scaleCommand struct {
-	Sidecars int           `help:"Of the fleet, the real ones among them." default:"1200"`
-	Real     int           `help:"Of them as processes of their own, with a sidecar and a little traffic." default:"8"`
-	Replicas int           `help:"Machines that are set aside: replicas, without a sidecar." default:"7"`
-	Services int           `help:"Of --sidecars; smaller sizes have as many sidecars a service. 0 is one for each ten sidecars."`
-	For      time.Duration `help:"Of the quiet phase at each size." default:"60s"`
-	Seed     uint64        `help:"All that is drawn comes from it." default:"1"`
-	Sizes    *string       `help:"Sizes in place of --sidecars alone, such as 75,150,300,600,1200." placeholder:"N,..."`
-	Fault    string        `help:"What comes after the quiet phase: ${scaleFaults}." placeholder:"NAME"`
-	Changes  float64       `name:"changes-per-day" help:"Of the settings." default:"3000"`
-	Burst    int           `help:"So many changes within a minute, after the quiet phase." default:"0"`
-	Each     int           `help:"Hollow sidecars of a process, about." default:"100"`
-	Warm     time.Duration `help:"Between the last sidecar's start and the quiet phase." default:"15s"`
-	Begin    float64       `help:"Sidecars that begin a second." default:"40"`
-	Dir      string        `help:"Folder for a temporary one: /dev/shm keeps the syncs of a whole fleet off one disk." default:"." type:"existingdir"`
-	Interest string        `help:"What copies of sidecars hold: own, what their daemons need, or all." default:"own"`
-	JSON     bool          `help:"As JSON."`
-	Markdown bool          `help:"As the tables of docs/CAPACITY.md."`
-	Report   string        `help:"File for the result as JSON, besides." placeholder:"FILE"`
+	Sidecars        int           `help:"Of the fleet, the real ones among them." default:"1200"`
+	Real            int           `help:"Of them as processes of their own, with a sidecar and a little traffic." default:"8"`
+	Replicas        int           `help:"Machines that are set aside: replicas, without a sidecar." default:"7"`
+	Services        int           `help:"Of --sidecars; smaller sizes have as many sidecars a service. 0 is one for each ten sidecars."`
+	Duration        time.Duration `name:"for" help:"Of the quiet phase at each size." default:"60s"`
+	Seed            uint64        `help:"All that is drawn comes from it." default:"1"`
+	Sizes           *string       `help:"Sizes in place of --sidecars alone, such as 75,150,300,600,1200." placeholder:"N,..."`
+	Fault           string        `help:"What comes after the quiet phase: ${scaleFaults}." placeholder:"NAME"`
+	Changes         float64       `name:"changes-per-day" help:"Of the settings." default:"3000"`
+	Burst           int           `help:"So many changes within a minute, after the quiet phase." default:"0"`
+	PerProcess      int           `name:"each" help:"Hollow sidecars of a process, about." default:"100"`
+	WarmupDuration  time.Duration `name:"warm" help:"Between the last sidecar's start and the quiet phase." default:"15s"`
+	StartsPerSecond float64       `name:"begin" help:"Sidecars that begin a second." default:"40"`
+	Dir             string        `help:"Folder for a temporary one: /dev/shm keeps the syncs of a whole fleet off one disk." default:"." type:"existingdir"`
+	Interest        string        `help:"What copies of sidecars hold: own, what their daemons need, or all." default:"own"`
+	JSON            bool          `help:"As JSON."`
+	Markdown        bool          `help:"As the tables of docs/CAPACITY.md."`
+	Report          string        `help:"File for the result as JSON, besides." placeholder:"FILE"`
 }
 
 func (k *scaleCommand) Help() string {
@@ -73,8 +73,8 @@
 		services = max(scale.Calls+1, largest/10)
 	}
 	return scale.Options{Program: self, Dir: k.Dir, Sidecars: size, Real: k.Real, Replicas: k.Replicas,
-		Services: max(min(size, scale.Calls+1), services*size/max(1, largest)), For: k.For, Seed: k.Seed, Fault: k.Fault, Interest: k.Interest, Changes: k.Changes, Burst: k.Burst,
-		Each: k.Each, Warm: k.Warm, Begin: k.Begin}, err
+		Services: max(min(size, scale.Calls+1), services*size/max(1, largest)), For: k.Duration, Seed: k.Seed, Fault: k.Fault, Interest: k.Interest, Changes: k.Changes, Burst: k.Burst,
+		Each: k.PerProcess, Warm: k.WarmupDuration, Begin: k.StartsPerSecond}, err
 }
 
 func (k *scaleCommand) Run(ctx context.Context, c *console) error {
@@ -101,13 +101,13 @@
 	for _, o := range all {
 		x, err := scale.Run(ctx, o)
 		if err != nil {
-			return errors.Join(err, k.report(results))
+			return errors.Join(err, k.writeReport(results))
 		}
 		if results = append(results, x); !k.JSON && !k.Markdown {
 			scale.Print(c.out, x)
 		}
 	}
-	if err := k.report(results); err != nil {
+	if err := k.writeReport(results); err != nil {
 		return err
 	}
 	switch {
@@ -119,8 +119,8 @@
 	return nil
 }
 
-// report writes what was measured so far, if that is wanted.
-func (k *scaleCommand) report(results []*scale.Result) error {
+// writeReport writes what was measured so far, if that is wanted.
+func (k *scaleCommand) writeReport(results []*scale.Result) error {
 	if k.Report == "" || len(results) == 0 {
 		return nil
 	}
@@ -131,8 +131,8 @@
 	return os.WriteFile(k.Report, append(text, '\n'), 0o644)
 }
 
-// hollowPlant is what hollow sidecars do wrong: builds for tests alone set it.
-var hollowPlant scale.Plant
+// hollowDefects is what hollow sidecars do wrong: builds for tests alone set it.
+var hollowDefects scale.Plant
 
 // hollowCommand is a process of the run.
 type hollowCommand struct {
@@ -141,6 +141,6 @@
 
 func (k *hollowCommand) Run(ctx context.Context, c *console) error {
 	log := slog.New(slog.NewTextHandler(c.err, nil))
-	hollowPlant.Defects = controlplane.Defects{Clock: bootclock.Clock{Rate: inside.Pace}, LeaseSession: plantedSession(), LeaseTable: plantedTable(), Quota: inside.Limit}
-	return scale.Child(ctx, k.Spec, os.Stdin, c.out, log, hollowPlant)
+	hollowDefects.Defects = controlplane.Defects{Clock: bootclock.Clock{Rate: processFaults.Pace}, LeaseSession: leaseSessionDefect(), LeaseTable: leaseTableDefect(), Quota: processFaults.Limit}
+	return scale.Child(ctx, k.Spec, os.Stdin, c.out, log, hollowDefects)
 }
--- a/cmd/birchmoor/labscale_test.go
+++ b/cmd/birchmoor/labscale_test.go
@@ -15,24 +15,24 @@
 	"birchmoor/internal/testutil/processtest"
 )
 
-// hollowPlantEnv names what the hollow sidecars of a test do wrong.
-const hollowPlantEnv = "BIRCHMOOR_TEST_HOLLOW"
+// hollowDefectEnv names what the hollow sidecars of a test do wrong.
+const hollowDefectEnv = "BIRCHMOOR_TEST_HOLLOW"
 
-func readHollowPlant() {
-	switch os.Getenv(hollowPlantEnv) {
+func readHollowDefect() {
+	switch os.Getenv(hollowDefectEnv) {
 	case "renewed-twice":
-		hollowPlant.Twice = true
+		hollowDefects.Twice = true
 	case "picture-for-each":
-		hollowPlant.All = true
+		hollowDefects.All = true
 	case "part-left-out":
-		hollowPlant.None = true
+		hollowDefects.None = true
 	case "pictures-to-all":
-		hollowPlant.Told = true
+		hollowDefects.Told = true
 	}
 }
 
-// scaled plays small sizes beside each other, long enough for a picture of each sidecar.
-func scaled(t *testing.T, plant string, sizes ...int) []*scale.Result {
+// runSizes plays small sizes beside each other, long enough for a picture of each sidecar.
+func runSizes(t *testing.T, plant string, sizes ...int) []*scale.Result {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
@@ -49,7 +49,7 @@
 			pictures *= uint64(n) // of one round, of each that is hollow as many as there are daemons, and one more
 		}
 		wg.Go(func() {
-			all[i], faults[i] = scale.Run(t.Context(), scale.Options{Program: self, Env: []string{asProgram + "=1", hollowPlantEnv + "=" + plant}, Dir: dir, Sidecars: n, Real: 1,
+			all[i], faults[i] = scale.Run(t.Context(), scale.Options{Program: self, Env: []string{asProgramEnv + "=1", hollowDefectEnv + "=" + plant}, Dir: dir, Sidecars: n, Real: 1,
 				Replicas: 1, Services: scale.Calls + 1, For: 6 * time.Second, Seed: 1, Changes: 86400 / 6, Each: 100, Begin: 40, Interest: interest,
 				Until: func(c scale.Counts) bool {
 					return c.Applied["pictures"] >= pictures && c.RealOut["shares"] >= 3 && c.Applied["sessions"] >= uint64(4*n)
@@ -65,8 +65,8 @@
 	return all
 }
 
-// What the control plane sends and writes for each sidecar does not grow with them, by counts; and it shows when it does, when a
-// session costs twice, and when a hollow sidecar leaves out what a real one does.
+// What the control plane sends and writes for each sidecar does not grow with them, by counts; and it shows when it
+// does, when a session costs twice, and when a hollow sidecar leaves out what a real one does.
 func TestScaleOfSmallFleets(t *testing.T) {
 	for _, c := range []struct {
 		plant string
@@ -83,7 +83,7 @@
 	} {
 		t.Run("plant "+c.plant, func(t *testing.T) {
 			t.Parallel()
-			all := scaled(t, c.plant, c.sizes...)
+			all := runSizes(t, c.plant, c.sizes...)
 			broken := strings.Join(scale.Judge(all...), "\n")
 			if len(c.want) == 0 && broken != "" {
 				t.Errorf("it says %q", broken)
@@ -121,7 +121,7 @@
 	} {
 		dir := t.TempDir()
 		code, out, errs := birchmoor(append([]string{"lab", "scale", "--dir", dir}, strings.Fields(c.args)...)...)
-		if code != exitInput || !strings.HasPrefix(errs, "birchmoor: "+c.want) || strings.Count(errs, "\n") != 1 || out != "" {
+		if code != exitUsage || !strings.HasPrefix(errs, "birchmoor: "+c.want) || strings.Count(errs, "\n") != 1 || out != "" {
 			t.Errorf("%s: exit %d, %q", c.args, code, errs)
 		}
 		if left, err := os.ReadDir(dir); err != nil || len(left) > 0 {
@@ -142,7 +142,7 @@
 	defer cancel()
 	ended := make(chan error, 1)
 	go func() {
-		_, err := scale.Run(ctx, scale.Options{Program: self, Env: []string{asProgram + "=1"}, Dir: dir, Sidecars: 6, Real: 1, Replicas: 1, Services: scale.Calls + 1,
+		_, err := scale.Run(ctx, scale.Options{Program: self, Env: []string{asProgramEnv + "=1"}, Dir: dir, Sidecars: 6, Real: 1, Replicas: 1, Services: scale.Calls + 1,
 			For: time.Hour, Seed: 1, Each: 100, Begin: 40})
 		ended <- err
 	}()
@@ -171,7 +171,8 @@
 	}
 }
 
-// The sizes of the help's examples and of docs/CAPACITY.md have services as the size of two years from now has: one for each ten sidecars.
+// The sizes of the help's examples and of docs/CAPACITY.md have services as the size of two years from now has: one
+// for each ten sidecars.
 func TestScaleServices(t *testing.T) {
 	for _, tc := range []struct{ given, size, largest, want int }{{0, 75, 75, 7}, {0, 1200, 1200, 120}, {0, 75, 1200, 7}, {0, 20, 20, 5}, {30, 60, 60, 30}} {
 		k := scaleCommand{Services: tc.given}
--- a/cmd/birchmoor/labsim.go
+++ b/cmd/birchmoor/labsim.go
@@ -10,18 +10,18 @@
 )
 
 type simCommand struct {
-	Scenario string `arg:"" type:"existingfile" help:"Scenario file, such as lab/scenarios/calm.toml."`
-	Seed     uint64 `default:"1" help:"All that is drawn comes from it."`
-	Sidecars int    `help:"So many sidecars in place of the scenario's; the load stays."`
-	Logs     int    `help:"Print so many lines of the modules' logs."`
-	Profile  string `help:"Write a CPU profile of the simulation there." placeholder:"FILE"`
-	Capture  string `help:"Folder for a capture of what one sidecar's module is told and answers." type:"path" placeholder:"DIR"`
-	Captured int    `help:"The sidecar that is captured." placeholder:"N"`
-	output   `embed:""`
+	Scenario        string `arg:"" type:"existingfile" help:"Scenario file, such as lab/scenarios/calm.toml."`
+	Seed            uint64 `default:"1" help:"All that is drawn comes from it."`
+	Sidecars        int    `help:"So many sidecars in place of the scenario's; the load stays."`
+	LogLines        int    `name:"logs" help:"Print so many lines of the modules' logs."`
+	Profile         string `help:"Write a CPU profile of the simulation there." placeholder:"FILE"`
+	Capture         string `help:"Folder for a capture of what one sidecar's module is told and answers." type:"path" placeholder:"DIR"`
+	CapturedSidecar int    `name:"captured" help:"The sidecar that is captured." placeholder:"N"`
+	resultFlags     `embed:""`
 }
 
 func (k *simCommand) Run(ctx context.Context, c *console) error {
-	s, err := load(k.Scenario, "sim")
+	s, err := readScenario(k.Scenario, "sim")
 	if err != nil {
 		return err
 	}
@@ -41,9 +41,9 @@
 		}
 		defer pprof.StopCPUProfile()
 	}
-	o := sim.Options{Seed: k.Seed, Progress: c.progress(s.Name), Logs: k.Logs, Tapped: k.Captured}
+	o := sim.Options{Seed: k.Seed, Progress: c.progress(s.Name), Logs: k.LogLines, Tapped: k.CapturedSidecar}
 	if k.Capture != "" {
-		o.Tap = simTap(k.Capture, s, k.Captured)
+		o.Tap = simTap(k.Capture, s, k.CapturedSidecar)
 	}
 	x, err := sim.Run(ctx, s, o)
 	if err != nil {
@@ -52,5 +52,5 @@
 	for _, line := range x.Log {
 		fmt.Fprintln(c.out, line)
 	}
-	return k.finish(c, x)
+	return k.report(c, x)
 }
--- a/cmd/birchmoor/labsweep.go
+++ b/cmd/birchmoor/labsweep.go
@@ -20,7 +20,7 @@
 	Servers  []int  `help:"So many servers, rising; the scenario's share of each kind, and its load a server, stay." placeholder:"N,..."`
 	Seeds    int    `help:"Runs of each size." default:"4"`
 	Seed     uint64 `help:"The first seed." default:"1"`
-	Beside   int    `help:"Runs side by side." default:"4"`
+	Parallel int    `name:"beside" help:"Runs side by side." default:"4"`
 	JSON     string `help:"File for the result as JSON; - for standard output." placeholder:"FILE"`
 }
 
@@ -35,21 +35,21 @@
 }
 
 const (
-	sweepSidecars = 10_000
-	sweepServers  = 2_000
-	sweepProduct  = 2_000_000 // sidecars times servers: each keeps something of each, and the lab all of it
+	maxSweepSidecars = 10_000
+	maxSweepServers  = 2_000
+	maxSweepProduct  = 2_000_000 // sidecars times servers: each keeps something of each, and the lab all of it
 )
 
-// size is one row of a sweep.
-type size struct {
+// sweepRow is one row of a sweep.
+type sweepRow struct {
 	Sidecars int                  `json:"sidecars"`
 	Servers  int                  `json:"servers"`
 	Runs     int                  `json:"runs"`
 	Broken   int                  `json:"runs_that_broke_rules"`
 	Missed   []string             `json:"missed,omitempty"` // of the first run that missed something
 	Mean     map[string]float64   `json:"mean"`
-	Least    map[string]float64   `json:"least"`
-	Most     map[string]float64   `json:"most"`
+	Min      map[string]float64   `json:"least"`
+	Max      map[string]float64   `json:"most"`
 	values   map[string][]float64 // by figure
 }
 
@@ -59,7 +59,7 @@
 		flag string
 		list []int
 		most int
-	}{{"--sidecars", k.Sidecars, sweepSidecars}, {"--servers", k.Servers, sweepServers}} {
+	}{{"--sidecars", k.Sidecars, maxSweepSidecars}, {"--servers", k.Servers, maxSweepServers}} {
 		for i, n := range x.list {
 			if n < 1 || n > x.most {
 				return fmt.Errorf("%s: %d is not within 1 and %d", x.flag, n, x.most)
@@ -72,11 +72,11 @@
 	switch {
 	case len(k.Sidecars) == 0:
 		return errors.New("--sidecars: no sizes are given")
-	case k.Seeds < 1 || k.Beside < 1:
-		return fmt.Errorf("--seeds and --beside: %d and %d are not both above 0", k.Seeds, k.Beside)
-	case len(k.Servers) > 0 && slices.Max(k.Sidecars)*slices.Max(k.Servers) > sweepProduct:
+	case k.Seeds < 1 || k.Parallel < 1:
+		return fmt.Errorf("--seeds and --beside: %d and %d are not both above 0", k.Seeds, k.Parallel)
+	case len(k.Servers) > 0 && slices.Max(k.Sidecars)*slices.Max(k.Servers) > maxSweepProduct:
 		return fmt.Errorf("%d sidecars with %d servers are more than the lab holds: %d together at most", slices.Max(k.Sidecars),
-			slices.Max(k.Servers), sweepProduct)
+			slices.Max(k.Servers), maxSweepProduct)
 	}
 	return nil
 }
@@ -85,7 +85,7 @@
 	if err := k.check(); err != nil {
 		return err
 	}
-	base, err := load(k.Scenario, "sim")
+	base, err := readScenario(k.Scenario, "sim")
 	if err != nil {
 		return err
 	}
@@ -93,22 +93,22 @@
 	if len(servers) == 0 {
 		servers = []int{base.Total()}
 	}
-	var rows []*size
+	var rows []*sweepRow
 	type job struct {
-		row  *size
+		row  *sweepRow
 		seed uint64
 	}
 	var jobs []job
 	for _, m := range servers {
 		for _, n := range k.Sidecars {
-			s, err := load(k.Scenario, "sim") // what cannot be played at a size is said before anything is
+			s, err := readScenario(k.Scenario, "sim") // what cannot be played at a size is said before anything is
 			if err == nil {
 				err = errors.Join(s.SetServers(m), s.SetSidecars(n))
 			}
 			if err != nil {
 				return fmt.Errorf("%d sidecars, %d servers: %w", n, m, err)
 			}
-			row := &size{Sidecars: n, Servers: m, Mean: map[string]float64{}, Least: map[string]float64{}, Most: map[string]float64{},
+			row := &sweepRow{Sidecars: n, Servers: m, Mean: map[string]float64{}, Min: map[string]float64{}, Max: map[string]float64{},
 				values: map[string][]float64{}}
 			rows = append(rows, row)
 			for i := range uint64(k.Seeds) {
@@ -119,7 +119,7 @@
 	show := c.count("sweep")
 	results := make([]*figures.Result, len(jobs))
 	faults := make([]error, len(jobs))
-	slots := make(chan struct{}, k.Beside)
+	slots := make(chan struct{}, k.Parallel)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	done := 0
@@ -127,7 +127,7 @@
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			s, err := load(k.Scenario, "sim")
+			s, err := readScenario(k.Scenario, "sim")
 			if err == nil {
 				err = errors.Join(s.SetServers(j.row.Servers), s.SetSidecars(j.row.Sidecars))
 			}
@@ -148,10 +148,10 @@
 	}
 	bad := false
 	for i, j := range jobs { // in the order of the seeds, whichever ended first
-		bad = j.row.take(results[i]) || bad
+		bad = j.row.add(results[i]) || bad
 	}
 	for _, r := range rows {
-		r.end()
+		r.summarize()
 	}
 	if k.JSON != "" {
 		if err := writeJSON(k.JSON, rows, c.out); err != nil || k.JSON == "-" {
@@ -162,13 +162,13 @@
 		return err
 	}
 	if bad {
-		return errMissed
+		return errRunFailed
 	}
 	return nil
 }
 
-// take adds a run, and says whether it broke a rule or missed a figure.
-func (r *size) take(x *figures.Result) (bad bool) {
+// add adds a run, and says whether it broke a rule or missed a figure.
+func (r *sweepRow) add(x *figures.Result) (bad bool) {
 	r.Runs++
 	if !x.Verdict.Kept() {
 		r.Broken++
@@ -182,43 +182,43 @@
 	return !x.Verdict.Kept() || len(x.Missed) > 0
 }
 
-func (r *size) end() {
+func (r *sweepRow) summarize() {
 	for name, all := range r.values {
 		sum := 0.0
 		for _, v := range all {
 			sum += v
 		}
-		r.Mean[name], r.Least[name], r.Most[name] = sum/float64(len(all)), slices.Min(all), slices.Max(all)
+		r.Mean[name], r.Min[name], r.Max[name] = sum/float64(len(all)), slices.Min(all), slices.Max(all)
 	}
 }
 
-// swept are the figures of the table, in order.
-var swept = []string{"service", "refused", "failed", "p99_ms", "connects_per_task", "probes_per_task", "probes_mean", "probes_worst",
+// sweepFigures are the figures of the table, in order.
+var sweepFigures = []string{"service", "refused", "failed", "p99_ms", "connects_per_task", "probes_per_task", "probes_mean", "probes_worst",
 	"handshakes_mean", "handshakes_worst", "connections_mean", "connections_worst", "shut_mean", "shut_worst", "cold_mean", "cold_worst", "ramp_mean", "ramp_worst", "ramp_falls", "ramp_falls_told", "calls_mean",
 	"calls_worst", "calls_failed", "call_wait_mean_ms", "call_wait_worst_ms"}
 
-func printSweep(c *console, rows []*size) error {
+func printSweep(c *console, rows []*sweepRow) error {
 	w := tabwriter.NewWriter(c.out, 0, 4, 2, ' ', tabwriter.AlignRight)
-	head := func(name string, of func(*size) string) {
+	head := func(name string, of func(*sweepRow) string) {
 		fmt.Fprintf(w, "%s\t", name)
 		for _, r := range rows {
 			fmt.Fprintf(w, "%s\t", of(r))
 		}
 		fmt.Fprintln(w)
 	}
-	head("sidecars", func(r *size) string { return strconv.Itoa(r.Sidecars) })
-	head("servers", func(r *size) string { return strconv.Itoa(r.Servers) })
-	head("runs, broken", func(r *size) string { return fmt.Sprintf("%d, %d", r.Runs, r.Broken) })
-	for _, name := range swept {
-		head(name, func(r *size) string { return strconv.FormatFloat(r.Mean[name], 'g', 3, 64) })
+	head("sidecars", func(r *sweepRow) string { return strconv.Itoa(r.Sidecars) })
+	head("servers", func(r *sweepRow) string { return strconv.Itoa(r.Servers) })
+	head("runs, broken", func(r *sweepRow) string { return fmt.Sprintf("%d, %d", r.Runs, r.Broken) })
+	for _, name := range sweepFigures {
+		head(name, func(r *sweepRow) string { return strconv.FormatFloat(r.Mean[name], 'g', 3, 64) })
 		if name == "service" {
-			head("over seeds", func(r *size) string { return fmt.Sprintf("%.3f..%.3f", r.Least[name], r.Most[name]) })
+			head("over seeds", func(r *sweepRow) string { return fmt.Sprintf("%.3f..%.3f", r.Min[name], r.Max[name]) })
 		}
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	growth(c, rows)
+	printGrowth(c, rows)
 	for _, r := range rows {
 		for _, m := range r.Missed {
 			fmt.Fprintf(c.out, "%d sidecars, %d servers: missed: %s\n", r.Sidecars, r.Servers, m)
@@ -227,10 +227,10 @@
 	return nil
 }
 
-// growth prints by which power of the sidecars a figure grows, from the least to the greatest number of them, and by which of the
-// servers.
-func growth(c *console, rows []*size) {
-	at := func(n, m int) *size {
+// printGrowth prints by which power of the sidecars a figure grows, from the least to the greatest number of them,
+// and by which of the servers.
+func printGrowth(c *console, rows []*sweepRow) {
+	at := func(n, m int) *sweepRow {
 		for _, r := range rows {
 			if r.Sidecars == n && r.Servers == m {
 				return r
@@ -239,7 +239,7 @@
 		return nil
 	}
 	first, last := rows[0], rows[len(rows)-1]
-	power := func(name string, a, b *size, x, y int) string {
+	power := func(name string, a, b *sweepRow, x, y int) string {
 		u, v := a.Mean[name], b.Mean[name]
 		if x == y || !(u > 0) || !(v > 0) {
 			return "-"
@@ -253,7 +253,7 @@
 		fmt.Fprintf(w, "\tof sidecars, %d servers\tof servers, %d sidecars", last.Servers, last.Sidecars)
 	}
 	fmt.Fprintln(w)
-	for _, name := range swept {
+	for _, name := range sweepFigures {
 		fmt.Fprintf(w, "%s\t%s", name, power(name, first, at(last.Sidecars, first.Servers), first.Sidecars, last.Sidecars))
 		if more {
 			fmt.Fprintf(w, "\t%s\t%s", power(name, at(first.Sidecars, last.Servers), last, first.Sidecars, last.Sidecars),
--- a/cmd/birchmoor/limit.go
+++ b/cmd/birchmoor/limit.go
@@ -26,13 +26,13 @@
 	Torture limitTorture `cmd:"" help:"Share limits among processes, cut, stop and kill them, and count at the servers."`
 }
 
-// limits asks for limits and prints them.
-func (s *socketFlag) limits(ctx context.Context, c *console, name string, table func(*tabwriter.Writer, *quotasync.Status)) error {
+// showLimits asks for limits and prints them.
+func (s *clientFlags) showLimits(ctx context.Context, c *console, name string, table func(*tabwriter.Writer, *quotasync.Status)) error {
 	return s.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
 		st, err := a.Limits(ctx, name)
 		var told *admin.ResponseError
 		if errors.As(err, &told) && told.Status == 404 {
-			return &exitError{exitMissed, err}
+			return &exitError{exitFailure, err}
 		}
 		if err != nil {
 			return err
@@ -46,13 +46,13 @@
 	})
 }
 
-type limitList struct{ socketFlag }
+type limitList struct{ clientFlags }
 
 func (k *limitList) Run(ctx context.Context, c *console) error {
-	return k.limits(ctx, c, "", func(w *tabwriter.Writer, st *quotasync.Status) {
+	return k.showLimits(ctx, c, "", func(w *tabwriter.Writer, st *quotasync.Status) {
 		fmt.Fprintln(w, "LIMIT\tMOST\tOUT\tWANTED\tLET THROUGH\tREFUSED\tSIDECARS\tWITHOUT THE STORE\tOVER AT MOST")
 		for _, l := range st.Limits {
-			v := sum(l)
+			v := totalStatus(l)
 			fmt.Fprintf(w, "%s\t%s %s\t%s\t%s\t%d\t%d\t%d\t%s\t%s\n", l.Name, quota.FormatAmount(v.Capacity), l.UnitText(), quota.FormatAmount(v.Committed), quota.FormatAmount(v.Wanted), v.Admitted, v.Rejected, len(v.Processes), l.Fallback, l.Overshoot)
 		}
 		if st.AllocatorHost == "" {
@@ -61,8 +61,8 @@
 	})
 }
 
-// sum is the whole of a limit, with what is wanted of its parts.
-func sum(l *quotasync.LimitStatus) quota.NodeStatus {
+// totalStatus is the whole of a limit, with what is wanted of its parts.
+func totalStatus(l *quotasync.LimitStatus) quota.NodeStatus {
 	v := l.NodeStatuses[0]
 	for _, p := range l.NodeStatuses[1:] {
 		v.Wanted, v.Admitted, v.Rejected = v.Wanted+p.Wanted, v.Admitted+p.Admitted, v.Rejected+p.Rejected
@@ -71,15 +71,15 @@
 }
 
 type limitShow struct {
-	socketFlag
+	clientFlags
 	Name string `arg:"" help:"Limit."`
 }
 
 func (k *limitShow) Run(ctx context.Context, c *console) error {
-	return k.limits(ctx, c, k.Name, func(w *tabwriter.Writer, st *quotasync.Status) {
+	return k.showLimits(ctx, c, k.Name, func(w *tabwriter.Writer, st *quotasync.Status) {
 		l := st.Limits[0]
-		fmt.Fprintf(w, "%s: %s %s, of %s; over at most: %s\n", l.Name, quota.FormatAmount(l.Nodes[0].Capacity), l.UnitText(), scope(l.Limit), l.Overshoot)
-		fmt.Fprintf(w, "divided by: %s; a share ends %d ms after its sidecar falls silent\n", orNobody(st.AllocatorHost), st.TTLMs)
+		fmt.Fprintf(w, "%s: %s %s, of %s; over at most: %s\n", l.Name, quota.FormatAmount(l.Nodes[0].Capacity), l.UnitText(), limitScope(l.Limit), l.Overshoot)
+		fmt.Fprintf(w, "divided by: %s; a share ends %d ms after its sidecar falls silent\n", nameOrNobody(st.AllocatorHost), st.TTLMs)
 		fmt.Fprintln(w, "PART\tMOST\tLEAST\tWEIGHT\tOUT\tOWN SHARES\tWANTED\tLET THROUGH\tREFUSED\tSIDECARS")
 		for i, v := range l.NodeStatuses {
 			n := l.Nodes[i]
@@ -95,14 +95,14 @@
 	return path
 }
 
-func orNobody(s string) string {
+func nameOrNobody(s string) string {
 	if s == "" {
 		return "nobody"
 	}
 	return s
 }
 
-func scope(l *quota.Limit) string {
+func limitScope(l *quota.Limit) string {
 	var all []string
 	if len(l.Classes) > 0 {
 		all = append(all, "classes "+strings.Join(l.Classes, ", "))
@@ -117,14 +117,14 @@
 }
 
 type limitExplain struct {
-	socketFlag
+	clientFlags
 	Name string `arg:"" help:"Limit, or LIMIT/PART."`
 }
 
 func (k *limitExplain) Run(ctx context.Context, c *console) error {
 	name, path, _ := strings.Cut(k.Name, "/")
 	var missed error
-	err := k.limits(ctx, c, name, func(w *tabwriter.Writer, st *quotasync.Status) {
+	err := k.showLimits(ctx, c, name, func(w *tabwriter.Writer, st *quotasync.Status) {
 		l := st.Limits[0]
 		for _, v := range l.NodeStatuses {
 			if v.Path != path {
@@ -134,16 +134,16 @@
 			fmt.Fprintln(w, "SIDECAR\tSESSION\tSHARE\tCOUNTS FOR\tIN USE\tWANTS\tLET THROUGH\tREFUSED\tHEARD\tWHY IT COUNTS")
 			for _, h := range v.Processes {
 				fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t%d\t%d\t%v ago\t%s\n", h.Host, h.Session, quota.FormatAmount(h.Amount), quota.FormatAmount(h.Committed), quota.FormatAmount(h.InUse), quota.FormatAmount(h.Wanted), h.Admitted, h.Rejected,
-					(time.Duration(h.AgeMs) * time.Millisecond).Round(100*time.Millisecond), why(&h))
+					(time.Duration(h.AgeMs) * time.Millisecond).Round(100*time.Millisecond), commitReason(&h))
 			}
 			return
 		}
-		missed = &exitError{exitMissed, fmt.Errorf("%s has no part %q", name, path)}
+		missed = &exitError{exitFailure, fmt.Errorf("%s has no part %q", name, path)}
 	})
 	return errors.Join(err, missed)
 }
 
-func why(h *quota.ProcessQuota) string {
+func commitReason(h *quota.ProcessQuota) string {
 	switch {
 	case h.Gone:
 		return "its sidecar is gone: what that may have begun is waited out"
@@ -156,7 +156,7 @@
 }
 
 type limitPut struct {
-	socketFlag
+	clientFlags
 	File string `arg:"" type:"existingfile" help:"File of limits."`
 }
 
--- a/cmd/birchmoor/limit_test.go
+++ b/cmd/birchmoor/limit_test.go
@@ -11,14 +11,14 @@
 	"birchmoor/internal/lab/limitlab"
 )
 
-// shareLimits shares limits among processes of this binary under so many kinds of blows.
-func shareLimits(t *testing.T, blows int, change func(*limitlab.Torture)) *limitlab.Tortured {
+// runLimitTorture shares limits among processes of this binary under so many kinds of blows.
+func runLimitTorture(t *testing.T, blows int, change func(*limitlab.Torture)) *limitlab.Tortured {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := &limitlab.Torture{Program: self, Env: []string{asProgram + "=1"}, Dir: t.TempDir(), Replicas: 3, Follow: 5, Blows: blows, Every: time.Millisecond, Seed: 1,
+	x := &limitlab.Torture{Program: self, Env: []string{asProgramEnv + "=1"}, Dir: t.TempDir(), Replicas: 3, Follow: 5, Blows: blows, Every: time.Millisecond, Seed: 1,
 		Say: func(s string) { t.Log(s) }}
 	if change != nil {
 		change(x)
@@ -32,11 +32,11 @@
 	return r
 }
 
-// Eight sidecars over servers that count, each asked for more than there is, and every kind of blow once: no limit is passed, in the whole
-// nor in a part, requests go on after each blow, and every refusal says when to come back.
+// Eight sidecars over servers that count, each asked for more than there is, and every kind of blow once: no limit
+// is passed, in the whole nor in a part, requests go on after each blow, and every refusal says when to come back.
 func TestLimitsHoldAmongProcesses(t *testing.T) {
 	t.Parallel()
-	r := shareLimits(t, len(limitlab.Faults), nil)
+	r := runLimitTorture(t, len(limitlab.Faults), nil)
 	if len(r.Broken) > 0 {
 		t.Errorf("%q", r.Broken)
 	}
@@ -52,7 +52,7 @@
 func TestLimitCommands(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	a := newDaemon(t, dir, "a", false, "[limits]\nlease = \"1s\"\n")
+	a := newTestDaemon(t, dir, "a", false, "[limits]\nlease = \"1s\"\n")
 	a.start(t)
 	good, bad := filepath.Join(dir, "good.toml"), filepath.Join(dir, "bad.toml")
 	for path, text := range map[string]string{good: limitlab.Limits, bad: "[limit.x]\nrate = 1.0\nburts = \"1s\"\n"} {
@@ -60,7 +60,7 @@
 			t.Fatal(err)
 		}
 	}
-	if code, _, errs := birchmoor("limit", "put", bad, "--socket", a.socket); code != exitInput || !strings.Contains(errs, "bad.toml:3: limit.x.burts") {
+	if code, _, errs := birchmoor("limit", "put", bad, "--socket", a.socket); code != exitUsage || !strings.Contains(errs, "bad.toml:3: limit.x.burts") {
 		t.Errorf("exit code %d: %s", code, errs)
 	}
 	if code, _, errs := birchmoor("limit", "put", good, "--socket", a.socket); code != 0 {
@@ -74,8 +74,8 @@
 		{[]string{"limit", "list"}, 0, "160 requests a second"},
 		{[]string{"limit", "show", "orders"}, 0, "(the whole)"},
 		{[]string{"limit", "explain", "orders/a"}, 0, "SIDECAR"},
-		{[]string{"limit", "show", "none"}, exitMissed, "no such limit"},
-		{[]string{"limit", "explain", "orders/none"}, exitMissed, "no part"},
+		{[]string{"limit", "show", "none"}, exitFailure, "no such limit"},
+		{[]string{"limit", "explain", "orders/none"}, exitFailure, "no part"},
 	} {
 		code, out, errs := birchmoor(append(x.args, "--socket", a.socket)...)
 		if code != x.code || !strings.Contains(out+errs, x.want) {
--- a/cmd/birchmoor/limitsim.go
+++ b/cmd/birchmoor/limitsim.go
@@ -19,7 +19,7 @@
 	Calm     bool    `help:"No faults, to count what limits cost the store."`
 	Busy     bool    `help:"At the end all but one become quiet: how long until that has four fifths of a limit."`
 	Even     bool    `help:"All sidecars ask the same, and it does not move."`
-	Plant    string  `help:"Put a fault in, and count the seeds until it is found; list names them, all tries each." placeholder:"NAME"`
+	Defect   string  `name:"plant" help:"Put a fault in, and count the seeds until it is found; list names them, all tries each." placeholder:"NAME"`
 	JSON     bool    `help:"A line of JSON for each run."`
 }
 
@@ -39,15 +39,15 @@
 	if k.Sidecars < 1 || k.Sidecars > 5000 {
 		return fmt.Errorf("--sidecars: %d is not within 1 and 5000", k.Sidecars)
 	}
-	if k.Plant == "" {
-		return k.play(ctx, c, o)
+	if k.Defect == "" {
+		return k.runSeeds(ctx, c, o)
 	}
-	missed, known := false, k.Plant == "all" || k.Plant == "list"
+	missed, known := false, k.Defect == "all" || k.Defect == "list"
 	for _, f := range limitsim.Faults {
-		if k.Plant == "list" {
+		if k.Defect == "list" {
 			fmt.Fprintf(c.out, "%-22s %s\n", f.Name, f.About)
 		}
-		if k.Plant != "all" && k.Plant != f.Name {
+		if k.Defect != "all" && k.Defect != f.Name {
 			continue
 		}
 		known = true
@@ -69,15 +69,15 @@
 	}
 	switch {
 	case !known:
-		return fmt.Errorf("--plant %q is not a fault: list names them", k.Plant)
+		return fmt.Errorf("--plant %q is not a fault: list names them", k.Defect)
 	case missed:
-		return errMissed
+		return errRunFailed
 	}
 	return nil
 }
 
-// play runs seeds side by side, and tells them in order.
-func (k *limitSim) play(ctx context.Context, c *console, o limitsim.Options) error {
+// runSeeds runs seeds side by side, and tells them in order.
+func (k *limitSim) runSeeds(ctx context.Context, c *console, o limitsim.Options) error {
 	results := make([]chan limitsim.Result, k.Seeds)
 	room := make(chan struct{}, runtime.NumCPU())
 	var working sync.WaitGroup
@@ -131,7 +131,7 @@
 	fmt.Fprintf(c.err, "%d seeds, %d broken: %d asked, %d let through; %d stops, %d kills, %d cuts, %d dividers; servers saw %.2f of a strict limit at most; once calm %.2f of the rate was used, and the log took %.0f entries and %.0f bytes a second\n",
 		k.Seeds, broken, asked, let, stops, kills, cuts, dividers, near, use/n, entries/n, bytes/n)
 	if broken > 0 {
-		return errMissed
+		return errRunFailed
 	}
 	return nil
 }
--- a/cmd/birchmoor/limittorture.go
+++ b/cmd/birchmoor/limittorture.go
@@ -14,15 +14,15 @@
 )
 
 type limitTorture struct {
-	Dir      string        `help:"Folder for what it writes." default:"." type:"existingdir"`
-	For      time.Duration `help:"Long." default:"1m"`
-	Every    time.Duration `help:"A blow, on average." default:"1s"`
-	Replicas int           `help:"Daemons with a replica." default:"3"`
-	Follow   int           `help:"Daemons without one." default:"5"`
-	Seed     uint64        `help:"Of what is done to whom." default:"1"`
-	Plant    int           `help:"A fault of shares, by its number in package limit; for programs built with -tags planted." placeholder:"N"`
-	Play     string        `help:"Play this schedule in place of one drawn from the seed." type:"existingfile" placeholder:"FILE"`
-	JSON     bool          `help:"As JSON."`
+	Dir           string        `help:"Folder for what it writes." default:"." type:"existingdir"`
+	Duration      time.Duration `name:"for" help:"Long." default:"1m"`
+	FaultInterval time.Duration `name:"every" help:"A blow, on average." default:"1s"`
+	Replicas      int           `help:"Daemons with a replica." default:"3"`
+	Followers     int           `name:"follow" help:"Daemons without one." default:"5"`
+	Seed          uint64        `help:"Of what is done to whom." default:"1"`
+	Defect        int           `name:"plant" help:"A fault of shares, by its number in package limit; for programs built with -tags planted." placeholder:"N"`
+	Schedule      string        `name:"play" help:"Play this schedule in place of one drawn from the seed." type:"existingfile" placeholder:"FILE"`
+	JSON          bool          `help:"As JSON."`
 }
 
 func (k *limitTorture) Help() string {
@@ -38,21 +38,21 @@
 	if err != nil {
 		return err
 	}
-	if k.Plant != 0 && !isPlanted {
+	if k.Defect != 0 && !isDefectBuild {
 		return errors.New("--plant: this program was not built with -tags planted")
 	}
-	t := limitlab.Torture{Program: self, Dir: k.Dir, Replicas: k.Replicas, Follow: k.Follow, For: k.For, Every: k.Every, Seed: k.Seed,
+	t := limitlab.Torture{Program: self, Dir: k.Dir, Replicas: k.Replicas, Follow: k.Followers, For: k.Duration, Every: k.FaultInterval, Seed: k.Seed,
 		Say: func(s string) { fmt.Fprintln(c.err, s) }}
-	if k.Plant != 0 {
-		t.Env = []string{fmt.Sprintf("%s=%d", tasklab.LimitEnv, k.Plant)}
+	if k.Defect != 0 {
+		t.Env = []string{fmt.Sprintf("%s=%d", tasklab.LimitEnv, k.Defect)}
 	}
-	if k.Play != "" {
-		b, err := os.ReadFile(k.Play)
+	if k.Schedule != "" {
+		b, err := os.ReadFile(k.Schedule)
 		if err == nil {
 			err = json.Unmarshal(b, &t.Play)
 		}
 		if err != nil {
-			return fmt.Errorf("%s: %w", k.Play, err)
+			return fmt.Errorf("%s: %w", k.Schedule, err)
 		}
 	}
 	r, err := t.Run(ctx)
@@ -72,7 +72,7 @@
 		fmt.Fprintf(c.out, "%d requests, %d refused (%d without a time), blows %v; %.2f of the rate used once calm; broken: %q\n", r.Requests, r.Refused, r.NoTime, r.Blows, r.Use, r.Broken)
 	}
 	if err == nil && len(r.Broken) > 0 {
-		return errMissed
+		return errRunFailed
 	}
 	return err
 }
--- a/cmd/birchmoor/lock.go
+++ b/cmd/birchmoor/lock.go
@@ -51,7 +51,7 @@
 		return errors.New("no command is given")
 	}
 	if _, err := exec.LookPath(k.Command[0]); err != nil {
-		return &exitError{exitNotRun, err}
+		return &exitError{exitCommandNotRun, err}
 	}
 	if err := watchdog.BecomeSubreaper(); err != nil {
 		return err
@@ -81,7 +81,7 @@
 	say := func(l adminapi.LockStatus, text string) {
 		switch {
 		case k.JSON:
-			b, _ := encode(l)
+			b, _ := encodeJSON(l)
 			fmt.Fprintf(c.err, "%s\n", b)
 		case text != told:
 			fmt.Fprintln(c.err, "birchmoor:", text)
@@ -94,17 +94,17 @@
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			return &exitError{exitNotGot, fmt.Errorf("%s: not got within %v%s", k.Name, k.Wait, strings.TrimPrefix(": "+told, ": "+k.Name))}
+			return &exitError{exitLockNotAcquired, fmt.Errorf("%s: not got within %v%s", k.Name, k.Wait, strings.TrimPrefix(": "+told, ": "+k.Name))}
 		case err := <-failed:
 			var told *admin.ResponseError
 			if errors.As(err, &told) && told.Status == 400 {
 				return err
 			}
-			return &exitError{exitNotGot, fmt.Errorf("%s: the daemon at %s: %w", k.Name, k.Socket, err)}
+			return &exitError{exitLockNotAcquired, fmt.Errorf("%s: the daemon at %s: %w", k.Name, k.Socket, err)}
 		case l := <-lines:
 			switch {
 			case l.Ended:
-				return &exitError{exitNotGot, fmt.Errorf("%s: %s", k.Name, l.Reason)}
+				return &exitError{exitLockNotAcquired, fmt.Errorf("%s: %s", k.Name, l.Reason)}
 			case l.Token == 0:
 				if l.Position != nil {
 					text := fmt.Sprintf("%s: waits, %d before it", k.Name, *l.Position)
@@ -135,11 +135,11 @@
 	}
 	defer pipe.Close()
 	// No exec.CommandContext: the keeper ends with its command.
-	cmd := exec.Command(self, append([]string{"keeper", "--grace", min(time.Second, k.TTL/8).String(), "--early=" + plantedEarly(max(50*time.Millisecond, k.TTL/10)).String(),
+	cmd := exec.Command(self, append([]string{"keeper", "--grace", min(time.Second, k.TTL/8).String(), "--early=" + killMarginWithDefect(max(50*time.Millisecond, k.TTL/10)).String(),
 		"--"}, k.Command...)...)
 	cmd.Env = append(os.Environ(), "BIRCHMOOR_TASK="+k.Name, fmt.Sprintf("BIRCHMOOR_TOKEN=%d", l.Token), fmt.Sprintf("BIRCHMOOR_UNTIL=%d", l.ValidUntil))
 	cmd.Stdin, cmd.Stdout, cmd.Stderr, cmd.ExtraFiles = os.Stdin, os.Stdout, os.Stderr, []*os.File{out}
-	if err := watchdog.ExtendDeadline(pipe, plantedUntil(l.ValidUntil)); err != nil {
+	if err := watchdog.ExtendDeadline(pipe, deadlineWithDefect(l.ValidUntil)); err != nil {
 		return err
 	}
 	if err := cmd.Start(); err != nil {
@@ -165,11 +165,11 @@
 			case ctx.Err() != nil:
 				return ctx.Err()
 			case lost != nil:
-				return &exitError{exitLost, fmt.Errorf("%s is lost: %w", k.Name, lost)}
-			case code == exitLost:
-				return &exitError{exitLost, fmt.Errorf("%s is lost: it was not renewed in time", k.Name)}
+				return &exitError{exitLockLost, fmt.Errorf("%s is lost: %w", k.Name, lost)}
+			case code == exitLockLost:
+				return &exitError{exitLockLost, fmt.Errorf("%s is lost: it was not renewed in time", k.Name)}
 			case code < 0:
-				return &exitError{exitLost, fmt.Errorf("%s: what kept the command was killed", k.Name)}
+				return &exitError{exitLockLost, fmt.Errorf("%s: what kept the command was killed", k.Name)}
 			case code != 0:
 				return &exitError{code, nil}
 			}
@@ -183,13 +183,13 @@
 			_ = watchdog.RequestEnd(pipe)
 		case l := <-lines:
 			if l.Ended {
-				if lost = errors.New(l.Reason); plantedRelease() {
+				if lost = errors.New(l.Reason); releasesLockEarly() {
 					drop()
 					time.Sleep(time.Second)
 				}
 				_ = watchdog.RequestEnd(pipe)
 			} else if l.ValidUntil > 0 {
-				_ = watchdog.ExtendDeadline(pipe, plantedUntil(l.ValidUntil))
+				_ = watchdog.ExtendDeadline(pipe, deadlineWithDefect(l.ValidUntil))
 			}
 			if say != nil && k.JSON {
 				say(l, "")
--- a/cmd/birchmoor/main.go
+++ b/cmd/birchmoor/main.go
@@ -1,6 +1,7 @@
 // Command birchmoor is the product's command line: the lab, and what operators run by hand.
 //
-// Exit codes: 0 for success, 1 for a run that missed its figures or broke a rule, 2 for bad input, 130 on Ctrl-C; lock has more.
+// Exit codes: 0 for success, 1 for a run that missed its figures or broke a rule, 2 for bad input, 130 on Ctrl-C;
+// lock has more.
 package main
 
 import (
@@ -69,12 +70,12 @@
 			fmt.Fprintln(errs, "birchmoor:", own.err)
 		}
 		return own.code
-	case errors.Is(err, errMissed):
-		return exitMissed
+	case errors.Is(err, errRunFailed):
+		return exitFailure
 	case ctx.Err() != nil:
 		fmt.Fprintln(errs, "birchmoor: stopped")
-		return exitStop
+		return exitInterrupted
 	}
 	fmt.Fprintln(errs, "birchmoor:", err)
-	return exitInput
+	return exitUsage
 }
--- a/cmd/birchmoor/main_test.go
+++ b/cmd/birchmoor/main_test.go
@@ -19,7 +19,7 @@
 	return code, o.String(), e.String()
 }
 
-func write(t *testing.T, name, text string) string {
+func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
@@ -28,7 +28,7 @@
 	return path
 }
 
-const tiny = `name = "tiny"
+const tinyScenario = `name = "tiny"
 length = "3s"
 [[servers]]
 count = 4
@@ -41,7 +41,7 @@
 
 func TestSim(t *testing.T) {
 	dir := t.TempDir()
-	code, out, errs := birchmoor("lab", "sim", write(t, "tiny.toml", tiny), "--out", dir, "--seed", "4")
+	code, out, errs := birchmoor("lab", "sim", writeFile(t, "tiny.toml", tinyScenario), "--out", dir, "--seed", "4")
 	if code != 0 || !strings.HasSuffix(out, "service 1.00, rules kept\n") {
 		t.Fatalf("exit %d\n%s\n%s", code, out, errs)
 	}
@@ -70,16 +70,16 @@
 		code int
 		want string
 	}{
-		"missed figure": {tiny + "[keep]\np99_most = \"1ms\"\n", exitMissed, "missed: p99 in ms"},
-		"unknown key":   {tiny + "[keep]\nservices = 0.5\n", exitInput, ":11: keep.services"},
-		"other host":    {"hosts = [\"run\"]\n" + tiny, exitInput, "can be played by [run] only"},
+		"missed figure": {tinyScenario + "[keep]\np99_most = \"1ms\"\n", exitFailure, "missed: p99 in ms"},
+		"unknown key":   {tinyScenario + "[keep]\nservices = 0.5\n", exitUsage, ":11: keep.services"},
+		"other host":    {"hosts = [\"run\"]\n" + tinyScenario, exitUsage, "can be played by [run] only"},
 	} {
-		code, out, errs := birchmoor("lab", "sim", write(t, "x.toml", c.text))
+		code, out, errs := birchmoor("lab", "sim", writeFile(t, "x.toml", c.text))
 		if code != c.code || !strings.Contains(out+errs, c.want) {
 			t.Errorf("%s: exit %d, want %d\n%s\n%s", name, code, c.code, out, errs)
 		}
 	}
-	if code, _, _ := birchmoor("lab", "sim", "no-such-file.toml"); code != exitInput {
+	if code, _, _ := birchmoor("lab", "sim", "no-such-file.toml"); code != exitUsage {
 		t.Errorf("a file that is not there: exit %d", code)
 	}
 	if code, out, _ := birchmoor("lab", "--help"); code != 0 || !strings.Contains(out, "compare") {
@@ -87,13 +87,13 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if code := run(ctx, []string{"lab", "sim", write(t, "x.toml", tiny)}, &bytes.Buffer{}, &bytes.Buffer{}); code != exitStop {
+	if code := run(ctx, []string{"lab", "sim", writeFile(t, "x.toml", tinyScenario)}, &bytes.Buffer{}, &bytes.Buffer{}); code != exitInterrupted {
 		t.Errorf("stopped: exit %d", code)
 	}
 }
 
 func TestCompare(t *testing.T) {
-	a, b := write(t, "a.toml", tiny), write(t, "b.toml", strings.Replace(tiny, `"5ms"`, `"50ms"`, 1))
+	a, b := writeFile(t, "a.toml", tinyScenario), writeFile(t, "b.toml", strings.Replace(tinyScenario, `"5ms"`, `"50ms"`, 1))
 	code, out, errs := birchmoor("lab", "compare", a, b, "--seeds", "5", "--json", "-")
 	var x comparison
 	if err := json.Unmarshal([]byte(out), &x); code != 0 || err != nil {
@@ -109,15 +109,15 @@
 	if !strings.Contains(out, "cannot be told apart") || strings.Contains(out, "B is") {
 		t.Errorf("the same twice:\n%s", out)
 	}
-	one, other := write(t, "one.json", `{"limits":{"most-tries":1}}`), write(t, "other.json", `{}`)
+	one, other := writeFile(t, "one.json", `{"limits":{"most-tries":1}}`), writeFile(t, "other.json", `{}`)
 	if code, out, errs := birchmoor("lab", "compare", one, other, "--scenario", a, "--seeds", "2"); code != 0 {
 		t.Errorf("settings: exit %d\n%s%s", code, out, errs)
 	}
-	bad := write(t, "bad.json", `{"limits":{"most-tires":1}}`)
-	if code, _, errs := birchmoor("lab", "compare", bad, other, "--scenario", a); code != exitInput || !strings.Contains(errs, "limits.most-tires") {
+	bad := writeFile(t, "bad.json", `{"limits":{"most-tires":1}}`)
+	if code, _, errs := birchmoor("lab", "compare", bad, other, "--scenario", a); code != exitUsage || !strings.Contains(errs, "limits.most-tires") {
 		t.Errorf("an unknown setting: exit %d, %s", code, errs)
 	}
-	if code, _, _ := birchmoor("lab", "compare", a, one); code != exitInput {
+	if code, _, _ := birchmoor("lab", "compare", a, one); code != exitUsage {
 		t.Errorf("two kinds: exit %d", code)
 	}
 }
--- a/cmd/birchmoor/replay.go
+++ b/cmd/birchmoor/replay.go
@@ -57,17 +57,17 @@
 		return err
 	}
 	o := replay.Options{Pace: k.Speed == "1x", Explain: k.Explain}
-	if o.From, err = instant("--from", k.From, begin); err != nil {
+	if o.From, err = parseInstant("--from", k.From, begin); err != nil {
 		return err
 	}
-	if o.To, err = instant("--to", k.To, begin); err != nil {
+	if o.To, err = parseInstant("--to", k.To, begin); err != nil {
 		return err
 	}
 	var decisions bytes.Buffer
 	if k.Against != "" && !strings.HasSuffix(k.Against, ".json") {
 		o.Log = &decisions
 	} else if k.Against != "" {
-		if o.Settings, err = settingsOf(k.Against); err != nil {
+		if o.Settings, err = readSettings(k.Against); err != nil {
 			return err
 		}
 	}
@@ -75,7 +75,7 @@
 	case k.Decisions == "-":
 		w := bufio.NewWriter(c.out)
 		defer w.Flush()
-		o.Log = both(o.Log, w)
+		o.Log = teeWriter(o.Log, w)
 	case k.Decisions != "":
 		f, err := os.Create(k.Decisions)
 		if err != nil {
@@ -84,7 +84,7 @@
 		defer f.Close()
 		w := bufio.NewWriter(f)
 		defer w.Flush()
-		o.Log = both(o.Log, w)
+		o.Log = teeWriter(o.Log, w)
 	}
 	var t *replay.Timeline
 	if k.Timeline != "" {
@@ -115,15 +115,15 @@
 		return nil // to differ is what it is for
 	}
 	if k.Against != "" {
-		return k.otherBuild(ctx, c, files, decisions.Bytes())
+		return k.compareBuild(ctx, c, files, decisions.Bytes())
 	}
 	if r.Differences > 0 || len(r.Faults) > 0 {
-		return errMissed
+		return errRunFailed
 	}
 	return nil
 }
 
-func both(a io.Writer, b io.Writer) io.Writer {
+func teeWriter(a io.Writer, b io.Writer) io.Writer {
 	if a == nil {
 		return b
 	}
@@ -154,8 +154,8 @@
 	return files, nil
 }
 
-// instant reads a time of the day, or one after the beginning.
-func instant(flag, text string, begin balancer.Micros) (balancer.Micros, error) {
+// parseInstant reads a time of the day, or one after the beginning.
+func parseInstant(flag, text string, begin balancer.Micros) (balancer.Micros, error) {
 	if text == "" {
 		return 0, nil
 	}
@@ -169,8 +169,8 @@
 	return t.UnixMicro(), nil
 }
 
-// settingsOf reads settings: those of a sidecar's configuration, or the object alone.
-func settingsOf(path string) (*balancer.Settings, error) {
+// readSettings reads settings: those of a sidecar's configuration, or the object alone.
+func readSettings(path string) (*balancer.Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -199,8 +199,8 @@
 	return &s, nil
 }
 
-// otherBuild has another build replay the same files, and tells where its decisions first differ.
-func (k *replayCommand) otherBuild(ctx context.Context, c *console, files []string, mine []byte) error {
+// compareBuild has another build replay the same files, and tells where its decisions first differ.
+func (k *replayCommand) compareBuild(ctx context.Context, c *console, files []string, mine []byte) error {
 	path, err := filepath.Abs(k.Against)
 	if err != nil {
 		return err
@@ -214,7 +214,7 @@
 	cmd := exec.CommandContext(ctx, path, args...)
 	cmd.Stderr = c.err
 	theirs, err := cmd.Output()
-	if exit := (*exec.ExitError)(nil); errors.As(err, &exit) && exit.ExitCode() == exitMissed {
+	if exit := (*exec.ExitError)(nil); errors.As(err, &exit) && exit.ExitCode() == exitFailure {
 		err = nil // it does not decide as recorded, which is what is asked
 	}
 	if err != nil {
@@ -231,7 +231,7 @@
 		}
 		if x != y {
 			fmt.Fprintf(c.out, "the builds differ first at decision %d (open loop: what follows follows from that)\n  this  %s\n  other %s\n", i+1, x, y)
-			return errMissed
+			return errRunFailed
 		}
 	}
 	fmt.Fprintf(c.out, "both builds decide the same\n")
--- a/cmd/birchmoor/replay_test.go
+++ b/cmd/birchmoor/replay_test.go
@@ -11,23 +11,23 @@
 	"birchmoor/internal/lab/tasklab"
 )
 
-// asProgram has the test's binary stand for the command: another build to replay against.
-const asProgram = "BIRCHMOOR_TEST_AS_PROGRAM"
+// asProgramEnv has the test's binary stand for the command: another build to replay against.
+const asProgramEnv = "BIRCHMOOR_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
-		inside = tasklab.ReadInside()
-		readHollowPlant()
+	if os.Getenv(asProgramEnv) != "" {
+		processFaults = tasklab.ReadInside()
+		readHollowDefect()
 		main()
 	}
 	os.Exit(m.Run())
 }
 
-func capturesOf(name string) string { return filepath.Join("..", "..", "lab", "captures", name) }
+func captureDir(name string) string { return filepath.Join("..", "..", "lab", "captures", name) }
 
 func TestReplay(t *testing.T) {
 	svg := filepath.Join(t.TempDir(), "t.svg")
-	code, out, errs := birchmoor("replay", capturesOf("gray-failure"), "--from", "12s", "--to", "13s", "--explain", "700", "--timeline",
+	code, out, errs := birchmoor("replay", captureDir("gray-failure"), "--from", "12s", "--to", "13s", "--explain", "700", "--timeline",
 		"fast-2.1", "--out", svg)
 	if code != 0 || !strings.Contains(out, "all decisions are as recorded") || !strings.Contains(out, "decided: send 700") {
 		t.Fatalf("exit %d\n%s\n%s", code, out, errs)
@@ -35,7 +35,7 @@
 	if text, err := os.ReadFile(svg); err != nil || !strings.Contains(string(text), "<svg") {
 		t.Errorf("the timeline: %v", err)
 	}
-	code, out, _ = birchmoor("replay", capturesOf("gray-failure"), "--json", "-")
+	code, out, _ = birchmoor("replay", captureDir("gray-failure"), "--json", "-")
 	var r replay.Report
 	if err := json.Unmarshal([]byte(out), &r); code != 0 || err != nil || r.Decisions == 0 {
 		t.Errorf("exit %d, %v", code, err)
@@ -43,24 +43,24 @@
 }
 
 func TestReplayAgainst(t *testing.T) {
-	t.Setenv(asProgram, "1")
+	t.Setenv(asProgramEnv, "1")
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	code, out, errs := birchmoor("replay", capturesOf("discovery-down"), "--against", self, "--from", "3s", "--to", "6s")
+	code, out, errs := birchmoor("replay", captureDir("discovery-down"), "--against", self, "--from", "3s", "--to", "6s")
 	if code != 0 || !strings.Contains(out, "both builds decide the same") {
 		t.Errorf("exit %d\n%s\n%s", code, out, errs)
 	}
-	other := write(t, "other.json", `{"classes":[{"name":"slot-search","repeat":"pure","target":1,"give-up":2}]}`)
-	code, out, errs = birchmoor("replay", capturesOf("discovery-down"), "--against", other)
+	other := writeFile(t, "other.json", `{"classes":[{"name":"slot-search","repeat":"pure","target":1,"give-up":2}]}`)
+	code, out, errs = birchmoor("replay", captureDir("discovery-down"), "--against", other)
 	if code != 0 || !strings.Contains(out, "open loop") {
 		t.Errorf("exit %d\n%s\n%s", code, out, errs)
 	}
 }
 
 func TestReplayNamesWhatIsWrong(t *testing.T) {
-	cut := capturesOf("gray-failure")
+	cut := captureDir("gray-failure")
 	list, err := os.ReadDir(cut)
 	if err != nil {
 		t.Fatal(err)
@@ -69,13 +69,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	path := write(t, "cut.capture", string(data[:len(data)/2]))
-	if code, out, _ := birchmoor("replay", path); code != exitMissed || !strings.Contains(out, "not readable") || !strings.Contains(out, "byte") {
+	path := writeFile(t, "cut.capture", string(data[:len(data)/2]))
+	if code, out, _ := birchmoor("replay", path); code != exitFailure || !strings.Contains(out, "not readable") || !strings.Contains(out, "byte") {
 		t.Errorf("exit %d: %s", code, out)
 	}
-	for _, args := range [][]string{{write(t, "x.capture", "no capture")}, {t.TempDir()}, {path, "--from", "noon"},
-		{path, "--against", write(t, "bad.json", `{"classes":[]}`)}} {
-		if code, _, errs := birchmoor(append([]string{"replay"}, args...)...); code != exitInput || errs == "" {
+	for _, args := range [][]string{{writeFile(t, "x.capture", "no capture")}, {t.TempDir()}, {path, "--from", "noon"},
+		{path, "--against", writeFile(t, "bad.json", `{"classes":[]}`)}} {
+		if code, _, errs := birchmoor(append([]string{"replay"}, args...)...); code != exitUsage || errs == "" {
 			t.Errorf("%v: exit %d, %s", args, code, errs)
 		}
 	}
--- a/cmd/birchmoor/sidecar.go
+++ b/cmd/birchmoor/sidecar.go
@@ -51,29 +51,29 @@
 			return err
 		}
 	}
-	return serve(ctx, f, &extras{reload: reload}, log)
+	return serve(ctx, f, &fleetServices{reload: reload}, log)
 }
 
-// extras are what a sidecar has of a store.
-type extras struct {
-	reload   <-chan os.Signal
-	shared   maintenance.FleetOverrides
-	fleet    sidecar.Fleet
-	settings func() json.RawMessage     // in the place of the file's, unless nil
-	limits   core.Limiter               // of the fleet, unless nil
-	figure   func(daemon.AnswerCounter) // is given what tells how clients were answered, unless nil
+// fleetServices are what a sidecar has of a store.
+type fleetServices struct {
+	reload           <-chan os.Signal
+	overrides        maintenance.FleetOverrides
+	fleet            sidecar.Fleet
+	currentSettings  func() json.RawMessage     // in the place of the file's, unless nil
+	limiter          core.Limiter               // of the fleet, unless nil
+	setAnswerCounter func(daemon.AnswerCounter) // is given what tells how clients were answered, unless nil
 }
 
-func (x *extras) read() (*config.Config, error) {
-	if x.settings == nil {
+func (x *fleetServices) readConfig() (*config.Config, error) {
+	if x.currentSettings == nil {
 		return config.Read(os.Getenv)
 	}
-	return config.ReadWithSettings(os.Getenv, x.settings())
+	return config.ReadWithSettings(os.Getenv, x.currentSettings())
 }
 
 // serve runs a sidecar until ctx ends.
-func serve(ctx context.Context, f *operatorconfig.File, x *extras, log *slog.Logger) error {
-	config, err := x.read()
+func serve(ctx context.Context, f *operatorconfig.File, x *fleetServices, log *slog.Logger) error {
+	config, err := x.readConfig()
 	if err != nil {
 		return err
 	}
@@ -81,10 +81,10 @@
 	if err != nil {
 		return err
 	}
-	h.FleetOverrides, h.Fleet, h.Limiter, h.ReadConfig = x.shared, x.fleet, x.limits, x.read
-	if x.figure != nil && h.Management != nil {
+	h.FleetOverrides, h.Fleet, h.Limiter, h.ReadConfig = x.overrides, x.fleet, x.limiter, x.readConfig
+	if x.setAnswerCounter != nil && h.Management != nil {
 		at := h.Management.Addr().String()
-		x.figure(func() (uint64, uint64, error) { return answered(at) })
+		x.setAnswerCounter(func() (uint64, uint64, error) { return answerCounts(at) })
 	}
 	if f.StateSnapshot != nil {
 		if err := os.MkdirAll(f.StateSnapshot.Dir, 0o755); err != nil {
@@ -139,8 +139,8 @@
 	}, nil
 }
 
-// answered asks a sidecar's second address what its clients were answered: served, or refused and failed.
-func answered(at string) (served, not uint64, err error) {
+// answerCounts asks a sidecar's second address what its clients were answered: served, or refused and failed.
+func answerCounts(at string) (served, not uint64, err error) {
 	c, err := net.DialTimeout("tcp", at, time.Second)
 	if err != nil {
 		return 0, 0, err
--- a/cmd/birchmoor/sidecar_test.go
+++ b/cmd/birchmoor/sidecar_test.go
@@ -17,14 +17,14 @@
 	"birchmoor/internal/testutil/processtest"
 )
 
-const settingsOfOne = `{"peers-total":1,"areas":["a"],"skus":["m"],"discovery":"automatic",
+const singleSidecarSettings = `{"peers-total":1,"areas":["a"],"skus":["m"],"discovery":"automatic",
 	"classes":[{"name":"look","repeat":"pure","target":500000,"give-up":1000000,"credit":1.0}],
 	"contract":{"drain-grace":250000,"cold-from":0.2,"ramp-time":10000000,"fall-multiple":2.5,"overload-for":2000000,
 	"ask-within":10000000},"limits":{"cancel":true,"probes":false,"most-tries":3,"most-held":1000,"dial-timeout":1000000},
 	"reporting":{"how":"none"},"tenants":[{"name":"acme","allowance-per-s":100.0,"share":1.0}]}`
 
-// program runs the sidecar as a process of its own, and returns its address, its log and what kills it.
-func program(t *testing.T, operatorFile, server string) (addr string, log *processtest.Log, kill func()) {
+// startSidecar runs the sidecar as a process of its own, and returns its address, its log and what kills it.
+func startSidecar(t *testing.T, operatorFile, server string) (addr string, log *processtest.Log, kill func()) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -39,11 +39,11 @@
 	defer file.Close()
 	config, err := json.Marshal(map[string]any{"name": "n0", "listen": addr, "discovery": "127.0.0.1:1", "seed": "8c1f30d27a5be964",
 		"known": discovery.List{Generation: 1, Reset: true, Instances: []discovery.Instance{{ID: "s-1", Addr: server, Zone: "a", Kind: "m",
-			Cell: 1, Lifecycle: "up", Weight: 1}}}, "settings": json.RawMessage(settingsOfOne)})
+			Cell: 1, Lifecycle: "up", Weight: 1}}}, "settings": json.RawMessage(singleSidecarSettings)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	cmd := processtest.Self(t, []string{asProgram + "=1", "ROUTER_CONFIG=" + write(t, "config.json", string(config)), "ROUTER_FD=3",
+	cmd := processtest.Self(t, []string{asProgramEnv + "=1", "ROUTER_CONFIG=" + writeFile(t, "config.json", string(config)), "ROUTER_FD=3",
 		"TMPDIR=" + t.TempDir()}, "sidecar", "--operator", operatorFile)
 	cmd.ExtraFiles, log = []*os.File{file}, &processtest.Log{}
 	p := processtest.Start(t, cmd, log)
@@ -67,7 +67,7 @@
 	if err := os.WriteFile(op, []byte("[keep]\ndir = \"state\"\n[capture]\ndir = \"captures\"\nsegment = \"1s\"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	addr, log, kill := program(t, op, strings.TrimPrefix(server.URL, "http://"))
+	addr, log, kill := startSidecar(t, op, strings.TrimPrefix(server.URL, "http://"))
 	client := http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	frames := func() int64 {
@@ -110,7 +110,7 @@
 	if strings.Contains(out, "differences") || code != 0 && !strings.Contains(out, ": cut:") || !strings.Contains(out, "segments") {
 		t.Errorf("exit %d\n%s\n%s", code, out, errs)
 	}
-	_, log, kill = program(t, op, strings.TrimPrefix(server.URL, "http://"))
+	_, log, kill = startSidecar(t, op, strings.TrimPrefix(server.URL, "http://"))
 	kill()
 	if !strings.Contains(log.String(), "restored the state of an earlier process") || !strings.Contains(log.String(), "endpoints=1 of=1") {
 		t.Errorf("the log:\n%s", log)
@@ -118,8 +118,8 @@
 }
 
 func TestSidecarNamesWhatIsWrong(t *testing.T) {
-	code, _, errs := birchmoor("sidecar", "--operator", write(t, "op.toml", "[capture]\ndirr = \"x\"\n"))
-	if code != exitInput || !strings.Contains(errs, ":2: capture.dirr") {
+	code, _, errs := birchmoor("sidecar", "--operator", writeFile(t, "op.toml", "[capture]\ndirr = \"x\"\n"))
+	if code != exitUsage || !strings.Contains(errs, ":2: capture.dirr") {
 		t.Errorf("exit %d: %s", code, errs)
 	}
 }
--- a/cmd/birchmoor/store_test.go
+++ b/cmd/birchmoor/store_test.go
@@ -15,15 +15,15 @@
 	"birchmoor/internal/testutil/processtest"
 )
 
-// replicaUnderTest runs a replica in this process until the test ends or stop is called.
-type replicaUnderTest struct {
+// testDaemon runs a replica in this process until the test ends or stop is called.
+type testDaemon struct {
 	file, socket, address string
 	stop                  func()
 }
 
-func newDaemon(t *testing.T, dir, name string, join bool, more ...string) *replicaUnderTest {
+func newTestDaemon(t *testing.T, dir, name string, join bool, more ...string) *testDaemon {
 	t.Helper()
-	d := &replicaUnderTest{file: filepath.Join(dir, name+".toml"), socket: filepath.Join(dir, name+".sock"), address: processtest.Address(t)}
+	d := &testDaemon{file: filepath.Join(dir, name+".toml"), socket: filepath.Join(dir, name+".sock"), address: processtest.Address(t)}
 	text := fmt.Sprintf("[store]\nname = %q\ndir = %q\nsocket = %q\nlisten = %q\nplain = true\njoin = %v\ntick = \"10ms\"\n",
 		name, filepath.Join(dir, name), d.socket, d.address, join)
 	if err := os.WriteFile(d.file, []byte(text+strings.Join(more, "")), 0o600); err != nil {
@@ -37,7 +37,7 @@
 	return d
 }
 
-func (d *replicaUnderTest) start(t *testing.T) {
+func (d *testDaemon) start(t *testing.T) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan int, 1)
@@ -48,59 +48,59 @@
 		<-ended
 		d.stop = nil
 	}
-	d.until(t, "is up", func() bool { code, _, _ := d.say("status"); return code == 0 })
+	d.until(t, "is up", func() bool { code, _, _ := d.runStore("status"); return code == 0 })
 }
 
 // until waits for what must come.
-func (d *replicaUnderTest) until(t *testing.T, what string, done func() bool) {
+func (d *testDaemon) until(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	processtest.Until(t, d.file+": "+what, done)
 }
 
-// say runs a command of the store's at this daemon.
-func (d *replicaUnderTest) say(args ...string) (code int, out, errs string) {
+// runStore runs a command of the store's at this daemon.
+func (d *testDaemon) runStore(args ...string) (code int, out, errs string) {
 	var o, e bytes.Buffer
 	code = run(context.Background(), append(append([]string{"store"}, args...), "--socket", d.socket), &o, &e)
 	return code, o.String(), e.String()
 }
 
-func (d *replicaUnderTest) must(t *testing.T, args ...string) string {
+func (d *testDaemon) mustRunStore(t *testing.T, args ...string) string {
 	t.Helper()
-	code, out, errs := d.say(args...)
+	code, out, errs := d.runStore(args...)
 	if code != 0 {
 		t.Fatalf("%v: exit code %d, %s", args, code, errs)
 	}
 	return strings.TrimSpace(out)
 }
 
-// A write without a quorum ends by its time, with exit code 2 and the word that its outcome is unknown; said again with
-// its request's id, it is made once.
+// A write without a quorum ends by its time, with exit code 2 and the word that its outcome is unknown; said again
+// with its request's id, it is made once.
 func TestWriteWithoutQuorum(t *testing.T) {
 	dir := t.TempDir()
-	a, b := newDaemon(t, dir, "a", false), newDaemon(t, dir, "b", true)
+	a, b := newTestDaemon(t, dir, "a", false), newTestDaemon(t, dir, "b", true)
 	a.start(t)
 	b.start(t)
-	a.until(t, "a first write", func() bool { code, _, _ := a.say("put", "k", "0"); return code == 0 })
-	a.must(t, "add", "b", b.address)
+	a.until(t, "a first write", func() bool { code, _, _ := a.runStore("put", "k", "0"); return code == 0 })
+	a.mustRunStore(t, "add", "b", b.address)
 	a.until(t, "b's vote", func() bool {
-		_, out, _ := a.say("members")
-		_, status, _ := a.say("status")
+		_, out, _ := a.runStore("members")
+		_, status, _ := a.runStore("status")
 		return strings.Count(out, "votes")+strings.Count(out, "leads") == 2 && regexp.MustCompile(`members settled +true`).MatchString(status)
 	})
-	// A machine that is busy may let the leader step down before the write reaches it: then nothing was changed, and it is
-	// tried again.
-	var x failure
+	// A machine that is busy may let the leader step down before the write reaches it: then nothing was changed,
+	// and it is tried again.
+	var x changeFailure
 	var errs string
 	for try := 0; x.Outcome != "unknown" && try < 20; try++ {
 		if try > 0 {
 			b.start(t)
-			a.until(t, "a leader", func() bool { code, _, _ := a.say("put", "other", "0"); return code == 0 })
+			a.until(t, "a leader", func() bool { code, _, _ := a.runStore("put", "other", "0"); return code == 0 })
 		}
 		b.stop()
 		var code int
 		var out string
-		code, out, errs = a.say("put", "k", "1", "--timeout", "300ms", "--json")
-		if err := json.Unmarshal([]byte(out), &x); err != nil || code != exitInput {
+		code, out, errs = a.runStore("put", "k", "1", "--timeout", "300ms", "--json")
+		if err := json.Unmarshal([]byte(out), &x); err != nil || code != exitUsage {
 			t.Fatalf("exit code %d, %q, %s", code, out, errs)
 		}
 		if x.Outcome == "unchanged" && !strings.Contains(errs, "nothing was changed") {
@@ -112,15 +112,15 @@
 	}
 	b.start(t)
 	a.until(t, "the write", func() bool {
-		code, _, _ := a.say("put", "k", "1", "--request", x.Request)
+		code, _, _ := a.runStore("put", "k", "1", "--request", x.Request)
 		return code == 0
 	})
-	if out := a.must(t, "get", "k"); !strings.Contains(out, "1") {
+	if out := a.mustRunStore(t, "get", "k"); !strings.Contains(out, "1") {
 		t.Error(out)
 	}
-	revision := func() string { return strings.Fields(a.must(t, "get", "k"))[2] }
+	revision := func() string { return strings.Fields(a.mustRunStore(t, "get", "k"))[2] }
 	before := revision()
-	a.must(t, "put", "k", "1", "--request", x.Request)
+	a.mustRunStore(t, "put", "k", "1", "--request", x.Request)
 	if got := revision(); got != before {
 		t.Errorf("made twice: revision %s, then %s", before, got)
 	}
@@ -128,12 +128,12 @@
 
 // What the daemon refuses, or a daemon that is not there, changes nothing, and is said so.
 func TestWriteThatChangesNothing(t *testing.T) {
-	a := newDaemon(t, t.TempDir(), "a", false)
-	if code, _, errs := a.say("put", "k", "1"); code != exitInput || !strings.Contains(errs, "nothing was changed") {
+	a := newTestDaemon(t, t.TempDir(), "a", false)
+	if code, _, errs := a.runStore("put", "k", "1"); code != exitUsage || !strings.Contains(errs, "nothing was changed") {
 		t.Errorf("without a daemon: exit code %d, %s", code, errs)
 	}
 	a.start(t)
-	a.until(t, "a first write", func() bool { code, _, _ := a.say("put", "k", "0"); return code == 0 })
+	a.until(t, "a first write", func() bool { code, _, _ := a.runStore("put", "k", "0"); return code == 0 })
 	for _, args := range [][]string{
 		{"put", "k", "1", "--lease", "99"},
 		{"lease", "renew", "99"},
@@ -141,48 +141,48 @@
 		{"put", "k", "1", "--timeout", "0s"},
 		{"put", "", "1"},
 	} {
-		if code, _, errs := a.say(args...); code != exitInput || errs == "" {
+		if code, _, errs := a.runStore(args...); code != exitUsage || errs == "" {
 			t.Errorf("%v: exit code %d, %s", args, code, errs)
 		}
 	}
-	if code, _, _ := a.say("put", "k", "1", "--if", "12345"); code != exitMissed {
+	if code, _, _ := a.runStore("put", "k", "1", "--if", "12345"); code != exitFailure {
 		t.Errorf("a condition that does not hold: exit code %d", code)
 	}
-	if got := a.must(t, "get", "k"); !strings.Contains(got, "0") {
+	if got := a.mustRunStore(t, "get", "k"); !strings.Contains(got, "0") {
 		t.Error(got)
 	}
 }
 
 // A lease's keys go with it: when it is ended, and when nobody renews it.
 func TestLeases(t *testing.T) {
-	a := newDaemon(t, t.TempDir(), "a", false)
+	a := newTestDaemon(t, t.TempDir(), "a", false)
 	a.start(t)
-	a.until(t, "a first write", func() bool { code, _, _ := a.say("put", "other", "0"); return code == 0 })
-	long, short := a.must(t, "lease", "grant", "1h"), a.must(t, "lease", "grant", "1s")
-	a.must(t, "put", "hosts/a", "up", "--lease", long)
-	a.must(t, "put", "hosts/b", "up", "--lease", short)
-	if out := a.must(t, "lease", "list"); !strings.Contains(out, "hosts/a") || !strings.Contains(out, "1h0m0s") {
+	a.until(t, "a first write", func() bool { code, _, _ := a.runStore("put", "other", "0"); return code == 0 })
+	long, short := a.mustRunStore(t, "lease", "grant", "1h"), a.mustRunStore(t, "lease", "grant", "1s")
+	a.mustRunStore(t, "put", "hosts/a", "up", "--lease", long)
+	a.mustRunStore(t, "put", "hosts/b", "up", "--lease", short)
+	if out := a.mustRunStore(t, "lease", "list"); !strings.Contains(out, "hosts/a") || !strings.Contains(out, "1h0m0s") {
 		t.Error(out)
 	}
-	a.must(t, "lease", "renew", long)
-	a.until(t, "the end of the silent one", func() bool { code, _, _ := a.say("get", "hosts/b"); return code == exitMissed })
-	a.must(t, "get", "hosts/a")
-	a.must(t, "lease", "end", long)
-	if code, _, _ := a.say("get", "hosts/a"); code != exitMissed {
+	a.mustRunStore(t, "lease", "renew", long)
+	a.until(t, "the end of the silent one", func() bool { code, _, _ := a.runStore("get", "hosts/b"); return code == exitFailure })
+	a.mustRunStore(t, "get", "hosts/a")
+	a.mustRunStore(t, "lease", "end", long)
+	if code, _, _ := a.runStore("get", "hosts/a"); code != exitFailure {
 		t.Errorf("its key outlives a lease: exit code %d", code)
 	}
-	if out := a.must(t, "lease", "list", "--json"); strings.Contains(out, "hosts/") || strings.Contains(out, "3600000") {
+	if out := a.mustRunStore(t, "lease", "list", "--json"); strings.Contains(out, "hosts/") || strings.Contains(out, "3600000") {
 		t.Error(out) // the daemon's own stays
 	}
-	a.must(t, "get", "other")
+	a.mustRunStore(t, "get", "other")
 }
 
 // What the control plane cost is shown by purpose, and as JSON with the same figures or later ones.
 func TestMeter(t *testing.T) {
-	a := newDaemon(t, t.TempDir(), "a", false)
+	a := newTestDaemon(t, t.TempDir(), "a", false)
 	a.start(t)
-	a.until(t, "a write", func() bool { code, _, _ := a.say("put", "out/ban/x", "{}"); return code == 0 })
-	table := a.must(t, "meter")
+	a.until(t, "a write", func() bool { code, _, _ := a.runStore("put", "out/ban/x", "{}"); return code == 0 })
+	table := a.mustRunStore(t, "meter")
 	for _, row := range []string{`(?m)^PURPOSE +MESSAGES IN +BYTES IN +MESSAGES OUT`, `(?m)^words +0 +0 +0 +0 +[1-9]\d* +[1-9]\d* +[1-9]\d*$`, `(?m)^pictures( +0){7}$`,
 		`(?m)^connections \(\d+ opened\)`, `(?m)^log +[1-9]\d* +[1-9]\d*$`, `(?m)^copy +0 +0$`, `(?m)^seconds +\d+\.\d$`, `(?m)^cpu user seconds +\d`,
 		`(?m)^resident bytes +[1-9]`, `(?m)^descriptors +[1-9]`} {
@@ -191,7 +191,7 @@
 		}
 	}
 	var r usage.Reading
-	if err := json.Unmarshal([]byte(a.must(t, "meter", "--json")), &r); err != nil {
+	if err := json.Unmarshal([]byte(a.mustRunStore(t, "meter", "--json")), &r); err != nil {
 		t.Fatal(err)
 	}
 	if w := r.Purposes[usage.ServerReports]; w.Purpose != "words" || w.Applied == 0 || w.AppliedBytes == 0 || r.Seconds <= 0 || r.Process.Goroutines == 0 ||
@@ -199,7 +199,7 @@
 		t.Errorf("%+v", r)
 	}
 	a.stop()
-	if code, _, errs := a.say("meter"); code != exitInput || errs == "" {
+	if code, _, errs := a.runStore("meter"); code != exitUsage || errs == "" {
 		t.Errorf("of nobody: exit code %d, %q", code, errs)
 	}
 }
--- a/cmd/birchmoor/storebench.go
+++ b/cmd/birchmoor/storebench.go
@@ -12,17 +12,17 @@
 )
 
 type storeBench struct {
-	Dir     string        `help:"Folder for the disks." default:"." type:"existingdir"`
-	For     time.Duration `help:"Each figure." default:"3s"`
-	Writers []int         `help:"At once." default:"1,16,256"`
-	Bytes   int           `help:"Of a value." default:"100"`
-	CatchUp int           `help:"Megabytes that an empty replica is given; 0 for not at all." placeholder:"MB"`
-	Million int           `help:"Writes after which memory and disk are told; 0 for not at all." placeholder:"N"`
-	JSON    bool          `help:"As JSON."`
+	Dir      string        `help:"Folder for the disks." default:"." type:"existingdir"`
+	Duration time.Duration `name:"for" help:"Each figure." default:"3s"`
+	Writers  []int         `help:"At once." default:"1,16,256"`
+	Bytes    int           `help:"Of a value." default:"100"`
+	CatchUp  int           `help:"Megabytes that an empty replica is given; 0 for not at all." placeholder:"MB"`
+	Million  int           `help:"Writes after which memory and disk are told; 0 for not at all." placeholder:"N"`
+	JSON     bool          `help:"As JSON."`
 }
 
 func (k *storeBench) Run(ctx context.Context, c *console) error {
-	r, err := storebench.Run(ctx, storebench.Options{Dir: k.Dir, For: k.For, Writers: k.Writers, Bytes: k.Bytes, CatchUp: k.CatchUp,
+	r, err := storebench.Run(ctx, storebench.Options{Dir: k.Dir, For: k.Duration, Writers: k.Writers, Bytes: k.Bytes, CatchUp: k.CatchUp,
 		Million: k.Million, Say: func(s string) { fmt.Fprintln(c.err, "measuring:", s) }})
 	if err != nil {
 		return err
@@ -48,12 +48,12 @@
 }
 
 type storeTorture struct {
-	Dir     string        `help:"Folder for what it writes." default:"." type:"existingdir"`
-	For     time.Duration `help:"Long." default:"1m"`
-	Every   time.Duration `help:"A kill." default:"2s"`
-	Writers int           `help:"At once, with a reader each." default:"8"`
-	Seed    uint64        `help:"Of who is killed." default:"1"`
-	JSON    bool          `help:"As JSON."`
+	Dir          string        `help:"Folder for what it writes." default:"." type:"existingdir"`
+	Duration     time.Duration `name:"for" help:"Long." default:"1m"`
+	KillInterval time.Duration `name:"every" help:"A kill." default:"2s"`
+	Writers      int           `help:"At once, with a reader each." default:"8"`
+	Seed         uint64        `help:"Of who is killed." default:"1"`
+	JSON         bool          `help:"As JSON."`
 }
 
 func (k *storeTorture) Run(ctx context.Context, c *console) error {
@@ -61,7 +61,7 @@
 	if err != nil {
 		return err
 	}
-	t := storebench.Torture{Program: self, Args: []string{"run", "--config"}, Dir: k.Dir, For: k.For, Every: k.Every, Writers: k.Writers,
+	t := storebench.Torture{Program: self, Args: []string{"run", "--config"}, Dir: k.Dir, For: k.Duration, Every: k.KillInterval, Writers: k.Writers,
 		Seed: k.Seed, Say: func(s string) { fmt.Fprintln(c.err, s) }}
 	r, err := t.Run(ctx)
 	if err != nil {
@@ -76,7 +76,7 @@
 			r.Unknown, r.Reads, r.Lost)
 	}
 	if len(r.Lost) > 0 {
-		return errMissed
+		return errRunFailed
 	}
 	return nil
 }
--- a/cmd/birchmoor/storeclient.go
+++ b/cmd/birchmoor/storeclient.go
@@ -15,28 +15,28 @@
 	"birchmoor/internal/store/admin"
 )
 
-type socketFlag struct {
+type clientFlags struct {
 	Socket  string        `help:"Socket of a running daemon." default:"store.sock" env:"BIRCHMOOR_STORE" placeholder:"PATH"`
 	JSON    bool          `help:"As JSON."`
 	Timeout time.Duration `help:"Wait for an answer for so long at most." default:"10s"`
 }
 
 const (
-	timeoutLeast = 50 * time.Millisecond
-	timeoutMost  = 10 * time.Minute
-	wordSlack    = 500 * time.Millisecond // for the daemon's own word that it has waited for so long
-	sayAfter     = time.Second
+	minTimeout      = 50 * time.Millisecond
+	maxTimeout      = 10 * time.Minute
+	timeoutSlack    = 500 * time.Millisecond // for the daemon's own word that it has waited for so long
+	waitNoticeDelay = time.Second
 )
 
 // call asks the daemon, for at most the time that was given, and says on standard error that it waits if that takes
 // long.
-func (s *socketFlag) call(ctx context.Context, c *console, f func(context.Context, *adminapi.Client) error) error {
-	if s.Timeout < timeoutLeast || s.Timeout > timeoutMost {
-		return fmt.Errorf("--timeout: %v is not within %v and %v", s.Timeout, timeoutLeast, timeoutMost)
+func (s *clientFlags) call(ctx context.Context, c *console, f func(context.Context, *adminapi.Client) error) error {
+	if s.Timeout < minTimeout || s.Timeout > maxTimeout {
+		return fmt.Errorf("--timeout: %v is not within %v and %v", s.Timeout, minTimeout, maxTimeout)
 	}
-	ctx, cancel := context.WithTimeout(ctx, s.Timeout+wordSlack)
+	ctx, cancel := context.WithTimeout(ctx, s.Timeout+timeoutSlack)
 	defer cancel()
-	say := time.AfterFunc(sayAfter, func() {
+	say := time.AfterFunc(waitNoticeDelay, func() {
 		fmt.Fprintf(c.err, "birchmoor: no answer yet; waiting for %v in all\n", s.Timeout)
 	})
 	defer say.Stop()
@@ -45,18 +45,18 @@
 	return f(ctx, a)
 }
 
-// failure is what --json prints of a change that was not seen to be made.
-type failure struct {
+// changeFailure is what --json prints of a change that was not seen to be made.
+type changeFailure struct {
 	Error   string `json:"error"`
 	Outcome string `json:"outcome"` // "unchanged" or "unknown"
 	Request string `json:"request,omitempty"`
 }
 
-// failed says what an error means for a change: that nothing was changed, or that it is not known whether. request, if
-// it is not empty, is what to say again.
-func (s *socketFlag) failed(ctx context.Context, c *console, err error, request string) error {
+// changeFailed says what an error means for a change: that nothing was changed, or that it is not known whether.
+// request, if it is not empty, is what to say again.
+func (s *clientFlags) changeFailed(ctx context.Context, c *console, err error, request string) error {
 	var told *admin.ResponseError
-	x := failure{Error: err.Error(), Outcome: "unchanged"}
+	x := changeFailure{Error: err.Error(), Outcome: "unchanged"}
 	switch {
 	case errors.As(err, &told) && told.OutcomeUnknown != nil, told == nil && ctx.Err() != nil:
 		// The daemon sent it on and heard nothing, or did not even answer us.
@@ -76,7 +76,7 @@
 	return err
 }
 
-func (s *socketFlag) print(c *console, v any, table func(*tabwriter.Writer)) error {
+func (s *clientFlags) print(c *console, v any, table func(*tabwriter.Writer)) error {
 	if s.JSON {
 		e := json.NewEncoder(c.out)
 		e.SetIndent("", " ")
@@ -87,11 +87,11 @@
 	return w.Flush()
 }
 
-type requestFlag struct {
+type requestFlags struct {
 	Request string `help:"Id of a request whose outcome is unknown: it is made once." placeholder:"ID"`
 }
 
-func (r requestFlag) id() (id store.RequestID, err error) {
+func (r requestFlags) id() (id store.RequestID, err error) {
 	if r.Request == "" {
 		return id, nil
 	}
@@ -102,7 +102,7 @@
 }
 
 // change makes a change, and prints a note if its outcome is unknown.
-func (s *socketFlag) change(ctx context.Context, c *console, r admin.ChangeRequest, table func(*tabwriter.Writer, admin.ChangeResponse)) error {
+func (s *clientFlags) change(ctx context.Context, c *console, r admin.ChangeRequest, table func(*tabwriter.Writer, admin.ChangeResponse)) error {
 	if r.ID == (store.RequestID{}) {
 		var b [8]byte
 		if _, err := rand.Read(b[:]); err != nil {
@@ -113,7 +113,7 @@
 	return s.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
 		x, err := a.Change(ctx, r)
 		if err != nil {
-			return s.failed(ctx, c, err, fmt.Sprintf("%d-%d", r.ID.Client, r.ID.Seq))
+			return s.changeFailed(ctx, c, err, fmt.Sprintf("%d-%d", r.ID.Client, r.ID.Seq))
 		}
 		return s.print(c, x, func(w *tabwriter.Writer) { table(w, x) })
 	})
--- a/cmd/birchmoor/storefleet.go
+++ b/cmd/birchmoor/storefleet.go
@@ -17,33 +17,33 @@
 }
 
 type fleetFlags struct {
-	Dir      string `help:"Folder for what it writes." default:"." type:"existingdir"`
-	Replicas int    `help:"Daemons with a replica." default:"3"`
-	Follow   int    `help:"Daemons that follow them." default:"2"`
-	Servers  int    `help:"Slot servers." default:"6"`
-	Seed     uint64 `help:"Of what happens." default:"1"`
-	JSON     bool   `help:"As JSON."`
+	Dir       string `help:"Folder for what it writes." default:"." type:"existingdir"`
+	Replicas  int    `help:"Daemons with a replica." default:"3"`
+	Followers int    `name:"follow" help:"Daemons that follow them." default:"2"`
+	Servers   int    `help:"Slot servers." default:"6"`
+	Seed      uint64 `help:"Of what happens." default:"1"`
+	JSON      bool   `help:"As JSON."`
 }
 
-// begin starts a fleet of this program's daemons.
-func (k *fleetFlags) begin(ctx context.Context) (*fleetlab.Fleet, error) {
+// start starts a fleet of this program's daemons.
+func (k *fleetFlags) start(ctx context.Context) (*fleetlab.Fleet, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	if k.Replicas < 1 || k.Replicas > 9 || k.Follow < 0 || k.Follow > 400 || k.Servers < 2 || k.Servers > 1000 {
-		return nil, fmt.Errorf("1 to 9 replicas, up to 400 followers, 2 to 1000 servers: not %d, %d, %d", k.Replicas, k.Follow, k.Servers)
+	if k.Replicas < 1 || k.Replicas > 9 || k.Followers < 0 || k.Followers > 400 || k.Servers < 2 || k.Servers > 1000 {
+		return nil, fmt.Errorf("1 to 9 replicas, up to 400 followers, 2 to 1000 servers: not %d, %d, %d", k.Replicas, k.Followers, k.Servers)
 	}
 	return fleetlab.Begin(ctx, fleetlab.Config{Program: self, Args: []string{"run", "--config"}, Dir: k.Dir, Replicas: k.Replicas,
-		Follow: k.Follow, Servers: k.Servers, Starts: true, Seed: k.Seed})
+		Follow: k.Followers, Servers: k.Servers, Starts: true, Seed: k.Seed})
 }
 
 type fleetTorture struct {
 	fleetFlags
-	For   time.Duration `help:"Long." default:"2m"`
-	Every time.Duration `help:"A blow, on average." default:"4s"`
-	Conns int           `help:"Clients' connections to each daemon." default:"4"`
-	Pause time.Duration `help:"Between two requests of a connection." default:"10ms"`
+	Duration      time.Duration `name:"for" help:"Long." default:"2m"`
+	FaultInterval time.Duration `name:"every" help:"A blow, on average." default:"4s"`
+	Conns         int           `help:"Clients' connections to each daemon." default:"4"`
+	Pause         time.Duration `help:"Between two requests of a connection." default:"10ms"`
 }
 
 func (k *fleetTorture) Help() string {
@@ -54,14 +54,14 @@
 }
 
 func (k *fleetTorture) Run(ctx context.Context, c *console) error {
-	f, err := k.begin(ctx)
+	f, err := k.start(ctx)
 	if err != nil {
 		return err
 	}
 	defer f.End()
 	load, stop := context.WithCancel(ctx)
 	clients := f.Load(load, k.Conns, k.Pause)
-	t := fleetlab.Torture{Fleet: f, For: k.For, Every: k.Every, Seed: k.Seed, Say: func(s string) { fmt.Fprintln(c.err, s) }}
+	t := fleetlab.Torture{Fleet: f, For: k.Duration, Every: k.FaultInterval, Seed: k.Seed, Say: func(s string) { fmt.Fprintln(c.err, s) }}
 	r, err := t.Run(ctx)
 	stop()
 	clients.Wait()
@@ -82,18 +82,18 @@
 		}
 	}
 	if r.Stale+r.Late+r.Never > 0 {
-		return errMissed
+		return errRunFailed
 	}
 	return nil
 }
 
 type fleetMeasure struct {
 	fleetFlags
-	Words  int   `help:"Words of discovery and of operators whose way to all is measured; 0 for none." default:"1000"`
-	Starts int   `help:"Starts of each kind; 0 for none." default:"10"`
-	Writes []int `help:"Daemons at which the store's writes are counted." default:"3,20,80"`
-	Known  int   `help:"Servers that the store knows when daemons catch up; 0 for not at all." default:"10000"`
-	Cost   int   `help:"Pairs of runs at full load, with the store and without; 0 for none." default:"5"`
+	Reports      int   `name:"words" help:"Words of discovery and of operators whose way to all is measured; 0 for none." default:"1000"`
+	Starts       int   `help:"Starts of each kind; 0 for none." default:"10"`
+	Writes       []int `help:"Daemons at which the store's writes are counted." default:"3,20,80"`
+	KnownServers int   `name:"known" help:"Servers that the store knows when daemons catch up; 0 for not at all." default:"10000"`
+	CostPairs    int   `name:"cost" help:"Pairs of runs at full load, with the store and without; 0 for none." default:"5"`
 }
 
 func (k *fleetMeasure) Help() string {
@@ -104,8 +104,8 @@
   birchmoor store fleet measure --words 1000 --starts 10 --writes 3,20,80`
 }
 
-// measured is all of it.
-type measured struct {
+// fleetMeasurements is all of it.
+type fleetMeasurements struct {
 	Words  []fleetlab.Told    `json:"words,omitempty"`
 	Starts []fleetlab.Began   `json:"starts,omitempty"`
 	Writes []fleetlab.Writing `json:"writes,omitempty"`
@@ -114,17 +114,17 @@
 }
 
 func (k *fleetMeasure) Run(ctx context.Context, c *console) error {
-	var m measured
+	var m fleetMeasurements
 	say := func(s string) { fmt.Fprintln(c.err, "measured:", s) }
-	if k.Words > 0 || k.Starts > 0 || k.Known > 0 || k.Cost > 0 {
-		if err := k.fleet(ctx, &m, say); err != nil {
+	if k.Reports > 0 || k.Starts > 0 || k.KnownServers > 0 || k.CostPairs > 0 {
+		if err := k.measureFleet(ctx, &m, say); err != nil {
 			return err
 		}
 	}
 	for _, n := range k.Writes {
 		o := k.fleetFlags
-		o.Replicas, o.Follow = min(k.Replicas, n), max(0, n-k.Replicas)
-		f, err := o.begin(ctx)
+		o.Replicas, o.Followers = min(k.Replicas, n), max(0, n-k.Replicas)
+		f, err := o.start(ctx)
 		if err != nil {
 			return err
 		}
@@ -163,20 +163,20 @@
 	return w.Flush()
 }
 
-// fleet measures words and starts.
-func (k *fleetMeasure) fleet(ctx context.Context, m *measured, say func(string)) error {
-	f, err := k.begin(ctx)
+// measureFleet measures words and starts.
+func (k *fleetMeasure) measureFleet(ctx context.Context, m *fleetMeasurements, say func(string)) error {
+	f, err := k.start(ctx)
 	if err != nil {
 		return err
 	}
 	defer f.End()
 	load, stop := context.WithCancel(ctx)
 	defer stop()
-	if k.Words > 0 {
+	if k.Reports > 0 {
 		clients := f.Load(load, 4, 5*time.Millisecond)
 		time.Sleep(2 * time.Second)
 		for _, operators := range []bool{false, true} {
-			t, err := f.Words(ctx, k.Words, operators, say)
+			t, err := f.Words(ctx, k.Reports, operators, say)
 			if err != nil {
 				return err
 			}
@@ -190,15 +190,15 @@
 			return err
 		}
 	}
-	if k.Cost > 0 {
-		cost, err := f.Cost(ctx, k.Cost, 3*time.Second)
+	if k.CostPairs > 0 {
+		cost, err := f.Cost(ctx, k.CostPairs, 3*time.Second)
 		if m.Cost = &cost; err != nil {
 			return err
 		}
 		say("cost")
 	}
-	if k.Known > 0 {
-		caught, err := f.CatchUp(ctx, k.Known)
+	if k.KnownServers > 0 {
+		caught, err := f.CatchUp(ctx, k.KnownServers)
 		if m.Caught = &caught; err != nil {
 			return err
 		}
--- a/cmd/birchmoor/storefollower_test.go
+++ b/cmd/birchmoor/storefollower_test.go
@@ -13,8 +13,9 @@
 	"birchmoor/internal/lab/fleetlab"
 )
 
-// A daemon without a replica starts with what others know: with an empty disk from a replica, and from its own disk once none
-// can be reached; and it says so. What drains by their word is sent nothing, though its own list says that it serves.
+// A daemon without a replica starts with what others know: with an empty disk from a replica, and from its own disk
+// once none can be reached; and it says so. What drains by their word is sent nothing, though its own list says
+// that it serves.
 func TestAFollowerStartsWithWhatOthersKnow(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
@@ -22,7 +23,7 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
-	f, err := fleetlab.Begin(ctx, fleetlab.Config{Program: self, Args: []string{"run", "--config"}, Env: []string{asProgram + "=1"},
+	f, err := fleetlab.Begin(ctx, fleetlab.Config{Program: self, Args: []string{"run", "--config"}, Env: []string{asProgramEnv + "=1"},
 		Dir: t.TempDir(), Replicas: 1, Follow: 1, Servers: 3, Starts: true, Seed: 1, Wait: time.Minute})
 	if err != nil {
 		t.Fatal(err)
@@ -84,7 +85,7 @@
 		t.Errorf("a follower changed the settings: %d %s", code, errs)
 	}
 	for kept := false; !kept; { // its file is written a moment after the copy came
-		kept = slices.Contains(files(t, b.Dir()), "copy")
+		kept = slices.Contains(fileNames(t, b.Dir()), "copy")
 	}
 	a.Kill()
 	start("no replica to be reached", "own disk")
@@ -97,7 +98,7 @@
 	}
 }
 
-func files(t *testing.T, dir string) (names []string) {
+func fileNames(t *testing.T, dir string) (names []string) {
 	all, err := os.ReadDir(dir)
 	if err != nil && !os.IsNotExist(err) {
 		t.Fatal(err)
--- a/cmd/birchmoor/storefollowerload_test.go
+++ b/cmd/birchmoor/storefollowerload_test.go
@@ -33,8 +33,8 @@
 	"birchmoor/internal/testutil/processtest"
 )
 
-// counting forwards connections to an address, and counts the bytes that pass.
-func counting(b *testing.B, to string, down, up *atomic.Int64) string {
+// countingProxy forwards connections to an address, and counts the bytes that pass.
+func countingProxy(b *testing.B, to string, down, up *atomic.Int64) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -69,15 +69,16 @@
 	return ln.Addr().String()
 }
 
-func cpu() time.Duration {
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkFollowers counts what a follower costs: the daemon's parts of one replica and of so many followers in this process, without
-// sidecars. Each tells a new want as often as it may, and a picture of 15 KB as often as it may. FOLLOWERS and FOR are the sizes and the
-// time that is measured; INTEREST goes into the followers' operator files.
+// BenchmarkFollowers counts what a follower costs: the daemon's parts of one replica and of so many followers in
+// this process, without sidecars. Each tells a new want as often as it may, and a picture of 15 KB as often as it
+// may. FOLLOWERS and FOR are the sizes and the time that is measured; INTEREST goes into the followers' operator
+// files.
 //
 //	go test -run - -bench Followers -benchtime 1x ./cmd/birchmoor
 func BenchmarkFollowers(b *testing.B) {
@@ -102,7 +103,7 @@
 }
 
 // openDaemon starts a daemon of this process, without a sidecar; more is of its [store].
-func openDaemon(tb testing.TB, dir, name, more string, log *slog.Logger) (x *extras, end func()) {
+func openDaemon(tb testing.TB, dir, name, more string, log *slog.Logger) (x *fleetServices, end func()) {
 	tb.Helper()
 	file := filepath.Join(dir, name+".toml")
 	text := fmt.Sprintf("[store]\nname = %q\ndir = %q\nsocket = %q\nplain = true\n%s\n[limits]\n", name, name, name+".sock", more)
@@ -113,7 +114,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	if x, end, err = openStore(f, false, nil, log); err != nil {
+	if x, end, err = openControlPlane(f, false, nil, log); err != nil {
 		tb.Fatal(err)
 	}
 	return x, end
@@ -129,8 +130,8 @@
 	return dir
 }
 
-// rateOfParts is a limit whose parts are the classes class0 to class3.
-func rateOfParts() *quota.Config {
+// partitionedRateLimit is a limit whose parts are the classes class0 to class3.
+func partitionedRateLimit() *quota.Config {
 	l := &quota.Limit{Name: "all", Kind: quota.Rate, Unit: quota.Requests, Window: 1e8, Fallback: quota.Strict, PartitionBy: []string{"class"},
 		Nodes: []quota.Node{{Capacity: 10000 * quota.AmountUnit, Weight: 1}}}
 	for i := range 4 {
@@ -139,8 +140,8 @@
 	return &quota.Config{Limits: []*quota.Limit{l}}
 }
 
-// A follower's copy holds what its daemon needs; its people are shown what there is all the same, by way of a replica, or told that it is
-// not shown. One whose file says so holds all, as one of the version before.
+// A follower's copy holds what its daemon needs; its people are shown what there is all the same, by way of a
+// replica, or told that it is not shown. One whose file says so holds all, as one of the version before.
 func TestAFollowerHoldsItsOwn(t *testing.T) {
 	t.Parallel()
 	quiet, dir, serve := slog.New(slog.DiscardHandler), shortDir(t), address.Next()
@@ -150,7 +151,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
 	clients := map[string]*adminapi.Client{"a": adminapi.Dial(filepath.Join(dir, "a.sock"))}
-	processtest.Until(t, "limits are put", func() bool { _, err := clients["a"].PutLimits(ctx, rateOfParts()); return err == nil })
+	processtest.Until(t, "limits are put", func() bool { _, err := clients["a"].PutLimits(ctx, partitionedRateLimit()); return err == nil })
 	var ending sync.WaitGroup
 	defer ending.Wait()
 	for name, more := range map[string]string{"h0": "", "h1": "", "h2": "interest = \"all\"\n"} {
@@ -209,7 +210,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var ends []func()
-	open := func(name, more string) *extras {
+	open := func(name, more string) *fleetServices {
 		x, end := openDaemon(b, dir, name, more, quiet)
 		ends = append(ends, end)
 		return x
@@ -219,7 +220,7 @@
 	for i := range (n + 399) / 400 {
 		name, listen, serve := string(rune('a'+i)), address.Next(), address.Next()
 		open(name, fmt.Sprintf("listen = %q\nserve = %q\njoin = %v", listen, serve, i > 0))
-		via = append(via, fmt.Sprintf("%q", name+"="+counting(b, serve, &down, &up)))
+		via = append(via, fmt.Sprintf("%q", name+"="+countingProxy(b, serve, &down, &up)))
 		if i == 0 {
 			continue
 		}
@@ -232,13 +233,13 @@
 	}
 	client := adminapi.Dial(filepath.Join(dir, "a.sock"))
 	for begun := time.Now(); ; time.Sleep(100 * time.Millisecond) {
-		if _, err := client.PutLimits(ctx, rateOfParts()); err == nil {
+		if _, err := client.PutLimits(ctx, partitionedRateLimit()); err == nil {
 			break
 		} else if time.Since(begun) > 10*time.Second {
 			b.Fatal(err)
 		}
 	}
-	var all []*extras
+	var all []*fleetServices
 	var busy sync.WaitGroup
 	for i := range n {
 		x := open(fmt.Sprint("host", i), fmt.Sprintf("follow = [%s]\n%s", strings.Join(via, ", "), os.Getenv("INTEREST")))
@@ -261,7 +262,7 @@
 					k, class = rand.IntN(20), rand.IntN(4)
 				}
 				for range k {
-					if ended, no := x.limits.Admit(&core.LimiterRequest{Class: fmt.Sprint("class", class), PriorityWeight: 1}); no == nil && ended != nil {
+					if ended, no := x.limiter.Admit(&core.LimiterRequest{Class: fmt.Sprint("class", class), PriorityWeight: 1}); no == nil && ended != nil {
 						ended(true)
 					}
 				}
@@ -287,7 +288,7 @@
 		}
 	})
 	time.Sleep(500 * time.Millisecond)
-	read, sent, used, at := down.Load(), up.Load(), cpu(), time.Now()
+	read, sent, used, at := down.Load(), up.Load(), cpuTime(), time.Now()
 	file.Store(0)
 	before, err := client.Status(ctx)
 	if err != nil {
@@ -313,7 +314,7 @@
 	b.ReportMetric(float64(down.Load()-read)/each, "read-B/s")
 	b.ReportMetric(float64(up.Load()-sent)/each, "sent-B/s")
 	b.ReportMetric(float64(file.Load())/each, "file-B/s")
-	b.ReportMetric(100*(cpu()-used).Seconds()/each, "cpu-%")
+	b.ReportMetric(100*(cpuTime()-used).Seconds()/each, "cpu-%")
 	after, err := client.Status(ctx)
 	if err != nil {
 		b.Fatal(err)
--- a/cmd/birchmoor/storekeys.go
+++ b/cmd/birchmoor/storekeys.go
@@ -18,14 +18,14 @@
 )
 
 type storeGet struct {
-	socketFlag
+	clientFlags
 	Key    string `arg:"" help:"Key, or prefix."`
 	Prefix bool   `help:"All keys that begin with it."`
 	Stale  bool   `help:"This copy as it is, without asking the quorum; its age is told."`
 	Limit  int    `help:"So many keys at most." default:"1000"`
 }
 
-func text(b []byte) string {
+func formatValue(b []byte) string {
 	if utf8.Valid(b) {
 		return string(b)
 	}
@@ -49,11 +49,11 @@
 		}
 		if len(i.Items) == 0 && !k.Prefix {
 			fmt.Fprintf(c.err, "%s: no such key at revision %d\n", k.Key, i.CopyAge.Revision)
-			return errMissed
+			return errRunFailed
 		}
 		return k.print(c, i, func(w *tabwriter.Writer) {
 			for _, x := range i.Items {
-				fmt.Fprintf(w, "%s\t%s\t%d\n", x.Key, text(x.Value), x.ModRevision)
+				fmt.Fprintf(w, "%s\t%s\t%d\n", x.Key, formatValue(x.Value), x.ModRevision)
 			}
 			if i.More {
 				fmt.Fprintln(w, "and more: raise --limit")
@@ -66,12 +66,12 @@
 }
 
 type storePut struct {
-	socketFlag
-	requestFlag
-	Key   string  `arg:"" help:"Key."`
-	Value string  `arg:"" help:"Value; - reads standard input."`
-	If    *uint64 `help:"Only if the key was last put at this revision; 0: only if there is none." placeholder:"REVISION"`
-	Lease uint64  `help:"The key goes when this lease ends." placeholder:"ID"`
+	clientFlags
+	requestFlags
+	Key        string  `arg:"" help:"Key."`
+	Value      string  `arg:"" help:"Value; - reads standard input."`
+	IfRevision *uint64 `name:"if" help:"Only if the key was last put at this revision; 0: only if there is none." placeholder:"REVISION"`
+	Lease      uint64  `help:"The key goes when this lease ends." placeholder:"ID"`
 }
 
 func (k *storePut) Run(ctx context.Context, c *console) error {
@@ -82,10 +82,10 @@
 			return err
 		}
 	}
-	return putOrDelete(ctx, c, &k.socketFlag, k.requestFlag, store.Op{Key: k.Key, Value: value, LeaseID: k.Lease}, k.If)
+	return putOrDelete(ctx, c, &k.clientFlags, k.requestFlags, store.Op{Key: k.Key, Value: value, LeaseID: k.Lease}, k.IfRevision)
 }
 
-func putOrDelete(ctx context.Context, c *console, s *socketFlag, r requestFlag, op store.Op, at *uint64) error {
+func putOrDelete(ctx context.Context, c *console, s *clientFlags, r requestFlags, op store.Op, at *uint64) error {
 	id, err := r.id()
 	if err != nil {
 		return err
@@ -102,32 +102,32 @@
 	})
 	if err == nil && !held {
 		fmt.Fprintf(c.err, "%s was changed meanwhile: nothing was done\n", op.Key)
-		return errMissed
+		return errRunFailed
 	}
 	return err
 }
 
 type storeDelete struct {
-	socketFlag
-	requestFlag
-	Key string  `arg:"" help:"Key."`
-	If  *uint64 `help:"Only if the key was last put at this revision." placeholder:"REVISION"`
+	clientFlags
+	requestFlags
+	Key        string  `arg:"" help:"Key."`
+	IfRevision *uint64 `name:"if" help:"Only if the key was last put at this revision." placeholder:"REVISION"`
 }
 
 func (k *storeDelete) Run(ctx context.Context, c *console) error {
-	return putOrDelete(ctx, c, &k.socketFlag, k.requestFlag, store.Op{Key: k.Key, Delete: true}, k.If)
+	return putOrDelete(ctx, c, &k.clientFlags, k.requestFlags, store.Op{Key: k.Key, Delete: true}, k.IfRevision)
 }
 
 type storeWatch struct {
-	socketFlag
-	Prefix string  `arg:"" optional:"" help:"Keys that begin with it."`
-	After  *uint64 `help:"Changes after this revision; without it, from now on." placeholder:"REVISION"`
+	clientFlags
+	Prefix        string  `arg:"" optional:"" help:"Keys that begin with it."`
+	AfterRevision *uint64 `name:"after" help:"Changes after this revision; without it, from now on." placeholder:"REVISION"`
 }
 
 func (k *storeWatch) Run(ctx context.Context, c *console) error {
 	q := url.Values{"prefix": {k.Prefix}}
-	if k.After != nil {
-		q.Set("after", strconv.FormatUint(*k.After, 10))
+	if k.AfterRevision != nil {
+		q.Set("after", strconv.FormatUint(*k.AfterRevision, 10))
 	}
 	enc := json.NewEncoder(c.out)
 	return adminapi.Dial(k.Socket).Watch(ctx, q, func(e store.Event) error {
@@ -138,7 +138,7 @@
 		if e.Deleted {
 			what = "delete"
 		}
-		_, err := fmt.Fprintf(c.out, "%d  %s  %s  %s\n", e.Revision, what, e.Item.Key, text(e.Item.Value))
+		_, err := fmt.Fprintf(c.out, "%d  %s  %s  %s\n", e.Revision, what, e.Item.Key, formatValue(e.Item.Value))
 		return err
 	})
 }
--- a/cmd/birchmoor/storelease.go
+++ b/cmd/birchmoor/storelease.go
@@ -19,8 +19,8 @@
 }
 
 type leaseGrant struct {
-	socketFlag
-	requestFlag
+	clientFlags
+	requestFlags
 	TTL time.Duration `arg:"" help:"Silence of its holder after which it ends, such as 30s."`
 }
 
@@ -47,8 +47,8 @@
 }
 
 type leaseRenew struct {
-	socketFlag
-	requestFlag
+	clientFlags
+	requestFlags
 	Lease uint64 `arg:"" help:"Its id."`
 }
 
@@ -63,8 +63,8 @@
 }
 
 type leaseEnd struct {
-	socketFlag
-	requestFlag
+	clientFlags
+	requestFlags
 	Lease uint64 `arg:"" help:"Its id."`
 }
 
@@ -78,7 +78,7 @@
 	})
 }
 
-type leaseList struct{ socketFlag }
+type leaseList struct{ clientFlags }
 
 func (k *leaseList) Run(ctx context.Context, c *console) error {
 	return k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
--- a/cmd/birchmoor/storemembers.go
+++ b/cmd/birchmoor/storemembers.go
@@ -11,7 +11,7 @@
 	"birchmoor/internal/store/admin"
 )
 
-type storeMembers struct{ socketFlag }
+type storeMembers struct{ clientFlags }
 
 func (k *storeMembers) Run(ctx context.Context, c *console) error {
 	return k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
@@ -40,8 +40,8 @@
 }
 
 type storeAdd struct {
-	socketFlag
-	requestFlag
+	clientFlags
+	requestFlags
 	Name    string `arg:"" help:"Name of the replica."`
 	Address string `arg:"" help:"Where the others reach it, such as 127.0.0.1:7402."`
 }
@@ -65,8 +65,8 @@
 }
 
 type storeRemove struct {
-	socketFlag
-	requestFlag
+	clientFlags
+	requestFlags
 	Member uint64 `arg:"" help:"Id of the member; it is never given again."`
 }
 
@@ -80,12 +80,12 @@
 	})
 }
 
-type storeHandover struct{ socketFlag }
+type storeHandover struct{ clientFlags }
 
 func (k *storeHandover) Run(ctx context.Context, c *console) error {
 	return k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
 		if err := a.TransferLeadership(ctx); err != nil {
-			return k.failed(ctx, c, err, "")
+			return k.changeFailed(ctx, c, err, "")
 		}
 		return nil
 	})
--- a/cmd/birchmoor/storeservers.go
+++ b/cmd/birchmoor/storeservers.go
@@ -12,7 +12,7 @@
 	"birchmoor/internal/controlplane/daemon"
 )
 
-type storeOut struct{ socketFlag }
+type storeOut struct{ clientFlags }
 
 func (k *storeOut) Run(ctx context.Context, c *console) error {
 	return k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
@@ -23,14 +23,14 @@
 		return k.print(c, all, func(w *tabwriter.Writer) {
 			fmt.Fprintln(w, "SERVER\tWHY\tBY\tAGE\tAGREED")
 			for _, o := range all {
-				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%v\n", o.Server, o.Kind, o.ReportedBy, ageOf(o.AgeMillis), o.Committed)
+				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%v\n", o.Server, o.Kind, o.ReportedBy, formatAge(o.AgeMillis), o.Committed)
 			}
 		})
 	})
 }
 
-// ageOf writes an age in milliseconds; "-" is not known.
-func ageOf(ms int64) string {
+// formatAge writes an age in milliseconds; "-" is not known.
+func formatAge(ms int64) string {
 	if ms < 0 {
 		return "-"
 	}
@@ -38,7 +38,7 @@
 }
 
 type storeServers struct {
-	socketFlag
+	clientFlags
 	ID string `arg:"" optional:"" help:"Of one server."`
 }
 
@@ -60,7 +60,7 @@
 			all = slices.DeleteFunc(all, func(f daemon.ServerFact) bool { return f.ID != k.ID })
 			if len(all) == 0 {
 				fmt.Fprintf(c.err, "%s: nothing is known of it here\n", k.ID)
-				return errMissed
+				return errRunFailed
 			}
 		}
 		return k.print(c, all, func(w *tabwriter.Writer) {
@@ -79,7 +79,7 @@
 				if f.Partial {
 					by += " (no replica tells of the others)"
 				}
-				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%v\n", f.ID, cmp.Or(f.Addr, "-"), start, f.Kind, by, ageOf(f.AgeMs), left, f.Committed)
+				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%v\n", f.ID, cmp.Or(f.Addr, "-"), start, f.Kind, by, formatAge(f.AgeMs), left, f.Committed)
 			}
 		})
 	})
--- a/cmd/birchmoor/storesim.go
+++ b/cmd/birchmoor/storesim.go
@@ -11,7 +11,7 @@
 type storeSim struct {
 	Seeds    int    `help:"So many." default:"100"`
 	Seed     uint64 `help:"The first." default:"0"`
-	Plant    string `help:"Put a fault in, and count the seeds until it is found; list names them." placeholder:"NAME"`
+	Defect   string `name:"plant" help:"Put a fault in, and count the seeds until it is found; list names them." placeholder:"NAME"`
 	Replicas int    `help:"At the start." default:"3"`
 	Ops      int    `help:"Requests of each client." default:"60"`
 	Faults   int    `help:"Faults that are caused in a run." default:"24"`
@@ -32,17 +32,17 @@
 func (k *storeSim) Run(ctx context.Context, c *console) error {
 	o := storesim.Options{Replicas: k.Replicas, Ops: k.Ops, Faults: k.Faults, Gap: k.Gap, Mixed: k.Mixed}
 	for _, f := range storesim.Faults {
-		if k.Plant == "list" {
+		if k.Defect == "list" {
 			fmt.Fprintf(c.out, "%-18s %s\n", f.Name, f.About)
-		} else if f.Name == k.Plant {
+		} else if f.Name == k.Defect {
 			o.Planted, o.Watch = f.Fault, f.Watch
 		}
 	}
-	if k.Plant == "list" {
+	if k.Defect == "list" {
 		return nil
 	}
-	if k.Plant != "" && o.Planted == 0 && o.Watch == storesim.WatchNone {
-		return fmt.Errorf("--plant %q is not a fault: list names them", k.Plant)
+	if k.Defect != "" && o.Planted == 0 && o.Watch == storesim.WatchNone {
+		return fmt.Errorf("--plant %q is not a fault: list names them", k.Defect)
 	}
 	broken := 0
 	var sum storesim.Result
@@ -65,8 +65,8 @@
 			if !k.JSON {
 				fmt.Fprintf(c.out, "seed %d: %q\n", r.Seed, r.Broken)
 			}
-			if k.Plant != "" {
-				fmt.Fprintf(c.err, "%s: found by seed %d, after %d\n", k.Plant, r.Seed, i+1)
+			if k.Defect != "" {
+				fmt.Fprintf(c.err, "%s: found by seed %d, after %d\n", k.Defect, r.Seed, i+1)
 				return nil
 			}
 		}
@@ -75,8 +75,8 @@
 		k.Seeds, broken, sum.Ops, sum.Crashes, sum.Cuts, sum.Elected, sum.Joined, sum.Left, sum.Installs)
 	fmt.Fprintf(c.err, "drains: %d changes that tell of one, %d ends; %d requests sent to servers; %d changes of a host's build\n", sum.Told, sum.Over,
 		sum.Sent, sum.Steps)
-	if broken > 0 || k.Plant != "" {
-		return errMissed
+	if broken > 0 || k.Defect != "" {
+		return errRunFailed
 	}
 	return nil
 }
--- a/cmd/birchmoor/storesnapshot.go
+++ b/cmd/birchmoor/storesnapshot.go
@@ -24,7 +24,7 @@
 }
 
 type snapshotSave struct {
-	socketFlag
+	clientFlags
 	File string `arg:"" help:"File to write."`
 }
 
@@ -82,8 +82,9 @@
 	if _, err := rand.Read(b[:]); err != nil {
 		return err
 	}
-	// Above what the old cluster can have given since the file was saved, and above what an earlier restoring of the same file
-	// went on with: the clock only makes that likely; what a token guards turns lower ones away in any case.
+	// Above what the old cluster can have given since the file was saved, and above what an earlier restoring of
+	// the same file went on with: the clock only makes that likely; what a token guards turns lower ones away in
+	// any case.
 	s.Reinitialize(binary.BigEndian.Uint64(b[:])>>1|1, max(s.Revision()+1_000_000_000, uint64(time.Now().Unix())<<20))
 	if s.Level() >= store.Level {
 		s.Seed(lease.SuspendKey, []byte("restored"), lease.MaxTTLMillis) // for as long as holders of the old cluster may go on
--- a/cmd/birchmoor/storestatus.go
+++ b/cmd/birchmoor/storestatus.go
@@ -11,7 +11,7 @@
 	"birchmoor/internal/controlplane/adminapi"
 )
 
-type storeStatus struct{ socketFlag }
+type storeStatus struct{ clientFlags }
 
 func (k *storeStatus) Run(ctx context.Context, c *console) error {
 	return k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
@@ -67,7 +67,7 @@
 	})
 }
 
-type storeMeter struct{ socketFlag }
+type storeMeter struct{ clientFlags }
 
 func (k *storeMeter) Help() string {
 	return `Messages and bytes each way, entries of the log, and what was synced and written, counted since the start; and how the
--- a/cmd/birchmoor/task.go
+++ b/cmd/birchmoor/task.go
@@ -15,7 +15,7 @@
 	"birchmoor/internal/store/admin"
 )
 
-func encode(v any) ([]byte, error) { return json.Marshal(v) }
+func encodeJSON(v any) ([]byte, error) { return json.Marshal(v) }
 
 type taskCommands struct {
 	List    taskList    `cmd:"" help:"List the fleet's tasks, and who holds them."`
@@ -29,16 +29,16 @@
 	Torture taskTorture `cmd:"" help:"Kill, stop and cut daemons as processes under holders of a task, and look for two who act at once."`
 }
 
-type taskList struct{ socketFlag }
+type taskList struct{ clientFlags }
 
-// shown asks for tasks.
-func (s *socketFlag) shown(ctx context.Context, c *console, name string, show func([]leasetask.TaskStatus) error) error {
+// showTasks asks for tasks.
+func (s *clientFlags) showTasks(ctx context.Context, c *console, name string, show func([]leasetask.TaskStatus) error) error {
 	return s.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
 		all, err := a.Tasks(ctx, name)
 		var told *admin.ResponseError
 		if errors.As(err, &told) && told.Status == 404 {
 			fmt.Fprintln(c.err, err)
-			return errMissed
+			return errRunFailed
 		}
 		if err != nil {
 			return err
@@ -47,8 +47,8 @@
 	})
 }
 
-// holderOf says who holds a task, or why nobody does.
-func holderOf(i leasetask.TaskStatus) (host, token string) {
+// taskHolder says who holds a task, or why nobody does.
+func taskHolder(i leasetask.TaskStatus) (host, token string) {
 	n := 0
 	for _, p := range i.Queue {
 		if p.Holds {
@@ -66,43 +66,43 @@
 	return host, token
 }
 
-func lastOf(i leasetask.TaskStatus) string {
+func lastReport(i leasetask.TaskStatus) string {
 	switch {
 	case i.LastReport == nil:
 		return "-"
 	case i.LastReport.Error != "":
-		return fmt.Sprintf("failed %s ago: %s", ageOf(i.LastReportAgeMillis), i.LastReport.Error)
+		return fmt.Sprintf("failed %s ago: %s", formatAge(i.LastReportAgeMillis), i.LastReport.Error)
 	}
-	return fmt.Sprintf("%d done, told %s ago", i.LastReport.Completed, ageOf(i.LastReportAgeMillis))
+	return fmt.Sprintf("%d done, told %s ago", i.LastReport.Completed, formatAge(i.LastReportAgeMillis))
 }
 
 func (k *taskList) Run(ctx context.Context, c *console) error {
-	return k.shown(ctx, c, "", func(all []leasetask.TaskStatus) error {
+	return k.showTasks(ctx, c, "", func(all []leasetask.TaskStatus) error {
 		return k.print(c, all, func(w *tabwriter.Writer) {
 			fmt.Fprintln(w, "TASK\tHOLDER\tTOKEN\tSLOTS\tPLACES\tLAST\tNOTE")
 			for _, i := range all {
-				host, token := holderOf(i)
+				host, token := taskHolder(i)
 				note := i.NoHolderReason
 				if note == "" && i.Override.PreferredHost != "" {
 					note = "given to " + i.Override.PreferredHost
 				}
-				fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s\t%s\n", i.Task, host, token, max(1, i.Slots), len(i.Queue), lastOf(i), note)
+				fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s\t%s\n", i.Task, host, token, max(1, i.Slots), len(i.Queue), lastReport(i), note)
 			}
 		})
 	})
 }
 
 type taskShow struct {
-	socketFlag
+	clientFlags
 	Task string `arg:"" help:"Its name."`
 }
 
 func (k *taskShow) Run(ctx context.Context, c *console) error {
-	return k.shown(ctx, c, k.Task, func(all []leasetask.TaskStatus) error {
+	return k.showTasks(ctx, c, k.Task, func(all []leasetask.TaskStatus) error {
 		return k.print(c, all[0], func(w *tabwriter.Writer) {
 			i := all[0]
-			host, token := holderOf(i)
-			for _, x := range [][2]any{{"task", i.Task}, {"holder", host}, {"token", token}, {"slots", max(1, i.Slots)}, {"last", lastOf(i)}} {
+			host, token := taskHolder(i)
+			for _, x := range [][2]any{{"task", i.Task}, {"holder", host}, {"token", token}, {"slots", max(1, i.Slots)}, {"last", lastReport(i)}} {
 				fmt.Fprintf(w, "%v\t%v\n", x[0], x[1])
 			}
 			if i.NoHolderReason != "" {
@@ -123,20 +123,20 @@
 				if p.ValidMillis > 0 {
 					left = (time.Duration(p.ValidMillis) * time.Millisecond).String()
 				}
-				fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%v\t%s\n", p.Host, p.Token, state, ageOf(p.AgeMillis), left, time.Duration(p.TTLMillis)*time.Millisecond, p.Note)
+				fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%v\t%s\n", p.Host, p.Token, state, formatAge(p.AgeMillis), left, time.Duration(p.TTLMillis)*time.Millisecond, p.Note)
 			}
 		})
 	})
 }
 
-// order puts an order on a task.
-func (s *socketFlag) order(ctx context.Context, c *console, task string, o lease.TaskOverride) error {
+// overrideTask puts an order on a task.
+func (s *clientFlags) overrideTask(ctx context.Context, c *console, task string, o lease.TaskOverride) error {
 	if u, err := user.Current(); err == nil {
 		o.Operator = u.Username // for people alone
 	}
 	return s.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
 		if err := a.OverrideTask(ctx, adminapi.OverrideRequest{Task: task, TaskOverride: o}); err != nil {
-			return s.failed(ctx, c, err, "")
+			return s.changeFailed(ctx, c, err, "")
 		}
 		if s.JSON {
 			return json.NewEncoder(c.out).Encode(o)
@@ -146,7 +146,7 @@
 }
 
 type taskPause struct {
-	socketFlag
+	clientFlags
 	Task string `arg:"" help:"Its name."`
 	Note string `help:"Why, for others." placeholder:"TEXT"`
 }
@@ -157,20 +157,20 @@
 }
 
 func (k *taskPause) Run(ctx context.Context, c *console) error {
-	return k.order(ctx, c, k.Task, lease.TaskOverride{Pause: true, Note: k.Note})
+	return k.overrideTask(ctx, c, k.Task, lease.TaskOverride{Pause: true, Note: k.Note})
 }
 
 type taskResume struct {
-	socketFlag
+	clientFlags
 	Task string `arg:"" help:"Its name."`
 }
 
 func (k *taskResume) Run(ctx context.Context, c *console) error {
-	return k.order(ctx, c, k.Task, lease.TaskOverride{})
+	return k.overrideTask(ctx, c, k.Task, lease.TaskOverride{})
 }
 
 type taskMove struct {
-	socketFlag
+	clientFlags
 	Task string `arg:"" help:"Its name."`
 	Host string `arg:"" help:"Daemon that is to hold it."`
 	Note string `help:"Why, for others." placeholder:"TEXT"`
@@ -182,5 +182,5 @@
 }
 
 func (k *taskMove) Run(ctx context.Context, c *console) error {
-	return k.order(ctx, c, k.Task, lease.TaskOverride{PreferredHost: k.Host, Note: k.Note})
+	return k.overrideTask(ctx, c, k.Task, lease.TaskOverride{PreferredHost: k.Host, Note: k.Note})
 }
--- a/cmd/birchmoor/task_test.go
+++ b/cmd/birchmoor/task_test.go
@@ -12,14 +12,14 @@
 	"birchmoor/internal/testutil/processtest"
 )
 
-// torture runs locks at daemons as processes of this binary under each kind of blow in turn.
-func torture(t *testing.T, blows int, change func(*tasklab.Torture)) *tasklab.Tortured {
+// runTaskTorture runs locks at daemons as processes of this binary under each kind of blow in turn.
+func runTaskTorture(t *testing.T, blows int, change func(*tasklab.Torture)) *tasklab.Tortured {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := &tasklab.Torture{Program: self, Env: []string{asProgram + "=1"}, Dir: t.TempDir(), Replicas: 3, Follow: 1, Holders: 1, TTL: 1500 * time.Millisecond, Inside: true,
+	x := &tasklab.Torture{Program: self, Env: []string{asProgramEnv + "=1"}, Dir: t.TempDir(), Replicas: 3, Follow: 1, Holders: 1, TTL: 1500 * time.Millisecond, Inside: true,
 		Blows: blows, Seed: 1, Say: func(s string) { t.Log(s) }}
 	if change != nil {
 		change(x)
@@ -33,11 +33,12 @@
 	return r
 }
 
-// Three replicas and a follower, a lock at each, and every kind of blow once: the stand-in that checks tokens sees them in order, the one
-// that checks nothing sees two act at once only where what acted was stopped itself; after each blow somebody acts.
+// Three replicas and a follower, a lock at each, and every kind of blow once: the stand-in that checks tokens sees
+// them in order, the one that checks nothing sees two act at once only where what acted was stopped itself; after
+// each blow somebody acts.
 func TestTwoHoldersNeverActAtOnce(t *testing.T) {
 	t.Parallel()
-	r := torture(t, len(tasklab.Faults), nil)
+	r := runTaskTorture(t, len(tasklab.Faults), nil)
 	if len(r.Broken) > 0 {
 		t.Errorf("%q", r.Broken)
 	}
@@ -53,10 +54,10 @@
 // A lock gives its command the token, ends it with all that it started, and tells its exit codes apart.
 func TestLock(t *testing.T) {
 	dir := t.TempDir()
-	a := newDaemon(t, dir, "a", false)
+	a := newTestDaemon(t, dir, "a", false)
 	a.start(t)
 	lock := func(log *processtest.Log, args ...string) *processtest.Process {
-		return processtest.Start(t, processtest.Self(t, []string{asProgram + "=1"}, append([]string{"lock", "--socket", a.socket}, args...)...), log)
+		return processtest.Start(t, processtest.Self(t, []string{asProgramEnv + "=1"}, append([]string{"lock", "--socket", a.socket}, args...)...), log)
 	}
 	var log processtest.Log
 	if code := lock(&log, "job", "--", "sh", "-c", `echo "$BIRCHMOOR_TASK $BIRCHMOOR_TOKEN"; exit 7`).ExitCode(); code != 7 || !strings.Contains(log.String(), "job ") {
@@ -66,7 +67,7 @@
 	one, two := filepath.Join(dir, "one"), filepath.Join(dir, "two")
 	holder := lock(&log, "job", "--ttl", "1s", "--", "sh", "-c", "(trap '' TERM; while :; do echo x >> "+one+"; sleep 0.01; done) & wait")
 	processtest.Until(t, "the first one's work", func() bool { _, err := os.Stat(one); return err == nil }, log.String)
-	if code := lock(&log, "job", "--ttl", "1s", "--wait", "300ms", "--", "touch", two).ExitCode(); code != exitNotGot {
+	if code := lock(&log, "job", "--ttl", "1s", "--wait", "300ms", "--", "touch", two).ExitCode(); code != exitLockNotAcquired {
 		t.Errorf("exit code %d for a lock that is held", code)
 	}
 	if code, out, errs := birchmoor("task", "show", "job", "--socket", a.socket); code != 0 || !strings.Contains(out, "holds") {
@@ -97,7 +98,7 @@
 	if code, _, errs := birchmoor("task", "pause", "job", "--socket", a.socket); code != 0 {
 		t.Fatal(errs)
 	}
-	if code := holder.ExitCode(); code != exitLost {
+	if code := holder.ExitCode(); code != exitLockLost {
 		t.Errorf("exit code %d of one whose task was paused", code)
 	}
 	if _, out, _ := birchmoor("task", "list", "--socket", a.socket); !strings.Contains(out, "it is paused") {
--- a/cmd/birchmoor/taskcheck.go
+++ b/cmd/birchmoor/taskcheck.go
@@ -36,7 +36,7 @@
 		fmt.Fprintf(c.out, "fast: store %v, A %v, B %v: %d states, %d steps between them, to depth %d: %q\n", o.Store, o.A, o.B, r.States, r.Steps, r.Depth, r.Broken)
 	}
 	if broken {
-		return errMissed
+		return errRunFailed
 	}
 	return nil
 }
--- a/cmd/birchmoor/taskmeasure.go
+++ b/cmd/birchmoor/taskmeasure.go
@@ -16,11 +16,11 @@
 )
 
 type taskMeasure struct {
-	Dir     string        `help:"Folder for what it writes." default:"." type:"existingdir"`
-	Daemons []int         `help:"Fleets of so many, three of them with a replica." default:"3,20,80"`
-	Tasks   int           `help:"Held at one daemon." default:"20"`
-	For     time.Duration `help:"Each figure." default:"20s"`
-	JSON    bool          `help:"As JSON."`
+	Dir      string        `help:"Folder for what it writes." default:"." type:"existingdir"`
+	Daemons  []int         `help:"Fleets of so many, three of them with a replica." default:"3,20,80"`
+	Tasks    int           `help:"Held at one daemon." default:"20"`
+	Duration time.Duration `name:"for" help:"Each figure." default:"20s"`
+	JSON     bool          `help:"As JSON."`
 }
 
 func (k *taskMeasure) Help() string {
@@ -46,7 +46,7 @@
 		if n < 3 {
 			return fmt.Errorf("--daemons %d: a fleet has three replicas", n)
 		}
-		costs, err := k.fleet(ctx, self, n)
+		costs, err := k.measureFleet(ctx, self, n)
 		if err != nil {
 			return err
 		}
@@ -63,7 +63,7 @@
 	return w.Flush()
 }
 
-func (k *taskMeasure) fleet(ctx context.Context, self string, n int) (all []taskCost, err error) {
+func (k *taskMeasure) measureFleet(ctx context.Context, self string, n int) (all []taskCost, err error) {
 	f, err := fleetlab.Begin(ctx, fleetlab.Config{Program: self, Args: []string{"run", "--config"}, Dir: k.Dir, Replicas: 3, Follow: n - 3, Seed: 1, Bare: true})
 	if err != nil {
 		return nil, err
@@ -92,7 +92,7 @@
 		select {
 		case <-ctx.Done():
 			return 0, ctx.Err()
-		case <-time.After(k.For):
+		case <-time.After(k.Duration):
 		}
 		after, err := a.Status(ctx)
 		return float64(after.Applied-before.Applied) / time.Since(begun).Seconds(), err
--- a/cmd/birchmoor/tasksim.go
+++ b/cmd/birchmoor/tasksim.go
@@ -13,7 +13,7 @@
 type taskSim struct {
 	Seeds    int    `help:"So many." default:"100"`
 	Seed     uint64 `help:"The first." default:"0"`
-	Plant    string `help:"Put a fault in, and count the seeds until it is found; list names them, all tries each." placeholder:"NAME"`
+	Defect   string `name:"plant" help:"Put a fault in, and count the seeds until it is found; list names them, all tries each." placeholder:"NAME"`
 	Replicas int    `help:"At the start." default:"3"`
 	Holders  int    `help:"Daemons that want tasks." default:"5"`
 	Faults   int    `help:"Faults of the store's that are caused in a run, beside those of holders." default:"24"`
@@ -37,41 +37,41 @@
 
 func (k *taskSim) Run(ctx context.Context, c *console) error {
 	o := storesim.Options{Replicas: k.Replicas, Faults: k.Faults, Gap: k.Gap, Holders: k.Holders, Clients: 1, Ops: 20, HoldTTL: k.TTL, Calm: k.Calm}
-	if k.Plant == "" {
-		return k.play(ctx, c, o, "")
+	if k.Defect == "" {
+		return k.runSeeds(ctx, c, o, "")
 	}
 	missed := false
 	for _, f := range storesim.HolderFaults {
-		if k.Plant == "list" {
+		if k.Defect == "list" {
 			fmt.Fprintf(c.out, "%-22s %s\n", f.Name, f.About)
 			continue
 		}
-		if f.Name != k.Plant && k.Plant != "all" {
+		if f.Name != k.Defect && k.Defect != "all" {
 			continue
 		}
 		x := o
 		x.Holder, x.Planted = f.Plant, f.Replica
-		if err := k.play(ctx, c, x, f.Name); err != nil {
-			if err != errMissed {
+		if err := k.runSeeds(ctx, c, x, f.Name); err != nil {
+			if err != errRunFailed {
 				return err
 			}
 			missed = true
 		}
-		if k.Plant != "all" {
+		if k.Defect != "all" {
 			return nil
 		}
 	}
 	switch {
 	case missed:
-		return errMissed
-	case k.Plant != "list" && k.Plant != "all":
-		return fmt.Errorf("--plant %q is not a fault: list names them", k.Plant)
+		return errRunFailed
+	case k.Defect != "list" && k.Defect != "all":
+		return fmt.Errorf("--plant %q is not a fault: list names them", k.Defect)
 	}
 	return nil
 }
 
-// play runs seeds side by side, and takes them in order. With a fault it ends with the first seed that finds it.
-func (k *taskSim) play(ctx context.Context, c *console, o storesim.Options, plant string) error {
+// runSeeds runs seeds side by side, and takes them in order. With a fault it ends with the first seed that finds it.
+func (k *taskSim) runSeeds(ctx context.Context, c *console, o storesim.Options, plant string) error {
 	type turn chan storesim.Result
 	turns := make(chan turn, 2*runtime.NumCPU())
 	stop, cancel := context.WithCancel(ctx)
@@ -121,7 +121,7 @@
 	}
 	if plant != "" {
 		fmt.Fprintf(c.out, "%s: not found in %d seeds\n", plant, n)
-		return errMissed
+		return errRunFailed
 	}
 	fmt.Fprintf(c.err, "%d seeds, %d broken: %d acts, %d late by processes that had been stopped; %d crashes of replicas, %d leaders, %d entries in %.0f s of virtual time\n", n, broken, sum.Acts,
 		sum.Late, sum.Crashes, sum.Elected, sum.Entries, float64(sum.Micros)/1e6)
@@ -130,7 +130,7 @@
 			sum.BytesPerS/float64(n), 3000*float64(k.Holders)/float64(k.TTL))
 	}
 	if broken > 0 {
-		return errMissed
+		return errRunFailed
 	}
 	return nil
 }
--- a/cmd/birchmoor/tasktorture.go
+++ b/cmd/birchmoor/tasktorture.go
@@ -12,21 +12,21 @@
 )
 
 type taskTorture struct {
-	Dir      string        `help:"Folder for what it writes." default:"." type:"existingdir"`
-	For      time.Duration `help:"Long." default:"1m"`
-	Every    time.Duration `help:"A blow." default:"1s"`
-	Replicas int           `help:"Daemons with a replica." default:"3"`
-	Follow   int           `help:"Daemons without one." default:"2"`
-	Holders  int           `help:"Locks at each daemon." default:"2"`
-	TTL      time.Duration `help:"Of the locks." default:"2s"`
-	Seed     uint64        `help:"Of what is done to whom." default:"1"`
-	Only     string        `help:"Blows of this kind alone, each once all is calm, to measure the time until the next holder acts: holder-killed, holder-stopped, moved and others." placeholder:"KIND"`
-	Play     string        `help:"Play this schedule in place of one drawn from the seed." type:"existingfile" placeholder:"FILE"`
-	Keep     string        `help:"When a promise broke, leave schedule, history and logs in a folder here." type:"existingdir" placeholder:"DIR"`
-	Shrink   bool          `help:"When a promise broke, leave blows out for as long as one still breaks, and print the rest as a schedule."`
-	Old      string        `help:"An older build of this program, for daemons to be started with now and then." type:"existingfile" placeholder:"FILE"`
-	Plant    string        `help:"A fault of the program, which must be built with -tags planted: order-ignored, deadline-ignored, kept-late, released-first, rate-ignored, read-stale." placeholder:"NAME"`
-	JSON     bool          `help:"As JSON."`
+	Dir           string        `help:"Folder for what it writes." default:"." type:"existingdir"`
+	Duration      time.Duration `name:"for" help:"Long." default:"1m"`
+	FaultInterval time.Duration `name:"every" help:"A blow." default:"1s"`
+	Replicas      int           `help:"Daemons with a replica." default:"3"`
+	Followers     int           `name:"follow" help:"Daemons without one." default:"2"`
+	Holders       int           `help:"Locks at each daemon." default:"2"`
+	TTL           time.Duration `help:"Of the locks." default:"2s"`
+	Seed          uint64        `help:"Of what is done to whom." default:"1"`
+	OnlyFault     string        `name:"only" help:"Blows of this kind alone, each once all is calm, to measure the time until the next holder acts: holder-killed, holder-stopped, moved and others." placeholder:"KIND"`
+	Schedule      string        `name:"play" help:"Play this schedule in place of one drawn from the seed." type:"existingfile" placeholder:"FILE"`
+	KeepDir       string        `name:"keep" help:"When a promise broke, leave schedule, history and logs in a folder here." type:"existingdir" placeholder:"DIR"`
+	Shrink        bool          `help:"When a promise broke, leave blows out for as long as one still breaks, and print the rest as a schedule."`
+	OldProgram    string        `name:"old" help:"An older build of this program, for daemons to be started with now and then." type:"existingfile" placeholder:"FILE"`
+	Defect        string        `name:"plant" help:"A fault of the program, which must be built with -tags planted: order-ignored, deadline-ignored, kept-late, released-first, rate-ignored, read-stale." placeholder:"NAME"`
+	JSON          bool          `help:"As JSON."`
 }
 
 func (k *taskTorture) Help() string {
@@ -43,18 +43,18 @@
 	if err != nil {
 		return err
 	}
-	if k.Plant != "" && !isPlanted {
+	if k.Defect != "" && !isDefectBuild {
 		return errors.New("--plant: this program was not built with -tags planted")
 	}
-	t := tasklab.Torture{Program: self, Dir: k.Dir, Replicas: k.Replicas, Follow: k.Follow, Holders: k.Holders, TTL: k.TTL, For: k.For, Every: k.Every,
-		Seed: k.Seed, Plant: k.Plant, Only: k.Only, Inside: isPlanted, Keep: k.Keep, Old: k.Old, Say: func(s string) { fmt.Fprintln(c.err, s) }}
-	if k.Play != "" {
-		b, err := os.ReadFile(k.Play)
+	t := tasklab.Torture{Program: self, Dir: k.Dir, Replicas: k.Replicas, Follow: k.Followers, Holders: k.Holders, TTL: k.TTL, For: k.Duration, Every: k.FaultInterval,
+		Seed: k.Seed, Plant: k.Defect, Only: k.OnlyFault, Inside: isDefectBuild, Keep: k.KeepDir, Old: k.OldProgram, Say: func(s string) { fmt.Fprintln(c.err, s) }}
+	if k.Schedule != "" {
+		b, err := os.ReadFile(k.Schedule)
 		if err == nil {
 			err = json.Unmarshal(b, &t.Play)
 		}
 		if err != nil {
-			return fmt.Errorf("%s: %w", k.Play, err)
+			return fmt.Errorf("%s: %w", k.Schedule, err)
 		}
 	}
 	r, err := t.Run(ctx)
@@ -67,7 +67,7 @@
 		if err := e.Encode(t.Shrink(ctx, r.Schedule, 2)); err != nil {
 			return err
 		}
-		return errMissed
+		return errRunFailed
 	}
 	if r != nil && k.JSON {
 		if bad := json.NewEncoder(c.out).Encode(r); bad != nil {
@@ -86,17 +86,17 @@
 		return err
 	}
 	if len(r.Broken) > 0 {
-		return errMissed
+		return errRunFailed
 	}
 	return nil
 }
 
 // actorCommand is what a lock runs in task torture.
 type actorCommand struct {
-	To  string `arg:""`
-	Who string `arg:""`
+	Address string `name:"to" arg:""`
+	Name    string `name:"who" arg:""`
 }
 
 func (k *actorCommand) Run() error {
-	return tasklab.Actor(k.To, k.Who, os.Getenv("BIRCHMOOR_TOKEN"), 5*time.Millisecond)
+	return tasklab.Actor(k.Address, k.Name, os.Getenv("BIRCHMOOR_TOKEN"), 5*time.Millisecond)
 }
