--- a/internal/dataplane/dnsfront/clientconn.go
+++ b/internal/dataplane/dnsfront/clientconn.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"container/list"
-	"encoding/binary"
 	"errors"
 	"net"
 	"net/netip"
@@ -14,99 +13,129 @@
 
 const (
 	clientReadTimeout  = 2 * time.Second // for a message, from its first byte
-	clientWriteTimeout = 2 * time.Second // a client that takes nothing for so long is given up
+	clientWriteTimeout = 2 * time.Second
 	acceptBackoff      = 5 * time.Millisecond
-	clientSendBuffer   = 128 << 10              // bytes of answers that the system holds for a client that does not take them
-	closingIdleTimeout = 100 * time.Millisecond // for a connection while the server ends
+	closingIdleTimeout = 100 * time.Millisecond // for a connection while the server closes
+
+	clientSendBuffer = 128 << 10 // bytes of answers to a client that reads none; the system's default is megabytes
+	clientReadBuffer = 2048      // bytes
 )
 
 // clientConn is a client's connection.
 type clientConn struct {
 	net.Conn
 	from    netip.AddrPort
-	slots   chan struct{} // one for each query that may be open
+	slots   chan struct{} // holds one value for each query that is open or being received
 	writeMu sync.Mutex
 
 	// Guarded by Server.mu.
 	open        map[*openQuery]struct{}
 	idleSince   time.Time     // without an open query
-	idleElement *list.Element // among the idle; nil while there are open queries, and at the end
+	idleElement *list.Element // in clientConns.idle; nil while there are open queries, and once closed
 	closed      bool
 }
 
-// serveTCP takes connections until ln is closed.
-func (s *Server) serveTCP(ln net.Listener) error {
+// serveTCP accepts connections until ln is closed.
+func (s *Server) serveTCP(ln net.Listener) {
 	for {
 		nc, err := ln.Accept()
-		if err != nil {
-			if s.isReadEnd(err) {
-				return nil
-			}
+		switch {
+		case err == nil:
+			s.addConn(nc)
+		case endsReading(err):
+			return
+		default:
 			s.log.Warn("dns: accept", "error", err)
 			s.mu.Lock()
 			s.conns.evict()
 			s.mu.Unlock()
-			time.Sleep(acceptBackoff) // no descriptor is left, perhaps
-			continue
-		}
-		from, err := netip.ParseAddrPort(nc.RemoteAddr().String())
-		if err != nil {
-			nc.Close()
-			continue
-		}
-		if tcp, ok := nc.(*net.TCPConn); ok {
-			tcp.SetWriteBuffer(clientSendBuffer) // left to itself the system takes megabytes
+			time.Sleep(acceptBackoff) // the process may have run out of descriptors
 		}
-		c := &clientConn{Conn: nc, from: from, slots: make(chan struct{}, s.settings.MaxQueriesPerConn), open: map[*openQuery]struct{}{}}
-		s.mu.Lock()
-		ok := s.conns.add(c)
-		s.mu.Unlock()
-		if !ok {
-			nc.Close() // all others have open queries
-			continue
-		}
-		s.inFlight.Go(func() { s.serveConn(c) })
 	}
 }
 
-// serveConn takes a client's queries one behind the other, however many of them wait for answers, until it ends or has as many
-// open as it may: then it is not read until one is answered.
+// addConn serves a new connection, or closes it where all others have open queries and no more may be open.
+func (s *Server) addConn(nc net.Conn) {
+	from, err := netip.ParseAddrPort(nc.RemoteAddr().String())
+	if err != nil {
+		nc.Close()
+		return
+	}
+	if tcp, ok := nc.(*net.TCPConn); ok {
+		_ = tcp.SetWriteBuffer(clientSendBuffer) // without it, more memory is used
+	}
+	c := &clientConn{
+		Conn:  nc,
+		from:  from,
+		slots: make(chan struct{}, s.settings.MaxQueriesPerConn),
+		open:  map[*openQuery]struct{}{},
+	}
+	s.mu.Lock()
+	added := s.conns.add(c)
+	s.mu.Unlock()
+	if !added {
+		nc.Close()
+		return
+	}
+	s.inFlight.Go(func() { s.serveConn(c) })
+}
+
+// serveConn receives a client's queries, however many of them are open, until the connection ends. At the limit of
+// open queries it does not read until one has its answer.
 func (s *Server) serveConn(c *clientConn) {
-	r := bufio.NewReaderSize(c, 2048)
+	r := bufio.NewReaderSize(c, clientReadBuffer)
 	for {
-		c.SetReadDeadline(time.Now().Add(s.idleTimeout()))
-		if _, err := r.Peek(1); err != nil {
-			if errors.Is(err, os.ErrDeadlineExceeded) && s.hasOpenQueries(c) {
-				continue
-			}
-			break
-		}
-		c.SetReadDeadline(time.Now().Add(clientReadTimeout))
-		raw, err := readFrame(r, nil)
+		raw, err := s.readQuery(c, r)
 		if err != nil {
 			break
 		}
 		c.slots <- struct{}{}
 		s.receive(raw, c.from, c)
-		s.mu.Lock()
-		if len(c.open) < len(c.slots) { // it was turned away, or joined another
-			<-c.slots
+		s.freeUnusedSlot(c)
+	}
+	for _, w := range s.removeConn(c) {
+		s.clientLeft(w)
+	}
+}
+
+// readQuery reads the next query. It fails once the connection has been idle for the idle timeout.
+func (s *Server) readQuery(c *clientConn, r *bufio.Reader) ([]byte, error) {
+	for {
+		_ = c.SetReadDeadline(time.Now().Add(s.idleTimeout())) // fails only once closed, and then so does the read
+		_, err := r.Peek(1)
+		if err == nil {
+			break
 		}
-		s.mu.Unlock()
+		if !errors.Is(err, os.ErrDeadlineExceeded) || !s.hasOpenQueries(c) {
+			return nil, err
+		}
+	}
+	_ = c.SetReadDeadline(time.Now().Add(clientReadTimeout))
+	return readFrame(r, nil)
+}
+
+// freeUnusedSlot frees the slot of a query that was rejected, or that repeats an open one.
+func (s *Server) freeUnusedSlot(c *clientConn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(c.open) < len(c.slots) {
+		<-c.slots
 	}
+}
+
+// removeConn closes a connection, and returns its open queries.
+func (s *Server) removeConn(c *clientConn) []*openQuery {
 	s.mu.Lock()
+	defer s.mu.Unlock()
 	s.conns.remove(c)
-	var left []*openQuery
+	open := make([]*openQuery, 0, len(c.open))
 	for w := range c.open {
-		left = append(left, w)
-	}
-	s.mu.Unlock()
-	for _, w := range left {
-		s.clientLeft(w)
+		open = append(open, w)
 	}
+	return open
 }
 
-// idleTimeout is how long a connection is kept without a query.
+// idleTimeout returns how long a connection stays open without a query.
 func (s *Server) idleTimeout() time.Duration {
 	if s.closing.Load() {
 		return closingIdleTimeout
@@ -120,12 +149,14 @@
 	return len(c.open) > 0
 }
 
-// send writes a message behind its length. A client that does not take it loses its connection.
+// send writes a message with its length before it. If the client does not read it in time, its connection is closed.
 func (c *clientConn) send(raw []byte) error {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
-	c.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
-	_, err := c.Write(append(binary.BigEndian.AppendUint16(make([]byte, 0, len(raw)+2), uint16(len(raw))), raw...))
+	err := c.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
+	if err == nil {
+		_, err = c.Write(appendFrame(make([]byte, 0, len(raw)+frameHeaderSize), raw))
+	}
 	if err != nil {
 		c.Close()
 	}
--- a/internal/dataplane/dnsfront/clientconns.go
+++ b/internal/dataplane/dnsfront/clientconns.go
@@ -5,28 +5,31 @@
 	"time"
 )
 
-// clientConns are the connections of clients. The server's lock guards them.
+// clientConns are the open connections of clients. Server.mu guards them.
 type clientConns struct {
 	maxConns int
-	busy     int
+	busy     int        // connections with open queries
 	closing  bool       // connections end soon after their last answer
-	idle     *list.List // *clientStream, the one idle for longest first
+	idle     *list.List // of *clientConn, the longest idle first
 }
 
-func (k *clientConns) init(most int) { k.maxConns, k.idle = most, list.New() }
+func newClientConns(maxConns int) *clientConns {
+	return &clientConns{maxConns: maxConns, idle: list.New()}
+}
 
 func (k *clientConns) len() int { return k.busy + k.idle.Len() }
 
-// add takes a connection in; where there are too many, one that is idle makes room.
+// add adds a connection, and reports whether there was capacity. If there are too many, the longest idle one is
+// closed.
 func (k *clientConns) add(c *clientConn) bool {
 	if k.len() >= k.maxConns && !k.evict() {
 		return false
 	}
-	c.idleSince = time.Now()
-	c.idleElement = k.idle.PushBack(c)
+	k.setIdle(c)
 	return true
 }
 
+// evict closes the connection that has been idle for longest, and reports whether there was one.
 func (k *clientConns) evict() bool {
 	first := k.idle.Front()
 	if first == nil {
@@ -36,14 +39,18 @@
 	return true
 }
 
-// closeIdleFor closes what has been idle for longer than age.
+// closeIdleFor closes the connections that have been idle for at least age.
 func (k *clientConns) closeIdleFor(age time.Duration) {
-	for first := k.idle.Front(); first != nil && time.Since(first.Value.(*clientConn).idleSince) >= age; first = k.idle.Front() {
+	for {
+		first := k.idle.Front()
+		if first == nil || time.Since(first.Value.(*clientConn).idleSince) < age {
+			return
+		}
 		k.evict()
 	}
 }
 
-// remove closes a connection; its queries are told by who reads it.
+// remove closes a connection. Its reader then ends its queries.
 func (k *clientConns) remove(c *clientConn) {
 	if c.closed {
 		return
@@ -58,7 +65,7 @@
 	c.Close()
 }
 
-// beginQuery notes an open query, unless the connection has ended.
+// beginQuery adds an open query to a connection, unless that was closed.
 func (k *clientConns) beginQuery(c *clientConn, w *openQuery) bool {
 	if c.closed {
 		return false
@@ -72,19 +79,24 @@
 	return true
 }
 
-// endQuery notes that a query has ended.
+// endQuery removes a query from its connection.
 func (k *clientConns) endQuery(c *clientConn, w *openQuery) {
 	if _, ok := c.open[w]; !ok {
 		return
 	}
 	delete(c.open, w)
 	<-c.slots
-	if len(c.open) == 0 && !c.closed {
-		k.busy--
-		c.idleSince = time.Now()
-		c.idleElement = k.idle.PushBack(c)
-		if k.closing {
-			c.SetReadDeadline(time.Now().Add(closingIdleTimeout)) // its answer is about to go out
-		}
+	if len(c.open) > 0 || c.closed {
+		return
+	}
+	k.busy--
+	k.setIdle(c)
+	if k.closing {
+		_ = c.SetReadDeadline(time.Now().Add(closingIdleTimeout)) // the answer to its query is about to be sent
 	}
 }
+
+func (k *clientConns) setIdle(c *clientConn) {
+	c.idleSince = time.Now()
+	c.idleElement = k.idle.PushBack(c)
+}
--- a/internal/dataplane/dnsfront/cookies.go
+++ b/internal/dataplane/dnsfront/cookies.go
@@ -2,6 +2,7 @@
 
 import (
 	"crypto/hmac"
+	"crypto/rand"
 	"crypto/sha256"
 	"encoding/binary"
 	"encoding/hex"
@@ -9,10 +10,24 @@
 	"time"
 )
 
-// cookieSecret makes cookies, for clients as their server and for servers as their client. Without state: it tells its own
-// again by the address.
+const (
+	cookieSize         = 8              // bytes of a client's part, and of the MAC in a server's part
+	clientCookieDigits = 2 * cookieSize // hexadecimal digits of a client's part
+	cookieTimeSize     = 4              // bytes of the time in a server's part
+	cookieLifetime     = time.Hour
+	maxClockSkew       = 5 * time.Minute
+)
+
+// cookieSecret makes DNS cookies (RFC 7873), both as the server of clients and as the client of servers. Cookies are
+// verified by computing them again, so that nothing is stored for each address.
 type cookieSecret [32]byte
 
+func newCookieSecret() *cookieSecret {
+	s := new(cookieSecret)
+	_, _ = rand.Read(s[:]) // never fails
+	return s
+}
+
 func (s *cookieSecret) mac(parts ...[]byte) []byte {
 	h := hmac.New(sha256.New, s[:])
 	for _, p := range parts {
@@ -22,24 +37,31 @@
 	return h.Sum(nil)[:cookieSize]
 }
 
-// clientPart is our part of a cookie, the same for one server for as long as we run.
+// clientPart returns, in hex, the client's part of the cookies that are sent to one server.
 func (s *cookieSecret) clientPart(addr string) string {
 	return hex.EncodeToString(s.mac([]byte("server"), []byte(addr)))
 }
 
-// serverPart is the server's part of a cookie of a client, with the time in it.
-func (s *cookieSecret) serverPart(now time.Time, client netip.Addr, part string) string {
+// serverPart returns, in hex, the server's part of the cookie for a client, which contains the time.
+func (s *cookieSecret) serverPart(now time.Time, client netip.Addr, clientPart string) string {
 	at := binary.BigEndian.AppendUint32(nil, uint32(now.Unix()))
-	return hex.EncodeToString(append(at, s.mac([]byte("client"), at, client.Unmap().AsSlice(), []byte(part))...))
+	return hex.EncodeToString(append(at, s.clientMAC(at, client, clientPart)...))
 }
 
-// verify says whether a cookie is one of ours for this client and not old.
-func (s *cookieSecret) verify(now time.Time, client netip.Addr, part, ours string) bool {
-	b, err := hex.DecodeString(ours)
-	if err != nil || len(b) != 4+cookieSize {
+// verify reports whether serverPart is one that this server gave to the client within the lifetime of cookies.
+func (s *cookieSecret) verify(now time.Time, client netip.Addr, clientPart, serverPart string) bool {
+	b, err := hex.DecodeString(serverPart)
+	if err != nil || len(b) != cookieTimeSize+cookieSize {
 		return false
 	}
-	age := now.Sub(time.Unix(int64(binary.BigEndian.Uint32(b)), 0))
-	return age < cookieLifetime && age > -maxClockSkew &&
-		hmac.Equal(b[4:], s.mac([]byte("client"), b[:4], client.Unmap().AsSlice(), []byte(part)))
+	at, mac := b[:cookieTimeSize], b[cookieTimeSize:]
+	age := now.Sub(time.Unix(int64(binary.BigEndian.Uint32(at)), 0))
+	if age >= cookieLifetime || age <= -maxClockSkew {
+		return false
+	}
+	return hmac.Equal(mac, s.clientMAC(at, client, clientPart))
+}
+
+func (s *cookieSecret) clientMAC(at []byte, client netip.Addr, clientPart string) []byte {
+	return s.mac([]byte("client"), at, client.Unmap().AsSlice(), []byte(clientPart))
 }
--- a/internal/dataplane/dnsfront/inflight.go
+++ b/internal/dataplane/dnsfront/inflight.go
@@ -12,19 +12,19 @@
 	"birchmoor/balancer"
 )
 
-// pending is a query that waits for its answer.
+// pending is a query that waits for a server's answer.
 type pending struct {
 	question *question
 	answer   chan []byte // holds the one answer
-	answered bool        // it is there
-	failure  chan error  // or why none can come
+	answered bool        // the answer was delivered; guarded by the table's mu
+	failure  chan error  // holds the reason why no answer can come
 }
 
 func newPending(q *question) *pending {
 	return &pending{question: q, answer: make(chan []byte, 1), failure: make(chan error, 1)}
 }
 
-// fail tells once that no answer can come.
+// fail reports that no answer can come. Only the first call counts.
 func (p *pending) fail(err error) {
 	select {
 	case p.failure <- err:
@@ -32,31 +32,35 @@
 	}
 }
 
-// wait waits for the answer to a query that is out, and says whether its wait is over; if not, it is late.
-func (p *pending) wait(ctx context.Context, late <-chan time.Time) (raw []byte, status balancer.Status, over bool) {
+// wait waits for the answer to a sent query. It reports done false if overdue fires first: the query is still open.
+func (p *pending) wait(ctx context.Context, overdue <-chan time.Time) (raw []byte, status balancer.Status, done bool) {
 	select {
 	case raw := <-p.answer:
 		return raw, balancer.OK, true
 	case err := <-p.failure:
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			return nil, balancer.ConnectFailed, true // nobody listens: it never ran
+			return nil, balancer.ConnectFailed, true // nothing listens there: the query was not processed
 		}
 		return nil, balancer.Reset, true
 	case <-ctx.Done():
 		return nil, balancer.Cancelled, true
-	case <-late:
+	case <-overdue:
 		return nil, balancer.NotSent, false
 	}
 }
 
-// queryTable is the queries that share a socket or a connection, by their ids.
+// queryTable holds the open queries on a socket or a connection, by ID. Its methods may be called from any goroutine.
 type queryTable struct {
 	mu        sync.Mutex
 	open      map[uint16]*pending
-	closedErr error // nothing more is taken
+	closedErr error // why no query can be added any more
 }
 
-// add gives a query an id that no other has.
+func newQueryTable() queryTable {
+	return queryTable{open: map[uint16]*pending{}}
+}
+
+// add gives a query an ID that no other open query has.
 func (t *queryTable) add(p *pending) (uint16, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -78,19 +82,29 @@
 	delete(t.open, id)
 }
 
-// failAll tells all that wait that nothing comes.
-func (t *queryTable) failAll(err error, forGood bool) {
+// failOpen fails all open queries.
+func (t *queryTable) failOpen(err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if forGood {
-		t.closedErr = err
-	}
+	t.failOpenLocked(err)
+}
+
+// close fails all open queries, and those that are added later.
+func (t *queryTable) close(err error) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.closedErr = err
+	t.failOpenLocked(err)
+}
+
+func (t *queryTable) failOpenLocked(err error) {
 	for _, p := range t.open {
 		p.fail(err)
 	}
 }
 
-// deliver looks whom a message is for. Whatever it is not is counted, and is no outcome for anybody.
+// deliver passes a message to the query that it answers. A message that answers none is counted and discarded: it may
+// be forged, and must not change the outcome of a query.
 func (t *queryTable) deliver(raw []byte, c *Counters) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -98,7 +112,7 @@
 		c.Mismatched.Inc()
 		return
 	}
-	p := t.open[binary.BigEndian.Uint16(raw)]
+	p := t.open[headerID(raw)]
 	switch {
 	case p == nil:
 		c.UnknownID.Inc()
@@ -108,13 +122,13 @@
 		c.Duplicate.Inc()
 	default:
 		p.answered = true
-		p.answer <- append([]byte(nil), raw...) // room for one
+		p.answer <- append([]byte(nil), raw...) // never blocks: the channel holds one
 	}
 }
 
-// randomID returns a random id that nobody can foretell.
+// randomID returns an ID that cannot be predicted.
 func randomID() uint16 {
 	var b [2]byte
-	rand.Read(b[:]) // never fails
+	_, _ = rand.Read(b[:]) // never fails
 	return binary.BigEndian.Uint16(b[:])
 }
--- a/internal/dataplane/dnsfront/limit/limit.go
+++ b/internal/dataplane/dnsfront/limit/limit.go
@@ -1,9 +1,11 @@
-// Package limit decides which DNS queries are taken, so that neither one client nor a flood under forged addresses takes
-// the room of the others. It does no I/O and is told the time; one goroutine at a time may use a Gate.
+// Package limit decides which DNS queries are admitted, so that neither one client nor a flood under forged
+// addresses can use up the capacity for all. It does no I/O, is told the time, and imports only the standard
+// library.
 //
-// An address that came over TCP or showed a cookie of ours (RFC 7873) is proven: it can receive what we send. To others
-// the rate of answers is limited by prefix, as in response-rate limiting: beyond it queries are dropped, but each so many
-// is answered truncated and empty, so that an honest client behind the prefix comes again by TCP.
+// A client is verified if it came over TCP or returned a cookie of this server (RFC 7873): it can receive what is
+// sent to its address. For others the rate of answers is limited by prefix (response rate limiting): queries beyond
+// it are dropped, except that every so many is answered truncated and empty, so that an honest client asks again
+// over TCP.
 package limit
 
 import (
@@ -11,124 +13,153 @@
 	"net/netip"
 )
 
-// Settings are the bounds. All counts are at least 1 but for Slip.
+const (
+	clientPrefixBits4 = 24
+	clientPrefixBits6 = 56
+	microsPerSecond   = 1e6
+)
+
+// Settings are the limits. All counts are at least 1, except TruncateEvery.
 type Settings struct {
-	MaxOpen          int     // queries open at once
-	MaxOpenPerPrefix int     // of one prefix
-	UnverifiedShare  float64 // part of Open that queries of unproven addresses may take
-	AnswersPerSecond float64 // answers a second to an unproven prefix
-	Burst            float64 // and at once, after a quiet time
+	MaxOpen          int     // open queries
+	MaxOpenPerPrefix int     // open queries of one prefix
+	UnverifiedShare  float64 // fraction of MaxOpen that queries of unverified clients may use
+	AnswersPerSecond float64 // to an unverified prefix
+	Burst            float64 // answers at once to an unverified prefix
 	TruncateEvery    int     // of so many queries over the rate one is answered truncated; 0: none
-	MaxPrefixes      int     // remembered at once; those that were quiet for longest are forgotten
+	MaxPrefixes      int     // remembered; the least recently used is forgotten
 }
 
-// Decision is what becomes of a query.
+// Decision says how a query is handled.
 type Decision uint8
 
-// The verdicts.
+// The decisions.
 const (
-	Admit    Decision = iota // Done is owed
-	Shed                     // no room: refuse it
-	Truncate                 // over the rate: answer truncated
-	Drop                     // over the rate: say nothing
+	Admit    Decision = iota // handle it, and call Done once it has its answer
+	Shed                     // refuse it: too many queries are open
+	Truncate                 // answer it truncated: it is over the rate
+	Drop                     // do not answer it: it is over the rate
 )
 
-// ClientPrefix is whom a query counts for: the addresses of one network, since one party may hold them all.
+// ClientPrefix returns the network whose limits a query counts against: one party may hold all of its addresses.
 func ClientPrefix(a netip.Addr) netip.Prefix {
 	a = a.Unmap()
-	bits := 24
+	bits := clientPrefixBits4
 	if a.Is6() {
-		bits = 56
+		bits = clientPrefixBits6
 	}
-	p, _ := a.Prefix(bits) // fails for what is no address alone, and then is one prefix
+	p, _ := a.Prefix(bits) // fails for an invalid address; all of those share the zero prefix
 	return p
 }
 
-// Admission counts what is open and what was answered.
+// Admission decides on queries. One goroutine at a time may use it.
 type Admission struct {
 	settings       Settings
 	open           int
-	openUnverified int // of open
+	openUnverified int // part of open
 	prefixes       map[netip.Prefix]*list.Element
-	byLastUse      *list.List // *state, the one quiet for longest first
+	byLastUse      *list.List // of *prefixState, the least recently used first
 }
 
+// prefixState is what is known about one network of clients.
 type prefixState struct {
 	prefix     netip.Prefix
-	open       int
-	tokens     float64
-	refilledAt int64
-	overRate   int // queries over the rate since the last that slipped
+	open       int     // queries
+	tokens     float64 // answers that may be sent at once
+	refilledAt int64   // microseconds
+	overRate   int     // consecutive queries over the rate
 }
 
-// New returns a gate with nothing open.
-func New(s Settings) *Admission {
-	return &Admission{settings: s, prefixes: map[netip.Prefix]*list.Element{}, byLastUse: list.New()}
+// New returns an Admission without open queries.
+func New(settings Settings) *Admission {
+	return &Admission{settings: settings, prefixes: map[netip.Prefix]*list.Element{}, byLastUse: list.New()}
 }
 
-// Decide decides on a query of a client that comes now, in microseconds.
-func (g *Admission) Decide(now int64, client netip.Prefix, proven bool) Decision {
-	c := g.prefixState(now, client)
-	if !proven {
-		c.tokens = min(g.settings.Burst, c.tokens+float64(now-c.refilledAt)/1e6*g.settings.AnswersPerSecond)
-		c.refilledAt = now
-		if c.tokens < 1 {
-			if c.overRate++; g.settings.TruncateEvery > 0 && c.overRate%g.settings.TruncateEvery == 0 {
-				return Truncate
-			}
-			return Drop
+// Decide decides on a query of a client at the time now, in microseconds.
+func (a *Admission) Decide(now int64, client netip.Prefix, verified bool) Decision {
+	c := a.prefixState(now, client)
+	if !verified && !a.takeToken(c, now) {
+		if a.settings.TruncateEvery > 0 && c.overRate%a.settings.TruncateEvery == 0 {
+			return Truncate
 		}
-		c.tokens--
-		c.overRate = 0
+		return Drop
 	}
-	if g.open >= g.settings.MaxOpen || c.open >= g.settings.MaxOpenPerPrefix || !proven && float64(g.openUnverified) >= g.settings.UnverifiedShare*float64(g.settings.MaxOpen) {
+	if !a.hasCapacity(c, verified) {
 		return Shed
 	}
-	g.open++
+	a.open++
 	c.open++
-	if !proven {
-		g.openUnverified++
+	if !verified {
+		a.openUnverified++
 	}
 	return Admit
 }
 
-// Done tells that a query that was taken has its answer.
-func (g *Admission) Done(client netip.Prefix, proven bool) {
-	g.open--
-	if !proven {
-		g.openUnverified--
+// takeToken takes an answer off a prefix's rate, and reports whether it was within the rate.
+func (a *Admission) takeToken(c *prefixState, now int64) bool {
+	refill := float64(now-c.refilledAt) / microsPerSecond * a.settings.AnswersPerSecond
+	c.tokens = min(a.settings.Burst, c.tokens+refill)
+	c.refilledAt = now
+	if c.tokens < 1 {
+		c.overRate++
+		return false
 	}
-	if e := g.prefixes[client]; e != nil {
+	c.tokens--
+	c.overRate = 0
+	return true
+}
+
+// hasCapacity reports whether another query may be open.
+func (a *Admission) hasCapacity(c *prefixState, verified bool) bool {
+	if a.open >= a.settings.MaxOpen || c.open >= a.settings.MaxOpenPerPrefix {
+		return false
+	}
+	return verified || float64(a.openUnverified) < a.settings.UnverifiedShare*float64(a.settings.MaxOpen)
+}
+
+// Done records that an admitted query has its answer.
+func (a *Admission) Done(client netip.Prefix, verified bool) {
+	a.open--
+	if !verified {
+		a.openUnverified--
+	}
+	if e := a.prefixes[client]; e != nil {
 		e.Value.(*prefixState).open--
 	}
 }
 
-// Open is how many queries are open.
-func (g *Admission) Open() int { return g.open }
+// Open returns the number of open queries.
+func (a *Admission) Open() int { return a.open }
 
 // Resize changes how many queries may be open.
-func (g *Admission) Resize(open int) { g.settings.MaxOpen = max(1, open) }
+func (a *Admission) Resize(maxOpen int) { a.settings.MaxOpen = max(1, maxOpen) }
 
-// prefixState returns what is known of a client, and forgets another where the table is full. One with open queries is not
-// forgotten: there are fewer of those than the table has places, or the query is shed anyway.
-func (g *Admission) prefixState(now int64, client netip.Prefix) *prefixState {
-	if e := g.prefixes[client]; e != nil {
-		g.byLastUse.MoveToBack(e)
+// prefixState returns the state of a client's prefix. If too many are remembered, it forgets the least recently
+// used without open queries; there is one unless every remembered prefix has an open query, and then the new query
+// is shed.
+func (a *Admission) prefixState(now int64, client netip.Prefix) *prefixState {
+	if e := a.prefixes[client]; e != nil {
+		a.byLastUse.MoveToBack(e)
 		return e.Value.(*prefixState)
 	}
-	for range g.byLastUse.Len() {
-		if len(g.prefixes) < max(g.settings.MaxPrefixes, g.settings.MaxOpen+1) {
-			break
+	a.forgetUnused()
+	c := &prefixState{prefix: client, tokens: a.settings.Burst, refilledAt: now}
+	a.prefixes[client] = a.byLastUse.PushBack(c)
+	return c
+}
+
+func (a *Admission) forgetUnused() {
+	for range a.byLastUse.Len() {
+		if len(a.prefixes) < max(a.settings.MaxPrefixes, a.settings.MaxOpen+1) {
+			return
 		}
-		first := g.byLastUse.Front()
-		if old := first.Value.(*prefixState); old.open == 0 {
-			g.byLastUse.Remove(first)
-			delete(g.prefixes, old.prefix)
-		} else {
-			g.byLastUse.MoveToBack(first)
+		first := a.byLastUse.Front()
+		oldest := first.Value.(*prefixState)
+		if oldest.open > 0 {
+			a.byLastUse.MoveToBack(first)
+			continue
 		}
+		a.byLastUse.Remove(first)
+		delete(a.prefixes, oldest.prefix)
 	}
-	c := &prefixState{prefix: client, tokens: g.settings.Burst, refilledAt: now}
-	g.prefixes[client] = g.byLastUse.PushBack(c)
-	return c
 }
--- a/internal/dataplane/dnsfront/message_test.go
+++ b/internal/dataplane/dnsfront/message_test.go
@@ -1,6 +1,7 @@
 package dnsfront
 
 import (
+	"errors"
 	"net/netip"
 	"testing"
 	"time"
@@ -8,8 +9,8 @@
 	"github.com/miekg/dns"
 )
 
-// FuzzFront takes a client's message and a server's, of any kind: nothing panics, what is passed on asks the same, and an
-// answer has the client's id and fits into what it may get.
+// FuzzFront takes a client's message and a server's, of any kind: nothing panics, what is passed on asks the same,
+// and an answer has the client's id and fits into what it may get.
 func FuzzFront(f *testing.F) {
 	add := func(q, a *dns.Msg) {
 		x, err := q.Pack()
@@ -27,7 +28,10 @@
 	add(plain, answerWith(plain, 150))
 	edns := new(dns.Msg).SetQuestion("b.look.test.", dns.TypeTXT)
 	edns.SetEdns0(4096, true)
-	edns.IsEdns0().Option = []dns.EDNS0{&dns.EDNS0_COOKIE{Code: dns.EDNS0COOKIE, Cookie: "0011223344556677"}, &dns.EDNS0_TCP_KEEPALIVE{Code: dns.EDNS0TCPKEEPALIVE}}
+	edns.IsEdns0().Option = []dns.EDNS0{
+		&dns.EDNS0_COOKIE{Code: dns.EDNS0COOKIE, Cookie: "0011223344556677"},
+		&dns.EDNS0_TCP_KEEPALIVE{Code: dns.EDNS0TCPKEEPALIVE},
+	}
 	bad := new(dns.Msg).SetRcode(edns, dns.RcodeBadCookie)
 	bad.SetEdns0(1232, false)
 	add(edns, bad)
@@ -35,7 +39,8 @@
 	f.Fuzz(func(t *testing.T, client, server []byte) {
 		q, err := parseQuery(client)
 		if err != nil {
-			if _, ok := err.(*queryError); ok {
+			var invalid *queryError
+			if errors.As(err, &invalid) {
 				q.errorAnswer(dns.RcodeFormatError, 0, "x", replyOptions{})
 			}
 			return
@@ -57,7 +62,8 @@
 			return
 		}
 		for _, tcp := range []bool{false, true} {
-			raw, err := q.packAnswer(a, replyOptions{tcp: tcp, cookie: "00112233445566770011223344556677", keepalive: time.Second})
+			options := replyOptions{tcp: tcp, cookie: "00112233445566770011223344556677", keepalive: time.Second}
+			raw, err := q.packAnswer(a, options)
 			if err != nil {
 				continue
 			}
@@ -68,7 +74,7 @@
 	})
 }
 
-// A cookie proves the address that it was given to, for a time, to who gave it.
+// A cookie proves to the server that gave it, for its lifetime, that a client receives what is sent to its address.
 func TestClientCookieProvesAddressForALimitedTime(t *testing.T) {
 	now, a := time.Unix(1_800_000_000, 0), netip.MustParseAddr("192.0.2.7")
 	s, other := &cookieSecret{1}, &cookieSecret{2}
--- a/internal/dataplane/dnsfront/protocol.go
+++ b/internal/dataplane/dnsfront/protocol.go
@@ -8,7 +8,7 @@
 	"birchmoor/internal/platform/metrics"
 )
 
-// Front is DNS as a sidecar runs it beside HTTP.
+// Front is the DNS protocol stack that a sidecar runs beside HTTP.
 type Front struct {
 	Settings Settings
 	Sockets  Sockets
@@ -17,22 +17,24 @@
 
 var _ core.Protocol = (*Front)(nil)
 
-// Name is how discovery's entries name it.
+// Name returns the name of the protocol in endpoint lists.
 func (f *Front) Name() string { return Protocol }
 
-// Descriptors is how many it may hold.
+// Descriptors returns how many file descriptors the front may hold.
 func (f *Front) Descriptors() int { return f.Settings.Descriptors() }
 
-// Config is the configuration of its core.
+// Config returns the configuration of the front's core.
 func (f *Front) Config(c *config.Config) (*config.Config, error) { return f.Settings.Config(c) }
 
-// NewUpstream makes the side of servers.
-func (f *Front) NewUpstream(c *config.Config, clk core.Clock, figures *metrics.Registry, log *slog.Logger) core.Upstream {
-	f.counters = newCounters(figures)
-	return newUpstream(c, &f.Settings, clk, f.counters, &figures.AttemptsSent, log)
+// NewUpstream returns the part that sends queries to servers. It is to be called before NewFrontend.
+func (f *Front) NewUpstream(
+	c *config.Config, clock core.Clock, registry *metrics.Registry, log *slog.Logger,
+) core.Upstream {
+	f.counters = newCounters(registry)
+	return newUpstream(c, &f.Settings, clock, f.counters, &registry.AttemptsSent, log)
 }
 
-// NewFrontend makes the side of clients.
-func (f *Front) NewFrontend(l *core.EventLoop, figures *metrics.Registry, log *slog.Logger) core.Frontend {
-	return NewServer(&f.Settings, l, f.Sockets, f.counters, figures, log)
+// NewFrontend returns the part that receives clients' queries.
+func (f *Front) NewFrontend(eventLoop *core.EventLoop, registry *metrics.Registry, log *slog.Logger) core.Frontend {
+	return NewServer(&f.Settings, eventLoop, f.Sockets, f.counters, registry, log)
 }
--- a/internal/dataplane/dnsfront/query.go
+++ b/internal/dataplane/dnsfront/query.go
@@ -4,35 +4,27 @@
 	"encoding/binary"
 	"errors"
 	"strings"
-	"time"
 
 	"github.com/miekg/dns"
 )
 
 const (
-	maxUDPSize      = 1232 // bytes of a message over UDP, either way: what passes every path unfragmented
-	maxPlainUDPSize = 512  // without EDNS
-	headerSize      = 12
-
-	ednsCookie         = dns.EDNS0COOKIE
-	cookieSize         = 8         // of a client's part, and of ours
-	cookieLifetime     = time.Hour // a cookie of ours holds
-	maxClockSkew       = 5 * time.Minute
-	clientCookieDigits = 2 * cookieSize // in hex
+	maxUDPSize      = 1232 // bytes of a message over UDP, which fit an IPv6 path without fragmentation
+	maxPlainUDPSize = 512  // bytes of an answer over UDP to a client without EDNS
 )
 
-// question is a query as its client asked it.
+// question is a query as its client sent it.
 type question struct {
 	id            uint16
 	opcode        int
-	raw           []byte // the whole message; kept for what is passed on as it is
+	raw           []byte // the complete message, for what is passed through unchanged
 	msg           *dns.Msg
 	edns          bool
-	dnssecOK      bool   // DO
+	dnssecOK      bool
 	maxUDPSize    int    // bytes that an answer over UDP may have
 	clientCookie  string // the client's part, in hex; "" for none
-	serverCookie  string // what it gives as ours, in hex
-	asksKeepalive bool   // asks how long a TCP connection is kept
+	serverCookie  string // the part that the client returns as this server's, in hex
+	asksKeepalive bool   // the client asks how long a TCP connection stays open
 }
 
 var (
@@ -40,29 +32,30 @@
 	errResponse = errors.New("is a response")
 )
 
-// queryError is what is wrong with a query, as its client is told.
+// queryError says why a query cannot be handled, as its client is told.
 type queryError struct {
 	rcode int
 	text  string
 }
 
-func (f *queryError) Error() string { return f.text }
+func (e *queryError) Error() string { return e.text }
 
-// parseQuery reads a query. An error that is no *fault gets no answer: what answers anything could be made to talk to itself.
+// parseQuery parses a query. The question is nil where the message must not be answered: a server that answers
+// responses could be made to exchange messages with itself. All other errors are a *queryError.
 func parseQuery(raw []byte) (*question, error) {
 	if len(raw) < headerSize {
 		return nil, errShort
 	}
-	if raw[2]&0x80 != 0 {
+	if isResponse(raw) {
 		return nil, errResponse
 	}
-	q := &question{id: binary.BigEndian.Uint16(raw), opcode: int(raw[2]>>3) & 0xf, maxUDPSize: maxPlainUDPSize, raw: raw}
+	q := &question{id: headerID(raw), opcode: headerOpcode(raw), maxUDPSize: maxPlainUDPSize, raw: raw}
 	switch q.opcode {
 	case dns.OpcodeQuery, dns.OpcodeNotify, dns.OpcodeUpdate:
 	default:
 		return q, &queryError{dns.RcodeNotImplemented, "opcode"}
 	}
-	if binary.BigEndian.Uint16(raw[4:]) != 1 {
+	if questionCount(raw) != 1 {
 		return q, &queryError{dns.RcodeFormatError, "not one question"}
 	}
 	m := new(dns.Msg)
@@ -70,59 +63,91 @@
 		return q, &queryError{dns.RcodeFormatError, "malformed"}
 	}
 	q.msg = m
-	opts := 0
-	for _, rr := range m.Extra {
+	if err := q.parseEDNS(); err != nil {
+		return q, err
+	}
+	if q.opcode != dns.OpcodeQuery {
+		return q, nil
+	}
+	return q, checkQuestion(m.Question[0])
+}
+
+// checkQuestion returns a *queryError for a question that this front does not support.
+func checkQuestion(asked dns.Question) error {
+	switch {
+	case asked.Qtype == dns.TypeAXFR, asked.Qtype == dns.TypeIXFR:
+		return &queryError{dns.RcodeRefused, "transfers are not carried"}
+	case asked.Qclass != dns.ClassINET:
+		return &queryError{dns.RcodeRefused, "only class IN is carried"}
+	default:
+		return nil
+	}
+}
+
+// parseEDNS reads the OPT record, if there is one. It returns a *queryError.
+func (q *question) parseEDNS() error {
+	for _, rr := range q.msg.Extra {
 		opt, ok := rr.(*dns.OPT)
 		if !ok {
 			continue
 		}
-		if opts++; opts > 1 {
-			return q, &queryError{dns.RcodeFormatError, "more than one OPT"}
+		if q.edns {
+			return &queryError{dns.RcodeFormatError, "more than one OPT"}
 		}
 		q.edns, q.dnssecOK = true, opt.Do()
 		q.maxUDPSize = min(max(maxPlainUDPSize, int(opt.UDPSize())), maxUDPSize)
 		if opt.Version() != 0 {
-			return q, &queryError{dns.RcodeBadVers, "EDNS version"}
+			return &queryError{dns.RcodeBadVers, "EDNS version"}
 		}
-		for _, o := range opt.Option {
-			switch o := o.(type) {
-			case *dns.EDNS0_COOKIE:
-				if n := len(o.Cookie); n != clientCookieDigits && (n < 4*cookieSize || n > 10*cookieSize) {
-					return q, &queryError{dns.RcodeFormatError, "cookie"}
-				}
-				q.clientCookie, q.serverCookie = o.Cookie[:clientCookieDigits], o.Cookie[clientCookieDigits:]
-			case *dns.EDNS0_TCP_KEEPALIVE:
-				q.asksKeepalive = true
-			}
+		if err := q.parseOptions(opt.Option); err != nil {
+			return err
 		}
 	}
-	if q.opcode == dns.OpcodeQuery {
-		switch t := m.Question[0].Qtype; {
-		case t == dns.TypeAXFR, t == dns.TypeIXFR:
-			return q, &queryError{dns.RcodeRefused, "transfers are not carried"}
-		case m.Question[0].Qclass != dns.ClassINET:
-			return q, &queryError{dns.RcodeRefused, "only class IN is carried"}
+	return nil
+}
+
+func (q *question) parseOptions(options []dns.EDNS0) error {
+	for _, option := range options {
+		switch o := option.(type) {
+		case *dns.EDNS0_COOKIE:
+			if !isCookieLength(len(o.Cookie)) {
+				return &queryError{dns.RcodeFormatError, "cookie"}
+			}
+			q.clientCookie, q.serverCookie = o.Cookie[:clientCookieDigits], o.Cookie[clientCookieDigits:]
+		case *dns.EDNS0_TCP_KEEPALIVE:
+			q.asksKeepalive = true
 		}
 	}
-	return q, nil
+	return nil
 }
 
-// key names a query for joining those that ask the same: name in lower case, type, and the flags that an answer turns on.
+// isCookieLength reports whether a cookie of so many hexadecimal digits has a client's part, alone or with a server's
+// part of 8 to 32 bytes (RFC 7873, 4).
+func isCookieLength(digits int) bool {
+	if digits == clientCookieDigits {
+		return true
+	}
+	return digits >= 4*cookieSize && digits <= 10*cookieSize
+}
+
+// key identifies queries with the same answer, by name in lower case, type, class, and the flags that affect an
+// answer.
 func (q *question) key() string {
-	d := q.msg.Question[0]
+	asked := q.msg.Question[0]
 	var b [6]byte
-	binary.BigEndian.PutUint16(b[:], d.Qtype)
-	binary.BigEndian.PutUint16(b[2:], d.Qclass)
-	for i, on := range []bool{q.msg.RecursionDesired, q.msg.CheckingDisabled, q.dnssecOK, q.msg.AuthenticatedData, q.edns} {
+	binary.BigEndian.PutUint16(b[:], asked.Qtype)
+	binary.BigEndian.PutUint16(b[2:], asked.Qclass)
+	flags := []bool{q.msg.RecursionDesired, q.msg.CheckingDisabled, q.dnssecOK, q.msg.AuthenticatedData, q.edns}
+	for i, on := range flags {
 		if on {
 			b[4] |= 1 << i
 		}
 	}
 	b[5] = byte(q.opcode)
-	return string(b[:]) + strings.ToLower(d.Name)
+	return string(b[:]) + strings.ToLower(asked.Name)
 }
 
-// isSigned says whether a message must not be changed but for its id: a signature covers it.
+// isSigned reports whether a signature covers the message, so that only its ID may be changed.
 func (q *question) isSigned() bool {
 	if q.msg.IsTsig() != nil {
 		return true
@@ -135,31 +160,35 @@
 	return false
 }
 
-// isPassedThrough says whether it is passed on byte by byte, and so is its answer.
+// isPassedThrough reports whether the query and its answer are forwarded byte by byte.
 func (q *question) isPassedThrough() bool { return q.opcode != dns.OpcodeQuery || q.isSigned() }
 
-// forServer makes what goes to a server, with id 0. EDNS is between neighbours: the client's OPT ends here, and ours, with
-// our cookie for that server, goes on.
+// forServer encodes the query for a server, with ID 0. EDNS is negotiated hop by hop (RFC 6891): the client's OPT
+// record is replaced by one with this program's cookie for the server.
 func (q *question) forServer(cookie string) ([]byte, error) {
 	if q.isPassedThrough() {
 		raw := append([]byte(nil), q.raw...)
-		raw[0], raw[1] = 0, 0
+		setID(raw, 0)
 		return raw, nil
 	}
-	m := &dns.Msg{MsgHdr: dns.MsgHdr{RecursionDesired: q.msg.RecursionDesired, CheckingDisabled: q.msg.CheckingDisabled,
-		AuthenticatedData: q.msg.AuthenticatedData, Opcode: q.opcode}, Question: q.msg.Question}
+	header := dns.MsgHdr{
+		RecursionDesired:  q.msg.RecursionDesired,
+		CheckingDisabled:  q.msg.CheckingDisabled,
+		AuthenticatedData: q.msg.AuthenticatedData,
+		Opcode:            q.opcode,
+	}
 	opt := newOPT(q.dnssecOK)
 	if cookie != "" {
-		opt.Option = append(opt.Option, &dns.EDNS0_COOKIE{Code: ednsCookie, Cookie: cookie})
+		opt.Option = append(opt.Option, &dns.EDNS0_COOKIE{Code: dns.EDNS0COOKIE, Cookie: cookie})
 	}
-	m.Extra = []dns.RR{opt}
+	m := &dns.Msg{MsgHdr: header, Question: q.msg.Question, Extra: []dns.RR{opt}}
 	return m.Pack()
 }
 
-func newOPT(do bool) *dns.OPT {
+func newOPT(dnssecOK bool) *dns.OPT {
 	opt := &dns.OPT{Hdr: dns.RR_Header{Name: ".", Rrtype: dns.TypeOPT}}
 	opt.SetUDPSize(maxUDPSize)
-	if do {
+	if dnssecOK {
 		opt.SetDo()
 	}
 	return opt
--- a/internal/dataplane/dnsfront/resend/resend.go
+++ b/internal/dataplane/dnsfront/resend/resend.go
@@ -1,45 +1,53 @@
-// Package resend decides when a datagram that has no answer yet is sent once more to the same server, as a part of the same
-// attempt: datagrams get lost, and a network that loses some is no failure of the servers behind it. Whether another
-// server is asked is not its matter. It does no I/O and is told durations.
+// Package resend decides when a datagram without an answer is sent once more to the same server, as a part of the
+// same attempt: networks lose datagrams, and a lost one is no failure of the server. Whether another server is
+// asked is decided by package balancer. It does no I/O, is told durations, and imports only the standard library.
 //
-// The wait is TCP's (RFC 6298): the smoothed round trip and four times its deviation, doubled each time, with samples of
-// datagrams that went out once alone (Karn). The bound is a budget that answers pay in: a server that answers may be sent
-// something again, one that is dead or jammed is not met with more than before.
+// The delay is TCP's retransmission timeout (RFC 6298): the smoothed round-trip time and four times its variation,
+// doubled for each resend, measured only by datagrams that were sent once (Karn's algorithm). A budget bounds
+// resends: each answer earns a part of one, so that a server that is dead or overloaded does not get more load than
+// before.
 package resend
 
 import "time"
 
 const (
-	creditPerAnswer = 0.5 // resends for each answer: with a third of the round trips lost 0.4 are needed
-	maxCredit       = 10  // saved up, and at the beginning
-	initialDelay    = 100 * time.Millisecond
-	minDelay        = 10 * time.Millisecond // two datagrams in so short a time meet the same shortage
-	maxResends      = 2                     // an attempt
+	creditPerAnswer = 0.5 // resends; 0.4 are needed where a third of the round trips is lost
+	maxCredit       = 10  // resends, also the initial credit
+	maxResends      = 2   // per attempt
+
+	initialDelay = 100 * time.Millisecond // while no round trip was measured
+	minDelay     = 10 * time.Millisecond  // two datagrams within less are likely to be lost to the same congestion
+
+	// Weights of a new round trip in the averages (RFC 6298).
+	rttGain       = 8 // one eighth
+	variationGain = 4 // one quarter
 )
 
-// Link is what is known of the way to a server. It is for one goroutine at a time.
+// Link is what is known about the path to a server. One goroutine at a time may use it.
 type Link struct {
-	hasRTT                    bool
-	smoothedRTT, rttVariation time.Duration
-	credit                    float64
+	hasRTT       bool
+	smoothedRTT  time.Duration
+	rttVariation time.Duration
+	credit       float64
 }
 
-// New returns a link of which nothing is known.
+// New returns a link without measurements.
 func New() *Link { return &Link{credit: maxCredit} }
 
-// Delay is how long after the n-th sending of an attempt, counted from 0, the next is due; false if there is none.
-func (l *Link) Delay(n int) (time.Duration, bool) {
-	if n >= maxResends {
+// Delay returns how long after a datagram was sent the next is due, where resends have been sent before it; false if
+// there is to be no other.
+func (l *Link) Delay(resends int) (time.Duration, bool) {
+	if resends >= maxResends {
 		return 0, false
 	}
-	wait := initialDelay
+	delay := initialDelay
 	if l.hasRTT {
-		wait = max(minDelay, l.smoothedRTT+4*l.rttVariation)
+		delay = max(minDelay, l.smoothedRTT+4*l.rttVariation)
 	}
-	return wait << n, true
+	return delay << resends, true
 }
 
-// TakeCredit says whether something may be sent again now, and pays for it.
+// TakeCredit reports whether the budget allows a resend now, and takes it from the budget.
 func (l *Link) TakeCredit() bool {
 	if l.credit < 1 {
 		return false
@@ -48,15 +56,18 @@
 	return true
 }
 
-// Answered takes an answer, after a round trip; once says that its query went out once.
-func (l *Link) Answered(trip time.Duration, once bool) {
+// Answered records an answer and its round-trip time. A query that was sent more than once does not tell its
+// round-trip time, since the answer may belong to any of the datagrams.
+func (l *Link) Answered(roundTrip time.Duration, sentOnce bool) {
 	l.credit = min(maxCredit, l.credit+creditPerAnswer)
 	switch {
-	case !once:
+	case !sentOnce:
 	case !l.hasRTT:
-		l.hasRTT, l.smoothedRTT, l.rttVariation = true, trip, trip/2
+		l.hasRTT = true
+		l.smoothedRTT = roundTrip
+		l.rttVariation = roundTrip / 2
 	default:
-		l.rttVariation += ((l.smoothedRTT - trip).Abs() - l.rttVariation) / 4
-		l.smoothedRTT += (trip - l.smoothedRTT) / 8
+		l.rttVariation += ((l.smoothedRTT - roundTrip).Abs() - l.rttVariation) / variationGain
+		l.smoothedRTT += (roundTrip - l.smoothedRTT) / rttGain
 	}
 }
--- a/internal/dataplane/dnsfront/resend/resend_test.go
+++ b/internal/dataplane/dnsfront/resend/resend_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The wait follows round trips, and what went out twice teaches nothing of them.
+// The delay follows round trips, and a query that was sent twice does not change it.
 func TestDelayFollowsRoundTripTime(t *testing.T) {
 	l := New()
 	if w, ok := l.Delay(0); !ok || w != initialDelay {
@@ -33,7 +33,7 @@
 	}
 }
 
-// A server that does not answer is sent little again; one behind a network that loses a third is sent all that is lost.
+// A server that does not answer gets few resends; behind a network that loses a third, each loss is resent.
 func TestResendBudgetFollowsAnswers(t *testing.T) {
 	l, dead := New(), 0
 	for range 1000 {
--- a/internal/dataplane/dnsfront/route/route.go
+++ b/internal/dataplane/dnsfront/route/route.go
@@ -1,4 +1,5 @@
-// Package route decides which class a DNS query belongs to. It does no I/O and holds no state.
+// Package route decides which class a DNS query belongs to. It does no I/O, holds no state, and imports only the
+// standard library.
 package route
 
 import (
@@ -7,7 +8,7 @@
 	"strings"
 )
 
-// Query is what a route may go by.
+// Query is what the class of a query depends on.
 type Query struct {
 	Name   string // fully qualified, in any case
 	Type   uint16
@@ -15,18 +16,18 @@
 	TCP    bool // the client came over TCP
 }
 
-// Class is one class of queries. What is left empty lets everything pass, but for Opcodes.
+// Class says which queries belong to a class. An empty field matches all queries, except Opcodes.
 type Class struct {
-	Suffixes []string // names at or under one of them, in any case, with or without a final dot
+	Suffixes []string // names equal to or below one of them, in any case, with or without a final dot
 	Types    []uint16
-	Opcodes  []int // none: 0, QUERY
-	UDP, TCP bool  // clients' transports; both false: either
+	Opcodes  []int // empty: QUERY alone
+	UDP, TCP bool  // the client's transport; both false: either
 }
 
-// Table finds the class of a query. It may be used by many goroutines at once.
+// Table finds the class of a query. It may be used from any goroutine.
 type Table struct{ rules []rule }
 
-// rule is a class under one suffix.
+// rule matches the queries of a class below one suffix.
 type rule struct {
 	class    int
 	suffix   string // in lower case, with a dot at both ends; "." for all names
@@ -35,24 +36,17 @@
 	udp, tcp bool
 }
 
-// New returns the table of classes, which are called by their places.
+// opcodeQuery is the operation QUERY (RFC 1035, 4.1.1).
+const opcodeQuery = 0
+
+// New returns the table of classes, which are identified by their indexes.
 //
-// The most specific rule counts: the one with the most labels in its suffix, then one that names types before one that
-// takes all, then one that names a transport, then the class that comes first.
+// The most specific rule counts: the one with the most labels in its suffix, then one with types before one
+// without, then one with a transport before one without, then the class that comes first.
 func New(classes []Class) *Table {
 	t := &Table{}
 	for i, c := range classes {
-		suffixes, opcodes := c.Suffixes, c.Opcodes
-		if len(suffixes) == 0 {
-			suffixes = []string{"."}
-		}
-		if len(opcodes) == 0 {
-			opcodes = []int{0}
-		}
-		for _, s := range suffixes {
-			t.rules = append(t.rules, rule{class: i, suffix: canonicalName(s), types: c.Types, opcodes: opcodes,
-				udp: c.UDP || !c.TCP, tcp: c.TCP || !c.UDP})
-		}
+		t.rules = append(t.rules, rulesOf(i, c)...)
 	}
 	slices.SortStableFunc(t.rules, func(a, b rule) int {
 		return cmp.Or(
@@ -63,18 +57,43 @@
 	return t
 }
 
-// trueFirst puts what holds before what does not.
+// rulesOf returns the rules of a class, one for each suffix.
+func rulesOf(class int, c Class) []rule {
+	suffixes := c.Suffixes
+	if len(suffixes) == 0 {
+		suffixes = []string{"."}
+	}
+	opcodes := c.Opcodes
+	if len(opcodes) == 0 {
+		opcodes = []int{opcodeQuery}
+	}
+	rules := make([]rule, 0, len(suffixes))
+	for _, suffix := range suffixes {
+		rules = append(rules, rule{
+			class:   class,
+			suffix:  canonicalName(suffix),
+			types:   c.Types,
+			opcodes: opcodes,
+			udp:     c.UDP || !c.TCP,
+			tcp:     c.TCP || !c.UDP,
+		})
+	}
+	return rules
+}
+
+// trueFirst compares so that true sorts before false.
 func trueFirst(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
 	case a:
 		return -1
+	default:
+		return 1
 	}
-	return 1
 }
 
-// canonicalName gives a name a dot at both ends, so that a suffix ends at a label's beginning.
+// canonicalName returns a name in lower case with a dot at both ends, so that a suffix matches complete labels only.
 func canonicalName(name string) string {
 	name = strings.ToLower(strings.Trim(name, "."))
 	if name == "" {
@@ -83,15 +102,27 @@
 	return "." + name + "."
 }
 
-// Find returns the place of the query's class, or false if it belongs to none.
+// Find returns the index of a query's class, or false if it belongs to none.
 func (t *Table) Find(q Query) (int, bool) {
 	name := canonicalName(q.Name)
 	for i := range t.rules {
-		r := &t.rules[i]
-		if strings.HasSuffix(name, r.suffix) && slices.Contains(r.opcodes, q.Opcode) &&
-			(len(r.types) == 0 || slices.Contains(r.types, q.Type)) && (r.tcp && q.TCP || r.udp && !q.TCP) {
-			return r.class, true
+		if t.rules[i].matches(name, q) {
+			return t.rules[i].class, true
 		}
 	}
 	return 0, false
 }
+
+// matches reports whether a query for a canonical name belongs to the rule's class.
+func (r *rule) matches(name string, q Query) bool {
+	if !strings.HasSuffix(name, r.suffix) || !slices.Contains(r.opcodes, q.Opcode) {
+		return false
+	}
+	if len(r.types) > 0 && !slices.Contains(r.types, q.Type) {
+		return false
+	}
+	if q.TCP {
+		return r.tcp
+	}
+	return r.udp
+}
--- a/internal/dataplane/dnsfront/settings.go
+++ b/internal/dataplane/dnsfront/settings.go
@@ -1,9 +1,12 @@
-// Package dnsfront is DNS on both sides, beside HTTP and with a core of its own: Server takes queries over UDP and TCP and
-// gives each its one final answer, Upstream asks servers. Which server is asked, whether again, and what is refused the
-// decision module says; which class a query belongs to, package route; how much is taken of whom, package limit.
+// Package dnsfront load-balances DNS beside HTTP, with an event loop of its own: Server receives queries over UDP
+// and TCP and gives each one final answer, Upstream sends queries to servers. Package balancer decides which server
+// is asked, whether an attempt is retried, and what is rejected; package route, to which class a query belongs;
+// package limit, how many queries of a client are admitted.
 //
-// The codec is miekg/dns. Queries and answers are read whole and written anew, but for signed ones, updates and
-// notifications, which are passed on byte by byte.
+// Messages are encoded by miekg/dns. Queries and answers are parsed completely and encoded anew, except for signed
+// messages, updates and notifications, which are passed through byte by byte.
+//
+// It may import balancer, packages core, config and handover of the data plane, and the platform's packages.
 package dnsfront
 
 import (
@@ -20,7 +23,7 @@
 	"birchmoor/internal/dataplane/dnsfront/route"
 )
 
-// Protocol is how discovery's entries name servers of this front.
+// Protocol is the name of the protocol in endpoint lists.
 const Protocol = "dns"
 
 // Class is a class of queries.
@@ -32,10 +35,10 @@
 	PriorityWeight     float64
 	LatePriorityWeight float64
 	MaxAttempts        int
-	ShareAnswers       bool // queries that ask the same while one is open share its answer
+	ShareAnswers       bool // a query with the question of an open one is answered by that one's lookup
 }
 
-// isIdempotent says whether a query of the class may be asked again.
+// isIdempotent reports whether queries of the class may be retried.
 func (c *Class) isIdempotent() bool {
 	for _, op := range c.Route.Opcodes {
 		if op != dns.OpcodeQuery {
@@ -45,73 +48,107 @@
 	return true
 }
 
-// Settings are those of the front.
+// Settings are the settings of the front.
 type Settings struct {
 	Limit             limit.Settings
-	MaxSockets        int           // UDP sockets to servers
-	MaxConnsPerServer int           // connections to one server
-	MaxClientConns    int           // connections of clients
-	MaxQueriesPerConn int           // queries open on one of them
-	IdleTimeout       time.Duration // after which one without queries is closed
+	MaxSockets        int // UDP sockets to servers
+	MaxConnsPerServer int
+	MaxClientConns    int
+	MaxQueriesPerConn int           // open queries on a client's connection
+	IdleTimeout       time.Duration // after which a client's connection without a query is closed
 	Classes           []Class
 }
 
-// Descriptors is how many the front may hold.
-func (s *Settings) Descriptors() int { return s.MaxSockets + s.MaxClientConns + s.maxServerConns() + 4 }
+const (
+	listeningDescriptors = 4 // the UDP socket and the listener, and as many during a handover
+	maxBusyServers       = 8 // servers with queries over TCP at a time
+)
+
+// Descriptors returns how many file descriptors the front may hold.
+func (s *Settings) Descriptors() int {
+	return s.MaxSockets + s.MaxClientConns + s.maxServerConns() + listeningDescriptors
+}
 
-// maxServerConns is how many connections to servers may be open in all: those with queries are few at a time.
-func (s *Settings) maxServerConns() int { return 8 * s.MaxConnsPerServer }
+// maxServerConns returns how many connections may be open to all servers together.
+func (s *Settings) maxServerConns() int { return maxBusyServers * s.MaxConnsPerServer }
 
-// Config makes the configuration of the front's core from the sidecar's: the contract, the limits and the prices are the
-// site's, the classes the front's. Servers are judged by their answers alone.
+// Config returns the configuration of the front's core: the sidecar's with the front's classes, its limit of open
+// queries, and without load reports and probes, since servers are judged by their answers alone.
 func (s *Settings) Config(c *config.Config) (*config.Config, error) {
-	d := *c
-	d.InitialList = c.InitialList.ForProtocol(Protocol)
-	d.Classes, d.Tenants, d.LoadFields, d.LoadOnResponses = nil, nil, nil, false
-	b := &d.Settings
-	b.Classes, b.Tenants, b.Fields, b.Subscribe, b.WeightByWork = nil, nil, nil, false, false
-	b.Limits.Probes = false
-	b.Limits.MaxOpen = s.Limit.MaxOpen
-	b.Limits.MaxAttempts = 1
+	derived := *c
+	derived.InitialList = c.InitialList.ForProtocol(Protocol)
+	derived.Classes = nil
+	derived.Tenants = nil
+	derived.LoadFields = nil
+	derived.LoadOnResponses = false
+
+	settings := &derived.Settings
+	settings.Classes = nil
+	settings.Tenants = nil
+	settings.Fields = nil
+	settings.Subscribe = false
+	settings.WeightByWork = false
+	settings.Limits.Probes = false
+	settings.Limits.MaxOpen = s.Limit.MaxOpen
+	settings.Limits.MaxAttempts = 1
 	for i := range s.Classes {
 		class := &s.Classes[i]
-		repeat := balancer.NotIdempotent
-		if class.isIdempotent() {
-			repeat = balancer.Idempotent
-		}
-		b.Limits.MaxAttempts = max(b.Limits.MaxAttempts, class.MaxAttempts)
-		d.Classes = append(d.Classes, className(class.Name))
-		b.Classes = append(b.Classes, balancer.Class{Name: class.Name, Idempotency: repeat, LatencyObjective: class.LatencyObjective.Microseconds(),
-			Timeout: class.Timeout.Microseconds(), PriorityWeight: class.PriorityWeight, LatePriorityWeight: class.LatePriorityWeight})
+		settings.Limits.MaxAttempts = max(settings.Limits.MaxAttempts, class.MaxAttempts)
+		settings.Classes = append(settings.Classes, class.settings())
+		derived.Classes = append(derived.Classes, className(class.Name))
 	}
-	if err := b.Validate(); err != nil {
+	if err := settings.Validate(); err != nil {
 		return nil, fmt.Errorf("dns: %w", err)
 	}
-	return &d, nil
+	return &derived, nil
 }
 
-// className is a class's name among the figures.
+// settings returns the class as the decision module knows it.
+func (c *Class) settings() balancer.Class {
+	idempotency := balancer.NotIdempotent
+	if c.isIdempotent() {
+		idempotency = balancer.Idempotent
+	}
+	return balancer.Class{
+		Name:               c.Name,
+		Idempotency:        idempotency,
+		LatencyObjective:   c.LatencyObjective.Microseconds(),
+		Timeout:            c.Timeout.Microseconds(),
+		PriorityWeight:     c.PriorityWeight,
+		LatePriorityWeight: c.LatePriorityWeight,
+	}
+}
+
+// className returns the name of a class in metrics.
 func className(class string) string { return Protocol + "." + class }
 
-// ParseType reads a type of record, such as AAAA.
+// ParseType parses a record type, such as AAAA.
 func ParseType(name string) (uint16, bool) {
 	t, ok := dns.StringToType[name]
 	return t, ok && t != dns.TypeNone
 }
 
-// ParseOpcode reads query, update or notify.
+// ParseOpcode parses an operation: query, update or notify.
 func ParseOpcode(name string) (int, bool) {
-	op, ok := map[string]int{"query": dns.OpcodeQuery, "update": dns.OpcodeUpdate, "notify": dns.OpcodeNotify}[name]
-	return op, ok
+	switch name {
+	case "query":
+		return dns.OpcodeQuery, true
+	case "update":
+		return dns.OpcodeUpdate, true
+	case "notify":
+		return dns.OpcodeNotify, true
+	default:
+		return 0, false
+	}
 }
 
-// ValidName says whether a suffix is a name.
+// ValidName reports whether a suffix is a domain name.
 func ValidName(name string) bool {
 	_, ok := dns.IsDomainName(name)
 	return ok
 }
 
-// SortClasses puts classes into an order that does not depend on how they were read.
+// SortClasses sorts classes by name, so that their indexes do not depend on the order of the file.
 func SortClasses(list []Class) {
 	slices.SortFunc(list, func(a, b Class) int { return cmp.Compare(a.Name, b.Name) })
 }
--- a/internal/dataplane/dnsfront/tcp.go
+++ b/internal/dataplane/dnsfront/tcp.go
@@ -3,9 +3,7 @@
 import (
 	"bufio"
 	"context"
-	"encoding/binary"
 	"errors"
-	"io"
 	"net"
 	"os"
 	"slices"
@@ -17,207 +15,234 @@
 )
 
 const (
-	pipelineDepth      = 32   // queries on a connection before another is opened,
-	maxPipelineDepth   = 1024 // and on each once there may be no more
-	streamIdleTimeout  = 8 * time.Second
-	streamReadTimeout  = 2 * time.Second // for a message, from its first byte
-	streamWriteTimeout = 2 * time.Second
+	pipelineDepth      = 32   // queries on a connection before another is opened
+	maxPipelineDepth   = 1024 // queries on a connection where no other may be opened
+	serverReadBuffer   = 4096 // bytes
+	serverIdleTimeout  = 8 * time.Second
+	serverReadTimeout  = 2 * time.Second // for a message, from its first byte
+	serverWriteTimeout = 2 * time.Second
 )
 
-// serverConn is a TCP connection to a server, being opened or open.
+// serverConn is a TCP connection to a server, open or being opened.
 type serverConn struct {
-	server *server
-	ready  chan struct{} // closed once it is open or failed
+	target *target
+	ready  chan struct{} // closed once it is open, or opening it has failed
 	conn   net.Conn
-	err    error // why it failed
+	err    error // why opening it failed
 	queryTable
 	writeMu sync.Mutex
 
-	// Guarded by up.mu.
+	// Guarded by Upstream.mu.
 	queries    int
-	lastReadAt time.Time // when it was opened, or something last came
-	retired    bool      // nothing new goes on it, and it is closed once it has no query
+	lastReadAt time.Time // the time when it was opened until something is received
+	retired    bool      // it accepts no query, and is closed once it has none
 }
 
-// queryTCP asks over TCP, once. may is asked right before the query goes out.
-func (r *server) queryTCP(ctx context.Context, q *question, may func(balancer.Micros) bool) ([]byte, balancer.Status) {
-	s, err := r.acquireConn()
+// queryTCP asks over TCP, once. It asks begin right before the query is sent.
+func (t *target) queryTCP(ctx context.Context, q *question, begin permission) ([]byte, balancer.Status) {
+	c, err := t.acquireConn()
 	if err != nil {
-		return nil, r.upstream.connectErrors.Status(ctx, err, r.upstream.log)
+		return nil, t.upstream.connectErrors.Status(ctx, err, t.upstream.log)
 	}
-	defer r.upstream.releaseConn(s)
+	defer t.upstream.releaseConn(c)
 	select {
-	case <-s.ready:
+	case <-c.ready:
 	case <-ctx.Done():
 		return nil, balancer.NotSent
 	}
-	if s.err != nil {
-		return nil, r.upstream.connectErrors.Status(ctx, s.err, r.upstream.log)
+	if c.err != nil {
+		return nil, t.upstream.connectErrors.Status(ctx, c.err, t.upstream.log)
 	}
 	p := newPending(q)
-	id, err := s.add(p)
+	id, err := c.add(p)
 	if err != nil {
-		return nil, balancer.ConnectFailed // it has just been closed: nothing went out
+		return nil, balancer.ConnectFailed // it was closed in the meantime: nothing was sent
 	}
-	defer s.remove(id)
-	raw, err := q.forServer(r.currentCookie())
-	if err != nil || !may(r.upstream.clock.Now()) {
+	defer c.remove(id)
+	raw, err := q.forServer(t.currentCookie())
+	if err != nil || !begin(t.upstream.clock.Now()) {
 		return nil, balancer.NotSent
 	}
-	raw[0], raw[1] = byte(id>>8), byte(id)
-	s.writeMu.Lock()
-	s.conn.SetWriteDeadline(time.Now().Add(streamWriteTimeout))
-	n, err := s.conn.Write(append(binary.BigEndian.AppendUint16(nil, uint16(len(raw))), raw...))
-	s.writeMu.Unlock()
-	if err != nil {
-		s.conn.Close() // its reader ends it
-		if n < len(raw)+2 {
-			return nil, balancer.ConnectFailed
-		}
-		return nil, balancer.Reset
+	setID(raw, id)
+	if status := c.send(raw); status != balancer.OK {
+		return nil, status
 	}
-	r.upstream.sent.Inc()
+	t.upstream.sent.Inc()
 	answer, status, _ := p.wait(ctx, nil)
 	return answer, status
 }
 
+// send writes a message with its length before it. A failed write closes the connection; if the server cannot have
+// read the complete message, the status is ConnectFailed.
+func (c *serverConn) send(raw []byte) balancer.Status {
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	frame := appendFrame(nil, raw)
+	// The deadline can be set unless the connection is closed, and then the write fails as well.
+	_ = c.conn.SetWriteDeadline(time.Now().Add(serverWriteTimeout))
+	n, err := c.conn.Write(frame)
+	if err == nil {
+		return balancer.OK
+	}
+	c.conn.Close() // its reader then fails all queries
+	if n < len(frame) {
+		return balancer.ConnectFailed
+	}
+	return balancer.Reset
+}
+
 // acquireConn returns the connection with the fewest queries, or a new one.
-func (r *server) acquireConn() (*serverConn, error) {
-	u := r.upstream
+func (t *target) acquireConn() (*serverConn, error) {
+	u := t.upstream
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if r.removed {
+	if t.removed {
 		return nil, core.ErrEndpointRemoved
 	}
-	var least *serverConn
-	for _, s := range r.conns {
-		if least == nil || s.queries < least.queries {
-			least = s
+	var leastLoaded *serverConn
+	for _, c := range t.conns {
+		if leastLoaded == nil || c.queries < leastLoaded.queries {
+			leastLoaded = c
 		}
 	}
-	if (least == nil || least.queries >= pipelineDepth && len(r.conns) < u.settings.MaxConnsPerServer) && u.makeRoomLocked() {
-		least = &serverConn{server: r, ready: make(chan struct{}), queryTable: queryTable{open: map[uint16]*pending{}}, lastReadAt: time.Now()}
-		r.conns = append(r.conns, least)
-		u.conns[least] = struct{}{}
-		go least.run()
+	if t.needsConnLocked(leastLoaded) && u.mayOpenConnLocked() {
+		leastLoaded = &serverConn{target: t, ready: make(chan struct{}), queryTable: newQueryTable(), lastReadAt: time.Now()}
+		t.conns = append(t.conns, leastLoaded)
+		u.conns[leastLoaded] = struct{}{}
+		go leastLoaded.run()
 	}
-	if least == nil || least.queries >= maxPipelineDepth {
+	if leastLoaded == nil || leastLoaded.queries >= maxPipelineDepth {
 		return nil, core.ErrConnectionsExhausted
 	}
-	least.queries++
-	return least, nil
+	leastLoaded.queries++
+	return leastLoaded, nil
+}
+
+// needsConnLocked reports whether another connection is worth opening beside the least loaded one, nil for none.
+func (t *target) needsConnLocked(leastLoaded *serverConn) bool {
+	if leastLoaded == nil {
+		return true
+	}
+	return leastLoaded.queries >= pipelineDepth && len(t.conns) < t.upstream.settings.MaxConnsPerServer
 }
 
-// makeRoomLocked says whether another connection may be opened. The one without queries that was silent for longest makes
-// room.
-func (u *Upstream) makeRoomLocked() bool {
+// mayOpenConnLocked reports whether another connection may be opened. At the limit it retires the connection without
+// queries that has been silent for longest.
+func (u *Upstream) mayOpenConnLocked() bool {
 	if len(u.conns) < u.settings.maxServerConns() {
 		return true
 	}
 	var idle *serverConn
-	for s := range u.conns {
-		if s.queries == 0 && !s.retired && (idle == nil || s.lastReadAt.Before(idle.lastReadAt)) {
-			idle = s
+	for c := range u.conns {
+		if c.queries > 0 || c.retired {
+			continue
+		}
+		if idle == nil || c.lastReadAt.Before(idle.lastReadAt) {
+			idle = c
 		}
 	}
-	if idle != nil {
-		idle.retireLocked()
-		delete(u.conns, idle)
+	if idle == nil {
+		return false
 	}
-	return idle != nil
+	idle.retireLocked()
+	delete(u.conns, idle)
+	return true
 }
 
-// releaseConn takes a query off its connection. One that is retired goes with the last.
-func (u *Upstream) releaseConn(s *serverConn) {
+// releaseConn takes a query off its connection. A retired connection is closed after the last one.
+func (u *Upstream) releaseConn(c *serverConn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if s.queries--; s.queries == 0 && s.retired && s.conn != nil {
-		s.conn.Close()
+	c.queries--
+	if c.queries == 0 && c.retired && c.conn != nil {
+		c.conn.Close()
+	}
+}
+
+// retireLocked lets a connection accept no more queries, and closes it if it has none.
+func (c *serverConn) retireLocked() {
+	c.retired = true
+	c.target.conns = slices.DeleteFunc(c.target.conns, func(o *serverConn) bool { return o == c })
+	if c.queries == 0 && c.conn != nil {
+		c.conn.Close()
 	}
 }
 
-// retireLocked has nothing new go on a connection.
-func (s *serverConn) retireLocked() {
-	s.retired = true
-	s.server.conns = slices.DeleteFunc(s.server.conns, func(o *serverConn) bool { return o == s })
-	if s.queries == 0 && s.conn != nil {
-		s.conn.Close()
+// run opens a connection and delivers messages until it ends, independently of the query that needed it first.
+func (c *serverConn) run() {
+	if !c.open() {
+		return
 	}
+	err := c.read()
+	u := c.target.upstream
+	u.mu.Lock()
+	c.retireLocked()
+	delete(u.conns, c)
+	u.mu.Unlock()
+	c.close(err)
+	c.conn.Close()
 }
 
-// run opens a connection and passes on what comes until it ends. It is not bound to the query that wanted it first.
-func (s *serverConn) run() {
-	u := s.server.upstream
-	conn, err := u.dial(context.Background(), "tcp", s.server.addr)
+// open dials the server and reports whether that succeeded. A connection that was retired meanwhile is closed at
+// once.
+func (c *serverConn) open() bool {
+	u := c.target.upstream
+	conn, err := u.dial(context.Background(), "tcp", c.target.addr)
 	u.mu.Lock()
-	s.conn, s.err, s.lastReadAt = conn, err, time.Now()
+	c.conn, c.err, c.lastReadAt = conn, err, time.Now()
 	if err != nil {
-		s.retireLocked()
-		delete(u.conns, s)
+		c.retireLocked()
+		delete(u.conns, c)
 	}
-	idle := s.retired && s.queries == 0
+	unneeded := c.retired && c.queries == 0
 	u.mu.Unlock()
-	close(s.ready)
+	close(c.ready)
 	if err != nil {
-		return
+		return false
 	}
-	if idle {
+	if unneeded {
 		conn.Close()
 	}
-	err = s.read()
-	u.mu.Lock()
-	s.retireLocked()
-	delete(u.conns, s)
-	u.mu.Unlock()
-	s.failAll(err, true)
-	conn.Close()
+	return true
 }
 
-// read ends when the connection does or has been idle for long.
-func (s *serverConn) read() error {
-	r := bufio.NewReaderSize(s.conn, 4096)
+// read delivers messages until the connection ends or has been idle for its timeout.
+func (c *serverConn) read() error {
+	r := bufio.NewReaderSize(c.conn, serverReadBuffer)
 	var buf []byte
 	for {
-		s.conn.SetReadDeadline(time.Now().Add(streamIdleTimeout))
+		// The deadline can be set unless the connection is closed, and then the read fails as well.
+		_ = c.conn.SetReadDeadline(time.Now().Add(serverIdleTimeout))
 		if _, err := r.Peek(1); err != nil {
-			if errors.Is(err, os.ErrDeadlineExceeded) && !s.retireIfIdle() {
-				continue // whether its queries wait for too long is the loop's to say
+			if errors.Is(err, os.ErrDeadlineExceeded) && !c.retireIfIdle() {
+				continue // the event loop decides how long a query may wait
 			}
 			return err
 		}
-		s.conn.SetReadDeadline(time.Now().Add(streamReadTimeout))
+		_ = c.conn.SetReadDeadline(time.Now().Add(serverReadTimeout))
 		var err error
-		if buf, err = readFrame(r, buf); err != nil {
+		buf, err = readFrame(r, buf)
+		if err != nil {
 			return err
 		}
-		s.server.upstream.mu.Lock()
-		s.lastReadAt = time.Now()
-		s.server.upstream.mu.Unlock()
-		s.deliver(buf, s.server.upstream.counters)
+		c.recordRead()
+		c.deliver(buf, c.target.upstream.counters)
 	}
 }
 
-// retireIfIdle retires a connection without queries, and says whether it has none.
-func (s *serverConn) retireIfIdle() bool {
-	s.server.upstream.mu.Lock()
-	defer s.server.upstream.mu.Unlock()
-	if s.queries > 0 {
-		return false
-	}
-	s.retireLocked()
-	return true
+func (c *serverConn) recordRead() {
+	c.target.upstream.mu.Lock()
+	defer c.target.upstream.mu.Unlock()
+	c.lastReadAt = time.Now()
 }
 
-// readFrame reads a message behind its length (RFC 1035, 4.2.2), into buf if that is large enough.
-func readFrame(r io.Reader, buf []byte) ([]byte, error) {
-	var size [2]byte
-	if _, err := io.ReadFull(r, size[:]); err != nil {
-		return buf, err
-	}
-	n := int(binary.BigEndian.Uint16(size[:]))
-	if cap(buf) < n {
-		buf = make([]byte, n)
+// retireIfIdle retires a connection without queries, and reports whether it has none.
+func (c *serverConn) retireIfIdle() bool {
+	c.target.upstream.mu.Lock()
+	defer c.target.upstream.mu.Unlock()
+	if c.queries > 0 {
+		return false
 	}
-	_, err := io.ReadFull(r, buf[:n])
-	return buf[:n], err
+	c.retireLocked()
+	return true
 }
--- a/internal/dataplane/dnsfront/udp.go
+++ b/internal/dataplane/dnsfront/udp.go
@@ -16,160 +16,171 @@
 )
 
 const (
-	socketIdleTimeout   = time.Second // a socket stays open after its last query, so that late answers are seen and counted
-	maxQueriesPerSocket = 4096        // queries on one socket, far under the number of ids
+	socketIdleTimeout   = time.Second // counted late answers need the socket of their query
+	maxQueriesPerSocket = 4096        // far below the number of IDs, so that a free one is found quickly
 )
 
-// socket is a UDP socket connected to one server: the kernel lets nothing through from elsewhere.
+// socket is a UDP socket connected to one server: the kernel discards datagrams from elsewhere.
 type socket struct {
-	server *server
+	target *target
 	conn   net.Conn
 	queryTable
-	queries int  // queries that have it; guarded by up.mu
-	idle    bool // and it is in up.resting
+
+	// Guarded by Upstream.mu.
+	queries int
+	idle    bool // it has no query and is in Upstream.idleSockets
 }
 
-// queryUDP asks over UDP. may is asked right before the query goes out, more before it goes out again.
-func (r *server) queryUDP(ctx context.Context, q *question, may, more func(balancer.Micros) bool) ([]byte, balancer.Status) {
-	s, err := r.acquireSocket()
+// queryUDP asks over UDP. It asks begin right before the query is sent, and resend before it is sent again.
+func (t *target) queryUDP(ctx context.Context, q *question, begin, resend permission) ([]byte, balancer.Status) {
+	s, err := t.acquireSocket()
 	if err != nil {
-		return nil, r.upstream.connectErrors.Status(ctx, err, r.upstream.log)
+		return nil, t.upstream.connectErrors.Status(ctx, err, t.upstream.log)
 	}
-	defer r.upstream.releaseSocket(s)
+	defer t.upstream.releaseSocket(s)
 	p := newPending(q)
 	id, err := s.add(p)
 	if err != nil {
-		return nil, r.upstream.connectErrors.Status(ctx, err, r.upstream.log)
+		return nil, t.upstream.connectErrors.Status(ctx, err, t.upstream.log)
 	}
 	defer s.remove(id)
-	query, err := q.forServer(r.currentCookie())
-	if err != nil || !may(r.upstream.clock.Now()) {
+	query, err := q.forServer(t.currentCookie())
+	if err != nil || !begin(t.upstream.clock.Now()) {
 		return nil, balancer.NotSent
 	}
-	query[0], query[1] = byte(id>>8), byte(id)
-	begun := time.Now()
+	setID(query, id)
+	sentAt := time.Now()
 	if _, err := s.conn.Write(query); err != nil {
-		return nil, balancer.ConnectFailed // a datagram goes whole or not at all
+		return nil, balancer.ConnectFailed // a datagram is sent completely or not at all
 	}
-	r.upstream.sent.Inc()
-	for n := 0; ; n++ {
-		wait, again := r.resendDelay(n)
-		var late <-chan time.Time
-		if again {
-			late = time.After(wait)
+	t.upstream.sent.Inc()
+	return t.awaitDatagram(ctx, s, p, query, sentAt, resend)
+}
+
+// awaitDatagram waits for the answer to a query, and sends it again while an answer is overdue and that is allowed.
+func (t *target) awaitDatagram(
+	ctx context.Context, s *socket, p *pending, query []byte, sentAt time.Time, resend permission,
+) ([]byte, balancer.Status) {
+	for resends := 0; ; resends++ {
+		var overdue <-chan time.Time
+		if delay, ok := t.resendDelay(resends); ok {
+			overdue = time.After(delay)
 		}
-		raw, status, over := p.wait(ctx, late)
-		if over {
+		raw, status, done := p.wait(ctx, overdue)
+		if done {
 			if status == balancer.OK {
-				r.recordAnswer(time.Since(begun), n == 0)
+				t.recordAnswer(time.Since(sentAt), resends == 0)
 			}
 			return raw, status
 		}
-		if !more(r.upstream.clock.Now()) || !r.takeResendCredit() {
+		if !resend(t.upstream.clock.Now()) || !t.takeResendCredit() {
 			raw, status, _ := p.wait(ctx, nil)
 			return raw, status
 		}
-		r.upstream.counters.Resent.Inc()
-		s.conn.Write(query) // as good as lost if it fails
+		t.upstream.counters.Resent.Inc()
+		_, _ = s.conn.Write(query) // a failed write is treated like a lost datagram
 	}
 }
 
-// resendDelay, mayResend and answered ask and tell what is known of the way to the server.
-func (r *server) resendDelay(n int) (time.Duration, bool) {
-	r.upstream.mu.Lock()
-	defer r.upstream.mu.Unlock()
-	return r.link.Delay(n)
+func (t *target) resendDelay(resends int) (time.Duration, bool) {
+	t.upstream.mu.Lock()
+	defer t.upstream.mu.Unlock()
+	return t.link.Delay(resends)
 }
 
-func (r *server) takeResendCredit() bool {
-	r.upstream.mu.Lock()
-	defer r.upstream.mu.Unlock()
-	return r.link.TakeCredit()
+func (t *target) takeResendCredit() bool {
+	t.upstream.mu.Lock()
+	defer t.upstream.mu.Unlock()
+	return t.link.TakeCredit()
 }
 
-func (r *server) recordAnswer(trip time.Duration, once bool) {
-	r.upstream.mu.Lock()
-	defer r.upstream.mu.Unlock()
-	r.link.Answered(trip, once)
+func (t *target) recordAnswer(roundTrip time.Duration, sentOnce bool) {
+	t.upstream.mu.Lock()
+	defer t.upstream.mu.Unlock()
+	t.link.Answered(roundTrip, sentOnce)
 }
 
-// acquireSocket returns a socket of its own for a query or, where there are no more, one that others of this server share.
-func (r *server) acquireSocket() (*socket, error) {
-	u := r.upstream
+// acquireSocket returns a socket of its own for a query or, where no more may be open, one shared with other
+// queries to this server.
+func (t *target) acquireSocket() (*socket, error) {
+	u := t.upstream
 	u.mu.Lock()
-	switch {
-	case r.removed:
+	if t.removed {
 		u.mu.Unlock()
 		return nil, core.ErrEndpointRemoved
-	case u.sockets < u.maxSockets:
-	case len(u.idleSockets) > 0:
-		u.closeLocked(u.idleSockets[0])
-	default:
-		shared := (*socket)(nil)
-		n := len(r.sockets)
-		from := rand.IntN(max(1, n))
-		for i := range n { // from a place drawn at random on
-			if s := r.sockets[(from+i)%n]; s.queries < maxQueriesPerSocket {
-				shared = s
-				break
-			}
-		}
-		if shared != nil {
-			shared.queries++
-			u.counters.SocketsShared.Inc()
-		}
-		u.mu.Unlock()
-		if shared == nil {
-			return nil, core.ErrConnectionsExhausted
+	}
+	if u.sockets >= u.maxSockets {
+		if len(u.idleSockets) == 0 {
+			defer u.mu.Unlock()
+			return t.sharedSocketLocked()
 		}
-		return shared, nil
+		u.closeLocked(u.idleSockets[0])
 	}
 	u.sockets++
 	u.mu.Unlock()
-	conn, err := r.dialUDP()
+
+	conn, err := t.dialUDP()
+
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if err != nil {
 		u.sockets--
 		return nil, err
 	}
-	s := &socket{server: r, conn: conn, queryTable: queryTable{open: map[uint16]*pending{}}, queries: 1}
-	r.sockets = append(r.sockets, s)
+	s := &socket{target: t, conn: conn, queryTable: newQueryTable(), queries: 1}
+	t.sockets = append(t.sockets, s)
 	go s.read()
 	return s, nil
 }
 
-// dialUDP opens a socket to the server, at once where its address needs no looking up.
-func (r *server) dialUDP() (net.Conn, error) {
-	if at, err := netip.ParseAddrPort(r.addr); err == nil {
+// sharedSocketLocked returns one of the target's sockets that has capacity, beginning with a random one.
+func (t *target) sharedSocketLocked() (*socket, error) {
+	n := len(t.sockets)
+	first := rand.IntN(max(1, n))
+	for i := range n {
+		s := t.sockets[(first+i)%n]
+		if s.queries < maxQueriesPerSocket {
+			s.queries++
+			t.upstream.counters.SocketsShared.Inc()
+			return s, nil
+		}
+	}
+	return nil, core.ErrConnectionsExhausted
+}
+
+// dialUDP opens a socket to the server, without a resolver where the address is numeric.
+func (t *target) dialUDP() (net.Conn, error) {
+	if at, err := netip.ParseAddrPort(t.addr); err == nil {
 		return net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(at))
 	}
-	return r.upstream.dial(context.Background(), "udp", r.addr)
+	return t.upstream.dial(context.Background(), "udp", t.addr)
 }
 
-// releaseSocket takes a query off its socket. The last one leaves it open for a while, unless sockets are short.
+// releaseSocket takes a query off its socket. After the last one the socket stays open for a while, unless sockets
+// are scarce.
 func (u *Upstream) releaseSocket(s *socket) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if s.queries--; s.queries > 0 {
+	s.queries--
+	if s.queries > 0 {
 		return
 	}
-	if s.server.removed || len(u.idleSockets) >= u.maxSockets/2 || u.sockets > u.maxSockets {
+	if s.target.removed || len(u.idleSockets) >= u.maxSockets/2 || u.sockets > u.maxSockets {
 		u.closeLocked(s)
 		return
 	}
 	s.idle = true
 	u.idleSockets = append(u.idleSockets, s)
-	s.conn.SetReadDeadline(time.Now().Add(socketIdleTimeout))
+	_ = s.conn.SetReadDeadline(time.Now().Add(socketIdleTimeout)) // fails only once closed
 }
 
-// closeLocked closes a socket that has no query. It may have been closed before.
+// closeLocked closes a socket without queries, if it is not closed yet.
 func (u *Upstream) closeLocked(s *socket) {
-	i := slices.Index(s.server.sockets, s)
+	i := slices.Index(s.target.sockets, s)
 	if i < 0 {
 		return
 	}
-	s.server.sockets = slices.Delete(s.server.sockets, i, i+1)
+	s.target.sockets = slices.Delete(s.target.sockets, i, i+1)
 	if s.idle {
 		u.idleSockets = slices.DeleteFunc(u.idleSockets, func(o *socket) bool { return o == s })
 	}
@@ -177,23 +188,24 @@
 	s.conn.Close()
 }
 
-// read passes on what comes until the socket is closed.
+// read delivers messages until the socket is closed.
 func (s *socket) read() {
-	buf := make([]byte, maxUDPSize+1) // what is longer is not what we asked for, and is cut and passed over as malformed
+	buf := make([]byte, maxUDPSize+1) // no server was offered more: a longer message is cut, and discarded as malformed
 	for {
 		n, err := s.conn.Read(buf)
 		switch {
 		case err == nil:
-			s.deliver(buf[:n], s.server.upstream.counters)
+			s.deliver(buf[:n], s.target.upstream.counters)
 		case errors.Is(err, syscall.ECONNREFUSED):
-			s.failAll(err, false)
+			s.failOpen(err)
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			s.server.upstream.mu.Lock()
-			s.server.upstream.closeLocked(s) // a deadline is set only once it rests, and for good
-			s.server.upstream.mu.Unlock()
+			// A deadline is set only when the socket becomes idle, and an idle socket is not used again.
+			s.target.upstream.mu.Lock()
+			s.target.upstream.closeLocked(s)
+			s.target.upstream.mu.Unlock()
 			return
 		default:
-			s.failAll(err, true)
+			s.close(err)
 			return
 		}
 	}
--- a/internal/dataplane/dnsfront/upstream.go
+++ b/internal/dataplane/dnsfront/upstream.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"crypto/rand"
 	"log/slog"
 	"net"
 	"sync"
@@ -16,16 +15,16 @@
 
 const probeTimeout = 250 * time.Millisecond
 
-// dialTimeoutDivisor is the part of the dial time-out that a connection is waited for, as for HTTP: a machine that takes longer is
-// cut off or gone, and the query may still be in time elsewhere.
+// dialTimeoutDivisor is what the configured dial timeout is divided by, as for HTTP: a server that takes longer is
+// cut off or gone, and another may still answer the query in time.
 const dialTimeoutDivisor = 4
 
-// Upstream asks servers. Over UDP each query has an id and, while there are sockets, a port of its own, drawn at random;
-// an answer counts if it comes from the server asked, to that port, with that id and question. One that says that it is
-// truncated is asked for again over TCP from the same server, as a part of the same attempt. Over TCP queries share
-// connections and are answered in any order (RFC 7766).
+// Upstream sends queries to servers. Over UDP each query has a random ID and, while there are sockets, a random
+// port of its own; an answer counts if it comes from the server that was asked, to that port, with that ID and
+// question. A truncated answer is asked for again over TCP from the same server, as a part of the same attempt.
+// Over TCP queries share connections and are answered in any order (RFC 7766).
 //
-// It is the core's Transport. Its methods may be called from any goroutine.
+// It implements core.Upstream. Its methods may be called from any goroutine.
 type Upstream struct {
 	clock         core.Clock
 	log           *slog.Logger
@@ -39,34 +38,42 @@
 	mu          sync.Mutex
 	maxSockets  int
 	sockets     int                      // open or being opened
-	idleSockets []*socket                // without a query, the oldest first
-	conns       map[*serverConn]struct{} // being opened or open
+	idleSockets []*socket                // without a query, the longest idle first
+	conns       map[*serverConn]struct{} // open or being opened
 }
 
-func newUpstream(c *config.Config, s *Settings, clk core.Clock, counts *Counters, sends *metrics.Counter, log *slog.Logger) *Upstream {
-	u := &Upstream{clock: clk, log: log, counters: counts, sent: sends, secret: new(cookieSecret), settings: s, maxSockets: s.MaxSockets,
-		conns: map[*serverConn]struct{}{}}
-	rand.Read(u.secret[:])
-	most := time.Duration(c.Settings.Limits.DialTimeout) * time.Microsecond
-	if most <= 0 {
-		most = probeTimeout * dialTimeoutDivisor
+func newUpstream(
+	c *config.Config, settings *Settings, clock core.Clock, counters *Counters, sent *metrics.Counter, log *slog.Logger,
+) *Upstream {
+	dialTimeout := time.Duration(c.Settings.Limits.DialTimeout) * time.Microsecond
+	if dialTimeout <= 0 {
+		dialTimeout = probeTimeout * dialTimeoutDivisor
+	}
+	return &Upstream{
+		clock:      clock,
+		log:        log,
+		counters:   counters,
+		sent:       sent,
+		dial:       (&net.Dialer{Timeout: dialTimeout / dialTimeoutDivisor}).DialContext,
+		secret:     newCookieSecret(),
+		settings:   settings,
+		maxSockets: settings.MaxSockets,
+		conns:      map[*serverConn]struct{}{},
 	}
-	u.dial = (&net.Dialer{Timeout: most / dialTimeoutDivisor}).DialContext
-	return u
 }
 
-// Target returns a server without sockets.
+// Target returns a server without open sockets.
 func (u *Upstream) Target(addr string) core.Target {
-	return &server{upstream: u, addr: addr, link: resend.New()}
+	return &target{upstream: u, addr: addr, link: resend.New()}
 }
 
-// SetConfig does nothing: what concerns servers is not in the settings.
+// SetConfig does nothing: the settings that concern servers cannot be reloaded.
 func (u *Upstream) SetConfig(*config.Config) {}
 
-// AcceptsLateReplies says that a late answer is waited for: that holds no more than a port.
+// AcceptsLateReplies returns true: waiting for a late answer occupies no more than a port.
 func (u *Upstream) AcceptsLateReplies() bool { return true }
 
-// Maintain closes what rests once ctx ends; until then everything closes by itself.
+// Maintain closes idle sockets and connections once ctx ends. Until then each closes itself after its idle timeout.
 func (u *Upstream) Maintain(ctx context.Context) {
 	<-ctx.Done()
 	u.mu.Lock()
@@ -79,11 +86,11 @@
 	}
 }
 
-// SetCapacityShare sets the part of the limits that is for this process.
-func (u *Upstream) SetCapacityShare(_ *config.Config, part float64) {
+// SetCapacityShare sets the fraction of the limits that this process may use.
+func (u *Upstream) SetCapacityShare(_ *config.Config, share float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.maxSockets = max(1, int(float64(u.settings.MaxSockets)*part))
+	u.maxSockets = max(1, int(float64(u.settings.MaxSockets)*share))
 	for len(u.idleSockets) > 0 && u.sockets > u.maxSockets {
 		u.closeLocked(u.idleSockets[0])
 	}
--- a/internal/dataplane/dnsfront/upstream_test.go
+++ b/internal/dataplane/dnsfront/upstream_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/binary"
 	"fmt"
 	"net"
 	"strings"
@@ -19,21 +18,30 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
+// testUpstream returns an Upstream that may open so many sockets, for as long as the test runs.
 func testUpstream(t *testing.T, sockets int) *Upstream {
+	t.Helper()
 	s := testSettings()
 	s.MaxSockets = sockets
 	r := metrics.New()
-	u := newUpstream(sidecartest.Configure(t, "127.0.0.1:1", nil), &s, core.NewClock(), newCounters(r), &r.AttemptsSent, sidecartest.DiscardLog)
+	c := sidecartest.Configure(t, "127.0.0.1:1", nil)
+	u := newUpstream(c, &s, core.NewClock(), newCounters(r), &r.AttemptsSent, sidecartest.DiscardLog)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { u.Maintain(ctx); close(done) }()
-	t.Cleanup(func() { cancel(); <-done })
+	go func() {
+		defer close(done)
+		u.Maintain(ctx)
+	}()
+	t.Cleanup(func() {
+		cancel()
+		<-done
+	})
 	return u
 }
 
 func always(balancer.Micros) bool { return true }
 
-// sendAttempt makes one attempt. It is given up after some time, as the loop would.
+// sendAttempt makes one attempt, with a timeout as the event loop has.
 func sendAttempt(t *testing.T, to core.Target, m *dns.Msg, tcp bool, more func(balancer.Micros) bool) core.Reply {
 	t.Helper()
 	raw, err := m.Pack()
@@ -51,8 +59,8 @@
 
 func addressQuery() *dns.Msg { return new(dns.Msg).SetQuestion("a.look.test.", dns.TypeA) }
 
-// A truncated answer is continued over TCP at the same server as a part of the attempt, unless the server drains by then
-// or its TCP port is dead.
+// A truncated answer is continued over TCP at the same server as a part of the attempt, unless the server is draining
+// by then or its TCP port is dead.
 func TestTruncatedAnswerIsRetriedOverTCP(t *testing.T) {
 	var connections atomic.Int32
 	big := func(w dns.ResponseWriter, m *dns.Msg) {
@@ -62,7 +70,7 @@
 		} else {
 			connections.Add(1)
 		}
-		w.WriteMsg(a)
+		write(w, a)
 	}
 	u := testUpstream(t, 8)
 	to := u.Target(startServer(t, big))
@@ -70,7 +78,8 @@
 	if r.Status != balancer.NotSent || connections.Load() != 0 {
 		t.Errorf("at a server that drains: status %v, %d asked over TCP", r.Status, connections.Load())
 	}
-	if r = sendAttempt(t, to, addressQuery(), false, always); r.Status != balancer.OK || len(r.Content.(*answer).msg.Answer) != 200 || connections.Load() != 1 {
+	r = sendAttempt(t, to, addressQuery(), false, always)
+	if r.Status != balancer.OK || len(r.Content.(*answer).msg.Answer) != 200 || connections.Load() != 1 {
 		t.Errorf("status %v, %d asked over TCP", r.Status, connections.Load())
 	}
 	pc, err := net.ListenPacket("udp", "127.0.0.1:0") // and nobody listens for TCP there
@@ -78,29 +87,30 @@
 		t.Fatal(err)
 	}
 	s := &dns.Server{PacketConn: pc, Handler: dns.HandlerFunc(big)}
-	go s.ActivateAndServe()
-	t.Cleanup(func() { s.Shutdown() })
-	if r = sendAttempt(t, u.Target(pc.LocalAddr().String()), addressQuery(), false, always); r.Status != balancer.ConnectFailed {
+	serve(t, s)
+	r = sendAttempt(t, u.Target(pc.LocalAddr().String()), addressQuery(), false, always)
+	if r.Status != balancer.ConnectFailed {
 		t.Errorf("with a dead TCP port: status %v, want one that blames the server", r.Status)
 	}
-	if r = sendAttempt(t, u.Target(sidecartest.ClosedAddress(t)), addressQuery(), false, always); r.Status != balancer.ConnectFailed {
+	r = sendAttempt(t, u.Target(sidecartest.ClosedAddress(t)), addressQuery(), false, always)
+	if r.Status != balancer.ConnectFailed {
 		t.Errorf("where nobody listens: status %v", r.Status)
 	}
 }
 
-// What a server says counts for it, or does not, by what it means.
+// A response code counts as an answer, a rejection or an error of the server, by its meaning.
 func TestResponseCodesMapToStatuses(t *testing.T) {
 	u := testUpstream(t, 8)
 	for rcode, want := range map[int]balancer.Status{dns.RcodeSuccess: balancer.OK, dns.RcodeNameError: balancer.OK,
 		dns.RcodeServerFailure: balancer.Error, dns.RcodeRefused: balancer.Rejected, dns.RcodeNotImplemented: balancer.OK} {
-		to := u.Target(startServer(t, func(w dns.ResponseWriter, m *dns.Msg) { w.WriteMsg(new(dns.Msg).SetRcode(m, rcode)) }))
+		to := u.Target(startServer(t, func(w dns.ResponseWriter, m *dns.Msg) { write(w, new(dns.Msg).SetRcode(m, rcode)) }))
 		if r := sendAttempt(t, to, addressQuery(), false, always); r.Status != want {
 			t.Errorf("%s: status %v, want %v", dns.RcodeToString[rcode], r.Status, want)
 		}
 	}
 }
 
-// Messages that are not the answer are nobody's outcome; the true one behind them counts.
+// Messages that are not the answer do not change the outcome; the genuine one after them counts.
 func TestForgedAnswersAreIgnored(t *testing.T) {
 	other := func(m *dns.Msg, change func(*dns.Msg)) *dns.Msg {
 		a := answerWith(m, 1)
@@ -110,14 +120,14 @@
 	}
 	u := testUpstream(t, 8)
 	to := u.Target(startServer(t, func(w dns.ResponseWriter, m *dns.Msg) {
-		w.WriteMsg(other(m, func(a *dns.Msg) { a.Id++ }))
-		w.WriteMsg(other(m, func(a *dns.Msg) { a.Question[0].Name = "b.look.test." }))
-		w.WriteMsg(other(m, func(a *dns.Msg) { a.Question[0].Qtype = dns.TypeTXT }))
-		w.WriteMsg(other(m, func(a *dns.Msg) { a.Response = false }))
-		w.WriteMsg(other(m, func(a *dns.Msg) { a.Question = nil }))
-		w.Write([]byte{1, 2, 3})
-		w.WriteMsg(answerWith(m, 1))
-		w.WriteMsg(answerWith(m, 1))
+		write(w, other(m, func(a *dns.Msg) { a.Id++ }))
+		write(w, other(m, func(a *dns.Msg) { a.Question[0].Name = "b.look.test." }))
+		write(w, other(m, func(a *dns.Msg) { a.Question[0].Qtype = dns.TypeTXT }))
+		write(w, other(m, func(a *dns.Msg) { a.Response = false }))
+		write(w, other(m, func(a *dns.Msg) { a.Question = nil }))
+		_, _ = w.Write([]byte{1, 2, 3})
+		write(w, answerWith(m, 1))
+		write(w, answerWith(m, 1))
 	}))
 	r := sendAttempt(t, to, addressQuery(), false, always)
 	if r.Status != balancer.OK || !r.Content.(*answer).msg.Answer[0].(*dns.A).A.Equal(net.IPv4(192, 0, 2, 1)) {
@@ -133,7 +143,7 @@
 	}
 }
 
-// A server's cookie goes along from then on; an answer with another cookie of ours is not the server's.
+// A server's cookie is returned to it from then on; an answer without the client's part is not the server's.
 func TestServerCookieIsReturnedAndVerified(t *testing.T) {
 	var spoil atomic.Bool
 	var seen atomic.Pointer[string]
@@ -156,9 +166,10 @@
 		if len(c) == clientCookieDigits { // it does not know us yet
 			a.Rcode, a.Answer = dns.RcodeBadCookie, nil
 		}
-		w.WriteMsg(a)
+		write(w, a)
 	}))
-	if r := sendAttempt(t, to, addressQuery(), false, always); r.Status != balancer.OK || !strings.HasSuffix(*seen.Load(), "0123456789abcdef") {
+	r := sendAttempt(t, to, addressQuery(), false, always)
+	if r.Status != balancer.OK || !strings.HasSuffix(*seen.Load(), "0123456789abcdef") {
 		t.Errorf("status %v, cookie %s", r.Status, *seen.Load())
 	}
 	spoil.Store(true)
@@ -167,11 +178,14 @@
 	}
 }
 
-// Ten thousand queries open at once on four sockets never share an id on one, and each has its own answer, in any order.
+// Of ten thousand queries that are open on four sockets no two of a socket have the same ID, and each gets its own
+// answer, in any order.
 func TestTenThousandOpenQueriesHaveDistinctIDs(t *testing.T) {
 	const open = 10_000
 	udp, _ := listenUDPAndTCP(t)
-	udp.SetReadBuffer(8 << 20)
+	if err := udp.SetReadBuffer(8 << 20); err != nil {
+		t.Fatal(err)
+	}
 	type from struct {
 		raw []byte
 		at  *net.UDPAddr
@@ -238,8 +252,13 @@
 		if err := m.Unpack(f.raw); err != nil {
 			t.Fatal(err)
 		}
-		raw, _ := answerWith(m, 1).Pack()
-		udp.WriteToUDP(raw, f.at)
+		raw, err := answerWith(m, 1).Pack()
+		if err != nil {
+			t.Fatal(err)
+		}
+		if _, err := udp.WriteToUDP(raw, f.at); err != nil {
+			t.Fatal(err)
+		}
 		for i >= int(answered.Load()+wrong.Load())+100 && ctx.Err() == nil { // or the sockets' buffers overflow
 			time.Sleep(50 * time.Microsecond)
 		}
@@ -250,7 +269,7 @@
 	}
 }
 
-// A connection that closes with queries in flight tells each of them once; the next opens another.
+// A connection that closes fails each of its queries in flight once; the next query opens another.
 func TestConnectionLossFailsEachQueryInFlightOnce(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -276,9 +295,18 @@
 						continue
 					}
 					m := new(dns.Msg)
-					m.Unpack(raw)
-					text, _ := answerWith(m, 1).Pack()
-					c.Write(append(binary.BigEndian.AppendUint16(nil, uint16(len(text))), text...))
+					if err := m.Unpack(raw); err != nil {
+						t.Error(err)
+						return
+					}
+					text, err := answerWith(m, 1).Pack()
+					if err != nil {
+						t.Error(err)
+						return
+					}
+					if _, err := c.Write(appendFrame(nil, text)); err != nil {
+						return // the client has closed the connection
+					}
 				}
 			}()
 		}
@@ -307,7 +335,7 @@
 	}
 }
 
-// Connections to many servers stay within the descriptors that the front counts on: idle ones make room.
+// Connections to many servers stay within the descriptors that the front reserves: idle ones are closed.
 func TestServerConnectionsAreBounded(t *testing.T) {
 	u := testUpstream(t, 4)
 	for i := range 2 * u.settings.maxServerConns() {
