--- a/cmd/birchmoor/configput_test.go
+++ b/cmd/birchmoor/configput_test.go
@@ -15,7 +15,7 @@
 // Settings come in force in steps over three replicas and two followers under load: good ones at all, though the
 // daemon that drives is killed on the way and another goes on; bad ones at the first step alone, and are taken
 // back.
-func TestSettingsInSteps(t *testing.T) {
+func TestConfigPutRollsOutInStepsAndTakesBackBadSettings(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/birchmoor/dns_test.go
+++ b/cmd/birchmoor/dns_test.go
@@ -10,7 +10,7 @@
 )
 
 // An operator's question ends with a code that scripts can go by, and with JSON that they can read.
-func TestDNSQuery(t *testing.T) {
+func TestDNSQueryPrintsAnswerAndExitsByResponseCode(t *testing.T) {
 	pc, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -58,7 +58,7 @@
 }
 
 // What is wrong with [dns] is named by its key before anything starts.
-func TestDNSFaults(t *testing.T) {
+func TestCheckNamesFaultyDNSKey(t *testing.T) {
 	const class = "\n[dns.class.look]\nsuffixes = [\"a.test\"]\n"
 	for text, want := range map[string]string{
 		"[dns]\nlisten = \"127.0.0.1:5353\"\n":                                              "dns.class: at least one",
--- a/cmd/birchmoor/drain_test.go
+++ b/cmd/birchmoor/drain_test.go
@@ -135,7 +135,7 @@
 
 // Three copies, of which only one hears discovery, and each is killed outright in turn: no copy that a drain has
 // reached ever sends the server another request, also not a start whose own list is older than the drain.
-func TestKilledCopiesServeNoStaleDrain(t *testing.T) {
+func TestRestartedReplicasSendNothingToDrainedServer(t *testing.T) {
 	drained, other := newCountingServer(t), newCountingServer(t)
 	in := func(id string, s *countingServer, lifecycle string) discovery.Instance {
 		return discovery.Instance{ID: id, Addr: s.Listener.Addr().String(), Zone: "a", Kind: "m", Cell: 1, Lifecycle: lifecycle, Weight: 1, StartedMs: 1}
--- a/cmd/birchmoor/labchain_test.go
+++ b/cmd/birchmoor/labchain_test.go
@@ -6,7 +6,7 @@
 )
 
 // Bad input is one line that names flag and value, before anything is started.
-func TestBadChains(t *testing.T) {
+func TestLabChainRejectsInvalidFlags(t *testing.T) {
 	for _, c := range []struct{ args, want string }{
 		{"--depth 0", "--depth: 0 is not within"}, {"--depth 21", "--depth: 21"}, {"--servers 0", "--servers: 0"}, {"--rate 0", "--rate: 0"},
 		{"--rate NaN", "--rate: NaN"}, {"--rate 5001", "--rate: 5001"}, {"--for 0s", "--for: 0s"}, {"--for 2h", "--for: 2h"},
--- a/cmd/birchmoor/labscale_test.go
+++ b/cmd/birchmoor/labscale_test.go
@@ -67,7 +67,7 @@
 
 // What the control plane sends and writes for each sidecar does not grow with them, by counts; and it shows when it
 // does, when a session costs twice, and when a hollow sidecar leaves out what a real one does.
-func TestScaleOfSmallFleets(t *testing.T) {
+func TestLabScaleJudgesCostPerSidecar(t *testing.T) {
 	for _, c := range []struct {
 		plant string
 		sizes []int
@@ -104,7 +104,7 @@
 }
 
 // What makes no sense, or does not fit the machine, names flag and value, and nothing is started.
-func TestScaleRefuses(t *testing.T) {
+func TestLabScaleRejectsInvalidFlags(t *testing.T) {
 	for _, c := range []struct{ args, want string }{
 		{"--sizes 75,x", `--sizes: "75,x" is not a list of sizes`},
 		{"--sizes=", `--sizes: "" is not a list of sizes`},
@@ -131,7 +131,7 @@
 }
 
 // A run that is interrupted leaves no process and no file.
-func TestScaleLeavesNothing(t *testing.T) {
+func TestLabScaleCleansUpWhenCanceled(t *testing.T) {
 	t.Parallel()
 	self, err := os.Executable()
 	if err != nil {
@@ -173,7 +173,7 @@
 
 // The sizes of the help's examples and of docs/CAPACITY.md have services as the size of two years from now has: one
 // for each ten sidecars.
-func TestScaleServices(t *testing.T) {
+func TestLabScaleDefaultsToOneServicePerTenSidecars(t *testing.T) {
 	for _, tc := range []struct{ given, size, largest, want int }{{0, 75, 75, 7}, {0, 1200, 1200, 120}, {0, 75, 1200, 7}, {0, 20, 20, 5}, {30, 60, 60, 30}} {
 		k := scaleCommand{Services: tc.given}
 		if o, err := k.options(tc.size, tc.largest); err != nil || o.Services != tc.want {
--- a/cmd/birchmoor/labsweep_test.go
+++ b/cmd/birchmoor/labsweep_test.go
@@ -8,7 +8,7 @@
 )
 
 // A sweep plays each size, tells how figures grow, and says before it plays what cannot be played.
-func TestSweep(t *testing.T) {
+func TestLabSweepReportsGrowthAndRejectsInvalidSizes(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "small.toml")
 	if err := os.WriteFile(file, []byte(`name = "small"
 length = "3s"
--- a/cmd/birchmoor/limit_test.go
+++ b/cmd/birchmoor/limit_test.go
@@ -34,7 +34,7 @@
 
 // Eight sidecars over servers that count, each asked for more than there is, and every kind of blow once: no limit
 // is passed, in the whole nor in a part, requests go on after each blow, and every refusal says when to come back.
-func TestLimitsHoldAmongProcesses(t *testing.T) {
+func TestLimitsHoldAcrossProcessesUnderFaults(t *testing.T) {
 	t.Parallel()
 	r := runLimitTorture(t, len(limitlab.Faults), nil)
 	if len(r.Broken) > 0 {
@@ -49,7 +49,7 @@
 }
 
 // Limits come from a file, and show; one that is wrong changes nothing and names its line.
-func TestLimitCommands(t *testing.T) {
+func TestLimitPutReplacesLimitsUnlessFileIsFaulty(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	a := newTestDaemon(t, dir, "a", false, "[limits]\nlease = \"1s\"\n")
--- a/cmd/birchmoor/main_test.go
+++ b/cmd/birchmoor/main_test.go
@@ -39,7 +39,7 @@
 rate = 50
 `
 
-func TestSim(t *testing.T) {
+func TestLabSimWritesResultThatReportDraws(t *testing.T) {
 	dir := t.TempDir()
 	code, out, errs := birchmoor("lab", "sim", writeFile(t, "tiny.toml", tinyScenario), "--out", dir, "--seed", "4")
 	if code != 0 || !strings.HasSuffix(out, "service 1.00, rules kept\n") {
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestExitCodes(t *testing.T) {
+func TestLabSimExitCodeByOutcome(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
 		code int
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestCompare(t *testing.T) {
+func TestLabCompareFindsOnlyRealDifferences(t *testing.T) {
 	a, b := writeFile(t, "a.toml", tinyScenario), writeFile(t, "b.toml", strings.Replace(tinyScenario, `"5ms"`, `"50ms"`, 1))
 	code, out, errs := birchmoor("lab", "compare", a, b, "--seeds", "5", "--json", "-")
 	var x comparison
--- a/cmd/birchmoor/replay_test.go
+++ b/cmd/birchmoor/replay_test.go
@@ -25,7 +25,7 @@
 
 func captureDir(name string) string { return filepath.Join("..", "..", "lab", "captures", name) }
 
-func TestReplay(t *testing.T) {
+func TestReplayOfRecordedCaptureMatches(t *testing.T) {
 	svg := filepath.Join(t.TempDir(), "t.svg")
 	code, out, errs := birchmoor("replay", captureDir("gray-failure"), "--from", "12s", "--to", "13s", "--explain", "700", "--timeline",
 		"fast-2.1", "--out", svg)
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestReplayAgainst(t *testing.T) {
+func TestReplayAgainstOtherBuildOrSettings(t *testing.T) {
 	t.Setenv(asProgramEnv, "1")
 	self, err := os.Executable()
 	if err != nil {
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestReplayNamesWhatIsWrong(t *testing.T) {
+func TestReplayRejectsDamagedOrInvalidInput(t *testing.T) {
 	cut := captureDir("gray-failure")
 	list, err := os.ReadDir(cut)
 	if err != nil {
--- a/cmd/birchmoor/sidecar_test.go
+++ b/cmd/birchmoor/sidecar_test.go
@@ -59,7 +59,7 @@
 }
 
 // A sidecar that is killed outright leaves a capture that replays and a state that the next one recalls.
-func TestSidecarKilledOutright(t *testing.T) {
+func TestKilledSidecarLeavesCaptureAndState(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer server.Close()
 	dir := t.TempDir()
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestSidecarNamesWhatIsWrong(t *testing.T) {
+func TestSidecarRejectsUnknownOperatorKey(t *testing.T) {
 	code, _, errs := birchmoor("sidecar", "--operator", writeFile(t, "op.toml", "[capture]\ndirr = \"x\"\n"))
 	if code != exitUsage || !strings.Contains(errs, ":2: capture.dirr") {
 		t.Errorf("exit %d: %s", code, errs)
--- a/cmd/birchmoor/store_test.go
+++ b/cmd/birchmoor/store_test.go
@@ -75,7 +75,7 @@
 
 // A write without a quorum ends by its time, with exit code 2 and the word that its outcome is unknown; said again
 // with its request's id, it is made once.
-func TestWriteWithoutQuorum(t *testing.T) {
+func TestPutWithoutQuorumReportsUnknownOutcome(t *testing.T) {
 	dir := t.TempDir()
 	a, b := newTestDaemon(t, dir, "a", false), newTestDaemon(t, dir, "b", true)
 	a.start(t)
@@ -127,7 +127,7 @@
 }
 
 // What the daemon refuses, or a daemon that is not there, changes nothing, and is said so.
-func TestWriteThatChangesNothing(t *testing.T) {
+func TestRejectedWriteChangesNothing(t *testing.T) {
 	a := newTestDaemon(t, t.TempDir(), "a", false)
 	if code, _, errs := a.runStore("put", "k", "1"); code != exitUsage || !strings.Contains(errs, "nothing was changed") {
 		t.Errorf("without a daemon: exit code %d, %s", code, errs)
@@ -154,7 +154,7 @@
 }
 
 // A lease's keys go with it: when it is ended, and when nobody renews it.
-func TestLeases(t *testing.T) {
+func TestKeysEndWithTheirLease(t *testing.T) {
 	a := newTestDaemon(t, t.TempDir(), "a", false)
 	a.start(t)
 	a.until(t, "a first write", func() bool { code, _, _ := a.runStore("put", "other", "0"); return code == 0 })
@@ -178,7 +178,7 @@
 }
 
 // What the control plane cost is shown by purpose, and as JSON with the same figures or later ones.
-func TestMeter(t *testing.T) {
+func TestStoreMeterReportsUsageByPurpose(t *testing.T) {
 	a := newTestDaemon(t, t.TempDir(), "a", false)
 	a.start(t)
 	a.until(t, "a write", func() bool { code, _, _ := a.runStore("put", "out/ban/x", "{}"); return code == 0 })
--- a/cmd/birchmoor/storefollower_test.go
+++ b/cmd/birchmoor/storefollower_test.go
@@ -16,7 +16,7 @@
 // A daemon without a replica starts with what others know: with an empty disk from a replica, and from its own disk
 // once none can be reached; and it says so. What drains by their word is sent nothing, though its own list says
 // that it serves.
-func TestAFollowerStartsWithWhatOthersKnow(t *testing.T) {
+func TestFollowerStartsFromReplicaOrOwnDisk(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/birchmoor/storefollowerload_test.go
+++ b/cmd/birchmoor/storefollowerload_test.go
@@ -96,7 +96,7 @@
 		}
 		b.Run(text, func(b *testing.B) {
 			for range b.N {
-				measureFollowers(b, n, span)
+				measureFollowerCost(b, n, span)
 			}
 		})
 	}
@@ -142,7 +142,7 @@
 
 // A follower's copy holds what its daemon needs; its people are shown what there is all the same, by way of a
 // replica, or told that it is not shown. One whose file says so holds all, as one of the version before.
-func TestAFollowerHoldsItsOwn(t *testing.T) {
+func TestFollowerStoresOnlyItsInterest(t *testing.T) {
 	t.Parallel()
 	quiet, dir, serve := slog.New(slog.DiscardHandler), shortDir(t), address.Next()
 	_, end := openDaemon(t, dir, "a", fmt.Sprintf("listen = %q\nserve = %q", address.Next(), serve), quiet)
@@ -201,7 +201,7 @@
 	}
 }
 
-func measureFollowers(b *testing.B, n int, span time.Duration) {
+func measureFollowerCost(b *testing.B, n int, span time.Duration) {
 	quiet := slog.New(slog.DiscardHandler)
 	if os.Getenv("SHOW") != "" {
 		quiet = slog.New(slog.NewTextHandler(os.Stderr, nil))
--- a/cmd/birchmoor/task_test.go
+++ b/cmd/birchmoor/task_test.go
@@ -36,7 +36,7 @@
 // Three replicas and a follower, a lock at each, and every kind of blow once: the stand-in that checks tokens sees
 // them in order, the one that checks nothing sees two act at once only where what acted was stopped itself; after
 // each blow somebody acts.
-func TestTwoHoldersNeverActAtOnce(t *testing.T) {
+func TestTaskHoldersNeverOverlapUnderFaults(t *testing.T) {
 	t.Parallel()
 	r := runTaskTorture(t, len(tasklab.Faults), nil)
 	if len(r.Broken) > 0 {
@@ -52,7 +52,7 @@
 }
 
 // A lock gives its command the token, ends it with all that it started, and tells its exit codes apart.
-func TestLock(t *testing.T) {
+func TestLockRunsCommandOnlyWhileHeld(t *testing.T) {
 	dir := t.TempDir()
 	a := newTestDaemon(t, dir, "a", false)
 	a.start(t)
