--- a/cmd/birchmoor/labsweep.go
+++ b/cmd/birchmoor/labsweep.go
@@ -10,6 +10,8 @@
 	"sync"
 	"text/tabwriter"
 
+	"birchmoor/internal/lab/scenario"
+
 	"birchmoor/internal/lab/figures"
 	"birchmoor/internal/lab/sim"
 )
@@ -37,10 +39,10 @@
 const (
 	maxSweepSidecars = 10_000
 	maxSweepServers  = 2_000
-	maxSweepProduct  = 2_000_000 // sidecars times servers: each keeps something of each, and the lab all of it
+	maxSweepProduct  = 2_000_000 // sidecars times servers: each sidecar stores something of each server
 )
 
-// sweepRow is one row of a sweep.
+// sweepRow is one row of a sweep: the runs of one size.
 type sweepRow struct {
 	Sidecars int                  `json:"sidecars"`
 	Servers  int                  `json:"servers"`
@@ -53,21 +55,33 @@
 	values   map[string][]float64 // by figure
 }
 
-// check says what of the sizes cannot be played.
+func newSweepRow(sidecars, servers int) *sweepRow {
+	return &sweepRow{
+		Sidecars: sidecars,
+		Servers:  servers,
+		Mean:     map[string]float64{},
+		Min:      map[string]float64{},
+		Max:      map[string]float64{},
+		values:   map[string][]float64{},
+	}
+}
+
+// scenario is the scenario of a file at the row's size.
+func (r *sweepRow) scenario(path string) (*scenario.Scenario, error) {
+	s, err := readScenario(path, "sim")
+	if err != nil {
+		return nil, err
+	}
+	return s, errors.Join(s.SetServers(r.Servers), s.SetSidecars(r.Sidecars))
+}
+
+// check returns what of the flags cannot be run.
 func (k *sweepCommand) check() error {
-	for _, x := range []struct {
-		flag string
-		list []int
-		most int
-	}{{"--sidecars", k.Sidecars, maxSweepSidecars}, {"--servers", k.Servers, maxSweepServers}} {
-		for i, n := range x.list {
-			if n < 1 || n > x.most {
-				return fmt.Errorf("%s: %d is not within 1 and %d", x.flag, n, x.most)
-			}
-			if i > 0 && n <= x.list[i-1] {
-				return fmt.Errorf("%s: %d does not come after %d: sizes rise", x.flag, n, x.list[i-1])
-			}
-		}
+	if err := checkSizes("--sidecars", k.Sidecars, maxSweepSidecars); err != nil {
+		return err
+	}
+	if err := checkSizes("--servers", k.Servers, maxSweepServers); err != nil {
+		return err
 	}
 	switch {
 	case len(k.Sidecars) == 0:
@@ -75,8 +89,21 @@
 	case k.Seeds < 1 || k.Parallel < 1:
 		return fmt.Errorf("--seeds and --beside: %d and %d are not both above 0", k.Seeds, k.Parallel)
 	case len(k.Servers) > 0 && slices.Max(k.Sidecars)*slices.Max(k.Servers) > maxSweepProduct:
-		return fmt.Errorf("%d sidecars with %d servers are more than the lab holds: %d together at most", slices.Max(k.Sidecars),
-			slices.Max(k.Servers), maxSweepProduct)
+		return fmt.Errorf("%d sidecars with %d servers are more than the lab holds: %d together at most",
+			slices.Max(k.Sidecars), slices.Max(k.Servers), maxSweepProduct)
+	}
+	return nil
+}
+
+// checkSizes returns an error unless sizes rise from 1 to limit.
+func checkSizes(flag string, sizes []int, limit int) error {
+	for i, n := range sizes {
+		if n < 1 || n > limit {
+			return fmt.Errorf("%s: %d is not within 1 and %d", flag, n, limit)
+		}
+		if i > 0 && n <= sizes[i-1] {
+			return fmt.Errorf("%s: %d does not come after %d: sizes rise", flag, n, sizes[i-1])
+		}
 	}
 	return nil
 }
@@ -85,90 +112,115 @@
 	if err := k.check(); err != nil {
 		return err
 	}
-	base, err := readScenario(k.Scenario, "sim")
+	rows, err := k.rows()
+	if err != nil {
+		return err
+	}
+	failed, err := k.runAll(ctx, c, rows)
 	if err != nil {
 		return err
 	}
+	if k.JSON != "" {
+		err := writeJSON(k.JSON, rows, c.out)
+		if err != nil || k.JSON == "-" {
+			return err
+		}
+	}
+	if err := printSweep(c, rows); err != nil {
+		return err
+	}
+	if failed {
+		return errRunFailed
+	}
+	return nil
+}
+
+// rows are the sizes, each of which the scenario is known to support.
+func (k *sweepCommand) rows() ([]*sweepRow, error) {
+	base, err := readScenario(k.Scenario, "sim")
+	if err != nil {
+		return nil, err
+	}
 	servers := k.Servers
 	if len(servers) == 0 {
 		servers = []int{base.Total()}
 	}
 	var rows []*sweepRow
-	type job struct {
-		row  *sweepRow
-		seed uint64
-	}
-	var jobs []job
 	for _, m := range servers {
 		for _, n := range k.Sidecars {
-			s, err := readScenario(k.Scenario, "sim") // what cannot be played at a size is said before anything is
-			if err == nil {
-				err = errors.Join(s.SetServers(m), s.SetSidecars(n))
+			row := newSweepRow(n, m)
+			if _, err := row.scenario(k.Scenario); err != nil {
+				return nil, fmt.Errorf("%d sidecars, %d servers: %w", n, m, err)
 			}
-			if err != nil {
-				return fmt.Errorf("%d sidecars, %d servers: %w", n, m, err)
-			}
-			row := &sweepRow{Sidecars: n, Servers: m, Mean: map[string]float64{}, Min: map[string]float64{}, Max: map[string]float64{},
-				values: map[string][]float64{}}
 			rows = append(rows, row)
-			for i := range uint64(k.Seeds) {
-				jobs = append(jobs, job{row, k.Seed + i})
-			}
+		}
+	}
+	return rows, nil
+}
+
+// sweepJob is one run of a sweep.
+type sweepJob struct {
+	row    *sweepRow
+	seed   uint64
+	result *figures.Result
+	err    error
+}
+
+func (j *sweepJob) run(ctx context.Context, path string) {
+	s, err := j.row.scenario(path)
+	if err != nil {
+		j.err = err
+		return
+	}
+	j.result, j.err = sim.Run(ctx, s, sim.Options{Seed: j.seed})
+}
+
+// runAll runs all seeds of all rows, several at once, and adds their results to the rows. It reports whether a run broke a
+// rule or missed a figure.
+func (k *sweepCommand) runAll(ctx context.Context, c *console, rows []*sweepRow) (failed bool, err error) {
+	var jobs []*sweepJob
+	for _, row := range rows {
+		for i := range uint64(k.Seeds) {
+			jobs = append(jobs, &sweepJob{row: row, seed: k.Seed + i})
 		}
 	}
 	show := c.count("sweep")
-	results := make([]*figures.Result, len(jobs))
-	faults := make([]error, len(jobs))
 	slots := make(chan struct{}, k.Parallel)
-	var wg sync.WaitGroup
+	var running sync.WaitGroup
 	var mu sync.Mutex
 	done := 0
-	for i, j := range jobs {
+	for _, job := range jobs {
 		slots <- struct{}{}
-		wg.Go(func() {
+		running.Go(func() {
 			defer func() { <-slots }()
-			s, err := readScenario(k.Scenario, "sim")
-			if err == nil {
-				err = errors.Join(s.SetServers(j.row.Servers), s.SetSidecars(j.row.Sidecars))
-			}
-			if err == nil {
-				results[i], err = sim.Run(ctx, s, sim.Options{Seed: j.seed})
-			}
-			faults[i] = err
+			job.run(ctx, k.Scenario)
 			mu.Lock()
 			defer mu.Unlock()
 			done++
 			show(done, len(jobs))
 		})
 	}
-	wg.Wait()
+	running.Wait()
 	c.clear()
-	if err := errors.Join(faults...); err != nil {
-		return err
+	var errs []error
+	for _, job := range jobs {
+		errs = append(errs, job.err)
 	}
-	bad := false
-	for i, j := range jobs { // in the order of the seeds, whichever ended first
-		bad = j.row.add(results[i]) || bad
+	if err := errors.Join(errs...); err != nil {
+		return false, err
 	}
-	for _, r := range rows {
-		r.summarize()
-	}
-	if k.JSON != "" {
-		if err := writeJSON(k.JSON, rows, c.out); err != nil || k.JSON == "-" {
-			return err
-		}
+	for _, job := range jobs { // in the order of the seeds, whichever ended first
+		bad := job.row.add(job.result)
+		failed = failed || bad
 	}
-	if err := printSweep(c, rows); err != nil {
-		return err
-	}
-	if bad {
-		return errRunFailed
+	for _, row := range rows {
+		row.summarize()
 	}
-	return nil
+	return failed, nil
 }
 
-// add adds a run, and says whether it broke a rule or missed a figure.
-func (r *sweepRow) add(x *figures.Result) (bad bool) {
+// add adds a run, and reports whether it broke a rule or missed a figure.
+func (r *sweepRow) add(x *figures.Result) (failed bool) {
 	r.Runs++
 	if !x.Verdict.Kept() {
 		r.Broken++
@@ -182,43 +234,52 @@
 	return !x.Verdict.Kept() || len(x.Missed) > 0
 }
 
+// summarize sets mean, minimum and maximum of each figure.
 func (r *sweepRow) summarize() {
 	for name, all := range r.values {
 		sum := 0.0
 		for _, v := range all {
 			sum += v
 		}
-		r.Mean[name], r.Min[name], r.Max[name] = sum/float64(len(all)), slices.Min(all), slices.Max(all)
+		r.Mean[name] = sum / float64(len(all))
+		r.Min[name] = slices.Min(all)
+		r.Max[name] = slices.Max(all)
 	}
 }
 
 // sweepFigures are the figures of the table, in order.
-var sweepFigures = []string{"service", "refused", "failed", "p99_ms", "connects_per_task", "probes_per_task", "probes_mean", "probes_worst",
-	"handshakes_mean", "handshakes_worst", "connections_mean", "connections_worst", "shut_mean", "shut_worst", "cold_mean", "cold_worst", "ramp_mean", "ramp_worst", "ramp_falls", "ramp_falls_told", "calls_mean",
-	"calls_worst", "calls_failed", "call_wait_mean_ms", "call_wait_worst_ms"}
+var sweepFigures = []string{
+	"service", "refused", "failed", "p99_ms", "connects_per_task", "probes_per_task", "probes_mean", "probes_worst",
+	"handshakes_mean", "handshakes_worst", "connections_mean", "connections_worst", "shut_mean", "shut_worst",
+	"cold_mean", "cold_worst", "ramp_mean", "ramp_worst", "ramp_falls", "ramp_falls_told", "calls_mean", "calls_worst",
+	"calls_failed", "call_wait_mean_ms", "call_wait_worst_ms",
+}
 
+// printSweep prints a column for each size, how the figures grow, and what was missed.
 func printSweep(c *console, rows []*sweepRow) error {
 	w := tabwriter.NewWriter(c.out, 0, 4, 2, ' ', tabwriter.AlignRight)
-	head := func(name string, of func(*sweepRow) string) {
+	printLine := func(name string, cell func(*sweepRow) string) {
 		fmt.Fprintf(w, "%s\t", name)
 		for _, r := range rows {
-			fmt.Fprintf(w, "%s\t", of(r))
+			fmt.Fprintf(w, "%s\t", cell(r))
 		}
 		fmt.Fprintln(w)
 	}
-	head("sidecars", func(r *sweepRow) string { return strconv.Itoa(r.Sidecars) })
-	head("servers", func(r *sweepRow) string { return strconv.Itoa(r.Servers) })
-	head("runs, broken", func(r *sweepRow) string { return fmt.Sprintf("%d, %d", r.Runs, r.Broken) })
+	printLine("sidecars", func(r *sweepRow) string { return strconv.Itoa(r.Sidecars) })
+	printLine("servers", func(r *sweepRow) string { return strconv.Itoa(r.Servers) })
+	printLine("runs, broken", func(r *sweepRow) string { return fmt.Sprintf("%d, %d", r.Runs, r.Broken) })
 	for _, name := range sweepFigures {
-		head(name, func(r *sweepRow) string { return strconv.FormatFloat(r.Mean[name], 'g', 3, 64) })
+		printLine(name, func(r *sweepRow) string { return strconv.FormatFloat(r.Mean[name], 'g', 3, 64) })
 		if name == "service" {
-			head("over seeds", func(r *sweepRow) string { return fmt.Sprintf("%.3f..%.3f", r.Min[name], r.Max[name]) })
+			printLine("over seeds", func(r *sweepRow) string { return fmt.Sprintf("%.3f..%.3f", r.Min[name], r.Max[name]) })
 		}
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	printGrowth(c, rows)
+	if err := printGrowth(c, rows); err != nil {
+		return err
+	}
 	for _, r := range rows {
 		for _, m := range r.Missed {
 			fmt.Fprintf(c.out, "%d sidecars, %d servers: missed: %s\n", r.Sidecars, r.Servers, m)
@@ -227,39 +288,44 @@
 	return nil
 }
 
-// printGrowth prints by which power of the sidecars a figure grows, from the least to the greatest number of them,
-// and by which of the servers.
-func printGrowth(c *console, rows []*sweepRow) {
-	at := func(n, m int) *sweepRow {
+// printGrowth prints the power of the number of sidecars with which a figure grows, from the smallest number of them to the
+// largest, and the same for servers.
+func printGrowth(c *console, rows []*sweepRow) error {
+	rowOf := func(sidecars, servers int) *sweepRow {
 		for _, r := range rows {
-			if r.Sidecars == n && r.Servers == m {
+			if r.Sidecars == sidecars && r.Servers == servers {
 				return r
 			}
 		}
 		return nil
 	}
 	first, last := rows[0], rows[len(rows)-1]
-	power := func(name string, a, b *sweepRow, x, y int) string {
-		u, v := a.Mean[name], b.Mean[name]
-		if x == y || !(u > 0) || !(v > 0) {
-			return "-"
-		}
-		return fmt.Sprintf("%+.2f", math.Log(v/u)/math.Log(float64(y)/float64(x)))
-	}
+	lastSidecars := rowOf(last.Sidecars, first.Servers)
+	lastServers := rowOf(first.Sidecars, last.Servers)
 	w := tabwriter.NewWriter(c.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(w, "\ngrows by the power\tof sidecars, %d servers", first.Servers)
-	more := last.Servers != first.Servers
-	if more {
+	severalServers := last.Servers != first.Servers
+	if severalServers {
 		fmt.Fprintf(w, "\tof sidecars, %d servers\tof servers, %d sidecars", last.Servers, last.Sidecars)
 	}
 	fmt.Fprintln(w)
 	for _, name := range sweepFigures {
-		fmt.Fprintf(w, "%s\t%s", name, power(name, first, at(last.Sidecars, first.Servers), first.Sidecars, last.Sidecars))
-		if more {
-			fmt.Fprintf(w, "\t%s\t%s", power(name, at(first.Sidecars, last.Servers), last, first.Sidecars, last.Sidecars),
-				power(name, at(last.Sidecars, first.Servers), last, first.Servers, last.Servers))
+		fmt.Fprintf(w, "%s\t%s", name, growthPower(name, first, lastSidecars, first.Sidecars, last.Sidecars))
+		if severalServers {
+			fmt.Fprintf(w, "\t%s\t%s",
+				growthPower(name, lastServers, last, first.Sidecars, last.Sidecars),
+				growthPower(name, lastSidecars, last, first.Servers, last.Servers))
 		}
 		fmt.Fprintln(w)
 	}
-	w.Flush()
+	return w.Flush()
+}
+
+// growthPower is the power p for which a figure's mean grows from a to b as size^p does; "-" where it has none.
+func growthPower(name string, a, b *sweepRow, sizeA, sizeB int) string {
+	from, to := a.Mean[name], b.Mean[name]
+	if sizeA == sizeB || !(from > 0) || !(to > 0) { // also false for not-a-number
+		return "-"
+	}
+	return fmt.Sprintf("%+.2f", math.Log(to/from)/math.Log(float64(sizeB)/float64(sizeA)))
 }
--- a/cmd/birchmoor/lock.go
+++ b/cmd/birchmoor/lock.go
@@ -2,8 +2,11 @@
 
 import (
 	"context"
+	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
+	"net/http"
 	"os"
 	"os/exec"
 	"strings"
@@ -44,9 +47,7 @@
 }
 
 func (k *lockCommand) Run(ctx context.Context, c *console) error {
-	if len(k.Command) > 0 && k.Command[0] == "--" {
-		k.Command = k.Command[1:]
-	}
+	k.Command = withoutSeparator(k.Command)
 	if len(k.Command) == 0 {
 		return errors.New("no command is given")
 	}
@@ -57,143 +58,236 @@
 		return err
 	}
 	defer watchdog.KillDescendants()
-	wait, cancel := ctx, context.CancelFunc(func() {})
-	if k.Wait > 0 {
-		wait, cancel = context.WithTimeout(ctx, k.Wait)
+
+	// The daemon holds the lock for as long as the connection is open, which outlives ctx.
+	connection, disconnect := context.WithCancel(context.WithoutCancel(ctx))
+	defer disconnect()
+	s := &lockSession{
+		lockCommand: k,
+		errs:        c.err,
+		statuses:    make(chan adminapi.LockStatus, 16),
+		failed:      make(chan error, 1),
+		disconnect:  disconnect,
 	}
-	defer cancel()
-	host, _ := os.Hostname() // for people alone
-	want := leasetask.Claim{Task: k.Name, Slots: k.Slots, TTL: k.TTL, Note: fmt.Sprintf("lock: %.120s (pid %d, %.40s)", strings.Join(k.Command, " "), os.Getpid(), host)}
-	hold, drop := context.WithCancel(context.WithoutCancel(ctx)) // the connection, by which it is held
-	defer drop()
-	lines, failed := make(chan adminapi.LockStatus, 16), make(chan error, 1)
-	go func() {
-		failed <- adminapi.Dial(k.Socket).Lock(hold, want, func(l adminapi.LockStatus) error {
-			select {
-			case lines <- l:
-				return nil
-			case <-hold.Done():
-				return hold.Err()
-			}
-		})
-	}()
-	told := ""
-	say := func(l adminapi.LockStatus, text string) {
-		switch {
-		case k.JSON:
-			b, _ := encodeJSON(l)
-			fmt.Fprintf(c.err, "%s\n", b)
-		case text != told:
-			fmt.Fprintln(c.err, "birchmoor:", text)
+	go s.connect(connection)
+
+	held, err := s.acquire(ctx)
+	if err != nil {
+		return err
+	}
+	return s.runCommand(ctx, held)
+}
+
+// claim is what the daemon is asked for. Its note is for people alone.
+func (k *lockCommand) claim() leasetask.Claim {
+	host, _ := os.Hostname()
+	note := fmt.Sprintf("lock: %.120s (pid %d, %.40s)", strings.Join(k.Command, " "), os.Getpid(), host)
+	return leasetask.Claim{Task: k.Name, Slots: k.Slots, TTL: k.TTL, Note: note}
+}
+
+// lockSession is one connection to the daemon, and the command that runs while it holds the lock.
+type lockSession struct {
+	*lockCommand
+	errs       io.Writer
+	statuses   chan adminapi.LockStatus
+	failed     chan error // gets the error that ended the connection; nil once that was handled
+	disconnect func()
+
+	lastNotice string // the latest status text shown
+	lost       error  // why the lock was lost, or nil
+}
+
+// connect claims the lock and passes the daemon's statuses on until ctx ends or the connection fails.
+func (s *lockSession) connect(ctx context.Context) {
+	s.failed <- adminapi.Dial(s.Socket).Lock(ctx, s.claim(), func(status adminapi.LockStatus) error {
+		select {
+		case s.statuses <- status:
+			return nil
+		case <-ctx.Done():
+			return ctx.Err()
 		}
-		told = text
+	})
+}
+
+// acquire waits until the daemon grants the lock, for the time that was given at most.
+func (s *lockSession) acquire(ctx context.Context) (adminapi.LockStatus, error) {
+	wait, cancel := ctx, context.CancelFunc(func() {})
+	if s.Wait > 0 {
+		wait, cancel = context.WithTimeout(ctx, s.Wait)
 	}
+	defer cancel()
 	for {
 		select {
 		case <-wait.Done():
-			if ctx.Err() != nil {
-				return ctx.Err()
-			}
-			return &exitError{exitLockNotAcquired, fmt.Errorf("%s: not got within %v%s", k.Name, k.Wait, strings.TrimPrefix(": "+told, ": "+k.Name))}
-		case err := <-failed:
-			var told *admin.ResponseError
-			if errors.As(err, &told) && told.Status == 400 {
-				return err
+			return adminapi.LockStatus{}, s.waitEnded(ctx)
+		case err := <-s.failed:
+			return adminapi.LockStatus{}, s.connectionFailed(err)
+		case status := <-s.statuses:
+			if status.Ended {
+				return status, &exitError{exitLockNotAcquired, fmt.Errorf("%s: %s", s.Name, status.Reason)}
 			}
-			return &exitError{exitLockNotAcquired, fmt.Errorf("%s: the daemon at %s: %w", k.Name, k.Socket, err)}
-		case l := <-lines:
-			switch {
-			case l.Ended:
-				return &exitError{exitLockNotAcquired, fmt.Errorf("%s: %s", k.Name, l.Reason)}
-			case l.Token == 0:
-				if l.Position != nil {
-					text := fmt.Sprintf("%s: waits, %d before it", k.Name, *l.Position)
-					if l.Reason != "" {
-						text = fmt.Sprintf("%s: waits: %s", k.Name, l.Reason)
-					}
-					say(l, text)
-				}
-			default:
-				if k.JSON {
-					say(l, "")
-				}
-				return k.hold(ctx, l, lines, failed, say, drop)
+			if status.Token != 0 {
+				s.showJSON(status)
+				return status, nil
 			}
+			s.showPosition(status)
 		}
 	}
 }
 
-// hold runs the command for as long as the lock is held.
-func (k *lockCommand) hold(ctx context.Context, l adminapi.LockStatus, lines <-chan adminapi.LockStatus, failed <-chan error, say func(adminapi.LockStatus, string), drop func()) error {
+// waitEnded is the error of a wait that was interrupted or took too long.
+func (s *lockSession) waitEnded(ctx context.Context) error {
+	if ctx.Err() != nil {
+		return ctx.Err()
+	}
+	reason := strings.TrimPrefix(": "+s.lastNotice, ": "+s.Name)
+	return &exitError{exitLockNotAcquired, fmt.Errorf("%s: not got within %v%s", s.Name, s.Wait, reason)}
+}
+
+// connectionFailed is the error of a connection that ended before the lock was held. A claim that the daemon finds
+// invalid is bad input.
+func (s *lockSession) connectionFailed(err error) error {
+	var response *admin.ResponseError
+	if errors.As(err, &response) && response.Status == http.StatusBadRequest {
+		return err
+	}
+	return &exitError{exitLockNotAcquired, fmt.Errorf("%s: the daemon at %s: %w", s.Name, s.Socket, err)}
+}
+
+// showPosition shows how many are before this one, whenever that has changed.
+func (s *lockSession) showPosition(status adminapi.LockStatus) {
+	if status.Position == nil {
+		return
+	}
+	notice := fmt.Sprintf("%s: waits, %d before it", s.Name, *status.Position)
+	if status.Reason != "" {
+		notice = fmt.Sprintf("%s: waits: %s", s.Name, status.Reason)
+	}
+	if s.JSON {
+		s.showJSON(status)
+	} else if notice != s.lastNotice {
+		fmt.Fprintln(s.errs, "birchmoor:", notice)
+	}
+	s.lastNotice = notice
+}
+
+// showJSON prints a status as a line of JSON if --json asks for that.
+func (s *lockSession) showJSON(status adminapi.LockStatus) {
+	if !s.JSON {
+		return
+	}
+	line, _ := json.Marshal(status) // its fields are numbers and strings
+	fmt.Fprintf(s.errs, "%s\n", line)
+}
+
+// Bounds of what is left of the lock's time when the command is told to end, and when it is killed.
+const (
+	maxGracePeriod = time.Second
+	minKillMargin  = 50 * time.Millisecond
+	unlockTimeout  = time.Second
+)
+
+// keeper is the process that runs the command. It is not bound to a context: it ends with its command.
+func (s *lockSession) keeper(held adminapi.LockStatus, deadlines *os.File) (*exec.Cmd, error) {
 	self, err := os.Executable()
 	if err != nil {
-		return err
+		return nil, err
 	}
-	out, pipe, err := os.Pipe()
+	grace := min(maxGracePeriod, s.TTL/8)
+	margin := killMarginWithDefect(max(minKillMargin, s.TTL/10))
+	args := []string{"keeper", "--grace", grace.String(), "--early=" + margin.String(), "--"}
+	cmd := exec.Command(self, append(args, s.Command...)...)
+	cmd.Env = append(os.Environ(),
+		"BIRCHMOOR_TASK="+s.Name,
+		fmt.Sprintf("BIRCHMOOR_TOKEN=%d", held.Token),
+		fmt.Sprintf("BIRCHMOOR_UNTIL=%d", held.ValidUntil))
+	cmd.Stdin, cmd.Stdout, cmd.Stderr = os.Stdin, os.Stdout, os.Stderr
+	cmd.ExtraFiles = []*os.File{deadlines}
+	return cmd, nil
+}
+
+// runCommand runs the command for as long as the lock is held, and releases the lock.
+func (s *lockSession) runCommand(ctx context.Context, held adminapi.LockStatus) error {
+	deadlines, pipe, err := os.Pipe()
 	if err != nil {
 		return err
 	}
 	defer pipe.Close()
-	// No exec.CommandContext: the keeper ends with its command.
-	cmd := exec.Command(self, append([]string{"keeper", "--grace", min(time.Second, k.TTL/8).String(), "--early=" + killMarginWithDefect(max(50*time.Millisecond, k.TTL/10)).String(),
-		"--"}, k.Command...)...)
-	cmd.Env = append(os.Environ(), "BIRCHMOOR_TASK="+k.Name, fmt.Sprintf("BIRCHMOOR_TOKEN=%d", l.Token), fmt.Sprintf("BIRCHMOOR_UNTIL=%d", l.ValidUntil))
-	cmd.Stdin, cmd.Stdout, cmd.Stderr, cmd.ExtraFiles = os.Stdin, os.Stdout, os.Stderr, []*os.File{out}
-	if err := watchdog.ExtendDeadline(pipe, deadlineWithDefect(l.ValidUntil)); err != nil {
+	cmd, err := s.keeper(held, deadlines)
+	if err != nil {
+		return err
+	}
+	if err := watchdog.ExtendDeadline(pipe, deadlineWithDefect(held.ValidUntil)); err != nil {
 		return err
 	}
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	out.Close()
-	ended := make(chan error, 1)
-	go func() { ended <- cmd.Wait() }()
+	deadlines.Close()
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		_ = cmd.Wait() // its exit code is read below
+	}()
 	stop := ctx.Done()
-	var lost error
 	for {
 		select {
 		case <-ended:
-			code := cmd.ProcessState.ExitCode()
-			watchdog.KillDescendants() // what is left if the keeper was killed: only then may another have it
-			if said, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second); failed != nil {
-				_ = adminapi.Dial(k.Socket).Unlock(said, k.Name, l.Token) // or it has it once the time is up
-				cancel()
-			} else {
-				cancel()
-			}
-			switch {
-			case ctx.Err() != nil:
-				return ctx.Err()
-			case lost != nil:
-				return &exitError{exitLockLost, fmt.Errorf("%s is lost: %w", k.Name, lost)}
-			case code == exitLockLost:
-				return &exitError{exitLockLost, fmt.Errorf("%s is lost: it was not renewed in time", k.Name)}
-			case code < 0:
-				return &exitError{exitLockLost, fmt.Errorf("%s: what kept the command was killed", k.Name)}
-			case code != 0:
-				return &exitError{code, nil}
-			}
-			return nil
+			watchdog.KillDescendants() // what is left if the keeper was killed: only then may another hold the lock
+			s.unlock(ctx, held.Token)
+			return s.result(ctx, cmd.ProcessState.ExitCode())
 		case <-stop:
 			stop = nil
-			_ = watchdog.RequestEnd(pipe) // one that is gone ends
-		case err := <-failed:
-			failed = nil
-			lost = fmt.Errorf("the daemon: %w", err)
+			_ = watchdog.RequestEnd(pipe) // fails if the keeper has ended
+		case err := <-s.failed:
+			s.failed = nil
+			s.lost = fmt.Errorf("the daemon: %w", err)
 			_ = watchdog.RequestEnd(pipe)
-		case l := <-lines:
-			if l.Ended {
-				if lost = errors.New(l.Reason); releasesLockEarly() {
-					drop()
-					time.Sleep(time.Second)
-				}
-				_ = watchdog.RequestEnd(pipe)
-			} else if l.ValidUntil > 0 {
-				_ = watchdog.ExtendDeadline(pipe, deadlineWithDefect(l.ValidUntil))
-			}
-			if say != nil && k.JSON {
-				say(l, "")
-			}
+		case status := <-s.statuses:
+			s.follow(status, pipe)
+		}
+	}
+}
+
+// follow passes a status of the held lock on to the keeper. A keeper that has ended makes the writes fail.
+func (s *lockSession) follow(status adminapi.LockStatus, pipe *os.File) {
+	switch {
+	case status.Ended:
+		s.lost = errors.New(status.Reason)
+		if releasesLockEarly() {
+			s.disconnect()
+			time.Sleep(time.Second)
 		}
+		_ = watchdog.RequestEnd(pipe)
+	case status.ValidUntil > 0:
+		_ = watchdog.ExtendDeadline(pipe, deadlineWithDefect(status.ValidUntil))
+	}
+	s.showJSON(status)
+}
+
+// unlock releases the lock at once. If that fails the lock ends with its TTL.
+func (s *lockSession) unlock(ctx context.Context, token uint64) {
+	if s.failed == nil {
+		return
+	}
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), unlockTimeout)
+	defer cancel()
+	_ = adminapi.Dial(s.Socket).Unlock(ctx, s.Name, token)
+}
+
+// result is the command's outcome by the keeper's exit code, which is below 0 if a signal ended the keeper.
+func (s *lockSession) result(ctx context.Context, code int) error {
+	switch {
+	case ctx.Err() != nil:
+		return ctx.Err()
+	case s.lost != nil:
+		return &exitError{exitLockLost, fmt.Errorf("%s is lost: %w", s.Name, s.lost)}
+	case code == exitLockLost:
+		return &exitError{exitLockLost, fmt.Errorf("%s is lost: it was not renewed in time", s.Name)}
+	case code < 0:
+		return &exitError{exitLockLost, fmt.Errorf("%s: what kept the command was killed", s.Name)}
+	case code != 0:
+		return &exitError{code, nil}
 	}
+	return nil
 }
