--- a/internal/controlplane/leasetask/leasetask_test.go
+++ b/internal/controlplane/leasetask/leasetask_test.go
@@ -26,7 +26,12 @@
 	for _, n := range names {
 		all = append(all, New(Config{Host: n, Log: quiet}))
 	}
-	cfg := engine.Config{Name: "a", Dir: t.TempDir(), TickInterval: 10 * time.Millisecond, DiskOptions: disk.Options{NoSync: true}}
+	cfg := engine.Config{
+		Name:         "a",
+		Dir:          t.TempDir(),
+		TickInterval: 10 * time.Millisecond,
+		DiskOptions:  disk.Options{NoSync: true},
+	}
 	cfg.OnEvent = func(e store.Event) {
 		for _, r := range all {
 			r.Event(e)
--- a/internal/controlplane/leasetask/task.go
+++ b/internal/controlplane/leasetask/task.go
@@ -51,8 +51,7 @@
 
 func (t *Task) check() error {
 	if t.Interval <= 0 || t.Timeout <= 0 || t.ProgressTimeout < t.Interval || t.Do == nil {
-		const rule = "the interval and the timeouts must be positive, and the progress timeout no less than the interval"
-		return fmt.Errorf("%s: %s", t.Task, rule)
+		return fmt.Errorf("%s: interval and timeouts must be positive, and the progress timeout at least the interval", t.Task)
 	}
 	return t.Claim.check()
 }
--- a/internal/dataplane/discovery/delay_test.go
+++ b/internal/dataplane/discovery/delay_test.go
@@ -78,7 +78,9 @@
 	if b.isChanged() {
 		return sidecartest.ListLine(9, true, sidecartest.ReadyInstance("s-2", "127.0.0.1:2"))
 	}
-	return sidecartest.ListLine(8, true, sidecartest.ReadyInstance("s-1", "127.0.0.1:1"), sidecartest.ReadyInstance("s-2", "127.0.0.1:2"))
+	return sidecartest.ListLine(8, true,
+		sidecartest.ReadyInstance("s-1", "127.0.0.1:1"),
+		sidecartest.ReadyInstance("s-2", "127.0.0.1:2"))
 }
 
 // Dial is for Watcher.Dial.
@@ -186,7 +188,10 @@
 	if polled {
 		mode = "subscribe"
 	}
-	known := []discovery.Instance{sidecartest.ReadyInstance("s-1", "127.0.0.1:1"), sidecartest.ReadyInstance("s-2", "127.0.0.1:2")}
+	known := []discovery.Instance{
+		sidecartest.ReadyInstance("s-1", "127.0.0.1:1"),
+		sidecartest.ReadyInstance("s-2", "127.0.0.1:2"),
+	}
 	c := sidecartest.Configure(t, "127.0.0.1:1", known,
 		`"discovery":"automatic"`, `"discovery":"`+mode+`"`,
 		`"ask-within":10000000`, fmt.Sprintf(`"ask-within":%d`, within.Microseconds()))
