--- a/internal/dataplane/httpfront/crossings_test.go
+++ b/internal/dataplane/httpfront/crossings_test.go
@@ -24,11 +24,11 @@
 
 // The tests here force two events into an order, one test or one row for each order (docs/design/crossings.md).
 
-// front is an HTTP front with its loop and upstream side, whose dials wait while they are held.
-type front struct {
+// testFront is an HTTP front with its loop and upstream side, whose dials wait while they are held.
+type testFront struct {
 	*Server
-	loop *core.EventLoop
-	up   *Upstream
+	eventLoop *core.EventLoop
+	upstream   *Upstream
 	addr string
 
 	dials   chan string // what is dialled
@@ -36,28 +36,28 @@
 	release chan struct{} // what dials wait for; nil: nothing
 }
 
-type on struct{ net.Listener }
+type fixedListener struct{ net.Listener }
 
-func (o on) Listen() (net.Listener, error) { return o.Listener, nil }
+func (o fixedListener) Listen() (net.Listener, error) { return o.Listener, nil }
 
-// serving starts one before these endpoints. It ends with the test.
-func serving(t testing.TB, known []discovery.Instance, edits ...string) *front {
+// startFront starts one before these endpoints. It ends with the test.
+func startFront(t testing.TB, known []discovery.Instance, edits ...string) *testFront {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return servingOn(t, ln, known, edits...)
+	return startFrontOn(t, ln, known, edits...)
 }
 
-func servingOn(t testing.TB, ln net.Listener, known []discovery.Instance, edits ...string) *front {
+func startFrontOn(t testing.TB, ln net.Listener, known []discovery.Instance, edits ...string) *testFront {
 	t.Helper()
 	c := sidecartest.Configure(t, sidecartest.ClosedAddress(t), known, edits...)
 	figures := metrics.New(c.Classes...)
-	f := &front{dials: make(chan string, 64)}
+	f := &testFront{dials: make(chan string, 64)}
 	clk := core.NewClock()
-	f.up = NewUpstream(c, clk, &figures.AttemptsSent, sidecartest.DiscardLog)
-	f.up.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	f.upstream = NewUpstream(c, clk, &figures.AttemptsSent, sidecartest.DiscardLog)
+	f.upstream.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		f.mu.Lock()
 		wait := f.release
 		f.mu.Unlock()
@@ -68,19 +68,19 @@
 		return new(net.Dialer).DialContext(context.WithoutCancel(ctx), network, addr)
 	}
 	var err error
-	if f.loop, err = core.New(c, clk, f.up, func(bool) {}, figures, nil, sidecartest.DiscardLog); err != nil {
+	if f.eventLoop, err = core.New(c, clk, f.upstream, func(bool) {}, figures, nil, sidecartest.DiscardLog); err != nil {
 		t.Fatal(err)
 	}
 	f.addr = ln.Addr().String()
-	f.Server = NewServer(c, f.loop, on{ln}, figures, sidecartest.DiscardLog)
+	f.Server = NewServer(c, f.eventLoop, fixedListener{ln}, figures, sidecartest.DiscardLog)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { f.loop.Run(ctx); close(done) }()
+	go func() { f.eventLoop.Run(ctx); close(done) }()
 	if err := f.Open(func(err error) { t.Error(err) }); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		f.hold(false)
+		f.holdDials(false)
 		f.StopAccepting()
 		f.CloseIdle()
 		f.CloseUnused(true)
@@ -91,8 +91,8 @@
 	return f
 }
 
-// hold has dials wait from now on, or lets all go.
-func (f *front) hold(hold bool) {
+// holdDials has dials wait from now on, or lets all go.
+func (f *testFront) holdDials(hold bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.release != nil {
@@ -104,7 +104,7 @@
 	}
 }
 
-func (f *front) connect(t testing.TB) *net.TCPConn {
+func (f *testFront) connect(t testing.TB) *net.TCPConn {
 	t.Helper()
 	c, err := net.Dial("tcp", f.addr)
 	if err != nil {
@@ -116,12 +116,12 @@
 }
 
 // stop is what an order to stop does to a front at once.
-func (f *front) stop() {
+func (f *testFront) stop() {
 	f.SetClosing(true)
 	f.CloseIdle()
 }
 
-func text(t testing.TB, r *http.Request) string {
+func encode(t testing.TB, r *http.Request) string {
 	t.Helper()
 	var b strings.Builder
 	if err := r.Write(&b); err != nil {
@@ -137,8 +137,8 @@
 	}
 }
 
-// answer reads a whole answer.
-func answer(t *testing.T, c net.Conn, r *http.Request) (*http.Response, string) {
+// readAnswer reads a whole answer.
+func readAnswer(t *testing.T, c net.Conn, r *http.Request) (*http.Response, string) {
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(c), r)
 	if err != nil {
@@ -151,8 +151,8 @@
 	return resp, string(body)
 }
 
-// until waits for what must come to be.
-func until(t testing.TB, what string, is func() bool) {
+// waitUntil waits for what must come to be.
+func waitUntil(t testing.TB, what string, is func() bool) {
 	t.Helper()
 	for end := time.Now().Add(sidecartest.WaitTimeout); !is(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -161,23 +161,23 @@
 	}
 }
 
-// endpoint takes requests, tells of each, and answers once it may.
-type endpoint struct {
+// testEndpoint takes requests, tells of each, and answers once it may.
+type testEndpoint struct {
 	addr  string
-	taken chan string // paths
-	may   chan struct{}
+	received chan string // paths
+	mayAnswer   chan struct{}
 }
 
-func newEndpoint(t *testing.T) *endpoint {
-	e := &endpoint{taken: make(chan string, 64), may: make(chan struct{}, 64)}
+func newTestEndpoint(t *testing.T) *testEndpoint {
+	e := &testEndpoint{received: make(chan string, 64), mayAnswer: make(chan struct{}, 64)}
 	e.addr = sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 		for {
 			req, err := sidecartest.ReadRequest(r)
 			if err != nil {
 				return
 			}
-			e.taken <- req.URL.Path
-			<-e.may
+			e.received <- req.URL.Path
+			<-e.mayAnswer
 			io.WriteString(c, sidecartest.OKAnswer)
 		}
 	})
@@ -186,49 +186,49 @@
 
 // An order to stop that crosses a request at any point of its way: what was read gets its answer, and the answer ends the
 // connection.
-func TestStopWhileRequestIsOpen(t *testing.T) {
+func TestStopAnswersOpenRequestAndCloses(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		when func(t *testing.T, f *front, e *endpoint, c net.Conn, r *http.Request)
+		when func(t *testing.T, f *testFront, e *testEndpoint, c net.Conn, r *http.Request)
 	}{
-		{"half of it is read", func(t *testing.T, f *front, e *endpoint, c net.Conn, r *http.Request) {
-			whole := text(t, r)
+		{"half of it is read", func(t *testing.T, f *testFront, e *testEndpoint, c net.Conn, r *http.Request) {
+			whole := encode(t, r)
 			write(t, c, whole[:20])
-			until(t, "a request that is being read", func() bool { return reading(f) == 1 })
+			waitUntil(t, "a request that is being read", func() bool { return countReading(f) == 1 })
 			f.stop()
-			e.may <- struct{}{}
+			e.mayAnswer <- struct{}{}
 			write(t, c, whole[20:])
 		}},
-		{"between its last byte and its admission", func(t *testing.T, f *front, e *endpoint, c net.Conn, r *http.Request) {
-			at := &gate{reached: make(chan struct{}), open: make(chan struct{})}
+		{"between its last byte and its admission", func(t *testing.T, f *testFront, e *testEndpoint, c net.Conn, r *http.Request) {
+			at := &blockingLimiter{reached: make(chan struct{}), open: make(chan struct{})}
 			f.SetLimiter(at)
-			write(t, c, text(t, r))
+			write(t, c, encode(t, r))
 			sidecartest.Receive(t, at.reached, "admission")
 			f.stop()
-			e.may <- struct{}{}
+			e.mayAnswer <- struct{}{}
 			close(at.open)
 		}},
-		{"it waits for its first attempt", func(t *testing.T, f *front, e *endpoint, c net.Conn, r *http.Request) {
-			f.hold(true)
-			write(t, c, text(t, r))
+		{"it waits for its first attempt", func(t *testing.T, f *testFront, e *testEndpoint, c net.Conn, r *http.Request) {
+			f.holdDials(true)
+			write(t, c, encode(t, r))
 			sidecartest.Receive(t, f.dials, "dial")
 			f.stop()
-			e.may <- struct{}{}
-			f.hold(false)
+			e.mayAnswer <- struct{}{}
+			f.holdDials(false)
 		}},
-		{"on its attempt", func(t *testing.T, f *front, e *endpoint, c net.Conn, r *http.Request) {
-			write(t, c, text(t, r))
-			sidecartest.Receive(t, e.taken, "attempt")
+		{"on its attempt", func(t *testing.T, f *testFront, e *testEndpoint, c net.Conn, r *http.Request) {
+			write(t, c, encode(t, r))
+			sidecartest.Receive(t, e.received, "attempt")
 			f.stop()
-			e.may <- struct{}{}
+			e.mayAnswer <- struct{}{}
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			e := newEndpoint(t)
-			f := serving(t, []discovery.Instance{sidecartest.ReadyInstance("s-1", e.addr)}, `"dial-timeout":1000000`, `"dial-timeout":100000000`)
+			e := newTestEndpoint(t)
+			f := startFront(t, []discovery.Instance{sidecartest.ReadyInstance("s-1", e.addr)}, `"dial-timeout":1000000`, `"dial-timeout":100000000`)
 			c, r := f.connect(t), sidecartest.IdempotentRequest(900_000)
 			tc.when(t, f, e, c, r)
-			resp, body := answer(t, c, r)
+			resp, body := readAnswer(t, c, r)
 			if resp.StatusCode != 200 || body != "ok" || !resp.Close {
 				t.Errorf("%s %q, close %v", resp.Status, body, resp.Close)
 			}
@@ -239,17 +239,17 @@
 	}
 }
 
-// gate is a limiter that lets all through, once it may.
-type gate struct{ reached, open chan struct{} }
+// blockingLimiter is a limiter that lets all through, once it may.
+type blockingLimiter struct{ reached, open chan struct{} }
 
-func (g *gate) Admit(*core.LimiterRequest) (func(bool), *core.LimitExceeded) {
+func (g *blockingLimiter) Admit(*core.LimiterRequest) (func(bool), *core.LimitExceeded) {
 	close(g.reached)
 	<-g.open
 	return nil, nil
 }
 
-// reading counts the connections of which a part of a request has been read.
-func reading(f *front) (n int) {
+// countReading counts the connections of which a part of a request has been read.
+func countReading(f *testFront) (n int) {
 	f.clients.mu.Lock()
 	defer f.clients.mu.Unlock()
 	for at := f.clients.unused.Front(); at != nil; at = at.Next() {
@@ -260,16 +260,16 @@
 	return n
 }
 
-// resting is a connection with an owner that does what the test says, step by step. It has had an answer.
-type resting struct {
-	k      *clients
-	c      *client
-	there  *net.TCPConn // the client's end
-	step   chan func()
-	ending chan struct{} // once the owner is done
+// idleConn is a connection with an owner that does what the test says, step by step. It has had an answer.
+type idleConn struct {
+	clients      *clients
+	owned      *client
+	clientEnd  *net.TCPConn // the client's end
+	steps   chan func()
+	ended chan struct{} // once the owner is done
 }
 
-func newResting(t *testing.T) *resting {
+func newIdleConn(t *testing.T) *idleConn {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -283,35 +283,35 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &resting{there: there.(*net.TCPConn), step: make(chan func()), ending: make(chan struct{})}
+	r := &idleConn{clientEnd: there.(*net.TCPConn), steps: make(chan func()), ended: make(chan struct{})}
 	t.Cleanup(func() { there.Close() })
 	there.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	got := make(chan *client)
-	r.k = newClients(4, func(c *client) {
+	r.clients = newClients(4, func(c *client) {
 		got <- c
-		for do := range r.step {
+		for do := range r.steps {
 			do()
 		}
 	}, new(metrics.Counter), sidecartest.DiscardLog)
-	r.k.add(here)
-	r.c = <-got
-	r.do(func() { r.k.beginRequest(r.c); r.k.endRequest(r.c) })
+	r.clients.add(here)
+	r.owned = <-got
+	r.do(func() { r.clients.beginRequest(r.owned); r.clients.endRequest(r.owned) })
 	return r
 }
 
 // do has the owner do something.
-func (r *resting) do(f func()) {
+func (r *idleConn) do(f func()) {
 	done := make(chan struct{})
-	r.step <- func() { f(); close(done) }
+	r.steps <- func() { f(); close(done) }
 	<-done
 }
 
 // arrive writes bytes, and waits until they are there and not read.
-func (r *resting) arrive(t *testing.T, text string) {
-	write(t, r.there, text)
-	until(t, "bytes at the other end", func() bool {
+func (r *idleConn) arrive(t *testing.T, text string) {
+	write(t, r.clientEnd, text)
+	waitUntil(t, "bytes at the other end", func() bool {
 		n := 0
-		r.c.raw.Control(func(fd uintptr) {
+		r.owned.raw.Control(func(fd uintptr) {
 			n, _, _ = syscall.Recvfrom(int(fd), make([]byte, len(text)), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		})
 		return n == len(text)
@@ -321,7 +321,7 @@
 // A request on a resting connection and the order to close it. Read first, it is served. There and not read, it is read in
 // a last look and served. Come behind that look, it is not taken, and its client finds the connection ended in order, not
 // reset: it sends the request once more on another.
-func TestCloseOfRestingConnection(t *testing.T) {
+func TestCloseOfIdleConnectionRacesWithRequest(t *testing.T) {
 	const get = "GET / HTTP/1.1\r\n"
 	buf := make([]byte, 64)
 	closers := map[string]func(k *clients){
@@ -330,129 +330,129 @@
 	}
 	for name, closeAll := range closers {
 		t.Run(name+", read first", func(t *testing.T) {
-			r := newResting(t)
-			write(t, r.there, get)
-			r.do(func() { r.c.Read(buf) })
-			closeAll(r.k)
+			r := newIdleConn(t)
+			write(t, r.clientEnd, get)
+			r.do(func() { r.owned.Read(buf) })
+			closeAll(r.clients)
 			var taken bool
-			r.do(func() { taken = r.k.beginRequest(r.c) })
+			r.do(func() { taken = r.clients.beginRequest(r.owned) })
 			if !taken {
 				t.Error("what was read is not served")
 			}
-			close(r.step)
-			r.k.serving.Wait()
+			close(r.steps)
+			r.clients.serving.Wait()
 		})
 		t.Run(name+", there and not read", func(t *testing.T) {
-			r := newResting(t)
+			r := newIdleConn(t)
 			r.arrive(t, get)
-			closeAll(r.k)
+			closeAll(r.clients)
 			var n int
 			var taken bool
-			r.do(func() { n, _ = r.c.Read(buf); taken = r.k.beginRequest(r.c) })
+			r.do(func() { n, _ = r.owned.Read(buf); taken = r.clients.beginRequest(r.owned) })
 			if n != len(get) || !taken {
 				t.Errorf("read %d bytes, taken %v", n, taken)
 			}
-			close(r.step)
-			r.k.serving.Wait()
+			close(r.steps)
+			r.clients.serving.Wait()
 		})
 		t.Run(name+", behind the last look", func(t *testing.T) {
-			r := newResting(t)
-			closeAll(r.k)
+			r := newIdleConn(t)
+			closeAll(r.clients)
 			var err error
-			r.do(func() { _, err = r.c.Read(buf) })
+			r.do(func() { _, err = r.owned.Read(buf) })
 			if !errors.Is(err, net.ErrClosed) {
 				t.Errorf("last look: %v, want the end", err)
 			}
 			r.arrive(t, get)
-			r.do(func() { _, err = r.c.Read(buf) })
-			if !errors.Is(err, net.ErrClosed) || r.k.beginRequest(r.c) {
+			r.do(func() { _, err = r.owned.Read(buf) })
+			if !errors.Is(err, net.ErrClosed) || r.clients.beginRequest(r.owned) {
 				t.Errorf("a request behind the last look is read: %v", err)
 			}
-			close(r.step)
-			if _, err := r.there.Read(buf); err != io.EOF {
+			close(r.steps)
+			if _, err := r.clientEnd.Read(buf); err != io.EOF {
 				t.Errorf("the client finds %v, want the end in order", err)
 			}
-			r.there.Close()
-			r.k.serving.Wait()
+			r.clientEnd.Close()
+			r.clients.serving.Wait()
 		})
 	}
 	for name, closeAll := range closers {
 		t.Run(name+", while it is read", func(t *testing.T) {
-			r := newResting(t)
+			r := newIdleConn(t)
 			r.arrive(t, get)
 			looks := make(chan struct{})
-			raw := r.c.raw
+			raw := r.owned.raw
 			got := make(chan int)
 			go r.do(func() {
-				r.c.raw = &lateRaw{RawConn: raw, looks: looks}
-				n, _ := r.c.Read(buf)
-				r.c.raw = raw
+				r.owned.raw = &blockingRawConn{RawConn: raw, looks: looks}
+				n, _ := r.owned.Read(buf)
+				r.owned.raw = raw
 				got <- n
 			})
 			sidecartest.Receive(t, looks, "a read that begins")
-			closeAll(r.k)
+			closeAll(r.clients)
 			looks <- struct{}{}
 			if n := sidecartest.Receive(t, got, "the read"); n != len(get) {
 				t.Errorf("read %d bytes", n)
 			}
 			// The owner was woken for nothing: it reads on.
-			write(t, r.there, "Host: a")
+			write(t, r.clientEnd, "Host: a")
 			var err error
-			r.do(func() { _, err = r.c.Read(buf) })
+			r.do(func() { _, err = r.owned.Read(buf) })
 			if err != nil {
 				t.Errorf("the rest of the request: %v", err)
 			}
-			close(r.step)
-			r.there.Close()
-			r.k.serving.Wait()
+			close(r.steps)
+			r.clientEnd.Close()
+			r.clients.serving.Wait()
 		})
 	}
 	t.Run("behind the last answer", func(t *testing.T) {
-		r := newResting(t)
-		r.do(func() { r.k.beginRequest(r.c); r.k.endRequest(r.c) })
+		r := newIdleConn(t)
+		r.do(func() { r.clients.beginRequest(r.owned); r.clients.endRequest(r.owned) })
 		r.arrive(t, get)
-		close(r.step) // its answer said that it is the last
-		if _, err := r.there.Read(buf); err != io.EOF {
+		close(r.steps) // its answer said that it is the last
+		if _, err := r.clientEnd.Read(buf); err != io.EOF {
 			t.Errorf("the client finds %v, want the end in order", err)
 		}
-		r.there.Close()
-		r.k.serving.Wait()
+		r.clientEnd.Close()
+		r.clients.serving.Wait()
 	})
 	t.Run("stop, while the owner waits", func(t *testing.T) {
-		r := newResting(t)
+		r := newIdleConn(t)
 		got := make(chan error)
-		go r.do(func() { _, err := r.c.Read(buf); got <- err })
-		r.k.closeIdle()
+		go r.do(func() { _, err := r.owned.Read(buf); got <- err })
+		r.clients.closeIdle()
 		if err := sidecartest.Receive(t, got, "end of the wait"); !errors.Is(err, net.ErrClosed) {
 			t.Errorf("the owner is told %v", err)
 		}
-		close(r.step)
-		r.there.Close()
-		r.k.serving.Wait()
+		close(r.steps)
+		r.clientEnd.Close()
+		r.clients.serving.Wait()
 	})
 	t.Run("stop, before the answer is out", func(t *testing.T) {
-		r := newResting(t)
-		r.do(func() { r.c.Read(buf[:0]); r.k.beginRequest(r.c) })
-		r.k.closeIdle()
-		r.do(func() { r.k.endRequest(r.c) })
+		r := newIdleConn(t)
+		r.do(func() { r.owned.Read(buf[:0]); r.clients.beginRequest(r.owned) })
+		r.clients.closeIdle()
+		r.do(func() { r.clients.endRequest(r.owned) })
 		var err error
-		r.do(func() { _, err = r.c.Read(buf) })
+		r.do(func() { _, err = r.owned.Read(buf) })
 		if !errors.Is(err, net.ErrClosed) {
 			t.Errorf("after its answer it stays open: %v", err)
 		}
-		close(r.step)
-		r.there.Close()
-		r.k.serving.Wait()
+		close(r.steps)
+		r.clientEnd.Close()
+		r.clients.serving.Wait()
 	})
 }
 
-// lateRaw looks at a connection once it may.
-type lateRaw struct {
+// blockingRawConn looks at a connection once it may.
+type blockingRawConn struct {
 	syscall.RawConn
 	looks chan struct{}
 }
 
-func (r *lateRaw) Read(f func(fd uintptr) bool) error {
+func (r *blockingRawConn) Read(f func(fd uintptr) bool) error {
 	return r.RawConn.Read(func(fd uintptr) bool {
 		r.looks <- struct{}{}
 		<-r.looks
@@ -462,7 +462,7 @@
 
 // A client that leaves while its request waits for its first attempt, however it leaves: nothing is sent on for it any more,
 // though a connection comes up. One that only ends its sending is told so.
-func TestLeftWhileWaiting(t *testing.T) {
+func TestClientLeavingBeforeFirstAttemptSendsNothing(t *testing.T) {
 	long := strings.Repeat("x", 3*MaxBufferedBody)
 	for _, tc := range []struct {
 		name  string
@@ -486,12 +486,12 @@
 			2 * MaxBufferedBody, func(c *net.TCPConn) { c.SetLinger(0); c.Close() }, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			e := newEndpoint(t)
-			f := serving(t, []discovery.Instance{sidecartest.ReadyInstance("s-1", e.addr)}, `"dial-timeout":1000000`, `"dial-timeout":100000000`,
+			e := newTestEndpoint(t)
+			f := startFront(t, []discovery.Instance{sidecartest.ReadyInstance("s-1", e.addr)}, `"dial-timeout":1000000`, `"dial-timeout":100000000`,
 				`"give-up":1000000`, `"give-up":900000000`)
-			f.hold(true)
+			f.holdDials(true)
 			c, r := f.connect(t), tc.r()
-			whole := text(t, r)
+			whole := encode(t, r)
 			if tc.part > 0 {
 				whole = whole[:tc.part]
 			}
@@ -499,54 +499,54 @@
 			sidecartest.Receive(t, f.dials, "dial")
 			tc.leave(c)
 			if tc.told != 0 {
-				if resp, _ := answer(t, c, r); resp.StatusCode != tc.told {
+				if resp, _ := readAnswer(t, c, r); resp.StatusCode != tc.told {
 					t.Errorf("told %s, want %d", resp.Status, tc.told)
 				}
 				c.Close()
 			}
-			until(t, "the end of its connection", func() bool { return f.CloseIdleFor(time.Hour) == 0 })
-			f.hold(false)
+			waitUntil(t, "the end of its connection", func() bool { return f.CloseIdleFor(time.Hour) == 0 })
+			f.holdDials(false)
 			// One that comes after it is all that the endpoint gets.
 			next := f.connect(t)
-			e.may <- struct{}{}
-			e.may <- struct{}{}
+			e.mayAnswer <- struct{}{}
+			e.mayAnswer <- struct{}{}
 			r = sidecartest.Request("GET", "/look/next", "look", 900_000, "")
-			write(t, next, text(t, r))
-			if got := sidecartest.Receive(t, e.taken, "attempt"); got != "/look/next" {
+			write(t, next, encode(t, r))
+			if got := sidecartest.Receive(t, e.received, "attempt"); got != "/look/next" {
 				t.Errorf("the endpoint got %s", got)
 			}
-			answer(t, next, r)
+			readAnswer(t, next, r)
 		})
 	}
 }
 
 // A connection that comes up when its request may not be sent any more is kept for others, and not lost.
-func TestLateConnectionIsKept(t *testing.T) {
-	e := newEndpoint(t)
-	f := serving(t, []discovery.Instance{sidecartest.ReadyInstance("s-1", e.addr)}, `"dial-timeout":1000000`, `"dial-timeout":100000000`)
-	f.hold(true)
+func TestConnectionOpenedTooLateIsPooled(t *testing.T) {
+	e := newTestEndpoint(t)
+	f := startFront(t, []discovery.Instance{sidecartest.ReadyInstance("s-1", e.addr)}, `"dial-timeout":1000000`, `"dial-timeout":100000000`)
+	f.holdDials(true)
 	c, r := f.connect(t), sidecartest.IdempotentRequest(150)
-	write(t, c, text(t, r))
+	write(t, c, encode(t, r))
 	sidecartest.Receive(t, f.dials, "dial")
-	if resp, _ := answer(t, c, r); resp.StatusCode == 200 {
+	if resp, _ := readAnswer(t, c, r); resp.StatusCode == 200 {
 		t.Errorf("answered %s with no connection", resp.Status)
 	}
-	f.hold(false)
-	until(t, "the late connection in the pool", func() bool {
-		f.up.mu.Lock()
-		defer f.up.mu.Unlock()
-		return f.up.conns == 1 && len(f.up.idle) == 1
+	f.holdDials(false)
+	waitUntil(t, "the late connection in the pool", func() bool {
+		f.upstream.mu.Lock()
+		defer f.upstream.mu.Unlock()
+		return f.upstream.conns == 1 && len(f.upstream.idle) == 1
 	})
-	if n := len(e.taken); n != 0 {
+	if n := len(e.received); n != 0 {
 		t.Errorf("%d requests were sent on", n)
 	}
 }
 
 // A server's second answer, some milliseconds behind the first, on a connection that is back in the pool.
-func TestSecondAnswerOnPooledConnection(t *testing.T) {
+func TestUnsolicitedAnswerIsNotUsedForNextRequest(t *testing.T) {
 	second := make(chan struct{})
 	var conns, taken atomic.Int32
-	to := at(sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
+	to := newTarget(sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 		n := conns.Add(1)
 		for {
 			if _, err := sidecartest.ReadRequest(r); err != nil {
@@ -561,7 +561,7 @@
 		}
 	}))
 	u := newTestUpstream(t)
-	if r := u.try(plainGet(), to); r.Status != balancer.OK {
+	if r := u.sendAttempt(plainGet(), to); r.Status != balancer.OK {
 		t.Fatalf("first: status %v", r.Status)
 	}
 	first := to.idle[0]
@@ -569,17 +569,17 @@
 	u.unsolicitedAt = time.Now()
 	u.pause = func(context.Context, time.Duration) {
 		close(second)
-		until(t, "the second answer", func() bool { _, spoke := first.idleState(); return spoke })
+		waitUntil(t, "the second answer", func() bool { _, spoke := first.idleState(); return spoke })
 	}
-	r := u.try(plainGet(), to)
+	r := u.sendAttempt(plainGet(), to)
 	if got := r.Content.(*upstreamAnswer); string(got.body) != "2" {
 		t.Errorf("answered %q: what was sent for the request before", got.body)
 	}
 }
 
 // What has rested for a moment goes first. Where no endpoint ever spoke unasked, none is waited for.
-func TestRestedConnectionFirst(t *testing.T) {
-	to := at(sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) { r.ReadByte() }))
+func TestPoolPrefersConnectionIdleForAWhile(t *testing.T) {
+	to := newTarget(sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) { r.ReadByte() }))
 	u := newTestUpstream(t)
 	u.pause = func(context.Context, time.Duration) { t.Error("waited for a connection to rest") }
 	var both []*conn
@@ -602,10 +602,10 @@
 }
 
 // Half a line that came while a connection rested makes it useless: what is written there would get the rest of that line.
-func TestHalfLineOnRestingConnection(t *testing.T) {
+func TestIdleConnectionWithUnreadBytesIsNotUsed(t *testing.T) {
 	var conns atomic.Int32
 	speak := make(chan struct{})
-	to := at(sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
+	to := newTarget(sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 		first := conns.Add(1) == 1
 		for {
 			if _, err := sidecartest.ReadRequest(r); err != nil {
@@ -619,19 +619,19 @@
 		}
 	}))
 	u := newTestUpstream(t)
-	if r := u.try(plainGet(), to); r.Status != balancer.OK {
+	if r := u.sendAttempt(plainGet(), to); r.Status != balancer.OK {
 		t.Fatalf("first: status %v", r.Status)
 	}
 	rests := to.idle[0]
 	close(speak)
-	until(t, "half a line", func() bool { _, spoke := rests.idleState(); return spoke })
-	if r := u.try(plainGet(), to); r.Status != balancer.OK || conns.Load() != 2 {
+	waitUntil(t, "half a line", func() bool { _, spoke := rests.idleState(); return spoke })
+	if r := u.sendAttempt(plainGet(), to); r.Status != balancer.OK || conns.Load() != 2 {
 		t.Errorf("status %v, over %d connections", r.Status, conns.Load())
 	}
 }
 
 // An order to stop while a long answer is on its way to the client: it comes whole.
-func TestStopWhileAnswerFlows(t *testing.T) {
+func TestStopDuringLongAnswerSendsItCompletely(t *testing.T) {
 	const length = 3 * MaxBufferedBody
 	rest := make(chan struct{})
 	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
@@ -643,9 +643,9 @@
 		io.WriteString(c, strings.Repeat("y", length-MaxBufferedBody))
 		io.Copy(io.Discard, r)
 	})
-	f := serving(t, []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)}, `"give-up":1000000`, `"give-up":900000000`)
+	f := startFront(t, []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)}, `"give-up":1000000`, `"give-up":900000000`)
 	c, r := f.connect(t), sidecartest.IdempotentRequest(900_000)
-	write(t, c, text(t, r))
+	write(t, c, encode(t, r))
 	br := bufio.NewReader(c)
 	resp, err := http.ReadResponse(br, r)
 	if err != nil {
@@ -664,7 +664,7 @@
 
 // A long answer that its server goes on giving, with pauses, is the client's whole: cutting it off loses the request. One that
 // only the end of its connection ends, and that is reset on the way, is cut: "a reset is no end".
-func TestSlowAndResetAnswers(t *testing.T) {
+func TestSlowAnswerIsCompleteAndResetAnswerIsCut(t *testing.T) {
 	const length = 2 * MaxBufferedBody
 	for name, head := range map[string]string{
 		"slow":  fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", length),
@@ -696,9 +696,9 @@
 				io.WriteString(c, strings.Repeat("y", length/2))
 				io.Copy(io.Discard, r)
 			})
-			f := serving(t, []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)})
+			f := startFront(t, []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)})
 			c, r := f.connect(t), sidecartest.Request("POST", "/pay", "pay", 900, "x")
-			write(t, c, text(t, r))
+			write(t, c, encode(t, r))
 			resp, err := http.ReadResponse(bufio.NewReader(c), r)
 			close(begun)
 			if err != nil {
--- a/internal/dataplane/httpfront/gone_test.go
+++ b/internal/dataplane/httpfront/gone_test.go
@@ -25,7 +25,7 @@
 type deafListener struct {
 	net.Listener
 	deaf  atomic.Bool // no read of a request that was taken ends,
-	still atomic.Bool // nor does a wait for a change
+	neverReadable atomic.Bool // nor does a wait for a change
 	conns chan *deafConn
 }
 
@@ -41,7 +41,7 @@
 
 type deafConn struct {
 	*net.TCPConn
-	of    *deafListener
+	listener    *deafListener
 	woken chan struct{}
 }
 
@@ -60,7 +60,7 @@
 }
 
 func (c *deafConn) Read(b []byte) (int, error) {
-	if c.of.deaf.Load() {
+	if c.listener.deaf.Load() {
 		<-c.woken
 		return 0, os.ErrDeadlineExceeded
 	}
@@ -69,21 +69,21 @@
 
 func (c *deafConn) SyscallConn() (syscall.RawConn, error) {
 	raw, err := c.TCPConn.SyscallConn()
-	return deafRaw{raw, c.of}, err
+	return deafRawConn{raw, c.listener}, err
 }
 
-type deafRaw struct {
+type deafRawConn struct {
 	syscall.RawConn
-	of *deafListener
+	listener *deafListener
 }
 
-func (r deafRaw) Read(f func(fd uintptr) bool) error {
-	return r.RawConn.Read(func(fd uintptr) bool { return !r.of.still.Load() && f(fd) })
+func (r deafRawConn) Read(f func(fd uintptr) bool) error {
+	return r.RawConn.Read(func(fd uintptr) bool { return !r.listener.neverReadable.Load() && f(fd) })
 }
 
 // For a client that has gone nothing begins any more, though all that tells of its leaving is late: each attempt looks by itself,
 // right before its first byte; whatever its request waited for, and however the client left.
-func TestNothingBeginsForWhoHasGone(t *testing.T) {
+func TestNoAttemptBeginsAfterClientHasLeft(t *testing.T) {
 	const ms = 900_000
 	leaves := map[string]func(c *net.TCPConn){
 		"close":      func(c *net.TCPConn) { c.Close() },
@@ -94,11 +94,11 @@
 			c.Close()
 		},
 	}
-	held := func(t *testing.T, f *front, send func()) func() {
-		f.hold(true)
+	held := func(t *testing.T, f *testFront, send func()) func() {
+		f.holdDials(true)
 		send()
 		sidecartest.Receive(t, f.dials, "dial")
-		return func() { f.hold(false) }
+		return func() { f.holdDials(false) }
 	}
 	for _, tc := range []struct {
 		waits string // for what
@@ -106,39 +106,39 @@
 		part  int // of the request that is sent; 0: all
 		began int // attempts, before it left
 		// wait has a request come to wait, and returns what lets it go on.
-		wait func(t *testing.T, f *front, send func()) func()
+		wait func(t *testing.T, f *testFront, send func()) func()
 	}{
 		{"its connection", 0, 0, 0, held},
 		{"its connection, half of a long body", 3 * MaxBufferedBody, MaxBufferedBody + 4<<10, 0, held},
-		{"a further attempt's connection", 0, 0, 1, func(t *testing.T, f *front, send func()) func() {
+		{"a further attempt's connection", 0, 0, 1, func(t *testing.T, f *testFront, send func()) func() {
 			send()
 			for range 2 {
 				sidecartest.Receive(t, f.dials, "dial")
 			}
-			return func() { f.hold(false) }
+			return func() { f.holdDials(false) }
 		}},
-		{"a limit", 0, 0, 0, func(t *testing.T, f *front, send func()) func() {
-			at := &gate{reached: make(chan struct{}), open: make(chan struct{})}
+		{"a limit", 0, 0, 0, func(t *testing.T, f *testFront, send func()) func() {
+			at := &blockingLimiter{reached: make(chan struct{}), open: make(chan struct{})}
 			f.SetLimiter(at)
 			send()
 			sidecartest.Receive(t, at.reached, "admission")
 			return func() { close(at.open) }
 		}},
-		{"room for its body", 2 * unbudgetedBytes, 0, 0, func(t *testing.T, f *front, send func()) func() {
+		{"room for its body", 2 * unbudgetedBytes, 0, 0, func(t *testing.T, f *testFront, send func()) func() {
 			f.bodies.Resize(unbudgetedBytes)
 			f.bodies.Acquire(context.Background(), unbudgetedBytes)
 			send()
-			until(t, "a request that is being read", func() bool { return reading(f) == 1 })
+			waitUntil(t, "a request that is being read", func() bool { return countReading(f) == 1 })
 			return func() { f.bodies.Release(unbudgetedBytes) }
 		}},
 	} {
 		for how, leave := range leaves {
 			t.Run(tc.waits+", "+how, func(t *testing.T) {
-				var f *front
+				var f *testFront
 				var taken atomic.Int32
 				refuses := sidecartest.HTTPEndpoint(t, func(w http.ResponseWriter, r *http.Request) {
 					if int(taken.Add(1)) <= tc.began {
-						f.hold(true) // the next attempt's
+						f.holdDials(true) // the next attempt's
 					}
 					w.Header().Set("X-Never-Ran", "1")
 					w.WriteHeader(http.StatusServiceUnavailable)
@@ -148,43 +148,43 @@
 					t.Fatal(err)
 				}
 				l := &deafListener{Listener: ln, conns: make(chan *deafConn, 1)}
-				f = servingOn(t, l, []discovery.Instance{sidecartest.ReadyInstance("s-1", refuses), sidecartest.ReadyInstance("s-2", refuses)},
+				f = startFrontOn(t, l, []discovery.Instance{sidecartest.ReadyInstance("s-1", refuses), sidecartest.ReadyInstance("s-2", refuses)},
 					`"dial-timeout":1000000`, `"dial-timeout":100000000`, `"give-up":1000000`, `"give-up":900000000`)
 				c, r := f.connect(t), sidecartest.IdempotentRequest(ms)
 				if tc.body > 0 {
 					r = sidecartest.Request("POST", "/pay", "pay", ms, strings.Repeat("x", tc.body))
 				}
-				whole := text(t, r)
+				whole := encode(t, r)
 				if tc.part > 0 {
 					whole = whole[:tc.part]
 				}
 				l.deaf.Store(true)
 				release := tc.wait(t, f, func() { write(t, c, whole) })
-				l.still.Store(tc.part > 0)
+				l.neverReadable.Store(tc.part > 0)
 				here := sidecartest.Receive(t, l.conns, "connection")
 				leave(c)
 				raw, _ := here.TCPConn.SyscallConn()
-				until(t, "the leaving, at the other end", func() (left bool) {
+				waitUntil(t, "the leaving, at the other end", func() (left bool) {
 					err := raw.Control(func(fd uintptr) { left = !isEstablished(fd) })
 					return left || err != nil
 				})
 				release()
 				over := func() bool { return f.CloseIdleFor(time.Hour) == 0 }
-				until(t, "an attempt that began, or did not", func() bool {
-					f.up.mu.Lock()
+				waitUntil(t, "an attempt that began, or did not", func() bool {
+					f.upstream.mu.Lock()
 					idle := 0
-					for to := range f.up.idle {
+					for to := range f.upstream.idle {
 						idle += len(to.idle)
 					}
-					kept := idle > tc.began && idle == f.up.conns
-					f.up.mu.Unlock()
+					kept := idle > tc.began && idle == f.upstream.conns
+					f.upstream.mu.Unlock()
 					return kept || over() || int(taken.Load()) > tc.began
 				})
 				l.deaf.Store(false)
-				l.still.Store(false)
+				l.neverReadable.Store(false)
 				here.wake()
 				c.Close()
-				until(t, "the end of its connection", over)
+				waitUntil(t, "the end of its connection", over)
 				if n := int(taken.Load()); n != tc.began {
 					t.Errorf("%d attempts in all, %d of them before it left", n, tc.began)
 				}
@@ -193,11 +193,11 @@
 	}
 }
 
-// BenchmarkNoticeOfLeaving measures how long after a client's close its attempt is withdrawn, as its server sees it, by what watches
+// BenchmarkClientDisconnectDetection measures how long after a client's close its attempt is withdrawn, as its server sees it, by what watches
 // and by the loop: idle, and with clients that ask without a pause. All of them and the servers share the processors (-cpu 1 is the
 // program's own measure), so that it is more than the program's part. A few at a time (-benchtime 5x -count 20): a server that loses many
 // attempts gets no more. BenchmarkLookForLeaving is what each attempt's own look costs.
-func BenchmarkNoticeOfLeaving(b *testing.B) {
+func BenchmarkClientDisconnectDetection(b *testing.B) {
 	for _, others := range []int{0, 16, 64} {
 		b.Run(fmt.Sprint("others=", others), func(b *testing.B) {
 			taken, ended := make(chan struct{}), make(chan time.Time)
@@ -216,7 +216,7 @@
 					io.WriteString(c, sidecartest.OKAnswer)
 				}
 			})
-			f := serving(b, []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)}, `"give-up":1000000`, `"give-up":900000000`,
+			f := startFront(b, []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)}, `"give-up":1000000`, `"give-up":900000000`,
 				`"allowance-per-s":100.0`, `"allowance-per-s":1000000.0`)
 			var asked atomic.Int64
 			var all sync.WaitGroup
@@ -249,7 +249,7 @@
 			begun := time.Now()
 			for b.Loop() {
 				c := f.connect(b)
-				write(b, c, text(b, sidecartest.Request("POST", "/pay", "pay", 900_000, "x")))
+				write(b, c, encode(b, sidecartest.Request("POST", "/pay", "pay", 900_000, "x")))
 				answered := make(chan struct{})
 				go func() {
 					if n, _ := c.Read(make([]byte, 1)); n > 0 {
@@ -280,7 +280,7 @@
 	}
 }
 
-func BenchmarkLookForLeaving(b *testing.B) {
+func BenchmarkHasLeft(b *testing.B) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
--- a/internal/dataplane/httpfront/margin_test.go
+++ b/internal/dataplane/httpfront/margin_test.go
@@ -4,7 +4,7 @@
 
 // Calls come in rows: what one level will wait is the time of the next one's client, whole milliseconds and rounded up. Least is what
 // has to be left of it behind 14 levels.
-func TestMarginsOverARowOfLevels(t *testing.T) {
+func TestAnswerMarginLeavesTimeThroughManyLevels(t *testing.T) {
 	for _, tc := range []struct{ ms, least, most int64 }{{1000, 930, 930}, {50, 20, 40}, {10, 10, 10}, {5, 0, 0}} {
 		left := tc.ms * 1000
 		for level := range 14 {
--- a/internal/dataplane/httpfront/overdue_test.go
+++ b/internal/dataplane/httpfront/overdue_test.go
@@ -16,7 +16,7 @@
 
 // A request that has no answer half a second past its time is counted, once, while it has none or when its end comes, and told of in
 // the log, once a second at most; one that is answered by then is not, nor one whose answer has begun.
-func TestUnansweredRequests(t *testing.T) {
+func TestUnansweredRequestsAreCountedAndLogged(t *testing.T) {
 	const left = 300 * time.Millisecond
 	for _, tc := range []struct {
 		name string
@@ -67,7 +67,7 @@
 }
 
 // All that comes is turned away, with no attempt in between: counted and told of once, until an attempt is made.
-func TestAllTurnedAway(t *testing.T) {
+func TestRejectionOfAllRequestsIsCountedAndLogged(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
 		requests int           // that are refused
--- a/internal/dataplane/httpfront/upstream_test.go
+++ b/internal/dataplane/httpfront/upstream_test.go
@@ -21,7 +21,7 @@
 )
 
 // A figure that is missing or makes no sense must not read as an idle endpoint.
-func TestParseLoad(t *testing.T) {
+func TestParseLoadRejectsMalformedReports(t *testing.T) {
 	fields := []string{"busy_reqs", "served_ps", "cpu_share"}
 	for _, tc := range []struct{ text, want string }{
 		{"TEXT busy_reqs=7, served_ps=2, cpu_share=0.5", "[7 2 0.5]"},
@@ -38,16 +38,16 @@
 	}
 }
 
-func at(addr string) *target { return &target{addr: addr} }
+func newTarget(addr string) *target { return &target{addr: addr} }
 
 func newTestUpstream(t *testing.T, edits ...string) *Upstream {
 	return NewUpstream(sidecartest.Configure(t, "127.0.0.1:1", nil, edits...), core.NewClock(), new(metrics.Counter), sidecartest.DiscardLog)
 }
 
-// try makes one attempt with a second of time.
-func (u *Upstream) try(m *message, to *target) core.Reply { return u.tryFor(time.Second, m, to) }
+// sendAttempt makes one attempt with a second of time.
+func (u *Upstream) sendAttempt(m *message, to *target) core.Reply { return u.sendAttemptWithin(time.Second, m, to) }
 
-func (u *Upstream) tryFor(d time.Duration, m *message, to *target) core.Reply {
+func (u *Upstream) sendAttemptWithin(d time.Duration, m *message, to *target) core.Reply {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*sidecartest.WaitTimeout)
 	defer cancel()
 	return u.send(ctx, to, m, u.clock.Now()+d.Microseconds(), func(balancer.Micros) bool { return true }, nil)
@@ -68,7 +68,7 @@
 	for name, m := range map[string]*message{"get": plainGet(), "keyed": keyed("x")} {
 		t.Run(name, func(t *testing.T) {
 			var taken atomic.Int32
-			to := at(sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
+			to := newTarget(sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 				for i := 0; i < 2; i++ {
 					if _, err := sidecartest.ReadRequest(r); err != nil {
 						return
@@ -79,10 +79,10 @@
 				}
 			}))
 			u := newTestUpstream(t)
-			if r := u.try(m, to); r.Status != balancer.OK {
+			if r := u.sendAttempt(m, to); r.Status != balancer.OK {
 				t.Fatalf("first: status %v", r.Status)
 			}
-			if r := u.try(m, to); r.Status != balancer.Reset {
+			if r := u.sendAttempt(m, to); r.Status != balancer.Reset {
 				t.Errorf("second: status %v, want Reset", r.Status)
 			}
 			if n := taken.Load(); n != 2 {
@@ -92,23 +92,23 @@
 	}
 }
 
-// short is a connection that breaks before the last bytes of a write, or right after them.
-type short struct {
+// brokenConn is a connection that breaks before the last bytes of a write, or right after them.
+type brokenConn struct {
 	net.Conn
-	lack  int
-	after bool
+	unwritten  int
+	failAfter bool
 }
 
-func (s short) Write(p []byte) (int, error) {
-	n, err := s.Conn.Write(p[:max(0, len(p)-s.lack)])
-	if s.lack > 0 || s.after {
+func (s brokenConn) Write(p []byte) (int, error) {
+	n, err := s.Conn.Write(p[:max(0, len(p)-s.unwritten)])
+	if s.unwritten > 0 || s.failAfter {
 		err = net.ErrClosed
 	}
 	return n, err
 }
 
 // Whether a request may have run turns on its last byte.
-func TestLastByteDecides(t *testing.T) {
+func TestStatusOfFailedWriteDependsOnLastByte(t *testing.T) {
 	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 		sidecartest.ReadRequest(r)
 		c.SetLinger(0) // breaks with a reset
@@ -130,22 +130,22 @@
 			dial := u.dial
 			u.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 				c, err := dial(ctx, network, addr)
-				return short{c, tc.lack, tc.after}, err
+				return brokenConn{c, tc.lack, tc.after}, err
 			}
-			if r := u.try(m, at(addr)); r.Status != tc.want {
+			if r := u.sendAttempt(m, newTarget(addr)); r.Status != tc.want {
 				t.Errorf("status %v, want %v", r.Status, tc.want)
 			}
 		})
 	}
 	u := newTestUpstream(t)
-	if r := u.try(m, at(sidecartest.ClosedAddress(t))); r.Status != balancer.ConnectFailed {
+	if r := u.sendAttempt(m, newTarget(sidecartest.ClosedAddress(t))); r.Status != balancer.ConnectFailed {
 		t.Errorf("refused connection: status %v, want ConnectFailed", r.Status)
 	}
 }
 
 // What the endpoint's answer means. Only a marked 503 or 504 proves that the request never ran, and only a
 // whole 200 counts as one.
-func TestAnswers(t *testing.T) {
+func TestAnswerStatuses(t *testing.T) {
 	for _, tc := range []struct {
 		name, answer string
 		want         balancer.Status
@@ -183,7 +183,7 @@
 				sidecartest.ReadRequest(r)
 				io.WriteString(c, tc.answer)
 			})
-			r := newTestUpstream(t).try(keyed("x"), at(addr))
+			r := newTestUpstream(t).sendAttempt(keyed("x"), newTarget(addr))
 			if r.Status != tc.want {
 				t.Errorf("status %v, want %v", r.Status, tc.want)
 			}
@@ -196,7 +196,7 @@
 
 // An answer that does not end, or says that it will not for long, is given up at once: its connection stays open,
 // and the time of the request would go by.
-func TestAnswerWithoutEnd(t *testing.T) {
+func TestIncompleteAnswerIsAbandonedBeforeTimeout(t *testing.T) {
 	for _, answer := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok",
 		"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok",
@@ -210,7 +210,7 @@
 		})
 		// Its own time is far longer: Reset, and not a time-out, says which came first.
 		u := newTestUpstream(t)
-		if r := u.tryFor(sidecartest.WaitTimeout, keyed("x"), at(addr)); r.Status != balancer.Reset {
+		if r := u.sendAttemptWithin(sidecartest.WaitTimeout, keyed("x"), newTarget(addr)); r.Status != balancer.Reset {
 			t.Errorf("%q: status %v, want Reset before its time is up", answer, r.Status)
 		}
 		if u.conns != 0 {
@@ -220,20 +220,20 @@
 }
 
 // An answer may come long after a 1xx.
-func TestSlowAfterInterim(t *testing.T) {
+func TestAnswerLongAfterInterimIsAccepted(t *testing.T) {
 	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 		sidecartest.ReadRequest(r)
 		io.WriteString(c, "HTTP/1.1 102 Wait\r\n\r\n")
 		time.Sleep(2 * maxAnswerStall) // the work, not a wait for another
 		io.WriteString(c, sidecartest.OKAnswer)
 	})
-	if r := newTestUpstream(t).try(keyed("x"), at(addr)); r.Status != balancer.OK {
+	if r := newTestUpstream(t).sendAttempt(keyed("x"), newTarget(addr)); r.Status != balancer.OK {
 		t.Errorf("status %v, want OK", r.Status)
 	}
 }
 
 // A good answer with more behind it is good, and what is behind it answers nothing.
-func TestMoreBehindAnswer(t *testing.T) {
+func TestBytesAfterAnswerAreDiscarded(t *testing.T) {
 	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 		for {
 			req, err := sidecartest.ReadRequest(r)
@@ -245,11 +245,11 @@
 			io.WriteString(c, one+one)
 		}
 	})
-	u, to := newTestUpstream(t), at(addr)
+	u, to := newTestUpstream(t), newTarget(addr)
 	for i := range 4 {
 		m := plainGet()
 		m.header.Set("X-Trace-Id", fmt.Sprint(i))
-		if r := u.try(m, to); r.Status != balancer.OK || string(r.Content.(*upstreamAnswer).body) != fmt.Sprint(i) {
+		if r := u.sendAttempt(m, to); r.Status != balancer.OK || string(r.Content.(*upstreamAnswer).body) != fmt.Sprint(i) {
 			t.Errorf("request %d: status %v, answer %q", i, r.Status, r.Content)
 		}
 	}
@@ -257,7 +257,7 @@
 
 // What is meant for an endpoint does not reach the one that listens at its address later, and nothing to one
 // that is gone is kept.
-func TestGoneEndpointsConnections(t *testing.T) {
+func TestConnectionsOfRemovedTargetAreNotReused(t *testing.T) {
 	var dials atomic.Int32
 	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 		dials.Add(1)
@@ -268,10 +268,10 @@
 			io.WriteString(c, sidecartest.OKAnswer)
 		}
 	})
-	u, old, next := newTestUpstream(t), at(addr), at(addr)
+	u, old, next := newTestUpstream(t), newTarget(addr), newTarget(addr)
 	ctx := context.Background()
-	u.try(plainGet(), old)
-	if u.try(plainGet(), next); dials.Load() != 2 {
+	u.sendAttempt(plainGet(), old)
+	if u.sendAttempt(plainGet(), next); dials.Load() != 2 {
 		t.Errorf("%d connections to two endpoints at one address, want 2", dials.Load())
 	}
 	out, err := u.get(ctx, old)
@@ -283,26 +283,26 @@
 	if u.conns != 1 || len(old.idle) != 0 {
 		t.Errorf("%d connections open, %d idle to what is gone, want 1 and 0", u.conns, len(old.idle))
 	}
-	if r := u.try(plainGet(), old); r.Status != balancer.NotSent {
+	if r := u.sendAttempt(plainGet(), old); r.Status != balancer.NotSent {
 		t.Errorf("status %v for what is gone, want Moot", r.Status)
 	}
-	late := at(addr)
+	late := newTarget(addr)
 	dial := u.dial
 	u.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		u.removeTarget(late)
 		return dial(ctx, network, addr)
 	}
-	if r := u.try(plainGet(), late); r.Status != balancer.NotSent || u.conns != 1 {
+	if r := u.sendAttempt(plainGet(), late); r.Status != balancer.NotSent || u.conns != 1 {
 		t.Errorf("status %v for what went while dialled, want Moot; %d connections", r.Status, u.conns)
 	}
 }
 
 // Our own shortage is no fault of the endpoint's.
-func TestShortageIsNoFault(t *testing.T) {
-	to := at(sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) { sidecartest.ReadRequest(r) }))
+func TestLocalShortageIsNotBlamedOnEndpoint(t *testing.T) {
+	to := newTarget(sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) { sidecartest.ReadRequest(r) }))
 	u := newTestUpstream(t)
 	u.maxConns = 0
-	if r := u.try(plainGet(), to); r.Status != balancer.NotSent {
+	if r := u.sendAttempt(plainGet(), to); r.Status != balancer.NotSent {
 		t.Errorf("all connections in use: status %v, want Moot", r.Status)
 	}
 	u.maxConns = 1
@@ -310,7 +310,7 @@
 		u.dial = func(context.Context, string, string) (net.Conn, error) {
 			return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", e)}
 		}
-		if r := u.try(plainGet(), to); r.Status != balancer.NotSent {
+		if r := u.sendAttempt(plainGet(), to); r.Status != balancer.NotSent {
 			t.Errorf("%v: status %v, want Moot", e, r.Status)
 		}
 	}
@@ -335,9 +335,9 @@
 		c.Close()
 		closed <- struct{}{}
 	})
-	u, to := newTestUpstream(t), at(addr)
+	u, to := newTestUpstream(t), newTarget(addr)
 	for i := range 3 {
-		if r := u.try(plainGet(), to); r.Status != balancer.OK {
+		if r := u.sendAttempt(plainGet(), to); r.Status != balancer.OK {
 			t.Fatalf("request %d: status %v", i, r.Status)
 		}
 		sidecartest.Receive(t, closed, "close")
@@ -356,7 +356,7 @@
 			io.WriteString(c, sidecartest.OKAnswer)
 		}
 	})
-	u, to := newTestUpstream(t), at(addr)
+	u, to := newTestUpstream(t), newTarget(addr)
 	if most := 12 * time.Second; u.maxIdle > most {
 		t.Errorf("kept idle for %v where the endpoint closes after 15 s", u.maxIdle)
 	}
@@ -365,13 +365,13 @@
 			c.idleSince = c.idleSince.Add(-u.maxIdle)
 		}
 	}
-	u.try(plainGet(), to)
-	u.try(plainGet(), to)
+	u.sendAttempt(plainGet(), to)
+	u.sendAttempt(plainGet(), to)
 	if n := dials.Load(); n != 1 {
 		t.Fatalf("%d connections for two requests in turn, want 1", n)
 	}
 	age()
-	u.try(plainGet(), to)
+	u.sendAttempt(plainGet(), to)
 	if n := dials.Load(); n != 2 {
 		t.Errorf("%d connections after one grew old, want 2", n)
 	}
@@ -382,9 +382,9 @@
 }
 
 // The connection used last is used next, so that those not needed grow old and are closed.
-func TestLatestConnectionFirst(t *testing.T) {
+func TestPoolReusesLatestConnectionFirst(t *testing.T) {
 	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) { sidecartest.ReadRequest(r) })
-	u, to := newTestUpstream(t), at(addr)
+	u, to := newTestUpstream(t), newTarget(addr)
 	ctx := context.Background()
 	first, err := u.get(ctx, to)
 	if err != nil {
@@ -403,8 +403,8 @@
 
 // Connections are bounded, so that descriptors do not run out; one that is idle elsewhere makes room.
 func TestConnectionsAreBounded(t *testing.T) {
-	one := at(sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) { sidecartest.ReadRequest(r) }))
-	two := at(sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) { sidecartest.ReadRequest(r) }))
+	one := newTarget(sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) { sidecartest.ReadRequest(r) }))
+	two := newTarget(sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) { sidecartest.ReadRequest(r) }))
 	u := newTestUpstream(t)
 	u.maxConns = 2
 	ctx := context.Background()
@@ -427,14 +427,14 @@
 	}
 	// One that is refused gives its place back.
 	u.maxConns = 3
-	u.get(ctx, at(sidecartest.ClosedAddress(t)))
+	u.get(ctx, newTarget(sidecartest.ClosedAddress(t)))
 	if u.conns != 2 {
 		t.Errorf("%d connections counted after one refused, want 2", u.conns)
 	}
 }
 
 // A probe asks for the load where there are reports, for the health elsewhere, and waits only so long.
-func TestProbe(t *testing.T) {
+func TestProbeReadsLoadOrHealthWithinTimeout(t *testing.T) {
 	addr := sidecartest.HTTPEndpoint(t, func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
 		case "/-/load":
@@ -444,11 +444,11 @@
 			w.WriteHeader(http.StatusNotFound)
 		}
 	})
-	r := newTestUpstream(t).probe(at(addr))
+	r := newTestUpstream(t).probe(newTarget(addr))
 	if got := fmt.Sprint(r.Status, r.Load); got != "0 [7 2 0.61]" {
 		t.Errorf("probe: status and load %s, want 0 [7 2 0.61]", got)
 	}
-	r = newTestUpstream(t, `"how":"probe"`, `"how":"none"`).probe(at(addr))
+	r = newTestUpstream(t, `"how":"probe"`, `"how":"none"`).probe(newTarget(addr))
 	if r.Status != balancer.OK || r.Load != nil {
 		t.Errorf("probe without reports: status %v, load %v", r.Status, r.Load)
 	}
@@ -458,7 +458,7 @@
 		_, err := r.ReadByte()
 		ended <- err
 	})
-	if r := newTestUpstream(t).probe(at(mute)); r.Status == balancer.OK {
+	if r := newTestUpstream(t).probe(newTarget(mute)); r.Status == balancer.OK {
 		t.Error("a probe that nobody answered is ok")
 	}
 	if err := sidecartest.Receive(t, ended, "end of a mute probe"); err == nil {
@@ -467,7 +467,7 @@
 }
 
 // An answer is wanted within a few hundred milliseconds: a machine that is gone must not cost all of them.
-func TestDialLeavesTimeForAnother(t *testing.T) {
+func TestDialTimeoutIsFractionOfConfigured(t *testing.T) {
 	for most, want := range map[time.Duration]time.Duration{200 * time.Millisecond: 50 * time.Millisecond,
 		time.Second: 250 * time.Millisecond, 0: probeTimeout / 4, -1: probeTimeout / 4} {
 		if got := dialTimeout(most); got != want {
@@ -476,7 +476,7 @@
 	}
 }
 
-func TestMillisLeft(t *testing.T) {
+func TestMillisLeftRoundsUp(t *testing.T) {
 	for left, want := range map[balancer.Micros]balancer.Micros{-5: 0, 0: 0, 1: 1, 999: 1, 1000: 1, 1001: 2} {
 		if got := millisLeft(left); got != want {
 			t.Errorf("%d µs left are told as %d ms, want %d", left, got, want)
