--- a/cmd/birchmoor/limitsim.go
+++ b/cmd/birchmoor/limitsim.go
@@ -4,8 +4,6 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"runtime"
-	"sync"
 
 	"birchmoor/internal/lab/limitsim"
 )
@@ -34,104 +32,123 @@
   birchmoor limit sim --sidecars 300 --calm --seeds 2`
 }
 
+// maxSimSidecars bounds the fleet of limit sim.
+const maxSimSidecars = 5000
+
 func (k *limitSim) Run(ctx context.Context, c *console) error {
-	o := limitsim.Options{Sidecars: k.Sidecars, Faults: k.Faults, Load: k.Load, Calm: k.Calm, Even: k.Even, Busy: k.Busy}
-	if k.Sidecars < 1 || k.Sidecars > 5000 {
-		return fmt.Errorf("--sidecars: %d is not within 1 and 5000", k.Sidecars)
+	if k.Sidecars < 1 || k.Sidecars > maxSimSidecars {
+		return fmt.Errorf("--sidecars: %d is not within 1 and %d", k.Sidecars, maxSimSidecars)
 	}
-	if k.Defect == "" {
-		return k.runSeeds(ctx, c, o)
+	options := limitsim.Options{
+		Sidecars: k.Sidecars,
+		Faults:   k.Faults,
+		Load:     k.Load,
+		Calm:     k.Calm,
+		Even:     k.Even,
+		Busy:     k.Busy,
 	}
-	missed, known := false, k.Defect == "all" || k.Defect == "list"
-	for _, f := range limitsim.Faults {
-		if k.Defect == "list" {
+	switch k.Defect {
+	case "":
+		return k.runSeeds(ctx, c, options)
+	case listDefects:
+		for _, f := range limitsim.Faults {
 			fmt.Fprintf(c.out, "%-22s %s\n", f.Name, f.About)
 		}
-		if k.Defect != "all" && k.Defect != f.Name {
+		return nil
+	}
+	return k.findDefects(ctx, c, options)
+}
+
+// findDefects injects the defects that --plant names, one after the other, and fails if one is not found.
+func (k *limitSim) findDefects(ctx context.Context, c *console, options limitsim.Options) error {
+	missed, known := false, k.Defect == allDefects
+	for _, f := range limitsim.Faults {
+		if k.Defect != allDefects && k.Defect != f.Name {
 			continue
 		}
 		known = true
-		o.Plant = f.Plant
-		found := ""
-		for i := range uint64(k.Seeds) {
-			if ctx.Err() != nil {
-				return ctx.Err()
-			}
-			if r := limitsim.Run(k.Seed+i, o); len(r.Broken) > 0 {
-				found = fmt.Sprintf("found by seed %d, after %d: %s", r.Seed, i+1, r.Broken[0])
-				break
-			}
+		options.Plant = f.Plant
+		broken, err := k.firstBroken(ctx, options)
+		if err != nil {
+			return err
 		}
-		if found == "" {
-			found, missed = fmt.Sprintf("not found in %d seeds", k.Seeds), true
+		outcome := fmt.Sprintf("not found in %d seeds", k.Seeds)
+		if broken != nil {
+			outcome = fmt.Sprintf("found by seed %d, after %d: %s", broken.Seed, broken.Seed-k.Seed+1, broken.Broken[0])
 		}
-		fmt.Fprintf(c.out, "%s: %s\n", f.Name, found)
+		missed = missed || broken == nil
+		fmt.Fprintf(c.out, "%s: %s\n", f.Name, outcome)
 	}
 	switch {
 	case !known:
-		return fmt.Errorf("--plant %q is not a fault: list names them", k.Defect)
+		return unknownDefectError(k.Defect)
 	case missed:
 		return errRunFailed
 	}
 	return nil
 }
 
-// runSeeds runs seeds side by side, and tells them in order.
-func (k *limitSim) runSeeds(ctx context.Context, c *console, o limitsim.Options) error {
-	results := make([]chan limitsim.Result, k.Seeds)
-	room := make(chan struct{}, runtime.NumCPU())
-	var working sync.WaitGroup
-	defer working.Wait()
-	for i := range results {
-		results[i] = make(chan limitsim.Result, 1)
-	}
-	stop, cancel := context.WithCancel(ctx)
-	defer cancel()
-	working.Go(func() {
-		for i := range results {
-			select {
-			case room <- struct{}{}:
-			case <-stop.Done():
-				return
-			}
-			working.Go(func() {
-				results[i] <- limitsim.Run(k.Seed+uint64(i), o)
-				<-room
-			})
+// firstBroken returns the result of the first seed that passes a limit, or nil.
+func (k *limitSim) firstBroken(ctx context.Context, options limitsim.Options) (*limitsim.Result, error) {
+	for i := range uint64(k.Seeds) {
+		if ctx.Err() != nil {
+			return nil, ctx.Err()
 		}
-	})
-	broken, enc := 0, json.NewEncoder(c.out)
-	var asked, let, stops, kills, cuts, dividers int
-	var busy []int64
-	var near, use, entries, bytes float64
-	for _, one := range results {
-		var r limitsim.Result
-		select {
-		case r = <-one:
-		case <-ctx.Done():
-			return ctx.Err()
+		r := limitsim.Run(k.Seed+i, options)
+		if len(r.Broken) > 0 {
+			return &r, nil
 		}
+	}
+	return nil, nil
+}
+
+// runSeeds runs the seeds and prints their results in order, and their sum.
+func (k *limitSim) runSeeds(ctx context.Context, c *console, options limitsim.Options) error {
+	var sum limitsim.Result
+	var busy []int64
+	broken, enc := 0, json.NewEncoder(c.out)
+	run := func(seed uint64) limitsim.Result { return limitsim.Run(seed, options) }
+	for r := range seedResults(ctx, k.Seed, k.Seeds, run) {
 		if k.JSON {
 			if err := enc.Encode(r); err != nil {
 				return err
 			}
 		}
-		asked, let, stops, kills, cuts, dividers = asked+r.Asked, let+r.Let, stops+r.Stops, kills+r.Kills, cuts+r.Cuts, dividers+r.Dividers
-		near, use, entries, bytes = max(near, r.Near), use+r.Use, entries+r.EntriesS, bytes+r.BytesS
+		addLimitResult(&sum, &r)
 		busy = append(busy, r.BusyMs)
 		if len(r.Broken) > 0 {
 			broken++
 			fmt.Fprintf(c.err, "seed %d: %q\n", r.Seed, r.Broken)
 		}
 	}
+	if ctx.Err() != nil {
+		return ctx.Err()
+	}
 	if k.Busy {
 		fmt.Fprintf(c.err, "until the busy one had four fifths: %v ms\n", busy)
 	}
 	n := float64(max(1, k.Seeds))
-	fmt.Fprintf(c.err, "%d seeds, %d broken: %d asked, %d let through; %d stops, %d kills, %d cuts, %d dividers; servers saw %.2f of a strict limit at most; once calm %.2f of the rate was used, and the log took %.0f entries and %.0f bytes a second\n",
-		k.Seeds, broken, asked, let, stops, kills, cuts, dividers, near, use/n, entries/n, bytes/n)
+	fmt.Fprintf(c.err, "%d seeds, %d broken: %d asked, %d let through; %d stops, %d kills, %d cuts, %d dividers;"+
+		" servers saw %.2f of a strict limit at most; once calm %.2f of the rate was used,"+
+		" and the log took %.0f entries and %.0f bytes a second\n",
+		k.Seeds, broken, sum.Asked, sum.Let, sum.Stops, sum.Kills, sum.Cuts, sum.Dividers, sum.Near,
+		sum.Use/n, sum.EntriesS/n, sum.BytesS/n)
 	if broken > 0 {
 		return errRunFailed
 	}
 	return nil
 }
+
+// addLimitResult adds the counts and rates of a run to sum; of Near it takes the greater.
+func addLimitResult(sum, r *limitsim.Result) {
+	sum.Asked += r.Asked
+	sum.Let += r.Let
+	sum.Stops += r.Stops
+	sum.Kills += r.Kills
+	sum.Cuts += r.Cuts
+	sum.Dividers += r.Dividers
+	sum.Near = max(sum.Near, r.Near)
+	sum.Use += r.Use
+	sum.EntriesS += r.EntriesS
+	sum.BytesS += r.BytesS
+}
--- a/cmd/birchmoor/taskcheck.go
+++ b/cmd/birchmoor/taskcheck.go
@@ -19,12 +19,13 @@
 }
 
 func (k *taskCheck) Run(ctx context.Context, c *console) error {
+	const clockChoices = 1 << 3 // each of the store's, A's and B's clock is fast or not
 	broken := false
-	for n := range 8 {
+	for choice := range clockChoices {
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		o := leasemodel.Options{Depth: k.Depth, Store: n&1 != 0, A: n&2 != 0, B: n&4 != 0}
+		o := leasemodel.Options{Depth: k.Depth, Store: choice&1 != 0, A: choice&2 != 0, B: choice&4 != 0}
 		r := leasemodel.Run(o)
 		broken = broken || r.Broken != nil
 		if k.JSON {
@@ -33,7 +34,8 @@
 			}
 			continue
 		}
-		fmt.Fprintf(c.out, "fast: store %v, A %v, B %v: %d states, %d steps between them, to depth %d: %q\n", o.Store, o.A, o.B, r.States, r.Steps, r.Depth, r.Broken)
+		fmt.Fprintf(c.out, "fast: store %v, A %v, B %v: %d states, %d steps between them, to depth %d: %q\n",
+			o.Store, o.A, o.B, r.States, r.Steps, r.Depth, r.Broken)
 	}
 	if broken {
 		return errRunFailed
--- a/cmd/birchmoor/taskmeasure.go
+++ b/cmd/birchmoor/taskmeasure.go
@@ -63,67 +63,96 @@
 	return w.Flush()
 }
 
-func (k *taskMeasure) measureFleet(ctx context.Context, self string, n int) (all []taskCost, err error) {
-	f, err := fleetlab.Begin(ctx, fleetlab.Config{Program: self, Args: []string{"run", "--config"}, Dir: k.Dir, Replicas: 3, Follow: n - 3, Seed: 1, Bare: true})
+const (
+	daemonTTL      = 5 * time.Second // the daemons' default
+	daemonTasks    = 2               // in which each daemon has a queue entry
+	renewalsPerTTL = 3
+	settleTimeout  = time.Minute
+	pollInterval   = 20 * time.Millisecond
+)
+
+// measureFleet measures a fleet of n daemons without tasks of others and with them.
+func (k *taskMeasure) measureFleet(ctx context.Context, self string, n int) ([]taskCost, error) {
+	f, err := fleetlab.Begin(ctx, fleetlab.Config{
+		Program:  self,
+		Args:     []string{"run", "--config"},
+		Dir:      k.Dir,
+		Replicas: 3,
+		Follow:   n - 3,
+		Seed:     1,
+		Bare:     true,
+	})
 	if err != nil {
 		return nil, err
 	}
 	defer f.End()
-	a := f.Daemons[0].Client
-	until := func(what string, done func([]leasetask.TaskStatus) bool) error {
-		for ctx, cancel := context.WithTimeout(ctx, time.Minute); ; time.Sleep(20 * time.Millisecond) {
-			list, err := a.Tasks(ctx, "")
-			if err == nil && done(list) {
-				cancel()
-				return nil
-			}
-			if ctx.Err() != nil {
-				cancel()
-				return errors.Join(fmt.Errorf("%s does not come", what), err, ctx.Err())
-			}
-		}
-	}
-	entries := func() (float64, error) {
-		before, err := a.Status(ctx)
-		if err != nil {
-			return 0, err
-		}
-		begun := time.Now()
-		select {
-		case <-ctx.Done():
-			return 0, ctx.Err()
-		case <-time.After(k.Duration):
-		}
-		after, err := a.Status(ctx)
-		return float64(after.Applied-before.Applied) / time.Since(begun).Seconds(), err
-	}
-	const ttl = 5 * time.Second // the daemons' default
-	const ownTasks = 2          // in which each daemon has a place
-	if err := until("every daemon's place", func(list []leasetask.TaskStatus) bool {
-		return len(list) == ownTasks && len(list[0].Queue) == n && len(list[1].Queue) == n
-	}); err != nil {
+	client := f.Daemons[0].Client
+	err = waitForTasks(ctx, client, "every daemon's place", func(list []leasetask.TaskStatus) bool {
+		return len(list) == daemonTasks && len(list[0].Queue) == n && len(list[1].Queue) == n
+	})
+	if err != nil {
 		return nil, err
 	}
-	formula := 3 * float64(n) / ttl.Seconds()
-	rate, err := entries()
+	formula := renewalsPerTTL * float64(n) / daemonTTL.Seconds()
+	idleRate, err := k.entryRate(ctx, client)
 	if err != nil {
 		return nil, err
 	}
-	all = append(all, taskCost{n, 0, rate, formula})
-	hold, drop := context.WithCancel(ctx)
-	var wg sync.WaitGroup
-	defer wg.Wait()
-	defer drop()
+
+	hold, release := context.WithCancel(ctx)
+	var holders sync.WaitGroup
+	defer holders.Wait()
+	defer release()
 	for i := range k.Tasks {
-		wg.Go(func() {
-			_ = f.Daemons[n-1].Client.Lock(hold, leasetask.Claim{Task: fmt.Sprintf("task%d", i), TTL: ttl}, func(adminapi.LockStatus) error { return nil }) // until it is dropped
+		holders.Go(func() {
+			claim := leasetask.Claim{Task: fmt.Sprintf("task%d", i), TTL: daemonTTL}
+			ignoreStatus := func(adminapi.LockStatus) error { return nil }
+			_ = f.Daemons[n-1].Client.Lock(hold, claim, ignoreStatus) // ends with hold
 		})
 	}
-	if err := until("all tasks' holders", func(list []leasetask.TaskStatus) bool { return len(list) == ownTasks+k.Tasks }); err != nil {
+	err = waitForTasks(ctx, client, "all tasks' holders", func(list []leasetask.TaskStatus) bool {
+		return len(list) == daemonTasks+k.Tasks
+	})
+	if err != nil {
 		return nil, err
 	}
-	if rate, err = entries(); err != nil {
+	rate, err := k.entryRate(ctx, client)
+	if err != nil {
 		return nil, err
 	}
-	return append(all, taskCost{n, k.Tasks, rate, formula}), nil
+	return []taskCost{{n, 0, idleRate, formula}, {n, k.Tasks, rate, formula}}, nil
+}
+
+// waitForTasks waits until done holds for the fleet's tasks; what names that in the error.
+func waitForTasks(
+	ctx context.Context, client *adminapi.Client, what string, done func([]leasetask.TaskStatus) bool,
+) error {
+	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
+	defer cancel()
+	for {
+		list, err := client.Tasks(ctx, "")
+		if err == nil && done(list) {
+			return nil
+		}
+		if ctx.Err() != nil {
+			return errors.Join(fmt.Errorf("%s does not come", what), err, ctx.Err())
+		}
+		time.Sleep(pollInterval)
+	}
+}
+
+// entryRate is the number of log entries a second while nothing is changed.
+func (k *taskMeasure) entryRate(ctx context.Context, client *adminapi.Client) (float64, error) {
+	before, err := client.Status(ctx)
+	if err != nil {
+		return 0, err
+	}
+	begin := time.Now()
+	select {
+	case <-ctx.Done():
+		return 0, ctx.Err()
+	case <-time.After(k.Duration):
+	}
+	after, err := client.Status(ctx)
+	return float64(after.Applied-before.Applied) / time.Since(begin).Seconds(), err
 }
--- a/cmd/birchmoor/tasksim.go
+++ b/cmd/birchmoor/tasksim.go
@@ -3,9 +3,8 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
-	"runtime"
-	"sync"
 
 	"birchmoor/internal/lab/storesim"
 )
@@ -36,75 +35,62 @@
 }
 
 func (k *taskSim) Run(ctx context.Context, c *console) error {
-	o := storesim.Options{Replicas: k.Replicas, Faults: k.Faults, Gap: k.Gap, Holders: k.Holders, Clients: 1, Ops: 20, HoldTTL: k.TTL, Calm: k.Calm}
-	if k.Defect == "" {
-		return k.runSeeds(ctx, c, o, "")
+	options := storesim.Options{
+		Replicas: k.Replicas,
+		Faults:   k.Faults,
+		Gap:      k.Gap,
+		Holders:  k.Holders,
+		Clients:  1,
+		Ops:      20,
+		HoldTTL:  k.TTL,
+		Calm:     k.Calm,
 	}
-	missed := false
-	for _, f := range storesim.HolderFaults {
-		if k.Defect == "list" {
+	switch k.Defect {
+	case "":
+		return k.runSeeds(ctx, c, options, "")
+	case listDefects:
+		for _, f := range storesim.HolderFaults {
 			fmt.Fprintf(c.out, "%-22s %s\n", f.Name, f.About)
-			continue
 		}
-		if f.Name != k.Defect && k.Defect != "all" {
+		return nil
+	}
+	return k.findDefects(ctx, c, options)
+}
+
+// findDefects injects the defects that --plant names, one after the other, and fails if one is not found.
+func (k *taskSim) findDefects(ctx context.Context, c *console, options storesim.Options) error {
+	missed := false
+	for _, f := range storesim.HolderFaults {
+		if f.Name != k.Defect && k.Defect != allDefects {
 			continue
 		}
-		x := o
-		x.Holder, x.Planted = f.Plant, f.Replica
-		if err := k.runSeeds(ctx, c, x, f.Name); err != nil {
-			if err != errRunFailed {
-				return err
-			}
-			missed = true
+		options.Holder, options.Planted = f.Plant, f.Replica
+		err := k.runSeeds(ctx, c, options, f.Name)
+		if err != nil && !errors.Is(err, errRunFailed) {
+			return err
 		}
-		if k.Defect != "all" {
-			return nil
+		if k.Defect != allDefects {
+			return nil // whether it was found has been printed
 		}
+		missed = missed || err != nil
 	}
 	switch {
 	case missed:
 		return errRunFailed
-	case k.Defect != "list" && k.Defect != "all":
-		return fmt.Errorf("--plant %q is not a fault: list names them", k.Defect)
+	case k.Defect != allDefects:
+		return unknownDefectError(k.Defect)
 	}
 	return nil
 }
 
-// runSeeds runs seeds side by side, and takes them in order. With a fault it ends with the first seed that finds it.
-func (k *taskSim) runSeeds(ctx context.Context, c *console, o storesim.Options, plant string) error {
-	type turn chan storesim.Result
-	turns := make(chan turn, 2*runtime.NumCPU())
-	stop, cancel := context.WithCancel(ctx)
-	var working sync.WaitGroup
-	defer working.Wait()
-	defer cancel()
-	go func() {
-		defer close(turns)
-		room := make(chan struct{}, runtime.NumCPU())
-		for i := range uint64(max(0, k.Seeds)) {
-			t := make(turn, 1)
-			select {
-			case turns <- t:
-			case <-stop.Done():
-				return
-			}
-			room <- struct{}{}
-			working.Go(func() {
-				t <- storesim.Run(k.Seed+i, o)
-				<-room
-			})
-		}
-	}()
+// runSeeds runs the seeds and takes their results in order. With a defect it ends with the first seed that finds it.
+func (k *taskSim) runSeeds(ctx context.Context, c *console, options storesim.Options, defect string) error {
 	enc, broken, n := json.NewEncoder(c.out), 0, 0
 	var sum storesim.Result
-	for t := range turns {
-		if ctx.Err() != nil {
-			return ctx.Err()
-		}
-		r := <-t
+	run := func(seed uint64) storesim.Result { return storesim.Run(seed, options) }
+	for r := range seedResults(ctx, k.Seed, k.Seeds, run) {
 		n++
-		sum.Acts, sum.Late, sum.Crashes, sum.Elected, sum.Entries = sum.Acts+r.Acts, sum.Late+r.Late, sum.Crashes+r.Crashes, sum.Elected+r.Elected, sum.Entries+r.Entries
-		sum.Micros, sum.EntriesPerS, sum.BytesPerS = sum.Micros+r.Micros, sum.EntriesPerS+r.EntriesPerS, sum.BytesPerS+r.BytesPerS
+		addTaskResult(&sum, &r)
 		if k.JSON {
 			if err := enc.Encode(r); err != nil {
 				return err
@@ -113,24 +99,46 @@
 		if len(r.Broken) == 0 {
 			continue
 		}
-		if broken++; plant != "" {
-			fmt.Fprintf(c.out, "%s: found by seed %d, after %d: %s\n", plant, r.Seed, n, r.Broken[0])
+		broken++
+		if defect != "" {
+			fmt.Fprintf(c.out, "%s: found by seed %d, after %d: %s\n", defect, r.Seed, n, r.Broken[0])
 			return nil
 		}
 		fmt.Fprintf(c.err, "seed %d: %q\n", r.Seed, r.Broken)
 	}
-	if plant != "" {
-		fmt.Fprintf(c.out, "%s: not found in %d seeds\n", plant, n)
-		return errRunFailed
+	if ctx.Err() != nil {
+		return ctx.Err()
 	}
-	fmt.Fprintf(c.err, "%d seeds, %d broken: %d acts, %d late by processes that had been stopped; %d crashes of replicas, %d leaders, %d entries in %.0f s of virtual time\n", n, broken, sum.Acts,
-		sum.Late, sum.Crashes, sum.Elected, sum.Entries, float64(sum.Micros)/1e6)
-	if k.Calm && n > 0 {
-		fmt.Fprintf(c.err, "the log took %.1f entries and %.0f bytes a second; by the formula holders take %.1f entries\n", sum.EntriesPerS/float64(n),
-			sum.BytesPerS/float64(n), 3000*float64(k.Holders)/float64(k.TTL))
+	if defect != "" {
+		fmt.Fprintf(c.out, "%s: not found in %d seeds\n", defect, n)
+		return errRunFailed
 	}
+	k.printSum(c, &sum, n, broken)
 	if broken > 0 {
 		return errRunFailed
 	}
 	return nil
 }
+
+// addTaskResult adds the counts and rates of a run to sum.
+func addTaskResult(sum, r *storesim.Result) {
+	sum.Acts += r.Acts
+	sum.Late += r.Late
+	sum.Crashes += r.Crashes
+	sum.Elected += r.Elected
+	sum.Entries += r.Entries
+	sum.Micros += r.Micros
+	sum.EntriesPerS += r.EntriesPerS
+	sum.BytesPerS += r.BytesPerS
+}
+
+// printSum prints what n seeds came to.
+func (k *taskSim) printSum(c *console, sum *storesim.Result, n, broken int) {
+	fmt.Fprintf(c.err, "%d seeds, %d broken: %d acts, %d late by processes that had been stopped;"+
+		" %d crashes of replicas, %d leaders, %d entries in %.0f s of virtual time\n",
+		n, broken, sum.Acts, sum.Late, sum.Crashes, sum.Elected, sum.Entries, float64(sum.Micros)/1e6)
+	if k.Calm && n > 0 {
+		fmt.Fprintf(c.err, "the log took %.1f entries and %.0f bytes a second; by the formula holders take %.1f entries\n",
+			sum.EntriesPerS/float64(n), sum.BytesPerS/float64(n), 3000*float64(k.Holders)/float64(k.TTL))
+	}
+}
