--- a/cmd/birchmoor/labscale_test.go
+++ b/cmd/birchmoor/labscale_test.go
@@ -67,7 +67,7 @@
 
 // What the control plane sends and writes for each sidecar does not grow with them, by counts; and it shows when it
 // does, when a session costs twice, and when a hollow sidecar leaves out what a real one does.
-func TestLabScaleJudgesCostPerSidecar(t *testing.T) {
+func TestLabScaleJudgesCost(t *testing.T) {
 	for _, c := range []struct {
 		plant string
 		sizes []int
