--- a/internal/dataplane/httpfront/answer.go
+++ b/internal/dataplane/httpfront/answer.go
@@ -77,7 +77,8 @@
 
 // newResponse returns an answer of one line of text.
 func newResponse(code int, text string) *response {
-	return &response{code: code, header: http.Header{"Content-Type": {"text/plain; charset=utf-8"}}, body: []byte(text + "\n")}
+	header := http.Header{"Content-Type": {"text/plain; charset=utf-8"}}
+	return &response{code: code, header: header, body: []byte(text + "\n")}
 }
 
 // setRetryAfter tells the client when to come back, in seconds.
--- a/internal/dataplane/httpfront/clients.go
+++ b/internal/dataplane/httpfront/clients.go
@@ -25,7 +25,7 @@
 	stateReading                    // a request is being read
 	stateActive                     // a request was submitted, and will get its answer
 	stateIdle                       // it has had an answer, and nothing of another request was read
-	stateLingering                  // no request is accepted any more: sending has ended, and what still comes is discarded
+	stateLingering                  // no request is accepted: sending has ended, and received bytes are discarded
 	stateClosed
 )
 
--- a/internal/dataplane/httpfront/disconnect_bench_test.go
+++ b/internal/dataplane/httpfront/disconnect_bench_test.go
@@ -13,14 +13,14 @@
 	"testing"
 	"time"
 
-	"birchmoor/internal/dataplane/discovery"
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// BenchmarkClientDisconnectDetection measures how long after a client's close its attempt is withdrawn, as its server sees it, by what watches
-// and by the loop: idle, and with clients that ask without a pause. All of them and the servers share the processors (-cpu 1 is the
-// program's own measure), so that it is more than the program's part. A few at a time (-benchtime 5x -count 20): a server that loses many
-// attempts gets no more. BenchmarkLookForLeaving is what each attempt's own look costs.
+// BenchmarkClientDisconnectDetection measures how long after a client's close its attempt is cancelled, as the
+// server sees it: idle, and beside clients that send requests without a pause. All of them and the servers share
+// the processors, so that the figure is more than the program's part. Run few iterations (-benchtime 5x -count 20),
+// since a server that loses many attempts is ejected. BenchmarkHasLeft measures the check that each attempt makes
+// by itself.
 func BenchmarkClientDisconnectDetection(b *testing.B) {
 	for _, others := range []int{0, 16, 64} {
 		b.Run(fmt.Sprint("others=", others), func(b *testing.B) {
@@ -33,21 +33,23 @@
 					}
 					if req.URL.Path == "/pay" {
 						taken <- struct{}{}
-						r.ReadByte()
+						_, _ = r.ReadByte()
 						ended <- time.Now()
 						return
 					}
-					io.WriteString(c, sidecartest.OKAnswer)
+					_, _ = io.WriteString(c, sidecartest.OKAnswer)
 				}
 			})
-			f := startFront(b, []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)}, `"give-up":1000000`, `"give-up":900000000`,
-				`"allowance-per-s":100.0`, `"allowance-per-s":1000000.0`)
+			f := startFront(b, readyInstances(addr),
+				slices.Concat(longClassTimeout, []string{`"allowance-per-s":100.0`, `"allowance-per-s":1000000.0`})...)
 			var asked atomic.Int64
 			var all sync.WaitGroup
 			over := make(chan struct{})
 			for range others {
 				c := f.connect(b)
-				c.SetDeadline(time.Time{})
+				if err := c.SetDeadline(time.Time{}); err != nil {
+					b.Fatal(err)
+				}
 				all.Go(func() {
 					r := bufio.NewReader(c)
 					for {
@@ -63,7 +65,7 @@
 						if err != nil {
 							return
 						}
-						io.Copy(io.Discard, resp.Body)
+						_, _ = io.Copy(io.Discard, resp.Body)
 						asked.Add(1)
 					}
 				})
--- a/internal/dataplane/httpfront/idleclose_test.go
+++ b/internal/dataplane/httpfront/idleclose_test.go
@@ -12,16 +12,17 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// idleConn is a connection with an owner that does what the test says, step by step. It has had an answer.
+// idleConn is a connection that has had an answer, whose owner does what the test says, step by step.
 type idleConn struct {
 	clients   *clients
 	owned     *client
 	clientEnd *net.TCPConn // the client's end
 	steps     chan func()
-	ended     chan struct{} // once the owner is done
+	ended     chan struct{}
 }
 
 func newIdleConn(t *testing.T) *idleConn {
+	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -37,7 +38,9 @@
 	}
 	r := &idleConn{clientEnd: there.(*net.TCPConn), steps: make(chan func()), ended: make(chan struct{})}
 	t.Cleanup(func() { there.Close() })
-	there.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout))
+	if err := there.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout)); err != nil {
+		t.Fatal(err)
+	}
 	got := make(chan *client)
 	r.clients = newClients(4, func(c *client) {
 		got <- c
@@ -47,34 +50,43 @@
 	}, new(metrics.Counter), sidecartest.DiscardLog)
 	r.clients.add(here)
 	r.owned = <-got
-	r.do(func() { r.clients.beginRequest(r.owned); r.clients.endRequest(r.owned) })
+	r.do(func() {
+		r.clients.beginRequest(r.owned)
+		r.clients.endRequest(r.owned)
+	})
 	return r
 }
 
-// do has the owner do something.
+// do runs f in the owner's goroutine.
 func (r *idleConn) do(f func()) {
 	done := make(chan struct{})
-	r.steps <- func() { f(); close(done) }
+	r.steps <- func() {
+		defer close(done)
+		f()
+	}
 	<-done
 }
 
-// arrive writes bytes, and waits until they are there and not read.
-func (r *idleConn) arrive(t *testing.T, text string) {
-	write(t, r.clientEnd, text)
+// requestLine is the beginning of a request.
+const requestLine = "GET / HTTP/1.1\r\n"
+
+// arrive sends requestLine, and waits until it is in the receive buffer of the other end.
+func (r *idleConn) arrive(t *testing.T) {
+	t.Helper()
+	write(t, r.clientEnd, requestLine)
 	waitUntil(t, "bytes at the other end", func() bool {
 		n := 0
-		r.owned.raw.Control(func(fd uintptr) {
-			n, _, _ = syscall.Recvfrom(int(fd), make([]byte, len(text)), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		err := r.owned.raw.Control(func(fd uintptr) {
+			n, _, _ = syscall.Recvfrom(int(fd), make([]byte, len(requestLine)), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		})
-		return n == len(text)
+		return err == nil && n == len(requestLine)
 	})
 }
 
-// A request on a resting connection and the order to close it. Read first, it is served. There and not read, it is read in
-// a last look and served. Come behind that look, it is not taken, and its client finds the connection ended in order, not
-// reset: it sends the request once more on another.
+// A request on an idle connection races with the connection's close. If it is read first, it is served. If it
+// arrived and was not read, the final read finds it, and it is served. If it arrives after the final read, it is
+// not accepted, and the client sees the connection end, not a reset, so that it can send the request on another.
 func TestCloseOfIdleConnectionRacesWithRequest(t *testing.T) {
-	const get = "GET / HTTP/1.1\r\n"
 	buf := make([]byte, 64)
 	closers := map[string]func(k *clients){
 		"stop":   func(k *clients) { k.closeIdle() },
@@ -83,8 +95,8 @@
 	for name, closeAll := range closers {
 		t.Run(name+", read first", func(t *testing.T) {
 			r := newIdleConn(t)
-			write(t, r.clientEnd, get)
-			r.do(func() { r.owned.Read(buf) })
+			write(t, r.clientEnd, requestLine)
+			r.do(func() { _, _ = r.owned.Read(buf) })
 			closeAll(r.clients)
 			var taken bool
 			r.do(func() { taken = r.clients.beginRequest(r.owned) })
@@ -96,12 +108,15 @@
 		})
 		t.Run(name+", there and not read", func(t *testing.T) {
 			r := newIdleConn(t)
-			r.arrive(t, get)
+			r.arrive(t)
 			closeAll(r.clients)
 			var n int
 			var taken bool
-			r.do(func() { n, _ = r.owned.Read(buf); taken = r.clients.beginRequest(r.owned) })
-			if n != len(get) || !taken {
+			r.do(func() {
+				n, _ = r.owned.Read(buf)
+				taken = r.clients.beginRequest(r.owned)
+			})
+			if n != len(requestLine) || !taken {
 				t.Errorf("read %d bytes, taken %v", n, taken)
 			}
 			close(r.steps)
@@ -115,13 +130,13 @@
 			if !errors.Is(err, net.ErrClosed) {
 				t.Errorf("last look: %v, want the end", err)
 			}
-			r.arrive(t, get)
+			r.arrive(t)
 			r.do(func() { _, err = r.owned.Read(buf) })
 			if !errors.Is(err, net.ErrClosed) || r.clients.beginRequest(r.owned) {
 				t.Errorf("a request behind the last look is read: %v", err)
 			}
 			close(r.steps)
-			if _, err := r.clientEnd.Read(buf); err != io.EOF {
+			if _, err := r.clientEnd.Read(buf); !errors.Is(err, io.EOF) {
 				t.Errorf("the client finds %v, want the end in order", err)
 			}
 			r.clientEnd.Close()
@@ -131,7 +146,7 @@
 	for name, closeAll := range closers {
 		t.Run(name+", while it is read", func(t *testing.T) {
 			r := newIdleConn(t)
-			r.arrive(t, get)
+			r.arrive(t)
 			looks := make(chan struct{})
 			raw := r.owned.raw
 			got := make(chan int)
@@ -144,7 +159,7 @@
 			sidecartest.Receive(t, looks, "a read that begins")
 			closeAll(r.clients)
 			looks <- struct{}{}
-			if n := sidecartest.Receive(t, got, "the read"); n != len(get) {
+			if n := sidecartest.Receive(t, got, "the read"); n != len(requestLine) {
 				t.Errorf("read %d bytes", n)
 			}
 			// The owner was woken for nothing: it reads on.
@@ -161,10 +176,13 @@
 	}
 	t.Run("behind the last answer", func(t *testing.T) {
 		r := newIdleConn(t)
-		r.do(func() { r.clients.beginRequest(r.owned); r.clients.endRequest(r.owned) })
-		r.arrive(t, get)
+		r.do(func() {
+			r.clients.beginRequest(r.owned)
+			r.clients.endRequest(r.owned)
+		})
+		r.arrive(t)
 		close(r.steps) // its answer said that it is the last
-		if _, err := r.clientEnd.Read(buf); err != io.EOF {
+		if _, err := r.clientEnd.Read(buf); !errors.Is(err, io.EOF) {
 			t.Errorf("the client finds %v, want the end in order", err)
 		}
 		r.clientEnd.Close()
@@ -173,7 +191,10 @@
 	t.Run("stop, while the owner waits", func(t *testing.T) {
 		r := newIdleConn(t)
 		got := make(chan error)
-		go r.do(func() { _, err := r.owned.Read(buf); got <- err })
+		go r.do(func() {
+			_, err := r.owned.Read(buf)
+			got <- err
+		})
 		r.clients.closeIdle()
 		if err := sidecartest.Receive(t, got, "end of the wait"); !errors.Is(err, net.ErrClosed) {
 			t.Errorf("the owner is told %v", err)
@@ -184,7 +205,10 @@
 	})
 	t.Run("stop, before the answer is out", func(t *testing.T) {
 		r := newIdleConn(t)
-		r.do(func() { r.owned.Read(buf[:0]); r.clients.beginRequest(r.owned) })
+		r.do(func() {
+			_, _ = r.owned.Read(buf[:0])
+			r.clients.beginRequest(r.owned)
+		})
 		r.clients.closeIdle()
 		r.do(func() { r.clients.endRequest(r.owned) })
 		var err error
@@ -198,7 +222,7 @@
 	})
 }
 
-// blockingRawConn looks at a connection once it may.
+// blockingRawConn blocks each read until the test lets it proceed.
 type blockingRawConn struct {
 	syscall.RawConn
 	looks chan struct{}
--- a/internal/dataplane/httpfront/leaving_test.go
+++ b/internal/dataplane/httpfront/leaving_test.go
@@ -1,7 +1,6 @@
 package httpfront
 
 import (
-	"context"
 	"io"
 	"net"
 	"net/http"
@@ -12,41 +11,46 @@
 	"testing"
 	"time"
 
-	"birchmoor/internal/dataplane/discovery"
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// A client that leaves while its request waits for its first attempt, however it leaves: nothing is sent on for it any more,
-// though a connection comes up. One that only ends its sending is told so.
+// If a client leaves while its request waits for its first attempt, in whatever way, nothing is forwarded for it,
+// even once a connection is open. A client that only ended its sending gets an answer.
 func TestClientLeavingBeforeFirstAttemptSendsNothing(t *testing.T) {
-	long := strings.Repeat("x", 3*MaxBufferedBody)
+	get := func() *http.Request { return sidecartest.IdempotentRequest(900_000) }
+	long := func() *http.Request {
+		return sidecartest.Request("POST", "/pay", "pay", 900_000, strings.Repeat("x", 3*MaxBufferedBody))
+	}
+	const half = 2 * MaxBufferedBody
+	pipelineAndClose := func(c *net.TCPConn) {
+		_, _ = io.WriteString(c, strings.Repeat("GET /look HTTP/1.1\r\n", 400))
+		c.Close()
+	}
+	pipelineAndHalfClose := func(c *net.TCPConn) {
+		_, _ = io.WriteString(c, "GET /look HTTP/1.1\r\n")
+		_ = c.CloseWrite()
+	}
 	for _, tc := range []struct {
-		name  string
-		r     func() *http.Request
-		part  int // of the request that is sent; 0: all
-		leave func(c *net.TCPConn)
-		told  int // what one that still listens is told
+		name    string
+		request func() *http.Request
+		part    int // bytes of the request that are sent; 0: all
+		leave   func(c *net.TCPConn)
+		status  int // of the answer to a client that still reads; 0: none reads
 	}{
-		{"close", func() *http.Request { return sidecartest.IdempotentRequest(900_000) }, 0, func(c *net.TCPConn) { c.Close() }, 0},
-		{"half-close", func() *http.Request { return sidecartest.IdempotentRequest(900_000) }, 0, func(c *net.TCPConn) { c.CloseWrite() }, 503},
-		{"reset", func() *http.Request { return sidecartest.IdempotentRequest(900_000) }, 0, func(c *net.TCPConn) { c.SetLinger(0); c.Close() }, 0},
-		{"more behind the request, and close", func() *http.Request { return sidecartest.IdempotentRequest(900_000) }, 0,
-			func(c *net.TCPConn) { io.WriteString(c, strings.Repeat("GET /look HTTP/1.1\r\n", 400)); c.Close() }, 0},
-		{"more behind the request, and half-close", func() *http.Request { return sidecartest.IdempotentRequest(900_000) }, 0,
-			func(c *net.TCPConn) { io.WriteString(c, "GET /look HTTP/1.1\r\n"); c.CloseWrite() }, 400},
-		{"half of a long body, and close", func() *http.Request { return sidecartest.Request("POST", "/pay", "pay", 900_000, long) },
-			2 * MaxBufferedBody, func(c *net.TCPConn) { c.Close() }, 0},
-		{"half of a long body, and half-close", func() *http.Request { return sidecartest.Request("POST", "/pay", "pay", 900_000, long) },
-			2 * MaxBufferedBody, func(c *net.TCPConn) { c.CloseWrite() }, 503},
-		{"half of a long body, and reset", func() *http.Request { return sidecartest.Request("POST", "/pay", "pay", 900_000, long) },
-			2 * MaxBufferedBody, func(c *net.TCPConn) { c.SetLinger(0); c.Close() }, 0},
+		{"close", get, 0, closeConn, 0},
+		{"half-close", get, 0, halfClose, http.StatusServiceUnavailable},
+		{"reset", get, 0, resetConn, 0},
+		{"more behind the request, and close", get, 0, pipelineAndClose, 0},
+		{"more behind the request, and half-close", get, 0, pipelineAndHalfClose, http.StatusBadRequest},
+		{"half of a long body, and close", long, half, closeConn, 0},
+		{"half of a long body, and half-close", long, half, halfClose, http.StatusServiceUnavailable},
+		{"half of a long body, and reset", long, half, resetConn, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			e := newTestEndpoint(t)
-			f := startFront(t, []discovery.Instance{sidecartest.ReadyInstance("s-1", e.addr)}, `"dial-timeout":1000000`, `"dial-timeout":100000000`,
-				`"give-up":1000000`, `"give-up":900000000`)
+			f := startFront(t, readyInstances(e.addr), longTimeouts...)
 			f.holdDials(true)
-			c, r := f.connect(t), tc.r()
+			c, r := f.connect(t), tc.request()
 			whole := encode(t, r)
 			if tc.part > 0 {
 				whole = whole[:tc.part]
@@ -54,9 +58,9 @@
 			write(t, c, whole)
 			sidecartest.Receive(t, f.dials, "dial")
 			tc.leave(c)
-			if tc.told != 0 {
-				if resp, _ := readAnswer(t, c, r); resp.StatusCode != tc.told {
-					t.Errorf("told %s, want %d", resp.Status, tc.told)
+			if tc.status != 0 {
+				if resp, _ := readAnswer(t, c, r); resp.StatusCode != tc.status {
+					t.Errorf("answered %s, want %d", resp.Status, tc.status)
 				}
 				c.Close()
 			}
@@ -76,12 +80,22 @@
 	}
 }
 
-// deafListener is one whose connections tell nothing of their clients' leaving once they are deaf, as where all that would tell is late.
-// What the system knows can be looked up all the same.
+// Ways in which a client leaves.
+var (
+	closeConn = func(c *net.TCPConn) { c.Close() }
+	halfClose = func(c *net.TCPConn) { _ = c.CloseWrite() }
+	resetConn = func(c *net.TCPConn) {
+		_ = c.SetLinger(0)
+		c.Close()
+	}
+)
+
+// deafListener accepts connections that, once deaf, do not report that their clients have left, as if every
+// notification was late. The state that the system holds can still be queried.
 type deafListener struct {
 	net.Listener
-	deaf          atomic.Bool // no read of a request that was taken ends,
-	neverReadable atomic.Bool // nor does a wait for a change
+	deaf          atomic.Bool // no read returns that the client has left
+	neverReadable atomic.Bool // no wait for readability returns
 	conns         chan *deafConn
 }
 
@@ -137,20 +151,21 @@
 	return r.RawConn.Read(func(fd uintptr) bool { return !r.listener.neverReadable.Load() && f(fd) })
 }
 
-// For a client that has gone nothing begins any more, though all that tells of its leaving is late: each attempt looks by itself,
-// right before its first byte; whatever its request waited for, and however the client left.
+// No attempt begins after its client has left, even if every notification of that is late: each attempt checks by
+// itself right before its first byte, whatever its request waited for and however the client left.
 func TestNoAttemptBeginsAfterClientHasLeft(t *testing.T) {
 	const ms = 900_000
 	leaves := map[string]func(c *net.TCPConn){
-		"close":      func(c *net.TCPConn) { c.Close() },
-		"half-close": func(c *net.TCPConn) { c.CloseWrite() },
-		"reset":      func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
+		"close":      closeConn,
+		"half-close": halfClose,
+		"reset":      resetConn,
 		"close behind bytes": func(c *net.TCPConn) {
-			io.WriteString(c, strings.Repeat("GET /look HTTP/1.1\r\n", 400))
+			_, _ = io.WriteString(c, strings.Repeat("GET /look HTTP/1.1\r\n", 400))
 			c.Close()
 		},
 	}
 	held := func(t *testing.T, f *testFront, send func()) func() {
+		t.Helper()
 		f.holdDials(true)
 		send()
 		sidecartest.Receive(t, f.dials, "dial")
@@ -167,6 +182,7 @@
 		{"its connection", 0, 0, 0, held},
 		{"its connection, half of a long body", 3 * MaxBufferedBody, MaxBufferedBody + 4<<10, 0, held},
 		{"a further attempt's connection", 0, 0, 1, func(t *testing.T, f *testFront, send func()) func() {
+			t.Helper()
 			send()
 			for range 2 {
 				sidecartest.Receive(t, f.dials, "dial")
@@ -174,6 +190,7 @@
 			return func() { f.holdDials(false) }
 		}},
 		{"a limit", 0, 0, 0, func(t *testing.T, f *testFront, send func()) func() {
+			t.Helper()
 			at := &blockingLimiter{reached: make(chan struct{}), open: make(chan struct{})}
 			f.SetLimiter(at)
 			send()
@@ -181,8 +198,11 @@
 			return func() { close(at.open) }
 		}},
 		{"room for its body", 2 * unbudgetedBytes, 0, 0, func(t *testing.T, f *testFront, send func()) func() {
+			t.Helper()
 			f.bodies.Resize(unbudgetedBytes)
-			f.bodies.Acquire(context.Background(), unbudgetedBytes)
+			if err := f.bodies.Acquire(t.Context(), unbudgetedBytes); err != nil {
+				t.Fatal(err)
+			}
 			send()
 			waitUntil(t, "a request that is being read", func() bool { return countReading(f) == 1 })
 			return func() { f.bodies.Release(unbudgetedBytes) }
@@ -192,7 +212,7 @@
 			t.Run(tc.waits+", "+how, func(t *testing.T) {
 				var f *testFront
 				var taken atomic.Int32
-				refuses := sidecartest.HTTPEndpoint(t, func(w http.ResponseWriter, r *http.Request) {
+				refuses := sidecartest.HTTPEndpoint(t, func(w http.ResponseWriter, _ *http.Request) {
 					if int(taken.Add(1)) <= tc.began {
 						f.holdDials(true) // the next attempt's
 					}
@@ -204,8 +224,8 @@
 					t.Fatal(err)
 				}
 				l := &deafListener{Listener: ln, conns: make(chan *deafConn, 1)}
-				f = startFrontOn(t, l, []discovery.Instance{sidecartest.ReadyInstance("s-1", refuses), sidecartest.ReadyInstance("s-2", refuses)},
-					`"dial-timeout":1000000`, `"dial-timeout":100000000`, `"give-up":1000000`, `"give-up":900000000`)
+				f = startFrontOn(t, l, readyInstances(refuses, refuses),
+					longTimeouts...)
 				c, r := f.connect(t), sidecartest.IdempotentRequest(ms)
 				if tc.body > 0 {
 					r = sidecartest.Request("POST", "/pay", "pay", ms, strings.Repeat("x", tc.body))
--- a/internal/dataplane/httpfront/margin_test.go
+++ b/internal/dataplane/httpfront/margin_test.go
@@ -1,9 +1,11 @@
 package httpfront
 
-import "testing"
+import (
+	"testing"
+)
 
-// Calls come in rows: what one level will wait is the time of the next one's client, whole milliseconds and rounded up. Least is what
-// has to be left of it behind 14 levels.
+// Services call each other through sidecars: the time that one level waits is the timeout of the next level's
+// client, in whole milliseconds, rounded up. After 14 levels between least and most of it must be left.
 func TestAnswerMarginLeavesTimeThroughManyLevels(t *testing.T) {
 	for _, tc := range []struct{ ms, least, most int64 }{{1000, 930, 930}, {50, 20, 40}, {10, 10, 10}, {5, 0, 0}} {
 		left := tc.ms * 1000
--- a/internal/dataplane/httpfront/overdue_test.go
+++ b/internal/dataplane/httpfront/overdue_test.go
@@ -14,8 +14,8 @@
 	"birchmoor/internal/platform/metrics"
 )
 
-// A request that has no answer half a second past its time is counted, once, while it has none or when its end comes, and told of in
-// the log, once a second at most; one that is answered by then is not, nor one whose answer has begun.
+// A request without an answer half a second after its deadline is counted once, while it is open or when it ends,
+// and logged, at most once a second. One that is answered by then is not counted, nor one whose answer has begun.
 func TestUnansweredRequestsAreCountedAndLogged(t *testing.T) {
 	const left = 300 * time.Millisecond
 	for _, tc := range []struct {
@@ -28,7 +28,10 @@
 		{"late", left + unansweredGrace, (*clients).endRequest, 1},
 		{"late, its client gone", left + unansweredGrace, func(*clients, *client) {}, 1},
 		{"in time", left + unansweredGrace - 1, (*clients).endRequest, 0},
-		{"begun in time", left + unansweredGrace - 1, func(k *clients, c *client) { k.answerStarted(c); time.Sleep(time.Minute) }, 0},
+		{"begun in time", left + unansweredGrace - 1, func(k *clients, c *client) {
+			k.answerStarted(c)
+			time.Sleep(time.Minute)
+		}, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -66,7 +69,7 @@
 	}
 }
 
-// All that comes is turned away, with no attempt in between: counted and told of once, until an attempt is made.
+// If all requests are rejected with no attempt in between, that is counted and logged once, until an attempt is made.
 func TestRejectionOfAllRequestsIsCountedAndLogged(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
--- a/internal/dataplane/httpfront/pool_test.go
+++ b/internal/dataplane/httpfront/pool_test.go
@@ -3,9 +3,11 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
+	"net/http"
 	"os"
 	"sync/atomic"
 	"syscall"
@@ -14,19 +16,18 @@
 
 	"birchmoor/balancer"
 	"birchmoor/internal/dataplane/core"
-	"birchmoor/internal/dataplane/discovery"
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// A connection that comes up when its request may not be sent any more is kept for others, and not lost.
+// A connection that is established when its request may not be sent any more is pooled for others, and not leaked.
 func TestConnectionOpenedTooLateIsPooled(t *testing.T) {
 	e := newTestEndpoint(t)
-	f := startFront(t, []discovery.Instance{sidecartest.ReadyInstance("s-1", e.addr)}, `"dial-timeout":1000000`, `"dial-timeout":100000000`)
+	f := startFront(t, readyInstances(e.addr), longDialTimeout...)
 	f.holdDials(true)
 	c, r := f.connect(t), sidecartest.IdempotentRequest(150)
 	write(t, c, encode(t, r))
 	sidecartest.Receive(t, f.dials, "dial")
-	if resp, _ := readAnswer(t, c, r); resp.StatusCode == 200 {
+	if resp, _ := readAnswer(t, c, r); resp.StatusCode == http.StatusOK {
 		t.Errorf("answered %s with no connection", resp.Status)
 	}
 	f.holdDials(false)
@@ -40,7 +41,7 @@
 	}
 }
 
-// A server's second answer, some milliseconds behind the first, on a connection that is back in the pool.
+// A server sends a second answer some milliseconds after the first, on a connection that is back in the pool.
 func TestUnsolicitedAnswerIsNotUsedForNextRequest(t *testing.T) {
 	second := make(chan struct{})
 	var conns, taken atomic.Int32
@@ -54,7 +55,7 @@
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d", n)
 			if n == 1 {
 				<-second
-				io.WriteString(c, sidecartest.OKAnswer)
+				_, _ = io.WriteString(c, sidecartest.OKAnswer)
 			}
 		}
 	}))
@@ -67,7 +68,10 @@
 	u.unsolicitedAt = time.Now()
 	u.pause = func(context.Context, time.Duration) {
 		close(second)
-		waitUntil(t, "the second answer", func() bool { _, spoke := first.idleState(); return spoke })
+		waitUntil(t, "the second answer", func() bool {
+			_, spoke := first.idleState()
+			return spoke
+		})
 	}
 	r := u.sendAttempt(plainGet(), to)
 	if got := r.Content.(*upstreamAnswer); string(got.body) != "2" {
@@ -75,9 +79,10 @@
 	}
 }
 
-// What has rested for a moment goes first. Where no endpoint ever spoke unasked, none is waited for.
+// Connections that were idle for a moment are used first. As long as no endpoint has sent unsolicited bytes, no
+// request waits for one.
 func TestPoolPrefersConnectionIdleForAWhile(t *testing.T) {
-	to := newTarget(sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) { r.ReadByte() }))
+	to := newTarget(sidecartest.RawEndpoint(t, func(_ *net.TCPConn, r *bufio.Reader) { _, _ = r.ReadByte() }))
 	u := newTestUpstream(t)
 	u.pause = func(context.Context, time.Duration) { t.Error("waited for a connection to rest") }
 	var both []*conn
@@ -99,7 +104,8 @@
 	}
 }
 
-// Half a line that came while a connection rested makes it useless: what is written there would get the rest of that line.
+// A connection that received half a line while idle cannot be used: a request on it would be answered by the rest
+// of the line.
 func TestIdleConnectionWithUnreadBytesIsNotUsed(t *testing.T) {
 	var conns atomic.Int32
 	speak := make(chan struct{})
@@ -109,10 +115,10 @@
 			if _, err := sidecartest.ReadRequest(r); err != nil {
 				return
 			}
-			io.WriteString(c, sidecartest.OKAnswer)
+			_, _ = io.WriteString(c, sidecartest.OKAnswer)
 			if first {
 				<-speak
-				io.WriteString(c, "HTTP/1.1 20")
+				_, _ = io.WriteString(c, "HTTP/1.1 20")
 			}
 		}
 	}))
@@ -122,14 +128,17 @@
 	}
 	rests := to.idle[0]
 	close(speak)
-	waitUntil(t, "half a line", func() bool { _, spoke := rests.idleState(); return spoke })
+	waitUntil(t, "half a line", func() bool {
+		_, spoke := rests.idleState()
+		return spoke
+	})
 	if r := u.sendAttempt(plainGet(), to); r.Status != balancer.OK || conns.Load() != 2 {
 		t.Errorf("status %v, over %d connections", r.Status, conns.Load())
 	}
 }
 
-// What is meant for an endpoint does not reach the one that listens at its address later, and nothing to one
-// that is gone is kept.
+// A request for an endpoint does not reach another that listens at its address later, and no connection to a removed
+// endpoint is pooled.
 func TestConnectionsOfRemovedTargetAreNotReused(t *testing.T) {
 	var dials atomic.Int32
 	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
@@ -138,7 +147,7 @@
 			if _, err := sidecartest.ReadRequest(r); err != nil {
 				return
 			}
-			io.WriteString(c, sidecartest.OKAnswer)
+			_, _ = io.WriteString(c, sidecartest.OKAnswer)
 		}
 	})
 	u, old, next := newTestUpstream(t), newTarget(addr), newTarget(addr)
@@ -157,7 +166,7 @@
 		t.Errorf("%d connections open, %d idle to what is gone, want 1 and 0", u.conns, len(old.idle))
 	}
 	if r := u.sendAttempt(plainGet(), old); r.Status != balancer.NotSent {
-		t.Errorf("status %v for what is gone, want Moot", r.Status)
+		t.Errorf("status %v for what is gone, want NotSent", r.Status)
 	}
 	late := newTarget(addr)
 	dial := u.dial
@@ -166,17 +175,17 @@
 		return dial(ctx, network, addr)
 	}
 	if r := u.sendAttempt(plainGet(), late); r.Status != balancer.NotSent || u.conns != 1 {
-		t.Errorf("status %v for what went while dialled, want Moot; %d connections", r.Status, u.conns)
+		t.Errorf("status %v for what went while dialled, want NotSent; %d connections", r.Status, u.conns)
 	}
 }
 
-// A connection that the endpoint has closed meanwhile must not be used: the request would be lost, and
+// A connection that the endpoint has closed in the meantime must not be used: the request would be lost, and
 // whether it ran would not be known.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	closed := make(chan struct{}, 1)
 	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
-		sidecartest.ReadRequest(r)
-		io.WriteString(c, sidecartest.OKAnswer)
+		_, _ = sidecartest.ReadRequest(r)
+		_, _ = io.WriteString(c, sidecartest.OKAnswer)
 		c.Close()
 		closed <- struct{}{}
 	})
@@ -198,7 +207,7 @@
 			if _, err := sidecartest.ReadRequest(r); err != nil {
 				return
 			}
-			io.WriteString(c, sidecartest.OKAnswer)
+			_, _ = io.WriteString(c, sidecartest.OKAnswer)
 		}
 	})
 	u, to := newTestUpstream(t), newTarget(addr)
@@ -228,7 +237,7 @@
 
 // The connection used last is used next, so that those not needed grow old and are closed.
 func TestPoolReusesLatestConnectionFirst(t *testing.T) {
-	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) { sidecartest.ReadRequest(r) })
+	addr := sidecartest.RawEndpoint(t, readOneRequest)
 	u, to := newTestUpstream(t), newTarget(addr)
 	ctx := context.Background()
 	first, err := u.get(ctx, to)
@@ -246,10 +255,11 @@
 	}
 }
 
-// Connections are bounded, so that descriptors do not run out; one that is idle elsewhere makes room.
+// The number of connections is bounded, so that descriptors do not run out; an idle one to another endpoint is
+// closed.
 func TestConnectionsAreBounded(t *testing.T) {
-	one := newTarget(sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) { sidecartest.ReadRequest(r) }))
-	two := newTarget(sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) { sidecartest.ReadRequest(r) }))
+	one := newTarget(sidecartest.RawEndpoint(t, readOneRequest))
+	two := newTarget(sidecartest.RawEndpoint(t, readOneRequest))
 	u := newTestUpstream(t)
 	u.maxConns = 2
 	ctx := context.Background()
@@ -260,7 +270,7 @@
 	if _, err := u.get(ctx, one); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := u.get(ctx, two); err != core.ErrConnectionsExhausted {
+	if _, err := u.get(ctx, two); !errors.Is(err, core.ErrConnectionsExhausted) {
 		t.Fatalf("third connection: error %v, want %v", err, core.ErrConnectionsExhausted)
 	}
 	u.put(a)
@@ -272,19 +282,21 @@
 	}
 	// One that is refused gives its place back.
 	u.maxConns = 3
-	u.get(ctx, newTarget(sidecartest.ClosedAddress(t)))
+	if _, err := u.get(ctx, newTarget(sidecartest.ClosedAddress(t))); err == nil {
+		t.Error("connected to a closed port")
+	}
 	if u.conns != 2 {
 		t.Errorf("%d connections counted after one refused, want 2", u.conns)
 	}
 }
 
-// Our own shortage is no fault of the endpoint's.
+// A shortage of this process's own resources is not a fault of the endpoint.
 func TestLocalShortageIsNotBlamedOnEndpoint(t *testing.T) {
-	to := newTarget(sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) { sidecartest.ReadRequest(r) }))
+	to := newTarget(sidecartest.RawEndpoint(t, readOneRequest))
 	u := newTestUpstream(t)
 	u.maxConns = 0
 	if r := u.sendAttempt(plainGet(), to); r.Status != balancer.NotSent {
-		t.Errorf("all connections in use: status %v, want Moot", r.Status)
+		t.Errorf("all connections in use: status %v, want NotSent", r.Status)
 	}
 	u.maxConns = 1
 	for _, e := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL} {
@@ -292,7 +304,7 @@
 			return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", e)}
 		}
 		if r := u.sendAttempt(plainGet(), to); r.Status != balancer.NotSent {
-			t.Errorf("%v: status %v, want Moot", e, r.Status)
+			t.Errorf("%v: status %v, want NotSent", e, r.Status)
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -302,6 +314,6 @@
 	}
 	r := u.send(ctx, to, plainGet(), u.clock.Now()+1_000_000, func(balancer.Micros) bool { return true }, nil)
 	if r.Status != balancer.NotSent {
-		t.Errorf("a dial that we ended: status %v, want Moot", r.Status)
+		t.Errorf("a dial that we ended: status %v, want NotSent", r.Status)
 	}
 }
--- a/internal/dataplane/httpfront/stop_test.go
+++ b/internal/dataplane/httpfront/stop_test.go
@@ -11,11 +11,10 @@
 	"testing"
 	"time"
 
-	"birchmoor/internal/dataplane/discovery"
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// An order to stop that crosses a request at any point of its way: what was read gets its answer, and the answer ends the
+// A shutdown at any point of a request's life: a request that was read gets its answer, and the answer ends the
 // connection.
 func TestStopAnswersOpenRequestAndCloses(t *testing.T) {
 	for _, tc := range []struct {
@@ -23,6 +22,7 @@
 		when func(t *testing.T, f *testFront, e *testEndpoint, c net.Conn, r *http.Request)
 	}{
 		{"half of it is read", func(t *testing.T, f *testFront, e *testEndpoint, c net.Conn, r *http.Request) {
+			t.Helper()
 			whole := encode(t, r)
 			write(t, c, whole[:20])
 			waitUntil(t, "a request that is being read", func() bool { return countReading(f) == 1 })
@@ -30,7 +30,10 @@
 			e.mayAnswer <- struct{}{}
 			write(t, c, whole[20:])
 		}},
-		{"between its last byte and its admission", func(t *testing.T, f *testFront, e *testEndpoint, c net.Conn, r *http.Request) {
+		{"between its last byte and its admission", func(
+			t *testing.T, f *testFront, e *testEndpoint, c net.Conn, r *http.Request,
+		) {
+			t.Helper()
 			at := &blockingLimiter{reached: make(chan struct{}), open: make(chan struct{})}
 			f.SetLimiter(at)
 			write(t, c, encode(t, r))
@@ -40,6 +43,7 @@
 			close(at.open)
 		}},
 		{"it waits for its first attempt", func(t *testing.T, f *testFront, e *testEndpoint, c net.Conn, r *http.Request) {
+			t.Helper()
 			f.holdDials(true)
 			write(t, c, encode(t, r))
 			sidecartest.Receive(t, f.dials, "dial")
@@ -48,6 +52,7 @@
 			f.holdDials(false)
 		}},
 		{"on its attempt", func(t *testing.T, f *testFront, e *testEndpoint, c net.Conn, r *http.Request) {
+			t.Helper()
 			write(t, c, encode(t, r))
 			sidecartest.Receive(t, e.received, "attempt")
 			f.stop()
@@ -56,21 +61,21 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			e := newTestEndpoint(t)
-			f := startFront(t, []discovery.Instance{sidecartest.ReadyInstance("s-1", e.addr)}, `"dial-timeout":1000000`, `"dial-timeout":100000000`)
+			f := startFront(t, readyInstances(e.addr), longDialTimeout...)
 			c, r := f.connect(t), sidecartest.IdempotentRequest(900_000)
 			tc.when(t, f, e, c, r)
 			resp, body := readAnswer(t, c, r)
-			if resp.StatusCode != 200 || body != "ok" || !resp.Close {
+			if resp.StatusCode != http.StatusOK || body != "ok" || !resp.Close {
 				t.Errorf("%s %q, close %v", resp.Status, body, resp.Close)
 			}
-			if _, err := c.Read(make([]byte, 1)); err != io.EOF {
+			if _, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 				t.Errorf("behind the answer: %v, want the end", err)
 			}
 		})
 	}
 }
 
-// An order to stop while a long answer is on its way to the client: it comes whole.
+// A shutdown while a long answer is being sent does not cut it.
 func TestStopDuringLongAnswerSendsItCompletely(t *testing.T) {
 	const length = 3 * MaxBufferedBody
 	rest := make(chan struct{})
@@ -80,10 +85,10 @@
 		}
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", length, strings.Repeat("x", MaxBufferedBody))
 		<-rest
-		io.WriteString(c, strings.Repeat("y", length-MaxBufferedBody))
-		io.Copy(io.Discard, r)
+		_, _ = io.WriteString(c, strings.Repeat("y", length-MaxBufferedBody))
+		_, _ = io.Copy(io.Discard, r)
 	})
-	f := startFront(t, []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)}, `"give-up":1000000`, `"give-up":900000000`)
+	f := startFront(t, readyInstances(addr), longClassTimeout...)
 	c, r := f.connect(t), sidecartest.IdempotentRequest(900_000)
 	write(t, c, encode(t, r))
 	br := bufio.NewReader(c)
@@ -97,13 +102,14 @@
 	if err != nil || len(body) != length {
 		t.Errorf("%d bytes and %v, want %d", len(body), err, length)
 	}
-	if _, err := br.ReadByte(); err != io.EOF {
+	if _, err := br.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("behind it: %v, want the end", err)
 	}
 }
 
-// A long answer that its server goes on giving, with pauses, is the client's whole: cutting it off loses the request. One that
-// only the end of its connection ends, and that is reset on the way, is cut: "a reset is no end".
+// A long answer that its server goes on sending, with pauses, is passed on completely: cutting it off would lose
+// the request. An answer that only the end of its connection ends, and that is reset on the way, is cut, so that
+// the client can tell that it is incomplete.
 func TestSlowAnswerIsCompleteAndResetAnswerIsCut(t *testing.T) {
 	const length = 2 * MaxBufferedBody
 	for name, head := range map[string]string{
@@ -117,26 +123,26 @@
 				if _, err := sidecartest.ReadRequest(r); err != nil {
 					return
 				}
-				io.WriteString(c, head+strings.Repeat("x", length/2))
+				_, _ = io.WriteString(c, head+strings.Repeat("x", length/2))
 				for waiting := true; waiting; {
 					select {
 					case <-begun:
 						waiting = false
 					case <-time.After(streamAfter / 2): // the pace of what comes; nothing waits for it
 						if name == "reset" {
-							io.WriteString(c, "x")
+							_, _ = io.WriteString(c, "x")
 						}
 					}
 				}
 				if name == "reset" {
-					c.SetLinger(0)
+					_ = c.SetLinger(0)
 					return
 				}
 				time.Sleep(3 * time.Second) // the server's pause, past the client's time
-				io.WriteString(c, strings.Repeat("y", length/2))
-				io.Copy(io.Discard, r)
+				_, _ = io.WriteString(c, strings.Repeat("y", length/2))
+				_, _ = io.Copy(io.Discard, r)
 			})
-			f := startFront(t, []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)})
+			f := startFront(t, readyInstances(addr))
 			c, r := f.connect(t), sidecartest.Request("POST", "/pay", "pay", 900, "x")
 			write(t, c, encode(t, r))
 			resp, err := http.ReadResponse(bufio.NewReader(c), r)
@@ -144,7 +150,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if resp.StatusCode != 200 {
+			if resp.StatusCode != http.StatusOK {
 				return // the machine was too busy for it to begin: it failed, and its client was told
 			}
 			body, err := io.ReadAll(resp.Body)
--- a/internal/dataplane/httpfront/testfront_test.go
+++ b/internal/dataplane/httpfront/testfront_test.go
@@ -3,9 +3,11 @@
 import (
 	"bufio"
 	"context"
+	"fmt"
 	"io"
 	"net"
 	"net/http"
+	"slices"
 	"strings"
 	"sync"
 	"testing"
@@ -17,37 +19,55 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// The tests here force two events into an order, one test or one row for each order (docs/design/crossings.md).
+// Many tests of this package force two concurrent events into an order, one test or row for each order
+// (docs/design/crossings.md).
 
-// testFront is an HTTP front with its loop and upstream side, whose dials wait while they are held.
+// testFront is an HTTP front with its event loop and upstream side, whose dials can be held.
 type testFront struct {
 	*Server
 	eventLoop *core.EventLoop
 	upstream  *Upstream
 	addr      string
 
-	dials   chan string // what is dialled
+	dials   chan string // addresses
 	mu      sync.Mutex
-	release chan struct{} // what dials wait for; nil: nothing
+	release chan struct{} // dials wait until it is closed; nil: they do not wait
 }
 
+// fixedListener is a socket whose listener was opened before.
 type fixedListener struct{ net.Listener }
 
-func (o fixedListener) Listen() (net.Listener, error) { return o.Listener, nil }
+func (l fixedListener) Listen() (net.Listener, error) { return l.Listener, nil }
 
-// startFront starts one before these endpoints. It ends with the test.
-func startFront(t testing.TB, known []discovery.Instance, edits ...string) *testFront {
-	t.Helper()
+// Edits of a test configuration, each the old and the new text.
+var (
+	longDialTimeout  = []string{`"dial-timeout":1000000`, `"dial-timeout":100000000`}
+	longClassTimeout = []string{`"give-up":1000000`, `"give-up":900000000`}
+	longTimeouts     = slices.Concat(longDialTimeout, longClassTimeout)
+)
+
+// readyInstances returns endpoints s-1, s-2 and so on at these addresses.
+func readyInstances(addrs ...string) []discovery.Instance {
+	var instances []discovery.Instance
+	for i, addr := range addrs {
+		instances = append(instances, sidecartest.ReadyInstance(fmt.Sprintf("s-%d", i+1), addr))
+	}
+	return instances
+}
+
+// startFront starts a front for these endpoints until the test ends.
+func startFront(tb testing.TB, known []discovery.Instance, edits ...string) *testFront {
+	tb.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	return startFrontOn(t, ln, known, edits...)
+	return startFrontOn(tb, ln, known, edits...)
 }
 
-func startFrontOn(t testing.TB, ln net.Listener, known []discovery.Instance, edits ...string) *testFront {
-	t.Helper()
-	c := sidecartest.Configure(t, sidecartest.ClosedAddress(t), known, edits...)
+func startFrontOn(tb testing.TB, ln net.Listener, known []discovery.Instance, edits ...string) *testFront {
+	tb.Helper()
+	c := sidecartest.Configure(tb, sidecartest.ClosedAddress(tb), known, edits...)
 	figures := metrics.New(c.Classes...)
 	f := &testFront{dials: make(chan string, 64)}
 	clk := core.NewClock()
@@ -64,17 +84,20 @@
 	}
 	var err error
 	if f.eventLoop, err = core.New(c, clk, f.upstream, func(bool) {}, figures, nil, sidecartest.DiscardLog); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	f.addr = ln.Addr().String()
 	f.Server = NewServer(c, f.eventLoop, fixedListener{ln}, figures, sidecartest.DiscardLog)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { f.eventLoop.Run(ctx); close(done) }()
-	if err := f.Open(func(err error) { t.Error(err) }); err != nil {
-		t.Fatal(err)
+	go func() {
+		defer close(done)
+		f.eventLoop.Run(ctx)
+	}()
+	if err := f.Open(func(err error) { tb.Error(err) }); err != nil {
+		tb.Fatal(err)
 	}
-	t.Cleanup(func() {
+	tb.Cleanup(func() {
 		f.holdDials(false)
 		f.StopAccepting()
 		f.CloseIdle()
@@ -86,7 +109,7 @@
 	return f
 }
 
-// holdDials has dials wait from now on, or lets all go.
+// holdDials lets dials wait from now on, or lets all of them proceed.
 func (f *testFront) holdDials(hold bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -99,40 +122,42 @@
 	}
 }
 
-func (f *testFront) connect(t testing.TB) *net.TCPConn {
-	t.Helper()
+func (f *testFront) connect(tb testing.TB) *net.TCPConn {
+	tb.Helper()
 	c, err := net.Dial("tcp", f.addr)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
+	}
+	tb.Cleanup(func() { c.Close() })
+	if err := c.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout)); err != nil {
+		tb.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	c.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	return c.(*net.TCPConn)
 }
 
-// stop is what an order to stop does to a front at once.
+// stop does what a shutdown does to a front at once.
 func (f *testFront) stop() {
 	f.SetClosing(true)
 	f.CloseIdle()
 }
 
-func encode(t testing.TB, r *http.Request) string {
-	t.Helper()
+func encode(tb testing.TB, r *http.Request) string {
+	tb.Helper()
 	var b strings.Builder
 	if err := r.Write(&b); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return b.String()
 }
 
-func write(t testing.TB, c net.Conn, text string) {
-	t.Helper()
+func write(tb testing.TB, c net.Conn, text string) {
+	tb.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 }
 
-// readAnswer reads a whole answer.
+// readAnswer reads a complete answer.
 func readAnswer(t *testing.T, c net.Conn, r *http.Request) (*http.Response, string) {
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(c), r)
@@ -146,17 +171,17 @@
 	return resp, string(body)
 }
 
-// waitUntil waits for what must come to be.
-func waitUntil(t testing.TB, what string, is func() bool) {
-	t.Helper()
+// waitUntil waits for a condition that must become true.
+func waitUntil(tb testing.TB, what string, is func() bool) {
+	tb.Helper()
 	for end := time.Now().Add(sidecartest.WaitTimeout); !is(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: does not come to be", what)
+			tb.Fatalf("%s: never happened", what)
 		}
 	}
 }
 
-// testEndpoint takes requests, tells of each, and answers once it may.
+// testEndpoint reports the path of each request, and answers once the test lets it.
 type testEndpoint struct {
 	addr      string
 	received  chan string // paths
@@ -164,6 +189,7 @@
 }
 
 func newTestEndpoint(t *testing.T) *testEndpoint {
+	t.Helper()
 	e := &testEndpoint{received: make(chan string, 64), mayAnswer: make(chan struct{}, 64)}
 	e.addr = sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 		for {
@@ -173,13 +199,13 @@
 			}
 			e.received <- req.URL.Path
 			<-e.mayAnswer
-			io.WriteString(c, sidecartest.OKAnswer)
+			_, _ = io.WriteString(c, sidecartest.OKAnswer)
 		}
 	})
 	return e
 }
 
-// countReading counts the connections of which a part of a request has been read.
+// countReading returns the number of connections of which a part of a request has been read.
 func countReading(f *testFront) (n int) {
 	f.clients.mu.Lock()
 	defer f.clients.mu.Unlock()
@@ -191,7 +217,7 @@
 	return n
 }
 
-// blockingLimiter is a limiter that lets all through, once it may.
+// blockingLimiter admits all requests once it is open.
 type blockingLimiter struct{ reached, open chan struct{} }
 
 func (g *blockingLimiter) Admit(*core.LimiterRequest) (func(bool), *core.LimitExceeded) {
@@ -199,3 +225,6 @@
 	<-g.open
 	return nil, nil
 }
+
+// readOneRequest is an endpoint that reads a request and closes its connection.
+func readOneRequest(_ *net.TCPConn, r *bufio.Reader) { _, _ = sidecartest.ReadRequest(r) }
--- a/internal/dataplane/httpfront/upstream.go
+++ b/internal/dataplane/httpfront/upstream.go
@@ -50,7 +50,8 @@
 		case <-ctx.Done():
 		}
 	}
-	u.dial = (&net.Dialer{Timeout: dialTimeout(time.Duration(c.Settings.Limits.DialTimeout) * time.Microsecond)}).DialContext
+	configured := time.Duration(c.Settings.Limits.DialTimeout) * time.Microsecond
+	u.dial = (&net.Dialer{Timeout: dialTimeout(configured)}).DialContext
 	return u
 }
 
--- a/internal/dataplane/httpfront/upstream_test.go
+++ b/internal/dataplane/httpfront/upstream_test.go
@@ -18,7 +18,7 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// A figure that is missing or makes no sense must not read as an idle endpoint.
+// A missing or invalid figure must not be read as an idle endpoint.
 func TestParseLoadRejectsMalformedReports(t *testing.T) {
 	fields := []string{"busy_reqs", "served_ps", "cpu_share"}
 	for _, tc := range []struct{ text, want string }{
@@ -39,7 +39,9 @@
 func newTarget(addr string) *target { return &target{addr: addr} }
 
 func newTestUpstream(t *testing.T, edits ...string) *Upstream {
-	return NewUpstream(sidecartest.Configure(t, "127.0.0.1:1", nil, edits...), core.NewClock(), new(metrics.Counter), sidecartest.DiscardLog)
+	t.Helper()
+	c := sidecartest.Configure(t, "127.0.0.1:1", nil, edits...)
+	return NewUpstream(c, core.NewClock(), new(metrics.Counter), sidecartest.DiscardLog)
 }
 
 // sendAttempt makes one attempt with a second of time.
@@ -74,7 +76,7 @@
 						return
 					}
 					if taken.Add(1); i == 0 {
-						io.WriteString(c, sidecartest.OKAnswer)
+						_, _ = io.WriteString(c, sidecartest.OKAnswer)
 					}
 				}
 			}))
@@ -107,11 +109,11 @@
 	return n, err
 }
 
-// Whether a request may have run turns on its last byte.
+// A request may have run only if its last byte was written.
 func TestStatusOfFailedWriteDependsOnLastByte(t *testing.T) {
 	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
-		sidecartest.ReadRequest(r)
-		c.SetLinger(0) // breaks with a reset
+		_, _ = sidecartest.ReadRequest(r)
+		_ = c.SetLinger(0) // breaks with a reset
 	})
 	m := keyed(strings.Repeat("x", 1000))
 	for _, tc := range []struct {
@@ -143,8 +145,8 @@
 	}
 }
 
-// What the endpoint's answer means. Only a marked 503 or 504 proves that the request never ran, and only a
-// whole 200 counts as one.
+// The status of an attempt by the endpoint's answer: only a marked 503 or 504 proves that the request never ran,
+// and only a complete 200 counts as success.
 func TestAnswerStatuses(t *testing.T) {
 	for _, tc := range []struct {
 		name, answer string
@@ -166,7 +168,11 @@
 		{"trailer", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\nX-Sum: 1\r\n\r\n", balancer.OK},
 		{"half a head", "HTTP/1.1 200 OK\r\nContent-Le", balancer.Reset},
 		{"nothing", "", balancer.Reset},
-		{"length and chunks", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", balancer.Reset},
+		{
+			"length and chunks",
+			"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n",
+			balancer.Reset,
+		},
 		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nok", balancer.Reset},
 		{"negative length", "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nok", balancer.Reset},
 		{"unknown encoding", "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nok", balancer.Reset},
@@ -174,14 +180,18 @@
 		{"no status", "HTTP/1.1 OK\r\nContent-Length: 2\r\n\r\nok", balancer.Reset},
 		{"no HTTP", "\x00\x01noise\r\n\r\n", balancer.Reset},
 		{"only 1xx", strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", 2*maxInterimAnswers), balancer.Reset},
-		{"unreadable report", strings.Replace(sidecartest.OKAnswer, "\r\n", "\r\nEndpoint-Load-Metrics: \xff{{=,,=%\r\n", 1), balancer.OK},
+		{
+			"unreadable report",
+			strings.Replace(sidecartest.OKAnswer, "\r\n", "\r\nEndpoint-Load-Metrics: \xff{{=,,=%\r\n", 1),
+			balancer.OK,
+		},
 		{"too large", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nok", MaxBody+1), balancer.Reset},
 		{"endless head", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", maxBufferedAnswer), balancer.Reset},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
-				sidecartest.ReadRequest(r)
-				io.WriteString(c, tc.answer)
+				_, _ = sidecartest.ReadRequest(r)
+				_, _ = io.WriteString(c, tc.answer)
 			})
 			r := newTestUpstream(t).sendAttempt(keyed("x"), newTarget(addr))
 			if r.Status != tc.want {
@@ -194,8 +204,7 @@
 	}
 }
 
-// An answer that does not end, or says that it will not for long, is given up at once: its connection stays open,
-// and the time of the request would go by.
+// An answer that does not end, or announces that it will not for long, is abandoned before the request's timeout.
 func TestIncompleteAnswerIsAbandonedBeforeTimeout(t *testing.T) {
 	for _, answer := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok",
@@ -204,9 +213,9 @@
 		"HTTP/1.1 103 Hints\r\n\r\nHTTP/1.1 200 OK\r\n",
 	} {
 		addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
-			sidecartest.ReadRequest(r)
-			io.WriteString(c, answer)
-			r.ReadByte()
+			_, _ = sidecartest.ReadRequest(r)
+			_, _ = io.WriteString(c, answer)
+			_, _ = r.ReadByte()
 		})
 		// Its own time is far longer: Reset, and not a time-out, says which came first.
 		u := newTestUpstream(t)
@@ -222,17 +231,17 @@
 // An answer may come long after a 1xx.
 func TestAnswerLongAfterInterimIsAccepted(t *testing.T) {
 	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
-		sidecartest.ReadRequest(r)
-		io.WriteString(c, "HTTP/1.1 102 Wait\r\n\r\n")
+		_, _ = sidecartest.ReadRequest(r)
+		_, _ = io.WriteString(c, "HTTP/1.1 102 Wait\r\n\r\n")
 		time.Sleep(2 * maxAnswerStall) // the work, not a wait for another
-		io.WriteString(c, sidecartest.OKAnswer)
+		_, _ = io.WriteString(c, sidecartest.OKAnswer)
 	})
 	if r := newTestUpstream(t).sendAttempt(keyed("x"), newTarget(addr)); r.Status != balancer.OK {
 		t.Errorf("status %v, want OK", r.Status)
 	}
 }
 
-// A good answer with more behind it is good, and what is behind it answers nothing.
+// An answer with more bytes behind it is valid, and the bytes behind it answer no request.
 func TestBytesAfterAnswerAreDiscarded(t *testing.T) {
 	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 		for {
@@ -242,7 +251,7 @@
 			}
 			id := req.Header.Get("X-Trace-Id")
 			one := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id)
-			io.WriteString(c, one+one)
+			_, _ = io.WriteString(c, one+one)
 		}
 	})
 	u, to := newTestUpstream(t), newTarget(addr)
@@ -255,12 +264,12 @@
 	}
 }
 
-// A probe asks for the load where there are reports, for the health elsewhere, and waits only so long.
+// A probe requests the load where there are load reports, the health elsewhere, and has a timeout.
 func TestProbeReadsLoadOrHealthWithinTimeout(t *testing.T) {
 	addr := sidecartest.HTTPEndpoint(t, func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
 		case "/-/load":
-			io.WriteString(w, "TEXT cpu_share=0.61, busy_reqs=7, served_ps=2")
+			_, _ = io.WriteString(w, "TEXT cpu_share=0.61, busy_reqs=7, served_ps=2")
 		case "/-/healthy":
 		default:
 			w.WriteHeader(http.StatusNotFound)
@@ -275,8 +284,8 @@
 		t.Errorf("probe without reports: status %v, load %v", r.Status, r.Load)
 	}
 	ended := make(chan error, 1)
-	mute := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
-		sidecartest.ReadRequest(r)
+	mute := sidecartest.RawEndpoint(t, func(_ *net.TCPConn, r *bufio.Reader) {
+		_, _ = sidecartest.ReadRequest(r)
 		_, err := r.ReadByte()
 		ended <- err
 	})
@@ -288,7 +297,7 @@
 	}
 }
 
-// An answer is wanted within a few hundred milliseconds: a machine that is gone must not cost all of them.
+// Dialling a server that is gone must leave time for an attempt at another.
 func TestDialTimeoutIsFractionOfConfigured(t *testing.T) {
 	for most, want := range map[time.Duration]time.Duration{200 * time.Millisecond: 50 * time.Millisecond,
 		time.Second: 250 * time.Millisecond, 0: probeTimeout / 4, -1: probeTimeout / 4} {
