--- a/cmd/birchmoor/config.go
+++ b/cmd/birchmoor/config.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"os"
 	"os/user"
@@ -14,7 +13,6 @@
 	"birchmoor/internal/controlplane/adminapi"
 	"birchmoor/internal/controlplane/daemon"
 	"birchmoor/internal/controlplane/rollout"
-	"birchmoor/internal/store/admin"
 )
 
 type configCommands struct {
@@ -50,31 +48,39 @@
 	if err != nil {
 		return err
 	}
-	var any json.RawMessage
-	if err := json.Unmarshal(text, &any); err != nil {
+	var settings json.RawMessage
+	if err := json.Unmarshal(text, &settings); err != nil {
 		return fmt.Errorf("%s: %w", k.File, err)
 	}
+	request := adminapi.SettingsRequest{Settings: settings, Note: k.Note}
 	if k.Steps == "" {
-		return changeSettings(ctx, c, &k.clientFlags, adminapi.SettingsRequest{Settings: any, Note: k.Note})
+		return changeSettings(ctx, c, &k.clientFlags, request)
 	}
-	steps, err := rollout.ParseSteps(k.Steps)
+	request.Steps, err = rollout.ParseSteps(k.Steps)
 	if err != nil {
 		return err
 	}
-	if err := k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
-		if _, err := a.ChangeSettings(ctx, adminapi.SettingsRequest{Settings: any, Note: k.Note, Steps: steps, SettleMs: k.Settle.Milliseconds()}); err != nil {
+	request.SettleMs = k.Settle.Milliseconds()
+	err = k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
+		_, err := a.ChangeSettings(ctx, request)
+		if err != nil {
 			return k.changeFailed(ctx, c, err, "")
 		}
 		return nil
-	}); err != nil || !k.Follow {
+	})
+	if err != nil || !k.Follow {
 		return err
 	}
 	return k.waitForRollout(ctx, c)
 }
 
-// waitForRollout waits until a plan has ended.
+// rolloutPollInterval is the time between two looks at a rollout.
+const rolloutPollInterval = 200 * time.Millisecond
+
+// waitForRollout waits until the rollout has ended, and shows its steps meanwhile.
 func (k *configPut) waitForRollout(ctx context.Context, c *console) error {
-	told := -2
+	const notShown = -2 // no step, not even that before the first
+	shown := notShown
 	for {
 		var p rollout.Plan
 		err := k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) (err error) {
@@ -87,25 +93,32 @@
 		case err != nil:
 			fmt.Fprintf(c.err, "birchmoor: the daemon does not say how it goes: %v\n", err)
 		case p.State != rollout.Running:
-			if err := k.print(c, p, func(w *tabwriter.Writer) { fmt.Fprintf(w, "%s: %s\n", p.State, p.Reason) }); err != nil {
-				return err
-			}
-			if p.State != rollout.Completed {
-				return errRunFailed
-			}
-			return nil
-		case p.Step != told:
-			if told = p.Step; p.Step >= 0 {
+			return k.printOutcome(c, &p)
+		case p.Step != shown:
+			shown = p.Step
+			if p.Step >= 0 {
 				fmt.Fprintf(c.err, "birchmoor: step %v: %d daemons; %s\n", p.Steps[p.Step], len(p.Hosts), p.Reason)
 			}
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(200 * time.Millisecond):
+		case <-time.After(rolloutPollInterval):
 		}
 	}
 }
 
+// printOutcome prints how a rollout has ended, and fails unless it was completed.
+func (k *configPut) printOutcome(c *console, p *rollout.Plan) error {
+	err := k.print(c, *p, func(w *tabwriter.Writer) { fmt.Fprintf(w, "%s: %s\n", p.State, p.Reason) })
+	if err != nil {
+		return err
+	}
+	if p.State != rollout.Completed {
+		return errRunFailed
+	}
+	return nil
+}
+
 type configPlan struct {
 	clientFlags
 	Abort bool `name:"call-off" help:"Take it back."`
@@ -114,17 +127,13 @@
 func (k *configPlan) Run(ctx context.Context, c *console) error {
 	return k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
 		if k.Abort {
-			by := "operators"
-			if u, err := user.Current(); err == nil {
-				by = u.Username
-			}
-			if _, err := a.ChangeSettings(ctx, adminapi.SettingsRequest{AbortBy: by}); err != nil {
+			_, err := a.ChangeSettings(ctx, adminapi.SettingsRequest{AbortBy: operatorName("operators")})
+			if err != nil {
 				return k.changeFailed(ctx, c, err, "")
 			}
 		}
 		p, err := a.Rollout(ctx)
-		var told *admin.ResponseError
-		if errors.As(err, &told) && told.Status == 404 {
+		if isNotFound(err) {
 			fmt.Fprintln(c.err, err)
 			return errRunFailed
 		}
@@ -132,25 +141,42 @@
 			return err
 		}
 		return k.print(c, p, func(w *tabwriter.Writer) {
-			at := "none yet"
+			step := "none yet"
 			if p.Step >= 0 {
-				at = fmt.Sprintf("%v, %d of %d: %d daemons", p.Steps[p.Step], p.Step+1, len(p.Steps), len(p.Hosts))
-			}
-			for _, x := range [][2]any{{"state", p.State}, {"step", at}, {"settle", time.Duration(p.SettleMillis) * time.Millisecond}, {"judged by", p.Reason}, {"driver's token", p.Token},
-				{"by", p.Operator}, {"note", p.Note}} {
-				fmt.Fprintf(w, "%v\t%v\n", x[0], x[1])
+				step = fmt.Sprintf("%v, %d of %d: %d daemons", p.Steps[p.Step], p.Step+1, len(p.Steps), len(p.Hosts))
 			}
+			printRows(w, []row{
+				{"state", p.State},
+				{"step", step},
+				{"settle", time.Duration(p.SettleMillis) * time.Millisecond},
+				{"judged by", p.Reason},
+				{"driver's token", p.Token},
+				{"by", p.Operator},
+				{"note", p.Note},
+			})
 		})
 	})
 }
 
-func changeSettings(ctx context.Context, c *console, s *clientFlags, q adminapi.SettingsRequest) error {
+// operatorName is the user's name, for people alone, or unknown.
+func operatorName(unknown string) string {
+	u, err := user.Current()
+	if err != nil {
+		return unknown
+	}
+	return u.Username
+}
+
+// changeSettings changes the settings at once, and prints their version.
+func changeSettings(ctx context.Context, c *console, s *clientFlags, request adminapi.SettingsRequest) error {
 	return s.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
-		v, err := a.ChangeSettings(ctx, q)
+		v, err := a.ChangeSettings(ctx, request)
 		if err != nil {
 			return s.changeFailed(ctx, c, err, "")
 		}
-		return s.print(c, v, func(w *tabwriter.Writer) { fmt.Fprintf(w, "version %d, revision %d\n", v.Version, v.Revision) })
+		return s.print(c, v, func(w *tabwriter.Writer) {
+			fmt.Fprintf(w, "version %d, revision %d\n", v.Version, v.Revision)
+		})
 	})
 }
 
--- a/cmd/birchmoor/daemon.go
+++ b/cmd/birchmoor/daemon.go
@@ -30,41 +30,56 @@
 }
 
 func (k *daemonCommand) Run(ctx context.Context, c *console) error {
-	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP) // before anything else: unheard it ends the program
+	reload := make(chan os.Signal, 1)
+	signal.Notify(reload, syscall.SIGHUP) // first of all: by default the signal ends the program
 	log := slog.New(slog.NewTextHandler(c.err, nil))
 	f, err := operatorconfig.Read(k.Config)
 	if err != nil {
 		return err
 	}
-	runs := os.Getenv("ROUTER_CONFIG") != ""
-	if f.Store == nil && !runs {
+	hasSidecar := os.Getenv("ROUTER_CONFIG") != ""
+	if f.Store == nil && !hasSidecar {
 		return fmt.Errorf("%s has no [store], and ROUTER_CONFIG names no sidecar: there is nothing to run", k.Config)
 	}
 	if f.Store == nil {
-		return serve(ctx, f, &fleetServices{reload: hup}, log)
+		return serve(ctx, f, &fleetServices{reload: reload}, log)
 	}
-	x, end, err := openControlPlane(f, runs, hup, log)
+	services, stop, err := openControlPlane(f, hasSidecar, reload, log)
 	if err != nil {
 		return err
 	}
-	defer end()
-	if runs {
-		return serve(ctx, f, x, log)
+	defer stop()
+	if hasSidecar {
+		return serve(ctx, f, services, log)
 	}
 	<-ctx.Done()
 	return nil
 }
 
-// processFaults is what the bench between processes does within this process: builds for tests alone set it.
+// processFaults are the faults that task torture injects into this process; only the program of tests sets them.
 var processFaults tasklab.Inside
 
-// openControlPlane starts what joins a replica or a follower to a sidecar, and its socket. end stops them.
-func openControlPlane(f *operatorconfig.File, runs bool, hup chan os.Signal, log *slog.Logger) (x *fleetServices, end func(), err error) {
-	cfg := controlplane.Config{File: f, Reload: hup, Log: log, Defects: controlplane.Defects{Clock: bootclock.Clock{Rate: processFaults.Pace}, WrapStoreFile: processFaults.File,
-		WrapStore: storeWithDefect, LeaseSession: leaseSessionDefect(), LeaseTable: leaseTableDefect(), Quota: processFaults.Limit}}
-	if runs {
-		if c, err := config.Read(os.Getenv); err == nil { // else the sidecar says why
+// openControlPlane starts the daemon's components, with a replica or a follower of the store and the daemon's socket. stop
+// ends them.
+func openControlPlane(
+	f *operatorconfig.File, hasSidecar bool, reload chan os.Signal, log *slog.Logger,
+) (services *fleetServices, stop func(), err error) {
+	cfg := controlplane.Config{
+		File:   f,
+		Reload: reload,
+		Log:    log,
+		Defects: controlplane.Defects{
+			Clock:         bootclock.Clock{Rate: processFaults.Pace},
+			WrapStoreFile: processFaults.File,
+			WrapStore:     storeWithDefect,
+			LeaseSession:  leaseSessionDefect(),
+			LeaseTable:    leaseTableDefect(),
+			Quota:         processFaults.Limit,
+		},
+	}
+	if hasSidecar {
+		c, err := config.Read(os.Getenv)
+		if err == nil { // the sidecar reports an error when it starts
 			cfg.Sidecar = c.Name
 		}
 		cfg.SettingsCheck = func(settings json.RawMessage) error {
@@ -76,9 +91,15 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	x = &fleetServices{reload: p.Settings.Reload(), overrides: p.Servers, fleet: p.Servers, currentSettings: p.Settings.Current, setAnswerCounter: p.Settings.SetAnswerCounter}
+	services = &fleetServices{
+		reload:           p.Settings.Reload(),
+		overrides:        p.Servers,
+		fleet:            p.Servers,
+		currentSettings:  p.Settings.Current,
+		setAnswerCounter: p.Settings.SetAnswerCounter,
+	}
 	if p.Limits != nil {
-		x.limiter = p.Limits
+		services.limiter = p.Limits
 	}
-	return x, p.Close, nil
+	return services, p.Close, nil
 }
--- a/cmd/birchmoor/dnsquery.go
+++ b/cmd/birchmoor/dnsquery.go
@@ -51,8 +51,11 @@
 	TookMs    float64  `json:"took_ms"`
 }
 
+// maxUDPAnswerBytes is what the query offers to take over UDP: what passes without fragments.
+const maxUDPAnswerBytes = 1232
+
 func (k *dnsQueryCommand) Run(ctx context.Context, c *console) error {
-	kind, ok := dnsfront.ParseType(strings.ToUpper(k.Type))
+	recordType, ok := dnsfront.ParseType(strings.ToUpper(k.Type))
 	if !ok {
 		return fmt.Errorf("%q is no type of record", k.Type)
 	}
@@ -64,62 +67,86 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, k.Timeout)
 	defer cancel()
-	m := new(dns.Msg).SetQuestion(dns.Fqdn(k.Name), kind)
-	m.SetEdns0(1232, k.DNSSEC)
-	network := "udp"
-	if k.TCP {
-		network = "tcp"
-	}
-	begun := time.Now()
-	r, _, err := (&dns.Client{Net: network, Timeout: k.Timeout}).ExchangeContext(ctx, m, k.Server)
-	if err == nil && r.Truncated && network == "udp" {
-		network = "tcp"
-		r, _, err = (&dns.Client{Net: network, Timeout: k.Timeout}).ExchangeContext(ctx, m, k.Server)
-	}
+	begin := time.Now()
+	r, network, err := k.exchange(ctx, recordType)
 	if err != nil {
 		fmt.Fprintf(c.err, "birchmoor: no answer from %s over %s: %v\n", k.Server, network, err)
 		return errRunFailed
 	}
-	a := dnsAnswer{Name: dns.Fqdn(k.Name), Type: dns.TypeToString[kind], At: k.Server, Transport: network,
-		Status: dns.RcodeToString[r.Rcode], Answer: []string{}, Bytes: r.Len(), TookMs: float64(time.Since(begun).Microseconds()) / 1000}
+	answer := newDNSAnswer(r)
+	answer.Name = dns.Fqdn(k.Name)
+	answer.Type = dns.TypeToString[recordType]
+	answer.At = k.Server
+	answer.Transport = network
+	answer.TookMs = float64(time.Since(begin).Microseconds()) / 1000
+	if err := k.print(c.out, &answer); err != nil {
+		return err
+	}
+	if r.Rcode != dns.RcodeSuccess && r.Rcode != dns.RcodeNameError {
+		return errRunFailed
+	}
+	return nil
+}
+
+// exchange sends the query, over TCP if the answer over UDP is truncated, and returns the transport that it used last.
+func (k *dnsQueryCommand) exchange(ctx context.Context, recordType uint16) (r *dns.Msg, network string, err error) {
+	m := new(dns.Msg).SetQuestion(dns.Fqdn(k.Name), recordType)
+	m.SetEdns0(maxUDPAnswerBytes, k.DNSSEC)
+	if !k.TCP {
+		client := dns.Client{Net: "udp", Timeout: k.Timeout}
+		r, _, err = client.ExchangeContext(ctx, m, k.Server)
+		if err != nil || !r.Truncated {
+			return r, "udp", err
+		}
+	}
+	client := dns.Client{Net: "tcp", Timeout: k.Timeout}
+	r, _, err = client.ExchangeContext(ctx, m, k.Server)
+	return r, "tcp", err
+}
+
+// newDNSAnswer is what a response says; the rest is of the query.
+func newDNSAnswer(r *dns.Msg) dnsAnswer {
+	a := dnsAnswer{Status: dns.RcodeToString[r.Rcode], Answer: []string{}, Bytes: r.Len()}
 	for _, f := range []struct {
 		name string
-		on   bool
-	}{{"aa", r.Authoritative}, {"tc", r.Truncated}, {"rd", r.RecursionDesired}, {"ra", r.RecursionAvailable},
-		{"ad", r.AuthenticatedData}} {
-		if f.on {
+		set  bool
+	}{
+		{"aa", r.Authoritative},
+		{"tc", r.Truncated},
+		{"rd", r.RecursionDesired},
+		{"ra", r.RecursionAvailable},
+		{"ad", r.AuthenticatedData},
+	} {
+		if f.set {
 			a.Flags = append(a.Flags, f.name)
 		}
 	}
-	for _, rr := range r.Answer {
-		a.Answer = append(a.Answer, rr.String())
+	for _, record := range r.Answer {
+		a.Answer = append(a.Answer, record.String())
 	}
-	if opt := r.IsEdns0(); opt != nil {
-		for _, o := range opt.Option {
-			if e, ok := o.(*dns.EDNS0_EDE); ok {
-				a.Extended = append(a.Extended, fmt.Sprintf("%d %s", e.InfoCode, e.ExtraText))
-			}
-		}
+	opt := r.IsEdns0()
+	if opt == nil {
+		return a
 	}
-	if err := k.print(c.out, &a); err != nil {
-		return err
-	}
-	if r.Rcode != dns.RcodeSuccess && r.Rcode != dns.RcodeNameError {
-		return errRunFailed
+	for _, o := range opt.Option {
+		if e, ok := o.(*dns.EDNS0_EDE); ok {
+			a.Extended = append(a.Extended, fmt.Sprintf("%d %s", e.InfoCode, e.ExtraText))
+		}
 	}
-	return nil
+	return a
 }
 
 func (k *dnsQueryCommand) print(w io.Writer, a *dnsAnswer) error {
 	if k.JSON {
 		return json.NewEncoder(w).Encode(a)
 	}
-	fmt.Fprintf(w, "%s %s: %s from %s over %s, %d bytes in %.1f ms\n", a.Name, a.Type, a.Status, a.At, a.Transport, a.Bytes, a.TookMs)
+	fmt.Fprintf(w, "%s %s: %s from %s over %s, %d bytes in %.1f ms\n",
+		a.Name, a.Type, a.Status, a.At, a.Transport, a.Bytes, a.TookMs)
 	for _, e := range a.Extended {
 		fmt.Fprintf(w, "  because: %s\n", e)
 	}
-	for _, rr := range a.Answer {
-		fmt.Fprintf(w, "  %s\n", strings.ReplaceAll(rr, "\t", " "))
+	for _, record := range a.Answer {
+		fmt.Fprintf(w, "  %s\n", strings.ReplaceAll(record, "\t", " "))
 	}
 	return nil
 }
--- a/cmd/birchmoor/labbench.go
+++ b/cmd/birchmoor/labbench.go
@@ -3,8 +3,10 @@
 import (
 	"context"
 	"fmt"
+	"io"
 	"os"
 	"runtime"
+	"slices"
 	"time"
 
 	"birchmoor/internal/lab/bench"
@@ -25,6 +27,9 @@
 An absolute time means little on a shared machine: look at the ratios within a run.`
 }
 
+// maxBenchSize bounds the connections and the servers of a benchmark.
+const maxBenchSize = 1500
+
 func (k *benchCommand) Run(ctx context.Context, c *console) error {
 	self, err := os.Executable()
 	if err != nil {
@@ -35,31 +40,44 @@
 			return err
 		}
 	}
-	for _, n := range append(append([]int{}, k.Conns...), k.Servers...) {
-		if n < 1 || n > 1500 {
-			return fmt.Errorf("%d is not within 1 and 1500", n)
+	for _, n := range slices.Concat(k.Conns, k.Servers) {
+		if n < 1 || n > maxBenchSize {
+			return fmt.Errorf("%d is not within 1 and %d", n, maxBenchSize)
 		}
 	}
-	rows, err := bench.Run(ctx, bench.Options{Self: []string{self, "lab", "bench-peer"}, Conns: k.Conns, Sizes: k.Servers, For: k.Duration,
-		Rounds: max(1, k.Rounds), Profile: k.Profile, Progress: c.count("bench")})
+	rows, err := bench.Run(ctx, bench.Options{
+		Self:     []string{self, "lab", "bench-peer"},
+		Conns:    k.Conns,
+		Sizes:    k.Servers,
+		For:      k.Duration,
+		Rounds:   max(1, k.Rounds),
+		Profile:  k.Profile,
+		Progress: c.count("bench"),
+	})
 	if err != nil {
 		return err
 	}
 	c.clear()
 	if k.JSON != "" {
-		if err := writeJSON(k.JSON, map[string]any{"cpus": runtime.NumCPU(), "go": runtime.Version(), "rows": rows}, c.out); err != nil || k.JSON == "-" {
+		err := writeBenchJSON(k.JSON, rows, c.out)
+		if err != nil || k.JSON == "-" {
 			return err
 		}
 	}
-	fmt.Fprintf(c.out, "%-14s %6s %8s %10s %9s %9s %9s %8s %8s %9s %8s %8s\n", "party", "conns", "servers", "requests/s", "p50 µs", "p99 µs",
-		"p99.9 µs", "CPU µs", "allocs", "bytes", "peak MB", "not 200")
+	fmt.Fprintf(c.out, "%-14s %6s %8s %10s %9s %9s %9s %8s %8s %9s %8s %8s\n",
+		"party", "conns", "servers", "requests/s", "p50 µs", "p99 µs", "p99.9 µs", "CPU µs", "allocs", "bytes", "peak MB", "not 200")
 	for _, r := range rows {
-		fmt.Fprintf(c.out, "%-14s %6d %8d %10.0f %9.0f %9.0f %9.0f %8.1f %8.1f %9.0f %8.1f %8d\n", r.Party, r.Conns, r.Servers, r.Rate, r.P50, r.P99,
-			r.P999, r.CPU, r.Allocs, r.Bytes, r.PeakMB, r.Refused)
+		fmt.Fprintf(c.out, "%-14s %6d %8d %10.0f %9.0f %9.0f %9.0f %8.1f %8.1f %9.0f %8.1f %8d\n",
+			r.Party, r.Conns, r.Servers, r.Rate, r.P50, r.P99, r.P999, r.CPU, r.Allocs, r.Bytes, r.PeakMB, r.Refused)
 	}
 	return nil
 }
 
+// writeBenchJSON writes the rows of a benchmark with what they depend on: the number of CPUs and the version of Go.
+func writeBenchJSON(path string, rows any, out io.Writer) error {
+	return writeJSON(path, map[string]any{"cpus": runtime.NumCPU(), "go": runtime.Version(), "rows": rows}, out)
+}
+
 // benchPeerCommand is one party of a benchmark, run by the benchmark itself.
 type benchPeerCommand struct {
 	Role   string `arg:""`
--- a/cmd/birchmoor/labchain.go
+++ b/cmd/birchmoor/labchain.go
@@ -45,45 +45,23 @@
 	if k.JSON && k.Markdown {
 		return errors.New("--markdown: not beside --json")
 	}
-	how := chain.How(k.FailureMode)
-	shares := k.FailureRatio
-	if k.Fail == "" {
-		shares = []float64{0}
+	runs, err := k.options()
+	if err != nil {
+		return err
 	}
-	var all []chain.Options
-	for _, share := range shares { // before any is started
-		for _, n := range k.Attempts {
-			o := chain.Options{Bin: k.Bin, Depth: k.Depth, Servers: k.Servers, Rate: k.Rate, For: k.Duration, Warm: k.WarmupDuration, Attempts: n, Class: k.Class, Fail: how, Share: share, Seed: k.Seed}
-			if err := o.Check(); err != nil {
-				return err
-			}
-			if k.Fail == "" {
-				o.Fail = ""
-			}
-			all = append(all, o)
-		}
-	}
-	if k.Bin == "" && !k.Virtual {
-		bin, err := rig.Program()
-		if err != nil {
-			return err
-		}
-		for i := range all {
-			all[i].Bin = bin
-		}
+	runChain := chain.Run
+	if k.Virtual {
+		runChain = chain.Virtual
 	}
 	var results []*chain.Result
-	for i, o := range all {
-		o.Say = func(s string) { fmt.Fprintf(c.err, "run %d of %d: %s\n", i+1, len(all), s) }
-		play := chain.Run
-		if k.Virtual {
-			play = chain.Virtual
-		}
-		x, err := play(ctx, o)
+	for i, o := range runs {
+		o.Say = func(s string) { fmt.Fprintf(c.err, "run %d of %d: %s\n", i+1, len(runs), s) }
+		x, err := runChain(ctx, o)
 		if err != nil {
 			return err
 		}
-		if results = append(results, x); !k.JSON && !k.Markdown {
+		results = append(results, x)
+		if !k.JSON && !k.Markdown {
 			chain.Print(c.out, x)
 		}
 	}
@@ -95,3 +73,47 @@
 	}
 	return nil
 }
+
+// options are those of all runs, checked before the first is started.
+func (k *chainCommand) options() ([]chain.Options, error) {
+	ratios := k.FailureRatio
+	if k.Fail == "" {
+		ratios = []float64{0}
+	}
+	var all []chain.Options
+	for _, ratio := range ratios {
+		for _, attempts := range k.Attempts {
+			o := chain.Options{
+				Bin:      k.Bin,
+				Depth:    k.Depth,
+				Servers:  k.Servers,
+				Rate:     k.Rate,
+				For:      k.Duration,
+				Warm:     k.WarmupDuration,
+				Attempts: attempts,
+				Class:    k.Class,
+				Fail:     chain.How(k.FailureMode),
+				Share:    ratio,
+				Seed:     k.Seed,
+			}
+			if err := o.Check(); err != nil {
+				return nil, err
+			}
+			if k.Fail == "" {
+				o.Fail = "" // --how is checked all the same
+			}
+			all = append(all, o)
+		}
+	}
+	if k.Bin != "" || k.Virtual {
+		return all, nil
+	}
+	bin, err := rig.Program()
+	if err != nil {
+		return nil, err
+	}
+	for i := range all {
+		all[i].Bin = bin
+	}
+	return all, nil
+}
--- a/cmd/birchmoor/labcompare.go
+++ b/cmd/birchmoor/labcompare.go
@@ -3,10 +3,12 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
+	"maps"
 	"os"
 	"path/filepath"
-	"sort"
+	"slices"
 	"strings"
 
 	"birchmoor/internal/lab/figures"
@@ -65,30 +67,20 @@
 	}
 	out := comparison{A: k.A, B: k.B, Host: host, Figures: map[string]stats.Difference{}}
 	values := [2]map[string][]float64{{}, {}}
-	total := len(sides[0].scenarios) * k.Seeds
-	show, done := c.count("compare"), 0
+	show := c.count("compare")
+	done, total := 0, len(sides)*len(sides[0].scenarios)*k.Seeds
 	for n := range sides[0].scenarios {
 		for seed := k.Seed; seed < k.Seed+uint64(k.Seeds); seed++ {
 			var pair [2]*figures.Result
-			for i := range sides { // A B A B
-				show(done, 2*total)
-				if pair[i], err = runScenario(ctx, sides[i].scenarios[n], host, sides[i].bin, seed); err != nil {
+			for i := range sides { // in turn: A B A B
+				show(done, total)
+				pair[i], err = runScenario(ctx, sides[i].scenarios[n], host, sides[i].bin, seed)
+				if err != nil {
 					return err
 				}
 				done++
-				if !pair[i].Verdict.Kept() {
-					out.Broken[i]++
-				}
-			}
-			if pair[0].Void != "" || pair[1].Void != "" {
-				out.Void++
-				continue
-			}
-			for i, x := range pair {
-				for name, v := range x.Figures {
-					values[i][name] = append(values[i][name], v)
-				}
 			}
+			out.add(pair, &values)
 		}
 	}
 	c.clear()
@@ -98,7 +90,8 @@
 		}
 	}
 	if k.JSON != "" {
-		if err := writeJSON(k.JSON, &out, c.out); err != nil || k.JSON == "-" {
+		err := writeJSON(k.JSON, &out, c.out)
+		if err != nil || k.JSON == "-" {
 			return err
 		}
 	}
@@ -109,103 +102,131 @@
 	return nil
 }
 
-func (o *comparison) print(c *console) {
-	var names []string
-	for name := range o.Figures {
-		names = append(names, name)
+// add counts a pair of runs, and adds their figures to values unless the lab was late in one of them.
+func (o *comparison) add(pair [2]*figures.Result, values *[2]map[string][]float64) {
+	for i, x := range pair {
+		if !x.Verdict.Kept() {
+			o.Broken[i]++
+		}
+	}
+	if pair[0].Void != "" || pair[1].Void != "" {
+		o.Void++
+		return
 	}
-	sort.Strings(names)
+	for i, x := range pair {
+		for name, v := range x.Figures {
+			values[i][name] = append(values[i][name], v)
+		}
+	}
+}
+
+// print prints a table of the figures, with the interval in which B - A lies.
+func (o *comparison) print(c *console) {
 	fmt.Fprintf(c.out, "A %s, B %s, by %s\n", o.A, o.B, o.Host)
 	fmt.Fprintf(c.out, "%-22s %10s %10s %11s   %-25s %s\n", "figure", "A", "B", "B - A", "95% interval", "")
-	for _, name := range names {
+	for _, name := range slices.Sorted(maps.Keys(o.Figures)) {
 		d := o.Figures[name]
-		word := "cannot be told apart"
-		if d.Told && d.Mean > 0 {
-			word = "B is higher"
-		} else if d.Told {
-			word = "B is lower"
+		outcome := "cannot be told apart"
+		switch {
+		case d.Told && d.Mean > 0:
+			outcome = "B is higher"
+		case d.Told:
+			outcome = "B is lower"
 		}
-		fmt.Fprintf(c.out, "%-22s %10.4f %10.4f %+11.4f   %+.4f to %+.4f%*s %s\n", name, d.A, d.B, d.Mean, d.Low, d.High,
-			max(0, 25-len(fmt.Sprintf("%+.4f to %+.4f", d.Low, d.High))), "", word)
+		interval := fmt.Sprintf("%+.4f to %+.4f", d.Low, d.High)
+		fmt.Fprintf(c.out, "%-22s %10.4f %10.4f %+11.4f   %-25s %s\n", name, d.A, d.B, d.Mean, interval, outcome)
 	}
 	if o.Void > 0 {
 		fmt.Fprintf(c.out, "%d pairs were left out: the lab was late\n", o.Void)
 	}
 	d := o.Figures["service"]
-	fmt.Fprintf(c.out, "service %.3f and %.3f over %d pairs, rules broken in %d and %d runs\n", d.A, d.B, d.N, o.Broken[0], o.Broken[1])
+	fmt.Fprintf(c.out, "service %.3f and %.3f over %d pairs, rules broken in %d and %d runs\n",
+		d.A, d.B, d.N, o.Broken[0], o.Broken[1])
 }
 
-// sides finds out what A and B are.
+// sides returns what A and B are, and the host that runs them.
 func (k *compareCommand) sides() (sides [2]side, host string, err error) {
-	host = k.Host
 	kind := strings.ToLower(filepath.Ext(k.A))
 	if kind != strings.ToLower(filepath.Ext(k.B)) {
-		return sides, host, fmt.Errorf("%s and %s are not of one kind", k.A, k.B)
+		return sides, "", fmt.Errorf("%s and %s are not of one kind", k.A, k.B)
 	}
 	programs := kind != ".toml" && kind != ".json"
-	if host == "auto" {
-		if host = "sim"; programs {
-			host = "run"
-		}
-	}
-	if programs && host == "sim" {
-		return sides, host, fmt.Errorf("programs can be compared by run only: sim hosts the module of this command")
+	host = k.Host
+	switch {
+	case host == "auto" && programs:
+		host = "run"
+	case host == "auto":
+		host = "sim"
+	case host == "sim" && programs:
+		return sides, "", errors.New("programs can be compared by run only: sim hosts the module of this command")
 	}
 	bin := k.Bin
 	if host == "run" && bin == "" && !programs {
-		if bin, err = rig.Program(); err != nil {
-			return sides, host, err
+		bin, err = rig.Program()
+		if err != nil {
+			return sides, "", err
 		}
 	}
 	if kind != ".toml" && len(k.Scenario) == 0 {
-		return sides, host, fmt.Errorf("name what to play with --scenario")
+		return sides, "", errors.New("name what to play with --scenario")
 	}
 	for i, path := range [2]string{k.A, k.B} {
-		x := side{name: path, bin: bin}
-		files := k.Scenario
+		sides[i] = side{name: path, bin: bin}
 		if programs {
-			if x.bin, err = filepath.Abs(path); err != nil {
-				return sides, host, err
+			sides[i].bin, err = filepath.Abs(path)
+			if err != nil {
+				return sides, "", err
 			}
 		}
-		if kind == ".toml" {
-			files = []string{path}
+		sides[i].scenarios, err = k.scenarios(path, kind, host)
+		if err != nil {
+			return sides, "", err
+		}
+	}
+	return sides, host, nil
+}
+
+// scenarios are those to run for A or B at path: itself, or those of --scenario, with path as overlay if it holds settings.
+func (k *compareCommand) scenarios(path, kind, host string) (all []*scenario.Scenario, err error) {
+	files := k.Scenario
+	if kind == ".toml" {
+		files = []string{path}
+	}
+	for _, file := range files {
+		s, err := readScenario(file, host)
+		if err != nil {
+			return nil, err
 		}
-		for _, file := range files {
-			s, err := readScenario(file, host)
+		if kind == ".json" {
+			s.Overlay, err = readOverlay(path, s)
 			if err != nil {
-				return sides, host, err
+				return nil, err
 			}
-			if kind == ".json" {
-				if s.Overlay, err = readOverlay(path, s); err != nil {
-					return sides, host, err
-				}
-			}
-			x.scenarios = append(x.scenarios, s)
 		}
-		sides[i] = x
+		all = append(all, s)
 	}
-	return sides, host, nil
+	return all, nil
 }
 
-// readOverlay reads what is told otherwise.
+// readOverlay reads settings that replace those of a scenario.
 func readOverlay(path string, s *scenario.Scenario) (map[string]any, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	var over map[string]any
-	if err := json.Unmarshal(text, &over); err != nil {
+	var overlay map[string]any
+	if err := json.Unmarshal(text, &overlay); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if names := told.Foreign(s, over); len(names) > 0 {
-		return nil, fmt.Errorf("%s: %s: the settings have no such key", path, strings.Join(names, ", "))
+	unknown := told.Foreign(s, overlay)
+	if len(unknown) > 0 {
+		return nil, fmt.Errorf("%s: %s: the settings have no such key", path, strings.Join(unknown, ", "))
 	}
-	s.Overlay = over
+	s.Overlay = overlay
 	if _, err := told.Parsed(s, 0); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return over, nil
+	return overlay, nil
 }
 
 func runScenario(ctx context.Context, s *scenario.Scenario, host, bin string, seed uint64) (*figures.Result, error) {
--- a/cmd/birchmoor/labdns.go
+++ b/cmd/birchmoor/labdns.go
@@ -25,10 +25,12 @@
   birchmoor lab dns lab/dns/dns-loss.toml --through sidecar,plain --seeds 3`
 }
 
+// maxDNSSeeds bounds the runs of each scenario.
+const maxDNSSeeds = 1000
+
 func (k *labDNSCommand) Run(ctx context.Context, c *console) error {
-	var all []*dnslab.Result
-	if k.Seeds < 1 || k.Seeds > 1000 {
-		return fmt.Errorf("--seeds: %d is not within 1 and 1000", k.Seeds)
+	if k.Seeds < 1 || k.Seeds > maxDNSSeeds {
+		return fmt.Errorf("--seeds: %d is not within 1 and %d", k.Seeds, maxDNSSeeds)
 	}
 	var scenarios []*dnslab.Scenario
 	for _, path := range k.Scenario {
@@ -38,51 +40,70 @@
 		}
 		scenarios = append(scenarios, s)
 	}
-	show := c.count("lab dns")
-	total, missed := len(scenarios)*k.Seeds*len(k.Through), false
-	if k.JSON != "-" {
-		fmt.Fprintf(c.out, "%-14s %-8s %5s %7s %8s %7s %8s %7s %8s %8s  %s\n", "scenario", "through", "seed", "asked", "in time", "served",
-			"attempts", "p50 ms", "p99 ms", "p999 ms", "")
+	results, err := k.runAll(ctx, c, scenarios)
+	if err != nil {
+		return err
 	}
+	if k.JSON != "" {
+		if err := writeJSON(k.JSON, results, c.out); err != nil {
+			return err
+		}
+	}
+	for _, r := range results {
+		if len(r.Missed) > 0 {
+			return errRunFailed
+		}
+	}
+	return nil
+}
+
+// runAll runs each scenario with each seed through each party, and prints a line for each run unless standard output is for
+// JSON.
+func (k *labDNSCommand) runAll(
+	ctx context.Context, c *console, scenarios []*dnslab.Scenario,
+) (results []*dnslab.Result, err error) {
+	table := k.JSON != "-"
+	if table {
+		fmt.Fprintf(c.out, "%-14s %-8s %5s %7s %8s %7s %8s %7s %8s %8s  %s\n",
+			"scenario", "through", "seed", "asked", "in time", "served", "attempts", "p50 ms", "p99 ms", "p999 ms", "")
+	}
+	show := c.count("lab dns")
+	total := len(scenarios) * k.Seeds * len(k.Through)
 	for _, s := range scenarios {
-		for i := range k.Seeds {
+		for i := range uint64(k.Seeds) {
 			for _, through := range k.Through {
-				seed := k.Seed + uint64(i)
+				seed := k.Seed + i
 				r, err := dnslab.Run(ctx, s, dnslab.Options{Seed: seed, Through: dnslab.Through(through)})
 				if err != nil {
-					return err
+					return nil, err
 				}
-				all = append(all, r)
-				show(len(all), total)
+				results = append(results, r)
+				show(len(results), total)
 				c.clear()
-				verdict := ""
-				if r.Through == dnslab.Sidecar {
-					verdict = r.Verdict.String()
-				}
-				if r.LastSent > 0 {
-					verdict += fmt.Sprintf("; last query %.0f ms after it was told out", r.LastSent)
-				}
-				if r.Bookings > 0 {
-					verdict += fmt.Sprintf("; bookings %.3f", r.Bookings)
-				}
-				if len(r.Missed) > 0 {
-					missed = true
-					verdict += "; MISSED: " + strings.Join(r.Missed, "; ")
-				}
-				if k.JSON != "-" {
-					fmt.Fprintf(c.out, "%-14s %-8s %5d %7d %8.3f %7.3f %8.2f %7.1f %8.1f %8.1f  %s\n", s.Name, through, seed, r.Asked, r.Service,
-						r.Served, r.Attempts, r.P50, r.P99, r.P999, verdict)
+				if table {
+					fmt.Fprintf(c.out, "%-14s %-8s %5d %7d %8.3f %7.3f %8.2f %7.1f %8.1f %8.1f  %s\n",
+						s.Name, through, seed, r.Asked, r.Service, r.Served, r.Attempts, r.P50, r.P99, r.P999, dnsVerdict(r))
 				}
 			}
 		}
 	}
-	if k.JSON != "" {
-		if err := writeJSON(k.JSON, all, c.out); err != nil {
-			return err
-		}
+	return results, nil
+}
+
+// dnsVerdict is what the table says of a run behind its figures.
+func dnsVerdict(r *dnslab.Result) string {
+	verdict := ""
+	if r.Through == dnslab.Sidecar {
+		verdict = r.Verdict.String()
 	}
-	if missed {
-		return errRunFailed
+	if r.LastSent > 0 {
+		verdict += fmt.Sprintf("; last query %.0f ms after it was told out", r.LastSent)
 	}
-	return nil
+	if r.Bookings > 0 {
+		verdict += fmt.Sprintf("; bookings %.3f", r.Bookings)
+	}
+	if len(r.Missed) > 0 {
+		verdict += "; MISSED: " + strings.Join(r.Missed, "; ")
+	}
+	return verdict
 }
--- a/cmd/birchmoor/labdnsbench.go
+++ b/cmd/birchmoor/labdnsbench.go
@@ -4,7 +4,6 @@
 	"context"
 	"fmt"
 	"os"
-	"runtime"
 	"time"
 
 	"birchmoor/internal/lab/dnslab"
@@ -26,52 +25,71 @@
 Example: birchmoor lab dns-bench --json dns-bench.json`
 }
 
+// maxOpenQueries bounds the queries of a benchmark that are open at once.
+const maxOpenQueries = 20_000
+
 func (k *dnsBenchCommand) Run(ctx context.Context, c *console) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	var loads []dnslab.BenchLoad
-	for _, tcp := range []bool{false, true} {
-		for _, n := range k.Open {
-			if n < 1 || n > 20_000 {
-				return fmt.Errorf("--open: %d is not within 1 and 20000", n)
-			}
-			loads = append(loads, dnslab.BenchLoad{TCP: tcp, Open: n})
-		}
-	}
-	if k.HeldQueries > 0 {
-		loads = append(loads, dnslab.BenchLoad{Open: k.HeldQueries, Wait: time.Second})
+	loads, err := k.loads()
+	if err != nil {
+		return err
 	}
 	if k.Profile != "" {
 		if err := os.MkdirAll(k.Profile, 0o755); err != nil {
 			return err
 		}
 	}
-	rows, err := dnslab.Bench(ctx, dnslab.BenchOptions{Self: []string{self, "lab", "dns-peer"}, Loads: loads, For: k.Duration,
-		Rounds: max(1, k.Rounds), Profile: k.Profile, Progress: c.count("dns-bench")})
+	rows, err := dnslab.Bench(ctx, dnslab.BenchOptions{
+		Self:     []string{self, "lab", "dns-peer"},
+		Loads:    loads,
+		For:      k.Duration,
+		Rounds:   max(1, k.Rounds),
+		Profile:  k.Profile,
+		Progress: c.count("dns-bench"),
+	})
 	if err != nil {
 		return err
 	}
 	c.clear()
 	if k.JSON != "" {
-		if err := writeJSON(k.JSON, map[string]any{"cpus": runtime.NumCPU(), "go": runtime.Version(), "rows": rows}, c.out); err != nil || k.JSON == "-" {
+		err := writeBenchJSON(k.JSON, rows, c.out)
+		if err != nil || k.JSON == "-" {
 			return err
 		}
 	}
-	fmt.Fprintf(c.out, "%-8s %-4s %6s %8s %10s %7s %9s %9s %9s %8s %7s %8s\n", "party", "over", "open", "wait ms", "queries/s", "CPU µs",
-		"p50 µs", "p99 µs", "p99.9 µs", "peak MB", "not ok", "missing")
+	fmt.Fprintf(c.out, "%-8s %-4s %6s %8s %10s %7s %9s %9s %9s %8s %7s %8s\n", "party", "over", "open", "wait ms", "queries/s",
+		"CPU µs", "p50 µs", "p99 µs", "p99.9 µs", "peak MB", "not ok", "missing")
 	for _, r := range rows {
-		over := "UDP"
+		transport := "UDP"
 		if r.TCP {
-			over = "TCP"
+			transport = "TCP"
 		}
-		fmt.Fprintf(c.out, "%-8s %-4s %6d %8.0f %10.0f %7.1f %9.0f %9.0f %9.0f %8.1f %7d %8d\n", r.Party, over, r.Open, r.WaitMs, r.Rate, r.CPU,
-			r.P50, r.P99, r.P999, r.PeakMB, r.NotOK, r.Missing)
+		fmt.Fprintf(c.out, "%-8s %-4s %6d %8.0f %10.0f %7.1f %9.0f %9.0f %9.0f %8.1f %7d %8d\n", r.Party, transport, r.Open,
+			r.WaitMs, r.Rate, r.CPU, r.P50, r.P99, r.P999, r.PeakMB, r.NotOK, r.Missing)
 	}
 	return nil
 }
 
+// loads are the loads to measure, in order.
+func (k *dnsBenchCommand) loads() ([]dnslab.BenchLoad, error) {
+	var loads []dnslab.BenchLoad
+	for _, tcp := range []bool{false, true} {
+		for _, n := range k.Open {
+			if n < 1 || n > maxOpenQueries {
+				return nil, fmt.Errorf("--open: %d is not within 1 and %d", n, maxOpenQueries)
+			}
+			loads = append(loads, dnslab.BenchLoad{TCP: tcp, Open: n})
+		}
+	}
+	if k.HeldQueries > 0 {
+		loads = append(loads, dnslab.BenchLoad{Open: k.HeldQueries, Wait: time.Second})
+	}
+	return loads, nil
+}
+
 // dnsPeerCommand is one party of the benchmark, run by the benchmark itself.
 type dnsPeerCommand struct {
 	Role string   `arg:""`
--- a/cmd/birchmoor/labscale.go
+++ b/cmd/birchmoor/labscale.go
@@ -8,6 +8,7 @@
 	"log/slog"
 	"os"
 	"slices"
+	"strconv"
 	"strings"
 	"time"
 
@@ -47,14 +48,15 @@
   birchmoor lab scale --sizes 75,150,300,600 --markdown --report scale.json`
 }
 
-// sizes are those to be played, in order.
+// sizes are the fleet sizes to run, in order.
 func (k *scaleCommand) sizes() (all []int, err error) {
 	if k.Sizes == nil {
 		return []int{k.Sidecars}, nil
 	}
 	for text := range strings.SplitSeq(*k.Sizes, ",") {
 		n := 0
-		if _, err := fmt.Sscanf(text, "%d", &n); err != nil || fmt.Sprint(n) != text {
+		_, err := fmt.Sscanf(text, "%d", &n)
+		if err != nil || strconv.Itoa(n) != text {
 			return nil, fmt.Errorf("--sizes: %q is not a list of sizes", *k.Sizes)
 		}
 		if len(all) > 0 && n <= all[len(all)-1] {
@@ -65,16 +67,34 @@
 	return all, nil
 }
 
-// options are those of one size.
+// sidecarsPerService is how many sidecars share a service where --services is not given.
+const sidecarsPerService = 10
+
+// options are those of one size, where largest is the largest of the run.
 func (k *scaleCommand) options(size, largest int) (scale.Options, error) {
 	self, err := os.Executable()
+	const minServices = scale.Calls + 1
 	services := k.Services
 	if services == 0 {
-		services = max(scale.Calls+1, largest/10)
+		services = max(minServices, largest/sidecarsPerService)
 	}
-	return scale.Options{Program: self, Dir: k.Dir, Sidecars: size, Real: k.Real, Replicas: k.Replicas,
-		Services: max(min(size, scale.Calls+1), services*size/max(1, largest)), For: k.Duration, Seed: k.Seed, Fault: k.Fault, Interest: k.Interest, Changes: k.Changes, Burst: k.Burst,
-		Each: k.PerProcess, Warm: k.WarmupDuration, Begin: k.StartsPerSecond}, err
+	return scale.Options{
+		Program:  self,
+		Dir:      k.Dir,
+		Sidecars: size,
+		Real:     k.Real,
+		Replicas: k.Replicas,
+		Services: max(min(size, minServices), services*size/max(1, largest)),
+		For:      k.Duration,
+		Seed:     k.Seed,
+		Fault:    k.Fault,
+		Interest: k.Interest,
+		Changes:  k.Changes,
+		Burst:    k.Burst,
+		Each:     k.PerProcess,
+		Warm:     k.WarmupDuration,
+		Begin:    k.StartsPerSecond,
+	}, err
 }
 
 func (k *scaleCommand) Run(ctx context.Context, c *console) error {
@@ -85,25 +105,26 @@
 	if k.Real > slices.Min(sizes) {
 		return fmt.Errorf("--real: %d is above the smallest size, %d", k.Real, slices.Min(sizes))
 	}
-	var all []scale.Options
-	for _, n := range sizes { // before any is started
+	var runs []scale.Options
+	for _, n := range sizes { // all are checked before the first is started
 		o, err := k.options(n, max(k.Sidecars, slices.Max(sizes)))
-		if err == nil {
-			err = o.Check()
-		}
 		if err != nil {
 			return err
 		}
+		if err := o.Check(); err != nil {
+			return err
+		}
 		o.Say = func(s string) { fmt.Fprintln(c.err, s) }
-		all = append(all, o)
+		runs = append(runs, o)
 	}
 	var results []*scale.Result
-	for _, o := range all {
+	for _, o := range runs {
 		x, err := scale.Run(ctx, o)
 		if err != nil {
 			return errors.Join(err, k.writeReport(results))
 		}
-		if results = append(results, x); !k.JSON && !k.Markdown {
+		results = append(results, x)
+		if !k.JSON && !k.Markdown {
 			scale.Print(c.out, x)
 		}
 	}
@@ -119,7 +140,7 @@
 	return nil
 }
 
-// writeReport writes what was measured so far, if that is wanted.
+// writeReport writes the results so far to the file of --report, if there is one.
 func (k *scaleCommand) writeReport(results []*scale.Result) error {
 	if k.Report == "" || len(results) == 0 {
 		return nil
@@ -131,16 +152,21 @@
 	return os.WriteFile(k.Report, append(text, '\n'), 0o644)
 }
 
-// hollowDefects is what hollow sidecars do wrong: builds for tests alone set it.
+// hollowDefects are the injected defects of hollow sidecars; only the program of tests sets it.
 var hollowDefects scale.Plant
 
-// hollowCommand is a process of the run.
+// hollowCommand is a process of lab scale that runs hollow sidecars.
 type hollowCommand struct {
 	Spec string `arg:"" type:"existingfile"`
 }
 
 func (k *hollowCommand) Run(ctx context.Context, c *console) error {
 	log := slog.New(slog.NewTextHandler(c.err, nil))
-	hollowDefects.Defects = controlplane.Defects{Clock: bootclock.Clock{Rate: processFaults.Pace}, LeaseSession: leaseSessionDefect(), LeaseTable: leaseTableDefect(), Quota: processFaults.Limit}
+	hollowDefects.Defects = controlplane.Defects{
+		Clock:        bootclock.Clock{Rate: processFaults.Pace},
+		LeaseSession: leaseSessionDefect(),
+		LeaseTable:   leaseTableDefect(),
+		Quota:        processFaults.Limit,
+	}
 	return scale.Child(ctx, k.Spec, os.Stdin, c.out, log, hollowDefects)
 }
--- a/cmd/birchmoor/limit.go
+++ b/cmd/birchmoor/limit.go
@@ -1,11 +1,14 @@
 package main
 
 import (
+	"cmp"
 	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
 	"os"
+	"slices"
 	"strings"
 	"text/tabwriter"
 	"time"
@@ -13,7 +16,6 @@
 	"birchmoor/internal/controlplane/adminapi"
 	"birchmoor/internal/controlplane/quota"
 	"birchmoor/internal/controlplane/quotasync"
-	"birchmoor/internal/store/admin"
 )
 
 type limitCommands struct {
@@ -26,22 +28,23 @@
 	Torture limitTorture `cmd:"" help:"Share limits among processes, cut, stop and kill them, and count at the servers."`
 }
 
-// showLimits asks for limits and prints them.
-func (s *clientFlags) showLimits(ctx context.Context, c *console, name string, table func(*tabwriter.Writer, *quotasync.Status)) error {
+// showLimits prints the limit with this name, or all limits if it is empty.
+func (s *clientFlags) showLimits(
+	ctx context.Context, c *console, name string, table func(*tabwriter.Writer, *quotasync.Status),
+) error {
 	return s.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
-		st, err := a.Limits(ctx, name)
-		var told *admin.ResponseError
-		if errors.As(err, &told) && told.Status == 404 {
+		status, err := a.Limits(ctx, name)
+		if isNotFound(err) {
 			return &exitError{exitFailure, err}
 		}
 		if err != nil {
 			return err
 		}
-		return s.print(c, st, func(w *tabwriter.Writer) {
-			if st.Fault != "" {
-				fmt.Fprintf(w, "FAULT HERE: %s\n", st.Fault)
+		return s.print(c, status, func(w *tabwriter.Writer) {
+			if status.Fault != "" {
+				fmt.Fprintf(w, "FAULT HERE: %s\n", status.Fault)
 			}
-			table(w, &st)
+			table(w, &status)
 		})
 	})
 }
@@ -49,25 +52,29 @@
 type limitList struct{ clientFlags }
 
 func (k *limitList) Run(ctx context.Context, c *console) error {
-	return k.showLimits(ctx, c, "", func(w *tabwriter.Writer, st *quotasync.Status) {
+	return k.showLimits(ctx, c, "", func(w *tabwriter.Writer, status *quotasync.Status) {
 		fmt.Fprintln(w, "LIMIT\tMOST\tOUT\tWANTED\tLET THROUGH\tREFUSED\tSIDECARS\tWITHOUT THE STORE\tOVER AT MOST")
-		for _, l := range st.Limits {
+		for _, l := range status.Limits {
 			v := totalStatus(l)
-			fmt.Fprintf(w, "%s\t%s %s\t%s\t%s\t%d\t%d\t%d\t%s\t%s\n", l.Name, quota.FormatAmount(v.Capacity), l.UnitText(), quota.FormatAmount(v.Committed), quota.FormatAmount(v.Wanted), v.Admitted, v.Rejected, len(v.Processes), l.Fallback, l.Overshoot)
+			fmt.Fprintf(w, "%s\t%s %s\t%s\t%s\t%d\t%d\t%d\t%s\t%s\n",
+				l.Name, quota.FormatAmount(v.Capacity), l.UnitText(), quota.FormatAmount(v.Committed),
+				quota.FormatAmount(v.Wanted), v.Admitted, v.Rejected, len(v.Processes), l.Fallback, l.Overshoot)
 		}
-		if st.AllocatorHost == "" {
+		if status.AllocatorHost == "" {
 			fmt.Fprintln(w, "nobody divides: shares stay as they are")
 		}
 	})
 }
 
-// totalStatus is the whole of a limit, with what is wanted of its parts.
+// totalStatus is the status of a limit's root, with demand, admitted and rejected requests of all its nodes.
 func totalStatus(l *quotasync.LimitStatus) quota.NodeStatus {
-	v := l.NodeStatuses[0]
-	for _, p := range l.NodeStatuses[1:] {
-		v.Wanted, v.Admitted, v.Rejected = v.Wanted+p.Wanted, v.Admitted+p.Admitted, v.Rejected+p.Rejected
+	total := l.NodeStatuses[0]
+	for _, node := range l.NodeStatuses[1:] {
+		total.Wanted += node.Wanted
+		total.Admitted += node.Admitted
+		total.Rejected += node.Rejected
 	}
-	return v
+	return total
 }
 
 type limitShow struct {
@@ -76,32 +83,27 @@
 }
 
 func (k *limitShow) Run(ctx context.Context, c *console) error {
-	return k.showLimits(ctx, c, k.Name, func(w *tabwriter.Writer, st *quotasync.Status) {
-		l := st.Limits[0]
-		fmt.Fprintf(w, "%s: %s %s, of %s; over at most: %s\n", l.Name, quota.FormatAmount(l.Nodes[0].Capacity), l.UnitText(), limitScope(l.Limit), l.Overshoot)
-		fmt.Fprintf(w, "divided by: %s; a share ends %d ms after its sidecar falls silent\n", nameOrNobody(st.AllocatorHost), st.TTLMs)
+	return k.showLimits(ctx, c, k.Name, func(w *tabwriter.Writer, status *quotasync.Status) {
+		l := status.Limits[0]
+		fmt.Fprintf(w, "%s: %s %s, of %s; over at most: %s\n",
+			l.Name, quota.FormatAmount(l.Nodes[0].Capacity), l.UnitText(), limitScope(l.Limit), l.Overshoot)
+		fmt.Fprintf(w, "divided by: %s; a share ends %d ms after its sidecar falls silent\n",
+			cmp.Or(status.AllocatorHost, "nobody"), status.TTLMs)
 		fmt.Fprintln(w, "PART\tMOST\tLEAST\tWEIGHT\tOUT\tOWN SHARES\tWANTED\tLET THROUGH\tREFUSED\tSIDECARS")
 		for i, v := range l.NodeStatuses {
 			n := l.Nodes[i]
-			fmt.Fprintf(w, "%s\t%s\t%s\t%g\t%s\t%s\t%s\t%d\t%d\t%d\n", partName(v.Path), quota.FormatAmount(v.Capacity), quota.FormatAmount(n.Guaranteed), n.Weight, quota.FormatAmount(v.Committed), quota.FormatAmount(v.Granted), quota.FormatAmount(v.Wanted), v.Admitted, v.Rejected, len(v.Processes))
+			fmt.Fprintf(w, "%s\t%s\t%s\t%g\t%s\t%s\t%s\t%d\t%d\t%d\n",
+				partName(v.Path), quota.FormatAmount(v.Capacity), quota.FormatAmount(n.Guaranteed), n.Weight,
+				quota.FormatAmount(v.Committed), quota.FormatAmount(v.Granted), quota.FormatAmount(v.Wanted),
+				v.Admitted, v.Rejected, len(v.Processes))
 		}
 	})
 }
 
-func partName(path string) string {
-	if path == "" {
-		return "(the whole)"
-	}
-	return path
-}
-
-func nameOrNobody(s string) string {
-	if s == "" {
-		return "nobody"
-	}
-	return s
-}
+// partName is how a node of a limit's tree is shown; its root has an empty path.
+func partName(path string) string { return cmp.Or(path, "(the whole)") }
 
+// limitScope says which requests a limit counts.
 func limitScope(l *quota.Limit) string {
 	var all []string
 	if len(l.Classes) > 0 {
@@ -123,26 +125,34 @@
 
 func (k *limitExplain) Run(ctx context.Context, c *console) error {
 	name, path, _ := strings.Cut(k.Name, "/")
-	var missed error
-	err := k.showLimits(ctx, c, name, func(w *tabwriter.Writer, st *quotasync.Status) {
-		l := st.Limits[0]
-		for _, v := range l.NodeStatuses {
-			if v.Path != path {
-				continue
-			}
-			fmt.Fprintf(w, "%s of %s: %s of %s %s are out with this part and what is under it\n", partName(path), name, quota.FormatAmount(v.Committed), quota.FormatAmount(v.Capacity), l.UnitText())
-			fmt.Fprintln(w, "SIDECAR\tSESSION\tSHARE\tCOUNTS FOR\tIN USE\tWANTS\tLET THROUGH\tREFUSED\tHEARD\tWHY IT COUNTS")
-			for _, h := range v.Processes {
-				fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t%d\t%d\t%v ago\t%s\n", h.Host, h.Session, quota.FormatAmount(h.Amount), quota.FormatAmount(h.Committed), quota.FormatAmount(h.InUse), quota.FormatAmount(h.Wanted), h.Admitted, h.Rejected,
-					(time.Duration(h.AgeMs) * time.Millisecond).Round(100*time.Millisecond), commitReason(&h))
-			}
+	var missing error
+	err := k.showLimits(ctx, c, name, func(w *tabwriter.Writer, status *quotasync.Status) {
+		l := status.Limits[0]
+		i := slices.IndexFunc(l.NodeStatuses, func(v quota.NodeStatus) bool { return v.Path == path })
+		if i < 0 {
+			missing = &exitError{exitFailure, fmt.Errorf("%s has no part %q", name, path)}
 			return
 		}
-		missed = &exitError{exitFailure, fmt.Errorf("%s has no part %q", name, path)}
+		v := l.NodeStatuses[i]
+		fmt.Fprintf(w, "%s of %s: %s of %s %s are out with this part and what is under it\n",
+			partName(path), name, quota.FormatAmount(v.Committed), quota.FormatAmount(v.Capacity), l.UnitText())
+		printProcessQuotas(w, v.Processes)
 	})
-	return errors.Join(err, missed)
+	return errors.Join(err, missing)
+}
+
+// printProcessQuotas prints each sidecar's quota of a node, and why it counts.
+func printProcessQuotas(w io.Writer, processes []quota.ProcessQuota) {
+	fmt.Fprintln(w, "SIDECAR\tSESSION\tSHARE\tCOUNTS FOR\tIN USE\tWANTS\tLET THROUGH\tREFUSED\tHEARD\tWHY IT COUNTS")
+	for _, p := range processes {
+		age := (time.Duration(p.AgeMs) * time.Millisecond).Round(100 * time.Millisecond)
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t%d\t%d\t%v ago\t%s\n",
+			p.Host, p.Session, quota.FormatAmount(p.Amount), quota.FormatAmount(p.Committed), quota.FormatAmount(p.InUse),
+			quota.FormatAmount(p.Wanted), p.Admitted, p.Rejected, age, commitReason(&p))
+	}
 }
 
+// commitReason says why the amount of a process counts against the limit.
 func commitReason(h *quota.ProcessQuota) string {
 	switch {
 	case h.Gone:
--- a/cmd/birchmoor/sidecar.go
+++ b/cmd/birchmoor/sidecar.go
@@ -42,28 +42,33 @@
 
 func (k *sidecarCommand) Run(ctx context.Context, c *console) error {
 	reload := make(chan os.Signal, 1)
-	signal.Notify(reload, syscall.SIGHUP) // before anything else: unheard it ends the program
+	signal.Notify(reload, syscall.SIGHUP) // first of all: by default the signal ends the program
 	log := slog.New(slog.NewTextHandler(c.err, nil))
 	f := &operatorconfig.File{}
 	if k.Operator != "" {
 		var err error
-		if f, err = operatorconfig.Read(k.Operator); err != nil {
+		f, err = operatorconfig.Read(k.Operator)
+		if err != nil {
 			return err
 		}
 	}
 	return serve(ctx, f, &fleetServices{reload: reload}, log)
 }
 
-// fleetServices are what a sidecar has of a store.
+// statsTimeout bounds reading the sidecar's own metrics, which happens on the same host.
+const statsTimeout = time.Second
+
+// fleetServices are what a sidecar gets from the control plane of its daemon. All but reload may be nil.
 type fleetServices struct {
 	reload           <-chan os.Signal
 	overrides        maintenance.FleetOverrides
 	fleet            sidecar.Fleet
-	currentSettings  func() json.RawMessage     // in the place of the file's, unless nil
-	limiter          core.Limiter               // of the fleet, unless nil
-	setAnswerCounter func(daemon.AnswerCounter) // is given what tells how clients were answered, unless nil
+	currentSettings  func() json.RawMessage // replace those of the configuration file
+	limiter          core.Limiter
+	setAnswerCounter func(daemon.AnswerCounter) // gets the function that tells how clients were answered
 }
 
+// readConfig reads the sidecar's configuration, with the settings that the store has.
 func (x *fleetServices) readConfig() (*config.Config, error) {
 	if x.currentSettings == nil {
 		return config.Read(os.Getenv)
@@ -110,25 +115,40 @@
 	return sidecar.Run(ctx, config, h)
 }
 
-// captureTap records what the sidecar's module is told and answers. end is called when the loop is over.
+// captureTap records the inputs and decisions of the sidecar's module. end is called when the event loop has ended.
 func captureTap(c *operatorconfig.Capture, name string, log *slog.Logger) (tap core.Tap, end func(), err error) {
-	w, err := capture.Create(capture.Config{Dir: c.Dir, Name: name, MaxBytes: int64(c.BudgetMB) << 20,
-		MaxFileBytes: int64(c.MaxFileMB) << 20, MaxFileAge: time.Duration(c.MaxFileAge), QueueLength: c.MaxQueuedBatches, RetryDelay: time.Duration(c.RetryDelay), Log: log})
+	w, err := capture.Create(capture.Config{
+		Dir:          c.Dir,
+		Name:         name,
+		MaxBytes:     int64(c.BudgetMB) << 20,
+		MaxFileBytes: int64(c.MaxFileMB) << 20,
+		MaxFileAge:   time.Duration(c.MaxFileAge),
+		QueueLength:  c.MaxQueuedBatches,
+		RetryDelay:   time.Duration(c.RetryDelay),
+		Log:          log,
+	})
 	if err != nil {
 		return nil, nil, err
 	}
 	var r *capture.Recorder
-	tap = func(out balancer.Actions, begin func(balancer.Actions) (*balancer.Balancer, error), names func(uint32) string) (
-		balancer.Module, error) {
+	tap = func(
+		out balancer.Actions, begin func(balancer.Actions) (*balancer.Balancer, error), names func(uint32) string,
+	) (balancer.Module, error) {
+		options := capture.Options{
+			Sidecar:         name,
+			RunID:           uint64(time.Now().UnixMicro()),
+			SegmentInterval: time.Duration(c.SnapshotInterval).Microseconds(),
+			EndpointName:    names,
+			Sink:            w,
+		}
 		var err error
-		r, err = capture.New(capture.Options{Sidecar: name, RunID: uint64(time.Now().UnixMicro()),
-			SegmentInterval: time.Duration(c.SnapshotInterval).Microseconds(), EndpointName: names, Sink: w}, out, begin)
+		r, err = capture.New(options, out, begin)
 		if err != nil {
 			return nil, fmt.Errorf("capture: %w", err)
 		}
 		return r, nil
 	}
-	return tap, func() {
+	end = func() {
 		if r != nil {
 			r.Close()
 		}
@@ -136,35 +156,40 @@
 		n := &w.Counts
 		log.Info("capture ended", "records", n.Records.Load(), "bytes", n.Bytes.Load(), "files", n.Files.Load(),
 			"segments", n.Segments.Load(), "lost", n.Lost.Load())
-	}, nil
+	}
+	return tap, end, nil
 }
 
-// answerCounts asks a sidecar's second address what its clients were answered: served, or refused and failed.
-func answerCounts(at string) (served, not uint64, err error) {
-	c, err := net.DialTimeout("tcp", at, time.Second)
+// answerCounts returns how a sidecar's clients were answered, by the metrics at its management address: served, or not, which
+// is rejected and failed together.
+func answerCounts(address string) (served, notServed uint64, err error) {
+	c, err := net.DialTimeout("tcp", address, statsTimeout)
 	if err != nil {
 		return 0, 0, err
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(time.Second))
+	if err := c.SetDeadline(time.Now().Add(statsTimeout)); err != nil {
+		return 0, 0, err
+	}
 	if _, err := io.WriteString(c, "stats\n"); err != nil {
 		return 0, 0, err
 	}
 	lines := bufio.NewScanner(c)
 	for lines.Scan() {
-		name, value, ok := strings.Cut(lines.Text(), "} ")
 		if lines.Text() == "END" {
-			return served, not, nil
+			return served, notServed, nil
 		}
-		n, err := strconv.ParseUint(value, 10, 64)
+		series, text, ok := strings.Cut(lines.Text(), "} ")
+		value, err := strconv.ParseUint(text, 10, 64)
 		if !ok || err != nil {
 			continue
 		}
-		switch name, _, _ = strings.Cut(name, "{"); name {
+		metric, _, _ := strings.Cut(series, "{")
+		switch metric {
 		case "app_answered_total":
-			served += n
+			served += value
 		case "app_deferred_total", "app_errored_total":
-			not += n
+			notServed += value
 		}
 	}
 	return 0, 0, errors.Join(errors.New("the figures are not whole"), lines.Err())
--- a/cmd/birchmoor/storeclient.go
+++ b/cmd/birchmoor/storeclient.go
@@ -7,6 +7,8 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
+	"net/http"
 	"text/tabwriter"
 	"time"
 
@@ -24,25 +26,25 @@
 const (
 	minTimeout      = 50 * time.Millisecond
 	maxTimeout      = 10 * time.Minute
-	timeoutSlack    = 500 * time.Millisecond // for the daemon's own word that it has waited for so long
+	timeoutSlack    = 500 * time.Millisecond // lets the daemon answer that its own wait timed out
 	waitNoticeDelay = time.Second
 )
 
-// call asks the daemon, for at most the time that was given, and says on standard error that it waits if that takes
-// long.
+// call runs f with a client of the daemon and the timeout that was given. When it takes long, it says on standard error that it
+// waits.
 func (s *clientFlags) call(ctx context.Context, c *console, f func(context.Context, *adminapi.Client) error) error {
 	if s.Timeout < minTimeout || s.Timeout > maxTimeout {
 		return fmt.Errorf("--timeout: %v is not within %v and %v", s.Timeout, minTimeout, maxTimeout)
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.Timeout+timeoutSlack)
 	defer cancel()
-	say := time.AfterFunc(waitNoticeDelay, func() {
+	notice := time.AfterFunc(waitNoticeDelay, func() {
 		fmt.Fprintf(c.err, "birchmoor: no answer yet; waiting for %v in all\n", s.Timeout)
 	})
-	defer say.Stop()
-	a := adminapi.Dial(s.Socket)
-	a.Timeout = s.Timeout
-	return f(ctx, a)
+	defer notice.Stop()
+	client := adminapi.Dial(s.Socket)
+	client.Timeout = s.Timeout
+	return f(ctx, client)
 }
 
 // changeFailure is what --json prints of a change that was not seen to be made.
@@ -52,30 +54,39 @@
 	Request string `json:"request,omitempty"`
 }
 
-// changeFailed says what an error means for a change: that nothing was changed, or that it is not known whether.
-// request, if it is not empty, is what to say again.
+// changeFailed adds to err what it means for a change: that nothing was changed, or that the outcome is unknown. request, if not
+// empty, is the request's id, by which the change may be retried.
 func (s *clientFlags) changeFailed(ctx context.Context, c *console, err error, request string) error {
-	var told *admin.ResponseError
-	x := changeFailure{Error: err.Error(), Outcome: "unchanged"}
-	switch {
-	case errors.As(err, &told) && told.OutcomeUnknown != nil, told == nil && ctx.Err() != nil:
-		// The daemon sent it on and heard nothing, or did not even answer us.
-		x.Outcome, x.Request = "unknown", request
+	failure := changeFailure{Error: err.Error(), Outcome: "unchanged"}
+	if outcomeUnknown(ctx, err) {
+		failure.Outcome, failure.Request = "unknown", request
 		err = fmt.Errorf("the outcome is unknown: %w", err)
 		if request != "" {
 			err = fmt.Errorf("%w; to find out and have it made once, say it again with --request %s", err, request)
 		}
-	default:
+	} else {
 		err = fmt.Errorf("nothing was changed: %w", err)
 	}
 	if s.JSON {
-		if bad := json.NewEncoder(c.out).Encode(x); bad != nil {
-			return bad
+		encodeErr := json.NewEncoder(c.out).Encode(failure)
+		if encodeErr != nil {
+			return encodeErr
 		}
 	}
 	return err
 }
 
+// outcomeUnknown reports whether a change may have been made: the daemon proposed it and got no outcome, or did not answer in
+// time.
+func outcomeUnknown(ctx context.Context, err error) bool {
+	var response *admin.ResponseError
+	if errors.As(err, &response) {
+		return response.OutcomeUnknown != nil
+	}
+	return ctx.Err() != nil
+}
+
+// print prints v as JSON if the flags ask for that, and otherwise the table.
 func (s *clientFlags) print(c *console, v any, table func(*tabwriter.Writer)) error {
 	if s.JSON {
 		e := json.NewEncoder(c.out)
@@ -87,28 +98,33 @@
 	return w.Flush()
 }
 
+// requestFlags identify a change, so that a retry of it is made once.
 type requestFlags struct {
 	Request string `help:"Id of a request whose outcome is unknown: it is made once." placeholder:"ID"`
 }
 
+// id is the id that was given, or the zero id.
 func (r requestFlags) id() (id store.RequestID, err error) {
 	if r.Request == "" {
 		return id, nil
 	}
-	if n, err := fmt.Sscanf(r.Request, "%d-%d", &id.Client, &id.Seq); n != 2 || err != nil {
+	n, err := fmt.Sscanf(r.Request, "%d-%d", &id.Client, &id.Seq)
+	if n != 2 || err != nil {
 		return id, fmt.Errorf("--request %q is not of the form 123-1", r.Request)
 	}
 	return id, nil
 }
 
-// change makes a change, and prints a note if its outcome is unknown.
-func (s *clientFlags) change(ctx context.Context, c *console, r admin.ChangeRequest, table func(*tabwriter.Writer, admin.ChangeResponse)) error {
+// change makes a change and prints the response. A change without an id gets a random one.
+func (s *clientFlags) change(
+	ctx context.Context, c *console, r admin.ChangeRequest, table func(*tabwriter.Writer, admin.ChangeResponse),
+) error {
 	if r.ID == (store.RequestID{}) {
-		var b [8]byte
-		if _, err := rand.Read(b[:]); err != nil {
+		n, err := randomUint63()
+		if err != nil {
 			return err
 		}
-		r.ID = store.RequestID{Client: binary.BigEndian.Uint64(b[:]) >> 1, Seq: 1}
+		r.ID = store.RequestID{Client: n, Seq: 1}
 	}
 	return s.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
 		x, err := a.Change(ctx, r)
@@ -118,3 +134,30 @@
 		return s.print(c, x, func(w *tabwriter.Writer) { table(w, x) })
 	})
 }
+
+// randomUint63 returns a random number below 2^63.
+func randomUint63() (uint64, error) {
+	var b [8]byte
+	if _, err := rand.Read(b[:]); err != nil {
+		return 0, err
+	}
+	return binary.BigEndian.Uint64(b[:]) >> 1, nil
+}
+
+// isNotFound reports whether the daemon answered that there is no such thing.
+func isNotFound(err error) bool {
+	var response *admin.ResponseError
+	return errors.As(err, &response) && response.Status == http.StatusNotFound
+}
+
+// row is one line of a table of names and values.
+type row struct {
+	name  string
+	value any
+}
+
+func printRows(w io.Writer, rows []row) {
+	for _, r := range rows {
+		fmt.Fprintf(w, "%s\t%v\n", r.name, r.value)
+	}
+}
