--- a/internal/lab/chain/chain.go
+++ b/internal/lab/chain/chain.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/lab/draw"
+	"birchmoor/internal/lab/randstream"
 	"birchmoor/internal/lab/scenario"
 	"birchmoor/internal/lab/told"
 )
@@ -167,7 +167,7 @@
 	levels []*level
 	warm   int // calls of the root before those that are measured
 	ids    atomic.Uint64
-	draw   draw.Seed
+	draw   randstream.Seed
 	leaf   []atomic.Uint32 // attempts at the leaf, by call of the root
 	seen   atomic.Uint64   // at the leaf, for the draws
 	failed bool            // the leaf fails: no pairs
@@ -190,7 +190,7 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	r := &row{o: o, draw: draw.Seed(o.Seed), failed: o.Fail != "", quit: make(chan struct{}), why: map[string]int{}}
+	r := &row{o: o, draw: randstream.Seed(o.Seed), failed: o.Fail != "", quit: make(chan struct{}), why: map[string]int{}}
 	if !r.failed {
 		r.warm = int(o.Rate * o.Warm.Seconds())
 	}
--- a/internal/lab/chain/virtual.go
+++ b/internal/lab/chain/virtual.go
@@ -7,8 +7,8 @@
 
 	"birchmoor/balancer"
 	"birchmoor/internal/dataplane/httpfront"
-	"birchmoor/internal/lab/draw"
 	"birchmoor/internal/lab/evq"
+	"birchmoor/internal/lab/randstream"
 	"birchmoor/internal/lab/told"
 )
 
@@ -32,7 +32,7 @@
 	sent  int
 	leaf  []uint64
 	sum   []int64
-	fails draw.Stream
+	fails randstream.Stream
 }
 
 // node is a sidecar: its decision module's host.
@@ -70,7 +70,7 @@
 		return nil, err
 	}
 	v := &virtual{o: o, q: evq.Virtual(), x: o.result(o.Servers), leaf: make([]uint64, o.Calls()), sum: make([]int64, o.Depth),
-		fails: draw.Seed(o.Seed).Stream("leaf")}
+		fails: randstream.Seed(o.Seed).Stream("leaf")}
 	v.x.By = "virtual time"
 	v.x.Levels = make([]Level, o.Depth)
 	for k := range o.Depth {
@@ -82,7 +82,7 @@
 			if err != nil {
 				return nil, err
 			}
-			if n.b, err = balancer.New(settings, draw.Seed(o.Seed).Stream("node", uint64(k), uint64(i)).Uint64(), n); err != nil {
+			if n.b, err = balancer.New(settings, randstream.Seed(o.Seed).Stream("node", uint64(k), uint64(i)).Uint64(), n); err != nil {
 				return nil, err
 			}
 			var list []balancer.Endpoint
--- a/internal/lab/model/discovery.go
+++ b/internal/lab/model/discovery.go
@@ -1,7 +1,7 @@
 package model
 
 import (
-	"birchmoor/internal/lab/draw"
+	"birchmoor/internal/lab/randstream"
 	"birchmoor/internal/lab/trace"
 )
 
@@ -23,7 +23,7 @@
 // in turn, and may be down.
 type Discovery struct {
 	w          *World
-	draw       draw.Stream
+	draw       randstream.Stream
 	generation int64
 	entries    []Entry // by server; those not listed have State Gone
 	changed    []int64 // generation of an entry's latest change
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -4,8 +4,8 @@
 	"container/heap"
 	"math"
 
-	"birchmoor/internal/lab/draw"
 	"birchmoor/internal/lab/evq"
+	"birchmoor/internal/lab/randstream"
 	"birchmoor/internal/lab/scenario"
 	"birchmoor/internal/lab/trace"
 )
@@ -64,7 +64,7 @@
 	Cold    float64
 
 	w        *World
-	draw     draw.Stream
+	draw     randstream.Stream
 	working  jobHeap
 	waiting  []*Job
 	clock    float64 // service that each job in work has had, in microseconds at speed 1
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -8,8 +8,8 @@
 	"fmt"
 	"math"
 
-	"birchmoor/internal/lab/draw"
 	"birchmoor/internal/lab/evq"
+	"birchmoor/internal/lab/randstream"
 	"birchmoor/internal/lab/scenario"
 	"birchmoor/internal/lab/trace"
 )
@@ -33,7 +33,7 @@
 type World struct {
 	Q       *evq.Queue
 	S       *scenario.Scenario
-	Seed    draw.Seed
+	Seed    randstream.Seed
 	Servers []*Server
 	Disc    *Discovery
 
@@ -71,12 +71,12 @@
 	Hint    Micros // 0 for none
 	GiveUp  Micros
 
-	draw draw.Stream
+	draw randstream.Stream
 }
 
 // New makes the world of a scenario and a seed. Nothing runs before Begin.
 func New(q *evq.Queue, s *scenario.Scenario, seed uint64, host Host, sink trace.Sink) *World {
-	w := &World{Q: q, S: s, Seed: draw.Seed(seed), host: host, sink: sink}
+	w := &World{Q: q, S: s, Seed: randstream.Seed(seed), host: host, sink: sink}
 	zones := len(s.Fleet.Zones)
 	for kind := range s.Servers {
 		for range s.Servers[kind].Count {
--- a/internal/lab/draw/draw.go
+++ b/internal/lab/randstream/stream.go
@@ -1,8 +1,8 @@
-// Package draw gives every random choice of the lab a named stream of its own, all from one seed.
+// Package randstream gives every random choice of the lab a named stream of its own, all from one seed.
 //
 // A stream is told by its name and, where there are many of a kind, by numbers. Adding a draw in one place thus
 // never moves what is drawn in another, and the two hosts of the lab draw the same world from the same seed.
-package draw
+package randstream
 
 import (
 	"encoding/binary"
--- a/internal/lab/draw/draw_test.go
+++ b/internal/lab/randstream/stream_test.go
@@ -1,4 +1,4 @@
-package draw
+package randstream
 
 import (
 	"math"
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -2,9 +2,9 @@
 
 import (
 	"birchmoor/balancer"
-	"birchmoor/internal/lab/draw"
 	"birchmoor/internal/lab/evq"
 	"birchmoor/internal/lab/model"
+	"birchmoor/internal/lab/randstream"
 	"birchmoor/internal/lab/trace"
 )
 
@@ -15,7 +15,7 @@
 	zone     int
 	settings balancer.Settings
 	b        balancer.Module
-	draw     draw.Stream
+	draw     randstream.Stream
 	calls    map[uint64]*call
 	last     uint64
 	idle     [][]*conn // by server, the latest last
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -11,10 +11,10 @@
 	"time"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/lab/draw"
 	"birchmoor/internal/lab/evq"
 	"birchmoor/internal/lab/figures"
 	"birchmoor/internal/lab/model"
+	"birchmoor/internal/lab/randstream"
 	"birchmoor/internal/lab/referee"
 	"birchmoor/internal/lab/scenario"
 	"birchmoor/internal/lab/told"
@@ -52,7 +52,7 @@
 	s      *scenario.Scenario
 	w      *model.World
 	sink   trace.Sink
-	seed   draw.Seed
+	seed   randstream.Seed
 	nodes  []*node              // the processes that clients reach, by sidecar; nil while none runs
 	kept   []*balancer.Snapshot // by sidecar: what outlives a kill
 	olds   []*node              // those that finish what they have
@@ -79,7 +79,7 @@
 	began := time.Now()
 	q := evq.Virtual()
 	ref, rec := referee.New(referee.From(s, 0)), figures.New(s)
-	h := &host{q: q, s: s, seed: draw.Seed(o.Seed), links: map[[2]int]*link{}, logs: o.Logs, tap: o.Tap, tapped: o.Tapped, banned: map[int]bool{}}
+	h := &host{q: q, s: s, seed: randstream.Seed(o.Seed), links: map[[2]int]*link{}, logs: o.Logs, tap: o.Tap, tapped: o.Tapped, banned: map[int]bool{}}
 	// Who watches the run works beside it: the order of the events is all that they go by.
 	aside := trace.Beside(trace.Sinks(append([]trace.Sink{ref, rec}, o.Sinks...)...))
 	defer aside.Close()
