--- a/internal/lab/chain/virtual.go
+++ b/internal/lab/chain/virtual.go
@@ -7,24 +7,24 @@
 
 	"birchmoor/balancer"
 	"birchmoor/internal/dataplane/httpfront"
-	"birchmoor/internal/lab/evq"
+	"birchmoor/internal/lab/eventqueue"
 	"birchmoor/internal/lab/randstream"
 	"birchmoor/internal/lab/told"
 )
 
 // Of a row in virtual time, in microseconds.
 const (
-	origin   = 1_000_000_000_000_000 // the modules' clock at the start
-	wire     = 50                    // one way between any two
-	serves   = 100                   // the leaf's time for an answer
-	mostSent = 20_000_000            // attempts of a run
-	settle   = 20 * evq.Second       // before the first call, for the probes' pace
+	origin   = 1_000_000_000_000_000  // the modules' clock at the start
+	wire     = 50                     // one way between any two
+	serves   = 100                    // the leaf's time for an answer
+	mostSent = 20_000_000             // attempts of a run
+	settle   = 20 * eventqueue.Second // before the first call, for the probes' pace
 )
 
 // virtual is a row in virtual time: the decision module of each sidecar, and every server has a sidecar of its own.
 type virtual struct {
 	o     Options
-	q     *evq.Queue
+	q     *eventqueue.Queue
 	x     *Result
 	nodes [][]*node // by level
 	ids   uint64
@@ -46,7 +46,7 @@
 // vcall is a request of a sidecar.
 type vcall struct {
 	root     int
-	deadline evq.Micros
+	deadline eventqueue.Micros
 	came     int64 // milliseconds of the time left that the caller was told of
 	attempts []*vattempt
 	answer   func(code int)
@@ -56,8 +56,8 @@
 type vattempt struct {
 	done     bool
 	endpoint uint32
-	sent     evq.Micros
-	timeUp   *evq.Event
+	sent     eventqueue.Micros
+	timeUp   *eventqueue.Event
 }
 
 // Virtual plays a row in virtual time. Its times say nothing of the program; attempts and the time left are by the same decisions.
@@ -69,7 +69,7 @@
 	if err != nil {
 		return nil, err
 	}
-	v := &virtual{o: o, q: evq.Virtual(), x: o.result(o.Servers), leaf: make([]uint64, o.Calls()), sum: make([]int64, o.Depth),
+	v := &virtual{o: o, q: eventqueue.Virtual(), x: o.result(o.Servers), leaf: make([]uint64, o.Calls()), sum: make([]int64, o.Depth),
 		fails: randstream.Seed(o.Seed).Stream("leaf")}
 	v.x.By = "virtual time"
 	v.x.Levels = make([]Level, o.Depth)
@@ -98,14 +98,14 @@
 	}
 	answered := 0
 	for c := range v.leaf {
-		v.q.At(settle+int64(float64(c)/o.Rate*float64(evq.Second)), func() {
+		v.q.At(settle+int64(float64(c)/o.Rate*float64(eventqueue.Second)), func() {
 			v.nodes[0][c%o.Servers].request(c, rootMs, func(code int) {
 				answered++
 				v.x.Answers[fmt.Sprint(code)]++
 			})
 		})
 	}
-	end := settle + int64(o.For.Seconds()*float64(evq.Second)) + late.Microseconds()
+	end := settle + int64(o.For.Seconds()*float64(eventqueue.Second)) + late.Microseconds()
 	err = v.q.Run(ctx, func() bool { return answered == len(v.leaf) && v.open == 0 || v.sent > mostSent || v.q.Now() > end })
 	if err == nil && v.sent > mostSent {
 		err = fmt.Errorf("over %d attempts: --depth %d, --attempts %d and %d calls are too many for a row in virtual time", mostSent, o.Depth, o.Attempts, o.Calls())
@@ -116,11 +116,11 @@
 	if n := len(v.leaf) - answered; n > 0 {
 		v.x.Answers["0"] = n
 	}
-	v.x.Took = float64(v.q.Now()-settle) / float64(evq.Second)
+	v.x.Took = float64(v.q.Now()-settle) / float64(eventqueue.Second)
 	v.x.leaves(slices.Values(v.leaf))
 	for k := range v.x.Levels {
 		l := &v.x.Levels[k]
-		l.Probes /= float64(v.q.Now()) / float64(evq.Second) * float64(o.Servers)
+		l.Probes /= float64(v.q.Now()) / float64(eventqueue.Second) * float64(o.Servers)
 		if l.Attempts == 0 {
 			l.LeftMin = 0
 			continue
--- a/internal/lab/evq/evq.go
+++ b/internal/lab/eventqueue/queue.go
@@ -1,8 +1,8 @@
-// Package evq is the lab's queue of events: one goroutine, one clock, which is either virtual or the machine's.
+// Package eventqueue is the lab's queue of events: one goroutine, one clock, which is either virtual or the machine's.
 //
 // In virtual time Run jumps from event to event. In real time it sleeps until the next one is due, takes what other
 // goroutines post, and notes how late it was: a lab that is late itself must not blame the program.
-package evq
+package eventqueue
 
 import (
 	"context"
--- a/internal/lab/evq/evq_test.go
+++ b/internal/lab/eventqueue/queue_test.go
@@ -1,4 +1,4 @@
-package evq
+package eventqueue
 
 import (
 	"context"
--- a/internal/lab/limitsim/limitsim.go
+++ b/internal/lab/limitsim/limitsim.go
@@ -14,7 +14,7 @@
 
 	"birchmoor/internal/controlplane/lease"
 	"birchmoor/internal/controlplane/quota"
-	"birchmoor/internal/lab/evq"
+	"birchmoor/internal/lab/eventqueue"
 	"birchmoor/internal/store"
 )
 
@@ -61,7 +61,7 @@
 
 const (
 	milli   = int64(1000) // µs
-	second  = evq.Second
+	second  = eventqueue.Second
 	ttl     = 600 // ms of sessions
 	skew    = 0.25
 	calmFor = 6 * second
@@ -69,7 +69,7 @@
 
 type world struct {
 	o         Options
-	q         *evq.Queue
+	q         *eventqueue.Queue
 	rng       *rand.Rand
 	r         Result
 	kinds     map[string]bool
@@ -113,7 +113,7 @@
 	if o.Calm {
 		o.Faults = 0
 	}
-	w := &world{o: o, q: evq.Virtual(), rng: rand.New(rand.NewPCG(seed, 0x6c696d697473)), kinds: map[string]bool{}, timers: map[uint64]int64{},
+	w := &world{o: o, q: eventqueue.Virtual(), rng: rand.New(rand.NewPCG(seed, 0x6c696d697473)), kinds: map[string]bool{}, timers: map[uint64]int64{},
 		judges: map[string]*judge{}, open: map[string]int64{}, pace: 1}
 	w.r.Seed = seed
 	// In half of all runs clocks run at one rate, so that a little over the limit shows; in the others up to a tenth fast or slow.
--- a/internal/lab/model/faults.go
+++ b/internal/lab/model/faults.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"slices"
 
-	"birchmoor/internal/lab/evq"
+	"birchmoor/internal/lab/eventqueue"
 	"birchmoor/internal/lab/scenario"
 	"birchmoor/internal/lab/trace"
 )
@@ -43,7 +43,7 @@
 	at := w.origin + f.At.Micros()
 	for range f.Repeat {
 		w.once(f, number, at)
-		at += f.For.Micros() + f.Lag.Micros() + evq.Second
+		at += f.For.Micros() + f.Lag.Micros() + eventqueue.Second
 	}
 }
 
@@ -55,8 +55,8 @@
 }
 
 const (
-	stopAfter = 3 * evq.Second // a server that restarts ends this long after it began to drain, unless told
-	outGrace  = evq.Second / 2 // operators restart a server this long after they took it out
+	stopAfter = 3 * eventqueue.Second // a server that restarts ends this long after it began to drain, unless told
+	outGrace  = eventqueue.Second / 2 // operators restart a server this long after they took it out
 )
 
 func (w *World) once(f *scenario.Fault, number int, at Micros) {
@@ -116,7 +116,7 @@
 	case "maintain":
 		stop := f.Lag.Micros()
 		if stop == 0 {
-			stop = outGrace + evq.Second
+			stop = outGrace + eventqueue.Second
 		}
 		toggle(func(s *Server, on bool) {
 			if on {
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -6,7 +6,7 @@
 	"math"
 	"testing"
 
-	"birchmoor/internal/lab/evq"
+	"birchmoor/internal/lab/eventqueue"
 	"birchmoor/internal/lab/scenario"
 	"birchmoor/internal/lab/trace"
 )
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	h, list := &nobody{}, &[]trace.Event{}
-	w := New(evq.Virtual(), s, 1, h, h.take(list))
+	w := New(eventqueue.Virtual(), s, 1, h, h.take(list))
 	w.Prepare()
 	return w, h, list
 }
@@ -85,7 +85,7 @@
 	} {
 		w, _, _ := world(t, fmt.Sprintf(oneServer, ""))
 		ends := jobs(w.Servers[0], c.n)
-		run(t, w, 5*evq.Second)
+		run(t, w, 5*eventqueue.Second)
 		for i := range c.want {
 			if math.Abs(float64(ends[i]-c.want[i])) > 10 {
 				t.Errorf("%d jobs: job %d ended at %d, want %d", c.n, i, ends[i], c.want[i])
@@ -102,14 +102,14 @@
 		t.Fatalf("it starts at %v", got)
 	}
 	ends := jobs(s, 1)
-	run(t, w, 10*evq.Second)
+	run(t, w, 10*eventqueue.Second)
 	// Its speed is 0.25 + 0.075 t: 0.1 = 0.25 t + 0.0375 t^2 at t = 0.378.
 	if math.Abs(float64(ends[0]-378_000)) > 10_000 || s.Warmth(w.Q.Now()) != 1 {
 		t.Errorf("100 ms of work took %d µs; warmth after the ramp is %v", ends[0], s.Warmth(w.Q.Now()))
 	}
 	n := 0
 	for _, e := range *list {
-		if e.Kind == trace.Started && e.ColdFrom == 0.25 && e.ColdFor == 10*evq.Second {
+		if e.Kind == trace.Started && e.ColdFrom == 0.25 && e.ColdFor == 10*eventqueue.Second {
 			n++
 		}
 	}
@@ -126,7 +126,7 @@
 	for i := range 40 {
 		w.Q.At(Micros(i)*20_000, func() { s.Begin(&Job{Request: uint64(i + 1), Work: 100_000, Done: func(Outcome) {}}) })
 	}
-	run(t, w, 2*evq.Second)
+	run(t, w, 2*eventqueue.Second)
 	fell := false
 	for _, e := range *list {
 		fell = fell || e.Kind == trace.Fell
@@ -150,7 +150,7 @@
 		if waiting, working := s.Cancel(list[4]), s.Cancel(list[0]); working != want[0] || waiting != want[1] {
 			t.Errorf("cancel = %s frees one in work %v, one that waits %v", kind, working, waiting)
 		}
-		run(t, w, 5*evq.Second)
+		run(t, w, 5*eventqueue.Second)
 		if s.holds() != 0 || s.Cancel(list[1]) {
 			t.Errorf("cancel = %s: %d are held after the end", kind, s.holds())
 		}
@@ -214,7 +214,7 @@
 	begin(4200_000, Job{Class: 1, Sidecar: 0}, func(o Outcome) { how["other sidecar"] = o })
 	begin(4500_000, Job{Class: 1, Sidecar: 1}, func(o Outcome) { how["both"] = o })
 	begin(6100_000, Job{}, func(Outcome) { slow = w.Q.Now() })
-	run(t, w, 10*evq.Second)
+	run(t, w, 10*eventqueue.Second)
 	if math.Abs(float64(hung-2100_000)) > 100 || math.Abs(float64(slow-6400_000)) > 100 {
 		t.Errorf("hung until %d, slow until %d", hung, slow)
 	}
@@ -252,8 +252,8 @@
 	if !first.Reset || len(first.Entries) != 2 {
 		t.Fatalf("the whole list is %+v", first)
 	}
-	d.change(1, trace.Draining, 0, evq.Second)
-	run(t, w, 2*evq.Second)
+	d.change(1, trace.Draining, 0, eventqueue.Second)
+	run(t, w, 2*eventqueue.Second)
 	if len(h.updates) != 1 || h.updates[0].Reset || h.updates[0].Entries[0].State != trace.Draining {
 		t.Fatalf("the watch told %+v", h.updates)
 	}
@@ -272,14 +272,14 @@
 	failed := false
 	d.Call(0, 0, false, func(_ Update, ok bool) { failed = !ok })
 	d.change(0, trace.Gone, 0, 0)
-	run(t, w, 4*evq.Second)
+	run(t, w, 4*eventqueue.Second)
 	if h.ended != 1 || !failed || len(h.updates) != 1 {
 		t.Errorf("down: %d watches ended, call failed %v, told %d", h.ended, failed, len(h.updates))
 	}
 	d.setDown(false)
 	var back Update
 	d.Call(0, firstGeneration, false, func(u Update, ok bool) { back = u })
-	run(t, w, 5*evq.Second)
+	run(t, w, 5*eventqueue.Second)
 	if len(back.Entries) != 2 || back.Entries[0].State != trace.Gone {
 		t.Errorf("what was missed is told as %+v", back)
 	}
@@ -292,7 +292,7 @@
 			}
 		})
 	}
-	run(t, w, 9*evq.Second)
+	run(t, w, 9*eventqueue.Second)
 	if slow == 0 || slow > 99 {
 		t.Errorf("%d of 100 calls at once failed", slow)
 	}
@@ -306,7 +306,7 @@
 			h.answer = func(y *Try) { answer(w, y) }
 		}
 		w.Begin()
-		run(t, w, 30*evq.Second)
+		run(t, w, 30*eventqueue.Second)
 		for _, e := range *events {
 			if e.Kind == trace.Asked && !e.Retry {
 				list = append(list, fmt.Sprint(e.At, e.Task, e.Class, e.Work))
@@ -337,7 +337,7 @@
 		w, h, list := world(t, twoServers+"[load]\nrate = 20.0\n[clients]\nretries = 2\nbackoff = \"1ms\"\n")
 		h.answer = func(y *Try) { w.Q.After(1000, func() { w.Answer(y, w.Q.Now(), c.v, 0) }) }
 		w.Begin()
-		run(t, w, 30*evq.Second)
+		run(t, w, 30*eventqueue.Second)
 		tries := map[uint64]int{}
 		class := map[uint64]uint8{}
 		for _, e := range *list {
@@ -360,7 +360,7 @@
 func TestPatienceEnds(t *testing.T) {
 	w, h, list := world(t, twoServers+"[load]\nrate = 20.0\n")
 	w.Begin() // nobody ever answers
-	run(t, w, 30*evq.Second)
+	run(t, w, 30*eventqueue.Second)
 	asked, left := 0, 0
 	for _, e := range *list {
 		asked += btoi(e.Kind == trace.Asked)
@@ -381,7 +381,7 @@
 	var soon, later float64
 	w.Q.At(120_000, func() { soon = s.Report().Inflight })
 	w.Q.At(175_000, func() { later = s.Report().Inflight })
-	run(t, w, evq.Second)
+	run(t, w, eventqueue.Second)
 	if soon != 0 || later != 2 {
 		t.Errorf("20 ms after two requests came the report tells %v, after 75 ms %v", soon, later)
 	}
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -4,14 +4,14 @@
 	"container/heap"
 	"math"
 
-	"birchmoor/internal/lab/evq"
+	"birchmoor/internal/lab/eventqueue"
 	"birchmoor/internal/lab/randstream"
 	"birchmoor/internal/lab/scenario"
 	"birchmoor/internal/lab/trace"
 )
 
 // Micros is an instant since the start of the run, or a duration, in microseconds.
-type Micros = evq.Micros
+type Micros = eventqueue.Micros
 
 // Outcome is how a server ends an attempt.
 type Outcome uint8
@@ -70,10 +70,10 @@
 	clock    float64 // service that each job in work has had, in microseconds at speed 1
 	clockAt  Micros
 	rate     float64 // at which it moves
-	next     *evq.Event
+	next     *eventqueue.Event
 	conns    int
 	held     []int // connections by sidecar
-	warming  *evq.Event
+	warming  *eventqueue.Event
 	overFrom Micros // since when it holds too many; -1 if it does not
 	chokedAt Micros // -1 if not
 	restFrom Micros
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -8,7 +8,7 @@
 	"fmt"
 	"math"
 
-	"birchmoor/internal/lab/evq"
+	"birchmoor/internal/lab/eventqueue"
 	"birchmoor/internal/lab/randstream"
 	"birchmoor/internal/lab/scenario"
 	"birchmoor/internal/lab/trace"
@@ -31,7 +31,7 @@
 
 // World is the whole system but the sidecars.
 type World struct {
-	Q       *evq.Queue
+	Q       *eventqueue.Queue
 	S       *scenario.Scenario
 	Seed    randstream.Seed
 	Servers []*Server
@@ -56,7 +56,7 @@
 	Due     Micros // until when the client waits
 	Patient Micros // how long that is
 	ended   bool
-	timeUp  *evq.Event
+	timeUp  *eventqueue.Event
 
 	Host any // the host's own
 }
@@ -75,7 +75,7 @@
 }
 
 // New makes the world of a scenario and a seed. Nothing runs before Begin.
-func New(q *evq.Queue, s *scenario.Scenario, seed uint64, host Host, sink trace.Sink) *World {
+func New(q *eventqueue.Queue, s *scenario.Scenario, seed uint64, host Host, sink trace.Sink) *World {
 	w := &World{Q: q, S: s, Seed: randstream.Seed(seed), host: host, sink: sink}
 	zones := len(s.Fleet.Zones)
 	for kind := range s.Servers {
@@ -164,7 +164,7 @@
 // gauge reports the servers' state now and then.
 func (w *World) gauge() {
 	now := w.Q.Now()
-	if now > w.origin+w.S.Length.Micros()+2*evq.Second {
+	if now > w.origin+w.S.Length.Micros()+2*eventqueue.Second {
 		return
 	}
 	for _, s := range w.Servers {
@@ -175,7 +175,7 @@
 		w.emit(trace.Event{At: now, Kind: trace.Gauge, Server: int32(s.Number), Held: int32(s.holds()),
 			Queued: int32(len(s.waiting)), Warmth: warmth, Slow: s.Choked()})
 	}
-	w.Q.At(now+evq.Second/4*Micros(1+len(w.Servers)/50), w.gauge)
+	w.Q.At(now+eventqueue.Second/4*Micros(1+len(w.Servers)/50), w.gauge)
 }
 
 // ---- Clients ---------------------------------------------------------------
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"birchmoor/internal/lab/evq"
+	"birchmoor/internal/lab/eventqueue"
 	"birchmoor/internal/lab/figures"
 	"birchmoor/internal/lab/model"
 	"birchmoor/internal/lab/referee"
@@ -46,7 +46,7 @@
 	ctx     context.Context
 	cancel  context.CancelCauseFunc
 	s       *scenario.Scenario
-	q       *evq.Queue
+	q       *eventqueue.Queue
 	w       *model.World
 	sink    trace.Sink
 	bin     string
@@ -97,7 +97,7 @@
 			k.Take(e)
 		}
 	})
-	r.q = evq.Real()
+	r.q = eventqueue.Real()
 	r.w = model.New(r.q, s, o.Seed, r, trace.Func(func(e trace.Event) { r.sink.Take(e) }))
 	defer r.close()
 	if err := r.build(); err != nil {
@@ -210,7 +210,7 @@
 		progress(second, r.asked)
 		second++
 		if r.q.Now()-r.w.Origin() < r.s.Length.Micros() {
-			r.q.After(evq.Second, tick)
+			r.q.After(eventqueue.Second, tick)
 		}
 	}
 	tick()
@@ -269,7 +269,7 @@
 	r.tries[y.ID] = y
 	k := r.clients[y.Task.Sidecar]
 	r.wg.Go(func() { k.ask(y, f) })
-	r.q.After(60*evq.Second, func() { delete(r.tries, y.ID) })
+	r.q.After(60*eventqueue.Second, func() { delete(r.tries, y.ID) })
 }
 
 // GiveUp has a client close its connection.
@@ -399,7 +399,7 @@
 		p.signal(syscall.SIGSTOP)
 	case f.Kind == "freeze" && p != nil:
 		p.signal(syscall.SIGCONT)
-		r.q.After(evq.Second, func() { note(trace.Up) })
+		r.q.After(eventqueue.Second, func() { note(trace.Up) })
 	case f.Kind == "kill" && on && p != nil:
 		note(trace.Gone)
 		p.wanted = true
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -2,7 +2,7 @@
 
 import (
 	"birchmoor/balancer"
-	"birchmoor/internal/lab/evq"
+	"birchmoor/internal/lab/eventqueue"
 	"birchmoor/internal/lab/model"
 	"birchmoor/internal/lab/randstream"
 	"birchmoor/internal/lab/trace"
@@ -46,7 +46,7 @@
 	number int
 	server int
 	sent   Micros
-	timeUp *evq.Event
+	timeUp *eventqueue.Event
 	done   bool
 	went   bool // its first byte is out
 	conn   *conn
@@ -101,14 +101,14 @@
 	if !n.settings.Subscribe {
 		n.Watch(true)
 	}
-	n.h.q.After(Micros(n.draw.Float64()*float64(evq.Second)), func() { n.do(n.sweep) })
+	n.h.q.After(Micros(n.draw.Float64()*float64(eventqueue.Second)), func() { n.do(n.sweep) })
 	if n.h.s.Fleet.Recall == "kept" {
 		n.h.q.After(keepEvery, func() { n.do(n.keepUp) })
 	}
 }
 
 // keepEvery is how often a process keeps what it knows, where something of it outlives a kill.
-const keepEvery = 2 * evq.Second
+const keepEvery = 2 * eventqueue.Second
 
 // keepUp keeps what the process knows, again and again.
 func (n *node) keepUp() {
@@ -133,7 +133,7 @@
 	now := n.now()
 	n.b.Ejections(now, func(id uint32, left Micros) { other.b.PeerEjected(now, id, left) })
 	other.b.Ejections(now, func(id uint32, left Micros) { n.b.PeerEjected(now, id, left) })
-	n.h.q.After(evq.Second/10, func() { n.tell(other) })
+	n.h.q.After(eventqueue.Second/10, func() { n.tell(other) })
 }
 
 func (n *node) now() balancer.Micros { return origin + n.h.q.Now() }
@@ -194,7 +194,7 @@
 		n.b.SetCapacityShare(n.now(), 0.5)
 		next.b.SetCapacityShare(n.now(), 0.5)
 		if n.h.s.Fleet.Recall != "none" {
-			n.h.q.After(evq.Second/10, func() { n.tell(next) })
+			n.h.q.After(eventqueue.Second/10, func() { n.tell(next) })
 		}
 	} else {
 		n.h.w.Disc.Unwatch(n.number)
@@ -569,7 +569,7 @@
 			n.b.UpdateEndpoints(n.now(), balancer.ListFailed, nil)
 			return
 		}
-		n.wait = min(evq.Second, max(openWait, 2*n.wait))
+		n.wait = min(eventqueue.Second, max(openWait, 2*n.wait))
 		n.h.q.After(n.wait/2+Micros(n.draw.Float64()*float64(n.wait)), func() { n.do(func() { n.Watch(true) }) })
 	})
 }
@@ -695,7 +695,7 @@
 			n.idle[server] = append(list[:0], list[cut:]...)
 		}
 	}
-	n.h.q.After(evq.Second, func() { n.do(n.sweep) })
+	n.h.q.After(eventqueue.Second, func() { n.do(n.sweep) })
 }
 
 func (n *node) close(server int, o *conn) {
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"birchmoor/balancer"
-	"birchmoor/internal/lab/evq"
+	"birchmoor/internal/lab/eventqueue"
 	"birchmoor/internal/lab/figures"
 	"birchmoor/internal/lab/model"
 	"birchmoor/internal/lab/randstream"
@@ -22,7 +22,7 @@
 )
 
 // Micros is an instant since the start of the run, or a duration, in microseconds.
-type Micros = evq.Micros
+type Micros = eventqueue.Micros
 
 // Options of a run.
 type Options struct {
@@ -39,16 +39,16 @@
 	m balancer.Module, end func(), err error)
 
 const (
-	origin    = 1_000_000_000_000_000 // the module's clock at the start of the run
-	lag       = 60 * evq.Second       // after the last arrival a run is ended, whatever is open
-	clientTo  = 60                    // from a client to its sidecar, and back
+	origin    = 1_000_000_000_000_000  // the module's clock at the start of the run
+	lag       = 60 * eventqueue.Second // after the last arrival a run is ended, whatever is open
+	clientTo  = 60                     // from a client to its sidecar, and back
 	probeWait = 250 * 1000
 	headBytes = 200
 )
 
 // host carries the world's words to the nodes, and theirs to the world.
 type host struct {
-	q      *evq.Queue
+	q      *eventqueue.Queue
 	s      *scenario.Scenario
 	w      *model.World
 	sink   trace.Sink
@@ -77,7 +77,7 @@
 // Run plays a scenario.
 func Run(ctx context.Context, s *scenario.Scenario, o Options) (*figures.Result, error) {
 	began := time.Now()
-	q := evq.Virtual()
+	q := eventqueue.Virtual()
 	ref, rec := referee.New(referee.From(s, 0)), figures.New(s)
 	h := &host{q: q, s: s, seed: randstream.Seed(o.Seed), links: map[[2]int]*link{}, logs: o.Logs, tap: o.Tap, tapped: o.Tapped, banned: map[int]bool{}}
 	// Who watches the run works beside it: the order of the events is all that they go by.
@@ -105,7 +105,7 @@
 			o.Progress(second, h.asked)
 			second++
 			if q.Now() < s.Length.Micros() {
-				q.After(evq.Second, tick)
+				q.After(eventqueue.Second, tick)
 			}
 		}
 		tick()
@@ -311,7 +311,7 @@
 		n.frozen = now + f.For.Micros()
 		note(trace.Gone)
 	case f.Kind == "freeze" && n != nil:
-		h.q.After(evq.Second, func() { note(trace.Up) })
+		h.q.After(eventqueue.Second, func() { note(trace.Up) })
 	case f.Kind == "kill" && on && n != nil:
 		note(trace.Gone)
 		n.die()
--- a/internal/lab/storesim/storesim.go
+++ b/internal/lab/storesim/storesim.go
@@ -18,7 +18,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"birchmoor/internal/lab/evq"
+	"birchmoor/internal/lab/eventqueue"
 	"birchmoor/internal/store"
 	"birchmoor/internal/store/replica"
 	"birchmoor/internal/store/serverstate"
@@ -95,7 +95,7 @@
 const (
 	milli   = int64(1000)
 	tick    = 10 * milli
-	second  = evq.Second
+	second  = eventqueue.Second
 	mostRun = 40 * second
 
 	mostEvents = 200_000
@@ -103,7 +103,7 @@
 
 type world struct {
 	o       Options
-	q       *evq.Queue
+	q       *eventqueue.Queue
 	rng     *rand.Rand
 	r       Result
 	hosts   []*host
@@ -160,7 +160,7 @@
 // Run plays a seed.
 func Run(seed uint64, o Options) Result {
 	o.fill()
-	w := &world{o: o, q: evq.Virtual(), rng: rand.New(rand.NewPCG(seed, 0x6269726368)), log: map[uint64]uint64{},
+	w := &world{o: o, q: eventqueue.Virtual(), rng: rand.New(rand.NewPCG(seed, 0x6269726368)), log: map[uint64]uint64{},
 		leader: map[uint64]int{}, states: map[uint64]uint64{}, links: map[[2]int]*link{}, sum: xxhash.New(),
 		kinds: map[string]bool{}}
 	w.r.Seed = seed
