--- a/internal/controlplane/leasetask/status.go
+++ b/internal/controlplane/leasetask/status.go
@@ -155,7 +155,7 @@
 	case s.Override.Pause:
 		return "it is paused"
 	case len(s.Queue) == 0:
-		return "no daemon claims it"
+		return "nobody wants it"
 	}
 	return ""
 }
@@ -181,9 +181,9 @@
 		state = fmt.Sprintf("holds it, %d done, the last %v ago", t.completed, idle)
 	case t.cooldownUntil > now:
 		left := time.Duration(t.cooldownUntil - now).Round(time.Second)
-		state = fmt.Sprintf("cools down for another %v", left)
+		state = fmt.Sprintf("is held off for another %v", left)
 	case t.ahead >= 0:
-		state = fmt.Sprintf("waits, %d ahead of it", t.ahead)
+		state = fmt.Sprintf("waits, %d before it", t.ahead)
 	}
 	if t.lastErr != nil {
 		state += ": " + t.lastErr.Error()
--- a/internal/controlplane/rollout/evaluate.go
+++ b/internal/controlplane/rollout/evaluate.go
@@ -78,7 +78,7 @@
 	case elapsedMillis < maxSilentSettles*p.SettleMillis:
 		return Wait, ""
 	}
-	return RollBack, strings.Join(silent, ", ") + " did not report"
+	return RollBack, strings.Join(silent, ", ") + " did not tell how it goes"
 }
 
 // compare reports whether fewer requests are served with the new settings than without, or too few where there are
