--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -152,7 +152,7 @@
 	now := s.w.Q.Now()
 	s.Running, s.Starts, s.Since = true, s.Starts+1, now
 	s.fallen, s.chokedAt, s.overFrom, s.restFrom = false, -1, -1, -1
-	s.Cold = s.draw.Between(s.Spec.ColdFrom[0], s.Spec.ColdFrom[len(s.Spec.ColdFrom)-1])
+	s.Cold = s.draw.Uniform(s.Spec.ColdFrom[0], s.Spec.ColdFrom[len(s.Spec.ColdFrom)-1])
 	s.intake, s.carried = window{}, 0
 	s.reports, s.lastAt = nil, now
 	if longAgo {
@@ -283,7 +283,7 @@
 				bad = 1 - (1-bad)*(1-f.Share)
 			}
 		}
-		if bad > 0 && s.draw.Chance(bad) {
+		if bad > 0 && s.draw.Bernoulli(bad) {
 			how = Bad
 		}
 	}
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -84,7 +84,7 @@
 			spec := &s.Servers[kind]
 			d := w.Seed.Stream("server", uint64(n))
 			sv := &Server{Number: n, Name: fmt.Sprintf("s-%04x", n+1), Kind: kind, Cell: n / 4, Spec: spec, w: w,
-				Slower: 1, Speed: d.Between(spec.Speed[0], spec.Speed[len(spec.Speed)-1]), draw: d,
+				Slower: 1, Speed: d.Uniform(spec.Speed[0], spec.Speed[len(spec.Speed)-1]), draw: d,
 				held: make([]int, s.Fleet.Sidecars), chokedAt: -1, overFrom: -1, restFrom: -1, Zone: n % zones}
 			w.Servers = append(w.Servers, sv)
 		}
@@ -192,13 +192,13 @@
 	var next func()
 	next = func() {
 		for {
-			at += d.Exp(1e6 / rate)
+			at += d.Exponential(1e6 / rate)
 			if at >= float64(length) {
 				w.callers--
 				return
 			}
 			now := Micros(at)
-			if d.Chance(w.S.Load.RateAt(at/float64(length)) * w.S.Factor(now) / most) {
+			if d.Bernoulli(w.S.Load.RateAt(at/float64(length)) * w.S.Factor(now) / most) {
 				n++
 				t := w.task(sidecar, n, now)
 				w.Q.At(w.origin+now, func() {
@@ -240,11 +240,11 @@
 	work := mean
 	switch c.Dist {
 	case "exp":
-		work = d.Exp(mean)
+		work = d.Exponential(mean)
 	case "lognormal":
 		work = d.Lognormal(mean, c.CV)
 	case "pareto":
-		work = d.Pareto(mean)
+		work = d.BoundedPareto(mean)
 	}
 	heavy := d.Float64()
 	for i := range w.S.Faults {
@@ -333,8 +333,8 @@
 		w.open--
 		return
 	}
-	wait := Micros(t.draw.Exp(float64(c.Backoff.Micros())) * math.Pow(2, float64(y.Number)))
-	if heed := t.draw.Chance(c.Honour); heed && retryAfter > 0 {
+	wait := Micros(t.draw.Exponential(float64(c.Backoff.Micros())) * math.Pow(2, float64(y.Number)))
+	if heed := t.draw.Bernoulli(c.Honour); heed && retryAfter > 0 {
 		wait = retryAfter
 	}
 	w.Q.After(wait, func() { w.ask(t, y.Number+1) })
--- a/internal/lab/randstream/stream.go
+++ b/internal/lab/randstream/stream.go
@@ -20,38 +20,38 @@
 
 // Stream returns the stream of this name and these numbers, at its beginning.
 func (s Seed) Stream(name string, numbers ...uint64) Stream {
-	b := make([]byte, 0, 64)
-	b = binary.BigEndian.AppendUint64(b, uint64(s))
-	b = append(b, name...)
+	key := make([]byte, 0, 64)
+	key = binary.BigEndian.AppendUint64(key, uint64(s))
+	key = append(key, name...)
 	for _, n := range numbers {
-		b = binary.BigEndian.AppendUint64(b, n)
+		key = binary.BigEndian.AppendUint64(key, n)
 	}
-	h := xxhash.Sum64(b)
-	return Stream{rand.New(rand.NewPCG(uint64(s)^0x9e3779b97f4a7c15, h))}
+	hash := xxhash.Sum64(key)
+	return Stream{rand.New(rand.NewPCG(uint64(s)^0x9e3779b97f4a7c15, hash))}
 }
 
-// Between draws evenly from lo to hi.
-func (s Stream) Between(lo, hi float64) float64 { return lo + (hi-lo)*s.Float64() }
+// Uniform draws evenly from lo to hi.
+func (s Stream) Uniform(lo, hi float64) float64 { return lo + (hi-lo)*s.Float64() }
 
-// Chance draws true with probability p.
-func (s Stream) Chance(p float64) bool { return s.Float64() < p }
+// Bernoulli draws true with probability p.
+func (s Stream) Bernoulli(p float64) bool { return s.Float64() < p }
 
-// Exp draws from the exponential distribution of this mean.
-func (s Stream) Exp(mean float64) float64 { return mean * s.ExpFloat64() }
+// Exponential draws from the exponential distribution of this mean.
+func (s Stream) Exponential(mean float64) float64 { return mean * s.ExpFloat64() }
 
 // Lognormal draws from the log-normal distribution of this mean and coefficient of variation.
 func (s Stream) Lognormal(mean, cv float64) float64 {
 	if cv <= 0 {
 		return mean
 	}
-	v := math.Log(1 + cv*cv)
-	return mean * math.Exp(s.NormFloat64()*math.Sqrt(v)-v/2)
+	variance := math.Log(1 + cv*cv)
+	return mean * math.Exp(s.NormFloat64()*math.Sqrt(variance)-variance/2)
 }
 
-// Pareto draws from a bounded Pareto distribution of about this mean, with shape 1.5 and a longest value of 100
+// BoundedPareto draws from a bounded Pareto distribution of about this mean, with shape 1.5 and a longest value of 100
 // means: few draws carry much of the sum.
-func (s Stream) Pareto(mean float64) float64 {
-	const shape, most = 1.5, 100
-	least := mean * (shape - 1) / shape
-	return min(most*mean, least/math.Pow(1-s.Float64(), 1/shape))
+func (s Stream) BoundedPareto(mean float64) float64 {
+	const shape, maxMultiple = 1.5, 100
+	minimum := mean * (shape - 1) / shape
+	return min(maxMultiple*mean, minimum/math.Pow(1-s.Float64(), 1/shape))
 }
--- a/internal/lab/randstream/stream_test.go
+++ b/internal/lab/randstream/stream_test.go
@@ -6,7 +6,7 @@
 )
 
 // A stream is told by seed, name and numbers alone: what others draw does not move it.
-func TestStreamsAreTheirOwn(t *testing.T) {
+func TestStreamIsIndependentOfOtherStreams(t *testing.T) {
 	first := Seed(7).Stream("work", 3).Uint64()
 	other := Seed(7).Stream("arrivals", 3)
 	for range 100 {
@@ -26,12 +26,12 @@
 	}
 }
 
-func TestDistributions(t *testing.T) {
+func TestDistributionsHaveRequestedMoments(t *testing.T) {
 	const n = 200_000
 	s := Seed(1).Stream("test")
 	for name, draw := range map[string]func() float64{
-		"exp": func() float64 { return s.Exp(50) }, "lognormal": func() float64 { return s.Lognormal(50, 0.5) },
-		"pareto": func() float64 { return s.Pareto(50) }, "between": func() float64 { return s.Between(20, 80) },
+		"exp": func() float64 { return s.Exponential(50) }, "lognormal": func() float64 { return s.Lognormal(50, 0.5) },
+		"pareto": func() float64 { return s.BoundedPareto(50) }, "between": func() float64 { return s.Uniform(20, 80) },
 		"fixed": func() float64 { return s.Lognormal(50, 0) },
 	} {
 		var sum, squares float64
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -591,7 +591,7 @@
 			more = l.more
 		}
 	}
-	if net := &n.h.s.Net; net.Stalls > 0 && n.draw.Chance(net.Stalls) {
+	if net := &n.h.s.Net; net.Stalls > 0 && n.draw.Bernoulli(net.Stalls) {
 		more += Micros(n.draw.Float64() * float64(net.Stall.Micros()))
 	}
 	j := n.h.s.Net.Jitter
