--- a/internal/lab/chain/virtual.go
+++ b/internal/lab/chain/virtual.go
@@ -69,7 +69,7 @@
 	if err != nil {
 		return nil, err
 	}
-	v := &virtual{o: o, q: eventqueue.Virtual(), x: o.result(o.Servers), leaf: make([]uint64, o.Calls()), sum: make([]int64, o.Depth),
+	v := &virtual{o: o, q: eventqueue.NewVirtual(), x: o.result(o.Servers), leaf: make([]uint64, o.Calls()), sum: make([]int64, o.Depth),
 		fails: randstream.Seed(o.Seed).Stream("leaf")}
 	v.x.By = "virtual time"
 	v.x.Levels = make([]Level, o.Depth)
@@ -174,7 +174,7 @@
 	}
 	a := c.attempts[number]
 	a.done = true
-	n.v.q.Drop(a.timeUp)
+	n.v.q.Cancel(a.timeUp)
 	settled := status == balancer.OK && !c.ended
 	if settled {
 		n.end(id, 200)
--- a/internal/lab/eventqueue/queue.go
+++ b/internal/lab/eventqueue/queue.go
@@ -19,32 +19,32 @@
 
 // Event is something to do at an instant.
 type Event struct {
-	do func() // nil once done or dropped
+	action func() // nil once done or dropped
 }
 
 // Queue holds events. Only the goroutine in Run may use it, but for Post and Now in real time.
 type Queue struct {
-	now    Micros
-	order  uint64
-	events eventHeap
-
-	start  time.Time // real time only
-	posted chan func()
-	late   *hdrhistogram.Histogram
-	worst  Micros
+	now      Micros
+	sequence uint64
+	events   eventHeap
+
+	start       time.Time // real time only
+	posted      chan func()
+	lateness    *hdrhistogram.Histogram
+	maxLateness Micros
 }
 
-// Virtual returns a queue in virtual time, at 0.
-func Virtual() *Queue { return &Queue{} }
+// NewVirtual returns a queue in virtual time, at 0.
+func NewVirtual() *Queue { return &Queue{} }
 
-// Real returns a queue on the machine's clock; 0 is when it is made.
-func Real() *Queue {
+// NewRealTime returns a queue on the machine's clock; 0 is when it is made.
+func NewRealTime() *Queue {
 	return &Queue{start: time.Now(), posted: make(chan func(), 4096),
-		late: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
+		lateness: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
 }
 
-// Start returns the instant of 0 on the machine's clock; it has no meaning in virtual time.
-func (q *Queue) Start() time.Time { return q.start }
+// StartTime returns the instant of 0 on the machine's clock; it has no meaning in virtual time.
+func (q *Queue) StartTime() time.Time { return q.start }
 
 // Now returns the present instant.
 func (q *Queue) Now() Micros {
@@ -55,38 +55,38 @@
 }
 
 // At does something at an instant; one that has passed is now. Events of the same instant run in the order set.
-func (q *Queue) At(at Micros, do func()) *Event {
-	q.order++
+func (q *Queue) At(at Micros, action func()) *Event {
+	q.sequence++
 	if q.posted == nil {
 		at = max(at, q.now)
 	}
-	e := &Event{do: do}
-	q.events.push(entry{at, q.order, e})
+	e := &Event{action: action}
+	q.events.push(entry{at, q.sequence, e})
 	return e
 }
 
 // After does something after a delay.
-func (q *Queue) After(delay Micros, do func()) *Event { return q.At(q.Now()+delay, do) }
+func (q *Queue) After(delay Micros, action func()) *Event { return q.At(q.Now()+delay, action) }
 
-// Drop has an event not happen, if it is still to come. It may be nil. Its place is free once it would have been due.
-func (q *Queue) Drop(e *Event) {
+// Cancel has an event not happen, if it is still to come. It may be nil. Its place is free once it would have been due.
+func (q *Queue) Cancel(e *Event) {
 	if e != nil {
-		e.do = nil
+		e.action = nil
 	}
 }
 
-// next takes the first event out, and says when it was due; nil if it was dropped.
-func (q *Queue) next() (Micros, func()) {
+// pop takes the first event out, and says when it was due; nil if it was dropped.
+func (q *Queue) pop() (Micros, func()) {
 	e := q.events.pop()
-	do := e.event.do
-	e.event.do = nil
+	do := e.event.action
+	e.event.action = nil
 	return e.at, do
 }
 
 // Post has the goroutine in Run do something; real time only. It says no if ctx ended first.
-func (q *Queue) Post(ctx context.Context, do func()) bool {
+func (q *Queue) Post(ctx context.Context, action func()) bool {
 	select {
-	case q.posted <- do:
+	case q.posted <- action:
 		return true
 	case <-ctx.Done():
 		return false
@@ -96,13 +96,13 @@
 // Run handles events until ctx ends, done says so, or, in virtual time, none is left.
 func (q *Queue) Run(ctx context.Context, done func() bool) error {
 	if q.posted != nil {
-		return q.runReal(ctx, done)
+		return q.runRealTime(ctx, done)
 	}
 	for n := 0; len(q.events) > 0 && !done(); n++ {
 		if n%4096 == 0 && ctx.Err() != nil {
 			return context.Cause(ctx)
 		}
-		at, do := q.next()
+		at, do := q.pop()
 		if do != nil {
 			q.now = at
 			do()
@@ -111,19 +111,19 @@
 	return nil
 }
 
-func (q *Queue) runReal(ctx context.Context, done func() bool) error {
+func (q *Queue) runRealTime(ctx context.Context, done func() bool) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for !done() {
 		now := q.Now()
 		for len(q.events) > 0 && q.events[0].at <= now {
-			at, do := q.next()
+			at, do := q.pop()
 			if do == nil {
 				continue
 			}
-			by := now - at
-			q.late.RecordValue(max(1, by))
-			q.worst = max(q.worst, by)
+			lateness := now - at
+			q.lateness.RecordValue(max(1, lateness))
+			q.maxLateness = max(q.maxLateness, lateness)
 			do()
 		}
 		wait := time.Hour
@@ -144,20 +144,20 @@
 
 // Lateness tells by how much events were handled late: the 99.9th percentile, and the worst. Zero in virtual time.
 func (q *Queue) Lateness() (p999, worst Micros) {
-	if q.late == nil {
+	if q.lateness == nil {
 		return 0, 0
 	}
-	return q.late.ValueAtQuantile(99.9), q.worst
+	return q.lateness.ValueAtQuantile(99.9), q.maxLateness
 }
 
 // entry is an event in the heap, with what it is ordered by beside it: a run's heap is larger than the caches.
 type entry struct {
-	at    Micros
-	order uint64
-	event *Event
+	at       Micros
+	sequence uint64
+	event    *Event
 }
 
-func (a *entry) before(b *entry) bool { return a.at < b.at || a.at == b.at && a.order < b.order }
+func (a *entry) before(b *entry) bool { return a.at < b.at || a.at == b.at && a.sequence < b.sequence }
 
 // eventHeap is a heap of four children a node.
 type eventHeap []entry
@@ -167,12 +167,12 @@
 	s := *h
 	i := len(s) - 1
 	for i > 0 {
-		up := (i - 1) / 4
-		if !e.before(&s[up]) {
+		parent := (i - 1) / 4
+		if !e.before(&s[parent]) {
 			break
 		}
-		s[i] = s[up]
-		i = up
+		s[i] = s[parent]
+		i = parent
 	}
 	s[i] = e
 }
@@ -188,20 +188,20 @@
 	}
 	i := 0
 	for {
-		least := 4*i + 1
-		if least >= len(s) {
+		child := 4*i + 1
+		if child >= len(s) {
 			break
 		}
-		for c := least + 1; c < min(4*i+5, len(s)); c++ {
-			if s[c].before(&s[least]) {
-				least = c
+		for c := child + 1; c < min(4*i+5, len(s)); c++ {
+			if s[c].before(&s[child]) {
+				child = c
 			}
 		}
-		if !s[least].before(&last) {
+		if !s[child].before(&last) {
 			break
 		}
-		s[i] = s[least]
-		i = least
+		s[i] = s[child]
+		i = child
 	}
 	s[i] = last
 	return top
--- a/internal/lab/eventqueue/queue_test.go
+++ b/internal/lab/eventqueue/queue_test.go
@@ -12,9 +12,9 @@
 )
 
 // Events happen in the order of their instants, those of one instant in the order set, dropped ones never.
-func TestOrder(t *testing.T) {
+func TestRunHandlesEventsInOrderAndSkipsCanceledOnes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		q := Virtual()
+		q := NewVirtual()
 		type due struct {
 			at Micros
 			n  int
@@ -30,8 +30,8 @@
 				got = append(got, n)
 			})
 			if rapid.IntRange(0, 3).Draw(t, "drop") == 0 {
-				q.Drop(e)
-				q.Drop(e)
+				q.Cancel(e)
+				q.Cancel(e)
 			} else {
 				want = append(want, due{at, n})
 			}
@@ -51,8 +51,8 @@
 	})
 }
 
-func TestEventsSetEvents(t *testing.T) {
-	q := Virtual()
+func TestEventsScheduleFurtherEvents(t *testing.T) {
+	q := NewVirtual()
 	var at []Micros
 	var again func()
 	again = func() {
@@ -62,15 +62,15 @@
 		}
 	}
 	q.After(5, again)
-	q.Drop(nil)
+	q.Cancel(nil)
 	if err := q.Run(context.Background(), func() bool { return false }); err != nil || len(at) != 3 || at[2] != 25 {
 		t.Errorf("happened at %v, %v", at, err)
 	}
 }
 
-func TestRealTime(t *testing.T) {
+func TestRealTimeQueueMeasuresLatenessAndTakesPostedActions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := Real()
+		q := NewRealTime()
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		posted := false
--- a/internal/lab/limitsim/limitsim.go
+++ b/internal/lab/limitsim/limitsim.go
@@ -113,7 +113,7 @@
 	if o.Calm {
 		o.Faults = 0
 	}
-	w := &world{o: o, q: eventqueue.Virtual(), rng: rand.New(rand.NewPCG(seed, 0x6c696d697473)), kinds: map[string]bool{}, timers: map[uint64]int64{},
+	w := &world{o: o, q: eventqueue.NewVirtual(), rng: rand.New(rand.NewPCG(seed, 0x6c696d697473)), kinds: map[string]bool{}, timers: map[uint64]int64{},
 		judges: map[string]*judge{}, open: map[string]int64{}, pace: 1}
 	w.r.Seed = seed
 	// In half of all runs clocks run at one rate, so that a little over the limit shows; in the others up to a tenth fast or slow.
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	h, list := &nobody{}, &[]trace.Event{}
-	w := New(eventqueue.Virtual(), s, 1, h, h.take(list))
+	w := New(eventqueue.NewVirtual(), s, 1, h, h.take(list))
 	w.Prepare()
 	return w, h, list
 }
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -166,7 +166,7 @@
 }
 
 func (s *Server) warm() {
-	s.w.Q.Drop(s.warming)
+	s.w.Q.Cancel(s.warming)
 	s.warming = nil
 	if s.Running && s.isCold(s.w.Q.Now()) {
 		s.warming = s.w.Q.After(warmStep, func() { s.retime(); s.warm() })
@@ -203,8 +203,8 @@
 		s.held[i] = 0
 	}
 	s.conns = 0
-	s.w.Q.Drop(s.next)
-	s.w.Q.Drop(s.warming)
+	s.w.Q.Cancel(s.next)
+	s.w.Q.Cancel(s.warming)
 	s.next, s.warming = nil, nil
 	s.w.host.ServerStopped(s.Number)
 }
@@ -248,7 +248,7 @@
 	s.advance()
 	now := s.w.Q.Now()
 	s.rate = s.speedNow(now)
-	s.w.Q.Drop(s.next)
+	s.w.Q.Cancel(s.next)
 	s.next = nil
 	if s.rate > 0 {
 		wait := math.Ceil(max(0, s.working[0].until-s.clock) / s.rate)
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -303,7 +303,7 @@
 		return
 	}
 	y.ended = true
-	w.Q.Drop(y.timeUp)
+	w.Q.Cancel(y.timeUp)
 	w.emit(trace.Event{At: at, Kind: trace.Answered, Request: y.ID, Verdict: v})
 	w.again(y, v, retryAfter)
 }
@@ -315,7 +315,7 @@
 		return
 	}
 	y.ended = true
-	w.Q.Drop(y.timeUp)
+	w.Q.Cancel(y.timeUp)
 	if unheard {
 		w.emit(trace.Event{At: at, Kind: trace.Left, Request: y.ID, Note: "unheard"})
 		w.again(y, trace.Refused, 0)
--- a/internal/lab/rig/discovery.go
+++ b/internal/lab/rig/discovery.go
@@ -47,7 +47,7 @@
 			x.Lifecycle = "removed"
 		}
 		if e.Started > 0 {
-			x.StartedMs = r.q.Start().Add(time.Duration(e.Started) * time.Microsecond).UnixMilli()
+			x.StartedMs = r.q.StartTime().Add(time.Duration(e.Started) * time.Microsecond).UnixMilli()
 		}
 		l.Instances = append(l.Instances, x)
 	}
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -97,7 +97,7 @@
 			k.Take(e)
 		}
 	})
-	r.q = eventqueue.Real()
+	r.q = eventqueue.NewRealTime()
 	r.w = model.New(r.q, s, o.Seed, r, trace.Func(func(e trace.Event) { r.sink.Take(e) }))
 	defer r.close()
 	if err := r.build(); err != nil {
@@ -250,7 +250,7 @@
 func (r *rig) post(do func()) { r.q.Post(r.ctx, do) }
 
 // at tells an instant of the machine's clock as the queue does.
-func (r *rig) at(t time.Time) int64 { return t.Sub(r.q.Start()).Microseconds() }
+func (r *rig) at(t time.Time) int64 { return t.Sub(r.q.StartTime()).Microseconds() }
 
 // spoil voids the run: the lab itself went wrong.
 func (r *rig) spoil(format string, args ...any) {
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -420,7 +420,7 @@
 		return
 	}
 	a.done = true
-	n.h.q.Drop(a.timeUp)
+	n.h.q.Cancel(a.timeUp)
 	c := a.call
 	c.out--
 	if o := a.conn; o != nil {
@@ -488,7 +488,7 @@
 	wait := n.h.q.After(probeWait, func() { end(balancer.Timeout, nil) })
 	n.connect(server, sent, func(o *conn, status balancer.Status) {
 		if o == nil {
-			n.h.q.Drop(wait)
+			n.h.q.Cancel(wait)
 			end(status, nil)
 			return
 		}
@@ -502,7 +502,7 @@
 				load := n.report(s)
 				n.travel(server, func(lost bool) {
 					if !lost {
-						n.h.q.Drop(wait)
+						n.h.q.Cancel(wait)
 						n.keepIdle(o)
 						end(balancer.OK, load)
 					}
@@ -650,7 +650,7 @@
 				return
 			}
 			over = true
-			n.h.q.Drop(limit)
+			n.h.q.Cancel(limit)
 			n.do(func() {
 				if o == nil {
 					got(nil, balancer.ConnectFailed)
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -77,7 +77,7 @@
 // Run plays a scenario.
 func Run(ctx context.Context, s *scenario.Scenario, o Options) (*figures.Result, error) {
 	began := time.Now()
-	q := eventqueue.Virtual()
+	q := eventqueue.NewVirtual()
 	ref, rec := referee.New(referee.From(s, 0)), figures.New(s)
 	h := &host{q: q, s: s, seed: randstream.Seed(o.Seed), links: map[[2]int]*link{}, logs: o.Logs, tap: o.Tap, tapped: o.Tapped, banned: map[int]bool{}}
 	// Who watches the run works beside it: the order of the events is all that they go by.
--- a/internal/lab/storesim/storesim.go
+++ b/internal/lab/storesim/storesim.go
@@ -160,7 +160,7 @@
 // Run plays a seed.
 func Run(seed uint64, o Options) Result {
 	o.fill()
-	w := &world{o: o, q: eventqueue.Virtual(), rng: rand.New(rand.NewPCG(seed, 0x6269726368)), log: map[uint64]uint64{},
+	w := &world{o: o, q: eventqueue.NewVirtual(), rng: rand.New(rand.NewPCG(seed, 0x6269726368)), log: map[uint64]uint64{},
 		leader: map[uint64]int{}, states: map[uint64]uint64{}, links: map[[2]int]*link{}, sum: xxhash.New(),
 		kinds: map[string]bool{}}
 	w.r.Seed = seed
