--- a/internal/lab/procfs/procfs.go
+++ b/internal/lab/procfs/procfs.go
@@ -1,4 +1,5 @@
-// Package procfs reads what the kernel tells of a process of the lab's. All of it is 0 where the process is over. Any goroutine may ask.
+// Package procfs reads a process's use of processor time and memory from the kernel. All figures are 0 once the
+// process has ended. Its functions may be called from any goroutine; it imports only the standard library.
 package procfs
 
 import (
@@ -9,25 +10,30 @@
 	"time"
 )
 
-const tick = 10 * time.Millisecond // of the kernel's accounts of processor time
+const (
+	clockTick   = 10 * time.Millisecond // unit of processor time in /proc
+	userField   = 11                    // of /proc/PID/stat, counted from the state
+	systemField = 12
+	kBytesPerMB = 1024
+)
 
-// CPU is the processor time that a process has had, its own and the system's for it, to 10 ms.
+// CPU returns the processor time, user and system, that a process has used, in units of 10 ms.
 func CPU(pid int) time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
 	}
 	_, rest, _ := strings.Cut(string(text), ") ")
-	f := strings.Fields(rest)
-	if len(f) < 13 {
+	fields := strings.Fields(rest)
+	if len(fields) <= systemField {
 		return 0
 	}
-	user, _ := strconv.Atoi(f[11])
-	system, _ := strconv.Atoi(f[12])
-	return time.Duration(user+system) * tick
+	user, _ := strconv.Atoi(fields[userField])
+	system, _ := strconv.Atoi(fields[systemField])
+	return time.Duration(user+system) * clockTick
 }
 
-// MB is a figure of a process's memory in MB, by its name in the kernel's status, such as VmRSS or VmHWM.
+// MB returns a figure of a process's memory in MB by its name in /proc/PID/status, such as VmRSS or VmHWM.
 func MB(pid int, name string) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -36,5 +42,5 @@
 	_, rest, _ := strings.Cut(string(text), name+":")
 	kb, _, _ := strings.Cut(strings.TrimSpace(rest), " ")
 	n, _ := strconv.ParseFloat(kb, 64)
-	return n / 1024
+	return n / kBytesPerMB
 }
--- a/internal/lab/stats/stats.go
+++ b/internal/lab/stats/stats.go
@@ -1,4 +1,5 @@
-// Package stats says whether two series of figures differ, from pairs measured under the same seed.
+// Package stats decides whether two series of figures differ, from pairs that were measured with the same seed. It
+// imports only the standard library.
 package stats
 
 import (
@@ -7,7 +8,7 @@
 	"slices"
 )
 
-// Difference is B less A over pairs: its mean, and the bootstrap interval in which it lies with 95%.
+// Difference is the difference B-A over pairs of figures: its mean and its 95% confidence interval.
 type Difference struct {
 	A    float64 `json:"a"` // mean
 	B    float64 `json:"b"`
@@ -15,16 +16,19 @@
 	Low  float64 `json:"low"`
 	High float64 `json:"high"`
 	N    int     `json:"pairs"`
-	Told bool    `json:"told_apart"` // the interval does not hold 0, and there are pairs enough to say so
+	Told bool    `json:"told_apart"` // significant: there are enough pairs, and the interval does not contain 0
 }
 
 const (
-	draws      = 4000
-	pairsLeast = 4 // under these an interval says nothing
+	resamples     = 4000
+	minPairs      = 4          // with fewer an interval means nothing
+	lowerQuantile = 0.025      // of a 95% interval
+	upperQuantile = 0.975      // of a 95% interval
+	seed          = 0x626f6f74 // the same pairs always give the same interval
 )
 
-// Compare compares pairs by the percentile bootstrap of the mean of their differences (Efron and Tibshirani, An
-// Introduction to the Bootstrap, 1993, chapter 13). The same pairs always give the same interval.
+// Compare compares a[i] with b[i] by the percentile bootstrap of the mean difference (Efron and Tibshirani, An
+// Introduction to the Bootstrap, 1993, chapter 13). It is deterministic.
 func Compare(a, b []float64) Difference {
 	n := min(len(a), len(b))
 	d := Difference{N: n}
@@ -38,8 +42,8 @@
 		d.B += b[i] / float64(n)
 		d.Mean += diffs[i] / float64(n)
 	}
-	rng := rand.New(rand.NewPCG(uint64(n), 0x626f6f74))
-	means := make([]float64, draws)
+	rng := rand.New(rand.NewPCG(uint64(n), seed))
+	means := make([]float64, resamples)
 	for i := range means {
 		var sum float64
 		for range n {
@@ -48,8 +52,8 @@
 		means[i] = sum / float64(n)
 	}
 	slices.Sort(means)
-	d.Low = means[int(0.025*draws)]
-	d.High = means[int(math.Ceil(0.975*draws))-1]
-	d.Told = n >= pairsLeast && (d.Low > 0 || d.High < 0)
+	d.Low = means[int(lowerQuantile*resamples)]
+	d.High = means[int(math.Ceil(upperQuantile*resamples))-1]
+	d.Told = n >= minPairs && (d.Low > 0 || d.High < 0)
 	return d
 }
--- a/internal/lab/stats/stats_test.go
+++ b/internal/lab/stats/stats_test.go
@@ -15,7 +15,7 @@
 	return a, b
 }
 
-func TestTellsApart(t *testing.T) {
+func TestCompareFindsSignificantDifferences(t *testing.T) {
 	if d := Compare(series(20, 0.1, 0.02, 1)); !d.Told || d.Low > 0.1 || d.High < 0.1 {
 		t.Errorf("a difference of 0.1 is not told: %+v", d)
 	}
