--- a/cmd/birchmoor/daemon.go
+++ b/cmd/birchmoor/daemon.go
@@ -59,8 +59,8 @@
 // processFaults are the faults that task torture injects into this process; only the program of tests sets them.
 var processFaults tasklab.Inside
 
-// openControlPlane starts the daemon's components, with a replica or a follower of the store and the daemon's socket. stop
-// ends them.
+// openControlPlane starts the daemon's components, with a replica or a follower of the store and the daemon's
+// socket. stop ends them.
 func openControlPlane(
 	f *operatorconfig.File, hasSidecar bool, reload chan os.Signal, log *slog.Logger,
 ) (services *fleetServices, stop func(), err error) {
--- a/cmd/birchmoor/dnsfront.go
+++ b/cmd/birchmoor/dnsfront.go
@@ -89,7 +89,8 @@
 	return class
 }
 
-// parseOperations sets the opcodes. Queries are idempotent and the other operations are not, so a class has one kind alone.
+// parseOperations sets the opcodes. Queries are idempotent and the other operations are not, so a class has one
+// kind alone.
 func (p *dnsClassParser) parseOperations(c *operatorconfig.DNSClass, class *dnsfront.Class) {
 	queries := 0
 	for _, name := range c.Operations {
--- a/cmd/birchmoor/dnsquery.go
+++ b/cmd/birchmoor/dnsquery.go
@@ -88,7 +88,8 @@
 	return nil
 }
 
-// exchange sends the query, over TCP if the answer over UDP is truncated, and returns the transport that it used last.
+// exchange sends the query, over TCP if the answer over UDP is truncated, and returns the transport that it used
+// last.
 func (k *dnsQueryCommand) exchange(ctx context.Context, recordType uint16) (r *dns.Msg, network string, err error) {
 	m := new(dns.Msg).SetQuestion(dns.Fqdn(k.Name), recordType)
 	m.SetEdns0(maxUDPAnswerBytes, k.DNSSEC)
--- a/cmd/birchmoor/keeper.go
+++ b/cmd/birchmoor/keeper.go
@@ -14,8 +14,8 @@
 // deadlineFD is the descriptor by which lock hands its keeper the deadlines of the command.
 const deadlineFD = 3
 
-// keeperCommand is the process that lock runs around its command: it ends the command in time even while lock itself is
-// stopped, and does not outlive lock.
+// keeperCommand is the process that lock runs around its command: it ends the command in time even while lock
+// itself is stopped, and does not outlive lock.
 type keeperCommand struct {
 	GracePeriod time.Duration `name:"grace" required:""`
 	KillMargin  time.Duration `name:"early" required:""`
--- a/cmd/birchmoor/labcapture.go
+++ b/cmd/birchmoor/labcapture.go
@@ -19,7 +19,8 @@
 	captureMaxFileBytes  = 64 << 20
 )
 
-// simTap records the processes of one simulated sidecar, each in files of its own, since each has a module of its own.
+// simTap records the processes of one simulated sidecar, each in files of its own, since each has a module of its
+// own.
 func simTap(dir string, s *scenario.Scenario, sidecar int) sim.Tap {
 	return func(
 		start int, out balancer.Actions, begin func(balancer.Actions) (*balancer.Balancer, error),
--- a/cmd/birchmoor/labcompare.go
+++ b/cmd/birchmoor/labcompare.go
@@ -186,7 +186,8 @@
 	return sides, host, nil
 }
 
-// scenarios are those to run for A or B at path: itself, or those of --scenario, with path as overlay if it holds settings.
+// scenarios are those to run for A or B at path: itself, or those of --scenario, with path as overlay if it holds
+// settings.
 func (k *compareCommand) scenarios(path, kind, host string) (all []*scenario.Scenario, err error) {
 	files := k.Scenario
 	if kind == ".toml" {
--- a/cmd/birchmoor/labdns.go
+++ b/cmd/birchmoor/labdns.go
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// runAll runs each scenario with each seed through each party, and prints a line for each run unless standard output is for
-// JSON.
+// runAll runs each scenario with each seed through each party, and prints a line for each run unless standard
+// output is for JSON.
 func (k *labDNSCommand) runAll(
 	ctx context.Context, c *console, scenarios []*dnslab.Scenario,
 ) (results []*dnslab.Result, err error) {
--- a/cmd/birchmoor/labsweep.go
+++ b/cmd/birchmoor/labsweep.go
@@ -175,8 +175,8 @@
 	j.result, j.err = sim.Run(ctx, s, sim.Options{Seed: j.seed})
 }
 
-// runAll runs all seeds of all rows, several at once, and adds their results to the rows. It reports whether a run broke a
-// rule or missed a figure.
+// runAll runs all seeds of all rows, several at once, and adds their results to the rows. It reports whether a run
+// broke a rule or missed a figure.
 func (k *sweepCommand) runAll(ctx context.Context, c *console, rows []*sweepRow) (failed bool, err error) {
 	var jobs []*sweepJob
 	for _, row := range rows {
@@ -288,8 +288,8 @@
 	return nil
 }
 
-// printGrowth prints the power of the number of sidecars with which a figure grows, from the smallest number of them to the
-// largest, and the same for servers.
+// printGrowth prints the power of the number of sidecars with which a figure grows, from the smallest number of
+// them to the largest, and the same for servers.
 func printGrowth(c *console, rows []*sweepRow) error {
 	rowOf := func(sidecars, servers int) *sweepRow {
 		for _, r := range rows {
--- a/cmd/birchmoor/limittorture.go
+++ b/cmd/birchmoor/limittorture.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"os"
 	"text/tabwriter"
@@ -39,40 +38,52 @@
 		return err
 	}
 	if k.Defect != 0 && !isDefectBuild {
-		return errors.New("--plant: this program was not built with -tags planted")
+		return errNoDefectBuild
+	}
+	t := limitlab.Torture{
+		Program:  self,
+		Dir:      k.Dir,
+		Replicas: k.Replicas,
+		Follow:   k.Followers,
+		For:      k.Duration,
+		Every:    k.FaultInterval,
+		Seed:     k.Seed,
+		Say:      func(s string) { fmt.Fprintln(c.err, s) },
 	}
-	t := limitlab.Torture{Program: self, Dir: k.Dir, Replicas: k.Replicas, Follow: k.Followers, For: k.Duration, Every: k.FaultInterval, Seed: k.Seed,
-		Say: func(s string) { fmt.Fprintln(c.err, s) }}
 	if k.Defect != 0 {
 		t.Env = []string{fmt.Sprintf("%s=%d", tasklab.LimitEnv, k.Defect)}
 	}
 	if k.Schedule != "" {
-		b, err := os.ReadFile(k.Schedule)
-		if err == nil {
-			err = json.Unmarshal(b, &t.Play)
-		}
-		if err != nil {
-			return fmt.Errorf("%s: %w", k.Schedule, err)
+		if err := readJSON(k.Schedule, &t.Play); err != nil {
+			return err
 		}
 	}
 	r, err := t.Run(ctx)
-	if r != nil && k.JSON {
-		if bad := json.NewEncoder(c.out).Encode(r); bad != nil {
-			return bad
-		}
-	} else if r != nil {
-		w := tabwriter.NewWriter(c.out, 0, 4, 2, ' ', 0)
-		fmt.Fprintln(w, "LIMIT\tPART\tSEEN\tMOST IN WINDOW\tBOUND\tNEAR")
-		for _, s := range r.Seen {
-			fmt.Fprintf(w, "%s\t%s\t%d\t%.0f\t%.1f\t%.2f\n", s.Limit, partName(s.Part), s.Count, s.Most, s.Bound, s.Near)
+	if r != nil { // what there is of it, also after an error
+		if err := k.print(c, r); err != nil {
+			return err
 		}
-		if bad := w.Flush(); bad != nil {
-			return bad
-		}
-		fmt.Fprintf(c.out, "%d requests, %d refused (%d without a time), blows %v; %.2f of the rate used once calm; broken: %q\n", r.Requests, r.Refused, r.NoTime, r.Blows, r.Use, r.Broken)
 	}
 	if err == nil && len(r.Broken) > 0 {
 		return errRunFailed
 	}
 	return err
 }
+
+// print prints the result as JSON or for people.
+func (k *limitTorture) print(c *console, r *limitlab.Tortured) error {
+	if k.JSON {
+		return json.NewEncoder(c.out).Encode(r)
+	}
+	w := tabwriter.NewWriter(c.out, 0, 4, 2, ' ', 0)
+	fmt.Fprintln(w, "LIMIT\tPART\tSEEN\tMOST IN WINDOW\tBOUND\tNEAR")
+	for _, s := range r.Seen {
+		fmt.Fprintf(w, "%s\t%s\t%d\t%.0f\t%.1f\t%.2f\n", s.Limit, partName(s.Part), s.Count, s.Most, s.Bound, s.Near)
+	}
+	if err := w.Flush(); err != nil {
+		return err
+	}
+	fmt.Fprintf(c.out, "%d requests, %d refused (%d without a time), blows %v; %.2f of the rate used once calm; broken: %q\n",
+		r.Requests, r.Refused, r.NoTime, r.Blows, r.Use, r.Broken)
+	return nil
+}
--- a/cmd/birchmoor/seeds.go
+++ b/cmd/birchmoor/seeds.go
@@ -7,8 +7,8 @@
 	"sync"
 )
 
-// seedResults runs seeds side by side, as many at once as there are CPUs, and yields their results in the order of the
-// seeds. It ends early when ctx does, and waits for the runs that it has started.
+// seedResults runs seeds side by side, as many at once as there are CPUs, and yields their results in the order of
+// the seeds. It ends early when ctx does, and waits for the runs that it has started.
 func seedResults[R any](ctx context.Context, first uint64, seeds int, run func(seed uint64) R) iter.Seq[R] {
 	return func(yield func(R) bool) {
 		ctx, cancel := context.WithCancel(ctx)
--- a/cmd/birchmoor/sidecar.go
+++ b/cmd/birchmoor/sidecar.go
@@ -160,8 +160,8 @@
 	return tap, end, nil
 }
 
-// answerCounts returns how a sidecar's clients were answered, by the metrics at its management address: served, or not, which
-// is rejected and failed together.
+// answerCounts returns how a sidecar's clients were answered, by the metrics at its management address: served, or
+// not, which is rejected and failed together.
 func answerCounts(address string) (served, notServed uint64, err error) {
 	c, err := net.DialTimeout("tcp", address, statsTimeout)
 	if err != nil {
--- a/cmd/birchmoor/storebench.go
+++ b/cmd/birchmoor/storebench.go
@@ -22,8 +22,15 @@
 }
 
 func (k *storeBench) Run(ctx context.Context, c *console) error {
-	r, err := storebench.Run(ctx, storebench.Options{Dir: k.Dir, For: k.Duration, Writers: k.Writers, Bytes: k.Bytes, CatchUp: k.CatchUp,
-		Million: k.Million, Say: func(s string) { fmt.Fprintln(c.err, "measuring:", s) }})
+	r, err := storebench.Run(ctx, storebench.Options{
+		Dir:     k.Dir,
+		For:     k.Duration,
+		Writers: k.Writers,
+		Bytes:   k.Bytes,
+		CatchUp: k.CatchUp,
+		Million: k.Million,
+		Say:     func(s string) { fmt.Fprintln(c.err, "measuring:", s) },
+	})
 	if err != nil {
 		return err
 	}
@@ -61,8 +68,16 @@
 	if err != nil {
 		return err
 	}
-	t := storebench.Torture{Program: self, Args: []string{"run", "--config"}, Dir: k.Dir, For: k.Duration, Every: k.KillInterval, Writers: k.Writers,
-		Seed: k.Seed, Say: func(s string) { fmt.Fprintln(c.err, s) }}
+	t := storebench.Torture{
+		Program: self,
+		Args:    []string{"run", "--config"},
+		Dir:     k.Dir,
+		For:     k.Duration,
+		Every:   k.KillInterval,
+		Writers: k.Writers,
+		Seed:    k.Seed,
+		Say:     func(s string) { fmt.Fprintln(c.err, s) },
+	}
 	r, err := t.Run(ctx)
 	if err != nil {
 		return err
@@ -72,8 +87,8 @@
 			return err
 		}
 	} else {
-		fmt.Fprintf(c.out, "%d kills, %d times all at once, %d cuts; %d writes answered, %d sent again, %d reads; lost: %q\n", r.Kills, r.All, r.Cuts, r.Writes,
-			r.Unknown, r.Reads, r.Lost)
+		fmt.Fprintf(c.out, "%d kills, %d times all at once, %d cuts; %d writes answered, %d sent again, %d reads; lost: %q\n",
+			r.Kills, r.All, r.Cuts, r.Writes, r.Unknown, r.Reads, r.Lost)
 	}
 	if len(r.Lost) > 0 {
 		return errRunFailed
--- a/cmd/birchmoor/storeclient.go
+++ b/cmd/birchmoor/storeclient.go
@@ -30,8 +30,8 @@
 	waitNoticeDelay = time.Second
 )
 
-// call runs f with a client of the daemon and the timeout that was given. When it takes long, it says on standard error that it
-// waits.
+// call runs f with a client of the daemon and the timeout that was given. When it takes long, it says on standard
+// error that it waits.
 func (s *clientFlags) call(ctx context.Context, c *console, f func(context.Context, *adminapi.Client) error) error {
 	if s.Timeout < minTimeout || s.Timeout > maxTimeout {
 		return fmt.Errorf("--timeout: %v is not within %v and %v", s.Timeout, minTimeout, maxTimeout)
@@ -54,8 +54,8 @@
 	Request string `json:"request,omitempty"`
 }
 
-// changeFailed adds to err what it means for a change: that nothing was changed, or that the outcome is unknown. request, if not
-// empty, is the request's id, by which the change may be retried.
+// changeFailed adds to err what it means for a change: that nothing was changed, or that the outcome is unknown.
+// request, if not empty, is the request's id, by which the change may be retried.
 func (s *clientFlags) changeFailed(ctx context.Context, c *console, err error, request string) error {
 	failure := changeFailure{Error: err.Error(), Outcome: "unchanged"}
 	if outcomeUnknown(ctx, err) {
@@ -76,8 +76,8 @@
 	return err
 }
 
-// outcomeUnknown reports whether a change may have been made: the daemon proposed it and got no outcome, or did not answer in
-// time.
+// outcomeUnknown reports whether a change may have been made: the daemon proposed it and got no outcome, or did not
+// answer in time.
 func outcomeUnknown(ctx context.Context, err error) bool {
 	var response *admin.ResponseError
 	if errors.As(err, &response) {
--- a/cmd/birchmoor/storefleet.go
+++ b/cmd/birchmoor/storefleet.go
@@ -4,6 +4,7 @@
 	"context"
 	"encoding/json"
 	"fmt"
+	"io"
 	"os"
 	"text/tabwriter"
 	"time"
@@ -32,10 +33,19 @@
 		return nil, err
 	}
 	if k.Replicas < 1 || k.Replicas > 9 || k.Followers < 0 || k.Followers > 400 || k.Servers < 2 || k.Servers > 1000 {
-		return nil, fmt.Errorf("1 to 9 replicas, up to 400 followers, 2 to 1000 servers: not %d, %d, %d", k.Replicas, k.Followers, k.Servers)
-	}
-	return fleetlab.Begin(ctx, fleetlab.Config{Program: self, Args: []string{"run", "--config"}, Dir: k.Dir, Replicas: k.Replicas,
-		Follow: k.Followers, Servers: k.Servers, Starts: true, Seed: k.Seed})
+		return nil, fmt.Errorf("1 to 9 replicas, up to 400 followers, 2 to 1000 servers: not %d, %d, %d",
+			k.Replicas, k.Followers, k.Servers)
+	}
+	return fleetlab.Begin(ctx, fleetlab.Config{
+		Program:  self,
+		Args:     []string{"run", "--config"},
+		Dir:      k.Dir,
+		Replicas: k.Replicas,
+		Follow:   k.Followers,
+		Servers:  k.Servers,
+		Starts:   true,
+		Seed:     k.Seed,
+	})
 }
 
 type fleetTorture struct {
@@ -61,7 +71,13 @@
 	defer f.End()
 	load, stop := context.WithCancel(ctx)
 	clients := f.Load(load, k.Conns, k.Pause)
-	t := fleetlab.Torture{Fleet: f, For: k.Duration, Every: k.FaultInterval, Seed: k.Seed, Say: func(s string) { fmt.Fprintln(c.err, s) }}
+	t := fleetlab.Torture{
+		Fleet: f,
+		For:   k.Duration,
+		Every: k.FaultInterval,
+		Seed:  k.Seed,
+		Say:   func(s string) { fmt.Fprintln(c.err, s) },
+	}
 	r, err := t.Run(ctx)
 	stop()
 	clients.Wait()
@@ -73,10 +89,10 @@
 			return err
 		}
 	} else {
-		fmt.Fprintf(c.out, "%d drains (%d of them undisturbed), %d starts, %d kills, %d times all at once, %d cuts, %d requests\n", r.Drains, r.Judged,
-			r.Starts, r.Kills, r.All, r.Cuts, r.Requests)
-		fmt.Fprintf(c.out, "from daemons that knew %d, late %d, never told %d; the last of an undisturbed one came %.0f ms after the word\n", r.Stale, r.Late,
-			r.Never, r.WorstMs)
+		fmt.Fprintf(c.out, "%d drains (%d of them undisturbed), %d starts, %d kills, %d times all at once, %d cuts, %d requests\n",
+			r.Drains, r.Judged, r.Starts, r.Kills, r.All, r.Cuts, r.Requests)
+		fmt.Fprintf(c.out, "from daemons that knew %d, late %d, never told %d;"+
+			" the last of an undisturbed one came %.0f ms after the word\n", r.Stale, r.Late, r.Never, r.WorstMs)
 		for _, b := range r.Broken {
 			fmt.Fprintln(c.out, b)
 		}
@@ -104,7 +120,7 @@
   birchmoor store fleet measure --words 1000 --starts 10 --writes 3,20,80`
 }
 
-// fleetMeasurements is all of it.
+// fleetMeasurements is what fleet measure prints.
 type fleetMeasurements struct {
 	Words  []fleetlab.Told    `json:"words,omitempty"`
 	Starts []fleetlab.Began   `json:"starts,omitempty"`
@@ -122,14 +138,7 @@
 		}
 	}
 	for _, n := range k.Writes {
-		o := k.fleetFlags
-		o.Replicas, o.Followers = min(k.Replicas, n), max(0, n-k.Replicas)
-		f, err := o.start(ctx)
-		if err != nil {
-			return err
-		}
-		w, err := f.Writes(ctx, 60, 500*time.Millisecond)
-		f.End()
+		w, err := k.measureWrites(ctx, n)
 		if err != nil {
 			return err
 		}
@@ -140,69 +149,105 @@
 		return json.NewEncoder(c.out).Encode(m)
 	}
 	w := tabwriter.NewWriter(c.out, 0, 4, 2, ' ', 0)
+	m.print(w)
+	return w.Flush()
+}
+
+// measureWrites counts the store's writes of a fleet of n daemons of its own.
+func (k *fleetMeasure) measureWrites(ctx context.Context, n int) (w fleetlab.Writing, err error) {
+	const changes, changeInterval = 60, 500 * time.Millisecond
+	flags := k.fleetFlags
+	flags.Replicas = min(k.Replicas, n)
+	flags.Followers = max(0, n-k.Replicas)
+	f, err := flags.start(ctx)
+	if err != nil {
+		return w, err
+	}
+	defer f.End()
+	return f.Writes(ctx, changes, changeInterval)
+}
+
+func (m *fleetMeasurements) print(w io.Writer) {
 	for _, x := range m.Words {
-		fmt.Fprintf(w, "%s, to where it was told\t%d\tp50 %.1f ms\tp99 %.1f\tworst %.1f\n", x.What, x.Here.N, x.Here.P50, x.Here.P99, x.Here.Worst)
-		fmt.Fprintf(w, "%s, to the others\t%d\tp50 %.1f ms\tp99 %.1f\tworst %.1f\n", x.What, x.Others.N, x.Others.P50, x.Others.P99, x.Others.Worst)
+		const latency = "\t%d\tp50 %.1f ms\tp99 %.1f\tworst %.1f\n"
+		fmt.Fprintf(w, "%s, to where it was told"+latency, x.What, x.Here.N, x.Here.P50, x.Here.P99, x.Here.Worst)
+		fmt.Fprintf(w, "%s, to the others"+latency, x.What, x.Others.N, x.Others.P50, x.Others.P99, x.Others.Worst)
 	}
 	for _, x := range m.Starts {
-		fmt.Fprintf(w, "start with %s\t%d\tp50 %.0f ms\tworst %.0f\tserved in the first second %.3f, sent to drained servers %.1f, servers recalled %.1f\n",
+		fmt.Fprintf(w, "start with %s\t%d\tp50 %.0f ms\tworst %.0f\tserved in the first second %.3f,"+
+			" sent to drained servers %.1f, servers recalled %.1f\n",
 			x.How, x.N, x.Ready.P50, x.Ready.Worst, x.Served, x.Drained, x.Recalled)
 	}
 	for _, x := range m.Writes {
-		fmt.Fprintf(w, "%d daemons\t%d changes of lists\t%d words in the store\t%d entries of the log\t%d pictures\tin %.0f s\n", x.Daemons, x.Changes,
-			x.Words, x.Entries, x.Pictures, x.Seconds)
+		fmt.Fprintf(w, "%d daemons\t%d changes of lists\t%d words in the store\t%d entries of the log\t%d pictures\tin %.0f s\n",
+			x.Daemons, x.Changes, x.Words, x.Entries, x.Pictures, x.Seconds)
 	}
 	if x := m.Cost; x != nil {
-		fmt.Fprintf(w, "full load, %d pairs\t%.0f a second with the store\t%.0f without\tratio %.3f (%.3f to %.3f)\tp99 ratio %.2f (%.2f to %.2f)\n", x.Pairs,
-			x.With, x.Without, x.Ratio.Median, x.Ratio.Least, x.Ratio.Most, x.P99.Median, x.P99.Least, x.P99.Most)
+		fmt.Fprintf(w, "full load, %d pairs\t%.0f a second with the store\t%.0f without\t"+
+			"ratio %.3f (%.3f to %.3f)\tp99 ratio %.2f (%.2f to %.2f)\n",
+			x.Pairs, x.With, x.Without, x.Ratio.Median, x.Ratio.Least, x.Ratio.Most, x.P99.Median, x.P99.Least, x.P99.Most)
 	}
 	if x := m.Caught; x != nil {
-		fmt.Fprintf(w, "%d servers known, %d bytes\tfollower from a replica %.0f ms\tfrom its own disk %.0f\ta replica %.0f\n", x.Servers, x.Bytes,
-			x.Follower, x.Disk, x.Replica)
+		fmt.Fprintf(w, "%d servers known, %d bytes\tfollower from a replica %.0f ms\tfrom its own disk %.0f\ta replica %.0f\n",
+			x.Servers, x.Bytes, x.Follower, x.Disk, x.Replica)
 	}
-	return w.Flush()
 }
 
-// measureFleet measures words and starts.
+// measureFleet measures what a fleet of the given size is enough for: all but the writes.
 func (k *fleetMeasure) measureFleet(ctx context.Context, m *fleetMeasurements, say func(string)) error {
 	f, err := k.start(ctx)
 	if err != nil {
 		return err
 	}
 	defer f.End()
-	load, stop := context.WithCancel(ctx)
-	defer stop()
 	if k.Reports > 0 {
-		clients := f.Load(load, 4, 5*time.Millisecond)
-		time.Sleep(2 * time.Second)
-		for _, operators := range []bool{false, true} {
-			t, err := f.Words(ctx, k.Reports, operators, say)
-			if err != nil {
-				return err
-			}
-			m.Words = append(m.Words, t)
+		if err := k.measureReports(ctx, f, m, say); err != nil {
+			return err
 		}
-		stop()
-		clients.Wait()
 	}
 	if k.Starts > 0 {
-		if m.Starts, err = f.Starts(ctx, k.Starts, say); err != nil {
+		m.Starts, err = f.Starts(ctx, k.Starts, say)
+		if err != nil {
 			return err
 		}
 	}
 	if k.CostPairs > 0 {
-		cost, err := f.Cost(ctx, k.CostPairs, 3*time.Second)
-		if m.Cost = &cost; err != nil {
+		const runDuration = 3 * time.Second
+		cost, err := f.Cost(ctx, k.CostPairs, runDuration)
+		if err != nil {
 			return err
 		}
+		m.Cost = &cost
 		say("cost")
 	}
 	if k.KnownServers > 0 {
 		caught, err := f.CatchUp(ctx, k.KnownServers)
-		if m.Caught = &caught; err != nil {
+		if err != nil {
 			return err
 		}
+		m.Caught = &caught
 		say("catching up")
 	}
 	return nil
 }
+
+// measureReports measures, under load, how long reports of discovery and of operators take to reach all daemons.
+func (k *fleetMeasure) measureReports(
+	ctx context.Context, f *fleetlab.Fleet, m *fleetMeasurements, say func(string),
+) error {
+	const conns, requestInterval, warmup = 4, 5 * time.Millisecond, 2 * time.Second
+	load, stop := context.WithCancel(ctx)
+	defer stop()
+	clients := f.Load(load, conns, requestInterval)
+	time.Sleep(warmup)
+	for _, byOperators := range []bool{false, true} {
+		t, err := f.Words(ctx, k.Reports, byOperators, say)
+		if err != nil {
+			return err
+		}
+		m.Words = append(m.Words, t)
+	}
+	stop()
+	clients.Wait()
+	return nil
+}
--- a/cmd/birchmoor/storekeys.go
+++ b/cmd/birchmoor/storekeys.go
@@ -25,6 +25,7 @@
 	Limit  int    `help:"So many keys at most." default:"1000"`
 }
 
+// formatValue is a value as text, quoted unless it is UTF-8.
 func formatValue(b []byte) string {
 	if utf8.Valid(b) {
 		return string(b)
@@ -78,29 +79,39 @@
 	value := []byte(k.Value)
 	if k.Value == "-" {
 		var err error
-		if value, err = io.ReadAll(io.LimitReader(os.Stdin, 2<<20)); err != nil {
+		value, err = io.ReadAll(io.LimitReader(os.Stdin, maxInputBytes))
+		if err != nil {
 			return err
 		}
 	}
-	return putOrDelete(ctx, c, &k.clientFlags, k.requestFlags, store.Op{Key: k.Key, Value: value, LeaseID: k.Lease}, k.IfRevision)
+	op := store.Op{Key: k.Key, Value: value, LeaseID: k.Lease}
+	return putOrDelete(ctx, c, &k.clientFlags, k.requestFlags, op, k.IfRevision)
 }
 
-func putOrDelete(ctx context.Context, c *console, s *clientFlags, r requestFlags, op store.Op, at *uint64) error {
+// maxInputBytes bounds what is read of standard input: above any value that the store takes.
+const maxInputBytes = 2 << 20
+
+// putOrDelete makes one change of a key, if its last revision is the given one or none is given.
+func putOrDelete(
+	ctx context.Context, c *console, s *clientFlags, r requestFlags, op store.Op, ifRevision *uint64,
+) error {
 	id, err := r.id()
 	if err != nil {
 		return err
 	}
-	t := &store.Txn{Then: []store.Op{op}}
-	if at != nil {
-		t.If = []store.Compare{{Key: op.Key, ModRevision: *at}}
+	txn := &store.Txn{Then: []store.Op{op}}
+	if ifRevision != nil {
+		txn.If = []store.Compare{{Key: op.Key, ModRevision: *ifRevision}}
 	}
-	held := true
-	err = s.change(ctx, c, admin.ChangeRequest{ID: id, Txn: t}, func(w *tabwriter.Writer, x admin.ChangeResponse) {
-		if held = x.Succeeded; held {
+	succeeded := true // also where the table is not printed
+	request := admin.ChangeRequest{ID: id, Txn: txn}
+	err = s.change(ctx, c, request, func(w *tabwriter.Writer, x admin.ChangeResponse) {
+		succeeded = x.Succeeded
+		if succeeded {
 			fmt.Fprintf(w, "revision %d\n", x.Revision)
 		}
 	})
-	if err == nil && !held {
+	if err == nil && !succeeded {
 		fmt.Fprintf(c.err, "%s was changed meanwhile: nothing was done\n", op.Key)
 		return errRunFailed
 	}
@@ -115,7 +126,8 @@
 }
 
 func (k *storeDelete) Run(ctx context.Context, c *console) error {
-	return putOrDelete(ctx, c, &k.clientFlags, k.requestFlags, store.Op{Key: k.Key, Delete: true}, k.IfRevision)
+	op := store.Op{Key: k.Key, Delete: true}
+	return putOrDelete(ctx, c, &k.clientFlags, k.requestFlags, op, k.IfRevision)
 }
 
 type storeWatch struct {
--- a/cmd/birchmoor/storelease.go
+++ b/cmd/birchmoor/storelease.go
@@ -33,15 +33,21 @@
   birchmoor store lease renew $id`
 }
 
+const (
+	minLeaseTTL = time.Second
+	maxLeaseTTL = 24 * time.Hour
+)
+
 func (k *leaseGrant) Run(ctx context.Context, c *console) error {
-	if k.TTL < time.Second || k.TTL > 24*time.Hour {
+	if k.TTL < minLeaseTTL || k.TTL > maxLeaseTTL {
 		return fmt.Errorf("%v is not within 1s and 24h", k.TTL)
 	}
 	id, err := k.id()
 	if err != nil {
 		return err
 	}
-	return k.change(ctx, c, admin.ChangeRequest{ID: id, GrantMillis: uint64(k.TTL.Milliseconds())}, func(w *tabwriter.Writer, x admin.ChangeResponse) {
+	request := admin.ChangeRequest{ID: id, GrantMillis: uint64(k.TTL.Milliseconds())}
+	return k.change(ctx, c, request, func(w *tabwriter.Writer, x admin.ChangeResponse) {
 		fmt.Fprintln(w, x.LeaseID)
 	})
 }
@@ -57,7 +63,8 @@
 	if err != nil {
 		return err
 	}
-	return k.change(ctx, c, admin.ChangeRequest{ID: id, RenewLease: k.Lease}, func(w *tabwriter.Writer, x admin.ChangeResponse) {
+	request := admin.ChangeRequest{ID: id, RenewLease: k.Lease}
+	return k.change(ctx, c, request, func(w *tabwriter.Writer, _ admin.ChangeResponse) {
 		fmt.Fprintf(w, "lease %d goes on\n", k.Lease)
 	})
 }
@@ -73,7 +80,8 @@
 	if err != nil {
 		return err
 	}
-	return k.change(ctx, c, admin.ChangeRequest{ID: id, RevokeLease: k.Lease}, func(w *tabwriter.Writer, x admin.ChangeResponse) {
+	request := admin.ChangeRequest{ID: id, RevokeLease: k.Lease}
+	return k.change(ctx, c, request, func(w *tabwriter.Writer, _ admin.ChangeResponse) {
 		fmt.Fprintf(w, "lease %d has ended, and its keys are gone\n", k.Lease)
 	})
 }
--- a/cmd/birchmoor/storemembers.go
+++ b/cmd/birchmoor/storemembers.go
@@ -59,7 +59,8 @@
 	if err != nil {
 		return err
 	}
-	return k.change(ctx, c, admin.ChangeRequest{ID: id, AddMember: &store.AddMember{Name: k.Name, Address: k.Address}}, func(w *tabwriter.Writer, x admin.ChangeResponse) {
+	request := admin.ChangeRequest{ID: id, AddMember: &store.AddMember{Name: k.Name, Address: k.Address}}
+	return k.change(ctx, c, request, func(w *tabwriter.Writer, x admin.ChangeResponse) {
 		fmt.Fprintf(w, "member %d, a learner until it has caught up\n", x.MemberID)
 	})
 }
@@ -75,7 +76,8 @@
 	if err != nil {
 		return err
 	}
-	return k.change(ctx, c, admin.ChangeRequest{ID: id, RemoveMember: k.Member}, func(w *tabwriter.Writer, x admin.ChangeResponse) {
+	request := admin.ChangeRequest{ID: id, RemoveMember: k.Member}
+	return k.change(ctx, c, request, func(w *tabwriter.Writer, _ admin.ChangeResponse) {
 		fmt.Fprintf(w, "member %d is removed\n", k.Member)
 	})
 }
--- a/cmd/birchmoor/storeservers.go
+++ b/cmd/birchmoor/storeservers.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"context"
 	"fmt"
+	"io"
 	"slices"
 	"text/tabwriter"
 	"time"
@@ -29,12 +30,12 @@
 	})
 }
 
-// formatAge writes an age in milliseconds; "-" is not known.
-func formatAge(ms int64) string {
-	if ms < 0 {
+// formatAge is an age in milliseconds as text; a negative one is not known.
+func formatAge(millis int64) string {
+	if millis < 0 {
 		return "-"
 	}
-	return (time.Duration(ms) * time.Millisecond).String()
+	return (time.Duration(millis) * time.Millisecond).String()
 }
 
 type storeServers struct {
@@ -66,21 +67,26 @@
 		return k.print(c, all, func(w *tabwriter.Writer) {
 			fmt.Fprintln(w, "SERVER\tADDRESS\tSTART\tWHAT\tBY\tAGE\tLEFT\tAGREED")
 			for _, f := range all {
-				start, left, by := "-", "-", f.By
-				if f.StartedMs != 0 {
-					start = time.UnixMilli(f.StartedMs).UTC().Format(time.RFC3339)
-				}
-				if f.RemainingMs > 0 {
-					left = (time.Duration(f.RemainingMs) * time.Millisecond).String()
-				}
-				if f.Sidecars > 1 {
-					by = fmt.Sprintf("%s and %d more", f.By, f.Sidecars-1)
-				}
-				if f.Partial {
-					by += " (no replica tells of the others)"
-				}
-				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%v\n", f.ID, cmp.Or(f.Addr, "-"), start, f.Kind, by, formatAge(f.AgeMs), left, f.Committed)
+				printServerFact(w, &f)
 			}
 		})
 	})
 }
+
+func printServerFact(w io.Writer, f *daemon.ServerFact) {
+	start, left, by := "-", "-", f.By
+	if f.StartedMs != 0 {
+		start = time.UnixMilli(f.StartedMs).UTC().Format(time.RFC3339)
+	}
+	if f.RemainingMs > 0 {
+		left = (time.Duration(f.RemainingMs) * time.Millisecond).String()
+	}
+	if f.Sidecars > 1 {
+		by = fmt.Sprintf("%s and %d more", f.By, f.Sidecars-1)
+	}
+	if f.Partial {
+		by += " (no replica tells of the others)"
+	}
+	fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%v\n",
+		f.ID, cmp.Or(f.Addr, "-"), start, f.Kind, by, formatAge(f.AgeMs), left, f.Committed)
+}
--- a/cmd/birchmoor/storesim.go
+++ b/cmd/birchmoor/storesim.go
@@ -30,20 +30,27 @@
 }
 
 func (k *storeSim) Run(ctx context.Context, c *console) error {
-	o := storesim.Options{Replicas: k.Replicas, Ops: k.Ops, Faults: k.Faults, Gap: k.Gap, Mixed: k.Mixed}
-	for _, f := range storesim.Faults {
-		if k.Defect == "list" {
+	options := storesim.Options{Replicas: k.Replicas, Ops: k.Ops, Faults: k.Faults, Gap: k.Gap, Mixed: k.Mixed}
+	if k.Defect == listDefects {
+		for _, f := range storesim.Faults {
 			fmt.Fprintf(c.out, "%-18s %s\n", f.Name, f.About)
-		} else if f.Name == k.Defect {
-			o.Planted, o.Watch = f.Fault, f.Watch
 		}
-	}
-	if k.Defect == "list" {
 		return nil
 	}
-	if k.Defect != "" && o.Planted == 0 && o.Watch == storesim.WatchNone {
-		return fmt.Errorf("--plant %q is not a fault: list names them", k.Defect)
+	for _, f := range storesim.Faults {
+		if f.Name == k.Defect {
+			options.Planted, options.Watch = f.Fault, f.Watch
+		}
 	}
+	if k.Defect != "" && options.Planted == 0 && options.Watch == storesim.WatchNone {
+		return unknownDefectError(k.Defect)
+	}
+	return k.runSeeds(ctx, c, options)
+}
+
+// runSeeds runs the seeds one after the other and prints their sum. With a defect it ends with the first seed that
+// finds it, and fails if none does.
+func (k *storeSim) runSeeds(ctx context.Context, c *console, options storesim.Options) error {
 	broken := 0
 	var sum storesim.Result
 	enc := json.NewEncoder(c.out)
@@ -51,32 +58,47 @@
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		r := storesim.Run(k.Seed+i, o)
-		sum.Ops, sum.Crashes, sum.Cuts, sum.Elected = sum.Ops+r.Ops, sum.Crashes+r.Crashes, sum.Cuts+r.Cuts, sum.Elected+r.Elected
-		sum.Told, sum.Over, sum.Sent, sum.Steps = sum.Told+r.Told, sum.Over+r.Over, sum.Sent+r.Sent, sum.Steps+r.Steps
-		sum.Joined, sum.Left, sum.Installs = sum.Joined+r.Joined, sum.Left+r.Left, sum.Installs+r.Installs
+		r := storesim.Run(k.Seed+i, options)
+		addStoreResult(&sum, &r)
 		if k.JSON {
 			if err := enc.Encode(r); err != nil {
 				return err
 			}
 		}
-		if len(r.Broken) > 0 {
-			broken++
-			if !k.JSON {
-				fmt.Fprintf(c.out, "seed %d: %q\n", r.Seed, r.Broken)
-			}
-			if k.Defect != "" {
-				fmt.Fprintf(c.err, "%s: found by seed %d, after %d\n", k.Defect, r.Seed, i+1)
-				return nil
-			}
+		if len(r.Broken) == 0 {
+			continue
+		}
+		broken++
+		if !k.JSON {
+			fmt.Fprintf(c.out, "seed %d: %q\n", r.Seed, r.Broken)
+		}
+		if k.Defect != "" {
+			fmt.Fprintf(c.err, "%s: found by seed %d, after %d\n", k.Defect, r.Seed, i+1)
+			return nil
 		}
 	}
-	fmt.Fprintf(c.err, "%d seeds, %d broken: %d requests, %d crashes, %d cuts, %d leaders, %d joined, %d left, %d snapshots installed\n",
+	fmt.Fprintf(c.err, "%d seeds, %d broken: %d requests, %d crashes, %d cuts, %d leaders, %d joined, %d left,"+
+		" %d snapshots installed\n",
 		k.Seeds, broken, sum.Ops, sum.Crashes, sum.Cuts, sum.Elected, sum.Joined, sum.Left, sum.Installs)
-	fmt.Fprintf(c.err, "drains: %d changes that tell of one, %d ends; %d requests sent to servers; %d changes of a host's build\n", sum.Told, sum.Over,
-		sum.Sent, sum.Steps)
+	fmt.Fprintf(c.err, "drains: %d changes that tell of one, %d ends; %d requests sent to servers; %d changes of a host's build\n",
+		sum.Told, sum.Over, sum.Sent, sum.Steps)
 	if broken > 0 || k.Defect != "" {
 		return errRunFailed
 	}
 	return nil
 }
+
+// addStoreResult adds the counts of a run to sum.
+func addStoreResult(sum, r *storesim.Result) {
+	sum.Ops += r.Ops
+	sum.Crashes += r.Crashes
+	sum.Cuts += r.Cuts
+	sum.Elected += r.Elected
+	sum.Told += r.Told
+	sum.Over += r.Over
+	sum.Sent += r.Sent
+	sum.Steps += r.Steps
+	sum.Joined += r.Joined
+	sum.Left += r.Left
+	sum.Installs += r.Installs
+}
--- a/cmd/birchmoor/storesnapshot.go
+++ b/cmd/birchmoor/storesnapshot.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"crypto/rand"
-	"encoding/binary"
 	"errors"
 	"fmt"
 	"io"
@@ -34,14 +32,7 @@
 		return err
 	}
 	defer os.Remove(f.Name()) // without effect once renamed
-	revision, err := adminapi.Dial(k.Socket).SaveSnapshot(ctx, f)
-	if err == nil {
-		_, err = f.Seek(0, io.SeekStart)
-	}
-	var s *store.State
-	if err == nil {
-		s, err = store.Load(f) // what is kept is whole
-	}
+	revision, state, err := k.save(ctx, f)
 	err = errors.Join(err, f.Sync(), f.Close())
 	if err == nil {
 		err = os.Rename(f.Name(), k.File)
@@ -49,10 +40,23 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(c.out, "%s: revision %s, %d keys\n", k.File, revision, s.Len())
+	fmt.Fprintf(c.out, "%s: revision %s, %d keys\n", k.File, revision, state.Len())
 	return nil
 }
 
+// save writes the daemon's snapshot to a file and reads it back, so that a saved file is complete.
+func (k *snapshotSave) save(ctx context.Context, f *os.File) (revision string, state *store.State, err error) {
+	revision, err = adminapi.Dial(k.Socket).SaveSnapshot(ctx, f)
+	if err != nil {
+		return "", nil, err
+	}
+	if _, err := f.Seek(0, io.SeekStart); err != nil {
+		return "", nil, err
+	}
+	state, err = store.Load(f)
+	return revision, state, err
+}
+
 type snapshotRestore struct {
 	File    string `arg:"" type:"existingfile" help:"File that was saved."`
 	Dir     string `arg:"" help:"Empty folder for the store."`
@@ -78,16 +82,14 @@
 	if d.Identity().ClusterID != 0 {
 		return fmt.Errorf("%s holds a store already", k.Dir)
 	}
-	var b [8]byte
-	if _, err := rand.Read(b[:]); err != nil {
+	random, err := randomUint63()
+	if err != nil {
 		return err
 	}
-	// Above what the old cluster can have given since the file was saved, and above what an earlier restoring of
-	// the same file went on with: the clock only makes that likely; what a token guards turns lower ones away in
-	// any case.
-	s.Reinitialize(binary.BigEndian.Uint64(b[:])>>1|1, max(s.Revision()+1_000_000_000, uint64(time.Now().Unix())<<20))
+	s.Reinitialize(random|1, restoredRevision(s.Revision()))
 	if s.Level() >= store.Level {
-		s.Seed(lease.SuspendKey, []byte("restored"), lease.MaxTTLMillis) // for as long as holders of the old cluster may go on
+		// Lease holders of the old cluster may go on for as long as this.
+		s.Seed(lease.SuspendKey, []byte("restored"), lease.MaxTTLMillis)
 	}
 	s.Bootstrap(k.Name, k.Address, d.Identity().DiskID)
 	if err := replica.BootstrapFrom(d, d.Identity(), s); err != nil {
@@ -96,3 +98,11 @@
 	fmt.Fprintf(c.out, "%s: a new cluster %x at revision %d, %d keys\n", k.Dir, s.Cluster(), s.Revision(), s.Len())
 	return nil
 }
+
+// restoredRevision is the first revision of a cluster that is restored from a file with this revision. It is to be
+// above what the old cluster has reached since, and above what an earlier cluster from the same file has reached.
+// The clock makes that likely, not certain; what a token guards rejects lower tokens in any case.
+func restoredRevision(saved uint64) uint64 {
+	const revisionMargin = 1_000_000_000
+	return max(saved+revisionMargin, uint64(time.Now().Unix())<<20)
+}
--- a/cmd/birchmoor/task.go
+++ b/cmd/birchmoor/task.go
@@ -3,20 +3,17 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
-	"os/user"
+	"io"
+	"strconv"
 	"text/tabwriter"
 	"time"
 
 	"birchmoor/internal/controlplane/adminapi"
 	"birchmoor/internal/controlplane/lease"
 	"birchmoor/internal/controlplane/leasetask"
-	"birchmoor/internal/store/admin"
 )
 
-func encodeJSON(v any) ([]byte, error) { return json.Marshal(v) }
-
 type taskCommands struct {
 	List    taskList    `cmd:"" help:"List the fleet's tasks, and who holds them."`
 	Show    taskShow    `cmd:"" help:"Show one task with all who wait for it."`
@@ -31,12 +28,13 @@
 
 type taskList struct{ clientFlags }
 
-// showTasks asks for tasks.
-func (s *clientFlags) showTasks(ctx context.Context, c *console, name string, show func([]leasetask.TaskStatus) error) error {
+// showTasks shows the task with this name, or all tasks if it is empty.
+func (s *clientFlags) showTasks(
+	ctx context.Context, c *console, name string, show func([]leasetask.TaskStatus) error,
+) error {
 	return s.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
 		all, err := a.Tasks(ctx, name)
-		var told *admin.ResponseError
-		if errors.As(err, &told) && told.Status == 404 {
+		if isNotFound(err) {
 			fmt.Fprintln(c.err, err)
 			return errRunFailed
 		}
@@ -47,46 +45,46 @@
 	})
 }
 
-// taskHolder says who holds a task, or why nobody does.
-func taskHolder(i leasetask.TaskStatus) (host, token string) {
-	n := 0
-	for _, p := range i.Queue {
-		if p.Holds {
-			if n++; n == 1 {
-				host, token = p.Host, fmt.Sprint(p.Token)
-			}
+// taskHolder says who holds a task and by which token; "-" stands for none, or for the tokens of several.
+func taskHolder(t leasetask.TaskStatus) (host, token string) {
+	var holders []leasetask.QueueEntry
+	for _, entry := range t.Queue {
+		if entry.Holds {
+			holders = append(holders, entry)
 		}
 	}
-	switch {
-	case n == 0:
+	switch len(holders) {
+	case 0:
 		return "-", "-"
-	case n > 1:
-		return fmt.Sprintf("%s and %d more", host, n-1), "-"
+	case 1:
+		return holders[0].Host, strconv.FormatUint(holders[0].Token, 10)
 	}
-	return host, token
+	return fmt.Sprintf("%s and %d more", holders[0].Host, len(holders)-1), "-"
 }
 
-func lastReport(i leasetask.TaskStatus) string {
+// lastReport says what the last holder reported, and when.
+func lastReport(t leasetask.TaskStatus) string {
 	switch {
-	case i.LastReport == nil:
+	case t.LastReport == nil:
 		return "-"
-	case i.LastReport.Error != "":
-		return fmt.Sprintf("failed %s ago: %s", formatAge(i.LastReportAgeMillis), i.LastReport.Error)
+	case t.LastReport.Error != "":
+		return fmt.Sprintf("failed %s ago: %s", formatAge(t.LastReportAgeMillis), t.LastReport.Error)
 	}
-	return fmt.Sprintf("%d done, told %s ago", i.LastReport.Completed, formatAge(i.LastReportAgeMillis))
+	return fmt.Sprintf("%d done, told %s ago", t.LastReport.Completed, formatAge(t.LastReportAgeMillis))
 }
 
 func (k *taskList) Run(ctx context.Context, c *console) error {
 	return k.showTasks(ctx, c, "", func(all []leasetask.TaskStatus) error {
 		return k.print(c, all, func(w *tabwriter.Writer) {
 			fmt.Fprintln(w, "TASK\tHOLDER\tTOKEN\tSLOTS\tPLACES\tLAST\tNOTE")
-			for _, i := range all {
-				host, token := taskHolder(i)
-				note := i.NoHolderReason
-				if note == "" && i.Override.PreferredHost != "" {
-					note = "given to " + i.Override.PreferredHost
+			for _, t := range all {
+				host, token := taskHolder(t)
+				note := t.NoHolderReason
+				if note == "" && t.Override.PreferredHost != "" {
+					note = "given to " + t.Override.PreferredHost
 				}
-				fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s\t%s\n", i.Task, host, token, max(1, i.Slots), len(i.Queue), lastReport(i), note)
+				fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s\t%s\n",
+					t.Task, host, token, max(1, t.Slots), len(t.Queue), lastReport(t), note)
 			}
 		})
 	})
@@ -99,43 +97,50 @@
 
 func (k *taskShow) Run(ctx context.Context, c *console) error {
 	return k.showTasks(ctx, c, k.Task, func(all []leasetask.TaskStatus) error {
-		return k.print(c, all[0], func(w *tabwriter.Writer) {
-			i := all[0]
-			host, token := taskHolder(i)
-			for _, x := range [][2]any{{"task", i.Task}, {"holder", host}, {"token", token}, {"slots", max(1, i.Slots)}, {"last", lastReport(i)}} {
-				fmt.Fprintf(w, "%v\t%v\n", x[0], x[1])
-			}
-			if i.NoHolderReason != "" {
-				fmt.Fprintf(w, "why none\t%s\n", i.NoHolderReason)
-			}
-			if i.Override.PreferredHost != "" {
-				fmt.Fprintf(w, "given to\t%s, by %s\n", i.Override.PreferredHost, i.Override.Operator)
-			}
-			if i.LocalState != "" {
-				fmt.Fprintf(w, "this daemon\t%s\n", i.LocalState)
-			}
-			fmt.Fprintln(w, "\nHOST\tTOKEN\tSTATE\tSINCE\tENTITLED FOR\tTTL\tNOTE")
-			for _, p := range i.Queue {
-				state, left := "waits", "-"
-				if p.Holds {
-					state = "holds"
-				}
-				if p.ValidMillis > 0 {
-					left = (time.Duration(p.ValidMillis) * time.Millisecond).String()
-				}
-				fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%v\t%s\n", p.Host, p.Token, state, formatAge(p.AgeMillis), left, time.Duration(p.TTLMillis)*time.Millisecond, p.Note)
-			}
-		})
+		return k.print(c, all[0], func(w *tabwriter.Writer) { printTask(w, all[0]) })
 	})
 }
 
-// overrideTask puts an order on a task.
-func (s *clientFlags) overrideTask(ctx context.Context, c *console, task string, o lease.TaskOverride) error {
-	if u, err := user.Current(); err == nil {
-		o.Operator = u.Username // for people alone
+// printTask prints a task and its queue.
+func printTask(w io.Writer, t leasetask.TaskStatus) {
+	host, token := taskHolder(t)
+	printRows(w, []row{
+		{"task", t.Task},
+		{"holder", host},
+		{"token", token},
+		{"slots", max(1, t.Slots)},
+		{"last", lastReport(t)},
+	})
+	if t.NoHolderReason != "" {
+		fmt.Fprintf(w, "why none\t%s\n", t.NoHolderReason)
+	}
+	if t.Override.PreferredHost != "" {
+		fmt.Fprintf(w, "given to\t%s, by %s\n", t.Override.PreferredHost, t.Override.Operator)
 	}
+	if t.LocalState != "" {
+		fmt.Fprintf(w, "this daemon\t%s\n", t.LocalState)
+	}
+	fmt.Fprintln(w, "\nHOST\tTOKEN\tSTATE\tSINCE\tENTITLED FOR\tTTL\tNOTE")
+	for _, entry := range t.Queue {
+		state, left := "waits", "-"
+		if entry.Holds {
+			state = "holds"
+		}
+		if entry.ValidMillis > 0 {
+			left = (time.Duration(entry.ValidMillis) * time.Millisecond).String()
+		}
+		ttl := time.Duration(entry.TTLMillis) * time.Millisecond
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%v\t%s\n",
+			entry.Host, entry.Token, state, formatAge(entry.AgeMillis), left, ttl, entry.Note)
+	}
+}
+
+// overrideTask sets what an operator wants of a task in place of what it was.
+func (s *clientFlags) overrideTask(ctx context.Context, c *console, task string, o lease.TaskOverride) error {
+	o.Operator = operatorName("")
 	return s.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
-		if err := a.OverrideTask(ctx, adminapi.OverrideRequest{Task: task, TaskOverride: o}); err != nil {
+		err := a.OverrideTask(ctx, adminapi.OverrideRequest{Task: task, TaskOverride: o})
+		if err != nil {
 			return s.changeFailed(ctx, c, err, "")
 		}
 		if s.JSON {
--- a/cmd/birchmoor/tasktorture.go
+++ b/cmd/birchmoor/tasktorture.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"os"
 	"time"
@@ -44,17 +43,28 @@
 		return err
 	}
 	if k.Defect != "" && !isDefectBuild {
-		return errors.New("--plant: this program was not built with -tags planted")
+		return errNoDefectBuild
+	}
+	t := tasklab.Torture{
+		Program:  self,
+		Dir:      k.Dir,
+		Replicas: k.Replicas,
+		Follow:   k.Followers,
+		Holders:  k.Holders,
+		TTL:      k.TTL,
+		For:      k.Duration,
+		Every:    k.FaultInterval,
+		Seed:     k.Seed,
+		Plant:    k.Defect,
+		Only:     k.OnlyFault,
+		Inside:   isDefectBuild,
+		Keep:     k.KeepDir,
+		Old:      k.OldProgram,
+		Say:      func(s string) { fmt.Fprintln(c.err, s) },
 	}
-	t := tasklab.Torture{Program: self, Dir: k.Dir, Replicas: k.Replicas, Follow: k.Followers, Holders: k.Holders, TTL: k.TTL, For: k.Duration, Every: k.FaultInterval,
-		Seed: k.Seed, Plant: k.Defect, Only: k.OnlyFault, Inside: isDefectBuild, Keep: k.KeepDir, Old: k.OldProgram, Say: func(s string) { fmt.Fprintln(c.err, s) }}
 	if k.Schedule != "" {
-		b, err := os.ReadFile(k.Schedule)
-		if err == nil {
-			err = json.Unmarshal(b, &t.Play)
-		}
-		if err != nil {
-			return fmt.Errorf("%s: %w", k.Schedule, err)
+		if err := readJSON(k.Schedule, &t.Play); err != nil {
+			return err
 		}
 	}
 	r, err := t.Run(ctx)
@@ -64,39 +74,48 @@
 	if k.Shrink && err == nil && len(r.Broken) > 0 {
 		e := json.NewEncoder(c.out)
 		e.SetIndent("", " ")
-		if err := e.Encode(t.Shrink(ctx, r.Schedule, 2)); err != nil {
+		if err := e.Encode(t.Shrink(ctx, r.Schedule, shrinkAttempts)); err != nil {
 			return err
 		}
 		return errRunFailed
 	}
-	if r != nil && k.JSON {
-		if bad := json.NewEncoder(c.out).Encode(r); bad != nil {
-			return bad
+	if r != nil { // what there is of it, also after an error
+		if err := k.print(c, r); err != nil {
+			return err
 		}
-	} else if r != nil {
-		fmt.Fprintf(c.out, "%d acts of %d holders, %d late of stopped actors, %d of starved ones, %d reads and writes of the store, blows %v; held for %.3f of the time; without an action between two holders p50 %.0f ms, p99 %.0f, worst %.0f; broken: %q\n",
-			r.Acts, r.Holders, r.Late, r.Starved, r.History, r.Blows, r.Held, r.P50Ms, r.P99Ms, r.WorstMs, r.Broken)
 	}
-	if r != nil && !k.JSON {
-		for _, a := range r.After {
-			fmt.Fprintf(c.out, "after %s (%d): p50 %.0f ms, p99 %.0f, worst %.0f until the next acted, or without an action\n", a.Blow, a.N, a.P50Ms, a.P99Ms, a.WorstMs)
-		}
+	if err == nil && len(r.Broken) > 0 {
+		return errRunFailed
 	}
-	if err != nil {
-		return err
+	return err
+}
+
+// shrinkAttempts is how often a schedule is run to see whether it still breaks a promise.
+const shrinkAttempts = 2
+
+// print prints the result as JSON or for people.
+func (k *taskTorture) print(c *console, r *tasklab.Tortured) error {
+	if k.JSON {
+		return json.NewEncoder(c.out).Encode(r)
 	}
-	if len(r.Broken) > 0 {
-		return errRunFailed
+	fmt.Fprintf(c.out, "%d acts of %d holders, %d late of stopped actors, %d of starved ones,"+
+		" %d reads and writes of the store, blows %v; held for %.3f of the time;"+
+		" without an action between two holders p50 %.0f ms, p99 %.0f, worst %.0f; broken: %q\n",
+		r.Acts, r.Holders, r.Late, r.Starved, r.History, r.Blows, r.Held, r.P50Ms, r.P99Ms, r.WorstMs, r.Broken)
+	for _, a := range r.After {
+		fmt.Fprintf(c.out, "after %s (%d): p50 %.0f ms, p99 %.0f, worst %.0f until the next acted, or without an action\n",
+			a.Blow, a.N, a.P50Ms, a.P99Ms, a.WorstMs)
 	}
 	return nil
 }
 
-// actorCommand is what a lock runs in task torture.
+// actorCommand is what the locks of task torture run.
 type actorCommand struct {
 	Address string `name:"to" arg:""`
 	Name    string `name:"who" arg:""`
 }
 
 func (k *actorCommand) Run() error {
-	return tasklab.Actor(k.Address, k.Name, os.Getenv("BIRCHMOOR_TOKEN"), 5*time.Millisecond)
+	const actionInterval = 5 * time.Millisecond
+	return tasklab.Actor(k.Address, k.Name, os.Getenv("BIRCHMOOR_TOKEN"), actionInterval)
 }
