--- a/cmd/birchmoor/configput_test.go
+++ b/cmd/birchmoor/configput_test.go
@@ -7,64 +7,129 @@
 	"testing"
 	"time"
 
+	"birchmoor/internal/controlplane/adminapi"
+
 	"birchmoor/internal/controlplane/rollout"
 	"birchmoor/internal/lab/fleetlab"
 	"birchmoor/internal/testutil/processtest"
 )
 
-// Settings come in force in steps over three replicas and two followers under load: good ones at all, though the
-// daemon that drives is killed on the way and another goes on; bad ones at the first step alone, and are taken
-// back.
+// Settings are rolled out in steps over three replicas and two followers under load: good ones to all, though the
+// daemon that drives the rollout is killed and another goes on; bad ones to the first step alone, and they are
+// rolled back.
 func TestConfigPutRollsOutInStepsAndTakesBackBadSettings(t *testing.T) {
-	self, err := os.Executable()
-	if err != nil {
-		t.Fatal(err)
-	}
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
-	f, err := fleetlab.Begin(ctx, fleetlab.Config{Program: self, Args: []string{"run", "--config"}, Env: []string{asProgramEnv + "=1"}, Dir: t.TempDir(), Replicas: 3, Follow: 2,
-		Servers: 4, Seed: 1})
-	if err != nil {
-		t.Fatal(err)
-	}
+	f := newRolloutFleet(ctx, t)
 	defer f.End()
 	load, stop := context.WithCancel(ctx)
-	wg := f.Load(load, 1, 10*time.Millisecond)
-	defer wg.Wait()
+	clients := f.Load(load, 1, 10*time.Millisecond)
+	defer clients.Wait()
 	defer stop()
-	socket := f.Daemons[0].Socket()
-	logs := func() string {
-		var b strings.Builder
-		for _, d := range f.Daemons {
-			b.WriteString(d.Name() + ":\n" + d.Log())
-		}
-		return b.String()
+	processtest.Until(t, "every daemon's part in the fleet", f.ready, f.logs)
+	done := make(chan rolloutResult, 1)
+	go func() { done <- f.put("700ms", `"most-held":1000`, `"most-held":900`) }()
+	// The daemon that drives is killed once the first step is in force.
+	var p rollout.Plan
+	processtest.Until(t, "the first step", func() bool {
+		var err error
+		p, err = f.client().Rollout(ctx)
+		return err == nil && p.Step >= 0
+	}, f.logs)
+	f.restartDriver()
+	if x := <-done; x.code != 0 || !strings.Contains(x.out, "done") {
+		t.Fatalf("exit code %d:\n%s\n%s", x.code, x.out, f.logs())
+	}
+	now, err := f.client().Rollout(ctx)
+	if err != nil || now.State != rollout.Completed || now.Token <= p.Token {
+		t.Errorf("%+v after the driver with token %d was killed, %v", now, p.Token, err)
+	}
+	newSettings := func() bool { return f.inForce(`"most-held":900`) }
+	processtest.Until(t, "the new settings at all", newSettings, f.logs)
+	// Settings with which nothing can be answered in time.
+	processtest.Until(t, "every daemon's part in the fleet again", f.ready, f.logs)
+	x := f.put("1s", `"target":500000,"give-up":1000000`, `"target":1000,"give-up":2000`)
+	if x.code != exitFailure || !strings.Contains(x.out, "taken back: step 1:") {
+		t.Errorf("exit code %d:\n%s\n%s", x.code, x.out, f.logs())
 	}
-	ready := func() bool {
-		all, err := f.Daemons[0].Client.Tasks(ctx, "sweep")
-		return err == nil && len(all) == 1 && len(all[0].Queue) >= len(f.Daemons)
+	if !newSettings() {
+		t.Error("the settings of before are not in force")
 	}
-	processtest.Until(t, "every daemon's part in the fleet", ready, logs)
-	put := func(settle string, edits ...string) (code int, out string) {
-		code, o, e := birchmoor("config", "put", writeFile(t, "s.json", fleetlab.Settings(edits...)), "--steps", "1,50%,all", "--settle", settle, "--socket", socket)
-		return code, o + e
+	if code, _, _ := birchmoor("config", "plan", "--socket", f.socket()); code != 0 {
+		t.Error("the plan is not shown")
 	}
-	type ended struct {
-		code int
-		out  string
+	if code, _, errs := birchmoor("config", "plan", "--call-off", "--socket", f.socket()); code == 0 {
+		t.Errorf("called off what has ended: %s", errs)
 	}
-	done := make(chan ended, 1)
-	go func() {
-		code, out := put("700ms", `"most-held":1000`, `"most-held":900`)
-		done <- ended{code, out}
-	}()
-	// The daemon that drives is killed once the first step is in force.
-	var p rollout.Plan
-	processtest.Until(t, "the first step", func() bool { p, err = f.Daemons[0].Client.Rollout(ctx); return err == nil && p.Step >= 0 }, logs)
-	all, err := f.Daemons[0].Client.Tasks(ctx, "rollout")
+}
+
+// rolloutFleet is a fleet whose settings a test changes.
+type rolloutFleet struct {
+	*fleetlab.Fleet
+	t   *testing.T
+	ctx context.Context // that of the test
+}
+
+// rolloutResult is how config put ended.
+type rolloutResult struct {
+	code int
+	out  string
+}
+
+func newRolloutFleet(ctx context.Context, t *testing.T) *rolloutFleet {
+	t.Helper()
+	self, err := os.Executable()
+	if err != nil {
+		t.Fatal(err)
+	}
+	f, err := fleetlab.Begin(ctx, fleetlab.Config{
+		Program:  self,
+		Args:     []string{"run", "--config"},
+		Env:      []string{asProgramEnv + "=1"},
+		Dir:      t.TempDir(),
+		Replicas: 3,
+		Follow:   2,
+		Servers:  4,
+		Seed:     1,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
+	return &rolloutFleet{f, t, ctx}
+}
+
+func (f *rolloutFleet) client() *adminapi.Client { return f.Daemons[0].Client }
+
+func (f *rolloutFleet) socket() string { return f.Daemons[0].Socket() }
+
+// ready reports whether every daemon takes part in the fleet's tasks.
+func (f *rolloutFleet) ready() bool {
+	all, err := f.client().Tasks(f.ctx, "sweep")
+	return err == nil && len(all) == 1 && len(all[0].Queue) >= len(f.Daemons)
+}
+
+func (f *rolloutFleet) logs() string {
+	var b strings.Builder
+	for _, d := range f.Daemons {
+		b.WriteString(d.Name() + ":\n" + d.Log())
+	}
+	return b.String()
+}
+
+// put runs config put in three steps with settings in which edits replace one text by another.
+func (f *rolloutFleet) put(settle string, edits ...string) rolloutResult {
+	file := writeFile(f.t, "s.json", fleetlab.Settings(edits...))
+	code, out, errs := birchmoor("config", "put", file, "--steps", "1,50%,all", "--settle", settle, "--socket", f.socket())
+	return rolloutResult{code, out + errs}
+}
+
+// restartDriver kills the daemon that drives the rollout, and starts it again.
+func (f *rolloutFleet) restartDriver() {
+	f.t.Helper()
+	all, err := f.client().Tasks(f.ctx, "rollout")
+	if err != nil {
+		f.t.Fatal(err)
+	}
 	host, _ := taskHolder(all[0])
 	for _, d := range f.Daemons {
 		if d.Name() != host {
@@ -72,41 +137,21 @@
 		}
 		d.Kill()
 		if err := d.Start(); err != nil {
-			t.Fatal(err)
+			f.t.Fatal(err)
 		}
-		if err := d.Ready(ctx); err != nil {
-			t.Fatal(err)
+		if err := d.Ready(f.ctx); err != nil {
+			f.t.Fatal(err)
 		}
 	}
-	if x := <-done; x.code != 0 || !strings.Contains(x.out, "done") {
-		t.Fatalf("exit code %d:\n%s\n%s", x.code, x.out, logs())
-	}
-	if now, err := f.Daemons[0].Client.Rollout(ctx); err != nil || now.State != rollout.Completed || now.Token <= p.Token {
-		t.Errorf("%+v after the driver with token %d was killed, %v", now, p.Token, err)
-	}
-	in := func(text string) func() bool {
-		return func() bool {
-			for _, d := range f.Daemons {
-				if _, out, _ := birchmoor("config", "get", "--socket", d.Socket()); !strings.Contains(out, text) {
-					return false
-				}
-			}
-			return true
+}
+
+// inForce reports whether the settings at all daemons have text.
+func (f *rolloutFleet) inForce(text string) bool {
+	for _, d := range f.Daemons {
+		_, out, _ := birchmoor("config", "get", "--socket", d.Socket())
+		if !strings.Contains(out, text) {
+			return false
 		}
 	}
-	processtest.Until(t, "the new settings at all", in(`"most-held":900`), logs)
-	// Settings with which nothing can be answered in time.
-	processtest.Until(t, "every daemon's part in the fleet again", ready, logs)
-	if code, out := put("1s", `"target":500000,"give-up":1000000`, `"target":1000,"give-up":2000`); code != exitFailure || !strings.Contains(out, "taken back: step 1:") {
-		t.Errorf("exit code %d:\n%s\n%s", code, out, logs())
-	}
-	if !in(`"most-held":900`)() {
-		t.Error("the settings of before are not in force")
-	}
-	if code, _, _ := birchmoor("config", "plan", "--socket", socket); code != 0 {
-		t.Error("the plan is not shown")
-	}
-	if code, _, errs := birchmoor("config", "plan", "--call-off", "--socket", socket); code == 0 {
-		t.Errorf("called off what has ended: %s", errs)
-	}
+	return true
 }
--- a/cmd/birchmoor/daemon.go
+++ b/cmd/birchmoor/daemon.go
@@ -56,7 +56,8 @@
 	return nil
 }
 
-// processFaults are the faults that task torture injects into this process; only the program of tests sets them.
+// processFaults are the faults that torture runs inject into this process; only builds with defects and tests set
+// them.
 var processFaults tasklab.Inside
 
 // openControlPlane starts the daemon's components, with a replica or a follower of the store and the daemon's
--- a/cmd/birchmoor/defects_off.go
+++ b/cmd/birchmoor/defects_off.go
@@ -9,12 +9,12 @@
 	"birchmoor/internal/store/admin"
 )
 
-// What a program that is built with the tag "planted" does wrong; this one does not.
+// isDefectBuild reports whether defects can be injected into this program: it was built with the tag planted.
 const isDefectBuild = false
 
 func leaseTableDefect() lease.TableDefect                { return lease.NoTableDefect }
+func leaseSessionDefect() lease.Defect                   { return lease.NoDefect }
 func killMarginWithDefect(d time.Duration) time.Duration { return d }
-func deadlineWithDefect(until int64) int64               { return until }
+func deadlineWithDefect(nanos int64) int64               { return nanos }
 func releasesLockEarly() bool                            { return false }
-func leaseSessionDefect() lease.Defect                   { return lease.NoDefect }
 func storeWithDefect(s admin.Store) admin.Store          { return s }
--- a/cmd/birchmoor/defects_on.go
+++ b/cmd/birchmoor/defects_on.go
@@ -14,56 +14,62 @@
 	"birchmoor/internal/store/engine"
 )
 
-// Faults for the bench between processes to find, chosen by an environment variable.
+// isDefectBuild reports whether defects can be injected into this program: it was built with the tag planted.
 const isDefectBuild = true
 
+// Defects that task torture is to find. An environment variable names the one that is enabled.
+const (
+	defectOrderIgnored    = "order-ignored"    // any queue entry may hold the lease
+	defectDeadlineIgnored = "deadline-ignored" // the keeper does not end the command at its deadline
+	defectKeptLate        = "kept-late"        // the keeper ends the command after its deadline
+	defectReleasedFirst   = "released-first"   // lock releases the lease before its command has ended
+	defectRateIgnored     = "rate-ignored"     // clocks of hosts are taken to run at one rate
+	defectReadStale       = "read-stale"       // a read is not confirmed by a quorum
+)
+
 func init() { processFaults = tasklab.ReadInside() }
 
 func defectEnabled(name string) bool { return os.Getenv(tasklab.PlantEnv) == name }
 
-// order-ignored: whoever has a place acts.
 func leaseTableDefect() lease.TableDefect {
-	if defectEnabled("order-ignored") {
+	if defectEnabled(defectOrderIgnored) {
 		return lease.IgnoreQueueOrder
 	}
 	return lease.NoTableDefect
 }
 
-// deadline-ignored: the keeper does not end the command when its time is up.
-func deadlineWithDefect(until int64) int64 {
-	if defectEnabled("deadline-ignored") {
-		return until + int64(time.Hour)
+func leaseSessionDefect() lease.Defect {
+	if defectEnabled(defectRateIgnored) {
+		return lease.IgnoreSkew
 	}
-	return until
+	return lease.NoDefect
 }
 
-// kept-late: the keeper ends the command two seconds after its time.
 func killMarginWithDefect(d time.Duration) time.Duration {
-	if defectEnabled("kept-late") {
-		return -2 * time.Second
+	const lateMargin = -2 * time.Second
+	if defectEnabled(defectKeptLate) {
+		return lateMargin
 	}
 	return d
 }
 
-// released-first: lock gives the task up before its command has ended.
-func releasesLockEarly() bool { return defectEnabled("released-first") }
-
-// rate-ignored: clocks are taken to run at one rate.
-func leaseSessionDefect() lease.Defect {
-	if defectEnabled("rate-ignored") {
-		return lease.IgnoreSkew
+func deadlineWithDefect(nanos int64) int64 {
+	if defectEnabled(defectDeadlineIgnored) {
+		return nanos + int64(time.Hour)
 	}
-	return lease.NoDefect
+	return nanos
 }
 
-// read-stale: a read asks nobody where the quorum is.
-func storeWithDefect(c admin.Store) admin.Store {
-	if defectEnabled("read-stale") {
-		return staleStore{c}
+func releasesLockEarly() bool { return defectEnabled(defectReleasedFirst) }
+
+func storeWithDefect(s admin.Store) admin.Store {
+	if defectEnabled(defectReadStale) {
+		return staleStore{s}
 	}
-	return c
+	return s
 }
 
+// staleStore makes every read a stale one.
 type staleStore struct{ admin.Store }
 
 func (s staleStore) View(ctx context.Context, _ bool, f func(*store.State)) (engine.CopyAge, error) {
--- a/cmd/birchmoor/dns_test.go
+++ b/cmd/birchmoor/dns_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"net"
 	"strings"
 	"testing"
@@ -9,7 +10,7 @@
 	"github.com/miekg/dns"
 )
 
-// An operator's question ends with a code that scripts can go by, and with JSON that they can read.
+// A query ends with an exit code by the answer, and prints the answer as text or JSON.
 func TestDNSQueryPrintsAnswerAndExitsByResponseCode(t *testing.T) {
 	pc, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -28,10 +29,17 @@
 			a.SetEdns0(1232, false)
 			a.IsEdns0().Option = []dns.EDNS0{&dns.EDNS0_EDE{InfoCode: 18, ExtraText: "no class"}}
 		}
-		w.WriteMsg(a)
+		if err := w.WriteMsg(a); err != nil {
+			t.Errorf("the answer: %v", err)
+		}
 	})}
-	go s.ActivateAndServe()
-	defer s.Shutdown()
+	served := make(chan error, 1)
+	go func() { served <- s.ActivateAndServe() }()
+	defer func() {
+		if err := errors.Join(s.Shutdown(), <-served); err != nil {
+			t.Errorf("the name server: %v", err)
+		}
+	}()
 	at := pc.LocalAddr().String()
 	for _, c := range []struct {
 		args []string
@@ -42,7 +50,7 @@
 		{[]string{"there.test", "txt", "--at", at, "--json"}, 0, `"status":"NOERROR"`},
 		{[]string{"none.test", "--at", at}, 0, "NXDOMAIN"},
 		{[]string{"other.test", "--at", at}, exitFailure, "18 no class"},
-		{[]string{"there.test", "--at", at, "--tcp", "--timeout", "1s"}, exitFailure, "no answer from"}, // nobody listens there
+		{[]string{"there.test", "--at", at, "--tcp", "--timeout", "1s"}, exitFailure, "no answer from"}, // not over TCP
 		{[]string{"there.test", "NOTYPE", "--at", at}, exitUsage, "no type of record"},
 		{[]string{"there.test", "--at", "nowhere"}, exitUsage, "--at"},
 		{[]string{"a..b", "--at", at}, exitUsage, "no name"},
@@ -57,29 +65,31 @@
 	}
 }
 
-// What is wrong with [dns] is named by its key before anything starts.
+// A fault of [dns] is reported with its key, before anything starts.
 func TestCheckNamesFaultyDNSKey(t *testing.T) {
 	const class = "\n[dns.class.look]\nsuffixes = [\"a.test\"]\n"
+	const listen = "[dns]\nlisten = \"127.0.0.1:53\"\n"
 	for text, want := range map[string]string{
-		"[dns]\nlisten = \"127.0.0.1:5353\"\n":                                              "dns.class: at least one",
-		"[dns]\n" + class:                                                                   "dns.listen: is missing",
-		"[dns]\nlisten = \"0.0.0.0:53\"\n" + class:                                          "dns.listen: \"0.0.0.0\" is not the address of one",
-		"[dns]\nlisten = \"127.0.0.1:53\"\nopen = -1\n" + class:                             "dns.open: -1",
-		"[dns]\nlisten = \"127.0.0.1:53\"\nslip = 101\n" + class:                            "dns.slip: 101",
-		"[dns]\nlisten = \"127.0.0.1:53\"\n" + class + "tipes = [\"A\"]\n":                  ":6: dns.class.look.tipes: is not a key",
-		"[dns]\nlisten = \"127.0.0.1:53\"\n" + class + "types = [\"AAAAA\"]\n":              "dns.class.look.types: \"AAAAA\"",
-		"[dns]\nlisten = \"127.0.0.1:53\"\n" + class + "transports = [\"quic\"]\n":          "dns.class.look.transports: \"quic\"",
-		"[dns]\nlisten = \"127.0.0.1:53\"\n" + class + "ops = [\"query\", \"update\"]\n":    "a class of their own",
-		"[dns]\nlisten = \"127.0.0.1:53\"\n" + class + "ops = [\"update\"]\nshare = true\n": "dns.class.look.share",
-		"[dns]\nlisten = \"127.0.0.1:53\"\n" + class + "aim = \"3s\"\ngive_up = \"2s\"\n":   "dns.class.look.aim: is over give_up",
-		"[dns]\nlisten = \"127.0.0.1:53\"\n" + class + "late_worth = 1.5\n":                 "dns.class.look.late_worth: 1.5",
+		"[dns]\nlisten = \"127.0.0.1:5353\"\n":                "dns.class: at least one",
+		"[dns]\n" + class:                                     "dns.listen: is missing",
+		"[dns]\nlisten = \"0.0.0.0:53\"\n" + class:            "dns.listen: \"0.0.0.0\" is not the address of one",
+		listen + "open = -1\n" + class:                        "dns.open: -1",
+		listen + "slip = 101\n" + class:                       "dns.slip: 101",
+		listen + class + "tipes = [\"A\"]\n":                  ":6: dns.class.look.tipes: is not a key",
+		listen + class + "types = [\"AAAAA\"]\n":              "dns.class.look.types: \"AAAAA\"",
+		listen + class + "transports = [\"quic\"]\n":          "dns.class.look.transports: \"quic\"",
+		listen + class + "ops = [\"query\", \"update\"]\n":    "a class of their own",
+		listen + class + "ops = [\"update\"]\nshare = true\n": "dns.class.look.share",
+		listen + class + "aim = \"3s\"\ngive_up = \"2s\"\n":   "dns.class.look.aim: is over give_up",
+		listen + class + "late_worth = 1.5\n":                 "dns.class.look.late_worth: 1.5",
 	} {
 		code, out, errs := birchmoor("check", writeFile(t, "op.toml", text))
 		if code != exitUsage || !strings.Contains(errs, want) {
 			t.Errorf("%q: exit code %d, want %q: %s%s", text, code, want, out, errs)
 		}
 	}
-	if code, _, errs := birchmoor("check", writeFile(t, "op.toml", "[dns]\nlisten = \"127.0.0.1:5353\"\n"+class)); code != 0 {
+	sound := writeFile(t, "op.toml", "[dns]\nlisten = \"127.0.0.1:5353\"\n"+class)
+	if code, _, errs := birchmoor("check", sound); code != 0 {
 		t.Errorf("a sound file: exit code %d: %s", code, errs)
 	}
 }
--- a/cmd/birchmoor/drain_test.go
+++ b/cmd/birchmoor/drain_test.go
@@ -17,7 +17,7 @@
 	"birchmoor/internal/testutil/processtest"
 )
 
-// countingServer is a slot server that counts which daemon's requests it got, and when the last came.
+// countingServer is a slot server that counts the requests of each daemon, and notes when the last came.
 type countingServer struct {
 	*httptest.Server
 	mu   sync.Mutex
@@ -26,6 +26,7 @@
 }
 
 func newCountingServer(t *testing.T) *countingServer {
+	t.Helper()
 	c := &countingServer{from: map[string]int{}}
 	c.Server = httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		c.mu.Lock()
@@ -37,6 +38,20 @@
 	return c
 }
 
+// instance is the server as discovery lists it.
+func (c *countingServer) instance(id, lifecycle string) discovery.Instance {
+	return discovery.Instance{
+		ID:        id,
+		Addr:      c.Listener.Addr().String(),
+		Zone:      "a",
+		Kind:      "m",
+		Cell:      1,
+		Lifecycle: lifecycle,
+		Weight:    1,
+		StartedMs: 1,
+	}
+}
+
 func (c *countingServer) count(from string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -62,28 +77,38 @@
 
 func (w *daemonProcess) start(t *testing.T, join bool) {
 	t.Helper()
-	config, err := json.Marshal(map[string]any{"name": w.name, "listen": w.listen, "discovery": w.discovery, "seed": "8c1f30d27a5be964",
-		"known": discovery.List{Generation: 1, Reset: true, Instances: w.known}, "settings": json.RawMessage(singleSidecarSettings)})
+	config, err := json.Marshal(map[string]any{
+		"name":      w.name,
+		"listen":    w.listen,
+		"discovery": w.discovery,
+		"seed":      "8c1f30d27a5be964",
+		"known":     discovery.List{Generation: 1, Reset: true, Instances: w.known},
+		"settings":  json.RawMessage(singleSidecarSettings),
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	file := fmt.Sprintf("[store]\nname = %q\ndir = %q\nsocket = %q\nlisten = %q\nplain = true\njoin = %v\ntick = \"20ms\"\n", w.name,
-		w.path(""), w.path(".sock"), w.store, join)
+	file := fmt.Sprintf("[store]\nname = %q\ndir = %q\nsocket = %q\nlisten = %q\nplain = true\njoin = %v\n"+
+		"tick = \"20ms\"\n",
+		w.name, w.path(""), w.path(".sock"), w.store, join)
 	for name, text := range map[string]string{".json": string(config), ".toml": file} {
 		if err := os.WriteFile(w.path(name), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	// A temporary folder that the next start has not.
-	cmd := processtest.Self(t, []string{asProgramEnv + "=1", "ROUTER_CONFIG=" + w.path(".json"), "TMPDIR=" + t.TempDir()}, "run", "--config", w.path(".toml"))
-	w.process = processtest.Start(t, cmd, &w.log)
+	env := []string{
+		asProgramEnv + "=1",
+		"ROUTER_CONFIG=" + w.path(".json"),
+		"TMPDIR=" + t.TempDir(), // which the next start does not share
+	}
+	w.process = processtest.Start(t, processtest.Self(t, env, "run", "--config", w.path(".toml")), &w.log)
 	w.until(t, "readiness", func() bool {
 		resp, err := http.Get("http://" + w.listen + "/-/ready")
 		if err != nil {
 			return false
 		}
 		resp.Body.Close()
-		return resp.StatusCode == 200
+		return resp.StatusCode == http.StatusOK
 	})
 }
 
@@ -99,16 +124,17 @@
 	processtest.Until(t, w.name+": "+what, done, w.log.String)
 }
 
+// traces counts the requests of all daemons, whose ids are to differ.
 var traces struct {
 	sync.Mutex
 	n int
 }
 
-// sendRequests sends requests through its sidecar.
+// sendRequests sends n requests through the sidecar.
 func (w *daemonProcess) sendRequests(t *testing.T, n int) {
 	t.Helper()
 	for range n {
-		req, err := http.NewRequest("GET", "http://"+w.listen+"/look/1", nil)
+		req, err := http.NewRequest(http.MethodGet, "http://"+w.listen+"/look/1", nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -116,14 +142,16 @@
 		traces.n++
 		id := fmt.Sprintf("%020x", traces.n)
 		traces.Unlock()
-		for name, value := range map[string]string{"X-Trace-Id": id, "X-Qos": "look", "X-Customer": "acme", "X-Expires-In-Ms": "900", "X-From": w.name} {
-			req.Header.Set(name, value)
-		}
+		req.Header.Set("X-Trace-Id", id)
+		req.Header.Set("X-Qos", "look")
+		req.Header.Set("X-Customer", "acme")
+		req.Header.Set("X-Expires-In-Ms", "900")
+		req.Header.Set("X-From", w.name)
 		resp, err := http.DefaultClient.Do(req)
 		if err != nil {
 			t.Fatalf("%s: %v\n%s", w.name, err, w.log.String())
 		}
-		io.Copy(io.Discard, resp.Body)
+		_, _ = io.Copy(io.Discard, resp.Body) // an answer may be cut; it counts all the same
 		resp.Body.Close()
 	}
 }
@@ -133,67 +161,36 @@
 	return code, out + errs
 }
 
-// Three copies, of which only one hears discovery, and each is killed outright in turn: no copy that a drain has
-// reached ever sends the server another request, also not a start whose own list is older than the drain.
+// Of three replicas one alone watches discovery, and each is killed in turn: no replica that a drain has reached
+// sends the server another request, nor does one that starts with a list older than the drain.
 func TestRestartedReplicasSendNothingToDrainedServer(t *testing.T) {
 	drained, other := newCountingServer(t), newCountingServer(t)
-	in := func(id string, s *countingServer, lifecycle string) discovery.Instance {
-		return discovery.Instance{ID: id, Addr: s.Listener.Addr().String(), Zone: "a", Kind: "m", Cell: 1, Lifecycle: lifecycle, Weight: 1, StartedMs: 1}
-	}
-	known := []discovery.Instance{in("s-1", drained, "up"), in("s-2", other, "up")}
-	tell := make(chan discovery.List)
-	board := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		http.NewResponseController(w).Flush()
-		for {
-			select {
-			case l := <-tell:
-				json.NewEncoder(w).Encode(l)
-			case <-time.After(time.Second):
-				io.WriteString(w, "\n")
-			case <-r.Context().Done():
-				return
-			}
-			http.NewResponseController(w).Flush()
-		}
-	}))
-	t.Cleanup(board.CloseClientConnections) // the processes are killed after it
+	known := []discovery.Instance{drained.instance("s-1", "up"), other.instance("s-2", "up")}
+	events := make(chan discovery.List)
 	dir := t.TempDir()
-	a := newDaemonProcess(t, dir, "a", strings.TrimPrefix(board.URL, "http://"), known...)
-	b, c := newDaemonProcess(t, dir, "b", "127.0.0.1:1", known...), newDaemonProcess(t, dir, "c", "127.0.0.1:1", known...)
+	const noDiscovery = "127.0.0.1:1"
+	a := newDaemonProcess(t, dir, "a", serveDiscovery(t, events), known...)
+	b := newDaemonProcess(t, dir, "b", noDiscovery, known...)
+	c := newDaemonProcess(t, dir, "c", noDiscovery, known...)
 	all := []*daemonProcess{a, b, c}
-	for i, w := range all {
-		w.start(t, i > 0)
-		if i == 0 {
-			a.until(t, "a store", func() bool { code, _ := a.runStore("put", "k", "v"); return code == 0 })
-			continue
-		}
-		a.until(t, w.name+" in the cluster", func() bool { code, _ := a.runStore("add", w.name, w.store); return code == 0 })
-		a.until(t, w.name+"'s vote", func() bool {
-			_, out := a.runStore("members")
-			_, status := a.runStore("status")
-			return strings.Count(out, "votes")+strings.Count(out, "leads") == i+1 && strings.Contains(status, "members settled      true")
-		})
-	}
+	formCluster(t, all)
 	for _, w := range all {
 		w.until(t, "traffic at both servers", func() bool {
 			w.sendRequests(t, 10)
 			return drained.count(w.name) > 0 && other.count(w.name) > 0
 		})
 	}
-	told := time.Now()
-	tell <- discovery.List{Generation: 2, Instances: []discovery.Instance{in("s-1", drained, "draining")}}
-	// It has reached a copy once none of many requests goes there.
-	reached := func(w *daemonProcess) {
+	sent := time.Now()
+	events <- discovery.List{Generation: 2, Instances: []discovery.Instance{drained.instance("s-1", "draining")}}
+	for _, w := range all {
+		// The drain has reached a replica once none of many requests goes to the server.
 		w.until(t, "the drain", func() bool {
 			before := drained.count(w.name)
 			w.sendRequests(t, 60)
 			return drained.count(w.name) == before
 		})
 	}
-	for _, w := range all {
-		reached(w)
-	}
-	t.Logf("the last request came %v after the word", drained.last.Sub(told).Round(time.Millisecond))
+	t.Logf("the last request came %v after the word", drained.last.Sub(sent).Round(time.Millisecond))
 	before := map[string]int{}
 	for _, w := range all {
 		before[w.name] = drained.count(w.name)
@@ -224,3 +221,53 @@
 	b.start(t, true)
 	check("b is back, too")
 }
+
+// serveDiscovery serves the watch of discovery with the lists that come from events, and returns its address.
+func serveDiscovery(t *testing.T, events <-chan discovery.List) string {
+	t.Helper()
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		flush := func() { _ = http.NewResponseController(w).Flush() } // the client may be gone
+		flush()
+		for {
+			var err error
+			select {
+			case l := <-events:
+				err = json.NewEncoder(w).Encode(l)
+			case <-time.After(time.Second):
+				_, err = io.WriteString(w, "\n")
+			case <-r.Context().Done():
+				return
+			}
+			if err != nil {
+				return // the client is gone
+			}
+			flush()
+		}
+	}))
+	t.Cleanup(server.CloseClientConnections) // the processes are killed after it
+	return strings.TrimPrefix(server.URL, "http://")
+}
+
+// formCluster starts the replicas, and makes the first one's cluster one of all of them.
+func formCluster(t *testing.T, all []*daemonProcess) {
+	t.Helper()
+	a := all[0]
+	a.start(t, false)
+	a.until(t, "a store", func() bool {
+		code, _ := a.runStore("put", "k", "v")
+		return code == 0
+	})
+	for i, w := range all[1:] {
+		w.start(t, true)
+		a.until(t, w.name+" in the cluster", func() bool {
+			code, _ := a.runStore("add", w.name, w.store)
+			return code == 0
+		})
+		a.until(t, w.name+"'s vote", func() bool {
+			_, members := a.runStore("members")
+			_, status := a.runStore("status")
+			voters := strings.Count(members, "votes") + strings.Count(members, "leads")
+			return voters == i+2 && strings.Contains(status, "members settled      true")
+		})
+	}
+}
--- a/cmd/birchmoor/keys.go
+++ b/cmd/birchmoor/keys.go
@@ -25,7 +25,8 @@
 	if err := keys.Init(k.Dir, k.Cluster); err != nil {
 		return err
 	}
-	fmt.Fprintf(c.out, "%s: an authority was made. Keep ca.key off the replicas: they need ca.pem and their own NAME.key.\n", k.Dir)
+	fmt.Fprintf(c.out, "%s: an authority was made."+
+		" Keep ca.key off the replicas: they need ca.pem and their own NAME.key.\n", k.Dir)
 	return nil
 }
 
@@ -57,7 +58,7 @@
   birchmoor keys rotate keys --retire         # the old authority is trusted no more`
 }
 
-func (k *keysRotate) Run(c *console) error {
+func (k *keysRotate) Run() error {
 	if k.Retire {
 		return keys.Retire(k.Dir)
 	}
--- a/cmd/birchmoor/labbench.go
+++ b/cmd/birchmoor/labbench.go
@@ -65,7 +65,8 @@
 		}
 	}
 	fmt.Fprintf(c.out, "%-14s %6s %8s %10s %9s %9s %9s %8s %8s %9s %8s %8s\n",
-		"party", "conns", "servers", "requests/s", "p50 µs", "p99 µs", "p99.9 µs", "CPU µs", "allocs", "bytes", "peak MB", "not 200")
+		"party", "conns", "servers", "requests/s", "p50 µs", "p99 µs", "p99.9 µs",
+		"CPU µs", "allocs", "bytes", "peak MB", "not 200")
 	for _, r := range rows {
 		fmt.Fprintf(c.out, "%-14s %6d %8d %10.0f %9.0f %9.0f %9.0f %8.1f %8.1f %9.0f %8.1f %8d\n",
 			r.Party, r.Conns, r.Servers, r.Rate, r.P50, r.P99, r.P999, r.CPU, r.Allocs, r.Bytes, r.PeakMB, r.Refused)
--- a/cmd/birchmoor/labresult.go
+++ b/cmd/birchmoor/labresult.go
@@ -55,7 +55,8 @@
 func printResult(w io.Writer, x *figures.Result) {
 	fmt.Fprintf(w, "%s: %d sidecars, %d servers, %.0f s by %s, seed %d\n",
 		x.Scenario, x.Sidecars, x.Servers, x.Length, x.Host, x.Seed)
-	fmt.Fprintf(w, "%-14s %8s %8s %8s %8s %8s %9s\n", "class", "asked", "service", "p50 ms", "p90 ms", "p99 ms", "p99.9 ms")
+	fmt.Fprintf(w, "%-14s %8s %8s %8s %8s %8s %9s\n",
+		"class", "asked", "service", "p50 ms", "p90 ms", "p99 ms", "p99.9 ms")
 	for _, c := range x.Classes {
 		fmt.Fprintf(w, "%-14s %8d %8.3f %8.1f %8.1f %8.1f %9.1f\n", c.Name, c.Tasks, c.Service, c.P50, c.P90, c.P99, c.P999)
 	}
--- a/cmd/birchmoor/labrun.go
+++ b/cmd/birchmoor/labrun.go
@@ -8,7 +8,7 @@
 	"birchmoor/internal/lab/scenario"
 )
 
-// readScenario reads a scenario and sees that a host can play it.
+// readScenario reads a scenario that a host, run or sim, supports.
 func readScenario(path, host string) (*scenario.Scenario, error) {
 	s, err := scenario.Read(path)
 	if err != nil {
@@ -33,11 +33,13 @@
 		return err
 	}
 	if k.Bin == "" {
-		if k.Bin, err = rig.Program(); err != nil {
+		k.Bin, err = rig.Program()
+		if err != nil {
 			return err
 		}
 	}
-	x, err := rig.Run(ctx, s, rig.Options{Seed: k.Seed, Bin: k.Bin, Dir: k.Out, Progress: c.progress(s.Name)})
+	options := rig.Options{Seed: k.Seed, Bin: k.Bin, Dir: k.Out, Progress: c.progress(s.Name)}
+	x, err := rig.Run(ctx, s, options)
 	if err != nil {
 		return err
 	}
--- a/cmd/birchmoor/labscale.go
+++ b/cmd/birchmoor/labscale.go
@@ -152,7 +152,7 @@
 	return os.WriteFile(k.Report, append(text, '\n'), 0o644)
 }
 
-// hollowDefects are the injected defects of hollow sidecars; only the program of tests sets it.
+// hollowDefects are the injected defects of hollow sidecars; only tests set them.
 var hollowDefects scale.Plant
 
 // hollowCommand is a process of lab scale that runs hollow sidecars.
--- a/cmd/birchmoor/labscale_test.go
+++ b/cmd/birchmoor/labscale_test.go
@@ -15,9 +15,10 @@
 	"birchmoor/internal/testutil/processtest"
 )
 
-// hollowDefectEnv names what the hollow sidecars of a test do wrong.
+// hollowDefectEnv names the defect of a test's hollow sidecars.
 const hollowDefectEnv = "BIRCHMOOR_TEST_HOLLOW"
 
+// readHollowDefect sets the defect of this process by its environment.
 func readHollowDefect() {
 	switch os.Getenv(hollowDefectEnv) {
 	case "renewed-twice":
@@ -31,8 +32,9 @@
 	}
 }
 
-// runSizes plays small sizes beside each other, long enough for a picture of each sidecar.
-func runSizes(t *testing.T, plant string, sizes ...int) []*scale.Result {
+// runSizes runs small sizes side by side, long enough for a module snapshot of each sidecar. It injects a defect
+// into the hollow ones, unless that is empty.
+func runSizes(t *testing.T, defect string, sizes ...int) []*scale.Result {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
@@ -42,18 +44,31 @@
 	var wg sync.WaitGroup
 	for i, n := range sizes {
 		dir, pictures, interest := t.TempDir(), uint64(n), ""
-		if plant == "interest-all" {
+		if defect == "interest-all" {
 			interest = operatorconfig.InterestAll
 		}
-		if plant == "picture-for-each" {
+		if defect == "picture-for-each" {
 			pictures *= uint64(n) // of one round, of each that is hollow as many as there are daemons, and one more
 		}
 		wg.Go(func() {
-			all[i], faults[i] = scale.Run(t.Context(), scale.Options{Program: self, Env: []string{asProgramEnv + "=1", hollowDefectEnv + "=" + plant}, Dir: dir, Sidecars: n, Real: 1,
-				Replicas: 1, Services: scale.Calls + 1, For: 6 * time.Second, Seed: 1, Changes: 86400 / 6, Each: 100, Begin: 40, Interest: interest,
+			all[i], faults[i] = scale.Run(t.Context(), scale.Options{
+				Program:  self,
+				Env:      []string{asProgramEnv + "=1", hollowDefectEnv + "=" + defect},
+				Dir:      dir,
+				Sidecars: n,
+				Real:     1,
+				Replicas: 1,
+				Services: scale.Calls + 1,
+				For:      6 * time.Second,
+				Seed:     1,
+				Changes:  86400 / 6,
+				Each:     100,
+				Begin:    40,
+				Interest: interest,
 				Until: func(c scale.Counts) bool {
 					return c.Applied["pictures"] >= pictures && c.RealOut["shares"] >= 3 && c.Applied["sessions"] >= uint64(4*n)
-				}})
+				},
+			})
 		})
 	}
 	wg.Wait()
@@ -65,8 +80,8 @@
 	return all
 }
 
-// What the control plane sends and writes for each sidecar does not grow with them, by counts; and it shows when it
-// does, when a session costs twice, and when a hollow sidecar leaves out what a real one does.
+// By counts, what the control plane sends and writes for each sidecar does not grow with their number. The judge
+// finds it when it does, when a session costs twice, and when a hollow sidecar leaves out what a real one does.
 func TestLabScaleJudgesCost(t *testing.T) {
 	for _, c := range []struct {
 		plant string
@@ -77,9 +92,18 @@
 		{"renewed-twice", []int{6}, []string{"entries of sessions are over"}},
 		{"picture-for-each", []int{5, 32}, []string{"entries of pictures for each daemon and second grow"}},
 		{"part-left-out", []int{6}, []string{"messages of shares, and hollow ones none"}},
-		{"pictures-to-all", []int{24}, []string{"messages of pictures to sidecars are over", "bytes of pictures to sidecars are over"}},
-		{"interest-all", []int{6, 24}, []string{"24 sidecars: messages of pictures to sidecars are over", "24 sidecars: bytes of pictures to sidecars are over", "24 sidecars: messages of shares to sidecars are over",
-			"messages of shares to each sidecar and second grow", "bytes of shares to each sidecar and second grow", "messages of pictures to each sidecar and second grow"}},
+		{"pictures-to-all", []int{24}, []string{
+			"messages of pictures to sidecars are over",
+			"bytes of pictures to sidecars are over",
+		}},
+		{"interest-all", []int{6, 24}, []string{
+			"24 sidecars: messages of pictures to sidecars are over",
+			"24 sidecars: bytes of pictures to sidecars are over",
+			"24 sidecars: messages of shares to sidecars are over",
+			"messages of shares to each sidecar and second grow",
+			"bytes of shares to each sidecar and second grow",
+			"messages of pictures to each sidecar and second grow",
+		}},
 	} {
 		t.Run("plant "+c.plant, func(t *testing.T) {
 			t.Parallel()
@@ -103,7 +127,8 @@
 	}
 }
 
-// What makes no sense, or does not fit the machine, names flag and value, and nothing is started.
+// Flags that are invalid, or sizes that do not fit the machine, are reported with flag and value, and nothing is
+// started.
 func TestLabScaleRejectsInvalidFlags(t *testing.T) {
 	for _, c := range []struct{ args, want string }{
 		{"--sizes 75,x", `--sizes: "75,x" is not a list of sizes`},
@@ -121,7 +146,8 @@
 	} {
 		dir := t.TempDir()
 		code, out, errs := birchmoor(append([]string{"lab", "scale", "--dir", dir}, strings.Fields(c.args)...)...)
-		if code != exitUsage || !strings.HasPrefix(errs, "birchmoor: "+c.want) || strings.Count(errs, "\n") != 1 || out != "" {
+		if code != exitUsage || !strings.HasPrefix(errs, "birchmoor: "+c.want) || strings.Count(errs, "\n") != 1 ||
+			out != "" {
 			t.Errorf("%s: exit %d, %q", c.args, code, errs)
 		}
 		if left, err := os.ReadDir(dir); err != nil || len(left) > 0 {
@@ -130,7 +156,7 @@
 	}
 }
 
-// A run that is interrupted leaves no process and no file.
+// A run that is canceled leaves no process and no file.
 func TestLabScaleCleansUpWhenCanceled(t *testing.T) {
 	t.Parallel()
 	self, err := os.Executable()
@@ -142,8 +168,19 @@
 	defer cancel()
 	ended := make(chan error, 1)
 	go func() {
-		_, err := scale.Run(ctx, scale.Options{Program: self, Env: []string{asProgramEnv + "=1"}, Dir: dir, Sidecars: 6, Real: 1, Replicas: 1, Services: scale.Calls + 1,
-			For: time.Hour, Seed: 1, Each: 100, Begin: 40})
+		_, err := scale.Run(ctx, scale.Options{
+			Program:  self,
+			Env:      []string{asProgramEnv + "=1"},
+			Dir:      dir,
+			Sidecars: 6,
+			Real:     1,
+			Replicas: 1,
+			Services: scale.Calls + 1,
+			For:      time.Hour,
+			Seed:     1,
+			Each:     100,
+			Begin:    40,
+		})
 		ended <- err
 	}()
 	processes := func() (n int) {
@@ -171,10 +208,15 @@
 	}
 }
 
-// The sizes of the help's examples and of docs/CAPACITY.md have services as the size of two years from now has: one
-// for each ten sidecars.
+// Without --services there is one service for each ten sidecars of the largest size, as in docs/CAPACITY.md.
 func TestLabScaleDefaultsToOneServicePerTenSidecars(t *testing.T) {
-	for _, tc := range []struct{ given, size, largest, want int }{{0, 75, 75, 7}, {0, 1200, 1200, 120}, {0, 75, 1200, 7}, {0, 20, 20, 5}, {30, 60, 60, 30}} {
+	for _, tc := range []struct{ given, size, largest, want int }{
+		{0, 75, 75, 7},
+		{0, 1200, 1200, 120},
+		{0, 75, 1200, 7},
+		{0, 20, 20, 5},
+		{30, 60, 60, 30},
+	} {
 		k := scaleCommand{Services: tc.given}
 		if o, err := k.options(tc.size, tc.largest); err != nil || o.Services != tc.want {
 			t.Errorf("%+v: %d services, %v", tc, o.Services, err)
--- a/cmd/birchmoor/labsim.go
+++ b/cmd/birchmoor/labsim.go
@@ -41,11 +41,11 @@
 		}
 		defer pprof.StopCPUProfile()
 	}
-	o := sim.Options{Seed: k.Seed, Progress: c.progress(s.Name), Logs: k.LogLines, Tapped: k.CapturedSidecar}
+	options := sim.Options{Seed: k.Seed, Progress: c.progress(s.Name), Logs: k.LogLines, Tapped: k.CapturedSidecar}
 	if k.Capture != "" {
-		o.Tap = simTap(k.Capture, s, k.CapturedSidecar)
+		options.Tap = simTap(k.Capture, s, k.CapturedSidecar)
 	}
-	x, err := sim.Run(ctx, s, o)
+	x, err := sim.Run(ctx, s, options)
 	if err != nil {
 		return err
 	}
--- a/cmd/birchmoor/labsweep_test.go
+++ b/cmd/birchmoor/labsweep_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// A sweep plays each size, tells how figures grow, and says before it plays what cannot be played.
+// A sweep runs each size, prints how figures grow, and rejects sizes that cannot be run before it runs any.
 func TestLabSweepReportsGrowthAndRejectsInvalidSizes(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "small.toml")
 	if err := os.WriteFile(file, []byte(`name = "small"
@@ -31,21 +31,25 @@
 `), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	code, out, errs := birchmoor("lab", "sweep", file, "--sidecars", "2,4", "--servers", "6,12", "--seeds", "2")
+	sweep := []string{"lab", "sweep", file, "--sidecars", "2,4", "--servers", "6,12", "--seeds", "2"}
+	code, out, errs := birchmoor(sweep...)
 	if code != 1 || !strings.Contains(out, "2, 0") || !strings.Contains(out, "of servers, 4 sidecars") ||
 		!strings.Contains(out, "missed: calls_mean (calls of discovery a second)") {
 		t.Errorf("%d\n%s\n%s", code, out, errs)
 	}
-	again, same, _ := birchmoor("lab", "sweep", file, "--sidecars", "2,4", "--servers", "6,12", "--seeds", "2", "--beside", "1")
+	again, same, _ := birchmoor(append(sweep, "--beside", "1")...)
 	if again != code || same != out {
 		t.Errorf("runs side by side print another table than runs one by one:\n%s\n%s", out, same)
 	}
 	for args, want := range map[string]string{
-		"--sidecars 4,2": "2 does not come after 4", "--sidecars 0": "0 is not within 1 and 10000", "--sidecars 4 --servers 6,6": "does not come after",
-		"--sidecars 4 --seeds 0": "not both above 0", "--sidecars 10000 --servers 2000": "more than the lab holds",
+		"--sidecars 4,2":             "2 does not come after 4",
+		"--sidecars 0":               "0 is not within 1 and 10000",
+		"--sidecars 4 --servers 6,6": "does not come after",
+		"--sidecars 4 --seeds 0":     "not both above 0", "--sidecars 10000 --servers 2000": "more than the lab holds",
 		"--sidecars 1,4": "1 is not a sidecar's number", "--sidecars x": "--sidecars",
 	} {
-		if code, _, errs := birchmoor(append([]string{"lab", "sweep", file}, strings.Fields(args)...)...); code != 2 || !strings.Contains(errs, want) {
+		code, _, errs := birchmoor(append([]string{"lab", "sweep", file}, strings.Fields(args)...)...)
+		if code != 2 || !strings.Contains(errs, want) {
 			t.Errorf("%s: %d %s", args, code, errs)
 		}
 	}
--- a/cmd/birchmoor/limit_test.go
+++ b/cmd/birchmoor/limit_test.go
@@ -11,15 +11,24 @@
 	"birchmoor/internal/lab/limitlab"
 )
 
-// runLimitTorture shares limits among processes of this binary under so many kinds of blows.
-func runLimitTorture(t *testing.T, blows int, change func(*limitlab.Torture)) *limitlab.Tortured {
+// runLimitTorture shares limits among processes of this binary under so many kinds of faults.
+func runLimitTorture(t *testing.T, faults int, change func(*limitlab.Torture)) *limitlab.Tortured {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := &limitlab.Torture{Program: self, Env: []string{asProgramEnv + "=1"}, Dir: t.TempDir(), Replicas: 3, Follow: 5, Blows: blows, Every: time.Millisecond, Seed: 1,
-		Say: func(s string) { t.Log(s) }}
+	x := &limitlab.Torture{
+		Program:  self,
+		Env:      []string{asProgramEnv + "=1"},
+		Dir:      t.TempDir(),
+		Replicas: 3,
+		Follow:   5,
+		Blows:    faults,
+		Every:    time.Millisecond,
+		Seed:     1,
+		Say:      func(s string) { t.Log(s) },
+	}
 	if change != nil {
 		change(x)
 	}
@@ -32,8 +41,9 @@
 	return r
 }
 
-// Eight sidecars over servers that count, each asked for more than there is, and every kind of blow once: no limit
-// is passed, in the whole nor in a part, requests go on after each blow, and every refusal says when to come back.
+// Eight sidecars get more requests than their limits admit, over servers that count, and each kind of fault is
+// injected once: no limit is exceeded, neither at the root nor in a part; requests are admitted after each fault;
+// and every rejection has a Retry-After.
 func TestLimitsHoldAcrossProcessesUnderFaults(t *testing.T) {
 	t.Parallel()
 	r := runLimitTorture(t, len(limitlab.Faults), nil)
@@ -48,7 +58,8 @@
 	}
 }
 
-// Limits come from a file, and show; one that is wrong changes nothing and names its line.
+// limit put puts the limits of a file in force, and the other verbs show them. A faulty file changes nothing, and
+// its fault is reported with the line.
 func TestLimitPutReplacesLimitsUnlessFileIsFaulty(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -60,7 +71,8 @@
 			t.Fatal(err)
 		}
 	}
-	if code, _, errs := birchmoor("limit", "put", bad, "--socket", a.socket); code != exitUsage || !strings.Contains(errs, "bad.toml:3: limit.x.burts") {
+	if code, _, errs := birchmoor("limit", "put", bad, "--socket", a.socket); code != exitUsage ||
+		!strings.Contains(errs, "bad.toml:3: limit.x.burts") {
 		t.Errorf("exit code %d: %s", code, errs)
 	}
 	if code, _, errs := birchmoor("limit", "put", good, "--socket", a.socket); code != 0 {
--- a/cmd/birchmoor/limittorture.go
+++ b/cmd/birchmoor/limittorture.go
@@ -83,7 +83,8 @@
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	fmt.Fprintf(c.out, "%d requests, %d refused (%d without a time), blows %v; %.2f of the rate used once calm; broken: %q\n",
+	fmt.Fprintf(c.out, "%d requests, %d refused (%d without a time), blows %v;"+
+		" %.2f of the rate used once calm; broken: %q\n",
 		r.Requests, r.Refused, r.NoTime, r.Blows, r.Use, r.Broken)
 	return nil
 }
--- a/cmd/birchmoor/lock.go
+++ b/cmd/birchmoor/lock.go
@@ -109,7 +109,7 @@
 	})
 }
 
-// acquire waits until the daemon grants the lock, for the time that was given at most.
+// acquire waits until the daemon grants the lock, up to the time of --wait.
 func (s *lockSession) acquire(ctx context.Context) (adminapi.LockStatus, error) {
 	wait, cancel := ctx, context.CancelFunc(func() {})
 	if s.Wait > 0 {
@@ -180,10 +180,9 @@
 	fmt.Fprintf(s.errs, "%s\n", line)
 }
 
-// Bounds of what is left of the lock's time when the command is told to end, and when it is killed.
 const (
-	maxGracePeriod = time.Second
-	minKillMargin  = 50 * time.Millisecond
+	maxGracePeriod = time.Second           // between SIGTERM and SIGKILL
+	minKillMargin  = 50 * time.Millisecond // between SIGKILL and the end of the lease
 	unlockTimeout  = time.Second
 )
 
--- a/cmd/birchmoor/main.go
+++ b/cmd/birchmoor/main.go
@@ -1,7 +1,12 @@
-// Command birchmoor is the product's command line: the lab, and what operators run by hand.
+// Command birchmoor serves as the sidecar and as the daemon, and is the command line of operators and of the lab.
 //
-// Exit codes: 0 for success, 1 for a run that missed its figures or broke a rule, 2 for bad input, 130 on Ctrl-C;
-// lock has more.
+// Each verb, or family of verbs, has a file named after it: flags are the fields of its struct, and Run does the work
+// by way of the packages under internal/, all of which this one may import. What verbs share is in console.go
+// (progress and JSON), storeclient.go (calls of a running daemon), labresult.go (results of lab runs), seeds.go
+// (simulations) and exitcodes.go. The name of a field is its flag, unless a tag names that.
+//
+// Exit codes are 0 for success, 1 for a run that missed its figures or broke a rule, 2 for bad input and 130 for an
+// interrupt; lock has more.
 package main
 
 import (
@@ -19,6 +24,7 @@
 	"birchmoor/internal/lab/scale"
 )
 
+// commands are the verbs. Hidden ones are for processes that the program starts itself.
 type commands struct {
 	Sidecar sidecarCommand `cmd:"" help:"Serve: the sidecar, with what an operator file turns on."`
 	Run     daemonCommand  `cmd:"" help:"Serve as the daemon: the sidecar and the replicated store, as an operator file says."`
@@ -44,32 +50,42 @@
 
 // run runs the command line and returns the exit code.
 func run(ctx context.Context, args []string, out, errs io.Writer) int {
+	const notExited = -1
 	var c commands
-	code := -1
-	parser, err := kong.New(&c, kong.Name("birchmoor"), kong.UsageOnError(), kong.Writers(out, errs),
+	code := notExited
+	parser, err := kong.New(&c,
+		kong.Name("birchmoor"),
 		kong.Description("birchmoor: a client-side load-balancing sidecar, and the lab that shows what it does."),
-		kong.Exit(func(n int) { code = n }), kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
+		kong.Writers(out, errs),
+		kong.Exit(func(n int) { code = n }),
+		kong.UsageOnError(),
+		kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
 		kong.Vars{"scaleFaults": strings.Join(scale.FaultNames(), ", ")})
 	if err != nil {
-		panic(err) // the commands above are wrong
+		panic(err) // the tags of commands are wrong
 	}
 	parsed, err := parser.Parse(args)
-	if code >= 0 {
-		return code // help was asked for
+	if code != notExited {
+		return code // the parser has printed help
 	}
 	if err == nil {
 		parsed.BindTo(ctx, (*context.Context)(nil))
 		err = parsed.Run(&console{out: out, err: errs})
 	}
-	var own *exitError
+	return exitCode(ctx, err, errs)
+}
+
+// exitCode prints an error, unless that is done, and returns its exit code.
+func exitCode(ctx context.Context, err error, errs io.Writer) int {
+	var withCode *exitError
 	switch {
 	case err == nil:
 		return 0
-	case errors.As(err, &own):
-		if own.err != nil {
-			fmt.Fprintln(errs, "birchmoor:", own.err)
+	case errors.As(err, &withCode):
+		if withCode.err != nil {
+			fmt.Fprintln(errs, "birchmoor:", withCode.err)
 		}
-		return own.code
+		return withCode.code
 	case errors.Is(err, errRunFailed):
 		return exitFailure
 	case ctx.Err() != nil:
--- a/cmd/birchmoor/main_test.go
+++ b/cmd/birchmoor/main_test.go
@@ -19,6 +19,7 @@
 	return code, o.String(), e.String()
 }
 
+// writeFile writes a temporary file, and returns its path.
 func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -39,6 +40,7 @@
 rate = 50
 `
 
+// lab sim writes a result, and lab report draws it as one HTML file without scripts.
 func TestLabSimWritesResultThatReportDraws(t *testing.T) {
 	dir := t.TempDir()
 	code, out, errs := birchmoor("lab", "sim", writeFile(t, "tiny.toml", tinyScenario), "--out", dir, "--seed", "4")
@@ -64,6 +66,7 @@
 	}
 }
 
+// The exit code tells a missed figure, bad input and an interrupt apart.
 func TestLabSimExitCodeByOutcome(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
@@ -87,13 +90,16 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if code := run(ctx, []string{"lab", "sim", writeFile(t, "x.toml", tinyScenario)}, &bytes.Buffer{}, &bytes.Buffer{}); code != exitInterrupted {
+	args := []string{"lab", "sim", writeFile(t, "x.toml", tinyScenario)}
+	if code := run(ctx, args, &bytes.Buffer{}, &bytes.Buffer{}); code != exitInterrupted {
 		t.Errorf("stopped: exit %d", code)
 	}
 }
 
+// lab compare finds a difference where there is one, and none between equal scenarios.
 func TestLabCompareFindsOnlyRealDifferences(t *testing.T) {
-	a, b := writeFile(t, "a.toml", tinyScenario), writeFile(t, "b.toml", strings.Replace(tinyScenario, `"5ms"`, `"50ms"`, 1))
+	a := writeFile(t, "a.toml", tinyScenario)
+	b := writeFile(t, "b.toml", strings.Replace(tinyScenario, `"5ms"`, `"50ms"`, 1))
 	code, out, errs := birchmoor("lab", "compare", a, b, "--seeds", "5", "--json", "-")
 	var x comparison
 	if err := json.Unmarshal([]byte(out), &x); code != 0 || err != nil {
@@ -114,7 +120,8 @@
 		t.Errorf("settings: exit %d\n%s%s", code, out, errs)
 	}
 	bad := writeFile(t, "bad.json", `{"limits":{"most-tires":1}}`)
-	if code, _, errs := birchmoor("lab", "compare", bad, other, "--scenario", a); code != exitUsage || !strings.Contains(errs, "limits.most-tires") {
+	if code, _, errs := birchmoor("lab", "compare", bad, other, "--scenario", a); code != exitUsage ||
+		!strings.Contains(errs, "limits.most-tires") {
 		t.Errorf("an unknown setting: exit %d, %s", code, errs)
 	}
 	if code, _, _ := birchmoor("lab", "compare", a, one); code != exitUsage {
--- a/cmd/birchmoor/replay.go
+++ b/cmd/birchmoor/replay.go
@@ -133,7 +133,9 @@
 }
 
 // report writes the timeline, if there is one, and the result as JSON and for people.
-func (k *replayCommand) report(out io.Writer, r *replay.Report, timeline *replay.Timeline, begin balancer.Micros) error {
+func (k *replayCommand) report(
+	out io.Writer, r *replay.Report, timeline *replay.Timeline, begin balancer.Micros,
+) error {
 	if timeline != nil {
 		if err := timeline.Save(k.Out); err != nil {
 			return err
@@ -197,7 +199,8 @@
 	}
 	t, err := time.Parse(time.RFC3339, text)
 	if err != nil {
-		return 0, fmt.Errorf("%s: %q is neither an instant such as 2026-12-01T10:04:05Z nor a duration such as 90s", flag, text)
+		return 0, fmt.Errorf("%s: %q is neither an instant such as 2026-12-01T10:04:05Z nor a duration such as 90s",
+			flag, text)
 	}
 	return t.UnixMicro(), nil
 }
--- a/cmd/birchmoor/replay_test.go
+++ b/cmd/birchmoor/replay_test.go
@@ -11,7 +11,7 @@
 	"birchmoor/internal/lab/tasklab"
 )
 
-// asProgramEnv has the test's binary stand for the command: another build to replay against.
+// asProgramEnv makes the test binary run as the command, which stands for another build and for daemons.
 const asProgramEnv = "BIRCHMOOR_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
@@ -25,11 +25,13 @@
 
 func captureDir(name string) string { return filepath.Join("..", "..", "lab", "captures", name) }
 
+// A capture in the repository replays with the decisions that it records.
 func TestReplayOfRecordedCaptureMatches(t *testing.T) {
 	svg := filepath.Join(t.TempDir(), "t.svg")
-	code, out, errs := birchmoor("replay", captureDir("gray-failure"), "--from", "12s", "--to", "13s", "--explain", "700", "--timeline",
-		"fast-2.1", "--out", svg)
-	if code != 0 || !strings.Contains(out, "all decisions are as recorded") || !strings.Contains(out, "decided: send 700") {
+	code, out, errs := birchmoor("replay", captureDir("gray-failure"), "--from", "12s", "--to", "13s", "--explain", "700",
+		"--timeline", "fast-2.1", "--out", svg)
+	if code != 0 || !strings.Contains(out, "all decisions are as recorded") ||
+		!strings.Contains(out, "decided: send 700") {
 		t.Fatalf("exit %d\n%s\n%s", code, out, errs)
 	}
 	if text, err := os.ReadFile(svg); err != nil || !strings.Contains(string(text), "<svg") {
@@ -42,6 +44,7 @@
 	}
 }
 
+// Another build that decides the same is reported as such; other settings are replayed open loop.
 func TestReplayAgainstOtherBuildOrSettings(t *testing.T) {
 	t.Setenv(asProgramEnv, "1")
 	self, err := os.Executable()
@@ -59,6 +62,7 @@
 	}
 }
 
+// A damaged capture is reported with the position of the damage, and invalid arguments are bad input.
 func TestReplayRejectsDamagedOrInvalidInput(t *testing.T) {
 	cut := captureDir("gray-failure")
 	list, err := os.ReadDir(cut)
@@ -70,7 +74,8 @@
 		t.Fatal(err)
 	}
 	path := writeFile(t, "cut.capture", string(data[:len(data)/2]))
-	if code, out, _ := birchmoor("replay", path); code != exitFailure || !strings.Contains(out, "not readable") || !strings.Contains(out, "byte") {
+	if code, out, _ := birchmoor("replay", path); code != exitFailure || !strings.Contains(out, "not readable") ||
+		!strings.Contains(out, "byte") {
 		t.Errorf("exit %d: %s", code, out)
 	}
 	for _, args := range [][]string{{writeFile(t, "x.capture", "no capture")}, {t.TempDir()}, {path, "--from", "noon"},
--- a/cmd/birchmoor/sidecar.go
+++ b/cmd/birchmoor/sidecar.go
@@ -65,7 +65,7 @@
 	fleet            sidecar.Fleet
 	currentSettings  func() json.RawMessage // replace those of the configuration file
 	limiter          core.Limiter
-	setAnswerCounter func(daemon.AnswerCounter) // gets the function that tells how clients were answered
+	setAnswerCounter func(daemon.AnswerCounter) // gets the function that returns how clients were answered
 }
 
 // readConfig reads the sidecar's configuration, with the settings that the store has.
--- a/cmd/birchmoor/sidecar_test.go
+++ b/cmd/birchmoor/sidecar_test.go
@@ -32,19 +32,30 @@
 	}
 	defer ln.Close()
 	addr = ln.Addr().String()
-	file, err := ln.(*net.TCPListener).File() // which the process inherits: nobody else gets the address meanwhile
+	file, err := ln.(*net.TCPListener).File() // which the process inherits, so that no other gets the address meanwhile
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer file.Close()
-	config, err := json.Marshal(map[string]any{"name": "n0", "listen": addr, "discovery": "127.0.0.1:1", "seed": "8c1f30d27a5be964",
-		"known": discovery.List{Generation: 1, Reset: true, Instances: []discovery.Instance{{ID: "s-1", Addr: server, Zone: "a", Kind: "m",
-			Cell: 1, Lifecycle: "up", Weight: 1}}}, "settings": json.RawMessage(singleSidecarSettings)})
+	instance := discovery.Instance{ID: "s-1", Addr: server, Zone: "a", Kind: "m", Cell: 1, Lifecycle: "up", Weight: 1}
+	config, err := json.Marshal(map[string]any{
+		"name":      "n0",
+		"listen":    addr,
+		"discovery": "127.0.0.1:1",
+		"seed":      "8c1f30d27a5be964",
+		"known":     discovery.List{Generation: 1, Reset: true, Instances: []discovery.Instance{instance}},
+		"settings":  json.RawMessage(singleSidecarSettings),
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	cmd := processtest.Self(t, []string{asProgramEnv + "=1", "ROUTER_CONFIG=" + writeFile(t, "config.json", string(config)), "ROUTER_FD=3",
-		"TMPDIR=" + t.TempDir()}, "sidecar", "--operator", operatorFile)
+	env := []string{
+		asProgramEnv + "=1",
+		"ROUTER_CONFIG=" + writeFile(t, "config.json", string(config)),
+		"ROUTER_FD=3",
+		"TMPDIR=" + t.TempDir(),
+	}
+	cmd := processtest.Self(t, env, "sidecar", "--operator", operatorFile)
 	cmd.ExtraFiles, log = []*os.File{file}, &processtest.Log{}
 	p := processtest.Start(t, cmd, log)
 	processtest.Until(t, "readiness", func() bool {
@@ -53,18 +64,19 @@
 			return false
 		}
 		resp.Body.Close()
-		return resp.StatusCode == 200
+		return resp.StatusCode == http.StatusOK
 	}, log.String)
 	return addr, log, p.Kill
 }
 
-// A sidecar that is killed outright leaves a capture that replays and a state that the next one recalls.
+// A sidecar that is killed leaves a capture that replays and a state that the next one restores.
 func TestKilledSidecarLeavesCaptureAndState(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer server.Close()
 	dir := t.TempDir()
 	op := filepath.Join(dir, "op.toml")
-	if err := os.WriteFile(op, []byte("[keep]\ndir = \"state\"\n[capture]\ndir = \"captures\"\nsegment = \"1s\"\n"), 0o600); err != nil {
+	text := "[keep]\ndir = \"state\"\n[capture]\ndir = \"captures\"\nsegment = \"1s\"\n"
+	if err := os.WriteFile(op, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	addr, log, kill := startSidecar(t, op, strings.TrimPrefix(server.URL, "http://"))
@@ -84,14 +96,14 @@
 	kept := filepath.Join(dir, "state", "n0.snapshot")
 	begun := time.Now()
 	for n := 0; ; n++ {
-		req, err := http.NewRequest("GET", "http://"+addr+"/look/1", nil)
+		req, err := http.NewRequest(http.MethodGet, "http://"+addr+"/look/1", nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for name, value := range map[string]string{"X-Trace-Id": fmt.Sprintf("%020x", n+1), "X-Qos": "look", "X-Customer": "acme",
-			"X-Expires-In-Ms": "900"} {
-			req.Header.Set(name, value)
-		}
+		req.Header.Set("X-Trace-Id", fmt.Sprintf("%020x", n+1))
+		req.Header.Set("X-Qos", "look")
+		req.Header.Set("X-Customer", "acme")
+		req.Header.Set("X-Expires-In-Ms", "900")
 		resp, err := client.Do(req)
 		if err != nil {
 			t.Fatal(err)
@@ -107,16 +119,19 @@
 	kill()
 	code, out, errs := birchmoor("replay", filepath.Join(dir, "captures"))
 	// The kernel may end the process within a write: then the file is cut, and says so.
-	if strings.Contains(out, "differences") || code != 0 && !strings.Contains(out, ": cut:") || !strings.Contains(out, "segments") {
+	if strings.Contains(out, "differences") || code != 0 && !strings.Contains(out, ": cut:") ||
+		!strings.Contains(out, "segments") {
 		t.Errorf("exit %d\n%s\n%s", code, out, errs)
 	}
 	_, log, kill = startSidecar(t, op, strings.TrimPrefix(server.URL, "http://"))
 	kill()
-	if !strings.Contains(log.String(), "restored the state of an earlier process") || !strings.Contains(log.String(), "endpoints=1 of=1") {
+	if !strings.Contains(log.String(), "restored the state of an earlier process") ||
+		!strings.Contains(log.String(), "endpoints=1 of=1") {
 		t.Errorf("the log:\n%s", log)
 	}
 }
 
+// An unknown key of the operator file is reported with its line.
 func TestSidecarRejectsUnknownOperatorKey(t *testing.T) {
 	code, _, errs := birchmoor("sidecar", "--operator", writeFile(t, "op.toml", "[capture]\ndirr = \"x\"\n"))
 	if code != exitUsage || !strings.Contains(errs, ":2: capture.dirr") {
--- a/cmd/birchmoor/store_test.go
+++ b/cmd/birchmoor/store_test.go
@@ -23,8 +23,13 @@
 
 func newTestDaemon(t *testing.T, dir, name string, join bool, more ...string) *testDaemon {
 	t.Helper()
-	d := &testDaemon{file: filepath.Join(dir, name+".toml"), socket: filepath.Join(dir, name+".sock"), address: processtest.Address(t)}
-	text := fmt.Sprintf("[store]\nname = %q\ndir = %q\nsocket = %q\nlisten = %q\nplain = true\njoin = %v\ntick = \"10ms\"\n",
+	d := &testDaemon{
+		file:    filepath.Join(dir, name+".toml"),
+		socket:  filepath.Join(dir, name+".sock"),
+		address: processtest.Address(t),
+	}
+	text := fmt.Sprintf("[store]\nname = %q\ndir = %q\nsocket = %q\nlisten = %q\nplain = true\njoin = %v\n"+
+		"tick = \"10ms\"\n",
 		name, filepath.Join(dir, name), d.socket, d.address, join)
 	if err := os.WriteFile(d.file, []byte(text+strings.Join(more, "")), 0o600); err != nil {
 		t.Fatal(err)
@@ -73,8 +78,8 @@
 	return strings.TrimSpace(out)
 }
 
-// A write without a quorum ends by its time, with exit code 2 and the word that its outcome is unknown; said again
-// with its request's id, it is made once.
+// A write without a quorum ends by its timeout, with exit code 2 and the report that its outcome is unknown.
+// Retried with its request id, it is made once.
 func TestPutWithoutQuorumReportsUnknownOutcome(t *testing.T) {
 	dir := t.TempDir()
 	a, b := newTestDaemon(t, dir, "a", false), newTestDaemon(t, dir, "b", true)
@@ -85,7 +90,8 @@
 	a.until(t, "b's vote", func() bool {
 		_, out, _ := a.runStore("members")
 		_, status, _ := a.runStore("status")
-		return strings.Count(out, "votes")+strings.Count(out, "leads") == 2 && regexp.MustCompile(`members settled +true`).MatchString(status)
+		return strings.Count(out, "votes")+strings.Count(out, "leads") == 2 &&
+			regexp.MustCompile(`members settled +true`).MatchString(status)
 	})
 	// A machine that is busy may let the leader step down before the write reaches it: then nothing was changed,
 	// and it is tried again.
@@ -107,7 +113,8 @@
 			t.Errorf("%+v; %s", x, errs)
 		}
 	}
-	if x.Outcome != "unknown" || x.Request == "" || !strings.Contains(errs, "the outcome is unknown") || !strings.Contains(errs, "--request "+x.Request) {
+	if x.Outcome != "unknown" || x.Request == "" || !strings.Contains(errs, "the outcome is unknown") ||
+		!strings.Contains(errs, "--request "+x.Request) {
 		t.Errorf("%+v; %s", x, errs)
 	}
 	b.start(t)
@@ -126,7 +133,7 @@
 	}
 }
 
-// What the daemon refuses, or a daemon that is not there, changes nothing, and is said so.
+// A write that the daemon rejects, or that finds no daemon, changes nothing, and that is reported.
 func TestRejectedWriteChangesNothing(t *testing.T) {
 	a := newTestDaemon(t, t.TempDir(), "a", false)
 	if code, _, errs := a.runStore("put", "k", "1"); code != exitUsage || !strings.Contains(errs, "nothing was changed") {
@@ -153,7 +160,7 @@
 	}
 }
 
-// A lease's keys go with it: when it is ended, and when nobody renews it.
+// A lease's keys are deleted when it is revoked, and when it is not renewed.
 func TestKeysEndWithTheirLease(t *testing.T) {
 	a := newTestDaemon(t, t.TempDir(), "a", false)
 	a.start(t)
@@ -165,26 +172,34 @@
 		t.Error(out)
 	}
 	a.mustRunStore(t, "lease", "renew", long)
-	a.until(t, "the end of the silent one", func() bool { code, _, _ := a.runStore("get", "hosts/b"); return code == exitFailure })
+	a.until(t, "the end of the silent one", func() bool {
+		code, _, _ := a.runStore("get", "hosts/b")
+		return code == exitFailure
+	})
 	a.mustRunStore(t, "get", "hosts/a")
 	a.mustRunStore(t, "lease", "end", long)
 	if code, _, _ := a.runStore("get", "hosts/a"); code != exitFailure {
 		t.Errorf("its key outlives a lease: exit code %d", code)
 	}
-	if out := a.mustRunStore(t, "lease", "list", "--json"); strings.Contains(out, "hosts/") || strings.Contains(out, "3600000") {
+	if out := a.mustRunStore(t, "lease", "list", "--json"); strings.Contains(out, "hosts/") ||
+		strings.Contains(out, "3600000") {
 		t.Error(out) // the daemon's own stays
 	}
 	a.mustRunStore(t, "get", "other")
 }
 
-// What the control plane cost is shown by purpose, and as JSON with the same figures or later ones.
+// The meter shows the usage of the control plane by purpose, and as JSON the same figures or later ones.
 func TestStoreMeterReportsUsageByPurpose(t *testing.T) {
 	a := newTestDaemon(t, t.TempDir(), "a", false)
 	a.start(t)
 	a.until(t, "a write", func() bool { code, _, _ := a.runStore("put", "out/ban/x", "{}"); return code == 0 })
 	table := a.mustRunStore(t, "meter")
-	for _, row := range []string{`(?m)^PURPOSE +MESSAGES IN +BYTES IN +MESSAGES OUT`, `(?m)^words +0 +0 +0 +0 +[1-9]\d* +[1-9]\d* +[1-9]\d*$`, `(?m)^pictures( +0){7}$`,
-		`(?m)^connections \(\d+ opened\)`, `(?m)^log +[1-9]\d* +[1-9]\d*$`, `(?m)^copy +0 +0$`, `(?m)^seconds +\d+\.\d$`, `(?m)^cpu user seconds +\d`,
+	for _, row := range []string{
+		`(?m)^PURPOSE +MESSAGES IN +BYTES IN +MESSAGES OUT`, `(?m)^words +0 +0 +0 +0 +[1-9]\d* +[1-9]\d* +[1-9]\d*$`,
+		`(?m)^pictures( +0){7}$`,
+		`(?m)^connections \(\d+ opened\)`,
+		`(?m)^log +[1-9]\d* +[1-9]\d*$`,
+		`(?m)^copy +0 +0$`, `(?m)^seconds +\d+\.\d$`, `(?m)^cpu user seconds +\d`,
 		`(?m)^resident bytes +[1-9]`, `(?m)^descriptors +[1-9]`} {
 		if !regexp.MustCompile(row).MatchString(table) {
 			t.Errorf("no %s in\n%s", row, table)
@@ -194,7 +209,8 @@
 	if err := json.Unmarshal([]byte(a.mustRunStore(t, "meter", "--json")), &r); err != nil {
 		t.Fatal(err)
 	}
-	if w := r.Purposes[usage.ServerReports]; w.Purpose != "words" || w.Applied == 0 || w.AppliedBytes == 0 || r.Seconds <= 0 || r.Process.Goroutines == 0 ||
+	if w := r.Purposes[usage.ServerReports]; w.Purpose != "words" || w.Applied == 0 || w.AppliedBytes == 0 ||
+		r.Seconds <= 0 || r.Process.Goroutines == 0 ||
 		r.Written[usage.LogFile].Syncs == 0 {
 		t.Errorf("%+v", r)
 	}
--- a/cmd/birchmoor/storefleet.go
+++ b/cmd/birchmoor/storefleet.go
@@ -89,7 +89,8 @@
 			return err
 		}
 	} else {
-		fmt.Fprintf(c.out, "%d drains (%d of them undisturbed), %d starts, %d kills, %d times all at once, %d cuts, %d requests\n",
+		fmt.Fprintf(c.out, "%d drains (%d of them undisturbed), %d starts, %d kills, %d times all at once,"+
+			" %d cuts, %d requests\n",
 			r.Drains, r.Judged, r.Starts, r.Kills, r.All, r.Cuts, r.Requests)
 		fmt.Fprintf(c.out, "from daemons that knew %d, late %d, never told %d;"+
 			" the last of an undisturbed one came %.0f ms after the word\n", r.Stale, r.Late, r.Never, r.WorstMs)
@@ -122,11 +123,11 @@
 
 // fleetMeasurements is what fleet measure prints.
 type fleetMeasurements struct {
-	Words  []fleetlab.Told    `json:"words,omitempty"`
-	Starts []fleetlab.Began   `json:"starts,omitempty"`
-	Writes []fleetlab.Writing `json:"writes,omitempty"`
-	Caught *fleetlab.Caught   `json:"caught,omitempty"`
-	Cost   *fleetlab.Cost     `json:"cost,omitempty"`
+	Reports []fleetlab.Told    `json:"words,omitempty"`
+	Starts  []fleetlab.Began   `json:"starts,omitempty"`
+	Writes  []fleetlab.Writing `json:"writes,omitempty"`
+	Caught  *fleetlab.Caught   `json:"caught,omitempty"`
+	Cost    *fleetlab.Cost     `json:"cost,omitempty"`
 }
 
 func (k *fleetMeasure) Run(ctx context.Context, c *console) error {
@@ -168,7 +169,7 @@
 }
 
 func (m *fleetMeasurements) print(w io.Writer) {
-	for _, x := range m.Words {
+	for _, x := range m.Reports {
 		const latency = "\t%d\tp50 %.1f ms\tp99 %.1f\tworst %.1f\n"
 		fmt.Fprintf(w, "%s, to where it was told"+latency, x.What, x.Here.N, x.Here.P50, x.Here.P99, x.Here.Worst)
 		fmt.Fprintf(w, "%s, to the others"+latency, x.What, x.Others.N, x.Others.P50, x.Others.P99, x.Others.Worst)
@@ -179,7 +180,8 @@
 			x.How, x.N, x.Ready.P50, x.Ready.Worst, x.Served, x.Drained, x.Recalled)
 	}
 	for _, x := range m.Writes {
-		fmt.Fprintf(w, "%d daemons\t%d changes of lists\t%d words in the store\t%d entries of the log\t%d pictures\tin %.0f s\n",
+		fmt.Fprintf(w, "%d daemons\t%d changes of lists\t%d words in the store\t%d entries of the log\t"+
+			"%d pictures\tin %.0f s\n",
 			x.Daemons, x.Changes, x.Words, x.Entries, x.Pictures, x.Seconds)
 	}
 	if x := m.Cost; x != nil {
@@ -188,7 +190,8 @@
 			x.Pairs, x.With, x.Without, x.Ratio.Median, x.Ratio.Least, x.Ratio.Most, x.P99.Median, x.P99.Least, x.P99.Most)
 	}
 	if x := m.Caught; x != nil {
-		fmt.Fprintf(w, "%d servers known, %d bytes\tfollower from a replica %.0f ms\tfrom its own disk %.0f\ta replica %.0f\n",
+		fmt.Fprintf(w, "%d servers known, %d bytes\tfollower from a replica %.0f ms\tfrom its own disk %.0f\t"+
+			"a replica %.0f\n",
 			x.Servers, x.Bytes, x.Follower, x.Disk, x.Replica)
 	}
 }
@@ -245,7 +248,7 @@
 		if err != nil {
 			return err
 		}
-		m.Words = append(m.Words, t)
+		m.Reports = append(m.Reports, t)
 	}
 	stop()
 	clients.Wait()
--- a/cmd/birchmoor/storefollower_test.go
+++ b/cmd/birchmoor/storefollower_test.go
@@ -14,8 +14,8 @@
 )
 
 // A daemon without a replica starts with what others know: with an empty disk from a replica, and from its own disk
-// once none can be reached; and it says so. What drains by their word is sent nothing, though its own list says
-// that it serves.
+// once no replica can be reached; and it says so. A server that drains by their reports is sent nothing, though the
+// daemon's own list says that it serves.
 func TestFollowerStartsFromReplicaOrOwnDisk(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
@@ -23,82 +23,111 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
-	f, err := fleetlab.Begin(ctx, fleetlab.Config{Program: self, Args: []string{"run", "--config"}, Env: []string{asProgramEnv + "=1"},
-		Dir: t.TempDir(), Replicas: 1, Follow: 1, Servers: 3, Starts: true, Seed: 1, Wait: time.Minute})
+	f, err := fleetlab.Begin(ctx, fleetlab.Config{
+		Program:  self,
+		Args:     []string{"run", "--config"},
+		Env:      []string{asProgramEnv + "=1"},
+		Dir:      t.TempDir(),
+		Replicas: 1,
+		Follow:   1,
+		Servers:  3,
+		Starts:   true,
+		Seed:     1,
+		Wait:     time.Minute,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.End()
-	a, b := f.Daemons[0], f.Daemons[1]
-	drained := f.Servers[0]
-	in := drained.Now()
-	in.Lifecycle = "draining"
-	drained.Set(in)
-	a.Tell(in)
+	replica, follower := f.Daemons[0], f.Daemons[1]
+	s := &followerStarts{ctx: ctx, follower: follower, drained: f.Servers[0]}
+	drain := s.drained.Now()
+	drain.Lifecycle = "draining"
+	s.drained.Set(drain)
+	replica.Tell(drain)
 	for known := false; !known; {
-		facts, err := b.Client.Servers(ctx)
+		facts, err := follower.Client.Servers(ctx)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, x := range facts {
-			known = known || x.ID == in.ID && x.Kind == "drains" && x.Committed && x.By == "d0"
+			known = known || x.ID == drain.ID && x.Kind == "drains" && x.Committed && x.By == "d0"
 		}
 	}
-	b.Deaf(true)
-	c := &http.Client{Transport: &http.Transport{}}
-	defer c.CloseIdleConnections()
-	start := func(what, from string) {
-		t.Helper()
-		b.Kill()
-		if from != "own disk" {
-			if err := b.Lose(); err != nil {
-				t.Fatal(err)
-			}
-		}
-		before := drained.Count(1)
-		if err := b.Start(); err != nil {
-			t.Fatal(err)
-		}
-		if err := b.Ready(ctx); err != nil {
-			t.Fatalf("%v\n%s", err, b.Log())
-		}
-		for n := range 100 {
-			b.Ask(ctx, c, fmt.Sprintf("%020x", n+before+int(time.Now().UnixNano())))
-		}
-		if n := drained.Count(1) - before; n > 0 {
-			t.Errorf("%s: %d requests to a server that drains\n%s", what, n, b.Log())
-		}
-		s, err := b.Client.Status(ctx)
-		if err != nil || s.Startup.From != from || s.Startup.Exclusions != 1 || !s.Follower || (s.Startup.Age != "") != (from == "own disk") {
-			t.Errorf("%s: %+v, %v", what, s.Startup, err)
-		}
-	}
-	start("an empty disk", "another replica")
-	socket := b.Socket()
-	if code, out, _ := birchmoor("store", "servers", in.ID, "--socket", socket); code != 0 || !strings.Contains(out, "drains") {
+	follower.Deaf(true)
+	s.start(t, "an empty disk", "another replica")
+	socket := follower.Socket()
+	if code, out, _ := birchmoor("store", "servers", drain.ID, "--socket", socket); code != 0 ||
+		!strings.Contains(out, "drains") {
 		t.Errorf("servers: %d %s", code, out)
 	}
-	if code, _, errs := birchmoor("store", "servers", "nobody", "--socket", socket); code != 1 || !strings.Contains(errs, "nothing is known") {
+	code, _, errs := birchmoor("store", "servers", "nobody", "--socket", socket)
+	if code != 1 || !strings.Contains(errs, "nothing is known") {
 		t.Errorf("of no server: %d %s", code, errs)
 	}
-	if code, _, errs := birchmoor("store", "put", "config/current", "{}", "--socket", socket); code != 2 || !strings.Contains(errs, "nothing was changed") {
+	code, _, errs = birchmoor("store", "put", "config/current", "{}", "--socket", socket)
+	if code != 2 || !strings.Contains(errs, "nothing was changed") {
 		t.Errorf("a follower changed the settings: %d %s", code, errs)
 	}
-	for kept := false; !kept; { // its file is written a moment after the copy came
-		kept = slices.Contains(fileNames(t, b.Dir()), "copy")
+	for stored := false; !stored; { // its file is written a moment after the copy came
+		stored = slices.Contains(fileNames(t, follower.Dir()), "copy")
 	}
-	a.Kill()
-	start("no replica to be reached", "own disk")
-	if code, out, _ := birchmoor("store", "status", "--socket", socket); code != 0 || !strings.Contains(out, "own disk at revision") ||
-		!strings.Contains(out, "hears no replica") {
+	replica.Kill()
+	s.start(t, "no replica to be reached", "own disk")
+	code, out, _ := birchmoor("store", "status", "--socket", socket)
+	if code != 0 || !strings.Contains(out, "own disk at revision") || !strings.Contains(out, "hears no replica") {
 		t.Errorf("status: %d %s", code, out)
 	}
-	if code, _, errs := birchmoor("store", "put", "out/ban/x", "y", "--timeout", "300ms", "--socket", socket); code != 2 || !strings.Contains(errs, "nothing was changed") {
+	code, _, errs = birchmoor("store", "put", "out/ban/x", "y", "--timeout", "300ms", "--socket", socket)
+	if code != 2 || !strings.Contains(errs, "nothing was changed") {
 		t.Errorf("a change with no replica: %d %s", code, errs)
 	}
 }
 
+// followerStarts starts a follower again and again while a server drains.
+type followerStarts struct {
+	ctx      context.Context // that of the test
+	follower *fleetlab.Daemon
+	drained  *fleetlab.Server
+}
+
+// start starts the follower anew, and checks where it has its state from and that it sends nothing to the drained
+// server. It loses its disk unless that is where the state is to come from.
+func (s *followerStarts) start(t *testing.T, what, from string) {
+	t.Helper()
+	ownDisk := from == "own disk"
+	s.follower.Kill()
+	if !ownDisk {
+		if err := s.follower.Lose(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	before := s.drained.Count(1)
+	if err := s.follower.Start(); err != nil {
+		t.Fatal(err)
+	}
+	if err := s.follower.Ready(s.ctx); err != nil {
+		t.Fatalf("%v\n%s", err, s.follower.Log())
+	}
+	client := &http.Client{Transport: &http.Transport{}}
+	defer client.CloseIdleConnections()
+	for n := range 100 {
+		s.follower.Ask(s.ctx, client, fmt.Sprintf("%020x", n+before+int(time.Now().UnixNano())))
+	}
+	if n := s.drained.Count(1) - before; n > 0 {
+		t.Errorf("%s: %d requests to a server that drains\n%s", what, n, s.follower.Log())
+	}
+	status, err := s.follower.Client.Status(s.ctx)
+	startup := status.Startup
+	if err != nil || startup.From != from || startup.Exclusions != 1 || !status.Follower ||
+		(startup.Age != "") != ownDisk {
+		t.Errorf("%s: %+v, %v", what, startup, err)
+	}
+}
+
+// fileNames are the names of a folder's files; there are none if there is no folder.
 func fileNames(t *testing.T, dir string) (names []string) {
+	t.Helper()
 	all, err := os.ReadDir(dir)
 	if err != nil && !os.IsNotExist(err) {
 		t.Fatal(err)
--- a/cmd/birchmoor/storefollowerload_test.go
+++ b/cmd/birchmoor/storefollowerload_test.go
@@ -33,24 +33,15 @@
 	"birchmoor/internal/testutil/processtest"
 )
 
-// countingProxy forwards connections to an address, and counts the bytes that pass.
+// countingProxy forwards connections to an address, and counts the bytes that pass each way. It returns its own
+// address.
 func countingProxy(b *testing.B, to string, down, up *atomic.Int64) string {
+	b.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { ln.Close() })
-	pass := func(w, r net.Conn, n *atomic.Int64) {
-		defer w.Close()
-		buf := make([]byte, 32<<10)
-		for {
-			k, err := r.Read(buf)
-			n.Add(int64(k))
-			if _, bad := w.Write(buf[:k]); err != nil || bad != nil {
-				return
-			}
-		}
-	}
 	go func() {
 		for {
 			in, err := ln.Accept()
@@ -62,22 +53,37 @@
 				in.Close()
 				continue
 			}
-			go pass(in, out, down)
-			go pass(out, in, up)
+			go copyCounting(in, out, down)
+			go copyCounting(out, in, up)
 		}
 	}()
 	return ln.Addr().String()
 }
 
+// copyCounting copies from r to w until one of them ends, adds the bytes to n, and closes w.
+func copyCounting(w, r net.Conn, n *atomic.Int64) {
+	defer w.Close()
+	buf := make([]byte, 32<<10)
+	for {
+		k, readErr := r.Read(buf)
+		n.Add(int64(k))
+		_, writeErr := w.Write(buf[:k])
+		if readErr != nil || writeErr != nil {
+			return
+		}
+	}
+}
+
+// cpuTime is the CPU time of this process so far.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkFollowers counts what a follower costs: the daemon's parts of one replica and of so many followers in
-// this process, without sidecars. Each tells a new want as often as it may, and a picture of 15 KB as often as it
-// may. FOLLOWERS and FOR are the sizes and the time that is measured; INTEREST goes into the followers' operator
+// BenchmarkFollowers reports what a follower costs: the components of one replica and of so many followers run in
+// this process, without sidecars. Each follower reports new demand, and saves a snapshot of 15 KB, as often as it
+// may. FOLLOWERS and FOR are the sizes and the time that is measured; INTEREST is added to the followers' operator
 // files.
 //
 //	go test -run - -bench Followers -benchtime 1x ./cmd/birchmoor
@@ -102,11 +108,12 @@
 	}
 }
 
-// openDaemon starts a daemon of this process, without a sidecar; more is of its [store].
+// openDaemon starts a daemon in this process, without a sidecar; more is added to its [store].
 func openDaemon(tb testing.TB, dir, name, more string, log *slog.Logger) (x *fleetServices, end func()) {
 	tb.Helper()
 	file := filepath.Join(dir, name+".toml")
-	text := fmt.Sprintf("[store]\nname = %q\ndir = %q\nsocket = %q\nplain = true\n%s\n[limits]\n", name, name, name+".sock", more)
+	text := fmt.Sprintf("[store]\nname = %q\ndir = %q\nsocket = %q\nplain = true\n%s\n[limits]\n",
+		name, name, name+".sock", more)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		tb.Fatal(err)
 	}
@@ -120,8 +127,9 @@
 	return x, end
 }
 
-// shortDir is a folder whose name leaves room for those of sockets.
+// shortDir is a folder with a path short enough for those of Unix sockets in it.
 func shortDir(tb testing.TB) string {
+	tb.Helper()
 	dir, err := os.MkdirTemp("", "f") //nolint:usetesting // t.TempDir is too long for the path of a Unix socket
 	if err != nil {
 		tb.Fatal(err)
@@ -132,16 +140,23 @@
 
 // partitionedRateLimit is a limit whose parts are the classes class0 to class3.
 func partitionedRateLimit() *quota.Config {
-	l := &quota.Limit{Name: "all", Kind: quota.Rate, Unit: quota.Requests, Window: 1e8, Fallback: quota.Strict, PartitionBy: []string{"class"},
-		Nodes: []quota.Node{{Capacity: 10000 * quota.AmountUnit, Weight: 1}}}
+	l := &quota.Limit{
+		Name:        "all",
+		Kind:        quota.Rate,
+		Unit:        quota.Requests,
+		Window:      1e8,
+		Fallback:    quota.Strict,
+		PartitionBy: []string{"class"},
+		Nodes:       []quota.Node{{Capacity: 10000 * quota.AmountUnit, Weight: 1}},
+	}
 	for i := range 4 {
 		l.Nodes = append(l.Nodes, quota.Node{Path: fmt.Sprint("class", i), Capacity: 5000 * quota.AmountUnit, Weight: 1})
 	}
 	return &quota.Config{Limits: []*quota.Limit{l}}
 }
 
-// A follower's copy holds what its daemon needs; its people are shown what there is all the same, by way of a
-// replica, or told that it is not shown. One whose file says so holds all, as one of the version before.
+// A follower's copy has what its daemon needs. Other keys are read by way of a replica, or the answer says that
+// they are not held. A follower whose interest is all has all keys, as those of the version before.
 func TestFollowerStoresOnlyItsInterest(t *testing.T) {
 	t.Parallel()
 	quiet, dir, serve := slog.New(slog.DiscardHandler), shortDir(t), address.Next()
@@ -151,7 +166,10 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
 	clients := map[string]*adminapi.Client{"a": adminapi.Dial(filepath.Join(dir, "a.sock"))}
-	processtest.Until(t, "limits are put", func() bool { _, err := clients["a"].PutLimits(ctx, partitionedRateLimit()); return err == nil })
+	processtest.Until(t, "limits are put", func() bool {
+		_, err := clients["a"].PutLimits(ctx, partitionedRateLimit())
+		return err == nil
+	})
 	var ending sync.WaitGroup
 	defer ending.Wait()
 	for name, more := range map[string]string{"h0": "", "h1": "", "h2": "interest = \"all\"\n"} {
@@ -167,7 +185,8 @@
 	})
 	processtest.Until(t, "each holds its own", func() bool {
 		st, err := clients["h0"].Status(ctx)
-		return err == nil && st.Interest != nil && st.Interest.Covers(quota.DemandPrefix+"h0/1") && !st.Interest.Covers(quota.DemandPrefix+"h1/1")
+		return err == nil && st.Interest != nil && st.Interest.Covers(quota.DemandPrefix+"h0/1") &&
+			!st.Interest.Covers(quota.DemandPrefix+"h1/1")
 	})
 	if i, err := clients["h0"].Range(ctx, words); err != nil || len(i.Items) != 4 {
 		t.Errorf("by way of a replica: %d, %v", len(i.Items), err)
@@ -175,13 +194,15 @@
 	if i, err := clients["h0"].Range(ctx, stale); err == nil || !strings.Contains(err.Error(), "does not hold") {
 		t.Errorf("its own copy: %d, %v", len(i.Items), err)
 	}
-	if err := clients["h0"].Watch(ctx, words, func(store.Event) error { return nil }); err == nil || !strings.Contains(err.Error(), "does not hold") {
+	if err := clients["h0"].Watch(ctx, words, func(store.Event) error { return nil }); err == nil ||
+		!strings.Contains(err.Error(), "does not hold") {
 		t.Errorf("a watch: %v", err)
 	}
 	if i, err := clients["h2"].Range(ctx, stale); err != nil || len(i.Items) != 4 {
 		t.Errorf("a copy of all: %d, %v", len(i.Items), err)
 	}
-	if l, err := clients["h0"].Limits(ctx, ""); err != nil || l.Fault != "" || len(l.Limits) != 1 || len(l.Limits[0].NodeStatuses[0].Processes) != 4 {
+	if l, err := clients["h0"].Limits(ctx, ""); err != nil || l.Fault != "" || len(l.Limits) != 1 ||
+		len(l.Limits[0].NodeStatuses[0].Processes) != 4 {
 		t.Errorf("limits: %+v, %v", l, err)
 	}
 	processtest.Until(t, "all take part", func() bool {
@@ -189,156 +210,222 @@
 		return err == nil && len(all) == 1 && len(all[0].Queue) == 4
 	})
 	socket := filepath.Join(dir, "h0.sock")
-	if code, _, errs := birchmoor("store", "watch", "limit/", "--socket", socket); code != 2 || !strings.Contains(errs, "a replica has to be asked") {
+	if code, _, errs := birchmoor("store", "watch", "limit/", "--socket", socket); code != 2 ||
+		!strings.Contains(errs, "a replica has to be asked") {
 		t.Errorf("%d %s", code, errs)
 	}
-	if code, out, errs := birchmoor("store", "status", "--socket", socket); code != 0 || !strings.Contains(out, "; a part: ") || !strings.Contains(out, " limit/grant/h0/ ") {
+	if code, out, errs := birchmoor("store", "status", "--socket", socket); code != 0 ||
+		!strings.Contains(out, "; a part: ") || !strings.Contains(out, " limit/grant/h0/ ") {
 		t.Errorf("%d %s %s", code, out, errs)
 	}
 	over()
-	if l, err := clients["h0"].Limits(ctx, ""); err != nil || !strings.Contains(l.Fault, "no replica tells of the others") {
+	if l, err := clients["h0"].Limits(ctx, ""); err != nil ||
+		!strings.Contains(l.Fault, "no replica tells of the others") {
 		t.Errorf("limits with no replica: %+v, %v", l, err)
 	}
 }
 
+// followerLoad is a set of replicas and followers in this process, without sidecars, whose traffic is counted.
+type followerLoad struct {
+	b        *testing.B
+	ctx      context.Context // ends the load
+	dir      string
+	log      *slog.Logger
+	client   *adminapi.Client // of the first replica
+	via      []string         // the replicas as followers name them, by way of counting proxies
+	replicas []func()         // end them
+	follow   []func()
+	busy     sync.WaitGroup
+	down, up atomic.Int64 // bytes between followers and replicas
+	file     atomic.Int64 // bytes of the followers' files
+}
+
+// followersPerReplica is below the 512 followers that a replica takes.
+const followersPerReplica = 400
+
+// measureFollowerCost reports what each of n followers costs, for so long.
 func measureFollowerCost(b *testing.B, n int, span time.Duration) {
-	quiet := slog.New(slog.DiscardHandler)
-	if os.Getenv("SHOW") != "" {
-		quiet = slog.New(slog.NewTextHandler(os.Stderr, nil))
-	}
-	dir := shortDir(b)
+	b.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var ends []func()
-	open := func(name, more string) *fleetServices {
-		x, end := openDaemon(b, dir, name, more, quiet)
-		ends = append(ends, end)
-		return x
-	}
-	var down, up atomic.Int64
-	var via []string // a replica takes 512 followers at most
-	for i := range (n + 399) / 400 {
-		name, listen, serve := string(rune('a'+i)), address.Next(), address.Next()
-		open(name, fmt.Sprintf("listen = %q\nserve = %q\njoin = %v", listen, serve, i > 0))
-		via = append(via, fmt.Sprintf("%q", name+"="+countingProxy(b, serve, &down, &up)))
-		if i == 0 {
-			continue
-		}
-		processtest.Until(b, "a replica more votes", func() bool {
-			c := adminapi.Dial(filepath.Join(dir, "a.sock"))
-			_, _ = c.Change(ctx, admin.ChangeRequest{ID: store.RequestID{Client: 39, Seq: uint64(i)}, AddMember: &store.AddMember{Name: name, Address: listen}})
-			s, err := c.Status(ctx)
-			return err == nil && len(s.Peers) > i && !slices.ContainsFunc(s.Peers, func(p replica.Peer) bool { return p.Learner })
-		})
-	}
-	client := adminapi.Dial(filepath.Join(dir, "a.sock"))
-	for begun := time.Now(); ; time.Sleep(100 * time.Millisecond) {
-		if _, err := client.PutLimits(ctx, partitionedRateLimit()); err == nil {
-			break
-		} else if time.Since(begun) > 10*time.Second {
-			b.Fatal(err)
-		}
+	l := &followerLoad{b: b, ctx: ctx, dir: shortDir(b), log: slog.New(slog.DiscardHandler)}
+	if os.Getenv("SHOW") != "" {
+		l.log = slog.New(slog.NewTextHandler(os.Stderr, nil))
 	}
-	var all []*fleetServices
-	var busy sync.WaitGroup
+	l.startReplicas((n + followersPerReplica - 1) / followersPerReplica)
+	l.putLimits()
 	for i := range n {
-		x := open(fmt.Sprint("host", i), fmt.Sprintf("follow = [%s]\n%s", strings.Join(via, ", "), os.Getenv("INTEREST")))
-		all = append(all, x)
-		known := make([]byte, 15<<10)
-		busy.Go(func() {
-			x.fleet.SaveSnapshots(ctx, fmt.Sprint("sidecar", i), "", func(context.Context) ([]byte, error) { return known, nil }, func() bool { return false })
-		})
-		busy.Go(func() { // what is wanted is another amount each half second
-			t := time.NewTicker(50 * time.Millisecond)
-			defer t.Stop()
-			k, class := 1, 0
-			for at := 0; ; at++ {
-				select {
-				case <-ctx.Done():
-					return
-				case <-t.C:
-				}
-				if at%10 == 0 {
-					k, class = rand.IntN(20), rand.IntN(4)
-				}
-				for range k {
-					if ended, no := x.limiter.Admit(&core.LimiterRequest{Class: fmt.Sprint("class", class), PriorityWeight: 1}); no == nil && ended != nil {
-						ended(true)
-					}
-				}
-			}
-		})
+		l.startFollower(i)
 	}
-	time.Sleep(max(12*time.Second, span/2)) // the first pictures are put
-	var file atomic.Int64
+	time.Sleep(max(12*time.Second, span/2)) // until the first snapshots are written
 	watch, stop := context.WithCancel(ctx)
-	busy.Go(func() { // files that are put in the place of others
-		seen := map[string]time.Time{}
-		for watch.Err() == nil {
-			for i := range n {
-				path := filepath.Join(dir, fmt.Sprint("host", i), "copy")
-				if info, err := os.Stat(path); err == nil && seen[path] != info.ModTime() {
-					if !seen[path].IsZero() {
-						file.Add(info.Size())
-					}
-					seen[path] = info.ModTime()
-				}
-			}
-			time.Sleep(100 * time.Millisecond)
-		}
-	})
+	defer stop()
+	l.busy.Go(func() { l.countFiles(watch, n) })
 	time.Sleep(500 * time.Millisecond)
-	read, sent, used, at := down.Load(), up.Load(), cpuTime(), time.Now()
-	file.Store(0)
-	before, err := client.Status(ctx)
-	if err != nil {
-		b.Fatal(err)
-	}
-	purposes := map[string]int{} // bytes of what changes, as followers are told it, by the keys' beginning
-	told, quit := context.WithTimeout(ctx, span)
-	busy.Go(func() {
-		_ = client.Watch(told, url.Values{"after": {strconv.FormatUint(before.Revision, 10)}}, func(e store.Event) error {
-			text, _ := json.Marshal(e)
-			of, rest, _ := strings.Cut(e.Item.Key, "/")
-			if of == "limit" {
-				rest, _, _ = strings.Cut(rest, "/")
-				of += "/" + rest
-			}
-			purposes[of] += len(text)
-			return nil
-		})
-	})
-	time.Sleep(span)
-	s := time.Since(at).Seconds()
-	each := s * float64(n)
-	b.ReportMetric(float64(down.Load()-read)/each, "read-B/s")
-	b.ReportMetric(float64(up.Load()-sent)/each, "sent-B/s")
-	b.ReportMetric(float64(file.Load())/each, "file-B/s")
-	b.ReportMetric(100*(cpuTime()-used).Seconds()/each, "cpu-%")
-	after, err := client.Status(ctx)
-	if err != nil {
-		b.Fatal(err)
-	}
-	b.ReportMetric(float64(after.Revision-before.Revision)/s, "revisions/s")
-	b.ReportMetric(float64(after.Keys), "keys")
+	changes := l.measure(n, span)
 	stop()
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	b.ReportMetric(float64(m.HeapAlloc)/float64(n)/1e6, "heap-MB")
-	quit()
 	cancel()
-	busy.Wait()
+	l.busy.Wait()
 	var text []string
-	for _, p := range slices.Sorted(maps.Keys(purposes)) {
-		text = append(text, fmt.Sprintf("%s %.0f", p, float64(purposes[p])/s))
+	for _, p := range slices.Sorted(maps.Keys(changes)) {
+		text = append(text, fmt.Sprintf("%s %.0f", p, changes[p]))
 	}
 	b.Logf("bytes a second of all changes: %s", strings.Join(text, ", "))
-	for _, end := range ends[len(via):] {
-		busy.Go(end)
+	for _, end := range l.follow {
+		l.busy.Go(end)
 	}
-	busy.Wait()
-	for _, end := range ends[:len(via)] {
+	l.busy.Wait()
+	for _, end := range l.replicas {
 		end()
 	}
 }
+
+// startReplicas starts n replicas of one cluster.
+func (l *followerLoad) startReplicas(n int) {
+	l.b.Helper()
+	for i := range n {
+		name, listen, serve := string(rune('a'+i)), address.Next(), address.Next()
+		more := fmt.Sprintf("listen = %q\nserve = %q\njoin = %v", listen, serve, i > 0)
+		_, end := openDaemon(l.b, l.dir, name, more, l.log)
+		l.replicas = append(l.replicas, end)
+		l.via = append(l.via, fmt.Sprintf("%q", name+"="+countingProxy(l.b, serve, &l.down, &l.up)))
+		if i == 0 {
+			l.client = adminapi.Dial(filepath.Join(l.dir, "a.sock"))
+			continue
+		}
+		processtest.Until(l.b, "a replica more votes", func() bool {
+			_, _ = l.client.Change(l.ctx, admin.ChangeRequest{
+				ID:        store.RequestID{Client: 39, Seq: uint64(i)},
+				AddMember: &store.AddMember{Name: name, Address: listen},
+			}) // retried until it shows in the status
+			s, err := l.client.Status(l.ctx)
+			learns := func(p replica.Peer) bool { return p.Learner }
+			return err == nil && len(s.Peers) > i && !slices.ContainsFunc(s.Peers, learns)
+		})
+	}
+}
+
+// putLimits puts limits in force once the store has a leader.
+func (l *followerLoad) putLimits() {
+	l.b.Helper()
+	for begin := time.Now(); ; time.Sleep(100 * time.Millisecond) {
+		_, err := l.client.PutLimits(l.ctx, partitionedRateLimit())
+		if err == nil {
+			return
+		}
+		if time.Since(begin) > 10*time.Second {
+			l.b.Fatal(err)
+		}
+	}
+}
+
+// startFollower starts a follower that saves snapshots of 15 KB and wants another amount of a limit each half second.
+func (l *followerLoad) startFollower(i int) {
+	l.b.Helper()
+	more := fmt.Sprintf("follow = [%s]\n%s", strings.Join(l.via, ", "), os.Getenv("INTEREST"))
+	x, end := openDaemon(l.b, l.dir, fmt.Sprint("host", i), more, l.log)
+	l.follow = append(l.follow, end)
+	snapshot := make([]byte, 15<<10)
+	never := func() bool { return false }
+	l.busy.Go(func() {
+		x.fleet.SaveSnapshots(l.ctx, fmt.Sprint("sidecar", i), "",
+			func(context.Context) ([]byte, error) { return snapshot, nil }, never)
+	})
+	l.busy.Go(func() { l.sendRequests(x.limiter) })
+}
+
+// sendRequests has a limiter admit requests, in each half second another number of another class.
+func (l *followerLoad) sendRequests(limiter core.Limiter) {
+	ticker := time.NewTicker(50 * time.Millisecond)
+	defer ticker.Stop()
+	requests, class := 1, 0
+	for tick := 0; ; tick++ {
+		select {
+		case <-l.ctx.Done():
+			return
+		case <-ticker.C:
+		}
+		if tick%10 == 0 {
+			requests, class = rand.IntN(20), rand.IntN(4)
+		}
+		for range requests {
+			ended, rejection := limiter.Admit(&core.LimiterRequest{Class: fmt.Sprint("class", class), PriorityWeight: 1})
+			if rejection == nil && ended != nil {
+				ended(true)
+			}
+		}
+	}
+}
+
+// countFiles counts the bytes of the followers' files that replace others, until ctx ends.
+func (l *followerLoad) countFiles(ctx context.Context, n int) {
+	seen := map[string]time.Time{}
+	for ctx.Err() == nil {
+		for i := range n {
+			path := filepath.Join(l.dir, fmt.Sprint("host", i), "copy")
+			info, err := os.Stat(path)
+			if err != nil || seen[path].Equal(info.ModTime()) {
+				continue
+			}
+			if !seen[path].IsZero() {
+				l.file.Add(info.Size())
+			}
+			seen[path] = info.ModTime()
+		}
+		time.Sleep(100 * time.Millisecond)
+	}
+}
+
+// measure reports what each of n followers costs a second, and returns the bytes a second of all changes by the
+// beginnings of their keys.
+func (l *followerLoad) measure(n int, span time.Duration) map[string]float64 {
+	l.b.Helper()
+	down, up, used, begin := l.down.Load(), l.up.Load(), cpuTime(), time.Now()
+	l.file.Store(0)
+	before, err := l.client.Status(l.ctx)
+	if err != nil {
+		l.b.Fatal(err)
+	}
+	changes := l.countChanges(before.Revision, span)
+	seconds := time.Since(begin).Seconds()
+	each := seconds * float64(n)
+	l.b.ReportMetric(float64(l.down.Load()-down)/each, "read-B/s")
+	l.b.ReportMetric(float64(l.up.Load()-up)/each, "sent-B/s")
+	l.b.ReportMetric(float64(l.file.Load())/each, "file-B/s")
+	l.b.ReportMetric(100*(cpuTime()-used).Seconds()/each, "cpu-%")
+	after, err := l.client.Status(l.ctx)
+	if err != nil {
+		l.b.Fatal(err)
+	}
+	l.b.ReportMetric(float64(after.Revision-before.Revision)/seconds, "revisions/s")
+	l.b.ReportMetric(float64(after.Keys), "keys")
+	for prefix := range changes {
+		changes[prefix] /= seconds
+	}
+	return changes
+}
+
+// countChanges watches all changes after a revision for so long, and returns their bytes by the beginnings of their
+// keys.
+func (l *followerLoad) countChanges(revision uint64, span time.Duration) map[string]float64 {
+	changes := map[string]float64{}
+	ctx, cancel := context.WithTimeout(l.ctx, span)
+	defer cancel()
+	query := url.Values{"after": {strconv.FormatUint(revision, 10)}}
+	_ = l.client.Watch(ctx, query, func(e store.Event) error {
+		text, err := json.Marshal(e)
+		prefix, rest, _ := strings.Cut(e.Item.Key, "/")
+		if prefix == "limit" {
+			kind, _, _ := strings.Cut(rest, "/")
+			prefix += "/" + kind
+		}
+		changes[prefix] += float64(len(text))
+		return err
+	}) // ends with ctx
+	<-ctx.Done()
+	return changes
+}
--- a/cmd/birchmoor/storesim.go
+++ b/cmd/birchmoor/storesim.go
@@ -80,7 +80,8 @@
 	fmt.Fprintf(c.err, "%d seeds, %d broken: %d requests, %d crashes, %d cuts, %d leaders, %d joined, %d left,"+
 		" %d snapshots installed\n",
 		k.Seeds, broken, sum.Ops, sum.Crashes, sum.Cuts, sum.Elected, sum.Joined, sum.Left, sum.Installs)
-	fmt.Fprintf(c.err, "drains: %d changes that tell of one, %d ends; %d requests sent to servers; %d changes of a host's build\n",
+	fmt.Fprintf(c.err, "drains: %d changes that tell of one, %d ends; %d requests sent to servers;"+
+		" %d changes of a host's build\n",
 		sum.Told, sum.Over, sum.Sent, sum.Steps)
 	if broken > 0 || k.Defect != "" {
 		return errRunFailed
