--- a/internal/lab/eventqueue/queue.go
+++ b/internal/lab/eventqueue/queue.go
@@ -1,7 +1,8 @@
-// Package eventqueue is the lab's queue of events: one goroutine, one clock, which is either virtual or the machine's.
+// Package eventqueue is the lab's event loop: one goroutine and one clock, either virtual or the machine's.
 //
-// In virtual time Run jumps from event to event. In real time it sleeps until the next one is due, takes what other
-// goroutines post, and notes how late it was: a lab that is late itself must not blame the program.
+// In virtual time Run jumps from event to event. In real time it sleeps until the next event is due, takes the actions
+// that other goroutines post, and records how late it handled events, so that a delay of the lab itself is not
+// attributed to the program under test. The package imports nothing else of this module.
 package eventqueue
 
 import (
@@ -14,50 +15,69 @@
 // Micros is an instant since the start of the run, or a duration, in microseconds.
 type Micros = int64
 
-// Second is a second.
+// Second is the duration of one second.
 const Second Micros = 1e6
 
-// Event is something to do at an instant.
+const (
+	postedCapacity      = 4096 // actions that may wait before Post blocks
+	cancelCheckInterval = 4096 // events in virtual time between two checks of the context
+	idleWait            = time.Hour
+
+	maxRecordedLateness     = time.Minute // of the percentiles; the maximum is unbounded
+	latenessPrecisionDigits = 3
+	minRecordedLateness     = Micros(1) // the histogram's smallest value
+)
+
+// Event is a scheduled action, which Cancel takes to prevent it.
 type Event struct {
-	action func() // nil once done or dropped
+	action func() // nil once done or canceled
 }
 
-// Queue holds events. Only the goroutine in Run may use it, but for Post and Now in real time.
+// Queue holds events. Only the goroutine in Run may use it, except that any goroutine may call Post, and Now in real
+// time.
 type Queue struct {
-	now      Micros
-	sequence uint64
+	now      Micros // virtual time only
+	sequence uint64 // of the event scheduled last
 	events   eventHeap
 
-	start       time.Time // real time only
+	// Real time only.
+	start       time.Time
 	posted      chan func()
 	lateness    *hdrhistogram.Histogram
 	maxLateness Micros
 }
 
-// NewVirtual returns a queue in virtual time, at 0.
+// NewVirtual returns a queue in virtual time, which begins at 0.
 func NewVirtual() *Queue { return &Queue{} }
 
-// NewRealTime returns a queue on the machine's clock; 0 is when it is made.
+// NewRealTime returns a queue on the machine's clock, whose instant 0 is the time of this call.
 func NewRealTime() *Queue {
-	return &Queue{start: time.Now(), posted: make(chan func(), 4096),
-		lateness: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
+	return &Queue{
+		start:    time.Now(),
+		posted:   make(chan func(), postedCapacity),
+		lateness: hdrhistogram.New(minRecordedLateness, maxRecordedLateness.Microseconds(), latenessPrecisionDigits),
+	}
 }
 
-// StartTime returns the instant of 0 on the machine's clock; it has no meaning in virtual time.
+// isRealTime reports whether the queue runs on the machine's clock.
+func (q *Queue) isRealTime() bool { return q.posted != nil }
+
+// StartTime returns the wall-clock time of instant 0. In virtual time it has no meaning.
 func (q *Queue) StartTime() time.Time { return q.start }
 
-// Now returns the present instant.
+// Now returns the current instant.
 func (q *Queue) Now() Micros {
-	if q.posted != nil {
+	if q.isRealTime() {
 		return time.Since(q.start).Microseconds()
 	}
 	return q.now
 }
 
-// At does something at an instant; one that has passed is now. Events of the same instant run in the order set.
+// At schedules an action for an instant; one in the past counts as now. Actions of the same instant run in the order
+// in which they were scheduled.
 func (q *Queue) At(at Micros, action func()) *Event {
 	q.sequence++
-	if q.posted == nil {
+	if !q.isRealTime() {
 		at = max(at, q.now)
 	}
 	e := &Event{action: action}
@@ -65,25 +85,26 @@
 	return e
 }
 
-// After does something after a delay.
+// After schedules an action for when a delay has passed.
 func (q *Queue) After(delay Micros, action func()) *Event { return q.At(q.Now()+delay, action) }
 
-// Cancel has an event not happen, if it is still to come. It may be nil. Its place is free once it would have been due.
+// Cancel prevents an event that has not happened yet; nil is allowed. The event occupies the queue until its instant.
 func (q *Queue) Cancel(e *Event) {
 	if e != nil {
 		e.action = nil
 	}
 }
 
-// pop takes the first event out, and says when it was due; nil if it was dropped.
+// pop removes the first event and returns its instant and its action, which is nil if it was canceled.
 func (q *Queue) pop() (Micros, func()) {
 	e := q.events.pop()
-	do := e.event.action
+	action := e.event.action
 	e.event.action = nil
-	return e.at, do
+	return e.at, action
 }
 
-// Post has the goroutine in Run do something; real time only. It says no if ctx ended first.
+// Post has the goroutine in Run carry out an action, in real time only. It blocks while too many are waiting, and
+// reports false if ctx ended first.
 func (q *Queue) Post(ctx context.Context, action func()) bool {
 	select {
 	case q.posted <- action:
@@ -93,20 +114,26 @@
 	}
 }
 
-// Run handles events until ctx ends, done says so, or, in virtual time, none is left.
+// Run handles events until done returns true or, in virtual time, none is left; then it returns nil. If ctx ends first,
+// it returns the cause.
 func (q *Queue) Run(ctx context.Context, done func() bool) error {
-	if q.posted != nil {
+	if q.isRealTime() {
 		return q.runRealTime(ctx, done)
 	}
-	for n := 0; len(q.events) > 0 && !done(); n++ {
-		if n%4096 == 0 && ctx.Err() != nil {
+	return q.runVirtual(ctx, done)
+}
+
+func (q *Queue) runVirtual(ctx context.Context, done func() bool) error {
+	for handled := 0; len(q.events) > 0 && !done(); handled++ {
+		if handled%cancelCheckInterval == 0 && ctx.Err() != nil {
 			return context.Cause(ctx)
 		}
-		at, do := q.pop()
-		if do != nil {
-			q.now = at
-			do()
+		at, action := q.pop()
+		if action == nil {
+			continue
 		}
+		q.now = at
+		action()
 	}
 	return nil
 }
@@ -115,25 +142,11 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for !done() {
-		now := q.Now()
-		for len(q.events) > 0 && q.events[0].at <= now {
-			at, do := q.pop()
-			if do == nil {
-				continue
-			}
-			lateness := now - at
-			q.lateness.RecordValue(max(1, lateness))
-			q.maxLateness = max(q.maxLateness, lateness)
-			do()
-		}
-		wait := time.Hour
-		if len(q.events) > 0 {
-			wait = time.Duration(q.events[0].at-q.Now()) * time.Microsecond
-		}
-		timer.Reset(max(0, wait))
+		q.handleDue()
+		timer.Reset(q.waitForNext())
 		select {
-		case do := <-q.posted:
-			do()
+		case action := <-q.posted:
+			action()
 		case <-timer.C:
 		case <-ctx.Done():
 			return context.Cause(ctx)
@@ -142,67 +155,37 @@
 	return nil
 }
 
-// Lateness tells by how much events were handled late: the 99.9th percentile, and the worst. Zero in virtual time.
-func (q *Queue) Lateness() (p999, worst Micros) {
-	if q.lateness == nil {
-		return 0, 0
+// handleDue handles the events that are due at the time of the call, and records how late each was.
+func (q *Queue) handleDue() {
+	now := q.Now()
+	for len(q.events) > 0 && q.events[0].at <= now {
+		at, action := q.pop()
+		if action == nil {
+			continue
+		}
+		q.recordLateness(now - at)
+		action()
 	}
-	return q.lateness.ValueAtQuantile(99.9), q.maxLateness
 }
 
-// entry is an event in the heap, with what it is ordered by beside it: a run's heap is larger than the caches.
-type entry struct {
-	at       Micros
-	sequence uint64
-	event    *Event
+func (q *Queue) recordLateness(lateness Micros) {
+	// The error says that the value exceeds maxRecordedLateness; such a value shows in the maximum only.
+	_ = q.lateness.RecordValue(max(minRecordedLateness, lateness))
+	q.maxLateness = max(q.maxLateness, lateness)
 }
 
-func (a *entry) before(b *entry) bool { return a.at < b.at || a.at == b.at && a.sequence < b.sequence }
-
-// eventHeap is a heap of four children a node.
-type eventHeap []entry
-
-func (h *eventHeap) push(e entry) {
-	*h = append(*h, e)
-	s := *h
-	i := len(s) - 1
-	for i > 0 {
-		parent := (i - 1) / 4
-		if !e.before(&s[parent]) {
-			break
-		}
-		s[i] = s[parent]
-		i = parent
+// waitForNext returns the time until the next event is due, at least 0, or idleWait if there is none.
+func (q *Queue) waitForNext() time.Duration {
+	if len(q.events) == 0 {
+		return idleWait
 	}
-	s[i] = e
+	return max(0, time.Duration(q.events[0].at-q.Now())*time.Microsecond)
 }
 
-func (h *eventHeap) pop() entry {
-	s := *h
-	top, last := s[0], s[len(s)-1]
-	s[len(s)-1] = entry{}
-	s = s[:len(s)-1]
-	*h = s
-	if len(s) == 0 {
-		return top
-	}
-	i := 0
-	for {
-		child := 4*i + 1
-		if child >= len(s) {
-			break
-		}
-		for c := child + 1; c < min(4*i+5, len(s)); c++ {
-			if s[c].before(&s[child]) {
-				child = c
-			}
-		}
-		if !s[child].before(&last) {
-			break
-		}
-		s[i] = s[child]
-		i = child
+// Lateness returns the 99.9th percentile and the maximum of how late events were handled; zeros in virtual time.
+func (q *Queue) Lateness() (p999, maximum Micros) {
+	if q.lateness == nil {
+		return 0, 0
 	}
-	s[i] = last
-	return top
+	return q.lateness.ValueAtQuantile(99.9), q.maxLateness
 }
--- a/internal/lab/eventqueue/queue_test.go
+++ b/internal/lab/eventqueue/queue_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// Events happen in the order of their instants, those of one instant in the order set, dropped ones never.
+// Events happen in the order of their instants, those of one instant in the order scheduled, canceled ones never.
 func TestRunHandlesEventsInOrderAndSkipsCanceledOnes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := NewVirtual()
@@ -25,11 +25,11 @@
 			at := rapid.Int64Range(0, 50).Draw(t, "at")
 			e := q.At(at, func() {
 				if q.Now() != at {
-					t.Fatalf("event %d of instant %d happens at %d", n, at, q.Now())
+					t.Fatalf("event %d for instant %d happened at %d", n, at, q.Now())
 				}
 				got = append(got, n)
 			})
-			if rapid.IntRange(0, 3).Draw(t, "drop") == 0 {
+			if rapid.IntRange(0, 3).Draw(t, "cancel") == 0 {
 				q.Cancel(e)
 				q.Cancel(e)
 			} else {
@@ -45,7 +45,7 @@
 		}
 		for i := range want {
 			if got[i] != want[i].n {
-				t.Fatalf("at place %d comes event %d, want %d", i, got[i], want[i].n)
+				t.Fatalf("event %d happened in position %d, want event %d", got[i], i, want[i].n)
 			}
 		}
 	})
@@ -56,15 +56,17 @@
 	var at []Micros
 	var again func()
 	again = func() {
-		if at = append(at, q.Now()); len(at) < 3 {
+		at = append(at, q.Now())
+		if len(at) < 3 {
 			q.After(10, again)
-			q.At(0, func() {}) // what has passed is now
+			q.At(0, func() {}) // an instant in the past counts as now
 		}
 	}
 	q.After(5, again)
 	q.Cancel(nil)
-	if err := q.Run(context.Background(), func() bool { return false }); err != nil || len(at) != 3 || at[2] != 25 {
-		t.Errorf("happened at %v, %v", at, err)
+	err := q.Run(context.Background(), func() bool { return false })
+	if err != nil || len(at) != 3 || at[2] != 25 {
+		t.Errorf("events happened at %v (error %v), want three, the last at 25", at, err)
 	}
 }
 
@@ -74,28 +76,31 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		posted := false
-		q.After(2*Second, func() { time.Sleep(300 * time.Millisecond) }) // the queue itself is held up
+		q.After(2*Second, func() { time.Sleep(300 * time.Millisecond) }) // delays the queue itself
 		q.After(2*Second+1000, func() {})
 		go q.Post(ctx, func() { posted = true })
 		done := false
 		q.After(5*Second, func() { done = true })
 		if err := q.Run(ctx, func() bool { return done }); err != nil || !posted {
-			t.Errorf("%v, posted %v", err, posted)
+			t.Errorf("Run returned %v; posted action ran: %v", err, posted)
 		}
-		if _, worst := q.Lateness(); worst != 299_000 {
-			t.Errorf("it was late by %d µs, want 299,000", worst)
+		if _, maximum := q.Lateness(); maximum != 299_000 {
+			t.Errorf("maximum lateness is %d µs, want 299,000", maximum)
 		}
 		cancel()
 		if err := q.Run(ctx, func() bool { return false }); err == nil {
-			t.Error("an ended context does not end it")
+			t.Error("Run returned no error after its context had ended")
 		}
 		if q.Post(ctx, func() {}) {
-			// There was room for it: nobody takes it any more, and nobody waits.
-			t.Log("posted after the end")
+			// Either outcome is right: the channel has capacity left, though nothing receives from it any more.
+			t.Log("Post succeeded after the end of its context")
 		}
 	})
 }
 
 func init() {
-	flag.Set("rapid.seed", "20261201") // the same verdict every time; the command line goes before it
+	// A fixed seed makes the properties deterministic; a flag on the command line overrides it.
+	if err := flag.Set("rapid.seed", "20261201"); err != nil {
+		panic(err)
+	}
 }
