--- a/internal/lab/referee/referee.go
+++ b/internal/lab/checker/checker.go
@@ -1,7 +1,7 @@
-// Package referee judges a run by the four rules, from what went over the sockets and the world's truth alone.
+// Package checker judges a run by the four rules, from what went over the sockets and the world's truth alone.
 //
 // It knows nothing of the program that it judges and imports none of it; a test holds that. Every count is its own.
-package referee
+package checker
 
 import (
 	"fmt"
--- a/internal/lab/referee/referee_test.go
+++ b/internal/lab/checker/checker_test.go
@@ -1,4 +1,4 @@
-package referee
+package checker
 
 import (
 	"flag"
--- a/internal/lab/dnslab/bench.go
+++ b/internal/lab/dnslab/bench.go
@@ -21,7 +21,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/miekg/dns"
 
-	"birchmoor/internal/lab/referee"
+	"birchmoor/internal/lab/checker"
 )
 
 // BenchLoad is one measurement.
@@ -352,7 +352,7 @@
 			addrs = []string{p.addr}
 			break
 		}
-		l.ref = referee.New(referee.Settings{})
+		l.ref = checker.New(checker.Settings{})
 		_, end, err := l.sidecar(ctx, b, Options{Seed: 7, Log: slog.New(slog.DiscardHandler)})
 		if err != nil {
 			return err
--- a/internal/lab/dnslab/lab.go
+++ b/internal/lab/dnslab/lab.go
@@ -25,7 +25,7 @@
 	"birchmoor/internal/dataplane/dnsfront/route"
 	"birchmoor/internal/dataplane/maintenance"
 	"birchmoor/internal/dataplane/sidecar"
-	"birchmoor/internal/lab/referee"
+	"birchmoor/internal/lab/checker"
 	"birchmoor/internal/lab/trace"
 )
 
@@ -62,7 +62,7 @@
 	Truncated int64            `json:"truncated"`
 	Stray     int64            `json:"stray"` // messages to clients that were no answer to anything
 	Flooded   int64            `json:"flooded"`
-	Verdict   *referee.Verdict `json:"verdict"`
+	Verdict   *checker.Verdict `json:"verdict"`
 	Missed    []string         `json:"missed"`
 }
 
@@ -82,7 +82,7 @@
 	truncated atomic.Int64
 
 	mu        sync.Mutex
-	ref       *referee.Referee
+	ref       *checker.Referee
 	sends     int
 	outAt     map[int32]time.Time // resolvers that were told out
 	lastSent  time.Duration
@@ -132,7 +132,7 @@
 		o.Through = Sidecar
 	}
 	l := &lab{s: s, begun: time.Now(), outAt: map[int32]time.Time{}, latencies: hdrhistogram.New(1, 60_000_000, 3),
-		ref: referee.New(referee.Settings{Unsafe: []bool{false, true}, DrainGrace: grace.Microseconds(),
+		ref: checker.New(checker.Settings{Unsafe: []bool{false, true}, DrainGrace: grace.Microseconds(),
 			Slack: drainSlack.Microseconds(), FallMultiple: fallMultiple, OverloadFor: overloadFor.Microseconds()})}
 	late := map[int]bool{} // not in the list at the start
 	for _, f := range s.Faults {
--- a/internal/lab/figures/figures.go
+++ b/internal/lab/figures/figures.go
@@ -8,7 +8,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"birchmoor/internal/lab/referee"
+	"birchmoor/internal/lab/checker"
 	"birchmoor/internal/lab/scenario"
 	"birchmoor/internal/lab/trace"
 )
@@ -36,7 +36,7 @@
 	Worst10s float64            `json:"worst_10s"` // service of the worst ten seconds
 	Figures  map[string]float64 `json:"figures"`   // what compare compares
 	Fleet    []Load             `json:"fleet"`
-	Verdict  *referee.Verdict   `json:"verdict"`
+	Verdict  *checker.Verdict   `json:"verdict"`
 	Missed   []string           `json:"missed"` // figures that the scenario demands
 
 	Series Series   `json:"series"`
@@ -340,7 +340,7 @@
 }
 
 // End returns the result of the run. What the host alone knows is left to it.
-func (r *Recorder) End(v *referee.Verdict) *Result {
+func (r *Recorder) End(v *checker.Verdict) *Result {
 	r.turn()
 	s := r.s
 	x := &Result{Scenario: s.Name, About: s.About, Length: time.Duration(s.Length).Seconds(), Sidecars: s.Fleet.Sidecars,
--- a/internal/lab/figures/figures_test.go
+++ b/internal/lab/figures/figures_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"birchmoor/internal/lab/referee"
+	"birchmoor/internal/lab/checker"
 	"birchmoor/internal/lab/scenario"
 	"birchmoor/internal/lab/trace"
 )
@@ -53,7 +53,7 @@
 	answer(2_090_000, 4, trace.Served)
 	ask(15e6, 5, 4, 1, false) // left: 0 of 3
 	r.Take(trace.Event{At: 16e6, Kind: trace.Left, Request: 5})
-	x := r.End(&referee.Verdict{Counts: referee.Counts{Asked: 5, Served: 3, Refused: 1, Gone: 1}})
+	x := r.End(&checker.Verdict{Counts: checker.Counts{Asked: 5, Served: 3, Refused: 1, Gone: 1}})
 	if want := 4.0 / 8; math.Abs(x.Service-want) > 1e-9 {
 		t.Errorf("service %v, want %v", x.Service, want)
 	}
@@ -73,7 +73,7 @@
 }
 
 func TestVoidDoesNotPass(t *testing.T) {
-	x := New(rules(t, "")).End(&referee.Verdict{})
+	x := New(rules(t, "")).End(&checker.Verdict{})
 	if !x.Passed() {
 		t.Errorf("nothing was asked and nothing missed, but: %s", x.Line())
 	}
@@ -101,7 +101,7 @@
 	r.Take(trace.Event{At: 2_300_000, Kind: trace.Called, Sidecar: 1, Work: 20_000})
 	r.Take(trace.Event{At: 2_400_000, Kind: trace.Called, Sidecar: 2, Work: 40_000, Verdict: trace.Failed})
 	take(3_500_000, trace.Probed, 9, 1, 1) // of no server
-	x := r.End(&referee.Verdict{})
+	x := r.End(&checker.Verdict{})
 	want := map[string]float64{"probes_worst": 5, "probes_mean": 5.0 / 8, "handshakes_worst": 4, "handshakes_mean": 6.0 / 8, "shut_mean": 1.0 / 8,
 		"cold_worst": 0.4, "calls_worst": 2, "calls_mean": 0.5, "calls_failed": 0.5, "call_wait_mean_ms": 30, "call_wait_worst_ms": 40}
 	for name, v := range want {
@@ -142,7 +142,7 @@
 			r.Take(e)
 		}
 		r.Take(trace.Event{At: 20 * second, Kind: trace.Probed, Server: 1, Sidecar: 1})
-		x := r.End(&referee.Verdict{})
+		x := r.End(&checker.Verdict{})
 		if over := x.Figures["ramp_falls"] > 0; over != (len(x.Missed) > 0) {
 			t.Errorf("%d and %d: %v falls, missed %q", known, unknown, x.Figures["ramp_falls"], x.Missed)
 		}
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -13,10 +13,10 @@
 	"syscall"
 	"time"
 
+	"birchmoor/internal/lab/checker"
 	"birchmoor/internal/lab/eventqueue"
 	"birchmoor/internal/lab/figures"
 	"birchmoor/internal/lab/model"
-	"birchmoor/internal/lab/referee"
 	"birchmoor/internal/lab/relay"
 	"birchmoor/internal/lab/scenario"
 	"birchmoor/internal/lab/sim"
@@ -83,7 +83,7 @@
 		defer os.RemoveAll(dir)
 		r.dir = dir
 	}
-	ref, rec := referee.New(referee.From(s, slack)), figures.New(s)
+	ref, rec := checker.New(checker.From(s, slack)), figures.New(s)
 	var early []trace.Event // before the clients come, when it is not known yet when that will be
 	r.sink = trace.Func(func(e trace.Event) {
 		if !r.begun {
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -11,11 +11,11 @@
 	"time"
 
 	"birchmoor/balancer"
+	"birchmoor/internal/lab/checker"
 	"birchmoor/internal/lab/eventqueue"
 	"birchmoor/internal/lab/figures"
 	"birchmoor/internal/lab/model"
 	"birchmoor/internal/lab/randstream"
-	"birchmoor/internal/lab/referee"
 	"birchmoor/internal/lab/scenario"
 	"birchmoor/internal/lab/told"
 	"birchmoor/internal/lab/trace"
@@ -78,7 +78,7 @@
 func Run(ctx context.Context, s *scenario.Scenario, o Options) (*figures.Result, error) {
 	began := time.Now()
 	q := eventqueue.NewVirtual()
-	ref, rec := referee.New(referee.From(s, 0)), figures.New(s)
+	ref, rec := checker.New(checker.From(s, 0)), figures.New(s)
 	h := &host{q: q, s: s, seed: randstream.Seed(o.Seed), links: map[[2]int]*link{}, logs: o.Logs, tap: o.Tap, tapped: o.Tapped, banned: map[int]bool{}}
 	// Who watches the run works beside it: the order of the events is all that they go by.
 	aside := trace.Beside(trace.Sinks(append([]trace.Sink{ref, rec}, o.Sinks...)...))
