--- a/cmd/birchmoor/labcompare.go
+++ b/cmd/birchmoor/labcompare.go
@@ -105,7 +105,7 @@
 // add counts a pair of runs, and adds their figures to values unless the lab was late in one of them.
 func (o *comparison) add(pair [2]*figures.Result, values *[2]map[string][]float64) {
 	for i, x := range pair {
-		if !x.Verdict.Kept() {
+		if !x.Verdict.Passed() {
 			o.Broken[i]++
 		}
 	}
--- a/cmd/birchmoor/labresult.go
+++ b/cmd/birchmoor/labresult.go
@@ -62,9 +62,9 @@
 	}
 	n, f := x.Verdict.Counts, x.Figures
 	fmt.Fprintf(w, "requests: asked %d = served %d + refused %d + failed %d + gone %d",
-		n.Asked, n.Served, n.Refused, n.Failed, n.Gone)
-	if n.Excused+n.Unheard > 0 {
-		fmt.Fprintf(w, " (%d with a sidecar that was killed, %d unheard)", n.Excused, n.Unheard)
+		n.Requests, n.Served, n.Rejected, n.Failed, n.Abandoned)
+	if n.Excused+n.Unread > 0 {
+		fmt.Fprintf(w, " (%d with a sidecar that was killed, %d unheard)", n.Excused, n.Unread)
 	}
 	fmt.Fprintf(w, "\nfor each that clients want: %.2f tries, %.2f attempts, %.3f turned away, %.3f connections opened,"+
 		" %.2f probes\n",
@@ -76,9 +76,9 @@
 		fmt.Fprintf(w, ", the lab itself late by %.1f ms (99.9%%), %.1f at most", x.LateP999, x.LateMost)
 	}
 	fmt.Fprintln(w)
-	for _, b := range x.Verdict.Breaches {
+	for _, b := range x.Verdict.Violations {
 		fmt.Fprintf(w, "broken at %.3f s: %s: request %x, sidecar %d, server %d: %s\n",
-			float64(b.At)/1e6, b.Rule, b.Request, b.Sidecar, b.Server, b.Text)
+			float64(b.At)/1e6, b.Rule, b.Request, b.Sidecar, b.Server, b.Detail)
 	}
 	for _, m := range x.Missed {
 		fmt.Fprintln(w, "missed:", m)
--- a/cmd/birchmoor/labsweep.go
+++ b/cmd/birchmoor/labsweep.go
@@ -222,7 +222,7 @@
 // add adds a run, and reports whether it broke a rule or missed a figure.
 func (r *sweepRow) add(x *figures.Result) (failed bool) {
 	r.Runs++
-	if !x.Verdict.Kept() {
+	if !x.Verdict.Passed() {
 		r.Broken++
 	}
 	if len(r.Missed) == 0 {
@@ -231,7 +231,7 @@
 	for name, v := range x.Figures {
 		r.values[name] = append(r.values[name], v)
 	}
-	return !x.Verdict.Kept() || len(x.Missed) > 0
+	return !x.Verdict.Passed() || len(x.Missed) > 0
 }
 
 // summarize sets mean, minimum and maximum of each figure.
--- a/cmd/birchmoor/main_test.go
+++ b/cmd/birchmoor/main_test.go
@@ -52,7 +52,7 @@
 	if err == nil {
 		err = json.Unmarshal(text, &x)
 	}
-	if err != nil || x.Seed != 4 || x.Verdict.Counts.Asked < 100 {
+	if err != nil || x.Seed != 4 || x.Verdict.Counts.Requests < 100 {
 		t.Errorf("the result: %v, %+v", err, x.Verdict)
 	}
 	code, out, errs = birchmoor("lab", "report", dir)
--- a/internal/lab/checker/checker.go
+++ b/internal/lab/checker/checker.go
@@ -22,358 +22,360 @@
 // The rules. The first three are parts of "every request has exactly one final answer", the next two of "nothing
 // runs twice that must not".
 const (
-	Lost          Rule = "lost requests"   // taken, and no answer by their time
-	Doubles       Rule = "double answers"  // a second final answer
-	Foreign       Rule = "foreign answers" // an answer that no server made for the request
-	Duplicates    Rule = "duplicates"      // an unsafe request taken by a second server, or twice
-	FalseRefusals Rule = "false refusals"  // "trying again is harmless" of an unsafe request that may have run
-	LateDrains    Rule = "late drains"     // sent to a server after the grace
-	ColdFalls     Rule = "cold servers pushed over"
-	Unbalanced    Rule = "unbalanced counts" // asked is not served + refused + failed + gone
+	LostRequests        Rule = "lost requests"   // taken, and no answer by their time
+	DuplicateAnswers    Rule = "double answers"  // a second final answer
+	ForeignAnswers      Rule = "foreign answers" // an answer that no server made for the request
+	DuplicateExecutions Rule = "duplicates"      // an unsafe request taken by a second server, or twice
+	FalseRejections     Rule = "false refusals"  // "trying again is harmless" of an unsafe request that may have run
+	TrafficAfterDrain   Rule = "late drains"     // sent to a server after the grace
+	SlowStartOverload   Rule = "cold servers pushed over"
+	UnbalancedCounts    Rule = "unbalanced counts" // asked is not served + refused + failed + gone
 )
 
-// Breach is one break of a rule.
-type Breach struct {
+// Violation is one break of a rule.
+type Violation struct {
 	Rule    Rule   `json:"rule"`
 	At      Micros `json:"at_us"`
 	Request uint64 `json:"request,omitempty"`
 	Server  int    `json:"server"`
 	Sidecar int    `json:"sidecar"`
-	Text    string `json:"text"`
+	Detail  string `json:"text"`
 }
 
 // Counts is what became of the clients' requests. Each that was asked is in exactly one of the others.
 type Counts struct {
-	Asked   int `json:"asked"`
-	Served  int `json:"served"`
-	Refused int `json:"refused"`
-	Failed  int `json:"failed"`  // also those whose connection the sidecar closed
-	Gone    int `json:"gone"`    // the client left without an answer
-	Excused int `json:"excused"` // of failed and gone, those whose sidecar the lab had killed or stopped
-	Unheard int `json:"unheard"` // of gone, those that the sidecar never read
-	Sent    int `json:"sent"`    // attempts
-	Runs    int `json:"runs"`    // attempts that a server took
+	Requests   int `json:"asked"`
+	Served     int `json:"served"`
+	Rejected   int `json:"refused"`
+	Failed     int `json:"failed"`  // also those whose connection the sidecar closed
+	Abandoned  int `json:"gone"`    // the client left without an answer
+	Excused    int `json:"excused"` // of failed and gone, those whose sidecar the lab had killed or stopped
+	Unread     int `json:"unheard"` // of gone, those that the sidecar never read
+	Attempts   int `json:"sent"`    // attempts
+	Executions int `json:"runs"`    // attempts that a server took
 }
 
 // Verdict is what the referee says of a run.
 type Verdict struct {
-	Counts   Counts       `json:"counts"`
-	Broken   map[Rule]int `json:"broken"`
-	Breaches []Breach     `json:"breaches"` // the first of each rule
+	Counts          Counts       `json:"counts"`
+	ViolationCounts map[Rule]int `json:"broken"`
+	Violations      []Violation  `json:"breaches"` // the first of each rule
 }
 
-// Kept says whether all rules were kept.
-func (v *Verdict) Kept() bool { return len(v.Broken) == 0 }
+// Passed says whether all rules were kept.
+func (v *Verdict) Passed() bool { return len(v.ViolationCounts) == 0 }
 
 // String is "rules kept", or names what was broken and how often.
 func (v *Verdict) String() string {
-	if v.Kept() {
+	if v.Passed() {
 		return "rules kept"
 	}
 	var names []string
-	for r := range v.Broken {
-		names = append(names, string(r))
+	for rule := range v.ViolationCounts {
+		names = append(names, string(rule))
 	}
 	sort.Strings(names)
-	for i, r := range names {
-		names[i] = fmt.Sprintf("%s %d", r, v.Broken[Rule(r)])
+	for i, rule := range names {
+		names[i] = fmt.Sprintf("%s %d", rule, v.ViolationCounts[Rule(rule)])
 	}
 	return "rules broken: " + strings.Join(names, ", ")
 }
 
 // Settings is what the rules are judged by.
 type Settings struct {
-	Unsafe       []bool // by class
-	DrainGrace   Micros
-	Slack        Micros // further time, for what lies between a sidecar's clock and ours
-	FallMultiple float64
-	OverloadFor  Micros
+	NonIdempotent    []bool // by class
+	DrainGrace       Micros
+	ClockSlack       Micros // further time, for what lies between a sidecar's clock and ours
+	OverloadMultiple float64
+	OverloadWindow   Micros
 }
 
-// From takes the settings from a scenario.
-func From(s *scenario.Scenario, slack Micros) Settings {
-	x := Settings{DrainGrace: s.Rules.DrainGrace.Micros(), Slack: slack, FallMultiple: s.Rules.FallMultiple,
-		OverloadFor: s.Rules.OverloadFor.Micros()}
+// SettingsFrom takes the settings from a scenario.
+func SettingsFrom(s *scenario.Scenario, slack Micros) Settings {
+	settings := Settings{DrainGrace: s.Rules.DrainGrace.Micros(), ClockSlack: slack, OverloadMultiple: s.Rules.FallMultiple,
+		OverloadWindow: s.Rules.OverloadFor.Micros()}
 	for i := range s.Classes {
-		x.Unsafe = append(x.Unsafe, s.Classes[i].Unsafe)
+		settings.NonIdempotent = append(settings.NonIdempotent, s.Classes[i].Unsafe)
 	}
-	return x
+	return settings
 }
 
 const (
-	examples   = 10               // breaches kept of each rule
-	remembered = 40 * 1000 * 1000 // for how long a request is known after its end
-	pressSlack = 1.25             // of what a cold server bears: chance is 2 roots of its requests and 2, and no more than this
-	pressLeast = 4                // and so many mean works
+	maxExamplesPerRule         = 10               // breaches kept of each rule
+	requestRetention           = 40 * 1000 * 1000 // for how long a request is known after its end
+	slowStartTolerance         = 1.25             // of what a cold server bears: chance is 2 roots of its requests and 2, and no more than this
+	slowStartToleranceRequests = 4                // and so many mean works
 )
 
-// Referee takes the events of a run, in order. It is not safe for concurrent use.
-type Referee struct {
-	s        Settings
-	v        Verdict
-	examples map[Rule]int
-	tries    map[uint64]*try
-	ended    []endedTry // oldest first, to be forgotten
-	tasks    map[uint64]int
-	told     map[link]told
-	servers  map[int32]*server
-	down     map[int32]bool // sidecars that the lab keeps down
-	work     float64
+// Checker takes the events of a run, in order. It is not safe for concurrent use.
+type Checker struct {
+	settings         Settings
+	verdict          Verdict
+	examples         map[Rule]int
+	requests         map[uint64]*request
+	ended            []endedRequest // oldest first, to be forgotten
+	executionsByTask map[uint64]int
+	notices          map[sidecarServer]serverNotice
+	servers          map[int32]*slowStartServer
+	stoppedSidecars  map[int32]bool // sidecars that the lab keeps down
+	meanWork         float64
 }
 
-type try struct {
-	task    uint64
-	class   uint8
-	sidecar int32
-	answers int
-	over    bool
-	runs    int
-	excused bool
+type request struct {
+	task       uint64
+	class      uint8
+	sidecar    int32
+	answers    int
+	ended      bool
+	executions int
+	excused    bool
 }
 
-type endedTry struct {
+type endedRequest struct {
 	id uint64
 	at Micros
 }
 
-type link struct{ sidecar, server int32 }
+type sidecarServer struct{ sidecar, server int32 }
 
-type told struct {
-	outAt  Micros // by discovery; meaningful if out
-	out    bool
-	banAt  Micros
-	banned bool
+type serverNotice struct {
+	drainedAt    Micros // by discovery; meaningful if out
+	drained      bool
+	overriddenAt Micros
+	overridden   bool
 }
 
-type server struct {
-	started  Micros
-	capacity float64
-	from     float64
-	ramp     Micros
-	adds     []add
-	sum      float64
-	fallen   bool
+type slowStartServer struct {
+	started      Micros
+	capacity     float64
+	initialShare float64
+	duration     Micros
+	samples      []workSample
+	sampledWork  float64
+	overloaded   bool
 }
 
-type add struct {
+type workSample struct {
 	at   Micros
 	work float64
 }
 
 // New returns a referee.
-func New(s Settings) *Referee {
-	return &Referee{s: s, v: Verdict{Broken: map[Rule]int{}}, examples: map[Rule]int{}, tries: map[uint64]*try{},
-		tasks: map[uint64]int{}, told: map[link]told{}, servers: map[int32]*server{}, down: map[int32]bool{}}
+func New(s Settings) *Checker {
+	return &Checker{settings: s, verdict: Verdict{ViolationCounts: map[Rule]int{}}, examples: map[Rule]int{}, requests: map[uint64]*request{},
+		executionsByTask: map[uint64]int{}, notices: map[sidecarServer]serverNotice{}, servers: map[int32]*slowStartServer{}, stoppedSidecars: map[int32]bool{}}
 }
 
-func (r *Referee) breach(rule Rule, e *trace.Event, format string, args ...any) {
-	r.v.Broken[rule]++
-	if r.examples[rule]++; r.examples[rule] <= examples {
-		r.v.Breaches = append(r.v.Breaches, Breach{rule, e.At, e.Request, int(e.Server), int(e.Sidecar), fmt.Sprintf(format, args...)})
+func (r *Checker) addViolation(rule Rule, e *trace.Event, format string, args ...any) {
+	r.verdict.ViolationCounts[rule]++
+	if r.examples[rule]++; r.examples[rule] <= maxExamplesPerRule {
+		r.verdict.Violations = append(r.verdict.Violations, Violation{rule, e.At, e.Request, int(e.Server), int(e.Sidecar), fmt.Sprintf(format, args...)})
 	}
 }
 
 // Take takes the next event.
-func (r *Referee) Take(e trace.Event) {
+func (r *Checker) Take(e trace.Event) {
 	switch e.Kind {
 	case trace.Asked:
-		r.v.Counts.Asked++
-		r.tries[e.Request] = &try{task: e.Task, class: e.Class, sidecar: e.Sidecar, excused: r.down[e.Sidecar]}
-		r.work += (float64(e.Work) - r.work) / float64(min(r.v.Counts.Asked, 1000))
-		r.forget(e.At)
+		r.verdict.Counts.Requests++
+		r.requests[e.Request] = &request{task: e.Task, class: e.Class, sidecar: e.Sidecar, excused: r.stoppedSidecars[e.Sidecar]}
+		r.meanWork += (float64(e.Work) - r.meanWork) / float64(min(r.verdict.Counts.Requests, 1000))
+		r.forgetOldRequests(e.At)
 	case trace.Answered:
-		r.answered(&e)
+		r.handleAnswer(&e)
 	case trace.Left, trace.Cut:
-		r.leftOut(&e)
+		r.handleUnanswered(&e)
 	case trace.Sent:
-		r.v.Counts.Sent++
-		r.sent(&e)
+		r.verdict.Counts.Attempts++
+		r.checkDrain(&e)
 	case trace.Accepted:
-		r.v.Counts.Runs++
-		r.press(&e)
-		r.runs(&e)
+		r.verdict.Counts.Executions++
+		r.checkSlowStart(&e)
+		r.countExecution(&e)
 	case trace.Turned:
-		r.press(&e)
+		r.checkSlowStart(&e)
 	case trace.Told:
-		r.tell(&e)
+		r.handleNotice(&e)
 	case trace.Started:
-		r.servers[e.Server] = &server{started: e.At, capacity: e.Capacity, from: e.ColdFrom, ramp: e.ColdFor}
+		r.servers[e.Server] = &slowStartServer{started: e.At, capacity: e.Capacity, initialShare: e.ColdFrom, duration: e.ColdFor}
 	case trace.Killed:
-		r.killed(&e)
+		r.handleSidecarState(&e)
 	}
 }
 
-func (r *Referee) answered(e *trace.Event) {
-	t := r.tries[e.Request]
-	if t == nil {
-		r.breach(Doubles, e, "an answer to a request that nobody has open")
+func (r *Checker) handleAnswer(e *trace.Event) {
+	request := r.requests[e.Request]
+	if request == nil {
+		r.addViolation(DuplicateAnswers, e, "an answer to a request that nobody has open")
 		return
 	}
-	if t.answers++; t.answers > 1 {
-		r.breach(Doubles, e, "answer number %d", t.answers)
+	if request.answers++; request.answers > 1 {
+		r.addViolation(DuplicateAnswers, e, "answer number %d", request.answers)
 		return
 	}
-	if t.over {
+	if request.ended {
 		return // the client had left, and what came crossed that
 	}
-	r.end(e, t)
+	r.endRequest(e, request)
 	switch e.Verdict {
 	case trace.Served:
-		r.v.Counts.Served++
-		if t.runs == 0 {
-			r.breach(Foreign, e, "served, and no server had it")
+		r.verdict.Counts.Served++
+		if request.executions == 0 {
+			r.addViolation(ForeignAnswers, e, "served, and no server had it")
 		}
 	case trace.Refused:
-		r.v.Counts.Refused++
-		if r.unsafe(t) && t.runs > 0 {
-			r.breach(FalseRefusals, e, "refused after %d of its attempts had been taken", t.runs)
+		r.verdict.Counts.Rejected++
+		if r.isNonIdempotent(request) && request.executions > 0 {
+			r.addViolation(FalseRejections, e, "refused after %d of its attempts had been taken", request.executions)
 		}
 	case trace.Foreign:
-		r.v.Counts.Served++
-		r.breach(Foreign, e, "its answer is another request's")
+		r.verdict.Counts.Served++
+		r.addViolation(ForeignAnswers, e, "its answer is another request's")
 	default:
-		r.v.Counts.Failed++
+		r.verdict.Counts.Failed++
 	}
 }
 
-// leftOut handles a request that ended without an answer.
-func (r *Referee) leftOut(e *trace.Event) {
-	t := r.tries[e.Request]
-	if t == nil || t.over {
-		r.breach(Unbalanced, e, "%v of a request that nobody has open", e.Kind)
+// handleUnanswered handles a request that ended without an answer.
+func (r *Checker) handleUnanswered(e *trace.Event) {
+	request := r.requests[e.Request]
+	if request == nil || request.ended {
+		r.addViolation(UnbalancedCounts, e, "%v of a request that nobody has open", e.Kind)
 		return
 	}
-	r.end(e, t)
+	r.endRequest(e, request)
 	unheard := e.Note == "unheard"
 	if e.Kind == trace.Cut {
-		r.v.Counts.Failed++
+		r.verdict.Counts.Failed++
 	} else {
-		r.v.Counts.Gone++
+		r.verdict.Counts.Abandoned++
 	}
 	switch {
 	case unheard:
-		r.v.Counts.Unheard++
-	case t.excused:
-		r.v.Counts.Excused++
+		r.verdict.Counts.Unread++
+	case request.excused:
+		r.verdict.Counts.Excused++
 	default:
-		r.breach(Lost, e, "no final answer by its time (%v)", e.Kind)
+		r.addViolation(LostRequests, e, "no final answer by its time (%v)", e.Kind)
 	}
 }
 
-func (r *Referee) end(e *trace.Event, t *try) {
-	t.over = true
-	r.ended = append(r.ended, endedTry{e.Request, e.At})
+func (r *Checker) endRequest(e *trace.Event, request *request) {
+	request.ended = true
+	r.ended = append(r.ended, endedRequest{e.Request, e.At})
 }
 
-func (r *Referee) unsafe(t *try) bool { return int(t.class) < len(r.s.Unsafe) && r.s.Unsafe[t.class] }
+func (r *Checker) isNonIdempotent(request *request) bool {
+	return int(request.class) < len(r.settings.NonIdempotent) && r.settings.NonIdempotent[request.class]
+}
 
-// runs counts the executions of a request, and of what its client wants.
-func (r *Referee) runs(e *trace.Event) {
-	t := r.tries[e.Request]
-	if t == nil {
-		r.breach(Foreign, e, "a server was sent a request that no client has sent")
+// countExecution counts the executions of a request, and of what its client wants.
+func (r *Checker) countExecution(e *trace.Event) {
+	request := r.requests[e.Request]
+	if request == nil {
+		r.addViolation(ForeignAnswers, e, "a server was sent a request that no client has sent")
 		return
 	}
-	t.runs++
-	if !r.unsafe(t) {
+	request.executions++
+	if !r.isNonIdempotent(request) {
 		return
 	}
-	if r.tasks[t.task]++; r.tasks[t.task] > 1 {
-		r.breach(Duplicates, e, "taken by servers %d times", r.tasks[t.task])
+	if r.executionsByTask[request.task]++; r.executionsByTask[request.task] > 1 {
+		r.addViolation(DuplicateExecutions, e, "taken by servers %d times", r.executionsByTask[request.task])
 	}
 }
 
-// sent checks an attempt against what its sidecar had been told.
-func (r *Referee) sent(e *trace.Event) {
-	w := r.told[link{e.Sidecar, e.Server}]
-	grace := r.s.DrainGrace + r.s.Slack
+// checkDrain checks an attempt against what its sidecar had been told.
+func (r *Checker) checkDrain(e *trace.Event) {
+	notice := r.notices[sidecarServer{e.Sidecar, e.Server}]
+	grace := r.settings.DrainGrace + r.settings.ClockSlack
 	switch {
-	case w.banned && e.At > w.banAt+grace:
-		r.breach(LateDrains, e, "%d ms after operators took the server out", (e.At-w.banAt)/1000)
-	case w.out && e.At > w.outAt+grace:
-		r.breach(LateDrains, e, "%d ms after the sidecar was told", (e.At-w.outAt)/1000)
+	case notice.overridden && e.At > notice.overriddenAt+grace:
+		r.addViolation(TrafficAfterDrain, e, "%d ms after operators took the server out", (e.At-notice.overriddenAt)/1000)
+	case notice.drained && e.At > notice.drainedAt+grace:
+		r.addViolation(TrafficAfterDrain, e, "%d ms after the sidecar was told", (e.At-notice.drainedAt)/1000)
 	}
 }
 
-func (r *Referee) tell(e *trace.Event) {
-	l := link{e.Sidecar, e.Server}
-	w := r.told[l]
+func (r *Checker) handleNotice(e *trace.Event) {
+	l := sidecarServer{e.Sidecar, e.Server}
+	notice := r.notices[l]
 	switch e.State {
 	case trace.Up:
-		w.out = false
+		notice.drained = false
 	case trace.Draining, trace.Gone:
-		if !w.out {
-			w.out, w.outAt = true, e.At
+		if !notice.drained {
+			notice.drained, notice.drainedAt = true, e.At
 		}
 	case trace.Banned:
-		if !w.banned {
-			w.banned, w.banAt = true, e.At
+		if !notice.overridden {
+			notice.overridden, notice.overriddenAt = true, e.At
 		}
 	case trace.Released:
-		w.banned = false
+		notice.overridden = false
 	}
-	r.told[l] = w
+	r.notices[l] = notice
 }
 
-// press counts the work sent to a cold server in each window.
-func (r *Referee) press(e *trace.Event) {
-	s := r.servers[e.Server]
-	if s == nil || s.fallen || s.ramp <= 0 || e.At-s.started >= s.ramp {
+// checkSlowStart counts the work sent to a cold server in each window.
+func (r *Checker) checkSlowStart(e *trace.Event) {
+	server := r.servers[e.Server]
+	if server == nil || server.overloaded || server.duration <= 0 || e.At-server.started >= server.duration {
 		return
 	}
-	cut := 0
-	for cut < len(s.adds) && s.adds[cut].at < e.At-r.s.OverloadFor {
-		s.sum -= s.adds[cut].work
-		cut++
+	expired := 0
+	for expired < len(server.samples) && server.samples[expired].at < e.At-r.settings.OverloadWindow {
+		server.sampledWork -= server.samples[expired].work
+		expired++
 	}
-	s.adds = append(s.adds[cut:], add{e.At, float64(e.Work)})
-	s.sum += float64(e.Work)
-	warmth := s.from + (1-s.from)*float64(e.At-s.started)/float64(s.ramp)
-	bears := r.s.FallMultiple * s.capacity * warmth * float64(r.s.OverloadFor) / 1e6
-	chance := r.work * (2*math.Sqrt(bears/r.work) + 2)
-	if s.sum > bears+min((pressSlack-1)*bears+pressLeast*r.work, chance) {
-		s.fallen = true
-		r.breach(ColdFalls, e, "was sent %.1f times what it could do, for %d ms", s.sum/(bears/r.s.FallMultiple), r.s.OverloadFor/1000)
+	server.samples = append(server.samples[expired:], workSample{e.At, float64(e.Work)})
+	server.sampledWork += float64(e.Work)
+	warmth := server.initialShare + (1-server.initialShare)*float64(e.At-server.started)/float64(server.duration)
+	sustainable := r.settings.OverloadMultiple * server.capacity * warmth * float64(r.settings.OverloadWindow) / 1e6
+	variation := r.meanWork * (2*math.Sqrt(sustainable/r.meanWork) + 2)
+	if server.sampledWork > sustainable+min((slowStartTolerance-1)*sustainable+slowStartToleranceRequests*r.meanWork, variation) {
+		server.overloaded = true
+		r.addViolation(SlowStartOverload, e, "was sent %.1f times what it could do, for %d ms", server.sampledWork/(sustainable/r.settings.OverloadMultiple), r.settings.OverloadWindow/1000)
 	}
 }
 
-// killed notes what the lab did to a sidecar: what it is asked meanwhile is not its fault, nor, if it was killed, what
+// handleSidecarState notes what the lab did to a sidecar: what it is asked meanwhile is not its fault, nor, if it was killed, what
 // it held. One that was asked to end (Draining) owes an answer to all that it had taken.
-func (r *Referee) killed(e *trace.Event) {
-	r.down[e.Sidecar] = e.State != trace.Up
-	for _, t := range r.tries {
-		if e.State == trace.Gone && t.sidecar == e.Sidecar && !t.over {
-			t.excused = true
+func (r *Checker) handleSidecarState(e *trace.Event) {
+	r.stoppedSidecars[e.Sidecar] = e.State != trace.Up
+	for _, request := range r.requests {
+		if e.State == trace.Gone && request.sidecar == e.Sidecar && !request.ended {
+			request.excused = true
 		}
 	}
 }
 
-// forget drops what ended long ago.
-func (r *Referee) forget(now Micros) {
-	cut := 0
-	for cut < len(r.ended) && r.ended[cut].at < now-remembered {
-		if t := r.tries[r.ended[cut].id]; t != nil {
-			delete(r.tries, r.ended[cut].id)
-			delete(r.tasks, t.task)
+// forgetOldRequests drops what ended long ago.
+func (r *Checker) forgetOldRequests(now Micros) {
+	expired := 0
+	for expired < len(r.ended) && r.ended[expired].at < now-requestRetention {
+		if request := r.requests[r.ended[expired].id]; request != nil {
+			delete(r.requests, r.ended[expired].id)
+			delete(r.executionsByTask, request.task)
 		}
-		cut++
+		expired++
 	}
-	r.ended = r.ended[cut:]
+	r.ended = r.ended[expired:]
 }
 
-// End returns the verdict. What is still open then has no end.
-func (r *Referee) End(now Micros) *Verdict {
+// Finish returns the verdict. What is still open then has no end.
+func (r *Checker) Finish(now Micros) *Verdict {
 	open := 0
-	for _, t := range r.tries {
-		if !t.over {
+	for _, request := range r.requests {
+		if !request.ended {
 			open++
 		}
 	}
-	c := &r.v.Counts
-	if sum := c.Served + c.Refused + c.Failed + c.Gone; sum != c.Asked {
-		r.breach(Unbalanced, &trace.Event{At: now}, "asked %d, but served %d + refused %d + failed %d + gone %d = %d; %d are open",
-			c.Asked, c.Served, c.Refused, c.Failed, c.Gone, sum, open)
+	c := &r.verdict.Counts
+	if sum := c.Served + c.Rejected + c.Failed + c.Abandoned; sum != c.Requests {
+		r.addViolation(UnbalancedCounts, &trace.Event{At: now}, "asked %d, but served %d + refused %d + failed %d + gone %d = %d; %d are open",
+			c.Requests, c.Served, c.Rejected, c.Failed, c.Abandoned, sum, open)
 	}
-	sort.SliceStable(r.v.Breaches, func(i, j int) bool { return r.v.Breaches[i].At < r.v.Breaches[j].At })
-	return &r.v
+	sort.SliceStable(r.verdict.Violations, func(i, j int) bool { return r.verdict.Violations[i].At < r.verdict.Violations[j].At })
+	return &r.verdict
 }
--- a/internal/lab/checker/checker_test.go
+++ b/internal/lab/checker/checker_test.go
@@ -13,133 +13,137 @@
 
 const ms = 1000
 
-var rules = Settings{Unsafe: []bool{false, true}, DrainGrace: 500 * ms, Slack: 50 * ms, FallMultiple: 3, OverloadFor: 3000 * ms}
+var testSettings = Settings{NonIdempotent: []bool{false, true}, DrainGrace: 500 * ms, ClockSlack: 50 * ms, OverloadMultiple: 3, OverloadWindow: 3000 * ms}
 
-// script builds a trace.
-type script struct {
+// traceBuilder builds a trace.
+type traceBuilder struct {
 	events []trace.Event
 	now    Micros
 }
 
-func (s *script) add(e trace.Event) *script {
+func (s *traceBuilder) add(e trace.Event) *traceBuilder {
 	e.At = s.now
 	s.events = append(s.events, e)
 	return s
 }
 
-func (s *script) wait(d Micros) *script { s.now += d; return s }
+func (s *traceBuilder) wait(d Micros) *traceBuilder { s.now += d; return s }
 
-func (s *script) ask(id, task uint64, class uint8) *script {
+func (s *traceBuilder) request(id, task uint64, class uint8) *traceBuilder {
 	return s.add(trace.Event{Kind: trace.Asked, Request: id, Task: task, Class: class, Work: 50 * ms})
 }
 
-func (s *script) run(id uint64, server int32) *script {
+func (s *traceBuilder) execute(id uint64, server int32) *traceBuilder {
 	return s.add(trace.Event{Kind: trace.Sent, Request: id, Server: server}).
 		add(trace.Event{Kind: trace.Accepted, Request: id, Server: server, Work: 50 * ms})
 }
 
-func (s *script) answer(id uint64, v trace.Verdict) *script {
+func (s *traceBuilder) answer(id uint64, v trace.Verdict) *traceBuilder {
 	return s.add(trace.Event{Kind: trace.Answered, Request: id, Verdict: v})
 }
 
-func (s *script) tell(server int32, state trace.State) *script {
+func (s *traceBuilder) notify(server int32, state trace.State) *traceBuilder {
 	return s.add(trace.Event{Kind: trace.Told, Server: server, State: state})
 }
 
-func (s *script) judge() *Verdict {
-	r := New(rules)
+func (s *traceBuilder) check() *Verdict {
+	r := New(testSettings)
 	for _, e := range s.events {
 		r.Take(e)
 	}
-	return r.End(s.now)
+	return r.Finish(s.now)
 }
 
 // Each script breaks one rule once.
-var planted = map[Rule]func(s *script){
-	Lost: func(s *script) { s.ask(1, 1, 0).wait(2000 * ms).add(trace.Event{Kind: trace.Left, Request: 1}) },
-	Doubles: func(s *script) {
-		s.ask(1, 1, 0).run(1, 0).answer(1, trace.Served).answer(1, trace.Served)
+var injectViolation = map[Rule]func(s *traceBuilder){
+	LostRequests: func(s *traceBuilder) {
+		s.request(1, 1, 0).wait(2000 * ms).add(trace.Event{Kind: trace.Left, Request: 1})
 	},
-	Foreign:    func(s *script) { s.ask(1, 1, 0).answer(1, trace.Served) },
-	Duplicates: func(s *script) { s.ask(1, 1, 1).run(1, 0).run(1, 2).answer(1, trace.Served) },
-	FalseRefusals: func(s *script) {
-		s.ask(1, 1, 1).run(1, 0).answer(1, trace.Refused)
+	DuplicateAnswers: func(s *traceBuilder) {
+		s.request(1, 1, 0).execute(1, 0).answer(1, trace.Served).answer(1, trace.Served)
 	},
-	LateDrains: func(s *script) {
-		s.tell(0, trace.Draining).wait(551*ms).ask(1, 1, 0).run(1, 0).answer(1, trace.Served)
+	ForeignAnswers:      func(s *traceBuilder) { s.request(1, 1, 0).answer(1, trace.Served) },
+	DuplicateExecutions: func(s *traceBuilder) { s.request(1, 1, 1).execute(1, 0).execute(1, 2).answer(1, trace.Served) },
+	FalseRejections: func(s *traceBuilder) {
+		s.request(1, 1, 1).execute(1, 0).answer(1, trace.Refused)
 	},
-	ColdFalls: func(s *script) {
+	TrafficAfterDrain: func(s *traceBuilder) {
+		s.notify(0, trace.Draining).wait(551*ms).request(1, 1, 0).execute(1, 0).answer(1, trace.Served)
+	},
+	SlowStartOverload: func(s *traceBuilder) {
 		s.add(trace.Event{Kind: trace.Started, Capacity: 1e6, ColdFrom: 0.2, ColdFor: 20_000 * ms})
 		for id := uint64(1); id < 58; id++ { // over 3 x 1.25 x 0.2 s of work a second, over 3 s
-			s.ask(id, id, 0).run(id, 0).wait(10*ms).answer(id, trace.Served)
+			s.request(id, id, 0).execute(id, 0).wait(10*ms).answer(id, trace.Served)
 		}
 	},
-	Unbalanced: func(s *script) { s.ask(1, 1, 0).run(1, 0) },
+	UnbalancedCounts: func(s *traceBuilder) { s.request(1, 1, 0).execute(1, 0) },
 }
 
-func TestPlantedFaults(t *testing.T) {
-	for rule, plant := range planted {
-		s := &script{now: 1000 * ms}
+func TestCheckerReportsInjectedViolationOnce(t *testing.T) {
+	for rule, plant := range injectViolation {
+		s := &traceBuilder{now: 1000 * ms}
 		plant(s)
-		if v := s.judge(); v.Broken[rule] != 1 || len(v.Broken) != 1 {
-			t.Errorf("%s was broken once; the referee says: %s (%v)", rule, v, v.Breaches)
+		if v := s.check(); v.ViolationCounts[rule] != 1 || len(v.ViolationCounts) != 1 {
+			t.Errorf("%s was broken once; the referee says: %s (%v)", rule, v, v.Violations)
 		}
 	}
 }
 
 // These are more of the same rules, and each is caught as well.
-func TestFurtherFaults(t *testing.T) {
+func TestCheckerReportsFurtherViolations(t *testing.T) {
 	for name, c := range map[string]struct {
 		rule  Rule
-		plant func(s *script)
+		plant func(s *traceBuilder)
 	}{
-		"a banned server": {LateDrains, func(s *script) {
-			s.tell(3, trace.Banned).tell(3, trace.Up).wait(600*ms).ask(1, 1, 0).run(1, 3).answer(1, trace.Served)
+		"a banned server": {TrafficAfterDrain, func(s *traceBuilder) {
+			s.notify(3, trace.Banned).notify(3, trace.Up).wait(600*ms).request(1, 1, 0).execute(1, 3).answer(1, trace.Served)
+		}},
+		"a server that is gone": {TrafficAfterDrain, func(s *traceBuilder) {
+			s.notify(3, trace.Gone).wait(600*ms).request(1, 1, 0).execute(1, 3).answer(1, trace.Served)
 		}},
-		"a server that is gone": {LateDrains, func(s *script) { s.tell(3, trace.Gone).wait(600*ms).ask(1, 1, 0).run(1, 3).answer(1, trace.Served) }},
-		"a drain told twice": {LateDrains, func(s *script) {
-			s.tell(3, trace.Draining).wait(400*ms).tell(3, trace.Draining).wait(200*ms).ask(1, 1, 0).run(1, 3).answer(1, trace.Served)
+		"a drain told twice": {TrafficAfterDrain, func(s *traceBuilder) {
+			s.notify(3, trace.Draining).wait(400*ms).notify(3, trace.Draining).wait(200*ms).request(1, 1, 0).execute(1, 3).answer(1, trace.Served)
 		}},
-		"a cut connection": {Lost, func(s *script) { s.ask(1, 1, 0).run(1, 0).add(trace.Event{Kind: trace.Cut, Request: 1}) }},
-		"a request held at a planned end": {Lost, func(s *script) {
-			s.ask(1, 1, 0).add(trace.Event{Kind: trace.Killed, State: trace.Draining}).wait(2000 * ms).add(trace.Event{Kind: trace.Left, Request: 1})
+		"a cut connection": {LostRequests, func(s *traceBuilder) { s.request(1, 1, 0).execute(1, 0).add(trace.Event{Kind: trace.Cut, Request: 1}) }},
+		"a request held at a planned end": {LostRequests, func(s *traceBuilder) {
+			s.request(1, 1, 0).add(trace.Event{Kind: trace.Killed, State: trace.Draining}).wait(2000 * ms).add(trace.Event{Kind: trace.Left, Request: 1})
 		}},
-		"two tries of one booking": {Duplicates, func(s *script) {
-			s.ask(1, 1, 1).run(1, 0).answer(1, trace.Failed).ask(2, 1, 1).run(2, 1).answer(2, trace.Served)
+		"two tries of one booking": {DuplicateExecutions, func(s *traceBuilder) {
+			s.request(1, 1, 1).execute(1, 0).answer(1, trace.Failed).request(2, 1, 1).execute(2, 1).answer(2, trace.Served)
 		}},
-		"another request's answer":    {Foreign, func(s *script) { s.ask(1, 1, 0).run(1, 0).answer(1, trace.Foreign) }},
-		"a request nobody sent":       {Foreign, func(s *script) { s.run(9, 0) }},
-		"an answer nobody waits for":  {Doubles, func(s *script) { s.answer(9, trace.Served) }},
-		"a refusal after the booking": {FalseRefusals, func(s *script) { s.ask(1, 1, 1).run(1, 0).wait(10*ms).answer(1, trace.Refused) }},
+		"another request's answer":    {ForeignAnswers, func(s *traceBuilder) { s.request(1, 1, 0).execute(1, 0).answer(1, trace.Foreign) }},
+		"a request nobody sent":       {ForeignAnswers, func(s *traceBuilder) { s.execute(9, 0) }},
+		"an answer nobody waits for":  {DuplicateAnswers, func(s *traceBuilder) { s.answer(9, trace.Served) }},
+		"a refusal after the booking": {FalseRejections, func(s *traceBuilder) { s.request(1, 1, 1).execute(1, 0).wait(10*ms).answer(1, trace.Refused) }},
 	} {
-		s := &script{now: 1000 * ms}
+		s := &traceBuilder{now: 1000 * ms}
 		c.plant(s)
-		if v := s.judge(); v.Broken[c.rule] == 0 {
+		if v := s.check(); v.ViolationCounts[c.rule] == 0 {
 			t.Errorf("%s is not caught as %s: %s", name, c.rule, v)
 		}
 	}
 }
 
-func TestKeptRules(t *testing.T) {
-	s := &script{}
+func TestCheckerPassesRunWithinRules(t *testing.T) {
+	s := &traceBuilder{}
 	s.add(trace.Event{Kind: trace.Started, Capacity: 4e6, ColdFrom: 0.2, ColdFor: 20_000 * ms})
-	s.ask(1, 1, 0).run(1, 0).add(trace.Event{Kind: trace.Sent, Request: 1, Server: 1}).
+	s.request(1, 1, 0).execute(1, 0).add(trace.Event{Kind: trace.Sent, Request: 1, Server: 1}).
 		add(trace.Event{Kind: trace.Accepted, Request: 1, Server: 1}).answer(1, trace.Served) // a safe one may run twice
-	s.ask(2, 2, 1).add(trace.Event{Kind: trace.Sent, Request: 2}).add(trace.Event{Kind: trace.Turned, Request: 2}).
-		run(2, 1).answer(2, trace.Served) // turned away, it never ran
-	s.ask(3, 3, 1).answer(3, trace.Refused).ask(4, 3, 1).run(4, 1).answer(4, trace.Served)
-	s.ask(5, 5, 1).run(5, 1).answer(5, trace.Failed)
-	s.tell(0, trace.Draining).wait(549*ms).ask(6, 6, 0).run(6, 0).answer(6, trace.Served) // within the grace
-	s.wait(5000*ms).tell(0, trace.Up).ask(7, 7, 0).run(7, 0).answer(7, trace.Served)
-	s.tell(1, trace.Banned).tell(1, trace.Released).wait(5000*ms).ask(8, 8, 0).run(8, 1).answer(8, trace.Served)
-	s.ask(9, 9, 0).add(trace.Event{Kind: trace.Killed, State: trace.Gone}).add(trace.Event{Kind: trace.Cut, Request: 9})
-	s.ask(10, 10, 0).wait(3000 * ms).add(trace.Event{Kind: trace.Left, Request: 10}).add(trace.Event{Kind: trace.Killed, State: trace.Up})
-	s.ask(11, 11, 0).add(trace.Event{Kind: trace.Left, Request: 11, Note: "unheard"})
-	v := s.judge()
-	if !v.Kept() {
-		t.Errorf("all was kept, but the referee says: %s (%v)", v, v.Breaches)
+	s.request(2, 2, 1).add(trace.Event{Kind: trace.Sent, Request: 2}).add(trace.Event{Kind: trace.Turned, Request: 2}).
+		execute(2, 1).answer(2, trace.Served) // turned away, it never ran
+	s.request(3, 3, 1).answer(3, trace.Refused).request(4, 3, 1).execute(4, 1).answer(4, trace.Served)
+	s.request(5, 5, 1).execute(5, 1).answer(5, trace.Failed)
+	s.notify(0, trace.Draining).wait(549*ms).request(6, 6, 0).execute(6, 0).answer(6, trace.Served) // within the grace
+	s.wait(5000*ms).notify(0, trace.Up).request(7, 7, 0).execute(7, 0).answer(7, trace.Served)
+	s.notify(1, trace.Banned).notify(1, trace.Released).wait(5000*ms).request(8, 8, 0).execute(8, 1).answer(8, trace.Served)
+	s.request(9, 9, 0).add(trace.Event{Kind: trace.Killed, State: trace.Gone}).add(trace.Event{Kind: trace.Cut, Request: 9})
+	s.request(10, 10, 0).wait(3000 * ms).add(trace.Event{Kind: trace.Left, Request: 10}).add(trace.Event{Kind: trace.Killed, State: trace.Up})
+	s.request(11, 11, 0).add(trace.Event{Kind: trace.Left, Request: 11, Note: "unheard"})
+	v := s.check()
+	if !v.Passed() {
+		t.Errorf("all was kept, but the referee says: %s (%v)", v, v.Violations)
 	}
-	want := Counts{Asked: 11, Served: 6, Refused: 1, Failed: 2, Gone: 2, Excused: 2, Unheard: 1, Sent: 9, Runs: 8}
+	want := Counts{Requests: 11, Served: 6, Rejected: 1, Failed: 2, Abandoned: 2, Excused: 2, Unread: 1, Attempts: 9, Executions: 8}
 	if v.Counts != want {
 		t.Errorf("counts are %+v, want %+v", v.Counts, want)
 	}
@@ -149,9 +153,9 @@
 }
 
 // Whatever becomes of requests, in whatever order, the counts balance and nothing is called broken.
-func TestBalances(t *testing.T) {
+func TestCountsBalanceWhateverOrderRequestsEndIn(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := &script{}
+		s := &traceBuilder{}
 		var open []uint64
 		var id uint64
 		class := map[uint64]uint8{}
@@ -161,10 +165,10 @@
 			if len(open) == 0 || rapid.Bool().Draw(t, "ask") {
 				id++
 				class[id] = uint8(rapid.IntRange(0, 1).Draw(t, "class"))
-				s.ask(id, id, class[id])
+				s.request(id, id, class[id])
 				open = append(open, id)
 				if ran[id] = rapid.Bool().Draw(t, "run"); ran[id] {
-					s.run(id, int32(id%5))
+					s.execute(id, int32(id%5))
 				}
 				continue
 			}
@@ -181,15 +185,15 @@
 		for _, x := range open {
 			s.answer(x, trace.Failed)
 		}
-		v := s.judge()
-		if c := v.Counts; !v.Kept() || c.Asked != c.Served+c.Refused+c.Failed+c.Gone {
+		v := s.check()
+		if c := v.Counts; !v.Passed() || c.Requests != c.Served+c.Rejected+c.Failed+c.Abandoned {
 			t.Fatalf("%s: %+v", v, c)
 		}
 	})
 }
 
 // The referee must not know what it judges.
-func TestImports(t *testing.T) {
+func TestCheckerImportsNothingItChecks(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", ".").Output()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/dnslab/dnslab_test.go
+++ b/internal/lab/dnslab/dnslab_test.go
@@ -29,7 +29,7 @@
 			}
 			text, _ := json.Marshal(r)
 			t.Logf("%s", text)
-			if !r.Verdict.Kept() || r.Stray > 0 {
+			if !r.Verdict.Passed() || r.Stray > 0 {
 				t.Errorf("%s, %d stray", r.Verdict, r.Stray)
 			}
 		})
--- a/internal/lab/dnslab/lab.go
+++ b/internal/lab/dnslab/lab.go
@@ -82,7 +82,7 @@
 	truncated atomic.Int64
 
 	mu        sync.Mutex
-	ref       *checker.Referee
+	ref       *checker.Checker
 	sends     int
 	outAt     map[int32]time.Time // resolvers that were told out
 	lastSent  time.Duration
@@ -132,8 +132,8 @@
 		o.Through = Sidecar
 	}
 	l := &lab{s: s, begun: time.Now(), outAt: map[int32]time.Time{}, latencies: hdrhistogram.New(1, 60_000_000, 3),
-		ref: checker.New(checker.Settings{Unsafe: []bool{false, true}, DrainGrace: grace.Microseconds(),
-			Slack: drainSlack.Microseconds(), FallMultiple: fallMultiple, OverloadFor: overloadFor.Microseconds()})}
+		ref: checker.New(checker.Settings{NonIdempotent: []bool{false, true}, DrainGrace: grace.Microseconds(),
+			ClockSlack: drainSlack.Microseconds(), OverloadMultiple: fallMultiple, OverloadWindow: overloadFor.Microseconds()})}
 	late := map[int]bool{} // not in the list at the start
 	for _, f := range s.Faults {
 		if f.Kind == "join" {
@@ -186,9 +186,9 @@
 	end()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	v := l.ref.End(time.Since(l.begun).Microseconds())
-	asked := max(1, v.Counts.Asked)
-	res := &Result{Scenario: s.Name, Through: o.Through, Asked: v.Counts.Asked, Service: float64(l.inTime) / float64(asked),
+	v := l.ref.Finish(time.Since(l.begun).Microseconds())
+	asked := max(1, v.Counts.Requests)
+	res := &Result{Scenario: s.Name, Through: o.Through, Asked: v.Counts.Requests, Service: float64(l.inTime) / float64(asked),
 		Served: float64(l.answered) / float64(asked), Attempts: float64(l.sends) / float64(asked),
 		P50: ms(l.latencies.ValueAtQuantile(50)), P99: ms(l.latencies.ValueAtQuantile(99)), P999: ms(l.latencies.ValueAtQuantile(99.9)),
 		LastSent: ms(l.lastSent.Microseconds()), Truncated: l.truncated.Load(), Stray: l.stray.Load(), Verdict: v}
@@ -196,7 +196,7 @@
 		res.Bookings, res.Flooded = shop.share(), shop.flooded.Load()
 	}
 	if o.Through == Sidecar {
-		if !v.Kept() {
+		if !v.Passed() {
 			res.Missed = append(res.Missed, v.String())
 		}
 		if res.Service < s.Keep.Service {
--- a/internal/lab/figures/figures.go
+++ b/internal/lab/figures/figures.go
@@ -367,11 +367,11 @@
 	if len(r.asked) < 10 {
 		x.Worst10s = x.Service
 	}
-	tasks, tries := float64(max(1, r.tasksN)), float64(max(1, v.Counts.Asked))
+	tasks, tries := float64(max(1, r.tasksN)), float64(max(1, v.Counts.Requests))
 	f := x.Figures
 	f["service"], f["worst_10s"] = x.Service, x.Worst10s
-	f["refused"] = float64(v.Counts.Refused) / tries
-	f["failed"] = float64(v.Counts.Failed+v.Counts.Gone) / tries
+	f["refused"] = float64(v.Counts.Rejected) / tries
+	f["failed"] = float64(v.Counts.Failed+v.Counts.Abandoned) / tries
 	f["attempts_per_task"] = float64(r.sent) / tasks
 	f["tries_per_task"] = tries / tasks
 	f["turned_per_task"] = float64(r.turned) / tasks
@@ -435,7 +435,7 @@
 }
 
 // Passed says whether the run kept the rules and its figures, and tells something at all.
-func (x *Result) Passed() bool { return x.Void == "" && x.Verdict.Kept() && len(x.Missed) == 0 }
+func (x *Result) Passed() bool { return x.Void == "" && x.Verdict.Passed() && len(x.Missed) == 0 }
 
 // Line is the last line that a run prints.
 func (x *Result) Line() string {
--- a/internal/lab/figures/figures_test.go
+++ b/internal/lab/figures/figures_test.go
@@ -53,7 +53,7 @@
 	answer(2_090_000, 4, trace.Served)
 	ask(15e6, 5, 4, 1, false) // left: 0 of 3
 	r.Take(trace.Event{At: 16e6, Kind: trace.Left, Request: 5})
-	x := r.End(&checker.Verdict{Counts: checker.Counts{Asked: 5, Served: 3, Refused: 1, Gone: 1}})
+	x := r.End(&checker.Verdict{Counts: checker.Counts{Requests: 5, Served: 3, Rejected: 1, Abandoned: 1}})
 	if want := 4.0 / 8; math.Abs(x.Service-want) > 1e-9 {
 		t.Errorf("service %v, want %v", x.Service, want)
 	}
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -83,7 +83,7 @@
 		defer os.RemoveAll(dir)
 		r.dir = dir
 	}
-	ref, rec := checker.New(checker.From(s, slack)), figures.New(s)
+	ref, rec := checker.New(checker.SettingsFrom(s, slack)), figures.New(s)
 	var early []trace.Event // before the clients come, when it is not known yet when that will be
 	r.sink = trace.Func(func(e trace.Event) {
 		if !r.begun {
@@ -149,7 +149,7 @@
 	at := r.q.Now() - r.w.Origin()
 	p999, worst := r.q.Lateness()
 	r.close()
-	x := rec.End(ref.End(at))
+	x := rec.End(ref.Finish(at))
 	x.Host, x.Seed, x.Took, x.MemoryMB = "run", o.Seed, time.Since(began).Seconds(), sim.PeakMB()
 	x.LateP999, x.LateMost = float64(p999)/1000, float64(worst)/1000
 	x.Missed = append(x.Missed, r.crashed...)
--- a/internal/lab/rig/rig_test.go
+++ b/internal/lab/rig/rig_test.go
@@ -101,11 +101,11 @@
 			t.Parallel()
 			x := play(t, small(t, "3s", faults))
 			v := x.Verdict
-			if n := v.Counts; n.Asked < 30 || n.Served < n.Asked/2 || n.Served+n.Refused+n.Failed+n.Gone != n.Asked {
+			if n := v.Counts; n.Requests < 30 || n.Served < n.Requests/2 || n.Served+n.Rejected+n.Failed+n.Abandoned != n.Requests {
 				t.Errorf("counts: %+v", n)
 			}
-			if x.Void == "" && (!v.Kept() || len(x.Missed) > 0) {
-				t.Errorf("%s: %v, %v", x.Line(), v.Breaches, x.Missed)
+			if x.Void == "" && (!v.Passed() || len(x.Missed) > 0) {
+				t.Errorf("%s: %v, %v", x.Line(), v.Violations, x.Missed)
 			}
 		})
 	}
--- a/internal/lab/sim/ramp_test.go
+++ b/internal/lab/sim/ramp_test.go
@@ -91,7 +91,7 @@
 			t.Run(fmt.Sprint(x.name, " ", n), func(t *testing.T) {
 				t.Parallel()
 				if y := ramped(t, n, 12, 1, x.make); !y.Passed() || y.Figures["ramp_worst"] <= 0 {
-					t.Errorf("%s; missed %v; %v", y.Line(), y.Missed, y.Verdict.Breaches)
+					t.Errorf("%s; missed %v; %v", y.Line(), y.Missed, y.Verdict.Violations)
 				}
 			})
 		}
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -78,7 +78,7 @@
 func Run(ctx context.Context, s *scenario.Scenario, o Options) (*figures.Result, error) {
 	began := time.Now()
 	q := eventqueue.NewVirtual()
-	ref, rec := checker.New(checker.From(s, 0)), figures.New(s)
+	ref, rec := checker.New(checker.SettingsFrom(s, 0)), figures.New(s)
 	h := &host{q: q, s: s, seed: randstream.Seed(o.Seed), links: map[[2]int]*link{}, logs: o.Logs, tap: o.Tap, tapped: o.Tapped, banned: map[int]bool{}}
 	// Who watches the run works beside it: the order of the events is all that they go by.
 	aside := trace.Beside(trace.Sinks(append([]trace.Sink{ref, rec}, o.Sinks...)...))
@@ -119,7 +119,7 @@
 		return nil, err
 	}
 	aside.Close()
-	x := rec.End(ref.End(q.Now()))
+	x := rec.End(ref.Finish(q.Now()))
 	x.Host, x.Seed = "sim", o.Seed
 	x.Took, x.MemoryMB = time.Since(began).Seconds(), PeakMB()
 	x.Log = h.log
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -46,7 +46,7 @@
 				s.Servers[0].Count /= 20
 			}
 			if x := play(t, s, 1); !x.Passed() {
-				t.Errorf("%s; missed %v; %v", x.Line(), x.Missed, x.Verdict.Breaches)
+				t.Errorf("%s; missed %v; %v", x.Line(), x.Missed, x.Verdict.Violations)
 			}
 		})
 	}
@@ -96,8 +96,8 @@
 		if err := s.SetSidecars(48); err != nil {
 			t.Fatal(err)
 		}
-		if x := play(t, s, seed); len(x.Verdict.Breaches) > 0 {
-			t.Errorf("seed %d: %v", seed, x.Verdict.Breaches)
+		if x := play(t, s, seed); len(x.Verdict.Violations) > 0 {
+			t.Errorf("seed %d: %v", seed, x.Verdict.Violations)
 		}
 	}
 }
@@ -126,8 +126,8 @@
 			if began != 1 {
 				t.Errorf("it began %d times", began)
 			}
-			if !x.Verdict.Kept() {
-				t.Errorf("%s: %v", x.Verdict, x.Verdict.Breaches)
+			if !x.Verdict.Passed() {
+				t.Errorf("%s: %v", x.Verdict, x.Verdict.Violations)
 			}
 			if kind == "kill" && x.Verdict.Counts.Excused == 0 {
 				t.Error("nobody was cut off")
@@ -166,7 +166,7 @@
 		}
 		// A stall is no reason to ask twice, nor to refuse.
 		n := x.Verdict.Counts
-		if !x.Verdict.Kept() || n.Asked >= 20 && (x.Service < 0.9 || x.Figures["attempts_per_task"] > 1.1 || x.Figures["refused"] > 0.05) {
+		if !x.Verdict.Passed() || n.Requests >= 20 && (x.Service < 0.9 || x.Figures["attempts_per_task"] > 1.1 || x.Figures["refused"] > 0.05) {
 			t.Fatalf("work %d µs, %d servers, %d sidecars, %.2f a second, hints %s, reports %s: %s (%+v, %v)", micros, servers, sidecars, rate, hints,
 				reports, x.Line(), n, x.Figures)
 		}
@@ -207,7 +207,7 @@
 				t.Errorf("told of %d: %s is kept: %s", told, name, missed)
 			}
 		}
-		if len(want) == 0 && missed != "" || !x.Verdict.Kept() {
+		if len(want) == 0 && missed != "" || !x.Verdict.Passed() {
 			t.Errorf("told of %d: %s, %v", told, missed, x.Verdict)
 		}
 	}
