--- a/cmd/birchmoor/configput_test.go
+++ b/cmd/birchmoor/configput_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"os"
 	"strings"
 	"testing"
 	"time"
@@ -78,24 +77,7 @@
 
 func newRolloutFleet(ctx context.Context, t *testing.T) *rolloutFleet {
 	t.Helper()
-	self, err := os.Executable()
-	if err != nil {
-		t.Fatal(err)
-	}
-	f, err := fleetlab.Begin(ctx, fleetlab.Config{
-		Program:  self,
-		Args:     []string{"run", "--config"},
-		Env:      []string{asProgramEnv + "=1"},
-		Dir:      t.TempDir(),
-		Replicas: 3,
-		Follow:   2,
-		Servers:  4,
-		Seed:     1,
-	})
-	if err != nil {
-		t.Fatal(err)
-	}
-	return &rolloutFleet{f, t, ctx}
+	return &rolloutFleet{startFleet(ctx, t, fleetlab.Config{Replicas: 3, Follow: 2, Servers: 4}), t, ctx}
 }
 
 func (f *rolloutFleet) client() *adminapi.Client { return f.Daemons[0].Client }
--- a/cmd/birchmoor/labdnsbench.go
+++ b/cmd/birchmoor/labdnsbench.go
@@ -61,7 +61,8 @@
 		}
 	}
 	fmt.Fprintf(c.out, "%-8s %-4s %6s %8s %10s %7s %9s %9s %9s %8s %7s %8s\n",
-		"party", "over", "open", "wait ms", "queries/s", "CPU µs", "p50 µs", "p99 µs", "p99.9 µs", "peak MB", "not ok", "missing")
+		"party", "over", "open", "wait ms", "queries/s", "CPU µs",
+		"p50 µs", "p99 µs", "p99.9 µs", "peak MB", "not ok", "missing")
 	for _, r := range rows {
 		transport := "UDP"
 		if r.TCP {
