--- a/internal/lab/fleetlab/blows.go
+++ b/internal/lab/fleetlab/blows.go
@@ -88,7 +88,7 @@
 			d.Links(func(c *relay.Conditions) { *c = now })
 		}
 	}
-	set(relay.Conditions{Delay: 20 * time.Millisecond, Jitter: 0.9, Stalls: 0.05, Stall: long / 3})
+	set(relay.Conditions{Delay: 20 * time.Millisecond, Jitter: 0.9, StallProbability: 0.05, MaxStall: long / 3})
 	return "", After(long, func() { set(relay.Conditions{}) })
 }
 
--- a/internal/lab/fleetlab/fleet.go
+++ b/internal/lab/fleetlab/fleet.go
@@ -510,35 +510,35 @@
 // Links changes all links by which the daemon reaches others, and what comes in to a replica.
 func (d *Daemon) Links(change func(*relay.Conditions)) {
 	if d.in != nil {
-		d.in.Set(change)
+		d.in.Update(change)
 	}
 	for _, l := range d.links {
-		l.Set(change)
+		l.Update(change)
 	}
 }
 
 // Unheard has what the daemon sends to others lost, or go on; it hears them. Replicas send on connections of their own.
 func (d *Daemon) Unheard(on bool) {
 	for _, l := range d.links {
-		l.Set(func(c *relay.Conditions) { c.HoleTo = on })
+		l.Update(func(c *relay.Conditions) { c.BlackHoleToTarget = on })
 	}
 }
 
 // Deafen has what others send to the daemon lost, or go on; they hear it.
 func (d *Daemon) Deafen(on bool) {
 	if d.in != nil {
-		d.in.Set(func(c *relay.Conditions) { c.HoleTo = on })
+		d.in.Update(func(c *relay.Conditions) { c.BlackHoleToTarget = on })
 		return
 	}
 	for _, l := range d.links {
-		l.Set(func(c *relay.Conditions) { c.HoleBack = on })
+		l.Update(func(c *relay.Conditions) { c.BlackHoleFromTarget = on })
 	}
 }
 
 // Between has what one replica sends to another lost, or go on.
 func (d *Daemon) Between(to *Daemon, on bool) {
 	if l := d.links[to.name]; l != nil {
-		l.Set(func(c *relay.Conditions) { c.HoleTo = on })
+		l.Update(func(c *relay.Conditions) { c.BlackHoleToTarget = on })
 	}
 }
 
--- a/internal/lab/fleetlab/torture.go
+++ b/internal/lab/fleetlab/torture.go
@@ -247,7 +247,7 @@
 			}
 			set := func(on bool) {
 				for _, d := range cut {
-					d.in.Set(func(c *relay.Conditions) { c.Hole = on })
+					d.in.Update(func(c *relay.Conditions) { c.BlackHole = on })
 				}
 			}
 			set(true)
--- a/internal/lab/relay/relay.go
+++ b/internal/lab/relay/relay.go
@@ -13,59 +13,59 @@
 
 // Conditions are how a link behaves. The zero value passes everything on at once.
 type Conditions struct {
-	Delay     time.Duration // of each chunk, one way
-	Jitter    float64       // part of the delay by which it varies, evenly
-	Stalls    float64       // share of chunks that are held up,
-	Stall     time.Duration // for up to this
-	Bandwidth int           // bytes a second in each direction; 0 for no bound
-	Hole      bool          // what is sent is lost, with no word; connections that lost something break when it ends
-	HoleTo    bool          // as Hole, of what goes to the target alone
-	HoleBack  bool          // as Hole, of what comes back alone
-	Split     int           // bytes a write at most; 0 for no bound
-	Pause     time.Duration // between the pieces of a split write
-	HalfClose bool          // the end of sending on one side is not passed on
+	Delay               time.Duration // of each chunk, one way
+	Jitter              float64       // part of the delay by which it varies, evenly
+	StallProbability    float64       // share of chunks that are held up,
+	MaxStall            time.Duration // for up to this
+	BytesPerSecond      int           // bytes a second in each direction; 0 for no bound
+	BlackHole           bool          // what is sent is lost, with no word; connections that lost something break when it ends
+	BlackHoleToTarget   bool          // as Hole, of what goes to the target alone
+	BlackHoleFromTarget bool          // as Hole, of what comes back alone
+	MaxWriteBytes       int           // bytes a write at most; 0 for no bound
+	WritePause          time.Duration // between the pieces of a split write
+	DropHalfClose       bool          // the end of sending on one side is not passed on
 }
 
-// lost says whether what goes to the target, or what comes back, is lost.
-func (c *Conditions) lost(back bool) bool {
-	if back {
-		return c.Hole || c.HoleBack
+// loses says whether what goes to the target, or what comes back, is lost.
+func (c *Conditions) loses(fromTarget bool) bool {
+	if fromTarget {
+		return c.BlackHole || c.BlackHoleFromTarget
 	}
-	return c.Hole || c.HoleTo
+	return c.BlackHole || c.BlackHoleToTarget
 }
 
 const (
-	chunkMost  = 16 << 10
-	chunksMost = 64 // on their way in a direction: beyond that the sender waits
+	maxChunkBytes     = 16 << 10
+	maxChunksInFlight = 64 // on their way in a direction: beyond that the sender waits
 )
 
 // Link relays the connections made to its listener to one target.
 type Link struct {
 	target string
 
-	mu    sync.Mutex
-	now   Conditions
-	ln    net.Listener
-	conns map[*pair]struct{}
-	wg    sync.WaitGroup
-	rng   *rand.Rand
-	over  bool
+	mu          sync.Mutex
+	conditions  Conditions
+	listener    net.Listener
+	connections map[*connection]struct{}
+	wg          sync.WaitGroup
+	rng         *rand.Rand
+	closed      bool
 }
 
 // New returns a link to a target that does not listen yet. Its random draws come from the seed.
 func New(target string, seed uint64, c Conditions) *Link {
-	return &Link{target: target, now: c, conns: map[*pair]struct{}{}, rng: rand.New(rand.NewPCG(seed, 0x6c696e6b))}
+	return &Link{target: target, conditions: c, connections: map[*connection]struct{}{}, rng: rand.New(rand.NewPCG(seed, 0x6c696e6b))}
 }
 
 // Listen accepts connections on ln until Refuse or Close.
 func (l *Link) Listen(ln net.Listener) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.over {
+	if l.closed {
 		ln.Close()
 		return
 	}
-	l.ln = ln
+	l.listener = ln
 	l.wg.Add(1)
 	go l.accept(ln)
 }
@@ -78,26 +78,26 @@
 			return
 		}
 		l.mu.Lock()
-		if l.over {
+		if l.closed {
 			l.mu.Unlock()
 			reset(c)
 			return
 		}
 		l.wg.Add(1)
 		l.mu.Unlock()
-		go l.relay(c)
+		go l.serve(c)
 	}
 }
 
-// Set changes the conditions, also for connections that are open.
-func (l *Link) Set(change func(*Conditions)) {
+// Update changes the conditions, also for connections that are open.
+func (l *Link) Update(change func(*Conditions)) {
 	l.mu.Lock()
-	was := l.now
-	change(&l.now)
-	var broken []*pair
-	if was.lost(false) && !l.now.lost(false) || was.lost(true) && !l.now.lost(true) {
-		for p := range l.conns {
-			if p.lost {
+	was := l.conditions
+	change(&l.conditions)
+	var broken []*connection
+	if was.loses(false) && !l.conditions.loses(false) || was.loses(true) && !l.conditions.loses(true) {
+		for p := range l.connections {
+			if p.lossy {
 				broken = append(broken, p)
 			}
 		}
@@ -111,8 +111,8 @@
 // Reset breaks all open connections, in both directions.
 func (l *Link) Reset() {
 	l.mu.Lock()
-	list := make([]*pair, 0, len(l.conns))
-	for p := range l.conns {
+	list := make([]*connection, 0, len(l.connections))
+	for p := range l.connections {
 		list = append(list, p)
 	}
 	l.mu.Unlock()
@@ -124,45 +124,45 @@
 // Refuse stops listening: new connections are refused until Listen.
 func (l *Link) Refuse() {
 	l.mu.Lock()
-	ln := l.ln
-	l.ln = nil
+	ln := l.listener
+	l.listener = nil
 	l.mu.Unlock()
 	if ln != nil {
 		ln.Close()
 	}
 }
 
-// Open is how many connections are open.
-func (l *Link) Open() int {
+// OpenConnections is how many connections are open.
+func (l *Link) OpenConnections() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.conns)
+	return len(l.connections)
 }
 
 // Close ends the link and waits for all that it started.
 func (l *Link) Close() {
 	l.mu.Lock()
-	l.over = true
+	l.closed = true
 	l.mu.Unlock()
 	l.Refuse()
 	l.Reset()
 	l.wg.Wait()
 }
 
-func (l *Link) conditions() Conditions {
+func (l *Link) currentConditions() Conditions {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.now
+	return l.conditions
 }
 
-// wait draws the delay of a chunk.
-func (l *Link) wait() time.Duration {
+// drawDelay draws the delay of a chunk.
+func (l *Link) drawDelay() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c := &l.now
+	c := &l.conditions
 	d := time.Duration(float64(c.Delay) * (1 + c.Jitter*(2*l.rng.Float64()-1)))
-	if c.Stalls > 0 && l.rng.Float64() < c.Stalls {
-		d += time.Duration(l.rng.Float64() * float64(c.Stall))
+	if c.StallProbability > 0 && l.rng.Float64() < c.StallProbability {
+		d += time.Duration(l.rng.Float64() * float64(c.MaxStall))
 	}
 	return d
 }
@@ -174,27 +174,27 @@
 	c.Close()
 }
 
-// pair is one relayed connection: the caller's side and the target's.
-type pair struct {
-	near, far net.Conn
-	lost      bool // something was lost in a black hole; guarded by Link.mu
-	ctx       context.Context
-	cancel    context.CancelFunc
+// connection is one relayed connection: the caller's side and the target's.
+type connection struct {
+	client, target net.Conn
+	lossy          bool // something was lost in a black hole; guarded by Link.mu
+	ctx            context.Context
+	cancel         context.CancelFunc
 }
 
-func (p *pair) reset() {
+func (p *connection) reset() {
 	p.cancel()
-	reset(p.near)
-	if p.far != nil {
-		reset(p.far)
+	reset(p.client)
+	if p.target != nil {
+		reset(p.target)
 	}
 }
 
-// relay carries one connection until both directions have ended or it is broken.
-func (l *Link) relay(near net.Conn) {
+// serve carries one connection until both directions have ended or it is broken.
+func (l *Link) serve(near net.Conn) {
 	defer l.wg.Done()
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &pair{near: near, ctx: ctx, cancel: cancel}
+	p := &connection{client: near, ctx: ctx, cancel: cancel}
 	clean := false
 	defer func() {
 		if !clean {
@@ -202,25 +202,25 @@
 			return
 		}
 		cancel()
-		p.near.Close() // what is still in the kernel's buffers goes out
-		p.far.Close()
+		p.client.Close() // what is still in the kernel's buffers goes out
+		p.target.Close()
 	}()
 	dial := net.Dialer{Timeout: 5 * time.Second}
 	far, err := dial.DialContext(ctx, "tcp", l.target)
 	if err != nil {
 		return
 	}
-	p.far = far
+	p.target = far
 	l.mu.Lock()
-	if l.over {
+	if l.closed {
 		l.mu.Unlock()
 		return
 	}
-	l.conns[p] = struct{}{}
+	l.connections[p] = struct{}{}
 	l.mu.Unlock()
 	defer func() {
 		l.mu.Lock()
-		delete(l.conns, p)
+		delete(l.connections, p)
 		l.mu.Unlock()
 	}()
 	ended := make(chan bool, 2) // whether the direction ended cleanly
@@ -242,21 +242,21 @@
 }
 
 // pump carries one direction. Reading goes on while earlier chunks are on their way.
-func (l *Link) pump(p *pair, from, to net.Conn, back bool) (clean bool) {
-	chunks := make(chan chunk, chunksMost)
+func (l *Link) pump(p *connection, from, to net.Conn, back bool) (clean bool) {
+	chunks := make(chan chunk, maxChunksInFlight)
 	go func() {
 		defer close(chunks)
 		var last time.Time
-		room := make([]byte, chunkMost)
+		room := make([]byte, maxChunkBytes)
 		for {
 			n, err := from.Read(room)
 			buf := append([]byte(nil), room[:n]...) // most are far smaller
-			due := time.Now().Add(l.wait())
+			due := time.Now().Add(l.drawDelay())
 			if due.Before(last) {
 				due = last // a connection does not reorder
 			}
-			if c := l.conditions(); c.Bandwidth > 0 && n > 0 {
-				due = due.Add(time.Duration(n) * time.Second / time.Duration(c.Bandwidth))
+			if c := l.currentConditions(); c.BytesPerSecond > 0 && n > 0 {
+				due = due.Add(time.Duration(n) * time.Second / time.Duration(c.BytesPerSecond))
 			}
 			last = due
 			select {
@@ -277,16 +277,16 @@
 			return false
 		}
 		if c.err != nil {
-			now := l.conditions()
-			if now.lost(back) {
-				l.lose(p)
+			now := l.currentConditions()
+			if now.loses(back) {
+				l.markLossy(p)
 				<-p.ctx.Done() // the other side hears nothing of it
 				return false
 			}
 			if c.err != io.EOF {
 				return false
 			}
-			if t, ok := to.(*net.TCPConn); ok && !now.HalfClose {
+			if t, ok := to.(*net.TCPConn); ok && !now.DropHalfClose {
 				t.CloseWrite()
 			}
 			return true
@@ -296,30 +296,30 @@
 }
 
 // write passes data on as the conditions of this moment have it.
-func (l *Link) write(p *pair, to net.Conn, data []byte, back bool) bool {
+func (l *Link) write(p *connection, to net.Conn, data []byte, back bool) bool {
 	for len(data) > 0 {
-		c := l.conditions()
-		if c.lost(back) {
-			l.lose(p)
+		c := l.currentConditions()
+		if c.loses(back) {
+			l.markLossy(p)
 			return true
 		}
 		piece := data
-		if c.Split > 0 && len(piece) > c.Split {
-			piece = piece[:c.Split]
+		if c.MaxWriteBytes > 0 && len(piece) > c.MaxWriteBytes {
+			piece = piece[:c.MaxWriteBytes]
 		}
 		if _, err := to.Write(piece); err != nil {
 			return false
 		}
-		if data = data[len(piece):]; len(data) > 0 && c.Pause > 0 && !sleep(p.ctx, c.Pause) {
+		if data = data[len(piece):]; len(data) > 0 && c.WritePause > 0 && !sleep(p.ctx, c.WritePause) {
 			return false
 		}
 	}
 	return true
 }
 
-func (l *Link) lose(p *pair) {
+func (l *Link) markLossy(p *connection) {
 	l.mu.Lock()
-	p.lost = true
+	p.lossy = true
 	l.mu.Unlock()
 }
 
--- a/internal/lab/relay/relay_test.go
+++ b/internal/lab/relay/relay_test.go
@@ -11,12 +11,12 @@
 	"go.uber.org/goleak"
 )
 
-const soon = 5 * time.Second // bounds the waits for what must come
+const testTimeout = 5 * time.Second // bounds the waits for what must come
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// over starts a relay to a target whose connections go to far, and returns its address.
-func over(t *testing.T, c Conditions, far func(net.Conn)) (*Link, string) {
+// startLink starts a relay to a target whose connections go to far, and returns its address.
+func startLink(t *testing.T, c Conditions, far func(net.Conn)) (*Link, string) {
 	t.Helper()
 	target, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -57,13 +57,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(soon))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return c.(*net.TCPConn)
 }
 
 func echo(c net.Conn) { io.Copy(c, c) }
 
-func say(t *testing.T, c net.Conn, text string) string {
+func exchange(t *testing.T, c net.Conn, text string) string {
 	t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
@@ -76,20 +76,20 @@
 }
 
 // Whatever the conditions are, what arrives is what was sent, whole and in order, and the end of sending arrives.
-func TestPassesOn(t *testing.T) {
+func TestLinkDeliversAllBytesInOrder(t *testing.T) {
 	sent := bytes.Repeat([]byte("all of it, in order. "), 8000)
 	for name, c := range map[string]Conditions{
 		"plain":      {},
 		"delay":      {Delay: 20 * time.Millisecond, Jitter: 0.9},
-		"split":      {Split: 1000},
-		"slow":       {Split: 9000, Pause: time.Millisecond},
-		"bandwidth":  {Bandwidth: 4 << 20},
-		"stalls":     {Stalls: 0.5, Stall: 5 * time.Millisecond},
-		"everything": {Delay: time.Millisecond, Jitter: 1, Split: 5000, Bandwidth: 8 << 20, Stalls: 0.1, Stall: time.Millisecond},
+		"split":      {MaxWriteBytes: 1000},
+		"slow":       {MaxWriteBytes: 9000, WritePause: time.Millisecond},
+		"bandwidth":  {BytesPerSecond: 4 << 20},
+		"stalls":     {StallProbability: 0.5, MaxStall: 5 * time.Millisecond},
+		"everything": {Delay: time.Millisecond, Jitter: 1, MaxWriteBytes: 5000, BytesPerSecond: 8 << 20, StallProbability: 0.1, MaxStall: time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			_, addr := over(t, c, echo)
+			_, addr := startLink(t, c, echo)
 			near := dial(t, addr)
 			go func() {
 				near.Write(sent)
@@ -102,30 +102,30 @@
 	}
 }
 
-func TestDelayIsKept(t *testing.T) {
+func TestLinkDelaysBothDirections(t *testing.T) {
 	const delay = 30 * time.Millisecond
-	_, addr := over(t, Conditions{Delay: delay}, echo)
+	_, addr := startLink(t, Conditions{Delay: delay}, echo)
 	c := dial(t, addr)
 	began := time.Now()
-	say(t, c, "x")
+	exchange(t, c, "x")
 	if took := time.Since(began); took < 2*delay {
 		t.Errorf("there and back took %v, less than twice %v", took, delay)
 	}
 }
 
-func TestReset(t *testing.T) {
-	l, addr := over(t, Conditions{}, echo)
+func TestResetBreaksOpenConnectionsOnly(t *testing.T) {
+	l, addr := startLink(t, Conditions{}, echo)
 	c := dial(t, addr)
-	say(t, c, "x")
+	exchange(t, c, "x")
 	l.Reset()
 	if _, err := c.Read(make([]byte, 1)); err == nil || errors.Is(err, io.EOF) {
 		t.Errorf("a reset is read as %v", err)
 	}
-	say(t, dial(t, addr), "the next one works")
+	exchange(t, dial(t, addr), "the next one works")
 }
 
-func TestRefuses(t *testing.T) {
-	l, addr := over(t, Conditions{}, echo)
+func TestRefuseStopsListeningUntilListen(t *testing.T) {
+	l, addr := startLink(t, Conditions{}, echo)
 	l.Refuse()
 	if c, err := net.Dial("tcp", addr); err == nil {
 		c.Close()
@@ -136,13 +136,13 @@
 		t.Fatal(err)
 	}
 	l.Listen(ln)
-	say(t, dial(t, addr), "listens again")
+	exchange(t, dial(t, addr), "listens again")
 }
 
 // In a black hole everything is lost with no word; when it ends, what lost something breaks and the rest goes on.
-func TestBlackHole(t *testing.T) {
+func TestBlackHoleBreaksOnlyLossyConnectionsAtItsEnd(t *testing.T) {
 	heard := make(chan string, 10)
-	l, addr := over(t, Conditions{}, func(c net.Conn) {
+	l, addr := startLink(t, Conditions{}, func(c net.Conn) {
 		buf := make([]byte, 100)
 		for {
 			n, err := c.Read(buf)
@@ -154,23 +154,23 @@
 		}
 	})
 	loser, quiet := dial(t, addr), dial(t, addr)
-	say(t, loser, "a")
-	say(t, quiet, "b")
+	exchange(t, loser, "a")
+	exchange(t, quiet, "b")
 	<-heard
 	<-heard
-	l.Set(func(c *Conditions) { c.Hole = true })
+	l.Update(func(c *Conditions) { c.BlackHole = true })
 	if _, err := loser.Write([]byte("lost")); err != nil {
 		t.Errorf("the sender hears of it: %v", err)
 	}
 	// It has been lost once the relay says so; only then may the hole end.
-	for end := time.Now().Add(soon); !l.lostAny() && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); !l.anyLossy() && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	l.Set(func(c *Conditions) { c.Hole = false })
+	l.Update(func(c *Conditions) { c.BlackHole = false })
 	if _, err := loser.Read(make([]byte, 1)); err == nil {
 		t.Error("what was lost came back")
 	}
-	if got := say(t, quiet, "still here"); got != "still here" {
+	if got := exchange(t, quiet, "still here"); got != "still here" {
 		t.Errorf("the quiet one got %q", got)
 	}
 	if got := <-heard; got != "still here" {
@@ -178,20 +178,20 @@
 	}
 }
 
-func (l *Link) lostAny() bool {
+func (l *Link) anyLossy() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for p := range l.conns {
-		if p.lost {
+	for p := range l.connections {
+		if p.lossy {
 			return true
 		}
 	}
 	return false
 }
 
-func TestHalfClose(t *testing.T) {
+func TestDropHalfCloseHidesEndOfSending(t *testing.T) {
 	ended := make(chan struct{}, 2)
-	_, addr := over(t, Conditions{HalfClose: true}, func(c net.Conn) {
+	_, addr := startLink(t, Conditions{DropHalfClose: true}, func(c net.Conn) {
 		buf := make([]byte, 10)
 		n, _ := c.Read(buf)
 		c.Write(buf[:n])
@@ -211,13 +211,13 @@
 	}
 }
 
-func TestCloseLeavesNothing(t *testing.T) {
-	l, addr := over(t, Conditions{Delay: time.Hour}, echo)
+func TestCloseEndsConnectionsAndListener(t *testing.T) {
+	l, addr := startLink(t, Conditions{Delay: time.Hour}, echo)
 	c := dial(t, addr)
 	io.WriteString(c, "on its way for an hour")
 	l.Close()
-	if l.Open() != 0 {
-		t.Errorf("%d connections are open", l.Open())
+	if l.OpenConnections() != 0 {
+		t.Errorf("%d connections are open", l.OpenConnections())
 	}
 	if c, err := net.Dial("tcp", addr); err == nil {
 		c.Close()
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -348,20 +348,20 @@
 func (r *rig) linkFault(l *relay.Link, f *scenario.Fault, on bool) {
 	switch f.Kind {
 	case "black-hole":
-		l.Set(func(c *relay.Conditions) { c.Hole = on })
+		l.Update(func(c *relay.Conditions) { c.BlackHole = on })
 	case "bandwidth", "pieces", "half-close":
 		n, pause := int(f.Factor), time.Duration(f.Lag)
 		if !on {
 			n, pause = 0, 0
 		}
-		l.Set(func(c *relay.Conditions) {
+		l.Update(func(c *relay.Conditions) {
 			switch f.Kind {
 			case "bandwidth":
-				c.Bandwidth = n
+				c.BytesPerSecond = n
 			case "pieces":
-				c.Split, c.Pause = n, pause
+				c.MaxWriteBytes, c.WritePause = n, pause
 			default:
-				c.HalfClose = on
+				c.DropHalfClose = on
 			}
 		})
 	case "delay":
@@ -369,7 +369,7 @@
 		if !on {
 			more = -more
 		}
-		l.Set(func(c *relay.Conditions) { c.Delay += more })
+		l.Update(func(c *relay.Conditions) { c.Delay += more })
 	case "reset":
 		if !on {
 			return
--- a/internal/lab/rig/server.go
+++ b/internal/lab/rig/server.go
@@ -47,7 +47,7 @@
 			mean = r.s.Net.Cross
 		}
 		l := relay.New(ln.Addr().String(), uint64(n)<<32|uint64(s.Number),
-			relay.Conditions{Delay: time.Duration(mean), Jitter: r.s.Net.Jitter, Stalls: r.s.Net.Stalls, Stall: time.Duration(r.s.Net.Stall)})
+			relay.Conditions{Delay: time.Duration(mean), Jitter: r.s.Net.Jitter, StallProbability: r.s.Net.Stalls, MaxStall: time.Duration(r.s.Net.Stall)})
 		t.links = append(t.links, l)
 		t.addrs = append(t.addrs, address.Next())
 		t.wg.Go(func() { t.accept(ln, n) })
--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -232,7 +232,7 @@
 	for i, d := range r.fleet.Daemons {
 		for n, to := range r.replicas() {
 			if l := d.Link(to); l != nil && away(r.zoneOfDaemon(i)) != away(replicas[n]) {
-				l.Set(func(c *relay.Conditions) { c.Hole = on })
+				l.Update(func(c *relay.Conditions) { c.BlackHole = on })
 			}
 		}
 	}
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -247,7 +247,7 @@
 		return word{Read: &sum}
 	case "cut", "mend":
 		for _, n := range o.Of {
-			c.links[n].Set(func(now *relay.Conditions) { now.Hole = o.Do == "cut" })
+			c.links[n].Update(func(now *relay.Conditions) { now.BlackHole = o.Do == "cut" })
 		}
 	default:
 		return word{Error: fmt.Sprintf("%q is no order", o.Do)}
--- a/internal/lab/storebench/torture.go
+++ b/internal/lab/storebench/torture.go
@@ -226,9 +226,9 @@
 		}
 		if rng.IntN(3) == 0 {
 			in := all[rng.IntN(3)].in
-			in.Set(func(c *relay.Conditions) { c.Hole = true })
+			in.Update(func(c *relay.Conditions) { c.BlackHole = true })
 			time.Sleep(t.Every/2 + rand.N(t.Every))
-			in.Set(func(c *relay.Conditions) { c.Hole = false })
+			in.Update(func(c *relay.Conditions) { c.BlackHole = false })
 			r.Cuts++
 			continue
 		}
--- a/internal/store/engine/engine_test.go
+++ b/internal/store/engine/engine_test.go
@@ -340,7 +340,7 @@
 			}
 		}
 	}
-	c.relays[lead].Set(func(x *relay.Conditions) { x.Hole = true })
+	c.relays[lead].Update(func(x *relay.Conditions) { x.BlackHole = true })
 	_, err = c.all[other].Do(c.ctx(), put("k", "new"))
 	c.must(err)
 	short, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
@@ -352,7 +352,7 @@
 	}); err == nil {
 		t.Log("it was let in again already")
 	}
-	c.relays[lead].Set(func(x *relay.Conditions) { x.Hole = false })
+	c.relays[lead].Update(func(x *relay.Conditions) { x.BlackHole = false })
 	if v := c.get(lead, "k"); v != "new" {
 		t.Fatal(v)
 	}
