--- a/internal/lab/checker/verdict.go
+++ b/internal/lab/checker/verdict.go
@@ -16,7 +16,7 @@
 	DuplicateAnswers    Rule = "double answers"           // a second final answer
 	ForeignAnswers      Rule = "foreign answers"          // an answer that no server made for the request
 	DuplicateExecutions Rule = "duplicates"               // a request that is not idempotent accepted more than once
-	FalseRejections     Rule = "false refusals"           // such a request rejected as safe to retry when it may have run
+	FalseRejections     Rule = "false refusals"           // such a request rejected although it may have run
 	TrafficAfterDrain   Rule = "late drains"              // an attempt sent to a server after the drain's grace period
 	SlowStartOverload   Rule = "cold servers pushed over" // a server overloaded while it was warming up
 	UnbalancedCounts    Rule = "unbalanced counts"        // requests that did not end exactly once
--- a/internal/lab/relay/relay_test.go
+++ b/internal/lab/relay/relay_test.go
@@ -11,12 +11,13 @@
 	"go.uber.org/goleak"
 )
 
-const testTimeout = 5 * time.Second // bounds the waits for what must come
+// testTimeout bounds the waits for what must happen.
+const testTimeout = 5 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// startLink starts a relay to a target whose connections go to far, and returns its address.
-func startLink(t *testing.T, c Conditions, far func(net.Conn)) (*Link, string) {
+// startLink starts a link to a target that calls handle for each connection, and returns the link and its address.
+func startLink(t *testing.T, c Conditions, handle func(net.Conn)) (*Link, string) {
 	t.Helper()
 	target, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -26,28 +27,28 @@
 	go func() {
 		defer close(done)
 		for {
-			nc, err := target.Accept()
+			conn, err := target.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
-				defer nc.Close()
-				far(nc)
+				defer conn.Close()
+				handle(conn)
 			}()
 		}
 	}()
 	l := New(target.Addr().String(), 1, c)
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Listen(ln)
+	l.Listen(listener)
 	t.Cleanup(func() {
 		l.Close()
 		target.Close()
 		<-done
 	})
-	return l, ln.Addr().String()
+	return l, listener.Addr().String()
 }
 
 func dial(t *testing.T, addr string) *net.TCPConn {
@@ -57,12 +58,17 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(testTimeout))
+	if err := c.SetDeadline(time.Now().Add(testTimeout)); err != nil {
+		t.Fatal(err)
+	}
 	return c.(*net.TCPConn)
 }
 
-func echo(c net.Conn) { io.Copy(c, c) }
+func echo(c net.Conn) {
+	_, _ = io.Copy(c, c) // a reset by the link is a regular end
+}
 
+// exchange writes a text and returns as many bytes of what comes back.
 func exchange(t *testing.T, c net.Conn, text string) string {
 	t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
@@ -75,28 +81,36 @@
 	return string(buf)
 }
 
-// Whatever the conditions are, what arrives is what was sent, whole and in order, and the end of sending arrives.
+// Under all conditions that lose nothing, all bytes arrive in order, and so does the end of sending.
 func TestLinkDeliversAllBytesInOrder(t *testing.T) {
 	sent := bytes.Repeat([]byte("all of it, in order. "), 8000)
 	for name, c := range map[string]Conditions{
-		"plain":      {},
-		"delay":      {Delay: 20 * time.Millisecond, Jitter: 0.9},
-		"split":      {MaxWriteBytes: 1000},
-		"slow":       {MaxWriteBytes: 9000, WritePause: time.Millisecond},
-		"bandwidth":  {BytesPerSecond: 4 << 20},
-		"stalls":     {StallProbability: 0.5, MaxStall: 5 * time.Millisecond},
-		"everything": {Delay: time.Millisecond, Jitter: 1, MaxWriteBytes: 5000, BytesPerSecond: 8 << 20, StallProbability: 0.1, MaxStall: time.Millisecond},
+		"plain":     {},
+		"delay":     {Delay: 20 * time.Millisecond, Jitter: 0.9},
+		"split":     {MaxWriteBytes: 1000},
+		"slow":      {MaxWriteBytes: 9000, WritePause: time.Millisecond},
+		"bandwidth": {BytesPerSecond: 4 << 20},
+		"stalls":    {StallProbability: 0.5, MaxStall: 5 * time.Millisecond},
+		"all together": {
+			Delay:            time.Millisecond,
+			Jitter:           1,
+			MaxWriteBytes:    5000,
+			BytesPerSecond:   8 << 20,
+			StallProbability: 0.1,
+			MaxStall:         time.Millisecond,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			_, addr := startLink(t, c, echo)
-			near := dial(t, addr)
+			client := dial(t, addr)
 			go func() {
-				near.Write(sent)
-				near.CloseWrite()
+				_, _ = client.Write(sent) // a failure shows in what comes back
+				_ = client.CloseWrite()
 			}()
-			if got, err := io.ReadAll(near); err != nil || !bytes.Equal(got, sent) {
-				t.Errorf("%d bytes of %d came back (%v)", len(got), len(sent), err)
+			got, err := io.ReadAll(client)
+			if err != nil || !bytes.Equal(got, sent) {
+				t.Errorf("%d bytes of %d came back (error %v), or they differ", len(got), len(sent), err)
 			}
 		})
 	}
@@ -106,10 +120,10 @@
 	const delay = 30 * time.Millisecond
 	_, addr := startLink(t, Conditions{Delay: delay}, echo)
 	c := dial(t, addr)
-	began := time.Now()
+	start := time.Now()
 	exchange(t, c, "x")
-	if took := time.Since(began); took < 2*delay {
-		t.Errorf("there and back took %v, less than twice %v", took, delay)
+	if elapsed := time.Since(start); elapsed < 2*delay {
+		t.Errorf("the round trip took %v, less than twice %v", elapsed, delay)
 	}
 }
 
@@ -119,9 +133,9 @@
 	exchange(t, c, "x")
 	l.Reset()
 	if _, err := c.Read(make([]byte, 1)); err == nil || errors.Is(err, io.EOF) {
-		t.Errorf("a reset is read as %v", err)
+		t.Errorf("Read returned %v after a reset", err)
 	}
-	exchange(t, dial(t, addr), "the next one works")
+	exchange(t, dial(t, addr), "a new connection")
 }
 
 func TestRefuseStopsListeningUntilListen(t *testing.T) {
@@ -129,19 +143,19 @@
 	l.Refuse()
 	if c, err := net.Dial("tcp", addr); err == nil {
 		c.Close()
-		t.Error("a connection came up")
+		t.Error("a connection was accepted after Refuse")
 	}
-	ln, err := net.Listen("tcp", addr)
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Listen(ln)
-	exchange(t, dial(t, addr), "listens again")
+	l.Listen(listener)
+	exchange(t, dial(t, addr), "after Listen")
 }
 
-// In a black hole everything is lost with no word; when it ends, what lost something breaks and the rest goes on.
+// A black hole loses data silently; when it ends, the connections that lost data are reset and the others continue.
 func TestBlackHoleBreaksOnlyLossyConnectionsAtItsEnd(t *testing.T) {
-	heard := make(chan string, 10)
+	received := make(chan string, 10)
 	l, addr := startLink(t, Conditions{}, func(c net.Conn) {
 		buf := make([]byte, 100)
 		for {
@@ -149,32 +163,35 @@
 			if err != nil {
 				return
 			}
-			heard <- string(buf[:n])
-			c.Write(buf[:n])
+			received <- string(buf[:n])
+			if _, err := c.Write(buf[:n]); err != nil {
+				return
+			}
 		}
 	})
-	loser, quiet := dial(t, addr), dial(t, addr)
-	exchange(t, loser, "a")
-	exchange(t, quiet, "b")
-	<-heard
-	<-heard
+	lossy := dial(t, addr)
+	idle := dial(t, addr)
+	exchange(t, lossy, "a")
+	exchange(t, idle, "b")
+	<-received
+	<-received
 	l.Update(func(c *Conditions) { c.BlackHole = true })
-	if _, err := loser.Write([]byte("lost")); err != nil {
-		t.Errorf("the sender hears of it: %v", err)
+	if _, err := lossy.Write([]byte("lost")); err != nil {
+		t.Errorf("the sender noticed the black hole: %v", err)
 	}
-	// It has been lost once the relay says so; only then may the hole end.
-	for end := time.Now().Add(testTimeout); !l.anyLossy() && time.Now().Before(end); {
+	// The black hole may end only after the link has lost the data.
+	for deadline := time.Now().Add(testTimeout); !l.anyLossy() && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
 	l.Update(func(c *Conditions) { c.BlackHole = false })
-	if _, err := loser.Read(make([]byte, 1)); err == nil {
-		t.Error("what was lost came back")
+	if _, err := lossy.Read(make([]byte, 1)); err == nil {
+		t.Error("the connection that lost data was not reset")
 	}
-	if got := exchange(t, quiet, "still here"); got != "still here" {
-		t.Errorf("the quiet one got %q", got)
+	if got := exchange(t, idle, "still here"); got != "still here" {
+		t.Errorf("the idle connection received %q", got)
 	}
-	if got := <-heard; got != "still here" {
-		t.Errorf("the target heard %q", got)
+	if got := <-received; got != "still here" {
+		t.Errorf("the target received %q", got)
 	}
 }
 
@@ -193,20 +210,34 @@
 	ended := make(chan struct{}, 2)
 	_, addr := startLink(t, Conditions{DropHalfClose: true}, func(c net.Conn) {
 		buf := make([]byte, 10)
-		n, _ := c.Read(buf)
-		c.Write(buf[:n])
-		c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
+		n, err := c.Read(buf)
+		if err != nil {
+			t.Errorf("the target's first read: %v", err)
+			return
+		}
+		if _, err := c.Write(buf[:n]); err != nil {
+			t.Errorf("the target's write: %v", err)
+		}
+		if err := c.SetReadDeadline(time.Now().Add(50 * time.Millisecond)); err != nil {
+			t.Errorf("the target's read deadline: %v", err)
+		}
 		if _, err := c.Read(buf); errors.Is(err, io.EOF) {
 			ended <- struct{}{}
 		}
 	})
 	c := dial(t, addr)
-	io.WriteString(c, "x")
-	c.CloseWrite()
-	io.ReadAll(c)
+	if _, err := io.WriteString(c, "x"); err != nil {
+		t.Fatal(err)
+	}
+	if err := c.CloseWrite(); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := io.ReadAll(c); err != nil { // returns once the target has closed the connection
+		t.Fatal(err)
+	}
 	select {
 	case <-ended:
-		t.Error("the end of sending was passed on")
+		t.Error("the end of sending was forwarded")
 	default:
 	}
 }
@@ -214,13 +245,15 @@
 func TestCloseEndsConnectionsAndListener(t *testing.T) {
 	l, addr := startLink(t, Conditions{Delay: time.Hour}, echo)
 	c := dial(t, addr)
-	io.WriteString(c, "on its way for an hour")
+	if _, err := io.WriteString(c, "in flight for an hour"); err != nil {
+		t.Fatal(err)
+	}
 	l.Close()
 	if l.OpenConnections() != 0 {
 		t.Errorf("%d connections are open", l.OpenConnections())
 	}
 	if c, err := net.Dial("tcp", addr); err == nil {
 		c.Close()
-		t.Error("it listens")
+		t.Error("a connection was accepted after Close")
 	}
 }
