--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -205,8 +205,8 @@
 <table><tr><th>class</th><th>asked</th><th>service</th><th>p50 ms</th><th>p90 ms</th><th>p99 ms</th><th>p99.9 ms</th></tr>
 {{range .X.Classes}}<tr><td>{{.Name}}</td><td>{{.Tasks}}</td><td>{{per .Service}}</td><td>{{ms .P50}}</td><td>{{ms .P90}}</td><td>{{ms .P99}}</td><td>{{ms .P999}}</td></tr>{{end}}</table>
 <table><tr><th>figure</th><th>value</th></tr>{{range $k, $v := .X.Figures}}<tr><td>{{$k}}</td><td>{{per $v}}</td></tr>{{end}}</table>
-{{with .X.Verdict}}<p>asked {{.Counts.Asked}} = served {{.Counts.Served}} + refused {{.Counts.Refused}} + failed {{.Counts.Failed}} + gone {{.Counts.Gone}}</p>
-{{if .Breaches}}<table><tr><th>rule broken</th><th>at s</th><th>what</th></tr>{{range .Breaches}}<tr><td>{{.Rule}}</td><td>{{.At}} µs</td><td>{{.Text}} (sidecar {{.Sidecar}}, server {{.Server}})</td></tr>{{end}}</table>{{end}}{{end}}
+{{with .X.Verdict}}<p>asked {{.Counts.Requests}} = served {{.Counts.Served}} + refused {{.Counts.Rejected}} + failed {{.Counts.Failed}} + gone {{.Counts.Abandoned}}</p>
+{{if .Violations}}<table><tr><th>rule broken</th><th>at s</th><th>what</th></tr>{{range .Violations}}<tr><td>{{.Rule}}</td><td>{{.At}} µs</td><td>{{.Detail}} (sidecar {{.Sidecar}}, server {{.Server}})</td></tr>{{end}}</table>{{end}}{{end}}
 {{with .X.Series.Faults}}<p>Faults: {{range .}}<span class="band">{{.Note}}: {{ms .From}} to {{ms .To}} s</span>{{end}}</p>{{end}}
 {{range .Figures}}<h2>{{.Title}}</h2>{{with .Note}}<p class="note">{{.}}</p>{{end}}{{.SVG}}{{end}}
 {{with .X.Series.Told}}<h2>Events</h2><p class="note">{{range .}}{{ms .At}} s {{.Note}} · {{end}}</p>{{end}}
