--- a/internal/lab/procfs/procfs_test.go
+++ b/internal/lab/procfs/procfs_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"os"
+	"runtime"
 	"testing"
 )
 
@@ -11,7 +12,8 @@
 		t.Errorf("%v MB resident, %v at most", now, most)
 	}
 	before := CPU(os.Getpid())
-	for CPU(os.Getpid()) == before { // until some processor time is used
+	for CPU(os.Getpid()) == before {
+		runtime.Gosched() // spins until some processor time has been used
 	}
 	if MB(-1, "VmRSS") != 0 || CPU(-1) != 0 {
 		t.Error("a process that does not exist has figures")
