--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -28,7 +28,7 @@
 	}
 	r := b.admit(now, in)
 	if now >= in.Deadline || b.open > b.settings.Limits.MaxOpen {
-		b.reject(now, r)
+		b.rejectOrFail(now, r)
 		return
 	}
 	if !b.waitForProbes(now, r) {
@@ -62,7 +62,7 @@
 	sent := b.tryAttempt(now, r, true)
 	b.rejectionRate.add(indicator(!sent), shareWeight)
 	if !sent {
-		b.reject(now, r)
+		b.rejectOrFail(now, r)
 	}
 }
 
@@ -126,8 +126,8 @@
 		c.Idempotency == WithIdempotencyKey && c.DedupScope == DedupAll
 }
 
-// reject gives the final answer "rejected" if that is true, else "failed".
-func (b *Balancer) reject(_ Micros, r *request) {
+// rejectOrFail gives the final answer "rejected" if that is true, else "failed".
+func (b *Balancer) rejectOrFail(_ Micros, r *request) {
 	if r.ended || !b.mayReject(r) {
 		b.fail(r)
 		return
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -195,7 +195,7 @@
 	if !o.NotReplayable && b.retry(now, r) {
 		return
 	}
-	b.reject(now, r)
+	b.rejectOrFail(now, r)
 }
 
 // recordOutcome takes an outcome into the averages, the breaker and the failure runs.
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -168,7 +168,7 @@
 		return
 	}
 	if now >= r.Deadline {
-		b.reject(now, r)
+		b.rejectOrFail(now, r)
 	}
 }
 
--- a/internal/dataplane/core/actions.go
+++ b/internal/dataplane/core/actions.go
@@ -15,7 +15,7 @@
 	}
 }
 
-// Reject answers a request that a retry is harmless.
+// Reject gives a request the final answer Rejected, which promises its client that a retry is harmless.
 func (l *EventLoop) Reject(id uint64, retryAfter balancer.Micros) {
 	r := l.requests[id]
 	if r == nil || r.ended {
@@ -25,7 +25,7 @@
 	l.forget(r)
 }
 
-// Fail answers a request that it failed.
+// Fail gives a request the final answer Failed, which promises nothing.
 func (l *EventLoop) Fail(id uint64) {
 	r := l.requests[id]
 	if r == nil || r.ended {
--- a/internal/dataplane/httpfront/answer.go
+++ b/internal/dataplane/httpfront/answer.go
@@ -9,7 +9,7 @@
 	"birchmoor/internal/dataplane/core"
 )
 
-// response returns the final answer as it goes to the client.
+// responseTo returns the final answer as it goes to the client.
 func responseTo(a core.Answer) *response {
 	var r *response
 	switch a.Disposition {
--- a/internal/dataplane/httpfront/clients.go
+++ b/internal/dataplane/httpfront/clients.go
@@ -75,8 +75,8 @@
 	timerRunning bool             // of overdueTimer
 }
 
-func newClients(most int, talk func(*client), unanswered *metrics.Counter, log *slog.Logger) *clients {
-	return &clients{maxConns: most, serve: talk, unanswered: unanswered, log: log,
+func newClients(maxConns int, serve func(*client), unanswered *metrics.Counter, log *slog.Logger) *clients {
+	return &clients{maxConns: maxConns, serve: serve, unanswered: unanswered, log: log,
 		active: list.New(), unused: list.New(), idle: list.New(), lingering: list.New()}
 }
 
--- a/internal/dataplane/httpfront/overdue_test.go
+++ b/internal/dataplane/httpfront/overdue_test.go
@@ -98,7 +98,7 @@
 					time.Sleep(tc.every)
 				}
 				lines := strings.Count(log.String(), "all requests are rejected")
-				if n := s.figures.AllEndpointsRefused.Value(); n != tc.want || lines != int(tc.want) {
+				if n := s.figures.AllRequestsRejected.Value(); n != tc.want || lines != int(tc.want) {
 					t.Errorf("counted %d, %d lines, want %d", n, lines, tc.want)
 				}
 			})
--- a/internal/dataplane/httpfront/rejections.go
+++ b/internal/dataplane/httpfront/rejections.go
@@ -43,7 +43,7 @@
 	}
 	t.mu.Unlock()
 	if report {
-		figures.AllEndpointsRefused.Inc()
+		figures.AllRequestsRejected.Inc()
 		log.Warn("all requests are rejected, and no attempt is made",
 			"requests", rejections, "for", duration.Round(time.Millisecond))
 	}
--- a/internal/platform/metrics/metrics.go
+++ b/internal/platform/metrics/metrics.go
@@ -42,7 +42,7 @@
 	Endpoints           Gauge   // of the endpoint list
 	UnhealthyEndpoints  Gauge   // of them not used now, by an operator's override or by the balancer
 	Unanswered          Counter // requests without an answer half a second after their timeout
-	AllEndpointsRefused Counter // times that all endpoints refused for seconds, so that no attempt was made
+	AllRequestsRejected Counter // times that all requests were rejected for seconds, with no attempt between them
 	ConfigsLoaded       Counter // at a reload
 	ConfigsRejected     Counter // at a reload
 
--- a/internal/platform/metrics/metrics_test.go
+++ b/internal/platform/metrics/metrics_test.go
@@ -19,8 +19,8 @@
 	r.Endpoints.Set(9)
 	r.UnhealthyEndpoints.Set(2)
 	r.Unanswered.Inc()
-	r.AllEndpointsRefused.Inc()
-	r.AllEndpointsRefused.Inc()
+	r.AllRequestsRejected.Inc()
+	r.AllRequestsRejected.Inc()
 	r.ConfigsLoaded.Inc()
 	r.ConfigsRejected.Inc()
 	var b strings.Builder
@@ -94,7 +94,7 @@
 	r.Endpoints.Set(3)
 	r.UnhealthyEndpoints.Set(4)
 	for counter, n := range map[*Counter]int{
-		&r.AttemptsSent: 1, &r.Unanswered: 5, &r.AllEndpointsRefused: 6, &r.ConfigsLoaded: 7, &r.ConfigsRejected: 8,
+		&r.AttemptsSent: 1, &r.Unanswered: 5, &r.AllRequestsRejected: 6, &r.ConfigsLoaded: 7, &r.ConfigsRejected: 8,
 	} {
 		for range n {
 			counter.Inc()
--- a/internal/platform/metrics/text.go
+++ b/internal/platform/metrics/text.go
@@ -26,7 +26,7 @@
 		{"cluster_size", r.Endpoints.Value()},
 		{"cluster_unhealthy", r.UnhealthyEndpoints.Value()},
 		{"unanswered_total", int64(r.Unanswered.Value())},
-		{"all_refused_total", int64(r.AllEndpointsRefused.Value())},
+		{"all_refused_total", int64(r.AllRequestsRejected.Value())},
 		{"conf_loaded_total", int64(r.ConfigsLoaded.Value())},
 		{"conf_invalid_total", int64(r.ConfigsRejected.Value())},
 	} {
