--- a/internal/controlplane/quota/allocate.go
+++ b/internal/controlplane/quota/allocate.go
@@ -8,20 +8,21 @@
 	"birchmoor/internal/store"
 )
 
-// Allocation is a transaction of the store.
+// Allocation is a transaction of the store that changes grants. It applies only if no other allocation was applied
+// since the copy of the store that it is based on.
 type Allocation struct {
 	If   []store.Compare
 	Then []store.Op
 }
 
-// Allocate returns the changes that are due, or nil.
+// Allocate returns the changes of grants that are due, or nil. It returns nil while Fault reports a fault.
 func (a *Allocator) Allocate(now int64) *Allocation {
 	if !a.dirty && now-a.allocatedAt < idleInterval || len(a.decodeErrors) > 0 {
 		return nil
 	}
 	a.dirty = false
 	a.allocatedAt = now
-	a.settling = now-a.settledAt >= settleInterval
+	a.smallChangesAllowed = now-a.smallChangesAt >= smallChangeInterval
 	if !a.started {
 		a.started = true
 		a.firstRevision = a.revision + 1
@@ -32,8 +33,8 @@
 	for _, l := range a.config.Limits {
 		a.allocateLimit(now, l, processes, grants)
 	}
-	if a.settling {
-		a.settledAt = now
+	if a.smallChangesAllowed {
+		a.smallChangesAt = now
 	}
 	a.dropEmptyQuotas(grants)
 	if len(grants) == 0 && len(expired) == 0 {
@@ -42,8 +43,9 @@
 	return a.transaction(now, grants, expired)
 }
 
-// expireGrants returns the processes none of whose quotas counts any longer, and adds to grants those of which some do
-// not, or whose age is to be updated. What expires in an allocation is free in the next.
+// expireGrants returns the departed processes whose quotas all have stopped counting. To grants it adds the grants of
+// departed processes of which some quotas have stopped counting, or whose stored age is due for an update. What expires
+// in one allocation is free in the next.
 func (a *Allocator) expireGrants(now int64, processes []Process, grants map[Process]Grant) (expired []Process) {
 	for _, p := range processes {
 		state := a.processes[p]
@@ -63,8 +65,8 @@
 	return expired
 }
 
-// lingeringQuotas returns those quotas of a process that is gone which still count, and the shortest time for which one
-// of them counts in all.
+// lingeringQuotas returns the quotas of a departed process that still count at the given age, and the shortest of their
+// lingers in nanoseconds.
 func (a *Allocator) lingeringQuotas(age int64, quotas map[string]Quota) (lingering map[string]Quota, shortest int64) {
 	lingering = map[string]Quota{}
 	for key, quota := range quotas {
@@ -80,7 +82,7 @@
 	return lingering, shortest
 }
 
-// dropEmptyQuotas drops quotas that count for nothing from the new grants of live processes.
+// dropEmptyQuotas removes quotas that are zero and leave nothing to acknowledge from the new grants of live processes.
 func (a *Allocator) dropEmptyQuotas(grants map[Process]Grant) {
 	for p, grant := range grants {
 		if !a.processes[p].alive {
@@ -90,19 +92,19 @@
 	}
 }
 
-// transaction returns what writes the new grants and deletes the expired, as far as there is space: the processes
-// that have waited longest for a change come first.
+// transaction returns the transaction that deletes the grants of expired processes and writes the new grants, in this
+// order and up to maxOpsPerAllocation operations. Processes that have waited longest for a change come first.
 func (a *Allocator) transaction(now int64, grants map[Process]Grant, expired []Process) *Allocation {
-	t := &Allocation{
+	allocation := &Allocation{
 		If:   []store.Compare{{Key: AllocationKey, ModRevision: a.revision}},
 		Then: []store.Op{{Key: AllocationKey, Value: []byte{1}}},
 	}
 	if a.defect == UncheckedRevision {
-		t.If = nil
+		allocation.If = nil
 	}
 	for _, p := range expired {
-		if len(t.Then) < maxOpsPerAllocation {
-			t.Then = append(t.Then, store.Op{Key: p.GrantKey(), Delete: true})
+		if len(allocation.Then) < maxOpsPerAllocation {
+			allocation.Then = append(allocation.Then, store.Op{Key: p.GrantKey(), Delete: true})
 		}
 		delete(grants, p)
 	}
@@ -110,11 +112,11 @@
 		return cmp.Or(cmp.Compare(a.changedAt[p], a.changedAt[q]), compareProcesses(p, q))
 	})
 	for _, p := range changed {
-		if len(t.Then) >= maxOpsPerAllocation {
+		if len(allocation.Then) >= maxOpsPerAllocation {
 			break
 		}
-		t.Then = append(t.Then, store.Op{Key: p.GrantKey(), Value: Encode(grants[p])})
+		allocation.Then = append(allocation.Then, store.Op{Key: p.GrantKey(), Value: Encode(grants[p])})
 		a.changedAt[p] = now
 	}
-	return t
+	return allocation
 }
--- a/internal/controlplane/quota/allocator.go
+++ b/internal/controlplane/quota/allocator.go
@@ -10,40 +10,41 @@
 	"birchmoor/internal/store"
 )
 
-// Allocator divides the limits among the processes of a copy of the store. It is for one goroutine at a time. Its owner
-// writes what Allocate returns as one transaction. A transaction that was rejected, or whose outcome is not known, was
-// based on a copy that is out of date by now, and does no harm.
+// Allocator divides the limits among the processes that a copy of the store shows. The owner keeps the copy up to date
+// by Event and Reset, and writes what Allocate returns as one transaction. A transaction that was rejected, or whose
+// outcome is unknown, needs no handling: the next allocation is based on a newer copy. An Allocator is not safe for
+// concurrent use. Instants are nanoseconds of a clock that does not step.
 type Allocator struct {
 	rules        Rules
 	defect       Defect
 	config       *Config
-	revision     uint64 // of the last allocation
+	revision     uint64 // of AllocationKey, as the last allocation left it; 0 before the first
 	processes    map[Process]*processState
-	decodeErrors map[string]string // by key
+	decodeErrors map[string]string // by key of the record that cannot be decoded
 
-	dirty       bool              // something has changed since the last allocation
-	allocatedAt int64             // when Allocate last looked at all limits
-	settledAt   int64             // when small differences were last evened out
-	settling    bool              // this allocation evens out small differences
-	changedAt   map[Process]int64 // when a process's quotas were last changed
+	dirty               bool              // the copy or the configuration has changed since the last allocation
+	allocatedAt         int64             // when Allocate last considered all limits
+	smallChangesAt      int64             // when an allocation last made small changes
+	smallChangesAllowed bool              // the current allocation makes small changes, too
+	changedAt           map[Process]int64 // when this allocator last changed the process's quotas
 
-	started       bool
-	firstRevision uint64 // of this allocator's own allocations, for IgnorePredecessor
+	started       bool   // Allocate has been called
+	firstRevision uint64 // lower bound of the revisions of this allocator's grants, for IgnorePredecessor
 }
 
 // processState is what the copy of the store shows of a process.
 type processState struct {
 	demand        Demand
-	alive         bool // it reports
-	reportedAt    int64
+	alive         bool  // its demand is in the store, so its session has not ended
+	reportedAt    int64 // when its last report came to this copy
 	grant         Grant
-	grantRevision uint64 // 0: there is no grant
+	grantRevision uint64 // 0 if it has no grant
 	departed      bool   // it is not alive, and departedAt is known
 	departedAt    int64  // by this clock, no earlier than it departed
 }
 
-// departedBy notes that the process had departed by an instant.
-func (s *processState) departedBy(at int64) {
+// recordDeparture records that the process had departed by the given instant.
+func (s *processState) recordDeparture(at int64) {
 	if !s.departed || at < s.departedAt {
 		s.departed = true
 		s.departedAt = at
@@ -51,14 +52,28 @@
 }
 
 const (
+	// maxOpsPerAllocation is the largest number of operations in one transaction.
 	maxOpsPerAllocation = 100
-	minChangeInterval   = int64(150 * time.Millisecond) // between two changes of a process's quotas
-	ageWriteInterval    = int64(time.Second)            // between two updates of Grant.OutlivedNanos, at least
-	ageWritesPerLinger  = 20                            // of the shortest linger of a grant, at most
-	settleInterval      = int64(2 * time.Second)
-	idleInterval        = int64(time.Second)     // between two allocations where nothing has changed
-	rotationInterval    = int64(2 * time.Second) // for which processes that take turns keep a quota
-	minRelativeChange   = 0.1                    // of a quota, below which it stays as it is
+
+	// minChangeInterval is the shortest time between two changes of a process's quotas.
+	minChangeInterval = int64(150 * time.Millisecond)
+
+	// ageWriteInterval is the shortest time between two updates of Grant.OutlivedNanos. ageWritesPerLinger is how many
+	// there are at most during the shortest linger in a grant.
+	ageWriteInterval   = int64(time.Second)
+	ageWritesPerLinger = 20
+
+	// smallChangeInterval is the shortest time between two allocations that make changes below minRelativeChange.
+	smallChangeInterval = int64(2 * time.Second)
+
+	// idleInterval is the time between two allocations while neither the copy nor the configuration changes.
+	idleInterval = int64(time.Second)
+
+	// rotationInterval is for how long a process keeps its quota if processes take turns.
+	rotationInterval = int64(2 * time.Second)
+
+	// minRelativeChange is the fraction of a quota by which its target must differ for the quota to be changed.
+	minRelativeChange = 0.1
 )
 
 // NewAllocator returns an allocator without limits or processes.
@@ -73,13 +88,13 @@
 	}
 }
 
-// SetConfig replaces the limits in force.
+// SetConfig replaces the limits in force. The config must not be changed afterwards.
 func (a *Allocator) SetConfig(config *Config) {
 	a.config = config
 	a.dirty = true
 }
 
-// Event applies a change of the copy.
+// Event applies a change of the store to the copy. Keys that are not of limits are ignored.
 func (a *Allocator) Event(now int64, e store.Event) {
 	a.dirty = true
 	key := e.Item.Key
@@ -96,7 +111,7 @@
 	}
 }
 
-// Reset replaces the copy.
+// Reset replaces the copy of the store. Departures that the previous copy knew keep their instants.
 func (a *Allocator) Reset(now int64, s *store.State) {
 	previous := a.processes
 	a.dirty = true
@@ -117,13 +132,13 @@
 	for p, state := range a.processes {
 		old := previous[p]
 		if old != nil && old.departed && !state.alive {
-			state.departedBy(old.departedAt)
+			state.recordDeparture(old.departedAt)
 		}
 	}
 }
 
-// applyDemand applies a change of the demand of the process with a name. One that cannot be decoded leaves the demand
-// before it, and acknowledges nothing.
+// applyDemand applies a change of the demand of the named process. If a demand cannot be decoded, the previous one
+// stays in force, so that it acknowledges nothing new.
 func (a *Allocator) applyDemand(now int64, name string, item store.Item, deleted bool) {
 	p, ok := parseProcess(name)
 	if !ok {
@@ -133,8 +148,8 @@
 	delete(a.decodeErrors, item.Key)
 	if deleted {
 		state.alive = false
-		state.departedBy(now)
-		a.forgetIfUnknown(p)
+		state.recordDeparture(now)
+		a.deleteIfEmpty(p)
 		return
 	}
 	state.alive = true
@@ -148,8 +163,8 @@
 	state.demand = demand
 }
 
-// applyGrant applies a change of the grant of the process with a name. The age that an allocator wrote to the grant of a
-// departed process is how long it had departed by then, at least.
+// applyGrant applies a change of the grant of the named process. The age that an allocator wrote to the grant of a
+// departed process is the least time for which the process had been departed by then.
 func (a *Allocator) applyGrant(now int64, name string, item store.Item, deleted bool) {
 	p, ok := parseProcess(name)
 	if !ok {
@@ -160,7 +175,7 @@
 	if deleted {
 		state.grant = Grant{}
 		state.grantRevision = 0
-		a.forgetIfUnknown(p)
+		a.deleteIfEmpty(p)
 		return
 	}
 	state.grantRevision = item.ModRevision
@@ -170,13 +185,13 @@
 	} else {
 		state.grant = grant
 		if !state.alive {
-			state.departedBy(now - grant.OutlivedNanos)
+			state.recordDeparture(now - grant.OutlivedNanos)
 		}
 	}
-	a.forgetIfUnknown(p)
+	a.deleteIfEmpty(p)
 }
 
-// state returns the state of a process, a new one if it is not known.
+// state returns the state of a process, which is created if the process is not known.
 func (a *Allocator) state(p Process) *processState {
 	state := a.processes[p]
 	if state == nil {
@@ -186,8 +201,8 @@
 	return state
 }
 
-// forgetIfUnknown drops a process that has neither a demand nor a grant.
-func (a *Allocator) forgetIfUnknown(p Process) {
+// deleteIfEmpty deletes the state of a process that has neither a demand nor a grant.
+func (a *Allocator) deleteIfEmpty(p Process) {
 	state := a.processes[p]
 	if !state.alive && state.grantRevision == 0 {
 		delete(a.processes, p)
@@ -195,8 +210,8 @@
 	}
 }
 
-// Fault returns why nothing can be allocated by this copy, or "". A record that cannot be decoded, such as a newer
-// version's, may count for any amount.
+// Fault returns why this copy of the store allows no allocation, or "" if it does. A record that cannot be decoded,
+// such as one that a newer version wrote, may count for any amount.
 func (a *Allocator) Fault() string {
 	if len(a.decodeErrors) == 0 {
 		return ""
@@ -205,8 +220,8 @@
 	return key + ": " + a.decodeErrors[key]
 }
 
-// committedAmount returns how much of a node counts as taken by a process: the most that it may use by what it has
-// acknowledged.
+// committedAmount returns how much of a node counts as committed to a process: the most that the process may use or
+// have in use, given what it has acknowledged.
 func (a *Allocator) committedAmount(state *processState, key string) Amount {
 	quota := state.grant.Quotas[key]
 	inUse := Amount(0)
@@ -219,14 +234,14 @@
 	return max(quota.Amount, quota.Previous, inUse)
 }
 
-// acknowledged reports whether the process keeps to its grant.
+// acknowledged reports whether the process is alive and has acknowledged its newest grant.
 func (s *processState) acknowledged() bool {
 	return s.alive && s.demand.SeenRevision >= s.grantRevision
 }
 
-// age returns for how many nanoseconds a process has been gone, at least.
+// age returns the least number of nanoseconds for which a process has been departed.
 func (a *Allocator) age(now int64, state *processState) int64 {
-	state.departedBy(now)
+	state.recordDeparture(now)
 	age := now - state.departedAt
 	if a.defect == CountAgeTwice {
 		age += state.grant.OutlivedNanos
@@ -234,7 +249,8 @@
 	return age
 }
 
-// lingerOf returns for how many nanoseconds a quota counts after its process is gone, by any clock.
+// lingerOf returns for how many nanoseconds of this clock a quota counts after its process has departed. It allows for
+// the largest clock skew.
 func (a *Allocator) lingerOf(q Quota) int64 {
 	if a.defect == NoLinger {
 		return 0
@@ -242,7 +258,7 @@
 	return int64(float64(q.Linger) * (1 + a.rules.MaxClockSkew))
 }
 
-// ignored reports whether an injected defect has the allocator not count a process.
+// ignored reports whether an injected defect makes the allocator not count a process.
 func (a *Allocator) ignored(now int64, state *processState) bool {
 	switch a.defect {
 	case IgnorePredecessor:
@@ -254,7 +270,7 @@
 	}
 }
 
-// sortedProcesses returns all processes in the order of their names and sessions.
+// sortedProcesses returns all processes, live and departed, ordered by host and session.
 func (a *Allocator) sortedProcesses() []Process {
 	return slices.SortedFunc(maps.Keys(a.processes), compareProcesses)
 }
--- a/internal/controlplane/quota/allocator_test.go
+++ b/internal/controlplane/quota/allocator_test.go
@@ -7,7 +7,7 @@
 	"birchmoor/internal/store"
 )
 
-// fleet is a store with processes that share limits.
+// fleet is a store whose processes share the limits of config. Each process is a lease of the store.
 type fleet struct {
 	state  *store.State
 	index  uint64
@@ -29,14 +29,14 @@
 	return Process{host, f.apply(&store.Command{GrantLease: &store.GrantLease{TTLMillis: 1000, Owner: host}}).LeaseID}
 }
 
-// report writes a process's demand.
+// report writes a process's demand, which acknowledges the grant of the given revision.
 func (f *fleet) report(p Process, seenRevision uint64, nodes map[string]NodeDemand) {
 	demand := Demand{ConfigVersion: f.config.Version, SeenRevision: seenRevision, Nodes: nodes}
 	op := store.Op{Key: p.DemandKey(), LeaseID: p.Session, Value: Encode(demand)}
 	f.apply(&store.Command{Txn: &store.Txn{Owner: p.Host, Then: []store.Op{op}}})
 }
 
-// grant returns a process's grant and its revision.
+// grant returns a process's grant and its revision, which are zero if there is none.
 func (f *fleet) grant(p Process) (g Grant, revision uint64) {
 	item, ok := f.state.Get(p.GrantKey())
 	if ok {
@@ -52,7 +52,7 @@
 	return a
 }
 
-// allocate reports whether the allocator changed something.
+// allocate applies an allocation that is based on the newest state, and reports whether it changed something.
 func (f *fleet) allocate(a *Allocator, now int64) bool {
 	a.Reset(now, f.state)
 	allocation := a.Allocate(now)
@@ -62,41 +62,43 @@
 	return f.apply(&store.Command{Txn: &store.Txn{If: allocation.If, Then: allocation.Then}}).Succeeded
 }
 
-// Of two allocators with the same copy one changes nothing. Without that a limit is granted twice.
+// An allocation changes nothing if another allocator's allocation was applied since the copy of the store that it is
+// based on. The limit would be granted twice otherwise.
 func TestAllocationIsConditionalOnPrevious(t *testing.T) {
 	for _, defect := range []Defect{NoDefect, UncheckedRevision} {
 		l := newRateLimit(10, sec)
 		f := newFleet(l)
 		a, b := f.join("a"), f.join("b")
-		want := map[string]NodeDemand{l.Key(0): {Wanted: 100 * AmountUnit}}
-		f.report(a, 0, want)
+		demand := map[string]NodeDemand{l.Key(0): {Wanted: 100 * AmountUnit}}
+		f.report(a, 0, demand)
 		outdated, current := f.newAllocator(defect), f.newAllocator(defect)
 		allocation := outdated.Allocate(2)
-		f.report(b, 0, want)
+		f.report(b, 0, demand)
 		f.apply(&store.Command{RevokeLease: &store.RevokeLease{LeaseID: a.Session, Owner: "a"}})
 		current.Reset(3, f.state)
-		f.allocate(current, 3) // grants b what a had
+		f.allocate(current, 3) // this allocation and the next grant b the quota of a
 		f.allocate(current, sec)
-		held := f.apply(&store.Command{Txn: &store.Txn{If: allocation.If, Then: allocation.Then}}).Succeeded
+		applied := f.apply(&store.Command{Txn: &store.Txn{If: allocation.If, Then: allocation.Then}}).Succeeded
 		grantA, _ := f.grant(a)
 		grantB, _ := f.grant(b)
 		sum := grantA.Quotas[l.Key(0)].Amount + grantB.Quotas[l.Key(0)].Amount
-		if exceeded := sum > 10*AmountUnit || held; exceeded != (defect != NoDefect) {
-			t.Errorf("defect %d: the outdated allocation held: %v, and %s of 10 are granted",
-				defect, held, FormatAmount(sum))
+		if exceeded := sum > 10*AmountUnit || applied; exceeded != (defect != NoDefect) {
+			t.Errorf("defect %d: outdated allocation applied: %v; granted %s in total, the limit is 10",
+				defect, applied, FormatAmount(sum))
 		}
 	}
 }
 
-// What a quota is reduced by is free only once its process has acknowledged that, and the tokens beyond it are gone.
+// The amount by which a quota is reduced is granted to others only once the process has acknowledged the reduction, and
+// the process drops the tokens that exceed the reduced quota.
 func TestReducedQuotaIsFreeOnceAcknowledged(t *testing.T) {
 	for _, defect := range []Defect{NoDefect, KeepTokens} {
 		l := newRateLimit(10, sec)
 		f := newFleet(l)
 		a, b := f.join("a"), f.join("b")
 		f.report(a, 0, map[string]NodeDemand{l.Key(0): {Wanted: 100 * AmountUnit}})
-		d := f.newAllocator(NoDefect)
-		f.allocate(d, 1)
+		allocator := f.newAllocator(NoDefect)
+		f.allocate(allocator, 1)
 		c := NewConsumer(Rules{}, defect)
 		c.SetConfig(1, f.config)
 		c.SetSession(1, a.Session, 1<<60)
@@ -107,29 +109,30 @@
 		applyGrant(1)
 		f.report(a, c.seenRevision, map[string]NodeDemand{l.Key(0): {Wanted: 100 * AmountUnit}})
 		f.report(b, 0, map[string]NodeDemand{l.Key(0): {Wanted: 100 * AmountUnit}})
-		f.allocate(d, 2*sec) // reduces a to half
+		f.allocate(allocator, 2*sec) // halves the quota of a
 		if g, _ := f.grant(b); g.Quotas[l.Key(0)].Amount > 0 {
-			t.Fatalf("granted before the reduction was acknowledged: %+v", g)
+			t.Fatalf("b was granted %+v before a acknowledged its reduction", g)
 		}
-		applyGrant(3 * sec) // a had saved 10
+		applyGrant(3 * sec) // a had saved 10 tokens
 		admitted := admitUpTo(20, c, 3*sec, l)
 		if admitted > 5 != (defect == KeepTokens) {
-			t.Errorf("defect %d: %d admitted at once by a quota of 5", defect, admitted)
+			t.Errorf("defect %d: a quota of 5 admitted %d requests at once", defect, admitted)
 		}
 		f.report(a, c.seenRevision, map[string]NodeDemand{l.Key(0): {Wanted: 100 * AmountUnit}})
-		f.allocate(d, 4*sec)
+		f.allocate(allocator, 4*sec)
 		if g, _ := f.grant(b); g.Quotas[l.Key(0)].Amount != 5*AmountUnit {
-			t.Errorf("what is free is not granted: %+v", g)
+			t.Errorf("after a acknowledged its reduction, b was granted %+v, want a quota of 5", g)
 		}
 	}
 }
 
-// Of 300 processes that want a little of a limit of 50 a second, as many as can have a useful quota have one, in
-// turns, and all have had one after a while. If all but one are idle, that one has nearly all.
+// 300 processes each want less than one request of a limit of 50 per second. Up to 50 of them have a quota that admits
+// requests, they take turns, and within two minutes each has had one. Once all but one are idle, that one has nearly
+// the whole limit.
 func TestAllocationAmongManyProcesses(t *testing.T) {
 	l := newRateLimit(50, sec)
 	f := newFleet(l)
-	d := f.newAllocator(NoDefect)
+	allocator := f.newAllocator(NoDefect)
 	var processes []Process
 	for i := range 300 {
 		p := f.join(fmt.Sprint("h", i))
@@ -139,29 +142,30 @@
 	served := map[Process]bool{}
 	maxSum := Amount(0)
 	for now := int64(1); now < 120*sec; now += sec / 2 {
-		f.allocate(d, now)
+		f.allocate(allocator, now)
 		sum := Amount(0)
-		d.Reset(now, f.state)
+		allocator.Reset(now, f.state)
 		for _, p := range processes {
 			g, revision := f.grant(p)
-			sum += d.committedAmount(d.processes[p], l.Key(0))
+			sum += allocator.committedAmount(allocator.processes[p], l.Key(0))
 			served[p] = served[p] || g.Quotas[l.Key(0)].Amount >= AmountUnit
 			f.report(p, revision, map[string]NodeDemand{l.Key(0): {Wanted: AmountUnit / 2}})
 		}
 		maxSum = max(maxSum, sum)
 		if sum > 50*AmountUnit {
-			t.Fatalf("%s of 50 are committed", FormatAmount(sum))
+			t.Fatalf("%s committed, the limit is 50", FormatAmount(sum))
 		}
 	}
 	if len(served) != 300 || maxSum < 49*AmountUnit {
-		t.Errorf("%d of 300 had a quota, and %s of 50 were committed at most", len(served), FormatAmount(maxSum))
+		t.Errorf("%d processes had a useful quota, want 300; at most %s committed, want nearly 50",
+			len(served), FormatAmount(maxSum))
 	}
 	for _, p := range processes[1:] {
 		_, revision := f.grant(p)
 		f.report(p, revision, map[string]NodeDemand{l.Key(0): {}})
 	}
 	for now := 130 * sec; now < 136*sec; now += sec / 4 {
-		f.allocate(d, now)
+		f.allocate(allocator, now)
 		for i, p := range processes {
 			demand := NodeDemand{}
 			if i == 0 {
@@ -172,12 +176,12 @@
 		}
 	}
 	if g, _ := f.grant(processes[0]); g.Quotas[l.Key(0)].Amount < 48*AmountUnit {
-		t.Errorf("the busy process has %s of 50", FormatAmount(g.Quotas[l.Key(0)].Amount))
+		t.Errorf("the only busy process has a quota of %s, want nearly 50", FormatAmount(g.Quotas[l.Key(0)].Amount))
 	}
 }
 
-// A part has its guarantee whoever else wants it, the rest goes by weight, what is not wanted is lent, and no part
-// exceeds its capacity. A limit of a new generation is granted only once all processes enforce it.
+// A part has its guarantee whatever other parts want, the rest is divided by weight, an unwanted amount is lent, and no
+// part exceeds its capacity. Quotas of a new generation are granted only once all processes enforce it.
 func TestPartsGetGuaranteesWeightsAndLoans(t *testing.T) {
 	l := newRateLimit(100, sec)
 	l.PartitionBy = []string{"header:org"}
@@ -189,15 +193,15 @@
 	}
 	f := newFleet(l)
 	p := f.join("p")
-	d := f.newAllocator(NoDefect)
-	settle := func(from int64, a, b float64) (Amount, Amount) {
+	allocator := f.newAllocator(NoDefect)
+	allocateFor8s := func(from int64, a, b float64) (Amount, Amount) {
 		for now := from * sec; now < (from+8)*sec; now += sec / 4 {
 			_, revision := f.grant(p)
 			f.report(p, revision, map[string]NodeDemand{
 				l.Key(1): {Wanted: Amount(a * float64(AmountUnit))},
 				l.Key(2): {Wanted: Amount(b * float64(AmountUnit))},
 			})
-			f.allocate(d, now)
+			f.allocate(allocator, now)
 		}
 		g, _ := f.grant(p)
 		return g.Quotas[l.Key(1)].Amount / AmountUnit, g.Quotas[l.Key(2)].Amount / AmountUnit
@@ -206,14 +210,14 @@
 		wantedA, wantedB float64
 		minA, minB, maxA Amount
 	}{
-		{0, 500, 0, 95, 5},     // what a does not want is lent to b
+		{0, 500, 0, 95, 5},     // b borrows what a does not want
 		{500, 500, 45, 50, 50}, // a has its guarantee of 30, and a fourth of the rest
-		{500, 0, 78, 0, 80},    // and not more than its capacity
+		{500, 0, 78, 0, 80},    // a has no more than its capacity
 		{10, 500, 9, 85, 14},
 	} {
-		a, b := settle(int64(i)*10+1, test.wantedA, test.wantedB)
+		a, b := allocateFor8s(int64(i)*10+1, test.wantedA, test.wantedB)
 		if a < test.minA || b < test.minB || a > test.maxA || a+b > 100 {
-			t.Errorf("of %g and %g wanted %d and %d are granted", test.wantedA, test.wantedB, a, b)
+			t.Errorf("parts a and b, which want %g and %g, are granted %d and %d", test.wantedA, test.wantedB, a, b)
 		}
 	}
 	next := *l
@@ -221,38 +225,38 @@
 	config := &Config{Limits: []*Limit{&next}}
 	config.AssignGenerations(f.config)
 	if next.Generation == 1 || config.Version != 2 {
-		t.Fatalf("%+v", config)
+		t.Fatalf("after a change of the window the config is %+v, want version 2 and a new generation", config)
 	}
-	d.SetConfig(config)
-	want := map[string]NodeDemand{next.Key(2): {Wanted: 50 * AmountUnit}}
-	f.report(p, 1<<40, want) // by the previous version
-	f.allocate(d, 100*sec)
+	allocator.SetConfig(config)
+	demand := map[string]NodeDemand{next.Key(2): {Wanted: 50 * AmountUnit}}
+	f.report(p, 1<<40, demand) // p still enforces the previous version
+	f.allocate(allocator, 100*sec)
 	if g, _ := f.grant(p); g.Quotas[next.Key(2)].Amount != 0 {
-		t.Error("granted while the previous generation is enforced")
+		t.Error("a quota of the new generation is granted while p enforces the previous generation")
 	}
 	f.config = config
-	f.report(p, 1<<40, want)
-	f.allocate(d, 101*sec)
+	f.report(p, 1<<40, demand)
+	f.allocate(allocator, 101*sec)
 	if g, _ := f.grant(p); g.Quotas[next.Key(2)].Amount == 0 {
-		t.Errorf("not granted once the new generation is enforced: %+v", g)
+		t.Errorf("p enforces the new generation, but is granted no quota of it: %+v", g)
 	}
 }
 
-// While half of ten processes cannot reach the store and the others have all of the limit, what is admitted beyond
-// it comes near the upper bound, and does not exceed it.
+// While half of ten processes cannot reach the store and the others have the whole limit, what all admit beyond the
+// limit comes near UpperBound and does not exceed it.
 func TestFairFallbackComesNearUpperBound(t *testing.T) { testFairFallback(t, 10) }
 
-// Guards against an upper bound below what may be spent: it assumed that as many processes as are cut off share the
-// fallback, while each spends its part of the configured number.
+// Guards against an UpperBound below what processes may spend: it assumed that all unreachable processes share one
+// fallback amount, while each spends the fallback amount divided by the configured MinProcesses.
 func TestFairFallbackStaysWithinUpperBoundOfFewerProcesses(t *testing.T) { testFairFallback(t, 2) }
 
-// testFairFallback plays half of ten processes cut off, by a limit that is configured for a number of processes.
+// testFairFallback cuts five of ten processes off from the store, under a limit with the given MinProcesses.
 func testFairFallback(t *testing.T, minProcesses int) {
 	t.Helper()
 	l := newRateLimit(100, sec)
 	l.Fallback, l.FallbackFraction, l.MinProcesses = Fair, 0.5, minProcesses
 	f := newFleet(l)
-	d := f.newAllocator(NoDefect)
+	allocator := f.newAllocator(NoDefect)
 	var processes []Process
 	consumers := map[Process]*Consumer{}
 	for i := range 10 {
@@ -262,7 +266,7 @@
 		c.SetSession(0, p.Session, sec)
 		processes, consumers[p] = append(processes, p), c
 	}
-	admitted, from := 0, 10*sec
+	admitted, countedFrom := 0, 10*sec
 	for now := int64(0); now < 30*sec; now += sec / 50 {
 		for i, p := range processes {
 			c := consumers[p]
@@ -281,27 +285,27 @@
 				if _, rejection := reserveOne(c, now, l); rejection != nil {
 					break
 				}
-				if now >= from {
+				if now >= countedFrom {
 					admitted++
 				}
 			}
 		}
 		if now%(sec/4) == 0 {
-			f.allocate(d, now)
+			f.allocate(allocator, now)
 		}
 	}
-	length := 30*sec - from
+	length := 30*sec - countedFrom
 	bound, ok := l.UpperBound(0, length, 0, 0, 5)
-	base, _ := l.UpperBound(0, length, 0, 0, 0)
+	boundWithoutFallback, _ := l.UpperBound(0, length, 0, 0, 0)
 	overshoot := float64(admitted) - 100*float64(length)/1e9
-	t.Logf("%d admitted in %d s, %.0f over; the bound is %.0f, %.0f over",
-		admitted, length/sec, overshoot, bound, bound-base)
-	if !ok || float64(admitted) > bound || overshoot < (bound-base)*2/3 {
-		t.Error("not near the bound, or over it")
+	t.Logf("admitted %d in %d s, %.0f beyond the limit; the bound is %.0f, %.0f beyond that without a fallback",
+		admitted, length/sec, overshoot, bound, bound-boundWithoutFallback)
+	if !ok || float64(admitted) > bound || overshoot < (bound-boundWithoutFallback)*2/3 {
+		t.Error("admitted more than the bound, or less than two thirds of the way to it from the limit")
 	}
 }
 
-// A new allocator counts what the one before it granted.
+// A new allocator counts the grants of the previous one.
 func TestNewAllocatorCountsPreviousGrants(t *testing.T) {
 	for _, defect := range []Defect{NoDefect, IgnorePredecessor} {
 		l := newRateLimit(10, sec)
@@ -313,27 +317,30 @@
 		f.report(a, revision, map[string]NodeDemand{l.Key(0): {Wanted: 100 * AmountUnit}})
 		f.report(b, 0, map[string]NodeDemand{l.Key(0): {Wanted: 100 * AmountUnit}})
 		f.allocate(f.newAllocator(defect), sec)
-		// The 10 of a count until it has acknowledged less.
+		// The quota of 10 that a has counts until a acknowledges a smaller one.
 		g, _ := f.grant(b)
 		if amount := g.Quotas[l.Key(0)].Amount; (amount > 0) != (defect != NoDefect) {
-			t.Errorf("defect %d: %s of 10 are granted again", defect, FormatAmount(amount))
+			t.Errorf("defect %d: %s granted to b while the whole limit of 10 is committed to a",
+				defect, FormatAmount(amount))
 		}
 	}
 }
 
-// A grant that cannot be decoded may count for any amount: nothing is allocated until it is gone, and Fault says why.
+// A grant that cannot be decoded may count for any amount. Nothing is allocated until it is deleted, and Fault says
+// why.
 func TestUndecodableGrantStopsAllocation(t *testing.T) {
 	l := newRateLimit(10, sec)
 	f := newFleet(l)
 	a, b := f.join("a"), f.join("b")
 	f.report(b, 0, map[string]NodeDemand{l.Key(0): {Wanted: 100 * AmountUnit}})
 	f.apply(&store.Command{Txn: &store.Txn{Then: []store.Op{{Key: a.GrantKey(), Value: []byte("newer")}}}})
-	d := f.newAllocator(NoDefect)
-	if f.allocate(d, 1) || d.Fault() == "" {
-		t.Errorf("allocated beside a grant that cannot be decoded: %q", d.Fault())
+	allocator := f.newAllocator(NoDefect)
+	if f.allocate(allocator, 1) || allocator.Fault() == "" {
+		t.Errorf("allocated despite a grant that cannot be decoded, or without a fault; the fault is %q", allocator.Fault())
 	}
 	f.apply(&store.Command{Txn: &store.Txn{Then: []store.Op{{Key: a.GrantKey(), Delete: true}}}})
-	if !f.allocate(d, 2*sec) || d.Fault() != "" {
-		t.Errorf("not allocated once it is gone: %q", d.Fault())
+	if !f.allocate(allocator, 2*sec) || allocator.Fault() != "" {
+		t.Errorf("after the undecodable grant was deleted: not allocated, or with a fault; the fault is %q",
+			allocator.Fault())
 	}
 }
--- a/internal/controlplane/quota/bench_test.go
+++ b/internal/controlplane/quota/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// BenchmarkReserve measures what limits cost a request: matching it and reserving its charges. It runs with no, one and
-// ten limits in force that all apply to the request, and with a thousand of which ten do.
+// BenchmarkReserve measures the overhead of limits on a request: matching it, and reserving and completing its charges.
+// It runs with 0, 1 and 10 limits that all apply to the request, and with 1,000 limits of which 10 apply.
 func BenchmarkReserve(b *testing.B) {
 	for _, n := range []int{0, 1, 10, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/controlplane/quota/consumer.go
+++ b/internal/controlplane/quota/consumer.go
@@ -2,29 +2,29 @@
 
 import "maps"
 
-// Consumer is a process's side of the limits: it decides which requests its quotas admit. It is for one goroutine at a
-// time. Instants are nanoseconds of a clock that does not step.
+// Consumer decides for one process which requests its quotas admit, and measures the demand that the process reports. A
+// Consumer is not safe for concurrent use. Instants are nanoseconds of a clock that does not step.
 type Consumer struct {
 	rules  Rules
 	defect Defect
 	config *Config
 
-	session      uint64 // 0: none
-	validUntil   int64  // of the session; 0: not valid
-	invalidSince int64  // 0: valid
+	session      uint64 // 0 if there is none
+	validUntil   int64  // when the session ends; 0 if it is not valid
+	invalidSince int64  // since when the session has not been valid; 0 while it is valid
 	processCount int    // in the fleet
-	seenRevision uint64 // of the grant that it keeps to
+	seenRevision uint64 // of the newest grant applied, which the process enforces
 
 	limiters         map[string]*limiter   // by Limit.Key
-	limitersByNode   map[*Limit][]*limiter // the same, of the limits in force; nil for nodes that were not used yet
+	limitersByNode   map[*Limit][]*limiter // the same limiters for limits in force; nil for nodes not used yet
 	fallbackLimiters map[string]*limiter   // by Limit.Key, used while the session is not valid
 
 	lastReport   Demand
-	lastReportAt int64 // 0: never
-	reportDue    bool  // something is to be reported soon
+	lastReportAt int64 // 0 if none was sent
+	urgentReport bool  // the next report is due after urgentReportDelay, whether or not demand has changed
 }
 
-// NewConsumer returns a consumer without limits.
+// NewConsumer returns a consumer without limits or a session.
 func NewConsumer(rules Rules, defect Defect) *Consumer {
 	return &Consumer{
 		rules:            rules,
@@ -36,16 +36,17 @@
 	}
 }
 
-// SetConfig replaces the limits in force. Quotas of limits of another generation are dropped.
+// SetConfig replaces the limits in force. Quotas of removed limits and of other generations are dropped. The config
+// must not be changed afterwards.
 func (c *Consumer) SetConfig(now int64, config *Config) {
 	c.config = config
-	current := map[string]bool{}
+	currentKeys := map[string]bool{}
 	clear(c.limitersByNode)
 	for _, l := range config.Limits {
 		c.limitersByNode[l] = make([]*limiter, len(l.Nodes))
 		for node := range l.Nodes {
 			key := l.Key(node)
-			current[key] = true
+			currentKeys[key] = true
 			if lim := c.limiters[key]; lim != nil {
 				lim.limit = l
 				c.limitersByNode[l][node] = lim
@@ -56,20 +57,20 @@
 			}
 		}
 	}
-	isGone := func(key string, _ *limiter) bool { return !current[key] }
-	maps.DeleteFunc(c.limiters, isGone)
-	maps.DeleteFunc(c.fallbackLimiters, isGone)
-	c.reportDue = true
+	isStale := func(key string, _ *limiter) bool { return !currentKeys[key] }
+	maps.DeleteFunc(c.limiters, isStale)
+	maps.DeleteFunc(c.fallbackLimiters, isStale)
+	c.urgentReport = true
 }
 
-// SetSession sets the process's session, 0 for none, and until when it is valid. Another session begins without quotas:
-// those of the previous one count for it until nobody can use them.
+// SetSession sets the process's session, 0 for none, and until when it is valid. A new session begins without quotas.
+// Those of the previous session keep counting in the store for as long as they linger.
 func (c *Consumer) SetSession(now int64, session uint64, validUntil int64) {
 	if session != c.session {
 		c.session = session
 		c.seenRevision = 0
 		c.lastReport = Demand{}
-		c.reportDue = true
+		c.urgentReport = true
 		for _, lim := range c.limiters {
 			lim.reset(now, session)
 		}
@@ -83,10 +84,10 @@
 // ValidUntil returns when the session ends unless it is renewed, or 0 if it is not valid.
 func (c *Consumer) ValidUntil() int64 { return c.validUntil }
 
-// SetProcessCount sets how many processes share the limits.
+// SetProcessCount sets how many processes share the limits. The interval between reports depends on it.
 func (c *Consumer) SetProcessCount(n int) { c.processCount = n }
 
-// checkSession reports whether quotas may be used, and notes since when they may not.
+// checkSession reports whether the session is valid, so that quotas may be used. It updates invalidSince.
 func (c *Consumer) checkSession(now int64) bool {
 	if c.defect == UseAfterExpiry && c.session != 0 {
 		return true
@@ -104,7 +105,7 @@
 	return false
 }
 
-// fallbackExpired reports whether a limit's fallback has lasted for longer than it may.
+// fallbackExpired reports whether the session has been invalid for longer than the limit's FallbackTimeout.
 func (c *Consumer) fallbackExpired(now int64, l *Limit) bool {
 	if l.FallbackTimeout == 0 || c.invalidSince == 0 || c.defect == UnlimitedFallback {
 		return false
@@ -112,8 +113,8 @@
 	return now-c.invalidSince > l.FallbackTimeout
 }
 
-// ApplyGrant takes the grant of a session as the store has it at a revision. An older one, or another session's, is
-// ignored.
+// ApplyGrant replaces the process's quotas by the grant of a session that the store has at a revision. A grant that is
+// older than the last one, or belongs to another session, is ignored.
 func (c *Consumer) ApplyGrant(now int64, session, revision uint64, g Grant) {
 	if session != c.session || session == 0 || revision < c.seenRevision {
 		return
@@ -122,7 +123,7 @@
 	for key, lim := range c.limiters {
 		amount := g.Quotas[key].Amount
 		reduced := amount < lim.amount
-		c.reportDue = c.reportDue || reduced
+		c.urgentReport = c.urgentReport || reduced
 		if reduced && c.defect == AcknowledgeEarly {
 			continue
 		}
@@ -140,7 +141,7 @@
 	}
 }
 
-// findNode returns the limit in force and the node of a key, or nil.
+// findNode returns the limit in force and the index of the node that a key of Limit.Key names, or nil if there is none.
 func (c *Consumer) findNode(key string) (*Limit, int) {
 	l := c.config.Find(limitNameOf(key))
 	if l == nil {
@@ -154,7 +155,7 @@
 	return nil, 0
 }
 
-// limiter returns the limiter of a node, or nil if its limit is no longer in force.
+// limiter returns the limiter of a node, which is created if there is none, or nil if its limit is no longer in force.
 func (c *Consumer) limiter(now int64, l *Limit, node int) *limiter {
 	limiters, inForce := c.limitersByNode[l]
 	if !inForce {
@@ -170,7 +171,7 @@
 	return lim
 }
 
-// fallbackLimiter returns the limiter of a node for the time that the store is unreachable.
+// fallbackLimiter returns the limiter of a node that is used while the session is not valid, and creates it if needed.
 func (c *Consumer) fallbackLimiter(now int64, l *Limit, node int) *limiter {
 	key := l.Key(node)
 	lim := c.fallbackLimiters[key]
@@ -183,22 +184,22 @@
 	return lim
 }
 
-// Usage is how a quota of this process stands.
+// Usage describes one quota of this process and its use.
 type Usage struct {
-	Key      string // Limit.Key
-	Amount   Amount
-	Used     Amount // of a rate: what may be spent now
-	Wanted   Amount
-	Admitted uint64
-	Rejected uint64
+	Key      string // as Limit.Key returns it
+	Amount   Amount // the quota
+	Used     Amount // spent in the window or in flight; for a rate, the tokens that are left
+	Wanted   Amount // per second; for a concurrency, in flight
+	Admitted uint64 // number of requests so far
+	Rejected uint64 // number of requests so far
 }
 
-// Usage returns this process's quotas in no particular order.
+// Usage returns the usage of all quotas of this process, in no particular order.
 func (c *Consumer) Usage(now int64) []Usage {
 	var all []Usage
 	for key, lim := range c.limiters {
 		lim.refill(now)
-		status := Usage{
+		usage := Usage{
 			Key:      key,
 			Amount:   lim.amount,
 			Used:     lim.used,
@@ -207,9 +208,9 @@
 			Rejected: lim.rejected,
 		}
 		if lim.limit.Kind == Rate {
-			status.Used = Amount(lim.tokens)
+			usage.Used = Amount(lim.tokens)
 		}
-		all = append(all, status)
+		all = append(all, usage)
 	}
 	return all
 }
--- a/internal/controlplane/quota/consumer_test.go
+++ b/internal/controlplane/quota/consumer_test.go
@@ -24,7 +24,7 @@
 	return newLimit("r", Rate, capacity, window)
 }
 
-// admitUpTo returns how many of n requests are admitted before the first rejection.
+// admitUpTo returns how many of n requests of one unit are admitted at now, before the first rejection.
 func admitUpTo(n int, c *Consumer, now int64, l *Limit) (admitted int) {
 	for ; admitted < n; admitted++ {
 		if _, rejection := reserveOne(c, now, l); rejection != nil {
@@ -39,8 +39,8 @@
 	return c.Reserve(now, []Charge{{Limit: l, Node: 0, Amount: AmountUnit}}, 1)
 }
 
-// A consumer admits what its quota and the tokens that it has saved allow, no more and no less, whatever it is
-// granted, and a refund never gives more than was taken.
+// Under a rate, a consumer admits exactly what its quota and its saved tokens allow, whatever it is granted, and a
+// refund never returns more than was charged.
 func TestConsumerAdmitsNoMoreThanQuota(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := newRateLimit(1000, sec/2)
@@ -49,7 +49,7 @@
 		c.SetSession(0, 1, 1<<60)
 		now, revision := int64(0), uint64(0)
 		quota, tokens := Amount(0), 0.0
-		var open []*Reservation
+		var reservations []*Reservation
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			step := rapid.Int64Range(0, sec/4).Draw(t, "later")
 			now += step
@@ -61,10 +61,10 @@
 				c.ApplyGrant(now, 1, revision, Grant{Quotas: map[string]Quota{l.Key(0): {Amount: quota}}})
 				tokens = min(tokens, float64(l.burstOf(quota)))
 			case 1:
-				if len(open) > 0 {
-					c.Cancel(now, open[0])
-					c.Cancel(now, open[0]) // has no effect
-					open = open[1:]
+				if len(reservations) > 0 {
+					c.Cancel(now, reservations[0])
+					c.Cancel(now, reservations[0]) // has no effect
+					reservations = reservations[1:]
 					tokens = min(float64(l.burstOf(quota)), tokens+float64(AmountUnit))
 				}
 			default:
@@ -72,11 +72,12 @@
 				reservation, rejection := reserveOne(c, now, l)
 				admitted, expected := rejection == nil, tokens >= unit-tolerance
 				if admitted != expected && (admitted || tokens > unit+tolerance) {
-					t.Fatalf("at %d with %.3f tokens of quota %s: %v", now, tokens/unit, FormatAmount(quota), rejection)
+					t.Fatalf("at %d ns with %.3f tokens and a quota of %s: rejection is %v",
+						now, tokens/unit, FormatAmount(quota), rejection)
 				}
 				if admitted {
 					tokens -= unit
-					open = append(open, reservation)
+					reservations = append(reservations, reservation)
 				} else if rejection.RetryAfter <= 0 {
 					t.Fatal(rejection)
 				}
@@ -85,7 +86,7 @@
 	})
 }
 
-// What is admitted in any time of a window's length never exceeds the quota, by the slowest clock.
+// The amount admitted in any interval of the window's length never exceeds the quota.
 func TestWindowAdmitsNoMoreThanQuotaInAnyTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := newLimit("w", Window, 100, sec)
@@ -107,16 +108,17 @@
 				inWindow = inWindow[1:]
 			}
 			if len(inWindow) > quota {
-				t.Fatalf("%d in a window of %d", len(inWindow), quota)
+				t.Fatalf("%d requests admitted in a window, the quota is %d", len(inWindow), quota)
 			}
 		}
 		if possible := int64(quota) * (now/sec + 1); int64(admitted) < min(possible/3, 100) && admitted < 100 {
-			t.Fatalf("%d of some %d admitted", admitted, possible)
+			t.Fatalf("%d requests admitted, want at least a third of %d or 100", admitted, possible)
 		}
 	})
 }
 
-// Without the store a process admits nothing, its part of the limit, or all, and the latter two for a time.
+// While its session is invalid, a process admits nothing (Strict), its fraction of the limit (Fair), or everything
+// (Open). Fair and Open become Strict after FallbackTimeout.
 func TestFallbackByMode(t *testing.T) {
 	for _, test := range []struct {
 		mode                    FallbackMode
@@ -141,18 +143,19 @@
 					continue
 				}
 				if !rejection.StoreUnreachable || rejection.RetryAfter <= 0 {
-					t.Errorf("%+v", rejection)
+					t.Errorf("rejection %+v, want one for an unreachable store with a positive RetryAfter", rejection)
 				}
 				break
 			}
 			if admitted != step.want {
-				t.Errorf("%s for %d: %d admitted at %d, not %d", test.mode, test.timeout, admitted, step.now, step.want)
+				t.Errorf("fallback %s with a timeout of %d ns: admitted %d requests at %d ns, want %d",
+					test.mode, test.timeout, admitted, step.now, step.want)
 			}
 		}
 	}
 }
 
-// Guards against limiters of parent nodes that stay for good once their limit has another generation.
+// Guards against a leak of the limiters of parent nodes when their limit gets another generation.
 func TestLimitersOfOldGenerationsAreDropped(t *testing.T) {
 	c := NewConsumer(Rules{}, NoDefect)
 	for generation := range uint64(10) {
@@ -162,13 +165,13 @@
 		l.PartitionBy = []string{"header:org"}
 		l.Nodes = append(l.Nodes, Node{Path: "a", Capacity: 10 * AmountUnit, Weight: 1})
 		c.SetConfig(0, &Config{Version: generation + 1, Limits: []*Limit{l}})
-		// Without a session its fallback is used, at the part and at the whole.
+		// Without a session, the fallback limiters of the part and of the root are used.
 		for now := sec; now < 5*sec; now += 2 * sec {
 			_, _ = c.Reserve(now, []Charge{{Limit: l, Node: 1, Amount: AmountUnit}}, 1)
 		}
 	}
 	if len(c.limiters) > 2 || len(c.fallbackLimiters) != 2 {
-		t.Errorf("%d limiters and %d of the fallback are left of ten generations",
+		t.Errorf("%d limiters and %d fallback limiters after ten generations, want at most 2 and exactly 2",
 			len(c.limiters), len(c.fallbackLimiters))
 	}
 }
--- a/internal/controlplane/quota/departure_test.go
+++ b/internal/controlplane/quota/departure_test.go
@@ -8,43 +8,43 @@
 )
 
 const (
-	testSkew         = 0.1 // of newFleet's allocators
+	testClockSkew    = 0.1 // MaxClockSkew of the allocators
 	allocateInterval = int64(100 * time.Millisecond)
 	departedAt       = 10 * sec
 )
 
-// followingAllocator is an allocator that follows the store by events, as a daemon's does.
+// followingAllocator is an allocator that learns of changes of the store by events, as a daemon's allocator does.
 type followingAllocator struct {
 	*Allocator
 	fleet    *fleet
-	revision uint64 // up to which it has followed
+	revision uint64 // of the store, up to which events have been applied
 }
 
-func (f *fleet) follow(now int64) *followingAllocator {
-	a := NewAllocator(Rules{MaxClockSkew: testSkew, ReportInterval: 50e6}, NoDefect)
+func (f *fleet) newFollowingAllocator(now int64) *followingAllocator {
+	a := NewAllocator(Rules{MaxClockSkew: testClockSkew, ReportInterval: 50e6}, NoDefect)
 	a.SetConfig(f.config)
 	following := &followingAllocator{Allocator: a, fleet: f}
 	following.reset(now)
 	return following
 }
 
-// reset replaces the copy, as after a gap in the stream of changes.
+// reset replaces the copy of the store, as a daemon does after a gap in its change feed.
 func (a *followingAllocator) reset(now int64) {
 	a.Reset(now, a.fleet.state)
 	a.revision = a.fleet.state.Revision()
 }
 
-// allocate follows the store, and writes the allocation that is due.
+// allocate applies new events, then writes the allocation that is due, if any.
 func (a *followingAllocator) allocate(t *testing.T, now int64) {
 	t.Helper()
-	a.catchUp(t, now)
+	a.applyEvents(t, now)
 	if allocation := a.Allocate(now); allocation != nil {
 		a.fleet.apply(&store.Command{Txn: &store.Txn{If: allocation.If, Then: allocation.Then}})
 	}
-	a.catchUp(t, now)
+	a.applyEvents(t, now)
 }
 
-func (a *followingAllocator) catchUp(t *testing.T, now int64) {
+func (a *followingAllocator) applyEvents(t *testing.T, now int64) {
 	t.Helper()
 	events, _, err := a.fleet.state.Changes(nil, "", a.revision, 1<<30)
 	if err != nil {
@@ -56,60 +56,64 @@
 	a.revision = a.fleet.state.Revision()
 }
 
-// departure is a fleet in which one process has all of its limits, has gone, and another wants them.
-type departure struct {
+// departureFleet is a fleet in which a process that was granted all limits entirely has departed, and its successor
+// wants them.
+type departureFleet struct {
 	*fleet
 	successor Process
 }
 
-// depart plays a process that had all of the limits and whose session ends. The session ends at departedAt.
-func depart(t *testing.T, limits ...*Limit) (*departure, *followingAllocator) {
+// newDepartureFleet returns a departureFleet and its allocator. The session of the departed process ends at departedAt,
+// and the allocator has not seen that yet.
+func newDepartureFleet(t *testing.T, limits ...*Limit) (*departureFleet, *followingAllocator) {
 	t.Helper()
-	d := &departure{fleet: newFleet(limits...)}
-	a := d.follow(sec)
-	gone := d.join("gone")
+	d := &departureFleet{fleet: newFleet(limits...)}
+	allocator := d.newFollowingAllocator(sec)
+	departed := d.join("gone")
 	d.successor = d.join("successor")
 	demand := map[string]NodeDemand{}
 	for _, l := range limits {
 		demand[l.Key(0)] = NodeDemand{Wanted: 10 * l.Nodes[0].Capacity}
 	}
-	d.report(gone, 0, demand)
-	a.allocate(t, 2*sec)
-	grant, revision := d.grant(gone)
+	d.report(departed, 0, demand)
+	allocator.allocate(t, 2*sec)
+	grant, revision := d.grant(departed)
 	for _, l := range limits {
 		if grant.Quotas[l.Key(0)].Amount != l.Nodes[0].Capacity {
-			t.Fatalf("the process is granted %+v, not all of %s", grant, l.Name)
+			t.Fatalf("granted %+v, want the whole limit %s", grant, l.Name)
 		}
 	}
-	d.report(gone, revision, demand)
+	d.report(departed, revision, demand)
 	d.report(d.successor, 0, demand)
-	a.catchUp(t, departedAt)
-	d.apply(&store.Command{RevokeLease: &store.RevokeLease{LeaseID: gone.Session, Owner: "gone"}})
-	return d, a
+	allocator.applyEvents(t, departedAt)
+	d.apply(&store.Command{RevokeLease: &store.RevokeLease{LeaseID: departed.Session, Owner: "gone"}})
+	return d, allocator
 }
 
-// grantedAfter allocates every 100 ms until the successor has a quota of the limit, and returns how long after the
-// departure that is. Before each allocation it calls interfere, which may replace the allocator.
-func (d *departure) grantedAfter(
-	t *testing.T, a *followingAllocator, l *Limit, interfere interference,
+// delayUntilGranted allocates every allocateInterval until the successor has a quota of the limit. It returns the time
+// from the departure until then in nanoseconds. Before each allocation it calls disturb, which may replace the
+// allocator.
+func (d *departureFleet) delayUntilGranted(
+	t *testing.T, allocator *followingAllocator, l *Limit, disturb disturbance,
 ) int64 {
 	t.Helper()
-	const patience = int64(3 * time.Hour)
-	for now := departedAt; now < departedAt+patience; now += allocateInterval {
-		a = interfere(now-departedAt, a)
-		a.allocate(t, now)
+	const maxWait = int64(3 * time.Hour)
+	for now := departedAt; now < departedAt+maxWait; now += allocateInterval {
+		allocator = disturb(now-departedAt, allocator)
+		allocator.allocate(t, now)
 		if grant, _ := d.grant(d.successor); grant.Quotas[l.Key(0)].Amount > 0 {
 			return now - departedAt
 		}
 	}
-	t.Fatalf("the quota of %s is not granted again within %v", l.Name, time.Duration(patience))
+	t.Fatalf("the quota of limit %s was not granted to the successor within %v", l.Name, time.Duration(maxWait))
 	return 0
 }
 
-// interference returns the allocator that goes on, so long after the departure.
-type interference func(elapsed int64, a *followingAllocator) *followingAllocator
+// disturbance may disturb the allocator, and returns the one that makes the next allocation. It is called at a time of
+// elapsed nanoseconds after the departure.
+type disturbance func(elapsed int64, a *followingAllocator) *followingAllocator
 
-func undisturbed(_ int64, a *followingAllocator) *followingAllocator { return a }
+func undisturbed(_ int64, allocator *followingAllocator) *followingAllocator { return allocator }
 
 func newWindowLimit(name string, length time.Duration) *Limit {
 	return &Limit{
@@ -118,8 +122,8 @@
 	}
 }
 
-// Guards against a departed process's quota being granted again before its linger is over: an age that had been
-// written to the grant was counted twice.
+// Guards against granting a departed process's quota again before its linger has passed: an age that had been written
+// to the grant was counted twice.
 func TestQuotaOfDepartedProcessLingers(t *testing.T) {
 	concurrency := newWindowLimit("concurrency-30s", 30*time.Second)
 	concurrency.Kind = Concurrency
@@ -130,33 +134,33 @@
 		newWindowLimit("window-1h", time.Hour),
 		concurrency,
 	} {
-		linger := int64(float64(l.Window) * (1 + testSkew))
+		linger := int64(float64(l.Window) * (1 + testClockSkew))
 		middle := linger / 2 / allocateInterval * allocateInterval
 		for _, test := range []struct {
-			name      string
-			interfere interference
-			lostAge   int64 // at most
+			name       string
+			disturb    disturbance
+			maxLostAge int64 // how much later the quota may be granted, since the age is stored only at intervals
 		}{
 			{"undisturbed", undisturbed, 0},
-			{"copy is replaced", func(elapsed int64, a *followingAllocator) *followingAllocator {
+			{"copy is replaced", func(elapsed int64, allocator *followingAllocator) *followingAllocator {
 				if elapsed == middle {
-					a.reset(departedAt + elapsed)
+					allocator.reset(departedAt + elapsed)
 				}
-				return a
+				return allocator
 			}, 0},
-			{"allocator changes", func(elapsed int64, a *followingAllocator) *followingAllocator {
+			{"allocator changes", func(elapsed int64, allocator *followingAllocator) *followingAllocator {
 				if elapsed == middle {
-					return a.fleet.follow(departedAt + elapsed)
+					return allocator.fleet.newFollowingAllocator(departedAt + elapsed)
 				}
-				return a
+				return allocator
 			}, max(ageWriteInterval, linger/20)},
 		} {
 			t.Run(l.Name+"/"+test.name, func(t *testing.T) {
-				d, a := depart(t, l)
-				after := d.grantedAfter(t, a, l, test.interfere)
-				latest := linger + test.lostAge + idleInterval + 3*allocateInterval
+				d, allocator := newDepartureFleet(t, l)
+				after := d.delayUntilGranted(t, allocator, l, test.disturb)
+				latest := linger + test.maxLostAge + idleInterval + 3*allocateInterval
 				if after < linger || after > latest {
-					t.Errorf("granted again %v after the departure, not between %v and %v",
+					t.Errorf("the quota was granted again %v after the departure, want %v to %v",
 						time.Duration(after), time.Duration(linger), time.Duration(latest))
 				}
 			})
@@ -164,33 +168,33 @@
 	}
 }
 
-// Guards against a departed process's quota being withheld for the longest linger of all its quotas, by which one limit
-// over an hour had each departure reduce every other limit for an hour.
+// Guards against withholding all quotas of a departed process for the longest linger among them: with one limit that
+// had a window of an hour, each departure reduced every other limit for an hour.
 func TestQuotasOfDepartedProcessExpireOneByOne(t *testing.T) {
 	rate := newRateLimit(10, sec)
 	short := newWindowLimit("window-3s", 3*time.Second)
 	long := newWindowLimit("window-60s", time.Minute)
 	for _, l := range []*Limit{rate, short, long} {
 		t.Run(l.Name, func(t *testing.T) {
-			d, a := depart(t, rate, short, long)
-			after := d.grantedAfter(t, a, l, undisturbed)
-			linger := int64(float64(l.linger()) * (1 + testSkew))
+			d, allocator := newDepartureFleet(t, rate, short, long)
+			after := d.delayUntilGranted(t, allocator, l, undisturbed)
+			linger := int64(float64(l.linger()) * (1 + testClockSkew))
 			if latest := linger + idleInterval + 3*allocateInterval; after < linger || after > latest {
-				t.Errorf("granted again %v after the departure, not between %v and %v",
+				t.Errorf("the quota was granted again %v after the departure, want %v to %v",
 					time.Duration(after), time.Duration(linger), time.Duration(latest))
 			}
 		})
 	}
 	t.Run("next allocator", func(t *testing.T) {
-		d, a := depart(t, rate, short, long)
-		after := d.grantedAfter(t, a, short, undisturbed)
-		next := d.follow(departedAt + after)
+		d, allocator := newDepartureFleet(t, rate, short, long)
+		after := d.delayUntilGranted(t, allocator, short, undisturbed)
+		next := d.newFollowingAllocator(departedAt + after)
 		for now := departedAt + after; now < departedAt+2*after; now += allocateInterval {
 			next.allocate(t, now)
 			grant, _ := d.grant(d.successor)
 			for _, l := range []*Limit{rate, short} {
 				if amount := grant.Quotas[l.Key(0)].Amount; amount != l.Nodes[0].Capacity {
-					t.Fatalf("%v after the departure the next allocator leaves %s of %s",
+					t.Fatalf("%v after the departure, the next allocator left the successor %s of limit %s, want all of it",
 						time.Duration(now-departedAt), FormatAmount(amount), l.Name)
 				}
 			}
--- a/internal/controlplane/quota/distribute.go
+++ b/internal/controlplane/quota/distribute.go
@@ -9,43 +9,43 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// limitAllocation is the allocation of one limit under way.
+// limitAllocation is the state of Allocate for one limit. It is used for a single allocation.
 type limitAllocation struct {
 	*Allocator
-	now       int64
-	limit     *Limit
-	keys      []string  // by node
-	all       []Process // live and gone
-	live      []Process
-	cells     [][]cell // by node, and then as in live
-	children  [][]int  // by node
-	committed []Amount // by node, with its parts
-	rotation  int64    // of the processes that take turns
+	now           int64
+	limit         *Limit
+	keys          []string  // by node
+	allProcesses  []Process // live and departed
+	liveProcesses []Process
+	cells         [][]cell // by node, and then by the index in liveProcesses
+	children      [][]int  // by node
+	committed     []Amount // by node, including its parts
+	rotation      int64    // number of the current turn, for processes that take turns
 
-	// blocked says that quotas of another generation are in use, so that no quota may grow.
-	blocked bool
+	// increasesBlocked is set while a process may still use quotas of another generation. No quota is raised until then.
+	increasesBlocked bool
 }
 
-// cell is a live process's quota of a node.
+// cell holds the quota of one node for one live process.
 type cell struct {
-	committed Amount // counts as taken
-	granted   Amount // by its present grant
-	wanted    Amount
-	inUse     Amount
-	target    Amount // that it should be granted
+	committed Amount // see Allocator.committedAmount
+	granted   Amount // by its newest grant
+	wanted    Amount // as last reported
+	inUse     Amount // as last reported
+	target    Amount // the quota that it should have
 }
 
-// allocateLimit adds to grants what is to be changed of one limit. Quotas that are too large are reduced first; what is
-// free, by what processes have acknowledged, is granted.
+// allocateLimit adds the changes of one limit's quotas to grants. Quotas that are too large are reduced first. Only
+// what is free, given what processes have acknowledged, is granted to others.
 func (a *Allocator) allocateLimit(now int64, l *Limit, processes []Process, grants map[Process]Grant) {
 	v := &limitAllocation{
-		Allocator: a,
-		now:       now,
-		limit:     l,
-		keys:      make([]string, len(l.Nodes)),
-		all:       processes,
-		children:  make([][]int, len(l.Nodes)),
-		rotation:  now / rotationInterval,
+		Allocator:    a,
+		now:          now,
+		limit:        l,
+		keys:         make([]string, len(l.Nodes)),
+		allProcesses: processes,
+		children:     make([][]int, len(l.Nodes)),
+		rotation:     now / rotationInterval,
 	}
 	for node := range l.Nodes {
 		v.keys[node] = l.Key(node)
@@ -56,25 +56,25 @@
 	}
 	for _, p := range processes {
 		if a.processes[p].alive {
-			v.live = append(v.live, p)
+			v.liveProcesses = append(v.liveProcesses, p)
 		}
 	}
-	if len(v.live) == 0 {
+	if len(v.liveProcesses) == 0 {
 		return
 	}
-	v.blocked = v.usesOtherGeneration()
+	v.increasesBlocked = v.usesOtherGeneration()
 	v.fillCells()
 	if len(l.Nodes) > 1 && !v.anyDemand() {
 		return
 	}
 	v.sumCommitted()
-	short := v.distribute(0, l.Nodes[0].Capacity-v.committedToGone())
-	v.writeGrants(short || v.scarce(), grants)
+	unmetDemand := v.distribute(0, l.Nodes[0].Capacity-v.committedToDeparted())
+	v.writeGrants(unmetDemand || v.headroomInsufficient(), grants)
 }
 
 // usesOtherGeneration reports whether a process may still use a quota of another generation of the limit.
 func (v *limitAllocation) usesOtherGeneration() bool {
-	for _, p := range v.all {
+	for _, p := range v.allProcesses {
 		state := v.processes[p]
 		if v.ignored(v.now, state) || state.alive && v.knowsConfig(state) {
 			continue
@@ -97,8 +97,8 @@
 func (v *limitAllocation) fillCells() {
 	v.cells = make([][]cell, len(v.limit.Nodes))
 	for node, key := range v.keys {
-		v.cells[node] = make([]cell, len(v.live))
-		for i, p := range v.live {
+		v.cells[node] = make([]cell, len(v.liveProcesses))
+		for i, p := range v.liveProcesses {
 			state := v.processes[p]
 			demand := state.demand.Nodes[key]
 			c := cell{
@@ -108,25 +108,25 @@
 				inUse:     demand.InUse,
 			}
 			if c.granted == 0 && !v.knowsConfig(state) {
-				c.wanted = 0 // its demand is not of this limit
+				c.wanted = 0 // its demand may be for another generation of the limit
 			}
 			v.cells[node][i] = c
 		}
 	}
 }
 
-// sumCommitted sums what is committed of each node and its parts, to live processes and others.
+// sumCommitted sums what is committed of each node and its parts, to live and departed processes.
 func (v *limitAllocation) sumCommitted() {
 	v.committed = make([]Amount, len(v.limit.Nodes))
 	for node, key := range v.keys {
-		for i, p := range v.live {
+		for i, p := range v.liveProcesses {
 			c := &v.cells[node][i]
 			if v.ignored(v.now, v.processes[p]) {
 				c.committed = 0
 			}
 			v.committed[node] += c.committed
 		}
-		for _, p := range v.all {
+		for _, p := range v.allProcesses {
 			state := v.processes[p]
 			if !state.alive && !v.ignored(v.now, state) && v.defect != ForgetSilent {
 				v.committed[node] += v.committedAmount(state, key)
@@ -138,7 +138,7 @@
 	}
 }
 
-// anyDemand reports whether a live process wants or holds something of the limit.
+// anyDemand reports whether a live process wants some of the limit, or has some committed to it.
 func (v *limitAllocation) anyDemand() bool {
 	for _, cells := range v.cells {
 		if slices.ContainsFunc(cells, func(c cell) bool { return c.wanted > 0 || c.committed > 0 }) {
@@ -148,9 +148,9 @@
 	return false
 }
 
-// committedToGone returns what is committed to processes that are gone.
-func (v *limitAllocation) committedToGone() (sum Amount) {
-	for _, p := range v.all {
+// committedToDeparted returns how much of the limit, with all its parts, is committed to departed processes.
+func (v *limitAllocation) committedToDeparted() (sum Amount) {
+	for _, p := range v.allProcesses {
 		state := v.processes[p]
 		if state.alive {
 			continue
@@ -162,20 +162,21 @@
 	return sum
 }
 
-// claim is what a part, or the processes of a node themselves, have a claim to.
-type claim struct {
-	wanted   Amount
-	inUse    Amount
-	allotted Amount
-	weight   float64
+// claimant is one of those among which a node's amount is divided: one of its parts, or its own processes together,
+// whose requests are in no part.
+type claimant struct {
+	wanted    Amount
+	inUse     Amount
+	allocated Amount
+	weight    float64
 }
 
-// isShort reports whether an amount is less than what is wanted by more than a fiftieth.
-func isShort(amount, wanted Amount) bool { return amount < wanted-wanted/50 }
+// isUnmet reports whether an amount falls short of what is wanted by more than a fiftieth.
+func isUnmet(amount, wanted Amount) bool { return amount < wanted-wanted/50 }
 
-// ownClaim returns the claim of a node's processes, without its parts.
-func (v *limitAllocation) ownClaim(node int) claim {
-	own := claim{weight: 1}
+// ownClaimant returns the claimant for the node's own processes, without its parts.
+func (v *limitAllocation) ownClaimant(node int) claimant {
+	own := claimant{weight: 1}
 	for _, c := range v.cells[node] {
 		own.wanted += max(c.wanted, c.inUse)
 		own.inUse += c.inUse
@@ -183,12 +184,12 @@
 	return own
 }
 
-// claim returns the claim of a node with its parts, within its capacity.
-func (v *limitAllocation) claim(node int) claim {
-	total := v.ownClaim(node)
+// subtreeClaimant returns the claimant for a node with all its parts. It wants no more than the node's capacity.
+func (v *limitAllocation) subtreeClaimant(node int) claimant {
+	total := v.ownClaimant(node)
 	total.weight = v.limit.Nodes[node].Weight
 	for _, child := range v.children[node] {
-		part := v.claim(child)
+		part := v.subtreeClaimant(child)
 		total.wanted += part.wanted
 		total.inUse += part.inUse
 	}
@@ -198,93 +199,96 @@
 	return total
 }
 
-// distribute divides an amount among a node's own processes and its parts: what is in use first, then guarantees,
-// then by weight. It reports whether anybody gets less than it wants.
-func (v *limitAllocation) distribute(node int, amount Amount) (short bool) {
+// distribute sets the targets of all processes in a node and its parts, within an amount. It divides the amount among
+// the node's own processes and its parts: first they get what is in use, then the guarantees, then the rest by weight.
+// It reports whether any process gets less than it wants.
+func (v *limitAllocation) distribute(node int, amount Amount) (unmetDemand bool) {
 	amount = max(0, amount)
 	if v.defect != IgnoreParts || node == 0 {
 		amount = min(amount, v.limit.Nodes[node].Capacity)
 	}
 	children := v.children[node]
-	claims := make([]claim, 0, len(children)+1)
+	claimants := make([]claimant, 0, len(children)+1)
 	for _, child := range children {
-		claims = append(claims, v.claim(child))
+		claimants = append(claimants, v.subtreeClaimant(child))
 	}
-	claims = append(claims, v.ownClaim(node))
-	own := &claims[len(children)]
+	claimants = append(claimants, v.ownClaimant(node))
+	own := &claimants[len(children)]
 
-	allot := func(c *claim, wanted Amount) {
-		allotted := max(0, min(wanted, amount))
-		c.allotted += allotted
-		amount -= allotted
+	allocate := func(c *claimant, wanted Amount) {
+		added := max(0, min(wanted, amount))
+		c.allocated += added
+		amount -= added
 	}
-	for i := range claims {
-		allot(&claims[i], claims[i].inUse)
+	for i := range claimants {
+		allocate(&claimants[i], claimants[i].inUse)
 	}
 	for i, child := range children {
-		c := &claims[i]
-		allot(c, min(v.limit.Nodes[child].Guaranteed, c.wanted)-c.allotted)
+		c := &claimants[i]
+		allocate(c, min(v.limit.Nodes[child].Guaranteed, c.wanted)-c.allocated)
 	}
-	for i, extra := range fairExtras(amount, claims) {
-		c := &claims[i]
-		allot(c, extra)
-		short = short || isShort(c.allotted, c.wanted)
+	for i, extra := range fairShares(amount, claimants) {
+		c := &claimants[i]
+		allocate(c, extra)
+		unmetDemand = unmetDemand || isUnmet(c.allocated, c.wanted)
 	}
-	if !short && amount > 0 { // what nobody wants is lent to where it may be wanted next
+	if !unmetDemand && amount > 0 { // lends the surplus, so that new demand finds a quota
 		for i, child := range children {
-			allot(&claims[i], v.limit.Nodes[child].Guaranteed-claims[i].allotted)
+			allocate(&claimants[i], v.limit.Nodes[child].Guaranteed-claimants[i].allocated)
 		}
-		allot(own, amount)
+		allocate(own, amount)
 	}
 	for i, child := range children {
-		partShort := v.distribute(child, claims[i].allotted)
-		short = short || partShort
+		partUnmet := v.distribute(child, claimants[i].allocated)
+		unmetDemand = unmetDemand || partUnmet
 	}
-	ownShort := v.distributeToProcesses(node, own.allotted)
-	return short || ownShort
+	ownUnmet := v.distributeToProcesses(node, own.allocated)
+	return unmetDemand || ownUnmet
 }
 
-// fairExtras divides an amount by weight among claims that have less than they want.
-func fairExtras(amount Amount, claims []claim) []Amount {
-	missing := make([]Amount, len(claims))
-	weights := make([]float64, len(claims))
-	for i, c := range claims {
-		missing[i] = max(0, c.wanted-c.allotted)
+// fairShares divides an amount by weight among claimants that have less than they want. It returns the addition for
+// each.
+func fairShares(amount Amount, claimants []claimant) []Amount {
+	unmet := make([]Amount, len(claimants))
+	weights := make([]float64, len(claimants))
+	for i, c := range claimants {
+		unmet[i] = max(0, c.wanted-c.allocated)
 		weights[i] = c.weight
 	}
-	return maxMinFair(amount, missing, weights)
+	return maxMinFair(amount, unmet, weights)
 }
 
-// distributeToProcesses sets the targets of a node's processes within an amount. It reports whether a process gets less
-// than it wants.
-func (v *limitAllocation) distributeToProcesses(node int, amount Amount) (short bool) {
+// distributeToProcesses sets the targets of a node's own processes within an amount. It reports whether any of them
+// gets less than it wants.
+func (v *limitAllocation) distributeToProcesses(node int, amount Amount) (unmetDemand bool) {
 	cells := v.cells[node]
 	amount = v.limit.roundDown(amount)
-	missing := make([]Amount, len(cells))
+	unmet := make([]Amount, len(cells))
 	for i := range cells {
 		c := &cells[i]
 		c.target = min(c.inUse, amount)
 		amount -= c.target
-		missing[i] = max(0, c.wanted-c.target)
+		unmet[i] = max(0, c.wanted-c.target)
 	}
-	distributed := amount // beyond what is in use
-	for i, extra := range maxMinFair(amount, missing, nil) {
+	available := amount // what is left beyond the amounts in use
+	for i, extra := range maxMinFair(amount, unmet, nil) {
 		extra = v.limit.roundDown(extra)
 		cells[i].target += extra
 		amount -= extra
-		short = short || isShort(extra, missing[i])
+		unmetDemand = unmetDemand || isUnmet(extra, unmet[i])
 	}
 	amount = v.rotateUselessQuotas(cells, amount)
 	if amount > 0 {
-		v.lend(cells, amount, distributed-amount)
+		v.lend(cells, amount, available-amount)
 	}
-	return short
+	return unmetDemand
 }
 
-// rotateUselessQuotas takes quotas by which no request is ever admitted, and gives useful ones to as many of those
-// processes as possible, by lot and in turns. It returns the amount that is left.
+// rotateUselessQuotas takes back targets that are too small to admit any request, and gives targets of minUsefulAmount
+// to as many of those processes as possible. They take turns in a pseudorandom order that changes with the rotation. It
+// returns the amount that is left.
 func (v *limitAllocation) rotateUselessQuotas(cells []cell, amount Amount) Amount {
-	minUseful := v.limit.minUseful()
+	minUseful := v.limit.minUsefulAmount()
 	var useless []int
 	for i := range cells {
 		c := &cells[i]
@@ -294,7 +298,9 @@
 			useless = append(useless, i)
 		}
 	}
-	slices.SortFunc(useless, func(i, j int) int { return cmp.Compare(v.lot(v.live[i]), v.lot(v.live[j])) })
+	slices.SortFunc(useless, func(i, j int) int {
+		return cmp.Compare(v.rotationRank(v.liveProcesses[i]), v.rotationRank(v.liveProcesses[j]))
+	})
 	for _, i := range useless {
 		if amount < minUseful {
 			break
@@ -305,28 +311,28 @@
 	return amount
 }
 
-// lot returns the process's place among those that take turns.
-func (v *limitAllocation) lot(p Process) uint64 {
+// rotationRank returns the sort key of a process among those that take turns in the current rotation.
+func (v *limitAllocation) rotationRank(p Process) uint64 {
 	return xxhash.Sum64String(fmt.Sprintf("%v %d", p, v.rotation))
 }
 
-// lend adds an amount that nobody wants to targets: three quarters in proportion to targets, since demand is
-// uneven, and the rest in equal parts, so that a process that was idle has a quota at once. The sum of targets
-// beyond what is in use is distributed.
-func (v *limitAllocation) lend(cells []cell, amount, distributed Amount) {
+// lend adds an amount that no process wants to the targets: three quarters in proportion to targets, since demand is
+// uneven, and the rest in equal parts, so that a process that was idle has a quota as soon as it gets requests.
+// extraSum is the sum of the targets beyond the amounts in use.
+func (v *limitAllocation) lend(cells []cell, amount, extraSum Amount) {
 	proportional := amount / 4 * 3
 	for i := range cells {
 		c := &cells[i]
-		if distributed <= 0 || c.target <= 0 {
+		if extraSum <= 0 || c.target <= 0 {
 			continue
 		}
-		extra := min(Amount(float64(proportional)*float64(c.target)/float64(distributed)), amount)
+		extra := min(Amount(float64(proportional)*float64(c.target)/float64(extraSum)), amount)
 		extra = v.limit.roundDown(extra)
 		c.target += extra
 		amount -= extra
 	}
 	equal := v.limit.roundDown(amount / Amount(len(cells)))
-	if equal < v.limit.minUseful() {
+	if equal < v.limit.minUsefulAmount() {
 		return
 	}
 	for i := range cells {
--- a/internal/controlplane/quota/file.go
+++ b/internal/controlplane/quota/file.go
@@ -12,7 +12,7 @@
 	"birchmoor/internal/platform/stricttoml"
 )
 
-// duration is a time.Duration in the text form of Go, such as "5m".
+// duration is a time.Duration that is written as time.ParseDuration accepts it, such as "5m".
 type duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -22,17 +22,17 @@
 	return err
 }
 
-// file is a file of limits.
+// file is the TOML form of a Config, as an operator writes it.
 type file struct {
 	Limit map[string]*fileLimit `toml:"limit"`
 }
 
 type fileLimit struct {
-	Rate        float64   `toml:"rate"`   // a second
-	Burst       *duration `toml:"burst"`  // the rate of so long a time may come at once; default 1s
-	Amount      float64   `toml:"amount"` // in any Window
-	Window      duration  `toml:"window"`
-	Concurrency float64   `toml:"at_once"`
+	Rate        float64   `toml:"rate"`    // units per second
+	Burst       *duration `toml:"burst"`   // what accrues at Rate in this time may be spent at once; default: 1s
+	Amount      float64   `toml:"amount"`  // units in any interval of the length Window
+	Window      duration  `toml:"window"`  // of Amount
+	Concurrency float64   `toml:"at_once"` // units in flight
 	MaxDuration duration  `toml:"longest"` // of a request under Concurrency
 
 	Unit        string   `toml:"of"`
@@ -55,8 +55,8 @@
 	Weight     float64 `toml:"weight"` // default: 1
 }
 
-// ParseFile reads a file of limits in TOML, in which unknown keys are errors. The path is for errors alone. All
-// errors are joined, each a *stricttoml.Error.
+// ParseFile parses and checks a file of limits in TOML. Unknown keys are errors. The path is only used in errors. The
+// error joins all invalid limits, each as a *stricttoml.Error.
 func ParseFile(path string, text []byte) (*Config, error) {
 	var f file
 	if err := stricttoml.Decode(path, "files of limits", text, &f); err != nil {
@@ -65,7 +65,7 @@
 	c := &Config{}
 	var errs []error
 	for _, name := range slices.Sorted(maps.Keys(f.Limit)) {
-		l, err := f.Limit[name].limit(name)
+		l, err := f.Limit[name].toLimit(name)
 		if err != nil {
 			errs = append(errs, locateError(path, text, name, err))
 			continue
@@ -81,7 +81,7 @@
 	return c, nil
 }
 
-// locateError adds to an error of a limit where in the file it stands.
+// locateError returns the error of a limit with its path, line and key in the file.
 func locateError(path string, text []byte, name string, err error) error {
 	located := &stricttoml.Error{Path: path, Line: lineOf(text, name), Key: "limit." + name, Reason: err.Error()}
 	var field *fieldError
@@ -105,13 +105,14 @@
 	return 0
 }
 
-// amountOf converts a number of the file. One that is out of range stays so, for Check to find.
+// amountOf converts a number of units from the file. A number that is out of range is converted to an amount that is
+// out of range, too, so that Check rejects it.
 func amountOf(v float64) Amount {
 	return Amount(math.Round(min(max(v, -1), 2*maxAmount) * float64(AmountUnit)))
 }
 
-// limit converts and checks a limit of the file.
-func (f *fileLimit) limit(name string) (*Limit, error) {
+// toLimit converts and checks a limit of the file. It sets the defaults of keys that the file does not have.
+func (f *fileLimit) toLimit(name string) (*Limit, error) {
 	l := &Limit{
 		Name:             name,
 		Unit:             Unit(f.Unit),
@@ -143,14 +144,14 @@
 
 // setKind sets the kind and the window of a limit by which of the three amounts is given, and returns that amount.
 func (f *fileLimit) setKind(l *Limit) (capacity Amount, err error) {
-	given := 0
+	amountsGiven := 0
 	for _, v := range []float64{f.Rate, f.Amount, f.Concurrency} {
 		if v != 0 {
-			given++
+			amountsGiven++
 		}
 	}
-	if given != 1 {
-		return 0, invalidField("rate, amount, at_once", "one of them is needed")
+	if amountsGiven != 1 {
+		return 0, invalidField("rate, amount, at_once", "exactly one of them must be set")
 	}
 	switch {
 	case f.Rate != 0:
@@ -167,7 +168,7 @@
 		l.Window = int64(f.Window)
 	default:
 		if f.MaxDuration == 0 {
-			return 0, invalidField("longest", "is missing: for so long what the gone had under way counts")
+			return 0, invalidField("longest", "is missing: requests of departed processes count for so long")
 		}
 		l.Kind = Concurrency
 		l.Window = int64(f.MaxDuration)
@@ -176,12 +177,12 @@
 		f.Window != 0 && l.Kind != Window ||
 		f.MaxDuration != 0 && l.Kind != Concurrency
 	if misplaced {
-		return 0, invalidField("burst, window, longest", "go with rate, amount and at_once in turn")
+		return 0, invalidField("burst, window, longest", "can only be set with rate, amount and at_once, respectively")
 	}
 	return amountOf(f.Rate + f.Amount + f.Concurrency), nil
 }
 
-// nodes returns the root and the parts, every part after its parent.
+// nodes returns the root, which has the given capacity, and the parts, every part after its parent.
 func (f *fileLimit) nodes(capacity Amount) ([]Node, error) {
 	nodes := []Node{{Capacity: capacity, Weight: 1}}
 	indexOf := map[string]int{"": 0}
@@ -193,7 +194,7 @@
 		}
 		parent, ok := indexOf[parentPath]
 		if !ok || path == "" || strings.Contains(path, "//") {
-			return nil, invalidField(fmt.Sprintf("parts.%q", path), "is part of %q, which is none", parentPath)
+			return nil, invalidField(fmt.Sprintf("parts.%q", path), "has the parent %q, which is not a part", parentPath)
 		}
 		n := Node{
 			Path:       path,
--- a/internal/controlplane/quota/grants.go
+++ b/internal/controlplane/quota/grants.go
@@ -5,22 +5,22 @@
 	"strings"
 )
 
-// writeGrants adds the grants that bring processes to their targets. If no process is short of quota, quotas that
-// are too large stay: they are in nobody's way. Reductions go first.
-func (v *limitAllocation) writeGrants(short bool, grants map[Process]Grant) {
+// writeGrants adds to grants what moves the quotas of live processes to their targets. Reductions go first. If no
+// demand is unmet, quotas above their targets stay, since no other process needs the amount.
+func (v *limitAllocation) writeGrants(unmetDemand bool, grants map[Process]Grant) {
 	for node := range v.limit.Nodes {
-		for i, p := range v.live {
+		for i, p := range v.liveProcesses {
 			c := &v.cells[node][i]
-			if c.target < c.granted && v.mayChange(p) && v.mustReduce(node, c, short) {
+			if c.target < c.granted && v.mayChange(p) && v.mustReduce(node, c, unmetDemand) {
 				v.setQuota(node, p, c, c.target, grants)
 			}
 		}
 	}
-	if v.blocked {
+	if v.increasesBlocked {
 		return
 	}
 	for node := range v.limit.Nodes {
-		for i, p := range v.live {
+		for i, p := range v.liveProcesses {
 			c := &v.cells[node][i]
 			if c.target <= c.granted || !v.mayChange(p) {
 				continue
@@ -32,35 +32,35 @@
 	}
 }
 
-// mayChange reports whether the last change of a process's quotas is long enough ago. A process cannot acknowledge
-// changes faster than it reports.
+// mayChange reports whether the last change of a process's quotas is long enough ago for another. A process cannot
+// acknowledge changes faster than it reports.
 func (v *limitAllocation) mayChange(p Process) bool {
-	interval := max(minChangeInterval, v.rules.reportInterval(len(v.live)))
+	interval := max(minChangeInterval, v.rules.reportInterval(len(v.liveProcesses)))
 	return v.changedAt[p] == 0 || v.now-v.changedAt[p] >= interval
 }
 
-// minChange returns the difference to its target by which a quota is changed.
+// minChange returns the smallest difference between a quota and its target for which the quota is changed.
 func (v *limitAllocation) minChange(c *cell) Amount {
 	relative := minRelativeChange
-	if v.settling {
+	if v.smallChangesAllowed {
 		relative = minRelativeChange / 10
 	}
 	return Amount(relative * float64(c.granted))
 }
 
-// mustReduce reports whether a quota over its target is to be reduced.
-func (v *limitAllocation) mustReduce(node int, c *cell, short bool) bool {
+// mustReduce reports whether a quota above its target is to be reduced in this allocation.
+func (v *limitAllocation) mustReduce(node int, c *cell, unmetDemand bool) bool {
 	if v.overcommitted(node) {
 		return true
 	}
-	if !short {
+	if !unmetDemand {
 		return false
 	}
 	return c.target == 0 || c.granted-c.target >= v.minChange(c)
 }
 
-// raisedAmount returns the quota that is to be granted to a process below its target: the present one, or a larger
-// one for which there is headroom.
+// raisedAmount returns the quota that a process below its target is to have: its granted one, or a larger one as far as
+// there is headroom.
 func (v *limitAllocation) raisedAmount(node int, c *cell) Amount {
 	raise := c.target - c.granted
 	if raise < v.minChange(c) {
@@ -71,13 +71,14 @@
 		return c.granted
 	}
 	raise = v.limit.roundDown(raise)
-	if c.granted+raise < v.limit.minUseful() {
+	if c.granted+raise < v.limit.minUsefulAmount() {
 		return c.granted
 	}
 	return c.granted + raise
 }
 
-// setQuota sets a process's quota of a node in its new grant.
+// setQuota sets a process's quota of a node in its new grant, which it adds to grants if there is none yet. It counts
+// what the new quota commits, so that headroom shrinks.
 func (v *limitAllocation) setQuota(node int, p Process, c *cell, amount Amount, grants map[Process]Grant) {
 	grant, ok := grants[p]
 	if !ok {
@@ -85,7 +86,7 @@
 		grants[p] = grant
 	}
 	if v.defect == RoundUp {
-		minUseful := v.limit.minUseful()
+		minUseful := v.limit.minUsefulAmount()
 		amount = (amount + 2*minUseful - 1) / minUseful * minUseful
 	}
 	quota := Quota{Amount: amount, Previous: c.committed, Linger: v.limit.linger()}
@@ -97,7 +98,7 @@
 	}
 }
 
-// normalized drops a previous amount that does not count.
+// normalized returns the quota with Previous set to 0 if it is not larger than Amount, and so does not count.
 func (q Quota) normalized() Quota {
 	if q.Previous <= q.Amount {
 		q.Previous = 0
@@ -105,8 +106,8 @@
 	return q
 }
 
-// renewedGrant returns a copy of a process's grant in which all that it may still use counts until it has seen the
-// copy. Quotas of no limit in force are dropped.
+// renewedGrant returns a copy of a process's grant as the basis of a new one. All that the process may still use counts
+// as previous amounts until it acknowledges the new grant. Quotas of limits that are not in force are set to zero.
 func (a *Allocator) renewedGrant(state *processState) Grant {
 	grant := Grant{Quotas: maps.Clone(state.grant.Quotas)}
 	if grant.Quotas == nil {
@@ -125,33 +126,34 @@
 	return grant
 }
 
-// isStale reports whether a key is of no limit in force, or of another generation of one.
+// isStale reports whether a key belongs to no limit in force, or to another generation of one.
 func (a *Allocator) isStale(key string) bool {
 	l := a.config.Find(limitNameOf(key))
 	return l == nil || !strings.HasPrefix(key, l.Key(0))
 }
 
-// scarce reports whether the headroom does not suffice for processes below their targets, so that others must give.
-func (v *limitAllocation) scarce() bool {
-	missing := make([]Amount, len(v.limit.Nodes))
+// headroomInsufficient reports whether processes below their targets need more than the headroom, so that quotas of
+// other processes must be reduced.
+func (v *limitAllocation) headroomInsufficient() bool {
+	unmet := make([]Amount, len(v.limit.Nodes))
 	for node := len(v.limit.Nodes) - 1; node >= 0; node-- {
 		for _, c := range v.cells[node] {
 			wanted := min(c.wanted, c.target)
 			if wanted > c.granted+c.granted/20 {
-				missing[node] += wanted - c.committed
+				unmet[node] += wanted - c.committed
 			}
 		}
-		if missing[node] > v.headroom(node) {
+		if unmet[node] > v.headroom(node) {
 			return true
 		}
 		if node > 0 {
-			missing[v.limit.Nodes[node].Parent] += max(0, missing[node])
+			unmet[v.limit.Nodes[node].Parent] += max(0, unmet[node])
 		}
 	}
 	return false
 }
 
-// overcommitted reports whether more is committed of a node, or of one above it, than its capacity.
+// overcommitted reports whether more than its capacity is committed of a node or of one of its ancestors.
 func (v *limitAllocation) overcommitted(node int) bool {
 	for ancestor := range v.limit.pathToRoot(node) {
 		if v.committed[ancestor] > v.limit.Nodes[ancestor].Capacity {
@@ -161,7 +163,7 @@
 	return false
 }
 
-// headroom returns by how much the quotas of a node may grow, with regard to all nodes above it.
+// headroom returns by how much the quotas of a node may grow within its capacity and those of all its ancestors.
 func (v *limitAllocation) headroom(node int) Amount {
 	headroom := v.limit.Nodes[0].Capacity - v.committed[0]
 	for ancestor := range v.limit.pathToRoot(node) {
--- a/internal/controlplane/quota/limiter.go
+++ b/internal/controlplane/quota/limiter.go
@@ -3,36 +3,36 @@
 import "time"
 
 const (
-	// slotsPerWindow is how many parts of a window are counted and expire each by itself.
+	// slotsPerWindow is the number of slots of a sliding window. Each slot is counted and expires by itself.
 	slotsPerWindow = 64
 
-	// minRetryAfter is the shortest time after which a rejected request is told to retry.
+	// minRetryAfter is the shortest Retry-After of a rejected request.
 	minRetryAfter = int64(time.Millisecond)
 
-	// maxPromisedFactor bounds, in multiples of the quota, what is promised to requests that retry.
-	maxPromisedFactor = 60
+	// maxPendingRetriesFactor bounds limiter.pendingRetries, in multiples of the quota.
+	maxPendingRetriesFactor = 60
 )
 
-// limiter spends a process's quota of one node: a token bucket for a rate, a sliding window of slots, or a count of the
-// requests in flight.
+// limiter spends a process's quota of one node: by a token bucket for a rate, by a sliding window of slots for a
+// window, and by the amount in flight for a concurrency.
 type limiter struct {
 	limit    *Limit
 	amount   Amount // the quota
 	burst    float64
-	session  uint64 // reservations of another session refund nothing
-	fallback bool   // for the time without a valid session, whichever it is
+	session  uint64 // reservations of another session are not refunded
+	fallback bool   // it is used while no session is valid, and belongs to none
 
-	tokens     float64 // Rate: what may be spent at refilledAt
+	tokens     float64 // Rate: what may be spent at refilledAt, in millionths as Amount
 	refilledAt int64
 	used       Amount   // Concurrency: in flight; Window: the sum of slots
-	slots      []Amount // Window: a ring
-	newestSlot int64    // Window: by number since the clock's start
+	slots      []Amount // Window: a ring buffer by slot number
+	newestSlot int64    // Window: the number of the slot, counted from the clock's zero
 
 	demandMeter
 
-	promised        float64 // amount that rejected requests were told to retry for
-	promisedAt      int64
-	averageDuration float64 // Concurrency: nanoseconds that a request lasts
+	pendingRetries   float64 // the amount of rejected requests that are expected to be retried
+	pendingRetriesAt int64   // when pendingRetries was last decayed
+	averageDuration  float64 // Concurrency: the duration of a request in nanoseconds; 0 if none has ended yet
 }
 
 func newLimiter(now int64, l *Limit) *limiter {
@@ -43,7 +43,7 @@
 	return lim
 }
 
-// reset drops the quota, for a new session.
+// reset sets the quota and what is spent of it to zero, for a new session.
 func (l *limiter) reset(now int64, session uint64) {
 	l.amount = 0
 	l.burst = 0
@@ -54,10 +54,10 @@
 	l.session = session
 }
 
-// belongsTo reports whether a reservation of a session is still counted by the limiter.
+// belongsTo reports whether the limiter still counts the reservations that were made during the given session.
 func (l *limiter) belongsTo(session uint64) bool { return l.fallback || l.session == session }
 
-// setAmount changes the quota. Tokens beyond the new burst are gone.
+// setAmount changes the quota. Tokens beyond the new burst are dropped.
 func (l *limiter) setAmount(now int64, amount Amount, defect Defect) {
 	l.refill(now)
 	burst := float64(l.limit.burstOf(amount))
@@ -71,7 +71,7 @@
 	}
 }
 
-// refill adds the tokens of a rate up to now.
+// refill adds the tokens that a rate has earned up to now, within the burst.
 func (l *limiter) refill(now int64) {
 	if now <= l.refilledAt {
 		return
@@ -83,14 +83,14 @@
 	l.refilledAt = now
 }
 
-// windowNanos returns the length of a window by the slowest clock.
+// windowNanos returns the window's length in nanoseconds, with a margin for clocks that gain at most the fraction skew.
 func (l *limiter) windowNanos(skew float64) float64 { return float64(l.limit.Window) * (1 + skew) }
 
-// slotNanos returns the length of a slot: one slot more than a window's worth is counted, so that a slot counts until a
-// whole window after its end.
+// slotNanos returns the length of a slot in nanoseconds. The window is one slot shorter than the ring, so that an
+// amount counts until a whole window after the end of its slot.
 func (l *limiter) slotNanos(skew float64) float64 { return l.windowNanos(skew) / (slotsPerWindow - 1) }
 
-// expireSlots drops the slots that have left the window.
+// expireSlots clears the slots that have left the window at now, and makes the slot of now the newest.
 func (l *limiter) expireSlots(now int64, skew float64, defect Defect) {
 	if l.limit.Kind != Window {
 		return
@@ -117,10 +117,9 @@
 	}
 }
 
-// slot returns the slot of a number.
 func (l *limiter) slot(number int64) *Amount { return &l.slots[number%slotsPerWindow] }
 
-// spend takes an amount that is available.
+// spend charges an amount that the limiter has available.
 func (l *limiter) spend(amount Amount) {
 	switch l.limit.Kind {
 	case Rate:
@@ -133,7 +132,7 @@
 	}
 }
 
-// refund gives back what a request that never ran has spent in a slot.
+// refund returns the amount that a request spent in a slot, for a request that never ran.
 func (l *limiter) refund(now int64, amount Amount, slot int64, skew float64, defect Defect) {
 	switch l.limit.Kind {
 	case Rate:
@@ -153,57 +152,60 @@
 	}
 }
 
-// complete ends a request of a concurrency after a duration in nanoseconds.
+// complete ends a request under a concurrency that lasted for a duration in nanoseconds.
 func (l *limiter) complete(amount Amount, duration float64) {
-	const smoothing = 16 // requests over which the duration is averaged
+	const averagedRequests = 16 // over which averageDuration is smoothed exponentially
 	l.used -= amount
 	if l.averageDuration == 0 {
 		l.averageDuration = duration
 		return
 	}
-	l.averageDuration += (duration - l.averageDuration) / smoothing
+	l.averageDuration += (duration - l.averageDuration) / averagedRequests
 }
 
-// fits reports whether an amount fits beside what is used and reserved, of a window or a concurrency.
+// fits reports whether an amount fits into the quota of a window or a concurrency in addition to what is used and what
+// is reserved.
 func (l *limiter) fits(amount Amount, reserved float64) bool {
 	return float64(l.used)+float64(amount)+reserved <= float64(l.amount)
 }
 
-// decayPromised drops from what is promised what the quota has covered since: its amount in each period of nanoseconds.
-func (l *limiter) decayPromised(now int64, period float64) {
-	l.promised = max(0, l.promised-float64(l.amount)*float64(now-l.promisedAt)/period)
-	l.promisedAt = now
+// decayPendingRetries subtracts from pendingRetries what the quota has covered since the last call: its amount once per
+// period, which is in nanoseconds.
+func (l *limiter) decayPendingRetries(now int64, period float64) {
+	l.pendingRetries = max(0, l.pendingRetries-float64(l.amount)*float64(now-l.pendingRetriesAt)/period)
+	l.pendingRetriesAt = now
 }
 
-// promise adds the amount of a rejected request to what is promised.
-func (l *limiter) promise(amount Amount) {
-	l.promised = min(l.promised+float64(amount), maxPromisedFactor*float64(l.amount))
+// addPendingRetry adds the amount of a rejected request, which is expected to be retried.
+func (l *limiter) addPendingRetry(amount Amount) {
+	l.pendingRetries = min(l.pendingRetries+float64(amount), maxPendingRetriesFactor*float64(l.amount))
 }
 
-// rateRetryAfter returns the nanoseconds until a rate has an amount beside what is reserved and what is promised to
-// requests rejected before.
+// rateRetryAfter returns the nanoseconds until a rate has an amount available in addition to what is reserved and to
+// the pending retries.
 func (l *limiter) rateRetryAfter(now int64, amount Amount, reserved float64) int64 {
-	l.decayPromised(now, nanosPerSecond)
-	missing := float64(amount) + reserved - l.tokens + l.promised
+	l.decayPendingRetries(now, nanosPerSecond)
+	missing := float64(amount) + reserved - l.tokens + l.pendingRetries
 	after := missing / float64(l.amount) * nanosPerSecond
-	l.promise(amount)
+	l.addPendingRetry(amount)
 	return max(minRetryAfter, int64(after))
 }
 
-// concurrencyRetryAfter returns the nanoseconds until requests in flight have probably made way for an amount.
+// concurrencyRetryAfter returns the nanoseconds until enough requests in flight are expected to have ended for an
+// amount and the pending retries.
 func (l *limiter) concurrencyRetryAfter(now int64, amount Amount) int64 {
-	l.decayPromised(now, l.averageDuration)
-	after := (float64(amount) + l.promised) / float64(l.amount) * l.averageDuration
-	l.promise(amount)
+	l.decayPendingRetries(now, l.averageDuration)
+	after := (float64(amount) + l.pendingRetries) / float64(l.amount) * l.averageDuration
+	l.addPendingRetry(amount)
 	return max(minRetryAfter, int64(after))
 }
 
-// windowRetryAfter returns the nanoseconds until enough slots have left the window. Requests that are rejected one
-// after the other are sent to later slots.
+// windowRetryAfter returns the nanoseconds until enough slots have left the window for an amount and the pending
+// retries. Requests that are rejected one after another thus get later times.
 func (l *limiter) windowRetryAfter(now int64, amount Amount, skew float64) int64 {
-	l.decayPromised(now, l.windowNanos(skew))
-	missing := float64(l.used) + float64(amount) + l.promised - float64(l.amount)
-	l.promised = min(l.promised+float64(amount), float64(l.amount))
+	l.decayPendingRetries(now, l.windowNanos(skew))
+	missing := float64(l.used) + float64(amount) + l.pendingRetries - float64(l.amount)
+	l.pendingRetries = min(l.pendingRetries+float64(amount), float64(l.amount))
 	slotNanos := l.slotNanos(skew)
 	freed := 0.0
 	last := l.newestSlot + slotsPerWindow
@@ -216,7 +218,7 @@
 	return retryAfterSlot(now, last, slotNanos)
 }
 
-// retryAfterSlot returns the nanoseconds until a slot begins.
+// retryAfterSlot returns the nanoseconds until the slot of the given number begins, and minRetryAfter at least.
 func retryAfterSlot(now, number int64, slotNanos float64) int64 {
 	return max(minRetryAfter, int64(slotNanos*float64(number)-float64(now)))
 }
--- a/internal/controlplane/quota/match.go
+++ b/internal/controlplane/quota/match.go
@@ -6,39 +6,39 @@
 	"strings"
 )
 
-// otherPart is the name of the part for values that have no part of their own.
+// otherPart is the name of the part that is charged for requests whose value names no part.
 const otherPart = "other"
 
-// Request is what limits read of a request.
+// Request holds the properties of a request that limits depend on.
 type Request struct {
 	Class          string
 	Path           string
-	Cost           Amount                   // that its client expects; 0: not given
-	Header         func(name string) string // may be nil
-	PriorityWeight float64                  // of its class, relative to the greatest of all classes: 0 to 1
+	Cost           Amount                   // the cost that its client expects; 0 if the client states none
+	Header         func(name string) string // returns the value of a header, or ""; may be nil
+	PriorityWeight float64                  // of its class, relative to the largest of all classes: 0 to 1
 }
 
-// Charge is what a request takes of a node's quota.
+// Charge is the amount of a node's quota that a request needs. Node is an index in Limit.Nodes.
 type Charge struct {
 	Limit  *Limit
 	Node   int
 	Amount Amount
 }
 
-// Matcher finds the nodes that a request is charged to. It is immutable, and any goroutine may use it.
+// Matcher finds the nodes that a request is charged to. It is immutable and safe for concurrent use.
 type Matcher struct {
 	Config   *Config
-	byClass  map[string][]*limitMatcher // for each class that a limit names, with the limits that name none
-	anyClass []*limitMatcher            // limits that name no class
+	byClass  map[string][]*limitMatcher // for each class that a limit names, including the limits of all classes
+	anyClass []*limitMatcher            // the limits of all classes
 }
 
 type limitMatcher struct {
 	limit       *Limit
 	partitionBy []partitionKey
-	children    []map[string]int // by node: its parts by the last name of their paths
+	children    []map[string]int // by node, the indices of its parts by the last name of their paths
 }
 
-// partitionKind says which property of a request names its part.
+// partitionKind says which property of a request names the part that it is charged to.
 type partitionKind string
 
 const (
@@ -47,14 +47,14 @@
 	partitionByPath   partitionKind = "path"
 )
 
-// partitionKey names the parts of one level.
+// partitionKey is a parsed element of Limit.PartitionBy: it selects a request's part on one level.
 type partitionKey struct {
 	kind    partitionKind
 	header  string
 	segment int // of the path, from 1
 }
 
-// NewMatcher returns the matcher of a configuration that Check found valid.
+// NewMatcher returns the matcher of a configuration, which must have passed Check and must not be changed afterwards.
 func NewMatcher(c *Config) *Matcher {
 	m := &Matcher{Config: c, byClass: map[string][]*limitMatcher{}}
 	for _, l := range c.Limits {
@@ -91,7 +91,7 @@
 	return m
 }
 
-// parsePartitionKey parses what validPartitionKey accepts.
+// parsePartitionKey parses an element of Limit.PartitionBy that validPartitionKey accepts.
 func parsePartitionKey(text string) partitionKey {
 	kind, arg, _ := strings.Cut(text, ":")
 	key := partitionKey{kind: partitionKind(kind)}
@@ -104,7 +104,7 @@
 	return key
 }
 
-// Match appends to buf what a request is charged.
+// Match appends to buf the charges of a request, one for each limit that applies to it, and returns the result.
 func (m *Matcher) Match(buf []Charge, r *Request) []Charge {
 	matchers, named := m.byClass[r.Class]
 	if !named {
@@ -130,7 +130,8 @@
 	return slices.ContainsFunc(m.limit.Paths, func(prefix string) bool { return strings.HasPrefix(path, prefix) })
 }
 
-// node returns the deepest node whose names the request has; otherPart stands for unknown names.
+// node returns the deepest node whose path matches the names of the request's parts. A name without a part of its own
+// matches otherPart.
 func (m *limitMatcher) node(r *Request) int {
 	current := 0
 	for i := range m.partitionBy {
@@ -151,7 +152,7 @@
 	return current
 }
 
-// name returns the name of the request's part, or "" if it has none.
+// name returns the name of the request's part on this level, or "" if it has none.
 func (k *partitionKey) name(r *Request) string {
 	switch k.kind {
 	case partitionByClass:
@@ -166,7 +167,7 @@
 	return ""
 }
 
-// pathSegment returns a segment of a path, from 1, or "" if the path is shorter.
+// pathSegment returns the segment of a path with the given number, from 1, or "" if the path is shorter.
 func pathSegment(path string, number int) string {
 	rest := strings.TrimPrefix(path, "/")
 	for n := 1; ; n++ {
--- a/internal/controlplane/quota/maxmin.go
+++ b/internal/controlplane/quota/maxmin.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// maxMinFair divides an amount by weights among those with demand, none of whom gets more than its demand: weighted
-// max-min fairness. Nil weights are equal. What it gives never adds up to more than the amount.
+// maxMinFair divides an amount among demands by weighted max-min fairness and returns what is allocated to each. None
+// gets more than its demand, and the sum never exceeds the amount. Nil weights mean equal weights.
 func maxMinFair(amount Amount, demands []Amount, weights []float64) []Amount {
-	allotted := make([]Amount, len(demands))
+	allocated := make([]Amount, len(demands))
 	order := make([]int, 0, len(demands))
 	weightSum := 0.0
 	for i, demand := range demands {
@@ -27,11 +27,11 @@
 			break
 		}
 		weight := weightOf(weights, i)
-		allotted[i] = min(demands[i], amount, Amount(float64(amount)*weight/weightSum))
-		amount -= allotted[i]
+		allocated[i] = min(demands[i], amount, Amount(float64(amount)*weight/weightSum))
+		amount -= allocated[i]
 		weightSum -= weight
 	}
-	return allotted
+	return allocated
 }
 
 func weightOf(weights []float64, i int) float64 {
--- a/internal/controlplane/quota/reservation.go
+++ b/internal/controlplane/quota/reservation.go
@@ -1,29 +1,30 @@
 package quota
 
-// Reservation is what a request has taken of quotas until it is cancelled or complete.
+// Reservation holds the quota that an admitted request has been charged, until Cancel or Complete.
 type Reservation struct {
 	session   uint64
 	startedAt int64
 	charged   []chargedLimiter
-	inline    [4]chargedLimiter // backs charged where it is large enough, to save an allocation
+	inline    [4]chargedLimiter // backs charged if it is large enough, to save a memory allocation
 }
 
 type chargedLimiter struct {
 	limiter *limiter
 	amount  Amount
-	slot    int64 // of a window
+	slot    int64 // of a window: the slot in which the amount was spent
 }
 
-// Rejection says why a request is not admitted, and after how long it may be.
+// Rejection says which limit rejected a request, and when a retry may be admitted.
 type Rejection struct {
 	Limit            string
-	Node             string // path of the node
-	RetryAfter       int64  // nanoseconds
-	StoreUnreachable bool
+	Node             string // the path of the node that lacks quota
+	RetryAfter       int64  // nanoseconds from now
+	StoreUnreachable bool   // the limit's fallback rejected the request, since the session is not valid
 }
 
-// Reserve takes all charges of a request, or rejects it and takes none. The priority weight is that of the request,
-// from 0 to 1: a part of each quota is reserved for heavier ones.
+// Reserve charges a request with all its charges, or rejects it and charges nothing. The priority weight is that of the
+// request, from 0 to 1. The lower it is, the larger the part of each quota that the request must leave free, up to the
+// limit's ReserveFraction. Without charges, Reserve returns nil and nil, and the request is admitted.
 func (c *Consumer) Reserve(now int64, charges []Charge, priorityWeight float64) (*Reservation, *Rejection) {
 	if len(charges) == 0 {
 		return nil, nil
@@ -68,7 +69,7 @@
 	return r, nil
 }
 
-// reserveQuota adds a charge to a reservation if the process's quota has it.
+// reserveQuota adds a charge to a reservation if the process's quota covers it. It spends nothing yet.
 func (c *Consumer) reserveQuota(now int64, r *Reservation, charge *Charge, lim *limiter, weight float64) *Rejection {
 	l := charge.Limit
 	ok, retryAfter := c.available(now, lim, charge.Amount, l.ReserveFraction*(1-weight))
@@ -79,8 +80,8 @@
 	return nil
 }
 
-// reserveFallback adds a charge to a reservation by the limit's fallback. It takes it of the node and of all above it,
-// since no allocator keeps the sum of the parts within the whole.
+// reserveFallback adds a charge to a reservation as the limit's fallback allows. It charges the node and all its
+// ancestors, since no allocator keeps the sum of the parts within the capacity of the whole limit.
 func (c *Consumer) reserveFallback(now int64, r *Reservation, charge *Charge, lim *limiter) *Rejection {
 	l := charge.Limit
 	expired := c.fallbackExpired(now, l)
@@ -103,8 +104,8 @@
 	return nil
 }
 
-// available reports whether a limiter has an amount beside a fraction that is reserved for heavier requests, and if not
-// after how many nanoseconds it may.
+// available reports whether a limiter has an amount in addition to the fraction that is reserved for requests of higher
+// priority weight. If not, it also returns the nanoseconds after which the limiter may have it.
 func (c *Consumer) available(now int64, lim *limiter, amount Amount, reserveFraction float64) (bool, int64) {
 	skew := c.rules.MaxClockSkew
 	lim.refill(now)
@@ -141,20 +142,21 @@
 	}
 }
 
-// reallocationDelay returns the nanoseconds until a quota that is too small may be larger: two reports and two
-// allocations. Rejected requests are spread over a time as long again.
-func (c *Consumer) reallocationDelay(lim *limiter) int64 { return c.delayAfter(lim.rejected) }
+// reallocationDelay returns the nanoseconds until a quota that is too small for a request may have been raised, which
+// takes two reports and two allocations. The retries of rejected requests are spread over the same time again.
+func (c *Consumer) reallocationDelay(lim *limiter) int64 { return c.spreadDelay(lim.rejected) }
 
 // nextReallocationDelay is reallocationDelay for a rejection that is not counted yet.
-func (c *Consumer) nextReallocationDelay(lim *limiter) int64 { return c.delayAfter(lim.rejected + 1) }
+func (c *Consumer) nextReallocationDelay(lim *limiter) int64 { return c.spreadDelay(lim.rejected + 1) }
 
-func (c *Consumer) delayAfter(rejected uint64) int64 {
-	const spread = 16
+func (c *Consumer) spreadDelay(rejected uint64) int64 {
+	const steps = 16
 	delay := 2 * c.rules.reportInterval(c.processCount)
-	return delay + delay*int64(rejected%spread)/spread
+	return delay + delay*int64(rejected%steps)/steps
 }
 
-// Cancel gives back what a request took that never ran. A reservation is cancelled or completed once; more is ignored.
+// Cancel refunds the charges of a request that never ran. Only the first call of Cancel or Complete for a reservation
+// has an effect; a nil reservation is ignored.
 func (c *Consumer) Cancel(now int64, r *Reservation) {
 	if r == nil {
 		return
@@ -174,7 +176,7 @@
 	}
 }
 
-// Complete ends a request that may have run.
+// Complete ends a request that may have run. Its charges are kept, except that a concurrency counts it no longer.
 func (c *Consumer) Complete(now int64, r *Reservation) {
 	if r == nil {
 		return
--- a/internal/controlplane/quota/status.go
+++ b/internal/controlplane/quota/status.go
@@ -9,30 +9,31 @@
 	"time"
 )
 
-// NodeStatus is how a node of a limit stands.
+// NodeStatus describes the allocation of a node of a limit. Granted and the fields below it are sums over the node's
+// own processes, without its parts.
 type NodeStatus struct {
 	Path      string         `json:"path"`
 	Capacity  Amount         `json:"most"`
-	Committed Amount         `json:"counts"` // with the parts of the node; over Capacity only after that was reduced
-	Granted   Amount         `json:"given"`  // without parts, as are those below
+	Committed Amount         `json:"counts"` // including the node's parts; exceeds Capacity only after that was reduced
+	Granted   Amount         `json:"given"`
 	Wanted    Amount         `json:"want"`
 	Admitted  uint64         `json:"taken"`
 	Rejected  uint64         `json:"refused"`
-	Processes []ProcessQuota `json:"of"`
+	Processes []ProcessQuota `json:"of"` // the largest committed amount first
 }
 
-// ProcessQuota is how a process's quota of a node stands.
+// ProcessQuota describes the quota of one process at one node. NodeDemand is zero for a departed process.
 type ProcessQuota struct {
 	Process
 	Quota
 	NodeDemand
 	Committed Amount `json:"counts"`
-	Gone      bool   `json:"gone,omitempty"` // the process is, and its quota counts for a while yet
-	AgeMs     int64  `json:"age_ms"`         // since its report came to this copy; if gone, since its end
-	Seen      bool   `json:"seen"`           // it has acknowledged this quota
+	Gone      bool   `json:"gone,omitempty"` // the process has departed, and its quota still counts
+	AgeMs     int64  `json:"age_ms"`         // since its last report came to this copy, or since it departed
+	Seen      bool   `json:"seen"`           // the process has acknowledged its newest grant
 }
 
-// Status returns how the nodes of a limit stand, the root first.
+// Status returns the status of all nodes of a limit, in the order of Limit.Nodes.
 func (a *Allocator) Status(now int64, l *Limit) []NodeStatus {
 	nodes := make([]NodeStatus, len(l.Nodes))
 	for i := range l.Nodes {
@@ -44,7 +45,7 @@
 	return nodes
 }
 
-// nodeStatus returns how a node stands without its parts.
+// nodeStatus returns the status of a node, in which Committed does not include its parts.
 func (a *Allocator) nodeStatus(now int64, l *Limit, node int) NodeStatus {
 	n := &l.Nodes[node]
 	status := NodeStatus{Path: n.Path, Capacity: n.Capacity, Processes: []ProcessQuota{}}
@@ -88,48 +89,49 @@
 
 func milliseconds(nanos int64) int64 { return nanos / int64(time.Millisecond) }
 
-// UnitText says for people what an amount of the limit is.
+// UnitText returns a phrase for operators that follows an amount of the limit, such as "requests a second".
 func (l *Limit) UnitText() string {
-	what := "requests"
+	unit := "requests"
 	if l.Unit == Cost {
-		what = "ms of work"
+		unit = "ms of work"
 	}
 	switch l.Kind {
 	case Rate:
-		return what + " a second"
+		return unit + " a second"
 	case Window:
-		return what + " in any " + time.Duration(l.Window).String()
+		return unit + " in any " + time.Duration(l.Window).String()
 	default:
-		return what + " at once"
+		return unit + " in flight"
 	}
 }
 
-// DescribeOvershoot says for people how far over its capacity servers may see the limit while a number of processes
-// cannot reach the store.
+// DescribeOvershoot returns a phrase for operators that says by how much servers may see the limit's capacity exceeded,
+// given how many processes cannot reach the store.
 func (l *Limit) DescribeOvershoot(unreachable int) string {
 	var b strings.Builder
 	if l.Kind == Rate {
-		fmt.Fprintf(&b, "%s at once beside it", FormatAmount(l.burstOf(l.Nodes[0].Capacity)))
+		fmt.Fprintf(&b, "a burst of %s", FormatAmount(l.burstOf(l.Nodes[0].Capacity)))
 	} else {
 		b.WriteString("none")
 	}
 	switch l.Fallback {
 	case Fair:
-		fmt.Fprintf(&b, "; without the store %g of it for each %d sidecars out of reach",
+		fmt.Fprintf(&b, "; if sidecars cannot reach the store, %g of the limit for each %d of them",
 			l.FallbackFraction, l.MinProcesses)
 		if unreachable > 0 {
-			fmt.Fprintf(&b, ", now %s", FormatAmount(l.fallbackSum(unreachable)))
+			fmt.Fprintf(&b, ", currently %s", FormatAmount(l.fallbackSum(unreachable)))
 		}
 	case Open:
-		b.WriteString("; without the store no bound")
+		b.WriteString("; unbounded if sidecars cannot reach the store")
 	}
 	if l.Fallback != Strict && l.FallbackTimeout > 0 {
-		fmt.Fprintf(&b, ", for %v", time.Duration(l.FallbackTimeout))
+		fmt.Fprintf(&b, ", for at most %v", time.Duration(l.FallbackTimeout))
 	}
 	return b.String()
 }
 
-// fallbackSum returns what a number of processes without the store may spend of a Fair limit.
+// fallbackSum returns how much of a Fair limit a number of processes may spend together while they cannot reach the
+// store.
 func (l *Limit) fallbackSum(processes int) Amount {
 	capacity := float64(l.Nodes[0].Capacity)
 	divisor := float64(max(1, l.MinProcesses))
--- a/internal/controlplane/quota/stored_test.go
+++ b/internal/controlplane/quota/stored_test.go
@@ -29,7 +29,8 @@
 	return content
 }
 
-// The tests below decode what revision 7105f7a wrote and encode the same bytes again.
+// The tests below decode the records that source revision 7105f7a wrote and check that they are encoded as the same
+// bytes again.
 
 func TestConfigFormatUnchanged(t *testing.T) {
 	fromFile, err := ParseFile("limits.toml", readFixture(t, "limits.toml"))
@@ -47,11 +48,11 @@
 		t.Error(err)
 	}
 	if !reflect.DeepEqual(fromFile, stored) {
-		t.Errorf("the file of limits reads as %+v, stored is %+v", fromFile, stored)
+		t.Errorf("limits.toml parses as %+v, want the stored config %+v", fromFile, stored)
 	}
 	encoded, err := json.MarshalIndent(stored, "", "  ")
 	if err != nil || !bytes.Equal(encoded, readFixture(t, "config.json")) {
-		t.Errorf("encoded as %s, error %v", encoded, err)
+		t.Errorf("stored config is encoded as %s, error %v, want the bytes of config.json", encoded, err)
 	}
 	want := &Limit{
 		Name:             "bookings",
@@ -74,7 +75,7 @@
 		},
 	}
 	if !reflect.DeepEqual(stored.Limits[0], want) {
-		t.Errorf("decoded %+v, not %+v", stored.Limits[0], want)
+		t.Errorf("decoded limit %+v, want %+v", stored.Limits[0], want)
 	}
 }
 
@@ -111,6 +112,6 @@
 	p := Process{Host: "host-1", Session: 17}
 	keys := []string{Prefix, ConfigKey, AllocationKey, p.DemandKey(), p.GrantKey(), l.Key(0), l.Key(2)}
 	if !slices.Equal(keys, stored) {
-		t.Errorf("keys are %q, stored are %q", keys, stored)
+		t.Errorf("keys are %q, want the stored %q", keys, stored)
 	}
 }
