--- a/internal/controlplane/quotasync/limiter.go
+++ b/internal/controlplane/quotasync/limiter.go
@@ -5,7 +5,7 @@
 	"birchmoor/internal/dataplane/core"
 )
 
-// inlineCharges is how many charges of a request are matched without an allocation.
+// inlineCharges is the largest number of charges that Admit matches without a memory allocation.
 const inlineCharges = 4
 
 // Admit implements core.Limiter.
@@ -40,11 +40,11 @@
 func (m *Manager) reserve(charges []quota.Charge, priorityWeight float64) (*quota.Reservation, *quota.Rejection) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := m.now() // under the lock: the session may end while the lock is waited for
+	now := m.now() // read under the lock, since the session may end while this goroutine waits for it
 	return m.consumer.Reserve(now, charges, priorityWeight)
 }
 
-// release ends a request: what never ran is not charged.
+// release ends a request. Its charges are refunded if it never ran.
 func (m *Manager) release(r *quota.Reservation, mayHaveRun bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/controlplane/quotasync/manager.go
+++ b/internal/controlplane/quotasync/manager.go
@@ -1,7 +1,7 @@
-// Package quotasync connects the fleet's limits (package quota) to a daemon and its sidecar: it keeps the process's
-// session and reports its demand to the store, applies grants, runs the allocator, admits requests, and answers
-// operators. It may import the packages of the control plane but adminapi, the store, and core for the interface
-// that a sidecar calls.
+// Package quotasync connects the fleet's limits (package quota) to a daemon and its sidecar. It keeps the process's
+// session, reports its demand to the store, applies its grants, runs the allocator, admits requests, and shows and
+// changes limits for operators. It may import the store, the packages of the control plane except adminapi, and core
+// for the interface that a sidecar calls.
 package quotasync
 
 import (
@@ -21,16 +21,16 @@
 	"birchmoor/internal/store/changefeed"
 )
 
-// Config configures a Manager.
+// Config configures a Manager. The report intervals and MaxClockSkew must be the same in the whole fleet.
 type Config struct {
-	Host                     string
-	TTL                      time.Duration // of the session, after which the quotas of a silent process end
-	ReportInterval           time.Duration // between two reports of a process, at least
+	Host                     string        // name of the daemon, which the keys of its processes contain
+	TTL                      time.Duration // of the session; a process that does not renew it loses its quotas
+	ReportInterval           time.Duration // shortest time between two reports of a process
 	ReportIntervalPerProcess time.Duration // for each process of the fleet, if that makes a longer interval
 	MaxClockSkew             float64       // as in quota.Rules
 	Clock                    bootclock.Clock
 	Log                      *slog.Logger
-	Defect                   quota.Defect // for tests
+	Defect                   quota.Defect // injected by tests; quota.NoDefect otherwise
 }
 
 func (c *Config) rules() quota.Rules {
@@ -44,45 +44,45 @@
 const (
 	allocateInterval     = 100 * time.Millisecond
 	rejectionLogInterval = 10 * time.Second
-	requestTimeout       = 2 * time.Second // of a request to the store
+	requestTimeout       = 2 * time.Second // for requests to the store
 )
 
-// Manager is a daemon.Component and a core.Limiter. It is safe for concurrent use.
+// Manager implements daemon.Component and core.Limiter. It is safe for concurrent use.
 type Manager struct {
 	cfg     Config
 	runner  *leasetask.Runner
 	store   daemon.Store
-	matcher atomic.Pointer[quota.Matcher] // nil while there are no limits
+	matcher atomic.Pointer[quota.Matcher] // nil while no limits are in force
 
-	wakeReporter chan struct{}
+	reporterWakeup chan struct{} // holds at most one wake-up
 
-	mu               sync.Mutex // guards what follows
-	consumer         *quota.Consumer
-	allocator        *quota.Allocator
-	config           *quota.Config
-	configFault      string // why the newest limits are not in force here, or ""
-	committed        []byte // the limits that the copy has; nil: none
-	fromLogTail      bool   // the limits in force may not be committed
-	process          quota.Process
-	reporting        map[string]bool   // demand keys of the copy
-	loggedRejections map[string]uint64 // by limit
+	mu                sync.Mutex // guards the fields below
+	consumer          *quota.Consumer
+	allocator         *quota.Allocator
+	config            *quota.Config
+	configFault       string // why this daemon does not enforce the newest limits, or ""
+	committedConfig   []byte // the quota.Config that the copy of the store has; nil if there is none
+	configFromLogTail bool   // the limits in force are from the log's tail and may not be committed
+	process           quota.Process
+	demandKeys        map[string]bool   // the keys with quota.DemandPrefix in the copy of the store
+	loggedRejections  map[string]uint64 // rejected requests logged so far, by the name of the limit
 
-	hasCopy       bool             // of the store; without one no limits are known
-	partialCopy   bool             // the copy does not hold the demand of all processes,
-	reportingSize store.PrefixSize // of which there are so many
+	hasCopy     bool             // there is a copy of the store; without one no limits are known
+	partialCopy bool             // the copy does not hold the demand of all processes
+	demandSize  store.PrefixSize // of the demand keys of all processes, if the copy is partial
 }
 
-// New returns a manager that is to be attached to a store.
+// New returns a manager. Attach must be called before Run.
 func New(cfg Config, runner *leasetask.Runner) *Manager {
 	rules := cfg.rules()
 	return &Manager{
 		cfg:              cfg,
 		runner:           runner,
-		wakeReporter:     make(chan struct{}, 1),
+		reporterWakeup:   make(chan struct{}, 1),
 		consumer:         quota.NewConsumer(rules, cfg.Defect),
 		allocator:        quota.NewAllocator(rules, cfg.Defect),
 		config:           &quota.Config{},
-		reporting:        map[string]bool{},
+		demandKeys:       map[string]bool{},
 		loggedRejections: map[string]uint64{},
 	}
 }
@@ -92,9 +92,10 @@
 // Attach implements daemon.Component.
 func (m *Manager) Attach(s daemon.Store) { m.store = s }
 
-// Subscription implements daemon.Subscriber: the limits, this daemon's own demand and grant, and how many processes
-// report. The demand and the grants of others are for allocators, which followers do not run. The limits are durable:
-// a process that starts without them admits everything.
+// Subscription implements daemon.Subscriber. The daemon needs the limits, the demand and the grants of its own
+// processes, and the number of processes that report. The demand and the grants of others are needed only by
+// allocators, which followers do not run. The limits are durable, since a process that starts without them admits all
+// requests.
 func (m *Manager) Subscription() changefeed.Subscription {
 	retained := store.Interest{Keys: []string{quota.ConfigKey}}
 	ownPrefix := m.cfg.Host + "/"
@@ -113,14 +114,14 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if prefix == quota.DemandPrefix && m.partialCopy {
-		m.reportingSize = size
+		m.demandSize = size
 		m.updateProcessCount()
 	}
 }
 
-// updateProcessCount sets how many processes pace their reports. The lock is held.
+// updateProcessCount sets the number of processes on which the interval between reports depends. The caller holds mu.
 func (m *Manager) updateProcessCount() {
-	m.consumer.SetProcessCount(max(len(m.reporting), m.reportingSize.Keys))
+	m.consumer.SetProcessCount(max(len(m.demandKeys), m.demandSize.Keys))
 }
 
 // Event implements daemon.Component.
@@ -134,14 +135,14 @@
 	m.allocator.Event(m.now(), e)
 	switch {
 	case key == quota.ConfigKey && e.Deleted:
-		m.setCommitted(nil)
+		m.setCommittedConfig(nil)
 	case key == quota.ConfigKey:
-		m.setCommitted(e.Item.Value)
+		m.setCommittedConfig(e.Item.Value)
 	case strings.HasPrefix(key, quota.DemandPrefix):
 		if e.Deleted {
-			delete(m.reporting, key)
+			delete(m.demandKeys, key)
 		} else {
-			m.reporting[key] = true
+			m.demandKeys[key] = true
 		}
 		m.updateProcessCount()
 	case !e.Deleted && m.process.Session != 0 && key == m.process.GrantKey():
@@ -156,23 +157,23 @@
 	m.hasCopy = true
 	m.allocator.Reset(m.now(), s)
 	item, _ := s.Get(quota.ConfigKey)
-	m.setCommitted(item.Value)
-	clear(m.reporting)
+	m.setCommittedConfig(item.Value)
+	clear(m.demandKeys)
 	s.Range(quota.DemandPrefix, store.PrefixEnd(quota.DemandPrefix), func(item store.Item) bool {
-		m.reporting[item.Key] = true
+		m.demandKeys[item.Key] = true
 		return true
 	})
 	interest := s.Interest()
 	m.partialCopy = interest != nil && !interest.CoversPrefix(quota.DemandPrefix)
 	if !m.partialCopy {
-		m.reportingSize = store.PrefixSize{}
+		m.demandSize = store.PrefixSize{}
 	}
 	m.updateProcessCount()
-	m.applyGrantOf(s)
+	m.applyGrantFrom(s)
 }
 
-// applyGrantOf applies this process's grant as a copy has it. The lock is held.
-func (m *Manager) applyGrantOf(s *store.State) {
+// applyGrantFrom applies this process's grant, if the copy s has one. The caller holds mu.
+func (m *Manager) applyGrantFrom(s *store.State) {
 	if m.process.Session == 0 {
 		return
 	}
@@ -181,27 +182,28 @@
 	}
 }
 
-// applyGrant applies this process's grant. The lock is held.
+// applyGrant applies this process's grant. If decoding it fails, quotas that were not decoded are set to zero. The
+// caller holds mu.
 func (m *Manager) applyGrant(item store.Item) {
 	grant, err := quota.DecodeGrant(item.Value)
 	if err != nil {
-		m.cfg.Log.Error("grant of quotas cannot be decoded, quotas count as zero", "key", item.Key, "error", err)
+		m.cfg.Log.Error("cannot decode the grant of quotas; those not decoded are set to zero", "key", item.Key, "error", err)
 	}
 	m.consumer.ApplyGrant(m.now(), m.process.Session, item.ModRevision, grant)
-	m.wake()
+	m.wakeReporter()
 }
 
-// wake has the reporter look whether a report is due.
-func (m *Manager) wake() {
+// wakeReporter makes the reporter check whether a report is due. It does not block.
+func (m *Manager) wakeReporter() {
 	select {
-	case m.wakeReporter <- struct{}{}:
+	case m.reporterWakeup <- struct{}{}:
 	default:
 	}
 }
 
-// Uncommitted implements daemon.LogTailObserver. A replica that starts alone may not know that the last entries of its
-// log were committed, and so in force before it ended. Where it knows of no limits, those of the tail are in force until
-// it has caught up: without a session a strict limit admits nothing.
+// Uncommitted implements daemon.LogTailObserver. A replica that starts without a quorum may not know that the last
+// entries of its log were committed, and thus in force before it stopped. If it knows no other limits, it enforces
+// those of the log's tail until it has caught up. Since it has no session, strict limits then admit nothing.
 func (m *Manager) Uncommitted(c *store.Command) {
 	if c.Txn == nil {
 		return
@@ -209,37 +211,37 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, op := range c.Txn.Then {
-		if op.Key == quota.ConfigKey && !op.Delete && m.committed == nil {
-			m.fromLogTail = true
+		if op.Key == quota.ConfigKey && !op.Delete && m.committedConfig == nil {
+			m.configFromLogTail = true
 			m.setConfig(op.Value)
 		}
 	}
 }
 
-// CaughtUp implements daemon.LogTailObserver: what the copy has decides.
+// CaughtUp implements daemon.LogTailObserver. From now on the limits of the copy are in force.
 func (m *Manager) CaughtUp() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.fromLogTail {
-		m.setCommitted(m.committed)
+	if m.configFromLogTail {
+		m.setCommittedConfig(m.committedConfig)
 	}
 }
 
-// setCommitted puts the limits that the copy has in force; nil is for none. The lock is held.
-func (m *Manager) setCommitted(text []byte) {
-	m.committed = text
-	m.fromLogTail = false
+// setCommittedConfig puts the encoded limits that the copy has in force; nil means none. The caller holds mu.
+func (m *Manager) setCommittedConfig(text []byte) {
+	m.committedConfig = text
+	m.configFromLogTail = false
 	m.setConfig(text)
 }
 
-// setConfig puts limits in force; nil is for none. Limits that are invalid here, such as a newer
-// version's, leave the previous ones in force. The lock is held.
+// setConfig puts encoded limits in force; nil means none. If this version finds them invalid, as it may find those of a
+// newer version, the previous limits stay in force. The caller holds mu.
 func (m *Manager) setConfig(text []byte) {
 	config := &quota.Config{}
 	if text != nil {
 		if err := errors.Join(json.Unmarshal(text, config), config.Check()); err != nil {
 			m.configFault = err.Error()
-			m.cfg.Log.Error("limits are invalid here, the previous ones stay in force", "error", err)
+			m.cfg.Log.Error("limits in the store are invalid; the previous ones stay in force", "error", err)
 			return
 		}
 	}
@@ -251,8 +253,8 @@
 	if len(config.Limits) > 0 {
 		m.matcher.Store(quota.NewMatcher(config))
 	}
-	m.wake()
+	m.wakeReporter()
 }
 
-// Allowed reports whether a daemon without a replica may do an operation on limits.
+// Allowed reports whether the daemon named owner, which has no replica, may do an operation on the keys of limits.
 func Allowed(op store.Op, owner string) bool { return quota.Allowed(op, owner) }
--- a/internal/controlplane/quotasync/manager_test.go
+++ b/internal/controlplane/quotasync/manager_test.go
@@ -18,7 +18,8 @@
 	"birchmoor/internal/store"
 )
 
-// A partial copy, which holds no other process, paces its reports by the number of processes that it is notified of.
+// A daemon with a partial copy, which holds no processes of other daemons, adapts the interval between its reports to
+// the number of processes that ObservePrefixSize reports.
 func TestReportIntervalGrowsWithProcessCount(t *testing.T) {
 	m := New(Config{
 		Host:                     "h",
@@ -28,8 +29,8 @@
 		Clock:                    bootclock.Clock{},
 		Log:                      slog.New(slog.DiscardHandler),
 	}, nil)
-	if fault := m.faultOf(m.allocator, nil); fault != faultNoCopy {
-		t.Errorf("before the first copy the fault is %q", fault)
+	if fault := m.statusFault(m.allocator, nil); fault != faultNoCopy {
+		t.Errorf("before the first copy the fault is %q, want that there is no copy", fault)
 	}
 	own, other := quota.Process{Host: "h", Session: 7}, quota.Process{Host: "h2", Session: 8}
 	subscription := m.Subscription()
@@ -38,17 +39,17 @@
 		own.DemandKey(): true, own.GrantKey(): true, quota.ConfigKey: true, other.DemandKey(): false,
 	} {
 		if interest.Covers(key) != want {
-			t.Errorf("the subscription covers %s: %v", key, !want)
+			t.Errorf("the subscription covers %s: %v, want the opposite", key, !want)
 		}
 	}
 	if subscription.Retained.Covers(own.DemandKey()) {
-		t.Errorf("%s is retained", own.DemandKey())
+		t.Errorf("%s is retained for the next start, want it not to be", own.DemandKey())
 	}
 
-	full := store.New(1, store.DefaultLimits)
+	fullCopy := store.New(1, store.DefaultLimits)
 	put := func(key string) {
 		op := store.Op{Key: key, Value: quota.Encode(quota.Demand{})}
-		full.Apply(full.Index()+1, &store.Command{Txn: &store.Txn{Then: []store.Op{op}}})
+		fullCopy.Apply(fullCopy.Index()+1, &store.Command{Txn: &store.Txn{Then: []store.Op{op}}})
 	}
 	put(own.DemandKey())
 	put(other.DemandKey())
@@ -59,31 +60,31 @@
 		_, _, next := m.consumer.Demand(now)
 		return time.Duration(next - now)
 	}
-	m.Reset(full.Subset(*interest))
-	if fault := m.faultOf(m.allocator, nil); fault != "" {
-		t.Errorf("with a copy the fault is %q", fault)
+	m.Reset(fullCopy.Subset(*interest))
+	if fault := m.statusFault(m.allocator, nil); fault != "" {
+		t.Errorf("with a partial copy the fault is %q, want none", fault)
 	}
 	m.ObservePrefixSize(quota.DemandPrefix, store.PrefixSize{Keys: 1200})
 	if d := interval(); d != 6*time.Second {
-		t.Errorf("among 1,200 processes: %v", d)
+		t.Errorf("among 1,200 processes the report interval is %v, want 6s", d)
 	}
 	m.ObservePrefixSize("other/", store.PrefixSize{Keys: 1})
 	m.Event(store.Event{Revision: 3, Item: store.Item{Key: own.DemandKey(), Value: quota.Encode(quota.Demand{})}})
 	if d := interval(); d != 6*time.Second {
-		t.Errorf("after a report of its own: %v", d)
+		t.Errorf("after the event of its own report the report interval is %v, want 6s", d)
 	}
-	m.Reset(full)
+	m.Reset(fullCopy)
 	if d := interval(); d != 250*time.Millisecond {
-		t.Errorf("with a copy of all: %v", d)
+		t.Errorf("with a full copy of two processes the report interval is %v, want 250ms", d)
 	}
 }
 
 var _ daemon.LogTailObserver = (*Manager)(nil)
 
-// Guards against a replica that admits everything when it is killed right after limits took effect and starts alone: it
-// does not know that the last entry of its log was committed.
+// Guards against a replica that admits all requests after it was killed just after limits took effect and starts
+// without a quorum: it does not know that the last entry of its log was committed.
 func TestLimitsOfLogTailAreInForceUntilCaughtUp(t *testing.T) {
-	limits := func(name string) []byte {
+	encodedConfig := func(name string) []byte {
 		config := &quota.Config{Limits: []*quota.Limit{{
 			Name: name, Kind: quota.Rate, Unit: quota.Requests, Window: 1e9, Fallback: quota.Strict,
 			Nodes: []quota.Node{{Capacity: 10 * quota.AmountUnit, Weight: 1}},
@@ -98,20 +99,20 @@
 	command := func(text []byte) *store.Command {
 		return &store.Command{Txn: &store.Txn{Then: []store.Op{{Key: quota.ConfigKey, Value: text}}}}
 	}
-	with := func(commands ...*store.Command) *store.State {
+	stateAfter := func(commands ...*store.Command) *store.State {
 		state := store.New(1, store.DefaultLimits)
 		for i, c := range commands {
 			state.Apply(uint64(i+1), c)
 		}
 		return state
 	}
-	for name, x := range map[string]struct {
-		start, later           *store.State // later nil: the tail was discarded
+	for name, test := range map[string]struct {
+		start, later           *store.State // later is nil if the log's tail was discarded
 		want, wantOnceCaughtUp string
 	}{
-		"committed":            {with(), with(command(limits("new"))), "new", "new"},
-		"discarded":            {with(), nil, "new", ""},
-		"others are committed": {with(command(limits("old"))), nil, "old", "old"},
+		"committed":            {stateAfter(), stateAfter(command(encodedConfig("new"))), "new", "new"},
+		"discarded":            {stateAfter(), nil, "new", ""},
+		"others are committed": {stateAfter(command(encodedConfig("old"))), nil, "old", "old"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := New(Config{Host: "h", TTL: time.Second, Log: slog.New(slog.DiscardHandler)}, nil)
@@ -121,35 +122,35 @@
 				}
 				return ""
 			}
-			m.Reset(x.start)
-			m.Uncommitted(command(limits("new")))
-			if got := rejectedBy(); got != x.want {
-				t.Errorf("after the start requests are rejected by %q, not by %q", got, x.want)
+			m.Reset(test.start)
+			m.Uncommitted(command(encodedConfig("new")))
+			if got := rejectedBy(); got != test.want {
+				t.Errorf("before catching up, the limit that rejects requests is %q, want %q", got, test.want)
 			}
-			if x.later != nil {
-				m.Reset(x.later)
+			if test.later != nil {
+				m.Reset(test.later)
 			}
 			m.CaughtUp()
-			if got := rejectedBy(); got != x.wantOnceCaughtUp {
-				t.Errorf("once caught up requests are rejected by %q, not by %q", got, x.wantOnceCaughtUp)
+			if got := rejectedBy(); got != test.wantOnceCaughtUp {
+				t.Errorf("after catching up, the limit that rejects requests is %q, want %q", got, test.wantOnceCaughtUp)
 			}
 		})
 	}
 }
 
-// failingStore makes no change, and tells of each that it was asked for.
+// failingStore fails each change, and sends to calls when it is asked for one.
 type failingStore struct {
 	daemon.Store
-	asked chan struct{}
+	calls chan struct{}
 }
 
 func (s *failingStore) Do(context.Context, store.Command) (store.Result, error) {
-	s.asked <- struct{}{}
+	s.calls <- struct{}{}
 	return store.Result{}, errors.New("no replica")
 }
 
-// Guards against reports of demand that fail for good without a word in the log: the first failure in a row is logged,
-// and those after it are not.
+// Guards against reports of demand that keep failing without a log line. Of consecutive failures, only the first is
+// logged.
 func TestFirstFailedReportIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var log bytes.Buffer
@@ -157,29 +158,29 @@
 			Host: "h", TTL: 5 * time.Second, ReportInterval: 250 * time.Millisecond, Clock: bootclock.Clock{},
 			Log: slog.New(slog.NewTextHandler(&log, nil)),
 		}, nil)
-		failing := &failingStore{asked: make(chan struct{}, 1)}
+		failing := &failingStore{calls: make(chan struct{}, 1)}
 		m.Attach(failing)
 		m.process = quota.Process{Host: "h", Session: 7}
 		m.consumer.SetSession(m.now(), 7, m.now()+int64(time.Hour))
 		ctx, cancel := context.WithCancel(t.Context())
-		ended := make(chan struct{})
+		done := make(chan struct{})
 		go func() {
-			defer close(ended)
+			defer close(done)
 			m.report(ctx)
 		}()
 		for range 3 {
-			<-failing.asked
+			<-failing.calls
 		}
 		cancel()
 		go func() {
-			for range failing.asked {
+			for range failing.calls {
 			}
 		}()
-		<-ended
-		close(failing.asked)
+		<-done
+		close(failing.calls)
 		n := strings.Count(log.String(), "cannot report the demand for quotas")
 		if n != 1 || !strings.Contains(log.String(), "no replica") {
-			t.Errorf("logged %d times:\n%s", n, log.String())
+			t.Errorf("consecutive failures were logged %d times, want once with the store's error:\n%s", n, log.String())
 		}
 	})
 }
--- a/internal/controlplane/quotasync/run.go
+++ b/internal/controlplane/quotasync/run.go
@@ -11,10 +11,10 @@
 	"birchmoor/internal/store"
 )
 
-// AllocatorTask is the name of the task whose holder allocates quotas.
+// AllocatorTask is the name of the task whose lease holder allocates quotas.
 const AllocatorTask = "limits"
 
-// AllocatorTask returns the task of allocating quotas, for daemons with a replica.
+// AllocatorTask returns the task that allocates quotas. Daemons with a replica run it.
 func (m *Manager) AllocatorTask() leasetask.Task {
 	return leasetask.Task{
 		Claim:           leasetask.Claim{Task: AllocatorTask, TTL: m.cfg.TTL, Note: "divides limits among sidecars"},
@@ -26,7 +26,7 @@
 	}
 }
 
-// allocate writes the changes of quotas that are due.
+// allocate writes the changes of grants that are due, conditional on the lease l and on the previous allocation.
 func (m *Manager) allocate(ctx context.Context, l *leasetask.Lease) error {
 	m.mu.Lock()
 	allocation := m.allocator.Allocate(m.now())
@@ -34,16 +34,16 @@
 	if allocation == nil {
 		return nil
 	}
-	// If the comparison fails the copy was out of date: the next allocation is by a newer one.
+	// If the comparison fails, the copy was outdated. The next allocation is based on a newer one.
 	_, err := l.Txn(ctx, store.Txn{If: allocation.If, Then: allocation.Then})
 	return err
 }
 
-// Run implements daemon.Component: it keeps the session and reports demand.
+// Run implements daemon.Component. Until ctx ends, it keeps the session, reports demand and logs rejections.
 func (m *Manager) Run(ctx context.Context) {
 	presence, err := m.runner.Presence(m.cfg.TTL)
 	if err != nil {
-		m.cfg.Log.Error("limits are not shared with the fleet", "error", err)
+		m.cfg.Log.Error("cannot open a session; this process gets no quotas of the fleet's limits", "error", err)
 		return
 	}
 	defer presence.Close()
@@ -66,38 +66,38 @@
 	}
 }
 
-// logMissingCopy logs that no limits are known.
+// logMissingCopy logs a warning if there is no copy of the store, and so no limits are known.
 func (m *Manager) logMissingCopy() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.hasCopy {
-		m.cfg.Log.Warn("limits of the fleet are not known", "fault", faultNoCopy)
+		m.cfg.Log.Warn("the fleet's limits are unknown", "fault", faultNoCopy)
 	}
 }
 
-// setSession takes the present session. If it is a new one, a grant may have come before it was known to be this
-// process's.
+// setSession sets the current session, 0 for none, and until when it is valid. If the session is new, it also applies
+// the grant in the copy of the store, whose event may have come before the session was known.
 func (m *Manager) setSession(ctx context.Context, session uint64, validUntil int64) {
 	m.mu.Lock()
 	isNew := session != m.process.Session
 	m.consumer.SetSession(m.now(), session, validUntil)
 	if isNew {
 		m.process = quota.Process{Host: m.cfg.Host, Session: session}
-		m.wake()
+		m.wakeReporter()
 	}
 	m.mu.Unlock()
 	if !isNew || session == 0 {
 		return
 	}
-	// A copy that is not there yet comes by Reset.
+	// If there is no copy yet, Reset applies the grant.
 	_, _ = m.store.View(ctx, true, func(s *store.State) {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.applyGrantOf(s)
+		m.applyGrantFrom(s)
 	})
 }
 
-// report sends reports of demand when they are due, until ctx ends. The first failure in a row is logged.
+// report sends reports of demand when they are due, until ctx ends. Of consecutive failures it logs the first.
 func (m *Manager) report(ctx context.Context) {
 	failing := false
 	for ctx.Err() == nil {
@@ -120,15 +120,15 @@
 	}
 }
 
-// pendingReport is a report that is due, or the time to wait for one.
+// pendingReport is a report that is due, or the time to wait until one may be.
 type pendingReport struct {
 	due     bool
-	process quota.Process
-	demand  quota.Demand
-	wait    time.Duration
+	process quota.Process // set if due
+	demand  quota.Demand  // set if due
+	wait    time.Duration // set if not due
 }
 
-// nextReport returns the next report. One that is due counts as sent.
+// nextReport returns the next report. If it is due, the consumer counts it as sent.
 func (m *Manager) nextReport() pendingReport {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -156,14 +156,14 @@
 	return err
 }
 
-// waitToReport waits for a time, or until something has changed.
+// waitToReport waits for the duration d, until wakeReporter is called or until ctx ends.
 func (m *Manager) waitToReport(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-m.wakeReporter:
+	case <-m.reporterWakeup:
 	}
 }
 
@@ -174,7 +174,7 @@
 	}
 }
 
-// logRejections logs the limits that have rejected requests since it was called last.
+// logRejections logs the limits that have rejected requests since its last call.
 func (m *Manager) logRejections() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -183,11 +183,11 @@
 		name, _, _ := strings.Cut(usage.Key, "@")
 		rejections[name] += usage.Rejected
 	}
-	for name, n := range rejections {
-		if logged := m.loggedRejections[name]; n > logged {
-			m.cfg.Log.Info("limit of the fleet rejects requests",
-				"limit", name, "since_last", n-logged, "every", rejectionLogInterval)
+	for name, count := range rejections {
+		if logged := m.loggedRejections[name]; count > logged {
+			m.cfg.Log.Info("requests were rejected by a limit of the fleet",
+				"limit", name, "since_last", count-logged, "every", rejectionLogInterval)
 		}
-		m.loggedRejections[name] = n
+		m.loggedRejections[name] = count
 	}
 }
--- a/internal/controlplane/quotasync/status.go
+++ b/internal/controlplane/quotasync/status.go
@@ -11,11 +11,11 @@
 	"birchmoor/internal/store"
 )
 
-// ErrConfigChanged says that other limits were put in force at the same time.
-var ErrConfigChanged = errors.New("the limits were changed meanwhile")
+// ErrConfigChanged is returned by Put if the limits were changed by someone else at the same time. Put may be retried.
+var ErrConfigChanged = errors.New("the limits were changed concurrently")
 
-// Put replaces the limits in force, for all daemons, and returns them as numbered. Processes keep to the quotas of the
-// previous ones until they have seen the new.
+// Put replaces the limits of the fleet and returns them with their version and generations. It sets these in config.
+// Each process enforces the previous limits until it has received the new ones.
 func (m *Manager) Put(ctx context.Context, config *quota.Config) (*quota.Config, error) {
 	if err := config.Check(); err != nil {
 		return nil, err
@@ -39,7 +39,8 @@
 	return config, err
 }
 
-// storedConfig returns the limits of the store and their revision, 0 if there are none.
+// storedConfig returns the limits in the store and the revision of their key. If there are none, it returns an empty
+// configuration and 0.
 func (m *Manager) storedConfig(ctx context.Context) (config *quota.Config, revision uint64, err error) {
 	var decodeErr error
 	_, err = m.store.View(ctx, false, func(s *store.State) {
@@ -52,27 +53,28 @@
 	return config, revision, errors.Join(err, decodeErr)
 }
 
-// Status is how the limits stand.
+// Status describes the limits and their allocation, as one daemon knows them. It is a JSON answer to operators.
 type Status struct {
-	Version       uint64         `json:"version"`
-	Fault         string         `json:"fault,omitempty"` // why the newest are not in force here, or not allocated
-	AllocatorHost string         `json:"divider"`         // the daemon that allocates, or ""
+	Version       uint64         `json:"version"`         // of the limits that this daemon enforces
+	Fault         string         `json:"fault,omitempty"` // why the status or the enforcement is incomplete, or ""
+	AllocatorHost string         `json:"divider"`         // the daemon that allocates, or "" if none does
 	MaxClockSkew  float64        `json:"skew"`
 	TTLMs         int64          `json:"ttl_ms"`
-	Process       quota.Process  `json:"here"`    // this daemon's
-	ValidForMs    int64          `json:"left_ms"` // until this daemon's session ends unless it is renewed
+	Process       quota.Process  `json:"here"`    // of this daemon
+	ValidForMs    int64          `json:"left_ms"` // until this daemon's session ends, unless it is renewed
 	Limits        []*LimitStatus `json:"limits"`
 }
 
-// LimitStatus is how a limit stands.
+// LimitStatus describes a limit and its allocation.
 type LimitStatus struct {
 	*quota.Limit
-	NodeStatuses []quota.NodeStatus `json:"parts"` // as Limit.Nodes
-	Overshoot    string             `json:"over"`  // in words: how far servers may see it exceeded now
+	NodeStatuses []quota.NodeStatus `json:"parts"` // in the order of Limit.Nodes
+	Overshoot    string             `json:"over"`  // as Limit.DescribeOvershoot returns it for the departed processes
 }
 
-// Status returns how all limits stand, or the one of a name, by a copy that holds all processes: this daemon's, or
-// else a replica's. Its error is quota.ErrLimitNotFound if there is no such limit.
+// Status returns the status of all limits, or of the named one if name is not empty. It is based on a copy of the store
+// that holds all processes, this daemon's or else a replica's. If no replica answers, the status covers this daemon's
+// processes only, and Fault says so. The error wraps quota.ErrLimitNotFound if there is no limit of that name.
 func (m *Manager) Status(ctx context.Context, name string) (*Status, error) {
 	allocator, replicaErr := m.allocatorForStatus(ctx)
 	allocatorHost := ""
@@ -84,7 +86,7 @@
 	now := m.now()
 	status := &Status{
 		Version:       m.config.Version,
-		Fault:         m.faultOf(allocator, replicaErr),
+		Fault:         m.statusFault(allocator, replicaErr),
 		AllocatorHost: allocatorHost,
 		MaxClockSkew:  m.cfg.MaxClockSkew,
 		TTLMs:         m.cfg.TTL.Milliseconds(),
@@ -94,7 +96,7 @@
 	}
 	for _, limit := range m.config.Limits {
 		if name == "" || limit.Name == name {
-			status.Limits = append(status.Limits, limitStatus(now, limit, allocator))
+			status.Limits = append(status.Limits, newLimitStatus(now, limit, allocator))
 		}
 	}
 	if name != "" && len(status.Limits) == 0 {
@@ -103,37 +105,37 @@
 	return status, nil
 }
 
-// faultNoCopy is the fault of a daemon that never had a copy of the store.
-const faultNoCopy = "there is no copy of the store yet: nothing is limited here"
+// faultNoCopy is the fault of a daemon that has never had a copy of the store.
+const faultNoCopy = "there is no copy of the store yet: this daemon enforces no limits"
 
-// faultOf returns the fault that a status shows. The lock is held.
-func (m *Manager) faultOf(allocator *quota.Allocator, replicaErr error) string {
+// statusFault returns the fault that Status reports, or "". The caller holds mu.
+func (m *Manager) statusFault(allocator *quota.Allocator, replicaErr error) string {
 	if !m.hasCopy {
 		return faultNoCopy
 	}
 	fault := m.configFault
 	if replicaErr != nil {
-		fault = fmt.Sprintf("no replica tells of the others: shares are this daemon's alone: %v", replicaErr)
+		fault = fmt.Sprintf("no replica tells of the others: the status covers only this daemon's quotas: %v", replicaErr)
 	}
 	if allocatorFault := allocator.Fault(); fault == "" && allocatorFault != "" {
-		fault = "nothing is divided here: " + allocatorFault
+		fault = "quotas cannot be allocated from this copy of the store: " + allocatorFault
 	}
 	return fault
 }
 
-func limitStatus(now int64, limit *quota.Limit, allocator *quota.Allocator) *LimitStatus {
+func newLimitStatus(now int64, limit *quota.Limit, allocator *quota.Allocator) *LimitStatus {
 	nodes := allocator.Status(now, limit)
-	gone := 0
+	departed := 0
 	for _, p := range nodes[0].Processes {
 		if p.Gone {
-			gone++
+			departed++
 		}
 	}
-	return &LimitStatus{Limit: limit, NodeStatuses: nodes, Overshoot: limit.DescribeOvershoot(gone)}
+	return &LimitStatus{Limit: limit, NodeStatuses: nodes, Overshoot: limit.DescribeOvershoot(departed)}
 }
 
-// allocatorForStatus returns an allocator that knows all processes. If no replica answers, it returns this
-// daemon's, which knows its own process alone, and the error.
+// allocatorForStatus returns an allocator whose copy of the store holds all processes. If no replica answers, it
+// returns this daemon's, whose copy holds only its own processes, and the error.
 func (m *Manager) allocatorForStatus(ctx context.Context) (*quota.Allocator, error) {
 	m.mu.Lock()
 	partialCopy, config := m.partialCopy, m.config
--- a/internal/controlplane/quotasync/stored_test.go
+++ b/internal/controlplane/quotasync/stored_test.go
@@ -9,7 +9,8 @@
 	"birchmoor/internal/controlplane/quota"
 )
 
-// TestStatusFormatUnchanged decodes the JSON that revision 7105f7a answered with and encodes the same bytes again.
+// TestStatusFormatUnchanged decodes a JSON answer of source revision 7105f7a and checks that it is encoded as the same
+// bytes again.
 func TestStatusFormatUnchanged(t *testing.T) {
 	fixture, err := os.ReadFile("testdata/status.json")
 	if err != nil {
@@ -23,7 +24,7 @@
 	}
 	encoded, err := json.Marshal(status)
 	if err != nil || !bytes.Equal(encoded, bytes.TrimSpace(fixture)) {
-		t.Errorf("encoded as %s, error %v", encoded, err)
+		t.Errorf("the status is encoded as %s, error %v, want the bytes of testdata/status.json", encoded, err)
 	}
 	process := status.Limits[0].NodeStatuses[0].Processes[0]
 	wantProcess := quota.ProcessQuota{
@@ -33,13 +34,13 @@
 		Committed:  63, Gone: true, AgeMs: 65, Seen: true,
 	}
 	if process != wantProcess {
-		t.Errorf("decoded %+v, not %+v", process, wantProcess)
+		t.Errorf("decoded process quota %+v, want %+v", process, wantProcess)
 	}
 	here := quota.Process{Host: "s8", Session: 10}
 	if status.Version != 3 || status.AllocatorHost != "s4" || status.TTLMs != 7 {
-		t.Errorf("decoded %+v", status)
+		t.Errorf("decoded status %+v, want version 3, allocator s4 and a TTL of 7 ms", status)
 	}
 	if status.Process != here || status.ValidForMs != 11 {
-		t.Errorf("decoded %+v", status)
+		t.Errorf("decoded status %+v, want process s8/10, valid for 11 ms", status)
 	}
 }
