--- a/internal/controlplane/quota/defect.go
+++ b/internal/controlplane/quota/defect.go
@@ -31,7 +31,8 @@
 	ReportIntervalPerProcess int64   // nanoseconds for each process of the fleet, if that makes a longer interval
 }
 
-// reportInterval returns the nanoseconds between two reports of a process in a fleet with the given number of processes.
+// reportInterval returns the nanoseconds between two reports of a process in a fleet with the given number of
+// processes.
 func (r Rules) reportInterval(processes int) int64 {
 	return max(r.ReportInterval, r.ReportIntervalPerProcess*int64(processes))
 }
--- a/internal/controlplane/quota/departure_test.go
+++ b/internal/controlplane/quota/departure_test.go
@@ -109,8 +109,8 @@
 	return 0
 }
 
-// disturbance may disturb the allocator, and returns the one that makes the next allocation. It is called at a time of
-// elapsed nanoseconds after the departure.
+// disturbance may disturb the allocator, and returns the one that makes the next allocation. elapsed is the time since
+// the departure in nanoseconds.
 type disturbance func(elapsed int64, a *followingAllocator) *followingAllocator
 
 func undisturbed(_ int64, allocator *followingAllocator) *followingAllocator { return allocator }
--- a/internal/controlplane/quota/file_test.go
+++ b/internal/controlplane/quota/file_test.go
@@ -77,8 +77,8 @@
 		"[limit.a]\nrate = 5.0\nby = [\"cookie:x\"]":                             "limit.a.by",
 		"[limit.a]\nrate = 5.0\n[limit.a.parts.\"x\"]\nmost = 1.0":               "more levels than the setting by",
 		parts + "[limit.a.parts.\"x/y\"]\nmost = 1.0":                            "has the parent",
-		parts + "[limit.a.parts.\"x\"]\nleast = 9.0":                             "capacity (most) or guarantee (least) is out of range",
-		parts + "[limit.a.parts.x]\nleast = 3.0\n[limit.a.parts.y]\nleast = 3.0": "its parts add up to 6, which exceeds its capacity (most) of 5",
+		parts + "[limit.a.parts.\"x\"]\nleast = 9.0":                             "most or least is out of range",
+		parts + "[limit.a.parts.x]\nleast = 3.0\n[limit.a.parts.y]\nleast = 3.0": "are 6 in total, more than its most of 5",
 		"[limit.\"A B\"]\nrate = 5.0":                                            "name",
 		"[limit.a]\nrate = 5.0\nburst = \"soon\"":                                "x.toml:3",
 	} {
--- a/internal/controlplane/quota/validate.go
+++ b/internal/controlplane/quota/validate.go
@@ -165,7 +165,7 @@
 		n := &l.Nodes[i]
 		if sum > n.Capacity {
 			return invalidField(fmt.Sprintf("part.%q", n.Path),
-				"guarantees (least) of its parts add up to %s, which exceeds its capacity (most) of %s",
+				"guarantees (least) of its parts are %s in total, more than its most of %s",
 				FormatAmount(sum), FormatAmount(n.Capacity))
 		}
 	}
@@ -185,7 +185,7 @@
 	case !isRoot && strings.Count(n.Path, "/") >= len(l.PartitionBy):
 		return invalidField(key, "path has more levels than the setting by")
 	case n.Capacity < 1 || n.Capacity > maxAmount*AmountUnit || n.Guaranteed < 0 || n.Guaranteed > n.Capacity:
-		return invalidField(key, "capacity (most) or guarantee (least) is out of range")
+		return invalidField(key, "most or least is out of range")
 	case !(n.Weight > 0) || n.Weight > maxWeight: //nolint:staticcheck // NaN is invalid, too
 		return invalidField(key+".weight", "%g is out of range", n.Weight)
 	}
