--- a/cmd/birchmoor/limit.go
+++ b/cmd/birchmoor/limit.go
@@ -155,7 +155,7 @@
 // commitReason says why the amount of a process counts against the limit.
 func commitReason(h *quota.ProcessQuota) string {
 	switch {
-	case h.Gone:
+	case h.Departed:
 		return "its sidecar is gone: what that may have begun is waited out"
 	case !h.Seen && h.Previous > h.Amount:
 		return "it has not said yet that it goes by the smaller share"
--- a/internal/controlplane/quota/allocate.go
+++ b/internal/controlplane/quota/allocate.go
@@ -58,8 +58,8 @@
 		case len(lingering) == 0:
 			expired = append(expired, p)
 		case len(lingering) < len(state.grant.Quotas),
-			age-state.grant.OutlivedNanos >= max(ageWriteInterval, shortestLinger/ageWritesPerLinger):
-			grants[p] = Grant{Quotas: lingering, OutlivedNanos: age}
+			age-state.grant.DepartedForNanos >= max(ageWriteInterval, shortestLinger/ageWritesPerLinger):
+			grants[p] = Grant{Quotas: lingering, DepartedForNanos: age}
 		}
 	}
 	return expired
--- a/internal/controlplane/quota/allocator.go
+++ b/internal/controlplane/quota/allocator.go
@@ -185,7 +185,7 @@
 	} else {
 		state.grant = grant
 		if !state.alive {
-			state.recordDeparture(now - grant.OutlivedNanos)
+			state.recordDeparture(now - grant.DepartedForNanos)
 		}
 	}
 	a.deleteIfEmpty(p)
@@ -244,7 +244,7 @@
 	state.recordDeparture(now)
 	age := now - state.departedAt
 	if a.defect == CountAgeTwice {
-		age += state.grant.OutlivedNanos
+		age += state.grant.DepartedForNanos
 	}
 	return age
 }
--- a/internal/controlplane/quota/status.go
+++ b/internal/controlplane/quota/status.go
@@ -28,7 +28,7 @@
 	Quota
 	NodeDemand
 	Committed Amount `json:"counts"`
-	Gone      bool   `json:"gone,omitempty"` // the process has departed, and its quota still counts
+	Departed  bool   `json:"gone,omitempty"` // the process has departed, and its quota still counts
 	AgeMs     int64  `json:"age_ms"`         // since its last report came to this copy, or since it departed
 	Seen      bool   `json:"seen"`           // the process has acknowledged its newest grant
 }
@@ -73,7 +73,7 @@
 		Process:   p,
 		Quota:     state.grant.Quotas[key],
 		Committed: a.committedAmount(state, key),
-		Gone:      !state.alive,
+		Departed:  !state.alive,
 		Seen:      state.acknowledged(),
 	}
 	if state.alive {
--- a/internal/controlplane/quota/stored_test.go
+++ b/internal/controlplane/quota/stored_test.go
@@ -94,7 +94,7 @@
 func TestGrantFormatUnchanged(t *testing.T) {
 	stored := readHexFixture(t, "grant.cbor.hex")
 	got, err := DecodeGrant(stored)
-	want := Grant{OutlivedNanos: 5_000_000_000, Quotas: map[string]Quota{
+	want := Grant{DepartedForNanos: 5_000_000_000, Quotas: map[string]Quota{
 		"bookings@7/":            {Amount: 2_000_000, Previous: 3_000_000, Linger: 60_000_000_000},
 		"bookings@7/acme/vienna": {Amount: 9},
 	}}
--- a/internal/controlplane/quota/wire.go
+++ b/internal/controlplane/quota/wire.go
@@ -68,8 +68,8 @@
 
 // Grant holds the quotas of a process. The grant of a departed process stays in the store until no quota of it counts.
 type Grant struct {
-	Quotas        map[string]Quota `cbor:"1,keyasint,omitempty"` // by Limit.Key
-	OutlivedNanos int64            `cbor:"2,keyasint,omitempty"` // the least age of the process's departure when written
+	Quotas           map[string]Quota `cbor:"1,keyasint,omitempty"` // by Limit.Key
+	DepartedForNanos int64            `cbor:"2,keyasint,omitempty"` // the least age of the process's departure when written
 }
 
 // Quota is a process's quota of one node.
--- a/internal/controlplane/quotasync/status.go
+++ b/internal/controlplane/quotasync/status.go
@@ -127,7 +127,7 @@
 	nodes := allocator.Status(now, limit)
 	departed := 0
 	for _, p := range nodes[0].Processes {
-		if p.Gone {
+		if p.Departed {
 			departed++
 		}
 	}
--- a/internal/controlplane/quotasync/stored_test.go
+++ b/internal/controlplane/quotasync/stored_test.go
@@ -31,7 +31,7 @@
 		Process:    quota.Process{Host: "s51", Session: 53},
 		Quota:      quota.Quota{Amount: 55, Previous: 56, Linger: 57},
 		NodeDemand: quota.NodeDemand{Wanted: 59, InUse: 60, Admitted: 61, Rejected: 62},
-		Committed:  63, Gone: true, AgeMs: 65, Seen: true,
+		Committed:  63, Departed: true, AgeMs: 65, Seen: true,
 	}
 	if process != wantProcess {
 		t.Errorf("decoded process quota %+v, want %+v", process, wantProcess)
--- a/internal/lab/limitlab/history.go
+++ b/internal/lab/limitlab/history.go
@@ -88,7 +88,7 @@
 				name, quota.FormatAmount(q.Amount), quota.FormatAmount(q.Previous)))
 		}
 		slices.Sort(quotas)
-		return fmt.Sprintf("%s: age %v, %s", key, time.Duration(grant.OutlivedNanos), strings.Join(quotas, ", "))
+		return fmt.Sprintf("%s: age %v, %s", key, time.Duration(grant.DepartedForNanos), strings.Join(quotas, ", "))
 	}
 	demand, err := quota.DecodeDemand(e.Item.Value)
 	if err != nil {
