--- a/internal/controlplane/quota/allocator.go
+++ b/internal/controlplane/quota/allocator.go
@@ -58,8 +58,8 @@
 	// minChangeInterval is the shortest time between two changes of a process's quotas.
 	minChangeInterval = int64(150 * time.Millisecond)
 
-	// ageWriteInterval is the shortest time between two updates of Grant.OutlivedNanos. ageWritesPerLinger is how many
-	// there are at most during the shortest linger in a grant.
+	// ageWriteInterval is the shortest time between two updates of Grant.DepartedForNanos. ageWritesPerLinger is how
+	// many there are at most during the shortest linger in a grant.
 	ageWriteInterval   = int64(time.Second)
 	ageWritesPerLinger = 20
 
--- a/internal/controlplane/quota/wire.go
+++ b/internal/controlplane/quota/wire.go
@@ -69,7 +69,7 @@
 // Grant holds the quotas of a process. The grant of a departed process stays in the store until no quota of it counts.
 type Grant struct {
 	Quotas           map[string]Quota `cbor:"1,keyasint,omitempty"` // by Limit.Key
-	DepartedForNanos int64            `cbor:"2,keyasint,omitempty"` // the least age of the process's departure when written
+	DepartedForNanos int64            `cbor:"2,keyasint,omitempty"` // least time since the departure, when written
 }
 
 // Quota is a process's quota of one node.
