--- a/internal/store/serverstate/codec.go
+++ b/internal/store/serverstate/codec.go
@@ -6,13 +6,14 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Format is the version of the records of starts and module snapshots. A reader skips records of a later one.
-const Format = 1
+// RecordFormat is the version of the encoding of start reports and module snapshots. A reader skips records of a later
+// version.
+const RecordFormat = 1
 
-// ErrFormat reports a record of a later version.
-var ErrFormat = errors.New("of a later format than this build reads")
+// ErrUnsupportedFormat reports a record that a newer build wrote in a later version of the encoding.
+var ErrUnsupportedFormat = errors.New("record format is newer than this build supports")
 
-// recordDecoder decodes values that other builds wrote: it ignores fields that it does not know.
+// recordDecoder decodes values that other builds may have written: it ignores fields that this build does not know.
 var recordDecoder = newRecordDecoder()
 
 func newRecordDecoder() cbor.DecMode {
@@ -25,7 +26,7 @@
 		MaxMapPairs:      64,
 	}.DecMode()
 	if err != nil {
-		panic(err) // the options are constant and valid
+		panic(err) // unreachable: the options are constant and valid
 	}
 	return mode
 }
--- a/internal/store/serverstate/exclusion.go
+++ b/internal/store/serverstate/exclusion.go
@@ -12,54 +12,66 @@
 // Kind says why a server is excluded.
 type Kind string
 
-// The kinds. The values are part of keys of the store.
+// The kinds of exclusions. Their values are part of the keys in the store.
 const (
-	Drain      Kind = "drain" // discovery reports that a process of the server drains; the server is named by a Process
-	AdminDrain Kind = "ban"   // operators drained the server
+	// Drain excludes one process that is draining according to discovery. The server in the key is its
+	// Process.ServerName.
+	Drain Kind = "drain"
+	// AdminDrain excludes a server that an operator drained. The server in the key is the server's ID.
+	AdminDrain Kind = "ban"
 )
 
-// ExclusionPrefix begins the keys of excluded servers: out/KIND/SERVER.
+// ExclusionPrefix is the prefix of the keys of excluded servers, which have the form out/KIND/SERVER.
 const ExclusionPrefix = "out/"
 
-// maxExclusions bounds the servers that a Guard holds, of all kinds together.
+// maxExclusions is the number of exclusions of all kinds at which Guard.Observe rejects further ones. Exclusions that
+// the store reports are never rejected.
 const maxExclusions = 65536
 
-// Errors of a Guard.
+// Errors that the methods of a Guard return.
 var (
-	ErrRevisionRegressed = errors.New("the store shows an older revision than one that was acted on")
-	ErrNotReported       = errors.New("the store does not know yet that the server is excluded")
+	// ErrRevisionRegressed reports a store state that is older than a revision that the guard has acted on.
+	ErrRevisionRegressed = errors.New("store state is older than a revision that was already acted on")
+	// ErrNotReported reports that the store has no committed exclusion of the server, so that there is none to end.
+	ErrNotReported = errors.New("the store has no committed exclusion of the server")
+	// ErrTooManyExclusions reports that the guard holds the maximum number of exclusions.
 	ErrTooManyExclusions = errors.New("too many servers are excluded")
-	ErrInvalidServerName = errors.New("not the name of a server")
+	// ErrInvalidServerName reports an unknown kind, an empty name, or a server that the guard does not cover.
+	ErrInvalidServerName = errors.New("invalid server name")
 )
 
-// ExclusionRecord is the value of a key under ExclusionPrefix.
+// ExclusionRecord is the value of a key with ExclusionPrefix.
 type ExclusionRecord struct {
-	ReportedBy string `cbor:"1,keyasint" json:"by"` // the daemon that reported the exclusion
+	ReportedBy string `cbor:"1,keyasint" json:"by"` // name of the daemon that reported the exclusion
 }
 
-// Exclusion is an excluded server as operators see it.
+// Exclusion describes an excluded server to operators.
 type Exclusion struct {
 	Kind       Kind   `json:"kind"`
 	Server     string `json:"server"`
-	Committed  bool   `json:"agreed"` // in the store; if not, this daemon alone excludes the server
-	ReportedBy string `json:"by"`     // the daemon that reported it last
-	AgeMillis  int64  `json:"age_ms"` // since the report reached this copy; -1: before this start, or not at all
+	Committed  bool   `json:"agreed"` // the store has the exclusion; if false, only this daemon excludes the server
+	ReportedBy string `json:"by"`     // name of the daemon that reported the exclusion last
+	// AgeMillis is the time since the report reached this daemon's copy of the store. It is -1 if the report arrived
+	// before this start of the daemon, or has not arrived.
+	AgeMillis int64 `json:"age_ms"`
 }
 
-// ExclusionKey is the key that excludes a server.
+// ExclusionKey returns the key whose presence in the store excludes a server.
 func ExclusionKey(kind Kind, server string) string {
 	return ExclusionPrefix + string(kind) + "/" + server
 }
 
+// parseExclusionKey parses an ExclusionKey. ok is false for an unknown kind and for an empty server.
 func parseExclusionKey(key string) (kind Kind, server string, ok bool) {
 	rest, ok := strings.CutPrefix(key, ExclusionPrefix)
-	name, server, found := strings.Cut(rest, "/")
-	kind = Kind(name)
+	kindName, server, found := strings.Cut(rest, "/")
+	kind = Kind(kindName)
 	known := kind == Drain || kind == AdminDrain
 	return kind, server, ok && found && known && server != ""
 }
 
-// IsServerKey reports whether daemons exchange reports on servers by a key.
+// IsServerKey reports whether a key belongs to the reports that daemons exchange about servers: exclusions, starts and
+// module snapshots.
 func IsServerKey(key string) bool {
 	for _, prefix := range []string{ExclusionPrefix, StartPrefix, SnapshotPrefix} {
 		if strings.HasPrefix(key, prefix) {
@@ -69,16 +81,16 @@
 	return false
 }
 
-// putExclusion is the operation that excludes the server of a key.
-func putExclusion(key, daemon string) *store.Op {
+// exclusionOp returns the operation that puts an exclusion key on behalf of a daemon.
+func exclusionOp(key, daemon string) *store.Op {
 	value, err := cbor.Marshal(ExclusionRecord{ReportedBy: daemon})
 	if err != nil {
-		panic(err) // a string can always be encoded
+		panic(err) // unreachable: a string can always be encoded
 	}
 	return &store.Op{Key: key, Value: value}
 }
 
-// DecodeExclusion decodes the value of an exclusion. A value that cannot be decoded yields an empty record: the
+// DecodeExclusion decodes the value of an exclusion. A value that cannot be decoded yields an empty record, because the
 // key alone excludes the server.
 func DecodeExclusion(value []byte) ExclusionRecord {
 	var record ExclusionRecord
--- a/internal/store/serverstate/guard.go
+++ b/internal/store/serverstate/guard.go
@@ -1,13 +1,14 @@
-// Package serverstate decides what a daemon believes of servers on which several daemons report through the
-// store. It does no I/O and reads no clock: reports, committed changes and confirmations come in, decisions
-// come out. It may import package store and nothing else of birchmoor.
+// Package serverstate decides which state a daemon assumes for servers about which several daemons report through the
+// store. It does no I/O and reads no clock: its callers pass in reports, committed changes and the outcomes of
+// proposals, and act on the decisions that it returns. Of this module it may import package store only.
 //
-// The rule is asymmetric. An exclusion of a server, by a drain or by operators, takes effect with the first
-// report of it: observed by this daemon, before the store has it, or committed to the store by another.
-// Readmission needs a quorum: a committed change that no later report of this daemon contradicts. A daemon that
-// is partitioned from the quorum keeps every exclusion and adds its own.
+// The rule for exclusions is asymmetric. An exclusion of a server, by a drain or by operators, takes effect with the
+// first report of it: either this daemon observed it, and the store does not have it yet, or another daemon's report is
+// committed to the store. Readmission needs a quorum: a committed change that no later report of this daemon
+// contradicts. A daemon that is partitioned from the quorum keeps every exclusion and adds its own.
 //
-// The revisions of the store only increase. A Guard never acts on one that is lower than one that it has acted on.
+// The revisions of the store only increase. A Guard never acts on a revision that is lower than one that it has acted
+// on.
 package serverstate
 
 import (
@@ -17,52 +18,55 @@
 	"birchmoor/internal/store"
 )
 
-// Guard holds which servers are excluded. Create it with NewGuard. It is not safe for concurrent use.
+// Guard tracks which servers are excluded. NewGuard creates one. It is not safe for concurrent use.
 type Guard struct {
-	daemon     string
-	exclusions map[string]*exclusionState // by key
-	revision   uint64                     // the highest that was acted on
-	covers     func(kind Kind, server string) bool
+	daemon        string                              // name under which it reports
+	exclusions    map[string]*exclusionState          // by key
+	actedRevision uint64                              // highest revision of the store that the guard has acted on
+	covers        func(kind Kind, server string) bool // nil: all servers
 
-	eagerReadmission bool // injected defect
+	eagerReadmission bool // injected defect of InjectEagerReadmission
 }
 
-// exclusionState is what is known of one server that is excluded for one reason.
+// exclusionState is the state of one exclusion key: one server, excluded for one reason.
 type exclusionState struct {
-	committedRevision uint64 // of the store's record; 0: the store has none
-	committedBy       string
+	committedRevision uint64 // revision of the store's record; 0: the store has none
+	committedBy       string // name of the daemon that wrote the store's record
 	proposal          proposalState
 
-	inLogTail   bool // found in the uncommitted end of the log at the start, which the copy has not reached yet
-	seenInStore bool // the store has changed the key since then
+	inLogTail   bool // found at the start in the uncommitted tail of the log, which the copy has not reached
+	seenInStore bool // a change of the key was applied since the start
 }
 
-// proposalState is how far this daemon's own report has come on its way to the store.
+// proposalState is the progress of this daemon's own report on its way to the store.
 type proposalState uint8
 
 const (
-	noProposal       proposalState = iota
-	proposing                      // a proposal is under way
-	proposingOutdone               // and the exclusion was observed again since it began, so that it has to be repeated
-	proposalDue                    // to be proposed again
+	noProposal         proposalState = iota
+	proposalInFlight                 // a proposal was handed out, and ProposalDone has not been called for it
+	proposalSuperseded               // in flight, and to be repeated: the exclusion was observed again since it began
+	proposalDue                      // TakeRetries will return it
 )
 
-func (e *exclusionState) excludes() bool {
+// isActive reports whether the server is excluded, either by the store or by this daemon alone.
+func (e *exclusionState) isActive() bool {
 	return e.committedRevision > 0 || e.proposal != noProposal || e.inLogTail
 }
 
-// NewGuard returns the guard of a daemon that excludes no server yet.
+// NewGuard returns a guard that excludes no server. daemon is the name under which it reports exclusions.
 func NewGuard(daemon string) *Guard {
 	return &Guard{daemon: daemon, exclusions: map[string]*exclusionState{}}
 }
 
-// Restrict makes the guard ignore all servers but those that covers reports. Call it before any other method.
+// Restrict makes the guard ignore the servers for which covers returns false. It must be called before any other
+// method.
 func (g *Guard) Restrict(covers func(kind Kind, server string) bool) { g.covers = covers }
 
-// InjectEagerReadmission readmits servers before the store has committed it: a defect for tests.
+// InjectEagerReadmission injects a defect for tests: Readmit ends an exclusion before the change is committed.
 func (g *Guard) InjectEagerReadmission() { g.eagerReadmission = true }
 
-// coveredServer returns the server of an exclusion key. ok is false also for servers that the guard does not cover.
+// coveredServer returns the server of an exclusion key. ok is false if the key is invalid or the guard does not cover
+// the server.
 func (g *Guard) coveredServer(key string) (server string, ok bool) {
 	kind, server, ok := parseExclusionKey(key)
 	if ok && g.covers != nil {
@@ -73,17 +77,17 @@
 
 // Excluded reports whether a server is excluded for any reason.
 func (g *Guard) Excluded(server string) bool {
-	return g.excludedAs(Drain, server) || g.excludedAs(AdminDrain, server)
+	return g.excludedBy(Drain, server) || g.excludedBy(AdminDrain, server)
 }
 
-func (g *Guard) excludedAs(kind Kind, server string) bool {
+func (g *Guard) excludedBy(kind Kind, server string) bool {
 	exclusion := g.exclusions[ExclusionKey(kind, server)]
-	return exclusion != nil && exclusion.excludes()
+	return exclusion != nil && exclusion.isActive()
 }
 
-// Observe takes an exclusion that this daemon observed itself, which takes effect at once. The operation,
-// unless it is nil, is to be proposed to the store, and ProposalDone called with the outcome. The errors are
-// ErrInvalidServerName and ErrTooManyExclusions.
+// Observe records an exclusion that this daemon observed itself. It takes effect at once. If the operation is not nil,
+// the caller proposes it to the store and then calls ProposalDone with the outcome. The errors are ErrInvalidServerName
+// and ErrTooManyExclusions.
 func (g *Guard) Observe(kind Kind, server string) (*store.Op, error) {
 	key := ExclusionKey(kind, server)
 	if _, ok := g.coveredServer(key); !ok {
@@ -97,48 +101,47 @@
 		exclusion = &exclusionState{}
 		g.exclusions[key] = exclusion
 	}
-	// It is proposed also if the store has it already, or a proposal is under way: a readmission that another
-	// daemon made meanwhile must not undo what was observed after it.
-	if exclusion.proposal == proposing || exclusion.proposal == proposingOutdone {
-		exclusion.proposal = proposingOutdone
+	// The exclusion is proposed even if the store already has it or a proposal is in flight: another daemon may have
+	// readmitted the server in the meantime, and that must not undo an observation made after it.
+	if exclusion.proposal == proposalInFlight || exclusion.proposal == proposalSuperseded {
+		exclusion.proposal = proposalSuperseded
 		return nil, nil
 	}
 	exclusion.inLogTail = false
-	exclusion.proposal = proposing
-	return putExclusion(key, g.daemon), nil
+	exclusion.proposal = proposalInFlight
+	return exclusionOp(key, g.daemon), nil
 }
 
-// ProposalDone takes the outcome of an operation of Observe or TakeRetries. One that was not committed is due
-// again; until then its server stays excluded.
+// ProposalDone records the outcome of an operation that Observe or TakeRetries returned. An operation that was not
+// committed is due again, and its server stays excluded.
 func (g *Guard) ProposalDone(key string, committed bool) {
 	exclusion := g.exclusions[key]
 	if exclusion == nil || exclusion.proposal == noProposal {
 		return
 	}
-	if !committed || exclusion.proposal == proposingOutdone {
+	if !committed || exclusion.proposal == proposalSuperseded {
 		exclusion.proposal = proposalDue
 		return
 	}
 	exclusion.proposal = noProposal
-	g.removeIfServing(key, exclusion)
+	g.removeIfInactive(key, exclusion)
 }
 
-// TakeRetries returns the operations that are to be proposed again, in the order of their keys, and counts them
-// as under way.
+// TakeRetries returns the operations that the caller is to propose again, ordered by key, and marks them as in flight.
 func (g *Guard) TakeRetries() []store.Op {
 	var ops []store.Op
 	for key, exclusion := range g.exclusions {
 		if exclusion.proposal == proposalDue {
-			exclusion.proposal = proposing
-			ops = append(ops, *putExclusion(key, g.daemon))
+			exclusion.proposal = proposalInFlight
+			ops = append(ops, *exclusionOp(key, g.daemon))
 		}
 	}
 	slices.SortFunc(ops, func(a, b store.Op) int { return cmp.Compare(a.Key, b.Key) })
 	return ops
 }
 
-// Readmit returns the transaction that ends the exclusion that the store has now, and not one that is reported
-// later. It is to be proposed; the server stays excluded until Apply takes the committed change. The error is
+// Readmit returns the transaction that ends the exclusion that the store has now; it fails on one that is reported
+// later. The caller proposes it, and the server stays excluded until Apply receives the committed change. The error is
 // ErrNotReported if the store has no such exclusion.
 func (g *Guard) Readmit(kind Kind, server string) (*store.Txn, error) {
 	key := ExclusionKey(kind, server)
@@ -157,13 +160,13 @@
 	return txn, nil
 }
 
-// Apply takes a committed change of the store; changes come in their order. It reports whether it excluded or
-// readmitted a server.
+// Apply applies a committed change of the store. Changes must be passed in the order of their revisions. It reports
+// whether the change excluded or readmitted a server.
 func (g *Guard) Apply(event store.Event) (changed bool) {
-	if event.Revision < g.revision {
+	if event.Revision < g.actedRevision {
 		return false
 	}
-	g.revision = event.Revision
+	g.actedRevision = event.Revision
 	key := event.Item.Key
 	server, ok := g.coveredServer(key)
 	if !ok {
@@ -173,9 +176,9 @@
 	if exclusion == nil && event.Deleted {
 		return false
 	}
-	before := g.Excluded(server)
+	wasExcluded := g.Excluded(server)
 	if exclusion == nil {
-		exclusion = &exclusionState{} // not counted against maxExclusions: the store bounds its own
+		exclusion = &exclusionState{} // accepted beyond maxExclusions, too: the store bounds its keys
 		g.exclusions[key] = exclusion
 	}
 	exclusion.committedRevision = event.Revision
@@ -184,31 +187,32 @@
 	}
 	exclusion.committedBy = DecodeExclusion(event.Item.Value).ReportedBy
 	exclusion.seenInStore = true
-	g.removeIfServing(key, exclusion)
-	return before != g.Excluded(server)
+	g.removeIfInactive(key, exclusion)
+	return wasExcluded != g.Excluded(server)
 }
 
-func (g *Guard) removeIfServing(key string, exclusion *exclusionState) {
-	if !exclusion.excludes() {
+// removeIfInactive forgets an exclusion that no longer excludes its server.
+func (g *Guard) removeIfInactive(key string, exclusion *exclusionState) {
+	if !exclusion.isActive() {
 		delete(g.exclusions, key)
 	}
 }
 
-// Reset takes a complete state, at a start or when the leader sent a snapshot. Exclusions that this daemon
-// observed stay. The error is ErrRevisionRegressed, and nothing changes, if the state is older than what was
-// acted on.
+// Reset replaces what the store reported by a complete state, at a start or after the leader sent a snapshot.
+// Exclusions that this daemon observed stay. If the state is older than a revision that the guard has acted on, the
+// error is ErrRevisionRegressed and nothing changes.
 func (g *Guard) Reset(state *store.State) error {
-	if state.Revision() < g.revision {
+	if state.Revision() < g.actedRevision {
 		return ErrRevisionRegressed
 	}
-	g.revision = state.Revision()
+	g.actedRevision = state.Revision()
 	for key, exclusion := range g.exclusions {
 		exclusion.committedRevision = 0
 		if item, ok := state.Get(key); ok {
 			exclusion.committedRevision = item.ModRevision
 			exclusion.committedBy = DecodeExclusion(item.Value).ReportedBy
 		}
-		g.removeIfServing(key, exclusion)
+		g.removeIfInactive(key, exclusion)
 	}
 	state.Range(ExclusionPrefix, store.PrefixEnd(ExclusionPrefix), func(item store.Item) bool {
 		if _, ok := g.coveredServer(item.Key); ok && g.exclusions[item.Key] == nil {
@@ -222,10 +226,10 @@
 	return nil
 }
 
-// Uncommitted takes a command at the end of the log of which a start does not know whether it is committed. The
-// servers that it excludes are excluded until CaughtUp, whatever the store says meanwhile: this daemon may have
-// acted on the command before it was killed, and the changes that it applies on the way there may be older.
-// Readmissions have no effect. It returns the keys of the exclusions.
+// Uncommitted records a command in the tail of the log that may or may not be committed. It is called during a start.
+// The servers that the command excludes stay excluded until CaughtUp is called, whatever the store reports until then:
+// this daemon may have acted on the command before it was killed, and the changes that it applies while it catches up
+// may be older. Readmissions in the command have no effect. It returns the keys of the exclusions.
 func (g *Guard) Uncommitted(command *store.Command) (keys []string) {
 	if command.Txn == nil {
 		return nil
@@ -245,9 +249,9 @@
 	return keys
 }
 
-// CaughtUp says that the copy has reached the end that the log had at the start. An exclusion of which the
-// store showed nothing on the way was lost with the end of the log; it is due to be proposed again, since
-// whoever reported it may rely on it. It returns the keys of the exclusions that ended, in order.
+// CaughtUp records that the copy has reached the end that the log had at the start. If no change of an exclusion's key
+// was applied on the way, its report was lost with the tail of the log; it is due to be proposed again, because the
+// daemon that reported it may rely on it. CaughtUp returns the sorted keys of the exclusions that ended.
 func (g *Guard) CaughtUp() (ended []string) {
 	for key, exclusion := range g.exclusions {
 		if !exclusion.inLogTail {
@@ -257,7 +261,7 @@
 		if exclusion.committedRevision == 0 && !exclusion.seenInStore && exclusion.proposal == noProposal {
 			exclusion.proposal = proposalDue
 		}
-		g.removeIfServing(key, exclusion)
+		g.removeIfInactive(key, exclusion)
 		if g.exclusions[key] == nil {
 			ended = append(ended, key)
 		}
@@ -266,13 +270,13 @@
 	return ended
 }
 
-// Revision is the highest revision of the store that was acted on.
-func (g *Guard) Revision() uint64 { return g.revision }
+// Revision returns the highest revision of the store that the guard has acted on, or 0.
+func (g *Guard) Revision() uint64 { return g.actedRevision }
 
-// Exclusions returns the excluded servers, in the order of their names and kinds. Their ages are not known
-// here: -1.
+// Exclusions returns the excluded servers, ordered by name and kind. The guard does not know the ages of the reports
+// and sets them to -1.
 func (g *Guard) Exclusions() []Exclusion {
-	all := make([]Exclusion, 0, len(g.exclusions))
+	exclusions := make([]Exclusion, 0, len(g.exclusions))
 	for key, state := range g.exclusions {
 		kind, server, _ := parseExclusionKey(key)
 		exclusion := Exclusion{Kind: kind, Server: server, ReportedBy: g.daemon, AgeMillis: -1}
@@ -280,25 +284,25 @@
 			exclusion.Committed = true
 			exclusion.ReportedBy = state.committedBy
 		}
-		all = append(all, exclusion)
+		exclusions = append(exclusions, exclusion)
 	}
-	slices.SortFunc(all, func(a, b Exclusion) int {
+	slices.SortFunc(exclusions, func(a, b Exclusion) int {
 		return cmp.Or(cmp.Compare(a.Server, b.Server), cmp.Compare(a.Kind, b.Kind))
 	})
-	return all
+	return exclusions
 }
 
-// Pending reports whether an exclusion takes effect here that is not known to be committed: one that this
-// daemon observed, or one of the uncommitted end of the log.
+// Pending reports whether the exclusion of a key takes effect on this daemon without being known to be committed:
+// either this daemon observed it, or it comes from the uncommitted tail of the log.
 func (g *Guard) Pending(key string) bool {
 	exclusion := g.exclusions[key]
 	return exclusion != nil && (exclusion.proposal != noProposal || exclusion.inLogTail)
 }
 
-// IsDraining reports whether a process is known to drain, by this daemon or by the store.
-func (g *Guard) IsDraining(process Process) bool { return g.excludedAs(Drain, process.ServerName()) }
+// IsDraining reports whether a process is draining according to this daemon or the store.
+func (g *Guard) IsDraining(process Process) bool { return g.excludedBy(Drain, process.ServerName()) }
 
-// DrainRevision is the revision of the store's record that a process drains, or 0.
+// DrainRevision returns the revision of the store's record of a draining process, or 0 if the store has none.
 func (g *Guard) DrainRevision(process Process) uint64 {
 	exclusion := g.exclusions[ExclusionKey(Drain, process.ServerName())]
 	if exclusion == nil {
@@ -307,7 +311,7 @@
 	return exclusion.committedRevision
 }
 
-// Draining lists the processes that are known to drain.
+// Draining lists the processes that are draining according to this daemon or the store.
 func (g *Guard) Draining() []Process {
 	var processes []Process
 	for _, exclusion := range g.Exclusions() {
--- a/internal/store/serverstate/guard_test.go
+++ b/internal/store/serverstate/guard_test.go
@@ -11,7 +11,7 @@
 )
 
 func init() {
-	// Fixed for reproducible runs; a seed given on the command line is set later and wins.
+	// The seed is fixed for reproducible runs. A seed on the command line is parsed later and replaces it.
 	if err := flag.Set("rapid.seed", "20261201"); err != nil {
 		panic(err)
 	}
@@ -19,18 +19,18 @@
 
 var limits = store.DefaultLimits
 
-// testDaemon is a guard and how far it has applied the shared log.
+// testDaemon is one daemon with its own guard and its own copy of the state, which applies a sharedLog.
 type testDaemon struct {
-	guard   *Guard
-	state   *store.State
-	applied int // entries of the log
+	guard          *Guard
+	state          *store.State
+	appliedEntries int // number of entries of the log that it has applied
 
-	ownEntry int // index in the log of its last report that it has not applied yet, or one of the values below
+	ownEntry int // index in the log of its last report, if it has not applied that; else one of the values below
 }
 
 const (
-	noOwnEntry   = -1
-	ownEntryLost = -2 // its last report is not in the log
+	noOwnEntry   = -1 // it has no report that it has not applied
+	ownEntryLost = -2 // its last report did not reach the log
 )
 
 type logEntry struct {
@@ -38,110 +38,112 @@
 	proposer *testDaemon
 }
 
-// sharedLog is one log that several daemons apply at their own pace.
+// sharedLog is the committed log that several daemons apply at their own pace.
 type sharedLog struct{ entries []logEntry }
 
-func (l *sharedLog) propose(d *testDaemon, txn *store.Txn) {
-	l.entries = append(l.entries, logEntry{store.Command{Txn: txn}, d})
+func (l *sharedLog) propose(proposer *testDaemon, txn *store.Txn) {
+	l.entries = append(l.entries, logEntry{store.Command{Txn: txn}, proposer})
 }
 
-func (l *sharedLog) proposeReport(d *testDaemon, op store.Op) {
-	d.ownEntry = len(l.entries)
-	l.propose(d, &store.Txn{Then: []store.Op{op}})
+func (l *sharedLog) proposeReport(proposer *testDaemon, op store.Op) {
+	proposer.ownEntry = len(l.entries)
+	l.propose(proposer, &store.Txn{Then: []store.Op{op}})
 }
 
-// applyNext has a daemon apply one entry, if there is one that it has not applied.
-func (l *sharedLog) applyNext(d *testDaemon) {
-	if d.applied == len(l.entries) {
+// applyNext lets a daemon apply the next entry, if it has not applied all.
+func (l *sharedLog) applyNext(daemon *testDaemon) {
+	if daemon.appliedEntries == len(l.entries) {
 		return
 	}
-	entry := l.entries[d.applied]
+	entry := l.entries[daemon.appliedEntries]
 	var events []store.Event
-	d.state.OnEvent(func(event store.Event) { events = append(events, event) })
-	d.applied++
-	d.state.Apply(uint64(d.applied), &entry.command)
+	daemon.state.OnEvent(func(event store.Event) { events = append(events, event) })
+	daemon.appliedEntries++
+	daemon.state.Apply(uint64(daemon.appliedEntries), &entry.command)
 	for _, event := range events {
-		d.guard.Apply(event)
+		daemon.guard.Apply(event)
 	}
-	isOwnReport := entry.proposer == d && len(entry.command.Txn.If) == 0
+	isOwnReport := entry.proposer == daemon && len(entry.command.Txn.If) == 0
 	if !isOwnReport {
 		return
 	}
-	d.guard.ProposalDone(ExclusionKey(Drain, "s"), true)
-	if d.ownEntry == d.applied-1 {
-		d.ownEntry = noOwnEntry
+	daemon.guard.ProposalDone(ExclusionKey(Drain, "s"), true)
+	if daemon.ownEntry == daemon.appliedEntries-1 {
+		daemon.ownEntry = noOwnEntry
 	}
 }
 
-func (l *sharedLog) applyAll(d *testDaemon) {
-	for d.applied < len(l.entries) {
-		l.applyNext(d)
+func (l *sharedLog) applyAll(daemon *testDaemon) {
+	for daemon.appliedEntries < len(l.entries) {
+		l.applyNext(daemon)
 	}
 }
 
-// step draws and does one thing with one of the daemons.
-func (l *sharedLog) step(t *rapid.T, d *testDaemon) {
+// step draws one action and lets a daemon take it: observe a drain, readmit the server, retry its reports, or apply an
+// entry.
+func (l *sharedLog) step(t *rapid.T, daemon *testDaemon) {
 	switch rapid.IntRange(0, 4).Draw(t, "what") {
 	case 0:
-		op, err := d.guard.Observe(Drain, "s")
+		op, err := daemon.guard.Observe(Drain, "s")
 		if err != nil {
 			t.Fatal(err)
 		}
 		switch {
 		case op == nil:
-			d.ownEntry = ownEntryLost
+			daemon.ownEntry = ownEntryLost
 		case rapid.Bool().Draw(t, "lost"):
-			d.ownEntry = ownEntryLost
-			d.guard.ProposalDone(op.Key, false)
+			daemon.ownEntry = ownEntryLost
+			daemon.guard.ProposalDone(op.Key, false)
 		default:
-			l.proposeReport(d, *op)
+			l.proposeReport(daemon, *op)
 		}
 	case 1:
-		if txn, err := d.guard.Readmit(Drain, "s"); err == nil {
-			l.propose(d, txn)
+		if txn, err := daemon.guard.Readmit(Drain, "s"); err == nil {
+			l.propose(daemon, txn)
 		}
 	case 2:
-		for _, op := range d.guard.TakeRetries() {
-			l.proposeReport(d, op)
+		for _, op := range daemon.guard.TakeRetries() {
+			l.proposeReport(daemon, op)
 		}
 	default:
-		l.applyNext(d)
+		l.applyNext(daemon)
 	}
 }
 
-// An exclusion of one server, reported by three daemons that apply one log at their own pace, takes effect
-// where it was observed until a later change in the log readmits the server; and no exclusion lasts for ever.
+// Three daemons that apply one log at their own pace report the exclusion of a server. It takes effect on the daemon
+// that observed it until a later change in the log readmits the server, and no exclusion lasts forever.
 func TestGuardExcludesAtOnceAndReadmitsByLogOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var log sharedLog
 		var daemons []*testDaemon
 		for _, name := range []string{"a", "b", "c"} {
-			d := &testDaemon{guard: NewGuard(name), state: store.New(1, limits), ownEntry: noOwnEntry}
-			daemons = append(daemons, d)
+			daemon := &testDaemon{guard: NewGuard(name), state: store.New(1, limits), ownEntry: noOwnEntry}
+			daemons = append(daemons, daemon)
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			d := rapid.SampledFrom(daemons).Draw(t, "daemon")
-			log.step(t, d)
-			_, committed := d.state.Get(ExclusionKey(Drain, "s"))
-			if (d.ownEntry != noOwnEntry || committed) && !d.guard.Excluded("s") {
-				t.Fatalf("not excluded: own report at %d, committed %v", d.ownEntry, committed)
+			daemon := rapid.SampledFrom(daemons).Draw(t, "daemon")
+			log.step(t, daemon)
+			_, committed := daemon.state.Get(ExclusionKey(Drain, "s"))
+			if (daemon.ownEntry != noOwnEntry || committed) && !daemon.guard.Excluded("s") {
+				t.Fatalf("server is not excluded: the daemon's own report is entry %d of the log, committed %v",
+					daemon.ownEntry, committed)
 			}
 		}
-		for range 4 { // enough rounds to commit and apply all reports
-			for _, d := range daemons {
-				for _, op := range d.guard.TakeRetries() {
-					log.proposeReport(d, op)
+		for range 4 { // enough rounds to commit and apply the reports of all daemons
+			for _, daemon := range daemons {
+				for _, op := range daemon.guard.TakeRetries() {
+					log.proposeReport(daemon, op)
 				}
-				log.applyAll(d)
+				log.applyAll(daemon)
 			}
 		}
 		if txn, err := daemons[0].guard.Readmit(Drain, "s"); err == nil {
 			log.propose(daemons[0], txn)
 		}
-		for _, d := range daemons {
-			log.applyAll(d)
-			if d.guard.Excluded("s") {
-				t.Fatalf("still excluded after its readmission: %+v", d.guard.exclusions)
+		for _, daemon := range daemons {
+			log.applyAll(daemon)
+			if daemon.guard.Excluded("s") {
+				t.Fatalf("server is still excluded after its readmission: %+v", daemon.guard.exclusions)
 			}
 		}
 	})
@@ -173,15 +175,16 @@
 	if retries := guard.TakeRetries(); !guard.Excluded("lost") || guard.Excluded("x") || len(retries) != 0 {
 		t.Fatal(retries, guard.Exclusions())
 	}
-	// On the way to the end of the log the copy shows an older report and its deletion: the later one may be
-	// yet to come.
+	// While it catches up, the copy shows an earlier report of the server and its deletion. The report in the tail of
+	// the log may still follow.
 	for i, deleted := range []bool{false, true} {
 		guard.Apply(store.Event{Revision: uint64(i + 1), Deleted: deleted, Item: store.Item{Key: seenKey}})
 		if !guard.Excluded("seen") {
-			t.Fatalf("change %d readmits the server", i+1)
+			t.Fatalf("change %d readmitted the server before the end of the log was reached", i+1)
 		}
 	}
-	// At the end the store decides on what it has changed; what it has not is due to be proposed again.
+	// At the end of the log, the store's state decides on the keys that it has changed. A key that it has not changed
+	// is due to be proposed again.
 	ended := guard.CaughtUp()
 	if len(ended) != 1 || ended[0] != seenKey || guard.Excluded("seen") || !guard.Excluded("lost") {
 		t.Fatal(ended, guard.Exclusions())
--- a/internal/store/serverstate/modulesnapshot.go
+++ b/internal/store/serverstate/modulesnapshot.go
@@ -11,36 +11,36 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// SnapshotPrefix begins the keys of the snapshots of sidecars' decision modules: known/SIDECAR/PROTOCOL.
+// SnapshotPrefix is the prefix of the keys of module snapshots, which have the form known/SIDECAR/PROTOCOL.
 const SnapshotPrefix = "known/"
 
-// MaxSnapshots bounds the module snapshots in the store.
+// MaxSnapshots is the maximum number of module snapshots in the store. A transaction that adds one more is rejected.
 const MaxSnapshots = 1024
 
-// All sidecars together write at most snapshotBytesPerSecond, and one sidecar at most one snapshot in
-// minSnapshotInterval.
+// All sidecars together write at most snapshotBytesPerSecond to the store, and each sidecar writes at most one snapshot
+// per minSnapshotInterval.
 const (
 	minSnapshotInterval    = int64(10e9) // nanoseconds
 	snapshotBytesPerSecond = 64 << 10
 )
 
-// ModuleSnapshot is what the decision module of one sidecar knows of the servers of one protocol. Data has the
-// form of package snapshot; the store does not read it.
+// ModuleSnapshot is the saved state of the decision module of one sidecar for the servers of one protocol. Data is
+// encoded by package snapshot; the store does not interpret it.
 type ModuleSnapshot struct {
 	Format     uint64 `cbor:"1,keyasint"`
-	ReportedBy string `cbor:"2,keyasint"` // the daemon that wrote it
+	ReportedBy string `cbor:"2,keyasint"` // name of the daemon that wrote the snapshot
 	Data       []byte `cbor:"3,keyasint"`
 }
 
-// SnapshotKey is the key of the snapshot of a sidecar's module for a protocol; the empty protocol is HTTP.
+// SnapshotKey returns the key of the snapshot of a sidecar's module for a protocol. The empty protocol is HTTP.
 func SnapshotKey(sidecar, protocol string) string {
 	return SnapshotPrefixOf(sidecar) + url.QueryEscape(protocol)
 }
 
-// SnapshotPrefixOf begins the keys of all snapshots of a sidecar.
+// SnapshotPrefixOf returns the prefix of the keys of all snapshots of a sidecar.
 func SnapshotPrefixOf(sidecar string) string { return SnapshotPrefix + url.QueryEscape(sidecar) + "/" }
 
-// ParseSnapshotKey parses a SnapshotKey.
+// ParseSnapshotKey parses a SnapshotKey. ok is false if the key is malformed or the sidecar is empty.
 func ParseSnapshotKey(key string) (sidecar, protocol string, ok bool) {
 	rest, ok := strings.CutPrefix(key, SnapshotPrefix)
 	escapedSidecar, escapedProtocol, found := strings.Cut(rest, "/")
@@ -52,12 +52,12 @@
 	return sidecar, protocol, sidecarErr == nil && protocolErr == nil && sidecar != ""
 }
 
-// PutTxn is the transaction that stores the snapshot under a key.
+// PutTxn returns the transaction that stores the snapshot under a key, in the current format.
 func (s ModuleSnapshot) PutTxn(key string) *store.Txn {
-	s.Format = Format
+	s.Format = RecordFormat
 	value, err := cbor.Marshal(s)
 	if err != nil {
-		panic(err) // strings and bytes can always be encoded
+		panic(err) // unreachable: strings and bytes can always be encoded
 	}
 	return &store.Txn{
 		Then:      []store.Op{{Key: key, Value: value}},
@@ -65,23 +65,24 @@
 	}
 }
 
-// DecodeModuleSnapshot decodes a record. The error wraps ErrFormat for one of a later version.
+// DecodeModuleSnapshot decodes a record. For a record of a later version the error wraps ErrUnsupportedFormat.
 func DecodeModuleSnapshot(value []byte) (ModuleSnapshot, error) {
 	var snapshot ModuleSnapshot
 	if err := recordDecoder.Unmarshal(value, &snapshot); err != nil {
 		return ModuleSnapshot{}, fmt.Errorf("module snapshot: %w", err)
 	}
-	if snapshot.Format > Format {
-		return ModuleSnapshot{}, fmt.Errorf("module snapshot: %w: %d", ErrFormat, snapshot.Format)
+	if snapshot.Format > RecordFormat {
+		return ModuleSnapshot{}, fmt.Errorf("module snapshot: %w: %d", ErrUnsupportedFormat, snapshot.Format)
 	}
 	if snapshot.Format == 0 || len(snapshot.Data) == 0 {
-		return ModuleSnapshot{}, errors.New("module snapshot: empty")
+		return ModuleSnapshot{}, errors.New("module snapshot: record has no format or no data")
 	}
 	return snapshot, nil
 }
 
-// SnapshotInterval is how long a sidecar waits, in nanoseconds, between two snapshots if those of all sidecars
-// take so many bytes: the rate at which the store writes does not grow with the number of sidecars.
+// SnapshotInterval returns how long a sidecar waits between two snapshots, in nanoseconds. totalBytes is the size of
+// the snapshots of all sidecars: the interval grows with it, so that the rate of writes to the store does not grow with
+// the number of sidecars.
 func SnapshotInterval(totalBytes int) int64 {
 	return max(minSnapshotInterval, int64(float64(totalBytes)/snapshotBytesPerSecond*1e9))
 }
--- a/internal/store/serverstate/process.go
+++ b/internal/store/serverstate/process.go
@@ -6,20 +6,20 @@
 	"strings"
 )
 
-// Process is one process of a server, to which a drain or a start applies. The same id at another address, the
-// same address under another id, and the same server after a restart are other processes: a drain says nothing
-// of them.
+// Process identifies one process of a server, to which a drain or a start applies. The same ID at another address, the
+// same address under another ID, and the same server after a restart are different processes: a drain of one does not
+// apply to the others.
 type Process struct {
 	ID, Addr  string
-	StartedMs int64 // Unix milliseconds by that server's own clock; 0: not reported
+	StartedMs int64 // start time in Unix milliseconds by the server's own clock; 0: not reported
 }
 
-// ServerName is the process as a part of a key.
+// ServerName encodes the process as a part of a key.
 func (p Process) ServerName() string {
 	return url.QueryEscape(p.ID) + "@" + url.QueryEscape(p.Addr) + "@" + strconv.FormatInt(p.StartedMs, 10)
 }
 
-// ParseProcess parses a ServerName.
+// ParseProcess parses a ServerName. ok is false if the name is malformed or the ID is empty.
 func ParseProcess(name string) (process Process, ok bool) {
 	parts := strings.Split(name, "@")
 	if len(parts) != 3 {
--- a/internal/store/serverstate/reportscheduler.go
+++ b/internal/store/serverstate/reportscheduler.go
@@ -6,48 +6,48 @@
 	"slices"
 )
 
-// ReportScheduler decides when a daemon reports to the store what all other daemons observe as well, so that
-// one report is written and not one by each.
+// ReportScheduler decides when a daemon reports to the store what the other daemons observe as well, so that one daemon
+// writes the report instead of each.
 //
-// Each daemon waits for a delay of its own, a hash of its name and the key, and reports only if the store has
-// no report by then: of N daemons, about N times the store's latency over Spread propose the report, and the
-// first proposal changes the store. A report that must be renewed is renewed by the daemons that still observe
-// its subject, RenewInterval after the last; one that was not renewed for Retention expires. All times are
-// nanoseconds of the daemon's own monotonic clock: clocks of hosts are not compared.
+// Each daemon waits for a delay of its own, a hash of its name and the key, and reports only if the store has no report
+// by then. Of N daemons, about N times the store's latency over Spread propose the report, and the first proposal
+// changes the store. A report that must be renewed is renewed by the daemons that still observe its subject,
+// RenewInterval after the last one. A report that was not renewed for Retention expires. All times are nanoseconds of
+// the daemon's own monotonic clock: the clocks of different hosts are never compared.
 //
 // A ReportScheduler is not safe for concurrent use.
 type ReportScheduler struct {
-	daemon        string
+	daemon        string // name, which determines its delays
 	schedule      ReportSchedule
 	reports       map[string]*reportState // by key
-	observedCount int
-	limitReached  bool // and said to be
+	observedCount int                     // number of reports with observed set
+	limitReported bool                    // Observe has returned limitReached since the last Withdraw
 }
 
-// ReportSchedule says when reports of one kind are written, renewed and expire. Times are nanoseconds.
+// ReportSchedule configures when reports of one kind are written, renewed and expire. Durations are nanoseconds.
 type ReportSchedule struct {
 	Spread        int64 // upper bound of the delay before a daemon reports
-	RenewInterval int64 // 0: reports are not renewed
-	Retention     int64
-	MaxObserved   int // subjects that this daemon observes at once; further ones are ignored
+	RenewInterval int64 // time from a report to its renewal; 0: reports are not renewed
+	Retention     int64 // time from the last report until it expires
+	MaxObserved   int   // maximum number of subjects that this daemon observes at once; further ones are ignored
 }
 
-// reportState is what is known of one key.
+// reportState is the state of one key.
 type reportState struct {
-	observed    bool   // by this daemon
-	dueAt       int64  // when to report; 0: not at all
-	committed   bool   // the store has a report
-	committedAt int64  // when the last one reached this daemon
-	revision    uint64 // of the last one
+	observed  bool   // this daemon observes the subject
+	dueAt     int64  // when this daemon is to report; 0: not scheduled
+	committed bool   // the store has a report
+	arrivedAt int64  // when the last report reached this daemon
+	revision  uint64 // revision of the last report
 }
 
-// NewReportScheduler returns the scheduler of a daemon that observes nothing yet.
+// NewReportScheduler returns a scheduler that observes nothing. The name of the daemon determines its delays.
 func NewReportScheduler(daemon string, schedule ReportSchedule) *ReportScheduler {
 	return &ReportScheduler{daemon: daemon, schedule: schedule, reports: map[string]*reportState{}}
 }
 
-// delay is how long this daemon leaves the report on a key to others.
-func (s *ReportScheduler) delay(key string) int64 {
+// ownDelay returns how long this daemon waits for another one to report a key.
+func (s *ReportScheduler) ownDelay(key string) int64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(s.daemon)) // never fails
 	_, _ = hash.Write([]byte{0})
@@ -55,8 +55,8 @@
 	return int64(hash.Sum64() % uint64(max(1, s.schedule.Spread)))
 }
 
-// report returns the state of a key, a new one if there is none.
-func (s *ReportScheduler) report(key string) *reportState {
+// findOrAdd returns the state of a key. If there is none, it adds one.
+func (s *ReportScheduler) findOrAdd(key string) *reportState {
 	report := s.reports[key]
 	if report == nil {
 		report = &reportState{}
@@ -65,45 +65,47 @@
 	return report
 }
 
+// removeIfUnused forgets a key that this daemon does not observe and of which the store has no report.
 func (s *ReportScheduler) removeIfUnused(key string, report *reportState) {
 	if !report.observed && !report.committed {
 		delete(s.reports, key)
 	}
 }
 
-// Observe says that this daemon observes the subject of a key. It returns when Due is to be called, or 0.
-// limitReached is set once, when the first key is ignored because too many are observed.
-func (s *ReportScheduler) Observe(now int64, key string) (due int64, limitReached bool) {
+// Observe records that this daemon observes the subject of a key. It returns when Due is to be called, or 0.
+// limitReached is true for the first key that is ignored because MaxObserved subjects are observed, so that the caller
+// logs it once.
+func (s *ReportScheduler) Observe(now int64, key string) (dueAt int64, limitReached bool) {
 	if s.Observes(key) {
 		return 0, false
 	}
 	if s.observedCount >= s.schedule.MaxObserved {
-		limitReached = !s.limitReached
-		s.limitReached = true
+		limitReached = !s.limitReported
+		s.limitReported = true
 		return 0, limitReached
 	}
-	report := s.report(key)
+	report := s.findOrAdd(key)
 	report.observed = true
 	s.observedCount++
-	return s.plan(now, key, report), false
+	return s.updateDueTime(now, key, report), false
 }
 
-// plan sets and returns when a report is due.
-func (s *ReportScheduler) plan(now int64, key string, report *reportState) int64 {
+// updateDueTime sets and returns when this daemon is to report a key, 0 if it is not to.
+func (s *ReportScheduler) updateDueTime(now int64, key string, report *reportState) int64 {
 	switch {
 	case !report.observed:
 		report.dueAt = 0
 	case !report.committed:
-		report.dueAt = now + 1 + s.delay(key)
+		report.dueAt = now + 1 + s.ownDelay(key)
 	case s.schedule.RenewInterval > 0:
-		report.dueAt = report.committedAt + s.schedule.RenewInterval + s.delay(key)
+		report.dueAt = report.arrivedAt + s.schedule.RenewInterval + s.ownDelay(key)
 	default:
 		report.dueAt = 0
 	}
 	return report.dueAt
 }
 
-// Withdraw says that this daemon no longer observes the subject of a key.
+// Withdraw records that this daemon no longer observes the subject of a key.
 func (s *ReportScheduler) Withdraw(key string) {
 	report := s.reports[key]
 	if report == nil || !report.observed {
@@ -112,7 +114,7 @@
 	report.observed = false
 	report.dueAt = 0
 	s.observedCount--
-	s.limitReached = false
+	s.limitReported = false
 	s.removeIfUnused(key, report)
 }
 
@@ -122,43 +124,44 @@
 	return report != nil && report.observed
 }
 
-// Committed takes a change of the store: a report on a key, or its deletion. It returns when Due is to be
-// called, or 0: a daemon that still observes what others deleted reports it again.
-func (s *ReportScheduler) Committed(now int64, key string, revision uint64, deleted bool) (due int64) {
-	report := s.report(key)
+// Committed records a committed change of a key, which is a report or its deletion. It returns when Due is to be
+// called, or 0. If this daemon still observes the subject of a deleted report, it is to report it again.
+func (s *ReportScheduler) Committed(now int64, key string, revision uint64, deleted bool) (dueAt int64) {
+	report := s.findOrAdd(key)
 	report.committed = !deleted
-	report.committedAt = now
+	report.arrivedAt = now
 	report.revision = revision
-	due = s.plan(now, key, report)
+	dueAt = s.updateDueTime(now, key, report)
 	s.removeIfUnused(key, report)
-	return due
+	return dueAt
 }
 
-// Reset takes a complete state, at a start or when the leader sent a snapshot: the keys, and the revisions of
-// their reports. A report that is known by that revision keeps its time; any other counts as committed now.
+// Reset replaces the state of the store's reports, at a start or after the leader sent a snapshot. revisions has the
+// revision of each report by its key. A report that is already known at that revision keeps its time; any other counts
+// as committed now.
 func (s *ReportScheduler) Reset(now int64, revisions map[string]uint64) {
 	for key, revision := range revisions {
-		report := s.report(key)
+		report := s.findOrAdd(key)
 		if report.committed && report.revision == revision {
 			continue
 		}
 		report.committed = true
-		report.committedAt = now
+		report.arrivedAt = now
 		report.revision = revision
-		s.plan(now, key, report)
+		s.updateDueTime(now, key, report)
 	}
 	for key, report := range s.reports {
 		if _, stored := revisions[key]; report.committed && !stored {
 			report.committed = false
-			s.plan(now, key, report)
+			s.updateDueTime(now, key, report)
 			s.removeIfUnused(key, report)
 		}
 	}
 }
 
-// Retry schedules a report again after a delay, because its proposal came to nothing. It returns when Due is to
-// be called, or 0.
-func (s *ReportScheduler) Retry(now, delay int64, key string) (due int64) {
+// Retry schedules a report again after a delay in nanoseconds, because its proposal failed. It returns when Due is to
+// be called, or 0 if the report needs no retry.
+func (s *ReportScheduler) Retry(now, delay int64, key string) (dueAt int64) {
 	report := s.reports[key]
 	if report == nil || !report.observed || report.committed || report.dueAt > 0 {
 		return 0
@@ -167,18 +170,19 @@
 	return report.dueAt
 }
 
-// Due returns the keys that are to be reported now, each once, and those whose reports have expired, both in order.
-func (s *ReportScheduler) Due(now int64) (due, expired []string) {
+// Due returns the keys that this daemon is to report now and the keys whose reports have expired, both sorted. A key is
+// due once; one that has expired is returned by each call until its deletion is committed.
+func (s *ReportScheduler) Due(now int64) (dueKeys, expiredKeys []string) {
 	for key, report := range s.reports {
 		switch {
 		case report.observed && report.dueAt > 0 && now >= report.dueAt:
 			report.dueAt = 0
-			due = append(due, key)
-		case !report.observed && report.committed && now-report.committedAt >= s.schedule.Retention:
-			expired = append(expired, key)
+			dueKeys = append(dueKeys, key)
+		case !report.observed && report.committed && now-report.arrivedAt >= s.schedule.Retention:
+			expiredKeys = append(expiredKeys, key)
 		}
 	}
-	slices.SortFunc(due, cmp.Compare)
-	slices.SortFunc(expired, cmp.Compare)
-	return due, expired
+	slices.SortFunc(dueKeys, cmp.Compare)
+	slices.SortFunc(expiredKeys, cmp.Compare)
+	return dueKeys, expiredKeys
 }
--- a/internal/store/serverstate/startreport.go
+++ b/internal/store/serverstate/startreport.go
@@ -8,28 +8,28 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// StartPrefix begins the keys of processes of servers that started recently: start/PROCESS.
+// StartPrefix is the prefix of the keys of start reports, which have the form start/PROCESS.
 const StartPrefix = "start/"
 
-// MaxStarts bounds the starts in the store; a transaction that adds one more is rejected.
+// MaxStarts is the maximum number of start reports in the store. A transaction that adds one more is rejected.
 const MaxStarts = 16384
 
-// maxStartMillis bounds both figures of a report: a day.
+// maxStartMillis is the upper bound of both durations of a start report, one day.
 const maxStartMillis = 24 * 3600 * 1000
 
-// StartReport says that a process of a server started. It is of use while the process is warming up, and says
-// itself how long that is, so that the configuration of the reader does not matter.
+// StartReport reports that a process of a server started. It matters while the process is warming up, and contains how
+// long that takes, so that the result does not depend on the reader's configuration.
 type StartReport struct {
 	Format       uint64 `cbor:"1,keyasint" json:"-"`
-	ReportedBy   string `cbor:"2,keyasint" json:"by"`     // the daemon that wrote it
-	AgoMillis    int64  `cbor:"3,keyasint" json:"ago_ms"` // from the start to the writing of the report
-	WarmupMillis int64  `cbor:"4,keyasint" json:"for_ms"` // from the start to the end of warming up
+	ReportedBy   string `cbor:"2,keyasint" json:"by"`     // name of the daemon that wrote the report
+	AgeMillis    int64  `cbor:"3,keyasint" json:"ago_ms"` // from the start of the process until the report was written
+	WarmupMillis int64  `cbor:"4,keyasint" json:"for_ms"` // from the start of the process until it has warmed up
 }
 
-// StartKey is the key of the report on a process.
+// StartKey returns the key of the start report of a process.
 func StartKey(process Process) string { return StartPrefix + process.ServerName() }
 
-// ParseStart parses a StartKey.
+// ParseStart parses a StartKey. ok is false if the key is malformed.
 func ParseStart(key string) (process Process, ok bool) {
 	name, ok := strings.CutPrefix(key, StartPrefix)
 	if !ok {
@@ -40,27 +40,28 @@
 
 // Encode encodes the report in the current format.
 func (r StartReport) Encode() []byte {
-	r.Format = Format
+	r.Format = RecordFormat
 	value, err := cbor.Marshal(r)
 	if err != nil {
-		panic(err) // strings and numbers can always be encoded
+		panic(err) // unreachable: strings and numbers can always be encoded
 	}
 	return value
 }
 
-// DecodeStartReport decodes a report and checks its figures. The error wraps ErrFormat for one of a later version.
+// DecodeStartReport decodes a report and checks the range of its durations. For a report of a later version the error
+// wraps ErrUnsupportedFormat.
 func DecodeStartReport(value []byte) (StartReport, error) {
 	var report StartReport
 	if err := recordDecoder.Unmarshal(value, &report); err != nil {
 		return StartReport{}, fmt.Errorf("start report: %w", err)
 	}
-	if report.Format > Format {
-		return StartReport{}, fmt.Errorf("start report: %w: %d", ErrFormat, report.Format)
+	if report.Format > RecordFormat {
+		return StartReport{}, fmt.Errorf("start report: %w: %d", ErrUnsupportedFormat, report.Format)
 	}
-	validAgo := 0 <= report.AgoMillis && report.AgoMillis <= maxStartMillis
+	validAge := 0 <= report.AgeMillis && report.AgeMillis <= maxStartMillis
 	validWarmup := 0 < report.WarmupMillis && report.WarmupMillis <= maxStartMillis
-	if report.Format == 0 || !validAgo || !validWarmup {
-		return StartReport{}, errors.New("start report: a figure is out of range")
+	if report.Format == 0 || !validAge || !validWarmup {
+		return StartReport{}, errors.New("start report: format or duration out of range")
 	}
 	return report, nil
 }
--- a/internal/store/serverstate/starts.go
+++ b/internal/store/serverstate/starts.go
@@ -4,51 +4,53 @@
 
 const nanosPerMilli = 1e6
 
-// Starts holds which processes of servers started recently, as this daemon observed and as the store says. A
-// process starts once: while the first report of it is of use, a later one stems from an outdated endpoint list
-// and changes nothing, so that a start is never moved. It is not safe for concurrent use; times are nanoseconds
-// of the daemon's own clock.
+// Starts tracks the processes of servers that started recently, as observed by this daemon or reported by the store. A
+// process starts only once: while its first report is in effect, a later report comes from an outdated endpoint list
+// and is ignored, so that the start time of a process never moves. Starts is not safe for concurrent use. Times are
+// nanoseconds of the daemon's own clock.
 type Starts struct {
 	daemon    string
 	starts    map[string]*startState // by key
 	maxStarts int
 }
 
-// startState is what is known of one process that started.
+// startState is the state of one process that started.
 type startState struct {
 	startedAt         int64
-	warmUntil         int64  // end of warming up
-	observed          bool   // by this daemon
-	committedRevision uint64 // of the store's report; 0: the store has none
+	warmupEndsAt      int64  // when the process has warmed up
+	observed          bool   // this daemon observed the start
+	committedRevision uint64 // revision of the store's report; 0: the store has none
 	reportedBy        string
 }
 
-// NewStarts returns the starts of a daemon that knows of none. It holds at most maxStarts and ignores further ones.
+// NewStarts returns an empty Starts, which holds at most maxStarts processes and ignores further ones. daemon is the
+// name under which it reports starts.
 func NewStarts(daemon string, maxStarts int) *Starts {
 	return &Starts{daemon: daemon, starts: map[string]*startState{}, maxStarts: maxStarts}
 }
 
-// Observe takes a start that this daemon observed: the process started ago nanoseconds before now and warms up
-// for warmup nanoseconds from its start. It reports whether that is news.
-func (s *Starts) Observe(now int64, process Process, ago, warmup int64) bool {
-	if ago < 0 || warmup <= ago {
+// Observe records a start that this daemon observed: the process started age nanoseconds before now and is warming up
+// for warmup nanoseconds from its start. It reports whether the start was recorded: it is not if it is known, if age is
+// invalid, if the process has warmed up, or if maxStarts is reached.
+func (s *Starts) Observe(now int64, process Process, age, warmup int64) bool {
+	if age < 0 || warmup <= age {
 		return false
 	}
 	key := StartKey(process)
-	if start := s.starts[key]; start != nil && now < start.warmUntil {
+	if start := s.starts[key]; start != nil && now < start.warmupEndsAt {
 		return false
 	}
-	start := s.entry(key)
+	start := s.findOrAdd(key)
 	if start == nil {
 		return false
 	}
 	start.observed = true
-	start.set(now-ago, warmup, s.daemon)
+	start.set(now-age, warmup, s.daemon)
 	return true
 }
 
-// entry returns the state of a key, a new one if there is none, or nil if there are too many.
-func (s *Starts) entry(key string) *startState {
+// findOrAdd returns the state of a key. If there is none it adds one, or returns nil if maxStarts is reached.
+func (s *Starts) findOrAdd(key string) *startState {
 	start := s.starts[key]
 	if start != nil {
 		return start
@@ -63,22 +65,22 @@
 
 func (s *startState) set(startedAt, warmup int64, reportedBy string) {
 	s.startedAt = startedAt
-	s.warmUntil = startedAt + warmup
+	s.warmupEndsAt = startedAt + warmup
 	s.reportedBy = reportedBy
 }
 
-// ReportTxn is the transaction that reports a process to the store, or nil unless this daemon observed its
-// start and it is still warming up.
+// ReportTxn returns the transaction that reports the start of a process to the store. It returns nil unless this daemon
+// observed the start and the process is still warming up.
 func (s *Starts) ReportTxn(now int64, process Process) *store.Txn {
 	key := StartKey(process)
 	start := s.starts[key]
-	if start == nil || !start.observed || now >= start.warmUntil {
+	if start == nil || !start.observed || now >= start.warmupEndsAt {
 		return nil
 	}
 	report := StartReport{
 		ReportedBy:   s.daemon,
-		AgoMillis:    (now - start.startedAt) / nanosPerMilli,
-		WarmupMillis: (start.warmUntil - start.startedAt) / nanosPerMilli,
+		AgeMillis:    (now - start.startedAt) / nanosPerMilli,
+		WarmupMillis: (start.warmupEndsAt - start.startedAt) / nanosPerMilli,
 	}
 	return &store.Txn{
 		If:        []store.Compare{{Key: key, ModRevision: start.committedRevision}},
@@ -87,7 +89,7 @@
 	}
 }
 
-// DeleteTxn is the transaction that deletes the store's report on a process, or nil if it has none.
+// DeleteTxn returns the transaction that deletes the store's report of a process, or nil if the store has none.
 func (s *Starts) DeleteTxn(process Process) *store.Txn {
 	key := StartKey(process)
 	start := s.starts[key]
@@ -100,9 +102,9 @@
 	}
 }
 
-// Apply takes a committed change of the store that was made late nanoseconds ago, 0 if that is not known. It
-// returns the process, and whether what is known of it changed.
-func (s *Starts) Apply(now int64, event store.Event, late int64) (process Process, changed bool) {
+// Apply applies a committed change of the store that was made sinceChange nanoseconds ago, 0 if that is not known. It
+// returns the process, and whether the process is newly known to be warming up.
+func (s *Starts) Apply(now int64, event store.Event, sinceChange int64) (process Process, changed bool) {
 	key := event.Item.Key
 	process, ok := ParseStart(key)
 	if !ok {
@@ -116,20 +118,20 @@
 	if err != nil {
 		return process, false
 	}
-	start := s.entry(key)
+	start := s.findOrAdd(key)
 	if start == nil {
 		return process, false
 	}
 	start.committedRevision = event.Revision
-	if now < start.warmUntil {
+	if now < start.warmupEndsAt {
 		return process, false
 	}
 	start.observed = false
-	start.set(now-late-report.AgoMillis*nanosPerMilli, report.WarmupMillis*nanosPerMilli, report.ReportedBy)
-	return process, now < start.warmUntil
+	start.set(now-sinceChange-report.AgeMillis*nanosPerMilli, report.WarmupMillis*nanosPerMilli, report.ReportedBy)
+	return process, now < start.warmupEndsAt
 }
 
-// applyDeletion forgets what the store said of a key. What this daemon observed stays.
+// applyDeletion forgets the store's report of a key. A start that this daemon observed stays.
 func (s *Starts) applyDeletion(key string) {
 	start := s.starts[key]
 	if start == nil {
@@ -141,32 +143,34 @@
 	}
 }
 
-// WarmingUp calls visit for each process that is still warming up, with how long ago it started and how long it
-// still warms up, in nanoseconds. The order is random.
-func (s *Starts) WarmingUp(now int64, visit func(process Process, ago, left int64, reportedBy string, committed bool)) {
+// WarmingUp calls visit for each process that is still warming up, in random order. age is the time since its start and
+// remaining the time until it has warmed up, both in nanoseconds.
+func (s *Starts) WarmingUp(
+	now int64, visit func(process Process, age, remaining int64, reportedBy string, committed bool),
+) {
 	for key, start := range s.starts {
 		process, ok := ParseStart(key)
-		if ok && now < start.warmUntil {
-			visit(process, now-start.startedAt, start.warmUntil-now, start.reportedBy, start.committedRevision > 0)
+		if ok && now < start.warmupEndsAt {
+			visit(process, now-start.startedAt, start.warmupEndsAt-now, start.reportedBy, start.committedRevision > 0)
 		}
 	}
 }
 
-// Lookup returns how long ago a process started and how long it still warms up, in nanoseconds. ok is false if
-// it does not.
-func (s *Starts) Lookup(now int64, process Process) (ago, left int64, ok bool) {
+// Lookup returns the time since a process started and the time until it has warmed up, in nanoseconds. ok is false if
+// the process is not warming up.
+func (s *Starts) Lookup(now int64, process Process) (age, remaining int64, ok bool) {
 	start := s.starts[StartKey(process)]
-	if start == nil || now >= start.warmUntil {
+	if start == nil || now >= start.warmupEndsAt {
 		return 0, 0, false
 	}
-	return now - start.startedAt, start.warmUntil - now, true
+	return now - start.startedAt, start.warmupEndsAt - now, true
 }
 
-// Expired returns the processes that have warmed up and on which the store still has a report. It forgets those
-// on which the store has none.
+// Expired returns the processes that have warmed up and of which the store still has a report. It forgets those that
+// have warmed up and of which the store has no report.
 func (s *Starts) Expired(now int64) (expired []Process) {
 	for key, start := range s.starts {
-		if now < start.warmUntil {
+		if now < start.warmupEndsAt {
 			continue
 		}
 		process, ok := ParseStart(key)
@@ -179,5 +183,5 @@
 	return expired
 }
 
-// Len is the number of processes that are held, warmed up or not.
+// Len returns the number of processes that are tracked, including those that have warmed up.
 func (s *Starts) Len() int { return len(s.starts) }
--- a/internal/store/serverstate/stored_test.go
+++ b/internal/store/serverstate/stored_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// TestStoredFormsAreFrozen reads keys and records that an earlier build wrote to the store, and writes the same
-// bytes again.
+// TestStoredFormsAreFrozen decodes keys and records that an earlier build wrote to the store, and checks that this
+// build encodes the same bytes.
 func TestStoredFormsAreFrozen(t *testing.T) {
 	process := Process{ID: "s/1 a", Addr: "127.0.0.1:80", StartedMs: 1764700000123}
 	guard := NewGuard("daemon-a")
@@ -21,7 +21,7 @@
 		}
 		return op.Key, op.Value
 	}
-	start := StartReport{Format: 1, ReportedBy: "daemon-a", AgoMillis: 1500, WarmupMillis: 30000}
+	start := StartReport{Format: 1, ReportedBy: "daemon-a", AgeMillis: 1500, WarmupMillis: 30000}
 	snapshot := ModuleSnapshot{Format: 1, ReportedBy: "daemon-a", Data: []byte("\x01known")}
 	cases := map[string]struct {
 		encode func() (key string, value []byte)
@@ -32,8 +32,8 @@
 			encode: func() (string, []byte) { return exclusion(Drain, process.ServerName()) },
 			decode: func(key string, value []byte) (any, error) {
 				kind, server, _ := parseExclusionKey(key)
-				p, _ := ParseProcess(server)
-				return []any{kind, p, DecodeExclusion(value)}, nil
+				parsed, _ := ParseProcess(server)
+				return []any{kind, parsed, DecodeExclusion(value)}, nil
 			},
 			want: []any{Drain, process, ExclusionRecord{ReportedBy: "daemon-a"}},
 		},
@@ -48,9 +48,9 @@
 		"start": {
 			encode: func() (string, []byte) { return StartKey(process), start.Encode() },
 			decode: func(key string, value []byte) (any, error) {
-				p, _ := ParseStart(key)
+				parsed, _ := ParseStart(key)
 				report, err := DecodeStartReport(value)
-				return []any{p, report}, err
+				return []any{parsed, report}, err
 			},
 			want: []any{process, start},
 		},
@@ -73,7 +73,7 @@
 	}
 	lines := strings.Split(strings.TrimSpace(string(golden)), "\n")
 	if len(lines) != len(cases) {
-		t.Errorf("%d golden records, %d cases", len(lines), len(cases))
+		t.Errorf("the golden file has %d records for %d forms", len(lines), len(cases))
 	}
 	for _, line := range lines {
 		fields := strings.Split(line, "\t")
@@ -83,21 +83,21 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			c := cases[name]
-			if got, err := c.decode(key, value); err != nil || !reflect.DeepEqual(got, c.want) {
-				t.Errorf("decoded %+v (%v), want %+v", got, err, c.want)
+			form := cases[name]
+			if got, err := form.decode(key, value); err != nil || !reflect.DeepEqual(got, form.want) {
+				t.Errorf("decoded %+v (%v), want %+v", got, err, form.want)
 			}
-			if gotKey, got := c.encode(); gotKey != key || string(got) != string(value) {
+			if gotKey, got := form.encode(); gotKey != key || string(got) != string(value) {
 				t.Errorf("encoded %q %x, want %q %x", gotKey, got, key, value)
 			}
 			if !IsServerKey(key) {
-				t.Errorf("%q is not a key of a server's state", key)
+				t.Errorf("IsServerKey does not accept %q", key)
 			}
 		})
 	}
 }
 
-// TestJSONFormsAreFrozen compares what operators read with what an earlier build wrote.
+// TestJSONFormsAreFrozen compares the JSON that operators read with the JSON that an earlier build wrote.
 func TestJSONFormsAreFrozen(t *testing.T) {
 	for want, value := range map[string]any{
 		`{"by":"daemon-a"}`: ExclusionRecord{ReportedBy: "daemon-a"},
@@ -105,7 +105,7 @@
 			Kind: AdminDrain, Server: "s-1", Committed: true, ReportedBy: "daemon-a", AgeMillis: -1,
 		},
 		`{"by":"daemon-a","ago_ms":1500,"for_ms":30000}`: StartReport{
-			Format: 1, ReportedBy: "daemon-a", AgoMillis: 1500, WarmupMillis: 30000,
+			Format: 1, ReportedBy: "daemon-a", AgeMillis: 1500, WarmupMillis: 30000,
 		},
 	} {
 		if got, err := json.Marshal(value); err != nil || string(got) != want {
@@ -114,9 +114,10 @@
 	}
 }
 
-// Whatever is in the store, decoding does not panic, and what decodes survives another round.
+// Decoding does not panic on any bytes in the store, and a start report that decodes is the same after it is encoded
+// and decoded again.
 func FuzzRecords(f *testing.F) {
-	f.Add(StartReport{ReportedBy: "a", AgoMillis: 5, WarmupMillis: 10}.Encode())
+	f.Add(StartReport{ReportedBy: "a", AgeMillis: 5, WarmupMillis: 10}.Encode())
 	f.Add(ModuleSnapshot{ReportedBy: "a", Data: []byte("x")}.PutTxn("known/a/").Then[0].Value)
 	f.Fuzz(func(t *testing.T, value []byte) {
 		if report, err := DecodeStartReport(value); err == nil {
@@ -125,7 +126,7 @@
 			}
 		}
 		if snapshot, err := DecodeModuleSnapshot(value); err == nil && len(snapshot.Data) == 0 {
-			t.Fatal("an empty snapshot")
+			t.Fatal("a snapshot without data was decoded")
 		}
 		DecodeExclusion(value)
 	})
