--- a/internal/store/replica/admission.go
+++ b/internal/store/replica/admission.go
@@ -5,24 +5,24 @@
 	"fmt"
 )
 
-// Hello identifies a replica to another one when they connect.
+// Hello is what a replica tells another one about itself when they connect, so that Admit can check it.
 type Hello struct {
 	Identity
-	Name      string `cbor:"5,keyasint"`
-	LastIndex uint64 `cbor:"6,keyasint"` // of its log
+	Name      string `cbor:"5,keyasint"` // may be empty until the sender's state contains it
+	LastIndex uint64 `cbor:"6,keyasint"` // index of the last entry of its log
 }
 
 // Hello returns this replica's hello.
 func (n *Node) Hello() Hello {
-	h := Hello{Identity: n.self}
-	h.LastIndex, _ = n.log.LastIndex() // a log in memory returns no error
-	if m, ok := n.state.Member(n.self.MemberID); ok {
-		h.Name = m.Name
+	hello := Hello{Identity: n.identity}
+	hello.LastIndex, _ = n.raftLog.LastIndex() // a log in memory never returns an error
+	if member, ok := n.state.Member(n.identity.MemberID); ok {
+		hello.Name = member.Name
 	}
-	return h
+	return hello
 }
 
-// Errors of Admit.
+// Errors of Admit. Their texts are sent to the rejected replica.
 var (
 	ErrClusterMismatch = errors.New("of another cluster")
 	ErrNotMember       = errors.New("not a member")
@@ -30,32 +30,33 @@
 	ErrDiskRolledBack  = errors.New("the member's disk lost what it acknowledged: remove the member and add it anew")
 )
 
-// Admit returns an error if another replica must be rejected. A replica that comes back under its old name with an
-// empty or an old disk could make the quorum lose what it acknowledged: it must be added as a new member.
-func (n *Node) Admit(h Hello) error {
-	if h.ClusterID != n.self.ClusterID {
+// Admit returns why the replica that sent a hello must be rejected, or nil. A replica that returns under its old name
+// with an empty or an outdated disk could make a quorum lose what it acknowledged, so that it must be added as a new
+// member.
+func (n *Node) Admit(hello Hello) error {
+	if hello.ClusterID != n.identity.ClusterID {
 		return ErrClusterMismatch
 	}
 	if len(n.confState.GetVoters()) == 0 {
-		return nil // this replica was just added, and knows no members
+		return nil // this replica was just added and knows no members yet
 	}
-	m, ok := n.state.Member(h.MemberID)
+	member, ok := n.state.Member(hello.MemberID)
 	if !ok {
-		if h.MemberID > n.state.LastID() {
-			return nil // added after the last entry that this replica has applied
+		if hello.MemberID > n.state.LastID() {
+			return nil // the member was added by an entry that this replica has not applied yet
 		}
-		return fmt.Errorf("%w: %d", ErrNotMember, h.MemberID)
+		return fmt.Errorf("%w: %d", ErrNotMember, hello.MemberID)
 	}
 	if n.cfg.Defects.has(SkipAdmission) {
 		return nil
 	}
-	if m.DiskID != 0 && m.DiskID != h.DiskID {
+	if member.DiskID != 0 && member.DiskID != hello.DiskID {
 		return ErrDiskMismatch
 	}
-	if m.DiskID != 0 && m.Boot > h.Boot {
+	if member.DiskID != 0 && member.Boot > hello.Boot {
 		return ErrDiskRolledBack
 	}
-	if n.leading && n.matchIndex(h.MemberID) > h.LastIndex {
+	if n.leading && n.matchIndex(hello.MemberID) > hello.LastIndex {
 		return ErrDiskRolledBack
 	}
 	return nil
--- a/internal/store/replica/apply.go
+++ b/internal/store/replica/apply.go
@@ -10,85 +10,88 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// apply applies a committed entry to the state.
-func (n *Node) apply(e *raftpb.Entry) error {
-	if e.GetIndex() <= n.applied {
+// apply applies a committed entry to the state. It skips an entry that the state already includes.
+func (n *Node) apply(entry *raftpb.Entry) error {
+	if entry.GetIndex() <= n.appliedIndex {
 		return nil
 	}
-	n.applied, n.term = e.GetIndex(), e.GetTerm()
-	n.out.AppliedEntries++
+	n.appliedIndex, n.appliedTerm = entry.GetIndex(), entry.GetTerm()
+	n.output.AppliedEntries++
 	if n.cfg.OnEntry != nil {
-		n.cfg.OnEntry(e)
+		n.cfg.OnEntry(entry)
 	}
 	var err error
 	switch {
-	case e.GetType() == raftpb.EntryConfChange:
-		err = n.applyConfChangeEntry(e)
-	case e.GetType() == raftpb.EntryConfChangeV2:
-		err = errors.New("a joint change of the configuration, which this build does not make")
-	case len(e.Data) == 0:
-		n.state.SkipIndex(n.applied)
+	case entry.GetType() == raftpb.EntryConfChange:
+		err = n.applyConfChangeEntry(entry)
+	case entry.GetType() == raftpb.EntryConfChangeV2:
+		err = errors.New("joint configuration changes are not supported by this build")
+	case len(entry.Data) == 0:
+		n.state.SkipIndex(n.appliedIndex)
 	default:
-		err = n.applyCommand(e.Data)
+		err = n.applyCommand(entry.Data)
 	}
 	if err != nil {
-		return fmt.Errorf("entry %d: %w", n.applied, err)
+		return fmt.Errorf("entry %d: %w", n.appliedIndex, err)
 	}
 	return nil
 }
 
-func (n *Node) applyConfChangeEntry(e *raftpb.Entry) error {
+func (n *Node) applyConfChangeEntry(entry *raftpb.Entry) error {
 	var change raftpb.ConfChange
-	if err := proto.Unmarshal(e.Data, &change); err != nil {
+	if err := proto.Unmarshal(entry.Data, &change); err != nil {
 		return err
 	}
 	n.applyConfChange(&change)
-	n.state.SkipIndex(n.applied)
+	n.state.SkipIndex(n.appliedIndex)
 	return nil
 }
 
 func (n *Node) applyCommand(data []byte) error {
-	known := n.cfg.KnownLevel
-	if level := store.CommandLevel(data); level > known {
-		return fmt.Errorf("%w: level %d, and this build knows %d", store.ErrUnknownCommand, level, known)
+	knownLevel := n.cfg.KnownLevel
+	if level := store.CommandLevel(data); level > knownLevel {
+		return fmt.Errorf("%w: level %d, and this build knows %d", store.ErrUnknownCommand, level, knownLevel)
 	}
-	c, err := store.DecodeCommand(data)
+	command, err := store.DecodeCommand(data)
 	if err != nil {
 		return err
 	}
-	// This replica may have been started with an older build after it registered the level that it knows.
-	if c.RaiseLevel != nil && c.RaiseLevel.Level > known {
-		return fmt.Errorf("%w: the cluster goes to level %d, and this build knows %d", store.ErrUnknownCommand,
-			c.RaiseLevel.Level, known)
+	// This replica may have been restarted with an older build after a newer one had registered the level it knows.
+	if command.RaiseLevel != nil && command.RaiseLevel.Level > knownLevel {
+		return fmt.Errorf("%w: the command raises the cluster to level %d, and this build knows %d", store.ErrUnknownCommand,
+			command.RaiseLevel.Level, knownLevel)
 	}
 	if n.cfg.OnApplied != nil {
-		n.cfg.OnApplied(c, len(data))
+		n.cfg.OnApplied(command, len(data))
 	}
-	n.afterApply(c, n.applyToState(c))
+	n.afterApply(command, n.applyToState(command))
 	return nil
 }
 
-func (n *Node) applyToState(c *store.Command) store.Result {
+// applyToState applies a command to the state. The defect ForgetResults hides the request ID, so that a retried request
+// is not recognised.
+func (n *Node) applyToState(command *store.Command) store.Result {
 	if !n.cfg.Defects.has(ForgetResults) {
-		return n.state.Apply(n.applied, c)
+		return n.state.Apply(n.appliedIndex, command)
 	}
-	anonymous := *c
-	anonymous.ID = store.RequestID{}
-	return n.state.Apply(n.applied, &anonymous)
+	withoutID := *command
+	withoutID.ID = store.RequestID{}
+	return n.state.Apply(n.appliedIndex, &withoutID)
 }
 
-// afterApply updates the leader's lease timers, checks the registration of this start, and completes the request.
-func (n *Node) afterApply(c *store.Command, r store.Result) {
-	if n.leading && r.Err == nil {
-		n.updateLeaseTimer(c, r)
+// afterApply updates the lease timers if this replica leads, checks the registration of this start, and completes the
+// pending request.
+func (n *Node) afterApply(command *store.Command, result store.Result) {
+	if n.leading && result.Err == nil {
+		n.updateLeaseTimer(command, result)
 	}
-	if start := c.RegisterStart; start != nil && *start == n.registration(start.Level) {
-		n.registered = r.Err == nil
+	if start := command.RegisterStart; start != nil && *start == n.registration(start.Level) {
+		n.registered = result.Err == nil
 		if !n.registered {
-			n.fail(fmt.Errorf("member %d is registered with another disk or a later start", n.self.MemberID))
+			n.fail(fmt.Errorf("member %d is registered with another disk or a later start", n.identity.MemberID))
 		}
 	}
-	if request := n.pendingByID[c.ID]; request != nil && c.ID != (store.RequestID{}) {
-		n.complete(request, r, nil)
+	if request := n.pendingByID[command.ID]; request != nil && command.ID != (store.RequestID{}) {
+		n.complete(request, result, nil)
 	}
 }
--- a/internal/store/replica/config.go
+++ b/internal/store/replica/config.go
@@ -9,45 +9,49 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Config configures a replica. Zero values are replaced by the defaults named here. Ticks are calls of Node.Tick.
+// Config configures a replica. A field with the zero value gets the default that its comment names. Ticks are calls of
+// Node.Tick.
 type Config struct {
-	Rand                *rand.Rand   // required
-	Log                 *slog.Logger // nothing is logged
-	ElectionTicks       int          // minimum election timeout, which is drawn up to twice as long; 10
-	TickMillis          int          // of a tick, for leases; 100
-	RequestTimeoutTicks int          // 50
-	MaxPending          int          // requests; 8192
-	SnapshotLogBytes    int          // of log, after which a snapshot is taken; 16 MiB
-	RetainedEntries     int          // of log before a snapshot, for followers that lag; 4096
-	MaxMessageBytes     int          // of entries in one message; 1 MiB
-	KnownLevel          uint64       // of commands, for tests of earlier builds; store.Level
-	Defects             Defects
+	Rand                *rand.Rand   // source of the election timeouts; required
+	Log                 *slog.Logger // default: nothing is logged
+	ElectionTicks       int          // minimum election timeout; each one is drawn up to twice as long; default 10
+	TickMillis          int          // duration of a tick, in which the TTL of leases is counted; default 100
+	RequestTimeoutTicks int          // time after which a pending request is completed with an error; default 50
+	MaxPending          int          // maximum of pending proposals, and of queued reads; default 8192
+	SnapshotLogBytes    int          // size of the log since the last snapshot at which one is taken; default 16 MiB
+	RetainedEntries     int          // log entries kept before a snapshot, for followers that lag; default 4096
+	MaxMessageBytes     int          // maximum size of the entries in one message; default 1 MiB
+	KnownLevel          uint64       // highest level of commands; lower in tests of earlier builds; default store.Level
+	Defects             Defects      // injected defects; none in production
 
-	OnEntry    func(*raftpb.Entry)                 // is called with every entry before it is applied, unless nil
-	OnProposed func(*store.Command)                // is called with every command that raft accepts here, unless nil
-	OnApplied  func(c *store.Command, encoded int) // is called with every command before it is applied, unless nil
+	// OnEntry, unless nil, is called with every entry before it is applied.
+	OnEntry func(*raftpb.Entry)
+	// OnProposed, unless nil, is called with every command that raft accepts from this replica.
+	OnProposed func(*store.Command)
+	// OnApplied, unless nil, is called with every command before it is applied, and with its encoded size in bytes.
+	OnApplied func(command *store.Command, encodedBytes int)
 }
 
-// Defects are injected so that a test can show that it detects them. None is set in production.
+// Defects is a set of defects that are injected so that tests prove that they detect them. It is empty in production.
 type Defects uint32
 
-// The defects.
+// The defects that can be injected. Each makes a replica violate one guarantee.
 const (
-	AckBeforeSync          Defects = 1 << iota // messages are sent before the disk has what they promise
-	ForgetVote                                 // the vote is not written
-	StaleRead                                  // a read is answered without a quorum
-	ApplyTwice                                 // after a start the snapshot's last entries are applied again
+	AckBeforeSync          Defects = 1 << iota // messages are sent before what they promise is on disk
+	ForgetVote                                 // the vote is not written to disk
+	StaleRead                                  // a read is completed without asking a quorum
+	ApplyTwice                                 // after a start, the last entries in the snapshot are applied again
 	ForgetResults                              // a retried request is applied again
-	RevokeRenewedLease                         // an expired lease ends although it was renewed in the meantime
-	CompactBeyondSnapshot                      // the log is compacted beyond what the snapshot contains
-	SkipAdmission                              // an empty disk is admitted under an old name
-	EagerReturn                                // a server may serve again by the state of a single replica
-	IgnoreLevel                                // a command is proposed although a voter does not know its level
-	ShortenInheritedLeases                     // a new leader assumes that leases were renewed long before it led
+	RevokeRenewedLease                         // an expired lease is revoked although it was renewed in the meantime
+	CompactBeyondSnapshot                      // the log is compacted beyond the snapshot
+	SkipAdmission                              // a replica with an empty disk is admitted under its old name
+	EagerReturn                                // a daemon readmits a server before a quorum has committed that
+	IgnoreLevel                                // a command is proposed although a voter may not know its level
+	ShortenInheritedLeases                     // a new leader assumes that leases were last renewed long before its term
 	LeadAfterFailure                           // a leader whose disk failed continues to send heartbeats
 )
 
-// has reports whether a defect is injected.
+// has reports whether a defect, or any of several, is injected.
 func (d Defects) has(defect Defects) bool { return d&defect != 0 }
 
 func (c *Config) setDefaults() {
@@ -64,9 +68,9 @@
 	}
 }
 
-func setDefault[T comparable](v *T, value T) {
+func setDefault[T comparable](target *T, defaultValue T) {
 	var zero T
-	if *v == zero {
-		*v = value
+	if *target == zero {
+		*target = defaultValue
 	}
 }
--- a/internal/store/replica/frozen_test.go
+++ b/internal/store/replica/frozen_test.go
@@ -15,7 +15,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// frozenForm is a value that is stored or sent, as commit 7105f7a wrote it to testdata/frozen.
+// frozenForm is a value that is stored or sent. Its encoding by commit 7105f7a is a line in testdata/frozen.
 type frozenForm struct {
 	name, encoding string
 	value          any
@@ -30,13 +30,13 @@
 	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
 	forms := frozenForms()
 	if len(lines) != len(forms) {
-		t.Fatalf("%d lines for %d forms", len(lines), len(forms))
+		t.Fatalf("testdata/frozen/forms.txt has %d lines for %d forms", len(lines), len(forms))
 	}
 	for i, form := range forms {
 		t.Run(form.name, func(t *testing.T) {
 			name, frozen, _ := strings.Cut(lines[i], ": ")
 			if name != form.name {
-				t.Fatalf("line %d is %q", i+1, name)
+				t.Fatalf("line %d of testdata/frozen/forms.txt is the form %q", i+1, name)
 			}
 			form.check(t, frozen)
 		})
@@ -55,17 +55,17 @@
 		}
 		decode, marshal = cbor.Unmarshal, cbor.Marshal
 	}
-	if b, err := marshal(f.value); err != nil || !bytes.Equal(b, encoded) {
-		t.Errorf("encoded as %q, frozen as %q: %v", b, encoded, err)
+	if reencoded, err := marshal(f.value); err != nil || !bytes.Equal(reencoded, encoded) {
+		t.Errorf("encoded as %q, want the frozen form %q: %v", reencoded, encoded, err)
 	}
 	if err := decode(encoded, f.decoded); err != nil {
 		t.Fatal(err)
 	}
-	if b, err := marshal(f.decoded); err != nil || !bytes.Equal(b, encoded) {
-		t.Errorf("decoded and encoded again as %q, frozen as %q: %v", b, encoded, err)
+	if reencoded, err := marshal(f.decoded); err != nil || !bytes.Equal(reencoded, encoded) {
+		t.Errorf("decoded and encoded again as %q, want the frozen form %q: %v", reencoded, encoded, err)
 	}
-	if d := cmp.Diff(reflect.ValueOf(f.decoded).Elem().Interface(), f.value); d != "" {
-		t.Error(d)
+	if diff := cmp.Diff(reflect.ValueOf(f.decoded).Elem().Interface(), f.value); diff != "" {
+		t.Error(diff)
 	}
 }
 
--- a/internal/store/replica/leader.go
+++ b/internal/store/replica/leader.go
@@ -9,69 +9,70 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// setLeader records which replica leads.
+// setLeader records the ID of the leader, 0 if none is known, and whether this replica is the leader.
 func (n *Node) setLeader(leaderID uint64, leading bool) {
 	if leading && !n.leading {
 		n.restartLeaseTimers()
 	}
 	if n.leaderID != leaderID {
 		if leaderID != 0 {
-			n.failUncertain()
+			n.handleLeaderChange()
 		}
-		// Proposals to the former leader may be lost: the next tick proposes anew.
-		n.lastMaintenance = n.now - int64(n.cfg.ElectionTicks)
+		// Proposals of maintain to the former leader may be lost. The next tick repeats them.
+		n.lastMaintenanceTick = n.nowTick - int64(n.cfg.ElectionTicks)
 	}
 	n.leaderID, n.leading = leaderID, leading
 }
 
-// failUncertain completes the proposals to the former leader, which may be lost, and has open reads start a new round.
-func (n *Node) failUncertain() {
-	for _, r := range n.pending {
-		if !r.done && r.isProposal() {
-			n.complete(r, store.Result{}, ErrOutcomeUnknown)
+// handleLeaderChange completes the proposals to the former leader with ErrOutcomeUnknown, because they may be lost. It
+// also lets the open rounds time out, so that their reads start a new round with the new leader.
+func (n *Node) handleLeaderChange() {
+	for _, request := range n.pending {
+		if !request.done && request.isProposal() {
+			n.complete(request, store.Result{}, ErrOutcomeUnknown)
 		}
 	}
 	for _, round := range n.openRounds {
-		round.startedAt = n.now - 2*int64(n.cfg.ElectionTicks)
+		round.startTick = n.nowTick - 2*int64(n.cfg.ElectionTicks)
 	}
 }
 
-// TransferLeadership starts to transfer leadership to the active follower with the most entries. It reports whether
-// this replica does not lead. Before a planned stop it is called until it returns true.
+// TransferLeadership starts to transfer leadership to the active follower with the most entries, if this replica leads.
+// It reports whether this replica does not lead. Before a planned stop, the owner calls it until it returns true.
 func (n *Node) TransferLeadership() bool {
-	if n.failed != nil || !n.leading {
+	if n.failure != nil || !n.leading {
 		return true
 	}
-	var best, bestMatch uint64
-	n.raft.WithProgress(func(id uint64, t raft.ProgressType, p tracker.Progress) {
-		if id == n.self.MemberID || t != raft.ProgressTypePeer || !n.recentlyActive(id) {
+	var target, targetMatch uint64
+	n.raft.WithProgress(func(id uint64, progressType raft.ProgressType, progress tracker.Progress) {
+		if id == n.identity.MemberID || progressType != raft.ProgressTypePeer || !n.recentlyActive(id) {
 			return
 		}
-		if best == 0 || p.Match > bestMatch {
-			best, bestMatch = id, p.Match
+		if target == 0 || progress.Match > targetMatch {
+			target, targetMatch = id, progress.Match
 		}
 	})
-	if best != 0 {
+	if target != 0 {
 		n.runRaft(func() error {
-			n.raft.TransferLeader(best)
+			n.raft.TransferLeader(target)
 			return nil
 		})
 	}
 	return false
 }
 
-// sendStaleHeartbeats implements the defect LeadAfterFailure: heartbeats of a leader that no longer writes.
+// sendStaleHeartbeats implements the defect LeadAfterFailure: a leader whose disk failed sends heartbeats.
 func (n *Node) sendStaleHeartbeats() {
 	if !n.leading {
 		return
 	}
 	for _, id := range n.confState.GetVoters() {
-		if id == n.self.MemberID {
+		if id == n.identity.MemberID {
 			continue
 		}
-		n.out.Messages = append(n.out.Messages, &raftpb.Message{
+		n.output.Messages = append(n.output.Messages, &raftpb.Message{
 			Type:   raftpb.MsgHeartbeat.Enum(),
-			From:   proto.Uint64(n.self.MemberID),
+			From:   proto.Uint64(n.identity.MemberID),
 			To:     proto.Uint64(id),
 			Term:   proto.Uint64(n.Term()),
 			Commit: proto.Uint64(0),
--- a/internal/store/replica/lease.go
+++ b/internal/store/replica/lease.go
@@ -6,67 +6,70 @@
 	"birchmoor/internal/store"
 )
 
+// maxRevokesPerTick bounds the revocations of expired leases that one tick proposes.
 const maxRevokesPerTick = 64
 
-// startLeaseTimer starts the TTL of a lease, rounded up. Two more ticks are needed: the next tick may follow at once,
-// and a tick that is already due may be counted late.
+// startLeaseTimer sets the deadline of a lease to its TTL from now, rounded up to ticks, plus two ticks. One is needed
+// because the next tick may follow immediately, the other because a tick that is already due may be counted late.
 func (n *Node) startLeaseTimer(id uint64) {
-	l, ok := n.state.Lease(id)
+	lease, ok := n.state.Lease(id)
 	if !ok {
 		return
 	}
 	tickMillis := int64(n.cfg.TickMillis)
-	n.leaseDeadlines[id] = n.now + (int64(l.TTLMillis)+tickMillis-1)/tickMillis + 2
+	n.leaseDeadlineTick[id] = n.nowTick + (int64(lease.TTLMillis)+tickMillis-1)/tickMillis + 2
 }
 
-// restartLeaseTimers starts the full TTL of every lease when this replica becomes the leader, because the former
-// leader may just have renewed them.
+// restartLeaseTimers starts the full TTL of every lease when this replica becomes the leader, because the leases may
+// have been renewed just before the end of the former leader's term.
 func (n *Node) restartLeaseTimers() {
-	clear(n.leaseDeadlines)
-	clear(n.revokeRetryAt)
-	for _, l := range n.state.Leases() {
-		n.startLeaseTimer(l.ID)
+	clear(n.leaseDeadlineTick)
+	clear(n.revokeRetryTick)
+	for _, lease := range n.state.Leases() {
+		n.startLeaseTimer(lease.ID)
 		if n.cfg.Defects.has(ShortenInheritedLeases) {
-			n.leaseDeadlines[l.ID] -= (n.leaseDeadlines[l.ID] - n.now) * 3 / 4
+			n.leaseDeadlineTick[lease.ID] -= (n.leaseDeadlineTick[lease.ID] - n.nowTick) * 3 / 4
 		}
 	}
 }
 
-// updateLeaseTimer follows a command that was applied while this replica leads.
-func (n *Node) updateLeaseTimer(c *store.Command, r store.Result) {
+// updateLeaseTimer updates the deadline of a lease after a command on it was applied. It is called while this replica
+// leads.
+func (n *Node) updateLeaseTimer(command *store.Command, result store.Result) {
 	switch {
-	case c.GrantLease != nil, c.RenewLease != nil:
-		n.startLeaseTimer(r.LeaseID)
-	case c.RevokeLease != nil:
-		id := c.RevokeLease.LeaseID
+	case command.GrantLease != nil, command.RenewLease != nil:
+		n.startLeaseTimer(result.LeaseID)
+	case command.RevokeLease != nil:
+		id := command.RevokeLease.LeaseID
 		if _, ok := n.state.Lease(id); !ok {
-			delete(n.leaseDeadlines, id)
+			delete(n.leaseDeadlineTick, id)
 		}
-		delete(n.revokeRetryAt, id)
+		delete(n.revokeRetryTick, id)
 	}
 }
 
-// revokeExpiredLeases proposes the end of leases whose TTL has passed.
+// revokeExpiredLeases proposes to revoke the leases whose TTL has passed. A proposal may be lost, so that each lease is
+// proposed again after the minimum election timeout.
 func (n *Node) revokeExpiredLeases() {
 	var expired []uint64
-	for id, deadline := range n.leaseDeadlines {
-		if deadline <= n.now && n.now >= n.revokeRetryAt[id] {
+	for id, deadline := range n.leaseDeadlineTick {
+		if deadline <= n.nowTick && n.nowTick >= n.revokeRetryTick[id] {
 			expired = append(expired, id)
 		}
 	}
 	slices.Sort(expired)
 	for _, id := range expired[:min(len(expired), maxRevokesPerTick)] {
-		l, ok := n.state.Lease(id)
+		lease, ok := n.state.Lease(id)
 		if !ok {
-			delete(n.leaseDeadlines, id)
-			delete(n.revokeRetryAt, id)
+			delete(n.leaseDeadlineTick, id)
+			delete(n.revokeRetryTick, id)
 			continue
 		}
-		n.revokeRetryAt[id] = n.now + int64(n.cfg.ElectionTicks)
+		n.revokeRetryTick[id] = n.nowTick + int64(n.cfg.ElectionTicks)
 		n.proposeInternal(&store.Command{RevokeLease: &store.RevokeLease{
 			LeaseID:  id,
 			Expired:  !n.cfg.Defects.has(RevokeRenewedLease),
-			Renewals: l.Renewals,
+			Renewals: lease.Renewals,
 		}})
 	}
 }
--- a/internal/store/replica/logstorage.go
+++ b/internal/store/replica/logstorage.go
@@ -6,14 +6,14 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// logStorage is the log as raft reads it. The entries are in memory, the snapshot is on disk.
+// logStorage is the log from which raft reads. The entries are in memory, and the snapshot is read from disk.
 type logStorage struct {
 	*raft.MemoryStorage
-	hardState *raftpb.HardState // at the start
-	confState *raftpb.ConfState // of the snapshot, at the start
+	hardState *raftpb.HardState // hard state at the start
+	confState *raftpb.ConfState // configuration of the snapshot at the start
 	disk      Disk
-	onError   func(error)
-	isStale   func(index uint64) bool // whether a snapshot is older than the last configuration change
+	onError   func(error)             // is called if the snapshot cannot be read
+	isStale   func(index uint64) bool // reports whether a snapshot is older than the last configuration change
 }
 
 // InitialState implements raft.Storage.
@@ -21,8 +21,9 @@
 	return l.hardState, l.confState, nil
 }
 
-// Snapshot implements raft.Storage. It returns what is sent to a follower that needs entries from before the log. A
-// follower ignores a snapshot in which it is no member, so that a new snapshot is taken first if the last is too old.
+// Snapshot implements raft.Storage. It returns the snapshot to send to a follower that needs entries from before the
+// first one of the log. A follower ignores a snapshot in whose configuration it is not a member. Snapshot therefore
+// fails while the last snapshot is older than the last configuration change, until a new one has been taken.
 func (l *logStorage) Snapshot() (*raftpb.Snapshot, error) {
 	meta, data, err := l.disk.Snapshot()
 	if err != nil {
--- a/internal/store/replica/process.go
+++ b/internal/store/replica/process.go
@@ -11,143 +11,147 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Process does what the calls since the last one require. It waits for the disk.
+// Process handles what the calls of other methods since the last Process caused: it starts reads, writes to disk, for
+// which it waits, and applies committed entries. It returns the messages and completions that the owner hands on.
 func (n *Node) Process() Output {
 	n.startReadRound()
-	for n.failed == nil && n.raft.HasReady() {
+	for n.failure == nil && n.raft.HasReady() {
 		n.runRaft(n.processReady)
 	}
-	if n.failed != nil {
+	if n.failure != nil {
 		n.failPending()
 	}
-	if n.failed == nil && !n.snapshotRunning && (n.logBytes >= n.cfg.SnapshotLogBytes || n.snapshotWanted) {
-		n.out.Snapshot = n.newSnapshotJob()
+	if n.failure == nil && !n.snapshotRunning && (n.logBytes >= n.cfg.SnapshotLogBytes || n.snapshotWanted) {
+		n.output.Snapshot = n.newSnapshotJob()
 	}
-	out := n.out
-	n.out = Output{}
-	return out
+	output := n.output
+	n.output = Output{}
+	return output
 }
 
-// failPending completes all pending requests after a failure. No message is sent, because what it promises may not be
-// on disk.
+// failPending completes all pending requests with an error after the replica has failed. It discards the messages that
+// are not sent yet, because what they promise may not be on disk.
 func (n *Node) failPending() {
 	if !n.cfg.Defects.has(AckBeforeSync | LeadAfterFailure) {
-		n.out.Messages = nil
+		n.output.Messages = nil
 	}
-	for _, r := range n.pending {
-		if r.done {
+	for _, request := range n.pending {
+		if request.done {
 			continue
 		}
-		err := n.failed
-		if r.isProposal() {
-			err = fmt.Errorf("%w; %w", ErrOutcomeUnknown, n.failed)
+		err := n.failure
+		if request.isProposal() {
+			err = fmt.Errorf("%w; %w", ErrOutcomeUnknown, n.failure)
 		}
-		n.complete(r, store.Result{}, err)
+		n.complete(request, store.Result{}, err)
 	}
 	n.pending, n.queuedReads, n.pendingByID = nil, nil, map[store.RequestID]*pendingRequest{}
 }
 
-// processReady processes one Ready of raft: it writes, then sends, then applies.
+// processReady processes one Ready of raft. It writes to disk, queues messages, and applies committed entries, in this
+// order.
 func (n *Node) processReady() error {
-	rd := n.raft.Ready()
-	if rd.SoftState != nil {
-		n.setLeader(rd.Lead, rd.RaftState == raft.StateLeader)
+	ready := n.raft.Ready()
+	if ready.SoftState != nil {
+		n.setLeader(ready.Lead, ready.RaftState == raft.StateLeader)
 	}
 	if n.cfg.Defects.has(AckBeforeSync) {
-		n.out.Messages = append(n.out.Messages, rd.Messages...)
+		n.output.Messages = append(n.output.Messages, ready.Messages...)
 	}
-	if err := n.persist(&rd); err != nil {
+	if err := n.persist(&ready); err != nil {
 		n.fail(err)
 		return nil
 	}
 	if !n.cfg.Defects.has(AckBeforeSync) {
-		n.out.Messages = append(n.out.Messages, rd.Messages...)
+		n.output.Messages = append(n.output.Messages, ready.Messages...)
 	}
-	for _, m := range rd.Messages {
-		if m.GetType() == raftpb.MsgVoteResp && !m.GetReject() {
+	for _, message := range ready.Messages {
+		if message.GetType() == raftpb.MsgVoteResp && !message.GetReject() {
 			n.resetElectionTimer()
 		}
 	}
-	for _, s := range rd.ReadStates {
-		n.confirmRead(s)
+	for _, readState := range ready.ReadStates {
+		n.confirmRead(readState)
 	}
-	for _, e := range rd.CommittedEntries {
-		if err := n.apply(e); err != nil {
+	for _, entry := range ready.CommittedEntries {
+		if err := n.apply(entry); err != nil {
 			n.fail(err)
 			return nil
 		}
 	}
 	n.completeReads()
-	n.raft.Advance(rd)
+	n.raft.Advance(ready)
 	return nil
 }
 
-// persist writes a snapshot of the leader, the hard state and new entries to disk.
-func (n *Node) persist(rd *raft.Ready) error {
-	hard := n.withoutVote(rd.HardState)
-	if rd.Snapshot != nil && !raft.IsEmptySnap(rd.Snapshot) {
-		if err := n.installSnapshot(rd.Snapshot, hard); err != nil {
+// persist writes the leader's snapshot, the hard state and new entries of a Ready to disk.
+func (n *Node) persist(ready *raft.Ready) error {
+	hardState := n.applyForgetVote(ready.HardState)
+	if ready.Snapshot != nil && !raft.IsEmptySnap(ready.Snapshot) {
+		if err := n.installSnapshot(ready.Snapshot, hardState); err != nil {
 			return err
 		}
-		hard = nil // is written with the snapshot
+		hardState = nil // installSnapshot has written it with the snapshot
 	}
-	// A commit index alone need not be written at once: after a restart it is learned from the leader.
-	if len(rd.Entries) > 0 || hard != nil && rd.MustSync {
-		if hard == nil {
-			hard = n.withoutVote(n.raft.BasicStatus().HardState)
+	// A new commit index alone need not be written, because after a restart the replica learns it from the leader.
+	if len(ready.Entries) > 0 || hardState != nil && ready.MustSync {
+		if hardState == nil {
+			hardState = n.applyForgetVote(n.raft.BasicStatus().HardState)
 		}
-		if err := n.disk.Append(hard, rd.Entries); err != nil {
+		if err := n.disk.Append(hardState, ready.Entries); err != nil {
 			return err
 		}
 	}
-	for _, e := range rd.Entries {
-		n.logBytes += len(e.Data)
+	for _, entry := range ready.Entries {
+		n.logBytes += len(entry.Data)
 	}
-	return n.log.Append(rd.Entries)
+	return n.raftLog.Append(ready.Entries)
 }
 
-// withoutVote returns the hard state as it is, unless the defect ForgetVote is injected.
-func (n *Node) withoutVote(hard *raftpb.HardState) *raftpb.HardState {
-	if hard == nil || !n.cfg.Defects.has(ForgetVote) {
-		return hard
-	}
-	c := proto.CloneOf(hard)
-	c.Vote = proto.Uint64(0)
-	return c
+// applyForgetVote removes the vote from a hard state if the defect ForgetVote is injected. Otherwise it returns the
+// hard state unchanged.
+func (n *Node) applyForgetVote(hardState *raftpb.HardState) *raftpb.HardState {
+	if hardState == nil || !n.cfg.Defects.has(ForgetVote) {
+		return hardState
+	}
+	withoutVote := proto.CloneOf(hardState)
+	withoutVote.Vote = proto.Uint64(0)
+	return withoutVote
 }
 
-// installSnapshot replaces the state and the log by a snapshot of the leader.
-func (n *Node) installSnapshot(snapshot *raftpb.Snapshot, hard *raftpb.HardState) error {
-	s, err := store.Load(bytes.NewReader(snapshot.Data))
+// installSnapshot replaces the state and the log, in memory and on disk, by a snapshot from the leader. It writes the
+// hard state with it, unless that is nil.
+func (n *Node) installSnapshot(snapshot *raftpb.Snapshot, hardState *raftpb.HardState) error {
+	state, err := store.Load(bytes.NewReader(snapshot.Data))
 	if err != nil {
-		return fmt.Errorf("the leader's snapshot: %w", err)
+		return fmt.Errorf("cannot load the leader's snapshot: %w", err)
 	}
-	if err := n.checkLevel(s); err != nil {
-		return fmt.Errorf("the leader's snapshot: %w", err)
+	if err := n.checkLevel(state); err != nil {
+		return fmt.Errorf("cannot use the leader's snapshot: %w", err)
 	}
 	meta := snapshotMetaOf(snapshot.Metadata)
-	if err := n.disk.Install(meta, hard, snapshot.Data); err != nil {
+	if err := n.disk.Install(meta, hardState, snapshot.Data); err != nil {
 		return err
 	}
-	if err := n.log.ApplySnapshot(&raftpb.Snapshot{Metadata: snapshot.Metadata}); err != nil {
+	if err := n.raftLog.ApplySnapshot(&raftpb.Snapshot{Metadata: snapshot.Metadata}); err != nil {
 		return err
 	}
-	n.state, n.confState = s, meta.confState()
-	n.applied, n.term = meta.Index, meta.Term
-	n.confIndex, n.startLastIndex, n.logBytes = meta.Index, 0, 0
-	n.out.StateReplaced = true
-	n.completeFromSnapshot(s)
+	n.state, n.confState = state, meta.confState()
+	n.appliedIndex, n.appliedTerm = meta.Index, meta.Term
+	n.confChangeIndex, n.startLastIndex, n.logBytes = meta.Index, 0, 0
+	n.output.StateReplaced = true
+	n.completeFromSnapshot(state)
 	return nil
 }
 
-// completeFromSnapshot completes the proposals whose results are in a snapshot of the leader.
-func (n *Node) completeFromSnapshot(s *store.State) {
-	for _, r := range n.pending {
-		if r.done || !r.isProposal() {
+// completeFromSnapshot completes the pending proposals whose results are cached in a state from the leader.
+func (n *Node) completeFromSnapshot(state *store.State) {
+	for _, request := range n.pending {
+		if request.done || !request.isProposal() {
 			continue
 		}
-		if result, ok := s.CachedResult(r.id); ok {
-			n.complete(r, result, nil)
+		if result, ok := state.CachedResult(request.id); ok {
+			n.complete(request, result, nil)
 		}
 	}
 }
--- a/internal/store/replica/raftlogger.go
+++ b/internal/store/replica/raftlogger.go
@@ -5,8 +5,9 @@
 	"log/slog"
 )
 
-// raftLogger implements raft.Logger by a slog.Logger. What raft logs in normal operation goes to the debug level,
-// without its own debug messages. Fatal messages are panics, as raft expects; catchPanic handles them.
+// raftLogger implements raft.Logger on top of a slog.Logger. It discards raft's debug messages, logs info messages and
+// warnings at the debug level, because raft emits them in normal operation, and logs errors as warnings. Fatal messages
+// panic, as raft expects; catchPanic turns that into an error.
 type raftLogger struct{ log *slog.Logger }
 
 // Debug implements raft.Logger.
--- a/internal/store/replica/read.go
+++ b/internal/store/replica/read.go
@@ -10,100 +10,101 @@
 )
 
 const (
-	maxOpenRounds    = 16
-	readContextBytes = 24 // member, boot and number of the round
+	maxOpenRounds    = 16 // maximum number of rounds that wait for a quorum at a time
+	readContextBytes = 24 // member ID, boot and number of the round, 8 bytes each
 )
 
-// readRound is one request to the quorum, for all reads that were queued before it.
+// readRound is one request to a quorum to confirm the leader, on behalf of all reads that were queued before it.
 type readRound struct {
-	number    uint64
-	startedAt int64  // tick
-	index     uint64 // that has to be applied before the reads are completed, once the round is confirmed
-	requests  []*pendingRequest
+	number        uint64
+	startTick     int64
+	requiredIndex uint64 // set when the round is confirmed: the entry that must be applied before the reads complete
+	requests      []*pendingRequest
 }
 
-// Read requests a linearizable read. Process completes it when the state includes every change that was acknowledged
-// before the call.
-func (n *Node) Read(t RequestToken) {
+// Read requests a linearizable read. A later call of Process returns its completion, once the state includes every
+// change that was acknowledged before the call of Read.
+func (n *Node) Read(token RequestToken) {
 	switch {
-	case n.failed != nil:
-		n.out.Completions = append(n.out.Completions, Completion{Token: t, Err: n.failed})
+	case n.failure != nil:
+		n.output.Completions = append(n.output.Completions, Completion{Token: token, Err: n.failure})
 	case n.cfg.Defects.has(StaleRead):
-		n.out.Completions = append(n.out.Completions, Completion{Token: t})
+		n.output.Completions = append(n.output.Completions, Completion{Token: token})
 	case len(n.queuedReads) >= n.cfg.MaxPending:
-		n.out.Completions = append(n.out.Completions, Completion{Token: t, Err: ErrBusy})
+		n.output.Completions = append(n.output.Completions, Completion{Token: token, Err: ErrBusy})
 	default:
-		r := &pendingRequest{token: t, deadline: n.now + int64(n.cfg.RequestTimeoutTicks)}
-		n.queuedReads = append(n.queuedReads, r)
-		n.pending = append(n.pending, r)
+		request := &pendingRequest{token: token, deadlineTick: n.nowTick + int64(n.cfg.RequestTimeoutTicks)}
+		n.queuedReads = append(n.queuedReads, request)
+		n.pending = append(n.pending, request)
 	}
 }
 
-// startReadRound starts a round for the queued reads and those of rounds that were not confirmed in time.
+// startReadRound starts a round for the queued reads and for the reads of rounds that have timed out.
 func (n *Node) startReadRound() {
-	n.requeueLateRounds()
-	n.queuedReads = slices.DeleteFunc(n.queuedReads, func(r *pendingRequest) bool { return r.done })
+	n.requeueTimedOutRounds()
+	n.queuedReads = slices.DeleteFunc(n.queuedReads, func(request *pendingRequest) bool { return request.done })
 	if len(n.queuedReads) == 0 || n.leaderID == 0 || len(n.openRounds) >= maxOpenRounds {
 		return
 	}
 	n.lastRound++
-	n.openRounds[n.lastRound] = &readRound{number: n.lastRound, startedAt: n.now, requests: n.queuedReads}
+	n.openRounds[n.lastRound] = &readRound{number: n.lastRound, startTick: n.nowTick, requests: n.queuedReads}
 	n.queuedReads = nil
-	ctx := n.readContext(n.lastRound)
+	requestContext := n.readContext(n.lastRound)
 	n.runRaft(func() error {
-		n.raft.ReadIndex(ctx)
+		n.raft.ReadIndex(requestContext)
 		return nil
 	})
 }
 
-func (n *Node) requeueLateRounds() {
-	var late []uint64
-	for number, r := range n.openRounds {
-		if n.now-r.startedAt > int64(n.cfg.ElectionTicks) {
-			late = append(late, number)
+// requeueTimedOutRounds queues the reads of rounds again that were not confirmed within the minimum election timeout.
+func (n *Node) requeueTimedOutRounds() {
+	var timedOut []uint64
+	for number, round := range n.openRounds {
+		if n.nowTick-round.startTick > int64(n.cfg.ElectionTicks) {
+			timedOut = append(timedOut, number)
 		}
 	}
-	slices.Sort(late)
-	for _, number := range late {
+	slices.Sort(timedOut)
+	for _, number := range timedOut {
 		n.queuedReads = append(n.queuedReads, n.openRounds[number].requests...)
 		delete(n.openRounds, number)
 	}
 }
 
-// readContext encodes what identifies a round. It includes the start, because confirmations of rounds of an earlier
-// start may still arrive.
+// readContext encodes the identification of a round. It includes the boot number, because confirmations of rounds from
+// before a restart may still arrive.
 func (n *Node) readContext(round uint64) []byte {
-	ctx := make([]byte, 0, readContextBytes)
-	ctx = binary.BigEndian.AppendUint64(ctx, n.self.MemberID)
-	ctx = binary.BigEndian.AppendUint64(ctx, n.self.Boot)
-	return binary.BigEndian.AppendUint64(ctx, round)
+	requestContext := make([]byte, 0, readContextBytes)
+	requestContext = binary.BigEndian.AppendUint64(requestContext, n.identity.MemberID)
+	requestContext = binary.BigEndian.AppendUint64(requestContext, n.identity.Boot)
+	return binary.BigEndian.AppendUint64(requestContext, round)
 }
 
-// confirmRead records that a quorum confirmed the leader of a round, at the commit index of that moment.
-func (n *Node) confirmRead(s raft.ReadState) {
-	if len(s.RequestCtx) != readContextBytes {
+// confirmRead records that a quorum has confirmed the leader for a round, and the commit index at that time.
+func (n *Node) confirmRead(readState raft.ReadState) {
+	if len(readState.RequestCtx) != readContextBytes {
 		return
 	}
-	number := binary.BigEndian.Uint64(s.RequestCtx[readContextBytes-8:])
-	if !slices.Equal(s.RequestCtx, n.readContext(number)) {
+	number := binary.BigEndian.Uint64(readState.RequestCtx[readContextBytes-8:])
+	if !slices.Equal(readState.RequestCtx, n.readContext(number)) {
 		return
 	}
-	if r := n.openRounds[number]; r != nil {
+	if round := n.openRounds[number]; round != nil {
 		delete(n.openRounds, number)
-		r.index = s.Index
-		n.confirmedRounds = append(n.confirmedRounds, r)
+		round.requiredIndex = readState.Index
+		n.confirmedRounds = append(n.confirmedRounds, round)
 	}
 }
 
-// completeReads completes the reads of confirmed rounds whose index is applied.
+// completeReads completes the reads of confirmed rounds whose required index has been applied.
 func (n *Node) completeReads() {
 	n.confirmedRounds = slices.DeleteFunc(n.confirmedRounds, func(round *readRound) bool {
-		if round.index > n.applied {
+		if round.requiredIndex > n.appliedIndex {
 			return false
 		}
-		for _, r := range round.requests {
-			if !r.done {
-				n.finish(r, store.Result{Index: n.applied, Revision: n.state.Revision()}, nil)
+		for _, request := range round.requests {
+			if !request.done {
+				n.addCompletion(request, store.Result{Index: n.appliedIndex, Revision: n.state.Revision()}, nil)
 			}
 		}
 		return true
--- a/internal/store/replica/replica.go
+++ b/internal/store/replica/replica.go
@@ -1,14 +1,15 @@
-// Package replica is one replica of the store: the state of package store, replicated by raft (Ongaro and Ousterhout,
-// "In Search of an Understandable Consensus Algorithm", 2014; go.etcd.io/raft).
+// Package replica implements one replica of the store: the state of package store, replicated by raft (Ongaro and
+// Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014; go.etcd.io/raft).
 //
-// It does no I/O of its own, has no clock and draws only from the random source that it is given. The owner of a Node
-// calls Tick at a steady rate, Step with each message of another replica, and Process after either. Process writes to
-// the Disk, for which it waits, and returns the messages to be sent and the requests that were completed. A simulation
-// can therefore run many replicas from one seed and reproduce a failing run. The package imports only package store and
-// raft.
+// The package does no I/O of its own, has no clock and draws only from the random source that it is given. The owner of
+// a Node calls Tick at a steady rate, Step with each message from another replica, and Process after either. Process
+// writes to the Disk, waits for the writes, and returns the messages to send and the requests that were completed. A
+// simulation can therefore run many replicas from one seed and reproduce a failing run. Of this module, the package
+// imports only package store.
 //
-// The election timeout is drawn here, because raft would draw its own from the system's random source: followers count
-// ticks without starting an election (RawNode.TickQuiesced), and are made to campaign when the timeout has passed.
+// The package draws the election timeouts itself, because raft would draw them from the system's random source.
+// Followers count ticks without starting an election (RawNode.TickQuiesced), and the package makes them campaign when
+// the timeout has passed.
 package replica
 
 import (
@@ -21,149 +22,152 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Errors of a request to a replica, besides the outcomes of package store.
+// Errors with which a request to a replica is completed. Errors of the command itself are in store.Result.
 var (
 	// ErrNoLeader reports that the request was not accepted because no leader is known.
 	ErrNoLeader = errors.New("no leader is known")
 	// ErrBusy reports that the request was not accepted, because too many are pending or the membership is changing.
-	ErrBusy = errors.New("too busy")
-	// ErrOutcomeUnknown reports that a change may have been made or may yet be made. A retry with the same ID is
-	// applied once.
+	ErrBusy = errors.New("replica is too busy to accept the request")
+	// ErrOutcomeUnknown reports that the change may have been made already, or may still be made. A retry with the same
+	// ID is safe, because the change is applied at most once.
 	ErrOutcomeUnknown = errors.New("no answer in time: the change may have been made or not")
-	// ErrStopped reports that the replica has stopped, because its disk or its state cannot be relied on.
+	// ErrStopped reports that the replica has stopped, because its disk or its state can no longer be relied on.
 	ErrStopped = errors.New("the replica has stopped")
 )
 
-// RequestToken identifies a request to this replica. The caller assigns it.
+// RequestToken identifies a request to this replica until its completion. The caller assigns it.
 type RequestToken uint64
 
-// Completion completes a request. Err is of this package, or nil; the outcome of a command is in Result.
+// Completion is the end of a request. If Err is nil, Result has the outcome, which for a command may be an error, too.
+// Otherwise Err is or wraps one of the errors of this package.
 type Completion struct {
 	Token  RequestToken
 	Result store.Result
 	Err    error
 }
 
-// Output is what Process did and what is left to do. Messages may be sent in any order, and may be lost.
+// Output is what Process did and what it leaves to the owner. Messages may be sent in any order, and may be lost.
 type Output struct {
 	Messages       []*raftpb.Message
 	Completions    []Completion
-	AppliedEntries int
-	StateReplaced  bool         // by a snapshot of the leader: State returns another one
-	Snapshot       *SnapshotJob // to be run, concurrently with further calls, and then passed to SnapshotDone
+	AppliedEntries int          // number of log entries that were applied
+	StateReplaced  bool         // a snapshot from the leader replaced the state: State returns another one
+	Snapshot       *SnapshotJob // unless nil, the owner runs it and then passes it to SnapshotDone
 }
 
-// Node is one replica. It is for one goroutine.
+// Node is one replica. New creates one. It is not safe for concurrent use.
 type Node struct {
 	cfg       Config
-	self      Identity
+	identity  Identity // of the disk
 	raft      *raft.RawNode
-	log       *logStorage
+	raftLog   *logStorage
 	disk      Disk
 	state     *store.State
 	confState *raftpb.ConfState
-	failed    error
-	out       Output
-
-	applied        uint64 // index of the last entry applied
-	term           uint64 // and its term
-	startLastIndex uint64 // last entry of the log at the start
-
-	now             int64 // ticks since the start
-	electionElapsed int   // ticks since a message of the leader
-	electionTimeout int   // ticks
-	leaderID        uint64
-	leading         bool
-
-	pending         []*pendingRequest // by deadline; includes requests that are done
-	pendingByID     map[store.RequestID]*pendingRequest
-	queuedReads     []*pendingRequest // for the next round
-	openRounds      map[uint64]*readRound
-	lastRound       uint64
-	confirmedRounds []*readRound // until their index is applied
-
-	lastReceived    map[uint64]int64 // tick of the last message of each other replica
-	leaseDeadlines  map[uint64]int64 // ticks, while this replica leads
-	revokeRetryAt   map[uint64]int64 // tick from which the end of an expired lease is proposed again
-	registered      bool             // the registration of this start is committed
-	lastMaintenance int64            // tick
-
-	logBytes        int    // of the log since the last snapshot
-	confIndex       uint64 // of the last configuration change
-	snapshotWanted  bool   // one from after confIndex
-	snapshotRunning bool
+	failure   error  // why the replica has stopped; wraps ErrStopped
+	output    Output // of the next Process
+
+	appliedIndex   uint64 // index of the last entry that was applied
+	appliedTerm    uint64 // term of that entry
+	startLastIndex uint64 // index of the last entry of the log at the start
+
+	nowTick              int64 // number of ticks since the start
+	electionElapsedTicks int   // ticks since the election timer was reset
+	electionTimeoutTicks int
+	leaderID             uint64 // 0: no leader is known
+	leading              bool   // this replica is the leader
+
+	pending         []*pendingRequest                   // ordered by deadline; includes requests that are done
+	pendingByID     map[store.RequestID]*pendingRequest // proposals that are not done
+	queuedReads     []*pendingRequest                   // reads for the next round
+	openRounds      map[uint64]*readRound               // by number; not confirmed yet
+	lastRound       uint64                              // number of the last round
+	confirmedRounds []*readRound                        // rounds whose required index is not applied yet
+
+	lastReceivedTick    map[uint64]int64 // tick of the last message from each other replica, by member
+	leaseDeadlineTick   map[uint64]int64 // tick at which a lease expires, by lease; used while this replica leads
+	revokeRetryTick     map[uint64]int64 // tick from which an expired lease may be revoked again, by lease
+	registered          bool             // the registration of this start is committed and applied
+	lastMaintenanceTick int64            // tick of the last proposals of maintain, apart from revocations
+
+	logBytes        int    // size of the log since the last snapshot
+	confChangeIndex uint64 // index of the last configuration change
+	snapshotWanted  bool   // raft needs a snapshot that is not older than confChangeIndex
+	snapshotRunning bool   // a SnapshotJob was handed out, and SnapshotDone has not been called for it
 }
 
-// pendingRequest is a proposal or, with the zero ID, a read.
+// pendingRequest is a request that was accepted: a proposal or, if the ID is zero, a read.
 type pendingRequest struct {
-	token    RequestToken
-	id       store.RequestID
-	deadline int64 // tick
-	done     bool
+	token        RequestToken
+	id           store.RequestID
+	deadlineTick int64
+	done         bool
 }
 
 func (r *pendingRequest) isProposal() bool { return r.id != (store.RequestID{}) }
 
-// Failed returns why the replica stopped, or nil.
-func (n *Node) Failed() error { return n.failed }
+// Failed returns why the replica has stopped, or nil. The error wraps ErrStopped.
+func (n *Node) Failed() error { return n.failure }
 
 // State returns the committed state as far as this replica has applied it. It is valid until the next call of Process.
 func (n *Node) State() *store.State { return n.state }
 
 // Self returns the identity of the replica's disk.
-func (n *Node) Self() Identity { return n.self }
+func (n *Node) Self() Identity { return n.identity }
 
-// Leading reports whether this replica leads, as far as it knows.
+// Leading reports whether this replica is the leader as far as it knows. Another one may have been elected already.
 func (n *Node) Leading() bool { return n.leading }
 
 // Term returns the current term of raft.
 func (n *Node) Term() uint64 { return n.raft.BasicStatus().GetTerm() }
 
-// CaughtUp reports whether the state includes all entries that the log had at the start.
-func (n *Node) CaughtUp() bool { return n.applied >= n.startLastIndex }
+// CaughtUp reports whether the state includes all entries that the log contained at the start.
+func (n *Node) CaughtUp() bool { return n.appliedIndex >= n.startLastIndex }
 
-// Uncommitted calls f with the commands of the log that are not applied. At a start they may be committed or not.
-func (n *Node) Uncommitted(f func(*store.Command)) {
+// Uncommitted calls visit with each command in the log that is not applied, in order. After a start it is unknown which
+// of them are committed.
+func (n *Node) Uncommitted(visit func(*store.Command)) {
 	const noLimit = 1 << 62 // bytes
-	last, err := n.log.LastIndex()
-	if err != nil || last <= n.applied {
+	lastIndex, err := n.raftLog.LastIndex()
+	if err != nil || lastIndex <= n.appliedIndex {
 		return
 	}
-	entries, err := n.log.Entries(n.applied+1, last+1, noLimit)
+	entries, err := n.raftLog.Entries(n.appliedIndex+1, lastIndex+1, noLimit)
 	if err != nil {
 		return
 	}
-	for _, e := range entries {
-		if e.GetType() != raftpb.EntryNormal || len(e.Data) == 0 {
+	for _, entry := range entries {
+		if entry.GetType() != raftpb.EntryNormal || len(entry.Data) == 0 {
 			continue
 		}
-		if c, err := store.DecodeCommand(e.Data); err == nil {
-			f(c)
+		if command, err := store.DecodeCommand(entry.Data); err == nil {
+			visit(command)
 		}
 	}
 }
 
-// fail stops the replica for good.
+// fail stops the replica permanently. Only the first error is recorded.
 func (n *Node) fail(err error) {
-	if n.failed == nil {
-		n.failed = fmt.Errorf("%w: %w", ErrStopped, err)
+	if n.failure == nil {
+		n.failure = fmt.Errorf("%w: %w", ErrStopped, err)
 		n.cfg.Log.Error("store replica stopped", "error", err)
 	}
 }
 
-// runRaft calls raft and stops the replica if raft fails. A dropped proposal is no failure.
-func (n *Node) runRaft(f func() error) {
-	if err := catchPanic(f); err != nil && !errors.Is(err, raft.ErrProposalDropped) {
+// runRaft runs a call of raft, and stops the replica if it panics or returns an error other than that a proposal was
+// dropped.
+func (n *Node) runRaft(call func() error) {
+	if err := catchPanic(call); err != nil && !errors.Is(err, raft.ErrProposalDropped) {
 		n.fail(err)
 	}
 }
 
-// catchPanic turns a panic of raft, with which it reports a violation of its invariants, into an error.
-func catchPanic(f func() error) (err error) {
+// catchPanic runs a call of raft and turns a panic, by which raft reports that an invariant is violated, into an error.
+func catchPanic(call func() error) (err error) {
 	defer func() {
-		if r := recover(); r != nil {
-			err = fmt.Errorf("raft: %v", r)
+		if panicValue := recover(); panicValue != nil {
+			err = fmt.Errorf("raft panicked: %v", panicValue)
 		}
 	}()
-	return f()
+	return call()
 }
--- a/internal/store/replica/snapshot.go
+++ b/internal/store/replica/snapshot.go
@@ -10,7 +10,8 @@
 	"go.etcd.io/raft/v3"
 )
 
-// SnapshotJob writes the state as of the time when the job was made. Run may be called by another goroutine.
+// SnapshotJob writes a snapshot of the state at the time when Process returned the job. Another goroutine than that of
+// the Node may call Run.
 type SnapshotJob struct {
 	Meta  SnapshotMeta
 	state *store.State
@@ -24,8 +25,8 @@
 	n.snapshotRunning, n.snapshotWanted, n.logBytes = true, false, 0
 	return &SnapshotJob{
 		Meta: SnapshotMeta{
-			Index:    n.applied,
-			Term:     n.term,
+			Index:    n.appliedIndex,
+			Term:     n.appliedTerm,
 			Voters:   slices.Clone(n.confState.GetVoters()),
 			Learners: slices.Clone(n.confState.GetLearners()),
 		},
@@ -34,55 +35,55 @@
 	}
 }
 
-// isStaleSnapshot reports whether a snapshot is older than the last configuration change. If it is, a new one is
-// wanted.
+// isStaleSnapshot reports whether the snapshot at an index is older than the last configuration change. If it is, the
+// next Process returns a job for a new one.
 func (n *Node) isStaleSnapshot(index uint64) bool {
-	stale := index < n.confIndex
+	stale := index < n.confChangeIndex
 	n.snapshotWanted = n.snapshotWanted || stale
 	return stale
 }
 
-// SnapshotDone reports how Run of a job ended. After a success the log is compacted up to RetainedEntries before the
-// snapshot.
-func (n *Node) SnapshotDone(j *SnapshotJob, err error) {
+// SnapshotDone records the result of running a job. After a success it compacts the log up to RetainedEntries entries
+// before the snapshot. After an error the replica stops.
+func (n *Node) SnapshotDone(job *SnapshotJob, err error) {
 	n.snapshotRunning = false
-	if n.failed != nil {
+	if n.failure != nil {
 		return
 	}
 	if err != nil {
-		n.fail(fmt.Errorf("snapshot: %w", err))
+		n.fail(fmt.Errorf("cannot write a snapshot: %w", err))
 		return
 	}
-	retained := uint64(n.cfg.RetainedEntries)
-	if j.Meta.Index <= retained {
+	retainedEntries := uint64(n.cfg.RetainedEntries)
+	if job.Meta.Index <= retainedEntries {
 		return
 	}
-	to := j.Meta.Index - retained
+	compactTo := job.Meta.Index - retainedEntries
 	if n.cfg.Defects.has(CompactBeyondSnapshot) {
-		to = min(n.applied, j.Meta.Index+2)
+		compactTo = min(n.appliedIndex, job.Meta.Index+2)
 	}
-	if err := n.compactLog(to); err != nil {
+	if err := n.compactLog(compactTo); err != nil {
 		n.fail(err)
 	}
 }
 
-// compactLog drops the entries of the log up to an index.
-func (n *Node) compactLog(to uint64) error {
-	first, err := n.log.FirstIndex()
+// compactLog drops the entries of the log up to and including lastDropped.
+func (n *Node) compactLog(lastDropped uint64) error {
+	firstIndex, err := n.raftLog.FirstIndex()
 	if err != nil {
 		return err
 	}
-	if to < first {
+	if lastDropped < firstIndex {
 		return nil
 	}
-	term, err := n.log.Term(to)
+	term, err := n.raftLog.Term(lastDropped)
 	if err != nil {
 		return nil //nolint:nilerr // a snapshot of the leader has replaced the log in the meantime
 	}
-	if err := n.disk.Compact(to, term); err != nil {
+	if err := n.disk.Compact(lastDropped, term); err != nil {
 		return err
 	}
-	if err := n.log.Compact(to); err != nil && !errors.Is(err, raft.ErrCompacted) {
+	if err := n.raftLog.Compact(lastDropped); err != nil && !errors.Is(err, raft.ErrCompacted) {
 		return err
 	}
 	return nil
--- a/internal/store/replica/status.go
+++ b/internal/store/replica/status.go
@@ -7,43 +7,43 @@
 	"birchmoor/internal/store"
 )
 
-// Peer is the status of a member as another replica sees it.
+// Peer is the status of a member as the reporting replica sees it.
 type Peer struct {
 	store.Member
 	Leader     bool   `json:"leads,omitempty"`
-	MatchIndex uint64 `json:"match,omitempty"`  // last entry that it is known to have; only the leader knows it
-	Active     bool   `json:"active,omitempty"` // it sent a message recently; only the leader knows it
+	MatchIndex uint64 `json:"match,omitempty"`  // index of the last entry that it is known to have; set by the leader only
+	Active     bool   `json:"active,omitempty"` // the member sent a message recently; set by the leader only
 }
 
-// Status is the status of a replica.
+// Status is the status of a replica at one time, for operators.
 type Status struct {
 	Self             Identity `json:"self"`
 	Name             string   `json:"name"`
-	LeaderID         uint64   `json:"lead"` // 0 if none is known
+	LeaderID         uint64   `json:"lead"` // 0 if no leader is known
 	Leading          bool     `json:"leading"`
 	Term             uint64   `json:"term"`
-	Commit           uint64   `json:"commit"`
-	Applied          uint64   `json:"applied"`
+	Commit           uint64   `json:"commit"`  // index of the last entry that is known to be committed
+	Applied          uint64   `json:"applied"` // index of the last entry that is applied
 	Revision         uint64   `json:"revision"`
 	Keys             int      `json:"keys"`
-	Bytes            int      `json:"bytes"`
-	Level            uint64   `json:"level"`
-	MembershipStable bool     `json:"settled"` // no change of the members is in progress
-	PendingRequests  int      `json:"waiting"` // proposals
-	Peers            []Peer   `json:"peers"`   // all members, this one included, by ID
-	Failed           string   `json:"failed,omitempty"`
+	Bytes            int      `json:"bytes"`            // size of the keys and values
+	Level            uint64   `json:"level"`            // level of commands that the cluster uses
+	MembershipStable bool     `json:"settled"`          // no change of the members is in progress, and all are voters
+	PendingRequests  int      `json:"waiting"`          // number of pending proposals
+	Peers            []Peer   `json:"peers"`            // all members, including this one, ordered by ID
+	Failed           string   `json:"failed,omitempty"` // why the replica has stopped; empty while it works
 }
 
-// Status returns the status of the replica.
+// Status returns the current status of the replica.
 func (n *Node) Status() Status {
-	st := n.raft.Status()
-	s := Status{
-		Self:             n.self,
+	raftStatus := n.raft.Status()
+	status := Status{
+		Self:             n.identity,
 		LeaderID:         n.leaderID,
 		Leading:          n.leading,
-		Term:             st.GetTerm(),
-		Commit:           st.GetCommit(),
-		Applied:          n.applied,
+		Term:             raftStatus.GetTerm(),
+		Commit:           raftStatus.GetCommit(),
+		Applied:          n.appliedIndex,
 		Revision:         n.state.Revision(),
 		Keys:             n.state.Len(),
 		Bytes:            n.state.Size(),
@@ -51,20 +51,20 @@
 		MembershipStable: n.membershipStable(),
 		PendingRequests:  len(n.pendingByID),
 	}
-	if n.failed != nil {
-		s.Failed = n.failed.Error()
+	if n.failure != nil {
+		status.Failed = n.failure.Error()
 	}
-	for _, m := range n.state.Members() {
-		p := Peer{Member: m, Leader: m.ID == n.leaderID}
-		if progress, ok := st.Progress[m.ID]; ok {
-			p.MatchIndex = progress.Match
-			p.Active = m.ID == n.self.MemberID || n.recentlyActive(m.ID)
+	for _, member := range n.state.Members() {
+		peer := Peer{Member: member, Leader: member.ID == n.leaderID}
+		if progress, ok := raftStatus.Progress[member.ID]; ok {
+			peer.MatchIndex = progress.Match
+			peer.Active = member.ID == n.identity.MemberID || n.recentlyActive(member.ID)
 		}
-		if m.ID == n.self.MemberID {
-			s.Name = m.Name
+		if member.ID == n.identity.MemberID {
+			status.Name = member.Name
 		}
-		s.Peers = append(s.Peers, p)
+		status.Peers = append(status.Peers, peer)
 	}
-	slices.SortFunc(s.Peers, func(a, b Peer) int { return cmp.Compare(a.ID, b.ID) })
-	return s
+	slices.SortFunc(status.Peers, func(a, b Peer) int { return cmp.Compare(a.ID, b.ID) })
+	return status
 }
--- a/internal/store/replica/tick.go
+++ b/internal/store/replica/tick.go
@@ -7,15 +7,15 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Tick advances the replica's time by one tick.
+// Tick advances the replica's time by one tick. The owner calls it every Config.TickMillis milliseconds.
 func (n *Node) Tick() {
-	if n.failed != nil {
+	if n.failure != nil {
 		if n.cfg.Defects.has(LeadAfterFailure) {
 			n.sendStaleHeartbeats()
 		}
 		return
 	}
-	n.now++
+	n.nowTick++
 	if n.leading {
 		n.raft.Tick()
 	} else {
@@ -25,52 +25,52 @@
 	n.maintain()
 }
 
+// tickElection starts an election if this replica has not heard from a leader for the election timeout.
 func (n *Node) tickElection() {
 	n.raft.TickQuiesced()
-	n.electionElapsed++
-	if n.electionElapsed >= n.electionTimeout {
+	n.electionElapsedTicks++
+	if n.electionElapsedTicks >= n.electionTimeoutTicks {
 		n.resetElectionTimer()
 		n.runRaft(n.raft.Campaign)
 	}
 }
 
-// resetElectionTimer draws a new election timeout, which starts now.
+// resetElectionTimer draws a new election timeout, which begins now.
 func (n *Node) resetElectionTimer() {
-	n.electionElapsed = 0
-	n.electionTimeout = n.cfg.ElectionTicks + n.cfg.Rand.IntN(n.cfg.ElectionTicks)
+	n.electionElapsedTicks = 0
+	n.electionTimeoutTicks = n.cfg.ElectionTicks + n.cfg.Rand.IntN(n.cfg.ElectionTicks)
 }
 
-// Step handles a message of another replica. It ignores messages that are not for this one.
-func (n *Node) Step(m *raftpb.Message) {
-	if n.failed != nil || raft.IsLocalMsg(m.GetType()) || m.GetTo() != n.self.MemberID {
+// Step handles a message from another replica. It ignores raft's local messages and messages to other replicas.
+func (n *Node) Step(message *raftpb.Message) {
+	if n.failure != nil || raft.IsLocalMsg(message.GetType()) || message.GetTo() != n.identity.MemberID {
 		return
 	}
-	switch m.GetType() {
+	switch message.GetType() {
 	case raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap:
-		if m.GetTerm() >= n.Term() {
+		if message.GetTerm() >= n.Term() {
 			n.resetElectionTimer()
 		}
 	}
-	if _, ok := n.state.Member(m.GetFrom()); ok {
-		n.lastReceived[m.GetFrom()] = n.now
+	if _, ok := n.state.Member(message.GetFrom()); ok {
+		n.lastReceivedTick[message.GetFrom()] = n.nowTick
 	}
-	err := catchPanic(func() error { return n.raft.Step(m) })
+	err := catchPanic(func() error { return n.raft.Step(message) })
 	if err != nil && !errors.Is(err, raft.ErrStepPeerNotFound) && !errors.Is(err, raft.ErrProposalDropped) {
 		n.fail(err)
 	}
 }
 
-// recentlyActive reports whether another replica sent a message within the minimum election timeout. Raft's
-// RecentActive is of no use here: raft resets it at regular ticks, which are the ones at which a leader would look at
-// it.
+// recentlyActive reports whether another replica has sent a message within the minimum election timeout. Raft's
+// RecentActive cannot be used, because raft resets it periodically, at the same ticks at which a leader would read it.
 func (n *Node) recentlyActive(id uint64) bool {
-	received, ok := n.lastReceived[id]
-	return ok && n.now-received < int64(n.cfg.ElectionTicks)
+	lastTick, ok := n.lastReceivedTick[id]
+	return ok && n.nowTick-lastTick < int64(n.cfg.ElectionTicks)
 }
 
-// ReportUnreachable reports that a message to a replica was not delivered.
+// ReportUnreachable tells raft that a message to a member was not delivered.
 func (n *Node) ReportUnreachable(id uint64) {
-	if n.failed != nil {
+	if n.failure != nil {
 		return
 	}
 	n.runRaft(func() error {
@@ -79,13 +79,13 @@
 	})
 }
 
-// ReportSnapshot reports whether a snapshot was sent to a replica.
-func (n *Node) ReportSnapshot(id uint64, ok bool) {
-	if n.failed != nil {
+// ReportSnapshot tells raft whether a snapshot was sent to a member.
+func (n *Node) ReportSnapshot(id uint64, sent bool) {
+	if n.failure != nil {
 		return
 	}
 	status := raft.SnapshotFinish
-	if !ok {
+	if !sent {
 		status = raft.SnapshotFailure
 	}
 	n.runRaft(func() error {
