--- a/internal/store/peer/frame_test.go
+++ b/internal/store/peer/frame_test.go
@@ -9,18 +9,18 @@
 
 func TestReadFrameDetectsTruncationAndBitFlips(t *testing.T) {
 	complete := appendFrame(nil, kindMessage, []byte("what was sent"))
-	k, b, err := readFrame(bytes.NewReader(complete), 100)
-	if err != nil || k != kindMessage || string(b) != "what was sent" {
-		t.Fatal(k, b, err)
+	kind, b, err := readFrame(bytes.NewReader(complete), 100)
+	if err != nil || kind != kindMessage || string(b) != "what was sent" {
+		t.Fatal(kind, b, err)
 	}
-	for n := range complete {
-		if _, _, err := readFrame(bytes.NewReader(complete[:n]), 100); err == nil {
-			t.Fatalf("truncated at %d", n)
+	for position := range complete {
+		if _, _, err := readFrame(bytes.NewReader(complete[:position]), 100); err == nil {
+			t.Fatalf("readFrame accepted a frame that is truncated at byte %d", position)
 		}
 		b := bytes.Clone(complete)
-		b[n] ^= 4
+		b[position] ^= 4
 		if _, _, err := readFrame(bytes.NewReader(b), 100); err == nil {
-			t.Fatalf("flipped at %d", n)
+			t.Fatalf("readFrame accepted a frame with a flipped bit in byte %d", position)
 		}
 	}
 	if _, _, err := readFrame(bytes.NewReader(complete), 5); !errors.Is(err, ErrInvalidFrame) {
@@ -28,20 +28,21 @@
 	}
 }
 
+// On any input, readFrame returns frames that the input contains, and then an error of the documented kinds.
 func FuzzReadFrame(f *testing.F) {
 	f.Add(appendFrame(nil, kindHello, []byte("x")))
-	f.Fuzz(func(t *testing.T, b []byte) {
-		r := bytes.NewReader(b)
+	f.Fuzz(func(t *testing.T, input []byte) {
+		r := bytes.NewReader(input)
 		for {
-			k, p, err := readFrame(r, 1<<20)
+			kind, payload, err := readFrame(r, 1<<20)
 			if err != nil {
 				if !errors.Is(err, ErrInvalidFrame) && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
 					t.Fatal(err)
 				}
 				return
 			}
-			if again := appendFrame(nil, k, p); !bytes.Contains(b, again) {
-				t.Fatal("a frame was read that is not in the input")
+			if encoded := appendFrame(nil, kind, payload); !bytes.Contains(input, encoded) {
+				t.Fatal("readFrame returned a frame that the input does not contain")
 			}
 		}
 	})
--- a/internal/store/peer/frozen_test.go
+++ b/internal/store/peer/frozen_test.go
@@ -14,7 +14,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// frozenForm is a value that is stored or sent, as commit 7105f7a wrote it to testdata/frozen.
+// frozenForm is a value that is sent to peers. Its encoding by commit 7105f7a is a line in testdata/frozen.
 type frozenForm struct {
 	name    string
 	value   any
@@ -29,13 +29,13 @@
 	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
 	forms := frozenForms()
 	if len(lines) != len(forms) {
-		t.Fatalf("%d lines for %d forms", len(lines), len(forms))
+		t.Fatalf("testdata/frozen/forms.txt has %d lines for %d forms", len(lines), len(forms))
 	}
 	for i, form := range forms {
 		t.Run(form.name, func(t *testing.T) {
 			name, frozen, _ := strings.Cut(lines[i], ": ")
 			if name != form.name {
-				t.Fatalf("line %d is %q", i+1, name)
+				t.Fatalf("line %d of testdata/frozen/forms.txt is the form %q", i+1, name)
 			}
 			form.check(t, frozen)
 		})
@@ -52,14 +52,14 @@
 		frame.check(t, encoded)
 		return
 	}
-	if b, err := cbor.Marshal(f.value); err != nil || !bytes.Equal(b, encoded) {
-		t.Errorf("encoded as %x, frozen as %x: %v", b, encoded, err)
+	if reencoded, err := cbor.Marshal(f.value); err != nil || !bytes.Equal(reencoded, encoded) {
+		t.Errorf("encoded as %x, want the frozen form %x: %v", reencoded, encoded, err)
 	}
 	if err := cbor.Unmarshal(encoded, f.decoded); err != nil {
 		t.Fatal(err)
 	}
-	if d := cmp.Diff(reflect.ValueOf(f.decoded).Elem().Interface(), f.value); d != "" {
-		t.Error(d)
+	if diff := cmp.Diff(reflect.ValueOf(f.decoded).Elem().Interface(), f.value); diff != "" {
+		t.Error(diff)
 	}
 }
 
@@ -70,12 +70,12 @@
 
 func (f *frozenFrame) check(t *testing.T, encoded []byte) {
 	t.Helper()
-	if b := appendFrame(nil, f.kind, []byte(f.payload)); !bytes.Equal(b, encoded) {
-		t.Errorf("encoded as %x, frozen as %x", b, encoded)
+	if reencoded := appendFrame(nil, f.kind, []byte(f.payload)); !bytes.Equal(reencoded, encoded) {
+		t.Errorf("encoded as %x, want the frozen form %x", reencoded, encoded)
 	}
-	k, payload, err := readFrame(bytes.NewReader(encoded), len(f.payload))
-	if err != nil || k != f.kind || string(payload) != f.payload {
-		t.Errorf("read as %c %q: %v", k, payload, err)
+	kind, payload, err := readFrame(bytes.NewReader(encoded), len(f.payload))
+	if err != nil || kind != f.kind || string(payload) != f.payload {
+		t.Errorf("readFrame returned kind %c, payload %q, error %v", kind, payload, err)
 	}
 }
 
--- a/internal/store/peer/hello.go
+++ b/internal/store/peer/hello.go
@@ -13,42 +13,42 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Protocol is the version of the protocol. A side that knows a higher one uses the lower of both.
+// Protocol is the highest version of the protocol that this build knows. Two sides use the lower of their versions.
 const Protocol = 1
 
-// Hello is the first frame on a connection.
+// Hello is the first frame on a connection, by which the side that opened it identifies itself.
 type Hello struct {
 	Protocol      int           `cbor:"1,keyasint"`
 	From          replica.Hello `cbor:"2,keyasint"`
-	Name          string        `cbor:"3,keyasint"` // of the sender
-	RecipientName string        `cbor:"4,keyasint"`
-	RecipientID   uint64        `cbor:"5,keyasint"` // member
-	Address       string        `cbor:"6,keyasint"` // of the sender, for a recipient that knows no members yet
+	Name          string        `cbor:"3,keyasint"` // name of the sender
+	RecipientName string        `cbor:"4,keyasint"` // name of the member that the sender expects to reach
+	RecipientID   uint64        `cbor:"5,keyasint"` // member ID of the recipient
+	Address       string        `cbor:"6,keyasint"` // address of the sender, for a recipient that knows no members yet
 }
 
-// HelloReply answers a Hello.
+// HelloReply is the reply to a Hello.
 type HelloReply struct {
-	Rejection string        `cbor:"1,keyasint,omitempty"` // reason, or empty if the hello was admitted
+	Rejection string        `cbor:"1,keyasint,omitempty"` // why the hello was rejected; empty if it was admitted
 	From      replica.Hello `cbor:"2,keyasint"`
-	Name      string        `cbor:"3,keyasint"`
+	Name      string        `cbor:"3,keyasint"` // name of the replying replica
 }
 
 // answerHello reads the hello on an accepted connection and replies to it. It reports whether the hello was admitted.
-// The name of the sender's certificate is empty without keys.
-func (t *Transport) answerHello(c net.Conn, r *bufio.Reader, certified string) (Hello, bool) {
+// certifiedName is the name in the sender's certificate, or empty on plain TCP.
+func (t *Transport) answerHello(conn net.Conn, r *bufio.Reader, certifiedName string) (Hello, bool) {
 	hello, err := t.readHello(r)
 	if err != nil {
 		t.Stats.InvalidFrames.Add(1)
 		return hello, false
 	}
-	rejection := t.admit(hello, certified)
-	reply := HelloReply{From: t.host.Hello(), Name: t.name} // after admit, which may assign this replica's identity
+	rejection := t.admit(hello, certifiedName)
+	reply := HelloReply{From: t.host.Hello(), Name: t.name} // built after admit, which may assign this replica's identity
 	if rejection != nil {
 		reply.Rejection = rejection.Error()
 		t.Stats.HellosRejected.Add(1)
 		t.log.Warn("hello of a store peer rejected", "peer", hello.Name, "reason", rejection)
 	}
-	if err := t.writeCBOR(c, kindHelloReply, &reply); err != nil {
+	if err := t.writeCBOR(conn, kindHelloReply, &reply); err != nil {
 		return hello, false
 	}
 	return hello, reply.Rejection == ""
@@ -56,25 +56,25 @@
 
 func (t *Transport) readHello(r io.Reader) (Hello, error) {
 	var hello Hello
-	kind, b, err := readFrame(r, maxHelloBytes)
+	kind, payload, err := readFrame(r, maxHelloBytes)
 	if err != nil {
 		return hello, err
 	}
 	if kind != kindHello {
 		return hello, ErrInvalidFrame
 	}
-	if err := cbor.Unmarshal(b, &hello); err != nil {
+	if err := cbor.Unmarshal(payload, &hello); err != nil {
 		return hello, err
 	}
-	t.meter.Count(usage.Other, usage.In, 1, frameHeaderBytes+len(b))
+	t.meter.Count(usage.Other, usage.In, 1, frameHeaderBytes+len(payload))
 	return hello, nil
 }
 
-// admit returns why a hello is rejected.
-func (t *Transport) admit(hello Hello, certified string) error {
+// admit returns why a hello is rejected, or nil. The text of the error is sent to the peer.
+func (t *Transport) admit(hello Hello, certifiedName string) error {
 	switch {
-	case t.keys != nil && certified != hello.Name:
-		return fmt.Errorf("the certificate is for %q, and the hello from %q", certified, hello.Name)
+	case t.keys != nil && certifiedName != hello.Name:
+		return fmt.Errorf("the certificate is for %q, and the hello from %q", certifiedName, hello.Name)
 	case hello.RecipientName != t.name:
 		return fmt.Errorf("this is %q, not %q", t.name, hello.RecipientName)
 	case hello.Protocol < 1:
@@ -83,14 +83,14 @@
 	return t.host.Admit(hello)
 }
 
-// sendHello sends a hello on a connection that this side opened, and handles the reply. It returns an error if either
+// sendHello sends a hello on a connection that this side opened, and waits for the reply. It returns an error if either
 // side rejects the other.
-func (l *link) sendHello(c net.Conn) error {
+func (l *link) sendHello(conn net.Conn) error {
 	t := l.transport
-	if err := c.SetDeadline(time.Now().Add(helloTimeout)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(helloTimeout)); err != nil {
 		return err
 	}
-	err := t.writeCBOR(c, kindHello, &Hello{
+	err := t.writeCBOR(conn, kindHello, &Hello{
 		Protocol:      Protocol,
 		From:          t.host.Hello(),
 		Name:          t.name,
@@ -101,7 +101,7 @@
 	if err != nil {
 		return err
 	}
-	reply, err := t.readReply(c)
+	reply, err := t.readReply(conn)
 	if err != nil {
 		return err
 	}
@@ -114,28 +114,29 @@
 		t.log.Warn("hello of a store peer rejected", "peer", reply.Name, "reason", err)
 		return err
 	}
-	return c.SetDeadline(time.Time{})
+	return conn.SetDeadline(time.Time{})
 }
 
 func (t *Transport) readReply(r io.Reader) (HelloReply, error) {
 	var reply HelloReply
-	kind, b, err := readFrame(r, maxHelloBytes)
+	kind, payload, err := readFrame(r, maxHelloBytes)
 	if err != nil {
 		return reply, err
 	}
-	t.meter.Count(usage.Other, usage.In, 1, frameHeaderBytes+len(b))
+	t.meter.Count(usage.Other, usage.In, 1, frameHeaderBytes+len(payload))
 	if kind != kindHelloReply {
 		return reply, ErrInvalidFrame
 	}
-	return reply, cbor.Unmarshal(b, &reply)
+	return reply, cbor.Unmarshal(payload, &reply)
 }
 
-func (t *Transport) writeCBOR(w io.Writer, kind frameKind, v any) error {
-	b, err := cbor.Marshal(v)
+// writeCBOR writes a frame whose payload is a value encoded in CBOR.
+func (t *Transport) writeCBOR(w io.Writer, kind frameKind, value any) error {
+	payload, err := cbor.Marshal(value)
 	if err != nil {
 		return err
 	}
-	t.meter.Count(usage.Other, usage.Out, 1, frameHeaderBytes+len(b))
-	_, err = w.Write(appendFrame(nil, kind, b))
+	t.meter.Count(usage.Other, usage.Out, 1, frameHeaderBytes+len(payload))
+	_, err = w.Write(appendFrame(nil, kind, payload))
 	return err
 }
--- a/internal/store/peer/receive.go
+++ b/internal/store/peer/receive.go
@@ -20,146 +20,150 @@
 func (t *Transport) accept() {
 	defer t.wg.Done()
 	for {
-		c, err := t.listener.Accept()
+		conn, err := t.listener.Accept()
 		if err != nil {
 			if t.ctx.Err() != nil {
 				return
 			}
-			if !t.pause(minBackoff) { // such as for too many open files
+			if !t.pause(minBackoff) { // the error may be temporary, such as too many open files
 				return
 			}
 			continue
 		}
 		select {
-		case t.slots <- struct{}{}:
+		case t.connectionSlots <- struct{}{}:
 		default:
 			t.Stats.ConnectionsRejected.Add(1)
-			_ = c.Close()
+			_ = conn.Close()
 			continue
 		}
 		t.wg.Add(1)
 		go func() {
 			defer t.wg.Done()
-			defer func() { <-t.slots }()
-			t.serve(c)
+			defer func() { <-t.connectionSlots }()
+			t.serve(conn)
 		}()
 	}
 }
 
-// pause waits for a duration. It reports whether the transport is still open.
-func (t *Transport) pause(d time.Duration) bool {
+// pause waits for a duration, or until the transport is closed. It reports whether the transport is still open.
+func (t *Transport) pause(duration time.Duration) bool {
 	select {
 	case <-t.ctx.Done():
 		return false
-	case <-time.After(d):
+	case <-time.After(duration):
 		return true
 	}
 }
 
-// serve handles an accepted connection until it ends.
-func (t *Transport) serve(c net.Conn) {
-	defer func() { _ = c.Close() }()
-	defer t.closeOnShutdown(c)()
-	if err := c.SetDeadline(time.Now().Add(helloTimeout)); err != nil {
+// serve handles an accepted connection: the TLS handshake, the hello, and then messages until the connection ends.
+func (t *Transport) serve(conn net.Conn) {
+	defer func() { _ = conn.Close() }()
+	defer t.closeOnShutdown(conn)()
+	if err := conn.SetDeadline(time.Now().Add(helloTimeout)); err != nil {
 		return
 	}
-	certified := ""
+	certifiedName := ""
 	if t.keys != nil {
-		tlsConn := tls.Server(c, t.keys.Server())
+		tlsConn := tls.Server(conn, t.keys.Server())
 		if err := tlsConn.HandshakeContext(t.ctx); err != nil {
 			t.Stats.ConnectionsRejected.Add(1)
-			t.log.Warn("connection of a store peer rejected", "from", c.RemoteAddr(), "error", err)
+			t.log.Warn("TLS handshake with a store peer failed, connection rejected", "from", conn.RemoteAddr(), "error", err)
 			return
 		}
-		certified, c = keys.PeerNames(tlsConn.ConnectionState()), tlsConn
+		certifiedName, conn = keys.PeerNames(tlsConn.ConnectionState()), tlsConn
 	}
-	r := bufio.NewReaderSize(c, bufferBytes)
-	hello, ok := t.answerHello(c, r, certified)
+	r := bufio.NewReaderSize(conn, bufferBytes)
+	hello, ok := t.answerHello(conn, r, certifiedName)
 	if !ok {
 		return
 	}
-	err := t.receive(c, r, hello.From.MemberID)
+	err := t.receive(conn, r, hello.From.MemberID)
 	if t.ctx.Err() != nil {
 		return
 	}
 	if errors.Is(err, ErrInvalidFrame) {
 		t.Stats.InvalidFrames.Add(1)
 	}
-	t.log.Debug("connection of a store peer ended", "peer", hello.Name, "error", err)
+	t.log.Debug("connection from a store peer ended", "peer", hello.Name, "error", err)
 }
 
-// receive delivers the messages of a member until the connection ends, and returns why it did.
-func (t *Transport) receive(c net.Conn, r *bufio.Reader, from uint64) error {
+// receive delivers the messages from a member to the host until the connection ends. It returns why that happened, and
+// never nil.
+func (t *Transport) receive(conn net.Conn, r *bufio.Reader, memberID uint64) error {
 	for {
-		m, err := t.receiveMessage(c, r)
+		message, err := t.receiveMessage(conn, r)
 		if err != nil {
 			return err
 		}
-		if m.GetFrom() != from {
-			return fmt.Errorf("%w: message of member %d on the connection of %d", ErrInvalidFrame, m.GetFrom(), from)
+		if message.GetFrom() != memberID {
+			return fmt.Errorf("%w: message from member %d on the connection of member %d", ErrInvalidFrame,
+				message.GetFrom(), memberID)
 		}
 		t.Stats.MessagesReceived.Add(1)
-		t.host.Deliver(t.ctx, m)
+		t.host.Deliver(t.ctx, message)
 	}
 }
 
-func (t *Transport) receiveMessage(c net.Conn, r *bufio.Reader) (*raftpb.Message, error) {
-	if err := c.SetDeadline(time.Now().Add(idleTimeout)); err != nil {
+// receiveMessage reads the next message, including all parts of a snapshot.
+func (t *Transport) receiveMessage(conn net.Conn, r *bufio.Reader) (*raftpb.Message, error) {
+	if err := conn.SetDeadline(time.Now().Add(idleTimeout)); err != nil {
 		return nil, err
 	}
-	kind, b, err := readFrame(r, maxFrameBytes)
+	kind, payload, err := readFrame(r, maxFrameBytes)
 	if err != nil {
 		return nil, err
 	}
 	if kind == kindSnapshot {
-		t.meter.Count(usage.Snapshots, usage.In, 1, frameHeaderBytes+len(b))
-		return t.receiveSnapshot(c, r, b)
+		t.meter.Count(usage.Snapshots, usage.In, 1, frameHeaderBytes+len(payload))
+		return t.receiveSnapshot(conn, r, payload)
 	}
-	t.meter.Count(usage.Raft, usage.In, 1, frameHeaderBytes+len(b))
+	t.meter.Count(usage.Raft, usage.In, 1, frameHeaderBytes+len(payload))
 	if kind != kindMessage {
 		return nil, ErrInvalidFrame
 	}
-	return unmarshalMessage(b)
+	return unmarshalMessage(payload)
 }
 
-func unmarshalMessage(b []byte) (*raftpb.Message, error) {
-	m := &raftpb.Message{}
-	if err := proto.Unmarshal(b, m); err != nil {
+func unmarshalMessage(payload []byte) (*raftpb.Message, error) {
+	message := &raftpb.Message{}
+	if err := proto.Unmarshal(payload, message); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrInvalidFrame, err)
 	}
-	return m, nil
+	return message, nil
 }
 
-// receiveSnapshot reads the parts that follow a frame of kindSnapshot, and returns its message with their data.
-func (t *Transport) receiveSnapshot(c net.Conn, r *bufio.Reader, b []byte) (*raftpb.Message, error) {
-	if len(b) < snapshotSizeBytes {
+// receiveSnapshot reads the frames of kindSnapshotPart that follow a frame of kindSnapshot, whose payload it is passed.
+// It returns the message in that payload, with the data of the parts as its snapshot.
+func (t *Transport) receiveSnapshot(conn net.Conn, r *bufio.Reader, payload []byte) (*raftpb.Message, error) {
+	if len(payload) < snapshotSizeBytes {
 		return nil, ErrInvalidFrame
 	}
-	size := binary.BigEndian.Uint64(b)
+	dataBytes := binary.BigEndian.Uint64(payload)
 	var data []byte
-	for uint64(len(data)) < size {
-		if err := c.SetDeadline(time.Now().Add(idleTimeout)); err != nil {
+	for uint64(len(data)) < dataBytes {
+		if err := conn.SetDeadline(time.Now().Add(idleTimeout)); err != nil {
 			return nil, err
 		}
 		kind, part, err := readFrame(r, snapshotPartBytes)
 		if err != nil {
 			return nil, err
 		}
-		if kind != kindSnapshotPart || len(part) == 0 || uint64(len(data)+len(part)) > size {
+		if kind != kindSnapshotPart || len(part) == 0 || uint64(len(data)+len(part)) > dataBytes {
 			return nil, ErrInvalidFrame
 		}
 		t.meter.Count(usage.Snapshots, usage.In, 0, frameHeaderBytes+len(part))
 		data = append(data, part...)
 	}
-	m, err := unmarshalMessage(b[snapshotSizeBytes:])
+	message, err := unmarshalMessage(payload[snapshotSizeBytes:])
 	if err != nil {
 		return nil, err
 	}
 	if data != nil {
-		if m.Snapshot == nil {
+		if message.Snapshot == nil {
 			return nil, ErrInvalidFrame
 		}
-		m.Snapshot.Data = data
+		message.Snapshot.Data = data
 	}
-	return m, nil
+	return message, nil
 }
