--- a/internal/store/peer/peer.go
+++ b/internal/store/peer/peer.go
@@ -42,16 +42,17 @@
 	Hello() replica.Hello
 	// Admit returns why the sender of a hello, or of the reply to one, is rejected, or nil. The text of an error is sent
 	// to the sender of a hello.
-	Admit(h Hello) error
+	Admit(hello Hello) error
 	// Deliver handles a received message. It may block, until ctx ends, which slows down the sender.
-	Deliver(ctx context.Context, m *raftpb.Message)
+	Deliver(ctx context.Context, message *raftpb.Message)
 	// ReportUnreachable reports that a message other than a snapshot was not sent to a member.
-	ReportUnreachable(member uint64)
+	ReportUnreachable(memberID uint64)
 	// ReportSnapshot reports whether a snapshot was sent to a member.
-	ReportSnapshot(member uint64, ok bool)
+	ReportSnapshot(memberID uint64, sent bool)
 }
 
-// Peer is a member to which a Transport connects. Its certificate must be for Name. Address is dialled.
+// Peer is a member to which a Transport connects. Its certificate must be for Name, and Address is the TCP address to
+// dial.
 type Peer struct{ Name, Address string }
 
 // Stats has the counters of a Transport. Any goroutine may read them.
--- a/internal/store/serverstate/exclusion.go
+++ b/internal/store/serverstate/exclusion.go
@@ -45,11 +45,11 @@
 	ReportedBy string `cbor:"1,keyasint" json:"by"` // name of the daemon that reported the exclusion
 }
 
-// Exclusion describes an excluded server to operators.
+// Exclusion describes the exclusion of a server to operators.
 type Exclusion struct {
 	Kind       Kind   `json:"kind"`
 	Server     string `json:"server"`
-	Committed  bool   `json:"agreed"` // the store has the exclusion; if false, only this daemon excludes the server
+	Committed  bool   `json:"agreed"` // the store has it; if not, only this daemon excludes the server
 	ReportedBy string `json:"by"`     // name of the daemon that reported the exclusion last
 	// AgeMillis is the time since the report reached this daemon's copy of the store. It is -1 if the report arrived
 	// before this start of the daemon, or has not arrived.
--- a/internal/store/serverstate/staleness.go
+++ b/internal/store/serverstate/staleness.go
@@ -5,7 +5,7 @@
 type Staleness struct {
 	Confirmed bool  // a quorum has confirmed the copy since the start
 	Age       int64 // time since the last confirmation
-	Allowed   int64 // maximum age of a copy that counts as fresh
+	Allowed   int64 // a copy of at most this age counts as fresh
 }
 
 // Stale reports whether the copy may be too far behind. A copy that was never confirmed is always stale.
