--- a/cmd/birchmoor/storefollowerload_test.go
+++ b/cmd/birchmoor/storefollowerload_test.go
@@ -183,7 +183,7 @@
 				AddMember: &store.AddMember{Name: name, Address: listen},
 			}) // retried until it shows in the status
 			s, err := l.client.Status(l.ctx)
-			learns := func(p replica.Peer) bool { return p.Learner }
+			learns := func(p replica.PeerStatus) bool { return p.Learner }
 			return err == nil && len(s.Peers) > i && !slices.ContainsFunc(s.Peers, learns)
 		})
 	}
--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -334,7 +334,7 @@
 	}
 	for ctx.Err() == nil {
 		s, err := c.Status(ctx)
-		if err == nil && s.MembershipStable && len(s.Peers) == r.o.Replicas && !slices.ContainsFunc(s.Peers, func(p replica.Peer) bool { return p.Learner }) {
+		if err == nil && s.MembershipStable && len(s.Peers) == r.o.Replicas && !slices.ContainsFunc(s.Peers, func(p replica.PeerStatus) bool { return p.Learner }) {
 			return fmt.Sprintf("%s votes again with an empty disk after %.1f s", d.Name(), time.Since(at).Seconds()), at, nil, nil
 		}
 		pause(ctx, 50*time.Millisecond)
--- a/internal/store/follower/status.go
+++ b/internal/store/follower/status.go
@@ -33,7 +33,7 @@
 	status.Bytes = state.Size()
 	status.Level = state.Level()
 	for _, member := range state.Members() {
-		status.Peers = append(status.Peers, replica.Peer{Member: member})
+		status.Peers = append(status.Peers, replica.PeerStatus{Member: member})
 	}
 	if info, err := os.Stat(f.copyPath()); err == nil {
 		status.DiskBytes = info.Size()
