--- a/internal/controlplane/daemon/admindrains.go
+++ b/internal/controlplane/daemon/admindrains.go
@@ -20,7 +20,7 @@
 // NewAdminDrains returns those of the daemon with a name.
 func NewAdminDrains(name string, log *slog.Logger) *AdminDrains {
 	a := &AdminDrains{newExclusionReports[string](name, log)}
-	a.guard.Restrict(func(kind serverstate.Kind, server string) bool { return !isProcessDrain(kind, server) })
+	a.guard.Restrict(func(kind serverstate.ExclusionKind, server string) bool { return !isProcessDrain(kind, server) })
 	a.parseKey = parseServerKey
 	a.id = func(server string) string { return server }
 	a.excluded = a.guard.Excluded
--- a/internal/controlplane/daemon/drains.go
+++ b/internal/controlplane/daemon/drains.go
@@ -49,7 +49,7 @@
 }
 
 // isProcessDrain reports whether an exclusion is that of a draining process.
-func isProcessDrain(kind serverstate.Kind, server string) bool {
+func isProcessDrain(kind serverstate.ExclusionKind, server string) bool {
 	_, ok := serverstate.ParseProcess(server)
 	return ok && kind == serverstate.Drain
 }
--- a/internal/store/serverstate/exclusion.go
+++ b/internal/store/serverstate/exclusion.go
@@ -9,16 +9,16 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Kind says why a server is excluded.
-type Kind string
+// ExclusionKind says why a server is excluded.
+type ExclusionKind string
 
 // The kinds of exclusions. Their values are part of the keys in the store.
 const (
 	// Drain excludes one process that is draining according to discovery. The server in the key is its
 	// Process.ServerName.
-	Drain Kind = "drain"
+	Drain ExclusionKind = "drain"
 	// AdminDrain excludes a server that an operator drained. The server in the key is the server's ID.
-	AdminDrain Kind = "ban"
+	AdminDrain ExclusionKind = "ban"
 )
 
 // ExclusionPrefix is the prefix of the keys of excluded servers, which have the form out/KIND/SERVER.
@@ -47,25 +47,25 @@
 
 // Exclusion describes the exclusion of a server to operators.
 type Exclusion struct {
-	Kind       Kind   `json:"kind"`
-	Server     string `json:"server"`
-	Committed  bool   `json:"agreed"` // the store has it; if not, only this daemon excludes the server
-	ReportedBy string `json:"by"`     // name of the daemon that reported the exclusion last
+	Kind       ExclusionKind `json:"kind"`
+	Server     string        `json:"server"`
+	Committed  bool          `json:"agreed"` // the store has it; if not, only this daemon excludes the server
+	ReportedBy string        `json:"by"`     // name of the daemon that reported the exclusion last
 	// AgeMillis is the time since the report reached this daemon's copy of the store. It is -1 if the report arrived
 	// before this start of the daemon, or has not arrived.
 	AgeMillis int64 `json:"age_ms"`
 }
 
 // ExclusionKey returns the key whose presence in the store excludes a server.
-func ExclusionKey(kind Kind, server string) string {
+func ExclusionKey(kind ExclusionKind, server string) string {
 	return ExclusionPrefix + string(kind) + "/" + server
 }
 
 // parseExclusionKey parses an ExclusionKey. ok is false for an unknown kind and for an empty server.
-func parseExclusionKey(key string) (kind Kind, server string, ok bool) {
+func parseExclusionKey(key string) (kind ExclusionKind, server string, ok bool) {
 	rest, ok := strings.CutPrefix(key, ExclusionPrefix)
 	kindName, server, found := strings.Cut(rest, "/")
-	kind = Kind(kindName)
+	kind = ExclusionKind(kindName)
 	known := kind == Drain || kind == AdminDrain
 	return kind, server, ok && found && known && server != ""
 }
--- a/internal/store/serverstate/guard.go
+++ b/internal/store/serverstate/guard.go
@@ -20,10 +20,10 @@
 
 // Guard tracks which servers are excluded. NewGuard creates one. It is not safe for concurrent use.
 type Guard struct {
-	daemon        string                              // name under which it reports
-	exclusions    map[string]*exclusionState          // by key
-	actedRevision uint64                              // highest revision of the store that the guard has acted on
-	covers        func(kind Kind, server string) bool // nil: all servers
+	daemon        string                                       // name under which it reports
+	exclusions    map[string]*exclusionState                   // by key
+	actedRevision uint64                                       // highest revision of the store that the guard has acted on
+	covers        func(kind ExclusionKind, server string) bool // nil: all servers
 
 	eagerReadmission bool // injected defect of InjectEagerReadmission
 }
@@ -60,7 +60,7 @@
 
 // Restrict makes the guard ignore the servers for which covers returns false. It must be called before any other
 // method.
-func (g *Guard) Restrict(covers func(kind Kind, server string) bool) { g.covers = covers }
+func (g *Guard) Restrict(covers func(kind ExclusionKind, server string) bool) { g.covers = covers }
 
 // InjectEagerReadmission injects a defect for tests: Readmit ends an exclusion before the change is committed.
 func (g *Guard) InjectEagerReadmission() { g.eagerReadmission = true }
@@ -80,7 +80,7 @@
 	return g.excludedBy(Drain, server) || g.excludedBy(AdminDrain, server)
 }
 
-func (g *Guard) excludedBy(kind Kind, server string) bool {
+func (g *Guard) excludedBy(kind ExclusionKind, server string) bool {
 	exclusion := g.exclusions[ExclusionKey(kind, server)]
 	return exclusion != nil && exclusion.isActive()
 }
@@ -88,7 +88,7 @@
 // Observe records an exclusion that this daemon observed itself. It takes effect at once. If the operation is not nil,
 // the caller proposes it to the store and then calls ProposalDone with the outcome. The errors are ErrInvalidServerName
 // and ErrTooManyExclusions.
-func (g *Guard) Observe(kind Kind, server string) (*store.Op, error) {
+func (g *Guard) Observe(kind ExclusionKind, server string) (*store.Op, error) {
 	key := ExclusionKey(kind, server)
 	if _, ok := g.coveredServer(key); !ok {
 		return nil, ErrInvalidServerName
@@ -143,7 +143,7 @@
 // Readmit returns the transaction that ends the exclusion that the store has now; it fails on one that is reported
 // later. The caller proposes it, and the server stays excluded until Apply receives the committed change. The error is
 // ErrNotReported if the store has no such exclusion.
-func (g *Guard) Readmit(kind Kind, server string) (*store.Txn, error) {
+func (g *Guard) Readmit(kind ExclusionKind, server string) (*store.Txn, error) {
 	key := ExclusionKey(kind, server)
 	exclusion := g.exclusions[key]
 	if exclusion == nil || exclusion.committedRevision == 0 {
--- a/internal/store/serverstate/stored_test.go
+++ b/internal/store/serverstate/stored_test.go
@@ -14,7 +14,7 @@
 func TestStoredFormsAreFrozen(t *testing.T) {
 	process := Process{ID: "s/1 a", Addr: "127.0.0.1:80", StartedMs: 1764700000123}
 	guard := NewGuard("daemon-a")
-	exclusion := func(kind Kind, server string) (string, []byte) {
+	exclusion := func(kind ExclusionKind, server string) (string, []byte) {
 		op, err := guard.Observe(kind, server)
 		if err != nil {
 			t.Fatal(err)
