--- a/internal/store/apply.go
+++ b/internal/store/apply.go
@@ -1,54 +1,54 @@
 package store
 
-// Apply executes the command at an index of the log. A rejected command changes nothing but the index and the cached
-// results.
-func (s *State) Apply(index uint64, c *Command) Result {
+// Apply executes the command at an index of the log. A request that was applied before is not executed again; its
+// cached result is returned. A rejected command changes nothing but the index and the cached results.
+func (s *State) Apply(index uint64, command *Command) Result {
 	s.index = index
-	if c.ID == (RequestID{}) {
-		return s.execute(c)
+	if command.ID == (RequestID{}) {
+		return s.execute(command)
 	}
-	if r, ok := s.results.find(c.ID); ok {
-		r.Duplicate = true
-		return r
+	if result, ok := s.results.find(command.ID); ok {
+		result.Duplicate = true
+		return result
 	}
-	if c.SinceIndex < s.results.ring.oldest {
+	if command.SinceIndex < s.results.ring.lastDropped {
 		return Result{Index: index, Revision: s.revision, Err: ErrRequestExpired}
 	}
-	r := s.execute(c)
-	s.results.add(c.ID, r, s.limits.Results)
-	return r
+	result := s.execute(command)
+	s.results.add(command.ID, result, s.limits.Results)
+	return result
 }
 
-// SkipIndex advances the index over an entry of the log that contains no command.
+// SkipIndex advances the index past an entry of the log that contains no command.
 func (s *State) SkipIndex(index uint64) { s.index = index }
 
-func (s *State) execute(c *Command) Result {
-	r := s.dispatch(c)
-	r.Index, r.Revision = s.index, s.revision
-	return r
+func (s *State) execute(command *Command) Result {
+	result := s.dispatch(command)
+	result.Index, result.Revision = s.index, s.revision
+	return result
 }
 
-func (s *State) dispatch(c *Command) Result {
-	if err := s.Validate(c); err != nil {
+func (s *State) dispatch(command *Command) Result {
+	if err := s.Validate(command); err != nil {
 		return Result{Err: err}
 	}
 	switch {
-	case c.Txn != nil:
-		return s.applyTxn(c.Txn)
-	case c.GrantLease != nil:
-		return s.grantLease(c.GrantLease)
-	case c.RevokeLease != nil:
-		return s.revokeLease(c.RevokeLease)
-	case c.RenewLease != nil:
-		return s.renewLease(c.RenewLease)
-	case c.AddMember != nil:
-		return s.addMember(c.AddMember)
-	case c.RegisterStart != nil:
-		return s.registerStart(c.RegisterStart)
-	case c.RemoveMember != nil:
-		return s.removeMember(c.RemoveMember)
-	case c.RaiseLevel != nil:
-		return s.raiseLevel(c.RaiseLevel)
+	case command.Txn != nil:
+		return s.applyTxn(command.Txn)
+	case command.GrantLease != nil:
+		return s.grantLease(command.GrantLease)
+	case command.RevokeLease != nil:
+		return s.revokeLease(command.RevokeLease)
+	case command.RenewLease != nil:
+		return s.renewLease(command.RenewLease)
+	case command.AddMember != nil:
+		return s.addMember(command.AddMember)
+	case command.RegisterStart != nil:
+		return s.registerStart(command.RegisterStart)
+	case command.RemoveMember != nil:
+		return s.removeMember(command.RemoveMember)
+	case command.RaiseLevel != nil:
+		return s.raiseLevel(command.RaiseLevel)
 	}
 	return Result{Err: ErrUnknownCommand}
 }
@@ -63,49 +63,49 @@
 	return Result{}
 }
 
-// Validate returns what is wrong with a command, so that it can be rejected before it is replicated. Apply rejects the
-// same commands.
-func (s *State) Validate(c *Command) error {
-	if c.RequiredLevel() > s.level {
+// Validate returns the error of a command that Apply would reject regardless of the stored keys and leases, or nil. A
+// replica calls it before it proposes a command, so that such a command is not replicated.
+func (s *State) Validate(command *Command) error {
+	if command.RequiredLevel() > s.level {
 		return ErrLevel
 	}
-	if c.GrantLease != nil && len(c.GrantLease.Owner) > s.limits.KeyBytes {
+	if command.GrantLease != nil && len(command.GrantLease.Owner) > s.limits.KeyBytes {
 		return ErrTooLarge
 	}
-	if c.Txn != nil {
-		return s.validateTxn(c.Txn)
+	if command.Txn != nil {
+		return s.validateTxn(command.Txn)
 	}
 	return nil
 }
 
-func (s *State) validateTxn(t *Txn) error {
-	if max(len(t.If), len(t.Then), len(t.Else), len(t.KeyLimits)) > s.limits.TxnOps {
+func (s *State) validateTxn(txn *Txn) error {
+	if max(len(txn.If), len(txn.Then), len(txn.Else), len(txn.KeyLimits)) > s.limits.TxnOps {
 		return ErrTooLarge
 	}
-	for _, l := range t.KeyLimits {
-		if l.Prefix == "" || len(l.Prefix) > s.limits.KeyBytes || l.MaxKeys < 1 {
+	for _, limit := range txn.KeyLimits {
+		if limit.Prefix == "" || len(limit.Prefix) > s.limits.KeyBytes || limit.MaxKeys < 1 {
 			return ErrBadKey
 		}
 	}
-	for _, cmp := range t.If {
+	for _, cmp := range txn.If {
 		if cmp.Key == "" || len(cmp.Key) > s.limits.KeyBytes {
 			return ErrBadKey
 		}
 	}
-	if err := s.validateOps(t.Then); err != nil {
+	if err := s.validateOps(txn.Then); err != nil {
 		return err
 	}
-	return s.validateOps(t.Else)
+	return s.validateOps(txn.Else)
 }
 
 func (s *State) validateOps(ops []Op) error {
 	seen := make(map[string]bool, len(ops))
-	for _, o := range ops {
-		if o.Key == "" || seen[o.Key] {
+	for _, op := range ops {
+		if op.Key == "" || seen[op.Key] {
 			return ErrBadKey
 		}
-		seen[o.Key] = true
-		if len(o.Key) > s.limits.KeyBytes || len(o.Value) > s.limits.ValueBytes {
+		seen[op.Key] = true
+		if len(op.Key) > s.limits.KeyBytes || len(op.Value) > s.limits.ValueBytes {
 			return ErrTooLarge
 		}
 	}
--- a/internal/store/codec.go
+++ b/internal/store/codec.go
@@ -7,6 +7,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
+// maxCommandBytes bounds an encoded command.
 const maxCommandBytes = 16 << 20
 
 var (
@@ -29,53 +30,55 @@
 	return v
 }
 
-// Encode returns the command's RequiredLevel in one byte, followed by the command in CBOR.
+// Encode returns one byte with the command's RequiredLevel, followed by the command in CBOR. Equal commands have equal
+// encodings.
 func (c *Command) Encode() ([]byte, error) {
-	b, err := encMode.Marshal(c)
-	if err == nil && len(b) >= maxCommandBytes {
+	encoded, err := encMode.Marshal(c)
+	if err == nil && len(encoded) >= maxCommandBytes {
 		err = ErrTooLarge
 	}
 	if err != nil {
 		return nil, fmt.Errorf("command: %w", err)
 	}
-	return append([]byte{byte(c.RequiredLevel())}, b...), nil
+	return append([]byte{byte(c.RequiredLevel())}, encoded...), nil
 }
 
-// CommandLevel returns the level that an encoded command requires, or 0 if b is empty.
-func CommandLevel(b []byte) uint64 {
-	if len(b) == 0 {
+// CommandLevel returns the level that an encoded command requires, or 0 for an empty one.
+func CommandLevel(encoded []byte) uint64 {
+	if len(encoded) == 0 {
 		return 0
 	}
-	return uint64(b[0])
+	return uint64(encoded[0])
 }
 
-// DecodeCommand decodes what Encode returned. A command of a later level is ErrUnknownCommand: a replica that finds
-// one in its log must stop, because skipping it would make its state differ from the others'.
-func DecodeCommand(b []byte) (*Command, error) {
-	if len(b) == 0 || len(b) > maxCommandBytes {
-		return nil, fmt.Errorf("command: %d bytes", len(b))
+// DecodeCommand decodes a command that Encode returned. The error wraps ErrUnknownCommand if this build does not know
+// the command's level: a replica that finds such a command in its log must stop, because its state would differ from
+// those of the other replicas if it skipped the command.
+func DecodeCommand(encoded []byte) (*Command, error) {
+	if len(encoded) == 0 || len(encoded) > maxCommandBytes {
+		return nil, fmt.Errorf("command of %d bytes is empty or too large", len(encoded))
 	}
-	if b[0] > Level {
-		return nil, fmt.Errorf("%w: level %d, and this build knows %d", ErrUnknownCommand, b[0], Level)
+	if encoded[0] > Level {
+		return nil, fmt.Errorf("%w: level %d, and this build knows %d", ErrUnknownCommand, encoded[0], Level)
 	}
-	c := &Command{}
-	if err := decMode.Unmarshal(b[1:], c); err != nil {
+	command := &Command{}
+	if err := decMode.Unmarshal(encoded[1:], command); err != nil {
 		var unknown *cbor.UnknownFieldError
 		if errors.As(err, &unknown) {
 			return nil, fmt.Errorf("%w: %w", ErrUnknownCommand, err)
 		}
 		return nil, fmt.Errorf("command: %w", err)
 	}
-	if c.Newer != nil {
+	if command.Newer != nil {
 		return nil, ErrUnknownCommand
 	}
-	if n := c.countActions(); n != 1 {
-		return nil, fmt.Errorf("command: %d actions instead of one", n)
+	if n := command.countActions(); n != 1 {
+		return nil, fmt.Errorf("command has %d actions instead of one", n)
 	}
-	return c, nil
+	return command, nil
 }
 
-// countActions returns how many of the command's pointers are set.
+// countActions returns the number of actions that are set in the command.
 func (c *Command) countActions() int {
 	n := 0
 	for _, set := range []bool{
--- a/internal/store/command.go
+++ b/internal/store/command.go
@@ -1,15 +1,19 @@
 package store
 
-// RequestID identifies a request, so that a retry with the same ID is applied once.
+// RequestID identifies a request: if retries send it several times under the same ID, it is applied only once.
 type RequestID struct {
-	Client uint64 `cbor:"1,keyasint"` // drawn at random by each client
-	Seq    uint64 `cbor:"2,keyasint"` // counts up in one client
+	Client uint64 `cbor:"1,keyasint"` // random number of the client
+	Seq    uint64 `cbor:"2,keyasint"` // sequence number of the request at its client
 }
 
-// Command is one change of the state. Exactly one of its pointers is set.
+// Command is an entry of the replicated log that changes the state. Exactly one of its actions, which are the pointers,
+// is set.
 type Command struct {
-	ID            RequestID      `cbor:"1,keyasint"`
-	SinceIndex    uint64         `cbor:"2,keyasint,omitempty"` // index applied when the request was first made
+	// ID is the zero RequestID for commands of the store itself; their results are not cached.
+	ID RequestID `cbor:"1,keyasint"`
+	// SinceIndex is an index that was applied before the request was first sent. If the result of a later command was
+	// dropped from the cache, the request may have been applied already, and Apply rejects it with ErrRequestExpired.
+	SinceIndex    uint64         `cbor:"2,keyasint,omitempty"`
 	Txn           *Txn           `cbor:"3,keyasint,omitempty"`
 	GrantLease    *GrantLease    `cbor:"4,keyasint,omitempty"`
 	RevokeLease   *RevokeLease   `cbor:"5,keyasint,omitempty"`
@@ -19,7 +23,8 @@
 	RaiseLevel    *RaiseLevel    `cbor:"9,keyasint,omitempty"`
 	RenewLease    *RenewLease    `cbor:"11,keyasint,omitempty"`
 
-	// Newer is set in a command of a later level, which a replica of this build must not skip.
+	// Newer is the key under which later builds encode commands that this build must not skip. DecodeCommand rejects a
+	// command in which it is set.
 	Newer any `cbor:"10,keyasint,omitempty"`
 }
 
@@ -29,12 +34,13 @@
 	Then []Op      `cbor:"2,keyasint,omitempty" json:"then,omitempty"`
 	Else []Op      `cbor:"3,keyasint,omitempty" json:"else,omitempty"`
 
-	// KeyLimits are checked against the outcome of the operations that are applied. A limit that would be exceeded is
-	// ErrFull, and the transaction changes nothing. Since level 2.
+	// KeyLimits bound the number of keys after the operations are applied. If one would be exceeded, the transaction
+	// fails with ErrFull and changes nothing. Keys that the transaction deletes count as if they remained. The limits
+	// require level 2.
 	KeyLimits []KeyLimit `cbor:"4,keyasint,omitempty" json:"bounds,omitempty"`
 
-	// Owner, if not empty, may attach keys only to leases that it owns; any other lease is ErrLeaseNotFound. Since
-	// level 3.
+	// Owner, if not empty, restricts the transaction to the leases of that owner: if it attaches a key to any other
+	// lease, it fails with ErrLeaseNotFound. It requires level 3.
 	Owner string `cbor:"5,keyasint,omitempty" json:"owner,omitempty"`
 }
 
@@ -44,22 +50,22 @@
 	MaxKeys int    `cbor:"2,keyasint" json:"most"`
 }
 
-// Compare is true if the key was last put at ModRevision; 0 means that the key does not exist.
+// Compare is a condition of a Txn: the key was last put at ModRevision or, if that is 0, does not exist.
 type Compare struct {
 	Key         string `cbor:"1,keyasint" json:"key"`
 	ModRevision uint64 `cbor:"2,keyasint" json:"modified"`
 }
 
-// Op puts a key, or deletes a key or a range of keys.
+// Op puts a key or, if Delete is set, deletes a key or the keys from Key up to RangeEnd.
 type Op struct {
 	Key      string `cbor:"1,keyasint" json:"key"`
 	Value    []byte `cbor:"2,keyasint,omitempty" json:"value,omitempty"`
 	LeaseID  uint64 `cbor:"3,keyasint,omitempty" json:"lease,omitempty"`
 	Delete   bool   `cbor:"4,keyasint,omitempty" json:"delete,omitempty"`
-	RangeEnd string `cbor:"5,keyasint,omitempty" json:"end,omitempty"` // exclusive end of the range to delete
+	RangeEnd string `cbor:"5,keyasint,omitempty" json:"end,omitempty"` // exclusive; empty: only Key is deleted
 }
 
-// Limits of the TTL of owned leases, in milliseconds. Daemons enforce them; a state accepts any TTL.
+// The TTL of a lease with an owner is within these bounds. Daemons enforce them; a state accepts any TTL.
 const (
 	MinOwnedTTLMillis = 300
 	MaxOwnedTTLMillis = 60_000
@@ -68,34 +74,41 @@
 // GrantLease creates a lease.
 type GrantLease struct {
 	TTLMillis uint64 `cbor:"1,keyasint"`
-	Owner     string `cbor:"2,keyasint,omitempty"` // who alone may renew and revoke it; empty: anyone. Since level 3
+	// Owner is the only client that may renew and revoke the lease. If it is empty, any client may. It requires level
+	// 3.
+	Owner string `cbor:"2,keyasint,omitempty"`
 }
 
-// RenewLease extends a lease by its TTL from now, by the leader's clock. A lease of another owner is ErrLeaseNotFound.
+// RenewLease makes a lease last for its TTL from now, by the leader's clock. It fails with ErrLeaseNotFound if the
+// lease has another owner.
 type RenewLease struct {
 	LeaseID uint64 `cbor:"1,keyasint"`
-	Owner   string `cbor:"2,keyasint,omitempty"` // since level 3
+	Owner   string `cbor:"2,keyasint,omitempty"` // requires level 3
 }
 
 // RevokeLease ends a lease and deletes its keys. The leader sets Expired for a lease whose TTL has passed; such a
-// command has no effect if the lease was renewed in the meantime, so that an acknowledged renewal holds across
-// changes of leader.
+// command has no effect if the lease was renewed in the meantime, so that an acknowledged renewal holds across changes
+// of leader.
 type RevokeLease struct {
-	LeaseID  uint64 `cbor:"1,keyasint"`
-	Expired  bool   `cbor:"2,keyasint,omitempty"`
-	Renewals uint64 `cbor:"3,keyasint,omitempty"` // with Expired: revoke only if the lease was renewed this many times
-	Owner    string `cbor:"4,keyasint,omitempty"` // as in RenewLease; not checked with Expired. Since level 3
+	LeaseID uint64 `cbor:"1,keyasint"`
+	Expired bool   `cbor:"2,keyasint,omitempty"`
+	// Renewals is the lease's number of renewals when it expired. With Expired, the lease is revoked only if the number
+	// is still the same.
+	Renewals uint64 `cbor:"3,keyasint,omitempty"`
+	// Owner must be the owner of the lease unless Expired is set. It requires level 3.
+	Owner string `cbor:"4,keyasint,omitempty"`
 }
 
-// AddMember adds a member as a learner, which is promoted to a voter later. A name that is in use is rejected.
+// AddMember adds a member as a learner, which is promoted to a voter later. It fails with ErrUnknownMember if another
+// member has the name.
 type AddMember struct {
 	Name    string `cbor:"1,keyasint"`
 	Address string `cbor:"2,keyasint"`
 }
 
-// RegisterStart is the first command of each start of a member. It reports the member's disk, the number of starts
-// from that disk and the level of commands that the build knows. It is rejected if the member is registered with
-// another disk, or with a later start of the same disk.
+// RegisterStart is the first command that a member proposes after each start. It reports the member's disk, the number
+// of starts from that disk (Boot) and the highest level of commands that the member's build knows. It fails with
+// ErrUnknownMember if the member is registered with another disk, or with a later start of the same disk.
 type RegisterStart struct {
 	MemberID uint64 `cbor:"1,keyasint"`
 	DiskID   uint64 `cbor:"2,keyasint"`
@@ -103,39 +116,40 @@
 	Level    uint64 `cbor:"4,keyasint"`
 }
 
-// RemoveMember ends a membership. The ID is never reused.
+// RemoveMember removes a member from the cluster. Its ID is never reused. The last member cannot be removed.
 type RemoveMember struct {
 	MemberID uint64 `cbor:"1,keyasint"`
 }
 
-// RaiseLevel enables the commands of a level, once every member knows it.
+// RaiseLevel enables the commands up to a level. It fails with ErrLevel if a member does not know that level.
 type RaiseLevel struct {
 	Level uint64 `cbor:"1,keyasint"`
 }
 
 // Result is the outcome of a command.
 type Result struct {
-	Index     uint64 // of the command
-	Revision  uint64 // after it
-	Succeeded bool   // of a Txn: all comparisons were true
-	LeaseID   uint64 // of a command on a lease
-	MemberID  uint64 // of a command on a member
-	Duplicate bool   // the request was applied before, and this is the result it had then
-	Err       error  // one of this package's
+	Index     uint64 // log index of the command
+	Revision  uint64 // revision of the state after the command
+	Succeeded bool   // all comparisons of a Txn were true
+	LeaseID   uint64 // lease that the command concerns, or 0
+	MemberID  uint64 // member that the command concerns, or 0
+	Duplicate bool   // the request was applied before; this is its result at that time
+	Err       error  // one of the Err values of this package, or nil
 }
 
-// Level is the highest level of commands that this build knows. A newer build keeps to the cluster's level until every
-// member knows a higher one.
+// Level is the highest level of commands that this build knows. A replica proposes only commands up to the level that
+// the cluster has enabled, so that members of earlier builds can apply them.
 const Level = 3
 
 // Levels of commands.
 const (
 	levelInitial   = 1
-	levelKeyLimits = 2 // Txn.KeyLimits
-	LevelOwners    = 3 // owned leases, and with them tasks
+	levelKeyLimits = 2 // adds Txn.KeyLimits
+	LevelOwners    = 3 // adds owners of leases, on which tasks depend
 )
 
-// RequiredLevel is the lowest level at which the command can be read. It is rejected until the cluster uses that level.
+// RequiredLevel returns the lowest level of a build that can decode the command. The command is rejected until the
+// cluster has enabled that level.
 func (c *Command) RequiredLevel() uint64 {
 	switch {
 	case c.hasOwner():
--- a/internal/store/frozen_test.go
+++ b/internal/store/frozen_test.go
@@ -12,9 +12,10 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The files in testdata/frozen were written by commit 7105f7a. What is stored or sent must decode to the same values,
-// and encode to the same bytes.
+// The tests of this file compare the stored and sent formats with the files in testdata/frozen, which commit 7105f7a
+// wrote. Their contents must decode to the same values, and these must encode to the same bytes.
 
+// storedCommand is a command with its name in commands.txt.
 type storedCommand struct {
 	name    string
 	command Command
@@ -38,13 +39,13 @@
 	lines := frozenLines(t, "commands.txt")
 	want := storedCommands()
 	if len(lines) != len(want) {
-		t.Fatalf("%d lines for %d commands", len(lines), len(want))
+		t.Fatalf("commands.txt has %d lines for %d commands", len(lines), len(want))
 	}
 	for i, c := range want {
 		name, digits, _ := strings.Cut(lines[i], ": ")
 		frozen, err := hex.DecodeString(digits)
 		if err != nil || name != c.name {
-			t.Fatalf("line %d: %q for %q: %v", i+1, name, c.name, err)
+			t.Fatalf("line %d of commands.txt is named %q, want %q; decoding its digits: %v", i+1, name, c.name, err)
 		}
 		t.Run(name, func(t *testing.T) {
 			got, err := DecodeCommand(frozen)
@@ -56,7 +57,7 @@
 			}
 			encoded, err := c.command.Encode()
 			if err != nil || !bytes.Equal(encoded, frozen) {
-				t.Errorf("encoded as %x, frozen as %x: %v", encoded, frozen, err)
+				t.Errorf("command is encoded as %x, want %x as in commands.txt: %v", encoded, frozen, err)
 			}
 		})
 	}
@@ -73,33 +74,33 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			frozen := frozenFile(t, tc.name)
-			if b := saved(t, tc.state); !bytes.Equal(b, frozen) {
-				t.Errorf("the state is saved as\n%x, and was as\n%x", b, frozen)
+			if b := savedBytes(t, tc.state); !bytes.Equal(b, frozen) {
+				t.Errorf("state is saved as\n%x\nwant, as in the frozen file,\n%x", b, frozen)
 			}
 			loaded, err := LoadSubset(bytes.NewReader(frozen))
 			if err != nil {
 				t.Fatal(err)
 			}
-			if b := saved(t, loaded); !bytes.Equal(b, frozen) {
-				t.Errorf("the loaded state is saved as\n%x, and was as\n%x", b, frozen)
+			if b := savedBytes(t, loaded); !bytes.Equal(b, frozen) {
+				t.Errorf("state loaded from the frozen file is saved as\n%x\nwant\n%x", b, frozen)
 			}
-			if d := cmp.Diff(summarize(tc.state), summarize(loaded), byValue...); d != "" {
+			if d := cmp.Diff(summarize(tc.state), summarize(loaded), summaryCompareOptions...); d != "" {
 				t.Error(d)
 			}
 		})
 	}
 	if _, err := Load(bytes.NewReader(frozenFile(t, "subset.bin"))); err == nil {
-		t.Error("a subset was loaded as a complete state")
+		t.Error("Load accepted a subset as a complete state")
 	}
 }
 
-// byValue compares errors by identity, and empty values with missing ones as equal.
-var byValue = []cmp.Option{
+// summaryCompareOptions have cmp.Diff compare errors with errors.Is, and take empty and nil values as equal.
+var summaryCompareOptions = []cmp.Option{
 	cmp.Comparer(bytes.Equal),
 	cmp.Comparer(func(a, b error) bool { return errors.Is(a, b) }),
 }
 
-// stateSummary is what can be read of a state.
+// stateSummary contains everything that can be read from a state.
 type stateSummary struct {
 	Cluster, Revision, Index, Level, LastID, Oldest uint64
 
@@ -113,33 +114,34 @@
 }
 
 func summarize(s *State) stateSummary {
-	sum := stateSummary{
+	summary := stateSummary{
 		Cluster: s.Cluster(), Revision: s.Revision(), Index: s.Index(), Level: s.Level(), LastID: s.LastID(),
-		Oldest: s.Oldest(), Limits: s.Limits(), Interest: s.Interest(), Members: s.Members(), Leases: s.Leases(),
+		Oldest: s.OldestRevision(), Limits: s.Limits(), Interest: s.Interest(), Members: s.Members(),
+		Leases: s.Leases(),
 	}
 	s.Range("", "", func(i Item) bool {
-		sum.Items = append(sum.Items, i)
+		summary.Items = append(summary.Items, i)
 		return true
 	})
 	for i := range s.history.len() {
-		sum.Events = append(sum.Events, *s.history.at(i))
+		summary.Events = append(summary.Events, *s.history.at(i))
 	}
 	for i := range s.results.ring.len() {
-		sum.Results = append(sum.Results, s.results.ring.at(i).Result)
+		summary.Results = append(summary.Results, s.results.ring.at(i).Result)
 	}
-	return sum
+	return summary
 }
 
 func TestFrozenJSON(t *testing.T) {
 	lines := frozenLines(t, "types.jsonl")
 	values := storedJSON()
 	if len(lines) != len(values) {
-		t.Fatalf("%d lines for %d values", len(lines), len(values))
+		t.Fatalf("types.jsonl has %d lines for %d values", len(lines), len(values))
 	}
 	for i, v := range values {
 		b, err := json.Marshal(v)
 		if err != nil || string(b) != lines[i] {
-			t.Errorf("%T is written as\n%s, and was as\n%s: %v", v, b, lines[i], err)
+			t.Errorf("%T is encoded as\n%s\nwant, as in types.jsonl,\n%s: %v", v, b, lines[i], err)
 		}
 	}
 }
@@ -187,7 +189,7 @@
 		c.ID, c.SinceIndex = RequestID{Client: 1, Seq: seq}, 1
 		s.Apply(seq+1, c)
 	}
-	key := func(k string, lease uint64) *Command {
+	put := func(k string, lease uint64) *Command {
 		return &Command{Txn: &Txn{Then: []Op{{Key: k, Value: []byte("v" + k), LeaseID: lease}}}}
 	}
 	apply(&Command{GrantLease: &GrantLease{TTLMillis: 5000, Owner: "p"}}) // ErrLevel
@@ -197,21 +199,21 @@
 	apply(&Command{GrantLease: &GrantLease{TTLMillis: 7000}})
 	apply(&Command{AddMember: &AddMember{Name: "two", Address: "10.0.0.2:7000"}})
 	apply(&Command{RegisterStart: &RegisterStart{MemberID: 4, DiskID: 77, Boot: 3, Level: 3}})
-	apply(key("a", 2))
-	apply(key("b/1", 3))
-	apply(key("b/2", 0))
-	apply(key("b/2", 0))
+	apply(put("a", 2))
+	apply(put("b/1", 3))
+	apply(put("b/2", 0))
+	apply(put("b/2", 0))
 	apply(&Command{Txn: &Txn{
 		If:   []Compare{{Key: "a", ModRevision: 9}},
 		Else: []Op{{Key: "b/2", Delete: true}, {Key: "c"}},
 	}})
-	apply(key("a key of more than 24 bytes", 0)) // ErrTooLarge
+	apply(put("a key of more than 24 bytes", 0)) // ErrTooLarge
 	apply(&Command{Txn: &Txn{                    // ErrFull
 		Then:      []Op{{Key: "b/3"}},
 		KeyLimits: []KeyLimit{{Prefix: "b/", MaxKeys: 1}},
 	}})
 	apply(&Command{RenewLease: &RenewLease{LeaseID: 9}})      // ErrLeaseNotFound
-	apply(key("", 0))                                         // ErrBadKey
+	apply(put("", 0))                                         // ErrBadKey
 	apply(&Command{RemoveMember: &RemoveMember{MemberID: 9}}) // ErrUnknownMember
 	apply(&Command{})                                         // ErrUnknownCommand
 	return s
--- a/internal/store/history.go
+++ b/internal/store/history.go
@@ -5,28 +5,32 @@
 	"strings"
 )
 
-// CompactedError reports that a watch or a read starts before the retained history.
-type CompactedError struct{ Oldest uint64 } // first revision that can still be read
+// CompactedError reports that a watch or a read of changes starts before the retained history. Oldest is the first
+// revision whose events are all retained.
+type CompactedError struct{ Oldest uint64 }
 
 // Error implements error.
 func (e *CompactedError) Error() string {
-	return fmt.Sprintf("compacted: the history begins at revision %d", e.Oldest)
+	return fmt.Sprintf("events were compacted: the history begins at revision %d", e.Oldest)
 }
 
-// Event is one change of one key.
+// Event is a put or a deletion of one key. A transaction or the end of a lease may record several events at one
+// revision.
 type Event struct {
 	Revision uint64 `cbor:"1,keyasint" json:"revision"`
-	Deleted  bool   `cbor:"2,keyasint,omitempty" json:"deleted,omitempty"` // then Item has only the key
+	Deleted  bool   `cbor:"2,keyasint,omitempty" json:"deleted,omitempty"` // the key was deleted, and Item has only Key
 	Item     Item   `cbor:"3,keyasint" json:"item"`
 }
 
-// OnEvent has f called with every event, before Apply returns. f must not call the state.
+// OnEvent registers f, which Apply and the methods that mirror events then call with every event before they return. f
+// must not call methods of the state. It replaces the function registered before.
 func (s *State) OnEvent(f func(Event)) { s.onEvent = f }
 
-// Oldest returns the first revision whose events are all retained.
-func (s *State) Oldest() uint64 { return s.history.oldest + 1 }
+// OldestRevision returns the first revision whose events are all retained. It is one above the current revision if none
+// are.
+func (s *State) OldestRevision() uint64 { return s.history.lastDropped + 1 }
 
-// recordEvent appends an event to the history. The first event of a revision advances the state to it.
+// recordEvent appends an event to the history, advances the state to the event's revision and calls onEvent.
 func (s *State) recordEvent(e Event) {
 	s.revision = e.Revision
 	s.appendHistory(e)
@@ -49,37 +53,39 @@
 	}
 }
 
-// Changes appends to buf up to n events after a revision of keys with a prefix. It returns the revision up to which
-// the events are complete, from which the next call continues. Events of one revision are never split, so that more
-// than n may be returned. The error is a *CompactedError if the history does not reach back to the revision, and a
-// *NotHeldError if this state does not hold the keys.
-func (s *State) Changes(buf []Event, prefix string, after uint64, n int) ([]Event, uint64, error) {
+// Changes appends to buf the events after a revision of the keys with a prefix. It returns the revision up to which the
+// events are complete, from which the next call continues. It stops after maxEvents events, but never splits the events
+// of one revision, so that it may return more. The error is a *CompactedError if the history does not reach back to the
+// revision, and a *NotHeldError if this state is a partial copy without these keys.
+func (s *State) Changes(buf []Event, prefix string, after uint64, maxEvents int) ([]Event, uint64, error) {
 	if s.subset != nil && !s.subset.interest.CoversPrefix(prefix) {
 		return buf, after, &NotHeldError{Interest: Interest{Prefixes: []string{prefix}}}
 	}
-	return s.changes(buf, after, n, changeFilter{
+	return s.changes(buf, after, maxEvents, changeFilter{
 		match:        func(key string) bool { return strings.HasPrefix(key, prefix) },
 		countMatches: true,
 	})
 }
 
 // ChangesIn appends to buf the events after a revision of the keys of an interest; nil is all keys. It returns the
-// revision up to which the events are complete. It examines up to n events, but never splits those of one revision. The
-// error is a *CompactedError if the history does not reach back to the revision.
-func (s *State) ChangesIn(buf []Event, interest *Interest, after uint64, n int) ([]Event, uint64, error) {
-	return s.changes(buf, after, n, changeFilter{
+// revision up to which the events are complete. It stops after it has examined maxExamined events, of whichever keys,
+// but never splits the events of one revision. The error is a *CompactedError if the history does not reach back to the
+// revision.
+func (s *State) ChangesIn(buf []Event, interest *Interest, after uint64, maxExamined int) ([]Event, uint64, error) {
+	return s.changes(buf, after, maxExamined, changeFilter{
 		match: func(key string) bool { return interest == nil || interest.Covers(key) },
 	})
 }
 
-// changeFilter selects the events that changes returns.
+// changeFilter selects the events that State.changes returns and the events that count toward its bound.
 type changeFilter struct {
 	match        func(key string) bool
-	countMatches bool // the bound n is on the events returned, not on those examined
+	countMatches bool // only the events returned count, not all events examined
 }
 
-func (s *State) changes(buf []Event, after uint64, n int, filter changeFilter) ([]Event, uint64, error) {
-	if oldest := s.Oldest(); after+1 < oldest {
+// changes implements Changes and ChangesIn. It stops after maxCounted counted events, at the end of their revision.
+func (s *State) changes(buf []Event, after uint64, maxCounted int, filter changeFilter) ([]Event, uint64, error) {
+	if oldest := s.OldestRevision(); after+1 < oldest {
 		return buf, after, &CompactedError{Oldest: oldest}
 	}
 	if after > s.revision {
@@ -89,7 +95,7 @@
 	counted := 0
 	for i := start; i < s.history.len(); i++ {
 		e := s.history.at(i)
-		if counted >= n && i > 0 {
+		if counted >= maxCounted && i > 0 {
 			if previous := s.history.at(i - 1).Revision; e.Revision != previous {
 				return buf, previous, nil
 			}
--- a/internal/store/lease.go
+++ b/internal/store/lease.go
@@ -5,17 +5,18 @@
 	"slices"
 )
 
-// Lease deletes its keys when it is not renewed for its TTL. Only the leader measures that time, on its own clock; the
-// state knows the TTL and when the lease ended.
+// Lease is a lease to which keys can be attached. If it is not renewed for its TTL, it ends and its keys are deleted.
+// Only the leader measures that time, by its own clock; the state has the TTL, and a lease ends in it by RevokeLease.
 type Lease struct {
 	ID        uint64 `cbor:"1,keyasint" json:"id"`
 	TTLMillis uint64 `cbor:"2,keyasint" json:"ttl_ms"`
-	Renewals  uint64 `cbor:"3,keyasint,omitempty" json:"renewed"` // how often it was renewed
+	Renewals  uint64 `cbor:"3,keyasint,omitempty" json:"renewed"` // number of renewals since the grant
 
-	// Owner is who alone may renew and revoke the lease; empty: anyone.
+	// Owner is the only client that may renew and revoke the lease. If it is empty, any client may.
 	Owner string `cbor:"4,keyasint,omitempty" json:"owner,omitempty"`
 }
 
+// lease is a Lease with the keys that are attached to it.
 type lease struct {
 	Lease
 	keys map[string]struct{}
@@ -23,18 +24,18 @@
 
 func newLease(l Lease) *lease { return &lease{Lease: l, keys: map[string]struct{}{}} }
 
-// Leases returns the leases that have not ended, by ID. A subset has only those of its keys.
+// Leases returns the leases that have not ended, sorted by ID. A partial copy has only the leases of its keys.
 func (s *State) Leases() []Lease {
 	s.subset.track(rangeInterest("", ""))
-	all := make([]Lease, 0, len(s.leases))
+	leases := make([]Lease, 0, len(s.leases))
 	for _, l := range s.leases {
-		all = append(all, l.Lease)
+		leases = append(leases, l.Lease)
 	}
-	slices.SortFunc(all, func(a, b Lease) int { return cmp.Compare(a.ID, b.ID) })
-	return all
+	slices.SortFunc(leases, func(a, b Lease) int { return cmp.Compare(a.ID, b.ID) })
+	return leases
 }
 
-// Lease returns the lease with an ID.
+// Lease returns the lease with an ID and whether there is one that has not ended.
 func (s *State) Lease(id uint64) (Lease, bool) {
 	s.subset.track(rangeInterest("", ""))
 	l, ok := s.leases[id]
@@ -77,7 +78,7 @@
 	return Result{LeaseID: l.ID}
 }
 
-// endLease deletes a lease and its keys, at one revision.
+// endLease deletes a lease and, at one new revision, its keys.
 func (s *State) endLease(l *lease) {
 	delete(s.leases, l.ID)
 	keys := make([]string, 0, len(l.keys))
--- a/internal/store/member.go
+++ b/internal/store/member.go
@@ -2,21 +2,21 @@
 
 import "slices"
 
-// Member is a replica of the cluster.
+// Member is a replica that belongs to the cluster.
 type Member struct {
 	ID      uint64 `cbor:"1,keyasint" json:"id"`
 	Name    string `cbor:"2,keyasint" json:"name"`
 	Address string `cbor:"3,keyasint" json:"address"`
 	Learner bool   `cbor:"4,keyasint,omitempty" json:"learner,omitempty"`
-	DiskID  uint64 `cbor:"5,keyasint,omitempty" json:"disk,omitempty"` // that registered as this member, or 0
-	Boot    uint64 `cbor:"6,keyasint,omitempty" json:"boot,omitempty"` // highest start that it registered
-	Level   uint64 `cbor:"7,keyasint,omitempty" json:"level,omitempty"`
+	DiskID  uint64 `cbor:"5,keyasint,omitempty" json:"disk,omitempty"`  // disk registered for this member; 0: none yet
+	Boot    uint64 `cbor:"6,keyasint,omitempty" json:"boot,omitempty"`  // number of its last registered start
+	Level   uint64 `cbor:"7,keyasint,omitempty" json:"level,omitempty"` // highest command level its build knows
 }
 
-// Members returns the replicas of the cluster, by ID.
+// Members returns the members of the cluster, sorted by ID.
 func (s *State) Members() []Member { return slices.Clone(s.members) }
 
-// Member returns the member with an ID.
+// Member returns the member with an ID and whether there is one.
 func (s *State) Member(id uint64) (Member, bool) {
 	if i := s.memberIndex(id); i >= 0 {
 		return s.members[i], true
@@ -24,12 +24,12 @@
 	return Member{}, false
 }
 
-// memberIndex returns the index of a member in s.members, or -1.
+// memberIndex returns the index of a member in s.members, or -1 if there is no such member.
 func (s *State) memberIndex(id uint64) int {
 	return slices.IndexFunc(s.members, func(m Member) bool { return m.ID == id })
 }
 
-// SetVoter makes a member a voter or a learner, following a committed configuration change.
+// SetVoter makes a member a voter or a learner. Package replica calls it when raft applies a configuration change.
 func (s *State) SetVoter(id uint64, voter bool) {
 	if i := s.memberIndex(id); i >= 0 {
 		s.members = slices.Clone(s.members)
@@ -37,10 +37,10 @@
 	}
 }
 
-// Bootstrap adds the first member of a new cluster, a voter with the ID 1.
-func (s *State) Bootstrap(name, address string, disk uint64) {
+// Bootstrap adds the first member of a new cluster as a voter. The member gets the next ID, which is 1 in a new state.
+func (s *State) Bootstrap(name, address string, diskID uint64) {
 	s.lastID++
-	s.members = []Member{{ID: s.lastID, Name: name, Address: address, DiskID: disk, Level: Level}}
+	s.members = []Member{{ID: s.lastID, Name: name, Address: address, DiskID: diskID, Level: Level}}
 }
 
 func (s *State) addMember(add *AddMember) Result {
--- a/internal/store/mirror.go
+++ b/internal/store/mirror.go
@@ -5,11 +5,13 @@
 	"fmt"
 )
 
-// ErrOutOfOrder reports an event that does not follow on the revision of a copy, or that is not of its keys.
+// ErrOutOfOrder reports an event that does not follow the revision of a mirrored copy, or whose key the copy does not
+// cover.
 var ErrOutOfOrder = errors.New("changes out of order")
 
-// ApplyEvent applies an event of another state to a copy of it. Such a copy follows the items and their history; its
-// members, leases and cached results remain those of when it was loaded. It must not be given to Apply.
+// ApplyEvent applies an event of another state to a copy of that state. The items and the history of the copy follow
+// those of the other state, while its members, leases and cached results stay as they were loaded. Such a copy must not
+// be given to Apply.
 func (s *State) ApplyEvent(e Event) error {
 	if e.Revision < s.revision || e.Item.Key == "" {
 		return s.outOfOrder(e.Revision)
@@ -21,7 +23,8 @@
 	return nil
 }
 
-// ApplyEvents applies all events of one revision, or none of them: between two calls a reader sees complete revisions.
+// ApplyEvents applies all events of one revision, as ApplyEvent does, or on an error none of them. Readers between two
+// calls therefore see only complete revisions.
 func (s *State) ApplyEvents(events []Event) error {
 	for i := range events {
 		e := &events[i]
@@ -38,7 +41,8 @@
 	return nil
 }
 
-// AdvanceRevision records that the copy has received all events of its keys up to a revision.
+// AdvanceRevision sets the revision of a mirrored copy after it has received all events of its keys up to that
+// revision.
 func (s *State) AdvanceRevision(revision uint64) error {
 	if revision < s.revision {
 		return s.outOfOrder(revision)
@@ -48,12 +52,12 @@
 }
 
 func (s *State) outOfOrder(revision uint64) error {
-	return fmt.Errorf("%w: revision %d after %d", ErrOutOfOrder, revision, s.revision)
+	return fmt.Errorf("%w: revision %d follows revision %d", ErrOutOfOrder, revision, s.revision)
 }
 
 func (s *State) checkCovered(key string) error {
 	if s.subset != nil && !s.subset.interest.Covers(key) {
-		return fmt.Errorf("%w: %q is not of the copy's interest", ErrOutOfOrder, key)
+		return fmt.Errorf("%w: key %q is not covered by the copy's interest", ErrOutOfOrder, key)
 	}
 	return nil
 }
@@ -67,14 +71,14 @@
 	} else {
 		item := e.Item
 		if s.leases[item.LeaseID] == nil {
-			item.LeaseID = 0 // a lease granted since the copy was loaded: its end arrives as events, too
+			item.LeaseID = 0 // the lease was granted after the copy was loaded; its end deletes the key by an event
 		}
 		s.size += item.size()
 		s.items.ReplaceOrInsert(&item)
 	}
 	if existed {
 		s.size -= old.size()
-		s.detach(old)
+		s.detachFromLease(old)
 	}
 	s.recordEvent(e)
 }
--- a/internal/store/reinitialize.go
+++ b/internal/store/reinitialize.go
@@ -1,14 +1,17 @@
 package store
 
-// MaxRevision bounds the revisions and IDs that Reinitialize sets, so that readers of JSON represent them exactly.
+// MaxRevision bounds the revisions and IDs that Reinitialize sets. Below it, readers of JSON that use floating-point
+// numbers represent them exactly.
 const MaxRevision = 1 << 52
 
-// Reinitialize turns a loaded state into that of a new cluster without members, leases or cached results: the clients
-// of the old cluster cannot reach the new one.
+// Reinitialize turns a loaded state into that of a new cluster, for a restore from a snapshot. It removes the members,
+// the leases with their keys, and the cached results, because the replicas and clients of the old cluster cannot reach
+// the new one.
 //
-// Revisions and IDs continue at floor or above, up to MaxRevision. The old cluster may have gone on after the state
-// was saved, so floor must be above all revisions and IDs that it can have reached: no watch sees a revision twice
-// then, and no fencing token is issued twice. The history before floor is compacted.
+// Revisions and IDs continue from floor, which is capped at MaxRevision, unless they are higher already. The old
+// cluster may have continued after the state was saved, so floor must be above every revision and ID that it can have
+// reached. Otherwise a watch could see a revision twice and a fencing token could be issued twice. If the revision is
+// raised, the history is discarded as compacted.
 func (s *State) Reinitialize(cluster, floor uint64) {
 	for _, l := range s.Leases() {
 		s.endLease(s.leases[l.ID])
@@ -17,12 +20,12 @@
 	floor = min(floor, MaxRevision)
 	s.lastID = max(s.lastID, floor)
 	if s.revision < floor {
-		s.revision, s.history = floor, ring[Event]{oldest: floor}
+		s.revision, s.history = floor, ring[Event]{lastDropped: floor}
 	}
 }
 
-// Seed puts a key into a state after Reinitialize, before the state is used. The key has a lease of its own with a
-// TTL in milliseconds, which cannot be renewed because its owner is no client.
+// Seed puts a key into a state between Reinitialize and the first use of the state. It attaches the key to a new lease,
+// which no client can renew because its owner is the key and not a client.
 func (s *State) Seed(key string, value []byte, ttlMillis uint64) {
 	s.lastID++
 	s.leases[s.lastID] = newLease(Lease{ID: s.lastID, TTLMillis: ttlMillis, Owner: key})
--- a/internal/store/result.go
+++ b/internal/store/result.go
@@ -2,50 +2,53 @@
 
 import "errors"
 
-// Errors of commands. They are outcomes, not faults of a replica: every replica returns the same.
+// Errors of commands. They are outcomes of a command, not failures of a replica: all replicas return the same error for
+// the same command. ErrFull covers all limits on the number or size of what is stored; ErrUnknownMember also covers a
+// name in use, a disk or start that differs from the registered one, and the removal of the last member.
 var (
 	ErrTooLarge       = errors.New("key, value or transaction is too large")
-	ErrFull           = errors.New("the store is full")
-	ErrLeaseNotFound  = errors.New("no such lease")
-	ErrBadKey         = errors.New("a key is empty or is given twice in a transaction")
-	ErrRequestExpired = errors.New("the request is too old to know whether it was done before")
-	ErrUnknownMember  = errors.New("the member is not known, or known otherwise")
-	ErrLevel          = errors.New("a member does not know that level yet")
-	ErrUnknownCommand = errors.New("the command is of a newer version")
+	ErrFull           = errors.New("the store is full or a limit on its keys, leases or members is reached")
+	ErrLeaseNotFound  = errors.New("there is no such lease, or it has another owner")
+	ErrBadKey         = errors.New("a key, key limit or member name is invalid or given twice")
+	ErrRequestExpired = errors.New("the request is too old to tell whether it was applied before")
+	ErrUnknownMember  = errors.New("the member is unknown or registered with other data")
+	ErrLevel          = errors.New("the command level is not supported by all members yet")
+	ErrUnknownCommand = errors.New("the command requires a newer build")
 )
 
-// results caches the outcomes of requests, so that a retry gets the outcome of the first attempt.
+// results caches the outcomes of requests, so that a retry gets the outcome of the attempt that was applied.
 type results struct {
 	ring ring[cachedResult]
 	byID map[RequestID]Result
 }
 
+// cachedResult is the outcome of one request.
 type cachedResult struct {
 	ID     RequestID
 	Result Result
 }
 
-// CachedResult returns the outcome of a request, if it is still cached.
+// CachedResult returns the outcome of a request that was applied, and whether it is still cached.
 func (s *State) CachedResult(id RequestID) (Result, bool) { return s.results.find(id) }
 
 func (r *results) find(id RequestID) (Result, bool) {
-	v, ok := r.byID[id]
-	return v, ok
+	result, ok := r.byID[id]
+	return result, ok
 }
 
-// add caches a result and drops the oldest ones beyond maxResults.
-func (r *results) add(id RequestID, v Result, maxResults int) {
+// add caches a result and drops the oldest ones if there are more than maxResults.
+func (r *results) add(id RequestID, result Result, maxResults int) {
 	if r.byID == nil {
 		r.byID = map[RequestID]Result{}
 	}
-	r.byID[id] = v
-	r.ring.push(cachedResult{id, v}, 0)
+	r.byID[id] = result
+	r.ring.push(cachedResult{id, result}, 0)
 	for r.ring.len() > maxResults {
-		old := r.ring.at(0)
-		delete(r.byID, old.ID)
-		r.ring.drop(0, old.Result.Index)
+		oldest := r.ring.at(0)
+		delete(r.byID, oldest.ID)
+		r.ring.drop(0, oldest.Result.Index)
 	}
 }
 
-// clone returns a copy that can be saved, but not searched.
+// clone returns a copy that can be saved. Its find finds nothing.
 func (r *results) clone() results { return results{ring: r.ring.clone()} }
--- a/internal/store/save.go
+++ b/internal/store/save.go
@@ -8,17 +8,17 @@
 	"slices"
 )
 
-// A saved state is a magic number of eight bytes, records and a footer. A record is its length in four bytes, big
-// endian, its kind in one byte, and CBOR. The footer is a record of kind recordFooter with the CRC-32C of all bytes
-// before it. Equal states are saved as equal bytes. A subset has a magic number of its own, so that it cannot be
-// taken for a complete state.
+// A saved state consists of a magic number of eight bytes, records and a footer. A record consists of the length of its
+// data in four bytes, big endian, its kind in one byte, and its data in CBOR. The footer is a record of kind
+// recordFooter with the CRC-32C of all bytes before it. Equal states are saved as equal bytes. A subset has a different
+// magic number, so that it cannot be mistaken for a complete state.
 
 const (
 	completeMagic = "bmstore1"
 	subsetMagic   = "bmstore2"
 )
 
-// Kinds of records, in the order in which they follow the header. The footer is last.
+// Kinds of records. Records are saved in the order of their kinds, except that the footer is last.
 const (
 	recordFooter = iota
 	recordHeader
@@ -30,25 +30,27 @@
 )
 
 const (
-	recordPrefixBytes = 5 // length and kind
+	recordPrefixBytes = 5 // length and kind of a record
 	saveBufferBytes   = 64 << 10
 )
 
-// MaxSavedRecordBytes bounds a record of a saved state.
+// MaxSavedRecordBytes bounds the data of a record of a saved state.
 const MaxSavedRecordBytes = maxCommandBytes
 
+// savedHeader is the data of the record with which a saved state begins.
 type savedHeader struct {
-	Limits        Limits    `cbor:"1,keyasint"`
-	Cluster       uint64    `cbor:"2,keyasint"`
-	Revision      uint64    `cbor:"3,keyasint"`
-	Level         uint64    `cbor:"4,keyasint"`
-	Index         uint64    `cbor:"5,keyasint"`
-	LastID        uint64    `cbor:"6,keyasint"`
-	HistoryOldest uint64    `cbor:"7,keyasint"`
-	ResultsOldest uint64    `cbor:"8,keyasint"`
-	Interest      *Interest `cbor:"9,keyasint,omitempty"` // of a subset; nil: the state is complete
+	Limits             Limits    `cbor:"1,keyasint"`
+	Cluster            uint64    `cbor:"2,keyasint"`
+	Revision           uint64    `cbor:"3,keyasint"`
+	Level              uint64    `cbor:"4,keyasint"`
+	Index              uint64    `cbor:"5,keyasint"`
+	LastID             uint64    `cbor:"6,keyasint"`
+	HistoryLastDropped uint64    `cbor:"7,keyasint"`
+	ResultsLastDropped uint64    `cbor:"8,keyasint"`
+	Interest           *Interest `cbor:"9,keyasint,omitempty"` // keys of a subset; nil: the state is complete
 }
 
+// savedResult is the data of a record with a cached result.
 type savedResult struct {
 	ID        RequestID `cbor:"1,keyasint"`
 	Index     uint64    `cbor:"2,keyasint"`
@@ -59,7 +61,8 @@
 	ErrorCode uint8     `cbor:"7,keyasint,omitempty"` // index in storedErrors
 }
 
-// storedErrors lists the errors of Apply by the code under which they are saved. Errors may only be appended.
+// storedErrors lists the errors of commands by the code under which they are saved. Codes must not change, so errors
+// may only be appended.
 var storedErrors = []error{
 	nil,
 	ErrTooLarge,
@@ -74,14 +77,14 @@
 
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// Save writes the state. Called on a Clone, it may run while the original changes.
+// Save writes the state in the format that Load and LoadSubset read. On a Clone it may run while the original changes.
 func (s *State) Save(w io.Writer) error {
-	sum := crc32.New(crcTable)
+	checksum := crc32.New(crcTable)
 	buffered := bufio.NewWriterSize(w, saveBufferBytes)
-	out := &saver{w: io.MultiWriter(buffered, sum)}
+	out := &saver{w: io.MultiWriter(buffered, checksum)}
 	s.saveRecords(out)
 	var footer [4]byte
-	binary.BigEndian.PutUint32(footer[:], sum.Sum32())
+	binary.BigEndian.PutUint32(footer[:], checksum.Sum32())
 	out.rawRecord(recordFooter, footer[:])
 	if out.err != nil {
 		return out.err
@@ -89,41 +92,42 @@
 	return buffered.Flush()
 }
 
-func (s *State) saveRecords(out *saver) {
+func (s *State) saveRecords(w *saver) {
 	magic, interest := completeMagic, s.Interest()
 	if interest != nil {
 		magic = subsetMagic
 	}
-	out.write([]byte(magic))
-	out.record(recordHeader, &savedHeader{
-		Limits:        s.limits,
-		Cluster:       s.cluster,
-		Revision:      s.revision,
-		Level:         s.level,
-		Index:         s.index,
-		LastID:        s.lastID,
-		HistoryOldest: s.history.oldest,
-		ResultsOldest: s.results.ring.oldest,
-		Interest:      interest,
+	w.write([]byte(magic))
+	w.record(recordHeader, &savedHeader{
+		Limits:             s.limits,
+		Cluster:            s.cluster,
+		Revision:           s.revision,
+		Level:              s.level,
+		Index:              s.index,
+		LastID:             s.lastID,
+		HistoryLastDropped: s.history.lastDropped,
+		ResultsLastDropped: s.results.ring.lastDropped,
+		Interest:           interest,
 	})
 	for i := range s.members {
-		out.record(recordMember, &s.members[i])
+		w.record(recordMember, &s.members[i])
 	}
 	for _, l := range s.Leases() {
-		out.record(recordLease, &l)
+		w.record(recordLease, &l)
 	}
 	s.items.Ascend(func(i *Item) bool {
-		out.record(recordItem, i)
-		return out.err == nil
+		w.record(recordItem, i)
+		return w.err == nil
 	})
 	for i := range s.history.len() {
-		out.record(recordHistoryEvent, s.history.at(i))
+		w.record(recordHistoryEvent, s.history.at(i))
 	}
 	for i := range s.results.ring.len() {
-		out.record(recordResult, s.results.ring.at(i).saved())
+		w.record(recordResult, s.results.ring.at(i).saved())
 	}
 }
 
+// saved returns the result in the form in which it is saved.
 func (c *cachedResult) saved() *savedResult {
 	r := c.Result
 	code := max(0, slices.Index(storedErrors, r.Err))
@@ -138,30 +142,30 @@
 	}
 }
 
-// saver writes records until the first error, which it keeps.
+// saver writes records. After the first error, which it keeps in err, it writes nothing more.
 type saver struct {
 	w   io.Writer
 	err error
 }
 
-func (o *saver) write(b []byte) {
-	if o.err == nil {
-		_, o.err = o.w.Write(b)
+func (s *saver) write(b []byte) {
+	if s.err == nil {
+		_, s.err = s.w.Write(b)
 	}
 }
 
-func (o *saver) record(kind byte, v any) {
-	b, err := encMode.Marshal(v)
-	if o.err == nil {
-		o.err = err
+func (s *saver) record(kind byte, v any) {
+	data, err := encMode.Marshal(v)
+	if s.err == nil {
+		s.err = err
 	}
-	o.rawRecord(kind, b)
+	s.rawRecord(kind, data)
 }
 
-func (o *saver) rawRecord(kind byte, b []byte) {
+func (s *saver) rawRecord(kind byte, data []byte) {
 	var prefix [recordPrefixBytes]byte
-	binary.BigEndian.PutUint32(prefix[:], uint32(len(b)))
+	binary.BigEndian.PutUint32(prefix[:], uint32(len(data)))
 	prefix[4] = kind
-	o.write(prefix[:])
-	o.write(b)
+	s.write(prefix[:])
+	s.write(data)
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -13,54 +13,58 @@
 )
 
 func init() {
-	// A fixed seed makes the properties deterministic; a flag on the command line overrides it.
+	// A fixed seed makes the property tests deterministic. The flag -rapid.seed on the command line overrides it.
 	if err := flag.Set("rapid.seed", "20261201"); err != nil {
 		panic(err)
 	}
 }
 
-var small = Limits{KeyBytes: 8, ValueBytes: 16, TotalBytes: 2000, TxnOps: 4, HistoryEvents: 12, HistoryBytes: 4000,
-	Leases: 3, Results: 6, Members: 3}
+// smallLimits are low enough for drawn commands to reach most of them.
+var smallLimits = Limits{
+	KeyBytes: 8, ValueBytes: 16, TotalBytes: 2000, TxnOps: 4, HistoryEvents: 12, HistoryBytes: 4000,
+	Leases: 3, Results: 6, Members: 3,
+}
 
+// drawCommand draws a command, valid or not, for request seq of client 1.
 func drawCommand(t *rapid.T, seq uint64) *Command {
 	key := rapid.SampledFrom([]string{"a", "b", "bb", "c", "d", "toolongakey"})
 	ops := func(name string) []Op {
-		var all []Op
+		var drawn []Op
 		for i := range rapid.IntRange(0, 5).Draw(t, name) {
-			o := Op{Key: key.Draw(t, fmt.Sprint(name, i)), Delete: rapid.Bool().Draw(t, "delete")}
-			if !o.Delete {
-				o.Value = []byte{byte(seq)}
-				o.LeaseID = rapid.Uint64Range(0, 4).Draw(t, "lease") * rapid.Uint64Range(0, 1).Draw(t, "leased")
+			op := Op{Key: key.Draw(t, fmt.Sprint(name, i)), Delete: rapid.Bool().Draw(t, "delete")}
+			if !op.Delete {
+				op.Value = []byte{byte(seq)}
+				op.LeaseID = rapid.Uint64Range(0, 4).Draw(t, "lease") * rapid.Uint64Range(0, 1).Draw(t, "leased")
 			} else if rapid.Bool().Draw(t, "range") {
-				o.RangeEnd = o.Key + "z"
+				op.RangeEnd = op.Key + "z"
 			}
-			all = append(all, o)
+			drawn = append(drawn, op)
 		}
-		return all
+		return drawn
 	}
-	c := &Command{ID: RequestID{1, seq}, SinceIndex: rapid.Uint64Range(0, seq).Draw(t, "since")}
+	command := &Command{ID: RequestID{1, seq}, SinceIndex: rapid.Uint64Range(0, seq).Draw(t, "since")}
 	switch rapid.IntRange(0, 9).Draw(t, "kind") {
 	case 0:
-		c.GrantLease = &GrantLease{TTLMillis: 1000}
+		command.GrantLease = &GrantLease{TTLMillis: 1000}
 	case 1:
 		id := rapid.Uint64Range(1, 6).Draw(t, "end")
-		c.RevokeLease = &RevokeLease{LeaseID: id, Expired: rapid.Bool().Draw(t, "silent")}
+		command.RevokeLease = &RevokeLease{LeaseID: id, Expired: rapid.Bool().Draw(t, "silent")}
 	case 2:
-		c.AddMember = &AddMember{Name: key.Draw(t, "join"), Address: "x"}
+		command.AddMember = &AddMember{Name: key.Draw(t, "join"), Address: "x"}
 	case 3:
-		c.RemoveMember = &RemoveMember{MemberID: rapid.Uint64Range(1, 6).Draw(t, "leave")}
+		command.RemoveMember = &RemoveMember{MemberID: rapid.Uint64Range(1, 6).Draw(t, "leave")}
 	case 4:
-		c.RenewLease = &RenewLease{LeaseID: rapid.Uint64Range(1, 6).Draw(t, "renew")}
+		command.RenewLease = &RenewLease{LeaseID: rapid.Uint64Range(1, 6).Draw(t, "renew")}
 	default:
-		c.Txn = &Txn{Then: ops("then"), Else: ops("else")}
+		command.Txn = &Txn{Then: ops("then"), Else: ops("else")}
 		if rapid.Bool().Draw(t, "if") {
-			c.Txn.If = []Compare{{Key: "a", ModRevision: rapid.Uint64Range(0, seq).Draw(t, "modified")}}
+			command.Txn.If = []Compare{{Key: "a", ModRevision: rapid.Uint64Range(0, seq).Draw(t, "modified")}}
 		}
 	}
-	return c
+	return command
 }
 
-func saved(t interface{ Fatal(...any) }, s *State) []byte {
+func savedBytes(t interface{ Fatal(...any) }, s *State) []byte {
 	var b bytes.Buffer
 	if err := s.Save(&b); err != nil {
 		t.Fatal(err)
@@ -68,70 +72,73 @@
 	return b.Bytes()
 }
 
-// A state that was saved and loaded behaves exactly as the original, also with commands that were encoded and decoded.
-// A reader of its changes rebuilds it unless they were compacted. A retried request changes nothing.
+// TestStateProperties applies drawn commands and checks after each of them that a state that was saved and loaded gives
+// the same result and has the same bytes if it applies the encoded and decoded command, that a retry of a failed
+// request returns the cached error, that the limits hold, and that a reader of the changes rebuilds the items unless
+// the changes were compacted.
 func TestStateProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := New(9, small)
+		s := New(9, smallLimits)
 		s.Bootstrap("one", "x", 5)
-		seen := map[string]string{}
-		var at uint64
-		n := rapid.IntRange(1, 60).Draw(t, "commands")
-		for i := uint64(1); i <= uint64(n); i++ {
-			c := drawCommand(t, i)
-			b, err := c.Encode()
+		rebuilt := map[string]string{}
+		var rebuiltRevision uint64
+		commands := rapid.IntRange(1, 60).Draw(t, "commands")
+		for i := uint64(1); i <= uint64(commands); i++ {
+			command := drawCommand(t, i)
+			encoded, err := command.Encode()
 			if err != nil {
 				t.Fatal(err)
 			}
-			twin, err := Load(bytes.NewReader(saved(t, s)))
+			loaded, err := Load(bytes.NewReader(savedBytes(t, s)))
 			if err != nil {
 				t.Fatal(err)
 			}
-			again, err := DecodeCommand(b)
+			decoded, err := DecodeCommand(encoded)
 			if err != nil {
 				t.Fatal(err)
 			}
-			r, q := s.Apply(i, c), twin.Apply(i, again)
-			if r != q {
-				t.Fatalf("%+v, and after a load %+v", r, q)
+			result, loadedResult := s.Apply(i, command), loaded.Apply(i, decoded)
+			if result != loadedResult {
+				t.Fatalf("result %+v, but the loaded state returned %+v", result, loadedResult)
 			}
-			if !bytes.Equal(saved(t, s), saved(t, twin)) {
-				t.Fatal("the loaded state differs after the command")
+			if !bytes.Equal(savedBytes(t, s), savedBytes(t, loaded)) {
+				t.Fatal("the loaded state is saved as other bytes than the original after the same command")
 			}
-			if r.Err != nil && !errors.Is(r.Err, ErrRequestExpired) {
-				if x := s.Apply(i, c); !x.Duplicate || !errors.Is(x.Err, r.Err) {
-					t.Fatalf("retried: %+v, first %+v", x, r)
+			if result.Err != nil && !errors.Is(result.Err, ErrRequestExpired) {
+				if retried := s.Apply(i, command); !retried.Duplicate || !errors.Is(retried.Err, result.Err) {
+					t.Fatalf("retry returned %+v, the first attempt %+v", retried, result)
 				}
 			}
 			size := 0
 			s.Range("", "", func(i Item) bool { size += i.size(); return true })
 			events, cached := s.history.len(), s.results.ring.len()
-			if size != s.Size() || size > small.TotalBytes || events > small.HistoryEvents || cached > small.Results ||
-				len(s.results.byID) != cached || len(s.leases) > small.Leases {
-				t.Fatalf("size %d, counted %d; %d events, %d results", s.Size(), size, events, cached)
+			if size != s.Size() || size > smallLimits.TotalBytes || events > smallLimits.HistoryEvents ||
+				cached > smallLimits.Results || len(s.results.byID) != cached || len(s.leases) > smallLimits.Leases {
+				t.Fatalf("size %d, but the items have %d bytes; %d events in the history, %d cached results",
+					s.Size(), size, events, cached)
 			}
 			if rapid.IntRange(0, 3).Draw(t, "follow") > 0 {
 				continue
 			}
-			changes, to, err := s.Changes(nil, "", at, rapid.IntRange(1, 5).Draw(t, "some"))
-			var gone *CompactedError
-			if errors.As(err, &gone) {
-				clear(seen)
-				s.Range("", "", func(i Item) bool { seen[i.Key] = string(i.Value); return true })
-				at = s.Revision()
+			changes, changesRevision, err := s.Changes(nil, "", rebuiltRevision, rapid.IntRange(1, 5).Draw(t, "some"))
+			var compacted *CompactedError
+			if errors.As(err, &compacted) {
+				clear(rebuilt)
+				s.Range("", "", func(i Item) bool { rebuilt[i.Key] = string(i.Value); return true })
+				rebuiltRevision = s.Revision()
 				continue
 			}
 			for _, e := range changes {
-				seen[e.Item.Key] = string(e.Item.Value)
+				rebuilt[e.Item.Key] = string(e.Item.Value)
 				if e.Deleted {
-					delete(seen, e.Item.Key)
+					delete(rebuilt, e.Item.Key)
 				}
 			}
-			at = to
-			if to == s.Revision() {
-				all := map[string]string{}
-				s.Range("", "", func(i Item) bool { all[i.Key] = string(i.Value); return true })
-				if d := cmp.Diff(all, seen); d != "" {
+			rebuiltRevision = changesRevision
+			if changesRevision == s.Revision() {
+				stored := map[string]string{}
+				s.Range("", "", func(i Item) bool { stored[i.Key] = string(i.Value); return true })
+				if d := cmp.Diff(stored, rebuilt); d != "" {
 					t.Fatal(d)
 				}
 			}
@@ -139,54 +146,55 @@
 	})
 }
 
-func example(tb testing.TB) []byte {
+// savedExample returns a saved state with a member, a lease, an item, events and cached results.
+func savedExample(tb testing.TB) []byte {
 	tb.Helper()
-	s := New(3, small)
+	s := New(3, smallLimits)
 	s.Bootstrap("one", "x", 5)
 	s.Apply(1, &Command{ID: RequestID{1, 1}, GrantLease: &GrantLease{TTLMillis: 5}})
 	puts := []Op{{Key: "a", Value: []byte("v"), LeaseID: 2}, {Key: "b"}}
 	s.Apply(2, &Command{ID: RequestID{1, 2}, Txn: &Txn{Then: puts}})
 	s.Apply(3, &Command{ID: RequestID{1, 3}, Txn: &Txn{Then: []Op{{Key: "b", Delete: true}}}})
-	return saved(tb, s)
+	return savedBytes(tb, s)
 }
 
 func TestLoadDetectsTruncationAndBitFlips(t *testing.T) {
-	complete := example(t)
+	complete := savedExample(t)
 	var corrupted *CorruptedError
-	for n := range complete {
-		if _, err := Load(bytes.NewReader(complete[:n])); !errors.As(err, &corrupted) {
-			t.Fatalf("cut at %d: %v", n, err)
+	for offset := range complete {
+		if _, err := Load(bytes.NewReader(complete[:offset])); !errors.As(err, &corrupted) {
+			t.Fatalf("Load of the first %d bytes: %v, want a CorruptedError", offset, err)
 		}
 		for bit := range 8 {
-			b := slices.Clone(complete)
-			b[n] ^= 1 << bit
-			if _, err := Load(bytes.NewReader(b)); !errors.As(err, &corrupted) {
-				t.Fatalf("bit %d of byte %d: %v", bit, n, err)
+			flipped := slices.Clone(complete)
+			flipped[offset] ^= 1 << bit
+			if _, err := Load(bytes.NewReader(flipped)); !errors.As(err, &corrupted) {
+				t.Fatalf("Load after bit %d of byte %d was flipped: %v, want a CorruptedError", bit, offset, err)
 			}
 		}
 	}
 	if _, err := Load(bytes.NewReader(append(complete, 0))); err == nil {
-		t.Fatal("data after the footer was accepted")
+		t.Fatal("Load accepted data after the footer")
 	}
 }
 
 func TestDecodeCommandRejectsLaterLevels(t *testing.T) {
-	b, err := (&Command{GrantLease: &GrantLease{}, Newer: 1}).Encode()
+	unknownField, err := (&Command{GrantLease: &GrantLease{}, Newer: 1}).Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, x := range [][]byte{b, append([]byte{Level + 1}, b[1:]...)} {
-		if _, err := DecodeCommand(x); !errors.Is(err, ErrUnknownCommand) {
+	for _, encoded := range [][]byte{unknownField, append([]byte{Level + 1}, unknownField[1:]...)} {
+		if _, err := DecodeCommand(encoded); !errors.Is(err, ErrUnknownCommand) {
 			t.Fatal(err)
 		}
 	}
 }
 
 func FuzzLoad(f *testing.F) {
-	f.Add(example(f))
+	f.Add(savedExample(f))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if s, err := Load(bytes.NewReader(b)); err == nil && s.Size() > s.limits.TotalBytes {
-			t.Fatal("more than TotalBytes was loaded")
+			t.Fatal("Load accepted a state larger than its limit TotalBytes")
 		}
 	})
 }
@@ -196,7 +204,7 @@
 	f.Add(b)
 	f.Fuzz(func(_ *testing.T, b []byte) {
 		if c, err := DecodeCommand(b); err == nil {
-			New(1, small).Apply(1, c)
+			New(1, smallLimits).Apply(1, c)
 		}
 	})
 }
@@ -204,12 +212,12 @@
 func TestTxnEnforcesKeyLimits(t *testing.T) {
 	s := New(1, DefaultLimits)
 	s.Bootstrap("a", "a", 1)
-	put := func(index uint64, key string, deleted bool) error {
+	apply := func(index uint64, key string, deleted bool) error {
 		limits := []KeyLimit{{Prefix: "p/", MaxKeys: 2}}
 		return s.Apply(index, &Command{Txn: &Txn{Then: []Op{{Key: key, Delete: deleted}}, KeyLimits: limits}}).Err
 	}
-	if err := put(1, "p/1", false); !errors.Is(err, ErrLevel) || s.Len() != 0 {
-		t.Fatal("before the cluster uses its level:", err)
+	if err := apply(1, "p/1", false); !errors.Is(err, ErrLevel) || s.Len() != 0 {
+		t.Fatal("a key limit was not rejected before its level was enabled:", err)
 	}
 	if r := s.Apply(2, &Command{RaiseLevel: &RaiseLevel{Level: Level}}); r.Err != nil {
 		t.Fatal(r.Err)
@@ -228,14 +236,15 @@
 		{"p/3", false, nil},
 	} {
 		before := s.Revision()
-		err := put(uint64(i+3), tc.key, tc.deleted)
+		err := apply(uint64(i+3), tc.key, tc.deleted)
 		if !errors.Is(err, tc.want) || (err == nil) != (s.Revision() > before) {
-			t.Errorf("%d: %s: %v", i, tc.key, err)
+			t.Errorf("transaction %d on key %s: %v", i, tc.key, err)
 		}
 	}
 }
 
-// A copy that follows event by event equals the state, and rejects events out of order.
+// TestMirroredCopyEqualsState checks that a copy to which ApplyEvent applied all events of a state has the same items,
+// size and revision, and that it rejects an event out of order.
 func TestMirroredCopyEqualsState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New(1, DefaultLimits)
@@ -250,19 +259,20 @@
 				t.Fatal(err)
 			}
 		}
-		list := func(s *State) (all []string) {
+		describeItems := func(s *State) (described []string) {
 			s.Range("", "", func(i Item) bool {
-				all = append(all, fmt.Sprintf("%s %q %d %d", i.Key, i.Value, i.ModRevision, i.Version))
+				described = append(described, fmt.Sprintf("%s %q %d %d", i.Key, i.Value, i.ModRevision, i.Version))
 				return true
 			})
-			return all
+			return described
 		}
-		want, got := list(s), list(copied)
+		want, got := describeItems(s), describeItems(copied)
 		if fmt.Sprint(want) != fmt.Sprint(got) || copied.Size() != s.Size() || copied.Revision() != s.Revision() {
-			t.Fatalf("%v\n%v, %d and %d bytes", want, got, s.Size(), copied.Size())
+			t.Fatalf("items of the state %v\nitems of the copy %v, sizes %d and %d bytes",
+				want, got, s.Size(), copied.Size())
 		}
-		back, err := Load(bytes.NewReader(saved(t, copied)))
-		if err != nil || back.Revision() != s.Revision() {
+		reloaded, err := Load(bytes.NewReader(savedBytes(t, copied)))
+		if err != nil || reloaded.Revision() != s.Revision() {
 			t.Fatal(err)
 		}
 		if len(events) > 0 && s.Revision() > 1 {
@@ -273,8 +283,8 @@
 	})
 }
 
-// A reinitialized state reuses no revision or ID that the old cluster may have assigned, keeps none of its leases, and
-// can be seeded with a key that suspends tasks.
+// TestReinitializeReusesNoIDs checks that leases reject other owners, and that after Reinitialize the state assigns no
+// revision or ID that the old cluster may have assigned, has no lease of the old cluster, and keeps a seeded key.
 func TestReinitializeReusesNoIDs(t *testing.T) {
 	s := New(1, DefaultLimits)
 	s.Bootstrap("a", "a", 1)
@@ -286,37 +296,39 @@
 		return r
 	}
 	apply(&Command{RaiseLevel: &RaiseLevel{Level: Level}})
-	own := apply(&Command{GrantLease: &GrantLease{TTLMillis: 5000, Owner: "h"}})
-	apply(&Command{Txn: &Txn{Owner: "h", Then: []Op{{Key: "k", LeaseID: own.LeaseID}}}})
+	granted := apply(&Command{GrantLease: &GrantLease{TTLMillis: 5000, Owner: "h"}})
+	apply(&Command{Txn: &Txn{Owner: "h", Then: []Op{{Key: "k", LeaseID: granted.LeaseID}}}})
 	for _, c := range []*Command{
-		{RenewLease: &RenewLease{LeaseID: own.LeaseID, Owner: "x"}},
-		{RenewLease: &RenewLease{LeaseID: own.LeaseID}},
-		{RevokeLease: &RevokeLease{LeaseID: own.LeaseID, Owner: "x"}},
-		{Txn: &Txn{Owner: "x", Then: []Op{{Key: "j", LeaseID: own.LeaseID}}}},
+		{RenewLease: &RenewLease{LeaseID: granted.LeaseID, Owner: "x"}},
+		{RenewLease: &RenewLease{LeaseID: granted.LeaseID}},
+		{RevokeLease: &RevokeLease{LeaseID: granted.LeaseID, Owner: "x"}},
+		{Txn: &Txn{Owner: "x", Then: []Op{{Key: "j", LeaseID: granted.LeaseID}}}},
 	} {
 		if r := s.Apply(s.Index()+1, c); !errors.Is(r.Err, ErrLeaseNotFound) {
-			t.Errorf("lease of another owner: %v", r.Err)
+			t.Errorf("command on a lease of another owner: %v, want ErrLeaseNotFound", r.Err)
 		}
 	}
-	before, last := s.Revision(), s.LastID()
-	s.Reinitialize(2, before+1_000_000)
+	revision, lastID := s.Revision(), s.LastID()
+	s.Reinitialize(2, revision+1_000_000)
 	s.Seed("hold", nil, 60_000)
-	if _, there := s.Get("k"); there || s.Revision() <= before+1_000_000 || s.LastID() <= last+1_000_000-1 {
-		t.Errorf("revision %d, last id %d", s.Revision(), s.LastID())
+	if _, found := s.Get("k"); found || s.Revision() <= revision+1_000_000 || s.LastID() <= lastID+1_000_000-1 {
+		t.Errorf("after Reinitialize: revision %d, last ID %d, or the key of the old lease exists",
+			s.Revision(), s.LastID())
 	}
 	s.Bootstrap("b", "b", 2)
 	var b bytes.Buffer
 	if err := s.Save(&b); err != nil {
 		t.Fatal(err)
 	}
-	again, err := Load(&b)
+	loaded, err := Load(&b)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, there := again.Get("hold"); !there || len(again.Leases()) != 1 || again.Revision() != s.Revision() {
-		t.Errorf("after a save: %d leases, revision %d", len(again.Leases()), again.Revision())
+	if _, found := loaded.Get("hold"); !found || len(loaded.Leases()) != 1 || loaded.Revision() != s.Revision() {
+		t.Errorf("after a save and a load: %d leases, revision %d, or the seeded key is missing",
+			len(loaded.Leases()), loaded.Revision())
 	}
-	if r := again.Apply(1, &Command{Txn: &Txn{Then: []Op{{Key: "n"}}}}); r.Revision <= s.Revision() {
-		t.Errorf("revision %d after %d", r.Revision, s.Revision())
+	if r := loaded.Apply(1, &Command{Txn: &Txn{Then: []Op{{Key: "n"}}}}); r.Revision <= s.Revision() {
+		t.Errorf("the next transaction has revision %d, after %d", r.Revision, s.Revision())
 	}
 }
--- a/internal/store/subset.go
+++ b/internal/store/subset.go
@@ -5,33 +5,34 @@
 	"slices"
 )
 
-// Limits of the history of a subset, which serves only the watches at that copy.
+// The history of a subset is bounded more tightly than Limits, because it serves only the watches at that copy.
 const (
 	maxSubsetEvents       = 4096
 	maxSubsetHistoryBytes = 1 << 20
 )
 
-// subset is what a state knows of being a partial copy.
+// subset describes a state that is a partial copy.
 type subset struct {
-	interest Interest // the keys that it holds
-	tracking bool     // reads are recorded in the fields below
-	tracked  Interest // the keys that were read
-	missed   bool     // some of them are not in the interest
+	interest  Interest // keys that the copy holds
+	tracking  bool     // reads are recorded in tracked and uncovered
+	tracked   Interest // keys that were read
+	uncovered bool     // some of the keys that were read are not in interest
 }
 
-// NotHeldError reports a read of keys that a partial copy does not hold, so that it cannot say whether they exist.
+// NotHeldError reports a read of keys that a partial copy does not hold. The copy cannot tell whether they exist.
+// Interest contains the keys that were read.
 type NotHeldError struct{ Interest Interest }
 
 // Error implements error.
 func (e *NotHeldError) Error() string {
-	what := "keys"
-	if all := slices.Concat(e.Interest.Keys, e.Interest.Prefixes); len(all) > 0 {
-		what = fmt.Sprintf("%q", all[0])
+	notHeld := "keys"
+	if entries := slices.Concat(e.Interest.Keys, e.Interest.Prefixes); len(entries) > 0 {
+		notHeld = fmt.Sprintf("%q", entries[0])
 	}
-	return fmt.Sprintf("this daemon's copy does not hold %s: a replica has to be asked", what)
+	return fmt.Sprintf("this daemon's copy does not hold %s: a replica has to be asked", notHeld)
 }
 
-// Interest returns the keys that this state holds, or nil if it is complete.
+// Interest returns the keys that this state holds, or nil if it is complete, that is, holds all keys.
 func (s *State) Interest() *Interest {
 	if s.subset == nil {
 		return nil
@@ -40,80 +41,83 @@
 	return &interest
 }
 
-// Subset returns a partial copy of the keys of an interest at the same revision, without history. The items are
-// shared, and neither state modifies them. The copy follows by ApplyEvent and must not be given to Apply. The cost is
-// proportional to the items of the copy.
-func (s *State) Subset(of Interest) *State {
-	c := New(s.cluster, s.limits)
-	c.revision, c.level, c.index, c.lastID = s.revision, s.level, s.index, s.lastID
-	c.members = slices.Clone(s.members)
-	c.history.oldest, c.results.ring.oldest = s.revision, s.index
-	interest := Interest{}.Union(of)
-	c.subset = &subset{interest: interest}
+// Subset returns a partial copy with the keys of an interest at the same revision, without history. The two states
+// share the items, which neither modifies. ApplyEvent and ApplyEvents update the copy, which must not be given to
+// Apply. The cost is proportional to the number of items copied.
+func (s *State) Subset(requested Interest) *State {
+	partial := New(s.cluster, s.limits)
+	partial.revision, partial.level, partial.index, partial.lastID = s.revision, s.level, s.index, s.lastID
+	partial.members = slices.Clone(s.members)
+	partial.history.lastDropped, partial.results.ring.lastDropped = s.revision, s.index
+	interest := Interest{}.Union(requested)
+	partial.subset = &subset{interest: interest}
 	for _, prefix := range interest.Prefixes {
-		s.ascend(prefix, PrefixEnd(prefix), func(i *Item) bool {
-			c.adopt(i, s)
+		s.ascend(prefix, PrefixEnd(prefix), func(item *Item) bool {
+			partial.addItemFrom(item, s)
 			return true
 		})
 	}
 	for _, key := range interest.Keys {
-		if i, ok := s.items.Get(&Item{Key: key}); ok {
-			c.adopt(i, s)
+		if item, ok := s.items.Get(&Item{Key: key}); ok {
+			partial.addItemFrom(item, s)
 		}
 	}
-	return c
+	return partial
 }
 
-// adopt adds an item of another state with its lease.
-func (s *State) adopt(i *Item, from *State) {
-	s.items.ReplaceOrInsert(i)
-	s.size += i.size()
-	original := from.leases[i.LeaseID]
+// addItemFrom adds an item of the source state and, if it is attached to one, a copy of its lease.
+func (s *State) addItemFrom(item *Item, source *State) {
+	s.items.ReplaceOrInsert(item)
+	s.size += item.size()
+	original := source.leases[item.LeaseID]
 	if original == nil {
 		return
 	}
-	l := s.leases[i.LeaseID]
-	if l == nil {
-		l = newLease(original.Lease)
-		s.leases[i.LeaseID] = l
+	copied := s.leases[item.LeaseID]
+	if copied == nil {
+		copied = newLease(original.Lease)
+		s.leases[item.LeaseID] = copied
 	}
-	l.keys[i.Key] = struct{}{}
+	copied.keys[item.Key] = struct{}{}
 }
 
-// SubsetWithHistory is Subset with the events of the subset's keys, as far as they are retained and fit its limits.
-func (s *State) SubsetWithHistory(of Interest) *State {
-	c := s.Subset(of)
-	c.history.oldest = s.history.oldest
+// SubsetWithHistory is Subset with the history of the subset's keys: the events that this state retains and that fit
+// the limits of a subset.
+func (s *State) SubsetWithHistory(interest Interest) *State {
+	partial := s.Subset(interest)
+	partial.history.lastDropped = s.history.lastDropped
 	for i := range s.history.len() {
-		e := s.history.at(i)
-		if c.subset.interest.Covers(e.Item.Key) {
-			c.appendHistory(*e)
+		event := s.history.at(i)
+		if partial.subset.interest.Covers(event.Item.Key) {
+			partial.appendHistory(*event)
 		}
 	}
-	return c
+	return partial
 }
 
-// TrackReads starts to record which keys are read of a partial copy. It has no effect on a complete state.
+// TrackReads starts to record which keys are read from a partial copy, until TrackedReads is called. It has no effect
+// on a complete state.
 func (s *State) TrackReads() {
 	if s.subset != nil {
-		s.subset.tracking, s.subset.tracked, s.subset.missed = true, Interest{}, false
+		s.subset.tracking, s.subset.tracked, s.subset.uncovered = true, Interest{}, false
 	}
 }
 
-// TrackedReads stops recording. It returns the keys that were read, and whether the state holds all of them.
-func (s *State) TrackedReads() (read Interest, held bool) {
+// TrackedReads stops recording. It returns the keys that were read since TrackReads and whether the state holds all of
+// them. For a complete state it returns no keys and true.
+func (s *State) TrackedReads() (read Interest, covered bool) {
 	if s.subset == nil {
 		return Interest{}, true
 	}
 	s.subset.tracking = false
-	return s.subset.tracked, !s.subset.missed
+	return s.subset.tracked, !s.subset.uncovered
 }
 
-// track records a read. s may be nil, for a complete state.
+// track records a read, if reads are tracked. s is nil for a complete state.
 func (s *subset) track(read Interest) {
 	if s == nil || !s.tracking {
 		return
 	}
 	s.tracked = s.tracked.Union(read)
-	s.missed = s.missed || !s.interest.Contains(read)
+	s.uncovered = s.uncovered || !s.interest.Contains(read)
 }
--- a/internal/store/txn.go
+++ b/internal/store/txn.go
@@ -2,65 +2,66 @@
 
 import "strings"
 
-func (s *State) applyTxn(t *Txn) Result {
-	succeeded := s.compareAll(t.If)
-	ops := t.Then
+func (s *State) applyTxn(txn *Txn) Result {
+	succeeded := s.compareAll(txn.If)
+	ops := txn.Then
 	if !succeeded {
-		ops = t.Else
+		ops = txn.Else
 	}
-	// Whatever can fail is checked before the first change. Space that the transaction's own deletions free does not
-	// count.
-	if err := s.checkOps(t, ops); err != nil {
+	// All checks precede the first change, so that a transaction that fails changes nothing. They do not subtract the
+	// keys and bytes that the transaction itself deletes.
+	if err := s.checkOps(txn, ops); err != nil {
 		return Result{Succeeded: succeeded, Err: err}
 	}
 	revision := s.revision + 1
-	for _, o := range ops {
-		s.applyOp(revision, o)
+	for _, op := range ops {
+		s.applyOp(revision, op)
 	}
 	return Result{Succeeded: succeeded}
 }
 
 func (s *State) compareAll(comparisons []Compare) bool {
-	for _, cmp := range comparisons {
+	for _, comparison := range comparisons {
 		var modRevision uint64
-		if i, ok := s.items.Get(&Item{Key: cmp.Key}); ok {
-			modRevision = i.ModRevision
+		if item, ok := s.items.Get(&Item{Key: comparison.Key}); ok {
+			modRevision = item.ModRevision
 		}
-		if modRevision != cmp.ModRevision {
+		if modRevision != comparison.ModRevision {
 			return false
 		}
 	}
 	return true
 }
 
-// checkOps returns ErrFull if the operations would exceed a key limit or the state's size, and ErrLeaseNotFound if they
-// attach a key to a lease that does not exist or has another owner.
-func (s *State) checkOps(t *Txn, ops []Op) error {
-	for _, l := range t.KeyLimits {
-		if s.exceeds(l, ops) {
+// checkOps returns ErrFull if the operations would exceed a key limit or Limits.TotalBytes, and ErrLeaseNotFound if
+// they attach a key to a lease that does not exist or, if the transaction has an owner, is not owned by it.
+func (s *State) checkOps(txn *Txn, ops []Op) error {
+	for _, limit := range txn.KeyLimits {
+		if s.exceedsKeyLimit(limit, ops) {
 			return ErrFull
 		}
 	}
-	grown := 0
-	for _, o := range ops {
-		if o.Delete {
+	addedBytes := 0
+	for _, op := range ops {
+		if op.Delete {
 			continue
 		}
-		if !s.mayAttach(o.LeaseID, t.Owner) {
+		if !s.mayAttach(op.LeaseID, txn.Owner) {
 			return ErrLeaseNotFound
 		}
-		grown += len(o.Key) + len(o.Value) + itemOverheadBytes
-		if old, ok := s.items.Get(&Item{Key: o.Key}); ok {
-			grown -= old.size()
+		addedBytes += len(op.Key) + len(op.Value) + itemOverheadBytes
+		if old, ok := s.items.Get(&Item{Key: op.Key}); ok {
+			addedBytes -= old.size()
 		}
 	}
-	if grown > 0 && s.size+grown > s.limits.TotalBytes {
+	if addedBytes > 0 && s.size+addedBytes > s.limits.TotalBytes {
 		return ErrFull
 	}
 	return nil
 }
 
-// mayAttach reports whether a transaction of an owner may attach a key to a lease; 0 is no lease.
+// mayAttach reports whether a transaction of an owner may attach a key to a lease. leaseID 0 stands for no lease, and
+// an empty owner may use any lease that exists.
 func (s *State) mayAttach(leaseID uint64, owner string) bool {
 	if leaseID == 0 {
 		return true
@@ -69,15 +70,15 @@
 	return ok && (owner == "" || l.Owner == owner)
 }
 
-// exceeds reports whether the operations would leave more keys under a prefix than its limit. If the limit was lowered
-// below the present number of keys, only new keys are rejected.
-func (s *State) exceeds(l KeyLimit, ops []Op) bool {
+// exceedsKeyLimit reports whether the operations would create a key with the limit's prefix so that there are more than
+// MaxKeys of them. Where MaxKeys was lowered below the present number of keys, existing keys can still be put.
+func (s *State) exceedsKeyLimit(limit KeyLimit, ops []Op) bool {
 	added := 0
-	for _, o := range ops {
-		if o.Delete || !strings.HasPrefix(o.Key, l.Prefix) {
+	for _, op := range ops {
+		if op.Delete || !strings.HasPrefix(op.Key, limit.Prefix) {
 			continue
 		}
-		if _, ok := s.items.Get(&Item{Key: o.Key}); !ok {
+		if _, ok := s.items.Get(&Item{Key: op.Key}); !ok {
 			added++
 		}
 	}
@@ -85,32 +86,32 @@
 		return false
 	}
 	keys := added
-	s.Range(l.Prefix, PrefixEnd(l.Prefix), func(Item) bool {
+	s.Range(limit.Prefix, PrefixEnd(limit.Prefix), func(Item) bool {
 		keys++
-		return keys <= l.MaxKeys
+		return keys <= limit.MaxKeys
 	})
-	return keys > l.MaxKeys
+	return keys > limit.MaxKeys
 }
 
-func (s *State) applyOp(revision uint64, o Op) {
+func (s *State) applyOp(revision uint64, op Op) {
 	switch {
-	case !o.Delete:
-		s.put(revision, o)
-	case o.RangeEnd == "":
-		s.remove(revision, o.Key)
+	case !op.Delete:
+		s.put(revision, op)
+	case op.RangeEnd == "":
+		s.remove(revision, op.Key)
 	default:
-		s.removeRange(revision, o.Key, o.RangeEnd)
+		s.removeRange(revision, op.Key, op.RangeEnd)
 	}
 }
 
-func (s *State) put(revision uint64, o Op) {
+func (s *State) put(revision uint64, op Op) {
 	item := &Item{
-		Key: o.Key, Value: o.Value, CreateRevision: revision, ModRevision: revision, Version: 1, LeaseID: o.LeaseID,
+		Key: op.Key, Value: op.Value, CreateRevision: revision, ModRevision: revision, Version: 1, LeaseID: op.LeaseID,
 	}
 	if old, ok := s.items.Get(item); ok {
 		item.CreateRevision, item.Version = old.CreateRevision, old.Version+1
 		s.size -= old.size()
-		s.detach(old)
+		s.detachFromLease(old)
 	}
 	if l := s.leases[item.LeaseID]; l != nil {
 		l.keys[item.Key] = struct{}{}
@@ -126,7 +127,7 @@
 		return
 	}
 	s.size -= old.size()
-	s.detach(old)
+	s.detachFromLease(old)
 	s.recordEvent(Event{Revision: revision, Deleted: true, Item: Item{Key: key}})
 }
 
@@ -141,9 +142,9 @@
 	}
 }
 
-// detach removes an item's key from its lease.
-func (s *State) detach(i *Item) {
-	if l := s.leases[i.LeaseID]; l != nil {
-		delete(l.keys, i.Key)
+// detachFromLease removes an item's key from the keys of its lease, if it is attached to one.
+func (s *State) detachFromLease(item *Item) {
+	if l := s.leases[item.LeaseID]; l != nil {
+		delete(l.keys, item.Key)
 	}
 }
