--- a/internal/store/engine/engine.go
+++ b/internal/store/engine/engine.go
@@ -1,9 +1,12 @@
-// Package engine runs one replica of the store: its loop, disk and transport. Any goroutine may call its methods.
+// Package engine runs one replica of the store: its loop, its disk and its transport. The methods of an Engine may be
+// called by any goroutine.
 //
-// The loop takes a bounded number of inputs, has the replica process them together, which waits for the disk only once,
-// and completes the requests. It yields between rounds, so that a busy store does not starve the rest of the process.
+// A goroutine, the loop, owns the replica. In each round it takes a bounded number of inputs, has the replica process
+// them together, so that they wait for the disk only once, and completes the requests. The loop yields between rounds,
+// so that a busy store does not starve the rest of the process.
 //
-// It joins the packages replica, disk and peer. Besides these it imports store, serverstate, usage and platform/keys.
+// The package connects the packages replica, disk and peer. Besides these it imports store, serverstate, usage and
+// platform/keys.
 package engine
 
 import (
@@ -29,93 +32,97 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Config configures an engine.
+// Config configures an Engine. Only Name and Dir are required.
 type Config struct {
-	Name             string            // of this replica
-	Dir              string            // of its disk
-	Address          string            // at which other replicas reach it; empty: that of Listener
-	Join             bool              // an empty disk waits to be added to a cluster, instead of founding one
-	Limits           store.Limits      // of a cluster that it founds; zero: store.DefaultLimits
-	AddressOverrides map[string]string // by name of a replica, to dial in place of its address
-	Keys             *keys.Pair        // nil: plain TCP, on loopback only
-	Listener         net.Listener      // nil: the replica is the only one, without a network
-	TickInterval     time.Duration     // 100 ms if zero
-	ElectionTicks    int               // minimum election timeout; zero: the default of package replica
-	Log              *slog.Logger      // nil: nothing is logged
-	TuneReplica      func(*replica.Config)
+	Name             string                // name of this replica
+	Dir              string                // directory of its disk
+	Address          string                // where other replicas reach it; empty: that of Listener
+	Join             bool                  // with an empty disk, wait to be added to a cluster instead of founding one
+	Limits           store.Limits          // limits of a cluster that it founds; zero: store.DefaultLimits
+	AddressOverrides map[string]string     // by name of a replica; dialled instead of the member's address
+	Keys             *keys.Pair            // nil: plain TCP, on loopback only
+	Listener         net.Listener          // nil: the replica is the only one and has no network
+	TickInterval     time.Duration         // zero: 100 ms
+	ElectionTicks    int                   // minimum election timeout; zero: the default of package replica
+	Log              *slog.Logger          // nil: nothing is logged
+	TuneReplica      func(*replica.Config) // changes the replica's configuration, unless nil
 	DiskOptions      disk.Options
-	Usage            *usage.Recorder // of messages, commands and writes; nil: nothing is counted
+	Usage            *usage.Recorder // counts messages, commands and writes; nil: nothing is counted
 
-	// OnEvent is called with each change in order, and OnReset with each new state that replaces the former one. All
-	// hooks but OnUncommitted are called by the loop and must not block.
+	// The hooks below are not called if nil. Open calls OnReset and OnUncommitted for the contents of a disk that
+	// belongs to a cluster; all other calls are made by the loop. The hooks must not block.
+
+	// OnEvent is called with each change, in order. OnReset is called with the first state, and with each state that
+	// replaces the former one.
 	OnEvent func(store.Event)
 	OnReset func(*store.State)
-	// OnUncommitted is called at the start with each command of the log that is not known to be committed, OnCaughtUp
-	// once when all entries that the log had at the start are applied.
+	// OnUncommitted is called at the start with each command in the log that may be uncommitted. OnCaughtUp is called
+	// once, when all entries that the log had at the start are applied.
 	OnUncommitted func(*store.Command)
 	OnCaughtUp    func()
-	// OnConfirmed is called each time that a quorum has confirmed that the copy was current so long ago. Changes that
-	// are applied after the call were acknowledged after that moment.
+	// OnConfirmed is called each time that a quorum has confirmed that the copy includes every change acknowledged up
+	// to a moment, which precedes the call by ago. Changes applied after the call were acknowledged after that moment.
 	OnConfirmed func(ago time.Duration)
 }
 
 const (
 	defaultTickInterval = 100 * time.Millisecond
-	inboxSize           = 1024 // calls, and messages, that wait for the loop
-	maxTransferAttempts = 30   // of leadership, before the engine closes without
+	queueCapacity       = 1024 // calls, and messages, that can wait for the loop
+	maxTransferAttempts = 30   // transfers of leadership that Close tries
 	transferTimeout     = time.Second
 )
 
-// ErrClosed reports that the engine was closed.
+// ErrClosed reports that the engine is closed, or was closed before the call completed.
 var ErrClosed = errors.New("the store is closed")
 
-// Engine is a running replica.
+// Engine runs one replica. Its methods are safe for concurrent use.
 type Engine struct {
 	cfg       Config
 	disk      *disk.Disk
 	transport *peer.Transport // nil without a network
-	clientID  uint64          // of requests without an ID
-	seq       atomic.Uint64   // of the last of them
+	clientID  uint64          // client of requests to Do without an ID
+	lastSeq   atomic.Uint64   // sequence number of the last of them
 	startedAt time.Time
 
-	calls  chan func()
-	inbox  chan *raftpb.Message
-	done   chan struct{} // closed when the loop has ended
+	calls  chan func()          // functions that the loop is to call
+	inbox  chan *raftpb.Message // messages of other replicas
+	done   chan struct{}        // closed when the loop has ended
 	cancel context.CancelFunc
 	ctx    context.Context
 	wg     sync.WaitGroup
 
-	confirmedAfter  atomic.Int64                  // ns from startedAt to the last confirmation, plus one; or 0
-	revisionChanged atomic.Pointer[chan struct{}] // closed when the revision changes
+	confirmedAfterNanos atomic.Int64                  // time from startedAt to the last confirmation, plus 1; 0: none
+	revisionChanged     atomic.Pointer[chan struct{}] // closed, and replaced, when the revision changes
 
-	// The fields below belong to the loop.
+	// The fields below are used by start and, once the loop runs, by the loop only.
 
-	node       *replica.Node // nil while an empty disk waits to be added to a cluster
-	caughtUp   bool
-	assigned   replica.Identity     // that a peer gave to an empty disk
-	helloPeers map[uint64]peer.Peer // that connected while no members were known
-	handlers   map[replica.RequestToken]func(replica.Completion)
-	lastToken  replica.RequestToken
-	peersHash  uint64 // of the peers that the transport knows
+	node             *replica.Node // nil while an empty disk waits to be added to a cluster
+	caughtUp         bool
+	assignedIdentity replica.Identity     // identity that a peer assigned to an empty disk
+	helloPeers       map[uint64]peer.Peer // peers that connected while no members were known, by member ID
+	handlers         map[replica.RequestToken]func(replica.Completion)
+	lastToken        replica.RequestToken
+	peersHash        uint64 // hash of the peers that were passed to the transport
 }
 
-// Open starts a replica. It must be closed.
+// Open starts a replica. The caller must call Close or Kill.
 func Open(cfg Config) (*Engine, error) {
 	if err := keys.CheckName(cfg.Name); err != nil {
 		return nil, err
 	}
 	cfg.setDefaults()
-	d, err := disk.Open(cfg.Dir, cfg.DiskOptions)
+	openedDisk, err := disk.Open(cfg.Dir, cfg.DiskOptions)
 	if err != nil {
 		return nil, err
 	}
-	e := newEngine(cfg, d)
+	e := newEngine(cfg, openedDisk)
 	if err := e.start(); err != nil {
-		return nil, errors.Join(err, d.Close())
+		return nil, errors.Join(err, openedDisk.Close())
 	}
 	return e, nil
 }
 
+// setDefaults replaces zero values by their defaults, and passes Usage to the disk.
 func (c *Config) setDefaults() {
 	if c.TickInterval == 0 {
 		c.TickInterval = defaultTickInterval
@@ -132,23 +139,25 @@
 	c.DiskOptions.Usage = c.Usage
 }
 
-func newEngine(cfg Config, d *disk.Disk) *Engine {
+func newEngine(cfg Config, openedDisk *disk.Disk) *Engine {
 	e := &Engine{
 		cfg:       cfg,
-		disk:      d,
+		disk:      openedDisk,
 		clientID:  randomID(),
 		startedAt: time.Now(),
-		calls:     make(chan func(), inboxSize),
-		inbox:     make(chan *raftpb.Message, inboxSize),
+		calls:     make(chan func(), queueCapacity),
+		inbox:     make(chan *raftpb.Message, queueCapacity),
 		done:      make(chan struct{}),
 		handlers:  map[replica.RequestToken]func(replica.Completion){},
 	}
-	first := make(chan struct{})
-	e.revisionChanged.Store(&first)
+	revisionChanged := make(chan struct{})
+	e.revisionChanged.Store(&revisionChanged)
 	e.ctx, e.cancel = context.WithCancel(context.Background())
 	return e
 }
 
+// start founds a cluster if the disk is empty and need not wait to join one, and starts the replica if the disk belongs
+// to a cluster. It then starts the transport and the loop.
 func (e *Engine) start() error {
 	if e.disk.Identity().ClusterID == 0 && !e.cfg.Join {
 		err := replica.Bootstrap(e.disk, randomID(), e.cfg.Name, e.cfg.Address, e.cfg.Limits)
@@ -175,7 +184,7 @@
 	return nil
 }
 
-// randomID returns a random number that is not 0 and fits 63 bits.
+// randomID returns a random odd number below 1<<63, which is never 0.
 func randomID() uint64 {
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
@@ -184,7 +193,7 @@
 	return binary.BigEndian.Uint64(b[:])>>1 | 1
 }
 
-// startNode starts the replica on a disk that belongs to a cluster.
+// startNode starts the replica from a disk that belongs to a cluster.
 func (e *Engine) startNode() error {
 	cfg := replica.Config{
 		Rand:          mathrand.New(mathrand.NewPCG(randomID(), randomID())),
@@ -197,32 +206,33 @@
 	if e.cfg.TuneReplica != nil {
 		e.cfg.TuneReplica(&cfg)
 	}
-	n, err := replica.New(cfg, e.disk)
+	node, err := replica.New(cfg, e.disk)
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
-	e.node = n
+	e.node = node
 	e.attachState()
 	if e.cfg.OnUncommitted != nil {
-		n.Uncommitted(e.cfg.OnUncommitted)
+		node.Uncommitted(e.cfg.OnUncommitted)
 	}
 	return nil
 }
 
-// attachState installs the hooks on a new state of the replica.
+// attachState calls OnReset with the replica's new state and installs OnEvent on it.
 func (e *Engine) attachState() {
-	s := e.node.State()
+	state := e.node.State()
 	if e.cfg.OnReset != nil {
-		e.cfg.OnReset(s)
+		e.cfg.OnReset(state)
 	}
-	s.OnEvent(func(event store.Event) {
+	state.OnEvent(func(event store.Event) {
 		if e.cfg.OnEvent != nil {
 			e.cfg.OnEvent(event)
 		}
 	})
 }
 
-// Close transfers leadership if it can, stops the replica and closes its disk. Open requests end with ErrClosed.
+// Close transfers leadership if this replica leads and another one takes over in time, stops the replica and closes its
+// disk. Requests in flight end with ErrClosed.
 func (e *Engine) Close() error {
 	for range maxTransferAttempts {
 		transferred, err := e.tryTransfer()
@@ -234,12 +244,13 @@
 	return e.Kill()
 }
 
-// tryTransfer starts to transfer leadership. It reports whether this replica does not lead, or is the only one.
+// tryTransfer starts to transfer leadership. It reports whether no transfer is needed, because this replica does not
+// lead or is the only one.
 func (e *Engine) tryTransfer() (bool, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), transferTimeout)
 	defer cancel()
 	transferred := true
-	err := e.run(ctx, func() {
+	err := e.runInLoop(ctx, func() {
 		if e.node != nil && len(e.node.State().Members()) > 1 {
 			transferred = e.node.TransferLeadership()
 		}
@@ -247,7 +258,7 @@
 	return transferred, err
 }
 
-// Kill stops at once, without transferring leadership.
+// Kill stops the replica without transferring leadership and closes its disk.
 func (e *Engine) Kill() error {
 	e.cancel()
 	<-e.done
@@ -258,9 +269,10 @@
 	return e.disk.Close()
 }
 
-// TransferLeadership starts to transfer leadership, if this replica leads.
+// TransferLeadership starts to transfer leadership to another replica if this one leads. It does not wait for the
+// transfer to end.
 func (e *Engine) TransferLeadership(ctx context.Context) error {
-	return e.run(ctx, func() {
+	return e.runInLoop(ctx, func() {
 		if e.node != nil {
 			e.node.TransferLeadership()
 		}
--- a/internal/store/engine/engine_test.go
+++ b/internal/store/engine/engine_test.go
@@ -22,44 +22,44 @@
 	"birchmoor/internal/store/usage"
 )
 
-// cluster runs replicas in one process, over loopback with keys.
+// cluster runs replicas in one process. They are connected over loopback by TLS, with keys of a test authority.
 type cluster struct {
-	t    *testing.T
-	dir  string
-	addr map[string]string
-	all  map[string]*Engine
+	t         *testing.T
+	dir       string
+	addresses map[string]string
+	engines   map[string]*Engine
 
-	relays map[string]*relay.Link // inbound traffic of each replica passes through one, unless nil
-	disk   map[string]disk.Options
-	tune   func(*Config) // changes the configuration of each replica that is started, unless nil
+	relays      map[string]*relay.Link // relay of the inbound traffic of each replica; nil: no relays
+	diskOptions map[string]disk.Options
+	tuneConfig  func(*Config) // changes the configuration of each replica before its start, unless nil
 }
 
 func newCluster(t *testing.T, names ...string) *cluster {
 	t.Helper()
-	return (&cluster{t: t}).begin(names...)
+	return (&cluster{t: t}).startMembers(names...)
 }
 
-func (c *cluster) begin(names ...string) *cluster {
+func (c *cluster) startMembers(names ...string) *cluster {
 	t := c.t
 	t.Helper()
-	c.dir, c.addr, c.all = t.TempDir(), map[string]string{}, map[string]*Engine{}
-	c.must(keys.Init(c.keys(), "test"))
+	c.dir, c.addresses, c.engines = t.TempDir(), map[string]string{}, map[string]*Engine{}
+	c.must(keys.Init(c.keysDir(), "test"))
 	for i, name := range names {
-		c.must(keys.Issue(c.keys(), name, time.Hour, false))
+		c.must(keys.Issue(c.keysDir(), name, time.Hour, false))
 		c.start(name, i > 0)
 		if i > 0 {
-			c.add(names[0], name)
+			c.addMember(names[0], name)
 		}
 	}
 	t.Cleanup(func() {
-		for _, e := range c.all {
-			_ = e.Kill() // the test may have killed it
+		for _, e := range c.engines {
+			_ = e.Kill() // fails if the test has killed the replica
 		}
 	})
 	return c
 }
 
-func (c *cluster) keys() string { return filepath.Join(c.dir, "keys") }
+func (c *cluster) keysDir() string { return filepath.Join(c.dir, "keys") }
 
 func (c *cluster) must(err error) {
 	c.t.Helper()
@@ -68,21 +68,21 @@
 	}
 }
 
-// describe returns the status of each replica, for the message of a failed test. If a loop does not answer, it includes
-// the stacks of all goroutines.
+// describe returns the status of each replica, for the message of a failed test. If the loop of a replica does not
+// respond in time, the description includes the stacks of all goroutines.
 func (c *cluster) describe() string {
 	var out strings.Builder
 	stuck := false
-	for _, name := range slices.Sorted(maps.Keys(c.all)) {
+	for _, name := range slices.Sorted(maps.Keys(c.engines)) {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
-		s, err := c.all[name].Status(ctx)
+		s, err := c.engines[name].Status(ctx)
 		cancel()
 		stuck = stuck || errors.Is(err, context.DeadlineExceeded)
 		fmt.Fprintf(&out, "\n%s: member %d, leader %d, term %d, commit %d, applied %d, %d pending", name,
 			s.Self.MemberID, s.LeaderID, s.Term, s.Commit, s.Applied, s.PendingRequests)
 		fmt.Fprintf(&out, "; messages: %d sent, %d received, %d dropped", s.MessagesSent, s.MessagesReceived,
 			s.MessagesDropped)
-		fmt.Fprintf(&out, "; %d hellos rejected, stopped by %q, status %v", s.PeersRejected, s.Failed, err)
+		fmt.Fprintf(&out, "; %d hellos rejected, failure %q, error of Status %v", s.PeersRejected, s.Failed, err)
 	}
 	if stuck {
 		b := make([]byte, 1<<20)
@@ -91,55 +91,58 @@
 	return out.String()
 }
 
-// lead makes a replica the leader.
-func (c *cluster) lead(name string) {
+// makeLeader transfers leadership until the named replica leads.
+func (c *cluster) makeLeader(name string) {
 	c.t.Helper()
 	for ctx := c.ctx(); ; {
-		for n, e := range c.all {
+		for engineName, e := range c.engines {
 			s, err := e.Status(ctx)
 			c.must(err)
-			if s.Leading && n == name {
+			if s.Leading && engineName == name {
 				return
 			}
-			c.must(e.TransferLeadership(ctx)) // a follower does nothing
+			c.must(e.TransferLeadership(ctx)) // has no effect on a replica that does not lead
 		}
 	}
 }
 
 func (c *cluster) start(name string, join bool) *Engine {
 	c.t.Helper()
-	at := c.addr[name]
-	if at == "" {
-		at = "127.0.0.1:0"
+	listenAddress := c.addresses[name]
+	if listenAddress == "" {
+		listenAddress = "127.0.0.1:0"
 	}
-	ln, err := net.Listen("tcp", at)
+	listener, err := net.Listen("tcp", listenAddress)
 	c.must(err)
-	c.addr[name] = ln.Addr().String()
+	c.addresses[name] = listener.Addr().String()
 	if c.relays != nil {
-		in, err := net.Listen("tcp", "127.0.0.1:0")
+		relayListener, err := net.Listen("tcp", "127.0.0.1:0")
 		c.must(err)
-		c.relays[name] = relay.New(c.addr[name], 1, relay.Conditions{})
-		c.relays[name].Listen(in)
+		c.relays[name] = relay.New(c.addresses[name], 1, relay.Conditions{})
+		c.relays[name].Listen(relayListener)
 		c.t.Cleanup(c.relays[name].Close)
-		c.addr[name] = in.Addr().String()
+		c.addresses[name] = relayListener.Addr().String()
 	}
-	pair, err := keys.Open(c.keys(), name)
+	pair, err := keys.Open(c.keysDir(), name)
 	c.must(err)
-	o, ok := c.disk[name]
+	options, ok := c.diskOptions[name]
 	if !ok {
-		o.NoSync = true
+		options.NoSync = true
 	}
 	cfg := Config{
-		Name: name, Dir: filepath.Join(c.dir, name), Address: c.addr[name], Join: join, Keys: pair, Listener: ln,
-		TickInterval: 10 * time.Millisecond, ElectionTicks: 20, DiskOptions: o,
-		TuneReplica: func(r *replica.Config) { r.SnapshotLogBytes, r.RetainedEntries = 20000, 50 },
+		Name: name, Dir: filepath.Join(c.dir, name), Address: c.addresses[name], Join: join, Keys: pair,
+		Listener:     listener,
+		TickInterval: 10 * time.Millisecond, ElectionTicks: 20, DiskOptions: options,
+		TuneReplica: func(replicaConfig *replica.Config) {
+			replicaConfig.SnapshotLogBytes, replicaConfig.RetainedEntries = 20000, 50
+		},
 	}
-	if c.tune != nil {
-		c.tune(&cfg)
+	if c.tuneConfig != nil {
+		c.tuneConfig(&cfg)
 	}
 	e, err := Open(cfg)
 	c.must(err)
-	c.all[name] = e
+	c.engines[name] = e
 	return e
 }
 
@@ -149,23 +152,24 @@
 	return ctx
 }
 
-func (c *cluster) add(by, name string) {
+func (c *cluster) addMember(proposer, name string) {
 	c.t.Helper()
-	_, err := c.all[by].Do(c.ctx(), store.Command{AddMember: &store.AddMember{Name: name, Address: c.addr[name]}})
+	_, err := c.engines[proposer].Do(c.ctx(),
+		store.Command{AddMember: &store.AddMember{Name: name, Address: c.addresses[name]}})
 	c.must(err)
-	c.until(by, func(s Status) bool { return s.MembershipStable && len(s.Peers) > 1 })
+	c.waitUntil(proposer, func(s Status) bool { return s.MembershipStable && len(s.Peers) > 1 })
 }
 
-// until polls the status of a replica, without sleeping, until ok returns true.
-func (c *cluster) until(name string, ok func(Status) bool) {
+// waitUntil polls the status of a replica, without sleeping, until ok returns true for it.
+func (c *cluster) waitUntil(name string, ok func(Status) bool) {
 	c.t.Helper()
 	for ctx := c.ctx(); ; {
-		s, err := c.all[name].Status(ctx)
+		s, err := c.engines[name].Status(ctx)
 		c.must(err)
 		if ok(s) {
 			return
 		}
-		c.must(c.all[name].run(ctx, func() {}))
+		c.must(c.engines[name].runInLoop(ctx, func() {}))
 	}
 }
 
@@ -175,24 +179,25 @@
 
 func (c *cluster) get(name, key string) string {
 	c.t.Helper()
-	var v string
-	_, err := c.all[name].View(c.ctx(), false, func(s *store.State) {
-		i, _ := s.Get(key)
-		v = string(i.Value)
+	var value string
+	_, err := c.engines[name].View(c.ctx(), false, func(s *store.State) {
+		item, _ := s.Get(key)
+		value = string(item.Value)
 	})
 	c.must(err)
-	return v
+	return value
 }
 
-// No acknowledged write is lost while each replica in turn is killed and started again.
+// TestAcknowledgedWritesSurviveRollingKills kills and restarts each replica in turn while clients write. No
+// acknowledged write may be lost.
 func TestAcknowledgedWritesSurviveRollingKills(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	var mu sync.Mutex
-	answered := map[string]string{}
-	at := func(name string) *Engine { mu.Lock(); defer mu.Unlock(); return c.all[name] }
+	acknowledged := map[string]string{}
+	engineOf := func(name string) *Engine { mu.Lock(); defer mu.Unlock(); return c.engines[name] }
 	stop, wg := make(chan struct{}), sync.WaitGroup{}
 	names := []string{"a", "b", "c"}
-	for w := range 3 {
+	for writer := range 3 {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -202,46 +207,46 @@
 					return
 				default:
 				}
-				cmd := put(fmt.Sprintf("w%d/%d", w, i%50), fmt.Sprint(i))
-				cmd.ID = store.RequestID{Client: uint64(w + 1), Seq: uint64(i + 1)}
-				for n := i; ; n++ { // the same request, at whoever answers
+				command := put(fmt.Sprintf("w%d/%d", writer, i%50), fmt.Sprint(i))
+				command.ID = store.RequestID{Client: uint64(writer + 1), Seq: uint64(i + 1)}
+				for attempt := i; ; attempt++ { // retries the same request at one replica after another
 					ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
-					_, err := at(names[n%3]).Do(ctx, cmd)
+					_, err := engineOf(names[attempt%3]).Do(ctx, command)
 					cancel()
 					if err == nil {
 						break
 					}
 				}
 				mu.Lock()
-				answered[cmd.Txn.Then[0].Key] = fmt.Sprint(i)
+				acknowledged[command.Txn.Then[0].Key] = fmt.Sprint(i)
 				mu.Unlock()
 			}
 		}()
 	}
-	count := func() int { mu.Lock(); defer mu.Unlock(); return len(answered) }
+	countAcknowledged := func() int { mu.Lock(); defer mu.Unlock(); return len(acknowledged) }
 	for _, name := range names {
-		before := count()
-		c.must(at(name).Kill())
-		for count() < min(150, before+20) { // the others still acknowledge writes
-			c.must(at(names[(1+indexOf(names, name))%3]).run(c.ctx(), func() {}))
+		countBefore := countAcknowledged()
+		c.must(engineOf(name).Kill())
+		for countAcknowledged() < min(150, countBefore+20) { // the other replicas acknowledge writes
+			c.must(engineOf(names[(1+indexOf(names, name))%3]).runInLoop(c.ctx(), func() {}))
 		}
 		mu.Lock()
 		c.start(name, true)
 		mu.Unlock()
-		c.until(name, func(s Status) bool { return s.LeaderID != 0 })
+		c.waitUntil(name, func(s Status) bool { return s.LeaderID != 0 })
 	}
 	close(stop)
 	wg.Wait()
-	for key, v := range answered {
-		if got := c.get("b", key); got != v {
-			t.Fatalf("%s is %q, and %q was answered", key, got, v)
+	for key, value := range acknowledged {
+		if got := c.get("b", key); got != value {
+			t.Fatalf("key %s is %q, but the write of %q was acknowledged last", key, got, value)
 		}
 	}
 }
 
-func indexOf(all []string, x string) int {
-	for i, v := range all {
-		if v == x {
+func indexOf(names []string, name string) int {
+	for i, candidate := range names {
+		if candidate == name {
 			return i
 		}
 	}
@@ -250,134 +255,137 @@
 
 func TestLaggingReplicaCatchesUpBySnapshot(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
-	c.must(c.all["c"].Kill())
+	c.must(c.engines["c"].Kill())
 	for i := range 400 {
-		_, err := c.all["a"].Do(c.ctx(), put(fmt.Sprint("k", i%40), fmt.Sprintf("%0500d", i)))
+		_, err := c.engines["a"].Do(c.ctx(), put(fmt.Sprint("k", i%40), fmt.Sprintf("%0500d", i)))
 		c.must(err)
 	}
 	c.start("c", false)
-	if v := c.get("c", "k39"); v != fmt.Sprintf("%0500d", 399) {
-		t.Fatalf("%.20q", v)
+	if value := c.get("c", "k39"); value != fmt.Sprintf("%0500d", 399) {
+		t.Fatalf("%.20q", value)
 	}
 }
 
 func TestEmptyDiskUnderOldNameIsRejectedUntilAddedAnew(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
-	c.must(c.all["c"].Kill())
-	delete(c.all, "c")
-	c.addr["c2"] = c.addr["c"]
-	old := c.dir
-	c.dir = t.TempDir() // an empty disk
+	c.must(c.engines["c"].Kill())
+	delete(c.engines, "c")
+	c.addresses["c2"] = c.addresses["c"]
+	oldDir := c.dir
+	c.dir = t.TempDir() // has no disk of c
 	c.must(keys.Init(filepath.Join(c.dir, "unused"), "x"))
-	pair, err := keys.Open(filepath.Join(old, "keys"), "c")
+	pair, err := keys.Open(filepath.Join(oldDir, "keys"), "c")
 	c.must(err)
-	ln, err := net.Listen("tcp", c.addr["c"])
+	listener, err := net.Listen("tcp", c.addresses["c"])
 	c.must(err)
-	e, err := Open(Config{
-		Name: "c", Dir: filepath.Join(c.dir, "c"), Join: true, Keys: pair, Listener: ln,
+	emptyReplica, err := Open(Config{
+		Name: "c", Dir: filepath.Join(c.dir, "c"), Join: true, Keys: pair, Listener: listener,
 		TickInterval: 10 * time.Millisecond, ElectionTicks: 20, DiskOptions: disk.Options{NoSync: true},
 	})
 	c.must(err)
-	c.all["c"] = e
+	c.engines["c"] = emptyReplica
 	rejected := func(s Status) bool { return s.PeersRejected > 0 }
-	both := func() bool {
-		x, err := c.all["a"].Status(c.ctx())
+	eitherRejected := func() bool {
+		statusA, err := c.engines["a"].Status(c.ctx())
 		c.must(err)
-		y, err := c.all["b"].Status(c.ctx())
+		statusB, err := c.engines["b"].Status(c.ctx())
 		c.must(err)
-		return rejected(x) || rejected(y)
+		return rejected(statusA) || rejected(statusB)
 	}
-	for !both() {
-		_, err := c.all["a"].Do(c.ctx(), put("k", "v"))
+	for !eitherRejected() {
+		_, err := c.engines["a"].Do(c.ctx(), put("k", "v"))
 		c.must(err)
 	}
-	if s, err := e.Status(c.ctx()); err != nil || !s.WaitingToJoin {
-		t.Fatalf("%+v %v", s, err)
+	if s, err := emptyReplica.Status(c.ctx()); err != nil || !s.WaitingToJoin {
+		t.Fatalf("the replica is not waiting to join: status %+v, error %v", s, err)
 	}
-	_, err = c.all["a"].Do(c.ctx(), store.Command{RemoveMember: &store.RemoveMember{MemberID: 3}})
+	_, err = c.engines["a"].Do(c.ctx(), store.Command{RemoveMember: &store.RemoveMember{MemberID: 3}})
 	c.must(err)
-	c.until("a", func(s Status) bool { return s.MembershipStable && len(s.Peers) == 2 })
-	c.add("a", "c")
-	c.until("a", func(s Status) bool { return s.MembershipStable && len(s.Peers) == 3 })
-	if v := c.get("c", "k"); v != "v" {
-		t.Fatal(v)
+	c.waitUntil("a", func(s Status) bool { return s.MembershipStable && len(s.Peers) == 2 })
+	c.addMember("a", "c")
+	c.waitUntil("a", func(s Status) bool { return s.MembershipStable && len(s.Peers) == 3 })
+	if value := c.get("c", "k"); value != "v" {
+		t.Fatal(value)
 	}
 }
 
-// A member that was added and never started is removed, and another can be added. Until then writes are acknowledged.
+// TestMemberThatNeverStartedIsRemoved adds a member that never starts. Writes must still be acknowledged, the member
+// can be removed, and another member can be added.
 func TestMemberThatNeverStartedIsRemoved(t *testing.T) {
 	c := newCluster(t, "a", "b")
-	r, err := c.all["a"].Do(c.ctx(), store.Command{AddMember: &store.AddMember{Name: "gone", Address: "127.0.0.1:1"}})
+	added, err := c.engines["a"].Do(c.ctx(),
+		store.Command{AddMember: &store.AddMember{Name: "gone", Address: "127.0.0.1:1"}})
 	c.must(err)
-	_, err = c.all["b"].Do(c.ctx(), put("k", "v"))
+	_, err = c.engines["b"].Do(c.ctx(), put("k", "v"))
 	c.must(err)
-	_, err = c.all["a"].Do(c.ctx(), store.Command{RemoveMember: &store.RemoveMember{MemberID: r.MemberID}})
+	_, err = c.engines["a"].Do(c.ctx(), store.Command{RemoveMember: &store.RemoveMember{MemberID: added.MemberID}})
 	c.must(err)
-	c.until("a", func(s Status) bool { return s.MembershipStable && len(s.Peers) == 2 })
-	c.must(keys.Issue(c.keys(), "c", time.Hour, false))
+	c.waitUntil("a", func(s Status) bool { return s.MembershipStable && len(s.Peers) == 2 })
+	c.must(keys.Issue(c.keysDir(), "c", time.Hour, false))
 	c.start("c", true)
-	c.add("a", "c")
-	if v := c.get("c", "k"); v != "v" {
-		t.Fatal(v)
+	c.addMember("a", "c")
+	if value := c.get("c", "k"); value != "v" {
+		t.Fatal(value)
 	}
 }
 
-// The leader can send, but receives nothing: a partition of one direction. Another replica becomes the leader, and the
-// former one serves no stale read.
+// TestLeaderWithoutInboundTrafficIsReplacedAndServesNoStaleRead drops the inbound traffic of the leader, which can
+// still send. Another replica must become the leader, and the former leader must not serve a stale read.
 func TestLeaderWithoutInboundTrafficIsReplacedAndServesNoStaleRead(t *testing.T) {
-	c := (&cluster{t: t, relays: map[string]*relay.Link{}}).begin("a", "b", "c")
-	_, err := c.all["a"].Do(c.ctx(), put("k", "old"))
+	c := (&cluster{t: t, relays: map[string]*relay.Link{}}).startMembers("a", "b", "c")
+	_, err := c.engines["a"].Do(c.ctx(), put("k", "old"))
 	c.must(err)
-	lead, other := "", ""
-	for lead == "" {
-		for name, e := range c.all {
+	leader, follower := "", ""
+	for leader == "" {
+		for name, e := range c.engines {
 			s, err := e.Status(c.ctx())
 			c.must(err)
 			if s.Leading {
-				lead = name
+				leader = name
 			} else {
-				other = name
+				follower = name
 			}
 		}
 	}
-	c.relays[lead].Update(func(x *relay.Conditions) { x.BlackHole = true })
-	_, err = c.all[other].Do(c.ctx(), put("k", "new"))
+	c.relays[leader].Update(func(conditions *relay.Conditions) { conditions.BlackHole = true })
+	_, err = c.engines[follower].Do(c.ctx(), put("k", "new"))
 	c.must(err)
-	short, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
+	shortCtx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
-	if _, err := c.all[lead].View(short, false, func(s *store.State) {
-		if i, _ := s.Get("k"); string(i.Value) != "new" {
-			t.Errorf("the old leader reads %q", i.Value)
+	if _, err := c.engines[leader].View(shortCtx, false, func(s *store.State) {
+		if item, _ := s.Get("k"); string(item.Value) != "new" {
+			t.Errorf("a read at the former leader returned %q, want the new value", item.Value)
 		}
 	}); err == nil {
-		t.Log("it was let in again already")
+		t.Log("the former leader completed a read although its inbound traffic is dropped")
 	}
-	c.relays[lead].Update(func(x *relay.Conditions) { x.BlackHole = false })
-	if v := c.get(lead, "k"); v != "new" {
-		t.Fatal(v)
+	c.relays[leader].Update(func(conditions *relay.Conditions) { conditions.BlackHole = false })
+	if value := c.get(leader, "k"); value != "new" {
+		t.Fatal(value)
 	}
 }
 
 func TestForeignCertificateIsRejected(t *testing.T) {
 	c := newCluster(t, "a")
-	foreign := filepath.Join(c.dir, "foreign")
-	c.must(keys.Init(foreign, "other"))
-	c.must(keys.Issue(foreign, "b", time.Hour, false))
-	pair, err := keys.Open(foreign, "b")
+	foreignKeysDir := filepath.Join(c.dir, "foreign")
+	c.must(keys.Init(foreignKeysDir, "other"))
+	c.must(keys.Issue(foreignKeysDir, "b", time.Hour, false))
+	pair, err := keys.Open(foreignKeysDir, "b")
 	c.must(err)
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.must(err)
-	e, err := Open(Config{
-		Name: "b", Dir: filepath.Join(c.dir, "b"), Join: true, Keys: pair, Listener: ln,
+	foreignReplica, err := Open(Config{
+		Name: "b", Dir: filepath.Join(c.dir, "b"), Join: true, Keys: pair, Listener: listener,
 		DiskOptions: disk.Options{NoSync: true},
 	})
 	c.must(err)
-	defer func() { _ = e.Kill() }()
-	_, err = c.all["a"].Do(c.ctx(), store.Command{AddMember: &store.AddMember{Name: "b", Address: ln.Addr().String()}})
+	defer func() { _ = foreignReplica.Kill() }()
+	_, err = c.engines["a"].Do(c.ctx(),
+		store.Command{AddMember: &store.AddMember{Name: "b", Address: listener.Addr().String()}})
 	c.must(err)
-	c.until("a", func(s Status) bool { return s.ConnectionsRejected > 0 })
-	if s, err := e.Status(c.ctx()); err != nil || !s.WaitingToJoin {
-		t.Fatalf("%+v %v", s, err)
+	c.waitUntil("a", func(s Status) bool { return s.ConnectionsRejected > 0 })
+	if s, err := foreignReplica.Status(c.ctx()); err != nil || !s.WaitingToJoin {
+		t.Fatalf("the replica is not waiting to join: status %+v, error %v", s, err)
 	}
 }
 
@@ -400,63 +408,66 @@
 			t.Fatal(err)
 		}
 	}
-	var gone *store.CompactedError
-	if _, _, err := e.Next(ctx, "k", 3, 5); !errors.As(err, &gone) || gone.Oldest != 11 {
+	var compacted *store.CompactedError
+	if _, _, err := e.Next(ctx, "k", 3, 5); !errors.As(err, &compacted) || compacted.Oldest != 11 {
 		t.Fatal(err)
 	}
-	at, n := uint64(10), 0
-	for at < 30 {
-		events, to, err := e.Next(ctx, "k", at, 3)
+	revision, received := uint64(10), 0
+	for revision < 30 {
+		events, completeRevision, err := e.Next(ctx, "k", revision, 3)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, x := range events {
-			if n++; x.Revision != uint64(10+n) {
-				t.Fatalf("revision %d after %d", x.Revision, 9+n)
+		for _, event := range events {
+			if received++; event.Revision != uint64(10+received) {
+				t.Fatalf("event of revision %d after revision %d", event.Revision, 9+received)
 			}
 		}
-		at = to
+		revision = completeRevision
 	}
-	if n != 20 {
-		t.Fatal(n)
+	if received != 20 {
+		t.Fatal(received)
 	}
 }
 
-// What one replica counts as sent the other counts as received, in messages and bytes. Both count what they apply and
-// write.
-func TestMetersOfReplicasAgree(t *testing.T) {
-	meters := map[string]*usage.Recorder{"a": usage.New(), "b": usage.New()}
-	c := (&cluster{t: t, tune: func(cfg *Config) { cfg.Usage = meters[cfg.Name] }}).begin("a", "b")
-	c.until("b", func(s Status) bool { return s.MembershipStable && len(s.Peers) == 2 })
+// TestUsageCountsOfReplicasAgree checks that one replica counts as received the messages and bytes that the other
+// counts as sent, and that both count the commands they apply and the bytes they write.
+func TestUsageCountsOfReplicasAgree(t *testing.T) {
+	recorders := map[string]*usage.Recorder{"a": usage.New(), "b": usage.New()}
+	c := (&cluster{t: t, tuneConfig: func(cfg *Config) { cfg.Usage = recorders[cfg.Name] }}).startMembers("a", "b")
+	c.waitUntil("b", func(s Status) bool { return s.MembershipStable && len(s.Peers) == 2 })
 	for i := range 5 {
-		_, err := c.all["b"].Do(c.ctx(), put("k", fmt.Sprint(i)))
+		_, err := c.engines["b"].Do(c.ctx(), put("k", fmt.Sprint(i)))
 		c.must(err)
 	}
-	agreed := func(p usage.Purpose, a, b usage.Reading) bool {
-		x, y := a.Purposes[p], b.Purposes[p]
-		return x.MessagesOut == y.MessagesIn && x.BytesOut == y.BytesIn &&
-			y.MessagesOut == x.MessagesIn && y.BytesOut == x.BytesIn
-	}
-	var a, b usage.Reading
-	c.until("a", func(Status) bool { // at any one time, a heartbeat may be in flight
-		a, b = meters["a"].Read(), meters["b"].Read()
-		return agreed(usage.Raft, a, b) && agreed(usage.Snapshots, a, b) && agreed(usage.Other, a, b) &&
-			a.Purposes[usage.Other].Applied == b.Purposes[usage.Other].Applied
+	countsAgree := func(purpose usage.Purpose, readingA, readingB usage.Reading) bool {
+		usageA, usageB := readingA.Purposes[purpose], readingB.Purposes[purpose]
+		return usageA.MessagesOut == usageB.MessagesIn && usageA.BytesOut == usageB.BytesIn &&
+			usageB.MessagesOut == usageA.MessagesIn && usageB.BytesOut == usageA.BytesIn
+	}
+	var readingA, readingB usage.Reading
+	c.waitUntil("a", func(Status) bool { // polls because a heartbeat may be in flight at any time
+		readingA, readingB = recorders["a"].Read(), recorders["b"].Read()
+		return countsAgree(usage.Raft, readingA, readingB) && countsAgree(usage.Snapshots, readingA, readingB) &&
+			countsAgree(usage.Other, readingA, readingB) &&
+			readingA.Purposes[usage.Other].Applied == readingB.Purposes[usage.Other].Applied
 	})
-	if x := a.Purposes[usage.Snapshots]; x.MessagesOut == 0 || x.BytesOut < 100*x.MessagesOut {
-		t.Errorf("b began with %+v", x)
+	if usageA := readingA.Purposes[usage.Snapshots]; usageA.MessagesOut == 0 ||
+		usageA.BytesOut < 100*usageA.MessagesOut {
+		t.Errorf("a counted for the snapshot it sent to b: %+v", usageA)
 	}
-	x, y := a.Purposes[usage.Other], b.Purposes[usage.Other]
-	if y.Proposed < 5 || y.Applied < 5 || x.AppliedBytes != y.AppliedBytes {
-		t.Errorf("%+v, %+v", x, y)
+	usageA, usageB := readingA.Purposes[usage.Other], readingB.Purposes[usage.Other]
+	if usageB.Proposed < 5 || usageB.Applied < 5 || usageA.AppliedBytes != usageB.AppliedBytes {
+		t.Errorf("commands counted by a: %+v, by b: %+v", usageA, usageB)
 	}
-	for name, r := range map[string]usage.Reading{"a": a, "b": b} {
-		log, snapshot := r.Written[usage.LogFile], r.Written[usage.SnapshotFile]
+	for name, reading := range map[string]usage.Reading{"a": readingA, "b": readingB} {
+		log, snapshot := reading.Written[usage.LogFile], reading.Written[usage.SnapshotFile]
 		if log.Bytes == 0 || snapshot.Bytes == 0 {
-			t.Errorf("%s: %+v, %+v", name, log, snapshot)
+			t.Errorf("%s counted as written to the log %+v, to the snapshot %+v", name, log, snapshot)
 		}
-		if r.Purposes[usage.Raft].BytesOut == 0 || r.Connections.BytesOut == 0 {
-			t.Errorf("%s: %+v, %+v", name, r.Purposes[usage.Raft], r.Connections)
+		if reading.Purposes[usage.Raft].BytesOut == 0 || reading.Connections.BytesOut == 0 {
+			t.Errorf("%s counted for raft messages %+v, for connections %+v",
+				name, reading.Purposes[usage.Raft], reading.Connections)
 		}
 	}
 }
--- a/internal/store/engine/frozen_test.go
+++ b/internal/store/engine/frozen_test.go
@@ -13,7 +13,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// frozenForm is a value that is sent, as commit 7105f7a wrote it to testdata/frozen.
+// frozenForm is a value whose JSON is sent. testdata/frozen/forms.txt has the JSON as commit 7105f7a encoded it.
 type frozenForm struct {
 	name    string
 	value   any
@@ -28,13 +28,13 @@
 	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
 	forms := frozenForms()
 	if len(lines) != len(forms) {
-		t.Fatalf("%d lines for %d forms", len(lines), len(forms))
+		t.Fatalf("forms.txt has %d lines for %d forms", len(lines), len(forms))
 	}
 	for i, form := range forms {
 		t.Run(form.name, func(t *testing.T) {
 			name, frozen, _ := strings.Cut(lines[i], ": ")
 			if name != form.name {
-				t.Fatalf("line %d is %q", i+1, name)
+				t.Fatalf("line %d of forms.txt has the name %q of another form", i+1, name)
 			}
 			form.check(t, frozen)
 		})
@@ -44,7 +44,7 @@
 func (f *frozenForm) check(t *testing.T, frozen string) {
 	t.Helper()
 	if b, err := json.Marshal(f.value); err != nil || string(b) != frozen {
-		t.Errorf("encoded as %s, frozen as %s: %v", b, frozen, err)
+		t.Errorf("encoded as %s, want %s as in forms.txt: %v", b, frozen, err)
 	}
 	if err := json.Unmarshal([]byte(frozen), f.decoded); err != nil {
 		t.Fatal(err)
--- a/internal/store/engine/host.go
+++ b/internal/store/engine/host.go
@@ -14,11 +14,11 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// maxHelloPeers bounds the peers that are remembered while no members are known.
+// maxHelloPeers bounds the peers that rememberPeer records while no members are known.
 const maxHelloPeers = 16
 
-// updatePeers sets the peers to which the transport connects: the members or, while none are known, the peers that have
-// connected.
+// updatePeers sets the peers to which the transport connects: the other members or, while no members are known, the
+// peers that have connected to this replica.
 func (e *Engine) updatePeers() {
 	if e.transport == nil || e.node == nil {
 		return
@@ -51,10 +51,11 @@
 	return peers
 }
 
-// hashPeers returns a hash of the members or, if none are known, of the number of peers.
-func hashPeers(members []store.Member, peers int) uint64 {
+// hashPeers returns a hash of the members or, if none are known, of the number of peers. It tells whether the peers
+// have changed.
+func hashPeers(members []store.Member, peerCount int) uint64 {
 	if len(members) == 0 {
-		return uint64(peers) + 1
+		return uint64(peerCount) + 1
 	}
 	hash := uint64(1)
 	for _, m := range members {
@@ -63,24 +64,26 @@
 	return hash
 }
 
-// host is the engine as its transport sees it.
+// host implements peer.Host for the engine's transport.
 type host struct{ engine *Engine }
 
 // Hello implements peer.Host.
 func (h host) Hello() replica.Hello {
 	e := h.engine
 	var hello replica.Hello
-	_ = e.run(e.ctx, func() { hello = e.hello() }) // while the engine closes, the hello is empty, and is rejected
+	// While the engine closes, the hello stays empty, and peers reject it.
+	_ = e.runInLoop(e.ctx, func() { hello = e.hello() })
 	return hello
 }
 
+// hello returns the hello of this replica. An empty disk has the identity that a peer assigned, if any.
 func (e *Engine) hello() replica.Hello {
 	if e.node != nil {
 		return e.node.Hello()
 	}
 	hello := replica.Hello{Identity: e.disk.Identity(), Name: e.cfg.Name}
-	if e.assigned.MemberID != 0 {
-		hello.ClusterID, hello.MemberID = e.assigned.ClusterID, e.assigned.MemberID
+	if e.assignedIdentity.MemberID != 0 {
+		hello.ClusterID, hello.MemberID = e.assignedIdentity.ClusterID, e.assignedIdentity.MemberID
 	}
 	return hello
 }
@@ -89,7 +92,7 @@
 func (h host) Admit(hello peer.Hello) error {
 	e := h.engine
 	var rejection error
-	err := e.run(e.ctx, func() {
+	err := e.runInLoop(e.ctx, func() {
 		rejection = e.admit(hello)
 		if rejection == nil {
 			e.rememberPeer(hello)
@@ -98,23 +101,25 @@
 	return errors.Join(err, rejection)
 }
 
-// admit returns why a hello is rejected. A hello to a disk that belongs to no cluster assigns its identity.
+// admit returns an error if a peer's hello is rejected. On a disk that belongs to no cluster, the hello of a member of
+// a cluster assigns the identity under which joinCluster starts the replica.
 func (e *Engine) admit(hello peer.Hello) error {
 	if e.node != nil {
 		self := e.node.Self().MemberID
 		if hello.RecipientID != 0 && hello.RecipientID != self {
-			return fmt.Errorf("this is member %d, not %d", self, hello.RecipientID)
+			return fmt.Errorf("this replica is member %d, but the hello is for member %d", self, hello.RecipientID)
 		}
 		return e.node.Admit(hello.From)
 	}
 	if hello.RecipientID == 0 || hello.From.ClusterID == 0 {
-		return errors.New("this replica waits to be added to a cluster")
+		return errors.New("this replica is waiting to be added to a cluster, and the hello assigns it no identity")
 	}
-	e.assigned = replica.Identity{ClusterID: hello.From.ClusterID, MemberID: hello.RecipientID}
+	e.assignedIdentity = replica.Identity{ClusterID: hello.From.ClusterID, MemberID: hello.RecipientID}
 	return nil
 }
 
-// rememberPeer records the address of a peer while no members are known, so that it can be answered.
+// rememberPeer records the address of a peer while no members are known, so that the transport can connect to it and
+// send replies.
 func (e *Engine) rememberPeer(hello peer.Hello) {
 	membersKnown := e.node != nil && len(e.node.State().Members()) > 0
 	if membersKnown || hello.Address == "" || len(e.helloPeers) >= maxHelloPeers {
@@ -128,9 +133,9 @@
 }
 
 // Deliver implements peer.Host.
-func (h host) Deliver(ctx context.Context, m *raftpb.Message) {
+func (h host) Deliver(ctx context.Context, message *raftpb.Message) {
 	select {
-	case h.engine.inbox <- m:
+	case h.engine.inbox <- message:
 	case <-ctx.Done():
 	case <-h.engine.done:
 	}
@@ -146,7 +151,8 @@
 	h.post(func(n *replica.Node) { n.ReportSnapshot(member, ok) })
 }
 
-// post has the loop call f, unless too many calls wait. It does not block, because the loop itself calls it, too.
+// post has the loop call f with the replica, unless there is none or too many calls are waiting. It does not block,
+// because the transport may call it from the loop itself.
 func (h host) post(f func(*replica.Node)) {
 	call := func() {
 		if h.engine.node != nil {
--- a/internal/store/engine/loop.go
+++ b/internal/store/engine/loop.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	maxRoundInputs  = 256         // calls and messages that are processed together
-	confirmInterval = time.Second // between requests to a quorum to confirm the copy
+	maxInputsPerRound = 256         // calls and messages that are processed together
+	confirmInterval   = time.Second // between requests to a quorum to confirm the copy
 )
 
-// loop owns the replica until the engine is closed.
+// loop runs the replica until the engine is closed. Only this goroutine uses the replica.
 func (e *Engine) loop() {
 	defer e.wg.Done()
 	defer close(e.done)
@@ -35,7 +35,7 @@
 		case m := <-e.inbox:
 			e.handleMessage(m)
 		}
-		e.takeWaitingInputs()
+		e.handleWaitingInputs()
 		if e.node != nil {
 			e.process()
 		}
@@ -43,9 +43,10 @@
 	}
 }
 
-// takeWaitingInputs takes the inputs that wait already, so that the disk writes for all of them at once.
-func (e *Engine) takeWaitingInputs() {
-	for range maxRoundInputs {
+// handleWaitingInputs handles the calls and messages that are waiting already, up to maxInputsPerRound, so that one
+// write to disk serves all of them.
+func (e *Engine) handleWaitingInputs() {
+	for range maxInputsPerRound {
 		select {
 		case call := <-e.calls:
 			call()
@@ -57,7 +58,8 @@
 	}
 }
 
-// tick advances the replica's time and starts a confirmation when it is due. It returns when the last one was started.
+// tick advances the replica's time and starts a confirmation if one is due. It returns the time when the last
+// confirmation was started.
 func (e *Engine) tick(lastConfirm time.Time) time.Time {
 	if e.node == nil {
 		return lastConfirm
@@ -71,48 +73,52 @@
 	return now
 }
 
-// confirm requests that a quorum confirm that the copy is current as of now.
+// confirm starts a read that a quorum confirms. When it completes, the copy includes every change that was acknowledged
+// before now.
 func (e *Engine) confirm(now time.Time) {
 	e.node.Read(e.onCompletion(func(c replica.Completion) {
 		if c.Err != nil {
 			return
 		}
-		e.confirmedAfter.Store(int64(now.Sub(e.startedAt)) + 1)
+		e.confirmedAfterNanos.Store(int64(now.Sub(e.startedAt)) + 1)
 		if e.cfg.OnConfirmed != nil {
 			e.cfg.OnConfirmed(time.Since(now))
 		}
 	}))
 }
 
-// handleMessage passes a message to the replica. The first one to an empty disk starts it.
-func (e *Engine) handleMessage(m *raftpb.Message) {
-	if e.node == nil && !e.joinCluster(m) {
+// handleMessage passes a message to the replica. If there is none yet, because the disk was empty, it first tries to
+// join the cluster of the sender.
+func (e *Engine) handleMessage(message *raftpb.Message) {
+	if e.node == nil && !e.joinCluster(message) {
 		return
 	}
-	e.node.Step(m)
+	e.node.Step(message)
 }
 
-// joinCluster starts the replica under the identity that a peer assigned, if the message is for that member.
-func (e *Engine) joinCluster(m *raftpb.Message) bool {
-	if e.assigned.MemberID == 0 || m.GetTo() != e.assigned.MemberID {
+// joinCluster starts the replica under the identity that a peer assigned, if the message is addressed to that member.
+// It reports whether the replica runs.
+func (e *Engine) joinCluster(message *raftpb.Message) bool {
+	if e.assignedIdentity.MemberID == 0 || message.GetTo() != e.assignedIdentity.MemberID {
 		return false
 	}
-	err := e.disk.SetIdentity(e.assigned)
+	err := e.disk.SetIdentity(e.assignedIdentity)
 	if err == nil {
 		err = e.startNode()
 	}
 	if err != nil {
-		e.cfg.Log.Error("store cannot join the cluster", "member", e.assigned.MemberID, "error", err)
+		e.cfg.Log.Error("store failed to join a cluster", "member", e.assignedIdentity.MemberID, "error", err)
 		return false
 	}
 	e.updatePeers()
-	e.cfg.Log.Info("store joined a cluster", "member", e.assigned.MemberID)
+	e.cfg.Log.Info("store joined a cluster", "member", e.assignedIdentity.MemberID)
 	return true
 }
 
-// process has the replica process its inputs, and acts on the output.
+// process has the replica process its inputs, and acts on the output: it sends messages, completes requests, saves a
+// snapshot, updates the peers of the transport and wakes the callers of Next.
 func (e *Engine) process() {
-	before := e.node.State().Revision()
+	revisionBefore := e.node.State().Revision()
 	out := e.node.Process()
 	if out.StateReplaced {
 		e.attachState()
@@ -126,10 +132,10 @@
 	if e.transport != nil {
 		e.transport.Send(out.Messages)
 	}
-	for _, c := range out.Completions {
-		if handle := e.handlers[c.Token]; handle != nil {
-			delete(e.handlers, c.Token)
-			handle(c)
+	for _, completion := range out.Completions {
+		if handle := e.handlers[completion.Token]; handle != nil {
+			delete(e.handlers, completion.Token)
+			handle(completion)
 		}
 	}
 	if out.Snapshot != nil {
@@ -138,13 +144,13 @@
 	if out.AppliedEntries > 0 || out.StateReplaced {
 		e.updatePeers()
 	}
-	if out.StateReplaced || e.node.State().Revision() != before {
+	if out.StateReplaced || e.node.State().Revision() != revisionBefore {
 		next := make(chan struct{})
 		close(*e.revisionChanged.Swap(&next))
 	}
 }
 
-// saveSnapshot runs a job in a goroutine of its own and reports its end to the replica.
+// saveSnapshot runs a snapshot job in a new goroutine and has the loop report its result to the replica.
 func (e *Engine) saveSnapshot(job *replica.SnapshotJob) {
 	e.wg.Add(1)
 	go func() {
@@ -157,32 +163,33 @@
 	}()
 }
 
-// completeAll completes all open requests with an error.
+// completeAll completes all pending requests with an error.
 func (e *Engine) completeAll(err error) {
 	for token, handle := range e.handlers {
 		handle(replica.Completion{Token: token, Err: err})
 	}
 }
 
-// onCompletion returns the token of a new request, whose completion is passed to handle.
+// onCompletion returns the token of a new request and registers handle, which the loop calls with its completion.
 func (e *Engine) onCompletion(handle func(replica.Completion)) replica.RequestToken {
 	e.lastToken++
 	e.handlers[e.lastToken] = handle
 	return e.lastToken
 }
 
-// run has the loop call f, and waits until it has returned. If run returns an error, f was not called and will not be.
-func (e *Engine) run(ctx context.Context, f func()) error {
+// runInLoop has the loop call f, and waits until f has returned. If runInLoop returns an error, f was not called and
+// will not be. The loop itself must not call runInLoop.
+func (e *Engine) runInLoop(ctx context.Context, f func()) error {
 	finished := make(chan struct{})
-	var taken atomic.Bool // by the loop, which calls f, or by the caller, who no longer waits
+	var claimed atomic.Bool // by the loop, which then calls f, or by the caller, who then stops waiting
 	call := func() {
-		if taken.CompareAndSwap(false, true) {
+		if claimed.CompareAndSwap(false, true) {
 			f()
 			close(finished)
 		}
 	}
-	cancel := func(err error) error {
-		if taken.CompareAndSwap(false, true) {
+	cancelOrWait := func(err error) error {
+		if claimed.CompareAndSwap(false, true) {
 			return err
 		}
 		<-finished
@@ -199,8 +206,8 @@
 	case <-finished:
 		return nil
 	case <-ctx.Done():
-		return cancel(ctx.Err())
+		return cancelOrWait(ctx.Err())
 	case <-e.done:
-		return cancel(ErrClosed)
+		return cancelOrWait(ErrClosed)
 	}
 }
--- a/internal/store/engine/request.go
+++ b/internal/store/engine/request.go
@@ -11,12 +11,14 @@
 	"birchmoor/internal/store/replica"
 )
 
+// Bounds of the delay between attempts of a request, which doubles with each attempt.
 const (
 	minRetryDelay = 20 * time.Millisecond
 	maxRetryDelay = 500 * time.Millisecond
 )
 
-// UnknownError reports that a change may have been made. A retry with the same ID finds out.
+// UnknownError reports that a change may have been made or not. A retry of the request with the same ID is applied at
+// most once and returns the outcome.
 type UnknownError struct{ ID store.RequestID }
 
 // Error implements error.
@@ -27,65 +29,67 @@
 // Unwrap returns replica.ErrOutcomeUnknown.
 func (e *UnknownError) Unwrap() error { return replica.ErrOutcomeUnknown }
 
-// Do makes a change and returns its outcome. A request without an ID gets one. It is retried until its outcome is
-// known or ctx ends; then the error is an *UnknownError if the change may have been made.
-func (e *Engine) Do(ctx context.Context, c store.Command) (store.Result, error) {
-	if c.ID == (store.RequestID{}) {
-		c.ID = store.RequestID{Client: e.clientID, Seq: e.seq.Add(1)}
+// Do requests a change and returns its outcome. It gives the request an ID if it has none. It retries, with a growing
+// delay, until the outcome is known, ctx ends or no retry can succeed. In the last two cases the error is an
+// *UnknownError if the change may have been made.
+func (e *Engine) Do(ctx context.Context, command store.Command) (store.Result, error) {
+	if command.ID == (store.RequestID{}) {
+		command.ID = store.RequestID{Client: e.clientID, Seq: e.lastSeq.Add(1)}
 	}
-	if c.SinceIndex == 0 {
-		if err := e.setSinceIndex(ctx, &c); err != nil {
+	if command.SinceIndex == 0 {
+		if err := e.setSinceIndex(ctx, &command); err != nil {
 			return store.Result{}, err
 		}
 	}
-	proposed := false // it may be in the log
-	var last error
+	proposed := false // an attempt may have added the command to the log
+	var lastErr error
 	for delay := minRetryDelay; ; delay = nextDelay(delay) {
-		result, err := e.propose(ctx, c)
+		result, err := e.propose(ctx, command)
 		switch {
 		case err == nil && !proposed && errors.Is(result.Err, store.ErrRequestExpired):
-			// The request is new: its SinceIndex is that of a copy that lags far behind.
-			last = result.Err
-			if err := e.setSinceIndex(ctx, &c); err != nil {
+			// The request cannot have been applied before. It was rejected because this copy, whose index is its
+			// SinceIndex, lags far behind.
+			lastErr = result.Err
+			if err := e.setSinceIndex(ctx, &command); err != nil {
 				return store.Result{}, err
 			}
 		case err == nil:
 			return result, result.Err
 		case errors.Is(err, replica.ErrNoLeader), errors.Is(err, replica.ErrBusy):
-			last = err
+			lastErr = err
 		default:
 			proposed = true
-			last = err
+			lastErr = err
 		}
-		if isFinal(last) || ctx.Err() != nil {
+		if isFinal(lastErr) || ctx.Err() != nil {
 			break
 		}
 		e.sleep(ctx, delay)
 	}
 	if proposed {
-		return store.Result{}, &UnknownError{c.ID}
+		return store.Result{}, &UnknownError{command.ID}
 	}
-	return store.Result{}, last
+	return store.Result{}, lastErr
 }
 
 // setSinceIndex sets the command's SinceIndex to the index that this copy has applied.
-func (e *Engine) setSinceIndex(ctx context.Context, c *store.Command) error {
-	return e.run(ctx, func() {
+func (e *Engine) setSinceIndex(ctx context.Context, command *store.Command) error {
+	return e.runInLoop(ctx, func() {
 		if e.node != nil {
-			c.SinceIndex = max(1, e.node.State().Index())
+			command.SinceIndex = max(1, e.node.State().Index())
 		}
 	})
 }
 
-// propose makes one attempt of a request.
-func (e *Engine) propose(ctx context.Context, c store.Command) (store.Result, error) {
-	return e.request(ctx, func(t replica.RequestToken) { e.node.Propose(t, &c) })
+// propose makes one attempt at a request.
+func (e *Engine) propose(ctx context.Context, command store.Command) (store.Result, error) {
+	return e.request(ctx, func(token replica.RequestToken) { e.node.Propose(token, &command) })
 }
 
-// request has the loop pass a request to the replica, and waits for its completion.
+// request has the loop call send, which passes a request to the replica, and waits for its completion.
 func (e *Engine) request(ctx context.Context, send func(replica.RequestToken)) (store.Result, error) {
 	completed := make(chan replica.Completion, 1)
-	err := e.run(ctx, func() {
+	err := e.runInLoop(ctx, func() {
 		if e.node == nil {
 			completed <- replica.Completion{Err: replica.ErrNoLeader}
 			return
@@ -112,8 +116,8 @@
 
 func nextDelay(delay time.Duration) time.Duration { return min(2*delay, maxRetryDelay) }
 
-// sleep waits for between half and one and a half of a delay, or until the engine is closed. It reports whether ctx
-// ended first.
+// sleep waits for a random time between 0.5 and 1.5 times delay, until ctx ends or until the engine is closed. It
+// reports whether ctx ended.
 func (e *Engine) sleep(ctx context.Context, delay time.Duration) (cancelled bool) {
 	select {
 	case <-ctx.Done():
--- a/internal/store/engine/status.go
+++ b/internal/store/engine/status.go
@@ -7,13 +7,13 @@
 	"birchmoor/internal/store/replica"
 )
 
-// Status is the status of the store in a process, with a replica or as a follower.
+// Status is the status of the store in a process, which has either a replica or, as a follower, a copy.
 type Status struct {
 	replica.Status
-	WaitingToJoin       bool            `json:"waiting_to_join,omitempty"`
-	Follower            bool            `json:"follower,omitempty"` // the process has no replica, but a copy
-	Following           string          `json:"follows,omitempty"`  // replica that a follower follows
-	Interest            *store.Interest `json:"holds,omitempty"`    // of a follower's copy; nil: all keys
+	WaitingToJoin       bool            `json:"waiting_to_join,omitempty"` // its disk belongs to no cluster
+	Follower            bool            `json:"follower,omitempty"`        // it has a copy, but no replica
+	Following           string          `json:"follows,omitempty"`         // replica that the follower follows
+	Interest            *store.Interest `json:"holds,omitempty"`           // keys of a follower's copy; nil: all keys
 	CopyAge             CopyAge         `json:"copy"`
 	DiskBytes           int64           `json:"disk_bytes"`
 	PeersRejected       int64           `json:"peers_refused"`
@@ -23,26 +23,27 @@
 	MessagesReceived    int64           `json:"messages_received"`
 }
 
-// Status returns the status of the replica. After an error it has only the counters.
+// Status returns the status of the replica. If it returns an error, only the counters of the disk and the transport are
+// set.
 func (e *Engine) Status(ctx context.Context) (Status, error) {
-	var s Status
-	err := e.run(ctx, func() {
+	var status Status
+	err := e.runInLoop(ctx, func() {
 		if e.node == nil {
-			s.WaitingToJoin, s.Name, s.Self = true, e.cfg.Name, e.disk.Identity()
+			status.WaitingToJoin, status.Name, status.Self = true, e.cfg.Name, e.disk.Identity()
 			return
 		}
-		s.Status = e.node.Status()
-		s.CopyAge = e.copyAge()
-		s.CopyAge.Revision = s.Revision
+		status.Status = e.node.Status()
+		status.CopyAge = e.copyAge()
+		status.CopyAge.Revision = status.Revision
 	})
-	s.DiskBytes = e.disk.Size()
+	status.DiskBytes = e.disk.Size()
 	if e.transport != nil {
 		stats := &e.transport.Stats
-		s.PeersRejected = stats.HellosRejected.Load()
-		s.ConnectionsRejected = stats.ConnectionsRejected.Load()
-		s.MessagesDropped = stats.MessagesDropped.Load()
-		s.MessagesSent = stats.MessagesSent.Load()
-		s.MessagesReceived = stats.MessagesReceived.Load()
+		status.PeersRejected = stats.HellosRejected.Load()
+		status.ConnectionsRejected = stats.ConnectionsRejected.Load()
+		status.MessagesDropped = stats.MessagesDropped.Load()
+		status.MessagesSent = stats.MessagesSent.Load()
+		status.MessagesReceived = stats.MessagesReceived.Load()
 	}
-	return s, err
+	return status, err
 }
--- a/internal/store/engine/view.go
+++ b/internal/store/engine/view.go
@@ -10,42 +10,45 @@
 	"birchmoor/internal/store/serverstate"
 )
 
-// maxConfirmationAge is the age of the last confirmation from which a copy counts as stale.
+// maxConfirmationAge is the age of the last confirmation beyond which a copy counts as stale.
 const maxConfirmationAge = 3 * confirmInterval
 
-// CopyAge says how old a copy may be.
+// CopyAge says how far a copy of the store may lag behind.
 type CopyAge struct {
 	Revision  uint64        `json:"revision"`
-	Confirmed bool          `json:"proved"` // a quorum has confirmed the copy since the start
-	Age       time.Duration `json:"age_ns"` // of the last confirmation
-	Stale     bool          `json:"stale"`  // the copy was not confirmed for several intervals
+	Confirmed bool          `json:"proved"` // a quorum has confirmed the copy since the start of the process
+	Age       time.Duration `json:"age_ns"` // time since the moment that the last confirmation covers
+	Stale     bool          `json:"stale"`  // Confirmed is false, or Age exceeds the limit
 }
 
-// View calls f with the state. Unless stale is set, the state includes every change that was acknowledged to anyone
-// before the call; otherwise it is this copy as it is, of the age that is returned. The loop calls f, which must be
-// short. The View of a partial copy (package follower) may call f again, so that f must start anew on each call.
-func (e *Engine) View(ctx context.Context, stale bool, f func(*store.State)) (CopyAge, error) {
-	if !stale {
+// View calls visit with the state. Unless allowStale is set, it waits until the state includes every change that was
+// acknowledged to any client before the call. Otherwise visit sees this replica's copy as it is, whose age is returned.
+// The loop calls visit, which must return soon and must not call methods of the Engine. visit is not called while an
+// empty disk waits to be added to a cluster. The View of a partial copy in package follower may call its function
+// several times, so a function that is written for both must start from scratch on each call.
+func (e *Engine) View(ctx context.Context, allowStale bool, visit func(*store.State)) (CopyAge, error) {
+	if !allowStale {
 		if err := e.awaitRead(ctx); err != nil {
 			return CopyAge{}, err
 		}
 	}
 	var age CopyAge
-	err := e.run(ctx, func() {
+	err := e.runInLoop(ctx, func() {
 		if e.node == nil {
 			return
 		}
 		age = e.copyAge()
 		age.Revision = e.node.State().Revision()
-		f(e.node.State())
+		visit(e.node.State())
 	})
 	return age, err
 }
 
-// awaitRead returns when the state includes every change that was acknowledged before the call.
+// awaitRead waits until the state includes every change that was acknowledged before the call. It retries until ctx
+// ends or the replica stops.
 func (e *Engine) awaitRead(ctx context.Context) error {
 	for delay := minRetryDelay; ; delay = nextDelay(delay) {
-		_, err := e.request(ctx, func(t replica.RequestToken) { e.node.Read(t) })
+		_, err := e.request(ctx, func(token replica.RequestToken) { e.node.Read(token) })
 		if err == nil || isFinal(err) {
 			return err
 		}
@@ -55,11 +58,11 @@
 	}
 }
 
-// copyAge returns the age of the copy, without its revision.
+// copyAge returns the age of the copy. It does not set the revision.
 func (e *Engine) copyAge() CopyAge {
 	var age CopyAge
-	if after := e.confirmedAfter.Load(); after != 0 {
-		age.Confirmed, age.Age = true, time.Since(e.startedAt)-time.Duration(after)
+	if afterNanos := e.confirmedAfterNanos.Load(); afterNanos != 0 {
+		age.Confirmed, age.Age = true, time.Since(e.startedAt)-time.Duration(afterNanos)
 	}
 	age.Stale = serverstate.Staleness{
 		Confirmed: age.Confirmed,
@@ -69,37 +72,38 @@
 	return age
 }
 
-// Save returns a copy of the current state, which the caller may save.
+// Save returns a clone of the current state, which includes every change that was acknowledged before the call. The
+// caller may save it. The error wraps replica.ErrNoLeader if no leader was known until ctx ended.
 func (e *Engine) Save(ctx context.Context) (*store.State, error) {
-	var s *store.State
-	_, err := e.View(ctx, false, func(now *store.State) { s = now.Clone() })
-	if err == nil && s == nil {
+	var clone *store.State
+	_, err := e.View(ctx, false, func(current *store.State) { clone = current.Clone() })
+	if err == nil && clone == nil {
 		err = replica.ErrNoLeader
 	}
-	return s, err
+	return clone, err
 }
 
-// Next returns the next changes after a revision of keys with a prefix, and the revision up to which they are
-// complete. It waits until there is one. It returns up to n events, but never splits those of one revision. The error
-// is a *store.CompactedError if the history does not reach back to the revision.
-func (e *Engine) Next(ctx context.Context, prefix string, after uint64, n int) ([]store.Event, uint64, error) {
+// Next returns the changes after a revision of the keys with a prefix, and the revision up to which they are complete.
+// It waits until there is at least one. It stops after maxEvents events, but never splits the events of one revision,
+// so that it may return more. The error is a *store.CompactedError if the history does not reach back to the revision.
+func (e *Engine) Next(ctx context.Context, prefix string, after uint64, maxEvents int) ([]store.Event, uint64, error) {
 	for {
 		changed := *e.revisionChanged.Load()
 		var events []store.Event
 		var changesErr error
-		to := after
-		err := e.run(ctx, func() {
+		completeRevision := after
+		err := e.runInLoop(ctx, func() {
 			if e.node != nil {
-				events, to, changesErr = e.node.State().Changes(nil, prefix, after, n)
+				events, completeRevision, changesErr = e.node.State().Changes(nil, prefix, after, maxEvents)
 			}
 		})
 		if err != nil {
 			return nil, after, err
 		}
 		if changesErr != nil || len(events) > 0 {
-			return events, to, changesErr
+			return events, completeRevision, changesErr
 		}
-		after = max(after, to)
+		after = max(after, completeRevision)
 		select {
 		case <-changed:
 		case <-ctx.Done():
