--- a/internal/store/disk/disk.go
+++ b/internal/store/disk/disk.go
@@ -1,12 +1,15 @@
-// Package disk stores a replica's log, hard state and snapshots in one bbolt file. A transaction of bbolt is atomic,
-// and synced before it returns. Every value has a checksum, so that a changed bit is detected, named and never used.
+// Package disk stores a replica's log, hard state and snapshots in one bbolt file. Transactions are atomic and synced
+// before they return. Every value but the format version has a checksum, so that a changed bit is detected and reported
+// with the name of the value, and the value is not used.
 //
-// The file has these buckets: "identity" has the identity of the disk. "log" has the entries by their index, in eight
-// bytes big endian. "state" has the hard state, the base of the log, and a record that names the bucket of the current
-// snapshot. Each snapshot is in parts in a bucket of its own. It is written in several transactions, while the log is
-// written, too, and becomes current with the one that writes its record.
+// The file has these buckets:
+//   - "identity" contains the format version and the identity of the disk.
+//   - "log" contains the entries of the log. The key of an entry is its index in eight bytes, big endian.
+//   - "state" contains the hard state, the base of the log, and a record that describes the current snapshot.
+//   - Each snapshot is stored, in parts, in a bucket of its own. Several transactions write it while others write the
+//     log. It becomes the current snapshot with the transaction that writes its record.
 //
-// The package implements replica.Disk, and imports only packages replica and usage of the store.
+// The package implements replica.Disk. Of the store's packages it imports only replica and usage.
 package disk
 
 import (
@@ -28,52 +31,54 @@
 	bolterrors "go.etcd.io/bbolt/errors"
 )
 
-// FileName is the name of the file in its directory.
+// FileName is the name of the file in the directory that is passed to Open.
 const FileName = "store.db"
 
 const (
-	dirMode     = 0o700
-	fileMode    = 0o600
-	othersMode  = 0o077 // permissions of anyone but the owner
-	lockTimeout = time.Second
+	dirMode          = 0o700
+	fileMode         = 0o600
+	nonOwnerModeBits = 0o077 // permission bits of the group and of others
+	lockTimeout      = time.Second
 )
 
-// CorruptedError reports which part of a file is not what was written. The replica must not run on such a file: the
-// member has to be removed and added anew.
+// CorruptedError reports that a part of the file at Path, which What names, is not as it was written. A replica must
+// not run on such a file; its member has to be removed and added again.
 type CorruptedError struct{ Path, What string }
 
 // Error implements error.
 func (e *CorruptedError) Error() string { return fmt.Sprintf("%s is corrupted: %s", e.Path, e.What) }
 
-// ErrLocked reports that another process has the file open.
+// ErrLocked reports that the file is open already, usually in another process.
 var ErrLocked = errors.New("another process has the store's file open")
 
 // Options configure a disk. All but Usage are for tests.
 type Options struct {
-	// NoSync writes without syncs: the file may be lost with the power.
+	// NoSync omits syncs after writes. A loss of power may then corrupt the file.
 	NoSync bool
-	// OnOpen is called with the file after it was opened, so that a test can have it fail.
+	// OnOpen, unless nil, is called with the file after it was opened, so that a test can make the file fail.
 	OnOpen func(*os.File)
-	// Usage counts the writes, unless it is nil: those of snapshots' transactions, and all others as those of the log.
-	// The bytes are those of bbolt's pages, and a commit waits for two syncs. Growth of the file is not counted.
+	// Usage, unless nil, counts the bytes and syncs of writes: those of transactions that write snapshots as
+	// usage.SnapshotFile, all others as usage.LogFile. The bytes are those of the pages that bbolt writes, and a commit
+	// waits for two syncs. Growth of the file is not counted.
 	Usage *usage.Recorder
 }
 
-// Disk is an open file. It may be used concurrently as replica.Disk allows.
+// Disk is the open file of a replica. Its methods may be called concurrently as far as replica.Disk allows.
 type Disk struct {
 	db                 *bbolt.DB
 	path               string
 	identity           replica.Identity
 	usage              *usage.Recorder
 	pageBytes          int
-	lastSnapshotBucket atomic.Uint64 // number
+	lastSnapshotNumber atomic.Uint64 // number of the last snapshot's bucket; the next one is one higher
 }
 
 var _ replica.Disk = (*Disk)(nil)
 
-// Open opens the file in a directory, which it creates if needed, and counts a start. The file must be accessible to
-// its owner only.
-func Open(dir string, o Options) (*Disk, error) {
+// Open opens the file in a directory, creates both if needed, and increments the number of starts in the disk's
+// identity. The file must be accessible to its owner only. The error wraps ErrLocked if the file is open already, and
+// is a *CorruptedError if the file is damaged.
+func Open(dir string, options Options) (*Disk, error) {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
@@ -81,18 +86,18 @@
 	if err := checkMode(path); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	db, err := openBolt(path, o)
+	db, err := openBolt(path, options)
 	if err != nil {
 		return nil, err
 	}
-	d := &Disk{db: db, path: path, usage: o.Usage, pageBytes: db.Info().PageSize}
+	d := &Disk{db: db, path: path, usage: options.Usage, pageBytes: db.Info().PageSize}
 	if err := d.initialize(); err != nil {
 		return nil, errors.Join(err, db.Close())
 	}
 	return d, nil
 }
 
-// checkMode returns an error if others may read or write a file. It need not exist.
+// checkMode returns an error if anyone but its owner may access a file. A file that does not exist is accepted.
 func checkMode(path string) error {
 	info, err := os.Stat(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -101,14 +106,15 @@
 	if err != nil {
 		return err
 	}
-	if mode := info.Mode().Perm(); mode&othersMode != 0 {
-		return fmt.Errorf("%s may be read or written by others (mode %04o): it must be %04o", path, mode, fileMode)
+	if mode := info.Mode().Perm(); mode&nonOwnerModeBits != 0 {
+		return fmt.Errorf("%s is accessible to others than its owner: mode %04o, must be %04o", path, mode, fileMode)
 	}
 	return nil
 }
 
-func openBolt(path string, o Options) (db *bbolt.DB, err error) {
-	// bbolt panics or faults on some corruption.
+// openBolt opens a bbolt file, and creates it if it does not exist.
+func openBolt(path string, options Options) (db *bbolt.DB, err error) {
+	// bbolt panics on some corrupted pages, or accesses memory outside the mapped file.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
@@ -117,16 +123,16 @@
 	}()
 	db, err = bbolt.Open(path, fileMode, &bbolt.Options{
 		Timeout: lockTimeout,
-		NoSync:  o.NoSync,
+		NoSync:  options.NoSync,
 		OpenFile: func(name string, flag int, mode os.FileMode) (*os.File, error) {
 			f, err := os.OpenFile(name, flag, mode)
-			if err == nil && o.OnOpen != nil {
-				o.OnOpen(f)
+			if err == nil && options.OnOpen != nil {
+				options.OnOpen(f)
 			}
 			return f, err
 		},
 		FreelistType: bbolt.FreelistMapType,
-		// Otherwise bbolt rebuilds the free list in a goroutine, whose panics cannot be recovered here.
+		// With NoFreelistSync, bbolt rebuilds the free list in a goroutine, whose panics cannot be recovered here.
 		NoFreelistSync: false,
 	})
 	switch {
@@ -142,7 +148,7 @@
 	return db, nil
 }
 
-// initialize creates the buckets of a new file, or reads the identity of an old one, and counts the start.
+// initialize creates the buckets of a new file, loads the identity of the disk and increments its number of starts.
 func (d *Disk) initialize() error {
 	return d.update(func(tx *bbolt.Tx) error {
 		for _, name := range [][]byte{identityBucket, logBucket, stateBucket} {
@@ -155,11 +161,12 @@
 			return err
 		}
 		d.identity.Boot++
-		return d.put(bucket, identityKey, d.identity)
+		return d.putCBOR(bucket, identityKey, d.identity)
 	})
 }
 
-// loadIdentity reads the identity of the disk, or draws the ID of a new one.
+// loadIdentity reads the identity of the disk from the bucket. For a new file, it writes the format version and draws a
+// random disk ID.
 func (d *Disk) loadIdentity(bucket *bbolt.Bucket) error {
 	format := bucket.Get(formatKey)
 	if format == nil {
@@ -174,21 +181,22 @@
 		return nil
 	}
 	if len(format) != 1 || format[0] > Format {
-		return fmt.Errorf("%s has format %d, and this build knows %d", d.path, format, Format)
+		return fmt.Errorf("%s has format %d, but this build supports formats up to %d", d.path, format, Format)
 	}
-	return d.get(bucket, identityKey, &d.identity)
+	return d.getCBOR(bucket, identityKey, &d.identity)
 }
 
-// Identity returns to which member the disk belongs.
+// Identity returns the identity of the disk, which says to which member of which cluster it belongs.
 func (d *Disk) Identity() replica.Identity { return d.identity }
 
-// SetIdentity makes the disk a member's, once. The disk keeps its ID and its number of starts.
+// SetIdentity writes the cluster and the member to which the disk belongs. It fails if the disk belongs to a cluster
+// already. The disk keeps its ID and its number of starts.
 func (d *Disk) SetIdentity(id replica.Identity) error {
 	if d.identity.ClusterID != 0 {
-		return fmt.Errorf("%s belongs to cluster %x already", d.path, d.identity.ClusterID)
+		return fmt.Errorf("%s already belongs to cluster %x", d.path, d.identity.ClusterID)
 	}
 	id.DiskID, id.Boot = d.identity.DiskID, d.identity.Boot
-	err := d.update(func(tx *bbolt.Tx) error { return d.put(tx.Bucket(identityBucket), identityKey, id) })
+	err := d.update(func(tx *bbolt.Tx) error { return d.putCBOR(tx.Bucket(identityBucket), identityKey, id) })
 	if err != nil {
 		return err
 	}
@@ -196,7 +204,7 @@
 	return nil
 }
 
-// Path returns the path of the file.
+// Path returns the path of the file, including FileName.
 func (d *Disk) Path() string { return d.path }
 
 // Size returns the size of the file in bytes, or 0 if it cannot be read.
@@ -208,5 +216,5 @@
 	return info.Size()
 }
 
-// Close closes the file.
+// Close closes the file and releases its lock.
 func (d *Disk) Close() error { return d.db.Close() }
--- a/internal/store/disk/format.go
+++ b/internal/store/disk/format.go
@@ -11,7 +11,7 @@
 	"go.etcd.io/bbolt"
 )
 
-// Format is the version of the file's layout. A file of a newer one is not opened.
+// Format is the version of the file's layout. Open rejects a file of a newer version.
 const Format = 1
 
 // Names of buckets and keys.
@@ -28,69 +28,73 @@
 
 const snapshotBucketPrefix = "snapshot-"
 
+// snapshotBucketName returns the name of the bucket of the snapshot with a number.
 func snapshotBucketName(number uint64) []byte {
 	return fmt.Appendf(nil, "%s%d", snapshotBucketPrefix, number)
 }
 
-// snapshotRecord describes the current snapshot.
+// snapshotRecord describes the current snapshot. It is stored under snapshotKey.
 type snapshotRecord struct {
-	Bucket uint64               `cbor:"1,keyasint"` // number of its bucket
+	Bucket uint64               `cbor:"1,keyasint"` // number of its bucket; 0: there is no snapshot
 	Meta   replica.SnapshotMeta `cbor:"2,keyasint"`
 	Parts  int                  `cbor:"3,keyasint"`
 	Bytes  int64                `cbor:"4,keyasint"`
 }
 
-// indexKey is the key of an entry of the log, or of a part of a snapshot.
-func indexKey(i uint64) []byte { return binary.BigEndian.AppendUint64(nil, i) }
+// indexKey returns the key of the entry of the log, or of the part of a snapshot, with an index.
+func indexKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
 const checksumBytes = 4
 
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// seal returns a value after its CRC-32C.
-func seal(b []byte) []byte {
-	sealed := make([]byte, 0, checksumBytes+len(b))
-	sealed = binary.BigEndian.AppendUint32(sealed, crc32.Checksum(b, crcTable))
-	return append(sealed, b...)
+// addChecksum returns a value preceded by its CRC-32C.
+func addChecksum(value []byte) []byte {
+	checksummed := make([]byte, 0, checksumBytes+len(value))
+	checksummed = binary.BigEndian.AppendUint32(checksummed, crc32.Checksum(value, crcTable))
+	return append(checksummed, value...)
 }
 
-// unseal returns the value that was sealed. The error of one that has changed names it.
-func (d *Disk) unseal(what string, sealed []byte) ([]byte, error) {
-	if len(sealed) < checksumBytes {
-		return nil, d.corrupted("the checksum of %s", what)
+// verifyChecksum returns the value that was passed to addChecksum. If the value or the checksum has changed, the error
+// is a *CorruptedError with the name of the value.
+func (d *Disk) verifyChecksum(name string, checksummed []byte) ([]byte, error) {
+	if len(checksummed) < checksumBytes {
+		return nil, d.newCorruptedError("wrong checksum of %s", name)
 	}
-	b := sealed[checksumBytes:]
-	if crc32.Checksum(b, crcTable) != binary.BigEndian.Uint32(sealed) {
-		return nil, d.corrupted("the checksum of %s", what)
+	value := checksummed[checksumBytes:]
+	if crc32.Checksum(value, crcTable) != binary.BigEndian.Uint32(checksummed) {
+		return nil, d.newCorruptedError("wrong checksum of %s", name)
 	}
-	return b, nil
+	return value, nil
 }
 
-func (d *Disk) corrupted(format string, args ...any) error {
+// newCorruptedError returns a *CorruptedError for the disk's file.
+func (d *Disk) newCorruptedError(format string, args ...any) error {
 	return &CorruptedError{d.path, fmt.Sprintf(format, args...)}
 }
 
-// put writes a value in CBOR.
-func (d *Disk) put(b *bbolt.Bucket, key []byte, v any) error {
+// putCBOR writes a value in CBOR with a checksum.
+func (d *Disk) putCBOR(bucket *bbolt.Bucket, key []byte, v any) error {
 	encoded, err := cbor.Marshal(v)
 	if err != nil {
 		return err
 	}
-	return b.Put(key, seal(encoded))
+	return bucket.Put(key, addChecksum(encoded))
 }
 
-// get reads a value in CBOR. It leaves v unchanged if there is none.
-func (d *Disk) get(b *bbolt.Bucket, key []byte, v any) error {
-	sealed := b.Get(key)
-	if sealed == nil {
+// getCBOR reads a value that putCBOR wrote into v, and verifies its checksum. It leaves v unchanged if there is no
+// value.
+func (d *Disk) getCBOR(bucket *bbolt.Bucket, key []byte, v any) error {
+	checksummed := bucket.Get(key)
+	if checksummed == nil {
 		return nil
 	}
-	encoded, err := d.unseal(string(key), sealed)
+	encoded, err := d.verifyChecksum(string(key), checksummed)
 	if err != nil {
 		return err
 	}
 	if err := cbor.Unmarshal(encoded, v); err != nil {
-		return d.corrupted("%s: %v", key, err)
+		return d.newCorruptedError("%s: %v", key, err)
 	}
 	return nil
 }
