--- a/internal/store/interest.go
+++ b/internal/store/interest.go
@@ -26,17 +26,17 @@
 // Validate returns an error that wraps ErrInvalidInterest if a client may not request the interest.
 func (i Interest) Validate() error {
 	if n := len(i.Prefixes) + len(i.Keys); n > MaxInterestEntries {
-		return fmt.Errorf("%w: %d prefixes and keys exceed the limit of %d", ErrInvalidInterest, n, MaxInterestEntries)
+		return fmt.Errorf("%w: %d prefixes and keys are more than %d", ErrInvalidInterest, n, MaxInterestEntries)
 	}
 	bytes := 0
 	for _, key := range slices.Concat(i.Prefixes, i.Keys) {
 		if key == "" || len(key) > DefaultLimits.KeyBytes {
-			return fmt.Errorf("%w: %q must have 1 to %d bytes", ErrInvalidInterest, key, DefaultLimits.KeyBytes)
+			return fmt.Errorf("%w: %q is not of 1 to %d bytes", ErrInvalidInterest, key, DefaultLimits.KeyBytes)
 		}
 		bytes += len(key)
 	}
 	if bytes > MaxInterestBytes {
-		return fmt.Errorf("%w: %d bytes exceed the limit of %d", ErrInvalidInterest, bytes, MaxInterestBytes)
+		return fmt.Errorf("%w: %d bytes are more than %d", ErrInvalidInterest, bytes, MaxInterestBytes)
 	}
 	return nil
 }
