--- a/internal/store/admin/admin.go
+++ b/internal/store/admin/admin.go
@@ -43,7 +43,7 @@
 	View(ctx context.Context, stale bool, read func(*store.State)) (engine.CopyAge, error)
 	Next(ctx context.Context, prefix string, after uint64, maxEvents int) ([]store.Event, uint64, error)
 	Status(ctx context.Context) (engine.Status, error)
-	Save(ctx context.Context) (*store.State, error)
+	CloneState(ctx context.Context) (*store.State, error)
 	TransferLeadership(ctx context.Context) error
 }
 
--- a/internal/store/admin/server.go
+++ b/internal/store/admin/server.go
@@ -154,7 +154,7 @@
 }
 
 func (s *Server) snapshot(w http.ResponseWriter, r *http.Request) {
-	state, err := s.cfg.Store.Save(r.Context())
+	state, err := s.cfg.Store.CloneState(r.Context())
 	if err != nil {
 		WriteError(w, err)
 		return
--- a/internal/store/engine/view.go
+++ b/internal/store/engine/view.go
@@ -72,9 +72,9 @@
 	return age
 }
 
-// Save returns a clone of the current state, which includes every change that was acknowledged before the call. The
+// CloneState returns a clone of the current state, which includes every change that was acknowledged before the call. The
 // caller may save it. The error wraps replica.ErrNoLeader if no leader was known until ctx ended.
-func (e *Engine) Save(ctx context.Context) (*store.State, error) {
+func (e *Engine) CloneState(ctx context.Context) (*store.State, error) {
 	var clone *store.State
 	_, err := e.View(ctx, false, func(current *store.State) { clone = current.Clone() })
 	if err == nil && clone == nil {
--- a/internal/store/follower/interest_test.go
+++ b/internal/store/follower/interest_test.go
@@ -96,7 +96,7 @@
 	if _, _, err := f.Next(t.Context(), "b/", 0, 1); !isNotHeld(err) {
 		t.Errorf("a watch of what is not held: %v", err)
 	}
-	if state, err := f.Save(t.Context()); err != nil || state.Len() != 11 || state.Interest() != nil {
+	if state, err := f.CloneState(t.Context()); err != nil || state.Len() != 11 || state.Interest() != nil {
 		t.Errorf("the complete state: %v", err)
 	}
 	if status, err := f.Status(t.Context()); err != nil || status.Interest == nil || status.Keys != 5 {
--- a/internal/store/follower/read.go
+++ b/internal/store/follower/read.go
@@ -191,8 +191,8 @@
 	}
 }
 
-// Save returns a copy of the complete state; see engine.Engine.
-func (f *Follower) Save(ctx context.Context) (*store.State, error) {
+// CloneState returns a copy of the complete state; see engine.Engine.
+func (f *Follower) CloneState(ctx context.Context) (*store.State, error) {
 	var saved *store.State
 	_, err := f.View(ctx, false, func(state *store.State) {
 		state.Range("", "", func(store.Item) bool { return false }) // counts as a read of all keys
