--- a/internal/controlplane/daemon/component.go
+++ b/internal/controlplane/daemon/component.go
@@ -58,8 +58,8 @@
 	// View calls f with the copy, which is confirmed by a quorum before unless stale is set. If f reads keys that a
 	// partial copy does not hold, it is called again and must start over.
 	View(ctx context.Context, stale bool, f func(*store.State)) (engine.CopyAge, error)
-	// Next returns up to limit changes of keys with a prefix after a revision, and the revision that they reach.
-	Next(ctx context.Context, prefix string, after uint64, limit int) ([]store.Event, uint64, error)
+	// NextChanges returns up to limit changes of keys with a prefix after a revision, and the revision that they reach.
+	NextChanges(ctx context.Context, prefix string, after uint64, limit int) ([]store.Event, uint64, error)
 }
 
 // InterestUpdater is a partial copy, which reads the daemon's Subscription again when it is notified.
--- a/internal/controlplane/daemon/stored_test.go
+++ b/internal/controlplane/daemon/stored_test.go
@@ -90,7 +90,7 @@
 	return engine.CopyAge{}, nil
 }
 
-func (r *recordingStore) Next(context.Context, string, uint64, int) ([]store.Event, uint64, error) {
+func (r *recordingStore) NextChanges(context.Context, string, uint64, int) ([]store.Event, uint64, error) {
 	return nil, 0, context.Canceled
 }
 
--- a/internal/controlplane/daemon/versions.go
+++ b/internal/controlplane/daemon/versions.go
@@ -171,7 +171,7 @@
 	var faults []error
 	after := candidateRevision
 	for len(missing) > 0 {
-		events, reached, err := s.store.Next(waitCtx, verdictPrefix, after, maxVerdictEvents)
+		events, reached, err := s.store.NextChanges(waitCtx, verdictPrefix, after, maxVerdictEvents)
 		if err != nil && waitCtx.Err() != nil {
 			names := strings.Join(slices.Sorted(maps.Keys(missing)), ", ")
 			late := fmt.Errorf("no verdict from %s within %v: nothing was changed", names, verdictTimeout)
--- a/internal/store/admin/admin.go
+++ b/internal/store/admin/admin.go
@@ -41,7 +41,7 @@
 type Store interface {
 	Do(ctx context.Context, command store.Command) (store.Result, error)
 	View(ctx context.Context, stale bool, read func(*store.State)) (engine.CopyAge, error)
-	Next(ctx context.Context, prefix string, after uint64, maxEvents int) ([]store.Event, uint64, error)
+	NextChanges(ctx context.Context, prefix string, after uint64, maxEvents int) ([]store.Event, uint64, error)
 	Status(ctx context.Context) (engine.Status, error)
 	CloneState(ctx context.Context) (*store.State, error)
 	TransferLeadership(ctx context.Context) error
--- a/internal/store/admin/followerserver.go
+++ b/internal/store/admin/followerserver.go
@@ -127,7 +127,7 @@
 func (s *FollowerServer) distribute(ctx context.Context) {
 	for {
 		position, _ := s.feed.Position()
-		events, through, err := s.engine.Next(ctx, "", position, maxFeedEvents)
+		events, through, err := s.engine.NextChanges(ctx, "", position, maxFeedEvents)
 		if err == nil {
 			s.feed.Advance(events, through)
 			continue
--- a/internal/store/admin/server.go
+++ b/internal/store/admin/server.go
@@ -187,7 +187,7 @@
 	controller := http.NewResponseController(w)
 	encoder := json.NewEncoder(w)
 	for started := false; ; started = true {
-		events, through, err := s.cfg.Store.Next(r.Context(), prefix, after, maxWatchBatchEvents)
+		events, through, err := s.cfg.Store.NextChanges(r.Context(), prefix, after, maxWatchBatchEvents)
 		switch {
 		case err != nil && !started:
 			WriteError(w, err)
--- a/internal/store/engine/engine_test.go
+++ b/internal/store/engine/engine_test.go
@@ -409,12 +409,12 @@
 		}
 	}
 	var compacted *store.CompactedError
-	if _, _, err := e.Next(ctx, "k", 3, 5); !errors.As(err, &compacted) || compacted.Oldest != 11 {
+	if _, _, err := e.NextChanges(ctx, "k", 3, 5); !errors.As(err, &compacted) || compacted.Oldest != 11 {
 		t.Fatal(err)
 	}
 	revision, received := uint64(10), 0
 	for revision < 30 {
-		events, completeRevision, err := e.Next(ctx, "k", revision, 3)
+		events, completeRevision, err := e.NextChanges(ctx, "k", revision, 3)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/store/engine/view.go
+++ b/internal/store/engine/view.go
@@ -83,10 +83,10 @@
 	return clone, err
 }
 
-// Next returns the changes after a revision of the keys with a prefix, and the revision up to which they are complete.
+// NextChanges returns the changes after a revision of the keys with a prefix, and the revision up to which they are complete.
 // It waits until there is at least one. It stops after maxEvents events, but never splits the events of one revision,
 // so that it may return more. The error is a *store.CompactedError if the history does not reach back to the revision.
-func (e *Engine) Next(ctx context.Context, prefix string, after uint64, maxEvents int) ([]store.Event, uint64, error) {
+func (e *Engine) NextChanges(ctx context.Context, prefix string, after uint64, maxEvents int) ([]store.Event, uint64, error) {
 	for {
 		changed := *e.revisionChanged.Load()
 		var events []store.Event
--- a/internal/store/follower/interest_test.go
+++ b/internal/store/follower/interest_test.go
@@ -93,7 +93,7 @@
 // that it lacks.
 func checkReadsOfEverything(t *testing.T, f *testFollower) {
 	t.Helper()
-	if _, _, err := f.Next(t.Context(), "b/", 0, 1); !isNotHeld(err) {
+	if _, _, err := f.NextChanges(t.Context(), "b/", 0, 1); !isNotHeld(err) {
 		t.Errorf("a watch of what is not held: %v", err)
 	}
 	if state, err := f.CloneState(t.Context()); err != nil || state.Len() != 11 || state.Interest() != nil {
--- a/internal/store/follower/read.go
+++ b/internal/store/follower/read.go
@@ -165,8 +165,8 @@
 	return age
 }
 
-// Next returns changes of keys with a prefix after a revision, and waits for one; see engine.Engine.
-func (f *Follower) Next(
+// NextChanges returns changes of keys with a prefix after a revision, and waits for one; see engine.Engine.
+func (f *Follower) NextChanges(
 	ctx context.Context, prefix string, after uint64, maxEvents int,
 ) (events []store.Event, through uint64, err error) {
 	for {
