--- a/internal/store/admin/call.go
+++ b/internal/store/admin/call.go
@@ -85,7 +85,7 @@
 
 func statusOf(err error) int {
 	var (
-		unknown   *engine.UnknownError
+		unknown   *engine.OutcomeUnknownError
 		compacted *store.CompactedError
 		notFound  notFoundError
 		notHeld   *store.NotHeldError
@@ -118,7 +118,7 @@
 
 // unknownRequest is the id of a request whose outcome is unknown, or nil if an error is another one.
 func unknownRequest(err error) *store.RequestID {
-	var unknown *engine.UnknownError
+	var unknown *engine.OutcomeUnknownError
 	if !errors.As(err, &unknown) {
 		return nil
 	}
--- a/internal/store/admin/wire_test.go
+++ b/internal/store/admin/wire_test.go
@@ -94,7 +94,7 @@
 	}{
 		{errors.New("any"), http.StatusServiceUnavailable, `{}`},
 		{fmt.Errorf("x: %w", replica.ErrNoLeader), http.StatusServiceUnavailable, `{}`},
-		{&engine.UnknownError{ID: id}, http.StatusGatewayTimeout, `{"unknown":{"Client":7,"Seq":8}}`},
+		{&engine.OutcomeUnknownError{ID: id}, http.StatusGatewayTimeout, `{"unknown":{"Client":7,"Seq":8}}`},
 		{&store.CompactedError{Oldest: 12}, http.StatusGone, `{"oldest":12}`},
 		{store.ErrTooLarge, http.StatusBadRequest, `{}`},
 		{store.ErrBadKey, http.StatusBadRequest, `{}`},
--- a/internal/store/engine/request.go
+++ b/internal/store/engine/request.go
@@ -17,17 +17,17 @@
 	maxRetryDelay = 500 * time.Millisecond
 )
 
-// UnknownError reports that a change may have been made or not. A retry of the request with the same ID is applied at
+// OutcomeUnknownError reports that a change may have been made or not. A retry of the request with the same ID is applied at
 // most once and returns the outcome.
-type UnknownError struct{ ID store.RequestID }
+type OutcomeUnknownError struct{ ID store.RequestID }
 
 // Error implements error.
-func (e *UnknownError) Error() string {
+func (e *OutcomeUnknownError) Error() string {
 	return fmt.Sprintf("%v; request %x-%d", replica.ErrOutcomeUnknown, e.ID.Client, e.ID.Seq)
 }
 
 // Unwrap returns replica.ErrOutcomeUnknown.
-func (e *UnknownError) Unwrap() error { return replica.ErrOutcomeUnknown }
+func (e *OutcomeUnknownError) Unwrap() error { return replica.ErrOutcomeUnknown }
 
 // Do requests a change and returns its outcome. It gives the request an ID if it has none. It retries, with a growing
 // delay, until the outcome is known, ctx ends or no retry can succeed. In the last two cases the error is an
@@ -67,7 +67,7 @@
 		e.sleep(ctx, delay)
 	}
 	if proposed {
-		return store.Result{}, &UnknownError{command.ID}
+		return store.Result{}, &OutcomeUnknownError{command.ID}
 	}
 	return store.Result{}, lastErr
 }
--- a/internal/store/follower/follower_test.go
+++ b/internal/store/follower/follower_test.go
@@ -123,7 +123,7 @@
 func checkUnsent(ctx context.Context, t *testing.T, f *Follower) {
 	t.Helper()
 	_, err := f.Do(ctx, putCommand("out/ban/x", ""))
-	var unknown *engine.UnknownError
+	var unknown *engine.OutcomeUnknownError
 	if err == nil || errors.As(err, &unknown) {
 		t.Errorf("a change that was not sent: %v", err)
 	}
--- a/internal/store/follower/propose.go
+++ b/internal/store/follower/propose.go
@@ -50,7 +50,7 @@
 		f.pause(ctx, delays)
 	}
 	if mayBeSent {
-		return store.Result{}, &engine.UnknownError{ID: command.ID}
+		return store.Result{}, &engine.OutcomeUnknownError{ID: command.ID}
 	}
 	return store.Result{}, lastErr
 }
