--- a/internal/controlplane/daemon/outbox.go
+++ b/internal/controlplane/daemon/outbox.go
@@ -111,7 +111,7 @@
 			writeCtx, cancel := context.WithTimeout(ctx, writeTimeout)
 			err := w.apply(writeCtx)
 			cancel()
-			if err != nil && ctx.Err() == nil && !errors.Is(err, store.ErrLevel) {
+			if err != nil && ctx.Err() == nil && !errors.Is(err, store.ErrUnsupportedLevel) {
 				o.log.Warn("cannot write a report to the store yet", "key", w.key, "error", err)
 			}
 			o.finish(w, err == nil)
--- a/internal/controlplane/daemon/snapshots.go
+++ b/internal/controlplane/daemon/snapshots.go
@@ -313,7 +313,7 @@
 			continue
 		}
 		err := s.save(ctx, key, take)
-		if err != nil && ctx.Err() == nil && !failing && !errors.Is(err, store.ErrLevel) {
+		if err != nil && ctx.Err() == nil && !failing && !errors.Is(err, store.ErrUnsupportedLevel) {
 			s.log.Warn("cannot save a snapshot in the store", "key", key, "error", err)
 		}
 		failing = err != nil
--- a/internal/controlplane/daemon/starts_test.go
+++ b/internal/controlplane/daemon/starts_test.go
@@ -84,7 +84,7 @@
 		return snapshot.Encode(&snapshot.Saved{Sidecar: "other", Clock: ahead, State: m.Snapshot(1e9, false)})
 	}
 	key := serverstate.SnapshotKey("other", "")
-	for err = store.ErrLevel; errors.Is(err, store.ErrLevel); { // until all replicas know the commands that it needs
+	for err = store.ErrUnsupportedLevel; errors.Is(err, store.ErrUnsupportedLevel); { // until all replicas know the commands that it needs
 		err = all[0].servers.save(testContext(t), key, take)
 	}
 	if err != nil {
--- a/internal/lab/storesim/mixed.go
+++ b/internal/lab/storesim/mixed.go
@@ -83,7 +83,7 @@
 		KeyLimits: []store.KeyLimit{{Prefix: "b/", MaxKeys: boundMost}}}}
 	h.propose(c, func(d replica.Completion) {
 		switch {
-		case d.Err != nil || errors.Is(d.Result.Err, store.ErrLevel): // also where one copy alone does not know yet
+		case d.Err != nil || errors.Is(d.Result.Err, store.ErrUnsupportedLevel): // also where one copy alone does not know yet
 		case d.Result.Err == nil && w.r.Raised == 0:
 			w.r.Raised = w.q.Now() / milli
 		}
--- a/internal/store/admin/call.go
+++ b/internal/store/admin/call.go
@@ -97,7 +97,7 @@
 		return http.StatusGone
 	case errors.Is(err, store.ErrTooLarge), errors.Is(err, store.ErrBadKey), errors.Is(err, ErrBadRequest):
 		return http.StatusBadRequest
-	case errors.Is(err, store.ErrLevel):
+	case errors.Is(err, store.ErrUnsupportedLevel):
 		return http.StatusPreconditionFailed
 	case errors.Is(err, store.ErrFull):
 		return http.StatusInsufficientStorage
--- a/internal/store/admin/wire_test.go
+++ b/internal/store/admin/wire_test.go
@@ -99,7 +99,7 @@
 		{store.ErrTooLarge, http.StatusBadRequest, `{}`},
 		{store.ErrBadKey, http.StatusBadRequest, `{}`},
 		{ErrBadRequest, http.StatusBadRequest, `{}`},
-		{store.ErrLevel, http.StatusPreconditionFailed, `{}`},
+		{store.ErrUnsupportedLevel, http.StatusPreconditionFailed, `{}`},
 		{store.ErrFull, http.StatusInsufficientStorage, `{}`},
 		{store.ErrUnknownMember, http.StatusConflict, `{}`},
 		{store.ErrLeaseNotFound, http.StatusConflict, `{"no_lease":true}`},
--- a/internal/store/apply.go
+++ b/internal/store/apply.go
@@ -56,7 +56,7 @@
 func (s *State) raiseLevel(raise *RaiseLevel) Result {
 	for _, m := range s.members {
 		if m.Level < raise.Level {
-			return Result{Err: ErrLevel}
+			return Result{Err: ErrUnsupportedLevel}
 		}
 	}
 	s.level = max(s.level, raise.Level)
@@ -67,7 +67,7 @@
 // replica calls it before it proposes a command, so that such a command is not replicated.
 func (s *State) Validate(command *Command) error {
 	if command.RequiredLevel() > s.level {
-		return ErrLevel
+		return ErrUnsupportedLevel
 	}
 	if command.GrantLease != nil && len(command.GrantLease.Owner) > s.limits.KeyBytes {
 		return ErrTooLarge
--- a/internal/store/follower/propose.go
+++ b/internal/store/follower/propose.go
@@ -95,7 +95,7 @@
 	case http.StatusInsufficientStorage:
 		return store.ErrFull
 	case http.StatusPreconditionFailed:
-		return store.ErrLevel
+		return store.ErrUnsupportedLevel
 	case http.StatusBadRequest, http.StatusConflict:
 		if sent.LeaseNotFound {
 			return store.ErrLeaseNotFound
--- a/internal/store/replica/propose.go
+++ b/internal/store/replica/propose.go
@@ -57,7 +57,7 @@
 
 func (n *Node) validate(c *store.Command) error {
 	err := n.state.Validate(c)
-	if errors.Is(err, store.ErrLevel) && n.cfg.Defects.has(IgnoreLevel) {
+	if errors.Is(err, store.ErrUnsupportedLevel) && n.cfg.Defects.has(IgnoreLevel) {
 		return nil
 	}
 	return err
--- a/internal/store/replica/replica_test.go
+++ b/internal/store/replica/replica_test.go
@@ -95,7 +95,7 @@
 		t.Fatal(err)
 	}
 	a.ticks(40)
-	if d := a.do(putWithKeyLimit("p/1")); !errors.Is(d.Result.Err, store.ErrLevel) || a.node.State().Level() != 1 {
+	if d := a.do(putWithKeyLimit("p/1")); !errors.Is(d.Result.Err, store.ErrUnsupportedLevel) || a.node.State().Level() != 1 {
 		t.Fatal("at level 1:", d, a.node.State().Level())
 	}
 	a.stop()
--- a/internal/store/result.go
+++ b/internal/store/result.go
@@ -6,14 +6,14 @@
 // the same command. ErrFull covers all limits on the number or size of what is stored; ErrUnknownMember also covers a
 // name in use, a disk or start that differs from the registered one, and the removal of the last member.
 var (
-	ErrTooLarge       = errors.New("key, value or transaction is too large")
-	ErrFull           = errors.New("the store is full or a limit on its keys, leases or members is reached")
-	ErrLeaseNotFound  = errors.New("there is no such lease, or it has another owner")
-	ErrBadKey         = errors.New("a key, key limit or member name is invalid or given twice")
-	ErrRequestExpired = errors.New("the request is too old to tell whether it was applied before")
-	ErrUnknownMember  = errors.New("the member is unknown or registered with other data")
-	ErrLevel          = errors.New("the command level is not supported by all members yet")
-	ErrUnknownCommand = errors.New("the command requires a newer build")
+	ErrTooLarge         = errors.New("key, value or transaction is too large")
+	ErrFull             = errors.New("the store is full or a limit on its keys, leases or members is reached")
+	ErrLeaseNotFound    = errors.New("there is no such lease, or it has another owner")
+	ErrBadKey           = errors.New("a key, key limit or member name is invalid or given twice")
+	ErrRequestExpired   = errors.New("the request is too old to tell whether it was applied before")
+	ErrUnknownMember    = errors.New("the member is unknown or registered with other data")
+	ErrUnsupportedLevel = errors.New("the command level is not supported by all members yet")
+	ErrUnknownCommand   = errors.New("the command requires a newer build")
 )
 
 // results caches the outcomes of requests, so that a retry gets the outcome of the attempt that was applied.
--- a/internal/store/save.go
+++ b/internal/store/save.go
@@ -71,7 +71,7 @@
 	ErrBadKey,
 	ErrRequestExpired,
 	ErrUnknownMember,
-	ErrLevel,
+	ErrUnsupportedLevel,
 	ErrUnknownCommand,
 }
 
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -216,7 +216,7 @@
 		limits := []KeyLimit{{Prefix: "p/", MaxKeys: 2}}
 		return s.Apply(index, &Command{Txn: &Txn{Then: []Op{{Key: key, Delete: deleted}}, KeyLimits: limits}}).Err
 	}
-	if err := apply(1, "p/1", false); !errors.Is(err, ErrLevel) || s.Len() != 0 {
+	if err := apply(1, "p/1", false); !errors.Is(err, ErrUnsupportedLevel) || s.Len() != 0 {
 		t.Fatal("a key limit was not rejected before its level was enabled:", err)
 	}
 	if r := s.Apply(2, &Command{RaiseLevel: &RaiseLevel{Level: Level}}); r.Err != nil {
