--- a/internal/store/admin/call.go
+++ b/internal/store/admin/call.go
@@ -112,7 +112,7 @@
 }
 
 func isConflict(err error) bool {
-	return errors.Is(err, store.ErrUnknownMember) || errors.Is(err, store.ErrLeaseNotFound) ||
+	return errors.Is(err, store.ErrInvalidMember) || errors.Is(err, store.ErrLeaseNotFound) ||
 		errors.Is(err, store.ErrRequestExpired)
 }
 
--- a/internal/store/admin/wire_test.go
+++ b/internal/store/admin/wire_test.go
@@ -101,7 +101,7 @@
 		{ErrBadRequest, http.StatusBadRequest, `{}`},
 		{store.ErrUnsupportedLevel, http.StatusPreconditionFailed, `{}`},
 		{store.ErrFull, http.StatusInsufficientStorage, `{}`},
-		{store.ErrUnknownMember, http.StatusConflict, `{}`},
+		{store.ErrInvalidMember, http.StatusConflict, `{}`},
 		{store.ErrLeaseNotFound, http.StatusConflict, `{"no_lease":true}`},
 		{store.ErrRequestExpired, http.StatusConflict, `{}`},
 		{NotFound(errors.New("no such thing")), http.StatusNotFound, `{}`},
--- a/internal/store/member.go
+++ b/internal/store/member.go
@@ -52,7 +52,7 @@
 	}
 	for _, m := range s.members {
 		if m.Name == add.Name {
-			return Result{MemberID: m.ID, Err: ErrUnknownMember}
+			return Result{MemberID: m.ID, Err: ErrInvalidMember}
 		}
 	}
 	s.lastID++
@@ -64,12 +64,12 @@
 func (s *State) registerStart(start *RegisterStart) Result {
 	i := s.memberIndex(start.MemberID)
 	if i < 0 {
-		return Result{Err: ErrUnknownMember}
+		return Result{Err: ErrInvalidMember}
 	}
 	m := s.members[i]
 	otherDisk := m.DiskID != 0 && m.DiskID != start.DiskID
 	if otherDisk || m.Boot > start.Boot {
-		return Result{MemberID: start.MemberID, Err: ErrUnknownMember}
+		return Result{MemberID: start.MemberID, Err: ErrInvalidMember}
 	}
 	m.DiskID, m.Boot, m.Level = start.DiskID, start.Boot, start.Level
 	s.members = slices.Clone(s.members)
@@ -80,7 +80,7 @@
 func (s *State) removeMember(remove *RemoveMember) Result {
 	i := s.memberIndex(remove.MemberID)
 	if i < 0 || len(s.members) == 1 {
-		return Result{Err: ErrUnknownMember}
+		return Result{Err: ErrInvalidMember}
 	}
 	s.members = slices.Delete(slices.Clone(s.members), i, i+1)
 	return Result{MemberID: remove.MemberID}
--- a/internal/store/result.go
+++ b/internal/store/result.go
@@ -11,7 +11,7 @@
 	ErrLeaseNotFound    = errors.New("there is no such lease, or it has another owner")
 	ErrBadKey           = errors.New("a key, key limit or member name is invalid or given twice")
 	ErrRequestExpired   = errors.New("the request is too old to tell whether it was applied before")
-	ErrUnknownMember    = errors.New("the member is unknown or registered with other data")
+	ErrInvalidMember    = errors.New("the member is unknown or registered with other data")
 	ErrUnsupportedLevel = errors.New("the command level is not supported by all members yet")
 	ErrUnknownCommand   = errors.New("the command requires a newer build")
 )
--- a/internal/store/save.go
+++ b/internal/store/save.go
@@ -70,7 +70,7 @@
 	ErrLeaseNotFound,
 	ErrBadKey,
 	ErrRequestExpired,
-	ErrUnknownMember,
+	ErrInvalidMember,
 	ErrUnsupportedLevel,
 	ErrUnknownCommand,
 }
