--- a/internal/store/command.go
+++ b/internal/store/command.go
@@ -99,7 +99,7 @@
 	Owner string `cbor:"4,keyasint,omitempty"`
 }
 
-// AddMember adds a member as a learner, which is promoted to a voter later. It fails with ErrUnknownMember if another
+// AddMember adds a member as a learner, which is promoted to a voter later. It fails with ErrInvalidMember if another
 // member has the name.
 type AddMember struct {
 	Name    string `cbor:"1,keyasint"`
@@ -108,7 +108,7 @@
 
 // RegisterStart is the first command that a member proposes after each start. It reports the member's disk, the number
 // of starts from that disk (Boot) and the highest level of commands that the member's build knows. It fails with
-// ErrUnknownMember if the member is registered with another disk, or with a later start of the same disk.
+// ErrInvalidMember if the member is registered with another disk, or with a later start of the same disk.
 type RegisterStart struct {
 	MemberID uint64 `cbor:"1,keyasint"`
 	DiskID   uint64 `cbor:"2,keyasint"`
@@ -121,7 +121,8 @@
 	MemberID uint64 `cbor:"1,keyasint"`
 }
 
-// RaiseLevel enables the commands up to a level. It fails with ErrLevel if a member does not know that level.
+// RaiseLevel enables the commands up to a level. It fails with ErrUnsupportedLevel if a member does not know that
+// level.
 type RaiseLevel struct {
 	Level uint64 `cbor:"1,keyasint"`
 }
--- a/internal/store/engine/engine_test.go
+++ b/internal/store/engine/engine_test.go
@@ -389,7 +389,7 @@
 	}
 }
 
-func TestNextReturnsAllChangesOrCompacted(t *testing.T) {
+func TestNextChangesReturnsAllOrCompacted(t *testing.T) {
 	e, err := Open(Config{
 		Name: "a", Dir: t.TempDir(), DiskOptions: disk.Options{NoSync: true}, TickInterval: 10 * time.Millisecond,
 		Limits: store.Limits{
--- a/internal/store/engine/loop.go
+++ b/internal/store/engine/loop.go
@@ -116,7 +116,7 @@
 }
 
 // process has the replica process its inputs, and acts on the output: it sends messages, completes requests, saves a
-// snapshot, updates the peers of the transport and wakes the callers of Next.
+// snapshot, updates the peers of the transport and wakes the callers of NextChanges.
 func (e *Engine) process() {
 	revisionBefore := e.node.State().Revision()
 	out := e.node.Process()
--- a/internal/store/engine/request.go
+++ b/internal/store/engine/request.go
@@ -17,8 +17,8 @@
 	maxRetryDelay = 500 * time.Millisecond
 )
 
-// OutcomeUnknownError reports that a change may have been made or not. A retry of the request with the same ID is applied at
-// most once and returns the outcome.
+// OutcomeUnknownError reports that a change may have been made or not. A retry of the request with the same ID is
+// applied at most once and returns the outcome.
 type OutcomeUnknownError struct{ ID store.RequestID }
 
 // Error implements error.
@@ -31,7 +31,7 @@
 
 // Do requests a change and returns its outcome. It gives the request an ID if it has none. It retries, with a growing
 // delay, until the outcome is known, ctx ends or no retry can succeed. In the last two cases the error is an
-// *UnknownError if the change may have been made.
+// *OutcomeUnknownError if the change may have been made.
 func (e *Engine) Do(ctx context.Context, command store.Command) (store.Result, error) {
 	if command.ID == (store.RequestID{}) {
 		command.ID = store.RequestID{Client: e.clientID, Seq: e.lastSeq.Add(1)}
--- a/internal/store/engine/view.go
+++ b/internal/store/engine/view.go
@@ -72,8 +72,8 @@
 	return age
 }
 
-// CloneState returns a clone of the current state, which includes every change that was acknowledged before the call. The
-// caller may save it. The error wraps replica.ErrNoLeader if no leader was known until ctx ended.
+// CloneState returns a clone of the current state, which includes every change that was acknowledged before the call.
+// The caller may save it. The error wraps replica.ErrNoLeader if no leader was known until ctx ended.
 func (e *Engine) CloneState(ctx context.Context) (*store.State, error) {
 	var clone *store.State
 	_, err := e.View(ctx, false, func(current *store.State) { clone = current.Clone() })
@@ -83,10 +83,13 @@
 	return clone, err
 }
 
-// NextChanges returns the changes after a revision of the keys with a prefix, and the revision up to which they are complete.
-// It waits until there is at least one. It stops after maxEvents events, but never splits the events of one revision,
-// so that it may return more. The error is a *store.CompactedError if the history does not reach back to the revision.
-func (e *Engine) NextChanges(ctx context.Context, prefix string, after uint64, maxEvents int) ([]store.Event, uint64, error) {
+// NextChanges returns the changes after a revision of the keys with a prefix, and the revision up to which they are
+// complete. It waits until there is at least one. It stops after maxEvents events, but never splits the events of one
+// revision, so that it may return more. The error is a *store.CompactedError if the history does not reach back to the
+// revision.
+func (e *Engine) NextChanges(
+	ctx context.Context, prefix string, after uint64, maxEvents int,
+) ([]store.Event, uint64, error) {
 	for {
 		changed := *e.revisionChanged.Load()
 		var events []store.Event
--- a/internal/store/frozen_test.go
+++ b/internal/store/frozen_test.go
@@ -192,7 +192,7 @@
 	put := func(k string, lease uint64) *Command {
 		return &Command{Txn: &Txn{Then: []Op{{Key: k, Value: []byte("v" + k), LeaseID: lease}}}}
 	}
-	apply(&Command{GrantLease: &GrantLease{TTLMillis: 5000, Owner: "p"}}) // ErrLevel
+	apply(&Command{GrantLease: &GrantLease{TTLMillis: 5000, Owner: "p"}}) // ErrUnsupportedLevel
 	apply(&Command{RaiseLevel: &RaiseLevel{Level: 3}})
 	apply(&Command{GrantLease: &GrantLease{TTLMillis: 5000, Owner: "p"}})
 	apply(&Command{RenewLease: &RenewLease{LeaseID: 2, Owner: "p"}})
@@ -214,7 +214,7 @@
 	}})
 	apply(&Command{RenewLease: &RenewLease{LeaseID: 9}})      // ErrLeaseNotFound
 	apply(put("", 0))                                         // ErrBadKey
-	apply(&Command{RemoveMember: &RemoveMember{MemberID: 9}}) // ErrUnknownMember
+	apply(&Command{RemoveMember: &RemoveMember{MemberID: 9}}) // ErrInvalidMember
 	apply(&Command{})                                         // ErrUnknownCommand
 	return s
 }
--- a/internal/store/result.go
+++ b/internal/store/result.go
@@ -3,16 +3,17 @@
 import "errors"
 
 // Errors of commands. They are outcomes of a command, not failures of a replica: all replicas return the same error for
-// the same command. ErrFull covers all limits on the number or size of what is stored; ErrUnknownMember also covers a
-// name in use, a disk or start that differs from the registered one, and the removal of the last member.
+// the same command. ErrFull covers all limits on the number or size of what is stored. ErrInvalidMember covers an
+// unknown member, a name in use, another disk than the registered one, an earlier start than the registered one, and
+// the removal of the last member.
 var (
 	ErrTooLarge         = errors.New("key, value or transaction is too large")
 	ErrFull             = errors.New("the store is full or a limit on its keys, leases or members is reached")
 	ErrLeaseNotFound    = errors.New("there is no such lease, or it has another owner")
 	ErrBadKey           = errors.New("a key, key limit or member name is invalid or given twice")
 	ErrRequestExpired   = errors.New("the request is too old to tell whether it was applied before")
-	ErrInvalidMember    = errors.New("the member is unknown or registered with other data")
-	ErrUnsupportedLevel = errors.New("the command level is not supported by all members yet")
+	ErrInvalidMember    = errors.New("the member is unknown, conflicts with a registered one, or is the last one")
+	ErrUnsupportedLevel = errors.New("the cluster has not enabled the command level, or a member does not support it")
 	ErrUnknownCommand   = errors.New("the command requires a newer build")
 )
 
