--- a/internal/store/admin/call.go
+++ b/internal/store/admin/call.go
@@ -85,7 +85,7 @@
 
 func statusOf(err error) int {
 	var (
-		unknown   *engine.UnknownError
+		unknown   *engine.OutcomeUnknownError
 		compacted *store.CompactedError
 		notFound  notFoundError
 		notHeld   *store.NotHeldError
@@ -97,7 +97,7 @@
 		return http.StatusGone
 	case errors.Is(err, store.ErrTooLarge), errors.Is(err, store.ErrBadKey), errors.Is(err, ErrBadRequest):
 		return http.StatusBadRequest
-	case errors.Is(err, store.ErrLevel):
+	case errors.Is(err, store.ErrUnsupportedLevel):
 		return http.StatusPreconditionFailed
 	case errors.Is(err, store.ErrFull):
 		return http.StatusInsufficientStorage
@@ -112,13 +112,13 @@
 }
 
 func isConflict(err error) bool {
-	return errors.Is(err, store.ErrUnknownMember) || errors.Is(err, store.ErrLeaseNotFound) ||
+	return errors.Is(err, store.ErrInvalidMember) || errors.Is(err, store.ErrLeaseNotFound) ||
 		errors.Is(err, store.ErrRequestExpired)
 }
 
 // unknownRequest is the id of a request whose outcome is unknown, or nil if an error is another one.
 func unknownRequest(err error) *store.RequestID {
-	var unknown *engine.UnknownError
+	var unknown *engine.OutcomeUnknownError
 	if !errors.As(err, &unknown) {
 		return nil
 	}
--- a/internal/store/follower/propose.go
+++ b/internal/store/follower/propose.go
@@ -50,7 +50,7 @@
 		f.pause(ctx, delays)
 	}
 	if mayBeSent {
-		return store.Result{}, &engine.UnknownError{ID: command.ID}
+		return store.Result{}, &engine.OutcomeUnknownError{ID: command.ID}
 	}
 	return store.Result{}, lastErr
 }
@@ -95,7 +95,7 @@
 	case http.StatusInsufficientStorage:
 		return store.ErrFull
 	case http.StatusPreconditionFailed:
-		return store.ErrLevel
+		return store.ErrUnsupportedLevel
 	case http.StatusBadRequest, http.StatusConflict:
 		if sent.LeaseNotFound {
 			return store.ErrLeaseNotFound
--- a/internal/store/replica/propose.go
+++ b/internal/store/replica/propose.go
@@ -60,7 +60,7 @@
 // validate returns why the state rejects a command. The defect IgnoreLevel suppresses the check of its level.
 func (n *Node) validate(command *store.Command) error {
 	err := n.state.Validate(command)
-	if errors.Is(err, store.ErrLevel) && n.cfg.Defects.has(IgnoreLevel) {
+	if errors.Is(err, store.ErrUnsupportedLevel) && n.cfg.Defects.has(IgnoreLevel) {
 		return nil
 	}
 	return err
--- a/internal/store/replica/replica_test.go
+++ b/internal/store/replica/replica_test.go
@@ -94,7 +94,7 @@
 		t.Fatal(err)
 	}
 	single.tick(40)
-	if got := single.do(putWithKeyLimit("p/1")); !errors.Is(got.Result.Err, store.ErrLevel) ||
+	if got := single.do(putWithKeyLimit("p/1")); !errors.Is(got.Result.Err, store.ErrUnsupportedLevel) ||
 		single.node.State().Level() != 1 {
 		t.Fatal("put with a key limit at level 1: want ErrLevel:", got, single.node.State().Level())
 	}
