--- a/internal/dataplane/core/actions.go
+++ b/internal/dataplane/core/actions.go
@@ -6,80 +6,81 @@
 	"birchmoor/balancer"
 )
 
-// The methods in this file implement balancer.Actions. The module calls them on the loop's goroutine.
+// The methods in this file implement balancer.Actions. The decision module calls them on the loop's goroutine.
 
-// Send starts an attempt.
+// Send starts the next attempt of a request at the endpoint with a number. A timeout of 0 leaves only the client's
+// deadline.
 func (l *EventLoop) Send(id uint64, number uint32, timeout balancer.Micros) {
-	if r := l.requests[id]; r != nil {
-		l.startAttempt(r, l.byNumber[number], number, timeout)
+	if request := l.requests[id]; request != nil {
+		l.startAttempt(request, l.endpointsByNumber[number], number, timeout)
 	}
 }
 
-// Reject gives a request the final answer Rejected, which promises its client that a retry is harmless.
+// Reject gives a request the final answer Rejected: the request never ran, so that the client may safely retry it.
 func (l *EventLoop) Reject(id uint64, retryAfter balancer.Micros) {
-	r := l.requests[id]
-	if r == nil || r.ended {
+	request := l.requests[id]
+	if request == nil || request.ended {
 		return
 	}
-	l.answer(r, Answer{Disposition: Rejected, RetryAfter: time.Duration(retryAfter) * time.Microsecond})
-	l.forget(r)
+	l.answer(request, Answer{Disposition: Rejected, RetryAfter: time.Duration(retryAfter) * time.Microsecond})
+	l.removeIfDone(request)
 }
 
-// Fail gives a request the final answer Failed, which promises nothing.
+// Fail gives a request the final answer Failed, or FailedTimeout after a timeout: the request may have run.
 func (l *EventLoop) Fail(id uint64) {
-	r := l.requests[id]
-	if r == nil || r.ended {
+	request := l.requests[id]
+	if request == nil || request.ended {
 		return
 	}
 	disposition := Failed
-	if r.timedOut {
+	if request.timedOut {
 		disposition = FailedTimeout
 	}
-	l.answer(r, Answer{Disposition: disposition})
-	l.forget(r)
+	l.answer(request, Answer{Disposition: disposition})
+	l.removeIfDone(request)
 }
 
-// Cancel closes the connection of an attempt. One of which nothing was sent never ran.
+// Cancel cancels an open attempt. Its outcome is NotSent if its first byte was not sent yet, else Cancelled.
 func (l *EventLoop) Cancel(id uint64, number int) {
-	r := l.requests[id]
-	if r == nil || number < 0 || number >= len(r.attempts) {
+	request := l.requests[id]
+	if request == nil || number < 0 || number >= len(request.attempts) {
 		return
 	}
-	a := r.attempts[number]
-	if a.phase != attemptOpen {
+	attempt := request.attempts[number]
+	if attempt.phase != attemptOpen {
 		return
 	}
 	status := balancer.Cancelled
-	if a.gate.close() {
+	if attempt.gate.close() {
 		status = balancer.NotSent
 	}
-	a.cancel()
+	attempt.cancel()
 	now := l.clock.Now()
-	l.setTimer(now, func(now balancer.Micros) { l.attemptEnded(now, a, Reply{Status: status, At: now}) })
+	l.setTimer(now, func(now balancer.Micros) { l.attemptEnded(now, attempt, Reply{Status: status, At: now}) })
 }
 
-// Timer requests a timer event.
+// Timer calls the module's Timer with token after delay.
 func (l *EventLoop) Timer(delay balancer.Micros, token uint32) {
 	l.setTimer(l.clock.Now()+delay, func(now balancer.Micros) { l.balancer.Timer(now, token) })
 }
 
-// Probe asks an endpoint for its load.
+// Probe requests the load report of an endpoint, and passes the result on to the module.
 func (l *EventLoop) Probe(number uint32) {
-	e := l.byNumber[number]
-	if e == nil {
+	endpoint := l.endpointsByNumber[number]
+	if endpoint == nil {
 		return
 	}
-	sent, target := l.clock.Now(), e.target
+	sentAt, target := l.clock.Now(), endpoint.target
 	go func() {
 		reply := target.Probe()
 		l.post(func(now balancer.Micros) {
-			l.balancer.ProbeCompleted(now, number, reply.Status, max(0, reply.At-sent), reply.Load)
+			l.balancer.ProbeCompleted(now, number, reply.Status, max(0, reply.At-sentAt), reply.Load)
 		})
 	}()
 }
 
 // Watch subscribes to changes of discovery's list, or ends the subscription.
-func (l *EventLoop) Watch(on bool) { l.setWatch(on) }
+func (l *EventLoop) Watch(subscribed bool) { l.setWatch(subscribed) }
 
-// Log logs a line for operators.
+// Log writes a line of the decision module to the operators' log.
 func (l *EventLoop) Log(line string) { l.log.Info(line) }
--- a/internal/dataplane/core/attempts.go
+++ b/internal/dataplane/core/attempts.go
@@ -7,109 +7,114 @@
 	"birchmoor/balancer"
 )
 
-// startAttempt starts the next attempt of a request at an endpoint, which is nil if it was removed from the list in the
-// meantime. A timeout of 0 is none but the client's deadline.
-func (l *EventLoop) startAttempt(r *Request, e *endpoint, number uint32, timeout balancer.Micros) {
+// startAttempt starts the next attempt of a request at the endpoint with a number. endpoint is nil if that was removed
+// from the list in the meantime: the attempt then ends as NotSent. A timeout of 0 leaves only the client's deadline.
+func (l *EventLoop) startAttempt(request *Request, endpoint *endpointState, number uint32, timeout balancer.Micros) {
 	now := l.clock.Now()
 	ctx, cancel := context.WithCancel(context.Background())
-	a := &attemptState{
-		request:     r,
-		number:      len(r.attempts),
-		endpoint:    e,
+	attempt := &attemptState{
+		request:     request,
+		number:      len(request.attempts),
+		endpoint:    endpoint,
 		startedAt:   now,
 		startedTime: time.Now(),
-		deadline:    r.Input.Deadline,
+		deadline:    request.Input.Deadline,
 		cancel:      cancel,
-		closed:      make(chan struct{}),
+		sendDone:    make(chan struct{}),
 	}
 	if timeout > 0 {
-		a.deadline = min(a.deadline, now+timeout)
-	}
-	retryDeadline, waitForOthers := r.retryDeadline(), r.waitForOthers(l.upstream) // of the attempts before
-	r.attempts = append(r.attempts, a)
-	r.openAttempts++
-	if r.ended || e == nil || now >= a.deadline || len(r.attempts) > r.maxAttempts() {
-		close(a.closed)
-		if e == nil {
-			a.endpoint = &endpoint{number: number}
+		attempt.deadline = min(attempt.deadline, now+timeout)
+	}
+	// Both depend on the earlier attempts only, so they come before the new attempt is added.
+	retryDeadline, waitForEarlierAttempts := request.retryDeadline(), request.waitForEarlierAttempts(l.upstream)
+	request.attempts = append(request.attempts, attempt)
+	request.openAttempts++
+	if request.ended || endpoint == nil || now >= attempt.deadline || len(request.attempts) > request.maxAttempts() {
+		close(attempt.sendDone)
+		if endpoint == nil {
+			attempt.endpoint = &endpointState{number: number}
 		}
 		notSent := Reply{Status: balancer.NotSent, At: now}
-		l.setTimer(now, func(now balancer.Micros) { l.attemptEnded(now, a, notSent) })
+		l.setTimer(now, func(now balancer.Micros) { l.attemptEnded(now, attempt, notSent) })
 		return
 	}
-	a.timeout = l.setTimer(a.deadline, func(now balancer.Micros) { l.attemptTimedOut(now, a) })
-	a.uploading = r.StreamsBody && r.Input.BodyStreaming
-	mayContinue := l.attemptCondition(a, retryDeadline)
-	target := e.target
+	attempt.timeout = l.setTimer(attempt.deadline, func(now balancer.Micros) { l.attemptTimedOut(now, attempt) })
+	attempt.uploading = request.StreamsBody && request.Input.BodyStreaming
+	mayContinue := l.attemptCondition(attempt, retryDeadline)
+	target := endpoint.target
 	go func() {
-		defer close(a.closed)
-		waitForOthers()
-		l.send(ctx, a, target, mayContinue)
+		defer close(attempt.sendDone)
+		waitForEarlierAttempts()
+		l.send(ctx, attempt, target, mayContinue)
 	}()
 }
 
-// attemptCondition returns a function that reports whether an attempt may still be sent. The dial may have outlasted
-// the grace of a drain, the time of the request, or the window for its retries.
-func (l *EventLoop) attemptCondition(a *attemptState, retryDeadline balancer.Micros) func(now balancer.Micros) bool {
-	endpoint, deadline := a.endpoint, min(a.deadline, retryDeadline)
+// attemptCondition returns a function that reports whether an attempt may still be sent. While the attempt waited for a
+// connection, the grace period of a drain, the deadline or the idempotency window may have ended, or the client may
+// have disconnected. The function may be called from any goroutine.
+func (l *EventLoop) attemptCondition(attempt *attemptState, retryDeadline balancer.Micros,
+) func(now balancer.Micros) bool {
+	endpoint, deadline := attempt.endpoint, min(attempt.deadline, retryDeadline)
 	return func(now balancer.Micros) bool {
 		stopAt := endpoint.stopAt.Load()
 		draining := stopAt != 0 && now >= stopAt
-		return !draining && now < deadline && !l.clientGone(a.request)
+		return !draining && now < deadline && !l.clientGone(attempt.request)
 	}
 }
 
 // send makes an attempt and posts its result to the loop. It runs on the attempt's goroutine.
-func (l *EventLoop) send(ctx context.Context, a *attemptState, target Target, mayContinue func(balancer.Micros) bool) {
+func (l *EventLoop) send(ctx context.Context, attempt *attemptState, target Target,
+	mayContinue func(balancer.Micros) bool) {
 	reply := target.Send(ctx, Attempt{
-		Request:     a.request.Payload,
-		Deadline:    a.deadline,
+		Request:     attempt.request.Payload,
+		Deadline:    attempt.deadline,
 		MayContinue: mayContinue,
-		Begin:       func(now balancer.Micros) bool { return mayContinue(now) && a.gate.pass() },
+		Begin:       func(now balancer.Micros) bool { return mayContinue(now) && attempt.gate.pass() },
 		BodySent: func(balancer.Micros) {
-			l.post(func(now balancer.Micros) { l.bodySent(now, a) })
+			l.post(func(now balancer.Micros) { l.bodySent(now, attempt) })
 		},
 	})
 	l.post(func(now balancer.Micros) {
 		if reply.Content != nil && reply.Content.Streams() {
-			l.streamBegins(now, a, reply)
+			l.streamStarted(now, attempt, reply)
 			return
 		}
-		l.attemptEnded(now, a, reply)
+		l.attemptEnded(now, attempt, reply)
 	})
 }
 
-// bodySent notes that a streamed body was sent completely: the client's time counts from here.
-func (l *EventLoop) bodySent(now balancer.Micros, a *attemptState) {
-	if a.phase != attemptOpen {
+// bodySent restarts the deadline of an attempt and its request when their streamed body has been sent completely: the
+// client's timeout counts from the last byte of the body.
+func (l *EventLoop) bodySent(now balancer.Micros, attempt *attemptState) {
+	if attempt.phase != attemptOpen {
 		return
 	}
-	r := a.request
-	a.uploading = false
-	a.startedAt, a.startedTime = now, time.Now()
-	r.Input.Deadline = now + r.TimeAfterBody
-	a.deadline = r.Input.Deadline
-	l.stopTimer(a.timeout)
-	a.timeout = l.setTimer(a.deadline, func(now balancer.Micros) { l.attemptTimedOut(now, a) })
-	l.balancer.UploadComplete(now, r.Input.ID, r.Input.Deadline)
+	request := attempt.request
+	attempt.uploading = false
+	attempt.startedAt, attempt.startedTime = now, time.Now()
+	request.Input.Deadline = now + request.TimeAfterBody
+	attempt.deadline = request.Input.Deadline
+	l.stopTimer(attempt.timeout)
+	attempt.timeout = l.setTimer(attempt.deadline, func(now balancer.Micros) { l.attemptTimedOut(now, attempt) })
+	l.balancer.UploadComplete(now, request.Input.ID, request.Input.Deadline)
 }
 
-// streamBegins gives the client a streamed answer. It is the final one; how it ends is reported later.
-func (l *EventLoop) streamBegins(now balancer.Micros, a *attemptState, reply Reply) {
-	r := a.request
-	if a.phase != attemptOpen || r.ended {
+// streamStarted gives the client a streamed answer, which is final. The attempt ends when the stream does.
+func (l *EventLoop) streamStarted(now balancer.Micros, attempt *attemptState, reply Reply) {
+	request := attempt.request
+	if attempt.phase != attemptOpen || request.ended {
 		reply.Release()
 		reply.Status = balancer.Cancelled
-		l.attemptEnded(now, a, reply)
+		l.attemptEnded(now, attempt, reply)
 		return
 	}
-	l.stopTimer(a.timeout)
+	l.stopTimer(attempt.timeout)
 	streamEnded := func(end StreamEnd) {
 		result := Reply{Status: streamStatus(end), At: reply.At, Load: reply.Load}
-		l.post(func(now balancer.Micros) { l.attemptEnded(now, a, result) })
+		l.post(func(now balancer.Micros) { l.attemptEnded(now, attempt, result) })
 	}
-	l.answer(r, Answer{Disposition: Served, Reply: &reply, StreamEnded: streamEnded})
-	l.balancer.ResponseStarted(now, r.Input.ID, a.number, max(0, reply.At-a.startedAt))
+	l.answer(request, Answer{Disposition: Served, Reply: &reply, StreamEnded: streamEnded})
+	l.balancer.ResponseStarted(now, request.Input.ID, attempt.number, max(0, reply.At-attempt.startedAt))
 }
 
 func streamStatus(end StreamEnd) balancer.Status {
@@ -123,87 +128,87 @@
 	}
 }
 
-// attemptEnded passes the outcome of an attempt on to the module. The first complete reply of an endpoint is the
-// client's.
-func (l *EventLoop) attemptEnded(now balancer.Micros, a *attemptState, reply Reply) {
-	r := a.request
-	if a.phase != attemptOpen {
-		l.replyAfterOutcome(now, a, reply)
+// attemptEnded passes the outcome of an attempt on to the module. The client receives the first complete reply of any
+// attempt; later replies are released.
+func (l *EventLoop) attemptEnded(now balancer.Micros, attempt *attemptState, reply Reply) {
+	request := attempt.request
+	if attempt.phase != attemptOpen {
+		l.replyAfterOutcome(now, attempt, reply)
 		return
 	}
-	a.neverRan = reply.Status == balancer.Rejected || reply.Status == balancer.ConnectFailed ||
+	attempt.neverRan = reply.Status == balancer.Rejected || reply.Status == balancer.ConnectFailed ||
 		reply.Status == balancer.NotSent
-	if reply.Status == balancer.Timeout && !r.ended && l.upstream.AcceptsLateReplies() {
-		a.phase = attemptLateReply
+	if reply.Status == balancer.Timeout && !request.ended && l.upstream.AcceptsLateReplies() {
+		attempt.phase = attemptLateReply
 	} else {
-		a.phase = attemptDone
-		a.cancel()
-	}
-	l.stopTimer(a.timeout)
-	r.openAttempts--
-	r.timedOut = reply.Status == balancer.Timeout
-	if reply.Status == balancer.OK && !r.ended {
-		l.answer(r, Answer{Disposition: Served, Reply: &reply})
+		attempt.phase = attemptDone
+		attempt.cancel()
+	}
+	l.stopTimer(attempt.timeout)
+	request.openAttempts--
+	request.timedOut = reply.Status == balancer.Timeout
+	if reply.Status == balancer.OK && !request.ended {
+		l.answer(request, Answer{Disposition: Served, Reply: &reply})
 	} else {
 		reply.Release()
 	}
-	l.forget(r)
+	l.removeIfDone(request)
 	l.balancer.Outcome(now, balancer.Outcome{
-		ID:            r.Input.ID,
-		Attempt:       a.number,
-		Endpoint:      a.endpoint.number,
+		ID:            request.Input.ID,
+		Attempt:       attempt.number,
+		Endpoint:      attempt.endpoint.number,
 		Status:        reply.Status,
-		Latency:       max(0, reply.At-a.startedAt),
-		Answered:      r.ended,
+		Latency:       max(0, reply.At-attempt.startedAt),
+		Answered:      request.ended,
 		NotReplayable: reply.RequestConsumed,
 		Load:          reply.Load,
 	})
 }
 
-// replyAfterOutcome handles the result of an attempt whose outcome the module has already. After a timeout the client
-// may still want it.
-func (l *EventLoop) replyAfterOutcome(now balancer.Micros, a *attemptState, reply Reply) {
-	if a.phase == attemptLateReply && !a.request.ended && reply.Status == balancer.OK {
-		l.lateReply(now, a.request, reply)
+// replyAfterOutcome handles the result of an attempt whose outcome the module already has. A complete reply after the
+// attempt's timeout still answers a request that has no answer yet, if the transport accepts late replies.
+func (l *EventLoop) replyAfterOutcome(now balancer.Micros, attempt *attemptState, reply Reply) {
+	if attempt.phase == attemptLateReply && !attempt.request.ended && reply.Status == balancer.OK {
+		l.lateReply(now, attempt.request, reply)
 		return
 	}
 	reply.Release()
 }
 
-// lateReply answers a request by an attempt that timed out for the module. Open attempts are cancelled, by which the
-// module learns that the request has its answer.
-func (l *EventLoop) lateReply(now balancer.Micros, r *Request, reply Reply) {
-	l.answer(r, Answer{Disposition: Served, Reply: &reply})
+// lateReply answers a request with the reply of an attempt whose outcome for the module was a timeout. It cancels the
+// open attempts, whose outcomes tell the module that the request is answered.
+func (l *EventLoop) lateReply(now balancer.Micros, request *Request, reply Reply) {
+	l.answer(request, Answer{Disposition: Served, Reply: &reply})
 	cancelled := false
-	for _, a := range r.attempts {
-		if a.phase == attemptOpen {
-			l.attemptEnded(now, a, Reply{Status: balancer.Cancelled, At: now})
+	for _, attempt := range request.attempts {
+		if attempt.phase == attemptOpen {
+			l.attemptEnded(now, attempt, Reply{Status: balancer.Cancelled, At: now})
 			cancelled = true
 		}
 	}
-	if !cancelled { // the module is holding the request back
-		l.balancer.ClientDisconnected(now, r.Input.ID)
+	if !cancelled { // no outcome tells the module, which is delaying the next attempt
+		l.balancer.ClientDisconnected(now, request.Input.ID)
 	}
 }
 
-// attemptTimedOut ends an attempt at its deadline by the loop's clock, whatever its connection does.
-func (l *EventLoop) attemptTimedOut(now balancer.Micros, a *attemptState) {
-	if a.phase != attemptOpen {
+// attemptTimedOut ends an attempt at its deadline on the loop's clock, even if Target.Send has not returned.
+func (l *EventLoop) attemptTimedOut(now balancer.Micros, attempt *attemptState) {
+	if attempt.phase != attemptOpen {
 		return
 	}
 	status := balancer.Timeout
 	switch {
-	case a.gate.close():
-		// Nothing was sent. Only a dial that had its whole time is evidence against the endpoint.
+	case attempt.gate.close():
+		// Nothing was sent. It counts against the endpoint only if the dial had the whole dial timeout.
 		status = balancer.NotSent
-		if now-a.startedAt >= l.config.Settings.Limits.DialTimeout {
+		if now-attempt.startedAt >= l.config.Settings.Limits.DialTimeout {
 			status = balancer.ConnectFailed
 		}
-	case a.uploading:
-		a.endpoint.target.CloseUnusedSince(a.startedTime)
-		status = balancer.ConnectFailed // its last byte was not sent
+	case attempt.uploading:
+		attempt.endpoint.target.CloseUnusedSince(attempt.startedTime)
+		status = balancer.ConnectFailed // the last byte of the body was not sent
 	default:
-		a.endpoint.target.CloseUnusedSince(a.startedTime)
+		attempt.endpoint.target.CloseUnusedSince(attempt.startedTime)
 	}
-	l.attemptEnded(now, a, Reply{Status: status, At: now, RequestConsumed: a.request.StreamsBody})
+	l.attemptEnded(now, attempt, Reply{Status: status, At: now, RequestConsumed: attempt.request.StreamsBody})
 }
--- a/internal/dataplane/core/drains.go
+++ b/internal/dataplane/core/drains.go
@@ -8,90 +8,96 @@
 	"birchmoor/internal/dataplane/discovery"
 )
 
-const lifecycleDraining = "draining" // of an entry of discovery's list
+// lifecycleDraining is the lifecycle of a draining process in an entry of discovery's list.
+const lifecycleDraining = "draining"
 
-// drainExchange is what daemons report to each other of draining processes.
+// drainExchange holds what daemons report to each other about draining processes.
 type drainExchange struct {
-	report      func(p discovery.Process, drains bool) // nil where there is no exchange
-	draining    map[discovery.Process]bool             // by other daemons
-	latestStart map[serverAddr]int64                   // of those, in milliseconds
+	report      func(process discovery.Process, draining bool) // nil without an exchange
+	draining    map[discovery.Process]bool                     // processes that drain by other daemons' reports
+	latestStart map[serverKey]int64                            // latest StartedMs of those processes
 }
 
-// ShareDrains starts the exchange of drains with other daemons. report is called with what this sidecar's discovery
-// says and must not block; known are the processes that drain already. It is called before Run.
-func (l *EventLoop) ShareDrains(known []discovery.Process, report func(p discovery.Process, drains bool)) {
+// ShareDrains starts the exchange of drains with other daemons. draining are the processes that are known to drain. The
+// loop calls report, which must not block, when a process begins or ceases to drain according to this sidecar's own
+// discovery. ShareDrains must be called before Run.
+func (l *EventLoop) ShareDrains(draining []discovery.Process, report func(process discovery.Process, draining bool)) {
 	l.drains = drainExchange{
 		report:      report,
 		draining:    map[discovery.Process]bool{},
-		latestStart: map[serverAddr]int64{},
+		latestStart: map[serverKey]int64{},
 	}
-	for _, p := range known {
-		l.drains.apply(p, true)
+	for _, process := range draining {
+		l.drains.apply(process, true)
 	}
 }
 
-// ApplyDrain applies another daemon's report on a process, and returns once it is in effect. A report that the process
-// drains no more has no effect while this sidecar's own discovery says that it does.
-func (l *EventLoop) ApplyDrain(ctx context.Context, p discovery.Process, drains bool) error {
-	return l.do(ctx, func(now balancer.Micros) {
-		l.drains.apply(p, drains)
-		l.reapplyEntry(now, p)
+// ApplyDrain applies another daemon's report that a process drains or no longer drains, and returns once the report is
+// in effect. A report that the process no longer drains has no effect while this sidecar's own discovery says that it
+// drains.
+func (l *EventLoop) ApplyDrain(ctx context.Context, process discovery.Process, draining bool) error {
+	return l.runUrgent(ctx, func(now balancer.Micros) {
+		l.drains.apply(process, draining)
+		l.reapplyEntry(now, process)
 	})
 }
 
-// reapplyEntry applies the latest entry of a process's server again, after other daemons reported something of it.
-func (l *EventLoop) reapplyEntry(now balancer.Micros, p discovery.Process) {
-	if e := l.byName[p.ID]; e != nil && e.addr == p.Addr {
-		l.applyList(now, balancer.ListDelta, discovery.List{Instances: []discovery.Instance{e.entry}})
+// reapplyEntry applies the latest entry of a process's server again, because reports of other daemons may have changed
+// its meaning.
+func (l *EventLoop) reapplyEntry(now balancer.Micros, process discovery.Process) {
+	if endpoint := l.endpointsByName[process.ID]; endpoint != nil && endpoint.addr == process.Addr {
+		l.applyList(now, balancer.ListDelta, discovery.List{Instances: []discovery.Instance{endpoint.entry}})
 	}
 }
 
-func (d *drainExchange) apply(p discovery.Process, drains bool) {
-	at := serverAddr{p.ID, p.Addr}
-	if drains {
-		d.draining[p] = true
-		d.latestStart[at] = max(d.latestStart[at], p.StartedMs)
+// apply records another daemon's report.
+func (d *drainExchange) apply(process discovery.Process, draining bool) {
+	server := serverKey{process.ID, process.Addr}
+	if draining {
+		d.draining[process] = true
+		d.latestStart[server] = max(d.latestStart[server], process.StartedMs)
 		return
 	}
-	delete(d.draining, p)
-	delete(d.latestStart, at)
+	delete(d.draining, process)
+	delete(d.latestStart, server)
 	for other := range d.draining {
-		if (serverAddr{other.ID, other.Addr}) == at {
-			d.latestStart[at] = max(d.latestStart[at], other.StartedMs)
+		if (serverKey{other.ID, other.Addr}) == server {
+			d.latestStart[server] = max(d.latestStart[server], other.StartedMs)
 		}
 	}
 }
 
-// drainState reports to other daemons what the latest entry says of a drain, and returns the state that applies here.
-// The entry of a drain may lack everything else; it is then about the process of the entry before.
-func (l *EventLoop) drainState(e *endpoint, state balancer.State) balancer.State {
-	p := e.process()
-	drainListed := e.entry.Lifecycle == lifecycleDraining
-	if drainListed && state != balancer.Removed {
-		p.StartedMs = cmp.Or(p.StartedMs, e.drainedStartMs)
+// drainState reports to other daemons whether the latest entry describes a drain, and returns the state that applies in
+// this sidecar. The entry of a drain may lack the start time; it then describes the same process as the entry before.
+func (l *EventLoop) drainState(endpoint *endpointState, state balancer.State) balancer.State {
+	process := endpoint.process()
+	listedDraining := endpoint.entry.Lifecycle == lifecycleDraining
+	if listedDraining && state != balancer.Removed {
+		process.StartedMs = cmp.Or(process.StartedMs, endpoint.startMsBeforeDrain)
 	} else {
-		e.drainedStartMs = e.entry.StartedMs
+		endpoint.startMsBeforeDrain = endpoint.entry.StartedMs
 	}
-	l.reportDrain(e, p, drainListed && state == balancer.Draining)
-	// Other daemons may know of a later process than this sidecar's list. That one is reached at the address, so that
-	// it matters whether it drains, and not whether the one before it did.
-	at := serverAddr{p.ID, p.Addr}
-	p.StartedMs = max(p.StartedMs, l.starts.byPeers[at].startedMs, l.drains.latestStart[at])
-	if state == balancer.Ready && l.drains.draining[p] {
+	l.reportDrain(endpoint, process, listedDraining && state == balancer.Draining)
+	// Other daemons may have reported a later process than this sidecar's list has. It is the later process that now
+	// listens at the address, so only its drain matters and not that of the earlier process.
+	server := serverKey{process.ID, process.Addr}
+	process.StartedMs = max(process.StartedMs, l.starts.byPeers[server].startedMs, l.drains.latestStart[server])
+	if state == balancer.Ready && l.drains.draining[process] {
 		return balancer.Draining
 	}
 	return state
 }
 
-// reportDrain reports that a process drains, and that the one reported before does so no more.
-func (l *EventLoop) reportDrain(e *endpoint, p discovery.Process, drains bool) {
+// reportDrain reports to other daemons that a process drains, if it does and was not reported yet. First it reports the
+// end of the endpoint's earlier drain, if that has ended or was another process's.
+func (l *EventLoop) reportDrain(endpoint *endpointState, process discovery.Process, draining bool) {
 	none := discovery.Process{}
-	if e.reportedDrain != none && (!drains || e.reportedDrain != p) {
-		l.drains.report(e.reportedDrain, false)
-		e.reportedDrain = none
+	if endpoint.reportedDrain != none && (!draining || endpoint.reportedDrain != process) {
+		l.drains.report(endpoint.reportedDrain, false)
+		endpoint.reportedDrain = none
 	}
-	if drains && e.reportedDrain == none {
-		e.reportedDrain = p
-		l.drains.report(p, true)
+	if draining && endpoint.reportedDrain == none {
+		endpoint.reportedDrain = process
+		l.drains.report(process, true)
 	}
 }
--- a/internal/dataplane/core/drains_test.go
+++ b/internal/dataplane/core/drains_test.go
@@ -10,143 +10,144 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// A drain that other daemons report applies from the first instant on, to one process of a server. What this sidecar's
-// own discovery says is reported once, and not undone by others.
-func TestPeerDrainsApplyToOneProcess(t *testing.T) {
-	in := func(id, addr, lifecycle string, started int64) discovery.Instance {
+// A drain that other daemons report must apply from the start of the loop, and to that process of the server only. A
+// drain in this sidecar's own list must be reported once, and reports of other daemons must not end it.
+func TestDrainReportedByPeerAppliesToOneProcess(t *testing.T) {
+	instance := func(id, addr, lifecycle string, started int64) discovery.Instance {
 		return discovery.Instance{ID: id, Addr: addr, Lifecycle: lifecycle, StartedMs: started}
 	}
 	process := func(id, addr string, started int64) discovery.Process {
 		return discovery.Process{ID: id, Addr: addr, StartedMs: started}
 	}
-	known := []discovery.Instance{in("a", "127.0.0.1:1", "up", 5), in("b", "127.0.0.1:2", "up", 5)}
-	l := newLoop(t, sidecartest.Configure(t, anyAddr, known), stub{}, sidecartest.DiscardLog)
+	known := []discovery.Instance{instance("a", "127.0.0.1:1", "up", 5), instance("b", "127.0.0.1:2", "up", 5)}
+	loop := newLoop(t, sidecartest.Configure(t, anyAddr, known), stubTransport{}, sidecartest.DiscardLog)
 	var reported []string
-	l.ShareDrains([]discovery.Process{process("a", "127.0.0.1:1", 5)}, func(p discovery.Process, drains bool) {
+	loop.ShareDrains([]discovery.Process{process("a", "127.0.0.1:1", 5)}, func(p discovery.Process, drains bool) {
 		reported = append(reported, fmt.Sprintf("%s%d%v", p.ID, p.StartedMs, drains))
 	})
-	defer runLoop(t, l)()
+	defer runLoop(t, loop)()
 	wantReady := func(step, want string) {
 		t.Helper()
 		got := ""
-		mustDo(t, l, func(balancer.Micros) {
+		mustRun(t, loop, func(balancer.Micros) {
 			for _, id := range []string{"a", "b", "c"} {
-				if e := l.byName[id]; e != nil && e.state == balancer.Ready {
+				if endpoint := loop.endpointsByName[id]; endpoint != nil && endpoint.state == balancer.Ready {
 					got += id
 				}
 			}
 		})
 		if got != want {
-			t.Errorf("%s: %q serve, want %q", step, got, want)
+			t.Errorf("%s: endpoints %q are ready, want %q", step, got, want)
 		}
 	}
-	list := func(all ...discovery.Instance) {
+	applyDelta := func(instances ...discovery.Instance) {
 		t.Helper()
-		mustDo(t, l, func(now balancer.Micros) {
-			l.applyList(now, balancer.ListDelta, discovery.List{Instances: all})
+		mustRun(t, loop, func(now balancer.Micros) {
+			loop.applyList(now, balancer.ListDelta, discovery.List{Instances: instances})
 		})
 	}
 	peerReports := func(p discovery.Process, drains bool) {
 		t.Helper()
-		if err := l.ApplyDrain(t.Context(), p, drains); err != nil {
+		if err := loop.ApplyDrain(t.Context(), p, drains); err != nil {
 			t.Fatal(err)
 		}
 	}
-	wantReady("known at the start", "b")
-	list(in("a", "127.0.0.1:1", "up", 5))
-	wantReady("the same entry again", "b")
-	list(in("a", "127.0.0.1:9", "up", 5))
-	wantReady("its ID at another address", "ab")
-	list(in("a", "127.0.0.1:1", "up", 5), in("c", "127.0.0.1:1", "up", 5))
-	wantReady("its address with another ID", "bc")
-	list(in("a", "127.0.0.1:1", "up", 6))
-	wantReady("a new start", "abc")
+	wantReady("drain known at the start", "b")
+	applyDelta(instance("a", "127.0.0.1:1", "up", 5))
+	wantReady("same entry again", "b")
+	applyDelta(instance("a", "127.0.0.1:9", "up", 5))
+	wantReady("ID of the draining process at another address", "ab")
+	applyDelta(instance("a", "127.0.0.1:1", "up", 5), instance("c", "127.0.0.1:1", "up", 5))
+	wantReady("address of the draining process with another ID", "bc")
+	applyDelta(instance("a", "127.0.0.1:1", "up", 6))
+	wantReady("new process at the same address", "abc")
 	peerReports(process("b", "127.0.0.1:2", 4), true)
-	wantReady("a drain of an earlier start", "abc")
+	wantReady("reported drain of an earlier process", "abc")
 	peerReports(process("b", "127.0.0.1:2", 5), true)
-	wantReady("a drain", "ac")
+	wantReady("reported drain of the current process", "ac")
 	peerReports(process("b", "127.0.0.1:2", 5), false)
-	wantReady("the end of the drain", "abc")
+	wantReady("reported end of the drain", "abc")
 	peerReports(process("a", "127.0.0.1:1", 9), true)
-	wantReady("a drain of a later process than listed", "bc")
+	wantReady("reported drain of a later process than the listed one", "bc")
 	peerReports(process("a", "127.0.0.1:1", 9), false)
-	wantReady("the end of that", "abc")
+	wantReady("reported end of the later process's drain", "abc")
 	if len(reported) > 0 {
-		t.Errorf("reported %v, which its discovery did not say", reported)
+		t.Errorf("the loop reported drains %v, which are not in its own list", reported)
 	}
-	list(in("c", "127.0.0.1:1", "draining", 5))
-	list(in("c", "", "draining", 0)) // the shortest form of a drain
+	applyDelta(instance("c", "127.0.0.1:1", "draining", 5))
+	applyDelta(instance("c", "", "draining", 0)) // a drain needs no address and no start time
 	peerReports(process("c", "127.0.0.1:1", 5), true)
 	peerReports(process("c", "127.0.0.1:1", 5), false)
-	wantReady("its own drain, whatever others report", "ab")
-	list(in("c", "127.0.0.1:1", "up", 7))
-	list(in("b", "127.0.0.1:2", "draining", 5))
-	list(in("b", "", "removed", 0))
+	wantReady("listed drain, after other daemons reported its end", "ab")
+	applyDelta(instance("c", "127.0.0.1:1", "up", 7))
+	applyDelta(instance("b", "127.0.0.1:2", "draining", 5))
+	applyDelta(instance("b", "", "removed", 0))
 	if got := fmt.Sprint(reported); got != "[c5true c5false b5true b5false]" {
-		t.Errorf("reported %s", got)
+		t.Errorf("the loop reported drains %s, want the begin and the end for c and b", got)
 	}
 }
 
-// A process that other daemons observed starting is warming up here, where discovery has no starts and where this
-// sidecar's list is late. What this sidecar observed is reported once, and not changed by others.
-func TestPeerStartsWarmUpHere(t *testing.T) {
-	in := func(id string, started int64) discovery.Instance {
+// A process whose start other daemons reported must be warming up in this sidecar too, both where discovery has no
+// start times and where this sidecar's list is out of date. A start that this sidecar observed must be reported once,
+// and reports of other daemons must not change it.
+func TestStartReportedByPeerWarmsUpEndpoint(t *testing.T) {
+	instance := func(id string, started int64) discovery.Instance {
 		return discovery.Instance{ID: id, Addr: anyAddr, Lifecycle: "up", StartedMs: started}
 	}
 	start := func(id string, started int64, age time.Duration) Start {
 		return Start{discovery.Process{ID: id, Addr: anyAddr, StartedMs: started}, age}
 	}
-	known := []discovery.Instance{in("old", 0), in("began", 0), in("late", 5)}
-	l := newLoop(t, sidecartest.Configure(t, anyAddr, known), stub{}, sidecartest.DiscardLog)
+	known := []discovery.Instance{instance("old", 0), instance("began", 0), instance("late", 5)}
+	loop := newLoop(t, sidecartest.Configure(t, anyAddr, known), stubTransport{}, sidecartest.DiscardLog)
 	now := time.Now().UnixMilli()
 	draining := discovery.Process{ID: "late", Addr: anyAddr, StartedMs: 5}
-	l.ShareDrains([]discovery.Process{draining}, func(discovery.Process, bool) {})
+	loop.ShareDrains([]discovery.Process{draining}, func(discovery.Process, bool) {})
 	var reported []string
-	l.ShareStarts([]Start{start("began", 0, time.Second)}, func(p discovery.Process, _, _ time.Duration) {
+	loop.ShareStarts([]Start{start("began", 0, time.Second)}, func(p discovery.Process, _, _ time.Duration) {
 		reported = append(reported, p.ID)
 	})
-	defer runLoop(t, l)()
+	defer runLoop(t, loop)()
 	wantWarmingUp := func(step, want string) {
 		t.Helper()
 		got := ""
-		mustDo(t, l, func(now balancer.Micros) {
-			saved := l.takeSnapshot(now, true)
-			for i, e := range saved.State.Endpoints {
-				if e.WarmingUp {
+		mustRun(t, loop, func(now balancer.Micros) {
+			saved := loop.takeSnapshot(now, true)
+			for i, endpoint := range saved.State.Endpoints {
+				if endpoint.WarmingUp {
 					got += saved.Names[i] + " "
 				}
 			}
 		})
 		if got != want {
-			t.Errorf("%s: %q are warming up, want %q", step, got, want)
+			t.Errorf("%s: endpoints %q are warming up, want %q", step, got, want)
 		}
 	}
 	peerReports := func(s Start) {
 		t.Helper()
-		if err := l.ApplyStart(t.Context(), s); err != nil {
+		if err := loop.ApplyStart(t.Context(), s); err != nil {
 			t.Fatal(err)
 		}
 	}
-	list := func(all ...discovery.Instance) {
+	applyFullList := func(instances ...discovery.Instance) {
 		t.Helper()
-		mustDo(t, l, func(now balancer.Micros) {
-			l.applyList(now, balancer.ListFull, discovery.List{Reset: true, Instances: all})
+		mustRun(t, loop, func(now balancer.Micros) {
+			loop.applyList(now, balancer.ListFull, discovery.List{Reset: true, Instances: instances})
 		})
 	}
-	wantWarmingUp("known at the start", "began ")
+	wantWarmingUp("start known from the beginning", "began ")
 	peerReports(start("late", now, time.Second))
-	wantWarmingUp("a later process than listed", "began late ")
-	if e := l.byName["late"]; e.state != balancer.Ready {
-		t.Error("the drain of the process before it applies to it")
+	wantWarmingUp("reported start of a later process than the listed one", "began late ")
+	if endpoint := loop.endpointsByName["late"]; endpoint.state != balancer.Ready {
+		t.Error("the drain of the earlier process applies to the later one")
 	}
-	list(in("old", 0), in("began", 0), in("late", 5))
-	list(in("old", 0), in("began", 0), in("late", now), in("new", 0))
-	wantWarmingUp("observed here", "began late new ")
+	applyFullList(instance("old", 0), instance("began", 0), instance("late", 5))
+	applyFullList(instance("old", 0), instance("began", 0), instance("late", now), instance("new", 0))
+	wantWarmingUp("starts observed in the list", "began late new ")
 	peerReports(start("new", 0, time.Hour))
 	peerReports(start("old", 0, time.Hour))
-	list(in("old", 0), in("began", 0), in("late", now), in("new", 0))
-	wantWarmingUp("started long ago by others", "began late new ")
+	applyFullList(instance("old", 0), instance("began", 0), instance("late", now), instance("new", 0))
+	wantWarmingUp("reported starts of an hour ago", "began late new ")
 	if got := fmt.Sprint(reported); got != "[late new]" {
-		t.Errorf("reported %s", got)
+		t.Errorf("the loop reported starts of %s, want [late new]", got)
 	}
 }
--- a/internal/dataplane/core/ejections.go
+++ b/internal/dataplane/core/ejections.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	maxReportedEjections  = 1024 // in one report
+	maxReportedEjections  = 1024 // per report
 	ejectionReportTimeout = 500 * time.Millisecond
 )
 
-// ejectionReporter passes ejections on to the process beside this one.
+// ejectionReporter sends ejections to the other process of this sidecar during a handover. It does not block.
 type ejectionReporter func([]handover.Ejection)
 
-// ReportEjectionsTo reports the endpoints that the module has ejected to the process beside this one, until stop is
-// called.
-func (l *EventLoop) ReportEjectionsTo(eject func(context.Context, []handover.Ejection) error) (stop func()) {
-	report := newEjectionReporter(eject)
-	l.peer.Store(&report)
-	return func() { l.peer.CompareAndSwap(&report, nil) }
+// ReportEjectionsTo begins to report the endpoints that the module has ejected to the other process of this sidecar,
+// until stop is called. send transmits one report.
+func (l *EventLoop) ReportEjectionsTo(send func(context.Context, []handover.Ejection) error) (stop func()) {
+	report := newEjectionReporter(send)
+	l.ejectionReporter.Store(&report)
+	return func() { l.ejectionReporter.CompareAndSwap(&report, nil) }
 }
 
-// newEjectionReporter returns a reporter that makes one report at a time. Those in the meantime are dropped, since the
-// next follows soon.
-func newEjectionReporter(eject func(context.Context, []handover.Ejection) error) ejectionReporter {
+// newEjectionReporter returns a reporter that sends one report at a time. Reports that come while another is being sent
+// are dropped, since the loop makes the next one within gaugeInterval.
+func newEjectionReporter(send func(context.Context, []handover.Ejection) error) ejectionReporter {
 	busy := make(chan struct{}, 1)
 	return func(ejections []handover.Ejection) {
 		select {
@@ -38,21 +38,21 @@
 			defer func() { <-busy }()
 			ctx, cancel := context.WithTimeout(context.Background(), ejectionReportTimeout)
 			defer cancel()
-			_ = eject(ctx, ejections) // a process that it does not reach finds out by itself
+			_ = send(ctx, ejections) // without the report the other process ejects the endpoint by its own attempts
 		}()
 	}
 }
 
-// reportEjections makes a report if there is a process beside this one.
+// reportEjections reports the current ejections if the sidecar has another process.
 func (l *EventLoop) reportEjections(now balancer.Micros) {
-	report := l.peer.Load()
+	report := l.ejectionReporter.Load()
 	if report == nil {
 		return
 	}
 	var ejections []handover.Ejection
-	l.balancer.Ejections(now, func(number uint32, left balancer.Micros) {
-		if e := l.byNumber[number]; e != nil && len(ejections) < maxReportedEjections {
-			ejections = append(ejections, handover.Ejection{ID: e.entry.ID, LeftMicros: left})
+	l.balancer.Ejections(now, func(number uint32, remaining balancer.Micros) {
+		if endpoint := l.endpointsByNumber[number]; endpoint != nil && len(ejections) < maxReportedEjections {
+			ejections = append(ejections, handover.Ejection{ID: endpoint.entry.ID, LeftMicros: remaining})
 		}
 	})
 	if len(ejections) > 0 {
@@ -60,12 +60,13 @@
 	}
 }
 
-// ApplyEjections passes on to the module what the process beside this one has ejected.
+// ApplyEjections passes the ejections of the other process of this sidecar on to the module. Endpoints that are not
+// listed here are ignored.
 func (l *EventLoop) ApplyEjections(ejections []handover.Ejection) {
 	l.post(func(now balancer.Micros) {
 		for _, ejection := range ejections[:min(len(ejections), maxReportedEjections)] {
-			if e := l.byName[ejection.ID]; e != nil && ejection.LeftMicros > 0 {
-				l.balancer.PeerEjected(now, e.number, ejection.LeftMicros)
+			if endpoint := l.endpointsByName[ejection.ID]; endpoint != nil && ejection.LeftMicros > 0 {
+				l.balancer.PeerEjected(now, endpoint.number, ejection.LeftMicros)
 			}
 		}
 	})
--- a/internal/dataplane/core/frontend.go
+++ b/internal/dataplane/core/frontend.go
@@ -12,44 +12,44 @@
 // Frontend is the client side of a protocol. It is safe for concurrent use, except that only one goroutine at a time
 // may call Open and StopAccepting.
 type Frontend interface {
-	// Open accepts requests. broken is called once if that ends without StopAccepting.
-	Open(broken func(error)) error
+	// Open starts accepting requests. onFailure is called once if accepting ends without StopAccepting.
+	Open(onFailure func(error)) error
 	// StopAccepting stops accepting requests. Further calls do nothing.
 	StopAccepting()
-	// SetClosing sets whether connections are closed with their next answer.
+	// SetClosing sets whether each connection is closed after its next answer.
 	SetClosing(on bool)
 	// CloseIdle closes idle connections.
 	CloseIdle()
-	// CloseUnused closes connections without a request so far, either all of them or those on which none is about to
-	// come, and returns how many remain.
+	// CloseUnused closes connections on which no request has arrived yet, and returns how many of them remain open.
+	// Unless all is set, it spares connections on which a request is about to arrive.
 	CloseUnused(all bool) int
-	// CloseIdleFor closes connections that have been idle for longer than age, and returns how many remain.
+	// CloseIdleFor closes connections that have been idle for longer than age, and returns how many connections remain.
 	CloseIdleFor(age time.Duration) int
 	// SetCapacityShare sets this process's share of the limits, from 0 to 1.
 	SetCapacityShare(c *config.Config, share float64)
-	// Wait waits until all accepted requests have their answers.
+	// Wait waits until all accepted requests have been answered.
 	Wait()
 }
 
-// Upstream is a Transport with what a sidecar needs to run it.
+// Upstream is a Transport with the methods by which a sidecar runs it.
 type Upstream interface {
 	Transport
-	// Maintain maintains the open connections until ctx ends.
+	// Maintain looks after the open connections until ctx ends.
 	Maintain(ctx context.Context)
 	// SetCapacityShare sets this process's share of the limits, from 0 to 1.
 	SetCapacityShare(c *config.Config, share float64)
 }
 
-// Protocol is a protocol besides HTTP, which has an event loop of its own.
+// Protocol is a protocol other than HTTP. It has its own event loop.
 type Protocol interface {
-	// Name is the name by which entries of discovery's list refer to it.
+	// Name returns the name of the protocol in the entries of discovery's list.
 	Name() string
-	// Descriptors is the number of file descriptors that it may use.
+	// Descriptors returns the maximum number of file descriptors that the protocol uses.
 	Descriptors() int
-	// Config derives the configuration of its event loop.
+	// Config derives the configuration of the protocol's event loop from that of the sidecar.
 	Config(c *config.Config) (*config.Config, error)
-	// NewUpstream returns the upstream side of its event loop.
+	// NewUpstream returns the upstream side of the protocol.
 	NewUpstream(c *config.Config, clock Clock, registry *metrics.Registry, log *slog.Logger) Upstream
-	// NewFrontend returns the client side for its event loop.
+	// NewFrontend returns the client side of the protocol, which submits requests to l.
 	NewFrontend(l *EventLoop, registry *metrics.Registry, log *slog.Logger) Frontend
 }
--- a/internal/dataplane/core/helper_test.go
+++ b/internal/dataplane/core/helper_test.go
@@ -14,7 +14,7 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// Classes of sidecartest.Configure.
+// Indices of the classes of sidecartest.Configure.
 const (
 	classLook = 0 // idempotent
 	classBook = 1 // with an idempotency key, whose window is 400 ms
@@ -22,25 +22,26 @@
 )
 
 const (
-	anyAddr       = "127.0.0.1:1"
-	clientTimeout = 900_000 // microseconds
+	anyAddr             = "127.0.0.1:1"
+	clientTimeoutMicros = 900_000
 )
 
-// stub is a transport without an upstream side. send, where it is set, is what an attempt does.
-type stub struct {
+// stubTransport is a transport without connections that is also its own target. Attempts call send, which may be nil in
+// tests without attempts; probes fail.
+type stubTransport struct {
 	send               func(ctx context.Context, a Attempt) Reply
 	acceptsLateReplies bool
 }
 
-func (s stub) Target(string) Target                      { return s }
-func (s stub) SetConfig(*config.Config)                  {}
-func (s stub) Probe() Reply                              { return Reply{Status: balancer.ConnectFailed} }
-func (s stub) Close()                                    {}
-func (s stub) CloseUnusedSince(time.Time)                {}
-func (s stub) AcceptsLateReplies() bool                  { return s.acceptsLateReplies }
-func (s stub) Send(ctx context.Context, a Attempt) Reply { return s.send(ctx, a) }
+func (s stubTransport) Target(string) Target                      { return s }
+func (s stubTransport) SetConfig(*config.Config)                  {}
+func (s stubTransport) Probe() Reply                              { return Reply{Status: balancer.ConnectFailed} }
+func (s stubTransport) Close()                                    {}
+func (s stubTransport) CloseUnusedSince(time.Time)                {}
+func (s stubTransport) AcceptsLateReplies() bool                  { return s.acceptsLateReplies }
+func (s stubTransport) Send(ctx context.Context, a Attempt) Reply { return s.send(ctx, a) }
 
-// endpoints returns entries s-1 to s-n, each at an address of its own.
+// endpoints returns ready entries s-1 to s-n, each with an address of its own.
 func endpoints(n int) []discovery.Instance {
 	var all []discovery.Instance
 	for i := range n {
@@ -58,7 +59,7 @@
 	return l
 }
 
-// runLoop runs a loop until stop is called.
+// runLoop runs a loop until stop is called. stop returns when the loop has ended.
 func runLoop(t *testing.T, l *EventLoop) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -73,32 +74,34 @@
 	}
 }
 
-// startLoop runs a loop with two endpoints whose attempts do what send says, until stop is called.
+// startLoop runs a loop with two endpoints until stop is called. Attempts call send. edits are pairs of texts: in the
+// configuration, the first of each pair is replaced by the second.
 func startLoop(t *testing.T, send func(ctx context.Context, l *EventLoop, a Attempt) Reply, edits ...string) (
 	l *EventLoop, stop func()) {
 	t.Helper()
 	c := sidecartest.Configure(t, anyAddr, endpoints(2), edits...)
-	transport := stub{send: func(ctx context.Context, a Attempt) Reply { return send(ctx, l, a) }}
+	transport := stubTransport{send: func(ctx context.Context, a Attempt) Reply { return send(ctx, l, a) }}
 	l = newLoop(t, c, transport, sidecartest.DiscardLog)
 	return l, runLoop(t, l)
 }
 
-// startLoneLoop runs a loop that sends nothing until the test ends.
-func startLoneLoop(t *testing.T, c *config.Config, log *slog.Logger) *EventLoop {
+// startIdleLoop runs a loop until the test ends. The test must not submit requests to it.
+func startIdleLoop(t *testing.T, c *config.Config, log *slog.Logger) *EventLoop {
 	t.Helper()
-	l := newLoop(t, c, stub{}, log)
-	t.Cleanup(runLoop(t, l))
-	return l
+	loop := newLoop(t, c, stubTransport{}, log)
+	t.Cleanup(runLoop(t, loop))
+	return loop
 }
 
-// mustDo has a loop run f.
-func mustDo(t *testing.T, l *EventLoop, f func(now balancer.Micros)) {
+// mustRun runs f on the goroutine of a loop, and returns when f has returned.
+func mustRun(t *testing.T, l *EventLoop, f func(now balancer.Micros)) {
 	t.Helper()
-	if err := l.do(t.Context(), f); err != nil {
+	if err := l.runUrgent(t.Context(), f); err != nil {
 		t.Fatal(err)
 	}
 }
 
+// newRequest returns a request of a class that is due after clientTimeoutMicros.
 func newRequest(l *EventLoop, id string, class uint8) *Request {
 	c := l.ConfigSnapshot()
 	return &Request{
@@ -106,7 +109,7 @@
 		Class:  c.Classes[class],
 		Config: c,
 		Answer: make(chan Answer, 1),
-		Input:  balancer.Request{Class: class, Deadline: l.Now() + clientTimeout, Rules: c.Rules},
+		Input:  balancer.Request{Class: class, Deadline: l.Now() + clientTimeoutMicros, Rules: c.Rules},
 	}
 }
 
--- a/internal/dataplane/core/latereply_test.go
+++ b/internal/dataplane/core/latereply_test.go
@@ -12,22 +12,23 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// twoAttempts is a transport whose first replies are quick, so that the module expects that of others. Once slow is
-// set, the first attempt replies after its timeout, while the second is open.
-type twoAttempts struct {
+// slowFirstTransport replies quickly until slow is set, so that the decision module gives later attempts a short
+// timeout. Once slow is set, the first attempt replies after its timeout, while the second is open.
+type slowFirstTransport struct {
 	slow                atomic.Bool
 	attempts, cancelled atomic.Int32
 }
 
+// replyDelays are the delays of the first and the second attempt once slow is set.
 var replyDelays = []time.Duration{70 * time.Millisecond, 40 * time.Millisecond}
 
-func (s *twoAttempts) send(ctx context.Context, a Attempt) Reply {
-	a.Begin(0)
+func (s *slowFirstTransport) send(ctx context.Context, attempt Attempt) Reply {
+	attempt.Begin(0)
 	if !s.slow.Load() {
 		time.Sleep(time.Millisecond)
-		return Reply{Status: balancer.OK, At: a.Request.(balancer.Micros) + 1000}
+		return Reply{Status: balancer.OK, At: attempt.Request.(balancer.Micros) + 1000}
 	}
-	number := s.attempts.Add(1) - 1 // the loop starts one after the other
+	number := s.attempts.Add(1) - 1 // index of the attempt: the loop starts attempts one after the other
 	select {
 	case <-time.After(replyDelays[number]):
 		return Reply{Status: balancer.OK, At: balancer.Micros(number)}
@@ -37,77 +38,80 @@
 	}
 }
 
-// A reply that comes after its attempt's timeout, while another attempt is open, is the client's one answer where the
-// protocol accepts it: the other attempt is cancelled, and its reply dropped.
-func TestLateAnswer(t *testing.T) {
+// A reply may come after its attempt's timeout, while another attempt is open. If the transport accepts late replies,
+// it must be the one answer of the request, and the other attempt must be cancelled. If not, the other attempt answers.
+func TestLateReplyAnswersRequestIfAccepted(t *testing.T) {
 	for _, late := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			var upstream twoAttempts
-			transport := stub{acceptsLateReplies: late, send: upstream.send}
-			l := newLoop(t, sidecartest.Configure(t, anyAddr, endpoints(2)), transport, sidecartest.DiscardLog)
-			defer runLoop(t, l)()
-			for range 100 { // teaches the module of both endpoints
-				var two [2]*Request
-				for i := range two {
-					two[i] = newRequest(l, strconv.Itoa(i), classLook)
-					two[i].Payload = l.Now()
-					l.Submit(two[i])
+			var upstream slowFirstTransport
+			transport := stubTransport{acceptsLateReplies: late, send: upstream.send}
+			loop := newLoop(t, sidecartest.Configure(t, anyAddr, endpoints(2)), transport, sidecartest.DiscardLog)
+			defer runLoop(t, loop)()
+			for range 100 { // gives the module latencies of both endpoints
+				var pair [2]*Request
+				for i := range pair {
+					pair[i] = newRequest(loop, strconv.Itoa(i), classLook)
+					pair[i].Payload = loop.Now()
+					loop.Submit(pair[i])
 				}
-				<-two[0].Answer
-				<-two[1].Answer
+				<-pair[0].Answer
+				<-pair[1].Answer
 			}
 			upstream.slow.Store(true)
-			begun := time.Now()
-			r := submit(l, "1", classLook)
-			a := <-r.Answer
-			took := time.Since(begun)
-			if n := upstream.attempts.Load(); n != 2 {
-				t.Fatalf("%d attempts, answered after %v", n, took)
+			start := time.Now()
+			request := submit(loop, "1", classLook)
+			answer := <-request.Answer
+			took := time.Since(start)
+			if attempts := upstream.attempts.Load(); attempts != 2 {
+				t.Fatalf("%d attempts, want 2; answered after %v", attempts, took)
 			}
-			if a.Disposition != Served {
-				t.Fatalf("late %v: disposition %v", late, a.Disposition)
+			if answer.Disposition != Served {
+				t.Fatalf("accepts late replies %v: disposition %v, want a served request", late, answer.Disposition)
 			}
 			wantAttempt := balancer.Micros(1)
 			if late {
 				wantAttempt = 0
 			}
-			if a.Reply.At != wantAttempt {
-				t.Errorf("late %v: the reply of attempt %d, after %v", late, a.Reply.At, took)
+			if answer.Reply.At != wantAttempt {
+				t.Errorf("accepts late replies %v: answered by the reply of attempt %d after %v, want the other attempt's",
+					late, answer.Reply.At, took)
 			}
 			if late && took != replyDelays[0] {
-				t.Errorf("answered after %v", took)
+				t.Errorf("answered by the late reply after %v, want its delay of 70 ms", took)
 			}
 			synctest.Wait()
-			if n := upstream.cancelled.Load(); n != 1 || len(l.requests) != 0 || len(r.Answer) != 0 {
-				t.Errorf("late %v: %d cancelled, %d requests left", late, n, len(l.requests))
+			if n := upstream.cancelled.Load(); n != 1 || len(loop.requests) != 0 || len(request.Answer) != 0 {
+				t.Errorf("accepts late replies %v: %d attempts cancelled, want 1; %d requests left, want 0; or a second answer",
+					late, n, len(loop.requests))
 			}
 		})
 	}
 }
 
-// Where attempts are not cancelled, one whose request has ended continues to its timeout and no longer.
+// Where the settings disallow cancelling attempts, the attempt of a request that has ended continues until its timeout.
+// It must not continue any longer, even if the transport accepts late replies.
 func TestAttemptOfEndedRequestStopsAtItsTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sent, ended := make(chan struct{}), make(chan struct{})
-		transport := stub{acceptsLateReplies: true, send: func(ctx context.Context, a Attempt) Reply {
-			a.Begin(0)
+		transport := stubTransport{acceptsLateReplies: true, send: func(ctx context.Context, attempt Attempt) Reply {
+			attempt.Begin(0)
 			close(sent)
 			<-ctx.Done()
 			close(ended)
 			return Reply{Status: balancer.Cancelled}
 		}}
-		c := sidecartest.Configure(t, anyAddr, endpoints(1), `"cancel":true`, `"cancel":false`)
-		l := newLoop(t, c, transport, sidecartest.DiscardLog)
-		defer runLoop(t, l)()
-		r := submit(l, "1", classLook)
+		cfg := sidecartest.Configure(t, anyAddr, endpoints(1), `"cancel":true`, `"cancel":false`)
+		loop := newLoop(t, cfg, transport, sidecartest.DiscardLog)
+		defer runLoop(t, loop)()
+		request := submit(loop, "1", classLook)
 		<-sent
-		l.ClientLeft(r)
-		time.Sleep(time.Second) // past its timeout
+		loop.ClientLeft(request)
+		time.Sleep(time.Second) // longer than the timeout of the attempt
 		synctest.Wait()
 		select {
 		case <-ended:
 		default:
-			t.Error("the attempt is still running")
+			t.Error("the attempt is still running after its timeout")
 		}
 	})
 }
--- a/internal/dataplane/core/overrides.go
+++ b/internal/dataplane/core/overrides.go
@@ -7,69 +7,69 @@
 	"birchmoor/internal/dataplane/maintenance"
 )
 
-// ApplyOverride applies an operator's override of an endpoint, and returns once it is in effect.
-// maintenance.ErrUnknownEndpoint says that its ID was not listed lately; with force that is no error.
-func (l *EventLoop) ApplyOverride(ctx context.Context, o maintenance.Override, force bool) error {
+// ApplyOverride applies an operator's override of an endpoint, and returns once the override is in effect. It fails
+// with maintenance.ErrUnknownEndpoint if the endpoint's ID was not listed recently, unless force is set.
+func (l *EventLoop) ApplyOverride(ctx context.Context, override maintenance.Override, force bool) error {
 	var rejected error
-	if err := l.do(ctx, func(now balancer.Micros) { rejected = l.setOverride(now, o, force) }); err != nil {
+	if err := l.runUrgent(ctx, func(now balancer.Micros) { rejected = l.setOverride(now, override, force) }); err != nil {
 		return err
 	}
 	return rejected
 }
 
-// setOverride drains an endpoint or ends that.
-func (l *EventLoop) setOverride(now balancer.Micros, o maintenance.Override, force bool) error {
-	e := l.byName[o.ID]
-	_, drained := l.adminDrained[o.ID]
-	if e == nil && !drained && !force && !l.recentNames.has(o.ID) {
+// setOverride begins or ends the administrative drain of an endpoint, if that changes anything.
+func (l *EventLoop) setOverride(now balancer.Micros, override maintenance.Override, force bool) error {
+	endpoint := l.endpointsByName[override.ID]
+	_, drained := l.drainedNumbers[override.ID]
+	if endpoint == nil && !drained && !force && !l.recentNames.has(override.ID) {
 		return maintenance.ErrUnknownEndpoint
 	}
 	switch {
-	case o.Drained && !drained:
-		l.drainEndpoint(now, e, o)
-	case !o.Drained && (drained || force && e != nil):
-		l.undrainEndpoint(now, e, o)
+	case override.Drained && !drained:
+		l.drainEndpoint(now, endpoint, override)
+	case !override.Drained && (drained || force && endpoint != nil):
+		l.undrainEndpoint(now, endpoint, override)
 	}
 	l.exportExcluded(now)
 	return nil
 }
 
-// drainEndpoint drains an endpoint, which is nil if it is not listed. The module holds the drain; here attempts that
-// wait for a connection are kept from being sent.
-func (l *EventLoop) drainEndpoint(now balancer.Micros, e *endpoint, o maintenance.Override) {
+// drainEndpoint begins the administrative drain of an endpoint, which is nil if it is not listed. The module stops
+// choosing the endpoint for attempts; drainEndpoint keeps attempts that wait for a connection from being sent.
+func (l *EventLoop) drainEndpoint(now balancer.Micros, endpoint *endpointState, override maintenance.Override) {
 	var number uint32
-	if e == nil {
-		l.lastNumber++
-		number = l.lastNumber
+	if endpoint == nil {
+		l.lastEndpointNumber++
+		number = l.lastEndpointNumber
 	} else {
-		number = e.number
-		e.adminDrained = true
-		e.stopAt.Store(stoppedLongAgo)
-		// Idle connections will not be used, and attempts that wait for a new one find the target closed.
-		e.target.Close()
-		e.target = l.upstream.Target(e.addr)
+		number = endpoint.number
+		endpoint.adminDrained = true
+		endpoint.stopAt.Store(stoppedLongAgo)
+		// This closes the idle connections, which will not be used, and attempts that wait for one find the target closed.
+		endpoint.target.Close()
+		endpoint.target = l.upstream.Target(endpoint.addr)
 	}
-	l.adminDrained[o.ID] = number
-	l.balancer.DrainEndpoint(now, number, min(now, o.UnixMicros))
+	l.drainedNumbers[override.ID] = number
+	l.balancer.DrainEndpoint(now, number, min(now, override.UnixMicros))
 }
 
-// undrainEndpoint ends the drain of an endpoint, which is nil if it is not listed. One that drains by discovery too
-// stays stopped, since its grace was over long ago.
-func (l *EventLoop) undrainEndpoint(now balancer.Micros, e *endpoint, o maintenance.Override) {
-	number := l.adminDrained[o.ID]
-	delete(l.adminDrained, o.ID)
-	if e != nil {
-		number = e.number
-		e.adminDrained = false
-		l.setState(now, o.ID, e, e.state)
+// undrainEndpoint ends the administrative drain of an endpoint, which is nil if it is not listed. If the endpoint also
+// drains by discovery, its stopAt stays stoppedLongAgo, as its grace period was over long ago.
+func (l *EventLoop) undrainEndpoint(now balancer.Micros, endpoint *endpointState, override maintenance.Override) {
+	number := l.drainedNumbers[override.ID]
+	delete(l.drainedNumbers, override.ID)
+	if endpoint != nil {
+		number = endpoint.number
+		endpoint.adminDrained = false
+		l.setState(now, override.ID, endpoint, endpoint.state)
 	}
-	l.balancer.UndrainEndpoint(now, number, min(now, o.UnixMicros))
+	l.balancer.UndrainEndpoint(now, number, min(now, override.UnixMicros))
 }
 
-// maxRecentNames bounds a recentSet.
+// maxRecentNames is the maximum number of names in a recentSet.
 const maxRecentNames = 1024
 
-// recentSet is a bounded set of names: operators may name an endpoint that has just left the list.
+// recentSet holds the names that were added last, so that operators may name an endpoint that has just left the list.
 type recentSet struct {
 	names map[string]struct{}
 	order []string
--- a/internal/dataplane/core/races_test.go
+++ b/internal/dataplane/core/races_test.go
@@ -12,8 +12,8 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// A retry that is chosen within the window in which servers remember its idempotency key, and whose connection is ready
-// only after it, is not sent; one whose connection is ready within it is.
+// Servers remember an idempotency key for a limited window. A retry whose connection becomes ready only after the
+// window must not be sent; a retry whose connection becomes ready within it must be.
 func TestRetryIsNotSentAfterIdempotencyWindow(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -26,24 +26,24 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				attempts, sent := 0, false
-				l, stop := startLoop(t, func(_ context.Context, l *EventLoop, a Attempt) Reply {
+				loop, stop := startLoop(t, func(_ context.Context, loop *EventLoop, attempt Attempt) Reply {
 					attempts++
 					if attempts == 1 {
-						a.Begin(l.Now())
+						attempt.Begin(loop.Now())
 						time.Sleep(380 * time.Millisecond)
-						return Reply{Status: balancer.Reset, At: l.Now()} // it may have run
+						return Reply{Status: balancer.Reset, At: loop.Now()} // the request may have run
 					}
 					time.Sleep(tc.dial)
-					sent = a.Begin(l.Now())
+					sent = attempt.Begin(loop.Now())
 					if !sent {
-						return Reply{Status: balancer.NotSent, At: l.Now()}
+						return Reply{Status: balancer.NotSent, At: loop.Now()}
 					}
-					return Reply{Status: balancer.OK, At: l.Now()}
+					return Reply{Status: balancer.OK, At: loop.Now()}
 				})
 				defer stop()
-				answer := <-submit(l, "1", classBook).Answer
+				answer := <-submit(loop, "1", classBook).Answer
 				if attempts != 2 || sent != tc.sent || (answer.Disposition == Served) != tc.sent {
-					t.Errorf("%d attempts, the second sent: %v, want %v; disposition %v",
+					t.Errorf("%d attempts, want 2; second attempt sent %v, want %v; disposition %v",
 						attempts, sent, tc.sent, answer.Disposition)
 				}
 			})
@@ -51,153 +51,155 @@
 	}
 }
 
-// An attempt that proves that it never ran opens no window.
-func TestWindowOpensOnlyOnceAttemptMayHaveRun(t *testing.T) {
+// The idempotency window must not start with an attempt that is known never to have run: it would end before the retry.
+func TestIdempotencyWindowStartsWithAttemptThatMayHaveRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		attempts := 0
-		l, stop := startLoop(t, func(_ context.Context, l *EventLoop, a Attempt) Reply {
+		loop, stop := startLoop(t, func(_ context.Context, loop *EventLoop, attempt Attempt) Reply {
 			attempts++
 			if attempts == 1 {
 				time.Sleep(200 * time.Millisecond)
-				return Reply{Status: balancer.ConnectFailed, At: l.Now()}
+				return Reply{Status: balancer.ConnectFailed, At: loop.Now()}
 			}
-			if !a.Begin(l.Now()) {
-				return Reply{Status: balancer.NotSent, At: l.Now()}
+			if !attempt.Begin(loop.Now()) {
+				return Reply{Status: balancer.NotSent, At: loop.Now()}
 			}
-			return Reply{Status: balancer.OK, At: l.Now()}
+			return Reply{Status: balancer.OK, At: loop.Now()}
 		}, `"window":400000`, `"window":100000`)
 		defer stop()
-		answer := <-submit(l, "1", classBook).Answer
+		answer := <-submit(loop, "1", classBook).Answer
 		if attempts != 2 || answer.Disposition != Served {
-			t.Errorf("%d attempts, disposition %v", attempts, answer.Disposition)
+			t.Errorf("%d attempts, want 2; disposition %v, want a served request", attempts, answer.Disposition)
 		}
 	})
 }
 
-// Before the process is killed all open requests are answered: what was never sent is rejected, what may have run
-// failed. What comes later is rejected at once, without an attempt.
-func TestEndAfterAnswersAllOpenRequests(t *testing.T) {
+// CloseAfter must answer all open requests when its delay is over: Rejected if nothing was sent for a request, Failed
+// if it may have run. A request that is submitted later must be rejected at once, without an attempt.
+func TestCloseAfterAnswersOpenRequests(t *testing.T) {
 	const delay = 3 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		var attempts atomic.Int32
-		l, stop := startLoop(t, func(ctx context.Context, l *EventLoop, a Attempt) Reply {
+		loop, stop := startLoop(t, func(ctx context.Context, loop *EventLoop, attempt Attempt) Reply {
 			attempts.Add(1)
-			if a.Request == "is sent" {
-				a.Begin(l.Now())
+			if attempt.Request == "is sent" {
+				attempt.Begin(loop.Now())
 			}
 			<-ctx.Done()
-			return Reply{Status: balancer.Cancelled, At: l.Now()}
+			return Reply{Status: balancer.Cancelled, At: loop.Now()}
 		}, `"give-up":1000000`, `"give-up":60000000`)
 		defer stop()
 		open := map[string]*Request{}
 		for _, payload := range []string{"is sent", "dials"} {
-			r := newRequest(l, payload, classPay)
-			r.Input.Deadline = l.Now() + 50_000_000
-			r.Payload = payload
-			l.Submit(r)
-			open[payload] = r
+			request := newRequest(loop, payload, classPay)
+			request.Input.Deadline = loop.Now() + 50_000_000
+			request.Payload = payload
+			loop.Submit(request)
+			open[payload] = request
 		}
 		synctest.Wait()
-		begun := time.Now()
-		l.EndAfter(delay)
+		start := time.Now()
+		loop.CloseAfter(delay)
 		for payload, want := range map[string]Disposition{"is sent": Failed, "dials": Rejected} {
 			answer := <-open[payload].Answer
-			if took := time.Since(begun); answer.Disposition != want || took != delay {
-				t.Errorf("%s: disposition %v after %v, want %v", payload, answer.Disposition, took, want)
+			if took := time.Since(start); answer.Disposition != want || took != delay {
+				t.Errorf("request that %s: disposition %v after %v, want %v after 3s", payload, answer.Disposition, took, want)
 			}
 		}
-		late := <-submit(l, "late", classPay).Answer
-		if late.Disposition != Rejected || attempts.Load() != 2 || time.Since(begun) != delay {
-			t.Errorf("a later request: disposition %v, %d attempts in all, after %v",
-				late.Disposition, attempts.Load(), time.Since(begun))
+		afterwards := <-submit(loop, "late", classPay).Answer
+		if afterwards.Disposition != Rejected || attempts.Load() != 2 || time.Since(start) != delay {
+			t.Errorf("request after the close: disposition %v, want it rejected; %d attempts in all, want 2; answered after %v",
+				afterwards.Disposition, attempts.Load(), time.Since(start))
 		}
 	})
 }
 
-// A client leaves as its answer comes: whichever is first, there is exactly one answer.
-func TestClientLeavingAsAnswerComesGetsOneAnswer(t *testing.T) {
+// A client may disconnect while the endpoint replies. Whichever the loop handles first, there must be exactly one
+// answer.
+func TestClientDisconnectingDuringReplyGetsOneAnswer(t *testing.T) {
 	for _, first := range []string{"left", "answer"} {
 		synctest.Test(t, func(t *testing.T) {
 			reply := make(chan struct{})
-			l, stop := startLoop(t, func(_ context.Context, l *EventLoop, a Attempt) Reply {
-				a.Begin(l.Now())
+			loop, stop := startLoop(t, func(_ context.Context, loop *EventLoop, attempt Attempt) Reply {
+				attempt.Begin(loop.Now())
 				<-reply
-				return Reply{Status: balancer.OK, At: l.Now()}
+				return Reply{Status: balancer.OK, At: loop.Now()}
 			})
 			defer stop()
-			r := submit(l, "1", classLook)
+			request := submit(loop, "1", classLook)
 			synctest.Wait()
-			want := Failed // it may have run
+			want := Failed // the request may have run
 			if first == "answer" {
 				want = Served
 				close(reply)
 				synctest.Wait()
 			}
-			l.ClientLeft(r)
-			if answer := <-r.Answer; answer.Disposition != want {
+			loop.ClientLeft(request)
+			if answer := <-request.Answer; answer.Disposition != want {
 				t.Errorf("%s first: disposition %v, want %v", first, answer.Disposition, want)
 			}
 			if first == "left" {
 				close(reply)
 			}
 			synctest.Wait()
-			if len(r.Answer) != 0 {
-				t.Errorf("%s first: a second answer", first)
+			if len(request.Answer) != 0 {
+				t.Errorf("%s first: the request has a second answer", first)
 			}
 		})
 	}
 }
 
-// A list of the discovery before a move, received before and handled after it, changes nothing, whichever of the two
-// sends first.
+// When the watch moves to another discovery, a list from the old watch may still be in the queue. It must be ignored,
+// whether it comes before or after the first list of the new watch.
 func TestLateEventOfEndedWatchIsIgnored(t *testing.T) {
 	list := func(id string) discovery.List {
 		instances := []discovery.Instance{sidecartest.ReadyInstance(id, anyAddr)}
 		return discovery.List{Generation: 9, Reset: true, Instances: instances}
 	}
 	for _, lateFirst := range []bool{true, false} {
-		l := newLoop(t, sidecartest.Configure(t, anyAddr, nil), stub{}, sidecartest.DiscardLog)
+		loop := newLoop(t, sidecartest.Configure(t, anyAddr, nil), stubTransport{}, sidecartest.DiscardLog)
 		// The loop is not running yet, so that events wait in its queue.
-		old, move := context.WithCancel(t.Context())
+		oldWatch, endOldWatch := context.WithCancel(t.Context())
 		if lateFirst {
-			l.WatchEvent(old, list("old"))
+			loop.WatchEvent(oldWatch, list("old"))
 		}
-		move()
-		l.WatchEvent(t.Context(), list("new"))
+		endOldWatch()
+		loop.WatchEvent(t.Context(), list("new"))
 		if !lateFirst {
-			l.WatchEvent(old, list("old"))
+			loop.WatchEvent(oldWatch, list("old"))
 		}
-		stop := runLoop(t, l)
+		stop := runLoop(t, loop)
 		handled := make(chan struct{})
-		l.post(func(balancer.Micros) { close(handled) }) // behind both
+		loop.post(func(balancer.Micros) { close(handled) }) // handled after both lists
 		<-handled
-		current, err := l.List(t.Context())
+		current, err := loop.List(t.Context())
 		if err != nil {
 			t.Fatal(err)
 		}
 		if len(current.Instances) != 1 || current.Instances[0].ID != "new" {
-			t.Errorf("late first %v: the list is %+v", lateFirst, current.Instances)
+			t.Errorf("old watch's list first %v: the list is %+v, want only the new watch's endpoint",
+				lateFirst, current.Instances)
 		}
 		stop()
 	}
 }
 
-// quickReplies is the number of quick replies after which the module starts a hedged request beside a slow attempt
-// soon.
+// quickReplies is the number of quick replies after which the module starts a hedged request soon after a slow attempt.
 const quickReplies = 200
 
-func teachQuickReplies(l *EventLoop) {
+// serveQuickRequests has the module measure quickReplies latencies. The test's endpoints must reply quickly meanwhile.
+func serveQuickRequests(loop *EventLoop) {
 	for range quickReplies {
-		<-submit(l, "0", classLook).Answer
+		<-submit(loop, "0", classLook).Answer
 	}
 }
 
-// Where the settings allow no hedged requests, a cancelled attempt counts until its connection is closed, and the next
-// one begins after that; where they do, it does not wait.
+// Where the settings allow no hedged requests, a cancelled attempt is in flight until its connection is closed, and the
+// next attempt must not begin before. Where they allow them, the next attempt does not wait.
 func TestRetryWaitsForCancelledAttemptWithoutHedging(t *testing.T) {
 	for _, tc := range []struct {
 		hedging string
-		want    int32 // attempts at the same time
+		want    int32 // maximum number of attempts in flight at the same time
 	}{
 		{"true", 2},
 		{"false", 1},
@@ -205,49 +207,50 @@
 		synctest.Test(t, func(t *testing.T) {
 			connectionClosed := make(chan struct{})
 			var attempts, open, maxOpen atomic.Int32
-			var taught atomic.Bool
-			l, stop := startLoop(t, func(ctx context.Context, l *EventLoop, a Attempt) Reply {
-				a.Begin(l.Now())
-				if !taught.Load() {
+			var baselineSet atomic.Bool
+			loop, stop := startLoop(t, func(ctx context.Context, loop *EventLoop, attempt Attempt) Reply {
+				attempt.Begin(loop.Now())
+				if !baselineSet.Load() {
 					time.Sleep(time.Millisecond)
-					return Reply{Status: balancer.OK, At: l.Now()}
+					return Reply{Status: balancer.OK, At: loop.Now()}
 				}
 				maxOpen.Store(max(maxOpen.Load(), open.Add(1)))
 				defer open.Add(-1)
 				if attempts.Add(1) == 1 {
 					<-ctx.Done()
 					<-connectionClosed
-					return Reply{Status: balancer.Cancelled, At: l.Now()}
+					return Reply{Status: balancer.Cancelled, At: loop.Now()}
 				}
-				return Reply{Status: balancer.OK, At: l.Now()}
+				return Reply{Status: balancer.OK, At: loop.Now()}
 			}, `"second-copies":true`, `"second-copies":`+tc.hedging)
 			defer stop()
-			teachQuickReplies(l)
-			taught.Store(true)
-			r := submit(l, "1", classLook)
-			time.Sleep(60 * time.Millisecond) // longer than the module waits for the first, and not for the second
+			serveQuickRequests(loop)
+			baselineSet.Store(true)
+			request := submit(loop, "1", classLook)
+			time.Sleep(60 * time.Millisecond) // past the timeout of the first attempt, but not of the second
 			synctest.Wait()
 			if got := attempts.Load(); got != tc.want {
-				t.Errorf("hedging %s: %d attempts before the first is closed, want %d", tc.hedging, got, tc.want)
+				t.Errorf("hedging %s: %d attempts before the first connection is closed, want %d", tc.hedging, got, tc.want)
 			}
 			close(connectionClosed)
-			answer := <-r.Answer
+			answer := <-request.Answer
 			if maxOpen.Load() != tc.want || answer.Disposition != Served {
-				t.Errorf("hedging %s: %d attempts at once, want %d; disposition %v",
+				t.Errorf("hedging %s: %d attempts in flight at once, want %d; disposition %v, want a served request",
 					tc.hedging, maxOpen.Load(), tc.want, answer.Disposition)
 			}
 		})
 	}
 }
 
-// No attempt is sent for a client that has gone, whichever of its request's it is, though the loop was not notified: an
-// attempt that waited for its connection looks, and notifies the loop. The request then has its one answer.
-func TestNoAttemptIsSentForClientThatHasGone(t *testing.T) {
-	const dial = 20 * time.Millisecond // in which the client leaves
+// No attempt may be sent for a client that has disconnected, whether it is the first attempt, a retry or a hedged
+// request. Here the loop is not notified: an attempt that waited for its connection checks the client itself and
+// notifies the loop, which must give the request its one answer.
+func TestNoAttemptIsSentForDisconnectedClient(t *testing.T) {
+	const dialTime = 20 * time.Millisecond // the client disconnects meanwhile
 	for _, tc := range []struct {
 		name  string
-		first balancer.Status // result of the first attempt, where it was sent
-		sent  int             // attempts that were sent before
+		first balancer.Status // result of the attempt that was sent before, if any
+		sent  int             // number of attempts sent before the client disconnects
 		want  Disposition
 	}{
 		{"first attempt", 0, 0, Rejected},
@@ -257,49 +260,49 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				var taught, gone atomic.Bool
-				var attempts, sentLate, dials atomic.Int32
-				l, stop := startLoop(t, func(ctx context.Context, l *EventLoop, a Attempt) Reply {
-					if !taught.Load() {
-						a.Begin(l.Now())
+				var baselineSet, disconnected atomic.Bool
+				var attempts, sentAfterDisconnect, dials atomic.Int32
+				loop, stop := startLoop(t, func(ctx context.Context, loop *EventLoop, attempt Attempt) Reply {
+					if !baselineSet.Load() {
+						attempt.Begin(loop.Now())
 						time.Sleep(time.Millisecond)
-						return Reply{Status: balancer.OK, At: l.Now()}
+						return Reply{Status: balancer.OK, At: loop.Now()}
 					}
 					if int(attempts.Add(1)) <= tc.sent {
-						a.Begin(l.Now())
+						attempt.Begin(loop.Now())
 						if tc.first == balancer.Timeout {
 							<-ctx.Done()
-							return Reply{Status: balancer.Cancelled, At: l.Now()}
+							return Reply{Status: balancer.Cancelled, At: loop.Now()}
 						}
-						return Reply{Status: tc.first, At: l.Now()}
+						return Reply{Status: tc.first, At: loop.Now()}
 					}
 					dials.Add(1)
-					time.Sleep(dial)
-					if !a.Begin(l.Now()) {
-						return Reply{Status: balancer.NotSent, At: l.Now()}
+					time.Sleep(dialTime)
+					if !attempt.Begin(loop.Now()) {
+						return Reply{Status: balancer.NotSent, At: loop.Now()}
 					}
-					sentLate.Add(1)
-					return Reply{Status: balancer.OK, At: l.Now()}
+					sentAfterDisconnect.Add(1)
+					return Reply{Status: balancer.OK, At: loop.Now()}
 				})
 				defer stop()
-				teachQuickReplies(l)
-				taught.Store(true)
-				r := newRequest(l, "1", classLook)
-				r.ClientGone = gone.Load
-				l.Submit(r)
+				serveQuickRequests(loop)
+				baselineSet.Store(true)
+				request := newRequest(loop, "1", classLook)
+				request.ClientGone = disconnected.Load
+				loop.Submit(request)
 				for dials.Load() == 0 {
 					time.Sleep(time.Millisecond)
 				}
-				gone.Store(true)
-				answer := <-r.Answer
+				disconnected.Store(true)
+				answer := <-request.Answer
 				time.Sleep(time.Second)
 				synctest.Wait()
-				if sentLate.Load() != 0 || answer.Disposition != tc.want {
-					t.Errorf("%d attempts were sent, disposition %v, want %v",
-						sentLate.Load(), answer.Disposition, tc.want)
+				if sentAfterDisconnect.Load() != 0 || answer.Disposition != tc.want {
+					t.Errorf("%d attempts were sent after the client disconnected, want 0; disposition %v, want %v",
+						sentAfterDisconnect.Load(), answer.Disposition, tc.want)
 				}
-				if len(r.Answer) != 0 || len(l.requests) != 0 {
-					t.Errorf("%d more answers, %d requests left", len(r.Answer), len(l.requests))
+				if len(request.Answer) != 0 || len(loop.requests) != 0 {
+					t.Errorf("%d more answers and %d open requests, want none", len(request.Answer), len(loop.requests))
 				}
 			})
 		})
--- a/internal/dataplane/core/requests.go
+++ b/internal/dataplane/core/requests.go
@@ -8,105 +8,106 @@
 	"birchmoor/balancer"
 )
 
-// Submit hands a client's request to the loop. The one final answer comes on r.Answer.
-func (l *EventLoop) Submit(r *Request) {
+// Submit hands a client's request to the loop, which sends exactly one answer on request.Answer.
+func (l *EventLoop) Submit(request *Request) {
 	l.post(func(now balancer.Micros) {
-		if l.closed {
-			r.ended = true
-			r.Answer <- Answer{Disposition: Rejected}
+		if l.rejectsNewRequests {
+			request.ended = true
+			request.Answer <- Answer{Disposition: Rejected}
 			return
 		}
-		if l.byClientID[r.ID] != nil {
-			r.ended = true
-			r.Answer <- Answer{Disposition: DuplicateID}
+		if l.requestsByClientID[request.ID] != nil {
+			request.ended = true
+			request.Answer <- Answer{Disposition: DuplicateID}
 			return
 		}
-		l.lastID++
-		r.Input.ID = l.lastID
-		l.requests[r.Input.ID], l.byClientID[r.ID] = r, r
-		l.balancer.Request(now, r.Input)
+		l.lastRequestID++
+		request.Input.ID = l.lastRequestID
+		l.requests[request.Input.ID], l.requestsByClientID[request.ID] = request, request
+		l.balancer.Request(now, request.Input)
 	})
 }
 
-// ClientLeft reports that the client of a request has gone. The one answer still comes on r.Answer: one that was made
-// in the meantime, or that the request was abandoned.
-func (l *EventLoop) ClientLeft(r *Request) {
-	l.post(func(now balancer.Micros) { l.abandon(now, r) })
+// ClientLeft reports that the client of a request has disconnected. The loop still sends the one answer on
+// request.Answer: an answer from before it handled the report, or Rejected or Failed for the abandoned request.
+func (l *EventLoop) ClientLeft(request *Request) {
+	l.post(func(now balancer.Micros) { l.abandon(now, request) })
 }
 
-// clientGone reports whether the client of a request has gone, and has the loop abandon the request then. An attempt
-// calls it right before its first byte, since no attempt may begin more than 0.1 s after the client closed its
-// connection, and the event of ClientLeft may be late: the client may have gone before the request was read, and the
-// event waits behind others.
-func (l *EventLoop) clientGone(r *Request) bool {
-	if r.ClientGone == nil || !r.ClientGone() {
+// clientGone reports whether the client of a request has disconnected, and if so makes the loop abandon the request. It
+// is called on the goroutine of an attempt right before the first byte: no attempt may begin more than 0.1 s after the
+// client closed its connection, and the event of ClientLeft may come too late for that, since the client may have
+// disconnected before the request was read, and the event waits behind others.
+func (l *EventLoop) clientGone(request *Request) bool {
+	if request.ClientGone == nil || !request.ClientGone() {
 		return false
 	}
-	l.ClientLeft(r)
+	l.ClientLeft(request)
 	return true
 }
 
-// abandon ends a request that has no answer yet: as rejected if nothing was sent for it, since now nothing will be,
-// else as failed.
-func (l *EventLoop) abandon(now balancer.Micros, r *Request) {
-	if r.ended {
+// abandon answers a request that has no answer yet and closes the gates of its attempts. The answer is Rejected if no
+// attempt has run or can still run, otherwise Failed.
+func (l *EventLoop) abandon(now balancer.Micros, request *Request) {
+	if request.ended {
 		return
 	}
 	disposition := Rejected
-	for _, a := range r.attempts {
-		if !a.gate.close() && !a.neverRan {
+	for _, attempt := range request.attempts {
+		if !attempt.gate.close() && !attempt.neverRan {
 			disposition = Failed
 		}
 	}
-	l.answer(r, Answer{Disposition: disposition})
-	l.balancer.ClientDisconnected(now, r.Input.ID)
+	l.answer(request, Answer{Disposition: disposition})
+	l.balancer.ClientDisconnected(now, request.Input.ID)
 }
 
-// EndAfter answers all requests that are still open after a delay, and from then on new ones at once: this process is
-// about to be killed, which would lose them.
-func (l *EventLoop) EndAfter(delay time.Duration) {
+// CloseAfter makes the loop abandon all requests that are still open after delay, and reject new requests from then on:
+// the process is about to be killed, and requests without an answer would be lost.
+func (l *EventLoop) CloseAfter(delay time.Duration) {
 	l.post(func(now balancer.Micros) {
 		l.setTimer(now+delay.Microseconds(), l.close)
 	})
 }
 
+// close abandons all open requests and makes Submit reject new ones.
 func (l *EventLoop) close(now balancer.Micros) {
-	l.closed = true
+	l.rejectsNewRequests = true
 	for _, id := range slices.Sorted(maps.Keys(l.requests)) {
-		if r := l.requests[id]; r != nil {
-			l.abandon(now, r)
+		if request := l.requests[id]; request != nil {
+			l.abandon(now, request)
 		}
 	}
 }
 
-// answer gives a request its one final answer. Nothing new is sent for it.
-func (l *EventLoop) answer(r *Request, answer Answer) {
-	l.end(r)
-	for _, a := range r.attempts {
-		answer.MayHaveRun = answer.MayHaveRun || a.gate.hasPassed()
+// answer ends a request with its final answer.
+func (l *EventLoop) answer(request *Request, answer Answer) {
+	l.end(request)
+	for _, attempt := range request.attempts {
+		answer.MayHaveRun = answer.MayHaveRun || attempt.gate.hasPassed()
 	}
-	r.Answer <- answer // does not block: there is room for one, and r.ended allows no second
+	request.Answer <- answer // does not block: the buffer has room for one, and request.ended prevents a second
 }
 
-// end ends a request: attempts that were not sent yet are not, and late replies are not awaited any more.
-func (l *EventLoop) end(r *Request) {
-	r.ended = true
-	for _, a := range r.attempts {
-		switch a.phase {
+// end marks a request as ended. Its attempts that were not sent yet never are, and late replies are no longer awaited.
+func (l *EventLoop) end(request *Request) {
+	request.ended = true
+	for _, attempt := range request.attempts {
+		switch attempt.phase {
 		case attemptOpen:
-			a.gate.close()
+			attempt.gate.close()
 		case attemptLateReply:
-			a.cancel()
+			attempt.cancel()
 		case attemptDone:
 		}
 	}
-	l.forget(r)
+	l.removeIfDone(request)
 }
 
-// forget removes a request that has ended once it has all outcomes.
-func (l *EventLoop) forget(r *Request) {
-	if r.ended && r.openAttempts == 0 {
-		delete(l.requests, r.Input.ID)
-		delete(l.byClientID, r.ID)
+// removeIfDone removes a request that has ended and whose attempts all have outcomes.
+func (l *EventLoop) removeIfDone(request *Request) {
+	if request.ended && request.openAttempts == 0 {
+		delete(l.requests, request.Input.ID)
+		delete(l.requestsByClientID, request.ID)
 	}
 }
--- a/internal/dataplane/core/restore_test.go
+++ b/internal/dataplane/core/restore_test.go
@@ -18,21 +18,22 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// answerProbes has endpoints answer a probe, each after its own round trip.
-func answerProbes(t *testing.T, l *EventLoop, roundTrips map[string]balancer.Micros) {
+// answerProbes reports a completed probe with the given round trip, in microseconds, for each named endpoint.
+func answerProbes(t *testing.T, loop *EventLoop, roundTrips map[string]balancer.Micros) {
 	t.Helper()
-	mustDo(t, l, func(now balancer.Micros) {
+	mustRun(t, loop, func(now balancer.Micros) {
 		for name, roundTrip := range roundTrips {
-			l.balancer.ProbeCompleted(now, l.byName[name].number, balancer.OK, roundTrip, []float32{0, 0, 0})
+			loop.balancer.ProbeCompleted(now, loop.endpointsByName[name].number, balancer.OK, roundTrip, []float32{0, 0, 0})
 		}
 	})
 }
 
-func roundTrips(t *testing.T, l *EventLoop) map[string]float64 {
+// roundTrips returns the round trip in microseconds that a loop's module has for each endpoint, by name.
+func roundTrips(t *testing.T, loop *EventLoop) map[string]float64 {
 	t.Helper()
 	got := map[string]float64{}
-	mustDo(t, l, func(now balancer.Micros) {
-		saved := l.takeSnapshot(now, false)
+	mustRun(t, loop, func(now balancer.Micros) {
+		saved := loop.takeSnapshot(now, false)
 		for i, name := range saved.Names {
 			got[name] = saved.State.Endpoints[i].RTT.V
 		}
@@ -40,9 +41,10 @@
 	return got
 }
 
-// What one process learned of an endpoint the next one knows by the endpoint's name, whatever its number there.
+// A process must restore the state of an endpoint by the endpoint's name: its number differs from that in the earlier
+// process. State of another sidecar must be ignored.
 func TestRestoreMatchesEndpointsByName(t *testing.T) {
-	old := startLoneLoop(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), endpoints(3)), sidecartest.DiscardLog)
+	old := startIdleLoop(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), endpoints(3)), sidecartest.DiscardLog)
 	answerProbes(t, old, map[string]balancer.Micros{"s-1": 1000, "s-2": 2000, "s-3": 3000})
 	data, err := old.Snapshot(t.Context())
 	if err != nil {
@@ -57,10 +59,10 @@
 	known := endpoints(3)
 	known[0] = sidecartest.ReadyInstance("s-9", "127.0.0.1:9")
 	known[1], known[2] = known[2], known[1]
-	next := startLoneLoop(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), known), log)
+	next := startIdleLoop(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), known), log)
 	next.Restore(t.Context(), saved, "a file")
 	if got := roundTrips(t, next); got["s-2"] != 2000 || got["s-3"] != 3000 || got["s-9"] != 0 || len(got) != 3 {
-		t.Errorf("round trips %v", got)
+		t.Errorf("restored round trips %v, want 2000 for s-2, 3000 for s-3 and 0 for s-9", got)
 	}
 	saved.Sidecar = "n7"
 	next.Restore(t.Context(), saved, "a file")
@@ -70,36 +72,37 @@
 	}
 }
 
-// Two processes side by side report their ejections to each other.
+// During a handover, a process must report its ejections to the other process, which must eject the endpoints that it
+// lists.
 func TestEjectionsAreReportedToPeerProcess(t *testing.T) {
 	known := endpoints(3)
-	one := startLoneLoop(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), known), sidecartest.DiscardLog)
-	other := startLoneLoop(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), known[1:]), sidecartest.DiscardLog)
+	one := startIdleLoop(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), known), sidecartest.DiscardLog)
+	other := startIdleLoop(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), known[1:]), sidecartest.DiscardLog)
 	reports := make(chan []handover.Ejection, 1)
 	report := newEjectionReporter(func(_ context.Context, ejections []handover.Ejection) error {
 		reports <- ejections
 		return nil
 	})
-	one.peer.Store(&report)
-	mustDo(t, one, func(now balancer.Micros) {
-		one.balancer.PeerEjected(now, one.byName["s-2"].number, 3_000_000)
+	one.ejectionReporter.Store(&report)
+	mustRun(t, one, func(now balancer.Micros) {
+		one.balancer.PeerEjected(now, one.endpointsByName["s-2"].number, 3_000_000)
 		one.reportEjections(now)
 	})
 	ejections := sidecartest.Receive(t, reports, "report of the ejection")
 	if len(ejections) != 1 || ejections[0].ID != "s-2" || ejections[0].LeftMicros <= 0 {
-		t.Fatalf("reported %+v", ejections)
+		t.Fatalf("reported ejections %+v, want one of s-2", ejections)
 	}
 	unknown, ended := handover.Ejection{ID: "s-1", LeftMicros: 1_000_000}, handover.Ejection{ID: "s-3", LeftMicros: -1}
 	other.ApplyEjections(append(ejections, unknown, ended))
-	mustDo(t, other, func(balancer.Micros) {}) // urgent events go ahead of it
+	mustRun(t, other, func(balancer.Micros) {}) // returns once the loop has started; it may overtake the ejections
 	for end := time.Now().Add(sidecartest.WaitTimeout); ; {
-		var n int
-		mustDo(t, other, func(now balancer.Micros) { n = other.balancer.ExcludedCount(now) })
-		if n == 1 {
+		var excluded int
+		mustRun(t, other, func(now balancer.Micros) { excluded = other.balancer.ExcludedCount(now) })
+		if excluded == 1 {
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%d are excluded", n)
+			t.Fatalf("%d endpoints are excluded, want 1", excluded)
 		}
 	}
 }
@@ -107,26 +110,26 @@
 func TestSnapshotSaverInterval(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "known")
 	synctest.Test(t, func(t *testing.T) {
-		l := startLoneLoop(t, sidecartest.Configure(t, anyAddr, endpoints(1)), sidecartest.DiscardLog)
+		loop := startIdleLoop(t, sidecartest.Configure(t, anyAddr, endpoints(1)), sidecartest.DiscardLog)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		var paused atomic.Bool
 		paused.Store(true)
 		go func() {
 			defer close(done)
-			SnapshotSaver{l, snapshot.File{Path: path}}.Run(ctx, paused.Load)
+			SnapshotSaver{loop, snapshot.File{Path: path}}.Run(ctx, paused.Load)
 		}()
 		time.Sleep(minSaveInterval + 1)
 		synctest.Wait()
 		if _, err := os.Stat(path); err == nil {
-			t.Error("saved while paused")
+			t.Error("a snapshot was saved while saving was paused")
 		}
 		paused.Store(false)
 		time.Sleep(minSaveInterval)
 		synctest.Wait()
 		saved, err := snapshot.File{Path: path}.Load()
 		if err != nil || saved == nil || len(saved.Names) != 1 || saved.Sidecar != "n0" {
-			t.Errorf("saved %+v, %v", saved, err)
+			t.Errorf("loaded snapshot %+v, error %v, want one endpoint of sidecar n0", saved, err)
 		}
 		cancel()
 		<-done
@@ -141,7 +144,7 @@
 		{0, 640 << 10, 10 * time.Second},
 	} {
 		if got := saveInterval(tc.took, tc.bytes); got != tc.want {
-			t.Errorf("after %v for %d bytes: %v, want %v", tc.took, tc.bytes, got, tc.want)
+			t.Errorf("save that took %v for %d bytes: interval %v, want %v", tc.took, tc.bytes, got, tc.want)
 		}
 	}
 }
--- a/internal/dataplane/core/snapshotsaver.go
+++ b/internal/dataplane/core/snapshotsaver.go
@@ -9,7 +9,7 @@
 
 const (
 	minSaveInterval       = 2 * time.Second
-	saveTimeFactor        = 200      // the time between two files is at least so many times that of writing one
+	saveTimeFactor        = 200      // minimum ratio of the interval between saves to the time that a save takes
 	maxSaveBytesPerSecond = 64 << 10 // on average
 )
 
@@ -19,8 +19,8 @@
 	File snapshot.File
 }
 
-// Run saves the state repeatedly until ctx ends. While paused returns true, another process saves it. It returns at
-// once if there is no file.
+// Run saves the state repeatedly until ctx ends. While paused returns true it saves nothing, because another process
+// does. It returns at once if File has no path.
 func (s SnapshotSaver) Run(ctx context.Context, paused func() bool) {
 	if s.File.Path == "" {
 		return
@@ -48,7 +48,7 @@
 	}
 }
 
-// save saves the state once, and returns the size of the snapshot in bytes.
+// save saves the state once and returns the size of the encoded snapshot in bytes.
 func (s SnapshotSaver) save(ctx context.Context) (size int, err error) {
 	data, err := s.Loop.Snapshot(ctx)
 	if err != nil {
@@ -57,7 +57,7 @@
 	return len(data), s.File.Save(data)
 }
 
-// saveInterval returns the time until the next file, after one that took so long and has so many bytes.
-func saveInterval(took time.Duration, bytes int) time.Duration {
-	return max(minSaveInterval, saveTimeFactor*took, time.Duration(bytes)*time.Second/maxSaveBytesPerSecond)
+// saveInterval returns the time until the next save, given the time that the last one took and its size in bytes.
+func saveInterval(saveTime time.Duration, size int) time.Duration {
+	return max(minSaveInterval, saveTimeFactor*saveTime, time.Duration(size)*time.Second/maxSaveBytesPerSecond)
 }
--- a/internal/dataplane/core/timers.go
+++ b/internal/dataplane/core/timers.go
@@ -7,22 +7,23 @@
 	"birchmoor/balancer"
 )
 
-// timer fires an event of the loop at an instant; timers of the same instant fire in the order in which they were set.
+// timer fires an event of the loop at a given time. Timers that are due at the same time fire in the order in which
+// they were set.
 type timer struct {
-	at    balancer.Micros
+	due   balancer.Micros
 	seq   uint64
 	fire  event
-	index int // in the heap; -1 once out of it
+	index int // index in the heap; -1 once removed from it
 }
 
-// timerHeap implements heap.Interface.
+// timerHeap implements heap.Interface; the first timer is the next one that is due.
 type timerHeap []*timer
 
 func (h timerHeap) Len() int { return len(h) }
 
 func (h timerHeap) Less(i, j int) bool {
-	if h[i].at != h[j].at {
-		return h[i].at < h[j].at
+	if h[i].due != h[j].due {
+		return h[i].due < h[j].due
 	}
 	return h[i].seq < h[j].seq
 }
@@ -47,27 +48,29 @@
 	return t
 }
 
-func (l *EventLoop) setTimer(at balancer.Micros, fire event) *timer {
-	l.timersSet++
-	t := &timer{at: at, seq: l.timersSet, fire: fire}
+// setTimer sets a timer for a time on the loop's clock. If that has passed, the timer fires when the loop
+// next handles timers.
+func (l *EventLoop) setTimer(due balancer.Micros, fire event) *timer {
+	l.timerCount++
+	t := &timer{due: due, seq: l.timerCount, fire: fire}
 	heap.Push(&l.timers, t)
 	return t
 }
 
-// stopTimer removes a timer that has not fired, so that what it refers to can be freed. t may be nil.
+// stopTimer removes a timer that has not fired, so that the objects it refers to can be freed. t may be nil.
 func (l *EventLoop) stopTimer(t *timer) {
 	if t != nil && t.index >= 0 {
 		heap.Remove(&l.timers, t.index)
 	}
 }
 
-// fireTimers fires all timers that are due, and returns the time until the next one, if there is one.
+// fireTimers fires all timers that are due, and returns the time until the next one. ok is false if no timer is set.
 func (l *EventLoop) fireTimers(now balancer.Micros) (next time.Duration, ok bool) {
-	for len(l.timers) > 0 && l.timers[0].at <= now {
+	for len(l.timers) > 0 && l.timers[0].due <= now {
 		heap.Pop(&l.timers).(*timer).fire(now)
 	}
 	if len(l.timers) == 0 {
 		return 0, false
 	}
-	return time.Duration(l.timers[0].at-now) * time.Microsecond, true
+	return time.Duration(l.timers[0].due-now) * time.Microsecond, true
 }
--- a/internal/dataplane/sidecar/stop.go
+++ b/internal/dataplane/sidecar/stop.go
@@ -41,7 +41,7 @@
 		end = max(end, endDelay(&s.loop.ConfigSnapshot().Settings))
 	}
 	for _, s := range n.stacks {
-		s.loop.EndAfter(end)
+		s.loop.CloseAfter(end)
 	}
 	n.mu.Lock()
 	n.stopping = true
