--- a/internal/dataplane/sidecar/deployments_test.go
+++ b/internal/dataplane/sidecar/deployments_test.go
@@ -15,15 +15,15 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// deployment is a deployment whose settings have other names, sizes and orders than sidecartest.Configure's.
+// deployment has settings whose names, values and order of classes differ from those of sidecartest.Configure.
 type deployment struct {
 	name     string
 	settings string
 
-	idempotent, keyed, notIdempotent string         // classes
-	timeoutMs                        map[string]int // of a class
+	idempotent, keyed, notIdempotent string         // names of the classes by their idempotency
+	timeoutMs                        map[string]int // by class
 	maxAttempts                      int
-	retryAfter                       bool // rejections have one
+	retryAfter                       bool // whether rejections have a Retry-After
 }
 
 var deployments = []deployment{
@@ -70,51 +70,52 @@
 }
 
 const (
-	tenant   = "t-8"
-	maxOpen  = 5     // requests, of all deployments
-	maxDelay = 0.077 // seconds of Retry-After
+	tenant               = "t-8"
+	maxOpenRequests      = 5     // limit in the settings of all deployments
+	maxRetryAfterSeconds = 0.077 // upper limit in the settings of the second deployment
 
-	// busyMs is the time in milliseconds that a busy machine may take from the last byte of a request to its attempt.
-	busyMs = 25_000
+	// maxBusyDelayMs is the time in milliseconds that a busy machine may take from the last byte of a request to its
+	// attempt.
+	maxBusyDelayMs = 25_000
 )
 
-// recordingEndpoint records the requests that it receives.
+// recordingEndpoint is an endpoint that records the requests that it receives.
 type recordingEndpoint struct {
 	addr     string
 	received chan *http.Request
-	breaks   chan struct{} // one for each attempt whose connection is to break
-	release  chan struct{} // is closed to answer the requests with the query "hold"
+	breaks   chan struct{} // one value for each attempt whose connection the endpoint breaks
+	release  chan struct{} // closed to answer the requests that have the query key "hold"
 }
 
 func newRecordingEndpoint(t *testing.T) *recordingEndpoint {
 	t.Helper()
-	e := &recordingEndpoint{
+	endpoint := &recordingEndpoint{
 		received: make(chan *http.Request, 64),
 		breaks:   make(chan struct{}, 64),
 		release:  make(chan struct{}),
 	}
-	e.addr = sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
+	endpoint.addr = sidecartest.RawEndpoint(t, func(conn *net.TCPConn, reader *bufio.Reader) {
 		for {
-			req, err := sidecartest.ReadRequest(r)
+			req, err := sidecartest.ReadRequest(reader)
 			if err != nil {
 				return
 			}
-			e.received <- req
+			endpoint.received <- req
 			if req.URL.Query().Has("hold") {
-				<-e.release
+				<-endpoint.release
 			}
 			select {
-			case <-e.breaks:
+			case <-endpoint.breaks:
 				return
 			default:
-				_, _ = io.WriteString(c, sidecartest.OKAnswer)
+				_, _ = io.WriteString(conn, sidecartest.OKAnswer)
 			}
 		}
 	})
-	return e
+	return endpoint
 }
 
-// count returns how many requests were received since the last call.
+// count returns the number of requests received since the last call.
 func (e *recordingEndpoint) count() (n int) {
 	for ; len(e.received) > 0; n++ {
 		<-e.received
@@ -126,9 +127,9 @@
 	t.Helper()
 	var known []discovery.Instance
 	for i := range 5 {
-		in := sidecartest.ReadyInstance(fmt.Sprint("i-", i), addr)
-		in.StartedMs, in.Zone, in.Kind = 1, "nowhere", "nothing"
-		known = append(known, in)
+		entry := sidecartest.ReadyInstance(fmt.Sprint("i-", i), addr)
+		entry.StartedMs, entry.Zone, entry.Kind = 1, "nowhere", "nothing"
+		known = append(known, entry)
 	}
 	text, err := json.Marshal(map[string]any{
 		"name":      "n7",
@@ -142,13 +143,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := config.Parse(text, func(string) string { return "" })
+	cfg, err := config.Parse(text, func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
-	return c
+	return cfg
 }
 
+// method returns the HTTP method for a class.
 func (d *deployment) method(class string) string {
 	if class == d.idempotent {
 		return http.MethodGet
@@ -156,6 +158,7 @@
 	return http.MethodPost
 }
 
+// request returns a request of a class with a timeout in milliseconds.
 func (d *deployment) request(class, path string, ms int) *http.Request {
 	r := sidecartest.Request(d.method(class), path, class, ms, "")
 	r.Header.Set("X-Customer", tenant)
@@ -165,90 +168,94 @@
 	return r
 }
 
-// Classes, methods, keys, times, attempts, limits and advice are those of the settings, and nothing is left of another
-// deployment's.
+// The sidecar must take classes, methods, idempotency keys, timeouts, numbers of attempts, limits and Retry-After from
+// the settings of its deployment. Nothing may be left of the settings of the other tests.
 func TestSettingsOfOtherDeployments(t *testing.T) {
 	for _, d := range deployments {
 		t.Run(d.name, func(t *testing.T) {
 			endpoint := newRecordingEndpoint(t)
 			defer close(endpoint.release)
-			s := startSidecar(t, d.configure(t, endpoint.addr))
-			d.checkClasses(t, s, endpoint)
-			d.checkUnknownRequests(t, s)
-			d.checkAttempts(t, s, endpoint)
-			d.checkLimit(t, s, endpoint)
+			sidecar := startSidecar(t, d.configure(t, endpoint.addr))
+			d.checkClasses(t, sidecar, endpoint)
+			d.checkUnknownRequests(t, sidecar)
+			d.checkAttempts(t, sidecar, endpoint)
+			d.checkLimit(t, sidecar, endpoint)
 			if n := endpoint.count(); n > 0 {
-				t.Errorf("%d probes or further requests", n)
+				t.Errorf("the endpoint received %d probes or further requests, want none", n)
 			}
 		})
 	}
 }
 
-// checkClasses checks the time and the method of each class. A client may wait longer than its class allows.
-func (d *deployment) checkClasses(t *testing.T, s *testSidecar, endpoint *recordingEndpoint) {
+// checkClasses checks the timeout and the method of each class. The class's timeout applies even if the client would
+// wait longer.
+func (d *deployment) checkClasses(t *testing.T, sidecar *testSidecar, endpoint *recordingEndpoint) {
 	t.Helper()
 	for class, timeoutMs := range d.timeoutMs {
-		resp, body := s.do(t, d.request(class, "/"+class+"/7", 3*timeoutMs))
+		resp, body := sidecar.do(t, d.request(class, "/"+class+"/7", 3*timeoutMs))
 		if resp.StatusCode != http.StatusOK || body != "ok" {
-			t.Fatalf("%s: %s %q", class, resp.Status, body)
+			t.Fatalf("request of class %s: %s with body %q, want 200 with ok", class, resp.Status, body)
 		}
 		received := <-endpoint.received
-		ms, err := strconv.Atoi(received.Header.Get("X-Expires-In-Ms"))
-		if err != nil || ms > timeoutMs || ms < timeoutMs-busyMs {
-			t.Errorf("%s: the endpoint has %d ms, want the class's %d", class, ms, timeoutMs)
+		leftMs, err := strconv.Atoi(received.Header.Get("X-Expires-In-Ms"))
+		if err != nil || leftMs > timeoutMs || leftMs < timeoutMs-maxBusyDelayMs {
+			t.Errorf("request of class %s: the endpoint has %d ms left, want the class's %d", class, leftMs, timeoutMs)
 		}
-		wrong := d.request(class, "/"+class, timeoutMs)
-		wrong.Method = http.MethodGet
+		wrongMethod := d.request(class, "/"+class, timeoutMs)
+		wrongMethod.Method = http.MethodGet
 		if class == d.idempotent {
-			wrong.Method = http.MethodPost
+			wrongMethod.Method = http.MethodPost
 		}
-		if resp, _ := s.do(t, wrong); resp.StatusCode != http.StatusMethodNotAllowed {
-			t.Errorf("%s by %s: %s", class, wrong.Method, resp.Status)
+		if resp, _ := sidecar.do(t, wrongMethod); resp.StatusCode != http.StatusMethodNotAllowed {
+			t.Errorf("request of class %s with method %s: %s, want 405", class, wrongMethod.Method, resp.Status)
 		}
 	}
 }
 
-func (d *deployment) checkUnknownRequests(t *testing.T, s *testSidecar) {
+// checkUnknownRequests checks that classes of other settings are unknown, and that the keyed class requires a key.
+func (d *deployment) checkUnknownRequests(t *testing.T, sidecar *testSidecar) {
 	t.Helper()
 	for _, class := range []string{"look", "book", "pay", "slot-search", "confirm"} {
-		resp, _ := s.do(t, sidecartest.Request("GET", "/"+class, class, 900, ""))
+		resp, _ := sidecar.do(t, sidecartest.Request("GET", "/"+class, class, 900, ""))
 		if resp.StatusCode != http.StatusNotFound {
-			t.Errorf("class %q of another deployment: %s", class, resp.Status)
+			t.Errorf("request of class %q of other settings: %s, want 404", class, resp.Status)
 		}
 	}
 	withoutKey := d.request(d.keyed, "/"+d.keyed, 900)
 	withoutKey.Header.Del("Idempotency-Key")
-	if resp, _ := s.do(t, withoutKey); resp.StatusCode != http.StatusBadRequest {
-		t.Errorf("without an idempotency key: %s", resp.Status)
+	if resp, _ := sidecar.do(t, withoutKey); resp.StatusCode != http.StatusBadRequest {
+		t.Errorf("request of the keyed class without an idempotency key: %s, want 400", resp.Status)
 	}
 }
 
-// checkAttempts breaks all attempts once they are sent: an idempotent request has as many as the settings allow, one
-// that is not idempotent a single one.
-func (d *deployment) checkAttempts(t *testing.T, s *testSidecar, endpoint *recordingEndpoint) {
+// checkAttempts breaks the connections of all attempts once these are sent. An idempotent request must then have as
+// many attempts as the settings allow, and a request that is not idempotent only one.
+func (d *deployment) checkAttempts(t *testing.T, sidecar *testSidecar, endpoint *recordingEndpoint) {
 	t.Helper()
 	for class, want := range map[string]int{d.idempotent: d.maxAttempts, d.notIdempotent: 1} {
 		for range want {
 			endpoint.breaks <- struct{}{}
 		}
-		resp, _ := s.do(t, d.request(class, "/"+class, 20_000))
+		resp, _ := sidecar.do(t, d.request(class, "/"+class, 20_000))
 		if n := endpoint.count(); n != want || resp.StatusCode == http.StatusOK {
-			t.Errorf("%s: %d attempts, answered %s, want %d", class, n, resp.Status, want)
+			t.Errorf("request of class %s: %d attempts and answer %s, want %d attempts and an error",
+				class, n, resp.Status, want)
 		}
 	}
 }
 
-// checkLimit checks that one request more than the limit is rejected.
-func (d *deployment) checkLimit(t *testing.T, s *testSidecar, endpoint *recordingEndpoint) {
+// checkLimit checks that one request more than the limit on open requests is rejected.
+func (d *deployment) checkLimit(t *testing.T, sidecar *testSidecar, endpoint *recordingEndpoint) {
 	t.Helper()
-	for range maxOpen {
+	for range maxOpenRequests {
 		r := d.request(d.notIdempotent, "/"+d.notIdempotent+"?hold", 20_000)
-		go func() { _, _ = s.tryDo(r) }() // is not answered before the end of the test
+		go func() { _, _ = sidecar.tryDo(r) }() // not answered before the end of the test
 		<-endpoint.received
 	}
-	resp, _ := s.do(t, d.request(d.idempotent, "/"+d.idempotent, 20_000))
+	resp, _ := sidecar.do(t, d.request(d.idempotent, "/"+d.idempotent, 20_000))
 	retryAfter, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
-	if resp.StatusCode != http.StatusServiceUnavailable || (err == nil) != d.retryAfter || retryAfter > maxDelay {
-		t.Errorf("over the limit: %s, Retry-After %q", resp.Status, resp.Header.Get("Retry-After"))
+	if resp.StatusCode != http.StatusServiceUnavailable || (err == nil) != d.retryAfter ||
+		retryAfter > maxRetryAfterSeconds {
+		t.Errorf("request over the limit: %s, Retry-After %q, want 503", resp.Status, resp.Header.Get("Retry-After"))
 	}
 }
--- a/internal/dataplane/sidecar/fleet.go
+++ b/internal/dataplane/sidecar/fleet.go
@@ -9,29 +9,31 @@
 	"birchmoor/internal/platform/recovery"
 )
 
-// Fleet is how daemons share what they know of servers: which processes drain, which started a short while ago, and the
-// state of their decision modules. Its methods do not block, except SaveSnapshots.
+// Fleet is the exchange of information about servers among daemons: which processes drain, which started recently, and
+// the state of the daemons' decision modules. Its methods do not block, except SaveSnapshots.
 type Fleet interface {
-	// DrainingProcesses returns the processes that are known to drain before this sidecar has received anything.
+	// DrainingProcesses returns the processes that are known to drain when the sidecar starts.
 	DrainingProcesses() []discovery.Process
-	// Observe reports what this sidecar's discovery says of a drain.
-	Observe(p discovery.Process, drains bool)
-	// OnDrain sets how the reports of other daemons are applied.
-	OnDrain(apply func(ctx context.Context, p discovery.Process, drains bool) error)
+	// Observe reports to other daemons whether a process drains according to this sidecar's discovery.
+	Observe(process discovery.Process, draining bool)
+	// OnDrain sets the function that is called with the drain reports of other daemons.
+	OnDrain(apply func(ctx context.Context, process discovery.Process, draining bool) error)
 
-	// RecentStarts returns the recent starts that are known before this sidecar has observed anything.
+	// RecentStarts returns the recent starts of processes that are known when the sidecar starts.
 	RecentStarts() []core.Start
-	// ReportStart reports a start that this sidecar observed, its age, and how long the process is warming up in all.
-	ReportStart(p discovery.Process, age, warmUp time.Duration)
-	// OnStart sets how the reports of other daemons are applied.
-	OnStart(apply func(ctx context.Context, s core.Start) error)
+	// ReportStart reports to other daemons the start of a process that this sidecar observed. age is the time since the
+	// start, warmUp the whole time for which a process is warming up.
+	ReportStart(process discovery.Process, age, warmUp time.Duration)
+	// OnStart sets the function that is called with the start reports of other daemons.
+	OnStart(apply func(ctx context.Context, start core.Start) error)
 
-	// RestoreCandidates returns the snapshots of a protocol from which a sidecar may restore its state.
+	// RestoreCandidates returns the snapshots from which a sidecar may restore the state of a protocol.
 	RestoreCandidates(sidecar, protocol string) []recovery.Candidate
-	// RecordRestore reports what a sidecar restored its state from, and the number of servers in that.
-	RecordRestore(protocol string, c recovery.Choice, servers int)
-	// SaveSnapshots saves the snapshots that take returns until ctx ends. While paused returns true, another process
-	// saves them.
+	// RecordRestore records the snapshot from which a sidecar restored the state of a protocol, and the number of
+	// servers whose state was restored.
+	RecordRestore(protocol string, choice recovery.Choice, servers int)
+	// SaveSnapshots saves the snapshots that take returns, until ctx ends. While paused returns true it saves nothing,
+	// because another process does.
 	SaveSnapshots(ctx context.Context, sidecar, protocol string, take func(context.Context) ([]byte, error),
 		paused func() bool)
 }
--- a/internal/dataplane/sidecar/handover.go
+++ b/internal/dataplane/sidecar/handover.go
@@ -15,35 +15,38 @@
 )
 
 const (
-	// idleGrace is the time for which idle connections stay open once another process accepts.
-	idleGrace     = 2 * time.Second
+	// idleGrace is the time for which idle connections stay open once another process accepts requests.
+	idleGrace = 2 * time.Second
+	// readyInterval is the time between two checks of whether this process is ready.
 	readyInterval = 10 * time.Millisecond
 )
 
-// oldProcess names the source of a snapshot in log lines.
-const oldProcess = "the old process"
+// oldProcessSource is the source of an old process's snapshot in log lines.
+const oldProcessSource = "the old process"
 
-// join looks for an old process and applies its state, or what was saved if there is none.
-func (n *instance) join(ctx context.Context) *handover.Predecessor {
-	old, state := n.joinProcess(ctx)
-	for _, s := range n.stacks {
+// joinAndRestore connects to the old process and applies its state. For protocols without state of an old process it
+// restores saved snapshots. It returns nil if there is no old process.
+func (n *instance) joinAndRestore(ctx context.Context) *handover.Predecessor {
+	old, state := n.joinOldProcess(ctx)
+	for _, stack := range n.stacks {
 		data := state.Snapshot
-		if s.name != httpName {
-			data = state.OtherProtocols[s.name]
+		if stack.name != httpName {
+			data = state.OtherProtocols[stack.name]
 		}
-		n.restore(ctx, s, data)
+		n.restore(ctx, stack, data)
 	}
 	return old
 }
 
-// joinProcess looks for an old process, and applies its list and overrides.
-func (n *instance) joinProcess(ctx context.Context) (*handover.Predecessor, handover.State) {
+// joinOldProcess connects to the old process, and applies its endpoint list and overrides. It returns nil and an empty
+// state if there is no old process.
+func (n *instance) joinOldProcess(ctx context.Context) (*handover.Predecessor, handover.State) {
 	if n.host.HandoverPath == "" {
 		return nil, handover.State{}
 	}
 	old, state := handover.Join(ctx, n.host.HandoverPath, n, n.log)
 	if len(state.List) > 0 {
-		n.applyListOf(ctx, state.List)
+		n.applyOldProcessList(ctx, state.List)
 	}
 	if err := n.overrides.Merge(ctx, state.Overrides...); err != nil {
 		n.log.Error("cannot apply the overrides of the old process", "error", err)
@@ -51,11 +54,11 @@
 	return old, state
 }
 
-// applyListOf applies the list of an old process, which is later than the configured one.
-func (n *instance) applyListOf(ctx context.Context, encoded json.RawMessage) {
+// applyOldProcessList applies the endpoint list of the old process, which is newer than the configured one.
+func (n *instance) applyOldProcessList(ctx context.Context, encoded json.RawMessage) {
 	var list discovery.List
 	if err := json.Unmarshal(encoded, &list); err != nil {
-		n.log.Error("cannot decode the list of the old process", "error", err)
+		n.log.Error("cannot decode the endpoint list of the old process", "error", err)
 		return
 	}
 	if len(list.Instances) > 0 {
@@ -63,39 +66,39 @@
 	}
 }
 
-// restore restores the state of a protocol's decision module: that of the old process if there is one, else what
-// recovery chooses of the file and the fleet's snapshots.
-func (n *instance) restore(ctx context.Context, s *protocolStack, ofOldProcess []byte) {
-	if len(ofOldProcess) > 0 {
-		saved, err := snapshot.Decode(ofOldProcess)
+// restore restores the state of a protocol's decision module: from the old process's snapshot if there is one,
+// otherwise from the snapshot that package recovery chooses among the file and those of other daemons.
+func (n *instance) restore(ctx context.Context, stack *protocolStack, oldProcessSnapshot []byte) {
+	if len(oldProcessSnapshot) > 0 {
+		saved, err := snapshot.Decode(oldProcessSnapshot)
 		if err != nil {
-			n.log.Warn("snapshot ignored", "from", oldProcess, "error", err)
+			n.log.Warn("snapshot ignored", "from", oldProcessSource, "error", err)
 			return
 		}
-		s.loop.Restore(ctx, saved, oldProcess)
+		stack.loop.Restore(ctx, saved, oldProcessSource)
 		return
 	}
-	candidates := n.fileCandidates(s)
+	candidates := n.fileCandidates(stack)
 	if n.host.Fleet != nil {
-		candidates = append(candidates, n.host.Fleet.RestoreCandidates(n.config.Name, s.name)...)
+		candidates = append(candidates, n.host.Fleet.RestoreCandidates(n.config.Name, stack.name)...)
 	}
 	choice := recovery.Choose(n.config.Name, candidates)
 	if choice.Snapshot == nil {
 		if len(candidates) > 0 {
-			n.log.Info("no snapshot restored: too old, or of unknown age", "snapshots", len(candidates))
+			n.log.Info("no snapshot restored: all are too old or of unknown age", "snapshots", len(candidates))
 		}
 		return
 	}
-	endpoints := s.loop.RestoreAged(ctx, choice.Snapshot, choice.Source, choice.Age)
+	endpoints := stack.loop.RestoreAged(ctx, choice.Snapshot, choice.Source, choice.Age)
 	if n.host.Fleet != nil {
-		n.host.Fleet.RecordRestore(s.name, choice, endpoints)
+		n.host.Fleet.RecordRestore(stack.name, choice, endpoints)
 	}
 }
 
-// fileCandidates returns the snapshot in a protocol's file, if there is one of this sidecar.
-func (n *instance) fileCandidates(s *protocolStack) []recovery.Candidate {
-	path := s.snapshotFile.Path
-	saved, err := s.snapshotFile.Load()
+// fileCandidates returns the snapshot in a protocol's file, if the file has one of this sidecar.
+func (n *instance) fileCandidates(stack *protocolStack) []recovery.Candidate {
+	path := stack.snapshotFile.Path
+	saved, err := stack.snapshotFile.Load()
 	switch {
 	case err != nil:
 		n.log.Warn("snapshot ignored", "from", path, "error", err)
@@ -110,15 +113,15 @@
 	return []recovery.Candidate{{Source: path, Snapshot: saved, Own: true, Age: age, SameClock: true}}
 }
 
-// takeOver waits until this process can serve, has the old one stop accepting, and is from then on the one that a new
-// process finds.
+// takeOver waits until this process is ready, tells the old process to stop accepting, and then answers new processes
+// that want to take over from this one, until ctx ends. old is nil if no old process was found at the start.
 func (n *instance) takeOver(ctx context.Context, old *handover.Predecessor) {
 	if !n.awaitReady(ctx) {
 		return
 	}
-	ln, late := n.becomeCurrent(ctx, old)
-	if late != nil {
-		defer late.Close()
+	ln, foundLate := n.becomeCurrent(ctx, old)
+	if foundLate != nil {
+		defer foundLate.Close()
 	}
 	n.serving.Store(true)
 	if ln == nil {
@@ -128,31 +131,32 @@
 	handover.Serve(ctx, ln, n, n.log)
 }
 
-// becomeCurrent has the old process stop accepting, and listens for a successor: an operator who is told that this
-// process serves may start the next one, which has to find it. late is a process that was not found at the start, since
-// it started together with this one. There may be neither.
+// becomeCurrent tells the old process to stop accepting, and listens for a successor. It does both before this process
+// reports that it serves, since an operator may then start the next process, which must find this one. foundLate is an
+// old process that was not found at the start because it started together with this one. ln is nil without handovers,
+// foundLate is nil if there is no such process.
 func (n *instance) becomeCurrent(
 	ctx context.Context, old *handover.Predecessor,
-) (ln net.Listener, late *handover.Predecessor) {
+) (ln net.Listener, foundLate *handover.Predecessor) {
 	if n.host.HandoverPath != "" {
 		unlock, err := handover.Lock(ctx, n.host.HandoverPath)
 		if err != nil {
-			n.log.Error("a process that starts together with this one may not find it", "error", err)
+			n.log.Error("cannot lock the handover: a process that starts together with this one may not find it", "error", err)
 		} else {
 			defer unlock()
 		}
 	}
 	if old == nil {
-		late, _ = n.joinProcess(ctx)
-		old = late
+		foundLate, _ = n.joinOldProcess(ctx)
+		old = foundLate
 	}
 	if old != nil {
 		old.TakeOver(ctx, n.log)
 	}
-	return n.listenForSuccessor(), late
+	return n.listenForSuccessor(), foundLate
 }
 
-// awaitReady returns false if ctx ends before an endpoint is known to serve.
+// awaitReady waits until an endpoint is ready. It returns false if ctx ends before.
 func (n *instance) awaitReady(ctx context.Context) bool {
 	ticker := time.NewTicker(readyInterval)
 	defer ticker.Stop()
@@ -166,7 +170,8 @@
 	return true
 }
 
-// listenForSuccessor returns nil where there are no handovers.
+// listenForSuccessor listens at the socket by which a new process finds this one. It returns nil without handovers, or
+// if listening fails.
 func (n *instance) listenForSuccessor() net.Listener {
 	if n.host.HandoverPath == "" {
 		return nil
@@ -181,30 +186,32 @@
 
 // The following methods implement handover.Process.
 
-// AddPeer begins a time in which another process serves beside this one, until leave is called.
+// AddPeer begins the time in which both this process and other run; leave ends it. Meanwhile overrides and ejections
+// are passed on to other, and both share the limits.
 func (n *instance) AddPeer(other handover.Peer) (leave func()) {
 	stops := []func(){n.overrides.AddPeer(other.ApplyOverride)}
-	for _, s := range n.stacks {
-		stops = append(stops, s.loop.ReportEjectionsTo(other.ReportEjections))
+	for _, stack := range n.stacks {
+		stops = append(stops, stack.loop.ReportEjectionsTo(other.ReportEjections))
 	}
-	n.addPeers(1)
+	n.addToPeerCount(1)
 	return func() {
 		for _, stop := range stops {
 			stop()
 		}
-		n.addPeers(-1)
+		n.addToPeerCount(-1)
 	}
 }
 
-// addPeers adds to the processes beside this one, and shares the limits with them.
-func (n *instance) addPeers(count int) {
+// addToPeerCount adds count, which may be negative, to the number of other processes, and sets this process's share of
+// the limits accordingly.
+func (n *instance) addToPeerCount(count int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.peers += count
-	n.setCapacityShare(1 / float64(1+n.peers))
+	n.peerCount += count
+	n.setCapacityShare(1 / float64(1+n.peerCount))
 }
 
-// State returns what a new process needs to know.
+// State returns the overrides, the endpoint list and the snapshots for a new process.
 func (n *instance) State(ctx context.Context) (handover.State, error) {
 	list, err := n.stacks.list(ctx)
 	if err != nil {
@@ -219,15 +226,15 @@
 		List:           encoded,
 		OtherProtocols: map[string][]byte{},
 	}
-	for _, s := range n.stacks {
-		data, err := s.loop.Snapshot(ctx)
+	for _, stack := range n.stacks {
+		data, err := stack.loop.Snapshot(ctx)
 		switch {
 		case err != nil:
-			n.log.Warn("cannot take a snapshot for the new process", "protocol", s.name, "error", err)
-		case s.name == httpName:
+			n.log.Warn("cannot take a snapshot for the new process", "protocol", stack.name, "error", err)
+		case stack.name == httpName:
 			state.Snapshot = data
 		default:
-			state.OtherProtocols[s.name] = data
+			state.OtherProtocols[stack.name] = data
 		}
 	}
 	return state, nil
@@ -240,27 +247,27 @@
 
 // ApplyEjections applies the ejections of the other process.
 func (n *instance) ApplyEjections(ejections []handover.Ejection) {
-	for _, s := range n.stacks {
-		s.loop.ApplyEjections(ejections)
+	for _, stack := range n.stacks {
+		stack.loop.ApplyEjections(ejections)
 	}
 }
 
-// StopAccepting leaves accepting to another process. Open requests are answered, and so are those on open connections,
-// each of which is closed with its answer, or once it was idle for idleGrace.
+// StopAccepting leaves accepting to another process. Open requests are still answered, and so are further requests on
+// open connections. Each connection is closed after its next answer, or once it has been idle for idleGrace.
 func (n *instance) StopAccepting() {
 	n.closeListeners()
-	n.yielded.Store(true)
+	n.replaced.Store(true)
 	n.setClosing(true)
 	ctx, cancel := context.WithCancel(context.Background())
 	n.mu.Lock()
-	n.cancelYield = cancel
+	n.cancelHandoverWait = cancel
 	n.mu.Unlock()
 	go n.awaitLastConnection(ctx)
 }
 
-// awaitLastConnection reports on handedOver that no connection is left, unless ctx ends before.
+// awaitLastConnection sends on handedOver once all connections are closed, unless ctx ends before.
 func (n *instance) awaitLastConnection(ctx context.Context) {
-	ticker := time.NewTicker(settleInterval)
+	ticker := time.NewTicker(connectionCheckInterval)
 	defer ticker.Stop()
 	for n.countOpen(func(f core.Frontend) int { return f.CloseIdleFor(idleGrace) }) > 0 {
 		select {
@@ -272,18 +279,18 @@
 	n.handedOver <- struct{}{}
 }
 
-// ResumeAccepting accepts again, since the process that took over is gone.
+// ResumeAccepting starts accepting again after the process that took over has ended.
 func (n *instance) ResumeAccepting() {
 	n.mu.Lock()
-	n.cancelYield()
+	n.cancelHandoverWait()
 	stopping := n.stopping
 	n.mu.Unlock()
 	if stopping {
-		return // the platform's socket keeps connections for the next process
+		return // the listening socket, which the platform holds, queues connections for the next process
 	}
 	n.setClosing(false)
-	n.yielded.Store(false)
+	n.replaced.Store(false)
 	if err := n.open(); err != nil {
-		n.broken <- err
+		n.acceptErrors <- err
 	}
 }
--- a/internal/dataplane/sidecar/handover_test.go
+++ b/internal/dataplane/sidecar/handover_test.go
@@ -28,20 +28,21 @@
 	return net.FileListener(f)
 }
 
-// startProcess runs a sidecar that shares a socket and a folder with others, and waits until it serves.
-func startProcess(t *testing.T, c *config.Config, socket sharedSocket, dir string) *testSidecar {
+// startProcess starts a process of a sidecar that shares a socket and a directory with others, and waits until it
+// serves.
+func startProcess(t *testing.T, cfg *config.Config, socket sharedSocket, dir string) *testSidecar {
 	t.Helper()
-	s := launchSidecar(t, c, socket, socket.ln.Addr().String(), dir)
-	for end := time.Now().Add(sidecartest.WaitTimeout); s.manage(t, "status") != "YES\n"; {
+	sidecar := launchSidecar(t, cfg, socket, socket.ln.Addr().String(), dir)
+	for end := time.Now().Add(sidecartest.WaitTimeout); sidecar.manage(t, "status") != "YES\n"; {
 		if time.Now().After(end) {
-			t.Fatal("it does not serve: " + s.manage(t, "status"))
+			t.Fatal("the process does not serve in time: " + sidecar.manage(t, "status"))
 		}
 	}
-	return s
+	return sidecar
 }
 
-// A new process takes over under load: it has the old one's drains, overrides apply in both, the old one answers its
-// open requests and ends by itself, and no client is rejected.
+// A new process takes over under load: it must have the old process's administrative drains, overrides must apply in
+// both processes, and the old process must answer its open requests and then end by itself. No client may be rejected.
 func TestHandoverUnderLoad(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -53,61 +54,62 @@
 		t.Fatal(err)
 	}
 	defer os.RemoveAll(dir)
-	taken, release := make(chan struct{}, 1), make(chan struct{})
-	let := sync.OnceFunc(func() { close(release) })
-	t.Cleanup(let)
+	received, release := make(chan struct{}, 1), make(chan struct{})
+	releaseOnce := sync.OnceFunc(func() { close(release) })
+	t.Cleanup(releaseOnce)
 	addr := sidecartest.HTTPEndpoint(t, func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/pay" {
-			taken <- struct{}{}
+			received <- struct{}{}
 			<-release
 		}
 	})
-	c := configure(t, []string{addr, addr, addr},
+	cfg := configure(t, []string{addr, addr, addr},
 		`"ramp-time":10000000`, `"ramp-time":1`, `"give-up":1000000`, `"give-up":5000000`)
 	socket := sharedSocket{ln.(*net.TCPListener)}
-	old := startProcess(t, c, socket, dir)
+	old := startProcess(t, cfg, socket, dir)
 	old.wantReply(t, "maint-on s-1", "YES")
-	kept, err := net.Dial("tcp", old.addr)
+	keptConn, err := net.Dial("tcp", old.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer kept.Close()
-	if resp, _ := old.doOn(t, kept, sidecartest.IdempotentRequest(900)); resp.Close {
-		t.Error("a connection was closed with its answer")
+	defer keptConn.Close()
+	if resp, _ := old.doOnConn(t, keptConn, sidecartest.IdempotentRequest(900)); resp.Close {
+		t.Error("the old process closed a connection after its answer before the handover")
 	}
-	open := make(chan *http.Response, 1)
+	openAnswer := make(chan *http.Response, 1)
 	go func() {
 		resp, _ := old.do(t, sidecartest.Request("POST", "/pay", "pay", 5000, "x"))
-		open <- resp
+		openAnswer <- resp
 	}()
-	sidecartest.Receive(t, taken, "attempt")
+	sidecartest.Receive(t, received, "attempt")
 
-	fresh := startProcess(t, c, socket, dir)
-	fresh.wantMetric(t, "cluster_unhealthy", 1)
+	next := startProcess(t, cfg, socket, dir)
+	next.wantMetric(t, "cluster_unhealthy", 1)
 	old.wantReply(t, "status", "NO stopping")
 	old.wantReply(t, "maint-on s-2", "YES")
-	fresh.wantMetric(t, "cluster_unhealthy", 2)
-	fresh.wantReply(t, "maint-off s-1", "YES")
+	next.wantMetric(t, "cluster_unhealthy", 2)
+	next.wantReply(t, "maint-off s-1", "YES")
 	old.wantMetric(t, "cluster_unhealthy", 1)
-	if resp, _ := old.doOn(t, kept, sidecartest.IdempotentRequest(900)); !resp.Close {
-		t.Error("the old process leaves a connection open")
+	if resp, _ := old.doOnConn(t, keptConn, sidecartest.IdempotentRequest(900)); !resp.Close {
+		t.Error("the old process did not close a connection after its answer during the handover")
 	}
-	before := fresh.metric(t, `answered_total{group="look"}`)
-	if resp, _ := fresh.do(t, sidecartest.IdempotentRequest(900)); resp.StatusCode != http.StatusOK {
-		t.Error("after the handover:", resp.Status)
+	answeredBefore := next.metric(t, `answered_total{group="look"}`)
+	if resp, _ := next.do(t, sidecartest.IdempotentRequest(900)); resp.StatusCode != http.StatusOK {
+		t.Error("request to the new process after the handover:", resp.Status)
 	}
-	fresh.wantMetric(t, `answered_total{group="look"}`, before+1)
-	let()
-	if resp := sidecartest.Receive(t, open, "answer"); resp.StatusCode != http.StatusOK || !resp.Close {
-		t.Errorf("a request from before: %s, close %v", resp.Status, resp.Close)
+	next.wantMetric(t, `answered_total{group="look"}`, answeredBefore+1)
+	releaseOnce()
+	if resp := sidecartest.Receive(t, openAnswer, "answer"); resp.StatusCode != http.StatusOK || !resp.Close {
+		t.Errorf("request from before the handover: %s, close %v, want 200 and close", resp.Status, resp.Close)
 	}
 	if err := sidecartest.Receive(t, old.ended, "end of the old process"); err != nil {
 		t.Error(err)
 	}
-	fresh.wantReply(t, "status", "YES")
+	next.wantReply(t, "status", "YES")
 }
 
-// Guards against two processes of one sidecar that serve for good: started together, neither found the other.
+// Two processes of a sidecar that start at the same time may both miss the other at the start. They must still find
+// each other, and only one may keep serving.
 func TestOneOfTwoProcessesStartedTogetherServes(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -120,80 +122,80 @@
 	}
 	defer os.RemoveAll(dir)
 	addr := sidecartest.HTTPEndpoint(t, func(http.ResponseWriter, *http.Request) {})
-	c := configure(t, []string{addr})
+	cfg := configure(t, []string{addr})
 	socket := sharedSocket{ln.(*net.TCPListener)}
-	// The lock holds both up once they are ready, so that neither has found the other by then.
+	// The lock stops both processes once they are ready, so that neither has found the other at the start.
 	unlock, err := handover.Lock(t.Context(), filepath.Join(dir, "sock"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var all []*testSidecar
+	var sidecars []*testSidecar
 	for range 2 {
-		all = append(all, launchSidecar(t, c, socket, ln.Addr().String(), dir))
+		sidecars = append(sidecars, launchSidecar(t, cfg, socket, ln.Addr().String(), dir))
 	}
-	for _, s := range all {
-		until(t, "an endpoint is known", func() bool { return s.metric(t, "cluster_size") > 0 })
+	for _, sidecar := range sidecars {
+		waitFor(t, "a process has an endpoint", func() bool { return sidecar.metric(t, "cluster_size") > 0 })
 	}
 	unlock()
-	until(t, "one serves", func() bool {
-		return all[0].manage(t, "status") == "YES\n" || all[1].manage(t, "status") == "YES\n"
+	waitFor(t, "one of the processes serves", func() bool {
+		return sidecars[0].manage(t, "status") == "YES\n" || sidecars[1].manage(t, "status") == "YES\n"
 	})
-	left := all[1]
+	remaining := sidecars[1]
 	select {
-	case err := <-all[0].ended:
+	case err := <-sidecars[0].ended:
 		if err != nil {
 			t.Error(err)
 		}
-	case err := <-all[1].ended:
+	case err := <-sidecars[1].ended:
 		if err != nil {
 			t.Error(err)
 		}
-		left = all[0]
+		remaining = sidecars[0]
 	case <-time.After(sidecartest.WaitTimeout):
-		t.Fatal("both serve")
+		t.Fatal("no process ended: both still serve")
 	}
-	until(t, "the other one serves", func() bool { return left.manage(t, "status") == "YES\n" })
-	if resp, _ := left.do(t, sidecartest.IdempotentRequest(900)); resp.StatusCode != http.StatusOK {
-		t.Error("after the handover:", resp.Status)
+	waitFor(t, "the remaining process serves", func() bool { return remaining.manage(t, "status") == "YES\n" })
+	if resp, _ := remaining.do(t, sidecartest.IdempotentRequest(900)); resp.StatusCode != http.StatusOK {
+		t.Error("request to the remaining process:", resp.Status)
 	}
 }
 
-// until waits for a condition that must become true.
-func until(t *testing.T, what string, is func() bool) {
+// waitFor waits until condition returns true, and fails the test if that takes longer than sidecartest.WaitTimeout.
+func waitFor(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(sidecartest.WaitTimeout); !is(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(sidecartest.WaitTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not in time: %s", what)
+			t.Fatalf("timed out waiting until %s", description)
 		}
 	}
 }
 
-// noSocket is a socket that cannot be listened on.
-type noSocket struct{}
+// failingSocket is a handover.Socket that fails to listen.
+type failingSocket struct{}
 
-func (noSocket) Listen() (net.Listener, error) { return nil, errors.New("none") }
+func (failingSocket) Listen() (net.Listener, error) { return nil, errors.New("none") }
 
-// A new process that fails to start leaves the old one serving.
+// If a new process fails to start, the old process must keep serving and must not close its connections.
 func TestFailedStartLeavesOldProcessServing(t *testing.T) {
 	addr := sidecartest.HTTPEndpoint(t, func(http.ResponseWriter, *http.Request) {})
-	c := configure(t, []string{addr})
+	cfg := configure(t, []string{addr})
 	dir, err := os.MkdirTemp("", "h") //nolint:usetesting // t.TempDir is too long for the path of a Unix socket
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer os.RemoveAll(dir)
-	old := startIn(t, c, dir)
+	old := startSidecarIn(t, cfg, dir)
 	host := Host{
-		Socket:       noSocket{},
+		Socket:       failingSocket{},
 		Overrides:    maintenance.Discard{},
 		HandoverPath: filepath.Join(dir, "sock"),
 		Log:          sidecartest.DiscardLog,
 	}
-	if err := Run(t.Context(), c, host); err == nil {
-		t.Error("it started without a socket")
+	if err := Run(t.Context(), cfg, host); err == nil {
+		t.Error("the new process started without a socket")
 	}
 	old.wantReply(t, "status", "YES")
 	if resp, _ := old.do(t, sidecartest.IdempotentRequest(900)); resp.StatusCode != http.StatusOK || resp.Close {
-		t.Errorf("%s, close %v", resp.Status, resp.Close)
+		t.Errorf("request to the old process: %s, close %v, want 200 without close", resp.Status, resp.Close)
 	}
 }
--- a/internal/dataplane/sidecar/helper_test.go
+++ b/internal/dataplane/sidecar/helper_test.go
@@ -20,88 +20,90 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// testSidecar is a sidecar under test.
+// testSidecar is a sidecar under test. stop begins to stop it; ended receives the result of Run.
 type testSidecar struct {
 	addr       string
 	management net.Listener
 	stop       context.CancelFunc
 	ended      chan error
 
-	reload chan os.Signal
-	config chan *config.Config // what a reload reads; nil is an error
+	reload     chan os.Signal
+	nextConfig chan *config.Config // configuration that the next reload reads; nil makes the reload fail
 }
 
-// singleListener is a socket of the test's own.
-type singleListener struct{ net.Listener }
+// listenerSocket is a handover.Socket with one existing listener.
+type listenerSocket struct{ net.Listener }
 
-func (s singleListener) Listen() (net.Listener, error) { return s.Listener, nil }
+func (s listenerSocket) Listen() (net.Listener, error) { return s.Listener, nil }
 
-// launchSidecar runs a sidecar that keeps its files in dir. It is stopped with the test.
-func launchSidecar(t *testing.T, c *config.Config, socket handover.Socket, addr, dir string) *testSidecar {
+// launchSidecar starts a sidecar that keeps its files in dir. The sidecar is stopped when the test ends, and must not
+// end with an error.
+func launchSidecar(t *testing.T, cfg *config.Config, socket handover.Socket, addr, dir string) *testSidecar {
 	t.Helper()
 	management, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	s := &testSidecar{
+	sidecar := &testSidecar{
 		addr:       addr,
 		management: management,
 		stop:       stop,
 		ended:      make(chan error, 1),
 		reload:     make(chan os.Signal, 1),
-		config:     make(chan *config.Config, 1),
+		nextConfig: make(chan *config.Config, 1),
 	}
 	host := Host{
 		Socket:       socket,
 		Management:   management,
 		Overrides:    maintenance.File{Path: filepath.Join(dir, "bans.json")},
 		HandoverPath: filepath.Join(dir, "sock"),
-		Reload:       s.reload,
-		ReadConfig:   s.read,
+		Reload:       sidecar.reload,
+		ReadConfig:   sidecar.readConfig,
 		Log:          sidecartest.DiscardLog,
 	}
 	go func() {
-		s.ended <- Run(ctx, c, host)
-		close(s.ended)
+		sidecar.ended <- Run(ctx, cfg, host)
+		close(sidecar.ended)
 	}()
 	t.Cleanup(func() {
 		stop()
-		if err := <-s.ended; err != nil {
-			t.Error("the sidecar ended with:", err)
+		if err := <-sidecar.ended; err != nil {
+			t.Error("the sidecar ended with an error:", err)
 		}
 	})
-	return s
+	return sidecar
 }
 
-// startIn runs a sidecar that keeps its files in dir, and waits until it is ready.
-func startIn(t *testing.T, c *config.Config, dir string) *testSidecar {
+// startSidecarIn starts a sidecar that keeps its files in dir, and waits until it is ready.
+func startSidecarIn(t *testing.T, cfg *config.Config, dir string) *testSidecar {
 	t.Helper()
-	ln, err := net.Listen("tcp", c.Listen)
+	ln, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := launchSidecar(t, c, singleListener{ln}, ln.Addr().String(), dir)
+	sidecar := launchSidecar(t, cfg, listenerSocket{ln}, ln.Addr().String(), dir)
 	for end := time.Now().Add(sidecartest.WaitTimeout); ; {
-		resp, err := http.Get("http://" + s.addr + "/-/ready")
+		resp, err := http.Get("http://" + sidecar.addr + "/-/ready")
 		if err == nil {
 			_ = resp.Body.Close()
-			if resp.StatusCode == http.StatusOK && s.manage(t, "status") == "YES\n" {
-				return s
+			if resp.StatusCode == http.StatusOK && sidecar.manage(t, "status") == "YES\n" {
+				return sidecar
 			}
 		}
 		if time.Now().After(end) {
-			t.Fatal("the sidecar does not become ready")
+			t.Fatal("the sidecar did not become ready in time")
 		}
 	}
 }
 
 func startSidecar(t *testing.T, c *config.Config) *testSidecar {
 	t.Helper()
-	return startIn(t, c, t.TempDir())
+	return startSidecarIn(t, c, t.TempDir())
 }
 
-// configure returns a configuration that lists endpoints s-1, s-2 and so on at addrs, and whose discovery is down.
+// configure returns a configuration whose initial list has endpoints s-1, s-2 and so on at addrs, and whose discovery
+// is down. edits are pairs of old and new text in the settings.
 func configure(t *testing.T, addrs []string, edits ...string) *config.Config {
 	t.Helper()
 	var known []discovery.Instance
@@ -116,38 +118,38 @@
 	return startSidecar(t, configure(t, addrs, edits...))
 }
 
-func (s *testSidecar) read() (*config.Config, error) {
-	if c := <-s.config; c != nil {
+func (s *testSidecar) readConfig() (*config.Config, error) {
+	if c := <-s.nextConfig; c != nil {
 		return c, nil
 	}
 	return nil, errors.New("invalid configuration")
 }
 
-// do sends a request to the sidecar on a connection of its own and returns the complete answer.
+// do sends a request to the sidecar on a new connection, and returns the complete answer.
 func (s *testSidecar) do(t *testing.T, r *http.Request) (*http.Response, string) {
 	t.Helper()
-	c, err := net.Dial("tcp", s.addr)
+	conn, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	return s.doOn(t, c, r)
+	defer conn.Close()
+	return s.doOnConn(t, conn, r)
 }
 
-// tryDo sends a request on a connection of its own to a sidecar that may not accept it.
+// tryDo sends a request on a new connection, and returns an error if the sidecar does not accept or answer it.
 func (s *testSidecar) tryDo(r *http.Request) (*http.Response, error) {
-	c, err := net.Dial("tcp", s.addr)
+	conn, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		return nil, err
 	}
-	defer c.Close()
-	if err := r.Write(c); err != nil {
+	defer conn.Close()
+	if err := r.Write(conn); err != nil {
 		return nil, err
 	}
-	if err := c.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout)); err != nil {
+	if err := conn.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout)); err != nil {
 		return nil, err
 	}
-	resp, err := http.ReadResponse(bufio.NewReader(c), r)
+	resp, err := http.ReadResponse(bufio.NewReader(conn), r)
 	if err != nil {
 		return nil, err
 	}
@@ -155,42 +157,43 @@
 	return resp, err
 }
 
-func (s *testSidecar) doOn(t *testing.T, c net.Conn, r *http.Request) (*http.Response, string) {
+// doOnConn sends a request on an open connection, and returns the complete answer.
+func (s *testSidecar) doOnConn(t *testing.T, conn net.Conn, r *http.Request) (*http.Response, string) {
 	t.Helper()
-	if err := r.Write(c); err != nil {
+	if err := r.Write(conn); err != nil {
 		t.Fatal(err)
 	}
-	setReadDeadline(t, c, sidecartest.WaitTimeout)
-	resp, err := http.ReadResponse(bufio.NewReader(c), r)
+	setReadDeadline(t, conn, sidecartest.WaitTimeout)
+	resp, err := http.ReadResponse(bufio.NewReader(conn), r)
 	if err != nil {
-		t.Fatalf("no answer: %v", err)
+		t.Fatalf("cannot read the answer: %v", err)
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		t.Fatalf("incomplete answer: %v", err)
+		t.Fatalf("cannot read the body of the answer: %v", err)
 	}
 	return resp, string(body)
 }
 
-// dial connects to the sidecar until the test ends.
+// dial connects to the sidecar. The connection is closed when the test ends.
 func (s *testSidecar) dial(t *testing.T) net.Conn {
 	t.Helper()
-	c, err := net.Dial("tcp", s.addr)
+	conn, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = c.Close() })
-	return c
+	t.Cleanup(func() { _ = conn.Close() })
+	return conn
 }
 
-func setReadDeadline(t *testing.T, c net.Conn, timeout time.Duration) {
+func setReadDeadline(t *testing.T, conn net.Conn, timeout time.Duration) {
 	t.Helper()
-	if err := c.SetReadDeadline(time.Now().Add(timeout)); err != nil {
+	if err := conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// namedEndpoint returns an endpoint that answers with a text.
+// namedEndpoint starts an endpoint that answers all requests with a text, and returns its list entry.
 func namedEndpoint(t *testing.T, id, text string) discovery.Instance {
 	t.Helper()
 	addr := sidecartest.HTTPEndpoint(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, text) })
--- a/internal/dataplane/sidecar/host.go
+++ b/internal/dataplane/sidecar/host.go
@@ -14,60 +14,61 @@
 	"birchmoor/internal/platform/snapshot"
 )
 
-// Host is what the program provides to a sidecar besides its configuration.
+// Host holds the services that the program provides to a sidecar, in addition to the configuration.
 type Host struct {
-	Socket         handover.Socket            // where clients connect
-	Management     net.Listener               // where operators call; nil for nowhere
-	Overrides      maintenance.Store          // of operators, kept across restarts
-	FleetOverrides maintenance.FleetOverrides // of all daemons; nil for none
-	Fleet          Fleet                      // nil for none
-	SnapshotFile   snapshot.File              // state of the decision module, for the next process
-	Protocols      []core.Protocol            // besides HTTP
-	Limiter        core.Limiter               // of HTTP requests; nil admits all
-	Tap            core.Tap                   // between the loop and the decision module; nil for none
-	HandoverPath   string                     // where old and new processes meet; empty for nowhere
-	Reload         <-chan os.Signal           // ReadConfig is called for each
+	Socket         handover.Socket            // HTTP clients connect here
+	Management     net.Listener               // operators connect here; nil for no management service
+	Overrides      maintenance.Store          // operators' overrides, kept across restarts
+	FleetOverrides maintenance.FleetOverrides // operators' overrides that all daemons share; nil for none
+	Fleet          Fleet                      // exchange with other daemons; nil for none
+	SnapshotFile   snapshot.File              // state of HTTP's decision module for the next process; no path for none
+	Protocols      []core.Protocol            // protocols other than HTTP
+	Limiter        core.Limiter               // limits HTTP requests; nil admits all
+	Tap            core.Tap                   // between HTTP's event loop and its decision module; nil for none
+	HandoverPath   string                     // Unix socket for finding the old process; empty for no handovers
+	Reload         <-chan os.Signal           // each signal makes the sidecar call ReadConfig and apply the result
 	ReadConfig     func() (*config.Config, error)
-	OnConfig       func(*config.Config) // is called with each configuration that takes effect; nil for none
+	OnConfig       func(*config.Config) // called with each configuration that takes effect; may be nil
 	Log            *slog.Logger
 }
 
-// Files of a sidecar in its directory.
+// Names of a sidecar's files in the directory TMPDIR.
 const (
 	overridesFileName  = "bans.json"
 	snapshotFileName   = "known.snapshot"
 	handoverSocketName = "handover.sock"
 )
 
-// HostFromEnv returns what a program provides to a sidecar by its environment: sockets and, if TMPDIR is set, files
-// there.
-func HostFromEnv(c *config.Config, getenv func(string) string, reload <-chan os.Signal, log *slog.Logger) (
+// HostFromEnv returns a Host according to the environment variables that getenv returns: the socket for clients, which
+// ROUTER_FD may pass on as a file descriptor, and files in TMPDIR if that is set. It listens for operators at the
+// configured address.
+func HostFromEnv(cfg *config.Config, getenv func(string) string, reload <-chan os.Signal, log *slog.Logger) (
 	Host, error) {
-	h := Host{
+	host := Host{
 		Overrides:  maintenance.Discard{},
 		Reload:     reload,
 		ReadConfig: func() (*config.Config, error) { return config.Read(getenv) },
 		Log:        log,
 	}
 	if dir := getenv("TMPDIR"); dir != "" {
-		h.Overrides = maintenance.File{Path: filepath.Join(dir, overridesFileName)}
-		h.SnapshotFile = snapshot.File{Path: filepath.Join(dir, snapshotFileName)}
-		h.HandoverPath = filepath.Join(dir, handoverSocketName)
+		host.Overrides = maintenance.File{Path: filepath.Join(dir, overridesFileName)}
+		host.SnapshotFile = snapshot.File{Path: filepath.Join(dir, snapshotFileName)}
+		host.HandoverPath = filepath.Join(dir, handoverSocketName)
 	}
-	if c.Management != "" {
-		ln, err := net.Listen("tcp", c.Management)
+	if cfg.Management != "" {
+		ln, err := net.Listen("tcp", cfg.Management)
 		if err != nil {
-			return Host{}, fmt.Errorf("listen for operators: %w", err)
+			return Host{}, fmt.Errorf("listen for the management service: %w", err)
 		}
-		h.Management = ln
+		host.Management = ln
 	}
-	h.Socket = handover.ExclusiveAddress(c.Listen)
+	host.Socket = handover.ExclusiveAddress(cfg.Listen)
 	if descriptor := getenv("ROUTER_FD"); descriptor != "" {
 		inherited, err := handover.Inherit(descriptor)
 		if err != nil {
 			return Host{}, err
 		}
-		h.Socket = inherited
+		host.Socket = inherited
 	}
-	return h, nil
+	return host, nil
 }
--- a/internal/dataplane/sidecar/limits_test.go
+++ b/internal/dataplane/sidecar/limits_test.go
@@ -15,92 +15,95 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// Requests over the limit of the settings are rejected without an attempt.
+// Requests over the settings' limit on open requests must be rejected without an attempt.
 func TestRequestsOverLimitAreRejected(t *testing.T) {
-	taken, release := make(chan struct{}, 2), make(chan struct{})
+	received, release := make(chan struct{}, 2), make(chan struct{})
 	addr := sidecartest.HTTPEndpoint(t, func(http.ResponseWriter, *http.Request) {
-		taken <- struct{}{}
+		received <- struct{}{}
 		<-release
 	})
-	s := startWithEndpoints(t, []string{addr}, `"most-held":1000`, `"most-held":1`)
+	sidecar := startWithEndpoints(t, []string{addr}, `"most-held":1000`, `"most-held":1`)
 	first := make(chan int)
-	c := s.dial(t)
+	conn := sidecar.dial(t)
 	go func() {
-		resp, _ := s.doOn(t, c, sidecartest.Request("POST", "/pay", "pay", 900, "x"))
+		resp, _ := sidecar.doOnConn(t, conn, sidecartest.Request("POST", "/pay", "pay", 900, "x"))
 		first <- resp.StatusCode
 	}()
-	sidecartest.Receive(t, taken, "first attempt")
-	resp, _ := s.do(t, sidecartest.Request("POST", "/pay", "pay", 900, "x"))
+	sidecartest.Receive(t, received, "first attempt")
+	resp, _ := sidecar.do(t, sidecartest.Request("POST", "/pay", "pay", 900, "x"))
 	if resp.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("second: %s, want 503", resp.Status)
+		t.Errorf("request over the limit: %s, want 503", resp.Status)
 	}
 	close(release)
 	if code := sidecartest.Receive(t, first, "first answer"); code != http.StatusOK {
-		t.Errorf("first: %d, want 200", code)
+		t.Errorf("request within the limit: status %d, want 200", code)
 	}
-	if len(taken) != 0 {
-		t.Error("the second request was sent")
+	if len(received) != 0 {
+		t.Error("the request over the limit was sent to the endpoint")
 	}
 }
 
-// Connections without requests make room for those with requests, the longest idle first, and none takes a descriptor
-// that the sidecar needs.
-func TestIdleConnectionsMakeRoom(t *testing.T) {
-	taken, release := make(chan struct{}, 1), make(chan struct{})
+// When clients open more connections than the sidecar's descriptors allow, it must close idle connections, the longest
+// idle first, so that connections with requests and the sidecar itself get the descriptors that they need.
+func TestIdleConnectionsAreClosedForNewOnes(t *testing.T) {
+	received, release := make(chan struct{}, 1), make(chan struct{})
 	addr := sidecartest.HTTPEndpoint(t, func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/pay" {
-			taken <- struct{}{}
+			received <- struct{}{}
 			<-release
 		}
 	})
 	cfg := configure(t, []string{addr})
 	cfg.MaxDescriptors = config.MinDescriptors
-	s := startSidecar(t, cfg)
+	sidecar := startSidecar(t, cfg)
 	dial := func() net.Conn {
-		c, err := net.Dial("tcp", s.addr)
+		conn, err := net.Dial("tcp", sidecar.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
-		return c
+		t.Cleanup(func() { conn.Close() })
+		return conn
 	}
-	waiting := make(chan int, 1)
-	c := dial()
+	openStatus := make(chan int, 1)
+	conn := dial()
 	go func() {
-		resp, _ := s.doOn(t, c, sidecartest.Request("POST", "/pay", "pay", 1000, "x"))
-		waiting <- resp.StatusCode
+		resp, _ := sidecar.doOnConn(t, conn, sidecartest.Request("POST", "/pay", "pay", 1000, "x"))
+		openStatus <- resp.StatusCode
 	}()
-	sidecartest.Receive(t, taken, "attempt")
+	sidecartest.Receive(t, received, "attempt")
 	var idle []net.Conn
 	for range 2 * cfg.MaxClientConns(1) {
 		idle = append(idle, dial())
 	}
 	busy := dial()
 	for range 3 {
-		if resp, _ := s.doOn(t, busy, sidecartest.IdempotentRequest(900)); resp.StatusCode != http.StatusOK || resp.Close {
-			t.Fatalf("beside idle connections: %s, close %v", resp.Status, resp.Close)
+		if resp, _ := sidecar.doOnConn(t, busy, sidecartest.IdempotentRequest(900)); resp.StatusCode != http.StatusOK ||
+			resp.Close {
+			t.Fatalf("request while other connections are idle: %s, close %v, want 200 without close", resp.Status, resp.Close)
 		}
 	}
 	first := idle[0]
 	setReadDeadline(t, first, httpfront.RequestTimeout/2)
 	if _, err := first.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("the connection idle for longest: %v, want it closed", err)
+		t.Errorf("reading from the longest idle connection: %v, want EOF", err)
 	}
 	last := idle[len(idle)-1]
-	if resp, _ := s.doOn(t, last, sidecartest.IdempotentRequest(900)); resp.StatusCode != http.StatusOK {
-		t.Errorf("a connection idle for a moment: %s", resp.Status)
+	if resp, _ := sidecar.doOnConn(t, last, sidecartest.IdempotentRequest(900)); resp.StatusCode != http.StatusOK {
+		t.Errorf("request on the connection that was opened last: %s, want 200", resp.Status)
 	}
 	close(release)
-	if code := sidecartest.Receive(t, waiting, "answer"); code != http.StatusOK {
-		t.Errorf("the open request: %d", code)
+	if code := sidecartest.Receive(t, openStatus, "answer"); code != http.StatusOK {
+		t.Errorf("request that was open meanwhile: status %d, want 200", code)
 	}
 }
 
-// A client that sends an incomplete request is answered or disconnected within 3 s, so that a stopping sidecar does not
-// wait for it.
+// The sidecar must answer or disconnect a client that sends an incomplete request within 3 s, so that it does not wait
+// for the client when it stops.
 func TestIncompleteRequestsTimeOut(t *testing.T) {
-	addr := sidecartest.HTTPEndpoint(t, func(http.ResponseWriter, *http.Request) { t.Error("an attempt was made") })
-	s := startWithEndpoints(t, []string{addr})
+	addr := sidecartest.HTTPEndpoint(t, func(http.ResponseWriter, *http.Request) {
+		t.Error("an incomplete request was sent to the endpoint")
+	})
+	sidecar := startWithEndpoints(t, []string{addr})
 	for _, text := range []string{
 		"",
 		"GET /look/1 HT",
@@ -109,43 +112,43 @@
 	} {
 		t.Run(fmt.Sprint(len(text)), func(t *testing.T) {
 			t.Parallel()
-			c := s.dial(t)
-			_, _ = io.WriteString(c, text)
-			setReadDeadline(t, c, 3*time.Second)
-			got, err := io.ReadAll(c)
+			conn := sidecar.dial(t)
+			_, _ = io.WriteString(conn, text)
+			setReadDeadline(t, conn, 3*time.Second)
+			got, err := io.ReadAll(conn)
 			if err != nil || (len(got) > 0) != (text != "") || text != "" && !strings.HasPrefix(string(got), "HTTP/1.1 4") {
-				t.Errorf("answered %q, %v", got, err)
+				t.Errorf("received %q, error %v, want a 4xx, or nothing if nothing was sent, and the end", got, err)
 			}
 		})
 	}
 }
 
-// An endpoint could not tell two requests of one ID apart.
+// A request with the ID of an open request must be rejected, because endpoints could not tell the two apart.
 func TestDuplicateRequestIDIsRejected(t *testing.T) {
-	taken, release := make(chan struct{}, 2), make(chan struct{})
+	received, release := make(chan struct{}, 2), make(chan struct{})
 	addr := sidecartest.HTTPEndpoint(t, func(http.ResponseWriter, *http.Request) {
-		taken <- struct{}{}
+		received <- struct{}{}
 		<-release
 	})
-	s := startWithEndpoints(t, []string{addr})
-	c := s.dial(t)
+	sidecar := startWithEndpoints(t, []string{addr})
+	conn := sidecar.dial(t)
 	first := make(chan int, 1)
-	r := sidecartest.IdempotentRequest(900)
+	request := sidecartest.IdempotentRequest(900)
 	go func() {
-		resp, _ := s.doOn(t, c, r)
+		resp, _ := sidecar.doOnConn(t, conn, request)
 		first <- resp.StatusCode
 	}()
-	sidecartest.Receive(t, taken, "attempt")
+	sidecartest.Receive(t, received, "attempt")
 	again := sidecartest.IdempotentRequest(900)
-	again.Header.Set("X-Trace-Id", r.Header.Get("X-Trace-Id"))
-	if resp, _ := s.do(t, again); resp.StatusCode != http.StatusConflict {
-		t.Errorf("the ID of an open request: %s, want 409", resp.Status)
+	again.Header.Set("X-Trace-Id", request.Header.Get("X-Trace-Id"))
+	if resp, _ := sidecar.do(t, again); resp.StatusCode != http.StatusConflict {
+		t.Errorf("request with the ID of an open request: %s, want 409", resp.Status)
 	}
 	close(release)
 	if code := sidecartest.Receive(t, first, "answer"); code != http.StatusOK {
-		t.Errorf("the open request: %d, want 200", code)
+		t.Errorf("first request: status %d, want 200", code)
 	}
-	if resp, _ := s.do(t, again); resp.StatusCode != http.StatusOK {
-		t.Errorf("an ID that is free again: %s", resp.Status)
+	if resp, _ := sidecar.do(t, again); resp.StatusCode != http.StatusOK {
+		t.Errorf("request with the ID of an answered request: %s, want 200", resp.Status)
 	}
 }
--- a/internal/dataplane/sidecar/protocolstack.go
+++ b/internal/dataplane/sidecar/protocolstack.go
@@ -14,10 +14,10 @@
 	"birchmoor/internal/platform/snapshot"
 )
 
-// httpName is the name of HTTP among the protocols.
+// httpName is the protocol name of HTTP in the entries of discovery's list.
 const httpName = ""
 
-// protocolStack is a protocol as this process runs it: its event loop, and both its sides.
+// protocolStack runs one protocol: its event loop, its client side and its upstream side.
 type protocolStack struct {
 	name         string
 	config       *config.Config
@@ -29,87 +29,88 @@
 	snapshotFile snapshot.File
 }
 
-// protocolStacks are all protocols of a process, HTTP first.
+// protocolStacks are the stacks of all protocols of a process. That of HTTP is the first.
 type protocolStacks []*protocolStack
 
-// newStacks returns the stacks of HTTP and the host's further protocols. setWatch subscribes to changes of discovery's
-// list, or ends the subscription.
-func newStacks(c *config.Config, h *Host, setWatch func(bool)) (protocolStacks, error) {
+// newStacks returns the stacks of HTTP and of the host's further protocols. HTTP's event loop calls setWatch to
+// subscribe to changes of discovery's list (true) or to end the subscription (false).
+func newStacks(cfg *config.Config, host *Host, setWatch func(bool)) (protocolStacks, error) {
 	clock := core.NewClock()
-	first, err := newHTTPStack(c, h, clock, setWatch)
+	httpStack, err := newHTTPStack(cfg, host, clock, setWatch)
 	if err != nil {
 		return nil, err
 	}
-	stacks := protocolStacks{first}
-	for _, p := range h.Protocols {
-		s, err := newStack(p, c, h, clock)
+	stacks := protocolStacks{httpStack}
+	for _, protocol := range host.Protocols {
+		stack, err := newStack(protocol, cfg, host, clock)
 		if err != nil {
 			return nil, err
 		}
-		stacks = append(stacks, s)
+		stacks = append(stacks, stack)
 	}
 	return stacks, nil
 }
 
-func newHTTPStack(c *config.Config, h *Host, clock core.Clock, setWatch func(bool)) (*protocolStack, error) {
-	own, err := deriveHTTPConfig(c)
+func newHTTPStack(cfg *config.Config, host *Host, clock core.Clock, setWatch func(bool)) (*protocolStack, error) {
+	httpConfig, err := deriveHTTPConfig(cfg)
 	if err != nil {
 		return nil, err
 	}
-	registry := metrics.New(c.Classes...)
-	upstream := httpfront.NewUpstream(own, clock, &registry.AttemptsSent, h.Log)
-	loop, err := core.New(own, clock, upstream, setWatch, registry, h.Tap, h.Log)
+	registry := metrics.New(cfg.Classes...)
+	upstream := httpfront.NewUpstream(httpConfig, clock, &registry.AttemptsSent, host.Log)
+	loop, err := core.New(httpConfig, clock, upstream, setWatch, registry, host.Tap, host.Log)
 	if err != nil {
 		return nil, err
 	}
-	server := httpfront.NewServer(own, loop, h.Socket, registry, h.Log)
-	if h.Limiter != nil {
-		server.SetLimiter(h.Limiter)
+	server := httpfront.NewServer(httpConfig, loop, host.Socket, registry, host.Log)
+	if host.Limiter != nil {
+		server.SetLimiter(host.Limiter)
 	}
 	return &protocolStack{
 		name:         httpName,
-		config:       own,
+		config:       httpConfig,
 		deriveConfig: deriveHTTPConfig,
 		metrics:      registry,
 		loop:         loop,
 		upstream:     upstream,
 		frontend:     server,
-		snapshotFile: h.SnapshotFile,
+		snapshotFile: host.SnapshotFile,
 	}, nil
 }
 
-func deriveHTTPConfig(c *config.Config) (*config.Config, error) {
-	own := *c
-	own.InitialList = c.InitialList.ForProtocol(httpName)
-	return &own, nil
+// deriveHTTPConfig returns the configuration of HTTP's event loop: the initial list has only the entries of HTTP.
+func deriveHTTPConfig(cfg *config.Config) (*config.Config, error) {
+	httpConfig := *cfg
+	httpConfig.InitialList = cfg.InitialList.ForProtocol(httpName)
+	return &httpConfig, nil
 }
 
-// newStack returns the stack of a protocol besides HTTP.
-func newStack(p core.Protocol, c *config.Config, h *Host, clock core.Clock) (*protocolStack, error) {
-	own, err := p.Config(c)
+// newStack returns the stack of a protocol other than HTTP.
+func newStack(protocol core.Protocol, cfg *config.Config, host *Host, clock core.Clock) (*protocolStack, error) {
+	protocolConfig, err := protocol.Config(cfg)
 	if err != nil {
 		return nil, err
 	}
-	log := h.Log.With("protocol", p.Name())
-	registry := metrics.NewForProtocol(p.Name(), own.Classes...)
-	upstream := p.NewUpstream(own, clock, registry, log)
-	neverWatch := func(bool) {} // HTTP's stack does
-	loop, err := core.New(own, clock, upstream, neverWatch, registry, nil, log)
+	log := host.Log.With("protocol", protocol.Name())
+	registry := metrics.NewForProtocol(protocol.Name(), protocolConfig.Classes...)
+	upstream := protocol.NewUpstream(protocolConfig, clock, registry, log)
+	neverWatch := func(bool) {} // only HTTP's event loop controls the watch
+	loop, err := core.New(protocolConfig, clock, upstream, neverWatch, registry, nil, log)
 	if err != nil {
 		return nil, err
 	}
-	file := h.SnapshotFile
+	file := host.SnapshotFile
 	if file.Path != "" {
-		file.Path += "." + p.Name()
+		file.Path += "." + protocol.Name()
 	}
 	return &protocolStack{
-		name:         p.Name(),
-		config:       own,
-		deriveConfig: p.Config,
+		name:         protocol.Name(),
+		config:       protocolConfig,
+		deriveConfig: protocol.Config,
 		metrics:      registry,
 		loop:         loop,
 		upstream:     upstream,
-		frontend:     p.NewFrontend(loop, registry, log),
+		frontend:     protocol.NewFrontend(loop, registry, log),
 		snapshotFile: file,
 	}, nil
 }
@@ -123,25 +124,25 @@
 
 func (ss protocolStacks) http() *protocolStack { return ss[0] }
 
-// watchEvent passes on a list that a watch received.
+// watchEvent passes a list that a watch received on to all event loops, to each the entries of its protocol.
 func (ss protocolStacks) watchEvent(watch context.Context, list discovery.List) {
-	for _, s := range ss {
-		s.loop.WatchEvent(watch, list.ForProtocol(s.name))
+	for _, stack := range ss {
+		stack.loop.WatchEvent(watch, list.ForProtocol(stack.name))
 	}
 }
 
-// applyCachedList passes on the list of an old process.
+// applyCachedList passes the list of an old process on to all event loops, to each the entries of its protocol.
 func (ss protocolStacks) applyCachedList(ctx context.Context, list discovery.List) {
-	for _, s := range ss {
-		_ = s.loop.ApplyCachedList(ctx, list.ForProtocol(s.name)) // fails only once the loop has ended
+	for _, stack := range ss {
+		_ = stack.loop.ApplyCachedList(ctx, list.ForProtocol(stack.name)) // fails only once the loop has ended
 	}
 }
 
-// list returns the current list of all protocols.
+// list returns the current entries of all protocols in one list.
 func (ss protocolStacks) list(ctx context.Context) (discovery.List, error) {
 	all := discovery.List{Reset: true}
-	for _, s := range ss {
-		list, err := s.loop.List(ctx)
+	for _, stack := range ss {
+		list, err := stack.loop.List(ctx)
 		if err != nil {
 			return discovery.List{}, err
 		}
@@ -150,32 +151,32 @@
 	return all, nil
 }
 
-// applyDrain applies another daemon's report of a drain.
-func (ss protocolStacks) applyDrain(ctx context.Context, p discovery.Process, drains bool) error {
-	for _, s := range ss {
-		if err := s.loop.ApplyDrain(ctx, p, drains); err != nil {
+// applyDrain applies another daemon's report that a process drains or no longer drains, in all protocols.
+func (ss protocolStacks) applyDrain(ctx context.Context, process discovery.Process, drains bool) error {
+	for _, stack := range ss {
+		if err := stack.loop.ApplyDrain(ctx, process, drains); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// applyStart applies another daemon's report of a start.
+// applyStart applies another daemon's report of a start in all protocols.
 func (ss protocolStacks) applyStart(ctx context.Context, start core.Start) error {
-	for _, s := range ss {
-		if err := s.loop.ApplyStart(ctx, start); err != nil {
+	for _, stack := range ss {
+		if err := stack.loop.ApplyStart(ctx, start); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// applyOverride applies an operator's override in all protocols. An ID is known if one of them knows it; the others
-// keep a drain in case the endpoint is listed for them later.
-func (ss protocolStacks) applyOverride(ctx context.Context, o maintenance.Override, force bool) error {
+// applyOverride applies an operator's override in all protocols. It fails with maintenance.ErrUnknownEndpoint only if
+// no protocol knows the ID. Otherwise protocols that do not know it keep a drain in case they list the endpoint later.
+func (ss protocolStacks) applyOverride(ctx context.Context, override maintenance.Override, force bool) error {
 	unknown := 0
-	for _, s := range ss {
-		err := s.loop.ApplyOverride(ctx, o, force)
+	for _, stack := range ss {
+		err := stack.loop.ApplyOverride(ctx, override, force)
 		switch {
 		case errors.Is(err, maintenance.ErrUnknownEndpoint):
 			unknown++
@@ -186,29 +187,30 @@
 	if unknown == len(ss) {
 		return maintenance.ErrUnknownEndpoint
 	}
-	if unknown == 0 || !o.Drained {
+	if unknown == 0 || !override.Drained {
 		return nil
 	}
-	for _, s := range ss { // without effect where it is applied already
-		if err := s.loop.ApplyOverride(ctx, o, true); err != nil {
+	for _, stack := range ss { // has no effect in protocols that have applied the drain already
+		if err := stack.loop.ApplyOverride(ctx, override, true); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// reload applies a new configuration in all protocols. It changes nothing if one of them cannot derive its own.
-func (ss protocolStacks) reload(ctx context.Context, c *config.Config) error {
+// reload applies a new configuration in all protocols. It changes nothing if one of them cannot derive its own
+// configuration.
+func (ss protocolStacks) reload(ctx context.Context, cfg *config.Config) error {
 	derived := make([]*config.Config, len(ss))
-	for i, s := range ss {
-		own, err := s.deriveConfig(c)
+	for i, stack := range ss {
+		protocolConfig, err := stack.deriveConfig(cfg)
 		if err != nil {
-			return fmt.Errorf("%s: %w", s.name, err)
+			return fmt.Errorf("%s: %w", stack.name, err)
 		}
-		derived[i] = own
+		derived[i] = protocolConfig
 	}
-	for i, s := range ss {
-		if err := s.loop.Reload(ctx, derived[i]); err != nil {
+	for i, stack := range ss {
+		if err := stack.loop.Reload(ctx, derived[i]); err != nil {
 			return err
 		}
 	}
--- a/internal/dataplane/sidecar/reload.go
+++ b/internal/dataplane/sidecar/reload.go
@@ -11,20 +11,20 @@
 	"birchmoor/internal/platform/metrics"
 )
 
-// reloader applies new configurations while the sidecar runs. Of a file, `settings` and `discovery` take effect at
-// once, and all else at the next start. ROUTER_DISCOVERY takes precedence over the file only at the start; otherwise no
-// new file could name another discovery. An invalid file changes nothing.
+// reloader applies new configurations while the sidecar runs. The keys `settings` and `discovery` of the file take
+// effect at once, all others at the next start. ROUTER_DISCOVERY takes precedence over the file only at the start,
+// since otherwise no new file could name another discovery. An invalid file changes nothing.
 type reloader struct {
-	config        *config.Config // in effect
-	read          func() (*config.Config, error)
-	apply         func(context.Context, *config.Config) error
-	moveDiscovery func(addr string)
-	onApplied     func(*config.Config) // nil for none
-	metrics       *metrics.Registry
-	log           *slog.Logger
+	config          *config.Config // the configuration in effect
+	readConfig      func() (*config.Config, error)
+	apply           func(context.Context, *config.Config) error
+	switchDiscovery func(addr string)
+	onApplied       func(*config.Config) // may be nil
+	metrics         *metrics.Registry
+	log             *slog.Logger
 }
 
-// run reloads at each signal until ctx ends.
+// run reloads the configuration at each signal until ctx ends.
 func (r *reloader) run(ctx context.Context, signals <-chan os.Signal) {
 	for {
 		select {
@@ -40,7 +40,7 @@
 	}
 }
 
-// rejectedKey returns the key of the file that an error of reload is about.
+// rejectedKey returns the key of the file to which an error of reload refers.
 func rejectedKey(err error) string {
 	key := "file"
 	var configErr *config.Error
@@ -54,9 +54,9 @@
 	return key
 }
 
-// reload reads the file, validates all of it, and only then applies it.
+// reload reads and validates the whole file before it applies any of it.
 func (r *reloader) reload(ctx context.Context) error {
-	next, err := r.read()
+	next, err := r.readConfig()
 	if err != nil {
 		return err
 	}
@@ -66,20 +66,21 @@
 	if err := r.apply(ctx, next); err != nil {
 		return &config.Error{Key: "settings", Err: err}
 	}
-	moved := next.DiscoveryInFile != "" && next.DiscoveryInFile != r.config.DiscoveryInFile
+	discoveryChanged := next.DiscoveryInFile != "" && next.DiscoveryInFile != r.config.DiscoveryInFile
 	r.setConfig(next)
 	r.metrics.ConfigsLoaded.Inc()
-	r.log.Info("configuration applied", "moved", moved, "discovery", next.DiscoveryInFile, "classes", next.Classes)
-	if moved {
-		r.moveDiscovery(next.DiscoveryInFile)
+	r.log.Info("configuration applied",
+		"moved", discoveryChanged, "discovery", next.DiscoveryInFile, "classes", next.Classes)
+	if discoveryChanged {
+		r.switchDiscovery(next.DiscoveryInFile)
 	}
 	return nil
 }
 
-// setConfig sets the configuration in effect.
-func (r *reloader) setConfig(c *config.Config) {
-	r.config = c
+// setConfig sets the configuration in effect and notifies the host.
+func (r *reloader) setConfig(cfg *config.Config) {
+	r.config = cfg
 	if r.onApplied != nil {
-		r.onApplied(c)
+		r.onApplied(cfg)
 	}
 }
--- a/internal/dataplane/sidecar/reload_test.go
+++ b/internal/dataplane/sidecar/reload_test.go
@@ -17,140 +17,142 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// A new configuration moves the watch to the discovery that its file names, at once and without anything from the old
-// one: generations are its own, and endpoints that it does not list are removed.
+// A new configuration must move the watch at once to the discovery that the file names. Nothing may be carried over
+// from the old discovery: the first watch names no generation, and endpoints that only the old one listed are removed.
 func TestReloadMovesWatch(t *testing.T) {
 	for _, mode := range []string{"automatic", "subscribe"} {
 		t.Run(mode, func(t *testing.T) {
 			one, two := namedEndpoint(t, "s-1", "one"), namedEndpoint(t, "s-2", "two")
 			three := namedEndpoint(t, "s-3", "three")
-			for _, in := range []*discovery.Instance{&one, &two, &three} {
-				in.StartedMs = 1 // long ago: one that is warming up may get few requests
+			for _, entry := range []*discovery.Instance{&one, &two, &three} {
+				entry.StartedMs = 1 // long ago, since an endpoint that is warming up may get few requests
 			}
-			configured := func(at string) *config.Config {
-				return sidecartest.Configure(t, at, []discovery.Instance{one},
+			configured := func(addr string) *config.Config {
+				return sidecartest.Configure(t, addr, []discovery.Instance{one},
 					`"discovery":"automatic"`, `"discovery":"`+mode+`"`)
 			}
 			old, next := sidecartest.NewDiscovery(t), sidecartest.NewDiscovery(t)
-			// As with ROUTER_DISCOVERY, which applies at the start, until a file names another.
-			c := configured(sidecartest.ClosedAddress(t))
-			c.Discovery = old.Addr
-			s := startSidecar(t, c)
-			expect := func(b *sidecartest.Discovery, want string) {
+			// ROUTER_DISCOVERY sets Discovery this way: it applies until a new file names another discovery.
+			cfg := configured(sidecartest.ClosedAddress(t))
+			cfg.Discovery = old.Addr
+			sidecar := startSidecar(t, cfg)
+			wantWatch := func(discoveryServer *sidecartest.Discovery, want string) {
 				t.Helper()
-				if got := sidecartest.Receive(t, b.Watches, "call of discovery"); got != want {
-					t.Errorf("called with %q, want %q", got, want)
+				if got := sidecartest.Receive(t, discoveryServer.Watches, "call of discovery"); got != want {
+					t.Errorf("discovery was called for the watch %q, want %q", got, want)
 				}
 			}
-			expect(old, "1 7")
+			wantWatch(old, "1 7")
 
 			// An invalid file and one that names the same discovery do not move the watch.
-			same := *c
-			for _, c := range []*config.Config{nil, &same} {
-				s.reload <- syscall.SIGHUP
-				s.config <- c
+			same := *cfg
+			for _, cfg := range []*config.Config{nil, &same} {
+				sidecar.reload <- syscall.SIGHUP
+				sidecar.nextConfig <- cfg
 			}
 			old.Lines <- sidecartest.ListLine(9, true, one, two)
 
-			s.reload <- syscall.SIGHUP
-			s.config <- configured(next.Addr)
-			expect(next, " ")
+			sidecar.reload <- syscall.SIGHUP
+			sidecar.nextConfig <- configured(next.Addr)
+			wantWatch(next, " ")
 			next.Lines <- sidecartest.ListLine(3, false, two)
 			next.Lines <- ""
-			expect(next, "1 3")
-			s.waitServedBy(t, "two")
+			wantWatch(next, "1 3")
+			sidecar.waitUntilServedBy(t, "two")
 			next.Lines <- sidecartest.ListLine(4, true, three)
-			s.waitServedBy(t, "three")
+			sidecar.waitUntilServedBy(t, "three")
 		})
 	}
 }
 
-// waitServedBy waits until only the endpoint of this name answers.
-func (s *testSidecar) waitServedBy(t *testing.T, want string) {
+// waitUntilServedBy waits until five requests in a row are answered by the endpoint whose answer is want.
+func (s *testSidecar) waitUntilServedBy(t *testing.T, want string) {
 	t.Helper()
-	for end, times := time.Now().Add(sidecartest.WaitTimeout), 0; times < 5; {
+	for end, consecutive := time.Now().Add(sidecartest.WaitTimeout), 0; consecutive < 5; {
 		_, got := s.do(t, sidecartest.IdempotentRequest(900))
-		if times++; got != want {
-			times = 0
+		if consecutive++; got != want {
+			consecutive = 0
 		}
 		if time.Now().After(end) {
-			t.Fatalf("answered by %q, want %q", got, want)
+			t.Fatalf("not served by the expected endpoint in time: answered by %q, want %q", got, want)
 		}
 	}
 }
 
-// A configuration may arrive while the sidecar stops.
+// A configuration that arrives while the sidecar stops must be applied, and the sidecar must still end without an
+// error.
 func TestReloadWhileStopping(t *testing.T) {
-	b := sidecartest.NewDiscovery(t)
+	discoveryServer := sidecartest.NewDiscovery(t)
 	addr := sidecartest.HTTPEndpoint(t, func(http.ResponseWriter, *http.Request) {})
-	c := configure(t, []string{addr})
-	s := startSidecar(t, c)
-	s.stop()
-	s.reload <- syscall.SIGHUP
-	s.config <- sidecartest.Configure(t, b.Addr, nil)
-	sidecartest.Receive(t, b.Watches, "call of discovery")
-	if err := sidecartest.Receive(t, s.ended, "end"); err != nil {
+	cfg := configure(t, []string{addr})
+	sidecar := startSidecar(t, cfg)
+	sidecar.stop()
+	sidecar.reload <- syscall.SIGHUP
+	sidecar.nextConfig <- sidecartest.Configure(t, discoveryServer.Addr, nil)
+	sidecartest.Receive(t, discoveryServer.Watches, "call of discovery")
+	if err := sidecartest.Receive(t, sidecar.ended, "end"); err != nil {
 		t.Error(err)
 	}
 }
 
-// A reload adds and removes classes, with rules of their own. An invalid file changes nothing and is counted.
+// A reload must add and remove classes; open requests of a removed class keep the rules with which they came. An
+// invalid file must change nothing and be counted.
 func TestReloadChangesClasses(t *testing.T) {
-	taken, release := make(chan struct{}, 8), make(chan struct{})
-	let := sync.OnceFunc(func() { close(release) })
+	received, release := make(chan struct{}, 8), make(chan struct{})
+	releaseOnce := sync.OnceFunc(func() { close(release) })
 	addr := sidecartest.HTTPEndpoint(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/pay" {
-			taken <- struct{}{}
+			received <- struct{}{}
 			<-release
 		}
 		_, _ = io.WriteString(w, "ok")
 	})
-	t.Cleanup(let)
+	t.Cleanup(releaseOnce)
 	known := []discovery.Instance{sidecartest.ReadyInstance("s-1", addr)}
-	s := startSidecar(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), known))
-	reload := func(c *config.Config, metric string, want int) {
+	sidecar := startSidecar(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), known))
+	reload := func(cfg *config.Config, metric string, want int) {
 		t.Helper()
-		s.reload <- syscall.SIGHUP
-		s.config <- c
-		s.awaitMetric(t, metric, want)
+		sidecar.reload <- syscall.SIGHUP
+		sidecar.nextConfig <- cfg
+		sidecar.awaitMetric(t, metric, want)
 	}
-	open := make(chan int, 1)
+	openStatus := make(chan int, 1)
 	go func() {
-		resp, _ := s.do(t, sidecartest.Request("POST", "/pay", "pay", 1000, "x"))
-		open <- resp.StatusCode
+		resp, _ := sidecar.do(t, sidecartest.Request("POST", "/pay", "pay", 1000, "x"))
+		openStatus <- resp.StatusCode
 	}()
-	sidecartest.Receive(t, taken, "attempt")
+	sidecartest.Receive(t, received, "attempt")
 	const pay = `{"name":"pay","repeat":"side_effect"`
 	next := sidecartest.Configure(t, sidecartest.ClosedAddress(t), known,
 		pay, `{"name":"sell","repeat":"pure"`, `"most-tries":3`, `"most-tries":2`)
 	reload(next, "conf_loaded_total", 1)
-	resp, text := s.do(t, sidecartest.Request("GET", "/sell", "sell", 900, ""))
+	resp, text := sidecar.do(t, sidecartest.Request("GET", "/sell", "sell", 900, ""))
 	if resp.StatusCode != http.StatusOK || text != "ok" {
-		t.Errorf("the new class: %s", resp.Status)
+		t.Errorf("request of the new class: %s, want 200", resp.Status)
 	}
-	resp, _ = s.do(t, sidecartest.Request("POST", "/pay", "pay", 900, "x"))
+	resp, _ = sidecar.do(t, sidecartest.Request("POST", "/pay", "pay", 900, "x"))
 	if resp.StatusCode != http.StatusNotFound {
-		t.Errorf("the dropped class: %s", resp.Status)
+		t.Errorf("request of the removed class: %s, want 404", resp.Status)
 	}
-	let()
-	if code := sidecartest.Receive(t, open, "answer"); code != http.StatusOK {
-		t.Errorf("the open request: %d", code)
+	releaseOnce()
+	if code := sidecartest.Receive(t, openStatus, "answer"); code != http.StatusOK {
+		t.Errorf("request of the removed class from before the reload: status %d, want 200", code)
 	}
-	s.wantMetric(t, `answered_total{group="pay"}`, 1)
-	s.wantMetric(t, `answered_total{group="sell"}`, 1)
+	sidecar.wantMetric(t, `answered_total{group="pay"}`, 1)
+	sidecar.wantMetric(t, `answered_total{group="sell"}`, 1)
 	reload(nil, "conf_invalid_total", 1)
-	if resp, _ := s.do(t, sidecartest.Request("GET", "/sell", "sell", 900, "")); resp.StatusCode != http.StatusOK {
-		t.Errorf("after an invalid file: %s", resp.Status)
+	if resp, _ := sidecar.do(t, sidecartest.Request("GET", "/sell", "sell", 900, "")); resp.StatusCode != http.StatusOK {
+		t.Errorf("request after an invalid file: %s, want 200", resp.Status)
 	}
 }
 
-// Whatever is wrong with a file is found before any of it is applied, and its key is named.
+// Any fault in a file must be found before any part of the file is applied, and the error must name its key.
 func TestInvalidConfigurationChangesNothing(t *testing.T) {
 	known := []discovery.Instance{sidecartest.ReadyInstance("s-1", "127.0.0.1:2")}
-	c := sidecartest.Configure(t, "127.0.0.1:1", known)
+	cfg := sidecartest.Configure(t, "127.0.0.1:1", known)
 	good := sidecartest.ConfigText(t, "127.0.0.1:1", known)
 	registry, applied := metrics.New(), 0
-	r := &reloader{config: c, metrics: registry, log: sidecartest.DiscardLog,
+	r := &reloader{config: cfg, metrics: registry, log: sidecartest.DiscardLog,
 		apply: func(context.Context, *config.Config) error { applied++; return nil }}
 	for _, tc := range []struct{ key, old, new string }{
 		{"file", string(good), ""},
@@ -175,19 +177,19 @@
 	} {
 		text := strings.Replace(string(good), tc.old, tc.new, 1)
 		if text == string(good) {
-			t.Fatalf("%s: %q is not in the file", tc.key, tc.old)
+			t.Fatalf("case %s: the valid file lacks %q", tc.key, tc.old)
 		}
-		r.read = func() (*config.Config, error) { return config.Parse([]byte(text), func(string) string { return "" }) }
+		r.readConfig = func() (*config.Config, error) { return config.Parse([]byte(text), func(string) string { return "" }) }
 		err := r.reload(t.Context())
 		if bad := (*config.Error)(nil); !errors.As(err, &bad) || bad.Key != tc.key {
-			t.Errorf("%q: got %v, want an error for %s", tc.new, err, tc.key)
+			t.Errorf("file with %q: got %v, want an error for key %s", tc.new, err, tc.key)
 		}
 	}
 	if applied > 0 {
 		t.Errorf("%d invalid files were applied", applied)
 	}
-	r.read = func() (*config.Config, error) { return config.Parse(good, func(string) string { return "" }) }
+	r.readConfig = func() (*config.Config, error) { return config.Parse(good, func(string) string { return "" }) }
 	if err := r.reload(t.Context()); err != nil || applied != 1 {
-		t.Errorf("the valid file: %v", err)
+		t.Errorf("reload of the valid file: error %v, or the file was not applied once", err)
 	}
 }
--- a/internal/dataplane/sidecar/requests_test.go
+++ b/internal/dataplane/sidecar/requests_test.go
@@ -14,76 +14,81 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// Requests and answers are passed on unchanged.
-func TestRequestsAndAnswersPassUnchanged(t *testing.T) {
+// The sidecar must forward requests and answers unchanged, except for the header with the remaining time.
+func TestRequestsAndAnswersAreForwardedUnchanged(t *testing.T) {
 	type received struct {
 		r    *http.Request
 		body string
 	}
 	got := make(chan received, 64)
-	addr := sidecartest.HTTPEndpoint(t, func(w http.ResponseWriter, r *http.Request) {
-		b, _ := io.ReadAll(r.Body)
-		got <- received{r, string(b)}
+	addr := sidecartest.HTTPEndpoint(t, func(w http.ResponseWriter, request *http.Request) {
+		b, _ := io.ReadAll(request.Body)
+		got <- received{request, string(b)}
 		w.Header()["Content-Type"] = nil
-		if r.Method == http.MethodGet {
+		if request.Method == http.MethodGet {
 			w.Header().Set("Content-Type", "application/x-card")
 		}
 		w.Header().Set("Endpoint-Load-Metrics", "TEXT busy_reqs=1")
 		_, _ = io.WriteString(w, "\x00card "+string(b))
 	})
-	s := startWithEndpoints(t, []string{addr})
-	largest := strings.Repeat("b", httpfront.MaxBufferedBody-len("\x00card ")) // whose answer is just not streamed
-	for _, r := range []*http.Request{
+	sidecar := startWithEndpoints(t, []string{addr})
+	// The answer to the largest body is just short enough not to be streamed.
+	largest := strings.Repeat("b", httpfront.MaxBufferedBody-len("\x00card "))
+	for _, request := range []*http.Request{
 		sidecartest.IdempotentRequest(480),
 		sidecartest.Request("GET", "/look/a%2Fb?x=%20y&z", "look", 480, ""),
 		sidecartest.Request("POST", "/book", "book", 480, largest),
 		sidecartest.Request("POST", "/pay?p=1", "pay", 480, ""),
 	} {
-		body, _ := io.ReadAll(r.Body)
+		body, _ := io.ReadAll(request.Body)
 		if len(body) > 0 {
-			r.Body = io.NopCloser(strings.NewReader(string(body)))
+			request.Body = io.NopCloser(strings.NewReader(string(body)))
 		}
-		resp, text := s.do(t, r)
-		contentType := "" // where the endpoint sets none, none is guessed
-		if r.Method == http.MethodGet {
+		resp, text := sidecar.do(t, request)
+		contentType := "" // the sidecar must not guess one if the endpoint sets none
+		if request.Method == http.MethodGet {
 			contentType = "application/x-card"
 		}
 		if resp.StatusCode != http.StatusOK || text != "\x00card "+string(body) ||
 			resp.Header.Get("Content-Type") != contentType {
-			t.Errorf("%s: %s, %d bytes, %v", r.RequestURI, resp.Status, len(text), resp.Header)
+			t.Errorf("answer to %s: %s, %d bytes, headers %v, want 200 with the endpoint's body and type",
+				request.RequestURI, resp.Status, len(text), resp.Header)
 			continue
 		}
-		at := <-got
-		if at.r.Method != r.Method || at.r.RequestURI != r.RequestURI || at.body != string(body) {
-			t.Errorf("sent %s %s, the endpoint got %s %s", r.Method, r.RequestURI, at.r.Method, at.r.RequestURI)
+		forwarded := <-got
+		if forwarded.r.Method != request.Method || forwarded.r.RequestURI != request.RequestURI ||
+			forwarded.body != string(body) {
+			t.Errorf("sent %s %s, the endpoint received %s %s, or another body",
+				request.Method, request.RequestURI, forwarded.r.Method, forwarded.r.RequestURI)
 		}
-		for _, h := range []string{"X-Trace-Id", "Idempotency-Key", "X-Customer"} {
-			if at.r.Header.Get(h) != r.Header.Get(h) {
-				t.Errorf("%s: sent %q, got %q", h, r.Header.Get(h), at.r.Header.Get(h))
+		for _, header := range []string{"X-Trace-Id", "Idempotency-Key", "X-Customer"} {
+			if forwarded.r.Header.Get(header) != request.Header.Get(header) {
+				t.Errorf("header %s: sent %q, the endpoint received %q",
+					header, request.Header.Get(header), forwarded.r.Header.Get(header))
 			}
 		}
-		// The endpoint receives the time of this attempt, not that of the client.
-		if ms, err := strconv.Atoi(at.r.Header.Get("X-Expires-In-Ms")); err != nil || ms >= 480 || ms < 1 {
-			t.Errorf("X-Expires-In-Ms %q, want under 480", at.r.Header.Get("X-Expires-In-Ms"))
+		// The endpoint receives the timeout of this attempt, not that of the client.
+		if ms, err := strconv.Atoi(forwarded.r.Header.Get("X-Expires-In-Ms")); err != nil || ms >= 480 || ms < 1 {
+			t.Errorf("the endpoint received X-Expires-In-Ms %q, want from 1 to 479", forwarded.r.Header.Get("X-Expires-In-Ms"))
 		}
-		if len(at.r.Header["Accept-Encoding"]) != 0 {
-			t.Error("the sidecar accepts compression")
+		if len(forwarded.r.Header["Accept-Encoding"]) != 0 {
+			t.Error("the endpoint received Accept-Encoding, which the client did not send")
 		}
 	}
 }
 
-// Invalid requests are answered with a plain 4xx and not passed on.
+// Invalid requests must be answered with an error status and not forwarded to an endpoint.
 func TestInvalidRequestsGetClientErrors(t *testing.T) {
 	var sent atomic.Int32
 	addr := sidecartest.HTTPEndpoint(t, func(http.ResponseWriter, *http.Request) { sent.Add(1) })
-	s := startWithEndpoints(t, []string{addr})
-	without := func(r *http.Request, header string) *http.Request {
-		r.Header.Del(header)
-		return r
+	sidecar := startWithEndpoints(t, []string{addr})
+	withoutHeader := func(request *http.Request, header string) *http.Request {
+		request.Header.Del(header)
+		return request
 	}
-	with := func(r *http.Request, header, value string) *http.Request {
-		r.Header.Set(header, value)
-		return r
+	withHeader := func(request *http.Request, header, value string) *http.Request {
+		request.Header.Set(header, value)
+		return request
 	}
 	large := strings.Repeat("x", 2*httpfront.MaxHeaderBytes)
 	for _, tc := range []struct {
@@ -92,17 +97,17 @@
 		want int
 	}{
 		{"unknown class", sidecartest.Request("GET", "/sell", "sell", 400, ""), 404},
-		{"no class", without(sidecartest.Request("GET", "/", "look", 400, ""), "X-Qos"), 404},
+		{"no class", withoutHeader(sidecartest.Request("GET", "/", "look", 400, ""), "X-Qos"), 404},
 		{"two classes", sidecartest.Request("GET", "/look", "pay", 400, ""), 400},
-		{"no id", without(sidecartest.IdempotentRequest(400), "X-Trace-Id"), 400},
-		{"keyed without key", without(sidecartest.Request("POST", "/book", "book", 400, "x"), "Idempotency-Key"), 400},
+		{"no id", withoutHeader(sidecartest.IdempotentRequest(400), "X-Trace-Id"), 400},
+		{"keyed without key", withoutHeader(sidecartest.Request("POST", "/book", "book", 400, "x"), "Idempotency-Key"), 400},
 		{"wrong method", sidecartest.Request("POST", "/look", "look", 400, "x"), 405},
-		{"time in words", with(sidecartest.IdempotentRequest(400), "X-Expires-In-Ms", "soon"), 400},
+		{"time in words", withHeader(sidecartest.IdempotentRequest(400), "X-Expires-In-Ms", "soon"), 400},
 		{"negative time", sidecartest.IdempotentRequest(-1), 400},
-		{"large head", with(sidecartest.IdempotentRequest(400), "X-Props", large), 431},
+		{"large head", withHeader(sidecartest.IdempotentRequest(400), "X-Props", large), 431},
 	} {
-		if resp, _ := s.do(t, tc.r); resp.StatusCode != tc.want {
-			t.Errorf("%s: %s, want %d", tc.name, resp.Status, tc.want)
+		if resp, _ := sidecar.do(t, tc.r); resp.StatusCode != tc.want {
+			t.Errorf("request with %s: %s, want %d", tc.name, resp.Status, tc.want)
 		}
 	}
 	head := func(lines ...string) string {
@@ -144,19 +149,19 @@
 		{"host with a space", strings.Replace(hidden, "origin.svc", "origin svc", 1), "400"},
 		{"wrong expectation", head("Expect: wonders", "Content-Length: 0"), "417"},
 	} {
-		c, err := net.Dial("tcp", s.addr)
+		conn, err := net.Dial("tcp", sidecar.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, _ = io.WriteString(c, tc.text)
-		setReadDeadline(t, c, httpfront.RequestTimeout/2)
-		if got, err := io.ReadAll(c); err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 "+tc.want+" ") ||
+		_, _ = io.WriteString(conn, tc.text)
+		setReadDeadline(t, conn, httpfront.RequestTimeout/2)
+		if got, err := io.ReadAll(conn); err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 "+tc.want+" ") ||
 			strings.Count(string(got), "HTTP/1.1") != 1 {
-			t.Errorf("%s: answered %q, %v, want one %s and the end", tc.name, got, err, tc.want)
+			t.Errorf("request with %s: received %q, error %v, want one answer %s and the end", tc.name, got, err, tc.want)
 		}
-		c.Close()
+		conn.Close()
 	}
 	if n := sent.Load(); n != 0 {
-		t.Errorf("%d attempts for invalid requests", n)
+		t.Errorf("%d attempts were made for invalid requests, want none", n)
 	}
 }
--- a/internal/dataplane/sidecar/sidecar.go
+++ b/internal/dataplane/sidecar/sidecar.go
@@ -1,9 +1,9 @@
-// Package sidecar assembles a sidecar, starts and stops it: a protocol stack for HTTP and for each further protocol
-// (packages core and httpfront, or a core.Protocol of the program), discovery, operators' calls, handovers between
-// processes, and reloads.
+// Package sidecar assembles, starts and stops a sidecar. A sidecar consists of a protocol stack for HTTP (packages core
+// and httpfront) and for each further core.Protocol of the program, discovery, the management service for operators,
+// handovers between processes, and configuration reloads.
 //
-// It may import the packages of the data path and the platform's. What the control plane provides comes by the
-// interfaces of Host.
+// The package may import the packages of the data path and of the platform. The services of the control plane are
+// passed in through the interfaces in Host.
 package sidecar
 
 import (
@@ -26,16 +26,16 @@
 )
 
 const (
-	// A discovery that is down is tried retriesPerDrainGrace times within the grace of a drain, but not more often than
-	// every minWatchRetryInterval.
+	// While discovery is down, its watch is retried retriesPerDrainGrace times within the grace period of a drain, but
+	// at intervals of at least minWatchRetryInterval.
 	retriesPerDrainGrace  = 4
 	minWatchRetryInterval = 50 * time.Millisecond
 
-	minMemoryLimitBytes = 12 << 20 // with less the garbage collector would run all the time
-	memoryLimitDivisor  = 2        // the collector works harder from this part of the configured limit on
+	minMemoryLimitBytes = 12 << 20 // with a lower limit the garbage collector would run all the time
+	memoryLimitDivisor  = 2        // the garbage collector's limit is the configured memory limit divided by this
 )
 
-// instance is a running sidecar.
+// instance is a running sidecar process.
 type instance struct {
 	config    *config.Config
 	host      Host
@@ -44,40 +44,40 @@
 	feed      discovery.Feed
 	overrides *maintenance.Registry
 
-	closing atomic.Bool // connections end with their answers
-	yielded atomic.Bool // another process accepts in place of this one
-	serving atomic.Bool // this process can serve, and an old one has stopped accepting
+	closing  atomic.Bool // each connection is closed after its next answer
+	replaced atomic.Bool // another process accepts requests instead of this one
+	serving  atomic.Bool // an endpoint is ready, and the old process, if any, has stopped accepting
 
-	broken     chan error    // receives why accepting ended by itself
-	handedOver chan struct{} // receives once another process accepts and no connection is left here
+	acceptErrors chan error    // receives the error if accepting fails
+	handedOver   chan struct{} // receives once another process accepts and all connections here are closed
 
-	mu          sync.Mutex
-	cancelYield context.CancelFunc // ends the wait for the last connection
-	peers       int                // processes beside this one
-	stopping    bool               // for good
+	mu                 sync.Mutex
+	cancelHandoverWait context.CancelFunc // cancels awaitLastConnection
+	peerCount          int                // number of other processes of this sidecar
+	stopping           bool               // the stop is final: accepting must not resume
 }
 
-// Run serves until stop ends, or until a new process has taken over, then finishes open requests and returns.
-func Run(stop context.Context, c *config.Config, h Host) error {
-	n, err := newInstance(c, h)
+// Run serves until stop ends or a new process has taken over. Before it returns, all open requests have been answered.
+func Run(stop context.Context, cfg *config.Config, host Host) error {
+	n, err := newInstance(cfg, host)
 	if err != nil {
 		return err
 	}
 	n.setCapacityShare(1)
 
-	// Background work ends after the server, so that everything that was accepted is answered first.
+	// Background work ends last, since requests that were accepted need it until they are answered.
 	ctx, cancel := context.WithCancel(context.Background())
 	var background sync.WaitGroup
 	defer background.Wait()
 	defer cancel()
 	n.startLoops(ctx, &background)
-	// Before it accepts, a process waits for its own files and, when it takes over, for the old process: at most a
-	// second to find it and one for its reply (handover.Join). It does not wait for discovery.
-	old := n.join(ctx)
+	// Before it accepts requests, a process reads its own files and, if there is an old process, waits for that: for at
+	// most a second to connect to it and another second for its reply (handover.Join). It does not wait for discovery.
+	old := n.joinAndRestore(ctx)
 	if !n.config.Settings.Subscribe {
 		n.feed.SetEnabled(true)
 	}
-	background.Go(func() { n.newReloader().run(ctx, h.Reload) })
+	background.Go(func() { n.newReloader().run(ctx, host.Reload) })
 	defer n.feed.SetEnabled(false)
 	if old != nil {
 		defer old.Close()
@@ -87,12 +87,12 @@
 	}
 	background.Go(func() { n.takeOver(ctx, old) })
 	n.startSavers(ctx, &background)
-	h.Log.Info("serving", "name", n.config.Name, "listen", n.config.Listen)
+	host.Log.Info("serving", "name", n.config.Name, "listen", n.config.Listen)
 	select {
-	case err := <-n.broken:
+	case err := <-n.acceptErrors:
 		return fmt.Errorf("serve: %w", err)
 	case <-n.handedOver:
-		h.Log.Info("handed over")
+		host.Log.Info("handed over")
 		return nil
 	case <-stop.Done():
 	}
@@ -100,56 +100,57 @@
 	return nil
 }
 
-func newInstance(c *config.Config, h Host) (*instance, error) {
-	c, err := withOwnDescriptors(c, &h)
+func newInstance(cfg *config.Config, host Host) (*instance, error) {
+	cfg, err := withHTTPDescriptors(cfg, &host)
 	if err != nil {
 		return nil, err
 	}
 	n := &instance{
-		config:     c,
-		host:       h,
-		log:        h.Log,
-		broken:     make(chan error, 1),
-		handedOver: make(chan struct{}, 1),
+		config:       cfg,
+		host:         host,
+		log:          host.Log,
+		acceptErrors: make(chan error, 1),
+		handedOver:   make(chan struct{}, 1),
 	}
-	n.stacks, err = newStacks(c, &h, n.feed.SetEnabled)
+	n.stacks, err = newStacks(cfg, &host, n.feed.SetEnabled)
 	if err != nil {
 		return nil, err
 	}
-	warmUp := time.Duration(c.Settings.Contract.SlowStartDuration) * time.Microsecond
-	n.overrides = maintenance.NewRegistry(h.Overrides, warmUp, n.stacks.applyOverride, h.Log)
-	for _, s := range n.stacks {
-		s.loop.SetInitialOverrides(n.overrides.Overrides())
+	warmUp := time.Duration(cfg.Settings.Contract.SlowStartDuration) * time.Microsecond
+	n.overrides = maintenance.NewRegistry(host.Overrides, warmUp, n.stacks.applyOverride, host.Log)
+	for _, stack := range n.stacks {
+		stack.loop.SetInitialOverrides(n.overrides.Overrides())
 	}
 	n.joinFleet()
-	n.feed.Watcher = n.newWatcher(c.Discovery, c.InitialList.Generation)
+	n.feed.Watcher = n.newWatcher(cfg.Discovery, cfg.InitialList.Generation)
 	n.feed.Run, n.feed.OnEnded = (*discovery.Watcher).Run, n.stacks.http().loop.WatchFailed
-	if c.Settings.Subscribe {
+	if cfg.Settings.Subscribe {
 		n.feed.Run = (*discovery.Watcher).RunOnce
 	}
 	return n, nil
 }
 
-// withOwnDescriptors returns a configuration whose descriptors are those of HTTP: without those of other protocols, and
-// not more than the system allows.
-func withOwnDescriptors(c *config.Config, h *Host) (*config.Config, error) {
-	own := *c
-	for _, p := range h.Protocols {
-		own.MaxDescriptors -= p.Descriptors()
+// withHTTPDescriptors returns a configuration whose MaxDescriptors is the part for HTTP: that of the program without
+// the descriptors of other protocols, but at most what the operating system allows the process.
+func withHTTPDescriptors(cfg *config.Config, host *Host) (*config.Config, error) {
+	httpConfig := *cfg
+	for _, protocol := range host.Protocols {
+		httpConfig.MaxDescriptors -= protocol.Descriptors()
 	}
-	if own.MaxDescriptors < config.MinDescriptors {
-		return nil, fmt.Errorf("the protocols besides HTTP leave %d of %d descriptors: %d are needed",
-			own.MaxDescriptors, c.MaxDescriptors, config.MinDescriptors)
+	if httpConfig.MaxDescriptors < config.MinDescriptors {
+		return nil, fmt.Errorf("protocols other than HTTP leave %d of %d file descriptors for HTTP: at least %d are needed",
+			httpConfig.MaxDescriptors, cfg.MaxDescriptors, config.MinDescriptors)
 	}
-	if allowed := descriptorLimit(); allowed < own.MaxDescriptors {
-		h.Log.Warn("the system allows fewer descriptors than the configured limit",
-			"allowed", allowed, "limit", own.MaxDescriptors)
-		own.MaxDescriptors = allowed
+	if allowed := descriptorLimit(); allowed < httpConfig.MaxDescriptors {
+		host.Log.Warn("the operating system allows fewer file descriptors than the configured limit",
+			"allowed", allowed, "limit", httpConfig.MaxDescriptors)
+		httpConfig.MaxDescriptors = allowed
 	}
-	return &own, nil
+	return &httpConfig, nil
 }
 
-// descriptorLimit returns how many descriptors the system allows this process.
+// descriptorLimit returns the number of file descriptors that the operating system allows this process, or math.MaxInt
+// if that cannot be read.
 func descriptorLimit() int {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
@@ -158,7 +159,7 @@
 	return int(min(limit.Cur, math.MaxInt))
 }
 
-// joinFleet starts the exchange with other daemons, where there are any.
+// joinFleet starts the exchange of overrides, drains and starts with other daemons, if the host provides it.
 func (n *instance) joinFleet() {
 	if n.host.FleetOverrides != nil {
 		n.overrides.JoinFleet(n.host.FleetOverrides)
@@ -167,16 +168,17 @@
 	if fleet == nil {
 		return
 	}
-	for _, s := range n.stacks {
-		s.loop.ShareDrains(fleet.DrainingProcesses(), fleet.Observe)
-		s.loop.ShareStarts(fleet.RecentStarts(), fleet.ReportStart)
+	for _, stack := range n.stacks {
+		stack.loop.ShareDrains(fleet.DrainingProcesses(), fleet.Observe)
+		stack.loop.ShareStarts(fleet.RecentStarts(), fleet.ReportStart)
 	}
 	fleet.OnDrain(n.stacks.applyDrain)
 	fleet.OnStart(n.stacks.applyStart)
 }
 
-// newWatcher returns a watcher of the discovery at addr, from the list of a generation on. Pushed lists take effect at
-// once, so that a discovery that is down is tried several times within the grace of a drain.
+// newWatcher returns a watcher of the discovery at addr for changes after the list with the given generation. While
+// discovery is down it is retried several times within the grace period of a drain, since a drain in a pushed list must
+// take effect in time.
 func (n *instance) newWatcher(addr string, generation int64) *discovery.Watcher {
 	w := discovery.NewWatcher(addr, generation, n.config.MemoryMB, n.stacks.watchEvent, n.log)
 	grace := time.Duration(n.stacks.http().loop.ConfigSnapshot().Settings.Contract.DrainGrace) * time.Microsecond
@@ -186,12 +188,12 @@
 
 func (n *instance) newReloader() *reloader {
 	r := &reloader{
-		read:      n.host.ReadConfig,
-		metrics:   n.stacks.http().metrics,
-		log:       n.log,
-		apply:     n.stacks.reload,
-		onApplied: n.host.OnConfig,
-		moveDiscovery: func(addr string) {
+		readConfig: n.host.ReadConfig,
+		metrics:    n.stacks.http().metrics,
+		log:        n.log,
+		apply:      n.stacks.reload,
+		onApplied:  n.host.OnConfig,
+		switchDiscovery: func(addr string) {
 			n.feed.SwitchTo(n.newWatcher(addr, discovery.NoGeneration))
 		},
 	}
@@ -199,46 +201,47 @@
 	return r
 }
 
-// startLoops starts the event loops and the service for operators.
+// startLoops starts the event loops, the maintenance of upstream connections and the management service.
 func (n *instance) startLoops(ctx context.Context, background *sync.WaitGroup) {
-	for _, s := range n.stacks {
-		background.Go(func() { s.loop.Run(ctx) })
-		background.Go(func() { s.upstream.Maintain(ctx) })
+	for _, stack := range n.stacks {
+		background.Go(func() { stack.loop.Run(ctx) })
+		background.Go(func() { stack.upstream.Maintain(ctx) })
 	}
 	if n.host.Management == nil {
 		return
 	}
 	background.Go(func() {
 		if err := management.New(n, n.log).Serve(ctx, n.host.Management); err != nil {
-			n.log.Error("the service for operators has failed", "error", err)
+			n.log.Error("the management service has failed", "error", err)
 		}
 	})
 }
 
-// startSavers starts saving the state of the decision modules, which another process does while that one accepts.
+// startSavers starts saving the state of the decision modules. Saving pauses while another process of the sidecar
+// accepts requests, because that process then saves its state.
 func (n *instance) startSavers(ctx context.Context, background *sync.WaitGroup) {
-	paused := func() bool { return !n.serving.Load() || n.yielded.Load() }
-	for _, s := range n.stacks {
-		saver := core.SnapshotSaver{Loop: s.loop, File: s.snapshotFile}
+	paused := func() bool { return !n.serving.Load() || n.replaced.Load() }
+	for _, stack := range n.stacks {
+		saver := core.SnapshotSaver{Loop: stack.loop, File: stack.snapshotFile}
 		background.Go(func() { saver.Run(ctx, paused) })
 		if fleet := n.host.Fleet; fleet != nil {
 			background.Go(func() {
-				fleet.SaveSnapshots(ctx, n.config.Name, s.name, s.loop.PortableSnapshot, paused)
+				fleet.SaveSnapshots(ctx, n.config.Name, stack.name, stack.loop.PortableSnapshot, paused)
 			})
 		}
 	}
 }
 
-// open starts accepting requests.
+// open starts accepting requests of all protocols.
 func (n *instance) open() error {
-	broken := func(err error) {
+	onFailure := func(err error) {
 		select {
-		case n.broken <- err:
-		default: // the first error ends Run
+		case n.acceptErrors <- err:
+		default: // an earlier error ends Run already
 		}
 	}
-	for _, s := range n.stacks {
-		if err := s.frontend.Open(broken); err != nil {
+	for _, stack := range n.stacks {
+		if err := stack.frontend.Open(onFailure); err != nil {
 			return err
 		}
 	}
@@ -247,33 +250,33 @@
 
 // closeListeners stops accepting requests. Further calls do nothing.
 func (n *instance) closeListeners() {
-	for _, s := range n.stacks {
-		s.frontend.StopAccepting()
+	for _, stack := range n.stacks {
+		stack.frontend.StopAccepting()
 	}
 }
 
-// setClosing sets whether connections end with their answers.
+// setClosing sets whether each connection is closed after its next answer.
 func (n *instance) setClosing(on bool) {
 	n.closing.Store(on)
-	for _, s := range n.stacks {
-		s.frontend.SetClosing(on)
+	for _, stack := range n.stacks {
+		stack.frontend.SetClosing(on)
 	}
 }
 
-// countOpen adds up what count returns for each protocol.
+// countOpen returns the sum of the connections that count returns for each protocol.
 func (n *instance) countOpen(count func(core.Frontend) int) (open int) {
-	for _, s := range n.stacks {
-		open += count(s.frontend)
+	for _, stack := range n.stacks {
+		open += count(stack.frontend)
 	}
 	return open
 }
 
-// setCapacityShare sets this process's share of the limits, from 0 to 1.
+// setCapacityShare sets this process's share of the limits, from 0 to 1, including that of memory.
 func (n *instance) setCapacityShare(share float64) {
 	limit := float64(n.config.MemoryMB<<20) * share / memoryLimitDivisor
 	debug.SetMemoryLimit(max(minMemoryLimitBytes, int64(limit)))
-	for _, s := range n.stacks {
-		s.setCapacityShare(share)
+	for _, stack := range n.stacks {
+		stack.setCapacityShare(share)
 	}
 }
 
--- a/internal/dataplane/sidecar/snapshotfile_test.go
+++ b/internal/dataplane/sidecar/snapshotfile_test.go
@@ -19,8 +19,8 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// runWithSnapshot runs a sidecar with the given snapshot file, and returns its log lines once it was ready.
-func runWithSnapshot(t *testing.T, c *config.Config, data []byte) string {
+// runWithSnapshot runs a sidecar with a snapshot file of the given content until it serves, and returns its log.
+func runWithSnapshot(t *testing.T, cfg *config.Config, data []byte) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "known")
 	if err := os.WriteFile(path, data, 0o600); err != nil {
@@ -41,8 +41,8 @@
 	}), nil))
 	ended := make(chan error, 1)
 	go func() {
-		ended <- Run(ctx, c, Host{
-			Socket:       singleListener{ln},
+		ended <- Run(ctx, cfg, Host{
+			Socket:       listenerSocket{ln},
 			Overrides:    maintenance.Discard{},
 			SnapshotFile: snapshot.File{Path: path},
 			Log:          log,
@@ -56,6 +56,7 @@
 	return logged.String()
 }
 
+// logWriter is an io.Writer that passes each log line to a function.
 type logWriter func(p []byte)
 
 func (w logWriter) Write(p []byte) (int, error) {
@@ -63,12 +64,12 @@
 	return len(p), nil
 }
 
-// A sidecar restores its state from the file, and starts whatever the file contains.
+// A sidecar must restore its state from a valid snapshot file, and must log the fault and start if the file is invalid.
 func TestStartRestoresSnapshotFile(t *testing.T) {
-	c := configure(t, []string{"127.0.0.1:1", "127.0.0.1:2"})
+	cfg := configure(t, []string{"127.0.0.1:1", "127.0.0.1:2"})
 	clock, registry := core.NewClock(), metrics.New()
-	upstream := httpfront.NewUpstream(c, clock, &registry.AttemptsSent, sidecartest.DiscardLog)
-	old, err := core.New(c, clock, upstream, func(bool) {}, registry, nil, sidecartest.DiscardLog)
+	upstream := httpfront.NewUpstream(cfg, clock, &registry.AttemptsSent, sidecartest.DiscardLog)
+	old, err := core.New(cfg, clock, upstream, func(bool) {}, registry, nil, sidecartest.DiscardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -90,8 +91,8 @@
 		{newer, "newer"},
 		{[]byte(strings.Repeat("x", 99)), "foreign"},
 	} {
-		if logged := runWithSnapshot(t, c, tc.data); !strings.Contains(logged, tc.want) {
-			t.Errorf("want %q in:\n%s", tc.want, logged)
+		if logged := runWithSnapshot(t, cfg, tc.data); !strings.Contains(logged, tc.want) {
+			t.Errorf("the log lacks %q:\n%s", tc.want, logged)
 		}
 	}
 }
--- a/internal/dataplane/sidecar/stop.go
+++ b/internal/dataplane/sidecar/stop.go
@@ -8,67 +8,69 @@
 )
 
 const (
-	// connectGrace is the time after the order to stop in which clients still connect.
+	// connectGrace is the time after the stop signal during which clients may still open connections.
 	connectGrace = 400 * time.Millisecond
-	// acceptGrace is the time until connections are no more accepted. Clients whose connection is closed as their
-	// request comes may connect once more.
+	// acceptGrace is the time from the stop signal until connections are no longer accepted. It is longer than
+	// connectGrace because a client whose idle connection is closed just as it sends a request may connect once more.
 	acceptGrace = 700 * time.Millisecond
-	// killDelay is the time from the order to stop to the kill, besides the timeout of requests, of which at most
-	// maxKillTimeout counts.
+	// killDelay is the time from the stop signal to the kill, in addition to the longest timeout of a class, of which
+	// at most maxKillTimeout counts.
 	killDelay      = 700 * time.Millisecond
 	maxKillTimeout = 3 * time.Second
-	// lastAnswerMargin is the time before the kill in which the last answers are sent.
+	// lastAnswerMargin is the time before the kill that is left for sending the last answers.
 	lastAnswerMargin = 150 * time.Millisecond
 
-	settleInterval = 100 * time.Millisecond
+	// connectionCheckInterval is the time between two checks for connections that are still open.
+	connectionCheckInterval = 100 * time.Millisecond
 )
 
-// endDelay returns the time after the order to stop by which all requests must be answered, by the settings.
-func endDelay(s *balancer.Settings) time.Duration {
+// closeDelay returns the time after the stop signal by which all requests must be answered, according to the settings.
+func closeDelay(settings *balancer.Settings) time.Duration {
 	longest := balancer.Micros(0)
-	for i := range s.Classes {
-		longest = max(longest, s.Classes[i].Timeout)
+	for i := range settings.Classes {
+		longest = max(longest, settings.Classes[i].Timeout)
 	}
 	return min(time.Duration(longest)*time.Microsecond, maxKillTimeout) + killDelay - lastAnswerMargin
 }
 
-// drain stops the sidecar for good. It serves while clients may still connect, closing each connection with its answer,
-// and then finishes open requests. Rejecting the clients that come in the meantime would fail them for nothing.
+// drain stops the sidecar for good. It serves while clients may still connect, closing each connection after its
+// answer, and then finishes open requests. Rejecting clients that connect in the meantime would fail their requests
+// needlessly.
 func (n *instance) drain() {
 	n.log.Info("stopping")
-	end := time.Duration(0)
-	for _, s := range n.stacks {
-		end = max(end, endDelay(&s.loop.ConfigSnapshot().Settings))
+	closeAfter := time.Duration(0)
+	for _, stack := range n.stacks {
+		closeAfter = max(closeAfter, closeDelay(&stack.loop.ConfigSnapshot().Settings))
 	}
-	for _, s := range n.stacks {
-		s.loop.CloseAfter(end)
+	for _, stack := range n.stacks {
+		stack.loop.CloseAfter(closeAfter)
 	}
 	n.mu.Lock()
 	n.stopping = true
 	n.mu.Unlock()
 	n.setClosing(true)
 	n.closeIdle()
-	begun := time.Now()
+	start := time.Now()
 	time.Sleep(connectGrace)
-	for time.Since(begun) < acceptGrace-settleInterval {
+	for time.Since(start) < acceptGrace-connectionCheckInterval {
 		n.countOpen(func(f core.Frontend) int { return f.CloseUnused(false) })
-		time.Sleep(settleInterval)
+		time.Sleep(connectionCheckInterval)
 	}
-	time.Sleep(acceptGrace - time.Since(begun))
+	time.Sleep(acceptGrace - time.Since(start))
 	n.closeListeners()
-	// Clients that are still sending are waited for, until their requests could not be answered any more.
-	closeUnused := func(f core.Frontend) int { return f.CloseUnused(time.Since(begun) > end) }
+	// Wait for clients that are still sending a request, for as long as the request could be answered in time.
+	closeUnused := func(f core.Frontend) int { return f.CloseUnused(time.Since(start) > closeAfter) }
 	for n.countOpen(closeUnused) > 0 {
-		time.Sleep(settleInterval)
+		time.Sleep(connectionCheckInterval)
 	}
 	n.closeIdle()
-	for _, s := range n.stacks {
-		s.frontend.Wait()
+	for _, stack := range n.stacks {
+		stack.frontend.Wait()
 	}
 }
 
 func (n *instance) closeIdle() {
-	for _, s := range n.stacks {
-		s.frontend.CloseIdle()
+	for _, stack := range n.stacks {
+		stack.frontend.CloseIdle()
 	}
 }
--- a/internal/dataplane/sidecar/stop_test.go
+++ b/internal/dataplane/sidecar/stop_test.go
@@ -11,103 +11,104 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// After the order to stop clients still connect for a while. Their requests are answered, with Connection: close, open
-// requests are finished, and the sidecar ends without an error.
+// After the stop signal, clients still connect for a while. The sidecar must answer their requests, with Connection:
+// close, must finish open requests, and must end without an error.
 func TestStopAnswersNewAndOpenRequests(t *testing.T) {
-	taken, release := make(chan struct{}, 1), make(chan struct{})
-	let := sync.OnceFunc(func() { close(release) })
-	t.Cleanup(let)
+	received, release := make(chan struct{}, 1), make(chan struct{})
+	releaseOnce := sync.OnceFunc(func() { close(release) })
+	t.Cleanup(releaseOnce)
 	addr := sidecartest.HTTPEndpoint(t, func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/pay" {
-			taken <- struct{}{}
+			received <- struct{}{}
 			<-release
 		}
 	})
-	s := startWithEndpoints(t, []string{addr})
-	idle := s.dial(t)
-	if resp, _ := s.doOn(t, idle, sidecartest.IdempotentRequest(900)); resp.Close {
-		t.Error("a connection was closed with its answer")
+	sidecar := startWithEndpoints(t, []string{addr})
+	idle := sidecar.dial(t)
+	if resp, _ := sidecar.doOnConn(t, idle, sidecartest.IdempotentRequest(900)); resp.Close {
+		t.Error("a connection was closed after its answer before the stop signal")
 	}
-	var before sync.WaitGroup
-	defer before.Wait()
-	defer let()
-	before.Go(func() {
-		resp, _ := s.do(t, sidecartest.Request("POST", "/pay", "pay", 1000, "x"))
+	var openRequest sync.WaitGroup
+	defer openRequest.Wait()
+	defer releaseOnce()
+	openRequest.Go(func() {
+		resp, _ := sidecar.do(t, sidecartest.Request("POST", "/pay", "pay", 1000, "x"))
 		if resp.StatusCode != http.StatusOK || !resp.Close {
-			t.Errorf("the open request: %s, close %v", resp.Status, resp.Close)
+			t.Errorf("request that was open at the stop signal: %s, close %v, want 200 and close", resp.Status, resp.Close)
 		}
 	})
-	sidecartest.Receive(t, taken, "attempt")
-	begun := time.Now()
-	s.stop()
+	sidecartest.Receive(t, received, "attempt")
+	start := time.Now()
+	sidecar.stop()
 	setReadDeadline(t, idle, sidecartest.WaitTimeout)
 	if _, err := idle.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("idle connection: %v, want it closed", err)
+		t.Errorf("reading from an idle connection after the stop signal: %v, want EOF", err)
 	}
-	// It must accept for at least 500 ms after the order.
+	// The sidecar must accept connections for at least 500 ms after the stop signal.
 	for n := 0; ; n++ {
-		resp, err := s.tryDo(sidecartest.IdempotentRequest(900))
+		resp, err := sidecar.tryDo(sidecartest.IdempotentRequest(900))
 		if err != nil {
-			if took := time.Since(begun); took < 500*time.Millisecond {
-				t.Fatalf("request %d after the order, after %v: %v", n, took, err)
+			if took := time.Since(start); took < 500*time.Millisecond {
+				t.Fatalf("request %d, %v after the stop signal: %v, want an answer", n, took, err)
 			}
 			break
 		}
 		if resp.StatusCode != http.StatusOK && resp.Header.Get("Retry-After") == "" || !resp.Close {
-			t.Fatalf("after the order: %s, close %v", resp.Status, resp.Close)
+			t.Fatalf("request after the stop signal: %s, close %v, want 200 or a rejection, and close", resp.Status, resp.Close)
 		}
 		if n == 3 {
-			resp, err := s.tryDo(sidecartest.Request("GET", "/-/ready", "", 900, ""))
+			resp, err := sidecar.tryDo(sidecartest.Request("GET", "/-/ready", "", 900, ""))
 			if err == nil && resp.StatusCode != http.StatusServiceUnavailable {
-				t.Errorf("ready: %s after the order to stop", resp.Status)
+				t.Errorf("readiness after the stop signal: %s, want 503", resp.Status)
 			}
 		}
 	}
-	let()
-	if err := sidecartest.Receive(t, s.ended, "end"); err != nil {
-		t.Errorf("ended with %v", err)
+	releaseOnce()
+	if err := sidecartest.Receive(t, sidecar.ended, "end"); err != nil {
+		t.Errorf("the sidecar ended with %v, want no error", err)
 	}
-	if took := time.Since(begun); took < 500*time.Millisecond {
-		t.Errorf("stopped accepting after %v", took)
+	if took := time.Since(start); took < 500*time.Millisecond {
+		t.Errorf("the sidecar ended %v after the stop signal, want at least 500 ms", took)
 	}
 }
 
-// The kill comes 0.7 s and the longest timeout of a request, of which at most 3 s count, after the order to stop: the
-// time in which all requests must be answered follows from the settings.
-func TestEndDelayFollowsSettings(t *testing.T) {
-	for timeout, want := range map[string]time.Duration{"1000000": 1550 * time.Millisecond, "400000": 950 * time.Millisecond,
-		"22405243": 3550 * time.Millisecond} {
+// The kill comes 0.7 s plus the longest timeout of a class, of which at most 3 s count, after the stop signal. The time
+// by which all requests must be answered follows from that and thus from the settings.
+func TestCloseDelayFollowsSettings(t *testing.T) {
+	for timeout, want := range map[string]time.Duration{
+		"1000000": 1550 * time.Millisecond, "400000": 950 * time.Millisecond, "22405243": 3550 * time.Millisecond} {
 		c := sidecartest.Configure(t, sidecartest.ClosedAddress(t), nil, `"give-up":1000000`, `"give-up":`+timeout)
-		if got := endDelay(&c.Settings); got != want {
-			t.Errorf("timeout of %s us: %v, want %v", timeout, got, want)
+		if got := closeDelay(&c.Settings); got != want {
+			t.Errorf("close delay for a timeout of %s us: %v, want %v", timeout, got, want)
 		}
 	}
 }
 
-// Open requests are answered before the kill, however long their clients would wait.
+// Open requests must be answered before the kill, even if their clients would wait for longer.
 func TestStopAnswersOpenRequestsBeforeKill(t *testing.T) {
-	taken, release := make(chan struct{}, 1), make(chan struct{})
+	received, release := make(chan struct{}, 1), make(chan struct{})
 	addr := sidecartest.HTTPEndpoint(t, func(http.ResponseWriter, *http.Request) {
-		taken <- struct{}{}
+		received <- struct{}{}
 		<-release
 	})
 	defer close(release)
-	s := startWithEndpoints(t, []string{addr},
+	sidecar := startWithEndpoints(t, []string{addr},
 		`"give-up":1000000`, `"give-up":600000000`)
 	answers := make(chan *http.Response, 1)
 	go func() {
-		resp, err := s.tryDo(sidecartest.Request("POST", "/pay", "pay", 600_000, "x"))
+		resp, err := sidecar.tryDo(sidecartest.Request("POST", "/pay", "pay", 600_000, "x"))
 		if err != nil {
 			t.Error(err)
 		}
 		answers <- resp
 	}()
-	sidecartest.Receive(t, taken, "attempt")
-	s.stop()
-	if resp := sidecartest.Receive(t, answers, "answer"); resp == nil || resp.StatusCode != http.StatusBadGateway || !resp.Close {
-		t.Errorf("answered %+v", resp)
+	sidecartest.Receive(t, received, "attempt")
+	sidecar.stop()
+	if resp := sidecartest.Receive(t, answers, "answer"); resp == nil || resp.StatusCode != http.StatusBadGateway ||
+		!resp.Close {
+		t.Errorf("open request answered %+v, want 502 and close", resp)
 	}
-	if err := sidecartest.Receive(t, s.ended, "end"); err != nil {
-		t.Errorf("ended with %v", err)
+	if err := sidecartest.Receive(t, sidecar.ended, "end"); err != nil {
+		t.Errorf("the sidecar ended with %v, want no error", err)
 	}
 }
--- a/internal/dataplane/sidecar/streaming_test.go
+++ b/internal/dataplane/sidecar/streaming_test.go
@@ -16,19 +16,21 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// longText is longer than any buffer of the sidecar.
+// longText is longer than any buffer of the sidecar, so that it is streamed.
 var longText = strings.Repeat("0123456789abcdef", 20*httpfront.MaxBufferedBody/16) + "end"
 
-// unsizedReader hides the length of a text, so that it is sent in chunks.
+// unsizedReader hides the length of a reader, so that the body is sent in chunks.
 type unsizedReader struct{ io.Reader }
 
-// Long bodies and answers are passed on unchanged, in every form that HTTP/1.1 has for them.
-func TestLongBodiesAndAnswersPassUnchanged(t *testing.T) {
+// Long bodies and answers must be forwarded unchanged with every framing of HTTP/1.1: Content-Length, chunks, and for
+// answers the end of the connection.
+func TestLongBodiesAndAnswersAreForwardedUnchanged(t *testing.T) {
 	got := make(chan string, 1)
-	// It closes a connection only after it has said so, since the next request may be on its way.
-	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
-		for as := ""; as != "end"; {
-			req, err := http.ReadRequest(r)
+	// The endpoint closes a connection only after an answer with Connection: close, since the next request may already
+	// be under way.
+	addr := sidecartest.RawEndpoint(t, func(conn *net.TCPConn, reader *bufio.Reader) {
+		for framing := ""; framing != "end"; {
+			req, err := http.ReadRequest(reader)
 			if err != nil {
 				return
 			}
@@ -37,23 +39,23 @@
 				return
 			}
 			got <- string(body)
-			_, _ = io.WriteString(c, "HTTP/1.1 103 Early Hints\r\n\r\n")
-			switch as = req.URL.Query().Get("as"); as {
+			_, _ = io.WriteString(conn, "HTTP/1.1 103 Early Hints\r\n\r\n")
+			switch framing = req.URL.Query().Get("as"); framing {
 			case "length":
-				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(longText), longText)
+				fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(longText), longText)
 			case "chunks":
-				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\nX-Sum: 1\r\n\r\n",
+				fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\nX-Sum: 1\r\n\r\n",
 					len(longText), longText)
 			case "end":
-				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+longText)
+				_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+longText)
 			default:
-				_, _ = io.WriteString(c, sidecartest.OKAnswer)
+				_, _ = io.WriteString(conn, sidecartest.OKAnswer)
 			}
 		}
 	})
-	s := startWithEndpoints(t, []string{addr})
+	sidecar := startWithEndpoints(t, []string{addr})
 	for _, tc := range []struct {
-		as      string
+		framing string // of the answer
 		body    string
 		chunked bool
 	}{
@@ -66,97 +68,98 @@
 		{"end", "x", false},
 		{"chunks", longText, true},
 	} {
-		t.Run(fmt.Sprint(tc.as, len(tc.body), tc.chunked), func(t *testing.T) {
-			r := sidecartest.Request("POST", "/pay?as="+tc.as, "pay", 900, tc.body)
+		t.Run(fmt.Sprint(tc.framing, len(tc.body), tc.chunked), func(t *testing.T) {
+			request := sidecartest.Request("POST", "/pay?as="+tc.framing, "pay", 900, tc.body)
 			if tc.chunked {
-				r.ContentLength, r.Body = -1, io.NopCloser(unsizedReader{strings.NewReader(tc.body)})
+				request.ContentLength, request.Body = -1, io.NopCloser(unsizedReader{strings.NewReader(tc.body)})
 			}
 			want := longText
-			if tc.as == "short" {
+			if tc.framing == "short" {
 				want = "ok"
 			}
-			if resp, text := s.do(t, r); resp.StatusCode != http.StatusOK || text != want {
-				t.Errorf("%s, %d bytes", resp.Status, len(text))
+			if resp, text := sidecar.do(t, request); resp.StatusCode != http.StatusOK || text != want {
+				t.Errorf("answer %s with %d bytes, want 200 with the endpoint's body", resp.Status, len(text))
 			}
 			if body := sidecartest.Receive(t, got, "body"); body != tc.body {
-				t.Errorf("the endpoint got %d bytes, want %d", len(body), len(tc.body))
+				t.Errorf("the endpoint received a body of %d bytes, want the client's %d bytes", len(body), len(tc.body))
 			}
 		})
 	}
-	s.wantMetric(t, `answered_total{group="pay"}`, 8)
-	s.wantMetric(t, "sends_total", 8)
-	s.wantMetric(t, "current", 0)
+	sidecar.wantMetric(t, `answered_total{group="pay"}`, 8)
+	sidecar.wantMetric(t, "sends_total", 8)
+	sidecar.wantMetric(t, "current", 0)
 }
 
-// Once the client has the beginning of an answer there is no retry, though one would be harmless, and the client can
-// tell that the rest is missing.
+// Once the client has received the beginning of an answer, the request must not be retried, even if it is idempotent.
+// The client must be able to tell that the rest of the answer is missing.
 func TestCutAnswerIsNotRetried(t *testing.T) {
 	for _, head := range []string{
 		fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 2*len(longText)),
 		fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n", 2*len(longText)),
 	} {
 		var sent atomic.Int32
-		addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
-			if _, err := sidecartest.ReadRequest(r); err == nil {
+		addr := sidecartest.RawEndpoint(t, func(conn *net.TCPConn, reader *bufio.Reader) {
+			if _, err := sidecartest.ReadRequest(reader); err == nil {
 				sent.Add(1)
-				_, _ = io.WriteString(c, head+longText)
+				_, _ = io.WriteString(conn, head+longText)
 			}
 		})
-		s := startWithEndpoints(t, []string{addr, addr})
-		c := s.dial(t)
-		if err := sidecartest.IdempotentRequest(900).Write(c); err != nil {
+		sidecar := startWithEndpoints(t, []string{addr, addr})
+		conn := sidecar.dial(t)
+		if err := sidecartest.IdempotentRequest(900).Write(conn); err != nil {
 			t.Fatal(err)
 		}
-		setReadDeadline(t, c, sidecartest.WaitTimeout)
-		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+		setReadDeadline(t, conn, sidecartest.WaitTimeout)
+		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		text, err := io.ReadAll(resp.Body)
 		if !errors.Is(err, io.ErrUnexpectedEOF) || !strings.HasPrefix(longText, string(text)) {
-			t.Errorf("%d bytes, %v", len(text), err)
+			t.Errorf("read %d bytes of the cut answer, error %v, want an unexpected EOF", len(text), err)
 		}
 		if n := sent.Load(); n != 1 {
-			t.Errorf("%d attempts", n)
+			t.Errorf("%d attempts were sent, want 1", n)
 		}
-		s.stop()
-		if err := sidecartest.Receive(t, s.ended, "end"); err != nil {
+		sidecar.stop()
+		if err := sidecartest.Receive(t, sidecar.ended, "end"); err != nil {
 			t.Error(err)
 		}
 	}
 }
 
-// A streamed body of which a part was sent is not sent again, though the request never ran.
+// A streamed body of which a part was sent cannot be sent again, even though the request never ran. The request must be
+// rejected after one attempt.
 func TestStreamedBodyIsNotSentAgain(t *testing.T) {
 	var sent atomic.Int32
-	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
-		if _, err := http.ReadRequest(r); err == nil {
+	addr := sidecartest.RawEndpoint(t, func(conn *net.TCPConn, reader *bufio.Reader) {
+		if _, err := http.ReadRequest(reader); err == nil {
 			sent.Add(1)
-			_, _ = io.CopyN(io.Discard, r, 2*httpfront.MaxBufferedBody)
-			_ = c.SetLinger(0) // resets the connection
+			_, _ = io.CopyN(io.Discard, reader, 2*httpfront.MaxBufferedBody)
+			_ = conn.SetLinger(0) // makes the close a reset
 		}
 	})
-	s := startWithEndpoints(t, []string{addr, addr})
-	c := s.dial(t)
-	// Far more than sockets buffer, so that it cannot all be sent before the reset shows.
-	r := sidecartest.Request("POST", "/pay", "pay", 900, "x")
-	r.ContentLength, r.Body = httpfront.MaxBody, io.NopCloser(io.LimitReader(zeros{}, httpfront.MaxBody))
-	go func() { _ = r.Write(c) }() // is cut off
-	setReadDeadline(t, c, sidecartest.WaitTimeout)
-	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+	sidecar := startWithEndpoints(t, []string{addr, addr})
+	conn := sidecar.dial(t)
+	// The body is longer than all socket buffers, so that the reset comes before the whole body is sent.
+	request := sidecartest.Request("POST", "/pay", "pay", 900, "x")
+	request.ContentLength, request.Body = httpfront.MaxBody, io.NopCloser(io.LimitReader(zeros{}, httpfront.MaxBody))
+	go func() { _ = request.Write(conn) }() // fails when the connection is closed
+	setReadDeadline(t, conn, sidecartest.WaitTimeout)
+	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
-		t.Errorf("%s, close %v", resp.Status, resp.Close)
+		t.Errorf("answer %s, close %v, want 503 and close", resp.Status, resp.Close)
 	}
 	if n := sent.Load(); n != 1 {
-		t.Errorf("%d attempts", n)
+		t.Errorf("%d attempts were sent, want 1", n)
 	}
-	s.wantMetric(t, `deferred_total{group="pay"}`, 1)
+	sidecar.wantMetric(t, `deferred_total{group="pay"}`, 1)
 }
 
-// zeros is an endless body.
+// zeros is an endless reader of zero bytes.
 type zeros struct{}
 
 func (zeros) Read(b []byte) (int, error) {
@@ -164,37 +167,38 @@
 	return len(b), nil
 }
 
-// A client that stops within a long body gets an error, and no endpoint gets a complete request.
+// A client that ends the connection within a long body must get an error, and no endpoint may receive a complete
+// request.
 func TestIncompleteBodyIsRejected(t *testing.T) {
 	complete := make(chan bool, 1)
-	addr := sidecartest.RawEndpoint(t, func(_ *net.TCPConn, r *bufio.Reader) {
-		_, err := sidecartest.ReadRequest(r)
+	addr := sidecartest.RawEndpoint(t, func(_ *net.TCPConn, reader *bufio.Reader) {
+		_, err := sidecartest.ReadRequest(reader)
 		complete <- err == nil
 	})
-	s := startWithEndpoints(t, []string{addr})
-	c := s.dial(t)
+	sidecar := startWithEndpoints(t, []string{addr})
+	conn := sidecar.dial(t)
 	var text strings.Builder
 	if err := sidecartest.Request("POST", "/pay", "pay", 900, longText).Write(&text); err != nil {
 		t.Fatal(err)
 	}
-	_, _ = io.WriteString(c, text.String()[:text.Len()-httpfront.MaxBufferedBody])
-	if err := c.(*net.TCPConn).CloseWrite(); err != nil {
+	_, _ = io.WriteString(conn, text.String()[:text.Len()-httpfront.MaxBufferedBody])
+	if err := conn.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	setReadDeadline(t, c, sidecartest.WaitTimeout)
-	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+	setReadDeadline(t, conn, sidecartest.WaitTimeout)
+	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil || resp.StatusCode != http.StatusBadRequest {
-		t.Errorf("%v, %v", resp, err)
+		t.Errorf("answer %v, error %v, want 400", resp, err)
 	}
 	if sidecartest.Receive(t, complete, "request") {
 		t.Error("the endpoint received a complete request")
 	}
-	s.wantMetric(t, "current", 0)
+	sidecar.wantMetric(t, "current", 0)
 }
 
-// A deadline does not cut an answer that has begun to stream.
+// The deadline of a request must not cut off an answer that has begun to stream.
 func TestStreamedAnswerOutlastsDeadline(t *testing.T) {
-	const ms = 100
+	const timeoutMs = 100
 	release := make(chan struct{})
 	addr := sidecartest.HTTPEndpoint(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", fmt.Sprint(len(longText)))
@@ -203,19 +207,19 @@
 		<-release
 		_, _ = io.WriteString(w, longText[10:])
 	})
-	s := startWithEndpoints(t, []string{addr})
-	// The head has to come in time; on a busy machine the request is made again.
+	sidecar := startWithEndpoints(t, []string{addr})
+	// The header of the answer must come before the deadline; on a busy machine that may take several requests.
 	var resp *http.Response
-	begun := time.Now()
-	for end := begun.Add(sidecartest.WaitTimeout); ; {
-		c := s.dial(t)
-		begun = time.Now()
-		if err := sidecartest.IdempotentRequest(ms).Write(c); err != nil {
+	start := time.Now()
+	for end := start.Add(sidecartest.WaitTimeout); ; {
+		conn := sidecar.dial(t)
+		start = time.Now()
+		if err := sidecartest.IdempotentRequest(timeoutMs).Write(conn); err != nil {
 			t.Fatal(err)
 		}
-		setReadDeadline(t, c, sidecartest.WaitTimeout)
+		setReadDeadline(t, conn, sidecartest.WaitTimeout)
 		var err error
-		resp, err = http.ReadResponse(bufio.NewReader(c), nil)
+		resp, err = http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -223,16 +227,16 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("no head comes in time: %s", resp.Status)
+			t.Fatalf("no answer began before its deadline: %s", resp.Status)
 		}
 	}
 	first := make([]byte, 10)
 	if _, err := io.ReadFull(resp.Body, first); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(time.Until(begun.Add(2 * ms * time.Millisecond))) // past the deadline
+	time.Sleep(time.Until(start.Add(2 * timeoutMs * time.Millisecond))) // past the deadline
 	close(release)
 	if rest, err := io.ReadAll(resp.Body); err != nil || string(first)+string(rest) != longText {
-		t.Errorf("%d bytes, %v", len(rest), err)
+		t.Errorf("read %d bytes after the deadline, error %v, want the rest of the answer", len(rest), err)
 	}
 }
