--- a/internal/dataplane/core/drains.go
+++ b/internal/dataplane/core/drains.go
@@ -68,7 +68,7 @@
 }
 
 // drainState reports to other daemons whether the latest entry describes a drain, and returns the state that applies in
-// this sidecar. The entry of a drain may lack the start time; it then describes the same process as the entry before.
+// this sidecar. The entry of a drain may lack all other fields; it then describes the same process as the entry before.
 func (l *EventLoop) drainState(endpoint *endpointState, state balancer.State) balancer.State {
 	process := endpoint.process()
 	listedDraining := endpoint.entry.Lifecycle == lifecycleDraining
--- a/internal/dataplane/core/eventloop.go
+++ b/internal/dataplane/core/eventloop.go
@@ -64,7 +64,7 @@
 	timers           timerHeap
 	timerCount       uint64 // number of timers set so far
 
-	rejectsNewRequests bool // set by close
+	rejectsNewRequests bool // set by close; Submit then answers Rejected
 	lastRequestID      uint64
 	requests           map[uint64]*Request // by Input.ID: open requests, and ended ones until all outcomes are known
 	requestsByClientID map[string]*Request // the same requests by the ID that the client chose
@@ -92,7 +92,7 @@
 // New returns an event loop that reaches endpoints through upstream; Run starts it. setWatch is called to subscribe to
 // changes of discovery's endpoint list (true) or to end the subscription (false). A nil tap means that the loop calls
 // the balancer directly. New fails if the settings are invalid or tap returns an error.
-func New(c *config.Config, clock Clock, upstream Transport, setWatch func(bool), registry *metrics.Registry, tap Tap,
+func New(cfg *config.Config, clock Clock, upstream Transport, setWatch func(bool), registry *metrics.Registry, tap Tap,
 	log *slog.Logger) (*EventLoop, error) {
 	l := &EventLoop{
 		clock:              clock,
@@ -103,7 +103,7 @@
 		events:             make(chan event, eventQueueSize),
 		urgent:             make(chan event),
 		done:               make(chan struct{}),
-		config:             c,
+		config:             cfg,
 		drainedNumbers:     map[string]uint32{},
 		requests:           map[uint64]*Request{},
 		requestsByClientID: map[string]*Request{},
@@ -116,7 +116,7 @@
 		return nil, err
 	}
 	l.balancer = module
-	l.currentConfig.Store(&ConfigSnapshot{c, module.Rules()})
+	l.currentConfig.Store(&ConfigSnapshot{cfg, module.Rules()})
 	return l, nil
 }
 
@@ -154,20 +154,20 @@
 
 // Reload applies a new configuration, or changes nothing and returns an error. Open requests keep the ConfigSnapshot
 // with which they were submitted.
-func (l *EventLoop) Reload(ctx context.Context, c *config.Config) error {
+func (l *EventLoop) Reload(ctx context.Context, cfg *config.Config) error {
 	var rejected error
 	err := l.runUrgent(ctx, func(now balancer.Micros) {
 		var rules *balancer.Rules
-		rules, rejected = l.balancer.Reload(now, c.Settings)
+		rules, rejected = l.balancer.Reload(now, cfg.Settings)
 		if rejected != nil {
 			return
 		}
-		l.config = c
-		l.upstream.SetConfig(c)
-		for _, name := range c.Classes {
+		l.config = cfg
+		l.upstream.SetConfig(cfg)
+		for _, name := range cfg.Classes {
 			l.metrics.Class(name) // creates the metrics of the class
 		}
-		l.currentConfig.Store(&ConfigSnapshot{c, rules})
+		l.currentConfig.Store(&ConfigSnapshot{cfg, rules})
 	})
 	return errors.Join(err, rejected)
 }
--- a/internal/dataplane/core/frontend.go
+++ b/internal/dataplane/core/frontend.go
@@ -17,7 +17,7 @@
 	// StopAccepting stops accepting requests. Further calls do nothing.
 	StopAccepting()
 	// SetClosing sets whether each connection is closed after its next answer.
-	SetClosing(on bool)
+	SetClosing(closing bool)
 	// CloseIdle closes idle connections.
 	CloseIdle()
 	// CloseUnused closes connections on which no request has arrived yet, and returns how many of them remain open.
@@ -26,7 +26,7 @@
 	// CloseIdleFor closes connections that have been idle for longer than age, and returns how many connections remain.
 	CloseIdleFor(age time.Duration) int
 	// SetCapacityShare sets this process's share of the limits, from 0 to 1.
-	SetCapacityShare(c *config.Config, share float64)
+	SetCapacityShare(cfg *config.Config, share float64)
 	// Wait waits until all accepted requests have been answered.
 	Wait()
 }
@@ -37,7 +37,7 @@
 	// Maintain looks after the open connections until ctx ends.
 	Maintain(ctx context.Context)
 	// SetCapacityShare sets this process's share of the limits, from 0 to 1.
-	SetCapacityShare(c *config.Config, share float64)
+	SetCapacityShare(cfg *config.Config, share float64)
 }
 
 // Protocol is a protocol other than HTTP. It has its own event loop.
@@ -47,9 +47,9 @@
 	// Descriptors returns the maximum number of file descriptors that the protocol uses.
 	Descriptors() int
 	// Config derives the configuration of the protocol's event loop from that of the sidecar.
-	Config(c *config.Config) (*config.Config, error)
+	Config(cfg *config.Config) (*config.Config, error)
 	// NewUpstream returns the upstream side of the protocol.
-	NewUpstream(c *config.Config, clock Clock, registry *metrics.Registry, log *slog.Logger) Upstream
+	NewUpstream(cfg *config.Config, clock Clock, registry *metrics.Registry, log *slog.Logger) Upstream
 	// NewFrontend returns the client side of the protocol, which submits requests to l.
 	NewFrontend(l *EventLoop, registry *metrics.Registry, log *slog.Logger) Frontend
 }
--- a/internal/dataplane/core/helper_test.go
+++ b/internal/dataplane/core/helper_test.go
@@ -50,9 +50,9 @@
 	return all
 }
 
-func newLoop(t *testing.T, c *config.Config, transport Transport, log *slog.Logger) *EventLoop {
+func newLoop(t *testing.T, cfg *config.Config, transport Transport, log *slog.Logger) *EventLoop {
 	t.Helper()
-	l, err := New(c, NewClock(), transport, func(bool) {}, metrics.New(c.Classes...), nil, log)
+	l, err := New(cfg, NewClock(), transport, func(bool) {}, metrics.New(cfg.Classes...), nil, log)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,16 +79,16 @@
 func startLoop(t *testing.T, send func(ctx context.Context, l *EventLoop, a Attempt) Reply, edits ...string) (
 	l *EventLoop, stop func()) {
 	t.Helper()
-	c := sidecartest.Configure(t, anyAddr, endpoints(2), edits...)
+	cfg := sidecartest.Configure(t, anyAddr, endpoints(2), edits...)
 	transport := stubTransport{send: func(ctx context.Context, a Attempt) Reply { return send(ctx, l, a) }}
-	l = newLoop(t, c, transport, sidecartest.DiscardLog)
+	l = newLoop(t, cfg, transport, sidecartest.DiscardLog)
 	return l, runLoop(t, l)
 }
 
 // startIdleLoop runs a loop until the test ends. The test must not submit requests to it.
-func startIdleLoop(t *testing.T, c *config.Config, log *slog.Logger) *EventLoop {
+func startIdleLoop(t *testing.T, cfg *config.Config, log *slog.Logger) *EventLoop {
 	t.Helper()
-	loop := newLoop(t, c, stubTransport{}, log)
+	loop := newLoop(t, cfg, stubTransport{}, log)
 	t.Cleanup(runLoop(t, loop))
 	return loop
 }
--- a/internal/dataplane/core/transport.go
+++ b/internal/dataplane/core/transport.go
@@ -15,7 +15,7 @@
 	// for the removed one.
 	Target(addr string) Target
 	// SetConfig applies a new configuration.
-	SetConfig(c *config.Config)
+	SetConfig(cfg *config.Config)
 	// AcceptsLateReplies reports whether an attempt continues after its timeout until its request is answered, because
 	// waiting costs nothing. A late reply can then still answer the request. The decision module is told of the timeout
 	// in either case.
--- a/internal/dataplane/sidecar/sidecar.go
+++ b/internal/dataplane/sidecar/sidecar.go
@@ -57,7 +57,8 @@
 	stopping           bool               // the stop is final: accepting must not resume
 }
 
-// Run serves until stop ends or a new process has taken over. Before it returns, all open requests have been answered.
+// Run serves until stop ends or a new process has taken over, and then answers all open requests before it returns nil.
+// It returns an error if the sidecar cannot start, or as soon as accepting requests fails.
 func Run(stop context.Context, cfg *config.Config, host Host) error {
 	n, err := newInstance(cfg, host)
 	if err != nil {
@@ -180,10 +181,10 @@
 // discovery is down it is retried several times within the grace period of a drain, since a drain in a pushed list must
 // take effect in time.
 func (n *instance) newWatcher(addr string, generation int64) *discovery.Watcher {
-	w := discovery.NewWatcher(addr, generation, n.config.MemoryMB, n.stacks.watchEvent, n.log)
+	watcher := discovery.NewWatcher(addr, generation, n.config.MemoryMB, n.stacks.watchEvent, n.log)
 	grace := time.Duration(n.stacks.http().loop.ConfigSnapshot().Settings.Contract.DrainGrace) * time.Microsecond
-	w.MaxRetryDelay = min(w.MaxRetryDelay, max(minWatchRetryInterval, grace/retriesPerDrainGrace))
-	return w
+	watcher.MaxRetryDelay = min(watcher.MaxRetryDelay, max(minWatchRetryInterval, grace/retriesPerDrainGrace))
+	return watcher
 }
 
 func (n *instance) newReloader() *reloader {
@@ -256,10 +257,10 @@
 }
 
 // setClosing sets whether each connection is closed after its next answer.
-func (n *instance) setClosing(on bool) {
-	n.closing.Store(on)
+func (n *instance) setClosing(closing bool) {
+	n.closing.Store(closing)
 	for _, stack := range n.stacks {
-		stack.frontend.SetClosing(on)
+		stack.frontend.SetClosing(closing)
 	}
 }
 
