--- a/internal/dataplane/core/attempts.go
+++ b/internal/dataplane/core/attempts.go
@@ -58,7 +58,7 @@
 	return func(now balancer.Micros) bool {
 		stopAt := endpoint.stopAt.Load()
 		draining := stopAt != 0 && now >= stopAt
-		return !draining && now < deadline && !l.clientGone(attempt.request)
+		return !draining && now < deadline && !l.checkClientDisconnected(attempt.request)
 	}
 }
 
--- a/internal/dataplane/core/latereply_test.go
+++ b/internal/dataplane/core/latereply_test.go
@@ -105,7 +105,7 @@
 		defer runLoop(t, loop)()
 		request := submit(loop, "1", classLook)
 		<-sent
-		loop.ClientLeft(request)
+		loop.ClientDisconnected(request)
 		time.Sleep(time.Second) // longer than the timeout of the attempt
 		synctest.Wait()
 		select {
--- a/internal/dataplane/core/races_test.go
+++ b/internal/dataplane/core/races_test.go
@@ -134,7 +134,7 @@
 				close(reply)
 				synctest.Wait()
 			}
-			loop.ClientLeft(request)
+			loop.ClientDisconnected(request)
 			if answer := <-request.Answer; answer.Disposition != want {
 				t.Errorf("%s first: disposition %v, want %v", first, answer.Disposition, want)
 			}
@@ -288,7 +288,7 @@
 				serveQuickRequests(loop)
 				baselineSet.Store(true)
 				request := newRequest(loop, "1", classLook)
-				request.ClientGone = disconnected.Load
+				request.ClientDisconnected = disconnected.Load
 				loop.Submit(request)
 				for dials.Load() == 0 {
 					time.Sleep(time.Millisecond)
--- a/internal/dataplane/core/requests.go
+++ b/internal/dataplane/core/requests.go
@@ -28,21 +28,21 @@
 	})
 }
 
-// ClientLeft reports that the client of a request has disconnected. The loop still sends the one answer on
+// ClientDisconnected reports that the client of a request has disconnected. The loop still sends the one answer on
 // request.Answer: an answer from before it handled the report, or Rejected or Failed for the abandoned request.
-func (l *EventLoop) ClientLeft(request *Request) {
+func (l *EventLoop) ClientDisconnected(request *Request) {
 	l.post(func(now balancer.Micros) { l.abandon(now, request) })
 }
 
-// clientGone reports whether the client of a request has disconnected, and if so makes the loop abandon the request. It
+// checkClientDisconnected reports whether the client of a request has disconnected, and if so makes the loop abandon the request. It
 // is called on the goroutine of an attempt right before the first byte: no attempt may begin more than 0.1 s after the
 // client closed its connection, and the event of ClientLeft may come too late for that, since the client may have
 // disconnected before the request was read, and the event waits behind others.
-func (l *EventLoop) clientGone(request *Request) bool {
-	if request.ClientGone == nil || !request.ClientGone() {
+func (l *EventLoop) checkClientDisconnected(request *Request) bool {
+	if request.ClientDisconnected == nil || !request.ClientDisconnected() {
 		return false
 	}
-	l.ClientLeft(request)
+	l.ClientDisconnected(request)
 	return true
 }
 
--- a/internal/dataplane/dnsfront/lookups.go
+++ b/internal/dataplane/dnsfront/lookups.go
@@ -91,7 +91,7 @@
 			s.inFlight.Go(func() { s.answer(w, a) }) // a write to a connection may block
 		}
 	case <-l.abandoned:
-		s.eventLoop.ClientLeft(l.request)
+		s.eventLoop.ClientDisconnected(l.request)
 		(<-l.request.Answer).Discard()
 	}
 }
--- a/internal/dataplane/httpfront/exchange.go
+++ b/internal/dataplane/httpfront/exchange.go
@@ -130,7 +130,7 @@
 			return x.answered(a)
 		case <-x.left:
 			// As if it had left after its body, which is not read any more.
-			s.loop.ClientLeft(k)
+			s.loop.ClientDisconnected(k)
 			return s.answerEarly(x.client, k, x.awaitAnswer())
 		case err := <-x.gone:
 			return x.clientLeft(err)
@@ -150,7 +150,7 @@
 	s, k := x.server, x.request
 	var fault *clientError
 	if errors.As(err, &fault) {
-		s.loop.ClientLeft(k)
+		s.loop.ClientDisconnected(k)
 		a := <-k.Answer
 		a.Discard()
 		s.rejectBody(x.client, fault)
@@ -189,7 +189,7 @@
 // clientLeft ends an exchange whose client closed its connection, ended its sending, or sent more than its request.
 func (x *exchange) clientLeft(err error) bool {
 	s, c, k := x.server, x.client, x.request
-	s.loop.ClientLeft(k)
+	s.loop.ClientDisconnected(k)
 	a := x.awaitAnswer()
 	if errors.Is(err, io.EOF) {
 		// The end of sending is taken for the client's leaving, and nothing begins for it any more. A client that
--- a/internal/dataplane/httpfront/parse.go
+++ b/internal/dataplane/httpfront/parse.go
@@ -58,12 +58,12 @@
 		return nil, err
 	}
 	k := &core.Request{
-		ID:            id,
-		Class:         config.Classes[class],
-		Config:        config,
-		Answer:        make(chan core.Answer, 1),
-		TimeAfterBody: timeout - AnswerMargin(timeout),
-		ClientGone:    conn.hasLeft,
+		ID:                 id,
+		Class:              config.Classes[class],
+		Config:             config,
+		Answer:             make(chan core.Answer, 1),
+		TimeAfterBody:      timeout - AnswerMargin(timeout),
+		ClientDisconnected: conn.hasLeft,
 		Input: balancer.Request{
 			Class:  uint8(class),
 			Tenant: tenant(config.Config, r),
