--- a/internal/controlplane/daemon/drainlog_test.go
+++ b/internal/controlplane/daemon/drainlog_test.go
@@ -30,9 +30,9 @@
 	one := discovery.Process{ID: "s 1", Addr: "127.0.0.1:1", StartedMs: 5}
 	two := discovery.Process{ID: "s2", Addr: "[::1]:2"}
 	d, kill := begin()
-	d.Observe(one, true)
-	d.Observe(two, true)
-	d.Observe(two, false)
+	d.ReportProcessDrain(one, true)
+	d.ReportProcessDrain(two, true)
+	d.ReportProcessDrain(two, false)
 	kill()
 	path := filepath.Join(dir, drainLogName)
 	text, err := os.ReadFile(path)
--- a/internal/controlplane/daemon/drains.go
+++ b/internal/controlplane/daemon/drains.go
@@ -154,8 +154,8 @@
 	})
 }
 
-// Observe takes what this sidecar's discovery says of a process. It does not block.
-func (d *Drains) Observe(p discovery.Process, drains bool) {
+// ReportProcessDrain takes what this sidecar's discovery says of a process. It does not block.
+func (d *Drains) ReportProcessDrain(p discovery.Process, drains bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	key, now := drainKey(serverstate.Process(p)), d.now(time.Now())
--- a/internal/controlplane/daemon/drains_test.go
+++ b/internal/controlplane/daemon/drains_test.go
@@ -35,7 +35,7 @@
 	one := discovery.Process{ID: "s/1 ä@", Addr: "127.0.0.1:1", StartedMs: 5}
 	two := discovery.Process{ID: "s2", Addr: "[::1]:2"}
 	for _, s := range all {
-		s.servers.Observe(one, true)
+		s.servers.ReportProcessDrain(one, true)
 	}
 	for _, s := range all {
 		s.waitUntil(t, fmt.Sprint(one), true)
@@ -44,7 +44,7 @@
 	if n := changes(one); n != 1 {
 		t.Errorf("three daemons that observed it made %d changes", n)
 	}
-	all[2].servers.Observe(two, true)
+	all[2].servers.ReportProcessDrain(two, true)
 	all[0].waitUntil(t, fmt.Sprint(two), true)
 	all[1].waitUntil(t, fmt.Sprint(two), true)
 	// The daemon that observed it is gone, and another restarts: it knows the drain before it receives anything.
@@ -69,7 +69,7 @@
 	for changes(one) < 2 { // until it is renewed
 		time.Sleep(time.Millisecond)
 	}
-	all[0].servers.Observe(one, false)
+	all[0].servers.ReportProcessDrain(one, false)
 	if err := all[0].frame.sweep(ctx, time.Now().Add(drainRetention/2)); err != nil {
 		t.Fatal(err)
 	}
@@ -94,7 +94,7 @@
 	all[1].stop()
 	all[2].stop()
 	p := discovery.Process{ID: "s1", Addr: "127.0.0.1:1", StartedMs: 5}
-	all[0].servers.Observe(p, true)
+	all[0].servers.ReportProcessDrain(p, true)
 	for !all[0].servers.isDraining(p) {
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/controlplane/daemon/stored_test.go
+++ b/internal/controlplane/daemon/stored_test.go
@@ -182,7 +182,7 @@
 	}
 	r.text.WriteString("drain\n")
 	p := discovery.Process{ID: "s/1 ä@", Addr: "[::1]:2", StartedMs: 5}
-	s.Observe(p, true)
+	s.ReportProcessDrain(p, true)
 	s.Drains.enqueueDue(time.Now().Add(time.Second))
 	flush(&s.Drains.outbox)
 	r.text.WriteString("start\n")
@@ -255,10 +255,10 @@
 	if err := d.OpenDrainLog(dir); err != nil {
 		t.Fatal(err)
 	}
-	d.Observe(discovery.Process{ID: "s/1 ä@", Addr: "[::1]:2", StartedMs: 5}, true)
-	d.Observe(discovery.Process{ID: "s2", Addr: "127.0.0.1:1"}, true)
-	d.Observe(discovery.Process{ID: "s2", Addr: "127.0.0.1:1"}, false)
-	d.Observe(discovery.Process{ID: "s3", Addr: "127.0.0.1:3"}, true)
+	d.ReportProcessDrain(discovery.Process{ID: "s/1 ä@", Addr: "[::1]:2", StartedMs: 5}, true)
+	d.ReportProcessDrain(discovery.Process{ID: "s2", Addr: "127.0.0.1:1"}, true)
+	d.ReportProcessDrain(discovery.Process{ID: "s2", Addr: "127.0.0.1:1"}, false)
+	d.ReportProcessDrain(discovery.Process{ID: "s3", Addr: "127.0.0.1:3"}, true)
 	done := make(chan struct{})
 	close(done)
 	d.drainLog.run(done)
--- a/internal/dataplane/sidecar/fleet.go
+++ b/internal/dataplane/sidecar/fleet.go
@@ -14,8 +14,8 @@
 type Fleet interface {
 	// DrainingProcesses returns the processes that are known to drain when the sidecar starts.
 	DrainingProcesses() []discovery.Process
-	// Observe reports to other daemons whether a process drains according to this sidecar's discovery.
-	Observe(process discovery.Process, draining bool)
+	// ReportProcessDrain reports to other daemons whether a process drains according to this sidecar's discovery.
+	ReportProcessDrain(process discovery.Process, draining bool)
 	// OnDrain sets the function that is called with the drain reports of other daemons.
 	OnDrain(apply func(ctx context.Context, process discovery.Process, draining bool) error)
 
--- a/internal/dataplane/sidecar/sidecar.go
+++ b/internal/dataplane/sidecar/sidecar.go
@@ -170,7 +170,7 @@
 		return
 	}
 	for _, stack := range n.stacks {
-		stack.loop.ShareDrains(fleet.DrainingProcesses(), fleet.Observe)
+		stack.loop.ShareDrains(fleet.DrainingProcesses(), fleet.ReportProcessDrain)
 		stack.loop.ShareStarts(fleet.RecentStarts(), fleet.ReportStart)
 	}
 	fleet.OnDrain(n.stacks.applyDrain)
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -438,7 +438,7 @@
 		p := discovery.Process{ID: in.ID, Addr: in.Addr, StartedMs: in.StartedMs}
 		drains := in.Lifecycle == "draining"
 		if drains && was.Lifecycle != "draining" || known && was.Lifecycle == "draining" && !drains && was.StartedMs == in.StartedMs {
-			h.parts.Servers.Observe(p, drains)
+			h.parts.Servers.ReportProcessDrain(p, drains)
 		}
 		if ago := time.Since(time.UnixMilli(in.StartedMs)); known && was.StartedMs < in.StartedMs && !drains && ago < coldFor {
 			h.parts.Servers.ReportStart(p, max(0, ago), coldFor)
