--- a/internal/controlplane/daemon/starts.go
+++ b/internal/controlplane/daemon/starts.go
@@ -28,7 +28,7 @@
 	schedule *serverstate.ReportScheduler
 	dirty    map[serverstate.Process]bool // starts that are not applied to the sidecar yet
 	// bind applies the start to the sidecar; nil until one subscribes.
-	bind func(ctx context.Context, s core.Start) error
+	bind func(ctx context.Context, s core.ProcessStart) error
 }
 
 // NewStarts returns those of the daemon with a name.
@@ -68,18 +68,18 @@
 }
 
 // RecentStarts lists the processes that are still warming up by this copy.
-func (s *Starts) RecentStarts() []core.Start {
+func (s *Starts) RecentStarts() []core.ProcessStart {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var all []core.Start
+	var all []core.ProcessStart
 	s.reports.WarmingUp(s.now(time.Now()), func(p serverstate.Process, age, _ int64, _ string, _ bool) {
-		all = append(all, core.Start{Process: discovery.Process(p), Age: time.Duration(age)})
+		all = append(all, core.ProcessStart{Process: discovery.Process(p), Age: time.Duration(age)})
 	})
 	return all
 }
 
 // OnStart sets how the starts that other daemons observed are applied to the sidecar.
-func (s *Starts) OnStart(bind func(ctx context.Context, s core.Start) error) {
+func (s *Starts) OnStart(bind func(ctx context.Context, s core.ProcessStart) error) {
 	s.mu.Lock()
 	s.bind = bind
 	s.mu.Unlock()
@@ -170,7 +170,7 @@
 	}
 }
 
-func (s *Starts) takeDirty() (bind func(ctx context.Context, s core.Start) error, starts []core.Start) {
+func (s *Starts) takeDirty() (bind func(ctx context.Context, s core.ProcessStart) error, starts []core.ProcessStart) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.bind == nil {
@@ -179,7 +179,7 @@
 	now := s.now(time.Now())
 	for p := range s.dirty {
 		if age, _, ok := s.reports.Lookup(now, p); ok {
-			starts = append(starts, core.Start{Process: discovery.Process(p), Age: time.Duration(age)})
+			starts = append(starts, core.ProcessStart{Process: discovery.Process(p), Age: time.Duration(age)})
 		}
 	}
 	clear(s.dirty)
--- a/internal/controlplane/daemon/starts_test.go
+++ b/internal/controlplane/daemon/starts_test.go
@@ -31,7 +31,7 @@
 func TestStartIsWrittenOnceAndExpires(t *testing.T) {
 	all, dirs := startCluster(t)
 	for _, s := range all {
-		s.servers.OnStart(func(ctx context.Context, x core.Start) error {
+		s.servers.OnStart(func(ctx context.Context, x core.ProcessStart) error {
 			return s.bind(ctx, fmt.Sprint("began ", x.Process.ID), true)
 		})
 	}
--- a/internal/dataplane/core/drains_test.go
+++ b/internal/dataplane/core/drains_test.go
@@ -94,8 +94,8 @@
 	instance := func(id string, started int64) discovery.Instance {
 		return discovery.Instance{ID: id, Addr: anyAddr, Lifecycle: "up", StartedMs: started}
 	}
-	start := func(id string, started int64, age time.Duration) Start {
-		return Start{discovery.Process{ID: id, Addr: anyAddr, StartedMs: started}, age}
+	start := func(id string, started int64, age time.Duration) ProcessStart {
+		return ProcessStart{discovery.Process{ID: id, Addr: anyAddr, StartedMs: started}, age}
 	}
 	known := []discovery.Instance{instance("old", 0), instance("began", 0), instance("late", 5)}
 	loop := newLoop(t, sidecartest.Configure(t, anyAddr, known), stubTransport{}, sidecartest.DiscardLog)
@@ -103,7 +103,7 @@
 	draining := discovery.Process{ID: "late", Addr: anyAddr, StartedMs: 5}
 	loop.ShareDrains([]discovery.Process{draining}, func(discovery.Process, bool) {})
 	var reported []string
-	loop.ShareStarts([]Start{start("began", 0, time.Second)}, func(p discovery.Process, _, _ time.Duration) {
+	loop.ShareStarts([]ProcessStart{start("began", 0, time.Second)}, func(p discovery.Process, _, _ time.Duration) {
 		reported = append(reported, p.ID)
 	})
 	defer runLoop(t, loop)()
@@ -122,7 +122,7 @@
 			t.Errorf("%s: endpoints %q are warming up, want %q", step, got, want)
 		}
 	}
-	peerReports := func(s Start) {
+	peerReports := func(s ProcessStart) {
 		t.Helper()
 		if err := loop.ApplyStart(t.Context(), s); err != nil {
 			t.Fatal(err)
--- a/internal/dataplane/core/starts.go
+++ b/internal/dataplane/core/starts.go
@@ -19,8 +19,8 @@
 	microsPerMilli = 1000
 )
 
-// Start is the start of a server process; Age is the time since then.
-type Start struct {
+// ProcessStart is the start of a server process; Age is the time since then.
+type ProcessStart struct {
 	Process discovery.Process
 	Age     time.Duration
 }
@@ -60,7 +60,7 @@
 // ShareStarts starts the exchange of starts with other daemons. recent are the recent starts that are known. The loop
 // calls report, which must not block, for each start that this sidecar observes, with the age of the process and the
 // time for which a process is warming up. ShareStarts must be called before Run.
-func (l *EventLoop) ShareStarts(recent []Start, report func(process discovery.Process, age, warmUp time.Duration)) {
+func (l *EventLoop) ShareStarts(recent []ProcessStart, report func(process discovery.Process, age, warmUp time.Duration)) {
 	l.starts.report, l.starts.byPeers = report, map[serverKey]peerStart{}
 	now := l.clock.Now()
 	for _, s := range recent {
@@ -69,7 +69,7 @@
 }
 
 // ApplyStart applies another daemon's report of a start, and returns once the report is in effect.
-func (l *EventLoop) ApplyStart(ctx context.Context, s Start) error {
+func (l *EventLoop) ApplyStart(ctx context.Context, s ProcessStart) error {
 	return l.runUrgent(ctx, func(now balancer.Micros) {
 		if l.addPeerStart(now, s) {
 			l.reapplyEntry(now, s.Process)
@@ -79,7 +79,7 @@
 
 // addPeerStart records another daemon's report of a start. It returns false if that is no later than the known start of
 // the server, or if maxPeerStarts servers are recorded already.
-func (l *EventLoop) addPeerStart(now balancer.Micros, reported Start) bool {
+func (l *EventLoop) addPeerStart(now balancer.Micros, reported ProcessStart) bool {
 	starts := l.starts.byPeers
 	server := serverKey{reported.Process.ID, reported.Process.Addr}
 	start := peerStart{reported.Process.StartedMs, now - reported.Age.Microseconds()}
--- a/internal/dataplane/sidecar/fleet.go
+++ b/internal/dataplane/sidecar/fleet.go
@@ -20,12 +20,12 @@
 	OnDrain(apply func(ctx context.Context, process discovery.Process, draining bool) error)
 
 	// RecentStarts returns the recent starts of processes that are known when the sidecar starts.
-	RecentStarts() []core.Start
+	RecentStarts() []core.ProcessStart
 	// ReportStart reports to other daemons the start of a process that this sidecar observed. age is the time since the
 	// start, warmUp the whole time for which a process is warming up.
 	ReportStart(process discovery.Process, age, warmUp time.Duration)
 	// OnStart sets the function that is called with the start reports of other daemons.
-	OnStart(apply func(ctx context.Context, start core.Start) error)
+	OnStart(apply func(ctx context.Context, start core.ProcessStart) error)
 
 	// RestoreCandidates returns the snapshots from which a sidecar may restore the state of a protocol.
 	RestoreCandidates(sidecar, protocol string) []recovery.Candidate
--- a/internal/dataplane/sidecar/protocolstack.go
+++ b/internal/dataplane/sidecar/protocolstack.go
@@ -162,7 +162,7 @@
 }
 
 // applyStart applies another daemon's report of a start in all protocols.
-func (ss protocolStacks) applyStart(ctx context.Context, start core.Start) error {
+func (ss protocolStacks) applyStart(ctx context.Context, start core.ProcessStart) error {
 	for _, stack := range ss {
 		if err := stack.loop.ApplyStart(ctx, start); err != nil {
 			return err
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -372,7 +372,7 @@
 		p.Servers.SubscribeAll(ctx)
 	}
 	p.Servers.OnDrain(func(context.Context, discovery.Process, bool) error { heard(); return nil })
-	p.Servers.OnStart(func(context.Context, core.Start) error { heard(); return nil })
+	p.Servers.OnStart(func(context.Context, core.ProcessStart) error { heard(); return nil })
 	p.Servers.Subscribe(func(context.Context, string, bool) error { heard(); return nil })
 	w := discovery.NewWatcher(h.Discovery, discovery.NoGeneration, 192, h.told, log)
 	h.working.Go(func() { w.Run(ctx) })
