--- a/internal/dataplane/core/request.go
+++ b/internal/dataplane/core/request.go
@@ -22,8 +22,8 @@
 	BudgetBytes   int              // bytes of the frontend's budget that the body occupies
 	TimeAfterBody balancer.Micros  // for a streamed body: the client's timeout from the last byte of the body
 	MaxAttempts   int              // limit of the protocol, if lower than that of the settings; 0 for none
-	// ClientDisconnected reports whether the client has closed its connection. It may be called from any goroutine; nil if the
-	// protocol cannot tell.
+	// ClientDisconnected reports whether the client has closed its connection. It may be called from any goroutine; nil
+	// if the protocol cannot tell.
 	ClientDisconnected func() bool
 
 	// Only the loop's goroutine accesses the following fields.
--- a/internal/dataplane/core/requests.go
+++ b/internal/dataplane/core/requests.go
@@ -34,10 +34,10 @@
 	l.post(func(now balancer.Micros) { l.abandon(now, request) })
 }
 
-// checkClientDisconnected reports whether the client of a request has disconnected, and if so makes the loop abandon the request. It
-// is called on the goroutine of an attempt right before the first byte: no attempt may begin more than 0.1 s after the
-// client closed its connection, and the event of ClientLeft may come too late for that, since the client may have
-// disconnected before the request was read, and the event waits behind others.
+// checkClientDisconnected reports whether the client of a request has disconnected, and if so makes the loop abandon
+// the request. It is called on the goroutine of an attempt right before the first byte: no attempt may begin more than
+// 0.1 s after the client closed its connection, and the event of ClientDisconnected may come too late for that, since
+// the client may have disconnected before the request was read, and the event waits behind others.
 func (l *EventLoop) checkClientDisconnected(request *Request) bool {
 	if request.ClientDisconnected == nil || !request.ClientDisconnected() {
 		return false
--- a/internal/dataplane/core/starts.go
+++ b/internal/dataplane/core/starts.go
@@ -19,7 +19,7 @@
 	microsPerMilli = 1000
 )
 
-// ProcessStart is the start of a server process; Age is the time since then.
+// ProcessStart is an observed start of a server process; Age is the time since then.
 type ProcessStart struct {
 	Process discovery.Process
 	Age     time.Duration
@@ -60,7 +60,8 @@
 // ShareStarts starts the exchange of starts with other daemons. recent are the recent starts that are known. The loop
 // calls report, which must not block, for each start that this sidecar observes, with the age of the process and the
 // time for which a process is warming up. ShareStarts must be called before Run.
-func (l *EventLoop) ShareStarts(recent []ProcessStart, report func(process discovery.Process, age, warmUp time.Duration)) {
+func (l *EventLoop) ShareStarts(recent []ProcessStart,
+	report func(process discovery.Process, age, warmUp time.Duration)) {
 	l.starts.report, l.starts.byPeers = report, map[serverKey]peerStart{}
 	now := l.clock.Now()
 	for _, s := range recent {
