--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -372,7 +372,7 @@
 		p.Servers.SubscribeAll(ctx)
 	}
 	p.Servers.OnDrain(func(context.Context, discovery.Process, bool) error { heard(); return nil })
-	p.Servers.OnStart(func(context.Context, core.Start) error { heard(); return nil })
+	p.Servers.OnStart(func(context.Context, core.ProcessStart) error { heard(); return nil })
 	p.Servers.Subscribe(func(context.Context, string, bool) error { heard(); return nil })
 	w := discovery.NewWatcher(h.Discovery, discovery.NoGeneration, 192, h.told, log)
 	h.working.Go(func() { w.Run(ctx) })
@@ -438,7 +438,7 @@
 		p := discovery.Process{ID: in.ID, Addr: in.Addr, StartedMs: in.StartedMs}
 		drains := in.Lifecycle == "draining"
 		if drains && was.Lifecycle != "draining" || known && was.Lifecycle == "draining" && !drains && was.StartedMs == in.StartedMs {
-			h.parts.Servers.Observe(p, drains)
+			h.parts.Servers.ReportProcessDrain(p, drains)
 		}
 		if ago := time.Since(time.UnixMilli(in.StartedMs)); known && was.StartedMs < in.StartedMs && !drains && ago < coldFor {
 			h.parts.Servers.ReportStart(p, max(0, ago), coldFor)
