--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	maxQueueShare = 0.6 // of what the latency objective leaves, that a request of the highest priority may wait
-	minQueueShare = 0.2 // and one of the lowest
-	// A rejected client is told to come back after a part of its latency objective: spread, and while it still
-	// wants an answer.
+	maxQueueShare = 0.6 // of the latency objective's spare time, for queueing at the highest priority
+	minQueueShare = 0.2 // the same at the lowest priority
+	// Retry-After is a random share of the latency objective: random to spread the retries, and short enough that the
+	// client still wants an answer.
 	minRetryAfterShare    = 0.1
 	retryAfterShareSpread = 0.2
 )
 
-// Request handles a client's request.
+// Request handles a new request of a client. A request whose ID is open already is ignored.
 func (b *Balancer) Request(now Micros, in Request) {
 	if b.requests[in.ID] != nil {
 		return
@@ -22,12 +22,12 @@
 	if in.Rules == nil {
 		in.Rules = b.rules
 	}
-	if int(in.Class) >= len(in.Rules.slots) {
-		b.out.Reject(in.ID, 0) // of no known class; it is owed an answer all the same
+	if int(in.Class) >= len(in.Rules.classSlots) {
+		b.actions.Reject(in.ID, 0) // unknown class: the request still needs a final answer
 		return
 	}
-	r := b.admit(now, in)
-	if now >= in.Deadline || b.open > b.settings.Limits.MaxOpen {
+	r := b.recordArrival(now, in)
+	if now >= in.Deadline || b.openRequests > b.settings.Limits.MaxOpen {
 		b.rejectOrFail(now, r)
 		return
 	}
@@ -36,12 +36,12 @@
 	}
 }
 
-// admit takes a request into the records and the averages.
-func (b *Balancer) admit(now Micros, in Request) *request {
+// recordArrival opens the record of a request, counts it in the averages and estimates its work.
+func (b *Balancer) recordArrival(now Micros, in Request) *request {
 	r := b.newRequest(now, in)
 	b.demand.add(now, 1)
 	b.retryBudget = min(maxRetryBudget, b.retryBudget+retriesPerRequest)
-	c := &b.classes[r.slot]
+	c := &b.classes[r.classSlot]
 	c.demand.add(now, 1)
 	if int(in.Tenant) < len(b.tenantDemand) {
 		b.tenantDemand[in.Tenant].add(now, 1)
@@ -57,23 +57,23 @@
 	return r
 }
 
-// dispatch makes the first attempt of a request, or rejects it.
+// dispatch makes the first attempt at a request, or gives its final answer if no attempt may be made.
 func (b *Balancer) dispatch(now Micros, r *request) {
 	sent := b.tryAttempt(now, r, true)
-	b.rejectionRate.add(indicator(!sent), shareWeight)
+	b.rejectionRate.add(indicator(!sent), shareSampleWeight)
 	if !sent {
 		b.rejectOrFail(now, r)
 	}
 }
 
-// tryAttempt picks an endpoint and sends the request there. If the breaker rejects the pick, the next best gets a
-// chance.
+// tryAttempt picks an endpoint and sends the request there. If the endpoint's breaker rejects the attempt, the next
+// best endpoint is tried once. It reports whether the request was sent.
 func (b *Balancer) tryAttempt(now Micros, r *request, first bool) bool {
 	if e := b.undrainedCandidate(now, r); e != nil && first {
 		return b.send(now, r, e)
 	}
 	e := b.pick(now, r, nil)
-	if e == nil || !b.inTime(now, r, e, first) {
+	if e == nil || !b.meetsLatencyBudget(now, r, e, first) {
 		return false
 	}
 	if b.breakerAllows(now, r, e) {
@@ -86,19 +86,19 @@
 	return b.send(now, r, e)
 }
 
-// inTime reports whether a request is predicted to be answered by e within its latency budget. A first attempt that
-// is not passes now and then all the same, so that a wrong prediction is corrected.
-func (b *Balancer) inTime(now Micros, r *request, e *endpoint, first bool) bool {
+// meetsLatencyBudget reports whether e is predicted to answer a request within its latency budget. It lets one first
+// attempt of each class pass per forcedPassInterval in any case, so that a wrong prediction is corrected.
+func (b *Balancer) meetsLatencyBudget(now Micros, r *request, e *endpoint, first bool) bool {
 	predicted, limit := b.predict(now, e, r.work), b.latencyBudget(now, r, e)
 	if predicted <= limit {
 		return true
 	}
-	c := &b.classes[r.slot]
+	c := &b.classes[r.classSlot]
 	if first && now-c.lastForcedAt >= forcedPassInterval {
 		c.lastForcedAt = now
 		return true
 	}
-	if now-b.lastLogged[topicRejection] >= second { // rejections come in thousands: build the line only when it is due
+	if now-b.lastLogged[topicRejection] >= second { // rejections come in thousands: build the line only if it is due
 		b.log(now, topicRejection, "refusing, "+strconv.Itoa(int(100*b.rejectionRate.value))+
 			"% of late: the best, endpoint "+strconv.Itoa(int(e.ID))+", would take "+
 			strconv.Itoa(int(predicted/1000))+" ms, limit "+strconv.Itoa(int(limit/1000))+" ms")
@@ -106,27 +106,28 @@
 	return false
 }
 
-// latencyBudget is the longest predicted latency at which r is still sent to e: its latency there without a queue,
-// and a part of what the latency objective leaves for waiting. Classes of low priority for their work give way
-// first.
+// latencyBudget returns the longest predicted latency, in microseconds, at which r is still sent to e: its latency
+// there without queueing, plus a share of the time that the latency objective leaves for queueing. The share is smaller
+// for a class of low priority, so that such classes are rejected first.
 func (b *Balancer) latencyBudget(now Micros, r *request, e *endpoint) float64 {
-	alone := b.latencyAlone(now, e, r.work, 1)
+	unqueued := b.latencyAtContention(now, e, r.work, 1)
 	share := max(minQueueShare, maxQueueShare*b.priority(now, r))
 	if b.reportsLate {
-		share = 1 // the least loaded endpoint is not known: averages must not reject what it would serve
+		share = 1 // the least loaded endpoint is unknown, and an average must not reject what it would serve
 	}
-	spare := float64(b.class(r).LatencyObjective) - float64(now-r.arrivedAt) - alone
-	return min(alone+share*spare, float64(r.Deadline-now))
+	spare := float64(b.class(r).LatencyObjective) - float64(now-r.arrivedAt) - unqueued
+	return min(unqueued+share*spare, float64(r.Deadline-now))
 }
 
-// mayReject reports whether a rejection would be true: it promises that a retry is harmless.
+// mayReject reports whether r may be rejected. A rejection promises that a retry is harmless, so either no attempt may
+// have run, or a repeat is harmless at every endpoint.
 func (b *Balancer) mayReject(r *request) bool {
 	c := b.class(r)
 	return c.Idempotency == Idempotent || r.firstThatMayHaveRun() == nil ||
 		c.Idempotency == WithIdempotencyKey && c.DedupScope == DedupAll
 }
 
-// rejectOrFail gives the final answer "rejected" if that is true, else "failed".
+// rejectOrFail gives the final answer "rejected" if mayReject allows it, else "failed".
 func (b *Balancer) rejectOrFail(_ Micros, r *request) {
 	if r.ended || !b.mayReject(r) {
 		b.fail(r)
@@ -138,14 +139,14 @@
 		retryAfter = Micros(share * float64(b.class(r).LatencyObjective))
 		retryAfter = min(retryAfter, b.settings.Limits.MaxRetryAfter)
 	}
-	b.out.Reject(r.ID, retryAfter)
+	b.actions.Reject(r.ID, retryAfter)
 	b.finish(r)
 }
 
-// fail gives the final answer "failed".
+// fail gives the final answer "failed", unless the request has a final answer.
 func (b *Balancer) fail(r *request) {
 	if !r.ended {
-		b.out.Fail(r.ID)
+		b.actions.Fail(r.ID)
 		b.finish(r)
 	}
 }
--- a/balancer/aperture_test.go
+++ b/balancer/aperture_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// fleetMember is one of a large fleet's balancers, as of its start.
-func fleetMember(t *testing.T, seed uint64, balancers, endpoints int) (*Balancer, *recorder) {
+// startFleetBalancer returns a started balancer of a fleet of the given size.
+func startFleetBalancer(t *testing.T, seed uint64, balancers, endpoints int) (*Balancer, *recorder) {
 	t.Helper()
 	s, r := testSettings(), &recorder{}
 	s.Balancers = balancers
@@ -12,52 +12,53 @@
 		t.Fatal(err)
 	}
 	b.Start(0)
-	b.UpdateEndpoints(0, ListCached, ready(endpoints))
+	b.UpdateEndpoints(0, ListCached, readyEndpoints(endpoints))
 	return b, r
 }
 
-// Connections to an endpoint are shared by all balancers: each uses a part of the endpoints, and together they use
-// all of them alike, without any message between them.
-func TestApertureIsAFairShare(t *testing.T) {
+// Guards against endpoints that run out of connections: each balancer of a large fleet must use only a part of the
+// endpoints, and together they must use all of them about equally, without messages between them.
+func TestApertureSharesEndpointsEvenly(t *testing.T) {
 	for _, c := range []struct{ balancers, endpoints, want int }{
 		{1, 5, 5}, {4, 9, 9}, {6, 13, 13}, {12, 60, 40}, {24, 60, 20}, {80, 60, 6}, {320, 60, 6}, {2000, 200,
 			6}, {80, 3, 3},
 	} {
 		users := map[uint32]int{}
 		for seed := range uint64(min(c.balancers, 80)) {
-			b, r := fleetMember(t, seed*0x9e37, c.balancers, c.endpoints)
-			near := b.aperture(0)
-			if len(near) != c.want {
-				t.Fatalf("%d balancers, %d endpoints: an aperture of %d, want %d", c.balancers, c.endpoints,
-					len(near), c.want)
+			b, r := startFleetBalancer(t, seed*0x9e37, c.balancers, c.endpoints)
+			used := b.aperture(0)
+			if len(used) != c.want {
+				t.Fatalf("%d balancers, %d endpoints: aperture of %d endpoints, want %d", c.balancers, c.endpoints,
+					len(used), c.want)
 			}
-			for _, e := range near {
+			for _, e := range used {
 				users[e.ID]++
 			}
 			for id := range uint64(40) {
-				b.Request(Micros(id)*50_000, request0(id, 0, Micros(id)*50_000))
+				b.Request(Micros(id)*50_000, testRequest(id, 0, Micros(id)*50_000))
 			}
-			for _, at := range r.sends {
-				if !inAperture(b, at.endpoint) {
-					t.Fatalf("a send to %d outside the aperture", at.endpoint)
+			for _, send := range r.sends {
+				if !inAperture(b, send.endpoint) {
+					t.Fatalf("request sent to endpoint %d, which is outside the aperture", send.endpoint)
 				}
 			}
 			for _, id := range r.probes {
 				if !inAperture(b, id) {
-					t.Fatalf("a probe of %d outside the aperture", id)
+					t.Fatalf("endpoint %d probed, which is outside the aperture", id)
 				}
 			}
 		}
 		if c.balancers == 80 && c.endpoints == 60 {
 			for id := uint32(1); id <= 60; id++ {
 				if n := users[id]; n < 1 || n > 18 {
-					t.Errorf("endpoint %d is used by %d of 80 balancers, want about 8", id, n)
+					t.Errorf("endpoint %d is in the apertures of %d of 80 balancers, want 1 to 18", id, n)
 				}
 			}
 		}
 	}
 }
 
+// inAperture reports whether an endpoint is in the aperture as it was last computed.
 func inAperture(b *Balancer, id uint32) bool {
 	for _, e := range b.apertureList {
 		if e.ID == id {
@@ -67,31 +68,31 @@
 	return false
 }
 
-// Endpoints that are ejected, draining or drained by an operator are replaced, and return to the aperture
-// afterwards.
+// Endpoints that are ejected, draining or drained by an operator are replaced in the aperture. An ejected endpoint
+// returns to it after its ejection.
 func TestApertureReplacesUnavailableEndpoints(t *testing.T) {
-	b, _ := fleetMember(t, 1, 80, 60)
-	was := append([]*endpoint(nil), b.aperture(0)...)
-	ejected, drains, banned := was[0], was[1], was[2]
+	b, _ := startFleetBalancer(t, 1, 80, 60)
+	before := append([]*endpoint(nil), b.aperture(0)...)
+	ejected, draining, drained := before[0], before[1], before[2]
 	ejected.failures.ejectedUntil = second
-	b.UpdateEndpoints(1, ListDelta, []Endpoint{{ID: drains.ID, State: Draining}})
-	b.DrainEndpoint(banned.ID, 1)
+	b.UpdateEndpoints(1, ListDelta, []Endpoint{{ID: draining.ID, State: Draining}})
+	b.DrainEndpoint(drained.ID, 1)
 	now := second / 2
-	near := b.aperture(now)
-	if len(near) != len(was) || inAperture(b, ejected.ID) || inAperture(b, drains.ID) || inAperture(b,
-		banned.ID) {
-		t.Fatal("an endpoint that is out still has a place, or no other has taken it")
+	used := b.aperture(now)
+	if len(used) != len(before) || inAperture(b, ejected.ID) || inAperture(b, draining.ID) || inAperture(b,
+		drained.ID) {
+		t.Fatal("an unavailable endpoint is still in the aperture, or no other endpoint has replaced it")
 	}
 	b.aperture(2 * second)
-	if !inAperture(b, ejected.ID) || inAperture(b, drains.ID) {
-		t.Error("an endpoint whose ejection is over is left out, or a draining one is in")
+	if !inAperture(b, ejected.ID) || inAperture(b, draining.ID) {
+		t.Error("after the ejection the endpoint is not in the aperture, or a draining endpoint is")
 	}
 }
 
-// The slow-start budget of an endpoint is divided among the balancers that have it in their aperture:
-// others send nothing.
+// The slow-start budget of an endpoint is divided among the balancers that have it in their aperture, so that other
+// balancers must send it nothing while it warms up.
 func TestSlowStartOnlyWithinTheAperture(t *testing.T) {
-	b, r := fleetMember(t, 1, 80, 60)
+	b, r := startFleetBalancer(t, 1, 80, 60)
 	b.aperture(second)
 	for _, e := range b.endpoints {
 		b.startSlowStart(second, e, second)
@@ -100,37 +101,39 @@
 		}
 	}
 	for id := range uint64(30) {
-		b.Request(second, request0(id, 0, second))
+		b.Request(second, testRequest(id, 0, second))
 	}
-	if len(r.sends) != 0 || len(r.refused) != 30 {
-		t.Errorf("%d sends to cold endpoints outside the aperture, %d refused", len(r.sends), len(r.refused))
+	if len(r.sends) != 0 || len(r.rejected) != 30 {
+		t.Errorf("%d of 30 requests sent to endpoints in slow start outside the aperture, %d rejected",
+			len(r.sends), len(r.rejected))
 	}
 }
 
-// The number of balancers may be configured wrongly, and lists shrink and grow: there is always something to choose
-// from, never more than the list holds.
-func TestApertureOfUnusualFleets(t *testing.T) {
+// The number of balancers may be configured wrongly, and endpoint lists shrink and grow. The aperture must never be
+// empty while endpoints are listed, and must not exceed the list.
+func TestApertureWithWrongFleetSizeAndChangingLists(t *testing.T) {
 	for balancers, want := range map[int]int{20: 24, 80: 6, 320: 6, 1 << 30: 6, 1: 60} {
-		if b, _ := fleetMember(t, 3, balancers, 60); len(b.aperture(0)) != want {
-			t.Errorf("told of %d balancers, an aperture of %d, want %d", balancers, len(b.apertureList), want)
+		if b, _ := startFleetBalancer(t, 3, balancers, 60); len(b.aperture(0)) != want {
+			t.Errorf("configured for %d balancers: aperture of %d endpoints, want %d",
+				balancers, len(b.apertureList), want)
 		}
 	}
-	b, r := fleetMember(t, 3, 80, 60)
+	b, r := startFleetBalancer(t, 3, 80, 60)
 	now := 100 * second
 	for i, n := range []int{60, 3, 0, 60, 1} {
 		now += second
-		list := append(ready(n), ready(n)...) // each listed twice
+		list := append(readyEndpoints(n), readyEndpoints(n)...) // each endpoint is listed twice
 		for i := range list {
 			list[i].StartTime = 1 // long ago
 		}
 		b.UpdateEndpoints(now, ListFull, list)
 		if len(b.endpoints) != n || len(b.aperture(now)) != min(n, 6) {
-			t.Fatalf("a list of %d: %d known, an aperture of %d", n, len(b.endpoints), len(b.apertureList))
+			t.Fatalf("list of %d endpoints: %d known, aperture of %d", n, len(b.endpoints), len(b.apertureList))
 		}
-		sends, refused := len(r.sends), len(r.refused)
-		b.Request(now, request0(uint64(i), 0, now))
-		if sent := len(r.sends) > sends; sent != (n > 0) || sent == (len(r.refused) > refused) {
-			t.Errorf("a list of %d: sent %v, refused %v", n, sent, len(r.refused) > refused)
+		sends, rejected := len(r.sends), len(r.rejected)
+		b.Request(now, testRequest(uint64(i), 0, now))
+		if sent := len(r.sends) > sends; sent != (n > 0) || sent == (len(r.rejected) > rejected) {
+			t.Errorf("list of %d endpoints: request sent %v, rejected %v", n, sent, len(r.rejected) > rejected)
 		}
 		if n > 0 {
 			b.Outcome(now+1000, Outcome{ID: uint64(i), Endpoint: r.sends[len(r.sends)-1].endpoint, Status: OK,
@@ -139,7 +142,7 @@
 	}
 }
 
-// A request's cost with short and long lists, in small and large fleets.
+// BenchmarkRequest measures one request with short and long endpoint lists, in small and large fleets.
 func BenchmarkRequest(bench *testing.B) {
 	for _, c := range []struct {
 		name                 string
@@ -154,7 +157,7 @@
 				bench.Fatal(err)
 			}
 			b.Start(0)
-			b.UpdateEndpoints(0, ListCached, ready(c.endpoints))
+			b.UpdateEndpoints(0, ListCached, readyEndpoints(c.endpoints))
 			now := second
 			for i := range c.endpoints {
 				b.ProbeCompleted(now, uint32(i+1), OK, 500, []float32{1})
@@ -166,8 +169,8 @@
 				if id%16 == 0 {
 					b.ProbeCompleted(now, uint32(id/16)%uint32(c.endpoints)+1, OK, 500, []float32{float32(id % 3)})
 				}
-				for _, at := range r.sends {
-					b.Outcome(now+1000, Outcome{ID: at.id, Endpoint: at.endpoint, Status: OK, Latency: 40_000,
+				for _, send := range r.sends {
+					b.Outcome(now+1000, Outcome{ID: send.id, Endpoint: send.endpoint, Status: OK, Latency: 40_000,
 						Answered: true})
 				}
 				*r = recorder{sends: r.sends[:0]}
@@ -176,10 +179,10 @@
 	}
 }
 
-// Ejected endpoints are out of use but not of the count: where a part of the list is full and ejected, the cold
-// ones that take their places must not seem to be all that there is, and be given all that is asked.
+// Guards against overloading endpoints in slow start that replace ejected ones in the aperture. Ejected endpoints must
+// still count as capacity, or the replacements would seem to be all the capacity and would be sent all the demand.
 func TestEjectedEndpointsCountAsCapacity(t *testing.T) {
-	b, _ := fleetMember(t, 3, 320, 60)
+	b, _ := startFleetBalancer(t, 3, 320, 60)
 	now := second
 	b.aperture(now)
 	for _, e := range b.endpoints {
@@ -190,7 +193,7 @@
 	b.capacityValidUntil = 0
 	b.aperture(now)
 	if b.capacity != 6 || b.warmEndpoints != 6 {
-		t.Fatalf("six warm endpoints count as %v, %v of them warm", b.capacity, b.warmEndpoints)
+		t.Fatalf("capacity of six warm endpoints: got %v with %v warm, want 6 with 6 warm", b.capacity, b.warmEndpoints)
 	}
 	for _, e := range b.apertureList {
 		e.failures.ejectedUntil = now + second
@@ -198,10 +201,11 @@
 	b.capacityValidUntil = 0
 	for _, e := range b.aperture(now) {
 		if !e.isWarmingUp(now, b) {
-			t.Errorf("endpoint %d is ejected and in use", e.ID)
+			t.Errorf("endpoint %d is ejected, but in the aperture", e.ID)
 		}
 	}
 	if b.capacity < 6 || b.warmEndpoints != 6 {
-		t.Errorf("ejected, they count as %v, %v of them warm", b.capacity, b.warmEndpoints)
+		t.Errorf("capacity after their ejection: got %v with %v warm, want at least 6 with 6 warm",
+			b.capacity, b.warmEndpoints)
 	}
 }
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -1,13 +1,13 @@
 package balancer
 
-// Micros is an instant or a duration in microseconds. Instants share one arbitrary origin that the host decides on;
-// the host's clock never runs backwards.
+// Micros is an instant or a duration in microseconds. All instants count from one origin that the host chooses. The
+// host's clock must never run backwards.
 type Micros = int64
 
-// State is the lifecycle state of an endpoint, by discovery.
+// State is the lifecycle state of an endpoint, as discovery reports it.
 type State uint8
 
-// The states of an endpoint.
+// The states of an endpoint. Only ready endpoints are sent requests and probes.
 const (
 	Ready State = iota
 	Draining
@@ -22,80 +22,80 @@
 	Cell      uint16
 	State     State
 	Weight    float32
-	StartTime Micros // of its latest start; 0 for long ago
+	StartTime Micros // start time of its process; 0 if it started long ago
 }
 
-// ListKind says how the entries of an update of the endpoint list are to be read.
+// ListKind says how to read the entries of an endpoint list update.
 type ListKind uint8
 
-// The kinds of update.
+// The kinds of endpoint list update.
 const (
 	ListDelta  ListKind = iota // changed entries only
 	ListFull                   // the complete list
-	ListCached                 // the complete list as it was last known; it may be old
-	ListFailed                 // a call of discovery failed; no entries
+	ListCached                 // the complete list as last known, which may be out of date
+	ListFailed                 // a discovery call failed; the update has no entries
 )
 
-// Request is a client's request. It gets one final answer: an outcome that answers it, a rejection or a failure.
+// Request is a client's request. It gets exactly one final answer: an endpoint's answer, a rejection or a failure.
 type Request struct {
 	ID            uint64
 	Key           uint64
-	Deadline      Micros // the instant at which the client gives this attempt up
-	Hint          Micros // expected work; used if HasHint
+	Deadline      Micros // when the client gives up on this request
+	Hint          Micros // expected work, valid if HasHint is set
 	HasHint       bool
-	Retry         bool // marked as a retry by the client
+	Retry         bool // the client marked it as a retry
 	Write         bool
-	BodyStreaming bool // the body is still coming: UploadComplete reports its end, and the deadline from then on
+	BodyStreaming bool // the body is still arriving; UploadComplete reports its end and sets a new deadline
 	Tenant        uint16
-	Class         uint8  // an index in the classes of Rules
-	Rules         *Rules // nil: the current ones
+	Class         uint8  // index in the classes of Rules
+	Rules         *Rules // the rules it arrived under; nil for the current ones
 }
 
 // Status says how an attempt or a probe ended.
 type Status uint8
 
-// The ways an attempt may end. Rejected, ConnectFailed and NotSent prove that it never ran; all others but OK leave
-// that open.
+// The statuses of an attempt or a probe. Rejected, ConnectFailed and NotSent prove that the endpoint never ran the
+// request. After OK it has run; after any other status it may have run.
 const (
 	OK            Status = iota
-	Error                // an error returned by the endpoint
-	Rejected             // by the endpoint, before it ran
-	Timeout              // no answer in time
-	ConnectFailed        // no connection in time
-	Reset                // the connection broke
-	Cancelled            // by the balancer
-	NotSent              // for a reason of this host's own
+	Error                // the endpoint returned an error
+	Rejected             // the endpoint rejected the request before running it
+	Timeout              // no answer within the timeout
+	ConnectFailed        // no connection could be made in time
+	Reset                // the connection broke before the answer was complete
+	Cancelled            // the balancer cancelled it
+	NotSent              // the host could not send it, through no fault of the endpoint
 )
 
-// Outcome reports how an attempt ended. Load is valid during the call only.
+// Outcome reports how an attempt ended. Load is valid only during the call that passes it.
 type Outcome struct {
 	ID            uint64
-	Attempt       int // of the request's, counted from 0 as they were sent
+	Attempt       int // number of the attempt within its request, from 0 in the order of sending
 	Endpoint      uint32
 	Status        Status
 	Latency       Micros
-	Answered      bool // the request has its final answer
-	NotReplayable bool // the body was streamed and cannot be sent again
+	Answered      bool // the client has the request's final answer
+	NotReplayable bool // the body was streamed, so the request cannot be sent again
 	Load          []float32
 }
 
-// Actions is what a balancer asks of its host. Calls come from within event methods, in the order in which they are
-// to take effect.
+// Actions is implemented by the host and carries out the balancer's decisions. The balancer calls it from within its
+// event methods. The host must apply the calls in order.
 type Actions interface {
-	// Send starts an attempt. A timeout of 0 is none but the client's deadline.
+	// Send starts an attempt. With a timeout of 0 only the client's deadline limits it.
 	Send(id uint64, endpoint uint32, timeout Micros)
-	// Reject gives a final answer that promises that a retry is harmless.
+	// Reject gives the final answer "rejected", which promises the client that a retry is harmless.
 	Reject(id uint64, retryAfter Micros)
-	// Fail gives a final answer that promises nothing.
+	// Fail gives the final answer "failed". The request may have run.
 	Fail(id uint64)
-	// Cancel stops waiting for an attempt; its outcome still comes.
+	// Cancel stops waiting for an attempt. The host still reports its outcome.
 	Cancel(id uint64, attempt int)
-	// Timer asks for a Timer event with this token after a delay.
+	// Timer requests a Timer event with this token after a delay.
 	Timer(delay Micros, token uint32)
-	// Probe asks an endpoint for its load.
+	// Probe requests a load report from an endpoint. ProbeCompleted reports the result.
 	Probe(endpoint uint32)
-	// Watch subscribes to changes of the endpoint list, or ends the subscription.
+	// Watch starts a subscription to changes of the endpoint list, or ends it.
 	Watch(on bool)
-	// Log records a line for on-call staff.
+	// Log writes a log line for operators.
 	Log(line string)
 }
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -3,24 +3,24 @@
 import "slices"
 
 const (
-	attemptTimeoutFactor = 6.0 // times the predicted latency
-	minAttemptTimeout    = 5e4 // microseconds; a busy machine or a lost packet may take as long
+	attemptTimeoutFactor    = 6.0 // timeout over predicted latency
+	minAttemptTimeoutMicros = 5e4 // a busy machine or a lost packet may delay an answer by as much
 )
 
 // attempt is one send of a request.
 type attempt struct {
-	endpoint     *endpoint
-	zone         uint8 // of the endpoint when it was sent: the list may move it
-	cell         uint16
-	sentAt       Micros
-	expected     float64 // latency predicted when it was sent
-	expectedWork float64 // work times the crowding when it was sent
-	pending      bool    // without outcome
-	streaming    bool    // its body or its answer is under way: the endpoint owes nothing
-	mayHaveRun   bool    // it may have had its effect, or may yet
+	endpoint        *endpoint
+	zone            uint8  // zone of the endpoint at the time of sending; a later list may change it
+	cell            uint16 // cell of the endpoint at the time of sending
+	sentAt          Micros
+	expectedLatency float64 // predicted latency in microseconds, at the time of sending
+	expectedWork    float64 // work times contention, at the time of sending
+	pending         bool    // has no outcome yet
+	streaming       bool    // its body or its answer is being streamed: the endpoint is not silent
+	mayHaveRun      bool    // the endpoint may have run it, or may still run it
 }
 
-// maySend reports whether the rules allow an attempt at e now. Every attempt goes through send, which asks it.
+// maySend reports whether the rules allow an attempt at e now. It covers every attempt, since send checks it.
 func (b *Balancer) maySend(now Micros, r *request, e *endpoint) bool {
 	limits := &r.Rules.settings.Limits
 	if r.ended || r.responding || now >= r.Deadline || len(r.attempts) >= limits.MaxAttempts || !b.available(e) {
@@ -29,14 +29,15 @@
 	if r.pending > 0 && !limits.HedgedRequests {
 		return false
 	}
-	// Only balancers that have the endpoint in their aperture share its slow-start budget.
+	// The slow-start budget of an endpoint is divided among the balancers that have it in their aperture. Others must
+	// not send to it.
 	if e.isWarmingUp(now, b) && !(slices.Contains(b.aperture(now), e) && b.fitsSlowStartBudget(now, e, r.work)) {
 		return false
 	}
 	return b.mayRepeat(now, r, e)
 }
 
-// mayRepeat reports whether an attempt at e cannot give the request a second effect.
+// mayRepeat reports whether an attempt at e is sure not to give the request a second effect.
 func (b *Balancer) mayRepeat(now Micros, r *request, e *endpoint) bool {
 	first := r.firstThatMayHaveRun()
 	if first == nil {
@@ -47,14 +48,14 @@
 	case Idempotent:
 		return true
 	case WithIdempotencyKey:
-		return now < first.sentAt+c.DedupWindow && first.sharesDedup(c.DedupScope, e)
+		return now < first.sentAt+c.DedupWindow && first.sharesDedupScope(c.DedupScope, e)
 	default:
 		return false
 	}
 }
 
-// sharesDedup reports whether e would recognise a repetition of an attempt.
-func (a *attempt) sharesDedup(scope DedupScope, e *endpoint) bool {
+// sharesDedupScope reports whether e drops a repeat of this attempt, since both are in the same scope.
+func (a *attempt) sharesDedupScope(scope DedupScope, e *endpoint) bool {
 	switch scope {
 	case DedupAll:
 		return true
@@ -67,24 +68,24 @@
 	}
 }
 
-// send starts an attempt if the rules allow it.
+// send starts an attempt if the rules allow it, and reports whether it did.
 func (b *Balancer) send(now Micros, r *request, e *endpoint) bool {
 	if !b.maySend(now, r, e) {
 		return false
 	}
 	if e.isWarmingUp(now, b) {
-		e.slowStartBudget -= r.work * slowStartCharge
+		e.slowStartBudget -= r.work * slowStartWorkFactor
 	}
-	expected := b.predict(now, e, r.work)
+	expectedLatency := b.predict(now, e, r.work)
 	r.attempts = append(r.attempts, attempt{
-		endpoint:     e,
-		zone:         e.Zone,
-		cell:         e.Cell,
-		sentAt:       now,
-		expected:     expected,
-		expectedWork: r.work * b.crowding(now, e),
-		pending:      true,
-		mayHaveRun:   true,
+		endpoint:        e,
+		zone:            e.Zone,
+		cell:            e.Cell,
+		sentAt:          now,
+		expectedLatency: expectedLatency,
+		expectedWork:    r.work * b.contention(now, e),
+		pending:         true,
+		mayHaveRun:      true,
 	})
 	r.pending++
 	if e.inflight == e.streaming {
@@ -95,28 +96,29 @@
 	e.lastSendAt = now
 	b.undrained = slices.DeleteFunc(b.undrained, func(u undrainedEndpoint) bool { return u.id == e.ID })
 	b.startTrials(now, r, e)
-	b.out.Send(r.ID, e.ID, b.attemptTimeout(now, r, expected))
-	b.out.Timer(max(1, r.Deadline-now), r.token)
+	b.actions.Send(r.ID, e.ID, b.attemptTimeout(now, r, expectedLatency))
+	b.actions.Timer(max(1, r.Deadline-now), r.token)
 	return true
 }
 
-// attemptTimeout is how long to wait for an attempt; 0 is for as long as the client waits. An attempt that takes
-// several times the predicted latency most often sits on a connection that has fallen silent: where a retry is
-// harmless and would still be in time, another endpoint gets the request.
-func (b *Balancer) attemptTimeout(now Micros, r *request, expected float64) Micros {
+// attemptTimeout returns the timeout of an attempt, or 0 for none but the client's deadline. An attempt that takes
+// several times its predicted latency is most often on a connection that has gone silent. Where a retry is harmless and
+// would still meet the latency objective, the timeout lets another endpoint get the request.
+func (b *Balancer) attemptTimeout(now Micros, r *request, expectedLatency float64) Micros {
 	c := b.class(r)
-	timeout := max(minAttemptTimeout, attemptTimeoutFactor*expected)
+	timeout := max(minAttemptTimeoutMicros, attemptTimeoutFactor*expectedLatency)
 	retryPossible := len(r.attempts) < r.Rules.settings.Limits.MaxAttempts && b.retryBudget >= 1
 	if c.Idempotency != Idempotent || r.BodyStreaming || !retryPossible {
 		return 0
 	}
-	if float64(now-r.arrivedAt)+timeout+expected > float64(c.LatencyObjective) {
+	if float64(now-r.arrivedAt)+timeout+expectedLatency > float64(c.LatencyObjective) {
 		return 0
 	}
 	return Micros(timeout)
 }
 
-// setStreaming notes whether a body or an answer is under way: the endpoint is not silent meanwhile.
+// setStreaming records whether the attempt's body or answer is being streamed. The endpoint does not count as silent in
+// that time.
 func (a *attempt) setStreaming(now Micros, on bool) {
 	if a.streaming == on {
 		return
@@ -130,8 +132,8 @@
 	a.endpoint.silentSince = now
 }
 
-// ResponseStarted handles the start of a streamed answer. From now on neither a deadline nor another attempt
-// concerns the request.
+// ResponseStarted handles the start of a streamed answer. From then on the request has no deadline and gets no other
+// attempt; pending attempts other than this one are cancelled.
 func (b *Balancer) ResponseStarted(now Micros, id uint64, attempt int, _ Micros) {
 	r := b.requests[id]
 	if r == nil || r.ended || !r.isPending(attempt) {
@@ -143,7 +145,8 @@
 	b.cancelAttempts(r, attempt)
 }
 
-// UploadComplete handles the end of a streamed body. From now on the answer is waited for, until a new deadline.
+// UploadComplete handles the end of a streamed body. The request's latency counts from now, and the deadline replaces
+// the earlier one.
 func (b *Balancer) UploadComplete(now Micros, id uint64, deadline Micros) {
 	r := b.requests[id]
 	if r == nil || !r.BodyStreaming {
@@ -158,47 +161,47 @@
 		}
 	}
 	if !r.ended {
-		b.out.Timer(max(1, deadline-now), r.token)
+		b.actions.Timer(max(1, deadline-now), r.token)
 	}
 }
 
-// isPending reports whether a request has an attempt of this number without outcome.
+// isPending reports whether the request has an attempt with this number that has no outcome yet.
 func (r *request) isPending(attempt int) bool {
 	return attempt >= 0 && attempt < len(r.attempts) && r.attempts[attempt].pending
 }
 
-// Outcome handles the end of an attempt: the request is finished, retried, or rejected.
-func (b *Balancer) Outcome(now Micros, o Outcome) {
-	r := b.requests[o.ID]
-	if r == nil || !r.isPending(o.Attempt) {
+// Outcome handles the end of an attempt: the request is finished, retried, rejected or failed.
+func (b *Balancer) Outcome(now Micros, outcome Outcome) {
+	r := b.requests[outcome.ID]
+	if r == nil || !r.isPending(outcome.Attempt) {
 		return
 	}
-	a := &r.attempts[o.Attempt]
+	a := &r.attempts[outcome.Attempt]
 	a.pending = false
 	a.setStreaming(now, false)
 	r.pending--
 	a.endpoint.inflight--
 	a.endpoint.silentSince = now
-	a.mayHaveRun = o.Status != Rejected && o.Status != ConnectFailed && o.Status != NotSent
+	a.mayHaveRun = outcome.Status != Rejected && outcome.Status != ConnectFailed && outcome.Status != NotSent
 	b.sentWork.add(now, r.work*indicator(a.mayHaveRun))
-	b.recordOutcome(now, r, a, o.Status, o.Latency)
-	if !r.ended && (o.Status != OK || !r.responding) {
-		r.onTime = indicator(o.Status == OK && now-r.arrivedAt <= b.class(r).LatencyObjective)
+	b.recordOutcome(now, r, a, outcome.Status, outcome.Latency)
+	if !r.ended && (outcome.Status != OK || !r.responding) {
+		r.onTime = indicator(outcome.Status == OK && now-r.arrivedAt <= b.class(r).LatencyObjective)
 	}
-	if o.Answered || o.Status == OK || r.ended {
+	if outcome.Answered || outcome.Status == OK || r.ended {
 		b.finish(r)
 		return
 	}
 	if r.pending > 0 {
 		return
 	}
-	if !o.NotReplayable && b.retry(now, r) {
+	if !outcome.NotReplayable && b.retry(now, r) {
 		return
 	}
 	b.rejectOrFail(now, r)
 }
 
-// recordOutcome takes an outcome into the averages, the breaker and the failure runs.
+// recordOutcome updates the averages, the breaker and the failure runs of the attempt's endpoint.
 func (b *Balancer) recordOutcome(now Micros, r *request, a *attempt, status Status, latency Micros) {
 	e := a.endpoint
 	switch status {
@@ -208,7 +211,7 @@
 		b.recordSuccess(r, e)
 		b.learnPace(now, r, a, float64(latency), false)
 	case Cancelled, NotSent:
-		// These say nothing of the endpoint.
+		// These statuses say nothing about the endpoint.
 	default:
 		e.breaker.count(now, 0, 1)
 		b.recordFailures(now, r, e)
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -1,45 +1,47 @@
 package balancer
 
-// endpoint is what a balancer knows of an endpoint.
+// endpoint is a balancer's record of one endpoint: its entry in the endpoint list, and what was learned of its
+// process.
 type endpoint struct {
 	Endpoint
-	inUpdate bool // named by the list that is being read
+	inUpdate bool // the endpoint list update that is being handled names it
 
 	warmingUp        bool
-	slowStartAt      Micros  // when it began to warm up
-	slowStartBudget  float64 // work that it may still be sent while it warms up
-	budgetRefilledAt Micros
+	slowStartAt      Micros  // when it began to warm up; valid while warmingUp is set
+	slowStartBudget  float64 // work that may be sent to it while it warms up; may be negative
+	budgetRefilledAt Micros  // when slowStartBudget was last refilled
 
-	inflight    int    // own attempts without outcome
-	streaming   int    // of them, those with a body or an answer under way
-	lastSendAt  Micros // of an own attempt
-	silentSince Micros // its latest outcome, while it has attempts in flight
+	inflight    int    // this balancer's attempts without outcome
+	streaming   int    // those of them whose body or answer is being streamed
+	lastSendAt  Micros // latest attempt of this balancer
+	silentSince Micros // latest sign of activity, while it has attempts in flight
 
-	probing      bool
-	probeRound   uint32 // the round of waiting requests that waits for its report
+	probing      bool   // a probe has no answer yet
+	probeRound   uint32 // round of waiting requests that waits for its report; 0 for none
 	lastProbeAt  Micros
-	hasLoad      bool
-	lastReportAt Micros  // latest report with a load
-	reportSum    float32 // of the figures of its latest report, to see whether it changes
-	othersLoad   float64 // requests of others there, by that report
-	ownAtReport  int     // own requests in flight at that time
-	rtt          ewma    // of probes, in microseconds
-
-	pace          ewma // time per unit of work and crowding
-	paceLearnedAt Micros
-
-	ejectedUntil Micros // the latest of its failure runs
-	failures     failureRun
-	partFailures []failureRun // of each class, then of each tenant: an endpoint may fail one and serve the others
+	hasLoad      bool    // it has sent a report with a load
+	lastReportAt Micros  // when its latest report with a load came
+	reportSum    float32 // weighted sum of the figures of its latest report, to detect a change
+	othersLoad   float64 // other balancers' requests there, by that report
+	ownAtReport  int     // this balancer's requests in flight when that report came
+	rtt          ewma    // round-trip time of probes, in microseconds
+
+	pace          ewma   // time per unit of work without contention, scaled to a fully warm endpoint
+	paceLearnedAt Micros // when pace was last updated
+
+	ejectedUntil Micros       // latest ejectedUntil of all its failure runs
+	failures     failureRun   // of all requests
+	partFailures []failureRun // by class slot, then by tenant: an endpoint may fail one of them and serve others
 	breaker      breaker
 }
 
-// newPartFailures returns empty failure runs of all classes and tenants.
+// newPartFailures returns empty failure runs for all classes and tenants.
 func (b *Balancer) newPartFailures() []failureRun {
 	return make([]failureRun, len(b.classes)+len(b.tenantDemand))
 }
 
-// resetEndpoint forgets what was learned of an endpoint's process, since a new one has taken its place.
+// resetEndpoint drops what was learned of an endpoint's process when a new process replaces it. Attempts and probes in
+// flight remain.
 func (b *Balancer) resetEndpoint(e *endpoint) {
 	*e = endpoint{
 		Endpoint:     e.Endpoint,
@@ -53,7 +55,7 @@
 	b.removeFromPool(e)
 }
 
-// available reports whether anything may be sent to e: it is listed as ready and not drained by an operator.
+// available reports whether requests and probes may be sent to e: it is listed as ready and no operator has drained it.
 func (b *Balancer) available(e *endpoint) bool {
 	return e.State == Ready && !b.administrativelyDrained(e.ID)
 }
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -6,14 +6,14 @@
 	"birchmoor/balancer"
 )
 
-// host prints the actions of a balancer. A sidecar carries them out.
+// host prints the actions of a balancer, which a sidecar would carry out.
 type host struct{ sent []uint32 }
 
 func (h *host) Send(id uint64, endpoint uint32, _ balancer.Micros) {
 	h.sent = append(h.sent, endpoint)
 	fmt.Printf("send request %d to endpoint %d\n", id, endpoint)
 }
-func (h *host) Reject(id uint64, _ balancer.Micros) { fmt.Printf("refuse request %d\n", id) }
+func (h *host) Reject(id uint64, _ balancer.Micros) { fmt.Printf("reject request %d\n", id) }
 func (h *host) Fail(id uint64)                      { fmt.Printf("fail request %d\n", id) }
 func (h *host) Cancel(uint64, int)                  {}
 func (h *host) Timer(balancer.Micros, uint32)       {}
@@ -39,7 +39,7 @@
 	}
 	b.Start(0)
 	b.UpdateEndpoints(0, balancer.ListCached, []balancer.Endpoint{{ID: 7}, {ID: 8}})
-	b.ProbeCompleted(1_000, 7, balancer.OK, 500, []float32{2}) // endpoint 7 holds two requests,
+	b.ProbeCompleted(1_000, 7, balancer.OK, 500, []float32{2}) // endpoint 7 has two requests in flight,
 	b.ProbeCompleted(1_000, 8, balancer.OK, 500, []float32{0}) // endpoint 8 none
 
 	b.Request(2_000, balancer.Request{ID: 1, Deadline: 802_000})
@@ -53,5 +53,5 @@
 	// Output:
 	// send request 1 to endpoint 8
 	// send request 1 to endpoint 7
-	// refuse request 2
+	// reject request 2
 }
--- a/balancer/explain.go
+++ b/balancer/explain.go
@@ -1,39 +1,39 @@
 package balancer
 
-// Candidate is what a balancer knows of an endpoint, and whether it would send a request there. It is for
-// operators: no decision reads it. The tags are those of the command line's output.
+// Candidate is a balancer's estimate of an endpoint and whether it would send a request there. It is output for
+// operators; no decision reads it. The command line prints the names in the json tags.
 type Candidate struct {
 	Endpoint        uint32  `json:"endpoint"`
-	Inflight        int     `json:"inflight"` // own requests there
-	Load            float64 `json:"load"`     // requests there, own and others', as estimated
-	Pooled          bool    `json:"pooled"`   // has a fresh load report in the pool
-	AnswerAge       Micros  `json:"answer_age_us"`
-	Pace            float64 `json:"pace"`   // time per unit of work; 1 is the fleet's without hints
-	Capacity        float64 `json:"warmth"` // share of its capacity that it has by now
-	SlowStartBudget float64 `json:"room_us"`
-	Predicted       float64 `json:"predicted_us"` // latency
-	Limit           float64 `json:"limit_us"`     // the longest latency at which the request is still sent there
-	Cost            float64 `json:"cost"`         // the endpoint of least cost is picked
+	Inflight        int     `json:"inflight"`      // this balancer's requests there
+	Load            float64 `json:"load"`          // estimate of all balancers' requests there
+	Pooled          bool    `json:"pooled"`        // it has a fresh load report in the pool
+	ReportAge       Micros  `json:"answer_age_us"` // age of its latest load report; 0 without one
+	Pace            float64 `json:"pace"`          // time per unit of work; without hints 1 is the fleet's mean
+	Capacity        float64 `json:"warmth"`        // guaranteed share of its capacity, below 1 while it warms up
+	SlowStartBudget float64 `json:"room_us"`       // work that it may be sent while it warms up
+	Predicted       float64 `json:"predicted_us"`  // predicted latency
+	Limit           float64 `json:"limit_us"`      // longest predicted latency at which the request is still sent there
+	Cost            float64 `json:"cost"`          // the endpoint of lowest cost is picked
 
-	ErrorChance   float64 `json:"error_chance"`   // of the breaker
-	LatencyChance float64 `json:"latency_chance"` // of the breaker
-	EjectedFor    Micros  `json:"out_for_us"`     // for all requests
+	ErrorChance   float64 `json:"error_chance"`   // of a rejection by the breaker because of failures
+	LatencyChance float64 `json:"latency_chance"` // of a rejection by the breaker because of latency
+	EjectedFor    Micros  `json:"out_for_us"`     // remaining ejection for all requests; 0 if not ejected
 
-	Exclusions []string `json:"avoided,omitempty"` // why it gets nothing
+	Exclusions []string `json:"avoided,omitempty"` // why the request is not sent there
 }
 
-// Explain returns what is weighed for a request that is about to be dispatched: an open one by its ID, else as if
-// it came now. It may change later random draws and caches: ask a copy, made by Resume.
+// Explain returns the candidates for a request that is about to be dispatched: the open request with this ID, or else
+// in as if it arrived now. It changes state that later decisions depend on, so call it on a copy made by Resume.
 func (b *Balancer) Explain(now Micros, in Request) []Candidate {
 	r := b.requests[in.ID]
 	if r == nil {
 		if in.Rules == nil {
 			in.Rules = b.rules
 		}
-		if int(in.Class) >= len(in.Rules.slots) {
+		if int(in.Class) >= len(in.Rules.classSlots) {
 			return nil
 		}
-		r = b.admit(now, in)
+		r = b.recordArrival(now, in)
 	}
 	list := make([]Candidate, 0, len(b.endpoints))
 	for _, e := range b.endpoints {
@@ -47,8 +47,8 @@
 	return list
 }
 
-// Estimate returns what is known of an endpoint, for a request of this work; 0 stands for the mean. Limit, Cost and
-// the latency chance are those of requests, and stay 0.
+// Estimate returns the estimate of an endpoint for a request of this work; work 0 stands for the mean. Limit, Cost and
+// LatencyChance depend on a request's class and stay 0.
 func (b *Balancer) Estimate(now Micros, id uint32, work float64) Candidate {
 	c := Candidate{Endpoint: id}
 	e := b.byID[id]
@@ -59,11 +59,11 @@
 	if work <= 0 {
 		work = max(minWork, b.meanWork.value)
 	}
-	for _, o := range b.pool {
-		c.Pooled = c.Pooled || o == e && e.lastReportAt >= now-b.freshFor(now)
+	for _, pooled := range b.pool {
+		c.Pooled = c.Pooled || pooled == e && e.lastReportAt >= now-b.reportLifetime(now)
 	}
 	if e.hasLoad {
-		c.AnswerAge = now - e.lastReportAt
+		c.ReportAge = now - e.lastReportAt
 	}
 	c.Inflight = e.inflight
 	c.Load = b.load(now, e)
@@ -76,26 +76,27 @@
 	return c
 }
 
-// exclusionReasons returns why a request does not go to an endpoint.
+// exclusionReasons returns the reasons why a request is not sent to an endpoint; none if it may be.
 func (b *Balancer) exclusionReasons(now Micros, r *request, e *endpoint) []string {
-	var why []string
-	add := func(yes bool, reason string) {
-		if yes {
-			why = append(why, reason)
+	var reasons []string
+	add := func(applies bool, reason string) {
+		if applies {
+			reasons = append(reasons, reason)
 		}
 	}
-	add(e.State == Draining, "it drains")
-	add(e.State == Removed, "it is gone")
-	add(b.administrativelyDrained(e.ID), "operators have taken it out")
-	add(now < e.failures.ejectedUntil, "ejected after failures")
-	for _, i := range b.parts(r) {
-		add(now < e.partFailures[i].ejectedUntil, "ejected after failures of its class or tenant")
+	add(e.State == Draining, "discovery lists it as draining")
+	add(e.State == Removed, "discovery has removed it")
+	add(b.administrativelyDrained(e.ID), "an operator has drained it")
+	add(now < e.failures.ejectedUntil, "ejected for all requests after failures")
+	for _, i := range b.trafficParts(r) {
+		add(now < e.partFailures[i].ejectedUntil, "ejected after failures of the request's class or tenant")
 	}
-	add(r.tried(e), "tried already")
-	add(now >= r.Deadline, "the deadline has passed")
-	add(len(r.attempts) >= r.Rules.settings.Limits.MaxAttempts, "no attempt is left")
-	add(e.isWarmingUp(now, b) && !b.fitsSlowStartBudget(now, e, r.work), "cold, and nothing saved up")
-	add(len(why) == 0 && !b.maySend(now, r, e), "the class forbids a repeat there")
-	add(b.predict(now, e, r.work) > b.latencyBudget(now, r, e), "it would come too late")
-	return why
+	add(r.tried(e), "an earlier attempt of the request went there")
+	add(now >= r.Deadline, "the request's deadline has passed")
+	add(len(r.attempts) >= r.Rules.settings.Limits.MaxAttempts, "the request has no attempt left")
+	add(e.isWarmingUp(now, b) && !b.fitsSlowStartBudget(now, e, r.work),
+		"warming up, and its slow-start budget is spent")
+	add(len(reasons) == 0 && !b.maySend(now, r, e), "the rules allow no further attempt there")
+	add(b.predict(now, e, r.work) > b.latencyBudget(now, r, e), "its predicted latency exceeds the limit")
+	return reasons
 }
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// testSettings are plain settings that tests change as they need.
+// testSettings returns valid settings with one class of each kind of idempotency. Tests change what they need.
 func testSettings() Settings {
 	return Settings{
 		Balancers: 2, Zones: 1, Kinds: 1, Tick: 5000,
@@ -26,33 +26,33 @@
 		Contract: Contract{DrainGrace: 500_000, InitialCapacity: 0.2, SlowStartDuration: 10 * second,
 			OverloadMultiple: 2.5, OverloadWindow: second, PollInterval: 10 * second},
 		Goal:   Goal{Total: 1},
-		Prices: Prices{Probe: 1000}, // too dear to hold requests for: that has tests of its own
+		Prices: Prices{Probe: 1000}, // so dear that no request waits for probes; waitingSettings changes that
 	}
 }
 
-type sent struct {
+type sentAttempt struct {
 	id       uint64
 	endpoint uint32
 }
 
-// recorder keeps what a balancer asks of its host.
+// recorder implements Actions and records the calls.
 type recorder struct {
-	sends   []sent
-	waits   []Micros // the time-outs of sends
-	refused []uint64
-	failed  []uint64
-	cancels []uint64
-	probes  []uint32
-	timers  []uint32
-	delays  []Micros
-	watches int
-	logs    []string
+	sends    []sentAttempt
+	timeouts []Micros // timeouts of sends, at the same indices
+	rejected []uint64
+	failed   []uint64
+	cancels  []uint64
+	probes   []uint32
+	timers   []uint32
+	delays   []Micros
+	watches  int
+	logs     []string
 }
 
-func (r *recorder) Send(id uint64, e uint32, wait Micros) {
-	r.sends, r.waits = append(r.sends, sent{id, e}), append(r.waits, wait)
+func (r *recorder) Send(id uint64, e uint32, timeout Micros) {
+	r.sends, r.timeouts = append(r.sends, sentAttempt{id, e}), append(r.timeouts, timeout)
 }
-func (r *recorder) Reject(id uint64, _ Micros) { r.refused = append(r.refused, id) }
+func (r *recorder) Reject(id uint64, _ Micros) { r.rejected = append(r.rejected, id) }
 func (r *recorder) Fail(id uint64)             { r.failed = append(r.failed, id) }
 func (r *recorder) Cancel(id uint64, _ int)    { r.cancels = append(r.cancels, id) }
 func (r *recorder) Timer(delay Micros, token uint32) {
@@ -62,8 +62,9 @@
 func (r *recorder) Watch(bool)      { r.watches++ }
 func (r *recorder) Log(line string) { r.logs = append(r.logs, line) }
 
-// ready returns n ready endpoints with ids from 1; pairs share a cell and a zone.
-func ready(n int) []Endpoint {
+// readyEndpoints returns n ready endpoints with IDs from 1. Endpoints 1 and 2 share a zone and a cell, as do 3 and 4,
+// and so on.
+func readyEndpoints(n int) []Endpoint {
 	list := make([]Endpoint, n)
 	for i := range list {
 		list[i] = Endpoint{ID: uint32(i + 1), Zone: uint8(i / 2), Cell: uint16(i / 2), Weight: 1}
@@ -71,7 +72,8 @@
 	return list
 }
 
-func start(t *testing.T, s Settings, list []Endpoint) (*Balancer, *recorder) {
+// startBalancer returns a started balancer that knows an endpoint list of warm endpoints, and its actions.
+func startBalancer(t *testing.T, s Settings, list []Endpoint) (*Balancer, *recorder) {
 	t.Helper()
 	r := &recorder{}
 	b, err := New(s, 7, r)
@@ -83,7 +85,8 @@
 	return b, r
 }
 
-func request0(id uint64, class uint8, now Micros) Request {
+// testRequest returns a request whose deadline is in a second.
+func testRequest(id uint64, class uint8, now Micros) Request {
 	return Request{ID: id, Class: class, Deadline: now + second}
 }
 
@@ -103,9 +106,9 @@
 		s := testSettings()
 		c.spoil(&s)
 		_, err := New(s, 1, &recorder{})
-		var bad *SettingError
-		if !errors.As(err, &bad) || bad.Key != c.key {
-			t.Errorf("want an error for %s, got %v", c.key, err)
+		var settingErr *SettingError
+		if !errors.As(err, &settingErr) || settingErr.Key != c.key {
+			t.Errorf("New with an invalid %s: got error %v, want a SettingError for that key", c.key, err)
 		}
 	}
 }
--- a/balancer/membership.go
+++ b/balancer/membership.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// UpdateEndpoints handles a change of the endpoint list, or a failed call of discovery.
+// UpdateEndpoints handles an endpoint list update or a failed discovery call. Endpoints are identified by ID; one that
+// is listed with another start time has restarted.
 func (b *Balancer) UpdateEndpoints(now Micros, kind ListKind, entries []Endpoint) {
 	if kind == ListFailed {
 		b.subscribed = false
@@ -22,14 +23,14 @@
 		b.updateEndpoint(now, &entries[i])
 	}
 	complete := kind != ListDelta
-	b.endpoints = slices.DeleteFunc(b.endpoints, func(e *endpoint) bool { return b.removeIfGone(e, complete) })
+	b.endpoints = slices.DeleteFunc(b.endpoints, func(e *endpoint) bool { return b.removeIfUnlisted(e, complete) })
 	b.capacityValidUntil = now
 	b.everListed = b.everListed || kind != ListCached || !b.settings.Subscribe
 }
 
-// removeIfGone marks an endpoint that a complete list does not name as removed, and reports whether its record may be
-// dropped: it is removed and no attempt is in flight there.
-func (b *Balancer) removeIfGone(e *endpoint, complete bool) bool {
+// removeIfUnlisted marks an endpoint as removed if a complete list does not name it. It reports whether its record may
+// be dropped: it is removed and has no attempt in flight.
+func (b *Balancer) removeIfUnlisted(e *endpoint, complete bool) bool {
 	if complete && !e.inUpdate {
 		e.State = Removed
 	}
@@ -43,26 +44,26 @@
 	return true
 }
 
-// updateEndpoint handles one entry of a list.
-func (b *Balancer) updateEndpoint(now Micros, in *Endpoint) {
-	e := b.byID[in.ID]
+// updateEndpoint applies one entry of an endpoint list update.
+func (b *Balancer) updateEndpoint(now Micros, listed *Endpoint) {
+	e := b.byID[listed.ID]
 	isNew := e == nil
 	if isNew {
 		e = &endpoint{partFailures: b.newPartFailures()}
-		b.byID[in.ID] = e
+		b.byID[listed.ID] = e
 		b.endpoints = append(b.endpoints, e)
 	}
-	restarted := !isNew && in.StartTime != 0 && in.StartTime != e.StartTime
+	restarted := !isNew && listed.StartTime != 0 && listed.StartTime != e.StartTime
 	if restarted {
 		b.resetEndpoint(e)
 	}
-	started := in.StartTime
-	if started == 0 && isNew && b.everListed {
-		started = now // it appeared while this balancer was running
+	startedAt := listed.StartTime
+	if startedAt == 0 && isNew && b.everListed {
+		startedAt = now // it appeared while this balancer was running
 	}
-	e.Endpoint = *in
+	e.Endpoint = *listed
 	e.inUpdate = true
-	if started != 0 && now-started < b.settings.Contract.SlowStartDuration && (isNew || restarted) {
-		b.startSlowStart(now, e, started)
+	if startedAt != 0 && now-startedAt < b.settings.Contract.SlowStartDuration && (isNew || restarted) {
+		b.startSlowStart(now, e, startedAt)
 	}
 }
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -3,55 +3,55 @@
 import "strconv"
 
 const (
-	ejectionThreshold     = 3 // failures in a row
-	partEjectionThreshold = 4 // of one class or tenant; one more, so that where all fail the endpoint is ejected first
+	ejectionThreshold     = 3 // consecutive failures
+	partEjectionThreshold = 4 // the same for one class or tenant; if all fail, ejection for all requests comes first
 	minEjection           = second
-	maxEjection           = window
-	maxPeerEjection       = 2 * window
-	maxEjectedShare       = 1.0 / 2 // of the endpoints
-	maxPartEjectedShare   = 1.0/2 + 1.0/6
-	allParts              = -1 // stands for all requests, where a class or tenant is named
+	maxEjection           = breakerWindow
+	maxPeerEjection       = 2 * breakerWindow // longest ejection that another process may report
+	maxEjectedShare       = 1.0 / 2           // share of the endpoints that may be ejected for all requests
+	maxPartEjectedShare   = 1.0/2 + 1.0/6     // the same for one class or tenant
+	allTraffic            = -1                // index of the run of all requests, in place of a class slot or tenant
 )
 
-// failureRun is a run of failures of an endpoint.
+// failureRun is a run of consecutive failures of an endpoint: of all requests, or of those of one class or tenant.
 type failureRun struct {
-	streak           int // failures in a row
+	streak           int // consecutive failures
 	ejectedUntil     Micros
-	ejectionDuration Micros
-	onTrial          bool // an attempt since the last ejection has no outcome yet
+	ejectionDuration Micros // of the latest ejection in this run, before jitter; doubles with each
+	onTrial          bool   // an attempt after the ejection has no outcome yet
 }
 
-// parts returns the indices in partFailures of the parts of the traffic that r belongs to: its class and its
+// trafficParts returns the indices in partFailures of the parts of the traffic that r belongs to: its class and its
 // tenant. An endpoint may fail or limit one part and serve the others. The result is valid until the next call.
-func (b *Balancer) parts(r *request) []int {
+func (b *Balancer) trafficParts(r *request) []int {
 	if t := int(r.Tenant); t < len(b.tenantDemand) {
-		return append(b.partsBuffer[:0], r.slot, len(b.classes)+t)
+		return append(b.trafficPartsBuffer[:0], r.classSlot, len(b.classes)+t)
 	}
-	return append(b.partsBuffer[:0], r.slot)
+	return append(b.trafficPartsBuffer[:0], r.classSlot)
 }
 
-// recordSuccess ends the failure runs that a request belongs to.
+// recordSuccess ends e's failure runs of all requests and of r's class and tenant.
 func (b *Balancer) recordSuccess(r *request, e *endpoint) {
 	e.failures = failureRun{}
-	for _, part := range b.parts(r) {
+	for _, part := range b.trafficParts(r) {
 		e.partFailures[part] = failureRun{}
 	}
 }
 
-// recordFailures counts a failure in the runs that a request belongs to.
+// recordFailures counts a failure in e's runs of all requests and of r's class and tenant.
 func (b *Balancer) recordFailures(now Micros, r *request, e *endpoint) {
-	b.recordFailure(now, e, allParts, &e.failures)
-	for _, part := range b.parts(r) {
+	b.recordFailure(now, e, allTraffic, &e.failures)
+	for _, part := range b.trafficParts(r) {
 		b.recordFailure(now, e, part, &e.partFailures[part])
 	}
 }
 
-// recordFailure counts a failure in a run and ejects the endpoint after a few. Once the ejection is over the first
-// request is a trial: no other follows before its outcome.
+// recordFailure counts a failure in a run and ejects the endpoint once the run is long enough. After the ejection the
+// first request is a trial: no other request is sent until its outcome.
 func (b *Balancer) recordFailure(now Micros, e *endpoint, part int, run *failureRun) {
 	run.streak++
 	threshold := ejectionThreshold
-	if part != allParts {
+	if part != allTraffic {
 		threshold = partEjectionThreshold
 	}
 	ejected := now < run.ejectedUntil && !run.onTrial
@@ -62,19 +62,19 @@
 	run.ejectionDuration = min(max(2*run.ejectionDuration, minEjection), maxEjection)
 	run.ejectedUntil = now + run.ejectionDuration/2 + b.rng.below(run.ejectionDuration)
 	e.ejectedUntil = max(e.ejectedUntil, run.ejectedUntil)
-	of := ""
-	if part != allParts {
-		of = " of part " + strconv.Itoa(part)
+	partText := ""
+	if part != allTraffic {
+		partText = " of part " + strconv.Itoa(part)
 	}
-	b.log(now, topicEjection, "endpoint "+strconv.Itoa(int(e.ID))+": "+strconv.Itoa(run.streak)+" failures"+of+
+	b.log(now, topicEjection, "endpoint "+strconv.Itoa(int(e.ID))+": "+strconv.Itoa(run.streak)+" failures"+partText+
 		" in a row, ejected for "+strconv.Itoa(int((run.ejectedUntil-now)/1000))+" ms")
 }
 
-// startTrials notes an attempt at an endpoint, which is a trial in every run that it was ejected for.
+// startTrials marks an attempt at e as a trial in each run of r's traffic for which e was ejected.
 func (b *Balancer) startTrials(now Micros, r *request, e *endpoint) {
 	e.failures.startTrial(now)
 	e.ejectedUntil = max(e.ejectedUntil, e.failures.ejectedUntil)
-	for _, part := range b.parts(r) {
+	for _, part := range b.trafficParts(r) {
 		e.partFailures[part].startTrial(now)
 		e.ejectedUntil = max(e.ejectedUntil, e.partFailures[part].ejectedUntil)
 	}
@@ -87,12 +87,12 @@
 	}
 }
 
-// ejectedFor reports whether e is ejected for all requests or for a part that r belongs to.
-func (b *Balancer) ejectedFor(now Micros, e *endpoint, r *request) bool {
+// isEjected reports whether e is ejected for all requests, or for r's class or tenant.
+func (b *Balancer) isEjected(now Micros, e *endpoint, r *request) bool {
 	if now >= e.ejectedUntil {
 		return false
 	}
-	for _, part := range b.parts(r) {
+	for _, part := range b.trafficParts(r) {
 		if now < e.partFailures[part].ejectedUntil {
 			return true
 		}
@@ -100,40 +100,40 @@
 	return now < e.failures.ejectedUntil
 }
 
-// mayEject keeps most endpoints in use: if many failed at once, the few that are left would only be overloaded. A
-// part of the traffic may crowd into fewer.
+// mayEject reports whether one more endpoint may be ejected. If many fail at once, ejecting them all would overload the
+// few that are left. One class or tenant may be confined to fewer endpoints than all requests.
 func (b *Balancer) mayEject(now Micros, e *endpoint, part int) bool {
 	ejected := 1.0
 	limit := maxEjectedShare
-	if part != allParts {
+	if part != allTraffic {
 		limit = maxPartEjectedShare
 	}
-	for _, o := range b.endpoints {
-		isEjected := now < o.failures.ejectedUntil ||
-			part != allParts && now < o.partFailures[part].ejectedUntil
-		ejected += indicator(o != e && isEjected)
+	for _, other := range b.endpoints {
+		isEjected := now < other.failures.ejectedUntil ||
+			part != allTraffic && now < other.partFailures[part].ejectedUntil
+		ejected += indicator(other != e && isEjected)
 	}
 	return ejected <= limit*float64(len(b.endpoints))
 }
 
-// PeerEjected handles the report of another process of this sidecar that it has ejected an endpoint for some time
-// yet.
-func (b *Balancer) PeerEjected(now Micros, id uint32, left Micros) {
-	left = min(left, maxPeerEjection)
+// PeerEjected handles a report from another process of this sidecar that it has ejected an endpoint for the remaining
+// time.
+func (b *Balancer) PeerEjected(now Micros, id uint32, remaining Micros) {
+	remaining = min(remaining, maxPeerEjection)
 	e := b.byID[id]
-	if e == nil || now+left <= e.failures.ejectedUntil || !b.mayEject(now, e, allParts) {
+	if e == nil || now+remaining <= e.failures.ejectedUntil || !b.mayEject(now, e, allTraffic) {
 		return
 	}
 	e.failures = failureRun{
 		streak:           e.failures.streak,
-		ejectedUntil:     now + left,
+		ejectedUntil:     now + remaining,
 		ejectionDuration: max(e.failures.ejectionDuration, minEjection),
 	}
 	e.ejectedUntil = max(e.ejectedUntil, e.failures.ejectedUntil)
 }
 
-// Ejections calls f for each endpoint that is ejected for all requests, with the time left.
-func (b *Balancer) Ejections(now Micros, f func(id uint32, left Micros)) {
+// Ejections calls f for each endpoint that is ejected for all requests, with the remaining time.
+func (b *Balancer) Ejections(now Micros, f func(id uint32, remaining Micros)) {
 	for _, e := range b.endpoints {
 		if now < e.failures.ejectedUntil {
 			f(e.ID, e.failures.ejectedUntil-now)
@@ -141,13 +141,14 @@
 	}
 }
 
-// ExcludedCount counts the listed endpoints that get nothing: drained by an operator, or ejected for all requests.
+// ExcludedCount returns the number of listed endpoints that an operator has drained or that are ejected for all
+// requests.
 func (b *Balancer) ExcludedCount(now Micros) int {
-	n := 0
+	count := 0
 	for _, e := range b.endpoints {
 		if e.State != Removed && (b.administrativelyDrained(e.ID) || now < e.failures.ejectedUntil) {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -8,91 +8,91 @@
 func TestPickPrefersLowestLoadPlusOwnSends(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1
-	b, r := start(t, s, ready(3))
+	b, r := startBalancer(t, s, readyEndpoints(3))
 	for i, load := range []float32{4, 0, 9} {
 		b.ProbeCompleted(1000, uint32(i+1), OK, 500, []float32{load})
 	}
 	for id := range uint64(4) {
-		b.Request(2000, request0(id, 0, 2000))
+		b.Request(2000, testRequest(id, 0, 2000))
 	}
 	// Endpoint 2 has the lowest load until it has as many requests as endpoint 1 reported.
 	for i, s := range r.sends {
 		if s.endpoint != 2 {
-			t.Errorf("send %d went to %d", i, s.endpoint)
+			t.Errorf("request %d was sent to endpoint %d, want 2", i, s.endpoint)
 		}
 	}
 	if len(r.sends) != 4 {
-		t.Fatalf("%d sends", len(r.sends))
+		t.Fatalf("%d requests sent, want 4", len(r.sends))
 	}
 	if got := b.load(2000, b.byID[2]); math.Abs(got-4) > 0.1 {
-		t.Errorf("load with own sends: %v", got)
+		t.Errorf("estimated load with 4 own sends: %v, want 4", got)
 	}
 }
 
-// In a large fleet all balancers learn of the same idle endpoint: none may fill it alone.
-func TestOneLowReportDrawsNoHerd(t *testing.T) {
-	for _, c := range []struct{ balancers, most int }{{1, 5}, {3, 3}, {15, 2}} {
+// In a large fleet all balancers get a report of the same idle endpoint. Each may send only a few requests there, or
+// together they would overload it.
+func TestOneLowReportDoesNotAttractAllRequests(t *testing.T) {
+	for _, c := range []struct{ balancers, maxSends int }{{1, 5}, {3, 3}, {15, 2}} {
 		s := testSettings()
 		s.Balancers = c.balancers
-		b, r := start(t, s, ready(4))
+		b, r := startBalancer(t, s, readyEndpoints(4))
 		for id := range uint32(4) {
 			b.ProbeCompleted(1000, id+1, OK, 500, []float32{3 * float32(min(1, id))})
 		}
 		for id := range uint64(8) {
 			b.Request(2000, Request{ID: id, Deadline: second, Hint: 10_000, HasHint: true})
 		}
-		n := 0
-		for _, at := range r.sends {
-			if at.endpoint == 1 {
-				n++
+		toIdle := 0
+		for _, send := range r.sends {
+			if send.endpoint == 1 {
+				toIdle++
 			}
 		}
-		if len(r.sends) != 8 || n == 0 || n > c.most {
+		if len(r.sends) != 8 || toIdle == 0 || toIdle > c.maxSends {
 			t.Errorf("%d balancers: %d of %d sends to the idle endpoint, want 1 to %d",
-				c.balancers, n, len(r.sends), c.most)
+				c.balancers, toIdle, len(r.sends), c.maxSends)
 		}
 	}
 }
 
-func TestPoolAges(t *testing.T) {
+func TestExpiredReportsDoNotDecide(t *testing.T) {
 	s := testSettings()
-	b, r := start(t, s, ready(2))
+	b, r := startBalancer(t, s, readyEndpoints(2))
 	b.ProbeCompleted(1000, 1, OK, 500, []float32{0})
-	now := 1000 + b.freshFor(1000) + 30*second
+	now := 1000 + b.reportLifetime(1000) + 30*second
 	seen := map[uint32]bool{}
 	for id := range uint64(20) {
-		b.Request(now, request0(id, 0, now))
+		b.Request(now, testRequest(id, 0, now))
 		b.Outcome(now, Outcome{ID: id, Endpoint: r.sends[len(r.sends)-1].endpoint, Status: OK, Latency: 1000,
 			Answered: true})
 		seen[r.sends[len(r.sends)-1].endpoint] = true
 	}
 	if len(seen) != 2 {
-		t.Error("an answer beyond its age still decides: two random draws expected")
+		t.Error("all requests went to the endpoint with an expired report, want both endpoints used")
 	}
 }
 
 func TestInvalidReports(t *testing.T) {
-	b, _ := start(t, testSettings(), ready(1))
+	b, _ := startBalancer(t, testSettings(), readyEndpoints(1))
 	nan := float32(math.NaN())
 	for _, load := range [][]float32{nil, {}, {nan}, {-3}, {float32(math.Inf(1))}} {
 		b.ProbeCompleted(1000, 1, OK, 500, load)
 		if b.endpoints[0].hasLoad {
-			t.Errorf("report %v taken for a load", load)
+			t.Errorf("invalid report %v was accepted as a load", load)
 		}
 	}
 	b.ProbeCompleted(1000, 99, OK, 500, []float32{1}) // unknown endpoint
 	b.ProbeCompleted(1000, 1, OK, 500, []float32{2, 7, 9})
 	if b.load(1000, b.endpoints[0]) != 2 {
-		t.Errorf("load %v", b.load(1000, b.endpoints[0]))
+		t.Errorf("estimated load %v, want 2", b.load(1000, b.endpoints[0]))
 	}
 }
 
-// Reports that count fewer than this balancer has there itself are late; they
-// must not steer picks.
-func TestLateReportsAreFoundOut(t *testing.T) {
-	b, r := start(t, testSettings(), ready(2))
+// Reports that count fewer requests than this balancer has at the endpoint are late and must not decide picks.
+func TestLateReportsAreDetected(t *testing.T) {
+	b, r := startBalancer(t, testSettings(), readyEndpoints(2))
 	for id := range uint64(3) {
-		b.Request(1000, request0(id, 0, 1000))
+		b.Request(1000, testRequest(id, 0, 1000))
 	}
 	busy := b.byID[r.sends[0].endpoint]
 	for i := range Micros(40) {
@@ -101,10 +101,10 @@
 		b.ProbeCompleted(13_000+i, busy.ID, OK, 500, []float32{0})
 	}
 	if !b.reportsLate {
-		t.Fatal("not found out")
+		t.Fatal("reports that miss own requests were not detected as late")
 	}
 	if got := b.load(15_000, busy); got < float64(busy.inflight) {
-		t.Errorf("load %v is under own in-flight %d", got, busy.inflight)
+		t.Errorf("estimated load %v is below the %d own requests in flight", got, busy.inflight)
 	}
 	for i := range Micros(400) {
 		busy.probing = false
@@ -112,28 +112,29 @@
 		b.ProbeCompleted(15_000+i, busy.ID, OK, 500, []float32{5})
 	}
 	if b.reportsLate {
-		t.Error("not left again")
+		t.Error("reports still count as late after 400 correct ones")
 	}
 }
 
-// A wrong guess of a class's work must not refuse that class for ever.
-func TestLatenessRejectionLetsOnePass(t *testing.T) {
-	b, r := start(t, testSettings(), ready(1))
+// A wrong estimate of a class's work must not reject that class for ever: one request passes per interval and corrects
+// the estimate.
+func TestOneRequestPredictedLatePassesPerInterval(t *testing.T) {
+	b, r := startBalancer(t, testSettings(), readyEndpoints(1))
 	b.classes[0].meanWork.value = float64(100 * second)
 	for i := range uint64(30) {
 		now := 10*second + Micros(i)*second/10
-		b.Request(now, request0(i, 0, now))
+		b.Request(now, testRequest(i, 0, now))
 	}
 	if n := len(r.sends); n < 2 || n > 4 {
-		t.Errorf("%d of 30 sent in three seconds, about one a second wanted", n)
+		t.Errorf("%d of 30 requests sent in three seconds, want about one per second", n)
 	}
-	if len(r.refused) != 30-len(r.sends) {
-		t.Errorf("%d refused, %d sent", len(r.refused), len(r.sends))
+	if len(r.rejected) != 30-len(r.sends) {
+		t.Errorf("%d requests rejected and %d sent, want 30 in all", len(r.rejected), len(r.sends))
 	}
 }
 
 func TestFailingEndpointIsAvoidedAndTriedAgain(t *testing.T) {
-	b, r := start(t, testSettings(), ready(3))
+	b, r := startBalancer(t, testSettings(), readyEndpoints(3))
 	now := second
 	sends := map[uint32]int{}
 	id := uint64(0)
@@ -144,7 +145,7 @@
 		}
 		id++
 		from := len(r.sends)
-		b.Request(now, request0(id, 0, now))
+		b.Request(now, testRequest(id, 0, now))
 		for n := 0; from < len(r.sends); n++ {
 			to := r.sends[from].endpoint
 			from++
@@ -161,10 +162,10 @@
 		step()
 	}
 	if sends[1] > 300 {
-		t.Errorf("a fast failing endpoint got %d of 3000", sends[1])
+		t.Errorf("%d of 3000 requests sent to an endpoint that fails fast, want at most 300", sends[1])
 	}
 	if sends[1] < 2 {
-		t.Errorf("a failing endpoint is never tried again: %d sends", sends[1])
+		t.Errorf("%d requests sent to a failing endpoint, want it to be tried again", sends[1])
 	}
 }
 
@@ -172,7 +173,7 @@
 	s := testSettings()
 	s.OverQuotaWeight = 0.05
 	s.Tenants = []Tenant{{Name: "a", Allowance: 50}, {Name: "b", Allowance: 50}}
-	b, _ := start(t, s, ready(2))
+	b, _ := startBalancer(t, s, readyEndpoints(2))
 	for i := range Micros(100) {
 		b.tenantDemand[0].add(i*1000, 1)
 		if i%4 == 0 {
@@ -182,136 +183,140 @@
 	over, within := &request{Request: Request{Rules: b.rules, Tenant: 0}},
 		&request{Request: Request{Tenant: 1}}
 	b.rejectionRate.value = 0.5
-	if o, w := b.quotaWeight(100_000, over), b.quotaWeight(100_000, within); w != 1 || o > 0.6 {
-		t.Errorf("weights %v over, %v within the share", o, w)
+	if overWeight, withinWeight := b.quotaWeight(100_000, over), b.quotaWeight(100_000, within); withinWeight != 1 ||
+		overWeight > 0.6 {
+		t.Errorf("weight %v beyond the quota, want at most 0.6; %v within it, want 1", overWeight, withinWeight)
 	}
 	if got := b.quotaWeight(100_000, &request{Request: Request{Rules: b.rules, Tenant: 9}}); got != 1 {
-		t.Errorf("unknown tenant: %v", got)
+		t.Errorf("weight %v for an unknown tenant, want 1", got)
 	}
 }
 
-// At a start only few endpoints have answered; they must not get everything.
-func TestFewReportsDoNotAttractAll(t *testing.T) {
-	b, r := start(t, testSettings(), ready(8))
+// After the start few endpoints have reported. They must not get all requests.
+func TestSingleReportDoesNotAttractAllRequests(t *testing.T) {
+	b, r := startBalancer(t, testSettings(), readyEndpoints(8))
 	b.ProbeCompleted(1000, 3, OK, 500, []float32{0})
 	for id := range uint64(24) {
-		b.Request(2000, request0(id, 0, 2000))
+		b.Request(2000, testRequest(id, 0, 2000))
 	}
 	seen := map[uint32]int{}
 	for _, s := range r.sends {
 		seen[s.endpoint]++
 	}
 	if len(r.sends) != 24 || len(seen) < 4 || seen[3] > 12 {
-		t.Errorf("%d sends, by endpoint %v", len(r.sends), seen)
+		t.Errorf("%d requests sent, by endpoint %v; want 24, to at least 4 endpoints, and at most 12 to endpoint 3",
+			len(r.sends), seen)
 	}
 }
 
-// While reports are late, averages decide; they must not refuse what an
-// endpoint that they cannot show would serve.
+// While reports are late, averages replace them. They do not show which endpoints have little load, so that they must
+// not cause rejections before the whole latency objective is used.
 func TestLateReportsAllowTheFullLatencyObjective(t *testing.T) {
-	b, _ := start(t, testSettings(), ready(1))
-	r := &request{Request: request0(1, 0, 0), work: 50_000}
+	b, _ := startBalancer(t, testSettings(), readyEndpoints(1))
+	r := &request{Request: testRequest(1, 0, 0), work: 50_000}
 	r.Rules = b.rules
 	b.classes[0].demand.add(0, 1)
 	before := b.latencyBudget(0, r, b.endpoints[0])
 	b.reportsLate = true
 	if after := b.latencyBudget(0, r, b.endpoints[0]); after <= before ||
 		after != float64(b.settings.Classes[0].LatencyObjective) {
-		t.Errorf("limit %v before, %v while late", before, after)
+		t.Errorf("latency budget %v, and %v while reports are late, want the latency objective", before, after)
 	}
 }
 
-// What a cold endpoint can do grows with its warmth, and so must what is
-// expected of it, also once its pace has been learned.
+// The predictions for an endpoint in slow start must follow its capacity, also once its pace has been learned.
 func TestPredictionIsHigherDuringSlowStart(t *testing.T) {
-	b, _ := start(t, testSettings(), ready(2))
+	b, _ := startBalancer(t, testSettings(), readyEndpoints(2))
 	b.UpdateEndpoints(1000, ListDelta, []Endpoint{{ID: 9, State: Ready, StartTime: 1000}})
 	e := b.byID[9]
-	if got := e.currentPace(1000, b); !near(got, 5) { // warmth 0.2
-		t.Errorf("pace %v just started", got)
+	if got := e.currentPace(1000, b); !approxEqual(got, 5) { // capacity 0.2
+		t.Errorf("pace %v at the start, want 5", got)
 	}
 	e.pace, e.paceLearnedAt = ewma{value: 2, samples: settledSamples}, 6*second
-	if got := e.currentPace(6*second, b); got < 2.9 || got > 3 { // warmth 0.68
-		t.Errorf("pace %v half way", got)
+	if got := e.currentPace(6*second, b); got < 2.9 || got > 3 { // capacity 0.68
+		t.Errorf("pace %v half way through slow start, want 2.9 to 3", got)
 	}
 	if got := e.currentPace(12*second, b); got > 2 {
-		t.Errorf("pace %v once warm", got)
+		t.Errorf("pace %v after slow start, want at most 2", got)
 	}
 }
 
-// A stuck endpoint must not look idle while its answers are merely missing.
-func TestSilentEndpointIsLeftBeforeAveragesShowIt(t *testing.T) {
+// An endpoint that stops answering must not seem idle because no slow answers are counted: it must be avoided while it
+// is silent.
+func TestSilentEndpointIsAvoidedBeforeAveragesShowIt(t *testing.T) {
 	s := testSettings()
 	s.Limits.HedgedRequests = false
-	b, r := start(t, s, ready(2))
+	b, r := startBalancer(t, s, readyEndpoints(2))
 	b.ProbeCompleted(1000, 1, OK, 500, []float32{0})
 	b.ProbeCompleted(1000, 2, OK, 500, []float32{2})
-	b.Request(1000, request0(1, 0, 1000))
+	b.Request(1000, testRequest(1, 0, 1000))
 	if r.sends[0].endpoint != 1 {
-		t.Fatal("not the idle endpoint")
+		t.Fatal("first request was not sent to the idle endpoint")
 	}
 	for id := range uint64(5) {
 		now := 300_000 + 1000*Micros(id)
-		b.Request(now, request0(10+id, 0, now))
+		b.Request(now, testRequest(10+id, 0, now))
 		last := r.sends[len(r.sends)-1]
 		if last.endpoint != 2 || last.id != 10+id {
-			t.Fatalf("request %d went to %d, silent for 0.3 s", last.id, last.endpoint)
+			t.Fatalf("request %d was sent to endpoint %d, which has been silent for 0.3 s", last.id, last.endpoint)
 		}
 		b.Outcome(now, Outcome{ID: last.id, Endpoint: 2, Status: OK, Latency: 900, Answered: true})
 	}
 	b.Outcome(310_000, Outcome{ID: 1, Endpoint: 1, Status: OK, Latency: 309_000, Answered: true})
 	if got := b.predict(310_000, b.byID[1], 1000); got > 100_000 {
-		t.Errorf("after its answer still %v expected", got)
+		t.Errorf("latency %v µs predicted after the endpoint answered, want at most 100000", got)
 	}
 }
 
-// When the whole fleet turns slow, an endpoint known as fast must be expected to be slow, too, and
-// must be trusted again soon after the recovery.
+// When the whole fleet becomes slow, an endpoint whose pace was fast must be predicted to be slow as well, and to be
+// fast again soon after the recovery.
 func TestFleetWideSlowdownIsLearnedAtOnce(t *testing.T) {
-	b, r := start(t, testSettings(), ready(4))
-	serve := func(from, step Micros, n int, times float64) {
+	b, r := startBalancer(t, testSettings(), readyEndpoints(4))
+	serve := func(from, step Micros, n int, factor float64) {
 		for i := range n {
 			now := from + step*Micros(i)
 			id := uint64(now)
-			b.ProbeCompleted(now, 1, OK, 500, []float32{9}) // the others serve
+			b.ProbeCompleted(now, 1, OK, 500, []float32{9}) // so that other endpoints get the requests
 			b.Request(now, Request{ID: id, Deadline: now + second, Hint: 10_000, HasHint: true})
 			if len(r.sends) == 0 || r.sends[len(r.sends)-1].id != id {
-				continue // refused
+				continue // rejected
 			}
-			latency := Micros(times * b.requests[id].attempts[0].expected)
+			latency := Micros(factor * b.requests[id].attempts[0].expectedLatency)
 			b.Outcome(now, Outcome{ID: id, Endpoint: r.sends[len(r.sends)-1].endpoint, Status: OK,
 				Latency: latency, Answered: true})
 		}
 	}
-	one := func(now Micros) float64 {
+	predictFirst := func(now Micros) float64 {
 		b.ProbeCompleted(now, 1, OK, 500, []float32{0})
 		b.byID[1].pace, b.byID[1].paceLearnedAt = ewma{1, settledSamples}, now
 		return b.predict(now, b.byID[1], 10_000)
 	}
 	serve(0, 1000, 50, 1)
-	before := one(60_000)
+	before := predictFirst(60_000)
 	serve(100_000, 1000, 15, 4)
-	if slow := one(120_000); slow < 2*before {
-		t.Errorf("expected %v before, %v after 15 outcomes of four times the prediction", before, slow)
+	if slow := predictFirst(120_000); slow < 2*before {
+		t.Errorf("predicted %v before, %v after 15 outcomes of four times the prediction, want at least twice as much",
+			before, slow)
 	}
-	// While all is refused only the forced passes, one a second, tell of the recovery.
+	// While all requests are rejected, only the forced passes, one per second, show the recovery.
 	serve(200_000, second/2, 80, 0.5)
-	if after := one(41 * second); after > 1.2*before {
-		t.Errorf("expected %v before, %v after the recovery", before, after)
+	if after := predictFirst(41 * second); after > 1.2*before {
+		t.Errorf("predicted %v before, %v after the recovery, want at most 1.2 times as much", before, after)
 	}
 }
 
-// A hint must count for as much as it tells, or idle endpoints refuse what is only said to be large.
+// The weight of hints must follow how well they predict the work. Otherwise requests with a large but wrong hint would
+// be rejected although endpoints are idle.
 func TestHintTrustIsLearned(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		latency  func(hint Micros) Micros
 		from, to float64
 	}{
-		{"hints tell nothing", func(Micros) Micros { return 20_000 }, 0, 0.15},
-		{"hints tell all", func(hint Micros) Micros { return hint }, 0.85, 1},
+		{"work is independent of hints", func(Micros) Micros { return 20_000 }, 0, 0.15},
+		{"work equals hints", func(hint Micros) Micros { return hint }, 0.85, 1},
 	} {
-		b, r := start(t, testSettings(), ready(4))
+		b, r := startBalancer(t, testSettings(), readyEndpoints(4))
 		hints := randSource(3)
 		for i := range 4000 {
 			now := 10_000 * Micros(i)
@@ -323,27 +328,28 @@
 			}
 		}
 		if b.hintTrust < c.from || b.hintTrust > c.to {
-			t.Errorf("%s: trust %.2f, want %.2f to %.2f", c.name, b.hintTrust, c.from, c.to)
+			t.Errorf("%s: hint exponent %.2f, want %.2f to %.2f", c.name, b.hintTrust, c.from, c.to)
 		}
 	}
 }
 
-// A balancer that refuses everything must still learn when it may stop.
+// A balancer that rejects all requests must go on probing, or it would not learn when it may stop rejecting.
 func TestProbesContinueWhileAllIsRejected(t *testing.T) {
 	s := testSettings()
 	s.Prices.Probe = probeCostShare // one probe a request
-	b, _ := start(t, s, ready(4))
+	b, _ := startBalancer(t, s, readyEndpoints(4))
 	for i := range 1000 {
 		b.demand.add(5000*Micros(i), 1)
 	}
 	now := 5 * second
 	b.rejectionRate.value = 0
 	all := b.probeRate(now)
-	for _, c := range []struct{ refused, want float64 }{{0.5, 0.5}, {0.9, minAdmittedShare}, {1,
+	for _, c := range []struct{ rejectionRate, want float64 }{{0.5, 0.5}, {0.9, minAdmittedShare}, {1,
 		minAdmittedShare}} {
-		b.rejectionRate.value = c.refused
+		b.rejectionRate.value = c.rejectionRate
 		if got := b.probeRate(now) / all; math.Abs(got-c.want) > 0.001 {
-			t.Errorf("refused %v: %v of the pace, want %v", c.refused, got, c.want)
+			t.Errorf("rejection rate %v: %v of the probe rate without rejections, want %v",
+				c.rejectionRate, got, c.want)
 		}
 	}
 }
--- a/balancer/polling.go
+++ b/balancer/polling.go
@@ -1,32 +1,32 @@
 package balancer
 
-// Discovery is polled again after a failed call, with exponential backoff and jitter. The interval counts from the
-// beginning of the call, so that the time for which a call hung adds nothing to it.
+// After a failed call discovery is polled again, with exponential backoff and jitter. The backoff counts from the start
+// of the call, so that a call that hangs before it fails does not lengthen the interval.
 const (
-	MinPollInterval = second / 10    // a pause is half of its interval to one and a half times as long
-	MaxPollInterval = 3 * second / 2 // whatever Contract.PollInterval is
-	PollJitter      = second / 4     // at most, after a call that took its whole interval
+	MinPollInterval = second / 10    // shortest backoff; jitter makes a delay 0.5 to 1.5 times its backoff
+	MaxPollInterval = 3 * second / 2 // longest backoff, whatever Contract.PollInterval is
+	PollJitter      = second / 4     // longest delay after a call that took its whole backoff to fail
 )
 
-// schedulePoll polls discovery after a delay, unless subscribed by then.
+// schedulePoll schedules a poll of discovery after a delay. It is skipped if the balancer is subscribed by then.
 func (b *Balancer) schedulePoll(now, delay Micros) {
 	b.nextPollAt = now + delay
-	b.out.Timer(delay, tokenDiscovery)
+	b.actions.Timer(delay, tokenDiscovery)
 }
 
-// poll subscribes to discovery if that is due.
+// poll subscribes to discovery if a poll is due.
 func (b *Balancer) poll(now Micros) {
 	if !b.settings.Subscribe || b.subscribed || now < b.nextPollAt {
 		return
 	}
-	b.out.Watch(true)
+	b.actions.Watch(true)
 	b.lastPollAt = now
-	// The answer may be lost: without another poll no list would ever come.
+	// The answer may be lost. Without another poll no list would ever arrive.
 	interval := b.settings.Contract.PollInterval
 	b.schedulePoll(now, max(MinPollInterval, interval/2)+b.rng.below(interval/4))
 }
 
-// retryPoll schedules another poll after a failed one.
+// retryPoll schedules another poll after a failed discovery call.
 func (b *Balancer) retryPoll(now Micros) {
 	if !b.settings.Subscribe {
 		return
--- a/balancer/probes.go
+++ b/balancer/probes.go
@@ -3,56 +3,57 @@
 import "slices"
 
 const (
-	maxProbeInterval    = second / 10 // between two rounds of probes
-	probeCostShare      = 0.005       // of the result that probes may cost
+	targetProbeInterval = second / 10 // between rounds; longer if the rate allows less than a probe in it
+	probeCostShare      = 0.005       // share of the result that probes may cost
 	maxProbesPerRequest = 4.0
-	minProbeRate        = 0.1 // probes a second
-	minAdmittedShare    = 0.3 // of the demand, by which the rate of probes goes
-	maxProbeBatch       = 3   // endpoints a round
-	maxProbeDraws       = 4 * maxProbeBatch
-	probeTimeout        = 5 * second // after which the answer to a probe is taken to be lost
-	maxPool             = 24         // load reports
-	minPoolAge          = second     // for which a report is fresh at least,
-	poolRounds          = 3          // and for so many turns of the pool,
-	maxPoolAge          = 30 * second
+	minProbeRate        = 0.1               // probes per second
+	minAdmittedShare    = 0.3               // least share of the demand that the probe rate follows
+	maxProbeBatch       = 3                 // endpoints per round
+	maxProbeDraws       = 4 * maxProbeBatch // random draws per round
+	probeTimeout        = 5 * second        // time after which the answer to a probe counts as lost
+	maxPool             = 24                // load reports in the pool
+	minPoolAge          = second            // a report stays fresh for at least this time
+	poolTurns           = 3                 // and for the time in which the pool is renewed this often
+	maxPoolAge          = 30 * second       // but no longer than this
 )
 
-// minPrice keeps divisions by a price of 0 finite.
+// minPrice keeps a division by a price of 0 finite.
 const minPrice = 1e-9
 
-// probeRate is the number of probes a second that the price of a probe allows.
+// probeRate returns the number of probes per second that the price of a probe allows.
 func (b *Balancer) probeRate(now Micros) float64 {
 	perRequest := min(maxProbesPerRequest, probeCostShare/max(minPrice, b.settings.Prices.Probe))
-	// The price counts per request. While all are rejected, reports must still show when the overload ends.
+	// The price is per request. While all requests are rejected, reports must still show when the overload ends.
 	return max(minProbeRate, perRequest*b.demand.rate(now)*max(minAdmittedShare, 1-b.rejectionRate.value))
 }
 
-// freshFor is how long a report in the pool may be used.
-func (b *Balancer) freshFor(now Micros) Micros {
-	turn := float64(min(maxPool, len(b.aperture(now)))) / b.probeRate(now) * float64(second)
-	return min(max(minPoolAge, Micros(poolRounds*turn)), maxPoolAge)
+// reportLifetime returns the time for which a report in the pool is fresh.
+func (b *Balancer) reportLifetime(now Micros) Micros {
+	poolTurn := float64(min(maxPool, len(b.aperture(now)))) / b.probeRate(now) * float64(second)
+	return min(max(minPoolAge, Micros(poolTurns*poolTurn)), maxPoolAge)
 }
 
-// probe asks an endpoint for its load, unless an answer is pending.
+// probe requests a load report from an endpoint, unless one is pending or the endpoint must not be probed.
 func (b *Balancer) probe(now Micros, e *endpoint) {
 	if !b.settings.Limits.Probes || !b.available(e) || e.probing {
 		return
 	}
 	e.probing = true
 	e.lastProbeAt = now
-	e.slowStartBudget -= probeCharge * b.classes[0].meanWork.value * indicator(e.isWarmingUp(now, b))
-	b.out.Probe(e.ID)
+	e.slowStartBudget -= probeWorkShare * b.classes[0].meanWork.value * indicator(e.isWarmingUp(now, b))
+	b.actions.Probe(e.ID)
 }
 
-// startProbeRound probes a few random endpoints and schedules the next round.
+// startProbeRound probes a few random endpoints and schedules the next round, with jitter.
 func (b *Balancer) startProbeRound(now Micros) {
 	rate := b.probeRate(now)
-	n := max(1, min(maxProbeBatch, int(rate*float64(maxProbeInterval)/float64(second))))
-	b.probeRandom(now, n, false)
-	b.out.Timer(1+Micros(float64(n)/rate*float64(second)*(0.5+b.rng.float())), tokenProbe)
+	batch := max(1, min(maxProbeBatch, int(rate*float64(targetProbeInterval)/float64(second))))
+	b.probeRandom(now, batch, false)
+	b.actions.Timer(1+Micros(float64(batch)/rate*float64(second)*(0.5+b.rng.float())), tokenProbe)
 }
 
-// probeRandom probes n random endpoints of the aperture. With forWaiting, waiting requests wait for their answers.
+// probeRandom probes up to n random endpoints of the aperture. With forWaiting, the waiting requests wait for these
+// probes, and ejected endpoints are left out.
 func (b *Balancer) probeRandom(now Micros, n int, forWaiting bool) {
 	aperture := b.aperture(now)
 	for draw := 0; n > 0 && draw < maxProbeDraws && len(aperture) > 0; draw++ {
@@ -74,7 +75,8 @@
 	}
 }
 
-// ProbeCompleted handles the answer to a probe, or its failure.
+// ProbeCompleted handles the end of a probe: the endpoint's load report, or a status other than OK. load has the
+// figures that Settings.Fields names, in that order. It is valid only during the call.
 func (b *Balancer) ProbeCompleted(now Micros, id uint32, status Status, latency Micros, load []float32) {
 	e := b.byID[id]
 	if e == nil {
@@ -94,10 +96,11 @@
 	}
 }
 
-// addToPool makes an endpoint's report the latest of the pool, in place of its earlier or the oldest one.
+// addToPool makes an endpoint's report the latest in the pool. It replaces the endpoint's earlier report or, if the
+// pool is full, the oldest report.
 func (b *Balancer) addToPool(e *endpoint) {
-	if at := slices.Index(b.pool, e); at >= 0 {
-		b.pool = slices.Delete(b.pool, at, at+1)
+	if index := slices.Index(b.pool, e); index >= 0 {
+		b.pool = slices.Delete(b.pool, index, index+1)
 	} else if len(b.pool) == maxPool {
 		b.pool = slices.Delete(b.pool, 0, 1)
 	}
--- a/balancer/random.go
+++ b/balancer/random.go
@@ -1,6 +1,6 @@
 package balancer
 
-// randSource is a SplitMix64 generator.
+// randSource is a SplitMix64 generator. Its value is its whole state, so that a snapshot can store it.
 type randSource uint64
 
 // float returns a number in [0,1).
@@ -12,7 +12,7 @@
 	return float64((z^z>>31)>>11) / (1 << 53)
 }
 
-// index returns a number in 0..n-1, 0 for n = 0.
+// index returns a random index below n, or 0 if n is 0.
 func (s *randSource) index(n int) int { return int(s.float() * float64(n)) }
 
 // below returns a duration in [0,d).
--- a/balancer/range_test.go
+++ b/balancer/range_test.go
@@ -5,67 +5,72 @@
 	"testing"
 )
 
-// An endpoint that answers in microseconds must not make time-outs that a busy machine's scheduler reaches, and
-// averages near nothing must not turn into no number.
-func TestInstantEndpoints(t *testing.T) {
+// Guards against two failures with endpoints that answer within microseconds: attempt timeouts so short that scheduling
+// on a busy machine exceeds them, and predictions that become NaN or infinite because an average is close to 0.
+func TestPredictionsAndTimeoutsOfVeryFastEndpoints(t *testing.T) {
 	for _, latency := range []Micros{0, 1, 20, 60, 400} {
 		s := testSettings()
 		s.Limits.Probes = false
-		b, r := start(t, s, ready(4))
+		b, r := startBalancer(t, s, readyEndpoints(4))
 		now := Micros(0)
 		for id := uint64(1); id <= 2000; id++ {
 			now += 100
-			b.Request(now, request0(id, 0, now))
+			b.Request(now, testRequest(id, 0, now))
 			if len(r.sends) != int(id) {
 				t.Fatalf("latency %d: request %d was not sent", latency, id)
 			}
-			if wait := r.waits[id-1]; wait != 0 && float64(wait) < minAttemptTimeout {
-				t.Fatalf("latency %d: request %d may take %d µs only", latency, id, wait)
+			if timeout := r.timeouts[id-1]; timeout != 0 && float64(timeout) < minAttemptTimeoutMicros {
+				t.Fatalf("latency %d: request %d has a timeout of only %d µs", latency, id, timeout)
 			}
 			now += latency
 			b.Outcome(now, Outcome{ID: id, Endpoint: r.sends[id-1].endpoint, Latency: latency, Answered: true})
 		}
 		for _, e := range b.endpoints {
-			if x := b.predict(now, e, b.meanWork.value); !(x >= 1) || math.IsInf(x, 0) {
-				t.Errorf("latency %d: endpoint %d is predicted to take %v", latency, e.ID, x)
+			if predicted := b.predict(now, e, b.meanWork.value); !(predicted >= 1) || math.IsInf(predicted, 0) {
+				t.Errorf("latency %d: predicted latency of endpoint %d is %v, want a finite number of at least 1",
+					latency, e.ID, predicted)
 			}
 		}
-		if w := b.classes[0].meanWork.value; !(w >= minWork) || math.IsInf(w, 0) {
-			t.Errorf("latency %d: a request's work is %v", latency, w)
+		if work := b.classes[0].meanWork.value; !(work >= minWork) || math.IsInf(work, 0) {
+			t.Errorf("latency %d: mean work is %v, want a finite number of at least minWork", latency, work)
 		}
 	}
 }
 
-// While requests are refused, a cold endpoint may get what its pace lets it do, and no more than this balancer's
-// part of that: what little is sent must not keep it idle.
+// While requests are rejected little is sent, which must not keep endpoints in slow start idle. Their budget must then
+// follow what an endpoint of their pace can do, divided among the balancers.
 func TestSlowStartBudgetGrowsWhileRejecting(t *testing.T) {
-	fill := func(refused float64, balancers int) float64 {
+	savedWork := func(rejectionRate float64, balancers int) float64 {
 		s := testSettings()
 		s.Balancers = balancers
-		b, _ := start(t, s, ready(6))
-		list := ready(6)
+		b, _ := startBalancer(t, s, readyEndpoints(6))
+		list := readyEndpoints(6)
 		for i := range 5 {
 			list[i].StartTime = second
 		}
 		b.UpdateEndpoints(2*second, ListFull, list)
-		b.fleetPace.add(1, 1) // one of work takes one of time
-		b.rejectionRate.value = refused
+		b.fleetPace.add(1, 1) // a unit of work takes a microsecond
+		b.rejectionRate.value = rejectionRate
 		e := b.byID[1]
 		if !e.isWarmingUp(2*second, b) {
-			t.Fatal("it is not cold")
+			t.Fatal("the restarted endpoint is not warming up")
 		}
 		e.slowStartBudget, e.budgetRefilledAt = 0, 2*second
-		b.sentWork.add(2*second, 100_000) // next to nothing
+		b.sentWork.add(2*second, 100_000) // very little
 		b.fitsSlowStartBudget(3*second, e, 1_000_000)
 		return e.slowStartBudget / (b.capacityShare * min(maxSlowStartRate,
 			slowStartShare*s.Contract.OverloadMultiple) * e.guaranteedCapacity(3*second, b))
 	}
-	quiet, half, busy, shared := fill(0, 2), fill(0.25, 2), fill(1, 2), fill(1, 8)
-	if want := assumedCores * float64(second) / 2; math.Abs(busy-want) > 0.02*want {
-		t.Errorf("while all is refused it may get %v a second, want %v", busy, want)
+	noneRejected, quarterRejected, allRejected, oneOfEight :=
+		savedWork(0, 2), savedWork(0.25, 2), savedWork(1, 2), savedWork(1, 8)
+	if want := assumedCores * float64(second) / 2; math.Abs(allRejected-want) > 0.02*want {
+		t.Errorf("budget of %v per second while all requests are rejected, want %v", allRejected, want)
 	}
-	if math.Abs(half-busy/2) > 0.02*busy || math.Abs(shared-busy/4) > 0.02*busy || quiet > busy/10 {
-		t.Errorf("it may get %v without refusals, %v with a quarter refused, %v as one of eight balancers",
-			quiet, half, shared)
+	if math.Abs(quarterRejected-allRejected/2) > 0.02*allRejected ||
+		math.Abs(oneOfEight-allRejected/4) > 0.02*allRejected ||
+		noneRejected > allRejected/10 {
+		t.Errorf("budget of %v without rejections, %v with a quarter rejected, %v as one of eight balancers",
+
+			noneRejected, quarterRejected, oneOfEight)
 	}
 }
--- a/balancer/reports.go
+++ b/balancer/reports.go
@@ -6,27 +6,27 @@
 )
 
 const (
-	rttWeight          = 0.25
-	serviceWeight      = 1.0 / maxPool
-	maxTypicalLoadStep = 2.0  // requests by which one report may exceed the typical load, as it is averaged
-	loadMemory         = 10.0 // mean works over which loads change
-	maxLateShare       = 0.1  // share of late reports above which averages are used in their place
-	shareWeight        = 0.02 // of one sample in a share
-	arrivalRTTs        = 5.0  // round trips after which an attempt has surely arrived
-	maxRepeatProbes    = 6    // endpoints that are probed twice to learn how often reports are renewed
+	rttWeight          = 0.25          // of a probe's round trip in the average
+	serviceTimeWeight  = 1.0 / maxPool // of one report in the average
+	maxTypicalLoadStep = 2.0           // requests above the typical load that one report counts for, at most
+	loadDecayWorks     = 10.0          // time constant in which a report loses relevance, in mean works
+	maxLateShare       = 0.1           // share of late reports above which averages replace reports
+	shareSampleWeight  = 0.02          // of one sample in the average of a share
+	arrivalRTTs        = 5.0           // round trips after which an attempt counts as arrived at the endpoint
+	maxRepeatProbes    = 6             // endpoints that are probed twice to learn how often reports change
 	repeatProbeChance  = 0.5
 	microsPerMilli     = 1000
 )
 
-// loadReport is what a load report says.
+// loadReport is a parsed load report.
 type loadReport struct {
-	held        float64 // requests at the endpoint
-	counted     bool    // held counts all; else only the queue was reported, and those at work are assumed
-	hasLoad     bool
-	serviceTime float64 // microseconds, or -1
+	inflight         float64 // requests in flight or queued at the endpoint
+	inflightReported bool    // inflight was reported; else it is estimated from the queue
+	hasLoad          bool    // inflight is known
+	serviceTime      float64 // microseconds; -1 if not reported
 }
 
-// parseReport reads the figures of a load report. Negative, infinite and NaN figures are skipped.
+// parseReport reads a load report whose figures are named by fields. Negative, infinite and NaN figures are skipped.
 func parseReport(fields []Field, load []float32) loadReport {
 	report := loadReport{serviceTime: -1}
 	queue := -1.0
@@ -37,27 +37,28 @@
 		}
 		switch f {
 		case FieldInflight:
-			report.held = v
-			report.counted = true
+			report.inflight = v
+			report.inflightReported = true
 		case FieldQueue:
 			queue = v
 		case FieldLatency:
 			report.serviceTime = microsPerMilli * v
 		}
 	}
-	if !report.counted && queue >= 0 {
-		report.held = queue + assumedCores*indicator(queue >= 1)
+	if !report.inflightReported && queue >= 0 {
+		report.inflight = queue + assumedCores*indicator(queue >= 1)
 	}
-	report.hasLoad = report.counted || queue >= 0
+	report.hasLoad = report.inflightReported || queue >= 0
 	return report
 }
 
-// recordReport takes an endpoint's answer to a probe into the pool and the averages.
+// recordReport handles a load report of e: it updates the averages and, if the report has a load, the pool. latency is
+// the round-trip time of the probe.
 func (b *Balancer) recordReport(now Micros, e *endpoint, latency Micros, load []float32) {
 	e.rtt.add(float64(latency), rttWeight)
 	report := parseReport(b.settings.Fields, load)
 	if report.serviceTime >= 0 {
-		b.serviceTime.add(report.serviceTime, serviceWeight)
+		b.serviceTime.add(report.serviceTime, serviceTimeWeight)
 	}
 	if report.hasLoad {
 		b.measureReportInterval(now, e, load)
@@ -65,25 +66,25 @@
 		e.hasLoad = true
 		e.lastReportAt = now
 		b.addToPool(e)
-		e.othersLoad = max(0, report.held-float64(e.inflight))
+		e.othersLoad = max(0, report.inflight-float64(e.inflight))
 		e.ownAtReport = e.inflight
-		// One endpoint that is jammed, or that was probed a moment ago, says little of the others.
+		// One overloaded endpoint, or one that was probed a moment ago, says little about the others.
 		b.typicalLoad.add(min(e.othersLoad, b.typicalLoad.value+maxTypicalLoadStep),
 			novelty/float64(min(maxPool, len(b.aperture(now)))))
 	}
-	if report.counted {
-		b.checkReportLate(now, e, report.held)
+	if report.inflightReported {
+		b.checkReportLate(now, e, report.inflight)
 	}
 }
 
-// checkReportLate compares a report with this balancer's own requests there: one that counts fewer is late, unless
-// some are still on their way. If that happens often the pool misleads, and averages are used in its place.
-func (b *Balancer) checkReportLate(now Micros, e *endpoint, held float64) {
+// checkReportLate compares a report with this balancer's own requests at the endpoint. A report of fewer requests is
+// late, unless some of them may not have arrived yet. If many reports are late, averages replace them in load.
+func (b *Balancer) checkReportLate(now Micros, e *endpoint, reported float64) {
 	own := e.inflight - e.streaming
 	if own <= 0 || float64(now-e.lastSendAt) <= arrivalRTTs*e.rtt.value {
 		return
 	}
-	b.lateReports.add(indicator(held+0.5 < float64(own)), shareWeight)
+	b.lateReports.add(indicator(reported+0.5 < float64(own)), shareSampleWeight)
 	late := b.lateReports.value
 	if late > maxLateShare && !b.reportsLate || late < maxLateShare/3 && b.reportsLate {
 		b.reportsLate = !b.reportsLate
@@ -92,8 +93,9 @@
 	}
 }
 
-// measureReportInterval learns how often reports are renewed. At first some endpoints are probed again after a short
-// while: a quiet balancer has no requests of its own there by which to see that a report is late.
+// measureReportInterval learns how often the endpoints renew their reports. After the start some endpoints are probed
+// twice in short succession, since a balancer with little traffic has no requests of its own at an endpoint by which to
+// see that a report is late.
 func (b *Balancer) measureReportInterval(now Micros, e *endpoint, load []float32) {
 	var sum float32
 	for i, v := range load {
@@ -108,15 +110,16 @@
 	if b.repeatProbes < maxRepeatProbes && sum > 0 && b.rng.float() < repeatProbeChance {
 		b.repeatProbes++
 		b.repeatProbed = e.ID
-		b.out.Timer(1+Micros(recentWorks*b.meanWork.value/2), tokenRepeatProbe)
+		b.actions.Timer(1+Micros(recentWorks*b.meanWork.value/2), tokenRepeatProbe)
 	}
 }
 
-// meanReportInterval is the mean time between two reports of an endpoint, as far as it is known.
+// meanReportInterval returns the mean time, in microseconds, between changes of an endpoint's report; 0 before any
+// observation.
 func (b *Balancer) meanReportInterval() float64 { return b.reportTime / max(1, b.reportChanges) }
 
-// reportRelevance is how much e's latest report still says of its load: 1 for all, 0 for nothing.
+// reportRelevance returns the weight of e's latest report in the estimate of its load: 1 for a new report, 0 for none.
 func (b *Balancer) reportRelevance(now Micros, e *endpoint) float64 {
 	age := float64(now-e.lastReportAt) + b.meanReportInterval()/2
-	return indicator(e.hasLoad) * math.Exp(-age/(loadMemory*b.meanWork.value))
+	return indicator(e.hasLoad) * math.Exp(-age/(loadDecayWorks*b.meanWork.value))
 }
--- a/balancer/restore.go
+++ b/balancer/restore.go
@@ -6,34 +6,36 @@
 )
 
 const (
-	maxRestoreAge = 300 * second // an older snapshot says less than the first second of traffic
-	restoreDecay  = window       // time constant in which belief in passing conditions fades
+	maxRestoreAge          = 300 * second  // an older snapshot tells less than the first second of traffic
+	confidenceTimeConstant = breakerWindow // of the confidence in conditions that pass, such as failures
 )
 
-// Restore takes from the snapshot of an earlier process, taken age ago, what is still worth believing, and returns
-// the number of endpoints that it knew. It is to be called once the list is known and before anything is sent. If
-// that process had trouble with most endpoints, the cause was not theirs or is over: its record of failures is
-// dropped.
+// Restore takes over what is still valid from the snapshot of an earlier process, which was taken age ago, and returns
+// the number of listed endpoints that the snapshot has. Call it once the endpoint list is known and before anything is
+// sent. A snapshot older than maxRestoreAge is ignored. If most endpoints were failing for the earlier process, the
+// cause was not the endpoints or is over by now, so that no failures are taken over.
+//
+// The error is a *SettingError or a *SnapshotError.
 func (b *Balancer) Restore(now Micros, s *Snapshot, age Micros) (int, error) {
-	old, err := s.balancer(now-age, nil)
+	old, err := s.buildBalancer(now-age, nil)
 	if err != nil || age < 0 || age > maxRestoreAge {
 		return 0, err
 	}
-	belief := math.Exp(-float64(age) / float64(restoreDecay))
+	confidence := math.Exp(-float64(age) / float64(confidenceTimeConstant))
 	if old.mostlyFailing(now) {
-		belief = 0
+		confidence = 0
 	}
-	b.restoreAverages(old, belief)
-	b.restoreClasses(old, belief)
+	b.restoreAverages(old, confidence)
+	b.restoreClasses(old, confidence)
 	known := 0
-	for _, was := range old.endpoints {
-		e := b.byID[was.ID]
-		if e == nil || e.StartTime != was.StartTime || e.State == Removed {
-			continue // a new process has taken its place
+	for _, oldEndpoint := range old.endpoints {
+		e := b.byID[oldEndpoint.ID]
+		if e == nil || e.StartTime != oldEndpoint.StartTime || e.State == Removed {
+			continue // not listed, or a new process has replaced it
 		}
 		known++
-		b.restoreEndpoint(now, e, was, belief > 0)
-		b.restoreFailures(old, e, was, belief > 0)
+		b.restoreEndpoint(now, e, oldEndpoint, confidence > 0)
+		b.restoreFailures(old, e, oldEndpoint, confidence > 0)
 	}
 	slices.SortStableFunc(b.pool, func(x, y *endpoint) int { return int(x.lastReportAt - y.lastReportAt) })
 	b.pool = b.pool[max(0, len(b.pool)-maxPool):]
@@ -51,7 +53,8 @@
 	return 2*failing > len(b.endpoints)
 }
 
-func (b *Balancer) restoreAverages(old *Balancer, belief float64) {
+// restoreAverages takes over the averages of all traffic. confidence, from 0 to 1, is that in passing conditions.
+func (b *Balancer) restoreAverages(old *Balancer, confidence float64) {
 	b.fleetPace = old.fleetPace
 	b.meanWork = old.meanWork
 	b.serviceTime = old.serviceTime
@@ -65,65 +68,67 @@
 	b.sentWork = old.sentWork
 	b.hintTrust = old.hintTrust
 	b.slowStartCorrection = old.slowStartCorrection
-	b.latencyTrend = math.Pow(old.latencyTrend, belief)
-	b.rejectionRate.value = old.rejectionRate.value * belief
-	b.retryBudget = maxRetryBudget + (min(maxRetryBudget, old.retryBudget)-maxRetryBudget)*belief
+	b.latencyTrend = math.Pow(old.latencyTrend, confidence)
+	b.rejectionRate.value = old.rejectionRate.value * confidence
+	b.retryBudget = maxRetryBudget + (min(maxRetryBudget, old.retryBudget)-maxRetryBudget)*confidence
 	b.capacityValidUntil = 0
 }
 
-func (b *Balancer) restoreClasses(old *Balancer, belief float64) {
+// restoreClasses takes over the statistics of classes and tenants of the same name.
+func (b *Balancer) restoreClasses(old *Balancer, confidence float64) {
 	for i := range b.classes {
 		c := &b.classes[i]
-		for _, was := range old.classes {
-			if !was.inUse || was.name != c.name {
+		for _, oldClass := range old.classes {
+			if !oldClass.inUse || oldClass.name != c.name {
 				continue
 			}
-			c.meanWork = was.meanWork
-			c.demand = was.demand
-			c.onTime = was.onTime
-			c.onTime.value = 1 - (1-c.onTime.value)*belief
+			c.meanWork = oldClass.meanWork
+			c.demand = oldClass.demand
+			c.onTime = oldClass.onTime
+			c.onTime.value = 1 - (1-c.onTime.value)*confidence
 		}
 	}
 	for i, t := range b.settings.Tenants {
-		if at := tenantIndex(old.settings.Tenants, t.Name); at >= 0 {
-			b.tenantDemand[i] = old.tenantDemand[at]
+		if index := tenantIndex(old.settings.Tenants, t.Name); index >= 0 {
+			b.tenantDemand[i] = old.tenantDemand[index]
 		}
 	}
 }
 
-// restoreEndpoint takes over what was known of an endpoint, failures only if withFailures is set.
-func (b *Balancer) restoreEndpoint(now Micros, e, was *endpoint, withFailures bool) {
-	if was.isWarmingUp(now, b) {
+// restoreEndpoint takes over the state of an endpoint: the breaker's outcomes only if withFailures is set, and never
+// attempts in flight.
+func (b *Balancer) restoreEndpoint(now Micros, e, old *endpoint, withFailures bool) {
+	if old.isWarmingUp(now, b) {
 		e.warmingUp = true
-		e.slowStartAt = was.slowStartAt
-		e.slowStartBudget = was.slowStartBudget
-		e.budgetRefilledAt = was.budgetRefilledAt
+		e.slowStartAt = old.slowStartAt
+		e.slowStartBudget = old.slowStartBudget
+		e.budgetRefilledAt = old.budgetRefilledAt
 	}
-	e.rtt = was.rtt
-	e.pace = was.pace
-	e.paceLearnedAt = was.paceLearnedAt
-	e.breaker = was.breaker
+	e.rtt = old.rtt
+	e.pace = old.pace
+	e.paceLearnedAt = old.paceLearnedAt
+	e.breaker = old.breaker
 	if !withFailures {
-		e.breaker = breaker{base: was.breaker.base, current: was.breaker.base}
+		e.breaker = breaker{baseLatency: old.breaker.baseLatency, currentLatency: old.breaker.baseLatency}
 	}
-	if was.hasLoad && !e.hasLoad && b.available(e) {
+	if old.hasLoad && !e.hasLoad && b.available(e) {
 		e.hasLoad = true
-		e.reportSum = was.reportSum
-		e.lastReportAt = was.lastReportAt
-		// The earlier process's requests may still be there, and to this one they are others'.
-		e.othersLoad = was.othersLoad + float64(was.inflight)
+		e.reportSum = old.reportSum
+		e.lastReportAt = old.lastReportAt
+		// Requests of the earlier process may still be there. For this process they are other balancers' load.
+		e.othersLoad = old.othersLoad + float64(old.inflight)
 		b.pool = append(b.pool, e)
 	}
 }
 
-// restoreFailures takes over an endpoint's failure runs. None is on trial: the outcome of that attempt will not
-// come here.
-func (b *Balancer) restoreFailures(old *Balancer, e, was *endpoint, withFailures bool) {
+// restoreFailures takes over an endpoint's failure runs if withFailures is set. None is on trial, since the outcome of
+// the earlier process's attempt is not reported to this one.
+func (b *Balancer) restoreFailures(old *Balancer, e, oldEndpoint *endpoint, withFailures bool) {
 	e.failures = failureRun{}
 	e.partFailures = b.newPartFailures()
 	if withFailures {
-		e.failures = was.failures
-		e.partFailures = b.translateFailures(old, was)
+		e.failures = oldEndpoint.failures
+		e.partFailures = b.translateFailures(old, oldEndpoint)
 	}
 	e.failures.onTrial = false
 	e.ejectedUntil = e.failures.ejectedUntil
@@ -133,27 +138,28 @@
 	}
 }
 
-// translateFailures returns an endpoint's failure runs by the classes and tenants of this balancer, from those of
-// another.
+// translateFailures returns the failure runs of an endpoint of the old balancer, at the indices of the same classes and
+// tenants in this one.
 func (b *Balancer) translateFailures(old *Balancer, e *endpoint) []failureRun {
 	runs := b.newPartFailures()
 	for part, run := range e.partFailures {
-		if to := b.translatePart(old, part); to >= 0 {
-			runs[to] = run
+		if newPart := b.translatePart(old, part); newPart >= 0 {
+			runs[newPart] = run
 		}
 	}
 	return runs
 }
 
-// translatePart returns the index of the class or tenant that has an index in another balancer, or -1.
+// translatePart returns the index in partFailures of the class or tenant that has index part in the old balancer, or -1
+// if this balancer does not have it.
 func (b *Balancer) translatePart(old *Balancer, part int) int {
 	if part < len(old.classes) {
 		name := old.classes[part].name
 		return slices.IndexFunc(b.classes, func(c classStats) bool { return c.inUse && c.name == name })
 	}
-	to := tenantIndex(b.settings.Tenants, old.settings.Tenants[part-len(old.classes)].Name)
-	if to < 0 {
+	tenant := tenantIndex(b.settings.Tenants, old.settings.Tenants[part-len(old.classes)].Name)
+	if tenant < 0 {
 		return -1
 	}
-	return len(b.classes) + to
+	return len(b.classes) + tenant
 }
--- a/balancer/resume.go
+++ b/balancer/resume.go
@@ -6,42 +6,43 @@
 	"slices"
 )
 
-// Resume returns a balancer that continues exactly as the one in the snapshot would: given the same events at the
-// same instants, it asks the same of out. The error is a *SettingError or a *SnapshotError.
-func Resume(s *Snapshot, out Actions) (*Balancer, error) { return s.balancer(s.At, out) }
+// Resume returns a balancer that continues exactly as the one in the snapshot would: given the same events at the same
+// instants, it calls out in the same way. For that the snapshot must have been made with requests. The error is a
+// *SettingError or a *SnapshotError.
+func Resume(s *Snapshot, out Actions) (*Balancer, error) { return s.buildBalancer(s.At, out) }
 
-// balancer makes a balancer for which the snapshot's instant is now.
-func (s *Snapshot) balancer(now Micros, out Actions) (*Balancer, error) {
+// buildBalancer makes a balancer from a snapshot, in which now takes the place of the snapshot's instant.
+func (s *Snapshot) buildBalancer(now Micros, out Actions) (*Balancer, error) {
 	if err := s.check(); err != nil {
 		return nil, err
 	}
-	b := s.averages(now, out)
+	b := s.buildBase(now, out)
 	rules := make([]*Rules, len(s.Rules))
 	for i, r := range s.Rules {
-		rules[i] = &Rules{settings: r.Settings, slots: slices.Clone(r.Slots)}
+		rules[i] = &Rules{settings: r.Settings, classSlots: slices.Clone(r.Slots)}
 	}
 	b.rules = rules[0]
 	s.addEndpoints(b, now)
-	for _, x := range s.Logged {
-		b.lastLogged[x.Topic] = now - x.Age
+	for _, logged := range s.Logged {
+		b.lastLogged[logged.Topic] = now - logged.Age
 	}
 	for i := range s.Slots {
 		s.addRequest(b, now, i, rules)
 	}
-	for _, at := range s.Free {
-		b.freeSlots = append(b.freeSlots, b.slots[at])
+	for _, slot := range s.Free {
+		b.freeRequestSlots = append(b.freeRequestSlots, b.requestSlots[slot])
 	}
-	for _, at := range s.Waiting {
-		b.waiting = append(b.waiting, b.slots[at])
+	for _, slot := range s.Waiting {
+		b.waiting = append(b.waiting, b.requestSlots[slot])
 	}
 	return b, nil
 }
 
-// averages makes a balancer without endpoints and requests.
-func (s *Snapshot) averages(now Micros, out Actions) *Balancer {
+// buildBase makes the balancer without its endpoints and requests.
+func (s *Snapshot) buildBase(now Micros, out Actions) *Balancer {
 	b := &Balancer{
 		settings:            s.Rules[0].Settings,
-		out:                 out,
+		actions:             out,
 		rng:                 randSource(s.Random),
 		requests:            map[uint64]*request{},
 		byID:                map[uint32]*endpoint{},
@@ -81,7 +82,7 @@
 		b.classes = append(b.classes, classStats{
 			name:           c.Name,
 			inUse:          c.InUse,
-			open:           c.Open,
+			records:        c.Open,
 			priorityWeight: c.PriorityWeight,
 			meanWork:       c.Work.ewma(),
 			demand:         c.Demand.meter(now),
@@ -95,18 +96,18 @@
 	return b
 }
 
-// addEndpoints adds the endpoints, and what refers to them, to a balancer.
+// addEndpoints adds the endpoints to a balancer, and the lists that refer to them.
 func (s *Snapshot) addEndpoints(b *Balancer, now Micros) {
 	for i := range s.Endpoints {
 		e := s.Endpoints[i].endpoint(now, b.newPartFailures())
 		b.endpoints = append(b.endpoints, e)
 		b.byID[e.ID] = e
 	}
-	for _, at := range s.Pool {
-		b.pool = append(b.pool, b.endpoints[at])
+	for _, index := range s.Pool {
+		b.pool = append(b.pool, b.endpoints[index])
 	}
-	for _, at := range s.Aperture {
-		b.apertureList = append(b.apertureList, b.endpoints[at])
+	for _, index := range s.Aperture {
+		b.apertureList = append(b.apertureList, b.endpoints[index])
 	}
 	if len(b.apertureList) == 0 {
 		b.apertureList = slices.Clone(b.endpoints)
@@ -115,58 +116,58 @@
 		b.drainedAt[d.ID] = now - d.Age
 	}
 	for _, u := range s.Undrained {
-		b.undrained = append(b.undrained, undrainedEndpoint{id: u.ID, at: now - u.Age})
+		b.undrained = append(b.undrained, undrainedEndpoint{id: u.ID, undrainedAt: now - u.Age})
 	}
 }
 
-// addRequest adds the record in a slot to a balancer.
+// addRequest adds the record in a request slot to a balancer.
 func (s *Snapshot) addRequest(b *Balancer, now Micros, slot int, rules []*Rules) {
-	x := &s.Slots[slot]
-	r := &request{token: x.Token, ended: true}
-	b.slots = append(b.slots, r)
+	state := &s.Slots[slot]
+	r := &request{token: state.Token, ended: true}
+	b.requestSlots = append(b.requestSlots, r)
 	if slices.Contains(s.Free, slot) {
 		return
 	}
 	*r = request{
 		Request: Request{
-			ID:            x.ID,
-			Deadline:      now - x.Deadline,
-			Hint:          x.Hint,
-			HasHint:       x.HasHint,
-			Retry:         x.Retry,
-			Write:         x.Write,
-			BodyStreaming: x.BodyStreaming,
-			Tenant:        x.Tenant,
-			Class:         x.Class,
-			Rules:         rules[x.Rules],
+			ID:            state.ID,
+			Deadline:      now - state.Deadline,
+			Hint:          state.Hint,
+			HasHint:       state.HasHint,
+			Retry:         state.Retry,
+			Write:         state.Write,
+			BodyStreaming: state.BodyStreaming,
+			Tenant:        state.Tenant,
+			Class:         state.Class,
+			Rules:         rules[state.Rules],
 		},
-		token:          x.Token,
-		slot:           x.Slot,
-		arrivedAt:      now - x.Arrived,
-		work:           x.Work,
-		logHint:        x.LogHint,
-		cachedPriority: x.Priority,
-		priorityAt:     now - x.PriorityAge,
-		waiting:        x.Waiting,
-		ended:          x.Ended,
-		responding:     x.Responding,
-		onTime:         x.OnTime,
+		token:          state.Token,
+		classSlot:      state.Slot,
+		arrivedAt:      now - state.Arrived,
+		work:           state.Work,
+		logHint:        state.LogHint,
+		cachedPriority: state.Priority,
+		priorityAt:     now - state.PriorityAge,
+		waiting:        state.Waiting,
+		ended:          state.Ended,
+		responding:     state.Responding,
+		onTime:         state.OnTime,
 	}
-	for _, a := range x.Attempts {
-		to := &endpoint{partFailures: b.newPartFailures()}
+	for _, a := range state.Attempts {
+		target := &endpoint{partFailures: b.newPartFailures()}
 		if a.Endpoint != forgottenEndpoint {
-			to = b.endpoints[a.Endpoint]
+			target = b.endpoints[a.Endpoint]
 		}
 		r.attempts = append(r.attempts, attempt{
-			endpoint:     to,
-			zone:         a.Zone,
-			cell:         a.Cell,
-			sentAt:       now - a.Age,
-			expected:     a.Expected,
-			expectedWork: a.ExpectedWork,
-			pending:      a.Pending,
-			streaming:    a.Streaming,
-			mayHaveRun:   a.MayHaveRun,
+			endpoint:        target,
+			zone:            a.Zone,
+			cell:            a.Cell,
+			sentAt:          now - a.Age,
+			expectedLatency: a.Expected,
+			expectedWork:    a.ExpectedWork,
+			pending:         a.Pending,
+			streaming:       a.Streaming,
+			mayHaveRun:      a.MayHaveRun,
 		})
 		if a.Pending {
 			r.pending++
@@ -174,7 +175,7 @@
 	}
 	b.requests[r.ID] = r
 	if !r.ended {
-		b.open++
+		b.openRequests++
 	}
 }
 
@@ -184,10 +185,10 @@
 	if m.Sum == 0 {
 		return rateMeter{}
 	}
-	return rateMeter{sum: m.Sum, at: now - m.Age}
+	return rateMeter{sum: m.Sum, updatedAt: now - m.Age}
 }
 
-// endpoint makes an endpoint from its state.
+// endpoint makes the record of an endpoint from its state.
 func (s *EndpointState) endpoint(now Micros, partFailures []failureRun) *endpoint {
 	e := &endpoint{
 		Endpoint: Endpoint{
@@ -222,68 +223,69 @@
 		partFailures:     partFailures,
 		breaker:          s.breaker(now),
 	}
-	for _, x := range s.FailureRuns {
+	for _, runState := range s.FailureRuns {
 		run := failureRun{
-			streak:           x.Streak,
-			ejectedUntil:     now - x.EjectedUntil,
-			ejectionDuration: x.EjectionDuration,
-			onTrial:          x.Trial,
+			streak:           runState.Streak,
+			ejectedUntil:     now - runState.EjectedUntil,
+			ejectionDuration: runState.EjectionDuration,
+			onTrial:          runState.Trial,
 		}
-		if x.Part == allParts {
+		if runState.Part == allTraffic {
 			e.failures = run
 		} else {
-			e.partFailures[x.Part] = run
+			e.partFailures[runState.Part] = run
 		}
 	}
 	return e
 }
 
-// breaker makes a breaker from an endpoint's state.
+// breaker makes the circuit breaker from an endpoint's state.
 func (s *EndpointState) breaker(now Micros) breaker {
 	k := breaker{
-		head:         now/(window/bucketCount) - s.Head,
-		base:         s.Base,
-		current:      s.Current,
-		lastForcedAt: now - s.LastForced,
+		newestBucket:   now/(breakerWindow/bucketCount) - s.Head,
+		baseLatency:    s.Base,
+		currentLatency: s.Current,
+		lastForcedAt:   now - s.LastForced,
 	}
 	if s.Head >= bucketCount {
 		return k // all buckets are older than the window
 	}
-	for _, x := range s.Buckets {
-		n := k.head - int64(x.Back)
-		if n < 0 {
+	for _, bucketState := range s.Buckets {
+		number := k.newestBucket - int64(bucketState.Back)
+		if number < 0 {
 			continue
 		}
-		k.buckets[n%bucketCount] = bucket{requests: x.Requests, accepts: x.Accepts, failures: x.Failures}
-		k.requests += int(x.Requests)
-		k.accepts += int(x.Accepts)
+		k.buckets[number%bucketCount] = bucket{
+			requests: bucketState.Requests, accepts: bucketState.Accepts, failures: bucketState.Failures}
+		k.requests += int(bucketState.Requests)
+		k.accepts += int(bucketState.Accepts)
 	}
 	return k
 }
 
 // State returns the rules as data.
-func (r *Rules) State() RulesState { return RulesState{Settings: r.settings, Slots: r.slots} }
+func (r *Rules) State() RulesState { return RulesState{Settings: r.settings, Slots: r.classSlots} }
 
-// RestoreRules returns the rules for a request of a balancer that has s.Slots. The error is a *SettingError or a
-// *SnapshotError.
+// RestoreRules returns the rules that s describes, for requests of this balancer: the slots in s must be class slots of
+// it. The error is a *SettingError or a *SnapshotError.
 func (b *Balancer) RestoreRules(s RulesState) (*Rules, error) {
 	if err := s.Settings.Validate(); err != nil {
 		return nil, err
 	}
-	for _, at := range s.Slots {
-		if at < 0 || at >= len(b.classes) {
-			return nil, &SnapshotError{"Rules.Slots", "name what is not there"}
+	for _, slot := range s.Slots {
+		if slot < 0 || slot >= len(b.classes) {
+			return nil, &SnapshotError{"Rules.Slots", "name a class slot that does not exist"}
 		}
 	}
 	if len(s.Slots) != len(s.Settings.Classes) {
-		return nil, &SnapshotError{"Rules.Slots", "are not one for each class"}
+		return nil, &SnapshotError{"Rules.Slots", "are not as many as the classes"}
 	}
-	// Requests that arrived under the same rules share them, so that a snapshot has each once.
+	// Requests that arrived under the same rules share one Rules, so that a snapshot stores it once.
 	text := fmt.Sprint(s)
 	for _, r := range b.requests {
 		if fmt.Sprint(r.Rules.State()) == text {
 			return r.Rules, nil
 		}
 	}
-	return &Rules{settings: s.Settings, slots: slices.Clone(s.Slots)}, nil
+	return &Rules{settings: s.Settings, classSlots: slices.Clone(s.Slots)}, nil
 }
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -1,13 +1,14 @@
 package balancer
 
-// Retries draw on a budget that requests fill. Retries of attempts that never ran draw on it, too: where most
-// endpoints are full, free retries would be a storm.
+// Every retry spends one attempt of a budget that new requests refill. Retries of attempts that never ran spend it as
+// well: when most endpoints reject, retries outside the budget would cause a retry storm.
 const (
 	maxRetryBudget    = 10.0 // attempts
-	retriesPerRequest = 0.2
+	retriesPerRequest = 0.2  // attempts added to the budget by each new request
 )
 
-// retry makes another attempt at a request, if the retry budget has one and an endpoint is found.
+// retry makes another attempt at a request and reports whether it did. It needs one attempt in the retry budget and an
+// endpoint that may get the request.
 func (b *Balancer) retry(now Micros, r *request) bool {
 	if b.retryBudget < 1 || !b.tryAttempt(now, r, false) {
 		return false
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -1,62 +1,67 @@
 package balancer
 
-// An endpoint that warms up is sent at most a share of its guaranteed capacity's part of this balancer's mean work
-// per warm endpoint. When all balancers do so their sum stays below what overloads it, and none needs to know of
-// the others.
+// While an endpoint warms up, each balancer sends it at most its own mean work per warm endpoint, times a share of the
+// endpoint's guaranteed capacity. If all balancers do so, their sum stays below what overloads the endpoint, and no
+// balancer needs to know of the others.
 const (
-	slowStartShare   = 0.6  // of the multiple of its guaranteed capacity at which it is overloaded
-	maxSlowStartRate = 1.4  // times its estimated capacity
-	slowStartCharge  = 1.15 // times the work of a request, for the handshake that it may cost
-	rejectionGain    = 2.0  // times the rejection rate counts the estimate by pace
-	probeCharge      = 0.01 // of a request's work, for a probe
+	slowStartShare      = 0.6  // of Contract.OverloadMultiple times the guaranteed capacity
+	maxSlowStartRate    = 1.4  // limit in multiples of the estimated capacity
+	slowStartWorkFactor = 1.15 // budget spent per unit of work: a request may cost a handshake as well
+	rejectionGain       = 2.0  // weight of the sustainable rate by pace, per unit of rejection rate
+	probeWorkShare      = 0.01 // budget spent by a probe, in mean works of the first class
 )
 
-// startSlowStart has an endpoint warm up from an instant on.
-func (b *Balancer) startSlowStart(now Micros, e *endpoint, started Micros) {
+// startSlowStart makes an endpoint warm up, from startedAt or from now, whichever is earlier.
+func (b *Balancer) startSlowStart(now Micros, e *endpoint, startedAt Micros) {
 	e.warmingUp = true
-	e.slowStartAt = min(started, now)
-	// A random part of a request's work: of many quiet balancers, none would ever save up for one.
-	e.slowStartBudget = b.rng.float() * b.meanWork.value * slowStartCharge
+	e.slowStartAt = min(startedAt, now)
+	// Start with a random part of a request's work. From 0, none of many balancers with little traffic would save up
+	// enough for a request in time.
+	e.slowStartBudget = b.rng.float() * b.meanWork.value * slowStartWorkFactor
 	e.budgetRefilledAt = now
 }
 
-// fitsSlowStartBudget refills the token bucket of an endpoint that warms up and reports whether a request of this
-// work fits.
+// fitsSlowStartBudget refills the token bucket of an endpoint that is warming up, and reports whether a request of this
+// work may be sent. It spends nothing: send does.
 func (b *Balancer) fitsSlowStartBudget(now Micros, e *endpoint, work float64) bool {
-	fill := b.slowStartRate(now, e, work)
-	limit := max(fill*float64(b.settings.Contract.OverloadWindow)/float64(second)/2, work*slowStartCharge)
-	e.slowStartBudget = min(limit, e.slowStartBudget+fill*float64(now-e.budgetRefilledAt)/float64(second))
+	refillRate := b.slowStartRate(now, e, work)
+	limit := max(refillRate*float64(b.settings.Contract.OverloadWindow)/float64(second)/2, work*slowStartWorkFactor)
+	e.slowStartBudget = min(limit, e.slowStartBudget+refillRate*float64(now-e.budgetRefilledAt)/float64(second))
 	e.budgetRefilledAt = now
-	return e.slowStartBudget >= work*slowStartCharge
+	return e.slowStartBudget >= work*slowStartWorkFactor
 }
 
-// slowStartRate is the work a second that this balancer may send to an endpoint that warms up.
+// slowStartRate returns the work per second that this balancer may send to an endpoint that is warming up.
 func (b *Balancer) slowStartRate(now Micros, e *endpoint, work float64) float64 {
 	rate := b.sentWork.rate(now)
 	if b.warmEndpoints == 0 {
-		// What was sent would only follow the budgets of endpoints that warm up.
+		// No endpoint in use is warm, so that these budgets limit the work that is sent. It cannot set them in turn:
+		// use the demand.
 		rate = b.demand.rate(now) * work
 	}
-	each := rate / max(1, b.capacity)
-	// While requests are rejected little is sent, and a part of that would keep these endpoints idle and the
-	// rejections going. The guide is then what an endpoint of this pace can do, over all balancers that use it.
-	users := float64(b.settings.Balancers*len(b.aperture(now))) / float64(len(b.endpoints))
-	able := assumedCores / (e.currentPace(now, b) * e.estimatedCapacity(now, b)) * float64(second) / max(1, users)
-	each = max(each, min(1, rejectionGain*b.rejectionRate.value)*able)
-	return b.capacityShare * each * min(maxSlowStartRate*e.estimatedCapacity(now, b),
+	perEndpoint := rate / max(1, b.capacity)
+	// While requests are rejected little is sent. A share of that would keep these endpoints idle and the rejections
+	// going on. The more is rejected, the more the rate follows what an endpoint of this pace can do, divided by the
+	// number of balancers that use it.
+	sharingBalancers := float64(b.settings.Balancers*len(b.aperture(now))) / float64(len(b.endpoints))
+	sustainable := assumedCores / (e.currentPace(now, b) * e.estimatedCapacity(now, b)) * float64(second) /
+		max(1, sharingBalancers)
+	perEndpoint = max(perEndpoint, min(1, rejectionGain*b.rejectionRate.value)*sustainable)
+	return b.capacityShare * perEndpoint * min(maxSlowStartRate*e.estimatedCapacity(now, b),
 		slowStartShare*b.settings.Contract.OverloadMultiple*e.guaranteedCapacity(now, b))
 }
 
-// SetCapacityShare sets the part of the slow-start budgets that this process may use. Two processes of a sidecar
-// share them during a handover, since to an endpoint they are one. What was saved up is shared, too.
-func (b *Balancer) SetCapacityShare(part float64) {
+// SetCapacityShare sets the share, above 0 and at most 1, of the slow-start budgets that this process may use. During a
+// handover two processes of a sidecar divide the budgets, since for an endpoint they are one balancer. A smaller share
+// also reduces the budgets that are saved up; a larger one does not increase them.
+func (b *Balancer) SetCapacityShare(share float64) {
 	for _, e := range b.endpoints {
-		e.slowStartBudget *= min(1, part/b.capacityShare)
+		e.slowStartBudget *= min(1, share/b.capacityShare)
 	}
-	b.capacityShare = part
+	b.capacityShare = share
 }
 
-// isWarmingUp reports whether e is still within its slow start.
+// isWarmingUp reports whether e is still in slow start, and ends the slow start once its duration is over.
 func (e *endpoint) isWarmingUp(now Micros, b *Balancer) bool {
 	if e.warmingUp && now-e.slowStartAt >= b.settings.Contract.SlowStartDuration {
 		e.warmingUp = false
@@ -64,17 +69,19 @@
 	return e.warmingUp
 }
 
-// guaranteedCapacity is the least share of its capacity that e has by now, by the contract.
+// guaranteedCapacity returns the share of its full capacity that e has by now at least, by the contract. It rises
+// linearly to 1 during slow start.
 func (e *endpoint) guaranteedCapacity(now Micros, b *Balancer) float64 {
 	if !e.isWarmingUp(now, b) {
 		return 1
 	}
-	from := b.settings.Contract.InitialCapacity
-	return from + (1-from)*float64(now-e.slowStartAt)/float64(b.settings.Contract.SlowStartDuration)
+	initial := b.settings.Contract.InitialCapacity
+	return initial + (1-initial)*float64(now-e.slowStartAt)/float64(b.settings.Contract.SlowStartDuration)
 }
 
-// estimatedCapacity is the share of its capacity that e is taken to have by now: the guaranteed one, and more if what
-// endpoints have served while warming up shows it. Budgets go by the guaranteed one, predictions by the estimate.
+// estimatedCapacity returns the share of its full capacity that e probably has by now: the guaranteed one, or more if
+// the latencies of endpoints that were warming up show it. Predictions use the estimate; the limit that prevents
+// overload uses the guaranteed capacity.
 func (e *endpoint) estimatedCapacity(now Micros, b *Balancer) float64 {
 	return min(1, e.guaranteedCapacity(now, b)/b.slowStartCorrection)
 }
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// Snapshot returns the balancer's state as data. With requests it has all that Resume needs; without, what Restore
-// may use, and nothing of open requests.
-func (b *Balancer) Snapshot(now Micros, requests bool) *Snapshot {
-	s := b.averagesState(now)
+// Snapshot returns the balancer's state as data. With requests it has all that Resume needs; without them it is for
+// Restore in another process.
+func (b *Balancer) Snapshot(now Micros, withRequests bool) *Snapshot {
+	s := b.baseState(now)
 	index := make(map[*endpoint]int, len(b.endpoints))
 	s.Endpoints = make([]EndpointState, len(b.endpoints))
 	for i, e := range b.endpoints {
@@ -30,16 +30,16 @@
 	}
 	slices.SortFunc(s.Drains, func(x, y DrainState) int { return cmp.Compare(x.ID, y.ID) })
 	for _, u := range b.undrained {
-		s.Undrained = append(s.Undrained, DrainState{ID: u.id, Age: now - u.at})
+		s.Undrained = append(s.Undrained, DrainState{ID: u.id, Age: now - u.undrainedAt})
 	}
-	if requests {
+	if withRequests {
 		b.addRequests(now, s, index)
 	}
 	return s
 }
 
-// averagesState returns the state without endpoints and requests.
-func (b *Balancer) averagesState(now Micros) *Snapshot {
+// baseState returns the snapshot without endpoints and requests.
+func (b *Balancer) baseState(now Micros) *Snapshot {
 	s := &Snapshot{
 		At:                  now,
 		Random:              uint64(b.rng),
@@ -76,7 +76,7 @@
 		s.Classes = append(s.Classes, ClassState{
 			Name:           c.name,
 			InUse:          c.inUse,
-			Open:           c.open,
+			Open:           c.records,
 			PriorityWeight: c.priorityWeight,
 			Work:           c.meanWork.state(),
 			Demand:         c.demand.state(now, ""),
@@ -90,39 +90,40 @@
 	return s
 }
 
-// addRequests adds the records of requests, and what they wait for, to a snapshot. index has the endpoints' places
-// in it.
+// addRequests adds the records of requests, and the probes that they wait for, to a snapshot. index gives the index of
+// an endpoint in Snapshot.Endpoints.
 func (b *Balancer) addRequests(now Micros, s *Snapshot, index map[*endpoint]int) {
 	s.PendingProbes = b.pendingProbes
 	s.ProbeRound = b.probeRound
 	rules := map[*Rules]int{b.rules: 0}
-	for _, r := range b.slots {
+	for _, r := range b.requestSlots {
 		if b.requests[r.ID] != r {
 			s.Slots = append(s.Slots, RequestState{Token: r.token})
 			continue
 		}
-		at, known := rules[r.Rules]
-		if !known {
-			at = len(s.Rules)
-			rules[r.Rules] = at
+		rulesIndex, included := rules[r.Rules]
+		if !included {
+			rulesIndex = len(s.Rules)
+			rules[r.Rules] = rulesIndex
 			s.Rules = append(s.Rules, r.Rules.State())
 		}
-		s.Slots = append(s.Slots, r.state(now, at, index))
+		s.Slots = append(s.Slots, r.state(now, rulesIndex, index))
 	}
-	for _, r := range b.freeSlots {
+	for _, r := range b.freeRequestSlots {
 		s.Free = append(s.Free, slotIndex(r.token))
 	}
 	for _, r := range b.waiting {
 		s.Waiting = append(s.Waiting, slotIndex(r.token))
 	}
-	for topic, at := range b.lastLogged {
-		s.Logged = append(s.Logged, LoggedState{Topic: topic, Age: now - at})
+	for topic, rulesIndex := range b.lastLogged {
+		s.Logged = append(s.Logged, LoggedState{Topic: topic, Age: now - rulesIndex})
 	}
 	slices.SortFunc(s.Logged, func(x, y LoggedState) int { return cmp.Compare(x.Topic, y.Topic) })
 }
 
-// state returns a request as data; rules is the place of its rules in the snapshot.
-func (r *request) state(now Micros, rules int, index map[*endpoint]int) RequestState {
+// state returns a request as data. rulesIndex is the index of its rules in Snapshot.Rules, and index is as in
+// addRequests.
+func (r *request) state(now Micros, rulesIndex int, index map[*endpoint]int) RequestState {
 	s := RequestState{
 		Token:         r.token,
 		ID:            r.ID,
@@ -134,8 +135,8 @@
 		BodyStreaming: r.BodyStreaming,
 		Tenant:        r.Tenant,
 		Class:         r.Class,
-		Rules:         rules,
-		Slot:          r.slot,
+		Rules:         rulesIndex,
+		Slot:          r.classSlot,
 		Arrived:       now - r.arrivedAt,
 		Work:          r.work,
 		LogHint:       r.logHint,
@@ -147,16 +148,16 @@
 		OnTime:        r.onTime,
 	}
 	for _, a := range r.attempts {
-		at, listed := index[a.endpoint]
+		endpointIndex, listed := index[a.endpoint]
 		if !listed {
-			at = forgottenEndpoint
+			endpointIndex = forgottenEndpoint
 		}
 		s.Attempts = append(s.Attempts, AttemptState{
-			Endpoint:     at,
+			Endpoint:     endpointIndex,
 			Zone:         a.zone,
 			Cell:         a.cell,
 			Age:          now - a.sentAt,
-			Expected:     a.expected,
+			Expected:     a.expectedLatency,
 			ExpectedWork: a.expectedWork,
 			Pending:      a.pending,
 			Streaming:    a.streaming,
@@ -172,7 +173,7 @@
 	if m.sum == 0 {
 		return RateState{Name: name}
 	}
-	return RateState{Sum: m.sum, Age: now - m.at, Name: name}
+	return RateState{Sum: m.sum, Age: now - m.updatedAt, Name: name}
 }
 
 // state returns an endpoint as data.
@@ -206,7 +207,7 @@
 		PaceLearned:     now - e.paceLearnedAt,
 		EjectedUntil:    now - e.ejectedUntil,
 	}
-	s.addFailureRun(now, allParts, e.failures)
+	s.addFailureRun(now, allTraffic, e.failures)
 	for part, run := range e.partFailures {
 		s.addFailureRun(now, part, run)
 	}
@@ -228,22 +229,22 @@
 }
 
 func (s *EndpointState) addBreaker(now Micros, k *breaker) {
-	s.Base = k.base
-	s.Current = k.current
+	s.Base = k.baseLatency
+	s.Current = k.currentLatency
 	s.LastForced = now - k.lastForcedAt
-	s.Head = min(bucketCount, now/(window/bucketCount)-k.head)
+	s.Head = min(bucketCount, now/(breakerWindow/bucketCount)-k.newestBucket)
 	if s.Head >= bucketCount {
 		return // all buckets are older than the window
 	}
 	for back := range bucketCount {
-		n := k.head - int64(back)
-		if n < 0 {
+		number := k.newestBucket - int64(back)
+		if number < 0 {
 			return
 		}
-		x := k.buckets[n%bucketCount]
-		if x != (bucket{}) {
+		counts := k.buckets[number%bucketCount]
+		if counts != (bucket{}) {
 			s.Buckets = append(s.Buckets, BucketState{
-				Back: back, Requests: x.requests, Accepts: x.accepts, Failures: x.failures})
+				Back: back, Requests: counts.requests, Accepts: counts.accepts, Failures: counts.failures})
 		}
 	}
 }
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -1,26 +1,28 @@
 package balancer
 
-// forgottenEndpoint stands for the endpoint of an attempt that is no longer listed.
+// forgottenEndpoint stands for the endpoint of an attempt if it is no longer listed.
 const forgottenEndpoint = -1
 
-// Snapshot is all that a balancer decides from, as data. Instants are given as ages: microseconds before At,
-// negative for what lies ahead. Start times of endpoints are the exception: they are by discovery's clock, and name
-// a process. Classes and tenants go by name, endpoints by the host's ID; whoever stores a snapshot for another
-// process must store the names that the IDs stand for.
+// Snapshot is the whole state of a balancer as data. Fields of type Micros that stand for an instant hold its age: the
+// microseconds from it to At, negative for an instant after At. The exceptions are At itself and the start times of
+// endpoints, which are by discovery's clock and identify a process. Classes and tenants are identified by name and
+// endpoints by the host's ID. Whoever stores a snapshot for another process must also store the names that the IDs
+// stand for.
 //
-// Resume makes a balancer that continues exactly as the one in the snapshot; Restore takes from it what a new
-// process may believe. The tags are those of the stored form: a change of their meaning is a new version of it.
+// Resume makes a balancer that continues exactly as the one in the snapshot. Restore takes over only what is valid for
+// a new process. Most fields are copies of the field of Balancer with a like name, where the meaning is documented. The
+// cbor tags are the keys of the stored form: a change of a key's meaning needs a new version of the form.
 type Snapshot struct {
 	At      Micros       `cbor:"1,keyasint"`
-	Random  uint64       `cbor:"2,keyasint"`           // the state of the generator
-	Rules   []RulesState `cbor:"3,keyasint"`           // the current ones first, then those of open requests
-	Classes []ClassState `cbor:"4,keyasint"`           // by slot
+	Random  uint64       `cbor:"2,keyasint"`           // state of the random generator
+	Rules   []RulesState `cbor:"3,keyasint"`           // current rules first, then earlier ones of open requests
+	Classes []ClassState `cbor:"4,keyasint"`           // by class slot
 	Tenants []RateState  `cbor:"5,keyasint,omitempty"` // in the order of the settings
 
 	Endpoints []EndpointState `cbor:"6,keyasint,omitempty"`
-	Pool      []int           `cbor:"7,keyasint,omitempty"` // indices in Endpoints, the latest report last
-	Drains    []DrainState    `cbor:"8,keyasint,omitempty"` // by ID
-	Undrained []DrainState    `cbor:"9,keyasint,omitempty"` // drain ended, and sent nothing since
+	Pool      []int           `cbor:"7,keyasint,omitempty"` // indices in Endpoints, latest report last
+	Drains    []DrainState    `cbor:"8,keyasint,omitempty"` // in the order of their IDs
+	Undrained []DrainState    `cbor:"9,keyasint,omitempty"` // drain ended, and nothing sent to them since
 
 	Listed        bool      `cbor:"10,keyasint,omitempty"`
 	Subscribed    bool      `cbor:"11,keyasint,omitempty"`
@@ -47,41 +49,41 @@
 	Demand        RateState `cbor:"32,keyasint"`
 	SentWork      RateState `cbor:"33,keyasint"`
 
-	// Records of requests; empty in a snapshot for another process.
-	Slots         []RequestState `cbor:"34,keyasint,omitempty"`
-	Free          []int          `cbor:"35,keyasint,omitempty"` // slots to use again, the next one last
-	Waiting       []int          `cbor:"36,keyasint,omitempty"` // slots that wait for probes
+	// Records of requests. They are absent in a snapshot made without requests.
+	Slots         []RequestState `cbor:"34,keyasint,omitempty"` // by request slot
+	Free          []int          `cbor:"35,keyasint,omitempty"` // request slots that are free, the next to be used last
+	Waiting       []int          `cbor:"36,keyasint,omitempty"` // request slots of requests that wait for probes
 	PendingProbes int            `cbor:"37,keyasint,omitempty"`
 	ProbeRound    uint32         `cbor:"38,keyasint,omitempty"`
-	Logged        []LoggedState  `cbor:"39,keyasint,omitempty"` // by topic
+	Logged        []LoggedState  `cbor:"39,keyasint,omitempty"` // in the order of their topics
 
 	ApertureSeed        uint64  `cbor:"40,keyasint,omitempty"`
-	Aperture            []int   `cbor:"41,keyasint,omitempty"` // indices in Endpoints; none if it is all of them
-	SlowStartCorrection float64 `cbor:"42,keyasint,omitempty"` // absent in earlier versions: 1
+	Aperture            []int   `cbor:"41,keyasint,omitempty"` // indices in Endpoints; empty for all of them
+	SlowStartCorrection float64 `cbor:"42,keyasint,omitempty"` // absent in earlier versions, which stands for 1
 
 	LastPoll Micros `cbor:"43,keyasint,omitempty"`
 }
 
-// RulesState are settings and the slots of their classes.
+// RulesState is Rules as data. Slots has the class slot of each class in Settings.
 type RulesState struct {
 	Settings Settings `cbor:"1,keyasint"`
 	Slots    []int    `cbor:"2,keyasint"`
 }
 
-// MeanState is a moving average: its value and its number of samples.
+// MeanState is a moving average: its value V and its number of samples N.
 type MeanState struct {
 	V float64 `cbor:"1,keyasint,omitempty"`
 	N float64 `cbor:"2,keyasint,omitempty"`
 }
 
-// RateState is a decaying sum; Name is set for a tenant's.
+// RateState is a rate meter: a decaying sum and the age of its latest update. Name is set for a tenant's meter.
 type RateState struct {
 	Sum  float64 `cbor:"1,keyasint,omitempty"`
 	Age  Micros  `cbor:"2,keyasint,omitempty"`
 	Name string  `cbor:"3,keyasint,omitempty"`
 }
 
-// ClassState is what was observed of a class.
+// ClassState is what a balancer has observed of a class. Open is the number of records of its requests.
 type ClassState struct {
 	Name           string    `cbor:"1,keyasint"`
 	InUse          bool      `cbor:"2,keyasint,omitempty"`
@@ -93,19 +95,19 @@
 	LastForced     Micros    `cbor:"8,keyasint,omitempty"`
 }
 
-// DrainState is an endpoint that operators drained, or brought back into service, and how long ago.
+// DrainState is an endpoint for which an operator ordered a drain, or whose drain ended, and how long ago.
 type DrainState struct {
 	ID  uint32 `cbor:"1,keyasint"`
 	Age Micros `cbor:"2,keyasint"`
 }
 
-// LoggedState is a topic of the log and the age of its latest line.
+// LoggedState is a topic of log lines and the age of its latest line.
 type LoggedState struct {
 	Topic string `cbor:"1,keyasint"`
 	Age   Micros `cbor:"2,keyasint"`
 }
 
-// EndpointState is what is known of an endpoint.
+// EndpointState is a balancer's record of an endpoint.
 type EndpointState struct {
 	ID        uint32  `cbor:"1,keyasint"`
 	Zone      uint8   `cbor:"2,keyasint,omitempty"`
@@ -136,18 +138,18 @@
 	PaceLearned     Micros    `cbor:"26,keyasint,omitempty"`
 	EjectedUntil    Micros    `cbor:"27,keyasint,omitempty"`
 
-	FailureRuns []FailureRunState `cbor:"28,keyasint,omitempty"` // those that are not empty
+	FailureRuns []FailureRunState `cbor:"28,keyasint,omitempty"` // runs that are not empty
 
-	// Head is the age of the newest bucket, in buckets; all that are older than the window count the same.
+	// Head is the age of the breaker's newest bucket, in buckets. It is bucketCount for any age beyond the window.
 	Head       Micros        `cbor:"29,keyasint,omitempty"`
-	Buckets    []BucketState `cbor:"30,keyasint,omitempty"` // those that are not empty
-	Base       float64       `cbor:"31,keyasint,omitempty"`
-	Current    float64       `cbor:"32,keyasint,omitempty"`
+	Buckets    []BucketState `cbor:"30,keyasint,omitempty"` // buckets that are not empty
+	Base       float64       `cbor:"31,keyasint,omitempty"` // base latency
+	Current    float64       `cbor:"32,keyasint,omitempty"` // current latency
 	LastForced Micros        `cbor:"33,keyasint,omitempty"`
 }
 
-// FailureRunState is a run of failures. Part is -1 for all requests, else the slot of a class or, behind all
-// classes, the index of a tenant.
+// FailureRunState is a run of consecutive failures. Part is -1 for all requests, a class slot for a class, or for a
+// tenant its index plus the number of class slots.
 type FailureRunState struct {
 	Part             int    `cbor:"1,keyasint,omitempty"`
 	Streak           int    `cbor:"2,keyasint,omitempty"`
@@ -156,7 +158,7 @@
 	Trial            bool   `cbor:"5,keyasint,omitempty"`
 }
 
-// BucketState is a part of a breaker's window; Back is its distance from the newest, in buckets.
+// BucketState is one bucket of a breaker's window. Back is its distance from the newest bucket, in buckets.
 type BucketState struct {
 	Back     int   `cbor:"1,keyasint,omitempty"`
 	Requests int32 `cbor:"2,keyasint,omitempty"`
@@ -164,7 +166,7 @@
 	Failures int32 `cbor:"4,keyasint,omitempty"`
 }
 
-// RequestState is the record of a request, or of a free slot the token alone.
+// RequestState is the record of a request. For a free request slot it has only the token.
 type RequestState struct {
 	Token         uint32         `cbor:"1,keyasint"`
 	ID            uint64         `cbor:"2,keyasint,omitempty"`
@@ -176,8 +178,8 @@
 	BodyStreaming bool           `cbor:"8,keyasint,omitempty"`
 	Tenant        uint16         `cbor:"9,keyasint,omitempty"`
 	Class         uint8          `cbor:"10,keyasint,omitempty"`
-	Rules         int            `cbor:"11,keyasint,omitempty"` // an index in Snapshot.Rules
-	Slot          int            `cbor:"12,keyasint,omitempty"`
+	Rules         int            `cbor:"11,keyasint,omitempty"` // index in Snapshot.Rules
+	Slot          int            `cbor:"12,keyasint,omitempty"` // class slot
 	Arrived       Micros         `cbor:"13,keyasint,omitempty"`
 	Work          float64        `cbor:"14,keyasint,omitempty"`
 	LogHint       float64        `cbor:"15,keyasint,omitempty"`
@@ -190,9 +192,9 @@
 	Attempts      []AttemptState `cbor:"22,keyasint,omitempty"`
 }
 
-// AttemptState is one send of a request.
+// AttemptState is one attempt at a request.
 type AttemptState struct {
-	Endpoint     int     `cbor:"1,keyasint,omitempty"` // an index in Snapshot.Endpoints, or forgottenEndpoint
+	Endpoint     int     `cbor:"1,keyasint,omitempty"` // index in Snapshot.Endpoints, or forgottenEndpoint
 	Zone         uint8   `cbor:"2,keyasint,omitempty"`
 	Cell         uint16  `cbor:"3,keyasint,omitempty"`
 	Age          Micros  `cbor:"4,keyasint,omitempty"`
