--- a/balancer/api.go
+++ b/balancer/api.go
@@ -14,12 +14,12 @@
 	Removed
 )
 
-// Endpoint is one entry of the endpoint list.
+// Endpoint is one entry of the endpoint list. No decision reads Kind and Weight.
 type Endpoint struct {
 	ID        uint32
 	Zone      uint8
-	Kind      uint8
-	Cell      uint16
+	Kind      uint8  // machine type
+	Cell      uint16 // group of endpoints that is the scope of DedupCell
 	State     State
 	Weight    float32
 	StartTime Micros // start time of its process; 0 if it started long ago
@@ -36,7 +36,8 @@
 	ListFailed                 // a discovery call failed; the update has no entries
 )
 
-// Request is a client's request. It gets exactly one final answer: an endpoint's answer, a rejection or a failure.
+// Request is a client's request. It gets exactly one final answer: an endpoint's answer, a rejection or a failure. No
+// decision reads Key, Retry and Write.
 type Request struct {
 	ID            uint64
 	Key           uint64
--- a/balancer/hold_test.go
+++ b/balancer/hold_test.go
@@ -108,7 +108,7 @@
 }
 
 // With hundreds of balancers, each refills its slow-start budget too slowly for one request. Together they must still
-// use much of what an endpoint that warms up can do, and must stay well below what overloads it.
+// send a good part of what an endpoint that warms up can do, and stay well below what overloads it.
 func TestSlowStartBudgetOfManyQuietBalancers(t *testing.T) {
 	s := testSettings()
 	const balancers, perSecond, endpoints, work = 400, 2.0, 41, 40_000.0
--- a/balancer/resume.go
+++ b/balancer/resume.go
@@ -82,7 +82,7 @@
 		b.classes = append(b.classes, classStats{
 			name:           c.Name,
 			inUse:          c.InUse,
-			records:        c.Open,
+			records:        c.Records,
 			priorityWeight: c.PriorityWeight,
 			meanWork:       c.Work.ewma(),
 			demand:         c.Demand.meter(now),
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -76,7 +76,7 @@
 		s.Classes = append(s.Classes, ClassState{
 			Name:           c.name,
 			InUse:          c.inUse,
-			Open:           c.records,
+			Records:        c.records,
 			PriorityWeight: c.priorityWeight,
 			Work:           c.meanWork.state(),
 			Demand:         c.demand.state(now, ""),
--- a/balancer/snapshotcheck.go
+++ b/balancer/snapshotcheck.go
@@ -68,7 +68,7 @@
 	means := []MeanState{s.FleetPace, s.MeanWork, s.RejectionRate, s.LateReports, s.TypicalLoad, s.ServiceTime}
 	rates := append([]RateState{s.Demand, s.SentWork}, s.Tenants...)
 	for _, class := range s.Classes {
-		valid := finiteNonNegative(class.PriorityWeight) && class.Open >= 0 && class.Work.V > 0
+		valid := finiteNonNegative(class.PriorityWeight) && class.Records >= 0 && class.Work.V > 0
 		c.must(valid, "Class", "has a value out of range")
 		means = append(means, class.Work, class.OnTime)
 		rates = append(rates, class.Demand)
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -83,11 +83,12 @@
 	Name string  `cbor:"3,keyasint,omitempty"`
 }
 
-// ClassState is what a balancer has observed of a class. Open is the number of records of its requests.
+// ClassState is what a balancer has observed of a class. Records counts the
+// records of its requests, including ended ones that still have an attempt in flight.
 type ClassState struct {
 	Name           string    `cbor:"1,keyasint"`
 	InUse          bool      `cbor:"2,keyasint,omitempty"`
-	Open           int       `cbor:"3,keyasint,omitempty"`
+	Records        int       `cbor:"3,keyasint,omitempty"`
 	PriorityWeight float64   `cbor:"4,keyasint,omitempty"`
 	Work           MeanState `cbor:"5,keyasint"`
 	Demand         RateState `cbor:"6,keyasint"`
--- a/internal/platform/recovery/merge.go
+++ b/internal/platform/recovery/merge.go
@@ -101,7 +101,7 @@
 	s.Classes = slices.Clone(s.Classes)
 	for i := range s.Classes {
 		s.Classes[i].Demand = balancer.RateState{}
-		s.Classes[i].Open = 0
+		s.Classes[i].Records = 0
 	}
 	s.Tenants = slices.Clone(s.Tenants)
 	for i := range s.Tenants {
