--- a/balancer/snapshotcheck.go
+++ b/balancer/snapshotcheck.go
@@ -94,8 +94,8 @@
 func (c *snapshotCheck) endpoint(e *EndpointState) {
 	c.must(e.State <= Removed, "Endpoints.State", "is not a known state")
 	finiteBudget := e.SlowStartBudget-e.SlowStartBudget == 0 // neither NaN nor infinite; a budget may be negative
-	c.must(finiteNonNegative(e.OthersLoad, e.RTT.V, e.RTT.N, e.Pace.V, e.Pace.N, e.Base, e.Current) && finiteBudget,
-		"Endpoints", "have a value out of range")
+	c.must(finiteNonNegative(e.OthersLoad, e.RTT.V, e.RTT.N, e.Pace.V, e.Pace.N,
+		e.Base, e.Current) && finiteBudget, "Endpoints", "have a value out of range")
 	c.must(e.Streaming >= 0 && e.Inflight >= e.Streaming && e.OwnAtReport >= 0,
 		"Endpoints.Inflight", "is out of range")
 	c.must(e.Head <= bucketCount, "Endpoints.Head", "must not exceed the number of buckets")
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -51,7 +51,7 @@
 
 	// Records of requests. They are absent in a snapshot made without requests.
 	Slots         []RequestState `cbor:"34,keyasint,omitempty"` // by request slot
-	Free          []int          `cbor:"35,keyasint,omitempty"` // request slots that are free, the next to be used last
+	Free          []int          `cbor:"35,keyasint,omitempty"` // free request slots, next to be used last
 	Waiting       []int          `cbor:"36,keyasint,omitempty"` // request slots of requests that wait for probes
 	PendingProbes int            `cbor:"37,keyasint,omitempty"`
 	ProbeRound    uint32         `cbor:"38,keyasint,omitempty"`
