--- a/balancer/resume.go
+++ b/balancer/resume.go
@@ -179,7 +179,7 @@
 	}
 }
 
-func (m MeanState) ewma() ewma { return ewma{value: m.V, samples: m.N} }
+func (m MeanState) ewma() ewma { return ewma{value: m.Value, samples: m.Samples} }
 
 func (m RateState) meter(now Micros) rateMeter {
 	if m.Sum == 0 {
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -167,7 +167,7 @@
 	return s
 }
 
-func (a ewma) state() MeanState { return MeanState{V: a.value, N: a.samples} }
+func (a ewma) state() MeanState { return MeanState{Value: a.value, Samples: a.samples} }
 
 func (m rateMeter) state(now Micros, name string) RateState {
 	if m.sum == 0 {
--- a/balancer/snapshotcheck.go
+++ b/balancer/snapshotcheck.go
@@ -68,7 +68,7 @@
 	means := []MeanState{s.FleetPace, s.MeanWork, s.RejectionRate, s.LateReports, s.TypicalLoad, s.ServiceTime}
 	rates := append([]RateState{s.Demand, s.SentWork}, s.Tenants...)
 	for _, class := range s.Classes {
-		valid := finiteNonNegative(class.PriorityWeight) && class.Records >= 0 && class.Work.V > 0
+		valid := finiteNonNegative(class.PriorityWeight) && class.Records >= 0 && class.Work.Value > 0
 		c.must(valid, "Class", "has a value out of range")
 		means = append(means, class.Work, class.OnTime)
 		rates = append(rates, class.Demand)
@@ -77,7 +77,7 @@
 		c.must(finiteNonNegative(r.Sum) && r.Age >= 0, "Meter", "must have a finite sum and an age, both not negative")
 	}
 	for _, m := range means {
-		c.must(finiteNonNegative(m.V, m.N), "Mean", "must be finite and not negative")
+		c.must(finiteNonNegative(m.Value, m.Samples), "Mean", "must be finite and not negative")
 	}
 }
 
@@ -94,7 +94,7 @@
 func (c *snapshotCheck) endpoint(e *EndpointState) {
 	c.must(e.State <= Removed, "Endpoints.State", "is not a known state")
 	finiteBudget := e.SlowStartBudget-e.SlowStartBudget == 0 // neither NaN nor infinite; a budget may be negative
-	c.must(finiteNonNegative(e.OthersLoad, e.RTT.V, e.RTT.N, e.Pace.V, e.Pace.N,
+	c.must(finiteNonNegative(e.OthersLoad, e.RTT.Value, e.RTT.Samples, e.Pace.Value, e.Pace.Samples,
 		e.Base, e.Current) && finiteBudget, "Endpoints", "have a value out of range")
 	c.must(e.Streaming >= 0 && e.Inflight >= e.Streaming && e.OwnAtReport >= 0,
 		"Endpoints.Inflight", "is out of range")
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -72,8 +72,8 @@
 
 // MeanState is a moving average: its value V and its number of samples N.
 type MeanState struct {
-	V float64 `cbor:"1,keyasint,omitempty"`
-	N float64 `cbor:"2,keyasint,omitempty"`
+	Value   float64 `cbor:"1,keyasint,omitempty"`
+	Samples float64 `cbor:"2,keyasint,omitempty"`
 }
 
 // RateState is a rate meter: a decaying sum and the age of its latest update. Name is set for a tenant's meter.
--- a/internal/dataplane/core/restore_test.go
+++ b/internal/dataplane/core/restore_test.go
@@ -34,7 +34,7 @@
 	mustDo(t, l, func(now balancer.Micros) {
 		saved := l.takeSnapshot(now, false)
 		for i, name := range saved.Names {
-			got[name] = saved.State.Endpoints[i].RTT.V
+			got[name] = saved.State.Endpoints[i].RTT.Value
 		}
 	})
 	return got
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -480,7 +480,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	mean := func(v float64) balancer.MeanState {
-		return balancer.MeanState{V: v * (0.5 + h.rng.Float64()), N: 20 * h.rng.Float64()}
+		return balancer.MeanState{Value: v * (0.5 + h.rng.Float64()), Samples: 20 * h.rng.Float64()}
 	}
 	micros := func(most int64) balancer.Micros { return h.rng.Int64N(most) }
 	meter := func() balancer.RateState { return balancer.RateState{Sum: 100 * h.rng.Float64(), Age: micros(1e6)} }
--- a/internal/platform/recovery/merge.go
+++ b/internal/platform/recovery/merge.go
@@ -82,7 +82,7 @@
 	if e.WarmingUp && (!known.WarmingUp || e.SlowStart < known.SlowStart) {
 		known.WarmingUp, known.SlowStart = true, e.SlowStart
 	}
-	if e.Pace.N > 0 && (known.Pace.N == 0 || e.PaceLearned < known.PaceLearned) {
+	if e.Pace.Samples > 0 && (known.Pace.Samples == 0 || e.PaceLearned < known.PaceLearned) {
 		known.Pace, known.PaceLearned = e.Pace, e.PaceLearned
 	}
 }
--- a/internal/platform/recovery/recovery_test.go
+++ b/internal/platform/recovery/recovery_test.go
@@ -42,9 +42,9 @@
 		StartTime:   start,
 		WarmingUp:   warmingUp >= 0,
 		SlowStart:   max(0, warmingUp),
-		Pace:        balancer.MeanState{V: pace, N: 5},
+		Pace:        balancer.MeanState{Value: pace, Samples: 5},
 		PaceLearned: paceAge,
-		RTT:         balancer.MeanState{V: 7, N: 3},
+		RTT:         balancer.MeanState{Value: 7, Samples: 3},
 		Inflight:    4,
 		HasLoad:     true,
 		FailureRuns: []balancer.FailureRunState{{Part: -1, Streak: 3, EjectedUntil: -second}},
@@ -116,11 +116,11 @@
 		if e.WarmingUp {
 			got = fmt.Sprint("warming up for ", e.SlowStart)
 		}
-		got += fmt.Sprint(", pace ", e.Pace.V)
+		got += fmt.Sprint(", pace ", e.Pace.Value)
 		if name := c.Snapshot.Names[i]; got != want[name] {
 			t.Errorf("%s: %s, want %s", name, got, want[name])
 		}
-		if e.RTT.N != 0 || e.Inflight != 0 || e.HasLoad || len(e.FailureRuns) != 0 || e.ID != uint32(i) {
+		if e.RTT.Samples != 0 || e.Inflight != 0 || e.HasLoad || len(e.FailureRuns) != 0 || e.ID != uint32(i) {
 			t.Errorf("%s: %+v is restored", c.Snapshot.Names[i], e)
 		}
 	}
@@ -140,7 +140,7 @@
 	if _, err := b.Restore(2e9, back.State, c.Age); err != nil {
 		t.Error(err)
 	}
-	if one.State.Endpoints[0].RTT.N == 0 {
+	if one.State.Endpoints[0].RTT.Samples == 0 {
 		t.Error("the candidate's snapshot was changed")
 	}
 }
