--- a/balancer/resume.go
+++ b/balancer/resume.go
@@ -19,17 +19,17 @@
 	b := s.buildBase(now, out)
 	rules := make([]*Rules, len(s.Rules))
 	for i, r := range s.Rules {
-		rules[i] = &Rules{settings: r.Settings, classSlots: slices.Clone(r.Slots)}
+		rules[i] = &Rules{settings: r.Settings, classSlots: slices.Clone(r.ClassSlots)}
 	}
 	b.rules = rules[0]
 	s.addEndpoints(b, now)
 	for _, logged := range s.Logged {
 		b.lastLogged[logged.Topic] = now - logged.Age
 	}
-	for i := range s.Slots {
+	for i := range s.RequestSlots {
 		s.addRequest(b, now, i, rules)
 	}
-	for _, slot := range s.Free {
+	for _, slot := range s.FreeRequestSlots {
 		b.freeRequestSlots = append(b.freeRequestSlots, b.requestSlots[slot])
 	}
 	for _, slot := range s.Waiting {
@@ -122,10 +122,10 @@
 
 // addRequest adds the record in a request slot to a balancer.
 func (s *Snapshot) addRequest(b *Balancer, now Micros, slot int, rules []*Rules) {
-	state := &s.Slots[slot]
+	state := &s.RequestSlots[slot]
 	r := &request{token: state.Token, ended: true}
 	b.requestSlots = append(b.requestSlots, r)
-	if slices.Contains(s.Free, slot) {
+	if slices.Contains(s.FreeRequestSlots, slot) {
 		return
 	}
 	*r = request{
@@ -142,7 +142,7 @@
 			Rules:         rules[state.Rules],
 		},
 		token:          state.Token,
-		classSlot:      state.Slot,
+		classSlot:      state.ClassSlot,
 		arrivedAt:      now - state.Arrived,
 		work:           state.Work,
 		logHint:        state.LogHint,
@@ -264,7 +264,7 @@
 }
 
 // State returns the rules as data.
-func (r *Rules) State() RulesState { return RulesState{Settings: r.settings, Slots: r.classSlots} }
+func (r *Rules) State() RulesState { return RulesState{Settings: r.settings, ClassSlots: r.classSlots} }
 
 // RestoreRules returns the rules that s describes, for requests of this balancer: the slots in s must be class slots of
 // it. The error is a *SettingError or a *SnapshotError.
@@ -272,12 +272,12 @@
 	if err := s.Settings.Validate(); err != nil {
 		return nil, err
 	}
-	for _, slot := range s.Slots {
+	for _, slot := range s.ClassSlots {
 		if slot < 0 || slot >= len(b.classes) {
 			return nil, &SnapshotError{"Rules.Slots", "name a class slot that does not exist"}
 		}
 	}
-	if len(s.Slots) != len(s.Settings.Classes) {
+	if len(s.ClassSlots) != len(s.Settings.Classes) {
 		return nil, &SnapshotError{"Rules.Slots", "are not as many as the classes"}
 	}
 	// Requests that arrived under the same rules share one Rules, so that a snapshot stores it once.
@@ -287,5 +287,5 @@
 			return r.Rules, nil
 		}
 	}
-	return &Rules{settings: s.Settings, classSlots: slices.Clone(s.Slots)}, nil
+	return &Rules{settings: s.Settings, classSlots: slices.Clone(s.ClassSlots)}, nil
 }
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -98,7 +98,7 @@
 	rules := map[*Rules]int{b.rules: 0}
 	for _, r := range b.requestSlots {
 		if b.requests[r.ID] != r {
-			s.Slots = append(s.Slots, RequestState{Token: r.token})
+			s.RequestSlots = append(s.RequestSlots, RequestState{Token: r.token})
 			continue
 		}
 		rulesIndex, included := rules[r.Rules]
@@ -107,10 +107,10 @@
 			rules[r.Rules] = rulesIndex
 			s.Rules = append(s.Rules, r.Rules.State())
 		}
-		s.Slots = append(s.Slots, r.state(now, rulesIndex, index))
+		s.RequestSlots = append(s.RequestSlots, r.state(now, rulesIndex, index))
 	}
 	for _, r := range b.freeRequestSlots {
-		s.Free = append(s.Free, slotIndex(r.token))
+		s.FreeRequestSlots = append(s.FreeRequestSlots, slotIndex(r.token))
 	}
 	for _, r := range b.waiting {
 		s.Waiting = append(s.Waiting, slotIndex(r.token))
@@ -136,7 +136,7 @@
 		Tenant:        r.Tenant,
 		Class:         r.Class,
 		Rules:         rulesIndex,
-		Slot:          r.classSlot,
+		ClassSlot:     r.classSlot,
 		Arrived:       now - r.arrivedAt,
 		Work:          r.work,
 		LogHint:       r.logHint,
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -361,17 +361,17 @@
 	b, now := trainedBalancer(t, 4, func(uint32) Status { return OK })
 	for field, invalidate := range map[string]func(*Snapshot){
 		"Rules":              func(s *Snapshot) { s.Rules = nil },
-		"Rules.Slots":        func(s *Snapshot) { s.Rules[0].Slots = []int{9, 1, 2, 3, 4} },
+		"Rules.Slots":        func(s *Snapshot) { s.Rules[0].ClassSlots = []int{9, 1, 2, 3, 4} },
 		"Pool":               func(s *Snapshot) { s.Pool = []int{77} },
 		"Endpoints.ID":       func(s *Snapshot) { s.Endpoints[1].ID = s.Endpoints[0].ID },
 		"Endpoints.Head":     func(s *Snapshot) { s.Endpoints[1].Head = -1 },
 		"Trend":              func(s *Snapshot) { s.LatencyTrend = 0 },
-		"Slots.Token":        func(s *Snapshot) { s.Slots[0].Token = 0 },
-		"Free":               func(s *Snapshot) { s.Free = []int{-1} },
+		"Slots.Token":        func(s *Snapshot) { s.RequestSlots[0].Token = 0 },
+		"Free":               func(s *Snapshot) { s.FreeRequestSlots = []int{-1} },
 		"Endpoints.Inflight": func(s *Snapshot) { s.Endpoints[0].Inflight = -1 },
 	} {
 		s := b.Snapshot(now, true)
-		s.Rules[0].Slots = slices.Clone(s.Rules[0].Slots)
+		s.Rules[0].ClassSlots = slices.Clone(s.Rules[0].ClassSlots)
 		invalidate(s)
 		_, err := Resume(s, &recorder{})
 		var snapshotErr *SnapshotError
--- a/balancer/snapshotcheck.go
+++ b/balancer/snapshotcheck.go
@@ -52,8 +52,8 @@
 
 func (c *snapshotCheck) rules() {
 	for _, r := range c.s.Rules {
-		c.must(len(r.Slots) == len(r.Settings.Classes), "Rules.Slots", "are not as many as the classes")
-		c.checkIndices(r.Slots, len(c.s.Classes), "Rules.Slots")
+		c.must(len(r.ClassSlots) == len(r.Settings.Classes), "Rules.Slots", "are not as many as the classes")
+		c.checkIndices(r.ClassSlots, len(c.s.Classes), "Rules.Slots")
 	}
 	c.must(len(c.s.Tenants) == len(c.s.Rules[0].Settings.Tenants), "Tenant",
 		"there must be one for each tenant in the settings")
@@ -118,8 +118,8 @@
 func (c *snapshotCheck) references() {
 	s := c.s
 	c.checkIndices(s.Pool, len(s.Endpoints), "Pool")
-	c.checkIndices(s.Free, len(s.Slots), "Free")
-	c.checkIndices(s.Waiting, len(s.Slots), "Held")
+	c.checkIndices(s.FreeRequestSlots, len(s.RequestSlots), "Free")
+	c.checkIndices(s.Waiting, len(s.RequestSlots), "Held")
 	c.checkIndices(s.Aperture, len(s.Endpoints), "Near")
 	c.must(finiteNonNegative(s.SlowStartCorrection) && s.SlowStartCorrection <= 1, "Chill", "must be in 0..1")
 	c.must(len(s.Pool) <= maxPool && len(s.Undrained) <= maxUndrained, "Pool",
@@ -128,10 +128,10 @@
 
 func (c *snapshotCheck) requests() {
 	used := map[uint64]bool{}
-	for i := range c.s.Slots {
-		r := &c.s.Slots[i]
+	for i := range c.s.RequestSlots {
+		r := &c.s.RequestSlots[i]
 		c.must(slotIndex(r.Token) == i, "Slots.Token", "names another request slot")
-		if slices.Contains(c.s.Free, i) {
+		if slices.Contains(c.s.FreeRequestSlots, i) {
 			continue
 		}
 		c.must(!used[r.ID], "Slots.ID", "occurs twice")
@@ -149,8 +149,8 @@
 	if r.Rules < 0 || r.Rules >= len(c.s.Rules) {
 		return false
 	}
-	slots := c.s.Rules[r.Rules].Slots
-	return int(r.Class) < len(slots) && r.Slot == slots[r.Class]
+	slots := c.s.Rules[r.Rules].ClassSlots
+	return int(r.Class) < len(slots) && r.ClassSlot == slots[r.Class]
 }
 
 func (c *snapshotCheck) request(r *RequestState) {
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -50,12 +50,12 @@
 	SentWork      RateState `cbor:"33,keyasint"`
 
 	// Records of requests. They are absent in a snapshot made without requests.
-	Slots         []RequestState `cbor:"34,keyasint,omitempty"` // by request slot
-	Free          []int          `cbor:"35,keyasint,omitempty"` // free request slots, next to be used last
-	Waiting       []int          `cbor:"36,keyasint,omitempty"` // request slots of requests that wait for probes
-	PendingProbes int            `cbor:"37,keyasint,omitempty"`
-	ProbeRound    uint32         `cbor:"38,keyasint,omitempty"`
-	Logged        []LoggedState  `cbor:"39,keyasint,omitempty"` // in the order of their topics
+	RequestSlots     []RequestState `cbor:"34,keyasint,omitempty"` // by request slot
+	FreeRequestSlots []int          `cbor:"35,keyasint,omitempty"` // free request slots, next to be used last
+	Waiting          []int          `cbor:"36,keyasint,omitempty"` // request slots of requests that wait for probes
+	PendingProbes    int            `cbor:"37,keyasint,omitempty"`
+	ProbeRound       uint32         `cbor:"38,keyasint,omitempty"`
+	Logged           []LoggedState  `cbor:"39,keyasint,omitempty"` // in the order of their topics
 
 	ApertureSeed        uint64  `cbor:"40,keyasint,omitempty"`
 	Aperture            []int   `cbor:"41,keyasint,omitempty"` // indices in Endpoints; empty for all of them
@@ -66,8 +66,8 @@
 
 // RulesState is Rules as data. Slots has the class slot of each class in Settings.
 type RulesState struct {
-	Settings Settings `cbor:"1,keyasint"`
-	Slots    []int    `cbor:"2,keyasint"`
+	Settings   Settings `cbor:"1,keyasint"`
+	ClassSlots []int    `cbor:"2,keyasint"`
 }
 
 // MeanState is a moving average: its value V and its number of samples N.
@@ -180,7 +180,7 @@
 	Tenant        uint16         `cbor:"9,keyasint,omitempty"`
 	Class         uint8          `cbor:"10,keyasint,omitempty"`
 	Rules         int            `cbor:"11,keyasint,omitempty"` // index in Snapshot.Rules
-	Slot          int            `cbor:"12,keyasint,omitempty"` // class slot
+	ClassSlot     int            `cbor:"12,keyasint,omitempty"` // class slot
 	Arrived       Micros         `cbor:"13,keyasint,omitempty"`
 	Work          float64        `cbor:"14,keyasint,omitempty"`
 	LogHint       float64        `cbor:"15,keyasint,omitempty"`
--- a/internal/platform/snapshot/stored_test.go
+++ b/internal/platform/snapshot/stored_test.go
@@ -38,9 +38,9 @@
 		t.Errorf("decoded addresses %q, want %q", k.Addresses, want)
 	}
 	s := k.State
-	if s.At != 1_700_000_000_004_000 || len(s.Rules) != 1 || len(s.Classes) != 1 || len(s.Slots) == 0 {
+	if s.At != 1_700_000_000_004_000 || len(s.Rules) != 1 || len(s.Classes) != 1 || len(s.RequestSlots) == 0 {
 		t.Errorf("decoded a state of %d with %d rules, %d classes, %d slots",
-			s.At, len(s.Rules), len(s.Classes), len(s.Slots))
+			s.At, len(s.Rules), len(s.Classes), len(s.RequestSlots))
 	}
 	if len(s.Endpoints) != 2 || s.Endpoints[0].ID != 1 || s.Endpoints[1].ID != 2 {
 		t.Errorf("decoded endpoints %+v", s.Endpoints)
