--- a/balancer/state.go
+++ b/balancer/state.go
@@ -64,13 +64,13 @@
 	LastPoll Micros `cbor:"43,keyasint,omitempty"`
 }
 
-// RulesState is Rules as data. Slots has the class slot of each class in Settings.
+// RulesState is Rules as data. ClassSlots has the class slot of each class in Settings.
 type RulesState struct {
 	Settings   Settings `cbor:"1,keyasint"`
 	ClassSlots []int    `cbor:"2,keyasint"`
 }
 
-// MeanState is a moving average: its value V and its number of samples N.
+// MeanState is a moving average as data. Samples is at least settledSamples if the average started with a given value.
 type MeanState struct {
 	Value   float64 `cbor:"1,keyasint,omitempty"`
 	Samples float64 `cbor:"2,keyasint,omitempty"`
