--- a/internal/dataplane/core/restore_test.go
+++ b/internal/dataplane/core/restore_test.go
@@ -35,7 +35,7 @@
 	mustRun(t, loop, func(now balancer.Micros) {
 		saved := loop.takeSnapshot(now, false)
 		for i, name := range saved.Names {
-			got[name] = saved.State.Endpoints[i].RTT.V
+			got[name] = saved.State.Endpoints[i].RTT.Value
 		}
 	})
 	return got
