--- a/internal/controlplane/lease/fence.go
+++ b/internal/controlplane/lease/fence.go
@@ -9,46 +9,49 @@
 	"sync"
 )
 
-// Fence guards a resource: it rejects actions whose fencing token is lower than one it has seen. A zero Fence
-// remembers tokens in memory; one from OpenFence also remembers them across restarts. It is safe for concurrent
-// use.
+// Fence protects a resource from holders whose lease has ended: it rejects an action whose fencing token is lower than
+// the highest token that it has admitted for the same task. The zero Fence keeps tokens in memory only; one from
+// OpenFence keeps them across restarts. It is safe for concurrent use.
 type Fence struct {
 	mu      sync.Mutex
-	path    string // empty: in memory only
-	highest map[string]uint64
+	path    string            // empty: tokens are kept in memory only
+	highest map[string]uint64 // highest admitted token by task
 	defect  FenceDefect
 }
 
-// FenceDefect is a fault injected into a Fence, so that a test can show that the fault is detected.
+// FenceDefect is a defect injected into a Fence, so that a test can show that it is detected.
 type FenceDefect int
 
-// The defects of a Fence.
+// Injected defects of a Fence.
 const (
 	NoFenceDefect   FenceDefect = iota
-	AdmitAllTokens              // lower tokens are admitted
-	ForgetOnRestart             // the file is not read at start
+	AdmitAllTokens              // tokens below the highest one are admitted too
+	ForgetOnRestart             // OpenFence does not read the stored tokens
 )
 
+// maxFencedTasks bounds the memory and the file of a Fence.
 const maxFencedTasks = 4096
 
-// ErrFenceUnavailable says that a fence has reached its number of tasks, or could not store a token.
+// ErrFenceUnavailable is returned for an action that a Fence rejects because it cannot record the token: it tracks the
+// maximum number of tasks already, or its file could not be written.
 var ErrFenceUnavailable = errors.New("the fence cannot store the token")
 
-// NewFence returns a fence that remembers tokens in memory.
-func NewFence(d FenceDefect) *Fence { return &Fence{defect: d} }
+// NewFence returns a Fence that keeps tokens in memory only.
+func NewFence(defect FenceDefect) *Fence { return &Fence{defect: defect} }
 
-// OpenFence returns a fence that keeps its tokens in the file at path, and reads those of an earlier one.
-func OpenFence(path string, d FenceDefect) (*Fence, error) {
-	f := &Fence{path: path, defect: d}
-	if d == ForgetOnRestart {
+// OpenFence returns a Fence that keeps its tokens in the file at path, and loads the tokens that an earlier Fence
+// stored there. A missing file is the same as one without tokens.
+func OpenFence(path string, defect FenceDefect) (*Fence, error) {
+	f := &Fence{path: path, defect: defect}
+	if defect == ForgetOnRestart {
 		return f, nil
 	}
-	b, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return f, nil
 	}
 	if err == nil {
-		err = json.Unmarshal(b, &f.highest)
+		err = json.Unmarshal(content, &f.highest)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("fence: %s: %w", path, err)
@@ -56,20 +59,21 @@
 	return f, nil
 }
 
-// Admit returns nil if an action with this token may take effect, and ErrStaleToken if a higher token of the task was
-// admitted before. A new token is stored before it is admitted, so that no lower one passes after a crash.
+// Admit returns nil if an action with this token may take effect, ErrStaleToken if a higher token of the task was
+// admitted before, and ErrFenceUnavailable if the token cannot be recorded. A higher token than before is stored before
+// it is admitted, so that no lower token is admitted after a crash.
 func (f *Fence) Admit(task string, token uint64) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	highest, known := f.highest[task]
 	if token < highest && f.defect != AdmitAllTokens {
-		return fmt.Errorf("%w: %d of %s, after %d", ErrStaleToken, token, task, highest)
+		return fmt.Errorf("%w: token %d for task %s, highest token %d", ErrStaleToken, token, task, highest)
 	}
 	if token <= highest {
 		return nil
 	}
 	if !known && len(f.highest) >= maxFencedTasks {
-		return fmt.Errorf("%w: %d tasks", ErrFenceUnavailable, len(f.highest))
+		return fmt.Errorf("%w: it tracks %d tasks already", ErrFenceUnavailable, len(f.highest))
 	}
 	if f.highest == nil {
 		f.highest = map[string]uint64{}
@@ -85,35 +89,35 @@
 	return nil
 }
 
-// save replaces the file atomically and returns once it is on the disk.
+// save replaces the file of a Fence atomically, and returns once the new contents are on disk. The lock must be held.
 func (f *Fence) save() error {
 	if f.path == "" {
 		return nil
 	}
-	b, err := json.Marshal(f.highest)
+	content, err := json.Marshal(f.highest)
 	if err != nil {
 		return err
 	}
-	w, err := os.CreateTemp(filepath.Dir(f.path), ".fence-*")
+	file, err := os.CreateTemp(filepath.Dir(f.path), ".fence-*")
 	if err != nil {
 		return err
 	}
-	_, err = w.Write(b)
-	err = errors.Join(err, w.Sync(), w.Close())
+	_, err = file.Write(content)
+	err = errors.Join(err, file.Sync(), file.Close())
 	if err == nil {
-		err = os.Rename(w.Name(), f.path)
+		err = os.Rename(file.Name(), f.path)
 	}
 	if err != nil {
-		return errors.Join(err, os.Remove(w.Name()))
+		return errors.Join(err, os.Remove(file.Name()))
 	}
 	return syncDir(filepath.Dir(f.path))
 }
 
-// syncDir makes a rename within the directory durable.
+// syncDir makes earlier renames within a directory durable.
 func syncDir(path string) error {
-	d, err := os.Open(path)
+	dir, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	return errors.Join(d.Sync(), d.Close())
+	return errors.Join(dir.Sync(), dir.Close())
 }
--- a/internal/controlplane/lease/session.go
+++ b/internal/controlplane/lease/session.go
@@ -1,81 +1,84 @@
 package lease
 
-// RequestKind is the kind of request that a session wants sent to the store.
+// RequestKind is the kind of a request that the owner of a Session must send to the store.
 type RequestKind int
 
-// The kinds of requests. At most one request is in flight.
+// The kinds of requests. A Session has at most one request in flight.
 const (
 	NoRequest    RequestKind = iota
 	GrantRequest             // grants a new session for Rules.TTL
 	RenewRequest             // renews the session with Session.ID
 )
 
-// Outcome is how a request ended.
+// Outcome is the outcome of a request to the store.
 type Outcome int
 
-// The outcomes. A request with OutcomeUnknown may have been applied.
+// The outcomes of a request. A request with OutcomeUnknown may have been applied.
 const (
 	Succeeded       Outcome = iota
-	SessionNotFound         // the store has no such session
-	OutcomeUnknown          // or the store rejected it for another reason
+	SessionNotFound         // the store has no session with this ID
+	OutcomeUnknown          // no response arrived, or the store rejected the request for another reason
 )
 
-// Defect is a fault injected into a Session, so that a test can show that the fault is detected.
+// Defect is a defect injected into a Session, so that a test can show that it is detected.
 type Defect int
 
-// The defects of a Session.
+// Injected defects of a Session.
 const (
 	NoDefect               Defect = iota
-	ValidFromResponse             // validity counts from the response's arrival
-	IgnoreSkew                    // clocks are assumed to run at the same rate, without a margin
-	AcceptRejectedRenewal         // a renewal that the store rejected extends the validity
-	KeepEntriesAcrossGrant        // entries of an earlier session are taken to exist in the next
+	ValidFromResponse             // the validity starts when the response arrives, instead of when the request was sent
+	IgnoreSkew                    // Rules.Skew and Rules.Margin are taken as 0
+	AcceptRejectedRenewal         // a renewal with SessionNotFound extends the validity
+	KeepEntriesAcrossGrant        // queue entries of an earlier session count in the next; no code implements it
 )
 
-// renewalsPerTTL is how many times a session is renewed within its TTL: two renewals may fail before the session
-// expires.
+// renewalsPerTTL is the number of renewals sent within the TTL of a session, so that two successive renewals may fail
+// before the session expires.
 const renewalsPerTTL = 3
 
-// maxBackoffShift bounds the backoff after failed requests: the delay grows from 1/8 of the renewal interval to the
-// interval.
+// maxBackoffShift sets the backoff after failed requests: the delay doubles from 1/8 of the renewal interval up to the
+// whole interval.
 const maxBackoffShift = 4
 
-// Session is the state of one daemon's session. It is for one goroutine at a time. Instants are nanoseconds of the
-// holder's clock.
+// Session is the state of one daemon's session, and decides when to grant and renew it. It is not safe for concurrent
+// use. All instants are nanoseconds of the holder's clock.
 type Session struct {
 	rules      Rules
 	defect     Defect
-	id         uint64 // 0: none
-	validUntil int64
-	sentAt     int64       // when the request in flight was sent
-	pending    RequestKind // the request in flight
-	nextDue    int64       // when the next request is to be sent
-	failures   int         // requests that failed since the last success
-	generation uint64      // sessions granted so far
+	id         uint64      // of the store's lease; 0: there is no session
+	validUntil int64       // 0: the session is not valid
+	sentAt     int64       // when the latest request was sent
+	pending    RequestKind // the request in flight, or NoRequest
+	nextDue    int64       // when the next request is due
+	failures   int         // consecutive failed requests
+	generation uint64      // number of sessions granted so far
 }
 
-// NewSession returns a session that is still to be granted.
-func NewSession(r Rules, d Defect) *Session {
-	if d == IgnoreSkew {
-		r.Skew, r.Margin = 0, 0
+// NewSession returns a Session without a session at the store: its first request is a GrantRequest.
+func NewSession(rules Rules, defect Defect) *Session {
+	if defect == IgnoreSkew {
+		rules.Skew, rules.Margin = 0, 0
 	}
-	return &Session{rules: r, defect: d}
+	return &Session{rules: rules, defect: defect}
 }
 
-// ID is the store's lease, 0 if there is none.
+// ID returns the ID of the session, which is that of its lease at the store, or 0 if there is no session.
 func (s *Session) ID() uint64 { return s.id }
 
-// ValidUntil is when everything held by the session ceases to be valid, unless it is renewed; 0: it is not valid.
+// ValidUntil returns the instant at which all leases of the session cease to be valid, unless it is renewed first. 0
+// means that the session is not valid.
 func (s *Session) ValidUntil() int64 { return s.validUntil }
 
-// Generation counts the sessions that were granted: a queue entry belongs to one of them.
+// Generation returns the number of sessions granted so far. A queue entry belongs to the generation in which it was
+// created, and is lost once a later session is granted.
 func (s *Session) Generation() uint64 { return s.generation }
 
-// Rules are the session's timing rules.
+// Rules returns the timing parameters of the session, after the effect of an injected defect.
 func (s *Session) Rules() Rules { return s.rules }
 
-// Next returns the request to send now, or NoRequest and when to call again; 0 means after HandleResponse. A
-// request that it returns counts as sent at now: however late the request is applied, that is after now.
+// Next returns the request to send now, or NoRequest and the instant at which to call Next again. The instant is 0
+// while a request is in flight: Next is then to be called after HandleResponse. A returned request counts as sent at
+// now; that is safe because the store applies it later than now, whatever the delay.
 func (s *Session) Next(now int64) (RequestKind, int64) {
 	if s.pending != NoRequest {
 		return NoRequest, 0
@@ -91,8 +94,9 @@
 	return s.pending, 0
 }
 
-// HandleResponse takes the outcome of the request in flight, and the id of the session if one was granted.
-func (s *Session) HandleResponse(now int64, o Outcome, id uint64) {
+// HandleResponse records the outcome of the request in flight, at the instant now. id is the ID of the session that a
+// successful GrantRequest created, and is not used otherwise. Without a request in flight the call has no effect.
+func (s *Session) HandleResponse(now int64, outcome Outcome, id uint64) {
 	kind, sentAt := s.pending, s.sentAt
 	if kind == NoRequest {
 		return
@@ -103,7 +107,7 @@
 	}
 	interval := s.rules.TTL / renewalsPerTTL
 	switch {
-	case o == Succeeded && (kind == RenewRequest || id != 0):
+	case outcome == Succeeded && (kind == RenewRequest || id != 0):
 		if kind == GrantRequest {
 			s.id = id
 			s.generation++
@@ -111,10 +115,10 @@
 		s.validUntil = max(s.validUntil, sentAt+s.rules.Validity())
 		s.nextDue = sentAt + interval
 		s.failures = 0
-	case o == SessionNotFound && kind == RenewRequest && s.defect == AcceptRejectedRenewal:
+	case outcome == SessionNotFound && kind == RenewRequest && s.defect == AcceptRejectedRenewal:
 		s.validUntil = sentAt + s.rules.Validity()
 		s.nextDue = sentAt + interval
-	case o == SessionNotFound && kind == RenewRequest:
+	case outcome == SessionNotFound && kind == RenewRequest:
 		s.Reset()
 		s.nextDue = now
 	default:
@@ -123,7 +127,8 @@
 	}
 }
 
-// Reset forgets the session, because it has ended or is left to expire. A response to a request in flight is ignored.
+// Reset forgets the session, which has ended, is about to be revoked or is left to expire at the store. A response to
+// the request in flight is ignored, and the next request is a GrantRequest.
 func (s *Session) Reset() {
 	s.id = 0
 	s.validUntil = 0
--- a/internal/controlplane/lease/stored_test.go
+++ b/internal/controlplane/lease/stored_test.go
@@ -11,25 +11,25 @@
 	"birchmoor/internal/store"
 )
 
-// readRecords returns the keys and values of testdata/records.tsv, which version 7105f7a wrote.
+// readRecords returns the values by key of testdata/records.tsv, which the build of commit 7105f7a wrote.
 func readRecords(t *testing.T) map[string]string {
 	t.Helper()
-	b, err := os.ReadFile("testdata/records.tsv")
+	content, err := os.ReadFile("testdata/records.tsv")
 	if err != nil {
 		t.Fatal(err)
 	}
 	records := map[string]string{}
-	for line := range strings.Lines(string(b)) {
+	for line := range strings.Lines(string(content)) {
 		key, value, ok := strings.Cut(strings.TrimSuffix(line, "\n"), "\t")
 		if !ok {
-			t.Fatalf("line without a tab: %q", line)
+			t.Fatalf("testdata/records.tsv: line without a tab: %q", line)
 		}
 		records[key] = value
 	}
 	return records
 }
 
-func TestStoredRecordsKeepTheirForm(t *testing.T) {
+func TestStoredRecordsKeepTheirFormat(t *testing.T) {
 	records := readRecords(t)
 	tests := []struct {
 		key   string
@@ -47,33 +47,34 @@
 	for _, tc := range tests {
 		stored, ok := records[tc.key]
 		if !ok {
-			t.Errorf("no stored record has the key %q", tc.key)
+			t.Errorf("testdata/records.tsv: no record has the key %q", tc.key)
 			continue
 		}
 		decoded := reflect.New(reflect.TypeOf(tc.value).Elem()).Interface()
 		if err := json.Unmarshal([]byte(stored), decoded); err != nil || !reflect.DeepEqual(decoded, tc.value) {
-			t.Errorf("%s: decoded %+v, %v, want %+v", tc.key, decoded, err, tc.value)
+			t.Errorf("stored record %s: decoded %+v, error %v, want %+v", tc.key, decoded, err, tc.value)
 		}
 		if encoded, err := json.Marshal(tc.value); err != nil || string(encoded) != stored {
-			t.Errorf("%s: encoded %s, %v, want %s", tc.key, encoded, err, stored)
+			t.Errorf("stored record %s: encoded %s, error %v, want %s", tc.key, encoded, err, stored)
 		}
 	}
 	if records[SuspendKey] != "restored" || len(records) != len(tests)+1 {
-		t.Errorf("%s is %q among %d records", SuspendKey, records[SuspendKey], len(records))
+		t.Errorf("record %s is %q among %d records, want restored and no record that the test does not know",
+			SuspendKey, records[SuspendKey], len(records))
 	}
 }
 
 func TestTableReadsStoredRecords(t *testing.T) {
 	table := NewTable(NoTableDefect)
-	revision := map[string]uint64{
+	revisions := map[string]uint64{
 		"task/place/reindex/host-a/00ff1": 5,
 		"task/place/reindex/host-b/00ff2": 9,
 		"task/order/reindex":              11,
 	}
 	for key, value := range readRecords(t) {
-		item := store.Item{Key: key, Value: []byte(value), CreateRevision: revision[key], ModRevision: revision[key]}
+		item := store.Item{Key: key, Value: []byte(value), CreateRevision: revisions[key], ModRevision: revisions[key]}
 		if !table.Event(store.Event{Item: item}) {
-			t.Errorf("%s is not taken for a key of tasks", key)
+			t.Errorf("Event(%s) reports that the key is not one of tasks", key)
 		}
 	}
 	want := []QueueEntry{
@@ -81,18 +82,18 @@
 		{QueueRecord{78, 15000, ""}, "task/place/reindex/host-b/00ff2", "reindex", "host-b", 9},
 	}
 	if got := table.Queue("reindex"); !reflect.DeepEqual(got, want) {
-		t.Errorf("queue %+v, want %+v", got, want)
+		t.Errorf("queue of reindex: %+v, want %+v", got, want)
 	}
-	override, revised := table.Override("reindex")
-	if !override.Pause || override.PreferredHost != "host-b" || revised != 11 {
-		t.Errorf("override %+v of %d", override, revised)
+	override, revision := table.Override("reindex")
+	if !override.Pause || override.PreferredHost != "host-b" || revision != 11 {
+		t.Errorf("override of reindex: %+v of revision %d, want a pause for host-b of revision 11", override, revision)
 	}
 	if table.Slots("reindex") != 2 || !table.Suspended() {
-		t.Errorf("%d slots, suspended %v", table.Slots("reindex"), table.Suspended())
+		t.Errorf("reindex has %d slots, suspended is %v, want 2 and true", table.Slots("reindex"), table.Suspended())
 	}
 }
 
-func TestFenceKeepsFormOfItsFile(t *testing.T) {
+func TestFenceFileKeepsItsFormat(t *testing.T) {
 	stored, err := os.ReadFile("testdata/fence.json")
 	if err != nil {
 		t.Fatal(err)
@@ -101,21 +102,21 @@
 	if err := os.WriteFile(path, stored, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	f, err := OpenFence(path, NoFenceDefect)
+	fence, err := OpenFence(path, NoFenceDefect)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.Admit("backup", 41) == nil || f.Admit("reindex", 1234567890122) == nil {
-		t.Error("a token below the stored one is admitted")
+	if fence.Admit("backup", 41) == nil || fence.Admit("reindex", 1234567890122) == nil {
+		t.Error("the fence admitted a token below the stored one")
 	}
 	path = filepath.Join(t.TempDir(), "fence.json")
-	if f, err = OpenFence(path, NoFenceDefect); err != nil {
+	if fence, err = OpenFence(path, NoFenceDefect); err != nil {
 		t.Fatal(err)
 	}
-	if f.Admit("reindex", 1234567890123) != nil || f.Admit("backup", 42) != nil {
-		t.Error("a first token is rejected")
+	if fence.Admit("reindex", 1234567890123) != nil || fence.Admit("backup", 42) != nil {
+		t.Error("the fence rejected the first token of a task")
 	}
 	if written, err := os.ReadFile(path); err != nil || string(written) != string(stored) {
-		t.Errorf("wrote %s, %v, want %s", written, err, stored)
+		t.Errorf("the fence wrote %s, read error %v, want %s", written, err, stored)
 	}
 }
--- a/internal/controlplane/lease/table.go
+++ b/internal/controlplane/lease/table.go
@@ -10,16 +10,17 @@
 	"birchmoor/internal/store"
 )
 
-// Table is the view of all tasks that a copy of the store gives. It is for one goroutine at a time.
+// Table is the state of all tasks, built from the items and events of a copy of the store. It is as stale as that copy.
+// It is not safe for concurrent use.
 type Table struct {
-	tasks      map[string]*taskQueue
-	suspended  bool // SuspendKey exists
+	tasks      map[string]*taskQueue // by name of the task
+	suspended  bool                  // SuspendKey exists
 	defect     TableDefect
-	renumbered map[string]uint64 // tokens by key of the entry, with RenumberTokens
-	cluster    uint64
+	renumbered map[string]uint64 // with RenumberTokens: tokens by the key of their queue entry
+	cluster    uint64            // of the last complete copy; 0: there was none
 }
 
-// taskQueue is what is known of one task.
+// taskQueue is the queue of one task, with the task's configuration and override.
 type taskQueue struct {
 	entries          []QueueEntry // sorted by token
 	config           TaskConfig
@@ -27,21 +28,23 @@
 	overrideRevision uint64 // 0: there is no override
 }
 
-// TableDefect is a fault injected into a Table, so that a test can show that the fault is detected.
+// TableDefect is a defect injected into a Table, so that a test can show that it is detected.
 type TableDefect int
 
-// The defects of a Table.
+// Injected defects of a Table.
 const (
 	NoTableDefect       TableDefect = iota
-	CountOwnEntriesOnly             // slots are counted among this daemon's own entries
-	IgnoreQueueOrder                // every entry holds its task
-	RenumberTokens                  // tokens are numbered anew by this process
+	CountOwnEntriesOnly             // only entries of the same host count as ahead of an entry
+	IgnoreQueueOrder                // every entry holds its task, whatever is ahead of it
+	RenumberTokens                  // tokens are numbers that this process counts up, instead of revisions
 )
 
-// NewTable returns an empty table.
-func NewTable(d TableDefect) *Table { return &Table{tasks: map[string]*taskQueue{}, defect: d} }
+// NewTable returns an empty Table.
+func NewTable(defect TableDefect) *Table {
+	return &Table{tasks: map[string]*taskQueue{}, defect: defect}
+}
 
-// Event applies a change of the copy, and reports whether it concerns tasks.
+// Event applies a change of the copy of the store, and reports whether it is a change of a key of tasks.
 func (t *Table) Event(e store.Event) bool {
 	if !strings.HasPrefix(e.Item.Key, Prefix) {
 		return false
@@ -50,77 +53,77 @@
 	return true
 }
 
-// Reset replaces the table's contents by those of a complete copy.
-func (t *Table) Reset(s *store.State) {
+// Reset replaces the contents of the table with those of a complete copy of the store.
+func (t *Table) Reset(state *store.State) {
 	clear(t.tasks)
 	t.suspended = false
-	t.cluster = s.Cluster()
-	s.Range(Prefix, store.PrefixEnd(Prefix), func(i store.Item) bool {
-		t.apply(i, false)
+	t.cluster = state.Cluster()
+	state.Range(Prefix, store.PrefixEnd(Prefix), func(item store.Item) bool {
+		t.apply(item, false)
 		return true
 	})
 }
 
-// Cluster identifies the cluster of the last complete copy: queue entries belong to the cluster in which they were
-// created.
+// Cluster returns the ID of the cluster of the last complete copy, or 0 before the first one. Sessions and queue
+// entries exist only in the cluster that created them.
 func (t *Table) Cluster() uint64 { return t.cluster }
 
-// apply takes over an item that was put or deleted.
-func (t *Table) apply(i store.Item, deleted bool) {
-	if i.Key == SuspendKey {
+// apply updates the table with an item that was put or deleted.
+func (t *Table) apply(item store.Item, deleted bool) {
+	if item.Key == SuspendKey {
 		t.suspended = !deleted
 		return
 	}
-	if task, host, _, ok := ParseQueueEntryKey(i.Key); ok {
-		t.queueOf(task).applyEntry(i, task, host, deleted)
+	if task, host, _, ok := ParseQueueEntryKey(item.Key); ok {
+		t.queueOf(task).applyEntry(item, task, host, deleted)
 		t.dropIfEmpty(task)
 		return
 	}
-	if task, ok := strings.CutPrefix(i.Key, TaskConfigPrefix); ok && CheckName(task) == nil {
-		t.queueOf(task).applyConfig(i, deleted)
+	if task, ok := strings.CutPrefix(item.Key, TaskConfigPrefix); ok && CheckName(task) == nil {
+		t.queueOf(task).applyConfig(item, deleted)
 		t.dropIfEmpty(task)
 		return
 	}
-	if task, ok := strings.CutPrefix(i.Key, OverridePrefix); ok && CheckName(task) == nil {
-		t.queueOf(task).applyOverride(i, deleted)
+	if task, ok := strings.CutPrefix(item.Key, OverridePrefix); ok && CheckName(task) == nil {
+		t.queueOf(task).applyOverride(item, deleted)
 		t.dropIfEmpty(task)
 	}
 }
 
 // applyEntry removes the entry with the item's key and, unless it was deleted, inserts it at its token.
-func (q *taskQueue) applyEntry(i store.Item, task, host string, deleted bool) {
-	q.entries = slices.DeleteFunc(q.entries, func(e QueueEntry) bool { return e.Key == i.Key })
+func (q *taskQueue) applyEntry(item store.Item, task, host string, deleted bool) {
+	q.entries = slices.DeleteFunc(q.entries, func(e QueueEntry) bool { return e.Key == item.Key })
 	if deleted {
 		return
 	}
-	entry := QueueEntry{Key: i.Key, Task: task, Host: host, Token: i.CreateRevision}
-	_ = json.Unmarshal(i.Value, &entry.QueueRecord) // an entry keeps its rank whatever its value says
-	at, _ := slices.BinarySearchFunc(q.entries, entry.Token, func(e QueueEntry, token uint64) int {
+	entry := QueueEntry{Key: item.Key, Task: task, Host: host, Token: item.CreateRevision}
+	_ = json.Unmarshal(item.Value, &entry.QueueRecord) // an entry keeps its position even if its value is invalid
+	index, _ := slices.BinarySearchFunc(q.entries, entry.Token, func(e QueueEntry, token uint64) int {
 		return cmp.Compare(e.Token, token)
 	})
-	q.entries = slices.Insert(q.entries, at, entry)
+	q.entries = slices.Insert(q.entries, index, entry)
 }
 
-func (q *taskQueue) applyConfig(i store.Item, deleted bool) {
+func (q *taskQueue) applyConfig(item store.Item, deleted bool) {
 	q.config = TaskConfig{}
 	if !deleted {
-		_ = json.Unmarshal(i.Value, &q.config) // one that cannot be read counts as absent
+		_ = json.Unmarshal(item.Value, &q.config) // an invalid config counts as absent
 	}
 }
 
-func (q *taskQueue) applyOverride(i store.Item, deleted bool) {
+func (q *taskQueue) applyOverride(item store.Item, deleted bool) {
 	q.override = TaskOverride{}
 	q.overrideRevision = 0
 	if deleted {
 		return
 	}
-	q.overrideRevision = i.ModRevision
-	if json.Unmarshal(i.Value, &q.override) != nil {
-		q.override = TaskOverride{Pause: true} // an override that cannot be read must not be ignored
+	q.overrideRevision = item.ModRevision
+	if json.Unmarshal(item.Value, &q.override) != nil {
+		q.override = TaskOverride{Pause: true} // an invalid override must not be ignored: it may be a pause
 	}
 }
 
-// queueOf returns the queue of a task, a new one if the task is not known.
+// queueOf returns the queue of a task, and adds an empty one if the table has none.
 func (t *Table) queueOf(task string) *taskQueue {
 	q := t.tasks[task]
 	if q == nil {
@@ -130,7 +133,7 @@
 	return q
 }
 
-// dropIfEmpty forgets a task of which nothing is stored.
+// dropIfEmpty removes a task that has neither queue entries nor a config nor an override.
 func (t *Table) dropIfEmpty(task string) {
 	q := t.tasks[task]
 	if q != nil && len(q.entries) == 0 && q.config == (TaskConfig{}) && q.overrideRevision == 0 {
@@ -138,20 +141,20 @@
 	}
 }
 
-// Find returns the entry with this key, and how many are ahead of it in the queue.
+// Find returns the queue entry with this key, and the number of entries ahead of it. ok is false if there is none.
 func (t *Table) Find(task, key string) (entry QueueEntry, ahead int, ok bool) {
 	q := t.tasks[task]
 	if q == nil {
 		return QueueEntry{}, 0, false
 	}
-	at := slices.IndexFunc(q.entries, func(e QueueEntry) bool { return e.Key == key })
-	if at < 0 {
+	index := slices.IndexFunc(q.entries, func(e QueueEntry) bool { return e.Key == key })
+	if index < 0 {
 		return QueueEntry{}, 0, false
 	}
-	return q.entries[at], at, true
+	return q.entries[index], index, true
 }
 
-// Slots is how many may hold a task at once; 0: it has no config.
+// Slots returns how many queue entries may hold a task at once, or 0 if the task has no config.
 func (t *Table) Slots(task string) int {
 	if q := t.tasks[task]; q != nil {
 		return q.config.Slots
@@ -159,7 +162,7 @@
 	return 0
 }
 
-// Override returns the operators' override of a task and its revision; 0: there is none.
+// Override returns the operator's override of a task and the revision of its last change, which is 0 if there is none.
 func (t *Table) Override(task string) (TaskOverride, uint64) {
 	if q := t.tasks[task]; q != nil {
 		return q.override, q.overrideRevision
@@ -167,11 +170,12 @@
 	return TaskOverride{}, 0
 }
 
-// Suspended reports whether all tasks are suspended, because the store was restored a moment ago.
+// Suspended reports whether all tasks are suspended, because the store was recently restored from a snapshot.
 func (t *Table) Suspended() bool { return t.suspended }
 
-// Holds reports whether the entry holds its task, and its fencing token. A stale copy shows too few holders, never
-// too many. It does not consider operators' overrides: these make a holder release.
+// Holds reports whether the queue entry with this key holds the task, and returns its fencing token. A stale copy may
+// still have entries ahead that were deleted since, so the turn of an entry may be reported late, but never early.
+// Holds ignores an operator's override; MustRelease tells the owner of an entry to release it for one.
 func (t *Table) Holds(task, key string) (token uint64, ok bool) {
 	entry, ahead, ok := t.Find(task, key)
 	if !ok || t.suspended {
@@ -189,7 +193,7 @@
 	return token, ahead < max(1, t.Slots(task))
 }
 
-// ownEntriesAhead counts the entries of the same host ahead of this one.
+// ownEntriesAhead counts the entries ahead of this one that belong to the same host.
 func (t *Table) ownEntriesAhead(entry QueueEntry) int {
 	ahead := 0
 	for _, e := range t.tasks[entry.Task].entries {
@@ -200,7 +204,7 @@
 	return ahead
 }
 
-// renumber returns a token that this process counts by itself.
+// renumber returns the token of the defect RenumberTokens for a queue entry.
 func (t *Table) renumber(key string) uint64 {
 	if t.renumbered == nil {
 		t.renumbered = map[string]uint64{}
@@ -211,8 +215,9 @@
 	return t.renumbered[key]
 }
 
-// MustRelease returns why the owner of this entry must release it, whether it holds the task or waits: ErrPaused if
-// the task is paused, ErrLost if it is handed over to a host that waits behind the entry.
+// MustRelease returns why the owner of the queue entry with this key must release it, whether the entry holds the task
+// or waits: ErrPaused if the task is paused, ErrLost if the task is to go to a preferred host that has an entry behind
+// this one. It returns nil if the entry may stay.
 func (t *Table) MustRelease(task, key string) error {
 	override, _ := t.Override(task)
 	if override.Pause {
@@ -227,13 +232,13 @@
 	}
 	for _, e := range t.tasks[task].entries {
 		if e.Host == override.PreferredHost && e.Token > entry.Token {
-			return fmt.Errorf("%w: it is handed over to %s", ErrLost, override.PreferredHost)
+			return fmt.Errorf("%w: an operator moved the task to %s", ErrLost, override.PreferredHost)
 		}
 	}
 	return nil
 }
 
-// Tasks returns the names of all known tasks, sorted.
+// Tasks returns the names of all tasks in the table, sorted.
 func (t *Table) Tasks() []string {
 	names := make([]string, 0, len(t.tasks))
 	for name := range t.tasks {
@@ -243,7 +248,7 @@
 	return names
 }
 
-// Queue returns a copy of a task's queue, holders first.
+// Queue returns a copy of a task's queue in the order of tokens, so that holders come first.
 func (t *Table) Queue(task string) []QueueEntry {
 	if q := t.tasks[task]; q != nil {
 		return slices.Clone(q.entries)
@@ -251,16 +256,16 @@
 	return nil
 }
 
-// EntriesOf returns the queue entries of one of a host's sessions, so that the host can delete those it has no use
-// for.
+// EntriesOf returns the queue entries of one session of a host, over all tasks. The host uses it to find entries that
+// it no longer needs and must delete.
 func (t *Table) EntriesOf(host string, session uint64) []QueueEntry {
-	var own []QueueEntry
+	var entries []QueueEntry
 	for _, task := range t.Tasks() {
 		for _, e := range t.tasks[task].entries {
 			if e.Host == host && e.Session == session {
-				own = append(own, e)
+				entries = append(entries, e)
 			}
 		}
 	}
-	return own
+	return entries
 }
