--- a/internal/controlplane/leasetask/claim.go
+++ b/internal/controlplane/leasetask/claim.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	maxNoteBytes    = 256
-	nonceBytes      = 8
-	minEntryTimeout = time.Second // of the change that creates a queue entry
+	maxNoteBytes    = 256         // of a claim's note and of a stored error
+	nonceBytes      = 8           // random bytes in the keys of the queue entries of one acquisition
+	minEntryTimeout = time.Second // minimum timeout of the transaction that creates a queue entry
 )
 
-// Claim describes a lease to acquire.
+// Claim describes a lease to acquire with Runner.Acquire.
 type Claim struct {
 	Task  string
-	Slots int           // how many may hold it at once; all claims of a task must agree. 0: one
-	TTL   time.Duration // after which another may hold it if this daemon stops renewing
+	Slots int           // how many leases of the task may be held at once; all claims of a task must agree. 0: one
+	TTL   time.Duration // of the session: if this daemon stops renewing, another may hold the task after this time
 	Note  string        // shown to operators
 }
 
-// check sets defaults and returns what is invalid.
+// check sets the default of Slots and returns an error if a field other than TTL is invalid.
 func (c *Claim) check() error {
 	if err := lease.CheckName(c.Task); err != nil {
 		return fmt.Errorf("%q: %w", c.Task, err)
@@ -35,30 +35,32 @@
 		c.Slots = 1
 	}
 	if c.Slots < 1 || c.Slots > lease.MaxSlots {
-		return fmt.Errorf("%d slots are not within 1 and %d", c.Slots, lease.MaxSlots)
+		return fmt.Errorf("slots: %d is not between 1 and %d", c.Slots, lease.MaxSlots)
 	}
 	if len(c.Note) > maxNoteBytes {
-		return fmt.Errorf("the note has more than %d bytes", maxNoteBytes)
+		return fmt.Errorf("the note is longer than %d bytes", maxNoteBytes)
 	}
 	return nil
 }
 
-// Acquire waits in the task's queue until this daemon holds the task, or ctx ends. If onWait is not nil, it is
-// called when the number of queue entries that must go first changes (-1: there is no entry yet), or when something
-// else delays the acquisition; it must not block. The lease must be released.
-func (r *Runner) Acquire(ctx context.Context, c Claim, onWait func(ahead int, reason error)) (*Lease, error) {
-	if err := c.check(); err != nil {
+// Acquire waits in the task's queue until this daemon holds the task, and returns the lease, which the caller must
+// release. It returns an error if the claim is invalid, if ctx ends or if the Runner is closed first. If onWait is not
+// nil, Acquire calls it when the number of queue entries that must leave the queue first has changed, and whenever
+// something else delays the acquisition, with the reason. The number is -1 while the claim has no queue entry. onWait
+// must not block.
+func (r *Runner) Acquire(ctx context.Context, claim Claim, onWait func(ahead int, reason error)) (*Lease, error) {
+	if err := claim.check(); err != nil {
 		return nil, err
 	}
 	var nonce [nonceBytes]byte
 	if _, err := rand.Read(nonce[:]); err != nil {
 		return nil, err
 	}
-	s, err := r.joinSession(c.TTL)
+	s, err := r.joinSession(claim.TTL)
 	if err != nil {
 		return nil, err
 	}
-	l := &Lease{runner: r, claim: c, session: s}
+	l := &Lease{runner: r, claim: claim, session: s}
 	w := waiter{lease: l, nonce: hex.EncodeToString(nonce[:]), onWait: onWait, lastAhead: -1, retryDelay: minRetryDelay}
 	if err := w.wait(ctx); err != nil {
 		l.Release()
@@ -67,15 +69,16 @@
 	return l, nil
 }
 
-// putEntry creates the lease's queue entry, and the task's config if there is none yet. A transaction whose
-// conditions fail is no error: the copy of the store shows what is there.
+// putEntry creates the lease's queue entry, bound to the session with sessionID, and the task's config if the copy of
+// the store shows none. A transaction whose conditions fail is not an error: the key exists already, and the copy
+// will show it.
 func (r *Runner) putEntry(ctx context.Context, l *Lease, sessionID uint64) error {
 	task := l.claim.Task
 	r.mu.Lock()
 	slots := r.table.Slots(task)
 	r.mu.Unlock()
 	if slots != 0 && slots != l.claim.Slots {
-		return fmt.Errorf("%w: %d, and not %d", lease.ErrSlotsMismatch, slots, l.claim.Slots)
+		return fmt.Errorf("%w: %d, and the claim has %d", lease.ErrSlotsMismatch, slots, l.claim.Slots)
 	}
 	record := lease.QueueRecord{Session: sessionID, TTLMillis: l.claim.TTL.Milliseconds(), Note: l.claim.Note}
 	value, err := json.Marshal(record)
@@ -104,7 +107,7 @@
 	return err
 }
 
-// removeEntry deletes a queue entry.
+// removeEntry deletes a queue entry of this daemon from the store.
 func (r *Runner) removeEntry(ctx context.Context, key string) error {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
--- a/internal/controlplane/leasetask/leasetask_test.go
+++ b/internal/controlplane/leasetask/leasetask_test.go
@@ -18,13 +18,13 @@
 	"birchmoor/internal/testutil/processtest"
 )
 
-// newRunners returns Runners of daemons with these names over one replica of the store.
+// newRunners returns one Runner a name, all attached to the same replica of a store.
 func newRunners(t *testing.T, names ...string) []*Runner {
 	t.Helper()
-	quiet := slog.New(slog.DiscardHandler)
-	var all []*Runner
-	for _, n := range names {
-		all = append(all, New(Config{Host: n, Log: quiet}))
+	logger := slog.New(slog.DiscardHandler)
+	var runners []*Runner
+	for _, name := range names {
+		runners = append(runners, New(Config{Host: name, Log: logger}))
 	}
 	cfg := engine.Config{
 		Name:         "a",
@@ -33,31 +33,31 @@
 		DiskOptions:  disk.Options{NoSync: true},
 	}
 	cfg.OnEvent = func(e store.Event) {
-		for _, r := range all {
+		for _, r := range runners {
 			r.Event(e)
 		}
 	}
 	cfg.OnReset = func(s *store.State) {
-		for _, r := range all {
+		for _, r := range runners {
 			r.Reset(s)
 		}
 	}
-	e, err := engine.Open(cfg)
+	replica, err := engine.Open(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		for _, r := range all {
+		for _, r := range runners {
 			r.Close()
 		}
-		if err := e.Kill(); err != nil {
+		if err := replica.Kill(); err != nil {
 			t.Error(err)
 		}
 	})
-	for _, r := range all {
-		r.Attach(daemon.Store(e))
+	for _, r := range runners {
+		r.Attach(daemon.Store(replica))
 	}
-	return all
+	return runners
 }
 
 // newClaim returns a claim whose TTL is long enough for renewals on a busy machine.
@@ -65,170 +65,173 @@
 	return Claim{Task: task, Slots: slots, TTL: 30 * time.Second}
 }
 
-func acquire(t *testing.T, r *Runner, w Claim) *Lease {
+// acquire returns the lease of a claim, and fails the test if it is not granted in time.
+func acquire(t *testing.T, runner *Runner, claim Claim) *Lease {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), processtest.WaitTimeout)
 	defer cancel()
-	h, err := r.Acquire(ctx, w, nil)
+	l, err := runner.Acquire(ctx, claim, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return h
+	return l
 }
 
-// Three hundred claims of one task, on two daemons with the same name and one with another, are each granted once,
-// one at a time, in the order of their tokens.
+// 300 claims of one task, on three Runners of which two have the same host name, are each granted once, one at a time
+// and in the order of their tokens.
 func TestAcquireGrantsInTokenOrderToManyWaiters(t *testing.T) {
-	all := newRunners(t, "a", "b", "b")
+	runners := newRunners(t, "a", "b", "b")
 	var holders, maxHolders atomic.Int32
 	var mu sync.Mutex
 	var tokens []uint64
 	var wg sync.WaitGroup
 	for i := range 300 {
 		wg.Go(func() {
-			h, err := all[i%len(all)].Acquire(t.Context(), newClaim("one", 1), nil)
+			l, err := runners[i%len(runners)].Acquire(t.Context(), newClaim("one", 1), nil)
 			if err != nil {
 				t.Error(err)
 				return
 			}
 			maxHolders.Store(max(maxHolders.Load(), holders.Add(1)))
 			mu.Lock()
-			tokens = append(tokens, h.Token())
+			tokens = append(tokens, l.Token())
 			mu.Unlock()
 			holders.Add(-1)
-			h.Release()
+			l.Release()
 		})
 	}
 	wg.Wait()
 	if maxHolders.Load() != 1 || len(tokens) != 300 {
-		t.Errorf("%d held it, %d at once", len(tokens), maxHolders.Load())
+		t.Errorf("%d of 300 claims were granted, up to %d at once, want all and 1", len(tokens), maxHolders.Load())
 	}
 	for i := 1; i < len(tokens); i++ {
 		if tokens[i] <= tokens[i-1] {
-			t.Fatalf("token %d after %d", tokens[i], tokens[i-1])
+			t.Fatalf("token %d was granted after token %d", tokens[i], tokens[i-1])
 		}
 	}
 }
 
-// Of three claims of a task with two slots one waits; a claim with another number of slots is rejected.
+// Of three claims of a task with two slots, one waits until another is released. A claim with a different number of
+// slots is rejected.
 func TestAcquireLimitsHoldersToSlots(t *testing.T) {
-	all := newRunners(t, "a", "b", "c")
-	one, two := acquire(t, all[0], newClaim("restarts", 2)), acquire(t, all[1], newClaim("restarts", 2))
-	got := make(chan *Lease, 1)
-	waits := make(chan int, 100)
+	runners := newRunners(t, "a", "b", "c")
+	first, second := acquire(t, runners[0], newClaim("restarts", 2)), acquire(t, runners[1], newClaim("restarts", 2))
+	acquired := make(chan *Lease, 1)
+	aheadCounts := make(chan int, 100)
 	go func() {
-		h, err := all[2].Acquire(t.Context(), newClaim("restarts", 2), func(before int, _ error) { waits <- before })
+		l, err := runners[2].Acquire(t.Context(), newClaim("restarts", 2), func(ahead int, _ error) { aheadCounts <- ahead })
 		if err != nil {
 			t.Error(err)
 		}
-		got <- h
+		acquired <- l
 	}()
-	for n := range waits {
-		if n == 1 { // one holder must release first
+	for ahead := range aheadCounts {
+		if ahead == 1 { // one of the two holders must release first
 			break
 		}
 	}
-	if len(got) != 0 {
-		t.Error("three hold two slots")
+	if len(acquired) != 0 {
+		t.Error("the third claim was granted while two leases hold both slots")
 	}
-	if _, err := all[0].Acquire(t.Context(), newClaim("restarts", 3), nil); !errors.Is(err, lease.ErrSlotsMismatch) {
-		t.Errorf("another number of slots: %v", err)
+	if _, err := runners[0].Acquire(t.Context(), newClaim("restarts", 3), nil); !errors.Is(err, lease.ErrSlotsMismatch) {
+		t.Errorf("claim with a different number of slots: error %v, want ErrSlotsMismatch", err)
 	}
-	one.Release()
-	three := <-got
-	for _, h := range []*Lease{two, three} {
-		h.Release()
+	first.Release()
+	third := <-acquired
+	for _, l := range []*Lease{second, third} {
+		l.Release()
 	}
 }
 
-// A release waits for a running action before the next in the queue has its turn, and an action that may not end in
-// time is not started.
+// Release waits for a running action before the next claim in the queue is granted. An action is not started after the
+// release, nor with a timeout as long as the lease's TTL.
 func TestReleaseWaitsForRunningAction(t *testing.T) {
-	all := newRunners(t, "a", "b")
-	h := acquire(t, all[0], newClaim("one", 1))
-	begun, end := make(chan struct{}), make(chan struct{})
-	var acting atomic.Bool
-	done := make(chan error, 1)
+	runners := newRunners(t, "a", "b")
+	l := acquire(t, runners[0], newClaim("one", 1))
+	started, finish := make(chan struct{}), make(chan struct{})
+	var running atomic.Bool
+	result := make(chan error, 1)
 	go func() {
-		done <- h.Do(t.Context(), 5*time.Second, func(context.Context, uint64) error {
-			acting.Store(true)
-			close(begun)
-			<-end // it ignores its context
-			acting.Store(false)
+		result <- l.Do(t.Context(), 5*time.Second, func(context.Context, uint64) error {
+			running.Store(true)
+			close(started)
+			<-finish // the action ignores its context
+			running.Store(false)
 			return nil
 		})
 	}()
-	<-begun
-	next := make(chan *Lease, 1)
-	go func() { next <- acquire(t, all[1], newClaim("one", 1)) }()
-	go h.Release()
-	<-h.Context().Done()
-	close(end)
-	if h := <-next; acting.Load() {
-		t.Error("the next one holds the task while an action of the holder before it runs")
+	<-started
+	nextLease := make(chan *Lease, 1)
+	go func() { nextLease <- acquire(t, runners[1], newClaim("one", 1)) }()
+	go l.Release()
+	<-l.Context().Done()
+	close(finish)
+	if l := <-nextLease; running.Load() {
+		t.Error("the next claim was granted while an action of the previous holder runs")
 	} else {
-		h.Release()
+		l.Release()
 	}
-	if err := <-done; err != nil {
+	if err := <-result; err != nil {
 		t.Error(err)
 	}
 	noop := func(context.Context, uint64) error { return nil }
-	if err := h.Do(t.Context(), time.Second, noop); !errors.Is(err, lease.ErrLost) {
-		t.Errorf("an action after the release: %v", err)
+	if err := l.Do(t.Context(), time.Second, noop); !errors.Is(err, lease.ErrLost) {
+		t.Errorf("action after the release: error %v, want ErrLost", err)
 	}
-	h = acquire(t, all[0], newClaim("one", 1))
-	if err := h.Do(t.Context(), 30*time.Second, noop); !errors.Is(err, lease.ErrLeaseTooShort) {
-		t.Errorf("an action as long as the lease: %v", err)
+	l = acquire(t, runners[0], newClaim("one", 1))
+	if err := l.Do(t.Context(), 30*time.Second, noop); !errors.Is(err, lease.ErrLeaseTooShort) {
+		t.Errorf("action with a timeout of the TTL: error %v, want ErrLeaseTooShort", err)
 	}
-	h.Release()
+	l.Release()
 }
 
-// A change of the store by a former holder has no effect.
+// A transaction under a released lease has no effect, while those of the former and the current holder take effect
+// during their leases.
 func TestTxnHasNoEffectAfterRelease(t *testing.T) {
-	all := newRunners(t, "a", "b")
-	put := func(h *Lease, value string) bool {
-		r, err := h.Txn(t.Context(), store.Txn{Then: []store.Op{{Key: "k", Value: []byte(value)}}})
+	runners := newRunners(t, "a", "b")
+	put := func(l *Lease, value string) bool {
+		result, err := l.Txn(t.Context(), store.Txn{Then: []store.Op{{Key: "k", Value: []byte(value)}}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return r.Succeeded
+		return result.Succeeded
 	}
-	old := acquire(t, all[0], newClaim("one", 1))
-	if !put(old, "old") {
-		t.Error("the holder's change had no effect")
+	former := acquire(t, runners[0], newClaim("one", 1))
+	if !put(former, "old") {
+		t.Error("the change by the holder had no effect")
 	}
-	old.Release()
-	h := acquire(t, all[1], newClaim("one", 1))
-	if !put(h, "new") || put(old, "late") {
-		t.Error("a change after the release took effect, or the next holder's did not")
+	former.Release()
+	current := acquire(t, runners[1], newClaim("one", 1))
+	if !put(current, "new") || put(former, "late") {
+		t.Error("the change by the next holder had no effect, or that by the former holder after its release had one")
 	}
-	h.Release()
+	current.Release()
 }
 
-// A holder without progress loses the task to another, and does not claim it again during the cooldown.
+// A holder whose actions all fail releases the task to another daemon, and does not claim it again during the cooldown.
 func TestRunTaskReleasesAndCoolsDownWithoutProgress(t *testing.T) {
-	all := newRunners(t, "a", "b")
+	runners := newRunners(t, "a", "b")
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	task := func(do func() error) Task {
+	task := func(action func() error) Task {
 		return Task{
 			Claim:           newClaim("work", 1),
 			Interval:        time.Millisecond,
 			Timeout:         time.Second,
 			ProgressTimeout: 5 * time.Millisecond,
 			Cooldown:        time.Hour,
-			Do:              func(context.Context, *Lease) error { return do() },
+			Do:              func(context.Context, *Lease) error { return action() },
 		}
 	}
-	failed, worked := make(chan struct{}, 1), make(chan struct{})
+	failed, succeeded := make(chan struct{}, 1), make(chan struct{})
 	var wg sync.WaitGroup
-	run := func(r *Runner, do func() error) {
-		if err := r.RunTask(ctx, task(do)); !errors.Is(err, context.Canceled) {
-			t.Errorf("%s: %v", r.cfg.Host, err)
+	run := func(r *Runner, action func() error) {
+		if err := r.RunTask(ctx, task(action)); !errors.Is(err, context.Canceled) {
+			t.Errorf("%s: RunTask returned %v, want context.Canceled", r.cfg.Host, err)
 		}
 	}
 	wg.Go(func() {
-		run(all[0], func() error {
+		run(runners[0], func() error {
 			select {
 			case failed <- struct{}{}:
 			default:
@@ -237,33 +240,33 @@
 		})
 	})
 	<-failed
-	once := sync.OnceFunc(func() { close(worked) })
+	closeOnce := sync.OnceFunc(func() { close(succeeded) })
 	wg.Go(func() {
-		run(all[1], func() error {
-			once()
+		run(runners[1], func() error {
+			closeOnce()
 			return nil
 		})
 	})
-	<-worked
-	list, err := all[0].List(ctx, "work")
-	if err != nil || len(list) != 1 || list[0].Queue[0].Host != "b" {
-		t.Errorf("%+v, %v", list, err)
+	<-succeeded
+	statuses, err := runners[0].List(ctx, "work")
+	if err != nil || len(statuses) != 1 || statuses[0].Queue[0].Host != "b" {
+		t.Errorf("status of the task: %+v, error %v, want one task with host b first in its queue", statuses, err)
 	}
-	if want := "is held off"; len(list) == 1 && !strings.HasPrefix(list[0].LocalState, want) {
-		t.Errorf("%q, want it to begin with %q", list[0].LocalState, want)
+	if prefix := "cools down for another"; len(statuses) == 1 && !strings.HasPrefix(statuses[0].LocalState, prefix) {
+		t.Errorf("local state %q, want the prefix %q", statuses[0].LocalState, prefix)
 	}
 	cancel()
 	wg.Wait()
 }
 
-// All members hold shards of a task, and each shard has one holder at a time. When a member leaves, the others take
-// over its shards and few others move.
-func TestRunShardsBalancesAndMovesFew(t *testing.T) {
-	all := newRunners(t, "a", "b", "c")
+// The shards of a task are spread evenly over its members, and each shard has one holder at a time. When a member
+// leaves, the others take over its shards, and few other shards move.
+func TestRunShardsBalancesShardsAndMovesFew(t *testing.T) {
+	runners := newRunners(t, "a", "b", "c")
 	const shards = 12
 	var mu sync.Mutex
-	holder, moved := map[int]string{}, 0
-	var acting [shards]atomic.Int32
+	holderOfShard, moves := map[int]string{}, 0
+	var running [shards]atomic.Int32
 	task := Task{
 		Claim:           newClaim("index", 1),
 		Interval:        time.Millisecond,
@@ -272,57 +275,57 @@
 		Cooldown:        time.Second,
 	}
 	var wg sync.WaitGroup
-	stop := map[string]context.CancelFunc{}
-	for _, r := range all {
+	cancels := map[string]context.CancelFunc{}
+	for _, r := range runners {
 		ctx, cancel := context.WithCancel(t.Context())
-		stop[r.cfg.Host] = cancel
+		cancels[r.cfg.Host] = cancel
 		wg.Go(func() {
 			err := r.RunShards(ctx, task, shards, func(_ context.Context, _ *Lease, shard int) error {
-				if n := acting[shard].Add(1); n != 1 {
-					t.Errorf("%d act upon shard %d", n, shard)
+				if concurrent := running[shard].Add(1); concurrent != 1 {
+					t.Errorf("%d actions run at once for shard %d", concurrent, shard)
 				}
 				mu.Lock()
-				if holder[shard] != "" && holder[shard] != r.cfg.Host {
-					moved++
+				if holderOfShard[shard] != "" && holderOfShard[shard] != r.cfg.Host {
+					moves++
 				}
-				holder[shard] = r.cfg.Host
+				holderOfShard[shard] = r.cfg.Host
 				mu.Unlock()
-				acting[shard].Add(-1)
+				running[shard].Add(-1)
 				return nil
 			})
 			if !errors.Is(err, context.Canceled) {
-				t.Errorf("%s: %v", r.cfg.Host, err)
+				t.Errorf("%s: RunShards returned %v, want context.Canceled", r.cfg.Host, err)
 			}
 		})
 	}
-	spread := func(maxEach int, hosts ...string) func() bool {
+	balanced := func(maxPerHost int, hosts ...string) func() bool {
 		return func() bool {
 			mu.Lock()
 			defer mu.Unlock()
-			count := map[string]int{}
-			for _, h := range holder {
-				count[h]++
+			shardsOfHost := map[string]int{}
+			for _, host := range holderOfShard {
+				shardsOfHost[host]++
 			}
-			for _, h := range hosts {
-				if count[h] == 0 || count[h] > maxEach {
+			for _, host := range hosts {
+				if shardsOfHost[host] == 0 || shardsOfHost[host] > maxPerHost {
 					return false
 				}
 			}
-			return len(holder) == shards && len(count) == len(hosts)
+			return len(holderOfShard) == shards && len(shardsOfHost) == len(hosts)
 		}
 	}
-	processtest.Until(t, "an even share for three", spread(4, "a", "b", "c"))
+	processtest.Until(t, "an even spread of the shards over three members", balanced(4, "a", "b", "c"))
 	mu.Lock()
-	moved = 0
+	moves = 0
 	mu.Unlock()
-	stop["c"]()
-	processtest.Until(t, "an even share for two", spread(6, "a", "b"))
+	cancels["c"]()
+	processtest.Until(t, "an even spread of the shards over two members", balanced(6, "a", "b"))
 	mu.Lock()
-	if moved > 8 {
-		t.Errorf("%d of %d shards moved when one of three went", moved, shards)
+	if moves > 8 {
+		t.Errorf("%d moves of %d shards after one of three members left, want 8 at most", moves, shards)
 	}
 	mu.Unlock()
-	for _, cancel := range stop {
+	for _, cancel := range cancels {
 		cancel()
 	}
 	wg.Wait()
--- a/internal/controlplane/leasetask/override.go
+++ b/internal/controlplane/leasetask/override.go
@@ -9,19 +9,20 @@
 	"birchmoor/internal/store"
 )
 
-const maxOverrideBytes = 3 * maxNoteBytes // of its texts together
+const maxOverrideBytes = 3 * maxNoteBytes // of the texts of an override together
 
-// SetOverride replaces the operators' override of a task; an empty one removes it.
-func (r *Runner) SetOverride(ctx context.Context, task string, o lease.TaskOverride) error {
+// SetOverride replaces the operator's override of a task. An override that neither pauses the task nor prefers a host
+// removes it.
+func (r *Runner) SetOverride(ctx context.Context, task string, override lease.TaskOverride) error {
 	if err := lease.CheckName(task); err != nil {
 		return fmt.Errorf("%q: %w", task, err)
 	}
-	if len(o.Note)+len(o.Operator)+len(o.PreferredHost) > maxOverrideBytes {
-		return fmt.Errorf("the override has more than %d bytes", maxOverrideBytes)
+	if len(override.Note)+len(override.Operator)+len(override.PreferredHost) > maxOverrideBytes {
+		return fmt.Errorf("the texts of the override are longer than %d bytes together", maxOverrideBytes)
 	}
 	op := store.Op{Key: lease.OverridePrefix + task, Delete: true}
-	if o.Pause || o.PreferredHost != "" {
-		value, err := json.Marshal(o)
+	if override.Pause || override.PreferredHost != "" {
+		value, err := json.Marshal(override)
 		if err != nil {
 			return err
 		}
--- a/internal/controlplane/leasetask/presence.go
+++ b/internal/controlplane/leasetask/presence.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// Presence is a use of this daemon's session of one TTL, for keys that are bound to the session beside queue
-// entries. It is safe for concurrent use.
+// Presence is a reference to this daemon's session of one TTL, for callers that bind keys other than queue entries to
+// the session. The session is renewed until Close is called. It is safe for concurrent use.
 type Presence struct {
 	runner  *Runner
 	session *session
 }
 
-// Presence starts using the session of a TTL.
+// Presence returns a reference to this daemon's session of a TTL, and starts the session if no other use has. It
+// returns an error if the TTL is out of range or too many sessions exist.
 func (r *Runner) Presence(ttl time.Duration) (*Presence, error) {
 	s, err := r.joinSession(ttl)
 	if err != nil {
@@ -18,13 +19,13 @@
 	return &Presence{runner: r, session: s}, nil
 }
 
-// Current returns the id of the session, 0 if there is none, until when it is valid unless it is renewed, in
-// nanoseconds of the host's boot clock, and a channel that is closed when either may have changed.
+// Current returns the ID of the session, or 0 if none is granted, and the instant at which it ceases to be valid unless
+// it is renewed first, in nanoseconds of the host's boot clock. The channel is closed when either may have changed.
 func (p *Presence) Current() (id uint64, validUntil int64, changed <-chan struct{}) {
 	p.runner.mu.Lock()
 	defer p.runner.mu.Unlock()
 	return p.session.state.ID(), p.session.state.ValidUntil(), p.runner.changed
 }
 
-// Close ends the use. It must be called once.
+// Close ends the use of the session. It must be called exactly once.
 func (p *Presence) Close() { p.runner.leaveSession(p.session) }
--- a/internal/controlplane/leasetask/runner.go
+++ b/internal/controlplane/leasetask/runner.go
@@ -1,9 +1,9 @@
 // Package leasetask lets a daemon hold leases for fleet-wide tasks. It sends the requests of package lease to the
-// store, follows the queues through the daemon's own copy of the store, and runs tasks that one daemon, or a fixed
-// number, is to run for the whole fleet.
+// store, follows the queues of tasks in the daemon's own copy of the store, and runs tasks that one daemon, or a
+// fixed number of daemons, must run for the whole fleet.
 //
-// One goroutine a session renews it, however many tasks it holds. Nothing here is on the path of a request that a
-// sidecar serves. The package may import lease, daemon, the store and the platform's clock.
+// Each session is renewed by one goroutine, however many tasks it holds. Requests that a sidecar serves never depend on
+// this package. It may import lease, daemon, the store and the platform's clock.
 package leasetask
 
 import (
@@ -22,24 +22,26 @@
 
 // Config configures a Runner.
 type Config struct {
-	Host          string  // the name of this daemon, as in its key
-	Skew          float64 // as of lease.Rules; 0: lease.DefaultSkew
+	Host          string  // name of this daemon, as in the keys of its queue entries
+	Skew          float64 // see lease.Rules; 0: lease.DefaultSkew
 	Log           *slog.Logger
 	Clock         bootclock.Clock
-	SessionDefect lease.Defect // injected by tests
-	TableDefect   lease.TableDefect
+	SessionDefect lease.Defect      // injected by tests
+	TableDefect   lease.TableDefect // injected by tests
 }
 
 const (
-	minRetryDelay = 20 * time.Millisecond
+	minRetryDelay = 20 * time.Millisecond // before a failed creation of a queue entry is tried again
 	maxRetryDelay = time.Second
-	storeTimeout  = time.Second // of a change that the daemon can make again, or do without
+	storeTimeout  = time.Second // timeout of changes of the store whose failure the daemon can retry or ignore
 )
 
-// ErrClosed says that the Runner was closed.
+// ErrClosed is returned by calls that a closed Runner cannot serve, and is the cause of the end of a lease's context
+// when the Runner closes.
 var ErrClosed = errors.New("the daemon is shutting down")
 
-// Runner holds leases for one daemon. It is safe for concurrent use.
+// Runner acquires and holds leases for one daemon, and runs the daemon's fleet-wide tasks. It is safe for concurrent
+// use.
 type Runner struct {
 	cfg   Config
 	store daemon.Store
@@ -49,15 +51,15 @@
 
 	mu        sync.Mutex
 	table     *lease.Table
-	sessions  map[int64]*session      // by TTL in milliseconds
-	leases    map[string]*Lease       // by the key of the queue entry
+	sessions  map[int64]*session      // by TTL, in milliseconds
+	leases    map[string]*Lease       // waiting, held or being released, by the key of their queue entry
 	running   map[string]*runningTask // by name of the task
-	firstSeen map[string]int64        // when the copy first showed a queue entry or a report, by key
-	changed   chan struct{}           // closed and replaced when any of this changes
+	updatedAt map[string]int64        // when an event created or last changed a key of tasks
+	changed   chan struct{}           // closed and replaced when state that callers wait for has changed
 	closed    bool
 }
 
-// New returns a Runner that holds nothing.
+// New returns a Runner without sessions and leases. Attach must be called before it is used.
 func New(cfg Config) *Runner {
 	if cfg.Skew == 0 {
 		cfg.Skew = lease.DefaultSkew
@@ -68,68 +70,72 @@
 		sessions:  map[int64]*session{},
 		leases:    map[string]*Lease{},
 		running:   map[string]*runningTask{},
-		firstSeen: map[string]int64{},
+		updatedAt: map[string]int64{},
 		changed:   make(chan struct{}),
 	}
 	r.ctx, r.stop = context.WithCancel(context.Background())
 	return r
 }
 
-// Attach sets the store. It must be called once the store is open, and before any method other than Event and Reset.
+// Attach sets the store. It must be called after the store is open, and before any method other than Event, Reset and
+// Subscription.
 func (r *Runner) Attach(s daemon.Store) { r.store = s }
 
-// Subscription implements daemon.Subscriber: it covers the queues of all hosts, since a host's turn depends on
-// those ahead of it. The next start has no use for keys that expire with sessions.
+// Subscription implements daemon.Subscriber. It covers the queue entries of all hosts, because whether an entry holds
+// its task depends on the entries ahead of it. Nothing is kept for the next start, since queue entries expire with
+// sessions.
 func (r *Runner) Subscription() changefeed.Subscription {
 	return changefeed.Subscription{Interest: &store.Interest{Prefixes: []string{lease.Prefix}}}
 }
 
-// Run waits until ctx ends. With Attach, Event and Reset it makes a Runner a component of a daemon.
+// Run blocks until ctx ends. Together with Attach, Event and Reset it makes a Runner a component of a daemon.
 func (r *Runner) Run(ctx context.Context) { <-ctx.Done() }
 
-// Event receives each change of the daemon's copy of the store. It does not block.
+// Event applies a change of the daemon's copy of the store. The daemon calls it for each change; it does not block.
 func (r *Runner) Event(e store.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.table.Event(e) {
 		return
 	}
-	_, seen := r.firstSeen[e.Item.Key]
+	_, seen := r.updatedAt[e.Item.Key]
 	switch {
 	case e.Deleted:
-		delete(r.firstSeen, e.Item.Key)
+		delete(r.updatedAt, e.Item.Key)
 	case !seen || e.Item.Version > 1:
-		r.firstSeen[e.Item.Key] = r.cfg.Clock.Now()
+		r.updatedAt[e.Item.Key] = r.cfg.Clock.Now()
 	}
 	r.notifyChanged()
 }
 
-// Reset receives a complete copy of the store. It does not block.
-func (r *Runner) Reset(s *store.State) {
+// Reset replaces the state of tasks with that of a complete copy of the store. If the copy is of another cluster than
+// the one before, all sessions are lost. Reset does not block.
+func (r *Runner) Reset(state *store.State) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	previous := r.table.Cluster()
-	r.table.Reset(s)
-	if previous != 0 && previous != s.Cluster() {
+	previousCluster := r.table.Cluster()
+	r.table.Reset(state)
+	if previousCluster != 0 && previousCluster != state.Cluster() {
 		for _, session := range r.sessions {
-			session.state.Reset() // it was granted by another cluster
+			session.state.Reset() // the session exists only in the previous cluster
 		}
 	}
-	for key := range r.firstSeen {
-		if _, exists := s.Get(key); !exists {
-			delete(r.firstSeen, key)
+	for key := range r.updatedAt {
+		if _, exists := state.Get(key); !exists {
+			delete(r.updatedAt, key)
 		}
 	}
 	r.notifyChanged()
 }
 
-// notifyChanged wakes everything that waits for a change. The lock must be held.
+// notifyChanged wakes all callers of waitForChange. The lock must be held.
 func (r *Runner) notifyChanged() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// waitForChange waits until changed is closed or the clock reaches until; 0: there is no such instant.
+// waitForChange blocks until changed is closed or the clock reaches the instant until, where 0 stands for no limit. It
+// returns an error if ctx ends or the Runner is closed first.
 func (r *Runner) waitForChange(ctx context.Context, changed <-chan struct{}, until int64) error {
 	var due <-chan time.Time
 	if until != 0 {
@@ -148,8 +154,8 @@
 	return nil
 }
 
-// Close releases all leases and revokes the sessions, so that others need not wait until these expire. It waits for
-// running actions, but no longer than their leases are valid.
+// Close releases all leases and revokes the sessions, so that other daemons need not wait until these expire. It waits
+// for running actions, at most until their leases cease to be valid.
 func (r *Runner) Close() {
 	r.mu.Lock()
 	r.closed = true
--- a/internal/controlplane/leasetask/session.go
+++ b/internal/controlplane/leasetask/session.go
@@ -11,31 +11,32 @@
 )
 
 const (
-	maxSessions   = 8  // sessions of different TTLs at once
-	marginDivisor = 50 // the validity margin is this part of the TTL, or minMargin if that is more
+	maxSessions   = 8  // sessions that exist at once, each with a TTL of its own
+	marginDivisor = 50 // lease.Rules.Margin is the TTL divided by this, or minMargin if that is more
 	minMargin     = 20 * time.Millisecond
 
-	minRenewTimeout = 200 * time.Millisecond
+	minRenewTimeout = 200 * time.Millisecond // minimum timeout of a request that grants or renews a session
 )
 
-// ErrTooManySessions says that leases of too many different TTLs are in use.
-var ErrTooManySessions = fmt.Errorf("leases of %d different TTLs are in use at this daemon already", maxSessions)
+// ErrTooManySessions is returned for a TTL that would need a further session, while maxSessions exist.
+var ErrTooManySessions = fmt.Errorf("this daemon already uses leases of %d different TTLs", maxSessions)
 
-// session is this daemon's session of one TTL. Its fields other than the TTL and wake are guarded by the Runner's
-// lock.
+// session is this daemon's session of one TTL, which all leases of that TTL share. The Runner's lock guards all fields
+// but ttl and wake.
 type session struct {
 	state     *lease.Session
 	ttl       time.Duration
-	users     int
-	idleSince int64 // 0: it has users
-	wake      chan struct{}
+	users     int           // leases, acquisitions and references that use the session
+	idleSince int64         // when the session was first found without users; 0: it has users
+	wake      chan struct{} // wakes renewSession when a user is added
 }
 
-// sessionFor returns the session of a TTL, and starts one if there is none. The lock must be held.
+// sessionFor returns the session of a TTL, and starts one if there is none. It returns an error if the TTL is out of
+// range, the Runner is closed or too many sessions exist. The lock must be held.
 func (r *Runner) sessionFor(ttl time.Duration) (*session, error) {
 	millis := ttl.Milliseconds()
 	if millis < lease.MinTTLMillis || millis > lease.MaxTTLMillis {
-		return nil, fmt.Errorf("%v is not within %v and %v",
+		return nil, fmt.Errorf("TTL: %v is not between %v and %v",
 			ttl, lease.MinTTLMillis*time.Millisecond, lease.MaxTTLMillis*time.Millisecond)
 	}
 	if s := r.sessions[millis]; s != nil {
@@ -55,7 +56,8 @@
 	return s, nil
 }
 
-// joinSession adds a user to the session of a TTL, whose users field is to be decreased in the end.
+// joinSession adds a user to the session of a TTL, and starts the session if there is none. The caller must call
+// leaveSession in the end.
 func (r *Runner) joinSession(ttl time.Duration) (*session, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -71,14 +73,15 @@
 	return s, nil
 }
 
-// leaveSession removes a user.
+// leaveSession removes a user that joinSession added.
 func (r *Runner) leaveSession(s *session) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s.users--
 }
 
-// renewSession renews a session until the Runner is closed, or the session has had no user for its TTL.
+// renewSession grants and renews a session, until the Runner is closed or the session has had no user for its TTL. Then
+// it revokes the session. It is the only goroutine that sends requests of this session.
 func (r *Runner) renewSession(s *session) {
 	for !r.retireSession(s) {
 		kind, id, delay := r.nextRequest(s)
@@ -96,7 +99,8 @@
 	}
 }
 
-// retireSession revokes a session that is no longer needed, and reports whether it was.
+// retireSession revokes a session that is no longer needed and removes it from the Runner. It reports whether it has
+// done so.
 func (r *Runner) retireSession(s *session) bool {
 	r.mu.Lock()
 	now := r.cfg.Clock.Now()
@@ -119,7 +123,8 @@
 	return true
 }
 
-// nextRequest returns the request to send now, or NoRequest and how long to wait for the next one.
+// nextRequest returns the request to send now and the session's ID, or NoRequest and how long to wait before the next
+// call.
 func (r *Runner) nextRequest(s *session) (kind lease.RequestKind, id uint64, delay time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -128,7 +133,8 @@
 	return kind, s.state.ID(), r.cfg.Clock.TimerDuration(due - now)
 }
 
-// sendRequest sends a request of the session to the store, and gives the session its outcome.
+// sendRequest sends a request of the session to the store, passes its outcome to the session and deletes orphaned queue
+// entries.
 func (r *Runner) sendRequest(s *session, kind lease.RequestKind, id uint64) {
 	command := store.Command{
 		GrantLease: &store.GrantLease{TTLMillis: uint64(s.ttl.Milliseconds()), Owner: r.cfg.Host},
@@ -147,16 +153,16 @@
 		outcome = lease.OutcomeUnknown
 	}
 	for _, key := range r.handleResponse(s, outcome, result.LeaseID) {
-		_ = r.removeEntry(r.ctx, key) // the next renewal retries it
+		_ = r.removeEntry(r.ctx, key) // if the deletion fails, the next renewal repeats it
 	}
 	if outcome == lease.SessionNotFound {
-		r.cfg.Log.Warn("the session of this daemon's leases has expired", "ttl", s.ttl)
+		r.cfg.Log.Warn("the session has expired: the leases of this daemon with its TTL are lost", "ttl", s.ttl)
 	}
 }
 
-// handleResponse gives the session the outcome of its request, and returns the keys of orphaned queue entries after
-// a renewal.
-func (r *Runner) handleResponse(s *session, outcome lease.Outcome, id uint64) (orphans []string) {
+// handleResponse passes the outcome of a request to the session, with the ID of the session if one was granted. After a
+// successful renewal it returns the keys of orphaned queue entries.
+func (r *Runner) handleResponse(s *session, outcome lease.Outcome, id uint64) (orphanedKeys []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	generation := s.state.Generation()
@@ -168,9 +174,9 @@
 	return r.orphanedEntries(s)
 }
 
-// orphanedEntries returns the keys of the session's queue entries that no lease here uses, because the response to
-// their creation or to their deletion was lost. They would keep the next in the queue waiting. The lock must be
-// held.
+// orphanedEntries returns the keys of the session's queue entries that belong to no lease of this Runner, because a
+// request to create or delete them ended with an unknown outcome. Renewals would keep such an entry in its queue, and
+// the entries behind it would wait for ever. The lock must be held.
 func (r *Runner) orphanedEntries(s *session) (keys []string) {
 	for _, entry := range r.table.EntriesOf(r.cfg.Host, s.state.ID()) {
 		if r.leases[entry.Key] == nil {
@@ -180,7 +186,8 @@
 	return keys
 }
 
-// revokeSession ends a session at the store. If the store cannot be reached, the session expires.
+// revokeSession revokes a session at the store, which deletes its queue entries. If that fails, the session expires
+// after its TTL.
 func (r *Runner) revokeSession(id uint64) {
 	if id == 0 {
 		return
--- a/internal/controlplane/leasetask/status.go
+++ b/internal/controlplane/leasetask/status.go
@@ -14,34 +14,36 @@
 	"birchmoor/internal/store"
 )
 
-// ErrTaskNotFound says that nothing is known of a task.
+// ErrTaskNotFound says that there is no task with the given name: the store has nothing about it, and this daemon does
+// not run it.
 var ErrTaskNotFound = errors.New("no such task")
 
-// QueueEntry is an entry in a task's queue as operators see it.
+// QueueEntry is an entry in a task's queue, in the form that operators see.
 type QueueEntry struct {
 	Host        string `json:"host"`
 	Token       uint64 `json:"token"`
-	Holds       bool   `json:"holds"`
-	TTLMillis   int64  `json:"ttl_ms"`
+	Holds       bool   `json:"holds"`  // whether the entry holds the task
+	TTLMillis   int64  `json:"ttl_ms"` // of the entry's session
 	Note        string `json:"note,omitempty"`
-	AgeMillis   int64  `json:"age_ms"`            // since the copy first showed it; -1: since before this start
-	Local       bool   `json:"here,omitempty"`    // it is this daemon's
-	ValidMillis int64  `json:"left_ms,omitempty"` // that this daemon's lease is still valid, unless it is renewed
+	AgeMillis   int64  `json:"age_ms"`            // since an event of this daemon's copy created it; -1: no event has
+	Local       bool   `json:"here,omitempty"`    // the entry belongs to this daemon
+	ValidMillis int64  `json:"left_ms,omitempty"` // for how long this daemon's lease is valid without a renewal
 }
 
-// TaskStatus is a task as operators see it.
+// TaskStatus is the status of a task, in the form that operators see.
 type TaskStatus struct {
 	Task                string             `json:"task"`
-	Slots               int                `json:"slots"`
+	Slots               int                `json:"slots"` // 0: the task has no config
 	Override            lease.TaskOverride `json:"order"`
-	Queue               []QueueEntry       `json:"places"` // holders first
-	NoHolderReason      string             `json:"why,omitempty"`
-	LastReport          *ActionReport      `json:"last,omitempty"`
-	LastReportAgeMillis int64              `json:"last_age_ms"`    // as QueueEntry.AgeMillis
-	LocalState          string             `json:"here,omitempty"` // what this daemon does about the task
+	Queue               []QueueEntry       `json:"places"`         // holders first
+	NoHolderReason      string             `json:"why,omitempty"`  // empty: it has a holder, or the reason is unknown
+	LastReport          *ActionReport      `json:"last,omitempty"` // nil: no report is stored
+	LastReportAgeMillis int64              `json:"last_age_ms"`    // since an event put it; -1: no event has
+	LocalState          string             `json:"here,omitempty"` // what this daemon does with a task that it runs
 }
 
-// List returns the status of all tasks, or of the one with this name, as the store has them.
+// List returns the status of the task with this name, or of all tasks if name is empty. It reads the store, not this
+// daemon's copy. The tasks that this daemon runs are included even if the store has nothing about them.
 func (r *Runner) List(ctx context.Context, name string) ([]TaskStatus, error) {
 	reports, table, err := r.readTasks(ctx)
 	if err != nil {
@@ -59,16 +61,16 @@
 	for task := range r.running {
 		names[task] = true
 	}
-	all := []TaskStatus{}
+	statuses := []TaskStatus{}
 	for _, task := range slices.Sorted(maps.Keys(names)) {
 		if name == "" || task == name {
-			all = append(all, r.status(task, table, reports[task]))
+			statuses = append(statuses, r.status(task, table, reports[task]))
 		}
 	}
-	return all, nil
+	return statuses, nil
 }
 
-// readTasks reads the tasks and their reports from the store.
+// readTasks reads all tasks, and their reports by name of the task, from the store.
 func (r *Runner) readTasks(ctx context.Context) (map[string]*ActionReport, *lease.Table, error) {
 	reports := map[string]*ActionReport{}
 	table := lease.NewTable(lease.NoTableDefect)
@@ -86,7 +88,7 @@
 	return reports, table, err
 }
 
-// status returns the status of one task. The lock must be held.
+// status returns the status of one task of table. report is its stored report, or nil. The lock must be held.
 func (r *Runner) status(task string, table *lease.Table, report *ActionReport) TaskStatus {
 	now := r.cfg.Clock.Now()
 	s := TaskStatus{
@@ -99,13 +101,13 @@
 	s.Override, _ = table.Override(task)
 	holders := 0
 	for _, entry := range table.Queue(task) {
-		shown := r.queueEntry(now, entry)
+		entryStatus := r.queueEntryStatus(now, entry)
 		_, holds := table.Holds(task, entry.Key)
-		shown.Holds = holds && !s.Override.Pause
-		if shown.Holds {
+		entryStatus.Holds = holds && !s.Override.Pause
+		if entryStatus.Holds {
 			holders++
 		}
-		s.Queue = append(s.Queue, shown)
+		s.Queue = append(s.Queue, entryStatus)
 	}
 	if holders == 0 {
 		s.NoHolderReason = noHolderReason(s, table.Suspended())
@@ -116,9 +118,9 @@
 	return s
 }
 
-// queueEntry returns an entry as operators see it, but for whether it holds the task. The lock must be held.
-func (r *Runner) queueEntry(now int64, entry lease.QueueEntry) QueueEntry {
-	shown := QueueEntry{
+// queueEntryStatus returns an entry in the form that operators see, with Holds unset. The lock must be held.
+func (r *Runner) queueEntryStatus(now int64, entry lease.QueueEntry) QueueEntry {
+	entryStatus := QueueEntry{
 		Host:      entry.Host,
 		Token:     entry.Token,
 		TTLMillis: entry.TTLMillis,
@@ -127,40 +129,42 @@
 	}
 	l := r.leases[entry.Key]
 	if l == nil {
-		return shown
+		return entryStatus
 	}
-	shown.Local = true
+	entryStatus.Local = true
 	if until, err := l.validUntil(now); err == nil {
-		shown.ValidMillis = (until - now) / int64(time.Millisecond)
+		entryStatus.ValidMillis = (until - now) / int64(time.Millisecond)
 	}
-	return shown
+	return entryStatus
 }
 
-// ageMillis is how long ago the copy first showed a key; -1: before this start. The lock must be held.
+// ageMillis returns the milliseconds since an event of this daemon's copy created or last changed a key, or -1 if no
+// event has since the Runner was created. The lock must be held.
 func (r *Runner) ageMillis(now int64, key string) int64 {
-	since, ok := r.firstSeen[key]
+	since, ok := r.updatedAt[key]
 	if !ok {
 		return -1
 	}
 	return (now - since) / int64(time.Millisecond)
 }
 
-// noHolderReason says why a task without a holder has none.
+// noHolderReason returns why a task has no holder, or an empty string if that is unknown.
 func noHolderReason(s TaskStatus, suspended bool) string {
 	switch {
 	case suspended:
-		return "the store was restored a moment ago"
+		return "the store was recently restored from a snapshot"
 	case s.Override.Pause && s.Override.Operator != "":
 		return "it is paused by " + s.Override.Operator
 	case s.Override.Pause:
 		return "it is paused"
 	case len(s.Queue) == 0:
-		return "nobody wants it"
+		return "its queue is empty"
 	}
 	return ""
 }
 
-// Holders returns the hosts that hold a task, as this daemon's copy of the store shows it.
+// Holders returns the hosts that hold a task according to this daemon's copy of the store, in the order of the queue.
+// It ignores an operator's override.
 func (r *Runner) Holders(task string) (hosts []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -172,18 +176,18 @@
 	return hosts
 }
 
-// describe says what this daemon does about a task that it runs. The Runner's lock must be held.
+// describe returns what this daemon does with a task that it runs, for operators. The Runner's lock must be held.
 func (t *runningTask) describe(now int64) string {
 	state := "waits"
 	switch {
 	case t.lease != nil:
 		idle := time.Duration(now - t.lastProgress).Round(time.Millisecond)
-		state = fmt.Sprintf("holds it, %d done, the last %v ago", t.completed, idle)
+		state = fmt.Sprintf("holds it, %d actions succeeded, last progress %v ago", t.completed, idle)
 	case t.cooldownUntil > now:
 		left := time.Duration(t.cooldownUntil - now).Round(time.Second)
-		state = fmt.Sprintf("is held off for another %v", left)
+		state = fmt.Sprintf("cools down for another %v", left)
 	case t.ahead >= 0:
-		state = fmt.Sprintf("waits, %d before it", t.ahead)
+		state = fmt.Sprintf("waits, %d queue entries must leave first", t.ahead)
 	}
 	if t.lastErr != nil {
 		state += ": " + t.lastErr.Error()
--- a/internal/controlplane/leasetask/stored_test.go
+++ b/internal/controlplane/leasetask/stored_test.go
@@ -10,12 +10,13 @@
 	"birchmoor/internal/controlplane/lease"
 )
 
-// The files in testdata are of version 7105f7a.
-func TestStoredReportsAndShownTasksKeepTheirForm(t *testing.T) {
+// The build of commit 7105f7a wrote the files in testdata: reports as stored, and the status of a task as shown in
+// JSON.
+func TestStoredReportsAndTaskStatusKeepTheirFormat(t *testing.T) {
 	failed := ActionReport{Token: 9, Host: "host-a", Completed: 3, Error: "no disk"}
 	tests := []struct {
 		file string
-		key  string // before the value, with a tab, where the file has one
+		key  string // precedes the value and a tab in the file; empty: the file has no keys
 		want any    // a pointer to the expected value
 	}{
 		{"reports.tsv", ReportPrefix + "reindex", &failed},
@@ -42,17 +43,17 @@
 		if tc.key != "" {
 			_, rest, ok := bytes.Cut(stored, []byte(tc.key+"\t"))
 			if !ok {
-				t.Errorf("%s: no key %q", tc.file, tc.key)
+				t.Errorf("testdata/%s: no line has the key %q", tc.file, tc.key)
 			}
 			stored, _, _ = bytes.Cut(rest, []byte("\n"))
 		}
 		stored = bytes.TrimSuffix(stored, []byte("\n"))
 		decoded := reflect.New(reflect.TypeOf(tc.want).Elem()).Interface()
 		if err := json.Unmarshal(stored, decoded); err != nil || !reflect.DeepEqual(decoded, tc.want) {
-			t.Errorf("%s %s: decoded %+v, %v, want %+v", tc.file, tc.key, decoded, err, tc.want)
+			t.Errorf("testdata/%s, key %q: decoded %+v, error %v, want %+v", tc.file, tc.key, decoded, err, tc.want)
 		}
 		if encoded, err := json.Marshal(tc.want); err != nil || !bytes.Equal(encoded, stored) {
-			t.Errorf("%s %s: encoded %s, %v, want %s", tc.file, tc.key, encoded, err, stored)
+			t.Errorf("testdata/%s, key %q: encoded %s, error %v, want %s", tc.file, tc.key, encoded, err, stored)
 		}
 	}
 }
--- a/internal/controlplane/leasetask/task.go
+++ b/internal/controlplane/leasetask/task.go
@@ -12,58 +12,62 @@
 	"birchmoor/internal/store"
 )
 
-// ReportPrefix is the prefix of the keys of reports: task/done/TASK.
+// ReportPrefix is the prefix of the keys of reports. The name of the task follows; the value is an ActionReport.
 const ReportPrefix = lease.Prefix + "done/"
 
-const reportInterval = 10 * time.Second
+const reportInterval = 10 * time.Second // minimum time between two reports, other than of failed actions
 
-// ErrNoProgress says that no action of a task succeeded within its progress timeout.
+// ErrNoProgress is the reason for releasing a task of which no action has succeeded within its progress timeout.
 var ErrNoProgress = errors.New("the task makes no progress")
 
-// Task is a task that one daemon, or as many as its claim has slots, runs for the whole fleet.
+// Task is a task that one daemon, or as many daemons as its claim has slots, runs for the whole fleet.
 type Task struct {
 	Claim
-	Interval        time.Duration // between two actions
-	Timeout         time.Duration // of an action
-	ProgressTimeout time.Duration // a holder without an action that succeeds releases the task after this,
-	Cooldown        time.Duration // and does not claim it again for this
-	Do              func(ctx context.Context, l *Lease) error
+	Interval        time.Duration // between the end of an action and the start of the next
+	Timeout         time.Duration // of one action
+	ProgressTimeout time.Duration // a holder releases the task if no action has succeeded for this long,
+	Cooldown        time.Duration // and does not claim it again for this long
+	// Do runs one action. l is the lease of the task.
+	Do func(ctx context.Context, l *Lease) error
 }
 
-// ActionReport says what a task did last, as stored.
+// ActionReport is the stored outcome of the last reported action of a task.
 type ActionReport struct {
-	Token     uint64 `json:"token"`
-	Host      string `json:"host"`
-	Completed uint64 `json:"done"` // actions that succeeded under this token
-	Error     string `json:"error,omitempty"`
+	Token     uint64 `json:"token"`           // fencing token of the lease under which the action ran
+	Host      string `json:"host"`            // host that ran the action
+	Completed uint64 `json:"done"`            // actions that succeeded under this token
+	Error     string `json:"error,omitempty"` // empty: the action succeeded
 }
 
-// runningTask is the state of a task that this daemon runs. The Runner's lock guards all but task.
+// runningTask is the state of a task that this daemon runs. The Runner's lock guards all fields but task.
 type runningTask struct {
 	task          Task
 	lease         *Lease // nil: the daemon does not hold the task
 	completed     uint64 // actions that succeeded under this lease
-	lastProgress  int64  // when an action last succeeded, or the lease was acquired
-	cooldownUntil int64  // until when the task is not claimed again; 0: it is claimed
-	lastErr       error  // of the last action, or why the task is not held
-	ahead         int    // queue entries that must go first; -1: the daemon is not in the queue
+	lastProgress  int64  // when an action last succeeded, or the lease was acquired or ended
+	cooldownUntil int64  // the task is not claimed before this instant; 0: the task does not cool down
+	lastErr       error  // error of the last action, or why the daemon does not hold the task
+	ahead         int    // queue entries that must leave the queue first; -1: the daemon has no queue entry
 }
 
 func (t *Task) check() error {
 	if t.Interval <= 0 || t.Timeout <= 0 || t.ProgressTimeout < t.Interval || t.Do == nil {
-		return fmt.Errorf("%s: interval and timeouts must be positive, and the progress timeout at least the interval", t.Task)
+		return fmt.Errorf(
+			"%s: want an action, a positive interval and timeout, and a progress timeout of at least the interval", t.Task)
 	}
 	return t.Claim.check()
 }
 
-// RunTask claims a task and runs its actions while it holds it, until ctx ends.
+// RunTask claims a task and runs its actions while this daemon holds it, until ctx ends or the Runner is closed. It
+// returns an error if the task is invalid or runs here already, the error of ctx if that has ended, and nil after the
+// Runner was closed.
 func (r *Runner) RunTask(ctx context.Context, t Task) error {
 	if err := t.check(); err != nil {
 		return err
 	}
 	rt := &runningTask{task: t, ahead: -1}
 	if !r.register(rt) {
-		return fmt.Errorf("%s: runs here already", t.Task)
+		return fmt.Errorf("%s: the task already runs at this daemon", t.Task)
 	}
 	defer r.unregister(rt)
 	for ctx.Err() == nil && r.ctx.Err() == nil {
@@ -82,17 +86,17 @@
 	return ctx.Err()
 }
 
-// holdTask runs the actions of a task until the lease is lost, and releases it. It reports whether the task must
-// cool down.
-func (r *Runner) holdTask(ctx context.Context, rt *runningTask, l *Lease) (cooldown bool) {
+// holdTask runs the actions of a task until the lease or ctx ends or there is no progress, and releases the lease. It
+// reports whether the task must cool down because there was no progress.
+func (r *Runner) holdTask(ctx context.Context, rt *runningTask, l *Lease) (mustCoolDown bool) {
 	task := rt.task.Task
 	r.cfg.Log.Info("acquired the lease of a task", "task", task, "token", l.Token())
 	r.setLease(rt, l)
 	err := r.runActions(ctx, rt, l)
-	// The state changes before another daemon can hold the task, so that no one sees two holders.
+	// The status changes before another daemon can hold the task, so that no two daemons show themselves as its holder.
 	r.setLease(rt, nil)
-	cooldown = errors.Is(err, ErrNoProgress)
-	if cooldown {
+	mustCoolDown = errors.Is(err, ErrNoProgress)
+	if mustCoolDown {
 		r.mu.Lock()
 		rt.cooldownUntil = r.cfg.Clock.Now() + int64(rt.task.Cooldown)
 		rt.lastErr = err
@@ -100,10 +104,10 @@
 	}
 	l.Release()
 	r.cfg.Log.Info("released the lease of a task", "task", task, "token", l.Token(), "why", err)
-	return cooldown
+	return mustCoolDown
 }
 
-// coolDown waits until the task may be claimed again.
+// coolDown waits until the task may be claimed again, or returns the error of ctx if that ends first.
 func (r *Runner) coolDown(ctx context.Context, rt *runningTask) error {
 	if err := sleep(ctx, rt.task.Cooldown); err != nil {
 		return err
@@ -114,7 +118,7 @@
 	return nil
 }
 
-// register adds a running task, unless one of the same name runs already.
+// register adds a running task, and reports false if one of the same name runs already.
 func (r *Runner) register(rt *runningTask) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -131,7 +135,8 @@
 	delete(r.running, rt.task.Task)
 }
 
-// setWaiting records how many are ahead of this daemon in the queue, and why it waits.
+// setWaiting records how many queue entries must leave the queue before this daemon's holds the task, and what else
+// delays the acquisition.
 func (r *Runner) setWaiting(rt *runningTask, ahead int, reason error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -139,7 +144,7 @@
 	rt.lastErr = reason
 }
 
-// setLease records that the task is held by l, or no longer held if l is nil.
+// setLease records that this daemon holds the task by l, or does not hold it if l is nil.
 func (r *Runner) setLease(rt *runningTask, l *Lease) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -150,22 +155,22 @@
 	rt.lastProgress = r.cfg.Clock.Now()
 }
 
-// runActions runs the task's actions while the lease is valid, and returns why it stopped.
+// runActions runs the task's actions until the lease or ctx ends or there is no progress, and returns the reason.
 func (r *Runner) runActions(ctx context.Context, rt *runningTask, l *Lease) error {
 	task := rt.task
-	var reported int64 // when the last report was stored; 0: never
+	var reportedAt int64 // when an action was last reported; 0: never
 	for {
 		err := l.Do(ctx, task.Timeout, func(ctx context.Context, _ uint64) error { return task.Do(ctx, l) })
 		now := r.cfg.Clock.Now()
-		completed, stuck := r.recordAction(rt, now, err)
+		completed, noProgress := r.recordAction(rt, now, err)
 		if err != nil && l.ctx.Err() == nil && ctx.Err() == nil {
 			r.cfg.Log.Warn("an action of a task failed", "task", task.Task, "error", err)
 		}
-		if reported == 0 || now-reported > int64(reportInterval) || err != nil {
-			reported = now
-			r.report(ctx, l, completed, err)
+		if reportedAt == 0 || now-reportedAt > int64(reportInterval) || err != nil {
+			reportedAt = now
+			r.storeReport(ctx, l, completed, err)
 		}
-		if stuck {
+		if noProgress {
 			return fmt.Errorf("%w: no action succeeded for %v: %w", ErrNoProgress, task.ProgressTimeout, err)
 		}
 		timer := time.NewTimer(task.Interval)
@@ -181,9 +186,9 @@
 	}
 }
 
-// recordAction records the outcome of an action. It returns how many succeeded under this lease, and whether the
-// progress timeout has passed.
-func (r *Runner) recordAction(rt *runningTask, now int64, err error) (completed uint64, stuck bool) {
+// recordAction records the outcome of an action. It returns how many actions have succeeded under this lease, and
+// whether none has succeeded for longer than the progress timeout.
+func (r *Runner) recordAction(rt *runningTask, now int64, err error) (completed uint64, noProgress bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rt.lastErr = err
@@ -194,8 +199,8 @@
 	return rt.completed, now-rt.lastProgress > int64(rt.task.ProgressTimeout)
 }
 
-// report stores what a task did last, unless a later holder has done so.
-func (r *Runner) report(ctx context.Context, l *Lease, completed uint64, actionErr error) {
+// storeReport stores the report of a task's last action, unless the lease's queue entry no longer exists.
+func (r *Runner) storeReport(ctx context.Context, l *Lease, completed uint64, actionErr error) {
 	report := ActionReport{Token: l.token, Host: r.cfg.Host, Completed: completed}
 	if actionErr != nil {
 		text := actionErr.Error()
@@ -212,17 +217,18 @@
 		})
 	}
 	if err != nil {
-		r.cfg.Log.Debug("the report of a task was not stored", "task", l.claim.Task, "error", err)
+		r.cfg.Log.Debug("could not store the report of a task", "task", l.claim.Task, "error", err)
 	}
 }
 
-// Allowed reports whether a daemon may make this change of the store on its own: to the report of a task.
+// Allowed reports whether the daemon named owner may make this change of the store without an operator: it may put the
+// report of any task.
 func Allowed(op store.Op, owner string) bool {
 	task, ok := strings.CutPrefix(op.Key, ReportPrefix)
 	return ok && lease.CheckName(task) == nil && lease.IsPersistentPut(op, owner)
 }
 
-// sleep waits for d, or returns ctx's error if that ends first.
+// sleep waits for d, or returns the error of ctx if that ends first.
 func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/controlplane/leasetask/waiter.go
+++ b/internal/controlplane/leasetask/waiter.go
@@ -11,66 +11,67 @@
 )
 
 var (
-	errStoreUnavailable = errors.New("the store does not respond")
-	errStoreRestored    = errors.New("the store was restored a moment ago: all tasks are suspended")
+	errStoreUnavailable = errors.New("the store does not respond: this daemon has no valid session")
+	errStoreRestored    = errors.New("all tasks are suspended: the store was recently restored from a snapshot")
 )
 
-// waiter is an acquisition in progress.
+// waiter is an acquisition in progress. It is used by the goroutine of Runner.Acquire alone.
 type waiter struct {
 	lease      *Lease
-	nonce      string
+	nonce      string // common to the keys of all queue entries of this acquisition
 	onWait     func(ahead int, reason error)
-	lastAhead  int // as last passed to onWait
-	attempts   int // queue entries created: each has a key of its own
-	lastErr    error
-	retryDelay time.Duration
+	lastAhead  int           // value last passed to onWait
+	entryCount int           // number of keys chosen for queue entries
+	lastErr    error         // of the last creation of a queue entry
+	retryDelay time.Duration // before the next creation of a queue entry
 }
 
-// turn is where an acquisition stands.
-type turn int
+// acquireState is the state of an acquisition.
+type acquireState int
 
 const (
-	turnClosed      turn = iota // the Runner is closed
-	turnNoSession               // the session is not valid
-	turnNotQueued               // the copy shows no queue entry
-	turnHandedOver              // the entry must go behind that of another host
-	turnWaiting                 // the entry is in the queue
-	turnHeldByLease             // the lease is acquired
+	stateClosed      acquireState = iota // the Runner is closed
+	stateNoSession                       // there is no valid session
+	stateNotQueued                       // the copy of the store shows no queue entry
+	stateMustRequeue                     // the queue entry must be replaced by one behind that of a preferred host
+	stateWaiting                         // the queue entry waits
+	stateAcquired                        // the queue entry holds the task, and the lease is valid
 )
 
-// position is a turn and what is to be known to act on it.
-type position struct {
-	turn      turn
-	changed   <-chan struct{} // closed when the position may have changed
-	sessionID uint64
-	ahead     int   // entries that must go first
-	reason    error // why the entry waits, other than for those ahead
+// acquireStatus is the state of an acquisition, with what wait needs to act on it.
+type acquireStatus struct {
+	state     acquireState
+	changed   <-chan struct{} // closed when the state may have changed
+	sessionID uint64          // of the current session
+	ahead     int             // with stateWaiting: queue entries that must leave the queue first
+	reason    error           // with stateWaiting: why the entry waits, other than for entries ahead of it
 }
 
-// wait creates the lease's queue entry and returns once the lease is acquired.
+// wait creates the lease's queue entry and returns nil once the lease is acquired. It returns an error if ctx ends, the
+// Runner is closed or the store rejects the entry for good.
 func (w *waiter) wait(ctx context.Context) error {
 	r := w.lease.runner
 	for {
-		p := w.position()
+		status := w.advance()
 		var err error
-		switch p.turn {
-		case turnClosed:
+		switch status.state {
+		case stateClosed:
 			return ErrClosed
-		case turnHeldByLease:
+		case stateAcquired:
 			return nil
-		case turnNoSession:
+		case stateNoSession:
 			w.report(-1, errors.Join(errStoreUnavailable, w.lastErr))
-			err = r.waitForChange(ctx, p.changed, 0)
+			err = r.waitForChange(ctx, status.changed, 0)
 			if err != nil {
 				err = errors.Join(err, w.lastErr)
 			}
-		case turnHandedOver:
+		case stateMustRequeue:
 			err = w.leaveQueue(ctx)
-		case turnWaiting:
-			w.report(p.ahead, p.reason)
-			err = r.waitForChange(ctx, p.changed, 0)
-		case turnNotQueued:
-			err = w.joinQueue(ctx, p.sessionID)
+		case stateWaiting:
+			w.report(status.ahead, status.reason)
+			err = r.waitForChange(ctx, status.changed, 0)
+		case stateNotQueued:
+			err = w.joinQueue(ctx, status.sessionID)
 		}
 		if err != nil {
 			return err
@@ -78,67 +79,68 @@
 	}
 }
 
-// position finds where the acquisition stands. It begins a new queue entry if there is none, and starts the lease
-// if the entry holds the task.
-func (w *waiter) position() position {
+// advance determines the status of the acquisition. It chooses the key of a new queue entry if there is none, and
+// starts the lease if the entry holds the task.
+func (w *waiter) advance() acquireStatus {
 	l, r := w.lease, w.lease.runner
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.cfg.Clock.Now()
-	p := position{changed: r.changed, sessionID: l.session.state.ID()}
+	status := acquireStatus{changed: r.changed, sessionID: l.session.state.ID()}
 	if r.closed {
-		return p
+		return status
 	}
 	if l.key != "" && l.generation != l.session.state.Generation() {
-		w.forgetEntry() // it expired with its session
+		w.forgetEntry() // the entry expired with its session
 	}
-	if p.sessionID == 0 || now >= l.session.state.ValidUntil() {
-		p.turn = turnNoSession
-		return p
+	if status.sessionID == 0 || now >= l.session.state.ValidUntil() {
+		status.state = stateNoSession
+		return status
 	}
 	if l.key == "" {
-		w.newEntry()
+		w.chooseEntryKey()
 	}
 	_, ahead, queued := r.table.Find(l.claim.Task, l.key)
 	token, holds := r.table.Holds(l.claim.Task, l.key)
-	release := r.table.MustRelease(l.claim.Task, l.key)
+	releaseReason := r.table.MustRelease(l.claim.Task, l.key)
 	switch {
 	case !queued:
-		p.turn = turnNotQueued
-	case holds && release == nil:
-		p.turn = turnHeldByLease
+		status.state = stateNotQueued
+	case holds && releaseReason == nil:
+		status.state = stateAcquired
 		l.start(token)
-	case release != nil && !errors.Is(release, lease.ErrPaused):
-		p.turn = turnHandedOver
+	case releaseReason != nil && !errors.Is(releaseReason, lease.ErrPaused):
+		status.state = stateMustRequeue
 	case r.table.Suspended():
-		p.turn, p.ahead, p.reason = turnWaiting, ahead, errStoreRestored
-	case release != nil:
-		p.turn, p.ahead, p.reason = turnWaiting, ahead, release
+		status.state, status.ahead, status.reason = stateWaiting, ahead, errStoreRestored
+	case releaseReason != nil:
+		status.state, status.ahead, status.reason = stateWaiting, ahead, releaseReason
 	default:
 		slots := max(1, r.table.Slots(l.claim.Task))
-		p.turn, p.ahead = turnWaiting, max(0, ahead-slots+1)
+		status.state, status.ahead = stateWaiting, max(0, ahead-slots+1)
 	}
-	return p
+	return status
 }
 
-// newEntry chooses the key of a new queue entry, which belongs to the current session. The Runner's lock must be
-// held.
-func (w *waiter) newEntry() {
+// chooseEntryKey chooses the key of a new queue entry, which will be bound to the current session, and registers the
+// lease under it. The Runner's lock must be held.
+func (w *waiter) chooseEntryKey() {
 	l, r := w.lease, w.lease.runner
-	w.attempts++
-	l.key = lease.QueueEntryKey(l.claim.Task, r.cfg.Host, fmt.Sprintf("%s%d", w.nonce, w.attempts))
+	w.entryCount++
+	l.key = lease.QueueEntryKey(l.claim.Task, r.cfg.Host, fmt.Sprintf("%s%d", w.nonce, w.entryCount))
 	l.generation = l.session.state.Generation()
 	r.leases[l.key] = l
 }
 
-// forgetEntry gives up the key of the queue entry. The Runner's lock must be held.
+// forgetEntry drops the key of the queue entry, so that advance chooses a new one. A queue entry that still exists is
+// orphaned. The Runner's lock must be held.
 func (w *waiter) forgetEntry() {
 	delete(w.lease.runner.leases, w.lease.key)
 	w.lease.key = ""
 }
 
-// leaveQueue deletes the queue entry, so that the next one is behind that of the host to which the task is handed
-// over. If the store does not delete it now, a renewal will.
+// leaveQueue deletes the queue entry, so that the next one is behind that of the preferred host. If the deletion fails,
+// the next renewal of the session deletes the entry as orphaned.
 func (w *waiter) leaveQueue(ctx context.Context) error {
 	r := w.lease.runner
 	r.mu.Lock()
@@ -151,13 +153,13 @@
 	return nil
 }
 
-// joinQueue creates the queue entry, and backs off if the copy of the store does not show it yet. A retry uses the
-// same key.
+// joinQueue creates the queue entry, and waits for the retry delay or a change if the copy of the store does not show
+// it yet. A retry uses the same key, so that it creates no second entry.
 func (w *waiter) joinQueue(ctx context.Context, sessionID uint64) error {
 	l, r := w.lease, w.lease.runner
 	w.lastErr = r.putEntry(ctx, l, sessionID)
-	for _, final := range []error{lease.ErrSlotsMismatch, store.ErrFull, store.ErrBadKey} {
-		if errors.Is(w.lastErr, final) {
+	for _, permanent := range []error{lease.ErrSlotsMismatch, store.ErrFull, store.ErrBadKey} {
+		if errors.Is(w.lastErr, permanent) {
 			return w.lastErr
 		}
 	}
@@ -179,7 +181,7 @@
 	return nil
 }
 
-// report passes on a change of position, or a reason for the delay.
+// report calls onWait if the number of entries ahead has changed or there is a reason for a delay.
 func (w *waiter) report(ahead int, reason error) {
 	if w.onWait == nil || ahead == w.lastAhead && reason == nil {
 		return
