--- a/internal/controlplane/watchdog/control.go
+++ b/internal/controlplane/watchdog/control.go
@@ -7,29 +7,32 @@
 	"strconv"
 )
 
-// endLine is the line that requests the end of the command; every other line of the pipe is a deadline.
+// endLine is the line of the pipe by which the controller requests the end of the command. Every other valid line is a
+// deadline.
 const endLine = "end"
 
-// control is what the controller sends, or that it is gone.
+// control is a message from the controller, or the end of the pipe. At most one of its fields is set.
 type control struct {
-	deadline int64 // in nanoseconds of the clock; 0: none
-	end      error // why the command is to end, or nil
+	deadline  int64 // in nanoseconds of the boot clock; 0: none
+	endReason error // why the command must end, or nil
 }
 
-// ExtendDeadline writes a deadline, in nanoseconds of the boot clock, to a watchdog's pipe.
+// ExtendDeadline writes a deadline, in nanoseconds of the boot clock, to the pipe w of a watchdog. The watchdog
+// ignores a deadline that is not later than its current one.
 func ExtendDeadline(w io.Writer, deadline int64) error {
 	return writeLine(w, strconv.FormatInt(deadline, 10))
 }
 
-// RequestEnd asks a watchdog to end its command.
+// RequestEnd asks the watchdog at the other end of the pipe w to end its command.
 func RequestEnd(w io.Writer) error { return writeLine(w, endLine) }
 
-func writeLine(w io.Writer, s string) error {
-	_, err := io.WriteString(w, s+"\n")
+func writeLine(w io.Writer, line string) error {
+	_, err := io.WriteString(w, line+"\n")
 	return err
 }
 
-// readControls reads the first deadline, and returns a channel of what follows until stop is closed.
+// readControls reads the first deadline from the pipe, and returns a channel with all further controls. The last
+// control is ErrParentGone for the end of the pipe. After stop is closed, controls are read and dropped.
 func readControls(pipe io.Reader, stop <-chan struct{}) (deadline int64, controls <-chan control, err error) {
 	lines := bufio.NewScanner(pipe)
 	if !lines.Scan() {
@@ -37,7 +40,7 @@
 	}
 	deadline, err = strconv.ParseInt(lines.Text(), 10, 64)
 	if err != nil {
-		return 0, nil, fmt.Errorf("deadline: %w", err)
+		return 0, nil, fmt.Errorf("first deadline on the pipe: %w", err)
 	}
 	received := make(chan control)
 	send := func(c control) {
@@ -50,16 +53,16 @@
 		for lines.Scan() {
 			send(parseControl(lines.Text()))
 		}
-		send(control{end: ErrParentGone})
+		send(control{endReason: ErrParentGone})
 	}()
 	return deadline, received, nil
 }
 
-// parseControl takes whatever is no deadline for a request to end.
+// parseControl parses a line of the pipe. A line that is not a number counts as a request to end the command.
 func parseControl(line string) control {
 	deadline, err := strconv.ParseInt(line, 10, 64)
 	if err != nil {
-		return control{end: ErrEndRequested}
+		return control{endReason: ErrEndRequested}
 	}
 	return control{deadline: deadline}
 }
--- a/internal/controlplane/watchdog/watchdog.go
+++ b/internal/controlplane/watchdog/watchdog.go
@@ -1,10 +1,11 @@
-// Package watchdog runs a command that must end by a deadline which its controller extends again and again, and
-// that must not outlive the controller. It ends the command with everything that it started, whether or not that
-// left its process group: the watchdog is the reaper of its descendants (PR_SET_CHILD_SUBREAPER), so that none
-// escapes by the death of its parent.
+// Package watchdog runs a command that must end by a deadline, which a controlling process extends repeatedly, and that
+// must not outlive the controller. The watchdog ends the command together with all processes that the command started,
+// even if they have left its process group: the watchdog is the subreaper of its descendants
+// (PR_SET_CHILD_SUBREAPER), so that a process whose parent dies remains a descendant.
 //
-// Deadlines come as lines on a pipe. The end of the pipe tells the watchdog that the controller has died; while the
-// controller is suspended, the last deadline holds. The package may import the platform's clock.
+// The controller sends deadlines as lines on a pipe. The end of the pipe tells the watchdog that the controller has
+// ended. While the controller is suspended, the last deadline stays in force. The package may import the platform's
+// clock.
 package watchdog
 
 import (
@@ -18,45 +19,50 @@
 	"birchmoor/internal/platform/bootclock"
 )
 
-// Why a command was ended.
+// Reasons for which Command.Run ends a command.
 var (
 	ErrDeadlinePassed = errors.New("the deadline passed")
-	ErrParentGone     = errors.New("the process that extends the deadline is gone")
+	ErrParentGone     = errors.New("the process that extends the deadline has ended")
 	ErrEndRequested   = errors.New("the command was requested to end")
 )
 
-// minTimer bounds how often Run looks at its deadline.
-const minTimer = time.Millisecond
+// minCheckInterval is the minimum delay between two checks of the deadline.
+const minCheckInterval = time.Millisecond
 
-// signalExitBase is added to the number of the signal that ended a command, as shells do.
+// signalExitBase is added to the number of the signal that ended a command to form its exit code, as in shells.
 const signalExitBase = 128
 
-// Command is a command to run.
+// Command is a command to run under a watchdog.
 type Command struct {
-	Args        []string
-	Env         []string
-	GracePeriod time.Duration   // between SIGTERM and SIGKILL, at most
-	KillMargin  time.Duration   // SIGKILL is sent so long before the deadline, at the latest
-	Clock       bootclock.Clock // of the deadlines
-	OnOverrun   func(nanos int64)
+	Args        []string          // Args[0] is the program
+	Env         []string          // see exec.Cmd.Env
+	GracePeriod time.Duration     // maximum time between SIGTERM and SIGKILL
+	KillMargin  time.Duration     // SIGKILL is sent at least this long before the deadline
+	Clock       bootclock.Clock   // clock of the deadlines
+	OnOverrun   func(nanos int64) // see Run; may be nil
 }
 
 // execution is a running command. Instants are nanoseconds of the Clock.
 type execution struct {
 	Command
 	cmd          *exec.Cmd
-	ended        chan struct{}
-	controls     <-chan control
-	killDeadline int64 // SIGKILL is due KillMargin before it
-	deadline     int64 // as last received
-	terminating  bool  // SIGTERM was sent
-	reason       error // why the command is ended
+	ended        chan struct{}  // closed when the command has ended
+	controls     <-chan control // see readControls
+	killDeadline int64          // SIGKILL is due KillMargin before this; it may be earlier than deadline after SIGTERM
+	deadline     int64          // last deadline that extended the time of the command
+	terminating  bool           // SIGTERM was sent
+	reason       error          // why the command is being ended, or nil
 }
 
-// Run runs the command until it ends by itself, or has to be ended. The first deadline must be on the pipe already.
-// It returns the command's exit code, or 128 plus the number of the signal that ended it, and why it was ended if
-// it was. Nothing that the command started is left. If the command may have run past its deadline, because this
-// process was not scheduled in time, Run calls OnOverrun with by how many nanoseconds.
+// Run runs the command until it ends by itself or must be ended, and makes this process a subreaper. It reads controls
+// from the pipe, where it waits for the first deadline before it starts the command. When Run returns, no descendant of
+// this process is left.
+//
+// code is the exit code of the command, or 128 plus the number of the signal that ended it. reason is nil if the
+// command ended by itself, and ErrDeadlinePassed, ErrParentGone or ErrEndRequested if Run ended it or did not start
+// it. Any other reason is an error for which the command could not be started. If the command may have run past its
+// deadline, because this process was not scheduled in time, Run calls OnOverrun with the nanoseconds past the
+// deadline.
 func (c Command) Run(pipe io.Reader) (code int, reason error) {
 	if err := BecomeSubreaper(); err != nil {
 		return 0, err
@@ -83,13 +89,15 @@
 	}
 	defer x.cleanUp()
 	go func() {
-		_ = x.cmd.Wait() // ProcessState has the outcome
+		_ = x.cmd.Wait() // exitCode reads the outcome from ProcessState
 		close(x.ended)
 	}()
 	x.supervise()
 	return exitCode(x.cmd.ProcessState), x.reason
 }
 
+// command returns the command with the standard streams of this process. The kernel kills the command if this process
+// dies.
 func (c Command) command() *exec.Cmd {
 	cmd := exec.Command(c.Args[0], c.Args[1:]...)
 	cmd.Env = c.Env
@@ -98,11 +106,11 @@
 	return cmd
 }
 
-// supervise returns once the command has ended, and signals it when it has to.
+// supervise applies controls and sends due signals until the command has ended.
 func (x *execution) supervise() {
 	for {
-		now, next := x.enforce()
-		timer := time.NewTimer(max(minTimer, x.Clock.TimerDuration(next-now)))
+		now, nextCheck := x.enforce()
+		timer := time.NewTimer(max(minCheckInterval, x.Clock.TimerDuration(nextCheck-now)))
 		select {
 		case <-x.ended:
 			timer.Stop()
@@ -115,8 +123,9 @@
 	}
 }
 
-// enforce sends the signals that are due, and returns the time and when it is to be called again.
-func (x *execution) enforce() (now, next int64) {
+// enforce sends the signals that are due to the command and all other descendants. It returns the current instant and
+// the one at which it must be called again. If the controller has ended, SIGKILL follows SIGTERM at once.
+func (x *execution) enforce() (now, nextCheck int64) {
 	now = x.Clock.Now()
 	killAt := x.killDeadline - int64(x.KillMargin)
 	termAt := killAt - int64(x.GracePeriod)
@@ -138,17 +147,19 @@
 	return now, termAt
 }
 
-// apply takes a control from the pipe. A command that is being ended gets no later deadline.
+// apply applies a control from the pipe. After SIGTERM was sent, the deadline is not extended any more. The end of the
+// controller overrides an earlier reason.
 func (x *execution) apply(c control) {
-	if c.end != nil && (x.reason == nil || errors.Is(c.end, ErrParentGone)) {
-		x.reason = c.end
+	if c.endReason != nil && (x.reason == nil || errors.Is(c.endReason, ErrParentGone)) {
+		x.reason = c.endReason
 	}
 	if c.deadline > x.killDeadline && !x.terminating {
 		x.killDeadline, x.deadline = c.deadline, c.deadline
 	}
 }
 
-// cleanUp kills what the command left, and reports an overrun.
+// cleanUp kills all descendants that are left, and reports an overrun of the deadline. With a negative KillMargin,
+// which only an injected defect sets, it reports none.
 func (x *execution) cleanUp() {
 	KillDescendants()
 	overrun := x.Clock.Now() - x.deadline
@@ -157,13 +168,13 @@
 	}
 }
 
-// exitCode returns the exit code of a process as Run returns it.
-func exitCode(s *os.ProcessState) int {
-	if s == nil { // KillDescendants reaped it before Wait did
+// exitCode returns the exit code of an ended process, in the form that Run returns.
+func exitCode(state *os.ProcessState) int {
+	if state == nil { // KillDescendants reaped the process before Wait did
 		return signalExitBase + int(syscall.SIGKILL)
 	}
-	if w, ok := s.Sys().(syscall.WaitStatus); ok && w.Signaled() {
-		return signalExitBase + int(w.Signal())
+	if status, ok := state.Sys().(syscall.WaitStatus); ok && status.Signaled() {
+		return signalExitBase + int(status.Signal())
 	}
-	return s.ExitCode()
+	return state.ExitCode()
 }
--- a/internal/controlplane/watchdog/watchdog_test.go
+++ b/internal/controlplane/watchdog/watchdog_test.go
@@ -14,21 +14,21 @@
 		}
 	}
 	if want := "5\n9\nend\n"; pipe.String() != want {
-		t.Errorf("the pipe has %q, want %q", pipe.String(), want)
+		t.Errorf("the pipe contains %q, want %q", pipe.String(), want)
 	}
 	stop := make(chan struct{})
 	defer close(stop)
 	deadline, controls, err := readControls(&pipe, stop)
 	if err != nil || deadline != 5 {
-		t.Fatalf("first deadline %d, %v, want 5", deadline, err)
+		t.Fatalf("first deadline %d, error %v, want 5", deadline, err)
 	}
-	for _, want := range []control{{deadline: 9}, {end: ErrEndRequested}, {end: ErrParentGone}} {
+	for _, want := range []control{{deadline: 9}, {endReason: ErrEndRequested}, {endReason: ErrParentGone}} {
 		if got := <-controls; got != want {
-			t.Errorf("read %+v, want %+v", got, want)
+			t.Errorf("control %+v, want %+v", got, want)
 		}
 	}
 	if _, _, err := readControls(&pipe, stop); !errors.Is(err, ErrParentGone) {
-		t.Errorf("an empty pipe: %v, want %v", err, ErrParentGone)
+		t.Errorf("reading from an empty pipe: error %v, want %v", err, ErrParentGone)
 	}
 }
 
@@ -48,7 +48,7 @@
 	for _, tc := range tests {
 		pid, parent, ok := parseStat(tc.stat)
 		if ok != tc.ok || ok && (pid != tc.pid || parent != tc.parent) {
-			t.Errorf("%q: %d, %d, %v, want %d, %d, %v", tc.stat, pid, parent, ok, tc.pid, tc.parent, tc.ok)
+			t.Errorf("parseStat(%q) = %d, %d, %v, want %d, %d, %v", tc.stat, pid, parent, ok, tc.pid, tc.parent, tc.ok)
 		}
 	}
 }
