--- a/internal/controlplane/components.go
+++ b/internal/controlplane/components.go
@@ -108,7 +108,7 @@
 		Settings: daemon.NewSettings(s.Name, c.SettingsCheck, c.Log),
 		Tasks: leasetask.New(leasetask.Config{
 			Host:          s.Name,
-			Skew:          s.MaxClockSkew,
+			MaxClockSkew:  s.MaxClockSkew,
 			Log:           c.Log,
 			Clock:         c.Defects.Clock,
 			TableDefect:   c.Defects.LeaseTable,
--- a/internal/controlplane/lease/session.go
+++ b/internal/controlplane/lease/session.go
@@ -57,7 +57,7 @@
 // NewSession returns a Session without a session at the store: its first request is a GrantRequest.
 func NewSession(rules Rules, defect Defect) *Session {
 	if defect == IgnoreSkew {
-		rules.Skew, rules.Margin = 0, 0
+		rules.MaxClockSkew, rules.Margin = 0, 0
 	}
 	return &Session{rules: rules, defect: defect}
 }
--- a/internal/controlplane/leasetask/runner.go
+++ b/internal/controlplane/leasetask/runner.go
@@ -23,7 +23,7 @@
 // Config configures a Runner.
 type Config struct {
 	Host          string  // name of this daemon, as in the keys of its queue entries
-	Skew          float64 // see lease.Rules; 0: lease.DefaultSkew
+	MaxClockSkew  float64 // see lease.Rules; 0: lease.DefaultSkew
 	Log           *slog.Logger
 	Clock         bootclock.Clock
 	SessionDefect lease.Defect      // injected by tests
@@ -61,8 +61,8 @@
 
 // New returns a Runner without sessions and leases. Attach must be called before it is used.
 func New(cfg Config) *Runner {
-	if cfg.Skew == 0 {
-		cfg.Skew = lease.DefaultSkew
+	if cfg.MaxClockSkew == 0 {
+		cfg.MaxClockSkew = lease.DefaultMaxClockSkew
 	}
 	r := &Runner{
 		cfg:       cfg,
--- a/internal/controlplane/operatorconfig/store.go
+++ b/internal/controlplane/operatorconfig/store.go
@@ -59,7 +59,7 @@
 	c.number("store.elect_ticks", &s.ElectionTicks, 10, 3, 100)
 	c.duration("store.lease", &s.TaskTTL, 5*time.Second, minLeaseTTL, maxLeaseTTL)
 	if s.MaxClockSkew == 0 {
-		s.MaxClockSkew = lease.DefaultSkew
+		s.MaxClockSkew = lease.DefaultMaxClockSkew
 	}
 	if s.MaxClockSkew < 0 || s.MaxClockSkew > maxClockSkew {
 		c.invalid("store.skew", "%g is not within 0 and %g", s.MaxClockSkew, maxClockSkew)
--- a/internal/lab/leasemodel/model.go
+++ b/internal/lab/leasemodel/model.go
@@ -161,7 +161,7 @@
 	w := world{clock: 1}
 	for i := range w.h {
 		h, me := &w.h[i], uint8(i+1)
-		h.session, h.clock = *lease.NewSession(lease.Rules{TTL: ttlOf(me), Skew: skew}, p), 1000*int64(me) // clocks need not agree
+		h.session, h.clock = *lease.NewSession(lease.Rules{TTL: ttlOf(me), MaxClockSkew: skew}, p), 1000*int64(me) // clocks need not agree
 		h.session.Next(h.clock)
 		w.take(me, message{kind: grant})
 		h.back = answer{}
--- a/internal/lab/limitsim/proc.go
+++ b/internal/lab/limitsim/proc.go
@@ -55,7 +55,7 @@
 		w.open[p.name] = w.q.Now() // a process counts from its start
 	}
 	p.pace, p.origin, p.stopped = 1/w.fast+(w.fast-1/w.fast)*w.rng.Float64(), w.q.Now()-w.rng.Int64N(3600*second), 0
-	p.session = lease.NewSession(lease.Rules{TTL: ttl * 1e6, Skew: skew, Margin: 2e6}, w.o.Plant.Session)
+	p.session = lease.NewSession(lease.Rules{TTL: ttl * 1e6, MaxClockSkew: skew, Margin: 2e6}, w.o.Plant.Session)
 	p.table = lease.NewTable(lease.NoTableDefect)
 	rules := quota.Rules{MaxClockSkew: skew, ReportInterval: 50e6, ReportIntervalPerProcess: 2e6}
 	p.holder, p.divider = quota.NewConsumer(rules, w.o.Plant.Limit), quota.NewAllocator(rules, w.o.Plant.Limit)
--- a/internal/lab/storesim/holders.go
+++ b/internal/lab/storesim/holders.go
@@ -141,7 +141,7 @@
 	w := d.w
 	d.boot++
 	d.pace, d.origin, d.stopped = 0.9+0.2*w.rng.Float64(), w.q.Now()-w.rng.Int64N(second), 0
-	d.session = lease.NewSession(lease.Rules{TTL: w.holdTTL(), Skew: holdSkew, Margin: holdMargin}, w.o.Holder.Session)
+	d.session = lease.NewSession(lease.Rules{TTL: w.holdTTL(), MaxClockSkew: holdSkew, Margin: holdMargin}, w.o.Holder.Session)
 	d.table, d.seen, d.wants = lease.NewTable(w.o.Holder.Table), 0, map[string]*wantSim{}
 	for _, t := range holdTasks {
 		d.wants[t.name] = &wantSim{task: t.name, slots: t.slots}
