--- a/cmd/birchmoor/task.go
+++ b/cmd/birchmoor/task.go
@@ -47,7 +47,7 @@
 
 // taskHolder says who holds a task and by which token; "-" stands for none, or for the tokens of several.
 func taskHolder(t leasetask.TaskStatus) (host, token string) {
-	var holders []leasetask.QueueEntry
+	var holders []leasetask.QueueEntryStatus
 	for _, entry := range t.Queue {
 		if entry.Holds {
 			holders = append(holders, entry)
--- a/internal/controlplane/leasetask/status.go
+++ b/internal/controlplane/leasetask/status.go
@@ -18,8 +18,8 @@
 // not run it.
 var ErrTaskNotFound = errors.New("no such task")
 
-// QueueEntry is an entry in a task's queue, in the form that operators see.
-type QueueEntry struct {
+// QueueEntryStatus is an entry in a task's queue, in the form that operators see.
+type QueueEntryStatus struct {
 	Host        string `json:"host"`
 	Token       uint64 `json:"token"`
 	Holds       bool   `json:"holds"`  // whether the entry holds the task
@@ -35,7 +35,7 @@
 	Task                string             `json:"task"`
 	Slots               int                `json:"slots"` // 0: the task has no config
 	Override            lease.TaskOverride `json:"order"`
-	Queue               []QueueEntry       `json:"places"`         // holders first
+	Queue               []QueueEntryStatus `json:"places"`         // holders first
 	NoHolderReason      string             `json:"why,omitempty"`  // empty: it has a holder, or the reason is unknown
 	LastReport          *ActionReport      `json:"last,omitempty"` // nil: no report is stored
 	LastReportAgeMillis int64              `json:"last_age_ms"`    // since an event put it; -1: no event has
@@ -94,7 +94,7 @@
 	s := TaskStatus{
 		Task:                task,
 		Slots:               table.Slots(task),
-		Queue:               []QueueEntry{},
+		Queue:               []QueueEntryStatus{},
 		LastReport:          report,
 		LastReportAgeMillis: r.ageMillis(now, ReportPrefix+task),
 	}
@@ -119,8 +119,8 @@
 }
 
 // queueEntryStatus returns an entry in the form that operators see, with Holds unset. The lock must be held.
-func (r *Runner) queueEntryStatus(now int64, entry lease.QueueEntry) QueueEntry {
-	entryStatus := QueueEntry{
+func (r *Runner) queueEntryStatus(now int64, entry lease.QueueEntry) QueueEntryStatus {
+	entryStatus := QueueEntryStatus{
 		Host:      entry.Host,
 		Token:     entry.Token,
 		TTLMillis: entry.TTLMillis,
--- a/internal/controlplane/leasetask/stored_test.go
+++ b/internal/controlplane/leasetask/stored_test.go
@@ -24,7 +24,7 @@
 		{"status.json", "", &TaskStatus{
 			Task: "reindex", Slots: 2,
 			Override: lease.TaskOverride{Pause: true, PreferredHost: "host-b", Operator: "ops", Note: "disk swap"},
-			Queue: []QueueEntry{
+			Queue: []QueueEntryStatus{
 				{
 					Host: "host-a", Token: 9, Holds: true, TTLMillis: 30000, Note: "nightly",
 					AgeMillis: -1, Local: true, ValidMillis: 1500,
