--- a/internal/controlplane/leasetask/presence.go
+++ b/internal/controlplane/leasetask/presence.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// Presence is a reference to this daemon's session of one TTL, for callers that bind keys other than queue entries to
+// SessionRef is a reference to this daemon's session of one TTL, for callers that bind keys other than queue entries to
 // the session. The session is renewed until Close is called. It is safe for concurrent use.
-type Presence struct {
+type SessionRef struct {
 	runner  *Runner
 	session *session
 }
 
-// Presence returns a reference to this daemon's session of a TTL, and starts the session if no other use has. It
+// UseSession returns a reference to this daemon's session of a TTL, and starts the session if no other use has. It
 // returns an error if the TTL is out of range or too many sessions exist.
-func (r *Runner) Presence(ttl time.Duration) (*Presence, error) {
+func (r *Runner) UseSession(ttl time.Duration) (*SessionRef, error) {
 	s, err := r.joinSession(ttl)
 	if err != nil {
 		return nil, err
 	}
-	return &Presence{runner: r, session: s}, nil
+	return &SessionRef{runner: r, session: s}, nil
 }
 
 // Current returns the ID of the session, or 0 if none is granted, and the instant at which it ceases to be valid unless
 // it is renewed first, in nanoseconds of the host's boot clock. The channel is closed when either may have changed.
-func (p *Presence) Current() (id uint64, validUntil int64, changed <-chan struct{}) {
+func (p *SessionRef) Current() (id uint64, validUntil int64, changed <-chan struct{}) {
 	p.runner.mu.Lock()
 	defer p.runner.mu.Unlock()
 	return p.session.state.ID(), p.session.state.ValidUntil(), p.runner.changed
 }
 
 // Close ends the use of the session. It must be called exactly once.
-func (p *Presence) Close() { p.runner.leaveSession(p.session) }
+func (p *SessionRef) Close() { p.runner.leaveSession(p.session) }
--- a/internal/controlplane/quotasync/run.go
+++ b/internal/controlplane/quotasync/run.go
@@ -41,7 +41,7 @@
 
 // Run implements daemon.Component: it keeps the session and reports demand.
 func (m *Manager) Run(ctx context.Context) {
-	presence, err := m.runner.Presence(m.cfg.TTL)
+	presence, err := m.runner.UseSession(m.cfg.TTL)
 	if err != nil {
 		m.cfg.Log.Error("limits are not shared with the fleet", "error", err)
 		return
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -290,7 +290,7 @@
 
 	mu       sync.Mutex
 	parts    *controlplane.Components // nil while it does not run
-	presence *leasetask.Presence
+	presence *leasetask.SessionRef
 	cancel   context.CancelFunc
 	working  sync.WaitGroup
 	mark     int
@@ -353,12 +353,12 @@
 	h.mu.Lock()
 	h.parts, h.cancel, h.list, h.rng = p, cancel, map[string]discovery.Instance{}, rand.New(rand.NewPCG(h.Seed, 1))
 	if p.Limits != nil {
-		if h.presence, err = p.Tasks.Presence(time.Duration(f.Limits.SessionTTL)); err != nil {
+		if h.presence, err = p.Tasks.UseSession(time.Duration(f.Limits.SessionTTL)); err != nil {
 			h.c.log.Error("no session is seen", "error", err)
 		}
 	}
 	if h.c.plant.Twice {
-		if _, err := p.Tasks.Presence(time.Duration(f.Limits.SessionTTL) - time.Millisecond); err != nil {
+		if _, err := p.Tasks.UseSession(time.Duration(f.Limits.SessionTTL) - time.Millisecond); err != nil {
 			h.c.log.Error("no second session", "error", err)
 		}
 	}
