--- a/cmd/birchmoor/keeper.go
+++ b/cmd/birchmoor/keeper.go
@@ -34,7 +34,7 @@
 	}
 	code, err := command.Run(os.NewFile(deadlineFD, "deadlines"))
 	switch {
-	case errors.Is(err, watchdog.ErrDeadlinePassed), errors.Is(err, watchdog.ErrParentGone):
+	case errors.Is(err, watchdog.ErrDeadlinePassed), errors.Is(err, watchdog.ErrControllerExited):
 		return &exitError{exitLockLost, nil}
 	case errors.Is(err, watchdog.ErrEndRequested):
 		return &exitError{code, nil}
--- a/internal/controlplane/watchdog/control.go
+++ b/internal/controlplane/watchdog/control.go
@@ -36,7 +36,7 @@
 func readControls(pipe io.Reader, stop <-chan struct{}) (deadline int64, controls <-chan control, err error) {
 	lines := bufio.NewScanner(pipe)
 	if !lines.Scan() {
-		return 0, nil, ErrParentGone
+		return 0, nil, ErrControllerExited
 	}
 	deadline, err = strconv.ParseInt(lines.Text(), 10, 64)
 	if err != nil {
@@ -53,7 +53,7 @@
 		for lines.Scan() {
 			send(parseControl(lines.Text()))
 		}
-		send(control{endReason: ErrParentGone})
+		send(control{endReason: ErrControllerExited})
 	}()
 	return deadline, received, nil
 }
--- a/internal/controlplane/watchdog/watchdog.go
+++ b/internal/controlplane/watchdog/watchdog.go
@@ -21,9 +21,9 @@
 
 // Reasons for which Command.Run ends a command.
 var (
-	ErrDeadlinePassed = errors.New("the deadline passed")
-	ErrParentGone     = errors.New("the process that extends the deadline has ended")
-	ErrEndRequested   = errors.New("the command was requested to end")
+	ErrDeadlinePassed   = errors.New("the deadline passed")
+	ErrControllerExited = errors.New("the process that extends the deadline has ended")
+	ErrEndRequested     = errors.New("the command was requested to end")
 )
 
 // minCheckInterval is the minimum delay between two checks of the deadline.
@@ -138,7 +138,7 @@
 		killAt = min(killAt, now+int64(x.GracePeriod))
 		x.killDeadline = killAt + int64(x.KillMargin)
 	}
-	if x.terminating && now >= killAt || errors.Is(x.reason, ErrParentGone) {
+	if x.terminating && now >= killAt || errors.Is(x.reason, ErrControllerExited) {
 		KillDescendants()
 	}
 	if x.terminating {
@@ -150,7 +150,7 @@
 // apply applies a control from the pipe. After SIGTERM was sent, the deadline is not extended any more. The end of the
 // controller overrides an earlier reason.
 func (x *execution) apply(c control) {
-	if c.endReason != nil && (x.reason == nil || errors.Is(c.endReason, ErrParentGone)) {
+	if c.endReason != nil && (x.reason == nil || errors.Is(c.endReason, ErrControllerExited)) {
 		x.reason = c.endReason
 	}
 	if c.deadline > x.killDeadline && !x.terminating {
--- a/internal/controlplane/watchdog/watchdog_test.go
+++ b/internal/controlplane/watchdog/watchdog_test.go
@@ -22,13 +22,13 @@
 	if err != nil || deadline != 5 {
 		t.Fatalf("first deadline %d, error %v, want 5", deadline, err)
 	}
-	for _, want := range []control{{deadline: 9}, {endReason: ErrEndRequested}, {endReason: ErrParentGone}} {
+	for _, want := range []control{{deadline: 9}, {endReason: ErrEndRequested}, {endReason: ErrControllerExited}} {
 		if got := <-controls; got != want {
 			t.Errorf("control %+v, want %+v", got, want)
 		}
 	}
-	if _, _, err := readControls(&pipe, stop); !errors.Is(err, ErrParentGone) {
-		t.Errorf("reading from an empty pipe: error %v, want %v", err, ErrParentGone)
+	if _, _, err := readControls(&pipe, stop); !errors.Is(err, ErrControllerExited) {
+		t.Errorf("reading from an empty pipe: error %v, want %v", err, ErrControllerExited)
 	}
 }
 
