--- a/internal/controlplane/lease/keys.go
+++ b/internal/controlplane/lease/keys.go
@@ -41,8 +41,8 @@
 
 // QueueRecord is the stored value of a queue entry.
 type QueueRecord struct {
-	Session   uint64 `json:"session"` // ID of the session to which the entry is bound
-	TTLMillis int64  `json:"ttl_ms"`
+	Session   uint64 `json:"session"`        // ID of the session to which the entry is bound
+	TTLMillis int64  `json:"ttl_ms"`         // TTL of that session
 	Note      string `json:"note,omitempty"` // shown to operators: what the host holds the task for
 }
 
@@ -73,7 +73,7 @@
 }
 
 // Allowed reports whether the daemon named owner may make this change of the store without an operator: it may create
-// and delete its own queue entries, which must be bound to its session, and put the TaskConfig of any task.
+// and delete its own queue entries, which must be bound to a lease, and put the TaskConfig of any task.
 func Allowed(op store.Op, owner string) bool {
 	if _, host, _, ok := ParseQueueEntryKey(op.Key); ok {
 		return host == owner && (op.Delete || op.LeaseID != 0 && len(op.Value) <= MaxValueBytes)
--- a/internal/controlplane/lease/lease.go
+++ b/internal/controlplane/lease/lease.go
@@ -14,7 +14,7 @@
 //
 //   - A lease is valid for Rules.Validity after its last acknowledged renewal was sent, by the holder's clock. The
 //     store expires a session no sooner than its full TTL after that renewal was applied, by the leader's clock.
-//     Instants of two clocks are never compared; the rates of two clocks may differ by Rules.Skew at most.
+//     Instants of two clocks are never compared; the rates of two clocks may differ by Rules.MaxClockSkew at most.
 //   - A queue entry is deleted by its owner, once that has stopped acting, or expires with its session. Nothing else
 //     removes an entry, so an entry that is missing from a copy of the store no longer exists, and a stale copy makes
 //     no daemon act too early.
--- a/internal/controlplane/lease/rules.go
+++ b/internal/controlplane/lease/rules.go
@@ -7,8 +7,8 @@
 	Margin       int64   // subtracted from the validity, to cover the time between reading the clock and acting
 }
 
-// DefaultMaxClockSkew is the default of Rules.Skew. It is far above the drift of hosts' clocks, which NTP corrects by at most
-// 500 ppm.
+// DefaultMaxClockSkew is the default of Rules.MaxClockSkew. It is far above the drift of hosts' clocks, which NTP
+// corrects by at most 500 ppm.
 const DefaultMaxClockSkew = 0.02
 
 // Validity returns how long a lease is valid, in nanoseconds of the holder's clock, after the sending of a grant or
@@ -16,5 +16,5 @@
 //
 // A renewal that is sent at s, in true time, is applied at a >= s. If the leader's clock runs fast by x, the session
 // expires at e >= a + TTL/(1+x). If the holder's clock runs slow by y, Validity lasts Validity/(1-y) of true time. With
-// (1+x)/(1-y) <= 1+Skew, s + Validity/(1-y) <= s + TTL/(1+x) - Margin < e.
+// (1+x)/(1-y) <= 1+MaxClockSkew, s + Validity/(1-y) <= s + TTL/(1+x) - Margin < e.
 func (r Rules) Validity() int64 { return int64(float64(r.TTL)/(1+r.MaxClockSkew)) - r.Margin }
--- a/internal/controlplane/lease/session.go
+++ b/internal/controlplane/lease/session.go
@@ -27,9 +27,9 @@
 const (
 	NoDefect               Defect = iota
 	ValidFromResponse             // the validity starts when the response arrives, instead of when the request was sent
-	IgnoreSkew                    // Rules.Skew and Rules.Margin are taken as 0
+	IgnoreSkew                    // Rules.MaxClockSkew and Rules.Margin are taken as 0
 	AcceptRejectedRenewal         // a renewal with SessionNotFound extends the validity
-	KeepEntriesAcrossGrant        // queue entries of an earlier session count in the next; no code implements it
+	KeepEntriesAcrossGrant        // entries of an earlier session count as the next one's; no code implements this
 )
 
 // renewalsPerTTL is the number of renewals sent within the TTL of a session, so that two successive renewals may fail
@@ -66,7 +66,7 @@
 func (s *Session) ID() uint64 { return s.id }
 
 // ValidUntil returns the instant at which all leases of the session cease to be valid, unless it is renewed first. 0
-// means that the session is not valid.
+// or a past instant means that the session is not valid.
 func (s *Session) ValidUntil() int64 { return s.validUntil }
 
 // Generation returns the number of sessions granted so far. A queue entry belongs to the generation in which it was
--- a/internal/controlplane/leasetask/presence.go
+++ b/internal/controlplane/leasetask/presence.go
@@ -21,11 +21,11 @@
 
 // Current returns the ID of the session, or 0 if none is granted, and the instant at which it ceases to be valid unless
 // it is renewed first, in nanoseconds of the host's boot clock. The channel is closed when either may have changed.
-func (p *SessionRef) Current() (id uint64, validUntil int64, changed <-chan struct{}) {
-	p.runner.mu.Lock()
-	defer p.runner.mu.Unlock()
-	return p.session.state.ID(), p.session.state.ValidUntil(), p.runner.changed
+func (s *SessionRef) Current() (id uint64, validUntil int64, changed <-chan struct{}) {
+	s.runner.mu.Lock()
+	defer s.runner.mu.Unlock()
+	return s.session.state.ID(), s.session.state.ValidUntil(), s.runner.changed
 }
 
 // Close ends the use of the session. It must be called exactly once.
-func (p *SessionRef) Close() { p.runner.leaveSession(p.session) }
+func (s *SessionRef) Close() { s.runner.leaveSession(s.session) }
--- a/internal/controlplane/leasetask/runner.go
+++ b/internal/controlplane/leasetask/runner.go
@@ -2,8 +2,8 @@
 // store, follows the queues of tasks in the daemon's own copy of the store, and runs tasks that one daemon, or a
 // fixed number of daemons, must run for the whole fleet.
 //
-// Each session is renewed by one goroutine, however many tasks it holds. Requests that a sidecar serves never depend on
-// this package. It may import lease, daemon, the store and the platform's clock.
+// Each session is renewed by one goroutine, however many tasks it holds. Nothing in this package is on the path of a
+// request that a sidecar serves. It may import lease, daemon, the store and the platform's clock.
 package leasetask
 
 import (
@@ -23,7 +23,7 @@
 // Config configures a Runner.
 type Config struct {
 	Host          string  // name of this daemon, as in the keys of its queue entries
-	MaxClockSkew  float64 // see lease.Rules; 0: lease.DefaultSkew
+	MaxClockSkew  float64 // see lease.Rules; 0: lease.DefaultMaxClockSkew
 	Log           *slog.Logger
 	Clock         bootclock.Clock
 	SessionDefect lease.Defect      // injected by tests
--- a/internal/controlplane/leasetask/waiter.go
+++ b/internal/controlplane/leasetask/waiter.go
@@ -43,7 +43,7 @@
 	state     acquireState
 	changed   <-chan struct{} // closed when the state may have changed
 	sessionID uint64          // of the current session
-	ahead     int             // with stateWaiting: queue entries that must leave the queue first
+	ahead     int             // with stateWaiting: entries that must leave first; with a reason: all entries ahead
 	reason    error           // with stateWaiting: why the entry waits, other than for entries ahead of it
 }
 
--- a/internal/controlplane/watchdog/control.go
+++ b/internal/controlplane/watchdog/control.go
@@ -32,7 +32,7 @@
 }
 
 // readControls reads the first deadline from the pipe, and returns a channel with all further controls. The last
-// control is ErrParentGone for the end of the pipe. After stop is closed, controls are read and dropped.
+// control is ErrControllerExited for the end of the pipe. After stop is closed, controls are read and dropped.
 func readControls(pipe io.Reader, stop <-chan struct{}) (deadline int64, controls <-chan control, err error) {
 	lines := bufio.NewScanner(pipe)
 	if !lines.Scan() {
--- a/internal/controlplane/watchdog/watchdog.go
+++ b/internal/controlplane/watchdog/watchdog.go
@@ -59,9 +59,9 @@
 // this process is left.
 //
 // code is the exit code of the command, or 128 plus the number of the signal that ended it. reason is nil if the
-// command ended by itself, and ErrDeadlinePassed, ErrParentGone or ErrEndRequested if Run ended it or did not start
-// it. Any other reason is an error for which the command could not be started. If the command may have run past its
-// deadline, because this process was not scheduled in time, Run calls OnOverrun with the nanoseconds past the
+// command ended by itself, and ErrDeadlinePassed, ErrControllerExited or ErrEndRequested if Run ended it or did not
+// start it. Any other reason is an error for which the command could not be started. If the command may have run past
+// its deadline, because this process was not scheduled in time, Run calls OnOverrun with the nanoseconds past the
 // deadline.
 func (c Command) Run(pipe io.Reader) (code int, reason error) {
 	if err := BecomeSubreaper(); err != nil {
