--- a/internal/controlplane/quotasync/run.go
+++ b/internal/controlplane/quotasync/run.go
@@ -41,7 +41,7 @@
 
 // Run implements daemon.Component. Until ctx ends, it keeps the session, reports demand and logs rejections.
 func (m *Manager) Run(ctx context.Context) {
-	presence, err := m.runner.Presence(m.cfg.TTL)
+	presence, err := m.runner.UseSession(m.cfg.TTL)
 	if err != nil {
 		m.cfg.Log.Error("cannot open a session; this process gets no quotas of the fleet's limits", "error", err)
 		return
