--- a/internal/controlplane/daemon/admindrains.go
+++ b/internal/controlplane/daemon/admindrains.go
@@ -11,23 +11,25 @@
 	"birchmoor/internal/store/serverstate"
 )
 
-// AdminDrains are the servers that operators drained. A drain reported to one daemon takes effect at all of them; a
-// return needs the quorum. It is a Component and a maintenance.FleetOverrides, and safe for concurrent use.
+// AdminDrains replicates administrative drains of servers. A drain that an operator sets at one daemon takes effect at
+// once there and, as soon as they receive it, at all others, with or without a quorum; a return to service needs a
+// quorum of the store. It is a Component and a maintenance.FleetOverrides, and safe for concurrent use.
 type AdminDrains struct {
-	exclusionReports[string] // by the server's ID
+	exclusionReports[string] // keyed by the server's ID
 }
 
-// NewAdminDrains returns those of the daemon with a name.
+// NewAdminDrains returns the component for a daemon, whose reports carry its name.
 func NewAdminDrains(name string, log *slog.Logger) *AdminDrains {
 	a := &AdminDrains{newExclusionReports[string](name, log)}
 	a.guard.Restrict(func(kind serverstate.Kind, server string) bool { return !isProcessDrain(kind, server) })
 	a.parseKey = parseServerKey
-	a.id = func(server string) string { return server }
+	a.serverID = func(server string) string { return server }
 	a.excluded = a.guard.Excluded
 	return a
 }
 
-// parseServerKey reads the key of an exclusion of a server, not of one of its processes.
+// parseServerKey returns the server that the key of an exclusion names. ok is false for any other key, and for the key
+// of the drain of a single process, for which Drains is responsible.
 func parseServerKey(key string) (server string, ok bool) {
 	if _, ok := parseDrainKey(key); ok {
 		return "", false
@@ -56,26 +58,27 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if err := a.applyReset(s); err != nil {
-		a.log.Error("cannot use the new copy of the store for administrative drains", "error", err)
+		a.log.Error("cannot apply a snapshot of the store to the administrative drains", "error", err)
 		return
 	}
 	a.wakeUp()
 }
 
 // Run implements Component.
-func (a *AdminDrains) Run(ctx context.Context) { a.run(ctx, a.enqueueOwed, a.bindDirty) }
+func (a *AdminDrains) Run(ctx context.Context) { a.run(ctx, a.enqueueRetries, a.applyDirty) }
 
-func (a *AdminDrains) enqueueOwed() {
-	for _, op := range a.owed() {
+func (a *AdminDrains) enqueueRetries() {
+	for _, op := range a.takeRetries() {
 		a.enqueueWrite(op)
 	}
 }
 
-// enqueueWrite queues a report of the guard; if the queue is full the guard keeps it as owed.
+// enqueueWrite queues the write of a report that the guard proposed. If the write fails or the queue is full, the guard
+// returns the report from TakeRetries again.
 func (a *AdminDrains) enqueueWrite(op store.Op) {
 	a.enqueue(pendingWrite{
 		key: op.Key,
-		apply: func(ctx context.Context) error {
+		write: func(ctx context.Context) error {
 			_, err := a.store.Do(ctx, store.Command{Txn: &store.Txn{Then: []store.Op{op}}})
 			return err
 		},
@@ -84,8 +87,8 @@
 }
 
 // Subscribe implements maintenance.FleetOverrides.
-func (a *AdminDrains) Subscribe(bind func(ctx context.Context, id string, drained bool) error) {
-	a.subscribe(bind)
+func (a *AdminDrains) Subscribe(apply func(ctx context.Context, id string, drained bool) error) {
+	a.subscribe(apply)
 }
 
 // ReportDrain implements maintenance.FleetOverrides.
@@ -101,13 +104,13 @@
 	}
 }
 
-// RequestReturn implements maintenance.FleetOverrides. Its errors wrap ErrNotReplicated or ErrExcludedAgain, or are the
-// store's.
-func (a *AdminDrains) RequestReturn(ctx context.Context, id string) (reported bool, err error) {
+// RequestReturn implements maintenance.FleetOverrides. Its errors wrap ErrNotReplicated, ErrExcludedAgain or an error
+// of the store.
+func (a *AdminDrains) RequestReturn(ctx context.Context, id string) (requested bool, err error) {
 	a.mu.Lock()
 	txn, err := a.guard.Readmit(serverstate.AdminDrain, id)
 	pending := a.guard.Pending(serverstate.ExclusionKey(serverstate.AdminDrain, id))
-	bind := a.bind
+	apply := a.applyToSidecar
 	a.mu.Unlock()
 	if err != nil && pending {
 		return true, fmt.Errorf("return %s: %w", id, ErrNotReplicated)
@@ -125,5 +128,5 @@
 	if !result.Succeeded || excluded {
 		return true, fmt.Errorf("return %s: %w", id, ErrExcludedAgain)
 	}
-	return true, bind(ctx, id, false)
+	return true, apply(ctx, id, false)
 }
--- a/internal/controlplane/daemon/daemon.go
+++ b/internal/controlplane/daemon/daemon.go
@@ -3,12 +3,13 @@
 // Drains, Starts and StateSnapshots report on servers and are combined by Servers; Settings holds the settings of the
 // data path and their rollouts.
 //
-// Package store/serverstate decides which reports take effect; this package moves them. A report made here takes effect
-// at once and is written until the store has it. A report from the store takes effect as soon as this copy applies it.
-// Settings are checked by every replica before they are committed, and reach a sidecar the way SIGHUP does.
+// Package store/serverstate decides which reports take effect; this package carries them between the sidecar and the
+// store. A report of this daemon takes effect here at once, and its write is retried until the store has it. A report
+// of another daemon takes effect as soon as this daemon's copy applies it. Every replica checks settings before they
+// are committed; a change of them reaches a sidecar as a signal, like SIGHUP from an operator.
 //
-// It may import the store, the platform's packages and, of the data path, the types that components exchange with a
-// sidecar.
+// The package may import the store, the platform's packages and, of the data path, the types that components exchange
+// with a sidecar.
 package daemon
 
 import (
@@ -24,27 +25,31 @@
 )
 
 const (
-	writeTimeout  = 5 * time.Second
-	retryInterval = time.Second
-	sweepInterval = 10 * time.Second
+	writeTimeout  = 5 * time.Second  // of one write to the store
+	retryInterval = time.Second      // between attempts to write a report
+	sweepInterval = 10 * time.Second // between deletions of expired reports
 )
 
 // Errors of components.
 var (
-	ErrNotReplicated = errors.New("the drain is not replicated yet: try again")
-	ErrExcludedAgain = errors.New("it was drained again in the meantime")
+	// ErrNotReplicated says that a server cannot return yet, since its drain is not known to be committed. A retry
+	// succeeds once it is.
+	ErrNotReplicated = errors.New("the drain is not committed to the store yet: try again")
+	// ErrExcludedAgain says that a server was drained again while its return was requested, or that its drain was ended
+	// while it was reported again.
+	ErrExcludedAgain = errors.New("the server was drained again in the meantime")
 )
 
-// Daemon runs components. Its hooks are given to a copy of the store, which is attached once it is open; then Run is
-// called.
+// Daemon runs components. Its hooks are installed in the configuration of a copy of the store before that is opened;
+// the open copy is attached, and then Run is called.
 type Daemon struct {
 	log            *slog.Logger
 	components     []Component
 	store          Store
-	sweepDelegated bool
+	sweepDelegated bool // DelegateSweep was called
 }
 
-// New returns a daemon with its components. It runs nothing yet.
+// New returns a daemon with the given components, none of which runs yet.
 func New(log *slog.Logger, components ...Component) *Daemon {
 	return &Daemon{log: log, components: components}
 }
@@ -57,7 +62,8 @@
 	}
 }
 
-// Hooks returns the functions that a follower's copy calls: see engine.Config.
+// Hooks returns the functions that a follower's copy calls for each change and for each new copy, like OnEvent and
+// OnReset of engine.Config.
 func (d *Daemon) Hooks() (event func(store.Event), reset func(*store.State)) { return d.event, d.reset }
 
 func (d *Daemon) event(e store.Event) {
@@ -72,7 +78,7 @@
 	}
 }
 
-// Subscription joins those of all components.
+// Subscription returns the union of the subscriptions of all components.
 func (d *Daemon) Subscription() changefeed.Subscription {
 	all := changefeed.Subscription{Interest: &store.Interest{}}
 	for _, c := range d.components {
@@ -85,7 +91,7 @@
 	return all
 }
 
-// ObservePrefixSize passes on the size of the keys with a prefix.
+// ObservePrefixSize passes on the number and the bytes of the keys with a prefix that a partial copy does not hold.
 func (d *Daemon) ObservePrefixSize(prefix string, n store.PrefixSize) {
 	forEach(d, func(o PrefixSizeObserver) { o.ObservePrefixSize(prefix, n) })
 }
@@ -99,15 +105,16 @@
 	}
 }
 
-// Confirmed reports how long ago a quorum confirmed the copy. A change that the copy shows may have been written at any
-// time since it was last confirmed: a copy that was cut off for an hour shows old reports as it catches up.
+// Confirmed passes on how long ago a quorum confirmed the copy. A change that the copy applies may have been written at
+// any time since the last confirmation: a copy that was cut off for an hour applies old reports as it catches up.
 func (d *Daemon) Confirmed(ago time.Duration) {
 	forEach(d, func(o ConfirmationObserver) { o.Confirmed(ago) })
 }
 
-// CaughtUp reports that the copy is up to date: from now on the store decides about what an earlier process of this
-// daemon acted on, and what the store does not have is reported. A replica's engine calls it; a follower does once it
-// has received the changes it missed.
+// CaughtUp passes on that the copy is up to date. From then on the store decides about the exclusions that an earlier
+// process of this daemon acted on: those that the store has ended are over, and those that it never had are reported
+// again. A replica's engine calls CaughtUp once it has applied its log, a follower once it has received the changes
+// that it missed.
 func (d *Daemon) CaughtUp() { forEach(d, func(o LogTailObserver) { o.CaughtUp() }) }
 
 // Attach sets the copy of the store, once it is open and before Run.
@@ -118,7 +125,7 @@
 	}
 }
 
-// Run works until ctx ends.
+// Run runs all components and sweeps expired reports, until ctx ends.
 func (d *Daemon) Run(ctx context.Context) {
 	var running sync.WaitGroup
 	defer running.Wait()
@@ -139,19 +146,19 @@
 	}
 }
 
-// DelegateSweep leaves the sweep of expired reports to the lease holder of FleetTask, once all replicas know tasks. It
-// is called before Run.
+// DelegateSweep leaves the sweep of expired reports to the lease holder of FleetTask once all replicas support tasks;
+// until then every daemon sweeps. It is called before Run.
 func (d *Daemon) DelegateSweep() { d.sweepDelegated = true }
 
-// sweepIsDelegated reports whether one daemon sweeps for all.
+// sweepIsDelegated reports whether the lease holder of FleetTask sweeps in place of this daemon.
 func (d *Daemon) sweepIsDelegated(ctx context.Context) bool {
 	tasksKnown := false
 	_, err := d.store.View(ctx, true, func(s *store.State) { tasksKnown = s.Level() >= store.LevelOwners })
 	return d.sweepDelegated && err == nil && tasksKnown
 }
 
-// Sweep ends expired reports. Each end is a transaction that does nothing if its report was renewed in the meantime, so
-// that concurrent or late sweeps end nothing that is still reported.
+// Sweep deletes expired reports. Each transaction does nothing if its report was renewed in the meantime, so that
+// concurrent or late sweeps delete no report that is still renewed. It returns the first error of the store.
 func (d *Daemon) Sweep(ctx context.Context) error { return d.sweep(ctx, time.Now()) }
 
 func (d *Daemon) sweep(ctx context.Context, now time.Time) error {
@@ -162,7 +169,8 @@
 		_, err := d.store.Do(writeCtx, store.Command{Txn: txn})
 		cancel()
 		if err != nil && ctx.Err() == nil {
-			d.log.Warn("cannot end an expired report yet", "key", txn.Then[0].Key, "error", err)
+			d.log.Warn("cannot delete an expired report; trying again at the next sweep",
+				"key", txn.Then[0].Key, "error", err)
 			return err
 		}
 	}
--- a/internal/controlplane/daemon/daemon_test.go
+++ b/internal/controlplane/daemon/daemon_test.go
@@ -17,43 +17,43 @@
 	"birchmoor/internal/store/engine"
 )
 
-// testDaemon is a daemon with a sidecar that records which drains were applied to it.
+// testDaemon is a daemon whose sidecar is a map of the exclusions and starts that were applied to it.
 type testDaemon struct {
 	settings *Settings
-	frame    *Daemon
+	daemon   *Daemon
 	servers  *Servers
 	engine   *engine.Engine
 	addr     string
 	stop     context.CancelFunc
 
 	mu      sync.Mutex
-	bound   map[string]bool
-	changed chan struct{} // closed when a drain is applied
+	applied map[string]bool
+	changed chan struct{} // closed at each change of applied
 }
 
-func (s *testDaemon) bind(_ context.Context, id string, out bool) error {
+func (s *testDaemon) apply(_ context.Context, id string, excluded bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.bound[id] = out
+	s.applied[id] = excluded
 	close(s.changed)
 	s.changed = make(chan struct{})
 	return nil
 }
 
-// waitUntil waits for a server to be drained, or not to be.
-func (s *testDaemon) waitUntil(t *testing.T, id string, out bool) {
+// waitForState waits until the latest state that was applied for an ID is want, for a minute at most.
+func (s *testDaemon) waitForState(t *testing.T, id string, want bool) {
 	t.Helper()
 	for {
 		s.mu.Lock()
-		is, fresh := s.bound[id], s.changed
+		got, changed := s.applied[id], s.changed
 		s.mu.Unlock()
-		if is == out {
+		if got == want {
 			return
 		}
 		select {
-		case <-fresh:
+		case <-changed:
 		case <-time.After(time.Minute):
-			t.Fatalf("%s: drained %v", id, is)
+			t.Fatalf("applied state of %s is still %v after a minute", id, got)
 		}
 	}
 }
@@ -65,21 +65,23 @@
 	return nil
 }
 
+// startDaemon starts a daemon with a replica that listens on addr. With join set, a replica with an empty disk waits to
+// be added to a cluster. The daemon named c has no sidecar that checks settings.
 func startDaemon(t *testing.T, name, dir, addr string, join bool) *testDaemon {
 	t.Helper()
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &testDaemon{bound: map[string]bool{}, changed: make(chan struct{}), addr: ln.Addr().String()}
+	s := &testDaemon{applied: map[string]bool{}, changed: make(chan struct{}), addr: ln.Addr().String()}
 	check := SettingsCheck(checkSettings)
 	if name == "c" {
-		check = nil // no sidecar runs
+		check = nil // no sidecar runs beside this daemon
 	}
 	log := slog.New(slog.DiscardHandler)
 	s.settings = NewSettings(name, check, log)
 	s.servers = NewServers(name, log)
-	s.frame = New(log, append(s.servers.Components(), s.settings)...)
+	s.daemon = New(log, append(s.servers.Components(), s.settings)...)
 	cfg := engine.Config{
 		Name:          name,
 		Dir:           dir,
@@ -89,20 +91,20 @@
 		ElectionTicks: 20,
 		DiskOptions:   disk.Options{NoSync: true},
 	}
-	s.frame.InstallHooks(&cfg)
+	s.daemon.InstallHooks(&cfg)
 	if s.engine, err = engine.Open(cfg); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
-	s.frame.Attach(s.engine)
-	wg.Go(func() { s.frame.Run(ctx) })
+	s.daemon.Attach(s.engine)
+	wg.Go(func() { s.daemon.Run(ctx) })
 	s.stop = sync.OnceFunc(func() {
 		cancel()
-		_ = s.engine.Kill() // what a crash leaves is the point
+		_ = s.engine.Kill() // like a crash, without writing what is buffered
 		wg.Wait()
 	})
-	s.servers.Subscribe(s.bind)
+	s.servers.Subscribe(s.apply)
 	t.Cleanup(s.stop)
 	return s
 }
@@ -114,94 +116,99 @@
 	return ctx
 }
 
-func startCluster(t *testing.T) (all []*testDaemon, dirs []string) {
+// startCluster starts the daemons a, b and c of one cluster, and returns them with the folders of their disks.
+func startCluster(t *testing.T) (daemons []*testDaemon, dirs []string) {
 	t.Helper()
 	ctx := testContext(t)
 	for i, name := range []string{"a", "b", "c"} {
 		dirs = append(dirs, t.TempDir())
-		all = append(all, startDaemon(t, name, dirs[i], "127.0.0.1:0", i > 0))
+		daemons = append(daemons, startDaemon(t, name, dirs[i], "127.0.0.1:0", i > 0))
 		if i > 0 {
-			member := &store.AddMember{Name: name, Address: all[i].addr}
-			if _, err := all[0].engine.Do(ctx, store.Command{AddMember: member}); err != nil {
+			member := &store.AddMember{Name: name, Address: daemons[i].addr}
+			if _, err := daemons[0].engine.Do(ctx, store.Command{AddMember: member}); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 	for {
-		s, err := all[0].engine.Status(ctx)
+		s, err := daemons[0].engine.Status(ctx)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if s.MembershipStable && len(s.Peers) == 3 {
-			return all, dirs
+			return daemons, dirs
 		}
 	}
 }
 
+// A drain takes effect at all daemons with or without a quorum, and a server returns only with one. Guards against
+// drains that are lost while replicas are down, and against servers that one cut-off daemon returns to service.
 func TestAdminDrainReachesAllDaemonsAndReturnNeedsQuorum(t *testing.T) {
-	all, dirs := startCluster(t)
+	daemons, dirs := startCluster(t)
 	ctx := testContext(t)
-	all[0].servers.ReportDrain("s1")
-	for _, s := range all {
-		s.waitUntil(t, "s1", true)
+	daemons[0].servers.ReportDrain("s1")
+	for _, s := range daemons {
+		s.waitForState(t, "s1", true)
 	}
 	for {
-		if asked, err := all[1].servers.RequestReturn(ctx, "s1"); err == nil && asked {
+		if requested, err := daemons[1].servers.RequestReturn(ctx, "s1"); err == nil && requested {
 			break
 		} else if !errors.Is(err, ErrNotReplicated) && !errors.Is(err, ErrExcludedAgain) {
-			t.Fatal(asked, err)
+			t.Fatal(requested, err)
 		}
 	}
-	for _, s := range all {
-		s.waitUntil(t, "s1", false)
+	for _, s := range daemons {
+		s.waitForState(t, "s1", false)
 	}
-	// Without a quorum a daemon still adds drains, and lets no server return.
+	// Without a quorum a daemon still drains servers, but none returns to service.
 	for _, id := range []string{"s2", "s4"} {
-		all[1].servers.ReportDrain(id)
-		all[0].waitUntil(t, id, true)
+		daemons[1].servers.ReportDrain(id)
+		daemons[0].waitForState(t, id, true)
 	}
-	all[1].stop()
-	all[2].stop()
-	all[0].servers.ReportDrain("s3")
+	daemons[1].stop()
+	daemons[2].stop()
+	daemons[0].servers.ReportDrain("s3")
 	short, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
 	defer cancel()
-	// The outcome of this one is not known: it may be committed once the others are back.
-	if _, err := all[0].servers.RequestReturn(short, "s4"); err == nil {
+	// The outcome of this return is unknown: it may be committed once the other replicas are back.
+	if _, err := daemons[0].servers.RequestReturn(short, "s4"); err == nil {
 		t.Fatal("a server returned without a quorum")
 	}
-	if _, err := all[0].servers.RequestReturn(ctx, "s3"); !errors.Is(err, ErrNotReplicated) {
+	if _, err := daemons[0].servers.RequestReturn(ctx, "s3"); !errors.Is(err, ErrNotReplicated) {
 		t.Fatal(err)
 	}
-	exclusions := fmt.Sprint(all[0].servers.Exclusions())
+	exclusions := fmt.Sprint(daemons[0].servers.Exclusions())
 	if !strings.Contains(exclusions, "s2 true") || !strings.Contains(exclusions, "s3 false") {
 		t.Fatal(exclusions)
 	}
-	// The others return: they receive the drain that they missed and still know the one from before.
-	b := startDaemon(t, "b", dirs[1], all[1].addr, true)
-	c := startDaemon(t, "c", dirs[2], all[2].addr, true)
+	// After their restart the other daemons still know the drain of s2, and receive that of s3, which they missed.
+	b := startDaemon(t, "b", dirs[1], daemons[1].addr, true)
+	c := startDaemon(t, "c", dirs[2], daemons[2].addr, true)
 	for _, s := range []*testDaemon{b, c} {
-		s.waitUntil(t, "s2", true)
-		s.waitUntil(t, "s3", true)
+		s.waitForState(t, "s2", true)
+		s.waitForState(t, "s3", true)
 	}
 }
 
+// Settings that any replica rejects are not committed, by whichever daemon they are put; all daemons end up with the
+// settings of a rollback.
 func TestSettingsAreCheckedByAllReplicasAndRolledBack(t *testing.T) {
-	all, _ := startCluster(t)
+	daemons, _ := startCluster(t)
 	ctx := testContext(t)
 	for i, text := range []string{`{"x":1}`, `{"x":2}`} {
-		v, err := all[i].settings.Put(ctx, json.RawMessage(text), "try")
-		if err != nil || v.Version != uint64(i+1) {
-			t.Fatal(v, err)
+		version, err := daemons[i].settings.Put(ctx, json.RawMessage(text), "try")
+		if err != nil || version.Version != uint64(i+1) {
+			t.Fatal(version, err)
 		}
 	}
-	_, err := all[2].settings.Put(ctx, json.RawMessage(`{"bad":1}`), "")
+	_, err := daemons[2].settings.Put(ctx, json.RawMessage(`{"bad":1}`), "")
 	if err == nil || !strings.Contains(err.Error(), "a: settings.x: is bad") {
 		t.Fatal(err)
 	}
-	if v, err := all[1].settings.Rollback(ctx, 1); err != nil || v.Version != 3 {
-		t.Fatal(v, err)
+	if version, err := daemons[1].settings.Rollback(ctx, 1); err != nil || version.Version != 3 {
+		t.Fatal(version, err)
 	}
-	for _, s := range all {
+	for _, s := range daemons {
 		if _, err := s.engine.View(ctx, false, func(*store.State) {}); err != nil {
 			t.Fatal(err)
 		}
@@ -210,7 +217,8 @@
 		}
 		<-s.settings.Reload()
 	}
-	if h, err := all[0].settings.History(ctx); err != nil || len(h) != 3 || h[0].Note != "rollback to version 1" {
-		t.Fatal(h, err)
+	if history, err := daemons[0].settings.History(ctx); err != nil || len(history) != 3 ||
+		history[0].Note != "rollback to version 1" {
+		t.Fatal(history, err)
 	}
 }
--- a/internal/controlplane/daemon/drainlog.go
+++ b/internal/controlplane/daemon/drainlog.go
@@ -13,36 +13,38 @@
 	"birchmoor/internal/store"
 )
 
-// A daemon that is killed must not forget a drain that it acted on, even if the store did not have it yet or, at a
-// follower, the copy's file was not written yet. So the drains in effect here are logged to a small file: a line for
-// each that begins (+) or ends (-). A goroutine of its own writes it without fsync, since it has to outlive the
-// process, not the machine. What a start finds there takes effect like the uncommitted end of the log
-// (serverstate.Guard.Uncommitted).
+// A daemon that is killed must not forget a drain that it acted on, even if the store did not have the drain yet or, at
+// a follower, the file of its copy was not written yet. It therefore logs the drains in effect to a small file, with a
+// line for each drain that begins (+) or ends (-). A separate goroutine writes the file without fsync, since the log
+// has to outlive the process, not the machine. The drains that a restarted daemon reads from it take effect like the
+// uncommitted end of a replica's log (serverstate.Guard.Uncommitted).
 const (
 	drainLogName       = "words" // within the store's directory; earlier builds read this name
 	drainLogQueueSize  = 4096    // lines
 	drainBegins        = '+'
 	drainEnds          = '-'
-	minCompactionBytes = 64 << 10 // below this the file is not compacted
-	entryBytes         = 64       // of a typical line
-	compactionFactor   = 4        // size of the file, relative to its entries, from which it is compacted
+	minCompactionBytes = 64 << 10 // a smaller file is not compacted
+	typicalEntryBytes  = 64       // length of a typical line
+	compactionFactor   = 4        // the file is compacted above this multiple of the size of its entries
 )
 
-// drainLog is the file of the drains in effect. The lock of Drains guards queued; the other fields belong to run.
+// drainLog writes the file of the drains in effect. The lock of Drains guards queued; only the goroutine of run uses
+// the fields after it.
 type drainLog struct {
 	path   string
 	log    *slog.Logger
 	lines  chan string
-	queued map[string]bool // keys in effect once the queue is written
+	queued map[string]bool // keys of the drains in effect once all queued lines are written
 
-	file    *os.File // nil after a failure, until it is rewritten
-	bytes   int      // of the file
-	written map[string]bool
-	failing bool
+	file    *os.File        // nil after a failed write, until the file is rewritten
+	bytes   int             // size of the file
+	written map[string]bool // keys of the drains in effect by the lines written so far
+	failing bool            // the last write failed
 }
 
-// OpenDrainLog logs drains to a file in dir, and puts those into effect that an earlier process logged there. It is
-// called before the store is opened. A file that cannot be read is an error and is left as it is.
+// OpenDrainLog opens the drain log in dir, and puts into effect the drains that an earlier process logged there. It is
+// called before the store is opened. If the log exists but cannot be read, OpenDrainLog returns an error and leaves it
+// unchanged. Without a call of it no log is kept.
 func (d *Drains) OpenDrainLog(dir string) error {
 	l := &drainLog{
 		path:    filepath.Join(dir, drainLogName),
@@ -69,8 +71,8 @@
 	return nil
 }
 
-// restore applies a line of an earlier process. It ignores one that is cut off, since the process was killed writing
-// it.
+// restore applies a line that an earlier process wrote. It ignores invalid lines, such as the last one of a process
+// that was killed while writing it, and drains over maxDrains.
 func (l *drainLog) restore(line string) {
 	key, complete := strings.CutSuffix(line[1:], "\n")
 	if _, ok := parseDrainKey(key); !complete || !ok {
@@ -84,8 +86,8 @@
 	}
 }
 
-// logDrain queues a line if it has changed whether a drain is in effect. The lock is held. It does not block: if the
-// queue is full the line is written with the next change of that drain.
+// logDrain queues a line if the drain of a key has begun or ended since its last line. The caller holds the lock.
+// logDrain does not block: if the queue is full the line is left out, and the next event of that drain queues it.
 func (d *Drains) logDrain(key string) {
 	l := d.drainLog
 	if l == nil {
@@ -115,10 +117,10 @@
 	return string(drainEnds) + key + "\n"
 }
 
-// run writes queued lines until done is closed, and then what is left in the queue.
+// run writes queued lines until done is closed, and then those left in the queue.
 func (l *drainLog) run(done <-chan struct{}) {
 	defer l.close()
-	l.rewrite() // an earlier process may have left a long file with a line cut off
+	l.rewrite() // drops an incomplete last line and the ended drains of an earlier process
 	retry := time.NewTicker(sweepInterval)
 	defer retry.Stop()
 	for {
@@ -136,7 +138,7 @@
 	}
 }
 
-// flush writes the lines that are queued now.
+// flush writes the lines that are in the queue, without waiting for more.
 func (l *drainLog) flush() {
 	for {
 		select {
@@ -164,12 +166,12 @@
 		return
 	}
 	l.bytes += len(line)
-	if l.bytes > minCompactionBytes && l.bytes > compactionFactor*entryBytes*len(l.written) {
+	if l.bytes > minCompactionBytes && l.bytes > compactionFactor*typicalEntryBytes*len(l.written) {
 		l.rewrite()
 	}
 }
 
-// rewrite replaces the file by one of the drains in effect, and opens that.
+// rewrite replaces the file by one with a line for each drain in effect, and opens that for appending.
 func (l *drainLog) rewrite() {
 	l.close()
 	var text strings.Builder
@@ -185,11 +187,11 @@
 	if err := os.MkdirAll(filepath.Dir(l.path), 0o700); err != nil {
 		return err
 	}
-	next := l.path + ".new"
-	if err := os.WriteFile(next, []byte(text), 0o600); err != nil {
+	newPath := l.path + ".new"
+	if err := os.WriteFile(newPath, []byte(text), 0o600); err != nil {
 		return err
 	}
-	if err := os.Rename(next, l.path); err != nil {
+	if err := os.Rename(newPath, l.path); err != nil {
 		return err
 	}
 	var err error
@@ -197,7 +199,7 @@
 	return err
 }
 
-// reportFailure logs the first failure, and the first success after one.
+// reportFailure logs the first of several failures in a row, and the first success after them.
 func (l *drainLog) reportFailure(err error) {
 	failing := err != nil
 	if failing == l.failing {
@@ -205,16 +207,17 @@
 	}
 	l.failing = failing
 	if failing {
-		l.log.Error("cannot write the drain log: a kill would forget drains", "file", l.path, "error", err)
+		l.log.Error("cannot write the drain log: drains are forgotten if this process is killed",
+			"file", l.path, "error", err)
 		return
 	}
-	l.log.Info("the drain log is written again", "file", l.path)
+	l.log.Info("the drain log can be written again", "file", l.path)
 }
 
 func (l *drainLog) close() {
 	if l.file == nil {
 		return
 	}
-	_ = l.file.Close() // nothing is buffered
+	_ = l.file.Close() // no write is buffered that could fail
 	l.file = nil
 }
--- a/internal/controlplane/daemon/drainlog_test.go
+++ b/internal/controlplane/daemon/drainlog_test.go
@@ -13,11 +13,11 @@
 	"birchmoor/internal/store/serverstate"
 )
 
-// A drain that a daemon observed is in effect after it was killed, whether or not the store had it, until the copy is
-// up to date; then it is reported. A line that is cut off and invalid lines are ignored.
+// Guards against a killed daemon that forgets a drain which the store did not have yet. After the restart the drain is
+// in effect, and it is reported once the copy is up to date. Incomplete and invalid lines are ignored.
 func TestDrainLogRestoresDrainsAfterKill(t *testing.T) {
 	dir := t.TempDir()
-	begin := func() (d *Drains, kill func()) {
+	start := func() (d *Drains, kill func()) {
 		d = NewDrains("a", slog.New(slog.DiscardHandler))
 		if err := d.OpenDrainLog(dir); err != nil {
 			t.Fatal(err)
@@ -27,46 +27,46 @@
 		go func() { d.drainLog.run(ctx.Done()); close(ended) }()
 		return d, func() { cancel(); <-ended }
 	}
-	one := discovery.Process{ID: "s 1", Addr: "127.0.0.1:1", StartedMs: 5}
-	two := discovery.Process{ID: "s2", Addr: "[::1]:2"}
-	d, kill := begin()
-	d.Observe(one, true)
-	d.Observe(two, true)
-	d.Observe(two, false)
+	draining := discovery.Process{ID: "s 1", Addr: "127.0.0.1:1", StartedMs: 5}
+	drainEnded := discovery.Process{ID: "s2", Addr: "[::1]:2"}
+	d, kill := start()
+	d.Observe(draining, true)
+	d.Observe(drainEnded, true)
+	d.Observe(drainEnded, false)
 	kill()
 	path := filepath.Join(dir, drainLogName)
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	invalid := "nonsense\n\n+out/ban/x\n+" + drainKey(serverstate.Process(two))
+	invalid := "nonsense\n\n+out/ban/x\n+" + drainKey(serverstate.Process(drainEnded))
 	if err := os.WriteFile(path, append(text, invalid...), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	d, kill = begin()
-	if known := fmt.Sprint(d.DrainingProcesses()); known != fmt.Sprint([]discovery.Process{one}) {
-		t.Errorf("a restarted daemon knows %s", known)
+	d, kill = start()
+	if known := fmt.Sprint(d.DrainingProcesses()); known != fmt.Sprint([]discovery.Process{draining}) {
+		t.Errorf("draining processes of the restarted daemon: %s", known)
 	}
-	if owed := d.guard.TakeRetries(); len(owed) != 0 {
-		t.Error("reported before the copy is up to date:", owed)
+	if retries := d.guard.TakeRetries(); len(retries) != 0 {
+		t.Error("reports queued before the copy is up to date:", retries)
 	}
 	d.CaughtUp()
-	owed := d.guard.TakeRetries()
-	if len(owed) != 1 || !strings.Contains(owed[0].Key, "s+1") || len(d.DrainingProcesses()) != 1 {
-		t.Error("owed:", owed)
+	retries := d.guard.TakeRetries()
+	if len(retries) != 1 || !strings.Contains(retries[0].Key, "s+1") || len(d.DrainingProcesses()) != 1 {
+		t.Error("owed:", retries)
 	}
 	kill()
-	if text, err := os.ReadFile(path); err != nil || string(text) != "+"+drainKey(serverstate.Process(one))+"\n" {
-		t.Errorf("kept: %q, %v", text, err)
+	if text, err := os.ReadFile(path); err != nil || string(text) != "+"+drainKey(serverstate.Process(draining))+"\n" {
+		t.Errorf("drain log after the second kill is %q, error %v", text, err)
 	}
 	if err := os.Chmod(path, 0); err == nil && os.Getuid() != 0 {
 		if err := NewDrains("a", slog.New(slog.DiscardHandler)).OpenDrainLog(dir); err == nil {
-			t.Error("a file that cannot be read is ignored")
+			t.Error("OpenDrainLog ignores a file that cannot be read")
 		}
 	}
 }
 
-// The file stays small however many drains begin and end.
+// Guards against a drain log that grows with each drain that begins and ends until it fills the disk.
 func TestDrainLogIsCompacted(t *testing.T) {
 	dir := t.TempDir()
 	d := NewDrains("a", slog.New(slog.DiscardHandler))
--- a/internal/controlplane/daemon/drains.go
+++ b/internal/controlplane/daemon/drains.go
@@ -11,26 +11,27 @@
 	"birchmoor/internal/store/serverstate"
 )
 
-// Drains are reported like administrative drains, with three differences. They apply to one process, so that nobody has
-// to agree that the server serves again: after a restart it is another process. All daemons observe a drain by
-// discovery at about the same time, and one of them writes it (serverstate.ReportScheduler). And they expire: daemons
-// that observe a drain renew its report every drainRenewInterval, one write for all, and one that was not renewed for
-// drainRetention ends.
+// Drains are reported like administrative drains, with three differences. A drain applies to a single process, so that
+// no quorum has to confirm that the server returns to service: after a restart it is another process. All daemons
+// observe a drain by discovery at about the same time, and one of them writes it for all (serverstate.ReportScheduler).
+// Reports expire: while daemons observe the drain, one of them renews its report every drainRenewInterval; a report
+// that was not renewed for drainRetention is deleted.
 const (
-	drainReportSpread  = 200 * time.Millisecond
+	drainReportSpread  = 200 * time.Millisecond // over which the daemons' attempts to write a drain are spread
 	drainRenewInterval = 4 * time.Minute
 	drainRetention     = 10 * time.Minute
-	maxDrains          = 4096 // draining processes by this daemon's discovery
+	maxDrains          = 4096 // draining processes that this daemon's discovery reports
 )
 
-// Drains are the processes that drain by the discovery of any daemon. It is a Component, and safe for concurrent use.
+// Drains replicates the drains of processes that the discovery of any daemon observes. It is a Component, and safe for
+// concurrent use.
 type Drains struct {
 	exclusionReports[serverstate.Process]
-	schedule *serverstate.ReportScheduler // by key
-	drainLog *drainLog                    // nil where none is kept
+	schedule *serverstate.ReportScheduler // decides when this daemon writes or renews the report of a key
+	drainLog *drainLog                    // nil: drains are not logged
 }
 
-// NewDrains returns those of the daemon with a name.
+// NewDrains returns the component for a daemon, whose reports carry its name.
 func NewDrains(name string, log *slog.Logger) *Drains {
 	d := &Drains{
 		exclusionReports: newExclusionReports[serverstate.Process](name, log),
@@ -43,12 +44,12 @@
 	}
 	d.guard.Restrict(isProcessDrain)
 	d.parseKey = parseDrainKey
-	d.id = func(p serverstate.Process) string { return p.ID }
+	d.serverID = func(p serverstate.Process) string { return p.ID }
 	d.excluded = d.guard.IsDraining
 	return d
 }
 
-// isProcessDrain reports whether an exclusion is that of a draining process.
+// isProcessDrain reports whether an exclusion is the drain of a single process, not of a server.
 func isProcessDrain(kind serverstate.Kind, server string) bool {
 	_, ok := serverstate.ParseProcess(server)
 	return ok && kind == serverstate.Drain
@@ -58,7 +59,7 @@
 	return serverstate.ExclusionKey(serverstate.Drain, p.ServerName())
 }
 
-// parseDrainKey reads the key of a process's drain.
+// parseDrainKey returns the process whose drain has a key. ok is false for any other key.
 func parseDrainKey(key string) (serverstate.Process, bool) {
 	server, ok := strings.CutPrefix(key, serverstate.ExclusionKey(serverstate.Drain, ""))
 	if !ok {
@@ -87,7 +88,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err := d.applyReset(s); err != nil {
-		d.log.Error("cannot use the new copy of the store for drains", "error", err)
+		d.log.Error("cannot apply a snapshot of the store to the drains", "error", err)
 		return
 	}
 	draining := revisionsWithPrefix(s, serverstate.ExclusionKey(serverstate.Drain, ""))
@@ -119,19 +120,20 @@
 		}()
 		defer func() { <-done }()
 	}
-	d.run(ctx, d.enqueueOwed, func(ctx context.Context) {
+	d.run(ctx, d.enqueueRetries, func(ctx context.Context) {
 		d.enqueueDue(time.Now())
-		d.bindDirty(ctx)
+		d.applyDirty(ctx)
 	})
 }
 
-func (d *Drains) enqueueOwed() {
-	for _, op := range d.owed() {
+func (d *Drains) enqueueRetries() {
+	for _, op := range d.takeRetries() {
 		d.enqueueWrite(op)
 	}
 }
 
-// DrainingProcesses lists the processes that drain by this copy, so that a sidecar knows them before it serves.
+// DrainingProcesses lists the processes of which this daemon knows that they drain, for a sidecar that is about to
+// serve.
 func (d *Drains) DrainingProcesses() []discovery.Process {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -142,19 +144,20 @@
 	return all
 }
 
-// OnDrain sets how the drains that other daemons observed are applied to the sidecar.
-func (d *Drains) OnDrain(bind func(ctx context.Context, p discovery.Process, drains bool) error) {
+// OnDrain sets the function that applies the drains of other daemons' reports to the sidecar. It is called again for a
+// drain until it returns no error.
+func (d *Drains) OnDrain(apply func(ctx context.Context, p discovery.Process, drains bool) error) {
 	d.mu.Lock()
 	for _, p := range d.guard.Draining() {
 		d.dirty[p] = true
 	}
 	d.mu.Unlock()
 	d.subscribe(func(ctx context.Context, p serverstate.Process, drains bool) error {
-		return bind(ctx, discovery.Process(p), drains)
+		return apply(ctx, discovery.Process(p), drains)
 	})
 }
 
-// Observe takes what this sidecar's discovery says of a process. It does not block.
+// Observe reports whether a process drains by the discovery of this daemon's sidecar. It does not block.
 func (d *Drains) Observe(p discovery.Process, drains bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -171,7 +174,7 @@
 	d.wakeAt(due, now)
 }
 
-// enqueueDue queues the reports that are this daemon's to write now.
+// enqueueDue queues the writes of the reports that are due and that no other daemon has written in the meantime.
 func (d *Drains) enqueueDue(now time.Time) {
 	for _, op := range d.dueReports(now) {
 		d.enqueueWrite(op)
@@ -195,11 +198,12 @@
 	return ops
 }
 
-// enqueueWrite queues a report of the guard; if the queue is full the guard keeps it as owed.
+// enqueueWrite queues the write of a report that the guard proposed. If the write fails or the queue is full, the guard
+// returns the report from TakeRetries again.
 func (d *Drains) enqueueWrite(op store.Op) {
 	d.enqueue(pendingWrite{
 		key: op.Key,
-		apply: func(ctx context.Context) error {
+		write: func(ctx context.Context) error {
 			p, _ := parseDrainKey(op.Key)
 			return d.propose(ctx, p, op)
 		},
@@ -210,17 +214,17 @@
 	})
 }
 
-// propose writes a drain unless another daemon has in the meantime. A drain that was ended in the meantime is an error,
-// after which the guard owes it again.
+// propose writes a drain unless another daemon has written it in the meantime. If the drain's report was deleted in the
+// meantime, propose returns ErrExcludedAgain, after which the guard proposes the drain again.
 func (d *Drains) propose(ctx context.Context, p serverstate.Process, op store.Op) error {
 	d.mu.Lock()
-	agreed, pending := d.guard.DrainRevision(p), d.guard.Pending(op.Key)
+	committedRevision, pending := d.guard.DrainRevision(p), d.guard.Pending(op.Key)
 	d.mu.Unlock()
 	if !pending {
 		return nil
 	}
 	result, err := d.store.Do(ctx, store.Command{Txn: &store.Txn{
-		If:   []store.Compare{{Key: op.Key, ModRevision: agreed}},
+		If:   []store.Compare{{Key: op.Key, ModRevision: committedRevision}},
 		Then: []store.Op{op},
 	}})
 	if err != nil || result.Succeeded {
--- a/internal/controlplane/daemon/drains_test.go
+++ b/internal/controlplane/daemon/drains_test.go
@@ -11,96 +11,98 @@
 	"birchmoor/internal/store/serverstate"
 )
 
-func (s *testDaemon) bindDrain(_ context.Context, p discovery.Process, drains bool) error {
-	return s.bind(context.Background(), fmt.Sprint(p), drains)
+// applyDrain records the drain of a process under the text form of the process.
+func (s *testDaemon) applyDrain(_ context.Context, p discovery.Process, drains bool) error {
+	return s.apply(context.Background(), fmt.Sprint(p), drains)
 }
 
-// A drain that all daemons observe is written once. One that a single daemon observes takes effect at all, survives
-// restarts, and ends only once it was not renewed for drainRetention. Other processes are not affected.
+// A drain that all daemons observe is written once. A drain that a single daemon observes takes effect at all daemons,
+// survives restarts, and ends only when it was not renewed for drainRetention. It affects no other process.
 func TestDrainIsWrittenOnceAndExpires(t *testing.T) {
-	all, dirs := startCluster(t)
+	daemons, dirs := startCluster(t)
 	ctx := testContext(t)
-	for _, s := range all {
-		s.servers.OnDrain(s.bindDrain)
+	for _, s := range daemons {
+		s.servers.OnDrain(s.applyDrain)
 	}
-	changes := func(p discovery.Process) uint64 {
+	changeCount := func(p discovery.Process) uint64 {
 		var i store.Item
-		if _, err := all[0].engine.View(ctx, false, func(st *store.State) {
+		if _, err := daemons[0].engine.View(ctx, false, func(st *store.State) {
 			i, _ = st.Get(serverstate.ExclusionKey(serverstate.Drain, serverstate.Process(p).ServerName()))
 		}); err != nil {
 			t.Fatal(err)
 		}
 		return i.Version
 	}
-	one := discovery.Process{ID: "s/1 ä@", Addr: "127.0.0.1:1", StartedMs: 5}
-	two := discovery.Process{ID: "s2", Addr: "[::1]:2"}
-	for _, s := range all {
-		s.servers.Observe(one, true)
+	seenByAll := discovery.Process{ID: "s/1 ä@", Addr: "127.0.0.1:1", StartedMs: 5}
+	seenByOne := discovery.Process{ID: "s2", Addr: "[::1]:2"}
+	for _, s := range daemons {
+		s.servers.Observe(seenByAll, true)
 	}
-	for _, s := range all {
-		s.waitUntil(t, fmt.Sprint(one), true)
+	for _, s := range daemons {
+		s.waitForState(t, fmt.Sprint(seenByAll), true)
 	}
-	time.Sleep(2 * drainReportSpread) // all were scheduled by then
-	if n := changes(one); n != 1 {
-		t.Errorf("three daemons that observed it made %d changes", n)
+	time.Sleep(2 * drainReportSpread) // the daemons' attempts are spread over that time
+	if n := changeCount(seenByAll); n != 1 {
+		t.Errorf("three daemons that observed a drain wrote it %d times, want once", n)
 	}
-	all[2].servers.Observe(two, true)
-	all[0].waitUntil(t, fmt.Sprint(two), true)
-	all[1].waitUntil(t, fmt.Sprint(two), true)
-	// The daemon that observed it is gone, and another restarts: it knows the drain before it receives anything.
-	all[2].stop()
-	all[1].stop()
-	b := startDaemon(t, "b", dirs[1], all[1].addr, true)
-	if known := fmt.Sprint(b.servers.DrainingProcesses()); known != fmt.Sprint([]discovery.Process{one, two}) {
-		t.Errorf("a restarted daemon knows %s", known)
+	daemons[2].servers.Observe(seenByOne, true)
+	daemons[0].waitForState(t, fmt.Sprint(seenByOne), true)
+	daemons[1].waitForState(t, fmt.Sprint(seenByOne), true)
+	// The daemon that observed the second drain stops, and another restarts: it knows both drains from its disk.
+	daemons[2].stop()
+	daemons[1].stop()
+	b := startDaemon(t, "b", dirs[1], daemons[1].addr, true)
+	if known := fmt.Sprint(b.servers.DrainingProcesses()); known != fmt.Sprint(
+		[]discovery.Process{seenByAll, seenByOne}) {
+		t.Errorf("draining processes of the restarted daemon: %s", known)
 	}
-	b.servers.OnDrain(b.bindDrain)
-	b.waitUntil(t, fmt.Sprint(two), true)
-	// Long after, a daemon that still observes a drain renews it, and one that none observes ends.
+	b.servers.OnDrain(b.applyDrain)
+	b.waitForState(t, fmt.Sprint(seenByOne), true)
+	// After the retention, a drain that a daemon still observes is renewed, and one that no daemon observes is deleted.
 	later := time.Now().Add(drainRetention + time.Minute)
-	// Daemon b reports once more what it found uncommitted at the end of its log.
-	for all[0].servers.isDraining(two) {
-		_ = all[0].frame.sweep(ctx, later) // tried again
+	// The restarted daemon b may report once more the drain that was uncommitted at the end of its log.
+	for daemons[0].servers.isDraining(seenByOne) {
+		_ = daemons[0].daemon.sweep(ctx, later) // the loop retries a failed sweep
 	}
-	for _, s := range []*testDaemon{all[0], b} {
-		s.waitUntil(t, fmt.Sprint(two), false)
-		s.waitUntil(t, fmt.Sprint(one), true)
+	for _, s := range []*testDaemon{daemons[0], b} {
+		s.waitForState(t, fmt.Sprint(seenByOne), false)
+		s.waitForState(t, fmt.Sprint(seenByAll), true)
 	}
-	for changes(one) < 2 { // until it is renewed
+	for changeCount(seenByAll) < 2 { // until the drain is renewed
 		time.Sleep(time.Millisecond)
 	}
-	all[0].servers.Observe(one, false)
-	if err := all[0].frame.sweep(ctx, time.Now().Add(drainRetention/2)); err != nil {
+	daemons[0].servers.Observe(seenByAll, false)
+	if err := daemons[0].daemon.sweep(ctx, time.Now().Add(drainRetention/2)); err != nil {
 		t.Fatal(err)
 	}
-	if changes(one) == 0 {
-		t.Error("a drain ended before its retention")
+	if changeCount(seenByAll) == 0 {
+		t.Error("a drain was deleted before its retention")
 	}
-	for all[0].servers.isDraining(one) {
-		_ = all[0].frame.sweep(ctx, later) // tried again
+	for daemons[0].servers.isDraining(seenByAll) {
+		_ = daemons[0].daemon.sweep(ctx, later) // the loop retries a failed sweep
 	}
-	b.waitUntil(t, fmt.Sprint(one), false)
+	b.waitForState(t, fmt.Sprint(seenByAll), false)
 	if known := b.servers.DrainingProcesses(); len(known) != 0 {
-		t.Errorf("still draining: %v", known)
+		t.Errorf("draining processes after the retention: %v, want none", known)
 	}
 }
 
-// A drain that a daemon observes without a quorum is replicated once there is one.
+// A drain that a daemon observes while there is no quorum is replicated as soon as there is one.
 func TestDrainObservedDuringPartitionIsReplicated(t *testing.T) {
-	all, dirs := startCluster(t)
-	for _, s := range all {
-		s.servers.OnDrain(s.bindDrain)
+	daemons, dirs := startCluster(t)
+	for _, s := range daemons {
+		s.servers.OnDrain(s.applyDrain)
 	}
-	all[1].stop()
-	all[2].stop()
+	daemons[1].stop()
+	daemons[2].stop()
 	p := discovery.Process{ID: "s1", Addr: "127.0.0.1:1", StartedMs: 5}
-	all[0].servers.Observe(p, true)
-	for !all[0].servers.isDraining(p) {
+	daemons[0].servers.Observe(p, true)
+	for !daemons[0].servers.isDraining(p) {
 		time.Sleep(time.Millisecond)
 	}
-	b := startDaemon(t, "b", dirs[1], all[1].addr, true)
-	b.servers.OnDrain(b.bindDrain)
-	b.waitUntil(t, fmt.Sprint(p), true)
+	b := startDaemon(t, "b", dirs[1], daemons[1].addr, true)
+	b.servers.OnDrain(b.applyDrain)
+	b.waitForState(t, fmt.Sprint(p), true)
 }
 
 func (d *Drains) isDraining(p discovery.Process) bool {
--- a/internal/controlplane/daemon/exclusions.go
+++ b/internal/controlplane/daemon/exclusions.go
@@ -12,18 +12,19 @@
 	"birchmoor/internal/store/serverstate"
 )
 
-// exclusionReports is the common part of AdminDrains and Drains: reports that exclude servers, each identified by a T.
+// exclusionReports is the common part of AdminDrains and Drains: reports that exclude servers from new requests. T
+// identifies an excluded server: by its ID or as one of its processes.
 type exclusionReports[T comparable] struct {
 	outbox
 	guard    *serverstate.Guard
-	parseKey func(key string) (T, bool) // of the keys that the component is responsible for
-	id       func(T) string             // of the server, for log lines
-	excluded func(T) bool               // by the guard
+	parseKey func(key string) (T, bool) // false for keys for which the component is not responsible
+	serverID func(T) string             // for log lines and their order
+	excluded func(T) bool               // reports whether the guard excludes the server
 
 	arrivals arrivalTimes
 	dirty    map[T]bool // servers whose state is not applied to the sidecar yet
-	// bind applies the state of a server to the sidecar; nil until one subscribes.
-	bind func(ctx context.Context, server T, excluded bool) error
+	// applyToSidecar applies the state of a server to the sidecar. It is nil until a sidecar subscribes.
+	applyToSidecar func(ctx context.Context, server T, excluded bool) error
 }
 
 func newExclusionReports[T comparable](name string, log *slog.Logger) exclusionReports[T] {
@@ -36,21 +37,22 @@
 }
 
 // Subscription implements Subscriber. It covers all servers: one that is not on the endpoint list yet may appear there
-// at any time, and must not be sent requests until the copy knows of its drain.
+// at any time, and the sidecar must know of its drain before it sends requests there.
 func (r *exclusionReports[T]) Subscription() changefeed.Subscription {
 	return subscribeTo(serverstate.ExclusionPrefix)
 }
 
-// applyEvent applies a change of a key that parseKey accepts. The lock is held.
+// applyEvent applies a change of a key that parseKey accepts. The caller holds the lock.
 func (r *exclusionReports[T]) applyEvent(now int64, e store.Event) {
 	r.guard.Apply(e)
 	r.arrivals.applyEvent(now, e)
 	r.markDirty(e.Item.Key)
 }
 
-// applyReset replaces everything with a new copy, unless that is older than what was acted on. The lock is held.
+// applyReset replaces the exclusions of the former copy by those of a new one. It returns an error and changes nothing
+// if the new copy is older than what this daemon has acted on. The caller holds the lock.
 func (r *exclusionReports[T]) applyReset(s *store.State) error {
-	r.markAllDirty() // those that the copy does not exclude any more
+	r.markAllDirty() // covers the servers that the new copy does not exclude any more
 	if err := r.guard.Reset(s); err != nil {
 		return err
 	}
@@ -59,21 +61,21 @@
 	return nil
 }
 
-// markDirty notes that the state of a key's server is to be applied to the sidecar. The lock is held.
+// markDirty makes the next applyDirty apply the state of a key's server to the sidecar. The caller holds the lock.
 func (r *exclusionReports[T]) markDirty(key string) {
 	if server, ok := r.parseKey(key); ok {
 		r.dirty[server] = true
 	}
 }
 
-// markAllDirty does so for all excluded servers. The lock is held.
+// markAllDirty calls markDirty for all excluded servers. The caller holds the lock.
 func (r *exclusionReports[T]) markAllDirty() {
 	for _, e := range r.guard.Exclusions() {
 		r.markDirty(serverstate.ExclusionKey(e.Kind, e.Server))
 	}
 }
 
-// Uncommitted implements LogTailObserver. A start calls it thousands of times, so that its cost must not depend on the
+// Uncommitted implements LogTailObserver. A restart may call it thousands of times, so its cost must not depend on the
 // number of servers.
 func (r *exclusionReports[T]) Uncommitted(c *store.Command) {
 	r.mu.Lock()
@@ -93,31 +95,31 @@
 	r.wakeUp()
 }
 
-// owed returns the reports that are neither in the store nor queued.
-func (r *exclusionReports[T]) owed() []store.Op {
+// takeRetries returns the reports that have to be written again because their last write failed or was lost.
+func (r *exclusionReports[T]) takeRetries() []store.Op {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.guard.TakeRetries()
 }
 
-// subscribe sets how state is applied to the sidecar.
-func (r *exclusionReports[T]) subscribe(bind func(ctx context.Context, server T, excluded bool) error) {
+// subscribe sets the function that applies the state of a server to the sidecar.
+func (r *exclusionReports[T]) subscribe(apply func(ctx context.Context, server T, excluded bool) error) {
 	r.mu.Lock()
-	r.bind = bind
+	r.applyToSidecar = apply
 	r.mu.Unlock()
 	r.wakeUp()
 }
 
-// bindDirty applies to the sidecar what has changed. Until one subscribes servers stay dirty, and so do those that
-// fail.
-func (r *exclusionReports[T]) bindDirty(ctx context.Context) {
+// applyDirty applies the state of the dirty servers to the sidecar. Servers stay dirty until a sidecar subscribes, and
+// while their state cannot be applied.
+func (r *exclusionReports[T]) applyDirty(ctx context.Context) {
 	type change struct {
 		server   T
 		excluded bool
 	}
 	r.mu.Lock()
-	bind := r.bind
-	if bind == nil {
+	apply := r.applyToSidecar
+	if apply == nil {
 		r.mu.Unlock()
 		return
 	}
@@ -127,20 +129,23 @@
 	}
 	clear(r.dirty)
 	r.mu.Unlock()
-	slices.SortFunc(changes, func(a, b change) int { return strings.Compare(r.id(a.server), r.id(b.server)) })
+	slices.SortFunc(changes, func(a, b change) int {
+		return strings.Compare(r.serverID(a.server), r.serverID(b.server))
+	})
 	for _, c := range changes {
-		err := bind(ctx, c.server, c.excluded)
+		err := apply(ctx, c.server, c.excluded)
 		if err == nil || ctx.Err() != nil {
 			continue
 		}
-		r.log.Error("cannot apply a replicated drain here", "id", r.id(c.server), "drained", c.excluded, "error", err)
+		r.log.Error("cannot apply the drain state of a server to this sidecar",
+			"id", r.serverID(c.server), "drained", c.excluded, "error", err)
 		r.mu.Lock()
 		r.dirty[c.server] = true
 		r.mu.Unlock()
 	}
 }
 
-// Exclusions lists the excluded servers, by whom they were reported, and the ages of the reports.
+// Exclusions lists the excluded servers, with the daemons that reported them and the ages of the reports.
 func (r *exclusionReports[T]) Exclusions() []serverstate.Exclusion {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -149,8 +154,8 @@
 	return all
 }
 
-// arrivalTimes are the instants, in nanoseconds of a component's clock, at which this copy showed the latest change of
-// a key.
+// arrivalTimes holds, by key, the time at which this copy applied the latest change, in nanoseconds of the component's
+// clock. A key that came with a new copy has none.
 type arrivalTimes map[string]int64
 
 func (a arrivalTimes) applyEvent(now int64, e store.Event) {
@@ -161,7 +166,7 @@
 	a[e.Item.Key] = now
 }
 
-// retain forgets the keys that a new copy does not have.
+// retain deletes the keys that a new copy does not have.
 func (a arrivalTimes) retain(s *store.State) {
 	for key := range a {
 		if _, ok := s.Get(key); !ok {
@@ -170,7 +175,7 @@
 	}
 }
 
-// setAges fills in the ages of the exclusions whose arrival was seen.
+// setAges sets the ages of the exclusions with a known arrival time, and leaves those of the others at -1.
 func (a arrivalTimes) setAges(now int64, all []serverstate.Exclusion) {
 	for i := range all {
 		if at, ok := a[serverstate.ExclusionKey(all[i].Kind, all[i].Server)]; ok {
--- a/internal/controlplane/daemon/rollout.go
+++ b/internal/controlplane/daemon/rollout.go
@@ -12,73 +12,76 @@
 	"birchmoor/internal/store"
 )
 
-// Settings may take effect by a rollout, in steps. The plan and its settings are keys of the store, by which each
-// daemon finds whether it runs the new settings; it then reports how its clients are answered. One daemon drives the
-// plan: the lease holder of RolloutTask, see rolloutdriver.go.
+// New settings may take effect by a rollout, in steps of a plan. The store holds the plan and its settings, from which
+// each daemon derives whether it runs the new settings; during a step every daemon reports how many requests of its
+// clients were served. One daemon drives the plan: the lease holder of RolloutTask, see rolloutdriver.go.
 const (
-	// RolloutTask is the task of driving a plan.
+	// RolloutTask is the task whose lease holder drives the plan of a rollout.
 	RolloutTask = "rollout"
-	// FleetTask is the task of sweeping, whose queue every daemon enters: its entries are the daemons there are.
+	// FleetTask is the task whose lease holder sweeps expired reports. Every daemon enters its queue, so that the queue
+	// entries list the daemons of the fleet.
 	FleetTask = "sweep"
 
 	minReportInterval = 250 * time.Millisecond
-	reportsPerSettle  = 4 // reports within the time in which a step settles
+	reportsPerSettle  = 4 // reports of a daemon within the settling time of a step
 )
 
 // Errors of rollouts.
 var (
 	ErrRolloutRunning = errors.New("a rollout of other settings is running")
-	ErrNoRollout      = errors.New("no rollout is running")
+	ErrNoRollout      = errors.New("no rollout is running") // or there never was one
 	ErrPlanChanged    = errors.New("the plan of the rollout was changed in the meantime")
 )
 
-// ReportKey is the key of a daemon's report on the progress of a rollout.
+// ReportKey returns the key of a daemon's report on the progress of a rollout.
 func ReportKey(host string) string { return reportPrefix + host }
 
-// Allowed reports whether an operation is a daemon's own to make: its report on the progress of a rollout.
+// Allowed reports whether a follower's daemon, the owner, may make an operation: it may write its own report on the
+// progress of a rollout.
 func Allowed(op store.Op, owner string) bool {
 	return op.Key == ReportKey(owner) && lease.IsPersistentPut(op, owner)
 }
 
-// AnswerCounter returns the numbers of answers to a sidecar's clients since its start: served, and rejected or failed.
+// AnswerCounter returns how many requests a sidecar has served since its start, and how many it has rejected or failed.
 type AnswerCounter func() (served, notServed uint64, err error)
 
-// answerCounts are the results of an AnswerCounter.
+// answerCounts holds the numbers that an AnswerCounter returned.
 type answerCounts struct {
 	served, notServed uint64
 }
 
-// since returns the answers after base. A sidecar that was restarted since counts from zero.
-func (c answerCounts) since(base answerCounts) answerCounts {
+// since returns the increase over a baseline. A count below its baseline is that of a restarted sidecar, which counts
+// from zero, and is returned as it is.
+func (c answerCounts) since(baseline answerCounts) answerCounts {
 	return answerCounts{
-		served:    c.served - min(c.served, base.served),
-		notServed: c.notServed - min(c.notServed, base.notServed),
+		served:    c.served - min(c.served, baseline.served),
+		notServed: c.notServed - min(c.notServed, baseline.notServed),
 	}
 }
 
-// planStep identifies a step of a plan.
+// planStep identifies a step of a plan by the ID of the plan and the index of the step.
 type planStep struct {
-	plan uint64
-	step int
+	planID uint64
+	step   int
 }
 
 // rolloutState is this daemon's part in a rollout. The lock of Settings guards it.
 type rolloutState struct {
-	plan         rollout.Plan
-	planRevision uint64 // 0: there is no plan
-	settings     json.RawMessage
-	answers      AnswerCounter // nil where no sidecar runs
+	plan          rollout.Plan
+	planRevision  uint64 // 0: there is no plan
+	settings      json.RawMessage
+	answerCounter AnswerCounter // nil where no sidecar runs
 
-	lastReport   rollout.Report
+	lastReport   rollout.Report // the latest that was written
 	reportedAt   time.Time
-	baseline     answerCounts // when this daemon came to baselineStep
+	baseline     answerCounts // counts at this daemon's first report on baselineStep
 	baselineStep planStep
 
-	observedRevision uint64 // latest revision of the plan that this daemon observed as its driver
-	observedAt       time.Time
+	observedRevision uint64    // revision of the plan that this daemon last read as its driver
+	observedAt       time.Time // when it first read that revision
 }
 
-// reportDue reports whether the step has no report of this daemon yet, or one that is too old.
+// reportDue reports whether this daemon has not reported on the running step yet, or not for the report interval.
 func (r *rolloutState) reportDue() bool {
 	if r.plan.State != rollout.Running || r.plan.Step < 0 {
 		return false
@@ -90,15 +93,15 @@
 	return time.Since(r.reportedAt) >= max(minReportInterval, settle/reportsPerSettle)
 }
 
-// SetAnswerCounter sets what counts the answers of this daemon's sidecar.
+// SetAnswerCounter sets the function that counts the answers of this daemon's sidecar. Without it reports count none.
 func (s *Settings) SetAnswerCounter(counter AnswerCounter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rollout.answers = counter
+	s.rollout.answerCounter = counter
 }
 
-// applyPlanItem applies a change of the plan or its settings, and notifies the sidecar if other settings are in effect
-// now. The lock is held.
+// applyPlanItem applies a change of the plan or its settings. It notifies the sidecar if the plan now selects this
+// daemon or selects it no longer. The caller holds the lock.
 func (s *Settings) applyPlanItem(i store.Item, deleted bool) {
 	selectedBefore := s.rollout.plan.RunsOn(s.name)
 	switch i.Key {
@@ -121,7 +124,7 @@
 	s.wakeUp()
 }
 
-// resetPlan applies the plan of a new copy. The lock is held.
+// resetPlan applies the plan and its settings from a new copy. The caller holds the lock.
 func (s *Settings) resetPlan(state *store.State) {
 	for _, key := range []string{keyPlanSettings, keyPlan} {
 		i, ok := state.Get(key)
@@ -130,10 +133,11 @@
 	}
 }
 
-// reportProgress reports how this daemon's clients are answered at the current step of a rollout, if a report is due.
+// reportProgress writes this daemon's report on the current step of a rollout, if it is due: the answers to its clients
+// since the step began, and what is wrong with the settings if the plan selects this daemon.
 func (s *Settings) reportProgress(ctx context.Context) {
 	s.mu.Lock()
-	due, plan, settings, counter := s.rollout.reportDue(), s.rollout.plan, s.rollout.settings, s.rollout.answers
+	due, plan, settings, counter := s.rollout.reportDue(), s.rollout.plan, s.rollout.settings, s.rollout.answerCounter
 	s.mu.Unlock()
 	if !due {
 		return
@@ -147,10 +151,10 @@
 	if counter != nil {
 		served, notServed, err := counter()
 		if err != nil {
-			s.log.Warn("cannot count the answers of the sidecar for a rollout", "error", err)
+			s.log.Warn("cannot read the answer counts of the sidecar; no rollout report is written", "error", err)
 			return
 		}
-		counts := s.answersOfStep(planStep{plan.ID, plan.Step}, answerCounts{served, notServed})
+		counts := s.answersSinceStepBegan(planStep{plan.ID, plan.Step}, answerCounts{served, notServed})
 		report.Served, report.Unserved = counts.served, counts.notServed
 	}
 	if err := s.writeReport(ctx, report); err != nil {
@@ -161,16 +165,17 @@
 	s.rollout.lastReport, s.rollout.reportedAt = report, time.Now()
 }
 
-// answersOfStep returns the answers since this daemon came to a step.
-func (s *Settings) answersOfStep(step planStep, now answerCounts) answerCounts {
+// answersSinceStepBegan returns the increase of the counts since the first call for a step.
+func (s *Settings) answersSinceStepBegan(step planStep, counts answerCounts) answerCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.rollout.baselineStep != step {
-		s.rollout.baselineStep, s.rollout.baseline = step, now
+		s.rollout.baselineStep, s.rollout.baseline = step, counts
 	}
-	return now.since(s.rollout.baseline)
+	return counts.since(s.rollout.baseline)
 }
 
+// writeReport writes a report unless the plan has changed in the meantime.
 func (s *Settings) writeReport(ctx context.Context, report rollout.Report) error {
 	value, err := json.Marshal(report)
 	if err != nil {
@@ -192,8 +197,8 @@
 	return s.rollout.planRevision
 }
 
-// StartRollout has settings checked by every replica, and starts a rollout of them. Each step settles for a time before
-// it is judged. ErrRolloutRunning says that another rollout is running.
+// StartRollout has every replica check settings, and writes a plan to roll them out in steps. Each step is judged after
+// the settling time. ErrRolloutRunning says that another rollout is running.
 func (s *Settings) StartRollout(ctx context.Context, settings json.RawMessage, steps []rollout.Step,
 	settle time.Duration, note string) (rollout.Plan, error) {
 	plan := rollout.Plan{
@@ -238,7 +243,8 @@
 	return plan, err
 }
 
-// finishedPlanRevision returns the revision of the plan that has ended, 0 if there never was one, or ErrRolloutRunning.
+// finishedPlanRevision returns the revision of the latest plan, which has ended, or 0 if there never was one. If it has
+// not ended the error is ErrRolloutRunning.
 func (s *Settings) finishedPlanRevision(ctx context.Context) (uint64, error) {
 	plan, revision, err := s.Plan(ctx)
 	switch {
@@ -264,9 +270,9 @@
 	return plan, revision, errors.Join(err, planErr)
 }
 
-// CancelRollout ends the running rollout, so that all daemons run the settings from before it. ErrNoRollout says that
-// none is running.
-func (s *Settings) CancelRollout(ctx context.Context, by string) error {
+// CancelRollout ends the running rollout, so that all daemons return to the settings from before it. The plan's reason
+// names the operator. ErrNoRollout says that no rollout is running.
+func (s *Settings) CancelRollout(ctx context.Context, operator string) error {
 	plan, revision, err := s.Plan(ctx)
 	if err != nil {
 		return err
@@ -274,7 +280,7 @@
 	if plan.State != rollout.Running {
 		return ErrNoRollout
 	}
-	plan.State, plan.Reason = rollout.RolledBack, "called off by "+by
+	plan.State, plan.Reason = rollout.RolledBack, "called off by "+operator
 	return s.replacePlan(ctx, &plan, revision, nil, func(ctx context.Context, txn store.Txn) (store.Result, error) {
 		return s.store.Do(ctx, store.Command{Txn: &txn})
 	})
--- a/internal/controlplane/daemon/rolloutdriver.go
+++ b/internal/controlplane/daemon/rolloutdriver.go
@@ -15,11 +15,11 @@
 	"birchmoor/internal/store"
 )
 
-// The driver of a rollout makes every change of the plan on condition that it still holds RolloutTask and that the plan
-// is the one it judged. If it is lost, the next holder continues with the plan as it is, and lets the step settle
-// again.
+// The driver of a rollout changes the plan only on the conditions that it still holds the lease of RolloutTask and that
+// the plan is the one that it judged. If the driver fails, the next lease holder continues with the plan as it is, and
+// waits for the whole settling time of the current step again.
 
-// txnFunc makes a transaction.
+// txnFunc executes a transaction that takes effect only while this daemon may change the plan.
 type txnFunc func(context.Context, store.Txn) (store.Result, error)
 
 // rolloutView is what a driver reads from the store to judge a plan.
@@ -28,13 +28,13 @@
 	planRevision uint64 // 0: there is no plan
 	settings     json.RawMessage
 	reports      map[string]rollout.Report // by daemon
-	fleet        map[string]bool           // daemons
-	nextVersion  uint64
-	current      store.Item
+	fleet        map[string]bool           // the daemons that are running
+	nextVersion  uint64                    // of the settings
+	current      store.Item                // the settings in effect without the rollout
 }
 
-// readRollout reads everything of the running plan. Of one that has ended it reads only the plan, since a follower's
-// copy holds the rest only while it reads it.
+// readRollout reads all that a driver needs to judge the running plan. If the plan has ended it reads only the plan: at
+// a follower, whose copy does not hold the rest, a replica would have to send it at each call.
 func (s *Settings) readRollout(ctx context.Context) (rolloutView, error) {
 	var view rolloutView
 	var decodeErr error
@@ -59,6 +59,7 @@
 	return view, errors.Join(err, decodeErr)
 }
 
+// progressReports returns the daemons' reports on the progress of the rollout, by daemon.
 func progressReports(state *store.State) map[string]rollout.Report {
 	reports := map[string]rollout.Report{}
 	state.Range(reportPrefix, store.PrefixEnd(reportPrefix), func(i store.Item) bool {
@@ -71,7 +72,7 @@
 	return reports
 }
 
-// fleetMembers returns the daemons with an entry in the queue of FleetTask.
+// fleetMembers returns the daemons with a queue entry of FleetTask, which every running daemon has.
 func fleetMembers(state *store.State) map[string]bool {
 	fleet := map[string]bool{}
 	queue := lease.QueuePrefix + FleetTask + "/"
@@ -84,41 +85,42 @@
 	return fleet
 }
 
-// AdvanceRollout judges the current step of the running plan and, if it is time, goes on to the next step or takes the
-// settings back. do makes a transaction that takes effect only while this daemon holds RolloutTask with the fencing
-// token.
+// AdvanceRollout judges the current step of the running plan. It then waits, begins the next step, commits the settings
+// after the last step, or rolls them back. doTxn executes a transaction that takes effect only while this daemon holds
+// the lease of RolloutTask with the fencing token. Without a running rollout AdvanceRollout does nothing.
 func (s *Settings) AdvanceRollout(ctx context.Context, token uint64,
-	do func(context.Context, store.Txn) (store.Result, error)) error {
+	doTxn func(context.Context, store.Txn) (store.Result, error)) error {
 	view, err := s.readRollout(ctx)
 	if err != nil || view.planRevision == 0 || view.plan.State != rollout.Running {
 		return err
 	}
 	plan := &view.plan
-	settled := s.timeSinceObserved(view.planRevision)
+	settlingTime := s.timeSinceObserved(view.planRevision)
 	fleet := slices.Collect(maps.Keys(view.fleet))
-	decision, why := rollout.Advance, ""
+	decision, reason := rollout.Advance, ""
 	if plan.Step >= 0 {
-		decision, why = plan.Evaluate(settled.Milliseconds(), fleet, view.reports)
+		decision, reason = plan.Evaluate(settlingTime.Milliseconds(), fleet, view.reports)
 	}
 	plan.Token = token
 	switch {
 	case decision == rollout.Wait:
 		return nil
 	case decision == rollout.RollBack:
-		plan.State, plan.Reason = rollout.RolledBack, fmt.Sprintf("step %v: %s", plan.Steps[plan.Step], why)
-		s.log.Warn("rollout failed: settings are rolled back", "step", plan.Steps[plan.Step], "why", why)
-		return s.replacePlan(ctx, plan, view.planRevision, nil, do)
+		plan.State, plan.Reason = rollout.RolledBack, fmt.Sprintf("step %v: %s", plan.Steps[plan.Step], reason)
+		s.log.Warn("rollout failed: rolling back the settings", "step", plan.Steps[plan.Step], "why", reason)
+		return s.replacePlan(ctx, plan, view.planRevision, nil, doTxn)
 	case plan.Step < len(plan.Steps)-1:
 		plan.Step++
-		plan.Hosts, plan.Reason = rollout.SelectHosts(plan.Steps[plan.Step], fleet, plan.ID), why
-		s.log.Info("rollout advances", "step", plan.Steps[plan.Step], "daemons", len(plan.Hosts), "why", why)
-		return s.replacePlan(ctx, plan, view.planRevision, nil, do)
+		plan.Hosts, plan.Reason = rollout.SelectHosts(plan.Steps[plan.Step], fleet, plan.ID), reason
+		s.log.Info("rollout advances to the next step",
+			"step", plan.Steps[plan.Step], "daemons", len(plan.Hosts), "why", reason)
+		return s.replacePlan(ctx, plan, view.planRevision, nil, doTxn)
 	}
-	plan.State, plan.Reason = rollout.Completed, why
-	return s.commitRollout(ctx, &view, do)
+	plan.State, plan.Reason = rollout.Completed, reason
+	return s.commitRollout(ctx, &view, doTxn)
 }
 
-// timeSinceObserved returns for how long this daemon has observed a revision of the plan as its driver.
+// timeSinceObserved returns how long ago this daemon first read a revision of the plan as its driver.
 func (s *Settings) timeSinceObserved(planRevision uint64) time.Duration {
 	now := time.Now()
 	s.mu.Lock()
@@ -129,8 +131,9 @@
 	return now.Sub(s.rollout.observedAt)
 }
 
-// commitRollout makes the settings of a plan that has succeeded the next version.
-func (s *Settings) commitRollout(ctx context.Context, view *rolloutView, do txnFunc) error {
+// commitRollout commits the settings of a plan that has succeeded as the next version, unless other settings were
+// committed in the meantime.
+func (s *Settings) commitRollout(ctx context.Context, view *rolloutView, doTxn txnFunc) error {
 	plan := &view.plan
 	ops, err := newVersion(view.nextVersion, view.settings, plan.Operator, plan.Note).commitOps()
 	if err != nil {
@@ -139,24 +142,25 @@
 	unlessChanged := store.Compare{Key: keyCurrent, ModRevision: view.current.ModRevision}
 	doUnlessChanged := func(ctx context.Context, txn store.Txn) (store.Result, error) {
 		txn.If = append(txn.If, unlessChanged)
-		return do(ctx, txn)
+		return doTxn(ctx, txn)
 	}
 	return s.replacePlan(ctx, plan, view.planRevision, ops, doUnlessChanged)
 }
 
-// replacePlan writes a plan in place of the one with a revision, together with other operations. ErrPlanChanged says
-// that the plan is not of that revision any more.
-func (s *Settings) replacePlan(ctx context.Context, plan *rollout.Plan, revision uint64, more []store.Op,
-	do txnFunc) error {
+// replacePlan replaces the plan of a revision, together with otherOps. If the new plan has ended, it also deletes the
+// settings and the reports of the rollout. ErrPlanChanged says that a condition of the transaction failed, such as that
+// the plan still has that revision.
+func (s *Settings) replacePlan(ctx context.Context, plan *rollout.Plan, revision uint64, otherOps []store.Op,
+	doTxn txnFunc) error {
 	value, err := json.Marshal(plan)
 	if err != nil {
 		return fmt.Errorf("encode a plan: %w", err)
 	}
-	ops := append([]store.Op{{Key: keyPlan, Value: value}}, more...)
+	ops := append([]store.Op{{Key: keyPlan, Value: value}}, otherOps...)
 	if plan.State != rollout.Running {
 		ops = append(ops, store.Op{Key: keyPlanSettings, Delete: true}, deletePrefix(reportPrefix))
 	}
-	result, err := do(ctx, store.Txn{If: []store.Compare{{Key: keyPlan, ModRevision: revision}}, Then: ops})
+	result, err := doTxn(ctx, store.Txn{If: []store.Compare{{Key: keyPlan, ModRevision: revision}}, Then: ops})
 	if err == nil && !result.Succeeded {
 		err = ErrPlanChanged
 	}
--- a/internal/controlplane/daemon/serverfacts.go
+++ b/internal/controlplane/daemon/serverfacts.go
@@ -10,7 +10,7 @@
 	"birchmoor/internal/store/serverstate"
 )
 
-// snapshotsReadTimeout bounds the read of a replica's snapshots for an operator.
+// snapshotsReadTimeout bounds the time in which a replica's snapshots are read for an operator.
 const snapshotsReadTimeout = 3 * time.Second
 
 // Kinds of ServerFact, as encoded.
@@ -22,23 +22,24 @@
 	factKnown     = "known"
 )
 
-// ageUnknown is the age of a report that arrived before this daemon's start, in milliseconds.
+// ageUnknown stands for the age, in milliseconds, of a report that the store had before this daemon's start.
 const ageUnknown = -1
 
-// ServerFact is one thing that is known of a server, by whom it was reported, and how old the report is.
+// ServerFact is one fact that is known of a server, with the daemon that reported it and the age of the report.
 type ServerFact struct {
 	ID          string `json:"id"`
 	Addr        string `json:"address,omitempty"`
-	StartedMs   int64  `json:"started_ms,omitempty"` // by discovery; 0: it does not say
+	StartedMs   int64  `json:"started_ms,omitempty"` // Unix milliseconds by the server's clock; 0: not known
 	Kind        string `json:"what"`                 // "drains", "banned", "began", "cold" or "known"
-	By          string `json:"by"`                   // a daemon; of "cold" and "known" the one with the latest snapshot
-	Sidecars    int    `json:"sidecars,omitempty"`   // with a snapshot that says so, of "cold" and "known"
+	By          string `json:"by"`                   // the daemon; of "cold" and "known" that of the latest snapshot
+	Sidecars    int    `json:"sidecars,omitempty"`   // number with a snapshot that says so, of "cold" and "known"
 	AgeMs       int64  `json:"age_ms"`               // since the report arrived here; -1: before this daemon's start
-	RemainingMs int64  `json:"left_ms,omitempty"`    // for which it still matters
-	Committed   bool   `json:"agreed"`               // the store has it; if not, it is this daemon's report alone
+	RemainingMs int64  `json:"left_ms,omitempty"`    // until the process has warmed up, of "began"
+	Committed   bool   `json:"agreed"`               // the store has it; otherwise only this daemon reported it
 	Partial     bool   `json:"alone,omitempty"`      // this daemon's copy holds only some of the snapshots
 }
 
+// exclusionFact returns the fact of an exclusion: an administrative drain of a server or the drain of a process.
 func exclusionFact(e serverstate.Exclusion) ServerFact {
 	fact := ServerFact{ID: e.Server, Kind: factDrained, By: e.ReportedBy, AgeMs: e.AgeMillis, Committed: e.Committed}
 	if p, ok := parseDrainKey(serverstate.ExclusionKey(e.Kind, e.Server)); ok {
@@ -47,7 +48,8 @@
 	return fact
 }
 
-// facts counts in how many snapshots a server is known, and in how many it is warming up.
+// facts counts, for each server, in how many snapshots it is known and in how many of them it is warming up. If this
+// copy does not hold all snapshots, facts reads those of a replica, unless ctx is nil or the read fails.
 func (s *StateSnapshots) facts(ctx context.Context) []ServerFact {
 	s.mu.Lock()
 	snapshots, partial, now := maps.Clone(s.snapshots), s.partial, s.now(time.Now())
@@ -76,8 +78,9 @@
 	return all
 }
 
-// readAll reads the snapshots of a replica. It takes the ages from those that this copy holds.
-func (s *StateSnapshots) readAll(ctx context.Context, held map[string]storedSnapshot) (
+// readAll reads all snapshots, from a replica if this copy does not hold them. Their savedAt is that of the local
+// snapshots, or 0 for those that this copy does not hold.
+func (s *StateSnapshots) readAll(ctx context.Context, local map[string]storedSnapshot) (
 	map[string]storedSnapshot, error) {
 	readCtx, cancel := context.WithTimeout(ctx, snapshotsReadTimeout)
 	defer cancel()
@@ -85,13 +88,13 @@
 	_, err := s.store.View(readCtx, false, func(state *store.State) {
 		clear(all)
 		rangeSnapshots(state, func(i store.Item) {
-			all[i.Key] = storedSnapshot{value: i.Value, savedAt: held[i.Key].savedAt}
+			all[i.Key] = storedSnapshot{value: i.Value, savedAt: local[i.Key].savedAt}
 		})
 	})
 	return all, err
 }
 
-// factCounts are facts of that several snapshots may report.
+// factCounts holds the facts that the snapshots of several sidecars may report.
 type factCounts map[factKey]*ServerFact
 
 type factKey struct {
@@ -100,7 +103,8 @@
 	kind      string
 }
 
-// add counts the servers of a snapshot. Of several the age and author of the latest are kept.
+// add counts the servers of a snapshot. A fact of several snapshots has the age of the latest and the daemon that saved
+// it.
 func (c factCounts) add(saved *snapshot.Saved, savedBy string, ageMs int64, partial bool) {
 	for i, e := range saved.State.Endpoints {
 		key := factKey{id: saved.Names[i], startedMs: e.StartTime / 1000, kind: factKnown}
--- a/internal/controlplane/daemon/servers.go
+++ b/internal/controlplane/daemon/servers.go
@@ -11,8 +11,8 @@
 	"birchmoor/internal/store/serverstate"
 )
 
-// Servers combines the components that report on servers, for a sidecar (sidecar.Fleet, maintenance.FleetOverrides) and
-// for operators.
+// Servers combines the components that report on servers. A sidecar uses it as sidecar.Fleet and as
+// maintenance.FleetOverrides; operators read its lists and counts. It is safe for concurrent use.
 type Servers struct {
 	*AdminDrains
 	*Drains
@@ -22,10 +22,10 @@
 	log *slog.Logger
 
 	mu      sync.Mutex
-	startup StartupState
+	startup StartupState // without Restored
 }
 
-// NewServers returns those of the daemon with a name.
+// NewServers returns the components for a daemon, whose reports carry its name.
 func NewServers(name string, log *slog.Logger) *Servers {
 	return &Servers{
 		AdminDrains:    NewAdminDrains(name, log),
@@ -36,12 +36,12 @@
 	}
 }
 
-// Components are those that a Daemon has to run.
+// Components returns the components that a Daemon has to run.
 func (s *Servers) Components() []Component {
 	return []Component{s.AdminDrains, s.Drains, s.Starts, s.StateSnapshots}
 }
 
-// Exclusions lists the excluded servers, by whom they were reported, and the ages of the reports.
+// Exclusions lists the excluded servers, with the daemons that reported them and the ages of the reports.
 func (s *Servers) Exclusions() []serverstate.Exclusion {
 	all := append(s.AdminDrains.Exclusions(), s.Drains.Exclusions()...)
 	slices.SortFunc(all, func(a, b serverstate.Exclusion) int {
@@ -50,8 +50,8 @@
 	return all
 }
 
-// List lists everything that is known of servers here. Where the copy does not hold all snapshots, those of a replica
-// are read, unless ctx is nil.
+// List lists all facts that this daemon knows of servers. If its copy does not hold all snapshots, List reads them from
+// a replica, unless ctx is nil.
 func (s *Servers) List(ctx context.Context) []ServerFact {
 	var all []ServerFact
 	for _, e := range s.Exclusions() {
@@ -66,50 +66,50 @@
 	return all
 }
 
-// StartupState is what a daemon knew when it started, before it received anything.
+// StartupState describes what a daemon knew when it started, before it received any change of the store.
 type StartupState struct {
-	From       string `json:"from"` // "own disk", "another replica" or "nothing"
-	Revision   uint64 `json:"revision"`
+	From       string `json:"from"`     // "own disk", "another replica" or "nothing"
+	Revision   uint64 `json:"revision"` // of the copy
 	Exclusions int    `json:"out"`
 	Starts     int    `json:"starts"`
 	Snapshots  int    `json:"pictures"`
 	Settings   bool   `json:"settings"`      // the store has settings
-	Age        string `json:"age,omitempty"` // since the disk was written, by this host's clock
+	Age        string `json:"age,omitempty"` // time since the disk was last written, by this host's clock
 
-	Restored []RestoredState `json:"recalled,omitempty"` // what the sidecar's decision modules started from
+	Restored []RestoredState `json:"recalled,omitempty"` // by decision module of this daemon's sidecar
 }
 
-// RestoredState is what the decision module of a sidecar's protocol restored its state from.
+// RestoredState describes the snapshots from which the decision module of a sidecar's protocol restored its state.
 type RestoredState struct {
 	Protocol  string        `json:"protocol,omitempty"` // "" is HTTP
-	From      string        `json:"from"`
-	Snapshots int           `json:"pictures"` // that were combined
-	Servers   int           `json:"servers"`
-	Age       time.Duration `json:"age_ns"`
+	From      string        `json:"from"`               // the source that package recovery chose
+	Snapshots int           `json:"pictures"`           // number that was combined
+	Servers   int           `json:"servers"`            // number in the restored state
+	Age       time.Duration `json:"age_ns"`             // of the restored state
 }
 
-// RecordStartup notes what this daemon started with, and whether that includes settings. written is when its disk was
-// last written, zero if there was none.
+// RecordStartup records and logs what this daemon knew when it started: the source and the revision of its copy, and
+// whether that holds settings. written is the time of the last write of its disk, zero if there was none.
 func (s *Servers) RecordStartup(from string, revision uint64, written time.Time, settings bool) {
 	state := StartupState{
 		From:       from,
 		Revision:   revision,
 		Exclusions: len(s.Exclusions()),
-		Starts:     s.count(),
+		Starts:     s.startCount(),
 		Settings:   settings,
 	}
-	state.Snapshots, _ = s.size()
+	state.Snapshots, _ = s.snapshotTotals()
 	if !written.IsZero() {
 		state.Age = time.Since(written).Round(time.Millisecond).String()
 	}
 	s.mu.Lock()
 	s.startup = state
 	s.mu.Unlock()
-	s.log.Info("state of the store at startup", "from", from, "revision", revision, "exclusions", state.Exclusions,
+	s.log.Info("opened the copy of the store", "from", from, "revision", revision, "exclusions", state.Exclusions,
 		"starts", state.Starts, "snapshots", state.Snapshots, "age", state.Age)
 }
 
-// StartupState returns what this daemon knew when it started.
+// StartupState returns what RecordStartup and RecordRestore recorded.
 func (s *Servers) StartupState() StartupState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,22 +118,22 @@
 	return state
 }
 
-// Counts says how much this daemon holds of what daemons report to each other.
+// Counts counts the reports of all daemons that this daemon's copy holds.
 type Counts struct {
 	Exclusions    int `json:"out"`
-	Starts        int `json:"starts"` // processes that are still warming up
+	Starts        int `json:"starts"` // processes that started recently
 	Snapshots     int `json:"pictures"`
 	SnapshotBytes int `json:"picture_bytes"`
-	PendingWrites int `json:"owed"`
+	PendingWrites int `json:"owed"` // reports in the queues of this daemon
 }
 
-// Counts returns them.
+// Counts counts the reports that this daemon holds now.
 func (s *Servers) Counts() Counts {
 	counts := Counts{
 		Exclusions:    len(s.Exclusions()),
-		Starts:        s.count(),
+		Starts:        s.startCount(),
 		PendingWrites: len(s.AdminDrains.pending) + len(s.Drains.pending) + len(s.Starts.pending),
 	}
-	counts.Snapshots, counts.SnapshotBytes = s.size()
+	counts.Snapshots, counts.SnapshotBytes = s.snapshotTotals()
 	return counts
 }
--- a/internal/controlplane/daemon/settings.go
+++ b/internal/controlplane/daemon/settings.go
@@ -16,27 +16,28 @@
 
 // Keys of the settings.
 const (
-	// ConfigPrefix is that of all of them.
+	// ConfigPrefix is the prefix of all keys of the settings.
 	ConfigPrefix = "config/"
 
 	keyCurrent      = "config/current"
 	keyCandidate    = "config/candidate"
-	historyPrefix   = "config/history/" // VERSION
-	verdictPrefix   = "config/verdict/" // DAEMON
+	historyPrefix   = "config/history/" // followed by the number of a version
+	verdictPrefix   = "config/verdict/" // followed by the name of a replica's daemon
 	keyPlan         = "config/plan"
 	keyPlanSettings = "config/stepped"
-	reportPrefix    = "config/report/" // DAEMON
+	reportPrefix    = "config/report/" // followed by the name of a daemon
 )
 
-// noSidecarNote is the stored note of a verdict by a daemon that cannot check settings.
+// noSidecarNote is the stored note of a verdict by a daemon that cannot check settings, since no sidecar runs beside
+// it.
 const noSidecarNote = "no sidecar here"
 
-// SettingsCheck returns what is wrong with settings for the sidecar of this daemon.
+// SettingsCheck returns an error if the sidecar of this daemon cannot run with settings.
 type SettingsCheck func(settings json.RawMessage) error
 
-// Settings are the settings of the data path that the store holds for all daemons. Every replica checks them before
-// they are committed; they are kept by version, and the sidecar is notified of a change the way SIGHUP does. It is a
-// Component, and safe for concurrent use.
+// Settings manages the settings of the data path that the store holds for all daemons. Every replica checks new
+// settings before they are committed as a version. The sidecar is notified of a change by a signal on Reload. Settings
+// is a Component, and safe for concurrent use.
 type Settings struct {
 	name   string
 	log    *slog.Logger
@@ -45,14 +46,14 @@
 	wake   chan struct{}
 	reload chan os.Signal
 
-	mu              sync.Mutex
-	current         json.RawMessage // nil: none are committed
-	currentRevision uint64
-	pending         *candidate // that is still to be checked
-	rollout         rolloutState
+	mu               sync.Mutex
+	current          json.RawMessage // nil: none are committed
+	currentRevision  uint64
+	pendingCandidate *candidate // not checked yet; nil: there is none
+	rollout          rolloutState
 }
 
-// candidate is settings that every replica has to check.
+// candidate holds proposed settings that every replica has to check, and the revision of their key.
 type candidate struct {
 	revision uint64
 	settings json.RawMessage
@@ -60,12 +61,13 @@
 
 // verdict is a replica's answer to a candidate.
 type verdict struct {
-	Candidate uint64 `json:"candidate"` // its revision
-	Error     string `json:"error,omitempty"`
+	Candidate uint64 `json:"candidate"`       // revision of the candidate
+	Error     string `json:"error,omitempty"` // what is wrong with it; empty: it is accepted
 	Note      string `json:"note,omitempty"`
 }
 
-// NewSettings returns those of the daemon with a name.
+// NewSettings returns the component for a daemon, whose verdicts and reports carry its name. check may be nil if no
+// sidecar runs beside the daemon.
 func NewSettings(name string, check SettingsCheck, log *slog.Logger) *Settings {
 	return &Settings{
 		name:   name,
@@ -76,11 +78,11 @@
 	}
 }
 
-// Reload receives a signal when Current has changed.
+// Reload returns the channel that receives SIGHUP when the result of Current may have changed.
 func (s *Settings) Reload() chan os.Signal { return s.reload }
 
-// Current returns the settings in effect at this daemon, which are those of a rollout if it selected this daemon, or
-// nil.
+// Current returns the settings in effect at this daemon: those of a rollout whose current step selects this daemon,
+// else the committed ones. It returns nil if there are none.
 func (s *Settings) Current() json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,15 +93,16 @@
 }
 
 // Attach implements Component.
-func (s *Settings) Attach(copied Store) { s.store = copied }
+func (s *Settings) Attach(storeCopy Store) { s.store = storeCopy }
 
-// Subscription implements Subscriber: the settings in effect and those of a rollout. Candidates are checked by
-// replicas; older versions and the reports of others are read on demand. What is in effect is durable: a process that
-// starts without it returns to the settings of its file.
+// Subscription implements Subscriber. It covers the settings in effect, the plan and the settings of a rollout, and
+// this daemon's report. Only replicas check candidates; older versions and the reports of other daemons are read on
+// demand. The settings and the plan are durable: a process that starts without them returns to the settings of its
+// file.
 func (s *Settings) Subscription() changefeed.Subscription {
-	kept := store.Interest{Keys: []string{keyCurrent, keyPlan, keyPlanSettings}}
-	interest := kept.Union(store.Interest{Keys: []string{ReportKey(s.name)}})
-	return changefeed.Subscription{Interest: &interest, Retained: kept, Durable: kept}
+	retained := store.Interest{Keys: []string{keyCurrent, keyPlan, keyPlanSettings}}
+	interest := retained.Union(store.Interest{Keys: []string{ReportKey(s.name)}})
+	return changefeed.Subscription{Interest: &interest, Retained: retained, Durable: retained}
 }
 
 // Event implements Component.
@@ -124,7 +127,7 @@
 	s.resetPlan(state)
 }
 
-// Run implements Component. It checks candidates, and reports the progress of a rollout.
+// Run implements Component. It checks candidates, and reports on the progress of a rollout, until ctx ends.
 func (s *Settings) Run(ctx context.Context) {
 	ticker := time.NewTicker(minReportInterval)
 	defer ticker.Stop()
@@ -140,6 +143,7 @@
 	}
 }
 
+// wakeUp makes Run check a candidate. It does not block.
 func (s *Settings) wakeUp() {
 	select {
 	case s.wake <- struct{}{}:
@@ -147,23 +151,23 @@
 	}
 }
 
-// notifyReload has the sidecar read Current.
+// notifyReload signals the sidecar to read Current again. It does not block.
 func (s *Settings) notifyReload() {
 	select {
 	case s.reload <- syscall.SIGHUP:
-	default: // a signal is pending already, after which the latest are read
+	default: // a signal is pending; the sidecar reads the latest settings after it
 	}
 }
 
-// applyItem applies a change of one key. The lock is held.
+// applyItem applies a change of one key. The caller holds the lock.
 func (s *Settings) applyItem(i store.Item, deleted bool) {
 	switch i.Key {
 	case keyCurrent:
 		s.applyCurrent(i, deleted)
 	case keyCandidate:
-		s.pending = nil
+		s.pendingCandidate = nil
 		if !deleted {
-			s.pending = &candidate{revision: i.ModRevision, settings: i.Value}
+			s.pendingCandidate = &candidate{revision: i.ModRevision, settings: i.Value}
 			s.wakeUp()
 		}
 	default:
@@ -171,6 +175,7 @@
 	}
 }
 
+// applyCurrent applies a change of the committed settings, unless it was applied before. The caller holds the lock.
 func (s *Settings) applyCurrent(i store.Item, deleted bool) {
 	if i.ModRevision <= s.currentRevision && !deleted {
 		return
@@ -182,16 +187,17 @@
 	s.notifyReload()
 }
 
-// takeCandidate returns the candidate that is still to be checked, or nil.
+// takeCandidate returns and clears the candidate that is not checked yet, or returns nil.
 func (s *Settings) takeCandidate() *candidate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.pending
-	s.pending = nil
+	c := s.pendingCandidate
+	s.pendingCandidate = nil
 	return c
 }
 
-// checkCandidate checks the candidate, if there is one, and writes the verdict.
+// checkCandidate checks the pending candidate, if there is one, and writes this replica's verdict unless the candidate
+// has changed in the meantime. It does not repeat a failed write: the daemon that proposed the candidate times out.
 func (s *Settings) checkCandidate(ctx context.Context) {
 	c := s.takeCandidate()
 	if c == nil {
@@ -205,7 +211,7 @@
 	}
 	value, err := json.Marshal(v)
 	if err != nil {
-		s.log.Error("cannot encode a verdict on settings", "error", err)
+		s.log.Error("cannot encode the verdict on proposed settings", "error", err)
 		return
 	}
 	writeCtx, cancel := context.WithTimeout(ctx, writeTimeout)
@@ -215,6 +221,6 @@
 		Then: []store.Op{{Key: verdictPrefix + s.name, Value: value}},
 	}})
 	if err != nil {
-		s.log.Warn("cannot write a verdict on settings", "error", err)
+		s.log.Warn("cannot write the verdict on proposed settings to the store", "error", err)
 	}
 }
--- a/internal/controlplane/daemon/snapshots.go
+++ b/internal/controlplane/daemon/snapshots.go
@@ -16,36 +16,38 @@
 	"birchmoor/internal/store/serverstate"
 )
 
-// The state of the decision modules is kept in the store, so that a new host, or one that lost its disk, does not start
-// from nothing. Each sidecar saves its own snapshot, as often as the bytes of all allow (serverstate.SnapshotInterval).
-// One that was not saved again for snapshotRetention is ended by any daemon.
+// The store holds snapshots of the decision modules' state, so that the sidecar of a new host, or of one that lost its
+// disk, restores its state from those of others. Each sidecar saves its own snapshots. The more bytes all snapshots
+// take, the longer the interval (serverstate.SnapshotInterval). Any daemon may delete a snapshot that was not saved
+// again for snapshotRetention.
 const snapshotRetention = 10 * time.Minute
 
-// StateSnapshots are the snapshots of all sidecars' decision modules that the store holds. It is a Component, and safe
-// for concurrent use.
+// StateSnapshots saves snapshots of the decision modules of this daemon's sidecars in the store, and holds those of all
+// sidecars that this daemon needs. It is a Component, and safe for concurrent use.
 type StateSnapshots struct {
 	outbox
-	schedule    *serverstate.ReportScheduler // used for expiry alone
+	schedule    *serverstate.ReportScheduler // determines which snapshots have expired; it schedules no writes
 	snapshots   map[string]storedSnapshot    // by key
-	bytes       int                          // of their values
-	confirmedAt int64                        // when a quorum last confirmed the copy; 0: not since the start
-	restored    []RestoredState
+	bytes       int                          // size of the values of snapshots
+	confirmedAt int64                        // time of the last confirmation by a quorum; 0: none yet
+	restored    []RestoredState              // one for each call of RecordRestore
 
-	ownPrefixes []string         // of the keys of this daemon's sidecars
-	hasCopy     bool             // there was a Reset
-	serving     bool             // a sidecar serves, and needs no snapshot of others any more
-	sweepers    int              // tasks for which this daemon needs all snapshots
+	ownPrefixes []string         // key prefixes of the snapshots of this daemon's sidecars
+	hasCopy     bool             // Reset was called
+	serving     bool             // a sidecar serves, and needs no snapshots of other sidecars any more
+	sweepers    int              // calls of SubscribeAll whose context has not ended
 	partial     bool             // the copy does not hold all snapshots
-	storedSize  store.PrefixSize // of all snapshots, where partial is set
+	storedSize  store.PrefixSize // of the snapshots in the store, if partial is set
 }
 
+// storedSnapshot is the value of a key, which holds an encoded serverstate.ModuleSnapshot.
 type storedSnapshot struct {
 	value    []byte
-	savedAt  int64 // the earliest instant, by this daemon's clock, at which it may have been saved; 0: not known
+	savedAt  int64 // the earliest time at which it may have been saved, by the clock of outbox; 0: not known
 	revision uint64
 }
 
-// NewStateSnapshots returns those of the daemon with a name.
+// NewStateSnapshots returns the component for a daemon, whose snapshots carry its name.
 func NewStateSnapshots(name string, log *slog.Logger) *StateSnapshots {
 	return &StateSnapshots{
 		outbox:    newOutbox(name, log),
@@ -57,40 +59,40 @@
 	}
 }
 
-// AddSidecar makes the snapshots of a sidecar this daemon's own. It is called before the copy is opened, and by
-// SaveSnapshots.
+// AddSidecar adds a sidecar to those whose snapshots are this daemon's own. It is called before the copy is opened, and
+// by SaveSnapshots.
 func (s *StateSnapshots) AddSidecar(sidecar string) {
 	s.mu.Lock()
 	if prefix := serverstate.SnapshotPrefixOf(sidecar); !slices.Contains(s.ownPrefixes, prefix) {
 		s.ownPrefixes = append(s.ownPrefixes, prefix)
 	}
-	copied := s.store
+	storeCopy := s.store
 	s.mu.Unlock()
-	updateInterest(copied)
+	updateInterest(storeCopy)
 }
 
-// Subscription implements Subscriber. Besides its own snapshots, a daemon needs those of others while a sidecar starts
-// without one of its own, and while it sweeps.
+// Subscription implements Subscriber. Besides its own snapshots, a daemon needs those of all sidecars while its sidecar
+// starts without a snapshot of its own, and while the daemon sweeps.
 func (s *StateSnapshots) Subscription() changefeed.Subscription {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	own := store.Interest{Prefixes: s.ownPrefixes}
-	sub := changefeed.Subscription{Interest: &own, Retained: own}
+	subscription := changefeed.Subscription{Interest: &own, Retained: own}
 	if len(s.ownPrefixes) > 0 {
-		sub.SizePrefixes = []string{serverstate.SnapshotPrefix}
+		subscription.SizePrefixes = []string{serverstate.SnapshotPrefix}
 	}
 	all := store.Interest{Prefixes: []string{serverstate.SnapshotPrefix}}
-	if len(s.ownPrefixes) > 0 && s.hasCopy && !s.serving && !s.hasOwn() {
-		sub.Interest, sub.Retained = &all, all
+	if len(s.ownPrefixes) > 0 && s.hasCopy && !s.serving && !s.hasOwnSnapshot() {
+		subscription.Interest, subscription.Retained = &all, all
 	}
 	if s.sweepers > 0 {
-		sub.Interest = &all
+		subscription.Interest = &all
 	}
-	return sub
+	return subscription
 }
 
-// hasOwn reports whether the copy holds a snapshot of this daemon's own. The lock is held.
-func (s *StateSnapshots) hasOwn() bool {
+// hasOwnSnapshot reports whether the copy holds a snapshot of one of this daemon's sidecars. The caller holds the lock.
+func (s *StateSnapshots) hasOwnSnapshot() bool {
 	for key := range s.snapshots {
 		if slices.ContainsFunc(s.ownPrefixes, func(prefix string) bool { return strings.HasPrefix(key, prefix) }) {
 			return true
@@ -108,20 +110,21 @@
 	}
 }
 
-// SubscribeAll subscribes to the snapshots of all sidecars until ctx ends: this daemon sweeps expired ones.
+// SubscribeAll subscribes to the snapshots of all sidecars until ctx ends. A daemon calls it while it sweeps expired
+// snapshots.
 func (s *StateSnapshots) SubscribeAll(ctx context.Context) {
 	addSweepers := func(n int) {
 		s.mu.Lock()
 		s.sweepers += n
-		copied := s.store
+		storeCopy := s.store
 		s.mu.Unlock()
-		updateInterest(copied)
+		updateInterest(storeCopy)
 	}
 	addSweepers(1)
 	context.AfterFunc(ctx, func() { addSweepers(-1) })
 }
 
-// Run implements Component. Snapshots are saved by SaveSnapshots.
+// Run implements Component. It does nothing, since SaveSnapshots saves the snapshots.
 func (s *StateSnapshots) Run(ctx context.Context) { <-ctx.Done() }
 
 // Confirmed implements ConfirmationObserver.
@@ -131,18 +134,19 @@
 	s.confirmedAt = max(s.confirmedAt, s.now(time.Now())-int64(ago))
 }
 
-func (s *StateSnapshots) set(key string, stored storedSnapshot) {
-	s.remove(key)
+func (s *StateSnapshots) setSnapshot(key string, stored storedSnapshot) {
+	s.removeSnapshot(key)
 	s.snapshots[key] = stored
 	s.bytes += len(stored.value)
 }
 
-func (s *StateSnapshots) remove(key string) {
+func (s *StateSnapshots) removeSnapshot(key string) {
 	s.bytes -= len(s.snapshots[key].value)
 	delete(s.snapshots, key)
 }
 
-// Event implements Component. The snapshot may have been saved at any time since a quorum last confirmed the copy.
+// Event implements Component. A snapshot counts as saved when a quorum last confirmed the copy, which is the earliest
+// possible time.
 func (s *StateSnapshots) Event(e store.Event) {
 	if !strings.HasPrefix(e.Item.Key, serverstate.SnapshotPrefix) {
 		return
@@ -150,9 +154,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e.Deleted {
-		s.remove(e.Item.Key)
+		s.removeSnapshot(e.Item.Key)
 	} else {
-		s.set(e.Item.Key, storedSnapshot{value: e.Item.Value, savedAt: s.confirmedAt, revision: e.Revision})
+		s.setSnapshot(e.Item.Key, storedSnapshot{value: e.Item.Value, savedAt: s.confirmedAt, revision: e.Revision})
 	}
 	s.schedule.Committed(s.now(time.Now()), e.Item.Key, e.Revision, e.Deleted)
 }
@@ -168,12 +172,12 @@
 	}
 	for key := range s.snapshots {
 		if _, ok := state.Get(key); !ok {
-			s.remove(key)
+			s.removeSnapshot(key)
 		}
 	}
 	rangeSnapshots(state, func(i store.Item) {
 		if s.snapshots[i.Key].revision != i.ModRevision {
-			s.set(i.Key, storedSnapshot{value: i.Value, revision: i.ModRevision})
+			s.setSnapshot(i.Key, storedSnapshot{value: i.Value, revision: i.ModRevision})
 		}
 	})
 	s.schedule.Reset(s.now(time.Now()), revisionsWithPrefix(state, serverstate.SnapshotPrefix))
@@ -200,35 +204,36 @@
 	return txns
 }
 
-// RestoreCandidates returns the snapshots of a protocol from which a sidecar may restore its state at its start.
+// RestoreCandidates returns the snapshots of a protocol from which a sidecar may restore its state at its start. The
+// age of one that this daemon did not see arrive is by the clock of the host that saved it.
 func (s *StateSnapshots) RestoreCandidates(sidecar, protocol string) (all []recovery.Candidate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now(time.Now())
 	for key, stored := range s.snapshots {
-		owner, ofProtocol, ok := serverstate.ParseSnapshotKey(key)
-		if !ok || ofProtocol != protocol {
+		owner, keyProtocol, ok := serverstate.ParseSnapshotKey(key)
+		if !ok || keyProtocol != protocol {
 			continue
 		}
 		saved, _, err := decodeSnapshot(stored.value)
 		if err != nil {
-			s.log.Warn("a snapshot in the store is ignored", "key", key, "error", err)
+			s.log.Warn("ignoring a snapshot in the store that cannot be decoded", "key", key, "error", err)
 			continue
 		}
 		c := recovery.Candidate{Source: "the store: " + owner, Snapshot: saved, Own: owner == sidecar}
 		if stored.savedAt != 0 {
 			c.Age, c.SameClock = (now-stored.savedAt)/int64(time.Microsecond), true
 		} else {
-			here := snapshot.ReadClock()
-			c.Age = here.Since(saved.Clock)
-			c.SameClock = here.BootID != "" && here.BootID == saved.Clock.BootID
+			clock := snapshot.ReadClock()
+			c.Age = clock.Since(saved.Clock)
+			c.SameClock = clock.BootID != "" && clock.BootID == saved.Clock.BootID
 		}
 		all = append(all, c)
 	}
 	return all
 }
 
-// decodeSnapshot decodes a stored value, and returns the daemon that saved it.
+// decodeSnapshot decodes a stored value. It returns the snapshot and the daemon that saved it.
 func decodeSnapshot(value []byte) (saved *snapshot.Saved, savedBy string, err error) {
 	record, err := serverstate.DecodeModuleSnapshot(value)
 	if err != nil {
@@ -241,7 +246,8 @@
 	return saved, record.ReportedBy, nil
 }
 
-// RecordRestore notes what a sidecar's decision module restored its state from, and the number of servers in that.
+// RecordRestore records from which snapshots a sidecar's decision module restored its state, and the number of servers
+// in the restored state. An empty protocol is HTTP.
 func (s *StateSnapshots) RecordRestore(protocol string, c recovery.Choice, servers int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -254,21 +260,21 @@
 	})
 }
 
-// restoredStates lists what RecordRestore noted.
+// restoredStates lists the restores that RecordRestore recorded.
 func (s *StateSnapshots) restoredStates() []RestoredState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.restored)
 }
 
-// size returns the number of snapshots that the copy holds, and their bytes.
-func (s *StateSnapshots) size() (n, bytes int) {
+// snapshotTotals returns the number of snapshots that the copy holds, and the bytes of their values.
+func (s *StateSnapshots) snapshotTotals() (n, bytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.snapshots), s.bytes
 }
 
-// SnapshotAges returns, by key, the ages of the snapshots that this daemon saw arrive.
+// SnapshotAges returns, by key, the ages of the snapshots whose age this daemon knows.
 func (s *StateSnapshots) SnapshotAges() map[string]time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -281,7 +287,7 @@
 	return ages
 }
 
-// ReportSnapshotAge takes the age of a snapshot by another daemon's clock, for one that this daemon did not see arrive.
+// ReportSnapshotAge sets the age of a snapshot that this daemon did not see arrive, as another daemon measured it.
 func (s *StateSnapshots) ReportSnapshotAge(key string, age time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -293,8 +299,8 @@
 	s.snapshots[key] = stored
 }
 
-// SaveSnapshots saves the snapshots of a sidecar's protocol, which take returns, until ctx ends. While paused returns
-// true, another process saves them.
+// SaveSnapshots saves the snapshots of a sidecar's protocol, which take returns, in the store until ctx ends. It saves
+// none while paused returns true, since another process saves them then.
 func (s *StateSnapshots) SaveSnapshots(ctx context.Context, sidecar, protocol string,
 	take func(context.Context) ([]byte, error), paused func() bool) {
 	key := serverstate.SnapshotKey(sidecar, protocol)
@@ -314,18 +320,19 @@
 		}
 		err := s.save(ctx, key, take)
 		if err != nil && ctx.Err() == nil && !failing && !errors.Is(err, store.ErrLevel) {
-			s.log.Warn("cannot save a snapshot in the store", "key", key, "error", err)
+			s.log.Warn("cannot save a snapshot in the store; trying again at the next interval",
+				"key", key, "error", err)
 		}
 		failing = err != nil
 	}
 }
 
-// saveInterval returns the time until the next snapshot.
+// saveInterval returns the time until the next snapshot is taken.
 func (s *StateSnapshots) saveInterval() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.partial && !s.hasOwn() {
-		return time.Duration(serverstate.SnapshotInterval(0)) // a restart would find nothing of its own yet
+	if s.partial && !s.hasOwnSnapshot() {
+		return time.Duration(serverstate.SnapshotInterval(0)) // save one soon, from which a restart can restore
 	}
 	return time.Duration(serverstate.SnapshotInterval(max(s.bytes, s.storedSize.Bytes)))
 }
--- a/internal/controlplane/daemon/starts.go
+++ b/internal/controlplane/daemon/starts.go
@@ -12,26 +12,26 @@
 	"birchmoor/internal/store/serverstate"
 )
 
-// The start of a server's process is reported like a drain: all daemons observe it and one writes it. It is never
-// renewed, since the report says until when it matters; after that any daemon ends it. Nothing is written until all
-// voters know level 2 of commands.
+// The start of a server's process is reported like a drain: all daemons observe it, and one of them writes it. The
+// report is never renewed, since it contains how long the process warms up; after that any daemon deletes it. No report
+// is written until all voters support level 2 of the store's commands.
 const (
-	startReportSpread = 200 * time.Millisecond
-	noExpiry          = 1 << 62 // nanoseconds: reports end by their own time
+	startReportSpread = 200 * time.Millisecond // over which the daemons' attempts to write a start are spread
+	noExpiry          = 1 << 62                // nanoseconds; ReportScheduler expires no reports, see Starts.Expired
 )
 
-// Starts are the processes of servers that started a short while ago, as reported by any daemon. It is a Component, and
-// safe for concurrent use.
+// Starts replicates the starts of servers' processes that any daemon observed, while they are warming up. It is a
+// Component, and safe for concurrent use.
 type Starts struct {
 	outbox
 	reports  *serverstate.Starts
-	schedule *serverstate.ReportScheduler
+	schedule *serverstate.ReportScheduler // decides when this daemon writes a report
 	dirty    map[serverstate.Process]bool // starts that are not applied to the sidecar yet
-	// bind applies the start to the sidecar; nil until one subscribes.
-	bind func(ctx context.Context, s core.Start) error
+	// applyToSidecar applies a start to the sidecar. It is nil until OnStart sets it.
+	applyToSidecar func(ctx context.Context, s core.Start) error
 }
 
-// NewStarts returns those of the daemon with a name.
+// NewStarts returns the component for a daemon, whose reports carry its name.
 func NewStarts(name string, log *slog.Logger) *Starts {
 	return &Starts{
 		outbox:  newOutbox(name, log),
@@ -47,15 +47,15 @@
 
 // Run implements Component.
 func (s *Starts) Run(ctx context.Context) {
-	nothingOwed := func() {} // failed writes are scheduled again
-	s.run(ctx, nothingOwed, func(ctx context.Context) {
+	noRetries := func() {} // writeDone schedules failed writes again
+	s.run(ctx, noRetries, func(ctx context.Context) {
 		s.enqueueDue(time.Now())
-		s.bindDirty(ctx)
+		s.applyDirty(ctx)
 	})
 }
 
-// ReportStart takes a start that this daemon's sidecar observed, its age, and how long the process is warming up in
-// all. It does not block.
+// ReportStart reports a start that this daemon's sidecar observed, the time since then, and how long the process warms
+// up from its start. It does not block.
 func (s *Starts) ReportStart(p discovery.Process, age, warmUp time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,7 +67,7 @@
 	s.wakeAt(due, now)
 }
 
-// RecentStarts lists the processes that are still warming up by this copy.
+// RecentStarts lists the processes of which this daemon knows that they are still warming up.
 func (s *Starts) RecentStarts() []core.Start {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,15 +78,15 @@
 	return all
 }
 
-// OnStart sets how the starts that other daemons observed are applied to the sidecar.
-func (s *Starts) OnStart(bind func(ctx context.Context, s core.Start) error) {
+// OnStart sets the function that applies the starts of other daemons' reports to the sidecar.
+func (s *Starts) OnStart(apply func(ctx context.Context, s core.Start) error) {
 	s.mu.Lock()
-	s.bind = bind
+	s.applyToSidecar = apply
 	s.mu.Unlock()
 	s.wakeUp()
 }
 
-// Subscription implements Subscriber. It covers all servers, like that of drains.
+// Subscription implements Subscriber. It covers all servers, for the same reason as that of drains.
 func (s *Starts) Subscription() changefeed.Subscription { return subscribeTo(serverstate.StartPrefix) }
 
 // Event implements Component.
@@ -104,8 +104,8 @@
 	s.schedule.Committed(now, e.Item.Key, e.Revision, e.Deleted)
 }
 
-// Reset implements Component. The age of the copy's reports is not known. Each counts as new, so that a process is
-// taken to be warming up for too long rather than not long enough.
+// Reset implements Component. How long ago the reports of the copy were written is not known. Each counts as written
+// now, so that a process counts as warming up for too long rather than too short a time.
 func (s *Starts) Reset(state *store.State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,16 +120,16 @@
 	s.wakeUp()
 }
 
-// enqueueDue queues the reports that are this daemon's to write now.
-func (s *Starts) enqueueDue(at time.Time) {
-	for _, txn := range s.dueReports(s.now(at)) {
+// enqueueDue queues the writes of the reports that are due and that no other daemon has written in the meantime.
+func (s *Starts) enqueueDue(now time.Time) {
+	for _, txn := range s.dueReports(s.now(now)) {
 		s.enqueue(pendingWrite{
 			key: txn.Then[0].Key,
-			apply: func(ctx context.Context) error {
+			write: func(ctx context.Context) error {
 				_, err := s.store.Do(ctx, store.Command{Txn: txn})
 				return err
 			},
-			done: func(ok bool) { s.written(txn.Then[0].Key, ok) },
+			done: func(ok bool) { s.writeDone(txn.Then[0].Key, ok) },
 		})
 	}
 }
@@ -142,7 +142,7 @@
 		p, _ := serverstate.ParseStart(key)
 		txn := s.reports.ReportTxn(now, p)
 		if txn == nil {
-			s.schedule.Withdraw(key) // it does not matter any more
+			s.schedule.Withdraw(key) // the process has warmed up
 			continue
 		}
 		txns = append(txns, txn)
@@ -150,9 +150,9 @@
 	return txns
 }
 
-// written notes the result of a write. The lock is held.
-func (s *Starts) written(key string, ok bool) {
-	if ok { // by this daemon or, if the comparison failed, by another
+// writeDone ends the schedule of a report that is written, or schedules a failed one again. The caller holds the lock.
+func (s *Starts) writeDone(key string, ok bool) {
+	if ok { // written by this daemon or, if the transaction's comparison failed, by another
 		s.schedule.Withdraw(key)
 		return
 	}
@@ -160,20 +160,23 @@
 	s.wakeAt(s.schedule.Retry(now, int64(retryInterval), key), now)
 }
 
-// bindDirty applies to the sidecar what other daemons reported. Until one subscribes starts stay dirty.
-func (s *Starts) bindDirty(ctx context.Context) {
-	bind, starts := s.takeDirty()
+// applyDirty applies the starts of other daemons' reports to the sidecar. Starts stay dirty until OnStart was called;
+// one that cannot be applied is logged and not tried again.
+func (s *Starts) applyDirty(ctx context.Context) {
+	apply, starts := s.takeDirty()
 	for _, start := range starts {
-		if err := bind(ctx, start); err != nil && ctx.Err() == nil {
-			s.log.Error("cannot apply a replicated start here", "id", start.Process.ID, "error", err)
+		if err := apply(ctx, start); err != nil && ctx.Err() == nil {
+			s.log.Error("cannot apply the start of a server's process to this sidecar",
+				"id", start.Process.ID, "error", err)
 		}
 	}
 }
 
-func (s *Starts) takeDirty() (bind func(ctx context.Context, s core.Start) error, starts []core.Start) {
+// takeDirty returns the function that applies starts, and the dirty starts that are still warming up, and clears those.
+func (s *Starts) takeDirty() (apply func(ctx context.Context, s core.Start) error, starts []core.Start) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.bind == nil {
+	if s.applyToSidecar == nil {
 		return nil, nil
 	}
 	now := s.now(time.Now())
@@ -183,7 +186,7 @@
 		}
 	}
 	clear(s.dirty)
-	return s.bind, starts
+	return s.applyToSidecar, starts
 }
 
 // Expired implements Expirer.
@@ -200,7 +203,7 @@
 	return txns
 }
 
-// facts lists the processes that are still warming up.
+// facts lists the facts of the processes that are still warming up.
 func (s *Starts) facts() (all []ServerFact) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -220,8 +223,8 @@
 	return all
 }
 
-// count returns the number of processes that are still warming up.
-func (s *Starts) count() int {
+// startCount returns the number of starts that this daemon holds, until Expired removes those that have warmed up.
+func (s *Starts) startCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.reports.Len()
--- a/internal/controlplane/daemon/starts_test.go
+++ b/internal/controlplane/daemon/starts_test.go
@@ -17,7 +17,8 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-func (s *testDaemon) version(t *testing.T, key string) uint64 {
+// keyVersion returns how often a key was written since it was created, or 0 if the store does not have it.
+func (s *testDaemon) keyVersion(t *testing.T, key string) uint64 {
 	t.Helper()
 	var i store.Item
 	if _, err := s.engine.View(testContext(t), false, func(st *store.State) { i, _ = st.Get(key) }); err != nil {
@@ -26,107 +27,109 @@
 	return i.Version
 }
 
-// A start that all daemons observe is written once. One that a single daemon observes takes effect at the others, also
-// after a restart, and ends at the time that its report says, whichever daemons are left.
+// A start that all daemons observe is written once. A start that a single daemon observes takes effect at the others,
+// also after their restart. Any daemon deletes its report when the process has warmed up.
 func TestStartIsWrittenOnceAndExpires(t *testing.T) {
-	all, dirs := startCluster(t)
-	for _, s := range all {
+	daemons, dirs := startCluster(t)
+	for _, s := range daemons {
 		s.servers.OnStart(func(ctx context.Context, x core.Start) error {
-			return s.bind(ctx, fmt.Sprint("began ", x.Process.ID), true)
+			return s.apply(ctx, fmt.Sprint("began ", x.Process.ID), true)
 		})
 	}
-	seen := discovery.Process{ID: "all", Addr: "127.0.0.1:1"}
-	one := discovery.Process{ID: "one", Addr: "127.0.0.1:2", StartedMs: 7}
-	for _, s := range all {
-		s.servers.ReportStart(seen, 0, time.Hour)
+	seenByAll := discovery.Process{ID: "all", Addr: "127.0.0.1:1"}
+	seenByOne := discovery.Process{ID: "one", Addr: "127.0.0.1:2", StartedMs: 7}
+	for _, s := range daemons {
+		s.servers.ReportStart(seenByAll, 0, time.Hour)
 	}
-	all[0].servers.ReportStart(one, time.Second, time.Hour)
-	for _, s := range all[1:] {
-		s.waitUntil(t, "began one", true)
+	daemons[0].servers.ReportStart(seenByOne, time.Second, time.Hour)
+	for _, s := range daemons[1:] {
+		s.waitForState(t, "began one", true)
 	}
-	time.Sleep(2 * startReportSpread) // all were scheduled by then
-	if n := all[0].version(t, serverstate.StartKey(serverstate.Process(seen))); n != 1 {
-		t.Errorf("three daemons that observed it made %d changes", n)
+	time.Sleep(2 * startReportSpread) // the daemons' attempts are spread over that time
+	if n := daemons[0].keyVersion(t, serverstate.StartKey(serverstate.Process(seenByAll))); n != 1 {
+		t.Errorf("three daemons that observed a start wrote it %d times, want once", n)
 	}
-	if all[0].bound["began all"] || all[0].bound["began one"] {
-		t.Error("a daemon is notified of a start that it observed itself")
+	if daemons[0].applied["began all"] || daemons[0].applied["began one"] {
+		t.Error("a daemon applied a start to the sidecar that observed it")
 	}
-	all[1].stop()
-	b := startDaemon(t, "b", dirs[1], all[1].addr, true)
-	b.version(t, serverstate.StartKey(serverstate.Process(one))) // its copy is up to date
-	ago := time.Duration(-1)
+	daemons[1].stop()
+	b := startDaemon(t, "b", dirs[1], daemons[1].addr, true)
+	b.keyVersion(t, serverstate.StartKey(serverstate.Process(seenByOne))) // waits until its copy is up to date
+	age := time.Duration(-1)
 	for _, x := range b.servers.RecentStarts() {
-		if x.Process == one {
-			ago = x.Age
+		if x.Process == seenByOne {
+			age = x.Age
 		}
 	}
-	// Its age counts from when the report was written, so that it warms up for too long rather than too short.
-	if ago < time.Second || ago > time.Minute {
-		t.Errorf("a restarted daemon knows that it started %v ago", ago)
+	// The copy of the restarted daemon does not show how long ago the report was written. The process must not count as
+	// older than it is, or its warm-up ends too early.
+	if age < time.Second || age > time.Minute {
+		t.Errorf("age of the start at the restarted daemon is %v, want 1s to 1m", age)
 	}
 	later := time.Now().Add(time.Hour + time.Minute)
-	for all[2].version(t, serverstate.StartKey(serverstate.Process(one))) > 0 {
-		_ = b.frame.sweep(testContext(t), later) // tried again
+	for daemons[2].keyVersion(t, serverstate.StartKey(serverstate.Process(seenByOne))) > 0 {
+		_ = b.daemon.sweep(testContext(t), later) // the loop retries a failed sweep
 	}
 }
 
-// A decision module's snapshot is stored for others. A copy that was away does not know its age, and the clock of
-// another host, an hour ahead, does not make it new.
+// Guards against a sidecar that restores outdated state because the clock of the host that saved it is an hour ahead. A
+// daemon that restarts does not know the age of a snapshot in its copy until a replica that saw it arrive reports the
+// age.
 func TestSnapshotAgeIsNotTakenFromAnotherHostsClock(t *testing.T) {
-	all, dirs := startCluster(t)
-	c := sidecartest.Configure(t, "127.0.0.1:1", nil)
-	m, err := balancer.New(c.Settings, 1, nil)
+	daemons, dirs := startCluster(t)
+	config := sidecartest.Configure(t, "127.0.0.1:1", nil)
+	module, err := balancer.New(config.Settings, 1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ahead := snapshot.Clock{WallMicros: time.Now().Add(time.Hour).UnixMicro(), BootID: "of another host"}
+	clockAhead := snapshot.Clock{WallMicros: time.Now().Add(time.Hour).UnixMicro(), BootID: "of another host"}
 	take := func(context.Context) ([]byte, error) {
-		return snapshot.Encode(&snapshot.Saved{Sidecar: "other", Clock: ahead, State: m.Snapshot(1e9, false)})
+		return snapshot.Encode(&snapshot.Saved{Sidecar: "other", Clock: clockAhead, State: module.Snapshot(1e9, false)})
 	}
 	key := serverstate.SnapshotKey("other", "")
-	for err = store.ErrLevel; errors.Is(err, store.ErrLevel); { // until all replicas know the commands that it needs
-		err = all[0].servers.save(testContext(t), key, take)
+	for err = store.ErrLevel; errors.Is(err, store.ErrLevel); { // until all replicas support the commands
+		err = daemons[0].servers.save(testContext(t), key, take)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	if all[1].version(t, key) != 1 {
-		t.Fatal("it is not in the store")
+	if daemons[1].keyVersion(t, key) != 1 {
+		t.Fatal("the saved snapshot is not in the store")
 	}
-	got := all[1].servers.RestoreCandidates("me", "")
-	// Until then it arrived before a quorum had confirmed the copy.
-	for ; len(got) == 1 && !got[0].SameClock; got = all[1].servers.RestoreCandidates("me", "") {
-		if err := all[0].servers.save(testContext(t), key, take); err != nil {
+	got := daemons[1].servers.RestoreCandidates("me", "")
+	// The age is not known if the snapshot arrived before a quorum had confirmed the copy: save it again.
+	for ; len(got) == 1 && !got[0].SameClock; got = daemons[1].servers.RestoreCandidates("me", "") {
+		if err := daemons[0].servers.save(testContext(t), key, take); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if len(got) != 1 || !got[0].SameClock || got[0].Own || got[0].Age < 0 || got[0].Age > 60e6 {
-		t.Fatalf("%+v", got)
+		t.Fatalf("candidates %+v, want one of another sidecar with an age of 0 to 60 s by the same clock", got)
 	}
-	if x := recovery.Choose("me", got); x.Snapshot == nil || x.Snapshot.Sidecar != "me" {
-		t.Errorf("%+v", x)
+	if choice := recovery.Choose("me", got); choice.Snapshot == nil || choice.Snapshot.Sidecar != "me" {
+		t.Errorf("choice %+v, want a snapshot for sidecar me", choice)
 	}
-	if len(all[1].servers.RestoreCandidates("me", "dns")) != 0 {
-		t.Error("of another protocol")
+	if len(daemons[1].servers.RestoreCandidates("me", "dns")) != 0 {
+		t.Error("HTTP snapshots are candidates for DNS")
 	}
-	all[1].stop()
-	b := startDaemon(t, "b", dirs[1], all[1].addr, true)
-	b.version(t, key) // its copy is up to date and shows the snapshot from before
+	daemons[1].stop()
+	b := startDaemon(t, "b", dirs[1], daemons[1].addr, true)
+	b.keyVersion(t, key) // waits until its copy is up to date and has the snapshot
 	got = b.servers.RestoreCandidates("me", "")
 	if len(got) != 1 || got[0].SameClock {
-		t.Fatalf("%+v", got)
+		t.Fatalf("candidates after the restart %+v, want one of unknown age", got)
 	}
-	if x := recovery.Choose("me", got); x.Snapshot != nil {
-		t.Error("the age of a snapshot was taken from another host's clock")
+	if choice := recovery.Choose("me", got); choice.Snapshot != nil {
+		t.Error("a snapshot was chosen by the clock of another host")
 	}
 	b.servers.ReportSnapshotAge(key, 4*time.Second) // from a replica that saw it arrive
 	if got = b.servers.RestoreCandidates("me", ""); !got[0].SameClock || got[0].Age < 4e6 {
-		t.Errorf("%+v", got)
+		t.Errorf("candidates %+v, want an age of 4 s or more by the same clock", got)
 	}
-	for later := time.Now().Add(snapshotRetention + time.Minute); b.version(t, key) > 0; { // it is not saved any more
-		_ = b.frame.sweep(testContext(t), later) // tried again
+	for later := time.Now().Add(snapshotRetention + time.Minute); b.keyVersion(t, key) > 0; {
+		_ = b.daemon.sweep(testContext(t), later) // the loop retries a failed sweep
 	}
 	if len(b.servers.RestoreCandidates("me", "")) != 0 {
-		t.Error("it is still there")
+		t.Error("a snapshot is a candidate after its retention")
 	}
 }
--- a/internal/controlplane/daemon/stored_test.go
+++ b/internal/controlplane/daemon/stored_test.go
@@ -23,14 +23,15 @@
 	"birchmoor/internal/store/serverstate"
 )
 
-// recordingStore applies commands to a state of its own and writes each one down as text.
+// recordingStore is a Store that applies commands to its own state and appends each of them to text.
 type recordingStore struct {
-	state *store.State
-	index uint64
-	text  bytes.Buffer
-	reset func(*store.State) // is called after each change, if set
+	state    *store.State
+	index    uint64
+	text     bytes.Buffer
+	onChange func(*store.State) // called after each change; may be nil
 }
 
+// newRecordingStore returns a store whose replicas support all commands, with queue entries of the daemons h and i.
 func newRecordingStore(t *testing.T) *recordingStore {
 	t.Helper()
 	r := &recordingStore{state: store.New(1, store.DefaultLimits)}
@@ -79,8 +80,8 @@
 		}
 	}
 	result := r.apply(&c)
-	if r.reset != nil {
-		r.reset(r.state)
+	if r.onChange != nil {
+		r.onChange(r.state)
 	}
 	return result, result.Err
 }
@@ -94,114 +95,116 @@
 	return nil, 0, context.Canceled
 }
 
-// recordSettings drives settings through versions, a rollback, and rollouts that finish and are called off.
+// recordSettings puts versions of settings, rolls back to one, runs a rollout that is cancelled and one that completes,
+// and checks candidates with and without a sidecar.
 func recordSettings(t *testing.T, r *recordingStore) {
 	t.Helper()
 	ctx := t.Context()
-	x := NewSettings("h", checkSettings, slog.New(slog.DiscardHandler))
-	x.Attach(r)
-	x.SetAnswerCounter(func() (served, not uint64, err error) { return 7, 2, nil })
+	settings := NewSettings("h", checkSettings, slog.New(slog.DiscardHandler))
+	settings.Attach(r)
+	settings.SetAnswerCounter(func() (served, notServed uint64, err error) { return 7, 2, nil })
 	must := func(err error) {
 		t.Helper()
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	_, err := x.Put(ctx, json.RawMessage(`{"x":1}`), "first")
+	_, err := settings.Put(ctx, json.RawMessage(`{"x":1}`), "first")
 	must(err)
-	_, err = x.Put(ctx, json.RawMessage(`{"x":2}`), "")
+	_, err = settings.Put(ctx, json.RawMessage(`{"x":2}`), "")
 	must(err)
-	_, err = x.Rollback(ctx, 1)
+	_, err = settings.Rollback(ctx, 1)
 	must(err)
 	r.text.WriteString("rollout\n")
 	steps := []rollout.Step{{Count: 1}, {Fraction: 1}}
-	_, err = x.StartRollout(ctx, json.RawMessage(`{"x":3}`), steps, time.Second, "in steps")
+	_, err = settings.StartRollout(ctx, json.RawMessage(`{"x":3}`), steps, time.Second, "in steps")
 	must(err)
-	do := func(ctx context.Context, txn store.Txn) (store.Result, error) {
+	doTxn := func(ctx context.Context, txn store.Txn) (store.Result, error) {
 		return r.Do(ctx, store.Command{Txn: &txn})
 	}
-	must(x.AdvanceRollout(ctx, 5, do))
-	x.Reset(r.state)
-	x.reportProgress(ctx)
-	must(x.CancelRollout(ctx, "operator"))
+	must(settings.AdvanceRollout(ctx, 5, doTxn))
+	settings.Reset(r.state)
+	settings.reportProgress(ctx)
+	must(settings.CancelRollout(ctx, "operator"))
 	r.text.WriteString("rollout to its end\n")
-	_, err = x.StartRollout(ctx, json.RawMessage(`{"x":4}`), []rollout.Step{{Fraction: 1}}, 100*time.Millisecond, "")
+	_, err = settings.StartRollout(ctx, json.RawMessage(`{"x":4}`), []rollout.Step{{Fraction: 1}},
+		100*time.Millisecond, "")
 	must(err)
-	must(x.AdvanceRollout(ctx, 6, do))
-	x.Reset(r.state)
-	x.reportProgress(ctx)
-	other, err := json.Marshal(rollout.Report{PlanID: x.rollout.plan.ID, Step: 0, Served: 9})
+	must(settings.AdvanceRollout(ctx, 6, doTxn))
+	settings.Reset(r.state)
+	settings.reportProgress(ctx)
+	otherReport, err := json.Marshal(rollout.Report{PlanID: settings.rollout.plan.ID, Step: 0, Served: 9})
 	must(err)
-	must(r.apply(&store.Command{Txn: &store.Txn{Then: []store.Op{{Key: ReportKey("i"), Value: other}}}}).Err)
-	must(x.AdvanceRollout(ctx, 6, do)) // has not settled
+	must(r.apply(&store.Command{Txn: &store.Txn{Then: []store.Op{{Key: ReportKey("i"), Value: otherReport}}}}).Err)
+	must(settings.AdvanceRollout(ctx, 6, doTxn)) // waits: the settling time is not over
 	time.Sleep(110 * time.Millisecond)
-	must(x.AdvanceRollout(ctx, 6, do))
+	must(settings.AdvanceRollout(ctx, 6, doTxn))
 	r.text.WriteString("verdicts\n")
 	for _, text := range []string{`{"x":5}`, `{"bad":5}`} {
 		r.apply(&store.Command{Txn: &store.Txn{Then: []store.Op{{Key: keyCandidate, Value: []byte(text)}}}})
-		x.Reset(r.state)
-		x.checkCandidate(ctx)
+		settings.Reset(r.state)
+		settings.checkCandidate(ctx)
 	}
-	replica := NewSettings("no sidecar", nil, slog.New(slog.DiscardHandler))
-	replica.Attach(r)
-	replica.Reset(r.state)
-	replica.checkCandidate(ctx)
+	withoutSidecar := NewSettings("no sidecar", nil, slog.New(slog.DiscardHandler))
+	withoutSidecar.Attach(r)
+	withoutSidecar.Reset(r.state)
+	withoutSidecar.checkCandidate(ctx)
 }
 
-// recordServers has each component that reports servers write a report and end it.
+// recordServers has each component that reports on servers write a report and delete it.
 func recordServers(t *testing.T, r *recordingStore) {
 	t.Helper()
 	ctx := t.Context()
-	s := NewServers("h", slog.New(slog.DiscardHandler))
-	for _, p := range s.Components() {
-		p.Attach(r)
+	servers := NewServers("h", slog.New(slog.DiscardHandler))
+	for _, component := range servers.Components() {
+		component.Attach(r)
 	}
-	r.reset = func(state *store.State) {
-		for _, p := range s.Components() {
-			p.Reset(state)
+	r.onChange = func(state *store.State) {
+		for _, component := range servers.Components() {
+			component.Reset(state)
 		}
 	}
-	s.Subscribe(func(context.Context, string, bool) error { return nil })
-	flush := func(d *outbox) {
+	servers.Subscribe(func(context.Context, string, bool) error { return nil })
+	writeNext := func(o *outbox) {
 		t.Helper()
-		w := <-d.pending
-		if err := w.apply(ctx); err != nil {
+		w := <-o.pending
+		if err := w.write(ctx); err != nil {
 			t.Fatal(err)
 		}
 		if w.done != nil {
-			d.mu.Lock()
+			o.mu.Lock()
 			w.done(true)
-			d.mu.Unlock()
+			o.mu.Unlock()
 		}
 	}
 	r.text.WriteString("administrative drain\n")
-	s.ReportDrain("s/1 ä")
-	flush(&s.AdminDrains.outbox)
-	if _, err := s.RequestReturn(ctx, "s/1 ä"); err != nil {
+	servers.ReportDrain("s/1 ä")
+	writeNext(&servers.AdminDrains.outbox)
+	if _, err := servers.RequestReturn(ctx, "s/1 ä"); err != nil {
 		t.Fatal(err)
 	}
 	r.text.WriteString("drain\n")
 	p := discovery.Process{ID: "s/1 ä@", Addr: "[::1]:2", StartedMs: 5}
-	s.Observe(p, true)
-	s.Drains.enqueueDue(time.Now().Add(time.Second))
-	flush(&s.Drains.outbox)
+	servers.Observe(p, true)
+	servers.Drains.enqueueDue(time.Now().Add(time.Second))
+	writeNext(&servers.Drains.outbox)
 	r.text.WriteString("start\n")
-	s.ReportStart(p, time.Minute, time.Hour)
-	s.Starts.enqueueDue(time.Now().Add(time.Second))
-	w := <-s.Starts.pending
-	if err := w.apply(ctx); err != nil {
+	servers.ReportStart(p, time.Minute, time.Hour)
+	servers.Starts.enqueueDue(time.Now().Add(time.Second))
+	w := <-servers.Starts.pending
+	if err := w.write(ctx); err != nil {
 		t.Fatal(err)
 	}
 	r.text.WriteString("snapshot\n")
-	known := func(context.Context) ([]byte, error) { return []byte("known"), nil }
+	takeSnapshot := func(context.Context) ([]byte, error) { return []byte("known"), nil }
 	for _, key := range []string{serverstate.SnapshotKey("side car", ""), serverstate.SnapshotKey("side car", "dns")} {
-		if err := s.save(ctx, key, known); err != nil {
+		if err := servers.save(ctx, key, takeSnapshot); err != nil {
 			t.Fatal(err)
 		}
 	}
 	r.text.WriteString("expired\n")
-	for _, p := range s.Components() {
-		if e, ok := p.(Expirer); ok {
+	for _, component := range servers.Components() {
+		if e, ok := component.(Expirer); ok {
 			later := time.Now().Add(24 * time.Hour)
 			for _, txn := range e.Expired(later) {
 				if _, err := r.Do(ctx, store.Command{Txn: txn}); err != nil {
@@ -212,10 +215,10 @@
 	}
 }
 
-// startAge matches the age within a start's record: the time between a report and its write.
+// startAge matches the value of a start's report, in which the time between its observation and its write differs.
 var startAge = regexp.MustCompile(`(?m)^(  then start/.* )[0-9a-f]+$`)
 
-// jsonRecords are one of each type that is encoded as JSON, full and empty.
+// jsonRecords returns, of each type that is encoded as JSON, a record with all fields and an empty one.
 func jsonRecords() []any {
 	at := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	restored := RestoredState{Protocol: "dns", From: "the store: x", Snapshots: 2, Servers: 3, Age: 4 * time.Second}
@@ -234,6 +237,7 @@
 	}
 }
 
+// recordJSON returns jsonRecords encoded, one a line.
 func recordJSON(t *testing.T) string {
 	t.Helper()
 	var text strings.Builder
@@ -269,7 +273,8 @@
 	return string(text)
 }
 
-// Each file of testdata was written by the build of 7105f7a, with which this one shares stores, disks and JSON.
+// Guards against changed encodings: builds of different age share stores, disks and JSON. Each file of testdata was
+// written by the build of commit 7105f7a.
 func TestStoredFormsAreThoseOfEarlierBuilds(t *testing.T) {
 	settings, servers := newRecordingStore(t), newRecordingStore(t)
 	recordSettings(t, settings)
@@ -285,7 +290,7 @@
 			t.Fatal(err)
 		}
 		if got != string(want) {
-			t.Errorf("%s: got\n%s\nwant\n%s", name, got, want)
+			t.Errorf("%s differs: got\n%s\nwant\n%s", name, got, want)
 		}
 	}
 }
@@ -298,12 +303,12 @@
 	records := jsonRecords()
 	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
 	if len(lines) != len(records) {
-		t.Fatalf("%d records, want %d", len(lines), len(records))
+		t.Fatalf("testdata/json.txt has %d records, want %d", len(lines), len(records))
 	}
 	for i, want := range records {
 		got := reflect.New(reflect.TypeOf(want).Elem()).Interface()
 		if err := json.Unmarshal([]byte(lines[i]), got); err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: got %+v, %v, want %+v", lines[i], got, err, want)
+			t.Errorf("decode %s: got %+v, error %v, want %+v", lines[i], got, err, want)
 		}
 	}
 }
@@ -326,6 +331,6 @@
 		{ID: "s3", Addr: "127.0.0.1:3"},
 	}
 	if got := d.DrainingProcesses(); !slices.Equal(got, want) {
-		t.Errorf("got %v, want %v", got, want)
+		t.Errorf("draining processes after the restore: %v, want %v", got, want)
 	}
 }
--- a/internal/controlplane/daemon/versions.go
+++ b/internal/controlplane/daemon/versions.go
@@ -15,40 +15,40 @@
 )
 
 const (
-	verdictTimeout   = 5 * time.Second
-	candidateTTL     = 30 * time.Second // after which that of a daemon which went away is deleted
-	maxVersions      = 100
-	maxVerdictEvents = 64 // of one read
+	verdictTimeout   = 5 * time.Second  // for the verdicts of all replicas on a candidate
+	candidateTTL     = 30 * time.Second // after which the candidate of a daemon that failed is deleted
+	maxVersions      = 100              // that the store keeps
+	maxVerdictEvents = 64               // that one read of the change feed returns
 )
 
 // Errors of versions.
 var (
-	// ErrVersionNotFound says that there is no such version of the settings.
+	// ErrVersionNotFound says that the store has no such version of the settings, or has it no longer.
 	ErrVersionNotFound = errors.New("no such version")
 
-	errNotJSON          = errors.New("settings: not JSON")
-	errCandidatePending = errors.New("another daemon is putting settings")
+	errNotJSON          = errors.New("settings are not valid JSON")
+	errCandidatePending = errors.New("settings of another change are being checked")
 	errSettingsChanged  = errors.New("the settings were changed in the meantime")
 )
 
-// Version is settings as they were put.
+// Version is a version of the settings, as the store keeps it.
 type Version struct {
-	Version  uint64          `json:"version"`
+	Version  uint64          `json:"version"` // its number; the first is 1
 	Settings json.RawMessage `json:"settings,omitempty"`
-	By       string          `json:"by"`
+	By       string          `json:"by"` // the daemon at which they were put
 	Note     string          `json:"note,omitempty"`
-	At       time.Time       `json:"at"` // by the clock of the replica that took it; informational
-	Revision uint64          `json:"revision,omitempty"`
+	At       time.Time       `json:"at"`                 // by the clock of the daemon that committed it; informational
+	Revision uint64          `json:"revision,omitempty"` // at which it was committed; 0 in the stored form
 }
 
 func newVersion(number uint64, settings json.RawMessage, by, note string) Version {
-	at := time.Now().UTC().Truncate(time.Second)
-	return Version{Version: number, Settings: settings, By: by, Note: note, At: at}
+	now := time.Now().UTC().Truncate(time.Second)
+	return Version{Version: number, Settings: settings, By: by, Note: note, At: now}
 }
 
 func historyKey(version uint64) string { return fmt.Sprintf("%s%012d", historyPrefix, version) }
 
-// commitOps returns the operations that put a version into effect and delete the oldest ones.
+// commitOps returns the operations that put a version into effect and delete the versions over maxVersions.
 func (v Version) commitOps() ([]store.Op, error) {
 	value, err := json.Marshal(v)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return ops, nil
 }
 
-// nextVersion returns the number of the next version, and the item of the settings in effect.
+// nextVersion returns the number of the next version, and the item of the committed settings, zero if there are none.
 func nextVersion(state *store.State) (next uint64, current store.Item) {
 	next = 1
 	state.Range(historyPrefix, store.PrefixEnd(historyPrefix), func(i store.Item) bool {
@@ -81,8 +81,8 @@
 	return store.Op{Key: prefix, Delete: true, RangeEnd: store.PrefixEnd(prefix)}
 }
 
-// Put has settings checked by every replica and, if all accept them, commits them as the next version, which it
-// returns.
+// Put has every replica check settings and, if all accept them, commits them as the next version, which it returns.
+// While a rollout is running the error is ErrRolloutRunning.
 func (s *Settings) Put(ctx context.Context, settings json.RawMessage, note string) (Version, error) {
 	planRevision, err := s.finishedPlanRevision(ctx)
 	if err != nil {
@@ -98,8 +98,8 @@
 	if err != nil {
 		return Version{}, err
 	}
-	v := newVersion(next, settings, s.name, note)
-	ops, err := v.commitOps()
+	version := newVersion(next, settings, s.name, note)
+	ops, err := version.commitOps()
 	if err != nil {
 		return Version{}, err
 	}
@@ -114,12 +114,13 @@
 	if err == nil && !result.Succeeded {
 		err = errSettingsChanged
 	}
-	v.Revision = result.Revision
-	return v, err
+	version.Revision = result.Revision
+	return version, err
 }
 
-// proposeCandidate has settings checked by every replica, and returns the revision of the candidate that they accepted.
-// The change that puts it into effect has to delete it; its lease deletes that of a daemon which went away.
+// proposeCandidate writes settings as the candidate and waits until every replica has accepted it. It returns the
+// candidate's revision. The transaction that puts the settings into effect has to delete the candidate; if this daemon
+// fails before, the store deletes it when its lease ends.
 func (s *Settings) proposeCandidate(ctx context.Context, settings json.RawMessage) (revision uint64, err error) {
 	if !json.Valid(settings) {
 		return 0, errNotJSON
@@ -154,7 +155,8 @@
 	return result.Revision, nil
 }
 
-// awaitVerdicts waits for every member's verdict on the candidate of a revision, and returns what they found wrong.
+// awaitVerdicts waits for the verdict of every replica on the candidate of a revision. Its error joins the rejections,
+// and names the replicas whose verdict is missing after verdictTimeout.
 func (s *Settings) awaitVerdicts(ctx context.Context, candidateRevision uint64) error {
 	missing := map[string]bool{}
 	_, err := s.store.View(ctx, false, func(state *store.State) {
@@ -168,36 +170,36 @@
 	}
 	waitCtx, cancel := context.WithTimeout(ctx, verdictTimeout)
 	defer cancel()
-	var faults []error
-	after := candidateRevision
+	var rejections []error
+	afterRevision := candidateRevision
 	for len(missing) > 0 {
-		events, reached, err := s.store.Next(waitCtx, verdictPrefix, after, maxVerdictEvents)
+		events, reachedRevision, err := s.store.Next(waitCtx, verdictPrefix, afterRevision, maxVerdictEvents)
 		if err != nil && waitCtx.Err() != nil {
 			names := strings.Join(slices.Sorted(maps.Keys(missing)), ", ")
-			late := fmt.Errorf("no verdict from %s within %v: nothing was changed", names, verdictTimeout)
-			return errors.Join(append(faults, late)...)
+			timeoutErr := fmt.Errorf("no verdict from %s within %v: nothing was changed", names, verdictTimeout)
+			return errors.Join(append(rejections, timeoutErr)...)
 		}
 		if err != nil {
 			return err
 		}
-		after = reached
+		afterRevision = reachedRevision
 		for _, e := range events {
-			name := strings.TrimPrefix(e.Item.Key, verdictPrefix)
-			v, ok := verdictOf(e, candidateRevision)
-			if !ok || !missing[name] {
+			replica := strings.TrimPrefix(e.Item.Key, verdictPrefix)
+			v, ok := decodeVerdict(e, candidateRevision)
+			if !ok || !missing[replica] {
 				continue
 			}
-			delete(missing, name)
+			delete(missing, replica)
 			if v.Error != "" {
-				faults = append(faults, fmt.Errorf("%s: %s", name, v.Error))
+				rejections = append(rejections, fmt.Errorf("%s: %s", replica, v.Error))
 			}
 		}
 	}
-	return errors.Join(faults...)
+	return errors.Join(rejections...)
 }
 
-// verdictOf decodes the verdict that an event wrote, if it is on the candidate of a revision.
-func verdictOf(e store.Event, candidateRevision uint64) (v verdict, ok bool) {
+// decodeVerdict decodes the verdict that an event wrote. ok is false if it is not on the candidate of the revision.
+func decodeVerdict(e store.Event, candidateRevision uint64) (v verdict, ok bool) {
 	if e.Deleted {
 		return verdict{}, false
 	}
@@ -207,37 +209,37 @@
 	return v, v.Candidate == candidateRevision
 }
 
-// History lists the versions, the latest first.
+// History lists the versions that the store keeps, the latest first.
 func (s *Settings) History(ctx context.Context) ([]Version, error) {
-	var all []Version
+	var versions []Version
 	var decodeErr error
 	_, err := s.store.View(ctx, false, func(state *store.State) {
-		all, decodeErr = nil, nil
+		versions, decodeErr = nil, nil
 		state.Range(historyPrefix, store.PrefixEnd(historyPrefix), func(i store.Item) bool {
 			var v Version
 			if err := json.Unmarshal(i.Value, &v); err != nil {
 				decodeErr = fmt.Errorf("decode %s: %w", i.Key, err)
 			}
 			v.Revision = i.ModRevision
-			all = append(all, v)
+			versions = append(versions, v)
 			return true
 		})
 	})
-	slices.Reverse(all)
-	return all, errors.Join(err, decodeErr)
+	slices.Reverse(versions)
+	return versions, errors.Join(err, decodeErr)
 }
 
-// Rollback puts the settings of an earlier version again, as a new one, checked like any other. ErrVersionNotFound says
-// that there is no such version.
+// Rollback puts the settings of an earlier version again, as a new version that is checked like any other. The error is
+// or wraps ErrVersionNotFound if there is no such version.
 func (s *Settings) Rollback(ctx context.Context, version uint64) (Version, error) {
-	all, err := s.History(ctx)
+	versions, err := s.History(ctx)
 	if err != nil {
 		return Version{}, err
 	}
-	for _, v := range all {
+	for _, v := range versions {
 		if v.Version == version {
 			return s.Put(ctx, v.Settings, fmt.Sprintf("rollback to version %d", version))
 		}
 	}
-	return Version{}, fmt.Errorf("%d: %w", version, ErrVersionNotFound)
+	return Version{}, fmt.Errorf("roll back to version %d: %w", version, ErrVersionNotFound)
 }
