--- a/internal/controlplane/components.go
+++ b/internal/controlplane/components.go
@@ -1,7 +1,7 @@
-// Package controlplane runs the components by which a daemon works with others: its copy of the store, what it
-// reports and observes of servers, the settings in force, tasks, quotas of limits, and the socket of its operators.
-// The shipped program runs them beside a sidecar or alone; the lab runs many in one process, without sidecars. The
-// package may import all of the control plane, the store and the platform.
+// Package controlplane runs the components by which a daemon works with other daemons: its copy of the store, the
+// reports on servers, the settings in effect, tasks, the quotas of limits, and the socket for operators. The shipped
+// program runs them beside a sidecar or alone; the lab runs those of many daemons in one process, without sidecars.
+// The package may import all of the control plane, the store and the platform.
 package controlplane
 
 import (
@@ -25,49 +25,50 @@
 
 // Config configures the components of a daemon.
 type Config struct {
-	File          *operatorconfig.File // must have a [store]
-	SettingsCheck daemon.SettingsCheck // of the sidecar that runs beside; nil: none does
-	Sidecar       string               // name of the sidecar that runs beside; "": none does, or it is not known
-	Reload        <-chan os.Signal     // signals to read the settings again; nil: none come
+	File          *operatorconfig.File // must have a [store] section
+	SettingsCheck daemon.SettingsCheck // of the sidecar beside this daemon; nil: there is no sidecar
+	Sidecar       string               // its name; empty: there is no sidecar, or its name is not known
+	Reload        <-chan os.Signal     // signals to read the settings again; nil: there are none
 	Log           *slog.Logger
 	Defects       Defects
 }
 
-// Defects are what tests inject.
+// Defects are injected by tests. The zero value injects none.
 type Defects struct {
-	Clock         bootclock.Clock // at another pace
-	WrapStoreFile func(*os.File)
-	WrapStore     func(admin.Store) admin.Store // of the copy by which operators are answered
+	Clock         bootclock.Clock               // runs at another rate than the host's
+	WrapStoreFile func(*os.File)                // called with the store's file when it is opened; nil: not called
+	WrapStore     func(admin.Store) admin.Store // wraps the copy that serves operators; nil: not wrapped
 	LeaseSession  lease.Defect
 	LeaseTable    lease.TableDefect
 	Quota         quota.Defect
 }
 
-// Components are running. They are safe for concurrent use until Close.
+// Components are the running components of a daemon. They are safe for concurrent use until Close.
 type Components struct {
 	Servers  *daemon.Servers
 	Settings *daemon.Settings
 	Tasks    *leasetask.Runner
-	Limits   *quotasync.Manager // nil: no limits are shared
+	Limits   *quotasync.Manager // nil: the file has no [limits] section
 	Store    Store
-	Usage    *usage.Recorder
+	Usage    *usage.Recorder // of the store's messages, commands and writes
 
-	clock        bootclock.Clock
-	log          *slog.Logger
-	cancel       context.CancelFunc
-	workers      sync.WaitGroup
-	closeServers func() error
+	clock          bootclock.Clock
+	log            *slog.Logger
+	cancel         context.CancelFunc
+	workers        sync.WaitGroup
+	closeListeners func() error
 }
 
-// Store is a copy of the store, a replica's or a follower's.
+// Store is the daemon's copy of the store: a replica's or a follower's.
 type Store interface {
 	admin.Store
 	Close() error
 }
 
-// Open starts the components that the operator file configures. They must be closed.
+// Open starts the components that the operator file configures. The caller must close them. After an error nothing runs
+// and no address stays in use.
 func Open(c Config) (*Components, error) {
-	s := c.File.Store
+	storeSection := c.File.Store
 	storeConfig, err := engineConfig(&c)
 	if err != nil {
 		return nil, err
@@ -75,40 +76,41 @@
 	p := newComponents(&c, storeConfig.Usage)
 	d := daemon.New(c.Log, p.daemonComponents()...)
 	d.DelegateSweep()
-	if err := p.Servers.OpenDrainLog(s.Dir); err != nil {
+	if err := p.Servers.OpenDrainLog(storeSection.Dir); err != nil {
 		if storeConfig.Listener != nil {
 			err = errors.Join(err, storeConfig.Listener.Close())
 		}
 		return nil, err
 	}
-	if isFollower(s) {
-		p.Store, err = p.openFollower(s, d, storeConfig)
+	if isFollower(storeSection) {
+		p.Store, err = p.openFollower(storeSection, d, storeConfig)
 	} else {
-		p.Store, err = p.openReplica(s, d, storeConfig)
+		p.Store, err = p.openReplica(storeSection, d, storeConfig)
 	}
 	if err != nil {
 		return nil, err
 	}
-	if err := p.serve(s, c.Defects.WrapStore, storeConfig.Keys); err != nil {
+	if err := p.serve(storeSection, c.Defects.WrapStore, storeConfig.Keys); err != nil {
 		return nil, errors.Join(err, p.Store.Close())
 	}
 	p.start(&c, d)
-	c.Log.Info("store is running",
-		"replica", s.Name, "listen", s.Listen, "serve", s.FollowerListen, "follows", s.Follow, "socket", s.Socket)
+	c.Log.Info("the store is running",
+		"replica", storeSection.Name, "listen", storeSection.Listen, "serve", storeSection.FollowerListen,
+		"follows", storeSection.Follow, "socket", storeSection.Socket)
 	return p, nil
 }
 
-func isFollower(s *operatorconfig.Store) bool { return len(s.Follow) > 0 }
+func isFollower(storeSection *operatorconfig.Store) bool { return len(storeSection.Follow) > 0 }
 
-// newComponents returns components that are not running yet.
+// newComponents returns components that are not running yet, without a copy of the store.
 func newComponents(c *Config, recorder *usage.Recorder) *Components {
-	s := c.File.Store
+	storeSection := c.File.Store
 	p := &Components{
-		Servers:  daemon.NewServers(s.Name, c.Log),
-		Settings: daemon.NewSettings(s.Name, c.SettingsCheck, c.Log),
+		Servers:  daemon.NewServers(storeSection.Name, c.Log),
+		Settings: daemon.NewSettings(storeSection.Name, c.SettingsCheck, c.Log),
 		Tasks: leasetask.New(leasetask.Config{
-			Host:          s.Name,
-			Skew:          s.MaxClockSkew,
+			Host:          storeSection.Name,
+			Skew:          storeSection.MaxClockSkew,
 			Log:           c.Log,
 			Clock:         c.Defects.Clock,
 			TableDefect:   c.Defects.LeaseTable,
@@ -121,13 +123,13 @@
 	if c.Sidecar != "" {
 		p.Servers.AddSidecar(c.Sidecar)
 	}
-	if l := c.File.Limits; l != nil {
+	if limits := c.File.Limits; limits != nil {
 		p.Limits = quotasync.New(quotasync.Config{
-			Host:                     s.Name,
-			TTL:                      time.Duration(l.SessionTTL),
-			ReportInterval:           time.Duration(l.ReportInterval),
-			ReportIntervalPerProcess: time.Duration(l.ReportIntervalPerProcess),
-			MaxClockSkew:             s.MaxClockSkew,
+			Host:                     storeSection.Name,
+			TTL:                      time.Duration(limits.SessionTTL),
+			ReportInterval:           time.Duration(limits.ReportInterval),
+			ReportIntervalPerProcess: time.Duration(limits.ReportIntervalPerProcess),
+			MaxClockSkew:             storeSection.MaxClockSkew,
 			Clock:                    c.Defects.Clock,
 			Log:                      c.Log,
 			Defect:                   c.Defects.Quota,
@@ -144,7 +146,7 @@
 	return all
 }
 
-// start starts the workers, which run until Close.
+// start starts the goroutines of the components and of the fleet's tasks, which run until Close.
 func (p *Components) start(c *Config, d *daemon.Daemon) {
 	ctx, cancel := context.WithCancel(context.Background())
 	p.cancel = cancel
@@ -158,12 +160,12 @@
 	}
 }
 
-// Close stops the components. Leases are released while the store still accepts that.
+// Close stops the components. It first releases the leases of tasks, for which the store must still be running.
 func (p *Components) Close() {
 	p.Tasks.Close()
 	p.cancel()
 	p.workers.Wait()
-	if err := errors.Join(p.closeServers(), p.Store.Close()); err != nil {
-		p.log.Warn("closing the store failed", "error", err)
+	if err := errors.Join(p.closeListeners(), p.Store.Close()); err != nil {
+		p.log.Warn("cannot close the store cleanly", "error", err)
 	}
 }
--- a/internal/controlplane/components_test.go
+++ b/internal/controlplane/components_test.go
@@ -11,7 +11,8 @@
 	"birchmoor/internal/lab/address"
 )
 
-// Guards against a listener that stays open when a daemon fails to start: its address could not be listened on again.
+// Guards against a listener that stays open after a daemon failed to start, so that a retry cannot listen on its
+// address. Here the start fails because the drain log is a folder and cannot be read.
 func TestFailedOpenReleasesAddress(t *testing.T) {
 	dir := t.TempDir()
 	addr := address.Next()
@@ -21,15 +22,15 @@
 		t.Fatal(err)
 	}
 	drainLog := filepath.Join(dir, "a", "words")
-	if err := os.MkdirAll(drainLog, 0o700); err != nil { // a folder is no log
+	if err := os.MkdirAll(drainLog, 0o700); err != nil { // a folder in place of the file
 		t.Fatal(err)
 	}
-	f, err := operatorconfig.Read(file)
+	operatorFile, err := operatorconfig.Read(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(Config{File: f, Log: slog.New(slog.DiscardHandler)}); err == nil {
-		t.Fatal("opened with a folder in the place of the drain log")
+	if _, err := Open(Config{File: operatorFile, Log: slog.New(slog.DiscardHandler)}); err == nil {
+		t.Fatal("Open succeeded with a folder in place of the drain log")
 	}
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/internal/controlplane/serve.go
+++ b/internal/controlplane/serve.go
@@ -14,9 +14,12 @@
 	"birchmoor/internal/store/engine"
 )
 
-// serve serves operators by a Unix socket and, if it is configured, followers by TCP.
-func (p *Components) serve(s *operatorconfig.Store, wrapStore func(admin.Store) admin.Store, pair *keys.Pair) error {
-	if err := os.MkdirAll(filepath.Dir(s.Socket), 0o700); err != nil {
+// serve starts to serve operators by a Unix socket and, if FollowerListen is set, followers by TCP. wrapStore may be
+// nil.
+func (p *Components) serve(
+	storeSection *operatorconfig.Store, wrapStore func(admin.Store) admin.Store, keyPair *keys.Pair,
+) error {
+	if err := os.MkdirAll(filepath.Dir(storeSection.Socket), 0o700); err != nil {
 		return err
 	}
 	components := adminapi.Components{
@@ -27,27 +30,27 @@
 		Clock:    p.clock,
 		Usage:    p.Usage,
 	}
-	copyOfStore := admin.Store(p.Store)
+	storeCopy := admin.Store(p.Store)
 	if wrapStore != nil {
-		copyOfStore = wrapStore(copyOfStore)
+		storeCopy = wrapStore(storeCopy)
 	}
-	operators, err := adminapi.Listen(s.Socket, copyOfStore, components)
+	operatorServer, err := adminapi.Listen(storeSection.Socket, storeCopy, components)
 	if err != nil {
 		return err
 	}
-	p.closeServers = operators.Close
-	if s.FollowerListen == "" {
+	p.closeListeners = operatorServer.Close
+	if storeSection.FollowerListen == "" {
 		return nil
 	}
-	listener, err := net.Listen("tcp", s.FollowerListen)
+	listener, err := net.Listen("tcp", storeSection.FollowerListen)
 	if err != nil {
-		return errors.Join(fmt.Errorf("store: %w", err), operators.Close())
+		return errors.Join(fmt.Errorf("store: listen for followers: %w", err), operatorServer.Close())
 	}
-	replica := p.Store.(*engine.Engine) // a follower's file has no FollowerListen
-	followers, err := admin.ServeFollowers(listener, replica, components.FollowerRules(), pair)
+	replica := p.Store.(*engine.Engine) // only replicas may have FollowerListen, see package operatorconfig
+	followerServer, err := admin.ServeFollowers(listener, replica, components.FollowerRules(), keyPair)
 	if err != nil {
-		return errors.Join(err, listener.Close(), operators.Close())
+		return errors.Join(err, listener.Close(), operatorServer.Close())
 	}
-	p.closeServers = func() error { return errors.Join(followers.Close(), operators.Close()) }
+	p.closeListeners = func() error { return errors.Join(followerServer.Close(), operatorServer.Close()) }
 	return nil
 }
--- a/internal/controlplane/storecopy.go
+++ b/internal/controlplane/storecopy.go
@@ -20,73 +20,77 @@
 	"birchmoor/internal/store/follower"
 )
 
-// What a daemon starts with, as it is shown to operators.
+// Sources of the copy with which a daemon starts, as operators see them. A follower may report further ones.
 const (
 	startedFromDisk    = "own disk"
 	startedFromNothing = "nothing"
 )
 
-// firstViewTimeout is the time for a replica that was just opened to show its own copy.
+// firstViewTimeout bounds the first read of the copy of a replica that was just opened.
 const firstViewTimeout = time.Second
 
-// engineConfig returns the configuration of a replica. It reads the keys and listens for other replicas.
+// engineConfig returns the configuration of a replica. It reads the keys and opens the listener for other replicas. A
+// follower uses its keys and usage recorder.
 func engineConfig(c *Config) (engine.Config, error) {
-	s := c.File.Store
+	storeSection := c.File.Store
 	limits := store.DefaultLimits
-	limits.TotalBytes = s.MaxTotalMB << 20
+	limits.TotalBytes = storeSection.MaxTotalMB << 20
 	cfg := engine.Config{
-		Name:             s.Name,
-		Dir:              s.Dir,
-		Address:          s.Address,
-		Join:             s.Join,
+		Name:             storeSection.Name,
+		Dir:              storeSection.Dir,
+		Address:          storeSection.Address,
+		Join:             storeSection.Join,
 		Limits:           limits,
-		TickInterval:     time.Duration(s.Tick),
-		ElectionTicks:    s.ElectionTicks,
+		TickInterval:     time.Duration(storeSection.Tick),
+		ElectionTicks:    storeSection.ElectionTicks,
 		Log:              c.Log,
 		Usage:            adminapi.NewUsageRecorder(),
-		AddressOverrides: peerRoutes(s.PeerRoutes),
+		AddressOverrides: peerRoutes(storeSection.PeerRoutes),
 	}
 	cfg.DiskOptions.OnOpen = c.Defects.WrapStoreFile
 	if c.Defects.Clock.Rate != 0 {
 		cfg.TickInterval = c.Defects.Clock.TimerDuration(int64(cfg.TickInterval))
 	}
 	var err error
-	if s.Keys != "" {
-		cfg.Keys, err = keys.Open(s.Keys, s.Name)
+	if storeSection.Keys != "" {
+		cfg.Keys, err = keys.Open(storeSection.Keys, storeSection.Name)
 		if err != nil {
 			return engine.Config{}, err
 		}
 	}
-	if s.Listen != "" {
-		cfg.Listener, err = net.Listen("tcp", s.Listen)
+	if storeSection.Listen != "" {
+		cfg.Listener, err = net.Listen("tcp", storeSection.Listen)
 		if err != nil {
-			return engine.Config{}, fmt.Errorf("store: %w", err)
+			return engine.Config{}, fmt.Errorf("store: listen for other replicas: %w", err)
 		}
 	}
 	return cfg, nil
 }
 
-// peerRoutes returns the addresses of NAME=ADDRESS texts by name, or nil if there are none.
-func peerRoutes(texts []string) map[string]string {
-	if len(texts) == 0 {
+// peerRoutes returns the addresses of NAME=ADDRESS entries by name, or nil if there are none.
+func peerRoutes(entries []string) map[string]string {
+	if len(entries) == 0 {
 		return nil
 	}
 	routes := map[string]string{}
-	for _, text := range texts {
-		name, address, _ := strings.Cut(text, "=")
+	for _, entry := range entries {
+		name, address, _ := strings.Cut(entry, "=")
 		routes[name] = address
 	}
 	return routes
 }
 
-// openReplica opens a replica, and records what its daemon starts with.
-func (p *Components) openReplica(s *operatorconfig.Store, d *daemon.Daemon, cfg engine.Config) (Store, error) {
+// openReplica opens a replica, and records the state of its copy at the start. It closes the listener after an error of
+// engine.Open.
+func (p *Components) openReplica(
+	storeSection *operatorconfig.Store, d *daemon.Daemon, cfg engine.Config,
+) (Store, error) {
 	d.InstallHooks(&cfg)
 	startedFrom := startedFromNothing
-	var written time.Time
-	if info, err := os.Stat(filepath.Join(s.Dir, disk.FileName)); err == nil {
+	var diskWrittenAt time.Time
+	if info, err := os.Stat(filepath.Join(storeSection.Dir, disk.FileName)); err == nil {
 		startedFrom = startedFromDisk
-		written = info.ModTime()
+		diskWrittenAt = info.ModTime()
 	}
 	replica, err := engine.Open(cfg)
 	if err != nil {
@@ -102,31 +106,31 @@
 	if err != nil {
 		return nil, errors.Join(err, replica.Close())
 	}
-	p.Servers.RecordStartup(startedFrom, age.Revision, written, p.Settings.Current() != nil)
+	p.Servers.RecordStartup(startedFrom, age.Revision, diskWrittenAt, p.Settings.Current() != nil)
 	return replica, nil
 }
 
-// openFollower opens a copy of others' replicas, and records what its daemon starts with.
+// openFollower opens a follower's copy of the store, and records the state of the copy at the start.
 func (p *Components) openFollower(
-	s *operatorconfig.Store, d *daemon.Daemon, replicaConfig engine.Config,
+	storeSection *operatorconfig.Store, d *daemon.Daemon, replicaConfig engine.Config,
 ) (Store, error) {
 	cfg := follower.Config{
-		Name:             s.Name,
-		Dir:              s.Dir,
+		Name:             storeSection.Name,
+		Dir:              storeSection.Dir,
 		Keys:             replicaConfig.Keys,
 		Usage:            replicaConfig.Usage,
-		FirstCopyTimeout: time.Duration(s.FirstCopyTimeout),
+		FirstCopyTimeout: time.Duration(storeSection.FirstCopyTimeout),
 		Log:              p.log,
 		OnSnapshotAge:    p.Servers.ReportSnapshotAge,
 	}
-	for _, text := range s.Follow {
-		name, address, _ := strings.Cut(text, "=")
+	for _, entry := range storeSection.Follow {
+		name, address, _ := strings.Cut(entry, "=")
 		cfg.Replicas = append(cfg.Replicas, follower.Replica{Name: name, Addr: address})
 	}
 	cfg.OnEvent, cfg.OnReset = d.Hooks()
 	cfg.OnCaughtUp = d.CaughtUp
 	cfg.OnConfirmed = d.Confirmed
-	if s.Interest != operatorconfig.InterestAll {
+	if storeSection.Interest != operatorconfig.InterestAll {
 		cfg.Subscription = d.Subscription
 		cfg.OnPrefixSize = d.ObservePrefixSize
 	}
@@ -135,11 +139,11 @@
 		return nil, err
 	}
 	d.Attach(f)
-	startedFrom, written := f.StartedFrom()
+	startedFrom, diskWrittenAt := f.StartedFrom()
 	age, err := f.View(context.Background(), true, func(*store.State) {})
 	if err != nil {
 		startedFrom = startedFromNothing
 	}
-	p.Servers.RecordStartup(startedFrom, age.Revision, written, p.Settings.Current() != nil)
+	p.Servers.RecordStartup(startedFrom, age.Revision, diskWrittenAt, p.Settings.Current() != nil)
 	return f, nil
 }
--- a/internal/controlplane/tasks.go
+++ b/internal/controlplane/tasks.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	sweepInterval   = 10 * time.Second
-	rolloutInterval = 250 * time.Millisecond
+	sweepInterval   = 10 * time.Second       // between sweeps of expired reports
+	rolloutInterval = 250 * time.Millisecond // between checks of the current step of a rollout
 )
 
-// runTask has a worker run a task of the fleet.
+// runTask starts a goroutine that claims a task of the fleet and, while this daemon holds its lease, executes it.
 func (p *Components) runTask(ctx context.Context, t leasetask.Task) {
 	p.workers.Go(func() {
-		// Its error is that of an invalid claim, or of ctx.
+		// The error says that ctx has ended: the claims of this package are valid.
 		_ = p.Tasks.RunTask(ctx, t)
 	})
 }
 
-// sweepTask returns the task of expiring what has not been reported for long.
+// sweepTask returns the task of deleting reports that were not renewed within their retention.
 func sweepTask(d *daemon.Daemon, servers *daemon.Servers, ttl time.Duration) leasetask.Task {
-	var subscribedToken uint64 // of the lease under which the copy holds all that is swept
+	var subscribedToken uint64 // fencing token of the lease during which this daemon subscribes to all snapshots
 	return leasetask.Task{
 		Claim: leasetask.Claim{
 			Task: daemon.FleetTask,
@@ -64,7 +64,7 @@
 	}
 }
 
-// forwardReloads has the settings of the fleet reloaded at each signal, until ctx ends.
+// forwardReloads forwards each signal to the sidecar as a reload of the settings, until ctx ends.
 func (p *Components) forwardReloads(ctx context.Context, signals <-chan os.Signal) {
 	for {
 		select {
