--- a/internal/controlplane/operatorconfig/checker.go
+++ b/internal/controlplane/operatorconfig/checker.go
@@ -6,41 +6,44 @@
 	"time"
 )
 
-// checker sets defaults of a file's values and collects the errors of those out of range.
+// checker sets the defaults of a file's values and collects the errors of the values that are out of range. For its
+// methods the zero value stands for a key that is not in the file.
 type checker struct {
 	path string
 	errs []error
 }
 
-// invalid adds an error of a key.
+// invalid adds the error of a key, with a reason that follows the key in the text.
 func (c *checker) invalid(key, format string, args ...any) {
 	c.errs = append(c.errs, &Error{Path: c.path, Key: key, Reason: fmt.Sprintf(format, args...)})
 }
 
-// dir checks a folder, which has no default, and makes it absolute or relative to the working folder.
-func (c *checker) dir(key string, v *string) {
+// dir checks that a path is set, which has no default, and makes a relative one relative to the folder of the file.
+func (c *checker) dir(key string, value *string) {
 	switch {
-	case *v == "":
+	case *value == "":
 		c.invalid(key, "is missing")
-	case !filepath.IsAbs(*v):
-		*v = filepath.Join(filepath.Dir(c.path), *v)
+	case !filepath.IsAbs(*value):
+		*value = filepath.Join(filepath.Dir(c.path), *value)
 	}
 }
 
-func (c *checker) number(key string, v *int, fallback, lowest, highest int) {
-	if *v == 0 {
-		*v = fallback
+// number sets the default of a number and checks that it is within two bounds, which it may reach.
+func (c *checker) number(key string, value *int, defaultValue, minValue, maxValue int) {
+	if *value == 0 {
+		*value = defaultValue
 	}
-	if *v < lowest || *v > highest {
-		c.invalid(key, "%d is not within %d and %d", *v, lowest, highest)
+	if *value < minValue || *value > maxValue {
+		c.invalid(key, "%d is not within %d and %d", *value, minValue, maxValue)
 	}
 }
 
-func (c *checker) duration(key string, v *Duration, fallback, shortest, longest time.Duration) {
-	if *v == 0 {
-		*v = Duration(fallback)
+// duration does for durations what number does for numbers.
+func (c *checker) duration(key string, value *Duration, defaultValue, minValue, maxValue time.Duration) {
+	if *value == 0 {
+		*value = Duration(defaultValue)
 	}
-	if d := time.Duration(*v); d < shortest || d > longest {
-		c.invalid(key, "%v is not within %v and %v", d, shortest, longest)
+	if d := time.Duration(*value); d < minValue || d > maxValue {
+		c.invalid(key, "%v is not within %v and %v", d, minValue, maxValue)
 	}
 }
--- a/internal/controlplane/operatorconfig/dns.go
+++ b/internal/controlplane/operatorconfig/dns.go
@@ -7,37 +7,37 @@
 	"time"
 )
 
-// DNS is the frontend for DNS queries. All numbers are for one process.
+// DNS configures the frontend for DNS queries. All limits apply to one process.
 type DNS struct {
 	Listen            string   `toml:"listen"`      // host and port, for UDP and TCP
-	MaxOpenQueries    int      `toml:"open"`        // queries in flight
-	MaxOpenPerClient  int      `toml:"per_client"`  // of them, from one network of clients (/24, /56)
-	UnverifiedPercent int      `toml:"unproven"`    // of them, from UDP addresses without a valid cookie
-	RatePerClient     int      `toml:"rate"`        // answers a second to one network of clients
-	BurstPerClient    int      `toml:"burst"`       // answers at once to one network of clients
+	MaxOpenQueries    int      `toml:"open"`        // queries in flight, of all clients
+	MaxOpenPerClient  int      `toml:"per_client"`  // queries in flight of one client network (/24 or /56)
+	UnverifiedPercent int      `toml:"unproven"`    // share of MaxOpenQueries for UDP addresses without a valid cookie
+	RatePerClient     int      `toml:"rate"`        // answers a second to one client network without cookies
+	BurstPerClient    int      `toml:"burst"`       // answers at once to such a network
 	TruncateEvery     *int     `toml:"slip"`        // one in so many answers over the rate is sent truncated; 0: none
-	MaxClientPrefixes int      `toml:"prefixes"`    // networks of clients that are remembered
-	MaxUDPSockets     int      `toml:"sockets"`     // to servers
-	MaxTCPPerServer   int      `toml:"tcp_server"`  // connections
-	MaxTCPClients     int      `toml:"tcp_clients"` // connections
-	MaxOpenPerConn    int      `toml:"per_conn"`    // queries in flight on a connection
-	IdleTimeout       Duration `toml:"idle"`        // of a connection without queries
+	MaxClientPrefixes int      `toml:"prefixes"`    // client networks whose rates are tracked
+	MaxUDPSockets     int      `toml:"sockets"`     // sockets for queries to servers
+	MaxTCPPerServer   int      `toml:"tcp_server"`  // connections to one server
+	MaxTCPClients     int      `toml:"tcp_clients"` // connections of clients
+	MaxOpenPerConn    int      `toml:"per_conn"`    // queries in flight on one client connection
+	IdleTimeout       Duration `toml:"idle"`        // after which a connection without queries is closed
 
-	Class map[string]*DNSClass `toml:"class"`
+	Class map[string]*DNSClass `toml:"class"` // by name; at least one is required
 }
 
-// DNSClass is a class of queries.
+// DNSClass is a class of queries, which Suffixes, Types, Transports and Operations select.
 type DNSClass struct {
-	Suffixes           []string `toml:"suffixes"`   // domains of the names; none: all
-	Types              []string `toml:"types"`      // none: all
-	Transports         []string `toml:"transports"` // udp, tcp; none: both
-	Operations         []string `toml:"ops"`        // query, update, notify; none: query
+	Suffixes           []string `toml:"suffixes"`   // domains of the queried names; none: all
+	Types              []string `toml:"types"`      // of resource records; none: all
+	Transports         []string `toml:"transports"` // udp or tcp, by which clients send the query; none: both
+	Operations         []string `toml:"ops"`        // opcodes: query, update, notify; none: query
 	LatencyObjective   Duration `toml:"aim"`
 	Timeout            Duration `toml:"give_up"`
 	PriorityWeight     float64  `toml:"worth"`
 	LatePriorityWeight *float64 `toml:"late_worth"` // fraction of PriorityWeight after the latency objective
 	MaxAttempts        int      `toml:"attempts"`
-	Coalesce           bool     `toml:"share"` // equal queries in flight share one answer
+	Coalesce           bool     `toml:"share"` // queries that are equal to one in flight share its answer
 }
 
 const (
@@ -85,7 +85,7 @@
 		return
 	}
 	if ip := net.ParseIP(host); ip == nil || ip.IsUnspecified() {
-		const reason = "%q is not the address of one interface: answers over UDP must leave by the one that was asked"
+		const reason = "%q is not the address of one interface, which answers over UDP need as their source"
 		c.invalid(key, reason, host)
 	}
 }
--- a/internal/controlplane/operatorconfig/file.go
+++ b/internal/controlplane/operatorconfig/file.go
@@ -1,8 +1,8 @@
-// Package operatorconfig reads the operator file: what a process does beyond what the platform configures. Without the
-// file all of it is off.
+// Package operatorconfig reads the operator file, which configures the features of a process that the platform's
+// configuration does not cover. Without the file all of them are off.
 //
-// The file is TOML, strictly read: an unknown key or a value out of range is an error that names file, line and
-// key. The package may import lease, keys and stricttoml alone.
+// The file is TOML and read strictly: an unknown key or a value out of range is an error that names the file, the key
+// and, where it is known, the line. Of birchmoor the package may import only lease, keys and stricttoml.
 package operatorconfig
 
 import (
@@ -23,27 +23,27 @@
 	DNS           *DNS           `toml:"dns"`
 }
 
-// StateSnapshot is where what a decision module has learned is stored for the next start.
+// StateSnapshot configures where a sidecar stores the state of its decision module for its next start.
 type StateSnapshot struct {
-	Dir string `toml:"dir"` // one file for each sidecar's name
+	Dir string `toml:"dir"` // holds one file for each sidecar, by its name
 }
 
-// Capture is a recording of what the decision module is given and answers.
+// Capture configures the recording of the inputs and decisions of the decision module, for a later replay.
 type Capture struct {
 	Dir              string   `toml:"dir"`
-	BudgetMB         int      `toml:"budget_mb"` // of all files of a sidecar
-	MaxFileMB        int      `toml:"file_mb"`   // after which a new file begins
-	MaxFileAge       Duration `toml:"file_age"`  // after which a new file begins
-	SnapshotInterval Duration `toml:"segment"`
-	MaxQueuedBatches int      `toml:"queue"` // batches of 24 KiB on their way to the disk
-	RetryDelay       Duration `toml:"retry"` // after the disk failed
+	BudgetMB         int      `toml:"budget_mb"` // size of all files of a sidecar; the oldest are deleted first
+	MaxFileMB        int      `toml:"file_mb"`   // size after which a new file begins
+	MaxFileAge       Duration `toml:"file_age"`  // age after which a new file begins
+	SnapshotInterval Duration `toml:"segment"`   // between snapshots, from each of which a replay can begin
+	MaxQueuedBatches int      `toml:"queue"`     // batches of about 24 KiB that wait to be written to the disk
+	RetryDelay       Duration `toml:"retry"`     // after a failed write to the disk
 }
 
-// Limits configures how the fleet's limits are shared by the store.
+// Limits configures how sidecars share the fleet's limits through the store.
 type Limits struct {
-	SessionTTL               Duration `toml:"lease"` // after which the quotas of a silent sidecar end
-	ReportInterval           Duration `toml:"tell"`  // between two reports of a sidecar, at least
-	ReportIntervalPerProcess Duration `toml:"each"`  // for each sidecar of the fleet, if that makes a longer interval
+	SessionTTL               Duration `toml:"lease"` // of a sidecar's session, after which its quotas end
+	ReportInterval           Duration `toml:"tell"`  // shortest time between two reports of a sidecar's demand
+	ReportIntervalPerProcess Duration `toml:"each"`  // times the number of sidecars: the interval, if longer
 }
 
 // Duration is a time.Duration in the text form of Go, such as "5m".
@@ -56,21 +56,21 @@
 	return err
 }
 
-// Error is an error of the file.
+// Error is an error of the content of an operator file.
 type Error = stricttoml.Error
 
-// Read reads a file, sets defaults and checks all values. Relative folders are within the file's own. Errors of the
-// content are joined, each an *Error.
+// Read reads a file, sets the defaults and checks all values. Relative paths are relative to the file's folder. Errors
+// of the content are joined, each an *Error.
 func Read(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("operator file: %w", err)
+		return nil, fmt.Errorf("read operator file: %w", err)
 	}
 	f := &File{}
 	decodeErr := stricttoml.Decode(path, "operator files", text, f)
 	var invalid *Error
 	if decodeErr != nil && (!errors.As(decodeErr, &invalid) || !invalid.UnknownKey) {
-		return nil, decodeErr // the rest of the file was not read
+		return nil, decodeErr // the values after the error are not decoded, so that they cannot be checked
 	}
 	if err := errors.Join(decodeErr, f.check(path)); err != nil {
 		return nil, err
@@ -78,7 +78,7 @@
 	return f, nil
 }
 
-// check sets defaults and returns what is out of range.
+// check sets the defaults of all sections, and returns the joined errors of values that are missing or out of range.
 func (f *File) check(path string) error {
 	c := &checker{path: path}
 	if f.StateSnapshot != nil {
@@ -92,7 +92,7 @@
 	}
 	if f.Limits != nil {
 		if f.Store == nil {
-			c.invalid("limits", "are shared by the store: [store] is missing")
+			c.invalid("limits", "requires a [store] section, through which limits are shared")
 		}
 		f.Limits.check(c)
 	}
--- a/internal/controlplane/operatorconfig/file_test.go
+++ b/internal/controlplane/operatorconfig/file_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-func read(t *testing.T, text string) (*File, error) {
+// readText reads an operator file with the given text.
+func readText(t *testing.T, text string) (*File, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "op.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -18,20 +19,20 @@
 }
 
 func TestReadSetsDefaults(t *testing.T) {
-	f, err := read(t, "[capture]\ndir = \"c\"\nbudget_mb = 8\nsegment = \"1m\"\n")
+	f, err := readText(t, "[capture]\ndir = \"c\"\nbudget_mb = 8\nsegment = \"1m\"\n")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := f.Capture
+	capture := f.Capture
 	if f.StateSnapshot != nil {
-		t.Errorf("%+v", f.StateSnapshot)
+		t.Errorf("state snapshot %+v without a section of the file, want nil", f.StateSnapshot)
 	}
-	if !filepath.IsAbs(c.Dir) || c.MaxFileMB != 2 || c.MaxQueuedBatches != 32 ||
-		c.SnapshotInterval != Duration(time.Minute) {
-		t.Errorf("%+v", c)
+	if !filepath.IsAbs(capture.Dir) || capture.MaxFileMB != 2 || capture.MaxQueuedBatches != 32 ||
+		capture.SnapshotInterval != Duration(time.Minute) {
+		t.Errorf("capture %+v, want an absolute folder, defaults of 2 MB and 32 batches, and segments of 1m", capture)
 	}
-	if f, err := read(t, ""); err != nil || f.Capture != nil {
-		t.Error("an empty file turns something on:", err)
+	if f, err := readText(t, ""); err != nil || f.Capture != nil {
+		t.Error("reading an empty file fails or turns capture on:", err)
 	}
 }
 
@@ -45,16 +46,17 @@
 		"[keep]\n":                                  "keep.dir: is missing",
 		"capture = 3\n":                             ":1",
 	} {
-		if _, err := read(t, text); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %s", text, err, want)
+		if _, err := readText(t, text); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("reading %q: error %v, want one with %s", text, err, want)
 		}
 	}
 	if _, err := Read("nowhere.toml"); err == nil {
-		t.Error("read a file that is not there")
+		t.Error("reading a missing file succeeds")
 	}
 }
 
-// The operator file of deploy/ turns nothing on by itself, and all keys in its comments are known.
+// Guards against a deployed operator file that turns features on, or that shows unknown keys or invalid values in its
+// commented sections.
 func TestDeployedFileTurnsNothingOn(t *testing.T) {
 	path := filepath.Join("..", "..", "..", "deploy", "operator.toml")
 	text, err := os.ReadFile(path)
@@ -62,40 +64,42 @@
 		t.Fatal(err)
 	}
 	if f, err := Read(path); err != nil || f.Capture != nil || f.StateSnapshot != nil {
-		t.Errorf("%+v, %v", f, err)
+		t.Errorf("the deployed file reads as %+v, error %v, want all features off", f, err)
 	}
-	shown := strings.NewReplacer("\n#[", "\n[", "\n#", "\n").Replace("\n" + string(text))
-	lines := strings.Split(shown, "\n")
-	kept := lines[:0]
+	uncommented := strings.NewReplacer("\n#[", "\n[", "\n#", "\n").Replace("\n" + string(text))
+	lines := strings.Split(uncommented, "\n")
+	keyLines := lines[:0]
 	for _, line := range lines {
 		if !strings.HasPrefix(line, " ") {
-			kept = append(kept, line)
+			keyLines = append(keyLines, line)
 		}
 	}
-	if f, err := read(t, strings.Join(kept, "\n")); err != nil || f.Capture == nil || f.StateSnapshot == nil {
-		t.Errorf("%+v, %v", f, err)
+	if f, err := readText(t, strings.Join(keyLines, "\n")); err != nil || f.Capture == nil || f.StateSnapshot == nil {
+		t.Errorf("the uncommented file reads as %+v, error %v, want its features on", f, err)
 	}
 }
 
 func TestReadNamesAllInvalidKeysOfStore(t *testing.T) {
-	_, err := read(t, "[store]\nname = \"A\"\nlisten = \"192.0.2.1:7\"\nplain = true\nfoo = 1\n")
+	_, err := readText(t, "[store]\nname = \"A\"\nlisten = \"192.0.2.1:7\"\nplain = true\nfoo = 1\n")
 	for _, want := range []string{"store.foo", "store.name", "store.dir", "store.socket", "store.plain"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s is not named: %v", want, err)
+			t.Errorf("%s is not named in the error: %v", want, err)
 		}
 	}
 }
 
-// A daemon without a replica has replicas to follow, by name and address, and no key of a replica.
+// A daemon without a replica names the replicas that it follows, with their addresses, and sets no key that is for
+// replicas. A replica sets no key that is for followers.
 func TestReadChecksKeysOfFollowers(t *testing.T) {
-	base := "[store]\nname = \"h\"\ndir = \"d\"\nsocket = \"s\"\n"
-	f, err := read(t, base+"plain = true\nfollow = [\"a=127.0.0.1:1\", \"b=[::1]:2\"]\n")
+	requiredKeys := "[store]\nname = \"h\"\ndir = \"d\"\nsocket = \"s\"\n"
+	f, err := readText(t, requiredKeys+"plain = true\nfollow = [\"a=127.0.0.1:1\", \"b=[::1]:2\"]\n")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := f.Store
-	if len(s.Follow) != 2 || s.Interest != InterestOwn || s.FirstCopyTimeout != Duration(500*time.Millisecond) {
-		t.Errorf("%+v", s)
+	store := f.Store
+	if len(store.Follow) != 2 || store.Interest != InterestOwn ||
+		store.FirstCopyTimeout != Duration(500*time.Millisecond) {
+		t.Errorf("store section of a follower is %+v, want two replicas and the defaults", store)
 	}
 	for text, want := range map[string]string{
 		"plain = true\nfollow = [\"127.0.0.1:1\"]\n":                             "store.follow[0]",
@@ -110,8 +114,8 @@
 		"plain = true\nfollow = [\"a=127.0.0.1:1\"]\ninterest = \"some\"\n":      "store.interest",
 		"plain = true\nlisten = \"127.0.0.1:3\"\ninterest = \"all\"\n":           "store.interest",
 	} {
-		if _, err := read(t, base+text); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %s named", text, err, want)
+		if _, err := readText(t, requiredKeys+text); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("reading %q: error %v, want one that names %s", text, err, want)
 		}
 	}
 }
--- a/internal/controlplane/operatorconfig/format_test.go
+++ b/internal/controlplane/operatorconfig/format_test.go
@@ -10,8 +10,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// TestFileFormatUnchanged reads files with every key and with none but the required ones, and writes what was read as
-// revision 7105f7a did: keys, values and defaults are the same.
+// Guards against changed keys, values and defaults. A file with every key and a file with only the required keys are
+// read and written again; the results equal those of commit 7105f7a.
 func TestFileFormatUnchanged(t *testing.T) {
 	files := map[string]*File{}
 	for _, name := range []string{"full", "defaults"} {
@@ -28,12 +28,12 @@
 			t.Fatal(err)
 		}
 		if !bytes.Equal(written, golden) {
-			t.Errorf("%s reads as\n%s\nnot as\n%s", name, written, golden)
+			t.Errorf("%s.toml is read as\n%s\nwant\n%s", name, written, golden)
 		}
 		files[name] = f
 	}
 	full := files["full"]
-	for name, ok := range map[string]bool{
+	for name, equal := range map[string]bool{
 		"store.elect_ticks": full.Store.ElectionTicks == 11,
 		"store.wait":        full.Store.FirstCopyTimeout == Duration(510*time.Millisecond),
 		"store.skew":        full.Store.MaxClockSkew == 0.03,
@@ -42,8 +42,8 @@
 		"dns.class.aim":     full.DNS.Class["lookup"].LatencyObjective == Duration(251*time.Millisecond),
 		"capture.file_age":  full.Capture.MaxFileAge == Duration(31*time.Minute),
 	} {
-		if !ok {
-			t.Errorf("%s is read into another field: %+v", name, full)
+		if !equal {
+			t.Errorf("the value of %s is not in its field: %+v", name, full)
 		}
 	}
 }
--- a/internal/controlplane/operatorconfig/store.go
+++ b/internal/controlplane/operatorconfig/store.go
@@ -10,35 +10,35 @@
 	"birchmoor/internal/platform/keys"
 )
 
-// Store is a replica of the store, or a follower's copy of it.
+// Store configures a replica of the store or, if Follow is set, a follower's copy of it.
 type Store struct {
-	Name          string   `toml:"name"`    // of the replica
-	Dir           string   `toml:"dir"`     // of its disk
-	Socket        string   `toml:"socket"`  // where operators reach it
-	Listen        string   `toml:"listen"`  // where other replicas reach it; empty: it is the only one
-	Address       string   `toml:"address"` // by which they do, if it is not Listen
-	PeerRoutes    []string `toml:"via"`     // NAME=ADDRESS: where this replica reaches another, if not by its address
-	Join          bool     `toml:"join"`    // with an empty disk it waits to be added to a cluster
-	Keys          string   `toml:"keys"`    // folder with ca.pem and NAME.key
-	Plaintext     bool     `toml:"plain"`   // TCP without keys, for loopback addresses alone
-	MaxTotalMB    int      `toml:"total_mb"`
-	Tick          Duration `toml:"tick"`
-	ElectionTicks int      `toml:"elect_ticks"` // without a leader, after which an election begins
-
-	FollowerListen   string   `toml:"serve"`  // where daemons without a replica reach this one
-	Follow           []string `toml:"follow"` // NAME=ADDRESS of replicas' FollowerListen: this daemon has no replica
-	FirstCopyTimeout Duration `toml:"wait"`   // after which a follower's sidecar serves without a copy
+	Name          string   `toml:"name"`        // of the daemon and its replica
+	Dir           string   `toml:"dir"`         // in which the copy is stored
+	Socket        string   `toml:"socket"`      // path of the Unix socket for operators
+	Listen        string   `toml:"listen"`      // address for other replicas; empty: this is the only replica
+	Address       string   `toml:"address"`     // by which other replicas connect, if it is not Listen
+	PeerRoutes    []string `toml:"via"`         // NAME=HOST:PORT: connect to that replica by this address
+	Join          bool     `toml:"join"`        // with an empty folder the replica waits to be added to a cluster
+	Keys          string   `toml:"keys"`        // folder with ca.pem and NAME.key
+	Plaintext     bool     `toml:"plain"`       // TCP without TLS, only on loopback addresses
+	MaxTotalMB    int      `toml:"total_mb"`    // size of all keys and values
+	Tick          Duration `toml:"tick"`        // unit of the replica's timers
+	ElectionTicks int      `toml:"elect_ticks"` // ticks without a leader after which an election begins
+
+	FollowerListen   string   `toml:"serve"`  // address for daemons without a replica
+	Follow           []string `toml:"follow"` // NAME=HOST:PORT of replicas to follow; none: it has its own
+	FirstCopyTimeout Duration `toml:"wait"`   // a follower's sidecar serves without a copy after this time
 
 	Interest string `toml:"interest"` // what a follower's copy holds: InterestOwn or InterestAll
 
-	TaskTTL      Duration `toml:"lease"` // after which the tasks of a silent daemon go to others
-	MaxClockSkew float64  `toml:"skew"`  // by which the fastest clock of two hosts gains on the other at most
+	TaskTTL      Duration `toml:"lease"` // of the leases of tasks, after which those of a failed daemon go to others
+	MaxClockSkew float64  `toml:"skew"`  // largest relative difference between the rates of two hosts' clocks
 }
 
-// What a follower's copy holds.
+// Values of Interest.
 const (
-	InterestOwn = "own" // what its daemon needs, from replicas that support partial copies
-	InterestAll = "all" // the whole store
+	InterestOwn = "own" // the keys that the daemon's components need, if the replicas support partial copies
+	InterestAll = "all" // all keys
 )
 
 const (
@@ -48,8 +48,8 @@
 )
 
 const (
-	reasonLoopback = "is for loopback addresses alone"
-	reasonKeys     = "one of keys and plain = true is needed, and not both"
+	reasonLoopback = "is allowed only with loopback addresses"
+	reasonKeys     = "either keys or plain = true is required, but not both"
 )
 
 func (s *Store) check(c *checker) {
@@ -82,6 +82,7 @@
 // keysOrPlaintext reports whether exactly one of keys and plaintext is given.
 func (s *Store) keysOrPlaintext() bool { return s.Plaintext != (s.Keys != "") }
 
+// isFollower reports whether this daemon has no replica.
 func (s *Store) isFollower() bool { return len(s.Follow) > 0 }
 
 func (s *Store) checkFollowerListen(c *checker) {
@@ -110,7 +111,7 @@
 		case s.Plaintext && !isLoopback(address):
 			c.invalid("store.plain", reasonLoopback)
 		case s.Listen == "":
-			c.invalid(key, "is for a replica that others reach")
+			c.invalid(key, "is allowed only for a replica with listen")
 		}
 	}
 }
@@ -126,7 +127,7 @@
 		case s.Plaintext && !isLoopback(address):
 			c.invalid("store.plain", reasonLoopback)
 		case seen[address]:
-			c.invalid(key, "%s stands there twice", address)
+			c.invalid(key, "%s is listed twice", address)
 		}
 		seen[address] = true
 	}
@@ -134,7 +135,7 @@
 
 func (s *Store) checkInterest(c *checker) {
 	if s.Interest != "" && !s.isFollower() {
-		c.invalid("store.interest", "is for a daemon that follows: a replica holds all")
+		c.invalid("store.interest", "is allowed only for a daemon with follow: a replica holds all keys")
 	}
 	if s.Interest == "" {
 		s.Interest = InterestOwn
@@ -148,13 +149,13 @@
 	reachable := s.FollowerListen != "" || s.Join || s.Address != ""
 	if s.isFollower() {
 		if reachable || s.Listen != "" {
-			c.invalid("store.follow", "is for a daemon without a replica: listen, serve, join and address are of one")
+			c.invalid("store.follow", "is for a daemon without a replica, which has no listen, serve, join or address")
 		}
 		return
 	}
 	if s.Listen == "" {
 		if reachable {
-			c.invalid("store.listen", "is missing, and others are to reach this replica")
+			c.invalid("store.listen", "is missing, which serve, join and address require")
 		}
 		return
 	}
