--- a/internal/controlplane/daemon/admindrains.go
+++ b/internal/controlplane/daemon/admindrains.go
@@ -11,9 +11,9 @@
 	"birchmoor/internal/store/serverstate"
 )
 
-// AdminDrains replicates administrative drains of servers. A drain that an operator sets at one daemon takes effect at
-// once there and, as soon as they receive it, at all others, with or without a quorum; a return to service needs a
-// quorum of the store. It is a Component and a maintenance.FleetOverrides, and safe for concurrent use.
+// AdminDrains replicates administrative drains of servers. A drain that an operator sets at one daemon takes effect
+// there at once, even without a quorum, and at all other daemons once it is committed. A return to service takes effect
+// only once it is committed. AdminDrains is a Component and a maintenance.FleetOverrides, and safe for concurrent use.
 type AdminDrains struct {
 	exclusionReports[string] // keyed by the server's ID
 }
--- a/internal/controlplane/daemon/daemon_test.go
+++ b/internal/controlplane/daemon/daemon_test.go
@@ -101,7 +101,7 @@
 	wg.Go(func() { s.daemon.Run(ctx) })
 	s.stop = sync.OnceFunc(func() {
 		cancel()
-		_ = s.engine.Kill() // like a crash, without writing what is buffered
+		_ = s.engine.Kill() // like a crash: no leadership is transferred
 		wg.Wait()
 	})
 	s.servers.Subscribe(s.apply)
@@ -141,8 +141,9 @@
 	}
 }
 
-// A drain takes effect at all daemons with or without a quorum, and a server returns only with one. Guards against
-// drains that are lost while replicas are down, and against servers that one cut-off daemon returns to service.
+// A drain takes effect without a quorum at the daemon that it is set at, and at all others once they are back; a server
+// returns only with a quorum. Guards against drains that are lost while replicas are down, and against a cut-off daemon
+// that returns a server to service.
 func TestAdminDrainReachesAllDaemonsAndReturnNeedsQuorum(t *testing.T) {
 	daemons, dirs := startCluster(t)
 	ctx := testContext(t)
@@ -190,8 +191,8 @@
 	}
 }
 
-// Settings that any replica rejects are not committed, by whichever daemon they are put; all daemons end up with the
-// settings of a rollback.
+// Settings that one replica rejects are not committed, even if the daemon at which they are put cannot check them. A
+// rollback commits the settings of an earlier version again, which all daemons then run.
 func TestSettingsAreCheckedByAllReplicasAndRolledBack(t *testing.T) {
 	daemons, _ := startCluster(t)
 	ctx := testContext(t)
--- a/internal/controlplane/daemon/exclusions.go
+++ b/internal/controlplane/daemon/exclusions.go
@@ -155,7 +155,7 @@
 }
 
 // arrivalTimes holds, by key, the time at which this copy applied the latest change, in nanoseconds of the component's
-// clock. A key that came with a new copy has none.
+// clock. A key that was first seen in a new copy has none.
 type arrivalTimes map[string]int64
 
 func (a arrivalTimes) applyEvent(now int64, e store.Event) {
--- a/internal/controlplane/daemon/versions.go
+++ b/internal/controlplane/daemon/versions.go
@@ -35,7 +35,7 @@
 type Version struct {
 	Version  uint64          `json:"version"` // its number; the first is 1
 	Settings json.RawMessage `json:"settings,omitempty"`
-	By       string          `json:"by"` // the daemon at which they were put
+	By       string          `json:"by"` // the daemon at which Put or StartRollout was called
 	Note     string          `json:"note,omitempty"`
 	At       time.Time       `json:"at"`                 // by the clock of the daemon that committed it; informational
 	Revision uint64          `json:"revision,omitempty"` // at which it was committed; 0 in the stored form
--- a/internal/controlplane/operatorconfig/checker.go
+++ b/internal/controlplane/operatorconfig/checker.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// duration does for durations what number does for numbers.
+// duration sets the default of a duration and checks that it is within two bounds, which it may reach.
 func (c *checker) duration(key string, value *Duration, defaultValue, minValue, maxValue time.Duration) {
 	if *value == 0 {
 		*value = Duration(defaultValue)
--- a/internal/controlplane/operatorconfig/dns.go
+++ b/internal/controlplane/operatorconfig/dns.go
@@ -13,8 +13,8 @@
 	MaxOpenQueries    int      `toml:"open"`        // queries in flight, of all clients
 	MaxOpenPerClient  int      `toml:"per_client"`  // queries in flight of one client network (/24 or /56)
 	UnverifiedPercent int      `toml:"unproven"`    // share of MaxOpenQueries for UDP addresses without a valid cookie
-	RatePerClient     int      `toml:"rate"`        // answers a second to one client network without cookies
-	BurstPerClient    int      `toml:"burst"`       // answers at once to such a network
+	RatePerClient     int      `toml:"rate"`        // answers a second to unverified addresses of one client network
+	BurstPerClient    int      `toml:"burst"`       // answers at once to these addresses
 	TruncateEvery     *int     `toml:"slip"`        // one in so many answers over the rate is sent truncated; 0: none
 	MaxClientPrefixes int      `toml:"prefixes"`    // client networks whose rates are tracked
 	MaxUDPSockets     int      `toml:"sockets"`     // sockets for queries to servers
--- a/internal/controlplane/tasks.go
+++ b/internal/controlplane/tasks.go
@@ -18,7 +18,7 @@
 // runTask starts a goroutine that claims a task of the fleet and, while this daemon holds its lease, executes it.
 func (p *Components) runTask(ctx context.Context, t leasetask.Task) {
 	p.workers.Go(func() {
-		// The error says that ctx has ended: the claims of this package are valid.
+		// The only errors are those of an invalid claim and of the end of ctx.
 		_ = p.Tasks.RunTask(ctx, t)
 	})
 }
