--- a/cmd/birchmoor/config.go
+++ b/cmd/birchmoor/config.go
@@ -217,7 +217,7 @@
 func printVersions(w *tabwriter.Writer, all []daemon.Version) {
 	fmt.Fprintln(w, "VERSION\tREVISION\tAT\tBY\tNOTE")
 	for _, v := range all {
-		fmt.Fprintf(w, "%d\t%d\t%s\t%s\t%s\n", v.Version, v.Revision, v.At.Format(time.DateTime), v.By, v.Note)
+		fmt.Fprintf(w, "%d\t%d\t%s\t%s\t%s\n", v.Version, v.Revision, v.PutAt.Format(time.DateTime), v.PutBy, v.Note)
 	}
 }
 
--- a/internal/controlplane/daemon/stored_test.go
+++ b/internal/controlplane/daemon/stored_test.go
@@ -230,7 +230,7 @@
 			Restored: []RestoredState{restored, {}}},
 		&StartupState{},
 		&Counts{Exclusions: 1, Starts: 2, Snapshots: 3, SnapshotBytes: 4, PendingWrites: 5},
-		&Version{Version: 3, Settings: json.RawMessage(`{"x":1}`), By: "h", Note: "n", At: at, Revision: 8},
+		&Version{Version: 3, Settings: json.RawMessage(`{"x":1}`), PutBy: "h", Note: "n", PutAt: at, Revision: 8},
 		&Version{},
 		&verdict{Candidate: 4, Error: "e", Note: "n"},
 		&verdict{},
--- a/internal/controlplane/daemon/versions.go
+++ b/internal/controlplane/daemon/versions.go
@@ -35,15 +35,15 @@
 type Version struct {
 	Version  uint64          `json:"version"` // its number; the first is 1
 	Settings json.RawMessage `json:"settings,omitempty"`
-	By       string          `json:"by"` // the daemon at which Put or StartRollout was called
+	PutBy    string          `json:"by"` // the daemon at which Put or StartRollout was called
 	Note     string          `json:"note,omitempty"`
-	At       time.Time       `json:"at"`                 // by the clock of the daemon that committed it; informational
+	PutAt    time.Time       `json:"at"`                 // by the clock of the daemon that committed it; informational
 	Revision uint64          `json:"revision,omitempty"` // at which it was committed; 0 in the stored form
 }
 
 func newVersion(number uint64, settings json.RawMessage, by, note string) Version {
 	now := time.Now().UTC().Truncate(time.Second)
-	return Version{Version: number, Settings: settings, By: by, Note: note, At: now}
+	return Version{Version: number, Settings: settings, PutBy: by, Note: note, PutAt: now}
 }
 
 func historyKey(version uint64) string { return fmt.Sprintf("%s%012d", historyPrefix, version) }
