--- a/cmd/birchmoor/storefollower_test.go
+++ b/cmd/birchmoor/storefollower_test.go
@@ -170,7 +170,7 @@
 			t.Fatal(err)
 		}
 		for _, x := range facts {
-			known = known || x.ID == drain.ID && x.Kind == "drains" && x.Committed && x.By == "d0"
+			known = known || x.ID == drain.ID && x.Kind == "drains" && x.Committed && x.ReportedBy == "d0"
 		}
 	}
 	follower.Deaf(true)
@@ -257,7 +257,7 @@
 	}
 	status, err := s.follower.Client.Status(s.ctx)
 	startup := status.Startup
-	if err != nil || startup.From != from || startup.Exclusions != 1 || !status.Follower ||
+	if err != nil || startup.Source != from || startup.Exclusions != 1 || !status.Follower ||
 		(startup.Age != "") != ownDisk {
 		t.Errorf("%s: %+v, %v", what, startup, err)
 	}
--- a/cmd/birchmoor/storeservers.go
+++ b/cmd/birchmoor/storeservers.go
@@ -74,7 +74,7 @@
 }
 
 func printServerFact(w io.Writer, f *daemon.ServerFact) {
-	start, left, by := "-", "-", f.By
+	start, left, by := "-", "-", f.ReportedBy
 	if f.StartedMs != 0 {
 		start = time.UnixMilli(f.StartedMs).UTC().Format(time.RFC3339)
 	}
@@ -82,7 +82,7 @@
 		left = (time.Duration(f.RemainingMs) * time.Millisecond).String()
 	}
 	if f.Sidecars > 1 {
-		by = fmt.Sprintf("%s and %d more", f.By, f.Sidecars-1)
+		by = fmt.Sprintf("%s and %d more", f.ReportedBy, f.Sidecars-1)
 	}
 	if f.Partial {
 		by += " (no replica tells of the others)"
--- a/cmd/birchmoor/storestatus.go
+++ b/cmd/birchmoor/storestatus.go
@@ -87,7 +87,7 @@
 func startupText(s *adminapi.Status) string {
 	u := s.Startup
 	text := fmt.Sprintf("%s at revision %d: %d out, %d starts, %d pictures",
-		u.From, u.Revision, u.Exclusions, u.Starts, u.Snapshots)
+		u.Source, u.Revision, u.Exclusions, u.Starts, u.Snapshots)
 	if u.Settings {
 		text += ", the fleet's settings"
 	}
@@ -96,7 +96,7 @@
 	}
 	for _, r := range u.Restored {
 		text += fmt.Sprintf("; the module recalled %d servers from %s (%d pictures), %v old",
-			r.Servers, r.From, r.Snapshots, r.Age.Round(time.Millisecond))
+			r.Servers, r.Source, r.Snapshots, r.Age.Round(time.Millisecond))
 	}
 	return text
 }
--- a/internal/controlplane/daemon/serverfacts.go
+++ b/internal/controlplane/daemon/serverfacts.go
@@ -31,7 +31,7 @@
 	Addr        string `json:"address,omitempty"`
 	StartedMs   int64  `json:"started_ms,omitempty"` // Unix milliseconds by the server's clock; 0: not known
 	Kind        string `json:"what"`                 // "drains", "banned", "began", "cold" or "known"
-	By          string `json:"by"`                   // the daemon; of "cold" and "known" that of the latest snapshot
+	ReportedBy  string `json:"by"`                   // the daemon; of "cold" and "known" that of the latest snapshot
 	Sidecars    int    `json:"sidecars,omitempty"`   // number with a snapshot that says so, of "cold" and "known"
 	AgeMs       int64  `json:"age_ms"`               // since the report arrived here; -1: before this daemon's start
 	RemainingMs int64  `json:"left_ms,omitempty"`    // until the process has warmed up, of "began"
@@ -41,7 +41,7 @@
 
 // exclusionFact returns the fact of an exclusion: an administrative drain of a server or the drain of a process.
 func exclusionFact(e serverstate.Exclusion) ServerFact {
-	fact := ServerFact{ID: e.Server, Kind: factDrained, By: e.ReportedBy, AgeMs: e.AgeMillis, Committed: e.Committed}
+	fact := ServerFact{ID: e.Server, Kind: factDrained, ReportedBy: e.ReportedBy, AgeMs: e.AgeMillis, Committed: e.Committed}
 	if p, ok := parseDrainKey(serverstate.ExclusionKey(e.Kind, e.Server)); ok {
 		fact.ID, fact.Addr, fact.StartedMs, fact.Kind = p.ID, p.Addr, p.StartedMs, factDraining
 	}
@@ -117,20 +117,20 @@
 		fact := c[key]
 		if fact == nil {
 			fact = &ServerFact{
-				ID:        key.id,
-				Addr:      key.addr,
-				StartedMs: key.startedMs,
-				Kind:      key.kind,
-				By:        savedBy,
-				AgeMs:     ageMs,
-				Committed: true,
-				Partial:   partial,
+				ID:         key.id,
+				Addr:       key.addr,
+				StartedMs:  key.startedMs,
+				Kind:       key.kind,
+				ReportedBy: savedBy,
+				AgeMs:      ageMs,
+				Committed:  true,
+				Partial:    partial,
 			}
 			c[key] = fact
 		}
 		fact.Sidecars++
 		if ageMs >= 0 && (fact.AgeMs < 0 || ageMs < fact.AgeMs) {
-			fact.AgeMs, fact.By = ageMs, savedBy
+			fact.AgeMs, fact.ReportedBy = ageMs, savedBy
 		}
 	}
 }
--- a/internal/controlplane/daemon/servers.go
+++ b/internal/controlplane/daemon/servers.go
@@ -68,7 +68,7 @@
 
 // StartupState describes what a daemon knew when it started, before it received any change of the store.
 type StartupState struct {
-	From       string `json:"from"`     // "own disk", "another replica" or "nothing"
+	Source     string `json:"from"`     // "own disk", "another replica" or "nothing"
 	Revision   uint64 `json:"revision"` // of the copy
 	Exclusions int    `json:"out"`
 	Starts     int    `json:"starts"`
@@ -82,7 +82,7 @@
 // RestoredState describes the snapshots from which the decision module of a sidecar's protocol restored its state.
 type RestoredState struct {
 	Protocol  string        `json:"protocol,omitempty"` // "" is HTTP
-	From      string        `json:"from"`               // the source that package recovery chose
+	Source    string        `json:"from"`               // the source that package recovery chose
 	Snapshots int           `json:"pictures"`           // number that was combined
 	Servers   int           `json:"servers"`            // number in the restored state
 	Age       time.Duration `json:"age_ns"`             // of the restored state
@@ -92,7 +92,7 @@
 // whether that holds settings. written is the time of the last write of its disk, zero if there was none.
 func (s *Servers) RecordStartup(from string, revision uint64, written time.Time, settings bool) {
 	state := StartupState{
-		From:       from,
+		Source:     from,
 		Revision:   revision,
 		Exclusions: len(s.Exclusions()),
 		Starts:     s.startCount(),
--- a/internal/controlplane/daemon/snapshots.go
+++ b/internal/controlplane/daemon/snapshots.go
@@ -253,7 +253,7 @@
 	defer s.mu.Unlock()
 	s.restored = append(s.restored, RestoredState{
 		Protocol:  protocol,
-		From:      c.Source,
+		Source:    c.Source,
 		Snapshots: c.Sources,
 		Servers:   servers,
 		Age:       time.Duration(c.Age) * time.Microsecond,
--- a/internal/controlplane/daemon/starts.go
+++ b/internal/controlplane/daemon/starts.go
@@ -213,7 +213,7 @@
 			Addr:        p.Addr,
 			StartedMs:   p.StartedMs,
 			Kind:        factStarted,
-			By:          reportedBy,
+			ReportedBy:  reportedBy,
 			AgeMs:       age / int64(time.Millisecond),
 			RemainingMs: remaining / int64(time.Millisecond),
 			Committed:   committed,
