--- a/internal/controlplane/daemon/serverfacts.go
+++ b/internal/controlplane/daemon/serverfacts.go
@@ -41,7 +41,13 @@
 
 // exclusionFact returns the fact of an exclusion: an administrative drain of a server or the drain of a process.
 func exclusionFact(e serverstate.Exclusion) ServerFact {
-	fact := ServerFact{ID: e.Server, Kind: factDrained, ReportedBy: e.ReportedBy, AgeMs: e.AgeMillis, Committed: e.Committed}
+	fact := ServerFact{
+		ID:         e.Server,
+		Kind:       factDrained,
+		ReportedBy: e.ReportedBy,
+		AgeMs:      e.AgeMillis,
+		Committed:  e.Committed,
+	}
 	if p, ok := parseDrainKey(serverstate.ExclusionKey(e.Kind, e.Server)); ok {
 		fact.ID, fact.Addr, fact.StartedMs, fact.Kind = p.ID, p.Addr, p.StartedMs, factDraining
 	}
--- a/internal/controlplane/daemon/servers.go
+++ b/internal/controlplane/daemon/servers.go
@@ -68,7 +68,7 @@
 
 // StartupState describes what a daemon knew when it started, before it received any change of the store.
 type StartupState struct {
-	Source     string `json:"from"`     // "own disk", "another replica" or "nothing"
+	Source     string `json:"from"`     // source of the copy: "own disk", "another replica" or "nothing"
 	Revision   uint64 `json:"revision"` // of the copy
 	Exclusions int    `json:"out"`
 	Starts     int    `json:"starts"`
