--- a/internal/dataplane/discovery/delay_test.go
+++ b/internal/dataplane/discovery/delay_test.go
@@ -22,60 +22,62 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// cause is why a call of discovery, or the open watch, does not bring a change.
-type cause string
+// fault is a reason why a call of discovery, or the open watch, does not bring a change.
+type fault string
 
 const (
-	none    cause = ""                     // it brings the change
-	refused cause = "connection refused"   //
-	reset   cause = "reset after the call" //
-	failed  cause = "503"                  //
-	hangs   cause = "never answered"       //
-	mute    cause = "opened, and no data"  //
-	ends    cause = "opened, and ended"    //
-	half    cause = "silent in a list"     //
-	silent  cause = "silent after a while" // only of the open watch
+	noFault           fault = "" // the call or watch brings the change
+	connectionRefused fault = "connection refused"
+	noReply           fault = "connection closed after the request"
+	serverError       fault = "503"
+	hungCall          fault = "no response"
+	silentBeforeList  fault = "response without data"
+	closedBeforeList  fault = "response that ends without a list"
+	silentWithinList  fault = "no more data within a list"
+	silentAfterList   fault = "no more data after a list" // of the open watch only
 )
 
-// answerLate is how long discovery takes to answer a call: it fails one that waits for longer.
-const answerLate = time.Second
+// responseDelay is how long discovery takes to answer a call. It is the longest that discovery can take, since it fails
+// calls that it cannot answer within one second.
+const responseDelay = time.Second
 
-// margin is what the sum of all delays leaves of the time, for network latency and a busy machine.
-const margin = 300 * time.Millisecond
+// delayMargin is the part of MaxChangeDelay that delays and timeouts must leave for network latency and a busy machine.
+const delayMargin = 300 * time.Millisecond
 
-// fakeDiscovery is a discovery in virtual time. Its complete lists leave out what drains.
+// fakeDiscovery is a discovery service in virtual time. It has the endpoints s-1 and s-2, and removes s-1 with its one
+// change, after which its complete lists have s-2 alone.
 type fakeDiscovery struct {
-	mu      sync.Mutex
-	causeOf func(call int) cause // of calls that begin now
-	calls   []time.Time
-	open    cause         // of the watch that is open, from the change on
-	changed chan struct{} // closed with the change
+	mu          sync.Mutex
+	faultOfCall func(call int) fault // fault of a call, by its number since the last change, from 0
+	calls       []time.Time          // starts of calls since the last change
+	watchFault  fault                // fault of the open watch, from the change on
+	changed     chan struct{}        // closed when the change is made
 }
 
-func newFakeDiscovery(causeOf func(int) cause, open cause) *fakeDiscovery {
-	return &fakeDiscovery{causeOf: causeOf, open: open, changed: make(chan struct{})}
+func newFakeDiscovery(faultOfCall func(int) fault, watchFault fault) *fakeDiscovery {
+	return &fakeDiscovery{faultOfCall: faultOfCall, watchFault: watchFault, changed: make(chan struct{})}
 }
 
-// change makes the change; causeOf is of calls from now on.
-func (b *fakeDiscovery) change(causeOf func(int) cause) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.causeOf, b.calls = causeOf, nil
-	close(b.changed)
+// change removes s-1. faultOfCall gives the faults of calls from now on.
+func (d *fakeDiscovery) change(faultOfCall func(int) fault) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.faultOfCall, d.calls = faultOfCall, nil
+	close(d.changed)
 }
 
-func (b *fakeDiscovery) isChanged() bool {
+func (d *fakeDiscovery) isChanged() bool {
 	select {
-	case <-b.changed:
+	case <-d.changed:
 		return true
 	default:
 		return false
 	}
 }
 
-// list is the complete list.
-func (b *fakeDiscovery) list() string {
-	if b.isChanged() {
+// completeList returns the complete list as discovery has it now.
+func (d *fakeDiscovery) completeList() string {
+	if d.isChanged() {
 		return sidecartest.ListLine(9, true, sidecartest.ReadyInstance("s-2", "127.0.0.1:2"))
 	}
 	return sidecartest.ListLine(8, true,
@@ -83,58 +85,58 @@
 		sidecartest.ReadyInstance("s-2", "127.0.0.1:2"))
 }
 
-// Dial is for Watcher.Dial.
-func (b *fakeDiscovery) Dial(context.Context, string, string) (net.Conn, error) {
-	b.mu.Lock()
-	why := b.causeOf(len(b.calls))
-	b.calls = append(b.calls, time.Now())
-	b.mu.Unlock()
-	if why == refused {
+// Dial replaces Watcher.Dial. Each connection is one call.
+func (d *fakeDiscovery) Dial(context.Context, string, string) (net.Conn, error) {
+	d.mu.Lock()
+	f := d.faultOfCall(len(d.calls))
+	d.calls = append(d.calls, time.Now())
+	d.mu.Unlock()
+	if f == connectionRefused {
 		return nil, syscall.ECONNREFUSED
 	}
-	ours, its := net.Pipe()
-	go b.serve(ours, why)
-	return its, nil
+	serverConn, clientConn := net.Pipe()
+	go d.serve(serverConn, f)
+	return clientConn, nil
 }
 
-func (b *fakeDiscovery) serve(c net.Conn, why cause) {
+func (d *fakeDiscovery) serve(c net.Conn, f fault) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	req, err := http.ReadRequest(r)
-	if err != nil || why == reset {
+	if err != nil || f == noReply {
 		return
 	}
-	gone := make(chan struct{})
+	clientClosed := make(chan struct{})
 	go func() {
-		defer close(gone)
-		_, _ = io.Copy(io.Discard, r) // until the client closes the connection
+		defer close(clientClosed)
+		_, _ = io.Copy(io.Discard, r) // returns when the client closes the connection
 	}()
-	send := func(text string) { _, _ = io.WriteString(c, text) } // fails once the client is gone
-	const opened = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
-	switch why {
-	case failed:
+	send := func(text string) { _, _ = io.WriteString(c, text) } // fails if the client has closed
+	const responseHead = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
+	switch f {
+	case serverError:
 		send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
-	case hangs:
-		<-gone
-	case mute:
-		send(opened)
-		<-gone
-	case ends:
-		send(opened)
-	case half:
-		send(opened + `{"generation":9,`)
-		<-gone
+	case hungCall:
+		<-clientClosed
+	case silentBeforeList:
+		send(responseHead)
+		<-clientClosed
+	case closedBeforeList:
+		send(responseHead)
+	case silentWithinList:
+		send(responseHead + `{"generation":9,`)
+		<-clientClosed
 	default:
 		select {
-		case <-gone:
+		case <-clientClosed:
 			return
-		case <-time.After(answerLate):
+		case <-time.After(responseDelay):
 		}
-		change := b.changed
-		if b.isChanged() {
-			change = nil // the list has it
+		pendingChange := d.changed
+		if d.isChanged() {
+			pendingChange = nil // the complete list below has it
 		}
-		send(opened + b.list() + "\n")
+		send(responseHead + d.completeList() + "\n")
 		if req.FormValue("watch") == "" {
 			return
 		}
@@ -142,19 +144,19 @@
 		defer idle.Stop()
 		for {
 			select {
-			case <-gone:
+			case <-clientClosed:
 				return
 			case <-idle.C:
 				send("\n")
-			case <-change:
-				switch change = nil; b.open {
-				case ends:
+			case <-pendingChange:
+				switch pendingChange = nil; d.watchFault {
+				case closedBeforeList:
 					return
-				case half:
+				case silentWithinList:
 					send(`{"generation":9,`)
 					fallthrough
-				case silent:
-					<-gone
+				case silentAfterList:
+					<-clientClosed
 					return
 				default:
 					send(sidecartest.ListLine(9, true, sidecartest.ReadyInstance("s-2", "127.0.0.1:2")) + "\n")
@@ -164,183 +166,196 @@
 	}
 }
 
-// nothing is a protocol without an upstream side.
-type nothing struct{}
+// noopProtocol is a protocol whose attempts and probes reach no endpoint.
+type noopProtocol struct{}
 
-func (nothing) Target(string) core.Target                         { return nothing{} }
-func (nothing) SetConfig(*config.Config)                          {}
-func (nothing) AcceptsLateReplies() bool                          { return false }
-func (nothing) Close()                                            {}
-func (nothing) CloseUnusedSince(time.Time)                        {}
-func (nothing) Probe() core.Reply                                 { return core.Reply{Status: balancer.ConnectFailed} }
-func (nothing) Send(context.Context, core.Attempt) (r core.Reply) { return r }
+func (noopProtocol) Target(string) core.Target                         { return noopProtocol{} }
+func (noopProtocol) SetConfig(*config.Config)                          {}
+func (noopProtocol) AcceptsLateReplies() bool                          { return false }
+func (noopProtocol) Close()                                            {}
+func (noopProtocol) CloseUnusedSince(time.Time)                        {}
+func (noopProtocol) Probe() core.Reply                                 { return core.Reply{Status: balancer.ConnectFailed} }
+func (noopProtocol) Send(context.Context, core.Attempt) (r core.Reply) { return r }
 
-// follower is the complete sidecar's side of discovery: feed, watcher, loop and decision module.
-type follower struct {
-	feed  *discovery.Feed
-	loop  *core.EventLoop
-	known chan time.Time // when s-1 was first known to be draining
+// discoveryClient is a sidecar's complete client of discovery: feed, watcher, event loop and decision module.
+type discoveryClient struct {
+	feed      *discovery.Feed
+	loop      *core.EventLoop
+	removedAt chan time.Time // receives the time of the first complete list without s-1
 }
 
-func follow(t *testing.T, b *fakeDiscovery, polled bool, within time.Duration) *follower {
+// newDiscoveryClient returns a client that has a list of s-1 and s-2 and continues from generation 7 at d. If polled,
+// the balancer requests each watch, at least every pollInterval; otherwise one watch stays open.
+func newDiscoveryClient(t *testing.T, d *fakeDiscovery, polled bool, pollInterval time.Duration) *discoveryClient {
 	t.Helper()
 	mode := "automatic"
 	if polled {
 		mode = "subscribe"
 	}
-	known := []discovery.Instance{
+	initialList := []discovery.Instance{
 		sidecartest.ReadyInstance("s-1", "127.0.0.1:1"),
 		sidecartest.ReadyInstance("s-2", "127.0.0.1:2"),
 	}
-	c := sidecartest.Configure(t, "127.0.0.1:1", known,
+	c := sidecartest.Configure(t, "127.0.0.1:1", initialList,
 		`"discovery":"automatic"`, `"discovery":"`+mode+`"`,
-		`"ask-within":10000000`, fmt.Sprintf(`"ask-within":%d`, within.Microseconds()))
-	f := &follower{feed: &discovery.Feed{}, known: make(chan time.Time, 1)}
+		`"ask-within":10000000`, fmt.Sprintf(`"ask-within":%d`, pollInterval.Microseconds()))
+	client := &discoveryClient{feed: &discovery.Feed{}, removedAt: make(chan time.Time, 1)}
 	var err error
-	figures := metrics.New(c.Classes...)
-	f.loop, err = core.New(c, core.NewClock(), nothing{}, f.feed.SetEnabled, figures, nil, sidecartest.DiscardLog)
+	registry := metrics.New(c.Classes...)
+	client.loop, err = core.New(
+		c, core.NewClock(), noopProtocol{}, client.feed.SetEnabled, registry, nil, sidecartest.DiscardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.feed.Watcher = f.watcher(b, 7)
-	f.feed.Run, f.feed.OnEnded = (*discovery.Watcher).Run, f.loop.WatchFailed
+	client.feed.Watcher = client.newWatcher(d, 7)
+	client.feed.Run, client.feed.OnEnded = (*discovery.Watcher).Run, client.loop.WatchFailed
 	if polled {
-		f.feed.Run = (*discovery.Watcher).RunOnce
+		client.feed.Run = (*discovery.Watcher).RunOnce
 	}
-	return f
+	return client
 }
 
-func (f *follower) watcher(b *fakeDiscovery, after int64) *discovery.Watcher {
-	w := discovery.NewWatcher("127.0.0.1:1", after, 16, func(watch context.Context, l discovery.List) {
-		f.loop.WatchEvent(watch, l)
+// newWatcher returns a watcher of d that continues from a generation.
+func (c *discoveryClient) newWatcher(d *fakeDiscovery, generation int64) *discovery.Watcher {
+	w := discovery.NewWatcher("127.0.0.1:1", generation, 16, func(watch context.Context, l discovery.List) {
+		c.loop.WatchEvent(watch, l)
 		listed := slices.ContainsFunc(l.Instances, func(in discovery.Instance) bool { return in.ID == "s-1" })
 		if l.Reset && !listed && watch.Err() == nil {
 			select {
-			case f.known <- time.Now():
+			case c.removedAt <- time.Now():
 			default:
 			}
 		}
 	}, sidecartest.DiscardLog)
-	w.Dial = b.Dial
+	w.Dial = d.Dial
 	return w
 }
 
-// Here discovery is in each of its states for long, and then has a change and can be reached but for its next call,
-// which fails in any way as well: what is open or waited for then, and that call, are a pair of causes.
+// A change must be known within MaxChangeDelay of when discovery has it and can be reached. The test covers each pair
+// of faults: discovery has the first one for several seconds, so that backoffs are at their maximum; then the change is
+// made, the next call has the second fault, and all later calls succeed.
 func TestChangeIsKnownWithinMaxDelay(t *testing.T) {
-	before := []cause{none, silent, ends, half, refused, reset, failed, hangs, mute}
-	next := []cause{none, refused, reset, failed, hangs, mute, ends, half}
-	worst, n := map[string]time.Duration{}, 0
-	for _, way := range []struct {
-		name   string
-		polled bool
-		within time.Duration
+	faultsBefore := []fault{noFault, silentAfterList, closedBeforeList, silentWithinList,
+		connectionRefused, noReply, serverError, hungCall, silentBeforeList}
+	faultsOfNextCall := []fault{noFault, connectionRefused, noReply, serverError,
+		hungCall, silentBeforeList, closedBeforeList, silentWithinList}
+	maxDelay, runs := map[string]time.Duration{}, 0
+	for _, mode := range []struct {
+		name         string
+		polled       bool
+		pollInterval time.Duration
 	}{
 		{"pushed", false, 10 * time.Second},
 		{"polled", true, 10 * time.Second},
 		{"polled often", true, 0},
 		{"polled seldom", true, time.Hour},
 	} {
-		for _, move := range []string{"", "moved, ", "moved, and changed right behind the complete list, "} {
-			for _, was := range before {
-				for _, then := range next {
-					if move != "" && (was == silent || was == ends || was == half || way.within != 10*time.Second) {
-						continue // the move ends the open watch and calls at once, whatever the settings
+		for _, move := range []string{
+			"", "switched to another discovery, ", "switched, and changed right after the complete list, ",
+		} {
+			for _, faultBefore := range faultsBefore {
+				for _, faultOfNextCall := range faultsOfNextCall {
+					if move != "" && (faultBefore == silentAfterList || faultBefore == closedBeforeList ||
+						faultBefore == silentWithinList || mode.pollInterval != 10*time.Second) {
+						continue // the switch ends the open watch and calls at once, whatever the settings
 					}
-					n++
-					var took time.Duration
+					runs++
+					var delay time.Duration
 					synctest.Test(t, func(t *testing.T) {
-						took = changeDelay(t, way.polled, way.within, move, was, then, n%4)
+						delay = changeDelay(t, mode.polled, mode.pollInterval, move, faultBefore, faultOfNextCall, runs%4)
 					})
-					if worst[way.name] = max(worst[way.name], took); took > discovery.MaxChangeDelay-margin {
-						t.Errorf("%s: %s%q, then %q: known after %v", way.name, move, was, then, took)
+					if maxDelay[mode.name] = max(maxDelay[mode.name], delay); delay > discovery.MaxChangeDelay-delayMargin {
+						t.Errorf("%s: %sfault %q before the change, %q at the next call: known after %v",
+							mode.name, move, faultBefore, faultOfNextCall, delay)
 					}
 				}
 			}
 		}
 	}
-	t.Log("the longest of each:", worst)
+	t.Log("longest delay by mode:", maxDelay)
 }
 
-// changeDelay returns how long after the change it was known.
+// changeDelay returns how long after the change the client knew it, or one minute if it did not. The first phase of 4
+// makes the change 9 s after the start, and each later one 470 ms later, so that changes fall on different moments of
+// the client's timers.
 func changeDelay(
-	t *testing.T, polled bool, within time.Duration, move string, was, then cause, phase int,
+	t *testing.T, polled bool, pollInterval time.Duration, move string, faultBefore, faultOfNextCall fault, phase int,
 ) time.Duration {
 	t.Helper()
-	why, open := was, none
-	if was == silent || was == ends || was == half {
-		why, open = none, was // of the watch, not of the calls
+	callFault, watchFault := faultBefore, noFault
+	if faultBefore == silentAfterList || faultBefore == closedBeforeList || faultBefore == silentWithinList {
+		callFault, watchFault = noFault, faultBefore // a fault of the open watch, not of calls
 	}
-	b := newFakeDiscovery(func(int) cause { return why }, open)
-	f := follow(t, b, polled, within)
+	d := newFakeDiscovery(func(int) fault { return callFault }, watchFault)
+	client := newDiscoveryClient(t, d, polled, pollInterval)
 	ctx, cancel := context.WithCancel(t.Context())
-	over := make(chan struct{})
+	loopEnded := make(chan struct{})
 	go func() {
-		defer close(over)
-		f.loop.Run(ctx)
+		defer close(loopEnded)
+		client.loop.Run(ctx)
 	}()
 	defer func() {
 		cancel()
-		<-over // it polls no more
-		f.feed.SetEnabled(false)
+		<-loopEnded // the loop no longer enables the feed
+		client.feed.SetEnabled(false)
 		synctest.Wait()
 	}()
-	f.feed.SetEnabled(true)
-	time.Sleep(9*time.Second + time.Duration(phase)*470*time.Millisecond) // backoffs are at their longest
-	nth := func(k int) func(int) cause {
-		return func(call int) cause {
-			if call == k {
-				return then
+	client.feed.SetEnabled(true)
+	time.Sleep(9*time.Second + time.Duration(phase)*470*time.Millisecond) // backoffs are at their maximum
+	failCall := func(failing int) func(int) fault {
+		return func(call int) fault {
+			if call == failing {
+				return faultOfNextCall
 			}
-			return none
+			return noFault
 		}
 	}
-	at := time.Now()
+	changedAt := time.Now()
 	switch move {
 	case "":
-		b.change(nth(0))
-	case "moved, ":
-		b = newFakeDiscovery(nil, none)
-		b.change(nth(0))
-		f.feed.SwitchTo(f.watcher(b, discovery.NoGeneration))
+		d.change(failCall(0))
+	case "switched to another discovery, ":
+		d = newFakeDiscovery(nil, noFault)
+		d.change(failCall(0))
+		client.feed.SwitchTo(client.newWatcher(d, discovery.NoGeneration))
 	default:
-		b = newFakeDiscovery(nth(1), none)
-		f.feed.SwitchTo(f.watcher(b, discovery.NoGeneration))
-		time.Sleep(answerLate + time.Millisecond) // the complete list has come, and the watch is requested
-		at = time.Now()
-		b.change(func(int) cause { return none })
+		d = newFakeDiscovery(failCall(1), noFault)
+		client.feed.SwitchTo(client.newWatcher(d, discovery.NoGeneration))
+		time.Sleep(responseDelay + time.Millisecond) // the list has arrived, and the watch is requested
+		changedAt = time.Now()
+		d.change(func(int) fault { return noFault })
 	}
 	select {
-	case known := <-f.known:
+	case removedAt := <-client.removedAt:
 		synctest.Wait()
-		// What a complete list does not name is gone.
-		if l, err := f.loop.List(ctx); err != nil || len(l.Instances) != 1 || l.Instances[0].ID != "s-2" {
-			t.Errorf("the loop has %v (%v)", l, err)
+		// An endpoint that is not in a complete list is removed.
+		if l, err := client.loop.List(ctx); err != nil || len(l.Instances) != 1 || l.Instances[0].ID != "s-2" {
+			t.Errorf("after the complete list the event loop has %v, error %v; want s-2 alone", l, err)
 		}
-		return known.Sub(at)
+		return removedAt.Sub(changedAt)
 	case <-time.After(time.Minute):
 		return time.Minute
 	}
 }
 
-// The sum of delays and timeouts on the longest path leaves a margin, in both modes. No setting is part of it: the
-// module's delays are held to their bound by its own test, and the backoff of Run by
-// TestRunRetryDelayHasUpperBound.
+// In both modes, the sum of the delays and timeouts on the longest path must leave delayMargin of MaxChangeDelay. The
+// sum does not depend on settings: tests of the decision module check the bound of its delays, and
+// TestRunRetryDelayHasUpperBound that of the backoff of Run.
 func TestTimeoutsSumToLessThanMaxDelay(t *testing.T) {
 	for name, delay := range map[string]time.Duration{
 		"pushed": discovery.MaxPushedDelay, "polled": discovery.MaxPolledDelay,
 	} {
-		if delay > discovery.MaxChangeDelay-margin {
-			t.Errorf("%s: known after %v", name, delay)
+		if delay > discovery.MaxChangeDelay-delayMargin {
+			t.Errorf("%s: a change may be known only after %v, too late for the margin", name, delay)
 		}
 	}
 	w := discovery.NewWatcher("127.0.0.1:1", 7, 16, nil, sidecartest.DiscardLog)
-	// A change that a silent watch misses must be known MaxChangeDelay after the last data, which may have come
-	// right before it. One more call may stay without data, for as long as discovery may take to answer one.
-	const idle = 2 * time.Second
-	if w.IdleTimeout <= idle || discovery.ResponseTimeout <= answerLate ||
-		w.IdleTimeout+discovery.PollJitter+discovery.ResponseTimeout > discovery.MaxChangeDelay-answerLate {
-		t.Errorf("a silence is detected after %v, and the next call is made within %v",
+	// A change that a silent watch misses must be known within MaxChangeDelay of the last data, which may have arrived
+	// right before the change. One more call may go without data, for as long as discovery may take to answer a call.
+	const idleInterval = 2 * time.Second
+	if w.IdleTimeout <= idleInterval || discovery.ResponseTimeout <= responseDelay ||
+		w.IdleTimeout+discovery.PollJitter+discovery.ResponseTimeout > discovery.MaxChangeDelay-responseDelay {
+		t.Errorf("a silent watch is closed after %v, and the next call is made within %v: the timeouts do not fit",
 			w.IdleTimeout, discovery.PollJitter)
 	}
 }
--- a/internal/dataplane/discovery/discovery.go
+++ b/internal/dataplane/discovery/discovery.go
@@ -1,4 +1,5 @@
-// Package discovery gets the list of endpoints from discovery, and watches its changes. It may import balancer.
+// Package discovery fetches the endpoint list from the discovery service and watches it for changes. It may import
+// balancer.
 package discovery
 
 import (
@@ -7,14 +8,15 @@
 	"birchmoor/balancer"
 )
 
-// List is discovery's form of the list of endpoints, or of what changed in it.
+// List is an endpoint list as discovery sends it: either a complete one, or the changes since the previous
+// generation.
 type List struct {
 	Generation int64      `json:"generation"`
-	Reset      bool       `json:"reset"` // the list is complete
+	Reset      bool       `json:"reset"` // whether the list is complete; false: it has only the changed entries
 	Instances  []Instance `json:"instances"`
 }
 
-// Instance is an entry of a List.
+// Instance is one endpoint in a List.
 type Instance struct {
 	ID        string  `json:"instanceId"`
 	Addr      string  `json:"hostPort"`
@@ -24,27 +26,29 @@
 	Lifecycle string  `json:"lifecycle"`
 	Weight    float32 `json:"weight"`
 	StartedMs int64   `json:"startedAtMs"`
-	Protocol  string  `json:"protocol,omitempty"` // empty: HTTP
+	Protocol  string  `json:"protocol,omitempty"` // empty for HTTP
 }
 
-// lifecycleRemoved is the lifecycle of an endpoint that is no longer there.
+// lifecycleRemoved is the lifecycle of an endpoint that has left the endpoint list.
 const lifecycleRemoved = "removed"
 
-// LifecycleStates maps lifecycles to states. An unknown lifecycle has none: its endpoint gets nothing new.
+// LifecycleStates maps discovery's lifecycles to the balancer's states. An endpoint whose lifecycle is not in the map
+// gets no new requests.
 var LifecycleStates = map[string]balancer.State{
 	"up":             balancer.Ready,
 	"draining":       balancer.Draining,
 	lifecycleRemoved: balancer.Removed,
 }
 
-// Process identifies one process of an endpoint: after a restart, or at another address, it is another.
+// Process identifies one server process of an endpoint. An endpoint that restarts or changes its address is a
+// different process with the same ID.
 type Process struct {
 	ID, Addr  string
 	StartedMs int64
 }
 
-// ForProtocol returns the list as it concerns one protocol. In a list of changes, an entry of another protocol says
-// that the endpoint, if it was known, is no longer there.
+// ForProtocol returns the list for the endpoints of one protocol. In a list of changes, an entry of another protocol
+// becomes a removal, because the endpoint may have served this protocol before.
 func (l List) ForProtocol(protocol string) List {
 	foreign := func(in Instance) bool { return in.Protocol != protocol }
 	if !slices.ContainsFunc(l.Instances, foreign) {
--- a/internal/dataplane/discovery/feed.go
+++ b/internal/dataplane/discovery/feed.go
@@ -5,18 +5,19 @@
 	"sync"
 )
 
-// Feed runs a watcher: continuously, or one watch each time that the balancer polls. Its exported fields must be
-// set before its methods are called, which are safe for concurrent use.
+// Feed runs a watcher in a goroutine of its own: continuously, or for one watch each time that the balancer polls. Its
+// exported fields must be set before any method is called. The methods are safe for concurrent use.
 type Feed struct {
 	Run     func(w *Watcher, ctx context.Context) // (*Watcher).Run or (*Watcher).RunOnce
-	OnEnded func()                                // called when Run returned by itself
+	OnEnded func()                                // called when Run returns although its context has not ended
 
 	mu      sync.Mutex
 	Watcher *Watcher
-	cancel  context.CancelFunc // of the watch that runs; nil: none does
+	cancel  context.CancelFunc // ends the running watch; nil if none runs
 }
 
-// SetEnabled starts a watch unless one runs, or ends it.
+// SetEnabled starts a watch if none is running, or ends the running one. A call that asks for the present state has no
+// effect.
 func (f *Feed) SetEnabled(enabled bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -28,8 +29,8 @@
 	}
 }
 
-// SwitchTo ends the watch and starts one at another discovery at once, without a backoff. Generations of the two
-// are unrelated.
+// SwitchTo ends the running watch, if any, and starts w, which watches another discovery, without a backoff. The
+// generations of the two discoveries are unrelated.
 func (f *Feed) SwitchTo(w *Watcher) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -40,20 +41,20 @@
 	f.start()
 }
 
-// start runs the watcher. The lock must be held.
+// start runs the watcher in a new goroutine. The caller must hold f.mu.
 func (f *Feed) start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel = cancel
 	go f.run(ctx, cancel, f.Watcher)
 }
 
-// stop ends the watch that runs. The lock must be held.
+// stop ends the running watch. The caller must hold f.mu.
 func (f *Feed) stop() {
 	f.cancel()
 	f.cancel = nil
 }
 
-// run runs a watcher, and reports it if that ended by itself.
+// run runs a watcher, and calls OnEnded if it returns although ctx has not ended.
 func (f *Feed) run(ctx context.Context, cancel context.CancelFunc, w *Watcher) {
 	f.Run(w, ctx)
 	f.mu.Lock()
--- a/internal/dataplane/discovery/stored_test.go
+++ b/internal/dataplane/discovery/stored_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// testdata/lists.jsonl has lists in the form that version 7105f7a reads and passes on.
+// The JSON encoding of lists must not change: discovery sends it, and a process passes it to its successor during a
+// handover. testdata/lists.jsonl has lists as version 7105f7a reads and writes them.
 func TestListsKeepTheirForm(t *testing.T) {
 	text, err := os.ReadFile("testdata/lists.jsonl")
 	if err != nil {
@@ -30,15 +31,15 @@
 		{Generation: 5},
 	}
 	if len(lines) != len(want) {
-		t.Fatalf("%d lines, want %d", len(lines), len(want))
+		t.Fatalf("testdata/lists.jsonl has %d lines, want %d", len(lines), len(want))
 	}
 	for i, line := range lines {
 		var decoded List
 		if err := json.Unmarshal([]byte(line), &decoded); err != nil || !reflect.DeepEqual(decoded, want[i]) {
-			t.Errorf("%s: decoded %+v, %v, want %+v", line, decoded, err, want[i])
+			t.Errorf("%s: decoded %+v, error %v, want %+v", line, decoded, err, want[i])
 		}
 		if encoded, err := json.Marshal(want[i]); err != nil || string(encoded) != line {
-			t.Errorf("encoded %s, %v, want %s", encoded, err, line)
+			t.Errorf("encoded %s, error %v, want %s", encoded, err, line)
 		}
 	}
 }
--- a/internal/dataplane/discovery/watch_test.go
+++ b/internal/dataplane/discovery/watch_test.go
@@ -15,12 +15,13 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// startWatcher runs a watcher and returns the lists that it receives.
-func startWatcher(t *testing.T, b *sidecartest.Discovery, idleTimeout time.Duration) <-chan discovery.List {
+// startWatcher runs a watcher that continues from generation 7 until the test ends. It returns the channel of the lists
+// that the watcher receives.
+func startWatcher(t *testing.T, d *sidecartest.Discovery, idleTimeout time.Duration) <-chan discovery.List {
 	t.Helper()
 	received := make(chan discovery.List, 16)
 	onList := func(_ context.Context, l discovery.List) { received <- l }
-	w := discovery.NewWatcher(b.Addr, 7, 16, onList, sidecartest.DiscardLog)
+	w := discovery.NewWatcher(d.Addr, 7, 16, onList, sidecartest.DiscardLog)
 	w.IdleTimeout = idleTimeout
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -35,75 +36,79 @@
 	return received
 }
 
-// A watch that ends, is malformed or is silent is reopened, from the latest list on. A stale list is ignored.
+// A watch that ends or sends a malformed list is reopened from the latest generation on. A list older than the latest
+// one is ignored.
 func TestRunReopensBrokenWatch(t *testing.T) {
-	b := sidecartest.NewDiscovery(t)
-	received := startWatcher(t, b, sidecartest.WaitTimeout)
-	expect := func(want string) {
+	d := sidecartest.NewDiscovery(t)
+	received := startWatcher(t, d, sidecartest.WaitTimeout)
+	expectWatch := func(want string) {
 		t.Helper()
-		if got := sidecartest.Receive(t, b.Watches, "watch"); got != want {
-			t.Errorf("watched with %q, want %q", got, want)
+		if got := sidecartest.Receive(t, d.Watches, "watch"); got != want {
+			t.Errorf("the watch was opened with parameters %q, want %q", got, want)
 		}
 	}
-	receive := func(want int64) {
+	expectList := func(want int64) {
 		t.Helper()
 		if got := sidecartest.Receive(t, received, "list").Generation; got != want {
-			t.Errorf("received list %d, want %d", got, want)
+			t.Errorf("received the list of generation %d, want %d", got, want)
 		}
 	}
-	expect("1 7")
-	b.Lines <- sidecartest.ListLine(8, true, sidecartest.ReadyInstance("s-1", "127.0.0.1:1"))
-	receive(8)
-	b.Lines <- " "
-	b.Lines <- sidecartest.ListLine(5, true) // stale
-	b.Lines <- sidecartest.ListLine(9, false)
-	receive(9)
-	b.Lines <- ""
-	expect("1 9")
-	b.Lines <- sidecartest.ListLine(10, false)
-	receive(10)
-	b.Lines <- `{"generation":11,"instances":[{]}`
-	expect("1 10")
-	b.Lines <- sidecartest.ListLine(11, false)
-	receive(11)
+	expectWatch("1 7")
+	d.Lines <- sidecartest.ListLine(8, true, sidecartest.ReadyInstance("s-1", "127.0.0.1:1"))
+	expectList(8)
+	d.Lines <- " "
+	d.Lines <- sidecartest.ListLine(5, true) // older than the latest list
+	d.Lines <- sidecartest.ListLine(9, false)
+	expectList(9)
+	d.Lines <- ""
+	expectWatch("1 9")
+	d.Lines <- sidecartest.ListLine(10, false)
+	expectList(10)
+	d.Lines <- `{"generation":11,"instances":[{]}`
+	expectWatch("1 10")
+	d.Lines <- sidecartest.ListLine(11, false)
+	expectList(11)
 }
 
-// A host that is cut off leaves the watch open and silent.
+// When discovery's host loses its network, the watch's connection stays open without data. The watcher must open a new
+// watch after IdleTimeout.
 func TestRunReopensSilentWatch(t *testing.T) {
-	b := sidecartest.NewDiscovery(t)
-	startWatcher(t, b, 50*time.Millisecond)
-	sidecartest.Receive(t, b.Watches, "first watch")
-	if got := sidecartest.Receive(t, b.Watches, "watch after a silent one"); got != "1 7" {
-		t.Errorf("watched with %q, want %q", got, "1 7")
+	d := sidecartest.NewDiscovery(t)
+	startWatcher(t, d, 50*time.Millisecond)
+	sidecartest.Receive(t, d.Watches, "first watch")
+	if got := sidecartest.Receive(t, d.Watches, "watch after a silent one"); got != "1 7" {
+		t.Errorf("the watch was reopened with parameters %q, want %q", got, "1 7")
 	}
 }
 
-// A list may take several lines. An incomplete list changes nothing: the next watch brings it again.
+// A list may span several lines, and a line may have several lists. An incomplete list is not passed on; the next watch
+// starts from the list before it.
 func TestRunReadsListsOnSeveralLines(t *testing.T) {
-	b := sidecartest.NewDiscovery(t)
-	received := startWatcher(t, b, sidecartest.WaitTimeout)
-	sidecartest.Receive(t, b.Watches, "watch")
-	b.Lines <- "{\n  \"generation\": 8,\n  \"reset\": true,\n\n  \"instances\": [\n  ]\n}"
-	b.Lines <- "  " + sidecartest.ListLine(9, false) + sidecartest.ListLine(10, false)
+	d := sidecartest.NewDiscovery(t)
+	received := startWatcher(t, d, sidecartest.WaitTimeout)
+	sidecartest.Receive(t, d.Watches, "watch")
+	d.Lines <- "{\n  \"generation\": 8,\n  \"reset\": true,\n\n  \"instances\": [\n  ]\n}"
+	d.Lines <- "  " + sidecartest.ListLine(9, false) + sidecartest.ListLine(10, false)
 	for _, want := range []int64{8, 9, 10} {
 		if got := sidecartest.Receive(t, received, "list").Generation; got != want {
-			t.Errorf("received list %d, want %d", got, want)
+			t.Errorf("received the list of generation %d, want %d", got, want)
 		}
 	}
-	b.Lines <- `{"generation":11,"reset":true,"instances":[`
-	b.Lines <- ""
-	if got := sidecartest.Receive(t, b.Watches, "watch after half a list"); got != "1 10" || len(received) != 0 {
-		t.Errorf("watched with %q, and received %d lists", got, len(received))
+	d.Lines <- `{"generation":11,"reset":true,"instances":[`
+	d.Lines <- ""
+	if got := sidecartest.Receive(t, d.Watches, "watch after an incomplete list"); got != "1 10" || len(received) != 0 {
+		t.Errorf("after an incomplete list: watch opened with parameters %q, want 1 10; %d more lists received, want 0",
+			got, len(received))
 	}
 }
 
-// A watch that sent data and falls silent is reopened by the watcher, also where the balancer polls for each; one
-// that never sent any is for the balancer to poll again.
+// RunOnce reopens a watch that received a list and then fell silent. It returns when a watch never received one, so
+// that the balancer decides when to poll again.
 func TestRunOnceReopensWatchThatFellSilent(t *testing.T) {
-	b := sidecartest.NewDiscovery(t)
+	d := sidecartest.NewDiscovery(t)
 	received := make(chan discovery.List, 16)
 	onList := func(_ context.Context, l discovery.List) { received <- l }
-	w := discovery.NewWatcher(b.Addr, 7, 16, onList, sidecartest.DiscardLog)
+	w := discovery.NewWatcher(d.Addr, 7, 16, onList, sidecartest.DiscardLog)
 	w.IdleTimeout = 50 * time.Millisecond
 	ended := make(chan struct{})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -112,19 +117,20 @@
 		defer close(ended)
 		w.RunOnce(ctx)
 	}()
-	sidecartest.Receive(t, b.Watches, "watch")
-	b.Lines <- sidecartest.ListLine(8, true)
+	sidecartest.Receive(t, d.Watches, "watch")
+	d.Lines <- sidecartest.ListLine(8, true)
 	sidecartest.Receive(t, received, "list")
-	if got := sidecartest.Receive(t, b.Watches, "watch after a silent one"); got != "1 8" {
-		t.Errorf("watched with %q", got)
+	if got := sidecartest.Receive(t, d.Watches, "watch after a silent one"); got != "1 8" {
+		t.Errorf("the watch was reopened with parameters %q, want 1 8", got)
 	}
-	sidecartest.Receive(t, ended, "end of a watch that never sent data")
+	sidecartest.Receive(t, ended, "end of RunOnce after a watch without a list")
 }
 
-// A discovery that is down is called at the given interval: what it has on its return may be in effect at once.
+// While discovery is down, Run retries about every MaxRetryDelay, so that a change is known soon after discovery
+// returns.
 func TestRunRetriesWithinMaxRetryDelay(t *testing.T) {
 	var attempts atomic.Int32
-	addr := sidecartest.RawEndpoint(t, func(*net.TCPConn, *bufio.Reader) { attempts.Add(1) }) // it closes each call
+	addr := sidecartest.RawEndpoint(t, func(*net.TCPConn, *bufio.Reader) { attempts.Add(1) }) // closes at once
 	synctest.Test(t, func(t *testing.T) {
 		w := discovery.NewWatcher(addr, 7, 16, nil, sidecartest.DiscardLog)
 		w.MaxRetryDelay = 100 * time.Millisecond
@@ -133,43 +139,43 @@
 		w.Run(ctx)
 	})
 	if n := attempts.Load(); n < 60 || n > 220 {
-		t.Errorf("%d attempts in 10 s", n)
+		t.Errorf("%d attempts in 10 s with a MaxRetryDelay of 100 ms, want 60 to 220", n)
 	}
 }
 
-// Whatever MaxRetryDelay says, the delay between two attempts is not above the bound of the longest path, which
-// counts from the beginning of a call, also of one that hung.
+// Whatever MaxRetryDelay is, the time between the starts of two attempts stays within 1.5 s, the bound that
+// MaxPushedDelay assumes. This holds for calls that fail at once and for calls that hang.
 func TestRunRetryDelayHasUpperBound(t *testing.T) {
-	for _, hang := range []bool{false, true} {
+	for _, callsHang := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			w := discovery.NewWatcher("127.0.0.1:1", 7, 16, nil, sidecartest.DiscardLog)
 			w.MaxRetryDelay = time.Hour
 			var attempts []time.Time
 			w.Dial = func(context.Context, string, string) (net.Conn, error) {
 				attempts = append(attempts, time.Now())
-				if !hang {
+				if !callsHang {
 					return nil, syscall.ECONNREFUSED
 				}
-				ours, its := net.Pipe()
+				serverConn, clientConn := net.Pipe()
 				go func() {
-					_, _ = io.Copy(io.Discard, ours) // until the call times out
-					_ = ours.Close()
+					_, _ = io.Copy(io.Discard, serverConn) // returns when the call times out
+					_ = serverConn.Close()
 				}()
-				return its, nil
+				return clientConn, nil
 			}
 			ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 			defer cancel()
 			w.Run(ctx)
 			synctest.Wait()
 			for i := 1; i < len(attempts); i++ {
-				// From the fifth delay on it is the longest.
+				// From the fifth delay on, the backoff is at its maximum.
 				gap := attempts[i].Sub(attempts[i-1])
 				if gap > 1500*time.Millisecond || gap < 500*time.Millisecond && i > 5 {
-					t.Errorf("hang %t, attempt %d: %v after the one before", hang, i, gap)
+					t.Errorf("calls hang: %t; attempt %d began %v after the previous one", callsHang, i, gap)
 				}
 			}
 			if len(attempts) < 40 {
-				t.Errorf("%d attempts in a minute", len(attempts))
+				t.Errorf("%d attempts in a minute, want at least 40", len(attempts))
 			}
 		})
 	}
--- a/internal/dataplane/discovery/watcher.go
+++ b/internal/dataplane/discovery/watcher.go
@@ -15,20 +15,20 @@
 	"time"
 )
 
-// NoGeneration is the generation of a watcher that has no list of its discovery yet.
+// NoGeneration is the generation of a watcher that has not yet received a list from its discovery.
 const NoGeneration = -1
 
-// listMemoryDivisor is the part of the memory that a list may take.
+// listMemoryDivisor divides the sidecar's memory limit to give the maximum size of a list.
 const listMemoryDivisor = 16
 
-var errIdle = errors.New("no data in time")
+var errIdle = errors.New("discovery sent no data within the timeout")
 
-// Watcher watches the list at one discovery. Its methods are for one goroutine at a time; its exported fields must
-// not change while it runs.
+// Watcher watches the endpoint list of one discovery. Its methods are not safe for concurrent use, and its exported
+// fields must not change while one of them runs.
 type Watcher struct {
 	Dial          func(ctx context.Context, network, addr string) (net.Conn, error)
-	IdleTimeout   time.Duration // of a watch without data
-	MaxRetryDelay time.Duration // of Run; with jitter it may be half as long again
+	IdleTimeout   time.Duration // after which a watch without data is closed
+	MaxRetryDelay time.Duration // maximum backoff of Run; jitter may extend it by half
 
 	addr         string
 	client       *http.Client
@@ -38,9 +38,9 @@
 	log          *slog.Logger
 }
 
-// NewWatcher returns a watcher of the discovery at addr, which continues from the list with this generation. A list
-// may take a part of memoryMB. onList is called with each list; if the context that it gets has ended, the list
-// came too late.
+// NewWatcher returns a watcher of the discovery at addr. It continues from the list with the given generation, or
+// fetches a complete list first if that is NoGeneration. A list may take 1/listMemoryDivisor of memoryMB. onList is
+// called with each list; if its context has ended, the watch was stopped and the list must be ignored.
 func NewWatcher(
 	addr string, generation int64, memoryMB int, onList func(context.Context, List), log *slog.Logger,
 ) *Watcher {
@@ -63,12 +63,12 @@
 	return w
 }
 
-// Run watches until ctx ends. It reopens a watch that breaks or falls silent, from the latest generation on, with
-// bounded exponential backoff and jitter that count from the beginning of the call.
+// Run watches until ctx ends. It reopens a watch that breaks or falls silent, from the latest generation on. Between
+// calls it waits for a bounded exponential backoff with jitter, which counts from the start of the failed call.
 func (w *Watcher) Run(ctx context.Context) {
 	backoff := minBackoff
 	for ctx.Err() == nil {
-		begun := time.Now()
+		callStart := time.Now()
 		received, err := w.watch(ctx)
 		if ctx.Err() != nil {
 			return
@@ -76,10 +76,10 @@
 		if received {
 			backoff = minBackoff
 		}
-		if backoff == minBackoff { // one line for an outage, not one for each attempt
-			w.log.Warn("discovery watch ended, retrying", "error", err)
+		if backoff == minBackoff { // logs one line per outage, not one per attempt
+			w.log.Warn("discovery watch ended; reopening it", "error", err)
 		}
-		delay := backoff/2 + rand.N(backoff) - time.Since(begun)
+		delay := backoff/2 + rand.N(backoff) - time.Since(callStart)
 		select {
 		case <-ctx.Done():
 		case <-time.After(max(delay, rand.N(min(backoff, PollJitter)))):
@@ -88,9 +88,10 @@
 	}
 }
 
-// RunOnce holds one watch, for a balancer that polls for each. A watch that brought a list and falls silent is
-// reopened after a jitter. Otherwise it returns: whether and when to poll again is the balancer's decision, but its
-// delay between calls is too long for changes that were missed during the silence.
+// RunOnce keeps one watch open, for a balancer that polls to request each watch. It returns when the watch ends, since
+// the balancer decides whether and when to poll again. The exception is a watch that brought a list and then fell
+// silent: RunOnce reopens it after a short jitter, because the balancer's delay between polls is too long for changes
+// that were missed during the silence.
 func (w *Watcher) RunOnce(ctx context.Context) {
 	for {
 		received, err := w.watch(ctx)
@@ -109,15 +110,17 @@
 	}
 }
 
-// watch holds one watch until it ends, and reports whether it brought a list.
+// watch opens one watch, processes its lists until it ends, and reports whether it received any. The error is never
+// nil.
 func (w *Watcher) watch(ctx context.Context) (received bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	// A host that is cut off leaves the connection open and silent, so a timer here ends it.
+	// When discovery's host loses its network, the connection stays open without data, so this timer ends the watch.
 	idle := time.AfterFunc(w.responseTimeout(), func() { cancel(errIdle) })
 	defer idle.Stop()
 	onRead := func(inList bool) {
-		// Between lists a watch may be idle. Within one it may not: what the list changes is not known yet.
+		// A watch may be idle between lists. Within a list the shorter timeout applies, because the list's changes are
+		// not known until it is complete.
 		if inList {
 			idle.Reset(w.responseTimeout())
 		} else {
@@ -125,7 +128,7 @@
 		}
 	}
 	if w.generation == NoGeneration {
-		// Only a complete list says which endpoints an earlier discovery knew and this one does not.
+		// Only a complete list shows which endpoints of the previous discovery this one does not have.
 		if err := w.fetchList(ctx, onRead); err != nil {
 			return false, cmp.Or(context.Cause(ctx), err)
 		}
@@ -137,28 +140,28 @@
 		return received, cmp.Or(context.Cause(ctx), err)
 	}
 	defer resp.Body.Close()
-	some, err := w.readLists(ctx, resp.Body, onRead)
-	return received || some, cmp.Or(context.Cause(ctx), err)
+	anyList, err := w.readLists(ctx, resp.Body, onRead)
+	return received || anyList, cmp.Or(context.Cause(ctx), err)
 }
 
-// responseTimeout is the timeout while a list is awaited.
+// responseTimeout returns how long a call may go without data while a list is expected.
 func (w *Watcher) responseTimeout() time.Duration { return min(w.IdleTimeout, ResponseTimeout) }
 
-// readLists passes on the lists of a watch until it ends, and reports whether there were any.
+// readLists passes the lists of a watch to onList until the watch ends, and reports whether there were any.
 func (w *Watcher) readLists(ctx context.Context, body io.Reader, onRead func(inList bool)) (received bool, err error) {
 	reader := &listReader{Reader: body, onRead: onRead}
-	lists := json.NewDecoder(reader) // a list may take several lines
+	decoder := json.NewDecoder(reader) // a list may take several lines
 	for {
 		reader.remaining = w.maxListBytes
-		buffered, _ := io.ReadAll(lists.Buffered()) // it is in memory
+		buffered, _ := io.ReadAll(decoder.Buffered()) // reads from memory, so it cannot fail
 		reader.endList(buffered)
 		var l List
-		if err := lists.Decode(&l); err != nil {
-			return received, err // the next watch brings the changes of an incomplete list
+		if err := decoder.Decode(&l); err != nil {
+			return received, err // the next watch resends the changes of an incomplete list
 		}
 		if l.Generation < w.generation {
-			// An older list would bring back endpoints that are known to be draining.
-			w.log.Warn("ignored a stale list", "generation", l.Generation, "have", w.generation)
+			// An older list could return endpoints to service that are known to be draining.
+			w.log.Warn("ignored a list older than the latest one", "generation", l.Generation, "have", w.generation)
 			continue
 		}
 		w.generation = l.Generation
@@ -167,7 +170,7 @@
 	}
 }
 
-// fetchList gets the complete list.
+// fetchList fetches the complete list and passes it to onList.
 func (w *Watcher) fetchList(ctx context.Context, onRead func(inList bool)) error {
 	resp, err := w.get(ctx, "")
 	if err != nil {
@@ -177,7 +180,7 @@
 	reader := &listReader{Reader: resp.Body, onRead: onRead, remaining: w.maxListBytes}
 	var l List
 	if err := json.NewDecoder(reader).Decode(&l); err != nil {
-		return fmt.Errorf("malformed list: %w", err)
+		return fmt.Errorf("decode the endpoint list: %w", err)
 	}
 	l.Reset = true
 	w.generation = l.Generation
@@ -185,7 +188,8 @@
 	return nil
 }
 
-// get calls discovery. The caller closes the body of the response.
+// get sends a GET request to discovery. On success the caller must close the response's body; a status other than 200
+// is an error.
 func (w *Watcher) get(ctx context.Context, query string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+w.addr+"/api/targets"+query, nil)
 	if err != nil {
