--- a/internal/dataplane/maintenance/maintenance_test.go
+++ b/internal/dataplane/maintenance/maintenance_test.go
@@ -14,76 +14,77 @@
 	"time"
 )
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
-// sidecar records the overrides that are applied to it.
-type sidecar struct{ applied []string }
+// fakeSidecar records the overrides that are applied to it. It does not know the endpoint "unknown".
+type fakeSidecar struct{ applied []string }
 
-func (s *sidecar) apply(_ context.Context, m Override, force bool) error {
-	if m.ID == "unknown" && !force {
+func (s *fakeSidecar) apply(_ context.Context, o Override, force bool) error {
+	if o.ID == "unknown" && !force {
 		return ErrUnknownEndpoint
 	}
-	s.applied = append(s.applied, fmt.Sprint(m.ID, " ", m.Drained))
+	s.applied = append(s.applied, fmt.Sprint(o.ID, " ", o.Drained))
 	return nil
 }
 
-func (s *sidecar) expect(t *testing.T, want ...string) {
+func (s *fakeSidecar) expectApplied(t *testing.T, want ...string) {
 	t.Helper()
 	if !slices.Equal(s.applied, want) {
 		t.Errorf("applied %q, want %q", s.applied, want)
 	}
 }
 
-// Two drains need one return to service; the return of an endpoint that is in service is harmless; unknown IDs are
-// an error.
+// A second drain or return of an endpoint is not applied again, and the return of an endpoint in service is no error.
+// An unknown ID is an error.
 func TestSetIgnoresRepeats(t *testing.T) {
-	s := &sidecar{}
+	s := &fakeSidecar{}
 	f := File{filepath.Join(t.TempDir(), "bans.json")}
-	b := NewRegistry(f, time.Minute, s.apply, quiet)
+	r := NewRegistry(f, time.Minute, s.apply, discardLog)
 	for _, drained := range []bool{true, true, false, false} {
-		if err := b.Set(t.Context(), "s-1", drained); err != nil {
+		if err := r.Set(t.Context(), "s-1", drained); err != nil {
 			t.Error(err)
 		}
 	}
-	s.expect(t, "s-1 true", "s-1 false")
-	if err := b.Set(t.Context(), "s-2", false); err != nil {
+	s.expectApplied(t, "s-1 true", "s-1 false")
+	if err := r.Set(t.Context(), "s-2", false); err != nil {
 		t.Error(err)
 	}
 	for _, drained := range []bool{true, false} {
-		if err := b.Set(t.Context(), "unknown", drained); !errors.Is(err, ErrUnknownEndpoint) {
-			t.Errorf("got %v", err)
+		if err := r.Set(t.Context(), "unknown", drained); !errors.Is(err, ErrUnknownEndpoint) {
+			t.Errorf("set an unknown endpoint: error %v, want ErrUnknownEndpoint", err)
 		}
 	}
 }
 
-// A new process finds the overrides of the old one, and no return to service once the endpoint is warm.
+// A registry loads the overrides that an earlier process saved. The override of an endpoint that returned to service is
+// dropped after the retention; that of a drained endpoint stays.
 func TestOverridesSurviveRestartUntilRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := File{filepath.Join(t.TempDir(), "bans.json")}
-		b := NewRegistry(f, time.Minute, (&sidecar{}).apply, quiet)
+		r := NewRegistry(f, time.Minute, (&fakeSidecar{}).apply, discardLog)
 		for _, id := range []string{"s-2", "s-1"} {
-			if err := b.Set(t.Context(), id, true); err != nil {
+			if err := r.Set(t.Context(), id, true); err != nil {
 				t.Error(err)
 			}
 		}
-		if err := b.Set(t.Context(), "s-2", false); err != nil {
+		if err := r.Set(t.Context(), "s-2", false); err != nil {
 			t.Error(err)
 		}
-		got := NewRegistry(f, time.Minute, (&sidecar{}).apply, quiet).Overrides()
+		got := NewRegistry(f, time.Minute, (&fakeSidecar{}).apply, discardLog).Overrides()
 		if len(got) != 2 || got[0].ID != "s-1" || !got[0].Drained {
-			t.Fatalf("stored %+v", got)
+			t.Fatalf("after a restart: overrides %+v, want s-1 drained and s-2 in service", got)
 		}
 		if got[1].ID != "s-2" || got[1].Drained || got[1].UnixMicros == 0 {
-			t.Errorf("stored %+v", got)
+			t.Errorf("after a restart: override of s-2 %+v, want in service with a timestamp", got)
 		}
 		time.Sleep(2 * time.Minute)
-		if got := b.Overrides(); len(got) != 1 || got[0].ID != "s-1" {
-			t.Errorf("later stored %+v", got)
+		if got := r.Overrides(); len(got) != 1 || got[0].ID != "s-1" {
+			t.Errorf("after the retention: overrides %+v, want s-1 alone", got)
 		}
 	})
 }
 
-// A damaged file is reported and does not keep the process from serving; the next override replaces it.
+// A damaged file is logged and does not prevent the start. The next override replaces it.
 func TestNewRegistryReportsDamagedFile(t *testing.T) {
 	for _, text := range []string{"", "{", `{"version":2}`, `{"version":1,"marks":[{"id":3}]}`, "\x00\xff"} {
 		path := filepath.Join(t.TempDir(), "bans.json")
@@ -91,77 +92,77 @@
 			t.Fatal(err)
 		}
 		var log strings.Builder
-		b := NewRegistry(File{path}, time.Minute, (&sidecar{}).apply, slog.New(slog.NewTextHandler(&log, nil)))
-		if !strings.Contains(log.String(), "cannot be read") {
-			t.Errorf("%q: the damage was not reported", text)
+		r := NewRegistry(File{path}, time.Minute, (&fakeSidecar{}).apply, slog.New(slog.NewTextHandler(&log, nil)))
+		if !strings.Contains(log.String(), "cannot load the stored overrides") {
+			t.Errorf("file %q: the damage was not logged", text)
 		}
-		if err := b.Set(t.Context(), "s-1", true); err != nil {
-			t.Errorf("%q: %v", text, err)
+		if err := r.Set(t.Context(), "s-1", true); err != nil {
+			t.Errorf("file %q: set an override: %v", text, err)
 		}
 		if got, err := (File{path}).Load(); err != nil || len(got) != 1 {
-			t.Errorf("%q: then stored %v, %v", text, got, err)
+			t.Errorf("file %q: after an override loaded %v, error %v, want one override", text, got, err)
 		}
 	}
 }
 
-// An override that cannot be stored is in effect all the same, and no temporary file is left.
+// An override that cannot be saved is in effect nevertheless, and no temporary file remains.
 func TestSetAppliesWhenSaveFails(t *testing.T) {
-	s := &sidecar{}
+	s := &fakeSidecar{}
 	dir := t.TempDir()
-	b := NewRegistry(File{filepath.Join(dir, "no", "bans.json")}, time.Minute, s.apply, quiet)
-	if err := b.Set(t.Context(), "s-1", true); err != nil {
+	r := NewRegistry(File{filepath.Join(dir, "no", "bans.json")}, time.Minute, s.apply, discardLog)
+	if err := r.Set(t.Context(), "s-1", true); err != nil {
 		t.Error(err)
 	}
-	s.expect(t, "s-1 true")
-	if left, err := os.ReadDir(dir); err != nil || len(left) != 0 {
-		t.Error("left", left, err)
+	s.expectApplied(t, "s-1 true")
+	if files, err := os.ReadDir(dir); err != nil || len(files) != 0 {
+		t.Error("left", files, err)
 	}
 }
 
-// Peers are notified and obey, also for endpoints that they do not know; of two overrides the later one counts,
-// whichever comes first; a hung peer is no reason to fail.
+// Peers apply the overrides of which they are notified, also for endpoints that they do not know. Of two overrides the
+// later one prevails, in whatever order they arrive. A peer that does not respond does not make Set fail.
 func TestSetNotifiesPeers(t *testing.T) {
-	one, two := &sidecar{}, &sidecar{}
+	sidecarA, sidecarB := &fakeSidecar{}, &fakeSidecar{}
 	dir := t.TempDir()
-	a := NewRegistry(File{filepath.Join(dir, "a")}, time.Minute, one.apply, quiet)
-	b := NewRegistry(File{filepath.Join(dir, "b")}, time.Minute, two.apply, quiet)
-	leave := a.AddPeer(func(ctx context.Context, m Override) error { return b.Merge(ctx, m) })
+	a := NewRegistry(File{filepath.Join(dir, "a")}, time.Minute, sidecarA.apply, discardLog)
+	b := NewRegistry(File{filepath.Join(dir, "b")}, time.Minute, sidecarB.apply, discardLog)
+	removePeer := a.AddPeer(func(ctx context.Context, o Override) error { return b.Merge(ctx, o) })
 	a.AddPeer(func(context.Context, Override) error { return errors.New("hung") })
 	if err := a.Set(t.Context(), "s-1", true); err != nil {
 		t.Error(err)
 	}
-	two.expect(t, "s-1 true")
-	late := a.Overrides()[0]
-	early := Override{ID: "s-1", Drained: false, UnixMicros: late.UnixMicros - 1}
+	sidecarB.expectApplied(t, "s-1 true")
+	latest := a.Overrides()[0]
+	earlier := Override{ID: "s-1", Drained: false, UnixMicros: latest.UnixMicros - 1}
 	unknown := Override{ID: "unknown", Drained: true, UnixMicros: 1}
-	if err := b.Merge(t.Context(), early, unknown); err != nil {
+	if err := b.Merge(t.Context(), earlier, unknown); err != nil {
 		t.Error(err)
 	}
-	two.expect(t, "s-1 true", "unknown true")
-	leave()
+	sidecarB.expectApplied(t, "s-1 true", "unknown true")
+	removePeer()
 	if err := a.Set(t.Context(), "s-1", false); err != nil {
 		t.Error(err)
 	}
-	two.expect(t, "s-1 true", "unknown true")
+	sidecarB.expectApplied(t, "s-1 true", "unknown true")
 }
 
-// A call behind one that does not return ends with its own deadline.
+// A call that waits behind a hung one returns at its own deadline.
 func TestSetBehindHungCallTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := NewRegistry(Discard{}, time.Minute, func(ctx context.Context, _ Override, _ bool) error {
+		r := NewRegistry(Discard{}, time.Minute, func(ctx context.Context, _ Override, _ bool) error {
 			<-ctx.Done()
 			return ctx.Err()
-		}, quiet)
+		}, discardLog)
 		go func() {
-			if err := b.Set(t.Context(), "s-1", true); !errors.Is(err, context.Canceled) {
-				t.Errorf("the hung call: %v", err)
+			if err := r.Set(t.Context(), "s-1", true); !errors.Is(err, context.Canceled) {
+				t.Errorf("the hung call returned error %v, want context.Canceled", err)
 			}
 		}()
 		synctest.Wait()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		if err := b.Set(ctx, "s-2", true); !errors.Is(err, context.DeadlineExceeded) {
-			t.Errorf("got %v", err)
+		if err := r.Set(ctx, "s-2", true); !errors.Is(err, context.DeadlineExceeded) {
+			t.Errorf("the call behind it returned error %v, want context.DeadlineExceeded", err)
 		}
 	})
 }
--- a/internal/dataplane/maintenance/registry.go
+++ b/internal/dataplane/maintenance/registry.go
@@ -1,6 +1,6 @@
-// Package maintenance holds operators' overrides: which endpoints they drain for maintenance. A Registry carries
-// each override to the sidecar that must obey it, to a store that outlives the process, and to the peers: the other
-// processes of this sidecar while one takes over from another. The package imports nothing else of birchmoor.
+// Package maintenance keeps the operators' overrides, by which they drain endpoints for maintenance. A Registry applies
+// each override to the sidecar, saves it in a store that outlives the process, and passes it to the peers: the other
+// processes of the same sidecar during a handover. The package imports nothing else of birchmoor.
 package maintenance
 
 import (
@@ -14,54 +14,54 @@
 	"time"
 )
 
-// Override is the latest override of one endpoint. That of an endpoint which is back in service is retained for a
-// while, since the endpoint is warming up.
+// Override is an operator's latest decision on one endpoint. The override that returned an endpoint to service is
+// retained for a while, because the endpoint is warming up during that time.
 type Override struct {
 	ID         string `json:"id"`
 	Drained    bool   `json:"out"`
-	UnixMicros int64  `json:"at_us"` // when it was made
+	UnixMicros int64  `json:"at_us"` // time of the decision, as Unix time
 }
 
-// ErrUnknownEndpoint says that no endpoint has an ID.
+// ErrUnknownEndpoint is the error for an ID that no known endpoint has.
 var ErrUnknownEndpoint = errors.New("unknown id")
 
-// ApplyFunc puts an override in effect in this process, and returns once it is. With force it takes an ID that this
-// process does not know yet; else that is ErrUnknownEndpoint.
+// ApplyFunc applies an override in this process, and returns once it is in effect. For an ID that this process does not
+// know, it returns ErrUnknownEndpoint unless force is set.
 type ApplyFunc func(ctx context.Context, o Override, force bool) error
 
-// NotifyFunc passes an override to a peer, and returns once it is in effect there.
+// NotifyFunc passes an override to a peer process, and returns once it is in effect there.
 type NotifyFunc func(context.Context, Override) error
 
-// FleetOverrides is what all daemons agree on: a drain is in effect once one of them reports it, the return to
-// service needs their agreement.
+// FleetOverrides gives access to the overrides that all daemons agree on. A drain is in effect in the fleet once one
+// daemon reports it; a return to service needs the agreement of the fleet.
 type FleetOverrides interface {
-	// Subscribe sets the function that puts in effect here what was agreed on elsewhere.
+	// Subscribe sets the function that applies in this process what the fleet has agreed on.
 	Subscribe(apply func(ctx context.Context, id string, drained bool) error)
-	// ReportDrain reports that an endpoint is drained here. It does not block.
+	// ReportDrain reports that an operator has drained an endpoint in this process. It does not block.
 	ReportDrain(id string)
-	// RequestReturn requests the return of an endpoint to service, and returns once that is agreed on and in effect
-	// here. If the fleet does not know that the endpoint is drained, requested is false: this process decides
-	// alone.
+	// RequestReturn requests that the fleet return an endpoint to service, and returns once that is agreed on and in
+	// effect in this process. requested is false if the fleet does not know the endpoint as drained; then this process
+	// decides alone.
 	RequestReturn(ctx context.Context, id string) (requested bool, err error)
 }
 
 // Registry holds the overrides of one process. It is safe for concurrent use.
 type Registry struct {
 	store     Store
-	retention time.Duration // of overrides of endpoints that are back in service
+	retention time.Duration // how long the override of an endpoint that is back in service is retained
 	log       *slog.Logger
 	apply     ApplyFunc
-	fleet     FleetOverrides // nil: there is none
+	fleet     FleetOverrides // nil if this process has not joined a fleet
 
 	updating  chan struct{} // holds a token while one update is applied and stored
-	mu        sync.Mutex    // guards what follows
+	mu        sync.Mutex    // guards the fields below
 	overrides map[string]Override
 	peers     map[int]NotifyFunc
 	lastPeer  int
 }
 
-// NewRegistry returns a registry with the overrides of the store. If these cannot be read, it logs that and begins
-// without any: to serve is better than not to start.
+// NewRegistry returns a registry with the overrides from the store. If they cannot be loaded, it logs the error and
+// starts without overrides, since a sidecar that serves without them is better than one that does not start.
 func NewRegistry(store Store, retention time.Duration, apply ApplyFunc, log *slog.Logger) *Registry {
 	r := &Registry{
 		store:     store,
@@ -74,7 +74,7 @@
 	}
 	overrides, err := store.Load()
 	if err != nil {
-		log.Error("the stored overrides of operators cannot be read", "error", err)
+		log.Error("cannot load the stored overrides; starting without them", "error", err)
 	}
 	for _, o := range overrides {
 		r.overrides[o.ID] = o
@@ -82,7 +82,8 @@
 	return r
 }
 
-// Overrides returns all overrides that still matter, sorted by ID.
+// Overrides returns all overrides, sorted by ID. It first removes those of endpoints that have been back in service for
+// longer than the retention.
 func (r *Registry) Overrides() []Override {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -99,22 +100,23 @@
 	return overrides
 }
 
-// JoinFleet has overrides go through what all daemons agree on. It must be called before any other method.
+// JoinFleet connects the registry to the overrides that all daemons agree on. It must be called before any other
+// method.
 func (r *Registry) JoinFleet(f FleetOverrides) {
 	r.fleet = f
 	f.Subscribe(r.applyAgreed)
 }
 
-// applyAgreed puts in effect what the fleet agreed on. It counts as later than any override made here: clocks of
-// hosts differ.
+// applyAgreed applies what the fleet has agreed on. The override gets a later timestamp than the endpoint's present
+// one, because clocks of hosts differ and the agreement must prevail over overrides that were made here.
 func (r *Registry) applyAgreed(ctx context.Context, id string, drained bool) error {
 	o, _ := r.find(id)
-	at := max(time.Now().UnixMicro(), o.UnixMicros+1)
-	return r.Merge(ctx, Override{ID: id, Drained: drained, UnixMicros: at})
+	timestamp := max(time.Now().UnixMicro(), o.UnixMicros+1)
+	return r.Merge(ctx, Override{ID: id, Drained: drained, UnixMicros: timestamp})
 }
 
-// Set drains an endpoint or returns it to service, and returns once that is in effect here and was passed to the
-// peers.
+// Set drains an endpoint or returns it to service. It returns once the override is in effect in this process and the
+// peers were notified.
 func (r *Registry) Set(ctx context.Context, id string, drained bool) error {
 	if r.fleet != nil && !drained {
 		requested, err := r.fleet.RequestReturn(ctx, id)
@@ -133,7 +135,8 @@
 	return nil
 }
 
-// notifyPeers passes an override to all peers. A peer that is hung or dead must not keep operators from their work.
+// notifyPeers passes an override to all peers. It only logs errors, because a peer that hangs or has ended must not
+// make an operator's call fail.
 func (r *Registry) notifyPeers(ctx context.Context, o Override) {
 	r.mu.Lock()
 	peers := make([]NotifyFunc, 0, len(r.peers))
@@ -143,12 +146,13 @@
 	r.mu.Unlock()
 	for _, notify := range peers {
 		if err := notify(ctx, o); err != nil {
-			r.log.Error("a peer process did not take over an override", "id", o.ID, "drained", o.Drained, "error", err)
+			r.log.Error("cannot pass an override to a peer process", "id", o.ID, "drained", o.Drained, "error", err)
 		}
 	}
 }
 
-// Merge takes over overrides of a peer; of two for the same endpoint, the later one counts.
+// Merge applies the overrides of a peer, also for endpoints that this process does not know. If both processes have an
+// override for an endpoint, the later one prevails.
 func (r *Registry) Merge(ctx context.Context, overrides ...Override) error {
 	for _, o := range overrides {
 		known, ok := r.find(o.ID)
@@ -162,7 +166,7 @@
 	return nil
 }
 
-// find returns the override of an endpoint.
+// find returns the override of an endpoint, if there is one.
 func (r *Registry) find(id string) (o Override, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -170,8 +174,8 @@
 	return o, ok
 }
 
-// update puts an override in effect in this process and stores it. One that cannot be stored is in effect all the
-// same.
+// update applies an override in this process and then saves it. A failed save is only logged: the override stays in
+// effect.
 func (r *Registry) update(ctx context.Context, o Override, force bool) error {
 	select {
 	case r.updating <- struct{}{}:
@@ -180,26 +184,27 @@
 		return ctx.Err()
 	}
 	known, ok := r.find(o.ID)
-	// A repeat changes nothing: a second return to service must not restart the warm-up.
-	repeat := ok && known.Drained == o.Drained || !ok && !o.Drained && !force
-	if !repeat || !ok {
+	// A repeated override changes nothing: a second return to service must not restart the endpoint's slow start. The
+	// return of an endpoint without an override is not stored, but applied, so that an unknown ID is an error.
+	repeated := ok && known.Drained == o.Drained || !ok && !o.Drained && !force
+	if !repeated || !ok {
 		if err := r.apply(ctx, o, force); err != nil {
 			return fmt.Errorf("%s: %w", o.ID, err)
 		}
 	}
-	if repeat {
+	if repeated {
 		return nil
 	}
 	r.mu.Lock()
 	r.overrides[o.ID] = o
 	r.mu.Unlock()
 	if err := r.store.Save(r.Overrides()); err != nil {
-		r.log.Error("an override is in effect but could not be stored", "id", o.ID, "drained", o.Drained, "error", err)
+		r.log.Error("an override is in effect but cannot be saved", "id", o.ID, "drained", o.Drained, "error", err)
 	}
 	return nil
 }
 
-// AddPeer adds a process that is notified of each override made here, until remove is called.
+// AddPeer adds a peer process. It is notified of each override made by Set until remove is called.
 func (r *Registry) AddPeer(notify NotifyFunc) (remove func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/dataplane/maintenance/store.go
+++ b/internal/dataplane/maintenance/store.go
@@ -10,16 +10,16 @@
 	"path/filepath"
 )
 
-// Store stores overrides beyond the life of a process.
+// Store keeps overrides beyond the end of the process. A Registry calls Load once and never calls Save concurrently.
 type Store interface {
 	Load() ([]Override, error)
 	Save([]Override) error
 }
 
-// File is a Store in one file, which each Save replaces.
+// File is a Store in a single JSON file.
 type File struct{ Path string }
 
-// fileContent is the JSON of the file.
+// fileContent is the content of a File.
 type fileContent struct {
 	Version   int        `json:"version"`
 	Overrides []Override `json:"marks"`
@@ -27,7 +27,7 @@
 
 const fileVersion = 1
 
-// Load reads the file. A file that does not exist is no error.
+// Load reads the overrides from the file. It returns none if the file does not exist.
 func (f File) Load() ([]Override, error) {
 	text, err := os.ReadFile(f.Path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -41,12 +41,13 @@
 		return nil, fmt.Errorf("load overrides: %s: %w", f.Path, err)
 	}
 	if content.Version != fileVersion {
-		return nil, fmt.Errorf("load overrides: %s: version %d is not known", f.Path, content.Version)
+		return nil, fmt.Errorf("load overrides: %s: unsupported version %d", f.Path, content.Version)
 	}
 	return content.Overrides, nil
 }
 
-// Save replaces the file. A reader, or a start after a crash, finds the old content or the new.
+// Save replaces the file atomically: a concurrent reader, or a process that starts after a crash, sees either the old
+// content or the new one.
 func (f File) Save(overrides []Override) error {
 	text, err := json.Marshal(fileContent{fileVersion, overrides})
 	if err != nil {
@@ -71,11 +72,11 @@
 	return nil
 }
 
-// Discard is a Store that stores nothing, for a sidecar without a directory of its own.
+// Discard is a Store that keeps nothing, for a sidecar without a private directory.
 type Discard struct{}
 
-// Load returns nothing.
+// Load returns no overrides.
 func (Discard) Load() ([]Override, error) { return nil, nil }
 
-// Save stores nothing.
+// Save drops the overrides.
 func (Discard) Save([]Override) error { return nil }
--- a/internal/dataplane/maintenance/stored_test.go
+++ b/internal/dataplane/maintenance/stored_test.go
@@ -7,15 +7,16 @@
 	"testing"
 )
 
-// testdata/bans.json is a file of version 7105f7a.
+// The stored form of overrides must not change, since a new version reads the file of an old one. testdata/bans.json is
+// a file that version 7105f7a wrote.
 func TestFileKeepsStoredForm(t *testing.T) {
-	stored := filepath.Join("testdata", "bans.json")
+	fixturePath := filepath.Join("testdata", "bans.json")
 	want := []Override{
 		{ID: "s-1", Drained: true, UnixMicros: 1700000000000001},
 		{ID: "10.0.0.2:80", Drained: false, UnixMicros: 1700000000000002},
 	}
-	if got, err := (File{stored}).Load(); err != nil || !slices.Equal(got, want) {
-		t.Errorf("decoded %+v, %v, want %+v", got, err, want)
+	if got, err := (File{fixturePath}).Load(); err != nil || !slices.Equal(got, want) {
+		t.Errorf("loaded %+v, error %v, want %+v", got, err, want)
 	}
 	path := filepath.Join(t.TempDir(), "bans.json")
 	if err := (File{path}).Save(want); err != nil {
@@ -25,8 +26,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	before, err := os.ReadFile(stored)
-	if err != nil || string(written) != string(before) {
-		t.Errorf("wrote %s, want %s, error %v", written, before, err)
+	fixture, err := os.ReadFile(fixturePath)
+	if err != nil || string(written) != string(fixture) {
+		t.Errorf("saved %s, want %s, error %v", written, fixture, err)
 	}
 }
