--- a/internal/dataplane/handover/conversation.go
+++ b/internal/dataplane/handover/conversation.go
@@ -18,7 +18,7 @@
 	initialBufferBytes = 4 << 10
 )
 
-// message is one line of a conversation.
+// message is one line of a conversation: a request, or the reply with the same Seq.
 type message struct {
 	Op        string                `json:"op"`
 	Seq       uint64                `json:"seq"`
@@ -37,21 +37,22 @@
 	opReply = "reply"
 )
 
-// conversation is one side of the connection between two processes.
+// conversation is one side of the connection between two processes. It is safe for concurrent use.
 type conversation struct {
 	conn  net.Conn
-	ended chan struct{}
+	ended chan struct{} // closed when the connection has ended
 
-	mu      sync.Mutex // guards what follows, and writing
-	seq     uint64     // of the latest request
-	waiting map[uint64]chan message
+	mu      sync.Mutex              // guards the fields below, and writes to conn
+	lastSeq uint64                  // Seq of this side's latest request
+	waiting map[uint64]chan message // requests without a reply, by Seq
 }
 
 func newConversation(conn net.Conn) *conversation {
 	return &conversation{conn: conn, ended: make(chan struct{}), waiting: map[uint64]chan message{}}
 }
 
-// run handles the other side's requests, each in a goroutine of its own, until the connection ends.
+// run reads from the connection until it ends. It handles each request of the other side in a goroutine of its own, and
+// waits for these before it returns.
 func (c *conversation) run(handle func(message) message) error {
 	var handlers sync.WaitGroup
 	defer handlers.Wait()
@@ -71,22 +72,23 @@
 		handlers.Go(func() {
 			reply := handle(m)
 			reply.Op, reply.Seq = opReply, m.Seq
-			_ = c.write(reply) // the other side sees a failure as the connection's end
+			_ = c.write(reply) // if this fails, the other side sees that the connection has ended
 		})
 	}
 	return lines.Err()
 }
 
-// deliver gives a reply to the request that waits for it, if one does.
+// deliver passes a reply to the request that waits for it. A reply without a waiting request is dropped.
 func (c *conversation) deliver(reply message) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if waiting := c.waiting[reply.Seq]; waiting != nil {
-		waiting <- reply // it is buffered, and gets one reply
+		waiting <- reply // does not block: the channel has room for its one reply
 		delete(c.waiting, reply.Seq)
 	}
 }
 
+// write sends one message. Messages of concurrent calls do not mix.
 func (c *conversation) write(m message) error {
 	text, err := json.Marshal(m)
 	if err != nil {
@@ -99,12 +101,13 @@
 	return err
 }
 
-// request sends a request and waits for its reply.
+// request sends a request and waits for its reply until ctx or the connection ends. An error in the reply is returned
+// as an error.
 func (c *conversation) request(ctx context.Context, m message) (message, error) {
 	replies := make(chan message, 1)
 	c.mu.Lock()
-	c.seq++
-	m.Seq = c.seq
+	c.lastSeq++
+	m.Seq = c.lastSeq
 	c.waiting[m.Seq] = replies
 	c.mu.Unlock()
 	defer func() {
@@ -128,7 +131,7 @@
 	}
 }
 
-// peer returns the other side's process.
+// peer returns the calls to the process on the other side.
 func (c *conversation) peer() Peer {
 	return Peer{ApplyOverride: c.applyOverride, ReportEjections: c.reportEjections}
 }
@@ -145,7 +148,7 @@
 	return err
 }
 
-// handleNotification handles the requests that either side may send.
+// handleNotification handles the requests that either process may send, and returns the reply.
 func handleNotification(p Process, m message) message {
 	switch m.Op {
 	case opMark:
@@ -166,7 +169,7 @@
 	return errorReply(p.Merge(ctx, *m.Override))
 }
 
-// errorReply returns a reply with an error, or an empty one for nil.
+// errorReply returns a reply with an error, or an empty reply if err is nil.
 func errorReply(err error) message {
 	if err != nil {
 		return message{Error: err.Error()}
--- a/internal/dataplane/handover/handover.go
+++ b/internal/dataplane/handover/handover.go
@@ -1,13 +1,13 @@
-// Package handover lets a new process of a sidecar take over from the old one under load. The two find each other
-// through a Unix socket. They send lines of JSON, each a request with a number or the reply to one:
+// Package handover lets a new process of a sidecar take over from the old one under load. The new process connects to
+// the old one's Unix socket. Both send lines of JSON, each of them a numbered request or the reply to one:
 //
-//	join  new to old: the reply is the old process's State; from now on both share their budgets
-//	mark  either way: an operator's override, which is in effect in both before it is replied to
+//	join  new to old: requests the old process's State; from then on both processes share the sidecar's budgets
+//	mark  either way: an operator's override; the reply means that the override is in effect at the receiver, too
 //	eject either way: the endpoints that the sender has ejected, and for how long
-//	take  new to old: the new process accepts connections; when the old one replies, it no longer does
+//	take  new to old: the new process accepts connections; the reply means that the old one no longer does
 //
-// The connection lasts until one of the two ends, and its end tells the other one. The package may import
-// maintenance.
+// The connection stays open until one of the processes ends, which the other one sees by the end of the connection. The
+// package may import maintenance.
 package handover
 
 import (
@@ -24,39 +24,40 @@
 	takeOverTimeout = 2 * time.Second
 )
 
-// State is what an old process passes on to the new one.
+// State is what an old process passes to its successor.
 type State struct {
 	Overrides []maintenance.Override `json:"marks"`
-	List      json.RawMessage        `json:"list"` // of endpoints, in discovery's form
+	List      json.RawMessage        `json:"list"` // the endpoint list, as a discovery.List
 
-	Snapshot       []byte            `json:"snapshot,omitempty"` // of the decision module, in package snapshot's form
-	OtherProtocols map[string][]byte `json:"others,omitempty"`   // of modules for protocols other than HTTP
+	Snapshot       []byte            `json:"snapshot,omitempty"` // of the decision module, encoded by package snapshot
+	OtherProtocols map[string][]byte `json:"others,omitempty"`   // snapshots by protocol, for protocols other than HTTP
 }
 
-// Ejection is an endpoint that a process has ejected because of failures.
+// Ejection is an endpoint that a process has ejected as an outlier because of failures.
 type Ejection struct {
 	ID         string `json:"id"`
-	LeftMicros int64  `json:"left"` // until the ejection ends
+	LeftMicros int64  `json:"left"` // time until the ejection ends
 }
 
-// Peer is the other process, as this one can call it.
+// Peer has the calls that this process can make to the other one. Both return once the other process has replied.
 type Peer struct {
 	ApplyOverride   func(context.Context, maintenance.Override) error
 	ReportEjections func(context.Context, []Ejection) error
 }
 
-// Process is this process, as the other one calls it. Its methods are called from several goroutines.
+// Process is implemented by the sidecar: it has the calls that the other process can make to this one. Its methods must
+// be safe for concurrent use.
 type Process interface {
-	// AddPeer begins the time in which both processes share their budgets, and leave ends it.
-	AddPeer(other Peer) (leave func())
+	// AddPeer makes this process share its budgets with the other one until remove is called.
+	AddPeer(other Peer) (remove func())
 	// State returns what a new process must know. It is called after AddPeer.
 	State(ctx context.Context) (State, error)
-	// Merge puts operators' overrides of the other process in effect here.
+	// Merge applies the operators' overrides of the other process in this one.
 	Merge(ctx context.Context, overrides ...maintenance.Override) error
-	// ApplyEjections takes over the other process's ejections.
+	// ApplyEjections ejects in this process the endpoints that the other one has ejected.
 	ApplyEjections(list []Ejection)
-	// StopAccepting leaves new connections to the other process.
+	// StopAccepting stops accepting connections, because the other process accepts them from now on.
 	StopAccepting()
-	// ResumeAccepting accepts connections again, since the other process is gone.
+	// ResumeAccepting starts accepting connections again, because the other process has ended.
 	ResumeAccepting()
 }
--- a/internal/dataplane/handover/handover_test.go
+++ b/internal/dataplane/handover/handover_test.go
@@ -19,61 +19,62 @@
 	"birchmoor/internal/dataplane/maintenance"
 )
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
-// process is a sidecar that records which of its methods are called.
-type process struct {
-	did  chan string
-	mu   sync.Mutex
-	peer Peer
+// fakeProcess is a Process that records the calls of its methods.
+type fakeProcess struct {
+	calls chan string
+	mu    sync.Mutex // guards peer
+	peer  Peer       // argument of the latest AddPeer
 }
 
-func newProcess() *process { return &process{did: make(chan string, 32)} }
+func newFakeProcess() *fakeProcess { return &fakeProcess{calls: make(chan string, 32)} }
 
-func (p *process) AddPeer(other Peer) func() {
+func (p *fakeProcess) AddPeer(other Peer) func() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.peer = other
-	p.did <- "joined"
-	return func() { p.did <- "left" }
+	p.calls <- "joined"
+	return func() { p.calls <- "left" }
 }
 
-func (p *process) State(context.Context) (State, error) {
+func (p *fakeProcess) State(context.Context) (State, error) {
 	overrides := []maintenance.Override{{ID: "s-1", Drained: true, UnixMicros: 5}}
 	return State{Overrides: overrides, List: []byte(`{"generation":3}`)}, nil
 }
 
-func (p *process) Merge(_ context.Context, overrides ...maintenance.Override) error {
+func (p *fakeProcess) Merge(_ context.Context, overrides ...maintenance.Override) error {
 	if overrides[0].ID == "bad" {
 		return maintenance.ErrUnknownEndpoint
 	}
-	p.did <- fmt.Sprint("override ", overrides[0].ID, " ", overrides[0].Drained)
+	p.calls <- fmt.Sprint("override ", overrides[0].ID, " ", overrides[0].Drained)
 	return nil
 }
 
-func (p *process) ApplyEjections(list []Ejection) {
-	p.did <- fmt.Sprint("eject ", list[0].ID, " ", list[0].LeftMicros)
+func (p *fakeProcess) ApplyEjections(list []Ejection) {
+	p.calls <- fmt.Sprint("eject ", list[0].ID, " ", list[0].LeftMicros)
 }
 
-func (p *process) StopAccepting()   { p.did <- "stop" }
-func (p *process) ResumeAccepting() { p.did <- "resume" }
+func (p *fakeProcess) StopAccepting()   { p.calls <- "stop" }
+func (p *fakeProcess) ResumeAccepting() { p.calls <- "resume" }
 
-func (p *process) expect(t *testing.T, want ...string) {
+// expectCalls fails the test unless the next calls are the given ones, in order.
+func (p *fakeProcess) expectCalls(t *testing.T, want ...string) {
 	t.Helper()
-	for _, w := range want {
+	for _, call := range want {
 		select {
-		case got := <-p.did:
-			if got != w {
-				t.Errorf("it did %q, want %q", got, w)
+		case got := <-p.calls:
+			if got != call {
+				t.Errorf("the process was called with %q, want %q", got, call)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatalf("it did not %q", w)
+			t.Fatalf("the process was not called with %q within 10 s", call)
 		}
 	}
 }
 
-// startOldProcess serves an old process at a new path.
-func startOldProcess(t *testing.T) (path string, p *process, stop func()) {
+// startOldProcess serves an old process at a path of its own, until stop is called or the test ends.
+func startOldProcess(t *testing.T) (path string, p *fakeProcess, stop func()) {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "h") //nolint:usetesting // t.TempDir is too long for the path of a Unix socket
 	if err != nil {
@@ -85,12 +86,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p = newProcess()
+	p = newFakeProcess()
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		Serve(ctx, ln, p, quiet)
+		Serve(ctx, ln, p, discardLog)
 	}()
 	stop = sync.OnceFunc(func() {
 		cancel()
@@ -100,84 +101,86 @@
 	return path, p, stop
 }
 
-// The complete handover: the new process gets the state of the old one, overrides are in effect in both, and the
-// old one stops accepting.
+// In a complete handover, the new process gets the old one's state, both exchange overrides and ejections, and the old
+// process stops accepting connections.
 func TestTakeOverMovesServiceToNewProcess(t *testing.T) {
 	path, old, stop := startOldProcess(t)
-	fresh := newProcess()
-	o, state := Join(t.Context(), path, fresh, quiet)
-	if o == nil || len(state.Overrides) != 1 || state.Overrides[0].ID != "s-1" {
-		t.Fatalf("joined %v, state %+v", o, state)
+	successor := newFakeProcess()
+	predecessor, state := Join(t.Context(), path, successor, discardLog)
+	if predecessor == nil || len(state.Overrides) != 1 || state.Overrides[0].ID != "s-1" {
+		t.Fatalf("joined %v with state %+v, want a process with the override of s-1", predecessor, state)
 	}
 	if string(state.List) != `{"generation":3}` {
-		t.Errorf("list %s", state.List)
+		t.Errorf("got the list %s, want that of generation 3", state.List)
 	}
-	old.expect(t, "joined")
-	fresh.expect(t, "joined")
+	old.expectCalls(t, "joined")
+	successor.expectCalls(t, "joined")
 	if err := old.peer.ApplyOverride(t.Context(), maintenance.Override{ID: "s-2", Drained: true}); err != nil {
 		t.Error(err)
 	}
-	fresh.expect(t, "override s-2 true")
-	if err := fresh.peer.ApplyOverride(t.Context(), maintenance.Override{ID: "s-3"}); err != nil {
+	successor.expectCalls(t, "override s-2 true")
+	if err := successor.peer.ApplyOverride(t.Context(), maintenance.Override{ID: "s-3"}); err != nil {
 		t.Error(err)
 	}
-	old.expect(t, "override s-3 false")
-	err := fresh.peer.ApplyOverride(t.Context(), maintenance.Override{ID: "bad"})
+	old.expectCalls(t, "override s-3 false")
+	err := successor.peer.ApplyOverride(t.Context(), maintenance.Override{ID: "bad"})
 	if err == nil || !strings.Contains(err.Error(), "unknown id") {
-		t.Error("an error of the other process was lost:", err)
+		t.Error("override that the other process rejects: error", err)
 	}
-	for from, to := range map[*process]*process{old: fresh, fresh: old} {
+	for from, to := range map[*fakeProcess]*fakeProcess{old: successor, successor: old} {
 		if err := from.peer.ReportEjections(t.Context(), []Ejection{{"s-4", 900}}); err != nil {
 			t.Error(err)
 		}
-		to.expect(t, "eject s-4 900")
+		to.expectCalls(t, "eject s-4 900")
 	}
-	o.TakeOver(t.Context(), quiet)
-	old.expect(t, "stop")
-	// The new process is found from now on; the end of the old one does not remove its path.
+	predecessor.TakeOver(t.Context(), discardLog)
+	old.expectCalls(t, "stop")
+	// The new process now listens at the path. The end of the old process must not remove the new socket.
 	ln, err := Listen(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
 	stop()
-	fresh.expect(t, "left")
+	successor.expectCalls(t, "left")
 	if _, err := os.Stat(path); err != nil {
 		t.Error(err)
 	}
 }
 
-// A new process that dies leaves the old one serving, whether it had taken over or not.
+// When the new process ends before taking over, the old one keeps accepting; when it ends after taking over, the old
+// one resumes accepting.
 func TestServeResumesWhenNewProcessDies(t *testing.T) {
 	path, old, _ := startOldProcess(t)
-	o, _ := Join(t.Context(), path, newProcess(), quiet)
-	old.expect(t, "joined")
-	o.Close()
-	old.expect(t, "left")
+	predecessor, _ := Join(t.Context(), path, newFakeProcess(), discardLog)
+	old.expectCalls(t, "joined")
+	predecessor.Close()
+	old.expectCalls(t, "left")
 	for {
-		// The old process talks to one at a time, and may not have seen yet that the first is gone.
+		// The old process serves one connection at a time, and may not have seen the end of the first one yet.
 		var state State
-		if o, state = Join(t.Context(), path, newProcess(), quiet); len(state.Overrides) > 0 {
+		if predecessor, state = Join(t.Context(), path, newFakeProcess(), discardLog); len(state.Overrides) > 0 {
 			break
 		}
-		if o != nil {
-			o.Close()
+		if predecessor != nil {
+			predecessor.Close()
 		}
 	}
-	old.expect(t, "joined")
-	o.TakeOver(t.Context(), quiet)
-	old.expect(t, "stop")
-	o.Close()
-	old.expect(t, "left", "resume")
+	old.expectCalls(t, "joined")
+	predecessor.TakeOver(t.Context(), discardLog)
+	old.expectCalls(t, "stop")
+	predecessor.Close()
+	old.expectCalls(t, "left", "resume")
 }
 
-// The socket of a dead process, and a path without one, are no old process.
+// Join finds no old process at a path without a socket, or at the socket of a process that has ended. Listen replaces
+// such a socket.
 func TestJoinIgnoresStaleSocket(t *testing.T) {
 	path, _, stop := startOldProcess(t)
 	stop()
-	for _, p := range []string{path, path + ".none"} {
-		if o, _ := Join(t.Context(), p, newProcess(), quiet); o != nil {
-			t.Errorf("%s: found a process", p)
+	for _, socketPath := range []string{path, path + ".none"} {
+		if predecessor, _ := Join(t.Context(), socketPath, newFakeProcess(), discardLog); predecessor != nil {
+			t.Errorf("%s: joined an old process, want none", socketPath)
 		}
 	}
 	if ln, err := Listen(path); err != nil {
@@ -187,14 +190,14 @@
 	}
 }
 
-// An old process that is hung, or sends nonsense, does not keep the new one from starting. The budgets that a hung
-// one holds count until it is gone.
+// An old process that does not reply, or sends invalid lines, does not prevent the new one from starting. The budgets
+// stay shared until the old process ends.
 func TestJoinContinuesWithoutHungProcess(t *testing.T) {
 	for _, sent := range []string{"", "nonsense\n", "{}\n"} {
 		path := filepath.Join(t.TempDir(), "s")
 		ln, err := net.Listen("unix", path)
 		if err != nil {
-			t.Skip("the directory's name is too long for a socket:", err)
+			t.Skip("the temporary directory's path is too long for a Unix socket:", err)
 		}
 		kill := make(chan struct{})
 		go func() {
@@ -207,21 +210,23 @@
 				_ = c.Close()
 			}
 		}()
-		p := newProcess()
-		o, state := Join(t.Context(), path, p, quiet)
-		if o == nil || len(state.Overrides) > 0 {
-			t.Fatalf("%q: joined %v, state %+v", sent, o, state)
+		p := newFakeProcess()
+		predecessor, state := Join(t.Context(), path, p, discardLog)
+		if predecessor == nil || len(state.Overrides) > 0 {
+			t.Fatalf("old process that sends %q: joined %v with state %+v, want a process without state",
+				sent, predecessor, state)
 		}
-		p.expect(t, "joined")
-		o.TakeOver(t.Context(), quiet)
+		p.expectCalls(t, "joined")
+		predecessor.TakeOver(t.Context(), discardLog)
 		close(kill)
-		p.expect(t, "left")
+		p.expectCalls(t, "left")
 		ln.Close()
 	}
 }
 
-// A connection that sends nonsense changes nothing.
-func TestServeIgnoresStrangers(t *testing.T) {
+// A connection that sends malformed lines or invalid requests does not affect the old process, and a new process can
+// join afterwards.
+func TestServeIgnoresInvalidRequests(t *testing.T) {
 	path, old, _ := startOldProcess(t)
 	for _, sent := range []string{"nonsense\n", `{"op":"yield","seq":1}` + "\n", `{"op":"mark","seq":1}` + "\n"} {
 		c, err := net.Dial("unix", path)
@@ -234,40 +239,41 @@
 		if err := c.SetReadDeadline(time.Now().Add(10 * time.Second)); err != nil {
 			t.Error(err)
 		}
-		_, _ = bufio.NewReader(c).ReadString('\n') // an error reply, or the end
+		_, _ = bufio.NewReader(c).ReadString('\n') // an error reply, or the connection's end
 		c.Close()
 	}
 	for {
-		o, state := Join(t.Context(), path, newProcess(), quiet)
+		predecessor, state := Join(t.Context(), path, newFakeProcess(), discardLog)
 		if len(state.Overrides) > 0 {
 			break
 		}
-		if o != nil {
-			o.Close()
+		if predecessor != nil {
+			predecessor.Close()
 		}
 	}
-	var did []string
-	for len(old.did) > 0 {
-		did = append(did, <-old.did)
+	var calls []string
+	for len(old.calls) > 0 {
+		calls = append(calls, <-old.calls)
 	}
-	if slices.Contains(did, "stop") || slices.Contains(did, "resume") {
-		t.Error("it did", did)
+	if slices.Contains(calls, "stop") || slices.Contains(calls, "resume") {
+		t.Error("invalid requests made the old process stop or resume accepting; its calls:", calls)
 	}
 }
 
-// Closing a copy of the inherited socket does not close the socket.
+// Closing a listener on an inherited socket does not close the socket, so that it can be listened on again. A
+// descriptor number that is invalid or not open is an error.
 func TestInheritedSocketOutlivesItsCopies(t *testing.T) {
-	held, err := net.Listen("tcp", "127.0.0.1:0")
+	original, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer held.Close()
-	file, err := held.(*net.TCPListener).File()
+	defer original.Close()
+	file, err := original.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer file.Close()
-	fd, err := syscall.Dup(int(file.Fd())) // Inherit owns what it is given
+	fd, err := syscall.Dup(int(file.Fd())) // Inherit takes ownership of the descriptor
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -280,21 +286,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c, err := net.Dial("tcp", held.Addr().String())
+		client, err := net.Dial("tcp", original.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, err := ln.Accept()
+		accepted, err := ln.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		got.Close()
-		c.Close()
+		accepted.Close()
+		client.Close()
 		ln.Close()
 	}
 	for _, text := range []string{"", "x", "-1", "1000000"} {
 		if _, err := Inherit(text); err == nil {
-			t.Errorf("%q was accepted as a socket", text)
+			t.Errorf("Inherit accepted the descriptor number %q", text)
 		}
 	}
 }
--- a/internal/dataplane/handover/lock.go
+++ b/internal/dataplane/handover/lock.go
@@ -14,9 +14,9 @@
 	lockPollInterval = 10 * time.Millisecond
 )
 
-// Lock waits until no other process holds the lock beside path. Its holder looks for the process that is found at path,
-// takes over from it, and listens there: one process at a time, so that of two that start together the second finds
-// the first. The system releases the lock of a process that ends.
+// Lock waits until this process holds the lock file next to path. While a process holds it, it joins the old process at
+// path, takes over from it, and listens at path itself. The lock makes this one process at a time, so that of two that
+// start together the second finds the first. The operating system releases the lock when its holder ends.
 func Lock(ctx context.Context, path string) (unlock func(), err error) {
 	file, err := os.OpenFile(path+lockFileSuffix, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
--- a/internal/dataplane/handover/predecessor.go
+++ b/internal/dataplane/handover/predecessor.go
@@ -6,48 +6,49 @@
 	"net"
 )
 
-// Predecessor is the old process, as long as it runs.
+// Predecessor is the connection from a new process to the old one that it replaces.
 type Predecessor struct {
 	conversation *conversation
-	hung         bool
-	closed       chan struct{} // once the conversation is over
+	hung         bool          // the old process did not reply to join
+	ended        chan struct{} // closed when the conversation has ended
 }
 
-// Join looks for an old process at path. It returns nil if there is none. An old process that does not reply is
-// hung: the new one starts without its state, but what that process holds of the budgets still counts.
+// Join connects to the old process at path and requests its state. It returns nil if there is no old process. If the
+// old process does not reply, the new one must start without its state; its share of the budgets stays reserved until
+// it ends.
 func Join(ctx context.Context, path string, p Process, log *slog.Logger) (*Predecessor, State) {
 	conn, err := (&net.Dialer{Timeout: joinTimeout}).DialContext(ctx, "unix", path)
 	if err != nil {
-		return nil, State{} // no socket, or that of a dead process
+		return nil, State{} // there is no socket, or its process has ended
 	}
-	old := &Predecessor{conversation: newConversation(conn), closed: make(chan struct{})}
+	predecessor := &Predecessor{conversation: newConversation(conn), ended: make(chan struct{})}
 	go func() {
-		defer close(old.closed)
-		err := old.conversation.run(func(m message) message { return handleNotification(p, m) })
+		defer close(predecessor.ended)
+		err := predecessor.conversation.run(func(m message) message { return handleNotification(p, m) })
 		if err != nil {
 			log.Debug("the conversation with the old process failed", "error", err)
 		}
 	}()
-	leave := p.AddPeer(old.conversation.peer())
+	removePeer := p.AddPeer(predecessor.conversation.peer())
 	go func() {
-		<-old.closed
-		leave()
-		log.Info("the old process is gone")
+		<-predecessor.ended
+		removePeer()
+		log.Info("the old process has ended")
 	}()
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	reply, err := old.conversation.request(ctx, message{Op: opJoin})
+	reply, err := predecessor.conversation.request(ctx, message{Op: opJoin})
 	if err != nil || reply.State == nil {
-		log.Error("the old process does not reply, going on without it", "error", err)
-		old.hung = true
-		return old, State{}
+		log.Error("the old process does not reply; starting without its state", "error", err)
+		predecessor.hung = true
+		return predecessor, State{}
 	}
 	log.Info("joined the old process", "overrides", len(reply.State.Overrides))
-	return old, *reply.State
+	return predecessor, *reply.State
 }
 
-// TakeOver tells the old process that this one accepts connections, and returns once that one no longer does, or
-// has not replied in time.
+// TakeOver tells the old process that this one accepts connections. It returns once the old process no longer accepts
+// any, or has not replied within takeOverTimeout.
 func (o *Predecessor) TakeOver(ctx context.Context, log *slog.Logger) {
 	if o.hung {
 		return
@@ -55,12 +56,12 @@
 	ctx, cancel := context.WithTimeout(ctx, takeOverTimeout)
 	defer cancel()
 	if _, err := o.conversation.request(ctx, message{Op: opTake}); err != nil {
-		log.Error("the old process did not hand over, serving all the same", "error", err)
+		log.Error("the old process did not confirm the handover; serving nevertheless", "error", err)
 	}
 }
 
-// Close ends the conversation, and returns once it is over.
+// Close ends the conversation, and returns once its handlers have returned.
 func (o *Predecessor) Close() {
 	_ = o.conversation.conn.Close()
-	<-o.closed
+	<-o.ended
 }
--- a/internal/dataplane/handover/server.go
+++ b/internal/dataplane/handover/server.go
@@ -11,16 +11,17 @@
 	"time"
 )
 
-// Listen makes this process the one that a new one finds at path, in place of any earlier one.
+// Listen returns a listener at path, where a new process will find this one. It replaces the socket of an earlier
+// process.
 func Listen(path string) (net.Listener, error) {
 	temporary := fmt.Sprintf("%s.%d", path, os.Getpid())
-	_ = os.Remove(temporary) // that of an earlier process with this process's number
+	_ = os.Remove(temporary) // may be left by an earlier process with the same PID
 	ln, err := net.Listen("unix", temporary)
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	if unix, ok := ln.(*net.UnixListener); ok {
-		unix.SetUnlinkOnClose(false) // the path may be the next process's by then
+		unix.SetUnlinkOnClose(false) // by then, path may have a newer process's socket
 	}
 	if err := os.Rename(temporary, path); err != nil {
 		_ = ln.Close()
@@ -29,7 +30,8 @@
 	return ln, nil
 }
 
-// Serve waits for new processes until ctx ends. It talks to one at a time, and rejects others.
+// Serve accepts connections of new processes until ctx ends or ln is closed, and returns once all conversations have
+// ended. It closes connections that are made while another one is open.
 func Serve(ctx context.Context, ln net.Listener, p Process, log *slog.Logger) {
 	var conversations sync.WaitGroup
 	defer conversations.Wait()
@@ -41,7 +43,7 @@
 			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 				return
 			}
-			log.Warn("handover accept", "error", err)
+			log.Warn("accepting a handover connection failed", "error", err)
 			select {
 			case <-time.After(joinTimeout):
 			case <-ctx.Done():
@@ -60,39 +62,40 @@
 	}
 }
 
-// server is the old process's side of a conversation.
+// server is the old process's side of a conversation with one new process.
 type server struct {
 	*conversation
 	process Process
 	log     *slog.Logger
 
-	mu        sync.Mutex // one request is handled at a time
-	leave     func()     // ends the sharing of budgets
-	takenOver bool       // the new process accepts connections
+	mu         sync.Mutex // held while a request is handled; guards the fields below
+	removePeer func()     // ends the sharing of budgets with the new process
+	takenOver  bool       // whether the new process accepts connections
 }
 
 func newServer(conn net.Conn, p Process, log *slog.Logger) *server {
-	return &server{conversation: newConversation(conn), process: p, log: log, leave: func() {}}
+	return &server{conversation: newConversation(conn), process: p, log: log, removePeer: func() {}}
 }
 
-// serve holds the conversation with one new process.
+// serve handles the requests of the new process until the connection or ctx ends. If the new process ends after it has
+// taken over, this process resumes accepting.
 func (s *server) serve(ctx context.Context) {
 	defer context.AfterFunc(ctx, func() { _ = s.conn.Close() })()
-	// A connection that does not join is not a sidecar's. Setting a deadline fails on a closed connection, which
-	// run finds.
+	// A client that does not join in time is not a sidecar. Setting the deadline fails only on a closed connection, on
+	// which run fails as well.
 	_ = s.conn.SetReadDeadline(time.Now().Add(joinTimeout))
 	err := s.run(func(m message) message { return s.handle(ctx, m) })
-	s.leave()
+	s.removePeer()
 	if ctx.Err() != nil {
 		return
 	}
-	s.log.Warn("the new process is gone", "after taking over", s.takenOver, "error", err)
+	s.log.Warn("the new process has ended", "taken over", s.takenOver, "error", err)
 	if s.takenOver {
 		s.process.ResumeAccepting()
 	}
 }
 
-// handle handles a request of the new process.
+// handle handles a request of the new process and returns the reply.
 func (s *server) handle(ctx context.Context, m message) message {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,12 +110,12 @@
 	return handleNotification(s.process, m)
 }
 
-// join begins to share budgets with the new process, and replies with the state.
+// join starts to share budgets with the new process, and returns a reply with the state.
 func (s *server) join(ctx context.Context) message {
 	_ = s.conn.SetReadDeadline(time.Time{})
 	s.log.Info("a new process has joined")
-	s.leave()
-	s.leave = s.process.AddPeer(s.peer())
+	s.removePeer()
+	s.removePeer = s.process.AddPeer(s.peer())
 	ctx, cancel := context.WithTimeout(ctx, replyTimeout)
 	defer cancel()
 	state, err := s.process.State(ctx)
--- a/internal/dataplane/handover/socket.go
+++ b/internal/dataplane/handover/socket.go
@@ -8,24 +8,26 @@
 	"strconv"
 )
 
-// Socket is where clients connect. A process that has stopped accepting may have to begin again, so it can be
-// listened on several times.
+// Socket is the address at which clients connect. Listen may be called several times, because a process that has
+// stopped accepting must start again if its successor ends.
 type Socket interface {
 	Listen() (net.Listener, error)
 }
 
-// PacketSocket is where clients send datagrams. Each datagram is read by one of the processes that share the socket.
+// PacketSocket is the address to which clients send datagrams. Each datagram is read by one of the processes that share
+// the socket.
 type PacketSocket interface {
 	ListenPacket() (*net.UDPConn, error)
 }
 
-// ExclusiveAddress is an address that only this process listens on.
+// ExclusiveAddress is an address such as 127.0.0.1:80 that only this process listens on. It is a Socket and a
+// PacketSocket.
 type ExclusiveAddress string
 
-// Listen binds the address for connections.
+// Listen binds the TCP address.
 func (a ExclusiveAddress) Listen() (net.Listener, error) { return net.Listen("tcp", string(a)) }
 
-// ListenPacket binds the address for datagrams.
+// ListenPacket binds the UDP address.
 func (a ExclusiveAddress) ListenPacket() (*net.UDPConn, error) {
 	address, err := net.ResolveUDPAddr("udp", string(a))
 	if err != nil {
@@ -34,11 +36,12 @@
 	return net.ListenUDP("udp", address)
 }
 
-// Inherited is a listening socket that the platform holds open and that every process inherits. The descriptor
-// stays open: each listener is on a copy of it, and closing the copy leaves the socket alone.
+// Inherited is a socket that the platform keeps open and that every process of the sidecar inherits. It is a Socket or
+// a PacketSocket. Each listener uses a duplicate of the descriptor, so closing a listener does not close the socket.
 type Inherited struct{ file *os.File }
 
-// Inherit returns the socket for connections at the descriptor with this number.
+// Inherit returns the inherited TCP socket at the descriptor with the given decimal number. It returns an error if no
+// listener can be made on that descriptor.
 func Inherit(descriptor string) (*Inherited, error) {
 	s, err := openInherited(descriptor)
 	if err != nil {
@@ -51,7 +54,8 @@
 	return s, ln.Close()
 }
 
-// InheritPacket returns the socket for datagrams at the descriptor with this number.
+// InheritPacket returns the inherited UDP socket at the descriptor with the given decimal number. It returns an error
+// if that is not a UDP socket.
 func InheritPacket(descriptor string) (*Inherited, error) {
 	s, err := openInherited(descriptor)
 	if err != nil {
@@ -72,7 +76,7 @@
 	return &Inherited{os.NewFile(uintptr(fd), "listener")}, nil
 }
 
-// Listen returns a listener on a copy of the descriptor.
+// Listen returns a listener on a duplicate of the descriptor.
 func (s *Inherited) Listen() (net.Listener, error) {
 	ln, err := net.FileListener(s.file)
 	if err != nil {
@@ -81,7 +85,7 @@
 	return ln, nil
 }
 
-// ListenPacket returns a socket on a copy of the descriptor.
+// ListenPacket returns a connection on a duplicate of the descriptor.
 func (s *Inherited) ListenPacket() (*net.UDPConn, error) {
 	conn, err := net.FilePacketConn(s.file)
 	if err != nil {
@@ -90,7 +94,7 @@
 	udp, ok := conn.(*net.UDPConn)
 	if !ok {
 		_ = conn.Close()
-		return nil, errors.New("inherited descriptor: it is no UDP socket")
+		return nil, errors.New("inherited descriptor: not a UDP socket")
 	}
 	return udp, nil
 }
--- a/internal/dataplane/handover/stored_test.go
+++ b/internal/dataplane/handover/stored_test.go
@@ -10,7 +10,8 @@
 	"birchmoor/internal/dataplane/maintenance"
 )
 
-// testdata/messages.jsonl has lines of the conversation as version 7105f7a sends them.
+// The form of messages must not change, because the two processes may be of different versions.
+// testdata/messages.jsonl has the messages of a conversation as version 7105f7a sends them.
 func TestMessagesKeepTheirForm(t *testing.T) {
 	text, err := os.ReadFile("testdata/messages.jsonl")
 	if err != nil {
@@ -32,15 +33,15 @@
 		{Op: "take", Seq: 6},
 	}
 	if len(lines) != len(want) {
-		t.Fatalf("%d lines, want %d", len(lines), len(want))
+		t.Fatalf("testdata/messages.jsonl has %d lines, want %d", len(lines), len(want))
 	}
 	for i, line := range lines {
 		var decoded message
 		if err := json.Unmarshal([]byte(line), &decoded); err != nil || !reflect.DeepEqual(decoded, want[i]) {
-			t.Errorf("%s: decoded %+v, %v, want %+v", line, decoded, err, want[i])
+			t.Errorf("%s: decoded %+v, error %v, want %+v", line, decoded, err, want[i])
 		}
 		if encoded, err := json.Marshal(want[i]); err != nil || string(encoded) != line {
-			t.Errorf("encoded %s, %v, want %s", encoded, err, line)
+			t.Errorf("encoded %s, error %v, want %s", encoded, err, line)
 		}
 	}
 }
