--- a/internal/dataplane/config/config_test.go
+++ b/internal/dataplane/config/config_test.go
@@ -11,13 +11,13 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// An invalid value is an error that names its key.
+// The error for an invalid value names its key. The environment overrides values of a valid file.
 func TestParseErrorNamesKey(t *testing.T) {
-	good := func() map[string]any {
+	validFile := func() map[string]any {
 		return map[string]any{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1f",
 			"limits": map[string]any{}, "settings": json.RawMessage(sidecartest.Settings)}
 	}
-	none := func(string) string { return "" }
+	noEnv := func(string) string { return "" }
 	for _, tc := range []struct {
 		key   string
 		value any
@@ -35,17 +35,17 @@
 			"repeat": "pure"}}}, "classes.0.target"},
 		{"settings", map[string]any{"areas": "a"}, "settings.areas"},
 	} {
-		file := good()
+		file := validFile()
 		file[tc.key] = tc.value
 		text, err := json.Marshal(file)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := config.Parse(text, none); err == nil || !strings.Contains(err.Error(), tc.want) {
+		if _, err := config.Parse(text, noEnv); err == nil || !strings.Contains(err.Error(), tc.want) {
 			t.Errorf("%s = %v: error %v, want one that names %s", tc.key, tc.value, err, tc.want)
 		}
 	}
-	text, err := json.Marshal(good())
+	text, err := json.Marshal(validFile())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,21 +57,21 @@
 	}
 	got := fmt.Sprint(c.Name, c.Listen, c.Discovery, c.Seed, c.Classes, c.Settings.Contract.DrainGrace)
 	if want := "n9127.0.0.9:1127.0.0.1:131 [look book pay] 250000"; got != want {
-		t.Errorf("read as %s, want %s", got, want)
+		t.Errorf("valid file with overrides read as %s, want %s", got, want)
 	}
 }
 
-// Clients and servers may fill the descriptors that are theirs: those of discovery, operators and the process
-// itself stay free.
+// When all connections that clients and endpoints may have are open, there are still descriptors for discovery,
+// operators and the process itself.
 func TestConnectionLimitsLeaveReservedDescriptors(t *testing.T) {
-	for sockets := config.MinDescriptors; sockets < 70_000; sockets += 1 + sockets/50 {
-		c := &config.Config{MaxDescriptors: sockets}
-		// Standard streams, two listeners, three of the runtime, two calls of discovery, and those of a handover
+	for maxDescriptors := config.MinDescriptors; maxDescriptors < 70_000; maxDescriptors += 1 + maxDescriptors/50 {
+		c := &config.Config{MaxDescriptors: maxDescriptors}
+		// Three standard streams, two listeners, three of the runtime, two calls of discovery, and ten for a handover
 		// and files.
-		const others = 3 + 2 + 3 + 2 + 10
-		left := sockets - c.MaxClientConns(1) - c.MaxUpstreamConns(1)
-		if left < others+management.MaxConns || c.MaxClientConns(1) < 1 {
-			t.Errorf("of %d descriptors %d are left beside clients' and servers'", sockets, left)
+		const ownDescriptors = 3 + 2 + 3 + 2 + 10
+		remaining := maxDescriptors - c.MaxClientConns(1) - c.MaxUpstreamConns(1)
+		if remaining < ownDescriptors+management.MaxConns || c.MaxClientConns(1) < 1 {
+			t.Errorf("of %d descriptors, connections of clients and to endpoints leave %d", maxDescriptors, remaining)
 		}
 	}
 }
--- a/internal/dataplane/config/parse.go
+++ b/internal/dataplane/config/parse.go
@@ -12,7 +12,7 @@
 	"birchmoor/internal/dataplane/discovery"
 )
 
-// file is the JSON of the configuration file.
+// file is the content of the configuration file. Its settings are parsed apart, by parseSettings.
 type file struct {
 	Name       string `json:"name"`
 	Listen     string `json:"listen"`
@@ -27,10 +27,11 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// Read reads the file that ROUTER_CONFIG names. The other ROUTER_ variables, where set, override it.
+// Read reads the configuration file at the path in ROUTER_CONFIG. The variables ROUTER_NAME, ROUTER_LISTEN,
+// ROUTER_DISCOVERY and ROUTER_MGMT override its values where they are not empty.
 func Read(getenv func(string) string) (*Config, error) { return ReadWithSettings(getenv, nil) }
 
-// ReadWithSettings is like Read with these settings, if not nil, in place of the file's.
+// ReadWithSettings is like Read, but uses the given settings, unless nil, in place of those in the file.
 func ReadWithSettings(getenv func(string) string, settings json.RawMessage) (*Config, error) {
 	path := getenv("ROUTER_CONFIG")
 	if path == "" {
@@ -58,16 +59,16 @@
 	return c, nil
 }
 
-// Parse reads the text of a file. Errors are *Error and name the key.
+// Parse parses the text of a configuration file and applies the environment's overrides. All errors are *Error.
 func Parse(text []byte, getenv func(string) string) (*Config, error) {
-	var all any
+	var fileValues any
 	var f file
-	err := json.Unmarshal(text, &all)
+	err := json.Unmarshal(text, &fileValues)
 	if err == nil {
 		err = json.Unmarshal(text, &f)
 	}
 	if err != nil {
-		return nil, &Error{cmp.Or(fieldOf(err), "file"), err}
+		return nil, &Error{cmp.Or(mistypedKey(err), "file"), err}
 	}
 	c := &Config{
 		Name:            f.Name,
@@ -77,7 +78,7 @@
 		MemoryMB:        defaultMemoryMB,
 		MaxDescriptors:  defaultMaxDescriptors,
 		DiscoveryInFile: f.Discovery,
-		file:            all,
+		fileValues:      fileValues,
 	}
 	c.override(getenv)
 	if err := c.checkAddresses(); err != nil {
@@ -99,8 +100,8 @@
 	return c, c.parseSettings(f.Settings)
 }
 
-// fieldOf returns the key that has a value of another type than expected, if that is the error.
-func fieldOf(err error) string {
+// mistypedKey returns the key whose value has the wrong type, or "" if err is another error.
+func mistypedKey(err error) string {
 	var typeError *json.UnmarshalTypeError
 	if errors.As(err, &typeError) {
 		return typeError.Field
@@ -108,7 +109,7 @@
 	return ""
 }
 
-// override applies the environment's variables.
+// override replaces values by those of the environment.
 func (c *Config) override(getenv func(string) string) {
 	for name, field := range map[string]*string{
 		"ROUTER_NAME":      &c.Name,
@@ -123,17 +124,17 @@
 }
 
 func (c *Config) checkAddresses() error {
-	for _, a := range []struct{ key, address string }{
+	for _, setting := range []struct{ key, address string }{
 		{"listen", c.Listen},
 		{"discovery", c.Discovery},
 		{"discovery", cmp.Or(c.DiscoveryInFile, c.Discovery)},
 		{"mgmt", c.Management},
 	} {
-		if a.key == "mgmt" && a.address == "" {
+		if setting.key == "mgmt" && setting.address == "" {
 			continue
 		}
-		if _, _, err := net.SplitHostPort(a.address); err != nil {
-			return &Error{a.key, err}
+		if _, _, err := net.SplitHostPort(setting.address); err != nil {
+			return &Error{setting.key, err}
 		}
 	}
 	return nil
@@ -149,7 +150,7 @@
 	if v := f.Limits.MaxDescriptors; v != nil {
 		c.MaxDescriptors = *v
 		if *v < MinDescriptors {
-			return &Error{"limits.sockets", fmt.Errorf("%d is under %d", *v, MinDescriptors)}
+			return &Error{"limits.sockets", fmt.Errorf("%d is below the minimum of %d", *v, MinDescriptors)}
 		}
 	}
 	return nil
--- a/internal/dataplane/config/reload.go
+++ b/internal/dataplane/config/reload.go
@@ -6,18 +6,20 @@
 	"reflect"
 )
 
-// CheckReload returns an *Error if the file lacks a key that the current one has, or has a value of another type.
-// At the start a missing key has its default; a file that loses one while the sidecar runs was truncated or
-// mistyped.
-func (c *Config) CheckReload(current *Config) error { return checkValue("", current.file, c.file) }
+// CheckReload returns an *Error if c's file lacks a key that the file of the current configuration has, or has a value
+// of another type there. At the start a missing key has its default; but a file that loses a key while the sidecar runs
+// was truncated or has a typing error.
+func (c *Config) CheckReload(current *Config) error {
+	return checkValue("", current.fileValues, c.fileValues)
+}
 
-// removableKeys may be missing in a file though the current one has them.
+// removableKeys are the keys that a reload may remove.
 var removableKeys = map[string]bool{"aim-stretch": true, "passes-deadline": true, "warm-keys": true}
 
-// initialListPath is a list that may be null if it is empty.
+// initialListPath is the path of the only list that may be null in place of empty.
 const initialListPath = ".known.instances"
 
-// checkValue compares the value at a path, such as ".limits.sockets", with the current one.
+// checkValue compares the next value at a path, such as ".limits.sockets", with the current one.
 func checkValue(path string, current, next any) error {
 	switch current := current.(type) {
 	case nil:
@@ -28,7 +30,7 @@
 		return checkList(path, current, next)
 	}
 	if reflect.TypeOf(current) != reflect.TypeOf(next) {
-		return errorAt(path, fmt.Sprintf("is %v, of another kind than before", next))
+		return errorAt(path, fmt.Sprintf("is %v, which has another type than the current value", next))
 	}
 	return nil
 }
@@ -36,7 +38,7 @@
 func checkObject(path string, current map[string]any, next any) error {
 	object, ok := next.(map[string]any)
 	if !ok {
-		return errorAt(path, "is no object")
+		return errorAt(path, "is not an object")
 	}
 	for key, value := range current {
 		item, ok := object[key]
@@ -53,11 +55,11 @@
 	return nil
 }
 
-// checkList compares each item with the keys that all current items have.
+// checkList requires that each item of the next list has the keys that all items of the current list have.
 func checkList(path string, current []any, next any) error {
 	list, ok := next.([]any)
 	if !ok && path != initialListPath {
-		return errorAt(path, "is no list")
+		return errorAt(path, "is not a list")
 	}
 	if len(current) == 0 {
 		return nil
@@ -71,7 +73,7 @@
 	return nil
 }
 
-// commonItem returns an item with the keys that all items of a list have.
+// commonItem returns an item that has only the keys that all items of a list have.
 func commonItem(list []any) any {
 	first, ok := list[0].(map[string]any)
 	if !ok {
@@ -89,7 +91,7 @@
 	return common
 }
 
-// errorAt returns an *Error for a path; the empty one is that of the file.
+// errorAt returns an *Error for a path. An empty path stands for the file as a whole.
 func errorAt(path, reason string) error {
 	if path == "" {
 		path = ".file"
--- a/internal/dataplane/config/settings.go
+++ b/internal/dataplane/config/settings.go
@@ -10,13 +10,13 @@
 	"birchmoor/internal/platform/wire"
 )
 
-// The values of reporting.how that matter here.
+// Values of reporting.how that this package distinguishes.
 const (
 	reportingNone        = "none"
 	reportingOnResponses = "answers"
 )
 
-// socketSettings are the settings that only the sockets need, by their keys in the file.
+// socketSettings are the settings that the sockets need, beside those of the decision module.
 type socketSettings struct {
 	Zones   []string `json:"areas"`
 	Kinds   []string `json:"skus"`
@@ -35,13 +35,13 @@
 	} `json:"limits"`
 }
 
-// parseSettings reads the settings twice: for what only the sockets need, and for the decision module, by the
-// parser that the simulator's adapter uses.
+// parseSettings parses the settings twice: once for the sockets, and once for the decision module, with the parser that
+// the simulator's adapter uses.
 func (c *Config) parseSettings(raw json.RawMessage) error {
 	var s socketSettings
 	if err := json.Unmarshal(raw, &s); err != nil {
 		key := "settings"
-		if field := fieldOf(err); field != "" {
+		if field := mistypedKey(err); field != "" {
 			key += "." + field
 		}
 		return &Error{key, err}
@@ -55,11 +55,12 @@
 		err = c.Settings.Validate()
 	}
 	if err != nil {
-		return &Error{"settings", err} // its message names the key
+		return &Error{"settings", err} // err names the key
 	}
 	return c.setSocketSettings(s)
 }
 
+// setSocketSettings takes over the settings that the sockets need. It returns an *Error if a class has no name.
 func (c *Config) setSocketSettings(s socketSettings) error {
 	c.Zones, c.Kinds = s.Zones, s.Kinds
 	for i, class := range s.Classes {
--- a/internal/dataplane/config/stored_test.go
+++ b/internal/dataplane/config/stored_test.go
@@ -10,7 +10,8 @@
 	"birchmoor/internal/dataplane/discovery"
 )
 
-// testdata/config.json has all keys of a file; the values are those that version 7105f7a reads from it.
+// The keys of the configuration file must not change. testdata/config.json has all of them; the test expects the values
+// that version 7105f7a reads from it.
 func TestParseReadsAllKeysOfFile(t *testing.T) {
 	text, err := os.ReadFile("testdata/config.json")
 	if err != nil {
@@ -20,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	known := discovery.List{Generation: 7, Reset: true, Instances: []discovery.Instance{{
+	initialList := discovery.List{Generation: 7, Reset: true, Instances: []discovery.Instance{{
 		ID: "s-1", Addr: "10.0.0.1:80", Zone: "a", Kind: "m1", Cell: 7, Lifecycle: "up", Weight: 0.5, StartedMs: 5,
 	}}}
 	for _, tc := range []struct {
@@ -35,7 +36,7 @@
 		{"seed", c.Seed, uint64(0x8c1f30d27a5be964)},
 		{"memory_mb", c.MemoryMB, 100},
 		{"sockets", c.MaxDescriptors, 500},
-		{"known", c.InitialList, known},
+		{"known", c.InitialList, initialList},
 		{"classes", c.Classes, []string{"look", "book"}},
 		{"tenants", c.Tenants, []string{"acme"}},
 		{"areas", c.Zones, []string{"a", "b"}},
