--- a/internal/dataplane/bytebudget/budget.go
+++ b/internal/dataplane/bytebudget/budget.go
@@ -1,4 +1,5 @@
-// Package bytebudget bounds the bytes that are held at once. It imports nothing of this module.
+// Package bytebudget bounds how many bytes of message bodies a process holds in memory at a time. It imports nothing of
+// this module.
 package bytebudget
 
 import (
@@ -7,85 +8,91 @@
 	"sync"
 )
 
-// Budget bounds the bytes that are held for bodies or answers. Who needs more than is left waits in a queue, and
-// with it the peer that sends those bytes. It is safe for concurrent use.
+// Budget bounds the bytes that are buffered at a time, of request bodies or of responses. A caller that needs more than
+// remains waits in a queue; as it reads nothing meanwhile, so does the peer that sends the bytes. It is safe for
+// concurrent use.
 type Budget struct {
-	mu       sync.Mutex
-	capacity int
-	used     int
-	queue    list.List // of *waiter, the first in line first
+	mu        sync.Mutex
+	maxBytes  int
+	usedBytes int
+	waiters   list.List // of *waiter, in order of arrival
 }
 
 type waiter struct {
 	bytes   int
-	granted chan struct{} // closed when the bytes are the waiter's
+	granted chan struct{} // closed when the bytes are granted
 }
 
-// New returns a budget with a capacity in bytes.
-func New(capacity int) *Budget { return &Budget{capacity: capacity} }
+// New returns a budget of maxBytes.
+func New(maxBytes int) *Budget { return &Budget{maxBytes: maxBytes} }
 
-// Acquire waits for n bytes, which must be released. More than the capacity is granted when nothing else is held. It
-// returns ctx's error if that ends first.
-func (b *Budget) Acquire(ctx context.Context, n int) error {
+// Acquire waits until the given number of bytes is granted; the caller must release them. A request for more than the
+// whole budget is granted when no other bytes are held. Acquire returns ctx's error if ctx ends first.
+func (b *Budget) Acquire(ctx context.Context, bytes int) error {
 	b.mu.Lock()
-	if b.queue.Len() == 0 && b.fitsLocked(n) {
-		b.used += n
+	if b.waiters.Len() == 0 && b.fitsLocked(bytes) {
+		b.usedBytes += bytes
 		b.mu.Unlock()
 		return nil
 	}
-	w := &waiter{bytes: n, granted: make(chan struct{})}
-	element := b.queue.PushBack(w)
+	w := &waiter{bytes: bytes, granted: make(chan struct{})}
+	element := b.waiters.PushBack(w)
 	b.mu.Unlock()
 	select {
 	case <-w.granted:
 		return nil
 	case <-ctx.Done():
-		b.abandon(element)
+		b.cancelWait(element)
 		return ctx.Err()
 	}
 }
 
-// abandon ends a wait. Bytes that were granted in the meantime are released.
-func (b *Budget) abandon(element *list.Element) {
+// cancelWait removes a waiter from the queue. If its bytes were granted in the meantime, it releases them.
+func (b *Budget) cancelWait(element *list.Element) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := element.Value.(*waiter)
 	select {
 	case <-w.granted:
-		b.used -= w.bytes
+		b.usedBytes -= w.bytes
 	default:
-		b.queue.Remove(element)
+		b.waiters.Remove(element)
 	}
 	b.grantLocked()
 }
 
-func (b *Budget) fitsLocked(n int) bool { return b.used == 0 || b.used+n <= b.capacity }
+// fitsLocked reports whether bytes can be granted now. The caller must hold b.mu.
+func (b *Budget) fitsLocked(bytes int) bool {
+	return b.usedBytes == 0 || b.usedBytes+bytes <= b.maxBytes
+}
 
-// Release returns n bytes.
-func (b *Budget) Release(n int) {
+// Release returns bytes that Acquire granted.
+func (b *Budget) Release(bytes int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.used -= n
+	b.usedBytes -= bytes
 	b.grantLocked()
 }
 
-// Resize changes the capacity. Bytes that are held beyond it stay held.
-func (b *Budget) Resize(capacity int) {
+// Resize changes the size of the budget. If more bytes are held than the new size, nothing is granted until enough of
+// them are released.
+func (b *Budget) Resize(maxBytes int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.capacity = capacity
+	b.maxBytes = maxBytes
 	b.grantLocked()
 }
 
-// grantLocked grants bytes to the waiters first in line, as far as they fit.
+// grantLocked grants bytes to the waiters in order, up to the first one whose bytes do not fit. The caller must hold
+// b.mu.
 func (b *Budget) grantLocked() {
-	for first := b.queue.Front(); first != nil; first = b.queue.Front() {
+	for first := b.waiters.Front(); first != nil; first = b.waiters.Front() {
 		w := first.Value.(*waiter)
 		if !b.fitsLocked(w.bytes) {
 			return
 		}
-		b.used += w.bytes
-		b.queue.Remove(first)
+		b.usedBytes += w.bytes
+		b.waiters.Remove(first)
 		close(w.granted)
 	}
 }
--- a/internal/dataplane/bytebudget/budget_test.go
+++ b/internal/dataplane/bytebudget/budget_test.go
@@ -6,36 +6,36 @@
 	"testing/synctest"
 )
 
-// The budget grants in the order of the queue, and does not grant what was abandoned.
-func TestAcquireGrantsInOrderAndForgetsAbandonedWaits(t *testing.T) {
+// The budget grants bytes in order of arrival, and grants none to a waiter whose context has ended.
+func TestAcquireGrantsInOrderAndSkipsCancelledWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := New(10)
-		if err := b.Acquire(t.Context(), 50); err != nil { // more than the capacity, alone
+		if err := b.Acquire(t.Context(), 50); err != nil { // more than the budget, while no bytes are held
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		abandoned, granted := make(chan error, 1), make(chan error, 1)
-		go func() { abandoned <- b.Acquire(ctx, 8) }()
+		cancelled, granted := make(chan error, 1), make(chan error, 1)
+		go func() { cancelled <- b.Acquire(ctx, 8) }()
 		synctest.Wait()
 		go func() { granted <- b.Acquire(t.Context(), 4) }()
 		synctest.Wait()
 		cancel()
-		if err := <-abandoned; err == nil {
-			t.Error("what did not fit was granted")
+		if err := <-cancelled; err == nil {
+			t.Error("8 bytes were granted while the budget was exceeded")
 		}
 		select {
 		case err := <-granted:
-			t.Error("granted beyond the capacity:", err)
+			t.Error("4 bytes were granted while the budget was exceeded, or their wait failed:", err)
 		default:
 		}
 		b.Release(50)
-		if err := <-granted; err != nil || b.used != 4 {
-			t.Errorf("%v, %d used", err, b.used)
+		if err := <-granted; err != nil || b.usedBytes != 4 {
+			t.Errorf("after the release of 50 bytes: error %v, %d bytes used, want 4", err, b.usedBytes)
 		}
 		b.Resize(3)
 		b.Release(4)
-		if b.used != 0 {
-			t.Errorf("%d used", b.used)
+		if b.usedBytes != 0 {
+			t.Errorf("after all bytes were released: %d bytes used, want 0", b.usedBytes)
 		}
 	})
 }
--- a/internal/dataplane/discovery/delay_test.go
+++ b/internal/dataplane/discovery/delay_test.go
@@ -166,16 +166,16 @@
 	}
 }
 
-// noopProtocol is a protocol whose attempts and probes reach no endpoint.
-type noopProtocol struct{}
+// noTarget is a protocol, and its target, whose attempts and probes reach no endpoint.
+type noTarget struct{}
 
-func (noopProtocol) Target(string) core.Target                         { return noopProtocol{} }
-func (noopProtocol) SetConfig(*config.Config)                          {}
-func (noopProtocol) AcceptsLateReplies() bool                          { return false }
-func (noopProtocol) Close()                                            {}
-func (noopProtocol) CloseUnusedSince(time.Time)                        {}
-func (noopProtocol) Probe() core.Reply                                 { return core.Reply{Status: balancer.ConnectFailed} }
-func (noopProtocol) Send(context.Context, core.Attempt) (r core.Reply) { return r }
+func (noTarget) Target(string) core.Target                         { return noTarget{} }
+func (noTarget) SetConfig(*config.Config)                          {}
+func (noTarget) AcceptsLateReplies() bool                          { return false }
+func (noTarget) Close()                                            {}
+func (noTarget) CloseUnusedSince(time.Time)                        {}
+func (noTarget) Probe() core.Reply                                 { return core.Reply{Status: balancer.ConnectFailed} }
+func (noTarget) Send(context.Context, core.Attempt) (r core.Reply) { return r }
 
 // discoveryClient is a sidecar's complete client of discovery: feed, watcher, event loop and decision module.
 type discoveryClient struct {
@@ -203,7 +203,7 @@
 	var err error
 	registry := metrics.New(c.Classes...)
 	client.loop, err = core.New(
-		c, core.NewClock(), noopProtocol{}, client.feed.SetEnabled, registry, nil, sidecartest.DiscardLog)
+		c, core.NewClock(), noTarget{}, client.feed.SetEnabled, registry, nil, sidecartest.DiscardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
