--- a/internal/platform/snapshot/clock.go
+++ b/internal/platform/snapshot/clock.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// uptimeGrainMicros is the resolution of /proc/uptime.
-const uptimeGrainMicros = 10_000
+// uptimeResolutionMicros is the resolution of /proc/uptime.
+const uptimeResolutionMicros = 10_000
 
-// Clock is an instant by the clocks that two processes of a machine share.
+// Clock is an instant, read from the clocks that all processes of a host share.
 type Clock struct {
-	WallMicros   int64  `cbor:"1,keyasint"`           // Unix time, which may be set
-	BootID       string `cbor:"2,keyasint,omitempty"` // identifies the machine's start; empty if not known
-	UptimeMicros int64  `cbor:"3,keyasint,omitempty"` // since the machine's start: it only grows
+	WallMicros   int64  `cbor:"1,keyasint"`           // Unix time; the wall clock may be set forward or back
+	BootID       string `cbor:"2,keyasint,omitempty"` // identifies the host's boot; empty if unknown
+	UptimeMicros int64  `cbor:"3,keyasint,omitempty"` // time since the host's boot, which never decreases
 }
 
-// ReadClock returns the present instant.
+// ReadClock returns the present instant. It has no BootID and no uptime if /proc cannot be read.
 func ReadClock() Clock {
 	c := Clock{WallMicros: time.Now().UnixMicro()}
 	id, idErr := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	uptime, uptimeErr := os.ReadFile("/proc/uptime")
 	if idErr != nil || uptimeErr != nil {
-		return c // the wall clock alone
+		return c // only the wall clock is known
 	}
 	first, _, _ := strings.Cut(string(uptime), " ")
 	seconds, err := strconv.ParseFloat(first, 64)
@@ -35,16 +35,16 @@
 	return c
 }
 
-// Since returns the time from then to c, in microseconds. Within one start of the machine it does not follow
-// changes of the wall clock; else it trusts the wall clock, and is negative if that was set back.
-func (c Clock) Since(then Clock) int64 {
-	wall := c.WallMicros - then.WallMicros
-	if c.BootID == "" || c.BootID != then.BootID {
+// Since returns the time from earlier to c, in microseconds. Within one boot of the host, it does not follow changes of
+// the wall clock. Otherwise it relies on the wall clock, and is negative if that was set back.
+func (c Clock) Since(earlier Clock) int64 {
+	wall := c.WallMicros - earlier.WallMicros
+	if c.BootID == "" || c.BootID != earlier.BootID {
 		return wall
 	}
-	uptime := c.UptimeMicros - then.UptimeMicros
-	if wall >= uptime-uptimeGrainMicros && wall <= uptime+uptimeGrainMicros {
-		return max(0, wall) // they agree, and the wall clock is the finer one
+	uptime := c.UptimeMicros - earlier.UptimeMicros
+	if wall >= uptime-uptimeResolutionMicros && wall <= uptime+uptimeResolutionMicros {
+		return max(0, wall) // both clocks agree, and the wall clock has the finer resolution
 	}
 	return uptime
 }
--- a/internal/platform/snapshot/codec.go
+++ b/internal/platform/snapshot/codec.go
@@ -8,10 +8,10 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Version is that of the body's schema. A change that an older reader would misread needs a new one.
+// Version is the version of the body's schema. It must be increased for a change that an older reader would misread.
 const Version = 1
 
-// The header: magic, version, length of the body, checksum of these and the body.
+// Layout of the header: magic, version, length of the body, and the checksum of these three and the body.
 const (
 	magic          = "BMsn"
 	versionOffset  = 4
@@ -20,13 +20,13 @@
 	headerBytes    = 16
 )
 
-const maxBodyBytes = 8 << 20 // 1,000 servers take well under one MiB
+const maxBodyBytes = 8 << 20 // 1,000 endpoints take well under 1 MiB
 
-// Error says why a snapshot cannot be read, or written.
+// Error is the reason why a snapshot cannot be decoded or encoded.
 type Error struct {
-	Offset int // of the first byte that cannot be read
-	Reason string
-	Err    error // the cause, or nil
+	Offset int    // of the first byte that cannot be decoded
+	Reason string // begins with "cut", "foreign", "newer" or "damaged" if the snapshot cannot be decoded
+	Err    error  // the cause; may be nil
 }
 
 // Error implements error and names the offset.
@@ -55,7 +55,7 @@
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// must is for options that are constant and valid.
+// must returns v. It panics on an error, which constant, valid options cannot cause.
 func must[T any](v T, err error) T {
 	if err != nil {
 		panic(err)
@@ -63,13 +63,13 @@
 	return v
 }
 
-// Marshal encodes a value in the canonical form that snapshots use: equal values give equal bytes.
+// Marshal encodes a value in canonical CBOR, as in snapshots: equal values give equal bytes.
 func Marshal(v any) ([]byte, error) { return encoder.Marshal(v) }
 
-// Unmarshal decodes such a value strictly: unknown and repeated keys, tags and indefinite lengths are errors.
+// Unmarshal decodes CBOR strictly: unknown and repeated keys, tags and indefinite lengths are errors.
 func Unmarshal(data []byte, v any) error { return decoder.Unmarshal(data, v) }
 
-// Checksum is the CRC-32C (RFC 3720) that protects headers and bodies.
+// Checksum returns the CRC-32C (RFC 3720) of the concatenated parts.
 func Checksum(parts ...[]byte) uint32 {
 	sum := uint32(0)
 	for _, part := range parts {
@@ -78,19 +78,19 @@
 	return sum
 }
 
-// Encode returns the bytes of s.
+// Encode returns the encoded form of a snapshot, with its header. A body of more than maxBodyBytes is an *Error.
 func Encode(s *Saved) ([]byte, error) {
 	body, err := Marshal(s)
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
 	if len(body) > maxBodyBytes {
-		return nil, &Error{Reason: fmt.Sprintf("%d bytes are over %d", len(body), maxBodyBytes)}
+		return nil, &Error{Reason: fmt.Sprintf("a body of %d bytes exceeds the limit of %d", len(body), maxBodyBytes)}
 	}
 	return encodeBody(Version, body), nil
 }
 
-// encodeBody puts the header before a body.
+// encodeBody returns the body with its header prepended.
 func encodeBody(version uint32, body []byte) []byte {
 	out := make([]byte, headerBytes, headerBytes+len(body))
 	copy(out, magic)
@@ -100,7 +100,7 @@
 	return append(out, body...)
 }
 
-// Decode reads what Encode wrote, all of it or nothing. Its errors are *Error.
+// Decode decodes what Encode returned. On an error, which is an *Error, it returns nothing of the snapshot.
 func Decode(data []byte) (*Saved, error) {
 	body, err := checkHeader(data)
 	if err != nil {
@@ -116,13 +116,13 @@
 	return s, nil
 }
 
-// checkHeader returns the body if header and checksum are right.
+// checkHeader returns the body if the header is valid and the checksum matches.
 func checkHeader(data []byte) (body []byte, err error) {
 	if len(data) < headerBytes {
 		return nil, &Error{Offset: len(data), Reason: fmt.Sprintf("cut: the header takes %d bytes", headerBytes)}
 	}
 	if string(data[:len(magic)]) != magic {
-		return nil, &Error{Reason: "foreign: not the beginning of a snapshot"}
+		return nil, &Error{Reason: "foreign: the data does not begin like a snapshot"}
 	}
 	version := binary.BigEndian.Uint32(data[versionOffset:])
 	length := binary.BigEndian.Uint32(data[lengthOffset:])
@@ -130,7 +130,7 @@
 	body = data[headerBytes:]
 	switch {
 	case version > Version:
-		reason := fmt.Sprintf("newer: of version %d, read up to %d", version, Version)
+		reason := fmt.Sprintf("newer: of version %d, but only versions up to %d are supported", version, Version)
 		return nil, &Error{Offset: versionOffset, Reason: reason}
 	case version == 0 || length > maxBodyBytes:
 		return nil, &Error{Offset: versionOffset, Reason: "damaged: the header is invalid"}
--- a/internal/platform/snapshot/file.go
+++ b/internal/platform/snapshot/file.go
@@ -9,11 +9,12 @@
 	"path/filepath"
 )
 
-// File stores one snapshot. The zero File stores nothing.
+// File stores one snapshot in a file. The zero File stores nothing.
 type File struct{ Path string }
 
-// Save replaces the stored snapshot by data. Whenever the process ends, the file has either snapshot, complete.
-// Save does not wait for the disk: the snapshot is to outlive the process, not the machine.
+// Save replaces the stored snapshot by data. If the process ends during Save, the file has either the old snapshot or
+// the new one, complete. Save does not sync the file to disk, because the snapshot must outlive only the process, not a
+// crash of the host.
 func (f File) Save(data []byte) error {
 	if f.Path == "" {
 		return nil
@@ -24,27 +25,28 @@
 		err = os.Rename(temporary, f.Path)
 	}
 	if err != nil {
-		_ = os.Remove(temporary) // it may fill the disk
+		_ = os.Remove(temporary) // an incomplete file may fill the disk
 		return fmt.Errorf("snapshot: %w", err)
 	}
 	return nil
 }
 
-// Load returns the stored snapshot, nil if there is none. Errors name the file.
+// Load returns the stored snapshot, or nil if there is none. Errors name the file. Load also removes temporary files of
+// earlier processes.
 func (f File) Load() (*Saved, error) {
 	if f.Path == "" {
 		return nil, nil
 	}
-	in, err := os.Open(f.Path)
+	file, err := os.Open(f.Path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	defer in.Close()
+	defer file.Close()
 	f.removeTemporaries()
-	data, err := io.ReadAll(io.LimitReader(in, headerBytes+maxBodyBytes+1))
+	data, err := io.ReadAll(io.LimitReader(file, headerBytes+maxBodyBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
@@ -55,13 +57,13 @@
 	return s, nil
 }
 
-// removeTemporaries removes the files of processes that were killed while they saved.
+// removeTemporaries removes the temporary files of processes that were killed during Save.
 func (f File) removeTemporaries() {
 	paths, err := filepath.Glob(f.Path + ".*")
 	if err != nil {
-		return // the path is no pattern
+		return // the path is not a valid pattern
 	}
 	for _, path := range paths {
-		_ = os.Remove(path) // the next Load retries it
+		_ = os.Remove(path) // on a failure, the next Load tries again
 	}
 }
--- a/internal/platform/snapshot/snapshot.go
+++ b/internal/platform/snapshot/snapshot.go
@@ -1,10 +1,10 @@
-// Package snapshot carries the state of a sidecar's decision module from one process to the next, as bytes and as a
-// file.
+// Package snapshot encodes the state of a sidecar's decision module, so that the next process of the sidecar can
+// restore it, and stores it in a file.
 //
-// The form is a header of fixed size (magic, version, length, checksum) and a body in CBOR (RFC 8949). Data that is
-// damaged, truncated, of another form or of a later version is an *Error that says so, and nothing of it is used: a
-// start without it is correct, too. How much of the state still holds is not decided here: see balancer.Recall. The
-// package may import balancer.
+// The encoded form is a header of fixed size (magic, version, length, checksum) and a body in CBOR (RFC 8949). Decoding
+// data that is damaged, truncated, in another form or of a later version returns an *Error and nothing of the data: a
+// sidecar also starts correctly without a snapshot. This package does not decide how much of a snapshot still holds at
+// its age; see balancer.Recall. The package may import balancer.
 package snapshot
 
 import (
@@ -16,21 +16,22 @@
 )
 
 const (
-	maxNames     = 4096 // endpoints
-	maxNameBytes = 1024
+	maxNames     = 4096 // of endpoints
+	maxNameBytes = 1024 // of a name or an address
 )
 
-// Saved is a saved snapshot: the module's state, and the names of the endpoints that the state numbers.
+// Saved is a saved snapshot: the state of a decision module, and the names of the endpoints, which the state identifies
+// by number.
 type Saved struct {
-	Sidecar   string             `cbor:"1,keyasint"` // whose it is
+	Sidecar   string             `cbor:"1,keyasint"` // name of the sidecar that saved it
 	Clock     Clock              `cbor:"2,keyasint"` // when it was taken
 	State     *balancer.Snapshot `cbor:"3,keyasint"`
-	Names     []string           `cbor:"4,keyasint"`           // of State.Endpoints, in their order
+	Names     []string           `cbor:"4,keyasint"`           // of State.Endpoints, in the same order
 	RunID     uint64             `cbor:"5,keyasint,omitempty"` // in a capture: identifies the process
-	Addresses []string           `cbor:"6,keyasint,omitempty"` // of State.Endpoints, for other hosts; no file has them
+	Addresses []string           `cbor:"6,keyasint,omitempty"` // of State.Endpoints, for other hosts; not in files
 }
 
-// check returns what is inconsistent.
+// check returns an error if the snapshot is incomplete or inconsistent.
 func (s *Saved) check() error {
 	if s.State == nil {
 		return errors.New("no state")
@@ -56,20 +57,21 @@
 	return nil
 }
 
-// Renumber gives the endpoints the numbers that another process uses for their names and, where known, addresses.
-// Endpoints that it does not know get numbers that it does not use.
-func (s *Saved) Renumber(number func(name, address string) (uint32, bool)) {
+// Renumber replaces the endpoints' numbers by those of another process. idOf returns its number for a name and an
+// address, which is empty if the snapshot has none, or false if it does not know the endpoint. Unknown endpoints get
+// high numbers that the process does not use. Renumber also removes administrative drains from the state.
+func (s *Saved) Renumber(idOf func(name, address string) (uint32, bool)) {
 	for i, name := range s.Names {
 		address := ""
 		if i < len(s.Addresses) {
 			address = s.Addresses[i]
 		}
-		n, known := number(name, address)
+		id, known := idOf(name, address)
 		if !known {
-			n = math.MaxUint32 - uint32(i)
+			id = math.MaxUint32 - uint32(i)
 		}
-		s.State.Endpoints[i].ID = n
+		s.State.Endpoints[i].ID = id
 	}
-	// A process learns of administrative drains from the operators' overrides.
+	// The other process gets administrative drains from the operators' overrides.
 	s.State.Drains, s.State.Undrained = nil, nil
 }
--- a/internal/platform/snapshot/stored_test.go
+++ b/internal/platform/snapshot/stored_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// testdata/known.snapshot.base64 is a file of version 7105f7a.
+// The stored form of snapshots must not change without a new Version. testdata/known.snapshot.base64 is a file that
+// version 7105f7a wrote.
 func TestFileKeepsStoredForm(t *testing.T) {
 	text, err := os.ReadFile("testdata/known.snapshot.base64")
 	if err != nil {
@@ -23,29 +24,29 @@
 	if err := os.WriteFile(path, stored, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	k, err := File{path}.Load()
+	saved, err := File{path}.Load()
 	if err != nil {
 		t.Fatal(err)
 	}
 	clock := Clock{WallMicros: 1_700_000_000_000_000, BootID: "b", UptimeMicros: 77}
-	if k.Sidecar != "n3" || k.Clock != clock || k.RunID != 987654321 {
-		t.Errorf("decoded %q, %+v, run %d", k.Sidecar, k.Clock, k.RunID)
+	if saved.Sidecar != "n3" || saved.Clock != clock || saved.RunID != 987654321 {
+		t.Errorf("decoded %q, %+v, run %d", saved.Sidecar, saved.Clock, saved.RunID)
 	}
-	if want := []string{"s-0", "s-1"}; !slices.Equal(k.Names, want) {
-		t.Errorf("decoded names %q, want %q", k.Names, want)
+	if want := []string{"s-0", "s-1"}; !slices.Equal(saved.Names, want) {
+		t.Errorf("decoded names %q, want %q", saved.Names, want)
 	}
-	if want := []string{"10.0.0.1:80", "10.0.0.2:80"}; !slices.Equal(k.Addresses, want) {
-		t.Errorf("decoded addresses %q, want %q", k.Addresses, want)
+	if want := []string{"10.0.0.1:80", "10.0.0.2:80"}; !slices.Equal(saved.Addresses, want) {
+		t.Errorf("decoded addresses %q, want %q", saved.Addresses, want)
 	}
-	s := k.State
+	s := saved.State
 	if s.At != 1_700_000_000_004_000 || len(s.Rules) != 1 || len(s.Classes) != 1 || len(s.Slots) == 0 {
-		t.Errorf("decoded a state of %d with %d rules, %d classes, %d slots",
+		t.Errorf("decoded a state taken at %d with %d rules, %d classes, %d slots",
 			s.At, len(s.Rules), len(s.Classes), len(s.Slots))
 	}
 	if len(s.Endpoints) != 2 || s.Endpoints[0].ID != 1 || s.Endpoints[1].ID != 2 {
 		t.Errorf("decoded endpoints %+v", s.Endpoints)
 	}
-	if encoded, err := Encode(k); err != nil || string(encoded) != string(stored) {
-		t.Errorf("encoded to %d bytes other than the stored %d, error %v", len(encoded), len(stored), err)
+	if encoded, err := Encode(saved); err != nil || string(encoded) != string(stored) {
+		t.Errorf("encoded to %d bytes that differ from the stored %d, error %v", len(encoded), len(stored), err)
 	}
 }
