--- a/internal/platform/metrics/metrics_test.go
+++ b/internal/platform/metrics/metrics_test.go
@@ -59,7 +59,8 @@
 	}
 }
 
-// Counters count while metrics are written, and a class that several goroutines use first is created once.
+// Counting continues while metrics are written, and a class that several goroutines use first at the same time is
+// created once.
 func TestCountingIsSafeForConcurrentUse(t *testing.T) {
 	r := New()
 	var workers sync.WaitGroup
@@ -75,11 +76,11 @@
 	}
 	workers.Wait()
 	if n := r.Class("look").Answered.Value(); n != 800 {
-		t.Errorf("counted %d, want 800", n)
+		t.Errorf("counted %d requests, want 800", n)
 	}
 }
 
-// TestNamesUnchanged compares the metrics of a protocol with what revision 7105f7a wrote.
+// TestNamesUnchanged compares the metrics of a protocol with those that version 7105f7a wrote.
 func TestNamesUnchanged(t *testing.T) {
 	fixture, err := os.ReadFile("testdata/protocol.txt")
 	if err != nil {
--- a/internal/platform/metrics/text.go
+++ b/internal/platform/metrics/text.go
@@ -10,13 +10,13 @@
 // namePrefix begins the names of all metrics.
 const namePrefix = "app_"
 
-// labelEscaper escapes the value of a label.
+// labelEscaper escapes label values as the Prometheus text format requires.
 var labelEscaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
 
-// WriteText writes all metrics in the text format of Prometheus, one a line.
+// WriteText writes all metrics in the Prometheus text format, one per line.
 func (r *Registry) WriteText(w io.Writer) error {
-	b := bufio.NewWriter(w) // keeps the first error until Flush
-	extra := r.writeLabelled(b)
+	b := bufio.NewWriter(w) // returns the first error at Flush
+	protocolCounters := r.writeLabelled(b)
 	for _, m := range [...]struct {
 		name  string
 		value int64
@@ -32,7 +32,7 @@
 	} {
 		_, _ = fmt.Fprintf(b, "%s%s %d\n", r.prefix, m.name, m.value)
 	}
-	for _, m := range extra {
+	for _, m := range protocolCounters {
 		_, _ = fmt.Fprintf(b, "%s%s %d\n", r.prefix, m.name, m.counter.Value())
 	}
 	if err := b.Flush(); err != nil {
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// writeLabelled writes the metrics of classes and limits, and returns the protocol's own counters.
-func (r *Registry) writeLabelled(w io.Writer) (extra []namedCounter) {
+// writeLabelled writes the metrics of classes and limits, and returns the counters that only this protocol has.
+func (r *Registry) writeLabelled(w io.Writer) (protocolCounters []namedCounter) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	for _, class := range r.classOrder {
@@ -52,9 +52,9 @@
 		r.writeCounter(w, "errored_total", "group", class, &c.Errored)
 	}
 	for _, limit := range r.limitOrder {
-		r.writeCounter(w, "limited_total", "limit", limit, r.byLimit[limit])
+		r.writeCounter(w, "limited_total", "limit", limit, r.limitRejections[limit])
 	}
-	return r.extra
+	return r.protocolCounters
 }
 
 func (r *Registry) writeCounter(w io.Writer, name, label, value string, c *Counter) {
