--- a/internal/platform/management/call.go
+++ b/internal/platform/management/call.go
@@ -9,31 +9,31 @@
 	"strings"
 )
 
-// maxLineBytes bounds a line, with its end.
+// maxLineBytes is the maximum length of a line, including its end.
 const maxLineBytes = 512
 
-// Calls of operators.
+// Calls that operators can make.
 const (
 	callStatus           = "status"
 	callStats            = "stats"
-	callStartMaintenance = "maint-on"  // ID of an endpoint
-	callEndMaintenance   = "maint-off" // ID of an endpoint
+	callStartMaintenance = "maint-on"  // argument: ID of an endpoint
+	callEndMaintenance   = "maint-off" // argument: ID of an endpoint
 )
 
-// Backend carries out calls.
+// Backend carries out operators' calls. Its methods must be safe for concurrent use.
 type Backend interface {
-	// Status returns nil if the process can serve, or why it cannot.
+	// Status returns nil if the process can serve, or the reason why it cannot.
 	Status() error
 	// Stats writes the metrics.
 	Stats(w io.Writer) error
-	// Maintain starts or ends the maintenance of an endpoint. It returns once that is in force.
+	// Maintain starts or ends the maintenance of an endpoint. It returns once that is in effect.
 	Maintain(ctx context.Context, id string, start bool) error
 }
 
-// errMalformedLine says that a line is not a call.
+// errMalformedLine is the error for a line that cannot be a call. It is answered, unlike errors of the connection.
 var errMalformedLine = errors.New("malformed line")
 
-// readLine reads the first line. Text that the end of the stream ends is a line, too.
+// readLine reads the first line, which may end with the stream in place of a newline.
 func readLine(r io.Reader) (string, error) {
 	b := bufio.NewReaderSize(r, maxLineBytes)
 	text, err := b.ReadSlice('\n')
@@ -59,7 +59,7 @@
 	callEndMaintenance:   1,
 }
 
-// execute carries out the call of a line and writes its answer.
+// execute carries out the call in a line and writes the answer.
 func (s *Server) execute(ctx context.Context, w io.Writer, line string) {
 	words := strings.Fields(line)
 	if len(words) == 0 {
@@ -90,7 +90,7 @@
 	}
 }
 
-// answerResult answers whether a call succeeded.
+// answerResult answers YES, or NO with the error of a call.
 func answerResult(w io.Writer, err error) {
 	if err != nil {
 		answer(w, "NO %v", err)
@@ -100,5 +100,5 @@
 }
 
 func answer(w io.Writer, format string, args ...any) {
-	_, _ = fmt.Fprintf(w, format+"\n", args...) // a caller that is gone needs no answer
+	_, _ = fmt.Fprintf(w, format+"\n", args...) // fails if the caller has closed, and then needs no answer
 }
--- a/internal/platform/management/server_test.go
+++ b/internal/platform/management/server_test.go
@@ -16,7 +16,7 @@
 // fakeBackend records the calls of Maintain.
 type fakeBackend struct {
 	status error
-	stall  bool // Maintain returns only when its context ends
+	hang   bool // makes Maintain wait for the end of its context
 	calls  []string
 }
 
@@ -28,7 +28,7 @@
 }
 
 func (b *fakeBackend) Maintain(ctx context.Context, id string, start bool) error {
-	if b.stall {
+	if b.hang {
 		<-ctx.Done()
 		return ctx.Err()
 	}
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// pipeListener is a listener with connections in memory, which synctest can wait for.
+// pipeListener is a listener of in-memory connections, which work with synctest, unlike sockets.
 type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
@@ -71,7 +71,8 @@
 	return client
 }
 
-// call makes a call and returns the complete answer. A server that does not read all of the text is no failure.
+// call sends a text on a new connection and returns the complete answer. It ignores errors, since the server may close
+// the connection before it has read all of the text.
 func (l *pipeListener) call(text string) string {
 	c := l.dial()
 	defer closeQuietly(c)
@@ -80,7 +81,7 @@
 	return string(answer)
 }
 
-// withServer runs a test with a server in virtual time.
+// withServer runs a test against a server in virtual time, and checks that Serve returns without an error.
 func withServer(t *testing.T, backend *fakeBackend, test func(t *testing.T, l *pipeListener)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -117,20 +118,20 @@
 			{strings.Repeat("x", maxLineBytes), "NO malformed line: over 512 bytes\n"},
 		} {
 			if got := l.call(test.text); got != test.want {
-				t.Errorf("%.20q: got %q, want %q", test.text, got, test.want)
+				t.Errorf("call %.20q: answer %q, want %q", test.text, got, test.want)
 			}
 		}
 		if got := strings.Join(backend.calls, ","); got != "on s-1,off s-1" {
-			t.Error("the backend was called for", got)
+			t.Error("calls of Maintain, want on and off for s-1:", got)
 		}
 		backend.status = errors.New("no list yet")
 		if got := l.call("status\n"); got != "NO no list yet\n" {
-			t.Errorf("got %q", got)
+			t.Errorf("status of a process without a list: answer %q, want NO", got)
 		}
 	})
 }
 
-// Silent callers, however many, do not delay a call, and their connections are closed after lineTimeout.
+// Connections that send no line, even more than MaxConns, do not delay a call. They are closed within lineTimeout.
 func TestSilentCallersDoNotDelayCalls(t *testing.T) {
 	withServer(t, &fakeBackend{}, func(t *testing.T, l *pipeListener) {
 		t.Helper()
@@ -140,37 +141,37 @@
 			silent = append(silent, l.dial())
 		}
 		if got := l.call("status\n"); got != "YES\n" {
-			t.Errorf("got %q", got)
+			t.Errorf("status beside silent callers: answer %q, want YES", got)
 		}
-		if passed := time.Since(start); passed != 0 {
-			t.Errorf("the answer took %v", passed)
+		if elapsed := time.Since(start); elapsed != 0 {
+			t.Errorf("the answer beside silent callers took %v, want no time", elapsed)
 		}
 		for _, c := range silent {
 			if _, err := c.Read(make([]byte, 1)); err == nil {
 				t.Error("a silent caller was answered")
 			}
 		}
-		if passed := time.Since(start); passed > lineTimeout {
-			t.Errorf("a silent caller was connected for %v", passed)
+		if elapsed := time.Since(start); elapsed > lineTimeout {
+			t.Errorf("the silent callers were disconnected only after %v", elapsed)
 		}
 	})
 }
 
-// A call that the backend does not carry out in time is answered NO while the caller still waits.
-func TestStalledCallIsAnsweredInTime(t *testing.T) {
-	withServer(t, &fakeBackend{stall: true}, func(t *testing.T, l *pipeListener) {
+// A call that the backend does not carry out in time is answered with NO before the caller gives up after 1 s.
+func TestHungCallIsAnsweredInTime(t *testing.T) {
+	withServer(t, &fakeBackend{hang: true}, func(t *testing.T, l *pipeListener) {
 		t.Helper()
 		start := time.Now()
 		if got := l.call("maint-on s-1\n"); got != "NO context deadline exceeded\n" {
-			t.Errorf("got %q", got)
+			t.Errorf("call to a hung backend: answer %q, want NO with the timeout", got)
 		}
-		if passed := time.Since(start); passed >= time.Second {
-			t.Errorf("the answer took %v", passed)
+		if elapsed := time.Since(start); elapsed >= time.Second {
+			t.Errorf("the answer from a hung backend took %v, want less than 1 s", elapsed)
 		}
 	})
 }
 
-// A call over a real socket is answered, and Serve returns once its context ends.
+// A call over a TCP socket is answered, and Serve returns once its context ends.
 func TestServeOverTCP(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -188,7 +189,7 @@
 		t.Fatal(err)
 	}
 	if got, err := bufio.NewReader(c).ReadString('\n'); got != "YES\n" {
-		t.Errorf("got %q, %v", got, err)
+		t.Errorf("status over TCP: answer %q, error %v, want YES", got, err)
 	}
 	cancel()
 	if err := <-served; err != nil {
