--- a/internal/platform/stricttoml/stricttoml.go
+++ b/internal/platform/stricttoml/stricttoml.go
@@ -1,5 +1,5 @@
-// Package stricttoml reads TOML files that people write: unknown keys are errors, and errors name file, line and
-// key. It imports nothing of this module.
+// Package stricttoml decodes TOML files that people write. Unknown keys are errors, and errors name the file, the line
+// and the key. It imports nothing of this module.
 package stricttoml
 
 import (
@@ -11,16 +11,16 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Error is an error of a file's content.
+// Error is an error in the content of a file.
 type Error struct {
 	Path       string
-	Line       int    // from 1; 0: the key is not in the file
-	Key        string // such as servers[1].speed; empty: the file as a whole
+	Line       int    // from 1; 0 if the key is not in the file
+	Key        string // such as servers[1].speed; empty for the file as a whole
 	Reason     string
-	UnknownKey bool // all known keys were read
+	UnknownKey bool // the key is unknown; all known keys of the file were decoded
 }
 
-// Error returns the path, the line, the key and the reason.
+// Error implements error. It returns the path, the line, the key and the reason.
 func (e *Error) Error() string {
 	var b strings.Builder
 	b.WriteString(e.Path)
@@ -35,8 +35,8 @@
 	return b.String()
 }
 
-// Decode decodes text into v. The path and the kind of files, such as "scenarios", are for errors alone. All errors are
-// joined, each an *Error.
+// Decode decodes text into v. The path and the kind of files, such as "scenarios", appear only in errors. The returned
+// error is an *Error, or several joined ones if there are unknown keys.
 func Decode(path, kind string, text []byte, v any) error {
 	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(v)
 	if err == nil {
@@ -59,6 +59,7 @@
 	return &Error{Path: path, Reason: err.Error()}
 }
 
+// joinUnknownKeys returns an *Error for each unknown key, joined.
 func joinUnknownKeys(path, kind string, unknownKeys *toml.StrictMissingError) error {
 	var errs []error
 	for i := range unknownKeys.Errors {
