--- a/internal/platform/keys/authority.go
+++ b/internal/platform/keys/authority.go
@@ -19,11 +19,11 @@
 
 const (
 	authorityValidity = 10 * 365 * 24 * time.Hour
-	backdate          = time.Hour // of the beginning of validity, for hosts whose clocks are behind
+	backdate          = time.Hour // how far validity begins in the past, for hosts whose clocks are behind
 	serialNumberBits  = 120
 )
 
-// Init creates a folder with a new authority. Its error is ErrExists if there is one already.
+// Init creates a folder with a new certificate authority. It returns ErrExists if the folder has one already.
 func Init(dir, cluster string) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
@@ -39,8 +39,8 @@
 	return errors.Join(replaceFile(dir, authorityKeyFile, key), replaceFile(dir, authorityCertFile, cert))
 }
 
-// Issue creates a certificate and a key for a replica. Unless replace is set, its error is ErrExists if there is one
-// already.
+// Issue creates a key and a certificate for a replica. Unless replace is set, it returns ErrExists if the replica has a
+// certificate already.
 func Issue(dir, name string, validity time.Duration, replace bool) error {
 	if err := CheckName(name); err != nil {
 		return err
@@ -67,12 +67,13 @@
 	if err != nil {
 		return err
 	}
-	// The key's file has the certificate, too, so that a reader never sees a key of one and a certificate of another.
+	// The key file also has the certificate, so that a reader never gets a key and the certificate of another key.
 	keyAndCert := slices.Concat(key, cert)
 	return errors.Join(replaceFile(dir, name+keySuffix, keyAndCert), replaceFile(dir, name+certSuffix, cert))
 }
 
-// Rotate creates a new authority, which signs from now on. The previous ones stay trusted until Retire.
+// Rotate creates a new authority, which signs all certificates from now on. Earlier authorities are trusted until
+// Retire.
 func Rotate(dir, cluster string) error {
 	previous, err := os.ReadFile(filepath.Join(dir, authorityCertFile))
 	if err != nil {
@@ -86,7 +87,7 @@
 	return errors.Join(replaceFile(dir, authorityKeyFile, key), replaceFile(dir, authorityCertFile, certs))
 }
 
-// Retire ends the trust in all authorities but the newest.
+// Retire removes all authorities but the newest from the trusted ones.
 func Retire(dir string) error {
 	certFile := filepath.Join(dir, authorityCertFile)
 	certs, err := os.ReadFile(certFile)
@@ -113,8 +114,8 @@
 	return createCertificate(template, authorityValidity, nil, nil)
 }
 
-// createCertificate creates a key and a certificate for it in PEM, signed by an authority or, if that is nil, by
-// itself.
+// createCertificate creates a key and a certificate for it, both in PEM. The authority signs the certificate; if it is
+// nil, the certificate is self-signed.
 func createCertificate(
 	template *x509.Certificate, validity time.Duration, authority *x509.Certificate, authorityKey any,
 ) (cert, key []byte, err error) {
--- a/internal/platform/keys/keys.go
+++ b/internal/platform/keys/keys.go
@@ -1,10 +1,10 @@
-// Package keys creates and reads the keys by which the replicas of a store authenticate each other: a certificate
-// authority of the cluster's own, and a certificate for each replica with its name (RFC 5280; ECDSA on P-256). A folder
-// holds ca.pem, ca.key, which belongs on the operators' machine alone, and NAME.pem and NAME.key for each replica.
+// Package keys creates and loads the keys with which the replicas of a store authenticate each other: a certificate
+// authority of the cluster, and a certificate with the replica's name for each replica (RFC 5280; ECDSA on P-256). A
+// folder has ca.pem, ca.key, which must be on the operators' machine only, and NAME.pem and NAME.key for each replica.
 //
-// Files are replaced atomically and read again for each connection, so that keys are replaced without a restart. ca.pem
-// may hold several authorities: while one replaces the other, both are trusted. The package imports nothing of this
-// module.
+// Files are replaced atomically and loaded again for each connection, so that keys can be replaced without a restart.
+// ca.pem may have several authorities: during a rotation, both the old and the new one are trusted. The package imports
+// nothing of this module.
 package keys
 
 import (
@@ -17,7 +17,7 @@
 	"regexp"
 )
 
-// Names of files.
+// File names in a folder of keys.
 const (
 	certSuffix        = ".pem"
 	keySuffix         = ".key"
@@ -26,23 +26,23 @@
 	authorityKeyFile  = authorityName + keySuffix
 )
 
-// ErrExists says that a file would be overwritten.
+// ErrExists is the error for a file that must not be overwritten.
 var ErrExists = errors.New("is there already")
 
-// replicaName is a DNS label (RFC 1123).
+// replicaName matches a DNS label (RFC 1123).
 var replicaName = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 
-// CheckName returns an error if a text cannot be the name of a replica.
+// CheckName returns an error if name is not valid for a replica: it must be a DNS label in lower case, and not "ca".
 func CheckName(name string) error {
 	if !replicaName.MatchString(name) || name == authorityName {
-		return fmt.Errorf("%q is not a replica's name: small letters, digits and inner hyphens, at most 63", name)
+		return fmt.Errorf("%q is not a valid replica name: lower-case letters, digits and inner hyphens, at most 63", name)
 	}
 	return nil
 }
 
-// replaceFile replaces a file by one that only its owner may read.
+// replaceFile atomically creates or replaces a file that only its owner can read.
 func replaceFile(dir, name string, content []byte) error {
-	f, err := os.CreateTemp(dir, "."+name+"-*") // with mode 0600
+	f, err := os.CreateTemp(dir, "."+name+"-*") // creates it with mode 0600
 	if err != nil {
 		return err
 	}
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// checkPrivate returns an error if others than the owner may read or write a file.
+// checkPrivate returns an error if anyone but the owner may access a file.
 func checkPrivate(path string) error {
 	const othersMode = 0o077
 	info, err := os.Stat(path)
@@ -66,13 +66,13 @@
 	}
 	mode := info.Mode().Perm()
 	if mode&othersMode != 0 {
-		err := fmt.Errorf("others may read or write it (mode %04o): it must be 0600", mode)
+		err := fmt.Errorf("users other than the owner may access it (mode %04o); the mode must be 0600", mode)
 		return &fs.PathError{Op: "use", Path: path, Err: err}
 	}
 	return nil
 }
 
-// loadAuthorities reads the authorities that are trusted.
+// loadAuthorities loads the trusted authorities of a folder.
 func loadAuthorities(dir string) (*x509.CertPool, error) {
 	file := filepath.Join(dir, authorityCertFile)
 	content, err := os.ReadFile(file)
--- a/internal/platform/keys/keys_test.go
+++ b/internal/platform/keys/keys_test.go
@@ -12,29 +12,30 @@
 	"time"
 )
 
-// handshake returns the errors of both sides of a TLS handshake.
+// handshake performs a TLS handshake, in which the client expects the server to have the given name. It returns the
+// errors of both sides, joined.
 func handshake(t *testing.T, server, client *Pair, name string) error {
 	t.Helper()
-	a, b := net.Pipe()
-	t.Cleanup(func() { ok(t, a.Close(), b.Close()) }) // has no effect if they are closed below
+	serverConn, clientConn := net.Pipe()
+	t.Cleanup(func() { mustSucceed(t, serverConn.Close(), clientConn.Close()) }) // no effect if they are closed before
 	serverErr := make(chan error, 1)
 	go func() {
-		s := tls.Server(a, server.Server())
-		err := s.Handshake()
+		tlsServer := tls.Server(serverConn, server.Server())
+		err := tlsServer.Handshake()
 		if err == nil {
-			_, err = s.Write([]byte{1})
+			_, err = tlsServer.Write([]byte{1})
 		}
-		serverErr <- errors.Join(err, a.Close())
+		serverErr <- errors.Join(err, serverConn.Close())
 	}()
 	config, err := client.Client(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := tls.Client(b, config)
-	if err = c.Handshake(); err == nil {
-		_, err = c.Read(make([]byte, 1))
+	tlsClient := tls.Client(clientConn, config)
+	if err = tlsClient.Handshake(); err == nil {
+		_, err = tlsClient.Read(make([]byte, 1))
 	}
-	return errors.Join(err, b.Close(), <-serverErr)
+	return errors.Join(err, clientConn.Close(), <-serverErr)
 }
 
 func openPair(t *testing.T, dir, name string) *Pair {
@@ -46,7 +47,8 @@
 	return p
 }
 
-func ok(t *testing.T, errs ...error) {
+// mustSucceed fails the test on any error.
+func mustSucceed(t *testing.T, errs ...error) {
 	t.Helper()
 	if err := errors.Join(errs...); err != nil {
 		t.Fatal(err)
@@ -54,14 +56,14 @@
 }
 
 func TestHandshakeRequiresNameAuthorityAndValidity(t *testing.T) {
-	dir, other := t.TempDir(), t.TempDir()
-	ok(t, Init(dir, "one"), Issue(dir, "a", time.Hour, false), Issue(dir, "b", time.Hour, false),
-		Issue(dir, "late", -time.Minute, false), Init(other, "two"), Issue(other, "b", time.Hour, false))
+	dir, otherDir := t.TempDir(), t.TempDir()
+	mustSucceed(t, Init(dir, "one"), Issue(dir, "a", time.Hour, false), Issue(dir, "b", time.Hour, false),
+		Issue(dir, "late", -time.Minute, false), Init(otherDir, "two"), Issue(otherDir, "b", time.Hour, false))
 	a, b := openPair(t, dir, "a"), openPair(t, dir, "b")
-	ok(t, handshake(t, a, b, "a"))
+	mustSucceed(t, handshake(t, a, b, "a"))
 	for what, err := range map[string]error{
 		"wrong name":        handshake(t, a, b, "c"),
-		"foreign authority": handshake(t, a, openPair(t, other, "b"), "a"),
+		"foreign authority": handshake(t, a, openPair(t, otherDir, "b"), "a"),
 		"expired":           handshake(t, a, openPair(t, dir, "late"), "a"),
 	} {
 		if err == nil {
@@ -76,37 +78,38 @@
 	}
 }
 
-// Keys are replaced while both sides keep the Pair that they opened at first.
+// Keys and authorities are replaced while both sides keep using the Pair that they opened at the start.
 func TestKeysAreReplacedWithoutRestart(t *testing.T) {
 	dir := t.TempDir()
-	ok(t, Init(dir, "one"), Issue(dir, "a", time.Hour, false), Issue(dir, "b", time.Hour, false))
+	mustSucceed(t, Init(dir, "one"), Issue(dir, "a", time.Hour, false), Issue(dir, "b", time.Hour, false))
 	a, b := openPair(t, dir, "a"), openPair(t, dir, "b")
-	ok(t, handshake(t, a, b, "a"), Rotate(dir, "one"), handshake(t, a, b, "a"))
-	// One certificate is of the new authority, and one of the old.
-	ok(t, Issue(dir, "a", time.Hour, true), handshake(t, a, b, "a"))
-	ok(t, Retire(dir))
+	mustSucceed(t, handshake(t, a, b, "a"), Rotate(dir, "one"), handshake(t, a, b, "a"))
+	// The certificate of a is now signed by the new authority, that of b still by the old one.
+	mustSucceed(t, Issue(dir, "a", time.Hour, true), handshake(t, a, b, "a"))
+	mustSucceed(t, Retire(dir))
 	if err := handshake(t, a, b, "a"); err == nil {
-		t.Fatal("the retired authority is still trusted")
+		t.Fatal("a certificate of the retired authority is still trusted")
 	}
-	ok(t, Issue(dir, "b", time.Hour, true), handshake(t, a, b, "a"))
-	all, err := List(dir)
-	if err != nil || len(all) != 3 || !all[0].Trusted || !all[2].Trusted {
-		t.Fatalf("%+v %v", all, err)
+	mustSucceed(t, Issue(dir, "b", time.Hour, true), handshake(t, a, b, "a"))
+	certs, err := List(dir)
+	if err != nil || len(certs) != 3 || !certs[0].Trusted || !certs[2].Trusted {
+		t.Fatalf("%+v %v", certs, err)
 	}
 }
 
 func TestOpenRejectsFilesThatOthersMayRead(t *testing.T) {
 	dir := t.TempDir()
-	ok(t, Init(dir, "one"), Issue(dir, "a", time.Hour, false), os.Chmod(filepath.Join(dir, "a.key"), 0o644))
+	mustSucceed(t, Init(dir, "one"), Issue(dir, "a", time.Hour, false), os.Chmod(filepath.Join(dir, "a.key"), 0o644))
 	if _, err := Open(dir, "a"); err == nil {
 		t.Fatal("opened")
 	}
 	if _, err := Open(dir, "../a"); err == nil {
-		t.Fatal("opened by an invalid name")
+		t.Fatal("Open accepted an invalid name")
 	}
 }
 
-// TestCertificateFormatUnchanged decodes the JSON that revision 7105f7a wrote and encodes the same bytes again.
+// TestCertificateFormatUnchanged decodes the JSON that version 7105f7a wrote and expects the same bytes when it is
+// encoded again.
 func TestCertificateFormatUnchanged(t *testing.T) {
 	fixture, err := os.ReadFile("testdata/certificate.json")
 	if err != nil {
@@ -115,7 +118,7 @@
 	var got Certificate
 	decoder := json.NewDecoder(bytes.NewReader(fixture))
 	decoder.DisallowUnknownFields()
-	ok(t, decoder.Decode(&got))
+	mustSucceed(t, decoder.Decode(&got))
 	notBefore := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	want := Certificate{
 		File: "f.pem", Name: "n", CA: true, Serial: "1f",
--- a/internal/platform/keys/list.go
+++ b/internal/platform/keys/list.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Certificate describes a certificate of a folder.
+// Certificate describes a certificate in a folder of keys.
 type Certificate struct {
 	File      string    `json:"file"`
 	Name      string    `json:"name"`
@@ -17,11 +17,11 @@
 	Serial    string    `json:"serial"` // hexadecimal
 	NotBefore time.Time `json:"begins"`
 	NotAfter  time.Time `json:"ends"`
-	Trusted   bool      `json:"trusted"`          // now, by the authorities of the folder
-	Reason    string    `json:"reason,omitempty"` // if it is not trusted
+	Trusted   bool      `json:"trusted"`          // whether it is valid now by the authorities of the folder
+	Reason    string    `json:"reason,omitempty"` // why it is not trusted
 }
 
-// List returns the certificates of a folder.
+// List returns the certificates in all certificate files of a folder, authorities included.
 func List(dir string) ([]Certificate, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*"+certSuffix))
 	if err != nil {
@@ -31,15 +31,15 @@
 	if err != nil {
 		return nil, err
 	}
-	var all []Certificate
+	var certs []Certificate
 	for _, file := range files {
-		certs, err := describeFile(file, authorities)
+		fileCerts, err := describeFile(file, authorities)
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, certs...)
+		certs = append(certs, fileCerts...)
 	}
-	return all, nil
+	return certs, nil
 }
 
 func describeFile(file string, authorities *x509.CertPool) ([]Certificate, error) {
@@ -47,15 +47,15 @@
 	if err != nil {
 		return nil, err
 	}
-	var all []Certificate
+	var certs []Certificate
 	for block, rest := pem.Decode(content); block != nil; block, rest = pem.Decode(rest) {
 		cert, err := x509.ParseCertificate(block.Bytes)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", file, err)
 		}
-		all = append(all, describe(file, cert, authorities))
+		certs = append(certs, describe(file, cert, authorities))
 	}
-	return all, nil
+	return certs, nil
 }
 
 func describe(file string, cert *x509.Certificate, authorities *x509.CertPool) Certificate {
--- a/internal/platform/keys/pair.go
+++ b/internal/platform/keys/pair.go
@@ -8,11 +8,11 @@
 	"strings"
 )
 
-// Pair is a replica's certificate and key, and the authorities that it trusts. They are read again for each connection.
-// It is safe for concurrent use.
+// Pair gives access to the certificate and key of a replica and to the authorities that it trusts. They are loaded
+// again for each connection. It is safe for concurrent use.
 type Pair struct{ dir, name string }
 
-// Open returns the pair of a replica. It returns an error if the files do not exist or are not private.
+// Open returns the pair of a replica. It returns an error if the files cannot be loaded or the key is not private.
 func Open(dir, name string) (*Pair, error) {
 	p := &Pair{dir: dir, name: name}
 	if err := CheckName(name); err != nil {
@@ -38,8 +38,8 @@
 	return &cert, authorities, nil
 }
 
-// Server returns the configuration of the listening side. It requires a certificate that the cluster's authority
-// signed.
+// Server returns the TLS configuration for the listening side. It requires that clients have a certificate signed by a
+// trusted authority.
 func (p *Pair) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
@@ -61,7 +61,9 @@
 	}, nil
 }
 
-// Client returns the configuration of the dialing side, which requires the certificate of the replica of a name.
+// Client returns the TLS configuration for dialing a replica. It requires that the server has a certificate with the
+// given name, signed by a trusted authority. A new configuration must be made for each connection, so that replaced
+// keys are used.
 func (p *Pair) Client(name string) (*tls.Config, error) {
 	cert, authorities, err := p.load()
 	if err != nil {
@@ -75,7 +77,7 @@
 	}, nil
 }
 
-// PeerNames returns the names of the peer's certificate, joined by commas, or "" if it has shown none.
+// PeerNames returns the DNS names in the peer's certificate, separated by commas, or "" if the peer sent none.
 func PeerNames(s tls.ConnectionState) string {
 	if len(s.PeerCertificates) == 0 {
 		return ""
