--- a/internal/platform/bootclock/bootclock.go
+++ b/internal/platform/bootclock/bootclock.go
@@ -1,6 +1,6 @@
-// Package bootclock reads the host's clock since its boot, by which leases are counted. It goes on while the host
-// is suspended, does not step, and is the same for all processes of a host. Clocks of two hosts must never be
-// compared. The package imports nothing of this module.
+// Package bootclock reads the time since the host's boot, which measures leases. This clock also runs while the host is
+// suspended, is never set, and is the same for all processes of a host. Times of two hosts must never be compared. The
+// package imports nothing of this module.
 package bootclock
 
 import (
@@ -9,24 +9,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock is CLOCK_BOOTTIME, or for tests among processes a clock at another rate. The zero value is the host's.
+// Clock is the host's CLOCK_BOOTTIME. Tests across processes use it with another rate. The zero value runs at the
+// host's rate.
 type Clock struct {
-	Rate float64 // relative to the host's clock; 0: 1
+	Rate float64 // relative to the host's clock; 0 means 1
 }
 
-// Now returns the nanoseconds since the host's boot.
+// Now returns the time since the host's boot in nanoseconds, multiplied by Rate.
 func (c Clock) Now() int64 {
-	var t unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic(err) // Linux has the clock since 2.6.39
+	var now unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
+		panic(err) // cannot happen: Linux has had this clock since 2.6.39
 	}
 	if c.Rate == 0 {
-		return t.Nano()
+		return now.Nano()
 	}
-	return int64(float64(t.Nano()) * c.Rate)
+	return int64(float64(now.Nano()) * c.Rate)
 }
 
-// TimerDuration returns for how long a timer of the process must run until this clock has advanced by some nanoseconds.
+// TimerDuration returns how long a Go timer must run until this clock has advanced by the given time in nanoseconds.
 func (c Clock) TimerDuration(nanos int64) time.Duration {
 	if c.Rate == 0 {
 		return time.Duration(nanos)
