--- a/internal/platform/recovery/merge.go
+++ b/internal/platform/recovery/merge.go
@@ -8,76 +8,78 @@
 )
 
 const (
-	maxServers         = 4096 // that a snapshot may have
-	initialRetryCredit = 1e6  // more than the module lets a start have: it reduces this to its own limit
+	maxEndpoints       = 4096 // maximum in a merged snapshot
+	initialRetryCredit = 1e6  // above the decision module's limit at a start, to which the module reduces it
 )
 
-// server identifies a server process.
-type server struct {
+// process identifies a server process of an endpoint, which ends with a restart or a change of address.
+type process struct {
 	name, address string
 	startTime     balancer.Micros
 }
 
 // merger combines snapshots of several sidecars into one.
 type merger struct {
-	out   *snapshot.Saved
-	index map[server]int // in out
-	names map[string]bool
+	merged *snapshot.Saved
+	index  map[process]int // index of each process in merged
+	names  map[string]bool // of the endpoints in merged
 }
 
-// merge combines snapshots, newest first, into one at the age of the newest. Means of requests are those of the
-// newest; each server has been warming up for the shortest time that any snapshot says, and has its newest pace.
+// merge combines snapshots, which are ordered from the newest to the oldest, into one that has the age of the newest.
+// Means of requests are those of the newest snapshot. Of all that the snapshots have on an endpoint, the merged one has
+// the shortest time in slow start and the newest pace.
 func merge(sidecar string, newestFirst []Candidate) *snapshot.Saved {
 	newest := newestFirst[0]
-	m := merger{out: withoutLocalState(newest.Snapshot), index: map[server]int{}, names: map[string]bool{}}
-	m.out.Sidecar = sidecar
-	for i := range m.out.Names {
-		m.index[serverAt(m.out, i)] = i
-		m.names[m.out.Names[i]] = true
+	m := merger{merged: withoutLocalState(newest.Snapshot), index: map[process]int{}, names: map[string]bool{}}
+	m.merged.Sidecar = sidecar
+	for i := range m.merged.Names {
+		m.index[processAt(m.merged, i)] = i
+		m.names[m.merged.Names[i]] = true
 	}
 	for _, c := range newestFirst[1:] {
 		m.add(withoutLocalState(c.Snapshot), c.Age-newest.Age)
 	}
-	return m.out
+	return m.merged
 }
 
-// serverAt identifies the server of an endpoint.
-func serverAt(s *snapshot.Saved, i int) server {
-	id := server{name: s.Names[i], startTime: s.State.Endpoints[i].StartTime}
+// processAt returns the process of the endpoint at index i.
+func processAt(s *snapshot.Saved, i int) process {
+	id := process{name: s.Names[i], startTime: s.State.Endpoints[i].StartTime}
 	if i < len(s.Addresses) {
 		id.address = s.Addresses[i]
 	}
 	return id
 }
 
-// add merges a snapshot that is older by the given time.
-func (m *merger) add(s *snapshot.Saved, older balancer.Micros) {
+// add merges a snapshot that is older than the newest one by ageDifference.
+func (m *merger) add(s *snapshot.Saved, ageDifference balancer.Micros) {
 	for i, e := range s.State.Endpoints {
-		id := serverAt(s, i)
-		e.SlowStart += older
-		e.PaceLearned += older
-		if at, known := m.index[id]; known {
-			mergeEndpoint(&m.out.State.Endpoints[at], e)
+		id := processAt(s, i)
+		e.SlowStart += ageDifference
+		e.PaceLearned += ageDifference
+		if mergedIndex, known := m.index[id]; known {
+			mergeEndpoint(&m.merged.State.Endpoints[mergedIndex], e)
 			continue
 		}
-		// A newer snapshot may know another process under the same name.
-		if !m.names[id.name] && len(m.out.Names) < maxServers {
+		// A newer snapshot may have another process of an endpoint with the same name, which supersedes this one.
+		if !m.names[id.name] && len(m.merged.Names) < maxEndpoints {
 			m.append(id, e)
 		}
 	}
 }
 
-// append adds a server that is not known yet.
-func (m *merger) append(id server, e balancer.EndpointState) {
-	e.ID = uint32(len(m.out.Names))
-	m.index[id] = len(m.out.Names)
+// append adds the endpoint of a process that is not in the merged snapshot.
+func (m *merger) append(id process, e balancer.EndpointState) {
+	e.ID = uint32(len(m.merged.Names))
+	m.index[id] = len(m.merged.Names)
 	m.names[id.name] = true
-	m.out.Names = append(m.out.Names, id.name)
-	m.out.Addresses = append(m.out.Addresses, id.address)
-	m.out.State.Endpoints = append(m.out.State.Endpoints, e)
+	m.merged.Names = append(m.merged.Names, id.name)
+	m.merged.Addresses = append(m.merged.Addresses, id.address)
+	m.merged.State.Endpoints = append(m.merged.State.Endpoints, e)
 }
 
-// mergeEndpoint takes over what another snapshot knows better of the same server.
+// mergeEndpoint updates known with what another snapshot has on the same process: a shorter time in slow start, or a
+// pace that was learned later.
 func mergeEndpoint(known *balancer.EndpointState, e balancer.EndpointState) {
 	if e.WarmingUp && (!known.WarmingUp || e.SlowStart < known.SlowStart) {
 		known.WarmingUp, known.SlowStart = true, e.SlowStart
@@ -87,8 +89,8 @@
 	}
 }
 
-// withoutLocalState returns a copy with what another sidecar may restore: the state of servers and of requests,
-// without the state that is local to the sidecar that saved it.
+// withoutLocalState returns a copy that another sidecar may restore: it has the state of endpoints and of requests, but
+// not the state that is local to the sidecar that saved it.
 func withoutLocalState(saved *snapshot.Saved) *snapshot.Saved {
 	s := *saved.State
 	s.Random, s.ApertureSeed = 0, 0
