--- a/internal/platform/wire/codes.go
+++ b/internal/platform/wire/codes.go
@@ -1,5 +1,5 @@
-// Package wire reads and writes the simulator's binary frames and settings text. It makes no decisions. The wire's
-// own names for events and actions are given beside their codes.
+// Package wire decodes the simulator's binary event frames, encodes replies with actions, and converts settings from
+// and to the simulator's text. The simulator's own names of events and actions are given next to their codes.
 package wire
 
 import (
@@ -8,7 +8,7 @@
 	"birchmoor/balancer"
 )
 
-// Code numbers an event or an action; the two have separate code spaces.
+// Code identifies the kind of an event or of an action, which have separate codes.
 type Code uint8
 
 // Codes of events.
@@ -27,7 +27,7 @@
 	EventSelectInstance     Code = 27
 )
 
-// Codes of actions.
+// Codes of actions. A comment gives the simulator's name where it differs.
 const (
 	ActionSend            Code = 80 // deliver
 	ActionReject          Code = 81 // decline
@@ -44,7 +44,7 @@
 	ActionSelectInstance  Code = 92 // as
 )
 
-// eventNames are the wire's own names of events.
+// eventNames are the simulator's names of events.
 var eventNames = map[Code]string{
 	EventStart:              "begin",
 	EventEndpointUpdate:     "membership",
@@ -60,7 +60,7 @@
 	EventSelectInstance:     "instance",
 }
 
-// String returns the event's name on the wire.
+// String returns the simulator's name of an event. For actions it is not meaningful.
 func (c Code) String() string {
 	if name, ok := eventNames[c]; ok {
 		return name
@@ -68,7 +68,7 @@
 	return fmt.Sprintf("event %d", uint8(c))
 }
 
-// statuses are the wire's codes of how an attempt or a probe ended.
+// statuses maps the simulator's status codes to the outcomes of attempts and probes.
 var statuses = map[uint16]balancer.Status{
 	200: balancer.OK,
 	410: balancer.NotSent,
@@ -80,14 +80,14 @@
 	598: balancer.Reset,
 }
 
-// endpointStates are the wire's codes of lifecycle states.
+// endpointStates maps the simulator's codes to the states of endpoints.
 var endpointStates = map[uint8]balancer.State{
 	0: balancer.Ready,
 	1: balancer.Draining,
 	3: balancer.Removed,
 }
 
-// listKinds are the wire's codes of updates of the endpoint list.
+// listKinds maps the simulator's codes to the kinds of endpoint list updates.
 var listKinds = map[uint8]balancer.ListKind{
 	0: balancer.ListDelta,
 	2: balancer.ListFailed,
--- a/internal/platform/wire/decoder.go
+++ b/internal/platform/wire/decoder.go
@@ -9,24 +9,25 @@
 	"birchmoor/balancer"
 )
 
-// Decoder reads the records of batches. It keeps the numbered lists of endpoints, which outlive a batch.
+// Decoder decodes the records of batches. It keeps the numbered endpoint lists, to which updates in later batches may
+// refer. The zero value is ready for Reset. It is not safe for concurrent use.
 type Decoder struct {
 	frame      []byte
-	nextOffset int // of the next record in frame
+	nextOffset int // offset of the next record in frame
 
-	record       []byte
-	recordOffset int // of record in frame
-	recordName   string
-	offset       int   // in record
-	err          error // first one in record
+	record       []byte // the current record, with its header
+	recordOffset int    // offset of record in frame
+	recordName   string // for errors
+	offset       int    // offset of the next field in record
+	err          error  // the first error in record
 
-	lists   [maxLists][]balancer.Endpoint
-	hasList [maxLists]bool
-	load    []float32
+	lists      [maxLists][]balancer.Endpoint
+	hasList    [maxLists]bool
+	loadBuffer []float32
 }
 
-// Reset starts on a frame from ReadFrame and returns its number and clock.
-func (d *Decoder) Reset(frame []byte) (batch uint32, now balancer.Micros, err error) {
+// Reset starts decoding a frame that ReadFrame returned, and returns its batch number and its clock.
+func (d *Decoder) Reset(frame []byte) (batchNumber uint32, now balancer.Micros, err error) {
 	if len(frame) < batchHeaderBytes {
 		return 0, 0, &FrameError{"batch header", len(frame), "shorter than a header"}
 	}
@@ -38,14 +39,15 @@
 	return binary.BigEndian.Uint32(frame), balancer.Micros(binary.BigEndian.Uint64(frame[8:])), nil
 }
 
-// fail notes the first error in a record, at the current offset.
+// fail records an error at the current offset, unless the record has an error already.
 func (d *Decoder) fail(reason string) {
 	if d.err == nil {
 		d.err = &FrameError{d.recordName, d.recordOffset + d.offset, reason}
 	}
 }
 
-// take returns the next n bytes of the record, or nil after an error.
+// take returns the next n bytes of the record. It returns nil after an error in the record, or if fewer bytes remain,
+// which is an error.
 func (d *Decoder) take(n int) []byte {
 	if d.err != nil {
 		return nil
@@ -54,9 +56,9 @@
 		d.fail(fmt.Sprintf("needs %d more bytes, has %d", n, len(d.record)-d.offset))
 		return nil
 	}
-	p := d.record[d.offset : d.offset+n]
+	taken := d.record[d.offset : d.offset+n]
 	d.offset += n
-	return p
+	return taken
 }
 
 func (d *Decoder) u8() uint8 {
@@ -87,7 +89,7 @@
 	return 0
 }
 
-// status decodes how an attempt or a probe ended.
+// status decodes the outcome of an attempt or a probe. An unknown status is an error.
 func (d *Decoder) status() balancer.Status {
 	code := d.u16()
 	if status, ok := statuses[code]; ok {
@@ -100,45 +102,45 @@
 	return balancer.Error
 }
 
-// loads decodes the figures of a load report. They are valid until the next call of Next.
-func (d *Decoder) loads() []float32 {
+// loadReport decodes the values of a load report. The slice is valid until the next call of Next.
+func (d *Decoder) loadReport() []float32 {
 	n := int(d.u8())
 	p := d.take(4 * n)
-	d.load = d.load[:0]
+	d.loadBuffer = d.loadBuffer[:0]
 	for i := 0; i+4 <= len(p); i += 4 {
-		d.load = append(d.load, math.Float32frombits(binary.BigEndian.Uint32(p[i:])))
+		d.loadBuffer = append(d.loadBuffer, math.Float32frombits(binary.BigEndian.Uint32(p[i:])))
 	}
-	return d.load
+	return d.loadBuffer
 }
 
-// Next decodes one record into e. It returns io.EOF after the last one. A record of an unknown code is returned
-// with its code alone.
+// Next decodes the next record into e. It returns io.EOF after the last record of the batch, and a *FrameError if the
+// record is malformed. For a record with an unknown code, it sets only the code and the offset.
 func (d *Decoder) Next(e *Event) error {
-	left := len(d.frame) - d.nextOffset
-	if left == 0 {
+	remaining := len(d.frame) - d.nextOffset
+	if remaining == 0 {
 		return io.EOF
 	}
 	d.recordOffset = d.nextOffset
 	d.recordName = "record"
 	d.offset = 0
 	d.err = nil
-	if left < recordHeaderBytes {
-		d.fail(fmt.Sprintf("a record header needs %d bytes, has %d", recordHeaderBytes, left))
+	if remaining < recordHeaderBytes {
+		d.fail(fmt.Sprintf("a record header needs %d bytes, has %d", recordHeaderBytes, remaining))
 		return d.err
 	}
 	code := Code(d.frame[d.nextOffset])
 	d.recordName = code.String()
 	size := int(binary.BigEndian.Uint32(d.frame[d.nextOffset+1:]))
-	if size > left-recordHeaderBytes {
+	if size > remaining-recordHeaderBytes {
 		d.offset = 1
-		d.fail(fmt.Sprintf("fields of %d bytes overrun the frame, which has %d left", size, left-recordHeaderBytes))
+		d.fail(fmt.Sprintf("fields of %d bytes overrun the frame, which has %d left", size, remaining-recordHeaderBytes))
 		return d.err
 	}
 	d.record = d.frame[d.nextOffset : d.nextOffset+recordHeaderBytes+size]
 	d.offset = recordHeaderBytes
 	e.Code = code
 	e.Offset = d.nextOffset
-	d.fields(e)
+	d.decodeFields(e)
 	if d.err == nil && d.offset < len(d.record) {
 		d.fail(fmt.Sprintf("%d bytes too many", len(d.record)-d.offset))
 	}
@@ -146,8 +148,8 @@
 	return d.err
 }
 
-// fields decodes the fields of a record. Those of an unknown code are skipped.
-func (d *Decoder) fields(e *Event) {
+// decodeFields decodes the fields of the current record into e. It skips those of an unknown code.
+func (d *Decoder) decodeFields(e *Event) {
 	switch e.Code {
 	case EventStart:
 		e.Seed = d.u64()
@@ -167,7 +169,7 @@
 		e.Outcome.Status = d.status()
 		e.Outcome.Latency = d.micros32()
 		e.Outcome.Answered = d.u8() != 0
-		e.Outcome.Load = d.loads()
+		e.Outcome.Load = d.loadReport()
 	case EventClientDisconnected:
 		e.Outcome.ID = d.u64()
 	case EventTimer:
@@ -176,7 +178,7 @@
 		e.Endpoint = d.u32()
 		e.Status = d.status()
 		e.Latency = d.micros32()
-		e.Load = d.loads()
+		e.Load = d.loadReport()
 	case EventPeerMessage:
 		e.From = d.u16()
 		e.Data = d.take(int(d.u16()))
@@ -188,7 +190,7 @@
 	}
 }
 
-// Options of a request, as bits.
+// Bits of a request's options.
 const (
 	optionHint = 1 << iota
 	optionRetry
@@ -208,7 +210,7 @@
 	r.Class = d.u8()
 }
 
-// attempt decodes what names an attempt.
+// attempt decodes the fields that identify an attempt.
 func (d *Decoder) attempt(o *balancer.Outcome) {
 	o.ID = d.u64()
 	o.Attempt = int(d.u16())
@@ -217,7 +219,7 @@
 
 func (d *Decoder) micros32() balancer.Micros { return balancer.Micros(d.u32()) }
 
-// listNumber decodes the number of a list of endpoints.
+// listNumber decodes the number of an endpoint list. A number of maxLists or more is an error.
 func (d *Decoder) listNumber() int {
 	n := int(d.u8())
 	if n >= maxLists && d.err == nil {
@@ -228,7 +230,7 @@
 	return n
 }
 
-// endpointList decodes a numbered list of endpoints, for updates to name.
+// endpointList decodes a numbered endpoint list and keeps it for the updates that refer to it.
 func (d *Decoder) endpointList() {
 	id := d.listNumber()
 	n := int(d.u32())
@@ -265,7 +267,8 @@
 	return e
 }
 
-// endpointUpdate decodes a change of the endpoint list, which names a list that was decoded before.
+// endpointUpdate decodes an update of the endpoint list, which refers to a list that was decoded before. An update for
+// a failed call of discovery has no list.
 func (d *Decoder) endpointUpdate(e *Event) {
 	id := d.u8()
 	e.Entries = nil
--- a/internal/platform/wire/frame.go
+++ b/internal/platform/wire/frame.go
@@ -11,25 +11,25 @@
 	batchHeaderBytes  = 16
 	replyHeaderBytes  = 12
 	recordHeaderBytes = 5
-	entryBytes        = 21
+	entryBytes        = 21 // an endpoint in a list
 	maxLists          = 16
 	maxFrameBytes     = 1 << 30
 )
 
-// FrameError says which record is malformed and at which byte of its frame.
+// FrameError is the error for a malformed batch.
 type FrameError struct {
-	Record string
-	Offset int
+	Record string // the simulator's name of the malformed record, or the part of the frame
+	Offset int    // in the frame
 	Reason string
 }
 
-// Error names the record, the byte offset and the reason.
+// Error implements error. It returns the record, the offset and the reason.
 func (e *FrameError) Error() string {
 	return fmt.Sprintf("%s at byte %d: %s", e.Record, e.Offset, e.Reason)
 }
 
-// ReadFrame reads one batch into buf, growing it as needed. It returns io.EOF
-// only at a clean end of input.
+// ReadFrame reads one batch into buf, which it grows as needed, and returns it. It returns io.EOF only if the input
+// ends before the batch, and a *FrameError if the input ends within it or its size is out of range.
 func ReadFrame(r io.Reader, buf []byte) ([]byte, error) {
 	if cap(buf) < batchHeaderBytes {
 		buf = make([]byte, 1<<16)
@@ -45,20 +45,20 @@
 	if size < batchHeaderBytes || size > maxFrameBytes {
 		return nil, &FrameError{"batch header", 4, fmt.Sprintf("frame size %d is out of range", size)}
 	}
-	for have := batchHeaderBytes; have < size; {
-		// Grow as bytes arrive: a size alone must not take memory.
-		step := min(size-have, 1<<20)
-		if cap(buf) < have+step {
-			grown := make([]byte, have, max(have+step, 2*cap(buf)))
+	for filled := batchHeaderBytes; filled < size; {
+		// The buffer grows as bytes arrive, so that a header with a large size does not allocate memory by itself.
+		step := min(size-filled, 1<<20)
+		if cap(buf) < filled+step {
+			grown := make([]byte, filled, max(filled+step, 2*cap(buf)))
 			copy(grown, buf)
 			buf = grown
 		}
-		buf = buf[:have+step]
-		n, err := io.ReadFull(r, buf[have:])
+		buf = buf[:filled+step]
+		n, err := io.ReadFull(r, buf[filled:])
 		if err != nil {
-			return nil, &FrameError{"batch", have + n, fmt.Sprintf("input ends inside a frame of %d bytes", size)}
+			return nil, &FrameError{"batch", filled + n, fmt.Sprintf("input ends inside a frame of %d bytes", size)}
 		}
-		have += step
+		filled += step
 	}
 	return buf, nil
 }
--- a/internal/platform/wire/json.go
+++ b/internal/platform/wire/json.go
@@ -11,7 +11,8 @@
 	"strings"
 )
 
-// SettingsText turns the settings object into the simulator's text: a line path=value for each plain value.
+// SettingsText converts settings from a JSON object to the simulator's text, which has a line path=value for each plain
+// value, in sorted order.
 func SettingsText(raw json.RawMessage) (string, error) {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.UseNumber()
@@ -24,7 +25,8 @@
 	return strings.Join(lines, "\n"), nil
 }
 
-// appendLines appends the lines of a value at a path, which begins with a dot. An object's keys are in no order.
+// appendLines appends the lines of the value at a path, which begins with a dot. The order of an object's keys is
+// random.
 func appendLines(lines []string, path string, v any) []string {
 	switch v := v.(type) {
 	case map[string]any:
@@ -37,14 +39,15 @@
 	case nil:
 		return lines
 	default:
-		return append(lines, path[1:]+"="+plain(v))
+		return append(lines, path[1:]+"="+plainValue(v))
 	}
 }
 
-// appendList appends a list: of objects their number and the lines of each, of plain values one line.
+// appendList appends the lines of a list: for a list of objects, a line with their number and the lines of each; for a
+// list of plain values, one line.
 func appendList(lines []string, path string, list []any) []string {
 	if len(list) > 0 {
-		if _, objects := list[0].(map[string]any); objects {
+		if _, isObject := list[0].(map[string]any); isObject {
 			lines = append(lines, fmt.Sprintf("%s.count=%d", path[1:], len(list)))
 			for i, item := range list {
 				lines = appendLines(lines, path+"."+strconv.Itoa(i), item)
@@ -52,14 +55,15 @@
 			return lines
 		}
 	}
-	words := make([]string, len(list))
+	values := make([]string, len(list))
 	for i, item := range list {
-		words[i] = plain(item)
+		values[i] = plainValue(item)
 	}
-	return append(lines, path[1:]+"="+strings.Join(words, ","))
+	return append(lines, path[1:]+"="+strings.Join(values, ","))
 }
 
-// plain writes a value for the text form, where commas and line ends separate.
-func plain(v any) string {
+// plainValue formats a value for the text. It replaces commas and line ends, which separate values there, and spaces by
+// underscores.
+func plainValue(v any) string {
 	return strings.NewReplacer(" ", "_", ",", "_", "\n", "_", "\r", "_").Replace(fmt.Sprint(v))
 }
--- a/internal/platform/wire/reply.go
+++ b/internal/platform/wire/reply.go
@@ -7,20 +7,21 @@
 	"birchmoor/balancer"
 )
 
-// Reply builds the answer to one batch. It reuses its buffer.
+// Reply encodes the reply to one batch: a header and a record for each action. Reset reuses its buffer for the next
+// batch.
 type Reply struct {
 	buf   []byte
 	count uint32
 }
 
-// Reset starts the reply to a batch.
-func (w *Reply) Reset(batch uint32) {
-	w.buf = binary.BigEndian.AppendUint32(w.buf[:0], batch)
+// Reset starts the reply to the batch with the given number.
+func (w *Reply) Reset(batchNumber uint32) {
+	w.buf = binary.BigEndian.AppendUint32(w.buf[:0], batchNumber)
 	w.buf = append(w.buf, 0, 0, 0, 0, 0, 0, 0, 0)
 	w.count = 0
 }
 
-// Bytes completes the frame.
+// Bytes completes the header and returns the reply, which is valid until the next call of Reset.
 func (w *Reply) Bytes() []byte {
 	binary.BigEndian.PutUint32(w.buf[4:], uint32(len(w.buf)))
 	binary.BigEndian.PutUint32(w.buf[8:], w.count)
@@ -41,13 +42,13 @@
 
 func (w *Reply) micros(v balancer.Micros) { w.u32(uint32(min(max(v, 0), math.MaxUint32))) }
 
-// SelectInstance names the instance that issues the following actions.
+// SelectInstance writes an as record: the following actions are those of the given instance.
 func (w *Reply) SelectInstance(instance uint32) {
 	w.beginRecord(ActionSelectInstance, 4)
 	w.u32(instance)
 }
 
-// Send writes a deliver record.
+// Send writes a deliver record: an attempt of a request is sent to an endpoint.
 func (w *Reply) Send(id uint64, endpoint uint32, timeout balancer.Micros) {
 	w.beginRecord(ActionSend, 16)
 	w.u64(id)
@@ -55,31 +56,31 @@
 	w.micros(timeout)
 }
 
-// Reject writes a decline record.
-func (w *Reply) Reject(id uint64, retryIn balancer.Micros) {
+// Reject writes a decline record: a request is rejected, with a Retry-After.
+func (w *Reply) Reject(id uint64, retryAfter balancer.Micros) {
 	w.beginRecord(ActionReject, 12)
 	w.u64(id)
-	w.micros(retryIn)
+	w.micros(retryAfter)
 }
 
-// Fail writes a fail record.
+// Fail writes a fail record: a request has failed.
 func (w *Reply) Fail(id uint64) { w.beginRecord(ActionFail, 8); w.u64(id) }
 
-// Cancel writes a revoke record.
+// Cancel writes a revoke record: an attempt is cancelled.
 func (w *Reply) Cancel(id uint64, attempt int) {
 	w.beginRecord(ActionCancel, 10)
 	w.u64(id)
 	w.u16(uint16(attempt))
 }
 
-// SetTimer writes an arm record.
+// SetTimer writes an arm record: a timer event with the token is due after the delay.
 func (w *Reply) SetTimer(delay balancer.Micros, token uint32) {
 	w.beginRecord(ActionSetTimer, 8)
 	w.micros(delay)
 	w.u32(token)
 }
 
-// Probe writes a sound_out record.
+// Probe writes a sound_out record: a probe is sent to an endpoint.
 func (w *Reply) Probe(endpoint uint32) { w.beginRecord(ActionProbe, 4); w.u32(endpoint) }
 
 // ReleaseEndpoint writes a let_go record.
@@ -88,10 +89,10 @@
 	w.u32(endpoint)
 }
 
-// AllPeers addresses WritePeer to every peer.
+// AllPeers is the peer number that addresses SendPeerMessage to all peers.
 const AllPeers uint32 = math.MaxUint32
 
-// SendPeerMessage writes a write_peer record; data beyond 256 bytes is cut off.
+// SendPeerMessage writes a write_peer record. It truncates data to 256 bytes.
 func (w *Reply) SendPeerMessage(peer uint32, data []byte) {
 	data = data[:min(len(data), 256)]
 	w.beginRecord(ActionSendPeerMessage, 6+len(data))
@@ -107,21 +108,21 @@
 	w.buf = append(w.buf, line...)
 }
 
-// Log writes a trace record.
+// Log writes a trace record with a log line.
 func (w *Reply) Log(line string) { w.text(ActionLog, line) }
 
-// ReportError writes an exception record.
+// ReportError writes an exception record with an error message.
 func (w *Reply) ReportError(line string) { w.text(ActionReportError, line) }
 
-// Watch writes a track record.
-func (w *Reply) Watch(on bool) {
+// Watch writes a track record: the watch of discovery is enabled or disabled.
+func (w *Reply) Watch(enabled bool) {
 	w.beginRecord(ActionWatch, 1)
-	if on {
+	if enabled {
 		w.buf = append(w.buf, 1)
 	} else {
 		w.buf = append(w.buf, 0)
 	}
 }
 
-// RequestList writes a list_all record.
+// RequestList writes a list_all record: the complete endpoint list is requested.
 func (w *Reply) RequestList() { w.beginRecord(ActionRequestList, 0) }
--- a/internal/platform/wire/settings.go
+++ b/internal/platform/wire/settings.go
@@ -9,35 +9,36 @@
 	"birchmoor/balancer"
 )
 
-// settingsReader holds the pairs of a settings text and the first error in it.
+// settingsReader reads values from the pairs of a settings text, and keeps the first error.
 type settingsReader struct {
 	pairs map[string]string
 	err   error
 }
 
-// fail notes the first error.
+// fail records an error, unless there is one already.
 func (t *settingsReader) fail(key, value, reason string) {
 	if t.err == nil {
 		t.err = &balancer.SettingError{Key: key, Value: value, Reason: reason}
 	}
 }
 
-// get returns the parsed value of a key, or def if the key is absent.
-func get[T any](t *settingsReader, key string, def T, what string, parse func(string) (T, error)) T {
+// parseValue returns the parsed value of a key. It returns fallback if the key is absent, or if the value does not
+// parse, which is an error that says what was expected.
+func parseValue[T any](t *settingsReader, key string, fallback T, expected string, parse func(string) (T, error)) T {
 	text, ok := t.pairs[key]
 	if !ok {
-		return def
+		return fallback
 	}
 	v, err := parse(text)
 	if err != nil {
-		t.fail(key, text, "not "+what)
-		return def
+		t.fail(key, text, "not "+expected)
+		return fallback
 	}
 	return v
 }
 
-func (t *settingsReader) number(key string, def float64) float64 {
-	return get(t, key, def, "a finite number", func(s string) (float64, error) {
+func (t *settingsReader) number(key string, fallback float64) float64 {
+	return parseValue(t, key, fallback, "a finite number", func(s string) (float64, error) {
 		v, err := strconv.ParseFloat(s, 64)
 		if err == nil && (math.IsNaN(v) || math.IsInf(v, 0)) {
 			err = strconv.ErrRange
@@ -46,30 +47,31 @@
 	})
 }
 
-func (t *settingsReader) integer(key string, def int64) int64 {
-	return get(t, key, def, "a whole number", func(s string) (int64, error) {
+func (t *settingsReader) integer(key string, fallback int64) int64 {
+	return parseValue(t, key, fallback, "a whole number", func(s string) (int64, error) {
 		return strconv.ParseInt(s, 10, 64)
 	})
 }
 
 func (t *settingsReader) flag(key string) bool {
-	return get(t, key, false, "true or false", strconv.ParseBool)
+	return parseValue(t, key, false, "true or false", strconv.ParseBool)
 }
 
-// keyword returns the value that a word stands for; an unknown word is an error.
-func keyword[T any](t *settingsReader, key string, def T, words map[string]T) T {
-	return get(t, key, def, "a known word", func(s string) (T, error) {
-		if v, ok := words[s]; ok {
+// keyword returns the value that the word at a key stands for. An unknown word is an error.
+func keyword[T any](t *settingsReader, key string, fallback T, values map[string]T) T {
+	return parseValue(t, key, fallback, "a known word", func(s string) (T, error) {
+		if v, ok := values[s]; ok {
 			return v, nil
 		}
-		return def, strconv.ErrSyntax
+		return fallback, strconv.ErrSyntax
 	})
 }
 
-// maxListLength is the longest list of objects in settings.
+// maxListLength is the maximum length of a list of objects in settings.
 const maxListLength = 256
 
-// listLength returns the length of a list of objects, each of which must be there.
+// listLength returns the length of a list of objects. An object without any key is an error, and so is a missing length
+// if required.
 func (t *settingsReader) listLength(key string, required bool) int {
 	countKey := key + ".count"
 	if _, ok := t.pairs[countKey]; !ok && required {
@@ -97,15 +99,15 @@
 	return false
 }
 
-// items counts the comma-separated items of a list of plain values.
-func items(text string) int {
+// countItems returns the number of items in a comma-separated list.
+func countItems(text string) int {
 	if text == "" {
 		return 0
 	}
 	return strings.Count(text, ",") + 1
 }
 
-// fieldNames are the names of the figures of a load report in settings.
+// fieldNames maps the names in reporting.fields to the fields of a load report.
 var fieldNames = map[string]balancer.Field{
 	"busy_reqs": balancer.FieldInflight,
 	"pending":   balancer.FieldQueue,
@@ -115,8 +117,8 @@
 	"failed_ps": balancer.FieldErrors,
 }
 
-// ParseSettings reads the settings text of a start event. Keys that it does not know are skipped. Errors are
-// *balancer.SettingError and name the key on the wire.
+// ParseSettings parses the settings text of a start event. It skips unknown keys. Errors are *balancer.SettingError and
+// name the key as in the text.
 func ParseSettings(text string) (balancer.Settings, error) {
 	pairs, err := parsePairs(text)
 	if err != nil {
@@ -127,8 +129,8 @@
 		Balancers: int(t.integer("peers-total", 1)),
 		Position:  int(t.integer("position", 0)),
 		Zone:      int(t.integer("zone", 0)),
-		Zones:     items(t.pairs["areas"]),
-		Kinds:     items(t.pairs["skus"]),
+		Zones:     countItems(t.pairs["areas"]),
+		Kinds:     countItems(t.pairs["skus"]),
 		Subscribe: keyword(t, "discovery", false, map[string]bool{"automatic": false, "subscribe": true}),
 		Tick:      t.integer("tick", 0),
 		Limits:    t.limits(),
@@ -153,11 +155,11 @@
 		s.Classes = append(s.Classes, t.class(fmt.Sprintf("classes.%d.", i)))
 	}
 	for i := range t.listLength("tenants", false) {
-		at := fmt.Sprintf("tenants.%d.", i)
+		prefix := fmt.Sprintf("tenants.%d.", i)
 		s.Tenants = append(s.Tenants, balancer.Tenant{
-			Name:      t.pairs[at+"name"],
-			Allowance: t.number(at+"allowance-per-s", 0),
-			Share:     t.number(at+"share", 0),
+			Name:      t.pairs[prefix+"name"],
+			Allowance: t.number(prefix+"allowance-per-s", 0),
+			Share:     t.number(prefix+"share", 0),
 		})
 	}
 	return s, t.err
@@ -209,7 +211,8 @@
 	}
 }
 
-// reportFields returns the figures of a load report; an unknown one is balancer.FieldOther.
+// reportFields returns the fields of a load report in their order. An unknown one is balancer.FieldOther. It returns
+// nil if there are no load reports.
 func (t *settingsReader) reportFields() []balancer.Field {
 	reported := keyword(t, "reporting.how", false, map[string]bool{"answers": true, "probe": true, "none": false})
 	names := t.pairs["reporting.fields"]
@@ -235,22 +238,22 @@
 	"cell": balancer.DedupCell,
 }
 
-// class reads the class whose keys begin with a path.
-func (t *settingsReader) class(at string) balancer.Class {
+// class reads the class whose keys begin with prefix.
+func (t *settingsReader) class(prefix string) balancer.Class {
 	for _, key := range [...]string{"target", "give-up", "repeat"} {
-		if _, ok := t.pairs[at+key]; !ok {
-			t.fail(at+key, "", "is missing")
+		if _, ok := t.pairs[prefix+key]; !ok {
+			t.fail(prefix+key, "", "is missing")
 		}
 	}
 	return balancer.Class{
-		Name:               t.pairs[at+"name"],
-		Idempotency:        keyword(t, at+"repeat", balancer.NotIdempotent, idempotencyNames),
-		DedupScope:         keyword(t, at+"group", balancer.DedupCell, dedupScopeNames),
-		DedupWindow:        t.integer(at+"window", 0),
-		LatencyObjective:   t.integer(at+"target", 0),
-		Timeout:            t.integer(at+"give-up", 0),
-		PriorityWeight:     t.number(at+"credit", 1),
-		LatePriorityWeight: t.number(at+"late-value", 0),
-		Stream:             t.flag(at + "stream"),
+		Name:               t.pairs[prefix+"name"],
+		Idempotency:        keyword(t, prefix+"repeat", balancer.NotIdempotent, idempotencyNames),
+		DedupScope:         keyword(t, prefix+"group", balancer.DedupCell, dedupScopeNames),
+		DedupWindow:        t.integer(prefix+"window", 0),
+		LatencyObjective:   t.integer(prefix+"target", 0),
+		Timeout:            t.integer(prefix+"give-up", 0),
+		PriorityWeight:     t.number(prefix+"credit", 1),
+		LatePriorityWeight: t.number(prefix+"late-value", 0),
+		Stream:             t.flag(prefix + "stream"),
 	}
 }
--- a/internal/platform/wire/wire_test.go
+++ b/internal/platform/wire/wire_test.go
@@ -22,7 +22,7 @@
 	return b
 }
 
-// frame puts records behind a batch header.
+// frame returns a batch of the given records, with its header.
 func frame(records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	f := binary.BigEndian.AppendUint32(nil, 12)
@@ -31,68 +31,72 @@
 	return append(f, body...)
 }
 
-// The examples of the page.
+// Example records of the wire's documentation.
 const (
-	exInstance = "1b 00000004 00000003"
-	exRequest  = "12 00000020 0005bf975d3a91c4 91f03b7c55d20a64 00000000008405da 00002ee0 01 0000 00"
-	exTimer    = "16 00000004 0000004d"
-	exGone     = "15 00000008 000bf5a10e6f2b19"
-	exHeaders  = "13 00000012 0005bf975d3a91c4 0000 03124a07 00002422"
-	exAnswer   = "14 00000016 0005bf975d3a91c4 0000 03124a07 00c8 00004844 01 00"
-	exHealth   = "17 00000017 2c9011f2 00c8 00000578 03 40e00000430c00003f1eb852"
-	exWhisper  = "18 00000008 0002 0004 68692037"
-	exManifest = "1a 0000002f 00 00000002 03124a07 00 00 0000 00 3f800000 0000000000000000" +
+	exampleSelectInstance     = "1b 00000004 00000003"
+	exampleRequest            = "12 00000020 0005bf975d3a91c4 91f03b7c55d20a64 00000000008405da 00002ee0 01 0000 00"
+	exampleTimer              = "16 00000004 0000004d"
+	exampleClientDisconnected = "15 00000008 000bf5a10e6f2b19"
+	exampleResponseStarted    = "13 00000012 0005bf975d3a91c4 0000 03124a07 00002422"
+	exampleOutcome            = "14 00000016 0005bf975d3a91c4 0000 03124a07 00c8 00004844 01 00"
+	exampleProbeResult        = "17 00000017 2c9011f2 00c8 00000578 03 40e00000430c00003f1eb852"
+	examplePeerMessage        = "18 00000008 0002 0004 68692037"
+	exampleEndpointList       = "1a 0000002f 00 00000002 03124a07 00 00 0000 00 3f800000 0000000000000000" +
 		"2c9011f2 01 00 0000 00 3fc00000 00000000005d1420"
-	exMembers = "11 00000006 00000029 00 03"
+	exampleEndpointUpdate = "11 00000006 00000029 00 03"
 )
 
+// decode returns the events of a batch, with copies of their slices.
 func decode(t *testing.T, d *Decoder, f []byte) []Event {
 	t.Helper()
 	if _, now, err := d.Reset(f); err != nil || now != 0x805c5a {
-		t.Fatalf("clock %d, error %v", now, err)
+		t.Fatalf("header read with clock %d, error %v, want clock 0x805c5a", now, err)
 	}
-	var all []Event
+	var events []Event
 	for {
 		var e Event
 		err := d.Next(&e)
 		if errors.Is(err, io.EOF) {
-			return all
+			return events
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
 		e.Load = append([]float32(nil), e.Load...)
 		e.Entries = append([]balancer.Endpoint(nil), e.Entries...)
-		all = append(all, e)
+		events = append(events, e)
 	}
 }
 
 func TestDecoderReadsDocumentedExamples(t *testing.T) {
-	f := unhex(t, "0000000c 0000005d 0000000000805c5a", exInstance, exRequest, exTimer, "1b 00000004 00000005", exGone)
-	got, err := ReadFrame(bytes.NewReader(f), nil)
-	if err != nil || !bytes.Equal(got, f) {
-		t.Fatalf("frame changed: %v", err)
+	data := unhex(t, "0000000c 0000005d 0000000000805c5a", exampleSelectInstance, exampleRequest, exampleTimer,
+		"1b 00000004 00000005", exampleClientDisconnected)
+	read, err := ReadFrame(bytes.NewReader(data), nil)
+	if err != nil || !bytes.Equal(read, data) {
+		t.Fatalf("ReadFrame did not return the frame as it was written: error %v", err)
 	}
-	e := decode(t, new(Decoder), f)
+	events := decode(t, new(Decoder), data)
 	want := balancer.Request{ID: 0x5bf975d3a91c4, Key: 0x91f03b7c55d20a64, Deadline: 0x8405da, Hint: 12000, HasHint: true}
-	if len(e) != 5 || e[0].Instance != 3 || e[1].Request != want || e[2].Token != 77 || e[3].Instance != 5 ||
-		e[4].Outcome.ID != 0xbf5a10e6f2b19 {
-		t.Errorf("decoded %+v", e)
+	if len(events) != 5 || events[0].Instance != 3 || events[1].Request != want || events[2].Token != 77 ||
+		events[3].Instance != 5 || events[4].Outcome.ID != 0xbf5a10e6f2b19 {
+		t.Errorf("decoded %+v", events)
 	}
-	e = decode(t, new(Decoder), frame(unhex(t, exHeaders, exAnswer, exHealth, exWhisper, exManifest, exMembers)))
-	if o := e[0].Outcome; o.ID != 0x5bf975d3a91c4 || o.Endpoint != 0x3124a07 || o.Latency != 0x2422 {
+	events = decode(t, new(Decoder), frame(unhex(t, exampleResponseStarted, exampleOutcome, exampleProbeResult,
+		examplePeerMessage, exampleEndpointList, exampleEndpointUpdate)))
+	if o := events[0].Outcome; o.ID != 0x5bf975d3a91c4 || o.Endpoint != 0x3124a07 || o.Latency != 0x2422 {
 		t.Errorf("headers %+v", o)
 	}
-	if o := e[1].Outcome; o.Status != balancer.OK || o.Latency != 0x4844 || !o.Answered || len(o.Load) != 0 {
+	if o := events[1].Outcome; o.Status != balancer.OK || o.Latency != 0x4844 || !o.Answered || len(o.Load) != 0 {
 		t.Errorf("answer %+v", o)
 	}
-	if h := e[2]; h.Endpoint != 0x2c9011f2 || h.Latency != 1400 || len(h.Load) != 3 || h.Load[0] != 7 || h.Load[1] != 140 {
+	if h := events[2]; h.Endpoint != 0x2c9011f2 || h.Latency != 1400 || len(h.Load) != 3 || h.Load[0] != 7 ||
+		h.Load[1] != 140 {
 		t.Errorf("health_result %+v", h)
 	}
-	if w := e[3]; w.From != 2 || string(w.Data) != "hi 7" {
+	if w := events[3]; w.From != 2 || string(w.Data) != "hi 7" {
 		t.Errorf("whisper %+v", w)
 	}
-	if m := e[5]; m.Kind != balancer.ListCached || len(m.Entries) != 2 || m.Entries[1].Weight != 1.5 ||
+	if m := events[5]; m.Kind != balancer.ListCached || len(m.Entries) != 2 || m.Entries[1].Weight != 1.5 ||
 		m.Entries[1].Zone != 1 || m.Entries[1].StartTime != 0x5d1420 {
 		t.Errorf("membership %+v", m)
 	}
@@ -140,27 +144,28 @@
 	w.Reset(0)
 	w.SetTimer(-5, 1)
 	w.SetTimer(math.MaxInt64, 1)
-	b := w.Bytes()[replyHeaderBytes:]
-	if binary.BigEndian.Uint32(b[5:]) != 0 || binary.BigEndian.Uint32(b[18:]) != math.MaxUint32 {
-		t.Errorf("%x", b)
+	records := w.Bytes()[replyHeaderBytes:]
+	if binary.BigEndian.Uint32(records[5:]) != 0 || binary.BigEndian.Uint32(records[18:]) != math.MaxUint32 {
+		t.Errorf("%x", records)
 	}
 }
 
-// A list number stands for the list last conveyed before, in event order.
+// An update refers to the latest list that was sent under its number before the update, also in an earlier batch. An
+// update for a failed call needs no list.
 func TestDecoderResolvesListsInOrder(t *testing.T) {
-	one := "1a 0000001a 00 00000001 00000001 00 00 0000 00 3f800000 0000000000000000"
-	two := "1a 0000001a 00 00000001 00000002 00 00 0000 01 3f800000 0000000000000000"
+	listOne := "1a 0000001a 00 00000001 00000001 00 00 0000 00 3f800000 0000000000000000"
+	listTwo := "1a 0000001a 00 00000001 00000002 00 00 0000 01 3f800000 0000000000000000"
 	d := new(Decoder)
-	e := decode(t, d, frame(unhex(t, one, exMembers, two, exMembers)))
-	if e[1].Entries[0].ID != 1 || e[3].Entries[0].ID != 2 || e[3].Entries[0].State != balancer.Draining {
-		t.Errorf("%+v", e)
+	events := decode(t, d, frame(unhex(t, listOne, exampleEndpointUpdate, listTwo, exampleEndpointUpdate)))
+	if events[1].Entries[0].ID != 1 || events[3].Entries[0].ID != 2 || events[3].Entries[0].State != balancer.Draining {
+		t.Errorf("%+v", events)
 	}
-	e = decode(t, d, frame(unhex(t, "11 00000006 00000029 00 04", "11 00000006 00000029 09 02")))
-	if e[0].Kind != balancer.ListFull || e[0].Entries[0].ID != 2 {
-		t.Error("the list does not outlive its batch")
+	events = decode(t, d, frame(unhex(t, "11 00000006 00000029 00 04", "11 00000006 00000029 09 02")))
+	if events[0].Kind != balancer.ListFull || events[0].Entries[0].ID != 2 {
+		t.Error("the list was not kept for the next batch")
 	}
-	if e[1].Kind != balancer.ListFailed || e[1].Entries != nil {
-		t.Error("a failed call must not need a list")
+	if events[1].Kind != balancer.ListFailed || events[1].Entries != nil {
+		t.Error("an update for a failed call was not decoded, or has a list")
 	}
 }
 
@@ -186,9 +191,10 @@
 		}
 		var e Event
 		err := d.Next(&e)
-		var bad *FrameError
-		if !errors.As(err, &bad) || bad.Record != c.record || !strings.Contains(bad.Reason, c.reason) || bad.Offset < batchHeaderBytes {
-			t.Errorf("%s: %v", c.name, err)
+		var frameErr *FrameError
+		if !errors.As(err, &frameErr) || frameErr.Record != c.record || !strings.Contains(frameErr.Reason, c.reason) ||
+			frameErr.Offset < batchHeaderBytes {
+			t.Errorf("%s: error %v, want one that names the record, its offset and the reason", c.name, err)
 		}
 	}
 }
@@ -201,19 +207,20 @@
 		"size of gigabytes":     "0000000c ffffffff 0000000000805c5a 00",
 	} {
 		_, err := ReadFrame(bytes.NewReader(unhex(t, text)), nil)
-		var bad *FrameError
-		if !errors.As(err, &bad) {
-			t.Errorf("%s: %v", name, err)
+		var frameErr *FrameError
+		if !errors.As(err, &frameErr) {
+			t.Errorf("%s: error %v, want a *FrameError", name, err)
 		}
 	}
 	if _, err := ReadFrame(bytes.NewReader(nil), nil); !errors.Is(err, io.EOF) {
-		t.Errorf("clean end: %v", err)
+		t.Errorf("end of input before a frame: error %v, want io.EOF", err)
 	}
 }
 
 func FuzzDecoder(f *testing.F) {
-	for _, s := range []string{exInstance, exRequest, exTimer, exGone, exHeaders, exAnswer, exHealth, exWhisper,
-		exManifest + exMembers, "ff 00000002 0102", "1a 00000005 00 ffffffff"} {
+	for _, s := range []string{exampleSelectInstance, exampleRequest, exampleTimer, exampleClientDisconnected,
+		exampleResponseStarted, exampleOutcome, exampleProbeResult, examplePeerMessage,
+		exampleEndpointList + exampleEndpointUpdate, "ff 00000002 0102", "1a 00000005 00 ffffffff"} {
 		f.Add(unhex(f, s))
 	}
 	f.Fuzz(func(t *testing.T, records []byte) {
@@ -225,20 +232,20 @@
 			var e Event
 			err := d.Next(&e)
 			if err != nil {
-				var bad *FrameError
-				if !errors.Is(err, io.EOF) && !errors.As(err, &bad) {
-					t.Fatalf("error of another kind: %v", err)
+				var frameErr *FrameError
+				if !errors.Is(err, io.EOF) && !errors.As(err, &frameErr) {
+					t.Fatalf("error %v, want io.EOF or a *FrameError", err)
 				}
 				return
 			}
 			if n > len(records) {
-				t.Fatal("more records than bytes")
+				t.Fatal("more records decoded than the input has bytes")
 			}
 		}
 	})
 }
 
-const goodSettings = `areas=a,b
+const validSettings = `areas=a,b
 classes.count=2
 classes.0.name=x
 classes.0.give-up=500000
@@ -266,12 +273,13 @@
 `
 
 func TestParseSettings(t *testing.T) {
-	s, err := ParseSettings(goodSettings)
+	s, err := ParseSettings(validSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(s.Classes) != 2 || s.Classes[1].Idempotency != balancer.WithIdempotencyKey || s.Classes[1].DedupScope != balancer.DedupZone ||
-		s.Classes[1].DedupWindow != 400000 || !s.Subscribe || !s.WeightByWork || s.Zones != 2 || s.Limits.MaxAttempts != 3 ||
+	if len(s.Classes) != 2 || s.Classes[1].Idempotency != balancer.WithIdempotencyKey ||
+		s.Classes[1].DedupScope != balancer.DedupZone || s.Classes[1].DedupWindow != 400000 ||
+		!s.Subscribe || !s.WeightByWork || s.Zones != 2 || s.Limits.MaxAttempts != 3 ||
 		s.Goal.Total != 0.6 || s.Tenants[0].Allowance != 137 || s.Prices.Probe != 0.002 {
 		t.Errorf("%+v", s)
 	}
@@ -279,10 +287,10 @@
 		t.Errorf("fields %v", s.Fields)
 	}
 	if _, err := balancer.New(s, 1, nil); err != nil {
-		t.Errorf("the constructor refuses them: %v", err)
+		t.Errorf("balancer.New rejected valid settings: %v", err)
 	}
-	if s, err = ParseSettings(strings.Replace(goodSettings, "how=probe", "how=none", 1)); err != nil || s.Fields != nil {
-		t.Errorf("no reports: %v %v", s.Fields, err)
+	if s, err = ParseSettings(strings.Replace(validSettings, "how=probe", "how=none", 1)); err != nil || s.Fields != nil {
+		t.Errorf("settings without load reports: fields %v, error %v, want none", s.Fields, err)
 	}
 }
 
@@ -299,19 +307,19 @@
 		{"discovery=subscribe", "discovery=magic", "discovery"},
 		{"value-by=work", "no pair", "line 25"},
 	} {
-		text := strings.Replace(goodSettings, c.old, c.new, 1)
+		text := strings.Replace(validSettings, c.old, c.new, 1)
 		_, err := ParseSettings(text)
-		var bad *balancer.SettingError
-		if !errors.As(err, &bad) || bad.Key != c.key {
-			t.Errorf("%s -> %s: %v", c.old, c.new, err)
+		var settingErr *balancer.SettingError
+		if !errors.As(err, &settingErr) || settingErr.Key != c.key {
+			t.Errorf("%q replaced by %q: error %v, want one that names the key", c.old, c.new, err)
 		}
 	}
-	// Values that parse but make no sense are the constructor's to refuse.
-	s, err := ParseSettings(strings.Replace(goodSettings, "window=400000", "window=-1", 1))
+	// ParseSettings accepts values that parse but are invalid; balancer.New rejects them.
+	s, err := ParseSettings(strings.Replace(validSettings, "window=400000", "window=-1", 1))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err = balancer.New(s, 1, nil); err == nil || !strings.Contains(err.Error(), "Window=-1") {
-		t.Errorf("negative window: %v", err)
+		t.Errorf("negative window: balancer.New returned error %v, want one that names the window", err)
 	}
 }
