--- a/internal/testutil/sidecartest/sidecartest.go
+++ b/internal/testutil/sidecartest/sidecartest.go
@@ -1,5 +1,5 @@
-// Package sidecartest holds what tests of the data plane share: a small configuration, endpoints, and a scripted
-// discovery.
+// Package sidecartest has what tests of the data plane share: a small configuration, endpoints, and a scripted
+// discovery service.
 package sidecartest
 
 import (
@@ -20,12 +20,12 @@
 	"birchmoor/internal/dataplane/discovery"
 )
 
-// WaitTimeout bounds every wait for an expected event. It is long, since a busy machine may stop a process for
-// seconds, and no verdict may depend on that.
+// WaitTimeout is the timeout of every wait for an expected event. It is long because a process may not run for seconds
+// on a busy machine, and no test result may depend on that.
 const WaitTimeout = time.Minute
 
-// Settings are those of a small site without probes: a class that is idempotent, one with an idempotency key, and
-// one that is not idempotent.
+// Settings are the settings of a small site without probes. Its classes are look, which is idempotent, book, which has
+// an idempotency key, and pay, which is not idempotent.
 const Settings = `{"peers-total":1,"areas":["a","b"],"skus":["m1"],"discovery":"automatic",
 	"classes":[
 	{"name":"look","repeat":"pure","target":500000,"give-up":1000000,"credit":1.0},
@@ -38,22 +38,23 @@
 	"reporting":{"how":"probe","fields":["busy_reqs","served_ps","cpu_share"]},
 	"tenants":[{"name":"acme","allowance-per-s":100.0,"share":1.0}]}`
 
-// Configure returns a configuration. Edits to the settings are pairs of old and new text.
-func Configure(tb testing.TB, server string, known []discovery.Instance, edits ...string) *config.Config {
+// Configure returns the configuration of a sidecar with the given address of discovery and initial endpoint list. edits
+// are pairs of old and new text, which are replaced in Settings.
+func Configure(tb testing.TB, discoveryAddr string, instances []discovery.Instance, edits ...string) *config.Config {
 	tb.Helper()
-	c, err := config.Parse(ConfigText(tb, server, known, edits...), func(string) string { return "" })
+	c, err := config.Parse(ConfigText(tb, discoveryAddr, instances, edits...), func(string) string { return "" })
 	if err != nil {
 		tb.Fatal(err)
 	}
 	return c
 }
 
-// ConfigText returns the text of the file that Configure parses.
-func ConfigText(tb testing.TB, server string, known []discovery.Instance, edits ...string) []byte {
+// ConfigText returns the text of the configuration file that Configure parses.
+func ConfigText(tb testing.TB, discoveryAddr string, instances []discovery.Instance, edits ...string) []byte {
 	tb.Helper()
-	text, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": server,
+	text, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": discoveryAddr,
 		"seed": "8c1f30d27a5be964", "limits": map[string]int{"memory_mb": 192, "sockets": 1024},
-		"known":    discovery.List{Generation: 7, Reset: true, Instances: known},
+		"known":    discovery.List{Generation: 7, Reset: true, Instances: instances},
 		"settings": json.RawMessage(strings.NewReplacer(edits...).Replace(Settings))})
 	if err != nil {
 		tb.Fatal(err)
@@ -61,15 +62,15 @@
 	return text
 }
 
-// ReadyInstance returns the list entry of an endpoint that is ready.
+// ReadyInstance returns the entry of an endpoint list for an endpoint that is ready.
 func ReadyInstance(id, addr string) discovery.Instance {
 	return discovery.Instance{ID: id, Addr: addr, Zone: "a", Kind: "m1", Cell: 1, Lifecycle: "up", Weight: 1}
 }
 
-// DiscardLog discards all log lines.
+// DiscardLog is a logger that discards all lines.
 var DiscardLog = slog.New(slog.DiscardHandler)
 
-// ClosedAddress returns an address that refuses connections.
+// ClosedAddress returns an address at which connections are refused.
 func ClosedAddress(tb testing.TB) string {
 	tb.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -80,15 +81,16 @@
 	return ln.Addr().String()
 }
 
-// HTTPEndpoint starts an endpoint with a handler and returns its address.
-func HTTPEndpoint(tb testing.TB, h http.HandlerFunc) string {
+// HTTPEndpoint starts an HTTP endpoint, which is closed when the test ends, and returns its address.
+func HTTPEndpoint(tb testing.TB, handler http.HandlerFunc) string {
 	tb.Helper()
-	s := httptest.NewServer(h)
+	s := httptest.NewServer(handler)
 	tb.Cleanup(s.Close)
 	return s.Listener.Addr().String()
 }
 
-// RawEndpoint starts an endpoint whose connections are handled one by one, and closed when the handler returns.
+// RawEndpoint starts a TCP endpoint and returns its address. Each connection is passed to handle in a goroutine of its
+// own, and closed when handle returns.
 func RawEndpoint(tb testing.TB, handle func(c *net.TCPConn, r *bufio.Reader)) string {
 	tb.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -111,7 +113,7 @@
 	return ln.Addr().String()
 }
 
-// ReadRequest reads a complete request.
+// ReadRequest reads a request and all of its body.
 func ReadRequest(r *bufio.Reader) (*http.Request, error) {
 	req, err := http.ReadRequest(r)
 	if err == nil {
@@ -120,58 +122,60 @@
 	return req, err
 }
 
-// IdempotentRequest returns a request of the idempotent class.
-func IdempotentRequest(ms int) *http.Request {
-	return Request(http.MethodGet, "/look/1", "look", ms, "")
+// IdempotentRequest returns a request of the idempotent class look, with a timeout in milliseconds.
+func IdempotentRequest(timeoutMs int) *http.Request {
+	return Request(http.MethodGet, "/look/1", "look", timeoutMs, "")
 }
 
-var lastID atomic.Uint32
+var lastRequestID atomic.Uint32
 
-// Request returns a request with an ID of its own and a timeout in milliseconds.
-func Request(method, path, class string, ms int, body string) *http.Request {
+// Request returns a request with a unique ID and a timeout in milliseconds. A request of the class book has an
+// idempotency key, which is the same for all.
+func Request(method, path, class string, timeoutMs int, body string) *http.Request {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	if body == "" {
-		r.Body = http.NoBody // else the length would be unknown
+		r.Body = http.NoBody // otherwise its length would be unknown
 	}
-	r.Header.Set("X-Trace-Id", fmt.Sprintf("9b1f03aa%08x", lastID.Add(1)))
+	r.Header.Set("X-Trace-Id", fmt.Sprintf("9b1f03aa%08x", lastRequestID.Add(1)))
 	r.Header.Set("X-Qos", class)
 	r.Header.Set("X-Customer", "acme")
-	r.Header.Set("X-Expires-In-Ms", fmt.Sprint(ms))
+	r.Header.Set("X-Expires-In-Ms", fmt.Sprint(timeoutMs))
 	if class == "book" {
 		r.Header.Set("Idempotency-Key", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
 	}
 	return r
 }
 
-// Receive returns the next value of a channel, and fails the test if none comes.
-func Receive[T any](tb testing.TB, ch <-chan T, what string) T {
+// Receive returns the next value from a channel. It fails the test if there is none within WaitTimeout; name then says
+// what the test has waited for.
+func Receive[T any](tb testing.TB, ch <-chan T, name string) T {
 	tb.Helper()
 	select {
 	case v := <-ch:
 		return v
 	case <-time.After(WaitTimeout):
-		tb.Fatalf("%s: nothing came", what)
+		tb.Fatalf("timed out waiting for %s", name)
 		panic("unreachable")
 	}
 }
 
-// Discovery is a discovery service whose watches are scripted by the test.
+// Discovery is a discovery service whose watches the test scripts.
 type Discovery struct {
 	Addr    string
-	Watches chan string // parameters of each watch
-	Lines   chan string // written to the open watch; an empty one ends it
+	Watches chan string // receives the parameters watch and after of each call, separated by a space
+	Lines   chan string // lines that the test sends to the open watch; an empty line ends the watch
 }
 
-// NewDiscovery starts a discovery service, which ends with the test.
+// NewDiscovery starts a discovery service, which is closed when the test ends.
 func NewDiscovery(tb testing.TB) *Discovery {
 	tb.Helper()
-	b := &Discovery{Watches: make(chan string, 16), Lines: make(chan string)}
-	b.Addr = HTTPEndpoint(tb, func(w http.ResponseWriter, r *http.Request) {
-		b.Watches <- r.FormValue("watch") + " " + r.FormValue("after")
+	d := &Discovery{Watches: make(chan string, 16), Lines: make(chan string)}
+	d.Addr = HTTPEndpoint(tb, func(w http.ResponseWriter, r *http.Request) {
+		d.Watches <- r.FormValue("watch") + " " + r.FormValue("after")
 		_ = http.NewResponseController(w).Flush()
 		for {
 			select {
-			case line := <-b.Lines:
+			case line := <-d.Lines:
 				if line == "" {
 					return
 				}
@@ -184,14 +188,14 @@
 			}
 		}
 	})
-	return b
+	return d
 }
 
-// ListLine returns a list as discovery writes it.
+// ListLine returns an endpoint list as discovery sends it, without a newline.
 func ListLine(generation int64, reset bool, instances ...discovery.Instance) string {
 	text, _ := json.Marshal(discovery.List{Generation: generation, Reset: reset, Instances: instances})
 	return string(text)
 }
 
-// OKAnswer is a complete answer of an endpoint.
+// OKAnswer is a complete HTTP response with the body "ok".
 const OKAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
