--- a/internal/cicheck/architecture_test.go
+++ b/internal/cicheck/architecture_test.go
@@ -12,16 +12,16 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the picture of the imports into docs/architecture.md")
+var update = flag.Bool("update", false, "write the import graph into docs/architecture.md")
 
 const (
-	module       = "birchmoor/"
-	architecture = "../../docs/architecture.md"
-	pictureBegin = "<!-- imports: begin -->\n```\n"
-	pictureEnd   = "```\n<!-- imports: end -->\n"
+	module           = "birchmoor/"
+	architecturePage = "../../docs/architecture.md"
+	graphBegin       = "<!-- imports: begin -->\n```\n"
+	graphEnd         = "```\n<!-- imports: end -->\n"
 )
 
-// layers says which layers the packages of each may import, tests aside.
+// layers lists the layers, each with the layers that its packages may import. Imports of tests are not checked.
 var layers = []struct {
 	name    string
 	imports []string
@@ -37,8 +37,9 @@
 	{"cmd", []string{"balancer", "platform", "dataplane", "store", "controlplane", "lab"}},
 }
 
-// importsOf lists this module's packages with what they import of it, both without the module and "internal/".
-func importsOf(t *testing.T) map[string][]string {
+// allImports returns the imports between packages of this module, by the importing package. Paths are without the
+// module and "internal/". Imports of tests are left out.
+func allImports(t *testing.T) map[string][]string {
 	t.Helper()
 	cmd := exec.Command("go", "list", "-f", `{{.ImportPath}} {{join .Imports " "}}`, "./...")
 	cmd.Dir = "../.."
@@ -46,52 +47,53 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	short := func(path string) string { return strings.TrimPrefix(strings.TrimPrefix(path, module), "internal/") }
-	all := map[string][]string{}
+	shortPath := func(path string) string { return strings.TrimPrefix(strings.TrimPrefix(path, module), "internal/") }
+	importsByPackage := map[string][]string{}
 	for _, line := range strings.Split(strings.TrimSpace(string(out)), "\n") {
 		paths := strings.Fields(line)
 		var imports []string
 		for _, path := range paths[1:] {
 			if strings.HasPrefix(path, module) {
-				imports = append(imports, short(path))
+				imports = append(imports, shortPath(path))
 			}
 		}
-		all[short(paths[0])] = imports
+		importsByPackage[shortPath(paths[0])] = imports
 	}
-	return all
+	return importsByPackage
 }
 
+// layerOf returns the first element of a package's path.
 func layerOf(pkg string) string {
 	layer, _, _ := strings.Cut(pkg, "/")
 	return layer
 }
 
-func TestLayersImportWhatTheyMay(t *testing.T) {
+func TestLayersImportOnlyAllowedLayers(t *testing.T) {
 	allowed := map[string][]string{}
 	for _, l := range layers {
 		allowed[l.name] = l.imports
 	}
-	for pkg, imports := range importsOf(t) {
-		may, known := allowed[layerOf(pkg)]
+	for pkg, imports := range allImports(t) {
+		allowedLayers, known := allowed[layerOf(pkg)]
 		if !known {
-			t.Errorf("%s is in no layer", pkg)
+			t.Errorf("package %s belongs to no layer", pkg)
 		}
 		for _, path := range imports {
-			if !slices.Contains(may, layerOf(path)) {
-				t.Errorf("%s imports %s", pkg, path)
+			if !slices.Contains(allowedLayers, layerOf(path)) {
+				t.Errorf("package %s must not import %s", pkg, path)
 			}
 		}
 	}
 }
 
-// picture draws the imports, a line a package by layer. The lab is one line: its packages measure the others and none of
-// them imports it.
-func picture(all map[string][]string) string {
-	lab := map[string]bool{}
+// importGraph returns the imports as text, with one line per package, grouped by layer. The lab has a single line: its
+// packages measure the others, and packages of the other layers, testutil and cmd aside, do not import it.
+func importGraph(importsByPackage map[string][]string) string {
+	importsOfLab := map[string]bool{}
 	var text strings.Builder
 	for _, l := range layers {
 		var pkgs []string
-		for pkg, imports := range all {
+		for pkg, imports := range importsByPackage {
 			if layerOf(pkg) != l.name {
 				continue
 			}
@@ -101,81 +103,83 @@
 			}
 			for _, path := range imports {
 				if layerOf(path) != "lab" {
-					lab[path] = true
+					importsOfLab[path] = true
 				}
 			}
 		}
 		slices.Sort(pkgs)
 		for _, pkg := range pkgs {
-			draw(&text, pkg, all[pkg])
+			writeImports(&text, pkg, importsByPackage[pkg])
 		}
 		if l.name == "lab" {
 			var imports []string
-			for path := range lab {
+			for path := range importsOfLab {
 				imports = append(imports, path)
 			}
-			draw(&text, "lab/...", imports)
+			writeImports(&text, "lab/...", imports)
 		}
 	}
 	return text.String()
 }
 
-// draw writes a package and what it imports, grouped by layer.
-func draw(text *strings.Builder, pkg string, imports []string) {
+// writeImports writes a package and its imports, grouped by layer.
+func writeImports(text *strings.Builder, pkg string, imports []string) {
 	const width, columns = 28, 120
 	line := fmt.Sprintf("%-*s", width, pkg)
 	slices.Sort(imports)
 	layer := ""
 	for _, path := range imports {
-		word := path
-		if l, rest, ok := strings.Cut(path, "/"); ok && l == layer {
-			word = rest
+		name := path
+		if pathLayer, rest, ok := strings.Cut(path, "/"); ok && pathLayer == layer {
+			name = rest
 		}
 		layer = layerOf(path)
-		if len(line)+1+len(word) > columns {
+		if len(line)+1+len(name) > columns {
 			fmt.Fprintln(text, strings.TrimRight(line, " "))
 			line = strings.Repeat(" ", width)
 		}
-		line += " " + word
+		line += " " + name
 	}
 	fmt.Fprintln(text, strings.TrimRight(line, " "))
 }
 
 func TestArchitecturePageShowsTheImports(t *testing.T) {
-	page, err := os.ReadFile(architecture)
+	page, err := os.ReadFile(architecturePage)
 	if err != nil {
 		t.Fatal(err)
 	}
-	before, rest, ok := strings.Cut(string(page), pictureBegin)
-	_, after, ended := strings.Cut(rest, pictureEnd)
+	before, rest, ok := strings.Cut(string(page), graphBegin)
+	_, after, ended := strings.Cut(rest, graphEnd)
 	if !ok || !ended {
-		t.Fatalf("%s has no picture of the imports", architecture)
+		t.Fatalf("%s has no import graph between its marks", architecturePage)
 	}
-	want := before + pictureBegin + picture(importsOf(t)) + pictureEnd + after
+	want := before + graphBegin + importGraph(allImports(t)) + graphEnd + after
 	if string(page) == want {
 		return
 	}
 	if !*update {
-		t.Fatalf("the picture in %s is not that of the imports: go test ./internal/cicheck -run Architecture -update", architecture)
+		t.Fatalf("the import graph in %s is out of date: run go test ./internal/cicheck -run Architecture -update",
+			architecturePage)
 	}
-	if err := os.WriteFile(architecture, []byte(want), 0o644); err != nil {
+	if err := os.WriteFile(architecturePage, []byte(want), 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// Files and folders that the page names are there.
-func TestArchitecturePageNamesWhatIsThere(t *testing.T) {
-	page, err := os.ReadFile(architecture)
+// Each file and folder that the architecture page names must exist.
+func TestArchitecturePageNamesExistingPaths(t *testing.T) {
+	page, err := os.ReadFile(architecturePage)
 	if err != nil {
 		t.Fatal(err)
 	}
-	paths := regexp.MustCompile("`((?:cmd|internal|balancer|deploy|docs)/[A-Za-z0-9_./-]*)`").FindAllStringSubmatch(string(page), -1)
+	paths := regexp.MustCompile("`((?:cmd|internal|balancer|deploy|docs)/[A-Za-z0-9_./-]*)`").
+		FindAllStringSubmatch(string(page), -1)
 	if len(paths) == 0 {
-		t.Error("the page names no file")
+		t.Error("the architecture page names no files")
 	}
 	for _, p := range paths {
 		if _, err := os.Stat(filepath.Join("../..", p[1])); err != nil {
-			t.Errorf("the page names %s, which is not there", p[1])
+			t.Errorf("the architecture page names %s, which does not exist", p[1])
 		}
 	}
 }
