--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -1,5 +1,5 @@
-// Command sidecar balances its application's requests over endpoints. It is configured by the environment
-// (README.md).
+// Command sidecar balances the requests of its application over endpoints. Environment variables configure it; see
+// README.md.
 package main
 
 import (
@@ -15,11 +15,11 @@
 )
 
 func main() {
-	// First of all, since an unhandled SIGHUP would end the program.
+	// This comes first, because a SIGHUP without a handler would end the program.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	// The platform gives one core, which other sidecars may share.
+	// The platform provides one core, which other sidecars may share.
 	runtime.GOMAXPROCS(1)
 	if err := run(reload, log); err != nil {
 		log.Error("ended", "error", err)
@@ -27,17 +27,17 @@
 	}
 }
 
-// run serves until SIGTERM.
+// run serves until SIGTERM or SIGINT.
 func run(reload <-chan os.Signal, log *slog.Logger) error {
 	config, err := config.Read(os.Getenv)
 	if err != nil {
 		return err
 	}
-	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
+	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
-	h, err := sidecar.HostFromEnv(config, os.Getenv, reload, log)
+	host, err := sidecar.HostFromEnv(config, os.Getenv, reload, log)
 	if err != nil {
 		return err
 	}
-	return sidecar.Run(stop, config, h)
+	return sidecar.Run(ctx, config, host)
 }
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -14,14 +14,15 @@
 	"birchmoor/internal/testutil/processtest"
 )
 
-// nofile names the variable that gives the descriptors that the system lets the program have.
-const nofile = "TEST_NOFILE"
+// maxDescriptorsEnv is the environment variable that limits the descriptors of a program that a test starts.
+const maxDescriptorsEnv = "TEST_NOFILE"
 
-// TestMain runs the program itself where a test has started this binary for that.
+// TestMain runs the program in place of the tests if a test has started this binary as a sidecar.
 func TestMain(m *testing.M) {
 	if os.Getenv("ROUTER_CONFIG") != "" {
-		if most, err := strconv.ParseUint(os.Getenv(nofile), 10, 64); err == nil {
-			if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: most, Max: most}); err != nil {
+		if maxDescriptors, err := strconv.ParseUint(os.Getenv(maxDescriptorsEnv), 10, 64); err == nil {
+			if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE,
+				&syscall.Rlimit{Cur: maxDescriptors, Max: maxDescriptors}); err != nil {
 				panic(err)
 			}
 		}
@@ -31,7 +32,8 @@
 	os.Exit(m.Run())
 }
 
-const sound = `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f",
+// validConfig has one idempotent class, look, and one endpoint, s-1.
+const validConfig = `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f",
 	"known":{"generation":1,"reset":true,"instances":[{"instanceId":"s-1","hostPort":"127.0.0.1:1","lifecycle":"up"}]},
 	"settings":{"peers-total":1,"areas":["a"],"skus":["m1"],"discovery":"automatic",
 	"classes":[{"name":"look","repeat":"pure","target":500000,"give-up":1000000,"credit":1.0}],
@@ -39,16 +41,17 @@
 	"overload-for":2000000,"ask-within":10000000},
 	"limits":{"cancel":true,"most-tries":3,"most-held":1000,"dial-timeout":1000000,"keepalive":15000000}}}`
 
-// program runs the program with a configuration file and a folder of its own, and returns it with what waits until
-// it is ready and what it logs. It is killed at the test's end.
-func program(t *testing.T, file, tmp string) (p *processtest.Process, ready func(), log *processtest.Log) {
+// startSidecar writes validConfig to file and starts the program with it and with dir as its private directory.
+// waitReady waits until the program is ready, and log receives its output. The program is killed when the test ends.
+func startSidecar(t *testing.T, file, dir string) (p *processtest.Process, waitReady func(), log *processtest.Log) {
 	t.Helper()
 	addr := processtest.Address(t)
-	if err := os.WriteFile(file, []byte(sound), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(validConfig), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	log = &processtest.Log{}
-	p = processtest.Start(t, processtest.Self(t, []string{"ROUTER_CONFIG=" + file, "ROUTER_LISTEN=" + addr, "TMPDIR=" + tmp}), log)
+	p = processtest.Start(t,
+		processtest.Self(t, []string{"ROUTER_CONFIG=" + file, "ROUTER_LISTEN=" + addr, "TMPDIR=" + dir}), log)
 	return p, func() {
 		t.Helper()
 		processtest.Until(t, "readiness", func() bool {
@@ -62,17 +65,17 @@
 	}, log
 }
 
-// SIGHUP does not end the program, whatever the file holds by then; SIGTERM ends it with 0.
+// SIGHUP does not end the program, even if the configuration file is invalid by then. SIGTERM ends it with exit code 0.
 func TestSignals(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
-	p, ready, _ := program(t, file, "")
-	ready()
-	for _, text := range []string{sound, "{"} {
+	p, waitReady, _ := startSidecar(t, file, "")
+	waitReady()
+	for _, text := range []string{validConfig, "{"} {
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		p.Signal(syscall.SIGHUP)
-		ready()
+		waitReady()
 	}
 	p.Signal(syscall.SIGTERM)
 	if code := p.ExitCode(); code != 0 {
@@ -80,37 +83,38 @@
 	}
 }
 
-// Where no Unix socket can be had, a line says that a new process will not find this one, and all else goes on.
+// If the handover's Unix socket cannot be created, the program logs once that a new process will not find this one, and
+// serves nevertheless.
 func TestServesWithoutUnixSocket(t *testing.T) {
-	tmp := filepath.Join(t.TempDir(), strings.Repeat("long", 40)) // no path of a socket may be so long
-	if err := os.Mkdir(tmp, 0o700); err != nil {
+	longDir := filepath.Join(t.TempDir(), strings.Repeat("long", 40)) // too long for the path of a Unix socket
+	if err := os.Mkdir(longDir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	p, ready, log := program(t, filepath.Join(t.TempDir(), "config.json"), tmp)
-	ready()
+	p, waitReady, log := startSidecar(t, filepath.Join(t.TempDir(), "config.json"), longDir)
+	waitReady()
 	p.Signal(syscall.SIGTERM)
 	if code := p.ExitCode(); code != 0 {
 		t.Errorf("exit code %d after SIGTERM:\n%s", code, p.Log())
 	}
 	if n := strings.Count(log.String(), "a new process will not find this one"); n != 1 {
-		t.Errorf("%d lines say so, want one:\n%s", n, log)
+		t.Errorf("%d log lines say that a new process will not find this one, want 1:\n%s", n, log)
 	}
 }
 
-// The platform's program links nothing of the store or of what stands on it, and nothing from elsewhere but a CBOR
-// codec.
+// The sidecar must not link the store or any layer above it, nor any third-party package but a CBOR codec.
 func TestImports(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", "-f", "{{if not .Standard}}{{.ImportPath}}{{end}}", ".").Output()
 	if err != nil {
 		t.Fatal(err)
 	}
-	codec := []string{"github.com/fxamacker/cbor/v2", "github.com/x448/float16"}
-	above := []string{"store", "controlplane", "lab", "testutil"}
+	allowedModules := []string{"github.com/fxamacker/cbor/v2", "github.com/x448/float16"}
+	disallowedLayers := []string{"store", "controlplane", "lab", "testutil"}
 	for _, p := range strings.Fields(string(out)) {
-		inner, ours := strings.CutPrefix(p, "birchmoor/internal/")
-		part, _, _ := strings.Cut(inner, "/")
-		if ours && slices.Contains(above, part) || !strings.HasPrefix(p, "birchmoor/") && !slices.Contains(codec, p) {
-			t.Errorf("the program links %s", p)
+		internalPath, isInternal := strings.CutPrefix(p, "birchmoor/internal/")
+		layer, _, _ := strings.Cut(internalPath, "/")
+		if isInternal && slices.Contains(disallowedLayers, layer) ||
+			!strings.HasPrefix(p, "birchmoor/") && !slices.Contains(allowedModules, p) {
+			t.Errorf("the sidecar links package %s", p)
 		}
 	}
 }
--- a/cmd/sidecar/term_test.go
+++ b/cmd/sidecar/term_test.go
@@ -13,25 +13,25 @@
 	"birchmoor/internal/testutil/processtest"
 )
 
-// Several sidecars as processes, each with an attempt in flight, are ended: one with SIGTERM as it runs, one with
-// SIGTERM while it is paused, which continues later; one is killed. After SIGTERM a sidecar answers what it has
-// accepted, closes the connection with the answer, and exits with 0; a client of a killed one sees the connection
-// break and no answer.
-func TestEndWhileRequestsAreOpen(t *testing.T) {
-	taken, release := make(chan struct{}, 8), make(chan struct{})
-	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
-		taken <- struct{}{}
+// Sidecar processes are ended while each has an attempt in flight: one by SIGTERM, one by SIGTERM while it is paused,
+// after which it resumes, and one by SIGKILL. After SIGTERM, a sidecar answers the requests that it has accepted,
+// closes their connections with the response, and exits with 0. A client of the killed sidecar gets an error and no
+// response.
+func TestTerminationWithRequestsInFlight(t *testing.T) {
+	received, release := make(chan struct{}, 8), make(chan struct{})
+	endpoint := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
+		received <- struct{}{}
 		<-release
 	}))
-	defer server.Close()
-	type answer struct {
+	defer endpoint.Close()
+	type result struct {
 		resp *http.Response
 		err  error
 	}
-	procs, answers, addrs := map[string]*processtest.Process{}, map[string]chan answer{}, map[string]string{}
-	for _, how := range []string{"SIGTERM", "SIGTERM while paused", "killed"} {
-		text := strings.NewReplacer(`"127.0.0.1:1","lifecycle"`, `"`+server.Listener.Addr().String()+`","lifecycle"`,
-			`"give-up":1000000`, `"give-up":60000000`, `"repeat":"pure"`, `"repeat":"side_effect"`).Replace(sound)
+	procs, results, addrs := map[string]*processtest.Process{}, map[string]chan result{}, map[string]string{}
+	for _, termination := range []string{"SIGTERM", "SIGTERM while paused", "killed"} {
+		text := strings.NewReplacer(`"127.0.0.1:1","lifecycle"`, `"`+endpoint.Listener.Addr().String()+`","lifecycle"`,
+			`"give-up":1000000`, `"give-up":60000000`, `"repeat":"pure"`, `"repeat":"side_effect"`).Replace(validConfig)
 		file, addr, log := filepath.Join(t.TempDir(), "config.json"), processtest.Address(t), &processtest.Log{}
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -45,8 +45,8 @@
 			}
 			return err == nil && resp.StatusCode == http.StatusOK
 		}, log.String)
-		ch := make(chan answer, 1)
-		procs[how], answers[how], addrs[how] = p, ch, addr
+		resultChan := make(chan result, 1)
+		procs[termination], results[termination], addrs[termination] = p, resultChan, addr
 		go func() {
 			r, _ := http.NewRequest(http.MethodPost, "http://"+addr+"/look", nil)
 			r.Header.Set("X-Trace-Id", "1")
@@ -55,24 +55,24 @@
 			if err == nil {
 				resp.Body.Close()
 			}
-			ch <- answer{resp, err}
+			resultChan <- result{resp, err}
 		}()
-		<-taken
+		<-received
 	}
 	procs["SIGTERM while paused"].Pause()
-	for _, how := range []string{"SIGTERM", "SIGTERM while paused"} {
-		procs[how].Signal(syscall.SIGTERM)
+	for _, termination := range []string{"SIGTERM", "SIGTERM while paused"} {
+		procs[termination].Signal(syscall.SIGTERM)
 	}
 	procs["killed"].Kill()
-	if a := <-answers["killed"]; a.err == nil {
-		t.Errorf("killed: answered %s", a.resp.Status)
+	if r := <-results["killed"]; r.err == nil {
+		t.Errorf("killed: the client got a response with status %s, want an error", r.resp.Status)
 	}
 	procs["SIGTERM while paused"].Resume()
-	for _, how := range []string{"SIGTERM", "SIGTERM while paused"} {
-		p := procs[how]
-		// Once it accepts no more, only what it has accepted is left to wait for.
-		processtest.Until(t, "the end of accepting", func() bool {
-			c, err := net.Dial("tcp", addrs[how])
+	for _, termination := range []string{"SIGTERM", "SIGTERM while paused"} {
+		p := procs[termination]
+		// Once the sidecar refuses connections, it only waits for the requests that it has accepted.
+		processtest.Until(t, "the listener to close", func() bool {
+			c, err := net.Dial("tcp", addrs[termination])
 			if err == nil {
 				c.Close()
 			}
@@ -80,16 +80,16 @@
 		}, p.Log)
 	}
 	close(release)
-	for _, how := range []string{"SIGTERM", "SIGTERM while paused"} {
-		// On a machine that is busy for seconds the process's own deadline may come first: 502 is a final answer,
-		// too.
-		a := <-answers[how]
-		isFinal := a.err == nil && (a.resp.StatusCode == http.StatusOK || a.resp.StatusCode == http.StatusBadGateway)
-		if !isFinal || !a.resp.Close {
-			t.Errorf("%s: %+v", how, a)
+	for _, termination := range []string{"SIGTERM", "SIGTERM while paused"} {
+		// If the machine is busy for seconds, the sidecar's own deadline may come first. Then it responds with 502,
+		// which is a final response, too.
+		r := <-results[termination]
+		isFinal := r.err == nil && (r.resp.StatusCode == http.StatusOK || r.resp.StatusCode == http.StatusBadGateway)
+		if !isFinal || !r.resp.Close {
+			t.Errorf("%s: got %+v, want a final response that closes the connection", termination, r)
 		}
-		if code := procs[how].ExitCode(); code != 0 {
-			t.Errorf("%s: exit code %d:\n%s", how, code, procs[how].Log())
+		if code := procs[termination].ExitCode(); code != 0 {
+			t.Errorf("%s: exit code %d:\n%s", termination, code, procs[termination].Log())
 		}
 	}
 }
