--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter hosts balancers behind the simulator's wire: it reads batches of events from standard input
-// and writes a reply to each on standard output.
+// Command simadapter runs balancers for the simulator: it reads batches of events from standard input, and for each
+// batch writes a reply with the balancers' actions to standard output.
 package main
 
 import (
@@ -14,7 +14,7 @@
 	"birchmoor/internal/platform/wire"
 )
 
-// gcPercent is high since nothing is allocated in the steady state.
+// gcPercent is higher than Go's default because the steady state allocates nothing.
 const gcPercent = 400
 
 func main() {
@@ -25,36 +25,36 @@
 	}
 }
 
-// host runs the instances of one process. They share nothing but its buffers.
+// host runs the instances of the process. They share only its decoder and its reply.
 type host struct {
-	decoder   wire.Decoder
-	reply     wire.Reply
-	instances map[uint32]*instance
-	reported  [256]bool // unknown codes that were reported
-	stderr    io.Writer
+	decoder       wire.Decoder
+	reply         wire.Reply
+	instances     map[uint32]*instance // by the simulator's number
+	reportedCodes [256]bool            // unknown event codes that were reported
+	stderr        io.Writer
 }
 
-// instance is one balancer with its number, and the Actions given to it.
+// instance is one balancer with its number. It is the balancer's balancer.Actions.
 type instance struct {
 	*host
 	number   uint32
-	balancer *balancer.Balancer // nil once stopped or faulty
+	balancer *balancer.Balancer // nil after a stop, invalid settings or a panic
 }
 
-// run answers batches until the input ends.
+// run answers batches until the input ends. It returns an error if a batch is malformed or the reply cannot be written.
 func run(in io.Reader, out, stderr io.Writer) error {
 	h := &host{instances: map[uint32]*instance{}, stderr: stderr}
 	var frame []byte
 	for {
-		next, err := wire.ReadFrame(in, frame)
+		grown, err := wire.ReadFrame(in, frame)
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		frame = next
-		if err := h.batch(frame); err != nil {
+		frame = grown
+		if err := h.handleBatch(frame); err != nil {
 			return err
 		}
 		if _, err := out.Write(h.reply.Bytes()); err != nil {
@@ -63,16 +63,17 @@
 	}
 }
 
-// batch handles the events of a frame and builds the reply.
-func (h *host) batch(frame []byte) error {
-	number, now, err := h.decoder.Reset(frame)
+// handleBatch passes the events of a frame to their instances and builds the reply. An event with an unknown code is
+// skipped, and reported once per code.
+func (h *host) handleBatch(frame []byte) error {
+	batchNumber, now, err := h.decoder.Reset(frame)
 	if err != nil {
 		return err
 	}
-	h.reply.Reset(number)
+	h.reply.Reset(batchNumber)
 	var e wire.Event
 	var current uint32
-	named := false
+	instanceSelected := false
 	for {
 		err := h.decoder.Next(&e)
 		if errors.Is(err, io.EOF) {
@@ -86,18 +87,18 @@
 			continue
 		case wire.EventSelectInstance:
 			current = e.Instance
-			named = true
+			instanceSelected = true
 			h.reply.SelectInstance(current)
 			continue
 		}
 		if e.Code < wire.EventStart || e.Code > wire.EventSelectInstance {
-			if !h.reported[e.Code] {
-				h.reported[e.Code] = true
+			if !h.reportedCodes[e.Code] {
+				h.reportedCodes[e.Code] = true
 				fmt.Fprintf(h.stderr, "simadapter: %v at byte %d: unknown code, skipped\n", e.Code, e.Offset)
 			}
 			continue
 		}
-		if !named {
+		if !instanceSelected {
 			return &wire.FrameError{Record: e.Code.String(), Offset: e.Offset, Reason: "comes before any instance"}
 		}
 		i := h.instances[current]
@@ -113,7 +114,8 @@
 	}
 }
 
-// handle passes an event to the balancer. A panic is reported on the wire and ends the instance.
+// handle passes an event to the balancer. A panic is reported to the simulator and ends the balancer. Events without a
+// running balancer are ignored.
 func (i *instance) handle(now balancer.Micros, e *wire.Event) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -150,7 +152,7 @@
 	}
 }
 
-// start makes the balancer of an instance, or reports invalid settings on the wire.
+// start creates and starts the balancer of an instance. It reports invalid settings to the simulator.
 func (i *instance) start(now balancer.Micros, e *wire.Event) {
 	i.balancer = nil
 	s, err := wire.ParseSettings(e.Config)
@@ -185,7 +187,7 @@
 func (i *instance) Probe(endpoint uint32) { i.reply.Probe(endpoint) }
 
 // Watch implements balancer.Actions.
-func (i *instance) Watch(on bool) { i.reply.Watch(on) }
+func (i *instance) Watch(enabled bool) { i.reply.Watch(enabled) }
 
 // Log implements balancer.Actions.
 func (i *instance) Log(line string) { i.reply.Log(line) }
