--- a/internal/dataplane/discovery/feed.go
+++ b/internal/dataplane/discovery/feed.go
@@ -16,8 +16,8 @@
 	cancel  context.CancelFunc // ends the running watch; nil if none runs
 }
 
-// SetEnabled starts a watch if none is running, or ends the running one. A call that asks for the present state has no
-// effect.
+// SetEnabled starts a watch if none is running, or ends the running one. It has no effect if the feed is in the
+// requested state already.
 func (f *Feed) SetEnabled(enabled bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/dataplane/discovery/watcher.go
+++ b/internal/dataplane/discovery/watcher.go
@@ -88,10 +88,10 @@
 	}
 }
 
-// RunOnce keeps one watch open, for a balancer that polls to request each watch. It returns when the watch ends, since
-// the balancer decides whether and when to poll again. The exception is a watch that brought a list and then fell
-// silent: RunOnce reopens it after a short jitter, because the balancer's delay between polls is too long for changes
-// that were missed during the silence.
+// RunOnce opens one watch, as a balancer in polling mode requests it, and returns when the watch ends: the balancer
+// decides whether and when to poll again. The exception is a watch that brought a list and then fell silent. RunOnce
+// reopens it after a short jitter, because the balancer's delay between polls is too long for changes that were missed
+// during the silence.
 func (w *Watcher) RunOnce(ctx context.Context) {
 	for {
 		received, err := w.watch(ctx)
--- a/internal/platform/management/call.go
+++ b/internal/platform/management/call.go
@@ -99,6 +99,7 @@
 	answer(w, "YES")
 }
 
+// answer writes one line.
 func answer(w io.Writer, format string, args ...any) {
 	_, _ = fmt.Fprintf(w, format+"\n", args...) // fails if the caller has closed, and then needs no answer
 }
--- a/internal/platform/wire/reply.go
+++ b/internal/platform/wire/reply.go
@@ -83,7 +83,7 @@
 // Probe writes a sound_out record: a probe is sent to an endpoint.
 func (w *Reply) Probe(endpoint uint32) { w.beginRecord(ActionProbe, 4); w.u32(endpoint) }
 
-// ReleaseEndpoint writes a let_go record.
+// ReleaseEndpoint writes a let_go record for an endpoint.
 func (w *Reply) ReleaseEndpoint(endpoint uint32) {
 	w.beginRecord(ActionReleaseEndpoint, 4)
 	w.u32(endpoint)
