--- a/internal/dataplane/core/ejections.go
+++ b/internal/dataplane/core/ejections.go
@@ -52,7 +52,7 @@
 	var ejections []handover.Ejection
 	l.balancer.Ejections(now, func(number uint32, left balancer.Micros) {
 		if e := l.byNumber[number]; e != nil && len(ejections) < maxReportedEjections {
-			ejections = append(ejections, handover.Ejection{ID: e.entry.ID, LeftMicros: left})
+			ejections = append(ejections, handover.Ejection{ID: e.entry.ID, RemainingMicros: left})
 		}
 	})
 	if len(ejections) > 0 {
@@ -64,8 +64,8 @@
 func (l *EventLoop) ApplyEjections(ejections []handover.Ejection) {
 	l.post(func(now balancer.Micros) {
 		for _, ejection := range ejections[:min(len(ejections), maxReportedEjections)] {
-			if e := l.byName[ejection.ID]; e != nil && ejection.LeftMicros > 0 {
-				l.balancer.PeerEjected(now, e.number, ejection.LeftMicros)
+			if e := l.byName[ejection.ID]; e != nil && ejection.RemainingMicros > 0 {
+				l.balancer.PeerEjected(now, e.number, ejection.RemainingMicros)
 			}
 		}
 	})
--- a/internal/dataplane/core/restore_test.go
+++ b/internal/dataplane/core/restore_test.go
@@ -86,10 +86,10 @@
 		one.reportEjections(now)
 	})
 	ejections := sidecartest.Receive(t, reports, "report of the ejection")
-	if len(ejections) != 1 || ejections[0].ID != "s-2" || ejections[0].LeftMicros <= 0 {
+	if len(ejections) != 1 || ejections[0].ID != "s-2" || ejections[0].RemainingMicros <= 0 {
 		t.Fatalf("reported %+v", ejections)
 	}
-	unknown, ended := handover.Ejection{ID: "s-1", LeftMicros: 1_000_000}, handover.Ejection{ID: "s-3", LeftMicros: -1}
+	unknown, ended := handover.Ejection{ID: "s-1", RemainingMicros: 1_000_000}, handover.Ejection{ID: "s-3", RemainingMicros: -1}
 	other.ApplyEjections(append(ejections, unknown, ended))
 	mustDo(t, other, func(balancer.Micros) {}) // urgent events go ahead of it
 	for end := time.Now().Add(sidecartest.WaitTimeout); ; {
--- a/internal/dataplane/handover/handover.go
+++ b/internal/dataplane/handover/handover.go
@@ -35,8 +35,8 @@
 
 // Ejection is an endpoint that a process has ejected as an outlier because of failures.
 type Ejection struct {
-	ID         string `json:"id"`
-	LeftMicros int64  `json:"left"` // time until the ejection ends
+	ID              string `json:"id"`
+	RemainingMicros int64  `json:"left"` // time until the ejection ends
 }
 
 // Peer has the calls that this process can make to the other one. Both return once the other process has replied.
--- a/internal/dataplane/handover/handover_test.go
+++ b/internal/dataplane/handover/handover_test.go
@@ -52,7 +52,7 @@
 }
 
 func (p *fakeProcess) ApplyEjections(list []Ejection) {
-	p.calls <- fmt.Sprint("eject ", list[0].ID, " ", list[0].LeftMicros)
+	p.calls <- fmt.Sprint("eject ", list[0].ID, " ", list[0].RemainingMicros)
 }
 
 func (p *fakeProcess) StopAccepting()   { p.calls <- "stop" }
--- a/internal/dataplane/handover/stored_test.go
+++ b/internal/dataplane/handover/stored_test.go
@@ -28,7 +28,7 @@
 		}},
 		{Op: "reply", Seq: 2, State: &State{List: json.RawMessage(`{}`)}},
 		{Op: "mark", Seq: 3, Override: &maintenance.Override{ID: "s-2", UnixMicros: 6}},
-		{Op: "eject", Seq: 4, Ejections: []Ejection{{ID: "s-3", LeftMicros: 900}}},
+		{Op: "eject", Seq: 4, Ejections: []Ejection{{ID: "s-3", RemainingMicros: 900}}},
 		{Op: "reply", Seq: 5, Error: "unknown id"},
 		{Op: "take", Seq: 6},
 	}
