--- a/internal/dataplane/httpfront/disconnect_bench_test.go
+++ b/internal/dataplane/httpfront/disconnect_bench_test.go
@@ -37,7 +37,7 @@
 						ended <- time.Now()
 						return
 					}
-					_, _ = io.WriteString(c, sidecartest.OKAnswer)
+					_, _ = io.WriteString(c, sidecartest.OKResponse)
 				}
 			})
 			f := startFront(b, readyInstances(addr),
--- a/internal/dataplane/httpfront/pool_test.go
+++ b/internal/dataplane/httpfront/pool_test.go
@@ -55,7 +55,7 @@
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d", n)
 			if n == 1 {
 				<-second
-				_, _ = io.WriteString(c, sidecartest.OKAnswer)
+				_, _ = io.WriteString(c, sidecartest.OKResponse)
 			}
 		}
 	}))
@@ -115,7 +115,7 @@
 			if _, err := sidecartest.ReadRequest(r); err != nil {
 				return
 			}
-			_, _ = io.WriteString(c, sidecartest.OKAnswer)
+			_, _ = io.WriteString(c, sidecartest.OKResponse)
 			if first {
 				<-speak
 				_, _ = io.WriteString(c, "HTTP/1.1 20")
@@ -147,7 +147,7 @@
 			if _, err := sidecartest.ReadRequest(r); err != nil {
 				return
 			}
-			_, _ = io.WriteString(c, sidecartest.OKAnswer)
+			_, _ = io.WriteString(c, sidecartest.OKResponse)
 		}
 	})
 	u, old, next := newTestUpstream(t), newTarget(addr), newTarget(addr)
@@ -185,7 +185,7 @@
 	closed := make(chan struct{}, 1)
 	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 		_, _ = sidecartest.ReadRequest(r)
-		_, _ = io.WriteString(c, sidecartest.OKAnswer)
+		_, _ = io.WriteString(c, sidecartest.OKResponse)
 		c.Close()
 		closed <- struct{}{}
 	})
@@ -207,7 +207,7 @@
 			if _, err := sidecartest.ReadRequest(r); err != nil {
 				return
 			}
-			_, _ = io.WriteString(c, sidecartest.OKAnswer)
+			_, _ = io.WriteString(c, sidecartest.OKResponse)
 		}
 	})
 	u, to := newTestUpstream(t), newTarget(addr)
--- a/internal/dataplane/httpfront/testfront_test.go
+++ b/internal/dataplane/httpfront/testfront_test.go
@@ -199,7 +199,7 @@
 			}
 			e.received <- req.URL.Path
 			<-e.mayAnswer
-			_, _ = io.WriteString(c, sidecartest.OKAnswer)
+			_, _ = io.WriteString(c, sidecartest.OKResponse)
 		}
 	})
 	return e
--- a/internal/dataplane/httpfront/upstream_test.go
+++ b/internal/dataplane/httpfront/upstream_test.go
@@ -76,7 +76,7 @@
 						return
 					}
 					if taken.Add(1); i == 0 {
-						_, _ = io.WriteString(c, sidecartest.OKAnswer)
+						_, _ = io.WriteString(c, sidecartest.OKResponse)
 					}
 				}
 			}))
@@ -152,9 +152,9 @@
 		name, answer string
 		want         balancer.Status
 	}{
-		{"whole", sidecartest.OKAnswer, balancer.OK},
+		{"whole", sidecartest.OKResponse, balancer.OK},
 		{"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", balancer.OK},
-		{"after a 100", "HTTP/1.1 100 Continue\r\n\r\n" + sidecartest.OKAnswer, balancer.OK},
+		{"after a 100", "HTTP/1.1 100 Continue\r\n\r\n" + sidecartest.OKResponse, balancer.OK},
 		{"error", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", balancer.Error},
 		{"turned away", "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Rejected},
 		{"late", "HTTP/1.1 504 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Rejected},
@@ -182,7 +182,7 @@
 		{"only 1xx", strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", 2*maxInterimAnswers), balancer.Reset},
 		{
 			"unreadable report",
-			strings.Replace(sidecartest.OKAnswer, "\r\n", "\r\nEndpoint-Load-Metrics: \xff{{=,,=%\r\n", 1),
+			strings.Replace(sidecartest.OKResponse, "\r\n", "\r\nEndpoint-Load-Metrics: \xff{{=,,=%\r\n", 1),
 			balancer.OK,
 		},
 		{"too large", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nok", MaxBody+1), balancer.Reset},
@@ -234,7 +234,7 @@
 		_, _ = sidecartest.ReadRequest(r)
 		_, _ = io.WriteString(c, "HTTP/1.1 102 Wait\r\n\r\n")
 		time.Sleep(2 * maxAnswerStall) // the work, not a wait for another
-		_, _ = io.WriteString(c, sidecartest.OKAnswer)
+		_, _ = io.WriteString(c, sidecartest.OKResponse)
 	})
 	if r := newTestUpstream(t).sendAttempt(keyed("x"), newTarget(addr)); r.Status != balancer.OK {
 		t.Errorf("status %v, want OK", r.Status)
--- a/internal/dataplane/sidecar/deployments_test.go
+++ b/internal/dataplane/sidecar/deployments_test.go
@@ -107,7 +107,7 @@
 			case <-e.breaks:
 				return
 			default:
-				_, _ = io.WriteString(c, sidecartest.OKAnswer)
+				_, _ = io.WriteString(c, sidecartest.OKResponse)
 			}
 		}
 	})
--- a/internal/dataplane/sidecar/retries_test.go
+++ b/internal/dataplane/sidecar/retries_test.go
@@ -86,7 +86,7 @@
 			endpoint := func() string {
 				return sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 					if _, err := sidecartest.ReadRequest(r); err == nil && copies.Add(1) > 1 {
-						_, _ = io.WriteString(c, sidecartest.OKAnswer)
+						_, _ = io.WriteString(c, sidecartest.OKResponse)
 					}
 				})
 			}
@@ -231,7 +231,7 @@
 					lost.Add(1)
 					continue
 				}
-				_, _ = io.WriteString(c, sidecartest.OKAnswer)
+				_, _ = io.WriteString(c, sidecartest.OKResponse)
 			}
 		})
 	}
--- a/internal/dataplane/sidecar/streaming_test.go
+++ b/internal/dataplane/sidecar/streaming_test.go
@@ -47,7 +47,7 @@
 			case "end":
 				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+longText)
 			default:
-				_, _ = io.WriteString(c, sidecartest.OKAnswer)
+				_, _ = io.WriteString(c, sidecartest.OKResponse)
 			}
 		}
 	})
--- a/internal/testutil/sidecartest/sidecartest.go
+++ b/internal/testutil/sidecartest/sidecartest.go
@@ -197,5 +197,5 @@
 	return string(text)
 }
 
-// OKAnswer is a complete HTTP response with the body "ok".
-const OKAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+// OKResponse is a complete HTTP response with the body "ok".
+const OKResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
