--- a/internal/dataplane/core/ejections.go
+++ b/internal/dataplane/core/ejections.go
@@ -52,7 +52,7 @@
 	var ejections []handover.Ejection
 	l.balancer.Ejections(now, func(number uint32, remaining balancer.Micros) {
 		if endpoint := l.endpointsByNumber[number]; endpoint != nil && len(ejections) < maxReportedEjections {
-			ejections = append(ejections, handover.Ejection{ID: endpoint.entry.ID, LeftMicros: remaining})
+			ejections = append(ejections, handover.Ejection{ID: endpoint.entry.ID, RemainingMicros: remaining})
 		}
 	})
 	if len(ejections) > 0 {
@@ -65,8 +65,8 @@
 func (l *EventLoop) ApplyEjections(ejections []handover.Ejection) {
 	l.post(func(now balancer.Micros) {
 		for _, ejection := range ejections[:min(len(ejections), maxReportedEjections)] {
-			if endpoint := l.endpointsByName[ejection.ID]; endpoint != nil && ejection.LeftMicros > 0 {
-				l.balancer.PeerEjected(now, endpoint.number, ejection.LeftMicros)
+			if endpoint := l.endpointsByName[ejection.ID]; endpoint != nil && ejection.RemainingMicros > 0 {
+				l.balancer.PeerEjected(now, endpoint.number, ejection.RemainingMicros)
 			}
 		}
 	})
--- a/internal/dataplane/sidecar/deployments_test.go
+++ b/internal/dataplane/sidecar/deployments_test.go
@@ -108,7 +108,7 @@
 			case <-endpoint.breaks:
 				return
 			default:
-				_, _ = io.WriteString(conn, sidecartest.OKAnswer)
+				_, _ = io.WriteString(conn, sidecartest.OKResponse)
 			}
 		}
 	})
--- a/internal/dataplane/sidecar/retries_test.go
+++ b/internal/dataplane/sidecar/retries_test.go
@@ -87,7 +87,7 @@
 			endpoint := func() string {
 				return sidecartest.RawEndpoint(t, func(conn *net.TCPConn, reader *bufio.Reader) {
 					if _, err := sidecartest.ReadRequest(reader); err == nil && attempts.Add(1) > 1 {
-						_, _ = io.WriteString(conn, sidecartest.OKAnswer)
+						_, _ = io.WriteString(conn, sidecartest.OKResponse)
 					}
 				})
 			}
@@ -235,7 +235,7 @@
 					unanswered.Add(1)
 					continue
 				}
-				_, _ = io.WriteString(conn, sidecartest.OKAnswer)
+				_, _ = io.WriteString(conn, sidecartest.OKResponse)
 			}
 		})
 	}
--- a/internal/dataplane/sidecar/streaming_test.go
+++ b/internal/dataplane/sidecar/streaming_test.go
@@ -49,7 +49,7 @@
 			case "end":
 				_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+longText)
 			default:
-				_, _ = io.WriteString(conn, sidecartest.OKAnswer)
+				_, _ = io.WriteString(conn, sidecartest.OKResponse)
 			}
 		}
 	})
