--- a/internal/dataplane/httpfront/answer.go
+++ b/internal/dataplane/httpfront/answer.go
@@ -9,22 +9,22 @@
 	"birchmoor/internal/dataplane/core"
 )
 
-// responseTo returns the final answer as it goes to the client.
-func responseTo(a core.Answer) *response {
+// responseTo converts a final answer of the event loop to the response that the client gets.
+func responseTo(answer core.Answer) *response {
 	var r *response
-	switch a.Disposition {
+	switch answer.Disposition {
 	case core.Served:
-		g := a.Reply.Content.(*upstreamAnswer)
-		r = &response{code: http.StatusOK, header: http.Header{}, body: g.body}
-		for k, v := range g.header {
-			if !hopByHop(k, g.header) && k != "Endpoint-Load-Metrics" {
+		upstream := answer.Reply.Content.(*upstreamAnswer)
+		r = &response{code: http.StatusOK, header: http.Header{}, body: upstream.body}
+		for k, v := range upstream.header {
+			if !isHopByHop(k, upstream.header) && k != "Endpoint-Load-Metrics" {
 				r.header[k] = v
 			}
 		}
 	case core.Rejected:
 		r = newResponse(http.StatusServiceUnavailable, "refused: try again later")
-		if a.RetryAfter > 0 {
-			r.setRetryAfter(a.RetryAfter)
+		if answer.RetryAfter > 0 {
+			r.setRetryAfter(answer.RetryAfter)
 		}
 	case core.DuplicateID:
 		r = newResponse(http.StatusConflict, "a request with this X-Trace-Id is open")
@@ -36,38 +36,39 @@
 	return r
 }
 
-// answer writes the final answer, and reports whether the connection may serve another request.
-func (s *Server) answer(c *client, k *core.Request, a core.Answer, last bool) bool {
-	last = last || s.closing.Load() || a.Disposition == core.DuplicateID
-	r := responseTo(a)
-	if a.StreamEnded == nil {
-		s.countEnd(k, a.Disposition)
+// answer writes the final answer to the client and counts the end of the request. last asks for the connection to close
+// after it. It reports whether the connection may serve another request.
+func (s *Server) answer(c *client, req *core.Request, answer core.Answer, last bool) bool {
+	last = last || s.closing.Load() || answer.Disposition == core.DuplicateID
+	r := responseTo(answer)
+	if answer.StreamEnded == nil {
+		s.countEnd(req, answer.Disposition)
 		written := s.write(c, r, last)
-		a.Discard()
+		answer.Discard()
 		s.clients.endRequest(c)
 		return written && !last
 	}
 	s.clients.answerStarted(c)
-	flow := a.Reply.Content.(*upstreamAnswer).stream
-	how := core.StreamAbandoned
+	stream := answer.Reply.Content.(*upstreamAnswer).stream
+	end := core.StreamAbandoned
 	c.setWriteDeadline(time.Now().Add(maxStreamStall))
-	if _, err := c.Write(r.head(flow.length, last)); err != nil {
+	if _, err := c.Write(r.head(stream.length, last)); err != nil {
 		s.unwritten.Inc()
 	} else {
-		how = flow.copyTo(c, func() { c.setWriteDeadline(time.Now().Add(maxStreamStall)) })
+		end = stream.copyTo(c, func() { c.setWriteDeadline(time.Now().Add(maxStreamStall)) })
 	}
-	flow.done(how)
-	a.StreamEnded(how)
-	if how != core.StreamComplete {
-		s.countEnd(k, core.Failed)
-		return false // the missing end shows the client that it failed
+	stream.done(end)
+	answer.StreamEnded(end)
+	if end != core.StreamComplete {
+		s.countEnd(req, core.Failed)
+		return false // the client sees from the missing end of the body that the request failed
 	}
-	s.countEnd(k, core.Served)
+	s.countEnd(req, core.Served)
 	s.clients.endRequest(c)
 	return !last
 }
 
-// write writes a complete final answer, counts it if that failed, and reports whether it succeeded.
+// write writes a complete final answer and reports whether that succeeded. A failure is counted in unwritten.
 func (s *Server) write(c *client, r *response, last bool) bool {
 	written := c.write(r, last)
 	if !written {
@@ -83,21 +84,21 @@
 	body   []byte
 }
 
-// headBytes is the typical size of an answer's head.
-const headBytes = 256
+// typicalHeadBytes is the space that is reserved for a response's head.
+const typicalHeadBytes = 256
 
-// newResponse returns an answer of one line of text.
+// newResponse returns a response with one line of text as its body.
 func newResponse(code int, text string) *response {
 	header := http.Header{"Content-Type": {"text/plain; charset=utf-8"}}
 	return &response{code: code, header: header, body: []byte(text + "\n")}
 }
 
-// setRetryAfter tells the client when to come back, in seconds.
+// setRetryAfter sets the Retry-After header, in seconds with three decimals.
 func (r *response) setRetryAfter(d time.Duration) {
 	r.header.Set("Retry-After", strconv.FormatFloat(d.Seconds(), 'f', 3, 64))
 }
 
-// write writes a complete answer in one piece, and reports whether that succeeded.
+// write writes a complete response in one piece, and reports whether that succeeded.
 func (c *client) write(r *response, last bool) bool {
 	text := append(r.head(int64(len(r.body)), last), r.body...)
 	c.setWriteDeadline(time.Now().Add(writeTimeout))
@@ -105,10 +106,10 @@
 	return err == nil
 }
 
-// head returns the head of the answer, for a body of a length or, if that is negative, for chunks.
+// head returns the head of the response. length is that of the body; if it is negative, the body is sent in chunks.
 func (r *response) head(length int64, last bool) []byte {
 	var b bytes.Buffer
-	b.Grow(headBytes + len(r.body))
+	b.Grow(typicalHeadBytes + len(r.body))
 	b.WriteString("HTTP/1.1 " + strconv.Itoa(r.code) + " " + http.StatusText(r.code) + "\r\n")
 	_ = r.header.Write(&b) // writing to memory does not fail
 	if length < 0 {
--- a/internal/dataplane/httpfront/clientconn.go
+++ b/internal/dataplane/httpfront/clientconn.go
@@ -11,11 +11,12 @@
 	"time"
 )
 
-// past is a deadline that ends a read at once.
-var past = time.Unix(1, 0)
+// pastDeadline is a read deadline that wakes a blocked read at once.
+var pastDeadline = time.Unix(1, 0)
 
-// Read reads what the client sends. While no request is open, whether something is read or the connection is given
-// up is decided under the mutex: a request of which something was read is served, and no other.
+// Read reads what the client sends. While no request is open, it reads under the mutex of clients, so that a read and
+// the closing of the connection cannot overlap: a request is served if and only if some of it was read before the
+// connection was given up.
 func (c *client) Read(b []byte) (n int, err error) {
 	if c.hasRequest || c.raw == nil {
 		n, err = c.Conn.Read(b)
@@ -23,24 +24,25 @@
 		return n, err
 	}
 	n, err = c.readOwned(b)
-	if errors.Is(err, os.ErrDeadlineExceeded) && c.clients.mayEnd(c) {
-		// Woken to end: what has come by now decides.
+	if errors.Is(err, os.ErrDeadlineExceeded) && c.clients.mayClose(c) {
+		// The read was woken to close the connection. If bytes have arrived by now, a request has begun, and it is
+		// served.
 		c.setReadDeadline(time.Now().Add(RequestTimeout))
 		n, err = c.readOwned(b)
 	}
 	return n, err
 }
 
-// readOwned reads under the mutex, and changes the state by what has come.
+// readOwned reads under the mutex of clients, and sets the connection's state by the result.
 func (c *client) readOwned(b []byte) (n int, err error) {
-	wait := c.raw.Read(func(fd uintptr) bool {
+	waitErr := c.raw.Read(func(fd uintptr) bool {
 		c.clients.mu.Lock()
 		defer c.clients.mu.Unlock()
 		switch {
 		case c.state >= stateLingering:
 			err = net.ErrClosed
 			return true
-		case c.endsReading:
+		case c.abortReading:
 			err = os.ErrDeadlineExceeded
 			return true
 		}
@@ -52,12 +54,13 @@
 		c.noteRead(n)
 		switch {
 		case n > 0:
-			if c.askedToEnd {
-				c.setReadDeadline(time.Now().Add(RequestTimeout)) // woken to end, but a request has begun
+			if c.closeRequested {
+				// The read was woken to close the connection, but a request has begun.
+				c.setReadDeadline(time.Now().Add(RequestTimeout))
 			}
 			c.state = stateReading
-			c.askedToEnd = false
-		case errors.Is(err, syscall.EAGAIN) && c.askedToEnd:
+			c.closeRequested = false
+		case errors.Is(err, syscall.EAGAIN) && c.closeRequested:
 			c.state = stateLingering
 			err = net.ErrClosed
 			c.clients.moveLocked(c, c.clients.lingering)
@@ -70,82 +73,83 @@
 		return true
 	})
 	if n == 0 && err == nil {
-		err = wait
+		err = waitErr
 	}
 	return n, err
 }
 
-// noteRead notes that n bytes have come.
+// noteRead records the time of a read that returned n bytes; no time for n = 0.
 func (c *client) noteRead(n int) {
 	if n > 0 {
 		c.lastReadAt.Store(time.Now().UnixMicro())
 	}
 }
 
-// watch returns a channel that gets one error: why the client left, or nil if it sent something before its answer.
-// To end the watch, set a deadline in the past.
+// watch returns a channel that gets one error: why reading from the client ended, or nil if the client sent something
+// before its answer. To end the watch, set pastDeadline.
 func (c *client) watch() <-chan error {
 	c.setReadDeadline(time.Time{})
 	c.limit.N = 1
-	gone := make(chan error, 1)
+	result := make(chan error, 1)
 	go func() {
-		_, err := c.r.Peek(1)
-		gone <- err
+		_, err := c.reader.Peek(1)
+		result <- err
 	}()
-	return gone
+	return result
 }
 
-// watchDuringUpload watches for the leaving of a client whose body is still coming and must not be read yet: its
-// end is behind unread bytes, but the system knows of it. left is closed then. stop ends the watch, and must be
-// called before anything is read.
+// watchDuringUpload detects that a client disconnects while its body is still arriving and must not be read yet. A read
+// would see the disconnect only after the unread bytes, so the watch checks the socket's TCP state instead. left is
+// closed when the client has disconnected; it is nil where the connection gives no access to its socket. stop ends the
+// watch, and must be called before anything is read.
 func (c *client) watchDuringUpload() (left <-chan struct{}, stop func()) {
 	if c.raw == nil {
 		return nil, func() {}
 	}
-	gone, over := make(chan struct{}), make(chan struct{})
+	clientLeft, watchEnded := make(chan struct{}), make(chan struct{})
 	c.setReadDeadline(time.Time{})
 	go func() {
-		defer close(over)
-		// The function is called at each change of the connection.
+		defer close(watchEnded)
+		// The function is called each time the socket becomes readable, which includes each change of its state.
 		if err := c.raw.Read(func(fd uintptr) bool { return !isEstablished(fd) }); err == nil {
-			close(gone)
+			close(clientLeft)
 		}
 	}()
-	return gone, sync.OnceFunc(func() {
-		c.setReadDeadline(past)
-		<-over
+	return clientLeft, sync.OnceFunc(func() {
+		c.setReadDeadline(pastDeadline)
+		<-watchEnded
 	})
 }
 
-// hasLeft reports whether the client has closed its connection or ended its sending, also behind unread bytes, or
-// the connection was closed here. Any goroutine may call it, also beside a read.
+// hasLeft reports whether the client has closed its connection or its sending side, even if unread bytes precede that,
+// or the connection was closed on this side. Any goroutine may call it, also during a read.
 func (c *client) hasLeft() bool {
 	if c.raw == nil {
 		return false
 	}
-	gone := true
-	_ = c.raw.Control(func(fd uintptr) { // fails once the connection is closed here
+	left := true
+	_ = c.raw.Control(func(fd uintptr) { // fails once the connection is closed on this side
 		var b [1]byte
 		switch n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT); {
 		case errors.Is(err, syscall.EAGAIN):
-			gone = false
+			left = false
 		case n > 0:
-			gone = !isEstablished(fd)
+			left = !isEstablished(fd)
 		}
 	})
-	return gone
+	return left
 }
 
-// isEstablished reports whether neither side of a connection has ended, whatever is unread on it. Where the system
-// does not say, it returns true.
+// isEstablished reports whether a socket is in TCP state ESTABLISHED: neither side has ended its sending, even if bytes
+// are unread. It returns true if the system does not report the state.
 func isEstablished(fd uintptr) bool {
 	info, err := syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_INFO)
-	var state [4]byte // the first bytes of struct tcp_info, of which the state is the first
+	var state [4]byte // the first bytes of struct tcp_info; byte 0 is the TCP state
 	binary.NativeEndian.PutUint32(state[:], uint32(info))
 	return err != nil || state[0] == tcpEstablished
 }
 
-const tcpEstablished = 1 // TCP_ESTABLISHED of Linux
+const tcpEstablished = 1 // TCP_ESTABLISHED in Linux
 
 const (
 	writeTimeout   = time.Second
@@ -153,19 +157,22 @@
 	maxLingerBytes = 64 << 10
 )
 
-// reject answers what is not submitted, and closes the connection.
+// reject answers a request that is not submitted to the event loop. The response announces that the connection closes;
+// the caller closes it.
 func (c *client) reject(code int, reason string) { c.write(newResponse(code, reason), true) }
 
-// linger discards what the client may still be sending, for a while.
+// linger reads and discards what the client still sends, up to limit bytes and for span at most.
 func (c *client) linger(r io.Reader, limit int64, span time.Duration) {
 	c.lingered = true
 	c.paced.readTimeout = 0
 	c.setReadDeadline(time.Now().Add(span))
-	_, _ = io.CopyN(io.Discard, r, limit) // what comes, or fails to, does not matter
+	_, _ = io.CopyN(io.Discard, r, limit) // neither the bytes nor an error matter any more
 }
 
-// setReadDeadline sets the deadline of reads. It fails on a closed connection alone, where reads fail as well.
+// setReadDeadline sets the deadline of reads. Its error is ignored: it fails only on a closed connection, where reads
+// fail as well.
 func (c *client) setReadDeadline(at time.Time) { _ = c.SetReadDeadline(at) }
 
-// setWriteDeadline sets the deadline of writes. It fails on a closed connection alone, where writes fail as well.
+// setWriteDeadline sets the deadline of writes. Its error is ignored: it fails only on a closed connection, where
+// writes fail as well.
 func (c *client) setWriteDeadline(at time.Time) { _ = c.SetWriteDeadline(at) }
--- a/internal/dataplane/httpfront/clients.go
+++ b/internal/dataplane/httpfront/clients.go
@@ -16,70 +16,71 @@
 	"birchmoor/internal/platform/metrics"
 )
 
-// connState is the state of a client's connection. It changes under the mutex of clients alone: whether something
-// of a request was read, and whether the connection is given up, is decided in one place.
+// connState is the state of a client's connection. It changes only under the mutex of clients, so that reading the
+// first bytes of a request and giving up the connection exclude each other.
 type connState uint8
 
 const (
 	stateNew       connState = iota // nothing has been read
 	stateReading                    // a request is being read
-	stateActive                     // a request was submitted, and will get its answer
-	stateIdle                       // it has had an answer, and nothing of another request was read
-	stateLingering                  // no request is accepted: sending has ended, and received bytes are discarded
+	stateActive                     // a request was submitted, and its answer is due
+	stateIdle                       // a request was answered, and nothing of the next one was read
+	stateLingering                  // no request is accepted any more, and received bytes are discarded
 	stateClosed
 )
 
-// client is a client's connection. Its goroutine owns it: it reads, answers and closes. Others may only ask for its
-// end.
+// client is a client's connection. One goroutine owns it, and reads, answers and closes. Other goroutines may only
+// request that it closes, or close it after evictLocked.
 type client struct {
 	net.Conn
 	clients *clients
 	raw     syscall.RawConn // nil where the connection has none
 	paced   pacedConn
-	limit   io.LimitedReader // what may still be read of the current request
-	r       *bufio.Reader
+	limit   io.LimitedReader // bounds what may still be read of the current request
+	reader  *bufio.Reader
 
-	hasRequest bool // used by the owner: a request is open, so that the owner alone ends the connection
-	lingered   bool // used by the owner: what still came has been discarded
+	// Used by the owner only.
+	hasRequest bool // a request is open or the connection is ending, so that reads need not hold clients.mu
+	lingered   bool // what the client sent after the last request has been discarded
 
 	// Guarded by clients.mu.
-	state       connState
-	askedToEnd  bool          // to end unless something of another request has come
-	endsReading bool          // the reading of an incomplete request is to end
-	waiting     bool          // its request waits for memory here, not for its client
-	element     *list.Element // in list
-	list        *list.List    // one of those of clients
-	since       time.Time     // when it was added to list
-	dueAt       time.Time     // when its open request counts as unanswered; zero: it does not
+	state            connState
+	closeRequested   bool          // close the connection unless bytes of another request have arrived
+	abortReading     bool          // stop reading an incomplete request
+	waitingForMemory bool          // the request being read waits for memory on this side, not for its client
+	element          *list.Element // the connection's element in list
+	list             *list.List    // the list of clients that holds the connection
+	listedSince      time.Time     // when the connection was added to list
+	dueAt            time.Time     // when the open request counts as unanswered; zero while it cannot
 
 	lastReadAt atomic.Int64 // Unix microseconds; 0: never
 }
 
-// clients accepts connections and bounds their number. http.Server is not used, since it does not show what else
-// waits on a connection behind a request, nor which connection is needed least.
+// clients accepts connections and bounds their number. http.Server is not used, since it hides whether more bytes
+// follow a request on its connection, and which connection is the best one to close.
 type clients struct {
 	maxConns int
-	serve    func(*client) // serves a connection until it is to be closed
+	serve    func(*client) // serves a connection, and returns when it is to be closed
 	log      *slog.Logger
 
 	mu        sync.Mutex
-	active    *list.List // *client with an open request
-	unused    *list.List // *client without a request so far, the oldest first
-	idle      *list.List // *client that had one, the one idle for longest first
-	lingering *list.List // *client whose end has begun
+	active    *list.List // of *client with an open request
+	unused    *list.List // of *client without a request so far, the oldest first
+	idle      *list.List // of *client whose last request was answered, the one idle for longest first
+	lingering *list.List // of *client in stateLingering
 	closing   bool
 	serving   sync.WaitGroup
 
-	full         *metrics.Counter // connections closed at once, since all others have open requests
-	unanswered   *metrics.Counter // requests past their deadline
-	overdue      int              // of them, those that were not logged yet
-	overdueTimer *time.Timer      // calls reportOverdue
-	timerRunning bool             // of overdueTimer
+	closedWhenFull  *metrics.Counter // new connections closed at once, since all others have open requests
+	unanswered      *metrics.Counter // requests that were not answered in time; see unansweredGrace
+	unloggedOverdue int              // requests counted in unanswered but not logged yet
+	overdueTimer    *time.Timer      // calls reportOverdue
+	timerRunning    bool             // overdueTimer is armed
 }
 
 func newClients(maxConns int, serve func(*client), unanswered *metrics.Counter, log *slog.Logger) *clients {
-	return &clients{maxConns: maxConns, serve: serve, full: new(metrics.Counter), unanswered: unanswered, log: log,
-		active: list.New(), unused: list.New(), idle: list.New(), lingering: list.New()}
+	return &clients{maxConns: maxConns, serve: serve, closedWhenFull: new(metrics.Counter), unanswered: unanswered,
+		log: log, active: list.New(), unused: list.New(), idle: list.New(), lingering: list.New()}
 }
 
 const (
@@ -89,43 +90,44 @@
 
 // accept serves connections until ln is closed or its deadline has passed.
 func (k *clients) accept(ln net.Listener) {
-	wait := minAcceptBackoff
+	backoff := minAcceptBackoff
 	for {
 		nc, err := ln.Accept()
 		switch {
 		case err == nil:
-			wait = minAcceptBackoff
+			backoff = minAcceptBackoff
 			k.add(nc)
 		case errors.Is(err, net.ErrClosed), errors.Is(err, os.ErrDeadlineExceeded):
 			return
 		default:
-			// Descriptors may have run out: closing a connection frees one.
-			if wait == minAcceptBackoff {
+			// The process may have run out of file descriptors; closing a connection frees one.
+			if backoff == minAcceptBackoff {
 				k.log.Warn("accept", "error", err)
 			}
 			k.evict()
-			time.Sleep(wait)
-			wait = min(2*wait, maxAcceptBackoff)
+			time.Sleep(backoff)
+			backoff = min(2*backoff, maxAcceptBackoff)
 		}
 	}
 }
 
-// add serves a new connection, in place of another one if there are too many.
-func (k *clients) add(nc net.Conn) {
-	c := &client{Conn: nc, clients: k, since: time.Now()}
-	if sc, ok := nc.(syscall.Conn); ok {
+// add serves a new connection in a goroutine of its own. At maxConns it first evicts another connection, or closes the
+// new one if all others have open requests.
+func (k *clients) add(netConn net.Conn) {
+	c := &client{Conn: netConn, clients: k, listedSince: time.Now()}
+	if sc, ok := netConn.(syscall.Conn); ok {
 		c.raw, _ = sc.SyscallConn()
 	}
 	c.paced.Conn = c
 	c.limit.R = &c.paced
-	c.r = bufio.NewReader(&c.limit)
+	c.reader = bufio.NewReader(&c.limit)
 	k.mu.Lock()
-	var out *client
+	var evicted *client
 	if k.lenLocked() >= k.maxConns {
-		if out = k.evictLocked(); out == nil {
+		if evicted = k.evictLocked(); evicted == nil {
 			k.mu.Unlock()
-			nc.Close() // all others wait for their answers
-			k.full.Inc()
+			netConn.Close()
+			k.closedWhenFull.Inc()
 			return
 		}
 	}
@@ -135,8 +137,8 @@
 		k.remove(c)
 	})
 	k.mu.Unlock()
-	if out != nil {
-		out.Close()
+	if evicted != nil {
+		evicted.Close()
 	}
 }
 
@@ -145,24 +147,24 @@
 }
 
 // moveLocked moves a connection to the end of a list; nil removes it from its list.
-func (k *clients) moveLocked(c *client, to *list.List) {
+func (k *clients) moveLocked(c *client, dst *list.List) {
 	if c.element != nil {
 		c.list.Remove(c.element)
 	}
 	c.element = nil
-	c.list = to
-	if to != nil {
-		c.element = to.PushBack(c)
+	c.list = dst
+	if dst != nil {
+		c.element = dst.PushBack(c)
 	}
 }
 
-// beginRequest notes that a connection has an open request. It returns false if the connection was given up before
-// the request was complete.
+// beginRequest records that a connection has an open request. It returns false if the connection was given up before
+// the request was read completely; the request then counts as unanswered.
 func (k *clients) beginRequest(c *client) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if c.state >= stateLingering {
-		k.overdue++
+		k.unloggedOverdue++
 		k.unanswered.Inc()
 		k.scheduleReportLocked()
 		return false
@@ -174,36 +176,36 @@
 	return true
 }
 
-// setWaiting notes whether the request that is being read waits for memory.
-func (k *clients) setWaiting(c *client, waiting bool) {
+// setWaitingForMemory records whether the request that is being read waits for memory for its body.
+func (k *clients) setWaitingForMemory(c *client, waiting bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	c.waiting = waiting
+	c.waitingForMemory = waiting
 	if !waiting {
-		c.lastReadAt.Store(time.Now().UnixMicro()) // its client has not stalled meanwhile
+		c.lastReadAt.Store(time.Now().UnixMicro()) // the time of the wait does not count as a stall of the client
 	}
 }
 
-// endRequest notes that a request has its answer. If connections end with their answers, the owner still looks
-// whether another request has begun.
+// endRequest records that a request was answered. During a shutdown it requests that the connection closes; the owner
+// still serves another request if it has begun by then.
 func (k *clients) endRequest(c *client) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.overdueLocked(c, time.Now())
 	c.dueAt = time.Time{}
-	c.since = time.Now()
+	c.listedSince = time.Now()
 	c.state = stateIdle
 	c.hasRequest = false
-	c.askedToEnd = k.closing
+	c.closeRequested = k.closing
 	k.moveLocked(c, k.idle)
 }
 
-// keepOpen notes that what was read was answered without being submitted, and reports whether the connection may
+// keepOpen records that a readiness check was answered without being submitted, and reports whether the connection may
 // stay open.
 func (k *clients) keepOpen(c *client) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if c.state == stateReading && !c.endsReading {
+	if c.state == stateReading && !c.abortReading {
 		c.state = stateIdle
 		if c.list == k.unused {
 			c.state = stateNew
@@ -213,8 +215,8 @@
 	return false
 }
 
-// remove ends a connection: first sending, then, after what the client may still be sending was read for a while,
-// all. Closing with unread bytes would reset the connection, and the last answer with it.
+// remove closes a connection: first its sending side, then, after reading what the client still sends for a while, all
+// of it. Closing with unread bytes would reset the connection, and the client could lose the last answer.
 func (k *clients) remove(c *client) {
 	k.mu.Lock()
 	if c.state == stateActive {
@@ -239,20 +241,20 @@
 	k.moveLocked(c, nil)
 }
 
-// resize changes how many connections may be open.
-func (k *clients) resize(most int) {
+// resize changes how many connections may be open, and evicts those beyond that. Connections with open requests stay.
+func (k *clients) resize(maxConns int) {
 	k.mu.Lock()
-	k.maxConns = most
-	var out []*client
-	for k.lenLocked() > most {
+	k.maxConns = maxConns
+	var evicted []*client
+	for k.lenLocked() > maxConns {
 		c := k.evictLocked()
 		if c == nil {
 			break
 		}
-		out = append(out, c)
+		evicted = append(evicted, c)
 	}
 	k.mu.Unlock()
-	for _, c := range out {
+	for _, c := range evicted {
 		c.Close()
 	}
 }
--- a/internal/dataplane/httpfront/clients_test.go
+++ b/internal/dataplane/httpfront/clients_test.go
@@ -15,30 +15,31 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// When there is no room, the connection goes that will be missed least, whichever came first.
+// TestEvictionOrder evicts connections in different states one after the other. A connection that is likely to be
+// needed must be evicted after those that are not, whichever was opened first.
 func TestEvictionOrder(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
-		conns []string // in the order they come, a good second apart
-		want  []int    // in the order they go
+		conns []string // the kinds of connections, in the order in which they are opened, over a second apart
+		want  []int    // indices of conns, in the order in which they are evicted
 	}{
-		{"silent ones first", []string{"kept", "half", "silent", "silent"}, []int{2, 3, 1, 0}},
-		{"used long ago before just come", []string{"kept", "now"}, []int{0, 1}},
-		{"used just now after just come", []string{"now", "kept now"}, []int{0, 1}},
-		{"still writing after stopped", []string{"writes", "half", "kept"}, []int{1, 2, 0}},
+		{"silent before stalled before idle", []string{"kept", "half", "silent", "silent"}, []int{2, 3, 1, 0}},
+		{"idle for long before new", []string{"kept", "now"}, []int{0, 1}},
+		{"new before recently used", []string{"now", "kept now"}, []int{0, 1}},
+		{"stalled before sending", []string{"writes", "half", "kept"}, []int{1, 2, 0}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				k := newClients(100, nil, new(metrics.Counter), sidecartest.DiscardLog)
-				hold := make(chan struct{})
-				var all []*client
-				k.serve = func(c *client) { all = append(all, c); <-hold }
+				release := make(chan struct{})
+				var added []*client
+				k.serve = func(c *client) { added = append(added, c); <-release }
 				for i, kind := range tc.conns {
-					here, there := net.Pipe()
-					defer here.Close()
-					k.add(there)
+					clientEnd, serverEnd := net.Pipe()
+					defer clientEnd.Close()
+					k.add(serverEnd)
 					synctest.Wait()
-					c := all[i]
+					c := added[i]
 					switch kind {
 					case "kept", "kept now":
 						k.beginRequest(c)
@@ -50,36 +51,36 @@
 						time.Sleep(1200 * time.Millisecond)
 					}
 				}
-				for i, c := range all {
+				for i, c := range added {
 					if tc.conns[i] == "writes" {
 						c.lastReadAt.Store(time.Now().UnixMicro())
 					}
 				}
 				time.Sleep(time.Millisecond)
-				var got []int
-				for range all {
+				var evicted []int
+				for range added {
 					k.evict()
-					for i, c := range all {
-						if c.state == stateClosed && len(got) < len(all) && !slices.Contains(got, i) {
-							got = append(got, i)
+					for i, c := range added {
+						if c.state == stateClosed && len(evicted) < len(added) && !slices.Contains(evicted, i) {
+							evicted = append(evicted, i)
 						}
 					}
 				}
-				if fmt.Sprint(got) != fmt.Sprint(tc.want) {
-					t.Errorf("went %v, want %v", got, tc.want)
+				if fmt.Sprint(evicted) != fmt.Sprint(tc.want) {
+					t.Errorf("connections were evicted in the order %v, want %v", evicted, tc.want)
 				}
-				close(hold)
+				close(release)
 				k.serving.Wait()
 				if n := k.lenLocked(); n != 0 {
-					t.Errorf("%d are left", n)
+					t.Errorf("%d connections are listed after all were evicted, want 0", n)
 				}
 			})
 		})
 	}
 }
 
-// Guards against a request that gets no answer: a connection was taken for stalled, and evicted, while its request
-// waited for memory for its body.
+// TestRequestThatWaitsForMemoryIsNotEvicted guards against a request without an answer: a connection counted as
+// stalled, and was evicted, while its request waited for memory for its body.
 func TestRequestThatWaitsForMemoryIsNotEvicted(t *testing.T) {
 	for _, used := range []bool{false, true} {
 		t.Run(fmt.Sprint("used before: ", used), func(t *testing.T) {
@@ -94,43 +95,44 @@
 				write(t, conn, encode(t, r))
 				readAnswer(t, conn, r)
 			}
-			f.bodies.Resize(unbudgetedBytes)
-			if err := f.bodies.Acquire(t.Context(), unbudgetedBytes); err != nil {
+			f.bodies.Resize(maxUnbudgetedBytes)
+			if err := f.bodies.Acquire(t.Context(), maxUnbudgetedBytes); err != nil {
 				t.Fatal(err)
 			}
-			r := sidecartest.Request("POST", "/pay", "pay", 900_000, strings.Repeat("b", 2*unbudgetedBytes))
+			r := sidecartest.Request("POST", "/pay", "pay", 900_000, strings.Repeat("b", 2*maxUnbudgetedBytes))
 			write(t, conn, encode(t, r))
 			waitUntil(t, "a request that waits for memory", func() bool { return countWaiting(f) == 1 })
 			time.Sleep(stalledRequestTimeout + 10*time.Millisecond) // without a byte from the client
 			f.clients.evict()
-			f.bodies.Release(unbudgetedBytes)
+			f.bodies.Release(maxUnbudgetedBytes)
 			readAnswer(t, conn, r) // 503 after budgetTimeout on a machine that is too slow
 		})
 	}
 }
 
-// Guards against ends of connections that no metric shows.
+// TestClosedConnectionsAndUnwrittenAnswersAreCounted guards against connections that end without any metric showing it.
 func TestClosedConnectionsAndUnwrittenAnswersAreCounted(t *testing.T) {
 	f := startFront(t, nil)
-	hold := make(chan struct{})
-	k := newClients(1, func(*client) { <-hold }, new(metrics.Counter), sidecartest.DiscardLog)
-	k.full = f.clients.full
+	release := make(chan struct{})
+	k := newClients(1, func(*client) { <-release }, new(metrics.Counter), sidecartest.DiscardLog)
+	k.closedWhenFull = f.clients.closedWhenFull
 	for range 2 {
-		here, there := net.Pipe()
-		defer here.Close()
-		k.add(there)
+		clientEnd, serverEnd := net.Pipe()
+		defer clientEnd.Close()
+		k.add(serverEnd)
 		k.mu.Lock()
-		for at := k.unused.Front(); at != nil; at = k.unused.Front() { // it has an open request from now on
-			k.moveLocked(at.Value.(*client), k.active)
+		// The connection counts as one with an open request from now on.
+		for elem := k.unused.Front(); elem != nil; elem = k.unused.Front() {
+			k.moveLocked(elem.Value.(*client), k.active)
 		}
 		k.mu.Unlock()
 	}
-	close(hold)
+	close(release)
 	k.serving.Wait()
-	_, there := net.Pipe()
-	there.Close()
-	if f.write(&client{Conn: there}, newResponse(http.StatusOK, "ok"), true) {
-		t.Error("written to a closed connection")
+	_, serverEnd := net.Pipe()
+	serverEnd.Close()
+	if f.write(&client{Conn: serverEnd}, newResponse(http.StatusOK, "ok"), true) {
+		t.Error("writing an answer to a closed connection succeeded")
 	}
 	var text strings.Builder
 	if err := f.figures.WriteText(&text); err != nil {
@@ -138,18 +140,18 @@
 	}
 	for _, line := range []string{"app_full_total 1\n", "app_unwritten_total 1\n"} {
 		if !strings.Contains(text.String(), line) {
-			t.Errorf("no %q in\n%s", line, text.String())
+			t.Errorf("metrics lack the line %q:\n%s", line, text.String())
 		}
 	}
 }
 
-// countWaiting returns the number of connections whose requests wait for memory.
+// countWaiting returns the number of connections whose requests wait for memory for their bodies.
 func countWaiting(f *testFront) (n int) {
 	f.clients.mu.Lock()
 	defer f.clients.mu.Unlock()
-	for _, of := range []*list.List{f.clients.unused, f.clients.idle} {
-		for at := of.Front(); at != nil; at = at.Next() {
-			if at.Value.(*client).waiting {
+	for _, conns := range []*list.List{f.clients.unused, f.clients.idle} {
+		for elem := conns.Front(); elem != nil; elem = elem.Next() {
+			if elem.Value.(*client).waitingForMemory {
 				n++
 			}
 		}
--- a/internal/dataplane/httpfront/disconnect_bench_test.go
+++ b/internal/dataplane/httpfront/disconnect_bench_test.go
@@ -16,15 +16,15 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// BenchmarkClientDisconnectDetection measures how long after a client's close its attempt is cancelled, as the
-// server sees it: idle, and beside clients that send requests without a pause. All of them and the servers share
-// the processors, so that the figure is more than the program's part. Run few iterations (-benchtime 5x -count 20),
-// since a server that loses many attempts is ejected. BenchmarkHasLeft measures the check that each attempt makes
-// by itself.
+// BenchmarkClientDisconnectDetection measures the time from a client's close until its attempt is cancelled at the
+// endpoint: without load, and with other clients that send requests without a pause. Clients, sidecar and endpoint
+// share the processors, so that the result includes more than the sidecar's delay. Run few iterations (-benchtime 5x
+// -count 20), since an endpoint that loses many attempts is ejected. BenchmarkHasLeft measures the check that each
+// attempt makes before it begins.
 func BenchmarkClientDisconnectDetection(b *testing.B) {
 	for _, others := range []int{0, 16, 64} {
 		b.Run(fmt.Sprint("others=", others), func(b *testing.B) {
-			taken, ended := make(chan struct{}), make(chan time.Time)
+			received, cancelled := make(chan struct{}), make(chan time.Time)
 			addr := sidecartest.RawEndpoint(b, func(c *net.TCPConn, r *bufio.Reader) {
 				for {
 					req, err := sidecartest.ReadRequest(r)
@@ -32,9 +32,9 @@
 						return
 					}
 					if req.URL.Path == "/pay" {
-						taken <- struct{}{}
+						received <- struct{}{}
 						_, _ = r.ReadByte()
-						ended <- time.Now()
+						cancelled <- time.Now()
 						return
 					}
 					_, _ = io.WriteString(c, sidecartest.OKAnswer)
@@ -42,19 +42,19 @@
 			})
 			f := startFront(b, readyInstances(addr),
 				slices.Concat(longClassTimeout, []string{`"allowance-per-s":100.0`, `"allowance-per-s":1000000.0`})...)
-			var asked atomic.Int64
-			var all sync.WaitGroup
-			over := make(chan struct{})
+			var completed atomic.Int64
+			var background sync.WaitGroup
+			stop := make(chan struct{})
 			for range others {
 				c := f.connect(b)
 				if err := c.SetDeadline(time.Time{}); err != nil {
 					b.Fatal(err)
 				}
-				all.Go(func() {
+				background.Go(func() {
 					r := bufio.NewReader(c)
 					for {
 						select {
-						case <-over:
+						case <-stop:
 							return
 						default:
 						}
@@ -66,13 +66,13 @@
 							return
 						}
 						_, _ = io.Copy(io.Discard, resp.Body)
-						asked.Add(1)
+						completed.Add(1)
 					}
 				})
 			}
-			var took []time.Duration
-			refused := 0
-			begun := time.Now()
+			var delays []time.Duration
+			rejected := 0
+			startedAt := time.Now()
 			for b.Loop() {
 				c := f.connect(b)
 				write(b, c, encode(b, sidecartest.Request("POST", "/pay", "pay", 900_000, "x")))
@@ -83,51 +83,52 @@
 					}
 				}()
 				select {
-				case <-taken:
-				case <-answered: // refused, by what came of those before
-					refused++
+				case <-received:
+				case <-answered: // rejected, because of the cancelled attempts before
+					rejected++
 					c.Close()
 					continue
 				}
-				left := time.Now()
+				closedAt := time.Now()
 				c.Close()
-				took = append(took, (<-ended).Sub(left))
+				delays = append(delays, (<-cancelled).Sub(closedAt))
 			}
-			rate := float64(asked.Load()) / time.Since(begun).Seconds()
-			close(over)
-			all.Wait()
-			slices.Sort(took)
-			b.ReportMetric(float64(took[len(took)/2].Microseconds())/1000, "ms-median")
-			b.ReportMetric(float64(took[len(took)*99/100].Microseconds())/1000, "ms-99%")
-			b.ReportMetric(float64(took[len(took)-1].Microseconds())/1000, "ms-most")
+			rate := float64(completed.Load()) / time.Since(startedAt).Seconds()
+			close(stop)
+			background.Wait()
+			slices.Sort(delays)
+			b.ReportMetric(float64(delays[len(delays)/2].Microseconds())/1000, "ms-median")
+			b.ReportMetric(float64(delays[len(delays)*99/100].Microseconds())/1000, "ms-99%")
+			b.ReportMetric(float64(delays[len(delays)-1].Microseconds())/1000, "ms-most")
 			b.ReportMetric(rate, "others/s")
-			b.ReportMetric(float64(refused), "refused")
+			b.ReportMetric(float64(rejected), "refused")
 		})
 	}
 }
 
+// BenchmarkHasLeft measures the check whether a client has left, on a connection that is open.
 func BenchmarkHasLeft(b *testing.B) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer ln.Close()
-	there, err := net.Dial("tcp", ln.Addr().String())
+	clientEnd, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer there.Close()
-	here, err := ln.Accept()
+	defer clientEnd.Close()
+	serverEnd, err := ln.Accept()
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer here.Close()
-	c := &client{Conn: here}
-	c.raw, _ = here.(syscall.Conn).SyscallConn()
+	defer serverEnd.Close()
+	c := &client{Conn: serverEnd}
+	c.raw, _ = serverEnd.(syscall.Conn).SyscallConn()
 	b.ReportAllocs()
 	for b.Loop() {
 		if c.hasLeft() {
-			b.Fatal("it is there")
+			b.Fatal("hasLeft returned true for a connected client")
 		}
 	}
 }
--- a/internal/dataplane/httpfront/download.go
+++ b/internal/dataplane/httpfront/download.go
@@ -8,33 +8,35 @@
 	"birchmoor/internal/dataplane/core"
 )
 
-// download is an answer that is passed on while it comes. One goroutine owns it at a time; the last one calls done.
+// download is the body of an endpoint's answer that is streamed to the client. One goroutine owns it at a time; the
+// last owner calls done.
 type download struct {
-	beginning []byte    // what was read so far
-	more      io.Reader // what follows that
-	length    int64     // of the complete body; -1: unknown
-	buf       []byte    // through which it is passed on; beginning is a part of it
-	done      func(how core.StreamEnd)
+	beginning []byte    // the part of the body that was read before the stream began
+	rest      io.Reader // the body after beginning
+	length    int64     // bytes of the complete body; -1 if unknown
+	buf       []byte    // buffer for copying; beginning is a part of it
+	done      func(end core.StreamEnd)
 }
 
-// copyTo passes the body on, and returns how that ended. progress is called before each write.
+// copyTo copies the body to the client, as chunks if its length is unknown, and returns how that ended. It calls
+// progress before each write.
 func (d *download) copyTo(w io.Writer, progress func()) core.StreamEnd {
-	out := w
+	bodyWriter := w
 	var chunks io.WriteCloser
 	if d.length < 0 {
 		chunks = httputil.NewChunkedWriter(w)
-		out = chunks
+		bodyWriter = chunks
 	}
 	piece := d.beginning
 	var total int64
 	for {
 		if len(piece) > 0 {
 			progress()
-			if _, err := out.Write(piece); err != nil {
+			if _, err := bodyWriter.Write(piece); err != nil {
 				return core.StreamAbandoned
 			}
 		}
-		n, err := d.more.Read(d.buf)
+		n, err := d.rest.Read(d.buf)
 		piece = d.buf[:n]
 		total += int64(n)
 		if total > MaxBody {
@@ -43,7 +45,7 @@
 		if errors.Is(err, io.EOF) {
 			if n > 0 {
 				progress()
-				if _, err := out.Write(piece); err != nil {
+				if _, err := bodyWriter.Write(piece); err != nil {
 					return core.StreamAbandoned
 				}
 			}
--- a/internal/dataplane/httpfront/eviction.go
+++ b/internal/dataplane/httpfront/eviction.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// The connection that is closed for a new one, or when descriptors run out, is one that is hardly missed.
+// When a new connection needs space, or descriptors run out, the connection is closed that its client is least likely
+// to need. These timeouts tell which one that is.
 const (
-	firstRequestTimeout   = 100 * time.Millisecond // in which a client that connects to send a request begins it
-	stalledRequestTimeout = 500 * time.Millisecond // after which a request that is not complete counts as stalled
-	reuseTimeout          = time.Second            // after which an idle connection counts as not used any more
+	firstRequestTimeout   = 100 * time.Millisecond // a new connection without any byte for so long counts as silent
+	stalledRequestTimeout = 500 * time.Millisecond // an incomplete request without a byte for so long counts as stalled
+	reuseTimeout          = time.Second            // an idle connection without a request for so long counts as unused
 )
 
-// evict closes the connection that is needed least, if there is one.
+// evict closes the connection that is least likely to be needed, if any has no open request.
 func (k *clients) evict() {
 	k.mu.Lock()
 	c := k.evictLocked()
@@ -22,21 +23,22 @@
 	}
 }
 
-// evictLocked gives up the connection without an open request that is needed least, and returns it, or nil. The
-// caller closes it at once, but without the mutex: closing waits for a read, and a read for the mutex.
+// evictLocked gives up the connection without an open request that is least likely to be needed, and returns it, or
+// nil if there is none. The caller closes it at once, but after releasing the mutex: closing waits for a read in
+// progress, and a read waits for the mutex.
 func (k *clients) evictLocked() *client {
-	out := k.leastNeededLocked()
-	if out == nil {
+	evicted := k.leastNeededLocked()
+	if evicted == nil {
 		return nil
 	}
-	k.moveLocked(out, nil)
-	out.state = stateClosed
-	return out
+	k.moveLocked(evicted, nil)
+	evicted.state = stateClosed
+	return evicted
 }
 
-// leastNeededLocked returns a connection whose end has begun; else one that never sent anything, one that stalled
-// in its first request, or one that was used long ago, in this order; and if all seem in use, the oldest without a
-// request. One whose request waits for memory has not stalled: it gets its answer.
+// leastNeededLocked returns a lingering connection, else one that never sent anything, else one that stalled in its
+// first request, else one that has been idle for reuseTimeout. If all seem in use, it returns the oldest of which
+// nothing was read. A connection whose request waits for memory on this side has not stalled: its request is served.
 func (k *clients) leastNeededLocked() *client {
 	now := time.Now()
 	silent, stalled, oldest := k.unusedCandidatesLocked(now)
@@ -48,23 +50,23 @@
 		return silent
 	case stalled != nil:
 		return stalled
-	case idle != nil && (oldest == nil || now.Sub(idle.since) > reuseTimeout):
+	case idle != nil && (oldest == nil || now.Sub(idle.listedSince) > reuseTimeout):
 		return idle
 	default:
 		return oldest
 	}
 }
 
-// unusedCandidatesLocked returns, of the connections without a request so far, the oldest that is silent, the one
-// that has been stalled for longest, and the oldest of which nothing was read.
+// unusedCandidatesLocked returns, among the connections without a request so far, the oldest that is silent, the one
+// that has been stalled for longest, and the oldest of which nothing was read. Each is nil if there is none.
 func (k *clients) unusedCandidatesLocked(now time.Time) (silent, stalled, oldest *client) {
-	for at := k.unused.Front(); at != nil && silent == nil; at = at.Next() {
-		c := at.Value.(*client)
+	for elem := k.unused.Front(); elem != nil && silent == nil; elem = elem.Next() {
+		c := elem.Value.(*client)
 		lastRead := c.lastReadAt.Load()
 		switch {
-		case c.waiting:
+		case c.waitingForMemory:
 		case lastRead == 0:
-			if now.Sub(c.since) > firstRequestTimeout {
+			if now.Sub(c.listedSince) > firstRequestTimeout {
 				silent = c
 			}
 		case now.Sub(time.UnixMicro(lastRead)) > stalledRequestTimeout:
@@ -79,73 +81,77 @@
 	return silent, stalled, oldest
 }
 
-// idleCandidateLocked returns the connection that has been idle for longest, or whose next request stalled.
+// idleCandidateLocked returns the connection that has been in idle for longest and either waits for its next request or
+// stalled in it; nil if there is none.
 func (k *clients) idleCandidateLocked(now time.Time) *client {
-	for at := k.idle.Front(); at != nil; at = at.Next() {
-		c := at.Value.(*client)
+	for elem := k.idle.Front(); elem != nil; elem = elem.Next() {
+		c := elem.Value.(*client)
 		stalled := now.Sub(time.UnixMicro(c.lastReadAt.Load())) > stalledRequestTimeout
-		if c.state == stateIdle || stalled && !c.waiting {
+		if c.state == stateIdle || stalled && !c.waitingForMemory {
 			return c
 		}
 	}
 	return nil
 }
 
-// askToEndLocked wakes the owner of a connection. If nothing of another request has come it ends the connection; if
-// a request is being read it ends the reading, and serves the request if that is complete by then. The wake is
-// given under the mutex: after the request was read it would end that, or pass for its client's leaving.
-func (k *clients) askToEndLocked(c *client) {
+// requestCloseLocked wakes the owner of a connection. If nothing of another request has arrived, the owner closes the
+// connection. If a request is being read, the owner stops reading, and serves the request if it is complete by then.
+// The deadline is set under the mutex: if it were set after the request was read, it would interrupt that request or be
+// mistaken for a disconnect of its client.
+func (k *clients) requestCloseLocked(c *client) {
 	reading := c.state == stateReading
-	c.askedToEnd = !reading
-	c.endsReading = reading
-	c.setReadDeadline(past)
+	c.closeRequested = !reading
+	c.abortReading = reading
+	c.setReadDeadline(pastDeadline)
 }
 
-// mayEnd reports whether a connection was asked to end, and nothing of a request has been read.
-func (k *clients) mayEnd(c *client) bool {
+// mayClose reports whether the owner may close a connection: that was requested, and nothing of a request has been
+// read.
+func (k *clients) mayClose(c *client) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return c.askedToEnd && (c.state == stateNew || c.state == stateIdle)
+	return c.closeRequested && (c.state == stateNew || c.state == stateIdle)
 }
 
-// closeIdleFor ends connections that were used and have had no open request for longer than age, and returns how
-// many are open. Those without a request so far have a timeout of their own.
+// closeIdleFor closes connections that have been idle for longer than age, and returns how many connections of any kind
+// are open. Connections without a request so far are left to their own timeout.
 func (k *clients) closeIdleFor(age time.Duration) int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for at := k.idle.Front(); at != nil && time.Since(at.Value.(*client).since) > age; at = at.Next() {
-		if c := at.Value.(*client); c.state == stateIdle {
-			k.askToEndLocked(c)
+	for elem := k.idle.Front(); elem != nil && time.Since(elem.Value.(*client).listedSince) > age; elem = elem.Next() {
+		if c := elem.Value.(*client); c.state == stateIdle {
+			k.requestCloseLocked(c)
 		}
 	}
 	return k.lenLocked()
 }
 
-// closeIdle ends connections that were used and have no open request; those with one end with their answers.
+// closeIdle closes idle connections; connections with an open request close with their answers from now on.
 func (k *clients) closeIdle() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.closing = true
-	for at := k.idle.Front(); at != nil; at = at.Next() {
-		if c := at.Value.(*client); c.state == stateIdle {
-			k.askToEndLocked(c)
+	for elem := k.idle.Front(); elem != nil; elem = elem.Next() {
+		if c := elem.Value.(*client); c.state == stateIdle {
+			k.requestCloseLocked(c)
 		}
 	}
 }
 
-// closeUnused ends connections without a request so far: all, or those that are not expected to send one. It
-// returns how many are expected to, or are reading another one.
+// closeUnused closes new connections that have been silent for firstRequestTimeout. If all is set, it closes every
+// connection without an open request and stops the reading of incomplete requests. It returns how many connections
+// have had no request so far or are reading a further one.
 func (k *clients) closeUnused(all bool) (expected int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
-	for _, of := range []*list.List{k.unused, k.idle} {
-		for at := of.Front(); at != nil; at = at.Next() {
-			c := at.Value.(*client)
-			if all || of == k.unused && c.state == stateNew && now.Sub(c.since) > firstRequestTimeout {
-				k.askToEndLocked(c)
+	for _, conns := range []*list.List{k.unused, k.idle} {
+		for elem := conns.Front(); elem != nil; elem = elem.Next() {
+			c := elem.Value.(*client)
+			if all || conns == k.unused && c.state == stateNew && now.Sub(c.listedSince) > firstRequestTimeout {
+				k.requestCloseLocked(c)
 			}
-			if of == k.unused || c.state == stateReading {
+			if conns == k.unused || c.state == stateReading {
 				expected++
 			}
 		}
--- a/internal/dataplane/httpfront/exchange.go
+++ b/internal/dataplane/httpfront/exchange.go
@@ -11,19 +11,19 @@
 	"birchmoor/internal/dataplane/core"
 )
 
-// exchange reads one request and gives its answer. The request must be complete by an instant or, if that is zero,
-// within RequestTimeout of its first byte. It reports whether the connection may serve another one.
-func (s *Server) exchange(c *client, until time.Time) bool {
-	r, head, ok := s.readHead(c, until)
+// exchange reads one request and answers it. The request's head must be complete by headDeadline or, if that is zero,
+// within RequestTimeout of its first byte. It reports whether the connection may serve another request.
+func (s *Server) exchange(c *client, headDeadline time.Time) bool {
+	r, head, ok := s.readHead(c, headDeadline)
 	if !ok {
 		return false
 	}
 	if r.URL.Path == readinessPath && r.ContentLength == 0 && len(r.TransferEncoding) == 0 {
 		return s.answerReadiness(c, r)
 	}
-	k, err := s.parse(c, r, head)
-	if k != nil {
-		defer func() { s.bodies.Release(k.BudgetBytes) }()
+	req, err := s.parse(c, r, head)
+	if req != nil {
+		defer func() { s.bodies.Release(req.BudgetBytes) }()
 	}
 	if err != nil {
 		c.reject(errorStatus(err), err.Error())
@@ -32,11 +32,11 @@
 	if !s.clients.beginRequest(c) {
 		return false
 	}
-	x := &exchange{server: s, client: c, request: k, closes: r.Close, mayHaveRun: true}
+	x := &exchange{server: s, client: c, request: req, clientCloses: r.Close, mayHaveRun: true}
 	if s.limits != nil {
-		ended, exceeded := s.limits.Admit(limiterRequest(k, r))
+		ended, exceeded := s.limits.Admit(limiterRequest(req, r))
 		if exceeded != nil {
-			return s.rejectOverLimit(c, k, r, exceeded)
+			return s.rejectOverLimit(c, req, r, exceeded)
 		}
 		if ended != nil {
 			defer func() { ended(x.mayHaveRun) }()
@@ -45,24 +45,25 @@
 	return x.run()
 }
 
-// readinessPath is answered here, for whoever checks whether the sidecar serves.
+// readinessPath is the path of a readiness check of the sidecar itself; it is not forwarded.
 const readinessPath = "/-/ready"
 
-// readHead reads a request up to its body, and returns its head as it was sent, too.
-func (s *Server) readHead(c *client, until time.Time) (r *http.Request, head []byte, ok bool) {
+// readHead reads a request up to its body. head is the request's head as it was sent; it may contain bytes of the body
+// as well. If ok is false, the client has been answered where possible, and the connection is to be closed.
+func (s *Server) readHead(c *client, headDeadline time.Time) (r *http.Request, head []byte, ok bool) {
 	c.limit.N = MaxHeaderBytes
 	c.paced.readTimeout = 0
 	c.paced.recording = true
 	c.paced.recorded = nil
-	if until.IsZero() {
+	if headDeadline.IsZero() {
 		c.setReadDeadline(time.Now().Add(idleTimeout))
-		if _, err := c.r.Peek(1); err != nil {
+		if _, err := c.reader.Peek(1); err != nil {
 			return nil, nil, false
 		}
-		until = time.Now().Add(RequestTimeout)
+		headDeadline = time.Now().Add(RequestTimeout)
 	}
-	c.setReadDeadline(until)
-	r, err := http.ReadRequest(c.r)
+	c.setReadDeadline(headDeadline)
+	r, err := http.ReadRequest(c.reader)
 	head = c.paced.recorded
 	c.paced.recording = false
 	c.paced.recorded = nil
@@ -75,19 +76,20 @@
 	return r, head, true
 }
 
-// answerReadiness answers a readiness check, and reports whether the connection may serve another request.
+// answerReadiness answers a readiness check with 200 or 503, and reports whether the connection may serve another
+// request.
 func (s *Server) answerReadiness(c *client, r *http.Request) bool {
-	a := newResponse(http.StatusOK, "ready")
+	resp := newResponse(http.StatusOK, "ready")
 	if s.closing.Load() || !s.loop.Ready() {
-		a = newResponse(http.StatusServiceUnavailable, "not ready")
+		resp = newResponse(http.StatusServiceUnavailable, "not ready")
 	}
 	last := r.Close || s.closing.Load()
-	return c.write(a, last) && !last && s.clients.keepOpen(c)
+	return c.write(resp, last) && !last && s.clients.keepOpen(c)
 }
 
-// errorStatus returns the status for an error of parse.
+// errorStatus returns the HTTP status for an error of parse.
 func errorStatus(err error) int {
-	var bad *badRequest
+	var bad *requestError
 	if errors.As(err, &bad) {
 		return bad.code
 	}
@@ -96,194 +98,201 @@
 
 // exchange is a request that was submitted to the event loop, until its answer has gone out.
 type exchange struct {
-	server     *Server
-	client     *client
-	request    *core.Request
-	closes     bool // the client asked for the connection to close
-	mayHaveRun bool
+	server       *Server
+	client       *client
+	request      *core.Request
+	clientCloses bool // the client asked to close the connection after the answer
+	mayHaveRun   bool // an endpoint may have run the request; the limiter is told so
 
-	uploaded <-chan error    // how the upload of a streamed body ended; nil: there is none, or it has ended
-	gone     <-chan error    // the client's leaving, once the request is complete; nil before
-	left     <-chan struct{} // its leaving while its body is still coming
+	uploadResult     <-chan error    // how the upload of a streamed body ended; nil if there is none, or it has ended
+	clientWatch      <-chan error    // the channel of client.watch; nil before the request is complete
+	leftDuringUpload <-chan struct{} // closed if the client disconnects while its body is still arriving
 }
 
-// run submits the request, and returns once its answer has gone out. It reports whether the connection may serve
-// another one.
+// run submits the request, and returns once its answer has been written or the client has left. It reports whether the
+// connection may serve another request.
 func (x *exchange) run() bool {
-	s, k := x.server, x.request
-	if up := k.Payload.(*message).upload; up != nil {
-		x.uploaded = up.ended
-		x.left, up.endWatch = x.client.watchDuringUpload()
+	s, req := x.server, x.request
+	if bodyUpload := req.Payload.(*message).upload; bodyUpload != nil {
+		x.uploadResult = bodyUpload.result
+		x.leftDuringUpload, bodyUpload.endWatch = x.client.watchDuringUpload()
 	} else {
-		x.gone = s.requestComplete(x.client, k)
+		x.clientWatch = s.requestComplete(x.client, req)
 	}
-	s.loop.Submit(k)
+	s.loop.Submit(req)
 	for {
 		select {
-		case err := <-x.uploaded:
-			x.uploaded = nil
+		case err := <-x.uploadResult:
+			x.uploadResult = nil
 			if err != nil {
 				return x.uploadFailed(err)
 			}
-			x.gone = s.requestComplete(x.client, k)
-		case a := <-k.Answer:
-			return x.answered(a)
-		case <-x.left:
-			// As if it had left after its body, which is not read any more.
-			s.loop.ClientLeft(k)
-			return s.answerEarly(x.client, k, x.awaitAnswer())
-		case err := <-x.gone:
+			x.clientWatch = s.requestComplete(x.client, req)
+		case answer := <-req.Answer:
+			return x.answered(answer)
+		case <-x.leftDuringUpload:
+			// The client left before the end of its body. It is treated as if it had left after that, and the body is not
+			// read any more.
+			s.loop.ClientLeft(req)
+			return s.answerEarly(x.client, req, x.awaitAnswer())
+		case err := <-x.clientWatch:
 			return x.clientLeft(err)
 		}
 	}
 }
 
-// awaitAnswer returns the final answer.
+// awaitAnswer waits for the final answer, and sets mayHaveRun from it.
 func (x *exchange) awaitAnswer() core.Answer {
-	a := <-x.request.Answer
-	x.mayHaveRun = a.MayHaveRun
-	return a
+	answer := <-x.request.Answer
+	x.mayHaveRun = answer.MayHaveRun
+	return answer
 }
 
-// uploadFailed ends an exchange whose body could not be passed on, by the client's fault or an endpoint's.
+// uploadFailed ends an exchange whose body could not be forwarded. A *bodyError means that the client is the cause, and
+// it gets a 4xx response; otherwise the endpoint is, and the client gets the final answer.
 func (x *exchange) uploadFailed(err error) bool {
-	s, k := x.server, x.request
-	var fault *clientError
-	if errors.As(err, &fault) {
-		s.loop.ClientLeft(k)
-		a := <-k.Answer
-		a.Discard()
-		s.rejectBody(x.client, fault)
+	s, req := x.server, x.request
+	var bodyErr *bodyError
+	if errors.As(err, &bodyErr) {
+		s.loop.ClientLeft(req)
+		answer := <-req.Answer
+		answer.Discard()
+		s.rejectBody(x.client, bodyErr)
 		return false
 	}
-	return s.answerEarly(x.client, k, x.awaitAnswer())
+	return s.answerEarly(x.client, req, x.awaitAnswer())
 }
 
-// answered ends an exchange with the final answer.
-func (x *exchange) answered(a core.Answer) bool {
-	s, c, k := x.server, x.client, x.request
-	x.mayHaveRun = a.MayHaveRun
-	if x.gone == nil {
-		// The last byte of the body may have gone out just before.
+// answered writes the final answer and so ends the exchange. If the body is still arriving, it answers early.
+func (x *exchange) answered(answer core.Answer) bool {
+	s, c, req := x.server, x.client, x.request
+	x.mayHaveRun = answer.MayHaveRun
+	if x.clientWatch == nil {
+		// The last byte of the body may have been forwarded just before the answer.
 		select {
-		case err := <-x.uploaded:
+		case err := <-x.uploadResult:
 			if err == nil {
-				x.gone = s.requestComplete(c, k)
+				x.clientWatch = s.requestComplete(c, req)
 			}
 		default:
 		}
 	}
-	if x.gone == nil {
-		return s.answerEarly(c, k, a)
+	if x.clientWatch == nil {
+		return s.answerEarly(c, req, answer)
 	}
-	c.setReadDeadline(past)
-	if err := <-x.gone; err == nil {
-		a.Discard()
-		s.countEnd(k, core.Failed)
+	c.setReadDeadline(pastDeadline)
+	if err := <-x.clientWatch; err == nil {
+		answer.Discard()
+		s.countEnd(req, core.Failed)
 		c.reject(http.StatusBadRequest, surplusReason)
 		return false
 	}
-	return s.answer(c, k, a, x.closes)
+	return s.answer(c, req, answer, x.clientCloses)
 }
 
-// clientLeft ends an exchange whose client closed its connection, ended its sending, or sent more than its request.
+// clientLeft ends an exchange whose client closed its connection, closed its sending side, or sent more bytes after its
+// request. err is the result of the watch.
 func (x *exchange) clientLeft(err error) bool {
-	s, c, k := x.server, x.client, x.request
-	s.loop.ClientLeft(k)
-	a := x.awaitAnswer()
+	s, c, req := x.server, x.client, x.request
+	s.loop.ClientLeft(req)
+	answer := x.awaitAnswer()
 	if errors.Is(err, io.EOF) {
-		// The end of sending is taken for the client's leaving, and nothing begins for it any more. A client that
-		// still listens gets an answer that says so.
-		return s.answer(c, k, a, true)
+		// The end of the client's sending side counts as a disconnect, and no attempt begins any more. The client may
+		// still be reading, so it gets an answer.
+		return s.answer(c, req, answer, true)
 	}
-	a.Discard()
-	s.countEnd(k, core.Failed)
+	answer.Discard()
+	s.countEnd(req, core.Failed)
 	if err == nil {
 		c.reject(http.StatusBadRequest, surplusReason)
 	}
 	return false
 }
 
-// limiterRequest returns what quotas read of a request.
-func limiterRequest(k *core.Request, r *http.Request) *core.LimiterRequest {
-	a := &core.LimiterRequest{Class: k.Class, Path: r.URL.Path, Header: r.Header.Get, PriorityWeight: 1}
-	if k.Input.HasHint {
-		a.CostMs = k.Input.Hint
+// limiterRequest returns the properties of a request that quotas depend on. Its priority weight is relative to that of
+// the highest class: 1 for that class.
+func limiterRequest(req *core.Request, r *http.Request) *core.LimiterRequest {
+	limiterReq := &core.LimiterRequest{Class: req.Class, Path: r.URL.Path, Header: r.Header.Get, PriorityWeight: 1}
+	if req.Input.HasHint {
+		limiterReq.CostMs = req.Input.Hint
 	}
 	highest := 0.0
-	for _, c := range k.Config.Settings.Classes {
-		highest = max(highest, c.PriorityWeight)
+	for _, class := range req.Config.Settings.Classes {
+		highest = max(highest, class.PriorityWeight)
 	}
 	if highest > 0 {
-		a.PriorityWeight = k.Config.Settings.Classes[k.Input.Class].PriorityWeight / highest
+		limiterReq.PriorityWeight = req.Config.Settings.Classes[req.Input.Class].PriorityWeight / highest
 	}
-	return a
+	return limiterReq
 }
 
-// rejectOverLimit rejects a request that is over a quota of the fleet. It was not submitted.
-func (s *Server) rejectOverLimit(c *client, k *core.Request, r *http.Request, exceeded *core.LimitExceeded) bool {
+// rejectOverLimit answers 429 to a request that exceeds a quota of the fleet. The request was not submitted to the
+// event loop.
+func (s *Server) rejectOverLimit(c *client, req *core.Request, r *http.Request, exceeded *core.LimitExceeded) bool {
 	s.figures.LimitRejections(exceeded.Limit).Inc()
-	s.figures.Class(k.Class).Deferred.Inc()
+	s.figures.Class(req.Class).Deferred.Inc()
 	s.allRejected.recordRejection(s.figures, s.log)
-	a := newResponse(http.StatusTooManyRequests, "limited: "+exceeded.Limit)
-	a.setRetryAfter(exceeded.RetryAfter)
+	resp := newResponse(http.StatusTooManyRequests, "limited: "+exceeded.Limit)
+	resp.setRetryAfter(exceeded.RetryAfter)
 	last := r.Close || s.closing.Load()
-	if up := k.Payload.(*message).upload; up != nil { // its body is still coming
-		c.write(a, true)
-		c.linger(up.body, MaxBody, bodyGrace)
+	if bodyUpload := req.Payload.(*message).upload; bodyUpload != nil { // the request's body is still arriving
+		c.write(resp, true)
+		c.linger(bodyUpload.body, MaxBody, bodyGrace)
 		return false
 	}
-	written := s.write(c, a, last)
+	written := s.write(c, resp, last)
 	s.clients.endRequest(c)
 	return written && !last
 }
 
-// requestComplete notes that the last byte of a request has come, and watches its client.
-func (s *Server) requestComplete(c *client, k *core.Request) <-chan error {
-	s.clients.expect(c, time.Duration(k.TimeAfterBody)*time.Microsecond+maxAnswerMargin)
+// requestComplete records that the last byte of a request has arrived: the request is in flight from now on, and its
+// deadline is known. It returns the watch for its client.
+func (s *Server) requestComplete(c *client, req *core.Request) <-chan error {
+	s.clients.expect(c, time.Duration(req.TimeAfterBody)*time.Microsecond+maxAnswerMargin)
 	c.paced.readTimeout = 0
 	s.figures.InFlight.Add(1)
 	return c.watch()
 }
 
-// answerEarly gives the answer while the body is still coming, and reads the rest for a while: closing the
-// connection with unread bytes would reset it, and the answer with it.
-func (s *Server) answerEarly(c *client, k *core.Request, a core.Answer) bool {
-	a.Discard()
-	if a.Disposition == core.Served {
-		a.Disposition = core.Failed // it answers a part of a body
+// answerEarly writes the answer while the client's body is still arriving, and then discards the rest of the body for a
+// while: closing the connection with unread bytes would reset it, and the client could lose the answer.
+func (s *Server) answerEarly(c *client, req *core.Request, answer core.Answer) bool {
+	answer.Discard()
+	if answer.Disposition == core.Served {
+		answer.Disposition = core.Failed // the endpoint answered an incomplete body
 	}
 	s.figures.InFlight.Add(1)
-	s.countEnd(k, a.Disposition)
-	s.write(c, responseTo(a), true)
-	up := k.Payload.(*message).upload
-	up.endWatch()
-	up.halted.Store(true)
-	if up.taken.Load() {
-		c.setReadDeadline(past)
-		<-up.unread
+	s.countEnd(req, answer.Disposition)
+	s.write(c, responseTo(answer), true)
+	bodyUpload := req.Payload.(*message).upload
+	bodyUpload.endWatch()
+	bodyUpload.halted.Store(true)
+	if bodyUpload.readStarted.Load() {
+		c.setReadDeadline(pastDeadline)
+		<-bodyUpload.readEnded
 	}
-	c.linger(up.body, MaxBody, bodyGrace)
+	c.linger(bodyUpload.body, MaxBody, bodyGrace)
 	return false
 }
 
-// rejectBody answers a client whose body did not come as announced.
-func (s *Server) rejectBody(c *client, fault *clientError) {
-	var timeout net.Error
+// rejectBody answers 413, 408 or 400 to a client whose body was too long, too slow or otherwise not as announced.
+func (s *Server) rejectBody(c *client, bodyErr *bodyError) {
+	var netErr net.Error
 	switch {
-	case errors.Is(fault, errLongBody):
-		c.reject(http.StatusRequestEntityTooLarge, fault.Error())
-	case errors.Is(fault, errSlowBody), errors.As(fault, &timeout) && timeout.Timeout():
-		c.reject(http.StatusRequestTimeout, fault.Error())
+	case errors.Is(bodyErr, errLongBody):
+		c.reject(http.StatusRequestEntityTooLarge, bodyErr.Error())
+	case errors.Is(bodyErr, errSlowBody), errors.As(bodyErr, &netErr) && netErr.Timeout():
+		c.reject(http.StatusRequestTimeout, bodyErr.Error())
 	default:
-		c.reject(http.StatusBadRequest, fault.Error())
+		c.reject(http.StatusBadRequest, bodyErr.Error())
 	}
 }
 
-// countEnd counts the end of a request. Each request that beginRequest accepted comes here once.
-func (s *Server) countEnd(k *core.Request, disposition core.Disposition) {
+// countEnd counts the end of a request by its disposition. It is called once for each request that was counted in
+// InFlight.
+func (s *Server) countEnd(req *core.Request, disposition core.Disposition) {
 	s.figures.InFlight.Add(-1)
-	class := s.figures.Class(k.Class)
+	class := s.figures.Class(req.Class)
 	switch disposition {
 	case core.Served:
 		class.Answered.Inc()
@@ -295,15 +304,16 @@
 	}
 }
 
-// surplusReason rejects a client that sends more before it has its answer: the length was wrong, or it sends requests
-// ahead.
+// surplusReason is sent to a client that sends more bytes before it has its answer: the length of its body was wrong,
+// or it pipelines requests, which is not supported.
 const surplusReason = "more was sent than the request's length tells"
 
-// errorCode returns the status for what is not a request, 0 if the client has sent nothing or has left.
+// errorCode returns the HTTP status for an error of reading a request's head, or 0 if no response is due because the
+// client has sent nothing or has left.
 func (s *Server) errorCode(c *client, err error) int {
-	var timeout net.Error
+	var netErr net.Error
 	switch {
-	case errors.As(err, &timeout) && timeout.Timeout():
+	case errors.As(err, &netErr) && netErr.Timeout():
 		if c.limit.N == MaxHeaderBytes {
 			return 0
 		}
--- a/internal/dataplane/httpfront/idleclose_test.go
+++ b/internal/dataplane/httpfront/idleclose_test.go
@@ -12,12 +12,12 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// idleConn is a connection that has had an answer, whose owner does what the test says, step by step.
+// idleConn is a client's connection whose last request was answered. Its owner runs the steps that the test gives it.
 type idleConn struct {
 	clients   *clients
-	owned     *client
-	clientEnd *net.TCPConn // the client's end
-	steps     chan func()
+	serverEnd *client
+	clientEnd *net.TCPConn
+	steps     chan func() // closed to have the owner return
 	ended     chan struct{}
 }
 
@@ -28,37 +28,37 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	there, err := net.Dial("tcp", ln.Addr().String())
+	clientEnd, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	here, err := ln.Accept()
+	serverEnd, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &idleConn{clientEnd: there.(*net.TCPConn), steps: make(chan func()), ended: make(chan struct{})}
-	t.Cleanup(func() { there.Close() })
-	if err := there.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout)); err != nil {
+	r := &idleConn{clientEnd: clientEnd.(*net.TCPConn), steps: make(chan func()), ended: make(chan struct{})}
+	t.Cleanup(func() { clientEnd.Close() })
+	if err := clientEnd.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout)); err != nil {
 		t.Fatal(err)
 	}
-	got := make(chan *client)
+	added := make(chan *client)
 	r.clients = newClients(4, func(c *client) {
-		got <- c
-		for do := range r.steps {
-			do()
+		added <- c
+		for step := range r.steps {
+			step()
 		}
 	}, new(metrics.Counter), sidecartest.DiscardLog)
-	r.clients.add(here)
-	r.owned = <-got
-	r.do(func() {
-		r.clients.beginRequest(r.owned)
-		r.clients.endRequest(r.owned)
+	r.clients.add(serverEnd)
+	r.serverEnd = <-added
+	r.runAsOwner(func() {
+		r.clients.beginRequest(r.serverEnd)
+		r.clients.endRequest(r.serverEnd)
 	})
 	return r
 }
 
-// do runs f in the owner's goroutine.
-func (r *idleConn) do(f func()) {
+// runAsOwner runs f in the owner's goroutine, and returns once f has returned.
+func (r *idleConn) runAsOwner(f func()) {
 	done := make(chan struct{})
 	r.steps <- func() {
 		defer close(done)
@@ -70,22 +70,23 @@
 // requestLine is the beginning of a request.
 const requestLine = "GET / HTTP/1.1\r\n"
 
-// arrive sends requestLine, and waits until it is in the receive buffer of the other end.
-func (r *idleConn) arrive(t *testing.T) {
+// sendRequestLine sends requestLine, and waits until it is in the receive buffer of the server's end.
+func (r *idleConn) sendRequestLine(t *testing.T) {
 	t.Helper()
 	write(t, r.clientEnd, requestLine)
-	waitUntil(t, "bytes at the other end", func() bool {
+	waitUntil(t, "arrival of the request line in the server's receive buffer", func() bool {
 		n := 0
-		err := r.owned.raw.Control(func(fd uintptr) {
+		err := r.serverEnd.raw.Control(func(fd uintptr) {
 			n, _, _ = syscall.Recvfrom(int(fd), make([]byte, len(requestLine)), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		})
 		return err == nil && n == len(requestLine)
 	})
 }
 
-// A request on an idle connection races with the connection's close. If it is read first, it is served. If it
-// arrived and was not read, the final read finds it, and it is served. If it arrives after the final read, it is
-// not accepted, and the client sees the connection end, not a reset, so that it can send the request on another.
+// TestCloseOfIdleConnectionRacesWithRequest has a request arrive while its idle connection is closed. If the request is
+// read before the close, it is served. If it arrived but was not read, the final read finds it, and it is served. If it
+// arrives after the final read, it is not accepted, and the client sees the connection end without a reset, so that it
+// can send the request on another connection.
 func TestCloseOfIdleConnectionRacesWithRequest(t *testing.T) {
 	buf := make([]byte, 64)
 	closers := map[string]func(k *clients){
@@ -93,47 +94,47 @@
 		"settle": func(k *clients) { k.closeIdleFor(-time.Second) },
 	}
 	for name, closeAll := range closers {
-		t.Run(name+", read first", func(t *testing.T) {
+		t.Run(name+", request read before", func(t *testing.T) {
 			r := newIdleConn(t)
 			write(t, r.clientEnd, requestLine)
-			r.do(func() { _, _ = r.owned.Read(buf) })
+			r.runAsOwner(func() { _, _ = r.serverEnd.Read(buf) })
 			closeAll(r.clients)
-			var taken bool
-			r.do(func() { taken = r.clients.beginRequest(r.owned) })
-			if !taken {
-				t.Error("what was read is not served")
+			var accepted bool
+			r.runAsOwner(func() { accepted = r.clients.beginRequest(r.serverEnd) })
+			if !accepted {
+				t.Error("a request that was read before the close is not accepted")
 			}
 			close(r.steps)
 			r.clients.serving.Wait()
 		})
-		t.Run(name+", there and not read", func(t *testing.T) {
+		t.Run(name+", request arrived but not read", func(t *testing.T) {
 			r := newIdleConn(t)
-			r.arrive(t)
+			r.sendRequestLine(t)
 			closeAll(r.clients)
 			var n int
-			var taken bool
-			r.do(func() {
-				n, _ = r.owned.Read(buf)
-				taken = r.clients.beginRequest(r.owned)
+			var accepted bool
+			r.runAsOwner(func() {
+				n, _ = r.serverEnd.Read(buf)
+				accepted = r.clients.beginRequest(r.serverEnd)
 			})
-			if n != len(requestLine) || !taken {
-				t.Errorf("read %d bytes, taken %v", n, taken)
+			if n != len(requestLine) || !accepted {
+				t.Errorf("final read: %d bytes, request accepted: %v; want the request line, accepted", n, accepted)
 			}
 			close(r.steps)
 			r.clients.serving.Wait()
 		})
-		t.Run(name+", behind the last look", func(t *testing.T) {
+		t.Run(name+", request arrives after the final read", func(t *testing.T) {
 			r := newIdleConn(t)
 			closeAll(r.clients)
 			var err error
-			r.do(func() { _, err = r.owned.Read(buf) })
+			r.runAsOwner(func() { _, err = r.serverEnd.Read(buf) })
 			if !errors.Is(err, net.ErrClosed) {
-				t.Errorf("last look: %v, want the end", err)
+				t.Errorf("final read: error %v, want net.ErrClosed", err)
 			}
-			r.arrive(t)
-			r.do(func() { _, err = r.owned.Read(buf) })
-			if !errors.Is(err, net.ErrClosed) || r.clients.beginRequest(r.owned) {
-				t.Errorf("a request behind the last look is read: %v", err)
+			r.sendRequestLine(t)
+			r.runAsOwner(func() { _, err = r.serverEnd.Read(buf) })
+			if !errors.Is(err, net.ErrClosed) || r.clients.beginRequest(r.serverEnd) {
+				t.Errorf("a request after the final read is read or accepted: error %v, want net.ErrClosed", err)
 			}
 			close(r.steps)
 			if _, err := r.clientEnd.Read(buf); !errors.Is(err, io.EOF) {
@@ -144,77 +145,77 @@
 		})
 	}
 	for name, closeAll := range closers {
-		t.Run(name+", while it is read", func(t *testing.T) {
+		t.Run(name+", during the read", func(t *testing.T) {
 			r := newIdleConn(t)
-			r.arrive(t)
-			looks := make(chan struct{})
-			raw := r.owned.raw
+			r.sendRequestLine(t)
+			reads := make(chan struct{})
+			raw := r.serverEnd.raw
 			got := make(chan int)
-			go r.do(func() {
-				r.owned.raw = &blockingRawConn{RawConn: raw, looks: looks}
-				n, _ := r.owned.Read(buf)
-				r.owned.raw = raw
+			go r.runAsOwner(func() {
+				r.serverEnd.raw = &blockingRawConn{RawConn: raw, reads: reads}
+				n, _ := r.serverEnd.Read(buf)
+				r.serverEnd.raw = raw
 				got <- n
 			})
-			sidecartest.Receive(t, looks, "a read that begins")
+			sidecartest.Receive(t, reads, "start of a read")
 			closeAll(r.clients)
-			looks <- struct{}{}
-			if n := sidecartest.Receive(t, got, "the read"); n != len(requestLine) {
-				t.Errorf("read %d bytes", n)
+			reads <- struct{}{}
+			if n := sidecartest.Receive(t, got, "result of the read"); n != len(requestLine) {
+				t.Errorf("read %d bytes, want the request line", n)
 			}
-			// The owner was woken for nothing: it reads on.
+			// The close came after the request had begun to be read, so that the owner reads on.
 			write(t, r.clientEnd, "Host: a")
 			var err error
-			r.do(func() { _, err = r.owned.Read(buf) })
+			r.runAsOwner(func() { _, err = r.serverEnd.Read(buf) })
 			if err != nil {
-				t.Errorf("the rest of the request: %v", err)
+				t.Errorf("reading the rest of the request: %v", err)
 			}
 			close(r.steps)
 			r.clientEnd.Close()
 			r.clients.serving.Wait()
 		})
 	}
-	t.Run("behind the last answer", func(t *testing.T) {
+	t.Run("request after the last answer", func(t *testing.T) {
 		r := newIdleConn(t)
-		r.do(func() {
-			r.clients.beginRequest(r.owned)
-			r.clients.endRequest(r.owned)
+		r.runAsOwner(func() {
+			r.clients.beginRequest(r.serverEnd)
+			r.clients.endRequest(r.serverEnd)
 		})
-		r.arrive(t)
-		close(r.steps) // its answer said that it is the last
+		r.sendRequestLine(t)
+		close(r.steps) // the answer announced the close of the connection
 		if _, err := r.clientEnd.Read(buf); !errors.Is(err, io.EOF) {
 			t.Errorf("the client finds %v, want the end in order", err)
 		}
 		r.clientEnd.Close()
 		r.clients.serving.Wait()
 	})
-	t.Run("stop, while the owner waits", func(t *testing.T) {
+	t.Run("stop while the owner waits for a request", func(t *testing.T) {
 		r := newIdleConn(t)
 		got := make(chan error)
-		go r.do(func() {
-			_, err := r.owned.Read(buf)
+		go r.runAsOwner(func() {
+			_, err := r.serverEnd.Read(buf)
 			got <- err
 		})
 		r.clients.closeIdle()
-		if err := sidecartest.Receive(t, got, "end of the wait"); !errors.Is(err, net.ErrClosed) {
-			t.Errorf("the owner is told %v", err)
+		if err := sidecartest.Receive(t, got, "end of the owner's read"); !errors.Is(err, net.ErrClosed) {
+			t.Errorf("the owner's read: error %v, want net.ErrClosed", err)
 		}
 		close(r.steps)
 		r.clientEnd.Close()
 		r.clients.serving.Wait()
 	})
-	t.Run("stop, before the answer is out", func(t *testing.T) {
+	t.Run("stop before the answer is written", func(t *testing.T) {
 		r := newIdleConn(t)
-		r.do(func() {
-			_, _ = r.owned.Read(buf[:0])
-			r.clients.beginRequest(r.owned)
+		r.runAsOwner(func() {
+			_, _ = r.serverEnd.Read(buf[:0])
+			r.clients.beginRequest(r.serverEnd)
 		})
 		r.clients.closeIdle()
-		r.do(func() { r.clients.endRequest(r.owned) })
+		r.runAsOwner(func() { r.clients.endRequest(r.serverEnd) })
 		var err error
-		r.do(func() { _, err = r.owned.Read(buf) })
+		r.runAsOwner(func() { _, err = r.serverEnd.Read(buf) })
 		if !errors.Is(err, net.ErrClosed) {
-			t.Errorf("after its answer it stays open: %v", err)
+			t.Errorf("a read after the last answer: error %v, want net.ErrClosed", err)
 		}
 		close(r.steps)
 		r.clientEnd.Close()
@@ -222,16 +223,16 @@
 	})
 }
 
-// blockingRawConn blocks each read until the test lets it proceed.
+// blockingRawConn blocks each read twice on reads: when it begins, and until the test lets it proceed.
 type blockingRawConn struct {
 	syscall.RawConn
-	looks chan struct{}
+	reads chan struct{}
 }
 
 func (r *blockingRawConn) Read(f func(fd uintptr) bool) error {
 	return r.RawConn.Read(func(fd uintptr) bool {
-		r.looks <- struct{}{}
-		<-r.looks
+		r.reads <- struct{}{}
+		<-r.reads
 		return f(fd)
 	})
 }
--- a/internal/dataplane/httpfront/message.go
+++ b/internal/dataplane/httpfront/message.go
@@ -11,18 +11,20 @@
 	"birchmoor/balancer"
 )
 
-// message is a client's request as it is forwarded, but for the time left.
+// message is a client's request as it is forwarded to endpoints. The remaining time is added for each attempt.
 type message struct {
 	method, uri, host string
 	header            http.Header // end-to-end headers
 	body              []byte      // the complete body, or the beginning of upload
-	upload            *upload     // nil if body is complete
+	upload            *upload     // the rest of a streamed body; nil if body is complete
 }
 
-// millisLeft returns the time left as it is sent to an endpoint, in milliseconds rounded up: 0 only if none is left.
+// millisLeft converts the remaining time to milliseconds as they are sent to an endpoint, rounded up: it returns 0 only
+// if no time is left.
 func millisLeft(left balancer.Micros) balancer.Micros { return (max(0, left) + 999) / 1000 }
 
-// bytes returns the request in one piece, with the time that is left for it in milliseconds, if any.
+// bytes returns the encoded request, for a streamed body with its beginning. leftMs is the remaining time in
+// milliseconds that the endpoint is told; 0 adds no header for it.
 func (m *message) bytes(leftMs int64) []byte {
 	var b bytes.Buffer
 	b.Grow(512 + len(m.body))
@@ -48,8 +50,9 @@
 	return b.Bytes()
 }
 
-// parseLoad reads a load report of the form "TEXT name=value, name=value" in the order of fields. A figure that is
-// missing or invalid is NaN, never zero; a report without any valid figure is nil.
+// parseLoad parses a load report of the form "TEXT name=value, name=value", and returns its values in the order of
+// fields. A value that is missing or invalid is NaN, never 0, which would mean an idle endpoint. The result is nil if
+// no value is valid.
 func parseLoad(fields []string, text string) []float32 {
 	text = strings.TrimPrefix(strings.TrimSpace(text), "TEXT ")
 	load := make([]float32, len(fields))
@@ -59,13 +62,13 @@
 	found := false
 	for _, pair := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
-		v, err := strconv.ParseFloat(strings.TrimSpace(value), 32)
-		if err != nil || !(v >= 0) || math.IsInf(v, 0) {
+		number, err := strconv.ParseFloat(strings.TrimSpace(value), 32)
+		if err != nil || !(number >= 0) || math.IsInf(number, 0) {
 			continue
 		}
 		for i, f := range fields {
 			if f == strings.TrimSpace(name) {
-				load[i] = float32(v)
+				load[i] = float32(number)
 				found = true
 			}
 		}
--- a/internal/dataplane/httpfront/overdue.go
+++ b/internal/dataplane/httpfront/overdue.go
@@ -3,40 +3,40 @@
 import "time"
 
 const (
-	unansweredGrace = 500 * time.Millisecond // after its time, when a request without an answer counts as unanswered
-	overdueInterval = time.Second            // between two looks for such requests
+	unansweredGrace = 500 * time.Millisecond // from a request's deadline until it counts as unanswered
+	overdueInterval = time.Second            // between two scans for such requests
 )
 
-// overdueLocked counts a request that has no answer unansweredGrace after its time.
+// overdueLocked counts the open request of a connection, once, if it has no answer unansweredGrace after its deadline.
 func (k *clients) overdueLocked(c *client, now time.Time) {
 	if c.dueAt.IsZero() || now.Before(c.dueAt) {
 		return
 	}
-	k.overdue++
+	k.unloggedOverdue++
 	c.dueAt = time.Time{}
 	k.unanswered.Inc()
 }
 
-// reportOverdue counts and logs overdue requests, and is called again while any request is open.
+// reportOverdue counts and logs overdue requests, and schedules its next call if any request is open.
 func (k *clients) reportOverdue() {
 	k.mu.Lock()
 	now := time.Now()
-	for at := k.active.Front(); at != nil; at = at.Next() {
-		k.overdueLocked(at.Value.(*client), now)
+	for elem := k.active.Front(); elem != nil; elem = elem.Next() {
+		k.overdueLocked(elem.Value.(*client), now)
 	}
-	late, open := k.overdue, k.active.Len()
-	k.overdue = 0
+	overdue, open := k.unloggedOverdue, k.active.Len()
+	k.unloggedOverdue = 0
 	k.timerRunning = open > 0
 	if k.timerRunning {
 		k.overdueTimer.Reset(overdueInterval)
 	}
 	k.mu.Unlock()
-	if late > 0 {
-		k.log.Warn("requests had no answer half a second past their time", "requests", late, "open", open)
+	if overdue > 0 {
+		k.log.Warn("requests had no answer half a second after their deadlines", "requests", overdue, "open", open)
 	}
 }
 
-// scheduleReportLocked has reportOverdue called at intervals while any request is open.
+// scheduleReportLocked arms the timer that calls reportOverdue, unless it is armed.
 func (k *clients) scheduleReportLocked() {
 	switch {
 	case k.timerRunning:
@@ -48,15 +48,15 @@
 	k.timerRunning = true
 }
 
-// expect notes how long the client of a complete request waits for its answer.
+// expect records that the client of a complete request waits for its answer for left from now on.
 func (k *clients) expect(c *client, left time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	c.dueAt = time.Now().Add(left + unansweredGrace)
 }
 
-// answerStarted notes that the answer to a request has begun to go out: how long the rest takes depends on its
-// endpoint.
+// answerStarted records that a streamed answer begins to go out. From now on the request cannot become overdue, since
+// the endpoint decides how long the rest of its answer takes.
 func (k *clients) answerStarted(c *client) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/dataplane/httpfront/parse.go
+++ b/internal/dataplane/httpfront/parse.go
@@ -21,21 +21,21 @@
 	"birchmoor/internal/dataplane/core"
 )
 
-// badRequest is a request that is not accepted.
-type badRequest struct {
-	code   int // status
+// requestError is the reason why a request is not accepted. The client gets it as the response.
+type requestError struct {
+	code   int // HTTP status
 	reason string
 }
 
-// Error returns the reason.
-func (e *badRequest) Error() string { return e.reason }
+// Error returns the reason, which is the body of the response.
+func (e *requestError) Error() string { return e.reason }
 
-func newBadRequest(code int, format string, args ...any) error {
-	return &badRequest{code, fmt.Sprintf(format, args...)}
+func newRequestError(code int, format string, args ...any) error {
+	return &requestError{code, fmt.Sprintf(format, args...)}
 }
 
-// parse checks a request and reads its body, or the beginning of a long one. If it returns a request beside an
-// error, its budget is to be released.
+// parse checks a request and reads its body, or the beginning of a long one. head is the request's head as it was sent.
+// A request that is returned together with an error is not to be submitted, but its BudgetBytes are to be released.
 func (s *Server) parse(conn *client, r *http.Request, head []byte) (*core.Request, error) {
 	config := s.loop.ConfigSnapshot()
 	if err := checkHead(r, head); err != nil {
@@ -47,7 +47,7 @@
 	}
 	id := r.Header.Get("X-Trace-Id")
 	if id == "" {
-		return nil, newBadRequest(http.StatusBadRequest, "X-Trace-Id is missing")
+		return nil, newRequestError(http.StatusBadRequest, "X-Trace-Id is missing")
 	}
 	settings := &config.Settings.Classes[class]
 	if err := checkMethod(r, settings, config.Classes[class]); err != nil {
@@ -57,7 +57,7 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &core.Request{
+	req := &core.Request{
 		ID:            id,
 		Class:         config.Classes[class],
 		Config:        config,
@@ -66,61 +66,63 @@
 		ClientGone:    conn.hasLeft,
 		Input: balancer.Request{
 			Class:  uint8(class),
-			Tenant: tenant(config.Config, r),
+			Tenant: tenantIndex(config.Config, r),
 			Rules:  config.Rules,
-			Key:    idempotencyKey(r.Header.Get("X-Object")),
+			Key:    objectKey(r.Header.Get("X-Object")),
 			Retry:  r.Header.Get("X-Second-Try") == "1",
 		},
 	}
 	if hint, err := strconv.ParseInt(r.Header.Get("X-Size-Hint"), 10, 64); err == nil && hint > 0 {
-		k.Input.Hint = hint
-		k.Input.HasHint = true
+		req.Input.Hint = hint
+		req.Input.HasHint = true
 	}
-	out := &message{method: r.Method, uri: r.RequestURI, host: r.Host, header: http.Header{}}
-	k.Payload = out
-	if err := s.body(conn, r, k); err != nil {
-		return k, err
+	msg := &message{method: r.Method, uri: r.RequestURI, host: r.Host, header: http.Header{}}
+	req.Payload = msg
+	if err := s.body(conn, r, req); err != nil {
+		return req, err
 	}
-	// The time of a request counts from its last byte.
-	k.Input.Deadline = s.loop.Now() + k.TimeAfterBody
-	if out.upload != nil {
-		k.StreamsBody = true
-		k.Input.BodyStreaming = true
-		k.Input.Deadline = s.loop.Now() + maxUploadTime.Microseconds()
+	// The client's timeout counts from the last byte of its request. For a streamed body that byte is still to come.
+	req.Input.Deadline = s.loop.Now() + req.TimeAfterBody
+	if msg.upload != nil {
+		req.StreamsBody = true
+		req.Input.BodyStreaming = true
+		req.Input.Deadline = s.loop.Now() + maxUploadTime.Microseconds()
 	}
 	for name, values := range r.Header {
-		if !hopByHop(name, r.Header) && name != "X-Expires-In-Ms" {
-			out.header[name] = values
+		if !isHopByHop(name, r.Header) && name != "X-Expires-In-Ms" {
+			msg.header[name] = values
 		}
 	}
-	return k, nil
+	return req, nil
 }
 
-// checkHead checks what does not depend on the configuration.
+// checkHead checks what does not depend on the configuration: version, framing, target and the form of headers.
 func checkHead(r *http.Request, head []byte) error {
 	switch {
 	case !r.ProtoAtLeast(1, 1) || r.ProtoMajor != 1:
-		return newBadRequest(http.StatusHTTPVersionNotSupported, "this version of HTTP is not spoken here")
+		return newRequestError(http.StatusHTTPVersionNotSupported, "this version of HTTP is not spoken here")
 	case len(r.TransferEncoding) > 0 && hasLength(head):
-		// A server that goes by one of the headers may find a request in what is a body by the other.
-		return newBadRequest(http.StatusBadRequest, "a Content-Length or chunks, not both")
+		// Request smuggling: a server that goes by one of the two headers may read a request in what is a body by the
+		// other.
+		return newRequestError(http.StatusBadRequest, "a Content-Length or chunks, not both")
 	case r.ContentLength > MaxBody:
-		return newBadRequest(http.StatusRequestEntityTooLarge, "the body is over %d bytes", MaxBody)
+		return newRequestError(http.StatusRequestEntityTooLarge, "the body is over %d bytes", MaxBody)
 	case !strings.HasPrefix(r.RequestURI, "/"):
-		return newBadRequest(http.StatusBadRequest, "the target must be a path")
+		return newRequestError(http.StatusBadRequest, "the target must be a path")
 	case !isVisibleASCII(r.Host):
-		return newBadRequest(http.StatusBadRequest, "Host makes no sense")
+		return newRequestError(http.StatusBadRequest, "Host makes no sense")
 	}
 	for _, name := range []string{"X-Trace-Id", "X-Qos", "X-Expires-In-Ms", "Idempotency-Key"} {
 		values := r.Header[name]
 		if len(values) > 1 || len(values) == 1 && !isVisibleASCII(values[0]) {
-			return newBadRequest(http.StatusBadRequest, "%s makes no sense", name)
+			return newRequestError(http.StatusBadRequest, "%s makes no sense", name)
 		}
 	}
 	return nil
 }
 
-// classOf returns the index of a request's class, which is named by a header, by the path, or by both alike.
+// classOf returns the index of a request's class. The first part of the path names it; if header X-Qos is set as well,
+// both must agree.
 func classOf(config *config.Config, r *http.Request) (int, error) {
 	first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	name := r.Header.Get("X-Qos")
@@ -129,34 +131,35 @@
 	}
 	class := slices.Index(config.Classes, name)
 	if class < 0 {
-		return 0, newBadRequest(http.StatusNotFound, "unknown class %q", name)
+		return 0, newRequestError(http.StatusNotFound, "unknown class %q", name)
 	}
 	if name != first {
-		return 0, newBadRequest(http.StatusBadRequest, "X-Qos %q is not the first part of the path", name)
+		return 0, newRequestError(http.StatusBadRequest, "X-Qos %q is not the first part of the path", name)
 	}
 	return class, nil
 }
 
-// checkMethod checks method, body and idempotency key against the class.
+// checkMethod checks a request's method, body and idempotency key against its class, whose name is name.
 func checkMethod(r *http.Request, class *balancer.Class, name string) error {
 	method := http.MethodPost
 	if class.Idempotency == balancer.Idempotent {
 		method = http.MethodGet
 	}
 	if r.Method != method {
-		return newBadRequest(http.StatusMethodNotAllowed, "class %q takes %s", name, method)
+		return newRequestError(http.StatusMethodNotAllowed, "class %q takes %s", name, method)
 	}
 	if method == http.MethodGet && r.ContentLength != 0 {
-		return newBadRequest(http.StatusBadRequest, "class %q takes no body", name)
+		return newRequestError(http.StatusBadRequest, "class %q takes no body", name)
 	}
 	if class.Idempotency == balancer.WithIdempotencyKey && r.Header.Get("Idempotency-Key") == "" {
-		// Without it no endpoint would recognise a repetition.
-		return newBadRequest(http.StatusBadRequest, "Idempotency-Key is missing")
+		// Without the key no endpoint could recognise a retry.
+		return newRequestError(http.StatusBadRequest, "Idempotency-Key is missing")
 	}
 	return nil
 }
 
-// clientTimeout returns how long the client waits: by the class, or by a header if that is less.
+// clientTimeout returns how long the client waits for its answer: the timeout of its class, or that of header
+// X-Expires-In-Ms if it is shorter.
 func clientTimeout(r *http.Request, class *balancer.Class) (balancer.Micros, error) {
 	text := r.Header.Get("X-Expires-In-Ms")
 	if text == "" {
@@ -164,118 +167,122 @@
 	}
 	ms, err := strconv.ParseUint(text, 10, 63)
 	if err != nil {
-		return 0, newBadRequest(http.StatusBadRequest, "X-Expires-In-Ms is not a whole number of milliseconds")
+		return 0, newRequestError(http.StatusBadRequest, "X-Expires-In-Ms is not a whole number of milliseconds")
 	}
 	return min(class.Timeout, int64(min(ms, math.MaxInt32))*1000), nil
 }
 
-// hasLength reports whether a head has a Content-Length, which http.ReadRequest drops if there are chunks.
+// hasLength reports whether a request's head has a Content-Length, which http.ReadRequest drops if the body is chunked.
 func hasLength(head []byte) bool {
 	_, head, _ = bytes.Cut(head, []byte("\n"))
 	header, _ := textproto.NewReader(bufio.NewReader(bytes.NewReader(head))).ReadMIMEHeader()
 	return len(header["Content-Length"]) > 0
 }
 
-// body reads the body, or the beginning of a long one. Bytes that follow it before the answer are not another
-// request, since clients send one at a time: the length is wrong, and the client must not be served with the answer
-// to a part.
-func (s *Server) body(c *client, r *http.Request, k *core.Request) error {
+// body reads the body, or the beginning of a long one. Clients send one request at a time, so that bytes between a body
+// and the answer mean that the announced length is wrong: such a request is rejected, since the endpoint would answer a
+// part of the body.
+func (s *Server) body(c *client, r *http.Request, req *core.Request) error {
 	if err := acceptExpect(c, r); err != nil {
 		return err
 	}
 	length := r.ContentLength
-	want := int(min(uint64(length), MaxBufferedBody)) // the maximum for an unknown length, which is negative
-	if want > unbudgetedBytes {
+	want := int(min(uint64(length), MaxBufferedBody)) // an unknown length is -1, which yields the maximum
+	if want > maxUnbudgetedBytes {
 		if s.acquireBodyMemory(c, want) != nil {
-			return newBadRequest(http.StatusServiceUnavailable, "no room for the body")
+			return newRequestError(http.StatusServiceUnavailable, "no room for the body")
 		}
-		k.BudgetBytes = want
+		req.BudgetBytes = want
 	}
 	c.limit.N = 2 * MaxBody
 	if length >= 0 {
-		c.limit.N = max(0, length-int64(c.r.Buffered())) + 1
+		c.limit.N = max(0, length-int64(c.reader.Buffered())) + 1
 	}
 	c.paced.readTimeout = maxBodyStall
 	buf, n, length, err := readBeginning(r.Body, want, length)
 	if err != nil {
 		return err
 	}
-	out := k.Payload.(*message)
-	out.body = buf[:n]
+	msg := req.Payload.(*message)
+	msg.body = buf[:n]
 	if int64(n) != length {
-		out.upload = &upload{
+		msg.upload = &upload{
 			body:           r.Body,
 			length:         length,
-			answerTime:     k.TimeAfterBody,
+			answerTime:     req.TimeAfterBody,
 			beginningBytes: n,
 			buf:            buf,
-			ended:          make(chan error, 1),
-			unread:         make(chan struct{}),
+			result:         make(chan error, 1),
+			readEnded:      make(chan struct{}),
 		}
 		return nil
 	}
 	c.paced.readTimeout = 0
-	if c.r.Buffered() > 0 {
-		return newBadRequest(http.StatusBadRequest, surplusReason)
+	if c.reader.Buffered() > 0 {
+		return newRequestError(http.StatusBadRequest, surplusReason)
 	}
 	return nil
 }
 
-// acquireBodyMemory waits for the memory of a body. The connection is not given up meanwhile.
+// acquireBodyMemory charges the memory of a body to the budget, and waits for it for budgetTimeout at most. The
+// connection is not evicted as stalled meanwhile.
 func (s *Server) acquireBodyMemory(c *client, bytes int) error {
 	ctx, cancel := context.WithTimeout(context.Background(), budgetTimeout)
 	defer cancel()
-	s.clients.setWaiting(c, true)
-	defer s.clients.setWaiting(c, false)
+	s.clients.setWaitingForMemory(c, true)
+	defer s.clients.setWaitingForMemory(c, false)
 	return s.bodies.Acquire(ctx, bytes)
 }
 
-// acceptExpect answers an expectation before the body.
+// acceptExpect answers "Expect: 100-continue" before the body is read, and rejects any other expectation.
 func acceptExpect(c *client, r *http.Request) error {
 	expect := r.Header.Get("Expect")
 	if strings.EqualFold(expect, "100-continue") && r.ContentLength != 0 {
-		_, _ = io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n") // a failure shows when the body is read
+		_, _ = io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n") // if this fails, so does reading the body
 		return nil
 	}
 	if expect != "" {
-		return newBadRequest(http.StatusExpectationFailed, "Expect makes no sense")
+		return newRequestError(http.StatusExpectationFailed, "Expect makes no sense")
 	}
 	return nil
 }
 
-// readBeginning reads up to want bytes of a body into a buffer. It returns how many came, and the body's length,
-// which is known at its end if it was not before.
+// readBeginning reads up to want bytes of a body into a new buffer. n is the number of bytes read. knownLength is the
+// body's length: the given one or, if that is unknown (-1) and the body ended, n. A body that ends early or arrives too
+// slowly is an error.
 func readBeginning(body io.Reader, want int, length int64) (buf []byte, n int, knownLength int64, err error) {
 	buf = make([]byte, want)
-	begun := time.Now()
+	startedAt := time.Now()
 	for n < want {
-		more, err := body.Read(buf[n:])
-		n += more
+		read, err := body.Read(buf[n:])
+		n += read
 		if errors.Is(err, io.EOF) && (length < 0 || int64(n) == length) {
 			return buf, n, int64(n), nil
 		}
-		if err != nil || time.Since(begun) > bodyGrace+time.Duration(n)*time.Second/minBodyRate {
-			return nil, n, length, newBadRequest(http.StatusBadRequest, "the body is not whole")
+		if err != nil || time.Since(startedAt) > bodyGrace+time.Duration(n)*time.Second/minBodyBytesPerSecond {
+			return nil, n, length, newRequestError(http.StatusBadRequest, "the body is not whole")
 		}
 	}
 	return buf, n, length, nil
 }
 
-// isVisibleASCII reports whether a header's value is visible ASCII text and not empty.
-func isVisibleASCII(v string) bool {
-	return v != "" && !strings.ContainsFunc(v, func(c rune) bool { return c <= ' ' || c > '~' })
+// isVisibleASCII reports whether a header's value is not empty and consists of visible ASCII characters.
+func isVisibleASCII(value string) bool {
+	return value != "" && !strings.ContainsFunc(value, func(c rune) bool { return c <= ' ' || c > '~' })
 }
 
-// tenant returns the index of the request's tenant in the settings, or one beyond all.
-func tenant(c *config.Config, r *http.Request) uint16 {
+// tenantIndex returns the index in the settings of the tenant that header X-Customer names, or math.MaxUint16 for
+// unknown tenants.
+func tenantIndex(c *config.Config, r *http.Request) uint16 {
 	if i := slices.Index(c.Tenants, r.Header.Get("X-Customer")); i >= 0 {
 		return uint16(i)
 	}
 	return math.MaxUint16
 }
 
-// idempotencyKey returns a number for the object of a request; 0 for none.
-func idempotencyKey(object string) uint64 {
+// objectKey returns a number for the object of a request, as header X-Object names it: the value of a hexadecimal
+// number, else a hash. It returns 0 if the request names no object.
+func objectKey(object string) uint64 {
 	if object == "" {
 		return 0
 	}
@@ -283,18 +290,19 @@
 		return v
 	}
 	h := fnv.New64a()
-	_, _ = io.WriteString(h, object) // it never fails
+	_, _ = io.WriteString(h, object) // a hash never returns an error
 	return h.Sum64()
 }
 
-// hopByHop reports whether a header concerns one connection only.
-func hopByHop(name string, h http.Header) bool {
+// isHopByHop reports whether a header is not to be forwarded: it concerns one connection only, also if header names it
+// in Connection, or it is set by the sender of each message.
+func isHopByHop(name string, header http.Header) bool {
 	switch name {
 	case "Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 		"Content-Length", "Expect", "Host", "X-Never-Ran":
 		return true
 	}
-	for _, v := range h["Connection"] {
+	for _, v := range header["Connection"] {
 		for _, named := range strings.Split(v, ",") {
 			if strings.EqualFold(strings.TrimSpace(named), name) {
 				return true
--- a/internal/dataplane/httpfront/pool.go
+++ b/internal/dataplane/httpfront/pool.go
@@ -13,74 +13,75 @@
 	"birchmoor/internal/dataplane/core"
 )
 
-// conn is a connection to an endpoint.
+// conn is a connection to an endpoint. It is either idle, under the mutex of Upstream, or in use by one attempt.
 type conn struct {
 	net.Conn
 	paced     pacedConn
-	limit     io.LimitedReader // what an answer may still take, head and all
-	r         *bufio.Reader
+	limit     io.LimitedReader // bounds what may still be read of an answer, including its head
+	reader    *bufio.Reader
 	target    *target
 	idleSince time.Time
 }
 
-func newConn(nc net.Conn, to *target) *conn {
-	c := &conn{Conn: nc, target: to, paced: pacedConn{Conn: nc}}
+func newConn(netConn net.Conn, dst *target) *conn {
+	c := &conn{Conn: netConn, target: dst, paced: pacedConn{Conn: netConn}}
 	c.limit.R = &c.paced
-	c.r = bufio.NewReaderSize(&c.limit, 4096)
+	c.reader = bufio.NewReaderSize(&c.limit, 4096)
 	return c
 }
 
 const (
-	minRest           = 10 * time.Millisecond // after an answer, in which a second one may come
-	unsolicitedMemory = 10 * time.Minute      // for which an endpoint that sent a second answer is remembered
+	minIdleTime          = 10 * time.Millisecond // a second answer to a request may arrive within this time
+	unsolicitedRetention = 10 * time.Minute      // after unsolicited bytes, for how long get waits for minIdleTime
 )
 
-// get returns an idle connection, or a new one. Of the idle ones it takes the one used last, so that the others may
-// expire, but prefers one that has rested for minRest: an endpoint may send more than one answer to a request, some
-// milliseconds apart, and the second would pass for the next request's. If any endpoint has done so lately, no
-// connection is used before it has rested.
-func (u *Upstream) get(ctx context.Context, to *target) (*conn, error) {
-	c, err := u.takeIdle(ctx, to)
+// get returns an idle connection to an endpoint, or a new one. It takes the most recently used one, so that the others
+// may expire, but prefers those that have been idle for minIdleTime: an endpoint may send a second answer to a request
+// some milliseconds after the first, which would be taken for the answer to the next request. If any endpoint has sent
+// unsolicited bytes within unsolicitedRetention, get waits until a connection has been idle for minIdleTime.
+func (u *Upstream) get(ctx context.Context, dst *target) (*conn, error) {
+	c, err := u.takeIdle(ctx, dst)
 	if c != nil || err != nil {
 		return c, err
 	}
-	nc, err := u.dial(ctx, "tcp", to.addr)
+	netConn, err := u.dial(ctx, "tcp", dst.addr)
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if err != nil {
 		u.conns--
 		return nil, err
 	}
-	c = newConn(nc, to)
-	if to.removed {
-		u.closeLocked(c) // another endpoint may listen there by now
+	c = newConn(netConn, dst)
+	if dst.removed {
+		u.closeLocked(c) // another endpoint may listen at the address by now
 		return nil, core.ErrEndpointRemoved
 	}
 	return c, nil
 }
 
-// takeIdle returns an idle connection, or nil if there is none: then a place for a new one was taken.
-func (u *Upstream) takeIdle(ctx context.Context, to *target) (*conn, error) {
+// takeIdle returns an idle connection. If there is none, it returns nil, and has counted a new connection in conns,
+// which the caller opens.
+func (u *Upstream) takeIdle(ctx context.Context, dst *target) (*conn, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for !to.removed && len(to.idle) > 0 {
-		rested := time.Now().Add(-minRest)
-		c := u.popLocked(to, to.preferredIdle(rested))
-		wait := c.idleSince.Sub(rested)
+	for !dst.removed && len(dst.idle) > 0 {
+		restedBefore := time.Now().Add(-minIdleTime)
+		c := u.popLocked(dst, dst.preferredIdle(restedBefore))
+		wait := c.idleSince.Sub(restedBefore)
 		if wait > 0 && u.unsolicitedLately() {
 			u.mu.Unlock()
 			u.pause(ctx, wait)
 			u.mu.Lock()
 		}
-		if !to.removed && u.usable(c) {
+		if !dst.removed && u.usable(c) {
 			return c, nil
 		}
 		u.closeLocked(c)
 	}
-	if to.removed {
+	if dst.removed {
 		return nil, core.ErrEndpointRemoved
 	}
-	// Descriptors must not run out: an idle connection elsewhere makes place for this one.
+	// The process must not run out of descriptors: at maxConns, an idle connection to another endpoint is closed.
 	if u.conns >= u.maxConns && !u.evictLocked() {
 		return nil, core.ErrConnectionsExhausted
 	}
@@ -88,32 +89,34 @@
 	return nil, nil
 }
 
-// preferredIdle returns the index of the idle connection used last among those that have rested, else of the one
-// used last.
-func (t *target) preferredIdle(rested time.Time) int {
-	for at := len(t.idle) - 1; at >= 0; at-- {
-		if !t.idle[at].idleSince.After(rested) {
-			return at
+// preferredIdle returns the index of the most recently used idle connection that was last used no later than
+// restedBefore, or of the most recently used one if there is no such connection.
+func (t *target) preferredIdle(restedBefore time.Time) int {
+	for i := len(t.idle) - 1; i >= 0; i-- {
+		if !t.idle[i].idleSince.After(restedBefore) {
+			return i
 		}
 	}
 	return len(t.idle) - 1
 }
 
-// unsolicitedLately reports whether an endpoint has sent a second answer of late.
+// unsolicitedLately reports whether any endpoint has sent unsolicited bytes within unsolicitedRetention. The mutex is
+// locked.
 func (u *Upstream) unsolicitedLately() bool {
-	return !u.unsolicitedAt.IsZero() && time.Since(u.unsolicitedAt) < unsolicitedMemory
+	return !u.unsolicitedAt.IsZero() && time.Since(u.unsolicitedAt) < unsolicitedRetention
 }
 
-// usable reports whether an idle connection may serve a request. The mutex is locked.
+// usable reports whether an idle connection may carry a request: it is open, not too old, and has no unread bytes. The
+// mutex is locked.
 func (u *Upstream) usable(c *conn) bool {
-	quiet, spoke := c.idleState()
-	if spoke {
+	quiet, unsolicited := c.idleState()
+	if unsolicited {
 		u.unsolicitedAt = time.Now()
 	}
 	return quiet && time.Since(c.idleSince) < u.maxIdle
 }
 
-// put makes a connection idle.
+// put returns a connection to the pool, or closes it if its target was removed.
 func (u *Upstream) put(c *conn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -126,7 +129,7 @@
 	u.idle[c.target] = struct{}{}
 }
 
-// discard closes a connection.
+// discard closes a connection that is not in the pool.
 func (u *Upstream) discard(c *conn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -134,26 +137,26 @@
 }
 
 func (u *Upstream) closeLocked(c *conn) {
-	_ = c.Close() // it is of no use any more, whatever comes of this
+	_ = c.Close() // an error does not matter: the connection is not used any more
 	u.conns--
 }
 
-// popLocked removes an idle connection from its target.
-func (u *Upstream) popLocked(to *target, i int) *conn {
-	c := to.idle[i]
-	to.idle = slices.Delete(to.idle, i, i+1)
-	if len(to.idle) == 0 {
-		delete(u.idle, to)
+// popLocked removes idle connection i of a target from the pool, and returns it.
+func (u *Upstream) popLocked(dst *target, i int) *conn {
+	c := dst.idle[i]
+	dst.idle = slices.Delete(dst.idle, i, i+1)
+	if len(dst.idle) == 0 {
+		delete(u.idle, dst)
 	}
 	return c
 }
 
-// evictLocked closes the connection that has been idle for longest, and reports whether there was one.
+// evictLocked closes the connection of any target that has been idle for longest, and reports whether there was one.
 func (u *Upstream) evictLocked() bool {
 	var oldest *target
-	for to := range u.idle {
-		if oldest == nil || to.idle[0].idleSince.Before(oldest.idle[0].idleSince) {
-			oldest = to
+	for dst := range u.idle {
+		if oldest == nil || dst.idle[0].idleSince.Before(oldest.idle[0].idleSince) {
+			oldest = dst
 		}
 	}
 	if oldest == nil {
@@ -163,24 +166,26 @@
 	return true
 }
 
-// removeTarget ends the use of a target: idle connections are closed, attempts in flight continue.
-func (u *Upstream) removeTarget(to *target) {
+// removeTarget closes the idle connections to an endpoint that was removed from the endpoint list. Attempts in flight
+// continue, and no new one begins.
+func (u *Upstream) removeTarget(dst *target) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	to.removed = true
-	for len(to.idle) > 0 {
-		u.closeLocked(u.popLocked(to, 0))
+	dst.removed = true
+	for len(dst.idle) > 0 {
+		u.closeLocked(u.popLocked(dst, 0))
 	}
 }
 
-// closeIdleSince closes the idle connections to an endpoint that were last used before an instant: if one fell
-// silent since then, it may not be the only one.
-func (u *Upstream) closeIdleSince(to *target, before time.Time) {
+// closeIdleSince closes the idle connections to an endpoint that were last used before an instant. It is called with
+// the start of an attempt that timed out: the path of its connection may be dead, and so may be those of the older
+// ones.
+func (u *Upstream) closeIdleSince(dst *target, before time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for i := len(to.idle) - 1; i >= 0; i-- {
-		if to.idle[i].idleSince.Before(before) {
-			u.closeLocked(u.popLocked(to, i))
+	for i := len(dst.idle) - 1; i >= 0; i-- {
+		if dst.idle[i].idleSince.Before(before) {
+			u.closeLocked(u.popLocked(dst, i))
 		}
 	}
 }
@@ -197,22 +202,23 @@
 	}
 }
 
-// sweep closes connections that have been idle for too long or that the endpoint has closed.
+// sweep closes idle connections that have expired, that the endpoint has closed, or that have unread bytes.
 func (u *Upstream) sweep() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for to := range u.idle {
-		for i := len(to.idle) - 1; i >= 0; i-- {
-			if !u.usable(to.idle[i]) {
-				u.closeLocked(u.popLocked(to, i))
+	for dst := range u.idle {
+		for i := len(dst.idle) - 1; i >= 0; i-- {
+			if !u.usable(dst.idle[i]) {
+				u.closeLocked(u.popLocked(dst, i))
 			}
 		}
 	}
 }
 
-// idleState looks, without waiting, whether an idle connection is open and quiet, or the endpoint has sent
-// something unsolicited on it. A request written to one that is not quiet would be lost and might have run.
-func (c *conn) idleState() (quiet, spoke bool) {
+// idleState checks an idle connection without blocking. quiet means that it is open and has no unread bytes;
+// unsolicited, that the endpoint has sent bytes on it. A request on a connection that is not quiet would be lost, and
+// might have run.
+func (c *conn) idleState() (quiet, unsolicited bool) {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return false, false
@@ -225,11 +231,12 @@
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		quiet = errors.Is(err, syscall.EAGAIN)
-		spoke = err == nil && n > 0
+		unsolicited = err == nil && n > 0
 		return true
 	})
-	return err == nil && quiet, err == nil && spoke
+	return err == nil && quiet, err == nil && unsolicited
 }
 
-// clearReadDeadline removes the deadline of reads. It fails on a closed connection alone, where reads fail as well.
+// clearReadDeadline removes the deadline of reads. Its error is ignored: it fails only on a closed connection, where
+// reads fail as well.
 func (c *conn) clearReadDeadline() { _ = c.SetReadDeadline(time.Time{}) }
--- a/internal/dataplane/httpfront/pool_test.go
+++ b/internal/dataplane/httpfront/pool_test.go
@@ -19,7 +19,8 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// A connection that is established when its request may not be sent any more is pooled for others, and not leaked.
+// TestConnectionOpenedTooLateIsPooled establishes a connection after the time for its request is over. The connection
+// must be pooled for other requests and not leaked, and the request must not be sent.
 func TestConnectionOpenedTooLateIsPooled(t *testing.T) {
 	e := newTestEndpoint(t)
 	f := startFront(t, readyInstances(e.addr), longDialTimeout...)
@@ -28,7 +29,7 @@
 	write(t, c, encode(t, r))
 	sidecartest.Receive(t, f.dials, "dial")
 	if resp, _ := readAnswer(t, c, r); resp.StatusCode == http.StatusOK {
-		t.Errorf("answered %s with no connection", resp.Status)
+		t.Errorf("the client got %s before the endpoint was connected", resp.Status)
 	}
 	f.holdDials(false)
 	waitUntil(t, "the late connection in the pool", func() bool {
@@ -37,79 +38,80 @@
 		return f.upstream.conns == 1 && len(f.upstream.idle) == 1
 	})
 	if n := len(e.received); n != 0 {
-		t.Errorf("%d requests were sent on", n)
+		t.Errorf("the endpoint got %d requests, want 0", n)
 	}
 }
 
-// A server sends a second answer some milliseconds after the first, on a connection that is back in the pool.
+// TestUnsolicitedAnswerIsNotUsedForNextRequest has an endpoint send a second answer some milliseconds after the first,
+// on a connection that is back in the pool. It must not be taken for the answer to the next request.
 func TestUnsolicitedAnswerIsNotUsedForNextRequest(t *testing.T) {
-	second := make(chan struct{})
-	var conns, taken atomic.Int32
-	to := newTarget(sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
+	sendSecond := make(chan struct{})
+	var conns, received atomic.Int32
+	dst := newTarget(sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 		n := conns.Add(1)
 		for {
 			if _, err := sidecartest.ReadRequest(r); err != nil {
 				return
 			}
-			taken.Add(1)
+			received.Add(1)
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d", n)
 			if n == 1 {
-				<-second
+				<-sendSecond
 				_, _ = io.WriteString(c, sidecartest.OKAnswer)
 			}
 		}
 	}))
 	u := newTestUpstream(t)
-	if r := u.sendAttempt(plainGet(), to); r.Status != balancer.OK {
+	if r := u.sendAttempt(plainGet(), dst); r.Status != balancer.OK {
 		t.Fatalf("first: status %v", r.Status)
 	}
-	first := to.idle[0]
-	first.idleSince = time.Now().Add(time.Hour) // it never comes to rest while this test lasts
+	first := dst.idle[0]
+	first.idleSince = time.Now().Add(time.Hour) // not idle for minIdleTime during this test
 	u.unsolicitedAt = time.Now()
 	u.pause = func(context.Context, time.Duration) {
-		close(second)
+		close(sendSecond)
 		waitUntil(t, "the second answer", func() bool {
-			_, spoke := first.idleState()
-			return spoke
+			_, unsolicited := first.idleState()
+			return unsolicited
 		})
 	}
-	r := u.sendAttempt(plainGet(), to)
+	r := u.sendAttempt(plainGet(), dst)
 	if got := r.Content.(*upstreamAnswer); string(got.body) != "2" {
-		t.Errorf("answered %q: what was sent for the request before", got.body)
+		t.Errorf("the second request was answered %q, want 2, from a new connection", got.body)
 	}
 }
 
-// Connections that were idle for a moment are used first. As long as no endpoint has sent unsolicited bytes, no
-// request waits for one.
+// TestPoolPrefersConnectionIdleForAWhile expects connections that have been idle for minIdleTime to be used first. As
+// long as no endpoint has sent unsolicited bytes, no request may wait until a connection has been idle for so long.
 func TestPoolPrefersConnectionIdleForAWhile(t *testing.T) {
-	to := newTarget(sidecartest.RawEndpoint(t, func(_ *net.TCPConn, r *bufio.Reader) { _, _ = r.ReadByte() }))
+	dst := newTarget(sidecartest.RawEndpoint(t, func(_ *net.TCPConn, r *bufio.Reader) { _, _ = r.ReadByte() }))
 	u := newTestUpstream(t)
-	u.pause = func(context.Context, time.Duration) { t.Error("waited for a connection to rest") }
-	var both []*conn
+	u.pause = func(context.Context, time.Duration) { t.Error("get waited for minIdleTime") }
+	var conns []*conn
 	for range 2 {
-		c, err := u.get(t.Context(), to)
+		c, err := u.get(t.Context(), dst)
 		if err != nil {
 			t.Fatal(err)
 		}
-		both = append(both, c)
+		conns = append(conns, c)
 	}
-	for _, c := range both {
+	for _, c := range conns {
 		u.put(c)
 	}
-	both[0].idleSince, both[1].idleSince = time.Now().Add(-time.Second), time.Now().Add(time.Hour)
-	for i, want := range both {
-		if c, err := u.get(t.Context(), to); err != nil || c != want {
-			t.Errorf("%d: %v, not the one that rested", i, err)
+	conns[0].idleSince, conns[1].idleSince = time.Now().Add(-time.Second), time.Now().Add(time.Hour)
+	for i, want := range conns {
+		if c, err := u.get(t.Context(), dst); err != nil || c != want {
+			t.Errorf("get %d: error %v, or not the connection that has been idle for long enough", i, err)
 		}
 	}
 }
 
-// A connection that received half a line while idle cannot be used: a request on it would be answered by the rest
-// of the line.
+// TestIdleConnectionWithUnreadBytesIsNotUsed has a connection receive half a status line while it is idle. It must not
+// be used: the rest of the line would be taken for the answer to the next request.
 func TestIdleConnectionWithUnreadBytesIsNotUsed(t *testing.T) {
 	var conns atomic.Int32
-	speak := make(chan struct{})
-	to := newTarget(sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
+	sendHalfLine := make(chan struct{})
+	dst := newTarget(sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 		first := conns.Add(1) == 1
 		for {
 			if _, err := sidecartest.ReadRequest(r); err != nil {
@@ -117,28 +119,28 @@
 			}
 			_, _ = io.WriteString(c, sidecartest.OKAnswer)
 			if first {
-				<-speak
+				<-sendHalfLine
 				_, _ = io.WriteString(c, "HTTP/1.1 20")
 			}
 		}
 	}))
 	u := newTestUpstream(t)
-	if r := u.sendAttempt(plainGet(), to); r.Status != balancer.OK {
+	if r := u.sendAttempt(plainGet(), dst); r.Status != balancer.OK {
 		t.Fatalf("first: status %v", r.Status)
 	}
-	rests := to.idle[0]
-	close(speak)
-	waitUntil(t, "half a line", func() bool {
-		_, spoke := rests.idleState()
-		return spoke
+	pooled := dst.idle[0]
+	close(sendHalfLine)
+	waitUntil(t, "arrival of half a status line", func() bool {
+		_, unsolicited := pooled.idleState()
+		return unsolicited
 	})
-	if r := u.sendAttempt(plainGet(), to); r.Status != balancer.OK || conns.Load() != 2 {
-		t.Errorf("status %v, over %d connections", r.Status, conns.Load())
+	if r := u.sendAttempt(plainGet(), dst); r.Status != balancer.OK || conns.Load() != 2 {
+		t.Errorf("second: status %v after %d connections, want OK after 2", r.Status, conns.Load())
 	}
 }
 
-// A request for an endpoint does not reach another that listens at its address later, and no connection to a removed
-// endpoint is pooled.
+// TestConnectionsOfRemovedTargetAreNotReused guards against requests that reach another endpoint, which listens at the
+// address of a removed one, and against pooled connections to removed endpoints.
 func TestConnectionsOfRemovedTargetAreNotReused(t *testing.T) {
 	var dials atomic.Int32
 	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
@@ -156,31 +158,31 @@
 	if u.sendAttempt(plainGet(), next); dials.Load() != 2 {
 		t.Errorf("%d connections to two endpoints at one address, want 2", dials.Load())
 	}
-	out, err := u.get(ctx, old)
+	inUse, err := u.get(ctx, old)
 	if err != nil {
 		t.Fatal(err)
 	}
 	u.removeTarget(old)
-	u.put(out)
+	u.put(inUse)
 	if u.conns != 1 || len(old.idle) != 0 {
-		t.Errorf("%d connections open, %d idle to what is gone, want 1 and 0", u.conns, len(old.idle))
+		t.Errorf("%d connections open, %d idle to the removed target, want 1 and 0", u.conns, len(old.idle))
 	}
 	if r := u.sendAttempt(plainGet(), old); r.Status != balancer.NotSent {
-		t.Errorf("status %v for what is gone, want NotSent", r.Status)
+		t.Errorf("attempt at the removed target: status %v, want NotSent", r.Status)
 	}
-	late := newTarget(addr)
+	removedWhileDialling := newTarget(addr)
 	dial := u.dial
 	u.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		u.removeTarget(late)
+		u.removeTarget(removedWhileDialling)
 		return dial(ctx, network, addr)
 	}
-	if r := u.sendAttempt(plainGet(), late); r.Status != balancer.NotSent || u.conns != 1 {
-		t.Errorf("status %v for what went while dialled, want NotSent; %d connections", r.Status, u.conns)
+	if r := u.sendAttempt(plainGet(), removedWhileDialling); r.Status != balancer.NotSent || u.conns != 1 {
+		t.Errorf("target removed during the dial: status %v and %d connections, want NotSent and 1", r.Status, u.conns)
 	}
 }
 
-// A connection that the endpoint has closed in the meantime must not be used: the request would be lost, and
-// whether it ran would not be known.
+// TestClosedIdleConnectionIsNotUsed guards against requests on connections that the endpoint has closed: they would be
+// lost, and whether they ran would not be known.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	closed := make(chan struct{}, 1)
 	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
@@ -189,16 +191,17 @@
 		c.Close()
 		closed <- struct{}{}
 	})
-	u, to := newTestUpstream(t), newTarget(addr)
+	u, dst := newTestUpstream(t), newTarget(addr)
 	for i := range 3 {
-		if r := u.sendAttempt(plainGet(), to); r.Status != balancer.OK {
+		if r := u.sendAttempt(plainGet(), dst); r.Status != balancer.OK {
 			t.Fatalf("request %d: status %v", i, r.Status)
 		}
 		sidecartest.Receive(t, closed, "close")
 	}
 }
 
-// An idle connection is retired well before the endpoint would close it, and the sweep closes it.
+// TestIdleConnectionIsRetired expects idle connections to expire well before the endpoint closes them, and the sweep to
+// close expired ones.
 func TestIdleConnectionIsRetired(t *testing.T) {
 	var dials atomic.Int32
 	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
@@ -210,53 +213,54 @@
 			_, _ = io.WriteString(c, sidecartest.OKAnswer)
 		}
 	})
-	u, to := newTestUpstream(t), newTarget(addr)
-	if most := 12 * time.Second; u.maxIdle > most {
-		t.Errorf("kept idle for %v where the endpoint closes after 15 s", u.maxIdle)
+	u, dst := newTestUpstream(t), newTarget(addr)
+	if limit := 12 * time.Second; u.maxIdle > limit {
+		t.Errorf("idle connections expire after %v, want well before the endpoint closes them after 15 s", u.maxIdle)
 	}
-	age := func() {
-		for _, c := range to.idle {
+	ageIdleConns := func() {
+		for _, c := range dst.idle {
 			c.idleSince = c.idleSince.Add(-u.maxIdle)
 		}
 	}
-	u.sendAttempt(plainGet(), to)
-	u.sendAttempt(plainGet(), to)
+	u.sendAttempt(plainGet(), dst)
+	u.sendAttempt(plainGet(), dst)
 	if n := dials.Load(); n != 1 {
-		t.Fatalf("%d connections for two requests in turn, want 1", n)
+		t.Fatalf("%d connections for two consecutive requests, want 1", n)
 	}
-	age()
-	u.sendAttempt(plainGet(), to)
+	ageIdleConns()
+	u.sendAttempt(plainGet(), dst)
 	if n := dials.Load(); n != 2 {
-		t.Errorf("%d connections after one grew old, want 2", n)
+		t.Errorf("%d connections after the first one expired, want 2", n)
 	}
-	age()
+	ageIdleConns()
 	if u.sweep(); u.conns != 0 {
 		t.Errorf("%d connections open after the sweep, want 0", u.conns)
 	}
 }
 
-// The connection used last is used next, so that those not needed grow old and are closed.
+// TestPoolReusesLatestConnectionFirst expects the most recently used connection to be used next, so that connections
+// that are not needed expire.
 func TestPoolReusesLatestConnectionFirst(t *testing.T) {
 	addr := sidecartest.RawEndpoint(t, readOneRequest)
-	u, to := newTestUpstream(t), newTarget(addr)
+	u, dst := newTestUpstream(t), newTarget(addr)
 	ctx := context.Background()
-	first, err := u.get(ctx, to)
+	first, err := u.get(ctx, dst)
 	if err != nil {
 		t.Fatal(err)
 	}
-	second, err := u.get(ctx, to)
+	second, err := u.get(ctx, dst)
 	if err != nil {
 		t.Fatal(err)
 	}
 	u.put(first)
 	u.put(second)
-	if got, err := u.get(ctx, to); err != nil || got != second {
-		t.Errorf("the connection used last was not taken (error %v)", err)
+	if got, err := u.get(ctx, dst); err != nil || got != second {
+		t.Errorf("get did not return the most recently used connection (error %v)", err)
 	}
 }
 
-// The number of connections is bounded, so that descriptors do not run out; an idle one to another endpoint is
-// closed.
+// TestConnectionsAreBounded guards against running out of descriptors: at the limit, a new connection replaces an idle
+// one to another endpoint, or is refused if there is none.
 func TestConnectionsAreBounded(t *testing.T) {
 	one := newTarget(sidecartest.RawEndpoint(t, readOneRequest))
 	two := newTarget(sidecartest.RawEndpoint(t, readOneRequest))
@@ -275,27 +279,28 @@
 	}
 	u.put(a)
 	if _, err := u.get(ctx, two); err != nil {
-		t.Errorf("third connection with one idle: %v", err)
+		t.Errorf("third connection with an idle one to close: error %v", err)
 	}
 	if u.conns != 2 {
 		t.Errorf("%d connections counted, want 2", u.conns)
 	}
-	// One that is refused gives its place back.
+	// A failed dial is not counted any more.
 	u.maxConns = 3
 	if _, err := u.get(ctx, newTarget(sidecartest.ClosedAddress(t))); err == nil {
 		t.Error("connected to a closed port")
 	}
 	if u.conns != 2 {
-		t.Errorf("%d connections counted after one refused, want 2", u.conns)
+		t.Errorf("%d connections counted after a failed dial, want 2", u.conns)
 	}
 }
 
-// A shortage of this process's own resources is not a fault of the endpoint.
+// TestLocalShortageIsNotBlamedOnEndpoint expects NotSent if an attempt fails because the sidecar lacks connections,
+// descriptors or ports, or has cancelled it: the endpoint must not be ejected for that.
 func TestLocalShortageIsNotBlamedOnEndpoint(t *testing.T) {
-	to := newTarget(sidecartest.RawEndpoint(t, readOneRequest))
+	dst := newTarget(sidecartest.RawEndpoint(t, readOneRequest))
 	u := newTestUpstream(t)
 	u.maxConns = 0
-	if r := u.sendAttempt(plainGet(), to); r.Status != balancer.NotSent {
+	if r := u.sendAttempt(plainGet(), dst); r.Status != balancer.NotSent {
 		t.Errorf("all connections in use: status %v, want NotSent", r.Status)
 	}
 	u.maxConns = 1
@@ -303,7 +308,7 @@
 		u.dial = func(context.Context, string, string) (net.Conn, error) {
 			return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", e)}
 		}
-		if r := u.sendAttempt(plainGet(), to); r.Status != balancer.NotSent {
+		if r := u.sendAttempt(plainGet(), dst); r.Status != balancer.NotSent {
 			t.Errorf("%v: status %v, want NotSent", e, r.Status)
 		}
 	}
@@ -312,8 +317,8 @@
 		cancel()
 		return nil, ctx.Err()
 	}
-	r := u.send(ctx, to, plainGet(), u.clock.Now()+1_000_000, func(balancer.Micros) bool { return true }, nil)
+	r := u.send(ctx, dst, plainGet(), u.clock.Now()+1_000_000, func(balancer.Micros) bool { return true }, nil)
 	if r.Status != balancer.NotSent {
-		t.Errorf("a dial that we ended: status %v, want NotSent", r.Status)
+		t.Errorf("dial cancelled by the sidecar: status %v, want NotSent", r.Status)
 	}
 }
--- a/internal/dataplane/httpfront/rejections.go
+++ b/internal/dataplane/httpfront/rejections.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	minAllRejected   = 15              // requests, all of which were rejected,
-	allRejectedAfter = 4 * time.Second // for so long, with no attempt in between: an episode
+	minAllRejectedRequests = 15              // consecutive rejections that make an episode
+	minAllRejectedTime     = 4 * time.Second // minimum time from the first of them to the last
 )
 
-// rejectionEpisode detects that all requests are rejected. The zero value is ready to use, by any number of
-// goroutines.
+// rejectionEpisode detects that all requests are rejected: minAllRejectedRequests within at least minAllRejectedTime,
+// without an attempt in between. The zero value is ready to use. It is safe for concurrent use.
 type rejectionEpisode struct {
 	mu             sync.Mutex
-	since          time.Time // the first rejection of the episode
-	attemptsBefore uint64    // attempts made before it
+	since          time.Time // time of the episode's first rejection
+	attemptsBefore uint64    // total number of attempts at that time
 	rejections     int
-	logged         bool
+	logged         bool // the episode was counted and logged // the episode was counted and logged
 }
 
-// recordRejection records the rejection of a request, and counts and logs an episode once.
+// recordRejection records the rejection of a request, and counts and logs each episode once.
 func (t *rejectionEpisode) recordRejection(figures *metrics.Registry, log *slog.Logger) {
 	t.mu.Lock()
 	now := time.Now()
@@ -37,7 +37,7 @@
 	t.rejections++
 	rejections := t.rejections
 	duration := now.Sub(t.since)
-	report := !t.logged && rejections >= minAllRejected && duration >= allRejectedAfter
+	report := !t.logged && rejections >= minAllRejectedRequests && duration >= minAllRejectedTime
 	if report {
 		t.logged = true
 	}
--- a/internal/dataplane/httpfront/server.go
+++ b/internal/dataplane/httpfront/server.go
@@ -1,5 +1,6 @@
-// Package httpfront is HTTP/1.1 on both sides: Server takes clients' requests and gives their answers, Upstream makes
-// attempts and probes at endpoints. What is longer than BodyMost flows through, piece by piece (flow.go).
+// Package httpfront implements HTTP/1.1 towards clients and endpoints: Server reads clients' requests and writes their
+// answers, Upstream sends attempts and probes to endpoints. Bodies longer than MaxBufferedBody are streamed in both
+// directions (upload.go, download.go).
 package httpfront
 
 import (
@@ -18,7 +19,8 @@
 	"birchmoor/internal/platform/metrics"
 )
 
-// Server reads clients' requests and writes their answers.
+// Server accepts clients' connections, submits their requests to the event loop, and writes their answers. Its methods
+// are safe for concurrent use, except for Open and SetLimiter.
 type Server struct {
 	loop        *core.EventLoop
 	clients     *clients
@@ -26,30 +28,31 @@
 	bodies      *bytebudget.Budget // bytes of buffered bodies
 	closing     atomic.Bool
 	socket      handover.Socket
-	limits      core.Limiter // or nil
+	limits      core.Limiter // quotas of the fleet; nil for none
 	log         *slog.Logger
 	allRejected rejectionEpisode
-	unwritten   *metrics.Counter // answers that the client's connection did not take
+	unwritten   *metrics.Counter // answers whose write to the client failed
 
 	mu          sync.Mutex
 	listener    net.Listener
-	acceptEnded chan struct{} // closed once that ended
+	acceptEnded chan struct{} // closed once accepting from listener has ended
 }
 
-// NewServer returns a server that submits its requests to l. Open begins to accept.
+// NewServer returns a server that submits its requests to l. It accepts no connection before Open.
 func NewServer(c *config.Config, l *core.EventLoop, socket handover.Socket, figures *metrics.Registry,
 	log *slog.Logger) *Server {
 	s := &Server{loop: l, socket: socket, figures: figures, bodies: bytebudget.New(c.MaxBufferedBytes(1)), log: log}
 	s.clients = newClients(c.MaxClientConns(1), s.serve, &figures.Unanswered, log)
-	s.clients.full = figures.NewCounter("full_total")
+	s.clients.closedWhenFull = figures.NewCounter("full_total")
 	s.unwritten = figures.NewCounter("unwritten_total")
 	return s
 }
 
-// SetLimiter has l admit each request. It is called before Open.
+// SetLimiter has each request admitted by l before it is submitted. It must be called before Open.
 func (s *Server) SetLimiter(l core.Limiter) { s.limits = l }
 
-// Open begins to accept connections. Accepting is retried after errors, so that broken is never called.
+// Open begins to accept connections. Its parameter, which would be called if the server broke, is not used: accepting
+// is retried after errors.
 func (s *Server) Open(_ func(error)) error {
 	ln, err := s.socket.Listen()
 	if err != nil {
@@ -67,8 +70,9 @@
 	return nil
 }
 
-// StopAccepting stops accepting; it may have been stopped before. Connections that the system has accepted by then
-// are served: closing the listener would reset them, with requests that were written to them.
+// StopAccepting stops accepting, and has no effect if that was done before. Connections that the system has accepted
+// by then are still served, for which it waits up to finalAcceptTimeout: closing the listener at once would reset them,
+// and lose the requests on them.
 func (s *Server) StopAccepting() {
 	s.mu.Lock()
 	ln, ended := s.listener, s.acceptEnded
@@ -84,53 +88,55 @@
 	<-ended
 }
 
-// acceptUntil sets a listener's deadline, and reports whether that was possible.
+// acceptUntil sets the deadline of a listener's Accept, and reports whether that succeeded.
 func acceptUntil(ln net.Listener, at time.Time) bool {
 	timed, ok := ln.(interface{ SetDeadline(time.Time) error })
 	return ok && timed.SetDeadline(at) == nil
 }
 
-// SetClosing says whether each answer closes its connection. Readiness checks fail then.
-func (s *Server) SetClosing(on bool) { s.closing.Store(on) }
+// SetClosing sets whether each answer closes its connection and readiness checks fail, as during a shutdown.
+func (s *Server) SetClosing(closing bool) { s.closing.Store(closing) }
 
-// SetCapacityShare sets this process's part of the limits.
-func (s *Server) SetCapacityShare(c *config.Config, part float64) {
-	s.clients.resize(c.MaxClientConns(part))
-	s.bodies.Resize(c.MaxBufferedBytes(part))
+// SetCapacityShare sets this process's share of the limits on connections and buffered bodies, from 0 to 1. During an
+// upgrade, two processes share them.
+func (s *Server) SetCapacityShare(c *config.Config, share float64) {
+	s.clients.resize(c.MaxClientConns(share))
+	s.bodies.Resize(c.MaxBufferedBytes(share))
 }
 
-// CloseIdleFor closes connections that were used and have been idle for longer than age, and returns how many are
-// open.
+// CloseIdleFor closes connections that have had a request and have been idle for longer than age. It returns how many
+// connections of any kind are open.
 func (s *Server) CloseIdleFor(age time.Duration) int { return s.clients.closeIdleFor(age) }
 
-// CloseIdle closes connections that were used and are idle; others close with their answers.
+// CloseIdle closes idle connections that have had a request; those with an open request close with their answers.
 func (s *Server) CloseIdle() { s.clients.closeIdle() }
 
-// CloseUnused closes connections that have sent no request, all or those that are not expected to, and returns how
-// many are left.
+// CloseUnused closes new connections that have been silent for so long that no request is expected or, if all is set,
+// every connection without an open request. It returns how many connections have had no request so far or are reading
+// a further one.
 func (s *Server) CloseUnused(all bool) int { return s.clients.closeUnused(all) }
 
-// Wait returns once all connections have ended.
+// Wait returns once all connections are closed.
 func (s *Server) Wait() { s.clients.serving.Wait() }
 
-// serve serves a connection, one request at a time.
+// serve serves a connection, one request at a time. A new connection has RequestTimeout for its first request.
 func (s *Server) serve(c *client) {
-	until := time.Now().Add(RequestTimeout)
-	for s.exchange(c, until) {
-		until = time.Time{}
+	headDeadline := time.Now().Add(RequestTimeout)
+	for s.exchange(c, headDeadline) {
+		headDeadline = time.Time{}
 	}
 }
 
-// The margin is subtracted from the client's time, so that the final answer reaches the client in time: a part of a
-// short time, and maxAnswerMargin of a long one.
+// The answer margin is subtracted from the client's timeout, so that the final answer reaches the client in time. It is
+// a fraction of a short timeout, and maxAnswerMargin for a long one.
 const (
 	maxAnswerMargin     = 5 * time.Millisecond
 	answerMarginDivisor = 20
 )
 
-// AnswerMargin returns the margin of a client's time, in microseconds. Calls may pass several sidecars in a row,
-// each of which waits for as long as the one before allows: a fixed margin would leave nothing of a short time
-// after some levels. Of a time that is no longer than the margin all is margin: nothing is begun.
+// AnswerMargin returns the margin for a client's timeout, both in microseconds. Calls may pass several sidecars in a
+// row, each with the time that the previous one left: a fixed margin would use up a short timeout after a few levels.
+// For a timeout no longer than maxAnswerMargin the margin is all of it, and no attempt begins.
 func AnswerMargin(left balancer.Micros) balancer.Micros {
 	limit := maxAnswerMargin.Microseconds()
 	if left <= limit {
@@ -140,12 +146,12 @@
 }
 
 const (
-	// MaxHeaderBytes bounds a request's head.
+	// MaxHeaderBytes bounds a request's head: request line and headers.
 	MaxHeaderBytes = 16 << 10
-	// RequestTimeout is for a request's head, from its first byte or the beginning of the connection.
+	// RequestTimeout is the time for a request's head, from its first byte, or from the beginning of a new connection.
 	RequestTimeout = 2700 * time.Millisecond
 
-	budgetTimeout      = 2 * time.Second      // for the memory of a body
-	idleTimeout        = 15 * time.Second     // between requests
-	finalAcceptTimeout = 5 * time.Millisecond // for connections that the system has accepted, before the listener closes
+	budgetTimeout      = 2 * time.Second      // a request waits no longer than that for memory for its body
+	idleTimeout        = 15 * time.Second     // between two requests of a connection
+	finalAcceptTimeout = 5 * time.Millisecond // to accept the listener's queue of connections before it is closed
 )
--- a/internal/dataplane/httpfront/stop_test.go
+++ b/internal/dataplane/httpfront/stop_test.go
@@ -14,33 +14,33 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// A shutdown at any point of a request's life: a request that was read gets its answer, and the answer ends the
-// connection.
+// TestStopAnswersOpenRequestAndCloses shuts down at different points of a request's life. A request that was begun must
+// get its answer, and the answer must close the connection.
 func TestStopAnswersOpenRequestAndCloses(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		when func(t *testing.T, f *testFront, e *testEndpoint, c net.Conn, r *http.Request)
 	}{
-		{"half of it is read", func(t *testing.T, f *testFront, e *testEndpoint, c net.Conn, r *http.Request) {
+		{"part of it is read", func(t *testing.T, f *testFront, e *testEndpoint, c net.Conn, r *http.Request) {
 			t.Helper()
-			whole := encode(t, r)
-			write(t, c, whole[:20])
+			encoded := encode(t, r)
+			write(t, c, encoded[:20])
 			waitUntil(t, "a request that is being read", func() bool { return countReading(f) == 1 })
 			f.stop()
 			e.mayAnswer <- struct{}{}
-			write(t, c, whole[20:])
+			write(t, c, encoded[20:])
 		}},
 		{"between its last byte and its admission", func(
 			t *testing.T, f *testFront, e *testEndpoint, c net.Conn, r *http.Request,
 		) {
 			t.Helper()
-			at := &blockingLimiter{reached: make(chan struct{}), open: make(chan struct{})}
-			f.SetLimiter(at)
+			limiter := &blockingLimiter{reached: make(chan struct{}), open: make(chan struct{})}
+			f.SetLimiter(limiter)
 			write(t, c, encode(t, r))
-			sidecartest.Receive(t, at.reached, "admission")
+			sidecartest.Receive(t, limiter.reached, "admission")
 			f.stop()
 			e.mayAnswer <- struct{}{}
-			close(at.open)
+			close(limiter.open)
 		}},
 		{"it waits for its first attempt", func(t *testing.T, f *testFront, e *testEndpoint, c net.Conn, r *http.Request) {
 			t.Helper()
@@ -51,7 +51,7 @@
 			e.mayAnswer <- struct{}{}
 			f.holdDials(false)
 		}},
-		{"on its attempt", func(t *testing.T, f *testFront, e *testEndpoint, c net.Conn, r *http.Request) {
+		{"during its attempt", func(t *testing.T, f *testFront, e *testEndpoint, c net.Conn, r *http.Request) {
 			t.Helper()
 			write(t, c, encode(t, r))
 			sidecartest.Receive(t, e.received, "attempt")
@@ -66,16 +66,16 @@
 			tc.when(t, f, e, c, r)
 			resp, body := readAnswer(t, c, r)
 			if resp.StatusCode != http.StatusOK || body != "ok" || !resp.Close {
-				t.Errorf("%s %q, close %v", resp.Status, body, resp.Close)
+				t.Errorf("answer %s %q, close %v; want 200 OK, ok and true", resp.Status, body, resp.Close)
 			}
 			if _, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-				t.Errorf("behind the answer: %v, want the end", err)
+				t.Errorf("reading after the answer: error %v, want io.EOF", err)
 			}
 		})
 	}
 }
 
-// A shutdown while a long answer is being sent does not cut it.
+// TestStopDuringLongAnswerSendsItCompletely shuts down while a streamed answer is being sent, which must not cut it.
 func TestStopDuringLongAnswerSendsItCompletely(t *testing.T) {
 	const length = 3 * MaxBufferedBody
 	rest := make(chan struct{})
@@ -100,16 +100,16 @@
 	close(rest)
 	body, err := io.ReadAll(resp.Body)
 	if err != nil || len(body) != length {
-		t.Errorf("%d bytes and %v, want %d", len(body), err, length)
+		t.Errorf("read %d bytes of the answer, error %v; want %d bytes", len(body), err, length)
 	}
 	if _, err := br.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("behind it: %v, want the end", err)
+		t.Errorf("reading after the answer: error %v, want io.EOF", err)
 	}
 }
 
-// A long answer that its server goes on sending, with pauses, is passed on completely: cutting it off would lose
-// the request. An answer that only the end of its connection ends, and that is reset on the way, is cut, so that
-// the client can tell that it is incomplete.
+// TestSlowAnswerIsCompleteAndResetAnswerIsCut streams two long answers. One pauses for longer than the client's timeout
+// and must be forwarded completely: cutting it off would lose the request. The other one has no length, and its
+// connection is reset; it must be cut, so that the client can tell that it is incomplete.
 func TestSlowAnswerIsCompleteAndResetAnswerIsCut(t *testing.T) {
 	const length = 2 * MaxBufferedBody
 	for name, head := range map[string]string{
@@ -128,7 +128,7 @@
 					select {
 					case <-begun:
 						waiting = false
-					case <-time.After(streamAfter / 2): // the pace of what comes; nothing waits for it
+					case <-time.After(maxBufferingTime / 2): // interval between two bytes of the answer
 						if name == "reset" {
 							_, _ = io.WriteString(c, "x")
 						}
@@ -138,7 +138,7 @@
 					_ = c.SetLinger(0)
 					return
 				}
-				time.Sleep(3 * time.Second) // the server's pause, past the client's time
+				time.Sleep(3 * time.Second) // longer than the client's timeout
 				_, _ = io.WriteString(c, strings.Repeat("y", length/2))
 				_, _ = io.Copy(io.Discard, r)
 			})
@@ -151,14 +151,14 @@
 				t.Fatal(err)
 			}
 			if resp.StatusCode != http.StatusOK {
-				return // the machine was too busy for it to begin: it failed, and its client was told
+				return // on a busy machine the answer began too late, and the client got an error
 			}
 			body, err := io.ReadAll(resp.Body)
 			if name == "slow" && (err != nil || len(body) != length) {
-				t.Errorf("%d bytes and %v, want %d", len(body), err, length)
+				t.Errorf("read %d bytes of the answer, error %v; want %d bytes", len(body), err, length)
 			}
 			if name == "reset" && !errors.Is(err, io.ErrUnexpectedEOF) {
-				t.Errorf("%d bytes and %v, want it cut", len(body), err)
+				t.Errorf("read %d bytes of the answer, error %v; want io.ErrUnexpectedEOF", len(body), err)
 			}
 		})
 	}
--- a/internal/dataplane/httpfront/stream.go
+++ b/internal/dataplane/httpfront/stream.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// A body that is longer than MaxBufferedBody is streamed: passed on as it comes, and never buffered as a whole.
+// A body that is longer than MaxBufferedBody is streamed: it is forwarded as it arrives, and never buffered completely.
 const (
-	// MaxBody bounds a body; a longer one is rejected or cut.
+	// MaxBody bounds a body, in bytes. A longer request body is rejected, a longer answer is cut.
 	MaxBody = 64 << 20
 
-	maxBodyStall   = 2 * time.Second  // between two reads of a client's body
-	bodyGrace      = 5 * time.Second  // after which a client's body must have come
-	minBodyRate    = 16 << 10         // at this rate, in bytes a second, at least
-	maxUploadTime  = 30 * time.Minute // for MaxBody at that rate, with some to spare
-	maxAnswerStall = 250 * time.Millisecond
-	maxStreamStall = 10 * time.Second // of an answer that has begun to reach the client, in either direction
-	streamAfter    = 50 * time.Millisecond
+	maxBodyStall          = 2 * time.Second        // timeout of each read of a client's body
+	bodyGrace             = 5 * time.Second        // time for a client's body on top of its bytes at the minimum rate
+	minBodyBytesPerSecond = 16 << 10               // a client's body that arrives more slowly is rejected
+	maxUploadTime         = 30 * time.Minute       // deadline of a request while its body is streamed
+	maxAnswerStall        = 250 * time.Millisecond // timeout of each read of a buffered answer
+	maxStreamStall        = 10 * time.Second       // timeout of each read and write of a streamed body or answer
+	maxBufferingTime      = 50 * time.Millisecond  // of a body of unknown length, before it is streamed
 )
 
-// pacedConn reads from a connection with a timeout for each read, and records what it reads if that is wanted.
+// pacedConn reads from a connection with a timeout for each read, and records what it reads while recording is set.
 type pacedConn struct {
 	net.Conn
-	readTimeout time.Duration // 0: none but the deadline of the connection
+	readTimeout time.Duration // 0: the connection's deadline is left as it is
 	recording   bool
 	recorded    []byte
 }
--- a/internal/dataplane/httpfront/testfront_test.go
+++ b/internal/dataplane/httpfront/testfront_test.go
@@ -19,34 +19,34 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// Many tests of this package force two concurrent events into an order, one test or row for each order
-// (docs/design/crossings.md).
+// Many tests of this package force two concurrent events into a certain order. There is one test or table row for each
+// order (docs/design/crossings.md).
 
-// testFront is an HTTP front with its event loop and upstream side, whose dials can be held.
+// testFront is a server with its event loop and upstream, whose dials to endpoints can be held.
 type testFront struct {
 	*Server
 	eventLoop *core.EventLoop
 	upstream  *Upstream
 	addr      string
 
-	dials   chan string // addresses
-	mu      sync.Mutex
-	release chan struct{} // dials wait until it is closed; nil: they do not wait
+	dials         chan string // gets the address of each dial
+	mu            sync.Mutex
+	dialsReleased chan struct{} // dials wait until it is closed; nil: they do not wait
 }
 
-// fixedListener is a socket whose listener was opened before.
+// fixedListener is a handover.Socket with a listener that was opened before.
 type fixedListener struct{ net.Listener }
 
 func (l fixedListener) Listen() (net.Listener, error) { return l.Listener, nil }
 
-// Edits of a test configuration, each the old and the new text.
+// Edits of the test configuration: pairs of old and new text.
 var (
 	longDialTimeout  = []string{`"dial-timeout":1000000`, `"dial-timeout":100000000`}
 	longClassTimeout = []string{`"give-up":1000000`, `"give-up":900000000`}
 	longTimeouts     = slices.Concat(longDialTimeout, longClassTimeout)
 )
 
-// readyInstances returns endpoints s-1, s-2 and so on at these addresses.
+// readyInstances returns ready endpoints s-1, s-2 and so on at the addresses.
 func readyInstances(addrs ...string) []discovery.Instance {
 	var instances []discovery.Instance
 	for i, addr := range addrs {
@@ -55,7 +55,7 @@
 	return instances
 }
 
-// startFront starts a front for these endpoints until the test ends.
+// startFront starts a front for the endpoints in known, which runs until the test ends.
 func startFront(tb testing.TB, known []discovery.Instance, edits ...string) *testFront {
 	tb.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -74,11 +74,11 @@
 	f.upstream = NewUpstream(c, clk, &figures.AttemptsSent, sidecartest.DiscardLog)
 	f.upstream.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		f.mu.Lock()
-		wait := f.release
+		released := f.dialsReleased
 		f.mu.Unlock()
 		f.dials <- addr
-		if wait != nil {
-			<-wait // a connection that comes up late, whatever became of the attempt
+		if released != nil {
+			<-released // the connection is established late, even if the attempt has ended by then
 		}
 		return new(net.Dialer).DialContext(context.WithoutCancel(ctx), network, addr)
 	}
@@ -109,16 +109,16 @@
 	return f
 }
 
-// holdDials lets dials wait from now on, or lets all of them proceed.
+// holdDials lets all held dials proceed. If hold is set, it holds those that begin from now on.
 func (f *testFront) holdDials(hold bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.release != nil {
-		close(f.release)
-		f.release = nil
+	if f.dialsReleased != nil {
+		close(f.dialsReleased)
+		f.dialsReleased = nil
 	}
 	if hold {
-		f.release = make(chan struct{})
+		f.dialsReleased = make(chan struct{})
 	}
 }
 
@@ -135,7 +135,7 @@
 	return c.(*net.TCPConn)
 }
 
-// stop does what a shutdown does to a front at once.
+// stop does the first steps of a shutdown.
 func (f *testFront) stop() {
 	f.SetClosing(true)
 	f.CloseIdle()
@@ -162,29 +162,29 @@
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(c), r)
 	if err != nil {
-		t.Fatalf("no answer: %v", err)
+		t.Fatalf("reading the head of the answer: %v", err)
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		t.Fatalf("the answer is not whole: %v", err)
+		t.Fatalf("reading the body of the answer: %v", err)
 	}
 	return resp, string(body)
 }
 
-// waitUntil waits for a condition that must become true.
-func waitUntil(tb testing.TB, what string, is func() bool) {
+// waitUntil polls a condition until it is true. The test fails after sidecartest.WaitTimeout; what names the condition.
+func waitUntil(tb testing.TB, what string, condition func() bool) {
 	tb.Helper()
-	for end := time.Now().Add(sidecartest.WaitTimeout); !is(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(sidecartest.WaitTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			tb.Fatalf("%s: never happened", what)
+			tb.Fatalf("%s: did not happen in time", what)
 		}
 	}
 }
 
-// testEndpoint reports the path of each request, and answers once the test lets it.
+// testEndpoint reports the path of each request, and answers one request for each value in mayAnswer.
 type testEndpoint struct {
 	addr      string
-	received  chan string // paths
+	received  chan string // paths of the requests
 	mayAnswer chan struct{}
 }
 
@@ -205,19 +205,19 @@
 	return e
 }
 
-// countReading returns the number of connections of which a part of a request has been read.
+// countReading returns the number of new connections on which a request has been read in part.
 func countReading(f *testFront) (n int) {
 	f.clients.mu.Lock()
 	defer f.clients.mu.Unlock()
-	for at := f.clients.unused.Front(); at != nil; at = at.Next() {
-		if at.Value.(*client).state == stateReading {
+	for elem := f.clients.unused.Front(); elem != nil; elem = elem.Next() {
+		if elem.Value.(*client).state == stateReading {
 			n++
 		}
 	}
 	return n
 }
 
-// blockingLimiter admits all requests once it is open.
+// blockingLimiter closes reached when a request arrives, and admits it once open is closed. It serves one request.
 type blockingLimiter struct{ reached, open chan struct{} }
 
 func (g *blockingLimiter) Admit(*core.LimiterRequest) (func(bool), *core.LimitExceeded) {
@@ -226,5 +226,5 @@
 	return nil, nil
 }
 
-// readOneRequest is an endpoint that reads a request and closes its connection.
+// readOneRequest is a handler for sidecartest.RawEndpoint that reads a request and closes the connection.
 func readOneRequest(_ *net.TCPConn, r *bufio.Reader) { _, _ = sidecartest.ReadRequest(r) }
--- a/internal/dataplane/httpfront/upload.go
+++ b/internal/dataplane/httpfront/upload.go
@@ -13,23 +13,24 @@
 	"birchmoor/balancer"
 )
 
-// upload is the rest of a client's body, whose beginning was buffered.
+// upload is the rest of a streamed request body, whose beginning was buffered.
 type upload struct {
-	body           io.Reader       // what follows the beginning
-	length         int64           // of the complete body; -1: chunked
-	answerTime     balancer.Micros // for the answer, from the last byte of the body on
-	beginningBytes int
-	buf            []byte // through which the rest is passed on
-	ended          chan error
-	unread         chan struct{} // closed once no goroutine reads body any more
-	once           sync.Once
-	endWatch       func()      // ends the watch for the client's leaving, before body is read
-	taken          atomic.Bool // an attempt has begun to read the rest, which cannot be sent again
-	halted         atomic.Bool // nothing more is to be read
+	body           io.Reader       // the body after its beginning
+	length         int64           // bytes of the complete body; -1 if it is chunked
+	answerTime     balancer.Micros // time for the answer, from the last byte of the body on
+	beginningBytes int             // bytes of the beginning, which were sent with the request's head
+	buf            []byte          // buffer for copying the rest
+	result         chan error      // gets how the upload ended, once
+	readEnded      chan struct{}   // closed once no goroutine reads body any more
+	once           sync.Once       // guards result
+	endWatch       func()          // ends the watch for the client's disconnect; called before body is read
+	readStarted    atomic.Bool     // an attempt has begun to read body, so that no other attempt can send it
+	halted         atomic.Bool     // the request was answered early, and body is not to be read any more
 }
 
-// reportEnd reports once, to the client's side, how reading ended: nil when the body is complete.
-func (u *upload) reportEnd(err error) { u.once.Do(func() { u.ended <- err }) }
+// reportEnd sends how the upload ended to the client's exchange: nil if the body is complete. Only the first call has
+// an effect.
+func (u *upload) reportEnd(err error) { u.once.Do(func() { u.result <- err }) }
 
 var (
 	errSlowBody = errors.New("the body comes too slowly")
@@ -37,19 +38,20 @@
 	errHalted   = errors.New("the body is not wanted any more")
 )
 
-// clientError is a body that did not come as announced. No endpoint is to blame.
-type clientError struct{ err error }
+// bodyError is a client's body that did not arrive as announced. No endpoint is the cause.
+type bodyError struct{ err error }
 
-// Error names the body.
-func (e *clientError) Error() string { return "body: " + e.err.Error() }
+// Error returns the cause, prefixed with "body: ". The client gets it as the response.
+func (e *bodyError) Error() string { return "body: " + e.err.Error() }
 
 // Unwrap returns the cause.
-func (e *clientError) Unwrap() error { return e.err }
+func (e *bodyError) Unwrap() error { return e.err }
 
-// copyTo passes the rest on to an endpoint, piece by piece through buf. begin is the number of bytes that were sent
-// before.
-func (u *upload) copyTo(c net.Conn, begin int, buf []byte) (err error) {
-	defer close(u.unread)
+// copyTo copies the rest of the body to an endpoint through buf, and reports its result. sentBytes is the number of
+// bytes of the body that were sent before. A *bodyError means that the client is the cause; any other error, the
+// endpoint.
+func (u *upload) copyTo(c net.Conn, sentBytes int, buf []byte) (err error) {
+	defer close(u.readEnded)
 	defer func() { u.reportEnd(err) }()
 	var w io.Writer = c
 	var chunks io.WriteCloser
@@ -57,22 +59,22 @@
 		chunks = httputil.NewChunkedWriter(c)
 		w = chunks
 	}
-	begun := time.Now()
-	total := begin
+	startedAt := time.Now()
+	total := sentBytes
 	for {
 		if u.halted.Load() {
-			return &clientError{errHalted}
+			return &bodyError{errHalted}
 		}
 		n, err := u.body.Read(buf)
 		total += n
 		switch {
 		case total > MaxBody:
 			err = errLongBody
-		case time.Since(begun) > bodyGrace+time.Duration(total)*time.Second/minBodyRate:
+		case time.Since(startedAt) > bodyGrace+time.Duration(total)*time.Second/minBodyBytesPerSecond:
 			err = errSlowBody
 		}
 		if err != nil && !errors.Is(err, io.EOF) {
-			return &clientError{err}
+			return &bodyError{err}
 		}
 		if n > 0 {
 			setWriteDeadline(c, maxStreamStall)
@@ -85,7 +87,7 @@
 		}
 	}
 	if u.length >= 0 && int64(total) != u.length {
-		return &clientError{io.ErrUnexpectedEOF}
+		return &bodyError{io.ErrUnexpectedEOF}
 	}
 	if chunks != nil {
 		setWriteDeadline(c, maxStreamStall)
@@ -97,8 +99,8 @@
 	return nil
 }
 
-// setWriteDeadline sets the time that a write may take; 0 is for no limit. It fails on a closed connection alone,
-// where writes fail as well.
+// setWriteDeadline sets the deadline of writes to timeout from now; 0 removes it. Its error is ignored: it fails only
+// on a closed connection, where writes fail as well.
 func setWriteDeadline(c net.Conn, timeout time.Duration) {
 	var deadline time.Time
 	if timeout > 0 {
--- a/internal/dataplane/httpfront/upstream.go
+++ b/internal/dataplane/httpfront/upstream.go
@@ -17,31 +17,31 @@
 	"birchmoor/internal/platform/metrics"
 )
 
-// Upstream sends attempts and probes to endpoints over a small pool of connections. http.Transport is not used,
-// since it sends some requests again by itself when an idle connection breaks, and does not tell whether the last
-// byte was written. Here an attempt is written at most once, in one piece.
+// Upstream sends attempts and probes to endpoints over a pool of connections. http.Transport is not used, since it
+// resends some requests by itself when an idle connection breaks, and does not report whether the last byte was
+// written. Upstream writes each attempt at most once. It is safe for concurrent use.
 type Upstream struct {
 	clock         core.Clock
 	log           *slog.Logger
-	maxIdle       time.Duration
-	maxConns      int
+	maxIdle       time.Duration // idle connections expire after this time
+	maxConns      int           // guarded by mu
 	dial          func(ctx context.Context, network, addr string) (net.Conn, error)
-	pause         func(ctx context.Context, d time.Duration)
-	sends         *metrics.Counter // attempts that were written completely
-	reports       atomic.Pointer[reportConfig]
-	answerBudget  *bytebudget.Budget // bytes of buffered answers
+	pause         func(ctx context.Context, d time.Duration) // sleeps for d or until ctx ends
+	sends         *metrics.Counter                           // attempts that were written completely
+	reports       atomic.Pointer[loadReportConfig]
+	answerBudget  *bytebudget.Budget // bounds the bytes of buffered answers
 	connectErrors core.ConnectErrors
 
 	mu            sync.Mutex
-	unsolicitedAt time.Time            // when an endpoint last sent something unsolicited
-	conns         int                  // open or being opened
-	idle          map[*target]struct{} // with idle connections
+	unsolicitedAt time.Time            // when an endpoint last sent unsolicited bytes; zero: never
+	conns         int                  // connections that are open or being opened
+	idle          map[*target]struct{} // targets with idle connections
 }
 
-// NewUpstream returns an upstream without connections. sends counts the attempts that were written completely.
+// NewUpstream returns an Upstream without connections. It counts the attempts that were written completely in sends.
 func NewUpstream(c *config.Config, clk core.Clock, sends *metrics.Counter, log *slog.Logger) *Upstream {
 	u := &Upstream{clock: clk, log: log, sends: sends, answerBudget: bytebudget.New(c.MaxBufferedBytes(1)),
-		// Well before the endpoint's own limit: a request that crosses its close is lost.
+		// Idle connections expire well before the endpoint closes them: a request that is written at that moment is lost.
 		maxIdle: c.KeepAliveTimeout * 2 / 3, maxConns: c.MaxUpstreamConns(1), idle: map[*target]struct{}{}}
 	u.SetConfig(c)
 	u.pause = func(ctx context.Context, d time.Duration) {
@@ -55,54 +55,56 @@
 	return u
 }
 
-// target is the address of one endpoint, with connections of its own.
+// target is one endpoint, with connections of its own.
 type target struct {
 	upstream *Upstream
 	addr     string
 
 	// Guarded by upstream.mu.
-	idle    []*conn
-	removed bool // nothing new is sent there
+	idle    []*conn // in the order in which they were last used
+	removed bool    // no attempt begins any more
 }
 
-// Target returns a target without connections.
+// Target implements core.Transport. It returns a new target without connections.
 func (u *Upstream) Target(addr string) core.Target { return &target{upstream: u, addr: addr} }
 
-// Send makes one attempt.
-func (t *target) Send(ctx context.Context, o core.Attempt) core.Reply {
-	return t.upstream.send(ctx, t, o.Request.(*message), o.Deadline, o.Begin, o.BodySent)
+// Send implements core.Target.
+func (t *target) Send(ctx context.Context, attempt core.Attempt) core.Reply {
+	return t.upstream.send(ctx, t, attempt.Request.(*message), attempt.Deadline, attempt.Begin, attempt.BodySent)
 }
 
-// Probe asks the endpoint for its load.
+// Probe implements core.Target. It requests the endpoint's load, or its health if no load reports are configured.
 func (t *target) Probe() core.Reply { return t.upstream.probe(t) }
 
-// Close ends the use of the target: idle connections are closed, attempts in flight continue.
+// Close implements core.Target. It closes idle connections; attempts in flight continue.
 func (t *target) Close() { t.upstream.removeTarget(t) }
 
-// CloseUnusedSince closes idle connections that were last used before an instant.
+// CloseUnusedSince implements core.Target.
 func (t *target) CloseUnusedSince(before time.Time) { t.upstream.closeIdleSince(t, before) }
 
-// reportConfig says what load reports hold, and whether they come with answers.
-type reportConfig struct {
-	fields    []string
-	onAnswers bool
+// loadReportConfig is what a configuration says about load reports.
+type loadReportConfig struct {
+	fields    []string // names of the values to read; none: there are no load reports
+	onAnswers bool     // answers carry load reports in a header
 }
 
-// AcceptsLateReplies returns false: an attempt that continues would occupy a connection.
+// AcceptsLateReplies implements core.Transport. It returns false: an attempt that continues after its timeout would
+// occupy a connection.
 func (u *Upstream) AcceptsLateReplies() bool { return false }
 
-// SetConfig applies what a configuration says of load reports.
+// SetConfig implements core.Transport. It applies the configuration of load reports; nothing else changes.
 func (u *Upstream) SetConfig(c *config.Config) {
-	u.reports.Store(&reportConfig{c.LoadFields, c.LoadOnResponses})
+	u.reports.Store(&loadReportConfig{c.LoadFields, c.LoadOnResponses})
 }
 
-// SetCapacityShare sets this process's part of the limits.
-func (u *Upstream) SetCapacityShare(c *config.Config, part float64) {
-	u.resize(c.MaxUpstreamConns(part))
-	u.answerBudget.Resize(c.MaxBufferedBytes(part))
+// SetCapacityShare sets this process's share of the limits on connections and buffered answers, from 0 to 1. During an
+// upgrade, two processes share them.
+func (u *Upstream) SetCapacityShare(c *config.Config, share float64) {
+	u.resize(c.MaxUpstreamConns(share))
+	u.answerBudget.Resize(c.MaxBufferedBytes(share))
 }
 
-// Maintain closes stale connections at intervals until ctx ends, and all idle ones then.
+// Maintain closes unusable idle connections at intervals until ctx ends, and then all idle ones.
 func (u *Upstream) Maintain(ctx context.Context) {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
@@ -120,65 +122,65 @@
 	}
 }
 
-// send makes one attempt. mayGo is called last, right before the first byte; if it returns false, nothing is sent.
-// bodySent is called when a streamed body has gone out. When ctx ends the connection is closed, unless the answer
-// is being streamed by then.
-func (u *Upstream) send(ctx context.Context, to *target, m *message, deadline balancer.Micros,
-	mayGo func(now balancer.Micros) bool, bodySent func(now balancer.Micros)) core.Reply {
-	c, err := u.get(ctx, to)
+// send makes one attempt. It calls mayBegin right before it writes the first byte; if that returns false, nothing is
+// sent. It calls bodySent once a streamed body has been written. When ctx ends the connection is closed, unless the
+// answer is being streamed by then.
+func (u *Upstream) send(ctx context.Context, dst *target, msg *message, deadline balancer.Micros,
+	mayBegin func(now balancer.Micros) bool, bodySent func(now balancer.Micros)) core.Reply {
+	c, err := u.get(ctx, dst)
 	if err != nil {
 		return u.reply(u.connectErrors.Status(ctx, err, u.log))
 	}
 	now := u.clock.Now()
-	left := millisLeft(deadline - now)
-	if m.upload != nil {
-		left = millisLeft(m.upload.answerTime) // from its last byte on
+	leftMs := millisLeft(deadline - now)
+	if msg.upload != nil {
+		leftMs = millisLeft(msg.upload.answerTime) // the endpoint counts it from the last byte of the body
 	}
-	if left < 1 || !mayGo(now) {
+	if leftMs < 1 || !mayBegin(now) {
 		u.put(c)
 		return u.reply(balancer.NotSent)
 	}
-	return u.exchange(ctx, c, m.bytes(left), m.upload, u.sends, bodySent)
+	return u.exchange(ctx, c, msg.bytes(leftMs), msg.upload, u.sends, bodySent)
 }
 
-// probe asks an endpoint for its load, or for its health where there are no load reports.
-func (u *Upstream) probe(to *target) core.Reply {
+// probe requests the load of an endpoint, or its health if no load reports are configured.
+func (u *Upstream) probe(dst *target) core.Reply {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	c, err := u.get(ctx, to)
+	c, err := u.get(ctx, dst)
 	if err != nil {
 		return u.reply(u.connectErrors.Status(ctx, err, u.log))
 	}
-	m := message{method: http.MethodGet, uri: "/-/healthy", host: to.addr}
+	msg := message{method: http.MethodGet, uri: "/-/healthy", host: dst.addr}
 	fields := u.reports.Load().fields
 	if len(fields) > 0 {
-		m.uri = "/-/load"
+		msg.uri = "/-/load"
 	}
-	r := u.exchange(ctx, c, m.bytes(0), nil, new(metrics.Counter), nil)
-	r.Release()
-	if r.Status == balancer.OK && len(fields) > 0 {
-		r.Load = parseLoad(fields, string(r.Content.(*upstreamAnswer).body))
+	reply := u.exchange(ctx, c, msg.bytes(0), nil, new(metrics.Counter), nil)
+	reply.Release()
+	if reply.Status == balancer.OK && len(fields) > 0 {
+		reply.Load = parseLoad(fields, string(reply.Content.(*upstreamAnswer).body))
 	}
-	return r
+	return reply
 }
 
-// reply returns a reply of now with a status.
+// reply returns a reply with a status and the current time.
 func (u *Upstream) reply(status balancer.Status) core.Reply {
 	return core.Reply{Status: status, At: u.clock.Now()}
 }
 
-// exchange writes a request, counts it once it is written completely, and reads its answer. The connection is used
-// again if both are complete.
-func (u *Upstream) exchange(ctx context.Context, c *conn, text []byte, rest *upload, sends *metrics.Counter,
+// exchange writes a request, counts it in sends once it is written completely, and reads its answer. It returns the
+// connection to the pool if both are complete, and discards it otherwise.
+func (u *Upstream) exchange(ctx context.Context, c *conn, encoded []byte, rest *upload, sends *metrics.Counter,
 	bodySent func(balancer.Micros)) core.Reply {
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
-	c.limit.N = maxBufferedAnswer
-	n, err := c.Write(text)
+	c.limit.N = maxBufferedAnswerBytes
+	n, err := c.Write(encoded)
 	if err != nil {
 		stop()
 		u.discard(c)
-		if n < len(text) {
-			return u.reply(balancer.ConnectFailed) // its last byte was not written, so it never ran
+		if n < len(encoded) {
+			return u.reply(balancer.ConnectFailed) // the request's last byte was not written, so it never ran
 		}
 		return u.reply(balancer.Reset)
 	}
@@ -186,31 +188,31 @@
 		if status := u.sendRest(c, rest); status != balancer.OK {
 			stop()
 			u.discard(c)
-			r := u.reply(status)
-			r.RequestConsumed = true
-			return r
+			reply := u.reply(status)
+			reply.RequestConsumed = true
+			return reply
 		}
 		bodySent(u.clock.Now())
 	}
 	sends.Inc()
-	a, err := c.read(ctx, u.answerBudget)
-	r := u.reply(balancer.Reset)
-	r.RequestConsumed = rest != nil
-	if err == nil && a.stream != nil && a.code != http.StatusOK {
-		a.releaseBudget() // of an error the status is enough
-		a.stream = nil
-		a.closesConnection = true
+	answer, err := c.read(ctx, u.answerBudget)
+	reply := u.reply(balancer.Reset)
+	reply.RequestConsumed = rest != nil
+	if err == nil && answer.stream != nil && answer.code != http.StatusOK {
+		answer.releaseBudget() // the body of an error response is not needed
+		answer.stream = nil
+		answer.closesConnection = true
 	}
-	if err == nil && a.stream != nil && stop() {
-		a.stream.done = u.afterStream(c, a)
-		r.Status = balancer.OK
-		r.Content = a
-		r.Load = u.loadOf(a)
-		return r
+	if err == nil && answer.stream != nil && stop() {
+		answer.stream.done = u.afterStream(c, answer)
+		reply.Status = balancer.OK
+		reply.Content = answer
+		reply.Load = u.loadOf(answer)
+		return reply
 	}
-	if !stop() || err != nil || a.stream != nil || a.closesConnection || c.r.Buffered() > 0 {
-		if err == nil && a.stream != nil {
-			a.releaseBudget()
+	if !stop() || err != nil || answer.stream != nil || answer.closesConnection || c.reader.Buffered() > 0 {
+		if err == nil && answer.stream != nil {
+			answer.releaseBudget()
 			err = context.Canceled
 		}
 		u.discard(c)
@@ -218,39 +220,40 @@
 		u.put(c)
 	}
 	if err != nil {
-		return r
+		return reply
 	}
-	r.Content = a
-	r.Status = a.status()
-	r.Load = u.loadOf(a)
-	return r
+	reply.Content = answer
+	reply.Status = answer.status()
+	reply.Load = u.loadOf(answer)
+	return reply
 }
 
-// sendRest sends the rest of a streamed body. A status other than balancer.OK says why it could not.
+// sendRest sends the rest of a streamed body. It returns balancer.OK, or the status of the failed attempt.
 func (u *Upstream) sendRest(c *conn, rest *upload) balancer.Status {
-	if rest.taken.Swap(true) {
-		return balancer.ConnectFailed // another attempt has read it
+	if rest.readStarted.Swap(true) {
+		return balancer.ConnectFailed // another attempt has read the body
 	}
 	rest.endWatch()
-	// The beginning has been copied into the request, so that its buffer serves for the rest.
+	// The beginning of the body was copied into the encoded request, so that its buffer is free for the rest.
 	err := rest.copyTo(c, rest.beginningBytes, rest.buf)
 	if err == nil {
 		return balancer.OK
 	}
-	var fault *clientError
-	if errors.As(err, &fault) {
-		return balancer.NotSent // the endpoint did nothing wrong
+	var bodyErr *bodyError
+	if errors.As(err, &bodyErr) {
+		return balancer.NotSent // the client is the cause, not the endpoint
 	}
 	return balancer.ConnectFailed
 }
 
-// afterStream returns what is to be done with the connection once an answer was streamed.
-func (u *Upstream) afterStream(c *conn, a *upstreamAnswer) func(core.StreamEnd) {
+// afterStream returns the function that is called once an answer has been streamed. It releases the budget, and pools
+// or discards the connection.
+func (u *Upstream) afterStream(c *conn, answer *upstreamAnswer) func(core.StreamEnd) {
 	return func(end core.StreamEnd) {
-		a.releaseBudget()
+		answer.releaseBudget()
 		c.paced.readTimeout = 0
 		c.clearReadDeadline()
-		if end != core.StreamComplete || a.closesConnection || c.r.Buffered() > 0 {
+		if end != core.StreamComplete || answer.closesConnection || c.reader.Buffered() > 0 {
 			u.discard(c)
 		} else {
 			u.put(c)
@@ -258,30 +261,31 @@
 	}
 }
 
-// loadOf returns the load report in an answer, or nil.
-func (u *Upstream) loadOf(a *upstreamAnswer) []float32 {
+// loadOf returns the load report in an answer's header, or nil if there is none.
+func (u *Upstream) loadOf(answer *upstreamAnswer) []float32 {
 	reports := u.reports.Load()
 	if !reports.onAnswers {
 		return nil
 	}
-	return parseLoad(reports.fields, a.header.Get("Endpoint-Load-Metrics"))
+	return parseLoad(reports.fields, answer.header.Get("Endpoint-Load-Metrics"))
 }
 
 const (
-	// MaxBufferedBody bounds what is buffered of a body; a longer one is streamed.
+	// MaxBufferedBody bounds the bytes of a body that are buffered; a longer body is streamed.
 	MaxBufferedBody = 64 << 10
 
-	maxBufferedAnswer = MaxBufferedBody + 64<<10 // with its head and framing
-	probeTimeout      = 250 * time.Millisecond
-	sweepInterval     = time.Second
+	maxBufferedAnswerBytes = MaxBufferedBody + 64<<10 // body, head and framing
+	probeTimeout           = 250 * time.Millisecond
+	sweepInterval          = time.Second
 
-	// A connection takes a round trip, under a millisecond between hosts of a site. One that takes many times as
-	// long belongs to a host that is cut off or gone, and the request, which never ran, may still be answered in
-	// time elsewhere.
+	// Between hosts of a site, connecting takes one round trip, less than a millisecond. If it takes many times as long,
+	// the host is down or unreachable. Dialling ends after a fraction of the configured timeout, so that another
+	// endpoint can still answer the request, which never ran, in time.
 	dialTimeoutDivisor = 4
 )
 
-// dialTimeout returns how long to wait for a connection, by the limit of the settings; 0 if they have none.
+// dialTimeout returns the timeout of a dial. limit is the configured one; if it is not positive, probeTimeout replaces
+// it.
 func dialTimeout(limit time.Duration) time.Duration {
 	if limit <= 0 {
 		limit = probeTimeout
--- a/internal/dataplane/httpfront/upstream_test.go
+++ b/internal/dataplane/httpfront/upstream_test.go
@@ -18,7 +18,8 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// A missing or invalid figure must not be read as an idle endpoint.
+// TestParseLoadRejectsMalformedReports guards against a missing or invalid value that is read as 0, which means an idle
+// endpoint.
 func TestParseLoadRejectsMalformedReports(t *testing.T) {
 	fields := []string{"busy_reqs", "served_ps", "cpu_share"}
 	for _, tc := range []struct{ text, want string }{
@@ -44,18 +45,18 @@
 	return NewUpstream(c, core.NewClock(), new(metrics.Counter), sidecartest.DiscardLog)
 }
 
-// sendAttempt makes one attempt with a second of time.
-func (u *Upstream) sendAttempt(m *message, to *target) core.Reply {
-	return u.sendAttemptWithin(time.Second, m, to)
+// sendAttempt makes one attempt that has a second.
+func (u *Upstream) sendAttempt(msg *message, dst *target) core.Reply {
+	return u.sendAttemptWithin(time.Second, msg, dst)
 }
 
-func (u *Upstream) sendAttemptWithin(d time.Duration, m *message, to *target) core.Reply {
+func (u *Upstream) sendAttemptWithin(d time.Duration, msg *message, dst *target) core.Reply {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*sidecartest.WaitTimeout)
 	defer cancel()
-	return u.send(ctx, to, m, u.clock.Now()+d.Microseconds(), func(balancer.Micros) bool { return true }, nil)
+	return u.send(ctx, dst, msg, u.clock.Now()+d.Microseconds(), func(balancer.Micros) bool { return true }, nil)
 }
 
-func keyed(body string) *message {
+func keyedPost(body string) *message {
 	return &message{method: "POST", uri: "/book", host: "origin.svc", body: []byte(body),
 		header: http.Header{"X-Trace-Id": {"1"}, "Idempotency-Key": {"k"}}}
 }
@@ -64,37 +65,38 @@
 	return &message{method: "GET", uri: "/look", host: "origin.svc", header: http.Header{"X-Trace-Id": {"1"}}}
 }
 
-// Each Send is at most one attempt on the wire, also for requests that an http.Transport would send again:
-// those of a kept connection that breaks after the request was read.
+// TestBrokenKeptConnectionIsNotResent breaks a pooled connection after the endpoint has read a request. The request
+// must not be sent again, as http.Transport would do: each Send is at most one attempt on the wire.
 func TestBrokenKeptConnectionIsNotResent(t *testing.T) {
-	for name, m := range map[string]*message{"get": plainGet(), "keyed": keyed("x")} {
+	for name, m := range map[string]*message{"get": plainGet(), "keyed": keyedPost("x")} {
 		t.Run(name, func(t *testing.T) {
-			var taken atomic.Int32
-			to := newTarget(sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
+			var received atomic.Int32
+			dst := newTarget(sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 				for i := 0; i < 2; i++ {
 					if _, err := sidecartest.ReadRequest(r); err != nil {
 						return
 					}
-					if taken.Add(1); i == 0 {
+					if received.Add(1); i == 0 {
 						_, _ = io.WriteString(c, sidecartest.OKAnswer)
 					}
 				}
 			}))
 			u := newTestUpstream(t)
-			if r := u.sendAttempt(m, to); r.Status != balancer.OK {
+			if r := u.sendAttempt(m, dst); r.Status != balancer.OK {
 				t.Fatalf("first: status %v", r.Status)
 			}
-			if r := u.sendAttempt(m, to); r.Status != balancer.Reset {
+			if r := u.sendAttempt(m, dst); r.Status != balancer.Reset {
 				t.Errorf("second: status %v, want Reset", r.Status)
 			}
-			if n := taken.Load(); n != 2 {
-				t.Errorf("the endpoint took %d requests, want 2", n)
+			if n := received.Load(); n != 2 {
+				t.Errorf("the endpoint received %d requests, want 2", n)
 			}
 		})
 	}
 }
 
-// brokenConn is a connection that breaks before the last bytes of a write, or right after them.
+// brokenConn is a connection whose writes fail: before the last unwritten bytes or, if failAfter is set, after all of
+// them.
 type brokenConn struct {
 	net.Conn
 	unwritten int
@@ -109,18 +111,19 @@
 	return n, err
 }
 
-// A request may have run only if its last byte was written.
+// TestStatusOfFailedWriteDependsOnLastByte expects Reset only if the request's last byte was written: without it the
+// request cannot have run, and may be retried.
 func TestStatusOfFailedWriteDependsOnLastByte(t *testing.T) {
 	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 		_, _ = sidecartest.ReadRequest(r)
-		_ = c.SetLinger(0) // breaks with a reset
+		_ = c.SetLinger(0) // the close resets the connection
 	})
-	m := keyed(strings.Repeat("x", 1000))
+	m := keyedPost(strings.Repeat("x", 1000))
 	for _, tc := range []struct {
-		name  string
-		lack  int
-		after bool
-		want  balancer.Status
+		name      string
+		unwritten int
+		failAfter bool
+		want      balancer.Status
 	}{
 		{"all but one byte", 1, false, balancer.ConnectFailed},
 		{"no byte", 1 << 20, false, balancer.ConnectFailed},
@@ -132,7 +135,7 @@
 			dial := u.dial
 			u.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 				c, err := dial(ctx, network, addr)
-				return brokenConn{c, tc.lack, tc.after}, err
+				return brokenConn{c, tc.unwritten, tc.failAfter}, err
 			}
 			if r := u.sendAttempt(m, newTarget(addr)); r.Status != tc.want {
 				t.Errorf("status %v, want %v", r.Status, tc.want)
@@ -145,8 +148,8 @@
 	}
 }
 
-// The status of an attempt by the endpoint's answer: only a marked 503 or 504 proves that the request never ran,
-// and only a complete 200 counts as success.
+// TestAnswerStatuses expects the status of an attempt for each kind of answer: only a 503 or 504 that is marked with
+// X-Never-Ran proves that the request never ran, and only a complete 200 is a success.
 func TestAnswerStatuses(t *testing.T) {
 	for _, tc := range []struct {
 		name, answer string
@@ -156,7 +159,7 @@
 		{"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", balancer.OK},
 		{"after a 100", "HTTP/1.1 100 Continue\r\n\r\n" + sidecartest.OKAnswer, balancer.OK},
 		{"error", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", balancer.Error},
-		{"turned away", "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Rejected},
+		{"marked 503", "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Rejected},
 		{"late", "HTTP/1.1 504 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Rejected},
 		{"unmarked 503", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", balancer.Error},
 		{"marked 500", "HTTP/1.1 500 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Error},
@@ -186,25 +189,26 @@
 			balancer.OK,
 		},
 		{"too large", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nok", MaxBody+1), balancer.Reset},
-		{"endless head", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", maxBufferedAnswer), balancer.Reset},
+		{"endless head", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", maxBufferedAnswerBytes), balancer.Reset},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 				_, _ = sidecartest.ReadRequest(r)
 				_, _ = io.WriteString(c, tc.answer)
 			})
-			r := newTestUpstream(t).sendAttempt(keyed("x"), newTarget(addr))
+			r := newTestUpstream(t).sendAttempt(keyedPost("x"), newTarget(addr))
 			if r.Status != tc.want {
 				t.Errorf("status %v, want %v", r.Status, tc.want)
 			}
 			if r.Status == balancer.OK && string(r.Content.(*upstreamAnswer).body) != "ok" {
-				t.Errorf("body %q", r.Content.(*upstreamAnswer).body)
+				t.Errorf("body %q, want ok", r.Content.(*upstreamAnswer).body)
 			}
 		})
 	}
 }
 
-// An answer that does not end, or announces that it will not for long, is abandoned before the request's timeout.
+// TestIncompleteAnswerIsAbandonedBeforeTimeout expects an attempt to end with Reset, well before its timeout, if its
+// answer stalls or announces a body that is too large.
 func TestIncompleteAnswerIsAbandonedBeforeTimeout(t *testing.T) {
 	for _, answer := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok",
@@ -217,31 +221,32 @@
 			_, _ = io.WriteString(c, answer)
 			_, _ = r.ReadByte()
 		})
-		// Its own time is far longer: Reset, and not a time-out, says which came first.
+		// The attempt's own timeout is far longer, so that Reset shows that the stall was detected first.
 		u := newTestUpstream(t)
-		if r := u.sendAttemptWithin(sidecartest.WaitTimeout, keyed("x"), newTarget(addr)); r.Status != balancer.Reset {
-			t.Errorf("%q: status %v, want Reset before its time is up", answer, r.Status)
+		if r := u.sendAttemptWithin(sidecartest.WaitTimeout, keyedPost("x"), newTarget(addr)); r.Status != balancer.Reset {
+			t.Errorf("%q: status %v, want Reset before the attempt's timeout", answer, r.Status)
 		}
 		if u.conns != 0 {
-			t.Errorf("%q: its connection is kept", answer)
+			t.Errorf("%q: the connection stays open after the attempt", answer)
 		}
 	}
 }
 
-// An answer may come long after a 1xx.
+// TestAnswerLongAfterInterimIsAccepted expects no read timeout between an interim response (1xx) and the final answer.
 func TestAnswerLongAfterInterimIsAccepted(t *testing.T) {
 	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 		_, _ = sidecartest.ReadRequest(r)
 		_, _ = io.WriteString(c, "HTTP/1.1 102 Wait\r\n\r\n")
-		time.Sleep(2 * maxAnswerStall) // the work, not a wait for another
+		time.Sleep(2 * maxAnswerStall) // the endpoint works on the request
 		_, _ = io.WriteString(c, sidecartest.OKAnswer)
 	})
-	if r := newTestUpstream(t).sendAttempt(keyed("x"), newTarget(addr)); r.Status != balancer.OK {
+	if r := newTestUpstream(t).sendAttempt(keyedPost("x"), newTarget(addr)); r.Status != balancer.OK {
 		t.Errorf("status %v, want OK", r.Status)
 	}
 }
 
-// An answer with more bytes behind it is valid, and the bytes behind it answer no request.
+// TestBytesAfterAnswerAreDiscarded has an endpoint send each answer twice. The first copy is valid, and the second one
+// must not be taken for the answer to the next request.
 func TestBytesAfterAnswerAreDiscarded(t *testing.T) {
 	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 		for {
@@ -250,21 +255,22 @@
 				return
 			}
 			id := req.Header.Get("X-Trace-Id")
-			one := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id)
-			_, _ = io.WriteString(c, one+one)
+			answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id)
+			_, _ = io.WriteString(c, answer+answer)
 		}
 	})
-	u, to := newTestUpstream(t), newTarget(addr)
+	u, dst := newTestUpstream(t), newTarget(addr)
 	for i := range 4 {
 		m := plainGet()
 		m.header.Set("X-Trace-Id", fmt.Sprint(i))
-		if r := u.sendAttempt(m, to); r.Status != balancer.OK || string(r.Content.(*upstreamAnswer).body) != fmt.Sprint(i) {
-			t.Errorf("request %d: status %v, answer %q", i, r.Status, r.Content)
+		if r := u.sendAttempt(m, dst); r.Status != balancer.OK || string(r.Content.(*upstreamAnswer).body) != fmt.Sprint(i) {
+			t.Errorf("request %d: status %v, answer %q; want OK and its own ID", i, r.Status, r.Content)
 		}
 	}
 }
 
-// A probe requests the load where there are load reports, the health elsewhere, and has a timeout.
+// TestProbeReadsLoadOrHealthWithinTimeout expects a probe to request the load if load reports are configured, and the
+// health otherwise, and to time out if the endpoint does not answer.
 func TestProbeReadsLoadOrHealthWithinTimeout(t *testing.T) {
 	addr := sidecartest.HTTPEndpoint(t, func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
@@ -284,25 +290,26 @@
 		t.Errorf("probe without reports: status %v, load %v", r.Status, r.Load)
 	}
 	ended := make(chan error, 1)
-	mute := sidecartest.RawEndpoint(t, func(_ *net.TCPConn, r *bufio.Reader) {
+	silentAddr := sidecartest.RawEndpoint(t, func(_ *net.TCPConn, r *bufio.Reader) {
 		_, _ = sidecartest.ReadRequest(r)
 		_, err := r.ReadByte()
 		ended <- err
 	})
-	if r := newTestUpstream(t).probe(newTarget(mute)); r.Status == balancer.OK {
-		t.Error("a probe that nobody answered is ok")
+	if r := newTestUpstream(t).probe(newTarget(silentAddr)); r.Status == balancer.OK {
+		t.Error("a probe without an answer returned status OK")
 	}
-	if err := sidecartest.Receive(t, ended, "end of a mute probe"); err == nil {
-		t.Error("more was written to a mute probe")
+	if err := sidecartest.Receive(t, ended, "end of the probe's connection"); err == nil {
+		t.Error("the probe wrote more than its request")
 	}
 }
 
-// Dialling a server that is gone must leave time for an attempt at another.
+// TestDialTimeoutIsFractionOfConfigured guards against a dial to an unreachable host that leaves no time for an attempt
+// at another endpoint.
 func TestDialTimeoutIsFractionOfConfigured(t *testing.T) {
-	for most, want := range map[time.Duration]time.Duration{200 * time.Millisecond: 50 * time.Millisecond,
+	for configured, want := range map[time.Duration]time.Duration{200 * time.Millisecond: 50 * time.Millisecond,
 		time.Second: 250 * time.Millisecond, 0: probeTimeout / 4, -1: probeTimeout / 4} {
-		if got := dialTimeout(most); got != want {
-			t.Errorf("of %v, a connection is waited for for %v, want %v", most, got, want)
+		if got := dialTimeout(configured); got != want {
+			t.Errorf("dialTimeout(%v) = %v, want %v", configured, got, want)
 		}
 	}
 }
@@ -310,7 +317,7 @@
 func TestMillisLeftRoundsUp(t *testing.T) {
 	for left, want := range map[balancer.Micros]balancer.Micros{-5: 0, 0: 0, 1: 1, 999: 1, 1000: 1, 1001: 2} {
 		if got := millisLeft(left); got != want {
-			t.Errorf("%d µs left are told as %d ms, want %d", left, got, want)
+			t.Errorf("millisLeft(%d) = %d, want %d", left, got, want)
 		}
 	}
 }
