--- a/internal/dataplane/httpfront/upstreamanswer.go
+++ b/internal/dataplane/httpfront/upstreamanswer.go
@@ -18,87 +18,87 @@
 )
 
 const (
-	maxInterimAnswers = 8       // answers 1xx before the final one
-	unbudgetedBytes   = 4 << 10 // an answer of no more is not charged to the budget
+	maxInterimAnswers  = 8       // 1xx responses before the final one
+	maxUnbudgetedBytes = 4 << 10 // a body of up to this size is not charged to a budget
 )
 
 var (
-	errAmbiguousLength = errors.New("the answer has both a length and chunks, or neither in a known form")
+	errAmbiguousLength = errors.New("the answer's Content-Length and Transfer-Encoding do not determine its length")
 	errAnswerTooLarge  = errors.New("the answer is too large")
-	errNotHTTP         = errors.New("the answer is no HTTP/1")
+	errNotHTTP         = errors.New("the answer does not begin with a status line of HTTP/1")
 )
 
-// upstreamAnswer is an endpoint's answer: complete, or streamed.
+// upstreamAnswer is an endpoint's answer. It implements the Content of core.Reply.
 type upstreamAnswer struct {
 	code             int
 	header           http.Header
 	body             []byte
-	stream           *download // instead of body
+	stream           *download // a streamed body; nil if body is complete
 	budget           *bytebudget.Budget
-	budgetBytes      int  // charged to budget
-	closesConnection bool // the connection cannot be used again
+	budgetBytes      int  // bytes charged to budget
+	closesConnection bool // the connection cannot be reused after the answer
 }
 
-// Streams reports whether the answer is streamed.
+// Streams reports whether the answer's body is streamed.
 func (a *upstreamAnswer) Streams() bool { return a.stream != nil }
 
-// Release gives back the budget, and the connection of a streamed answer.
+// Release releases the answer's memory budget. It abandons a streamed answer, and so releases its connection.
 func (a *upstreamAnswer) Release() {
-	if flow := a.stream; flow != nil {
+	if stream := a.stream; stream != nil {
 		a.stream = nil
-		flow.done(core.StreamAbandoned)
+		stream.done(core.StreamAbandoned)
 	}
 	a.releaseBudget()
 }
 
-// releaseBudget gives back the budget.
+// releaseBudget releases what the answer is charged for. Further calls have no effect.
 func (a *upstreamAnswer) releaseBudget() {
 	a.budget.Release(a.budgetBytes)
 	a.budgetBytes = 0
 }
 
-// read reads a complete answer, or the beginning of a streamed one. An answer that ends early, or whose length is
-// ambiguous, is an error: nothing but what the endpoint made for the request may pass for its answer.
-// http.ReadResponse would hide that an answer had both a length and chunks.
+// read reads a complete answer, or the beginning of a streamed one, and skips interim responses. An answer that ends
+// early or whose length is ambiguous is an error, so that no other bytes are taken for a part of it. http.ReadResponse
+// is not used, since it hides that an answer has both a length and chunks.
 func (c *conn) read(ctx context.Context, budget *bytebudget.Budget) (*upstreamAnswer, error) {
 	for range maxInterimAnswers {
 		c.paced.readTimeout = 0
 		c.clearReadDeadline()
-		if _, err := c.r.Peek(1); err != nil {
+		if _, err := c.reader.Peek(1); err != nil {
 			return nil, err
 		}
 		c.paced.readTimeout = maxAnswerStall
-		a, err := c.head()
+		answer, err := c.head()
 		if err != nil {
 			return nil, err
 		}
-		if a.code < 200 {
+		if answer.code < 200 {
 			continue
 		}
-		a.budget = budget
-		if err = c.body(ctx, a); err != nil {
-			a.releaseBudget()
+		answer.budget = budget
+		if err = c.body(ctx, answer); err != nil {
+			answer.releaseBudget()
 		}
-		if a.stream == nil {
+		if answer.stream == nil {
 			c.paced.readTimeout = 0
 			c.clearReadDeadline()
 		}
-		return a, err
+		return answer, err
 	}
 	return nil, errAnswerTooLarge
 }
 
-// head reads a status line and headers.
+// head reads the status line and the headers of an answer.
 func (c *conn) head() (*upstreamAnswer, error) {
-	text := textproto.NewReader(c.r)
+	text := textproto.NewReader(c.reader)
 	line, err := text.ReadLine()
 	if err != nil {
 		return nil, err
 	}
 	version, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
-	a := &upstreamAnswer{}
-	if a.code, err = strconv.Atoi(code); err != nil || len(code) != 3 || a.code < 100 ||
+	answer := &upstreamAnswer{}
+	if answer.code, err = strconv.Atoi(code); err != nil || len(code) != 3 || answer.code < 100 ||
 		version != "HTTP/1.1" && version != "HTTP/1.0" {
 		return nil, errNotHTTP
 	}
@@ -106,41 +106,41 @@
 	if err != nil {
 		return nil, err
 	}
-	a.header = http.Header(header)
-	a.closesConnection = version == "HTTP/1.0"
-	for _, v := range a.header["Connection"] {
-		a.closesConnection = a.closesConnection || strings.Contains(strings.ToLower(v), "close")
+	answer.header = http.Header(header)
+	answer.closesConnection = version == "HTTP/1.0"
+	for _, v := range answer.header["Connection"] {
+		answer.closesConnection = answer.closesConnection || strings.Contains(strings.ToLower(v), "close")
 	}
-	return a, nil
+	return answer, nil
 }
 
-// body reads a body of up to MaxBufferedBody bytes. Of a longer one, and of one that comes slowly and whose length
-// is unknown, it reads the beginning.
-func (c *conn) body(ctx context.Context, a *upstreamAnswer) error {
-	if a.code == http.StatusNoContent || a.code == http.StatusNotModified {
+// body reads the body of an answer, up to MaxBufferedBody bytes. Of a longer body, and of one of unknown length that
+// does not end within maxBufferingTime, it reads the beginning and sets the answer's stream.
+func (c *conn) body(ctx context.Context, answer *upstreamAnswer) error {
+	if answer.code == http.StatusNoContent || answer.code == http.StatusNotModified {
 		return nil
 	}
-	body, length, err := c.bodyReader(a)
+	body, length, err := c.bodyReader(answer)
 	if err != nil {
 		return err
 	}
-	if err := a.chargeBudget(ctx, length); err != nil {
+	if err := answer.chargeBudget(ctx, length); err != nil {
 		return err
 	}
-	c.limit.N = 2*MaxBody + maxBufferedAnswer // chunks have some framing
+	c.limit.N = 2*MaxBody + maxBufferedAnswerBytes // twice MaxBody leaves space for the framing of chunks
 	if length >= 0 && length <= MaxBufferedBody {
-		a.body = make([]byte, length)
-		_, err := io.ReadFull(body, a.body)
+		answer.body = make([]byte, length)
+		_, err := io.ReadFull(body, answer.body)
 		return err
 	}
 	buf := make([]byte, MaxBufferedBody)
 	n := 0
-	begun := time.Now()
-	for n < len(buf) && (n == 0 || length < 0 && time.Since(begun) < streamAfter) {
-		more, err := body.Read(buf[n:])
-		n += more
+	startedAt := time.Now()
+	for n < len(buf) && (n == 0 || length < 0 && time.Since(startedAt) < maxBufferingTime) {
+		read, err := body.Read(buf[n:])
+		n += read
 		if errors.Is(err, io.EOF) && length < 0 {
-			a.body = buf[:n]
+			answer.body = buf[:n]
 			return nil
 		}
 		if err != nil {
@@ -151,13 +151,14 @@
 		body = &exactReader{body, length - int64(n)}
 	}
 	c.paced.readTimeout = maxStreamStall
-	a.stream = &download{beginning: buf[:n], more: body, length: length, buf: buf}
+	answer.stream = &download{beginning: buf[:n], rest: body, length: length, buf: buf}
 	return nil
 }
 
-// bodyReader returns a reader of the body that the head announces, and its length, -1 if that is unknown.
-func (c *conn) bodyReader(a *upstreamAnswer) (io.Reader, int64, error) {
-	lengths, encodings := a.header["Content-Length"], a.header["Transfer-Encoding"]
+// bodyReader returns a reader of the body that an answer's head announces, and the body's length, or -1 if that is
+// unknown.
+func (c *conn) bodyReader(answer *upstreamAnswer) (io.Reader, int64, error) {
+	lengths, encodings := answer.header["Content-Length"], answer.header["Transfer-Encoding"]
 	switch {
 	case len(lengths) == 1 && len(encodings) == 0:
 		length, err := strconv.ParseUint(lengths[0], 10, 63)
@@ -167,21 +168,22 @@
 		if length > MaxBody {
 			return nil, 0, errAnswerTooLarge
 		}
-		return io.LimitReader(c.r, int64(length)), int64(length), nil
+		return io.LimitReader(c.reader, int64(length)), int64(length), nil
 	case len(lengths) == 0 && len(encodings) == 1 && strings.EqualFold(encodings[0], "chunked"):
-		return &chunkedReader{r: httputil.NewChunkedReader(c.r), c: c}, -1, nil
+		return &chunkedReader{chunks: httputil.NewChunkedReader(c.reader), conn: c}, -1, nil
 	case len(lengths) == 0 && len(encodings) == 0:
-		a.closesConnection = true // the end of the connection alone ends the body
-		return c.r, -1, nil
+		answer.closesConnection = true // the body ends with the connection
+		return c.reader, -1, nil
 	default:
 		return nil, 0, errAmbiguousLength
 	}
 }
 
-// chargeBudget charges the budget for what is buffered of a body, the maximum if its length is unknown.
+// chargeBudget charges the budget for the bytes of a body that are buffered: MaxBufferedBody if its length is unknown,
+// which is a negative length.
 func (a *upstreamAnswer) chargeBudget(ctx context.Context, length int64) error {
 	charge := int(min(uint64(length), MaxBufferedBody))
-	if charge <= unbudgetedBytes {
+	if charge <= maxUnbudgetedBytes {
 		return nil
 	}
 	if err := a.budget.Acquire(ctx, charge); err != nil {
@@ -191,40 +193,41 @@
 	return nil
 }
 
-// chunkedReader reads chunks and, after the last one, the trailer.
+// chunkedReader reads a chunked body and, after its last chunk, the trailer.
 type chunkedReader struct {
-	r io.Reader
-	c *conn
+	chunks io.Reader
+	conn   *conn
 }
 
 // Read implements io.Reader.
 func (r *chunkedReader) Read(b []byte) (int, error) {
-	n, err := r.r.Read(b)
+	n, err := r.chunks.Read(b)
 	if errors.Is(err, io.EOF) {
-		if _, bad := textproto.NewReader(r.c.r).ReadMIMEHeader(); bad != nil {
-			err = fmt.Errorf("trailer: %w", bad)
+		if _, trailerErr := textproto.NewReader(r.conn.reader).ReadMIMEHeader(); trailerErr != nil {
+			err = fmt.Errorf("trailer: %w", trailerErr)
 		}
 	}
 	return n, err
 }
 
-// exactReader ends with an error unless all bytes that are left come.
+// exactReader reads a body of known length, and turns an early end into io.ErrUnexpectedEOF.
 type exactReader struct {
-	r    io.Reader
-	left int64
+	r         io.Reader
+	remaining int64
 }
 
 // Read implements io.Reader.
 func (r *exactReader) Read(b []byte) (int, error) {
 	n, err := r.r.Read(b)
-	r.left -= int64(n)
-	if errors.Is(err, io.EOF) && r.left > 0 {
+	r.remaining -= int64(n)
+	if errors.Is(err, io.EOF) && r.remaining > 0 {
 		err = io.ErrUnexpectedEOF
 	}
 	return n, err
 }
 
-// status returns what the answer means for its attempt.
+// status returns the status of the attempt that the answer belongs to. Only a 503 or 504 with X-Never-Ran proves that
+// the request did not run.
 func (a *upstreamAnswer) status() balancer.Status {
 	switch {
 	case a.code == http.StatusOK:
