--- a/internal/dataplane/capture/decode.go
+++ b/internal/dataplane/capture/decode.go
@@ -8,13 +8,13 @@
 	"birchmoor/balancer"
 )
 
-var errTruncated = errors.New("it ends within a record")
+var errTruncated = errors.New("the frame ends within a record")
 
-// parser reads records from a frame's bytes. The first fault ends it.
+// parser decodes the records of a frame. err is the first error; after it, the results are invalid.
 type parser struct {
-	in  []byte
-	at  int
-	err error
+	in     []byte // the frame's records, decompressed
+	offset int    // of the next byte to decode
+	err    error
 }
 
 func (p *parser) fail(err error) {
@@ -24,221 +24,222 @@
 }
 
 func (p *parser) byte() byte {
-	if p.at >= len(p.in) {
+	if p.offset >= len(p.in) {
 		p.fail(errTruncated)
 		return 0
 	}
-	p.at++
-	return p.in[p.at-1]
+	p.offset++
+	return p.in[p.offset-1]
 }
 
-// varint reads a number of variable length; read returns its bytes, or nothing if it is truncated.
+// varint decodes a number of variable length. read decodes it from the remaining bytes and returns its length, or 0 or
+// less if it is truncated or invalid.
 func (p *parser) varint(read func([]byte) int) {
-	n := read(p.in[min(p.at, len(p.in)):])
-	if n <= 0 {
+	length := read(p.in[min(p.offset, len(p.in)):])
+	if length <= 0 {
 		p.fail(errTruncated)
 		return
 	}
-	p.at += n
+	p.offset += length
 }
 
-func (p *parser) uint(limit uint64) (v uint64) {
+func (p *parser) uint(limit uint64) (value uint64) {
 	p.varint(func(in []byte) (n int) {
-		v, n = binary.Uvarint(in)
+		value, n = binary.Uvarint(in)
 		return n
 	})
-	if v > limit {
-		p.fail(errors.New("a number is out of range"))
+	if value > limit {
+		p.fail(errors.New("a number in a record is out of range"))
 		return 0
 	}
-	return v
+	return value
 }
 
 func (p *parser) uint32() uint32 { return uint32(p.uint(math.MaxUint32)) }
 
-func (p *parser) int() (v int64) {
+func (p *parser) int() (value int64) {
 	p.varint(func(in []byte) (n int) {
-		v, n = binary.Varint(in)
+		value, n = binary.Varint(in)
 		return n
 	})
-	return v
+	return value
 }
 
-// blob reads bytes with their length. They stay a part of the frame's bytes.
+// blob decodes up to limit bytes, which follow their length. The result is a part of in.
 func (p *parser) blob(limit uint64) []byte {
 	n := int(p.uint(limit))
 	if p.err != nil {
 		return nil
 	}
-	if n > len(p.in)-p.at {
+	if n > len(p.in)-p.offset {
 		p.fail(errTruncated)
 		return nil
 	}
-	p.at += n
-	return p.in[p.at-n : p.at : p.at]
+	p.offset += n
+	return p.in[p.offset-n : p.offset : p.offset]
 }
 
-func (p *parser) flags(to ...*bool) {
+func (p *parser) flags(flags ...*bool) {
 	b := p.byte()
-	for n, f := range to {
-		*f = b&(1<<n) != 0
+	for bit, flag := range flags {
+		*flag = b&(1<<bit) != 0
 	}
-	if b>>len(to) != 0 {
-		p.fail(errors.New("a flag is not known"))
+	if b>>len(flags) != 0 {
+		p.fail(errors.New("a record has an unknown flag"))
 	}
 }
 
 func (p *parser) load() []float32 {
-	n := int(p.uint(maxLoadFigures))
+	n := int(p.uint(maxLoadValues))
 	if p.err != nil || n == 0 {
 		return nil
 	}
-	if 4*n > len(p.in)-p.at {
+	if 4*n > len(p.in)-p.offset {
 		p.err = errTruncated
 		return nil
 	}
-	list := make([]float32, n)
-	for k := range list {
-		list[k] = math.Float32frombits(binary.LittleEndian.Uint32(p.in[p.at:]))
-		p.at += 4
+	values := make([]float32, n)
+	for i := range values {
+		values[i] = math.Float32frombits(binary.LittleEndian.Uint32(p.in[p.offset:]))
+		p.offset += 4
 	}
-	return list
+	return values
 }
 
-// next reads a record. Blobs stay parts of the frame's bytes.
-func (p *parser) next(last balancer.Micros) Record {
-	r := Record{Kind: Kind(p.byte()), At: last}
-	if p.err == nil && (r.Kind == 0 || r.Kind >= kindCount) {
-		p.fail(errors.New("a kind is not known: " + r.Kind.String()))
+// nextRecord decodes a record. last is the instant of the record before it. The record's blobs are parts of in.
+func (p *parser) nextRecord(last balancer.Micros) Record {
+	rec := Record{Kind: Kind(p.byte()), At: last}
+	if p.err == nil && (rec.Kind == 0 || rec.Kind >= kindCount) {
+		p.fail(errors.New("a record has an unknown kind: " + rec.Kind.String()))
 	}
 	if p.err != nil {
-		return r
+		return rec
 	}
-	if r.Kind.IsAction() {
-		p.action(&r)
+	if rec.Kind.IsAction() {
+		p.action(&rec)
 	} else {
-		r.At += p.int()
-		p.event(&r)
+		rec.At += p.int()
+		p.event(&rec)
 	}
-	if r.Status > balancer.NotSent || r.List > balancer.ListFailed {
-		p.fail(errors.New("a status is not known"))
+	if rec.Status > balancer.NotSent || rec.List > balancer.ListFailed {
+		p.fail(errors.New("a record has an unknown status"))
 	}
-	return r
+	return rec
 }
 
-func (p *parser) event(r *Record) {
-	switch r.Kind {
+func (p *parser) event(rec *Record) {
+	switch rec.Kind {
 	case KindGap:
-		r.Count = p.uint(math.MaxUint64)
-		r.Line = string(p.blob(maxLineBytes))
+		rec.Count = p.uint(math.MaxUint64)
+		rec.Line = string(p.blob(maxLineBytes))
 	case KindSnapshot:
-		p.flags(&r.Flag)
-		r.Blob = p.blob(maxBlobBytes)
+		p.flags(&rec.Flag)
+		rec.Blob = p.blob(maxBlobBytes)
 	case KindReload:
-		r.Blob = p.blob(maxBlobBytes)
+		rec.Blob = p.blob(maxBlobBytes)
 	case KindRestore:
-		r.Time = p.int()
-		r.Blob = p.blob(maxBlobBytes)
+		rec.Time = p.int()
+		rec.Blob = p.blob(maxBlobBytes)
 	case KindUpdateEndpoints:
-		p.endpoints(r)
+		p.endpoints(rec)
 	case KindRequest:
-		p.request(r)
+		p.request(rec)
 	case KindResponseStarted:
-		p.attempt(r)
+		p.attempt(rec)
 	case KindOutcome:
-		p.attempt(r)
-		r.Endpoint = p.uint32()
-		p.flags(&r.Flag, &r.NotReplayable)
-		r.Status = balancer.Status(p.byte())
-		r.Load = p.load()
+		p.attempt(rec)
+		rec.Endpoint = p.uint32()
+		p.flags(&rec.Flag, &rec.NotReplayable)
+		rec.Status = balancer.Status(p.byte())
+		rec.Load = p.load()
 	case KindUploadComplete:
-		r.ID = p.uint(math.MaxUint64)
-		r.Time = p.int()
+		rec.ID = p.uint(math.MaxUint64)
+		rec.Time = p.int()
 	case KindClientDisconnected:
-		r.ID = p.uint(math.MaxUint64)
+		rec.ID = p.uint(math.MaxUint64)
 	case KindTimer:
-		r.Token = p.uint32()
+		rec.Token = p.uint32()
 	case KindProbeCompleted:
-		r.Endpoint = p.uint32()
-		r.Status = balancer.Status(p.byte())
-		r.Time = p.int()
-		r.Load = p.load()
+		rec.Endpoint = p.uint32()
+		rec.Status = balancer.Status(p.byte())
+		rec.Time = p.int()
+		rec.Load = p.load()
 	case KindDrainEndpoint, KindUndrainEndpoint, KindPeerEjected:
-		r.Endpoint = p.uint32()
-		r.Time = p.int()
+		rec.Endpoint = p.uint32()
+		rec.Time = p.int()
 	case KindSetCapacityShare:
-		r.Part = math.Float64frombits(p.uint(math.MaxUint64))
-		if !(r.Part > 0 && r.Part <= 1) {
-			p.fail(errors.New("a share is not within 0 and 1"))
+		rec.Part = math.Float64frombits(p.uint(math.MaxUint64))
+		if !(rec.Part > 0 && rec.Part <= 1) {
+			p.fail(errors.New("a capacity share is not within 0 and 1"))
 		}
 	}
 }
 
-func (p *parser) action(r *Record) {
-	switch r.Kind {
+func (p *parser) action(rec *Record) {
+	switch rec.Kind {
 	case KindSend:
-		r.ID = p.uint(math.MaxUint64)
-		r.Endpoint = p.uint32()
-		r.Time = p.int()
+		rec.ID = p.uint(math.MaxUint64)
+		rec.Endpoint = p.uint32()
+		rec.Time = p.int()
 	case KindReject:
-		r.ID = p.uint(math.MaxUint64)
-		r.Time = p.int()
+		rec.ID = p.uint(math.MaxUint64)
+		rec.Time = p.int()
 	case KindFail:
-		r.ID = p.uint(math.MaxUint64)
+		rec.ID = p.uint(math.MaxUint64)
 	case KindCancel:
-		r.ID = p.uint(math.MaxUint64)
-		r.Attempt = int(p.int())
+		rec.ID = p.uint(math.MaxUint64)
+		rec.Attempt = int(p.int())
 	case KindSetTimer:
-		r.Time = p.int()
-		r.Token = p.uint32()
+		rec.Time = p.int()
+		rec.Token = p.uint32()
 	case KindProbe:
-		r.Endpoint = p.uint32()
+		rec.Endpoint = p.uint32()
 	case KindWatch:
-		p.flags(&r.Flag)
+		p.flags(&rec.Flag)
 	case KindLog:
-		r.Line = string(p.blob(maxLineBytes))
+		rec.Line = string(p.blob(maxLineBytes))
 	}
 }
 
-// attempt reads what names an attempt, and a time.
-func (p *parser) attempt(r *Record) {
-	r.ID = p.uint(math.MaxUint64)
-	r.Attempt = int(p.int())
-	r.Time = p.int()
+// attempt decodes the request, the number and the time of an attempt.
+func (p *parser) attempt(rec *Record) {
+	rec.ID = p.uint(math.MaxUint64)
+	rec.Attempt = int(p.int())
+	rec.Time = p.int()
 }
 
-func (p *parser) endpoints(r *Record) {
-	r.List = balancer.ListKind(p.byte())
+func (p *parser) endpoints(rec *Record) {
+	rec.List = balancer.ListKind(p.byte())
 	for range int(p.uint(maxEntries)) {
-		var e balancer.Endpoint
-		e.ID = p.uint32()
-		e.Zone = p.byte()
-		e.Kind = p.byte()
-		e.State = balancer.State(p.byte())
-		e.Cell = uint16(p.uint(math.MaxUint16))
-		e.Weight = math.Float32frombits(p.uint32())
-		e.StartTime = p.int()
+		var endpoint balancer.Endpoint
+		endpoint.ID = p.uint32()
+		endpoint.Zone = p.byte()
+		endpoint.Kind = p.byte()
+		endpoint.State = balancer.State(p.byte())
+		endpoint.Cell = uint16(p.uint(math.MaxUint16))
+		endpoint.Weight = math.Float32frombits(p.uint32())
+		endpoint.StartTime = p.int()
 		name := p.blob(maxNameBytes)
 		if p.err != nil {
 			return
 		}
-		r.Entries = append(r.Entries, e)
-		r.Names = append(r.Names, string(name))
+		rec.Entries = append(rec.Entries, endpoint)
+		rec.Names = append(rec.Names, string(name))
 	}
 }
 
-func (p *parser) request(r *Record) {
-	q := &r.Request
-	q.ID = p.uint(math.MaxUint64)
-	q.Deadline = r.At + p.int()
+func (p *parser) request(rec *Record) {
+	req := &rec.Request
+	req.ID = p.uint(math.MaxUint64)
+	req.Deadline = rec.At + p.int()
 	var oldRules bool
-	p.flags(&q.HasHint, &q.Retry, &q.Write, &q.BodyStreaming, &oldRules)
-	if q.HasHint {
-		q.Hint = p.int()
+	p.flags(&req.HasHint, &req.Retry, &req.Write, &req.BodyStreaming, &oldRules)
+	if req.HasHint {
+		req.Hint = p.int()
 	}
-	q.Tenant = uint16(p.uint(math.MaxUint16))
-	q.Class = p.byte()
+	req.Tenant = uint16(p.uint(math.MaxUint16))
+	req.Class = p.byte()
 	if oldRules {
-		r.Rules = p.blob(maxBlobBytes)
+		rec.Rules = p.blob(maxBlobBytes)
 	}
 }
--- a/internal/dataplane/capture/encode.go
+++ b/internal/dataplane/capture/encode.go
@@ -7,20 +7,20 @@
 	"birchmoor/balancer"
 )
 
-// encoder appends a record's fields to out.
+// encoder appends encoded fields of a record to out.
 type encoder struct{ out []byte }
 
-func (e *encoder) byte(v byte)     { e.out = append(e.out, v) }
-func (e *encoder) uint(v uint64)   { e.out = binary.AppendUvarint(e.out, v) }
-func (e *encoder) int(v int64)     { e.out = binary.AppendVarint(e.out, v) }
-func (e *encoder) uint32(v uint32) { e.uint(uint64(v)) }
+func (e *encoder) byte(value byte)     { e.out = append(e.out, value) }
+func (e *encoder) uint(value uint64)   { e.out = binary.AppendUvarint(e.out, value) }
+func (e *encoder) int(value int64)     { e.out = binary.AppendVarint(e.out, value) }
+func (e *encoder) uint32(value uint32) { e.uint(uint64(value)) }
 
-// flags appends a byte of flags, the first as its lowest bit.
-func (e *encoder) flags(list ...bool) {
+// flags appends a byte that holds up to 8 flags, the first one as its lowest bit.
+func (e *encoder) flags(flags ...bool) {
 	b := byte(0)
-	for n, f := range list {
-		if f {
-			b |= 1 << n
+	for bit, flag := range flags {
+		if flag {
+			b |= 1 << bit
 		}
 	}
 	e.byte(b)
@@ -43,7 +43,8 @@
 	}
 }
 
-// append adds r's bytes to out. The instant of an event is relative to last; actions have that of the event before.
+// append appends the encoded record to out. The instant of an event is encoded relative to last. Actions have no
+// instant of their own: they happen at that of the event before them.
 func (r *Record) append(out []byte, last balancer.Micros) []byte {
 	e := &encoder{out: out}
 	e.byte(byte(r.Kind))
@@ -127,7 +128,7 @@
 	}
 }
 
-// encodeAttempt encodes what names an attempt, and a time.
+// encodeAttempt encodes the request, the number and the time of an attempt.
 func (r *Record) encodeAttempt(e *encoder) {
 	e.uint(r.ID)
 	e.int(int64(r.Attempt))
@@ -137,8 +138,8 @@
 func (r *Record) encodeEndpoints(e *encoder) {
 	e.byte(byte(r.List))
 	e.uint(uint64(len(r.Entries)))
-	for n := range r.Entries {
-		entry := &r.Entries[n]
+	for i := range r.Entries {
+		entry := &r.Entries[i]
 		e.uint32(entry.ID)
 		e.byte(entry.Zone)
 		e.byte(entry.Kind)
@@ -147,23 +148,23 @@
 		e.uint32(math.Float32bits(entry.Weight))
 		e.int(entry.StartTime)
 		name := ""
-		if n < len(r.Names) {
-			name = r.Names[n]
+		if i < len(r.Names) {
+			name = r.Names[i]
 		}
 		e.text(name)
 	}
 }
 
 func (r *Record) encodeRequest(e *encoder) {
-	q := &r.Request
-	e.uint(q.ID)
-	e.int(q.Deadline - r.At)
-	e.flags(q.HasHint, q.Retry, q.Write, q.BodyStreaming, r.Rules != nil)
-	if q.HasHint {
-		e.int(q.Hint)
+	req := &r.Request
+	e.uint(req.ID)
+	e.int(req.Deadline - r.At)
+	e.flags(req.HasHint, req.Retry, req.Write, req.BodyStreaming, r.Rules != nil)
+	if req.HasHint {
+		e.int(req.Hint)
 	}
-	e.uint(uint64(q.Tenant))
-	e.byte(q.Class)
+	e.uint(uint64(req.Tenant))
+	e.byte(req.Class)
 	if r.Rules != nil {
 		e.blob(r.Rules)
 	}
--- a/internal/dataplane/capture/module.go
+++ b/internal/dataplane/capture/module.go
@@ -10,29 +10,29 @@
 	r.now = now
 	r.Balancer.Start(now)
 	r.started = true
-	r.lost = 0 // the actions of a start are in the snapshot that follows
+	r.lost = 0 // the snapshot that begins the first segment includes the effects of the start
 }
 
 // UpdateEndpoints records the event and passes it on.
 func (r *Recorder) UpdateEndpoints(now balancer.Micros, kind balancer.ListKind, entries []balancer.Endpoint) {
-	x := Record{Kind: KindUpdateEndpoints, List: kind, Entries: entries, Names: make([]string, len(entries))}
+	rec := Record{Kind: KindUpdateEndpoints, List: kind, Entries: entries, Names: make([]string, len(entries))}
 	for i := range entries {
-		x.Names[i] = r.endpointName(entries[i].ID)
-		x.Names[i] = x.Names[i][:min(len(x.Names[i]), maxNameBytes)]
+		rec.Names[i] = r.endpointName(entries[i].ID)
+		rec.Names[i] = rec.Names[i][:min(len(rec.Names[i]), maxNameBytes)]
 	}
-	r.recordEvent(now, x)
+	r.recordEvent(now, rec)
 	r.Balancer.UpdateEndpoints(now, kind, entries)
 }
 
 // Request records the event and passes it on.
 func (r *Recorder) Request(now balancer.Micros, in balancer.Request) {
-	x := Record{Kind: KindRequest, Request: in}
-	x.Request.Key = 0
-	x.Request.Rules = nil
+	rec := Record{Kind: KindRequest, Request: in}
+	rec.Request.Key = 0
+	rec.Request.Rules = nil
 	if in.Rules != nil && in.Rules != r.Rules() {
-		x.Rules, _ = snapshot.Marshal(in.Rules.State()) // it arrived while a reload was under way
+		rec.Rules, _ = snapshot.Marshal(in.Rules.State()) // the request arrived before the latest reload
 	}
-	r.recordEvent(now, x)
+	r.recordEvent(now, rec)
 	r.Balancer.Request(now, in)
 }
 
@@ -61,35 +61,35 @@
 	r.Balancer.ClientDisconnected(now, id)
 }
 
-// Timer records the event and passes it on. The action is KindSetTimer.
+// Timer records the event and passes it on. The action of that name is recorded as KindSetTimer.
 func (r *Recorder) Timer(now balancer.Micros, token uint32) {
 	r.recordEvent(now, Record{Kind: KindTimer, Token: token})
 	r.Balancer.Timer(now, token)
 }
 
 // ProbeCompleted records the event and passes it on.
-func (r *Recorder) ProbeCompleted(now balancer.Micros, id uint32, s balancer.Status, latency balancer.Micros,
+func (r *Recorder) ProbeCompleted(now balancer.Micros, id uint32, status balancer.Status, latency balancer.Micros,
 	load []float32) {
-	r.recordEvent(now, Record{Kind: KindProbeCompleted, Endpoint: id, Status: s, Time: latency, Load: load})
-	r.Balancer.ProbeCompleted(now, id, s, latency, load)
+	r.recordEvent(now, Record{Kind: KindProbeCompleted, Endpoint: id, Status: status, Time: latency, Load: load})
+	r.Balancer.ProbeCompleted(now, id, status, latency, load)
 }
 
-// DrainEndpoint records the event and passes it on. The instant of the order is recorded as its age.
-func (r *Recorder) DrainEndpoint(now balancer.Micros, id uint32, at balancer.Micros) {
-	r.recordEvent(now, Record{Kind: KindDrainEndpoint, Endpoint: id, Time: now - at})
-	r.Balancer.DrainEndpoint(id, at)
+// DrainEndpoint records the event and passes it on. The instant of the operator's order is recorded as the order's age.
+func (r *Recorder) DrainEndpoint(now balancer.Micros, id uint32, orderedAt balancer.Micros) {
+	r.recordEvent(now, Record{Kind: KindDrainEndpoint, Endpoint: id, Time: now - orderedAt})
+	r.Balancer.DrainEndpoint(id, orderedAt)
 }
 
-// UndrainEndpoint records the event and passes it on.
-func (r *Recorder) UndrainEndpoint(now balancer.Micros, id uint32, at balancer.Micros) {
-	r.recordEvent(now, Record{Kind: KindUndrainEndpoint, Endpoint: id, Time: now - at})
-	r.Balancer.UndrainEndpoint(now, id, at)
+// UndrainEndpoint records the event and passes it on. The instant of the operator's order is recorded as its age.
+func (r *Recorder) UndrainEndpoint(now balancer.Micros, id uint32, orderedAt balancer.Micros) {
+	r.recordEvent(now, Record{Kind: KindUndrainEndpoint, Endpoint: id, Time: now - orderedAt})
+	r.Balancer.UndrainEndpoint(now, id, orderedAt)
 }
 
 // SetCapacityShare records the event and passes it on.
-func (r *Recorder) SetCapacityShare(now balancer.Micros, part float64) {
-	r.recordEvent(now, Record{Kind: KindSetCapacityShare, Part: part})
-	r.Balancer.SetCapacityShare(part)
+func (r *Recorder) SetCapacityShare(now balancer.Micros, share float64) {
+	r.recordEvent(now, Record{Kind: KindSetCapacityShare, Part: share})
+	r.Balancer.SetCapacityShare(share)
 }
 
 // Reload records the event and passes it on.
@@ -103,9 +103,9 @@
 }
 
 // PeerEjected records the event and passes it on.
-func (r *Recorder) PeerEjected(now balancer.Micros, id uint32, left balancer.Micros) {
-	r.recordEvent(now, Record{Kind: KindPeerEjected, Endpoint: id, Time: left})
-	r.Balancer.PeerEjected(now, id, left)
+func (r *Recorder) PeerEjected(now balancer.Micros, id uint32, timeLeft balancer.Micros) {
+	r.recordEvent(now, Record{Kind: KindPeerEjected, Endpoint: id, Time: timeLeft})
+	r.Balancer.PeerEjected(now, id, timeLeft)
 }
 
 // Restore records the event and passes it on.
@@ -118,19 +118,19 @@
 	return r.Balancer.Restore(now, s, age)
 }
 
-// recordedActions records the actions of a module and passes them on to the host.
+// recordedActions records the actions of a decision module and passes them on to the host's actions.
 type recordedActions struct{ *Recorder }
 
 // Send records the action and passes it on.
-func (a recordedActions) Send(id uint64, e uint32, timeout balancer.Micros) {
-	a.recordAction(Record{Kind: KindSend, ID: id, Endpoint: e, Time: timeout})
-	a.out.Send(id, e, timeout)
+func (a recordedActions) Send(id uint64, endpoint uint32, timeout balancer.Micros) {
+	a.recordAction(Record{Kind: KindSend, ID: id, Endpoint: endpoint, Time: timeout})
+	a.out.Send(id, endpoint, timeout)
 }
 
 // Reject records the action and passes it on.
-func (a recordedActions) Reject(id uint64, after balancer.Micros) {
-	a.recordAction(Record{Kind: KindReject, ID: id, Time: after})
-	a.out.Reject(id, after)
+func (a recordedActions) Reject(id uint64, retryAfter balancer.Micros) {
+	a.recordAction(Record{Kind: KindReject, ID: id, Time: retryAfter})
+	a.out.Reject(id, retryAfter)
 }
 
 // Fail records the action and passes it on.
@@ -152,15 +152,15 @@
 }
 
 // Probe records the action and passes it on.
-func (a recordedActions) Probe(e uint32) {
-	a.recordAction(Record{Kind: KindProbe, Endpoint: e})
-	a.out.Probe(e)
+func (a recordedActions) Probe(endpoint uint32) {
+	a.recordAction(Record{Kind: KindProbe, Endpoint: endpoint})
+	a.out.Probe(endpoint)
 }
 
 // Watch records the action and passes it on.
-func (a recordedActions) Watch(on bool) {
-	a.recordAction(Record{Kind: KindWatch, Flag: on})
-	a.out.Watch(on)
+func (a recordedActions) Watch(enabled bool) {
+	a.recordAction(Record{Kind: KindWatch, Flag: enabled})
+	a.out.Watch(enabled)
 }
 
 // Log records the action and passes it on.
--- a/internal/dataplane/capture/record.go
+++ b/internal/dataplane/capture/record.go
@@ -1,11 +1,11 @@
-// Package capture records the events that a sidecar's decision module gets and the actions that it answers with,
-// and reads such records.
+// Package capture records the events that a sidecar's decision module (package balancer) receives and the actions with
+// which it responds, and reads such captures.
 //
-// A capture is a sequence of files. Each holds frames, and a frame holds compressed records under a length and a
-// checksum. A segment is a sequence of frames that begins with a snapshot of the module, so that it can be replayed
-// without what came before; it ends where the next one begins. Where the disk was slow or full a complete stretch
-// is missing, and the next segment begins with a record of the gap. Paths, queries, bodies, clients' IDs and keys
-// are not recorded: requests are numbers.
+// A capture is a sequence of files. A file is a sequence of frames, and a frame holds compressed records with their
+// length and checksum. A segment is a sequence of frames that begins with a snapshot of the module, so that it can be
+// replayed without the segments before it; it ends where the next one begins. If the disk was slow or full, all records
+// up to the next segment are missing, and that segment begins with a record of the gap. Paths, queries, bodies,
+// clients' IDs and keys are not recorded: a request is identified by a number.
 package capture
 
 import (
@@ -15,13 +15,14 @@
 	"birchmoor/internal/platform/snapshot"
 )
 
-// Kind says what a record is of.
+// Kind is the kind of a record.
 type Kind uint8
 
-// The kinds: what begins a segment, events of the module, and its actions. Their numbers are stored.
+// Kinds of records: first those that begin a segment, then the module's events, then its actions. Captures contain
+// their numbers, so that they must not change.
 const (
-	KindGap      Kind = iota + 1 // Count records are missing, for the reason in Line
-	KindSnapshot                 // Blob: a snapshot. Flag: it continues the segment before
+	KindGap      Kind = iota + 1 // Count: number of missing records. Line: the reason
+	KindSnapshot                 // Blob: a snapshot. Flag: no record is missing between it and the previous segment
 
 	KindUpdateEndpoints
 	KindRequest
@@ -34,9 +35,9 @@
 	KindDrainEndpoint
 	KindUndrainEndpoint
 	KindSetCapacityShare
-	KindReload // Blob: the settings
+	KindReload // Blob: the new settings
 	KindPeerEjected
-	KindRestore // Blob: the snapshot. Time: its age
+	KindRestore // Blob: the snapshot that is restored. Time: its age
 
 	KindSend
 	KindReject
@@ -49,7 +50,7 @@
 	kindCount
 )
 
-// kindNames are printed in decision logs and results.
+// kindNames are the names in decision logs and results of replays.
 var kindNames = [kindCount]string{
 	KindGap:                "gap",
 	KindSnapshot:           "snapshot",
@@ -77,7 +78,7 @@
 	KindLog:                "log",
 }
 
-// String returns the kind's printed name.
+// String returns the kind's name in decision logs and results of replays.
 func (k Kind) String() string {
 	if k < kindCount && kindNames[k] != "" {
 		return kindNames[k]
@@ -85,46 +86,46 @@
 	return fmt.Sprintf("kind %d", uint8(k))
 }
 
-// IsAction reports whether a record is an action of the module; all others begin a segment or are events.
+// IsAction reports whether the kind is that of an action of the module. All others begin a segment or are events.
 func (k Kind) IsAction() bool { return k >= KindSend && k < kindCount }
 
-// Record is one record. Which fields are set depends on the kind.
+// Record is one record of a capture. Its kind determines which fields are set.
 type Record struct {
 	Kind          Kind
-	At            balancer.Micros // of the event; an action has that of the event before
+	At            balancer.Micros // instant of the event; an action has that of the event before it
 	ID            uint64          // of the request
-	Endpoint      uint32
-	Attempt       int
-	Token         uint32
-	Time          balancer.Micros // a delay, an age, a latency, a retry-after, or the age of an operator's order
+	Endpoint      uint32          // ID of the endpoint
+	Attempt       int             // number of the attempt within its request
+	Token         uint32          // of the timer
+	Time          balancer.Micros // a delay, a timeout, a latency, a Retry-After, or an age
 	Status        balancer.Status
 	List          balancer.ListKind
-	Flag          bool // of an outcome: answered; of a watch: on
+	Flag          bool // KindOutcome: answered; KindWatch: on; KindSnapshot: no record is missing before it
 	NotReplayable bool
-	Part          float64
-	Count         uint64
-	Line          string
-	Blob          []byte
-	Load          []float32
-	Entries       []balancer.Endpoint
-	Names         []string // of Entries
+	Part          float64             // the capacity share: greater than 0, up to 1
+	Count         uint64              // KindGap: number of missing records
+	Line          string              // a line of the module's log, or the reason for a gap
+	Blob          []byte              // a snapshot or settings, as package snapshot encodes them
+	Load          []float32           // a load report; nil for none
+	Entries       []balancer.Endpoint // the endpoint list
+	Names         []string            // names of Entries, in the same order
 	Request       balancer.Request
-	Rules         []byte // of a request that arrived under earlier rules: balancer.RulesState in CBOR
+	Rules         []byte // balancer.RulesState in CBOR for a request that arrived under earlier rules; nil otherwise
 }
 
-// Limits of what a record may hold.
+// Maximum sizes of a record's fields. Longer ones are damage.
 const (
-	maxLineBytes   = 4 << 10
-	maxBlobBytes   = 16 << 20
-	maxLoadFigures = 256
-	maxEntries     = 1 << 16
-	maxNameBytes   = 1024
+	maxLineBytes  = 4 << 10
+	maxBlobBytes  = 16 << 20
+	maxLoadValues = 256
+	maxEntries    = 1 << 16
+	maxNameBytes  = 1024
 )
 
-// Bytes returns the record's canonical form, by which two are compared.
+// Bytes returns the record's encoding with its instant left out. Replays compare records by it.
 func (r *Record) Bytes() []byte { return r.append(nil, r.At) }
 
-// String returns a line for operators and for decision logs.
+// String describes the record in a line for operators and for decision logs. Digests of replays depend on its text.
 func (r *Record) String() string {
 	if r.Kind.IsAction() {
 		return r.actionString()
@@ -141,8 +142,8 @@
 	case KindUpdateEndpoints:
 		return fmt.Sprintf("members: kind %d, %d entries", r.List, len(r.Entries))
 	case KindRequest:
-		q := &r.Request
-		return fmt.Sprintf("request %d: class %d, tenant %d, %d us", q.ID, q.Class, q.Tenant, q.Deadline-r.At)
+		req := &r.Request
+		return fmt.Sprintf("request %d: class %d, tenant %d, %d us", req.ID, req.Class, req.Tenant, req.Deadline-r.At)
 	case KindResponseStarted:
 		return fmt.Sprintf("headers of request %d, attempt %d", r.ID, r.Attempt)
 	case KindOutcome:
--- a/internal/dataplane/capture/recorder.go
+++ b/internal/dataplane/capture/recorder.go
@@ -7,60 +7,60 @@
 	"birchmoor/internal/platform/snapshot"
 )
 
-// Recorder stands between a host and its decision module and records what passes in both directions. Its methods
-// are those of balancer.Module, for one caller at a time. They never block: what the sink has no space for is
-// dropped, up to the next segment.
+// Recorder wraps a decision module, and records the events that the host passes to it and the actions that it passes to
+// the host. It implements balancer.Module, for one caller at a time. Its methods do not block: if the sink has no
+// space, records are dropped until the next segment begins.
 type Recorder struct {
-	*balancer.Balancer // its methods that change nothing are used as they are
+	*balancer.Balancer // methods that change no state are not wrapped
 
-	out             balancer.Actions
+	out             balancer.Actions // the host's
 	sink            Sink
 	endpointName    func(id uint32) string
 	sidecar         string
 	runID           uint64
 	segmentInterval balancer.Micros
 
-	now        balancer.Micros // of the current event
+	now        balancer.Micros // instant of the current event
 	started    bool
 	closed     bool
-	inSegment  bool
-	anySegment bool   // one has been recorded before
-	lost       uint64 // records dropped since the latest segment
-	lossReason string
+	inSegment  bool   // records are being added to a segment, not dropped
+	anySegment bool   // a segment has begun before
+	lost       uint64 // number of records dropped since the latest segment
+	lossReason string // why they were dropped
 
 	segmentStart balancer.Micros
-	batch        *batch
-	lastInstant  balancer.Micros // of the latest record of the batch
+	batch        *batch          // records that were not offered to the sink yet; nil for none
+	lastInstant  balancer.Micros // instant of the latest record of the batch
 }
 
-// Sink takes batches. Its methods do not block.
+// Sink stores batches. Its methods do not block the event loop, and may be called by one goroutine at a time.
 type Sink interface {
-	// Offer takes a batch, or reports that it did not.
+	// Offer takes over a batch and returns true, or returns false if it has no space.
 	Offer(b *batch) bool
 	// Ready reports whether there is space to begin a segment.
 	Ready() bool
-	// WantsSegment reports whether one should begin now.
+	// WantsSegment reports whether a segment should begin before SegmentInterval is over, to begin a new file.
 	WantsSegment() bool
-	// CountLost counts records that were dropped.
+	// CountLost adds to the count of dropped records.
 	CountLost(records uint64)
 }
 
-// batch is a sequence of records on its way to a file, where it is one frame.
+// batch is a sequence of records that a sink writes as one frame.
 type batch struct {
-	base      balancer.Micros // to which the first record's instant is relative
+	base      balancer.Micros // the first record's instant is relative to it
 	createdAt balancer.Micros
 	data      []byte
 	records   uint64
 
-	beginsSegment bool            // then gap, if any, and snapshot come first
-	follows       bool            // continues the segment before: nothing is missing in between
-	gap           *Record         // or nil
-	snapshot      *snapshot.Saved // encoded by the sink, not on the event loop
+	beginsSegment bool            // gap, if any, and snapshot precede the records
+	follows       bool            // no record is missing between the previous segment and this one
+	gap           *Record         // nil if no records are missing
+	snapshot      *snapshot.Saved // the sink encodes it, so that the event loop need not
 }
 
 const (
 	maxBatchBytes                 = 24 << 10
-	maxBatchAge   balancer.Micros = 250_000 // while more records come
+	maxBatchAge   balancer.Micros = 250_000 // checked when the next event is recorded
 )
 
 var batches = sync.Pool{New: func() any { return &batch{data: make([]byte, 0, maxBatchBytes+4<<10)} }}
@@ -68,34 +68,36 @@
 // Options configures a Recorder.
 type Options struct {
 	Sidecar         string
-	RunID           uint64                 // tells processes apart that record into one folder
-	SegmentInterval balancer.Micros        // a segment begins at least this often
-	EndpointName    func(id uint32) string // "" for an endpoint without a name; nil if none has one
+	RunID           uint64                 // distinguishes processes that record into one folder
+	SegmentInterval balancer.Micros        // maximum length of a segment
+	EndpointName    func(id uint32) string // returns "" for an endpoint without a name; nil if no endpoint has one
 	Sink            Sink
 }
 
-// New returns a recorder around the balancer that begin makes with the actions given to it.
-func New(o Options, out balancer.Actions, begin func(balancer.Actions) (*balancer.Balancer, error)) (*Recorder, error) {
+// New returns a recorder around the module that newBalancer returns. The module must use the actions that newBalancer
+// gets; they are recorded and passed on to out.
+func New(options Options, out balancer.Actions,
+	newBalancer func(balancer.Actions) (*balancer.Balancer, error)) (*Recorder, error) {
 	r := &Recorder{
 		out:             out,
-		sink:            o.Sink,
-		endpointName:    o.EndpointName,
-		sidecar:         o.Sidecar,
-		runID:           o.RunID,
-		segmentInterval: o.SegmentInterval,
+		sink:            options.Sink,
+		endpointName:    options.EndpointName,
+		sidecar:         options.Sidecar,
+		runID:           options.RunID,
+		segmentInterval: options.SegmentInterval,
 	}
 	if r.endpointName == nil {
 		r.endpointName = func(uint32) string { return "" }
 	}
 	var err error
-	r.Balancer, err = begin(recordedActions{r})
+	r.Balancer, err = newBalancer(recordedActions{r})
 	return r, err
 }
 
-// recordEvent records an event before the module gets it.
-func (r *Recorder) recordEvent(now balancer.Micros, x Record) {
+// recordEvent records an event before the module receives it. It begins a segment if one is due.
+func (r *Recorder) recordEvent(now balancer.Micros, rec Record) {
 	r.now = now
-	x.At = now
+	rec.At = now
 	if r.inSegment && (now-r.segmentStart >= r.segmentInterval || r.sink.WantsSegment()) {
 		r.flush()
 		r.inSegment = false
@@ -104,7 +106,7 @@
 		r.drop(1)
 		return
 	}
-	// A batch ends between two events: a process that is killed leaves no event without its actions.
+	// A batch ends between two events, so that a process that is killed leaves no event without its actions.
 	if r.inSegment && r.batchIsFull(now) {
 		r.flush()
 		if !r.inSegment && !r.beginSegment(now) {
@@ -112,10 +114,10 @@
 			return
 		}
 	}
-	r.add(&x)
+	r.add(&rec)
 }
 
-// batchIsFull reports whether the batch is due to go out.
+// batchIsFull reports whether the batch is large or old enough to be offered to the sink.
 func (r *Recorder) batchIsFull(now balancer.Micros) bool {
 	b := r.batch
 	if b == nil || b.records == 0 {
@@ -124,7 +126,8 @@
 	return len(b.data) >= maxBatchBytes || now-b.createdAt >= maxBatchAge
 }
 
-// beginSegment begins a segment with a snapshot, if the sink has space.
+// beginSegment begins a segment with a snapshot. It returns false if the sink has no space or the recorder is not
+// running.
 func (r *Recorder) beginSegment(now balancer.Micros) bool {
 	if r.closed || !r.started {
 		return false
@@ -152,7 +155,7 @@
 	return true
 }
 
-// takeSnapshot returns the module's state with the endpoints' names.
+// takeSnapshot returns the module's state together with the endpoints' names.
 func (r *Recorder) takeSnapshot(now balancer.Micros) *snapshot.Saved {
 	s := &snapshot.Saved{
 		Sidecar: r.sidecar,
@@ -173,24 +176,24 @@
 }
 
 // add appends a record to the batch.
-func (r *Recorder) add(x *Record) {
+func (r *Recorder) add(rec *Record) {
 	if r.batch == nil {
 		r.batch = newBatch(r.now)
 		r.lastInstant = r.now
 	}
-	r.batch.data = x.append(r.batch.data, r.lastInstant)
+	r.batch.data = rec.append(r.batch.data, r.lastInstant)
 	r.batch.records++
 	r.lastInstant = r.now
 }
 
-// flush offers the batch to the sink. If it is not taken, all up to the next segment is lost.
+// flush offers the batch to the sink. If the sink does not take it, all records until the next segment are dropped.
 func (r *Recorder) flush() {
 	b := r.batch
 	r.batch = nil
 	if b == nil {
 		return
 	}
-	records := b.records // the sink owns the batch from here on
+	records := b.records // read before Offer, which takes over the batch
 	if r.sink.Offer(b) {
 		return
 	}
@@ -202,27 +205,27 @@
 	}
 }
 
-// drop counts records that are missing. Before the start and after Close none are.
-func (r *Recorder) drop(n uint64) {
+// drop counts dropped records. Records before Start and after Close do not count.
+func (r *Recorder) drop(records uint64) {
 	if r.started && !r.closed {
-		r.lost += n
-		r.sink.CountLost(n)
+		r.lost += records
+		r.sink.CountLost(records)
 	}
 }
 
-// Close flushes what is recorded and ends the recording. The module may still get events.
+// Close offers the last batch to the sink and ends the recording. The module may still receive events.
 func (r *Recorder) Close() {
 	r.flush()
 	r.inSegment = false
 	r.closed = true
 }
 
-// recordAction records an action that follows the current event.
-func (r *Recorder) recordAction(x Record) {
+// recordAction records an action of the module on the current event.
+func (r *Recorder) recordAction(rec Record) {
 	if !r.inSegment {
 		r.drop(1)
 		return
 	}
-	x.At = r.now
-	r.add(&x)
+	rec.At = r.now
+	r.add(&rec)
 }
--- a/internal/dataplane/capture/writer.go
+++ b/internal/dataplane/capture/writer.go
@@ -26,56 +26,57 @@
 	frameHeaderBytes = 28
 	maxFrameBytes    = 32 << 20 // bytes of a frame, before compression
 	flagSegment      = 1
-	suffix           = ".capture"
+	fileSuffix       = ".capture"
 )
 
-// Config says where a capture is stored and how large it may become.
+// Config configures a Writer: where a capture is stored and how large it may become.
 type Config struct {
 	Dir           string
-	Name          string        // begins the files' names
-	MaxBytes      int64         // of all files of this name together; the oldest are removed first
-	MaxFileBytes  int64         // after which the next segment begins another file
-	MaxFileAge    time.Duration // likewise
-	QueueLength   int           // batches; each is about 24 KiB
-	RetryDelay    time.Duration // after a write failed
+	Name          string        // prefix of the files' names
+	MaxBytes      int64         // of all files of this name together; the oldest files are removed first
+	MaxFileBytes  int64         // from this size on, the next segment begins a new file
+	MaxFileAge    time.Duration // from this age on, the next segment begins a new file
+	QueueLength   int           // in batches of about 24 KiB
+	RetryDelay    time.Duration // after a failed write, until the next one
 	Log           *slog.Logger
-	BlockWhenFull bool // Offer blocks when the queue is full: for simulations, where time stands still meanwhile
+	BlockWhenFull bool // Offer blocks while the queue is full; for simulations, whose clock does not advance meanwhile
 
-	create func(path string) (file, error) // nil for the disk's
+	create func(path string) (file, error) // creates a file; nil for files on disk
 }
 
-// file is what a writer needs of one.
+// file is a file that a Writer writes to. Tests replace it.
 type file interface {
 	io.WriteCloser
 	Truncate(size int64) error
 }
 
-// Counts is what a writer has done so far. Any goroutine may read it.
+// Counts is what a Writer has written and lost so far. Any goroutine may read it.
 type Counts struct {
 	Records, Bytes, Frames, Files, Segments, Lost atomic.Uint64
 }
 
-// Writer is a Sink that writes batches into files, in a goroutine of its own.
+// Writer is a Sink that queues batches, and writes them to files in a goroutine of its own.
 type Writer struct {
 	Counts Counts
 
-	cfg      Config
-	queue    chan *batch
-	fileFull atomic.Bool // the next segment begins another
-	broken   atomic.Bool // a write failed, and RetryDelay is not over
-	done     sync.WaitGroup
+	cfg                  Config
+	queue                chan *batch
+	nextSegmentInNewFile atomic.Bool // the file is full, and the next segment begins a new one
+	paused               atomic.Bool // a write failed, and RetryDelay is not over
+	running              sync.WaitGroup
 
-	// Used by the goroutine alone.
-	file           file
-	size           int64
-	opened         time.Time
-	skipToSegment  bool   // drop records up to the next segment, since the beginning of theirs is not stored
-	unreportedLoss uint64 // records lost since the last segment that was stored
-	scratch        []byte
-	packed         []byte
+	// Used by the goroutine of run only.
+	file           file      // nil if no file is open
+	size           int64     // bytes of file
+	opened         time.Time // when file was created
+	skipToSegment  bool      // a batch was lost, and the rest of its segment is dropped
+	unreportedLoss uint64    // records lost since the last segment that was stored
+	scratch        []byte    // buffer for the records of a batch that begins a segment
+	packed         []byte    // buffer for a frame
 }
 
-// Create starts a writer, and creates the folder if it does not exist. Close ends it.
+// Create starts a Writer, and creates its folder if that does not exist. It creates files as segments are written.
+// Close ends it.
 func Create(c Config) (*Writer, error) {
 	if c.create == nil {
 		if err := os.MkdirAll(c.Dir, 0o755); err != nil {
@@ -86,13 +87,13 @@
 		}
 	}
 	w := &Writer{cfg: c, queue: make(chan *batch, c.QueueLength)}
-	w.done.Go(w.run)
+	w.running.Go(w.run)
 	return w, nil
 }
 
-// Offer implements Sink.
+// Offer implements Sink. It takes no batch while the queue is full or for RetryDelay after a failed write.
 func (w *Writer) Offer(b *batch) bool {
-	if w.broken.Load() {
+	if w.paused.Load() {
 		return false
 	}
 	if w.cfg.BlockWhenFull {
@@ -107,27 +108,27 @@
 	}
 }
 
-// CountLost implements Sink.
+// CountLost implements Sink. It adds to Counts.Lost.
 func (w *Writer) CountLost(records uint64) { w.Counts.Lost.Add(records) }
 
-// Ready implements Sink: half of the queue is free, so that more than the beginning of a segment fits.
+// Ready implements Sink. At least half of the queue must be free, so that more than the first batch of a segment fits.
 func (w *Writer) Ready() bool {
-	return !w.broken.Load() && (w.cfg.BlockWhenFull || len(w.queue) <= cap(w.queue)/2)
+	return !w.paused.Load() && (w.cfg.BlockWhenFull || len(w.queue) <= cap(w.queue)/2)
 }
 
-// WantsSegment implements Sink.
-func (w *Writer) WantsSegment() bool { return w.fileFull.Load() }
+// WantsSegment implements Sink. It returns true once the file is full, since only a segment can begin a new one.
+func (w *Writer) WantsSegment() bool { return w.nextSegmentInNewFile.Load() }
 
-// Close writes what is queued and ends the writer. Nothing may be offered any more.
+// Close writes the queued batches and ends the writer. Offer must not be called any more.
 func (w *Writer) Close() {
 	close(w.queue)
-	w.done.Wait()
+	w.running.Wait()
 }
 
 // run writes batches until the queue is closed.
 func (w *Writer) run() {
 	defer w.closeFile()
-	var again <-chan time.Time
+	var retry <-chan time.Time
 	for {
 		select {
 		case b, ok := <-w.queue:
@@ -135,24 +136,25 @@
 				return
 			}
 			if err := w.write(b); err != nil {
-				w.cfg.Log.Error("capture: a stretch is lost", "error", err)
+				w.cfg.Log.Error("capture: a write failed, and records are dropped until the next segment", "error", err)
 				w.closeFile()
-				w.broken.Store(true)
+				w.paused.Store(true)
 				w.skipToSegment = true
-				again = time.After(w.cfg.RetryDelay)
+				retry = time.After(w.cfg.RetryDelay)
 			}
 			b.snapshot = nil
 			if cap(b.data) <= 2*maxBatchBytes {
 				batches.Put(b)
 			}
-		case <-again:
-			again = nil
-			w.broken.Store(false)
+		case <-retry:
+			retry = nil
+			w.paused.Store(false)
 		}
 	}
 }
 
-// write writes a batch into the file. On an error the file ends with the last complete frame.
+// write writes a batch to the file as a frame, and creates a file for a segment if none is open. After an error the
+// file ends with the last complete frame.
 func (w *Writer) write(b *batch) error {
 	if w.skipToSegment && !b.beginsSegment {
 		w.countLost(b)
@@ -178,12 +180,12 @@
 	}
 	if err != nil {
 		w.countLost(b)
-		// A part of a frame would be read as a truncated file.
+		// An incomplete frame would be read as a truncated file.
 		return errors.Join(err, w.file.Truncate(w.size))
 	}
 	w.countWritten(b, len(frame))
 	if w.fileIsFull() {
-		w.fileFull.Store(true)
+		w.nextSegmentInNewFile.Store(true)
 	}
 	return nil
 }
@@ -201,19 +203,19 @@
 		return
 	}
 	if b.gap != nil {
-		w.cfg.Log.Warn("capture: a gap", "records", b.gap.Count, "reason", b.gap.Line)
+		w.cfg.Log.Warn("capture: records are missing before a new segment", "records", b.gap.Count, "reason", b.gap.Line)
 	}
 	w.Counts.Segments.Add(1)
 	w.unreportedLoss = 0
 }
 
-// countLost counts a batch that is not stored.
+// countLost counts the records of a batch that is not stored.
 func (w *Writer) countLost(b *batch) {
 	w.Counts.Lost.Add(b.records)
 	w.unreportedLoss += b.records
 }
 
-// encodeFrame returns a batch as a frame, which is valid until the next call.
+// encodeFrame returns a batch as a frame: header and compressed records. The result is valid until the next call.
 func (w *Writer) encodeFrame(b *batch) ([]byte, error) {
 	raw := b.data
 	flags := uint32(0)
@@ -224,23 +226,24 @@
 			return nil, err
 		}
 	}
-	need := frameHeaderBytes + s2.MaxEncodedLen(len(raw))
-	if cap(w.packed) < need {
-		w.packed = make([]byte, need)
+	maxBytes := frameHeaderBytes + s2.MaxEncodedLen(len(raw))
+	if cap(w.packed) < maxBytes {
+		w.packed = make([]byte, maxBytes)
 	}
 	w.packed = w.packed[:cap(w.packed)]
 	body := s2.Encode(w.packed[frameHeaderBytes:], raw)
-	out := w.packed[:frameHeaderBytes+len(body)]
-	binary.BigEndian.PutUint32(out, uint32(len(body)))
-	binary.BigEndian.PutUint32(out[4:], uint32(len(raw)))
-	binary.BigEndian.PutUint64(out[8:], uint64(b.base))
-	binary.BigEndian.PutUint32(out[16:], flags)
-	binary.BigEndian.PutUint32(out[20:], uint32(b.records))
-	binary.BigEndian.PutUint32(out[24:], snapshot.Checksum(out[:24], body))
-	return out, nil
+	frame := w.packed[:frameHeaderBytes+len(body)]
+	binary.BigEndian.PutUint32(frame, uint32(len(body)))
+	binary.BigEndian.PutUint32(frame[4:], uint32(len(raw)))
+	binary.BigEndian.PutUint64(frame[8:], uint64(b.base))
+	binary.BigEndian.PutUint32(frame[16:], flags)
+	binary.BigEndian.PutUint32(frame[20:], uint32(b.records))
+	binary.BigEndian.PutUint32(frame[24:], snapshot.Checksum(frame[:24], body))
+	return frame, nil
 }
 
-// segmentRecords returns the records of a batch that begins a segment: the gap before it, the snapshot, and its own.
+// segmentRecords returns the encoded records of a batch that begins a segment: the gap before it, if any, the snapshot,
+// and those of the batch. The result is valid until the next call.
 func (w *Writer) segmentRecords(b *batch) ([]byte, error) {
 	w.scratch = w.scratch[:0]
 	gap := b.gap
@@ -261,12 +264,12 @@
 	return w.scratch, nil
 }
 
-// openFile begins a file, after removing old ones for it.
+// openFile creates a file that begins with batch b, and removes old files before.
 func (w *Writer) openFile(b *batch) error {
 	if err := w.removeOldFiles(); err != nil {
 		return err
 	}
-	path := filepath.Join(w.cfg.Dir, fmt.Sprintf("%s-%020d-%06d%s", w.cfg.Name, b.base, w.Counts.Files.Load(), suffix))
+	path := filepath.Join(w.cfg.Dir, fmt.Sprintf("%s-%020d-%06d%s", w.cfg.Name, b.base, w.Counts.Files.Load(), fileSuffix))
 	f, err := w.cfg.create(path)
 	if err != nil {
 		return err
@@ -278,13 +281,13 @@
 	w.file = f
 	w.size = fileHeaderBytes
 	w.opened = time.Now()
-	w.fileFull.Store(false)
+	w.nextSegmentInNewFile.Store(false)
 	w.Counts.Files.Add(1)
 	w.Counts.Bytes.Add(fileHeaderBytes)
 	return nil
 }
 
-// removeOldFiles removes the oldest files until another one fits into MaxBytes.
+// removeOldFiles removes the oldest files until another file of MaxFileBytes fits into MaxBytes.
 func (w *Writer) removeOldFiles() error {
 	list, err := Files(w.cfg.Dir, w.cfg.Name)
 	if err != nil {
@@ -319,7 +322,8 @@
 	}
 }
 
-// Files returns the paths of a capture's files in order. name is that of Config; empty for all captures.
+// Files returns the paths of a capture's files in a folder, in the order of their names. name is Config.Name; if it is
+// empty, the files of all captures are returned. A folder that does not exist has none.
 func Files(dir, name string) ([]string, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -327,10 +331,10 @@
 	}
 	var list []string
 	for _, e := range entries {
-		n := e.Name()
-		ofName := name == "" || strings.HasPrefix(n, name+"-")
-		if ofName && strings.HasSuffix(n, suffix) && !e.IsDir() {
-			list = append(list, filepath.Join(dir, n))
+		fileName := e.Name()
+		ofName := name == "" || strings.HasPrefix(fileName, name+"-")
+		if ofName && strings.HasSuffix(fileName, fileSuffix) && !e.IsDir() {
+			list = append(list, filepath.Join(dir, fileName))
 		}
 	}
 	slices.Sort(list)
