--- a/internal/dataplane/replay/actions.go
+++ b/internal/dataplane/replay/actions.go
@@ -5,46 +5,50 @@
 	"birchmoor/internal/dataplane/capture"
 )
 
-// actions collects the actions of the module.
-type actions struct{ p *player }
+// actions implements balancer.Actions. It collects the actions of the module in replayed.
+type actions struct{ player *player }
 
-// record adds an action on the latest event.
-func (a actions) record(x capture.Record) {
-	if a.p.muted {
+// collect adds an action on the latest event, unless actions are ignored.
+func (a actions) collect(rec capture.Record) {
+	if a.player.ignoreActions {
 		return
 	}
-	x.At = a.p.input.At
-	a.p.replayed = append(a.p.replayed, x)
+	rec.At = a.player.event.At
+	a.player.replayed = append(a.player.replayed, rec)
 }
 
-// Send collects the action.
-func (a actions) Send(id uint64, e uint32, t balancer.Micros) {
-	a.record(capture.Record{Kind: capture.KindSend, ID: id, Endpoint: e, Time: t})
+// Send implements balancer.Actions.
+func (a actions) Send(id uint64, endpoint uint32, timeout balancer.Micros) {
+	a.collect(capture.Record{Kind: capture.KindSend, ID: id, Endpoint: endpoint, Time: timeout})
 }
 
-// Reject collects the action.
-func (a actions) Reject(id uint64, t balancer.Micros) {
-	a.record(capture.Record{Kind: capture.KindReject, ID: id, Time: t})
+// Reject implements balancer.Actions.
+func (a actions) Reject(id uint64, retryAfter balancer.Micros) {
+	a.collect(capture.Record{Kind: capture.KindReject, ID: id, Time: retryAfter})
 }
 
-// Fail collects the action.
-func (a actions) Fail(id uint64) { a.record(capture.Record{Kind: capture.KindFail, ID: id}) }
+// Fail implements balancer.Actions.
+func (a actions) Fail(id uint64) { a.collect(capture.Record{Kind: capture.KindFail, ID: id}) }
 
-// Cancel collects the action.
+// Cancel implements balancer.Actions.
 func (a actions) Cancel(id uint64, attempt int) {
-	a.record(capture.Record{Kind: capture.KindCancel, ID: id, Attempt: attempt})
+	a.collect(capture.Record{Kind: capture.KindCancel, ID: id, Attempt: attempt})
 }
 
-// Timer collects the action.
-func (a actions) Timer(t balancer.Micros, token uint32) {
-	a.record(capture.Record{Kind: capture.KindSetTimer, Time: t, Token: token})
+// Timer implements balancer.Actions. The action is collected as KindSetTimer.
+func (a actions) Timer(delay balancer.Micros, token uint32) {
+	a.collect(capture.Record{Kind: capture.KindSetTimer, Time: delay, Token: token})
 }
 
-// Probe collects the action.
-func (a actions) Probe(e uint32) { a.record(capture.Record{Kind: capture.KindProbe, Endpoint: e}) }
+// Probe implements balancer.Actions.
+func (a actions) Probe(endpoint uint32) {
+	a.collect(capture.Record{Kind: capture.KindProbe, Endpoint: endpoint})
+}
 
-// Watch collects the action.
-func (a actions) Watch(on bool) { a.record(capture.Record{Kind: capture.KindWatch, Flag: on}) }
+// Watch implements balancer.Actions.
+func (a actions) Watch(enabled bool) {
+	a.collect(capture.Record{Kind: capture.KindWatch, Flag: enabled})
+}
 
-// Log collects the action.
-func (a actions) Log(line string) { a.record(capture.Record{Kind: capture.KindLog, Line: line}) }
+// Log implements balancer.Actions.
+func (a actions) Log(line string) { a.collect(capture.Record{Kind: capture.KindLog, Line: line}) }
--- a/internal/dataplane/replay/events.go
+++ b/internal/dataplane/replay/events.go
@@ -8,87 +8,88 @@
 	"birchmoor/internal/platform/snapshot"
 )
 
-// feed gives the module a recorded event.
-func (p *player) feed(x *capture.Record) error {
-	b := p.balancer
-	at := x.At
-	switch x.Kind {
+// feed passes a recorded event to the module.
+func (p *player) feed(rec *capture.Record) error {
+	module := p.balancer
+	now := rec.At
+	switch rec.Kind {
 	case capture.KindUpdateEndpoints:
-		p.nameEndpoints(x)
-		b.UpdateEndpoints(at, x.List, x.Entries)
+		p.nameEndpoints(rec)
+		module.UpdateEndpoints(now, rec.List, rec.Entries)
 	case capture.KindRequest:
-		in, err := p.request(x)
+		in, err := p.request(rec)
 		if err != nil {
-			return fmt.Errorf("replay: rules of request %d: %w", x.Request.ID, err)
+			return fmt.Errorf("replay: restoring the rules of request %d: %w", rec.Request.ID, err)
 		}
-		b.Request(at, in)
+		module.Request(now, in)
 	case capture.KindResponseStarted:
-		b.ResponseStarted(at, x.ID, x.Attempt, x.Time)
+		module.ResponseStarted(now, rec.ID, rec.Attempt, rec.Time)
 	case capture.KindUploadComplete:
-		b.UploadComplete(at, x.ID, at+x.Time)
+		module.UploadComplete(now, rec.ID, now+rec.Time)
 	case capture.KindOutcome:
-		b.Outcome(at, balancer.Outcome{
-			ID:            x.ID,
-			Attempt:       x.Attempt,
-			Endpoint:      x.Endpoint,
-			Status:        x.Status,
-			Latency:       x.Time,
-			Answered:      x.Flag,
-			NotReplayable: x.NotReplayable,
-			Load:          x.Load,
+		module.Outcome(now, balancer.Outcome{
+			ID:            rec.ID,
+			Attempt:       rec.Attempt,
+			Endpoint:      rec.Endpoint,
+			Status:        rec.Status,
+			Latency:       rec.Time,
+			Answered:      rec.Flag,
+			NotReplayable: rec.NotReplayable,
+			Load:          rec.Load,
 		})
 	case capture.KindClientDisconnected:
-		b.ClientDisconnected(at, x.ID)
+		module.ClientDisconnected(now, rec.ID)
 	case capture.KindTimer:
-		b.Timer(at, x.Token)
+		module.Timer(now, rec.Token)
 	case capture.KindProbeCompleted:
-		b.ProbeCompleted(at, x.Endpoint, x.Status, x.Time, x.Load)
+		module.ProbeCompleted(now, rec.Endpoint, rec.Status, rec.Time, rec.Load)
 	case capture.KindDrainEndpoint:
-		b.DrainEndpoint(x.Endpoint, at-x.Time)
+		module.DrainEndpoint(rec.Endpoint, now-rec.Time)
 	case capture.KindUndrainEndpoint:
-		b.UndrainEndpoint(at, x.Endpoint, at-x.Time)
+		module.UndrainEndpoint(now, rec.Endpoint, now-rec.Time)
 	case capture.KindSetCapacityShare:
-		b.SetCapacityShare(x.Part)
+		module.SetCapacityShare(rec.Part)
 	case capture.KindPeerEjected:
-		b.PeerEjected(at, x.Endpoint, x.Time)
+		module.PeerEjected(now, rec.Endpoint, rec.Time)
 	case capture.KindReload:
 		if p.options.Settings != nil {
-			return nil // those of this replay stay in force
+			return nil // the settings of this replay stay in force
 		}
-		var s balancer.Settings
-		if err := snapshot.Unmarshal(x.Blob, &s); err != nil {
-			return fmt.Errorf("replay: settings of a reload: %w", err)
+		var settings balancer.Settings
+		if err := snapshot.Unmarshal(rec.Blob, &settings); err != nil {
+			return fmt.Errorf("replay: decoding the settings of a reload: %w", err)
 		}
-		_, _ = b.Reload(s) // settings that it rejected it rejects again
+		_, _ = module.Reload(settings) // it rejects the same settings as it did when they were recorded
 	case capture.KindRestore:
-		var s balancer.Snapshot
-		if err := snapshot.Unmarshal(x.Blob, &s); err != nil {
-			return fmt.Errorf("replay: a recalled snapshot: %w", err)
+		var state balancer.Snapshot
+		if err := snapshot.Unmarshal(rec.Blob, &state); err != nil {
+			return fmt.Errorf("replay: decoding a snapshot that was restored: %w", err)
 		}
-		_, _ = b.Restore(at, &s, x.Time) // a snapshot that it rejected it rejects again
+		_, _ = module.Restore(now, &state, rec.Time) // it rejects the same snapshots as it did when they were recorded
 	}
 	return nil
 }
 
-// request returns a recorded request, with the rules that it arrived under if they were not the current ones.
-func (p *player) request(x *capture.Record) (balancer.Request, error) {
-	in := x.Request
-	if x.Rules == nil || p.options.Settings != nil {
-		return in, nil
+// request returns a recorded request. If it arrived under earlier rules than the current ones, it has these, unless the
+// replay has settings of its own.
+func (p *player) request(rec *capture.Record) (balancer.Request, error) {
+	req := rec.Request
+	if rec.Rules == nil || p.options.Settings != nil {
+		return req, nil
 	}
-	var s balancer.RulesState
-	if err := snapshot.Unmarshal(x.Rules, &s); err != nil {
-		return in, err
+	var state balancer.RulesState
+	if err := snapshot.Unmarshal(rec.Rules, &state); err != nil {
+		return req, err
 	}
 	var err error
-	in.Rules, err = p.balancer.RestoreRules(s)
-	return in, err
+	req.Rules, err = p.balancer.RestoreRules(state)
+	return req, err
 }
 
-func (p *player) nameEndpoints(x *capture.Record) {
-	for i, e := range x.Entries {
-		if x.Names[i] != "" {
-			p.names[e.ID] = x.Names[i]
+func (p *player) nameEndpoints(rec *capture.Record) {
+	for i, e := range rec.Entries {
+		if rec.Names[i] != "" {
+			p.names[e.ID] = rec.Names[i]
 		}
 	}
 }
--- a/internal/dataplane/replay/explain.go
+++ b/internal/dataplane/replay/explain.go
@@ -8,48 +8,50 @@
 // maxExplanations bounds the explanations in a report.
 const maxExplanations = 64
 
-// keepStateBefore keeps the state that an event meets, if the request to explain may be decided upon.
-func (p *player) keepStateBefore(x *capture.Record) {
+// keepStateBefore takes a snapshot of the module before it receives an event, if the request to explain is open and the
+// event may lead to a decision upon it.
+func (p *player) keepStateBefore(rec *capture.Record) {
 	p.stateBefore = nil
 	if p.options.Explain == 0 || len(p.report.Explanations) >= maxExplanations {
 		return
 	}
-	if x.Kind == capture.KindRequest && x.Request.ID == p.options.Explain {
-		p.explainedIsOpen = true
+	if rec.Kind == capture.KindRequest && rec.Request.ID == p.options.Explain {
+		p.explainedOpen = true
 	}
-	if p.explainedIsOpen {
-		p.stateBefore = p.balancer.Snapshot(x.At, true)
+	if p.explainedOpen {
+		p.stateBefore = p.balancer.Snapshot(rec.At, true)
 	}
 }
 
-// explain records what was weighed, if the latest event decided upon the request to explain.
+// explain adds an explanation to the report if the latest event led to a decision upon the request to explain: it has a
+// copy of the module as it was before the event list the candidates.
 func (p *player) explain() {
 	if p.stateBefore == nil {
 		return
 	}
-	var mine []string
-	for i, x := range p.replayed {
-		if x.ID == p.options.Explain && x.Kind != capture.KindSetTimer {
-			mine = append(mine, p.lines(p.replayed[i:i+1])...)
-			p.explainedIsOpen = p.explainedIsOpen && x.Kind != capture.KindReject && x.Kind != capture.KindFail
+	var decisions []string
+	for i, rec := range p.replayed {
+		if rec.ID == p.options.Explain && rec.Kind != capture.KindSetTimer {
+			decisions = append(decisions, p.lines(p.replayed[i:i+1])...)
+			p.explainedOpen = p.explainedOpen && rec.Kind != capture.KindReject && rec.Kind != capture.KindFail
 		}
 	}
-	ended := p.input.Kind == capture.KindOutcome && p.input.ID == p.options.Explain && p.input.Flag
-	p.explainedIsOpen = p.explainedIsOpen && !ended
-	if len(mine) == 0 {
+	ended := p.event.Kind == capture.KindOutcome && p.event.ID == p.options.Explain && p.event.Flag
+	p.explainedOpen = p.explainedOpen && !ended
+	if len(decisions) == 0 {
 		return
 	}
-	copied, err := balancer.Resume(p.stateBefore, balancer.NoActions{})
+	before, err := balancer.Resume(p.stateBefore, balancer.NoActions{})
 	if err != nil {
-		return // cannot happen: the state was taken a moment ago
+		return // cannot happen: the snapshot is that of this module
 	}
-	in := balancer.Request{ID: p.options.Explain}
-	if p.input.Kind == capture.KindRequest {
-		in = p.input.Request
+	req := balancer.Request{ID: p.options.Explain}
+	if p.event.Kind == capture.KindRequest {
+		req = p.event.Request
 	}
-	w := Explanation{At: p.input.At, Input: p.input.String(), Decisions: mine}
-	for _, c := range copied.Explain(p.input.At, in) {
-		w.Candidates = append(w.Candidates, NamedCandidate{Server: p.names[c.Endpoint], Candidate: c})
+	explanation := Explanation{At: p.event.At, Input: p.event.String(), Decisions: decisions}
+	for _, c := range before.Explain(p.event.At, req) {
+		explanation.Candidates = append(explanation.Candidates, NamedCandidate{Server: p.names[c.Endpoint], Candidate: c})
 	}
-	p.report.Explanations = append(p.report.Explanations, w)
+	p.report.Explanations = append(p.report.Explanations, explanation)
 }
--- a/internal/dataplane/replay/replay.go
+++ b/internal/dataplane/replay/replay.go
@@ -1,5 +1,6 @@
-// Package replay plays captures: it gives a decision module the recorded events and compares its actions with the
-// recorded ones. Given the same events the module must answer with the same actions, byte for byte.
+// Package replay plays captures: it passes the recorded events to a decision module (package balancer) and compares the
+// module's actions with the recorded ones. On the same events the module must respond with the same actions, byte for
+// byte.
 package replay
 
 import (
@@ -15,73 +16,76 @@
 	"birchmoor/internal/dataplane/capture"
 )
 
-// Files plays the files of a capture in order. What cannot be read is listed in the report, and ends its file. An
-// error means that nothing could be replayed.
-func Files(ctx context.Context, paths []string, o Options) (*Report, error) {
-	p := &player{options: o, digest: xxhash.New(), names: map[uint32]string{}}
-	start, err := lastSnapshotBefore(paths, o.From)
+// Files plays the files of a capture in the order of paths. A record that cannot be read ends its file; the replay
+// continues with the next snapshot of the following file, and the report lists the error in Faults. Files returns an
+// error if a file cannot be opened, if an event cannot be played, if ctx ends, or if there is nothing to replay.
+func Files(ctx context.Context, paths []string, options Options) (*Report, error) {
+	p := &player{options: options, digest: xxhash.New(), names: map[uint32]string{}}
+	firstSnapshot, err := lastSnapshotBefore(paths, options.From)
 	if err != nil {
 		return nil, err
 	}
-	seen := 0
+	snapshots := 0
 	for _, path := range paths {
-		over, err := p.playFile(ctx, path, func(x *capture.Record) bool {
-			if x.Kind == capture.KindSnapshot {
-				seen++
+		reachedEnd, err := p.playFile(ctx, path, func(rec *capture.Record) bool {
+			if rec.Kind == capture.KindSnapshot {
+				snapshots++
 			}
-			return seen >= start // records before the last snapshot are not needed
+			return snapshots >= firstSnapshot // earlier records are not needed
 		})
 		if err != nil {
 			return nil, err
 		}
-		if over {
+		if reachedEnd {
 			break
 		}
 	}
 	p.compareActions()
 	p.report.Digest = fmt.Sprintf("%016x", p.digest.Sum64())
 	if p.report.Segments == 0 && len(p.report.Faults) == 0 {
-		return nil, errors.New("replay: nothing is recorded there")
+		return nil, errors.New("replay: the files contain no snapshot to start from")
 	}
 	return &p.report, nil
 }
 
-// lastSnapshotBefore returns the number, from 1, of the last snapshot before an instant; 0 to play all.
+// lastSnapshotBefore returns the number of the last snapshot that was taken no later than an instant, counted from 1 in
+// the order of the files; 0 to play all records.
 func lastSnapshotBefore(paths []string, from balancer.Micros) (int, error) {
-	seen, last := 0, 0
+	snapshots, last := 0, 0
 	if from == 0 {
 		return 0, nil
 	}
 	for _, path := range paths {
-		err := forEachRecord(path, func(x *capture.Record) error {
-			if x.Kind == capture.KindSnapshot {
-				seen++
-				if x.At <= from {
-					last = seen
+		err := forEachRecord(path, func(rec *capture.Record) error {
+			if rec.Kind == capture.KindSnapshot {
+				snapshots++
+				if rec.At <= from {
+					last = snapshots
 				}
 			}
 			return nil
 		})
-		var unreadable *capture.Error
-		if err != nil && !errors.As(err, &unreadable) {
+		var captureErr *capture.Error
+		if err != nil && !errors.As(err, &captureErr) {
 			return 0, err
 		}
 	}
 	return last, nil
 }
 
-// forEachRecord calls do with the records of a file, until it returns an error.
-func forEachRecord(path string, do func(*capture.Record) error) error {
+// forEachRecord calls visit with each record of a file, until visit returns an error, which it then returns. Other
+// errors are *capture.Error or those of opening the file.
+func forEachRecord(path string, visit func(*capture.Record) error) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return fmt.Errorf("replay: %w", err)
 	}
-	defer func() { _ = f.Close() }() // it was only read
-	in, err := capture.NewReader(f)
+	defer func() { _ = f.Close() }() // the file was only read
+	reader, err := capture.NewReader(f)
 	for err == nil {
-		var x capture.Record
-		if x, err = in.Next(); err == nil {
-			err = do(&x)
+		var rec capture.Record
+		if rec, err = reader.Next(); err == nil {
+			err = visit(&rec)
 		}
 	}
 	if errors.Is(err, io.EOF) {
@@ -90,25 +94,26 @@
 	return err
 }
 
-// errEndOfRange ends a replay at the end of what is to be played.
+// errEndOfRange ends forEachRecord once no more records are needed.
 var errEndOfRange = errors.New("the end of the range is reached")
 
-// playFile plays one file, and reports whether the end of what is to be played was reached.
-func (p *player) playFile(ctx context.Context, path string, wanted func(*capture.Record) bool) (over bool, err error) {
-	err = forEachRecord(path, func(x *capture.Record) error {
-		if !wanted(x) {
+// playFile plays the wanted records of one file, and reports whether the end of the range (Options.To) was reached.
+func (p *player) playFile(ctx context.Context, path string,
+	wanted func(*capture.Record) bool) (reachedEnd bool, err error) {
+	err = forEachRecord(path, func(rec *capture.Record) error {
+		if !wanted(rec) {
 			return nil
 		}
 		if err := ctx.Err(); err != nil {
 			return err
 		}
-		return p.record(x)
+		return p.playRecord(rec)
 	})
 	if errors.Is(err, errEndOfRange) {
 		return true, nil
 	}
-	var unreadable *capture.Error
-	if errors.As(err, &unreadable) {
+	var captureErr *capture.Error
+	if errors.As(err, &captureErr) {
 		p.compareActions()
 		p.balancer = nil
 		p.complete = false
--- a/internal/dataplane/replay/report.go
+++ b/internal/dataplane/replay/report.go
@@ -6,14 +6,15 @@
 	"birchmoor/balancer"
 )
 
-// Options says what to play, and what to look at.
+// Options configures a replay.
 type Options struct {
-	From           balancer.Micros    // what is counted and shown begins here; 0: at the beginning
-	To             balancer.Micros    // and ends here; 0: at the end
-	Pace           bool               // as fast as it happened, not as fast as possible
-	Settings       *balancer.Settings // given to the module in place of the recorded ones; nil: these
-	Log            io.Writer          // of actions, a line each; nil for none
-	Explain        uint64             // ID of a request whose decisions are explained; 0 for none
+	From     balancer.Micros    // events are counted and compared from this instant on; 0: from the beginning
+	To       balancer.Micros    // events after this instant are not played; 0: all are
+	Pace     bool               // play events in the time in which they were recorded, not as fast as possible
+	Settings *balancer.Settings // replace the recorded settings; nil to play with the recorded ones
+	Log      io.Writer          // gets a line for each action; nil for none
+	Explain  uint64             // ID of a request whose decisions are explained; 0 for none
+	// Sample is called with the module before an event, at most once in SampleInterval; nil for no samples.
 	Sample         func(now balancer.Micros, b *balancer.Balancer, endpointID func(name string) (uint32, bool))
 	SampleInterval balancer.Micros
 }
@@ -23,18 +24,19 @@
 	From         balancer.Micros `json:"from_us"`
 	To           balancer.Micros `json:"to_us"`
 	Segments     int             `json:"segments"`
-	Inputs       int             `json:"inputs"`
-	Decisions    int             `json:"decisions"`
-	Digest       string          `json:"digest"` // of the actions, xxHash64
+	Inputs       int             `json:"inputs"`    // number of events in the range
+	Decisions    int             `json:"decisions"` // number of the module's actions on them
+	Digest       string          `json:"digest"`    // xxHash64 of the lines of the actions
 	Gaps         int             `json:"gaps"`
-	Lost         uint64          `json:"lost"` // records in the gaps
+	Lost         uint64          `json:"lost"` // number of records that are missing in the gaps
 	Differences  int             `json:"differences"`
-	First        *Difference     `json:"first,omitempty"`
-	Faults       []string        `json:"faults,omitempty"` // what could not be read
+	First        *Difference     `json:"first,omitempty"`  // the first difference
+	Faults       []string        `json:"faults,omitempty"` // files and snapshots that could not be read, and why
 	Explanations []Explanation   `json:"explain,omitempty"`
 }
 
-// Difference is an event that the module did not answer as recorded.
+// Difference is an event on which the module's actions differ from the recorded ones, or a snapshot that differs from
+// its state.
 type Difference struct {
 	At       balancer.Micros `json:"at_us"`
 	Input    string          `json:"input"`
@@ -42,7 +44,8 @@
 	Replayed []string        `json:"replayed"`
 }
 
-// Explanation is an event at which a request was decided upon, with the candidates that were weighed.
+// Explanation is an event on which the module decided upon a request, with the actions for the request and the
+// candidate endpoints.
 type Explanation struct {
 	At         balancer.Micros  `json:"at_us"`
 	Input      string           `json:"input"`
@@ -50,7 +53,7 @@
 	Candidates []NamedCandidate `json:"candidates"`
 }
 
-// NamedCandidate is a candidate with its endpoint's name.
+// NamedCandidate is a candidate endpoint with its name.
 type NamedCandidate struct {
 	Server string `json:"server"`
 	balancer.Candidate
--- a/internal/dataplane/replay/timeline.go
+++ b/internal/dataplane/replay/timeline.go
@@ -19,25 +19,26 @@
 // SampleIntervalMicros is the interval between two samples of a timeline.
 const SampleIntervalMicros = 50_000
 
-// Timeline is what a module estimated of an endpoint over time.
+// Timeline is a module's estimates for one endpoint over time, drawn as a row of plots below each other. Its Sample
+// method collects them during a replay.
 type Timeline struct {
 	Server string
 	origin balancer.Micros
 	rows   [len(rowNames)]plotter.XYs
 }
 
-// NewTimeline returns an empty timeline, whose time axis begins at origin.
+// NewTimeline returns an empty timeline of a named endpoint. Its time axis begins at origin.
 func NewTimeline(server string, origin balancer.Micros) *Timeline {
 	return &Timeline{Server: server, origin: origin}
 }
 
-// StartOf returns the instant of the first record of a capture.
+// StartOf returns the instant of the first record of a capture, or 0 if it has no records.
 func StartOf(paths []string) (balancer.Micros, error) {
 	for _, path := range paths {
 		var at balancer.Micros
 		found := false
-		err := forEachRecord(path, func(x *capture.Record) error {
-			at = x.At
+		err := forEachRecord(path, func(rec *capture.Record) error {
+			at = rec.At
 			found = true
 			return errEndOfRange
 		})
@@ -51,7 +52,7 @@
 	return 0, nil
 }
 
-// Values of a timeline's last row.
+// Values of a timeline's last row: the state of its endpoint.
 const (
 	stateInService = 0.0
 	stateWarmingUp = 1.0
@@ -59,10 +60,10 @@
 	stateNotListed = 3.0
 )
 
-// Sample takes a sample; it is for Options.Sample.
-func (t *Timeline) Sample(now balancer.Micros, b *balancer.Balancer, number func(string) (uint32, bool)) {
-	x := float64(now-t.origin) / 1e6
-	id, listed := number(t.Server)
+// Sample takes a sample of the module's estimates at an instant. It is meant for Options.Sample.
+func (t *Timeline) Sample(now balancer.Micros, b *balancer.Balancer, endpointID func(string) (uint32, bool)) {
+	seconds := float64(now-t.origin) / 1e6
+	id, listed := endpointID(t.Server)
 	var c balancer.Candidate
 	if listed {
 		c = b.Estimate(now, id, 0)
@@ -78,21 +79,21 @@
 		state = stateWarmingUp
 	}
 	for i, y := range [...]float64{c.Load, c.Predicted / 1000, c.ErrorChance, state} {
-		t.rows[i] = append(t.rows[i], plotter.XY{X: x, Y: y})
+		t.rows[i] = append(t.rows[i], plotter.XY{X: seconds, Y: y})
 	}
 }
 
 var rowNames = [...]string{
-	"load believed (requests)",
-	"latency expected of a mean request (ms)",
-	"breaker's chance of refusal",
-	"1 cold, 2 ejected, 3 not listed",
+	"estimated load (requests)",
+	"predicted latency of a mean request (ms)",
+	"error chance of the circuit breaker",
+	"1 warming up, 2 ejected, 3 not listed",
 }
 
-// Write draws the timeline as SVG.
+// Write draws the timeline as SVG. It returns an error if there are no samples.
 func (t *Timeline) Write(w io.Writer) error {
 	if len(t.rows[0]) == 0 {
-		return errors.New("timeline: nothing was replayed")
+		return errors.New("timeline: there are no samples to draw")
 	}
 	const width, height = 24 * vg.Centimeter, 7 * vg.Centimeter
 	c := vgsvg.New(width, height*vg.Length(len(t.rows)))
@@ -118,7 +119,7 @@
 	return err
 }
 
-// Save draws the timeline as SVG into a file, which it removes again if that fails.
+// Save draws the timeline as SVG into a file, which it removes if that fails.
 func (t *Timeline) Save(path string) error {
 	f, err := os.Create(path)
 	if err != nil {
