--- a/internal/dataplane/capture/capture_test.go
+++ b/internal/dataplane/capture/capture_test.go
@@ -31,20 +31,20 @@
 		Prices:   balancer.Prices{Probe: 1000}}
 }
 
-const startTime = 1_700_000_000_000_000
+const startMicros = 1_700_000_000_000_000
 
 // newTestRecorder returns a recorder around a started module with endpoints s-1 to s-3.
 func newTestRecorder(tb testing.TB, sink Sink, segmentInterval balancer.Micros) *Recorder {
 	tb.Helper()
 	name := func(id uint32) string { return fmt.Sprint("s-", id) }
-	begin := func(out balancer.Actions) (*balancer.Balancer, error) { return balancer.New(testSettings(), 7, out) }
-	o := Options{Sidecar: "n0", SegmentInterval: segmentInterval, Sink: sink, EndpointName: name}
-	r, err := New(o, balancer.NoActions{}, begin)
+	newBalancer := func(out balancer.Actions) (*balancer.Balancer, error) { return balancer.New(testSettings(), 7, out) }
+	options := Options{Sidecar: "n0", SegmentInterval: segmentInterval, Sink: sink, EndpointName: name}
+	r, err := New(options, balancer.NoActions{}, newBalancer)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	r.Start(startTime)
-	r.UpdateEndpoints(startTime, balancer.ListFull, []balancer.Endpoint{{ID: 1}, {ID: 2}, {ID: 3}})
+	r.Start(startMicros)
+	r.UpdateEndpoints(startMicros, balancer.ListFull, []balancer.Endpoint{{ID: 1}, {ID: 2}, {ID: 3}})
 	return r
 }
 
@@ -52,7 +52,7 @@
 // them. Their IDs begin at from.
 func runRequests(r *Recorder, from uint64, count int) {
 	for id := from; id < from+uint64(count); id++ {
-		now := startTime + balancer.Micros(id)*1000
+		now := startMicros + balancer.Micros(id)*1000
 		r.Request(now, balancer.Request{ID: id, Key: 0xdead, Deadline: now + 500_000, Hint: 900, HasHint: id%2 == 0})
 		for e := uint32(1); e <= 3; e++ {
 			r.Outcome(now+500, balancer.Outcome{ID: id, Endpoint: e, Latency: 500, Answered: true, Load: []float32{2}})
@@ -389,11 +389,11 @@
 	old := r.Rules()
 	next := testSettings()
 	next.Classes[0].Name = "other"
-	if _, err := r.Reload(startTime+1, next); err != nil {
+	if _, err := r.Reload(startMicros+1, next); err != nil {
 		t.Fatal(err)
 	}
-	r.Request(startTime+2, balancer.Request{ID: 1, Deadline: startTime + 1000, Rules: old})
-	r.Request(startTime+3, balancer.Request{ID: 2, Deadline: startTime + 1000, Rules: r.Rules()})
+	r.Request(startMicros+2, balancer.Request{ID: 1, Deadline: startMicros + 1000, Rules: old})
+	r.Request(startMicros+3, balancer.Request{ID: 2, Deadline: startMicros + 1000, Rules: r.Rules()})
 	r.Close()
 	w.Close()
 	files, _ := Files(dir, "")
--- a/internal/dataplane/capture/module.go
+++ b/internal/dataplane/capture/module.go
@@ -5,7 +5,8 @@
 	"birchmoor/internal/platform/snapshot"
 )
 
-// Start records the event and passes it on. The first segment begins after it.
+// Start passes the event on without recording it. Recording begins with the next event, whose segment begins with a
+// snapshot.
 func (r *Recorder) Start(now balancer.Micros) {
 	r.now = now
 	r.Balancer.Start(now)
--- a/internal/dataplane/capture/record.go
+++ b/internal/dataplane/capture/record.go
@@ -97,7 +97,7 @@
 	Endpoint      uint32          // ID of the endpoint
 	Attempt       int             // number of the attempt within its request
 	Token         uint32          // of the timer
-	Time          balancer.Micros // a delay, a timeout, a latency, a Retry-After, or an age
+	Time          balancer.Micros // a delay, a timeout, a remaining time, a latency, a Retry-After, or an age
 	Status        balancer.Status
 	List          balancer.ListKind
 	Flag          bool // KindOutcome: answered; KindWatch: on; KindSnapshot: no record is missing before it
--- a/internal/dataplane/capture/recorder.go
+++ b/internal/dataplane/capture/recorder.go
@@ -8,8 +8,8 @@
 )
 
 // Recorder wraps a decision module, and records the events that the host passes to it and the actions that it passes to
-// the host. It implements balancer.Module, for one caller at a time. Its methods do not block: if the sink has no
-// space, records are dropped until the next segment begins.
+// the host. It implements balancer.Module, for one caller at a time. Its methods block only if the sink does: if the
+// sink has no space, records are dropped until the next segment begins.
 type Recorder struct {
 	*balancer.Balancer // methods that change no state are not wrapped
 
@@ -33,7 +33,7 @@
 	lastInstant  balancer.Micros // instant of the latest record of the batch
 }
 
-// Sink stores batches. Its methods do not block the event loop, and may be called by one goroutine at a time.
+// Sink stores batches. Its methods must not block in an event loop. They are called by one goroutine at a time.
 type Sink interface {
 	// Offer takes over a batch and returns true, or returns false if it has no space.
 	Offer(b *batch) bool
--- a/internal/dataplane/capture/writer.go
+++ b/internal/dataplane/capture/writer.go
@@ -24,7 +24,7 @@
 	fileVersion      = 1
 	fileHeaderBytes  = 8
 	frameHeaderBytes = 28
-	maxFrameBytes    = 32 << 20 // bytes of a frame, before compression
+	maxFrameBytes    = 32 << 20 // of a frame's records, before and after compression; readers reject longer ones
 	flagSegment      = 1
 	fileSuffix       = ".capture"
 )
--- a/internal/dataplane/httpfront/exchange.go
+++ b/internal/dataplane/httpfront/exchange.go
@@ -96,13 +96,14 @@
 	return http.StatusBadRequest
 }
 
-// exchange is a request that was submitted to the event loop, until its answer has gone out.
+// exchange is a request from its submission to the event loop until its answer has been written. Only the goroutine of
+// its connection uses it.
 type exchange struct {
 	server       *Server
 	client       *client
 	request      *core.Request
 	clientCloses bool // the client asked to close the connection after the answer
-	mayHaveRun   bool // an endpoint may have run the request; the limiter is told so
+	mayHaveRun   bool // an endpoint may have run the request; passed to the limiter at the end
 
 	uploadResult     <-chan error    // how the upload of a streamed body ended; nil if there is none, or it has ended
 	clientWatch      <-chan error    // the channel of client.watch; nil before the request is complete
--- a/internal/dataplane/httpfront/idleclose_test.go
+++ b/internal/dataplane/httpfront/idleclose_test.go
@@ -138,7 +138,7 @@
 			}
 			close(r.steps)
 			if _, err := r.clientEnd.Read(buf); !errors.Is(err, io.EOF) {
-				t.Errorf("the client finds %v, want the end in order", err)
+				t.Errorf("the client's read: error %v, want io.EOF, and no reset", err)
 			}
 			r.clientEnd.Close()
 			r.clients.serving.Wait()
@@ -184,7 +184,7 @@
 		r.sendRequestLine(t)
 		close(r.steps) // the answer announced the close of the connection
 		if _, err := r.clientEnd.Read(buf); !errors.Is(err, io.EOF) {
-			t.Errorf("the client finds %v, want the end in order", err)
+			t.Errorf("the client's read: error %v, want io.EOF, and no reset", err)
 		}
 		r.clientEnd.Close()
 		r.clients.serving.Wait()
--- a/internal/dataplane/httpfront/message.go
+++ b/internal/dataplane/httpfront/message.go
@@ -24,7 +24,7 @@
 func millisLeft(left balancer.Micros) balancer.Micros { return (max(0, left) + 999) / 1000 }
 
 // bytes returns the encoded request, for a streamed body with its beginning. leftMs is the remaining time in
-// milliseconds that the endpoint is told; 0 adds no header for it.
+// milliseconds, which header X-Expires-In-Ms tells the endpoint; for 0 or less the header is left out.
 func (m *message) bytes(leftMs int64) []byte {
 	var b bytes.Buffer
 	b.Grow(512 + len(m.body))
--- a/internal/dataplane/httpfront/rejections.go
+++ b/internal/dataplane/httpfront/rejections.go
@@ -20,7 +20,7 @@
 	since          time.Time // time of the episode's first rejection
 	attemptsBefore uint64    // total number of attempts at that time
 	rejections     int
-	logged         bool // the episode was counted and logged // the episode was counted and logged
+	logged         bool // the episode was counted and logged
 }
 
 // recordRejection records the rejection of a request, and counts and logs each episode once.
--- a/internal/dataplane/httpfront/upstream.go
+++ b/internal/dataplane/httpfront/upstream.go
@@ -27,7 +27,7 @@
 	maxConns      int           // guarded by mu
 	dial          func(ctx context.Context, network, addr string) (net.Conn, error)
 	pause         func(ctx context.Context, d time.Duration) // sleeps for d or until ctx ends
-	sends         *metrics.Counter                           // attempts that were written completely
+	sends         *metrics.Counter                           // counts attempts that were written completely
 	reports       atomic.Pointer[loadReportConfig]
 	answerBudget  *bytebudget.Budget // bounds the bytes of buffered answers
 	connectErrors core.ConnectErrors
