--- a/cmd/birchmoor/replay.go
+++ b/cmd/birchmoor/replay.go
@@ -68,7 +68,7 @@
 		timeline = replay.NewTimeline(k.Timeline, begin)
 		options.Sample, options.SampleInterval = timeline.Sample, replay.SampleIntervalMicros
 	}
-	r, err := replay.Files(ctx, files, options)
+	r, err := replay.Play(ctx, files, options)
 	if err != nil {
 		return err
 	}
--- a/internal/dataplane/replay/replay.go
+++ b/internal/dataplane/replay/replay.go
@@ -16,10 +16,10 @@
 	"birchmoor/internal/dataplane/capture"
 )
 
-// Files plays the files of a capture in the order of paths. A record that cannot be read ends its file; the replay
+// Play plays the files of a capture in the order of paths. A record that cannot be read ends its file; the replay
 // continues with the next snapshot of the following file, and the report lists the error in Faults. Files returns an
 // error if a file cannot be opened, if an event cannot be played, if ctx ends, or if there is nothing to replay.
-func Files(ctx context.Context, paths []string, options Options) (*Report, error) {
+func Play(ctx context.Context, paths []string, options Options) (*Report, error) {
 	p := &player{options: options, digest: xxhash.New(), names: map[uint32]string{}}
 	firstSnapshot, err := lastSnapshotBefore(paths, options.From)
 	if err != nil {
--- a/internal/dataplane/replay/replay_test.go
+++ b/internal/dataplane/replay/replay_test.go
@@ -35,7 +35,7 @@
 
 func play(tb testing.TB, paths []string, options Options) *Report {
 	tb.Helper()
-	report, err := Files(context.Background(), paths, options)
+	report, err := Play(context.Background(), paths, options)
 	if err != nil {
 		tb.Fatal(err)
 	}
