--- a/internal/dataplane/httpfront/download.go
+++ b/internal/dataplane/httpfront/download.go
@@ -39,7 +39,7 @@
 		n, err := d.rest.Read(d.buf)
 		piece = d.buf[:n]
 		total += int64(n)
-		if total > MaxBody {
+		if total > MaxBodyBytes {
 			return core.StreamCut
 		}
 		if errors.Is(err, io.EOF) {
--- a/internal/dataplane/httpfront/exchange.go
+++ b/internal/dataplane/httpfront/exchange.go
@@ -238,7 +238,7 @@
 	last := r.Close || s.closing.Load()
 	if bodyUpload := req.Payload.(*message).upload; bodyUpload != nil { // the request's body is still arriving
 		c.write(resp, true)
-		c.linger(bodyUpload.body, MaxBody, bodyGrace)
+		c.linger(bodyUpload.body, MaxBodyBytes, bodyGrace)
 		return false
 	}
 	written := s.write(c, resp, last)
@@ -272,7 +272,7 @@
 		c.setReadDeadline(pastDeadline)
 		<-bodyUpload.readEnded
 	}
-	c.linger(bodyUpload.body, MaxBody, bodyGrace)
+	c.linger(bodyUpload.body, MaxBodyBytes, bodyGrace)
 	return false
 }
 
--- a/internal/dataplane/httpfront/leaving_test.go
+++ b/internal/dataplane/httpfront/leaving_test.go
@@ -20,9 +20,9 @@
 func TestClientLeavingBeforeFirstAttemptSendsNothing(t *testing.T) {
 	get := func() *http.Request { return sidecartest.IdempotentRequest(900_000) }
 	longPost := func() *http.Request {
-		return sidecartest.Request("POST", "/pay", "pay", 900_000, strings.Repeat("x", 3*MaxBufferedBody))
+		return sidecartest.Request("POST", "/pay", "pay", 900_000, strings.Repeat("x", 3*MaxBufferedBodyBytes))
 	}
-	const halfBytes = 2 * MaxBufferedBody
+	const halfBytes = 2 * MaxBufferedBodyBytes
 	pipelineAndClose := func(c *net.TCPConn) {
 		_, _ = io.WriteString(c, strings.Repeat("GET /look HTTP/1.1\r\n", 400))
 		c.Close()
@@ -182,7 +182,7 @@
 		wait func(t *testing.T, f *testFront, send func()) func()
 	}{
 		{"first attempt's connection", 0, 0, 0, waitForDial},
-		{"connection with part of a long body", 3 * MaxBufferedBody, MaxBufferedBody + 4<<10, 0, waitForDial},
+		{"connection with part of a long body", 3 * MaxBufferedBodyBytes, MaxBufferedBodyBytes + 4<<10, 0, waitForDial},
 		{"retry's connection", 0, 0, 1, func(t *testing.T, f *testFront, send func()) func() {
 			t.Helper()
 			send()
--- a/internal/dataplane/httpfront/parse.go
+++ b/internal/dataplane/httpfront/parse.go
@@ -105,8 +105,8 @@
 		// Request smuggling: a server that goes by one of the two headers may read a request in what is a body by the
 		// other.
 		return newRequestError(http.StatusBadRequest, "a Content-Length or chunks, not both")
-	case r.ContentLength > MaxBody:
-		return newRequestError(http.StatusRequestEntityTooLarge, "the body is over %d bytes", MaxBody)
+	case r.ContentLength > MaxBodyBytes:
+		return newRequestError(http.StatusRequestEntityTooLarge, "the body is over %d bytes", MaxBodyBytes)
 	case !strings.HasPrefix(r.RequestURI, "/"):
 		return newRequestError(http.StatusBadRequest, "the target must be a path")
 	case !isVisibleASCII(r.Host):
@@ -187,14 +187,14 @@
 		return err
 	}
 	length := r.ContentLength
-	want := int(min(uint64(length), MaxBufferedBody)) // an unknown length is -1, which yields the maximum
+	want := int(min(uint64(length), MaxBufferedBodyBytes)) // an unknown length is -1, which yields the maximum
 	if want > maxUnbudgetedBytes {
 		if s.acquireBodyMemory(c, want) != nil {
 			return newRequestError(http.StatusServiceUnavailable, "no room for the body")
 		}
 		req.BudgetBytes = want
 	}
-	c.limit.N = 2 * MaxBody
+	c.limit.N = 2 * MaxBodyBytes
 	if length >= 0 {
 		c.limit.N = max(0, length-int64(c.reader.Buffered())) + 1
 	}
--- a/internal/dataplane/httpfront/stop_test.go
+++ b/internal/dataplane/httpfront/stop_test.go
@@ -77,15 +77,15 @@
 
 // TestStopDuringLongAnswerSendsItCompletely shuts down while a streamed answer is being sent, which must not cut it.
 func TestStopDuringLongAnswerSendsItCompletely(t *testing.T) {
-	const length = 3 * MaxBufferedBody
+	const length = 3 * MaxBufferedBodyBytes
 	rest := make(chan struct{})
 	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 		if _, err := sidecartest.ReadRequest(r); err != nil {
 			return
 		}
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", length, strings.Repeat("x", MaxBufferedBody))
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", length, strings.Repeat("x", MaxBufferedBodyBytes))
 		<-rest
-		_, _ = io.WriteString(c, strings.Repeat("y", length-MaxBufferedBody))
+		_, _ = io.WriteString(c, strings.Repeat("y", length-MaxBufferedBodyBytes))
 		_, _ = io.Copy(io.Discard, r)
 	})
 	f := startFront(t, readyInstances(addr), longClassTimeout...)
@@ -111,7 +111,7 @@
 // and must be forwarded completely: cutting it off would lose the request. The other one has no length, and its
 // connection is reset; it must be cut, so that the client can tell that it is incomplete.
 func TestSlowAnswerIsCompleteAndResetAnswerIsCut(t *testing.T) {
-	const length = 2 * MaxBufferedBody
+	const length = 2 * MaxBufferedBodyBytes
 	for name, head := range map[string]string{
 		"slow":  fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", length),
 		"reset": "HTTP/1.1 200 OK\r\n\r\n",
--- a/internal/dataplane/httpfront/stream.go
+++ b/internal/dataplane/httpfront/stream.go
@@ -7,8 +7,8 @@
 
 // A body that is longer than MaxBufferedBody is streamed: it is forwarded as it arrives, and never buffered completely.
 const (
-	// MaxBody bounds a body, in bytes. A longer request body is rejected, a longer answer is cut.
-	MaxBody = 64 << 20
+	// MaxBodyBytes bounds a body, in bytes. A longer request body is rejected, a longer answer is cut.
+	MaxBodyBytes = 64 << 20
 
 	maxBodyStall          = 2 * time.Second        // timeout of each read of a client's body
 	bodyGrace             = 5 * time.Second        // time for a client's body on top of its bytes at the minimum rate
--- a/internal/dataplane/httpfront/upload.go
+++ b/internal/dataplane/httpfront/upload.go
@@ -68,7 +68,7 @@
 		n, err := u.body.Read(buf)
 		total += n
 		switch {
-		case total > MaxBody:
+		case total > MaxBodyBytes:
 			err = errLongBody
 		case time.Since(startedAt) > bodyGrace+time.Duration(total)*time.Second/minBodyBytesPerSecond:
 			err = errSlowBody
--- a/internal/dataplane/httpfront/upstream.go
+++ b/internal/dataplane/httpfront/upstream.go
@@ -271,10 +271,10 @@
 }
 
 const (
-	// MaxBufferedBody bounds the bytes of a body that are buffered; a longer body is streamed.
-	MaxBufferedBody = 64 << 10
+	// MaxBufferedBodyBytes bounds the bytes of a body that are buffered; a longer body is streamed.
+	MaxBufferedBodyBytes = 64 << 10
 
-	maxBufferedAnswerBytes = MaxBufferedBody + 64<<10 // body, head and framing
+	maxBufferedAnswerBytes = MaxBufferedBodyBytes + 64<<10 // body, head and framing
 	probeTimeout           = 250 * time.Millisecond
 	sweepInterval          = time.Second
 
--- a/internal/dataplane/httpfront/upstream_test.go
+++ b/internal/dataplane/httpfront/upstream_test.go
@@ -188,7 +188,7 @@
 			strings.Replace(sidecartest.OKAnswer, "\r\n", "\r\nEndpoint-Load-Metrics: \xff{{=,,=%\r\n", 1),
 			balancer.OK,
 		},
-		{"too large", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nok", MaxBody+1), balancer.Reset},
+		{"too large", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nok", MaxBodyBytes+1), balancer.Reset},
 		{"endless head", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", maxBufferedAnswerBytes), balancer.Reset},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/dataplane/httpfront/upstreamanswer.go
+++ b/internal/dataplane/httpfront/upstreamanswer.go
@@ -127,13 +127,13 @@
 	if err := answer.chargeBudget(ctx, length); err != nil {
 		return err
 	}
-	c.limit.N = 2*MaxBody + maxBufferedAnswerBytes // twice MaxBody leaves space for the framing of chunks
-	if length >= 0 && length <= MaxBufferedBody {
+	c.limit.N = 2*MaxBodyBytes + maxBufferedAnswerBytes // twice MaxBody leaves space for the framing of chunks
+	if length >= 0 && length <= MaxBufferedBodyBytes {
 		answer.body = make([]byte, length)
 		_, err := io.ReadFull(body, answer.body)
 		return err
 	}
-	buf := make([]byte, MaxBufferedBody)
+	buf := make([]byte, MaxBufferedBodyBytes)
 	n := 0
 	startedAt := time.Now()
 	for n < len(buf) && (n == 0 || length < 0 && time.Since(startedAt) < maxBufferingTime) {
@@ -165,7 +165,7 @@
 		if err != nil {
 			return nil, 0, err
 		}
-		if length > MaxBody {
+		if length > MaxBodyBytes {
 			return nil, 0, errAnswerTooLarge
 		}
 		return io.LimitReader(c.reader, int64(length)), int64(length), nil
@@ -182,7 +182,7 @@
 // chargeBudget charges the budget for the bytes of a body that are buffered: MaxBufferedBody if its length is unknown,
 // which is a negative length.
 func (a *upstreamAnswer) chargeBudget(ctx context.Context, length int64) error {
-	charge := int(min(uint64(length), MaxBufferedBody))
+	charge := int(min(uint64(length), MaxBufferedBodyBytes))
 	if charge <= maxUnbudgetedBytes {
 		return nil
 	}
--- a/internal/dataplane/sidecar/requests_test.go
+++ b/internal/dataplane/sidecar/requests_test.go
@@ -32,7 +32,7 @@
 		_, _ = io.WriteString(w, "\x00card "+string(b))
 	})
 	s := startWithEndpoints(t, []string{addr})
-	largest := strings.Repeat("b", httpfront.MaxBufferedBody-len("\x00card ")) // whose answer is just not streamed
+	largest := strings.Repeat("b", httpfront.MaxBufferedBodyBytes-len("\x00card ")) // whose answer is just not streamed
 	for _, r := range []*http.Request{
 		sidecartest.IdempotentRequest(480),
 		sidecartest.Request("GET", "/look/a%2Fb?x=%20y&z", "look", 480, ""),
@@ -120,7 +120,7 @@
 		{"hidden request", head("Content-Length: 5", "Transfer-Encoding: chunked") + "0\r\n\r\n" + hidden, "400"},
 		{"cut chunks", head("Transfer-Encoding: chunked") + "zz\r\n", "400"},
 		{"more behind chunks", head("Transfer-Encoding: chunked") + "0\r\n\r\n" + hidden, "400"},
-		{"long body", head(fmt.Sprintf("Content-Length: %d", httpfront.MaxBody+1)), "413"},
+		{"long body", head(fmt.Sprintf("Content-Length: %d", httpfront.MaxBodyBytes+1)), "413"},
 		{"old chunks", oldHead + chunked, "505"},
 		{"unknown encoding", head("Content-Length: 5", "Transfer-Encoding: xchunked") + chunked, "400"},
 		{"two lengths", head("Content-Length: 5", "Content-Length: 6") + "123456", "400"},
--- a/internal/dataplane/sidecar/streaming_test.go
+++ b/internal/dataplane/sidecar/streaming_test.go
@@ -17,7 +17,7 @@
 )
 
 // longText is longer than any buffer of the sidecar.
-var longText = strings.Repeat("0123456789abcdef", 20*httpfront.MaxBufferedBody/16) + "end"
+var longText = strings.Repeat("0123456789abcdef", 20*httpfront.MaxBufferedBodyBytes/16) + "end"
 
 // unsizedReader hides the length of a text, so that it is sent in chunks.
 type unsizedReader struct{ io.Reader }
@@ -60,7 +60,7 @@
 		{"short", longText, false},
 		{"short", longText, true},
 		{"short", "short", true},
-		{"short", longText[:httpfront.MaxBufferedBody], true},
+		{"short", longText[:httpfront.MaxBufferedBodyBytes], true},
 		{"length", "x", false},
 		{"chunks", "x", false},
 		{"end", "x", false},
@@ -132,7 +132,7 @@
 	addr := sidecartest.RawEndpoint(t, func(c *net.TCPConn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err == nil {
 			sent.Add(1)
-			_, _ = io.CopyN(io.Discard, r, 2*httpfront.MaxBufferedBody)
+			_, _ = io.CopyN(io.Discard, r, 2*httpfront.MaxBufferedBodyBytes)
 			_ = c.SetLinger(0) // resets the connection
 		}
 	})
@@ -140,7 +140,7 @@
 	c := s.dial(t)
 	// Far more than sockets buffer, so that it cannot all be sent before the reset shows.
 	r := sidecartest.Request("POST", "/pay", "pay", 900, "x")
-	r.ContentLength, r.Body = httpfront.MaxBody, io.NopCloser(io.LimitReader(zeros{}, httpfront.MaxBody))
+	r.ContentLength, r.Body = httpfront.MaxBodyBytes, io.NopCloser(io.LimitReader(zeros{}, httpfront.MaxBodyBytes))
 	go func() { _ = r.Write(c) }() // is cut off
 	setReadDeadline(t, c, sidecartest.WaitTimeout)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -177,7 +177,7 @@
 	if err := sidecartest.Request("POST", "/pay", "pay", 900, longText).Write(&text); err != nil {
 		t.Fatal(err)
 	}
-	_, _ = io.WriteString(c, text.String()[:text.Len()-httpfront.MaxBufferedBody])
+	_, _ = io.WriteString(c, text.String()[:text.Len()-httpfront.MaxBufferedBodyBytes])
 	if err := c.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
