--- a/internal/dataplane/httpfront/server.go
+++ b/internal/dataplane/httpfront/server.go
@@ -1,6 +1,6 @@
 // Package httpfront implements HTTP/1.1 towards clients and endpoints: Server reads clients' requests and writes their
-// answers, Upstream sends attempts and probes to endpoints. Bodies longer than MaxBufferedBody are streamed in both
-// directions (upload.go, download.go).
+// answers, Upstream sends attempts and probes to endpoints. Bodies longer than MaxBufferedBodyBytes are streamed in
+// both directions (upload.go, download.go).
 package httpfront
 
 import (
--- a/internal/dataplane/httpfront/stream.go
+++ b/internal/dataplane/httpfront/stream.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A body that is longer than MaxBufferedBody is streamed: it is forwarded as it arrives, and never buffered completely.
+// A body that is longer than MaxBufferedBodyBytes is streamed: it is forwarded as it arrives, and never buffered
+// completely.
 const (
 	// MaxBodyBytes bounds a body, in bytes. A longer request body is rejected, a longer answer is cut.
 	MaxBodyBytes = 64 << 20
--- a/internal/dataplane/httpfront/upstreamanswer.go
+++ b/internal/dataplane/httpfront/upstreamanswer.go
@@ -114,8 +114,8 @@
 	return answer, nil
 }
 
-// body reads the body of an answer, up to MaxBufferedBody bytes. Of a longer body, and of one of unknown length that
-// does not end within maxBufferingTime, it reads the beginning and sets the answer's stream.
+// body reads the body of an answer, up to MaxBufferedBodyBytes bytes. Of a longer body, and of one of unknown length
+// that does not end within maxBufferingTime, it reads the beginning and sets the answer's stream.
 func (c *conn) body(ctx context.Context, answer *upstreamAnswer) error {
 	if answer.code == http.StatusNoContent || answer.code == http.StatusNotModified {
 		return nil
@@ -127,7 +127,7 @@
 	if err := answer.chargeBudget(ctx, length); err != nil {
 		return err
 	}
-	c.limit.N = 2*MaxBodyBytes + maxBufferedAnswerBytes // twice MaxBody leaves space for the framing of chunks
+	c.limit.N = 2*MaxBodyBytes + maxBufferedAnswerBytes // twice MaxBodyBytes leaves space for the framing of chunks
 	if length >= 0 && length <= MaxBufferedBodyBytes {
 		answer.body = make([]byte, length)
 		_, err := io.ReadFull(body, answer.body)
@@ -179,8 +179,8 @@
 	}
 }
 
-// chargeBudget charges the budget for the bytes of a body that are buffered: MaxBufferedBody if its length is unknown,
-// which is a negative length.
+// chargeBudget charges the budget for the bytes of a body that are buffered: MaxBufferedBodyBytes if its length is
+// unknown, which is a negative length.
 func (a *upstreamAnswer) chargeBudget(ctx context.Context, length int64) error {
 	charge := int(min(uint64(length), MaxBufferedBodyBytes))
 	if charge <= maxUnbudgetedBytes {
--- a/internal/dataplane/replay/replay.go
+++ b/internal/dataplane/replay/replay.go
@@ -17,7 +17,7 @@
 )
 
 // Play plays the files of a capture in the order of paths. A record that cannot be read ends its file; the replay
-// continues with the next snapshot of the following file, and the report lists the error in Faults. Files returns an
+// continues with the next snapshot of the following file, and the report lists the error in Faults. Play returns an
 // error if a file cannot be opened, if an event cannot be played, if ctx ends, or if there is nothing to replay.
 func Play(ctx context.Context, paths []string, options Options) (*Report, error) {
 	p := &player{options: options, digest: xxhash.New(), names: map[uint32]string{}}
