--- a/internal/dataplane/sidecar/streaming_test.go
+++ b/internal/dataplane/sidecar/streaming_test.go
@@ -17,7 +17,7 @@
 )
 
 // longText is longer than any buffer of the sidecar, so that it is streamed.
-var longText = strings.Repeat("0123456789abcdef", 20*httpfront.MaxBufferedBody/16) + "end"
+var longText = strings.Repeat("0123456789abcdef", 20*httpfront.MaxBufferedBodyBytes/16) + "end"
 
 // unsizedReader hides the length of a reader, so that the body is sent in chunks.
 type unsizedReader struct{ io.Reader }
@@ -62,7 +62,7 @@
 		{"short", longText, false},
 		{"short", longText, true},
 		{"short", "short", true},
-		{"short", longText[:httpfront.MaxBufferedBody], true},
+		{"short", longText[:httpfront.MaxBufferedBodyBytes], true},
 		{"length", "x", false},
 		{"chunks", "x", false},
 		{"end", "x", false},
@@ -135,7 +135,7 @@
 	addr := sidecartest.RawEndpoint(t, func(conn *net.TCPConn, reader *bufio.Reader) {
 		if _, err := http.ReadRequest(reader); err == nil {
 			sent.Add(1)
-			_, _ = io.CopyN(io.Discard, reader, 2*httpfront.MaxBufferedBody)
+			_, _ = io.CopyN(io.Discard, reader, 2*httpfront.MaxBufferedBodyBytes)
 			_ = conn.SetLinger(0) // makes the close a reset
 		}
 	})
@@ -143,7 +143,7 @@
 	conn := sidecar.dial(t)
 	// The body is longer than all socket buffers, so that the reset comes before the whole body is sent.
 	request := sidecartest.Request("POST", "/pay", "pay", 900, "x")
-	request.ContentLength, request.Body = httpfront.MaxBody, io.NopCloser(io.LimitReader(zeros{}, httpfront.MaxBody))
+	request.ContentLength, request.Body = httpfront.MaxBodyBytes, io.NopCloser(io.LimitReader(zeros{}, httpfront.MaxBodyBytes))
 	go func() { _ = request.Write(conn) }() // fails when the connection is closed
 	setReadDeadline(t, conn, sidecartest.WaitTimeout)
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -181,7 +181,7 @@
 	if err := sidecartest.Request("POST", "/pay", "pay", 900, longText).Write(&text); err != nil {
 		t.Fatal(err)
 	}
-	_, _ = io.WriteString(conn, text.String()[:text.Len()-httpfront.MaxBufferedBody])
+	_, _ = io.WriteString(conn, text.String()[:text.Len()-httpfront.MaxBufferedBodyBytes])
 	if err := conn.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
