--- a/internal/store/follower/backoff.go
+++ b/internal/store/follower/backoff.go
@@ -10,12 +10,13 @@
 	maxBackoff = time.Second
 )
 
-// backoff draws the delays between attempts, which double on average from minBackoff to maxBackoff.
+// backoff returns random delays between attempts, which double on average from minBackoff to maxBackoff. It is not safe
+// for concurrent use.
 type backoff struct{ delay time.Duration }
 
 func newBackoff() *backoff { return &backoff{delay: minBackoff} }
 
-// next returns the delay before the next attempt: from half to one and a half times the current one.
+// next returns the delay before the next attempt, drawn from 0.5 to 1.5 times the current mean, and doubles the mean.
 func (b *backoff) next() time.Duration {
 	delay := b.delay/2 + rand.N(b.delay)
 	b.delay = min(2*b.delay, maxBackoff)
--- a/internal/store/follower/call.go
+++ b/internal/store/follower/call.go
@@ -18,35 +18,36 @@
 )
 
 const (
-	requestTimeout = 3 * time.Second                    // for a replica's answer, before another is tried
-	serverTimeout  = requestTimeout - requestTimeout/10 // leaves time for the answer that it was exceeded
+	requestTimeout = 3 * time.Second                    // after which another replica is tried
+	serverTimeout  = requestTimeout - requestTimeout/10 // leaves time for the replica to answer that it timed out
 )
 
-func (f *Follower) url(at int, path string, query url.Values) string {
+func (f *Follower) url(index int, path string, query url.Values) string {
 	scheme := "http"
 	if f.cfg.Keys != nil {
 		scheme = "https"
 	}
-	return scheme + "://" + f.cfg.Replicas[at].Addr + path + "?" + query.Encode()
+	return scheme + "://" + f.cfg.Replicas[index].Addr + path + "?" + query.Encode()
 }
 
-// call sends a request that counts for a purpose to a replica, and decodes the answer into out. An answer of
-// another status than OK is an *admin.ResponseError. reached is true if the replica may have read the request.
+// call sends a request to the replica with an index and decodes its answer into out. It counts the messages for a
+// purpose. If the replica answers with an admin.ErrorBody, the error is an *admin.ResponseError. reached is true if the
+// replica may have read the request.
 func (f *Follower) call(
-	ctx context.Context, at int, purpose usage.Purpose, method, path string, body []byte, out any,
+	ctx context.Context, index int, purpose usage.Purpose, method, path string, body []byte, out any,
 ) (reached bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	// Before there is a connection nothing can have been read, also if the time is up meanwhile.
+	// The replica cannot have read the request before there is a connection, even if the request timed out.
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	query := url.Values{"timeout": {serverTimeout.String()}}
 	request, err := http.NewRequestWithContext(
-		httptrace.WithClientTrace(ctx, trace), method, f.url(at, path, query), bytes.NewReader(body))
+		httptrace.WithClientTrace(ctx, trace), method, f.url(index, path, query), bytes.NewReader(body))
 	if err != nil {
 		return false, err
 	}
-	response, err := f.clients[at].Do(request)
+	response, err := f.clients[index].Do(request)
 	if err != nil {
 		if connected.Load() {
 			f.cfg.Usage.Count(purpose, usage.Out, 1, len(body))
@@ -67,9 +68,9 @@
 }
 
 func decodeError(response *http.Response, answer []byte) error {
-	sent := &admin.ResponseError{Status: response.StatusCode}
-	if err := json.Unmarshal(answer, &sent.ErrorBody); err != nil {
-		return fmt.Errorf("the replica answered %s", response.Status)
+	responseErr := &admin.ResponseError{Status: response.StatusCode}
+	if err := json.Unmarshal(answer, &responseErr.ErrorBody); err != nil {
+		return fmt.Errorf("the replica answered with status %s and no readable error", response.Status)
 	}
-	return sent
+	return responseErr
 }
--- a/internal/store/follower/copyfile.go
+++ b/internal/store/follower/copyfile.go
@@ -16,12 +16,13 @@
 const (
 	copyFileName    = "copy"
 	minSaveInterval = 2 * time.Second
-	saveTimeFactor  = 100 // the interval between two saves is at least so many times as long as a save took
+	saveTimeFactor  = 100 // minimum ratio of the interval between two saves to the duration of a save
 
-	maxEffectDelay = time.Second // by a disk that hangs, of what is to be saved before it takes effect
+	// maxSaveDelay is how long the hooks wait for a change to be saved, so that a hanging disk does not block them.
+	maxSaveDelay = time.Second
 )
 
-// Where a start got its copy from, as the status of a daemon says it.
+// Sources of the first copy of a process, as the daemon's status reports them.
 const (
 	fromOwnDisk        = "own disk"
 	fromAnotherReplica = "another replica"
@@ -29,7 +30,8 @@
 
 func (f *Follower) copyPath() string { return filepath.Join(f.cfg.Dir, copyFileName) }
 
-// StartedFrom returns where the copy of this start came from, and when its file, if it was that, was written.
+// StartedFrom returns the source of this process's first copy. If the source is its own disk, written is when the file
+// was written; else it is zero.
 func (f *Follower) StartedFrom() (source string, written time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -39,7 +41,8 @@
 	return fromOwnDisk, f.fileWrittenAt
 }
 
-// restore takes the copy in the file, and reports whether there is one.
+// restore loads the copy from the file, and calls OnReset with it. It returns false without an error if there is no
+// file.
 func (f *Follower) restore() (restored bool, err error) {
 	file, err := os.ReadFile(f.copyPath())
 	if errors.Is(err, os.ErrNotExist) {
@@ -53,7 +56,7 @@
 		return false, err
 	}
 	if state.Level() > store.Level {
-		return false, fmt.Errorf("%w: level %d, and this build knows %d",
+		return false, fmt.Errorf("%w: the saved copy has level %d, and this build knows levels up to %d",
 			store.ErrUnknownCommand, state.Level(), store.Level)
 	}
 	if info, err := os.Stat(f.copyPath()); err == nil {
@@ -63,12 +66,12 @@
 	f.mirror.Restore(state)
 	f.stateReplaced()
 	f.mu.Unlock()
-	f.cfg.Log.Info("starting with a saved copy of the store", "revision", state.Revision(), "keys", state.Len(),
+	f.cfg.Log.Info("starting with the saved copy of the store", "revision", state.Revision(), "keys", state.Len(),
 		"written", time.Since(f.fileWrittenAt).Round(time.Second).String()+" ago by this host's clock")
 	return true, nil
 }
 
-// saveLoop saves the copy whenever it has changed, until Close.
+// saveLoop saves the copy at intervals, if it has changed, until Close. It logs only the first of consecutive failures.
 func (f *Follower) saveLoop() {
 	interval := minSaveInterval
 	failing := false
@@ -82,54 +85,55 @@
 		err := f.save()
 		interval = max(minSaveInterval, saveTimeFactor*time.Since(started))
 		if err != nil && !failing {
-			f.cfg.Log.Warn("cannot save the copy of the store", "error", err)
+			f.cfg.Log.Warn("saving the copy of the store failed", "error", err)
 		}
 		failing = err != nil
 	}
 }
 
-// save writes the copy to the file, if that lacks something.
+// save writes the copy to the file, if the file lacks a change.
 func (f *Follower) save() error {
 	f.mu.Lock()
 	if !f.unsaved || f.mirror.State() == nil {
 		f.mu.Unlock()
 		return nil
 	}
-	state, number := f.takeUnsaved()
+	state, number := f.takeCopyToSave()
 	f.mu.Unlock()
 	return f.writeCopy(state, number)
 }
 
-// saveBeforeEffect writes the copy to the file before the hooks are called, for what the next start has to know
-// whenever this process did. If the disk fails or hangs, the hooks are called nevertheless. The lock is held, and
-// released meanwhile.
+// saveBeforeEffect writes the copy to the file before the hooks are called with a change of a durable key: a process
+// that acted on such a change must know it after a restart. If the disk fails, or does not finish within maxSaveDelay,
+// it returns anyway. The caller holds the lock, which is released while the disk writes.
 func (f *Follower) saveBeforeEffect() {
-	state, number := f.takeUnsaved()
+	state, number := f.takeCopyToSave()
 	f.mu.Unlock()
 	defer f.mu.Lock()
 	saved := make(chan error, 1)
 	f.background.Go(func() { saved <- f.writeCopy(state, number) })
-	timeout := time.NewTimer(maxEffectDelay)
+	timeout := time.NewTimer(maxSaveDelay)
 	defer timeout.Stop()
 	select {
 	case err := <-saved:
 		if err != nil {
-			f.cfg.Log.Warn("in effect, and not saved for the next start", "error", err)
+			f.cfg.Log.Warn("a change takes effect although saving it failed", "error", err)
 		}
 	case <-timeout.C:
-		f.cfg.Log.Warn("in effect, and not saved yet for the next start", "waited", maxEffectDelay)
+		f.cfg.Log.Warn("a change takes effect before it is saved", "waited", maxSaveDelay)
 	}
 }
 
-// takeUnsaved returns what is to be written to the file, and its number, and counts it as saved. The lock is held.
-func (f *Follower) takeUnsaved() (*store.State, uint64) {
+// takeCopyToSave returns the part of the copy that is written to the file, and its number, and marks the copy as saved.
+// The caller holds the lock.
+func (f *Follower) takeCopyToSave() (*store.State, uint64) {
 	f.unsaved = false
 	f.copyNumber++
 	return f.mirror.Retained(f.subscription.Retained), f.copyNumber
 }
 
-// writeCopy replaces the file by a copy, unless it has a later one. A copy that cannot be written counts as
-// unsaved again.
+// writeCopy replaces the file by a copy, unless the file has one with a higher number. If it fails, it marks the copy
+// as unsaved again.
 func (f *Follower) writeCopy(state *store.State, number uint64) error {
 	err := f.writeLatest(state, number)
 	if err != nil {
@@ -140,6 +144,7 @@
 	return err
 }
 
+// writeLatest replaces the file by a copy, unless the file has one with a higher number.
 func (f *Follower) writeLatest(state *store.State, number uint64) error {
 	f.fileMu.Lock()
 	defer f.fileMu.Unlock()
@@ -153,7 +158,7 @@
 	return nil
 }
 
-// writeFile replaces a file by a state, at once and completely or not at all.
+// writeFile replaces a file by a state atomically. A nil recorder is valid.
 func writeFile(path string, state *store.State, recorder *usage.Recorder) error {
 	file, err := os.CreateTemp(filepath.Dir(path), ".copy-*")
 	if err != nil {
@@ -166,13 +171,13 @@
 		err = os.Rename(file.Name(), path)
 	}
 	if err != nil {
-		_ = os.Remove(file.Name()) // so that it does not fill the disk
+		_ = os.Remove(file.Name()) // temporary files must not fill the disk
 		return fmt.Errorf("follower: %w", err)
 	}
 	return nil
 }
 
-// countedWriter counts the bytes that are written to the file.
+// countedWriter counts the bytes that are written to the copy's file.
 type countedWriter struct {
 	io.Writer
 	recorder *usage.Recorder
--- a/internal/store/follower/fetch.go
+++ b/internal/store/follower/fetch.go
@@ -13,12 +13,12 @@
 	"birchmoor/internal/store/usage"
 )
 
-const fetchTimeout = 60 * time.Second // of a state
+const fetchTimeout = 60 * time.Second // for the transfer of a state
 
-// fetch replaces the copy by a replica's state of an interest, nil for all keys. The error wraps
-// changefeed.ErrReplicaBehind if that is older than the copy.
-func (f *Follower) fetch(at int, interest *store.Interest) error {
-	state, err := f.fetchState(f.ctx, at, interest)
+// fetch replaces the copy by the keys of an interest that it fetches from a replica; nil means all keys. The error
+// wraps changefeed.ErrReplicaBehind if the replica's state is older than the copy, or of another cluster.
+func (f *Follower) fetch(index int, interest *store.Interest) error {
+	state, err := f.fetchState(f.ctx, index, interest)
 	if err != nil {
 		return err
 	}
@@ -32,23 +32,24 @@
 		f.saveBeforeEffect()
 	}
 	f.stateReplaced()
-	if f.unsaved && !f.hasHeartbeat() { // the copy may be narrowed soon: the next start is to begin with what this one began with
-		unsaved, number := f.takeUnsaved()
-		f.background.Go(func() { _ = f.writeCopy(unsaved, number) }) // a copy that cannot be written stays unsaved
+	if f.unsaved && !f.hasHeartbeat() {
+		// The first copy is saved at once, because it may be narrowed soon and the next start needs all of it.
+		copied, number := f.takeCopyToSave()
+		f.background.Go(func() { _ = f.writeCopy(copied, number) }) // saveLoop retries if this fails
 	}
 	return nil
 }
 
-// fetchState fetches a replica's state of an interest, nil for all keys.
-func (f *Follower) fetchState(ctx context.Context, at int, interest *store.Interest) (*store.State, error) {
+// fetchState fetches the keys of an interest from a replica; nil means all keys. It doesn't change the copy.
+func (f *Follower) fetchState(ctx context.Context, index int, interest *store.Interest) (*store.State, error) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	url := f.url(at, admin.CopyPath, admin.CopyQuery(interest))
+	url := f.url(index, admin.CopyPath, admin.CopyQuery(interest))
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
 	}
-	response, err := f.clients[at].Do(request)
+	response, err := f.clients[index].Do(request)
 	if err != nil {
 		return nil, err
 	}
@@ -64,14 +65,14 @@
 		return nil, err
 	}
 	if state.Level() > store.Level {
-		f.cfg.Log.Error("the cluster uses commands that this build does not know: start a newer one",
+		f.cfg.Log.Error("the cluster uses commands that this build does not know: upgrade this daemon",
 			"level", state.Level(), "knows", store.Level)
 		return nil, store.ErrUnknownCommand
 	}
 	return state, nil
 }
 
-// countedReader counts the bytes of a state as they are received.
+// countedReader counts the bytes of a state that are received.
 type countedReader struct {
 	io.Reader
 	recorder *usage.Recorder
--- a/internal/store/follower/follower.go
+++ b/internal/store/follower/follower.go
@@ -1,15 +1,14 @@
-// Package follower keeps a copy of the store in a daemon without a replica: one whose host does not vote. It
-// fetches the state from one of several replicas once, receives what changes, and saves the copy to a file for
-// the next start. What it changes in the store goes through any replica that answers.
+// Package follower keeps a copy of the store in a daemon without a replica, that is, on a host that does not vote. The
+// follower fetches the state from one of several replicas once, receives changes, and saves the copy to a file for the
+// next start. It sends its own changes to any replica that answers.
 //
-// A follower costs the cluster one stream of changes. It takes no part in a quorum, and no write waits for a
-// follower, however many there are. Partitioned from the replicas it continues with what it has, and says how
-// old that is.
+// A follower costs the cluster one stream of changes. It is not part of a quorum, so no write waits for it, however
+// many followers there are. While it is partitioned from the replicas, it serves its copy and reports the copy's age.
 //
-// It may hold a part of the state alone (package changefeed; docs/design/interest.md). A read of more is served
-// from a copy of a replica, or fails: a follower never reports a key as absent that its copy does not hold.
+// The copy may be partial (package changefeed; docs/design/interest.md). A read of other keys is served from a
+// replica's state, or fails: a follower never reports a key as absent that its copy does not hold.
 //
-// It may import the store's packages and package keys.
+// The package may import the store's packages and package keys.
 package follower
 
 import (
@@ -34,54 +33,55 @@
 
 const maxIdleConnsPerReplica = 4
 
-// Replica is a replica that may be followed.
+// Replica is a replica that a follower may connect to.
 type Replica struct {
-	Name string // in its certificate; unused without keys
-	Addr string
+	Name string // name in its certificate; unused without keys
+	Addr string // host and port
 }
 
-// Config is the configuration of a follower. The hooks must not block, and must not call the follower.
+// Config configures a Follower. The hooks may be nil. They must not block, and must not call the follower.
 type Config struct {
-	Name     string // of this daemon
-	Dir      string // of the copy's file
+	Name     string // name of this daemon
+	Dir      string // directory of the copy's file; created if it is missing
 	Replicas []Replica
 	Keys     *keys.Pair // nil: plain TCP on loopback
 	Log      *slog.Logger
-	Usage    *usage.Recorder // of messages and the copy's file; nil: nothing is counted
+	Usage    *usage.Recorder // counts messages and writes to the copy's file; nil: nothing is counted
 
-	// FirstCopyTimeout is how long Open waits for a replica's copy if there is no file.
+	// FirstCopyTimeout is how long Open waits for a replica's state if there is no usable file.
 	FirstCopyTimeout time.Duration
 
-	// OnEvent is called with each change, OnReset with each state that replaces the copy, one after
-	// the other.
+	// OnEvent is called with each change, in order. OnReset is called with each state that replaces the copy. The two
+	// are never called concurrently.
 	OnEvent func(store.Event)
 	OnReset func(*store.State)
 	// OnCaughtUp is called once, when a quorum first confirms the copy.
 	OnCaughtUp func()
-	// OnConfirmed is called each time that a quorum confirms the copy, with how long ago it did.
+	// OnConfirmed is called each time that a replica reports that a quorum has confirmed the copy, with the time since
+	// that confirmation.
 	OnConfirmed func(ago time.Duration)
-	// OnSnapshotAge is called with how long ago, by a replica's clock, a module snapshot of the copy was put.
+	// OnSnapshotAge is called with the key of a module snapshot and the time since it was put, by a replica's clock.
 	OnSnapshotAge func(key string, age time.Duration)
 
-	// Subscription returns what the copy is to hold. It is called at the start, after each state that replaces
-	// the copy, and by UpdateInterest. nil: all keys.
+	// Subscription returns the keys that the copy must hold. It is called by Open, after each state that replaces the
+	// copy, and by UpdateInterest. If it is nil, the copy holds all keys.
 	Subscription func() changefeed.Subscription
-	// OnPrefixSize is called with the sizes of the subscription's prefixes, as they change.
+	// OnPrefixSize is called with the size of one of the subscription's SizePrefixes when it has changed.
 	OnPrefixSize func(prefix string, size store.PrefixSize)
 }
 
-// Follower is a running copy. All methods may be called by any goroutine.
+// Follower keeps the copy up to date. Its methods are safe for concurrent use.
 type Follower struct {
 	cfg        Config
 	clientID   uint64
-	seq        atomic.Uint64  // of requests
-	clients    []*http.Client // by replica
+	seq        atomic.Uint64  // sequence number of the last request
+	clients    []*http.Client // by index of the replica
 	startedAt  time.Time
-	ctx        context.Context // ends with Close
+	ctx        context.Context // cancelled by Close
 	cancel     context.CancelFunc
 	background sync.WaitGroup
 
-	firstHeartbeat chan struct{} // closed with the first heartbeat
+	firstHeartbeat chan struct{} // closed after the first heartbeat
 
 	fileMu        sync.Mutex
 	writtenNumber uint64 // number of the copy in the file
@@ -89,17 +89,18 @@
 	mu              sync.Mutex
 	mirror          *changefeed.Mirror
 	subscription    changefeed.Subscription
-	interestChanged chan struct{} // closed and replaced when the copy is to hold another interest
+	interestChanged chan struct{} // closed and replaced when the subscription's interest changes
 	advanced        chan struct{} // closed and replaced when the copy changes
-	connectedTo     string        // address of the replica whose stream is received
-	confirmedAt     time.Duration // when a quorum last confirmed the copy, since startedAt; 0: never
-	unsaved         bool          // the copy has something that the file lacks
-	copyNumber      uint64        // counts the copies that are taken for the file
-	fileWrittenAt   time.Time     // of the file with which this start began; zero: there was none
+	connectedTo     string        // address of the replica that sent the last heartbeat of the current stream; or empty
+	confirmedAt     time.Duration // time from startedAt to the last confirmation by a quorum; 0: none
+	unsaved         bool          // the file lacks a change of the copy
+	copyNumber      uint64        // number of the last copy taken for the file
+	fileWrittenAt   time.Time     // when the file that was restored was written; zero: there was none
 }
 
-// Open starts a follower. With a file it starts with that at once; without one it waits for a replica's copy, for
-// FirstCopyTimeout at most. That none came is not an error.
+// Open starts a follower. If the directory has a usable file, Open returns at once with the copy in it. Otherwise it
+// waits for a replica's state, for at most FirstCopyTimeout; it is not an error if none arrives. The caller must call
+// Close.
 func Open(cfg Config) (*Follower, error) {
 	if len(cfg.Replicas) == 0 {
 		return nil, errors.New("follower: no replicas are configured")
@@ -121,13 +122,13 @@
 		mirror:          changefeed.NewMirror(nil, changefeed.NoDefect),
 	}
 	f.updateSubscription()
-	if err := f.createClients(); err != nil {
+	if err := f.createHTTPClients(); err != nil {
 		return nil, err
 	}
 	f.ctx, f.cancel = context.WithCancel(context.Background())
 	restored, err := f.restore()
 	if err != nil {
-		cfg.Log.Error("cannot use the saved copy of the store", "file", f.copyPath(), "error", err)
+		cfg.Log.Error("loading the saved copy of the store failed; starting without it", "file", f.copyPath(), "error", err)
 	}
 	f.background.Go(f.run)
 	f.background.Go(f.saveLoop)
@@ -137,7 +138,8 @@
 	return f, nil
 }
 
-// newClientID draws the id of this process as a client: positive, and odd, so that it is not 0.
+// newClientID returns a random ID for this process as a client of the store. It is odd, and so not 0, and fits an
+// int64.
 func newClientID() (uint64, error) {
 	var random [8]byte
 	if _, err := rand.Read(random[:]); err != nil {
@@ -146,7 +148,7 @@
 	return binary.BigEndian.Uint64(random[:])>>1 | 1, nil
 }
 
-func (f *Follower) createClients() error {
+func (f *Follower) createHTTPClients() error {
 	for _, replica := range f.cfg.Replicas {
 		transport := &http.Transport{
 			DialContext:         f.dial,
@@ -165,7 +167,7 @@
 	return nil
 }
 
-// dial opens a connection that is counted.
+// dial opens a connection whose bytes are counted by Config.Usage.
 func (f *Follower) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	conn, err := (&net.Dialer{Timeout: requestTimeout}).DialContext(ctx, network, addr)
 	if err != nil {
@@ -178,27 +180,28 @@
 	select {
 	case <-f.firstHeartbeat:
 	case <-time.After(f.cfg.FirstCopyTimeout):
-		f.cfg.Log.Warn("no replica sent its copy of the store in time: starting without one",
+		f.cfg.Log.Warn("no replica sent a copy of the store in time; starting without one",
 			"waited", f.cfg.FirstCopyTimeout)
 	}
 }
 
-// Close ends the follower, and saves what its file lacks.
+// Close stops the follower and saves the copy if its file lacks a change. It must be called only once.
 func (f *Follower) Close() error {
 	f.cancel()
 	f.background.Wait()
 	return f.save()
 }
 
-// UpdateInterest takes what Config.Subscription returns now. The hooks must not call it: they are followed by
-// such an update.
+// UpdateInterest calls Config.Subscription and requests other keys from a replica if the interest has changed. The
+// hooks must not call it: the follower updates the subscription itself after OnReset.
 func (f *Follower) UpdateInterest() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.updateSubscription()
 }
 
-// updateSubscription takes what the copy is to hold. The lock is held, or nothing runs yet.
+// updateSubscription adopts the current result of Config.Subscription. The caller holds the lock, or is Open before any
+// goroutine is started.
 func (f *Follower) updateSubscription() {
 	if f.cfg.Subscription == nil {
 		return
@@ -210,7 +213,8 @@
 	}
 }
 
-// stateReplaced reports a state that replaced the copy. The lock is held.
+// stateReplaced wakes waiters, calls OnReset and updates the subscription after a state has replaced the copy. The
+// caller holds the lock.
 func (f *Follower) stateReplaced() {
 	f.notifyAdvanced()
 	if f.cfg.OnReset != nil {
@@ -219,13 +223,13 @@
 	f.updateSubscription()
 }
 
-// notifyAdvanced wakes those that wait for a change. The lock is held.
+// notifyAdvanced wakes the goroutines that wait for a change of the copy. The caller holds the lock.
 func (f *Follower) notifyAdvanced() {
 	close(f.advanced)
 	f.advanced = make(chan struct{})
 }
 
-// pause waits, for a duration drawn around that of the backoff and until one of the contexts ends.
+// pause waits for the next delay of a backoff, or until ctx or the follower ends.
 func (f *Follower) pause(ctx context.Context, b *backoff) {
 	select {
 	case <-ctx.Done():
--- a/internal/store/follower/follower_test.go
+++ b/internal/store/follower/follower_test.go
@@ -16,21 +16,21 @@
 	"birchmoor/internal/store/replica"
 )
 
-// Without a replica a follower starts with its file, and its changes and reads end with errors that say that
-// nothing was sent.
+// A follower that reaches no replica serves the copy in its file. Its changes and up-to-date reads fail with errors
+// that report that no replica received them.
 func TestFollowerWithoutReplicaServesItsFile(t *testing.T) {
 	path := saveTestCopy(t)
 	resets := 0
-	f := openAlone(t, path, &resets)
+	f := openWithoutReplica(t, path, &resets)
 	value := ""
 	age, err := f.View(t.Context(), true, func(state *store.State) {
 		item, _ := state.Get("k")
 		value = string(item.Value)
 	})
 	if err != nil || value != "v" || resets != 1 || !age.Stale {
-		t.Errorf("%q, %v, %+v, %d resets", value, err, age, resets)
+		t.Errorf("stale read: value %q, error %v, age %+v, %d resets; want \"v\", nil, stale, 1", value, err, age, resets)
 	}
-	checkCallsFailUnsent(t, f)
+	checkCallsFail(t, f)
 	if err := f.Close(); err != nil {
 		t.Error(err)
 	}
@@ -39,14 +39,14 @@
 		t.Fatal(err)
 	}
 	if _, err := store.Load(bytes.NewReader(file)); err != nil {
-		t.Errorf("the file is damaged: %v", err)
+		t.Errorf("the file is damaged after Close: %v", err)
 	}
 	if _, err := Open(Config{Name: "h", Dir: t.TempDir()}); err == nil {
-		t.Error("a follower without replicas")
+		t.Error("Open accepted a configuration without replicas")
 	}
 }
 
-// A damaged file is not used, and left as it is.
+// A follower does not use a damaged file, and does not change it.
 func TestFollowerDoesNotUseDamagedFile(t *testing.T) {
 	path := saveTestCopy(t)
 	file, err := os.ReadFile(path)
@@ -58,17 +58,17 @@
 		t.Fatal(err)
 	}
 	resets := 0
-	f := openAlone(t, path, &resets)
-	age, err := f.View(t.Context(), true, func(*store.State) { t.Error("a damaged file is read") })
+	f := openWithoutReplica(t, path, &resets)
+	age, err := f.View(t.Context(), true, func(*store.State) { t.Error("View read the copy of a damaged file") })
 	if !errors.Is(err, replica.ErrNoLeader) || resets != 0 || !age.Stale {
-		t.Errorf("%v, %+v, %d resets", err, age, resets)
+		t.Errorf("stale read: error %v, age %+v, %d resets; want ErrNoLeader, stale, 0", err, age, resets)
 	}
-	checkCallsFailUnsent(t, f)
+	checkCallsFail(t, f)
 	if err := f.Close(); err != nil {
 		t.Error(err)
 	}
-	if left, err := os.ReadFile(path); err != nil || !bytes.Equal(left, file) {
-		t.Errorf("the file is another now: %v", err)
+	if content, err := os.ReadFile(path); err != nil || !bytes.Equal(content, file) {
+		t.Errorf("the follower changed the damaged file, or reading it failed: %v", err)
 	}
 }
 
@@ -86,8 +86,9 @@
 	return path
 }
 
-// openAlone opens a follower with a file, whose replica cannot be reached.
-func openAlone(t *testing.T, path string, resets *int) *Follower {
+// openWithoutReplica opens a follower with the file at path and a replica that cannot be reached. It counts calls of
+// OnReset.
+func openWithoutReplica(t *testing.T, path string, resets *int) *Follower {
 	t.Helper()
 	f, err := Open(Config{
 		Name: "h", Dir: filepath.Dir(path), Replicas: []Replica{{Name: "a", Addr: refusedAddress(t)}},
@@ -100,38 +101,38 @@
 	return f
 }
 
-// checkCallsFailUnsent checks that changes and reads of a follower without a replica fail, and say that nothing
-// was sent.
-func checkCallsFailUnsent(t *testing.T, f *Follower) {
+// checkCallsFail checks that changes and up-to-date reads of a follower that reaches no replica fail, and that its
+// status reports a stale copy.
+func checkCallsFail(t *testing.T, f *Follower) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
-	checkUnsent(ctx, t, f)
+	checkChangeNotSent(ctx, t, f)
 	if _, err := f.View(ctx, false, func(*store.State) {}); err == nil {
-		t.Error("a read is up to date without a replica")
+		t.Error("an up-to-date read succeeded without a replica")
 	}
 	if _, err := f.Do(t.Context(), store.Command{GrantLease: &store.GrantLease{TTLMillis: 5}}); err == nil {
-		t.Error("a follower was granted a lease without an owner")
+		t.Error("the follower accepted a lease without an owner")
 	}
 	status, err := f.Status(t.Context())
 	if err != nil || !status.Follower || status.Following != "" || !status.CopyAge.Stale {
-		t.Errorf("%+v, %v", status, err)
+		t.Errorf("status %+v, error %v; want a follower that is not connected and has a stale copy", status, err)
 	}
 }
 
-// checkUnsent checks that a change fails, and that its outcome is known.
-func checkUnsent(ctx context.Context, t *testing.T, f *Follower) {
+// checkChangeNotSent checks that a change fails with a known outcome, since no replica received it.
+func checkChangeNotSent(ctx context.Context, t *testing.T, f *Follower) {
 	t.Helper()
 	_, err := f.Do(ctx, putCommand("out/ban/x", ""))
 	var unknown *engine.OutcomeUnknownError
 	if err == nil || errors.As(err, &unknown) {
-		t.Errorf("a change that was not sent: %v", err)
+		t.Errorf("change without a replica: error %v, want one with a known outcome", err)
 	}
 }
 
-// A change whose time is up while a replica is still being connected to was not sent.
+// A change whose context ends during the TLS handshake with a replica was not sent, so its outcome is known.
 func TestTimeoutBeforeConnectionMeansNotSent(t *testing.T) {
-	listener := listen(t, "127.0.0.1:0") // it accepts connections, and never answers their TLS handshake
+	listener := listen(t, "127.0.0.1:0") // accepts connections but never answers the TLS handshake
 	defer func() { _ = listener.Close() }()
 	dir := t.TempDir()
 	if err := errors.Join(keys.Init(dir, "c"), keys.Issue(dir, "h", time.Hour, false)); err != nil {
@@ -151,5 +152,5 @@
 	defer func() { _ = f.Close() }()
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
-	checkUnsent(ctx, t, f)
+	checkChangeNotSent(ctx, t, f)
 }
--- a/internal/store/follower/frozen_test.go
+++ b/internal/store/follower/frozen_test.go
@@ -20,7 +20,7 @@
 	"birchmoor/internal/store/changefeed"
 )
 
-// goldenCopies are files of copies that an earlier build wrote, by name.
+// goldenCopies returns the files that an earlier build wrote for its copies, by name.
 func goldenCopies(t *testing.T) map[string][]byte {
 	t.Helper()
 	golden, err := os.ReadFile("testdata/copies.golden")
@@ -37,10 +37,10 @@
 	return copies
 }
 
-// TestCopyFileIsFrozen reads files of copies that an earlier build wrote, of all keys and of a part, compares
-// what they hold, and writes the same bytes again.
+// TestCopyFileIsFrozen opens followers with files that an earlier build wrote, of a complete and of a partial copy. It
+// checks what the copies hold and that writing them yields the same bytes.
 func TestCopyFileIsFrozen(t *testing.T) {
-	part := &store.Interest{Prefixes: []string{"out/"}, Keys: []string{"known/h/"}}
+	partialInterest := &store.Interest{Prefixes: []string{"out/"}, Keys: []string{"known/h/"}}
 	wantItems := []store.Item{
 		{Key: "known/h/", Value: []byte("w"), CreateRevision: 1, ModRevision: 1, Version: 1},
 		{Key: "out/ban/y", Value: []byte("z"), CreateRevision: 2, ModRevision: 2, Version: 1},
@@ -67,9 +67,9 @@
 				t.Fatal(err)
 			}
 			if copied.Cluster() != 7 || copied.Revision() != 2 {
-				t.Errorf("revision %d of cluster %x", copied.Revision(), copied.Cluster())
+				t.Errorf("got revision %d of cluster %x, want revision 2 of cluster 7", copied.Revision(), copied.Cluster())
 			}
-			wantInterest := part
+			wantInterest := partialInterest
 			if name == "copy all" {
 				wantInterest = nil
 			}
@@ -84,15 +84,15 @@
 			if err := writeFile(path, copied, nil); err != nil {
 				t.Fatal(err)
 			}
-			if again, err := os.ReadFile(path); err != nil || !bytes.Equal(again, file) {
-				t.Errorf("written again (%v):\n%x\nwant\n%x", err, again, file)
+			if rewritten, err := os.ReadFile(path); err != nil || !bytes.Equal(rewritten, file) {
+				t.Errorf("the rewritten file (error %v) has\n%x\nwant\n%x", err, rewritten, file)
 			}
 		})
 	}
 }
 
-// TestRequestsAreFrozen compares the requests of a follower, with a copy on its disk and without one, with
-// those of an earlier build.
+// TestRequestsAreFrozen compares the requests of a follower with those of an earlier build, both with a copy on its
+// disk and without one.
 func TestRequestsAreFrozen(t *testing.T) {
 	golden, err := os.ReadFile("testdata/requests.golden")
 	if err != nil {
@@ -121,7 +121,7 @@
 		Interest:     &store.Interest{Prefixes: []string{"out/"}, Keys: []string{"known/h/"}},
 		SizePrefixes: []string{"known/"},
 	}
-	sent := func() []string {
+	sentRequests := func() []string {
 		mu.Lock()
 		defer mu.Unlock()
 		return slices.Compact(slices.Sorted(slices.Values(requests)))
@@ -142,13 +142,13 @@
 			{ID: id, RevokeLease: &store.RevokeLease{LeaseID: 3, Owner: "h"}},
 		} {
 			if _, err := f.Do(t.Context(), command); err == nil {
-				t.Error("a rejected command has no error")
+				t.Error("Do returned no error for a rejected command")
 			}
 		}
 		isSent := func(prefix string) func() bool {
 			return func() bool {
 				hasPrefix := func(request string) bool { return strings.HasPrefix(request, prefix) }
-				return slices.ContainsFunc(sent(), hasPrefix)
+				return slices.ContainsFunc(sentRequests(), hasPrefix)
 			}
 		}
 		ctx, cancel := context.WithCancel(t.Context())
@@ -160,7 +160,7 @@
 		eventually(t, "a read is sent", isSent("GET /v1/revision"))
 		cancel()
 		if err := <-readErr; err == nil {
-			t.Error("a rejected read has no error")
+			t.Error("View returned no error for a rejected read")
 		}
 		if dir == withCopy {
 			eventually(t, "a stream is requested", isSent("GET /v1/follow"))
@@ -171,7 +171,7 @@
 			t.Fatal(err)
 		}
 	}
-	if got := sent(); !slices.Equal(got, want) {
-		t.Errorf("requests\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
+	if got := sentRequests(); !slices.Equal(got, want) {
+		t.Errorf("sent requests\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
 	}
 }
--- a/internal/store/follower/helpers_test.go
+++ b/internal/store/follower/helpers_test.go
@@ -22,7 +22,7 @@
 
 const testTimeout = time.Minute
 
-// listen returns a listener of a loopback address, which the test closes or serves.
+// listen returns a TCP listener, which the caller closes or serves.
 func listen(t *testing.T, address string) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", address)
@@ -32,7 +32,7 @@
 	return listener
 }
 
-// refusedAddress is an address that refuses connections.
+// refusedAddress returns a loopback address that refuses connections.
 func refusedAddress(t *testing.T) string {
 	t.Helper()
 	listener := listen(t, "127.0.0.2:0")
@@ -42,8 +42,8 @@
 	return listener.Addr().String()
 }
 
-// startReplica starts a cluster of one replica that serves followers, and returns its address. A nil recorder
-// is valid.
+// startReplica starts a cluster of one replica that serves followers, and returns the replica and the address for
+// followers. A nil recorder is valid.
 func startReplica(t *testing.T, recorder *usage.Recorder) (*engine.Engine, string) {
 	t.Helper()
 	replica, err := engine.Open(engine.Config{
@@ -68,11 +68,12 @@
 	return replica, listener.Addr().String()
 }
 
-// startProxyOfOldVersion forwards to a replica as if that were of a version that does not know interests.
-func startProxyOfOldVersion(t *testing.T, addr string) string {
+// startOldVersionProxy starts a proxy to a replica that removes interests from requests, as if the replica had a
+// version that ignores them. It returns the proxy's address.
+func startOldVersionProxy(t *testing.T, addr string) string {
 	t.Helper()
 	proxy := &httputil.ReverseProxy{
-		FlushInterval: -1, // each line at once
+		FlushInterval: -1, // flushes each line at once
 		ErrorLog:      slog.NewLogLogger(slog.DiscardHandler, 0),
 		Rewrite: func(r *httputil.ProxyRequest) {
 			r.SetURL(&url.URL{Scheme: "http", Host: addr})
@@ -108,23 +109,23 @@
 	return store.Command{Txn: &store.Txn{Then: []store.Op{{Key: key, Value: []byte(value)}}}}
 }
 
-func prefixes(all ...string) *store.Interest { return &store.Interest{Prefixes: all} }
+func prefixInterest(prefixes ...string) *store.Interest { return &store.Interest{Prefixes: prefixes} }
 
-// testFollower is a follower whose subscription a test changes.
+// testFollower is a follower whose subscription a test can change.
 type testFollower struct {
 	*Follower
-	wanted     atomic.Pointer[changefeed.Subscription]
-	prefixKeys atomic.Int64 // number of keys of the prefix that it subscribes to
+	currentSubscription atomic.Pointer[changefeed.Subscription]
+	prefixKeyCount      atomic.Int64 // last reported number of keys of the subscription's size prefix
 }
 
 func openFollower(t *testing.T, dir string, subscription changefeed.Subscription, addrs ...string) *testFollower {
 	t.Helper()
 	f := &testFollower{}
-	f.wanted.Store(&subscription)
+	f.currentSubscription.Store(&subscription)
 	cfg := Config{
 		Name: "h", Dir: dir, FirstCopyTimeout: testTimeout, Log: slog.New(slog.DiscardHandler),
-		Subscription: func() changefeed.Subscription { return *f.wanted.Load() },
-		OnPrefixSize: func(_ string, size store.PrefixSize) { f.prefixKeys.Store(int64(size.Keys)) },
+		Subscription: func() changefeed.Subscription { return *f.currentSubscription.Load() },
+		OnPrefixSize: func(_ string, size store.PrefixSize) { f.prefixKeyCount.Store(int64(size.Keys)) },
 	}
 	for _, addr := range addrs {
 		cfg.Replicas = append(cfg.Replicas, Replica{Name: "a", Addr: addr})
@@ -137,23 +138,23 @@
 	return f
 }
 
-// subscribe changes what the follower is to hold.
+// subscribe changes the subscription of the follower.
 func (f *testFollower) subscribe(subscription changefeed.Subscription) {
-	f.wanted.Store(&subscription)
+	f.currentSubscription.Store(&subscription)
 	f.UpdateInterest()
 }
 
-// absent is what read returns for a key that does not exist.
-const absent = "none"
+// absentValue is the result of read for a key that does not exist.
+const absentValue = "none"
 
-// read returns the value of a key as the follower has it.
+// read returns the value of a key, or absentValue. stale allows the value of the follower's own copy.
 func (f *testFollower) read(t *testing.T, key string, stale bool) (string, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	value := ""
 	_, err := f.View(ctx, stale, func(state *store.State) {
-		value = absent
+		value = absentValue
 		if item, ok := state.Get(key); ok {
 			value = string(item.Value)
 		}
@@ -161,7 +162,7 @@
 	return value, err
 }
 
-// eventuallyReads waits until the follower's own copy has a value.
+// eventuallyReads waits until the follower's own copy has a value for a key.
 func (f *testFollower) eventuallyReads(t *testing.T, key, want string) {
 	t.Helper()
 	eventually(t, key+" is "+want, func() bool {
@@ -183,7 +184,7 @@
 	t.Helper()
 	for started := time.Now(); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Since(started) > testTimeout {
-			t.Fatalf("not in time: %s", what)
+			t.Fatalf("condition was not met in time: %s", what)
 		}
 	}
 }
--- a/internal/store/follower/interest_test.go
+++ b/internal/store/follower/interest_test.go
@@ -20,9 +20,9 @@
 	"birchmoor/internal/store/changefeed"
 )
 
-// A follower holds what it subscribes to, reads the rest from a replica, never reports a key of the rest as
-// absent, and holds more or less when its subscription changes. The next start uses what it saved, and does not
-// take it for everything.
+// A follower with a partial copy reads other keys from a replica and never reports them as absent. Its copy follows
+// changes of the subscription. After a restart without a replica, it serves the retained keys and does not treat the
+// file as a complete copy.
 func TestPartialFollowerReadsTheRestFromReplica(t *testing.T) {
 	replica, addr := startReplica(t, nil)
 	for i := range 5 {
@@ -31,28 +31,30 @@
 	}
 	dir := t.TempDir()
 	narrow := changefeed.Subscription{
-		Interest:     prefixes("a/"),
+		Interest:     prefixInterest("a/"),
 		Retained:     store.Interest{Keys: []string{"a/1"}},
 		SizePrefixes: []string{"b/"},
 	}
 	f := openFollower(t, dir, narrow, addr)
-	eventually(t, "the size of b/ is known", func() bool { return f.prefixKeys.Load() == 5 })
+	eventually(t, "the size of b/ is known", func() bool { return f.prefixKeyCount.Load() == 5 })
 	put(t, replica, "b/new", "n")
 	put(t, replica, "a/1", "changed")
-	for key, want := range map[string]string{"a/1": "changed", "a/9": absent, "b/1": "w", "b/new": "n", "b/9": absent} {
+	for key, want := range map[string]string{
+		"a/1": "changed", "a/9": absentValue, "b/1": "w", "b/new": "n", "b/9": absentValue,
+	} {
 		if got, err := f.read(t, key, false); err != nil || got != want {
-			t.Errorf("%s: %q, %v", key, got, err)
+			t.Errorf("up-to-date read of %s: got %q, error %v", key, got, err)
 		}
 		got, err := f.read(t, key, true)
 		if isHeld := strings.HasPrefix(key, "a/"); isHeld && (err != nil || got != want) || !isHeld && !isNotHeld(err) {
-			t.Errorf("%s, as this copy has it: %q, %v", key, got, err)
+			t.Errorf("stale read of %s from the follower's copy: got %q, error %v", key, got, err)
 		}
 	}
-	eventually(t, "the size of b/ has changed", func() bool { return f.prefixKeys.Load() == 6 })
-	checkReadsOfEverything(t, f)
+	eventually(t, "the size of b/ has changed", func() bool { return f.prefixKeyCount.Load() == 6 })
+	checkFullReads(t, f)
 
 	wide := narrow
-	wide.Interest = prefixes("a/", "b/")
+	wide.Interest = prefixInterest("a/", "b/")
 	f.subscribe(wide)
 	f.eventuallyReads(t, "b/1", "w")
 	put(t, replica, "b/1", "again")
@@ -70,14 +72,14 @@
 		t.Fatal(err)
 	}
 	if _, err := store.Load(bytes.NewReader(file)); err == nil {
-		t.Error("a part is taken for a complete state")
+		t.Error("store.Load accepted the file of a partial copy")
 	}
 	f = openFollower(t, dir, narrow, refusedAddress(t))
 	if got, err := f.read(t, "a/1", true); err != nil || got != "last" {
-		t.Errorf("a retained key: %q, %v", got, err)
+		t.Errorf("read of a retained key after a restart: %q, error %v, want \"last\"", got, err)
 	}
 	if got, err := f.read(t, "a/2", true); !isNotHeld(err) {
-		t.Errorf("a key that is not retained: %q, %v", got, err)
+		t.Errorf("read of a key that is not retained: %q, error %v, want a NotHeldError", got, err)
 	}
 	if err := f.Close(); err != nil {
 		t.Fatal(err)
@@ -89,18 +91,18 @@
 	}
 }
 
-// checkReadsOfEverything checks that a follower of a part of eleven keys reads all of them, and watches none
-// that it lacks.
-func checkReadsOfEverything(t *testing.T, f *testFollower) {
+// checkFullReads checks that a follower that holds 5 of 11 keys reads all of them, and rejects a watch of keys that it
+// does not hold.
+func checkFullReads(t *testing.T, f *testFollower) {
 	t.Helper()
 	if _, _, err := f.NextChanges(t.Context(), "b/", 0, 1); !isNotHeld(err) {
-		t.Errorf("a watch of what is not held: %v", err)
+		t.Errorf("watch of keys that are not held: error %v, want a NotHeldError", err)
 	}
 	if state, err := f.CloneState(t.Context()); err != nil || state.Len() != 11 || state.Interest() != nil {
-		t.Errorf("the complete state: %v", err)
+		t.Errorf("CloneState did not return a complete state with 11 keys: error %v", err)
 	}
 	if status, err := f.Status(t.Context()); err != nil || status.Interest == nil || status.Keys != 5 {
-		t.Errorf("%+v, %v", status, err)
+		t.Errorf("status %+v, error %v; want an interest and 5 keys", status, err)
 	}
 	count := 0
 	_, err := f.View(t.Context(), false, func(state *store.State) {
@@ -108,51 +110,53 @@
 		state.Range("a/", "c", func(store.Item) bool { count++; return true })
 	})
 	if err != nil || count != 11 {
-		t.Errorf("a range over more than it holds: %d, %v", count, err)
+		t.Errorf("read of a range beyond the copy: %d keys, error %v, want 11 keys", count, err)
 	}
 }
 
-// A follower of a replica of a version that does not know interests holds everything, as followers of that
-// version do; of one that does, a part. What a follower of either kind saved is of use to the other. A follower
-// of the older version is served as before.
+// Replicas of an older version ignore interests. A follower of such a replica holds all keys; a follower of a newer one
+// holds a partial copy, and each can start with the file of the other. A follower of the older version still receives
+// the stream that it expects.
 func TestFollowerOfReplicasOfTwoVersions(t *testing.T) {
 	replica, addr := startReplica(t, nil)
 	put(t, replica, "a/1", "v")
 	put(t, replica, "b/1", "w")
-	subscription := changefeed.Subscription{Interest: prefixes("a/"), Retained: *prefixes("a/")}
+	subscription := changefeed.Subscription{Interest: prefixInterest("a/"), Retained: *prefixInterest("a/")}
 	dir := t.TempDir()
-	old := startProxyOfOldVersion(t, addr)
-	for i, c := range []struct {
+	oldVersionAddr := startOldVersionProxy(t, addr)
+	for i, start := range []struct {
 		addr     string
 		holdsAll bool
-	}{{old, true}, {addr, false}, {old, true}, {old, true}, {addr, false}, {addr, false}} {
-		f := openFollower(t, dir, subscription, c.addr)
-		eventually(t, fmt.Sprintf("start %d holds all: %v", i, c.holdsAll), func() bool {
+	}{
+		{oldVersionAddr, true}, {addr, false}, {oldVersionAddr, true}, {oldVersionAddr, true}, {addr, false}, {addr, false},
+	} {
+		f := openFollower(t, dir, subscription, start.addr)
+		eventually(t, fmt.Sprintf("start %d holds all: %v", i, start.holdsAll), func() bool {
 			status, err := f.Status(t.Context())
-			return err == nil && status.Following != "" && (status.Interest == nil) == c.holdsAll
+			return err == nil && status.Following != "" && (status.Interest == nil) == start.holdsAll
 		})
 		value := fmt.Sprint("v", i)
 		put(t, replica, "a/1", value)
 		put(t, replica, "b/1", value)
 		f.eventuallyReads(t, "a/1", value)
-		if c.holdsAll {
+		if start.holdsAll {
 			f.eventuallyReads(t, "b/1", value)
 		} else {
 			f.eventuallyNotHeld(t, "b/1")
 		}
 		put(t, f, "a/2", value)
 		if got, err := f.read(t, "a/2", true); err != nil || got != value {
-			t.Errorf("the follower does not see its own change: %q, %v", got, err)
+			t.Errorf("the follower does not read its own write: got %q, error %v", got, err)
 		}
 		if err := f.Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	checkStreamOfOldVersion(t, addr)
+	checkOldVersionStream(t, addr)
 }
 
-// checkStreamOfOldVersion requests a stream as followers of the older version do.
-func checkStreamOfOldVersion(t *testing.T, addr string) {
+// checkOldVersionStream requests a stream as a follower of the older version does, and checks its lines.
+func checkOldVersionStream(t *testing.T, addr string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
@@ -173,7 +177,7 @@
 		var line admin.StreamLine
 		err := json.Unmarshal(lines.Bytes(), &line)
 		if err != nil || len(line.Events) > 0 || line.Through > 0 {
-			t.Fatalf("%s, %v", lines.Text(), err)
+			t.Fatalf("line %s is not one of the older version, error %v", lines.Text(), err)
 		}
 		if line.Event != nil {
 			events++
@@ -183,24 +187,24 @@
 		}
 	}
 	if response.Header.Get(admin.ScopedHeader) != "" {
-		t.Error("a follower of everything is sent a part")
+		t.Error("the replica marked a stream of all keys as one of an interest")
 	}
 }
 
-// An interest that is out of bounds is rejected with the reason.
+// A replica rejects an interest that exceeds a limit, and names the limit.
 func TestInterestOutOfBoundsIsRejected(t *testing.T) {
 	_, addr := startReplica(t, nil)
-	many := url.Values{}
+	tooManyPrefixes := url.Values{}
 	for i := range store.MaxInterestEntries + 1 {
-		many.Add("prefix", fmt.Sprint(i, "/"))
+		tooManyPrefixes.Add("prefix", fmt.Sprint(i, "/"))
 	}
-	long := url.Values{}
+	tooManyBytes := url.Values{}
 	for range 20 {
-		long.Add("key", strings.Repeat("k", store.DefaultLimits.KeyBytes))
+		tooManyBytes.Add("key", strings.Repeat("k", store.DefaultLimits.KeyBytes))
 	}
 	for want, query := range map[string]url.Values{
-		"129 prefixes and keys are more than 128": many,
-		"10240 bytes are more than 8192":          long,
+		"129 prefixes and keys are more than 128": tooManyPrefixes,
+		"10240 bytes are more than 8192":          tooManyBytes,
 		"is not of 1 to 512 bytes":                {"prefix": {""}},
 		"5 prefixes are more than 4":              {"sum": {"a", "b", "c", "d", "e"}},
 	} {
@@ -211,27 +215,27 @@
 		body, _ := io.ReadAll(response.Body)
 		_ = response.Body.Close()
 		if response.StatusCode != http.StatusBadRequest || !strings.Contains(string(body), want) {
-			t.Errorf("%s: %s %s", want, response.Status, body)
+			t.Errorf("want a bad request with the text %q, got %s %s", want, response.Status, body)
 		}
 	}
 }
 
-// What a first copy had is saved for the next start even if the interest is narrowed at once, until something
-// changes of what is retained.
+// The first copy is saved for the next start even if the interest is narrowed immediately afterwards. A later change of
+// a retained key replaces it by the narrower copy.
 func TestFirstCopyIsSavedBeforeItIsNarrowed(t *testing.T) {
 	replica, addr := startReplica(t, nil)
 	put(t, replica, "a/1", "v")
 	put(t, replica, "b/1", "w")
 	dir := t.TempDir()
-	wide := changefeed.Subscription{Interest: prefixes("a/", "b/"), Retained: *prefixes("a/", "b/")}
-	narrow := changefeed.Subscription{Interest: prefixes("a/"), Retained: *prefixes("a/")}
-	run := func(change string) {
+	wide := changefeed.Subscription{Interest: prefixInterest("a/", "b/"), Retained: *prefixInterest("a/", "b/")}
+	narrow := changefeed.Subscription{Interest: prefixInterest("a/"), Retained: *prefixInterest("a/")}
+	startAndNarrow := func(newValue string) {
 		t.Helper()
 		f := openFollower(t, dir, wide, addr)
 		f.subscribe(narrow)
 		f.eventuallyNotHeld(t, "b/1")
-		if change != "" {
-			put(t, f, "a/1", change)
+		if newValue != "" {
+			put(t, f, "a/1", newValue)
 		}
 		if err := f.Close(); err != nil {
 			t.Fatal(err)
@@ -243,24 +247,24 @@
 		defer func() { _ = f.Close() }()
 		return f.read(t, "b/1", true)
 	}
-	run("")
+	startAndNarrow("")
 	if got, err := readSaved(); err != nil || got != "w" {
-		t.Errorf("the next start has %q, %v", got, err)
+		t.Errorf("the next start read %q, error %v, want \"w\"", got, err)
 	}
-	run("changed")
+	startAndNarrow("changed")
 	if got, err := readSaved(); !isNotHeld(err) {
-		t.Errorf("after a change the next start has %q, %v", got, err)
+		t.Errorf("after a change the next start read %q, error %v, want a NotHeldError", got, err)
 	}
 }
 
-// Guards against a start that does not know what the process before it acted on: a limit was in force up to two seconds
-// before it was in the copy's file, and a process that was killed in between started without it.
+// Guards against a restart without a change that the previous process had acted on: a limit took effect up to two
+// seconds before it was saved to the copy's file, so a process that was killed in between restarted without it.
 func TestDurableKeysAreSavedBeforeTheyTakeEffect(t *testing.T) {
 	replica, addr := startReplica(t, nil)
 	put(t, replica, "limit", "first")
 	dir := t.TempDir()
 	subscription := changefeed.Subscription{
-		Interest: prefixes("l"),
+		Interest: prefixInterest("l"),
 		Retained: store.Interest{Prefixes: []string{"l"}},
 		Durable:  store.Interest{Keys: []string{"limit"}},
 	}
@@ -276,8 +280,8 @@
 		item, _ := saved.Get("limit")
 		return string(item.Value)
 	}
-	inEffect := make(chan string, 10) // and then what is saved at that moment
-	takesEffect := func(value string) {
+	inEffect := make(chan string, 10) // each value that takes effect, followed by the value saved at that moment
+	recordEffect := func(value string) {
 		inEffect <- value
 		inEffect <- savedLimit()
 	}
@@ -287,9 +291,9 @@
 		Subscription: func() changefeed.Subscription { return subscription },
 		OnReset: func(state *store.State) {
 			item, _ := state.Get("limit")
-			takesEffect(string(item.Value))
+			recordEffect(string(item.Value))
 		},
-		OnEvent: func(event store.Event) { takesEffect(string(event.Item.Value)) },
+		OnEvent: func(event store.Event) { recordEffect(string(event.Item.Value)) },
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -300,7 +304,7 @@
 			put(t, replica, "limit", value)
 		}
 		if got, saved := <-inEffect, <-inEffect; got != value || saved != value {
-			t.Errorf("%q is in effect, and the next start would have %q; put was %q", got, saved, value)
+			t.Errorf("value %q took effect while %q was saved, want %q for both", got, saved, value)
 		}
 	}
 }
--- a/internal/store/follower/propose.go
+++ b/internal/store/follower/propose.go
@@ -14,12 +14,12 @@
 	"birchmoor/internal/store/usage"
 )
 
-var errNotAFollowersCommand = errors.New(
-	"follower: a daemon without a replica makes only transactions and changes of its own leases")
+var errCommandNotAllowed = errors.New(
+	"follower: a daemon without a replica may only send transactions and changes of leases that it owns")
 
-// Do makes a transaction, or grants, renews or revokes a lease that this daemon owns; see engine.Engine. It
-// tries one replica after another until ctx ends. The error is an *engine.UnknownError if a replica may have
-// read the command and none answered what became of it.
+// Do executes a transaction, or grants, renews or revokes a lease that this daemon owns; see engine.Engine. It tries
+// one replica after another, beginning with a random one, until one of them decides the outcome or ctx ends. The error
+// is an *engine.OutcomeUnknownError if a replica may have executed the command and none has reported the outcome.
 func (f *Follower) Do(ctx context.Context, command store.Command) (store.Result, error) {
 	if command.ID == (store.RequestID{}) {
 		command.ID = store.RequestID{Client: f.clientID, Seq: f.seq.Add(1)}
@@ -30,10 +30,10 @@
 	}
 	purpose := f.cfg.Usage.CommandPurpose(&command)
 	delays := newBackoff()
-	mayBeSent := false
+	mayBeExecuted := false
 	lastErr := replica.ErrNoLeader
-	for at := rand.IntN(len(f.clients)); ctx.Err() == nil && f.ctx.Err() == nil; at = f.nextReplica(at) {
-		response, reached, err := f.proposeTo(ctx, at, purpose, body)
+	for index := rand.IntN(len(f.clients)); ctx.Err() == nil && f.ctx.Err() == nil; index = f.nextReplica(index) {
+		response, reached, err := f.proposeTo(ctx, index, purpose, body)
 		if err == nil {
 			if changesKeys(&command) {
 				f.awaitRevision(ctx, response.Revision)
@@ -45,17 +45,18 @@
 		if final := finalError(err); final != nil {
 			return store.Result{}, final
 		}
-		mayBeSent = mayBeSent || reached
+		mayBeExecuted = mayBeExecuted || reached
 		lastErr = err
 		f.pause(ctx, delays)
 	}
-	if mayBeSent {
+	if mayBeExecuted {
 		return store.Result{}, &engine.OutcomeUnknownError{ID: command.ID}
 	}
 	return store.Result{}, lastErr
 }
 
-// encodeCommand encodes a command as a request of a follower.
+// encodeCommand encodes a command as a request of a follower. It returns errCommandNotAllowed for a command that
+// followers may not send.
 func encodeCommand(command *store.Command) ([]byte, error) {
 	request := admin.ChangeRequest{ID: command.ID, Txn: command.Txn}
 	grant, renew, revoke := command.GrantLease, command.RenewLease, command.RevokeLease
@@ -67,40 +68,41 @@
 	case revoke != nil && revoke.Owner != "":
 		request.RevokeLease, request.Owner = revoke.LeaseID, revoke.Owner
 	case command.Txn == nil:
-		return nil, errNotAFollowersCommand
+		return nil, errCommandNotAllowed
 	}
 	return json.Marshal(request)
 }
 
-// proposeTo sends a command to one replica. reached is true if that may execute it without having answered so.
+// proposeTo sends a command to one replica. reached is true if the replica may execute the command although err is not
+// nil.
 func (f *Follower) proposeTo(
-	ctx context.Context, at int, purpose usage.Purpose, body []byte,
+	ctx context.Context, index int, purpose usage.Purpose, body []byte,
 ) (response admin.ChangeResponse, reached bool, err error) {
-	reached, err = f.call(ctx, at, purpose, http.MethodPost, admin.ChangePath, body, &response)
-	var sent *admin.ResponseError
-	if errors.As(err, &sent) {
-		reached = sent.OutcomeUnknown != nil
+	reached, err = f.call(ctx, index, purpose, http.MethodPost, admin.ChangePath, body, &response)
+	var responseErr *admin.ResponseError
+	if errors.As(err, &responseErr) {
+		reached = responseErr.OutcomeUnknown != nil
 	}
 	return response, reached, err
 }
 
-// finalError is the outcome of a command if a replica's answer decides it, or nil if another replica is to be
-// tried.
+// finalError returns the error of a command if a replica's answer decides its outcome, or nil if another replica must
+// be tried.
 func finalError(err error) error {
-	var sent *admin.ResponseError
-	if !errors.As(err, &sent) {
+	var responseErr *admin.ResponseError
+	if !errors.As(err, &responseErr) {
 		return nil
 	}
-	switch sent.Status {
+	switch responseErr.Status {
 	case http.StatusInsufficientStorage:
 		return store.ErrFull
 	case http.StatusPreconditionFailed:
 		return store.ErrUnsupportedLevel
 	case http.StatusBadRequest, http.StatusConflict:
-		if sent.LeaseNotFound {
+		if responseErr.LeaseNotFound {
 			return store.ErrLeaseNotFound
 		}
-		return sent
+		return responseErr
 	}
 	return nil
 }
@@ -109,7 +111,8 @@
 	return command.Txn != nil || command.RevokeLease != nil
 }
 
-// awaitRevision waits until the copy has a revision or ctx ends: who makes a change reads what it made.
+// awaitRevision waits until the copy includes a revision, or ctx or the follower ends. After it, callers of Do read
+// their own writes from the copy.
 func (f *Follower) awaitRevision(ctx context.Context, revision uint64) {
 	for {
 		f.mu.Lock()
--- a/internal/store/follower/read.go
+++ b/internal/store/follower/read.go
@@ -17,35 +17,37 @@
 )
 
 const (
-	maxFreshAge   = 3 * time.Second // as for a replica's own copy
-	maxWiderReads = 4               // states that are fetched for a read that needs more with each
+	maxFreshAge        = 3 * time.Second // age beyond which the copy is stale; equals the limit for a replica's own copy
+	maxIncompleteReads = 4               // states fetched for one View that lack a key it reads; then it fails
 )
 
-// View calls read with the copy; see engine.Engine. Unless stale is set it waits until the copy has the
-// revision that a quorum confirms. If read reads what the copy does not hold, it is called again with a
-// replica's state, and what it read before is void; with stale set, or if no replica sends that state, the
-// error is or wraps a *store.NotHeldError.
-func (f *Follower) View(ctx context.Context, stale bool, read func(*store.State)) (engine.CopyAge, error) {
+// View calls read with the copy; see engine.Engine. Unless allowStale is set, it waits until the copy includes the
+// revision that a quorum confirms. read may be called several times, and only its last call counts: if it reads keys
+// that the copy does not hold, it is called again with a replica's state. If allowStale is set, or no replica sends
+// that state, the error is or wraps a *store.NotHeldError.
+func (f *Follower) View(ctx context.Context, allowStale bool, read func(*store.State)) (engine.CopyAge, error) {
 	var confirmed engine.CopyAge
-	if !stale {
+	if !allowStale {
 		var err error
 		if confirmed, err = f.confirmedRevision(ctx); err != nil {
 			return engine.CopyAge{}, err
 		}
 	}
-	for checked := false; ; { // that the copy holds what read reads, for which it need not have the revision
-		result := f.readMirror(confirmed.Revision, !checked, read)
+	// Whether a partial copy holds the keys that read needs is checked before the copy has the confirmed revision, so
+	// that a read of other keys does not wait for the copy.
+	for checkedHeld := false; ; {
+		result := f.readMirror(confirmed.Revision, !checkedHeld, read)
 		switch {
-		case result.isDone && result.complete && result.hasRevision:
+		case result.wasCalled && result.complete && result.hasRevision:
 			return result.age, nil
-		case result.isDone && result.complete:
-			checked = true
+		case result.wasCalled && result.complete:
+			checkedHeld = true
 			continue
-		case result.isDone && stale:
-			return result.age, &store.NotHeldError{Interest: result.what}
-		case result.isDone:
-			return f.readFromReplica(ctx, confirmed, result.what, read)
-		case stale && result.isEmpty:
+		case result.wasCalled && allowStale:
+			return result.age, &store.NotHeldError{Interest: result.keysRead}
+		case result.wasCalled:
+			return f.readFromReplica(ctx, confirmed, result.keysRead, read)
+		case allowStale && result.isEmpty:
 			return engine.CopyAge{Stale: true}, replica.ErrNoLeader
 		}
 		select {
@@ -58,11 +60,12 @@
 	}
 }
 
-// confirmedRevision requests the revision that a quorum confirms from one replica after another.
+// confirmedRevision returns the revision that a quorum confirms. It requests it from one replica after another,
+// beginning with a random one, until one answers or ctx ends.
 func (f *Follower) confirmedRevision(ctx context.Context) (engine.CopyAge, error) {
-	for at := rand.IntN(len(f.clients)); ; at = f.nextReplica(at) {
+	for index := rand.IntN(len(f.clients)); ; index = f.nextReplica(index) {
 		var confirmed engine.CopyAge
-		_, err := f.call(ctx, at, usage.Requests, http.MethodGet, admin.RevisionPath, nil, &confirmed)
+		_, err := f.call(ctx, index, usage.Requests, http.MethodGet, admin.RevisionPath, nil, &confirmed)
 		if err == nil {
 			return confirmed, nil
 		}
@@ -78,19 +81,19 @@
 
 // mirrorRead is the result of an attempt to read the copy.
 type mirrorRead struct {
-	isDone      bool // read was called; the fields below that say what it read are set
+	wasCalled   bool // the read function was called; age, keysRead and complete are set
 	isEmpty     bool // there is no copy yet
-	hasRevision bool
+	hasRevision bool // the copy includes the requested revision
 	age         engine.CopyAge
-	what        store.Interest
-	complete    bool // the copy holds all that was read
+	keysRead    store.Interest // empty for a complete copy
+	complete    bool           // the copy holds all keys that were read
 
 	advanced <-chan struct{} // closed when the copy changes
 }
 
-// readMirror calls read with the copy if that has a revision, or, with early set, if it is a part, which may
-// not hold what read reads.
-func (f *Follower) readMirror(revision uint64, early bool, read func(*store.State)) mirrorRead {
+// readMirror calls read with the copy if the copy includes a revision. With checkOnly set, it also calls read with a
+// partial copy that does not include the revision, to find out whether the copy holds the keys that read needs.
+func (f *Follower) readMirror(revision uint64, checkOnly bool, read func(*store.State)) mirrorRead {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	state := f.mirror.State()
@@ -99,26 +102,26 @@
 		isEmpty:     state == nil,
 		hasRevision: f.mirror.HasRevision(revision),
 	}
-	isPart := state != nil && state.Interest() != nil
-	result.isDone = result.hasRevision || early && isPart
-	if !result.isDone {
+	isPartial := state != nil && state.Interest() != nil
+	result.wasCalled = result.hasRevision || checkOnly && isPartial
+	if !result.wasCalled {
 		return result
 	}
 	result.age = f.copyAge()
-	result.what, result.complete = f.mirror.Read(read)
+	result.keysRead, result.complete = f.mirror.Read(read)
 	return result
 }
 
-// readFromReplica calls read with a replica's state of what it reads, which has the confirmed revision.
-// Whenever read then reads more, a state of that is fetched.
+// readFromReplica calls read with a replica's state that holds the keys of an interest and includes the confirmed
+// revision. If read reads further keys, it fetches a state that holds these, too, and calls read again.
 func (f *Follower) readFromReplica(
-	ctx context.Context, confirmed engine.CopyAge, what store.Interest, read func(*store.State),
+	ctx context.Context, confirmed engine.CopyAge, interest store.Interest, read func(*store.State),
 ) (engine.CopyAge, error) {
-	lastErr := error(&store.NotHeldError{Interest: what})
-	at := rand.IntN(len(f.clients))
+	lastErr := error(&store.NotHeldError{Interest: interest})
+	index := rand.IntN(len(f.clients))
 	delays := newBackoff()
-	for reads := 0; reads < maxWiderReads; {
-		state, err := f.fetchState(ctx, at, fetchable(what))
+	for incompleteReads := 0; incompleteReads < maxIncompleteReads; {
+		state, err := f.fetchState(ctx, index, requestableInterest(interest))
 		if err == nil && state.Revision() >= confirmed.Revision {
 			state.TrackReads()
 			read(state)
@@ -127,14 +130,14 @@
 				confirmed.Revision = state.Revision()
 				return confirmed, nil
 			}
-			what = what.Union(tracked)
-			reads++
+			interest = interest.Union(tracked)
+			incompleteReads++
 			continue
 		}
 		if err != nil {
-			lastErr = fmt.Errorf("%w: %w", &store.NotHeldError{Interest: what}, err)
+			lastErr = fmt.Errorf("%w: %w", &store.NotHeldError{Interest: interest}, err)
 		}
-		at = f.nextReplica(at)
+		index = f.nextReplica(index)
 		f.pause(ctx, delays)
 		if ctx.Err() != nil {
 			return engine.CopyAge{}, errors.Join(lastErr, ctx.Err())
@@ -146,15 +149,15 @@
 	return engine.CopyAge{}, lastErr
 }
 
-// fetchable is an interest that can be requested: all keys, if it is too large or is all keys.
-func fetchable(interest store.Interest) *store.Interest {
+// requestableInterest returns an interest, or nil, which means all keys, if replicas would reject a request for it.
+func requestableInterest(interest store.Interest) *store.Interest {
 	if err := interest.Validate(); err != nil {
 		return nil
 	}
 	return &interest
 }
 
-// copyAge is how old the copy may be. The lock is held.
+// copyAge returns how far the copy may lag behind. The caller holds the lock, and there is a copy.
 func (f *Follower) copyAge() engine.CopyAge {
 	age := engine.CopyAge{Revision: f.mirror.State().Revision(), Confirmed: f.confirmedAt > 0}
 	if age.Confirmed {
@@ -165,7 +168,8 @@
 	return age
 }
 
-// NextChanges returns changes of keys with a prefix after a revision, and waits for one; see engine.Engine.
+// NextChanges returns the changes of keys with a prefix after a revision. It waits until there is at least one; see
+// engine.Engine. The error is a *store.NotHeldError if the copy does not hold all keys with the prefix.
 func (f *Follower) NextChanges(
 	ctx context.Context, prefix string, after uint64, maxEvents int,
 ) (events []store.Event, through uint64, err error) {
@@ -191,12 +195,12 @@
 	}
 }
 
-// CloneState returns a copy of the complete state; see engine.Engine.
+// CloneState returns a clone of the complete state, which a replica sends if the copy is partial; see engine.Engine.
 func (f *Follower) CloneState(ctx context.Context) (*store.State, error) {
-	var saved *store.State
+	var clone *store.State
 	_, err := f.View(ctx, false, func(state *store.State) {
-		state.Range("", "", func(store.Item) bool { return false }) // counts as a read of all keys
-		saved = state.Clone()
+		state.Range("", "", func(store.Item) bool { return false }) // records a read of all keys
+		clone = state.Clone()
 	})
-	return saved, err
+	return clone, err
 }
--- a/internal/store/follower/status.go
+++ b/internal/store/follower/status.go
@@ -9,12 +9,12 @@
 	"birchmoor/internal/store/replica"
 )
 
-// TransferLeadership is an error: a follower does not lead.
+// TransferLeadership returns an error, because a daemon without a replica is never the leader.
 func (f *Follower) TransferLeadership(context.Context) error {
-	return errors.New("this daemon has no replica, and leads nothing")
+	return errors.New("this daemon has no replica and cannot be the leader")
 }
 
-// Status returns how the copy stands.
+// Status returns the status of the copy. Without a copy it has only the follower's name and connection.
 func (f *Follower) Status(context.Context) (engine.Status, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/store/follower/stream.go
+++ b/internal/store/follower/stream.go
@@ -20,29 +20,31 @@
 )
 
 const (
-	silenceTimeout      = 4 * time.Second // of a replica that sends a heartbeat every second
+	silenceTimeout      = 4 * time.Second // replicas send a heartbeat every second
 	maxLineBytes        = 8 << 20
 	initialLineBytes    = 4 << 10
-	maxImmediateRetries = 4 // of requests to one replica, before another is tried
+	maxImmediateRetries = 4 // requests to one replica without a delay, after which another is tried
 )
 
-// errNewRequest ends a stream without a fault of the replica: something else is to be requested from it.
-var errNewRequest = errors.New("something else is to be requested")
+// errNewRequest reports that the follower ended a stream, or did not begin one, because it has to send another request.
+// The replica is not at fault.
+var errNewRequest = errors.New("the follower needs a new request")
 
-// run follows one replica after another until Close. It begins with a random one, so that many followers spread.
+// run follows one replica after another until Close. It begins with a random one, so that followers are spread over the
+// replicas.
 func (f *Follower) run() {
-	at := rand.IntN(len(f.cfg.Replicas))
+	index := rand.IntN(len(f.cfg.Replicas))
 	delays := newBackoff()
 	retries := 0
 	for f.ctx.Err() == nil {
-		received, err := f.followReplica(at)
+		received, err := f.followReplica(index)
 		f.mu.Lock()
 		f.connectedTo = ""
 		f.mu.Unlock()
 		if f.ctx.Err() != nil {
 			return
 		}
-		f.cfg.Log.Debug("the stream of a replica ended", "replica", f.cfg.Replicas[at].Name, "error", err)
+		f.cfg.Log.Debug("the stream of a replica ended", "replica", f.cfg.Replicas[index].Name, "error", err)
 		if received {
 			delays.reset()
 			retries = 0
@@ -54,47 +56,48 @@
 			}
 		}
 		retries = 0
-		at = f.nextReplica(at)
+		index = f.nextReplica(index)
 		f.pause(f.ctx, delays)
 	}
 }
 
-func (f *Follower) nextReplica(at int) int { return (at + 1) % len(f.cfg.Replicas) }
+func (f *Follower) nextReplica(index int) int { return (index + 1) % len(f.cfg.Replicas) }
 
-// followReplica requests from a replica what the copy needs next: a state, or a stream, which it receives until
-// that ends or the interest changes. received is true if a heartbeat came.
-func (f *Follower) followReplica(at int) (received bool, err error) {
+// followReplica sends a replica the request that the copy needs next: for a state, or for a stream, which it receives
+// until the stream ends or the interest changes. received is true if a heartbeat arrived. If there are other
+// replicas, the heartbeats of one that is cut off from the quorum do not count.
+func (f *Follower) followReplica(index int) (received bool, err error) {
 	f.mu.Lock()
 	interestChanged := f.interestChanged
 	request := f.mirror.NextRequest()
 	sizePrefixes := f.subscription.SizePrefixes
 	f.mu.Unlock()
 	if request.Snapshot {
-		if err := f.fetch(at, request.Interest); err != nil {
+		if err := f.fetch(index, request.Interest); err != nil {
 			return false, err
 		}
 		return false, errNewRequest
 	}
 	ctx, cancel := context.WithCancel(f.ctx)
 	defer cancel()
-	stopWaiting := callOnClose(interestChanged, cancel)
-	defer stopWaiting()
-	s := &replicaStream{follower: f, at: at, request: request, interestChanged: interestChanged}
-	// A host that is cut off leaves the connection open and sends nothing.
-	s.silence = time.AfterFunc(silenceTimeout, cancel)
-	defer s.silence.Stop()
-	response, err := s.open(ctx, sizePrefixes)
+	stop := callOnClose(interestChanged, cancel)
+	defer stop()
+	stream := &replicaStream{follower: f, index: index, request: request, interestChanged: interestChanged}
+	// The connection to a host that is cut off stays open but delivers nothing.
+	stream.silenceTimer = time.AfterFunc(silenceTimeout, cancel)
+	defer stream.silenceTimer.Stop()
+	response, err := stream.open(ctx, sizePrefixes)
 	if err != nil {
 		return false, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	if accepted, err := s.accept(response); !accepted {
+	if accepted, err := stream.acceptResponse(response); !accepted {
 		return false, err
 	}
-	return s.receive(response.Body)
+	return stream.receive(response.Body)
 }
 
-// callOnClose calls call once a channel is closed, until stop is called.
+// callOnClose starts a goroutine that calls call when a channel is closed, unless stop was called before.
 func callOnClose(closed <-chan struct{}, call func()) (stop func()) {
 	stopped := make(chan struct{})
 	go func() {
@@ -107,37 +110,37 @@
 	return sync.OnceFunc(func() { close(stopped) })
 }
 
-// replicaStream is the stream of changes from one replica.
+// replicaStream is a stream of changes from one replica.
 type replicaStream struct {
 	follower        *Follower
-	at              int // index of the replica
+	index           int // index of the replica in Config.Replicas
 	request         changefeed.FetchRequest
 	interestChanged chan struct{}
-	silence         *time.Timer
+	silenceTimer    *time.Timer
 }
 
-// open requests the stream.
+// open requests the stream. The caller closes the body of the response.
 func (s *replicaStream) open(ctx context.Context, sizePrefixes []string) (*http.Response, error) {
 	f := s.follower
 	query := admin.StreamQuery(s.request.Interest, s.request.After, sizePrefixes)
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, f.url(s.at, admin.StreamPath, query), nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, f.url(s.index, admin.StreamPath, query), nil)
 	if err != nil {
 		return nil, err
 	}
-	response, err := f.clients[s.at].Do(request)
+	response, err := f.clients[s.index].Do(request)
 	if err != nil {
-		return nil, s.endedBy(err)
+		return nil, s.endReason(err)
 	}
 	f.cfg.Usage.Count(usage.Heartbeats, usage.Out, 1, 0)
 	return response, nil
 }
 
-// accept takes the status and the header of a response, and reports whether its lines are to be received. If
-// not, and without an error, the copy was fetched anew.
-func (s *replicaStream) accept(response *http.Response) (bool, error) {
+// acceptResponse evaluates the status and the header of a response and reports whether its lines can be received. If it
+// returns false without an error, the copy was fetched again.
+func (s *replicaStream) acceptResponse(response *http.Response) (bool, error) {
 	f := s.follower
 	if response.StatusCode == http.StatusGone {
-		return false, f.fetch(s.at, s.request.Interest)
+		return false, f.fetch(s.index, s.request.Interest)
 	}
 	if response.StatusCode != http.StatusOK {
 		f.cfg.Usage.Count(usage.Heartbeats, usage.In, 1, int(max(0, response.ContentLength)))
@@ -149,21 +152,21 @@
 	scoped := response.Header.Get(admin.ScopedHeader) != ""
 	f.mu.Lock()
 	narrowed, needsSnapshot := f.mirror.StreamOpened(scoped)
-	if narrowed { // the file stays: what it has beyond the interest is of use to a start until something changes
+	if narrowed { // the file keeps its further keys, which help the next start, until another change is saved
 		f.stateReplaced()
 	}
 	f.mu.Unlock()
 	if !needsSnapshot {
 		return true, nil
 	}
-	if err := f.fetch(s.at, nil); err != nil {
+	if err := f.fetch(s.index, nil); err != nil {
 		return false, err
 	}
 	return false, errNewRequest
 }
 
-// receive takes lines until the stream ends. received is true if a heartbeat came, and the replica is not cut
-// off from the quorum.
+// receive applies lines until the stream ends. received is true if a heartbeat arrived. If there are other replicas,
+// the heartbeats of one that is cut off from the quorum do not count.
 func (s *replicaStream) receive(body io.Reader) (received bool, err error) {
 	f := s.follower
 	f.mu.Lock()
@@ -172,16 +175,16 @@
 	lines := bufio.NewScanner(body)
 	lines.Buffer(make([]byte, 0, initialLineBytes), maxLineBytes)
 	for lines.Scan() {
-		s.silence.Reset(silenceTimeout)
+		s.silenceTimer.Reset(silenceTimeout)
 		line, err := s.decode(lines.Bytes())
 		if err != nil {
 			return received, err
 		}
 		if line.Error != nil {
-			return received, s.fetchAfter(line.Error)
+			return received, s.fetchIfCompacted(line.Error)
 		}
 		if line.Heartbeat != nil && line.Heartbeat.Cluster != cluster {
-			return received, fmt.Errorf("%w: it is of cluster %x, and this copy of %x",
+			return received, fmt.Errorf("%w: it belongs to cluster %x, but this copy belongs to cluster %x",
 				changefeed.ErrReplicaBehind, line.Heartbeat.Cluster, cluster)
 		}
 		if err := f.applyLine(line); err != nil {
@@ -191,16 +194,16 @@
 			continue
 		}
 		received = true
-		f.applyHeartbeat(s.at, line.Heartbeat)
+		f.applyHeartbeat(s.index, line.Heartbeat)
 		isCutOff := !line.Heartbeat.Confirmed || line.Heartbeat.Age > maxFreshAge
-		if isCutOff && len(f.cfg.Replicas) > 1 { // another may not be
-			return false, fmt.Errorf("%w: no quorum confirms its copy", changefeed.ErrReplicaBehind)
+		if isCutOff && len(f.cfg.Replicas) > 1 { // another replica may reach a quorum
+			return false, fmt.Errorf("%w: no quorum confirmed its copy recently", changefeed.ErrReplicaBehind)
 		}
 	}
-	return received, s.endedBy(cmp.Or(lines.Err(), io.EOF))
+	return received, s.endReason(cmp.Or(lines.Err(), io.EOF))
 }
 
-// decode decodes and counts a line.
+// decode decodes a line and counts it by the purpose of its first event, or as a heartbeat if it has none.
 func (s *replicaStream) decode(text []byte) (*admin.StreamLine, error) {
 	recorder := s.follower.cfg.Usage
 	var line admin.StreamLine
@@ -218,17 +221,17 @@
 	return &line, nil
 }
 
-// fetchAfter fetches a state after an error that a replica sent because its history is compacted. Another error
-// is returned.
-func (s *replicaStream) fetchAfter(sent *admin.ErrorBody) error {
-	if sent.OldestRevision > 0 {
-		return s.follower.fetch(s.at, s.request.Interest)
+// fetchIfCompacted fetches a state if a replica's error says that its history is compacted. Otherwise it returns the
+// replica's error.
+func (s *replicaStream) fetchIfCompacted(errorBody *admin.ErrorBody) error {
+	if errorBody.OldestRevision > 0 {
+		return s.follower.fetch(s.index, s.request.Interest)
 	}
-	return fmt.Errorf("%w: %s", changefeed.ErrReplicaBehind, sent.Error)
+	return fmt.Errorf("%w: %s", changefeed.ErrReplicaBehind, errorBody.Error)
 }
 
-// endedBy is the error with which a stream ended: errNewRequest if that was because the interest changed.
-func (s *replicaStream) endedBy(err error) error {
+// endReason returns errNewRequest if a stream ended because the interest changed, else err.
+func (s *replicaStream) endReason(err error) error {
 	select {
 	case <-s.interestChanged:
 		return errNewRequest
@@ -237,7 +240,8 @@
 	}
 }
 
-// applyLine applies what changed, and the revision up to which that is complete.
+// applyLine applies the events of a line, calls OnEvent with them, and advances the copy to the revision up to which
+// the line is complete. If the events change durable keys, it saves the copy before it calls OnEvent.
 func (f *Follower) applyLine(line *admin.StreamLine) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -245,13 +249,13 @@
 	if err != nil {
 		return err
 	}
-	isDurable := false
+	mustSave := false
 	for _, event := range events {
 		isSaved := f.mirror.State().Interest() == nil || f.subscription.Retained.Covers(event.Item.Key)
 		f.unsaved = f.unsaved || isSaved
-		isDurable = isDurable || f.subscription.Durable.Covers(event.Item.Key)
+		mustSave = mustSave || f.subscription.Durable.Covers(event.Item.Key)
 	}
-	if isDurable {
+	if mustSave {
 		f.saveBeforeEffect()
 	}
 	if f.cfg.OnEvent != nil {
@@ -270,8 +274,8 @@
 	return nil
 }
 
-// applyEvents applies and returns the events of a line: one of a stream of all keys, or all of one revision.
-// The lock is held.
+// applyEvents applies and returns the events of a line: a single one in a stream of all keys, or all of one revision.
+// The caller holds the lock.
 func (f *Follower) applyEvents(line *admin.StreamLine) ([]store.Event, error) {
 	switch {
 	case line.Event != nil:
@@ -282,9 +286,10 @@
 	return nil, nil
 }
 
-// applyHeartbeat takes how a replica stands, and calls the hooks.
-func (f *Follower) applyHeartbeat(at int, heartbeat *admin.Heartbeat) {
-	confirmed, isFirst := f.recordHeartbeat(at, heartbeat)
+// applyHeartbeat records a heartbeat of a replica and calls the hooks with its contents. Only the goroutine of run may
+// call it.
+func (f *Follower) applyHeartbeat(index int, heartbeat *admin.Heartbeat) {
+	confirmed, isFirst := f.recordHeartbeat(index, heartbeat)
 	if confirmed && f.cfg.OnConfirmed != nil {
 		f.cfg.OnConfirmed(heartbeat.Age)
 	}
@@ -306,21 +311,22 @@
 	}
 }
 
-// recordHeartbeat reports whether a heartbeat confirms the copy, and whether it is the first to do so.
-func (f *Follower) recordHeartbeat(at int, heartbeat *admin.Heartbeat) (confirmed, isFirst bool) {
+// recordHeartbeat records the connection and, if the heartbeat confirms the copy, the time of the confirmation. isFirst
+// is true for the first confirmation since Open.
+func (f *Follower) recordHeartbeat(index int, heartbeat *admin.Heartbeat) (confirmed, isFirst bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.connectedTo = f.cfg.Replicas[at].Addr
+	f.connectedTo = f.cfg.Replicas[index].Addr
 	if !heartbeat.Confirmed || !f.mirror.HasRevision(heartbeat.Revision) {
 		return false, false
 	}
 	isFirst = f.confirmedAt == 0
-	const notNever = 1 // nanosecond
-	f.confirmedAt = max(f.confirmedAt, time.Since(f.startedAt)-heartbeat.Age, notNever)
+	const minConfirmedAt = 1 // nanosecond; 0 means that no quorum has confirmed the copy
+	f.confirmedAt = max(f.confirmedAt, time.Since(f.startedAt)-heartbeat.Age, minConfirmedAt)
 	return true, isFirst
 }
 
-// hasHeartbeat reports whether a heartbeat came since the start. Only the goroutine of run may call it.
+// hasHeartbeat reports whether a heartbeat has arrived since Open. Only the goroutine of run may call it.
 func (f *Follower) hasHeartbeat() bool {
 	select {
 	case <-f.firstHeartbeat:
--- a/internal/store/follower/usage_test.go
+++ b/internal/store/follower/usage_test.go
@@ -16,31 +16,36 @@
 	"birchmoor/internal/testutil/processtest"
 )
 
-// A follower and its replica count the same messages and bytes, in each direction and for each purpose, and the
-// replica as many entries as the follower proposed. A stream of all keys has a line for each event; one of an
-// interest has a line for a transaction, which counts for the purpose of its first key.
+// A follower and its replica count the same messages and bytes in each direction and for each purpose, and the replica
+// counts the entries that the follower proposed. A stream of all keys has a line for each event. A stream of an
+// interest has a line for each transaction, which counts for the purpose of its first key.
 func TestFollowerAndReplicaCountTheSameUsage(t *testing.T) {
-	part := changefeed.Subscription{Interest: prefixes("known/h/", "out/"), SizePrefixes: []string{"known/"}}
+	partialSubscription := changefeed.Subscription{
+		Interest:     prefixInterest("known/h/", "out/"),
+		SizePrefixes: []string{"known/"},
+	}
 	t.Run("all", func(t *testing.T) {
-		testUsage(t, nil, eventLines{serverReports: 4, moduleSnapshots: 5})
+		testUsageCounts(t, nil, eventLineCounts{serverReports: 4, moduleSnapshots: 5})
 	})
 	t.Run("own", func(t *testing.T) {
-		subscription := func() changefeed.Subscription { return part }
-		testUsage(t, subscription, eventLines{serverReports: 4, moduleSnapshots: 3})
+		subscription := func() changefeed.Subscription { return partialSubscription }
+		testUsageCounts(t, subscription, eventLineCounts{serverReports: 4, moduleSnapshots: 3})
 	})
 }
 
-// eventLines are the lines of events that a follower receives, by purpose.
-type eventLines struct{ serverReports, moduleSnapshots uint64 }
+// eventLineCounts has the number of lines with events that a follower receives, by purpose.
+type eventLineCounts struct{ serverReports, moduleSnapshots uint64 }
 
-func testUsage(t *testing.T, subscription func() changefeed.Subscription, lines eventLines) {
+// testUsageCounts checks the usage that a follower with a subscription and its replica count; a nil subscription means
+// all keys.
+func testUsageCounts(t *testing.T, subscription func() changefeed.Subscription, lines eventLineCounts) {
 	t.Helper()
 	purposes := []usage.Prefix{
 		{Prefix: "out/", Purpose: usage.ServerReports},
 		{Prefix: "known/", Purpose: usage.ModuleSnapshots},
 	}
-	ofFollower, ofReplica := usage.New(purposes...), usage.New(purposes...)
-	replica, addr := startReplica(t, ofReplica)
+	followerUsage, replicaUsage := usage.New(purposes...), usage.New(purposes...)
+	replica, addr := startReplica(t, replicaUsage)
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	processtest.Until(t, "the replica leads", func() bool {
@@ -54,23 +59,23 @@
 	dir := t.TempDir()
 	f, err := Open(Config{
 		Name: "h", Dir: dir, Replicas: []Replica{{Name: "a", Addr: addr}}, FirstCopyTimeout: testTimeout,
-		Log: slog.New(slog.DiscardHandler), Usage: ofFollower, Subscription: subscription,
+		Log: slog.New(slog.DiscardHandler), Usage: followerUsage, Subscription: subscription,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	exchangeMessages(ctx, t, f, replica)
-	replicaReading := checkSameMessages(t, ofFollower, ofReplica, lines)
+	replicaReading := checkSameMessages(t, followerUsage, replicaUsage, lines)
 	if err := f.Close(); err != nil {
 		t.Fatal(err)
 	}
-	checkFileUsage(t, ofFollower, filepath.Join(dir, "copy"))
+	checkFileUsage(t, followerUsage, filepath.Join(dir, "copy"))
 	var messageBytes uint64
 	for _, purpose := range replicaReading.Purposes {
 		messageBytes += purpose.BytesOut
 	}
-	if c := ofReplica.Read().Connections; c.Opened == 0 || c.BytesOut <= messageBytes {
-		t.Errorf("%+v, of which %d bytes of messages", c, messageBytes)
+	if connections := replicaUsage.Read().Connections; connections.Opened == 0 || connections.BytesOut <= messageBytes {
+		t.Errorf("connections %+v; want at least one, and more bytes than the %d of messages", connections, messageBytes)
 	}
 }
 
@@ -92,12 +97,12 @@
 		do(putCommand("out/drain/x", "v"))
 		do(putCommand("known/h/", "v"))
 	}
-	// Two lines of a stream of all keys, one line of another.
+	// This transaction is two lines in a stream of all keys, and one line in a stream of an interest.
 	do(store.Command{Txn: &store.Txn{Then: []store.Op{
 		{Key: "out/drain/y", Value: []byte("v")}, {Key: "known/h/", Value: []byte("w")},
 	}}})
 	do(store.Command{RevokeLease: &store.RevokeLease{LeaseID: lease, Owner: "h"}})
-	// Another daemon's snapshot, of which a part is sent the progress alone.
+	// A follower with a partial copy receives only the progress for this snapshot of another daemon.
 	if _, err := replica.Do(ctx, putCommand("known/other/", "v")); err != nil {
 		t.Fatal(err)
 	}
@@ -105,25 +110,27 @@
 		t.Fatal(err)
 	}
 	if _, err := f.Do(ctx, renewal); !errors.Is(err, store.ErrLeaseNotFound) {
-		t.Fatalf("a lease that was revoked: %v", err)
+		t.Fatalf("renewal of a revoked lease: error %v, want ErrLeaseNotFound", err)
 	}
 }
 
-// checkSameMessages waits until both ends have counted the same, since a heartbeat may be in flight, checks the
-// counts, and returns those of the replica.
-func checkSameMessages(t *testing.T, ofFollower, ofReplica *usage.Recorder, lines eventLines) usage.Reading {
+// checkSameMessages waits until both ends have counted the same, since a heartbeat may be in flight. It checks the
+// counts and returns the replica's reading.
+func checkSameMessages(t *testing.T, followerUsage, replicaUsage *usage.Recorder, lines eventLineCounts) usage.Reading {
 	t.Helper()
 	var follower, replica usage.Reading
 	var difference string
 	processtest.Until(t, "both ends agree", func() bool {
-		replica, follower = ofReplica.Read(), ofFollower.Read()
+		replica, follower = replicaUsage.Read(), followerUsage.Read()
 		difference = ""
-		for i, a := range follower.Purposes {
-			b := replica.Purposes[i]
-			sameMessages := a.MessagesIn == b.MessagesOut && a.MessagesOut == b.MessagesIn
-			sameBytes := a.BytesIn == b.BytesOut && a.BytesOut == b.BytesIn
+		for i, followerCounts := range follower.Purposes {
+			replicaCounts := replica.Purposes[i]
+			sameMessages := followerCounts.MessagesIn == replicaCounts.MessagesOut &&
+				followerCounts.MessagesOut == replicaCounts.MessagesIn
+			sameBytes := followerCounts.BytesIn == replicaCounts.BytesOut &&
+				followerCounts.BytesOut == replicaCounts.BytesIn
 			if !sameMessages || !sameBytes {
-				difference = fmt.Sprintf("the follower: %+v\nits replica: %+v", a, b)
+				difference = fmt.Sprintf("the follower counted %+v\nits replica counted %+v", followerCounts, replicaCounts)
 			}
 		}
 		return difference == "" && follower.Purposes[usage.Heartbeats].MessagesIn > 0
@@ -137,22 +144,23 @@
 		usage.Requests:        {1, 1, 0, 0},
 		usage.Settings:        {},
 	} {
-		a, b := follower.Purposes[purpose], replica.Purposes[purpose]
-		got := counts{a.MessagesIn, a.MessagesOut, b.Proposed, b.Applied}
-		if got != want || (a.BytesIn > 0) != (want.in > 0) || (b.AppliedBytes > 0) != (want.applied > 0) {
-			t.Errorf("%v: got %+v, want %+v; %+v, %+v", purpose, got, want, a, b)
+		followerCounts, replicaCounts := follower.Purposes[purpose], replica.Purposes[purpose]
+		got := counts{followerCounts.MessagesIn, followerCounts.MessagesOut, replicaCounts.Proposed, replicaCounts.Applied}
+		if got != want || (followerCounts.BytesIn > 0) != (want.in > 0) ||
+			(replicaCounts.AppliedBytes > 0) != (want.applied > 0) {
+			t.Errorf("%v: got %+v, want %+v; %+v, %+v", purpose, got, want, followerCounts, replicaCounts)
 		}
 	}
 	if streams := follower.Purposes[usage.Heartbeats].MessagesOut; streams != 1 {
-		t.Errorf("the stream was begun %d times", streams)
+		t.Errorf("the follower requested %d streams, want 1", streams)
 	}
 	if log := replica.Written[usage.LogFile]; log.Bytes == 0 || log.Syncs != 0 { // this disk does not sync
-		t.Errorf("%+v", log)
+		t.Errorf("the replica counted %+v for its log, want bytes and no syncs", log)
 	}
 	return replica
 }
 
-// checkFileUsage checks what was counted of writing the copy's file, once or several times.
+// checkFileUsage checks the counted syncs and bytes of the copy's file, which was written at least once.
 func checkFileUsage(t *testing.T, recorder *usage.Recorder, path string) {
 	t.Helper()
 	info, err := os.Stat(path)
@@ -162,6 +170,6 @@
 	size := uint64(info.Size())
 	written := recorder.Read().Written[usage.CopyFile]
 	if written.Syncs == 0 || written.Bytes < size || written.Syncs == 1 && written.Bytes != size {
-		t.Errorf("%+v, and the file has %d bytes", written, size)
+		t.Errorf("counted %+v for a file of %d bytes", written, size)
 	}
 }
