--- a/internal/store/changefeed/feed.go
+++ b/internal/store/changefeed/feed.go
@@ -1,10 +1,10 @@
-// Package changefeed carries the changes of the store to copies of it, complete ones and such as hold a part:
-// Feed, Stream and Sender are a replica's half, Mirror is a follower's. It does no I/O, reads no clock and
-// draws nothing at random: changes, messages and snapshots come in, what is to be sent or requested comes out.
-// It may import package store and nothing else of birchmoor.
+// Package changefeed carries the changes of the store to complete and partial copies of it. Feed, Stream and Sender are
+// the replica's half, Mirror is the follower's. The package does no I/O, reads no clock and uses no random numbers: its
+// callers pass it changes, messages and snapshots, and it returns what they must send or request. It may import package
+// store and nothing else of birchmoor.
 //
-// What it guarantees (docs/design/interest.md): a copy at revision R holds of its interest what a replica held
-// at R, key by key, and says of no other key whether it exists.
+// Its guarantee (docs/design/interest.md): a copy at revision R has the same items as a replica had at R for all keys
+// of its interest, and reports of no other key whether it exists.
 package changefeed
 
 import (
@@ -14,14 +14,14 @@
 	"birchmoor/internal/store"
 )
 
-// Change is one event, encoded once for all followers to whom it is sent.
+// Change is an event that is encoded once for all followers that receive it.
 type Change struct {
 	store.Event
 	once    sync.Once
 	encoded []byte
 }
 
-// JSON is the event as followers receive it. Any goroutine may call it.
+// JSON returns the event as followers receive it. It is safe for concurrent use. The caller must not modify the result.
 func (c *Change) JSON() []byte {
 	c.once.Do(func() {
 		encoded, err := json.Marshal(&c.Event)
@@ -33,13 +33,13 @@
 	return c.encoded
 }
 
-// Batch is what one revision changed of a stream's interest.
+// Batch has all changes of one revision to the keys of a stream's interest, at least one.
 type Batch struct {
 	Revision uint64
 	Changes  []*Change
 }
 
-// appendChange appends a change to the batch of its revision, which is the last one or a new one.
+// appendChange appends a change to the last batch, if that has the same revision, or to a new one.
 func appendChange(batches []Batch, change *Change) []Batch {
 	last := len(batches) - 1
 	if last >= 0 && batches[last].Revision == change.Revision {
@@ -51,20 +51,20 @@
 
 type streamSet map[*Stream]struct{}
 
-// Feed distributes the changes of a replica to streams. The cost of a change grows with the streams whose
-// interest covers it and with the number of different lengths of all prefixes, not with the number of streams.
-// All methods may be called by any goroutine.
+// Feed distributes the changes of a replica to streams. The cost of a change is proportional to the number of streams
+// whose interest covers it plus the number of different prefix lengths, not to the number of all streams. Its methods
+// are safe for concurrent use.
 type Feed struct {
 	mu         sync.Mutex
 	defect     Defect
-	position   uint64        // the revision up to which all is distributed
-	advanced   chan struct{} // closed and replaced when position increases
-	unfiltered streamSet
-	byKey      map[string]streamSet
-	byPrefix   map[int]map[string]streamSet // by the prefix's length, then by the prefix
+	position   uint64                       // revision up to which all changes are distributed
+	advanced   chan struct{}                // closed and replaced when position increases
+	unfiltered streamSet                    // streams of all keys
+	byKey      map[string]streamSet         // streams by key of their interest
+	byPrefix   map[int]map[string]streamSet // streams by length of a prefix of their interest, then by the prefix
 }
 
-// New returns a feed that has distributed all changes up to a revision.
+// New returns a feed that begins with the changes after a revision.
 func New(position uint64, defect Defect) *Feed {
 	return &Feed{
 		position:   position,
@@ -76,24 +76,26 @@
 	}
 }
 
-// Position is the revision up to which all changes are distributed, and a channel that is closed once it increases.
+// Position returns the revision up to which all changes are distributed, and a channel that is closed when it
+// increases.
 func (f *Feed) Position() (revision uint64, advanced <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.position, f.advanced
 }
 
-// Subscribe begins a stream of the changes of an interest, nil for all keys, after the revision that it returns.
+// Subscribe returns a stream of the changes to the keys of an interest, and the revision after which the stream begins.
+// A nil interest means all keys. The caller must call Unsubscribe.
 func (f *Feed) Subscribe(interest *store.Interest) (stream *Stream, after uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	// In a normalized interest one entry alone covers a key, so that no change is added to a stream twice.
+	// Only one entry of a normalized interest covers a key, so that no change is added to a stream twice.
 	stream = &Stream{feed: f, interest: normalized(interest), ready: make(chan struct{}, 1)}
 	f.eachSet(stream, func(set streamSet) { set[stream] = struct{}{} })
 	return stream, f.position
 }
 
-// Unsubscribe ends a stream.
+// Unsubscribe removes a stream, which receives no further changes.
 func (f *Feed) Unsubscribe(stream *Stream) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -103,8 +105,7 @@
 	}
 }
 
-// eachSet calls visit with each set to which a stream belongs, and creates those that do not exist. The lock is
-// held.
+// eachSet calls visit with each set that a stream belongs to, and creates missing sets. The caller holds the lock.
 func (f *Feed) eachSet(stream *Stream, visit func(streamSet)) {
 	if stream.interest == nil {
 		visit(f.unfiltered)
@@ -117,19 +118,19 @@
 		visit(f.byKey[key])
 	}
 	for _, prefix := range stream.interest.Prefixes {
-		ofLength := f.byPrefix[len(prefix)]
-		if ofLength == nil {
-			ofLength = map[string]streamSet{}
-			f.byPrefix[len(prefix)] = ofLength
+		sets := f.byPrefix[len(prefix)]
+		if sets == nil {
+			sets = map[string]streamSet{}
+			f.byPrefix[len(prefix)] = sets
 		}
-		if ofLength[prefix] == nil {
-			ofLength[prefix] = streamSet{}
+		if sets[prefix] == nil {
+			sets[prefix] = streamSet{}
 		}
-		visit(ofLength[prefix])
+		visit(sets[prefix])
 	}
 }
 
-// removeEmptySets forgets the entries of an interest that no stream has any more. The lock is held.
+// removeEmptySets removes the sets of the entries of an interest that have no streams left. The caller holds the lock.
 func (f *Feed) removeEmptySets(interest *store.Interest) {
 	for _, key := range interest.Keys {
 		if len(f.byKey[key]) == 0 {
@@ -137,18 +138,18 @@
 		}
 	}
 	for _, prefix := range interest.Prefixes {
-		ofLength := f.byPrefix[len(prefix)]
-		if len(ofLength[prefix]) == 0 {
-			delete(ofLength, prefix)
+		sets := f.byPrefix[len(prefix)]
+		if len(sets[prefix]) == 0 {
+			delete(sets, prefix)
 		}
-		if len(ofLength) == 0 {
+		if len(sets) == 0 {
 			delete(f.byPrefix, len(prefix))
 		}
 	}
 }
 
-// Advance distributes the events after the feed's position, in their order. They are all that changed up to a
-// revision.
+// Advance distributes the events after the feed's position, in order, and moves the position to a revision. The events
+// must include all changes between the two.
 func (f *Feed) Advance(events []store.Event, revision uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -164,7 +165,7 @@
 	f.notifyAdvanced()
 }
 
-// distribute adds a change to the streams whose interest covers it. The lock is held.
+// distribute adds a change to the streams whose interest covers it. The caller holds the lock.
 func (f *Feed) distribute(change *Change) {
 	for stream := range f.unfiltered {
 		stream.add(change)
@@ -186,8 +187,8 @@
 	}
 }
 
-// Skip closes all streams, since the changes up to a revision are not known here: their followers have to fetch
-// a snapshot.
+// Skip moves the position to a revision up to which the changes are unknown. It closes all streams; their followers
+// have to fetch a snapshot.
 func (f *Feed) Skip(revision uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -210,6 +211,7 @@
 	}
 }
 
+// notifyAdvanced wakes the goroutines that wait for the position to increase. The caller holds the lock.
 func (f *Feed) notifyAdvanced() {
 	close(f.advanced)
 	f.advanced = make(chan struct{})
--- a/internal/store/changefeed/mirror.go
+++ b/internal/store/changefeed/mirror.go
@@ -7,28 +7,29 @@
 	"birchmoor/internal/store"
 )
 
-// ErrReplicaBehind reports a replica whose revision is lower than that of the mirror, or that is of another
-// cluster.
-var ErrReplicaBehind = errors.New("the replica cannot be followed")
+// ErrCannotFollow reports that a replica cannot be followed, because its revision is lower than the mirror's or
+// because it belongs to another cluster. Package follower also returns it for a replica that sends an unusable answer.
+var ErrCannotFollow = errors.New("cannot follow the replica")
 
-// Mirror is a follower's half of the feed: what it holds, what it is to hold, and what it has to request. It is
-// not safe for concurrent use.
+// Mirror is the follower's half of the feed. It holds the copy and determines what to request from a replica next. It
+// is not safe for concurrent use.
 type Mirror struct {
-	state    *store.State    // nil: nothing yet
-	interest *store.Interest // what it is to hold; nil: all keys
-	restored bool            // state is what an earlier process saved
+	state    *store.State    // the copy; nil: there is none yet
+	interest *store.Interest // keys that the copy must hold; nil: all keys
+	restored bool            // state was saved by an earlier process
 	defect   Defect
 }
 
-// NewMirror returns a mirror that holds nothing yet and is to hold an interest; nil is all keys.
+// NewMirror returns a mirror without a copy for an interest; nil means all keys.
 func NewMirror(interest *store.Interest, defect Defect) *Mirror {
 	return &Mirror{interest: normalized(interest), defect: defect}
 }
 
-// State is what the mirror holds, or nil.
+// State returns the copy, or nil if there is none yet. The caller must not modify it.
 func (m *Mirror) State() *store.State { return m.state }
 
-// SetInterest sets what the mirror is to hold, nil for all keys, and reports whether that changed.
+// SetInterest sets the interest and reports whether it changed; nil means all keys. The copy changes only when the
+// replica has answered the next request.
 func (m *Mirror) SetInterest(interest *store.Interest) (changed bool) {
 	interest = normalized(interest)
 	if equalInterests(m.interest, interest) {
@@ -38,14 +39,15 @@
 	return true
 }
 
-// FetchRequest is what is to be requested from a replica next.
+// FetchRequest describes a request to a replica, for a snapshot or for a stream of changes.
 type FetchRequest struct {
-	Snapshot bool            // a snapshot; else a stream of changes
+	Snapshot bool            // request a snapshot instead of a stream
 	Interest *store.Interest // nil: all keys
-	After    uint64          // the stream begins after this revision
+	After    uint64          // revision after which the stream begins; 0 for a snapshot
 }
 
-// NextRequest returns what is to be requested next.
+// NextRequest returns the request to send next: for a snapshot if the copy does not hold the interest, else for a
+// stream.
 func (m *Mirror) NextRequest() FetchRequest {
 	request := FetchRequest{Interest: m.interest, Snapshot: m.needsSnapshot()}
 	if !request.Snapshot {
@@ -64,24 +66,24 @@
 	return !coversInterest(m.state.Interest(), m.interest)
 }
 
-// Replace takes a snapshot of a replica in the place of the state. The error wraps ErrReplicaBehind, and
-// nothing changes, if it is older than the state or of another cluster.
+// Replace replaces the copy by a replica's snapshot. If the snapshot is older than the copy or of another cluster, it
+// returns an error that wraps ErrCannotFollow and changes nothing.
 func (m *Mirror) Replace(snapshot *store.State) error {
-	have := m.state
-	if have == nil {
+	current := m.state
+	if current == nil {
 		m.adopt(snapshot, false)
 		return nil
 	}
-	older := snapshot.Revision() < have.Revision() && m.defect != WidenFromOlder
-	if older || snapshot.Cluster() != have.Cluster() {
-		return fmt.Errorf("%w: revision %d of cluster %x, and here is revision %d of cluster %x", ErrReplicaBehind,
-			snapshot.Revision(), snapshot.Cluster(), have.Revision(), have.Cluster())
+	older := snapshot.Revision() < current.Revision() && m.defect != WidenFromOlder
+	if older || snapshot.Cluster() != current.Cluster() {
+		return fmt.Errorf("%w: it has revision %d of cluster %x, but this copy has revision %d of cluster %x",
+			ErrCannotFollow, snapshot.Revision(), snapshot.Cluster(), current.Revision(), current.Cluster())
 	}
 	m.adopt(snapshot, false)
 	return nil
 }
 
-// Restore takes what an earlier process saved.
+// Restore replaces the copy by a state that an earlier process saved.
 func (m *Mirror) Restore(saved *store.State) { m.adopt(saved, true) }
 
 func (m *Mirror) adopt(state *store.State, restored bool) {
@@ -89,26 +91,26 @@
 	m.restored = restored
 }
 
-// StreamOpened takes how a replica answered a request for the changes of an interest. scoped says that it sends
-// those of the interest alone; a replica of an older version sends all. needsSnapshot says that a snapshot of
-// all keys has to be fetched from that replica first. narrowed says that the state was cut down to the
-// interest, since changes of the rest are not sent.
+// StreamOpened processes a replica's answer to a request for a stream of an interest. scoped is true if the replica
+// sends only the changes of the interest; a replica of an older version sends all changes. narrowed is true if the copy
+// was reduced to the interest, because changes of other keys will not arrive. needsSnapshot is true if the caller must
+// first fetch a snapshot of all keys from that replica.
 func (m *Mirror) StreamOpened(scoped bool) (narrowed, needsSnapshot bool) {
-	have := m.state.Interest()
+	heldInterest := m.state.Interest()
 	if !scoped {
-		return false, have != nil
+		return false, heldInterest != nil
 	}
-	if m.interest == nil || equalInterests(have, m.interest) {
+	if m.interest == nil || equalInterests(heldInterest, m.interest) {
 		return false, false
 	}
-	if m.defect == NarrowRetains && coversInterest(have, m.interest) {
+	if m.defect == NarrowRetains && coversInterest(heldInterest, m.interest) {
 		return false, false
 	}
 	m.state = m.state.SubsetWithHistory(*m.interest)
 	return true, false
 }
 
-// ApplyRevision applies all that one revision changed of the interest.
+// ApplyRevision applies all changes of one revision to the keys of the interest.
 func (m *Mirror) ApplyRevision(events []store.Event) error {
 	if m.defect == RevisionSplit && len(events) > 1 {
 		events = events[:1]
@@ -116,10 +118,10 @@
 	return m.state.ApplyEvents(events)
 }
 
-// ApplyEvent applies one change of a replica that sends all changes one by one.
+// ApplyEvent applies one change from a stream of all keys, in which changes arrive one by one.
 func (m *Mirror) ApplyEvent(event store.Event) error { return m.state.ApplyEvent(event) }
 
-// Progress takes a revision up to which the replica left out no change of the interest.
+// Progress advances the copy to a revision up to which the replica has sent all changes of the interest.
 func (m *Mirror) Progress(revision uint64) error {
 	if m.defect == ProgressRegresses && revision < m.state.Revision() {
 		return nil
@@ -127,27 +129,27 @@
 	return m.state.AdvanceRevision(revision)
 }
 
-// HasRevision reports whether the state is at a revision or beyond, so that a quorum's confirmation of the
-// revision applies to it, too.
+// HasRevision reports whether the copy includes a revision. If it does, a quorum's confirmation of the revision applies
+// to the copy, too.
 func (m *Mirror) HasRevision(revision uint64) bool {
 	return m.state != nil && revision <= m.state.Revision()
 }
 
-// Retained is a copy of what is to be saved for the next process: of a state of all keys all, of a part what an
-// interest covers of it.
+// Retained returns a clone of the part of the copy that is saved for the next process: a complete copy as a whole, of a
+// partial copy the keys that an interest covers.
 func (m *Mirror) Retained(interest store.Interest) *store.State {
-	have := m.state.Interest()
-	if have == nil {
+	heldInterest := m.state.Interest()
+	if heldInterest == nil {
 		return m.state.Clone()
 	}
-	return m.state.Subset(intersect(*have, interest))
+	return m.state.Subset(intersect(*heldInterest, interest))
 }
 
-// Read calls read with the state, and returns what it read. complete is false if it read something that the
-// mirror does not hold; what read made of that is void.
-func (m *Mirror) Read(read func(*store.State)) (what store.Interest, complete bool) {
+// Read calls read with the copy and returns the keys that it read, or none for a complete copy. complete is false if it
+// read keys that the copy does not hold; the caller must then discard the results of read.
+func (m *Mirror) Read(read func(*store.State)) (keysRead store.Interest, complete bool) {
 	m.state.TrackReads()
 	read(m.state)
-	what, complete = m.state.TrackedReads()
-	return what, complete || m.defect == NotHeldAsAbsent
+	keysRead, complete = m.state.TrackedReads()
+	return keysRead, complete || m.defect == NotHeldAsAbsent
 }
--- a/internal/store/changefeed/sender.go
+++ b/internal/store/changefeed/sender.go
@@ -6,26 +6,27 @@
 	"birchmoor/internal/store"
 )
 
-// Sender decides what is sent to one follower of its interest: first, from the history, what changed while it
-// was not connected, then what changes. It is not safe for concurrent use.
+// Sender determines what a replica sends to one follower: first the changes from the history that the follower missed
+// while it was not connected, then the changes of the stream. It is not safe for concurrent use.
 type Sender struct {
 	*Stream
-	streamStart    uint64 // the stream has the changes after this revision
-	requestedAfter uint64 // the follower's revision when it connected
-	sentThrough    uint64 // the revision up to which everything was taken for sending
-	announced      uint64 // the last revision up to which it was announced that the follower has everything
+	streamStart      uint64 // revision after which the stream has all changes
+	initialRevision  uint64 // the follower's revision when it connected
+	sentThrough      uint64 // revision up to which all changes were returned for sending
+	announcedThrough uint64 // last revision that was returned to be announced as progress
 }
 
-// NewSender begins to send the changes of an interest to a follower that has everything up to a revision. The
-// stream is to be ended by Unsubscribe.
+// NewSender returns a sender for a follower whose copy of an interest includes all changes up to a revision. A nil
+// interest means all keys. The caller must pass the sender's Stream to Unsubscribe.
 func (f *Feed) NewSender(interest *store.Interest, after uint64) *Sender {
 	stream, start := f.Subscribe(interest)
-	return &Sender{Stream: stream, streamStart: start, requestedAfter: after, sentThrough: after, announced: after}
+	return &Sender{Stream: stream, streamStart: start, initialRevision: after, sentThrough: after, announcedThrough: after}
 }
 
-// CatchUp returns what a state's history has between the follower's revision and the beginning of the stream,
-// from at most maxEvents events at a time, and whether that was all. The error is a *store.CompactedError if
-// the history does not reach back far enough: the follower has to fetch a snapshot.
+// CatchUp returns the next changes between the follower's revision and the start of the stream, from the history of the
+// replica's state. It examines about maxEvents events in a call; done is false if the caller must call it again. The
+// error is a *store.CompactedError if the history does not reach back far enough, so that the follower has to fetch a
+// snapshot.
 func (s *Sender) CatchUp(state *store.State, maxEvents int) (batches []Batch, done bool, err error) {
 	if s.sentThrough >= s.streamStart || s.feed.defect == SubscribeLate {
 		s.sentThrough = max(s.sentThrough, s.streamStart)
@@ -41,10 +42,10 @@
 		return nil, false, err
 	}
 	if through <= s.sentThrough {
-		return nil, false, store.ErrOutOfOrder // the state is not the one with which the stream began
+		return nil, false, store.ErrOutOfOrder // the state is older than the start of the stream
 	}
 	for _, event := range events {
-		if event.Revision <= s.streamStart { // the stream has the later ones
+		if event.Revision <= s.streamStart { // later events are in the stream
 			batches = appendChange(batches, &Change{Event: event})
 		}
 	}
@@ -52,13 +53,12 @@
 	return batches, s.sentThrough >= s.streamStart, nil
 }
 
-// Take returns what is to be sent: complete revisions, in order. through, unless it is 0, is to be announced
-// behind the last of them: the follower was sent everything up to there. With progress set it is returned also
-// if nothing changed. closed says that the follower was too far behind, or the feed skipped changes, and that
-// the stream has ended.
+// Take returns the changes to send next: complete revisions, in order. If through is not 0, the caller announces after
+// the last of them that all changes up to this revision were sent. With progress set, through may be returned without
+// changes. closed is true if the stream has ended, because the follower was too far behind or the feed skipped changes.
 func (s *Sender) Take(progress bool) (batches []Batch, through uint64, closed bool) {
 	batches, position, closed := s.take()
-	for len(batches) > 0 && batches[0].Revision <= s.sentThrough { // the follower is ahead of this replica
+	for len(batches) > 0 && batches[0].Revision <= s.sentThrough { // the follower already has these changes
 		batches = batches[1:]
 	}
 	regresses := s.feed.defect == ProgressRegresses
@@ -66,19 +66,19 @@
 	if regresses {
 		s.sentThrough = position
 	}
-	isNews := s.sentThrough > s.announced || regresses
-	if len(batches) > 0 || progress && isNews {
-		s.announced = s.sentThrough
+	hasProgress := s.sentThrough > s.announcedThrough || regresses
+	if len(batches) > 0 || progress && hasProgress {
+		s.announcedThrough = s.sentThrough
 		through = s.sentThrough
 	}
 	return batches, through, closed
 }
 
-// ConfirmedRevision is what a quorum's confirmation of this replica's revision means for the follower: nothing,
-// if the follower's revision was higher when it connected.
+// ConfirmedRevision converts a quorum's confirmation of this replica's revision into one for the follower. It does not
+// count as confirmed if the follower's revision was higher when it connected.
 func (s *Sender) ConfirmedRevision(revision uint64, confirmed bool) (uint64, bool) {
-	if revision < s.requestedAfter {
-		return s.requestedAfter, false
+	if revision < s.initialRevision {
+		return s.initialRevision, false
 	}
 	return revision, confirmed
 }
--- a/internal/store/changefeed/simulation_test.go
+++ b/internal/store/changefeed/simulation_test.go
@@ -9,41 +9,42 @@
 	"birchmoor/internal/store"
 )
 
-// world is one authority of the store's order, replicas that lag behind it, each by its own amount, and
-// followers that hold parts, in one order of events drawn from a seed. What a follower holds is compared, key
-// by key, with what the authority held at the same revision.
-type world struct {
+// simulation has an authority that executes all commands, replicas that lag behind it by different amounts, and
+// followers with partial copies. The order of events is random, and determined by a seed. The simulation compares the
+// copy of each follower, key by key, with the authority's items at the same revision.
+type simulation struct {
 	rng       *rand.Rand
 	defect    Defect
-	log       []*store.Command
+	log       []*store.Command // commands that the authority executed
 	authority *store.State
-	itemsAt   map[uint64]map[string]store.Item // by revision
+	itemsAt   map[uint64]map[string]store.Item // the authority's items by revision and key
 	replicas  []*replica
 	followers []*follower
 	leases    []uint64
 
-	reads, snapshots, narrowings, compactions, confirmations int // how often a run exercised each path
+	reads, snapshots, narrowings, compactions, confirmations int // number of times that a run exercised each path
 }
 
 type replica struct {
-	state   *store.State
-	applied int
-	feed    *Feed
-	old     bool // of a version that sends all changes of all keys
+	state        *store.State
+	applied      int // number of commands of the log
+	feed         *Feed
+	isOldVersion bool // ignores interests and sends all changes
 }
 
 type follower struct {
-	mirror   *Mirror
-	retained store.Interest
-	file     []byte
-	seen     uint64 // its highest revision since it started
-	replica  *replica
-	sender   *Sender
-	all      bool // is sent all changes, one by one
-	wire     []line
+	mirror          *Mirror
+	retained        store.Interest
+	savedCopy       []byte
+	highestRevision uint64 // of its copy since it started
+	replica         *replica
+	sender          *Sender
+	receivesAllKeys bool       // receives all changes, one by one
+	inFlight        []wireLine // sent by the replica, and not received yet
 }
 
-type line struct {
+// wireLine is a line of a stream: changes, progress or a heartbeat.
+type wireLine struct {
 	events    []store.Event
 	through   uint64
 	heartbeat bool
@@ -51,7 +52,7 @@
 	confirmed bool
 }
 
-var smallLimits = store.Limits{
+var testLimits = store.Limits{
 	KeyBytes: 8, ValueBytes: 16, TotalBytes: 20000, TxnOps: 8, HistoryEvents: 20, HistoryBytes: 4000,
 	Leases: 8, Results: 6, Members: 3,
 }
@@ -65,334 +66,340 @@
 	return all
 }()
 
-func newWorld(seed uint64, defect Defect) *world {
-	w := &world{
+func newSimulation(seed uint64, defect Defect) *simulation {
+	s := &simulation{
 		rng:       rand.New(rand.NewPCG(seed, 39)),
 		defect:    defect,
-		authority: store.New(7, smallLimits),
+		authority: store.New(7, testLimits),
 		itemsAt:   map[uint64]map[string]store.Item{0: {}},
 	}
 	for i := range 3 {
-		old := i == 2 && seed%2 == 1
-		w.replicas = append(w.replicas, &replica{state: store.New(7, smallLimits), feed: New(0, defect), old: old})
+		isOldVersion := i == 2 && seed%2 == 1
+		s.replicas = append(s.replicas, &replica{
+			state: store.New(7, testLimits), feed: New(0, defect), isOldVersion: isOldVersion,
+		})
 	}
 	for range 3 {
-		mirror := NewMirror(w.interest(), defect)
-		w.followers = append(w.followers, &follower{mirror: mirror, retained: *w.partialInterest()})
+		mirror := NewMirror(s.randomInterest(), defect)
+		s.followers = append(s.followers, &follower{mirror: mirror, retained: *s.randomPartialInterest()})
 	}
-	return w
+	return s
 }
 
-// partialInterest draws an interest in some of the keys.
-func (w *world) partialInterest() *store.Interest {
-	var of store.Interest
+// randomPartialInterest returns a random interest that does not cover all keys.
+func (s *simulation) randomPartialInterest() *store.Interest {
+	var interest store.Interest
 	for _, p := range []string{"a/", "b/", "b/x/", "c", "d/", "z"} {
-		if w.rng.IntN(3) == 0 {
-			of.Prefixes = append(of.Prefixes, p)
+		if s.rng.IntN(3) == 0 {
+			interest.Prefixes = append(interest.Prefixes, p)
 		}
 	}
-	for range w.rng.IntN(4) {
-		of.Keys = append(of.Keys, allKeys[w.rng.IntN(len(allKeys))])
+	for range s.rng.IntN(4) {
+		interest.Keys = append(interest.Keys, allKeys[s.rng.IntN(len(allKeys))])
 	}
-	of = store.Interest{}.Union(of)
-	return &of
+	interest = store.Interest{}.Union(interest)
+	return &interest
 }
 
-func (w *world) interest() *store.Interest {
-	if w.rng.IntN(8) == 0 {
+// randomInterest returns nil, which means all keys, or a random partial interest.
+func (s *simulation) randomInterest() *store.Interest {
+	if s.rng.IntN(8) == 0 {
 		return nil
 	}
-	return w.partialInterest()
+	return s.randomPartialInterest()
 }
 
-// command has the authority execute a command.
-func (w *world) command() {
-	c := &store.Command{}
-	key := func() string { return allKeys[w.rng.IntN(len(allKeys))] }
-	switch k := w.rng.IntN(12); {
-	case k == 0:
-		c.GrantLease = &store.GrantLease{TTLMillis: 1000}
-	case k == 1 && len(w.leases) > 0:
-		c.RevokeLease = &store.RevokeLease{LeaseID: w.leases[w.rng.IntN(len(w.leases))]}
+// executeCommand has the authority execute a random command and records its items.
+func (s *simulation) executeCommand() {
+	command := &store.Command{}
+	randomKey := func() string { return allKeys[s.rng.IntN(len(allKeys))] }
+	switch choice := s.rng.IntN(12); {
+	case choice == 0:
+		command.GrantLease = &store.GrantLease{TTLMillis: 1000}
+	case choice == 1 && len(s.leases) > 0:
+		command.RevokeLease = &store.RevokeLease{LeaseID: s.leases[s.rng.IntN(len(s.leases))]}
 	default:
-		c.Txn = &store.Txn{}
-		seen := map[string]bool{}
-		for range 1 + w.rng.IntN(5) {
-			o := store.Op{Key: key(), Delete: w.rng.IntN(3) == 0}
-			if seen[o.Key] {
+		command.Txn = &store.Txn{}
+		used := map[string]bool{}
+		for range 1 + s.rng.IntN(5) {
+			op := store.Op{Key: randomKey(), Delete: s.rng.IntN(3) == 0}
+			if used[op.Key] {
 				continue
 			}
-			seen[o.Key] = true
-			if !o.Delete {
-				o.Value = fmt.Append(nil, len(w.log))
-				if len(w.leases) > 0 && w.rng.IntN(4) == 0 {
-					o.LeaseID = w.leases[w.rng.IntN(len(w.leases))]
+			used[op.Key] = true
+			if !op.Delete {
+				op.Value = fmt.Append(nil, len(s.log))
+				if len(s.leases) > 0 && s.rng.IntN(4) == 0 {
+					op.LeaseID = s.leases[s.rng.IntN(len(s.leases))]
 				}
 			}
-			c.Txn.Then = append(c.Txn.Then, o)
+			command.Txn.Then = append(command.Txn.Then, op)
 		}
 	}
-	r := w.authority.Apply(uint64(len(w.log)+1), c)
-	w.log = append(w.log, c)
-	if c.GrantLease != nil && r.Err == nil {
-		w.leases = append(w.leases, r.LeaseID)
+	result := s.authority.Apply(uint64(len(s.log)+1), command)
+	s.log = append(s.log, command)
+	if command.GrantLease != nil && result.Err == nil {
+		s.leases = append(s.leases, result.LeaseID)
 	}
-	now := map[string]store.Item{}
-	w.authority.Range("", "", func(i store.Item) bool { now[i.Key] = i; return true })
-	w.itemsAt[w.authority.Revision()] = now
+	items := map[string]store.Item{}
+	s.authority.Range("", "", func(i store.Item) bool { items[i.Key] = i; return true })
+	s.itemsAt[s.authority.Revision()] = items
 }
 
-// catchUp has a replica apply some of the commands that it lacks, and sometimes distribute what changed.
-func (w *world) catchUp(r *replica) {
-	if w.rng.IntN(40) == 0 { // the leader sends a snapshot
-		var b bytes.Buffer
-		if err := w.authority.Save(&b); err != nil {
+// catchUp has a replica apply some of the commands that it lacks, and usually distribute changes to its followers.
+func (s *simulation) catchUp(r *replica) {
+	if s.rng.IntN(40) == 0 { // the replica receives a leader's snapshot
+		var snapshot bytes.Buffer
+		if err := s.authority.Save(&snapshot); err != nil {
 			panic(err)
 		}
-		r.state, _ = store.Load(&b)
-		r.applied = len(w.log)
+		r.state, _ = store.Load(&snapshot)
+		r.applied = len(s.log)
 	}
-	for n := w.rng.IntN(6); n > 0 && r.applied < len(w.log); n-- {
-		r.state.Apply(uint64(r.applied+1), w.log[r.applied])
+	for remaining := s.rng.IntN(6); remaining > 0 && r.applied < len(s.log); remaining-- {
+		r.state.Apply(uint64(r.applied+1), s.log[r.applied])
 		r.applied++
 	}
-	if w.rng.IntN(3) > 0 {
-		w.distribute(r)
+	if s.rng.IntN(3) > 0 {
+		s.distribute(r)
 	}
 }
 
-func (w *world) distribute(r *replica) {
-	at, _ := r.feed.Position()
-	events, to, err := r.state.Changes(nil, "", at, 1+w.rng.IntN(8))
+// distribute passes some changes of a replica's history to its feed, or skips them if they are compacted.
+func (s *simulation) distribute(r *replica) {
+	position, _ := r.feed.Position()
+	events, through, err := r.state.Changes(nil, "", position, 1+s.rng.IntN(8))
 	if err != nil {
 		r.feed.Skip(r.state.Revision())
 		return
 	}
-	r.feed.Advance(events, to)
+	r.feed.Advance(events, through)
 }
 
-func (c *follower) disconnect() {
-	if c.sender != nil {
-		c.replica.feed.Unsubscribe(c.sender.Stream)
+func (f *follower) disconnect() {
+	if f.sender != nil {
+		f.replica.feed.Unsubscribe(f.sender.Stream)
 	}
-	c.sender, c.wire = nil, nil
+	f.sender, f.inFlight = nil, nil
 }
 
-// connect has a follower request what it needs of a replica.
-func (w *world) connect(c *follower) {
-	c.disconnect()
-	r := w.replicas[w.rng.IntN(len(w.replicas))]
-	a := c.mirror.NextRequest()
-	of := a.Interest
-	if r.old {
-		of = nil
-	}
-	if a.Snapshot {
-		w.fetch(c, r, of)
+// connect has a follower send its next request to a random replica.
+func (s *simulation) connect(f *follower) {
+	f.disconnect()
+	r := s.replicas[s.rng.IntN(len(s.replicas))]
+	request := f.mirror.NextRequest()
+	interest := request.Interest
+	if r.isOldVersion {
+		interest = nil
+	}
+	if request.Snapshot {
+		s.fetch(f, r, interest)
 		return
 	}
-	if a.Interest != nil {
-		narrowed, needsSnapshot := c.mirror.StreamOpened(!r.old)
+	if request.Interest != nil {
+		narrowed, needsSnapshot := f.mirror.StreamOpened(!r.isOldVersion)
 		if narrowed {
-			w.narrowings++
+			s.narrowings++
 		}
 		if needsSnapshot {
-			w.fetch(c, r, nil)
+			s.fetch(f, r, nil)
 			return
 		}
 	}
-	c.replica, c.all, c.sender = r, of == nil, r.feed.NewSender(of, a.After)
+	f.replica, f.receivesAllKeys, f.sender = r, interest == nil, r.feed.NewSender(interest, request.After)
 	for done := false; !done; {
 		var batches []Batch
 		var err error
-		if batches, done, err = c.sender.CatchUp(r.state, 1+w.rng.IntN(8)); err != nil {
-			w.compactions++
-			c.disconnect()
-			if gone := (*store.CompactedError)(nil); errors.As(err, &gone) {
-				w.fetch(c, r, of)
+		if batches, done, err = f.sender.CatchUp(r.state, 1+s.rng.IntN(8)); err != nil {
+			s.compactions++
+			f.disconnect()
+			if compacted := (*store.CompactedError)(nil); errors.As(err, &compacted) {
+				s.fetch(f, r, interest)
 			}
 			return
 		}
-		c.putOnWire(batches, 0, w.defect)
+		f.enqueue(batches, 0, s.defect)
 	}
 }
 
-func (w *world) fetch(c *follower, r *replica, of *store.Interest) {
-	s := r.state
-	if of != nil {
-		s = s.Subset(*of)
-	}
-	var b bytes.Buffer
-	if err := s.Save(&b); err != nil {
+// fetch has a follower replace its copy by a replica's state of an interest; nil means all keys.
+func (s *simulation) fetch(f *follower, r *replica, interest *store.Interest) {
+	state := r.state
+	if interest != nil {
+		state = state.Subset(*interest)
+	}
+	var encoded bytes.Buffer
+	if err := state.Save(&encoded); err != nil {
 		panic(err)
 	}
-	got, err := store.LoadSubset(&b)
+	snapshot, err := store.LoadSubset(&encoded)
 	if err != nil {
 		panic(err)
 	}
-	if c.mirror.Replace(got) == nil {
-		w.snapshots++
+	if f.mirror.Replace(snapshot) == nil {
+		s.snapshots++
 	}
 }
 
-// putOnWire appends what a sender took.
-func (c *follower) putOnWire(batches []Batch, through uint64, p Defect) {
-	if p == ProgressEarly && through > 0 {
-		c.wire = append(c.wire, line{through: through})
-	}
-	for i, t := range batches {
-		l := line{}
-		for _, x := range t.Changes {
-			l.events = append(l.events, x.Event)
+// enqueue appends the lines that a replica sends for changes and progress.
+func (f *follower) enqueue(batches []Batch, through uint64, defect Defect) {
+	if defect == ProgressEarly && through > 0 {
+		f.inFlight = append(f.inFlight, wireLine{through: through})
+	}
+	for i, batch := range batches {
+		line := wireLine{}
+		for _, change := range batch.Changes {
+			line.events = append(line.events, change.Event)
 		}
 		if i == len(batches)-1 {
-			l.through = through
+			line.through = through
 		}
-		c.wire = append(c.wire, l)
+		f.inFlight = append(f.inFlight, line)
 	}
 	if len(batches) == 0 && through > 0 {
-		c.wire = append(c.wire, line{through: through})
+		f.inFlight = append(f.inFlight, wireLine{through: through})
 	}
 }
 
-// send has the replica that a follower receive say what it has, and sometimes how it stands.
-func (w *world) send(c *follower) {
-	if c.sender == nil {
+// send has the replica to which a follower is connected send pending changes, and sometimes a heartbeat.
+func (s *simulation) send(f *follower) {
+	if f.sender == nil {
 		return
 	}
-	heartbeat := w.rng.IntN(3) == 0
-	revision := c.replica.state.Revision()
+	heartbeat := s.rng.IntN(3) == 0
+	revision := f.replica.state.Revision()
 	if heartbeat {
-		for at, _ := c.replica.feed.Position(); at < revision; at, _ = c.replica.feed.Position() {
-			w.distribute(c.replica)
+		for position, _ := f.replica.feed.Position(); position < revision; position, _ = f.replica.feed.Position() {
+			s.distribute(f.replica)
 		}
 	}
-	batches, through, closed := c.sender.Take(heartbeat || w.rng.IntN(2) == 0)
+	batches, through, closed := f.sender.Take(heartbeat || s.rng.IntN(2) == 0)
 	if closed {
-		c.disconnect()
+		f.disconnect()
 		return
 	}
-	c.putOnWire(batches, through, w.defect)
+	f.enqueue(batches, through, s.defect)
 	if heartbeat {
-		revision, confirmed := c.sender.ConfirmedRevision(revision, true)
-		c.wire = append(c.wire, line{heartbeat: true, revision: revision, confirmed: confirmed})
+		revision, confirmed := f.sender.ConfirmedRevision(revision, true)
+		f.inFlight = append(f.inFlight, wireLine{heartbeat: true, revision: revision, confirmed: confirmed})
 	}
 }
 
-// receive has a follower take some of what is on the wire. The rest is lost when it disconnects.
-func (w *world) receive(c *follower) error {
-	for n := w.rng.IntN(6); n > 0 && len(c.wire) > 0 && c.sender != nil; n-- {
-		l := c.wire[0]
-		c.wire = c.wire[1:]
+// receive has a follower receive some of the lines in flight. The others are lost if it disconnects.
+func (s *simulation) receive(f *follower) error {
+	for remaining := s.rng.IntN(6); remaining > 0 && len(f.inFlight) > 0 && f.sender != nil; remaining-- {
+		line := f.inFlight[0]
+		f.inFlight = f.inFlight[1:]
 		var err error
-		if c.all {
-			for _, e := range l.events {
-				err = errors.Join(err, c.mirror.ApplyEvent(e))
+		if f.receivesAllKeys {
+			for _, event := range line.events {
+				err = errors.Join(err, f.mirror.ApplyEvent(event))
 			}
 		} else {
-			err = c.mirror.ApplyRevision(l.events)
-			if err == nil && l.through > 0 {
-				err = c.mirror.Progress(l.through)
+			err = f.mirror.ApplyRevision(line.events)
+			if err == nil && line.through > 0 {
+				err = f.mirror.Progress(line.through)
 			}
 		}
 		if err != nil {
-			return fmt.Errorf("a message of a replica is rejected: %w", err)
+			return fmt.Errorf("the follower rejected a replica's line: %w", err)
 		}
-		if l.heartbeat && l.confirmed && c.mirror.HasRevision(l.revision) {
-			w.confirmations++
-		} else if l.heartbeat && l.confirmed {
-			return fmt.Errorf("revision %d is confirmed to a follower at revision %d",
-				l.revision, c.mirror.State().Revision())
+		if line.heartbeat && line.confirmed && f.mirror.HasRevision(line.revision) {
+			s.confirmations++
+		} else if line.heartbeat && line.confirmed {
+			return fmt.Errorf("a heartbeat confirms revision %d to a follower at revision %d",
+				line.revision, f.mirror.State().Revision())
 		}
-		if err := w.check(c); err != nil {
+		if err := s.check(f); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// restart ends a follower, which begins again with what it saved.
-func (w *world) restart(c *follower) {
-	c.disconnect()
-	if s := c.mirror.State(); s != nil && w.rng.IntN(2) == 0 {
-		var b bytes.Buffer
-		if err := c.mirror.Retained(c.retained).Save(&b); err != nil {
+// restart replaces a follower by a new one that restores the saved copy, which it may update first.
+func (s *simulation) restart(f *follower) {
+	f.disconnect()
+	if state := f.mirror.State(); state != nil && s.rng.IntN(2) == 0 {
+		var encoded bytes.Buffer
+		if err := f.mirror.Retained(f.retained).Save(&encoded); err != nil {
 			panic(err)
 		}
-		c.file = b.Bytes()
+		f.savedCopy = encoded.Bytes()
 	}
-	c.mirror, c.seen = NewMirror(w.interest(), w.defect), 0
-	if c.file != nil {
-		s, err := store.LoadSubset(bytes.NewReader(c.file))
+	f.mirror, f.highestRevision = NewMirror(s.randomInterest(), s.defect), 0
+	if f.savedCopy != nil {
+		state, err := store.LoadSubset(bytes.NewReader(f.savedCopy))
 		if err != nil {
 			panic(err)
 		}
-		c.mirror.Restore(s)
+		f.mirror.Restore(state)
 	}
 }
 
-// check compares what a follower holds with what the authority held.
-func (w *world) check(c *follower) error {
-	s := c.mirror.State()
-	if s == nil {
+// check compares the copy of a follower with the authority's items at the copy's revision.
+func (s *simulation) check(f *follower) error {
+	state := f.mirror.State()
+	if state == nil {
 		return nil
 	}
-	at := s.Revision()
-	if at < c.seen {
-		return fmt.Errorf("revision %d after %d", at, c.seen)
+	revision := state.Revision()
+	if revision < f.highestRevision {
+		return fmt.Errorf("the copy regressed to revision %d after %d", revision, f.highestRevision)
 	}
-	c.seen = at
-	itemsAt, ok := w.itemsAt[at]
+	f.highestRevision = revision
+	itemsAt, ok := s.itemsAt[revision]
 	if !ok {
-		return fmt.Errorf("revision %d never existed", at)
+		return fmt.Errorf("the copy is at revision %d, which never existed", revision)
 	}
-	of := s.Interest()
+	interest := state.Interest()
 	for _, key := range allKeys {
-		want, there := itemsAt[key]
+		want, wantExists := itemsAt[key]
 		var got store.Item
-		var has bool
-		_, held := c.mirror.Read(func(s *store.State) { got, has = s.Get(key) })
-		w.reads++
-		if within := of == nil || of.Covers(key); !within {
-			if held {
-				return fmt.Errorf("revision %d: %q is read as existing %v, and is not held", at, key, has)
+		var exists bool
+		_, isHeld := f.mirror.Read(func(state *store.State) { got, exists = state.Get(key) })
+		s.reads++
+		if isCovered := interest == nil || interest.Covers(key); !isCovered {
+			if isHeld {
+				return fmt.Errorf("revision %d: key %q is outside the copy's interest, but is read as existing: %v",
+					revision, key, exists)
 			}
 			continue
 		}
 		sameItem := string(got.Value) == string(want.Value) && got.ModRevision == want.ModRevision &&
 			got.Version == want.Version
-		if !held || has != there || !sameItem {
-			return fmt.Errorf("revision %d: %q is %+v (%v, held %v), and was %+v (%v)",
-				at, key, got, has, held, want, there)
+		if !isHeld || exists != wantExists || !sameItem {
+			return fmt.Errorf("revision %d: key %q is %+v (exists %v, held %v), want %+v (exists %v)",
+				revision, key, got, exists, isHeld, want, wantExists)
 		}
 	}
 	return nil
 }
 
-func (w *world) run(steps int) error {
+func (s *simulation) run(steps int) error {
 	for range steps {
-		c := w.followers[w.rng.IntN(len(w.followers))]
-		switch k := w.rng.IntN(100); {
-		case k < 30:
-			w.command()
-		case k < 55:
-			w.catchUp(w.replicas[w.rng.IntN(len(w.replicas))])
-		case k < 70:
-			w.send(c)
-		case k < 88:
-			if err := w.receive(c); err != nil {
+		f := s.followers[s.rng.IntN(len(s.followers))]
+		switch choice := s.rng.IntN(100); {
+		case choice < 30:
+			s.executeCommand()
+		case choice < 55:
+			s.catchUp(s.replicas[s.rng.IntN(len(s.replicas))])
+		case choice < 70:
+			s.send(f)
+		case choice < 88:
+			if err := s.receive(f); err != nil {
 				return err
 			}
-		case k < 96:
-			w.connect(c)
-		case k < 99:
-			if c.mirror.SetInterest(w.interest()) {
-				c.disconnect()
+		case choice < 96:
+			s.connect(f)
+		case choice < 99:
+			if f.mirror.SetInterest(s.randomInterest()) {
+				f.disconnect()
 			}
 		default:
-			w.restart(c)
+			s.restart(f)
 		}
-		if err := w.check(c); err != nil {
+		if err := s.check(f); err != nil {
 			return err
 		}
 	}
--- a/internal/store/changefeed/stream.go
+++ b/internal/store/changefeed/stream.go
@@ -3,11 +3,11 @@
 import "birchmoor/internal/store"
 
 const (
-	maxStreamBytes      = 4 << 20 // of changes that wait; a follower that is further behind begins anew
-	changeOverheadBytes = 64      // counted for a change besides its key and value
+	maxStreamBytes      = 4 << 20 // pending changes of a stream; a follower that is further behind has to reconnect
+	changeOverheadBytes = 64      // counted for a change in addition to its key and value
 )
 
-// Stream holds the changes that wait for one follower. One goroutine takes from it.
+// Stream holds the pending changes for one follower, whose connection's goroutine is the only one that takes them.
 type Stream struct {
 	feed     *Feed
 	interest *store.Interest // nil: all keys
@@ -19,10 +19,10 @@
 	closed  bool
 }
 
-// Ready receives a value once there is something to take.
+// Ready returns a channel that receives a value when changes are pending or the stream was closed.
 func (s *Stream) Ready() <-chan struct{} { return s.ready }
 
-// add appends a change. The feed's lock is held.
+// add appends a change, or closes the stream if that would exceed maxStreamBytes. The caller holds the feed's lock.
 func (s *Stream) add(change *Change) {
 	if s.closed {
 		return
@@ -36,7 +36,7 @@
 	s.signal()
 }
 
-// close drops what waits. The feed's lock is held.
+// close ends the stream and drops its pending changes. The caller holds the feed's lock.
 func (s *Stream) close() {
 	s.closed = true
 	s.batches = nil
@@ -51,7 +51,8 @@
 	}
 }
 
-// take removes and returns what waits, and the revision up to which it leaves out nothing.
+// take removes and returns the pending changes, and the revision up to which they are complete. closed is true if the
+// stream was closed.
 func (s *Stream) take() (batches []Batch, through uint64, closed bool) {
 	s.feed.mu.Lock()
 	defer s.feed.mu.Unlock()
--- a/internal/store/changefeed/subscription.go
+++ b/internal/store/changefeed/subscription.go
@@ -6,15 +6,15 @@
 	"birchmoor/internal/store"
 )
 
-// Subscription is what a daemon needs of the store.
+// Subscription describes the keys that a daemon needs from the store.
 type Subscription struct {
-	Interest     *store.Interest // nil: all keys
-	Retained     store.Interest  // the part of Interest that is of use to the next start
-	Durable      store.Interest  // the part of Retained that the next start has to know whenever this process did
-	SizePrefixes []string        // prefixes of which the daemon needs the number and size of keys
+	Interest     *store.Interest // keys that the copy holds; nil: all keys
+	Retained     store.Interest  // part of Interest that is saved for the next start
+	Durable      store.Interest  // part of Retained whose changes are saved before they take effect
+	SizePrefixes []string        // prefixes for which the daemon needs the number and total size of keys
 }
 
-// Union is what either of two subscriptions needs.
+// Union returns a subscription to everything that either of two subscriptions needs.
 func (s Subscription) Union(other Subscription) Subscription {
 	prefixes := slices.Concat(s.SizePrefixes, other.SizePrefixes)
 	slices.Sort(prefixes)
@@ -30,7 +30,7 @@
 	return union
 }
 
-// normalized is an interest without entries that others of it cover; nil, all keys, stays nil.
+// normalized returns an interest in the normal form of store.Interest.Union. nil, which means all keys, stays nil.
 func normalized(interest *store.Interest) *store.Interest {
 	if interest == nil {
 		return nil
@@ -46,29 +46,29 @@
 	return a.Equal(*b)
 }
 
-// coversInterest reports whether an interest covers all of another; nil is all keys.
-func coversInterest(have, want *store.Interest) bool {
-	if have == nil {
+// coversInterest reports whether an interest covers all keys of another; nil means all keys.
+func coversInterest(interest, other *store.Interest) bool {
+	if interest == nil {
 		return true
 	}
-	return want != nil && have.Contains(*want)
+	return other != nil && interest.Contains(*other)
 }
 
-// intersect is what both interests cover.
+// intersect returns the keys that both interests cover.
 func intersect(a, b store.Interest) store.Interest {
 	return coveredEntries(a, b).Union(coveredEntries(b, a))
 }
 
-// coveredEntries is the entries of an interest that another covers.
-func coveredEntries(interest, by store.Interest) store.Interest {
+// coveredEntries returns the entries of an interest that another interest covers.
+func coveredEntries(interest, other store.Interest) store.Interest {
 	var covered store.Interest
 	for _, prefix := range interest.Prefixes {
-		if by.CoversPrefix(prefix) {
+		if other.CoversPrefix(prefix) {
 			covered.Prefixes = append(covered.Prefixes, prefix)
 		}
 	}
 	for _, key := range interest.Keys {
-		if by.Covers(key) {
+		if other.Covers(key) {
 			covered.Keys = append(covered.Keys, key)
 		}
 	}
--- a/internal/store/changefeed/wire_test.go
+++ b/internal/store/changefeed/wire_test.go
@@ -8,7 +8,7 @@
 	"birchmoor/internal/store"
 )
 
-// TestChangeJSONIsFrozen compares events as followers receive them with those that an earlier build sent.
+// TestChangeJSONIsFrozen compares the encoding of events with that of an earlier build.
 func TestChangeJSONIsFrozen(t *testing.T) {
 	put := store.Item{Key: "k/1", Value: []byte("v"), CreateRevision: 2, ModRevision: 3, Version: 2, LeaseID: 5}
 	for want, event := range map[string]store.Event{
@@ -20,11 +20,11 @@
 		},
 	} {
 		if got := (&Change{Event: event}).JSON(); string(got) != want {
-			t.Errorf("%+v: %s, want %s", event, got, want)
+			t.Errorf("event %+v: encoded as %s, want %s", event, got, want)
 		}
 		var decoded store.Event
 		if err := json.Unmarshal([]byte(want), &decoded); err != nil || !reflect.DeepEqual(decoded, event) {
-			t.Errorf("%s: decoded %+v (%v), want %+v", want, decoded, err, event)
+			t.Errorf("event %s: decoded as %+v (error %v), want %+v", want, decoded, err, event)
 		}
 	}
 }
--- a/internal/store/follower/fetch.go
+++ b/internal/store/follower/fetch.go
@@ -16,7 +16,7 @@
 const fetchTimeout = 60 * time.Second // for the transfer of a state
 
 // fetch replaces the copy by the keys of an interest that it fetches from a replica; nil means all keys. The error
-// wraps changefeed.ErrReplicaBehind if the replica's state is older than the copy, or of another cluster.
+// wraps changefeed.ErrCannotFollow if the replica's state is older than the copy, or of another cluster.
 func (f *Follower) fetch(index int, interest *store.Interest) error {
 	state, err := f.fetchState(f.ctx, index, interest)
 	if err != nil {
@@ -58,7 +58,7 @@
 	f.cfg.Usage.Count(usage.Snapshots, usage.In, 1, 0)
 	if response.StatusCode != http.StatusOK {
 		f.cfg.Usage.Count(usage.Snapshots, usage.In, 0, int(max(0, response.ContentLength)))
-		return nil, fmt.Errorf("%w: %s", changefeed.ErrReplicaBehind, response.Status)
+		return nil, fmt.Errorf("%w: %s", changefeed.ErrCannotFollow, response.Status)
 	}
 	state, err := store.LoadSubset(&countedReader{response.Body, f.cfg.Usage})
 	if err != nil {
--- a/internal/store/follower/stream.go
+++ b/internal/store/follower/stream.go
@@ -144,7 +144,7 @@
 	}
 	if response.StatusCode != http.StatusOK {
 		f.cfg.Usage.Count(usage.Heartbeats, usage.In, 1, int(max(0, response.ContentLength)))
-		return false, fmt.Errorf("%w: %s", changefeed.ErrReplicaBehind, response.Status)
+		return false, fmt.Errorf("%w: %s", changefeed.ErrCannotFollow, response.Status)
 	}
 	if s.request.Interest == nil {
 		return true, nil
@@ -185,7 +185,7 @@
 		}
 		if line.Heartbeat != nil && line.Heartbeat.Cluster != cluster {
 			return received, fmt.Errorf("%w: it belongs to cluster %x, but this copy belongs to cluster %x",
-				changefeed.ErrReplicaBehind, line.Heartbeat.Cluster, cluster)
+				changefeed.ErrCannotFollow, line.Heartbeat.Cluster, cluster)
 		}
 		if err := f.applyLine(line); err != nil {
 			return received, err
@@ -197,7 +197,7 @@
 		f.applyHeartbeat(s.index, line.Heartbeat)
 		isCutOff := !line.Heartbeat.Confirmed || line.Heartbeat.Age > maxFreshAge
 		if isCutOff && len(f.cfg.Replicas) > 1 { // another replica may reach a quorum
-			return false, fmt.Errorf("%w: no quorum confirmed its copy recently", changefeed.ErrReplicaBehind)
+			return false, fmt.Errorf("%w: no quorum confirmed its copy recently", changefeed.ErrCannotFollow)
 		}
 	}
 	return received, s.endReason(cmp.Or(lines.Err(), io.EOF))
@@ -208,7 +208,7 @@
 	recorder := s.follower.cfg.Usage
 	var line admin.StreamLine
 	if err := json.Unmarshal(text, &line); err != nil {
-		return nil, fmt.Errorf("%w: %w", changefeed.ErrReplicaBehind, err)
+		return nil, fmt.Errorf("%w: %w", changefeed.ErrCannotFollow, err)
 	}
 	purpose := usage.Heartbeats
 	switch {
@@ -227,7 +227,7 @@
 	if errorBody.OldestRevision > 0 {
 		return s.follower.fetch(s.index, s.request.Interest)
 	}
-	return fmt.Errorf("%w: %s", changefeed.ErrReplicaBehind, errorBody.Error)
+	return fmt.Errorf("%w: %s", changefeed.ErrCannotFollow, errorBody.Error)
 }
 
 // endReason returns errNewRequest if a stream ended because the interest changed, else err.
