--- a/internal/store/admin/admin.go
+++ b/internal/store/admin/admin.go
@@ -1,7 +1,7 @@
-// Package admin serves a running store: to operators by HTTP with JSON over a Unix socket that only its owner
-// can open (Server, Client), and to daemons without a replica over TCP (FollowerServer). Of birchmoor it may
-// import the store's packages and package keys, and nothing of the control plane, which adds calls of its own
-// by Config.RegisterCalls.
+// Package admin serves a running store: to operators by HTTP with JSON over a Unix socket that only its owner can open
+// (Server, Client), and to daemons without a replica over TCP (FollowerServer). Of birchmoor it may import the store's
+// packages and package keys. It must not import the control plane, which adds its own calls through
+// Config.RegisterCalls.
 package admin
 
 import (
@@ -18,14 +18,14 @@
 )
 
 const (
-	maxWatches          = 64 // at once
+	maxWatches          = 64 // concurrent watches of a server
 	maxHeaderBytes      = 16 << 10
 	readHeaderTimeout   = 5 * time.Second
-	dialExistingTimeout = time.Second
-	socketMode          = 0o600
+	dialExistingTimeout = time.Second // for the check whether another process serves the socket
+	socketMode          = 0o600       // only the owner may connect
 )
 
-// Paths of calls of operators. ChangePath is also one of followers.
+// Paths of the calls for operators. Followers use ChangePath, too.
 const (
 	statusPath     = "/v1/status"
 	rangePath      = "/v1/range"
@@ -34,10 +34,11 @@
 	ChangePath     = "/v1/change"
 	transferPath   = "/v1/handover"
 	leasesPath     = "/v1/leases"
-	revisionHeader = "Store-Revision" // of a snapshot
+	revisionHeader = "Store-Revision" // header with the revision of a snapshot
 )
 
-// Store is what a Server serves: a replica, or the copy of a daemon that has none. See engine.Engine.
+// Store is the store that a Server serves: a replica (engine.Engine, which documents the methods), or the copy of a
+// daemon without one.
 type Store interface {
 	Do(ctx context.Context, command store.Command) (store.Result, error)
 	View(ctx context.Context, stale bool, read func(*store.State)) (engine.CopyAge, error)
@@ -47,34 +48,34 @@
 	TransferLeadership(ctx context.Context) error
 }
 
-// Config says what a Server serves.
+// Config configures a Server.
 type Config struct {
 	Store         Store
-	Status        func(engine.Status) any // the answer to a request for the status; nil: the store's status
-	RegisterCalls func(*Mux)              // adds calls of others at the same socket; nil: none
+	Status        func(engine.Status) any // converts the store's status to the answer; nil: the answer is the store's status
+	RegisterCalls func(*Mux)              // adds calls of other packages to the same socket; nil: none
 }
 
-// Server serves operators.
+// Server serves operators over a Unix socket.
 type Server struct {
 	cfg        Config
 	http       *http.Server
-	watchSlots chan struct{}
+	watchSlots chan struct{} // holds a value for each running watch
 }
 
-// Mux is the calls of a server, by method and path.
+// Mux routes the requests of a server to calls, by method and path. Patterns are those of http.ServeMux.
 type Mux struct{ mux *http.ServeMux }
 
-// HandleCall adds a call that is answered within the time that the request gives itself: by JSON, or by an
-// ErrorBody.
+// HandleCall adds a call that is answered with JSON or an ErrorBody. The context of the call ends after the timeout in
+// the request's query.
 func (m *Mux) HandleCall(pattern string, call Call) { m.mux.HandleFunc(pattern, callHandler(call)) }
 
-// HandleStream adds a call that lasts for as long as its connection.
+// HandleStream adds a call without a timeout, which may last as long as its connection.
 func (m *Mux) HandleStream(pattern string, handler http.HandlerFunc) {
 	m.mux.HandleFunc(pattern, handler)
 }
 
-// Listen creates the socket and serves it until Close. It replaces a socket that a process left behind, and
-// fails if another process serves it.
+// Listen creates a Unix socket at a path and serves it until Close. It replaces the socket of a process that has ended,
+// and fails if another process serves the socket.
 func Listen(path string, cfg Config) (*Server, error) {
 	listener, err := listenUnix(path)
 	if err != nil {
@@ -85,13 +86,13 @@
 	}
 	s := &Server{cfg: cfg, watchSlots: make(chan struct{}, maxWatches)}
 	mux := &Mux{http.NewServeMux()}
-	mux.HandleCall("GET "+statusPath, s.status)
+	mux.HandleCall("GET "+statusPath, s.getStatus)
 	mux.HandleCall("GET "+rangePath, s.readRange)
 	mux.HandleStream("GET "+watchPath, s.watch)
-	mux.HandleStream("GET "+snapshotPath, s.snapshot)
+	mux.HandleStream("GET "+snapshotPath, s.sendSnapshot)
 	mux.HandleCall("POST "+ChangePath, s.change)
 	mux.HandleCall("POST "+transferPath, s.transferLeadership)
-	mux.HandleCall("GET "+leasesPath, s.leases)
+	mux.HandleCall("GET "+leasesPath, s.getLeases)
 	if cfg.RegisterCalls != nil {
 		cfg.RegisterCalls(mux)
 	}
@@ -103,7 +104,7 @@
 func listenUnix(path string) (net.Listener, error) {
 	if conn, err := net.DialTimeout("unix", path, dialExistingTimeout); err == nil {
 		_ = conn.Close()
-		return nil, fmt.Errorf("another process serves %s", path)
+		return nil, fmt.Errorf("another process already serves the socket %s", path)
 	}
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, err
@@ -118,5 +119,5 @@
 	return listener, nil
 }
 
-// Close ends all requests.
+// Close closes the socket and aborts all requests.
 func (s *Server) Close() error { return s.http.Close() }
--- a/internal/store/admin/admin_test.go
+++ b/internal/store/admin/admin_test.go
@@ -20,7 +20,8 @@
 	"birchmoor/internal/store/serverstate"
 )
 
-// startReplica starts a cluster of one replica with its socket, and a server for followers at a URL.
+// startReplica starts a cluster of one replica and returns a client of its socket, the replica and the URL of its
+// server for followers.
 func startReplica(t *testing.T) (client *Client, replica *engine.Engine, followersURL string) {
 	t.Helper()
 	cfg := engine.Config{
@@ -44,7 +45,7 @@
 		t.Fatal(err)
 	}
 	followerCfg := FollowerConfig{
-		Allowed:      ownKeysAllowed,
+		Allowed:      allowOwnKey,
 		SnapshotAges: func() map[string]time.Duration { return nil },
 	}
 	followers, err := ServeFollowers(listener, replica, followerCfg, nil)
@@ -64,7 +65,8 @@
 	return ChangeRequest{ID: id, Txn: &store.Txn{Then: []store.Op{{Key: key, Value: []byte(value)}}}}
 }
 
-// Invalid requests get other statuses than what the store cannot do, and change nothing.
+// The status of a rejected request tells an invalid request from one that the store cannot execute. Neither changes the
+// store.
 func TestRejectedRequestsChangeNothing(t *testing.T) {
 	client, replica, followersURL := startReplica(t)
 	ctx := t.Context()
@@ -72,21 +74,21 @@
 		t.Fatal(err)
 	}
 	revision := func() uint64 {
-		a, err := replica.View(ctx, false, func(*store.State) {})
+		age, err := replica.View(ctx, false, func(*store.State) {})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return a.Revision
+		return age.Revision
 	}
 	before := revision()
 	badName := &store.AddMember{Name: "no name", Address: "127.0.0.1:1"}
 	badAddress := &store.AddMember{Name: "b", Address: "nowhere"}
-	for what, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		request ChangeRequest
 		status  int
 	}{
-		"nothing to do":      {ChangeRequest{}, http.StatusBadRequest},
-		"two things":         {ChangeRequest{Txn: &store.Txn{}, GrantMillis: 5}, http.StatusBadRequest},
+		"no change":          {ChangeRequest{}, http.StatusBadRequest},
+		"two changes":        {ChangeRequest{Txn: &store.Txn{}, GrantMillis: 5}, http.StatusBadRequest},
 		"a key too long":     {putRequest(string(bytes.Repeat([]byte("k"), 65)), "v"), http.StatusBadRequest},
 		"a value too long":   {putRequest("k", string(make([]byte, 257))), http.StatusBadRequest},
 		"an invalid name":    {ChangeRequest{AddMember: badName}, http.StatusBadRequest},
@@ -95,13 +97,13 @@
 		"the last member":    {ChangeRequest{RemoveMember: 1}, http.StatusConflict},
 	} {
 		var rejected *ResponseError
-		_, err := client.Change(ctx, c.request)
-		if !errors.As(err, &rejected) || rejected.Status != c.status || rejected.OutcomeUnknown != nil {
-			t.Errorf("%s: %v", what, err)
+		_, err := client.Change(ctx, test.request)
+		if !errors.As(err, &rejected) || rejected.Status != test.status || rejected.OutcomeUnknown != nil {
+			t.Errorf("%s: got error %v", name, err)
 		}
 	}
-	// A follower may change server state and what the configuration allows, and nothing else.
-	for what, body := range map[string]string{
+	// A follower may change only server state and what FollowerConfig allows.
+	for name, body := range map[string]string{
 		"settings": `{"id":{"Client":1,"Seq":1},"txn":{"then":[{"key":"config/current","value":"e30="}]}}`,
 		"a range":  `{"id":{"Client":1,"Seq":2},"txn":{"then":[{"key":"out/ban/a","delete":true,"end":"z"}]}}`,
 		"in the else": `{"id":{"Client":1,"Seq":3},"txn":{"if":[{"key":"k","modified":9}],` +
@@ -117,11 +119,11 @@
 		text, _ := io.ReadAll(response.Body)
 		_ = response.Body.Close()
 		if response.StatusCode != http.StatusBadRequest {
-			t.Errorf("%s: %s %s", what, response.Status, text)
+			t.Errorf("%s: %s %s", name, response.Status, text)
 		}
 	}
 	if after := revision(); after != before {
-		t.Errorf("the store went from revision %d to %d", before, after)
+		t.Errorf("rejected requests changed the store's revision from %d to %d", before, after)
 	}
 	for _, query := range []string{"timeout=-1s", "timeout=1h", "timeout=x"} {
 		response, err := http.Get(followersURL + RevisionPath + "?" + query)
@@ -135,13 +137,13 @@
 	}
 }
 
-// A follower's stream begins with a heartbeat that names the cluster, has each change once and in order, and
-// says so if it is to begin before the history does.
+// A follower's stream begins with a heartbeat that names the cluster, and has each change once and in order. A stream
+// that would begin before the retained history reports an error instead.
 func TestFollowerStreamSendsEachChangeOnce(t *testing.T) {
 	client, _, followersURL := startReplica(t)
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
-	stream := func(after uint64) *json.Decoder {
+	openStream := func(after uint64) *json.Decoder {
 		t.Helper()
 		url := followersURL + StreamPath + "?" + StreamQuery(nil, after, nil).Encode()
 		request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -155,7 +157,7 @@
 		t.Cleanup(func() { _ = response.Body.Close() })
 		return json.NewDecoder(response.Body)
 	}
-	next := func(decoder *json.Decoder) (line StreamLine) {
+	nextLine := func(decoder *json.Decoder) (line StreamLine) {
 		t.Helper()
 		if err := decoder.Decode(&line); err != nil {
 			t.Fatal(err)
@@ -164,7 +166,7 @@
 	}
 	const changes = 15
 	key := serverstate.ExclusionKey(serverstate.AdminDrain, "s")
-	change := func(value string) {
+	makeChanges := func(value string) {
 		t.Helper()
 		for range changes {
 			if _, err := client.Change(ctx, putRequest(key, value)); err != nil {
@@ -172,29 +174,29 @@
 			}
 		}
 	}
-	decoder := stream(0)
-	if line := next(decoder); line.Heartbeat == nil || line.Heartbeat.Cluster == 0 {
-		t.Fatalf("%+v", line)
+	decoder := openStream(0)
+	if line := nextLine(decoder); line.Heartbeat == nil || line.Heartbeat.Cluster == 0 {
+		t.Fatalf("the first line %+v is not a heartbeat that names the cluster", line)
 	}
-	change("v")
-	for last := uint64(0); last < changes; {
-		line := next(decoder)
+	makeChanges("v")
+	for lastRevision := uint64(0); lastRevision < changes; {
+		line := nextLine(decoder)
 		if line.Event == nil {
 			continue
 		}
-		if line.Event.Revision != last+1 || line.Event.Item.Key != key {
-			t.Fatalf("%+v after %d", line.Event, last)
+		if line.Event.Revision != lastRevision+1 || line.Event.Item.Key != key {
+			t.Fatalf("got event %+v after revision %d", line.Event, lastRevision)
 		}
-		last = line.Event.Revision
+		lastRevision = line.Event.Revision
 	}
-	change("w")
-	for decoder := stream(1); ; {
-		line := next(decoder)
+	makeChanges("w")
+	for decoder := openStream(1); ; {
+		line := nextLine(decoder)
 		if line.Error != nil && line.Error.OldestRevision > 1 {
 			break
 		}
 		if line.Event != nil {
-			t.Fatalf("%+v, and changes before it are compacted", line.Event)
+			t.Fatalf("got event %+v although changes before it are compacted", line.Event)
 		}
 	}
 	response, err := client.Range(ctx, url.Values{"key": {key}})
--- a/internal/store/admin/call.go
+++ b/internal/store/admin/call.go
@@ -17,18 +17,19 @@
 
 const (
 	maxBodyBytes       = 4 << 20
-	defaultTimeout     = 10 * time.Second // of a request that does not say how long
+	defaultTimeout     = 10 * time.Second // for a request without a timeout in its query
 	maxTimeout         = 10 * time.Minute
-	streamWriteTimeout = 10 * time.Second // a client that does not read is cut off, and resumes where it was
+	streamWriteTimeout = 10 * time.Second // after which a client that does not read is disconnected; it can resume
 )
 
-// ErrBadRequest reports a request that is wrong in itself.
+// ErrBadRequest reports a request that is invalid whatever the state of the store.
 var ErrBadRequest = errors.New("bad request")
 
-// Call answers a request by a value that is sent as JSON, or by an error that WriteError sends.
+// Call handles a request. Its result is sent as JSON, or its error by WriteError. It must not write to the
+// http.ResponseWriter.
 type Call func(ctx context.Context, w http.ResponseWriter, r *http.Request) (any, error)
 
-// callHandler answers by a call, whose context ends with the time that the request gives itself.
+// callHandler returns a handler that answers with the result of a call, whose context ends after the request's timeout.
 func callHandler(call Call) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		timeout, err := requestTimeout(r)
@@ -47,6 +48,7 @@
 	}
 }
 
+// requestTimeout returns the timeout in the query of a request, or defaultTimeout.
 func requestTimeout(r *http.Request) (time.Duration, error) {
 	text := r.URL.Query().Get("timeout")
 	if text == "" {
@@ -54,7 +56,7 @@
 	}
 	timeout, err := time.ParseDuration(text)
 	if err != nil || timeout <= 0 || timeout > maxTimeout {
-		return 0, fmt.Errorf("%w: timeout: %q is not a duration within 0 and %v", ErrBadRequest, text, maxTimeout)
+		return 0, fmt.Errorf("%w: timeout: %q is not a positive duration of at most %v", ErrBadRequest, text, maxTimeout)
 	}
 	return timeout, nil
 }
@@ -62,19 +64,20 @@
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // the client has gone
+	_ = json.NewEncoder(w).Encode(body) // fails only if the client has disconnected
 }
 
-// WriteError answers with an ErrorBody, and with the status and the details of the error's kind.
+// WriteError answers with an ErrorBody that has the text and the details of an error, and with the HTTP status of its
+// kind.
 func WriteError(w http.ResponseWriter, err error) {
-	status := statusOf(err)
+	status := httpStatus(err)
 	if status == http.StatusServiceUnavailable && errors.Is(err, replica.ErrNoLeader) {
 		w.Header().Set("Retry-After", "1")
 	}
 	body := ErrorBody{Error: err.Error()}
 	switch status {
 	case http.StatusGatewayTimeout:
-		body.OutcomeUnknown = unknownRequest(err)
+		body.OutcomeUnknown = unknownRequestID(err)
 	case http.StatusGone:
 		body.OldestRevision = oldestRevision(err)
 	case http.StatusConflict:
@@ -83,7 +86,8 @@
 	writeJSON(w, status, body)
 }
 
-func statusOf(err error) int {
+// httpStatus returns the HTTP status of an error, which is http.StatusServiceUnavailable for one of no known kind.
+func httpStatus(err error) int {
 	var (
 		unknown   *engine.OutcomeUnknownError
 		compacted *store.CompactedError
@@ -116,8 +120,9 @@
 		errors.Is(err, store.ErrRequestExpired)
 }
 
-// unknownRequest is the id of a request whose outcome is unknown, or nil if an error is another one.
-func unknownRequest(err error) *store.RequestID {
+// unknownRequestID returns the ID of the request whose outcome is unknown, or nil if err does not wrap an
+// *engine.OutcomeUnknownError.
+func unknownRequestID(err error) *store.RequestID {
 	var unknown *engine.OutcomeUnknownError
 	if !errors.As(err, &unknown) {
 		return nil
@@ -125,7 +130,7 @@
 	return &unknown.ID
 }
 
-// oldestRevision is the oldest revision of a compacted history, or 0 if an error is another one.
+// oldestRevision returns the oldest revision of a compacted history, or 0 if err does not wrap a *store.CompactedError.
 func oldestRevision(err error) uint64 {
 	var compacted *store.CompactedError
 	if !errors.As(err, &compacted) {
@@ -134,13 +139,13 @@
 	return compacted.Oldest
 }
 
-// notFoundError marks an error of something that does not exist.
+// notFoundError marks an error that is sent with http.StatusNotFound.
 type notFoundError struct{ error }
 
 // Unwrap returns the marked error.
 func (e notFoundError) Unwrap() error { return e.error }
 
-// NotFound marks an error as one of something that does not exist; nil stays nil.
+// NotFound marks an error to be sent with http.StatusNotFound. It returns nil for nil.
 func NotFound(err error) error {
 	if err == nil {
 		return nil
@@ -148,17 +153,18 @@
 	return notFoundError{err}
 }
 
-// DecodeJSON decodes a body of bounded length. The error wraps ErrBadRequest; an unknown field is one.
+// DecodeJSON decodes the body of a request into v. The error wraps ErrBadRequest. Unknown fields, and bodies of more
+// than maxBodyBytes, are errors.
 func DecodeJSON(w http.ResponseWriter, r *http.Request, v any) error {
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(v); err != nil {
-		return fmt.Errorf("%w: byte %d: %w", ErrBadRequest, decoder.InputOffset(), err)
+		return fmt.Errorf("%w: JSON at byte %d: %w", ErrBadRequest, decoder.InputOffset(), err)
 	}
 	return nil
 }
 
-// ParseNumber parses a parameter of a query, 0 if it is missing. The error wraps ErrBadRequest.
+// ParseNumber parses a decimal parameter of a query; a missing parameter is 0. The error wraps ErrBadRequest.
 func ParseNumber(query url.Values, name string) (uint64, error) {
 	text := query.Get(name)
 	if text == "" {
@@ -166,7 +172,7 @@
 	}
 	number, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return 0, fmt.Errorf("%w: %s: %q is not a number", ErrBadRequest, name, text)
+		return 0, fmt.Errorf("%w: %s: %q is not an unsigned 64-bit number", ErrBadRequest, name, text)
 	}
 	return number, nil
 }
--- a/internal/store/admin/client.go
+++ b/internal/store/admin/client.go
@@ -15,16 +15,16 @@
 	"birchmoor/internal/store/engine"
 )
 
-// Client calls a Server. Its methods may be called by any goroutine.
+// Client is a client of a Server. Its methods are safe for concurrent use.
 type Client struct {
 	http *http.Client
 
-	// Timeout, unless it is 0, is how long the server may take for an answer. Set it lower than the deadline of the
-	// contexts of calls, so that the server's own answer, such as that an outcome is unknown, still arrives.
+	// Timeout is how long the server may take to answer; 0 means the server's default. It should end before the
+	// deadline of a call's context, so that the server's own error, such as an unknown outcome, still arrives.
 	Timeout time.Duration
 }
 
-// Dial returns a client of the socket at a path. It connects with the first call.
+// Dial returns a client of the Unix socket at a path. It connects when it is first used.
 func Dial(path string) *Client {
 	dial := func(ctx context.Context, _, _ string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "unix", path)
@@ -32,24 +32,24 @@
 	return &Client{http: &http.Client{Transport: &http.Transport{DialContext: dial}}}
 }
 
-// ResponseError is an error that a server sent.
+// ResponseError is an error that a server answered with.
 type ResponseError struct {
-	Status int // of HTTP
+	Status int // HTTP status
 	ErrorBody
 }
 
-// Error is the text that the server sent.
+// Error returns the text that the server sent.
 func (e *ResponseError) Error() string { return e.ErrorBody.Error }
 
-// Do sends a request and returns the response if its status is OK; its body is to be closed. Another status is a
-// *ResponseError.
+// Do sends a request. If the status of the response is OK, it returns the response, whose body the caller must close.
+// Otherwise the error is a *ResponseError if the response has an ErrorBody.
 func (c *Client) Do(
 	ctx context.Context, method, path string, query url.Values, body io.Reader,
 ) (*http.Response, error) {
 	if c.Timeout > 0 {
-		withTimeout := url.Values{"timeout": {c.Timeout.String()}}
-		maps.Copy(withTimeout, query)
-		query = withTimeout
+		values := url.Values{"timeout": {c.Timeout.String()}}
+		maps.Copy(values, query)
+		query = values
 	}
 	request, err := http.NewRequestWithContext(ctx, method, "http://store"+path+"?"+query.Encode(), body)
 	if err != nil {
@@ -66,12 +66,13 @@
 	responseErr := &ResponseError{Status: response.StatusCode}
 	decoder := json.NewDecoder(io.LimitReader(response.Body, maxBodyBytes))
 	if err := decoder.Decode(&responseErr.ErrorBody); err != nil {
-		return nil, fmt.Errorf("the store answered %s", response.Status)
+		return nil, fmt.Errorf("the store answered with status %s and no readable error", response.Status)
 	}
 	return nil, responseErr
 }
 
-// Call sends in as JSON, unless it is nil, and decodes the answer into out.
+// Call sends a request with in as its JSON body, or without a body if in is nil, and decodes the answer into out.
+// Errors are those of Do.
 func (c *Client) Call(ctx context.Context, method, path string, query url.Values, in, out any) error {
 	var body io.Reader
 	if in != nil {
@@ -93,30 +94,32 @@
 	return status, err
 }
 
-// Range reads keys. The query has key, or prefix, or from and end; and limit and stale.
+// Range reads items. The query selects them by key, by prefix, or by from and end (exclusive), and may have limit and
+// stale.
 func (c *Client) Range(ctx context.Context, query url.Values) (response RangeResponse, err error) {
 	err = c.Call(ctx, http.MethodGet, rangePath, query, nil, &response)
 	return response, err
 }
 
-// Change requests a change.
+// Change sends one change and returns its outcome. If the change may have been made although it failed, the error is a
+// *ResponseError with OutcomeUnknown.
 func (c *Client) Change(ctx context.Context, request ChangeRequest) (response ChangeResponse, err error) {
 	err = c.Call(ctx, http.MethodPost, ChangePath, nil, request, &response)
 	return response, err
 }
 
-// Leases lists all leases and their keys.
+// Leases returns all leases with their keys.
 func (c *Client) Leases(ctx context.Context) (leases []LeaseInfo, err error) {
 	err = c.Call(ctx, http.MethodGet, leasesPath, nil, nil, &leases)
 	return leases, err
 }
 
-// TransferLeadership makes the replica give leadership away, if it leads.
+// TransferLeadership has the replica transfer its leadership to another one.
 func (c *Client) TransferLeadership(ctx context.Context) error {
 	return c.Call(ctx, http.MethodPost, transferPath, nil, nil, &struct{}{})
 }
 
-// SaveSnapshot writes the state, and returns its revision.
+// SaveSnapshot writes a snapshot of the complete state to w and returns its revision in decimal.
 func (c *Client) SaveSnapshot(ctx context.Context, w io.Writer) (revision string, err error) {
 	response, err := c.Do(ctx, http.MethodGet, snapshotPath, nil, nil)
 	if err != nil {
@@ -127,8 +130,9 @@
 	return response.Header.Get(revisionHeader), err
 }
 
-// Watch calls onEvent with changes until ctx ends, onEvent fails, or the store cannot continue; that last is a
-// *ResponseError of status http.StatusGone. The query has prefix and after.
+// Watch calls onEvent with changes until ctx ends, onEvent fails, or the store cannot continue. In the last case the
+// error is a *ResponseError with status http.StatusGone. The query may have prefix, and after, the revision after which
+// the watch begins.
 func (c *Client) Watch(ctx context.Context, query url.Values, onEvent func(store.Event) error) error {
 	response, err := c.Do(ctx, http.MethodGet, watchPath, query, nil)
 	if err != nil {
--- a/internal/store/admin/countedresponse.go
+++ b/internal/store/admin/countedresponse.go
@@ -6,10 +6,10 @@
 	"birchmoor/internal/store/usage"
 )
 
-// counted counts the request and the answer of a handler for a purpose. The handler may change the purpose of
-// what it writes by setPurpose. A request without a body is a message of no bytes; the handlers of others count
-// them.
-func (s *FollowerServer) counted(purpose usage.Purpose, handler http.HandlerFunc) http.HandlerFunc {
+// countUsage wraps a handler so that its requests and answers are counted for a purpose. The handler may change the
+// purpose of its answer with setPurpose. A GET request counts as a message of no bytes; handlers of other requests
+// count them themselves.
+func (s *FollowerServer) countUsage(purpose usage.Purpose, handler http.HandlerFunc) http.HandlerFunc {
 	recorder := s.cfg.Usage
 	if recorder == nil {
 		return handler
@@ -18,38 +18,38 @@
 		if r.Method == http.MethodGet {
 			recorder.Count(purpose, usage.In, 1, 0)
 		}
-		handler(&countedResponse{ResponseWriter: w, recorder: recorder, purpose: purpose, messages: 1}, r)
+		handler(&countedResponse{ResponseWriter: w, recorder: recorder, purpose: purpose, pendingMessages: 1}, r)
 	}
 }
 
-// countedResponse counts the bytes that are written, before they are, and a message with the first of them.
+// countedResponse counts bytes immediately before they are written, and a message with the first bytes.
 type countedResponse struct {
 	http.ResponseWriter
-	recorder *usage.Recorder
-	purpose  usage.Purpose
-	messages int // to be counted with the next bytes
+	recorder        *usage.Recorder
+	purpose         usage.Purpose
+	pendingMessages int // messages to count with the next bytes
 }
 
 func (r *countedResponse) Write(b []byte) (int, error) {
-	r.recorder.Count(r.purpose, usage.Out, r.messages, len(b))
-	r.messages = 0
+	r.recorder.Count(r.purpose, usage.Out, r.pendingMessages, len(b))
+	r.pendingMessages = 0
 	return r.ResponseWriter.Write(b)
 }
 
-// Unwrap lets an http.ResponseController reach the connection.
+// Unwrap returns the underlying writer, which http.ResponseController needs.
 func (r *countedResponse) Unwrap() http.ResponseWriter { return r.ResponseWriter }
 
-// setPurpose begins a message for a purpose with the bytes that are written next.
+// setPurpose counts the bytes that are written next as a new message for a purpose.
 func setPurpose(w http.ResponseWriter, purpose usage.Purpose) {
 	if counted, ok := w.(*countedResponse); ok {
 		counted.purpose = purpose
-		counted.messages = 1
+		counted.pendingMessages = 1
 	}
 }
 
-// uncounted is the writer of net/http itself, by which http.MaxBytesReader closes the connection of a body that
-// is too long.
-func uncounted(w http.ResponseWriter) http.ResponseWriter {
+// unwrapCounted returns the underlying writer of net/http, which http.MaxBytesReader needs to close the connection
+// after a body that is too long.
+func unwrapCounted(w http.ResponseWriter) http.ResponseWriter {
 	if counted, ok := w.(*countedResponse); ok {
 		return counted.ResponseWriter
 	}
--- a/internal/store/admin/followeraccess.go
+++ b/internal/store/admin/followeraccess.go
@@ -8,9 +8,9 @@
 	"birchmoor/internal/store/serverstate"
 )
 
-// requester is the name of the daemon that makes a request: that of its certificate, or on plain loopback the
-// one that it gives itself.
-func requester(r *http.Request, request *ChangeRequest) string {
+// requesterName returns the name of the daemon that sends a request: the one in its certificate, or, over plain TCP,
+// the one in the request, which is not authenticated.
+func requesterName(r *http.Request, request *ChangeRequest) string {
 	switch {
 	case r.TLS != nil && len(r.TLS.PeerCertificates) > 0:
 		return r.TLS.PeerCertificates[0].Subject.CommonName
@@ -22,18 +22,18 @@
 	return request.Owner
 }
 
-// checkFollowerRequest returns an error that wraps ErrBadRequest if a request is not a follower's to make:
-// anything but one change of a lease that it owns, or a transaction on server state and what allowed reports.
+// checkFollowerRequest returns an error that wraps ErrBadRequest unless a follower may make a request. It may change
+// one lease that it owns, or send a transaction whose operations change server state or are reported by allowed.
 func checkFollowerRequest(request *ChangeRequest, follower string, allowed func(store.Op, string) bool) error {
 	if request.AddMember != nil || request.RemoveMember != 0 {
-		return fmt.Errorf("%w: members are not a follower's to change", ErrBadRequest)
+		return fmt.Errorf("%w: a follower may not change members", ErrBadRequest)
 	}
 	leaseChanges := countLeaseChanges(request)
 	switch {
 	case request.Txn == nil && leaseChanges == 1:
 		return checkFollowerLease(request, follower)
 	case request.Txn == nil || leaseChanges > 0:
-		return fmt.Errorf("%w: a follower makes transactions, or changes one lease of its own", ErrBadRequest)
+		return fmt.Errorf("%w: a follower may only send a transaction, or change one lease that it owns", ErrBadRequest)
 	}
 	return checkFollowerTxn(request.Txn, follower, allowed)
 }
@@ -50,11 +50,11 @@
 
 func checkFollowerLease(request *ChangeRequest, follower string) error {
 	if follower == "" || request.Owner != follower {
-		return fmt.Errorf("%w: a lease of %q is not for %q", ErrBadRequest, request.Owner, follower)
+		return fmt.Errorf("%w: a lease owned by %q may not be changed by %q", ErrBadRequest, request.Owner, follower)
 	}
 	ttl := request.GrantMillis
 	if ttl != 0 && (ttl < store.MinOwnedTTLMillis || ttl > store.MaxOwnedTTLMillis) {
-		return fmt.Errorf("%w: a lease of %d ms is not within %d and %d",
+		return fmt.Errorf("%w: a TTL of %d ms is not between %d and %d",
 			ErrBadRequest, ttl, store.MinOwnedTTLMillis, store.MaxOwnedTTLMillis)
 	}
 	return nil
@@ -62,19 +62,20 @@
 
 func checkFollowerTxn(txn *store.Txn, follower string, allowed func(store.Op, string) bool) error {
 	if txn.Owner != "" && txn.Owner != follower {
-		return fmt.Errorf("%w: %q is not %q", ErrBadRequest, follower, txn.Owner)
+		return fmt.Errorf("%w: follower %q may not send a transaction owned by %q", ErrBadRequest, follower, txn.Owner)
 	}
 	for _, ops := range [][]store.Op{txn.Then, txn.Else} {
 		for _, op := range ops {
 			if !isFollowerOp(op, txn.Owner, allowed) {
-				return fmt.Errorf("%w: %q is not a follower's to change", ErrBadRequest, op.Key)
+				return fmt.Errorf("%w: a follower may not change key %q", ErrBadRequest, op.Key)
 			}
 		}
 	}
 	return nil
 }
 
-// isFollowerOp reports whether a follower may make an operation. Server state outlives the lease of its reporter.
+// isFollowerOp reports whether a follower may make an operation. Server state must not be bound to a lease, because it
+// outlives the session of the daemon that reported it.
 func isFollowerOp(op store.Op, owner string, allowed func(store.Op, string) bool) bool {
 	if op.RangeEnd != "" {
 		return false
--- a/internal/store/admin/followermessages.go
+++ b/internal/store/admin/followermessages.go
@@ -10,33 +10,33 @@
 	"birchmoor/internal/store"
 )
 
-// Paths of calls of followers, besides ChangePath.
+// Paths of the calls for followers, in addition to ChangePath.
 const (
 	CopyPath     = "/v1/copy"
 	StreamPath   = "/v1/follow"
 	RevisionPath = "/v1/revision"
 )
 
-// ScopedHeader is set in the answer to a request for a stream by replicas that send the changes of an interest
-// alone.
+// ScopedHeader is set in the answer to a request for a stream if the replica sends only the changes of the requested
+// interest. Replicas of older versions ignore the interest and do not set it.
 const ScopedHeader = "Store-Scoped"
 
-// Parameters of the queries of followers.
+// Query parameters of the requests of followers.
 const (
 	afterParam      = "after"
-	prefixParam     = "prefix" // of an interest; may stand several times
-	keyParam        = "key"    // of an interest; may stand several times
-	sizePrefixParam = "sum"    // may stand several times
+	prefixParam     = "prefix" // a prefix of the interest; may be repeated
+	keyParam        = "key"    // a key of the interest; may be repeated
+	sizePrefixParam = "sum"    // a prefix whose size is requested; may be repeated
 )
 
 const (
-	maxSizePrefixes = 4      // of a follower
-	placeholderKey  = "\x00" // a key that is never put, for an interest without any key
+	maxSizePrefixes = 4      // in one request
+	placeholderKey  = "\x00" // a key that is never put; represents an empty interest, because no parameters mean all keys
 )
 
-// StreamLine is a line of a follower's stream, with one of its fields set, or Events and Through. A follower of
-// all keys receives a line for each event; one of an interest a line for all events of a revision, and the
-// revision through which it was sent everything.
+// StreamLine is a line of a follower's stream. Either one of its fields is set, or Events and Through. In a stream of
+// all keys, each event has its own line, in Event. In a stream of an interest, all events of a revision are on one
+// line, in Events, and Through is the revision up to which all changes were sent.
 type StreamLine struct {
 	Event     *store.Event `json:"event,omitempty"`
 	Heartbeat *Heartbeat   `json:"beat,omitempty"`
@@ -46,26 +46,26 @@
 	Through uint64        `json:"through,omitempty"`
 }
 
-// Heartbeat says how the replica stands, so that a follower knows whether its copy is up to date and how old it
-// may be.
+// Heartbeat reports the state of the replica's copy, from which a follower determines whether its own copy is up to
+// date and how old it may be.
 type Heartbeat struct {
 	Cluster   uint64        `json:"cluster"`
 	Revision  uint64        `json:"revision"`
-	Confirmed bool          `json:"proved"` // a quorum confirmed the revision
-	Age       time.Duration `json:"age_ns"` // since then
-	Ages      []KeyAge      `json:"ages,omitempty"`
+	Confirmed bool          `json:"proved"`         // a quorum has confirmed the revision
+	Age       time.Duration `json:"age_ns"`         // time since the confirmation
+	Ages      []KeyAge      `json:"ages,omitempty"` // ages of module snapshots, only in the first heartbeat of a stream
 
-	// PrefixSizes has the requested prefixes whose number or size of keys changed since they were last sent.
+	// PrefixSizes has the sizes of the requested prefixes that were not sent yet or have changed since.
 	PrefixSizes map[string]store.PrefixSize `json:"sums,omitempty"`
 }
 
-// KeyAge is how long ago a module snapshot was put. The first heartbeat after the history has them.
+// KeyAge is the time since a module snapshot was put.
 type KeyAge struct {
 	Key string        `json:"key"`
 	Age time.Duration `json:"age_ns"`
 }
 
-// CopyQuery is the query for a copy of an interest; nil is all keys.
+// CopyQuery returns the query that requests a copy of the keys of an interest; nil means all keys.
 func CopyQuery(interest *store.Interest) url.Values {
 	query := url.Values{}
 	if interest == nil {
@@ -79,8 +79,8 @@
 	return query
 }
 
-// StreamQuery is the query for a stream of the changes of an interest after a revision. The sizes of prefixes
-// are sent with the changes of an interest alone.
+// StreamQuery returns the query that requests a stream of the changes to an interest after a revision; nil means all
+// keys. The sizes of prefixes are requested only if the interest is not nil.
 func StreamQuery(interest *store.Interest, after uint64, sizePrefixes []string) url.Values {
 	query := CopyQuery(interest)
 	query.Set(afterParam, strconv.FormatUint(after, 10))
@@ -90,7 +90,7 @@
 	return query
 }
 
-// parseInterest parses the interest of a query; nil is all keys.
+// parseInterest parses the interest in a query; nil means all keys.
 func parseInterest(query url.Values) (*store.Interest, error) {
 	if !query.Has(prefixParam) && !query.Has(keyParam) {
 		return nil, nil
@@ -103,7 +103,7 @@
 	return &normalized, nil
 }
 
-// parseSizePrefixes parses the prefixes of a query whose sizes are requested.
+// parseSizePrefixes returns the prefixes in a query whose sizes are requested.
 func parseSizePrefixes(query url.Values) ([]string, error) {
 	prefixes := query[sizePrefixParam]
 	if len(prefixes) > maxSizePrefixes || slices.Contains(prefixes, "") {
--- a/internal/store/admin/followerserver.go
+++ b/internal/store/admin/followerserver.go
@@ -17,37 +17,37 @@
 )
 
 const (
-	maxFollowers         = 512 // connected to one replica at once
-	maxConcurrentChanges = 256 // of all followers
-	maxFeedEvents        = 256 // read from the history at once
+	maxFollowers         = 512 // concurrent streams of a replica
+	maxConcurrentChanges = 256 // of all followers together
+	maxFeedEvents        = 256 // read from the history in one call
 	followerHeaderBytes  = 32 << 10
 	followerIdleTimeout  = time.Minute
-	prefixSizeInterval   = time.Second            // for which a prefix's size is cached
-	prefixSizeRetention  = 2 * prefixSizeInterval // after which it is forgotten
+	prefixSizeInterval   = time.Second            // how long a prefix's size is cached
+	prefixSizeRetention  = 2 * prefixSizeInterval // after which a cached size is removed
 )
 
-var errNoCopy = errors.New("this replica has no copy yet")
+var errNoCopy = errors.New("this replica has no copy of the store yet")
 
-// FollowerConfig is what followers may do and what is counted of them.
+// FollowerConfig configures a FollowerServer.
 type FollowerConfig struct {
-	// Allowed reports whether a follower may make an operation, besides those on server state. owner is the
-	// follower's name if the transaction is made in it, or empty.
+	// Allowed reports whether a follower may make an operation that does not change server state. owner is the owner of
+	// the transaction, which is the follower's name or empty.
 	Allowed func(op store.Op, owner string) bool
-	// SnapshotAges returns how long ago module snapshots reached this daemon, by key.
+	// SnapshotAges returns the time since each module snapshot arrived at this daemon, by key.
 	SnapshotAges func() map[string]time.Duration
 	// Usage counts messages; nil counts nothing.
 	Usage *usage.Recorder
 }
 
-// FollowerServer serves followers: daemons without a replica. They connect by TLS with the cluster's keys, or
-// by plain TCP on loopback, and may do less than operators: take a copy and what changes, read the revision
-// that a quorum confirms, and change server state, leases of their own and what FollowerConfig allows.
+// FollowerServer serves followers, that is, daemons without a replica. They connect by TLS with the cluster's keys, or
+// by plain TCP on loopback. They may do less than operators: fetch a copy, receive changes, read the revision that a
+// quorum confirms, and change server state, leases that they own and what FollowerConfig allows.
 type FollowerServer struct {
 	engine      *engine.Engine
 	cfg         FollowerConfig
 	http        *http.Server
-	streamSlots chan struct{}
-	changeSlots chan struct{}
+	streamSlots chan struct{} // holds a value for each stream
+	changeSlots chan struct{} // holds a value for each change in progress
 	feed        *changefeed.Feed
 	cancel      context.CancelFunc
 	background  sync.WaitGroup
@@ -61,22 +61,22 @@
 	readAt time.Time
 }
 
-// ServeFollowers serves a listener until Close, which closes the listener, too. Without keys the listener has
-// to be one of a loopback address.
+// ServeFollowers serves followers of a replica until Close, which also closes the listener. If pair is nil, it uses
+// plain TCP, and the listener must have a loopback address.
 func ServeFollowers(
-	listener net.Listener, e *engine.Engine, cfg FollowerConfig, pair *keys.Pair,
+	listener net.Listener, replica *engine.Engine, cfg FollowerConfig, pair *keys.Pair,
 ) (*FollowerServer, error) {
 	if pair == nil && !isLoopback(listener.Addr()) {
 		return nil, fmt.Errorf("store: plain TCP on %s, which is not a loopback address", listener.Addr())
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	age, err := e.View(ctx, true, func(*store.State) {})
+	age, err := replica.View(ctx, true, func(*store.State) {})
 	if err != nil {
 		cancel()
 		return nil, err
 	}
 	s := &FollowerServer{
-		engine:      e,
+		engine:      replica,
 		cfg:         cfg,
 		streamSlots: make(chan struct{}, maxFollowers),
 		changeSlots: make(chan struct{}, maxConcurrentChanges),
@@ -108,14 +108,14 @@
 
 func (s *FollowerServer) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+CopyPath, s.counted(usage.Snapshots, s.copy))
-	mux.HandleFunc("GET "+StreamPath, s.counted(usage.Heartbeats, s.stream))
-	mux.HandleFunc("GET "+RevisionPath, s.counted(usage.Requests, callHandler(s.revision)))
-	mux.HandleFunc("POST "+ChangePath, s.counted(usage.Other, callHandler(s.change)))
+	mux.HandleFunc("GET "+CopyPath, s.countUsage(usage.Snapshots, s.copy))
+	mux.HandleFunc("GET "+StreamPath, s.countUsage(usage.Heartbeats, s.stream))
+	mux.HandleFunc("GET "+RevisionPath, s.countUsage(usage.Requests, callHandler(s.confirmedRevision)))
+	mux.HandleFunc("POST "+ChangePath, s.countUsage(usage.Other, callHandler(s.change)))
 	return mux
 }
 
-// Close ends all streams.
+// Close closes the listener, aborts all requests and ends all streams.
 func (s *FollowerServer) Close() error {
 	s.cancel()
 	err := s.http.Close()
@@ -123,7 +123,7 @@
 	return err
 }
 
-// distribute reads the history for all streams, until ctx ends.
+// distribute passes the replica's changes to the feed until ctx ends.
 func (s *FollowerServer) distribute(ctx context.Context) {
 	for {
 		position, _ := s.feed.Position()
@@ -136,7 +136,7 @@
 		if !errors.As(err, &compacted) {
 			return
 		}
-		age, err := s.engine.View(ctx, true, func(*store.State) {}) // the state is a leader's snapshot
+		age, err := s.engine.View(ctx, true, func(*store.State) {}) // a snapshot of the leader replaced the state
 		if err != nil {
 			return
 		}
@@ -144,7 +144,7 @@
 	}
 }
 
-// awaitFeed waits until the feed has distributed everything up to a revision, for a heartbeat's interval at most.
+// awaitFeed waits until the feed has distributed all changes up to a revision, for at most heartbeatInterval.
 func (s *FollowerServer) awaitFeed(ctx context.Context, revision uint64) {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatInterval)
 	defer cancel()
@@ -161,8 +161,8 @@
 	}
 }
 
-// copy sends the state, or a part of it, as this replica has it: a follower that starts must not have to wait
-// for a quorum.
+// copy sends the keys of an interest in the state of this replica. It does not wait for a quorum, because followers
+// must be able to start without one.
 func (s *FollowerServer) copy(w http.ResponseWriter, r *http.Request) {
 	interest, err := parseInterest(r.URL.Query())
 	if err != nil {
@@ -184,8 +184,9 @@
 	writeState(w, copied)
 }
 
-// revision answers with the revision at which a copy shows everything that was committed before the call.
-func (s *FollowerServer) revision(ctx context.Context, _ http.ResponseWriter, _ *http.Request) (any, error) {
+// confirmedRevision answers with a revision at which a copy includes every change that was acknowledged before the
+// call.
+func (s *FollowerServer) confirmedRevision(ctx context.Context, _ http.ResponseWriter, _ *http.Request) (any, error) {
 	age, err := s.engine.View(ctx, false, func(*store.State) {})
 	if err != nil {
 		return nil, err
@@ -193,10 +194,10 @@
 	return age, nil
 }
 
-// change executes a command of a follower.
+// change executes a change for a follower.
 func (s *FollowerServer) change(ctx context.Context, w http.ResponseWriter, r *http.Request) (any, error) {
 	var request ChangeRequest
-	err := DecodeJSON(uncounted(w), r, &request)
+	err := DecodeJSON(unwrapCounted(w), r, &request)
 	command := request.command()
 	purpose := s.cfg.Usage.CommandPurpose(&command)
 	setPurpose(w, purpose)
@@ -204,7 +205,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := checkFollowerRequest(&request, requester(r, &request), s.cfg.Allowed); err != nil {
+	if err := checkFollowerRequest(&request, requesterName(r, &request), s.cfg.Allowed); err != nil {
 		return nil, err
 	}
 	select {
@@ -220,7 +221,8 @@
 	return ChangeResponse{Revision: result.Revision, Succeeded: result.Succeeded, LeaseID: result.LeaseID}, nil
 }
 
-// prefixSize counts the keys with a prefix, once in an interval for all followers.
+// prefixSize returns the number and size of the keys with a prefix. The result is cached for prefixSizeInterval and
+// shared by all followers.
 func (s *FollowerServer) prefixSize(ctx context.Context, prefix string) (store.PrefixSize, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -229,9 +231,9 @@
 	if ok && now.Sub(cached.readAt) < prefixSizeInterval {
 		return cached.PrefixSize, nil
 	}
-	for other, size := range s.prefixSizes {
+	for cachedPrefix, size := range s.prefixSizes {
 		if now.Sub(size.readAt) >= prefixSizeRetention {
-			delete(s.prefixSizes, other)
+			delete(s.prefixSizes, cachedPrefix)
 		}
 	}
 	size := cachedPrefixSize{readAt: now}
--- a/internal/store/admin/followerstream.go
+++ b/internal/store/admin/followerstream.go
@@ -16,17 +16,17 @@
 
 const (
 	heartbeatInterval = time.Second
-	progressInterval  = 250 * time.Millisecond // between two lines that say that nothing of the interest changed
-	maxCatchUpEvents  = 4096                   // that the replica's event loop looks at in one go
+	progressInterval  = 250 * time.Millisecond // between lines that report progress without changes
+	maxCatchUpEvents  = 4096                   // of the history that the replica's loop examines in one call
 )
 
-// stream sends changes after a revision, and heartbeats, for as long as the connection lasts.
+// stream sends the changes after a revision, and heartbeats, until the follower disconnects.
 func (s *FollowerServer) stream(w http.ResponseWriter, r *http.Request) {
 	select {
 	case s.streamSlots <- struct{}{}:
 		defer func() { <-s.streamSlots }()
 	default:
-		WriteError(w, fmt.Errorf("%d followers are connected already", maxFollowers))
+		WriteError(w, fmt.Errorf("the maximum of %d followers is already connected", maxFollowers))
 		return
 	}
 	query := r.URL.Query()
@@ -48,28 +48,28 @@
 		sizePrefixes: sizePrefixes,
 		response:     w,
 		controller:   http.NewResponseController(w),
-		sender:       sender,
-		ages:         s.cfg.SnapshotAges(),
+		feedSender:   sender,
+		unsentAges:   s.cfg.SnapshotAges(),
 		sentSizes:    map[string]store.PrefixSize{},
 	}
 	stream.run(r.Context())
 }
 
-// followerStream is the connection of one follower. Its methods that send report whether the connection can go
-// on: a follower that is cut off connects again from where it is.
+// followerStream is the stream of one follower. Its methods that send return false if the connection has to end. The
+// follower then reconnects and continues from its revision.
 type followerStream struct {
 	server       *FollowerServer
 	interest     *store.Interest // nil: all keys
 	sizePrefixes []string
 	response     http.ResponseWriter
 	controller   *http.ResponseController
-	sender       *changefeed.Sender
-	ages         map[string]time.Duration // to be sent with the next heartbeat
-	sentSizes    map[string]store.PrefixSize
+	feedSender   *changefeed.Sender
+	unsentAges   map[string]time.Duration    // of module snapshots, by key; nil once they were sent
+	sentSizes    map[string]store.PrefixSize // last sent sizes, by prefix
 }
 
 func (s *followerStream) run(ctx context.Context) {
-	// The first heartbeat names the cluster, before any change of it.
+	// The first heartbeat names the cluster before the first change is sent.
 	if !s.sendHeartbeat(ctx, false) || !s.catchUp(ctx) || !s.sendHeartbeat(ctx, true) {
 		return
 	}
@@ -85,7 +85,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.sender.Ready():
+		case <-s.feedSender.Ready():
 			sent = s.sendPending(false)
 		case <-progress.C:
 			sent = s.sendPending(true)
@@ -98,13 +98,13 @@
 	}
 }
 
-// catchUp sends what changed between the follower's revision and the beginning of its stream.
+// catchUp sends the changes between the follower's revision and the start of its stream in the feed.
 func (s *followerStream) catchUp(ctx context.Context) bool {
 	for done := false; !done; {
 		var batches []changefeed.Batch
 		var historyErr error
 		_, err := s.server.engine.View(ctx, true, func(state *store.State) {
-			batches, done, historyErr = s.sender.CatchUp(state, maxCatchUpEvents)
+			batches, done, historyErr = s.feedSender.CatchUp(state, maxCatchUpEvents)
 		})
 		if err != nil {
 			return false
@@ -119,10 +119,10 @@
 	return true
 }
 
-// sendPending sends the changes that wait. With progress set it also says up to where they are complete if
-// there are none.
+// sendPending sends the pending changes. If there are none and progress is set, it sends the revision up to which all
+// changes were sent.
 func (s *followerStream) sendPending(progress bool) bool {
-	batches, through, closed := s.sender.Take(progress)
+	batches, through, closed := s.feedSender.Take(progress)
 	if closed || !s.sendBatches(batches, through) {
 		return false
 	}
@@ -132,7 +132,7 @@
 	return s.sendLine(StreamLine{Through: through})
 }
 
-// sendBatches sends what some revisions changed. through, unless it is 0, goes with the last of them.
+// sendBatches sends the changes of several revisions. Unless through is 0, it is sent with the last of them.
 func (s *followerStream) sendBatches(batches []changefeed.Batch, through uint64) bool {
 	for i, batch := range batches {
 		isLast := i == len(batches)-1
@@ -154,20 +154,20 @@
 	return true
 }
 
-// sendEvents sends the changes of a batch by a line each. The line is a StreamLine; its event is encoded once
-// for all streams.
+// sendEvents sends each change of a batch as a StreamLine of its own. The lines are assembled from the encoded events,
+// which all streams share.
 func (s *followerStream) sendEvents(batch changefeed.Batch) bool {
 	for _, change := range batch.Changes {
 		line := slices.Concat([]byte(`{"event":`), change.JSON(), []byte("}"))
-		if !s.writeLine(s.purposeOf(change), line) {
+		if !s.writeLine(s.keyPurpose(change), line) {
 			return false
 		}
 	}
 	return true
 }
 
-// sendBatch sends the changes of a batch by one line. The line is a StreamLine; its events are encoded once for
-// all streams.
+// sendBatch sends all changes of a batch as one StreamLine. The line is assembled from the encoded events, which all
+// streams share.
 func (s *followerStream) sendBatch(batch changefeed.Batch, through uint64) bool {
 	line := []byte(`{"events":[`)
 	for i, change := range batch.Changes {
@@ -181,14 +181,15 @@
 		line = fmt.Appendf(line, `,"through":%d`, through)
 	}
 	line = append(line, '}')
-	return s.writeLine(s.purposeOf(batch.Changes[0]), line)
+	return s.writeLine(s.keyPurpose(batch.Changes[0]), line)
 }
 
-func (s *followerStream) purposeOf(change *changefeed.Change) usage.Purpose {
+func (s *followerStream) keyPurpose(change *changefeed.Change) usage.Purpose {
 	return s.server.cfg.Usage.KeyPurpose(change.Item.Key)
 }
 
-// sendHeartbeat says how this replica stands. Unless it is the first, it does so behind all changes up to there.
+// sendHeartbeat sends a heartbeat with the state of this replica. If caughtUp is set, it first sends all changes up to
+// the heartbeat's revision.
 func (s *followerStream) sendHeartbeat(ctx context.Context, caughtUp bool) bool {
 	var heartbeat Heartbeat
 	age, err := s.server.engine.View(ctx, true, func(state *store.State) { heartbeat.Cluster = state.Cluster() })
@@ -205,14 +206,14 @@
 			return false
 		}
 	}
-	heartbeat.Revision, heartbeat.Confirmed = s.sender.ConfirmedRevision(age.Revision, age.Confirmed)
+	heartbeat.Revision, heartbeat.Confirmed = s.feedSender.ConfirmedRevision(age.Revision, age.Confirmed)
 	heartbeat.Age = age.Age
 	heartbeat.Ages = s.takeAges()
 	return s.sendLine(StreamLine{Heartbeat: &heartbeat}) && s.controller.Flush() == nil
 }
 
-// changedSizes returns the sizes of prefixes that differ from those that were sent, or nil, and counts them as
-// sent.
+// changedSizes returns the sizes of the prefixes whose size differs from the one sent last, or nil if there are none,
+// and records them as sent.
 func (s *followerStream) changedSizes(ctx context.Context) (map[string]store.PrefixSize, error) {
 	var changed map[string]store.PrefixSize
 	for _, prefix := range s.sizePrefixes {
@@ -232,15 +233,15 @@
 	return changed, nil
 }
 
-// takeAges returns the ages of module snapshots of interest, once.
+// takeAges returns the ages of the module snapshots that the interest covers on its first call, and nil on later calls.
 func (s *followerStream) takeAges() []KeyAge {
 	var ages []KeyAge
-	for key, age := range s.ages {
+	for key, age := range s.unsentAges {
 		if s.interest == nil || s.interest.Covers(key) {
 			ages = append(ages, KeyAge{Key: key, Age: age})
 		}
 	}
-	s.ages = nil
+	s.unsentAges = nil
 	return ages
 }
 
@@ -249,7 +250,7 @@
 	return err == nil && s.writeLine(usage.Heartbeats, encoded)
 }
 
-// writeLine writes a line that counts for a purpose.
+// writeLine writes a line and counts it for a purpose.
 func (s *followerStream) writeLine(purpose usage.Purpose, line []byte) bool {
 	setPurpose(s.response, purpose)
 	_ = s.controller.SetWriteDeadline(time.Now().Add(streamWriteTimeout))
--- a/internal/store/admin/server.go
+++ b/internal/store/admin/server.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	maxRangeItems       = 10000
+	maxRangeItems       = 10000 // in one answer
 	maxWatchBatchEvents = 256
 )
 
-func (s *Server) status(ctx context.Context, _ http.ResponseWriter, _ *http.Request) (any, error) {
+func (s *Server) getStatus(ctx context.Context, _ http.ResponseWriter, _ *http.Request) (any, error) {
 	status, err := s.cfg.Store.Status(ctx)
 	if err != nil {
 		return nil, err
@@ -40,7 +40,7 @@
 	from, end := rangeBounds(query)
 	response := RangeResponse{Items: []store.Item{}, Stale: query.Get("stale") == "true"}
 	response.CopyAge, err = s.cfg.Store.View(ctx, response.Stale, func(state *store.State) {
-		response.Items, response.More = []store.Item{}, false // View may read several times
+		response.Items, response.More = []store.Item{}, false // View may call this function several times
 		state.Range(from, end, func(item store.Item) bool {
 			if uint64(len(response.Items)) == limit {
 				response.More = true
@@ -56,8 +56,8 @@
 	return response, nil
 }
 
-// rangeBounds is the range of a query: a key, or all keys with a prefix, or from one up to but not including
-// another.
+// rangeBounds returns the range of keys that a query selects: a single key, all keys with a prefix, or the keys from
+// one up to, but not including, another.
 func rangeBounds(query url.Values) (from, end string) {
 	key, prefix := query.Get("key"), query.Get("prefix")
 	switch {
@@ -76,7 +76,7 @@
 	}
 	command := request.command()
 	if countChanges(&command) != 1 {
-		return nil, fmt.Errorf("%w: one of txn, add, remove, grant, renew and end", ErrBadRequest)
+		return nil, fmt.Errorf("%w: exactly one of txn, add, remove, grant, renew and end is required", ErrBadRequest)
 	}
 	if command.AddMember != nil {
 		if err := checkNewMember(command.AddMember); err != nil {
@@ -118,7 +118,7 @@
 	return nil
 }
 
-func (s *Server) leases(ctx context.Context, _ http.ResponseWriter, _ *http.Request) (any, error) {
+func (s *Server) getLeases(ctx context.Context, _ http.ResponseWriter, _ *http.Request) (any, error) {
 	leases := []LeaseInfo{}
 	_, err := s.cfg.Store.View(ctx, false, func(state *store.State) { leases = listLeases(state) })
 	if err != nil {
@@ -127,7 +127,7 @@
 	return leases, nil
 }
 
-// listLeases returns all leases with their keys, never nil.
+// listLeases returns all leases with their keys. The result is not nil.
 func listLeases(state *store.State) []LeaseInfo {
 	leases := []LeaseInfo{}
 	index := map[uint64]int{}
@@ -153,7 +153,7 @@
 	return struct{}{}, nil
 }
 
-func (s *Server) snapshot(w http.ResponseWriter, r *http.Request) {
+func (s *Server) sendSnapshot(w http.ResponseWriter, r *http.Request) {
 	state, err := s.cfg.Store.CloneState(r.Context())
 	if err != nil {
 		WriteError(w, err)
@@ -163,13 +163,13 @@
 	writeState(w, state)
 }
 
-// writeState sends a state. A reader finds by its checksum that it is incomplete.
+// writeState sends a state. If writing fails, the reader detects the incomplete state by its checksum.
 func writeState(w http.ResponseWriter, state *store.State) {
 	w.Header().Set("Content-Type", "application/octet-stream")
 	_ = state.Save(w)
 }
 
-// watch sends events as lines of JSON for as long as the connection lasts.
+// watch sends events as lines of JSON until the client disconnects.
 func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
 	select {
 	case s.watchSlots <- struct{}{}:
@@ -211,7 +211,7 @@
 	}
 }
 
-// watchStart is the revision after which a watch begins: that of the query, or the current one.
+// watchStart returns the revision after which a watch begins: the one in the query, or else the current one.
 func (s *Server) watchStart(r *http.Request) (uint64, error) {
 	query := r.URL.Query()
 	if query.Has("after") {
--- a/internal/store/admin/wire_test.go
+++ b/internal/store/admin/wire_test.go
@@ -18,8 +18,8 @@
 	"birchmoor/internal/store/replica"
 )
 
-// TestMessagesAreFrozen decodes requests, answers and lines of streams that an earlier build wrote, compares
-// each with what it meant, and encodes the same bytes again.
+// TestMessagesAreFrozen decodes requests, answers and lines of streams that an earlier build wrote, compares their
+// values, and checks that encoding them yields the same bytes.
 func TestMessagesAreFrozen(t *testing.T) {
 	const age = 1500 * time.Microsecond
 	id := store.RequestID{Client: 7, Seq: 8}
@@ -64,7 +64,7 @@
 	}
 	lines := strings.Split(strings.TrimSpace(string(golden)), "\n")
 	if len(lines) != len(messages) {
-		t.Errorf("%d golden messages, %d cases", len(lines), len(messages))
+		t.Errorf("there are %d golden messages, but %d test cases", len(lines), len(messages))
 	}
 	for _, line := range lines {
 		name, text, _ := strings.Cut(line, "\t")
@@ -74,23 +74,23 @@
 			decoder := json.NewDecoder(strings.NewReader(text))
 			decoder.DisallowUnknownFields()
 			if err := decoder.Decode(got); err != nil || !reflect.DeepEqual(got, want) {
-				t.Errorf("decoded %+v (%v), want %+v", got, err, want)
+				t.Errorf("decoded as %+v (error %v), want %+v", got, err, want)
 			}
 			if encoded, err := json.Marshal(want); err != nil || string(encoded) != text {
-				t.Errorf("encoded %s (%v), want %s", encoded, err, text)
+				t.Errorf("encoded as %s (error %v), want %s", encoded, err, text)
 			}
 		})
 	}
 }
 
-// TestErrorResponsesAreFrozen compares the status, header and fields of each error with what an earlier build
-// answered. The text of the error is for people and may change.
+// TestErrorResponsesAreFrozen compares the status, Retry-After header and fields of the answer to each kind of error
+// with those of an earlier build. The text of an error is for people and may change.
 func TestErrorResponsesAreFrozen(t *testing.T) {
 	id := store.RequestID{Client: 7, Seq: 8}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		err    error
 		status int
-		fields string // besides the text
+		fields string // other fields than the text
 	}{
 		{errors.New("any"), http.StatusServiceUnavailable, `{}`},
 		{fmt.Errorf("x: %w", replica.ErrNoLeader), http.StatusServiceUnavailable, `{}`},
@@ -108,58 +108,59 @@
 		{&store.NotHeldError{}, http.StatusMisdirectedRequest, `{}`},
 	} {
 		w := httptest.NewRecorder()
-		WriteError(w, c.err)
-		wantRetry := ""
-		if errors.Is(c.err, replica.ErrNoLeader) {
-			wantRetry = "1"
+		WriteError(w, test.err)
+		wantRetryAfter := ""
+		if errors.Is(test.err, replica.ErrNoLeader) {
+			wantRetryAfter = "1"
 		}
-		if retry := w.Header().Get("Retry-After"); w.Code != c.status || retry != wantRetry {
-			t.Errorf("%v: status %d, Retry-After %q; want %d, %q", c.err, w.Code, retry, c.status, wantRetry)
+		if retryAfter := w.Header().Get("Retry-After"); w.Code != test.status || retryAfter != wantRetryAfter {
+			t.Errorf("%v: status %d, Retry-After %q; want %d, %q", test.err, w.Code, retryAfter, test.status, wantRetryAfter)
 		}
 		var fields map[string]json.RawMessage
 		if err := json.Unmarshal(w.Body.Bytes(), &fields); err != nil {
 			t.Fatal(err)
 		}
-		text, err := json.Marshal(c.err.Error())
+		text, err := json.Marshal(test.err.Error())
 		if err != nil {
 			t.Fatal(err)
 		}
 		if !bytes.Equal(fields["error"], text) {
-			t.Errorf("%v: text %s", c.err, fields["error"])
+			t.Errorf("%v: the answer has the text %s", test.err, fields["error"])
 		}
 		delete(fields, "error")
-		if got, err := json.Marshal(fields); err != nil || string(got) != c.fields {
-			t.Errorf("%v: %s (%v), want %s", c.err, got, err, c.fields)
+		if got, err := json.Marshal(fields); err != nil || string(got) != test.fields {
+			t.Errorf("%v: got fields %s (error %v), want %s", test.err, got, err, test.fields)
 		}
 	}
 }
 
-// TestPathsAreFrozen checks that operators and followers find each call where earlier builds look for it.
+// TestPathsAreFrozen checks that each call is served at the method and path that earlier builds use, and that the
+// queries of followers are the same.
 func TestPathsAreFrozen(t *testing.T) {
 	client, _, followersURL := startReplica(t)
-	exists := func(client *http.Client, base, call string) {
+	checkExists := func(client *http.Client, base, call string) {
 		method, path, _ := strings.Cut(call, " ")
-		r, err := http.NewRequestWithContext(t.Context(), method, base+path, strings.NewReader("{"))
+		request, err := http.NewRequestWithContext(t.Context(), method, base+path, strings.NewReader("{"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		a, err := client.Do(r)
+		response, err := client.Do(request)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer a.Body.Close()
-		if a.StatusCode == http.StatusNotFound || a.StatusCode == http.StatusMethodNotAllowed {
-			t.Errorf("%s: %s", call, a.Status)
+		defer response.Body.Close()
+		if response.StatusCode == http.StatusNotFound || response.StatusCode == http.StatusMethodNotAllowed {
+			t.Errorf("%s is not served: %s", call, response.Status)
 		}
 	}
 	for _, call := range []string{
 		"GET /v1/status", "GET /v1/range", "GET /v1/watch?after=x", "GET /v1/snapshot", "POST /v1/change",
 		"POST /v1/handover", "GET /v1/leases",
 	} {
-		exists(client.http, "http://store", call)
+		checkExists(client.http, "http://store", call)
 	}
 	for _, call := range []string{"GET /v1/copy", "GET /v1/follow?after=x", "GET /v1/revision", "POST /v1/change"} {
-		exists(http.DefaultClient, followersURL, call)
+		checkExists(http.DefaultClient, followersURL, call)
 	}
 	if ScopedHeader != "Store-Scoped" {
 		t.Error(ScopedHeader)
@@ -172,7 +173,7 @@
 		"after=7&key=k&prefix=a%2F&prefix=b%2F&sum=s%2F": StreamQuery(interest, 7, []string{"s/"}).Encode(),
 	} {
 		if got != want {
-			t.Errorf("query %s, want %s", got, want)
+			t.Errorf("got query %s, want %s", got, want)
 		}
 	}
 }
