--- a/internal/store/usage/conn.go
+++ b/internal/store/usage/conn.go
@@ -2,7 +2,8 @@
 
 import "net"
 
-// WrapConn counts a connection, and what crosses it from now on. It belongs below TLS.
+// WrapConn counts an opened connection, and returns a wrapper that counts the bytes read and written. conn must be the
+// connection below TLS. If the recorder is nil, WrapConn returns conn.
 func (r *Recorder) WrapConn(conn net.Conn) net.Conn {
 	if r == nil {
 		return conn
@@ -11,7 +12,8 @@
 	return &countedConn{conn, r}
 }
 
-// WrapListener counts the connections that a listener accepts. It belongs below TLS.
+// WrapListener returns a wrapper that calls WrapConn for each accepted connection. The listener must be the one below
+// TLS. If the recorder is nil, WrapListener returns listener.
 func (r *Recorder) WrapListener(listener net.Listener) net.Listener {
 	if r == nil {
 		return listener
@@ -36,8 +38,8 @@
 	return n, err
 }
 
-// CloseWrite closes the sending direction, if the connection can. An HTTP server looks for this method, so that
-// the client reads the last answer before the connection closes.
+// CloseWrite closes the sending direction, if the wrapped connection supports it. net/http's server calls this method
+// before it closes a connection, so that the client can still read the last answer.
 func (c *countedConn) CloseWrite() error {
 	if halfCloser, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return halfCloser.CloseWrite()
--- a/internal/store/usage/process.go
+++ b/internal/store/usage/process.go
@@ -9,21 +9,21 @@
 	"syscall"
 )
 
-// unknown is a figure that the system does not provide.
-const unknown = -1
+// unknownFigure replaces a figure that the system does not provide.
+const unknownFigure = -1
 
-// Process is the resources of a process, whatever runs in it besides the control plane. A figure that the
-// system does not provide is -1.
+// Process has the resources that the whole process uses, not only the control plane. A figure that the system does not
+// provide is -1.
 type Process struct {
-	CPUUserSeconds   float64 `json:"cpu_user_seconds"` // since its start, by getrusage
+	CPUUserSeconds   float64 `json:"cpu_user_seconds"` // since the start of the process, by getrusage
 	CPUSystemSeconds float64 `json:"cpu_system_seconds"`
-	HeapBytes        int64   `json:"heap_bytes"`     // in objects, live or not yet swept
-	ResidentBytes    int64   `json:"resident_bytes"` // at present
-	Descriptors      int64   `json:"descriptors"`
+	HeapBytes        int64   `json:"heap_bytes"`     // live objects, and dead ones that are not swept yet
+	ResidentBytes    int64   `json:"resident_bytes"` // resident set size
+	Descriptors      int64   `json:"descriptors"`    // open file descriptors
 	Goroutines       int64   `json:"goroutines"`
 }
 
-// ReadProcess reads the resources of this process. It reads files of /proc and stops no goroutine.
+// ReadProcess returns the resources that this process uses. It reads files in /proc and does not stop other goroutines.
 func ReadProcess() Process {
 	user, system := readCPUSeconds()
 	return Process{
@@ -39,13 +39,13 @@
 func readCPUSeconds() (user, system float64) {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
-		return unknown, unknown
+		return unknownFigure, unknownFigure
 	}
 	const nanosPerSecond = 1e9
 	return float64(usage.Utime.Nano()) / nanosPerSecond, float64(usage.Stime.Nano()) / nanosPerSecond
 }
 
-// readHeapBytes is 0 where the runtime has no such metric.
+// readHeapBytes returns 0 if the runtime does not have the metric.
 func readHeapBytes() int64 {
 	samples := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
 	metrics.Read(samples)
@@ -58,15 +58,15 @@
 func readResidentBytes() int64 {
 	statm, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
-		return unknown
+		return unknownFigure
 	}
 	fields := strings.Fields(string(statm))
 	if len(fields) < 2 {
-		return unknown
+		return unknownFigure
 	}
 	pages, err := strconv.ParseInt(fields[1], 10, 64)
 	if err != nil {
-		return unknown
+		return unknownFigure
 	}
 	return pages * int64(os.Getpagesize())
 }
@@ -74,12 +74,12 @@
 func countDescriptors() int64 {
 	dir, err := os.Open("/proc/self/fd")
 	if err != nil {
-		return unknown
+		return unknownFigure
 	}
 	names, err := dir.Readdirnames(-1)
-	_ = dir.Close() // opened for reading alone
+	_ = dir.Close() // nothing was written to it
 	if err != nil {
-		return unknown
+		return unknownFigure
 	}
-	return int64(len(names)) - 1 // without the one of dir
+	return int64(len(names)) - 1 // not counting that of dir
 }
--- a/internal/store/usage/purpose.go
+++ b/internal/store/usage/purpose.go
@@ -6,7 +6,7 @@
 	"birchmoor/internal/store"
 )
 
-// Purpose is what a message or an entry of the log is for.
+// Purpose is the purpose of a message, or of an entry in the log of the store.
 type Purpose uint8
 
 // The purposes. A transaction has the purpose of its first key.
@@ -14,18 +14,18 @@
 	Other           Purpose = iota
 	Sessions                // leases that are granted, renewed or revoked
 	ServerReports           // drains, administrative drains and starts of servers
-	ModuleSnapshots         // what sidecars' decision modules know of servers
-	Settings                // of the data path
-	Quotas                  // of limits
-	Tasks                   // which daemon holds the lease of a task
-	Raft                    // between replicas: entries, heartbeats, votes and their answers
-	Snapshots               // complete states, between replicas and to followers
-	Heartbeats              // of the streams of followers, and the beginnings of streams
-	Requests                // of followers for the revision that a quorum confirms
+	ModuleSnapshots         // snapshots of the decision modules of sidecars
+	Settings                // settings of the data path
+	Quotas                  // configuration, demands and grants of limits
+	Tasks                   // leases of tasks, that is, which daemon holds them
+	Raft                    // messages between replicas, except snapshots, and changes of members
+	Snapshots               // states sent between replicas and to followers
+	Heartbeats              // heartbeats and progress in the streams of followers, and requests for streams
+	Requests                // requests of followers for the revision that a quorum confirms
 	purposeCount
 )
 
-// purposeNames are the names in readings and metrics.
+// purposeNames has the names of the purposes in readings and metrics.
 var purposeNames = [purposeCount]string{
 	Other:           "other",
 	Sessions:        "sessions",
@@ -40,16 +40,16 @@
 	Requests:        "requests",
 }
 
-// String is the name of the purpose in readings and metrics.
+// String returns the name of the purpose in readings and metrics.
 func (p Purpose) String() string { return purposeNames[p] }
 
-// Prefix says what the keys that begin with it are for.
+// Prefix assigns a purpose to the keys with a prefix.
 type Prefix struct {
 	Prefix  string
 	Purpose Purpose
 }
 
-// KeyPurpose is what a key is for: the purpose of the first of the recorder's prefixes that it has, or Other.
+// KeyPurpose returns the purpose of the first of the recorder's prefixes that a key has, or Other.
 func (r *Recorder) KeyPurpose(key string) Purpose {
 	if r == nil {
 		return Other
@@ -62,8 +62,8 @@
 	return Other
 }
 
-// CommandPurpose is what a command is for. A transaction has the purpose of the first key that it puts or
-// deletes, or else compares; changes of members are for Raft.
+// CommandPurpose returns the purpose of a command. A transaction has the purpose of the first key that it puts or
+// deletes, or else of the first that it compares. Changes of members have the purpose Raft.
 func (r *Recorder) CommandPurpose(command *store.Command) Purpose {
 	if r == nil {
 		return Other
@@ -79,6 +79,8 @@
 	return r.txnPurpose(command.Txn)
 }
 
+// txnPurpose implements CommandPurpose for a transaction. Other is the purpose of one without operations and
+// comparisons.
 func (r *Recorder) txnPurpose(txn *store.Txn) Purpose {
 	switch {
 	case len(txn.Then) > 0:
--- a/internal/store/usage/reading.go
+++ b/internal/store/usage/reading.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Reading is all that was counted. Its figures are read one after another: related ones may differ by what
-// happens meanwhile.
+// Reading has everything that a recorder counted. Its figures are not read atomically, so related figures may differ by
+// what was counted in between.
 type Reading struct {
 	Seconds     float64        `json:"seconds"` // since the recorder was created
 	Purposes    []PurposeUsage `json:"purposes"`
@@ -12,7 +12,8 @@
 	Process     Process        `json:"process"`
 }
 
-// PurposeUsage is what was counted for one purpose. Entries and their bytes are those of the log, as it is encoded.
+// PurposeUsage has the counts for one purpose: of messages, and of entries in the log of the store with their encoded
+// size.
 type PurposeUsage struct {
 	Purpose      string `json:"purpose"`
 	MessagesIn   uint64 `json:"messages_in"`
@@ -24,29 +25,30 @@
 	AppliedBytes uint64 `json:"entries_applied_bytes"`
 }
 
-// FileUsage is what was written to one file.
+// FileUsage has the number of syncs of one file, and of bytes written to it.
 type FileUsage struct {
 	File  string `json:"file"`
 	Syncs uint64 `json:"syncs"`
 	Bytes uint64 `json:"bytes"`
 }
 
-// Connections are the connections of the control plane that either side opened, and all bytes that crossed
-// them, those of TLS and HTTP among them.
+// Connections has the number of the control plane's connections, whichever side opened them, and of the bytes that they
+// transferred, including those of TLS and HTTP.
 type Connections struct {
 	Opened   uint64 `json:"opened"`
 	BytesIn  uint64 `json:"bytes_in"`
 	BytesOut uint64 `json:"bytes_out"`
 }
 
-// Read returns what was counted, all purposes and files in their order, and the resources of the process.
+// Read returns the counts of all purposes and files, in the order of their constants, and the resources of the process.
+// A nil Recorder returns counts of 0.
 func (r *Recorder) Read() Reading {
 	reading := r.ReadCounters()
 	reading.Process = ReadProcess()
 	return reading
 }
 
-// ReadCounters is Read without the process, for a process that has several recorders.
+// ReadCounters is Read without the resources of the process, for a process that has several recorders.
 func (r *Recorder) ReadCounters() Reading {
 	reading := Reading{Purposes: make([]PurposeUsage, purposeCount), Written: make([]FileUsage, fileCount)}
 	for purpose := range purposeCount {
--- a/internal/store/usage/recorder.go
+++ b/internal/store/usage/recorder.go
@@ -1,12 +1,11 @@
-// Package usage counts what the control plane costs a process, by purpose: messages and bytes in each
-// direction, entries of the log, and what is written to and synced with the disk. It may import package store
-// and nothing else of birchmoor.
+// Package usage counts the resources that the control plane uses in a process: messages and bytes in each direction and
+// entries of the store's log, all by purpose, and the bytes and syncs of files. It may import package store and nothing
+// else of birchmoor.
 //
-// Messages and their bytes are those that the application exchanges over a connection: a body, a line of a
-// stream or a frame as it is encoded, before TLS, and without the headers and chunk sizes of HTTP. The
-// difference, and handshakes, are in the bytes of all connections together (Reading.Connections), which are
-// counted below TLS. Both ends of a connection count the same while it lasts; one end alone may have counted
-// what was in flight when it broke.
+// A message is what the application sends in one piece: an encoded body, line of a stream or frame. Its bytes are
+// counted before TLS and without HTTP's headers and chunk sizes. Those and handshakes are included in the bytes of all
+// connections (Reading.Connections), which are counted below TLS. Both ends of a connection count the same messages,
+// but when it breaks, only one end may have counted the messages in flight.
 package usage
 
 import (
@@ -16,7 +15,7 @@
 	"birchmoor/internal/store"
 )
 
-// Direction is where a message goes, as this process sees it.
+// Direction is the direction of a message as seen by this process.
 type Direction uint8
 
 // The directions.
@@ -26,51 +25,53 @@
 	directionCount
 )
 
-// File is what is written to a disk.
+// File identifies data that is written to a disk.
 type File uint8
 
-// The files. LogFile and SnapshotFile are one file on the disk; a transaction of it counts by its content.
+// The files. LogFile and SnapshotFile are the same file on the disk; each transaction counts for the one whose data it
+// writes.
 const (
-	LogFile      File = iota // of a replica, with its hard state
-	SnapshotFile             // of a replica
-	CopyFile                 // of a follower
+	LogFile      File = iota // log of a replica, with its hard state
+	SnapshotFile             // snapshot of a replica
+	CopyFile                 // copy of a follower
 	fileCount
 )
 
-// fileNames are the names in readings and metrics.
+// fileNames has the names of the files in readings and metrics.
 var fileNames = [fileCount]string{LogFile: "log", SnapshotFile: "snapshot", CopyFile: "copy"}
 
-// String is the name of the file in readings and metrics.
+// String returns the name of the file in readings and metrics.
 func (f File) String() string { return fileNames[f] }
 
-// Recorder counts from its creation on. All methods may be called by any goroutine. A nil Recorder is valid and
-// counts nothing. Counting takes no lock and allocates nothing.
+// Recorder counts from its creation on. Its methods are safe for concurrent use. A nil Recorder is valid and counts
+// nothing. Counting takes no lock and allocates nothing.
 type Recorder struct {
 	startedAt time.Time
 	prefixes  []Prefix
 
-	messages    [purposeCount][directionCount]amount
+	messages    [purposeCount][directionCount]messageCounter
 	connBytes   [directionCount]atomic.Uint64
 	connections atomic.Uint64
 	proposed    [purposeCount]atomic.Uint64
-	applied     [purposeCount]amount
+	applied     [purposeCount]messageCounter // entries instead of messages
 	written     [fileCount]struct{ syncs, bytes atomic.Uint64 }
 }
 
-type amount struct{ messages, bytes atomic.Uint64 }
+// messageCounter counts messages and their bytes.
+type messageCounter struct{ messages, bytes atomic.Uint64 }
 
-func (a *amount) add(messages, bytes int) {
+func (a *messageCounter) add(messages, bytes int) {
 	a.messages.Add(uint64(messages))
 	a.bytes.Add(uint64(bytes))
 }
 
-// New returns a recorder by which a key has the purpose of the first of the prefixes with which it begins. The
-// program that puts a process together names them, from the components that own the keys.
+// New returns a recorder that determines the purpose of a key by the first of the prefixes that the key has. The
+// program passes the prefixes of the components that own the keys.
 func New(prefixes ...Prefix) *Recorder {
 	return &Recorder{startedAt: time.Now(), prefixes: prefixes}
 }
 
-// Count adds messages and bytes that were sent or received.
+// Count adds messages, and bytes of messages, that were sent or received.
 func (r *Recorder) Count(purpose Purpose, direction Direction, messages, bytes int) {
 	if r == nil {
 		return
@@ -78,8 +79,7 @@
 	r.messages[purpose][direction].add(messages, bytes)
 }
 
-// CountProposal counts an entry that this process proposed to the leader, or as the leader. It may never be
-// committed.
+// CountProposal counts a command that this process proposed for the log. It may never be committed.
 func (r *Recorder) CountProposal(command *store.Command) {
 	if r == nil {
 		return
@@ -87,7 +87,7 @@
 	r.proposed[r.CommandPurpose(command)].Add(1)
 }
 
-// CountApplied counts an entry of the log, of so many encoded bytes, that this replica applied.
+// CountApplied counts a command, and the bytes of its encoded log entry, that this replica applied.
 func (r *Recorder) CountApplied(command *store.Command, bytes int) {
 	if r == nil {
 		return
@@ -95,7 +95,7 @@
 	r.applied[r.CommandPurpose(command)].add(1, bytes)
 }
 
-// CountWrite counts bytes that were written to a file, and syncs that were waited for.
+// CountWrite adds syncs of a file that the caller waited for, and bytes that were written to the file.
 func (r *Recorder) CountWrite(file File, syncs, bytes int) {
 	if r == nil {
 		return
--- a/internal/store/usage/recorder_test.go
+++ b/internal/store/usage/recorder_test.go
@@ -7,90 +7,91 @@
 	"birchmoor/internal/store"
 )
 
-// A recorder counts by purpose, direction and file; a nil one counts nothing; and neither allocates.
+// A recorder counts by purpose, direction and file. A nil recorder counts nothing. Neither allocates memory.
 func TestRecorderCountsByPurpose(t *testing.T) {
 	recorder := New(Prefix{"a/", ServerReports}, Prefix{"a", Tasks})
-	c := &store.Command{Txn: &store.Txn{Then: []store.Op{{Key: "a/x"}}}}
-	count := func(m *Recorder) {
-		m.Count(Heartbeats, In, 1, 70)
-		m.Count(Heartbeats, Out, 2, 5)
-		m.CountProposal(c)
-		m.CountApplied(c, 30)
-		m.CountWrite(CopyFile, 1, 900)
-	}
-	count(recorder)
-	r := recorder.Read()
+	command := &store.Command{Txn: &store.Txn{Then: []store.Op{{Key: "a/x"}}}}
+	recordAll := func(r *Recorder) {
+		r.Count(Heartbeats, In, 1, 70)
+		r.Count(Heartbeats, Out, 2, 5)
+		r.CountProposal(command)
+		r.CountApplied(command, 30)
+		r.CountWrite(CopyFile, 1, 900)
+	}
+	recordAll(recorder)
+	reading := recorder.Read()
 	wantHeartbeats := PurposeUsage{Purpose: "beats", MessagesIn: 1, BytesIn: 70, MessagesOut: 2, BytesOut: 5}
-	if got, want := r.Purposes[Heartbeats], wantHeartbeats; got != want {
+	if got, want := reading.Purposes[Heartbeats], wantHeartbeats; got != want {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 	wantReports := PurposeUsage{Purpose: "words", Proposed: 1, Applied: 1, AppliedBytes: 30}
-	if got, want := r.Purposes[ServerReports], wantReports; got != want {
+	if got, want := reading.Purposes[ServerReports], wantReports; got != want {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
-	if got, want := r.Written[CopyFile], (FileUsage{"copy", 1, 900}); got != want {
+	if got, want := reading.Written[CopyFile], (FileUsage{"copy", 1, 900}); got != want {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 	if got := recorder.KeyPurpose("ab"); got != Tasks {
-		t.Errorf("a key of the second prefix is for %v", got)
+		t.Errorf("a key with only the second prefix has the purpose %v, want Tasks", got)
 	}
-	p := r.Process
-	validMemory := p.HeapBytes > 0 && p.ResidentBytes > p.HeapBytes/2
-	if p.CPUUserSeconds < 0 || !validMemory || p.Descriptors < 3 || p.Goroutines < 1 {
-		t.Errorf("the process: %+v", p)
+	process := reading.Process
+	validMemory := process.HeapBytes > 0 && process.ResidentBytes > process.HeapBytes/2
+	if process.CPUUserSeconds < 0 || !validMemory || process.Descriptors < 3 || process.Goroutines < 1 {
+		t.Errorf("implausible resources of the process: %+v", process)
 	}
-	var none *Recorder
-	count(none)
-	empty := none.Read()
+	var nilRecorder *Recorder
+	recordAll(nilRecorder)
+	emptyReading := nilRecorder.Read()
 	noHeartbeats, nothingWritten := PurposeUsage{Purpose: "beats"}, FileUsage{File: "copy"}
-	if empty.Purposes[Heartbeats] != noHeartbeats || empty.Written[CopyFile] != nothingWritten || empty.Seconds != 0 {
-		t.Errorf("a nil recorder counted %+v", empty)
+	if emptyReading.Purposes[Heartbeats] != noHeartbeats || emptyReading.Written[CopyFile] != nothingWritten ||
+		emptyReading.Seconds != 0 {
+		t.Errorf("a nil recorder counted %+v", emptyReading)
 	}
-	for _, m := range []*Recorder{recorder, none} {
-		if n := testing.AllocsPerRun(100, func() { count(m) }); n != 0 {
-			t.Errorf("counting allocates %v times", n)
+	for _, r := range []*Recorder{recorder, nilRecorder} {
+		if allocs := testing.AllocsPerRun(100, func() { recordAll(r) }); allocs != 0 {
+			t.Errorf("counting allocated memory %v times", allocs)
 		}
 	}
 }
 
-// What crosses a connection is counted at both ends, and the ends can still be closed one way.
+// Both ends of a connection count its bytes, and a wrapped connection can still be closed in one direction.
 func TestRecorderCountsConnectionBytes(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	tcpListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	here, there := New(), New()
-	in := here.WrapListener(ln)
-	defer in.Close()
-	raw, err := net.Dial("tcp", ln.Addr().String())
+	serverRecorder, clientRecorder := New(), New()
+	listener := serverRecorder.WrapListener(tcpListener)
+	defer listener.Close()
+	tcpConn, err := net.Dial("tcp", tcpListener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := there.WrapConn(raw)
-	defer c.Close()
-	s, err := in.Accept()
+	clientConn := clientRecorder.WrapConn(tcpConn)
+	defer clientConn.Close()
+	serverConn, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
-	if _, err := c.Write([]byte("hello")); err != nil {
+	defer serverConn.Close()
+	if _, err := clientConn.Write([]byte("hello")); err != nil {
 		t.Fatal(err)
 	}
-	if err := c.(interface{ CloseWrite() error }).CloseWrite(); err != nil {
+	if err := clientConn.(interface{ CloseWrite() error }).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	b := make([]byte, 10)
+	buffer := make([]byte, 10)
 	for err == nil {
-		_, err = s.Read(b)
+		_, err = serverConn.Read(buffer)
 	}
-	if got, want := there.Read().Connections, (Connections{Opened: 1, BytesOut: 5}); got != want {
+	if got, want := clientRecorder.Read().Connections, (Connections{Opened: 1, BytesOut: 5}); got != want {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
-	if got, want := here.Read().Connections, (Connections{Opened: 1, BytesIn: 5}); got != want {
+	if got, want := serverRecorder.Read().Connections, (Connections{Opened: 1, BytesIn: 5}); got != want {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
-	var none *Recorder
-	if none.WrapConn(raw) != raw || none.WrapListener(ln) != ln {
-		t.Error("a nil recorder wraps")
+	var nilRecorder *Recorder
+	if nilRecorder.WrapConn(tcpConn) != tcpConn || nilRecorder.WrapListener(tcpListener) != tcpListener {
+		t.Error("a nil recorder wrapped a connection or a listener")
 	}
 }
--- a/internal/store/usage/wire_test.go
+++ b/internal/store/usage/wire_test.go
@@ -7,31 +7,30 @@
 	"testing"
 )
 
-// TestReadingJSONIsFrozen counts what an earlier build counted, and compares the reading with the one that it
-// wrote.
+// TestReadingJSONIsFrozen counts the same as an earlier build did, and compares the encoded reading with that build's.
 func TestReadingJSONIsFrozen(t *testing.T) {
 	want, err := os.ReadFile("testdata/reading.golden.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := New()
+	recorder := New()
 	n := 0
-	for p := range purposeCount {
+	for purpose := range purposeCount {
 		n++
-		m.Count(p, In, n, 100+n)
-		m.Count(p, Out, 20+n, 200+n)
-		m.proposed[p].Add(uint64(300 + n))
-		m.applied[p].messages.Add(uint64(400 + n))
-		m.applied[p].bytes.Add(uint64(500 + n))
+		recorder.Count(purpose, In, n, 100+n)
+		recorder.Count(purpose, Out, 20+n, 200+n)
+		recorder.proposed[purpose].Add(uint64(300 + n))
+		recorder.applied[purpose].messages.Add(uint64(400 + n))
+		recorder.applied[purpose].bytes.Add(uint64(500 + n))
 	}
-	for f := range fileCount {
+	for file := range fileCount {
 		n++
-		m.CountWrite(f, n, 1000+n)
+		recorder.CountWrite(file, n, 1000+n)
 	}
-	m.connections.Add(3)
-	m.connBytes[In].Add(7)
-	m.connBytes[Out].Add(8)
-	reading := m.ReadCounters()
+	recorder.connections.Add(3)
+	recorder.connBytes[In].Add(7)
+	recorder.connBytes[Out].Add(8)
+	reading := recorder.ReadCounters()
 	reading.Seconds = 12.5
 	reading.Process = Process{
 		CPUUserSeconds: 1.5, CPUSystemSeconds: 0.25, HeapBytes: 9, ResidentBytes: 10, Descriptors: 11, Goroutines: 12,
@@ -47,9 +46,9 @@
 		t.Errorf("encoded\n%s\nwant\n%s", got, want)
 	}
 	var decoded Reading
-	d := json.NewDecoder(bytes.NewReader(want))
-	d.DisallowUnknownFields()
-	if err := d.Decode(&decoded); err != nil || !bytes.Equal(encode(decoded), want) {
-		t.Errorf("decoded %+v (%v)", decoded, err)
+	decoder := json.NewDecoder(bytes.NewReader(want))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&decoded); err != nil || !bytes.Equal(encode(decoded), want) {
+		t.Errorf("the reading does not survive decoding and encoding: decoded %+v (error %v)", decoded, err)
 	}
 }
