--- a/internal/controlplane/adminapi/adminapi.go
+++ b/internal/controlplane/adminapi/adminapi.go
@@ -1,6 +1,6 @@
-// Package adminapi serves operators of a running daemon: beside the store's own requests (package admin) it answers for
-// settings, servers, tasks and limits, and it has the client. It stands above the components of a daemon, which know
-// nothing of it; it may import all of the control plane but the root package.
+// Package adminapi serves operators of a running daemon. In addition to the store's own requests (package admin), it
+// serves requests for settings, servers, tasks and limits. It also contains the client. The components of a daemon must
+// not import it; it may import all packages of the control plane except the root package.
 package adminapi
 
 import (
@@ -21,39 +21,39 @@
 	"birchmoor/internal/store/usage"
 )
 
-// Paths of requests.
+// Paths of the requests that this package adds to those of package admin, whose status it extends.
 const (
-	pathStatus  = "/v1/status"
-	pathConfig  = "/v1/config"
-	pathPlan    = "/v1/plan"
-	pathTasks   = "/v1/tasks"
-	pathTask    = "/v1/task"
-	pathLock    = "/v1/lock"
-	pathUnlock  = "/v1/unlock"
-	pathLimits  = "/v1/limits"
-	pathMeter   = "/v1/meter"
-	pathOut     = "/v1/out"
-	pathServers = "/v1/servers"
+	pathStatus     = "/v1/status"
+	pathConfig     = "/v1/config"
+	pathPlan       = "/v1/plan"
+	pathTasks      = "/v1/tasks"
+	pathTask       = "/v1/task"
+	pathLock       = "/v1/lock"
+	pathUnlock     = "/v1/unlock"
+	pathLimits     = "/v1/limits"
+	pathUsage      = "/v1/meter"
+	pathExclusions = "/v1/out"
+	pathServers    = "/v1/servers"
 )
 
-// Status is how the copy of the store stands, and what the daemon knows of servers.
+// Status is the status of the daemon's copy of the store, with what the daemon knows about servers.
 type Status struct {
 	engine.Status
 	Daemon  daemon.Counts       `json:"daemon"`
 	Startup daemon.StartupState `json:"began"`
 }
 
-// Components are what a server answers for.
+// Components are the components of a daemon that serve the requests.
 type Components struct {
 	Servers  *daemon.Servers
 	Settings *daemon.Settings
 	Tasks    *leasetask.Runner
 	Limits   *quotasync.Manager // nil: the daemon shares no limits
-	Clock    bootclock.Clock    // of leases
+	Clock    bootclock.Clock    // the clock of leases
 	Usage    *usage.Recorder    // nil: nothing is counted
 }
 
-// NewUsageRecorder returns a recorder that knows the purposes of the components' keys.
+// NewUsageRecorder returns a recorder with the prefixes and purposes of the components' keys.
 func NewUsageRecorder() *usage.Recorder {
 	return usage.New(
 		usage.Prefix{Prefix: serverstate.ExclusionPrefix, Purpose: usage.ServerReports},
@@ -65,7 +65,8 @@
 	)
 }
 
-// FollowerRules returns the rules for daemons without a replica: each component says which operations are theirs.
+// FollowerRules returns the configuration of a server for daemons without a replica. Such a daemon may make an
+// operation if one of the components allows it.
 func (c Components) FollowerRules() admin.FollowerConfig {
 	return admin.FollowerConfig{
 		Usage:        c.Usage,
@@ -77,35 +78,35 @@
 	}
 }
 
-// server answers the requests.
+// server serves the requests.
 type server struct {
 	Components
 	locks lockTable
 }
 
-// Listen serves a Unix socket at a path until the server is closed.
-func Listen(path string, s admin.Store, components Components) (*admin.Server, error) {
+// Listen creates a Unix socket at a path and serves operators until the returned server is closed; see admin.Listen.
+func Listen(path string, adminStore admin.Store, components Components) (*admin.Server, error) {
 	srv := &server{Components: components, locks: newLockTable()}
-	return admin.Listen(path, admin.Config{Store: s, RegisterCalls: srv.register, Status: srv.status})
+	return admin.Listen(path, admin.Config{Store: adminStore, RegisterCalls: srv.register, Status: srv.status})
 }
 
-func (s *server) register(m *admin.Mux) {
-	m.HandleCall("GET "+pathConfig, s.settingsHistory)
-	m.HandleCall("POST "+pathConfig, s.changeSettings)
-	m.HandleCall("GET "+pathPlan, s.rollout)
-	m.HandleCall("GET "+pathTasks, s.listTasks)
-	m.HandleCall("POST "+pathTask, s.overrideTask)
-	m.HandleStream("GET "+pathLock, s.lock)
-	m.HandleCall("POST "+pathUnlock, s.unlock)
-	m.HandleCall("GET "+pathLimits, s.listLimits)
-	m.HandleCall("POST "+pathLimits, s.putLimits)
-	m.HandleCall("GET "+pathMeter, s.usage)
-	m.HandleCall("GET "+pathOut, s.exclusions)
-	m.HandleCall("GET "+pathServers, s.servers)
+func (s *server) register(mux *admin.Mux) {
+	mux.HandleCall("GET "+pathConfig, s.settingsHistory)
+	mux.HandleCall("POST "+pathConfig, s.changeSettings)
+	mux.HandleCall("GET "+pathPlan, s.rollout)
+	mux.HandleCall("GET "+pathTasks, s.listTasks)
+	mux.HandleCall("POST "+pathTask, s.overrideTask)
+	mux.HandleStream("GET "+pathLock, s.lock)
+	mux.HandleCall("POST "+pathUnlock, s.unlock)
+	mux.HandleCall("GET "+pathLimits, s.listLimits)
+	mux.HandleCall("POST "+pathLimits, s.putLimits)
+	mux.HandleCall("GET "+pathUsage, s.usage)
+	mux.HandleCall("GET "+pathExclusions, s.exclusions)
+	mux.HandleCall("GET "+pathServers, s.servers)
 }
 
-func (s *server) status(st engine.Status) any {
-	return Status{Status: st, Daemon: s.Servers.Counts(), Startup: s.Servers.StartupState()}
+func (s *server) status(storeStatus engine.Status) any {
+	return Status{Status: storeStatus, Daemon: s.Servers.Counts(), Startup: s.Servers.StartupState()}
 }
 
 func (s *server) usage(context.Context, http.ResponseWriter, *http.Request) (any, error) {
@@ -118,7 +119,7 @@
 
 func (s *server) servers(ctx context.Context, _ http.ResponseWriter, r *http.Request) (any, error) {
 	if r.URL.Query().Get("all") != "true" {
-		ctx = nil // by this daemon's copy alone
+		ctx = nil // use only this daemon's copy
 	}
 	return s.Servers.List(ctx), nil
 }
--- a/internal/controlplane/adminapi/adminapi_test.go
+++ b/internal/controlplane/adminapi/adminapi_test.go
@@ -18,21 +18,21 @@
 	"birchmoor/internal/store/usage"
 )
 
-// A daemon without a replica may write records of its own name, and nothing else of tasks, settings or limits.
+// A daemon without a replica may write only its own records of tasks, settings and limits.
 func TestFollowerRulesAllowOwnRecordsOnly(t *testing.T) {
-	entry := func(owner string) string { return lease.QueueEntryKey("one", owner, "1") }
+	queueEntryKey := func(owner string) string { return lease.QueueEntryKey("one", owner, "1") }
 	rules := Components{}.FollowerRules()
 	for name, test := range map[string]struct {
 		op    store.Op
 		owner string
 		ok    bool
 	}{
-		"a queue entry":                       {store.Op{Key: entry("f"), LeaseID: 7}, "f", true},
-		"another's queue entry":               {store.Op{Key: entry("g"), LeaseID: 7}, "f", false},
-		"a queue entry without a lease":       {store.Op{Key: entry("f")}, "f", false},
-		"a queue entry without an owner":      {store.Op{Key: entry("f"), LeaseID: 7}, "", false},
-		"its own queue entry deleted":         {store.Op{Key: entry("f"), Delete: true}, "f", true},
-		"another's queue entry deleted":       {store.Op{Key: entry("g"), Delete: true}, "f", false},
+		"a queue entry":                       {store.Op{Key: queueEntryKey("f"), LeaseID: 7}, "f", true},
+		"another's queue entry":               {store.Op{Key: queueEntryKey("g"), LeaseID: 7}, "f", false},
+		"a queue entry without a lease":       {store.Op{Key: queueEntryKey("f")}, "f", false},
+		"a queue entry without an owner":      {store.Op{Key: queueEntryKey("f"), LeaseID: 7}, "", false},
+		"its own queue entry deleted":         {store.Op{Key: queueEntryKey("f"), Delete: true}, "f", true},
+		"another's queue entry deleted":       {store.Op{Key: queueEntryKey("g"), Delete: true}, "f", false},
 		"slots":                               {store.Op{Key: lease.TaskConfigPrefix + "one"}, "f", true},
 		"slots without an owner":              {store.Op{Key: lease.TaskConfigPrefix + "one"}, "", false},
 		"slots deleted":                       {store.Op{Key: lease.TaskConfigPrefix + "one", Delete: true}, "f", false},
@@ -48,13 +48,14 @@
 		"limits":                              {store.Op{Key: "limit/conf"}, "f", false},
 		"settings":                            {store.Op{Key: "config/current"}, "f", false},
 	} {
-		if ok := rules.Allowed(test.op, test.owner); ok != test.ok {
-			t.Errorf("%s: %v", name, ok)
+		if allowed := rules.Allowed(test.op, test.owner); allowed != test.ok {
+			t.Errorf("%s: allowed is %v", name, allowed)
 		}
 	}
 }
 
-// Nothing of the store imports a component of a daemon, and no component imports what stands above it.
+// The store's packages do not import the control plane, and no component of a daemon imports a package that builds on
+// it.
 func TestImports(t *testing.T) {
 	const controlPlane = "birchmoor/internal/controlplane/"
 	forbidden := map[string][]string{
@@ -70,14 +71,14 @@
 			if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 				return err
 			}
-			f, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ImportsOnly)
+			file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ImportsOnly)
 			if err != nil {
 				return err
 			}
-			for _, i := range f.Imports {
-				for _, b := range banned {
-					if i.Path.Value == strconv.Quote(controlPlane+b) {
-						t.Errorf("%s imports %s", path, b)
+			for _, imported := range file.Imports {
+				for _, name := range banned {
+					if imported.Path.Value == strconv.Quote(controlPlane+name) {
+						t.Errorf("%s imports %s", path, name)
 					}
 				}
 			}
@@ -89,9 +90,9 @@
 	}
 }
 
-// The purposes of keys and commands come from the packages that name the keys.
-func TestMeterKnowsPurposesOfKeysAndCommands(t *testing.T) {
-	meter := NewUsageRecorder()
+// NewUsageRecorder assigns the keys of each component, and commands that change them, to the right purposes.
+func TestUsageRecorderKnowsPurposesOfKeysAndCommands(t *testing.T) {
+	recorder := NewUsageRecorder()
 	server := serverstate.Process{ID: "s", Addr: "a", StartedMs: 1}
 	process := quota.Process{Host: "h", Session: 1}
 	for key, want := range map[string]usage.Purpose{
@@ -110,8 +111,8 @@
 		"an operator's":                                       usage.Other,
 		"":                                                    usage.Other,
 	} {
-		if got := meter.KeyPurpose(key); got != want {
-			t.Errorf("%q is for %v, not %v", key, got, want)
+		if got := recorder.KeyPurpose(key); got != want {
+			t.Errorf("key %q has the purpose %v, want %v", key, got, want)
 		}
 	}
 	put := func(key string) []store.Op { return []store.Op{{Key: key}} }
@@ -127,12 +128,12 @@
 		"new level":          {store.Command{RaiseLevel: &store.RaiseLevel{}}, usage.Raft},
 		"nothing":            {store.Command{}, usage.Other},
 		"put":                {store.Command{Txn: &store.Txn{Then: put("limit/x"), Else: put("out/x")}}, usage.Quotas},
-		"put otherwise":      {store.Command{Txn: &store.Txn{Else: put("out/x"), If: compare("task/x")}}, usage.ServerReports},
+		"put in else branch": {store.Command{Txn: &store.Txn{Else: put("out/x"), If: compare("task/x")}}, usage.ServerReports},
 		"comparison":         {store.Command{Txn: &store.Txn{If: compare("task/x")}}, usage.Tasks},
 		"empty transaction":  {store.Command{Txn: &store.Txn{}}, usage.Other},
 	} {
-		if got := meter.CommandPurpose(&test.command); got != test.want {
-			t.Errorf("%s is for %v, not %v", name, got, test.want)
+		if got := recorder.CommandPurpose(&test.command); got != test.want {
+			t.Errorf("command %q has the purpose %v, want %v", name, got, test.want)
 		}
 	}
 }
--- a/internal/controlplane/adminapi/limits.go
+++ b/internal/controlplane/adminapi/limits.go
@@ -9,7 +9,7 @@
 	"birchmoor/internal/store/admin"
 )
 
-var errNoLimits = errors.New("this daemon shares no limits: its operator file has no [limits]")
+var errNoLimits = errors.New("this daemon does not share limits: its operator file has no [limits] table")
 
 func (s *server) listLimits(ctx context.Context, _ http.ResponseWriter, r *http.Request) (any, error) {
 	if s.Limits == nil {
--- a/internal/controlplane/adminapi/lock.go
+++ b/internal/controlplane/adminapi/lock.go
@@ -15,38 +15,38 @@
 )
 
 const (
-	maxLocks      = 256 // held or waited for through the socket at once
-	lockHeartbeat = time.Second
+	maxLocks      = 256         // locks that clients of the socket hold or wait for
+	lockHeartbeat = time.Second // interval of statuses to a waiting client, and timeout for sending one
 )
 
-// LockStatus is sent to the client of a lock at each change. While it waits it is also sent each second, so that a
-// client that is gone is noticed.
+// LockStatus is sent to the client of a lock at each change. While the client waits for the lock, the status is also
+// sent every lockHeartbeat, so that the daemon notices a client that has disconnected.
 type LockStatus struct {
-	Position   *int   `json:"before,omitempty"` // waiting: queue entries ahead; -1: there is no entry yet
-	Reason     string `json:"why,omitempty"`    // for waiting, or for the end
-	Token      uint64 `json:"token,omitempty"`  // held
-	ValidUntil int64  `json:"until,omitempty"`  // held: in nanoseconds of the host's boot clock
-	Ended      bool   `json:"over,omitempty"`   // the client must end now, at ValidUntil at the latest
+	Position   *int   `json:"before,omitempty"` // while waiting: number of queue entries ahead; -1: there is no entry yet
+	Reason     string `json:"why,omitempty"`    // why the client waits, or why the lock has ended
+	Token      uint64 `json:"token,omitempty"`  // while held: the fencing token
+	ValidUntil int64  `json:"until,omitempty"`  // while held: end of the lease in nanoseconds of the host's boot clock
+	Ended      bool   `json:"over,omitempty"`   // the client must stop its work at once, and by ValidUntil at the latest
 }
 
-// lockTable counts the locks of the socket and knows those that are held.
+// lockTable limits the number of locks of the socket and tracks those that are held. It is safe for concurrent use.
 type lockTable struct {
-	slots chan struct{}
-	held  *sync.Map // of lockKey: a func() that reports that the client has unlocked
+	slots       chan struct{}
+	unlockFuncs *sync.Map // lockKey of each held lock -> func() that marks it as unlocked by its client
 }
 
-// lockKey identifies a held lock.
+// lockKey identifies a held lock by its task and fencing token.
 type lockKey struct {
 	task  string
 	token uint64
 }
 
 func newLockTable() lockTable {
-	return lockTable{slots: make(chan struct{}, maxLocks), held: &sync.Map{}}
+	return lockTable{slots: make(chan struct{}, maxLocks), unlockFuncs: &sync.Map{}}
 }
 
-// begin takes one of the slots, unless all are in use.
-func (t *lockTable) begin() (end func(), ok bool) {
+// acquireSlot takes one of maxLocks slots. It returns false if all are in use; otherwise the caller must call release.
+func (t *lockTable) acquireSlot() (release func(), ok bool) {
 	select {
 	case t.slots <- struct{}{}:
 		return func() { <-t.slots }, true
@@ -55,24 +55,24 @@
 	}
 }
 
-// add registers a held lock. The channel is closed once the client has unlocked it.
+// add registers a held lock. It returns a channel that is closed when the client unlocks the lock.
 func (t *lockTable) add(key lockKey) (unlocked <-chan struct{}) {
-	done := make(chan struct{})
-	t.held.Store(key, sync.OnceFunc(func() { close(done) }))
-	return done
+	unlockedChan := make(chan struct{})
+	t.unlockFuncs.Store(key, sync.OnceFunc(func() { close(unlockedChan) }))
+	return unlockedChan
 }
 
-// remove forgets a lock.
-func (t *lockTable) remove(key lockKey) { t.held.Delete(key) }
+// remove removes a lock that add registered.
+func (t *lockTable) remove(key lockKey) { t.unlockFuncs.Delete(key) }
 
 // unlock marks a lock as unlocked by its client, if it is held.
 func (t *lockTable) unlock(key lockKey) {
-	if unlock, ok := t.held.Load(key); ok {
+	if unlock, ok := t.unlockFuncs.Load(key); ok {
 		unlock.(func())()
 	}
 }
 
-// lockStream sends a lock's status to its client.
+// lockStream sends the status of a lock to its client, as lines of JSON.
 type lockStream struct {
 	encoder    *json.Encoder
 	controller *http.ResponseController
@@ -82,21 +82,21 @@
 	return &lockStream{encoder: json.NewEncoder(w), controller: http.NewResponseController(w)}
 }
 
-// send reports whether the client has taken a status in time.
+// send sends a status and reports whether this succeeded within lockHeartbeat.
 func (s *lockStream) send(status LockStatus) bool {
-	// Without support for deadlines a write to a client that is gone fails later.
+	// If the connection does not support deadlines, writing to a client that has disconnected fails later.
 	_ = s.controller.SetWriteDeadline(time.Now().Add(lockHeartbeat))
 	return s.encoder.Encode(status) == nil && s.controller.Flush() == nil
 }
 
-// lock holds a task for as long as the connection lasts.
+// lock acquires a task for a client and holds it until the client disconnects or unlocks it, or the lease ends.
 func (s *server) lock(w http.ResponseWriter, r *http.Request) {
-	end, ok := s.locks.begin()
+	releaseSlot, ok := s.locks.acquireSlot()
 	if !ok {
-		admin.WriteError(w, fmt.Errorf("%d locks are held or waited for at this daemon already", maxLocks))
+		admin.WriteError(w, fmt.Errorf("clients already hold or wait for the maximum of %d locks at this daemon", maxLocks))
 		return
 	}
-	defer end()
+	defer releaseSlot()
 	claim, err := parseClaim(r.URL.Query())
 	if err != nil {
 		admin.WriteError(w, err)
@@ -105,30 +105,33 @@
 	stream := newLockStream(w)
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
-	l := s.acquireLock(ctx, cancel, stream, claim)
-	if l == nil {
+	acquired := s.acquireLock(ctx, cancel, stream, claim)
+	if acquired == nil {
 		return
 	}
-	defer l.Release()
-	s.holdLock(r.Context(), stream, l)
+	defer acquired.Release()
+	s.holdLock(r.Context(), stream, acquired)
 }
 
-func parseClaim(q url.Values) (leasetask.Claim, error) {
-	slots, slotsErr := admin.ParseNumber(q, "slots")
-	ttl, ttlErr := time.ParseDuration(q.Get("ttl"))
+// parseClaim parses the query of a request for a lock. Other limits of a claim are checked when it is acquired.
+func parseClaim(query url.Values) (leasetask.Claim, error) {
+	slots, slotsErr := admin.ParseNumber(query, "slots")
+	ttl, ttlErr := time.ParseDuration(query.Get("ttl"))
 	if slotsErr != nil || ttlErr != nil {
-		return leasetask.Claim{}, fmt.Errorf("%w: slots %q, ttl %q", admin.ErrBadRequest, q.Get("slots"), q.Get("ttl"))
+		return leasetask.Claim{}, fmt.Errorf("%w: cannot parse slots %q or ttl %q",
+			admin.ErrBadRequest, query.Get("slots"), query.Get("ttl"))
 	}
 	return leasetask.Claim{
-		Task:  q.Get("task"),
-		Slots: int(min(slots, lease.MaxSlots+1)), // one too many is rejected with the claim
+		Task:  query.Get("task"),
+		Slots: int(min(slots, lease.MaxSlots+1)), // MaxSlots+1 makes the claim invalid and fits an int
 		TTL:   ttl,
-		Note:  q.Get("note"),
+		Note:  query.Get("note"),
 	}, nil
 }
 
-// acquireLock waits for a task and keeps the client informed. It returns nil if the client is gone, or was sent why the
-// task cannot be had. cancel ends ctx, which the lease needs, too.
+// acquireLock waits for the lease of a task and sends the client its status meanwhile. It returns nil if the client has
+// disconnected, or if the acquisition failed, which it reports to the client. cancel must cancel ctx, with which
+// acquireLock stops the acquisition if the client disconnects.
 func (s *server) acquireLock(
 	ctx context.Context, cancel context.CancelFunc, stream *lockStream, claim leasetask.Claim,
 ) *leasetask.Lease {
@@ -139,10 +142,10 @@
 	statuses := make(chan LockStatus, 1)
 	results := make(chan result, 1)
 	go func() {
-		l, err := s.Tasks.Acquire(ctx, claim, func(ahead int, reason error) {
+		acquired, err := s.Tasks.Acquire(ctx, claim, func(ahead int, reason error) {
 			replaceLatest(statuses, waitingStatus(ahead, reason))
 		})
-		results <- result{lease: l, err: err}
+		results <- result{lease: acquired, err: err}
 	}()
 	heartbeat := time.NewTicker(lockHeartbeat)
 	defer heartbeat.Stop()
@@ -151,18 +154,18 @@
 		select {
 		case latest = <-statuses:
 		case <-heartbeat.C:
-		case res := <-results:
-			if res.err != nil && ctx.Err() == nil {
-				stream.send(LockStatus{Ended: true, Reason: res.err.Error()})
+		case acquisition := <-results:
+			if acquisition.err != nil && ctx.Err() == nil {
+				stream.send(LockStatus{Ended: true, Reason: acquisition.err.Error()})
 			}
-			return res.lease
+			return acquisition.lease
 		}
 		if stream.send(latest) {
 			continue
 		}
 		cancel()
-		if res := <-results; res.lease != nil {
-			res.lease.Release()
+		if acquisition := <-results; acquisition.lease != nil {
+			acquisition.lease.Release()
 		}
 		return nil
 	}
@@ -176,7 +179,8 @@
 	return status
 }
 
-// replaceLatest puts a status in a channel of capacity one, in the place of one that was not received yet.
+// replaceLatest sends a status to a channel of capacity 1, and replaces one that was not received yet. It does not
+// block if there is only one sender.
 func replaceLatest(statuses chan LockStatus, status LockStatus) {
 	select {
 	case <-statuses:
@@ -185,32 +189,33 @@
 	statuses <- status
 }
 
-// holdLock keeps the client informed until its lock ends. Until the client has unlocked, or the time is up that it was
-// last sent, its command may still be running: also when the connection is gone, and when this daemon ends.
-func (s *server) holdLock(ctx context.Context, stream *lockStream, l *leasetask.Lease) {
-	key := lockKey{task: l.Task(), token: l.Token()}
+// holdLock sends the client the status of its lease until the lease ends, the client disconnects or it unlocks. Before
+// it returns, it waits until the client unlocks or the last ValidUntil that it sent has passed, because until then the
+// client's command may still be running, even if the client has disconnected or this daemon is stopping.
+func (s *server) holdLock(ctx context.Context, stream *lockStream, held *leasetask.Lease) {
+	key := lockKey{task: held.Task(), token: held.Token()}
 	unlocked := s.locks.add(key)
 	sentUntil := int64(0)
-	defer l.TrackAction()()
+	defer held.TrackAction()()
 	defer func() {
 		s.waitUntil(sentUntil, unlocked)
 		s.locks.remove(key)
 	}()
 	for {
-		validUntil := l.ValidUntil()
-		if l.Context().Err() != nil {
-			reason := context.Cause(l.Context()).Error()
+		validUntil := held.ValidUntil()
+		if held.Context().Err() != nil {
+			reason := context.Cause(held.Context()).Error()
 			stream.send(LockStatus{Ended: true, Reason: reason, ValidUntil: sentUntil})
 			return
 		}
 		if validUntil != sentUntil {
 			sentUntil = validUntil
-			if !stream.send(LockStatus{Token: l.Token(), ValidUntil: validUntil}) {
+			if !stream.send(LockStatus{Token: held.Token(), ValidUntil: validUntil}) {
 				return
 			}
 		}
 		select {
-		case <-l.Renewed(sentUntil):
+		case <-held.Renewed(sentUntil):
 		case <-unlocked:
 			return
 		case <-ctx.Done():
@@ -219,9 +224,9 @@
 	}
 }
 
-// waitUntil waits for an instant of the boot clock, or until the client has unlocked.
-func (s *server) waitUntil(instant int64, unlocked <-chan struct{}) {
-	timer := time.NewTimer(s.Clock.TimerDuration(instant - s.Clock.Now()))
+// waitUntil waits until the boot clock reaches a time in nanoseconds, or until the client unlocks.
+func (s *server) waitUntil(bootNanos int64, unlocked <-chan struct{}) {
+	timer := time.NewTimer(s.Clock.TimerDuration(bootNanos - s.Clock.Now()))
 	defer timer.Stop()
 	select {
 	case <-unlocked:
@@ -230,11 +235,11 @@
 }
 
 func (s *server) unlock(_ context.Context, _ http.ResponseWriter, r *http.Request) (any, error) {
-	q := r.URL.Query()
-	token, err := admin.ParseNumber(q, "token")
+	query := r.URL.Query()
+	token, err := admin.ParseNumber(query, "token")
 	if err != nil {
 		return nil, err
 	}
-	s.locks.unlock(lockKey{task: q.Get("task"), token: token})
+	s.locks.unlock(lockKey{task: query.Get("task"), token: token})
 	return struct{}{}, nil
 }
--- a/internal/controlplane/adminapi/settings.go
+++ b/internal/controlplane/adminapi/settings.go
@@ -12,14 +12,15 @@
 	"birchmoor/internal/store/admin"
 )
 
-// SettingsRequest asks for new settings, for those of an earlier version, or for the end of a rollout.
+// SettingsRequest requests new settings, with or without a rollout, the settings of an earlier version, or the end of
+// the running rollout. AbortBy takes precedence over Steps, and Steps over Rollback.
 type SettingsRequest struct {
 	Settings json.RawMessage `json:"settings,omitempty"`
-	Rollback uint64          `json:"rollback,omitempty"` // the version to put in force again
+	Rollback uint64          `json:"rollback,omitempty"` // earlier version to restore; 0: none
 	Note     string          `json:"note,omitempty"`
-	Steps    []rollout.Step  `json:"steps,omitempty"`     // of a rollout; none: in force everywhere at once
-	SettleMs int64           `json:"settle_ms,omitempty"` // of each step
-	AbortBy  string          `json:"call_off,omitempty"`  // who aborts the rollout that is running
+	Steps    []rollout.Step  `json:"steps,omitempty"`     // of a rollout; empty: no rollout
+	SettleMs int64           `json:"settle_ms,omitempty"` // how long a step is in effect before its evaluation
+	AbortBy  string          `json:"call_off,omitempty"`  // operator who aborts the running rollout; empty: none
 }
 
 func (s *server) settingsHistory(ctx context.Context, _ http.ResponseWriter, _ *http.Request) (any, error) {
@@ -56,7 +57,7 @@
 	return plan, notFound(err)
 }
 
-// notFound marks errors that say that something does not exist.
+// notFound marks daemon.ErrNoRollout as an error of something that does not exist.
 func notFound(err error) error {
 	if errors.Is(err, daemon.ErrNoRollout) {
 		return admin.NotFound(err)
--- a/internal/controlplane/adminapi/tasks.go
+++ b/internal/controlplane/adminapi/tasks.go
@@ -10,7 +10,7 @@
 	"birchmoor/internal/store/admin"
 )
 
-// OverrideRequest is an operator's override of a task.
+// OverrideRequest requests an operator's override of a task.
 type OverrideRequest struct {
 	Task string `json:"task"`
 	lease.TaskOverride
--- a/internal/controlplane/adminapi/wire_test.go
+++ b/internal/controlplane/adminapi/wire_test.go
@@ -14,8 +14,8 @@
 	"birchmoor/internal/store/usage"
 )
 
-// TestWireFormatsUnchanged decodes the JSON of requests and answers that revision 7105f7a wrote, every field of
-// them set, and encodes the same bytes again.
+// TestWireFormatsUnchanged decodes JSON that revision 7105f7a wrote for requests and answers with all fields set, and
+// checks that encoding the values yields the same bytes.
 func TestWireFormatsUnchanged(t *testing.T) {
 	lockStatus, taskRequest, settingsRequest := new(LockStatus), new(OverrideRequest), new(SettingsRequest)
 	for name, value := range map[string]any{
@@ -45,13 +45,16 @@
 			t.Errorf("%s: encoded as %s, error %v", name, encoded, err)
 		}
 	}
-	if l := lockStatus; *l.Position != 4 || l.Reason != "s4" || l.Token != 6 || l.ValidUntil != 7 || !l.Ended {
-		t.Errorf("lock status: %+v", l)
+	if status := lockStatus; *status.Position != 4 || status.Reason != "s4" || status.Token != 6 ||
+		status.ValidUntil != 7 || !status.Ended {
+		t.Errorf("unexpected lock status: %+v", status)
 	}
-	if r := taskRequest; r.Task != "s2" || !r.Pause || r.PreferredHost != "s5" || r.Operator != "s6" || r.Note != "s7" {
-		t.Errorf("task request: %+v", r)
+	if request := taskRequest; request.Task != "s2" || !request.Pause || request.PreferredHost != "s5" ||
+		request.Operator != "s6" || request.Note != "s7" {
+		t.Errorf("unexpected task request: %+v", request)
 	}
-	if r := settingsRequest; r.Rollback != 4 || r.Note != "s4" || r.SettleMs != 10 || r.AbortBy != "s10" {
-		t.Errorf("settings request: %+v", r)
+	if request := settingsRequest; request.Rollback != 4 || request.Note != "s4" || request.SettleMs != 10 ||
+		request.AbortBy != "s10" {
+		t.Errorf("unexpected settings request: %+v", request)
 	}
 }
