--- a/internal/controlplane/rollout/evaluate.go
+++ b/internal/controlplane/rollout/evaluate.go
@@ -7,88 +7,91 @@
 )
 
 const (
-	maxServedDrop    = 0.05 // by which the share of requests served may be lower with the new settings
-	minServedShare   = 0.5  // with the new settings, where there is nothing to compare with
-	minRequests      = 20   // with either settings, for a share that counts
-	maxSilentSettles = 3    // settle times without a report of a host, after which the settings are rolled back
+	maxServedDrop           = 0.05 // tolerated drop of the share of served requests with the new settings
+	minServedShare          = 0.5  // minimum share of served requests if too few ran with the old settings to compare
+	minRequests             = 20   // minimum number of requests for a share to be significant
+	maxSettlesWithoutReport = 3    // settle times without a host's report, after which the settings are rolled back
 )
 
-// Report is what a daemon reports during a plan, as stored: how its clients' requests ended since the step began
-// there.
+// Report is the stored report of a daemon during a rollout. It counts the outcomes of its clients' requests since the
+// step began on its host.
 type Report struct {
 	PlanID   uint64 `json:"plan"`
 	Step     int    `json:"step"`
 	Served   uint64 `json:"served"`
-	Unserved uint64 `json:"not"` // rejected or failed
-	Error    string `json:"error,omitempty"`
+	Unserved uint64 `json:"not"`             // rejected or failed
+	Error    string `json:"error,omitempty"` // why the daemon rejected the new settings; empty: it did not
 }
 
-// Decision is what follows from a step.
+// Decision is the result of the evaluation of a step.
 type Decision int
 
 // The decisions.
 const (
-	Wait Decision = iota
-	Advance
-	RollBack
+	Wait     Decision = iota // evaluate the step again later
+	Advance                  // begin the next step, or complete the rollout
+	RollBack                 // restore the earlier settings everywhere
 )
 
-// requests counts requests by how they ended.
-type requests struct{ served, unserved uint64 }
+// requestCounts counts requests by outcome.
+type requestCounts struct{ served, unserved uint64 }
 
-func (r *requests) add(report Report) {
+func (r *requestCounts) add(report Report) {
 	r.served += report.Served
 	r.unserved += report.Unserved
 }
 
-func (r requests) total() uint64 { return r.served + r.unserved }
+func (r requestCounts) total() uint64 { return r.served + r.unserved }
 
-func (r requests) servedShare() float64 { return float64(r.served) / max(1, float64(r.total())) }
+func (r requestCounts) servedShare() float64 { return float64(r.served) / max(1, float64(r.total())) }
 
-func (r requests) enough() bool { return r.total() >= minRequests }
+func (r requestCounts) isSignificant() bool { return r.total() >= minRequests }
 
-// Evaluate returns what follows from a step that has been in effect for elapsedMillis, and why. The fleet is the
-// hosts that are there; reports are by host.
+// Evaluate decides how to proceed with a step that has been in effect for elapsedMillis, and returns the reason. fleet
+// has the names of the present hosts; reports has their latest reports by host. Reports of other plans or steps are
+// ignored.
 func (p *Plan) Evaluate(elapsedMillis int64, fleet []string, reports map[string]Report) (Decision, string) {
-	var with, without requests // the new settings
-	var silent []string        // hosts that run the new settings and have not reported
+	var newSettings, oldSettings requestCounts // of the hosts that run them
+	var missingReports []string                // hosts that run the new settings but have not reported
 	for _, host := range fleet {
 		report, reported := reports[host]
 		reported = reported && report.PlanID == p.ID && report.Step == p.Step
-		runs := slices.Contains(p.Hosts, host)
+		runsNewSettings := slices.Contains(p.Hosts, host)
 		switch {
 		case reported && report.Error != "":
 			return RollBack, fmt.Sprintf("%s: %s", host, report.Error)
-		case !reported && runs:
-			silent = append(silent, host)
-		case runs:
-			with.add(report)
+		case !reported && runsNewSettings:
+			missingReports = append(missingReports, host)
+		case runsNewSettings:
+			newSettings.add(report)
 		case reported:
-			without.add(report)
+			oldSettings.add(report)
 		}
 	}
-	worse, reason := compare(with, without)
+	worse, reason := compareServedShares(newSettings, oldSettings)
 	switch {
 	case worse:
 		return RollBack, reason
 	case elapsedMillis < p.SettleMillis:
 		return Wait, ""
-	case len(silent) == 0:
+	case len(missingReports) == 0:
 		return Advance, reason
-	case elapsedMillis < maxSilentSettles*p.SettleMillis:
+	case elapsedMillis < maxSettlesWithoutReport*p.SettleMillis:
 		return Wait, ""
 	}
-	return RollBack, strings.Join(silent, ", ") + " did not tell how it goes"
+	return RollBack, strings.Join(missingReports, ", ") + " did not report on the new settings in time"
 }
 
-// compare reports whether fewer requests are served with the new settings than without, or too few where there are
-// not enough without to compare with.
-func compare(with, without requests) (worse bool, reason string) {
-	reason = fmt.Sprintf("served %.3f of %d with the new settings", with.servedShare(), with.total())
-	if with.enough() && !without.enough() {
-		return with.servedShare() < minServedShare, reason
+// compareServedShares reports whether the new settings are worse: whether the share of served requests is lower than
+// with the old settings by more than maxServedDrop, or, without enough requests with the old settings, lower than
+// minServedShare. Without enough requests with the new settings, it returns false.
+func compareServedShares(newSettings, oldSettings requestCounts) (worse bool, reason string) {
+	reason = fmt.Sprintf("served %.3f of %d with the new settings", newSettings.servedShare(), newSettings.total())
+	if newSettings.isSignificant() && !oldSettings.isSignificant() {
+		return newSettings.servedShare() < minServedShare, reason
 	}
-	reason += fmt.Sprintf(", %.3f of %d with the old", without.servedShare(), without.total())
-	worse = with.enough() && without.enough() && with.servedShare() < without.servedShare()-maxServedDrop
+	reason += fmt.Sprintf(", %.3f of %d with the old", oldSettings.servedShare(), oldSettings.total())
+	worse = newSettings.isSignificant() && oldSettings.isSignificant() &&
+		newSettings.servedShare() < oldSettings.servedShare()-maxServedDrop
 	return worse, reason
 }
--- a/internal/controlplane/rollout/plan.go
+++ b/internal/controlplane/rollout/plan.go
@@ -1,5 +1,5 @@
-// Package rollout decides how settings take effect in steps: which daemons run them at each step, and whether the
-// next step may begin or the settings are rolled back. It does no I/O, reads no clock and draws no random numbers,
+// Package rollout decides how new settings take effect in steps: which daemons run them in each step, and whether the
+// next step may begin or the settings must be rolled back. It does no I/O, reads no clock and uses no random numbers,
 // and imports nothing else of birchmoor.
 package rollout
 
@@ -24,30 +24,30 @@
 	RolledBack State = "taken back" // all daemons run the earlier settings
 )
 
-// Plan is the rollout of settings, as stored.
+// Plan is the stored plan of a rollout of settings.
 type Plan struct {
-	ID           uint64   `json:"id"` // the revision that began it
+	ID           uint64   `json:"id"` // revision of the store at which the rollout began
 	State        State    `json:"state"`
 	Steps        []Step   `json:"steps"`
 	SettleMillis int64    `json:"settle_ms"`       // how long each step is in effect before it is evaluated
-	Step         int      `json:"step"`            // the one in effect; -1: none yet
-	Hosts        []string `json:"hosts,omitempty"` // that run the new settings
-	Reason       string   `json:"why,omitempty"`   // for the rollback, or the outcome of the last step
+	Step         int      `json:"step"`            // index of the step in effect; -1: none yet
+	Hosts        []string `json:"hosts,omitempty"` // hosts that run the new settings
+	Reason       string   `json:"why,omitempty"`   // reason for the rollback, or the outcome of the last step
 	Operator     string   `json:"by"`
 	Note         string   `json:"note,omitempty"`
-	Token        uint64   `json:"token,omitempty"` // the fencing token of the daemon that last drove it
+	Token        uint64   `json:"token,omitempty"` // fencing token of the daemon that last drove the rollout
 }
 
-// Validate returns what is wrong with a plan that is to begin.
+// Validate returns an error if a new plan has an invalid number of steps or settle time.
 func (p *Plan) Validate() error {
 	switch {
 	case len(p.Steps) == 0 || len(p.Steps) > maxSteps:
-		return errors.New("steps: none, or too many")
+		return errors.New("steps: there are none, or too many")
 	case p.SettleMillis < minSettleMillis || p.SettleMillis > maxSettleMillis:
-		return errors.New("settle: not within 100ms and 24h")
+		return errors.New("settle: not between 100ms and 24h")
 	}
 	return nil
 }
 
-// RunsOn reports whether a host is to run the plan's settings.
+// RunsOn reports whether a host must run the new settings of a running plan.
 func (p *Plan) RunsOn(host string) bool { return p.State == Running && slices.Contains(p.Hosts, host) }
--- a/internal/controlplane/rollout/rollout_test.go
+++ b/internal/controlplane/rollout/rollout_test.go
@@ -15,23 +15,24 @@
 	for i := range 40 {
 		fleet = append(fleet, fmt.Sprintf("h%d", i))
 	}
-	var before []string
+	var previous []string
 	for i, want := range []int{1, 4, 20, 40} {
 		got := SelectHosts(steps[i], fleet, 7)
-		if len(got) != want || strings.Join(got[:len(before)], " ") != strings.Join(before, " ") {
-			t.Errorf("step %v: %d daemons: %v", steps[i], len(got), got)
+		if len(got) != want || strings.Join(got[:len(previous)], " ") != strings.Join(previous, " ") {
+			t.Errorf("step %v selected %d hosts, not the expected number with those of the step before: %v",
+				steps[i], len(got), got)
 		}
-		before = got
+		previous = got
 	}
-	for _, bad := range []string{"", "0", "x", "110%", "-1%", "1,,2", strings.Repeat("1,", 20) + "2"} {
-		if _, err := ParseSteps(bad); err == nil {
-			t.Errorf("%q is accepted", bad)
+	for _, text := range []string{"", "0", "x", "110%", "-1%", "1,,2", strings.Repeat("1,", 20) + "2"} {
+		if _, err := ParseSteps(text); err == nil {
+			t.Errorf("ParseSteps accepted %q", text)
 		}
 	}
 }
 
 func TestEvaluateComparesServedShares(t *testing.T) {
-	p := Plan{ID: 9, State: Running, SettleMillis: 1000, Step: 0, Hosts: []string{"a"}}
+	plan := Plan{ID: 9, State: Running, SettleMillis: 1000, Step: 0, Hosts: []string{"a"}}
 	fleet := []string{"a", "b", "c"}
 	good, bad := Report{PlanID: 9, Served: 100}, Report{PlanID: 9, Served: 80, Unserved: 20}
 	for _, tc := range []struct {
@@ -55,8 +56,8 @@
 			map[string]Report{"a": {PlanID: 9, Served: 10, Unserved: 90}}, RollBack,
 		},
 	} {
-		if got, why := p.Evaluate(tc.elapsed, fleet, tc.reports); got != tc.want {
-			t.Errorf("%s: decision %v, %s", tc.name, got, why)
+		if got, reason := plan.Evaluate(tc.elapsed, fleet, tc.reports); got != tc.want {
+			t.Errorf("%s: got decision %v, reason %q", tc.name, got, reason)
 		}
 	}
 }
--- a/internal/controlplane/rollout/steps.go
+++ b/internal/controlplane/rollout/steps.go
@@ -12,7 +12,8 @@
 
 const maxSteps = 16
 
-// Step says how many daemons run the new settings: Count of them, or a Fraction of all.
+// Step is the number of daemons that run the new settings: Count of them, or, if Fraction is not 0, that fraction of
+// all.
 type Step struct {
 	Count    int     `json:"count,omitempty"`
 	Fraction float64 `json:"part,omitempty"`
@@ -29,11 +30,11 @@
 	return strconv.Itoa(s.Count)
 }
 
-// ParseSteps reads steps such as "1,10%,all". The last step is all, whether the text says so or not.
+// ParseSteps parses steps such as "1,10%,all". It adds the step all at the end if it is missing.
 func ParseSteps(text string) ([]Step, error) {
 	var steps []Step
-	for _, word := range strings.Split(text, ",") {
-		step, err := parseStep(strings.TrimSpace(word))
+	for _, part := range strings.Split(text, ",") {
+		step, err := parseStep(strings.TrimSpace(part))
 		if err != nil {
 			return nil, err
 		}
@@ -48,40 +49,41 @@
 	return steps, nil
 }
 
-func parseStep(word string) (Step, error) {
-	if word == "all" {
+func parseStep(text string) (Step, error) {
+	if text == "all" {
 		return Step{Fraction: 1}, nil
 	}
-	if number, ok := strings.CutSuffix(word, "%"); ok {
+	if number, ok := strings.CutSuffix(text, "%"); ok {
 		percent, err := strconv.ParseFloat(number, 64)
-		if err != nil || !(percent > 0 && percent <= 100) { // NaN is neither
-			return Step{}, fmt.Errorf("steps: %q is not a part between 0%% and 100%%", word)
+		if err != nil || !(percent > 0 && percent <= 100) { // also rejects NaN
+			return Step{}, fmt.Errorf("steps: %q is not a percentage above 0%% and up to 100%%", text)
 		}
 		return Step{Fraction: percent / 100}, nil
 	}
-	count, err := strconv.Atoi(word)
+	count, err := strconv.Atoi(text)
 	if err != nil || count < 1 {
-		return Step{}, fmt.Errorf("steps: %q is not a number of daemons, a part such as 10%%, or all", word)
+		return Step{}, fmt.Errorf("steps: %q is not a number of daemons, a percentage such as 10%%, or all", text)
 	}
 	return Step{Count: count}, nil
 }
 
-// SelectHosts returns the hosts of the fleet that run a step. The hosts of each step are among those of the next.
-// Their order follows from the seed, which is the plan's ID, so that it is not always the same hosts that go first.
-func SelectHosts(s Step, fleet []string, seed uint64) []string {
-	order := slices.Clone(fleet)
-	slices.SortFunc(order, func(a, b string) int {
-		return cmp.Or(cmp.Compare(rank(a, seed), rank(b, seed)), cmp.Compare(a, b))
+// SelectHosts returns the hosts of the fleet that run the new settings in a step, at least one if there is any. The
+// hosts of a step are among those of the next one. Their order depends on the seed, which is the plan's ID, so that the
+// first hosts differ between rollouts.
+func SelectHosts(step Step, fleet []string, seed uint64) []string {
+	ordered := slices.Clone(fleet)
+	slices.SortFunc(ordered, func(a, b string) int {
+		return cmp.Or(cmp.Compare(hostRank(a, seed), hostRank(b, seed)), cmp.Compare(a, b))
 	})
-	n := s.Count
-	if s.Fraction > 0 {
-		const roundUp = 0.999999 // less than 1, for products that are whole numbers but for rounding
-		n = int(s.Fraction*float64(len(order)) + roundUp)
+	count := step.Count
+	if step.Fraction > 0 {
+		const roundUp = 0.999999 // below 1, so that rounding errors do not increase a product that is a whole number
+		count = int(step.Fraction*float64(len(ordered)) + roundUp)
 	}
-	return order[:min(max(n, 1), len(order))]
+	return ordered[:min(max(count, 1), len(ordered))]
 }
 
-// rank is a host's place in the order of a seed.
-func rank(host string, seed uint64) uint64 {
+// hostRank returns the value by which hosts are ordered for a seed.
+func hostRank(host string, seed uint64) uint64 {
 	return xxhash.Sum64String(host + "\x00" + strconv.FormatUint(seed, 16))
 }
--- a/internal/controlplane/rollout/stored_test.go
+++ b/internal/controlplane/rollout/stored_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// The files in testdata are of version 7105f7a.
+// Guards against changes of the stored form of plans and reports. Revision 7105f7a wrote the files in testdata.
 func TestPlansAndReportsKeepStoredForm(t *testing.T) {
 	tests := []struct {
 		file string
@@ -28,17 +28,17 @@
 		{"report-good.json", &Report{PlanID: 9, Step: 2, Served: 5}},
 	}
 	for _, tc := range tests {
-		text, err := os.ReadFile("testdata/" + tc.file)
+		fixture, err := os.ReadFile("testdata/" + tc.file)
 		if err != nil {
 			t.Fatal(err)
 		}
-		stored := strings.TrimSuffix(string(text), "\n")
+		stored := strings.TrimSuffix(string(fixture), "\n")
 		decoded := reflect.New(reflect.TypeOf(tc.want).Elem()).Interface()
-		if err := json.Unmarshal(text, decoded); err != nil || !reflect.DeepEqual(decoded, tc.want) {
-			t.Errorf("%s: decoded %+v, %v, want %+v", tc.file, decoded, err, tc.want)
+		if err := json.Unmarshal(fixture, decoded); err != nil || !reflect.DeepEqual(decoded, tc.want) {
+			t.Errorf("%s: decoded as %+v, error %v, want %+v", tc.file, decoded, err, tc.want)
 		}
 		if encoded, err := json.Marshal(tc.want); err != nil || string(encoded) != stored {
-			t.Errorf("%s: encoded %s, %v, want %s", tc.file, encoded, err, stored)
+			t.Errorf("%s: encoded as %s, error %v, want %s", tc.file, encoded, err, stored)
 		}
 	}
 }
