--- a/internal/controlplane/adminapi/adminapi_test.go
+++ b/internal/controlplane/adminapi/adminapi_test.go
@@ -49,7 +49,7 @@
 		"settings":                            {store.Op{Key: "config/current"}, "f", false},
 	} {
 		if allowed := rules.Allowed(test.op, test.owner); allowed != test.ok {
-			t.Errorf("%s: allowed is %v", name, allowed)
+			t.Errorf("operation on %s: allowed is %v", name, allowed)
 		}
 	}
 }
--- a/internal/controlplane/adminapi/wire_test.go
+++ b/internal/controlplane/adminapi/wire_test.go
@@ -37,7 +37,7 @@
 		decoder := json.NewDecoder(bytes.NewReader(fixture))
 		decoder.DisallowUnknownFields()
 		if err := decoder.Decode(value); err != nil {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: cannot be decoded: %v", name, err)
 			continue
 		}
 		encoded, err := json.Marshal(value)
--- a/internal/controlplane/rollout/plan.go
+++ b/internal/controlplane/rollout/plan.go
@@ -26,7 +26,7 @@
 
 // Plan is the stored plan of a rollout of settings.
 type Plan struct {
-	ID           uint64   `json:"id"` // revision of the store at which the rollout began
+	ID           uint64   `json:"id"` // revision of the candidate settings in the store
 	State        State    `json:"state"`
 	Steps        []Step   `json:"steps"`
 	SettleMillis int64    `json:"settle_ms"`       // how long each step is in effect before it is evaluated
--- a/internal/store/admin/admin.go
+++ b/internal/store/admin/admin.go
@@ -51,7 +51,7 @@
 // Config configures a Server.
 type Config struct {
 	Store         Store
-	Status        func(engine.Status) any // converts the store's status to the answer; nil: the answer is the store's status
+	Status        func(engine.Status) any // returns the answer to a request for the status; nil: the store's status
 	RegisterCalls func(*Mux)              // adds calls of other packages to the same socket; nil: none
 }
 
--- a/internal/store/admin/admin_test.go
+++ b/internal/store/admin/admin_test.go
@@ -65,8 +65,8 @@
 	return ChangeRequest{ID: id, Txn: &store.Txn{Then: []store.Op{{Key: key, Value: []byte(value)}}}}
 }
 
-// The status of a rejected request tells an invalid request from one that the store cannot execute. Neither changes the
-// store.
+// An invalid request and a request that the store cannot execute are rejected with different statuses. Neither changes
+// the store.
 func TestRejectedRequestsChangeNothing(t *testing.T) {
 	client, replica, followersURL := startReplica(t)
 	ctx := t.Context()
@@ -99,7 +99,7 @@
 		var rejected *ResponseError
 		_, err := client.Change(ctx, test.request)
 		if !errors.As(err, &rejected) || rejected.Status != test.status || rejected.OutcomeUnknown != nil {
-			t.Errorf("%s: got error %v", name, err)
+			t.Errorf("change with %s: error %v, want a rejection with a known outcome", name, err)
 		}
 	}
 	// A follower may change only server state and what FollowerConfig allows.
@@ -119,7 +119,7 @@
 		text, _ := io.ReadAll(response.Body)
 		_ = response.Body.Close()
 		if response.StatusCode != http.StatusBadRequest {
-			t.Errorf("%s: %s %s", name, response.Status, text)
+			t.Errorf("follower's change of %s: got %s %s, want a bad request", name, response.Status, text)
 		}
 	}
 	if after := revision(); after != before {
@@ -132,7 +132,7 @@
 		}
 		_ = response.Body.Close()
 		if response.StatusCode != http.StatusBadRequest {
-			t.Errorf("%s: %s", query, response.Status)
+			t.Errorf("query %s: got %s, want a bad request", query, response.Status)
 		}
 	}
 }
--- a/internal/store/admin/followerserver.go
+++ b/internal/store/admin/followerserver.go
@@ -110,7 +110,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+CopyPath, s.countUsage(usage.Snapshots, s.copy))
 	mux.HandleFunc("GET "+StreamPath, s.countUsage(usage.Heartbeats, s.stream))
-	mux.HandleFunc("GET "+RevisionPath, s.countUsage(usage.Requests, callHandler(s.confirmedRevision)))
+	mux.HandleFunc("GET "+RevisionPath, s.countUsage(usage.ConfirmationRequests, callHandler(s.confirmedRevision)))
 	mux.HandleFunc("POST "+ChangePath, s.countUsage(usage.Other, callHandler(s.change)))
 	return mux
 }
--- a/internal/store/admin/followerserver_test.go
+++ b/internal/store/admin/followerserver_test.go
@@ -41,7 +41,7 @@
 		"a member":                       {ChangeRequest{AddMember: &store.AddMember{Name: "f"}}, false},
 	} {
 		if err := checkFollowerRequest(&test.request, "f", allowOwnKey); (err == nil) != test.allowed {
-			t.Errorf("%s: got error %v", name, err)
+			t.Errorf("request for %s: got error %v", name, err)
 		}
 	}
 }
--- a/internal/store/follower/read.go
+++ b/internal/store/follower/read.go
@@ -65,7 +65,7 @@
 func (f *Follower) confirmedRevision(ctx context.Context) (engine.CopyAge, error) {
 	for index := rand.IntN(len(f.clients)); ; index = f.nextReplica(index) {
 		var confirmed engine.CopyAge
-		_, err := f.call(ctx, index, usage.Requests, http.MethodGet, admin.RevisionPath, nil, &confirmed)
+		_, err := f.call(ctx, index, usage.ConfirmationRequests, http.MethodGet, admin.RevisionPath, nil, &confirmed)
 		if err == nil {
 			return confirmed, nil
 		}
--- a/internal/store/follower/stream.go
+++ b/internal/store/follower/stream.go
@@ -64,8 +64,8 @@
 func (f *Follower) nextReplica(index int) int { return (index + 1) % len(f.cfg.Replicas) }
 
 // followReplica sends a replica the request that the copy needs next: for a state, or for a stream, which it receives
-// until the stream ends or the interest changes. received is true if a heartbeat arrived. If there are other
-// replicas, the heartbeats of one that is cut off from the quorum do not count.
+// until the stream ends or the interest changes. received is true if a heartbeat arrived, unless the
+// replica reports that it is cut off from the quorum and there are other replicas.
 func (f *Follower) followReplica(index int) (received bool, err error) {
 	f.mu.Lock()
 	interestChanged := f.interestChanged
@@ -165,8 +165,8 @@
 	return false, errNewRequest
 }
 
-// receive applies lines until the stream ends. received is true if a heartbeat arrived. If there are other replicas,
-// the heartbeats of one that is cut off from the quorum do not count.
+// receive applies lines until the stream ends. received is true if a heartbeat arrived, unless the replica reports that
+// it is cut off from the quorum and there are other replicas.
 func (s *replicaStream) receive(body io.Reader) (received bool, err error) {
 	f := s.follower
 	f.mu.Lock()
--- a/internal/store/follower/usage_test.go
+++ b/internal/store/follower/usage_test.go
@@ -137,18 +137,19 @@
 	}, func() string { return difference })
 	type counts struct{ in, out, proposed, applied uint64 } // messages of the follower, entries of the replica
 	for purpose, want := range map[usage.Purpose]counts{
-		usage.Sessions:        {6, 6, 6, 6},
-		usage.ServerReports:   {4 + lines.serverReports, 4, 4, 4},
-		usage.ModuleSnapshots: {3 + lines.moduleSnapshots, 3, 4, 4},
-		usage.Snapshots:       {1, 1, 0, 0},
-		usage.Requests:        {1, 1, 0, 0},
-		usage.Settings:        {},
+		usage.Sessions:             {6, 6, 6, 6},
+		usage.ServerReports:        {4 + lines.serverReports, 4, 4, 4},
+		usage.ModuleSnapshots:      {3 + lines.moduleSnapshots, 3, 4, 4},
+		usage.Snapshots:            {1, 1, 0, 0},
+		usage.ConfirmationRequests: {1, 1, 0, 0},
+		usage.Settings:             {},
 	} {
 		followerCounts, replicaCounts := follower.Purposes[purpose], replica.Purposes[purpose]
 		got := counts{followerCounts.MessagesIn, followerCounts.MessagesOut, replicaCounts.Proposed, replicaCounts.Applied}
 		if got != want || (followerCounts.BytesIn > 0) != (want.in > 0) ||
 			(replicaCounts.AppliedBytes > 0) != (want.applied > 0) {
-			t.Errorf("%v: got %+v, want %+v; %+v, %+v", purpose, got, want, followerCounts, replicaCounts)
+			t.Errorf("purpose %v: got %+v, want %+v; the follower counted %+v, the replica %+v",
+				purpose, got, want, followerCounts, replicaCounts)
 		}
 	}
 	if streams := follower.Purposes[usage.Heartbeats].MessagesOut; streams != 1 {
--- a/internal/store/usage/process.go
+++ b/internal/store/usage/process.go
@@ -12,7 +12,7 @@
 // unknownFigure replaces a figure that the system does not provide.
 const unknownFigure = -1
 
-// Process has the resources that the whole process uses, not only the control plane. A figure that the system does not
+// Process has the resources that a process uses, not only its control plane. A figure that the system does not
 // provide is -1.
 type Process struct {
 	CPUUserSeconds   float64 `json:"cpu_user_seconds"` // since the start of the process, by getrusage
--- a/internal/store/usage/purpose.go
+++ b/internal/store/usage/purpose.go
@@ -11,33 +11,33 @@
 
 // The purposes. A transaction has the purpose of its first key.
 const (
-	Other           Purpose = iota
-	Sessions                // leases that are granted, renewed or revoked
-	ServerReports           // drains, administrative drains and starts of servers
-	ModuleSnapshots         // snapshots of the decision modules of sidecars
-	Settings                // settings of the data path
-	Quotas                  // configuration, demands and grants of limits
-	Tasks                   // leases of tasks, that is, which daemon holds them
-	Raft                    // messages between replicas, except snapshots, and changes of members
-	Snapshots               // states sent between replicas and to followers
-	Heartbeats              // heartbeats and progress in the streams of followers, and requests for streams
-	Requests                // requests of followers for the revision that a quorum confirms
+	Other                Purpose = iota
+	Sessions                     // leases that are granted, renewed or revoked
+	ServerReports                // drains, administrative drains and starts of servers
+	ModuleSnapshots              // snapshots of the decision modules of sidecars
+	Settings                     // settings of the data path
+	Quotas                       // configuration, demands and grants of limits
+	Tasks                        // leases of tasks, that is, which daemon holds them
+	Raft                         // messages between replicas, except snapshots, and changes of members
+	Snapshots                    // states sent between replicas and to followers
+	Heartbeats                   // heartbeats and progress in the streams of followers, and requests for streams
+	ConfirmationRequests         // requests of followers for the revision that a quorum confirms
 	purposeCount
 )
 
 // purposeNames has the names of the purposes in readings and metrics.
 var purposeNames = [purposeCount]string{
-	Other:           "other",
-	Sessions:        "sessions",
-	ServerReports:   "words",
-	ModuleSnapshots: "pictures",
-	Settings:        "settings",
-	Quotas:          "shares",
-	Tasks:           "tasks",
-	Raft:            "raft",
-	Snapshots:       "snapshots",
-	Heartbeats:      "beats",
-	Requests:        "requests",
+	Other:                "other",
+	Sessions:             "sessions",
+	ServerReports:        "words",
+	ModuleSnapshots:      "pictures",
+	Settings:             "settings",
+	Quotas:               "shares",
+	Tasks:                "tasks",
+	Raft:                 "raft",
+	Snapshots:            "snapshots",
+	Heartbeats:           "beats",
+	ConfirmationRequests: "requests",
 }
 
 // String returns the name of the purpose in readings and metrics.
--- a/internal/store/usage/recorder.go
+++ b/internal/store/usage/recorder.go
@@ -2,10 +2,10 @@
 // entries of the store's log, all by purpose, and the bytes and syncs of files. It may import package store and nothing
 // else of birchmoor.
 //
-// A message is what the application sends in one piece: an encoded body, line of a stream or frame. Its bytes are
-// counted before TLS and without HTTP's headers and chunk sizes. Those and handshakes are included in the bytes of all
-// connections (Reading.Connections), which are counted below TLS. Both ends of a connection count the same messages,
-// but when it breaks, only one end may have counted the messages in flight.
+// A message is a body, a line of a stream or a frame, as the application encodes it. Its bytes are counted before TLS
+// and without HTTP's headers and chunk sizes. Those and handshakes are included in the bytes of all connections
+// (Reading.Connections), which are counted below TLS. Both ends of a connection count the same messages, but when it
+// breaks, only one end may have counted the messages in flight.
 package usage
 
 import (
--- a/internal/store/usage/recorder_test.go
+++ b/internal/store/usage/recorder_test.go
@@ -22,14 +22,14 @@
 	reading := recorder.Read()
 	wantHeartbeats := PurposeUsage{Purpose: "beats", MessagesIn: 1, BytesIn: 70, MessagesOut: 2, BytesOut: 5}
 	if got, want := reading.Purposes[Heartbeats], wantHeartbeats; got != want {
-		t.Errorf("got %+v, want %+v", got, want)
+		t.Errorf("heartbeats: got %+v, want %+v", got, want)
 	}
 	wantReports := PurposeUsage{Purpose: "words", Proposed: 1, Applied: 1, AppliedBytes: 30}
 	if got, want := reading.Purposes[ServerReports], wantReports; got != want {
-		t.Errorf("got %+v, want %+v", got, want)
+		t.Errorf("server reports: got %+v, want %+v", got, want)
 	}
 	if got, want := reading.Written[CopyFile], (FileUsage{"copy", 1, 900}); got != want {
-		t.Errorf("got %+v, want %+v", got, want)
+		t.Errorf("copy file: got %+v, want %+v", got, want)
 	}
 	if got := recorder.KeyPurpose("ab"); got != Tasks {
 		t.Errorf("a key with only the second prefix has the purpose %v, want Tasks", got)
@@ -85,10 +85,10 @@
 		_, err = serverConn.Read(buffer)
 	}
 	if got, want := clientRecorder.Read().Connections, (Connections{Opened: 1, BytesOut: 5}); got != want {
-		t.Errorf("got %+v, want %+v", got, want)
+		t.Errorf("connections of the client: got %+v, want %+v", got, want)
 	}
 	if got, want := serverRecorder.Read().Connections, (Connections{Opened: 1, BytesIn: 5}); got != want {
-		t.Errorf("got %+v, want %+v", got, want)
+		t.Errorf("connections of the server: got %+v, want %+v", got, want)
 	}
 	var nilRecorder *Recorder
 	if nilRecorder.WrapConn(tcpConn) != tcpConn || nilRecorder.WrapListener(tcpListener) != tcpListener {
