--- a/cmd/birchmoor/sidecar.go
+++ b/cmd/birchmoor/sidecar.go
@@ -33,8 +33,9 @@
 }
 
 func (k *sidecarCommand) Help() string {
-	return `Serves as the sidecar program does, and is told where by the same ROUTER_ variables; the operator
-file turns on what the platform does not give: a state that outlives the process, captures, DNS.
+	return `Runs the same sidecar as the sidecar program, configured by the same ROUTER_ environment variables. The
+operator file enables features that the platform does not provide: state that outlives the process, captures, and the
+DNS front.
 
 Example:
   ROUTER_CONFIG=config.json birchmoor sidecar --operator deploy/operator.toml`
@@ -42,8 +43,8 @@
 
 func (k *sidecarCommand) Run(ctx context.Context, c *console) error {
 	reload := make(chan os.Signal, 1)
-	signal.Notify(reload, syscall.SIGHUP) // first of all: by default the signal ends the program
-	log := slog.New(slog.NewTextHandler(c.err, nil))
+	signal.Notify(reload, syscall.SIGHUP) // before anything else: by default the signal ends the program
+	log := slog.New(slog.NewTextHandler(c.errOut, nil))
 	f := &operatorconfig.File{}
 	if k.Operator != "" {
 		var err error
@@ -55,128 +56,131 @@
 	return serve(ctx, f, &fleetServices{reload: reload}, log)
 }
 
-// statsTimeout bounds reading the sidecar's own metrics, which happens on the same host.
+// statsTimeout limits a read of the sidecar's metrics at its management address, which is on the same host.
 const statsTimeout = time.Second
 
-// fleetServices are what a sidecar gets from the control plane of its daemon. All but reload may be nil.
+// fleetServices connect a sidecar with the control plane of its daemon. All fields but reload may be nil, as they are
+// without a daemon.
 type fleetServices struct {
 	reload           <-chan os.Signal
 	overrides        maintenance.FleetOverrides
 	fleet            sidecar.Fleet
-	currentSettings  func() json.RawMessage // replace those of the configuration file
+	currentSettings  func() json.RawMessage // returns the settings that replace those of the configuration file
 	limiter          core.Limiter
-	setAnswerCounter func(daemon.AnswerCounter) // gets the function that returns how clients were answered
-	onConfig         func(*config.Config)       // is called with each configuration that takes effect
+	setAnswerCounter func(daemon.AnswerCounter) // receives a function that counts the replies to clients
+	onConfig         func(*config.Config)       // called with each configuration that takes effect
 }
 
-// readConfig reads the sidecar's configuration, with the settings that the store has.
-func (x *fleetServices) readConfig() (*config.Config, error) {
-	if x.currentSettings == nil {
+// readConfig reads the sidecar's configuration, with the settings of the store if there are any.
+func (s *fleetServices) readConfig() (*config.Config, error) {
+	if s.currentSettings == nil {
 		return config.Read(os.Getenv)
 	}
-	return config.ReadWithSettings(os.Getenv, x.currentSettings())
+	return config.ReadWithSettings(os.Getenv, s.currentSettings())
 }
 
-// serve runs a sidecar until ctx ends.
-func serve(ctx context.Context, f *operatorconfig.File, x *fleetServices, log *slog.Logger) error {
-	config, err := x.readConfig()
+// serve runs a sidecar with the features that the operator file enables, until ctx ends.
+func serve(ctx context.Context, file *operatorconfig.File, services *fleetServices, log *slog.Logger) error {
+	sidecarConfig, err := services.readConfig()
 	if err != nil {
 		return err
 	}
-	h, err := sidecar.HostFromEnv(config, os.Getenv, x.reload, log)
+	host, err := sidecar.HostFromEnv(sidecarConfig, os.Getenv, services.reload, log)
 	if err != nil {
 		return err
 	}
-	h.FleetOverrides, h.Fleet, h.Limiter, h.ReadConfig = x.overrides, x.fleet, x.limiter, x.readConfig
-	h.OnConfig = x.onConfig
-	if x.setAnswerCounter != nil && h.Management != nil {
-		at := h.Management.Addr().String()
-		x.setAnswerCounter(func() (uint64, uint64, error) { return answerCounts(at) })
+	host.FleetOverrides, host.Fleet, host.Limiter, host.ReadConfig =
+		services.overrides, services.fleet, services.limiter, services.readConfig
+	host.OnConfig = services.onConfig
+	if services.setAnswerCounter != nil && host.Management != nil {
+		address := host.Management.Addr().String()
+		services.setAnswerCounter(func() (uint64, uint64, error) { return answerCounts(address) })
 	}
-	if f.StateSnapshot != nil {
-		if err := os.MkdirAll(f.StateSnapshot.Dir, 0o755); err != nil {
+	if file.StateSnapshot != nil {
+		if err := os.MkdirAll(file.StateSnapshot.Dir, 0o755); err != nil {
 			return err
 		}
-		h.SnapshotFile = snapshot.File{Path: filepath.Join(f.StateSnapshot.Dir, config.Name+".snapshot")}
+		host.SnapshotFile = snapshot.File{Path: filepath.Join(file.StateSnapshot.Dir, sidecarConfig.Name+".snapshot")}
 	}
-	if f.Capture != nil {
-		tap, end, err := captureTap(f.Capture, config.Name, log)
+	if file.Capture != nil {
+		tap, endCapture, err := captureTap(file.Capture, sidecarConfig.Name, log)
 		if err != nil {
 			return err
 		}
-		defer end()
-		h.Tap = tap
+		defer endCapture()
+		host.Tap = tap
 	}
-	if f.DNS != nil {
-		p, err := dnsProtocol(f.DNS, os.Getenv)
+	if file.DNS != nil {
+		protocol, err := dnsProtocol(file.DNS, os.Getenv)
 		if err != nil {
 			return err
 		}
-		h.Protocols = append(h.Protocols, p)
+		host.Protocols = append(host.Protocols, protocol)
 	}
-	return sidecar.Run(ctx, config, h)
+	return sidecar.Run(ctx, sidecarConfig, host)
 }
 
-// captureTap records the inputs and decisions of the sidecar's module. end is called when the event loop has ended.
-func captureTap(c *operatorconfig.Capture, name string, log *slog.Logger) (tap core.Tap, end func(), err error) {
-	w, err := capture.Create(capture.Config{
-		Dir:          c.Dir,
+// captureTap returns a tap that records the inputs and decisions of the sidecar's decision module in a capture. end
+// closes the capture; the caller calls it when the event loop has ended.
+func captureTap(cfg *operatorconfig.Capture, name string, log *slog.Logger) (tap core.Tap, end func(), err error) {
+	writer, err := capture.Create(capture.Config{
+		Dir:          cfg.Dir,
 		Name:         name,
-		MaxBytes:     int64(c.BudgetMB) << 20,
-		MaxFileBytes: int64(c.MaxFileMB) << 20,
-		MaxFileAge:   time.Duration(c.MaxFileAge),
-		QueueLength:  c.MaxQueuedBatches,
-		RetryDelay:   time.Duration(c.RetryDelay),
+		MaxBytes:     int64(cfg.BudgetMB) << 20,
+		MaxFileBytes: int64(cfg.MaxFileMB) << 20,
+		MaxFileAge:   time.Duration(cfg.MaxFileAge),
+		QueueLength:  cfg.MaxQueuedBatches,
+		RetryDelay:   time.Duration(cfg.RetryDelay),
 		Log:          log,
 	})
 	if err != nil {
 		return nil, nil, err
 	}
-	var r *capture.Recorder
+	var recorder *capture.Recorder
 	tap = func(
 		out balancer.Actions, begin func(balancer.Actions) (*balancer.Balancer, error), names func(uint32) string,
 	) (balancer.Module, error) {
 		options := capture.Options{
 			Sidecar:         name,
 			RunID:           uint64(time.Now().UnixMicro()),
-			SegmentInterval: time.Duration(c.SnapshotInterval).Microseconds(),
+			SegmentInterval: time.Duration(cfg.SnapshotInterval).Microseconds(),
 			EndpointName:    names,
-			Sink:            w,
+			Sink:            writer,
 		}
 		var err error
-		r, err = capture.New(options, out, begin)
+		recorder, err = capture.New(options, out, begin)
 		if err != nil {
 			return nil, fmt.Errorf("capture: %w", err)
 		}
-		return r, nil
+		return recorder, nil
 	}
 	end = func() {
-		if r != nil {
-			r.Close()
+		if recorder != nil {
+			recorder.Close()
 		}
-		w.Close()
-		n := &w.Counts
-		log.Info("capture ended", "records", n.Records.Load(), "bytes", n.Bytes.Load(), "files", n.Files.Load(),
-			"segments", n.Segments.Load(), "lost", n.Lost.Load())
+		writer.Close()
+		counts := &writer.Counts
+		log.Info("capture ended", "records", counts.Records.Load(), "bytes", counts.Bytes.Load(),
+			"files", counts.Files.Load(), "segments", counts.Segments.Load(), "lost", counts.Lost.Load())
 	}
 	return tap, end, nil
 }
 
-// answerCounts returns how a sidecar's clients were answered, by the metrics at its management address: served, or
-// not, which is rejected and failed together.
+// answerCounts reads from the metrics at a sidecar's management address how many requests of its clients were served,
+// and how many were not, that is, rejected or failed.
 func answerCounts(address string) (served, notServed uint64, err error) {
-	c, err := net.DialTimeout("tcp", address, statsTimeout)
+	conn, err := net.DialTimeout("tcp", address, statsTimeout)
 	if err != nil {
 		return 0, 0, err
 	}
-	defer c.Close()
-	if err := c.SetDeadline(time.Now().Add(statsTimeout)); err != nil {
+	defer conn.Close()
+	if err := conn.SetDeadline(time.Now().Add(statsTimeout)); err != nil {
 		return 0, 0, err
 	}
-	if _, err := io.WriteString(c, "stats\n"); err != nil {
+	if _, err := io.WriteString(conn, "stats\n"); err != nil {
 		return 0, 0, err
 	}
-	lines := bufio.NewScanner(c)
+	lines := bufio.NewScanner(conn)
 	for lines.Scan() {
 		if lines.Text() == "END" {
 			return served, notServed, nil
@@ -194,5 +198,5 @@
 			notServed += value
 		}
 	}
-	return 0, 0, errors.Join(errors.New("the figures are not whole"), lines.Err())
+	return 0, 0, errors.Join(errors.New("the metrics end without END"), lines.Err())
 }
--- a/cmd/birchmoor/sidecar_test.go
+++ b/cmd/birchmoor/sidecar_test.go
@@ -23,16 +23,18 @@
 	"ask-within":10000000},"limits":{"cancel":true,"probes":false,"most-tries":3,"most-held":1000,"dial-timeout":1000000},
 	"reporting":{"how":"none"},"tenants":[{"name":"acme","allowance-per-s":100.0,"share":1.0}]}`
 
-// startSidecar runs the sidecar as a process of its own, and returns its address, its log and what kills it.
+// startSidecar starts a sidecar as a process with one server in its endpoint list, waits until it is ready, and returns
+// its address, its log and a function that kills it.
 func startSidecar(t *testing.T, operatorFile, server string) (addr string, log *processtest.Log, kill func()) {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
-	addr = ln.Addr().String()
-	file, err := ln.(*net.TCPListener).File() // which the process inherits, so that no other gets the address meanwhile
+	defer listener.Close()
+	addr = listener.Addr().String()
+	// The sidecar inherits the socket, so that no other process can take the address in the meantime.
+	file, err := listener.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +59,7 @@
 	}
 	cmd := processtest.Self(t, env, "sidecar", "--operator", operatorFile)
 	cmd.ExtraFiles, log = []*os.File{file}, &processtest.Log{}
-	p := processtest.Start(t, cmd, log)
+	process := processtest.Start(t, cmd, log)
 	processtest.Until(t, "readiness", func() bool {
 		resp, err := http.Get("http://" + addr + "/-/ready")
 		if err != nil {
@@ -66,23 +68,23 @@
 		resp.Body.Close()
 		return resp.StatusCode == http.StatusOK
 	}, log.String)
-	return addr, log, p.Kill
+	return addr, log, process.Kill
 }
 
-// A sidecar that is killed leaves a capture that replays and a state that the next one restores.
+// A killed sidecar leaves a capture that can be replayed, and a state that the next process restores.
 func TestKilledSidecarLeavesCaptureAndState(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer server.Close()
 	dir := t.TempDir()
-	op := filepath.Join(dir, "op.toml")
+	operatorFile := filepath.Join(dir, "op.toml")
 	text := "[keep]\ndir = \"state\"\n[capture]\ndir = \"captures\"\nsegment = \"1s\"\n"
-	if err := os.WriteFile(op, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(operatorFile, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	addr, log, kill := startSidecar(t, op, strings.TrimPrefix(server.URL, "http://"))
+	addr, log, kill := startSidecar(t, operatorFile, strings.TrimPrefix(server.URL, "http://"))
 	client := http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
-	frames := func() int64 {
+	captureSize := func() int64 {
 		list, err := capture.Files(filepath.Join(dir, "captures"), "n0")
 		if err != nil || len(list) == 0 {
 			return 0
@@ -93,8 +95,8 @@
 		}
 		return info.Size()
 	}
-	kept := filepath.Join(dir, "state", "n0.snapshot")
-	begun := time.Now()
+	snapshotPath := filepath.Join(dir, "state", "n0.snapshot")
+	startedAt := time.Now()
 	for n := 0; ; n++ {
 		req, err := http.NewRequest(http.MethodGet, "http://"+addr+"/look/1", nil)
 		if err != nil {
@@ -109,32 +111,32 @@
 			t.Fatal(err)
 		}
 		resp.Body.Close()
-		if _, err := os.Stat(kept); err == nil && frames() > 2000 {
+		if _, err := os.Stat(snapshotPath); err == nil && captureSize() > 2000 {
 			break
 		}
-		if time.Since(begun) > processtest.WaitTimeout {
-			t.Fatalf("%d bytes are recorded, and the state is not kept: %s %s", frames(), resp.Status, log)
+		if time.Since(startedAt) > processtest.WaitTimeout {
+			t.Fatalf("the capture has %d bytes, or no state is stored: %s %s", captureSize(), resp.Status, log)
 		}
 	}
 	kill()
 	code, out, errs := birchmoor("replay", filepath.Join(dir, "captures"))
-	// The kernel may end the process within a write: then the file is cut, and says so.
+	// The kernel may end the process during a write. Then the replay reports that the file is cut.
 	if strings.Contains(out, "differences") || code != 0 && !strings.Contains(out, ": cut:") ||
 		!strings.Contains(out, "segments") {
-		t.Errorf("exit %d\n%s\n%s", code, out, errs)
+		t.Errorf("replay of the capture: exit %d\n%s\n%s", code, out, errs)
 	}
-	_, log, kill = startSidecar(t, op, strings.TrimPrefix(server.URL, "http://"))
+	_, log, kill = startSidecar(t, operatorFile, strings.TrimPrefix(server.URL, "http://"))
 	kill()
 	if !strings.Contains(log.String(), "restored the state of an earlier process") ||
 		!strings.Contains(log.String(), "endpoints=1 of=1") {
-		t.Errorf("the log:\n%s", log)
+		t.Errorf("the log of the second process:\n%s", log)
 	}
 }
 
-// An unknown key of the operator file is reported with its line.
+// birchmoor sidecar reports an unknown key of the operator file with its line.
 func TestSidecarRejectsUnknownOperatorKey(t *testing.T) {
 	code, _, errs := birchmoor("sidecar", "--operator", writeFile(t, "op.toml", "[capture]\ndirr = \"x\"\n"))
 	if code != exitUsage || !strings.Contains(errs, ":2: capture.dirr") {
-		t.Errorf("exit %d: %s", code, errs)
+		t.Errorf("sidecar with an unknown operator key: exit %d: %s", code, errs)
 	}
 }
--- a/cmd/birchmoor/sim_test.go
+++ b/cmd/birchmoor/sim_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Guards against a simulation that never ends, or that succeeds though it did not find the defect it was to find.
+// Guards against a simulation without seeds that never ends or succeeds, and against one that exits with 0 although it
+// did not find the injected defect.
 func TestSimulationsExitCodes(t *testing.T) {
 	t.Parallel()
 	for _, verb := range []string{"task", "limit", "store"} {
@@ -16,10 +17,10 @@
 			}
 		}
 	}
-	// One seed does not find this defect; more than that is in the test of the simulation.
+	// One seed does not find this defect. A test of package storesim finds it with more.
 	const defect = "old-leaders-rest"
 	code, out, errs := birchmoor("task", "sim", "--plant", defect, "--seeds", "1", "--calm")
 	if code != exitFailure || !strings.Contains(out, "not found in 1 seeds") {
-		t.Errorf("task sim that misses a defect: exit code %d, %s%s", code, out, errs)
+		t.Errorf("task sim that does not find the defect: exit code %d, %s%s", code, out, errs)
 	}
 }
--- a/cmd/birchmoor/storebench.go
+++ b/cmd/birchmoor/storebench.go
@@ -12,55 +12,55 @@
 )
 
 type storeBench struct {
-	Dir      string        `help:"Folder for the disks." default:"." type:"existingdir"`
-	Duration time.Duration `name:"for" help:"Each figure." default:"3s"`
-	Writers  []int         `help:"At once." default:"1,16,256"`
-	Bytes    int           `help:"Of a value." default:"100"`
-	CatchUp  int           `help:"Megabytes that an empty replica is given; 0 for not at all." placeholder:"MB"`
-	Million  int           `help:"Writes after which memory and disk are told; 0 for not at all." placeholder:"N"`
-	JSON     bool          `help:"As JSON."`
+	Dir      string        `help:"Folder for the files of the replicas." default:"." type:"existingdir"`
+	Duration time.Duration `name:"for" help:"Duration of each measurement." default:"3s"`
+	Writers  []int         `help:"Numbers of concurrent writers." default:"1,16,256"`
+	Bytes    int           `help:"Size of a value in bytes." default:"100"`
+	CatchUp  int           `help:"Megabytes with which an empty replica has to catch up; 0: not measured." placeholder:"MB"`
+	Million  int           `help:"Number of writes after which memory and disk use are measured; 0: not measured." placeholder:"N"`
+	JSON     bool          `help:"Print JSON."`
 }
 
 func (k *storeBench) Run(ctx context.Context, c *console) error {
-	r, err := storebench.Run(ctx, storebench.Options{
+	result, err := storebench.Run(ctx, storebench.Options{
 		Dir:     k.Dir,
 		For:     k.Duration,
 		Writers: k.Writers,
 		Bytes:   k.Bytes,
 		CatchUp: k.CatchUp,
 		Million: k.Million,
-		Say:     func(s string) { fmt.Fprintln(c.err, "measuring:", s) },
+		Say:     func(s string) { fmt.Fprintln(c.errOut, "measuring:", s) },
 	})
 	if err != nil {
 		return err
 	}
 	if k.JSON {
-		return json.NewEncoder(c.out).Encode(r)
+		return json.NewEncoder(c.out).Encode(result)
 	}
 	w := tabwriter.NewWriter(c.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "WHAT\tAT ONCE\tA SECOND\tP50 MS\tP99 MS\tOF BARE BBOLT")
-	for _, x := range r.Rates {
+	for _, x := range result.Rates {
 		fmt.Fprintf(w, "%s\t%d\t%.0f\t%.2f\t%.2f\t%.2f\n", x.What, x.Writers, x.Each, x.P50, x.P99, x.Limit)
 	}
-	if len(r.Leader) > 0 {
-		fmt.Fprintf(w, "without a leader, ms\t\t%.0f\n", r.Leader[0])
+	if len(result.Leader) > 0 {
+		fmt.Fprintf(w, "without a leader, ms\t\t%.0f\n", result.Leader[0])
 	}
-	if r.CatchUp > 0 {
-		fmt.Fprintf(w, "an empty replica takes %.0f MB in, s\t\t%.1f\n", r.CaughtMB, r.CatchUp)
+	if result.CatchUp > 0 {
+		fmt.Fprintf(w, "an empty replica catches up with %.0f MB, s\t\t%.1f\n", result.CaughtMB, result.CatchUp)
 	}
-	if r.Writes > 0 {
-		fmt.Fprintf(w, "after %d writes: heap %.0f MB, disk %.0f MB\n", r.Writes, r.HeapMB, r.DiskMB)
+	if result.Writes > 0 {
+		fmt.Fprintf(w, "after %d writes: heap %.0f MB, disk %.0f MB\n", result.Writes, result.HeapMB, result.DiskMB)
 	}
 	return w.Flush()
 }
 
 type storeTorture struct {
-	Dir          string        `help:"Folder for what it writes." default:"." type:"existingdir"`
-	Duration     time.Duration `name:"for" help:"Long." default:"1m"`
-	KillInterval time.Duration `name:"every" help:"A kill." default:"2s"`
-	Writers      int           `help:"At once, with a reader each." default:"8"`
-	Seed         uint64        `help:"Of who is killed." default:"1"`
-	JSON         bool          `help:"As JSON."`
+	Dir          string        `help:"Folder for the files of the run." default:"." type:"existingdir"`
+	Duration     time.Duration `name:"for" help:"Duration of the run." default:"1m"`
+	KillInterval time.Duration `name:"every" help:"Time between two kills." default:"2s"`
+	Writers      int           `help:"Number of concurrent writers, each with a reader." default:"8"`
+	Seed         uint64        `help:"Seed of the choice of the replicas to kill." default:"1"`
+	JSON         bool          `help:"Print JSON."`
 }
 
 func (k *storeTorture) Run(ctx context.Context, c *console) error {
@@ -68,7 +68,7 @@
 	if err != nil {
 		return err
 	}
-	t := storebench.Torture{
+	torture := storebench.Torture{
 		Program: self,
 		Args:    []string{"run", "--config"},
 		Dir:     k.Dir,
@@ -76,21 +76,21 @@
 		Every:   k.KillInterval,
 		Writers: k.Writers,
 		Seed:    k.Seed,
-		Say:     func(s string) { fmt.Fprintln(c.err, s) },
+		Say:     func(s string) { fmt.Fprintln(c.errOut, s) },
 	}
-	r, err := t.Run(ctx)
+	result, err := torture.Run(ctx)
 	if err != nil {
 		return err
 	}
 	if k.JSON {
-		if err := json.NewEncoder(c.out).Encode(r); err != nil {
+		if err := json.NewEncoder(c.out).Encode(result); err != nil {
 			return err
 		}
 	} else {
-		fmt.Fprintf(c.out, "%d kills, %d times all at once, %d cuts; %d writes answered, %d sent again, %d reads; lost: %q\n",
-			r.Kills, r.All, r.Cuts, r.Writes, r.Unknown, r.Reads, r.Lost)
+		fmt.Fprintf(c.out, "%d kills, %d of all at once, %d partitions; %d writes done, %d retried, %d reads; lost: %q\n",
+			result.Kills, result.All, result.Cuts, result.Writes, result.Unknown, result.Reads, result.Lost)
 	}
-	if len(r.Lost) > 0 {
+	if len(result.Lost) > 0 {
 		return errRunFailed
 	}
 	return nil
--- a/cmd/birchmoor/storeclient.go
+++ b/cmd/birchmoor/storeclient.go
@@ -19,19 +19,19 @@
 
 type clientFlags struct {
 	Socket  string        `help:"Socket of a running daemon." default:"store.sock" env:"BIRCHMOOR_STORE" placeholder:"PATH"`
-	JSON    bool          `help:"As JSON."`
-	Timeout time.Duration `help:"Wait for an answer for so long at most." default:"10s"`
+	JSON    bool          `help:"Print JSON."`
+	Timeout time.Duration `help:"Maximum time to wait for the reply." default:"10s"`
 }
 
 const (
 	minTimeout      = 50 * time.Millisecond
 	maxTimeout      = 10 * time.Minute
-	timeoutSlack    = 500 * time.Millisecond // lets the daemon answer that its own wait timed out
+	timeoutSlack    = 500 * time.Millisecond // leaves the daemon time to reply that its own wait timed out
 	waitNoticeDelay = time.Second
 )
 
-// call runs f with a client of the daemon and the timeout that was given. When it takes long, it says on standard
-// error that it waits.
+// call runs f with a client of the daemon at --socket and the timeout of --timeout. After waitNoticeDelay it prints on
+// standard error that it is still waiting.
 func (s *clientFlags) call(ctx context.Context, c *console, f func(context.Context, *adminapi.Client) error) error {
 	if s.Timeout < minTimeout || s.Timeout > maxTimeout {
 		return fmt.Errorf("--timeout: %v is not within %v and %v", s.Timeout, minTimeout, maxTimeout)
@@ -39,7 +39,7 @@
 	ctx, cancel := context.WithTimeout(ctx, s.Timeout+timeoutSlack)
 	defer cancel()
 	notice := time.AfterFunc(waitNoticeDelay, func() {
-		fmt.Fprintf(c.err, "birchmoor: no answer yet; waiting for %v in all\n", s.Timeout)
+		fmt.Fprintf(c.errOut, "birchmoor: no reply yet; waiting up to %v in total\n", s.Timeout)
 	})
 	defer notice.Stop()
 	client := adminapi.Dial(s.Socket)
@@ -47,22 +47,22 @@
 	return f(ctx, client)
 }
 
-// changeFailure is what --json prints of a change that was not seen to be made.
+// changeFailure is the JSON for a change that failed or whose outcome is unknown.
 type changeFailure struct {
 	Error   string `json:"error"`
 	Outcome string `json:"outcome"` // "unchanged" or "unknown"
 	Request string `json:"request,omitempty"`
 }
 
-// changeFailed adds to err what it means for a change: that nothing was changed, or that the outcome is unknown.
-// request, if not empty, is the request's id, by which the change may be retried.
+// changeFailed adds to err whether nothing was changed or the outcome of the change is unknown, and prints that as JSON
+// if --json is given. request is the id with which the change can be retried, or "" if it has none.
 func (s *clientFlags) changeFailed(ctx context.Context, c *console, err error, request string) error {
 	failure := changeFailure{Error: err.Error(), Outcome: "unchanged"}
 	if outcomeUnknown(ctx, err) {
 		failure.Outcome, failure.Request = "unknown", request
 		err = fmt.Errorf("the outcome is unknown: %w", err)
 		if request != "" {
-			err = fmt.Errorf("%w; to find out and have it made once, say it again with --request %s", err, request)
+			err = fmt.Errorf("%w; to retry without making the change twice, add --request %s", err, request)
 		}
 	} else {
 		err = fmt.Errorf("nothing was changed: %w", err)
@@ -76,8 +76,8 @@
 	return err
 }
 
-// outcomeUnknown reports whether a change may have been made: the daemon proposed it and got no outcome, or did not
-// answer in time.
+// outcomeUnknown reports whether a change may have been made: the daemon proposed it and does not know the outcome, or
+// did not reply in time.
 func outcomeUnknown(ctx context.Context, err error) bool {
 	var response *admin.ResponseError
 	if errors.As(err, &response) {
@@ -86,7 +86,7 @@
 	return ctx.Err() != nil
 }
 
-// print prints v as JSON if the flags ask for that, and otherwise the table.
+// print prints v as indented JSON if --json is given, and otherwise what table writes.
 func (s *clientFlags) print(c *console, v any, table func(*tabwriter.Writer)) error {
 	if s.JSON {
 		e := json.NewEncoder(c.out)
@@ -98,12 +98,12 @@
 	return w.Flush()
 }
 
-// requestFlags identify a change, so that a retry of it is made once.
+// requestFlags are the flags of a change that can be retried with the id of the first request, and is made only once.
 type requestFlags struct {
-	Request string `help:"Id of a request whose outcome is unknown: it is made once." placeholder:"ID"`
+	Request string `help:"Id of an earlier request whose outcome is unknown: the change is made only once." placeholder:"ID"`
 }
 
-// id is the id that was given, or the zero id.
+// id parses the id of --request. It returns the zero id if none is given.
 func (r requestFlags) id() (id store.RequestID, err error) {
 	if r.Request == "" {
 		return id, nil
@@ -115,7 +115,7 @@
 	return id, nil
 }
 
-// change makes a change and prints the response. A change without an id gets a random one.
+// change makes a change and prints the response. A change with the zero id gets a random one.
 func (s *clientFlags) change(
 	ctx context.Context, c *console, r admin.ChangeRequest, table func(*tabwriter.Writer, admin.ChangeResponse),
 ) error {
@@ -123,7 +123,7 @@
 	return err
 }
 
-// changeAndReturn is change, and returns the response.
+// changeAndReturn is like change, and also returns the response.
 func (s *clientFlags) changeAndReturn(
 	ctx context.Context, c *console, r admin.ChangeRequest, table func(*tabwriter.Writer, admin.ChangeResponse),
 ) (response admin.ChangeResponse, err error) {
@@ -134,8 +134,8 @@
 		}
 		r.ID = store.RequestID{Client: n, Seq: 1}
 	}
-	err = s.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
-		response, err = a.Change(ctx, r)
+	err = s.call(ctx, c, func(ctx context.Context, client *adminapi.Client) error {
+		response, err = client.Change(ctx, r)
 		if err != nil {
 			return s.changeFailed(ctx, c, err, fmt.Sprintf("%d-%d", r.ID.Client, r.ID.Seq))
 		}
@@ -153,13 +153,13 @@
 	return binary.BigEndian.Uint64(b[:]) >> 1, nil
 }
 
-// isNotFound reports whether the daemon answered that there is no such thing.
+// isNotFound reports whether err is the daemon's reply that what the request names does not exist.
 func isNotFound(err error) bool {
 	var response *admin.ResponseError
 	return errors.As(err, &response) && response.Status == http.StatusNotFound
 }
 
-// row is one line of a table of names and values.
+// row is a line of a table of names and values.
 type row struct {
 	name  string
 	value any
--- a/cmd/birchmoor/storefleet.go
+++ b/cmd/birchmoor/storefleet.go
@@ -13,27 +13,27 @@
 )
 
 type fleetCommands struct {
-	Torture fleetTorture `cmd:"" help:"Kill and cut daemons under load while servers drain; the servers judge."`
-	Measure fleetMeasure `cmd:"" help:"How fast words bind, how daemons start, and what a fleet writes."`
+	Torture fleetTorture `cmd:"" help:"Kill and partition daemons under load while servers drain, and check what the servers get."`
+	Measure fleetMeasure `cmd:"" help:"Measure how fast reports take effect, how daemons start, and what a fleet writes."`
 }
 
 type fleetFlags struct {
-	Dir       string `help:"Folder for what it writes." default:"." type:"existingdir"`
-	Replicas  int    `help:"Daemons with a replica." default:"3"`
-	Followers int    `name:"follow" help:"Daemons that follow them." default:"2"`
-	Servers   int    `help:"Slot servers." default:"6"`
-	Seed      uint64 `help:"Of what happens." default:"1"`
-	JSON      bool   `help:"As JSON."`
+	Dir       string `help:"Folder for the files of the run." default:"." type:"existingdir"`
+	Replicas  int    `help:"Number of daemons with a replica." default:"3"`
+	Followers int    `name:"follow" help:"Number of daemons that follow the replicas." default:"2"`
+	Servers   int    `help:"Number of slot servers." default:"6"`
+	Seed      uint64 `help:"Seed of all random values." default:"1"`
+	JSON      bool   `help:"Print JSON."`
 }
 
-// start starts a fleet of this program's daemons.
+// start checks the flags and starts a fleet of daemons of this program.
 func (k *fleetFlags) start(ctx context.Context) (*fleetlab.Fleet, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
 	if k.Replicas < 1 || k.Replicas > 9 || k.Followers < 0 || k.Followers > 400 || k.Servers < 2 || k.Servers > 1000 {
-		return nil, fmt.Errorf("1 to 9 replicas, up to 400 followers, 2 to 1000 servers: not %d, %d, %d",
+		return nil, fmt.Errorf("1 to 9 replicas, up to 400 followers and 2 to 1000 servers are possible, not %d, %d and %d",
 			k.Replicas, k.Followers, k.Servers)
 	}
 	return fleetlab.Begin(ctx, fleetlab.Config{
@@ -50,55 +50,57 @@
 
 type fleetTorture struct {
 	fleetFlags
-	Duration      time.Duration `name:"for" help:"Long." default:"2m"`
-	FaultInterval time.Duration `name:"every" help:"A blow, on average." default:"4s"`
-	Conns         int           `help:"Clients' connections to each daemon." default:"4"`
-	Pause         time.Duration `help:"Between two requests of a connection." default:"10ms"`
+	Duration      time.Duration `name:"for" help:"Duration of the run." default:"2m"`
+	FaultInterval time.Duration `name:"every" help:"Mean time between two faults." default:"4s"`
+	Conns         int           `help:"Number of client connections to each daemon." default:"4"`
+	Pause         time.Duration `help:"Pause between two requests on a connection." default:"10ms"`
 }
 
 func (k *fleetTorture) Help() string {
-	return `Exit code 1 if a daemon sent anything to a server that it knew to drain, or that all should have known to.
+	return `Exit code 1 if a daemon sent a request to a server of which it knew that it drains, or of which all daemons
+should have known that.
 
 Example:
   birchmoor store fleet torture --for 5m --follow 5`
 }
 
 func (k *fleetTorture) Run(ctx context.Context, c *console) error {
-	f, err := k.start(ctx)
+	fleet, err := k.start(ctx)
 	if err != nil {
 		return err
 	}
-	defer f.End()
-	load, stop := context.WithCancel(ctx)
-	clients := f.Load(load, k.Conns, k.Pause)
-	t := fleetlab.Torture{
-		Fleet: f,
+	defer fleet.End()
+	loadCtx, stopLoad := context.WithCancel(ctx)
+	clients := fleet.Load(loadCtx, k.Conns, k.Pause)
+	torture := fleetlab.Torture{
+		Fleet: fleet,
 		For:   k.Duration,
 		Every: k.FaultInterval,
 		Seed:  k.Seed,
-		Say:   func(s string) { fmt.Fprintln(c.err, s) },
+		Say:   func(s string) { fmt.Fprintln(c.errOut, s) },
 	}
-	r, err := t.Run(ctx)
-	stop()
+	result, err := torture.Run(ctx)
+	stopLoad()
 	clients.Wait()
 	if err != nil {
 		return err
 	}
 	if k.JSON {
-		if err := json.NewEncoder(c.out).Encode(r); err != nil {
+		if err := json.NewEncoder(c.out).Encode(result); err != nil {
 			return err
 		}
 	} else {
-		fmt.Fprintf(c.out, "%d drains (%d of them undisturbed), %d starts, %d kills, %d times all at once,"+
-			" %d cuts, %d requests\n",
-			r.Drains, r.Judged, r.Starts, r.Kills, r.All, r.Cuts, r.Requests)
-		fmt.Fprintf(c.out, "from daemons that knew %d, late %d, never told %d;"+
-			" the last of an undisturbed one came %.0f ms after the word\n", r.Stale, r.Late, r.Never, r.WorstMs)
-		for _, b := range r.Broken {
+		fmt.Fprintf(c.out, "%d drains (%d of them undisturbed), %d starts, %d kills, %d of all at once,"+
+			" %d partitions, %d requests\n",
+			result.Drains, result.Judged, result.Starts, result.Kills, result.All, result.Cuts, result.Requests)
+		fmt.Fprintf(c.out, "from daemons that knew of the drain %d, late %d, from daemons never told %d;"+
+			" the last request in an undisturbed drain came %.0f ms after the report\n",
+			result.Stale, result.Late, result.Never, result.WorstMs)
+		for _, b := range result.Broken {
 			fmt.Fprintln(c.out, b)
 		}
 	}
-	if r.Stale+r.Late+r.Never > 0 {
+	if result.Stale+result.Late+result.Never > 0 {
 		return errRunFailed
 	}
 	return nil
@@ -106,22 +108,22 @@
 
 type fleetMeasure struct {
 	fleetFlags
-	Reports      int   `name:"words" help:"Words of discovery and of operators whose way to all is measured; 0 for none." default:"1000"`
-	Starts       int   `help:"Starts of each kind; 0 for none." default:"10"`
-	Writes       []int `help:"Daemons at which the store's writes are counted." default:"3,20,80"`
-	KnownServers int   `name:"known" help:"Servers that the store knows when daemons catch up; 0 for not at all." default:"10000"`
-	CostPairs    int   `name:"cost" help:"Pairs of runs at full load, with the store and without; 0 for none." default:"5"`
+	Reports      int   `name:"words" help:"Number of reports by discovery, and of those by operators, whose propagation is measured; 0 for none." default:"1000"`
+	Starts       int   `help:"Number of starts of each kind; 0 for none." default:"10"`
+	Writes       []int `help:"Fleet sizes at which the writes to the store are counted." default:"3,20,80"`
+	KnownServers int   `name:"known" help:"Number of servers that the store knows when daemons catch up; 0: not measured." default:"10000"`
+	CostPairs    int   `name:"cost" help:"Number of pairs of runs at full load, with the store and without it; 0 for none." default:"5"`
 }
 
 func (k *fleetMeasure) Help() string {
-	return `How long a drain or a ban takes to bind at all daemons, how a daemon starts with nothing, with its own disk and from the
-store, and what a fleet writes while its lists change. Minutes long: not for a test run.
+	return `Measures how long a drain or a ban takes to be in effect at all daemons, how a daemon starts with no state,
+with its own disk and from the store, and what a fleet writes while its endpoint lists change. This takes minutes.
 
 Example:
   birchmoor store fleet measure --words 1000 --starts 10 --writes 3,20,80`
 }
 
-// fleetMeasurements is what fleet measure prints.
+// fleetMeasurements are the results of store fleet measure, as --json prints them.
 type fleetMeasurements struct {
 	Reports []fleetlab.Told    `json:"words,omitempty"`
 	Starts  []fleetlab.Began   `json:"starts,omitempty"`
@@ -132,7 +134,7 @@
 
 func (k *fleetMeasure) Run(ctx context.Context, c *console) error {
 	var m fleetMeasurements
-	say := func(s string) { fmt.Fprintln(c.err, "measured:", s) }
+	say := func(s string) { fmt.Fprintln(c.errOut, "measured:", s) }
 	if k.Reports > 0 || k.Starts > 0 || k.KnownServers > 0 || k.CostPairs > 0 {
 		if err := k.measureFleet(ctx, &m, say); err != nil {
 			return err
@@ -171,8 +173,8 @@
 func (m *fleetMeasurements) print(w io.Writer) {
 	for _, x := range m.Reports {
 		const latency = "\t%d\tp50 %.1f ms\tp99 %.1f\tworst %.1f\n"
-		fmt.Fprintf(w, "%s, to where it was told"+latency, x.What, x.Here.N, x.Here.P50, x.Here.P99, x.Here.Worst)
-		fmt.Fprintf(w, "%s, to the others"+latency, x.What, x.Others.N, x.Others.P50, x.Others.P99, x.Others.Worst)
+		fmt.Fprintf(w, "%s, at the daemon that got it"+latency, x.What, x.Here.N, x.Here.P50, x.Here.P99, x.Here.Worst)
+		fmt.Fprintf(w, "%s, at the other daemons"+latency, x.What, x.Others.N, x.Others.P50, x.Others.P99, x.Others.Worst)
 	}
 	for _, x := range m.Starts {
 		fmt.Fprintf(w, "start with %s\t%d\tp50 %.0f ms\tworst %.0f\tserved in the first second %.3f,"+
@@ -180,12 +182,12 @@
 			x.How, x.N, x.Ready.P50, x.Ready.Worst, x.Served, x.Drained, x.Recalled)
 	}
 	for _, x := range m.Writes {
-		fmt.Fprintf(w, "%d daemons\t%d changes of lists\t%d words in the store\t%d entries of the log\t"+
-			"%d pictures\tin %.0f s\n",
+		fmt.Fprintf(w, "%d daemons\t%d changes of lists\t%d reports in the store\t%d log entries\t"+
+			"%d snapshots\tin %.0f s\n",
 			x.Daemons, x.Changes, x.Words, x.Entries, x.Pictures, x.Seconds)
 	}
 	if x := m.Cost; x != nil {
-		fmt.Fprintf(w, "full load, %d pairs\t%.0f a second with the store\t%.0f without\t"+
+		fmt.Fprintf(w, "full load, %d pairs\t%.0f requests/s with the store\t%.0f without\t"+
 			"ratio %.3f (%.3f to %.3f)\tp99 ratio %.2f (%.2f to %.2f)\n",
 			x.Pairs, x.With, x.Without, x.Ratio.Median, x.Ratio.Least, x.Ratio.Most, x.P99.Median, x.P99.Least, x.P99.Most)
 	}
@@ -196,27 +198,27 @@
 	}
 }
 
-// measureFleet measures what a fleet of the given size is enough for: all but the writes.
+// measureFleet takes all measurements but that of the writes, which needs fleets of several sizes.
 func (k *fleetMeasure) measureFleet(ctx context.Context, m *fleetMeasurements, say func(string)) error {
-	f, err := k.start(ctx)
+	fleet, err := k.start(ctx)
 	if err != nil {
 		return err
 	}
-	defer f.End()
+	defer fleet.End()
 	if k.Reports > 0 {
-		if err := k.measureReports(ctx, f, m, say); err != nil {
+		if err := k.measureReports(ctx, fleet, m, say); err != nil {
 			return err
 		}
 	}
 	if k.Starts > 0 {
-		m.Starts, err = f.Starts(ctx, k.Starts, say)
+		m.Starts, err = fleet.Starts(ctx, k.Starts, say)
 		if err != nil {
 			return err
 		}
 	}
 	if k.CostPairs > 0 {
 		const runDuration = 3 * time.Second
-		cost, err := f.Cost(ctx, k.CostPairs, runDuration)
+		cost, err := fleet.Cost(ctx, k.CostPairs, runDuration)
 		if err != nil {
 			return err
 		}
@@ -224,7 +226,7 @@
 		say("cost")
 	}
 	if k.KnownServers > 0 {
-		caught, err := f.CatchUp(ctx, k.KnownServers)
+		caught, err := fleet.CatchUp(ctx, k.KnownServers)
 		if err != nil {
 			return err
 		}
@@ -234,23 +236,23 @@
 	return nil
 }
 
-// measureReports measures, under load, how long reports of discovery and of operators take to reach all daemons.
+// measureReports measures, under load, how long reports by discovery and by operators take to reach all daemons.
 func (k *fleetMeasure) measureReports(
-	ctx context.Context, f *fleetlab.Fleet, m *fleetMeasurements, say func(string),
+	ctx context.Context, fleet *fleetlab.Fleet, m *fleetMeasurements, say func(string),
 ) error {
 	const conns, requestInterval, warmup = 4, 5 * time.Millisecond, 2 * time.Second
-	load, stop := context.WithCancel(ctx)
-	defer stop()
-	clients := f.Load(load, conns, requestInterval)
+	loadCtx, stopLoad := context.WithCancel(ctx)
+	defer stopLoad()
+	clients := fleet.Load(loadCtx, conns, requestInterval)
 	time.Sleep(warmup)
 	for _, byOperators := range []bool{false, true} {
-		t, err := f.Words(ctx, k.Reports, byOperators, say)
+		t, err := fleet.Words(ctx, k.Reports, byOperators, say)
 		if err != nil {
 			return err
 		}
 		m.Reports = append(m.Reports, t)
 	}
-	stop()
+	stopLoad()
 	clients.Wait()
 	return nil
 }
--- a/cmd/birchmoor/storefollower_test.go
+++ b/cmd/birchmoor/storefollower_test.go
@@ -24,91 +24,93 @@
 	"birchmoor/internal/testutil/processtest"
 )
 
-// A follower's copy has what its daemon needs. Other keys are read by way of a replica, or the answer says that
-// they are not held. A follower whose interest is all has all keys, as those of the version before.
+// The copy of a follower holds the keys that its daemon needs. Other keys are read from a replica, or the reply says
+// that the copy does not hold them. A follower with interest = "all" holds all keys, as followers of the previous
+// version do.
 func TestFollowerStoresOnlyItsInterest(t *testing.T) {
 	t.Parallel()
-	quiet, dir, serve := slog.New(slog.DiscardHandler), shortDir(t), address.Next()
-	_, end := openDaemon(t, dir, "a", fmt.Sprintf("listen = %q\nserve = %q", address.Next(), serve), quiet)
-	over := sync.OnceFunc(end)
-	defer over()
+	discardLog, dir, serve := slog.New(slog.DiscardHandler), shortDir(t), address.Next()
+	_, end := openDaemon(t, dir, "a", fmt.Sprintf("listen = %q\nserve = %q", address.Next(), serve), discardLog)
+	endReplica := sync.OnceFunc(end)
+	defer endReplica()
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
 	clients := map[string]*adminapi.Client{"a": adminapi.Dial(filepath.Join(dir, "a.sock"))}
-	processtest.Until(t, "limits are put", func() bool {
+	processtest.Until(t, "limit put succeeds", func() bool {
 		_, err := clients["a"].PutLimits(ctx, partitionedRateLimit())
 		return err == nil
 	})
-	var ending sync.WaitGroup
-	defer ending.Wait()
+	var stopping sync.WaitGroup
+	defer stopping.Wait()
 	for name, more := range map[string]string{"h0": "", "h1": "", "h2": "interest = \"all\"\n"} {
-		_, end := openDaemon(t, dir, name, fmt.Sprintf("follow = [\"a=%s\"]\n%s", serve, more), quiet)
-		defer ending.Go(end)
+		_, end := openDaemon(t, dir, name, fmt.Sprintf("follow = [\"a=%s\"]\n%s", serve, more), discardLog)
+		defer stopping.Go(end)
 		clients[name] = adminapi.Dial(filepath.Join(dir, name+".sock"))
 	}
 	demand := url.Values{"prefix": {quota.DemandPrefix}}
-	processtest.Until(t, "all tell", func() bool {
-		i, err := clients["a"].Range(ctx, demand)
-		return err == nil && len(i.Items) == 4
+	processtest.Until(t, "every daemon reports its demand", func() bool {
+		page, err := clients["a"].Range(ctx, demand)
+		return err == nil && len(page.Items) == 4
 	})
-	processtest.Until(t, "each holds its own", func() bool {
-		st, err := clients["h0"].Status(ctx)
-		return err == nil && st.Interest != nil && st.Interest.Covers(quota.DemandPrefix+"h0/1") &&
-			!st.Interest.Covers(quota.DemandPrefix+"h1/1")
+	processtest.Until(t, "the interest of h0 covers its own demand alone", func() bool {
+		status, err := clients["h0"].Status(ctx)
+		return err == nil && status.Interest != nil && status.Interest.Covers(quota.DemandPrefix+"h0/1") &&
+			!status.Interest.Covers(quota.DemandPrefix+"h1/1")
 	})
 	checkPartialCopy(ctx, t, clients["h0"])
 	stale := url.Values{"prefix": {quota.DemandPrefix}, "stale": {"true"}}
-	if i, err := clients["h2"].Range(ctx, stale); err != nil || len(i.Items) != 4 {
-		t.Errorf("a copy of all: %d, %v", len(i.Items), err)
+	if page, err := clients["h2"].Range(ctx, stale); err != nil || len(page.Items) != 4 {
+		t.Errorf("stale read at a follower with all keys: %d items, %v", len(page.Items), err)
 	}
-	if l, err := clients["h0"].Limits(ctx, ""); err != nil || l.Fault != "" || len(l.Limits) != 1 ||
-		len(l.Limits[0].NodeStatuses[0].Processes) != 4 {
-		t.Errorf("limits: %+v, %v", l, err)
+	if limits, err := clients["h0"].Limits(ctx, ""); err != nil || limits.Fault != "" || len(limits.Limits) != 1 ||
+		len(limits.Limits[0].NodeStatuses[0].Processes) != 4 {
+		t.Errorf("limits at a follower: %+v, %v", limits, err)
 	}
-	processtest.Until(t, "all take part", func() bool {
+	processtest.Until(t, "every daemon has a queue entry in the fleet task", func() bool {
 		all, err := clients["h0"].Tasks(ctx, daemon.FleetTask)
 		return err == nil && len(all) == 1 && len(all[0].Queue) == 4
 	})
 	socket := filepath.Join(dir, "h0.sock")
 	if code, _, errs := birchmoor("store", "watch", "limit/", "--socket", socket); code != 2 ||
 		!strings.Contains(errs, "a replica has to be asked") {
-		t.Errorf("%d %s", code, errs)
+		t.Errorf("store watch outside the interest: exit code %d, %s", code, errs)
 	}
 	if code, out, errs := birchmoor("store", "status", "--socket", socket); code != 0 ||
 		!strings.Contains(out, "; a part: ") || !strings.Contains(out, " limit/grant/h0/ ") {
-		t.Errorf("%d %s %s", code, out, errs)
+		t.Errorf("store status of a follower: exit code %d, %s %s", code, out, errs)
 	}
-	over()
-	if l, err := clients["h0"].Limits(ctx, ""); err != nil ||
-		!strings.Contains(l.Fault, "no replica tells of the others") {
-		t.Errorf("limits with no replica: %+v, %v", l, err)
+	endReplica()
+	if limits, err := clients["h0"].Limits(ctx, ""); err != nil ||
+		!strings.Contains(limits.Fault, "no replica tells of the others") {
+		t.Errorf("limits at a follower without a replica: %+v, %v", limits, err)
 	}
 }
 
-// checkPartialCopy checks that a follower reads keys outside its interest by way of a replica, and that its own
-// copy and a watch do not have them.
+// checkPartialCopy checks that a follower reads keys outside its interest from a replica, and that stale reads and
+// watches of them are errors.
 func checkPartialCopy(ctx context.Context, t *testing.T, client *adminapi.Client) {
 	t.Helper()
 	demand := url.Values{"prefix": {quota.DemandPrefix}}
 	stale := url.Values{"prefix": {quota.DemandPrefix}, "stale": {"true"}}
-	if i, err := client.Range(ctx, demand); err != nil || len(i.Items) != 4 {
-		t.Errorf("by way of a replica: %d, %v", len(i.Items), err)
+	if page, err := client.Range(ctx, demand); err != nil || len(page.Items) != 4 {
+		t.Errorf("read through a replica: %d items, %v", len(page.Items), err)
 	}
-	if i, err := client.Range(ctx, stale); err == nil || !strings.Contains(err.Error(), "does not hold") {
-		t.Errorf("its own copy: %d, %v", len(i.Items), err)
+	if page, err := client.Range(ctx, stale); err == nil || !strings.Contains(err.Error(), "does not hold") {
+		t.Errorf("stale read of keys that the copy does not hold: %d items, %v", len(page.Items), err)
 	}
 	if err := client.Watch(ctx, demand, func(store.Event) error { return nil }); err == nil ||
 		!strings.Contains(err.Error(), "does not hold") {
-		t.Errorf("a watch: %v", err)
+		t.Errorf("watch of keys that the copy does not hold: %v", err)
 	}
 }
 
-// openDaemon starts a daemon in this process, without a sidecar; more is added to its [store].
-func openDaemon(tb testing.TB, dir, name, more string, log *slog.Logger) (x *fleetServices, end func()) {
+// openDaemon starts a daemon without a sidecar in this process. extra is added to the [store] section of its operator
+// file. end shuts the daemon down.
+func openDaemon(tb testing.TB, dir, name, extra string, log *slog.Logger) (services *fleetServices, end func()) {
 	tb.Helper()
 	file := filepath.Join(dir, name+".toml")
 	text := fmt.Sprintf("[store]\nname = %q\ndir = %q\nsocket = %q\nplain = true\n%s\n[limits]\n",
-		name, name, name+".sock", more)
+		name, name, name+".sock", extra)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		tb.Fatal(err)
 	}
@@ -116,13 +118,13 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	if x, end, err = openControlPlane(f, false, nil, log); err != nil {
+	if services, end, err = openControlPlane(f, false, nil, log); err != nil {
 		tb.Fatal(err)
 	}
-	return x, end
+	return services, end
 }
 
-// shortDir is a folder with a path short enough for those of Unix sockets in it.
+// shortDir returns a temporary folder whose path is short enough for Unix sockets in it.
 func shortDir(tb testing.TB) string {
 	tb.Helper()
 	dir, err := os.MkdirTemp("", "f") //nolint:usetesting // t.TempDir is too long for the path of a Unix socket
@@ -133,7 +135,7 @@
 	return dir
 }
 
-// partitionedRateLimit is a limit whose parts are the classes class0 to class3.
+// partitionedRateLimit returns a configuration with one rate limit, whose parts are the classes class0 to class3.
 func partitionedRateLimit() *quota.Config {
 	l := &quota.Limit{
 		Name:        "all",
@@ -150,9 +152,9 @@
 	return &quota.Config{Limits: []*quota.Limit{l}}
 }
 
-// A daemon without a replica starts with what others know: with an empty disk from a replica, and from its own disk
-// once no replica can be reached; and it says so. A server that drains by their reports is sent nothing, though the
-// daemon's own list says that it serves.
+// A follower starts with the state of a replica if its disk is empty, and with that of its own disk if no replica can
+// be reached, and its status names the source. It sends nothing to a server that drains by that state, although its own
+// endpoint list says that the server is up.
 func TestFollowerStartsFromReplicaOrOwnDisk(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
@@ -178,32 +180,32 @@
 	socket := follower.Socket()
 	if code, out, _ := birchmoor("store", "servers", drain.ID, "--socket", socket); code != 0 ||
 		!strings.Contains(out, "drains") {
-		t.Errorf("servers: %d %s", code, out)
+		t.Errorf("store servers: exit code %d, %s", code, out)
 	}
 	code, _, errs := birchmoor("store", "servers", "nobody", "--socket", socket)
 	if code != 1 || !strings.Contains(errs, "nothing is known") {
-		t.Errorf("of no server: %d %s", code, errs)
+		t.Errorf("store servers of an unknown server: exit code %d, %s", code, errs)
 	}
 	code, _, errs = birchmoor("store", "put", "config/current", "{}", "--socket", socket)
 	if code != 2 || !strings.Contains(errs, "nothing was changed") {
-		t.Errorf("a follower changed the settings: %d %s", code, errs)
+		t.Errorf("a follower changed the settings: exit code %d, %s", code, errs)
 	}
-	for stored := false; !stored; { // its file is written a moment after the copy came
+	for stored := false; !stored; { // the file of the copy is written shortly after the copy arrives
 		stored = slices.Contains(fileNames(t, follower.Dir()), "copy")
 	}
 	replica.Kill()
-	s.start(t, "no replica to be reached", "own disk")
+	s.start(t, "no reachable replica", "own disk")
 	code, out, _ := birchmoor("store", "status", "--socket", socket)
 	if code != 0 || !strings.Contains(out, "own disk at revision") || !strings.Contains(out, "hears no replica") {
-		t.Errorf("status: %d %s", code, out)
+		t.Errorf("store status: exit code %d, %s", code, out)
 	}
 	code, _, errs = birchmoor("store", "put", "out/ban/x", "y", "--timeout", "300ms", "--socket", socket)
 	if code != 2 || !strings.Contains(errs, "nothing was changed") {
-		t.Errorf("a change with no replica: %d %s", code, errs)
+		t.Errorf("store put without a reachable replica: exit code %d, %s", code, errs)
 	}
 }
 
-// startFleet starts a fleet of processes of this binary.
+// startFleet starts a fleet of processes of this binary. It sets the fields of config that are the same in all tests.
 func startFleet(ctx context.Context, t *testing.T, config fleetlab.Config) *fleetlab.Fleet {
 	t.Helper()
 	self, err := os.Executable()
@@ -222,15 +224,16 @@
 	return f
 }
 
-// followerStarts starts a follower again and again while a server drains.
+// followerStarts restarts a follower while a server drains.
 type followerStarts struct {
-	ctx      context.Context // that of the test
+	ctx      context.Context // of the test
 	follower *fleetlab.Daemon
 	drained  *fleetlab.Server
 }
 
-// start starts the follower anew, and checks where it has its state from and that it sends nothing to the drained
-// server. It loses its disk unless that is where the state is to come from.
+// start restarts the follower, and checks that its state is from the given source and that it sends nothing to the
+// drained server. Unless the source is "own disk", it deletes the follower's disk before. what describes the case in
+// errors.
 func (s *followerStarts) start(t *testing.T, what, from string) {
 	t.Helper()
 	ownDisk := from == "own disk"
@@ -253,17 +256,17 @@
 		s.follower.Ask(s.ctx, client, fmt.Sprintf("%020x", n+before+int(time.Now().UnixNano())))
 	}
 	if n := s.drained.Count(1) - before; n > 0 {
-		t.Errorf("%s: %d requests to a server that drains\n%s", what, n, s.follower.Log())
+		t.Errorf("%s: %d requests to the draining server\n%s", what, n, s.follower.Log())
 	}
 	status, err := s.follower.Client.Status(s.ctx)
 	startup := status.Startup
 	if err != nil || startup.From != from || startup.Exclusions != 1 || !status.Follower ||
 		(startup.Age != "") != ownDisk {
-		t.Errorf("%s: %+v, %v", what, startup, err)
+		t.Errorf("%s: the startup state is %+v, %v", what, startup, err)
 	}
 }
 
-// fileNames are the names of a folder's files; there are none if there is no folder.
+// fileNames returns the names of the files in a folder, none if the folder does not exist.
 func fileNames(t *testing.T, dir string) (names []string) {
 	t.Helper()
 	all, err := os.ReadDir(dir)
--- a/cmd/birchmoor/storekeys.go
+++ b/cmd/birchmoor/storekeys.go
@@ -19,13 +19,13 @@
 
 type storeGet struct {
 	clientFlags
-	Key    string `arg:"" help:"Key, or prefix."`
-	Prefix bool   `help:"All keys that begin with it."`
-	Stale  bool   `help:"This copy as it is, without asking the quorum; its age is told."`
-	Limit  int    `help:"So many keys at most." default:"1000"`
+	Key    string `arg:"" help:"Key, or prefix of keys."`
+	Prefix bool   `help:"Read all keys with this prefix."`
+	Stale  bool   `help:"Read the daemon's own copy without a quorum's confirmation, and print its age."`
+	Limit  int    `help:"Maximum number of keys." default:"1000"`
 }
 
-// formatValue is a value as text, quoted unless it is UTF-8.
+// formatValue returns a value as text. A value that is not UTF-8 is quoted.
 func formatValue(b []byte) string {
 	if utf8.Valid(b) {
 		return string(b)
@@ -34,33 +34,34 @@
 }
 
 func (k *storeGet) Run(ctx context.Context, c *console) error {
-	q := url.Values{"limit": {strconv.Itoa(k.Limit)}}
+	query := url.Values{"limit": {strconv.Itoa(k.Limit)}}
 	if k.Stale {
-		q.Set("stale", "true")
+		query.Set("stale", "true")
 	}
 	if k.Prefix {
-		q.Set("prefix", k.Key)
+		query.Set("prefix", k.Key)
 	} else {
-		q.Set("key", k.Key)
+		query.Set("key", k.Key)
 	}
-	return k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
-		i, err := a.Range(ctx, q)
+	return k.call(ctx, c, func(ctx context.Context, client *adminapi.Client) error {
+		page, err := client.Range(ctx, query)
 		if err != nil {
 			return err
 		}
-		if len(i.Items) == 0 && !k.Prefix {
-			fmt.Fprintf(c.err, "%s: no such key at revision %d\n", k.Key, i.CopyAge.Revision)
+		if len(page.Items) == 0 && !k.Prefix {
+			fmt.Fprintf(c.errOut, "%s: no such key at revision %d\n", k.Key, page.CopyAge.Revision)
 			return errRunFailed
 		}
-		return k.print(c, i, func(w *tabwriter.Writer) {
-			for _, x := range i.Items {
-				fmt.Fprintf(w, "%s\t%s\t%d\n", x.Key, formatValue(x.Value), x.ModRevision)
+		return k.print(c, page, func(w *tabwriter.Writer) {
+			for _, item := range page.Items {
+				fmt.Fprintf(w, "%s\t%s\t%d\n", item.Key, formatValue(item.Value), item.ModRevision)
 			}
-			if i.More {
-				fmt.Fprintln(w, "and more: raise --limit")
+			if page.More {
+				fmt.Fprintln(w, "and more keys: raise --limit")
 			}
 			if k.Stale {
-				fmt.Fprintf(w, "stale: revision %d, confirmed %v ago\n", i.CopyAge.Revision, i.CopyAge.Age.Round(time.Millisecond))
+				fmt.Fprintf(w, "stale: revision %d, confirmed %v ago\n",
+					page.CopyAge.Revision, page.CopyAge.Age.Round(time.Millisecond))
 			}
 		})
 	})
@@ -70,9 +71,9 @@
 	clientFlags
 	requestFlags
 	Key        string  `arg:"" help:"Key."`
-	Value      string  `arg:"" help:"Value; - reads standard input."`
-	IfRevision *uint64 `name:"if" help:"Only if the key was last put at this revision; 0: only if there is none." placeholder:"REVISION"`
-	Lease      uint64  `help:"The key goes when this lease ends." placeholder:"ID"`
+	Value      string  `arg:"" help:"Value; - reads it from standard input."`
+	IfRevision *uint64 `name:"if" help:"Put only if the key was last put at this revision; 0: only if the key does not exist." placeholder:"REVISION"`
+	Lease      uint64  `help:"Id of a lease; the key is deleted when the lease ends." placeholder:"ID"`
 }
 
 func (k *storePut) Run(ctx context.Context, c *console) error {
@@ -88,12 +89,13 @@
 	return putOrDelete(ctx, c, &k.clientFlags, k.requestFlags, op, k.IfRevision)
 }
 
-// maxInputBytes bounds what is read of standard input: above any value that the store takes.
+// maxInputBytes limits what is read from standard input. It is above the largest value that the store accepts.
 const maxInputBytes = 2 << 20
 
-// putOrDelete makes one change of a key, if its last revision is the given one or none is given.
+// putOrDelete puts or deletes a key. Unless ifRevision is nil, it does so only if the key was last put at that
+// revision.
 func putOrDelete(
-	ctx context.Context, c *console, s *clientFlags, r requestFlags, op store.Op, ifRevision *uint64,
+	ctx context.Context, c *console, flags *clientFlags, r requestFlags, op store.Op, ifRevision *uint64,
 ) error {
 	id, err := r.id()
 	if err != nil {
@@ -104,13 +106,13 @@
 		txn.If = []store.Compare{{Key: op.Key, ModRevision: *ifRevision}}
 	}
 	request := admin.ChangeRequest{ID: id, Txn: txn}
-	response, err := s.changeAndReturn(ctx, c, request, func(w *tabwriter.Writer, x admin.ChangeResponse) {
+	response, err := flags.changeAndReturn(ctx, c, request, func(w *tabwriter.Writer, x admin.ChangeResponse) {
 		if x.Succeeded {
 			fmt.Fprintf(w, "revision %d\n", x.Revision)
 		}
 	})
 	if err == nil && !response.Succeeded {
-		fmt.Fprintf(c.err, "%s was changed meanwhile: nothing was done\n", op.Key)
+		fmt.Fprintf(c.errOut, "%s: the key was not last put at the given revision; nothing was changed\n", op.Key)
 		return errRunFailed
 	}
 	return err
@@ -120,7 +122,7 @@
 	clientFlags
 	requestFlags
 	Key        string  `arg:"" help:"Key."`
-	IfRevision *uint64 `name:"if" help:"Only if the key was last put at this revision." placeholder:"REVISION"`
+	IfRevision *uint64 `name:"if" help:"Delete only if the key was last put at this revision." placeholder:"REVISION"`
 }
 
 func (k *storeDelete) Run(ctx context.Context, c *console) error {
@@ -130,25 +132,26 @@
 
 type storeWatch struct {
 	clientFlags
-	Prefix        string  `arg:"" optional:"" help:"Keys that begin with it."`
-	AfterRevision *uint64 `name:"after" help:"Changes after this revision; without it, from now on." placeholder:"REVISION"`
+	Prefix        string  `arg:"" optional:"" help:"Watch only keys with this prefix."`
+	AfterRevision *uint64 `name:"after" help:"Print the changes after this revision; without it, the changes from now on." placeholder:"REVISION"`
 }
 
 func (k *storeWatch) Run(ctx context.Context, c *console) error {
-	q := url.Values{"prefix": {k.Prefix}}
+	query := url.Values{"prefix": {k.Prefix}}
 	if k.AfterRevision != nil {
-		q.Set("after", strconv.FormatUint(*k.AfterRevision, 10))
+		query.Set("after", strconv.FormatUint(*k.AfterRevision, 10))
 	}
 	enc := json.NewEncoder(c.out)
-	return adminapi.Dial(k.Socket).Watch(ctx, q, func(e store.Event) error {
+	return adminapi.Dial(k.Socket).Watch(ctx, query, func(event store.Event) error {
 		if k.JSON {
-			return enc.Encode(e)
+			return enc.Encode(event)
 		}
-		what := "put   "
-		if e.Deleted {
-			what = "delete"
+		operation := "put   "
+		if event.Deleted {
+			operation = "delete"
 		}
-		_, err := fmt.Fprintf(c.out, "%d  %s  %s  %s\n", e.Revision, what, e.Item.Key, formatValue(e.Item.Value))
+		_, err := fmt.Fprintf(c.out, "%d  %s  %s  %s\n",
+			event.Revision, operation, event.Item.Key, formatValue(event.Item.Value))
 		return err
 	})
 }
--- a/cmd/birchmoor/storelease.go
+++ b/cmd/birchmoor/storelease.go
@@ -12,20 +12,21 @@
 )
 
 type leaseCommands struct {
-	Grant leaseGrant `cmd:"" help:"Begin a lease, and print its id."`
-	Renew leaseRenew `cmd:"" help:"Have a lease go on."`
-	End   leaseEnd   `cmd:"" help:"End a lease; its keys go with it."`
+	Grant leaseGrant `cmd:"" help:"Grant a lease, and print its id."`
+	Renew leaseRenew `cmd:"" help:"Renew a lease."`
+	End   leaseEnd   `cmd:"" help:"End a lease and delete its keys."`
 	List  leaseList  `cmd:"" help:"List leases and their keys."`
 }
 
 type leaseGrant struct {
 	clientFlags
 	requestFlags
-	TTL time.Duration `arg:"" help:"Silence of its holder after which it ends, such as 30s."`
+	TTL time.Duration `arg:"" help:"Time without a renewal after which the lease ends, such as 30s."`
 }
 
 func (k *leaseGrant) Help() string {
-	return `A key that is put with --lease goes when its lease ends: when it was not renewed for its time, by the leader's clock.
+	return `A key that was put with --lease is deleted when the lease ends: when it is revoked, or when it was not renewed
+for its TTL by the leader's clock.
 
 Example:
   id=$(birchmoor store lease grant 30s)
@@ -55,7 +56,7 @@
 type leaseRenew struct {
 	clientFlags
 	requestFlags
-	Lease uint64 `arg:"" help:"Its id."`
+	Lease uint64 `arg:"" help:"Id of the lease."`
 }
 
 func (k *leaseRenew) Run(ctx context.Context, c *console) error {
@@ -65,14 +66,14 @@
 	}
 	request := admin.ChangeRequest{ID: id, RenewLease: k.Lease}
 	return k.change(ctx, c, request, func(w *tabwriter.Writer, _ admin.ChangeResponse) {
-		fmt.Fprintf(w, "lease %d goes on\n", k.Lease)
+		fmt.Fprintf(w, "lease %d is renewed\n", k.Lease)
 	})
 }
 
 type leaseEnd struct {
 	clientFlags
 	requestFlags
-	Lease uint64 `arg:"" help:"Its id."`
+	Lease uint64 `arg:"" help:"Id of the lease."`
 }
 
 func (k *leaseEnd) Run(ctx context.Context, c *console) error {
@@ -82,21 +83,21 @@
 	}
 	request := admin.ChangeRequest{ID: id, RevokeLease: k.Lease}
 	return k.change(ctx, c, request, func(w *tabwriter.Writer, _ admin.ChangeResponse) {
-		fmt.Fprintf(w, "lease %d has ended, and its keys are gone\n", k.Lease)
+		fmt.Fprintf(w, "lease %d has ended, and its keys are deleted\n", k.Lease)
 	})
 }
 
 type leaseList struct{ clientFlags }
 
 func (k *leaseList) Run(ctx context.Context, c *console) error {
-	return k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
-		all, err := a.Leases(ctx)
+	return k.call(ctx, c, func(ctx context.Context, client *adminapi.Client) error {
+		leases, err := client.Leases(ctx)
 		if err != nil {
 			return err
 		}
-		return k.print(c, all, func(w *tabwriter.Writer) {
+		return k.print(c, leases, func(w *tabwriter.Writer) {
 			fmt.Fprintln(w, "ID\tTIME\tKEYS")
-			for _, l := range all {
+			for _, l := range leases {
 				fmt.Fprintf(w, "%d\t%v\t%s\n", l.ID, time.Duration(l.TTLMillis)*time.Millisecond, strings.Join(l.Keys, " "))
 			}
 		})
--- a/cmd/birchmoor/storemembers.go
+++ b/cmd/birchmoor/storemembers.go
@@ -14,26 +14,26 @@
 type storeMembers struct{ clientFlags }
 
 func (k *storeMembers) Run(ctx context.Context, c *console) error {
-	return k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
-		s, err := a.Status(ctx)
+	return k.call(ctx, c, func(ctx context.Context, client *adminapi.Client) error {
+		status, err := client.Status(ctx)
 		if err != nil {
 			return err
 		}
-		return k.print(c, s.Peers, func(w *tabwriter.Writer) {
+		return k.print(c, status.Peers, func(w *tabwriter.Writer) {
 			fmt.Fprintln(w, "ID\tNAME\tADDRESS\tROLE\tLEVEL\tSTARTS\tENTRY")
-			for _, p := range s.Peers {
+			for _, peer := range status.Peers {
 				role := "votes"
 				switch {
-				case p.Leader:
+				case peer.Leader:
 					role = "leads"
-				case p.Learner:
+				case peer.Learner:
 					role = "learns"
 				}
-				match := "-" // the leader alone knows
-				if p.MatchIndex > 0 {
-					match = strconv.FormatUint(p.MatchIndex, 10)
+				match := "-" // known only at the leader
+				if peer.MatchIndex > 0 {
+					match = strconv.FormatUint(peer.MatchIndex, 10)
 				}
-				fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%d\t%d\t%s\n", p.ID, p.Name, p.Address, role, p.Level, p.Boot, match)
+				fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%d\t%d\t%s\n", peer.ID, peer.Name, peer.Address, role, peer.Level, peer.Boot, match)
 			}
 		})
 	})
@@ -43,12 +43,12 @@
 	clientFlags
 	requestFlags
 	Name    string `arg:"" help:"Name of the replica."`
-	Address string `arg:"" help:"Where the others reach it, such as 127.0.0.1:7402."`
+	Address string `arg:"" help:"Address at which the other replicas reach it, such as 127.0.0.1:7402."`
 }
 
 func (k *storeAdd) Help() string {
-	return `Start the replica with join = true and an empty folder first. It learns until it has caught up,
-and votes from then on. One replica at a time.
+	return `First start the replica with join = true and an empty folder. It is a learner until it has caught up, and votes
+from then on. Add one replica at a time.
 
 Example:
   birchmoor store add b 127.0.0.1:7402`
@@ -68,7 +68,7 @@
 type storeRemove struct {
 	clientFlags
 	requestFlags
-	Member uint64 `arg:"" help:"Id of the member; it is never given again."`
+	Member uint64 `arg:"" help:"Id of the member. Ids are never reused."`
 }
 
 func (k *storeRemove) Run(ctx context.Context, c *console) error {
@@ -85,8 +85,8 @@
 type storeHandover struct{ clientFlags }
 
 func (k *storeHandover) Run(ctx context.Context, c *console) error {
-	return k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
-		if err := a.TransferLeadership(ctx); err != nil {
+	return k.call(ctx, c, func(ctx context.Context, client *adminapi.Client) error {
+		if err := client.TransferLeadership(ctx); err != nil {
 			return k.changeFailed(ctx, c, err, "")
 		}
 		return nil
--- a/cmd/birchmoor/storeservers.go
+++ b/cmd/birchmoor/storeservers.go
@@ -16,21 +16,22 @@
 type storeOut struct{ clientFlags }
 
 func (k *storeOut) Run(ctx context.Context, c *console) error {
-	return k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
-		all, err := a.Exclusions(ctx)
+	return k.call(ctx, c, func(ctx context.Context, client *adminapi.Client) error {
+		exclusions, err := client.Exclusions(ctx)
 		if err != nil {
 			return err
 		}
-		return k.print(c, all, func(w *tabwriter.Writer) {
+		return k.print(c, exclusions, func(w *tabwriter.Writer) {
 			fmt.Fprintln(w, "SERVER\tWHY\tBY\tAGE\tAGREED")
-			for _, o := range all {
-				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%v\n", o.Server, o.Kind, o.ReportedBy, formatAge(o.AgeMillis), o.Committed)
+			for _, exclusion := range exclusions {
+				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%v\n",
+					exclusion.Server, exclusion.Kind, exclusion.ReportedBy, formatAge(exclusion.AgeMillis), exclusion.Committed)
 			}
 		})
 	})
 }
 
-// formatAge is an age in milliseconds as text; a negative one is not known.
+// formatAge returns an age in milliseconds as text, or "-" for a negative one, which stands for an unknown age.
 func formatAge(millis int64) string {
 	if millis < 0 {
 		return "-"
@@ -40,53 +41,54 @@
 
 type storeServers struct {
 	clientFlags
-	ID string `arg:"" optional:"" help:"Of one server."`
+	ID string `arg:"" optional:"" help:"Show only this server."`
 }
 
 func (k *storeServers) Help() string {
-	return `Drains, bans, processes that began a while ago, and what sidecars' decision modules know, as this daemon and its copy of
-the store have it. AGE is since the store's latest word came here; - is before this daemon's start.
+	return `Lists drains, bans, starts of server processes, and the servers that the decision modules of sidecars know, as
+recorded at this daemon and in its copy of the store. AGE is the time since this daemon got the latest report; - means
+before its start.
 
 Example:
   birchmoor store servers s-5be2a07c`
 }
 
 func (k *storeServers) Run(ctx context.Context, c *console) error {
-	return k.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
-		all, err := a.FleetServers(ctx)
+	return k.call(ctx, c, func(ctx context.Context, client *adminapi.Client) error {
+		facts, err := client.FleetServers(ctx)
 		if err != nil {
 			return err
 		}
 		if k.ID != "" {
-			all = slices.DeleteFunc(all, func(f daemon.ServerFact) bool { return f.ID != k.ID })
-			if len(all) == 0 {
-				fmt.Fprintf(c.err, "%s: nothing is known of it here\n", k.ID)
+			facts = slices.DeleteFunc(facts, func(fact daemon.ServerFact) bool { return fact.ID != k.ID })
+			if len(facts) == 0 {
+				fmt.Fprintf(c.errOut, "%s: nothing is known of this server here\n", k.ID)
 				return errRunFailed
 			}
 		}
-		return k.print(c, all, func(w *tabwriter.Writer) {
+		return k.print(c, facts, func(w *tabwriter.Writer) {
 			fmt.Fprintln(w, "SERVER\tADDRESS\tSTART\tWHAT\tBY\tAGE\tLEFT\tAGREED")
-			for _, f := range all {
-				printServerFact(w, &f)
+			for _, fact := range facts {
+				printServerFact(w, &fact)
 			}
 		})
 	})
 }
 
-func printServerFact(w io.Writer, f *daemon.ServerFact) {
-	start, left, by := "-", "-", f.By
-	if f.StartedMs != 0 {
-		start = time.UnixMilli(f.StartedMs).UTC().Format(time.RFC3339)
+func printServerFact(w io.Writer, fact *daemon.ServerFact) {
+	start, left, by := "-", "-", fact.By
+	if fact.StartedMs != 0 {
+		start = time.UnixMilli(fact.StartedMs).UTC().Format(time.RFC3339)
 	}
-	if f.RemainingMs > 0 {
-		left = (time.Duration(f.RemainingMs) * time.Millisecond).String()
+	if fact.RemainingMs > 0 {
+		left = (time.Duration(fact.RemainingMs) * time.Millisecond).String()
 	}
-	if f.Sidecars > 1 {
-		by = fmt.Sprintf("%s and %d more", f.By, f.Sidecars-1)
+	if fact.Sidecars > 1 {
+		by = fmt.Sprintf("%s and %d more", fact.By, fact.Sidecars-1)
 	}
-	if f.Partial {
-		by += " (no replica tells of the others)"
+	if fact.Partial {
+		by += " (others unknown: no replica can be reached)"
 	}
 	fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%v\n",
-		f.ID, cmp.Or(f.Addr, "-"), start, f.Kind, by, formatAge(f.AgeMs), left, f.Committed)
+		fact.ID, cmp.Or(fact.Addr, "-"), start, fact.Kind, by, formatAge(fact.AgeMs), left, fact.Committed)
 }
--- a/cmd/birchmoor/storesim.go
+++ b/cmd/birchmoor/storesim.go
@@ -9,19 +9,19 @@
 )
 
 type storeSim struct {
-	Seeds    int    `help:"So many." default:"100"`
-	Seed     uint64 `help:"The first." default:"0"`
-	Defect   string `name:"plant" help:"Put a fault in, and count the seeds until it is found; list names them." placeholder:"NAME"`
-	Replicas int    `help:"At the start." default:"3"`
-	Ops      int    `help:"Requests of each client." default:"60"`
-	Faults   int    `help:"Faults that are caused in a run." default:"24"`
-	Gap      int    `help:"Milliseconds of virtual time between two of them." default:"300"`
-	Mixed    bool   `help:"Hosts begin with a build of level 1 of commands, and go a step up or back in turn."`
-	JSON     bool   `help:"A line of JSON for each run."`
+	Seeds    int    `help:"Number of seeds." default:"100"`
+	Seed     uint64 `help:"First seed." default:"0"`
+	Defect   string `name:"plant" help:"Inject a defect, and count the seeds until it is found; list prints the names." placeholder:"NAME"`
+	Replicas int    `help:"Number of replicas at the start." default:"3"`
+	Ops      int    `help:"Number of requests of each client." default:"60"`
+	Faults   int    `help:"Number of faults in a run." default:"24"`
+	Gap      int    `help:"Milliseconds of virtual time between two faults." default:"300"`
+	Mixed    bool   `help:"Start all hosts with a build of command level 1, and switch hosts one by one to the current build and back."`
+	JSON     bool   `help:"Print a line of JSON for each run."`
 }
 
 func (k *storeSim) Help() string {
-	return `Exit code 1 if a promise was broken; with --plant, if the fault was not found.
+	return `Exit code 1 if a guarantee of the store was violated; with --plant, if the defect was not found.
 
 Examples:
   birchmoor store sim --seeds 1000
@@ -35,14 +35,14 @@
 	}
 	options := storesim.Options{Replicas: k.Replicas, Ops: k.Ops, Faults: k.Faults, Gap: k.Gap, Mixed: k.Mixed}
 	if k.Defect == listDefects {
-		for _, f := range storesim.Faults {
-			fmt.Fprintf(c.out, "%-18s %s\n", f.Name, f.About)
+		for _, defect := range storesim.Faults {
+			fmt.Fprintf(c.out, "%-18s %s\n", defect.Name, defect.About)
 		}
 		return nil
 	}
-	for _, f := range storesim.Faults {
-		if f.Name == k.Defect {
-			options.Planted, options.Watch = f.Fault, f.Watch
+	for _, defect := range storesim.Faults {
+		if defect.Name == k.Defect {
+			options.Planted, options.Watch = defect.Fault, defect.Watch
 		}
 	}
 	if k.Defect != "" && options.Planted == 0 && options.Watch == storesim.WatchNone {
@@ -51,8 +51,8 @@
 	return k.runSeeds(ctx, c, options)
 }
 
-// runSeeds runs the seeds one after the other and prints their sum. With a defect it ends with the first seed that
-// finds it, and fails if none does.
+// runSeeds runs the seeds one after the other and prints a summary. With an injected defect it ends at the first seed
+// that finds the defect, and returns errRunFailed if none does.
 func (k *storeSim) runSeeds(ctx context.Context, c *console, options storesim.Options) error {
 	broken := 0
 	var sum storesim.Result
@@ -76,14 +76,14 @@
 			fmt.Fprintf(c.out, "seed %d: %q\n", r.Seed, r.Broken)
 		}
 		if k.Defect != "" {
-			fmt.Fprintf(c.err, "%s: found by seed %d, after %d\n", k.Defect, r.Seed, i+1)
+			fmt.Fprintf(c.errOut, "%s: found by seed %d, after %d\n", k.Defect, r.Seed, i+1)
 			return nil
 		}
 	}
-	fmt.Fprintf(c.err, "%d seeds, %d broken: %d requests, %d crashes, %d cuts, %d leaders, %d joined, %d left,"+
-		" %d snapshots installed\n",
+	fmt.Fprintf(c.errOut, "%d seeds, %d broken: %d requests, %d crashes, %d partitions, %d leaders, %d members added,"+
+		" %d removed, %d snapshots installed\n",
 		k.Seeds, broken, sum.Ops, sum.Crashes, sum.Cuts, sum.Elected, sum.Joined, sum.Left, sum.Installs)
-	fmt.Fprintf(c.err, "drains: %d changes that tell of one, %d ends; %d requests sent to servers;"+
+	fmt.Fprintf(c.errOut, "drains: %d reported, %d ended; %d requests sent to servers;"+
 		" %d changes of a host's build\n",
 		sum.Told, sum.Over, sum.Sent, sum.Steps)
 	if broken > 0 || k.Defect != "" {
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// addStoreResult adds the counts of a run to sum.
+// addStoreResult adds the printed counts of a run to sum.
 func addStoreResult(sum, r *storesim.Result) {
 	sum.Ops += r.Ops
 	sum.Crashes += r.Crashes
--- a/cmd/birchmoor/storesnapshot.go
+++ b/cmd/birchmoor/storesnapshot.go
@@ -17,8 +17,8 @@
 )
 
 type storeSnapshot struct {
-	Save    snapshotSave    `cmd:"" help:"Save the store as it is now."`
-	Restore snapshotRestore `cmd:"" help:"Begin a new cluster of one replica from a saved file."`
+	Save    snapshotSave    `cmd:"" help:"Save a snapshot of the store in a file."`
+	Restore snapshotRestore `cmd:"" help:"Start a new cluster with one replica from a saved snapshot."`
 }
 
 type snapshotSave struct {
@@ -27,15 +27,15 @@
 }
 
 func (k *snapshotSave) Run(ctx context.Context, c *console) error {
-	f, err := os.CreateTemp(filepath.Dir(k.File), ".snapshot-*")
+	file, err := os.CreateTemp(filepath.Dir(k.File), ".snapshot-*")
 	if err != nil {
 		return err
 	}
-	defer os.Remove(f.Name()) // without effect once renamed
-	revision, state, err := k.save(ctx, f)
-	err = errors.Join(err, f.Sync(), f.Close())
+	defer os.Remove(file.Name()) // fails without effect after the rename
+	revision, state, err := k.save(ctx, file)
+	err = errors.Join(err, file.Sync(), file.Close())
 	if err == nil {
-		err = os.Rename(f.Name(), k.File)
+		err = os.Rename(file.Name(), k.File)
 	}
 	if err != nil {
 		return err
@@ -44,64 +44,66 @@
 	return nil
 }
 
-// save writes the daemon's snapshot to a file and reads it back, so that a saved file is complete.
-func (k *snapshotSave) save(ctx context.Context, f *os.File) (revision string, state *store.State, err error) {
-	revision, err = adminapi.Dial(k.Socket).SaveSnapshot(ctx, f)
+// save writes the daemon's snapshot to file and loads it from there, so that an incomplete or damaged one is an error.
+func (k *snapshotSave) save(ctx context.Context, file *os.File) (revision string, state *store.State, err error) {
+	revision, err = adminapi.Dial(k.Socket).SaveSnapshot(ctx, file)
 	if err != nil {
 		return "", nil, err
 	}
-	if _, err := f.Seek(0, io.SeekStart); err != nil {
+	if _, err := file.Seek(0, io.SeekStart); err != nil {
 		return "", nil, err
 	}
-	state, err = store.Load(f)
+	state, err = store.Load(file)
 	return revision, state, err
 }
 
 type snapshotRestore struct {
-	File    string `arg:"" type:"existingfile" help:"File that was saved."`
+	File    string `arg:"" type:"existingfile" help:"Snapshot file."`
 	Dir     string `arg:"" help:"Empty folder for the store."`
 	Name    string `help:"Name of the replica." required:""`
-	Address string `help:"Where others will reach it." placeholder:"HOST:PORT"`
+	Address string `help:"Address at which other replicas will reach it." placeholder:"HOST:PORT"`
 }
 
 func (k *snapshotRestore) Run(c *console) error {
-	f, err := os.Open(k.File)
+	file, err := os.Open(k.File)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	s, err := store.Load(f)
+	defer file.Close()
+	state, err := store.Load(file)
 	if err != nil {
 		return fmt.Errorf("%s: %w", k.File, err)
 	}
-	d, err := disk.Open(k.Dir, disk.Options{})
+	storeDisk, err := disk.Open(k.Dir, disk.Options{})
 	if err != nil {
 		return err
 	}
-	defer d.Close()
-	if d.Identity().ClusterID != 0 {
-		return fmt.Errorf("%s holds a store already", k.Dir)
+	defer storeDisk.Close()
+	if storeDisk.Identity().ClusterID != 0 {
+		return fmt.Errorf("%s already contains a store", k.Dir)
 	}
-	random, err := randomUint63()
+	randomID, err := randomUint63()
 	if err != nil {
 		return err
 	}
-	s.Reinitialize(random|1, restoredRevision(s.Revision()))
-	if s.Level() >= store.Level {
-		// Lease holders of the old cluster may go on for as long as this.
-		s.Seed(lease.SuspendKey, []byte("restored"), lease.MaxTTLMillis)
+	state.Reinitialize(randomID|1, restoredRevision(state.Revision()))
+	if state.Level() >= store.Level {
+		// Lease holders of the old cluster may still act for this time, so all tasks are suspended until then.
+		state.Seed(lease.SuspendKey, []byte("restored"), lease.MaxTTLMillis)
 	}
-	s.Bootstrap(k.Name, k.Address, d.Identity().DiskID)
-	if err := replica.BootstrapFrom(d, d.Identity(), s); err != nil {
+	state.Bootstrap(k.Name, k.Address, storeDisk.Identity().DiskID)
+	if err := replica.BootstrapFrom(storeDisk, storeDisk.Identity(), state); err != nil {
 		return err
 	}
-	fmt.Fprintf(c.out, "%s: a new cluster %x at revision %d, %d keys\n", k.Dir, s.Cluster(), s.Revision(), s.Len())
+	fmt.Fprintf(c.out, "%s: a new cluster %x at revision %d, %d keys\n",
+		k.Dir, state.Cluster(), state.Revision(), state.Len())
 	return nil
 }
 
-// restoredRevision is the first revision of a cluster that is restored from a file with this revision. It is to be
-// above what the old cluster has reached since, and above what an earlier cluster from the same file has reached.
-// The clock makes that likely, not certain; what a token guards rejects lower tokens in any case.
+// restoredRevision returns the first revision of a cluster that is restored from a snapshot with the revision saved. It
+// must be above the revision that the old cluster has reached since the snapshot, and above that of any cluster that
+// was restored earlier from the same file. The clock makes that likely but not certain. A resource that checks fencing
+// tokens rejects lower tokens in any case.
 func restoredRevision(saved uint64) uint64 {
 	const revisionMargin = 1_000_000_000
 	return max(saved+revisionMargin, uint64(time.Now().Unix())<<20)
--- a/cmd/birchmoor/task.go
+++ b/cmd/birchmoor/task.go
@@ -15,40 +15,41 @@
 )
 
 type taskCommands struct {
-	List    taskList    `cmd:"" help:"List the fleet's tasks, and who holds them."`
-	Show    taskShow    `cmd:"" help:"Show one task with all who wait for it."`
-	Pause   taskPause   `cmd:"" help:"Have nobody hold a task until it is resumed."`
-	Resume  taskResume  `cmd:"" help:"Take back what pause or move said."`
-	Move    taskMove    `cmd:"" help:"Have a host hold a task whenever it asks for it."`
-	Sim     taskSim     `cmd:"" help:"Play holders of tasks in the store's simulation, many seeds."`
-	Check   taskCheck   `cmd:"" help:"Enumerate all interleavings of two holders and the store, up to a depth."`
-	Measure taskMeasure `cmd:"" help:"What leases cost the store, by the size of the fleet."`
-	Torture taskTorture `cmd:"" help:"Kill, stop and cut daemons as processes under holders of a task, and look for two who act at once."`
+	List    taskList    `cmd:"" help:"List the tasks of the fleet and their holders."`
+	Show    taskShow    `cmd:"" help:"Show one task with its holders and waiters."`
+	Pause   taskPause   `cmd:"" help:"Pause a task: no host holds it until it is resumed."`
+	Resume  taskResume  `cmd:"" help:"Remove the override of pause or move."`
+	Move    taskMove    `cmd:"" help:"Give a task to a host whenever that host claims it."`
+	Sim     taskSim     `cmd:"" help:"Simulate holders of tasks on a simulated store with many seeds."`
+	Check   taskCheck   `cmd:"" help:"Check all interleavings of two holders and the store, up to a depth."`
+	Measure taskMeasure `cmd:"" help:"Measure what leases cost the store, by the size of the fleet."`
+	Torture taskTorture `cmd:"" help:"Kill, stop and partition daemon processes under holders of a task, and check that no two holders act at once."`
 }
 
 type taskList struct{ clientFlags }
 
-// showTasks shows the task with this name, or all tasks if it is empty.
+// showTasks calls show with the task of this name, or with all tasks if name is empty.
 func (s *clientFlags) showTasks(
 	ctx context.Context, c *console, name string, show func([]leasetask.TaskStatus) error,
 ) error {
-	return s.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
-		all, err := a.Tasks(ctx, name)
+	return s.call(ctx, c, func(ctx context.Context, client *adminapi.Client) error {
+		tasks, err := client.Tasks(ctx, name)
 		if isNotFound(err) {
-			fmt.Fprintln(c.err, err)
+			fmt.Fprintln(c.errOut, err)
 			return errRunFailed
 		}
 		if err != nil {
 			return err
 		}
-		return show(all)
+		return show(tasks)
 	})
 }
 
-// taskHolder says who holds a task and by which token; "-" stands for none, or for the tokens of several.
-func taskHolder(t leasetask.TaskStatus) (host, token string) {
+// taskHolder returns the host that holds a task and its token as text. Without a holder both are "-"; with several
+// holders, host names one of them and token is "-".
+func taskHolder(task leasetask.TaskStatus) (host, token string) {
 	var holders []leasetask.QueueEntry
-	for _, entry := range t.Queue {
+	for _, entry := range task.Queue {
 		if entry.Holds {
 			holders = append(holders, entry)
 		}
@@ -62,29 +63,29 @@
 	return fmt.Sprintf("%s and %d more", holders[0].Host, len(holders)-1), "-"
 }
 
-// lastReport says what the last holder reported, and when.
-func lastReport(t leasetask.TaskStatus) string {
+// lastReport returns what the last holder reported, and how long ago, or "-" if there is no report.
+func lastReport(task leasetask.TaskStatus) string {
 	switch {
-	case t.LastReport == nil:
+	case task.LastReport == nil:
 		return "-"
-	case t.LastReport.Error != "":
-		return fmt.Sprintf("failed %s ago: %s", formatAge(t.LastReportAgeMillis), t.LastReport.Error)
+	case task.LastReport.Error != "":
+		return fmt.Sprintf("failed %s ago: %s", formatAge(task.LastReportAgeMillis), task.LastReport.Error)
 	}
-	return fmt.Sprintf("%d done, told %s ago", t.LastReport.Completed, formatAge(t.LastReportAgeMillis))
+	return fmt.Sprintf("%d done, reported %s ago", task.LastReport.Completed, formatAge(task.LastReportAgeMillis))
 }
 
 func (k *taskList) Run(ctx context.Context, c *console) error {
-	return k.showTasks(ctx, c, "", func(all []leasetask.TaskStatus) error {
-		return k.print(c, all, func(w *tabwriter.Writer) {
+	return k.showTasks(ctx, c, "", func(tasks []leasetask.TaskStatus) error {
+		return k.print(c, tasks, func(w *tabwriter.Writer) {
 			fmt.Fprintln(w, "TASK\tHOLDER\tTOKEN\tSLOTS\tPLACES\tLAST\tNOTE")
-			for _, t := range all {
-				host, token := taskHolder(t)
-				note := t.NoHolderReason
-				if note == "" && t.Override.PreferredHost != "" {
-					note = "given to " + t.Override.PreferredHost
+			for _, task := range tasks {
+				host, token := taskHolder(task)
+				note := task.NoHolderReason
+				if note == "" && task.Override.PreferredHost != "" {
+					note = "given to " + task.Override.PreferredHost
 				}
 				fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s\t%s\n",
-					t.Task, host, token, max(1, t.Slots), len(t.Queue), lastReport(t), note)
+					task.Task, host, token, max(1, task.Slots), len(task.Queue), lastReport(task), note)
 			}
 		})
 	})
@@ -92,36 +93,36 @@
 
 type taskShow struct {
 	clientFlags
-	Task string `arg:"" help:"Its name."`
+	Task string `arg:"" help:"Name of the task."`
 }
 
 func (k *taskShow) Run(ctx context.Context, c *console) error {
-	return k.showTasks(ctx, c, k.Task, func(all []leasetask.TaskStatus) error {
-		return k.print(c, all[0], func(w *tabwriter.Writer) { printTask(w, all[0]) })
+	return k.showTasks(ctx, c, k.Task, func(tasks []leasetask.TaskStatus) error {
+		return k.print(c, tasks[0], func(w *tabwriter.Writer) { printTask(w, tasks[0]) })
 	})
 }
 
-// printTask prints a task and its queue.
-func printTask(w io.Writer, t leasetask.TaskStatus) {
-	host, token := taskHolder(t)
+// printTask prints a task and its queue entries.
+func printTask(w io.Writer, task leasetask.TaskStatus) {
+	host, token := taskHolder(task)
 	printRows(w, []row{
-		{"task", t.Task},
+		{"task", task.Task},
 		{"holder", host},
 		{"token", token},
-		{"slots", max(1, t.Slots)},
-		{"last", lastReport(t)},
+		{"slots", max(1, task.Slots)},
+		{"last", lastReport(task)},
 	})
-	if t.NoHolderReason != "" {
-		fmt.Fprintf(w, "why none\t%s\n", t.NoHolderReason)
+	if task.NoHolderReason != "" {
+		fmt.Fprintf(w, "why none\t%s\n", task.NoHolderReason)
 	}
-	if t.Override.PreferredHost != "" {
-		fmt.Fprintf(w, "given to\t%s, by %s\n", t.Override.PreferredHost, t.Override.Operator)
+	if task.Override.PreferredHost != "" {
+		fmt.Fprintf(w, "given to\t%s, by %s\n", task.Override.PreferredHost, task.Override.Operator)
 	}
-	if t.LocalState != "" {
-		fmt.Fprintf(w, "this daemon\t%s\n", t.LocalState)
+	if task.LocalState != "" {
+		fmt.Fprintf(w, "this daemon\t%s\n", task.LocalState)
 	}
 	fmt.Fprintln(w, "\nHOST\tTOKEN\tSTATE\tSINCE\tENTITLED FOR\tTTL\tNOTE")
-	for _, entry := range t.Queue {
+	for _, entry := range task.Queue {
 		state, left := "waits", "-"
 		if entry.Holds {
 			state = "holds"
@@ -135,16 +136,16 @@
 	}
 }
 
-// overrideTask sets what an operator wants of a task in place of what it was.
-func (s *clientFlags) overrideTask(ctx context.Context, c *console, task string, o lease.TaskOverride) error {
-	o.Operator = operatorName("")
-	return s.call(ctx, c, func(ctx context.Context, a *adminapi.Client) error {
-		err := a.OverrideTask(ctx, adminapi.OverrideRequest{Task: task, TaskOverride: o})
+// overrideTask replaces the override of a task.
+func (s *clientFlags) overrideTask(ctx context.Context, c *console, task string, override lease.TaskOverride) error {
+	override.Operator = operatorName("")
+	return s.call(ctx, c, func(ctx context.Context, client *adminapi.Client) error {
+		err := client.OverrideTask(ctx, adminapi.OverrideRequest{Task: task, TaskOverride: override})
 		if err != nil {
 			return s.changeFailed(ctx, c, err, "")
 		}
 		if s.JSON {
-			return json.NewEncoder(c.out).Encode(o)
+			return json.NewEncoder(c.out).Encode(override)
 		}
 		return nil
 	})
@@ -152,13 +153,13 @@
 
 type taskPause struct {
 	clientFlags
-	Task string `arg:"" help:"Its name."`
-	Note string `help:"Why, for others." placeholder:"TEXT"`
+	Task string `arg:"" help:"Name of the task."`
+	Note string `help:"Reason, shown to other operators." placeholder:"TEXT"`
 }
 
 func (k *taskPause) Help() string {
-	return `Its holder is asked to release it, and ends what it does; one that hears nothing loses it with its session. The task stays
-paused until it is resumed; "task list" shows it, and by whom.`
+	return `The holder is asked to end its work and release the task. A holder that cannot be reached loses the task when
+its session ends. The task stays paused until "task resume"; "task list" shows that it is paused, and by whom.`
 }
 
 func (k *taskPause) Run(ctx context.Context, c *console) error {
@@ -167,7 +168,7 @@
 
 type taskResume struct {
 	clientFlags
-	Task string `arg:"" help:"Its name."`
+	Task string `arg:"" help:"Name of the task."`
 }
 
 func (k *taskResume) Run(ctx context.Context, c *console) error {
@@ -176,14 +177,14 @@
 
 type taskMove struct {
 	clientFlags
-	Task string `arg:"" help:"Its name."`
-	Host string `arg:"" help:"Daemon that is to hold it."`
-	Note string `help:"Why, for others." placeholder:"TEXT"`
+	Task string `arg:"" help:"Name of the task."`
+	Host string `arg:"" help:"Name of the daemon that gets the task."`
+	Note string `help:"Reason, shown to other operators." placeholder:"TEXT"`
 }
 
 func (k *taskMove) Help() string {
-	return `The holder, and those who wait before the host, go behind it, once it has asked for the task; until then nothing changes. This
-holds until "task resume": the host has the task whenever it wants it.`
+	return `Once the host claims the task, it goes ahead of the holder and of all waiters. Until then nothing changes. The
+override stays in effect until "task resume": the host gets the task whenever it claims it.`
 }
 
 func (k *taskMove) Run(ctx context.Context, c *console) error {
--- a/cmd/birchmoor/task_test.go
+++ b/cmd/birchmoor/task_test.go
@@ -12,14 +12,15 @@
 	"birchmoor/internal/testutil/processtest"
 )
 
-// runTaskTorture runs locks at daemons as processes of this binary under so many kinds of faults in turn.
+// runTaskTorture runs task torture with processes of this binary, and with the first faults kinds of faults, once each.
+// change, unless it is nil, changes the options before the run.
 func runTaskTorture(t *testing.T, faults int, change func(*tasklab.Torture)) *tasklab.Tortured {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := &tasklab.Torture{
+	torture := &tasklab.Torture{
 		Program:  self,
 		Env:      []string{asProgramEnv + "=1"},
 		Dir:      t.TempDir(),
@@ -33,38 +34,38 @@
 		Say:      func(s string) { t.Log(s) },
 	}
 	if change != nil {
-		change(x)
+		change(torture)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Minute)
 	defer cancel()
-	r, err := x.Run(ctx)
+	r, err := torture.Run(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-// Three replicas and a follower with a lock each get every kind of fault once. The stand-in that checks tokens sees
-// them in order; the one that checks nothing sees two act at once only where what acted was itself stopped; and
-// after each fault one acts.
+// Three replicas and a follower with one lock each get every kind of fault once. The test resource that checks tokens
+// admits them in rising order. The one that does not check them sees two holders act at once only if an actor was
+// itself stopped. After each fault a holder acts again.
 func TestTaskHoldersNeverOverlapUnderFaults(t *testing.T) {
 	t.Parallel()
-	r := runTaskTorture(t, len(tasklab.Faults), nil)
-	if len(r.Broken) > 0 {
-		t.Errorf("%q", r.Broken)
+	result := runTaskTorture(t, len(tasklab.Faults), nil)
+	if len(result.Broken) > 0 {
+		t.Errorf("broken rules: %q", result.Broken)
 	}
-	if r.Acts == 0 || r.Holders < 4 {
-		t.Errorf("%d acts of %d holders", r.Acts, r.Holders)
+	if result.Acts == 0 || result.Holders < 4 {
+		t.Errorf("%d actions of %d holders", result.Acts, result.Holders)
 	}
-	if r.History < 100 {
-		t.Errorf("the history of the store has %d operations", r.History)
+	if result.History < 100 {
+		t.Errorf("the history of the store has %d operations", result.History)
 	}
-	t.Logf("%d acts of %d holders, %d late of stopped actors, %d operations of the store",
-		r.Acts, r.Holders, r.Late, r.History)
+	t.Logf("%d actions of %d holders, %d late by stopped actors, %d operations of the store",
+		result.Acts, result.Holders, result.Late, result.History)
 }
 
-// A lock gives its command the token, ends it with all that it started, and exits with different codes by what
-// happened.
+// lock passes the token to its command and runs it only while the lock is held. It ends the command with all processes
+// that it started, and its exit code depends on the outcome.
 func TestLockRunsCommandOnlyWhileHeld(t *testing.T) {
 	dir := t.TempDir()
 	a := newTestDaemon(t, dir, "a", false)
@@ -76,9 +77,10 @@
 	}
 	code := lock("job", "--", "sh", "-c", `echo "$BIRCHMOOR_TASK $BIRCHMOOR_TOKEN"; exit 7`).ExitCode()
 	if code != 7 || !strings.Contains(log.String(), "job ") {
-		t.Fatalf("exit code %d:\n%s", code, log.String())
+		t.Fatalf("lock that runs a command with exit code 7: exit code %d:\n%s", code, log.String())
 	}
-	// The second is not acquired while the first runs, and is once that is killed, with all that it started.
+	// The second lock is not acquired while the first one runs. It is once the first one is killed, which ends the
+	// processes of its command.
 	one, two := filepath.Join(dir, "one"), filepath.Join(dir, "two")
 	work := "(trap '' TERM; while :; do echo x >> " + one + "; sleep 0.01; done) & wait"
 	holder := lock("job", "--ttl", "1s", "--", "sh", "-c", work)
@@ -86,25 +88,26 @@
 		_, err := os.Stat(one)
 		return err == nil
 	}
-	processtest.Until(t, "the first one's work", begun, log.String)
+	processtest.Until(t, "output of the first command", begun, log.String)
 	code = lock("job", "--ttl", "1s", "--wait", "300ms", "--", "touch", two).ExitCode()
 	if code != exitLockNotAcquired {
-		t.Errorf("exit code %d for a lock that is held", code)
+		t.Errorf("lock that another process holds: exit code %d", code)
 	}
 	if code, out, errs := birchmoor("task", "show", "job", "--socket", a.socket); code != 0 ||
 		!strings.Contains(out, "holds") {
-		t.Errorf("exit code %d: %s%s", code, out, errs)
+		t.Errorf("task show of a held lock: exit code %d: %s%s", code, out, errs)
 	}
 	holder.Kill()
 	if code := lock("job", "--ttl", "20s", "--", "cp", one, two).ExitCode(); code != 0 {
-		t.Fatalf("exit code %d after the first was killed:\n%s", code, log.String())
+		t.Fatalf("lock after its holder was killed: exit code %d\n%s", code, log.String())
 	}
 	after, err := os.Stat(one)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if copied, err := os.Stat(two); err != nil || copied.Size() != after.Size() {
-		t.Errorf("what the killed lock ran goes on: its output has %d bytes, and the copy %v, %v", after.Size(), copied, err)
+		t.Errorf("the command of the killed lock still runs: its output has %d bytes, the copy is %v, %v",
+			after.Size(), copied, err)
 	}
 	checkPause(t, a, lock("job", "--ttl", "1s", "--", "sleep", "1000"), &log)
 	for _, args := range [][]string{
@@ -114,29 +117,30 @@
 		{"job", "--", "no-such-command"},
 	} {
 		if code := lock(append([]string{"--wait", "20s"}, args...)...).ExitCode(); code == 0 {
-			t.Errorf("%v: exit code 0", args)
+			t.Errorf("lock with invalid arguments %v: exit code 0", args)
 		}
 	}
 }
 
-// checkPause pauses the task job once holder has it: a paused task has no holder, so that the process is ended.
+// checkPause pauses the task job once the lock process holder holds it. A paused task has no holder, so the process
+// must exit.
 func checkPause(t *testing.T, a *testDaemon, holder *processtest.Process, log *processtest.Log) {
 	t.Helper()
 	held := func() bool {
 		_, out, _ := birchmoor("task", "show", "job", "--socket", a.socket)
 		return strings.Contains(out, "holds")
 	}
-	processtest.Until(t, "the next holder", held, log.String)
+	processtest.Until(t, "the next holder of the lock", held, log.String)
 	if code, _, errs := birchmoor("task", "pause", "job", "--socket", a.socket); code != 0 {
 		t.Fatal(errs)
 	}
 	if code := holder.ExitCode(); code != exitLockLost {
-		t.Errorf("exit code %d of one whose task was paused", code)
+		t.Errorf("lock whose task was paused: exit code %d", code)
 	}
 	if _, out, _ := birchmoor("task", "list", "--socket", a.socket); !strings.Contains(out, "it is paused") {
 		t.Error(out)
 	}
 	if code, _, _ := birchmoor("task", "resume", "job", "--socket", a.socket); code != 0 {
-		t.Error("not resumed")
+		t.Error("task resume fails")
 	}
 }
--- a/cmd/birchmoor/taskmeasure.go
+++ b/cmd/birchmoor/taskmeasure.go
@@ -16,24 +16,25 @@
 )
 
 type taskMeasure struct {
-	Dir      string        `help:"Folder for what it writes." default:"." type:"existingdir"`
-	Daemons  []int         `help:"Fleets of so many, three of them with a replica." default:"3,20,80"`
-	Tasks    int           `help:"Held at one daemon." default:"20"`
-	Duration time.Duration `name:"for" help:"Each figure." default:"20s"`
-	JSON     bool          `help:"As JSON."`
+	Dir      string        `help:"Folder for the files of the run." default:"." type:"existingdir"`
+	Daemons  []int         `help:"Fleet sizes. Three daemons of each fleet have a replica." default:"3,20,80"`
+	Tasks    int           `help:"Number of further tasks held at one daemon." default:"20"`
+	Duration time.Duration `name:"for" help:"Duration of each measurement." default:"20s"`
+	JSON     bool          `help:"Print JSON."`
 }
 
 func (k *taskMeasure) Help() string {
-	return `What leases cost the store: entries of the log a second of fleets in which every daemon keeps its session and has a place
-in both of its own tasks, without and with tasks held at one daemon. Daemons are processes without sidecars.`
+	return `Measures what leases cost the store: the log entries per second of fleets in which every daemon renews its
+session and has a queue entry in both tasks of the fleet, without and with further tasks held at one daemon. Daemons are
+processes without sidecars.`
 }
 
-// taskCost is what leases cost the store of a fleet.
+// taskCost is what leases cost the store in a fleet of one size.
 type taskCost struct {
 	Daemons int     `json:"daemons"`
-	Tasks   int     `json:"tasks"` // held at one daemon, besides the sweeping
+	Tasks   int     `json:"tasks"` // further tasks held at one daemon
 	Entries float64 `json:"entries_a_second"`
-	Formula float64 `json:"by_the_formula"` // 3 a TTL for each session
+	Formula float64 `json:"by_the_formula"` // expected rate: renewalsPerTTL per TTL for each session
 }
 
 func (k *taskMeasure) Run(ctx context.Context, c *console) error {
@@ -44,7 +45,7 @@
 	var all []taskCost
 	for _, n := range k.Daemons {
 		if n < 3 {
-			return fmt.Errorf("--daemons %d: a fleet has three replicas", n)
+			return fmt.Errorf("--daemons %d: a fleet has at least three daemons, the replicas", n)
 		}
 		costs, err := k.measureFleet(ctx, self, n)
 		if err != nil {
@@ -57,23 +58,24 @@
 	}
 	w := tabwriter.NewWriter(c.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "DAEMONS\tTASKS AT ONE\tENTRIES A SECOND\tFORMULA")
-	for _, x := range all {
-		fmt.Fprintf(w, "%d\t%d\t%.1f\t%.1f\n", x.Daemons, x.Tasks, x.Entries, x.Formula)
+	for _, cost := range all {
+		fmt.Fprintf(w, "%d\t%d\t%.1f\t%.1f\n", cost.Daemons, cost.Tasks, cost.Entries, cost.Formula)
 	}
 	return w.Flush()
 }
 
 const (
-	daemonTTL      = 5 * time.Second // the daemons' default
-	daemonTasks    = 2               // in which each daemon has a queue entry
+	daemonTTL      = 5 * time.Second // the default of daemons
+	daemonTasks    = 2               // tasks in which each daemon has a queue entry
 	renewalsPerTTL = 3
 	settleTimeout  = time.Minute
 	pollInterval   = 20 * time.Millisecond
 )
 
-// measureFleet measures a fleet of n daemons without tasks of others and with them.
+// measureFleet measures a fleet of n daemons, first with the tasks of the daemons alone and then with --tasks further
+// ones.
 func (k *taskMeasure) measureFleet(ctx context.Context, self string, n int) ([]taskCost, error) {
-	f, err := fleetlab.Begin(ctx, fleetlab.Config{
+	fleet, err := fleetlab.Begin(ctx, fleetlab.Config{
 		Program:  self,
 		Args:     []string{"run", "--config"},
 		Dir:      k.Dir,
@@ -85,9 +87,9 @@
 	if err != nil {
 		return nil, err
 	}
-	defer f.End()
-	client := f.Daemons[0].Client
-	err = waitForTasks(ctx, client, "every daemon's place", func(list []leasetask.TaskStatus) bool {
+	defer fleet.End()
+	client := fleet.Daemons[0].Client
+	err = waitForTasks(ctx, client, "a queue entry of every daemon", func(list []leasetask.TaskStatus) bool {
 		return len(list) == daemonTasks && len(list[0].Queue) == n && len(list[1].Queue) == n
 	})
 	if err != nil {
@@ -99,7 +101,7 @@
 		return nil, err
 	}
 
-	hold, release := context.WithCancel(ctx)
+	holdCtx, release := context.WithCancel(ctx)
 	var holders sync.WaitGroup
 	defer holders.Wait()
 	defer release()
@@ -107,10 +109,10 @@
 		holders.Go(func() {
 			claim := leasetask.Claim{Task: fmt.Sprintf("task%d", i), TTL: daemonTTL}
 			ignoreStatus := func(adminapi.LockStatus) error { return nil }
-			_ = f.Daemons[n-1].Client.Lock(hold, claim, ignoreStatus) // ends with hold
+			_ = fleet.Daemons[n-1].Client.Lock(holdCtx, claim, ignoreStatus) // ends with hold
 		})
 	}
-	err = waitForTasks(ctx, client, "all tasks' holders", func(list []leasetask.TaskStatus) bool {
+	err = waitForTasks(ctx, client, "a holder of every task", func(list []leasetask.TaskStatus) bool {
 		return len(list) == daemonTasks+k.Tasks
 	})
 	if err != nil {
@@ -123,7 +125,8 @@
 	return []taskCost{{n, 0, idleRate, formula}, {n, k.Tasks, rate, formula}}, nil
 }
 
-// waitForTasks waits until done holds for the fleet's tasks; what names that in the error.
+// waitForTasks polls the tasks of the fleet until done returns true for them. what describes that in the error of a
+// timeout.
 func waitForTasks(
 	ctx context.Context, client *adminapi.Client, what string, done func([]leasetask.TaskStatus) bool,
 ) error {
@@ -135,13 +138,13 @@
 			return nil
 		}
 		if ctx.Err() != nil {
-			return errors.Join(fmt.Errorf("%s does not come", what), err, ctx.Err())
+			return errors.Join(fmt.Errorf("timed out waiting for %s", what), err, ctx.Err())
 		}
 		time.Sleep(pollInterval)
 	}
 }
 
-// entryRate is the number of log entries a second while nothing is changed.
+// entryRate measures the log entries per second over --for, while nothing else changes.
 func (k *taskMeasure) entryRate(ctx context.Context, client *adminapi.Client) (float64, error) {
 	before, err := client.Status(ctx)
 	if err != nil {
--- a/cmd/birchmoor/tasksim.go
+++ b/cmd/birchmoor/tasksim.go
@@ -10,22 +10,23 @@
 )
 
 type taskSim struct {
-	Seeds    int    `help:"So many." default:"100"`
-	Seed     uint64 `help:"The first." default:"0"`
-	Defect   string `name:"plant" help:"Put a fault in, and count the seeds until it is found; list names them, all tries each." placeholder:"NAME"`
-	Replicas int    `help:"At the start." default:"3"`
-	Holders  int    `help:"Daemons that want tasks." default:"5"`
-	Faults   int    `help:"Faults of the store's that are caused in a run, beside those of holders." default:"24"`
-	Gap      int    `help:"Milliseconds of virtual time between two of them." default:"300"`
-	TTL      int    `help:"Milliseconds of holders' sessions." default:"400"`
-	Calm     bool   `help:"No faults: for two gaps, in the second of which the entries and bytes of the log are counted."`
-	JSON     bool   `help:"A line of JSON for each run."`
+	Seeds    int    `help:"Number of seeds." default:"100"`
+	Seed     uint64 `help:"First seed." default:"0"`
+	Defect   string `name:"plant" help:"Inject a defect, and count the seeds until it is found; list prints the names, all tries each." placeholder:"NAME"`
+	Replicas int    `help:"Number of replicas at the start." default:"3"`
+	Holders  int    `help:"Number of daemons that claim tasks." default:"5"`
+	Faults   int    `help:"Number of faults of the store in a run, in addition to those of the holders." default:"24"`
+	Gap      int    `help:"Milliseconds of virtual time between two faults." default:"300"`
+	TTL      int    `help:"TTL of the holders' sessions in milliseconds." default:"400"`
+	Calm     bool   `help:"Inject no faults. The run lasts two gaps, and log entries and bytes are counted in the second."`
+	JSON     bool   `help:"Print a line of JSON for each run."`
 }
 
 func (k *taskSim) Help() string {
-	return `Daemons hold tasks of a cluster in virtual time, each by a clock of its own rate, stopped at any step, killed, with answers that are late
-or lost, while replicas crash, lose disks and links, and change. Judged in true time: nobody is entitled beside another, and nothing
-takes effect after a higher token. Exit code 1 if a promise was broken; with --plant, if the fault was not found.
+	return `Simulates daemons that hold tasks of a cluster in virtual time. Each daemon has a clock with its own rate, is
+stopped at any step and killed, and gets replies late or not at all, while replicas crash, lose disks and links, and are
+replaced. Checks in true time that no two daemons are entitled to a task at once, and that no action takes effect after
+one with a higher token. Exit code 1 if one of these rules was broken; with --plant, if the defect was not found.
 
 Examples:
   birchmoor task sim --seeds 2000
@@ -52,28 +53,29 @@
 	case "":
 		return k.runSeeds(ctx, c, options, "")
 	case listDefects:
-		for _, f := range storesim.HolderFaults {
-			fmt.Fprintf(c.out, "%-22s %s\n", f.Name, f.About)
+		for _, defect := range storesim.HolderFaults {
+			fmt.Fprintf(c.out, "%-22s %s\n", defect.Name, defect.About)
 		}
 		return nil
 	}
 	return k.findDefects(ctx, c, options)
 }
 
-// findDefects injects the defects that --plant names, one after the other, and fails if one is not found.
+// findDefects injects the defects that --plant names one after the other, and returns errRunFailed if one of them is
+// not found.
 func (k *taskSim) findDefects(ctx context.Context, c *console, options storesim.Options) error {
 	missed := false
-	for _, f := range storesim.HolderFaults {
-		if f.Name != k.Defect && k.Defect != allDefects {
+	for _, defect := range storesim.HolderFaults {
+		if defect.Name != k.Defect && k.Defect != allDefects {
 			continue
 		}
-		options.Holder, options.Planted = f.Plant, f.Replica
-		err := k.runSeeds(ctx, c, options, f.Name)
+		options.Holder, options.Planted = defect.Plant, defect.Replica
+		err := k.runSeeds(ctx, c, options, defect.Name)
 		if err != nil && !errors.Is(err, errRunFailed) {
 			return err
 		}
 		if k.Defect != allDefects {
-			return err // whether it was found has been printed
+			return err // runSeeds has printed whether it was found
 		}
 		missed = missed || err != nil
 	}
@@ -86,7 +88,8 @@
 	return nil
 }
 
-// runSeeds runs the seeds and takes their results in order. With a defect it ends with the first seed that finds it.
+// runSeeds runs the seeds and prints their results in order. If defect names an injected defect, it ends at the first
+// seed that finds it, and returns errRunFailed if none does.
 func (k *taskSim) runSeeds(ctx context.Context, c *console, options storesim.Options, defect string) error {
 	enc, broken, n := json.NewEncoder(c.out), 0, 0
 	var sum storesim.Result
@@ -107,7 +110,7 @@
 			fmt.Fprintf(c.out, "%s: found by seed %d, after %d: %s\n", defect, r.Seed, n, r.Broken[0])
 			return nil
 		}
-		fmt.Fprintf(c.err, "seed %d: %q\n", r.Seed, r.Broken)
+		fmt.Fprintf(c.errOut, "seed %d: %q\n", r.Seed, r.Broken)
 	}
 	if ctx.Err() != nil {
 		return ctx.Err()
@@ -123,7 +126,7 @@
 	return nil
 }
 
-// addTaskResult adds the counts and rates of a run to sum.
+// addTaskResult adds the printed counts and rates of a run to sum.
 func addTaskResult(sum, r *storesim.Result) {
 	sum.Acts += r.Acts
 	sum.Late += r.Late
@@ -135,13 +138,14 @@
 	sum.BytesPerS += r.BytesPerS
 }
 
-// printSum prints what n seeds came to.
+// printSum prints a summary of n seeds.
 func (k *taskSim) printSum(c *console, sum *storesim.Result, n, broken int) {
-	fmt.Fprintf(c.err, "%d seeds, %d broken: %d acts, %d late by processes that had been stopped;"+
-		" %d crashes of replicas, %d leaders, %d entries in %.0f s of virtual time\n",
+	fmt.Fprintf(c.errOut, "%d seeds, %d broken: %d actions, %d late ones by processes that had been stopped;"+
+		" %d crashes of replicas, %d leaders, %d log entries in %.0f s of virtual time\n",
 		n, broken, sum.Acts, sum.Late, sum.Crashes, sum.Elected, sum.Entries, float64(sum.Micros)/1e6)
 	if k.Calm && n > 0 {
-		fmt.Fprintf(c.err, "the log took %.1f entries and %.0f bytes a second; by the formula holders take %.1f entries\n",
+		fmt.Fprintf(c.errOut,
+			"the log grew by %.1f entries and %.0f bytes per second; by the formula holders need %.1f entries per second\n",
 			sum.EntriesPerS/float64(n), sum.BytesPerS/float64(n), 3000*float64(k.Holders)/float64(k.TTL))
 	}
 }
--- a/cmd/birchmoor/tasktorture.go
+++ b/cmd/birchmoor/tasktorture.go
@@ -11,27 +11,28 @@
 )
 
 type taskTorture struct {
-	Dir           string        `help:"Folder for what it writes." default:"." type:"existingdir"`
-	Duration      time.Duration `name:"for" help:"Long." default:"1m"`
-	FaultInterval time.Duration `name:"every" help:"A blow." default:"1s"`
-	Replicas      int           `help:"Daemons with a replica." default:"3"`
-	Followers     int           `name:"follow" help:"Daemons without one." default:"2"`
-	Holders       int           `help:"Locks at each daemon." default:"2"`
-	TTL           time.Duration `help:"Of the locks." default:"2s"`
-	Seed          uint64        `help:"Of what is done to whom." default:"1"`
-	OnlyFault     string        `name:"only" help:"Blows of this kind alone, each once all is calm, to measure the time until the next holder acts: holder-killed, holder-stopped, moved and others." placeholder:"KIND"`
-	Schedule      string        `name:"play" help:"Play this schedule in place of one drawn from the seed." type:"existingfile" placeholder:"FILE"`
-	KeepDir       string        `name:"keep" help:"When a promise broke, leave schedule, history and logs in a folder here." type:"existingdir" placeholder:"DIR"`
-	Shrink        bool          `help:"When a promise broke, leave blows out for as long as one still breaks, and print the rest as a schedule."`
-	OldProgram    string        `name:"old" help:"An older build of this program, for daemons to be started with now and then." type:"existingfile" placeholder:"FILE"`
-	Defect        string        `name:"plant" help:"A fault of the program, which must be built with -tags planted: order-ignored, deadline-ignored, kept-late, released-first, rate-ignored, read-stale." placeholder:"NAME"`
-	JSON          bool          `help:"As JSON."`
+	Dir           string        `help:"Folder for the files of the run." default:"." type:"existingdir"`
+	Duration      time.Duration `name:"for" help:"Duration of the run." default:"1m"`
+	FaultInterval time.Duration `name:"every" help:"Time between two faults." default:"1s"`
+	Replicas      int           `help:"Number of daemons with a replica." default:"3"`
+	Followers     int           `name:"follow" help:"Number of daemons without a replica." default:"2"`
+	Holders       int           `help:"Number of locks at each daemon." default:"2"`
+	TTL           time.Duration `help:"TTL of the locks." default:"2s"`
+	Seed          uint64        `help:"Seed of the schedule of faults." default:"1"`
+	OnlyFault     string        `name:"only" help:"Inject only faults of this kind, each after the effects of the one before have ended, to measure the time until the next holder acts: holder-killed, holder-stopped, moved and others." placeholder:"KIND"`
+	Schedule      string        `name:"play" help:"File with a schedule to run, in place of one generated from the seed." type:"existingfile" placeholder:"FILE"`
+	KeepDir       string        `name:"keep" help:"Folder in which the schedule, history and logs of a run that broke a rule are kept." type:"existingdir" placeholder:"DIR"`
+	Shrink        bool          `help:"If a rule was broken, leave out faults for as long as a rule still breaks, and print the remaining schedule."`
+	OldProgram    string        `name:"old" help:"An older build of this program, with which some daemons are started." type:"existingfile" placeholder:"FILE"`
+	Defect        string        `name:"plant" help:"Defect to inject; the program must be built with -tags planted: order-ignored, deadline-ignored, kept-late, released-first, rate-ignored, read-stale." placeholder:"NAME"`
+	JSON          bool          `help:"Print JSON."`
 }
 
 func (k *taskTorture) Help() string {
-	return `Locks run actors that act upon a stand-in, which judges: no action takes effect after one with a higher token where tokens are
-checked, and none anywhere but of actors that were themselves stopped; and what is read and written at all daemons is what one
-copy could have given. Built with -tags planted, clocks of hosts run 10% apart, and disks fail their syncs as well. Exit code 1 if a promise broke.
+	return `Runs locks whose commands, the actors, act on two test resources. On the one that checks tokens, no action may
+take effect after one with a higher token. On the other one, only an actor that was itself stopped may act so late.
+Reads and writes of the store at all daemons must be linearizable. In a build with -tags planted the clocks of hosts
+also differ by 10% in rate, and syncs of disks fail. Exit code 1 if a rule was broken.
 
 Example:
   birchmoor task torture --for 10m --seed 7 --json`
@@ -45,7 +46,7 @@
 	if k.Defect != "" && !isDefectBuild {
 		return errNoDefectBuild
 	}
-	t := tasklab.Torture{
+	torture := tasklab.Torture{
 		Program:  self,
 		Dir:      k.Dir,
 		Replicas: k.Replicas,
@@ -60,56 +61,58 @@
 		Inside:   isDefectBuild,
 		Keep:     k.KeepDir,
 		Old:      k.OldProgram,
-		Say:      func(s string) { fmt.Fprintln(c.err, s) },
+		Say:      func(s string) { fmt.Fprintln(c.errOut, s) },
 	}
 	if k.Schedule != "" {
-		if err := readJSON(k.Schedule, &t.Play); err != nil {
+		if err := readJSON(k.Schedule, &torture.Play); err != nil {
 			return err
 		}
 	}
-	r, err := t.Run(ctx)
-	if r != nil && r.Kept != "" {
-		fmt.Fprintln(c.err, "kept in", r.Kept)
+	result, err := torture.Run(ctx)
+	if result != nil && result.Kept != "" {
+		fmt.Fprintln(c.errOut, "kept in", result.Kept)
 	}
-	if k.Shrink && err == nil && len(r.Broken) > 0 {
+	if k.Shrink && err == nil && len(result.Broken) > 0 {
 		e := json.NewEncoder(c.out)
 		e.SetIndent("", " ")
-		if err := e.Encode(t.Shrink(ctx, r.Schedule, shrinkAttempts)); err != nil {
+		if err := e.Encode(torture.Shrink(ctx, result.Schedule, shrinkAttempts)); err != nil {
 			return err
 		}
 		return errRunFailed
 	}
-	if r != nil { // what there is of it, also after an error
-		if err := k.print(c, r); err != nil {
+	if result != nil { // also after an error, as far as the run came
+		if err := k.print(c, result); err != nil {
 			return err
 		}
 	}
-	if err == nil && len(r.Broken) > 0 {
+	if err == nil && len(result.Broken) > 0 {
 		return errRunFailed
 	}
 	return err
 }
 
-// shrinkAttempts is how often a schedule is run to see whether it still breaks a promise.
+// shrinkAttempts is the number of runs of a shortened schedule, to see whether it still breaks a rule.
 const shrinkAttempts = 2
 
-// print prints the result as JSON or for people.
-func (k *taskTorture) print(c *console, r *tasklab.Tortured) error {
+// print prints the result as JSON or as text.
+func (k *taskTorture) print(c *console, result *tasklab.Tortured) error {
 	if k.JSON {
-		return json.NewEncoder(c.out).Encode(r)
+		return json.NewEncoder(c.out).Encode(result)
 	}
-	fmt.Fprintf(c.out, "%d acts of %d holders, %d late of stopped actors, %d of starved ones,"+
-		" %d reads and writes of the store, blows %v; held for %.3f of the time;"+
-		" without an action between two holders p50 %.0f ms, p99 %.0f, worst %.0f; broken: %q\n",
-		r.Acts, r.Holders, r.Late, r.Starved, r.History, r.Blows, r.Held, r.P50Ms, r.P99Ms, r.WorstMs, r.Broken)
-	for _, a := range r.After {
-		fmt.Fprintf(c.out, "after %s (%d): p50 %.0f ms, p99 %.0f, worst %.0f until the next acted, or without an action\n",
+	fmt.Fprintf(c.out, "%d actions of %d holders, %d late by stopped actors, %d by starved ones,"+
+		" %d reads and writes of the store, faults %v; held for %.3f of the time;"+
+		" time between the actions of two holders p50 %.0f ms, p99 %.0f, worst %.0f; broken: %q\n",
+		result.Acts, result.Holders, result.Late, result.Starved, result.History, result.Blows,
+		result.Held, result.P50Ms, result.P99Ms, result.WorstMs, result.Broken)
+	for _, a := range result.After {
+		fmt.Fprintf(c.out,
+			"after %s (%d): p50 %.0f ms, p99 %.0f, worst %.0f until the next holder acted, or without an action\n",
 			a.Blow, a.N, a.P50Ms, a.P99Ms, a.WorstMs)
 	}
 	return nil
 }
 
-// actorCommand is what the locks of task torture run.
+// actorCommand is the command that the locks of task torture run.
 type actorCommand struct {
 	Address string `name:"to" arg:""`
 	Name    string `name:"who" arg:""`
