--- a/internal/dataplane/dnsfront/route/route.go
+++ b/internal/dataplane/dnsfront/route/route.go
@@ -1,5 +1,5 @@
-// Package route decides which class a DNS query belongs to. It does no I/O, holds no state, and imports only the
-// standard library.
+// Package route decides which class a DNS query belongs to. It does no I/O, holds no state between queries, and imports
+// only the standard library.
 package route
 
 import (
@@ -8,45 +8,46 @@
 	"strings"
 )
 
-// Query is what the class of a query depends on.
+// Query holds the properties of a query that determine its class.
 type Query struct {
 	Name   string // fully qualified, in any case
 	Type   uint16
 	Opcode int
-	TCP    bool // the client came over TCP
+	TCP    bool // whether the client sent it over TCP
 }
 
-// Class says which queries belong to a class. An empty field matches all queries, except Opcodes.
+// Class defines which queries belong to a class: those that match all fields. Each field matches all queries if it is
+// empty, except for Opcodes.
 type Class struct {
-	Suffixes []string // names equal to or below one of them, in any case, with or without a final dot
+	Suffixes []string // the name is one of them or below one, in any case; a final dot is optional
 	Types    []uint16
-	Opcodes  []int // empty: QUERY alone
-	UDP, TCP bool  // the client's transport; both false: either
+	Opcodes  []int // if empty, only QUERY matches
+	UDP, TCP bool  // the client's transport; if both are false, either matches
 }
 
 // Table finds the class of a query. It may be used from any goroutine.
 type Table struct{ rules []rule }
 
-// rule matches the queries of a class below one suffix.
+// rule matches the queries of a class at or below one suffix.
 type rule struct {
-	class    int
-	suffix   string // in lower case, with a dot at both ends; "." for all names
-	types    []uint16
-	opcodes  []int
-	udp, tcp bool
+	classIndex int
+	suffix     string // in lower case, with a dot at both ends; "." for all names
+	types      []uint16
+	opcodes    []int
+	udp, tcp   bool // the transports that match
 }
 
-// opcodeQuery is the operation QUERY (RFC 1035, 4.1.1).
+// opcodeQuery is the opcode of a standard query (RFC 1035, 4.1.1).
 const opcodeQuery = 0
 
-// New returns the table of classes, which are identified by their indexes.
+// New returns a table of classes, which Find identifies by their indexes in classes.
 //
-// The most specific rule counts: the one with the most labels in its suffix, then one with types before one
-// without, then one with a transport before one without, then the class that comes first.
+// If several classes match a query, the most specific rule wins: the one with the most labels in its suffix; among
+// those, one with types; among those, one with a transport; among those, the one of the class that comes first.
 func New(classes []Class) *Table {
 	t := &Table{}
 	for i, c := range classes {
-		t.rules = append(t.rules, rulesOf(i, c)...)
+		t.rules = append(t.rules, newRules(i, c)...)
 	}
 	slices.SortStableFunc(t.rules, func(a, b rule) int {
 		return cmp.Or(
@@ -57,31 +58,31 @@
 	return t
 }
 
-// rulesOf returns the rules of a class, one for each suffix.
-func rulesOf(class int, c Class) []rule {
-	suffixes := c.Suffixes
+// newRules returns the rules of the class with an index, one rule for each suffix.
+func newRules(classIndex int, definition Class) []rule {
+	suffixes := definition.Suffixes
 	if len(suffixes) == 0 {
 		suffixes = []string{"."}
 	}
-	opcodes := c.Opcodes
+	opcodes := definition.Opcodes
 	if len(opcodes) == 0 {
 		opcodes = []int{opcodeQuery}
 	}
 	rules := make([]rule, 0, len(suffixes))
 	for _, suffix := range suffixes {
 		rules = append(rules, rule{
-			class:   class,
-			suffix:  canonicalName(suffix),
-			types:   c.Types,
-			opcodes: opcodes,
-			udp:     c.UDP || !c.TCP,
-			tcp:     c.TCP || !c.UDP,
+			classIndex: classIndex,
+			suffix:     canonicalName(suffix),
+			types:      definition.Types,
+			opcodes:    opcodes,
+			udp:        definition.UDP || !definition.TCP,
+			tcp:        definition.TCP || !definition.UDP,
 		})
 	}
 	return rules
 }
 
-// trueFirst compares so that true sorts before false.
+// trueFirst compares two values for sorting true before false.
 func trueFirst(a, b bool) int {
 	switch {
 	case a == b:
@@ -93,7 +94,7 @@
 	}
 }
 
-// canonicalName returns a name in lower case with a dot at both ends, so that a suffix matches complete labels only.
+// canonicalName returns a name in lower case with a dot at both ends, so that suffixes match only complete labels.
 func canonicalName(name string) string {
 	name = strings.ToLower(strings.Trim(name, "."))
 	if name == "" {
@@ -102,18 +103,18 @@
 	return "." + name + "."
 }
 
-// Find returns the index of a query's class, or false if it belongs to none.
+// Find returns the index of the class that a query belongs to. It returns false if the query belongs to none.
 func (t *Table) Find(q Query) (int, bool) {
 	name := canonicalName(q.Name)
 	for i := range t.rules {
 		if t.rules[i].matches(name, q) {
-			return t.rules[i].class, true
+			return t.rules[i].classIndex, true
 		}
 	}
 	return 0, false
 }
 
-// matches reports whether a query for a canonical name belongs to the rule's class.
+// matches reports whether a query matches the rule. name is its canonical name.
 func (r *rule) matches(name string, q Query) bool {
 	if !strings.HasSuffix(name, r.suffix) || !slices.Contains(r.opcodes, q.Opcode) {
 		return false
--- a/internal/dataplane/dnsfront/route/route_test.go
+++ b/internal/dataplane/dnsfront/route/route_test.go
@@ -11,14 +11,14 @@
 		4: {Suffixes: []string{"example.org"}, Opcodes: []int{5}},
 		5: {Suffixes: []string{"example.org"}, TCP: true},
 	})
-	for _, c := range []struct {
+	for _, test := range []struct {
 		q    Query
 		want int
 	}{
 		{Query{Name: "x.net.", Type: 1}, 0},
 		{Query{Name: "EXAMPLE.org.", Type: 1}, 1},
 		{Query{Name: "a.example.org.", Type: 28}, 2},
-		{Query{Name: "notexample.org.", Type: 1}, 0}, // a suffix ends at a label's beginning
+		{Query{Name: "notexample.org.", Type: 1}, 0}, // a suffix matches only complete labels
 		{Query{Name: "s7.slots.example.org.", Type: 28}, 3},
 		{Query{Name: "b.test.", Type: 1}, 3},
 		{Query{Name: "example.org.", Opcode: 5}, 4},
@@ -26,11 +26,11 @@
 		{Query{Name: "a.example.org.", Type: 28, TCP: true}, 2},
 		{Query{Name: ".", Type: 1}, 0},
 	} {
-		if got, ok := table.Find(c.q); !ok || got != c.want {
-			t.Errorf("%+v: class %d %v, want %d", c.q, got, ok, c.want)
+		if got, ok := table.Find(test.q); !ok || got != test.want {
+			t.Errorf("Find(%+v): class %d, found %v; want class %d", test.q, got, ok, test.want)
 		}
 	}
 	if _, ok := table.Find(Query{Name: "x.net.", Opcode: 4}); ok {
-		t.Error("a notification has a class that nobody gave it")
+		t.Error("Find returns a class for a NOTIFY query, though no class has that opcode")
 	}
 }
