--- a/internal/dataplane/dnsfront/resend/resend_test.go
+++ b/internal/dataplane/dnsfront/resend/resend_test.go
@@ -5,55 +5,57 @@
 	"time"
 )
 
-// The delay follows round trips, and a query that was sent twice does not change it.
+// The delay before a resend must follow the measured round-trip times. A query that was sent twice must not change it,
+// since its answer may belong to either datagram.
 func TestDelayFollowsRoundTripTime(t *testing.T) {
-	l := New()
-	if w, ok := l.Delay(0); !ok || w != initialDelay {
-		t.Errorf("of nothing known: %v", w)
+	link := New()
+	if delay, ok := link.Delay(0); !ok || delay != initialDelay {
+		t.Errorf("delay without measurements: %v, want initialDelay", delay)
 	}
 	for range 100 {
-		l.Answered(20*time.Millisecond, true)
-		l.Answered(time.Second, false)
+		link.Answered(20*time.Millisecond, true)
+		link.Answered(time.Second, false)
 	}
-	if w, _ := l.Delay(0); w < 20*time.Millisecond || w > 25*time.Millisecond {
-		t.Errorf("of a steady 20 ms: %v", w)
+	if delay, _ := link.Delay(0); delay < 20*time.Millisecond || delay > 25*time.Millisecond {
+		t.Errorf("delay after round trips of 20 ms: %v, want 20 to 25 ms", delay)
 	}
-	one, _ := l.Delay(0)
-	if two, ok := l.Delay(1); !ok || two != 2*one {
-		t.Errorf("the second: %v", two)
+	first, _ := link.Delay(0)
+	if second, ok := link.Delay(1); !ok || second != 2*first {
+		t.Errorf("delay before the second resend: %v, want twice that before the first", second)
 	}
-	if _, ok := l.Delay(maxResends); ok {
-		t.Error("sent again without end")
+	if _, ok := link.Delay(maxResends); ok {
+		t.Error("an attempt may send more than maxResends resends")
 	}
 	for range 100 {
-		l.Answered(time.Millisecond, true)
+		link.Answered(time.Millisecond, true)
 	}
-	if w, _ := l.Delay(0); w != minDelay {
-		t.Errorf("of a quick one: %v", w)
+	if delay, _ := link.Delay(0); delay != minDelay {
+		t.Errorf("delay after round trips of 1 ms: %v, want minDelay", delay)
 	}
 }
 
-// A server that does not answer gets few resends; behind a network that loses a third, each loss is resent.
+// A server that does not answer must receive only the resends of the initial budget. If the network loses a third of
+// the datagrams, the budget must allow a resend for each loss.
 func TestResendBudgetFollowsAnswers(t *testing.T) {
-	l, dead := New(), 0
+	link, resends := New(), 0
 	for range 1000 {
-		if l.TakeCredit() {
-			dead++
+		if link.TakeCredit() {
+			resends++
 		}
 	}
-	if dead != maxCredit {
-		t.Errorf("%d of 1000 to a dead server", dead)
+	if resends != maxCredit {
+		t.Errorf("the budget allows %d resends to a server that does not answer, want maxCredit", resends)
 	}
-	l, refused := New(), 0
+	link, denied := New(), 0
 	for i := range 1000 {
 		lost := i%3 == 0
-		if lost && !l.TakeCredit() {
-			refused++
+		if lost && !link.TakeCredit() {
+			denied++
 			continue
 		}
-		l.Answered(time.Millisecond, !lost)
+		link.Answered(time.Millisecond, !lost)
 	}
-	if refused > 0 {
-		t.Errorf("%d lost ones were not sent again", refused)
+	if denied > 0 {
+		t.Errorf("the budget denied %d resends after a loss, want none", denied)
 	}
 }
