--- a/internal/dataplane/dnsfront/answers.go
+++ b/internal/dataplane/dnsfront/answers.go
@@ -9,120 +9,124 @@
 	"github.com/miekg/dns"
 )
 
-const keepaliveUnit = 100 * time.Millisecond // of the TCP keepalive option (RFC 7828)
+const keepaliveUnit = 100 * time.Millisecond // unit of the timeout in the TCP keepalive option (RFC 7828)
 
-// isAnsweredBy reports whether a message is an answer to the question. The caller compares the ID.
-func (q *question) isAnsweredBy(raw []byte) bool {
+// isAnsweredBy reports whether an encoded message is an answer to the query. The caller compares the ID.
+func (q *parsedQuery) isAnsweredBy(raw []byte) bool {
 	if len(raw) < headerSize || !isResponse(raw) || headerOpcode(raw) != q.opcode {
 		return false
 	}
 	switch questionCount(raw) {
-	case 0: // a server that could not parse the question may omit it
+	case 0: // a server that could not parse the query may omit the question
 		rcode := headerRcode(raw)
 		return rcode == dns.RcodeFormatError || rcode == dns.RcodeNotImplemented
 	case 1:
-		return q.isRepeatedIn(raw)
+		return q.matchesQuestionOf(raw)
 	default:
 		return false
 	}
 }
 
-// isRepeatedIn reports whether the question of an encoded message is this one.
-func (q *question) isRepeatedIn(raw []byte) bool {
-	const fixedSize = 4 // bytes of type and class behind the name
-	asked := q.msg.Question[0]
+// matchesQuestionOf reports whether the first question of an encoded message is that of the query.
+func (q *parsedQuery) matchesQuestionOf(raw []byte) bool {
+	const fixedSize = 4 // bytes of the type and the class after the name
+	question := q.msg.Question[0]
 	name, end, err := dns.UnpackDomainName(raw, headerSize)
-	if err != nil || len(raw) < end+fixedSize || !strings.EqualFold(name, asked.Name) {
+	if err != nil || len(raw) < end+fixedSize || !strings.EqualFold(name, question.Name) {
 		return false
 	}
-	return binary.BigEndian.Uint16(raw[end:]) == asked.Qtype && binary.BigEndian.Uint16(raw[end+2:]) == asked.Qclass
+	return binary.BigEndian.Uint16(raw[end:]) == question.Qtype &&
+		binary.BigEndian.Uint16(raw[end+2:]) == question.Qclass
 }
 
-// answer is a server's answer.
-type answer struct {
+// serverAnswer is the answer of a server to an attempt. It is not changed, and the answers to several queries may be
+// encoded from it at the same time.
+type serverAnswer struct {
 	raw []byte
-	msg *dns.Msg // nil where the answer is passed through
+	msg *dns.Msg // nil if the answer is passed through
 }
 
-// Streams returns false: an answer is complete.
-func (a *answer) Streams() bool { return false }
+// Streams returns false: an answer is one complete message.
+func (a *serverAnswer) Streams() bool { return false }
 
-// Release does nothing: an answer holds no shared resources.
-func (a *answer) Release() {}
+// Release does nothing: an answer has only memory of its own.
+func (a *serverAnswer) Release() {}
 
-// rcode returns the response code, with its extension where the message was parsed.
-func (a *answer) rcode() int {
+// rcode returns the response code, which includes the bits from the OPT record if the message was parsed.
+func (a *serverAnswer) rcode() int {
 	if a.msg != nil {
 		return a.msg.Rcode
 	}
 	return headerRcode(a.raw)
 }
 
-// readAnswer parses a server's answer, and returns its cookie in hex, "" for none.
-func (q *question) readAnswer(raw []byte) (a *answer, cookie string, err error) {
-	a = &answer{raw: raw}
+// parseAnswer parses an answer to the query, unless it is passed through. The cookie of the answer is in hex; it is ""
+// if the answer has none or is passed through.
+func (q *parsedQuery) parseAnswer(raw []byte) (parsed *serverAnswer, cookie string, err error) {
+	parsed = &serverAnswer{raw: raw}
 	if q.isPassedThrough() {
-		return a, "", nil
+		return parsed, "", nil
 	}
-	a.msg = new(dns.Msg)
-	if err := a.msg.Unpack(raw); err != nil {
+	parsed.msg = new(dns.Msg)
+	if err := parsed.msg.Unpack(raw); err != nil {
 		return nil, "", err
 	}
-	opt := a.msg.IsEdns0()
+	opt := parsed.msg.IsEdns0()
 	if opt == nil {
-		return a, "", nil
+		return parsed, "", nil
 	}
 	for _, option := range opt.Option {
-		if c, ok := option.(*dns.EDNS0_COOKIE); ok {
-			cookie = c.Cookie
+		if cookieOption, ok := option.(*dns.EDNS0_COOKIE); ok {
+			cookie = cookieOption.Cookie
 		}
 	}
-	return a, cookie, nil
+	return parsed, cookie, nil
 }
 
-// replyOptions is what a client gets besides the answer.
+// replyOptions are the properties of an answer to a client that do not come from the server's answer.
 type replyOptions struct {
-	tcp       bool
-	cookie    string        // the server's part in hex, for a client that sent a cookie
-	keepalive time.Duration // how long a TCP connection stays open without a query
+	overTCP          bool          // whether the answer is sent over TCP, where it is not truncated
+	serverCookie     string        // the server's part of the cookie in hex; "" if the client sent no cookie
+	keepaliveTimeout time.Duration // how long a TCP connection stays open without an open query
 }
 
-// packAnswer encodes a server's answer as the answer to q. It is truncated if it exceeds the size limit of its
+// packAnswer encodes a server's answer as the answer to the query, truncated to the maximum size for its client and
 // transport.
-func (q *question) packAnswer(a *answer, options replyOptions) ([]byte, error) {
-	if a.msg == nil {
-		return q.packRaw(a.raw, options), nil
-	}
-	m := *a.msg // a shallow copy: other queries may share its records
-	m.Id, m.Question, m.Compress = q.id, q.msg.Question, true
-	records, extendedErrors := splitExtra(a.msg.Extra)
-	m.Extra = records
-	if q.edns {
+func (q *parsedQuery) packAnswer(answer *serverAnswer, options replyOptions) ([]byte, error) {
+	if answer.msg == nil {
+		return q.packRaw(answer.raw, options), nil
+	}
+	message := *answer.msg // a shallow copy, since other queries may share the records
+	message.Id, message.Question, message.Compress = q.id, q.msg.Question, true
+	records, extendedErrors := splitExtra(answer.msg.Extra)
+	message.Extra = records
+	if q.hasEDNS {
 		opt := q.replyOPT(options)
 		opt.Option = append(opt.Option, extendedErrors...)
-		m.Extra = append(m.Extra, opt)
-	} else if m.Rcode > rcodeMask {
-		m.Rcode = dns.RcodeServerFailure // the code needs an OPT record
+		message.Extra = append(message.Extra, opt)
+	} else if message.Rcode > rcodeMask {
+		message.Rcode = dns.RcodeServerFailure // the actual code needs an OPT record
 	}
 	maxSize := dns.MaxMsgSize
-	if !options.tcp {
+	if !options.overTCP {
 		maxSize = q.maxUDPSize
 	}
-	m.Truncate(maxSize)
-	return m.Pack()
+	message.Truncate(maxSize)
+	return message.Pack()
 }
 
-// packRaw returns an answer that is passed through, with the client's ID.
-func (q *question) packRaw(answer []byte, options replyOptions) []byte {
+// packRaw returns an answer that is passed through, with the ID of the query. Over UDP, an answer that is too long for
+// the client is replaced by a truncated, empty one.
+func (q *parsedQuery) packRaw(answer []byte, options replyOptions) []byte {
 	raw := append([]byte(nil), answer...)
 	setID(raw, q.id)
-	if !options.tcp && len(raw) > q.maxUDPSize {
+	if !options.overTCP && len(raw) > q.maxUDPSize {
 		return q.truncatedAnswer(raw, options)
 	}
 	return raw
 }
 
-// splitExtra returns the additional records without OPT, and the extended errors (RFC 8914) of OPT.
+// splitExtra splits additional records into those other than OPT, and the extended errors (RFC 8914) in OPT.
 func splitExtra(extra []dns.RR) (records []dns.RR, extendedErrors []dns.EDNS0) {
 	for _, rr := range extra {
 		opt, ok := rr.(*dns.OPT)
@@ -131,68 +135,70 @@
 			continue
 		}
 		for _, option := range opt.Option {
-			if e, ok := option.(*dns.EDNS0_EDE); ok {
-				extendedErrors = append(extendedErrors, e)
+			if extendedError, ok := option.(*dns.EDNS0_EDE); ok {
+				extendedErrors = append(extendedErrors, extendedError)
 			}
 		}
 	}
 	return records, extendedErrors
 }
 
-// truncatedAnswer encodes an empty answer that has the client ask again over TCP, with the response code of raw
-// unless that is nil. It returns nil if the question cannot be encoded.
-func (q *question) truncatedAnswer(raw []byte, options replyOptions) []byte {
-	m := &dns.Msg{MsgHdr: dns.MsgHdr{Id: q.id, Response: true, Opcode: q.opcode, Truncated: true}}
+// truncatedAnswer encodes a truncated, empty answer, after which the client sends the query again over TCP. It has the
+// response code of the encoded answer raw, or NOERROR if raw is nil. It returns nil if the question cannot be encoded.
+func (q *parsedQuery) truncatedAnswer(raw []byte, options replyOptions) []byte {
+	message := &dns.Msg{MsgHdr: dns.MsgHdr{Id: q.id, Response: true, Opcode: q.opcode, Truncated: true}}
 	if q.msg != nil {
-		m.Question, m.RecursionDesired = q.msg.Question, q.msg.RecursionDesired
+		message.Question, message.RecursionDesired = q.msg.Question, q.msg.RecursionDesired
 	}
 	if raw != nil {
-		m.Rcode = headerRcode(raw)
+		message.Rcode = headerRcode(raw)
 	}
-	if q.edns {
-		m.Extra = []dns.RR{q.replyOPT(options)}
+	if q.hasEDNS {
+		message.Extra = []dns.RR{q.replyOPT(options)}
 	}
-	return packOrNil(m)
+	return packOrNil(message)
 }
 
-// errorAnswer encodes an answer without records, with an extended error (RFC 8914) if the client supports EDNS. It
-// returns nil if the question cannot be encoded.
-func (q *question) errorAnswer(rcode int, code uint16, text string, options replyOptions) []byte {
-	m := &dns.Msg{MsgHdr: dns.MsgHdr{Id: q.id, Response: true, Opcode: q.opcode, Rcode: rcode}}
+// errorAnswer encodes an answer without records. If the client supports EDNS and text is not empty, it has an extended
+// error (RFC 8914). It returns nil if the question cannot be encoded.
+func (q *parsedQuery) errorAnswer(rcode int, code uint16, text string, options replyOptions) []byte {
+	message := &dns.Msg{MsgHdr: dns.MsgHdr{Id: q.id, Response: true, Opcode: q.opcode, Rcode: rcode}}
 	if q.msg != nil {
-		m.Question, m.RecursionDesired = q.msg.Question, q.msg.RecursionDesired
-		m.RecursionAvailable = q.msg.RecursionDesired
+		message.Question, message.RecursionDesired = q.msg.Question, q.msg.RecursionDesired
+		message.RecursionAvailable = q.msg.RecursionDesired
 	}
-	if q.edns {
+	if q.hasEDNS {
 		opt := q.replyOPT(options)
 		if text != "" {
 			opt.Option = append(opt.Option, &dns.EDNS0_EDE{InfoCode: code, ExtraText: text})
 		}
-		m.Extra = []dns.RR{opt}
+		message.Extra = []dns.RR{opt}
 	} else if rcode > rcodeMask {
-		m.Rcode = dns.RcodeFormatError // the code needs an OPT record
+		message.Rcode = dns.RcodeFormatError // the actual code needs an OPT record
 	}
-	return packOrNil(m)
+	return packOrNil(message)
 }
 
-func packOrNil(m *dns.Msg) []byte {
-	raw, err := m.Pack()
+// packOrNil encodes a message, and returns nil if that fails.
+func packOrNil(message *dns.Msg) []byte {
+	raw, err := message.Pack()
 	if err != nil {
 		return nil
 	}
 	return raw
 }
 
-// replyOPT returns the OPT record of an answer to a client that sent one.
-func (q *question) replyOPT(options replyOptions) *dns.OPT {
+// replyOPT returns the OPT record of an answer to a client whose query had one.
+func (q *parsedQuery) replyOPT(options replyOptions) *dns.OPT {
 	opt := newOPT(q.dnssecOK)
-	if q.clientCookie != "" && options.cookie != "" {
-		cookie := &dns.EDNS0_COOKIE{Code: dns.EDNS0COOKIE, Cookie: q.clientCookie + options.cookie}
+	if q.clientCookie != "" && options.serverCookie != "" {
+		cookie := &dns.EDNS0_COOKIE{Code: dns.EDNS0COOKIE, Cookie: q.clientCookie + options.serverCookie}
 		opt.Option = append(opt.Option, cookie)
 	}
-	if options.tcp && q.asksKeepalive {
-		timeout := min(options.keepalive/keepaliveUnit, math.MaxUint16)
-		opt.Option = append(opt.Option, &dns.EDNS0_TCP_KEEPALIVE{Code: dns.EDNS0TCPKEEPALIVE, Timeout: uint16(timeout)})
+	if options.overTCP && q.requestsKeepalive {
+		timeout := min(options.keepaliveTimeout/keepaliveUnit, math.MaxUint16)
+		opt.Option = append(opt.Option,
+			&dns.EDNS0_TCP_KEEPALIVE{Code: dns.EDNS0TCPKEEPALIVE, Timeout: uint16(timeout)})
 	}
 	return opt
 }
--- a/internal/dataplane/dnsfront/clientconn.go
+++ b/internal/dataplane/dnsfront/clientconn.go
@@ -12,130 +12,134 @@
 )
 
 const (
-	clientReadTimeout  = 2 * time.Second // for a message, from its first byte
+	clientReadTimeout  = 2 * time.Second // for the rest of a message after its first byte
 	clientWriteTimeout = 2 * time.Second
-	acceptBackoff      = 5 * time.Millisecond
-	closingIdleTimeout = 100 * time.Millisecond // for a connection while the server closes
+	acceptBackoff      = 5 * time.Millisecond   // delay after a failure to accept a connection
+	closingIdleTimeout = 100 * time.Millisecond // idle timeout while the server is closing
 
-	clientSendBuffer = 128 << 10 // bytes of answers to a client that reads none; the system's default is megabytes
-	clientReadBuffer = 2048      // bytes
+	// clientSendBuffer limits the bytes of unread answers that the kernel holds for a client. Its default is megabytes.
+	clientSendBuffer = 128 << 10
+	clientReadBuffer = 2048 // bytes
 )
 
-// clientConn is a client's connection.
+// clientConn is a TCP connection of a client.
 type clientConn struct {
 	net.Conn
-	from    netip.AddrPort
-	slots   chan struct{} // holds one value for each query that is open or being received
-	writeMu sync.Mutex
+	clientAddr netip.AddrPort
+	querySlots chan struct{} // holds a value for each query that is open or being received
+	writeMu    sync.Mutex    // serializes writes
 
 	// Guarded by Server.mu.
-	open        map[*openQuery]struct{}
-	idleSince   time.Time     // without an open query
-	idleElement *list.Element // in clientConns.idle; nil while there are open queries, and once closed
+	openQueries map[*openQuery]struct{}
+	idleSince   time.Time     // since when there has been no open query; valid while there is none
+	idleElement *list.Element // position in clientConns.idle; nil while there are open queries, and once closed
 	closed      bool
 }
 
-// serveTCP accepts connections until ln is closed.
-func (s *Server) serveTCP(ln net.Listener) {
+// serveTCP accepts connections until listener is closed. If accepting fails, it closes the longest idle connection and
+// tries again: the process may have run out of file descriptors.
+func (s *Server) serveTCP(listener net.Listener) {
 	for {
-		nc, err := ln.Accept()
+		netConn, err := listener.Accept()
 		switch {
 		case err == nil:
-			s.addConn(nc)
+			s.addConn(netConn)
 		case endsReading(err):
 			return
 		default:
-			s.log.Warn("dns: accept", "error", err)
+			s.log.Warn("dns: accepting a connection failed; closing the longest idle connection", "error", err)
 			s.mu.Lock()
 			s.conns.evict()
 			s.mu.Unlock()
-			time.Sleep(acceptBackoff) // the process may have run out of descriptors
+			time.Sleep(acceptBackoff)
 		}
 	}
 }
 
-// addConn serves a new connection, or closes it where all others have open queries and no more may be open.
-func (s *Server) addConn(nc net.Conn) {
-	from, err := netip.ParseAddrPort(nc.RemoteAddr().String())
+// addConn starts serving a new connection. It closes the connection if there are too many and none is idle.
+func (s *Server) addConn(netConn net.Conn) {
+	clientAddr, err := netip.ParseAddrPort(netConn.RemoteAddr().String())
 	if err != nil {
-		nc.Close()
+		netConn.Close()
 		return
 	}
-	if tcp, ok := nc.(*net.TCPConn); ok {
-		_ = tcp.SetWriteBuffer(clientSendBuffer) // without it, more memory is used
+	if tcpConn, ok := netConn.(*net.TCPConn); ok {
+		_ = tcpConn.SetWriteBuffer(clientSendBuffer) // a failure only costs memory
 	}
-	c := &clientConn{
-		Conn:  nc,
-		from:  from,
-		slots: make(chan struct{}, s.settings.MaxQueriesPerConn),
-		open:  map[*openQuery]struct{}{},
+	conn := &clientConn{
+		Conn:        netConn,
+		clientAddr:  clientAddr,
+		querySlots:  make(chan struct{}, s.settings.MaxQueriesPerConn),
+		openQueries: map[*openQuery]struct{}{},
 	}
 	s.mu.Lock()
-	added := s.conns.add(c)
+	added := s.conns.add(conn)
 	s.mu.Unlock()
 	if !added {
-		nc.Close()
+		netConn.Close()
 		return
 	}
-	s.inFlight.Go(func() { s.serveConn(c) })
+	s.inFlight.Go(func() { s.serveConn(conn) })
 }
 
-// serveConn receives a client's queries, however many of them are open, until the connection ends. At the limit of
-// open queries it does not read until one has its answer.
-func (s *Server) serveConn(c *clientConn) {
-	r := bufio.NewReaderSize(c, clientReadBuffer)
+// serveConn receives queries on a connection until it ends, without waiting for the answers to earlier ones. At the
+// limit of open queries it stops reading until one of them is answered.
+func (s *Server) serveConn(conn *clientConn) {
+	reader := bufio.NewReaderSize(conn, clientReadBuffer)
 	for {
-		raw, err := s.readQuery(c, r)
+		raw, err := s.readQuery(conn, reader)
 		if err != nil {
 			break
 		}
-		c.slots <- struct{}{}
-		s.receive(raw, c.from, c)
-		s.freeUnusedSlot(c)
+		conn.querySlots <- struct{}{}
+		s.receive(raw, conn.clientAddr, conn)
+		s.freeUnusedSlot(conn)
 	}
-	for _, w := range s.removeConn(c) {
-		s.clientLeft(w)
+	for _, open := range s.removeConn(conn) {
+		s.clientDisconnected(open)
 	}
 }
 
-// readQuery reads the next query. It fails once the connection has been idle for the idle timeout.
-func (s *Server) readQuery(c *clientConn, r *bufio.Reader) ([]byte, error) {
+// readQuery reads the next message on a connection. It fails once the connection has been idle for the idle timeout.
+func (s *Server) readQuery(conn *clientConn, reader *bufio.Reader) ([]byte, error) {
 	for {
-		_ = c.SetReadDeadline(time.Now().Add(s.idleTimeout())) // fails only once closed, and then so does the read
-		_, err := r.Peek(1)
+		// Setting the deadline fails only on a closed connection, where the read fails as well.
+		_ = conn.SetReadDeadline(time.Now().Add(s.idleTimeout()))
+		_, err := reader.Peek(1)
 		if err == nil {
 			break
 		}
-		if !errors.Is(err, os.ErrDeadlineExceeded) || !s.hasOpenQueries(c) {
+		if !errors.Is(err, os.ErrDeadlineExceeded) || !s.hasOpenQueries(conn) {
 			return nil, err
 		}
 	}
-	_ = c.SetReadDeadline(time.Now().Add(clientReadTimeout))
-	return readFrame(r, nil)
+	_ = conn.SetReadDeadline(time.Now().Add(clientReadTimeout))
+	return readFrame(reader, nil)
 }
 
-// freeUnusedSlot frees the slot of a query that was rejected, or that repeats an open one.
-func (s *Server) freeUnusedSlot(c *clientConn) {
+// freeUnusedSlot frees the slot of the message that was just received, unless it became an open query: it may have been
+// rejected or discarded, or repeat an open query.
+func (s *Server) freeUnusedSlot(conn *clientConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(c.open) < len(c.slots) {
-		<-c.slots
+	if len(conn.openQueries) < len(conn.querySlots) {
+		<-conn.querySlots
 	}
 }
 
-// removeConn closes a connection, and returns its open queries.
-func (s *Server) removeConn(c *clientConn) []*openQuery {
+// removeConn closes a connection and returns its open queries.
+func (s *Server) removeConn(conn *clientConn) []*openQuery {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.conns.remove(c)
-	open := make([]*openQuery, 0, len(c.open))
-	for w := range c.open {
-		open = append(open, w)
+	s.conns.remove(conn)
+	openQueries := make([]*openQuery, 0, len(conn.openQueries))
+	for open := range conn.openQueries {
+		openQueries = append(openQueries, open)
 	}
-	return open
+	return openQueries
 }
 
-// idleTimeout returns how long a connection stays open without a query.
+// idleTimeout returns how long a connection stays open without an open query.
 func (s *Server) idleTimeout() time.Duration {
 	if s.closing.Load() {
 		return closingIdleTimeout
@@ -143,13 +147,14 @@
 	return s.settings.IdleTimeout
 }
 
-func (s *Server) hasOpenQueries(c *clientConn) bool {
+func (s *Server) hasOpenQueries(conn *clientConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(c.open) > 0
+	return len(conn.openQueries) > 0
 }
 
-// send writes a message with its length before it. If the client does not read it in time, its connection is closed.
+// send writes an encoded message, preceded by its length. If that fails or takes longer than clientWriteTimeout, it
+// closes the connection.
 func (c *clientConn) send(raw []byte) error {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
--- a/internal/dataplane/dnsfront/clientconns.go
+++ b/internal/dataplane/dnsfront/clientconns.go
@@ -5,98 +5,100 @@
 	"time"
 )
 
-// clientConns are the open connections of clients. Server.mu guards them.
+// clientConns is the set of open connections from clients. Server.mu guards it.
 type clientConns struct {
-	maxConns int
-	busy     int        // connections with open queries
-	closing  bool       // connections end soon after their last answer
-	idle     *list.List // of *clientConn, the longest idle first
+	maxConns  int        // this process's share of Settings.MaxClientConns
+	busyConns int        // number of connections with open queries
+	closing   bool       // whether connections are closed soon after their last answer
+	idle      *list.List // of *clientConn, the longest idle first
 }
 
 func newClientConns(maxConns int) *clientConns {
 	return &clientConns{maxConns: maxConns, idle: list.New()}
 }
 
-func (k *clientConns) len() int { return k.busy + k.idle.Len() }
+func (conns *clientConns) len() int { return conns.busyConns + conns.idle.Len() }
 
-// add adds a connection, and reports whether there was capacity. If there are too many, the longest idle one is
-// closed.
-func (k *clientConns) add(c *clientConn) bool {
-	if k.len() >= k.maxConns && !k.evict() {
+// add adds a connection, and reports whether there was capacity. At the limit it closes the longest idle connection, if
+// there is one.
+func (conns *clientConns) add(conn *clientConn) bool {
+	if conns.len() >= conns.maxConns && !conns.evict() {
 		return false
 	}
-	k.setIdle(c)
+	conns.setIdle(conn)
 	return true
 }
 
-// evict closes the connection that has been idle for longest, and reports whether there was one.
-func (k *clientConns) evict() bool {
-	first := k.idle.Front()
+// evict closes the longest idle connection, and reports whether there was one.
+func (conns *clientConns) evict() bool {
+	first := conns.idle.Front()
 	if first == nil {
 		return false
 	}
-	k.remove(first.Value.(*clientConn))
+	conns.remove(first.Value.(*clientConn))
 	return true
 }
 
-// closeIdleFor closes the connections that have been idle for at least age.
-func (k *clientConns) closeIdleFor(age time.Duration) {
+// closeIdleFor closes all connections that have been idle for at least age.
+func (conns *clientConns) closeIdleFor(age time.Duration) {
 	for {
-		first := k.idle.Front()
+		first := conns.idle.Front()
 		if first == nil || time.Since(first.Value.(*clientConn).idleSince) < age {
 			return
 		}
-		k.evict()
+		conns.evict()
 	}
 }
 
-// remove closes a connection. Its reader then ends its queries.
-func (k *clientConns) remove(c *clientConn) {
-	if c.closed {
+// remove closes a connection. Its reader then ends its open queries. Further calls do nothing.
+func (conns *clientConns) remove(conn *clientConn) {
+	if conn.closed {
 		return
 	}
-	c.closed = true
-	if c.idleElement != nil {
-		k.idle.Remove(c.idleElement)
-		c.idleElement = nil
+	conn.closed = true
+	if conn.idleElement != nil {
+		conns.idle.Remove(conn.idleElement)
+		conn.idleElement = nil
 	} else {
-		k.busy--
+		conns.busyConns--
 	}
-	c.Close()
+	conn.Close()
 }
 
-// beginQuery adds an open query to a connection, unless that was closed.
-func (k *clientConns) beginQuery(c *clientConn, w *openQuery) bool {
-	if c.closed {
+// beginQuery adds an open query to a connection. It returns false if the connection was closed.
+func (conns *clientConns) beginQuery(conn *clientConn, open *openQuery) bool {
+	if conn.closed {
 		return false
 	}
-	if c.idleElement != nil {
-		k.idle.Remove(c.idleElement)
-		c.idleElement = nil
-		k.busy++
+	if conn.idleElement != nil {
+		conns.idle.Remove(conn.idleElement)
+		conn.idleElement = nil
+		conns.busyConns++
 	}
-	c.open[w] = struct{}{}
+	conn.openQueries[open] = struct{}{}
 	return true
 }
 
-// endQuery removes a query from its connection.
-func (k *clientConns) endQuery(c *clientConn, w *openQuery) {
-	if _, ok := c.open[w]; !ok {
+// endQuery removes an open query from its connection. Further calls do nothing.
+func (conns *clientConns) endQuery(conn *clientConn, open *openQuery) {
+	if _, ok := conn.openQueries[open]; !ok {
 		return
 	}
-	delete(c.open, w)
-	<-c.slots
-	if len(c.open) > 0 || c.closed {
+	delete(conn.openQueries, open)
+	<-conn.querySlots
+	if len(conn.openQueries) > 0 || conn.closed {
 		return
 	}
-	k.busy--
-	k.setIdle(c)
-	if k.closing {
-		_ = c.SetReadDeadline(time.Now().Add(closingIdleTimeout)) // the answer to its query is about to be sent
+	conns.busyConns--
+	conns.setIdle(conn)
+	if conns.closing {
+		// The connection must stay open for a moment, since the answer to its last query is still to be sent.
+		_ = conn.SetReadDeadline(time.Now().Add(closingIdleTimeout))
 	}
 }
 
-func (k *clientConns) setIdle(c *clientConn) {
-	c.idleSince = time.Now()
-	c.idleElement = k.idle.PushBack(c)
+// setIdle makes a connection the most recently idle one.
+func (conns *clientConns) setIdle(conn *clientConn) {
+	conn.idleSince = time.Now()
+	conn.idleElement = conns.idle.PushBack(conn)
 }
--- a/internal/dataplane/dnsfront/cookies.go
+++ b/internal/dataplane/dnsfront/cookies.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	cookieSize         = 8              // bytes of a client's part, and of the MAC in a server's part
-	clientCookieDigits = 2 * cookieSize // hexadecimal digits of a client's part
-	cookieTimeSize     = 4              // bytes of the time in a server's part
+	cookieSize         = 8              // bytes of the client's part, and of the MAC in the server's part
+	clientCookieDigits = 2 * cookieSize // hexadecimal digits of the client's part
+	cookieTimeSize     = 4              // bytes of the time in the server's part
 	cookieLifetime     = time.Hour
-	maxClockSkew       = 5 * time.Minute
+	maxClockSkew       = 5 * time.Minute // by which the time of a cookie may lie in the future
 )
 
-// cookieSecret makes DNS cookies (RFC 7873), both as the server of clients and as the client of servers. Cookies are
-// verified by computing them again, so that nothing is stored for each address.
+// cookieSecret is the key of DNS cookies (RFC 7873), both for the server's part towards clients and for the client's
+// part towards servers. Cookies are verified by computing them again, so that nothing is stored for each address.
 type cookieSecret [32]byte
 
 func newCookieSecret() *cookieSecret {
@@ -28,40 +28,41 @@
 	return s
 }
 
+// mac returns a MAC of parts. The length of each part is included, so that different parts never have the same input.
 func (s *cookieSecret) mac(parts ...[]byte) []byte {
-	h := hmac.New(sha256.New, s[:])
-	for _, p := range parts {
-		h.Write([]byte{byte(len(p))})
-		h.Write(p)
+	hash := hmac.New(sha256.New, s[:])
+	for _, part := range parts {
+		hash.Write([]byte{byte(len(part))})
+		hash.Write(part)
 	}
-	return h.Sum(nil)[:cookieSize]
+	return hash.Sum(nil)[:cookieSize]
 }
 
-// clientPart returns, in hex, the client's part of the cookies that are sent to one server.
+// clientPart returns, in hex, the client's part of the cookies for the server at addr.
 func (s *cookieSecret) clientPart(addr string) string {
 	return hex.EncodeToString(s.mac([]byte("server"), []byte(addr)))
 }
 
-// serverPart returns, in hex, the server's part of the cookie for a client, which contains the time.
+// serverPart returns, in hex, the server's part of the cookie for a client: the time now and a MAC.
 func (s *cookieSecret) serverPart(now time.Time, client netip.Addr, clientPart string) string {
-	at := binary.BigEndian.AppendUint32(nil, uint32(now.Unix()))
-	return hex.EncodeToString(append(at, s.clientMAC(at, client, clientPart)...))
+	timestamp := binary.BigEndian.AppendUint32(nil, uint32(now.Unix()))
+	return hex.EncodeToString(append(timestamp, s.clientMAC(timestamp, client, clientPart)...))
 }
 
-// verify reports whether serverPart is one that this server gave to the client within the lifetime of cookies.
+// verify reports whether this server gave serverPart to the client, less than cookieLifetime ago.
 func (s *cookieSecret) verify(now time.Time, client netip.Addr, clientPart, serverPart string) bool {
-	b, err := hex.DecodeString(serverPart)
-	if err != nil || len(b) != cookieTimeSize+cookieSize {
+	decoded, err := hex.DecodeString(serverPart)
+	if err != nil || len(decoded) != cookieTimeSize+cookieSize {
 		return false
 	}
-	at, mac := b[:cookieTimeSize], b[cookieTimeSize:]
-	age := now.Sub(time.Unix(int64(binary.BigEndian.Uint32(at)), 0))
+	timestamp, mac := decoded[:cookieTimeSize], decoded[cookieTimeSize:]
+	age := now.Sub(time.Unix(int64(binary.BigEndian.Uint32(timestamp)), 0))
 	if age >= cookieLifetime || age <= -maxClockSkew {
 		return false
 	}
-	return hmac.Equal(mac, s.clientMAC(at, client, clientPart))
+	return hmac.Equal(mac, s.clientMAC(timestamp, client, clientPart))
 }
 
-func (s *cookieSecret) clientMAC(at []byte, client netip.Addr, clientPart string) []byte {
-	return s.mac([]byte("client"), at, client.Unmap().AsSlice(), []byte(clientPart))
+func (s *cookieSecret) clientMAC(timestamp []byte, client netip.Addr, clientPart string) []byte {
+	return s.mac([]byte("client"), timestamp, client.Unmap().AsSlice(), []byte(clientPart))
 }
--- a/internal/dataplane/dnsfront/counters.go
+++ b/internal/dataplane/dnsfront/counters.go
@@ -2,28 +2,28 @@
 
 import "birchmoor/internal/platform/metrics"
 
-// Counters are what the front counts besides the final answers of classes.
+// Counters are the front's metrics besides the final answers of each class. They may be used from any goroutine.
 type Counters struct {
-	// Of clients' queries.
-	Malformed     *metrics.Counter // could not be parsed, or are not queries
-	Unrouted      *metrics.Counter // belong to no class
-	Repeated      *metrics.Counter // repeat an open query of the same client
-	AnswersShared *metrics.Counter // were answered by another query's lookup
-	Shed          *metrics.Counter // rejected since too many were open
-	RateTruncated *metrics.Counter // over the rate, answered truncated
-	RateDropped   *metrics.Counter // over the rate, not answered
-	Unsent        *metrics.Counter // have an answer that the client's socket or connection did not accept
+	// Counts of messages from clients.
+	Malformed     *metrics.Counter // invalid or unsupported queries, and messages that are no queries
+	Unrouted      *metrics.Counter // queries that belong to no class
+	Repeated      *metrics.Counter // queries that repeat an open query of the same client
+	AnswersShared *metrics.Counter // queries that joined the lookup of another query
+	Shed          *metrics.Counter // queries rejected because too many were open
+	RateTruncated *metrics.Counter // queries over the client's rate, answered truncated and empty
+	RateDropped   *metrics.Counter // queries over the client's rate, not answered
+	Unsent        *metrics.Counter // answers that could not be encoded or written to the client
 
-	// Of attempts at servers.
-	Resent        *metrics.Counter // datagrams sent once more to the same server
-	Truncated     *metrics.Counter // answers asked for again over TCP
-	SocketsShared *metrics.Counter // queries without a socket of their own
-	UnknownID     *metrics.Counter // messages with the ID of no open query: late or forged
-	Mismatched    *metrics.Counter // messages with a query's ID that are not its answer
-	Duplicate     *metrics.Counter // second answers to an open query
+	// Counts of attempts at servers.
+	Resent        *metrics.Counter // datagrams sent again to the same server
+	Truncated     *metrics.Counter // truncated answers, whose query was sent again over TCP
+	SocketsShared *metrics.Counter // queries that shared a UDP socket with others
+	UnknownID     *metrics.Counter // messages without an open query of their ID: late or forged
+	Mismatched    *metrics.Counter // messages with the ID of an open query that are not its answer
+	Duplicate     *metrics.Counter // further answers to an open query
 }
 
-// newCounters returns counters that registry exports.
+// newCounters returns counters that registry exports under the names given here.
 func newCounters(registry *metrics.Registry) *Counters {
 	return &Counters{
 		Malformed:     registry.NewCounter("malformed_total"),
--- a/internal/dataplane/dnsfront/front_test.go
+++ b/internal/dataplane/dnsfront/front_test.go
@@ -18,97 +18,101 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// The standard library's resolver, and miekg's client over both transports, get their answers.
+// The resolver of the standard library and the client of miekg/dns over both transports must be served, including large
+// answers, which are truncated over UDP, and names that do not exist.
 func TestStandardClientsAreServed(t *testing.T) {
-	r := startSidecarWith(t, startServer(t, func(w dns.ResponseWriter, m *dns.Msg) {
-		if m.Question[0].Qtype == dns.TypeAAAA {
-			write(w, answerWith(m, 0))
+	sidecar := startDefaultSidecar(t, startServer(t, func(w dns.ResponseWriter, query *dns.Msg) {
+		if query.Question[0].Qtype == dns.TypeAAAA {
+			writeAnswer(w, answerWith(query, 0))
 			return
 		}
-		n := 2
-		if strings.HasPrefix(m.Question[0].Name, "many.") {
-			n = 200
+		addresses := 2
+		if strings.HasPrefix(query.Question[0].Name, "many.") {
+			addresses = 200
 		}
-		a := answerWith(m, n)
+		answer := answerWith(query, addresses)
 		if _, tcp := w.RemoteAddr().(*net.TCPAddr); !tcp {
-			a.Truncate(512)
+			answer.Truncate(512)
 		}
-		if strings.HasPrefix(m.Question[0].Name, "none.") {
-			a = new(dns.Msg).SetRcode(m, dns.RcodeNameError)
+		if strings.HasPrefix(query.Question[0].Name, "none.") {
+			answer = new(dns.Msg).SetRcode(query, dns.RcodeNameError)
 		}
-		write(w, a)
+		writeAnswer(w, answer)
 	}))
-	std := &net.Resolver{PreferGo: true, Dial: func(ctx context.Context, network, _ string) (net.Conn, error) {
-		return (&net.Dialer{}).DialContext(ctx, network, r.addr)
+	resolver := &net.Resolver{PreferGo: true, Dial: func(ctx context.Context, network, _ string) (net.Conn, error) {
+		return (&net.Dialer{}).DialContext(ctx, network, sidecar.addr)
 	}}
-	// The answer with many addresses is truncated, and asked for again over TCP.
+	// The answer with 200 addresses is truncated over UDP, and the resolver sends the query again over TCP.
 	for name, want := range map[string]int{"two.look.test.": 2, "many.look.test.": 200} {
-		if got, err := std.LookupHost(t.Context(), name); err != nil || len(got) != want {
-			t.Errorf("%s: %d addresses, %v", name, len(got), err)
+		if got, err := resolver.LookupHost(t.Context(), name); err != nil || len(got) != want {
+			t.Errorf("LookupHost(%q): %d addresses, error %v", name, len(got), err)
 		}
 	}
 	var missing *net.DNSError
-	_, err := std.LookupHost(t.Context(), "none.look.test.")
+	_, err := resolver.LookupHost(t.Context(), "none.look.test.")
 	if err == nil || !errors.As(err, &missing) || !missing.IsNotFound {
-		t.Errorf("a name that does not exist: %v", err)
+		t.Errorf("LookupHost of a name that does not exist: error %v, want IsNotFound", err)
 	}
 	for _, network := range []string{"udp", "tcp"} {
 		client := &dns.Client{Net: network, Timeout: sidecartest.WaitTimeout}
-		m, _, err := client.Exchange(new(dns.Msg).SetQuestion("many.look.test.", dns.TypeA), r.addr)
-		if err != nil || m.Truncated != (network == "udp") || network == "tcp" && len(m.Answer) != 200 {
-			t.Errorf("%s: %v", network, err)
+		response, _, err := client.Exchange(new(dns.Msg).SetQuestion("many.look.test.", dns.TypeA), sidecar.addr)
+		if err != nil || response.Truncated != (network == "udp") || network == "tcp" && len(response.Answer) != 200 {
+			t.Errorf("query over %s for 200 addresses: wrong answer, or error %v", network, err)
 		}
-		if m.Compress = true; network == "udp" && m.Len() > maxPlainUDPSize {
-			t.Errorf("%d bytes to a client without EDNS", m.Len())
+		if response.Compress = true; network == "udp" && response.Len() > maxPlainUDPSize {
+			t.Errorf("answer over UDP to a client without EDNS has %d bytes, want at most 512", response.Len())
 		}
 	}
 }
 
-// An administrative drain applies to DNS servers as to HTTP servers, and the metrics show both protocols.
+// An administrative drain must apply to DNS servers as it does to HTTP servers, and the metrics must show both
+// protocols.
 func TestAdminDrainAppliesToDNSServers(t *testing.T) {
-	var asked [2]atomic.Int32
+	var received [2]atomic.Int32
 	server := func(i int) string {
-		return startServer(t, func(w dns.ResponseWriter, m *dns.Msg) {
-			asked[i].Add(1)
-			write(w, answerWith(m, 1))
+		return startServer(t, func(w dns.ResponseWriter, query *dns.Msg) {
+			received[i].Add(1)
+			writeAnswer(w, answerWith(query, 1))
 		})
 	}
-	r := startSidecarWith(t, server(0), server(1))
-	if got := r.call(t, "maint-on d-0"); got != "YES\n" {
-		t.Fatal(got)
+	sidecar := startDefaultSidecar(t, server(0), server(1))
+	if output := sidecar.command(t, "maint-on d-0"); output != "YES\n" {
+		t.Fatal(output)
 	}
-	before := asked[0].Load()
+	before := received[0].Load()
 	for range 50 {
-		m, err := dns.Exchange(new(dns.Msg).SetQuestion("a.look.test.", dns.TypeA), r.addr)
-		if err != nil || m.Rcode != dns.RcodeSuccess {
-			t.Errorf("%v %v", m, err)
+		response, err := dns.Exchange(new(dns.Msg).SetQuestion("a.look.test.", dns.TypeA), sidecar.addr)
+		if err != nil || response.Rcode != dns.RcodeSuccess {
+			t.Errorf("query during the drain of a server: answer %v, error %v; want NOERROR", response, err)
 		}
 	}
-	if asked[0].Load() != before || asked[1].Load() < 50 {
-		t.Errorf("the drained server was asked %d times", asked[0].Load()-before)
+	if received[0].Load() != before || received[1].Load() < 50 {
+		t.Errorf("the drained server received %d of 50 queries, want none, and all at the other server",
+			received[0].Load()-before)
 	}
-	if got := r.call(t, "maint-on d-9"); !strings.Contains(got, "unknown id") {
-		t.Error(got)
+	if output := sidecar.command(t, "maint-on d-9"); !strings.Contains(output, "unknown id") {
+		t.Error(output)
 	}
-	got := r.call(t, "stats")
+	output := sidecar.command(t, "stats")
 	for _, want := range []string{`app_dns_answered_total{group="dns.look"} `, `app_answered_total{group="look"} 0`} {
-		if !strings.Contains(got, want) {
-			t.Errorf("no %s in %s", want, got)
+		if !strings.Contains(output, want) {
+			t.Errorf("the metrics lack %s:\n%s", want, output)
 		}
 	}
 }
 
-// A query without a class, or an unsupported one, gets an answer that says why; a message that is no query gets none.
+// A query without a class and an unsupported query must get an answer with the reason; a message that is no query must
+// get none.
 func TestInvalidQueriesAreRejectedWithReason(t *testing.T) {
-	r := startSidecarWith(t, startServer(t, nil))
-	ask := func(m *dns.Msg) *dns.Msg {
+	sidecar := startDefaultSidecar(t, startServer(t, nil))
+	exchange := func(query *dns.Msg) *dns.Msg {
 		t.Helper()
-		m.SetEdns0(1232, false)
-		a, err := dns.Exchange(m, r.addr)
+		query.SetEdns0(1232, false)
+		response, err := dns.Exchange(query, sidecar.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return a
+		return response
 	}
 	chaos := new(dns.Msg).SetQuestion("a.look.test.", dns.TypeTXT)
 	chaos.Question[0].Qclass = dns.ClassCHAOS
@@ -117,201 +121,204 @@
 	notify := new(dns.Msg).SetNotify("a.look.test.")
 	status := new(dns.Msg).SetQuestion("a.look.test.", dns.TypeA)
 	status.Opcode = dns.OpcodeStatus
-	for name, c := range map[string]struct {
-		m    *dns.Msg
-		want int
+	for name, test := range map[string]struct {
+		query *dns.Msg
+		want  int
 	}{
-		"no class":     {new(dns.Msg).SetQuestion("a.other.test.", dns.TypeA), dns.RcodeRefused},
-		"a transfer":   {new(dns.Msg).SetAxfr("a.look.test."), dns.RcodeRefused},
-		"class CHAOS":  {chaos, dns.RcodeRefused},
-		"two":          {two, dns.RcodeFormatError},
-		"notify":       {notify, dns.RcodeRefused},
-		"opcode":       {status, dns.RcodeNotImplemented},
-		"update, look": {new(dns.Msg).SetUpdate("a.look.test."), dns.RcodeRefused},
+		"no class":      {new(dns.Msg).SetQuestion("a.other.test.", dns.TypeA), dns.RcodeRefused},
+		"zone transfer": {new(dns.Msg).SetAxfr("a.look.test."), dns.RcodeRefused},
+		"class CHAOS":   {chaos, dns.RcodeRefused},
+		"two":           {two, dns.RcodeFormatError},
+		"notify":        {notify, dns.RcodeRefused},
+		"opcode":        {status, dns.RcodeNotImplemented},
+		"update, look":  {new(dns.Msg).SetUpdate("a.look.test."), dns.RcodeRefused},
 	} {
-		if a := ask(c.m); a.Rcode != c.want {
-			t.Errorf("%s: %s, want %s", name, dns.RcodeToString[a.Rcode], dns.RcodeToString[c.want])
+		if response := exchange(test.query); response.Rcode != test.want {
+			t.Errorf("query of kind %q: response code %s, want %s",
+				name, dns.RcodeToString[response.Rcode], dns.RcodeToString[test.want])
 		}
 	}
-	c, err := net.Dial("udp", r.addr)
+	conn, err := net.Dial("udp", sidecar.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer conn.Close()
 	answer, _ := answerWith(new(dns.Msg).SetQuestion("a.look.test.", dns.TypeA), 1).Pack()
-	for _, raw := range [][]byte{{1}, make([]byte, 12), answer} { // short, without a question, and a response
-		if _, err := c.Write(raw); err != nil {
+	for _, raw := range [][]byte{{1}, make([]byte, 12), answer} { // too short, no question, a response
+		if _, err := conn.Write(raw); err != nil {
 			t.Fatal(err)
 		}
 	}
-	setReadTimeout(t, c, sidecartest.WaitTimeout)
+	setReadTimeout(t, conn, sidecartest.WaitTimeout)
 	buf := make([]byte, 512)
-	n, err := c.Read(buf) // of the second alone
-	if err != nil || n < 12 || buf[3]&0xf != dns.RcodeFormatError {
-		t.Errorf("%d bytes, %v", n, err)
+	size, err := conn.Read(buf) // only the second message has an answer
+	if err != nil || size < 12 || buf[3]&0xf != dns.RcodeFormatError {
+		t.Errorf("answer to a query without a question: %d bytes, error %v; want FORMERR", size, err)
 	}
-	if got := r.front.counters.Malformed.Value(); got < 4 {
-		t.Errorf("%d counted as malformed", got)
+	if got := sidecar.front.counters.Malformed.Value(); got < 4 {
+		t.Errorf("%d messages are counted as malformed, want at least 4", got)
 	}
 }
 
-// A client that repeats its open query gets one answer, and one query is sent. In a class that shares answers,
-// queries of other clients with the same question get the answer, too, each with its own ID.
+// A client that repeats its open query must get one answer, and the server only one query. In a class that shares
+// answers, queries of other clients with the same question must get that answer too, each with its own ID.
 func TestRepeatedAndSharedQueriesAreSentOnce(t *testing.T) {
 	var received atomic.Int32
-	var queries sync.Map // by socket and ID: a datagram that is sent again has the same
+	var sentQueries sync.Map // by socket and ID, which are the same if a datagram is sent again
 	release := make(chan struct{})
 	server := startServer(t, func(w dns.ResponseWriter, m *dns.Msg) {
 		if strings.HasPrefix(m.Question[0].Name, "slow.") {
 			received.Add(1)
-			queries.Store(fmt.Sprint(w.RemoteAddr(), m.Id), true)
+			sentQueries.Store(fmt.Sprint(w.RemoteAddr(), m.Id), true)
 			<-release
 		}
-		write(w, answerWith(m, 1))
+		writeAnswer(w, answerWith(m, 1))
 	})
-	s := testSettings()
-	for i := range s.Classes {
-		s.Classes[i].MaxAttempts = 1 // on a busy machine there may be time for a retry
+	settings := testSettings()
+	for i := range settings.Classes {
+		settings.Classes[i].MaxAttempts = 1 // on a busy machine a retry may become due
 	}
 	udp, tcp := listenUDPAndTCP(t)
-	r := startSidecar(t, s, retainedSockets{udp, tcp}, "", server)
-	resentBefore := r.front.counters.Resent.Value()
+	sidecar := startSidecar(t, settings, retainedSockets{udp, tcp}, "", server)
+	resentBefore := sidecar.front.counters.Resent.Value()
 	var conns []net.Conn
-	ask := func(c net.Conn, id uint16, name string) {
+	send := func(conn net.Conn, id uint16, name string) {
 		m := new(dns.Msg).SetQuestion(name, dns.TypeA)
 		m.Id = id
 		raw, err := m.Pack()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := c.Write(raw); err != nil {
+		if _, err := conn.Write(raw); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for range 3 {
-		c, err := net.Dial("udp", r.addr)
+		conn, err := net.Dial("udp", sidecar.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		conns = append(conns, c)
+		defer conn.Close()
+		conns = append(conns, conn)
 	}
-	ask(conns[0], 1, "slow.look.test.")
-	ask(conns[0], 1, "slow.look.test.")
-	ask(conns[0], 1, "SLOW.look.test.")
-	for i, c := range conns {
-		ask(c, uint16(10+i), "slow.same.test.")
+	send(conns[0], 1, "slow.look.test.")
+	send(conns[0], 1, "slow.look.test.")
+	send(conns[0], 1, "SLOW.look.test.")
+	for i, conn := range conns {
+		send(conn, uint16(10+i), "slow.same.test.")
 	}
-	repeated, shared := r.front.counters.Repeated, r.front.counters.AnswersShared
+	repeated, shared := sidecar.front.counters.Repeated, sidecar.front.counters.AnswersShared
 	for end := time.Now().Add(sidecartest.WaitTimeout); repeated.Value() < 2 || shared.Value() < 2; {
 		if time.Now().After(end) {
-			t.Fatalf("%d repeated, %d shared", repeated.Value(), shared.Value())
+			t.Fatalf("%d queries are counted as repeated and %d as shared before the deadline, want 2 of each",
+				repeated.Value(), shared.Value())
 		}
 	}
 	close(release)
 	buf := make([]byte, 512)
-	for i, c := range conns {
+	for i, conn := range conns {
 		want := map[uint16]bool{uint16(10 + i): true}
 		if i == 0 {
 			want[1] = true
 		}
 		for len(want) > 0 {
-			setReadTimeout(t, c, sidecartest.WaitTimeout)
-			if _, err := c.Read(buf); err != nil {
-				t.Fatalf("client %d lacks %v: %v", i, want, err)
+			setReadTimeout(t, conn, sidecartest.WaitTimeout)
+			if _, err := conn.Read(buf); err != nil {
+				t.Fatalf("client %d: reading the answers with the IDs %v: %v", i, want, err)
 			}
 			id := binary.BigEndian.Uint16(buf)
 			if !want[id] {
-				t.Errorf("client %d has a second answer, or another's: %d", i, id)
+				t.Errorf("client %d received an answer with ID %d: a second one, or that of another client", i, id)
 			}
 			delete(want, id)
 		}
-		setReadTimeout(t, c, 50*time.Millisecond)
-		if _, err := c.Read(buf); err == nil {
-			t.Errorf("client %d has a second answer", i)
+		setReadTimeout(t, conn, 50*time.Millisecond)
+		if _, err := conn.Read(buf); err == nil {
+			t.Errorf("client %d received another answer after all its queries were answered", i)
 		}
 	}
 	distinct := 0
-	queries.Range(func(any, any) bool {
+	sentQueries.Range(func(any, any) bool {
 		distinct++
 		return true
 	})
-	if distinct != 2 { // one for each name
-		t.Errorf("%d queries were sent", distinct)
+	if distinct != 2 { // one for each question
+		t.Errorf("the server received %d distinct queries, want 2", distinct)
 	}
-	if n, resent := int(received.Load()), int(r.front.counters.Resent.Value()-resentBefore); n > 2+resent {
-		t.Errorf("the server received %d datagrams, and %d were sent again", n, resent)
+	if datagrams, resent := int(received.Load()),
+		int(sidecar.front.counters.Resent.Value()-resentBefore); datagrams > 2+resent {
+		t.Errorf("the server received %d datagrams for 2 queries with %d resends", datagrams, resent)
 	}
 }
 
-// A client that keeps sending queries and reads no answer has no more than its limit open, loses its connection,
-// and does not delay others.
+// A client that keeps sending queries over TCP and reads no answers must lose its connection, and must not keep other
+// clients from being answered.
 func TestClientThatReadsNothingIsDisconnected(t *testing.T) {
-	r := startSidecarWith(t, startServer(t, func(w dns.ResponseWriter, m *dns.Msg) {
-		n := 1
-		if strings.HasPrefix(m.Question[0].Name, "big.") {
-			n = 250
+	sidecar := startDefaultSidecar(t, startServer(t, func(w dns.ResponseWriter, query *dns.Msg) {
+		addresses := 1
+		if strings.HasPrefix(query.Question[0].Name, "big.") {
+			addresses = 250
 		}
-		a := answerWith(m, n)
+		answer := answerWith(query, addresses)
 		if _, tcp := w.RemoteAddr().(*net.TCPAddr); !tcp {
-			a.Truncate(1232)
+			answer.Truncate(1232)
 		}
-		write(w, a)
+		writeAnswer(w, answer)
 	}))
-	c, err := net.Dial("tcp", r.addr)
+	conn, err := net.Dial("tcp", sidecar.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer conn.Close()
 	closed := make(chan struct{})
 	go func() {
 		defer close(closed)
-		for i := 0; ; i++ { // until it is given up
-			m := new(dns.Msg).SetQuestion("big.look.test.", dns.TypeA)
-			m.Id = uint16(i)
-			raw, _ := m.Pack()
-			if _, err := c.Write(append(binary.BigEndian.AppendUint16(nil, uint16(len(raw))), raw...)); err != nil {
+		for i := 0; ; i++ { // until the sidecar closes the connection
+			query := new(dns.Msg).SetQuestion("big.look.test.", dns.TypeA)
+			query.Id = uint16(i)
+			raw, _ := query.Pack()
+			if _, err := conn.Write(append(binary.BigEndian.AppendUint16(nil, uint16(len(raw))), raw...)); err != nil {
 				return
 			}
 		}
 	}()
-	// Meanwhile each query of another client is answered, though the module may refuse it: the one server has much
-	// to do. Once the flood is over it is served.
+	// Meanwhile each query of another client is answered, though the decision module may reject it because the only
+	// server is busy. Once the flood is over the other client must be served.
 	other := dns.Client{Timeout: sidecartest.WaitTimeout}
-	ask := func() bool {
-		m, _, err := other.Exchange(new(dns.Msg).SetQuestion("a.look.test.", dns.TypeA), r.addr)
+	isServed := func() bool {
+		response, _, err := other.Exchange(new(dns.Msg).SetQuestion("a.look.test.", dns.TypeA), sidecar.addr)
 		if err != nil {
-			t.Fatalf("another client: %v", err)
+			t.Fatalf("query of another client: %v", err)
 		}
-		return m.Rcode == dns.RcodeSuccess
+		return response.Rcode == dns.RcodeSuccess
 	}
-	asked, end := 0, time.Now().Add(sidecartest.WaitTimeout)
-	for ; r.front.counters.Unsent.Value() == 0; asked++ {
+	queries, end := 0, time.Now().Add(sidecartest.WaitTimeout)
+	for ; sidecar.front.counters.Unsent.Value() == 0; queries++ {
 		if time.Now().After(end) {
-			t.Fatal("it is not given up")
+			t.Fatal("the sidecar still accepts answers for the client that reads none at the deadline")
 		}
-		ask()
+		isServed()
 	}
-	if asked == 0 {
-		t.Error("nothing was asked while it read nothing")
+	if queries == 0 {
+		t.Error("another client sent no queries during the flood")
 	}
-	c.Close()
+	conn.Close()
 	<-closed
-	for end := time.Now().Add(sidecartest.WaitTimeout); !ask(); {
+	for end := time.Now().Add(sidecartest.WaitTimeout); !isServed(); {
 		if time.Now().After(end) {
-			t.Fatal("another client is not served after it")
+			t.Fatal("another client is not served before the deadline after the flood")
 		}
 	}
 }
 
-// A new process takes over both sockets under load, and each query has one answer from either process.
+// When a new process takes over both sockets under load, each query must still be answered by one of the processes.
 func TestHandoverUnderLoadAnswersEachQueryOnce(t *testing.T) {
 	udp, tcp := listenUDPAndTCP(t)
 	dir, server := t.TempDir(), startServer(t, nil)
 	old := startSidecar(t, testSettings(), retainedSockets{udp, tcp}, dir, server)
 	var clients sync.WaitGroup
 	stop := make(chan struct{})
-	var asked, failed, unserved atomic.Int32
+	var sent, failed, unserved atomic.Int32
 	for i := range 4 {
 		clients.Go(func() {
 			network := []string{"udp", "tcp"}[i%2]
@@ -322,10 +329,10 @@
 				default:
 				}
 				client := &dns.Client{Net: network, Timeout: sidecartest.WaitTimeout}
-				m, _, err := client.Exchange(new(dns.Msg).SetQuestion("a.look.test.", dns.TypeA), old.addr)
-				if asked.Add(1); err != nil {
+				response, _, err := client.Exchange(new(dns.Msg).SetQuestion("a.look.test.", dns.TypeA), old.addr)
+				if sent.Add(1); err != nil {
 					failed.Add(1)
-				} else if m.Rcode != dns.RcodeSuccess { // still an answer: on a machine that stalls some fail
+				} else if response.Rcode != dns.RcodeSuccess { // some queries fail if the machine stalls
 					unserved.Add(1)
 				}
 			}
@@ -335,15 +342,15 @@
 	if err := sidecartest.Receive(t, old.ended, "the old process's end"); err != nil {
 		t.Error(err)
 	}
-	before := asked.Load()
-	for end := time.Now().Add(sidecartest.WaitTimeout); asked.Load() < before+100 && time.Now().Before(end); {
+	sentBefore := sent.Load()
+	for end := time.Now().Add(sidecartest.WaitTimeout); sent.Load() < sentBefore+100 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	close(stop)
 	clients.Wait()
-	if asked.Load() < before+100 || failed.Load() > 0 || unserved.Load() > asked.Load()/2 {
-		t.Errorf("%d of %d had no answer, %d were not served, %d asked before",
-			failed.Load(), asked.Load(), unserved.Load(), before)
+	if sent.Load() < sentBefore+100 || failed.Load() > 0 || unserved.Load() > sent.Load()/2 {
+		t.Errorf("%d of %d queries had no answer, %d were answered with an error; %d were sent before the handover ended",
+			failed.Load(), sent.Load(), unserved.Load(), sentBefore)
 	}
 	next.stop()
 }
--- a/internal/dataplane/dnsfront/header.go
+++ b/internal/dataplane/dnsfront/header.go
@@ -12,17 +12,16 @@
 	truncatedFlag       byte = 0x02
 	opcodeShift              = 3
 	opcodeMask               = 0xf
-	rcodeMask                = 0xf // the response code has more bits in an OPT record
+	rcodeMask                = 0xf // the lower bits of the response code; an OPT record holds the others
 )
 
 func headerID(raw []byte) uint16 { return binary.BigEndian.Uint16(raw) }
 
-// setID sets the ID of an encoded message.
 func setID(raw []byte, id uint16) { binary.BigEndian.PutUint16(raw, id) }
 
 func isResponse(raw []byte) bool { return raw[flagsOffset]&responseFlag != 0 }
 
-// isTruncated reports whether an answer is incomplete, so that it is to be asked for over TCP.
+// isTruncated reports whether an answer was truncated, so that its query must be sent again over TCP.
 func isTruncated(raw []byte) bool { return raw[flagsOffset]&truncatedFlag != 0 }
 
 func headerOpcode(raw []byte) int { return int(raw[flagsOffset]>>opcodeShift) & opcodeMask }
--- a/internal/dataplane/dnsfront/leak_test.go
+++ b/internal/dataplane/dnsfront/leak_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// Whatever happened, nothing is left running.
+// TestMain fails the tests if goroutines are left running after them.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/dataplane/dnsfront/lookups.go
+++ b/internal/dataplane/dnsfront/lookups.go
@@ -8,66 +8,67 @@
 	"birchmoor/internal/dataplane/core"
 )
 
-// lookup is a query on its way through the core, and all open queries that wait for its answer.
-type lookup struct {
+// lookupState is a request to the event loop, with all open queries that wait for its answer.
+type lookupState struct {
 	request   *core.Request
-	key       string // in Server.sharedLookups; "" if no other query may join
-	waiters   []*openQuery
-	abandoned chan struct{} // closed once all clients have gone
+	key       string        // class and question in Server.sharedLookups; "" if no other query may join
+	waiters   []*openQuery  // guarded by Server.mu
+	abandoned chan struct{} // closed once the clients of all waiters have disconnected
 }
 
-// submit passes a query to the core, or has it join a lookup with the same question.
-func (s *Server) submit(w *openQuery, classIndex int) {
+// submit starts a lookup for an admitted query, or lets it join a lookup of its class with the same question.
+func (s *Server) submit(open *openQuery, classIndex int) {
 	class := &s.settings.Classes[classIndex]
-	w.class = className(class.Name)
+	open.class = className(class.Name)
 	s.metrics.InFlight.Add(1)
-	l := &lookup{waiters: []*openQuery{w}, abandoned: make(chan struct{})}
-	if class.ShareAnswers && class.isIdempotent() && !w.question.isPassedThrough() {
-		l.key = strconv.Itoa(classIndex) + "/" + w.id.question
+	newLookup := &lookupState{waiters: []*openQuery{open}, abandoned: make(chan struct{})}
+	if class.ShareAnswers && class.isIdempotent() && !open.query.isPassedThrough() {
+		newLookup.key = strconv.Itoa(classIndex) + "/" + open.repeatKey.questionKey
 	}
-	joined, closed := s.joinOrAdd(w, l)
+	joined, closed := s.joinOrAdd(open, newLookup)
 	switch {
 	case closed:
-		s.countAbandoned(w)
+		s.abandonQuery(open)
 	case joined:
 		s.counters.AnswersShared.Inc()
 	default:
-		l.request = s.newRequest(w, class, classIndex)
-		s.inFlight.Go(func() { s.await(l) })
+		newLookup.request = s.newRequest(open, class, classIndex)
+		s.inFlight.Go(func() { s.runLookup(newLookup) })
 	}
 }
 
-// joinOrAdd has a query join the lookup with the key of l or, if there is none, adds l. It reports whether the query
-// joined another lookup, or its connection was closed in the meantime.
-func (s *Server) joinOrAdd(w *openQuery, l *lookup) (joined, closed bool) {
+// joinOrAdd adds a query to the waiters of the shared lookup with the key of newLookup, or makes newLookup the lookup
+// of the query. joined reports whether the query joined another lookup; closed, whether its connection was closed in
+// the meantime, so that it needs no lookup.
+func (s *Server) joinOrAdd(open *openQuery, newLookup *lookupState) (joined, closed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if w.conn != nil && !s.conns.beginQuery(w.conn, w) {
+	if open.conn != nil && !s.conns.beginQuery(open.conn, open) {
 		return false, true
 	}
-	w.lookup = l
-	if l.key == "" {
+	open.lookup = newLookup
+	if newLookup.key == "" {
 		return false, false
 	}
-	if other := s.sharedLookups[l.key]; other != nil {
-		other.waiters = append(other.waiters, w)
-		w.lookup = other
+	if existing := s.sharedLookups[newLookup.key]; existing != nil {
+		existing.waiters = append(existing.waiters, open)
+		open.lookup = existing
 		return true, false
 	}
-	s.sharedLookups[l.key] = l
+	s.sharedLookups[newLookup.key] = newLookup
 	return false, false
 }
 
-// newRequest returns the core's request for a query.
-func (s *Server) newRequest(w *openQuery, class *Class, classIndex int) *core.Request {
+// newRequest returns the request to the event loop for a query.
+func (s *Server) newRequest(open *openQuery, class *Class, classIndex int) *core.Request {
 	snapshot := s.eventLoop.ConfigSnapshot()
 	return &core.Request{
 		ID:          strconv.FormatUint(s.lastRequestID.Add(1), 10),
-		Class:       w.class,
+		Class:       open.class,
 		Config:      snapshot,
 		Answer:      make(chan core.Answer, 1),
 		MaxAttempts: class.MaxAttempts,
-		Payload:     &upstreamQuery{question: w.question, tcp: !class.isIdempotent()},
+		Payload:     &upstreamQuery{query: open.query, overTCP: !class.isIdempotent()},
 		Input: balancer.Request{
 			Class:    uint8(classIndex),
 			Tenant:   math.MaxUint16,
@@ -78,37 +79,40 @@
 	}
 }
 
-// await submits a lookup and answers all queries that wait for it.
-func (s *Server) await(l *lookup) {
-	s.eventLoop.Submit(l.request)
+// runLookup submits the request of a lookup to the event loop, and answers all queries that wait for it. If the lookup
+// is abandoned, its answer is discarded.
+func (s *Server) runLookup(lookup *lookupState) {
+	s.eventLoop.Submit(lookup.request)
 	select {
-	case a := <-l.request.Answer:
-		for _, w := range s.finish(l) {
-			if w.conn == nil {
-				s.answer(w, a)
+	case coreAnswer := <-lookup.request.Answer:
+		for _, waiter := range s.finishLookup(lookup) {
+			if waiter.conn == nil {
+				s.answer(waiter, coreAnswer)
 				continue
 			}
-			s.inFlight.Go(func() { s.answer(w, a) }) // a write to a connection may block
+			// A write to a connection may block, and must not delay the other answers.
+			s.inFlight.Go(func() { s.answer(waiter, coreAnswer) })
 		}
-	case <-l.abandoned:
-		s.eventLoop.ClientDisconnected(l.request)
-		(<-l.request.Answer).Discard()
+	case <-lookup.abandoned:
+		s.eventLoop.ClientDisconnected(lookup.request)
+		(<-lookup.request.Answer).Discard()
 	}
 }
 
-// finish ends a lookup, and returns the queries that wait for its answer.
-func (s *Server) finish(l *lookup) []*openQuery {
+// finishLookup ends a lookup that has its answer: no other query may join it. It returns the queries that wait for the
+// answer.
+func (s *Server) finishLookup(lookup *lookupState) []*openQuery {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stopSharingLocked(l)
-	waiters := l.waiters
-	l.waiters = nil
+	s.stopSharingLocked(lookup)
+	waiters := lookup.waiters
+	lookup.waiters = nil
 	return waiters
 }
 
-// stopSharingLocked lets no other query join a lookup.
-func (s *Server) stopSharingLocked(l *lookup) {
-	if l.key != "" && s.sharedLookups[l.key] == l {
-		delete(s.sharedLookups, l.key)
+// stopSharingLocked removes a lookup from the shared ones, so that no other query joins it.
+func (s *Server) stopSharingLocked(lookup *lookupState) {
+	if lookup.key != "" && s.sharedLookups[lookup.key] == lookup {
+		delete(s.sharedLookups, lookup.key)
 	}
 }
--- a/internal/dataplane/dnsfront/queries.go
+++ b/internal/dataplane/dnsfront/queries.go
@@ -15,232 +15,250 @@
 	"birchmoor/internal/platform/metrics"
 )
 
-// queryID identifies an open query as its client may repeat it.
-type queryID struct {
-	from     netip.AddrPort
-	conn     *clientConn // nil over UDP
-	id       uint16
-	question string
+// repeatKey identifies an open query. A client that sends the query again sends a query with the same key.
+type repeatKey struct {
+	clientAddr  netip.AddrPort
+	conn        *clientConn // nil over UDP
+	id          uint16      // the ID of the client's message
+	questionKey string
 }
 
-// openQuery is a query that was received and has no answer yet.
+// openQuery is a client's query that was received and has not been answered. Server.mu guards lookup; the other fields
+// do not change after the query was submitted.
 type openQuery struct {
-	question *question
-	from     netip.AddrPort
-	conn     *clientConn // nil over UDP
-	id       queryID
-	class    string       // as the metrics name it
-	client   netip.Prefix // whose limits it counts against
-	verified bool         // the client can receive what is sent to its address
-	lookup   *lookup
-}
-
-// receive handles one message of a client: it submits the query, answers it at once, or discards it.
-func (s *Server) receive(raw []byte, from netip.AddrPort, conn *clientConn) {
-	q, err := parseQuery(raw)
-	if q == nil {
+	query        *parsedQuery
+	clientAddr   netip.AddrPort
+	conn         *clientConn // nil over UDP
+	repeatKey    repeatKey
+	class        string       // the name of its class in metrics
+	clientPrefix netip.Prefix // the network whose limits it counts against
+	verified     bool         // the client has shown that it receives what is sent to its address
+	lookup       *lookupState // the lookup whose answer it waits for; nil before it is submitted
+}
+
+// receive handles one message of a client: it submits the query, answers it immediately, or discards it. conn is nil
+// for a message over UDP.
+func (s *Server) receive(raw []byte, clientAddr netip.AddrPort, conn *clientConn) {
+	query, err := parseQuery(raw)
+	if query == nil {
 		s.counters.Malformed.Inc()
 		return
 	}
-	w := &openQuery{question: q, from: from, conn: conn, client: limit.ClientPrefix(from.Addr())}
-	w.verified = conn != nil || s.hasValidCookie(q, from.Addr())
+	open := &openQuery{
+		query:        query,
+		clientAddr:   clientAddr,
+		conn:         conn,
+		clientPrefix: limit.ClientPrefix(clientAddr.Addr()),
+	}
+	open.verified = conn != nil || s.hasValidCookie(query, clientAddr.Addr())
 	if err != nil {
-		s.rejectInvalid(w, err)
+		s.rejectInvalid(open, err)
 		return
 	}
-	asked := q.msg.Question[0]
-	class, routed := s.routes.Find(route.Query{Name: asked.Name, Type: asked.Qtype, Opcode: q.opcode, TCP: conn != nil})
-	w.id = queryID{from, conn, q.id, q.key()}
-	decision, repeated := s.admit(w, routed)
+	question := query.msg.Question[0]
+	classIndex, routed := s.routes.Find(route.Query{
+		Name:   question.Name,
+		Type:   question.Qtype,
+		Opcode: query.opcode,
+		TCP:    conn != nil,
+	})
+	open.repeatKey = repeatKey{clientAddr, conn, query.id, query.questionKey()}
+	decision, repeated := s.admit(open, routed)
 	switch {
 	case repeated:
-		s.counters.Repeated.Inc() // the answer to the open query goes to the same place
-	case s.isOverRate(w, decision):
+		s.counters.Repeated.Inc() // the answer to the open query has the same client and ID
+	case s.handleOverRate(open, decision):
 	case !routed:
 		s.counters.Unrouted.Inc()
-		s.reject(w, dns.RcodeRefused, dns.ExtendedErrorCodeProhibited, "no class for this name, type or operation")
+		s.reject(open, dns.RcodeRefused, dns.ExtendedErrorCodeProhibited, "no class for this name, type or operation")
 	case decision == limit.Shed:
 		s.counters.Shed.Inc()
-		w.class = className(s.settings.Classes[class].Name)
-		s.metrics.Class(w.class).Deferred.Inc()
-		s.reject(w, dns.RcodeRefused, dns.ExtendedErrorCodeOther, "refused: too many queries are open")
+		open.class = className(s.settings.Classes[classIndex].Name)
+		s.metrics.Class(open.class).Deferred.Inc()
+		s.reject(open, dns.RcodeRefused, dns.ExtendedErrorCodeOther, "refused: too many queries are open")
 	default:
-		s.submit(w, class)
+		s.submit(open, classIndex)
 	}
 }
 
-// hasValidCookie reports whether a query returns a cookie that this server gave to its address.
-func (s *Server) hasValidCookie(q *question, from netip.Addr) bool {
-	if q.clientCookie == "" || q.serverCookie == "" {
+// hasValidCookie reports whether a query returns a valid cookie that this server gave to clientAddr.
+func (s *Server) hasValidCookie(query *parsedQuery, clientAddr netip.Addr) bool {
+	if query.clientCookie == "" || query.serverCookie == "" {
 		return false
 	}
-	return s.secret.verify(time.Now(), from, q.clientCookie, q.serverCookie)
+	return s.secret.verify(time.Now(), clientAddr, query.clientCookie, query.serverCookie)
 }
 
-// rejectInvalid answers a query that cannot be handled, within its client's rate.
-func (s *Server) rejectInvalid(w *openQuery, err error) {
+// rejectInvalid answers a query that cannot be handled with the reason, within the rate of its client.
+func (s *Server) rejectInvalid(open *openQuery, err error) {
 	s.mu.Lock()
-	decision := s.admission.Decide(s.eventLoop.Now(), w.client, w.verified)
+	decision := s.admission.Decide(s.eventLoop.Now(), open.clientPrefix, open.verified)
 	if decision == limit.Admit {
-		s.admission.Done(w.client, w.verified)
+		s.admission.Done(open.clientPrefix, open.verified)
 	}
 	s.mu.Unlock()
-	if s.isOverRate(w, decision) {
+	if s.handleOverRate(open, decision) {
 		return
 	}
 	s.counters.Malformed.Inc()
 	var invalid *queryError
 	if errors.As(err, &invalid) {
-		s.reject(w, invalid.rcode, dns.ExtendedErrorCodeNotSupported, invalid.text)
+		s.reject(open, invalid.rcode, dns.ExtendedErrorCodeNotSupported, invalid.text)
 	}
 }
 
-// admit decides whether a query is handled. An admitted query that has a class is open from then on; repeated reports
-// that it was open before.
-func (s *Server) admit(w *openQuery, routed bool) (decision limit.Decision, repeated bool) {
+// admit decides whether a query is handled. If it is admitted and belongs to a class, it is open from then on; without
+// a class it is answered immediately, and takes no capacity. repeated reports that the same query of the client is open
+// already; decision is then meaningless.
+func (s *Server) admit(open *openQuery, routed bool) (decision limit.Decision, repeated bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, open := s.openQueries[w.id]; open {
+	if _, isOpen := s.openQueries[open.repeatKey]; isOpen {
 		return 0, true
 	}
-	decision = s.admission.Decide(s.eventLoop.Now(), w.client, w.verified)
+	decision = s.admission.Decide(s.eventLoop.Now(), open.clientPrefix, open.verified)
 	if decision != limit.Admit {
 		return decision, false
 	}
 	if routed {
-		s.openQueries[w.id] = struct{}{}
+		s.openQueries[open.repeatKey] = struct{}{}
 	} else {
-		s.admission.Done(w.client, w.verified)
+		s.admission.Done(open.clientPrefix, open.verified)
 	}
 	return decision, false
 }
 
-// isOverRate reports whether a query is over its client's rate; it is then dropped, or answered truncated and empty.
-func (s *Server) isOverRate(w *openQuery, decision limit.Decision) bool {
+// handleOverRate reports whether a query is over the rate of its client. In that case it has handled the query, by
+// dropping it or by a truncated, empty answer.
+func (s *Server) handleOverRate(open *openQuery, decision limit.Decision) bool {
 	switch decision {
 	case limit.Drop:
 		s.counters.RateDropped.Inc()
 		return true
 	case limit.Truncate:
 		s.counters.RateTruncated.Inc()
-		s.send(w, w.question.truncatedAnswer(nil, s.replyOptions(w)))
+		s.send(open, open.query.truncatedAnswer(nil, s.replyOptions(open)))
 		return true
 	default:
 		return false
 	}
 }
 
-// reject answers with a response code and an extended error, without a lookup.
-func (s *Server) reject(w *openQuery, rcode int, code uint16, text string) {
-	s.send(w, w.question.errorAnswer(rcode, code, text, s.replyOptions(w)))
+// reject answers a query that has no lookup with a response code and an extended error.
+func (s *Server) reject(open *openQuery, rcode int, code uint16, text string) {
+	s.send(open, open.query.errorAnswer(rcode, code, text, s.replyOptions(open)))
 }
 
-// answer gives a query its final answer.
-func (s *Server) answer(w *openQuery, a core.Answer) {
-	raw, counter := s.finalAnswer(w, a)
+// answer sends a submitted query its final answer, and ends it.
+func (s *Server) answer(open *openQuery, coreAnswer core.Answer) {
+	raw, counter := s.finalAnswer(open, coreAnswer)
 	counter.Inc()
-	// The query ends before its answer is sent: the client may use the ID again at once.
-	s.release(w)
-	s.send(w, raw)
+	// The query ends before its answer is sent, since the client may reuse the ID as soon as it has the answer.
+	s.release(open)
+	s.send(open, raw)
 }
 
-// finalAnswer encodes the answer to a query, and returns the counter that it belongs to.
-func (s *Server) finalAnswer(w *openQuery, a core.Answer) ([]byte, *metrics.Counter) {
-	class := s.metrics.Class(w.class)
-	options := s.replyOptions(w)
-	switch a.Disposition {
+// finalAnswer encodes the final answer to a query, and returns it with the counter of its class that counts it. The
+// encoded answer is nil if no message could be encoded.
+func (s *Server) finalAnswer(open *openQuery, coreAnswer core.Answer) ([]byte, *metrics.Counter) {
+	class := s.metrics.Class(open.class)
+	options := s.replyOptions(open)
+	switch coreAnswer.Disposition {
 	case core.Served:
-		raw, err := w.question.packAnswer(a.Reply.Content.(*answer), options)
+		raw, err := open.query.packAnswer(coreAnswer.Reply.Content.(*serverAnswer), options)
 		if err != nil {
 			const text = "the answer cannot be written"
-			raw = w.question.errorAnswer(dns.RcodeServerFailure, dns.ExtendedErrorCodeInvalidData, text, options)
+			raw = open.query.errorAnswer(dns.RcodeServerFailure, dns.ExtendedErrorCodeInvalidData, text, options)
 			return raw, &class.Errored
 		}
 		return raw, &class.Answered
 	case core.Rejected:
 		text := "refused: try again later"
-		if a.RetryAfter > 0 {
-			text = fmt.Sprintf("refused: try again in %d ms", a.RetryAfter.Milliseconds())
+		if coreAnswer.RetryAfter > 0 {
+			text = fmt.Sprintf("refused: try again in %d ms", coreAnswer.RetryAfter.Milliseconds())
 		}
-		return w.question.errorAnswer(dns.RcodeRefused, dns.ExtendedErrorCodeOther, text, options), &class.Deferred
+		return open.query.errorAnswer(dns.RcodeRefused, dns.ExtendedErrorCodeOther, text, options), &class.Deferred
 	case core.FailedTimeout:
 		const text = "no answer in time"
-		raw := w.question.errorAnswer(dns.RcodeServerFailure, dns.ExtendedErrorCodeNoReachableAuthority, text, options)
+		raw := open.query.errorAnswer(dns.RcodeServerFailure, dns.ExtendedErrorCodeNoReachableAuthority, text, options)
 		return raw, &class.Errored
 	default:
 		const text = "no server answered"
-		raw := w.question.errorAnswer(dns.RcodeServerFailure, dns.ExtendedErrorCodeNetworkError, text, options)
+		raw := open.query.errorAnswer(dns.RcodeServerFailure, dns.ExtendedErrorCodeNetworkError, text, options)
 		return raw, &class.Errored
 	}
 }
 
-// replyOptions returns what a client gets besides the answer.
-func (s *Server) replyOptions(w *openQuery) replyOptions {
-	r := replyOptions{tcp: w.conn != nil}
-	if w.question.clientCookie != "" {
-		r.cookie = s.secret.serverPart(time.Now(), w.from.Addr(), w.question.clientCookie)
+// replyOptions returns the transport, cookie and idle timeout for the answer to a query. While the server is closing,
+// the idle timeout is 0.
+func (s *Server) replyOptions(open *openQuery) replyOptions {
+	options := replyOptions{overTCP: open.conn != nil}
+	if open.query.clientCookie != "" {
+		options.serverCookie = s.secret.serverPart(time.Now(), open.clientAddr.Addr(), open.query.clientCookie)
 	}
 	if !s.closing.Load() {
-		r.keepalive = s.settings.IdleTimeout
+		options.keepaliveTimeout = s.settings.IdleTimeout
 	}
-	return r
+	return options
 }
 
-// send writes a message to the client, completely or not at all. Raw is nil where no message could be encoded.
-func (s *Server) send(w *openQuery, raw []byte) {
+// send writes an encoded message to the client of a query, completely or not at all. A message that is not sent is
+// counted. raw is nil if no message could be encoded.
+func (s *Server) send(open *openQuery, raw []byte) {
 	if raw == nil {
 		s.counters.Unsent.Inc()
 		return
 	}
 	var err error
-	if w.conn != nil {
-		err = w.conn.send(raw)
+	if open.conn != nil {
+		err = open.conn.send(raw)
 	} else {
-		_, err = s.udp.WriteToUDPAddrPort(raw, w.from)
+		_, err = s.udp.WriteToUDPAddrPort(raw, open.clientAddr)
 	}
 	if err != nil {
 		s.counters.Unsent.Inc()
 	}
 }
 
-// release ends a submitted query.
-func (s *Server) release(w *openQuery) {
+// release ends a submitted query and frees its capacity.
+func (s *Server) release(open *openQuery) {
 	s.metrics.InFlight.Add(-1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.openQueries, w.id)
-	s.admission.Done(w.client, w.verified)
-	if w.conn != nil {
-		s.conns.endQuery(w.conn, w)
+	delete(s.openQueries, open.repeatKey)
+	s.admission.Done(open.clientPrefix, open.verified)
+	if open.conn != nil {
+		s.conns.endQuery(open.conn, open)
 	}
 }
 
-// countAbandoned ends and counts a query whose client does not wait for its answer.
-func (s *Server) countAbandoned(w *openQuery) {
-	s.release(w)
-	s.metrics.Class(w.class).Errored.Inc()
+// abandonQuery ends a submitted query whose client has disconnected, and counts it as failed.
+func (s *Server) abandonQuery(open *openQuery) {
+	s.release(open)
+	s.metrics.Class(open.class).Errored.Inc()
 }
 
-// clientLeft ends a query whose client has closed its connection.
-func (s *Server) clientLeft(w *openQuery) {
-	if s.removeWaiter(w) {
-		s.countAbandoned(w)
+// clientDisconnected ends a submitted query whose connection was closed, unless it is being answered.
+func (s *Server) clientDisconnected(open *openQuery) {
+	if s.removeWaiter(open) {
+		s.abandonQuery(open)
 	}
 }
 
-// removeWaiter takes a query off its lookup, which is abandoned with the last, and reports whether it still waited.
-func (s *Server) removeWaiter(w *openQuery) bool {
+// removeWaiter removes a query from the waiters of its lookup, and reports whether it was one of them. Without waiters
+// the lookup is abandoned.
+func (s *Server) removeWaiter(open *openQuery) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := w.lookup
-	i := slices.Index(l.waiters, w)
-	if i < 0 {
+	lookup := open.lookup
+	index := slices.Index(lookup.waiters, open)
+	if index < 0 {
 		return false
 	}
-	l.waiters = slices.Delete(l.waiters, i, i+1)
-	if len(l.waiters) == 0 {
-		s.stopSharingLocked(l)
-		close(l.abandoned)
+	lookup.waiters = slices.Delete(lookup.waiters, index, index+1)
+	if len(lookup.waiters) == 0 {
+		s.stopSharingLocked(lookup)
+		close(lookup.abandoned)
 	}
 	return true
 }
--- a/internal/dataplane/dnsfront/query.go
+++ b/internal/dataplane/dnsfront/query.go
@@ -9,30 +9,31 @@
 )
 
 const (
-	maxUDPSize      = 1232 // bytes of a message over UDP, which fit an IPv6 path without fragmentation
+	maxUDPSize      = 1232 // bytes of a message over UDP, which fits an IPv6 path without fragmentation
 	maxPlainUDPSize = 512  // bytes of an answer over UDP to a client without EDNS
 )
 
-// question is a query as its client sent it.
-type question struct {
-	id            uint16
-	opcode        int
-	raw           []byte // the complete message, for what is passed through unchanged
-	msg           *dns.Msg
-	edns          bool
-	dnssecOK      bool
-	maxUDPSize    int    // bytes that an answer over UDP may have
-	clientCookie  string // the client's part, in hex; "" for none
-	serverCookie  string // the part that the client returns as this server's, in hex
-	asksKeepalive bool   // the client asks how long a TCP connection stays open
+// parsedQuery is a client's query in parsed form. It is not changed after parsing, and may be shared.
+type parsedQuery struct {
+	id                uint16
+	opcode            int
+	raw               []byte   // the complete message, for a query that is passed through
+	msg               *dns.Msg // nil if the message could not be parsed
+	hasEDNS           bool
+	dnssecOK          bool
+	maxUDPSize        int    // maximum size of an answer over UDP, in bytes
+	clientCookie      string // the client's part of the cookie, in hex; "" without a cookie
+	serverCookie      string // the server's part of the cookie as the client returned it, in hex; may be ""
+	requestsKeepalive bool   // the client requests the idle timeout of its TCP connection (RFC 7828)
 }
 
 var (
-	errShort    = errors.New("shorter than a header")
-	errResponse = errors.New("is a response")
+	errShort    = errors.New("message is shorter than a DNS header")
+	errResponse = errors.New("message is a response")
 )
 
-// queryError says why a query cannot be handled, as its client is told.
+// queryError is the reason why a query cannot be handled: the response code for the client, and the text of the
+// extended error.
 type queryError struct {
 	rcode int
 	text  string
@@ -40,61 +41,63 @@
 
 func (e *queryError) Error() string { return e.text }
 
-// parseQuery parses a query. The question is nil where the message must not be answered: a server that answers
-// responses could be made to exchange messages with itself. All other errors are a *queryError.
-func parseQuery(raw []byte) (*question, error) {
+// parseQuery parses a query. It returns a nil query for a message that must not be answered: one that is too short, or
+// a response, since a server that answers responses could be made to exchange messages with itself. All other errors
+// are a *queryError, and the query is returned with them for the error answer.
+func parseQuery(raw []byte) (*parsedQuery, error) {
 	if len(raw) < headerSize {
 		return nil, errShort
 	}
 	if isResponse(raw) {
 		return nil, errResponse
 	}
-	q := &question{id: headerID(raw), opcode: headerOpcode(raw), maxUDPSize: maxPlainUDPSize, raw: raw}
-	switch q.opcode {
+	query := &parsedQuery{id: headerID(raw), opcode: headerOpcode(raw), maxUDPSize: maxPlainUDPSize, raw: raw}
+	switch query.opcode {
 	case dns.OpcodeQuery, dns.OpcodeNotify, dns.OpcodeUpdate:
 	default:
-		return q, &queryError{dns.RcodeNotImplemented, "opcode"}
+		return query, &queryError{dns.RcodeNotImplemented, "opcode"}
 	}
 	if questionCount(raw) != 1 {
-		return q, &queryError{dns.RcodeFormatError, "not one question"}
+		return query, &queryError{dns.RcodeFormatError, "not one question"}
 	}
-	m := new(dns.Msg)
-	if err := m.Unpack(raw); err != nil || len(m.Question) != 1 {
-		return q, &queryError{dns.RcodeFormatError, "malformed"}
+	message := new(dns.Msg)
+	if err := message.Unpack(raw); err != nil || len(message.Question) != 1 {
+		return query, &queryError{dns.RcodeFormatError, "malformed"}
 	}
-	q.msg = m
-	if err := q.parseEDNS(); err != nil {
-		return q, err
+	query.msg = message
+	if err := query.parseEDNS(); err != nil {
+		return query, err
 	}
-	if q.opcode != dns.OpcodeQuery {
-		return q, nil
+	if query.opcode != dns.OpcodeQuery {
+		return query, nil
 	}
-	return q, checkQuestion(m.Question[0])
+	return query, checkQuestion(message.Question[0])
 }
 
-// checkQuestion returns a *queryError for a question that this front does not support.
-func checkQuestion(asked dns.Question) error {
+// checkQuestion returns a *queryError for a question that the front does not support: a zone transfer, or a class other
+// than IN.
+func checkQuestion(question dns.Question) error {
 	switch {
-	case asked.Qtype == dns.TypeAXFR, asked.Qtype == dns.TypeIXFR:
+	case question.Qtype == dns.TypeAXFR, question.Qtype == dns.TypeIXFR:
 		return &queryError{dns.RcodeRefused, "transfers are not carried"}
-	case asked.Qclass != dns.ClassINET:
+	case question.Qclass != dns.ClassINET:
 		return &queryError{dns.RcodeRefused, "only class IN is carried"}
 	default:
 		return nil
 	}
 }
 
-// parseEDNS reads the OPT record, if there is one. It returns a *queryError.
-func (q *question) parseEDNS() error {
-	for _, rr := range q.msg.Extra {
-		opt, ok := rr.(*dns.OPT)
+// parseEDNS reads the OPT record, if there is one. Its error is a *queryError.
+func (q *parsedQuery) parseEDNS() error {
+	for _, record := range q.msg.Extra {
+		opt, ok := record.(*dns.OPT)
 		if !ok {
 			continue
 		}
-		if q.edns {
+		if q.hasEDNS {
 			return &queryError{dns.RcodeFormatError, "more than one OPT"}
 		}
-		q.edns, q.dnssecOK = true, opt.Do()
+		q.hasEDNS, q.dnssecOK = true, opt.Do()
 		q.maxUDPSize = min(max(maxPlainUDPSize, int(opt.UDPSize())), maxUDPSize)
 		if opt.Version() != 0 {
 			return &queryError{dns.RcodeBadVers, "EDNS version"}
@@ -106,23 +109,23 @@
 	return nil
 }
 
-func (q *question) parseOptions(options []dns.EDNS0) error {
+func (q *parsedQuery) parseOptions(options []dns.EDNS0) error {
 	for _, option := range options {
-		switch o := option.(type) {
+		switch typed := option.(type) {
 		case *dns.EDNS0_COOKIE:
-			if !isCookieLength(len(o.Cookie)) {
+			if !isCookieLength(len(typed.Cookie)) {
 				return &queryError{dns.RcodeFormatError, "cookie"}
 			}
-			q.clientCookie, q.serverCookie = o.Cookie[:clientCookieDigits], o.Cookie[clientCookieDigits:]
+			q.clientCookie, q.serverCookie = typed.Cookie[:clientCookieDigits], typed.Cookie[clientCookieDigits:]
 		case *dns.EDNS0_TCP_KEEPALIVE:
-			q.asksKeepalive = true
+			q.requestsKeepalive = true
 		}
 	}
 	return nil
 }
 
-// isCookieLength reports whether a cookie of so many hexadecimal digits has a client's part, alone or with a server's
-// part of 8 to 32 bytes (RFC 7873, 4).
+// isCookieLength reports whether a cookie with a number of hexadecimal digits has a valid length: the client's part,
+// alone or followed by a server's part of 8 to 32 bytes (RFC 7873, 4).
 func isCookieLength(digits int) bool {
 	if digits == clientCookieDigits {
 		return true
@@ -130,25 +133,25 @@
 	return digits >= 4*cookieSize && digits <= 10*cookieSize
 }
 
-// key identifies queries with the same answer, by name in lower case, type, class, and the flags that affect an
-// answer.
-func (q *question) key() string {
-	asked := q.msg.Question[0]
-	var b [6]byte
-	binary.BigEndian.PutUint16(b[:], asked.Qtype)
-	binary.BigEndian.PutUint16(b[2:], asked.Qclass)
-	flags := []bool{q.msg.RecursionDesired, q.msg.CheckingDisabled, q.dnssecOK, q.msg.AuthenticatedData, q.edns}
-	for i, on := range flags {
-		if on {
-			b[4] |= 1 << i
+// questionKey returns a key that is the same for all queries with the same answer. It consists of the type, the class,
+// the flags that affect an answer, the opcode, and the name in lower case.
+func (q *parsedQuery) questionKey() string {
+	question := q.msg.Question[0]
+	var prefix [6]byte
+	binary.BigEndian.PutUint16(prefix[:], question.Qtype)
+	binary.BigEndian.PutUint16(prefix[2:], question.Qclass)
+	flags := []bool{q.msg.RecursionDesired, q.msg.CheckingDisabled, q.dnssecOK, q.msg.AuthenticatedData, q.hasEDNS}
+	for i, set := range flags {
+		if set {
+			prefix[4] |= 1 << i
 		}
 	}
-	b[5] = byte(q.opcode)
-	return string(b[:]) + strings.ToLower(asked.Name)
+	prefix[5] = byte(q.opcode)
+	return string(prefix[:]) + strings.ToLower(question.Name)
 }
 
-// isSigned reports whether a signature covers the message, so that only its ID may be changed.
-func (q *question) isSigned() bool {
+// isSigned reports whether a TSIG or SIG(0) signature covers the message, so that only its ID may be changed.
+func (q *parsedQuery) isSigned() bool {
 	if q.msg.IsTsig() != nil {
 		return true
 	}
@@ -160,12 +163,13 @@
 	return false
 }
 
-// isPassedThrough reports whether the query and its answer are forwarded byte by byte.
-func (q *question) isPassedThrough() bool { return q.opcode != dns.OpcodeQuery || q.isSigned() }
+// isPassedThrough reports whether the query and its answer are forwarded byte by byte, except for the ID.
+func (q *parsedQuery) isPassedThrough() bool { return q.opcode != dns.OpcodeQuery || q.isSigned() }
 
-// forServer encodes the query for a server, with ID 0. EDNS is negotiated hop by hop (RFC 6891): the client's OPT
-// record is replaced by one with this program's cookie for the server.
-func (q *question) forServer(cookie string) ([]byte, error) {
+// packForServer encodes the query for a server, with ID 0. EDNS is negotiated hop by hop (RFC 6891): unless the query
+// is passed through, the client's OPT record is replaced by one with cookie, the sidecar's cookie for the server in
+// hex.
+func (q *parsedQuery) packForServer(cookie string) ([]byte, error) {
 	if q.isPassedThrough() {
 		raw := append([]byte(nil), q.raw...)
 		setID(raw, 0)
@@ -181,10 +185,11 @@
 	if cookie != "" {
 		opt.Option = append(opt.Option, &dns.EDNS0_COOKIE{Code: dns.EDNS0COOKIE, Cookie: cookie})
 	}
-	m := &dns.Msg{MsgHdr: header, Question: q.msg.Question, Extra: []dns.RR{opt}}
-	return m.Pack()
+	message := &dns.Msg{MsgHdr: header, Question: q.msg.Question, Extra: []dns.RR{opt}}
+	return message.Pack()
 }
 
+// newOPT returns an OPT record that offers maxUDPSize.
 func newOPT(dnssecOK bool) *dns.OPT {
 	opt := &dns.OPT{Hdr: dns.RR_Header{Name: ".", Rrtype: dns.TypeOPT}}
 	opt.SetUDPSize(maxUDPSize)
--- a/internal/dataplane/dnsfront/settings.go
+++ b/internal/dataplane/dnsfront/settings.go
@@ -1,12 +1,13 @@
-// Package dnsfront load-balances DNS beside HTTP, with an event loop of its own: Server receives queries over UDP
-// and TCP and gives each one final answer, Upstream sends queries to servers. Package balancer decides which server
-// is asked, whether an attempt is retried, and what is rejected; package route, to which class a query belongs;
-// package limit, how many queries of a client are admitted.
+// Package dnsfront load-balances DNS beside HTTP, with an event loop of its own. Server receives queries over UDP and
+// TCP and gives each one final answer; Upstream sends queries to servers. Package balancer decides which server a query
+// is sent to, whether an attempt is retried, and which queries are rejected; package route decides which class a query
+// belongs to; package limit decides how many queries of a client are admitted; package resend decides when a datagram
+// without an answer is sent again.
 //
 // Messages are encoded by miekg/dns. Queries and answers are parsed completely and encoded anew, except for signed
 // messages, updates and notifications, which are passed through byte by byte.
 //
-// It may import balancer, packages core, config and handover of the data plane, and the platform's packages.
+// The package may import balancer, packages core, config and handover of the data plane, and the platform's packages.
 package dnsfront
 
 import (
@@ -26,7 +27,7 @@
 // Protocol is the name of the protocol in endpoint lists.
 const Protocol = "dns"
 
-// Class is a class of queries.
+// Class is a class of queries with its settings.
 type Class struct {
 	Name               string
 	Route              route.Class
@@ -35,10 +36,10 @@
 	PriorityWeight     float64
 	LatePriorityWeight float64
 	MaxAttempts        int
-	ShareAnswers       bool // a query with the question of an open one is answered by that one's lookup
+	ShareAnswers       bool // a query with the same question as an open one waits for that one's answer
 }
 
-// isIdempotent reports whether queries of the class may be retried.
+// isIdempotent reports whether queries of the class may be retried: all of them have the opcode QUERY.
 func (c *Class) isIdempotent() bool {
 	for _, op := range c.Route.Opcodes {
 		if op != dns.OpcodeQuery {
@@ -55,28 +56,28 @@
 	MaxConnsPerServer int
 	MaxClientConns    int
 	MaxQueriesPerConn int           // open queries on a client's connection
-	IdleTimeout       time.Duration // after which a client's connection without a query is closed
+	IdleTimeout       time.Duration // of a client's connection without an open query
 	Classes           []Class
 }
 
 const (
-	listeningDescriptors = 4 // the UDP socket and the listener, and as many during a handover
-	maxBusyServers       = 8 // servers with queries over TCP at a time
+	listeningDescriptors = 4 // the UDP socket and the TCP listener, and their duplicates during a handover
+	maxBusyServers       = 8 // servers with queries over TCP at the same time
 )
 
-// Descriptors returns how many file descriptors the front may hold.
+// Descriptors returns the maximum number of file descriptors that the front uses.
 func (s *Settings) Descriptors() int {
 	return s.MaxSockets + s.MaxClientConns + s.maxServerConns() + listeningDescriptors
 }
 
-// maxServerConns returns how many connections may be open to all servers together.
+// maxServerConns returns the maximum number of connections to all servers together.
 func (s *Settings) maxServerConns() int { return maxBusyServers * s.MaxConnsPerServer }
 
-// Config returns the configuration of the front's core: the sidecar's with the front's classes, its limit of open
-// queries, and without load reports and probes, since servers are judged by their answers alone.
-func (s *Settings) Config(c *config.Config) (*config.Config, error) {
-	derived := *c
-	derived.InitialList = c.InitialList.ForProtocol(Protocol)
+// Config derives the configuration of the front's event loop from that of the sidecar. It has the front's classes and
+// limit of open queries, and no load reports or probes: DNS servers are judged by their answers alone.
+func (s *Settings) Config(cfg *config.Config) (*config.Config, error) {
+	derived := *cfg
+	derived.InitialList = cfg.InitialList.ForProtocol(Protocol)
 	derived.Classes = nil
 	derived.Tenants = nil
 	derived.LoadFields = nil
@@ -103,7 +104,7 @@
 	return &derived, nil
 }
 
-// settings returns the class as the decision module knows it.
+// settings returns the settings of the class for the decision module.
 func (c *Class) settings() balancer.Class {
 	idempotency := balancer.NotIdempotent
 	if c.isIdempotent() {
@@ -119,16 +120,16 @@
 	}
 }
 
-// className returns the name of a class in metrics.
+// className returns the name of a class in metrics and in the configuration of the event loop.
 func className(class string) string { return Protocol + "." + class }
 
-// ParseType parses a record type, such as AAAA.
+// ParseType parses the name of a record type in upper case, such as AAAA.
 func ParseType(name string) (uint16, bool) {
 	t, ok := dns.StringToType[name]
 	return t, ok && t != dns.TypeNone
 }
 
-// ParseOpcode parses an operation: query, update or notify.
+// ParseOpcode parses the name of an operation: query, update or notify.
 func ParseOpcode(name string) (int, bool) {
 	switch name {
 	case "query":
@@ -142,13 +143,13 @@
 	}
 }
 
-// ValidName reports whether a suffix is a domain name.
+// ValidName reports whether a string is a domain name.
 func ValidName(name string) bool {
 	_, ok := dns.IsDomainName(name)
 	return ok
 }
 
-// SortClasses sorts classes by name, so that their indexes do not depend on the order of the file.
+// SortClasses sorts classes by name, so that their indexes do not depend on their order in the operator's file.
 func SortClasses(list []Class) {
 	slices.SortFunc(list, func(a, b Class) int { return cmp.Compare(a.Name, b.Name) })
 }
--- a/internal/dataplane/dnsfront/target.go
+++ b/internal/dataplane/dnsfront/target.go
@@ -12,120 +12,124 @@
 	"birchmoor/internal/dataplane/dnsfront/resend"
 )
 
-// target is one server, with its open sockets and connections.
-type target struct {
+// serverTarget is a server with the sockets and connections to it. It implements core.Target.
+type serverTarget struct {
 	upstream *Upstream
 	addr     string
 
 	// Guarded by upstream.mu.
-	sockets []*socket
-	conns   []*serverConn
-	link    *resend.Link
-	cookie  string // the server's part, in hex
-	removed bool
+	sockets      []*udpSocket  // open
+	conns        []*serverConn // open or being opened, and not retired
+	link         *resend.Link
+	serverCookie string // the server's part of its latest cookie, in hex; "" if it has sent none
+	removed      bool   // whether Close was called: no socket or connection may be acquired any more
 }
 
-// upstreamQuery is a query on its way to a server.
+// upstreamQuery is the payload of a request to the event loop.
 type upstreamQuery struct {
-	question *question
-	tcp      bool // from the beginning, since over UDP it might have to be sent twice
+	query   *parsedQuery
+	overTCP bool // for queries that must not be sent twice, as may be necessary over UDP
 }
 
-// permission asks right before something is sent whether that is still allowed at that time.
+// permission reports whether something may be sent now. It is called right before sending.
 type permission func(balancer.Micros) bool
 
-// Send makes one attempt.
-func (t *target) Send(ctx context.Context, attempt core.Attempt) core.Reply {
-	query := attempt.Request.(*upstreamQuery)
-	raw, status := t.exchange(ctx, query, attempt.Begin, attempt.MayContinue)
+// Send makes one attempt and returns its result. It implements core.Target.
+func (t *serverTarget) Send(ctx context.Context, attempt core.Attempt) core.Reply {
+	outgoing := attempt.Request.(*upstreamQuery)
+	raw, status := t.exchange(ctx, outgoing, attempt.Begin, attempt.MayContinue)
 	reply := core.Reply{Status: status, At: t.upstream.clock.Now()}
 	if status != balancer.OK {
 		return reply
 	}
-	a, cookie, err := query.question.readAnswer(raw)
-	// A server that does not return our part of the cookie is not the one that it was sent to (RFC 7873, 5.3).
+	answer, cookie, err := outgoing.query.parseAnswer(raw)
+	// An answer with a cookie without the client's part that was sent is not from that server (RFC 7873, 5.3).
 	if err != nil || !t.storeCookie(cookie) {
 		t.upstream.counters.Mismatched.Inc()
 		reply.Status = balancer.Error
 		return reply
 	}
-	switch a.rcode() {
+	switch answer.rcode() {
 	case dns.RcodeServerFailure:
 		reply.Status = balancer.Error
 	case dns.RcodeRefused, dns.RcodeBadCookie:
-		reply.Status = balancer.Rejected // the server did nothing for the query
-	default: // an answer, even if it says that the name does not exist
-		reply.Content = a
+		reply.Status = balancer.Rejected // the server did not process the query
+	default: // the final answer, even if it says that the name does not exist
+		reply.Content = answer
 	}
 	return reply
 }
 
-// exchange sends a query, again with the server's cookie if it asks for that, and over TCP if the answer is
-// truncated.
-func (t *target) exchange(
-	ctx context.Context, query *upstreamQuery, begin, proceed permission,
+// exchange sends a query and returns the encoded answer. It sends the query again if the server requires its new
+// cookie, and over TCP if the answer is truncated. It calls begin before the query is sent first, and mayContinue
+// before each further sending. If begin returns false, or mayContinue before the query with a new cookie or over TCP, the
+// status is NotSent.
+func (t *serverTarget) exchange(
+	ctx context.Context, outgoing *upstreamQuery, begin, mayContinue permission,
 ) ([]byte, balancer.Status) {
-	q := query.question
-	if query.tcp {
-		return t.queryTCP(ctx, q, begin)
+	query := outgoing.query
+	if outgoing.overTCP {
+		return t.queryTCP(ctx, query, begin)
 	}
-	raw, status := t.queryUDP(ctx, q, begin, proceed)
-	if status == balancer.OK && t.mustResendWithCookie(q, raw) {
-		raw, status = t.queryUDP(ctx, q, proceed, proceed)
+	raw, status := t.queryUDP(ctx, query, begin, mayContinue)
+	if status == balancer.OK && t.mustResendWithCookie(query, raw) {
+		raw, status = t.queryUDP(ctx, query, mayContinue, mayContinue)
 	}
 	if status == balancer.OK && isTruncated(raw) {
 		t.upstream.counters.Truncated.Inc()
-		return t.queryTCP(ctx, q, proceed)
+		return t.queryTCP(ctx, query, mayContinue)
 	}
 	return raw, status
 }
 
-// Probe asks for the name servers of the root. Any answer shows that the server is alive.
-func (t *target) Probe() core.Reply {
+// Probe queries the name servers of the root zone. Any answer shows that the server is alive.
+func (t *serverTarget) Probe() core.Reply {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	q := &question{msg: new(dns.Msg).SetQuestion(".", dns.TypeNS)}
+	query := &parsedQuery{msg: new(dns.Msg).SetQuestion(".", dns.TypeNS)}
 	always := func(balancer.Micros) bool { return true }
-	_, status := t.queryUDP(ctx, q, always, always)
+	_, status := t.queryUDP(ctx, query, always, always)
 	return core.Reply{Status: status, At: t.upstream.clock.Now()}
 }
 
-// Close ends the use of a server. Queries in flight go on.
-func (t *target) Close() {
+// Close ends the use of the server for new queries. Queries in flight continue on their sockets and connections.
+func (t *serverTarget) Close() {
 	t.upstream.mu.Lock()
 	defer t.upstream.mu.Unlock()
 	t.removed = true
-	for _, s := range slices.Clone(t.sockets) {
-		if s.idle {
-			t.upstream.closeLocked(s)
+	for _, socket := range slices.Clone(t.sockets) {
+		if socket.idle {
+			t.upstream.closeSocketLocked(socket)
 		}
 	}
-	for _, c := range slices.Clone(t.conns) {
-		c.retireLocked()
+	for _, conn := range slices.Clone(t.conns) {
+		conn.retireLocked()
 	}
 }
 
-// CloseUnusedSince retires the connections on which nothing was received since before: the next query opens another.
-func (t *target) CloseUnusedSince(before time.Time) {
+// CloseUnusedSince retires the connections that were last read from before the given time, so that the next query opens
+// another.
+func (t *serverTarget) CloseUnusedSince(before time.Time) {
 	t.upstream.mu.Lock()
 	defer t.upstream.mu.Unlock()
-	for _, c := range slices.Clone(t.conns) {
-		if c.lastReadAt.Before(before) {
-			c.retireLocked()
+	for _, conn := range slices.Clone(t.conns) {
+		if conn.lastReadAt.Before(before) {
+			conn.retireLocked()
 		}
 	}
 }
 
-// currentCookie returns the cookie for the next query to the server: the client's part and, once known, the server's.
-func (t *target) currentCookie() string {
+// currentCookie returns the cookie for the next query to the server, in hex: the client's part and, once it is known,
+// the server's part.
+func (t *serverTarget) currentCookie() string {
 	t.upstream.mu.Lock()
 	defer t.upstream.mu.Unlock()
-	return t.upstream.secret.clientPart(t.addr) + t.cookie
+	return t.upstream.secret.clientPart(t.addr) + t.serverCookie
 }
 
-// storeCookie stores the server's part of an answer's cookie, and reports whether the client's part is the one that
-// was sent. A server need not support cookies.
-func (t *target) storeCookie(cookie string) bool {
+// storeCookie stores the server's part of the cookie in an answer, and reports whether its client's part is the one
+// that was sent. It accepts an answer without a cookie, since a server need not support cookies.
+func (t *serverTarget) storeCookie(cookie string) bool {
 	if cookie == "" {
 		return true
 	}
@@ -135,15 +139,16 @@
 	}
 	t.upstream.mu.Lock()
 	defer t.upstream.mu.Unlock()
-	t.cookie = cookie[len(clientPart):]
+	t.serverCookie = cookie[len(clientPart):]
 	return true
 }
 
-// mustResendWithCookie reports whether a server only gave its new cookie, and expects the query again with that.
-func (t *target) mustResendWithCookie(q *question, raw []byte) bool {
-	if q.isPassedThrough() || headerRcode(raw) != dns.RcodeBadCookie&rcodeMask {
+// mustResendWithCookie reports whether an encoded answer has only the server's new cookie, with which the query must be
+// sent again. It stores that cookie.
+func (t *serverTarget) mustResendWithCookie(query *parsedQuery, raw []byte) bool {
+	if query.isPassedThrough() || headerRcode(raw) != dns.RcodeBadCookie&rcodeMask {
 		return false
 	}
-	a, cookie, err := q.readAnswer(raw)
-	return err == nil && a.msg.Rcode == dns.RcodeBadCookie && cookie != "" && t.storeCookie(cookie)
+	parsed, cookie, err := query.parseAnswer(raw)
+	return err == nil && parsed.msg.Rcode == dns.RcodeBadCookie && cookie != "" && t.storeCookie(cookie)
 }
--- a/internal/dataplane/dnsfront/tcp.go
+++ b/internal/dataplane/dnsfront/tcp.go
@@ -15,100 +15,107 @@
 )
 
 const (
-	pipelineDepth      = 32   // queries on a connection before another is opened
-	maxPipelineDepth   = 1024 // queries on a connection where no other may be opened
+	pipelineDepth      = 32   // queries on each connection before another one is opened
+	maxPipelineDepth   = 1024 // queries on a connection if no other one may be opened
 	serverReadBuffer   = 4096 // bytes
 	serverIdleTimeout  = 8 * time.Second
-	serverReadTimeout  = 2 * time.Second // for a message, from its first byte
+	serverReadTimeout  = 2 * time.Second // for the rest of a message after its first byte
 	serverWriteTimeout = 2 * time.Second
 )
 
 // serverConn is a TCP connection to a server, open or being opened.
 type serverConn struct {
-	target *target
-	ready  chan struct{} // closed once it is open, or opening it has failed
-	conn   net.Conn
-	err    error // why opening it failed
+	target  *serverTarget
+	ready   chan struct{} // closed once the connection is open or opening it has failed
+	netConn net.Conn      // nil until the connection is open
+	dialErr error         // the error if opening the connection failed; valid once ready is closed
 	queryTable
-	writeMu sync.Mutex
+	writeMu sync.Mutex // serializes writes
 
 	// Guarded by Upstream.mu.
-	queries    int
-	lastReadAt time.Time // the time when it was opened until something is received
-	retired    bool      // it accepts no query, and is closed once it has none
+	queries    int       // queries that have acquired the connection
+	lastReadAt time.Time // when the last message was received; before the first one, when the connection was opened
+	retired    bool      // whether it accepts no more queries, and is closed once it has none
 }
 
-// queryTCP asks over TCP, once. It asks begin right before the query is sent.
-func (t *target) queryTCP(ctx context.Context, q *question, begin permission) ([]byte, balancer.Status) {
-	c, err := t.acquireConn()
+// queryTCP sends a query over TCP and returns the encoded answer. It calls begin right before the query is sent, which
+// happens only if begin returns true.
+func (t *serverTarget) queryTCP(ctx context.Context, query *parsedQuery, begin permission) ([]byte, balancer.Status) {
+	conn, err := t.acquireConn()
 	if err != nil {
 		return nil, t.upstream.connectErrors.Status(ctx, err, t.upstream.log)
 	}
-	defer t.upstream.releaseConn(c)
+	defer t.upstream.releaseConn(conn)
 	select {
-	case <-c.ready:
+	case <-conn.ready:
 	case <-ctx.Done():
 		return nil, balancer.NotSent
 	}
-	if c.err != nil {
-		return nil, t.upstream.connectErrors.Status(ctx, c.err, t.upstream.log)
+	if conn.dialErr != nil {
+		return nil, t.upstream.connectErrors.Status(ctx, conn.dialErr, t.upstream.log)
 	}
-	p := newPending(q)
-	id, err := c.add(p)
+	pending := newPendingQuery(query)
+	id, err := conn.add(pending)
 	if err != nil {
-		return nil, balancer.ConnectFailed // it was closed in the meantime: nothing was sent
+		return nil, balancer.ConnectFailed // the connection was closed in the meantime, and nothing was sent
 	}
-	defer c.remove(id)
-	raw, err := q.forServer(t.currentCookie())
+	defer conn.remove(id)
+	message, err := query.packForServer(t.currentCookie())
 	if err != nil || !begin(t.upstream.clock.Now()) {
 		return nil, balancer.NotSent
 	}
-	setID(raw, id)
-	if status := c.send(raw); status != balancer.OK {
+	setID(message, id)
+	if status := conn.send(message); status != balancer.OK {
 		return nil, status
 	}
-	t.upstream.sent.Inc()
-	answer, status, _ := p.wait(ctx, nil)
+	t.upstream.attemptsSent.Inc()
+	answer, status, _ := pending.wait(ctx, nil)
 	return answer, status
 }
 
-// send writes a message with its length before it. A failed write closes the connection; if the server cannot have
-// read the complete message, the status is ConnectFailed.
+// send writes an encoded message, preceded by its length. A failed write closes the connection. The status is then
+// ConnectFailed if the server cannot have read the complete message, else Reset.
 func (c *serverConn) send(raw []byte) balancer.Status {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
 	frame := appendFrame(nil, raw)
-	// The deadline can be set unless the connection is closed, and then the write fails as well.
-	_ = c.conn.SetWriteDeadline(time.Now().Add(serverWriteTimeout))
-	n, err := c.conn.Write(frame)
+	// Setting the deadline fails only on a closed connection, where the write fails as well.
+	_ = c.netConn.SetWriteDeadline(time.Now().Add(serverWriteTimeout))
+	written, err := c.netConn.Write(frame)
 	if err == nil {
 		return balancer.OK
 	}
-	c.conn.Close() // its reader then fails all queries
-	if n < len(frame) {
+	c.netConn.Close() // the reader of the connection then fails all its queries
+	if written < len(frame) {
 		return balancer.ConnectFailed
 	}
 	return balancer.Reset
 }
 
-// acquireConn returns the connection with the fewest queries, or a new one.
-func (t *target) acquireConn() (*serverConn, error) {
-	u := t.upstream
-	u.mu.Lock()
-	defer u.mu.Unlock()
+// acquireConn returns the connection with the fewest queries. It opens a new one if those are too many and another
+// connection is allowed.
+func (t *serverTarget) acquireConn() (*serverConn, error) {
+	upstream := t.upstream
+	upstream.mu.Lock()
+	defer upstream.mu.Unlock()
 	if t.removed {
 		return nil, core.ErrEndpointRemoved
 	}
 	var leastLoaded *serverConn
-	for _, c := range t.conns {
-		if leastLoaded == nil || c.queries < leastLoaded.queries {
-			leastLoaded = c
+	for _, conn := range t.conns {
+		if leastLoaded == nil || conn.queries < leastLoaded.queries {
+			leastLoaded = conn
 		}
 	}
-	if t.needsConnLocked(leastLoaded) && u.mayOpenConnLocked() {
-		leastLoaded = &serverConn{target: t, ready: make(chan struct{}), queryTable: newQueryTable(), lastReadAt: time.Now()}
+	if t.needsConnLocked(leastLoaded) && upstream.mayOpenConnLocked() {
+		leastLoaded = &serverConn{
+			target:     t,
+			ready:      make(chan struct{}),
+			queryTable: newQueryTable(),
+			lastReadAt: time.Now(),
+		}
 		t.conns = append(t.conns, leastLoaded)
-		u.conns[leastLoaded] = struct{}{}
+		upstream.conns[leastLoaded] = struct{}{}
 		go leastLoaded.run()
 	}
 	if leastLoaded == nil || leastLoaded.queries >= maxPipelineDepth {
@@ -118,27 +125,28 @@
 	return leastLoaded, nil
 }
 
-// needsConnLocked reports whether another connection is worth opening beside the least loaded one, nil for none.
-func (t *target) needsConnLocked(leastLoaded *serverConn) bool {
+// needsConnLocked reports whether another connection to the server is needed. leastLoaded is the connection with the
+// fewest queries; nil if there is none.
+func (t *serverTarget) needsConnLocked(leastLoaded *serverConn) bool {
 	if leastLoaded == nil {
 		return true
 	}
 	return leastLoaded.queries >= pipelineDepth && len(t.conns) < t.upstream.settings.MaxConnsPerServer
 }
 
-// mayOpenConnLocked reports whether another connection may be opened. At the limit it retires the connection without
-// queries that has been silent for longest.
+// mayOpenConnLocked reports whether another connection may be opened. At the limit it makes that possible by retiring
+// the connection without queries on which nothing was received for the longest time, if there is one.
 func (u *Upstream) mayOpenConnLocked() bool {
 	if len(u.conns) < u.settings.maxServerConns() {
 		return true
 	}
 	var idle *serverConn
-	for c := range u.conns {
-		if c.queries > 0 || c.retired {
+	for conn := range u.conns {
+		if conn.queries > 0 || conn.retired {
 			continue
 		}
-		if idle == nil || c.lastReadAt.Before(idle.lastReadAt) {
-			idle = c
+		if idle == nil || conn.lastReadAt.Before(idle.lastReadAt) {
+			idle = conn
 		}
 	}
 	if idle == nil {
@@ -149,79 +157,80 @@
 	return true
 }
 
-// releaseConn takes a query off its connection. A retired connection is closed after the last one.
-func (u *Upstream) releaseConn(c *serverConn) {
+// releaseConn ends the use of a connection by a query. A retired connection is closed after its last query.
+func (u *Upstream) releaseConn(conn *serverConn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	c.queries--
-	if c.queries == 0 && c.retired && c.conn != nil {
-		c.conn.Close()
+	conn.queries--
+	if conn.queries == 0 && conn.retired && conn.netConn != nil {
+		conn.netConn.Close()
 	}
 }
 
-// retireLocked lets a connection accept no more queries, and closes it if it has none.
+// retireLocked makes a connection accept no more queries, and closes it if it has none.
 func (c *serverConn) retireLocked() {
 	c.retired = true
-	c.target.conns = slices.DeleteFunc(c.target.conns, func(o *serverConn) bool { return o == c })
-	if c.queries == 0 && c.conn != nil {
-		c.conn.Close()
+	c.target.conns = slices.DeleteFunc(c.target.conns, func(other *serverConn) bool { return other == c })
+	if c.queries == 0 && c.netConn != nil {
+		c.netConn.Close()
 	}
 }
 
-// run opens a connection and delivers messages until it ends, independently of the query that needed it first.
+// run opens a connection and delivers the messages that it receives until it ends. It does not depend on the query for
+// which the connection was opened, so that other queries can use the connection if that one is cancelled.
 func (c *serverConn) run() {
 	if !c.open() {
 		return
 	}
 	err := c.read()
-	u := c.target.upstream
-	u.mu.Lock()
+	upstream := c.target.upstream
+	upstream.mu.Lock()
 	c.retireLocked()
-	delete(u.conns, c)
-	u.mu.Unlock()
+	delete(upstream.conns, c)
+	upstream.mu.Unlock()
 	c.close(err)
-	c.conn.Close()
+	c.netConn.Close()
 }
 
-// open dials the server and reports whether that succeeded. A connection that was retired meanwhile is closed at
-// once.
+// open dials the server and reports whether that succeeded. A connection that was retired in the meantime and has no
+// queries is closed immediately.
 func (c *serverConn) open() bool {
-	u := c.target.upstream
-	conn, err := u.dial(context.Background(), "tcp", c.target.addr)
-	u.mu.Lock()
-	c.conn, c.err, c.lastReadAt = conn, err, time.Now()
+	upstream := c.target.upstream
+	netConn, err := upstream.dial(context.Background(), "tcp", c.target.addr)
+	upstream.mu.Lock()
+	c.netConn, c.dialErr, c.lastReadAt = netConn, err, time.Now()
 	if err != nil {
 		c.retireLocked()
-		delete(u.conns, c)
+		delete(upstream.conns, c)
 	}
 	unneeded := c.retired && c.queries == 0
-	u.mu.Unlock()
+	upstream.mu.Unlock()
 	close(c.ready)
 	if err != nil {
 		return false
 	}
 	if unneeded {
-		conn.Close()
+		netConn.Close()
 	}
 	return true
 }
 
-// read delivers messages until the connection ends or has been idle for its timeout.
+// read delivers received messages until the connection ends or has been idle for serverIdleTimeout.
 func (c *serverConn) read() error {
-	r := bufio.NewReaderSize(c.conn, serverReadBuffer)
+	reader := bufio.NewReaderSize(c.netConn, serverReadBuffer)
 	var buf []byte
 	for {
-		// The deadline can be set unless the connection is closed, and then the read fails as well.
-		_ = c.conn.SetReadDeadline(time.Now().Add(serverIdleTimeout))
-		if _, err := r.Peek(1); err != nil {
+		// Setting the deadline fails only on a closed connection, where the read fails as well.
+		_ = c.netConn.SetReadDeadline(time.Now().Add(serverIdleTimeout))
+		if _, err := reader.Peek(1); err != nil {
 			if errors.Is(err, os.ErrDeadlineExceeded) && !c.retireIfIdle() {
-				continue // the event loop decides how long a query may wait
+				continue // the event loop limits how long an open query waits
 			}
 			return err
 		}
-		_ = c.conn.SetReadDeadline(time.Now().Add(serverReadTimeout))
+		_ = c.netConn.SetReadDeadline(time.Now().Add(serverReadTimeout))
 		var err error
-		buf, err = readFrame(r, buf)
+		buf, err = readFrame(reader, buf)
 		if err != nil {
 			return err
 		}
@@ -236,7 +245,7 @@
 	c.lastReadAt = time.Now()
 }
 
-// retireIfIdle retires a connection without queries, and reports whether it has none.
+// retireIfIdle retires a connection if it has no queries, and reports whether it has none.
 func (c *serverConn) retireIfIdle() bool {
 	c.target.upstream.mu.Lock()
 	defer c.target.upstream.mu.Unlock()
--- a/internal/dataplane/dnsfront/testserver_test.go
+++ b/internal/dataplane/dnsfront/testserver_test.go
@@ -7,35 +7,35 @@
 	"github.com/miekg/dns"
 )
 
-// listenUDPAndTCP opens a UDP and a TCP socket at one free address.
+// listenUDPAndTCP listens over UDP and TCP at one free address, until the test ends.
 func listenUDPAndTCP(t *testing.T) (*net.UDPConn, *net.TCPListener) {
 	t.Helper()
 	for range 50 {
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		at, err := net.ResolveUDPAddr("udp", ln.Addr().String())
+		addr, err := net.ResolveUDPAddr("udp", listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		udp, err := net.ListenUDP("udp", at)
+		udp, err := net.ListenUDP("udp", addr)
 		if err == nil {
-			t.Cleanup(func() { ln.Close(); udp.Close() })
-			return udp, ln.(*net.TCPListener)
+			t.Cleanup(func() { listener.Close(); udp.Close() })
+			return udp, listener.(*net.TCPListener)
 		}
-		ln.Close()
+		listener.Close()
 	}
-	t.Fatal("no port is free for both transports")
+	t.Fatal("found no port that is free for both UDP and TCP in 50 attempts")
 	return nil, nil
 }
 
-// startServer starts a stand-in server over both transports, and returns its address. A nil handler answers with
-// 192.0.2.1.
+// startServer starts a fake DNS server over both transports, and returns its address. It runs until the test ends. A
+// nil handler answers every query with 192.0.2.1.
 func startServer(t *testing.T, handle dns.HandlerFunc) string {
 	t.Helper()
 	if handle == nil {
-		handle = func(w dns.ResponseWriter, m *dns.Msg) { write(w, answerWith(m, 1)) }
+		handle = func(w dns.ResponseWriter, m *dns.Msg) { writeAnswer(w, answerWith(m, 1)) }
 	}
 	udp, tcp := listenUDPAndTCP(t)
 	acceptAll := func(dns.Header) dns.MsgAcceptAction { return dns.MsgAccept }
@@ -44,24 +44,24 @@
 	return udp.LocalAddr().String()
 }
 
-// serve runs a stand-in server until the test ends.
-func serve(t *testing.T, s *dns.Server) {
+// serve runs a fake DNS server until the test ends.
+func serve(t *testing.T, server *dns.Server) {
 	t.Helper()
-	go func() { _ = s.ActivateAndServe() }() // it fails when the test closes its socket
-	t.Cleanup(func() { _ = s.Shutdown() })
+	go func() { _ = server.ActivateAndServe() }() // fails if the test closes the socket first
+	t.Cleanup(func() { _ = server.Shutdown() })
 }
 
-// write answers as a stand-in server. A client that has left is none of its concern.
-func write(w dns.ResponseWriter, m *dns.Msg) { _ = w.WriteMsg(m) }
+// writeAnswer sends an answer of a fake server. It ignores errors, since the client may have left.
+func writeAnswer(w dns.ResponseWriter, m *dns.Msg) { _ = w.WriteMsg(m) }
 
-// answerWith returns an answer with n addresses.
-func answerWith(m *dns.Msg, n int) *dns.Msg {
-	a := new(dns.Msg)
-	a.SetReply(m)
-	a.Compress = true
-	for i := range n {
+// answerWith returns an answer to the query m with a number of addresses, from 192.0.2.1 on.
+func answerWith(m *dns.Msg, addresses int) *dns.Msg {
+	answer := new(dns.Msg)
+	answer.SetReply(m)
+	answer.Compress = true
+	for i := range addresses {
 		header := dns.RR_Header{Name: m.Question[0].Name, Rrtype: dns.TypeA, Class: dns.ClassINET, Ttl: 9}
-		a.Answer = append(a.Answer, &dns.A{Hdr: header, A: net.IPv4(192, 0, 2, byte(i+1))})
+		answer.Answer = append(answer.Answer, &dns.A{Hdr: header, A: net.IPv4(192, 0, 2, byte(i+1))})
 	}
-	return a
+	return answer
 }
--- a/internal/dataplane/dnsfront/testsidecar_test.go
+++ b/internal/dataplane/dnsfront/testsidecar_test.go
@@ -23,8 +23,10 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
+// testSettings returns settings with the classes look, same, which shares answers, and change, which has updates. Each
+// class has the names in the zone of its name under .test.
 func testSettings() Settings {
-	class := func(name string, share bool, ops ...int) Class {
+	class := func(name string, shareAnswers bool, opcodes ...int) Class {
 		return Class{
 			Name:               name,
 			LatencyObjective:   500 * time.Millisecond,
@@ -32,8 +34,8 @@
 			PriorityWeight:     1,
 			LatePriorityWeight: 0.5,
 			MaxAttempts:        3,
-			ShareAnswers:       share,
-			Route:              route.Class{Suffixes: []string{name + ".test"}, Opcodes: ops},
+			ShareAnswers:       shareAnswers,
+			Route:              route.Class{Suffixes: []string{name + ".test"}, Opcodes: opcodes},
 		}
 	}
 	return Settings{
@@ -55,136 +57,141 @@
 	}
 }
 
-// retainedSockets are sockets that outlive the process that listens on them, as the platform's do.
+// retainedSockets are sockets that outlive the sidecar that listens on them: each sidecar gets a duplicate. They stand
+// in for sockets that are inherited from the platform.
 type retainedSockets struct {
 	udp *net.UDPConn
 	tcp *net.TCPListener
 }
 
 func (h retainedSockets) ListenPacket() (*net.UDPConn, error) {
-	f, err := h.udp.File()
+	file, err := h.udp.File()
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
-	c, err := net.FilePacketConn(f)
+	defer file.Close()
+	conn, err := net.FilePacketConn(file)
 	if err != nil {
 		return nil, err
 	}
-	return c.(*net.UDPConn), nil
+	return conn.(*net.UDPConn), nil
 }
 
 func (h retainedSockets) Listen() (net.Listener, error) {
-	f, err := h.tcp.File()
+	file, err := h.tcp.File()
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
-	return net.FileListener(f)
+	defer file.Close()
+	return net.FileListener(file)
 }
 
+// fixedListener is a socket whose listener is open already.
 type fixedListener struct{ net.Listener }
 
 func (o fixedListener) Listen() (net.Listener, error) { return o.Listener, nil }
 
-// testSidecar is a running sidecar with the front.
+// testSidecar is a running sidecar with the DNS front.
 type testSidecar struct {
-	addr       string
+	addr       string // where the front receives queries
 	front      *Front
 	management net.Listener
 	stop       context.CancelFunc
-	ended      chan error
+	ended      chan error // receives the result of sidecar.Run, and is then closed
 }
 
-// call makes a management call.
-func (r *testSidecar) call(t *testing.T, line string) string {
+// command sends a command to the management socket and returns the reply.
+func (r *testSidecar) command(t *testing.T, command string) string {
 	t.Helper()
-	c, err := net.Dial("tcp", r.management.Addr().String())
+	conn, err := net.Dial("tcp", r.management.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	if err := c.SetDeadline(time.Now().Add(sidecartest.WaitTimeout)); err != nil {
+	defer conn.Close()
+	if err := conn.SetDeadline(time.Now().Add(sidecartest.WaitTimeout)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := io.WriteString(c, line+"\n"); err != nil {
+	if _, err := io.WriteString(conn, command+"\n"); err != nil {
 		t.Fatal(err)
 	}
-	answer, err := io.ReadAll(c)
+	output, err := io.ReadAll(conn)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return string(answer)
+	return string(output)
 }
 
-// startSidecar starts a sidecar over servers at addrs, and waits until it answers. With a directory it offers its
-// sockets to a handover there.
-func startSidecar(t *testing.T, s Settings, h retainedSockets, dir string, addrs ...string) *testSidecar {
+// startSidecar starts a sidecar with DNS servers at addrs, and waits until it answers queries. The sidecar runs until
+// the test ends. Unless handoverDir is empty, the sidecar takes part in handovers by a socket in that directory.
+func startSidecar(
+	t *testing.T, settings Settings, sockets retainedSockets, handoverDir string, addrs ...string,
+) *testSidecar {
 	t.Helper()
-	var known []discovery.Instance
-	for i, a := range addrs {
-		in := sidecartest.ReadyInstance(fmt.Sprintf("d-%d", i), a)
-		in.Protocol, in.StartedMs = Protocol, 1
-		known = append(known, in)
+	var instances []discovery.Instance
+	for i, addr := range addrs {
+		instance := sidecartest.ReadyInstance(fmt.Sprintf("d-%d", i), addr)
+		instance.Protocol, instance.StartedMs = Protocol, 1
+		instances = append(instances, instance)
 	}
 	web := sidecartest.HTTPEndpoint(t, func(http.ResponseWriter, *http.Request) {})
-	known = append(known, sidecartest.ReadyInstance("web", web))
-	c := sidecartest.Configure(t, sidecartest.ClosedAddress(t), known)
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	instances = append(instances, sidecartest.ReadyInstance("web", web))
+	cfg := sidecartest.Configure(t, sidecartest.ClosedAddress(t), instances)
+	httpListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &testSidecar{
-		addr:  h.udp.LocalAddr().String(),
+	started := &testSidecar{
+		addr:  sockets.udp.LocalAddr().String(),
 		ended: make(chan error, 1),
-		front: &Front{Settings: s, Sockets: Sockets{UDP: h, TCP: h}},
+		front: &Front{Settings: settings, Sockets: Sockets{UDP: sockets, TCP: sockets}},
 	}
 	var ctx context.Context
-	ctx, r.stop = context.WithCancel(context.Background())
-	if r.management, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+	ctx, started.stop = context.WithCancel(context.Background())
+	if started.management, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
 	host := sidecar.Host{
-		Socket:     fixedListener{ln},
-		Management: r.management,
+		Socket:     fixedListener{httpListener},
+		Management: started.management,
 		Overrides:  maintenance.Discard{},
-		Protocols:  []core.Protocol{r.front},
+		Protocols:  []core.Protocol{started.front},
 		Reload:     make(chan os.Signal),
-		ReadConfig: func() (*config.Config, error) { return c, nil },
+		ReadConfig: func() (*config.Config, error) { return cfg, nil },
 		Log:        sidecartest.DiscardLog,
 	}
-	if dir != "" {
-		host.HandoverPath = filepath.Join(dir, "sock")
+	if handoverDir != "" {
+		host.HandoverPath = filepath.Join(handoverDir, "sock")
 	}
 	go func() {
-		r.ended <- sidecar.Run(ctx, c, host)
-		close(r.ended)
+		started.ended <- sidecar.Run(ctx, cfg, host)
+		close(started.ended)
 	}()
 	t.Cleanup(func() {
-		r.stop()
-		if err := <-r.ended; err != nil {
-			t.Errorf("the sidecar ended with %v", err)
+		started.stop()
+		if err := <-started.ended; err != nil {
+			t.Errorf("sidecar.Run: %v", err)
 		}
 	})
 	deadline := time.Now().Add(sidecartest.WaitTimeout)
 	for {
-		m, err := dns.Exchange(new(dns.Msg).SetQuestion("a.look.test.", dns.TypeA), r.addr)
-		if err == nil && m.Rcode == dns.RcodeSuccess || len(addrs) == 0 {
+		response, err := dns.Exchange(new(dns.Msg).SetQuestion("a.look.test.", dns.TypeA), started.addr)
+		if err == nil && response.Rcode == dns.RcodeSuccess || len(addrs) == 0 {
 			break
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("the front does not answer: %v %v", m, err)
+			t.Fatalf("query to the front until the deadline: answer %v, error %v; want NOERROR", response, err)
 		}
 	}
-	for dir != "" && r.call(t, "status") != "YES\n" { // from then on the next process finds it
+	// Once the status is YES, the next process can take over from this sidecar.
+	for handoverDir != "" && started.command(t, "status") != "YES\n" {
 		if time.Now().After(deadline) {
-			t.Fatal("the front does not come to serve")
+			t.Fatal("management command status does not return YES before the deadline")
 		}
 	}
-	return r
+	return started
 }
 
-// setReadTimeout has the next read fail after a duration.
+// setReadTimeout makes reads from a connection fail after timeout.
 func setReadTimeout(t *testing.T, c net.Conn, timeout time.Duration) {
 	t.Helper()
 	if err := c.SetReadDeadline(time.Now().Add(timeout)); err != nil {
@@ -192,8 +199,9 @@
 	}
 }
 
-// startSidecarWith starts a sidecar over servers at addrs, at a free address.
-func startSidecarWith(t *testing.T, addrs ...string) *testSidecar {
+// startDefaultSidecar starts a sidecar with testSettings and DNS servers at addrs. It receives queries at a free
+// address and takes no part in handovers.
+func startDefaultSidecar(t *testing.T, addrs ...string) *testSidecar {
 	t.Helper()
 	udp, tcp := listenUDPAndTCP(t)
 	return startSidecar(t, testSettings(), retainedSockets{udp, tcp}, "", addrs...)
--- a/internal/dataplane/dnsfront/upstream.go
+++ b/internal/dataplane/dnsfront/upstream.go
@@ -13,85 +13,88 @@
 	"birchmoor/internal/platform/metrics"
 )
 
+// probeTimeout is the timeout of a probe, and of dialing a server if no dial timeout is configured.
 const probeTimeout = 250 * time.Millisecond
 
-// dialTimeoutDivisor is what the configured dial timeout is divided by, as for HTTP: a server that takes longer is
-// cut off or gone, and another may still answer the query in time.
+// dialTimeoutDivisor divides the configured dial timeout, as for HTTP: a server that takes longer is unreachable, and
+// another server may still answer the query in time.
 const dialTimeoutDivisor = 4
 
-// Upstream sends queries to servers. Over UDP each query has a random ID and, while there are sockets, a random
-// port of its own; an answer counts if it comes from the server that was asked, to that port, with that ID and
-// question. A truncated answer is asked for again over TCP from the same server, as a part of the same attempt.
-// Over TCP queries share connections and are answered in any order (RFC 7766).
+// Upstream sends queries to servers. Over UDP each query has a random ID and, while more sockets may be opened, a
+// random port of its own. An answer is accepted only from the server that received the query, at that port, and with
+// that ID and question. After a truncated answer the query is sent again over TCP to the same server, as a part of the
+// same attempt. Over TCP queries share connections and are answered in any order (RFC 7766).
 //
 // It implements core.Upstream. Its methods may be called from any goroutine.
 type Upstream struct {
 	clock         core.Clock
 	log           *slog.Logger
 	counters      *Counters
-	sent          *metrics.Counter
+	attemptsSent  *metrics.Counter
 	dial          func(ctx context.Context, network, addr string) (net.Conn, error)
 	secret        *cookieSecret
 	settings      *Settings
 	connectErrors core.ConnectErrors
 
 	mu          sync.Mutex
-	maxSockets  int
-	sockets     int                      // open or being opened
-	idleSockets []*socket                // without a query, the longest idle first
-	conns       map[*serverConn]struct{} // open or being opened
+	maxSockets  int                      // this process's share of Settings.MaxSockets
+	openSockets int                      // number of sockets that are open or being opened
+	idleSockets []*udpSocket             // sockets without a query, the longest idle first
+	conns       map[*serverConn]struct{} // connections that are open or being opened
 }
 
 func newUpstream(
-	c *config.Config, settings *Settings, clock core.Clock, counters *Counters, sent *metrics.Counter, log *slog.Logger,
+	cfg *config.Config, settings *Settings, clock core.Clock,
+	counters *Counters, attemptsSent *metrics.Counter, log *slog.Logger,
 ) *Upstream {
-	dialTimeout := time.Duration(c.Settings.Limits.DialTimeout) * time.Microsecond
+	dialTimeout := time.Duration(cfg.Settings.Limits.DialTimeout) * time.Microsecond
 	if dialTimeout <= 0 {
 		dialTimeout = probeTimeout * dialTimeoutDivisor
 	}
 	return &Upstream{
-		clock:      clock,
-		log:        log,
-		counters:   counters,
-		sent:       sent,
-		dial:       (&net.Dialer{Timeout: dialTimeout / dialTimeoutDivisor}).DialContext,
-		secret:     newCookieSecret(),
-		settings:   settings,
-		maxSockets: settings.MaxSockets,
-		conns:      map[*serverConn]struct{}{},
+		clock:        clock,
+		log:          log,
+		counters:     counters,
+		attemptsSent: attemptsSent,
+		dial:         (&net.Dialer{Timeout: dialTimeout / dialTimeoutDivisor}).DialContext,
+		secret:       newCookieSecret(),
+		settings:     settings,
+		maxSockets:   settings.MaxSockets,
+		conns:        map[*serverConn]struct{}{},
 	}
 }
 
-// Target returns a server without open sockets.
+// Target returns a new target for the server at addr, without open sockets or connections.
 func (u *Upstream) Target(addr string) core.Target {
-	return &target{upstream: u, addr: addr, link: resend.New()}
+	return &serverTarget{upstream: u, addr: addr, link: resend.New()}
 }
 
-// SetConfig does nothing: the settings that concern servers cannot be reloaded.
+// SetConfig does nothing: the settings of the upstream side cannot be reloaded.
 func (u *Upstream) SetConfig(*config.Config) {}
 
-// AcceptsLateReplies returns true: waiting for a late answer occupies no more than a port.
+// AcceptsLateReplies returns true: waiting for a late answer costs no more than a port.
 func (u *Upstream) AcceptsLateReplies() bool { return true }
 
-// Maintain closes idle sockets and connections once ctx ends. Until then each closes itself after its idle timeout.
+// Maintain waits until ctx ends, and then closes the idle sockets and retires all connections. Until then each idle
+// socket and connection is closed by its reader after the idle timeout.
 func (u *Upstream) Maintain(ctx context.Context) {
 	<-ctx.Done()
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for len(u.idleSockets) > 0 {
-		u.closeLocked(u.idleSockets[0])
+		u.closeSocketLocked(u.idleSockets[0])
 	}
-	for s := range u.conns {
-		s.retireLocked()
+	for conn := range u.conns {
+		conn.retireLocked()
 	}
 }
 
-// SetCapacityShare sets the fraction of the limits that this process may use.
+// SetCapacityShare sets this process's share of the limits, from 0 to 1.
 func (u *Upstream) SetCapacityShare(_ *config.Config, share float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.maxSockets = max(1, int(float64(u.settings.MaxSockets)*share))
-	for len(u.idleSockets) > 0 && u.sockets > u.maxSockets {
-		u.closeLocked(u.idleSockets[0])
+	for len(u.idleSockets) > 0 && u.openSockets > u.maxSockets {
+		u.closeSocketLocked(u.idleSockets[0])
 	}
 }
--- a/internal/dataplane/dnsfront/upstream_test.go
+++ b/internal/dataplane/dnsfront/upstream_test.go
@@ -18,277 +18,304 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// testUpstream returns an Upstream that may open so many sockets, for as long as the test runs.
-func testUpstream(t *testing.T, sockets int) *Upstream {
+// testUpstream returns an Upstream that may open maxSockets sockets. They are closed when the test ends.
+func testUpstream(t *testing.T, maxSockets int) *Upstream {
 	t.Helper()
-	s := testSettings()
-	s.MaxSockets = sockets
-	r := metrics.New()
-	c := sidecartest.Configure(t, "127.0.0.1:1", nil)
-	u := newUpstream(c, &s, core.NewClock(), newCounters(r), &r.AttemptsSent, sidecartest.DiscardLog)
+	settings := testSettings()
+	settings.MaxSockets = maxSockets
+	registry := metrics.New()
+	cfg := sidecartest.Configure(t, "127.0.0.1:1", nil)
+	upstream := newUpstream(
+		cfg, &settings, core.NewClock(), newCounters(registry), &registry.AttemptsSent, sidecartest.DiscardLog)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		u.Maintain(ctx)
+		upstream.Maintain(ctx)
 	}()
 	t.Cleanup(func() {
 		cancel()
 		<-done
 	})
-	return u
+	return upstream
 }
 
+// always permits every step of an attempt.
 func always(balancer.Micros) bool { return true }
 
-// sendAttempt makes one attempt, with a timeout as the event loop has.
-func sendAttempt(t *testing.T, to core.Target, m *dns.Msg, tcp bool, more func(balancer.Micros) bool) core.Reply {
+// sendAttempt sends a query to target in one attempt with a timeout of 1 s, and returns the result. tcp sends the query
+// over TCP from the start.
+func sendAttempt(
+	t *testing.T, target core.Target, message *dns.Msg, tcp bool, mayContinue func(balancer.Micros) bool,
+) core.Reply {
 	t.Helper()
-	raw, err := m.Pack()
+	raw, err := message.Pack()
 	if err != nil {
 		t.Fatal(err)
 	}
-	q, err := parseQuery(raw)
+	query, err := parseQuery(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	return to.Send(ctx, core.Attempt{Request: &upstreamQuery{question: q, tcp: tcp}, Begin: always, MayContinue: more})
+	return target.Send(ctx, core.Attempt{
+		Request:     &upstreamQuery{query: query, overTCP: tcp},
+		Begin:       always,
+		MayContinue: mayContinue,
+	})
 }
 
 func addressQuery() *dns.Msg { return new(dns.Msg).SetQuestion("a.look.test.", dns.TypeA) }
 
-// A truncated answer is continued over TCP at the same server as a part of the attempt, unless the server is draining
-// by then or its TCP port is dead.
+// After a truncated answer the query must be sent again over TCP to the same server, as a part of the attempt. If the
+// server has begun to drain, nothing may be sent; if nothing listens at its TCP port, the server is at fault.
 func TestTruncatedAnswerIsRetriedOverTCP(t *testing.T) {
-	var connections atomic.Int32
-	big := func(w dns.ResponseWriter, m *dns.Msg) {
-		a := answerWith(m, 200)
+	var tcpQueries atomic.Int32
+	answerBig := func(w dns.ResponseWriter, m *dns.Msg) {
+		answer := answerWith(m, 200)
 		if _, tcp := w.RemoteAddr().(*net.TCPAddr); !tcp {
-			a.Truncate(1232)
+			answer.Truncate(1232)
 		} else {
-			connections.Add(1)
+			tcpQueries.Add(1)
 		}
-		write(w, a)
+		writeAnswer(w, answer)
 	}
-	u := testUpstream(t, 8)
-	to := u.Target(startServer(t, big))
-	r := sendAttempt(t, to, addressQuery(), false, func(balancer.Micros) bool { return false })
-	if r.Status != balancer.NotSent || connections.Load() != 0 {
-		t.Errorf("at a server that drains: status %v, %d asked over TCP", r.Status, connections.Load())
+	upstream := testUpstream(t, 8)
+	target := upstream.Target(startServer(t, answerBig))
+	reply := sendAttempt(t, target, addressQuery(), false, func(balancer.Micros) bool { return false })
+	if reply.Status != balancer.NotSent || tcpQueries.Load() != 0 {
+		t.Errorf("at a draining server: status %v, %d queries over TCP; want NotSent and none",
+			reply.Status, tcpQueries.Load())
 	}
-	r = sendAttempt(t, to, addressQuery(), false, always)
-	if r.Status != balancer.OK || len(r.Content.(*answer).msg.Answer) != 200 || connections.Load() != 1 {
-		t.Errorf("status %v, %d asked over TCP", r.Status, connections.Load())
+	reply = sendAttempt(t, target, addressQuery(), false, always)
+	if reply.Status != balancer.OK || len(reply.Content.(*serverAnswer).msg.Answer) != 200 || tcpQueries.Load() != 1 {
+		t.Errorf("after a truncated answer: status %v, %d queries over TCP; want OK with 200 addresses after 1 query",
+			reply.Status, tcpQueries.Load())
 	}
-	pc, err := net.ListenPacket("udp", "127.0.0.1:0") // and nobody listens for TCP there
+	udp, err := net.ListenPacket("udp", "127.0.0.1:0") // nothing listens at the TCP port of this address
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &dns.Server{PacketConn: pc, Handler: dns.HandlerFunc(big)}
-	serve(t, s)
-	r = sendAttempt(t, u.Target(pc.LocalAddr().String()), addressQuery(), false, always)
-	if r.Status != balancer.ConnectFailed {
-		t.Errorf("with a dead TCP port: status %v, want one that blames the server", r.Status)
+	server := &dns.Server{PacketConn: udp, Handler: dns.HandlerFunc(answerBig)}
+	serve(t, server)
+	reply = sendAttempt(t, upstream.Target(udp.LocalAddr().String()), addressQuery(), false, always)
+	if reply.Status != balancer.ConnectFailed {
+		t.Errorf("after a truncated answer with a closed TCP port: status %v, want ConnectFailed", reply.Status)
 	}
-	r = sendAttempt(t, u.Target(sidecartest.ClosedAddress(t)), addressQuery(), false, always)
-	if r.Status != balancer.ConnectFailed {
-		t.Errorf("where nobody listens: status %v", r.Status)
+	reply = sendAttempt(t, upstream.Target(sidecartest.ClosedAddress(t)), addressQuery(), false, always)
+	if reply.Status != balancer.ConnectFailed {
+		t.Errorf("at an address with no listener: status %v, want ConnectFailed", reply.Status)
 	}
 }
 
-// A response code counts as an answer, a rejection or an error of the server, by its meaning.
+// The response code must decide whether an answer counts as success, a rejection or an error of the server.
 func TestResponseCodesMapToStatuses(t *testing.T) {
-	u := testUpstream(t, 8)
+	upstream := testUpstream(t, 8)
 	for rcode, want := range map[int]balancer.Status{dns.RcodeSuccess: balancer.OK, dns.RcodeNameError: balancer.OK,
 		dns.RcodeServerFailure: balancer.Error, dns.RcodeRefused: balancer.Rejected, dns.RcodeNotImplemented: balancer.OK} {
-		to := u.Target(startServer(t, func(w dns.ResponseWriter, m *dns.Msg) { write(w, new(dns.Msg).SetRcode(m, rcode)) }))
-		if r := sendAttempt(t, to, addressQuery(), false, always); r.Status != want {
-			t.Errorf("%s: status %v, want %v", dns.RcodeToString[rcode], r.Status, want)
+		target := upstream.Target(startServer(t, func(w dns.ResponseWriter, m *dns.Msg) {
+			writeAnswer(w, new(dns.Msg).SetRcode(m, rcode))
+		}))
+		if reply := sendAttempt(t, target, addressQuery(), false, always); reply.Status != want {
+			t.Errorf("response code %s: status %v, want %v", dns.RcodeToString[rcode], reply.Status, want)
 		}
 	}
 }
 
-// Messages that are not the answer do not change the outcome; the genuine one after them counts.
+// Messages that are not the answer to the query must not change its outcome: the genuine answer after them is accepted,
+// and each other message is counted.
 func TestForgedAnswersAreIgnored(t *testing.T) {
-	other := func(m *dns.Msg, change func(*dns.Msg)) *dns.Msg {
-		a := answerWith(m, 1)
-		a.Answer[0].(*dns.A).A = net.IPv4(203, 0, 113, 9)
-		change(a)
-		return a
+	forged := func(m *dns.Msg, change func(*dns.Msg)) *dns.Msg {
+		answer := answerWith(m, 1)
+		answer.Answer[0].(*dns.A).A = net.IPv4(203, 0, 113, 9)
+		change(answer)
+		return answer
 	}
-	u := testUpstream(t, 8)
-	to := u.Target(startServer(t, func(w dns.ResponseWriter, m *dns.Msg) {
-		write(w, other(m, func(a *dns.Msg) { a.Id++ }))
-		write(w, other(m, func(a *dns.Msg) { a.Question[0].Name = "b.look.test." }))
-		write(w, other(m, func(a *dns.Msg) { a.Question[0].Qtype = dns.TypeTXT }))
-		write(w, other(m, func(a *dns.Msg) { a.Response = false }))
-		write(w, other(m, func(a *dns.Msg) { a.Question = nil }))
+	upstream := testUpstream(t, 8)
+	target := upstream.Target(startServer(t, func(w dns.ResponseWriter, m *dns.Msg) {
+		writeAnswer(w, forged(m, func(answer *dns.Msg) { answer.Id++ }))
+		writeAnswer(w, forged(m, func(answer *dns.Msg) { answer.Question[0].Name = "b.look.test." }))
+		writeAnswer(w, forged(m, func(answer *dns.Msg) { answer.Question[0].Qtype = dns.TypeTXT }))
+		writeAnswer(w, forged(m, func(answer *dns.Msg) { answer.Response = false }))
+		writeAnswer(w, forged(m, func(answer *dns.Msg) { answer.Question = nil }))
 		_, _ = w.Write([]byte{1, 2, 3})
-		write(w, answerWith(m, 1))
-		write(w, answerWith(m, 1))
+		writeAnswer(w, answerWith(m, 1))
+		writeAnswer(w, answerWith(m, 1))
 	}))
-	r := sendAttempt(t, to, addressQuery(), false, always)
-	if r.Status != balancer.OK || !r.Content.(*answer).msg.Answer[0].(*dns.A).A.Equal(net.IPv4(192, 0, 2, 1)) {
-		t.Fatalf("status %v, %v", r.Status, r.Content)
+	reply := sendAttempt(t, target, addressQuery(), false, always)
+	if reply.Status != balancer.OK ||
+		!reply.Content.(*serverAnswer).msg.Answer[0].(*dns.A).A.Equal(net.IPv4(192, 0, 2, 1)) {
+		t.Fatalf("after forged answers: status %v, content %v; want the genuine answer", reply.Status, reply.Content)
 	}
 	count := func() uint64 {
-		return u.counters.UnknownID.Value() + u.counters.Mismatched.Value() + u.counters.Duplicate.Value()
+		return upstream.counters.UnknownID.Value() + upstream.counters.Mismatched.Value() +
+			upstream.counters.Duplicate.Value()
 	}
 	for end := time.Now().Add(sidecartest.WaitTimeout); count() < 7; {
 		if time.Now().After(end) {
-			t.Fatalf("%d of 7 were counted", count())
+			t.Fatalf("%d of 7 messages besides the answer are counted before the deadline", count())
 		}
 	}
 }
 
-// A server's cookie is returned to it from then on; an answer without the client's part is not the server's.
+// A server's cookie must be returned to it with later queries. An answer whose cookie lacks the client's part is not
+// from the server, and must fail the attempt.
 func TestServerCookieIsReturnedAndVerified(t *testing.T) {
-	var spoil atomic.Bool
-	var seen atomic.Pointer[string]
-	u := testUpstream(t, 8)
-	to := u.Target(startServer(t, func(w dns.ResponseWriter, m *dns.Msg) {
-		a := answerWith(m, 1)
+	var wrongClientPart atomic.Bool
+	var lastCookie atomic.Pointer[string]
+	upstream := testUpstream(t, 8)
+	target := upstream.Target(startServer(t, func(w dns.ResponseWriter, m *dns.Msg) {
+		answer := answerWith(m, 1)
 		opt := m.IsEdns0()
 		if opt == nil || opt.UDPSize() != maxUDPSize || len(opt.Option) != 1 {
-			t.Errorf("asked with %v", opt)
+			t.Errorf("the query has the OPT record %v, want one with the maximum size and only a cookie", opt)
 			return
 		}
-		c := opt.Option[0].(*dns.EDNS0_COOKIE).Cookie
-		seen.Store(&c)
-		a.SetEdns0(1232, false)
-		mine := c[:clientCookieDigits]
-		if spoil.Load() {
-			mine = strings.Repeat("0", clientCookieDigits)
+		cookie := opt.Option[0].(*dns.EDNS0_COOKIE).Cookie
+		lastCookie.Store(&cookie)
+		answer.SetEdns0(1232, false)
+		clientPart := cookie[:clientCookieDigits]
+		if wrongClientPart.Load() {
+			clientPart = strings.Repeat("0", clientCookieDigits)
+		}
+		answer.IsEdns0().Option = []dns.EDNS0{
+			&dns.EDNS0_COOKIE{Code: dns.EDNS0COOKIE, Cookie: clientPart + "0123456789abcdef"},
 		}
-		a.IsEdns0().Option = []dns.EDNS0{&dns.EDNS0_COOKIE{Code: dns.EDNS0COOKIE, Cookie: mine + "0123456789abcdef"}}
-		if len(c) == clientCookieDigits { // it does not know us yet
-			a.Rcode, a.Answer = dns.RcodeBadCookie, nil
+		if len(cookie) == clientCookieDigits { // the client has no cookie of this server yet
+			answer.Rcode, answer.Answer = dns.RcodeBadCookie, nil
 		}
-		write(w, a)
+		writeAnswer(w, answer)
 	}))
-	r := sendAttempt(t, to, addressQuery(), false, always)
-	if r.Status != balancer.OK || !strings.HasSuffix(*seen.Load(), "0123456789abcdef") {
-		t.Errorf("status %v, cookie %s", r.Status, *seen.Load())
+	reply := sendAttempt(t, target, addressQuery(), false, always)
+	if reply.Status != balancer.OK || !strings.HasSuffix(*lastCookie.Load(), "0123456789abcdef") {
+		t.Errorf("with a server that requires cookies: status %v, last cookie %s; want OK and the server's part",
+			reply.Status, *lastCookie.Load())
 	}
-	spoil.Store(true)
-	if r := sendAttempt(t, to, addressQuery(), false, always); r.Status != balancer.Error {
-		t.Errorf("with another's cookie: status %v", r.Status)
+	wrongClientPart.Store(true)
+	if reply := sendAttempt(t, target, addressQuery(), false, always); reply.Status != balancer.Error {
+		t.Errorf("answer with the wrong client's part of the cookie: status %v, want Error", reply.Status)
 	}
 }
 
-// Of ten thousand queries that are open on four sockets no two of a socket have the same ID, and each gets its own
-// answer, in any order.
+// Of ten thousand queries that are open on four sockets, no two on the same socket may have the same ID, and each must
+// get its own answer, whatever the order of the answers.
 func TestTenThousandOpenQueriesHaveDistinctIDs(t *testing.T) {
-	const open = 10_000
+	const openQueries = 10_000
 	udp, _ := listenUDPAndTCP(t)
 	if err := udp.SetReadBuffer(8 << 20); err != nil {
 		t.Fatal(err)
 	}
-	type from struct {
+	type datagram struct {
 		raw []byte
 		at  *net.UDPAddr
 	}
-	all := make(chan from, open)
+	datagrams := make(chan datagram, openQueries)
 	go func() {
 		for {
 			buf := make([]byte, 512)
-			n, at, err := udp.ReadFromUDP(buf)
+			size, clientAddr, err := udp.ReadFromUDP(buf)
 			if err != nil {
 				return
 			}
-			all <- from{buf[:n], at}
+			datagrams <- datagram{buf[:size], clientAddr}
 		}
 	}()
-	u := testUpstream(t, 4)
-	to := u.Target(udp.LocalAddr().String())
+	upstream := testUpstream(t, 4)
+	target := upstream.Target(udp.LocalAddr().String())
 	var wrong, answered atomic.Int32
-	var wait sync.WaitGroup
+	var senders sync.WaitGroup
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
-	room := make(chan struct{}, 64) // sent and not seen by the server yet, or its buffer overflows
-	for i := range open {
-		wait.Go(func() {
+	// unreceived limits the queries that the server has not read yet, so that its socket's buffer does not overflow.
+	unreceived := make(chan struct{}, 64)
+	for i := range openQueries {
+		senders.Go(func() {
 			raw, _ := new(dns.Msg).SetQuestion(fmt.Sprintf("q%d.look.test.", i), dns.TypeA).Pack()
-			q, _ := parseQuery(raw)
-			room <- struct{}{}
-			r := to.Send(ctx, core.Attempt{Request: &upstreamQuery{question: q}, Begin: always, MayContinue: always})
-			if r.Status != balancer.OK {
+			query, _ := parseQuery(raw)
+			unreceived <- struct{}{}
+			reply := target.Send(ctx, core.Attempt{
+				Request:     &upstreamQuery{query: query},
+				Begin:       always,
+				MayContinue: always,
+			})
+			if reply.Status != balancer.OK {
 				if wrong.Add(1) == 1 {
-					t.Errorf("query %d: status %v after %v", i, r.Status, ctx.Err())
+					t.Errorf("query %d: status %v, want OK (context: %v)", i, reply.Status, ctx.Err())
 				}
 				return
 			}
 			answered.Add(1)
-			if r.Content.(*answer).msg.Question[0].Name != fmt.Sprintf("q%d.look.test.", i) {
+			if reply.Content.(*serverAnswer).msg.Question[0].Name != fmt.Sprintf("q%d.look.test.", i) {
 				wrong.Add(1)
 			}
 		})
 	}
-	held := make([]from, 0, open)
+	received := make([]datagram, 0, openQueries)
 	seen := map[string]string{}
-	for len(held) < open {
+	for len(received) < openQueries {
 		select {
-		case f := <-all:
-			key := f.at.String() + string(f.raw[:2])
-			if before, known := seen[key]; known {
-				if before != string(f.raw) {
-					t.Error("two open queries of one socket have the same id")
+		case query := <-datagrams:
+			key := query.at.String() + string(query.raw[:2])
+			if previous, known := seen[key]; known {
+				if previous != string(query.raw) {
+					t.Error("two open queries on the same socket have the same ID")
 					cancel()
 				}
-				continue // sent again
+				continue // the same query was sent again
 			}
-			seen[key] = string(f.raw)
-			held = append(held, f)
-			<-room
+			seen[key] = string(query.raw)
+			received = append(received, query)
+			<-unreceived
 		case <-ctx.Done():
-			t.Fatalf("%d of %d came", len(held), open)
+			t.Fatalf("the server received %d of %d queries before the deadline", len(received), openQueries)
 		}
 	}
-	for i := range held { // the last first
-		f := held[len(held)-1-i]
+	for i := range received { // answers the queries in reverse order
+		query := received[len(received)-1-i]
 		m := new(dns.Msg)
-		if err := m.Unpack(f.raw); err != nil {
+		if err := m.Unpack(query.raw); err != nil {
 			t.Fatal(err)
 		}
 		raw, err := answerWith(m, 1).Pack()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := udp.WriteToUDP(raw, f.at); err != nil {
+		if _, err := udp.WriteToUDP(raw, query.at); err != nil {
 			t.Fatal(err)
 		}
-		for i >= int(answered.Load()+wrong.Load())+100 && ctx.Err() == nil { // or the sockets' buffers overflow
+		for i >= int(answered.Load()+wrong.Load())+100 && ctx.Err() == nil { // else the sockets' buffers overflow
 			time.Sleep(50 * time.Microsecond)
 		}
 	}
-	wait.Wait()
-	if answered.Load() != open || wrong.Load() > 0 {
-		t.Errorf("%d answered, %d wrong", answered.Load(), wrong.Load())
+	senders.Wait()
+	if answered.Load() != openQueries || wrong.Load() > 0 {
+		t.Errorf("%d queries were answered, want 10000; %d failed or got the answer to another query",
+			answered.Load(), wrong.Load())
 	}
 }
 
-// A connection that closes fails each of its queries in flight once; the next query opens another.
+// A connection that closes must fail each of its queries in flight once, and the next query must open another one.
+// After Close nothing may be sent.
 func TestConnectionLossFailsEachQueryInFlightOnce(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	defer listener.Close()
 	var conns atomic.Int32
 	go func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			first := conns.Add(1) == 1
 			go func() {
-				defer c.Close()
-				for n := 1; ; n++ {
-					raw, err := readFrame(c, nil)
-					if err != nil || first && n == 10 {
+				defer conn.Close()
+				for received := 1; ; received++ {
+					raw, err := readFrame(conn, nil)
+					if err != nil || first && received == 10 {
 						return
 					}
 					if first {
@@ -299,54 +326,59 @@
 						t.Error(err)
 						return
 					}
-					text, err := answerWith(m, 1).Pack()
+					encoded, err := answerWith(m, 1).Pack()
 					if err != nil {
 						t.Error(err)
 						return
 					}
-					if _, err := c.Write(appendFrame(nil, text)); err != nil {
+					if _, err := conn.Write(appendFrame(nil, encoded)); err != nil {
 						return // the client has closed the connection
 					}
 				}
 			}()
 		}
 	}()
-	u := testUpstream(t, 1)
-	to := u.Target(ln.Addr().String())
-	var wait sync.WaitGroup
+	upstream := testUpstream(t, 1)
+	target := upstream.Target(listener.Addr().String())
+	var senders sync.WaitGroup
 	var reset atomic.Int32
 	for range 10 {
-		wait.Go(func() {
-			if sendAttempt(t, to, addressQuery(), true, always).Status == balancer.Reset {
+		senders.Go(func() {
+			if sendAttempt(t, target, addressQuery(), true, always).Status == balancer.Reset {
 				reset.Add(1)
 			}
 		})
 	}
-	wait.Wait()
+	senders.Wait()
 	if reset.Load() != 10 || conns.Load() != 1 {
-		t.Errorf("%d of 10 in flight were told, over %d connections", reset.Load(), conns.Load())
+		t.Errorf("%d of 10 queries in flight ended as Reset, on %d connections; want all, on 1",
+			reset.Load(), conns.Load())
 	}
-	if r := sendAttempt(t, to, addressQuery(), true, always); r.Status != balancer.OK || conns.Load() != 2 {
-		t.Errorf("afterwards: status %v, %d connections", r.Status, conns.Load())
+	if reply := sendAttempt(t, target, addressQuery(), true, always); reply.Status != balancer.OK || conns.Load() != 2 {
+		t.Errorf("next query after the loss: status %v, %d connections in all; want OK and 2",
+			reply.Status, conns.Load())
 	}
-	to.Close()
-	if r := sendAttempt(t, to, addressQuery(), true, always); r.Status != balancer.NotSent {
-		t.Errorf("of what is gone: status %v", r.Status)
+	target.Close()
+	if reply := sendAttempt(t, target, addressQuery(), true, always); reply.Status != balancer.NotSent {
+		t.Errorf("query after Close: status %v, want NotSent", reply.Status)
 	}
 }
 
-// Connections to many servers stay within the descriptors that the front reserves: idle ones are closed.
+// The connections to many servers must not exceed the file descriptors that the front may use: idle connections are
+// closed in time.
 func TestServerConnectionsAreBounded(t *testing.T) {
-	u := testUpstream(t, 4)
-	for i := range 2 * u.settings.maxServerConns() {
-		if r := sendAttempt(t, u.Target(startServer(t, nil)), addressQuery(), true, always); r.Status != balancer.OK {
-			t.Fatalf("server %d: status %v", i, r.Status)
+	upstream := testUpstream(t, 4)
+	for i := range 2 * upstream.settings.maxServerConns() {
+		if reply := sendAttempt(
+			t, upstream.Target(startServer(t, nil)), addressQuery(), true, always,
+		); reply.Status != balancer.OK {
+			t.Fatalf("query to server %d: status %v, want OK", i, reply.Status)
 		}
-		u.mu.Lock()
-		n := len(u.conns)
-		u.mu.Unlock()
-		if n > u.settings.maxServerConns() {
-			t.Fatalf("%d connections are open, %d may be", n, u.settings.maxServerConns())
+		upstream.mu.Lock()
+		open := len(upstream.conns)
+		upstream.mu.Unlock()
+		if open > upstream.settings.maxServerConns() {
+			t.Fatalf("%d connections are open, want at most %d", open, upstream.settings.maxServerConns())
 		}
 	}
 }
