--- a/internal/dataplane/dnsfront/counters.go
+++ b/internal/dataplane/dnsfront/counters.go
@@ -16,10 +16,10 @@
 
 	// Counts of attempts at servers.
 	Resent        *metrics.Counter // datagrams sent again to the same server
-	Truncated     *metrics.Counter // truncated answers, whose query was sent again over TCP
+	Truncated     *metrics.Counter // truncated answers over UDP
 	SocketsShared *metrics.Counter // queries that shared a UDP socket with others
 	UnknownID     *metrics.Counter // messages without an open query of their ID: late or forged
-	Mismatched    *metrics.Counter // messages with the ID of an open query that are not its answer
+	Mismatched    *metrics.Counter // messages that are no valid answer to the open query with their ID, and those too short
 	Duplicate     *metrics.Counter // further answers to an open query
 }
 
--- a/internal/dataplane/dnsfront/testsidecar_test.go
+++ b/internal/dataplane/dnsfront/testsidecar_test.go
@@ -23,8 +23,8 @@
 	"birchmoor/internal/testutil/sidecartest"
 )
 
-// testSettings returns settings with the classes look, same, which shares answers, and change, which has updates. Each
-// class has the names in the zone of its name under .test.
+// testSettings returns settings with three classes: look, same, which shares answers, and change, which consists of
+// updates. Each class has the names that end in its own name and .test.
 func testSettings() Settings {
 	class := func(name string, shareAnswers bool, opcodes ...int) Class {
 		return Class{
