--- a/internal/lab/checker/checker.go
+++ b/internal/lab/checker/checker.go
@@ -1,8 +1,8 @@
-// Package checker checks a run of the lab against the rules, from what went over the sockets and the lab's own
-// knowledge of its servers alone.
+// Package checker checks a run of the lab against the rules of the service. It uses only what went over the sockets and
+// what the lab knows about its own servers.
 //
-// So that a fault of the program under test cannot hide itself, the package imports nothing of that program, and every
-// count is its own. A test checks the imports.
+// The package imports nothing of the program under test and keeps its own counts, so that a fault of that program
+// cannot hide itself. A test checks the imports.
 package checker
 
 import (
@@ -18,7 +18,7 @@
 
 // Settings are the parameters of the rules.
 type Settings struct {
-	NonIdempotent    []bool // by class of request
+	NonIdempotent    []bool // by class of request; classes beyond its end are idempotent
 	DrainGrace       Micros // after a drain was reported to a sidecar, until it must send no further attempts
 	ClockSlack       Micros // added to DrainGrace for the difference between a sidecar's clock and the lab's
 	OverloadMultiple float64
@@ -85,7 +85,7 @@
 	})
 }
 
-// Take takes the next event.
+// Take processes the next event. Events must come in the order of their time.
 func (c *Checker) Take(e trace.Event) {
 	switch e.Kind {
 	case trace.Asked:
@@ -112,7 +112,8 @@
 	}
 }
 
-// Finish returns the verdict. A request that is still open then violates UnbalancedCounts.
+// Finish ends the run at an instant and returns its verdict. Requests that are still open violate UnbalancedCounts. The
+// checker must not be used afterwards.
 func (c *Checker) Finish(now Micros) *Verdict {
 	counts := &c.verdict.Counts
 	if counts.ended() != counts.Requests {
--- a/internal/lab/checker/checker_test.go
+++ b/internal/lab/checker/checker_test.go
@@ -11,14 +11,14 @@
 	"birchmoor/internal/lab/trace"
 )
 
-const ms Micros = 1000
+const millisecond Micros = 1000
 
 var testSettings = Settings{
 	NonIdempotent:    []bool{false, true},
-	DrainGrace:       500 * ms,
-	ClockSlack:       50 * ms,
+	DrainGrace:       500 * millisecond,
+	ClockSlack:       50 * millisecond,
 	OverloadMultiple: 3,
-	OverloadWindow:   3000 * ms,
+	OverloadWindow:   3000 * millisecond,
 }
 
 // traceBuilder builds a trace; its methods add events at the current instant and return the builder.
@@ -39,12 +39,12 @@
 }
 
 func (b *traceBuilder) request(id, task uint64, class uint8) *traceBuilder {
-	return b.add(trace.Event{Kind: trace.Asked, Request: id, Task: task, Class: class, Work: 50 * ms})
+	return b.add(trace.Event{Kind: trace.Asked, Request: id, Task: task, Class: class, Work: 50 * millisecond})
 }
 
 func (b *traceBuilder) execute(id uint64, server int32) *traceBuilder {
 	return b.add(trace.Event{Kind: trace.Sent, Request: id, Server: server}).
-		add(trace.Event{Kind: trace.Accepted, Request: id, Server: server, Work: 50 * ms})
+		add(trace.Event{Kind: trace.Accepted, Request: id, Server: server, Work: 50 * millisecond})
 }
 
 func (b *traceBuilder) answer(id uint64, v trace.Verdict) *traceBuilder {
@@ -66,7 +66,7 @@
 // injectedViolations builds, for each rule, a trace that violates it once.
 var injectedViolations = map[Rule]func(b *traceBuilder){
 	LostRequests: func(b *traceBuilder) {
-		b.request(1, 1, 0).wait(2000 * ms).add(trace.Event{Kind: trace.Left, Request: 1})
+		b.request(1, 1, 0).wait(2000 * millisecond).add(trace.Event{Kind: trace.Left, Request: 1})
 	},
 	DuplicateAnswers: func(b *traceBuilder) {
 		b.request(1, 1, 0).execute(1, 0).answer(1, trace.Served).answer(1, trace.Served)
@@ -79,12 +79,12 @@
 		b.request(1, 1, 1).execute(1, 0).answer(1, trace.Refused)
 	},
 	TrafficAfterDrain: func(b *traceBuilder) {
-		b.notify(0, trace.Draining).wait(551*ms).request(1, 1, 0).execute(1, 0).answer(1, trace.Served)
+		b.notify(0, trace.Draining).wait(551*millisecond).request(1, 1, 0).execute(1, 0).answer(1, trace.Served)
 	},
 	SlowStartOverload: func(b *traceBuilder) {
-		b.add(trace.Event{Kind: trace.Started, Capacity: 1e6, ColdFrom: 0.2, ColdFor: 20_000 * ms})
+		b.add(trace.Event{Kind: trace.Started, Capacity: 1e6, ColdFrom: 0.2, ColdFor: 20_000 * millisecond})
 		for id := uint64(1); id < 58; id++ { // more than 3 x 1.25 x 0.2 s of work a second, over 3 s
-			b.request(id, id, 0).execute(id, 0).wait(10*ms).answer(id, trace.Served)
+			b.request(id, id, 0).execute(id, 0).wait(10*millisecond).answer(id, trace.Served)
 		}
 	},
 	UnbalancedCounts: func(b *traceBuilder) { b.request(1, 1, 0).execute(1, 0) },
@@ -92,7 +92,7 @@
 
 func TestCheckerReportsInjectedViolationOnce(t *testing.T) {
 	for rule, inject := range injectedViolations {
-		b := &traceBuilder{now: 1000 * ms}
+		b := &traceBuilder{now: 1000 * millisecond}
 		inject(b)
 		v := b.check()
 		if v.ViolationCounts[rule] != 1 || len(v.ViolationCounts) != 1 {
@@ -101,28 +101,28 @@
 	}
 }
 
-// Further ways to violate the same rules.
+// Checks less obvious ways to violate the same rules.
 func TestCheckerReportsFurtherViolations(t *testing.T) {
 	for name, c := range map[string]struct {
 		rule   Rule
 		inject func(b *traceBuilder)
 	}{
 		"a server drained by an operator": {TrafficAfterDrain, func(b *traceBuilder) {
-			b.notify(3, trace.Banned).notify(3, trace.Up).wait(600 * ms)
+			b.notify(3, trace.Banned).notify(3, trace.Up).wait(600 * millisecond)
 			b.request(1, 1, 0).execute(1, 3).answer(1, trace.Served)
 		}},
 		"a server that is no longer listed": {TrafficAfterDrain, func(b *traceBuilder) {
-			b.notify(3, trace.Gone).wait(600*ms).request(1, 1, 0).execute(1, 3).answer(1, trace.Served)
+			b.notify(3, trace.Gone).wait(600*millisecond).request(1, 1, 0).execute(1, 3).answer(1, trace.Served)
 		}},
 		"a drain reported twice": {TrafficAfterDrain, func(b *traceBuilder) {
-			b.notify(3, trace.Draining).wait(400*ms).notify(3, trace.Draining).wait(200 * ms)
+			b.notify(3, trace.Draining).wait(400*millisecond).notify(3, trace.Draining).wait(200 * millisecond)
 			b.request(1, 1, 0).execute(1, 3).answer(1, trace.Served)
 		}},
 		"a closed connection": {LostRequests, func(b *traceBuilder) {
 			b.request(1, 1, 0).execute(1, 0).add(trace.Event{Kind: trace.Cut, Request: 1})
 		}},
 		"a request open at a graceful shutdown": {LostRequests, func(b *traceBuilder) {
-			b.request(1, 1, 0).add(trace.Event{Kind: trace.Killed, State: trace.Draining}).wait(2000 * ms)
+			b.request(1, 1, 0).add(trace.Event{Kind: trace.Killed, State: trace.Draining}).wait(2000 * millisecond)
 			b.add(trace.Event{Kind: trace.Left, Request: 1})
 		}},
 		"a retry of a booking that was executed": {DuplicateExecutions, func(b *traceBuilder) {
@@ -137,10 +137,10 @@
 			b.answer(9, trace.Served)
 		}},
 		"a rejection after the booking": {FalseRejections, func(b *traceBuilder) {
-			b.request(1, 1, 1).execute(1, 0).wait(10*ms).answer(1, trace.Refused)
+			b.request(1, 1, 1).execute(1, 0).wait(10*millisecond).answer(1, trace.Refused)
 		}},
 	} {
-		b := &traceBuilder{now: 1000 * ms}
+		b := &traceBuilder{now: 1000 * millisecond}
 		c.inject(b)
 		v := b.check()
 		if v.ViolationCounts[c.rule] == 0 {
@@ -151,7 +151,7 @@
 
 func TestCheckerPassesRunWithinRules(t *testing.T) {
 	b := &traceBuilder{}
-	b.add(trace.Event{Kind: trace.Started, Capacity: 4e6, ColdFrom: 0.2, ColdFor: 20_000 * ms})
+	b.add(trace.Event{Kind: trace.Started, Capacity: 4e6, ColdFrom: 0.2, ColdFor: 20_000 * millisecond})
 
 	// An idempotent request may be executed twice.
 	b.request(1, 1, 0).execute(1, 0)
@@ -167,15 +167,15 @@
 	b.request(5, 5, 1).execute(5, 1).answer(5, trace.Failed)
 
 	// Attempts are allowed within a drain's grace period, and after its end.
-	b.notify(0, trace.Draining).wait(549*ms).request(6, 6, 0).execute(6, 0).answer(6, trace.Served)
-	b.wait(5000*ms).notify(0, trace.Up).request(7, 7, 0).execute(7, 0).answer(7, trace.Served)
-	b.notify(1, trace.Banned).notify(1, trace.Released).wait(5000 * ms)
+	b.notify(0, trace.Draining).wait(549*millisecond).request(6, 6, 0).execute(6, 0).answer(6, trace.Served)
+	b.wait(5000*millisecond).notify(0, trace.Up).request(7, 7, 0).execute(7, 0).answer(7, trace.Served)
+	b.notify(1, trace.Banned).notify(1, trace.Released).wait(5000 * millisecond)
 	b.request(8, 8, 0).execute(8, 1).answer(8, trace.Served)
 
 	// The sidecar is excused for what the lab did to it.
 	b.request(9, 9, 0).add(trace.Event{Kind: trace.Killed, State: trace.Gone})
 	b.add(trace.Event{Kind: trace.Cut, Request: 9})
-	b.request(10, 10, 0).wait(3000 * ms).add(trace.Event{Kind: trace.Left, Request: 10})
+	b.request(10, 10, 0).wait(3000 * millisecond).add(trace.Event{Kind: trace.Left, Request: 10})
 	b.add(trace.Event{Kind: trace.Killed, State: trace.Up})
 	b.request(11, 11, 0).add(trace.Event{Kind: trace.Left, Request: 11, Note: unreadNote})
 
