--- a/internal/lab/rig/client.go
+++ b/internal/lab/rig/client.go
@@ -16,12 +16,13 @@
 	"birchmoor/internal/lab/trace"
 )
 
-// callers are the clients of one sidecar. They keep their connections and open more when all are busy.
-type callers struct {
-	r       *rig
-	sidecar int
-	addr    string
-	most    chan struct{} // one for each connection that may be open
+// clientPool sends the requests of one sidecar's clients. It reuses idle connections, and dials a new one if none is
+// idle. It is safe for concurrent use.
+type clientPool struct {
+	rig           *rig
+	sidecar       int
+	addr          string
+	connSemaphore chan struct{} // its capacity is the maximum number of connections in use
 
 	mu   sync.Mutex
 	idle []*clientConn
@@ -29,176 +30,179 @@
 
 type clientConn struct {
 	net.Conn
-	in *bufio.Reader
+	reader *bufio.Reader
 }
 
-// flight is a request on its way.
-type flight struct {
-	mu   sync.Mutex
-	conn net.Conn
-	left bool
+// clientRequest is a request in flight. Its client may abandon it from another goroutine.
+type clientRequest struct {
+	mu        sync.Mutex
+	conn      net.Conn
+	abandoned bool
 }
 
-// leave closes the request's connection: its client has gone.
-func (f *flight) leave() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.left = true
-	if f.conn != nil {
-		f.conn.Close()
+// abandon closes the request's connection, as a client does that no longer waits for the answer.
+func (r *clientRequest) abandon() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.abandoned = true
+	if r.conn != nil {
+		r.conn.Close()
 	}
 }
 
-// on notes the request's connection, and says no if the client has gone.
-func (f *flight) on(c net.Conn) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.conn = c
-	return !f.left
+// setConn records the request's connection, nil for none. It reports false if the client has abandoned the request.
+func (r *clientRequest) setConn(conn net.Conn) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.conn = conn
+	return !r.abandoned
 }
 
-func (k *callers) get() (c *clientConn, kept bool, err error) {
-	k.mu.Lock()
-	if n := len(k.idle); n > 0 {
-		c = k.idle[n-1]
-		k.idle = k.idle[:n-1]
-		k.mu.Unlock()
-		return c, true, nil
-	}
-	k.mu.Unlock()
-	c, err = k.dial()
-	return c, false, err
+// get returns an idle connection, with reused set, or a new one.
+func (p *clientPool) get() (conn *clientConn, reused bool, err error) {
+	p.mu.Lock()
+	if n := len(p.idle); n > 0 {
+		conn = p.idle[n-1]
+		p.idle = p.idle[:n-1]
+		p.mu.Unlock()
+		return conn, true, nil
+	}
+	p.mu.Unlock()
+	conn, err = p.dial()
+	return conn, false, err
 }
 
-func (k *callers) dial() (*clientConn, error) {
-	d := net.Dialer{Timeout: 2 * time.Second}
-	nc, err := d.DialContext(k.r.ctx, "tcp", k.addr)
+func (p *clientPool) dial() (*clientConn, error) {
+	dialer := net.Dialer{Timeout: 2 * time.Second}
+	conn, err := dialer.DialContext(p.rig.ctx, "tcp", p.addr)
 	if err != nil {
 		return nil, err
 	}
-	return &clientConn{nc, bufio.NewReader(nc)}, nil
+	return &clientConn{conn, bufio.NewReader(conn)}, nil
 }
 
-func (k *callers) put(c *clientConn) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.idle = append(k.idle, c)
+func (p *clientPool) put(conn *clientConn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.idle = append(p.idle, conn)
 }
 
-func (k *callers) close() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for _, c := range k.idle {
-		c.Close()
+func (p *clientPool) close() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, conn := range p.idle {
+		conn.Close()
 	}
-	k.idle = nil
+	p.idle = nil
 }
 
-// text is a request as it goes over the socket.
-func (k *callers) text(y *model.Try, id string) string {
-	t := y.Task
-	c := &k.r.s.Classes[t.Class]
+// requestText returns a request as it is written to the connection.
+func (p *clientPool) requestText(try *model.Try, id string) string {
+	task := try.Task
+	class := &p.rig.scenario.Classes[task.Class]
 	var b strings.Builder
 	method := "GET"
-	if c.Unsafe {
+	if class.Unsafe {
 		method = "POST"
 	}
 	fmt.Fprintf(&b, "%s /%s/%s HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Expires-In-Ms: %d\r\n",
-		method, c.Name, id, id, c.Name, y.Patient/1000)
-	if t.Hint > 0 {
-		fmt.Fprintf(&b, "X-Size-Hint: %d\r\n", t.Hint)
+		method, class.Name, id, id, class.Name, try.Patient/1000)
+	if task.Hint > 0 {
+		fmt.Fprintf(&b, "X-Size-Hint: %d\r\n", task.Hint)
 	}
-	if y.Number > 0 && k.r.s.Clients.Marks {
+	if try.Number > 0 && p.rig.scenario.Clients.Marks {
 		b.WriteString("X-Second-Try: 1\r\n")
 	}
-	if c.Unsafe {
-		fmt.Fprintf(&b, "Content-Length: %d\r\n\r\n%s", k.r.s.Load.Bodies, strings.Repeat("b", k.r.s.Load.Bodies))
+	if class.Unsafe {
+		fmt.Fprintf(&b, "Content-Length: %d\r\n\r\n%s",
+			p.rig.scenario.Load.Bodies, strings.Repeat("b", p.rig.scenario.Load.Bodies))
 	} else {
 		b.WriteString("\r\n")
 	}
 	return b.String()
 }
 
-// ask sends a request and reports what came of it.
-func (k *callers) ask(y *model.Try, f *flight) {
-	id := fmt.Sprintf("%016x", y.ID)
-	r := k.r
-	stop := context.AfterFunc(r.ctx, f.leave) // a run that ends waits for nobody
+// send sends a request, waits for its answer and reports the outcome to the world. The world reports a request that
+// timed out or was abandoned by itself.
+func (p *clientPool) send(try *model.Try, request *clientRequest) {
+	id := fmt.Sprintf("%016x", try.ID)
+	r := p.rig
+	stop := context.AfterFunc(r.ctx, request.abandon) // the end of the run must not wait for answers
 	defer stop()
-	cut := func(unheard bool) {
-		at := time.Now()
-		r.post(func() { r.w.CutOff(y, r.at(at), unheard) })
+	reportCut := func(unread bool) {
+		endedAt := time.Now()
+		r.post(func() { r.world.CutOff(try, r.queueTime(endedAt), unread) })
 	}
 	select {
-	case k.most <- struct{}{}:
-		defer func() { <-k.most }()
+	case p.connSemaphore <- struct{}{}:
+		defer func() { <-p.connSemaphore }()
 	case <-r.ctx.Done():
 		return
-	case <-time.After(time.Duration(y.Patient) * time.Microsecond):
-		return // the client has no connection left; its time-out is told by the model
+	case <-time.After(time.Duration(try.Patient) * time.Microsecond):
+		return // all connections are in use until the request times out, which the model reports
 	}
-	c, kept, err := k.get()
+	conn, reused, err := p.get()
 	if err != nil {
-		cut(true)
+		reportCut(true)
 		return
 	}
-	text := k.text(y, id)
-	kills := r.homes[k.sidecar].kills.Load()
+	text := p.requestText(try, id)
+	killsBefore := r.sidecars[p.sidecar].kills.Load()
 	for {
-		if !f.on(c) {
-			c.Close()
+		if !request.setConn(conn) {
+			conn.Close()
 			return
 		}
-		c.SetDeadline(time.Now().Add(time.Minute))
-		_, err := io.WriteString(c, text)
+		conn.SetDeadline(time.Now().Add(time.Minute))
+		_, err := io.WriteString(conn, text)
 		if err == nil {
-			_, err = c.in.Peek(1)
+			_, err = conn.reader.Peek(1)
 		}
 		if err == nil {
 			break
 		}
-		c.Close()
-		if !kept || r.homes[k.sidecar].kills.Load() != kills {
-			cut(false)
+		conn.Close()
+		if !reused || r.sidecars[p.sidecar].kills.Load() != killsBefore {
+			reportCut(false)
 			return
 		}
-		// The sidecar closed a kept connection as we wrote: once more, on a new one.
-		if kept = false; !f.on(nil) {
+		// The sidecar closed the idle connection before it read the request, so it is sent once more on a new one.
+		if reused = false; !request.setConn(nil) {
 			return
 		}
-		if c, err = k.dial(); err != nil {
-			cut(true)
+		if conn, err = p.dial(); err != nil {
+			reportCut(true)
 			return
 		}
 	}
-	resp, err := http.ReadResponse(c.in, nil)
-	var got []byte
+	response, err := http.ReadResponse(conn.reader, nil)
+	var received []byte
 	if err == nil {
-		got, err = io.ReadAll(resp.Body)
+		received, err = io.ReadAll(response.Body)
 	}
-	at := time.Now()
+	endedAt := time.Now()
 	if err != nil {
-		c.Close()
-		cut(false)
+		conn.Close()
+		reportCut(false)
 		return
 	}
-	verdict, after := trace.Failed, time.Duration(0)
-	switch resp.StatusCode {
+	verdict, retryAfter := trace.Failed, time.Duration(0)
+	switch response.StatusCode {
 	case http.StatusOK:
 		verdict = trace.Foreign
-		if string(got) == body(id, r.s.Load.Answer) {
+		if string(received) == answerBody(id, r.scenario.Load.Answer) {
 			verdict = trace.Served
 		}
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		verdict = trace.Refused
-		if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && s >= 0 {
-			after = min(time.Duration(s*float64(time.Second)), time.Minute)
+		if seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); err == nil && seconds >= 0 {
+			retryAfter = min(time.Duration(seconds*float64(time.Second)), time.Minute)
 		}
 	}
-	r.post(func() { r.w.Answer(y, r.at(at), verdict, after.Microseconds()) })
-	if f.on(nil); resp.Close {
-		c.Close()
+	r.post(func() { r.world.Answer(try, r.queueTime(endedAt), verdict, retryAfter.Microseconds()) })
+	if request.setConn(nil); response.Close {
+		conn.Close()
 	} else {
-		k.put(c)
+		p.put(conn)
 	}
 }
--- a/internal/lab/rig/discovery.go
+++ b/internal/lab/rig/discovery.go
@@ -13,15 +13,17 @@
 	"birchmoor/internal/lab/trace"
 )
 
-const quietLine = 2 * time.Second // an empty line comes this often on a watch while nothing changes
+// keepaliveInterval is how often an empty line is sent on a watch without changes.
+const keepaliveInterval = 2 * time.Second
 
-// list and instance are discovery's form on the sockets.
-type list struct {
+// instanceList is an endpoint list, or a change of one, in the format of discovery.
+type instanceList struct {
 	Generation int64      `json:"generation"`
 	Reset      bool       `json:"reset"`
 	Instances  []instance `json:"instances"`
 }
 
+// instance is an endpoint in the format of discovery.
 type instance struct {
 	ID        string  `json:"instanceId"`
 	Addr      string  `json:"hostPort"`
@@ -33,122 +35,132 @@
 	StartedMs int64   `json:"startedAtMs"`
 }
 
-// list puts discovery's word as this sidecar is told it.
-func (r *rig) list(sidecar int, u model.Update) list {
-	l := list{Generation: u.Generation, Reset: u.Reset, Instances: []instance{}}
-	for _, e := range u.Entries {
-		s := r.w.Servers[e.Server]
-		x := instance{ID: s.Name, Addr: r.slots[e.Server].addrs[sidecar], Zone: r.s.Fleet.Zones[s.Zone],
-			Kind: s.Spec.Kind, Cell: s.Cell, Weight: 1, Lifecycle: "up"}
-		switch e.State {
+// discoveryList converts an update of the model to the list that one sidecar receives, with the addresses of the links
+// from that sidecar to the servers.
+func (r *rig) discoveryList(sidecar int, update model.Update) instanceList {
+	list := instanceList{Generation: update.Generation, Reset: update.Reset, Instances: []instance{}}
+	for _, entry := range update.Entries {
+		server := r.world.Servers[entry.Server]
+		listed := instance{
+			ID:        server.Name,
+			Addr:      r.servers[entry.Server].addrs[sidecar],
+			Zone:      r.scenario.Fleet.Zones[server.Zone],
+			Kind:      server.Spec.Kind,
+			Cell:      server.Cell,
+			Weight:    1,
+			Lifecycle: "up",
+		}
+		switch entry.State {
 		case trace.Draining:
-			x.Lifecycle = "draining"
+			listed.Lifecycle = "draining"
 		case trace.Gone:
-			x.Lifecycle = "removed"
+			listed.Lifecycle = "removed"
 		}
-		if e.Started > 0 {
-			x.StartedMs = r.q.StartTime().Add(time.Duration(e.Started) * time.Microsecond).UnixMilli()
+		if entry.Started > 0 {
+			listed.StartedMs = r.queue.StartTime().Add(time.Duration(entry.Started) * time.Microsecond).UnixMilli()
 		}
-		l.Instances = append(l.Instances, x)
+		list.Instances = append(list.Instances, listed)
 	}
-	return l
+	return list
 }
 
-// word is what goes out on a watch.
-type word struct {
-	u    model.Update
-	told model.Told
-	end  bool
+// watchEvent is an update to send on a watch, or the end of the watch.
+type watchEvent struct {
+	update    model.Update
+	onSent    model.Told // called on the queue's goroutine once the update has been sent
+	endsWatch bool
 }
 
-const wordsMost = 256 // that a watch may be behind
+// maxQueuedEvents is the number of events that a watch may lag behind before it is ended.
+const maxQueuedEvents = 256
 
-// desk answers one sidecar's calls of discovery.
-type desk struct {
-	r       *rig
-	sidecar int
-	ln      net.Listener
-	server  *http.Server
-	watch   chan word // of the open watch; nil for none. It belongs to the queue's goroutine
+// discoveryServer serves the polls and watches of one sidecar.
+type discoveryServer struct {
+	rig      *rig
+	sidecar  int
+	listener net.Listener
+	server   *http.Server
+	watch    chan watchEvent // of the open watch, or nil; used only on the queue's goroutine
 }
 
-func newDesk(r *rig, sidecar int) (*desk, error) {
-	ln, err := address.Listen()
+func newDiscoveryServer(r *rig, sidecar int) (*discoveryServer, error) {
+	listener, err := address.Listen()
 	if err != nil {
 		return nil, err
 	}
-	d := &desk{r: r, sidecar: sidecar, ln: ln}
+	d := &discoveryServer{rig: r, sidecar: sidecar, listener: listener}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /api/targets", d.targets)
+	mux.HandleFunc("GET /api/targets", d.serveTargets)
 	d.server = &http.Server{Handler: mux, ReadHeaderTimeout: 10 * time.Second}
-	r.wg.Go(func() { d.server.Serve(ln) })
+	r.wg.Go(func() { d.server.Serve(listener) })
 	return d, nil
 }
 
-func (d *desk) targets(w http.ResponseWriter, q *http.Request) {
-	r := d.r
-	keep := q.URL.Query().Get("watch") == "1"
-	after, _ := strconv.ParseInt(q.URL.Query().Get("after"), 10, 64)
-	if !keep {
-		after = 0
+// serveTargets serves a poll, or a watch until either side ends it.
+func (d *discoveryServer) serveTargets(w http.ResponseWriter, request *http.Request) {
+	r := d.rig
+	isWatch := request.URL.Query().Get("watch") == "1"
+	afterGeneration, _ := strconv.ParseInt(request.URL.Query().Get("after"), 10, 64)
+	if !isWatch {
+		afterGeneration = 0
 	}
-	words := make(chan word, wordsMost)
-	first := make(chan list, 1)
+	events := make(chan watchEvent, maxQueuedEvents)
+	firstList := make(chan instanceList, 1)
 	failed := make(chan struct{}, 1)
 	r.post(func() {
-		r.w.Disc.Call(d.sidecar, after, keep, func(u model.Update, ok bool) {
+		r.world.Disc.Call(d.sidecar, afterGeneration, isWatch, func(update model.Update, ok bool) {
 			if !ok {
 				failed <- struct{}{}
 				return
 			}
-			if keep {
+			if isWatch {
 				if d.watch != nil {
-					close(d.watch) // a new watch takes the place of the old
+					close(d.watch) // a new watch replaces the open one
 				}
-				d.watch = words
+				d.watch = events
 			}
-			first <- r.list(d.sidecar, u)
+			firstList <- r.discoveryList(d.sidecar, update)
 		})
 	})
 	defer r.post(func() {
-		if d.watch == words {
+		if d.watch == events {
 			d.watch = nil
-			r.w.Disc.Unwatch(d.sidecar)
+			r.world.Disc.Unwatch(d.sidecar)
 		}
 	})
-	out := json.NewEncoder(w)
-	flush := http.NewResponseController(w)
+	encoder := json.NewEncoder(w)
+	controller := http.NewResponseController(w)
 	select {
-	case l := <-first:
+	case list := <-firstList:
 		w.Header().Set("Content-Type", "application/json")
-		if out.Encode(l) != nil || flush.Flush() != nil || !keep {
+		if encoder.Encode(list) != nil || controller.Flush() != nil || !isWatch {
 			return
 		}
 	case <-failed:
 		http.Error(w, "discovery is busy", http.StatusServiceUnavailable)
 		return
-	case <-q.Context().Done():
+	case <-request.Context().Done():
 		return
 	case <-r.ctx.Done():
 		return
 	}
-	quiet := time.NewTicker(quietLine)
-	defer quiet.Stop()
+	keepalive := time.NewTicker(keepaliveInterval)
+	defer keepalive.Stop()
 	for {
 		select {
-		case word, open := <-words:
-			if !open || word.end {
-				panic(http.ErrAbortHandler) // the watch ends in the middle of its answer
+		case event, open := <-events:
+			if !open || event.endsWatch {
+				panic(http.ErrAbortHandler) // closes the connection in the middle of the response
 			}
-			if out.Encode(r.list(d.sidecar, word.u)) != nil || flush.Flush() != nil {
+			if encoder.Encode(r.discoveryList(d.sidecar, event.update)) != nil || controller.Flush() != nil {
 				return
 			}
-			r.post(word.told)
-		case <-quiet.C:
-			if _, err := io.WriteString(w, "\n"); err != nil || flush.Flush() != nil {
+			r.post(event.onSent)
+		case <-keepalive.C:
+			if _, err := io.WriteString(w, "\n"); err != nil || controller.Flush() != nil {
 				return
 			}
-		case <-q.Context().Done():
+		case <-request.Context().Done():
 			return
 		case <-r.ctx.Done():
 			return
@@ -156,18 +168,18 @@
 	}
 }
 
-// say sends a word on the open watch; it is called on the queue's goroutine.
-func (d *desk) say(x word) {
+// sendEvent sends an event on the open watch, if there is one. It must be called on the queue's goroutine.
+func (d *discoveryServer) sendEvent(event watchEvent) {
 	if d.watch == nil {
 		return
 	}
 	select {
-	case d.watch <- x:
+	case d.watch <- event:
 	default:
-		close(d.watch) // it does not read: the watch ends, and the next one tells it all
+		close(d.watch) // the sidecar does not read; its next watch begins with the whole list
 		d.watch = nil
 	}
-	if x.end {
+	if event.endsWatch {
 		d.watch = nil
 	}
 }
--- a/internal/lab/rig/process.go
+++ b/internal/lab/rig/process.go
@@ -22,66 +22,77 @@
 )
 
 const (
-	readyMost  = 30 * time.Second // for a process to become ready
-	callMost   = time.Second      // for an operator's call
-	upgradeFor = 6 * time.Second  // for a new process to say yes
-	restFor    = 700 * time.Millisecond
-	pollEvery  = 20 * time.Millisecond
-	pollMost   = time.Second // the socket takes connections also while no process does
+	readyTimeout        = 30 * time.Second
+	operatorCallTimeout = time.Second
+	upgradeTimeout      = 6 * time.Second // from the start of the new process until its status is YES
+	terminateMargin     = 700 * time.Millisecond
+	pollInterval        = 20 * time.Millisecond
+	pollTimeout         = time.Second // the kernel also accepts connections while no process serves the socket
 )
 
-// process is a running sidecar program.
+// process is one process of the sidecar program.
 type process struct {
-	cmd    *exec.Cmd
-	mgmt   string
-	ended  chan struct{} // closed when it has ended
-	wanted bool          // its end was asked for; belongs to the queue's goroutine
-	cpu    time.Duration // valid once ended
-	rss    int64         // KiB, likewise
-	state  string
+	cmd         *exec.Cmd
+	mgmt        string        // address for operators' calls
+	ended       chan struct{} // closed when it has ended
+	endExpected bool          // the lab ends it; used only on the queue's goroutine
+	cpuTime     time.Duration // valid once ended is closed, as the fields below
+	peakRSSKiB  int64
+	exitState   string
 }
 
-// home is what stays of a sidecar while its processes come and go.
-type home struct {
-	r      *rig
-	number int
-	dir    string
-	ln     *os.File // the clients' listening socket, which each process inherits
-	addr   string
-	now    *process // that clients reach; nil while none runs
-	old    *process // one that finishes
-	starts int
-	kills  atomic.Int32 // how often a process was killed: what it had taken may have run
+// sidecarHost runs the processes of one sidecar, one after the other. It keeps the listening socket and the folder. But
+// for kills, its fields are used only on the queue's goroutine once the load has started.
+type sidecarHost struct {
+	rig          *rig
+	number       int
+	dir          string
+	listenerFile *os.File // the clients' listening socket, which each process inherits
+	addr         string
+	current      *process // the newest process; nil while none runs
+	previous     *process // a process that still serves its open requests, or nil
+	starts       int
+	kills        atomic.Int32 // number of killed processes; their open requests may have been executed
 }
 
-func newHome(r *rig, number int) (*home, error) {
-	h := &home{r: r, number: number, dir: filepath.Join(r.dir, fmt.Sprintf("n%d", number))}
+func newSidecarHost(r *rig, number int) (*sidecarHost, error) {
+	h := &sidecarHost{rig: r, number: number, dir: filepath.Join(r.dir, fmt.Sprintf("n%d", number))}
 	if err := os.MkdirAll(h.dir, 0o700); err != nil {
 		return nil, err
 	}
-	ln, err := address.Listen()
+	listener, err := address.Listen()
 	if err != nil {
 		return nil, err
 	}
-	h.addr = ln.Addr().String()
-	h.ln, err = ln.(*net.TCPListener).File()
-	ln.Close()
+	h.addr = listener.Addr().String()
+	h.listenerFile, err = listener.(*net.TCPListener).File()
+	listener.Close()
 	return h, err
 }
 
-// tmp is the folder that its processes may write in.
-func (h *home) tmp() string { return filepath.Join(h.dir, "tmp") }
+// tempDir returns the folder that the processes may write in.
+func (h *sidecarHost) tempDir() string { return filepath.Join(h.dir, "tmp") }
 
-// configure writes the configuration of the next process, with the list as it is now.
-func (h *home) configure(mgmt string) (string, error) {
-	r := h.r
+// writeConfig writes the configuration of the next process, with the current endpoint list, and returns its path.
+func (h *sidecarHost) writeConfig(mgmt string) (string, error) {
+	r := h.rig
 	h.starts++
-	known := r.list(h.number, r.w.Disc.Whole(h.number))
+	known := r.discoveryList(h.number, r.world.Disc.Whole(h.number))
 	text, err := json.Marshal(map[string]any{
-		"name": fmt.Sprintf("n%d", h.number), "listen": h.addr, "discovery": r.desks[h.number].ln.Addr().String(),
-		"mgmt": mgmt, "seed": fmt.Sprintf("%016x", r.w.Seed.Stream("sidecar", uint64(h.number), uint64(h.starts)).Uint64()),
-		"limits": map[string]any{"cores": 1.0, "memory_mb": r.s.Fleet.MemoryMB, "sockets": r.s.Fleet.Sockets},
-		"known":  known, "settings": told.Settings(r.s, h.number)})
+		"name":      fmt.Sprintf("n%d", h.number),
+		"listen":    h.addr,
+		"discovery": r.discoveries[h.number].listener.Addr().String(),
+		"mgmt":      mgmt,
+		"seed": fmt.Sprintf("%016x",
+			r.world.Seed.Stream("sidecar", uint64(h.number), uint64(h.starts)).Uint64()),
+		"limits": map[string]any{
+			"cores":     1.0,
+			"memory_mb": r.scenario.Fleet.MemoryMB,
+			"sockets":   r.scenario.Fleet.Sockets,
+		},
+		"known":    known,
+		"settings": told.Settings(r.scenario, h.number),
+	})
 	if err != nil {
 		return "", err
 	}
@@ -89,191 +100,199 @@
 	return path, os.WriteFile(path, text, 0o600)
 }
 
-// start runs the program. The kernel ends it with the lab, however that ends.
-func (h *home) start() (*process, error) {
+// start starts a process. The kernel kills it when the lab ends, in whatever way.
+func (h *sidecarHost) start() (*process, error) {
 	p := &process{mgmt: address.Next(), ended: make(chan struct{})}
-	config, err := h.configure(p.mgmt)
+	configPath, err := h.writeConfig(p.mgmt)
 	if err != nil {
 		return nil, err
 	}
-	if h.now == nil && h.old == nil && h.r.s.Fleet.Recall != "kept" {
-		// The platform gives a process that starts alone an empty folder.
-		if err := os.RemoveAll(h.tmp()); err != nil {
+	if h.current == nil && h.previous == nil && h.rig.scenario.Fleet.Recall != "kept" {
+		// The platform gives a process an empty folder, unless it starts while another one runs.
+		if err := os.RemoveAll(h.tempDir()); err != nil {
 			return nil, err
 		}
 	}
-	if err := os.MkdirAll(h.tmp(), 0o700); err != nil {
+	if err := os.MkdirAll(h.tempDir(), 0o700); err != nil {
 		return nil, err
 	}
-	log, err := os.OpenFile(filepath.Join(h.dir, "log.txt"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	logFile, err := os.OpenFile(filepath.Join(h.dir, "log.txt"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, err
 	}
-	defer log.Close()
-	p.cmd = exec.Command(h.r.bin)
-	p.cmd.Stdout, p.cmd.Stderr = log, log
-	p.cmd.ExtraFiles = []*os.File{h.ln}
-	p.cmd.Env = append(environment(), "ROUTER_CONFIG="+config, "ROUTER_FD=3", "TMPDIR="+h.tmp())
+	defer logFile.Close()
+	p.cmd = exec.Command(h.rig.bin)
+	p.cmd.Stdout, p.cmd.Stderr = logFile, logFile
+	p.cmd.ExtraFiles = []*os.File{h.listenerFile}
+	p.cmd.Env = append(sidecarEnvironment(), "ROUTER_CONFIG="+configPath, "ROUTER_FD=3", "TMPDIR="+h.tempDir())
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	begun := make(chan error, 1)
-	h.r.wg.Go(func() {
-		// The kernel's signal comes when the thread that started the process ends: this one stays for so long.
+	started := make(chan error, 1)
+	h.rig.wg.Go(func() {
+		// Pdeathsig is sent when the thread ends that started the process, so this goroutine keeps its thread until
+		// the process has ended.
 		runtime.LockOSThread()
 		defer runtime.UnlockOSThread()
 		err := p.cmd.Start()
-		begun <- err
+		started <- err
 		if err != nil {
 			return
 		}
-		werr := p.cmd.Wait()
-		if s := p.cmd.ProcessState; s != nil {
-			p.cpu = s.UserTime() + s.SystemTime()
-			if u, ok := s.SysUsage().(*syscall.Rusage); ok {
-				p.rss = u.Maxrss
+		waitErr := p.cmd.Wait()
+		if state := p.cmd.ProcessState; state != nil {
+			p.cpuTime = state.UserTime() + state.SystemTime()
+			if usage, ok := state.SysUsage().(*syscall.Rusage); ok {
+				p.peakRSSKiB = usage.Maxrss
 			}
-			p.state = s.String()
+			p.exitState = state.String()
 		}
-		if werr != nil && p.state == "" {
-			p.state = werr.Error()
+		if waitErr != nil && p.exitState == "" {
+			p.exitState = waitErr.Error()
 		}
 		close(p.ended)
-		h.r.post(func() { h.over(p) })
+		h.rig.post(func() { h.handleExit(p) })
 	})
-	if err := <-begun; err != nil {
-		return nil, fmt.Errorf("%s: %w", h.r.bin, err)
+	if err := <-started; err != nil {
+		return nil, fmt.Errorf("%s: %w", h.rig.bin, err)
 	}
 	return p, nil
 }
 
-// environment is the lab's own but for what would steer the program.
-func environment() []string {
+// sidecarEnvironment returns the environment of the lab without the variables that configure the sidecar.
+func sidecarEnvironment() []string {
 	var env []string
-	for _, e := range os.Environ() {
-		if !strings.HasPrefix(e, "ROUTER_") && !strings.HasPrefix(e, "TMPDIR=") {
-			env = append(env, e)
+	for _, variable := range os.Environ() {
+		if !strings.HasPrefix(variable, "ROUTER_") && !strings.HasPrefix(variable, "TMPDIR=") {
+			env = append(env, variable)
 		}
 	}
 	return env
 }
 
-func (p *process) signal(s syscall.Signal) {
+// signal sends a signal to the process and its children, unless the process has ended.
+func (p *process) signal(signal syscall.Signal) {
 	select {
 	case <-p.ended:
 	default:
-		syscall.Kill(-p.cmd.Process.Pid, s) // and those that it started, if any
+		syscall.Kill(-p.cmd.Process.Pid, signal) // the process is the leader of its process group
 	}
 }
 
-// over notes a process's end, on the queue's goroutine.
-func (h *home) over(p *process) {
-	h.r.cpu += p.cpu
-	h.r.rss = max(h.r.rss, p.rss)
-	if h.old == p {
-		h.old = nil
+// handleExit records that a process has ended, and reports it as an incident if the lab did not end it. It is called on
+// the queue's goroutine.
+func (h *sidecarHost) handleExit(p *process) {
+	h.rig.cpuTime += p.cpuTime
+	h.rig.peakRSSKiB = max(h.rig.peakRSSKiB, p.peakRSSKiB)
+	if h.previous == p {
+		h.previous = nil
 	}
-	if h.now == p {
-		h.now = nil
+	if h.current == p {
+		h.current = nil
 	}
-	if !p.wanted && h.r.ctx.Err() == nil {
-		h.r.crashed = append(h.r.crashed, fmt.Sprintf("sidecar %d ended by itself: %s (its log: %s)", h.number, p.state,
-			filepath.Join(h.dir, "log.txt")))
+	if !p.endExpected && h.rig.ctx.Err() == nil {
+		h.rig.incidents = append(h.rig.incidents, fmt.Sprintf("sidecar %d ended by itself: %s (its log: %s)",
+			h.number, p.exitState, filepath.Join(h.dir, "log.txt")))
 	}
 }
 
-// ready waits until the program answers that it can serve.
-func (h *home) ready(ctx context.Context, p *process) error {
-	ctx, cancel := context.WithTimeout(ctx, readyMost)
+// waitReady waits until the sidecar answers the readiness check, for at most readyTimeout.
+func (h *sidecarHost) waitReady(ctx context.Context, p *process) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	c := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: pollMost}
-	tick := time.NewTicker(pollEvery)
-	defer tick.Stop()
+	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: pollTimeout}
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
 	for {
-		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+h.addr+"/-/ready", nil)
+		request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+h.addr+"/-/ready", nil)
 		if err != nil {
 			return err
 		}
-		if resp, err := c.Do(req); err == nil {
-			resp.Body.Close()
-			if resp.StatusCode == http.StatusOK {
+		if response, err := client.Do(request); err == nil {
+			response.Body.Close()
+			if response.StatusCode == http.StatusOK {
 				return nil
 			}
 		}
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 		case <-p.ended:
-			return fmt.Errorf("sidecar %d ended before it was ready: %s (its log: %s)", h.number, p.state, filepath.Join(h.dir, "log.txt"))
+			return fmt.Errorf("sidecar %d ended before it was ready: %s (its log: %s)",
+				h.number, p.exitState, filepath.Join(h.dir, "log.txt"))
 		case <-ctx.Done():
-			return fmt.Errorf("sidecar %d is not ready after %v", h.number, readyMost)
+			return fmt.Errorf("sidecar %d is not ready after %v", h.number, readyTimeout)
 		}
 	}
 }
 
-var errNo = errors.New("answered no")
+// errNotYes is returned for an operator's call that the sidecar refused.
+var errNotYes = errors.New("answered no")
 
-// call makes an operator's call and returns its answer.
-func call(ctx context.Context, addr, line string) (string, error) {
-	ctx, cancel := context.WithTimeout(ctx, callMost)
+// callOperator sends an operator's command to a sidecar and returns the reply, which begins with YES unless there is an
+// error.
+func callOperator(ctx context.Context, addr, line string) (string, error) {
+	ctx, cancel := context.WithTimeout(ctx, operatorCallTimeout)
 	defer cancel()
-	c, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
+	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return "", err
 	}
-	defer c.Close()
-	stop := context.AfterFunc(ctx, func() { c.Close() })
+	defer conn.Close()
+	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	if _, err := c.Write([]byte(line + "\n")); err != nil {
+	if _, err := conn.Write([]byte(line + "\n")); err != nil {
 		return "", err
 	}
-	text, err := bufio.NewReader(c).ReadString('\n')
-	if text = strings.TrimSpace(text); err == nil && !strings.HasPrefix(text, "YES") {
-		err = fmt.Errorf("%w: %s", errNo, text)
+	reply, err := bufio.NewReader(conn).ReadString('\n')
+	if reply = strings.TrimSpace(reply); err == nil && !strings.HasPrefix(reply, "YES") {
+		err = fmt.Errorf("%w: %s", errNotYes, reply)
 	}
-	return text, err
+	return reply, err
 }
 
-// upgrade starts a new process beside the old one and ends that once the new one serves.
-func (h *home) upgrade() {
-	old := h.now
-	if old == nil || h.old != nil {
+// upgrade starts a new process beside the current one, and terminates that once the status of the new one is YES or
+// after upgradeTimeout. It does nothing if no process runs or if an earlier one is still ending.
+func (h *sidecarHost) upgrade() {
+	previous := h.current
+	if previous == nil || h.previous != nil {
 		return
 	}
 	next, err := h.start()
 	if err != nil {
-		h.r.spoil("upgrade of sidecar %d: %v", h.number, err)
+		h.rig.voidRun("upgrade of sidecar %d: %v", h.number, err)
 		return
 	}
-	h.old, h.now = old, next
-	old.wanted = true
-	r := h.r
+	h.previous, h.current = previous, next
+	previous.endExpected = true
+	r := h.rig
 	r.wg.Go(func() {
-		deadline := time.Now().Add(upgradeFor)
-		tick := time.NewTicker(pollEvery)
-		defer tick.Stop()
+		deadline := time.Now().Add(upgradeTimeout)
+		ticker := time.NewTicker(pollInterval)
+		defer ticker.Stop()
 		for time.Now().Before(deadline) {
-			if _, err := call(r.ctx, next.mgmt, "status"); err == nil {
+			if _, err := callOperator(r.ctx, next.mgmt, "status"); err == nil {
 				break
 			}
 			select {
-			case <-tick.C:
+			case <-ticker.C:
 			case <-r.ctx.Done():
 				return
 			}
 		}
-		h.end(old)
+		h.terminate(previous)
 	})
 }
 
-// end asks a process to end, and kills it when it has had the longest deadline.
-func (h *home) end(p *process) {
+// terminate sends SIGTERM, and SIGKILL if the process is still running terminateMargin after the longest request
+// timeout, which is at least 3 s.
+func (h *sidecarHost) terminate(p *process) {
 	p.signal(syscall.SIGTERM)
 	longest := 3 * time.Second
-	for i := range h.r.s.Classes {
-		longest = max(longest, time.Duration(h.r.s.Classes[i].GiveUp))
+	for i := range h.rig.scenario.Classes {
+		longest = max(longest, time.Duration(h.rig.scenario.Classes[i].GiveUp))
 	}
 	select {
 	case <-p.ended:
-	case <-time.After(longest + restFor):
+	case <-time.After(longest + terminateMargin):
 		p.signal(syscall.SIGKILL)
-	case <-h.r.ctx.Done():
+	case <-h.rig.ctx.Done():
 	}
 }
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -1,6 +1,6 @@
-// Package rig plays a scenario in real time: the real program as processes, among servers, discovery, clients and
-// operators on real sockets, with a faulty relay on each link. All addresses are loopback ones that this process has to
-// itself, so that two labs on one machine do not meet.
+// Package rig runs a scenario in real time. The sidecars are processes of the real program; servers, discovery, clients
+// and operators are simulated on real sockets, with a relay that injects network faults on each link. All addresses are
+// loopback addresses that no other process uses, so that several labs can run on one machine.
 package rig
 
 import (
@@ -26,54 +26,57 @@
 // Options of a run.
 type Options struct {
 	Seed     uint64
-	Bin      string // the sidecar program
-	Dir      string // for configurations and logs; empty for a temporary one that is removed
-	Progress func(second, asked int)
-	Sinks    []trace.Sink
+	Bin      string                  // the sidecar program
+	Dir      string                  // for configurations and logs; "" for a temporary folder that is removed
+	Progress func(second, asked int) // called each second with the number of requests sent; may be nil
+	Sinks    []trace.Sink            // receive the events of the run in addition to the checker
 }
 
 const (
-	slack     = 50 * 1000        // of the rules' times, on sockets
-	lag       = 10 * time.Second // after the last arrival a run is ended, whatever is open
-	linksMost = 600
-	stopTakes = 500 * 1000             // for so long a sidecar that was asked to end takes what comes
-	lateMost  = 150 * time.Millisecond // by which the lab may be late once,
-	lateOften = 25 * time.Millisecond  // and in one event of a thousand
+	clockSlackMicros = 50 * 1000        // between an event on a socket and its instant in the lab
+	settleTimeout    = 10 * time.Second // after the last arrival; then the run ends with requests open
+	maxLinks         = 600
+	stopGraceMicros  = 500 * 1000             // after SIGTERM, in which a sidecar still accepts requests
+	maxLateness      = 150 * time.Millisecond // of the lab itself in any event
+	maxLatenessP999  = 25 * time.Millisecond  // of the lab itself in all but one event of a thousand
 )
 
-// rig carries the world's words to the processes, and theirs to the world.
+// rig connects the simulated world with the processes: it carries out the world's actions on sockets and processes, and
+// reports their events to the world.
 type rig struct {
-	ctx     context.Context
-	cancel  context.CancelCauseFunc
-	s       *scenario.Scenario
-	q       *eventqueue.Queue
-	w       *model.World
-	sink    trace.Sink
-	bin     string
-	dir     string
-	slots   []*slot
-	desks   []*desk
-	homes   []*home
-	clients []*callers
-	wg      sync.WaitGroup
+	ctx         context.Context
+	cancel      context.CancelCauseFunc
+	scenario    *scenario.Scenario
+	queue       *eventqueue.Queue
+	world       *model.World
+	sink        trace.Sink
+	bin         string
+	dir         string
+	servers     []*socketServer
+	discoveries []*discoveryServer
+	sidecars    []*sidecarHost
+	clients     []*clientPool
+	wg          sync.WaitGroup
 
-	// Of the queue's goroutine.
-	tries   map[uint64]*model.Try
-	asked   int
-	spoiled string
-	crashed []string
-	cpu     time.Duration
-	rss     int64
-	begun   bool
+	// The fields below are used only on the queue's goroutine.
+	tries       map[uint64]*model.Try
+	requested   int
+	voidReason  string
+	incidents   []string
+	cpuTime     time.Duration
+	peakRSSKiB  int64
+	loadStarted bool
 }
 
-// Run plays a scenario. Whatever happens, no process and no listener is left when it returns.
-func Run(ctx context.Context, s *scenario.Scenario, o Options) (*figures.Result, error) {
-	if n := s.Fleet.Sidecars * s.Total(); n > linksMost {
-		return nil, fmt.Errorf("%s: %d links of sidecars and servers are more than the %d that sockets can carry: use lab sim", s.Path, n, linksMost)
+// Run runs a scenario and returns its result. Its error is a fault of the lab or of its context. All processes and
+// listeners have ended when it returns.
+func Run(ctx context.Context, sc *scenario.Scenario, opts Options) (*figures.Result, error) {
+	if links := sc.Fleet.Sidecars * sc.Total(); links > maxLinks {
+		return nil, fmt.Errorf("%s: %d links from sidecars to servers exceed the maximum of %d on sockets: use lab sim",
+			sc.Path, links, maxLinks)
 	}
-	began := time.Now()
-	r := &rig{s: s, bin: o.Bin, dir: o.Dir, tries: map[uint64]*model.Try{}}
+	startedAt := time.Now()
+	r := &rig{scenario: sc, bin: opts.Bin, dir: opts.Dir, tries: map[uint64]*model.Try{}}
 	r.ctx, r.cancel = context.WithCancelCause(ctx)
 	if r.dir == "" {
 		dir, err := os.MkdirTemp("", "birchmoor-lab-")
@@ -83,352 +86,368 @@
 		defer os.RemoveAll(dir)
 		r.dir = dir
 	}
-	ref, rec := checker.New(checker.SettingsFrom(s, slack)), figures.New(s)
-	var early []trace.Event // before the clients come, when it is not known yet when that will be
+	ruleChecker, recorder := checker.New(checker.SettingsFrom(sc, clockSlackMicros)), figures.New(sc)
+	var earlyEvents []trace.Event // kept until the load starts, since the origin of their time is not known before
 	r.sink = trace.Func(func(e trace.Event) {
-		if !r.begun {
-			early = append(early, e)
+		if !r.loadStarted {
+			earlyEvents = append(earlyEvents, e)
 			return
 		}
-		e.At -= r.w.Origin()
-		ref.Take(e)
-		rec.Take(e)
-		for _, k := range o.Sinks {
-			k.Take(e)
+		e.At -= r.world.Origin()
+		ruleChecker.Take(e)
+		recorder.Take(e)
+		for _, sink := range opts.Sinks {
+			sink.Take(e)
 		}
 	})
-	r.q = eventqueue.NewRealTime()
-	r.w = model.New(r.q, s, o.Seed, r, trace.Func(func(e trace.Event) { r.sink.Take(e) }))
+	r.queue = eventqueue.NewRealTime()
+	r.world = model.New(r.queue, sc, opts.Seed, r, trace.Func(func(e trace.Event) { r.sink.Take(e) }))
 	defer r.close()
 	if err := r.build(); err != nil {
 		return nil, err
 	}
-	var first []*process
-	for _, h := range r.homes {
-		first = append(first, h.now)
+	var firstProcesses []*process
+	for _, host := range r.sidecars {
+		firstProcesses = append(firstProcesses, host.current)
 	}
-	var failed error
+	var runErr error
 	ready := make(chan struct{})
 	r.wg.Go(func() {
 		defer close(ready)
-		for n, p := range first {
-			if err := r.homes[n].ready(r.ctx, p); err != nil {
+		for sidecar, p := range firstProcesses {
+			if err := r.sidecars[sidecar].waitReady(r.ctx, p); err != nil {
 				r.cancel(err)
 				return
 			}
 		}
 		r.post(func() {
-			r.begin(o.Progress)
-			list := early
-			early = nil
-			for _, e := range list {
+			r.startLoad(opts.Progress)
+			events := earlyEvents
+			earlyEvents = nil
+			for _, e := range events {
 				r.sink.Take(e)
 			}
-			r.w.Begin()
-			// When the run may end is looked at with each event: there is one at each of these instants.
-			for _, at := range []int64{s.Length.Micros(), s.Length.Micros() + lag.Microseconds() + 1000} {
-				r.q.At(r.w.Origin()+at, func() {})
+			r.world.Begin()
+			// The queue checks whether the run is over after each event, so each instant at which it may be over needs
+			// one.
+			for _, at := range []int64{sc.Length.Micros(), sc.Length.Micros() + settleTimeout.Microseconds() + 1000} {
+				r.queue.At(r.world.Origin()+at, func() {})
 			}
 		})
 	})
-	end := s.Length.Micros()
-	err := r.q.Run(r.ctx, func() bool {
-		now := r.q.Now() - r.w.Origin()
-		return r.begun && (now >= end && r.w.Done() || now > end+lag.Microseconds())
+	endMicros := sc.Length.Micros()
+	err := r.queue.Run(r.ctx, func() bool {
+		now := r.queue.Now() - r.world.Origin()
+		return r.loadStarted && (now >= endMicros && r.world.Done() || now > endMicros+settleTimeout.Microseconds())
 	})
 	<-ready
 	if err != nil && !errors.Is(err, context.Canceled) {
-		failed = err
+		runErr = err
 	}
 	if ctx.Err() != nil {
-		failed = ctx.Err()
+		runErr = ctx.Err()
 	}
-	if failed != nil {
-		return nil, failed
+	if runErr != nil {
+		return nil, runErr
 	}
-	at := r.q.Now() - r.w.Origin()
-	p999, worst := r.q.Lateness()
+	at := r.queue.Now() - r.world.Origin()
+	lateP999, maxLate := r.queue.Lateness()
 	r.close()
-	x := rec.End(ref.Finish(at))
-	x.Host, x.Seed, x.Took, x.MemoryMB = "run", o.Seed, time.Since(began).Seconds(), sim.PeakMB()
-	x.LateP999, x.LateMost = float64(p999)/1000, float64(worst)/1000
-	x.Missed = append(x.Missed, r.crashed...)
-	x.Figures["cpu_ms_per_try"] = r.cpu.Seconds() * 1000 / float64(max(1, r.asked))
-	x.Figures["sidecar_rss_mb"] = float64(r.rss) / 1024
+	result := recorder.End(ruleChecker.Finish(at))
+	result.Host, result.Seed, result.Took, result.MemoryMB =
+		"run", opts.Seed, time.Since(startedAt).Seconds(), sim.PeakMB()
+	result.LateP999, result.LateMost = float64(lateP999)/1000, float64(maxLate)/1000
+	result.Missed = append(result.Missed, r.incidents...)
+	result.Figures["cpu_ms_per_try"] = r.cpuTime.Seconds() * 1000 / float64(max(1, r.requested))
+	result.Figures["sidecar_rss_mb"] = float64(r.peakRSSKiB) / 1024
 	switch {
-	case r.spoiled != "":
-		x.Void = r.spoiled
-	case p999 > lateOften.Microseconds() || worst > lateMost.Microseconds():
-		x.Void = fmt.Sprintf("the lab itself was late: %.1f ms in one event of a thousand, %.1f at most; the machine is too busy", x.LateP999, x.LateMost)
+	case r.voidReason != "":
+		result.Void = r.voidReason
+	case lateP999 > maxLatenessP999.Microseconds() || maxLate > maxLateness.Microseconds():
+		result.Void = fmt.Sprintf(
+			"the lab itself was late: %.1f ms in one event of a thousand, %.1f at most; the machine is too busy",
+			result.LateP999, result.LateMost)
 	}
-	return x, nil
+	return result, nil
 }
 
-// build makes the servers, discovery, the sidecars' sockets and their processes, in this order.
+// build starts the servers and discovery, and then the sidecars' sockets and processes, whose configuration needs the
+// addresses of the others.
 func (r *rig) build() error {
-	for _, s := range r.w.Servers {
-		t, err := newSlot(r, s)
+	for _, s := range r.world.Servers {
+		server, err := newSocketServer(r, s)
 		if err != nil {
 			return err
 		}
-		r.slots = append(r.slots, t)
+		r.servers = append(r.servers, server)
 	}
-	for n := range r.s.Fleet.Sidecars {
-		d, err := newDesk(r, n)
+	for n := range r.scenario.Fleet.Sidecars {
+		discovery, err := newDiscoveryServer(r, n)
 		if err != nil {
 			return err
 		}
-		r.desks = append(r.desks, d)
+		r.discoveries = append(r.discoveries, discovery)
 	}
-	r.w.Prepare()
-	if r.spoiled != "" {
-		return errors.New(r.spoiled)
+	r.world.Prepare()
+	if r.voidReason != "" {
+		return errors.New(r.voidReason)
 	}
-	for n := range r.s.Fleet.Sidecars {
-		h, err := newHome(r, n)
+	for n := range r.scenario.Fleet.Sidecars {
+		host, err := newSidecarHost(r, n)
 		if err != nil {
 			return err
 		}
-		r.homes = append(r.homes, h)
-		r.clients = append(r.clients, &callers{r: r, sidecar: n, addr: h.addr, most: make(chan struct{}, r.s.Clients.Conns)})
-		if h.now, err = h.start(); err != nil {
+		r.sidecars = append(r.sidecars, host)
+		r.clients = append(r.clients, &clientPool{
+			rig:           r,
+			sidecar:       n,
+			addr:          host.addr,
+			connSemaphore: make(chan struct{}, r.scenario.Clients.Conns),
+		})
+		if host.current, err = host.start(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// begin has the clients come and the faults begin.
-func (r *rig) begin(progress func(second, asked int)) {
-	r.begun = true
+// startLoad marks the start of the load, and begins to report progress if wanted.
+func (r *rig) startLoad(progress func(second, asked int)) {
+	r.loadStarted = true
 	if progress == nil {
 		return
 	}
 	second := 0
 	var tick func()
 	tick = func() {
-		progress(second, r.asked)
+		progress(second, r.requested)
 		second++
-		if r.q.Now()-r.w.Origin() < r.s.Length.Micros() {
-			r.q.After(eventqueue.Second, tick)
+		if r.queue.Now()-r.world.Origin() < r.scenario.Length.Micros() {
+			r.queue.After(eventqueue.Second, tick)
 		}
 	}
 	tick()
 }
 
-// close ends all that was started, and waits for it.
+// close ends all processes, listeners and goroutines of the run, and waits for them. It may be called more than once.
 func (r *rig) close() {
 	r.cancel(context.Canceled)
-	for _, h := range r.homes {
-		for _, p := range []*process{h.now, h.old} {
+	for _, host := range r.sidecars {
+		for _, p := range []*process{host.current, host.previous} {
 			if p != nil {
 				p.signal(syscall.SIGKILL)
 				<-p.ended
-				r.cpu += p.cpu
-				r.rss = max(r.rss, p.rss)
+				r.cpuTime += p.cpuTime
+				r.peakRSSKiB = max(r.peakRSSKiB, p.peakRSSKiB)
 			}
 		}
-		h.now, h.old = nil, nil
-		h.ln.Close()
+		host.current, host.previous = nil, nil
+		host.listenerFile.Close()
 	}
-	for _, k := range r.clients {
-		k.close()
+	for _, pool := range r.clients {
+		pool.close()
 	}
-	for _, d := range r.desks {
-		d.server.Close()
+	for _, discovery := range r.discoveries {
+		discovery.server.Close()
 	}
-	for _, t := range r.slots {
-		t.close()
+	for _, server := range r.servers {
+		server.close()
 	}
 	r.wg.Wait()
-	for _, k := range r.clients {
-		k.close() // those kept by requests that ended meanwhile
+	for _, pool := range r.clients {
+		pool.close() // closes the connections of requests that ended after the first call
 	}
 }
 
-// post has the queue's goroutine do something.
-func (r *rig) post(do func()) { r.q.Post(r.ctx, do) }
+// post runs a function on the queue's goroutine, without waiting for it.
+func (r *rig) post(f func()) { r.queue.Post(r.ctx, f) }
 
-// at tells an instant of the machine's clock as the queue does.
-func (r *rig) at(t time.Time) int64 { return t.Sub(r.q.StartTime()).Microseconds() }
+// queueTime converts an instant of the machine's clock to microseconds since the start of the queue.
+func (r *rig) queueTime(t time.Time) int64 { return t.Sub(r.queue.StartTime()).Microseconds() }
 
-// spoil voids the run: the lab itself went wrong.
-func (r *rig) spoil(format string, args ...any) {
-	if r.spoiled == "" {
-		r.spoiled = fmt.Sprintf(format, args...)
+// voidRun declares the run void because of a fault of the lab itself. The first reason is kept.
+func (r *rig) voidRun(format string, args ...any) {
+	if r.voidReason == "" {
+		r.voidReason = fmt.Sprintf(format, args...)
 	}
 }
 
-// ---- The world's words -----------------------------------------------------
+// ---- Actions of the world, as model.Host -----------------------------------
 
-// Ask has a client send its request.
-func (r *rig) Ask(y *model.Try) {
-	r.asked++
-	f := &flight{}
-	y.Host = f
-	r.tries[y.ID] = y
-	k := r.clients[y.Task.Sidecar]
-	r.wg.Go(func() { k.ask(y, f) })
-	r.q.After(60*eventqueue.Second, func() { delete(r.tries, y.ID) })
+// Ask sends a client's request.
+func (r *rig) Ask(try *model.Try) {
+	r.requested++
+	request := &clientRequest{}
+	try.Host = request
+	r.tries[try.ID] = try
+	pool := r.clients[try.Task.Sidecar]
+	r.wg.Go(func() { pool.send(try, request) })
+	r.queue.After(60*eventqueue.Second, func() { delete(r.tries, try.ID) })
 }
 
-// GiveUp has a client close its connection.
-func (r *rig) GiveUp(y *model.Try) {
-	if f, ok := y.Host.(*flight); ok {
-		f.leave()
+// GiveUp closes the connection of a client that no longer waits for its answer.
+func (r *rig) GiveUp(try *model.Try) {
+	if request, ok := try.Host.(*clientRequest); ok {
+		request.abandon()
 	}
 }
 
-// ServerStarted has a server listen.
+// ServerStarted makes a server listen.
 func (r *rig) ServerStarted(server int) {
-	if err := r.slots[server].start(); err != nil {
-		r.spoil("server %d cannot listen again: %v", server, err)
+	if err := r.servers[server].start(); err != nil {
+		r.voidRun("server %d cannot listen again: %v", server, err)
 	}
 }
 
-// ServerStopped breaks a server's connections.
-func (r *rig) ServerStopped(server int) { r.slots[server].stop() }
+// ServerStopped resets a server's connections and refuses new ones.
+func (r *rig) ServerStopped(server int) { r.servers[server].stop() }
 
-// Update sends discovery's word on a watch.
-func (r *rig) Update(sidecar int, u model.Update, told model.Told) {
-	r.desks[sidecar].say(word{u: u, told: told})
+// Update sends an update of discovery on a sidecar's watch.
+func (r *rig) Update(sidecar int, update model.Update, onSent model.Told) {
+	r.discoveries[sidecar].sendEvent(watchEvent{update: update, onSent: onSent})
 }
 
-// WatchEnded ends a watch.
-func (r *rig) WatchEnded(sidecar int) { r.desks[sidecar].say(word{end: true}) }
+// WatchEnded ends a sidecar's watch.
+func (r *rig) WatchEnded(sidecar int) { r.discoveries[sidecar].sendEvent(watchEvent{endsWatch: true}) }
 
-// Operate has operators take a server out at all sidecars, or call it back.
-func (r *rig) Operate(server int, out bool) {
+// Operate sets an operator's drain of a server at all sidecars, or ends it.
+func (r *rig) Operate(server int, excluded bool) {
 	line, state := "maint-off ", trace.Released
-	if out {
+	if excluded {
 		line, state = "maint-on ", trace.Banned
 	}
-	line += r.w.Servers[server].Name
-	for _, h := range r.homes {
-		e := trace.Event{Kind: trace.Told, Sidecar: int32(h.number), Server: int32(server), State: state}
-		p := h.now
+	line += r.world.Servers[server].Name
+	for _, host := range r.sidecars {
+		event := trace.Event{Kind: trace.Told, Sidecar: int32(host.number), Server: int32(server), State: state}
+		p := host.current
 		if p == nil {
-			p = h.old
+			p = host.previous
 		}
-		if !out {
-			e.At = r.q.Now()
-			r.sink.Take(e)
+		if !excluded {
+			event.At = r.queue.Now()
+			r.sink.Take(event)
 		}
 		if p == nil {
 			continue
 		}
 		r.wg.Go(func() {
-			if _, err := call(r.ctx, p.mgmt, line); errors.Is(err, errNo) {
-				r.post(func() { r.crashed = append(r.crashed, fmt.Sprintf("sidecar %d: %s: %v", h.number, line, err)) })
+			if _, err := callOperator(r.ctx, p.mgmt, line); errors.Is(err, errNotYes) {
+				r.post(func() { r.incidents = append(r.incidents, fmt.Sprintf("sidecar %d: %s: %v", host.number, line, err)) })
 			}
-			// Said yes or not, after a second it binds.
-			if out {
+			// The drain binds the sidecar from the reply on, or from the call's timeout if there was none.
+			if excluded {
 				r.post(func() {
-					e.At = r.q.Now()
-					r.sink.Take(e)
+					event.At = r.queue.Now()
+					r.sink.Take(event)
 				})
 			}
 		})
 	}
 }
 
-// Fault begins or ends a fault of links or sidecars.
-func (r *rig) Fault(f *scenario.Fault, on bool) {
-	if f.OnLinks() {
-		for _, l := range r.w.Links(f) {
-			r.linkFault(r.slots[l[1]].links[l[0]], f, on)
+// Fault begins or ends the injection of a fault on links or sidecars.
+func (r *rig) Fault(fault *scenario.Fault, active bool) {
+	if fault.OnLinks() {
+		for _, link := range r.world.Links(fault) {
+			r.linkFault(r.servers[link[1]].links[link[0]], fault, active)
 		}
 		return
 	}
-	for _, n := range r.w.Sidecars(f) {
-		r.processFault(r.homes[n], f, on)
+	for _, number := range r.world.Sidecars(fault) {
+		r.processFault(r.sidecars[number], fault, active)
 	}
 }
 
-func (r *rig) linkFault(l *relay.Link, f *scenario.Fault, on bool) {
-	switch f.Kind {
+func (r *rig) linkFault(link *relay.Link, fault *scenario.Fault, active bool) {
+	switch fault.Kind {
 	case "black-hole":
-		l.Update(func(c *relay.Conditions) { c.BlackHole = on })
+		link.Update(func(c *relay.Conditions) { c.BlackHole = active })
 	case "bandwidth", "pieces", "half-close":
-		n, pause := int(f.Factor), time.Duration(f.Lag)
-		if !on {
-			n, pause = 0, 0
+		limit, pause := int(fault.Factor), time.Duration(fault.Lag)
+		if !active {
+			limit, pause = 0, 0
 		}
-		l.Update(func(c *relay.Conditions) {
-			switch f.Kind {
+		link.Update(func(c *relay.Conditions) {
+			switch fault.Kind {
 			case "bandwidth":
-				c.BytesPerSecond = n
+				c.BytesPerSecond = limit
 			case "pieces":
-				c.MaxWriteBytes, c.WritePause = n, pause
+				c.MaxWriteBytes, c.WritePause = limit, pause
 			default:
-				c.DropHalfClose = on
+				c.DropHalfClose = active
 			}
 		})
 	case "delay":
-		more := time.Duration(f.Lag)
-		if !on {
-			more = -more
+		addedDelay := time.Duration(fault.Lag)
+		if !active {
+			addedDelay = -addedDelay
 		}
-		l.Update(func(c *relay.Conditions) { c.Delay += more })
+		link.Update(func(c *relay.Conditions) { c.Delay += addedDelay })
 	case "reset":
-		if !on {
+		if !active {
 			return
 		}
-		end, every := r.q.Now()+f.For.Micros(), f.Every.Micros()
-		var again func()
-		again = func() {
-			l.Reset()
-			if every > 0 && r.q.Now()+every < end {
-				r.q.After(every, again)
+		end, interval := r.queue.Now()+fault.For.Micros(), fault.Every.Micros()
+		var resetRepeatedly func()
+		resetRepeatedly = func() {
+			link.Reset()
+			if interval > 0 && r.queue.Now()+interval < end {
+				r.queue.After(interval, resetRepeatedly)
 			}
 		}
-		again()
+		resetRepeatedly()
 	}
 }
 
-func (r *rig) processFault(h *home, f *scenario.Fault, on bool) {
-	note := func(state trace.State) {
-		r.sink.Take(trace.Event{At: r.q.Now(), Kind: trace.Killed, Sidecar: int32(h.number), State: state, Note: f.Kind})
+func (r *rig) processFault(host *sidecarHost, fault *scenario.Fault, active bool) {
+	recordState := func(state trace.State) {
+		r.sink.Take(trace.Event{
+			At:      r.queue.Now(),
+			Kind:    trace.Killed,
+			Sidecar: int32(host.number),
+			State:   state,
+			Note:    fault.Kind,
+		})
 	}
-	p := h.now
+	p := host.current
 	switch {
-	case f.Kind == "upgrade" && on:
-		h.upgrade()
-	case f.Kind == "freeze" && on && p != nil:
-		note(trace.Gone)
+	case fault.Kind == "upgrade" && active:
+		host.upgrade()
+	case fault.Kind == "freeze" && active && p != nil:
+		recordState(trace.Gone)
 		p.signal(syscall.SIGSTOP)
-	case f.Kind == "freeze" && p != nil:
+	case fault.Kind == "freeze" && p != nil:
 		p.signal(syscall.SIGCONT)
-		r.q.After(eventqueue.Second, func() { note(trace.Up) })
-	case f.Kind == "kill" && on && p != nil:
-		note(trace.Gone)
-		p.wanted = true
-		h.kills.Add(1)
+		r.queue.After(eventqueue.Second, func() { recordState(trace.Up) })
+	case fault.Kind == "kill" && active && p != nil:
+		recordState(trace.Gone)
+		p.endExpected = true
+		host.kills.Add(1)
 		p.signal(syscall.SIGKILL)
-	case f.Kind == "stop" && on && p != nil:
-		// What it has taken by then it must answer; what comes later may wait for the next process.
-		r.q.After(stopTakes, func() { note(trace.Draining) })
-		p.wanted = true
-		r.wg.Go(func() { h.end(p) })
-	case (f.Kind == "kill" || f.Kind == "stop") && !on:
-		next, err := h.start()
+	case fault.Kind == "stop" && active && p != nil:
+		// The process must answer the requests that arrive until then; later ones may wait for the next process.
+		r.queue.After(stopGraceMicros, func() { recordState(trace.Draining) })
+		p.endExpected = true
+		r.wg.Go(func() { host.terminate(p) })
+	case (fault.Kind == "kill" || fault.Kind == "stop") && !active:
+		next, err := host.start()
 		if err != nil {
-			r.spoil("sidecar %d does not start again: %v", h.number, err)
+			r.voidRun("sidecar %d does not start again: %v", host.number, err)
 			return
 		}
-		if h.old != nil {
-			h.old.signal(syscall.SIGKILL)
+		if host.previous != nil {
+			host.previous.signal(syscall.SIGKILL)
 		}
-		h.old, h.now = h.now, next
+		host.previous, host.current = host.current, next
 		r.wg.Go(func() {
-			if err := h.ready(r.ctx, next); err == nil {
-				r.post(func() { note(trace.Up) })
+			if err := host.waitReady(r.ctx, next); err == nil {
+				r.post(func() { recordState(trace.Up) })
 			}
 		})
 	}
 }
 
-// Program finds the sidecar program beside this one, or names where it should be.
+// Program returns the path of the sidecar program in the folder of the running program. Its error says how to build it.
 func Program() (string, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -436,7 +455,8 @@
 	}
 	path := filepath.Join(filepath.Dir(self), "sidecar")
 	if _, err := os.Stat(path); err != nil {
-		return "", fmt.Errorf("the sidecar program is not beside this one (%s): build it with go build -o bin/ ./cmd/..., or name it with --bin", path)
+		return "", fmt.Errorf(
+			"no sidecar program at %s: build it with go build -o bin/ ./cmd/..., or name it with --bin", path)
 	}
 	return path, nil
 }
--- a/internal/lab/rig/rig_test.go
+++ b/internal/lab/rig/rig_test.go
@@ -18,7 +18,7 @@
 	"birchmoor/internal/lab/trace"
 )
 
-var program string // the sidecar, built once
+var program string // path of the sidecar program, which TestMain builds
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "rig-test-")
@@ -39,10 +39,11 @@
 	os.Exit(code)
 }
 
-// small is a short scenario at a pace that leaves a busy machine time: 2 sidecars, 4 servers, 20 requests a second.
-func small(t *testing.T, length, more string) *scenario.Scenario {
+// parseSmallScenario returns a short scenario with 2 sidecars, 4 servers and 20 requests a second, a rate that also a
+// busy machine sustains. extra is appended to its text.
+func parseSmallScenario(t *testing.T, length, extra string) *scenario.Scenario {
 	t.Helper()
-	s, err := scenario.Parse("small.toml", []byte(fmt.Sprintf(`name = "small"
+	parsed, err := scenario.Parse("small.toml", []byte(fmt.Sprintf(`name = "small"
 length = %q
 [[servers]]
 count = 4
@@ -64,24 +65,24 @@
 [discovery]
 notice = "100ms"
 add = "100ms"
-`, length)+more))
+`, length)+extra))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s
+	return parsed
 }
 
-func play(t *testing.T, s *scenario.Scenario, sinks ...trace.Sink) *figures.Result {
+func runScenario(t *testing.T, sc *scenario.Scenario, sinks ...trace.Sink) *figures.Result {
 	t.Helper()
-	x, err := Run(context.Background(), s, Options{Seed: 3, Bin: program, Dir: t.TempDir(), Sinks: sinks})
+	result, err := Run(context.Background(), sc, Options{Seed: 3, Bin: program, Dir: t.TempDir(), Sinks: sinks})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return x
+	return result
 }
 
-// The rules hold on sockets whatever goes wrong, and every request has an end. How fast answers come is not asked:
-// the machine that runs the tests may be busy.
+// Checks that the rules hold on sockets under each fault and that every request ends. The speed of answers is not
+// checked, since the machine that runs the tests may be busy.
 func TestRulesHold(t *testing.T) {
 	for name, faults := range map[string]string{
 		"upgrade": "[[fault]]\nkind = \"upgrade\"\nat = \"1s\"\nfor = \"1s\"\n",
@@ -99,36 +100,38 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			x := play(t, small(t, "3s", faults))
-			v := x.Verdict
-			if n := v.Counts; n.Requests < 30 || n.Served < n.Requests/2 || n.Served+n.Rejected+n.Failed+n.Abandoned != n.Requests {
-				t.Errorf("counts: %+v", n)
+			result := runScenario(t, parseSmallScenario(t, "3s", faults))
+			verdict := result.Verdict
+			if counts := verdict.Counts; counts.Requests < 30 || counts.Served < counts.Requests/2 ||
+				counts.Served+counts.Rejected+counts.Failed+counts.Abandoned != counts.Requests {
+				t.Errorf("too few requests, or too few of them served, or the counts do not balance: %+v", counts)
 			}
-			if x.Void == "" && (!v.Passed() || len(x.Missed) > 0) {
-				t.Errorf("%s: %v, %v", x.Line(), v.Violations, x.Missed)
+			if result.Void == "" && (!verdict.Passed() || len(result.Missed) > 0) {
+				t.Errorf("%s; violations: %v; incidents: %v", result.Line(), verdict.Violations, result.Missed)
 			}
 		})
 	}
 }
 
-// The same seed asks the same on sockets as in the simulation, whoever is late.
-func TestAsksWhatWasPlanned(t *testing.T) {
+// Checks that the clients on sockets send the requests that the scenario schedules, and that at least half of their
+// worth is answered within the latency objective.
+func TestClientsSendScheduledRequests(t *testing.T) {
 	var mu sync.Mutex
-	asked := map[uint64]trace.Event{}
-	x := play(t, small(t, "1s", ""), trace.Func(func(e trace.Event) {
+	requested := map[uint64]trace.Event{}
+	result := runScenario(t, parseSmallScenario(t, "1s", ""), trace.Func(func(e trace.Event) {
 		if e.Kind == trace.Asked && !e.Retry {
 			mu.Lock()
 			defer mu.Unlock()
-			asked[e.Task] = e
+			requested[e.Task] = e
 		}
 	}))
-	if len(asked) < 10 || x.Figures["service"] < 0.5 {
-		t.Errorf("%d were asked; %s", len(asked), x.Line())
+	if len(requested) < 10 || result.Figures["service"] < 0.5 {
+		t.Errorf("clients sent %d requests, want at least 10, half of them in time; %s", len(requested), result.Line())
 	}
 }
 
-// A program that ends by itself, or never becomes ready, does not leave the lab waiting.
-func TestBadPrograms(t *testing.T) {
+// Guards against a lab that waits for ever if the program cannot be started or ends by itself.
+func TestRunReportsProgramThatEnds(t *testing.T) {
 	dir := t.TempDir()
 	script := func(name, text string) string {
 		path := filepath.Join(dir, name)
@@ -137,45 +140,50 @@
 		}
 		return path
 	}
-	s := small(t, "2s", "")
+	sc := parseSmallScenario(t, "2s", "")
 	for name, c := range map[string]struct{ bin, want string }{
 		"ends at once": {script("ends", "exit 3"), "exit status 3"},
 		"is not there": {filepath.Join(dir, "none"), "no such file"},
 	} {
-		if _, err := Run(context.Background(), s, Options{Bin: c.bin}); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("a program that %s: %v", name, err)
+		if _, err := Run(context.Background(), sc, Options{Bin: c.bin}); err == nil ||
+			!strings.Contains(err.Error(), c.want) {
+			t.Errorf("a program that %s is reported with another error: %v", name, err)
 		}
 	}
-	// Killed by somebody else in the middle: the run goes on to its verdict and names it.
-	killer := script("killer", program+" & pid=$!; (while ! grep -q serving "+dir+"/n0/log.txt; do :; done; kill -9 $pid) & wait $pid")
-	x, err := Run(context.Background(), s, Options{Bin: killer, Dir: dir})
+	// If something else kills the process, the run continues to its verdict and reports the end of the process.
+	killer := script("killer", program+
+		" & pid=$!; (while ! grep -q serving "+dir+"/n0/log.txt; do :; done; kill -9 $pid) & wait $pid")
+	result, err := Run(context.Background(), sc, Options{Bin: killer, Dir: dir})
 	if err != nil {
 		if !strings.Contains(err.Error(), "ended before it was ready") {
 			t.Error(err)
 		}
-	} else if x.Passed() || !strings.Contains(strings.Join(x.Missed, " "), "ended by itself") {
-		t.Errorf("a program that was killed: %s, missed %v", x.Line(), x.Missed)
+	} else if result.Passed() || !strings.Contains(strings.Join(result.Missed, " "), "ended by itself") {
+		t.Errorf("the end of a killed program was not reported: %s; incidents: %v", result.Line(), result.Missed)
 	}
 }
 
-// Ctrl-C ends a run at once; that no goroutine, process or port is left is seen by the check of leaks in TestMain.
-func TestStops(t *testing.T) {
+// Checks that a cancelled run, as by Ctrl-C, ends at once. The leak check in TestMain finds goroutines that are left.
+func TestRunEndsWhenCancelled(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var once sync.Once
-	_, err := Run(ctx, small(t, "1h", "[[fault]]\nkind = \"upgrade\"\nat = \"100ms\"\nfor = \"1s\"\n"), Options{Bin: program,
-		Sinks: []trace.Sink{trace.Func(func(e trace.Event) {
-			if e.Kind == trace.Answered {
-				once.Do(cancel)
-			}
-		})}})
+	_, err := Run(ctx,
+		parseSmallScenario(t, "1h", "[[fault]]\nkind = \"upgrade\"\nat = \"100ms\"\nfor = \"1s\"\n"), Options{
+			Bin: program,
+			Sinks: []trace.Sink{trace.Func(func(e trace.Event) {
+				if e.Kind == trace.Answered {
+					once.Do(cancel)
+				}
+			})}})
 	if !errors.Is(err, context.Canceled) {
-		t.Errorf("the run ended with %v", err)
+		t.Errorf("the cancelled run returned %v, want context.Canceled", err)
 	}
 }
 
-func TestTooLarge(t *testing.T) {
-	s := small(t, "1s", "[fleet]\nsidecars = 200\n")
-	if _, err := Run(context.Background(), s, Options{Bin: program}); err == nil || !strings.Contains(err.Error(), "use lab sim") {
-		t.Errorf("800 links: %v", err)
+func TestRunRefusesTooManyLinks(t *testing.T) {
+	sc := parseSmallScenario(t, "1s", "[fleet]\nsidecars = 200\n")
+	if _, err := Run(context.Background(), sc, Options{Bin: program}); err == nil ||
+		!strings.Contains(err.Error(), "use lab sim") {
+		t.Errorf("a run with 800 links returned %v, want an error that names lab sim", err)
 	}
 }
--- a/internal/lab/rig/server.go
+++ b/internal/lab/rig/server.go
@@ -19,144 +19,157 @@
 	"birchmoor/internal/lab/trace"
 )
 
-// slot puts one server of the model on sockets: a listener and a relay for each sidecar, so that it is known who calls.
-type slot struct {
-	r      *rig
-	s      *model.Server
-	links  []*relay.Link // by sidecar
-	addrs  []string      // where the sidecars reach it
-	inside []net.Listener
+// socketServer serves one server of the model on real sockets. It has a listener and a relay for each sidecar, so that
+// each connection tells which sidecar opened it.
+type socketServer struct {
+	rig            *rig
+	model          *model.Server
+	links          []*relay.Link  // by sidecar
+	addrs          []string       // of the relays, by sidecar
+	innerListeners []net.Listener // behind the relays, by sidecar
 
-	mu    sync.Mutex
-	conns map[*serverConn]struct{}
-	wg    sync.WaitGroup
-	off   bool // its process does not run
-	over  bool
+	mu      sync.Mutex
+	conns   map[*serverConn]struct{}
+	wg      sync.WaitGroup
+	stopped bool // the server's process does not run, so that connections are refused
+	closed  bool // the run has ended
 }
 
-func newSlot(r *rig, s *model.Server) (*slot, error) {
-	t := &slot{r: r, s: s, conns: map[*serverConn]struct{}{}, off: true}
-	for n := range r.s.Fleet.Sidecars {
-		ln, err := address.Listen()
+// newSocketServer returns a server whose relays do not listen before start.
+func newSocketServer(r *rig, server *model.Server) (*socketServer, error) {
+	created := &socketServer{rig: r, model: server, conns: map[*serverConn]struct{}{}, stopped: true}
+	for sidecar := range r.scenario.Fleet.Sidecars {
+		listener, err := address.Listen()
 		if err != nil {
 			return nil, err
 		}
-		t.inside = append(t.inside, ln)
-		mean := r.s.Net.Same
-		if s.Zone != r.w.SidecarZone(n) {
-			mean = r.s.Net.Cross
+		created.innerListeners = append(created.innerListeners, listener)
+		meanDelay := r.scenario.Net.Same
+		if server.Zone != r.world.SidecarZone(sidecar) {
+			meanDelay = r.scenario.Net.Cross
 		}
-		l := relay.New(ln.Addr().String(), uint64(n)<<32|uint64(s.Number),
-			relay.Conditions{Delay: time.Duration(mean), Jitter: r.s.Net.Jitter, StallProbability: r.s.Net.Stalls, MaxStall: time.Duration(r.s.Net.Stall)})
-		t.links = append(t.links, l)
-		t.addrs = append(t.addrs, address.Next())
-		t.wg.Go(func() { t.accept(ln, n) })
+		link := relay.New(listener.Addr().String(), uint64(sidecar)<<32|uint64(server.Number),
+			relay.Conditions{
+				Delay:            time.Duration(meanDelay),
+				Jitter:           r.scenario.Net.Jitter,
+				StallProbability: r.scenario.Net.Stalls,
+				MaxStall:         time.Duration(r.scenario.Net.Stall),
+			})
+		created.links = append(created.links, link)
+		created.addrs = append(created.addrs, address.Next())
+		created.wg.Go(func() { created.accept(listener, sidecar) })
 	}
-	return t, nil
+	return created, nil
 }
 
-// start has the relays listen; what runs behind them is a new process.
-func (t *slot) start() error {
-	t.mu.Lock()
-	was := t.off
-	t.off = false
-	t.mu.Unlock()
-	if !was {
+// start makes the relays listen, as a new process of the server does. It does nothing while the server runs.
+func (s *socketServer) start() error {
+	s.mu.Lock()
+	wasStopped := s.stopped
+	s.stopped = false
+	s.mu.Unlock()
+	if !wasStopped {
 		return nil
 	}
-	for n, l := range t.links {
-		ln, err := net.Listen("tcp", t.addrs[n])
+	for sidecar, link := range s.links {
+		listener, err := net.Listen("tcp", s.addrs[sidecar])
 		if err != nil {
 			return err
 		}
-		l.Listen(ln)
+		link.Listen(listener)
 	}
 	return nil
 }
 
-// stop refuses new connections and breaks those that are open, as a process that dies does.
-func (t *slot) stop() {
-	t.mu.Lock()
-	t.off = true
-	t.mu.Unlock()
-	for _, l := range t.links {
-		l.Refuse()
-		l.Reset()
+// stop refuses new connections and resets the open ones, as the end of the server's process does.
+func (s *socketServer) stop() {
+	s.mu.Lock()
+	s.stopped = true
+	s.mu.Unlock()
+	for _, link := range s.links {
+		link.Refuse()
+		link.Reset()
 	}
 }
 
-func (t *slot) close() {
-	t.mu.Lock()
-	t.over = true
-	t.mu.Unlock()
-	t.stop()
-	for _, ln := range t.inside {
-		ln.Close()
+func (s *socketServer) close() {
+	s.mu.Lock()
+	s.closed = true
+	s.mu.Unlock()
+	s.stop()
+	for _, listener := range s.innerListeners {
+		listener.Close()
 	}
-	t.mu.Lock()
-	for c := range t.conns {
-		c.Close()
+	s.mu.Lock()
+	for conn := range s.conns {
+		conn.Close()
 	}
-	t.mu.Unlock()
-	for _, l := range t.links {
-		l.Close()
+	s.mu.Unlock()
+	for _, link := range s.links {
+		link.Close()
 	}
-	t.wg.Wait()
+	s.wg.Wait()
 }
 
-func (t *slot) accept(ln net.Listener, sidecar int) {
+func (s *socketServer) accept(listener net.Listener, sidecar int) {
 	for {
-		nc, err := ln.Accept()
+		accepted, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		c := &serverConn{Conn: nc, slot: t, sidecar: sidecar, in: bufio.NewReader(nc), shaken: make(chan struct{})}
-		t.mu.Lock()
-		if t.over {
-			t.mu.Unlock()
-			nc.Close()
+		conn := &serverConn{
+			Conn:          accepted,
+			server:        s,
+			sidecar:       sidecar,
+			reader:        bufio.NewReader(accepted),
+			handshakeDone: make(chan struct{}),
+		}
+		s.mu.Lock()
+		if s.closed {
+			s.mu.Unlock()
+			accepted.Close()
 			return
 		}
-		t.conns[c] = struct{}{}
-		t.wg.Go(c.serve)
-		t.mu.Unlock()
+		s.conns[conn] = struct{}{}
+		s.wg.Go(conn.serve)
+		s.mu.Unlock()
 	}
 }
 
-// serverConn is a connection of a sidecar.
+// serverConn is a connection from a sidecar.
 type serverConn struct {
 	net.Conn
-	slot    *slot
-	sidecar int
-	in      *bufio.Reader
-	full    bool
-	starts  int
-	shaken  chan struct{} // closed once the handshake is done
+	server        *socketServer
+	sidecar       int
+	reader        *bufio.Reader
+	overCap       bool          // opened beyond the server's limit of connections; its requests are rejected
+	serverStarts  int           // number of the server's starts when the connection was opened
+	handshakeDone chan struct{} // closed once the handshake's work is done
 }
 
 func (c *serverConn) serve() {
-	t := c.slot
-	r := t.r
+	server := c.server
+	r := server.rig
 	opened := make(chan struct{})
 	r.post(func() {
 		defer close(opened)
-		c.starts = t.s.Starts
-		c.full = t.s.Open(c.sidecar)
-		work := float64(t.s.Spec.Handshake.Micros())
-		if c.full || work <= 0 || !t.s.Running {
-			close(c.shaken)
+		c.serverStarts = server.model.Starts
+		c.overCap = server.model.Open(c.sidecar)
+		work := float64(server.model.Spec.Handshake.Micros())
+		if c.overCap || work <= 0 || !server.model.Running {
+			close(c.handshakeDone)
 			return
 		}
-		t.s.Begin(&model.Job{Sidecar: c.sidecar, Work: work, Done: func(model.Outcome) { close(c.shaken) }})
+		server.model.Begin(&model.Job{Sidecar: c.sidecar, Work: work, Done: func(model.Outcome) { close(c.handshakeDone) }})
 	})
 	defer func() {
 		c.Close()
-		t.mu.Lock()
-		delete(t.conns, c)
-		t.mu.Unlock()
+		server.mu.Lock()
+		delete(server.conns, c)
+		server.mu.Unlock()
 		r.post(func() {
-			if !c.full {
-				t.s.Close(c.sidecar, c.starts)
+			if !c.overCap {
+				server.model.Close(c.sidecar, c.serverStarts)
 			}
 		})
 	}()
@@ -165,127 +178,143 @@
 	case <-r.ctx.Done():
 		return
 	}
-	idle := time.Duration(t.s.Spec.Idle)
+	idleTimeout := time.Duration(server.model.Spec.Idle)
 	for {
-		c.SetReadDeadline(time.Now().Add(idle))
-		if _, err := c.in.Peek(1); err != nil {
+		c.SetReadDeadline(time.Now().Add(idleTimeout))
+		if _, err := c.reader.Peek(1); err != nil {
 			return
 		}
-		first := time.Now()
+		firstByteAt := time.Now()
 		c.SetReadDeadline(time.Now().Add(time.Minute))
-		req, err := http.ReadRequest(c.in)
+		request, err := http.ReadRequest(c.reader)
 		if err != nil {
 			return
 		}
-		if _, err := io.Copy(io.Discard, req.Body); err != nil {
+		if _, err := io.Copy(io.Discard, request.Body); err != nil {
 			return
 		}
 		c.SetReadDeadline(time.Time{})
 		select {
-		case <-c.shaken:
+		case <-c.handshakeDone:
 		case <-r.ctx.Done():
 			return
 		}
-		if !c.handle(req, first) {
+		if !c.handle(request, firstByteAt) {
 			return
 		}
 	}
 }
 
-// handle answers a request, and says whether the connection goes on.
-func (c *serverConn) handle(req *http.Request, first time.Time) bool {
-	switch req.URL.Path {
+// handle answers a request or a probe, and reports whether the connection stays open. firstByteAt is when the first
+// byte of the request arrived.
+func (c *serverConn) handle(request *http.Request, firstByteAt time.Time) bool {
+	switch request.URL.Path {
 	case "/-/load", "/-/healthy":
-		return c.probe(req)
+		return c.probe(request)
 	}
-	text := req.Header.Get("X-Trace-Id")
-	id, err := strconv.ParseUint(text, 16, 64)
+	idText := request.Header.Get("X-Trace-Id")
+	id, err := strconv.ParseUint(idText, 16, 64)
 	if err != nil {
 		return c.answer(http.StatusNotFound, nil, "") == nil
 	}
-	type end struct {
-		how  model.Outcome
-		load model.Load
-		ran  bool
+	type jobResult struct {
+		outcome model.Outcome
+		load    model.Load
+		ran     bool
 	}
-	r, t := c.slot.r, c.slot
-	done := make(chan end, 1)
+	r, server := c.server.rig, c.server
+	done := make(chan jobResult, 1)
 	var job *model.Job
 	r.post(func() {
-		y := r.tries[id]
-		if y == nil {
-			r.spoil("a server was sent a request that no client has sent: %s", text)
-			done <- end{how: model.Broken}
+		try := r.tries[id]
+		if try == nil {
+			r.voidRun("a server was sent a request that no client has sent: %s", idText)
+			done <- jobResult{outcome: model.Broken}
 			return
 		}
-		delay := t.s.Zone != r.w.SidecarZone(c.sidecar)
-		way := r.s.Net.Same
-		if delay {
-			way = r.s.Net.Cross
+		crossZone := server.model.Zone != r.world.SidecarZone(c.sidecar)
+		oneWayDelay := r.scenario.Net.Same
+		if crossZone {
+			oneWayDelay = r.scenario.Net.Cross
 		}
-		r.sink.Take(trace.Event{At: r.at(first) - way.Micros(), Kind: trace.Sent, Sidecar: int32(c.sidecar), Server: int32(t.s.Number),
-			Request: id, Class: uint8(y.Task.Class), Cross: delay})
-		if c.full {
-			r.sink.Take(trace.Event{At: r.q.Now(), Kind: trace.Turned, Sidecar: int32(c.sidecar), Server: int32(t.s.Number),
-				Request: id, Class: uint8(y.Task.Class), Work: y.Task.Work})
-			done <- end{how: model.NeverRan}
+		r.sink.Take(trace.Event{
+			At:      r.queueTime(firstByteAt) - oneWayDelay.Micros(),
+			Kind:    trace.Sent,
+			Sidecar: int32(c.sidecar),
+			Server:  int32(server.model.Number),
+			Request: id,
+			Class:   uint8(try.Task.Class),
+			Cross:   crossZone,
+		})
+		if c.overCap {
+			r.sink.Take(trace.Event{
+				At:      r.queue.Now(),
+				Kind:    trace.Turned,
+				Sidecar: int32(c.sidecar),
+				Server:  int32(server.model.Number),
+				Request: id,
+				Class:   uint8(try.Task.Class),
+				Work:    try.Task.Work,
+			})
+			done <- jobResult{outcome: model.NeverRan}
 			return
 		}
-		if c.starts != t.s.Starts || !t.s.Running {
-			done <- end{how: model.Broken}
+		if c.serverStarts != server.model.Starts || !server.model.Running {
+			done <- jobResult{outcome: model.Broken}
 			return
 		}
-		job = &model.Job{Request: id, Class: y.Task.Class, Sidecar: c.sidecar, Work: float64(y.Task.Work),
-			Done: func(how model.Outcome) { done <- end{how, t.s.Report(), true} }}
-		if !t.s.Begin(job) {
-			done <- end{how: model.NeverRan, load: t.s.Report()}
+		job = &model.Job{Request: id, Class: try.Task.Class, Sidecar: c.sidecar, Work: float64(try.Task.Work),
+			Done: func(outcome model.Outcome) { done <- jobResult{outcome, server.model.Report(), true} }}
+		if !server.model.Begin(job) {
+			done <- jobResult{outcome: model.NeverRan, load: server.model.Report()}
 		}
 	})
-	// Whoever waits closes the connection when it gives up.
-	left, looked := make(chan struct{}), make(chan struct{})
+	// The sidecar closes the connection when it gives up a request.
+	clientLeft, watchDone := make(chan struct{}), make(chan struct{})
 	go func() {
-		defer close(looked)
-		if _, err := c.in.Peek(1); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-			close(left)
+		defer close(watchDone)
+		if _, err := c.reader.Peek(1); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
+			close(clientLeft)
 		}
 	}()
-	var e end
+	var result jobResult
 	select {
-	case e = <-done:
-	case <-left:
+	case result = <-done:
+	case <-clientLeft:
 		r.post(func() {
 			if job != nil {
-				t.s.Cancel(job)
+				server.model.Cancel(job)
 			}
 		})
 		return false
 	case <-r.ctx.Done():
 		return false
 	}
-	switch e.how {
+	switch result.outcome {
 	case model.Good:
-		err = c.answer(http.StatusOK, r.report(e.load), body(text, r.s.Load.Answer))
+		err = c.answer(http.StatusOK, r.loadReportHeader(result.load), answerBody(idText, r.scenario.Load.Answer))
 	case model.Bad:
-		err = c.answer(http.StatusInternalServerError, r.report(e.load), "error")
+		err = c.answer(http.StatusInternalServerError, r.loadReportHeader(result.load), "error")
 	case model.NeverRan:
-		err = c.answer(http.StatusServiceUnavailable, append(r.report(e.load), "X-Never-Ran: 1"), "full")
-		if c.full {
+		err = c.answer(http.StatusServiceUnavailable, append(r.loadReportHeader(result.load), "X-Never-Ran: 1"), "full")
+		if c.overCap {
 			return false
 		}
 	default:
 		return false
 	}
-	c.SetReadDeadline(time.Now()) // ends the look for a close, which must not read beside us
+	c.SetReadDeadline(time.Now()) // ends the goroutine above, which must not read at the same time as serve
 	select {
-	case <-looked:
-	case <-left:
+	case <-watchDone:
+	case <-clientLeft:
 		return false
 	}
 	return err == nil
 }
 
-// body is the answer to a request: it begins with the request's ID, so that the client can tell it from any other.
-func body(id string, size int) string {
+// answerBody returns the body of the answer to a request. It contains the request's ID, by which the client recognizes
+// the answer to another request.
+func answerBody(id string, size int) string {
 	text := "served " + id + "\n"
 	if pad := size - len(text); pad > 0 {
 		text += strings.Repeat(".", pad)
@@ -293,21 +322,27 @@
 	return text
 }
 
-func (c *serverConn) probe(req *http.Request) bool {
-	r, t := c.slot.r, c.slot
+// probe answers a probe with the server's load report, or with an empty body if it asks only for the health.
+func (c *serverConn) probe(request *http.Request) bool {
+	r, server := c.server.rig, c.server
 	loads := make(chan model.Load, 1)
 	r.post(func() {
-		r.sink.Take(trace.Event{At: r.q.Now(), Kind: trace.Probed, Sidecar: int32(c.sidecar), Server: int32(t.s.Number)})
-		if work := float64(t.s.Spec.Probe.Micros()); work > 0 && t.s.Running {
-			t.s.Begin(&model.Job{Sidecar: c.sidecar, Work: work, Done: func(model.Outcome) {}})
+		r.sink.Take(trace.Event{
+			At:      r.queue.Now(),
+			Kind:    trace.Probed,
+			Sidecar: int32(c.sidecar),
+			Server:  int32(server.model.Number),
+		})
+		if work := float64(server.model.Spec.Probe.Micros()); work > 0 && server.model.Running {
+			server.model.Begin(&model.Job{Sidecar: c.sidecar, Work: work, Done: func(model.Outcome) {}})
 		}
-		loads <- t.s.Report()
+		loads <- server.model.Report()
 	})
 	select {
-	case l := <-loads:
+	case load := <-loads:
 		text := ""
-		if req.URL.Path == "/-/load" {
-			text = loadText(l)
+		if request.URL.Path == "/-/load" {
+			text = formatLoad(load)
 		}
 		return c.answer(http.StatusOK, nil, text) == nil
 	case <-r.ctx.Done():
@@ -315,26 +350,28 @@
 	}
 }
 
-func loadText(l model.Load) string {
-	return fmt.Sprintf("TEXT busy_reqs=%g, cpu_share=%.4f, served_ps=%.2f", l.Inflight, l.Util, l.Served)
+// formatLoad formats a load report as the program under test reads it.
+func formatLoad(load model.Load) string {
+	return fmt.Sprintf("TEXT busy_reqs=%g, cpu_share=%.4f, served_ps=%.2f", load.Inflight, load.Util, load.Served)
 }
 
-// report is the head line of a load report, where answers hold them.
-func (r *rig) report(l model.Load) []string {
-	if r.s.Limits.Reports != "answers" {
+// loadReportHeader returns the header line with a load report, or nil if the scenario's answers carry none.
+func (r *rig) loadReportHeader(load model.Load) []string {
+	if r.scenario.Limits.Reports != "answers" {
 		return nil
 	}
-	return []string{"Endpoint-Load-Metrics: " + loadText(l)}
+	return []string{"Endpoint-Load-Metrics: " + formatLoad(load)}
 }
 
-func (c *serverConn) answer(code int, heads []string, text string) error {
+// answer writes a response. Each header is a whole line without its end.
+func (c *serverConn) answer(status int, headers []string, content string) error {
 	var b strings.Builder
-	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n", code, http.StatusText(code), len(text))
-	for _, h := range heads {
-		b.WriteString(h + "\r\n")
+	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n", status, http.StatusText(status), len(content))
+	for _, header := range headers {
+		b.WriteString(header + "\r\n")
 	}
 	b.WriteString("\r\n")
-	b.WriteString(text)
+	b.WriteString(content)
 	c.SetWriteDeadline(time.Now().Add(10 * time.Second))
 	_, err := io.WriteString(c.Conn, b.String())
 	return err
