--- a/internal/lab/soak/actions.go
+++ b/internal/lab/soak/actions.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// playEvents plays the events of each daemon one after the other, and those of different daemons side by side.
+// playEvents carries out the schedule: the events of one daemon in sequence, those of different daemons and all drains
+// concurrently. It returns at the end of the schedule's time or with the first error.
 func (r *run) playEvents(ctx context.Context) error {
 	started := time.Now()
 	queues := make([][]Event, Daemons)
@@ -26,7 +27,7 @@
 		playing.Go(func() {
 			for _, e := range queue {
 				pause(ctx, time.Until(started.Add(time.Duration(e.AtMs)*time.Millisecond)))
-				if err := r.act(ctx, number, e); err != nil {
+				if err := r.apply(ctx, number, e); err != nil {
 					errs <- err
 					return
 				}
@@ -49,10 +50,11 @@
 	}
 }
 
-// act does an event to a daemon, and returns once its process is as it was.
-func (r *run) act(ctx context.Context, number int, e Event) error {
-	d := r.fleet.Daemons[number]
-	if r.noteCrash(number) {
+// apply carries out an event on a daemon, and returns once the daemon is ready or undisturbed again. If the daemon's
+// process has crashed, it is restarted instead.
+func (r *run) apply(ctx context.Context, number int, e Event) error {
+	daemon := r.fleet.Daemons[number]
+	if r.recordCrash(number) {
 		return r.restart(ctx, number)
 	}
 	r.mu.Lock()
@@ -63,42 +65,42 @@
 	case Terminate:
 		return r.terminate(ctx, number, e)
 	case Kill:
-		from := time.Now()
-		r.setWanted(number, true)
-		d.Kill()
+		startedAt := time.Now()
+		r.setEndExpected(number, true)
+		daemon.Kill()
 		err := r.restart(ctx, number)
-		r.note(number, func(h *daemonHistory) { h.killed = append(h.killed, period{from, time.Now()}) })
+		r.updateHistory(number, func(h *daemonHistory) { h.killed = append(h.killed, period{startedAt, time.Now()}) })
 		return err
 	case Stop:
-		from := time.Now()
+		startedAt := time.Now()
 		for range max(1, e.Times) {
-			d.Signal(syscall.SIGSTOP)
+			daemon.Signal(syscall.SIGSTOP)
 			pause(ctx, duration/time.Duration(max(1, e.Times)))
-			d.Signal(syscall.SIGCONT)
+			daemon.Signal(syscall.SIGCONT)
 		}
-		r.note(number, func(h *daemonHistory) {
-			h.stopped = append(h.stopped, period{from, time.Now().Add(time.Second)})
+		r.updateHistory(number, func(h *daemonHistory) {
+			h.stopped = append(h.stopped, period{startedAt, time.Now().Add(time.Second)})
 		})
 	case Reload:
 		r.signalSeries(ctx, number, syscall.SIGHUP, e.Times)
 	case Quiet:
-		from := time.Now()
-		d.Deaf(true)
+		startedAt := time.Now()
+		daemon.Deaf(true)
 		pause(ctx, duration)
-		d.Deaf(false)
-		r.note(number, func(h *daemonHistory) { h.quiet = append(h.quiet, period{from, time.Now()}) })
+		daemon.Deaf(false)
+		r.updateHistory(number, func(h *daemonHistory) { h.quiet = append(h.quiet, period{startedAt, time.Now()}) })
 	case Cut:
-		d.Unheard(true)
-		d.Deafen(true)
+		daemon.Unheard(true)
+		daemon.Deafen(true)
 		pause(ctx, duration)
-		d.Unheard(false)
-		d.Deafen(false)
+		daemon.Unheard(false)
+		daemon.Deafen(false)
 	case FullDisk:
-		if err := d.Full(true); err != nil {
+		if err := daemon.Full(true); err != nil {
 			return err
 		}
 		pause(ctx, duration)
-		return d.Full(false)
+		return daemon.Full(false)
 	}
 	return ctx.Err()
 }
@@ -111,94 +113,96 @@
 	}
 }
 
-// terminate ends a process as the platform does at a planned restart, and starts the next one.
+// terminate ends a process as the platform does at a planned restart, with SIGTERM and SIGKILL after killDelay, and
+// starts the next one.
 func (r *run) terminate(ctx context.Context, number int, e Event) error {
-	d := r.fleet.Daemons[number]
-	from := time.Now()
+	daemon := r.fleet.Daemons[number]
+	startedAt := time.Now()
 	restarts := 1
 	if e.DuringStart {
 		restarts = 2
 	}
 	for i := range restarts {
-		r.setWanted(number, true)
-		ended := d.Ended()
-		kill := time.After(killDelay)
+		r.setEndExpected(number, true)
+		ended := daemon.Ended()
+		killTimer := time.After(killDelay)
 		r.signalSeries(ctx, number, syscall.SIGTERM, e.Times)
 		if e.ReloadMeanwhile {
 			r.signalSeries(ctx, number, syscall.SIGHUP, e.Times)
 		}
 		select {
 		case <-ended:
-		case <-kill:
-			r.note(number, func(h *daemonHistory) { h.endedByKill = append(h.endedByKill, time.Now()) })
+		case <-killTimer:
+			r.updateHistory(number, func(h *daemonHistory) { h.endedByKill = append(h.endedByKill, time.Now()) })
 		case <-ctx.Done():
 		}
-		d.Kill()
+		daemon.Kill()
 		if i < restarts-1 {
-			if err := d.Start(); err != nil {
+			if err := daemon.Start(); err != nil {
 				return err
 			}
 			pause(ctx, seriesSpan/maxSignals)
 		}
 	}
 	err := r.restart(ctx, number)
-	r.note(number, func(h *daemonHistory) { h.terminated = append(h.terminated, period{from, time.Now()}) })
+	r.updateHistory(number, func(h *daemonHistory) { h.terminated = append(h.terminated, period{startedAt, time.Now()}) })
 	return err
 }
 
-// restart starts a daemon, and waits until it is ready.
+// restart starts a daemon, waits until it is ready and records how long that took.
 func (r *run) restart(ctx context.Context, number int) error {
-	d := r.fleet.Daemons[number]
+	daemon := r.fleet.Daemons[number]
 	started := time.Now()
-	if err := d.Start(); err != nil {
+	if err := daemon.Start(); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, readyDeadline)
 	defer cancel()
-	if err := d.Ready(ctx); err != nil {
-		return fmt.Errorf("restart: %w\n%s", err, d.Log())
+	if err := daemon.Ready(ctx); err != nil {
+		return fmt.Errorf("restart: %w\n%s", err, daemon.Log())
 	}
 	took := time.Since(started)
-	r.setWanted(number, false)
+	r.setEndExpected(number, false)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.evidence.restarts = append(r.evidence.restarts, took)
 	return nil
 }
 
-// drain has a server drain, and come back as a new process.
+// drain reports a server as draining to all daemons, and later as up with a new process. It skips the event if the
+// server or too many others are draining already.
 func (r *run) drain(ctx context.Context, e Event) {
 	number := e.Number % Servers
 	r.mu.Lock()
-	possible := !r.draining[number] && len(r.draining) < maxDraining
-	if possible {
+	allowed := !r.draining[number] && len(r.draining) < maxDraining
+	if allowed {
 		r.draining[number] = true
 		r.result.ActionsDone++
 	} else {
-		r.result.ActionsPassed++
+		r.result.ActionsSkipped++
 	}
 	r.mu.Unlock()
-	if !possible {
+	if !allowed {
 		return
 	}
-	s := r.fleet.Servers[number]
-	instance := s.Now()
+	server := r.fleet.Servers[number]
+	instance := server.Now()
 	instance.Lifecycle = "draining"
-	s.Set(instance)
+	server.Set(instance)
 	for _, d := range r.fleet.Daemons {
 		d.Tell(instance)
 	}
-	reported := time.Now()
+	reportedAt := time.Now()
 	pause(ctx, drainGrace+time.Duration(e.ForMs)*time.Millisecond)
-	over := time.Now()
+	endedAt := time.Now()
 	instance.Lifecycle = "up"
-	instance.StartedMs = over.UnixMilli()
-	s.Set(instance)
+	instance.StartedMs = endedAt.UnixMilli()
+	server.Set(instance)
 	for _, d := range r.fleet.Daemons {
 		d.Tell(instance)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.draining, number)
-	r.evidence.drains = append(r.evidence.drains, drain{number, period{reported, over}})
+	r.evidence.drains = append(r.evidence.drains, drain{number, period{reportedAt, endedAt}})
 }
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	requestTimeout  = 900 * time.Millisecond // that clients send along
-	answerGrace     = 500 * time.Millisecond // after which a request without an answer is lost
+	requestTimeout  = 900 * time.Millisecond // sent with each request
+	answerGrace     = 500 * time.Millisecond // after requestTimeout, until a request without an answer is lost
 	dialTimeout     = time.Second
-	redialPause     = 20 * time.Millisecond
+	redialDelay     = 20 * time.Millisecond
 	maxRequestPause = 30 * time.Millisecond
-	maxLeaveAfter   = 200 * time.Millisecond
+	maxPatience     = 200 * time.Millisecond // of a client that abandons its request
 
-	leavingShare = 0.05 // of requests, whose clients leave early
-	unsafeShare  = 0.25 // that must not run twice
-	limitedShare = 0.25 // that count against a limit of the fleet
+	abandoningShare    = 0.05 // of requests that their clients abandon early
+	nonIdempotentShare = 0.25 // of requests that must not be executed twice
+	limitedShare       = 0.25 // of requests that count towards a limit of the fleet
 )
 
 // outcome is how a request ended for its client.
@@ -34,43 +34,43 @@
 
 const (
 	answered  outcome = iota
-	closed            // the connection ended, without a complete answer
-	timedOut          // no answer, on a connection that stayed open
-	abandoned         // the client left
+	closed            // the connection ended without a complete answer
+	timedOut          // no answer came on a connection that stayed open
+	abandoned         // the client closed the connection before its timeout
 )
 
-// String names the outcome.
+// String returns the name of the outcome, which is part of violations.
 func (o outcome) String() string {
 	return [...]string{"answered", "closed", "timed out", "abandoned"}[o]
 }
 
-// request is a request as its client saw it.
+// request is a request as its client observed it.
 type request struct {
-	id        string
-	daemon    int
-	path      string
-	unsafe    bool
-	newConn   bool // it was the first on its connection
-	sentAt    time.Time
-	endedAt   time.Time
-	outcome   outcome
-	status    int
-	surplus   int // bytes that followed the answer
-	dialledAt time.Time
+	id            string
+	daemon        int
+	path          string
+	nonIdempotent bool
+	newConn       bool // the request was the first on its connection
+	sentAt        time.Time
+	endedAt       time.Time
+	outcome       outcome
+	status        int
+	trailingBytes int // bytes after the end of the answer
+	dialledAt     time.Time
 }
 
-// client sends requests on one connection after the other, each for as long as it stays open.
+// client sends requests one after the other. It uses a connection for as long as it stays open, and then dials again.
 type client struct {
 	run    *run
 	daemon int
 	number int
 	rng    *rand.Rand
 
-	conn      net.Conn
-	reader    *bufio.Reader
-	dialledAt time.Time
-	sent      int // on conn
-	total     int
+	conn       net.Conn
+	reader     *bufio.Reader
+	dialledAt  time.Time
+	sentOnConn int // requests sent on conn
+	total      int // requests sent on all connections
 }
 
 // loop sends requests until ctx ends.
@@ -78,7 +78,7 @@
 	defer c.close()
 	for ctx.Err() == nil {
 		if c.conn == nil && !c.dial(ctx) {
-			pause(ctx, redialPause)
+			pause(ctx, redialDelay)
 			continue
 		}
 		c.exchange()
@@ -86,6 +86,7 @@
 	}
 }
 
+// pause waits for d, or until ctx ends.
 func pause(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -102,7 +103,7 @@
 	c.conn = conn
 	c.reader = bufio.NewReader(conn)
 	c.dialledAt = time.Now()
-	c.sent = 0
+	c.sentOnConn = 0
 	return true
 }
 
@@ -113,29 +114,29 @@
 	}
 }
 
-// exchange sends one request, and records how it ended.
+// exchange sends one request on the open connection, and records its outcome.
 func (c *client) exchange() {
 	c.total++
 	r := &request{
 		id:        fmt.Sprintf("%04x%04x%012x", c.daemon, c.number, c.total),
 		daemon:    c.daemon,
 		path:      "/look/any",
-		newConn:   c.sent == 0,
+		newConn:   c.sentOnConn == 0,
 		dialledAt: c.dialledAt,
 	}
 	switch n := c.rng.Float64(); {
-	case n < unsafeShare:
+	case n < nonIdempotentShare:
 		r.path = "/pay"
-		r.unsafe = true
-	case n < unsafeShare+limitedShare:
+		r.nonIdempotent = true
+	case n < nonIdempotentShare+limitedShare:
 		r.path = limitedPath
 	}
 	patience := requestTimeout + answerGrace
-	leaves := c.rng.Float64() < leavingShare
-	if leaves {
-		patience = time.Duration(c.rng.Int64N(int64(maxLeaveAfter)))
+	abandons := c.rng.Float64() < abandoningShare
+	if abandons {
+		patience = time.Duration(c.rng.Int64N(int64(maxPatience)))
 	}
-	c.sent++
+	c.sentOnConn++
 	r.sentAt = time.Now()
 	_ = c.conn.SetDeadline(r.sentAt.Add(patience)) // fails on a closed connection, as the write does
 	err := c.transfer(r)
@@ -143,8 +144,8 @@
 	switch {
 	case err == nil:
 		r.outcome = answered
-		r.surplus = c.reader.Buffered()
-	case errors.Is(err, os.ErrDeadlineExceeded) && leaves:
+		r.trailingBytes = c.reader.Buffered()
+	case errors.Is(err, os.ErrDeadlineExceeded) && abandons:
 		r.outcome = abandoned
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		r.outcome = timedOut
@@ -160,7 +161,7 @@
 
 // transfer writes a request and reads its answer.
 func (c *client) transfer(r *request) error {
-	if _, err := io.WriteString(c.conn, c.text(r)); err != nil {
+	if _, err := io.WriteString(c.conn, c.requestText(r)); err != nil {
 		return err
 	}
 	response, err := http.ReadResponse(c.reader, nil)
@@ -178,25 +179,27 @@
 	return nil
 }
 
-func (c *client) text(r *request) string {
+// requestText returns a request as it is written to the connection.
+func (c *client) requestText(r *request) string {
 	method, class, body, key := http.MethodGet, "look", "", ""
-	if r.unsafe {
+	if r.nonIdempotent {
 		method, class, body = http.MethodPost, "pay", "b"
 		key = "Idempotency-Key: 5c0f6e1a2b3d4c59" + r.id[4:] + "\r\n"
 	}
-	sent := int64(0)
+	sentAt := int64(0)
 	if c.run.limits != nil {
-		sent = int64(c.run.limits.Now())
+		sentAt = int64(c.run.limits.Now())
 	}
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Customer: acme\r\n"+
 		"X-Expires-In-Ms: %d\r\n%s: %d\r\n%s: %s\r\n%sContent-Length: %d\r\n\r\n%s",
 		method, r.path, r.id, class, requestTimeout.Milliseconds(),
-		limitlab.DaemonHeader, c.daemon, limitlab.SentHeader, strconv.FormatInt(sent, 10), key, len(body), body)
+		limitlab.DaemonHeader, c.daemon, limitlab.SentHeader, strconv.FormatInt(sentAt, 10), key, len(body), body)
 }
 
-// crowd holds idle connections to a daemon until ctx ends, and opens others for those that are closed.
-func (r *run) crowd(ctx context.Context, daemon, size int) {
-	conns := make([]net.Conn, size)
+// fillDescriptors keeps a number of idle connections to a daemon open until ctx ends, so that the daemon uses up its
+// descriptors. It replaces connections that the daemon closes.
+func (r *run) fillDescriptors(ctx context.Context, daemon, connections int) {
+	conns := make([]net.Conn, connections)
 	defer func() {
 		for _, conn := range conns {
 			if conn != nil {
@@ -213,13 +216,13 @@
 			if conns[i] != nil {
 				_ = conns[i].Close()
 			}
-			conns[i], _ = dialer.DialContext(ctx, "tcp", r.fleet.Daemons[daemon].Listen()) // nil while none accepts
+			conns[i], _ = dialer.DialContext(ctx, "tcp", r.fleet.Daemons[daemon].Listen()) // nil if the daemon refuses it
 		}
-		pause(ctx, crowdInterval)
+		pause(ctx, idleCheckInterval)
 	}
 }
 
-// isOpen reports whether a connection on which nothing is expected has not been ended by the other side.
+// isOpen reports whether the other side has neither closed an idle connection nor sent anything on it.
 func isOpen(conn net.Conn) bool {
 	_ = conn.SetReadDeadline(time.Now().Add(time.Millisecond))
 	_, err := conn.Read(make([]byte, 1))
--- a/internal/lab/soak/defect.go
+++ b/internal/lab/soak/defect.go
@@ -14,48 +14,48 @@
 	"birchmoor/internal/lab/tasklab"
 )
 
-// Defect is one that tests inject into the sidecars, and that a run is to find by the rule that it breaks.
+// Defect is an injected defect of the sidecars. Tests use it to check that a run reports violations of Rule.
 type Defect struct {
 	Name  string
-	Rule  Rule
-	About string
+	Rule  Rule   // violated by the defect
+	About string // a description for the command line
 }
 
-// Names of defects.
+// Names of the injected defects.
 const (
-	endsAtOnce   = "ends-at-once"
-	repeatsAll   = "repeats-all"
-	keepsFiles   = "keeps-files"
-	noLinger     = "no-linger"
-	deafToDrains = "deaf-to-drains"
+	exitsAtOnce   = "ends-at-once"
+	retriesUnsafe = "repeats-all"
+	leaksFiles    = "keeps-files"
+	noLinger      = "no-linger"
+	ignoresDrains = "deaf-to-drains"
 )
 
-// Defects are all of them.
+// Defects are all injected defects.
 var Defects = []Defect{
-	{endsAtOnce, OneAnswer, "SIGTERM ends a process without an answer to what is open"},
-	{repeatsAll, NoRepeat, "a class that must not be repeated is taken for one that may be"},
-	{keepsFiles, Descriptors, "files stay open"},
-	{noLinger, Limits, "the quotas of departed processes are free at once"},
-	{deafToDrains, AfterDrain, "discovery is not heard"},
+	{exitsAtOnce, OneAnswer, "a process exits on SIGTERM without answering its open requests"},
+	{retriesUnsafe, NoRepeat, "a class that must not be retried is treated as one that may be"},
+	{leaksFiles, Descriptors, "files are opened and never closed"},
+	{noLinger, Limits, "the quotas of ended processes are free at once"},
+	{ignoresDrains, AfterDrain, "reports of discovery are not received"},
 }
 
 const (
-	defectEnv     = "BIRCHMOOR_SOAK_DEFECT"
-	leakedFiles   = 2 * descriptorSlack
-	keepsInterval = 10 * time.Millisecond
-	keepsAfter    = 3 * time.Second // from the process's start on: after the lab has counted
+	defectEnv    = "BIRCHMOOR_SOAK_DEFECT"
+	leakedFiles  = 2 * descriptorSlack
+	leakInterval = 10 * time.Millisecond
+	leakDelay    = 3 * time.Second // from the start of the process, after the lab has counted its descriptors
 )
 
-// FindDefect returns the defect with a name.
+// FindDefect returns the defect with a name; its second result is false if there is none.
 func FindDefect(name string) (Defect, bool) {
-	at := slices.IndexFunc(Defects, func(d Defect) bool { return d.Name == name })
-	if at < 0 {
+	index := slices.IndexFunc(Defects, func(d Defect) bool { return d.Name == name })
+	if index < 0 {
 		return Defect{}, false
 	}
-	return Defects[at], true
+	return Defects[index], true
 }
 
-// Env is the environment that has a process of a build for tests inject the defect.
+// Env returns the environment variables that make a process of a test build inject the defect into itself.
 func (d Defect) Env() []string {
 	if d.Name == noLinger {
 		return []string{fmt.Sprintf("%s=%d", tasklab.LimitEnv, quota.NoLinger)}
@@ -63,50 +63,52 @@
 	return []string{defectEnv + "=" + d.Name}
 }
 
-// InjectDefect injects the defect that the environment names into this process. Only builds for tests call it.
+// InjectDefect injects the defect that the environment names into this process, if it names one. Only test builds call
+// it.
 func InjectDefect() error {
 	switch os.Getenv(defectEnv) {
-	case endsAtOnce:
+	case exitsAtOnce:
 		terminated := make(chan os.Signal, 1)
 		signal.Notify(terminated, syscall.SIGTERM)
 		go func() {
 			<-terminated
 			_ = syscall.Kill(os.Getpid(), syscall.SIGKILL) // os.Exit would take a second under the race detector
 		}()
-	case repeatsAll:
-		return repeatAll()
-	case keepsFiles:
-		go keepFiles()
-	case deafToDrains:
+	case retriesUnsafe:
+		return allowUnsafeRetries()
+	case leaksFiles:
+		go leakFiles()
+	case ignoresDrains:
 		const unusedAddress = "127.0.0.1:1"
 		return os.Setenv("ROUTER_DISCOVERY", unusedAddress)
 	}
 	return nil
 }
 
-// repeatAll replaces the configuration by one in which a class that must not be repeated may be.
-func repeatAll() error {
+// allowUnsafeRetries replaces the configuration by one in which a class that must not be retried may be.
+func allowUnsafeRetries() error {
 	path := os.Getenv("ROUTER_CONFIG")
 	if path == "" {
 		return nil
 	}
-	text, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
 	changed := filepath.Join(os.Getenv("TMPDIR"), "repeated.json")
-	const once, again = `"side_effect"`, `"token","group":"all","window":30000000`
-	text = bytes.ReplaceAll(text, []byte(once), []byte(again))
-	if err := os.WriteFile(changed, text, 0o600); err != nil {
+	const unsafeRepeat, tokenRepeat = `"side_effect"`, `"token","group":"all","window":30000000`
+	content = bytes.ReplaceAll(content, []byte(unsafeRepeat), []byte(tokenRepeat))
+	if err := os.WriteFile(changed, content, 0o600); err != nil {
 		return err
 	}
 	return os.Setenv("ROUTER_CONFIG", changed)
 }
 
-func keepFiles() {
-	time.Sleep(keepsAfter)
+// leakFiles opens files and never closes them.
+func leakFiles() {
+	time.Sleep(leakDelay)
 	for range leakedFiles {
-		time.Sleep(keepsInterval)
+		time.Sleep(leakInterval)
 		_, _ = syscall.Open(os.DevNull, syscall.O_RDONLY|syscall.O_CLOEXEC, 0)
 	}
 }
--- a/internal/lab/soak/judge.go
+++ b/internal/lab/soak/judge.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Rule is a promise to callers, or of the operation of a sidecar.
+// Rule is a guarantee to callers, or one about the operation of a sidecar. Its values are part of stored results.
 type Rule string
 
-// The rules.
+// Rules that a run is checked against.
 const (
 	OneAnswer   Rule = "one final answer"
 	NoRepeat    Rule = "no repeat of an unsafe request"
@@ -22,18 +22,18 @@
 )
 
 const (
-	goneGrace       = 100 * time.Millisecond // after a client's leaving, in which an attempt may begin
+	abandonGrace    = 100 * time.Millisecond // after a client abandoned its request, in which an attempt may begin
 	drainGrace      = 500 * time.Millisecond // after a drain is reported, in which an attempt may begin
-	arrivalSlack    = 100 * time.Millisecond // from an attempt's first byte until the lab's server notes it
-	connectGrace    = 400 * time.Millisecond // after SIGTERM, in which clients still connect
-	crossingSlack   = 50 * time.Millisecond  // between a signal and its note in the lab
+	arrivalSlack    = 100 * time.Millisecond // from an attempt's first byte until the lab's server records it
+	connectGrace    = 400 * time.Millisecond // after SIGTERM, in which a process still accepts connections
+	crossingSlack   = 50 * time.Millisecond  // between a signal and its record in the lab
 	readyTimeout    = 10 * time.Second
-	minRestarts     = 10 // below which the share of those in time says nothing
-	maxLateRestarts = 0.1
-	maxExamples     = 5 // of a rule
+	minRestarts     = 10  // with fewer restarts the share of late ones says nothing
+	maxLateRestarts = 0.1 // share of all restarts
+	maxExamples     = 5   // violations of a rule that a result lists
 )
 
-// period is a time in which something was done to a daemon.
+// period is a time in which a fault was injected into a daemon.
 type period struct {
 	from, to time.Time
 }
@@ -49,40 +49,40 @@
 	return false
 }
 
-// daemonHistory is what was done to a daemon.
+// daemonHistory holds the times of the faults injected into a daemon.
 type daemonHistory struct {
 	killed      []period    // from a SIGKILL without a SIGTERM before it until the next process is ready
 	terminated  []period    // from SIGTERM until the next process is ready
-	endedByKill []time.Time // of those terminated, when SIGKILL came
+	endedByKill []time.Time // when SIGKILL ended a process that had received SIGTERM
 	stopped     []period
-	quiet       []period // its discovery said nothing new
+	quiet       []period // its discovery reported no changes
 }
 
-// drain is a time in which a server drained.
+// drain is the time in which a server was reported as draining.
 type drain struct {
 	server int
 	period
 }
 
-// evidence is all that was seen of a run.
+// evidence holds everything that clients, servers and the lab observed in a run.
 type evidence struct {
-	requests  []*request
-	arrivals  map[string][]arrival
-	daemons   []daemonHistory
-	drains    []drain
-	crowd     bool
-	realTime  bool // rules with a bound in real time are judged
-	restarts  []time.Duration
-	otherwise []Violation // found while it ran
+	requests        []*request
+	arrivals        map[string][]arrivedAttempt // by ID of the request
+	daemons         []daemonHistory
+	drains          []drain
+	fullDescriptors bool            // idle clients used up the daemons' descriptors
+	realTime        bool            // rules with a bound in real time are judged
+	restarts        []time.Duration // time until ready of each
+	observed        []Violation     // found during the run
 }
 
-// Violation is one breach of a rule.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule   Rule   `json:"rule"`
 	Detail string `json:"detail"`
 }
 
-// judge returns the violations, at most maxExamples of a rule, and how many there are of each.
+// judge returns the violations, at most maxExamples of a rule, and the number of violations by rule.
 func (e *evidence) judge() (examples []Violation, counts map[Rule]int) {
 	counts = map[Rule]int{}
 	add := func(v Violation) {
@@ -91,7 +91,7 @@
 			examples = append(examples, v)
 		}
 	}
-	for _, v := range e.otherwise {
+	for _, v := range e.observed {
 		add(v)
 	}
 	for _, r := range e.requests {
@@ -110,59 +110,61 @@
 	return examples, counts
 }
 
-func (e *evidence) judgeRequest(r *request) (all []Violation) {
+func (e *evidence) judgeRequest(r *request) (violations []Violation) {
 	attempts := e.arrivals[r.id]
-	describe := func(rule Rule, what string) Violation {
+	describe := func(rule Rule, reason string) Violation {
 		took := r.endedAt.Sub(r.sentAt).Round(time.Millisecond)
 		return Violation{rule, fmt.Sprintf("request %s to d%d %s: %s; %v after %v, %d attempts, new connection %v",
-			r.id, r.daemon, r.path, what, r.outcome, took, len(attempts), r.newConn)}
+			r.id, r.daemon, r.path, reason, r.outcome, took, len(attempts), r.newConn)}
 	}
-	if r.unsafe && len(attempts) > 1 {
-		all = append(all, describe(NoRepeat, "it came to servers more than once"))
+	if r.nonIdempotent && len(attempts) > 1 {
+		violations = append(violations, describe(NoRepeat, "it came to servers more than once"))
 	}
-	if r.surplus > 0 {
-		all = append(all, describe(OneAnswer, fmt.Sprintf("%d bytes followed its answer", r.surplus)))
+	if r.trailingBytes > 0 {
+		violations = append(violations,
+			describe(OneAnswer, fmt.Sprintf("%d bytes followed its answer", r.trailingBytes)))
 	}
-	if what := e.lost(r, attempts); what != "" {
-		all = append(all, describe(OneAnswer, what))
+	if reason := e.missingAnswerReason(r, attempts); reason != "" {
+		violations = append(violations, describe(OneAnswer, reason))
 	}
 	if r.outcome == abandoned && e.realTime && len(attempts) > 0 {
 		late := attempts[0].at.Sub(r.endedAt)
-		if late > goneGrace+arrivalSlack && !anyOverlaps(e.daemons[r.daemon].stopped, r.sentAt, attempts[0].at) {
-			all = append(all, describe(ClientGone, fmt.Sprintf("its first attempt came %v after its client had left",
+		if late > abandonGrace+arrivalSlack && !anyOverlaps(e.daemons[r.daemon].stopped, r.sentAt, attempts[0].at) {
+			violations = append(violations, describe(ClientGone, fmt.Sprintf("its first attempt came %v after its client had left",
 				late.Round(time.Millisecond))))
 		}
 	}
-	return all
+	return violations
 }
 
-// lost says why a request without an answer should have had one, or "".
-func (e *evidence) lost(r *request, attempts []arrival) string {
-	d := &e.daemons[r.daemon]
+// missingAnswerReason returns why a request without an answer should have received one, or "" if the missing answer is
+// excused or the request has one.
+func (e *evidence) missingAnswerReason(r *request, attempts []arrivedAttempt) string {
+	history := &e.daemons[r.daemon]
 	until := r.endedAt.Add(crossingSlack)
 	if r.outcome == answered || r.outcome == abandoned ||
-		anyOverlaps(d.killed, r.sentAt, until) || anyOverlaps(d.stopped, r.sentAt, until) {
+		anyOverlaps(history.killed, r.sentAt, until) || anyOverlaps(history.stopped, r.sentAt, until) {
 		return ""
 	}
 	if !e.realTime && (r.outcome == timedOut || e.openAtKill(r)) {
-		return "" // a busy machine may be the cause
+		return "" // the cause may be a busy machine
 	}
 	if r.outcome == timedOut {
 		if r.newConn && e.connectedLate(r) {
-			return "" // it waits for the next process
+			return "" // the connection waits for the next process to accept it
 		}
 		return "it had no answer half a second past its time"
 	}
 	if len(attempts) > 0 {
 		return "it was read, and its connection ended without a complete answer"
 	}
-	if r.newConn && e.realTime && !e.connectedLate(r) && !e.crowd {
+	if r.newConn && e.realTime && !e.connectedLate(r) && !e.fullDescriptors {
 		return "its new connection ended without an answer"
 	}
-	return "" // it crossed the end of an idle connection
+	return "" // the request was sent just as the sidecar closed the idle connection
 }
 
-// openAtKill reports whether a request was open as SIGKILL ended its process after a SIGTERM.
+// openAtKill reports whether a request was open when SIGKILL ended its process after a SIGTERM.
 func (e *evidence) openAtKill(r *request) bool {
 	for _, at := range e.daemons[r.daemon].endedByKill {
 		if r.sentAt.Before(at) && at.Before(r.endedAt.Add(crossingSlack)) {
@@ -183,31 +185,32 @@
 	return false
 }
 
-// judgeDrains finds attempts at a draining server by a process to which the drain was reported, and which ran
-// all the time.
-func (e *evidence) judgeDrains() (all []Violation) {
+// judgeDrains finds attempts sent to a draining server after drainGrace, by a process that ran and received reports all
+// the time since the drain.
+func (e *evidence) judgeDrains() (violations []Violation) {
 	for id, attempts := range e.arrivals {
-		for _, a := range attempts {
-			for _, d := range e.drains {
-				late := a.at.Sub(d.from)
-				isLate := a.server == d.server && late > drainGrace+arrivalSlack && !a.at.After(d.to)
-				if !isLate || e.interrupted(a.daemon, d.from, a.at) {
+		for _, attempt := range attempts {
+			for _, drained := range e.drains {
+				late := attempt.at.Sub(drained.from)
+				isLate := attempt.server == drained.server && late > drainGrace+arrivalSlack && !attempt.at.After(drained.to)
+				if !isLate || e.interrupted(attempt.daemon, drained.from, attempt.at) {
 					continue
 				}
-				what := fmt.Sprintf("request %s of d%d came to server %d %v after its drain",
-					id, a.daemon, a.server, late.Round(time.Millisecond))
-				all = append(all, Violation{AfterDrain, what})
+				detail := fmt.Sprintf("request %s of d%d came to server %d %v after its drain",
+					id, attempt.daemon, attempt.server, late.Round(time.Millisecond))
+				violations = append(violations, Violation{AfterDrain, detail})
 			}
 		}
 	}
-	sort.Slice(all, func(i, j int) bool { return all[i].Detail < all[j].Detail })
-	return all
+	sort.Slice(violations, func(i, j int) bool { return violations[i].Detail < violations[j].Detail })
+	return violations
 }
 
-// interrupted reports whether a daemon's process did not run, or got no reports, for a part of a time.
+// interrupted reports whether a daemon's process did not run or received no reports for a part of a time, or in the
+// second before it.
 func (e *evidence) interrupted(daemon int, from, to time.Time) bool {
-	d := &e.daemons[daemon]
-	for _, periods := range [][]period{d.killed, d.terminated, d.stopped, d.quiet} {
+	history := &e.daemons[daemon]
+	for _, periods := range [][]period{history.killed, history.terminated, history.stopped, history.quiet} {
 		if anyOverlaps(periods, from.Add(-time.Second), to) {
 			return true
 		}
@@ -215,6 +218,7 @@
 	return false
 }
 
+// judgeRestarts checks the share of restarts that were ready within readyTimeout.
 func (e *evidence) judgeRestarts() (v Violation, broken bool) {
 	late := 0
 	for _, took := range e.restarts {
@@ -225,6 +229,6 @@
 	if len(e.restarts) < minRestarts || float64(late) <= maxLateRestarts*float64(len(e.restarts)) {
 		return Violation{}, false
 	}
-	what := fmt.Sprintf("%d of %d were not ready within %v", late, len(e.restarts), readyTimeout)
-	return Violation{Readiness, what}, true
+	detail := fmt.Sprintf("%d of %d were not ready within %v", late, len(e.restarts), readyTimeout)
+	return Violation{Readiness, detail}, true
 }
--- a/internal/lab/soak/judge_test.go
+++ b/internal/lab/soak/judge_test.go
@@ -6,162 +6,164 @@
 	"time"
 )
 
-// Each rule finds its breach, and excuses what the pages allow.
-func TestJudge(t *testing.T) {
+// Checks that each rule reports its violation, and excuses requests that an injected fault explains.
+func TestJudgeReportsViolationsAndExcusesFaults(t *testing.T) {
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	between := func(from, to int) []period { return []period{{at(from), at(to)}} }
-	ask := func(change func(*request)) *request {
+	makeRequest := func(change func(*request)) *request {
 		r := &request{id: "1", sentAt: at(10_000), endedAt: at(10_100), dialledAt: at(9_000), outcome: answered}
 		change(r)
 		return r
 	}
-	isClosed := func(r *request) { r.outcome = closed }
-	isLate := func(r *request) { r.outcome = timedOut }
-	hasLeft := func(r *request) { r.outcome = abandoned }
-	arrivals := func(ms ...int) map[string][]arrival {
-		var all []arrival
+	connectionClosed := func(r *request) { r.outcome = closed }
+	timedOutRequest := func(r *request) { r.outcome = timedOut }
+	abandonedRequest := func(r *request) { r.outcome = abandoned }
+	arrivals := func(ms ...int) map[string][]arrivedAttempt {
+		var all []arrivedAttempt
 		for _, m := range ms {
-			all = append(all, arrival{at: at(m)})
+			all = append(all, arrivedAttempt{at: at(m)})
 		}
-		return map[string][]arrival{"1": all}
+		return map[string][]arrivedAttempt{"1": all}
 	}
-	drained := []drain{{server: 0, period: period{at(9_000), at(12_000)}}}
-	seconds := func(n int, d time.Duration) (all []time.Duration) {
+	drains := []drain{{server: 0, period: period{at(9_000), at(12_000)}}}
+	repeatDuration := func(n int, d time.Duration) (all []time.Duration) {
 		for range n {
 			all = append(all, d)
 		}
 		return all
 	}
-	for name, x := range map[string]struct {
+	for name, c := range map[string]struct {
 		request  *request
-		arrivals map[string][]arrival
+		arrivals map[string][]arrivedAttempt
 		daemon   daemonHistory
 		drains   []drain
 		restarts []time.Duration
-		busy     bool // the lab was late
+		busy     bool // the lab itself was late, so bounds in real time are not judged
 		want     map[Rule]int
 	}{
-		"answered": {request: ask(func(*request) {}), arrivals: arrivals(10_010)},
+		"answered": {request: makeRequest(func(*request) {}), arrivals: arrivals(10_010)},
 		"bytes after the answer": {
-			request: ask(func(r *request) { r.surplus = 3 }),
+			request: makeRequest(func(r *request) { r.trailingBytes = 3 }),
 			want:    map[Rule]int{OneAnswer: 1},
 		},
 		"unsafe, twice": {
-			request:  ask(func(r *request) { r.unsafe = true }),
+			request:  makeRequest(func(r *request) { r.nonIdempotent = true }),
 			arrivals: arrivals(10_010, 10_020),
 			want:     map[Rule]int{NoRepeat: 1},
 		},
-		"safe, twice": {request: ask(func(*request) {}), arrivals: arrivals(10_010, 10_020)},
+		"safe, twice": {request: makeRequest(func(*request) {}), arrivals: arrivals(10_010, 10_020)},
 		"read and closed": {
-			request:  ask(isClosed),
+			request:  makeRequest(connectionClosed),
 			arrivals: arrivals(10_010),
 			want:     map[Rule]int{OneAnswer: 1},
 		},
 		"read and closed, killed": {
-			request:  ask(isClosed),
+			request:  makeRequest(connectionClosed),
 			arrivals: arrivals(10_010),
 			daemon:   daemonHistory{killed: between(10_050, 10_500)},
 		},
 		"read and closed, terminated": {
-			request:  ask(isClosed),
+			request:  makeRequest(connectionClosed),
 			arrivals: arrivals(10_010),
 			daemon:   daemonHistory{terminated: between(9_950, 10_500)},
 			want:     map[Rule]int{OneAnswer: 1},
 		},
 		"open at the kill, busy": {
-			request:  ask(isClosed),
+			request:  makeRequest(connectionClosed),
 			arrivals: arrivals(10_010),
 			daemon:   daemonHistory{endedByKill: []time.Time{at(10_090)}},
 			busy:     true,
 		},
 		"open at the kill": {
-			request:  ask(isClosed),
+			request:  makeRequest(connectionClosed),
 			arrivals: arrivals(10_010),
 			daemon:   daemonHistory{endedByKill: []time.Time{at(10_090)}},
 			want:     map[Rule]int{OneAnswer: 1},
 		},
-		"closed as it came": {request: ask(isClosed)},
+		"closed as it came": {request: makeRequest(connectionClosed)},
 		"closed, new connection": {
-			request: ask(func(r *request) { isClosed(r); r.newConn = true }),
+			request: makeRequest(func(r *request) { connectionClosed(r); r.newConn = true }),
 			want:    map[Rule]int{OneAnswer: 1},
 		},
-		"no answer":       {request: ask(isLate), want: map[Rule]int{OneAnswer: 1}},
-		"no answer, busy": {request: ask(isLate), busy: true},
+		"no answer":       {request: makeRequest(timedOutRequest), want: map[Rule]int{OneAnswer: 1}},
+		"no answer, busy": {request: makeRequest(timedOutRequest), busy: true},
 		"no answer, stopped": {
-			request: ask(isLate),
+			request: makeRequest(timedOutRequest),
 			daemon:  daemonHistory{stopped: between(10_050, 11_000)},
 		},
 		"begun for one who had gone": {
-			request:  ask(hasLeft),
+			request:  makeRequest(abandonedRequest),
 			arrivals: arrivals(10_400),
 			want:     map[Rule]int{ClientGone: 1},
 		},
-		"begun before the client left": {request: ask(hasLeft), arrivals: arrivals(10_050)},
+		"begun before the client left": {request: makeRequest(abandonedRequest), arrivals: arrivals(10_050)},
 		"sent after a drain": {
-			request:  ask(func(*request) {}),
+			request:  makeRequest(func(*request) {}),
 			arrivals: arrivals(10_010),
-			drains:   drained,
+			drains:   drains,
 			want:     map[Rule]int{AfterDrain: 1},
 		},
 		"sent within the grace": {
-			request:  ask(func(*request) {}),
+			request:  makeRequest(func(*request) {}),
 			arrivals: arrivals(9_400),
-			drains:   drained,
+			drains:   drains,
 		},
 		"sent after a drain, not told": {
-			request:  ask(func(*request) {}),
+			request:  makeRequest(func(*request) {}),
 			arrivals: arrivals(10_010),
-			drains:   drained,
+			drains:   drains,
 			daemon:   daemonHistory{quiet: between(8_500, 11_000)},
 		},
 		"two of ten late": {
-			request:  ask(func(*request) {}),
-			restarts: append(seconds(8, time.Second), seconds(2, 11*time.Second)...),
+			request:  makeRequest(func(*request) {}),
+			restarts: append(repeatDuration(8, time.Second), repeatDuration(2, 11*time.Second)...),
 			want:     map[Rule]int{Readiness: 1},
 		},
 		"one of ten late": {
-			request:  ask(func(*request) {}),
-			restarts: append(seconds(9, time.Second), 11*time.Second),
+			request:  makeRequest(func(*request) {}),
+			restarts: append(repeatDuration(9, time.Second), 11*time.Second),
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := &evidence{
-				requests: []*request{x.request},
-				arrivals: x.arrivals,
-				daemons:  []daemonHistory{x.daemon},
-				drains:   x.drains,
-				restarts: x.restarts,
-				realTime: !x.busy,
+			collected := &evidence{
+				requests: []*request{c.request},
+				arrivals: c.arrivals,
+				daemons:  []daemonHistory{c.daemon},
+				drains:   c.drains,
+				restarts: c.restarts,
+				realTime: !c.busy,
 			}
-			violations, counts := e.judge()
-			if len(counts) != len(x.want) || len(x.want) > 0 && !reflect.DeepEqual(counts, x.want) {
-				t.Errorf("found %v, %+v", counts, violations)
+			violations, counts := collected.judge()
+			if len(counts) != len(c.want) || len(c.want) > 0 && !reflect.DeepEqual(counts, c.want) {
+				t.Errorf("judge reports %v, %+v", counts, violations)
 			}
 		})
 	}
 }
 
-// A seed draws the same schedule again, and the drawn ones have what a soak is for.
-func TestDraw(t *testing.T) {
+// Checks that a seed always draws the same schedule, and that the schedules of 40 seeds contain every action, signals
+// in series, and idle clients in one seed of four.
+func TestDrawIsDeterministicAndCoversAllActions(t *testing.T) {
 	actions := map[Action]int{}
-	crowds, series := 0, 0
+	fullDescriptors, signalSeries := 0, 0
 	for seed := range uint64(40) {
 		s := Draw(seed, 20*time.Second, Daemons, Servers)
 		if !reflect.DeepEqual(s, Draw(seed, 20*time.Second, Daemons, Servers)) {
-			t.Fatalf("seed %d draws another schedule", seed)
+			t.Fatalf("seed %d draws another schedule the second time", seed)
 		}
-		if s.Crowd {
-			crowds++
+		if s.FillDescriptors {
+			fullDescriptors++
 		}
 		for _, e := range s.Events {
 			actions[e.Action]++
 			if e.Times > 1 {
-				series++
+				signalSeries++
 			}
 		}
 	}
-	if len(actions) != len(actionWeights) || crowds != 10 || series == 0 {
-		t.Errorf("%v, %d crowds, %d series", actions, crowds, series)
+	if len(actions) != len(actionWeights) || fullDescriptors != 10 || signalSeries == 0 {
+		t.Errorf("drew actions %v, %d schedules that fill the descriptors and %d series of signals",
+			actions, fullDescriptors, signalSeries)
 	}
 }
--- a/internal/lab/soak/schedule.go
+++ b/internal/lab/soak/schedule.go
@@ -6,52 +6,52 @@
 	"time"
 )
 
-// Action is what is done to a daemon, or to a server.
+// Action is a fault injected into a daemon, or the drain of a server.
 type Action string
 
-// The actions.
+// Actions of an event. Their values are part of stored schedules.
 const (
 	Terminate Action = "terminate" // SIGTERM, SIGKILL at the earliest moment that the platform allows, and a start
-	Kill      Action = "kill"      // SIGKILL without a word, and a start
-	Stop      Action = "stop"      // SIGSTOP, and SIGCONT after For
+	Kill      Action = "kill"      // SIGKILL without a SIGTERM before it, and a start
+	Stop      Action = "stop"      // SIGSTOP, and SIGCONT after ForMs
 	Reload    Action = "reload"    // SIGHUP
-	Quiet     Action = "quiet"     // its discovery says nothing new for For
-	Cut       Action = "cut"       // it and the other daemons do not hear each other for For
-	FullDisk  Action = "full-disk" // its files cannot grow for For
-	Drain     Action = "drain"     // the server with the number drains, and is back after For as a new process
+	Quiet     Action = "quiet"     // the daemon's discovery reports no changes for ForMs
+	Cut       Action = "cut"       // the daemon and the others receive nothing from each other for ForMs
+	FullDisk  Action = "full-disk" // the daemon's files cannot grow for ForMs
+	Drain     Action = "drain"     // a server drains, and is up with a new process after drainGrace and ForMs
 )
 
 // Event is one entry of a schedule.
 type Event struct {
 	AtMs   int64  `json:"at_ms"`
 	Action Action `json:"action"`
-	Number int    `json:"number"`           // of the daemon or the server
+	Number int    `json:"number"`           // of the daemon, or of the server for Drain
 	ForMs  int64  `json:"for_ms,omitempty"` // see Action
-	Times  int    `json:"times,omitempty"`  // that the signal is sent, within seriesSpan; 0 is once
+	Times  int    `json:"times,omitempty"`  // how often the signal is sent within seriesSpan; 0 means once
 
-	// ReloadMeanwhile has SIGHUP sent during a Terminate.
+	// ReloadMeanwhile sends SIGHUP during a Terminate.
 	ReloadMeanwhile bool `json:"reload_meanwhile,omitempty"`
-	// DuringStart has a Terminate followed by another one before the new process is ready.
+	// DuringStart repeats a Terminate before the new process is ready.
 	DuringStart bool `json:"during_start,omitempty"`
 }
 
-// Schedule is what is done in a run. It can be shortened by hand.
+// Schedule lists the events of a run. It is stored as JSON and can be shortened by hand.
 type Schedule struct {
-	Seed   uint64  `json:"seed"`
-	Crowd  bool    `json:"crowd"` // idle clients fill the descriptors
-	LastMs int64   `json:"last_ms"`
-	Events []Event `json:"events"`
+	Seed            uint64  `json:"seed"`
+	FillDescriptors bool    `json:"crowd"` // idle clients use up the daemons' descriptors
+	LastMs          int64   `json:"last_ms"`
+	Events          []Event `json:"events"`
 }
 
 const (
-	seriesSpan       = 100 * time.Millisecond
-	maxSignals       = 4 // of a series
-	meanPause        = 700 * time.Millisecond
-	maxFaultDuration = 2500 * time.Millisecond
-	crowdEvery       = 4 // seeds
+	seriesSpan           = 100 * time.Millisecond
+	maxSignals           = 4 // of a series
+	meanPause            = 700 * time.Millisecond
+	maxFaultDuration     = 2500 * time.Millisecond
+	fillDescriptorsEvery = 4 // seeds
 )
 
-// actionWeights are how often each action is drawn, relative to the others.
+// actionWeights determine how often each action is drawn, relative to the others.
 var actionWeights = []struct {
 	action Action
 	weight int
@@ -62,7 +62,7 @@
 // Draw draws the schedule of a seed.
 func Draw(seed uint64, length time.Duration, daemons, servers int) *Schedule {
 	rng := rand.New(rand.NewPCG(seed, 0x736f616b))
-	s := &Schedule{Seed: seed, Crowd: seed%crowdEvery == 0, LastMs: length.Milliseconds()}
+	s := &Schedule{Seed: seed, FillDescriptors: seed%fillDescriptorsEvery == 0, LastMs: length.Milliseconds()}
 	for at := meanPause; at < length; at += meanPause/2 + time.Duration(rng.Int64N(int64(meanPause))) {
 		e := Event{
 			AtMs:   at.Milliseconds(),
@@ -81,7 +81,7 @@
 	return s
 }
 
-// normalized returns the event without what its action does not use.
+// normalized returns the event without the parameters that its action does not use.
 func (e Event) normalized() Event {
 	if !slices.Contains([]Action{Stop, Quiet, Cut, FullDisk, Drain}, e.Action) {
 		e.ForMs = 0
--- a/internal/lab/soak/server.go
+++ b/internal/lab/soak/server.go
@@ -13,24 +13,25 @@
 
 const (
 	maxServiceTime = 20 * time.Millisecond
-	failingShare   = 0.04 // of attempts, whose connection a server closes without an answer
+	failingShare   = 0.04 // of attempts whose connection the server closes without an answer
 )
 
-// arrival is an attempt as a server saw it.
-type arrival struct {
+// arrivedAttempt is an attempt as a server observed it. server is -1 if its address is unknown.
+type arrivedAttempt struct {
 	daemon int
 	server int
 	at     time.Time
 }
 
-// servers are the slot servers: they note every attempt, and close some connections without an answer.
+// servers handles the requests of all slot servers. It records every attempt, and closes some connections without an
+// answer.
 type servers struct {
 	limits *limitlab.Judge
 
 	mu       sync.Mutex
 	rng      *rand.Rand
-	byAddr   map[string]int // numbers of servers
-	arrivals map[string][]arrival
+	byAddr   map[string]int              // numbers of the servers
+	arrivals map[string][]arrivedAttempt // by ID of the request
 }
 
 func newServers(seed uint64, limits *limitlab.Judge) *servers {
@@ -38,13 +39,14 @@
 		limits:   limits,
 		rng:      rand.New(rand.NewPCG(seed, 0x73657276)),
 		byAddr:   map[string]int{},
-		arrivals: map[string][]arrival{},
+		arrivals: map[string][]arrivedAttempt{},
 	}
 }
 
-// ServeHTTP serves an attempt.
+// ServeHTTP answers an attempt after a random time, or closes its connection. The judge of the limits answers attempts
+// on limitedPath.
 func (s *servers) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	serviceTime, fails := s.arrive(r)
+	serviceTime, fails := s.recordArrival(r)
 	if r.URL.Path == limitedPath {
 		s.limits.ServeHTTP(w, r)
 		return
@@ -53,21 +55,21 @@
 	if fails {
 		panic(http.ErrAbortHandler) // closes the connection
 	}
-	_, _ = w.Write([]byte("ok")) // the sidecar may have gone
+	_, _ = w.Write([]byte("ok")) // fails if the sidecar has closed the connection
 }
 
-// arrive notes an attempt, and draws how it is served.
-func (s *servers) arrive(r *http.Request) (serviceTime time.Duration, fails bool) {
+// recordArrival records an attempt, and draws how it is served.
+func (s *servers) recordArrival(r *http.Request) (serviceTime time.Duration, fails bool) {
 	now := time.Now()
 	daemon, _ := strconv.Atoi(r.Header.Get(limitlab.DaemonHeader))
 	id := r.Header.Get("X-Trace-Id")
 	local, _ := r.Context().Value(http.LocalAddrContextKey).(net.Addr)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a := arrival{daemon: daemon, server: -1, at: now}
+	attempt := arrivedAttempt{daemon: daemon, server: -1, at: now}
 	if n, ok := s.byAddr[local.String()]; ok {
-		a.server = n
+		attempt.server = n
 	}
-	s.arrivals[id] = append(s.arrivals[id], a)
+	s.arrivals[id] = append(s.arrivals[id], attempt)
 	return time.Duration(s.rng.Int64N(int64(maxServiceTime))), s.rng.Float64() < failingShare
 }
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -1,8 +1,8 @@
-// Package soak runs a small fleet of real processes through schedules that are drawn from seeds: signals in series,
-// kills, stops, partitions, quiet discoveries, full disks and drains, under clients that use their connections until
-// the kill. What clients and servers observed is judged from outside, by the promises to callers.
+// Package soak runs a small fleet of real processes through schedules of faults that are drawn from seeds: signals in
+// series, kills, stops, partitions, discovery without changes, full disks and drains. Clients use their connections
+// until the process is killed. What clients and servers observed is judged by the guarantees to callers.
 //
-// It runs daemons with their sidecars by package fleetlab, and judges limits by package limitlab.
+// Package fleetlab runs the daemons with their sidecars, and package limitlab judges the limits.
 package soak
 
 import (
@@ -24,82 +24,82 @@
 
 // Options of a run.
 type Options struct {
-	Program  string
-	Args     []string // before the operator file
-	Env      []string
-	Dir      string // for what it writes
+	Program  string   // runs a daemon
+	Args     []string // of Program, before the operator file
+	Env      []string // added to the environment of the daemons
+	Dir      string   // parent of the temporary folder of the run
 	Schedule *Schedule
-	RealTime bool // rules with a bound in real time are judged, too: not on a busy machine
+	RealTime bool // also judge rules with a bound in real time, which a busy machine violates
 }
 
-// Result is what came of a run.
+// Result is the result of a run.
 type Result struct {
-	Seed          uint64       `json:"seed"`
-	Requests      int          `json:"requests"`
-	Answered      int          `json:"answered"`
-	Served        int          `json:"served"`
-	Unanswered    int          `json:"unanswered"`
-	Restarts      int          `json:"restarts"`
-	SlowestReady  int64        `json:"slowest_ready_ms"`
-	LabLateMs     int64        `json:"lab_late_ms"` // the latest that the lab itself ran
-	Counts        map[Rule]int `json:"broken,omitempty"`
-	Violations    []Violation  `json:"violations,omitempty"`
-	RealTime      bool         `json:"real_time"` // rules with a bound in real time were judged
-	ActionsDone   int          `json:"actions"`
-	ActionsPassed int          `json:"actions_left_out"` // since they could not be done then
+	Seed           uint64       `json:"seed"`
+	Requests       int          `json:"requests"`
+	Answered       int          `json:"answered"`
+	Served         int          `json:"served"`
+	Unanswered     int          `json:"unanswered"`
+	Restarts       int          `json:"restarts"`
+	SlowestReady   int64        `json:"slowest_ready_ms"`
+	LabLateMs      int64        `json:"lab_late_ms"` // maximum delay of the lab itself
+	Counts         map[Rule]int `json:"broken,omitempty"`
+	Violations     []Violation  `json:"violations,omitempty"`
+	RealTime       bool         `json:"real_time"` // rules with a bound in real time were judged
+	ActionsDone    int          `json:"actions"`
+	ActionsSkipped int          `json:"actions_left_out"` // drains of servers that could not drain at their time
 }
 
-// Sizes of the fleet.
+// Size of the fleet.
 const (
-	Replicas = 3
-	Follow   = 2
-	Daemons  = Replicas + Follow
-	Servers  = 5
+	Replicas  = 3
+	Followers = 2
+	Daemons   = Replicas + Followers
+	Servers   = 5
 )
 
 const (
-	clientsPerDaemon = 6
-	descriptorLimit  = 300
-	crowdSize        = 2 * descriptorLimit
-	crowdInterval    = 20 * time.Millisecond
-	maxDraining      = 2 // servers at a time
-	descriptorSlack  = 64
-	settleTimeout    = time.Minute
-	readyDeadline    = time.Minute
-	maxLabLateness   = 50 * time.Millisecond // beyond which bounds in real time are not judged
-	latenessInterval = 5 * time.Millisecond
-	longestTimeout   = time.Second                           // of the classes below
-	killDelay        = longestTimeout + 700*time.Millisecond // from SIGTERM, at the earliest
-	limitedPath      = "/look/limited"
-	limits           = "[limit.limited]\namount = 150.0\nwindow = \"3s\"\npaths = [\"" + limitedPath + "\"]\n"
-	operatorFile     = "[limits]\nlease = \"1500ms\"\ntell = \"50ms\"\neach = \"2ms\"\n"
+	clientsPerDaemon  = 6
+	descriptorLimit   = 300
+	idleConnections   = 2 * descriptorLimit
+	idleCheckInterval = 20 * time.Millisecond
+	maxDraining       = 2  // servers at a time
+	descriptorSlack   = 64 // descriptors that a daemon may have open after the load beyond those before it
+	settleTimeout     = time.Minute
+	readyDeadline     = time.Minute
+	maxLabLateness    = 50 * time.Millisecond // beyond it, bounds in real time are not judged
+	latenessInterval  = 5 * time.Millisecond
+	longestTimeout    = time.Second                           // of the classes below
+	killDelay         = longestTimeout + 700*time.Millisecond // from SIGTERM, at the earliest
+	limitedPath       = "/look/limited"
+	limits            = "[limit.limited]\namount = 150.0\nwindow = \"3s\"\npaths = [\"" + limitedPath + "\"]\n"
+	operatorFile      = "[limits]\nlease = \"1500ms\"\ntell = \"50ms\"\neach = \"2ms\"\n"
 )
 
-// settings have a class that may be repeated and one that must not.
+// settings returns the sidecars' settings, with an idempotent class and one that must not be repeated.
 func settings() string {
 	const look = `{"name":"look","repeat":"pure","target":500000,"give-up":1000000,"credit":1.0}`
 	const pay = `{"name":"pay","repeat":"side_effect","target":500000,"give-up":1000000,"credit":2.0}`
 	return fleetlab.Settings(look, look+","+pay)
 }
 
-// run is a run under way.
+// run is the state of a run. It is safe for concurrent use.
 type run struct {
 	Options
 	fleet   *fleetlab.Fleet
 	limits  *limitlab.Judge
 	servers *servers
 
-	mu       sync.Mutex
-	evidence evidence
-	result   Result
-	draining map[int]bool
-	wanted   map[int]bool // daemons whose process is to end
-	baseline []int        // descriptors of each daemon before the load
+	mu          sync.Mutex
+	evidence    evidence
+	result      Result
+	draining    map[int]bool
+	endExpected map[int]bool // daemons whose process the lab ends
+	baseline    []int        // descriptors of each daemon before the load
 }
 
-// Run plays a schedule. Its error is the lab's own.
-func Run(ctx context.Context, o Options) (*Result, error) {
-	dir, err := os.MkdirTemp(o.Dir, "soak-")
+// Run carries out a schedule and judges it. Its error is a fault of the lab, or a daemon that does not start.
+func Run(ctx context.Context, opts Options) (*Result, error) {
+	dir, err := os.MkdirTemp(opts.Dir, "soak-")
 	if err != nil {
 		return nil, err
 	}
@@ -109,21 +109,26 @@
 		return nil, err
 	}
 	config.AssignGenerations(&quota.Config{})
-	r := &run{Options: o, limits: limitlab.NewJudge(config, Daemons), draining: map[int]bool{}, wanted: map[int]bool{}}
-	r.servers = newServers(o.Schedule.Seed, r.limits)
-	r.result = Result{Seed: o.Schedule.Seed}
+	r := &run{
+		Options:     opts,
+		limits:      limitlab.NewJudge(config, Daemons),
+		draining:    map[int]bool{},
+		endExpected: map[int]bool{},
+	}
+	r.servers = newServers(opts.Schedule.Seed, r.limits)
+	r.result = Result{Seed: opts.Schedule.Seed}
 	r.evidence.daemons = make([]daemonHistory, Daemons)
-	r.evidence.crowd = o.Schedule.Crowd
+	r.evidence.fullDescriptors = opts.Schedule.FillDescriptors
 	fleetConfig := fleetlab.Config{
-		Program:  o.Program,
-		Args:     o.Args,
-		Env:      o.Env,
+		Program:  opts.Program,
+		Args:     opts.Args,
+		Env:      opts.Env,
 		Dir:      dir,
 		Replicas: Replicas,
-		Follow:   Follow,
+		Follow:   Followers,
 		Servers:  Servers,
 		Starts:   true,
-		Seed:     o.Schedule.Seed,
+		Seed:     opts.Schedule.Seed,
 		Handle:   r.servers,
 		More:     operatorFile,
 		Settings: settings(),
@@ -140,13 +145,13 @@
 	if err := r.putLimits(ctx, config); err != nil {
 		return nil, err
 	}
-	if err := r.play(ctx); err != nil {
+	if err := r.runLoad(ctx); err != nil {
 		return nil, err
 	}
 	return r.finish(), nil
 }
 
-// putLimits puts the limits in force, and waits until every daemon goes by them.
+// putLimits stores the limits, and waits until every daemon applies them.
 func (r *run) putLimits(ctx context.Context, config *quota.Config) error {
 	ctx, cancel := context.WithTimeout(ctx, readyDeadline)
 	defer cancel()
@@ -160,16 +165,16 @@
 				break
 			}
 			if ctx.Err() != nil {
-				return fmt.Errorf("%s does not go by the limits: %w\n%s", d.Name(), ctx.Err(), d.Log())
+				return fmt.Errorf("%s has not applied the limits: %w\n%s", d.Name(), ctx.Err(), d.Log())
 			}
-			pause(ctx, redialPause)
+			pause(ctx, redialDelay)
 		}
 	}
 	return nil
 }
 
-// play runs the load and the schedule, and then waits until all is calm.
-func (r *run) play(ctx context.Context) error {
+// runLoad runs the clients and the schedule, and checks afterwards that the daemons have closed their descriptors.
+func (r *run) runLoad(ctx context.Context) error {
 	for _, d := range r.fleet.Daemons {
 		r.baseline = append(r.baseline, descriptors(d.PID()))
 	}
@@ -185,8 +190,8 @@
 				rng: rand.New(rand.NewPCG(r.Schedule.Seed, uint64(daemon*clientsPerDaemon+number)))}
 			clients.Go(func() { c.loop(load) })
 		}
-		if r.Schedule.Crowd {
-			clients.Go(func() { r.crowd(load, daemon, crowdSize) })
+		if r.Schedule.FillDescriptors {
+			clients.Go(func() { r.fillDescriptors(load, daemon, idleConnections) })
 		}
 	}
 	err := r.playEvents(ctx)
@@ -198,21 +203,23 @@
 	return err
 }
 
-// note changes what is known of a daemon.
-func (r *run) note(number int, change func(*daemonHistory)) {
+// updateHistory changes the history of a daemon.
+func (r *run) updateHistory(number int, change func(*daemonHistory)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change(&r.evidence.daemons[number])
 }
 
-func (r *run) setWanted(number int, wanted bool) {
+// setEndExpected sets whether the end of a daemon's process is the lab's doing and no crash.
+func (r *run) setEndExpected(number int, expected bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.wanted[number] = wanted
+	r.endExpected[number] = expected
 }
 
-// noteCrash reports whether a daemon's process has ended by itself.
-func (r *run) noteCrash(number int) bool {
+// recordCrash reports whether a daemon's process has ended by itself, and records that as a violation. Requests of the
+// minute before it are excused, as its exact time is not known.
+func (r *run) recordCrash(number int) bool {
 	d := r.fleet.Daemons[number]
 	select {
 	case <-d.Ended():
@@ -221,10 +228,10 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.wanted[number] {
+	if r.endExpected[number] {
 		return false
 	}
-	r.evidence.otherwise = append(r.evidence.otherwise, Violation{Crash, d.Name() + ": " + lastLines(d.Log())})
+	r.evidence.observed = append(r.evidence.observed, Violation{Crash, d.Name() + ": " + lastLines(d.Log())})
 	now := time.Now()
 	h := &r.evidence.daemons[number]
 	h.killed = append(h.killed, period{now.Add(-time.Minute), now})
@@ -238,16 +245,16 @@
 	return strings.Join(lines[max(0, len(lines)-shown):], "\n")
 }
 
-// record notes how a request ended.
-func (r *run) record(q *request) {
+// record records the outcome of a request.
+func (r *run) record(ended *request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.evidence.requests = append(r.evidence.requests, q)
+	r.evidence.requests = append(r.evidence.requests, ended)
 	r.result.Requests++
-	switch q.outcome {
+	switch ended.outcome {
 	case answered:
 		r.result.Answered++
-		if q.status == http.StatusOK {
+		if ended.status == http.StatusOK {
 			r.result.Served++
 		}
 	case closed, timedOut:
@@ -255,7 +262,7 @@
 	}
 }
 
-// measureLateness notes how late the lab itself runs.
+// measureLateness measures by how much sleeps of the lab itself overrun, until ctx ends.
 func (r *run) measureLateness(ctx context.Context) {
 	for ctx.Err() == nil {
 		started := time.Now()
@@ -267,20 +274,21 @@
 	}
 }
 
-// checkDescriptors waits until each daemon has as many descriptors open as before the load.
+// checkDescriptors waits until no daemon has many more descriptors open than before the load, and records a violation
+// for each that still has after settleTimeout.
 func (r *run) checkDescriptors(ctx context.Context) {
 	deadline := time.Now().Add(settleTimeout)
 	for number, d := range r.fleet.Daemons {
-		if r.noteCrash(number) {
+		if r.recordCrash(number) {
 			continue
 		}
 		open := descriptors(d.PID())
 		for ; open > r.baseline[number]+descriptorSlack && time.Now().Before(deadline); open = descriptors(d.PID()) {
-			pause(ctx, redialPause)
+			pause(ctx, redialDelay)
 		}
 		if open > r.baseline[number]+descriptorSlack {
 			r.mu.Lock()
-			r.evidence.otherwise = append(r.evidence.otherwise, Violation{Descriptors,
+			r.evidence.observed = append(r.evidence.observed, Violation{Descriptors,
 				fmt.Sprintf("%s has %d open a minute after the load, and %d before it",
 					d.Name(), open, r.baseline[number])})
 			r.mu.Unlock()
@@ -288,7 +296,7 @@
 	}
 }
 
-// descriptors returns the number of descriptors that a process has open.
+// descriptors returns the number of descriptors that a process has open, or 0 if it has ended.
 func descriptors(pid int) int {
 	entries, err := os.ReadDir(filepath.Join("/proc", strconv.Itoa(pid), "fd"))
 	if err != nil {
@@ -297,7 +305,7 @@
 	return len(entries)
 }
 
-// finish judges the run.
+// finish judges the run, whose clients and daemons are idle by now, and returns its result.
 func (r *run) finish() *Result {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -306,8 +314,8 @@
 	r.evidence.arrivals = r.servers.arrivals
 	r.evidence.realTime = r.RealTime && r.result.LabLateMs <= maxLabLateness.Milliseconds()
 	if _, broken := r.limits.Result(); len(broken) > 0 {
-		for _, what := range broken {
-			r.evidence.otherwise = append(r.evidence.otherwise, Violation{Limits, what})
+		for _, violation := range broken {
+			r.evidence.observed = append(r.evidence.observed, Violation{Limits, violation})
 		}
 	}
 	r.result.RealTime = r.evidence.realTime
