--- a/internal/lab/fleetlab/fleet.go
+++ b/internal/lab/fleetlab/fleet.go
@@ -1,6 +1,7 @@
-// Package fleetlab runs daemons as processes: a few replicas of the store and any number of followers, each with its sidecar,
-// a discovery of its own and clients, over slot servers that count what reaches them. It kills and cuts them, judges by what the
-// servers counted, and measures. All of it is on loopback.
+// Package fleetlab runs daemons as processes: a few replicas of the store and any number of followers. Each has its
+// sidecar, a discovery server of its own and clients, over slot servers that count the requests that reach them. The
+// package injects faults into daemons and links, judges the daemons by what the servers counted, and takes
+// measurements. Everything is on loopback.
 package fleetlab
 
 import (
@@ -33,158 +34,164 @@
 	"golang.org/x/sys/unix"
 )
 
-// Config says what is run.
+// Config describes a fleet.
 type Config struct {
-	Program  string   // that runs a daemon,
-	Args     []string // with these before the operator file,
-	Env      []string // and these besides the environment
-	Dir      string   // for what it writes; a temporary folder within it
+	Program  string   // runs a daemon
+	Args     []string // of Program, before the operator file
+	Env      []string // added to the environment of all daemons
+	Dir      string   // parent of the fleet's temporary folder
 	Replicas int
-	Follow   int // followers
+	Follow   int // number of followers
 	Servers  int
-	Starts   bool // discovery tells when servers start
+	Starts   bool // discovery reports the start time of servers
 	Seed     uint64
-	Wait     time.Duration             // of a follower without a disk for its first copy; 0: as daemons do
+	Wait     time.Duration             // for the first copy of a follower without data on disk; 0 for the default
 	Bare     bool                      // daemons run no sidecar
-	Handle   http.Handler              // what servers do, in place of counting and answering at once
-	EnvOf    func(daemon int) []string // and of one daemon's alone
-	Skew     float64                   // of the operator file; 0: none stands there
-	Interest string                    // of followers; "": as is usual
-	More     string                    // of the operator file, behind [store]
-	Settings string                    // of the sidecars, as JSON; "": as Settings returns them
-	Sockets  int                       // limit on each sidecar's descriptors; 0: none is configured
-
-	Tick         time.Duration                         // of replicas; 0: 20 ms
-	BareReplicas bool                                  // replicas run no sidecar; followers do, unless Bare
-	Known        func(daemon int) []discovery.Instance // with which a daemon is configured, and what its discovery says; nil: all servers
-	Between      func(from, to int) relay.Conditions   // of the link from a daemon to a replica; nil: none
-}
-
-// settings is a small site: one class that is safe to repeat, and servers that are cold for 10 s.
+	Handle   http.Handler              // serves the servers' requests; nil to count them and answer at once
+	EnvOf    func(daemon int) []string // added to the environment of one daemon; may be nil
+	Skew     float64                   // skew of the operator file; 0 for the default
+	Interest string                    // interest of followers in the operator file; "" for the default
+	More     string                    // appended to the operator file, after [store]
+	Settings string                    // of the sidecars, as JSON; "" for Settings()
+	Sockets  int                       // limit on each sidecar's descriptors; 0 to configure none
+
+	Tick         time.Duration // of replicas; 0 for 20 ms
+	BareReplicas bool          // replicas run no sidecar; followers do, unless Bare is set
+	// Known returns the endpoint list in a daemon's configuration and of its discovery. If it is nil, the list contains
+	// all servers.
+	Known func(daemon int) []discovery.Instance
+	// Between returns the conditions of the link from a daemon to a replica. If it is nil, links have no faults.
+	Between func(from, to int) relay.Conditions
+}
+
+// settings describe a small site, with one idempotent class, and servers that warm up for 10 s.
 const settings = `{"peers-total":1,"areas":["a"],"skus":["m"],"discovery":"automatic",
 	"classes":[{"name":"look","repeat":"pure","target":500000,"give-up":1000000,"credit":1.0}],
 	"contract":{"drain-grace":250000,"cold-from":0.2,"ramp-time":10000000,"fall-multiple":2.5,"overload-for":2000000,
 	"ask-within":10000000},"limits":{"cancel":true,"probes":false,"most-tries":3,"most-held":1000,"dial-timeout":1000000},
 	"reporting":{"how":"none"},"tenants":[{"name":"acme","allowance-per-s":100.0,"share":1.0}]}`
 
-// Settings are those that daemons' sidecars are started with, as JSON, with edits as pairs of old and new text.
+// Settings returns the default settings of the sidecars as JSON, edited by pairs of old and new text.
 func Settings(edits ...string) string { return strings.NewReplacer(edits...).Replace(settings) }
 
-// Fleet is what runs.
+// Fleet is a running fleet. Its daemons are numbered, replicas first.
 type Fleet struct {
-	cfg     Config
-	dir     string
-	Daemons []*Daemon
-	Servers []*Server
-	doors   []door // of replicas
-	ends    []end  // of links
+	cfg           Config
+	dir           string
+	Daemons       []*Daemon
+	Servers       []*Server
+	inlets        []replicaInlet // by number of the replica
+	linkListeners []linkListener // of all links between daemons
 }
 
-// door is where other replicas reach one: all that comes in goes through one relay, and what each sends through one of its own
-// before that.
-type door struct {
+// replicaInlet is the address at which other replicas reach a replica. All that they send passes the relay inbound,
+// after the relay of each sender.
+type replicaInlet struct {
 	listen, address string
-	in              *relay.Link
+	inbound         *relay.Link
 }
 
-// Arrival is a request as a server counted it.
+// Arrival is a request that reached a server.
 type Arrival struct {
-	From  int // daemon
+	From  int // number of the daemon that sent it
 	At    time.Time
-	Start int64 // of the process that it reached
+	Start int64 // start time of the server's process, in Unix milliseconds
 }
 
-// Server is a slot server.
+// Server is a slot server. It answers at once and counts requests by daemon, unless it has a handler. It is safe for
+// concurrent use.
 type Server struct {
 	*httptest.Server
-	Number int
-	handle http.Handler // or nil
+	Number  int
+	handler http.Handler // may be nil
 
-	mu    sync.Mutex
-	now   discovery.Instance
-	last  map[int]time.Time // of the process of now, by daemon
-	count map[int]int
-	watch func(Arrival) // told of each, or nil
+	mu            sync.Mutex
+	instance      discovery.Instance // entry of the current process
+	lastRequests  map[int]time.Time  // of the current process, by daemon
+	requestCounts map[int]int        // of the current process, by daemon
+	onArrival     func(Arrival)      // called for each request; may be nil
 }
 
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if s.handle != nil {
-		s.handle.ServeHTTP(w, r)
+	if s.handler != nil {
+		s.handler.ServeHTTP(w, r)
 		return
 	}
-	at := time.Now()
+	now := time.Now()
 	var from int
 	fmt.Sscanf(r.Header.Get("X-From"), "%d", &from)
 	s.mu.Lock()
-	s.last[from] = at
-	s.count[from]++
-	watch, a := s.watch, Arrival{from, at, s.now.StartedMs}
+	s.lastRequests[from] = now
+	s.requestCounts[from]++
+	onArrival, arrival := s.onArrival, Arrival{from, now, s.instance.StartedMs}
 	s.mu.Unlock()
-	if watch != nil {
-		watch(a)
+	if onArrival != nil {
+		onArrival(arrival)
 	}
 	io.WriteString(w, "ok")
 }
 
-// Now is the entry of the process that runs.
+// Now returns the endpoint entry of the current process.
 func (s *Server) Now() discovery.Instance {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.now
+	return s.instance
 }
 
-// Set makes it another entry's: one that drains, or a new start. Counts begin anew with a start.
-func (s *Server) Set(in discovery.Instance) {
+// Set replaces the endpoint entry, for a drain or a new start of the server. A start resets the counts.
+func (s *Server) Set(instance discovery.Instance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if in.StartedMs != s.now.StartedMs || in.Lifecycle == "up" && s.now.Lifecycle != "up" {
-		clear(s.last)
-		clear(s.count)
+	if instance.StartedMs != s.instance.StartedMs || instance.Lifecycle == "up" && s.instance.Lifecycle != "up" {
+		clear(s.lastRequests)
+		clear(s.requestCounts)
 	}
-	s.now = in
+	s.instance = instance
 }
 
-// Last is when a daemon's last request came to the process of now; ok is false if none did.
+// Last returns when the last request of a daemon reached the current process; ok is false if none did.
 func (s *Server) Last(from int) (at time.Time, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	at, ok = s.last[from]
+	at, ok = s.lastRequests[from]
 	return at, ok
 }
 
-// Count is how many of a daemon's came to it.
+// Count returns the number of requests of a daemon that reached the current process.
 func (s *Server) Count(from int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.count[from]
+	return s.requestCounts[from]
 }
 
-// Daemon is a process with a sidecar and a copy of the store.
+// Daemon runs the processes of one daemon, one after the other: a sidecar with a replica or a follower of the store.
+// Its exported fields must not be changed during Start.
 type Daemon struct {
-	Number   int
-	f        *Fleet
-	name     string
-	follower bool
-	listen   string // of the sidecar
-	mgmt     string
-	peer     string // of the replica, through the relay
-	serve    string
-	in       *relay.Link            // what comes to the replica from other replicas
-	links    map[string]*relay.Link // by which it reaches each replica, by name
-	board    *Board
-	Client   *adminapi.Client
-	Known    []discovery.Instance // with which it is configured: its list of a start
-	bare     bool                 // it runs no sidecar
-	plain    bool                 // the next start is of the sidecar alone
-	Env      []string             // of its processes, besides the bench's own
-	Build    string               // the program of the next starts, in place of the fleet's
-
-	mu   sync.Mutex
-	cmd  *exec.Cmd
-	over chan struct{} // closed when it has ended
-}
-
-// Begin starts servers, boards and daemons, and waits until all replicas vote. End ends them.
+	Number       int
+	fleet        *Fleet
+	name         string
+	follower     bool
+	clientAddr   string                 // of the sidecar
+	operatorAddr string                 // of the sidecar, for operators' calls
+	peerAddr     string                 // of the replica, through its inbound relay
+	followerAddr string                 // of the replica, for followers
+	inbound      *relay.Link            // from other replicas; nil for a follower
+	links        map[string]*relay.Link // to replicas, by their name
+	discovery    *Board
+	Client       *adminapi.Client
+	Known        []discovery.Instance // endpoint list in the configuration
+	noSidecar    bool                 // the daemon runs no sidecar
+	sidecarOnly  bool                 // the next start runs only the sidecar, without the store
+	Env          []string             // added to the environment of its processes
+	Build        string               // program of the next starts; "" for the fleet's program
+
+	mu     sync.Mutex
+	cmd    *exec.Cmd     // nil if killed or not yet started
+	exited chan struct{} // closed when the process has ended
+}
+
+// Begin starts servers, discovery servers and daemons, and waits until all replicas vote and all daemons are ready. End
+// must be called unless it returns an error.
 func Begin(ctx context.Context, cfg Config) (f *Fleet, err error) {
 	dir, err := os.MkdirTemp(cfg.Dir, "fleet-")
 	if err != nil {
@@ -196,72 +203,79 @@
 			f.End()
 		}
 	}()
-	var list []discovery.Instance
+	var instances []discovery.Instance
 	for i := range cfg.Servers {
-		s := &Server{Number: i, handle: cfg.Handle, last: map[int]time.Time{}, count: map[int]int{}}
-		s.Server = httptest.NewServer(s)
-		s.now = discovery.Instance{ID: fmt.Sprintf("slot-%d", i), Addr: s.Listener.Addr().String(), Zone: "a", Kind: "m", Cell: 1,
-			Lifecycle: "up", Weight: 1}
+		server := &Server{Number: i, handler: cfg.Handle, lastRequests: map[int]time.Time{}, requestCounts: map[int]int{}}
+		server.Server = httptest.NewServer(server)
+		server.instance = discovery.Instance{
+			ID:        fmt.Sprintf("slot-%d", i),
+			Addr:      server.Listener.Addr().String(),
+			Zone:      "a",
+			Kind:      "m",
+			Cell:      1,
+			Lifecycle: "up",
+			Weight:    1,
+		}
 		if cfg.Starts {
-			s.now.StartedMs = time.Now().Add(-time.Hour).UnixMilli()
+			server.instance.StartedMs = time.Now().Add(-time.Hour).UnixMilli()
 		}
-		f.Servers = append(f.Servers, s)
-		list = append(list, s.now)
+		f.Servers = append(f.Servers, server)
+		instances = append(instances, server.instance)
 	}
 	for i := range cfg.Replicas {
-		to := address.Next()
-		in, err := net.Listen("tcp", "127.0.0.1:0")
+		target := address.Next()
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return f, err
 		}
-		l := relay.New(to, cfg.Seed+uint64(i), relay.Conditions{})
-		l.Listen(in)
-		f.doors = append(f.doors, door{to, in.Addr().String(), l})
+		link := relay.New(target, cfg.Seed+uint64(i), relay.Conditions{})
+		link.Listen(listener)
+		f.inlets = append(f.inlets, replicaInlet{target, listener.Addr().String(), link})
 	}
 	for i := range cfg.Replicas + cfg.Follow {
-		known := list
+		known := instances
 		if cfg.Known != nil {
 			known = cfg.Known(i)
 		}
-		d, err := f.prepare(i, i >= cfg.Replicas, known)
+		daemon, err := f.newDaemon(i, i >= cfg.Replicas, known)
 		if err != nil {
 			return f, err
 		}
-		f.Daemons = append(f.Daemons, d)
-		if d.follower {
+		f.Daemons = append(f.Daemons, daemon)
+		if daemon.follower {
 			continue
 		}
-		if err := d.Start(); err != nil {
+		if err := daemon.Start(); err != nil {
 			return f, err
 		}
-		if err := f.vote(ctx, i); err != nil {
+		if err := f.addReplica(ctx, i); err != nil {
 			return f, err
 		}
 	}
-	for _, d := range f.Daemons[cfg.Replicas:] {
-		if err := d.Start(); err != nil {
+	for _, daemon := range f.Daemons[cfg.Replicas:] {
+		if err := daemon.Start(); err != nil {
 			return f, err
 		}
 	}
-	for _, d := range f.Daemons {
-		if err := d.Ready(ctx); err != nil {
+	for _, daemon := range f.Daemons {
+		if err := daemon.Ready(ctx); err != nil {
 			return f, err
 		}
 	}
 	return f, nil
 }
 
-// End kills all, and removes what was written.
+// End kills all daemons, closes links and servers, and removes the fleet's folder.
 func (f *Fleet) End() {
 	for _, d := range f.Daemons {
 		d.Kill()
-		for _, l := range d.links {
-			l.Close()
+		for _, link := range d.links {
+			link.Close()
 		}
-		d.board.Close()
+		d.discovery.Close()
 	}
-	for _, x := range f.doors {
-		x.in.Close()
+	for _, inlet := range f.inlets {
+		inlet.inbound.Close()
 	}
 	for _, s := range f.Servers {
 		s.CloseClientConnections()
@@ -270,190 +284,208 @@
 	os.RemoveAll(f.dir)
 }
 
-func (f *Fleet) prepare(i int, follower bool, list []discovery.Instance) (*Daemon, error) {
-	d := &Daemon{links: map[string]*relay.Link{}, Number: i, f: f, name: fmt.Sprintf("d%d", i), follower: follower, Known: list, board: NewBoard(list)}
-	d.bare = f.cfg.Bare || f.cfg.BareReplicas && !follower
+// newDaemon returns a daemon that is not yet started, with its links and its operator file.
+func (f *Fleet) newDaemon(number int, follower bool, known []discovery.Instance) (*Daemon, error) {
+	d := &Daemon{
+		links:     map[string]*relay.Link{},
+		Number:    number,
+		fleet:     f,
+		name:      fmt.Sprintf("d%d", number),
+		follower:  follower,
+		Known:     known,
+		discovery: NewBoard(known),
+	}
+	d.noSidecar = f.cfg.Bare || f.cfg.BareReplicas && !follower
 	d.Env = slices.Clone(f.cfg.Env)
 	if f.cfg.EnvOf != nil {
-		d.Env = append(d.Env, f.cfg.EnvOf(i)...)
+		d.Env = append(d.Env, f.cfg.EnvOf(number)...)
 	}
 	d.Client = adminapi.Dial(d.path(".sock"))
-	for _, to := range []*string{&d.listen, &d.mgmt, &d.serve} {
+	for _, to := range []*string{&d.clientAddr, &d.operatorAddr, &d.followerAddr} {
 		*to = address.Next()
 	}
-	file := fmt.Sprintf("[store]\nname = %q\ndir = %q\nsocket = %q\nplain = true\n", d.name, d.name, d.name+".sock")
+	operatorFile := fmt.Sprintf("[store]\nname = %q\ndir = %q\nsocket = %q\nplain = true\n",
+		d.name, d.name, d.name+".sock")
 	if follower {
-		var all []string
-		for _, r := range f.Daemons[:f.cfg.Replicas] {
-			addr, err := d.link(r, r.serve, f.cfg.Seed+uint64(100*i+r.Number))
+		var replicas []string
+		for _, replica := range f.Daemons[:f.cfg.Replicas] {
+			addr, err := d.newLink(replica, replica.followerAddr, f.cfg.Seed+uint64(100*number+replica.Number))
 			if err != nil {
 				return nil, err
 			}
-			all = append(all, r.name+"="+addr)
+			replicas = append(replicas, replica.name+"="+addr)
 		}
-		text, _ := json.Marshal(all) // TOML writes such lists as JSON does
-		file += fmt.Sprintf("follow = %s\n", text)
+		text, _ := json.Marshal(replicas) // TOML writes such lists as JSON does
+		operatorFile += fmt.Sprintf("follow = %s\n", text)
 		if f.cfg.Wait > 0 {
-			file += fmt.Sprintf("wait = %q\n", f.cfg.Wait)
+			operatorFile += fmt.Sprintf("wait = %q\n", f.cfg.Wait)
 		}
 		if f.cfg.Interest != "" {
-			file += fmt.Sprintf("interest = %q\n", f.cfg.Interest)
+			operatorFile += fmt.Sprintf("interest = %q\n", f.cfg.Interest)
 		}
 	} else {
-		own := f.doors[i]
-		d.in, d.peer = own.in, own.address
+		inlet := f.inlets[number]
+		d.inbound, d.peerAddr = inlet.inbound, inlet.address
 		var via []string
-		for n, to := range f.doors {
-			if n == i {
+		for other, to := range f.inlets {
+			if other == number {
 				continue
 			}
-			to := &Daemon{Number: n, name: fmt.Sprintf("d%d", n), peer: to.address}
-			addr, err := d.link(to, to.peer, f.cfg.Seed+uint64(100*i+n))
+			to := &Daemon{Number: other, name: fmt.Sprintf("d%d", other), peerAddr: to.address}
+			addr, err := d.newLink(to, to.peerAddr, f.cfg.Seed+uint64(100*number+other))
 			if err != nil {
 				return nil, err
 			}
 			via = append(via, to.name+"="+addr)
 		}
-		file += fmt.Sprintf("listen = %q\naddress = %q\nserve = %q\njoin = %v\ntick = %q\n", own.listen, d.peer, d.serve, i > 0, cmp.Or(f.cfg.Tick, 20*time.Millisecond))
+		operatorFile += fmt.Sprintf("listen = %q\naddress = %q\nserve = %q\njoin = %v\ntick = %q\n",
+			inlet.listen, d.peerAddr, d.followerAddr, number > 0, cmp.Or(f.cfg.Tick, 20*time.Millisecond))
 		if len(via) > 0 {
 			text, _ := json.Marshal(via)
-			file += fmt.Sprintf("via = %s\n", text)
+			operatorFile += fmt.Sprintf("via = %s\n", text)
 		}
 	}
 	if f.cfg.Skew > 0 {
-		file += fmt.Sprintf("skew = %g\n", f.cfg.Skew)
+		operatorFile += fmt.Sprintf("skew = %g\n", f.cfg.Skew)
 	}
-	file += f.cfg.More
-	return d, os.WriteFile(d.path(".toml"), []byte(file), 0o600)
+	operatorFile += f.cfg.More
+	return d, os.WriteFile(d.path(".toml"), []byte(operatorFile), 0o600)
 }
 
-// link makes a relay by which the daemon reaches another.
-func (d *Daemon) link(to *Daemon, at string, seed uint64) (addr string, err error) {
+// newLink opens a relay from the daemon to an address of another daemon, and returns the relay's address.
+func (d *Daemon) newLink(to *Daemon, target string, seed uint64) (addr string, err error) {
 	addr = address.Next()
-	ln, err := net.Listen("tcp", addr)
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return "", err
 	}
-	var how relay.Conditions
-	if d.f.cfg.Between != nil {
-		how = d.f.cfg.Between(d.Number, to.Number)
+	var conditions relay.Conditions
+	if d.fleet.cfg.Between != nil {
+		conditions = d.fleet.cfg.Between(d.Number, to.Number)
 	}
-	l := relay.New(at, seed, how)
-	d.links[to.name] = l
-	l.Listen(ln)
-	d.f.ends = append(d.f.ends, end{to.name, addr, l})
+	link := relay.New(target, seed, conditions)
+	d.links[to.name] = link
+	link.Listen(listener)
+	d.fleet.linkListeners = append(d.fleet.linkListeners, linkListener{to.name, addr, link})
 	return addr, nil
 }
 
-// end is where a link to a daemon listens: it refuses while that does not run, as the daemon itself would.
-type end struct {
-	to, addr string
-	link     *relay.Link
+// linkListener is the listening address of a link to a daemon. The link refuses connections while the daemon does not
+// run, as the daemon itself would.
+type linkListener struct {
+	daemon, addr string
+	link         *relay.Link
 }
 
-// listens has the links to a daemon take connections, or refuse them.
-func (f *Fleet) listens(to string, on bool) error {
-	for _, e := range f.ends {
-		if e.to != to {
+// setLinksListening makes the links to a daemon accept or refuse new connections.
+func (f *Fleet) setLinksListening(daemon string, active bool) error {
+	for _, listener := range f.linkListeners {
+		if listener.daemon != daemon {
 			continue
 		}
-		e.link.Refuse()
-		if !on {
+		listener.link.Refuse()
+		if !active {
 			continue
 		}
-		ln, err := net.Listen("tcp", e.addr)
+		accepting, err := net.Listen("tcp", listener.addr)
 		if err != nil {
 			return err
 		}
-		e.link.Listen(ln)
+		listener.link.Listen(accepting)
 	}
 	return nil
 }
 
-func (d *Daemon) path(of string) string { return filepath.Join(d.f.dir, d.name+of) }
+func (d *Daemon) path(suffix string) string { return filepath.Join(d.fleet.dir, d.name+suffix) }
 
-// Start runs the process. Its temporary folder is new: what outlives it is the store's.
+// Start starts a process of the daemon, with an empty temporary folder. Only the store's folder is kept between starts.
 func (d *Daemon) Start() error {
-	entries := map[string]any{"name": d.name, "listen": d.listen, "mgmt": d.mgmt, "discovery": d.board.Addr(),
-		"seed": fmt.Sprintf("%016x", d.f.cfg.Seed+uint64(d.Number)), "known": discovery.List{Generation: 1, Reset: true, Instances: d.Known},
-		"settings": json.RawMessage(cmp.Or(d.f.cfg.Settings, settings))}
-	if d.f.cfg.Sockets > 0 {
-		entries["limits"] = map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": d.f.cfg.Sockets}
+	entries := map[string]any{
+		"name":      d.name,
+		"listen":    d.clientAddr,
+		"mgmt":      d.operatorAddr,
+		"discovery": d.discovery.Addr(),
+		"seed":      fmt.Sprintf("%016x", d.fleet.cfg.Seed+uint64(d.Number)),
+		"known":     discovery.List{Generation: 1, Reset: true, Instances: d.Known},
+		"settings":  json.RawMessage(cmp.Or(d.fleet.cfg.Settings, settings)),
+	}
+	if d.fleet.cfg.Sockets > 0 {
+		entries["limits"] = map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": d.fleet.cfg.Sockets}
 	}
 	config, err := json.Marshal(entries)
 	if err != nil {
 		return err
 	}
-	tmp, err := os.MkdirTemp(d.f.dir, "tmp-")
+	tmp, err := os.MkdirTemp(d.fleet.dir, "tmp-")
 	if err != nil {
 		return err
 	}
 	if err := os.WriteFile(d.path(".json"), config, 0o600); err != nil {
 		return err
 	}
-	log, err := os.OpenFile(d.path(".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	logFile, err := os.OpenFile(d.path(".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	defer log.Close()
-	args := append(append([]string{}, d.f.cfg.Args...), d.path(".toml"))
-	if d.plain {
+	defer logFile.Close()
+	args := append(append([]string{}, d.fleet.cfg.Args...), d.path(".toml"))
+	if d.sidecarOnly {
 		args = []string{"sidecar"}
 	}
-	program := d.f.cfg.Program
+	program := d.fleet.cfg.Program
 	if d.Build != "" {
 		program = d.Build
 	}
 	cmd := exec.Command(program, args...)
 	cmd.Env = append(append(os.Environ(), "TMPDIR="+tmp), d.Env...)
-	if !d.bare {
+	if !d.noSidecar {
 		cmd.Env = append(cmd.Env, "ROUTER_CONFIG="+d.path(".json"))
 	}
-	cmd.Stdout, cmd.Stderr = log, log
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // none is left when this process is killed
-	if err := d.f.listens(d.name, true); err != nil {
+	cmd.Stdout, cmd.Stderr = logFile, logFile
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // the daemon ends even if this process is killed
+	if err := d.fleet.setLinksListening(d.name, true); err != nil {
 		return err
 	}
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	over := make(chan struct{})
+	exited := make(chan struct{})
 	go func() {
-		_ = cmd.Wait() // how it ended shows in its log, or it was killed
-		close(over)
+		_ = cmd.Wait() // the process was killed, or its log says how it ended
+		close(exited)
 	}()
 	d.mu.Lock()
-	d.cmd, d.over = cmd, over
+	d.cmd, d.exited = cmd, exited
 	d.mu.Unlock()
 	return nil
 }
 
-// ended says whether the process has ended by itself.
-func (d *Daemon) ended() bool {
+// hasExited reports whether the process has ended by itself.
+func (d *Daemon) hasExited() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	select {
-	case <-d.over:
+	case <-d.exited:
 		return d.cmd != nil
 	default:
 		return false
 	}
 }
 
-// Kill ends the process with SIGKILL.
+// Kill ends the process with SIGKILL and waits for its end. It does nothing if no process runs.
 func (d *Daemon) Kill() {
 	d.mu.Lock()
-	cmd, over := d.cmd, d.over
+	cmd, exited := d.cmd, d.exited
 	d.cmd = nil
 	d.mu.Unlock()
 	if cmd != nil {
-		_ = cmd.Process.Signal(syscall.SIGKILL) // which it may have done without
-		<-over
-		_ = d.f.listens(d.name, false) // nothing is asked of it
+		_ = cmd.Process.Signal(syscall.SIGKILL) // fails if the process has ended already
+		<-exited
+		_ = d.fleet.setLinksListening(d.name, false) // only listening can fail
 	}
 }
 
-// PID is the process's number, or 0 if none runs.
+// PID returns the process ID, or 0 if no process was started or it was killed.
 func (d *Daemon) PID() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -463,202 +495,209 @@
 	return d.cmd.Process.Pid
 }
 
-// Ended is closed once the process that runs now has ended.
+// Ended returns a channel that is closed once the current process has ended.
 func (d *Daemon) Ended() <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.over
+	return d.exited
 }
 
-// Socket is where its operators reach it.
+// Socket returns the path of the daemon's admin socket.
 func (d *Daemon) Socket() string { return d.path(".sock") }
 
-// Dir is its store's folder.
+// Dir returns the store's folder.
 func (d *Daemon) Dir() string { return d.path("") }
 
-// Lose removes what a daemon that does not run has on its disk.
+// Lose removes the store's folder. The daemon must not run.
 func (d *Daemon) Lose() error { return os.RemoveAll(d.path("")) }
 
-// Log is what its processes wrote.
+// Log returns everything that the daemon's processes have logged, or the error of reading it.
 func (d *Daemon) Log() string {
-	b, err := os.ReadFile(d.path(".log"))
+	content, err := os.ReadFile(d.path(".log"))
 	if err != nil {
 		return err.Error()
 	}
-	return string(b)
+	return string(content)
 }
 
-// Serve is where followers reach a replica, past all links.
-func (d *Daemon) Serve() string { return d.serve }
+// Serve returns the address of a replica for followers, without a relay.
+func (d *Daemon) Serve() string { return d.followerAddr }
 
-// Peer is where other replicas reach a replica.
-func (d *Daemon) Peer() string { return d.peer }
+// Peer returns the address of a replica for other replicas, through its inbound relay.
+func (d *Daemon) Peer() string { return d.peerAddr }
 
-// Board is its discovery.
-func (d *Daemon) Board() *Board { return d.board }
+// Board returns the daemon's discovery server.
+func (d *Daemon) Board() *Board { return d.discovery }
 
-// Link is the one by which the daemon reaches a replica, or nil.
+// Link returns the link from the daemon to a replica, or nil if there is none.
 func (d *Daemon) Link(to *Daemon) *relay.Link { return d.links[to.name] }
 
-// Name is the daemon's.
+// Name returns the daemon's name, which is unique in the fleet.
 func (d *Daemon) Name() string { return d.name }
 
-// Follower says whether it has no replica.
+// Follower reports whether the daemon is a follower, without a replica of the store.
 func (d *Daemon) Follower() bool { return d.follower }
 
-// Signal sends a signal to the process, if there is one.
+// Signal sends a signal to the process. It does nothing if no process runs.
 func (d *Daemon) Signal(s syscall.Signal) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.cmd != nil {
-		_ = d.cmd.Process.Signal(s) // it may have ended
+		_ = d.cmd.Process.Signal(s) // fails if the process has ended
 	}
 }
 
-// Full has every write of the process that would make a file longer fail, as on a disk without room (EFBIG in the place of ENOSPC),
-// or succeed again.
-func (d *Daemon) Full(on bool) error {
+// Full makes every write of the process that would extend a file fail, as on a full disk but with EFBIG instead of
+// ENOSPC, or succeed again.
+func (d *Daemon) Full(full bool) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.cmd == nil {
 		return nil
 	}
-	room := unix.Rlimit{Cur: unix.RLIM_INFINITY, Max: unix.RLIM_INFINITY}
-	if on {
-		room.Cur = 0
+	limit := unix.Rlimit{Cur: unix.RLIM_INFINITY, Max: unix.RLIM_INFINITY}
+	if full {
+		limit.Cur = 0
 	}
-	return unix.Prlimit(d.cmd.Process.Pid, unix.RLIMIT_FSIZE, &room, nil)
+	return unix.Prlimit(d.cmd.Process.Pid, unix.RLIMIT_FSIZE, &limit, nil)
 }
 
-// Links changes all links by which the daemon reaches others, and what comes in to a replica.
+// Links changes the conditions of all links from the daemon, and of those to a replica from other replicas.
 func (d *Daemon) Links(change func(*relay.Conditions)) {
-	if d.in != nil {
-		d.in.Update(change)
+	if d.inbound != nil {
+		d.inbound.Update(change)
 	}
-	for _, l := range d.links {
-		l.Update(change)
+	for _, link := range d.links {
+		link.Update(change)
 	}
 }
 
-// Unheard has what the daemon sends to others lost, or go on; it hears them. Replicas send on connections of their own.
-func (d *Daemon) Unheard(on bool) {
-	for _, l := range d.links {
-		l.Update(func(c *relay.Conditions) { c.BlackHoleToTarget = on })
+// Unheard loses everything that the daemon sends to others while active. It still receives what they send. Replicas
+// send on connections that they opened themselves.
+func (d *Daemon) Unheard(active bool) {
+	for _, link := range d.links {
+		link.Update(func(c *relay.Conditions) { c.BlackHoleToTarget = active })
 	}
 }
 
-// Deafen has what others send to the daemon lost, or go on; they hear it.
-func (d *Daemon) Deafen(on bool) {
-	if d.in != nil {
-		d.in.Update(func(c *relay.Conditions) { c.BlackHoleToTarget = on })
+// Deafen loses everything that others send to the daemon while active. They still receive what it sends.
+func (d *Daemon) Deafen(active bool) {
+	if d.inbound != nil {
+		d.inbound.Update(func(c *relay.Conditions) { c.BlackHoleToTarget = active })
 		return
 	}
-	for _, l := range d.links {
-		l.Update(func(c *relay.Conditions) { c.BlackHoleFromTarget = on })
+	for _, link := range d.links {
+		link.Update(func(c *relay.Conditions) { c.BlackHoleFromTarget = active })
 	}
 }
 
-// Between has what one replica sends to another lost, or go on.
-func (d *Daemon) Between(to *Daemon, on bool) {
-	if l := d.links[to.name]; l != nil {
-		l.Update(func(c *relay.Conditions) { c.BlackHoleToTarget = on })
+// Between loses everything that the daemon sends to one other replica while active.
+func (d *Daemon) Between(to *Daemon, active bool) {
+	if link := d.links[to.name]; link != nil {
+		link.Update(func(c *relay.Conditions) { c.BlackHoleToTarget = active })
 	}
 }
 
-// Copy is the file of a follower's copy, as it is on its disk; Put puts one there in the place of the newer one, while the daemon
-// does not run.
+// Copy returns the content of a follower's copy of the store on disk.
 func (d *Daemon) Copy() ([]byte, error) { return os.ReadFile(filepath.Join(d.Dir(), "copy")) }
 
-// Put is of Copy.
-func (d *Daemon) Put(copied []byte) error {
-	return os.WriteFile(filepath.Join(d.Dir(), "copy"), copied, 0o600)
+// Put replaces a follower's copy of the store on disk, such as by an older one from Copy. The daemon must not run.
+func (d *Daemon) Put(content []byte) error {
+	return os.WriteFile(filepath.Join(d.Dir(), "copy"), content, 0o600)
 }
 
-// Ready waits until the sidecar takes requests, or without one until the operators' socket answers.
+// Ready waits until the sidecar is ready for requests, or until the admin socket answers if the daemon runs no sidecar.
 func (d *Daemon) Ready(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if d.bare {
+		if d.noSidecar {
 			if _, err := d.Client.Status(ctx); err == nil {
 				return nil
 			}
-			if d.ended() {
+			if d.hasExited() {
 				return fmt.Errorf("%s has ended:\n%s", d.name, d.Log())
 			}
 			time.Sleep(2 * time.Millisecond)
 			continue
 		}
-		resp, err := http.Get("http://" + d.listen + "/-/ready")
+		response, err := http.Get("http://" + d.clientAddr + "/-/ready")
 		if err == nil {
-			resp.Body.Close()
-			if resp.StatusCode == 200 {
+			response.Body.Close()
+			if response.StatusCode == 200 {
 				return nil
 			}
 		}
-		if d.ended() {
+		if d.hasExited() {
 			return fmt.Errorf("%s has ended:\n%s", d.name, d.Log())
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
-	return fmt.Errorf("%s does not come to serve: %w", d.name, ctx.Err())
+	return fmt.Errorf("%s is not ready: %w", d.name, ctx.Err())
 }
 
-// vote takes a replica into the cluster, and waits until it votes.
-func (f *Fleet) vote(ctx context.Context, i int) error {
+// addReplica adds a replica to the cluster, and waits until it votes. The first replica is a member from its start on.
+func (f *Fleet) addReplica(ctx context.Context, number int) error {
 	ctx, cancel := context.WithTimeout(ctx, 30*time.Second)
 	defer cancel()
-	added := i == 0
-	var last error
+	added := number == 0
+	var lastErr error
 	for ctx.Err() == nil {
-		a := f.Daemons[0].Client
+		client := f.Daemons[0].Client
 		if !added {
-			_, last = a.Change(ctx, admin.ChangeRequest{ID: store.RequestID{Client: 1 << 40, Seq: uint64(i)},
-				AddMember: &store.AddMember{Name: f.Daemons[i].name, Address: f.Daemons[i].peer}})
-			added = last == nil
+			_, lastErr = client.Change(ctx, admin.ChangeRequest{ID: store.RequestID{Client: 1 << 40, Seq: uint64(number)},
+				AddMember: &store.AddMember{Name: f.Daemons[number].name, Address: f.Daemons[number].peerAddr}})
+			added = lastErr == nil
 		}
-		if s, err := a.Status(ctx); err == nil && added && s.MembershipStable && len(s.Peers) == i+1 && s.LeaderID != 0 && s.Level >= store.Level {
+		if status, err := client.Status(ctx); err == nil && added && status.MembershipStable &&
+			len(status.Peers) == number+1 && status.LeaderID != 0 && status.Level >= store.Level {
 			return nil
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	return fmt.Errorf("replica %d does not come to vote: %w\n%s", i, errors.Join(last, ctx.Err()), f.Daemons[i].Log())
+	return fmt.Errorf("replica %d does not vote: %w\n%s", number, errors.Join(lastErr, ctx.Err()), f.Daemons[number].Log())
 }
 
-// Listen is where its sidecar's clients connect.
-func (d *Daemon) Listen() string { return d.listen }
+// Listen returns the address of the sidecar for clients.
+func (d *Daemon) Listen() string { return d.clientAddr }
 
-// Ask sends one request through the daemon's sidecar, and says whether it was served.
-func (d *Daemon) Ask(ctx context.Context, c *http.Client, id string) bool {
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.listen+"/look/1", nil)
+// Ask sends one request through the daemon's sidecar, and reports whether it was served with status 200.
+func (d *Daemon) Ask(ctx context.Context, client *http.Client, id string) bool {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.clientAddr+"/look/1", nil)
 	if err != nil {
 		return false
 	}
-	for name, value := range map[string]string{"X-Trace-Id": id, "X-Qos": "look", "X-Customer": "acme", "X-Expires-In-Ms": "900",
-		"X-From": fmt.Sprint(d.Number)} {
-		r.Header.Set(name, value)
+	for name, value := range map[string]string{
+		"X-Trace-Id":      id,
+		"X-Qos":           "look",
+		"X-Customer":      "acme",
+		"X-Expires-In-Ms": "900",
+		"X-From":          fmt.Sprint(d.Number),
+	} {
+		request.Header.Set(name, value)
 	}
-	resp, err := c.Do(r)
+	response, err := client.Do(request)
 	if err != nil {
 		return false
 	}
-	_, err = io.Copy(io.Discard, resp.Body)
-	resp.Body.Close()
-	return err == nil && resp.StatusCode == http.StatusOK
+	_, err = io.Copy(io.Discard, response.Body)
+	response.Body.Close()
+	return err == nil && response.StatusCode == http.StatusOK
 }
 
-// Load asks through all daemons, each so many times a second over so many connections, until ctx ends.
-func (f *Fleet) Load(ctx context.Context, conns int, every time.Duration) *sync.WaitGroup {
+// Load sends requests through all daemons until ctx ends, over conns connections to each daemon and at an interval on
+// each connection. The caller waits on the result after the end of ctx.
+func (f *Fleet) Load(ctx context.Context, conns int, interval time.Duration) *sync.WaitGroup {
 	var wg sync.WaitGroup
 	for _, d := range f.Daemons {
-		for k := range conns {
+		for conn := range conns {
 			wg.Go(func() {
-				c := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}, Timeout: 2 * time.Second}
-				defer c.CloseIdleConnections()
-				t := time.NewTicker(every)
-				defer t.Stop()
+				client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}, Timeout: 2 * time.Second}
+				defer client.CloseIdleConnections()
+				ticker := time.NewTicker(interval)
+				defer ticker.Stop()
 				for n := 0; ctx.Err() == nil; n++ {
-					d.Ask(ctx, c, fmt.Sprintf("%04x%04x%012x", d.Number, k, n))
+					d.Ask(ctx, client, fmt.Sprintf("%04x%04x%012x", d.Number, conn, n))
 					select {
-					case <-t.C:
+					case <-ticker.C:
 					case <-ctx.Done():
 					}
 				}
@@ -668,115 +707,116 @@
 	return &wg
 }
 
-// Operate makes an operator's call at the daemon's second address, and returns the answer.
+// Operate sends an operator's command to the daemon's sidecar, and returns the reply.
 func (d *Daemon) Operate(line string) (string, error) {
-	c, err := net.DialTimeout("tcp", d.mgmt, time.Second)
+	conn, err := net.DialTimeout("tcp", d.operatorAddr, time.Second)
 	if err != nil {
 		return "", err
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(5 * time.Second))
-	if _, err := io.WriteString(c, line+"\n"); err != nil {
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(5 * time.Second))
+	if _, err := io.WriteString(conn, line+"\n"); err != nil {
 		return "", err
 	}
-	b, err := io.ReadAll(c)
-	return string(b), err
+	reply, err := io.ReadAll(conn)
+	return string(reply), err
 }
 
 // ---- Discovery -------------------------------------------------------------
 
-// Board is a discovery that tells those who watch it one list. Any goroutine may use it.
+// Board is a discovery server with one endpoint list, for polls and watches. It is safe for concurrent use.
 type Board struct {
-	http *httptest.Server
+	server *httptest.Server
 
-	mu      sync.Mutex
-	list    []discovery.Instance
-	version int64
-	changed chan struct{}
-	deaf    bool // it says nothing new
-	sent    atomic.Uint64
+	mu        sync.Mutex
+	instances []discovery.Instance
+	version   int64         // of instances
+	changed   chan struct{} // closed and replaced at each change
+	silenced  bool          // changes are not sent
+	bytesSent atomic.Uint64
 }
 
-// Sent is how many bytes it said, without the heads of HTTP.
-func (b *Board) Sent() uint64 { return b.sent.Load() }
+// Sent returns the number of bytes sent, without HTTP headers.
+func (b *Board) Sent() uint64 { return b.bytesSent.Load() }
 
-// NewBoard starts one on loopback; Close ends it.
+// NewBoard starts a discovery server on loopback with an endpoint list, which it copies. Close ends it.
 func NewBoard(list []discovery.Instance) *Board {
-	b := &Board{list: append([]discovery.Instance(nil), list...), version: 1, changed: make(chan struct{})}
-	b.http = httptest.NewServer(b)
+	b := &Board{instances: append([]discovery.Instance(nil), list...), version: 1, changed: make(chan struct{})}
+	b.server = httptest.NewServer(b)
 	return b
 }
 
-// Addr is where it is asked.
-func (b *Board) Addr() string { return b.http.Listener.Addr().String() }
+// Addr returns the address for polls and watches.
+func (b *Board) Addr() string { return b.server.Listener.Addr().String() }
 
-// Close ends it, and all watches.
+// Close ends the server and all watches.
 func (b *Board) Close() {
-	b.http.CloseClientConnections()
-	b.http.Close()
+	b.server.CloseClientConnections()
+	b.server.Close()
 }
 
-// Tell has a daemon's discovery say that an entry is so, unless it has said something later of it: words that are told late
-// may cross.
-func (d *Daemon) Tell(in discovery.Instance) { d.board.Tell(in) }
+// Tell reports the state of an instance through the daemon's discovery. It is ignored if discovery has reported a later
+// state of the instance, since delayed reports may overtake each other.
+func (d *Daemon) Tell(instance discovery.Instance) { d.discovery.Tell(instance) }
 
-// Tell says that an entry is so; see Daemon.Tell.
-func (b *Board) Tell(in discovery.Instance) {
+// Tell reports the state of an instance; see Daemon.Tell.
+func (b *Board) Tell(instance discovery.Instance) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	found := false
-	for i := range b.list {
-		if was := b.list[i]; was.ID == in.ID {
-			if was.StartedMs > in.StartedMs || was.StartedMs == in.StartedMs && was.Lifecycle == "draining" {
+	for i := range b.instances {
+		if current := b.instances[i]; current.ID == instance.ID {
+			if current.StartedMs > instance.StartedMs ||
+				current.StartedMs == instance.StartedMs && current.Lifecycle == "draining" {
 				return
 			}
-			b.list[i], found = in, true
+			b.instances[i], found = instance, true
 		}
 	}
 	if !found {
-		b.list = append(b.list, in)
+		b.instances = append(b.instances, instance)
 	}
 	b.version++
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
 
-// Deaf has a daemon's discovery say nothing new, or go on with what it has.
-func (d *Daemon) Deaf(on bool) {
-	d.board.mu.Lock()
-	defer d.board.mu.Unlock()
-	d.board.deaf = on
-	close(d.board.changed)
-	d.board.changed = make(chan struct{})
+// Deaf holds back all changes of the daemon's discovery while active. Its end sends the current list.
+func (d *Daemon) Deaf(active bool) {
+	d.discovery.mu.Lock()
+	defer d.discovery.mu.Unlock()
+	d.discovery.silenced = active
+	close(d.discovery.changed)
+	d.discovery.changed = make(chan struct{})
 }
 
 func (b *Board) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	c := http.NewResponseController(w)
-	sent := int64(0)
+	controller := http.NewResponseController(w)
+	sentVersion := int64(0)
 	for {
 		b.mu.Lock()
-		list, version, changed := append([]discovery.Instance(nil), b.list...), b.version, b.changed
-		if b.deaf {
-			version = sent
+		instances, version, changed := append([]discovery.Instance(nil), b.instances...), b.version, b.changed
+		if b.silenced {
+			version = sentVersion
 		}
 		b.mu.Unlock()
-		if version != sent {
-			text, err := json.Marshal(discovery.List{Generation: version, Reset: true, Instances: list})
+		if version != sentVersion {
+			text, err := json.Marshal(discovery.List{Generation: version, Reset: true, Instances: instances})
 			if err != nil {
 				return
 			}
 			n, err := w.Write(append(text, '\n'))
-			if b.sent.Add(uint64(n)); err != nil {
+			if b.bytesSent.Add(uint64(n)); err != nil {
 				return
 			}
-			sent = version
+			sentVersion = version
 		} else if r.FormValue("watch") != "" {
 			n, err := io.WriteString(w, "\n")
-			if b.sent.Add(uint64(n)); err != nil {
+			if b.bytesSent.Add(uint64(n)); err != nil {
 				return
 			}
 		}
-		if r.FormValue("watch") == "" || c.Flush() != nil {
+		if r.FormValue("watch") == "" || controller.Flush() != nil {
 			return
 		}
 		select {
--- a/internal/lab/fleetlab/measure.go
+++ b/internal/lab/fleetlab/measure.go
@@ -16,7 +16,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Spread is how times lie, in milliseconds.
+// Spread summarizes the distribution of N durations, in milliseconds.
 type Spread struct {
 	N     int     `json:"n"`
 	P50   float64 `json:"p50_ms"`
@@ -24,433 +24,458 @@
 	Worst float64 `json:"worst_ms"`
 }
 
-func spread(all []time.Duration) Spread {
-	if len(all) == 0 {
+func distribution(durations []time.Duration) Spread {
+	if len(durations) == 0 {
 		return Spread{}
 	}
-	sort.Slice(all, func(i, j int) bool { return all[i] < all[j] })
-	ms := func(d time.Duration) float64 { return float64(d) / 1e6 }
-	return Spread{len(all), ms(all[len(all)/2]), ms(all[min(len(all)-1, len(all)*99/100)]), ms(all[len(all)-1])}
+	sort.Slice(durations, func(i, j int) bool { return durations[i] < durations[j] })
+	milliseconds := func(d time.Duration) float64 { return float64(d) / 1e6 }
+	return Spread{
+		len(durations),
+		milliseconds(durations[len(durations)/2]),
+		milliseconds(durations[min(len(durations)-1, len(durations)*99/100)]),
+		milliseconds(durations[len(durations)-1]),
+	}
 }
 
-// Told is how long after a word its last request came to the server: at the daemon that was told, and at the others.
+// Told is how long after a report that a server drains the last request reached that server.
 type Told struct {
-	What   string `json:"what"`
-	Here   Spread `json:"here"`
-	Others Spread `json:"others"`
+	What   string `json:"what"`   // source of the reports
+	Here   Spread `json:"here"`   // requests of the daemon that received the report
+	Others Spread `json:"others"` // requests of the other daemons
 }
 
-// Words measures words of one daemon's discovery, or of an operator at one daemon ("maint-on"), until so many were told. The
-// fleet is to be loaded so that each server hears of each daemon every few milliseconds.
-func (f *Fleet) Words(ctx context.Context, n int, operators bool, say func(string)) (Told, error) {
-	r := Told{What: "discovery's word"}
+// Words measures how fast the report of a drain takes effect, for a number of reports. Each reaches one daemon, from
+// its discovery or from an operator ("maint-on"). The caller must load the fleet such that each server receives a
+// request from each daemon every few milliseconds. progress may be nil.
+func (f *Fleet) Words(ctx context.Context, reports int, operators bool, progress func(string)) (Told, error) {
+	result := Told{What: "discovery's word"}
 	if operators {
-		r.What = "maint-on"
+		result.What = "maint-on"
 	}
-	var here, others []time.Duration
+	var toReporter, toOthers []time.Duration
 	const settle = 700 * time.Millisecond
-	for k := 0; k < n && ctx.Err() == nil; k += len(f.Servers) / 2 {
-		// Half of the servers, one after the other, then all come back.
+	for done := 0; done < reports && ctx.Err() == nil; done += len(f.Servers) / 2 {
+		// Half of the servers drain one after the other, and then all of them are up again.
 		var wg sync.WaitGroup
 		var mu sync.Mutex
-		var fault error
+		var callErr error
 		for i := range len(f.Servers) / 2 {
-			s, by := f.Servers[i], (k+i)%len(f.Daemons)
+			server, reporter := f.Servers[i], (done+i)%len(f.Daemons)
 			wg.Go(func() {
 				time.Sleep(time.Duration(i) * 5 * time.Millisecond)
-				in := s.Now()
-				at := time.Now()
+				instance := server.Now()
+				reportedAt := time.Now()
 				if operators {
-					text, err := f.Daemons[by].Operate("maint-on " + in.ID)
-					if err != nil || text != "YES\n" {
+					reply, err := f.Daemons[reporter].Operate("maint-on " + instance.ID)
+					if err != nil || reply != "YES\n" {
 						mu.Lock()
-						fault = fmt.Errorf("maint-on %s: %q, %v", in.ID, text, err)
+						callErr = fmt.Errorf("maint-on %s: %q, %v", instance.ID, reply, err)
 						mu.Unlock()
 						return
 					}
 				} else {
-					in.Lifecycle = "draining"
-					f.Daemons[by].Tell(in)
+					instance.Lifecycle = "draining"
+					f.Daemons[reporter].Tell(instance)
 				}
 				time.Sleep(settle)
 				mu.Lock()
 				defer mu.Unlock()
 				for j := range f.Daemons {
-					last, _ := s.Last(j)
-					if took := max(0, last.Sub(at)); j == by {
-						here = append(here, took)
+					last, _ := server.Last(j)
+					if took := max(0, last.Sub(reportedAt)); j == reporter {
+						toReporter = append(toReporter, took)
 					} else {
-						others = append(others, took)
+						toOthers = append(toOthers, took)
 					}
 				}
 			})
 		}
 		wg.Wait()
-		if fault != nil {
-			return r, fault
+		if callErr != nil {
+			return result, callErr
 		}
 		for i := range len(f.Servers) / 2 {
-			s, by := f.Servers[i], (k+i)%len(f.Daemons)
-			in := s.Now()
+			server, reporter := f.Servers[i], (done+i)%len(f.Daemons)
+			instance := server.Now()
 			if operators {
-				if text, err := f.Daemons[by].Operate("maint-off " + in.ID); err != nil || text != "YES\n" {
-					return r, fmt.Errorf("maint-off %s: %q, %v", in.ID, text, err)
+				if reply, err := f.Daemons[reporter].Operate("maint-off " + instance.ID); err != nil || reply != "YES\n" {
+					return result, fmt.Errorf("maint-off %s: %q, %v", instance.ID, reply, err)
 				}
-				s.Set(in)
+				server.Set(instance)
 				continue
 			}
-			in.Lifecycle, in.StartedMs = "up", time.Now().Add(-time.Minute).UnixMilli() // another process, and no cold one
-			s.Set(in)
+			// The server is another process, which has warmed up.
+			instance.Lifecycle, instance.StartedMs = "up", time.Now().Add(-time.Minute).UnixMilli()
+			server.Set(instance)
 			for _, d := range f.Daemons {
-				d.Tell(in)
+				d.Tell(instance)
 			}
 		}
 		time.Sleep(settle)
-		if say != nil {
-			say(fmt.Sprintf("%s: %d of %d", r.What, min(n, k+len(f.Servers)/2), n))
+		if progress != nil {
+			progress(fmt.Sprintf("%s: %d of %d", result.What, min(reports, done+len(f.Servers)/2), reports))
 		}
 	}
-	r.Here, r.Others = spread(here), spread(others)
-	return r, nil
+	result.Here, result.Others = distribution(toReporter), distribution(toOthers)
+	return result, nil
 }
 
-// Began is how a daemon starts.
+// Began summarizes the starts of a daemon from one source of state.
 type Began struct {
-	How      string  `json:"how"`
+	How      string  `json:"how"` // the source of state
 	N        int     `json:"n"`
-	Ready    Spread  `json:"ready"`   // from the process's start until it takes requests
-	Served   float64 `json:"served"`  // share of what was asked in the first second
-	Drained  float64 `json:"drained"` // requests in that second to servers that drain
-	Recalled float64 `json:"recalled"`
+	Ready    Spread  `json:"ready"`    // from the start of the process until it is ready for requests
+	Served   float64 `json:"served"`   // served share of the requests in the first second after that
+	Drained  float64 `json:"drained"`  // requests in that second to draining servers, on average
+	Recalled float64 `json:"recalled"` // servers whose state was restored, on average
 }
 
-// Starts measures starts of the last daemon, a follower, while two servers drain of which its discovery says nothing: without
-// what it had ("nothing": no replica can be reached), from its own disk, and from the store of others with an empty disk.
-func (f *Fleet) Starts(ctx context.Context, n int, say func(string)) ([]Began, error) {
-	d := f.Daemons[len(f.Daemons)-1]
-	if !d.follower {
-		return nil, fmt.Errorf("starts are measured of a follower, and there is none")
+// Starts measures starts of the last daemon, a follower, while two servers drain without a report of its discovery. It
+// starts from no state ("nothing": its disk is empty and no replica can be reached), from its own disk, and with an
+// empty disk from the store of the replicas. progress may be nil.
+func (f *Fleet) Starts(ctx context.Context, starts int, progress func(string)) ([]Began, error) {
+	follower := f.Daemons[len(f.Daemons)-1]
+	if !follower.follower {
+		return nil, fmt.Errorf("starts are measured on a follower, and the fleet has none")
 	}
 	for i := range 2 {
-		in := f.Servers[i].Now()
-		in.Lifecycle = "draining"
-		f.Servers[i].Set(in)
-		f.Daemons[0].Tell(in)
+		instance := f.Servers[i].Now()
+		instance.Lifecycle = "draining"
+		f.Servers[i].Set(instance)
+		f.Daemons[0].Tell(instance)
 	}
-	d.Deaf(true)
-	select { // until the modules' pictures are in the store
+	follower.Deaf(true)
+	select { // the daemons have written their snapshots of the servers' state to the store by then
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-time.After(12 * time.Second):
 	}
-	var all []Began
-	for _, how := range []string{"nothing", "own disk", "store of others"} {
-		b := Began{How: how}
+	var results []Began
+	for _, source := range []string{"nothing", "own disk", "store of others"} {
+		figures := Began{How: source}
 		var ready []time.Duration
-		asked, served := 0, 0
-		for range n {
-			d.Kill()
-			if how != "own disk" {
-				if err := d.Lose(); err != nil {
+		sent, served := 0, 0
+		for range starts {
+			follower.Kill()
+			if source != "own disk" {
+				if err := follower.Lose(); err != nil {
 					return nil, err
 				}
 			}
-			if how == "nothing" { // the others are away
-				for _, o := range f.Daemons[:f.cfg.Replicas] {
-					o.Kill()
+			if source == "nothing" { // no replica can be reached
+				for _, replica := range f.Daemons[:f.cfg.Replicas] {
+					replica.Kill()
 				}
 			}
-			before := f.Servers[0].Count(d.Number) + f.Servers[1].Count(d.Number)
-			begun := time.Now()
-			if err := d.Start(); err != nil {
+			countBefore := f.Servers[0].Count(follower.Number) + f.Servers[1].Count(follower.Number)
+			startedAt := time.Now()
+			if err := follower.Start(); err != nil {
 				return nil, err
 			}
-			if err := d.Ready(ctx); err != nil {
+			if err := follower.Ready(ctx); err != nil {
 				return nil, err
 			}
-			ready = append(ready, time.Since(begun))
-			c := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4}, Timeout: 2 * time.Second}
+			ready = append(ready, time.Since(startedAt))
+			client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4}, Timeout: 2 * time.Second}
 			for end, k := time.Now().Add(time.Second), 0; time.Now().Before(end); k++ {
-				asked++
-				if d.Ask(ctx, c, fmt.Sprintf("%020x", time.Now().UnixNano())) {
+				sent++
+				if follower.Ask(ctx, client, fmt.Sprintf("%020x", time.Now().UnixNano())) {
 					served++
 				}
 				time.Sleep(5 * time.Millisecond)
 			}
-			c.CloseIdleConnections()
-			b.Drained += float64(f.Servers[0].Count(d.Number)+f.Servers[1].Count(d.Number)-before) / float64(n)
-			if s, err := d.Client.Status(ctx); err == nil {
-				for _, x := range s.Startup.Restored {
-					b.Recalled += float64(x.Servers) / float64(n)
+			client.CloseIdleConnections()
+			figures.Drained += float64(f.Servers[0].Count(follower.Number)+
+				f.Servers[1].Count(follower.Number)-countBefore) / float64(starts)
+			if status, err := follower.Client.Status(ctx); err == nil {
+				for _, restored := range status.Startup.Restored {
+					figures.Recalled += float64(restored.Servers) / float64(starts)
 				}
 			}
-			if how == "nothing" {
-				for _, o := range f.Daemons[:f.cfg.Replicas] {
-					if err := o.Start(); err != nil {
+			if source == "nothing" {
+				for _, replica := range f.Daemons[:f.cfg.Replicas] {
+					if err := replica.Start(); err != nil {
 						return nil, err
 					}
 				}
-				for _, o := range f.Daemons[:f.cfg.Replicas] {
-					if err := o.Ready(ctx); err != nil {
+				for _, replica := range f.Daemons[:f.cfg.Replicas] {
+					if err := replica.Ready(ctx); err != nil {
 						return nil, err
 					}
 				}
 			}
-			if how == "own disk" {
-				time.Sleep(2500 * time.Millisecond) // for the file of the copy
+			if source == "own disk" {
+				time.Sleep(2500 * time.Millisecond) // until the copy of the store is on disk
 			}
-			b.N++
+			figures.N++
 		}
-		b.Ready, b.Served = spread(ready), float64(served)/float64(max(1, asked))
-		all = append(all, b)
-		if how == "nothing" {
-			// It is to be up to date again before its disk counts, and the pictures in the store.
+		figures.Ready, figures.Served = distribution(ready), float64(served)/float64(max(1, sent))
+		results = append(results, figures)
+		if source == "nothing" {
+			// The next starts need an up-to-date copy on disk, and current snapshots in the store.
 			select {
 			case <-ctx.Done():
 				return nil, ctx.Err()
 			case <-time.After(14 * time.Second):
 			}
 		}
-		if say != nil {
-			say(how)
+		if progress != nil {
+			progress(source)
 		}
 	}
-	return all, nil
+	return results, nil
 }
 
-// Writing is what a fleet writes to its store while its lists change.
+// Writing counts what a fleet writes to its store while endpoint lists change.
 type Writing struct {
 	Daemons  int     `json:"daemons"`
-	Changes  int     `json:"changes"`  // of the lists: drains and starts, told to every daemon
-	Words    int     `json:"words"`    // changes of the store that tell of them
-	Entries  int     `json:"entries"`  // of the log, in all, pictures and refused proposals with them
-	Pictures int     `json:"pictures"` // put
+	Changes  int     `json:"changes"`  // of the lists: drains and starts, each reported to every daemon
+	Words    int     `json:"words"`    // changes of the store that record drains and starts
+	Entries  int     `json:"entries"`  // of the log in all, with snapshots and rejected proposals
+	Pictures int     `json:"pictures"` // snapshots of the servers' state that were written
 	Seconds  float64 `json:"seconds"`
 }
 
-// Writes has so many servers drain and start anew, each told to all daemons at about the same time.
-func (f *Fleet) Writes(ctx context.Context, changes int, every time.Duration) (Writing, error) {
-	w := Writing{Daemons: len(f.Daemons)}
+// Writes counts what the fleet writes during a number of drains and starts of servers, one each interval and reported
+// to all daemons at about the same time.
+func (f *Fleet) Writes(ctx context.Context, changes int, interval time.Duration) (Writing, error) {
+	result := Writing{Daemons: len(f.Daemons)}
 	status := func() (entries, revision uint64, err error) {
 		s, err := f.Daemons[0].Client.Status(ctx)
 		return s.Applied, s.Revision, err
 	}
 	entries, _, err := status()
 	if err != nil {
-		return w, err
+		return result, err
 	}
-	words := map[string]uint64{}
-	count := func(prefix string) (int, error) {
-		i, err := f.Daemons[0].Client.Range(ctx, map[string][]string{"prefix": {prefix}})
+	countedRevisions := map[string]uint64{}
+	countChanges := func(prefix string) (int, error) {
+		response, err := f.Daemons[0].Client.Range(ctx, map[string][]string{"prefix": {prefix}})
 		n := 0
-		for _, x := range i.Items {
-			if x.ModRevision > words[x.Key] {
-				n += int(x.Version)
-				words[x.Key] = x.ModRevision
+		for _, item := range response.Items {
+			if item.ModRevision > countedRevisions[item.Key] {
+				n += int(item.Version)
+				countedRevisions[item.Key] = item.ModRevision
 			}
 		}
 		return n, err
 	}
-	begun := time.Now()
-	told := func(in discovery.Instance) {
+	startedAt := time.Now()
+	report := func(instance discovery.Instance) {
 		for _, d := range f.Daemons {
-			d.Tell(in)
+			d.Tell(instance)
 		}
 	}
 	for k := range changes / 2 {
 		s := f.Servers[k%len(f.Servers)]
-		in := s.Now()
-		in.Lifecycle = "draining"
-		s.Set(in)
-		told(in)
-		time.Sleep(every)
-		in.Lifecycle, in.StartedMs = "up", time.Now().UnixMilli()
-		s.Set(in)
-		told(in)
-		time.Sleep(every)
-		w.Changes += 2
+		instance := s.Now()
+		instance.Lifecycle = "draining"
+		s.Set(instance)
+		report(instance)
+		time.Sleep(interval)
+		instance.Lifecycle, instance.StartedMs = "up", time.Now().UnixMilli()
+		s.Set(instance)
+		report(instance)
+		time.Sleep(interval)
+		result.Changes += 2
 		for _, prefix := range []string{"out/", "start/"} {
-			n, err := count(prefix)
+			n, err := countChanges(prefix)
 			if err != nil {
-				return w, err
+				return result, err
 			}
-			w.Words += n
+			result.Words += n
 		}
 	}
 	after, _, err := status()
-	w.Entries, w.Seconds = int(after-entries), time.Since(begun).Seconds()
+	result.Entries, result.Seconds = int(after-entries), time.Since(startedAt).Seconds()
 	if err != nil {
-		return w, err
+		return result, err
 	}
-	i, err := f.Daemons[0].Client.Range(ctx, map[string][]string{"prefix": {"known/"}})
-	for _, x := range i.Items {
-		w.Pictures += int(x.Version)
+	response, err := f.Daemons[0].Client.Range(ctx, map[string][]string{"prefix": {"known/"}})
+	for _, item := range response.Items {
+		result.Pictures += int(item.Version)
 	}
-	return w, err
+	return result, err
 }
 
-// Caught is how long daemons take to know what the store has of so many servers.
+// Caught is how long daemons take from their start until they apply the drains of a number of servers in the store and
+// their sidecar is ready.
 type Caught struct {
 	Servers  int     `json:"servers"`
 	Bytes    int     `json:"store_bytes"`
-	Follower float64 `json:"follower_ms"` // from the start with an empty disk until all bind and the sidecar serves
-	Disk     float64 `json:"own_disk_ms"` // from its own disk
-	Replica  float64 `json:"replica_ms"`  // a replica killed and started again
+	Follower float64 `json:"follower_ms"` // a follower with an empty disk
+	Disk     float64 `json:"own_disk_ms"` // a follower with its copy on disk
+	Replica  float64 `json:"replica_ms"`  // a replica that was killed
 }
 
-// CatchUp puts drains of so many servers that nobody lists into the store, and starts daemons.
+// CatchUp writes drains of a number of servers that no endpoint list contains into the store, and measures starts of
+// daemons.
 func (f *Fleet) CatchUp(ctx context.Context, servers int) (Caught, error) {
-	r := Caught{Servers: servers}
-	d, a := f.Daemons[len(f.Daemons)-1], f.Daemons[1]
-	if !d.follower {
-		return r, fmt.Errorf("it is measured of a follower, and there is none")
+	result := Caught{Servers: servers}
+	daemon, replica := f.Daemons[len(f.Daemons)-1], f.Daemons[1]
+	if !daemon.follower {
+		return result, fmt.Errorf("catching up is measured on a follower, and the fleet has none")
 	}
-	mark, err := cbor.Marshal(serverstate.ExclusionRecord{ReportedBy: "lab"})
+	record, err := cbor.Marshal(serverstate.ExclusionRecord{ReportedBy: "lab"})
 	if err != nil {
-		return r, err
+		return result, err
 	}
-	for at := 0; at < servers; at += 100 {
-		t := &store.Txn{}
-		for i := at; i < min(at+100, servers); i++ {
-			p := serverstate.Process{ID: fmt.Sprintf("far-%05d", i), Addr: fmt.Sprintf("127.0.0.1:%d", 1+i%60000), StartedMs: int64(1 + i)}
-			t.Then = append(t.Then, store.Op{Key: serverstate.ExclusionKey(serverstate.Drain, p.ServerName()), Value: mark})
+	for first := 0; first < servers; first += 100 {
+		txn := &store.Txn{}
+		for i := first; i < min(first+100, servers); i++ {
+			process := serverstate.Process{
+				ID:        fmt.Sprintf("far-%05d", i),
+				Addr:      fmt.Sprintf("127.0.0.1:%d", 1+i%60000),
+				StartedMs: int64(1 + i),
+			}
+			txn.Then = append(txn.Then, store.Op{
+				Key:   serverstate.ExclusionKey(serverstate.Drain, process.ServerName()),
+				Value: record,
+			})
 		}
-		if _, err := f.Daemons[0].Client.Change(ctx, admin.ChangeRequest{ID: store.RequestID{Client: 1 << 41, Seq: uint64(at + 1)}, Txn: t}); err != nil {
-			return r, err
+		if _, err := f.Daemons[0].Client.Change(ctx, admin.ChangeRequest{
+			ID:  store.RequestID{Client: 1 << 41, Seq: uint64(first + 1)},
+			Txn: txn,
+		}); err != nil {
+			return result, err
 		}
 	}
-	time.Sleep(3 * time.Second) // for the follower's file
-	start := func(d *Daemon) (float64, error) {
-		begun := time.Now()
-		if err := d.Start(); err != nil {
+	time.Sleep(3 * time.Second) // until the follower's copy is on disk
+	start := func(daemon *Daemon) (float64, error) {
+		startedAt := time.Now()
+		if err := daemon.Start(); err != nil {
 			return 0, err
 		}
-		if err := d.Ready(ctx); err != nil {
+		if err := daemon.Ready(ctx); err != nil {
 			return 0, err
 		}
 		for ctx.Err() == nil {
-			if s, err := d.Client.Status(ctx); err == nil && s.Daemon.Exclusions >= servers {
-				r.Bytes = s.Bytes
-				return float64(time.Since(begun)) / 1e6, nil
+			if status, err := daemon.Client.Status(ctx); err == nil && status.Daemon.Exclusions >= servers {
+				result.Bytes = status.Bytes
+				return float64(time.Since(startedAt)) / 1e6, nil
 			}
 			time.Sleep(time.Millisecond)
 		}
 		return 0, ctx.Err()
 	}
-	d.Kill()
-	if r.Disk, err = start(d); err != nil {
-		return r, err
+	daemon.Kill()
+	if result.Disk, err = start(daemon); err != nil {
+		return result, err
 	}
-	d.Kill()
-	if err := d.Lose(); err != nil {
-		return r, err
+	daemon.Kill()
+	if err := daemon.Lose(); err != nil {
+		return result, err
 	}
-	if r.Follower, err = start(d); err != nil {
-		return r, err
+	if result.Follower, err = start(daemon); err != nil {
+		return result, err
 	}
-	a.Kill()
-	r.Replica, err = start(a)
-	return r, err
+	replica.Kill()
+	result.Replica, err = start(replica)
+	return result, err
 }
 
-// Cost is what the store costs a sidecar at full load: medians of pairs, with and without it.
+// Cost is what the store costs a sidecar at full load, from pairs of measurements with and without the store.
 type Cost struct {
 	Pairs   int     `json:"pairs"`
-	With    float64 `json:"with_per_s"`
-	Without float64 `json:"without_per_s"`
-	Ratio   Ratio   `json:"ratio"` // of requests a second
-	P99     Ratio   `json:"p99_ratio"`
+	With    float64 `json:"with_per_s"`    // median of requests a second with the store
+	Without float64 `json:"without_per_s"` // median without it
+	Ratio   Ratio   `json:"ratio"`         // with to without, of requests a second
+	P99     Ratio   `json:"p99_ratio"`     // with to without, of the 99th percentile of latency
 }
 
-// Ratio is of pairs.
+// Ratio summarizes the ratios of pairs of measurements. Its fields are written out under their own names.
 type Ratio struct{ Least, Median, Most float64 }
 
-func ratio(all []float64) Ratio {
-	sort.Float64s(all)
-	return Ratio{all[0], all[len(all)/2], all[len(all)-1]}
+// ratioSummary sorts its argument, which must not be empty.
+func ratioSummary(ratios []float64) Ratio {
+	sort.Float64s(ratios)
+	return Ratio{ratios[0], ratios[len(ratios)/2], ratios[len(ratios)-1]}
 }
 
-// Cost loads the last daemon as a follower and as the same program without a store, one after the other in turn, while the lists
-// of all change four times a second.
-func (f *Fleet) Cost(ctx context.Context, pairs int, each time.Duration) (Cost, error) {
-	c := Cost{Pairs: pairs}
-	d := f.Daemons[len(f.Daemons)-1]
-	change, stop := context.WithCancel(ctx)
+// Cost loads the last daemon alternately as a follower and as the same program without a store, for a duration each,
+// while the endpoint lists of all daemons change four times a second.
+func (f *Fleet) Cost(ctx context.Context, pairs int, duration time.Duration) (Cost, error) {
+	cost := Cost{Pairs: pairs}
+	daemon := f.Daemons[len(f.Daemons)-1]
+	changeCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	var changing sync.WaitGroup
 	changing.Go(func() {
-		for k := 0; change.Err() == nil; k++ {
-			s := f.Servers[k%(len(f.Servers)/2)]
-			in := s.Now()
-			in.Lifecycle, in.StartedMs = "up", time.Now().Add(-time.Hour).UnixMilli()+int64(k)
+		for k := 0; changeCtx.Err() == nil; k++ {
+			server := f.Servers[k%(len(f.Servers)/2)]
+			instance := server.Now()
+			instance.Lifecycle, instance.StartedMs = "up", time.Now().Add(-time.Hour).UnixMilli()+int64(k)
 			if k/(len(f.Servers)/2)%2 == 0 {
-				in.Lifecycle = "draining"
+				instance.Lifecycle = "draining"
 			}
-			s.Set(in)
-			for _, d := range f.Daemons {
-				d.Tell(in)
+			server.Set(instance)
+			for _, daemon := range f.Daemons {
+				daemon.Tell(instance)
 			}
 			select {
-			case <-change.Done():
+			case <-changeCtx.Done():
 			case <-time.After(250 * time.Millisecond):
 			}
 		}
 	})
 	defer changing.Wait()
 	defer stop()
-	var rates, tails []float64
+	var rateRatios, p99Ratios []float64
 	var with, without []float64
 	for range pairs {
-		var rate, tail [2]float64
+		var ratePair, p99s [2]float64
 		for i, plain := range []bool{false, true} {
-			d.Kill()
-			d.plain = plain
-			if err := d.Start(); err != nil {
-				return c, err
+			daemon.Kill()
+			daemon.sidecarOnly = plain
+			if err := daemon.Start(); err != nil {
+				return cost, err
 			}
-			if err := d.Ready(ctx); err != nil {
-				return c, err
+			if err := daemon.Ready(ctx); err != nil {
+				return cost, err
 			}
 			time.Sleep(time.Second)
-			n, p99 := d.full(ctx, 16, each)
-			rate[i], tail[i] = float64(n)/each.Seconds(), float64(p99)
+			served, p99 := daemon.saturate(ctx, 16, duration)
+			ratePair[i], p99s[i] = float64(served)/duration.Seconds(), float64(p99)
 		}
-		with, without = append(with, rate[0]), append(without, rate[1])
-		rates, tails = append(rates, rate[0]/rate[1]), append(tails, tail[0]/tail[1])
+		with, without = append(with, ratePair[0]), append(without, ratePair[1])
+		rateRatios, p99Ratios = append(rateRatios, ratePair[0]/ratePair[1]), append(p99Ratios, p99s[0]/p99s[1])
 	}
-	d.Kill()
-	d.plain = false
-	c.With, c.Without, c.Ratio, c.P99 = ratio(with).Median, ratio(without).Median, ratio(rates), ratio(tails)
-	return c, d.Start()
+	daemon.Kill()
+	daemon.sidecarOnly = false
+	cost.With, cost.Without, cost.Ratio, cost.P99 = ratioSummary(with).Median, ratioSummary(without).Median,
+		ratioSummary(rateRatios), ratioSummary(p99Ratios)
+	return cost, daemon.Start()
 }
 
-// full asks over so many connections without a pause, and returns how much was served and the slowest in a hundred.
-func (d *Daemon) full(ctx context.Context, conns int, each time.Duration) (served int, p99 time.Duration) {
-	ctx, cancel := context.WithTimeout(ctx, each)
+// saturate sends requests without a pause over a number of connections. It returns the number of served requests and
+// the 99th percentile of their latency.
+func (d *Daemon) saturate(ctx context.Context, conns int, duration time.Duration) (served int, p99 time.Duration) {
+	ctx, cancel := context.WithTimeout(ctx, duration)
 	defer cancel()
 	var mu sync.Mutex
-	var all []time.Duration
+	var latencies []time.Duration
 	var wg sync.WaitGroup
-	for k := range conns {
+	for conn := range conns {
 		wg.Go(func() {
-			c := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
-			defer c.CloseIdleConnections()
-			var took []time.Duration
+			client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
+			defer client.CloseIdleConnections()
+			var connLatencies []time.Duration
 			for n := 0; ctx.Err() == nil; n++ {
-				begun := time.Now()
-				if d.Ask(ctx, c, fmt.Sprintf("%02x%06x%012x", k, d.Number, time.Now().UnixNano()&0xffffffffffff)) {
-					took = append(took, time.Since(begun))
+				sentAt := time.Now()
+				if d.Ask(ctx, client, fmt.Sprintf("%02x%06x%012x", conn, d.Number, time.Now().UnixNano()&0xffffffffffff)) {
+					connLatencies = append(connLatencies, time.Since(sentAt))
 				}
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			all = append(all, took...)
+			latencies = append(latencies, connLatencies...)
 		})
 	}
 	wg.Wait()
-	sort.Slice(all, func(i, j int) bool { return all[i] < all[j] })
-	if len(all) == 0 {
+	sort.Slice(latencies, func(i, j int) bool { return latencies[i] < latencies[j] })
+	if len(latencies) == 0 {
 		return 0, 0
 	}
-	return len(all), all[len(all)*99/100]
+	return len(latencies), latencies[len(latencies)*99/100]
 }
--- a/internal/lab/fleetlab/torture.go
+++ b/internal/lab/fleetlab/torture.go
@@ -11,153 +11,162 @@
 	"birchmoor/internal/lab/relay"
 )
 
-// Torture has servers drain and start anew while daemons are killed with SIGKILL, one in turn or all at once, and cut off, one
-// way or both, under load. The servers judge, by what they count:
+// Torture drains and restarts servers under load, while daemons are killed with SIGKILL, one or all at once, and
+// replicas are cut off from each other. It judges three rules by the requests that reach the servers:
 //
-//   - a daemon that was seen to know that a process drains sends it nothing from then on, also after it was killed,
-//   - where nothing was killed or cut from a while before the first word of a drain until Bound after it, no daemon sends it
-//     anything later than Bound after that word, whichever daemon heard it,
-//   - nor does any, whatever was killed, once all have run undisturbed for Calm.
+//   - A daemon that is known to have learnt of a drain sends no more requests to the draining process, even after the
+//     daemon was killed.
+//   - If nothing is killed or cut off from calmBefore before the first report of a drain until MaxReportDelay after it,
+//     no daemon sends a request to that process later than MaxReportDelay after the report, whichever daemon received
+//     the report.
+//   - After all daemons have run undisturbed for CalmPeriod, no daemon sends a request to a process that drains,
+//     whatever was killed before.
 type Torture struct {
 	Fleet *Fleet
 	For   time.Duration
-	Every time.Duration // between two blows, on average
+	Every time.Duration // mean interval between two faults
 	Seed  uint64
-	Say   func(string)
+	Say   func(string) // called with the progress after each kill; may be nil
 }
 
-// The rule's bounds.
+// Bounds of the rules that Torture judges.
 const (
-	Bound  = 500 * time.Millisecond
-	before = 1500 * time.Millisecond // for an election, and connections that come back
-	Calm   = 4 * time.Second
-	acted  = 300 * time.Millisecond // for attempts that were under way when a daemon was seen to know
+	MaxReportDelay = 500 * time.Millisecond
+	calmBefore     = 1500 * time.Millisecond // an election and the return of connections take that long
+	CalmPeriod     = 4 * time.Second
+	attemptGrace   = 300 * time.Millisecond // for attempts in flight when a daemon learns of a drain
 )
 
-// Tortured is what came of it.
+// Tortured is the result of a Torture.
 type Tortured struct {
-	Drains    int      `json:"drains"`
-	Judged    int      `json:"judged"` // those told while nothing was disturbed
-	Starts    int      `json:"starts"`
-	Kills     int      `json:"kills"`
-	All       int      `json:"all_at_once"`
-	Cuts      int      `json:"cuts"`
-	Requests  int      `json:"requests"`
-	Late      int      `json:"late"`  // requests beyond the bound, undisturbed
-	Stale     int      `json:"stale"` // from daemons that knew
-	Never     int      `json:"never"` // after a long calm
-	WorstMs   float64  `json:"worst_ms"`
-	Broken    []string `json:"broken"` // the first of them
-	mu        sync.Mutex
-	drains    map[key]*drain
-	disturbed []span
+	Drains       int      `json:"drains"`
+	Judged       int      `json:"judged"` // drains reported after calmBefore without a disturbance
+	Starts       int      `json:"starts"` // of servers
+	Kills        int      `json:"kills"`  // of daemons
+	All          int      `json:"all_at_once"`
+	Cuts         int      `json:"cuts"`
+	Requests     int      `json:"requests"`
+	Late         int      `json:"late"`     // requests later than MaxReportDelay, without a disturbance
+	Stale        int      `json:"stale"`    // requests from daemons that had learnt of the drain
+	Never        int      `json:"never"`    // requests after CalmPeriod without a disturbance
+	WorstMs      float64  `json:"worst_ms"` // maximum delay of a request after an undisturbed report
+	Broken       []string `json:"broken"`   // the first violations
+	mu           sync.Mutex
+	drains       map[serverStart]*reportedDrain
+	disturbances []disturbance
 }
 
-type key struct {
+// serverStart identifies a process of a server by its start time, in Unix milliseconds.
+type serverStart struct {
 	server int
 	start  int64
 }
 
-type drain struct {
-	at    time.Time
-	by    int
-	known map[int]time.Time // by daemon, when it was seen to know
+// reportedDrain is a drain that was reported to one daemon first.
+type reportedDrain struct {
+	reportedAt time.Time
+	reporter   int
+	knownAt    map[int]time.Time // by daemon, when its admin API first listed the drain
 }
 
-type span struct{ from, to time.Time }
+// disturbance is a time in which a fault was injected; to is zero until its end.
+type disturbance struct{ from, to time.Time }
 
-// Run tortures. The fleet is to be loaded meanwhile, by the caller.
+// Run runs for the duration For. The caller must load the fleet meanwhile.
 func (t *Torture) Run(ctx context.Context) (*Tortured, error) {
-	r := &Tortured{drains: map[key]*drain{}}
+	result := &Tortured{drains: map[serverStart]*reportedDrain{}}
 	ctx, cancel := context.WithTimeout(ctx, t.For)
 	defer cancel()
 	for _, s := range t.Fleet.Servers {
 		s.mu.Lock()
-		s.watch = func(a Arrival) { r.arrived(s.Number, a) }
+		s.onArrival = func(a Arrival) { result.judgeArrival(s.Number, a) }
 		s.mu.Unlock()
 	}
 	var wg sync.WaitGroup
 	for _, d := range t.Fleet.Daemons {
-		wg.Go(func() { t.look(ctx, r, d) })
+		wg.Go(func() { t.watchKnownDrains(ctx, result, d) })
 	}
-	wg.Go(func() { t.turn(ctx, r) })
-	err := t.strike(ctx, r)
+	wg.Go(func() { t.drainAndRestart(ctx, result) })
+	err := t.injectFaults(ctx, result)
 	wg.Wait()
 	for _, s := range t.Fleet.Servers {
 		s.mu.Lock()
-		s.watch = nil
+		s.onArrival = nil
 		s.mu.Unlock()
 	}
-	return r, err
+	return result, err
 }
 
-// arrived judges a request.
-func (r *Tortured) arrived(server int, a Arrival) {
+// judgeArrival judges a request that reached a server. It is called for each of them, by several goroutines.
+func (r *Tortured) judgeArrival(server int, arrival Arrival) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Requests++
-	d := r.drains[key{server, a.Start}]
-	if d == nil {
+	drain := r.drains[serverStart{server, arrival.Start}]
+	if drain == nil {
 		return
 	}
-	late := a.At.Sub(d.at)
-	broken := func(n *int, what string) {
-		*n++
+	delay := arrival.At.Sub(drain.reportedAt)
+	addViolation := func(count *int, kind string) {
+		*count++
 		if len(r.Broken) < 20 {
-			r.Broken = append(r.Broken, fmt.Sprintf("%s: daemon %d sent to slot-%d %v after daemon %d heard that it drains", what, a.From, server,
-				late.Round(time.Millisecond), d.by))
+			r.Broken = append(r.Broken, fmt.Sprintf("%s: daemon %d sent to slot-%d %v after daemon %d heard that it drains",
+				kind, arrival.From, server, delay.Round(time.Millisecond), drain.reporter))
 		}
 	}
-	calm := r.calm(d.at.Add(-before), d.at.Add(Bound))
-	if calm {
-		r.WorstMs = max(r.WorstMs, float64(late)/1e6)
+	undisturbed := r.isUndisturbed(drain.reportedAt.Add(-calmBefore), drain.reportedAt.Add(MaxReportDelay))
+	if undisturbed {
+		r.WorstMs = max(r.WorstMs, float64(delay)/1e6)
 	}
-	switch at, ok := d.known[a.From]; {
-	case ok && a.At.Sub(at) > acted:
-		broken(&r.Stale, "stale")
-	case calm && late > Bound:
-		broken(&r.Late, "late")
-	case late > Calm && r.calm(a.At.Add(-Calm), a.At):
-		broken(&r.Never, "never told")
+	switch knownAt, ok := drain.knownAt[arrival.From]; {
+	case ok && arrival.At.Sub(knownAt) > attemptGrace:
+		addViolation(&r.Stale, "stale")
+	case undisturbed && delay > MaxReportDelay:
+		addViolation(&r.Late, "late")
+	case delay > CalmPeriod && r.isUndisturbed(arrival.At.Add(-CalmPeriod), arrival.At):
+		addViolation(&r.Never, "never told")
 	}
 }
 
-// calm says whether nothing was killed or cut in a time.
-func (r *Tortured) calm(from, to time.Time) bool {
-	return !slices.ContainsFunc(r.disturbed, func(s span) bool { return s.from.Before(to) && (s.to.IsZero() || s.to.After(from)) })
+// isUndisturbed reports whether no fault was injected in a time. The caller must hold the mutex.
+func (r *Tortured) isUndisturbed(from, to time.Time) bool {
+	return !slices.ContainsFunc(r.disturbances, func(disturbed disturbance) bool {
+		return disturbed.from.Before(to) && (disturbed.to.IsZero() || disturbed.to.After(from))
+	})
 }
 
-// disturb notes a time in which something is killed or cut; the function that it returns ends it.
-func (r *Tortured) disturb() func() {
+// beginDisturbance records the start of a fault. The function that it returns records the end.
+func (r *Tortured) beginDisturbance() func() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.disturbed = append(r.disturbed, span{from: time.Now()})
-	i := len(r.disturbed) - 1
+	r.disturbances = append(r.disturbances, disturbance{from: time.Now()})
+	index := len(r.disturbances) - 1
 	return func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.disturbed[i].to = time.Now()
+		r.disturbances[index].to = time.Now()
 	}
 }
 
-// look asks a daemon again and again which processes it knows to drain.
-func (t *Torture) look(ctx context.Context, r *Tortured, d *Daemon) {
-	at := map[string]int{}
-	for _, s := range t.Fleet.Servers {
-		at[s.Now().ID] = s.Number
+// watchKnownDrains polls a daemon for the drains that it knows of, and records when it learns of each.
+func (t *Torture) watchKnownDrains(ctx context.Context, result *Tortured, daemon *Daemon) {
+	numbers := map[string]int{}
+	for _, server := range t.Fleet.Servers {
+		numbers[server.Now().ID] = server.Number
 	}
 	for ctx.Err() == nil {
-		c, cancel := context.WithTimeout(ctx, time.Second)
-		facts, err := d.Client.Servers(c)
+		callCtx, cancel := context.WithTimeout(ctx, time.Second)
+		facts, err := daemon.Client.Servers(callCtx)
 		cancel()
 		now := time.Now()
-		r.mu.Lock()
-		for _, f := range facts {
-			if x := r.drains[key{at[f.ID], f.StartedMs}]; err == nil && f.Kind == "drains" && x != nil && x.known[d.Number].IsZero() {
-				x.known[d.Number] = now
+		result.mu.Lock()
+		for _, fact := range facts {
+			if drain := result.drains[serverStart{numbers[fact.ID], fact.StartedMs}]; err == nil &&
+				fact.Kind == "drains" && drain != nil && drain.knownAt[daemon.Number].IsZero() {
+				drain.knownAt[daemon.Number] = now
 			}
 		}
-		r.mu.Unlock()
+		result.mu.Unlock()
 		select {
 		case <-ctx.Done():
 		case <-time.After(50 * time.Millisecond):
@@ -165,60 +174,64 @@
 	}
 }
 
-// turn has servers drain and start anew.
-func (t *Torture) turn(ctx context.Context, r *Tortured) {
+// drainAndRestart drains servers at random, reports each drain to one daemon first, and restarts the servers.
+func (t *Torture) drainAndRestart(ctx context.Context, result *Tortured) {
 	rng := rand.New(rand.NewPCG(t.Seed, 1))
-	ends := map[int]time.Time{}
-	wait := func(least, most time.Duration) bool {
+	drainEnds := map[int]time.Time{}
+	wait := func(minDelay, maxDelay time.Duration) bool {
 		select {
 		case <-ctx.Done():
 			return false
-		case <-time.After(least + time.Duration(rng.Int64N(int64(most-least)))):
+		case <-time.After(minDelay + time.Duration(rng.Int64N(int64(maxDelay-minDelay)))):
 			return true
 		}
 	}
 	for wait(150*time.Millisecond, 600*time.Millisecond) {
-		for n, end := range ends {
+		for number, end := range drainEnds {
 			if time.Now().After(end) {
-				delete(ends, n)
-				s := t.Fleet.Servers[n]
-				in := s.Now()
-				in.Lifecycle, in.StartedMs = "up", time.Now().UnixMilli()
-				s.Set(in)
+				delete(drainEnds, number)
+				server := t.Fleet.Servers[number]
+				instance := server.Now()
+				instance.Lifecycle, instance.StartedMs = "up", time.Now().UnixMilli()
+				server.Set(instance)
 				for _, d := range t.Fleet.Daemons {
-					late := time.Duration(rng.Int64N(int64(300 * time.Millisecond)))
-					time.AfterFunc(late, func() { d.Tell(in) })
+					delay := time.Duration(rng.Int64N(int64(300 * time.Millisecond)))
+					time.AfterFunc(delay, func() { d.Tell(instance) })
 				}
-				r.mu.Lock()
-				r.Starts++
-				r.mu.Unlock()
+				result.mu.Lock()
+				result.Starts++
+				result.mu.Unlock()
 			}
 		}
-		n := rng.IntN(len(t.Fleet.Servers))
-		if _, drains := ends[n]; drains || len(ends) >= len(t.Fleet.Servers)/2 {
+		number := rng.IntN(len(t.Fleet.Servers))
+		if _, draining := drainEnds[number]; draining || len(drainEnds) >= len(t.Fleet.Servers)/2 {
 			continue
 		}
-		ends[n] = time.Now().Add(2*time.Second + time.Duration(rng.Int64N(int64(5*time.Second))))
-		s := t.Fleet.Servers[n]
-		in := s.Now()
-		in.Lifecycle = "draining"
-		first := rng.IntN(len(t.Fleet.Daemons))
+		drainEnds[number] = time.Now().Add(2*time.Second + time.Duration(rng.Int64N(int64(5*time.Second))))
+		server := t.Fleet.Servers[number]
+		instance := server.Now()
+		instance.Lifecycle = "draining"
+		reporter := rng.IntN(len(t.Fleet.Daemons))
 		now := time.Now()
-		r.mu.Lock()
-		r.drains[key{n, in.StartedMs}] = &drain{at: now, by: first, known: map[int]time.Time{}}
-		r.Drains++
-		if r.calm(now.Add(-before), now) {
-			r.Judged++
+		result.mu.Lock()
+		result.drains[serverStart{number, instance.StartedMs}] = &reportedDrain{
+			reportedAt: now,
+			reporter:   reporter,
+			knownAt:    map[int]time.Time{},
 		}
-		r.mu.Unlock()
-		s.Set(in)
-		t.Fleet.Daemons[first].Tell(in)
-		if rng.IntN(2) == 0 { // the others hear it as well, some of them late
+		result.Drains++
+		if result.isUndisturbed(now.Add(-calmBefore), now) {
+			result.Judged++
+		}
+		result.mu.Unlock()
+		server.Set(instance)
+		t.Fleet.Daemons[reporter].Tell(instance)
+		if rng.IntN(2) == 0 { // the other daemons also receive the report, some of them late
 			for i, d := range t.Fleet.Daemons {
-				if late := time.Duration(rng.Int64N(int64(2 * time.Second))); i != first {
-					time.AfterFunc(late, func() {
-						if s.Now().StartedMs == in.StartedMs {
-							d.Tell(in)
+				if delay := time.Duration(rng.Int64N(int64(2 * time.Second))); i != reporter {
+					time.AfterFunc(delay, func() {
+						if server.Now().StartedMs == instance.StartedMs {
+							d.Tell(instance)
 						}
 					})
 				}
@@ -227,70 +240,72 @@
 	}
 }
 
-// strike kills and cuts.
-func (t *Torture) strike(ctx context.Context, r *Tortured) error {
+// injectFaults kills daemons and cuts replicas off from each other at random.
+func (t *Torture) injectFaults(ctx context.Context, result *Tortured) error {
 	rng := rand.New(rand.NewPCG(t.Seed, 2))
 	replicas := t.Fleet.Daemons[:t.Fleet.cfg.Replicas]
-	for turn := 0; ; turn++ {
+	for round := 0; ; round++ {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-time.After(t.Every/2 + time.Duration(rng.Int64N(int64(t.Every)))):
 		}
-		end := r.disturb()
+		endDisturbance := result.beginDisturbance()
 		if rng.IntN(3) == 0 {
-			// All that comes in to one is lost without a word, or also what it sends to the others.
-			one := replicas[rng.IntN(len(replicas))]
-			cut := []*Daemon{one}
+			// Loses everything that other replicas send to one replica, or everything between all replicas.
+			replica := replicas[rng.IntN(len(replicas))]
+			isolated := []*Daemon{replica}
 			if rng.IntN(2) == 0 {
-				cut = replicas
+				isolated = replicas
 			}
-			set := func(on bool) {
-				for _, d := range cut {
-					d.in.Update(func(c *relay.Conditions) { c.BlackHole = on })
+			setBlackHole := func(active bool) {
+				for _, d := range isolated {
+					d.inbound.Update(func(c *relay.Conditions) { c.BlackHole = active })
 				}
 			}
-			set(true)
+			setBlackHole(true)
 			time.Sleep(time.Duration(rng.Int64N(int64(2 * time.Second))))
-			set(false)
-			r.mu.Lock()
-			r.Cuts++
-			r.mu.Unlock()
-			end()
+			setBlackHole(false)
+			result.mu.Lock()
+			result.Cuts++
+			result.mu.Unlock()
+			endDisturbance()
 			continue
 		}
-		victims := []*Daemon{t.Fleet.Daemons[turn%len(t.Fleet.Daemons)]}
-		all := rng.IntN(6) == 0
-		if all {
-			victims = t.Fleet.Daemons
+		daemons := []*Daemon{t.Fleet.Daemons[round%len(t.Fleet.Daemons)]}
+		killAll := rng.IntN(6) == 0
+		if killAll {
+			daemons = t.Fleet.Daemons
 		}
-		for _, d := range victims {
+		for _, d := range daemons {
 			d.Kill()
 		}
 		time.Sleep(time.Duration(rng.Int64N(int64(700 * time.Millisecond))))
-		for _, d := range victims {
+		for _, d := range daemons {
 			if err := d.Start(); err != nil {
 				return err
 			}
 		}
 		c, cancel := context.WithTimeout(context.WithoutCancel(ctx), 30*time.Second)
-		for _, d := range victims {
+		for _, d := range daemons {
 			if err := d.Ready(c); err != nil {
 				cancel()
 				return fmt.Errorf("%w\n%s", err, d.Log())
 			}
 		}
 		cancel()
-		end()
-		r.mu.Lock()
-		r.Kills += len(victims)
-		if all {
-			r.All++
+		endDisturbance()
+		result.mu.Lock()
+		result.Kills += len(daemons)
+		if killAll {
+			result.All++
 		}
 		if t.Say != nil {
-			t.Say(fmt.Sprintf("%d kills, %d cuts, %d drains, %d requests, %d stale, %d late, %d never told; worst %.0f ms", r.Kills, r.Cuts, r.Drains,
-				r.Requests, r.Stale, r.Late, r.Never, r.WorstMs))
+			t.Say(fmt.Sprintf(
+				"%d kills, %d cuts, %d drains, %d requests, %d stale, %d late, %d never told; worst %.0f ms",
+				result.Kills, result.Cuts, result.Drains, result.Requests,
+				result.Stale, result.Late, result.Never, result.WorstMs))
 		}
-		r.mu.Unlock()
+		result.mu.Unlock()
 	}
 }
