--- a/internal/lab/relay/connection.go
+++ b/internal/lab/relay/connection.go
@@ -23,7 +23,7 @@
 	cancel context.CancelFunc
 }
 
-// reset breaks the connection on both sides.
+// reset resets the connection on both sides, if it is open. It is safe for concurrent use.
 func (c *connection) reset() {
 	c.cancel()
 	reset(c.client)
--- a/internal/lab/relay/relay_test.go
+++ b/internal/lab/relay/relay_test.go
@@ -11,12 +11,12 @@
 	"go.uber.org/goleak"
 )
 
-// testTimeout bounds the waits for what must happen.
+// testTimeout is the maximum wait for an expected event.
 const testTimeout = 5 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// startLink starts a link to a target that calls handle for each connection, and returns the link and its address.
+// startLink starts a link to a target that calls handle for each connection. It returns the link and its address.
 func startLink(t *testing.T, c Conditions, handle func(net.Conn)) (*Link, string) {
 	t.Helper()
 	target, err := net.Listen("tcp", "127.0.0.1:0")
@@ -68,7 +68,7 @@
 	_, _ = io.Copy(c, c) // a reset by the link is a regular end
 }
 
-// exchange writes a text and returns as many bytes of what comes back.
+// exchange writes a text, and reads and returns as many bytes.
 func exchange(t *testing.T, c net.Conn, text string) string {
 	t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
@@ -81,7 +81,7 @@
 	return string(buf)
 }
 
-// Under all conditions that lose nothing, all bytes arrive in order, and so does the end of sending.
+// Checks that all bytes arrive in order, followed by the end of sending, under all conditions that lose nothing.
 func TestLinkDeliversAllBytesInOrder(t *testing.T) {
 	sent := bytes.Repeat([]byte("all of it, in order. "), 8000)
 	for name, c := range map[string]Conditions{
@@ -153,7 +153,7 @@
 	exchange(t, dial(t, addr), "after Listen")
 }
 
-// A black hole loses data silently; when it ends, the connections that lost data are reset and the others continue.
+// Checks that a black hole loses data silently, and that its end resets the connections that lost data and no others.
 func TestBlackHoleBreaksOnlyLossyConnectionsAtItsEnd(t *testing.T) {
 	received := make(chan string, 10)
 	l, addr := startLink(t, Conditions{}, func(c net.Conn) {
