--- a/internal/lab/address/address.go
+++ b/internal/lab/address/address.go
@@ -10,6 +10,7 @@
 	"syscall"
 )
 
+// Next hands out the ports from firstPort on, before it starts again.
 const (
 	firstPort = 10_000
 	ports     = 55_000
@@ -46,5 +47,5 @@
 	return listener.Close()
 }
 
-// Listen listens on the next address.
+// Listen listens on the address that Next returns.
 func Listen() (net.Listener, error) { return net.Listen("tcp", Next()) }
--- a/internal/lab/address/address_test.go
+++ b/internal/lab/address/address_test.go
@@ -8,51 +8,52 @@
 	"testing"
 )
 
-// A child process that is forked while an address is handed out must not keep the port in use.
-func TestNextBesideForks(t *testing.T) {
+// Guards against ports that are still in use when they are handed out: a child process that is forked at that moment
+// inherits the listening sockets of this process.
+func TestNextReturnsFreeAddressDuringForks(t *testing.T) {
 	const addresses = 4000
 	refused := 0
-	besideForks(t, func() {
+	whileForking(t, func() {
 		for range addresses {
-			ln, err := net.Listen("tcp", Next())
+			listener, err := net.Listen("tcp", Next())
 			if err != nil {
 				refused++
 				continue
 			}
-			if err := ln.Close(); err != nil {
+			if err := listener.Close(); err != nil {
 				t.Error(err)
 			}
 		}
 	})
 	if refused > 0 {
-		t.Errorf("%d of %d listens were refused", refused, addresses)
+		t.Errorf("%d of %d listens on new addresses failed", refused, addresses)
 	}
 }
 
-// Guards against "address already in use" where an address is listened on again, beside other processes' starts.
-func TestReleasedAddressIsFreeBesideForks(t *testing.T) {
+// Guards against "address already in use" when an address is listened on again while other processes are started.
+func TestReleasedAddressIsFreeDuringForks(t *testing.T) {
 	const listens = 4000
 	refused := 0
-	besideForks(t, func() {
+	whileForking(t, func() {
 		addr := Next()
 		for range listens {
-			ln, err := net.Listen("tcp", addr)
+			listener, err := net.Listen("tcp", addr)
 			if err != nil {
 				refused++
 				continue
 			}
-			if err := Release(ln); err != nil {
+			if err := Release(listener); err != nil {
 				t.Error(err)
 			}
 		}
 	})
 	if refused > 0 {
-		t.Errorf("%d of %d listens were refused", refused, listens)
+		t.Errorf("%d of %d listens on a released address failed", refused, listens)
 	}
 }
 
-// besideForks calls do while other goroutines start processes.
-func besideForks(t *testing.T, do func()) {
+// whileForking calls f while other goroutines start processes.
+func whileForking(t *testing.T, f func()) {
 	t.Helper()
 	const forkers = 8
 	var stop atomic.Bool
@@ -67,7 +68,7 @@
 			}
 		})
 	}
-	do()
+	f()
 	stop.Store(true)
 	wg.Wait()
 }
--- a/internal/lab/procfs/procfs.go
+++ b/internal/lab/procfs/procfs.go
@@ -1,5 +1,5 @@
 // Package procfs reads a process's use of processor time and memory from the kernel. All figures are 0 once the
-// process has ended. Its functions may be called from any goroutine; it imports only the standard library.
+// process has ended. Its functions are safe for concurrent use. The package imports only the standard library.
 package procfs
 
 import (
@@ -12,8 +12,8 @@
 
 const (
 	clockTick   = 10 * time.Millisecond // unit of processor time in /proc
-	userField   = 11                    // of /proc/PID/stat, counted from the state
-	systemField = 12
+	userField   = 11                    // index in /proc/PID/stat, where the state is field 0
+	systemField = 12                    // index in /proc/PID/stat
 	kBytesPerMB = 1024
 )
 
@@ -41,6 +41,6 @@
 	}
 	_, rest, _ := strings.Cut(string(text), name+":")
 	kb, _, _ := strings.Cut(strings.TrimSpace(rest), " ")
-	n, _ := strconv.ParseFloat(kb, 64)
-	return n / kBytesPerMB
+	value, _ := strconv.ParseFloat(kb, 64)
+	return value / kBytesPerMB
 }
