--- a/internal/lab/bench/bench.go
+++ b/internal/lab/bench/bench.go
@@ -1,4 +1,4 @@
-// Package bench measures the sidecar beside no proxy and beside Go's httputil.ReverseProxy, in one run, over the same
+// Package bench compares the sidecar in one run with direct connections and with Go's httputil.ReverseProxy, over
 // servers that answer at once. Each party is a process of its own with GOMAXPROCS=1.
 package bench
 
@@ -28,18 +28,18 @@
 
 // Options of a benchmark.
 type Options struct {
-	Self     []string // this command, to run a party: the role and its configuration are added
-	Conns    []int    // connections, each with one request at a time
-	Sizes    []int    // servers in the list, for the growth
-	For      time.Duration
+	Self     []string      // command that runs a party; the role and its configuration are appended
+	Conns    []int         // numbers of connections, each with one request at a time
+	Sizes    []int         // numbers of servers in the endpoint list
+	For      time.Duration // of each measurement
 	Rounds   int
-	Profile  string // folder for CPU profiles of the sidecar, by connections; empty for none
-	Progress func(done, of int)
+	Profile  string             // folder for CPU profiles of the sidecar, one a number of connections; "" for none
+	Progress func(done, of int) // called before each measurement; may be nil
 }
 
 // Row is one measurement.
 type Row struct {
-	Party    string  `json:"party"` // "direct", "reverse-proxy", "sidecar"
+	Party    string  `json:"party"` // "direct", "reverse-proxy" or "sidecar"
 	Conns    int     `json:"connections"`
 	Servers  int     `json:"servers"`
 	Requests int     `json:"requests"`
@@ -47,32 +47,34 @@
 	P50      float64 `json:"p50_us"`
 	P99      float64 `json:"p99_us"`
 	P999     float64 `json:"p999_us"`
-	CPU      float64 `json:"cpu_us_per_request"` // of the party's process
+	CPU      float64 `json:"cpu_us_per_request"` // processor time of the party's process
 	Allocs   float64 `json:"allocs_per_request"`
 	Bytes    float64 `json:"bytes_per_request"`
-	PeakMB   float64 `json:"peak_mb"` // resident, since the party's start
+	PeakMB   float64 `json:"peak_mb"` // peak resident memory since the party's start
 	Refused  int     `json:"refused"` // answers that were not 200
-	Broken   int     `json:"broken"`  // connections that ended
+	Broken   int     `json:"broken"`  // connections that failed
 }
 
 const (
-	warmUp = 500 * time.Millisecond
+	warmUpDuration = 500 * time.Millisecond
 )
 
-// party is a process under measurement.
+// party is a process of the benchmark, which Peer runs.
 type party struct {
-	cmd   *exec.Cmd
-	in    io.WriteCloser
-	out   *bufio.Reader
-	addrs []string
+	cmd    *exec.Cmd
+	stdin  io.WriteCloser
+	stdout *bufio.Reader
+	addrs  []string
 }
 
-func start(ctx context.Context, self []string, role, config string) (*party, error) {
+// startParty starts a party and waits for its first line, which contains its addresses.
+func startParty(ctx context.Context, self []string, role, config string) (*party, error) {
 	p := &party{cmd: exec.CommandContext(ctx, self[0], append(append([]string{}, self[1:]...), role, config)...)}
 	p.cmd.Stderr = os.Stderr
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // ends when its input does, whatever becomes of us
+	// A party ends at the end of its input, which also comes when this process is killed.
+	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	var err error
-	if p.in, err = p.cmd.StdinPipe(); err != nil {
+	if p.stdin, err = p.cmd.StdinPipe(); err != nil {
 		return nil, err
 	}
 	out, err := p.cmd.StdoutPipe()
@@ -82,8 +84,8 @@
 	if err := p.cmd.Start(); err != nil {
 		return nil, err
 	}
-	p.out = bufio.NewReaderSize(out, 1<<20)
-	line, err := p.out.ReadString('\n')
+	p.stdout = bufio.NewReaderSize(out, 1<<20)
+	line, err := p.stdout.ReadString('\n')
 	if err != nil {
 		p.stop()
 		return nil, fmt.Errorf("%s did not start: %w", role, err)
@@ -93,33 +95,35 @@
 }
 
 func (p *party) stop() {
-	p.in.Close()
+	p.stdin.Close()
 	p.cmd.Wait()
 }
 
-func (p *party) ask(line string) (string, error) {
-	if _, err := io.WriteString(p.in, line+"\n"); err != nil {
+// command sends a line to the party and returns the line that it answers.
+func (p *party) command(line string) (string, error) {
+	if _, err := io.WriteString(p.stdin, line+"\n"); err != nil {
 		return "", err
 	}
-	return p.out.ReadString('\n')
+	return p.stdout.ReadString('\n')
 }
 
 func (p *party) memory() (m Memory, err error) {
-	line, err := p.ask("memory")
+	line, err := p.command("memory")
 	if err == nil {
 		err = json.Unmarshal([]byte(line), &m)
 	}
 	return m, err
 }
 
-// cpu is the processor time that the process has had.
+// cpu returns the processor time that the process has used.
 func (p *party) cpu() time.Duration { return procfs.CPU(p.cmd.Process.Pid) }
 
 func (p *party) peakMB() float64 { return procfs.MB(p.cmd.Process.Pid, "VmHWM") }
 
-// Run measures all parties at all numbers of connections over ten servers, then the sidecar's growth with the number
-// of servers. Within a round the parties take turns, so that what else the machine does meets all of them.
-func Run(ctx context.Context, o Options) ([]Row, error) {
+// Run measures all parties with each number of connections over 10 servers, and both proxies with 16 connections over
+// each other number of servers. Within a round the parties take turns, so that other load on the machine affects all
+// of them.
+func Run(ctx context.Context, opts Options) ([]Row, error) {
 	dir, err := os.MkdirTemp("", "birchmoor-bench-")
 	if err != nil {
 		return nil, err
@@ -130,13 +134,13 @@
 		conns, servers int
 	}
 	var jobs []job
-	for range o.Rounds {
-		for _, c := range o.Conns {
+	for range opts.Rounds {
+		for _, c := range opts.Conns {
 			for _, role := range []string{"direct", "reverse-proxy", "sidecar"} {
 				jobs = append(jobs, job{role, c, 10})
 			}
 		}
-		for _, n := range o.Sizes {
+		for _, n := range opts.Sizes {
 			if n != 10 {
 				for _, role := range []string{"reverse-proxy", "sidecar"} {
 					jobs = append(jobs, job{role, 16, n})
@@ -145,11 +149,11 @@
 		}
 	}
 	var rows []Row
-	for i, j := range jobs {
-		if o.Progress != nil {
-			o.Progress(i, len(jobs))
+	for i, next := range jobs {
+		if opts.Progress != nil {
+			opts.Progress(i, len(jobs))
 		}
-		row, err := measure(ctx, &o, dir, j.role, j.conns, j.servers)
+		row, err := measure(ctx, &opts, dir, next.role, next.conns, next.servers)
 		if err != nil {
 			return rows, err
 		}
@@ -158,79 +162,85 @@
 	return rows, nil
 }
 
-func measure(ctx context.Context, o *Options, dir, role string, conns, count int) (*Row, error) {
-	behind, err := start(ctx, o.Self, "servers", strconv.Itoa(count))
+// measure starts one party and its servers, and takes one measurement.
+func measure(ctx context.Context, opts *Options, dir, role string, conns, servers int) (*Row, error) {
+	backend, err := startParty(ctx, opts.Self, "servers", strconv.Itoa(servers))
 	if err != nil {
 		return nil, err
 	}
-	defer behind.stop()
-	front := behind
+	defer backend.stop()
+	frontend := backend
 	switch role {
 	case "reverse-proxy":
-		text, _ := json.Marshal(behind.addrs)
-		front, err = start(ctx, o.Self, role, string(text))
+		text, _ := json.Marshal(backend.addrs)
+		frontend, err = startParty(ctx, opts.Self, role, string(text))
 	case "sidecar":
 		path := filepath.Join(dir, "config.json")
-		if err := configure(path, behind.addrs); err != nil {
+		if err := writeConfig(path, backend.addrs); err != nil {
 			return nil, err
 		}
-		front, err = start(ctx, o.Self, role, path)
+		frontend, err = startParty(ctx, opts.Self, role, path)
 	}
 	if err != nil {
 		return nil, err
 	}
-	if front != behind {
-		defer front.stop()
+	if frontend != backend {
+		defer frontend.stop()
 	}
 	if role == "sidecar" {
-		if err := ready(ctx, front.addrs[0]); err != nil {
+		if err := waitReady(ctx, frontend.addrs[0]); err != nil {
 			return nil, err
 		}
 	}
-	addrs := front.addrs
+	addrs := frontend.addrs
 	if role != "direct" {
 		addrs = addrs[:1]
 	}
-	l := &load{addrs: addrs, stop: make(chan struct{})}
-	l.run(conns, warmUp)
-	row := &Row{Party: role, Conns: conns, Servers: count}
-	profile := o.Profile != "" && role == "sidecar" && count == 10
+	generator := &loadGenerator{addrs: addrs, stop: make(chan struct{})}
+	generator.run(conns, warmUpDuration)
+	row := &Row{Party: role, Conns: conns, Servers: servers}
+	profile := opts.Profile != "" && role == "sidecar" && servers == 10
 	if profile {
-		if _, err := io.WriteString(front.in, "profile "+filepath.Join(o.Profile, fmt.Sprintf("sidecar-%d.pprof", conns))+"\n"); err != nil {
+		if _, err := io.WriteString(frontend.stdin,
+			"profile "+filepath.Join(opts.Profile, fmt.Sprintf("sidecar-%d.pprof", conns))+"\n"); err != nil {
 			return nil, err
 		}
 	}
-	m0, err := front.memory()
+	memoryBefore, err := frontend.memory()
 	if err != nil {
 		return nil, err
 	}
-	c0 := front.cpu()
-	took := l.run(conns, o.For)
-	c1 := front.cpu()
-	m1, err := front.memory()
+	cpuBefore := frontend.cpu()
+	took := generator.run(conns, opts.For)
+	cpuAfter := frontend.cpu()
+	memoryAfter, err := frontend.memory()
 	if err != nil {
 		return nil, err
 	}
 	if profile {
-		if _, err := front.ask("profiled"); err != nil {
+		if _, err := frontend.command("profiled"); err != nil {
 			return nil, err
 		}
 	}
-	n := float64(max(1, l.requests))
-	row.Requests, row.Refused, row.Broken = l.requests, l.refused, l.broken
-	row.Rate = float64(l.requests) / took.Seconds()
-	row.P50, row.P99, row.P999 = us(l.hist, 50), us(l.hist, 99), us(l.hist, 99.9)
-	row.CPU = float64((c1 - c0).Microseconds()) / n
-	row.Allocs, row.Bytes = float64(m1.Mallocs-m0.Mallocs)/n, float64(m1.Bytes-m0.Bytes)/n
-	row.PeakMB = front.peakMB()
+	requests := float64(max(1, generator.requests))
+	row.Requests, row.Refused, row.Broken = generator.requests, generator.rejected, generator.brokenConns
+	row.Rate = float64(generator.requests) / took.Seconds()
+	row.P50, row.P99, row.P999 = quantileMicros(generator.histogram, 50),
+		quantileMicros(generator.histogram, 99), quantileMicros(generator.histogram, 99.9)
+	row.CPU = float64((cpuAfter - cpuBefore).Microseconds()) / requests
+	row.Allocs, row.Bytes = float64(memoryAfter.Mallocs-memoryBefore.Mallocs)/requests,
+		float64(memoryAfter.Bytes-memoryBefore.Bytes)/requests
+	row.PeakMB = frontend.peakMB()
 	return row, nil
 }
 
-func us(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
+func quantileMicros(histogram *hdrhistogram.Histogram, quantile float64) float64 {
+	return float64(histogram.ValueAtQuantile(quantile)) / 1000
+}
 
-// configure writes a configuration of the sidecar that knows these servers; nobody answers as discovery.
-func configure(path string, addrs []string) error {
-	s, err := scenario.Parse("bench", []byte(`name = "bench"
+// writeConfig writes a configuration of the sidecar with a list of servers. Nothing listens on its discovery address.
+func writeConfig(path string, addrs []string) error {
+	sc, err := scenario.Parse("bench", []byte(`name = "bench"
 [fleet]
 sidecars = 1
 zones = ["a"]
@@ -246,32 +256,47 @@
 	if err != nil {
 		return err
 	}
-	var list []map[string]any
-	for i, a := range addrs {
-		list = append(list, map[string]any{"instanceId": fmt.Sprintf("s%d", i), "hostPort": a, "zone": "a", "machineType": "kind-0",
-			"cell": 0, "lifecycle": "up", "weight": 1, "startedAtMs": 0})
+	var instances []map[string]any
+	for i, addr := range addrs {
+		instances = append(instances, map[string]any{
+			"instanceId":  fmt.Sprintf("s%d", i),
+			"hostPort":    addr,
+			"zone":        "a",
+			"machineType": "kind-0",
+			"cell":        0,
+			"lifecycle":   "up",
+			"weight":      1,
+			"startedAtMs": 0,
+		})
 	}
-	text, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1",
-		"limits": map[string]any{"memory_mb": 192, "sockets": 4096}, "settings": told.Settings(s, 0),
-		"known": map[string]any{"generation": 1, "reset": true, "instances": list}})
+	text, err := json.Marshal(map[string]any{
+		"name":      "n0",
+		"listen":    "127.0.0.1:0",
+		"discovery": "127.0.0.1:1",
+		"seed":      "1",
+		"limits":    map[string]any{"memory_mb": 192, "sockets": 4096},
+		"settings":  told.Settings(sc, 0),
+		"known":     map[string]any{"generation": 1, "reset": true, "instances": instances},
+	})
 	if err != nil {
 		return err
 	}
 	return os.WriteFile(path, text, 0o600)
 }
 
-func ready(ctx context.Context, addr string) error {
+// waitReady waits until the sidecar answers its readiness check.
+func waitReady(ctx context.Context, addr string) error {
 	ctx, cancel := context.WithTimeout(ctx, 10*time.Second)
 	defer cancel()
 	for {
-		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/-/ready", nil)
+		request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/-/ready", nil)
 		if err != nil {
 			return err
 		}
-		resp, err := http.DefaultTransport.RoundTrip(req)
+		response, err := http.DefaultTransport.RoundTrip(request)
 		if err == nil {
-			resp.Body.Close()
-			if resp.StatusCode == http.StatusOK {
+			response.Body.Close()
+			if response.StatusCode == http.StatusOK {
 				return nil
 			}
 		}
@@ -283,92 +308,95 @@
 	}
 }
 
-// load asks as fast as answers come, one request at a time on each connection.
-type load struct {
-	addrs    []string
-	stop     chan struct{}
-	hist     *hdrhistogram.Histogram // of nanoseconds
-	requests int
-	refused  int
-	broken   int
-	ids      uint64
+// loadGenerator sends requests without a pause, one at a time on each connection. Its counts are those of the last run.
+type loadGenerator struct {
+	addrs       []string
+	stop        chan struct{}
+	histogram   *hdrhistogram.Histogram // of nanoseconds
+	requests    int
+	rejected    int    // answers that were not 200
+	brokenConns int    // connections that failed
+	runs        uint64 // part of the IDs of requests
 }
 
-func (l *load) run(conns int, d time.Duration) time.Duration {
-	l.hist, l.requests, l.refused, l.broken = hdrhistogram.New(1, int64(time.Minute), 3), 0, 0, 0
-	l.ids++
+// run sends requests for a duration, and returns how long it took until the last answer.
+func (g *loadGenerator) run(conns int, duration time.Duration) time.Duration {
+	g.histogram, g.requests, g.rejected, g.brokenConns = hdrhistogram.New(1, int64(time.Minute), 3), 0, 0, 0
+	g.runs++
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	began := time.Now()
-	end := began.Add(d)
-	for n := range conns {
+	startedAt := time.Now()
+	end := startedAt.Add(duration)
+	for conn := range conns {
 		wg.Go(func() {
-			w := worker{hist: hdrhistogram.New(1, int64(time.Minute), 3), id: l.ids<<56 | uint64(n)<<32}
+			w := worker{histogram: hdrhistogram.New(1, int64(time.Minute), 3), id: g.runs<<56 | uint64(conn)<<32}
 			for time.Now().Before(end) {
-				if w.talk(l.addrs[n%len(l.addrs)], end) != nil {
-					w.broken++
+				if w.sendRequests(g.addrs[conn%len(g.addrs)], end) != nil {
+					w.brokenConns++
 				}
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			l.hist.Merge(w.hist)
-			l.requests += w.requests
-			l.refused += w.refused
-			l.broken += w.broken
+			g.histogram.Merge(w.histogram)
+			g.requests += w.requests
+			g.rejected += w.rejected
+			g.brokenConns += w.brokenConns
 		})
 	}
 	wg.Wait()
-	return time.Since(began)
+	return time.Since(startedAt)
 }
 
+// worker sends the requests of one connection of a loadGenerator.
 type worker struct {
-	hist                      *hdrhistogram.Histogram
-	id                        uint64
-	requests, refused, broken int
+	histogram                       *hdrhistogram.Histogram
+	id                              uint64
+	requests, rejected, brokenConns int
 }
 
-// talk asks on one connection until the end.
-func (w *worker) talk(addr string, end time.Time) error {
-	c, err := net.DialTimeout("tcp", addr, time.Second)
+// sendRequests sends requests on one new connection until an instant.
+func (w *worker) sendRequests(addr string, end time.Time) error {
+	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return err
 	}
-	defer c.Close()
-	c.SetDeadline(end.Add(5 * time.Second))
-	in := bufio.NewReader(c)
-	buf := make([]byte, 0, 256)
+	defer conn.Close()
+	conn.SetDeadline(end.Add(5 * time.Second))
+	reader := bufio.NewReader(conn)
+	request := make([]byte, 0, 256)
 	for time.Now().Before(end) {
 		w.id++
-		buf = append(buf[:0], "GET /look/1 HTTP/1.1\r\nHost: origin.svc\r\nX-Qos: look\r\nX-Expires-In-Ms: 1000\r\nX-Trace-Id: "...)
-		buf = strconv.AppendUint(buf, w.id, 16)
-		buf = append(buf, "\r\n\r\n"...)
-		began := time.Now()
-		if _, err := c.Write(buf); err != nil {
+		request = append(request[:0],
+			"GET /look/1 HTTP/1.1\r\nHost: origin.svc\r\nX-Qos: look\r\nX-Expires-In-Ms: 1000\r\nX-Trace-Id: "...)
+		request = strconv.AppendUint(request, w.id, 16)
+		request = append(request, "\r\n\r\n"...)
+		sentAt := time.Now()
+		if _, err := conn.Write(request); err != nil {
 			return err
 		}
-		code, err := answer(in)
+		status, err := readAnswer(reader)
 		if err != nil {
 			return err
 		}
-		w.hist.RecordValue(max(1, time.Since(began).Nanoseconds()))
+		w.histogram.RecordValue(max(1, time.Since(sentAt).Nanoseconds()))
 		w.requests++
-		if code != http.StatusOK {
-			w.refused++
+		if status != http.StatusOK {
+			w.rejected++
 		}
 	}
 	return nil
 }
 
-// answer reads a whole answer that tells its length.
-func answer(in *bufio.Reader) (code int, err error) {
-	line, err := in.ReadSlice('\n')
+// readAnswer reads a response with a Content-Length, and returns its status.
+func readAnswer(reader *bufio.Reader) (status int, err error) {
+	line, err := reader.ReadSlice('\n')
 	if err != nil || len(line) < 12 {
 		return 0, fmt.Errorf("no answer: %w", err)
 	}
-	code, _ = strconv.Atoi(string(line[9:12]))
+	status, _ = strconv.Atoi(string(line[9:12]))
 	length := 0
 	for {
-		if line, err = in.ReadSlice('\n'); err != nil {
+		if line, err = reader.ReadSlice('\n'); err != nil {
 			return 0, err
 		}
 		if len(line) <= 2 {
@@ -378,6 +406,6 @@
 			length, _ = strconv.Atoi(strings.TrimSpace(value))
 		}
 	}
-	_, err = in.Discard(length)
-	return code, err
+	_, err = reader.Discard(length)
+	return status, err
 }
--- a/internal/lab/bench/peer.go
+++ b/internal/lab/bench/peer.go
@@ -24,15 +24,15 @@
 	"birchmoor/internal/dataplane/sidecar"
 )
 
-// Memory is what a peer has allocated so far.
+// Memory is what a party has allocated since its start.
 type Memory struct {
-	Mallocs uint64 `json:"mallocs"`
+	Mallocs uint64 `json:"mallocs"` // number of allocations
 	Bytes   uint64 `json:"bytes"`
 }
 
-// Peer runs one party of the benchmark in this process: "servers", "reverse-proxy" or "sidecar". It listens on
-// loopback, prints where, and then obeys lines on in until that ends: "memory" prints a Memory, "profile FILE" begins
-// a CPU profile and "profiled" ends it.
+// Peer runs one party of the benchmark in this process: "servers", "reverse-proxy" or "sidecar". It listens on loopback
+// and prints its addresses on a line. Then it executes the commands on in, one a line, until in ends: "memory" prints a
+// Memory as JSON, "profile FILE" starts a CPU profile, and "profiled" ends the profile and prints "done".
 func Peer(ctx context.Context, role, config string, in io.Reader, out io.Writer) error {
 	runtime.GOMAXPROCS(1)
 	ctx, cancel := context.WithCancel(ctx)
@@ -41,13 +41,13 @@
 	var err error
 	switch role {
 	case "servers":
-		addrs, err = servers(config)
+		addrs, err = startServers(config)
 	case "reverse-proxy":
-		addrs, err = reverseProxy(config)
+		addrs, err = startReverseProxy(config)
 	case "sidecar":
-		addrs, err = runSidecar(ctx, config)
+		addrs, err = startSidecar(ctx, config)
 	default:
-		err = fmt.Errorf("no such role: %s", role)
+		err = fmt.Errorf("unknown role %q", role)
 	}
 	if err != nil {
 		return err
@@ -56,16 +56,16 @@
 	var profile *os.File
 	lines := bufio.NewScanner(in)
 	for lines.Scan() {
-		word, rest, _ := strings.Cut(lines.Text(), " ")
-		switch word {
+		command, argument, _ := strings.Cut(lines.Text(), " ")
+		switch command {
 		case "memory":
-			var m runtime.MemStats
-			runtime.ReadMemStats(&m)
-			if err := json.NewEncoder(out).Encode(Memory{m.Mallocs, m.TotalAlloc}); err != nil {
+			var stats runtime.MemStats
+			runtime.ReadMemStats(&stats)
+			if err := json.NewEncoder(out).Encode(Memory{stats.Mallocs, stats.TotalAlloc}); err != nil {
 				return err
 			}
 		case "profile":
-			if profile, err = os.Create(rest); err != nil {
+			if profile, err = os.Create(argument); err != nil {
 				return err
 			}
 			if err := pprof.StartCPUProfile(profile); err != nil {
@@ -80,90 +80,91 @@
 	return lines.Err()
 }
 
-func local() (net.Listener, error) { return net.Listen("tcp", "127.0.0.1:0") }
+func listenLoopback() (net.Listener, error) { return net.Listen("tcp", "127.0.0.1:0") }
 
 var (
-	served = []byte("HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\nserved at once.\n")
-	loaded = []byte("HTTP/1.1 200 OK\r\nContent-Length: 49\r\n\r\nTEXT busy_reqs=0, cpu_share=0.1, served_ps=100.00")
+	okResponse         = []byte("HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\nserved at once.\n")
+	loadReportResponse = []byte("HTTP/1.1 200 OK\r\nContent-Length: 49\r\n\r\nTEXT busy_reqs=0, cpu_share=0.1, served_ps=100.00")
 )
 
-// servers runs so many servers that answer at once, with as little work as can be.
-func servers(count string) ([]string, error) {
-	var n int
-	if _, err := fmt.Sscan(count, &n); err != nil || n < 1 || n > 2000 {
-		return nil, fmt.Errorf("so many servers cannot be run: %q", count)
+// startServers starts a number of servers, which answer at once and with as little work as possible, and returns their
+// addresses.
+func startServers(count string) ([]string, error) {
+	var number int
+	if _, err := fmt.Sscan(count, &number); err != nil || number < 1 || number > 2000 {
+		return nil, fmt.Errorf("number of servers %q is not between 1 and 2000", count)
 	}
 	var addrs []string
-	for range n {
-		ln, err := local()
+	for range number {
+		listener, err := listenLoopback()
 		if err != nil {
 			return nil, err
 		}
-		addrs = append(addrs, ln.Addr().String())
+		addrs = append(addrs, listener.Addr().String())
 		go func() {
 			for {
-				c, err := ln.Accept()
+				conn, err := listener.Accept()
 				if err != nil {
 					return
 				}
-				go instant(c)
+				go serveAtOnce(conn)
 			}
 		}()
 	}
 	return addrs, nil
 }
 
-// instant answers each request, which has no body, as soon as its head has ended.
-func instant(c net.Conn) {
-	defer c.Close()
+// serveAtOnce answers each request at the end of its headers. Requests must not have a body.
+func serveAtOnce(conn net.Conn) {
+	defer conn.Close()
 	buf := make([]byte, 4096)
-	n := 0
+	buffered := 0
 	for {
-		m, err := c.Read(buf[n:])
-		if err != nil || n+m == len(buf) {
+		read, err := conn.Read(buf[buffered:])
+		if err != nil || buffered+read == len(buf) {
 			return
 		}
-		n += m
+		buffered += read
 		for {
-			end := bytes.Index(buf[:n], []byte("\r\n\r\n"))
+			end := bytes.Index(buf[:buffered], []byte("\r\n\r\n"))
 			if end < 0 {
 				break
 			}
-			answer := served
-			if bytes.HasPrefix(buf[:n], []byte("GET /-/load")) {
-				answer = loaded
+			response := okResponse
+			if bytes.HasPrefix(buf[:buffered], []byte("GET /-/load")) {
+				response = loadReportResponse
 			}
-			if _, err := c.Write(answer); err != nil {
+			if _, err := conn.Write(response); err != nil {
 				return
 			}
-			n = copy(buf, buf[end+4:n])
+			buffered = copy(buf, buf[end+4:buffered])
 		}
 	}
 }
 
-// reverseProxy runs the standard library's, over the servers in turn.
-func reverseProxy(targets string) ([]string, error) {
+// startReverseProxy starts the standard library's reverse proxy, which sends requests to the targets in turn.
+func startReverseProxy(targets string) ([]string, error) {
 	var hosts []string
 	if err := json.Unmarshal([]byte(targets), &hosts); err != nil {
 		return nil, err
 	}
-	var turn atomic.Uint64
-	p := &httputil.ReverseProxy{
+	var requests atomic.Uint64
+	proxy := &httputil.ReverseProxy{
 		Rewrite: func(r *httputil.ProxyRequest) {
-			r.SetURL(&url.URL{Scheme: "http", Host: hosts[turn.Add(1)%uint64(len(hosts))]})
+			r.SetURL(&url.URL{Scheme: "http", Host: hosts[requests.Add(1)%uint64(len(hosts))]})
 		},
 		Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true},
 	}
-	ln, err := local()
+	listener, err := listenLoopback()
 	if err != nil {
 		return nil, err
 	}
-	go http.Serve(ln, p)
-	return []string{ln.Addr().String()}, nil
+	go http.Serve(listener, proxy)
+	return []string{listener.Addr().String()}, nil
 }
 
-// runSidecar runs ours, as the platform's command does.
-func runSidecar(ctx context.Context, path string) ([]string, error) {
+// startSidecar starts the sidecar as the platform's command does, with the configuration at a path.
+func startSidecar(ctx context.Context, path string) ([]string, error) {
 	read := func() (*config.Config, error) {
 		return config.Read(func(name string) string {
 			if name == "ROUTER_CONFIG" {
@@ -172,23 +173,28 @@
 			return ""
 		})
 	}
-	c, err := read()
+	loaded, err := read()
 	if err != nil {
 		return nil, err
 	}
-	ln, err := net.Listen("tcp", c.Listen)
+	listener, err := net.Listen("tcp", loaded.Listen)
 	if err != nil {
 		return nil, err
 	}
-	go sidecar.Run(ctx, c, sidecar.Host{Socket: given{ln}, Overrides: maintenance.Discard{}, Reload: make(chan os.Signal), ReadConfig: read,
-		Log: slog.New(slog.DiscardHandler)})
-	return []string{ln.Addr().String()}, nil
+	go sidecar.Run(ctx, loaded, sidecar.Host{
+		Socket:     openListener{listener},
+		Overrides:  maintenance.Discard{},
+		Reload:     make(chan os.Signal),
+		ReadConfig: read,
+		Log:        slog.New(slog.DiscardHandler),
+	})
+	return []string{listener.Addr().String()}, nil
 }
 
-// given is a listener that is there already.
-type given struct{ net.Listener }
+// openListener is a handover.Socket that returns a listener which is already open.
+type openListener struct{ net.Listener }
 
-var _ handover.Socket = given{}
+var _ handover.Socket = openListener{}
 
-// Listen returns it.
-func (g given) Listen() (net.Listener, error) { return g.Listener, nil }
+// Listen returns the open listener.
+func (g openListener) Listen() (net.Listener, error) { return g.Listener, nil }
