--- a/internal/lab/storebench/bench.go
+++ b/internal/lab/storebench/bench.go
@@ -1,7 +1,8 @@
-// Package storebench measures the replicated store on real disks and sockets, and tortures it with real processes.
+// Package storebench measures the replicated store on real disks and sockets, and checks it under kills and partitions
+// of real processes.
 //
-// All figures of a run are of one machine in one go, the limit among them: a bare bbolt file with the same sync. What
-// holds elsewhere are the ratios and how figures grow.
+// All figures of a run come from one machine, among them the upper limit, which is a bare bbolt file with the same
+// sync. Only the ratios and the growth of figures are valid for other machines.
 package storebench
 
 import (
@@ -24,134 +25,137 @@
 	"go.etcd.io/bbolt"
 )
 
-// Options say what is measured.
+// Options of a run.
 type Options struct {
-	Dir     string        // for the disks; a temporary folder within it
-	For     time.Duration // each figure; 3 s
-	Writers []int         // at once; 1, 16, 256
-	Bytes   int           // of a value; 100
-	CatchUp int           // megabytes that an empty replica is given; 0 for not at all
-	Million int           // writes after which memory and disk are told; 0 for not at all
-	Say     func(string)  // progress
+	Dir     string        // parent of the temporary folder for the stores
+	For     time.Duration // of each measurement; 0 for 3 s
+	Writers []int         // numbers of concurrent writers; empty for 1, 16 and 256
+	Bytes   int           // of a value; 0 for 100
+	CatchUp int           // megabytes of the store that an empty replica copies; 0 to skip this measurement
+	Million int           // writes after which memory and disk are measured; 0 to skip this measurement
+	Say     func(string)  // called with the progress; may be nil
 }
 
-// Rate is a figure.
+// Rate is the measured rate of one operation.
 type Rate struct {
 	What    string  `json:"what"`
-	Writers int     `json:"at_once"`
-	Each    float64 `json:"a_second"`
+	Writers int     `json:"at_once"`  // concurrent writers or readers
+	Each    float64 `json:"a_second"` // operations a second
 	P50     float64 `json:"p50_ms"`
 	P99     float64 `json:"p99_ms"`
-	Limit   float64 `json:"of_limit,omitempty"` // over bare bbolt, one writer
+	Limit   float64 `json:"of_limit,omitempty"` // ratio of Each to that of bare bbolt with one writer
 }
 
-// Result is what was measured.
+// Result is the result of a run.
 type Result struct {
 	CPUs     int       `json:"cpus"`
 	Rates    []Rate    `json:"rates"`
-	Leader   []float64 `json:"without_leader_ms,omitempty"` // from a kill to the next write elsewhere
-	CatchUp  float64   `json:"catch_up_s,omitempty"`
-	CaughtMB float64   `json:"caught_mb,omitempty"`
-	Writes   int       `json:"writes,omitempty"`
+	Leader   []float64 `json:"without_leader_ms,omitempty"` // from a kill of the leader to the next write
+	CatchUp  float64   `json:"catch_up_s,omitempty"`        // until an empty replica votes
+	CaughtMB float64   `json:"caught_mb,omitempty"`         // size of the store at that time
+	Writes   int       `json:"writes,omitempty"`            // before HeapMB and DiskMB were measured
 	HeapMB   float64   `json:"heap_mb,omitempty"`
 	DiskMB   float64   `json:"disk_mb,omitempty"`
 }
 
-// measure runs f from so many goroutines for a while.
-func measure(what string, workers int, life time.Duration, f func(worker, i int) error) (Rate, error) {
-	hist := make([]*hdrhistogram.Histogram, workers)
+// measure runs an operation in a number of goroutines for a duration. The operation receives the numbers of the
+// goroutine and of its call. An error ends its goroutine and fails the measurement.
+func measure(what string, workers int, duration time.Duration, operation func(worker, i int) error) (Rate, error) {
+	histograms := make([]*hdrhistogram.Histogram, workers)
 	errs := make([]error, workers)
-	begin := time.Now()
+	startedAt := time.Now()
 	var wg sync.WaitGroup
-	for w := range workers {
-		hist[w] = hdrhistogram.New(1, 60_000_000, 3)
+	for worker := range workers {
+		histograms[worker] = hdrhistogram.New(1, 60_000_000, 3)
 		wg.Go(func() {
-			for i := 0; time.Since(begin) < life; i++ {
-				at := time.Now()
-				if errs[w] = f(w, i); errs[w] != nil {
+			for i := 0; time.Since(startedAt) < duration; i++ {
+				operationStart := time.Now()
+				if errs[worker] = operation(worker, i); errs[worker] != nil {
 					return
 				}
-				_ = hist[w].RecordValue(time.Since(at).Microseconds())
+				_ = histograms[worker].RecordValue(time.Since(operationStart).Microseconds())
 			}
 		})
 	}
 	wg.Wait()
-	took := time.Since(begin).Seconds()
-	all := hdrhistogram.New(1, 60_000_000, 3)
-	for w := range workers {
-		if errs[w] != nil {
-			return Rate{}, fmt.Errorf("%s: %w", what, errs[w])
+	took := time.Since(startedAt).Seconds()
+	merged := hdrhistogram.New(1, 60_000_000, 3)
+	for worker := range workers {
+		if errs[worker] != nil {
+			return Rate{}, fmt.Errorf("%s: %w", what, errs[worker])
 		}
-		all.Merge(hist[w])
+		merged.Merge(histograms[worker])
 	}
-	return Rate{What: what, Writers: workers, Each: float64(all.TotalCount()) / took,
-		P50: float64(all.ValueAtQuantile(50)) / 1000, P99: float64(all.ValueAtQuantile(99)) / 1000}, nil
+	return Rate{What: what, Writers: workers, Each: float64(merged.TotalCount()) / took,
+		P50: float64(merged.ValueAtQuantile(50)) / 1000, P99: float64(merged.ValueAtQuantile(99)) / 1000}, nil
 }
 
-// Run measures.
-func Run(ctx context.Context, o Options) (Result, error) {
-	if o.For == 0 {
-		o.For = 3 * time.Second
+// Run takes all measurements. Defaults of the options are stated there.
+func Run(ctx context.Context, opts Options) (Result, error) {
+	if opts.For == 0 {
+		opts.For = 3 * time.Second
 	}
-	if len(o.Writers) == 0 {
-		o.Writers = []int{1, 16, 256}
+	if len(opts.Writers) == 0 {
+		opts.Writers = []int{1, 16, 256}
 	}
-	if o.Bytes == 0 {
-		o.Bytes = 100
+	if opts.Bytes == 0 {
+		opts.Bytes = 100
 	}
-	if o.Say == nil {
-		o.Say = func(string) {}
+	if opts.Say == nil {
+		opts.Say = func(string) {}
 	}
-	dir, err := os.MkdirTemp(o.Dir, "store-bench-")
+	dir, err := os.MkdirTemp(opts.Dir, "store-bench-")
 	if err != nil {
 		return Result{}, err
 	}
 	defer os.RemoveAll(dir)
-	r := Result{CPUs: runtime.NumCPU()}
-	limit, err := bare(filepath.Join(dir, "bare.db"), o)
+	result := Result{CPUs: runtime.NumCPU()}
+	limit, err := measureBareBbolt(filepath.Join(dir, "bare.db"), opts)
 	if err != nil {
-		return r, err
+		return result, err
 	}
-	r.Rates = append(r.Rates, limit)
+	result.Rates = append(result.Rates, limit)
 	for _, copies := range []int{1, 3} {
 		if ctx.Err() != nil {
-			return r, ctx.Err()
+			return result, ctx.Err()
 		}
-		if err := r.copies(ctx, filepath.Join(dir, fmt.Sprint(copies)), copies, limit.Each, o); err != nil {
-			return r, err
+		if err := result.measureCopies(ctx, filepath.Join(dir, fmt.Sprint(copies)), copies, limit.Each, opts); err != nil {
+			return result, err
 		}
 	}
-	return r, nil
+	return result, nil
 }
 
-func bare(path string, o Options) (Rate, error) {
-	o.Say("a bare bbolt file")
+// measureBareBbolt measures writes to a bbolt file without replication, by one writer.
+func measureBareBbolt(path string, opts Options) (Rate, error) {
+	opts.Say("a bare bbolt file")
 	db, err := bbolt.Open(path, 0o600, nil)
 	if err != nil {
 		return Rate{}, err
 	}
 	defer db.Close()
-	value := make([]byte, o.Bytes)
-	return measure("bare bbolt", 1, o.For, func(_, i int) error {
+	value := make([]byte, opts.Bytes)
+	return measure("bare bbolt", 1, opts.For, func(_, i int) error {
 		return db.Update(func(tx *bbolt.Tx) error {
-			b, err := tx.CreateBucketIfNotExists([]byte("b"))
+			bucket, err := tx.CreateBucketIfNotExists([]byte("b"))
 			if err != nil {
 				return err
 			}
-			return b.Put(binary.BigEndian.AppendUint64(nil, uint64(i)), value)
+			return bucket.Put(binary.BigEndian.AppendUint64(nil, uint64(i)), value)
 		})
 	})
 }
 
-// cluster is replicas in this process, with keys over loopback.
+// cluster is a set of replicas in this process, which communicate over loopback with TLS keys.
 type cluster struct {
 	dir, keys string
-	all       []*engine.Engine
-	addr      []string
+	engines   []*engine.Engine
+	addrs     []string
 }
 
-func (c *cluster) open(i int, join bool) error {
-	name := fmt.Sprintf("r%d", i)
+// open starts a replica with a new empty folder.
+func (c *cluster) open(number int, join bool) error {
+	name := fmt.Sprintf("r%d", number)
 	if err := keys.Issue(c.keys, name, 24*time.Hour, true); err != nil {
 		return err
 	}
@@ -159,33 +163,41 @@
 	if err != nil {
 		return err
 	}
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	e, err := engine.Open(engine.Config{Name: name, Dir: filepath.Join(c.dir, name), Join: join, Keys: pair, Listener: ln})
+	opened, err := engine.Open(engine.Config{
+		Name:     name,
+		Dir:      filepath.Join(c.dir, name),
+		Join:     join,
+		Keys:     pair,
+		Listener: listener,
+	})
 	if err != nil {
 		return err
 	}
-	c.all, c.addr = append(c.all, e), append(c.addr, ln.Addr().String())
+	c.engines, c.addrs = append(c.engines, opened), append(c.addrs, listener.Addr().String())
 	return nil
 }
 
-// grow adds a replica and returns once it votes.
-func (c *cluster) grow(ctx context.Context) error {
-	i := len(c.all)
-	if err := c.open(i, i > 0); err != nil || i == 0 {
+// addReplica adds a replica, and returns once it votes.
+func (c *cluster) addReplica(ctx context.Context) error {
+	number := len(c.engines)
+	if err := c.open(number, number > 0); err != nil || number == 0 {
 		return err
 	}
-	if _, err := c.all[0].Do(ctx, store.Command{AddMember: &store.AddMember{Name: fmt.Sprintf("r%d", i), Address: c.addr[i]}}); err != nil {
+	if _, err := c.engines[0].Do(ctx, store.Command{
+		AddMember: &store.AddMember{Name: fmt.Sprintf("r%d", number), Address: c.addrs[number]},
+	}); err != nil {
 		return err
 	}
 	for {
-		s, err := c.all[0].Status(ctx)
+		status, err := c.engines[0].Status(ctx)
 		if err != nil {
 			return err
 		}
-		if s.MembershipStable && len(s.Peers) == i+1 {
+		if status.MembershipStable && len(status.Peers) == number+1 {
 			return nil
 		}
 		select {
@@ -197,73 +209,80 @@
 }
 
 func (c *cluster) close() {
-	for _, e := range c.all {
+	for _, e := range c.engines {
 		if e != nil {
 			e.Kill()
 		}
 	}
 }
 
-func (r *Result) copies(ctx context.Context, dir string, n int, limit float64, o Options) error {
+// measureCopies takes the measurements of a cluster with a number of replicas. limit is the rate of bare bbolt.
+func (r *Result) measureCopies(ctx context.Context, dir string, copies int, limit float64, opts Options) error {
 	c := &cluster{dir: dir, keys: filepath.Join(dir, "keys")}
 	if err := keys.Init(c.keys, "bench"); err != nil {
 		return err
 	}
 	defer c.close()
-	for range n {
-		if err := c.grow(ctx); err != nil {
+	for range copies {
+		if err := c.addReplica(ctx); err != nil {
 			return err
 		}
 	}
-	value := make([]byte, o.Bytes)
+	value := make([]byte, opts.Bytes)
 	put := func(e *engine.Engine, key string) error {
 		_, err := e.Do(ctx, store.Command{Txn: &store.Txn{Then: []store.Op{{Key: key, Value: value}}}})
 		return err
 	}
-	for _, w := range o.Writers {
-		o.Say(fmt.Sprintf("%d copies, %d writers", n, w))
-		x, err := measure(fmt.Sprintf("writes, %d copies", n), w, o.For, func(worker, i int) error {
-			return put(c.all[0], fmt.Sprintf("w%d/%d", worker, i%1000))
+	for _, writers := range opts.Writers {
+		opts.Say(fmt.Sprintf("%d copies, %d writers", copies, writers))
+		rate, err := measure(fmt.Sprintf("writes, %d copies", copies), writers, opts.For, func(worker, i int) error {
+			return put(c.engines[0], fmt.Sprintf("w%d/%d", worker, i%1000))
 		})
 		if err != nil {
 			return err
 		}
-		x.Limit = x.Each / limit
-		r.Rates = append(r.Rates, x)
-		x, err = measure(fmt.Sprintf("linearizable reads, %d copies", n), w, o.For, func(worker, i int) error {
-			_, err := c.all[i%n].View(ctx, false, func(s *store.State) { s.Get(fmt.Sprintf("w%d/%d", worker, i%1000)) })
-			return err
-		})
+		rate.Limit = rate.Each / limit
+		r.Rates = append(r.Rates, rate)
+		rate, err = measure(fmt.Sprintf("linearizable reads, %d copies", copies), writers, opts.For,
+			func(worker, i int) error {
+				_, err := c.engines[i%copies].View(ctx, false, func(s *store.State) {
+					s.Get(fmt.Sprintf("w%d/%d", worker, i%1000))
+				})
+				return err
+			})
 		if err != nil {
 			return err
 		}
-		r.Rates = append(r.Rates, x)
+		r.Rates = append(r.Rates, rate)
 	}
-	if o.Million > 0 && n == 1 {
-		if err := r.million(ctx, c.all[0], o, put); err != nil {
+	if opts.Million > 0 && copies == 1 {
+		if err := r.measureManyWrites(ctx, c.engines[0], opts, put); err != nil {
 			return err
 		}
 	}
-	if n < 3 {
+	if copies < 3 {
 		return nil
 	}
-	if o.CatchUp > 0 {
-		if err := r.catchUp(ctx, c, o); err != nil {
+	if opts.CatchUp > 0 {
+		if err := r.measureCatchUp(ctx, c, opts); err != nil {
 			return err
 		}
 	}
-	return r.leaderless(ctx, c, o, put)
+	return r.measureLeaderLoss(ctx, c, opts, put)
 }
 
-func (r *Result) million(ctx context.Context, e *engine.Engine, o Options, put func(*engine.Engine, string) error) error {
-	o.Say(fmt.Sprintf("%d writes", o.Million))
+// measureManyWrites measures the use of memory and disk after opts.Million writes.
+func (r *Result) measureManyWrites(
+	ctx context.Context, e *engine.Engine, opts Options, put func(*engine.Engine, string) error,
+) error {
+	opts.Say(fmt.Sprintf("%d writes", opts.Million))
 	var wg sync.WaitGroup
 	const workers = 512
 	errs := make([]error, workers)
-	for w := range workers {
+	for worker := range workers {
 		wg.Go(func() {
-			for i := 0; i < o.Million/workers && errs[w] == nil; i++ {
-				errs[w] = put(e, fmt.Sprintf("m%d/%d", w, i%20))
+			for i := 0; i < opts.Million/workers && errs[worker] == nil; i++ {
+				errs[worker] = put(e, fmt.Sprintf("m%d/%d", worker, i%20))
 			}
 		})
 	}
@@ -274,57 +293,64 @@
 		}
 	}
 	runtime.GC()
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	s, err := e.Status(ctx)
-	r.Writes, r.HeapMB, r.DiskMB = o.Million/workers*workers, float64(m.HeapAlloc)/(1<<20), float64(s.DiskBytes)/(1<<20)
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	status, err := e.Status(ctx)
+	r.Writes, r.HeapMB, r.DiskMB = opts.Million/workers*workers,
+		float64(stats.HeapAlloc)/(1<<20), float64(status.DiskBytes)/(1<<20)
 	return err
 }
 
-func (r *Result) catchUp(ctx context.Context, c *cluster, o Options) error {
-	o.Say(fmt.Sprintf("an empty replica at %d MB", o.CatchUp))
+// measureCatchUp measures how long an empty replica takes to copy a store of opts.CatchUp megabytes and to vote.
+func (r *Result) measureCatchUp(ctx context.Context, c *cluster, opts Options) error {
+	opts.Say(fmt.Sprintf("an empty replica at %d MB", opts.CatchUp))
 	big := make([]byte, 512<<10)
-	for i := range o.CatchUp * 2 {
-		if _, err := c.all[0].Do(ctx, store.Command{Txn: &store.Txn{Then: []store.Op{{Key: fmt.Sprintf("big/%d", i), Value: big}}}}); err != nil {
+	for i := range opts.CatchUp * 2 {
+		if _, err := c.engines[0].Do(ctx, store.Command{
+			Txn: &store.Txn{Then: []store.Op{{Key: fmt.Sprintf("big/%d", i), Value: big}}},
+		}); err != nil {
 			return err
 		}
 	}
-	at := time.Now()
-	if err := c.grow(ctx); err != nil {
+	startedAt := time.Now()
+	if err := c.addReplica(ctx); err != nil {
 		return err
 	}
-	s, err := c.all[len(c.all)-1].Status(ctx)
-	r.CatchUp, r.CaughtMB = time.Since(at).Seconds(), float64(s.Bytes)/(1<<20)
+	status, err := c.engines[len(c.engines)-1].Status(ctx)
+	r.CatchUp, r.CaughtMB = time.Since(startedAt).Seconds(), float64(status.Bytes)/(1<<20)
 	return err
 }
 
-// leaderless kills the leader again and again.
-func (r *Result) leaderless(ctx context.Context, c *cluster, o Options, put func(*engine.Engine, string) error) error {
-	for len(c.all) > 2 && len(r.Leader) < 1 {
-		lead := -1
-		for i, e := range c.all {
-			s, err := e.Status(ctx)
+// measureLeaderLoss kills the leader of a cluster with more than two replicas, and measures the time until the next
+// write succeeds.
+func (r *Result) measureLeaderLoss(
+	ctx context.Context, c *cluster, opts Options, put func(*engine.Engine, string) error,
+) error {
+	for len(c.engines) > 2 && len(r.Leader) < 1 {
+		leader := -1
+		for i, e := range c.engines {
+			status, err := e.Status(ctx)
 			if err != nil {
 				return err
 			}
-			if s.Leading {
-				lead = i
+			if status.Leading {
+				leader = i
 			}
 		}
-		if lead < 0 {
+		if leader < 0 {
 			continue
 		}
-		o.Say("without its leader")
-		at := time.Now()
-		killed := c.all[lead]
-		c.all = slices.Delete(slices.Clone(c.all), lead, lead+1)
+		opts.Say("without its leader")
+		killedAt := time.Now()
+		killed := c.engines[leader]
+		c.engines = slices.Delete(slices.Clone(c.engines), leader, leader+1)
 		if err := killed.Kill(); err != nil {
 			return err
 		}
-		if err := put(c.all[0], "after"); err != nil {
+		if err := put(c.engines[0], "after"); err != nil {
 			return err
 		}
-		r.Leader = append(r.Leader, time.Since(at).Seconds()*1000)
+		r.Leader = append(r.Leader, time.Since(killedAt).Seconds()*1000)
 	}
 	return nil
 }
--- a/internal/lab/storebench/torture.go
+++ b/internal/lab/storebench/torture.go
@@ -21,33 +21,35 @@
 	"birchmoor/internal/store/admin"
 )
 
-// Torture has three real processes killed in turn with SIGKILL, or all at once, or one cut off from what
-// the others send, while writers and readers go on.
+// Torture runs three replicas as processes under concurrent writers and readers. Meanwhile it kills one replica or all
+// with SIGKILL, or cuts one off from the messages of the others. It checks that no write that was answered is lost, and
+// that reads are linearizable.
 type Torture struct {
-	Program string   // that runs a replica
-	Args    []string // to it, before the operator file
-	Dir     string   // for what it writes; a temporary folder within it
+	Program string   // runs a replica
+	Args    []string // of Program, before the operator file
+	Dir     string   // parent of the temporary folder
 	For     time.Duration
-	Every   time.Duration // a kill; 2 s
-	Writers int           // 8
+	Every   time.Duration // mean interval between two faults; 0 for 2 s
+	Writers int           // 0 for 8
 	Seed    uint64
-	Say     func(string)
+	Say     func(string) // called with the progress after each kill; may be nil
 }
 
-// Tortured is what came of it.
+// Tortured is the result of a Torture.
 type Tortured struct {
-	Kills   int      `json:"kills"`
-	Cuts    int      `json:"cuts"` // of all that comes in to one, without a word
+	Kills   int      `json:"kills"` // of processes
+	Cuts    int      `json:"cuts"`  // silent losses of all messages to one replica
 	All     int      `json:"all_at_once"`
 	Writes  int      `json:"writes_answered"`
-	Unknown int      `json:"writes_sent_again"`
+	Unknown int      `json:"writes_sent_again"` // attempts without an answer, which were repeated
 	Reads   int      `json:"reads"`
-	Lost    []string `json:"lost"` // writes that were answered and are not there, or reads that went back
+	Lost    []string `json:"lost"` // answered writes that are missing, stale reads and faults of the lab; the first 20
 }
 
+// process is a replica and its processes, one after the other.
 type process struct {
 	name, dir string
-	in        *relay.Link // what other replicas send to it
+	inbound   *relay.Link // relays the messages of other replicas
 	cmd       *exec.Cmd
 	client    *admin.Client
 }
@@ -55,26 +57,26 @@
 func (p *process) socket() string { return filepath.Join(p.dir, "s.sock") }
 
 func (t *Torture) start(p *process) error {
-	log, err := os.OpenFile(filepath.Join(p.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	logFile, err := os.OpenFile(filepath.Join(p.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	defer log.Close()
+	defer logFile.Close()
 	p.cmd = exec.Command(t.Program, append(append([]string{}, t.Args...), filepath.Join(p.dir, "op.toml"))...)
 	p.cmd.Env = append(os.Environ(), "ROUTER_CONFIG=")
-	p.cmd.Stdout, p.cmd.Stderr = log, log
+	p.cmd.Stdout, p.cmd.Stderr = logFile, logFile
 	p.client = admin.Dial(p.socket())
 	return p.cmd.Start()
 }
 
 func (p *process) kill() error {
 	err := p.cmd.Process.Signal(syscall.SIGKILL)
-	_ = p.cmd.Wait() // it was killed
+	_ = p.cmd.Wait() // returns an error, as the process was killed
 	return err
 }
 
-// Run tortures.
-func (t *Torture) Run(ctx context.Context) (r Tortured, err error) {
+// Run starts the replicas, and injects faults for the duration For.
+func (t *Torture) Run(ctx context.Context) (result Tortured, err error) {
 	if t.Every == 0 {
 		t.Every = 2 * time.Second
 	}
@@ -83,98 +85,107 @@
 	}
 	dir, err := os.MkdirTemp(t.Dir, "store-torture-")
 	if err != nil {
-		return r, err
+		return result, err
 	}
 	defer os.RemoveAll(dir)
 	if err := keys.Init(filepath.Join(dir, "keys"), "torture"); err != nil {
-		return r, err
+		return result, err
 	}
-	var all []*process
+	var processes []*process
 	defer func() {
-		for _, p := range all {
+		for _, p := range processes {
 			err = errors.Join(err, p.kill())
-			p.in.Close()
+			p.inbound.Close()
 		}
 	}()
 	for i := range 3 {
 		p, addr, err := t.prepare(dir, i)
 		if err != nil {
-			return r, err
+			return result, err
 		}
 		if err := t.start(p); err != nil {
-			return r, err
+			return result, err
 		}
-		all = append(all, p)
-		if err := t.settled(ctx, all, i, addr); err != nil {
-			return r, err
+		processes = append(processes, p)
+		if err := t.addReplica(ctx, processes, i, addr); err != nil {
+			return result, err
 		}
 	}
-	t.load(ctx, all, &r)
-	return r, nil
+	t.runLoad(ctx, processes, &result)
+	return result, nil
 }
 
-func (t *Torture) prepare(dir string, i int) (*process, string, error) {
-	p := &process{name: fmt.Sprintf("r%d", i), dir: filepath.Join(dir, fmt.Sprintf("r%d", i))}
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// prepare writes the keys and the operator file of a replica, and returns it with its address for other replicas.
+func (t *Torture) prepare(dir string, number int) (*process, string, error) {
+	p := &process{name: fmt.Sprintf("r%d", number), dir: filepath.Join(dir, fmt.Sprintf("r%d", number))}
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, "", err
 	}
-	in, err := net.Listen("tcp", "127.0.0.1:0")
+	inbound, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, "", errors.Join(err, ln.Close())
+		return nil, "", errors.Join(err, listener.Close())
 	}
-	p.in = relay.New(ln.Addr().String(), t.Seed+uint64(i), relay.Conditions{})
-	p.in.Listen(in)
-	addr := in.Addr().String()
-	file := fmt.Sprintf("[store]\nname = %q\ndir = \"db\"\nsocket = \"s.sock\"\nlisten = %q\naddress = %q\nkeys = \"../keys\"\njoin = %v\n",
-		p.name, ln.Addr(), addr, i > 0)
-	return p, addr, errors.Join(ln.Close(), os.Mkdir(p.dir, 0o700), keys.Issue(filepath.Join(dir, "keys"), p.name, 24*time.Hour, false),
-		os.WriteFile(filepath.Join(p.dir, "op.toml"), []byte(file), 0o600))
+	p.inbound = relay.New(listener.Addr().String(), t.Seed+uint64(number), relay.Conditions{})
+	p.inbound.Listen(inbound)
+	addr := inbound.Addr().String()
+	operatorFile := fmt.Sprintf("[store]\nname = %q\ndir = \"db\"\nsocket = \"s.sock\"\nlisten = %q\naddress = %q\nkeys = \"../keys\"\njoin = %v\n",
+		p.name, listener.Addr(), addr, number > 0)
+	return p, addr, errors.Join(
+		listener.Close(),
+		os.Mkdir(p.dir, 0o700),
+		keys.Issue(filepath.Join(dir, "keys"), p.name, 24*time.Hour, false),
+		os.WriteFile(filepath.Join(p.dir, "op.toml"), []byte(operatorFile), 0o600))
 }
 
-// settled adds the newest process, and waits until it votes.
-func (t *Torture) settled(ctx context.Context, all []*process, i int, addr string) error {
+// addReplica adds a started replica to the cluster, and waits until it votes.
+func (t *Torture) addReplica(ctx context.Context, processes []*process, number int, addr string) error {
 	ctx, cancel := context.WithTimeout(ctx, 30*time.Second)
 	defer cancel()
-	added := i == 0
+	added := number == 0
 	for ctx.Err() == nil {
 		if !added {
-			_, err := all[0].client.Change(ctx, admin.ChangeRequest{ID: store.RequestID{Client: 1 << 40, Seq: uint64(i)}, AddMember: &store.AddMember{Name: all[i].name, Address: addr}})
+			_, err := processes[0].client.Change(ctx, admin.ChangeRequest{
+				ID:        store.RequestID{Client: 1 << 40, Seq: uint64(number)},
+				AddMember: &store.AddMember{Name: processes[number].name, Address: addr},
+			})
 			added = err == nil
 		}
-		if s, err := all[0].client.Status(ctx); err == nil && added && s.MembershipStable && len(s.Peers) == i+1 && s.LeaderID != 0 {
+		if status, err := processes[0].client.Status(ctx); err == nil && added &&
+			status.MembershipStable && len(status.Peers) == number+1 && status.LeaderID != 0 {
 			return nil
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return fmt.Errorf("replica %d did not come to vote", i)
+	return fmt.Errorf("replica %d does not vote", number)
 }
 
-// load writes, reads and kills until the time is over, then looks for all that was answered.
-func (t *Torture) load(ctx context.Context, all []*process, r *Tortured) {
-	short, cancel := context.WithTimeout(ctx, t.For)
+// runLoad writes, reads and injects faults for the duration For. Then it checks that every key has the last value whose
+// write was answered.
+func (t *Torture) runLoad(ctx context.Context, processes []*process, result *Tortured) {
+	loadCtx, cancel := context.WithTimeout(ctx, t.For)
 	defer cancel()
 	var mu sync.Mutex
 	answered := make([]int, t.Writers)
-	lost := func(format string, args ...any) {
+	addLoss := func(format string, args ...any) {
 		mu.Lock()
 		defer mu.Unlock()
-		if len(r.Lost) < 20 {
-			r.Lost = append(r.Lost, fmt.Sprintf(format, args...))
+		if len(result.Lost) < 20 {
+			result.Lost = append(result.Lost, fmt.Sprintf(format, args...))
 		}
 	}
-	client := func(i int) *admin.Client { mu.Lock(); defer mu.Unlock(); return all[i%3].client }
+	clientOf := func(response int) *admin.Client { mu.Lock(); defer mu.Unlock(); return processes[response%3].client }
 	var wg sync.WaitGroup
-	for w := range t.Writers {
-		key := fmt.Sprintf("w%d", w)
-		wg.Go(func() { // the same request until it is answered: the count never goes back, nor is one left out
-			for n := 1; short.Err() == nil; n++ {
-				q := admin.ChangeRequest{ID: store.RequestID{Client: uint64(w + 1), Seq: uint64(n)}, Txn: &store.Txn{
+	for writer := range t.Writers {
+		key := fmt.Sprintf("w%d", writer)
+		wg.Go(func() { // repeats each request until it is answered, so that values increase without gaps
+			for n := 1; loadCtx.Err() == nil; n++ {
+				request := admin.ChangeRequest{ID: store.RequestID{Client: uint64(writer + 1), Seq: uint64(n)}, Txn: &store.Txn{
 					Then: []store.Op{{Key: key, Value: strconv.AppendInt(nil, int64(n), 10)}}}}
-				for try := w; ; try++ {
-					c, done := context.WithTimeout(ctx, 3*time.Second)
-					_, err := client(try).Change(c, q)
-					done()
+				for attempt := writer; ; attempt++ {
+					callCtx, cancelCall := context.WithTimeout(ctx, 3*time.Second)
+					_, err := clientOf(attempt).Change(callCtx, request)
+					cancelCall()
 					if err == nil {
 						break
 					}
@@ -182,97 +193,99 @@
 						return
 					}
 					mu.Lock()
-					r.Unknown++
+					result.Unknown++
 					mu.Unlock()
 					time.Sleep(10 * time.Millisecond)
 				}
 				mu.Lock()
-				answered[w] = n
-				r.Writes++
+				answered[writer] = n
+				result.Writes++
 				mu.Unlock()
 			}
 		})
 		wg.Go(func() {
-			for try := 0; short.Err() == nil; try++ {
+			for attempt := 0; loadCtx.Err() == nil; attempt++ {
 				mu.Lock()
-				least := answered[w]
+				answeredBefore := answered[writer]
 				mu.Unlock()
-				c, done := context.WithTimeout(ctx, 3*time.Second)
-				i, err := client(try).Range(c, url.Values{"key": {key}})
-				done()
+				callCtx, cancelCall := context.WithTimeout(ctx, 3*time.Second)
+				response, err := clientOf(attempt).Range(callCtx, url.Values{"key": {key}})
+				cancelCall()
 				if err != nil {
 					time.Sleep(10 * time.Millisecond)
 					continue
 				}
-				got := 0
-				if len(i.Items) == 1 {
-					got, _ = strconv.Atoi(string(i.Items[0].Value))
+				value := 0
+				if len(response.Items) == 1 {
+					value, _ = strconv.Atoi(string(response.Items[0].Value))
 				}
-				if got < least {
-					lost("a read of %s at replica %d gave %d, and %d had been answered before", key, try%3, got, least)
+				if value < answeredBefore {
+					addLoss("a read of %s at replica %d gave %d, and %d had been answered before",
+						key, attempt%3, value, answeredBefore)
 				}
 				mu.Lock()
-				r.Reads++
+				result.Reads++
 				mu.Unlock()
 			}
 		})
 	}
 	rng := rand.New(rand.NewPCG(t.Seed, 1))
-	for turn := 0; short.Err() == nil; turn++ {
+	for round := 0; loadCtx.Err() == nil; round++ {
 		select {
-		case <-short.Done():
+		case <-loadCtx.Done():
 			continue
 		case <-time.After(t.Every/2 + rand.N(t.Every)):
 		}
 		if rng.IntN(3) == 0 {
-			in := all[rng.IntN(3)].in
-			in.Update(func(c *relay.Conditions) { c.BlackHole = true })
+			link := processes[rng.IntN(3)].inbound
+			link.Update(func(callCtx *relay.Conditions) { callCtx.BlackHole = true })
 			time.Sleep(t.Every/2 + rand.N(t.Every))
-			in.Update(func(c *relay.Conditions) { c.BlackHole = false })
-			r.Cuts++
+			link.Update(func(callCtx *relay.Conditions) { callCtx.BlackHole = false })
+			result.Cuts++
 			continue
 		}
-		victims := []int{turn % 3}
+		killed := []int{round % 3}
 		if rng.IntN(4) == 0 {
-			victims = []int{0, 1, 2}
-			r.All++
+			killed = []int{0, 1, 2}
+			result.All++
 		}
-		for _, v := range victims {
-			if err := all[v].kill(); err != nil {
-				lost("kill: %v", err)
+		for _, number := range killed {
+			if err := processes[number].kill(); err != nil {
+				addLoss("kill: %v", err)
 			}
-			r.Kills++
+			result.Kills++
 		}
-		rng.Shuffle(len(victims), func(i, j int) { victims[i], victims[j] = victims[j], victims[i] })
-		for _, v := range victims {
+		rng.Shuffle(len(killed), func(response, j int) { killed[response], killed[j] = killed[j], killed[response] })
+		for _, number := range killed {
 			mu.Lock()
-			err := t.start(all[v])
+			err := t.start(processes[number])
 			mu.Unlock()
 			if err != nil {
-				lost("start: %v", err)
+				addLoss("start: %v", err)
 			}
 		}
 		if t.Say != nil {
 			mu.Lock()
-			t.Say(fmt.Sprintf("%d kills, %d writes answered, %d reads, %d lost", r.Kills, r.Writes, r.Reads, len(r.Lost)))
+			t.Say(fmt.Sprintf("%d kills, %d writes answered, %d reads, %d lost",
+				result.Kills, result.Writes, result.Reads, len(result.Lost)))
 			mu.Unlock()
 		}
 	}
 	wg.Wait()
-	for w, n := range answered {
-		var i admin.RangeResponse
+	for writer, n := range answered {
+		var response admin.RangeResponse
 		var err error
-		for try := 0; try < 200; try++ {
-			c, done := context.WithTimeout(ctx, 3*time.Second)
-			i, err = client(try).Range(c, url.Values{"key": {fmt.Sprintf("w%d", w)}})
-			done()
+		for attempt := 0; attempt < 200; attempt++ {
+			callCtx, cancelCall := context.WithTimeout(ctx, 3*time.Second)
+			response, err = clientOf(attempt).Range(callCtx, url.Values{"key": {fmt.Sprintf("w%d", writer)}})
+			cancelCall()
 			if err == nil {
 				break
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
-		if err != nil || n > 0 && (len(i.Items) != 1 || string(i.Items[0].Value) != strconv.Itoa(n)) {
-			lost("w%d: %d was answered, and at the end there is %v (%v)", w, n, i.Items, err)
+		if err != nil || n > 0 && (len(response.Items) != 1 || string(response.Items[0].Value) != strconv.Itoa(n)) {
+			addLoss("w%d: %d was answered, and at the end there is %v (%v)", writer, n, response.Items, err)
 		}
 	}
 }
