--- a/internal/lab/relay/connection.go
+++ b/internal/lab/relay/connection.go
@@ -23,7 +23,7 @@
 	cancel context.CancelFunc
 }
 
-// reset resets the connection on both sides, if it is open. It is safe for concurrent use.
+// reset ends the connection with a TCP reset on both sides.
 func (c *connection) reset() {
 	c.cancel()
 	reset(c.client)
