--- a/internal/lab/relay/connection.go
+++ b/internal/lab/relay/connection.go
@@ -153,7 +153,7 @@
 		return false
 	}
 	if tcp, ok := to.(*net.TCPConn); ok && !conditions.DropHalfClose {
-		_ = tcp.CloseWrite() // a peer that is gone shows in the other direction
+		_ = tcp.CloseWrite() // a peer that has closed the connection ends the other direction
 	}
 	return true
 }
--- a/internal/lab/relay/relay_test.go
+++ b/internal/lab/relay/relay_test.go
@@ -105,12 +105,12 @@
 			_, addr := startLink(t, c, echo)
 			client := dial(t, addr)
 			go func() {
-				_, _ = client.Write(sent) // a failure shows in what comes back
+				_, _ = client.Write(sent) // a failure shows in the data read below
 				_ = client.CloseWrite()
 			}()
 			got, err := io.ReadAll(client)
 			if err != nil || !bytes.Equal(got, sent) {
-				t.Errorf("%d bytes of %d came back (error %v), or they differ", len(got), len(sent), err)
+				t.Errorf("received %d of %d bytes (error %v), or bytes that differ", len(got), len(sent), err)
 			}
 		})
 	}
--- a/internal/lab/soak/judge_test.go
+++ b/internal/lab/soak/judge_test.go
@@ -47,80 +47,83 @@
 			request: makeRequest(func(r *request) { r.trailingBytes = 3 }),
 			want:    map[Rule]int{OneAnswer: 1},
 		},
-		"unsafe, twice": {
+		"non-idempotent request executed twice": {
 			request:  makeRequest(func(r *request) { r.nonIdempotent = true }),
 			arrivals: arrivals(10_010, 10_020),
 			want:     map[Rule]int{NoRepeat: 1},
 		},
-		"safe, twice": {request: makeRequest(func(*request) {}), arrivals: arrivals(10_010, 10_020)},
-		"read and closed": {
+		"idempotent request executed twice": {
+			request:  makeRequest(func(*request) {}),
+			arrivals: arrivals(10_010, 10_020),
+		},
+		"connection closed after an attempt": {
 			request:  makeRequest(connectionClosed),
 			arrivals: arrivals(10_010),
 			want:     map[Rule]int{OneAnswer: 1},
 		},
-		"read and closed, killed": {
+		"connection closed after an attempt by a kill": {
 			request:  makeRequest(connectionClosed),
 			arrivals: arrivals(10_010),
 			daemon:   daemonHistory{killed: between(10_050, 10_500)},
 		},
-		"read and closed, terminated": {
+		"connection closed after an attempt by a termination": {
 			request:  makeRequest(connectionClosed),
 			arrivals: arrivals(10_010),
 			daemon:   daemonHistory{terminated: between(9_950, 10_500)},
 			want:     map[Rule]int{OneAnswer: 1},
 		},
-		"open at the kill, busy": {
+		"open at SIGKILL after SIGTERM on a busy machine": {
 			request:  makeRequest(connectionClosed),
 			arrivals: arrivals(10_010),
 			daemon:   daemonHistory{endedByKill: []time.Time{at(10_090)}},
 			busy:     true,
 		},
-		"open at the kill": {
+		"open at SIGKILL after SIGTERM": {
 			request:  makeRequest(connectionClosed),
 			arrivals: arrivals(10_010),
 			daemon:   daemonHistory{endedByKill: []time.Time{at(10_090)}},
 			want:     map[Rule]int{OneAnswer: 1},
 		},
-		"closed as it came": {request: makeRequest(connectionClosed)},
-		"closed, new connection": {
+		"idle connection closed as the request was sent": {request: makeRequest(connectionClosed)},
+		"new connection closed": {
 			request: makeRequest(func(r *request) { connectionClosed(r); r.newConn = true }),
 			want:    map[Rule]int{OneAnswer: 1},
 		},
-		"no answer":       {request: makeRequest(timedOutRequest), want: map[Rule]int{OneAnswer: 1}},
-		"no answer, busy": {request: makeRequest(timedOutRequest), busy: true},
-		"no answer, stopped": {
+		"no answer":                   {request: makeRequest(timedOutRequest), want: map[Rule]int{OneAnswer: 1}},
+		"no answer on a busy machine": {request: makeRequest(timedOutRequest), busy: true},
+		"no answer from a stopped process": {
 			request: makeRequest(timedOutRequest),
 			daemon:  daemonHistory{stopped: between(10_050, 11_000)},
 		},
-		"begun for one who had gone": {
+		"attempt after the client left": {
 			request:  makeRequest(abandonedRequest),
 			arrivals: arrivals(10_400),
 			want:     map[Rule]int{ClientGone: 1},
 		},
-		"begun before the client left": {request: makeRequest(abandonedRequest), arrivals: arrivals(10_050)},
-		"sent after a drain": {
+		"attempt before the client left": {request: makeRequest(abandonedRequest), arrivals: arrivals(10_050)},
+		"attempt after a drain": {
 			request:  makeRequest(func(*request) {}),
 			arrivals: arrivals(10_010),
 			drains:   drains,
 			want:     map[Rule]int{AfterDrain: 1},
 		},
-		"sent within the grace": {
+		"attempt within the drain's grace period": {
 			request:  makeRequest(func(*request) {}),
 			arrivals: arrivals(9_400),
 			drains:   drains,
 		},
-		"sent after a drain, not told": {
+		"attempt after a drain that was not reported": {
 			request:  makeRequest(func(*request) {}),
 			arrivals: arrivals(10_010),
 			drains:   drains,
 			daemon:   daemonHistory{quiet: between(8_500, 11_000)},
 		},
-		"two of ten late": {
+		"two of ten restarts late": {
 			request:  makeRequest(func(*request) {}),
 			restarts: append(repeatDuration(8, time.Second), repeatDuration(2, 11*time.Second)...),
 			want:     map[Rule]int{Readiness: 1},
 		},
-		"one of ten late": {
+		"one of ten restarts late": {
 			request:  makeRequest(func(*request) {}),
 			restarts: append(repeatDuration(9, time.Second), 11*time.Second),
 		},
