--- a/internal/lab/fleetlab/blows.go
+++ b/internal/lab/fleetlab/blows.go
@@ -8,12 +8,12 @@
 	"birchmoor/internal/lab/relay"
 )
 
-// Blow injects a fault into a daemon. It returns the name of the affected daemon, or "" for all, and a function that
+// Fault injects a fault into a daemon. It returns the name of the affected daemon, or "" for all, and a function that
 // waits for the fault's duration, ends the fault, and returns once all daemons run again.
-type Blow func(f *Fleet, d *Daemon, long time.Duration) (what string, end func(context.Context) error)
+type Fault func(f *Fleet, d *Daemon, long time.Duration) (what string, end func(context.Context) error)
 
-// Again returns a function that starts daemons and waits until they are ready.
-func Again(daemons ...*Daemon) func(context.Context) error {
+// Restart returns a function that starts daemons and waits until they are ready.
+func Restart(daemons ...*Daemon) func(context.Context) error {
 	return func(ctx context.Context) error {
 		for _, d := range daemons {
 			if err := d.Start(); err != nil {
@@ -31,8 +31,8 @@
 	}
 }
 
-// After returns a function that waits for a duration, or until its context ends, and then calls undo.
-func After(duration time.Duration, undo func()) func(context.Context) error {
+// EndAfter returns a function that waits for a duration, or until its context ends, and then calls undo.
+func EndAfter(duration time.Duration, undo func()) func(context.Context) error {
 	return func(ctx context.Context) error {
 		select {
 		case <-time.After(duration):
@@ -43,47 +43,47 @@
 	}
 }
 
-// Killed kills a daemon with SIGKILL; the end of the fault starts it again, without a wait.
-func Killed(_ *Fleet, d *Daemon, _ time.Duration) (string, func(context.Context) error) {
+// KillDaemon kills a daemon with SIGKILL; the end of the fault starts it again, without a wait.
+func KillDaemon(_ *Fleet, d *Daemon, _ time.Duration) (string, func(context.Context) error) {
 	d.Kill()
-	return d.Name(), Again(d)
+	return d.Name(), Restart(d)
 }
 
-// Stopped stops a daemon's process with SIGSTOP, and continues it with SIGCONT after the duration.
-func Stopped(_ *Fleet, d *Daemon, duration time.Duration) (string, func(context.Context) error) {
+// StopDaemon stops a daemon's process with SIGSTOP, and continues it with SIGCONT after the duration.
+func StopDaemon(_ *Fleet, d *Daemon, duration time.Duration) (string, func(context.Context) error) {
 	d.Signal(syscall.SIGSTOP)
-	return d.Name(), After(duration, func() { d.Signal(syscall.SIGCONT) })
+	return d.Name(), EndAfter(duration, func() { d.Signal(syscall.SIGCONT) })
 }
 
-// Mute loses everything that a daemon sends to others. It still receives.
-func Mute(_ *Fleet, d *Daemon, duration time.Duration) (string, func(context.Context) error) {
+// LoseSent loses everything that a daemon sends to others. It still receives.
+func LoseSent(_ *Fleet, d *Daemon, duration time.Duration) (string, func(context.Context) error) {
 	d.Unheard(true)
-	return d.Name(), After(duration, func() { d.Unheard(false) })
+	return d.Name(), EndAfter(duration, func() { d.Unheard(false) })
 }
 
-// Deaf loses everything that others send to a daemon. They still receive what it sends.
-func Deaf(_ *Fleet, d *Daemon, duration time.Duration) (string, func(context.Context) error) {
+// LoseReceived loses everything that others send to a daemon. They still receive what it sends.
+func LoseReceived(_ *Fleet, d *Daemon, duration time.Duration) (string, func(context.Context) error) {
 	d.Deafen(true)
-	return d.Name(), After(duration, func() { d.Deafen(false) })
+	return d.Name(), EndAfter(duration, func() { d.Deafen(false) })
 }
 
-// CutOff loses everything between a daemon and the others, in both directions.
-func CutOff(_ *Fleet, d *Daemon, duration time.Duration) (string, func(context.Context) error) {
+// Isolate loses everything between a daemon and the others, in both directions.
+func Isolate(_ *Fleet, d *Daemon, duration time.Duration) (string, func(context.Context) error) {
 	d.Unheard(true)
 	d.Deafen(true)
-	return d.Name(), After(duration, func() { d.Unheard(false); d.Deafen(false) })
+	return d.Name(), EndAfter(duration, func() { d.Unheard(false); d.Deafen(false) })
 }
 
-// AllKilled kills every daemon with SIGKILL, whichever daemon is passed; the end of the fault starts all of them again.
-func AllKilled(f *Fleet, _ *Daemon, _ time.Duration) (string, func(context.Context) error) {
+// KillAll kills every daemon with SIGKILL, whichever daemon is passed; the end of the fault starts all of them again.
+func KillAll(f *Fleet, _ *Daemon, _ time.Duration) (string, func(context.Context) error) {
 	for _, d := range f.Daemons {
 		d.Kill()
 	}
-	return "", Again(f.Daemons...)
+	return "", Restart(f.Daemons...)
 }
 
-// Slow delays all links of all daemons, with stalls of up to a third of the duration.
-func Slow(f *Fleet, _ *Daemon, duration time.Duration) (string, func(context.Context) error) {
+// SlowLinks delays all links of all daemons, with stalls of up to a third of the duration.
+func SlowLinks(f *Fleet, _ *Daemon, duration time.Duration) (string, func(context.Context) error) {
 	setConditions := func(conditions relay.Conditions) {
 		for _, d := range f.Daemons {
 			d.Links(func(c *relay.Conditions) { *c = conditions })
@@ -95,7 +95,7 @@
 		StallProbability: 0.05,
 		MaxStall:         duration / 3,
 	})
-	return "", After(duration, func() { setConditions(relay.Conditions{}) })
+	return "", EndAfter(duration, func() { setConditions(relay.Conditions{}) })
 }
 
 // Leader returns the replica that leads the store, or the first replica if none does.
--- a/internal/lab/limitlab/limitlab.go
+++ b/internal/lab/limitlab/limitlab.go
@@ -103,29 +103,29 @@
 	Name  string
 	About string
 	long  float64 // TTLs
-	blow  fleetlab.Blow
+	blow  fleetlab.Fault
 	lead  bool // the store's leader is meant
 }
 
 // Faults are all kinds.
 var Faults = []Fault{
-	{"killed", "a daemon with its share is killed, and started at once", 0, fleetlab.Killed, false},
-	{"stopped", "a daemon is stopped for three of its sessions, and continued with all that has waited", 3, fleetlab.Stopped, false},
-	{"mute", "a daemon is not heard, and hears", 1.5, fleetlab.Mute, false},
-	{"deaf", "a daemon is heard, and hears nothing", 1.5, fleetlab.Deaf, false},
-	{"cut-off", "a daemon is cut off both ways for three of its sessions", 3, fleetlab.CutOff, false},
-	{"leader-killed", "the store's leader is killed", 0, fleetlab.Killed, true},
-	{"leader-stopped", "the store's leader is stopped for one and a half of its sessions", 1.5, fleetlab.Stopped, true},
+	{"killed", "a daemon with its share is killed, and started at once", 0, fleetlab.KillDaemon, false},
+	{"stopped", "a daemon is stopped for three of its sessions, and continued with all that has waited", 3, fleetlab.StopDaemon, false},
+	{"mute", "a daemon is not heard, and hears", 1.5, fleetlab.LoseSent, false},
+	{"deaf", "a daemon is heard, and hears nothing", 1.5, fleetlab.LoseReceived, false},
+	{"cut-off", "a daemon is cut off both ways for three of its sessions", 3, fleetlab.Isolate, false},
+	{"leader-killed", "the store's leader is killed", 0, fleetlab.KillDaemon, true},
+	{"leader-stopped", "the store's leader is stopped for one and a half of its sessions", 1.5, fleetlab.StopDaemon, true},
 	{"split", "a third of all daemons is cut off for two and a half sessions", 2.5, split, false},
-	{"all-killed", "all daemons are killed", 0, fleetlab.AllKilled, false},
-	{"slow", "all links are slow and lossy", 1.5, fleetlab.Slow, false},
+	{"all-killed", "all daemons are killed", 0, fleetlab.KillAll, false},
+	{"slow", "all links are slow and lossy", 1.5, fleetlab.SlowLinks, false},
 }
 
 func split(f *fleetlab.Fleet, d *fleetlab.Daemon, long time.Duration) (string, func(context.Context) error) {
 	what, ends := "", []func(context.Context) error{}
 	for _, x := range f.Daemons {
 		if x == d || (x.Number-d.Number+len(f.Daemons))%3 == 0 {
-			name, end := fleetlab.CutOff(f, x, long)
+			name, end := fleetlab.Isolate(f, x, long)
 			what, ends = what+" "+name, append(ends, end)
 		}
 	}
--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -101,7 +101,7 @@
 	r.aside(d)
 	at := time.Now()
 	d.Kill()
-	return d.Name() + " was killed", at, fleetlab.Again(d), nil
+	return d.Name() + " was killed", at, fleetlab.Restart(d), nil
 }
 
 // lost kills hollow processes, and has them start again after a while.
@@ -130,7 +130,7 @@
 			faults[i] = err
 		})
 	}
-	again := fleetlab.Again(daemons...)(ctx)
+	again := fleetlab.Restart(daemons...)(ctx)
 	wg.Wait()
 	for _, err := range append(faults, again) {
 		if err != nil {
--- a/internal/lab/tasklab/faults.go
+++ b/internal/lab/tasklab/faults.go
@@ -20,11 +20,11 @@
 }
 
 func (x *run) after(d time.Duration, f func()) func(context.Context) error {
-	return fleetlab.After(d, f)
+	return fleetlab.EndAfter(d, f)
 }
 
 // at has a blow done to the daemon at which the task is held, for one and a half TTL.
-func at(b fleetlab.Blow) func(x *run) (string, func(context.Context) error) {
+func at(b fleetlab.Fault) func(x *run) (string, func(context.Context) error) {
 	return func(x *run) (string, func(context.Context) error) {
 		a, _ := x.holding()
 		return b(x.fleet, a.d, x.long())
@@ -32,7 +32,7 @@
 }
 
 // lead has a blow done to the store's leader.
-func lead(b fleetlab.Blow) func(x *run) (string, func(context.Context) error) {
+func lead(b fleetlab.Fault) func(x *run) (string, func(context.Context) error) {
 	return func(x *run) (string, func(context.Context) error) { return b(x.fleet, x.fleet.Leader(), x.long()) }
 }
 
@@ -48,11 +48,11 @@
 
 // Faults are all kinds of blows.
 var Faults = []Fault{
-	{"holder-killed", "the daemon at which the task is held is killed", true, at(fleetlab.Killed)},
-	{"holder-stopped", "the daemon at which the task is held is stopped for 1.5 TTL and continued", true, at(fleetlab.Stopped)},
-	{"answers-cut", "the holder's daemon is not heard, and hears", false, at(fleetlab.Mute)},
-	{"renewals-cut", "the holder's daemon is heard, and hears nothing", false, at(fleetlab.Deaf)},
-	{"leader-killed", "the store's leader is killed", false, lead(fleetlab.Killed)},
+	{"holder-killed", "the daemon at which the task is held is killed", true, at(fleetlab.KillDaemon)},
+	{"holder-stopped", "the daemon at which the task is held is stopped for 1.5 TTL and continued", true, at(fleetlab.StopDaemon)},
+	{"answers-cut", "the holder's daemon is not heard, and hears", false, at(fleetlab.LoseSent)},
+	{"renewals-cut", "the holder's daemon is heard, and hears nothing", false, at(fleetlab.LoseReceived)},
+	{"leader-killed", "the store's leader is killed", false, lead(fleetlab.KillDaemon)},
 	{"actor-stopped", "what the lock runs is stopped for 1.5 TTL, with all that keeps it in time, and continued", false, func(x *run) (string, func(context.Context) error) {
 		a, who := x.holding()
 		x.at.mayBeLate(who)
@@ -76,8 +76,8 @@
 		a.signal(syscall.SIGKILL)
 		return who, x.after(0, func() {})
 	}},
-	{"leader-stopped", "the store's leader is stopped for 1.5 TTL and continued", false, lead(fleetlab.Stopped)},
-	{"all-killed", "all daemons are killed", false, at(fleetlab.AllKilled)},
+	{"leader-stopped", "the store's leader is stopped for 1.5 TTL and continued", false, lead(fleetlab.StopDaemon)},
+	{"all-killed", "all daemons are killed", false, at(fleetlab.KillAll)},
 	{"moved", "operators give the task to another host", true, func(x *run) (string, func(context.Context) error) {
 		a, _ := x.holding()
 		to := x.fleet.Daemons[0]
@@ -120,7 +120,7 @@
 		}
 		d.Kill()
 		err := d.Lose()
-		return d.Name(), func(ctx context.Context) error { return errors.Join(err, fleetlab.Again(d)(ctx)) }
+		return d.Name(), func(ctx context.Context) error { return errors.Join(err, fleetlab.Restart(d)(ctx)) }
 	}},
 	{"disk-old", "a follower is killed and starts with its disk as it was", false, func(x *run) (string, func(context.Context) error) {
 		d := x.follower()
@@ -136,7 +136,7 @@
 			if err := x.after(x.long(), d.Kill)(ctx); err != nil {
 				return err
 			}
-			return errors.Join(d.Put(old), fleetlab.Again(d)(ctx))
+			return errors.Join(d.Put(old), fleetlab.Restart(d)(ctx))
 		}
 	}},
 	{"disk-full", "the leader's disk has no room for 1.5 TTL, after which it is started again", false, func(x *run) (string, func(context.Context) error) {
@@ -146,7 +146,7 @@
 			if err := x.after(x.long(), d.Kill)(ctx); err != nil {
 				return err
 			}
-			return errors.Join(err, fleetlab.Again(d)(ctx))
+			return errors.Join(err, fleetlab.Restart(d)(ctx))
 		}
 	}},
 	{"sync-fails", "the leader's disk fails every sync from now on, after which it is started again; a build for tests alone", false, func(x *run) (string, func(context.Context) error) {
@@ -159,7 +159,7 @@
 			if err := x.after(x.long(), d.Kill)(ctx); err != nil {
 				return err
 			}
-			return fleetlab.Again(d)(ctx)
+			return fleetlab.Restart(d)(ctx)
 		}
 	}},
 	{"old-build", "a daemon is started with the older build, if there is one, which the cluster has left behind, and then with its own", false, func(x *run) (string, func(context.Context) error) {
@@ -175,8 +175,8 @@
 				return err
 			}
 			d.Build = ""
-			return errors.Join(err, fleetlab.Again(d)(ctx))
+			return errors.Join(err, fleetlab.Restart(d)(ctx))
 		}
 	}},
-	{"slow", "all links are slow and lossy by stalls for 1.5 TTL", false, at(fleetlab.Slow)},
+	{"slow", "all links are slow and lossy by stalls for 1.5 TTL", false, at(fleetlab.SlowLinks)},
 }
