--- a/cmd/birchmoor/limitrestart_test.go
+++ b/cmd/birchmoor/limitrestart_test.go
@@ -50,7 +50,7 @@
 			t.Fatal(err)
 		}
 		for n := range 50 {
-			d.Ask(ctx, client, fmt.Sprintf("%020x", n))
+			d.SendRequest(ctx, client, fmt.Sprintf("%020x", n))
 		}
 		if n := f.Servers[0].Count(d.Number); n > 0 {
 			t.Errorf("%s starts alone and lets %d requests through, by a limit that allows none without the store\n%s",
--- a/cmd/birchmoor/storefollower_test.go
+++ b/cmd/birchmoor/storefollower_test.go
@@ -236,7 +236,7 @@
 	ownDisk := from == "own disk"
 	s.follower.Kill()
 	if !ownDisk {
-		if err := s.follower.Lose(); err != nil {
+		if err := s.follower.RemoveData(); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -250,7 +250,7 @@
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	for n := range 100 {
-		s.follower.Ask(s.ctx, client, fmt.Sprintf("%020x", n+before+int(time.Now().UnixNano())))
+		s.follower.SendRequest(s.ctx, client, fmt.Sprintf("%020x", n+before+int(time.Now().UnixNano())))
 	}
 	if n := s.drained.Count(1) - before; n > 0 {
 		t.Errorf("%s: %d requests to a server that drains\n%s", what, n, s.follower.Log())
--- a/internal/lab/fleetlab/blows.go
+++ b/internal/lab/fleetlab/blows.go
@@ -57,21 +57,21 @@
 
 // LoseSent loses everything that a daemon sends to others. It still receives.
 func LoseSent(_ *Fleet, d *Daemon, duration time.Duration) (string, func(context.Context) error) {
-	d.Unheard(true)
-	return d.Name(), EndAfter(duration, func() { d.Unheard(false) })
+	d.SetSentLost(true)
+	return d.Name(), EndAfter(duration, func() { d.SetSentLost(false) })
 }
 
 // LoseReceived loses everything that others send to a daemon. They still receive what it sends.
 func LoseReceived(_ *Fleet, d *Daemon, duration time.Duration) (string, func(context.Context) error) {
-	d.Deafen(true)
-	return d.Name(), EndAfter(duration, func() { d.Deafen(false) })
+	d.SetReceivedLost(true)
+	return d.Name(), EndAfter(duration, func() { d.SetReceivedLost(false) })
 }
 
 // Isolate loses everything between a daemon and the others, in both directions.
 func Isolate(_ *Fleet, d *Daemon, duration time.Duration) (string, func(context.Context) error) {
-	d.Unheard(true)
-	d.Deafen(true)
-	return d.Name(), EndAfter(duration, func() { d.Unheard(false); d.Deafen(false) })
+	d.SetSentLost(true)
+	d.SetReceivedLost(true)
+	return d.Name(), EndAfter(duration, func() { d.SetSentLost(false); d.SetReceivedLost(false) })
 }
 
 // KillAll kills every daemon with SIGKILL, whichever daemon is passed; the end of the fault starts all of them again.
@@ -86,7 +86,7 @@
 func SlowLinks(f *Fleet, _ *Daemon, duration time.Duration) (string, func(context.Context) error) {
 	setConditions := func(conditions relay.Conditions) {
 		for _, d := range f.Daemons {
-			d.Links(func(c *relay.Conditions) { *c = conditions })
+			d.UpdateLinks(func(c *relay.Conditions) { *c = conditions })
 		}
 	}
 	setConditions(relay.Conditions{
--- a/internal/lab/fleetlab/fleet.go
+++ b/internal/lab/fleetlab/fleet.go
@@ -183,7 +183,7 @@
 	noSidecar    bool                 // the daemon runs no sidecar
 	sidecarOnly  bool                 // the next start runs only the sidecar, without the store
 	Env          []string             // added to the environment of its processes
-	Build        string               // program of the next starts; "" for the fleet's program
+	Program      string               // program of the next starts; "" for the fleet's program
 
 	mu     sync.Mutex
 	cmd    *exec.Cmd     // nil if killed or not yet started
@@ -433,8 +433,8 @@
 		args = []string{"sidecar"}
 	}
 	program := d.fleet.cfg.Program
-	if d.Build != "" {
-		program = d.Build
+	if d.Program != "" {
+		program = d.Program
 	}
 	cmd := exec.Command(program, args...)
 	cmd.Env = append(append(os.Environ(), "TMPDIR="+tmp), d.Env...)
@@ -508,8 +508,8 @@
 // Dir returns the store's folder.
 func (d *Daemon) Dir() string { return d.path("") }
 
-// Lose removes the store's folder. The daemon must not run.
-func (d *Daemon) Lose() error { return os.RemoveAll(d.path("")) }
+// RemoveData removes the store's folder. The daemon must not run.
+func (d *Daemon) RemoveData() error { return os.RemoveAll(d.path("")) }
 
 // Log returns everything that the daemon's processes have logged, or the error of reading it.
 func (d *Daemon) Log() string {
@@ -520,11 +520,11 @@
 	return string(content)
 }
 
-// Serve returns the address of a replica for followers, without a relay.
-func (d *Daemon) Serve() string { return d.followerAddr }
+// FollowerAddr returns the address of a replica for followers, without a relay.
+func (d *Daemon) FollowerAddr() string { return d.followerAddr }
 
-// Peer returns the address of a replica for other replicas, through its inbound relay.
-func (d *Daemon) Peer() string { return d.peerAddr }
+// PeerAddr returns the address of a replica for other replicas, through its inbound relay.
+func (d *Daemon) PeerAddr() string { return d.peerAddr }
 
 // Board returns the daemon's discovery server.
 func (d *Daemon) Board() *Board { return d.discovery }
@@ -547,9 +547,9 @@
 	}
 }
 
-// Full makes every write of the process that would extend a file fail, as on a full disk but with EFBIG instead of
+// SetDiskFull makes every write of the process that would extend a file fail, as on a full disk but with EFBIG instead of
 // ENOSPC, or succeed again.
-func (d *Daemon) Full(full bool) error {
+func (d *Daemon) SetDiskFull(full bool) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.cmd == nil {
@@ -562,8 +562,8 @@
 	return unix.Prlimit(d.cmd.Process.Pid, unix.RLIMIT_FSIZE, &limit, nil)
 }
 
-// Links changes the conditions of all links from the daemon, and of those to a replica from other replicas.
-func (d *Daemon) Links(change func(*relay.Conditions)) {
+// UpdateLinks changes the conditions of all links from the daemon, and of those to a replica from other replicas.
+func (d *Daemon) UpdateLinks(change func(*relay.Conditions)) {
 	if d.inbound != nil {
 		d.inbound.Update(change)
 	}
@@ -572,16 +572,16 @@
 	}
 }
 
-// Unheard loses everything that the daemon sends to others while active. It still receives what they send. Replicas
+// SetSentLost loses everything that the daemon sends to others while active. It still receives what they send. Replicas
 // send on connections that they opened themselves.
-func (d *Daemon) Unheard(active bool) {
+func (d *Daemon) SetSentLost(active bool) {
 	for _, link := range d.links {
 		link.Update(func(c *relay.Conditions) { c.BlackHoleToTarget = active })
 	}
 }
 
-// Deafen loses everything that others send to the daemon while active. They still receive what it sends.
-func (d *Daemon) Deafen(active bool) {
+// SetReceivedLost loses everything that others send to the daemon while active. They still receive what it sends.
+func (d *Daemon) SetReceivedLost(active bool) {
 	if d.inbound != nil {
 		d.inbound.Update(func(c *relay.Conditions) { c.BlackHoleToTarget = active })
 		return
@@ -591,18 +591,18 @@
 	}
 }
 
-// Between loses everything that the daemon sends to one other replica while active.
-func (d *Daemon) Between(to *Daemon, active bool) {
+// SetSentLostTo loses everything that the daemon sends to one other replica while active.
+func (d *Daemon) SetSentLostTo(to *Daemon, active bool) {
 	if link := d.links[to.name]; link != nil {
 		link.Update(func(c *relay.Conditions) { c.BlackHoleToTarget = active })
 	}
 }
 
-// Copy returns the content of a follower's copy of the store on disk.
-func (d *Daemon) Copy() ([]byte, error) { return os.ReadFile(filepath.Join(d.Dir(), "copy")) }
+// ReadCopy returns the content of a follower's copy of the store on disk.
+func (d *Daemon) ReadCopy() ([]byte, error) { return os.ReadFile(filepath.Join(d.Dir(), "copy")) }
 
-// Put replaces a follower's copy of the store on disk, such as by an older one from Copy. The daemon must not run.
-func (d *Daemon) Put(content []byte) error {
+// WriteCopy replaces a follower's copy of the store on disk, such as by an older one from Copy. The daemon must not run.
+func (d *Daemon) WriteCopy(content []byte) error {
 	return os.WriteFile(filepath.Join(d.Dir(), "copy"), content, 0o600)
 }
 
@@ -656,11 +656,11 @@
 	return fmt.Errorf("replica %d does not vote: %w\n%s", number, errors.Join(lastErr, ctx.Err()), f.Daemons[number].Log())
 }
 
-// Listen returns the address of the sidecar for clients.
-func (d *Daemon) Listen() string { return d.clientAddr }
+// ClientAddr returns the address of the sidecar for clients.
+func (d *Daemon) ClientAddr() string { return d.clientAddr }
 
-// Ask sends one request through the daemon's sidecar, and reports whether it was served with status 200.
-func (d *Daemon) Ask(ctx context.Context, client *http.Client, id string) bool {
+// SendRequest sends one request through the daemon's sidecar, and reports whether it was served with status 200.
+func (d *Daemon) SendRequest(ctx context.Context, client *http.Client, id string) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.clientAddr+"/look/1", nil)
 	if err != nil {
 		return false
@@ -695,7 +695,7 @@
 				ticker := time.NewTicker(interval)
 				defer ticker.Stop()
 				for n := 0; ctx.Err() == nil; n++ {
-					d.Ask(ctx, client, fmt.Sprintf("%04x%04x%012x", d.Number, conn, n))
+					d.SendRequest(ctx, client, fmt.Sprintf("%04x%04x%012x", d.Number, conn, n))
 					select {
 					case <-ticker.C:
 					case <-ctx.Done():
@@ -707,8 +707,8 @@
 	return &wg
 }
 
-// Operate sends an operator's command to the daemon's sidecar, and returns the reply.
-func (d *Daemon) Operate(line string) (string, error) {
+// CallOperator sends an operator's command to the daemon's sidecar, and returns the reply.
+func (d *Daemon) CallOperator(line string) (string, error) {
 	conn, err := net.DialTimeout("tcp", d.operatorAddr, time.Second)
 	if err != nil {
 		return "", err
--- a/internal/lab/fleetlab/measure.go
+++ b/internal/lab/fleetlab/measure.go
@@ -67,7 +67,7 @@
 				instance := server.Now()
 				reportedAt := time.Now()
 				if operators {
-					reply, err := f.Daemons[reporter].Operate("maint-on " + instance.ID)
+					reply, err := f.Daemons[reporter].CallOperator("maint-on " + instance.ID)
 					if err != nil || reply != "YES\n" {
 						mu.Lock()
 						callErr = fmt.Errorf("maint-on %s: %q, %v", instance.ID, reply, err)
@@ -99,7 +99,7 @@
 			server, reporter := f.Servers[i], (done+i)%len(f.Daemons)
 			instance := server.Now()
 			if operators {
-				if reply, err := f.Daemons[reporter].Operate("maint-off " + instance.ID); err != nil || reply != "YES\n" {
+				if reply, err := f.Daemons[reporter].CallOperator("maint-off " + instance.ID); err != nil || reply != "YES\n" {
 					return result, fmt.Errorf("maint-off %s: %q, %v", instance.ID, reply, err)
 				}
 				server.Set(instance)
@@ -159,7 +159,7 @@
 		for range starts {
 			follower.Kill()
 			if source != "own disk" {
-				if err := follower.Lose(); err != nil {
+				if err := follower.RemoveData(); err != nil {
 					return nil, err
 				}
 			}
@@ -180,7 +180,7 @@
 			client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4}, Timeout: 2 * time.Second}
 			for end, k := time.Now().Add(time.Second), 0; time.Now().Before(end); k++ {
 				sent++
-				if follower.Ask(ctx, client, fmt.Sprintf("%020x", time.Now().UnixNano())) {
+				if follower.SendRequest(ctx, client, fmt.Sprintf("%020x", time.Now().UnixNano())) {
 					served++
 				}
 				time.Sleep(5 * time.Millisecond)
@@ -364,7 +364,7 @@
 		return result, err
 	}
 	daemon.Kill()
-	if err := daemon.Lose(); err != nil {
+	if err := daemon.RemoveData(); err != nil {
 		return result, err
 	}
 	if result.Follower, err = start(daemon); err != nil {
@@ -463,7 +463,7 @@
 			var connLatencies []time.Duration
 			for n := 0; ctx.Err() == nil; n++ {
 				sentAt := time.Now()
-				if d.Ask(ctx, client, fmt.Sprintf("%02x%06x%012x", conn, d.Number, time.Now().UnixNano()&0xffffffffffff)) {
+				if d.SendRequest(ctx, client, fmt.Sprintf("%02x%06x%012x", conn, d.Number, time.Now().UnixNano()&0xffffffffffff)) {
 					connLatencies = append(connLatencies, time.Since(sentAt))
 				}
 			}
--- a/internal/lab/limitlab/limitlab.go
+++ b/internal/lab/limitlab/limitlab.go
@@ -363,7 +363,7 @@
 }
 
 func (x *run) one(ctx context.Context, c *http.Client, d *fleetlab.Daemon, path, org, id string) {
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.Listen()+"/look/"+path, nil)
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.ClientAddr()+"/look/"+path, nil)
 	if err != nil {
 		return
 	}
--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -303,7 +303,7 @@
 		return "", time.Time{}, nil, err
 	}
 	d.Kill()
-	if err := d.Lose(); err != nil {
+	if err := d.RemoveData(); err != nil {
 		return "", time.Time{}, nil, err
 	}
 	at := time.Now()
@@ -329,7 +329,7 @@
 	if err := d.Start(); err != nil {
 		return "", at, nil, err
 	}
-	if err := change(admin.ChangeRequest{AddMember: &store.AddMember{Name: d.Name(), Address: d.Peer()}}); err != nil {
+	if err := change(admin.ChangeRequest{AddMember: &store.AddMember{Name: d.Name(), Address: d.PeerAddr()}}); err != nil {
 		return "", at, nil, err
 	}
 	for ctx.Err() == nil {
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -139,7 +139,7 @@
 	for z := range zones {
 		spec := Spec{Dir: r.dir}
 		for n, d := range r.replicas() {
-			spec.Links = append(spec.Links, LinkSpec{Name: d.Name(), To: d.Serve(), Delay: delay(z, zone(n)), Seed: o.Seed + uint64(1000*z+n)})
+			spec.Links = append(spec.Links, LinkSpec{Name: d.Name(), To: d.FollowerAddr(), Delay: delay(z, zone(n)), Seed: o.Seed + uint64(1000*z+n)})
 		}
 		p, err := start(ctx, &r.o, r.dir, fmt.Sprintf("links-%d", z), spec, nil)
 		if err != nil {
@@ -430,7 +430,7 @@
 			next := asking(rand.New(rand.NewPCG(r.o.Seed<<20+uint64(n), 2)))
 			for i := 0; ctx.Err() == nil; i++ {
 				pause(ctx, next())
-				d.Ask(ctx, c, fmt.Sprintf("%04x%016x", n, i))
+				d.SendRequest(ctx, c, fmt.Sprintf("%04x%016x", n, i))
 			}
 		})
 	}
--- a/internal/lab/soak/actions.go
+++ b/internal/lab/soak/actions.go
@@ -90,17 +90,17 @@
 		daemon.Deaf(false)
 		r.updateHistory(number, func(h *daemonHistory) { h.quiet = append(h.quiet, period{startedAt, time.Now()}) })
 	case Cut:
-		daemon.Unheard(true)
-		daemon.Deafen(true)
+		daemon.SetSentLost(true)
+		daemon.SetReceivedLost(true)
 		pause(ctx, duration)
-		daemon.Unheard(false)
-		daemon.Deafen(false)
+		daemon.SetSentLost(false)
+		daemon.SetReceivedLost(false)
 	case FullDisk:
-		if err := daemon.Full(true); err != nil {
+		if err := daemon.SetDiskFull(true); err != nil {
 			return err
 		}
 		pause(ctx, duration)
-		return daemon.Full(false)
+		return daemon.SetDiskFull(false)
 	}
 	return ctx.Err()
 }
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -96,7 +96,7 @@
 
 func (c *client) dial(ctx context.Context) bool {
 	dialer := net.Dialer{Timeout: dialTimeout}
-	conn, err := dialer.DialContext(ctx, "tcp", c.run.fleet.Daemons[c.daemon].Listen())
+	conn, err := dialer.DialContext(ctx, "tcp", c.run.fleet.Daemons[c.daemon].ClientAddr())
 	if err != nil {
 		return false
 	}
@@ -216,7 +216,7 @@
 			if conns[i] != nil {
 				_ = conns[i].Close()
 			}
-			conns[i], _ = dialer.DialContext(ctx, "tcp", r.fleet.Daemons[daemon].Listen()) // nil if the daemon refuses it
+			conns[i], _ = dialer.DialContext(ctx, "tcp", r.fleet.Daemons[daemon].ClientAddr()) // nil if the daemon refuses it
 		}
 		pause(ctx, idleCheckInterval)
 	}
--- a/internal/lab/tasklab/faults.go
+++ b/internal/lab/tasklab/faults.go
@@ -104,14 +104,14 @@
 	{"pair-cut", "the leader does not hear one other replica, and is heard by it", false, func(x *run) (string, func(context.Context) error) {
 		lead := x.fleet.Leader()
 		other := x.fleet.Daemons[(lead.Number+1)%x.Replicas]
-		other.Between(lead, true)
-		return other.Name() + " to " + lead.Name(), x.after(x.long(), func() { other.Between(lead, false) })
+		other.SetSentLostTo(lead, true)
+		return other.Name() + " to " + lead.Name(), x.after(x.long(), func() { other.SetSentLostTo(lead, false) })
 	}},
 	{"replica-cut", "a replica that followers may follow is cut off from the others, and goes on answering", false, func(x *run) (string, func(context.Context) error) {
 		d := x.fleet.Daemons[x.rng.IntN(x.Replicas)]
-		d.Unheard(true)
-		d.Deafen(true)
-		return d.Name(), x.after(x.long(), func() { d.Unheard(false); d.Deafen(false) })
+		d.SetSentLost(true)
+		d.SetReceivedLost(true)
+		return d.Name(), x.after(x.long(), func() { d.SetSentLost(false); d.SetReceivedLost(false) })
 	}},
 	{"disk-lost", "a follower is killed and starts with an empty disk", false, func(x *run) (string, func(context.Context) error) {
 		d := x.follower()
@@ -119,7 +119,7 @@
 			return "nobody", x.after(0, func() {})
 		}
 		d.Kill()
-		err := d.Lose()
+		err := d.RemoveData()
 		return d.Name(), func(ctx context.Context) error { return errors.Join(err, fleetlab.Restart(d)(ctx)) }
 	}},
 	{"disk-old", "a follower is killed and starts with its disk as it was", false, func(x *run) (string, func(context.Context) error) {
@@ -127,7 +127,7 @@
 		if d == nil {
 			return "nobody", x.after(0, func() {})
 		}
-		old, err := d.Copy()
+		old, err := d.ReadCopy()
 		if err != nil {
 			return d.Name() + ", which has none", x.after(0, func() {})
 		}
@@ -136,12 +136,12 @@
 			if err := x.after(x.long(), d.Kill)(ctx); err != nil {
 				return err
 			}
-			return errors.Join(d.Put(old), fleetlab.Restart(d)(ctx))
+			return errors.Join(d.WriteCopy(old), fleetlab.Restart(d)(ctx))
 		}
 	}},
 	{"disk-full", "the leader's disk has no room for 1.5 TTL, after which it is started again", false, func(x *run) (string, func(context.Context) error) {
 		d := x.fleet.Leader()
-		err := d.Full(true)
+		err := d.SetDiskFull(true)
 		return d.Name(), func(ctx context.Context) error {
 			if err := x.after(x.long(), d.Kill)(ctx); err != nil {
 				return err
@@ -168,13 +168,13 @@
 		}
 		d := x.fleet.Daemons[x.rng.IntN(len(x.fleet.Daemons))]
 		d.Kill()
-		d.Build = x.Old
+		d.Program = x.Old
 		err := d.Start()
 		return d.Name(), func(ctx context.Context) error {
 			if err := x.after(x.long(), d.Kill)(ctx); err != nil {
 				return err
 			}
-			d.Build = ""
+			d.Program = ""
 			return errors.Join(err, fleetlab.Restart(d)(ctx))
 		}
 	}},
