--- a/cmd/birchmoor/limitrestart_test.go
+++ b/cmd/birchmoor/limitrestart_test.go
@@ -52,7 +52,7 @@
 		for n := range 50 {
 			d.SendRequest(ctx, client, fmt.Sprintf("%020x", n))
 		}
-		if n := f.Servers[0].Count(d.Number); n > 0 {
+		if n := f.Servers[0].RequestCount(d.Number); n > 0 {
 			t.Errorf("%s starts alone and lets %d requests through, by a limit that allows none without the store\n%s",
 				d.Name(), n, d.Log())
 		}
--- a/cmd/birchmoor/storefollower_test.go
+++ b/cmd/birchmoor/storefollower_test.go
@@ -160,10 +160,10 @@
 	defer f.End()
 	replica, follower := f.Daemons[0], f.Daemons[1]
 	s := &followerStarts{ctx: ctx, follower: follower, drained: f.Servers[0]}
-	drain := s.drained.Now()
+	drain := s.drained.Instance()
 	drain.Lifecycle = "draining"
-	s.drained.Set(drain)
-	replica.Tell(drain)
+	s.drained.SetInstance(drain)
+	replica.Report(drain)
 	for known := false; !known; {
 		facts, err := follower.Client.Servers(ctx)
 		if err != nil {
@@ -173,7 +173,7 @@
 			known = known || x.ID == drain.ID && x.Kind == "drains" && x.Committed && x.ReportedBy == "d0"
 		}
 	}
-	follower.Deaf(true)
+	follower.SetDiscoverySilent(true)
 	s.start(t, "an empty disk", "another replica")
 	socket := follower.Socket()
 	if code, out, _ := birchmoor("store", "servers", drain.ID, "--socket", socket); code != 0 ||
@@ -240,7 +240,7 @@
 			t.Fatal(err)
 		}
 	}
-	before := s.drained.Count(1)
+	before := s.drained.RequestCount(1)
 	if err := s.follower.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -252,7 +252,7 @@
 	for n := range 100 {
 		s.follower.SendRequest(s.ctx, client, fmt.Sprintf("%020x", n+before+int(time.Now().UnixNano())))
 	}
-	if n := s.drained.Count(1) - before; n > 0 {
+	if n := s.drained.RequestCount(1) - before; n > 0 {
 		t.Errorf("%s: %d requests to a server that drains\n%s", what, n, s.follower.Log())
 	}
 	status, err := s.follower.Client.Status(s.ctx)
--- a/internal/lab/fleetlab/fleet.go
+++ b/internal/lab/fleetlab/fleet.go
@@ -131,15 +131,15 @@
 	io.WriteString(w, "ok")
 }
 
-// Now returns the endpoint entry of the current process.
-func (s *Server) Now() discovery.Instance {
+// Instance returns the endpoint entry of the current process.
+func (s *Server) Instance() discovery.Instance {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.instance
 }
 
-// Set replaces the endpoint entry, for a drain or a new start of the server. A start resets the counts.
-func (s *Server) Set(instance discovery.Instance) {
+// SetInstance replaces the endpoint entry, for a drain or a new start of the server. A start resets the counts.
+func (s *Server) SetInstance(instance discovery.Instance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if instance.StartedMs != s.instance.StartedMs || instance.Lifecycle == "up" && s.instance.Lifecycle != "up" {
@@ -149,16 +149,16 @@
 	s.instance = instance
 }
 
-// Last returns when the last request of a daemon reached the current process; ok is false if none did.
-func (s *Server) Last(from int) (at time.Time, ok bool) {
+// LastRequest returns when the last request of a daemon reached the current process; ok is false if none did.
+func (s *Server) LastRequest(from int) (at time.Time, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	at, ok = s.lastRequests[from]
 	return at, ok
 }
 
-// Count returns the number of requests of a daemon that reached the current process.
-func (s *Server) Count(from int) int {
+// RequestCount returns the number of requests of a daemon that reached the current process.
+func (s *Server) RequestCount(from int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.requestCounts[from]
@@ -177,7 +177,7 @@
 	followerAddr string                 // of the replica, for followers
 	inbound      *relay.Link            // from other replicas; nil for a follower
 	links        map[string]*relay.Link // to replicas, by their name
-	discovery    *Board
+	discovery    *DiscoveryServer
 	Client       *adminapi.Client
 	Known        []discovery.Instance // endpoint list in the configuration
 	noSidecar    bool                 // the daemon runs no sidecar
@@ -293,7 +293,7 @@
 		name:      fmt.Sprintf("d%d", number),
 		follower:  follower,
 		Known:     known,
-		discovery: NewBoard(known),
+		discovery: NewDiscoveryServer(known),
 	}
 	d.noSidecar = f.cfg.Bare || f.cfg.BareReplicas && !follower
 	d.Env = slices.Clone(f.cfg.Env)
@@ -526,8 +526,8 @@
 // PeerAddr returns the address of a replica for other replicas, through its inbound relay.
 func (d *Daemon) PeerAddr() string { return d.peerAddr }
 
-// Board returns the daemon's discovery server.
-func (d *Daemon) Board() *Board { return d.discovery }
+// DiscoveryServer returns the daemon's discovery server.
+func (d *Daemon) DiscoveryServer() *DiscoveryServer { return d.discovery }
 
 // Link returns the link from the daemon to a replica, or nil if there is none.
 func (d *Daemon) Link(to *Daemon) *relay.Link { return d.links[to.name] }
@@ -724,8 +724,8 @@
 
 // ---- Discovery -------------------------------------------------------------
 
-// Board is a discovery server with one endpoint list, for polls and watches. It is safe for concurrent use.
-type Board struct {
+// DiscoveryServer is a discovery server with one endpoint list, for polls and watches. It is safe for concurrent use.
+type DiscoveryServer struct {
 	server *httptest.Server
 
 	mu        sync.Mutex
@@ -736,31 +736,31 @@
 	bytesSent atomic.Uint64
 }
 
-// Sent returns the number of bytes sent, without HTTP headers.
-func (b *Board) Sent() uint64 { return b.bytesSent.Load() }
+// BytesSent returns the number of bytes sent, without HTTP headers.
+func (b *DiscoveryServer) BytesSent() uint64 { return b.bytesSent.Load() }
 
-// NewBoard starts a discovery server on loopback with an endpoint list, which it copies. Close ends it.
-func NewBoard(list []discovery.Instance) *Board {
-	b := &Board{instances: append([]discovery.Instance(nil), list...), version: 1, changed: make(chan struct{})}
+// NewDiscoveryServer starts a discovery server on loopback with an endpoint list, which it copies. Close ends it.
+func NewDiscoveryServer(list []discovery.Instance) *DiscoveryServer {
+	b := &DiscoveryServer{instances: append([]discovery.Instance(nil), list...), version: 1, changed: make(chan struct{})}
 	b.server = httptest.NewServer(b)
 	return b
 }
 
 // Addr returns the address for polls and watches.
-func (b *Board) Addr() string { return b.server.Listener.Addr().String() }
+func (b *DiscoveryServer) Addr() string { return b.server.Listener.Addr().String() }
 
 // Close ends the server and all watches.
-func (b *Board) Close() {
+func (b *DiscoveryServer) Close() {
 	b.server.CloseClientConnections()
 	b.server.Close()
 }
 
-// Tell reports the state of an instance through the daemon's discovery. It is ignored if discovery has reported a later
+// Report reports the state of an instance through the daemon's discovery. It is ignored if discovery has reported a later
 // state of the instance, since delayed reports may overtake each other.
-func (d *Daemon) Tell(instance discovery.Instance) { d.discovery.Tell(instance) }
+func (d *Daemon) Report(instance discovery.Instance) { d.discovery.Report(instance) }
 
-// Tell reports the state of an instance; see Daemon.Tell.
-func (b *Board) Tell(instance discovery.Instance) {
+// Report reports the state of an instance; see Daemon.Tell.
+func (b *DiscoveryServer) Report(instance discovery.Instance) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	found := false
@@ -781,8 +781,8 @@
 	b.changed = make(chan struct{})
 }
 
-// Deaf holds back all changes of the daemon's discovery while active. Its end sends the current list.
-func (d *Daemon) Deaf(active bool) {
+// SetDiscoverySilent holds back all changes of the daemon's discovery while active. Its end sends the current list.
+func (d *Daemon) SetDiscoverySilent(active bool) {
 	d.discovery.mu.Lock()
 	defer d.discovery.mu.Unlock()
 	d.discovery.silenced = active
@@ -790,7 +790,7 @@
 	d.discovery.changed = make(chan struct{})
 }
 
-func (b *Board) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (b *DiscoveryServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	controller := http.NewResponseController(w)
 	sentVersion := int64(0)
 	for {
--- a/internal/lab/fleetlab/measure.go
+++ b/internal/lab/fleetlab/measure.go
@@ -64,7 +64,7 @@
 			server, reporter := f.Servers[i], (done+i)%len(f.Daemons)
 			wg.Go(func() {
 				time.Sleep(time.Duration(i) * 5 * time.Millisecond)
-				instance := server.Now()
+				instance := server.Instance()
 				reportedAt := time.Now()
 				if operators {
 					reply, err := f.Daemons[reporter].CallOperator("maint-on " + instance.ID)
@@ -76,13 +76,13 @@
 					}
 				} else {
 					instance.Lifecycle = "draining"
-					f.Daemons[reporter].Tell(instance)
+					f.Daemons[reporter].Report(instance)
 				}
 				time.Sleep(settle)
 				mu.Lock()
 				defer mu.Unlock()
 				for j := range f.Daemons {
-					last, _ := server.Last(j)
+					last, _ := server.LastRequest(j)
 					if took := max(0, last.Sub(reportedAt)); j == reporter {
 						toReporter = append(toReporter, took)
 					} else {
@@ -97,19 +97,19 @@
 		}
 		for i := range len(f.Servers) / 2 {
 			server, reporter := f.Servers[i], (done+i)%len(f.Daemons)
-			instance := server.Now()
+			instance := server.Instance()
 			if operators {
 				if reply, err := f.Daemons[reporter].CallOperator("maint-off " + instance.ID); err != nil || reply != "YES\n" {
 					return result, fmt.Errorf("maint-off %s: %q, %v", instance.ID, reply, err)
 				}
-				server.Set(instance)
+				server.SetInstance(instance)
 				continue
 			}
 			// The server is another process, which has warmed up.
 			instance.Lifecycle, instance.StartedMs = "up", time.Now().Add(-time.Minute).UnixMilli()
-			server.Set(instance)
+			server.SetInstance(instance)
 			for _, d := range f.Daemons {
-				d.Tell(instance)
+				d.Report(instance)
 			}
 		}
 		time.Sleep(settle)
@@ -140,12 +140,12 @@
 		return nil, fmt.Errorf("starts are measured on a follower, and the fleet has none")
 	}
 	for i := range 2 {
-		instance := f.Servers[i].Now()
+		instance := f.Servers[i].Instance()
 		instance.Lifecycle = "draining"
-		f.Servers[i].Set(instance)
-		f.Daemons[0].Tell(instance)
+		f.Servers[i].SetInstance(instance)
+		f.Daemons[0].Report(instance)
 	}
-	follower.Deaf(true)
+	follower.SetDiscoverySilent(true)
 	select { // the daemons have written their snapshots of the servers' state to the store by then
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -168,7 +168,7 @@
 					replica.Kill()
 				}
 			}
-			countBefore := f.Servers[0].Count(follower.Number) + f.Servers[1].Count(follower.Number)
+			countBefore := f.Servers[0].RequestCount(follower.Number) + f.Servers[1].RequestCount(follower.Number)
 			startedAt := time.Now()
 			if err := follower.Start(); err != nil {
 				return nil, err
@@ -186,8 +186,8 @@
 				time.Sleep(5 * time.Millisecond)
 			}
 			client.CloseIdleConnections()
-			figures.Drained += float64(f.Servers[0].Count(follower.Number)+
-				f.Servers[1].Count(follower.Number)-countBefore) / float64(starts)
+			figures.Drained += float64(f.Servers[0].RequestCount(follower.Number)+
+				f.Servers[1].RequestCount(follower.Number)-countBefore) / float64(starts)
 			if status, err := follower.Client.Status(ctx); err == nil {
 				for _, restored := range status.Startup.Restored {
 					figures.Recalled += float64(restored.Servers) / float64(starts)
@@ -264,18 +264,18 @@
 	startedAt := time.Now()
 	report := func(instance discovery.Instance) {
 		for _, d := range f.Daemons {
-			d.Tell(instance)
+			d.Report(instance)
 		}
 	}
 	for k := range changes / 2 {
 		s := f.Servers[k%len(f.Servers)]
-		instance := s.Now()
+		instance := s.Instance()
 		instance.Lifecycle = "draining"
-		s.Set(instance)
+		s.SetInstance(instance)
 		report(instance)
 		time.Sleep(interval)
 		instance.Lifecycle, instance.StartedMs = "up", time.Now().UnixMilli()
-		s.Set(instance)
+		s.SetInstance(instance)
 		report(instance)
 		time.Sleep(interval)
 		result.Changes += 2
@@ -404,14 +404,14 @@
 	changing.Go(func() {
 		for k := 0; changeCtx.Err() == nil; k++ {
 			server := f.Servers[k%(len(f.Servers)/2)]
-			instance := server.Now()
+			instance := server.Instance()
 			instance.Lifecycle, instance.StartedMs = "up", time.Now().Add(-time.Hour).UnixMilli()+int64(k)
 			if k/(len(f.Servers)/2)%2 == 0 {
 				instance.Lifecycle = "draining"
 			}
-			server.Set(instance)
+			server.SetInstance(instance)
 			for _, daemon := range f.Daemons {
-				daemon.Tell(instance)
+				daemon.Report(instance)
 			}
 			select {
 			case <-changeCtx.Done():
--- a/internal/lab/fleetlab/torture.go
+++ b/internal/lab/fleetlab/torture.go
@@ -152,7 +152,7 @@
 func (t *Torture) watchKnownDrains(ctx context.Context, result *Tortured, daemon *Daemon) {
 	numbers := map[string]int{}
 	for _, server := range t.Fleet.Servers {
-		numbers[server.Now().ID] = server.Number
+		numbers[server.Instance().ID] = server.Number
 	}
 	for ctx.Err() == nil {
 		callCtx, cancel := context.WithTimeout(ctx, time.Second)
@@ -191,12 +191,12 @@
 			if time.Now().After(end) {
 				delete(drainEnds, number)
 				server := t.Fleet.Servers[number]
-				instance := server.Now()
+				instance := server.Instance()
 				instance.Lifecycle, instance.StartedMs = "up", time.Now().UnixMilli()
-				server.Set(instance)
+				server.SetInstance(instance)
 				for _, d := range t.Fleet.Daemons {
 					delay := time.Duration(rng.Int64N(int64(300 * time.Millisecond)))
-					time.AfterFunc(delay, func() { d.Tell(instance) })
+					time.AfterFunc(delay, func() { d.Report(instance) })
 				}
 				result.mu.Lock()
 				result.Starts++
@@ -209,7 +209,7 @@
 		}
 		drainEnds[number] = time.Now().Add(2*time.Second + time.Duration(rng.Int64N(int64(5*time.Second))))
 		server := t.Fleet.Servers[number]
-		instance := server.Now()
+		instance := server.Instance()
 		instance.Lifecycle = "draining"
 		reporter := rng.IntN(len(t.Fleet.Daemons))
 		now := time.Now()
@@ -224,14 +224,14 @@
 			result.Judged++
 		}
 		result.mu.Unlock()
-		server.Set(instance)
-		t.Fleet.Daemons[reporter].Tell(instance)
+		server.SetInstance(instance)
+		t.Fleet.Daemons[reporter].Report(instance)
 		if rng.IntN(2) == 0 { // the other daemons also receive the report, some of them late
 			for i, d := range t.Fleet.Daemons {
 				if delay := time.Duration(rng.Int64N(int64(2 * time.Second))); i != reporter {
 					time.AfterFunc(delay, func() {
-						if server.Now().StartedMs == instance.StartedMs {
-							d.Tell(instance)
+						if server.Instance().StartedMs == instance.StartedMs {
+							d.Report(instance)
 						}
 					})
 				}
--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -176,7 +176,7 @@
 		in := r.w.servers[v][s/r.w.services]
 		tell := func() {
 			for _, h := range r.w.hears(v) {
-				r.boards[h].Tell(in)
+				r.boards[h].Report(in)
 			}
 		}
 		in.Lifecycle = "draining"
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -200,7 +200,7 @@
 	}
 	var sent uint64
 	for _, b := range r.boards {
-		sent += b.Sent()
+		sent += b.BytesSent()
 	}
 	now := time.Now()
 	if dt := now.Sub(s.sentAt).Seconds(); !s.sentAt.IsZero() && r.o.Sidecars > r.o.Real {
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -29,10 +29,10 @@
 	w       *world
 	dir     string
 	fleet   *fleetlab.Fleet
-	boards  []*fleetlab.Board  // by service, for hollow sidecars
-	servers []*httptest.Server // that real sidecars send to
-	links   []*process         // by zone
-	at      sync.Mutex         // of hollow
+	boards  []*fleetlab.DiscoveryServer // by service, for hollow sidecars
+	servers []*httptest.Server          // that real sidecars send to
+	links   []*process                  // by zone
+	at      sync.Mutex                  // of hollow
 	hollow  []*process
 	meter   *sampler
 
@@ -110,7 +110,7 @@
 	}
 	r.w = newWorld(o, func(n int) string { return where[n] })
 	for v := range r.w.services {
-		r.boards = append(r.boards, fleetlab.NewBoard(r.w.lists[v]))
+		r.boards = append(r.boards, fleetlab.NewDiscoveryServer(r.w.lists[v]))
 	}
 	zone := r.zoneOfDaemon
 	var err error
--- a/internal/lab/soak/actions.go
+++ b/internal/lab/soak/actions.go
@@ -85,9 +85,9 @@
 		r.signalSeries(ctx, number, syscall.SIGHUP, e.Times)
 	case Quiet:
 		startedAt := time.Now()
-		daemon.Deaf(true)
+		daemon.SetDiscoverySilent(true)
 		pause(ctx, duration)
-		daemon.Deaf(false)
+		daemon.SetDiscoverySilent(false)
 		r.updateHistory(number, func(h *daemonHistory) { h.quiet = append(h.quiet, period{startedAt, time.Now()}) })
 	case Cut:
 		daemon.SetSentLost(true)
@@ -186,20 +186,20 @@
 		return
 	}
 	server := r.fleet.Servers[number]
-	instance := server.Now()
+	instance := server.Instance()
 	instance.Lifecycle = "draining"
-	server.Set(instance)
+	server.SetInstance(instance)
 	for _, d := range r.fleet.Daemons {
-		d.Tell(instance)
+		d.Report(instance)
 	}
 	reportedAt := time.Now()
 	pause(ctx, drainGrace+time.Duration(e.ForMs)*time.Millisecond)
 	endedAt := time.Now()
 	instance.Lifecycle = "up"
 	instance.StartedMs = endedAt.UnixMilli()
-	server.Set(instance)
+	server.SetInstance(instance)
 	for _, d := range r.fleet.Daemons {
-		d.Tell(instance)
+		d.Report(instance)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
