--- a/cmd/birchmoor/configput_test.go
+++ b/cmd/birchmoor/configput_test.go
@@ -77,7 +77,7 @@
 
 func newRolloutFleet(ctx context.Context, t *testing.T) *rolloutFleet {
 	t.Helper()
-	return &rolloutFleet{startFleet(ctx, t, fleetlab.Config{Replicas: 3, Follow: 2, Servers: 4}), t, ctx}
+	return &rolloutFleet{startFleet(ctx, t, fleetlab.Config{Replicas: 3, Followers: 2, Servers: 4}), t, ctx}
 }
 
 func (f *rolloutFleet) client() *adminapi.Client { return f.Daemons[0].Client }
--- a/cmd/birchmoor/limitrestart_test.go
+++ b/cmd/birchmoor/limitrestart_test.go
@@ -20,8 +20,8 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
 	f := startFleet(ctx, t, fleetlab.Config{
-		Replicas: 3, Follow: 2, Servers: 1, Wait: time.Millisecond,
-		More: "[limits]\nlease = \"1s\"\ntell = \"50ms\"\n",
+		Replicas: 3, Followers: 2, Servers: 1, FirstCopyTimeout: time.Millisecond,
+		ExtraOperatorConfig: "[limits]\nlease = \"1s\"\ntell = \"50ms\"\n",
 	})
 	defer f.End()
 	limits, err := quota.ParseFile("limits.toml", []byte("[limit.look]\nrate = 10.0\npaths = [\"/look\"]\n"))
--- a/cmd/birchmoor/storefleet.go
+++ b/cmd/birchmoor/storefleet.go
@@ -37,14 +37,14 @@
 			k.Replicas, k.Followers, k.Servers)
 	}
 	return fleetlab.Begin(ctx, fleetlab.Config{
-		Program:  self,
-		Args:     []string{"run", "--config"},
-		Dir:      k.Dir,
-		Replicas: k.Replicas,
-		Follow:   k.Followers,
-		Servers:  k.Servers,
-		Starts:   true,
-		Seed:     k.Seed,
+		Program:      self,
+		Args:         []string{"run", "--config"},
+		Dir:          k.Dir,
+		Replicas:     k.Replicas,
+		Followers:    k.Followers,
+		Servers:      k.Servers,
+		ReportStarts: true,
+		Seed:         k.Seed,
 	})
 }
 
--- a/cmd/birchmoor/taskmeasure.go
+++ b/cmd/birchmoor/taskmeasure.go
@@ -74,13 +74,13 @@
 // measureFleet measures a fleet of n daemons without tasks of others and with them.
 func (k *taskMeasure) measureFleet(ctx context.Context, self string, n int) ([]taskCost, error) {
 	f, err := fleetlab.Begin(ctx, fleetlab.Config{
-		Program:  self,
-		Args:     []string{"run", "--config"},
-		Dir:      k.Dir,
-		Replicas: 3,
-		Follow:   n - 3,
-		Seed:     1,
-		Bare:     true,
+		Program:    self,
+		Args:       []string{"run", "--config"},
+		Dir:        k.Dir,
+		Replicas:   3,
+		Followers:  n - 3,
+		Seed:       1,
+		NoSidecars: true,
 	})
 	if err != nil {
 		return nil, err
--- a/internal/lab/fleetlab/fleet.go
+++ b/internal/lab/fleetlab/fleet.go
@@ -36,32 +36,32 @@
 
 // Config describes a fleet.
 type Config struct {
-	Program  string   // runs a daemon
-	Args     []string // of Program, before the operator file
-	Env      []string // added to the environment of all daemons
-	Dir      string   // parent of the fleet's temporary folder
-	Replicas int
-	Follow   int // number of followers
-	Servers  int
-	Starts   bool // discovery reports the start time of servers
-	Seed     uint64
-	Wait     time.Duration             // for the first copy of a follower without data on disk; 0 for the default
-	Bare     bool                      // daemons run no sidecar
-	Handle   http.Handler              // serves the servers' requests; nil to count them and answer at once
-	EnvOf    func(daemon int) []string // added to the environment of one daemon; may be nil
-	Skew     float64                   // skew of the operator file; 0 for the default
-	Interest string                    // interest of followers in the operator file; "" for the default
-	More     string                    // appended to the operator file, after [store]
-	Settings string                    // of the sidecars, as JSON; "" for Settings()
-	Sockets  int                       // limit on each sidecar's descriptors; 0 to configure none
-
-	Tick         time.Duration // of replicas; 0 for 20 ms
-	BareReplicas bool          // replicas run no sidecar; followers do, unless Bare is set
-	// Known returns the endpoint list in a daemon's configuration and of its discovery. If it is nil, the list contains
+	Program             string   // runs a daemon
+	Args                []string // of Program, before the operator file
+	Env                 []string // added to the environment of all daemons
+	Dir                 string   // parent of the fleet's temporary folder
+	Replicas            int
+	Followers           int // number of followers
+	Servers             int
+	ReportStarts        bool // discovery reports the start time of servers
+	Seed                uint64
+	FirstCopyTimeout    time.Duration             // for the first copy of a follower without data on disk; 0 for the default
+	NoSidecars          bool                      // daemons run no sidecar
+	Handler             http.Handler              // serves the servers' requests; nil to count them and answer at once
+	DaemonEnv           func(daemon int) []string // added to the environment of one daemon; may be nil
+	Skew                float64                   // skew of the operator file; 0 for the default
+	Interest            string                    // interest of followers in the operator file; "" for the default
+	ExtraOperatorConfig string                    // appended to the operator file, after [store]
+	Settings            string                    // of the sidecars, as JSON; "" for Settings()
+	DescriptorLimit     int                       // limit on each sidecar's descriptors; 0 to configure none
+
+	Tick              time.Duration // of replicas; 0 for 20 ms
+	NoReplicaSidecars bool          // replicas run no sidecar; followers do, unless Bare is set
+	// KnownInstances returns the endpoint list in a daemon's configuration and of its discovery. If it is nil, the list contains
 	// all servers.
-	Known func(daemon int) []discovery.Instance
-	// Between returns the conditions of the link from a daemon to a replica. If it is nil, links have no faults.
-	Between func(from, to int) relay.Conditions
+	KnownInstances func(daemon int) []discovery.Instance
+	// LinkConditions returns the conditions of the link from a daemon to a replica. If it is nil, links have no faults.
+	LinkConditions func(from, to int) relay.Conditions
 }
 
 // settings describe a small site, with one idempotent class, and servers that warm up for 10 s.
@@ -205,7 +205,7 @@
 	}()
 	var instances []discovery.Instance
 	for i := range cfg.Servers {
-		server := &Server{Number: i, handler: cfg.Handle, lastRequests: map[int]time.Time{}, requestCounts: map[int]int{}}
+		server := &Server{Number: i, handler: cfg.Handler, lastRequests: map[int]time.Time{}, requestCounts: map[int]int{}}
 		server.Server = httptest.NewServer(server)
 		server.instance = discovery.Instance{
 			ID:        fmt.Sprintf("slot-%d", i),
@@ -216,7 +216,7 @@
 			Lifecycle: "up",
 			Weight:    1,
 		}
-		if cfg.Starts {
+		if cfg.ReportStarts {
 			server.instance.StartedMs = time.Now().Add(-time.Hour).UnixMilli()
 		}
 		f.Servers = append(f.Servers, server)
@@ -232,10 +232,10 @@
 		link.Listen(listener)
 		f.inlets = append(f.inlets, replicaInlet{target, listener.Addr().String(), link})
 	}
-	for i := range cfg.Replicas + cfg.Follow {
+	for i := range cfg.Replicas + cfg.Followers {
 		known := instances
-		if cfg.Known != nil {
-			known = cfg.Known(i)
+		if cfg.KnownInstances != nil {
+			known = cfg.KnownInstances(i)
 		}
 		daemon, err := f.newDaemon(i, i >= cfg.Replicas, known)
 		if err != nil {
@@ -295,10 +295,10 @@
 		Known:     known,
 		discovery: NewDiscoveryServer(known),
 	}
-	d.noSidecar = f.cfg.Bare || f.cfg.BareReplicas && !follower
+	d.noSidecar = f.cfg.NoSidecars || f.cfg.NoReplicaSidecars && !follower
 	d.Env = slices.Clone(f.cfg.Env)
-	if f.cfg.EnvOf != nil {
-		d.Env = append(d.Env, f.cfg.EnvOf(number)...)
+	if f.cfg.DaemonEnv != nil {
+		d.Env = append(d.Env, f.cfg.DaemonEnv(number)...)
 	}
 	d.Client = adminapi.Dial(d.path(".sock"))
 	for _, to := range []*string{&d.clientAddr, &d.operatorAddr, &d.followerAddr} {
@@ -317,8 +317,8 @@
 		}
 		text, _ := json.Marshal(replicas) // TOML writes such lists as JSON does
 		operatorFile += fmt.Sprintf("follow = %s\n", text)
-		if f.cfg.Wait > 0 {
-			operatorFile += fmt.Sprintf("wait = %q\n", f.cfg.Wait)
+		if f.cfg.FirstCopyTimeout > 0 {
+			operatorFile += fmt.Sprintf("wait = %q\n", f.cfg.FirstCopyTimeout)
 		}
 		if f.cfg.Interest != "" {
 			operatorFile += fmt.Sprintf("interest = %q\n", f.cfg.Interest)
@@ -348,7 +348,7 @@
 	if f.cfg.Skew > 0 {
 		operatorFile += fmt.Sprintf("skew = %g\n", f.cfg.Skew)
 	}
-	operatorFile += f.cfg.More
+	operatorFile += f.cfg.ExtraOperatorConfig
 	return d, os.WriteFile(d.path(".toml"), []byte(operatorFile), 0o600)
 }
 
@@ -360,8 +360,8 @@
 		return "", err
 	}
 	var conditions relay.Conditions
-	if d.fleet.cfg.Between != nil {
-		conditions = d.fleet.cfg.Between(d.Number, to.Number)
+	if d.fleet.cfg.LinkConditions != nil {
+		conditions = d.fleet.cfg.LinkConditions(d.Number, to.Number)
 	}
 	link := relay.New(target, seed, conditions)
 	d.links[to.name] = link
@@ -409,8 +409,8 @@
 		"known":     discovery.List{Generation: 1, Reset: true, Instances: d.Known},
 		"settings":  json.RawMessage(cmp.Or(d.fleet.cfg.Settings, settings)),
 	}
-	if d.fleet.cfg.Sockets > 0 {
-		entries["limits"] = map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": d.fleet.cfg.Sockets}
+	if d.fleet.cfg.DescriptorLimit > 0 {
+		entries["limits"] = map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": d.fleet.cfg.DescriptorLimit}
 	}
 	config, err := json.Marshal(entries)
 	if err != nil {
--- a/internal/lab/limitlab/limitlab.go
+++ b/internal/lab/limitlab/limitlab.go
@@ -187,7 +187,7 @@
 	x.judge.maxLateness = maxLateness
 	changes := &history{now: x.judge.Now}
 	x.fleet, err = fleetlab.Begin(ctx, fleetlab.Config{Program: t.Program, Args: []string{"run", "--config"}, Env: t.Env, Dir: dir, Replicas: t.Replicas,
-		Follow: t.Follow, Servers: 4, Seed: t.Seed, Handle: x.judge, More: fmt.Sprintf("[limits]\nlease = %q\ntell = \"50ms\"\neach = \"2ms\"\n", TTL)})
+		Followers: t.Follow, Servers: 4, Seed: t.Seed, Handler: x.judge, ExtraOperatorConfig: fmt.Sprintf("[limits]\nlease = %q\ntell = \"50ms\"\neach = \"2ms\"\n", TTL)})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -114,15 +114,15 @@
 	}
 	zone := r.zoneOfDaemon
 	var err error
-	r.fleet, err = fleetlab.Begin(ctx, fleetlab.Config{Program: o.Program, Args: []string{"run", "--config"}, Env: o.Env, Dir: r.dir, Replicas: o.Replicas, Follow: o.Real,
-		Seed: o.Seed, BareReplicas: true, Tick: 100 * time.Millisecond, More: operatorText, Interest: o.Interest, // the tick of a shipped replica
-		Known: func(d int) []discovery.Instance {
+	r.fleet, err = fleetlab.Begin(ctx, fleetlab.Config{Program: o.Program, Args: []string{"run", "--config"}, Env: o.Env, Dir: r.dir, Replicas: o.Replicas, Followers: o.Real,
+		Seed: o.Seed, NoReplicaSidecars: true, Tick: 100 * time.Millisecond, ExtraOperatorConfig: operatorText, Interest: o.Interest, // the tick of a shipped replica
+		KnownInstances: func(d int) []discovery.Instance {
 			if d < o.Replicas {
 				return nil
 			}
 			return r.w.lists[r.w.serviceOf(d-o.Replicas)]
 		},
-		Between: func(from, to int) relay.Conditions { return relay.Conditions{Delay: delay(zone(from), zone(to))} }})
+		LinkConditions: func(from, to int) relay.Conditions { return relay.Conditions{Delay: delay(zone(from), zone(to))} }})
 	if err != nil {
 		return err
 	}
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -120,19 +120,19 @@
 	r.evidence.daemons = make([]daemonHistory, Daemons)
 	r.evidence.fullDescriptors = opts.Schedule.FillDescriptors
 	fleetConfig := fleetlab.Config{
-		Program:  opts.Program,
-		Args:     opts.Args,
-		Env:      opts.Env,
-		Dir:      dir,
-		Replicas: Replicas,
-		Follow:   Followers,
-		Servers:  Servers,
-		Starts:   true,
-		Seed:     opts.Schedule.Seed,
-		Handle:   r.servers,
-		More:     operatorFile,
-		Settings: settings(),
-		Sockets:  descriptorLimit,
+		Program:             opts.Program,
+		Args:                opts.Args,
+		Env:                 opts.Env,
+		Dir:                 dir,
+		Replicas:            Replicas,
+		Followers:           Followers,
+		Servers:             Servers,
+		ReportStarts:        true,
+		Seed:                opts.Schedule.Seed,
+		Handler:             r.servers,
+		ExtraOperatorConfig: operatorFile,
+		Settings:            settings(),
+		DescriptorLimit:     descriptorLimit,
 	}
 	r.fleet, err = fleetlab.Begin(ctx, fleetConfig)
 	if err != nil {
--- a/internal/lab/tasklab/torture.go
+++ b/internal/lab/tasklab/torture.go
@@ -215,10 +215,10 @@
 	}
 	defer x.at.Close()
 	c := fleetlab.Config{Program: t.Program, Args: []string{"run", "--config"}, Env: t.Env, Dir: dir, Replicas: t.Replicas,
-		Follow: t.Follow, Seed: t.Seed, Bare: true}
+		Followers: t.Follow, Seed: t.Seed, NoSidecars: true}
 	if t.Inside { // hosts in turn are 5% fast and slow, the first leader among the fast
 		c.Skew = 0.12
-		c.EnvOf = func(n int) []string { return []string{fmt.Sprintf("%s=%g", PaceEnv, 1.05-0.1*float64(n%2))} }
+		c.DaemonEnv = func(n int) []string { return []string{fmt.Sprintf("%s=%g", PaceEnv, 1.05-0.1*float64(n%2))} }
 	}
 	if x.fleet, err = fleetlab.Begin(ctx, c); err != nil {
 		return nil, err
