--- a/cmd/birchmoor/storefleet.go
+++ b/cmd/birchmoor/storefleet.go
@@ -123,11 +123,11 @@
 
 // fleetMeasurements is what fleet measure prints.
 type fleetMeasurements struct {
-	Reports []fleetlab.Told    `json:"words,omitempty"`
-	Starts  []fleetlab.Began   `json:"starts,omitempty"`
-	Writes  []fleetlab.Writing `json:"writes,omitempty"`
-	Caught  *fleetlab.Caught   `json:"caught,omitempty"`
-	Cost    *fleetlab.Cost     `json:"cost,omitempty"`
+	Reports []fleetlab.ReportDelays  `json:"words,omitempty"`
+	Starts  []fleetlab.StartFigures  `json:"starts,omitempty"`
+	Writes  []fleetlab.WriteFigures  `json:"writes,omitempty"`
+	Caught  *fleetlab.CatchUpFigures `json:"caught,omitempty"`
+	Cost    *fleetlab.Cost           `json:"cost,omitempty"`
 }
 
 func (k *fleetMeasure) Run(ctx context.Context, c *console) error {
@@ -155,7 +155,7 @@
 }
 
 // measureWrites counts the store's writes of a fleet of n daemons of its own.
-func (k *fleetMeasure) measureWrites(ctx context.Context, n int) (w fleetlab.Writing, err error) {
+func (k *fleetMeasure) measureWrites(ctx context.Context, n int) (w fleetlab.WriteFigures, err error) {
 	const changes, changeInterval = 60, 500 * time.Millisecond
 	flags := k.fleetFlags
 	flags.Replicas = min(k.Replicas, n)
@@ -165,24 +165,24 @@
 		return w, err
 	}
 	defer f.End()
-	return f.Writes(ctx, changes, changeInterval)
+	return f.MeasureWrites(ctx, changes, changeInterval)
 }
 
 func (m *fleetMeasurements) print(w io.Writer) {
 	for _, x := range m.Reports {
 		const latency = "\t%d\tp50 %.1f ms\tp99 %.1f\tworst %.1f\n"
-		fmt.Fprintf(w, "%s, to where it was told"+latency, x.What, x.Here.N, x.Here.P50, x.Here.P99, x.Here.Worst)
-		fmt.Fprintf(w, "%s, to the others"+latency, x.What, x.Others.N, x.Others.P50, x.Others.P99, x.Others.Worst)
+		fmt.Fprintf(w, "%s, to where it was told"+latency, x.Source, x.Receiver.N, x.Receiver.P50, x.Receiver.P99, x.Receiver.Worst)
+		fmt.Fprintf(w, "%s, to the others"+latency, x.Source, x.Others.N, x.Others.P50, x.Others.P99, x.Others.Worst)
 	}
 	for _, x := range m.Starts {
 		fmt.Fprintf(w, "start with %s\t%d\tp50 %.0f ms\tworst %.0f\tserved in the first second %.3f,"+
 			" sent to drained servers %.1f, servers recalled %.1f\n",
-			x.How, x.N, x.Ready.P50, x.Ready.Worst, x.Served, x.Drained, x.Recalled)
+			x.Source, x.N, x.Ready.P50, x.Ready.Worst, x.Served, x.DrainedRequests, x.RestoredServers)
 	}
 	for _, x := range m.Writes {
 		fmt.Fprintf(w, "%d daemons\t%d changes of lists\t%d words in the store\t%d entries of the log\t"+
 			"%d pictures\tin %.0f s\n",
-			x.Daemons, x.Changes, x.Words, x.Entries, x.Pictures, x.Seconds)
+			x.Daemons, x.Changes, x.StateChanges, x.Entries, x.Snapshots, x.Seconds)
 	}
 	if x := m.Cost; x != nil {
 		fmt.Fprintf(w, "full load, %d pairs\t%.0f a second with the store\t%.0f without\t"+
@@ -209,14 +209,14 @@
 		}
 	}
 	if k.Starts > 0 {
-		m.Starts, err = f.Starts(ctx, k.Starts, say)
+		m.Starts, err = f.MeasureStarts(ctx, k.Starts, say)
 		if err != nil {
 			return err
 		}
 	}
 	if k.CostPairs > 0 {
 		const runDuration = 3 * time.Second
-		cost, err := f.Cost(ctx, k.CostPairs, runDuration)
+		cost, err := f.MeasureCost(ctx, k.CostPairs, runDuration)
 		if err != nil {
 			return err
 		}
@@ -224,7 +224,7 @@
 		say("cost")
 	}
 	if k.KnownServers > 0 {
-		caught, err := f.CatchUp(ctx, k.KnownServers)
+		caught, err := f.MeasureCatchUp(ctx, k.KnownServers)
 		if err != nil {
 			return err
 		}
@@ -244,7 +244,7 @@
 	clients := f.Load(load, conns, requestInterval)
 	time.Sleep(warmup)
 	for _, byOperators := range []bool{false, true} {
-		t, err := f.Words(ctx, k.Reports, byOperators, say)
+		t, err := f.MeasureReports(ctx, k.Reports, byOperators, say)
 		if err != nil {
 			return err
 		}
--- a/internal/lab/fleetlab/measure.go
+++ b/internal/lab/fleetlab/measure.go
@@ -16,21 +16,21 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Spread summarizes the distribution of N durations, in milliseconds.
-type Spread struct {
+// Distribution summarizes the distribution of N durations, in milliseconds.
+type Distribution struct {
 	N     int     `json:"n"`
 	P50   float64 `json:"p50_ms"`
 	P99   float64 `json:"p99_ms"`
 	Worst float64 `json:"worst_ms"`
 }
 
-func distribution(durations []time.Duration) Spread {
+func distribution(durations []time.Duration) Distribution {
 	if len(durations) == 0 {
-		return Spread{}
+		return Distribution{}
 	}
 	sort.Slice(durations, func(i, j int) bool { return durations[i] < durations[j] })
 	milliseconds := func(d time.Duration) float64 { return float64(d) / 1e6 }
-	return Spread{
+	return Distribution{
 		len(durations),
 		milliseconds(durations[len(durations)/2]),
 		milliseconds(durations[min(len(durations)-1, len(durations)*99/100)]),
@@ -38,20 +38,20 @@
 	}
 }
 
-// Told is how long after a report that a server drains the last request reached that server.
-type Told struct {
-	What   string `json:"what"`   // source of the reports
-	Here   Spread `json:"here"`   // requests of the daemon that received the report
-	Others Spread `json:"others"` // requests of the other daemons
+// ReportDelays is how long after a report that a server drains the last request reached that server.
+type ReportDelays struct {
+	Source   string       `json:"what"`   // source of the reports
+	Receiver Distribution `json:"here"`   // requests of the daemon that received the report
+	Others   Distribution `json:"others"` // requests of the other daemons
 }
 
-// Words measures how fast the report of a drain takes effect, for a number of reports. Each reaches one daemon, from
+// MeasureReports measures how fast the report of a drain takes effect, for a number of reports. Each reaches one daemon, from
 // its discovery or from an operator ("maint-on"). The caller must load the fleet such that each server receives a
 // request from each daemon every few milliseconds. progress may be nil.
-func (f *Fleet) Words(ctx context.Context, reports int, operators bool, progress func(string)) (Told, error) {
-	result := Told{What: "discovery's word"}
+func (f *Fleet) MeasureReports(ctx context.Context, reports int, operators bool, progress func(string)) (ReportDelays, error) {
+	result := ReportDelays{Source: "discovery's word"}
 	if operators {
-		result.What = "maint-on"
+		result.Source = "maint-on"
 	}
 	var toReporter, toOthers []time.Duration
 	const settle = 700 * time.Millisecond
@@ -114,27 +114,27 @@
 		}
 		time.Sleep(settle)
 		if progress != nil {
-			progress(fmt.Sprintf("%s: %d of %d", result.What, min(reports, done+len(f.Servers)/2), reports))
+			progress(fmt.Sprintf("%s: %d of %d", result.Source, min(reports, done+len(f.Servers)/2), reports))
 		}
 	}
-	result.Here, result.Others = distribution(toReporter), distribution(toOthers)
+	result.Receiver, result.Others = distribution(toReporter), distribution(toOthers)
 	return result, nil
 }
 
-// Began summarizes the starts of a daemon from one source of state.
-type Began struct {
-	How      string  `json:"how"` // the source of state
-	N        int     `json:"n"`
-	Ready    Spread  `json:"ready"`    // from the start of the process until it is ready for requests
-	Served   float64 `json:"served"`   // served share of the requests in the first second after that
-	Drained  float64 `json:"drained"`  // requests in that second to draining servers, on average
-	Recalled float64 `json:"recalled"` // servers whose state was restored, on average
+// StartFigures summarizes the starts of a daemon from one source of state.
+type StartFigures struct {
+	Source          string       `json:"how"` // the source of state
+	N               int          `json:"n"`
+	Ready           Distribution `json:"ready"`    // from the start of the process until it is ready for requests
+	Served          float64      `json:"served"`   // served share of the requests in the first second after that
+	DrainedRequests float64      `json:"drained"`  // requests in that second to draining servers, on average
+	RestoredServers float64      `json:"recalled"` // servers whose state was restored, on average
 }
 
-// Starts measures starts of the last daemon, a follower, while two servers drain without a report of its discovery. It
+// MeasureStarts measures starts of the last daemon, a follower, while two servers drain without a report of its discovery. It
 // starts from no state ("nothing": its disk is empty and no replica can be reached), from its own disk, and with an
 // empty disk from the store of the replicas. progress may be nil.
-func (f *Fleet) Starts(ctx context.Context, starts int, progress func(string)) ([]Began, error) {
+func (f *Fleet) MeasureStarts(ctx context.Context, starts int, progress func(string)) ([]StartFigures, error) {
 	follower := f.Daemons[len(f.Daemons)-1]
 	if !follower.follower {
 		return nil, fmt.Errorf("starts are measured on a follower, and the fleet has none")
@@ -151,9 +151,9 @@
 		return nil, ctx.Err()
 	case <-time.After(12 * time.Second):
 	}
-	var results []Began
+	var results []StartFigures
 	for _, source := range []string{"nothing", "own disk", "store of others"} {
-		figures := Began{How: source}
+		figures := StartFigures{Source: source}
 		var ready []time.Duration
 		sent, served := 0, 0
 		for range starts {
@@ -186,11 +186,11 @@
 				time.Sleep(5 * time.Millisecond)
 			}
 			client.CloseIdleConnections()
-			figures.Drained += float64(f.Servers[0].RequestCount(follower.Number)+
+			figures.DrainedRequests += float64(f.Servers[0].RequestCount(follower.Number)+
 				f.Servers[1].RequestCount(follower.Number)-countBefore) / float64(starts)
 			if status, err := follower.Client.Status(ctx); err == nil {
 				for _, restored := range status.Startup.Restored {
-					figures.Recalled += float64(restored.Servers) / float64(starts)
+					figures.RestoredServers += float64(restored.Servers) / float64(starts)
 				}
 			}
 			if source == "nothing" {
@@ -227,20 +227,20 @@
 	return results, nil
 }
 
-// Writing counts what a fleet writes to its store while endpoint lists change.
-type Writing struct {
-	Daemons  int     `json:"daemons"`
-	Changes  int     `json:"changes"`  // of the lists: drains and starts, each reported to every daemon
-	Words    int     `json:"words"`    // changes of the store that record drains and starts
-	Entries  int     `json:"entries"`  // of the log in all, with snapshots and rejected proposals
-	Pictures int     `json:"pictures"` // snapshots of the servers' state that were written
-	Seconds  float64 `json:"seconds"`
+// WriteFigures counts what a fleet writes to its store while endpoint lists change.
+type WriteFigures struct {
+	Daemons      int     `json:"daemons"`
+	Changes      int     `json:"changes"`  // of the lists: drains and starts, each reported to every daemon
+	StateChanges int     `json:"words"`    // changes of the store that record drains and starts
+	Entries      int     `json:"entries"`  // of the log in all, with snapshots and rejected proposals
+	Snapshots    int     `json:"pictures"` // snapshots of the servers' state that were written
+	Seconds      float64 `json:"seconds"`
 }
 
-// Writes counts what the fleet writes during a number of drains and starts of servers, one each interval and reported
+// MeasureWrites counts what the fleet writes during a number of drains and starts of servers, one each interval and reported
 // to all daemons at about the same time.
-func (f *Fleet) Writes(ctx context.Context, changes int, interval time.Duration) (Writing, error) {
-	result := Writing{Daemons: len(f.Daemons)}
+func (f *Fleet) MeasureWrites(ctx context.Context, changes int, interval time.Duration) (WriteFigures, error) {
+	result := WriteFigures{Daemons: len(f.Daemons)}
 	status := func() (entries, revision uint64, err error) {
 		s, err := f.Daemons[0].Client.Status(ctx)
 		return s.Applied, s.Revision, err
@@ -284,7 +284,7 @@
 			if err != nil {
 				return result, err
 			}
-			result.Words += n
+			result.StateChanges += n
 		}
 	}
 	after, _, err := status()
@@ -294,14 +294,14 @@
 	}
 	response, err := f.Daemons[0].Client.Range(ctx, map[string][]string{"prefix": {"known/"}})
 	for _, item := range response.Items {
-		result.Pictures += int(item.Version)
+		result.Snapshots += int(item.Version)
 	}
 	return result, err
 }
 
-// Caught is how long daemons take from their start until they apply the drains of a number of servers in the store and
+// CatchUpFigures is how long daemons take from their start until they apply the drains of a number of servers in the store and
 // their sidecar is ready.
-type Caught struct {
+type CatchUpFigures struct {
 	Servers  int     `json:"servers"`
 	Bytes    int     `json:"store_bytes"`
 	Follower float64 `json:"follower_ms"` // a follower with an empty disk
@@ -309,10 +309,10 @@
 	Replica  float64 `json:"replica_ms"`  // a replica that was killed
 }
 
-// CatchUp writes drains of a number of servers that no endpoint list contains into the store, and measures starts of
+// MeasureCatchUp writes drains of a number of servers that no endpoint list contains into the store, and measures starts of
 // daemons.
-func (f *Fleet) CatchUp(ctx context.Context, servers int) (Caught, error) {
-	result := Caught{Servers: servers}
+func (f *Fleet) MeasureCatchUp(ctx context.Context, servers int) (CatchUpFigures, error) {
+	result := CatchUpFigures{Servers: servers}
 	daemon, replica := f.Daemons[len(f.Daemons)-1], f.Daemons[1]
 	if !daemon.follower {
 		return result, fmt.Errorf("catching up is measured on a follower, and the fleet has none")
@@ -393,9 +393,9 @@
 	return Ratio{ratios[0], ratios[len(ratios)/2], ratios[len(ratios)-1]}
 }
 
-// Cost loads the last daemon alternately as a follower and as the same program without a store, for a duration each,
+// MeasureCost loads the last daemon alternately as a follower and as the same program without a store, for a duration each,
 // while the endpoint lists of all daemons change four times a second.
-func (f *Fleet) Cost(ctx context.Context, pairs int, duration time.Duration) (Cost, error) {
+func (f *Fleet) MeasureCost(ctx context.Context, pairs int, duration time.Duration) (Cost, error) {
 	cost := Cost{Pairs: pairs}
 	daemon := f.Daemons[len(f.Daemons)-1]
 	changeCtx, stop := context.WithCancel(ctx)
