--- a/cmd/birchmoor/storebench.go
+++ b/cmd/birchmoor/storebench.go
@@ -69,14 +69,14 @@
 		return err
 	}
 	t := storebench.Torture{
-		Program: self,
-		Args:    []string{"run", "--config"},
-		Dir:     k.Dir,
-		For:     k.Duration,
-		Every:   k.KillInterval,
-		Writers: k.Writers,
-		Seed:    k.Seed,
-		Say:     func(s string) { fmt.Fprintln(c.err, s) },
+		Program:       self,
+		Args:          []string{"run", "--config"},
+		Dir:           k.Dir,
+		Duration:      k.Duration,
+		FaultInterval: k.KillInterval,
+		Writers:       k.Writers,
+		Seed:          k.Seed,
+		Progress:      func(s string) { fmt.Fprintln(c.err, s) },
 	}
 	r, err := t.Run(ctx)
 	if err != nil {
@@ -88,7 +88,7 @@
 		}
 	} else {
 		fmt.Fprintf(c.out, "%d kills, %d times all at once, %d cuts; %d writes answered, %d sent again, %d reads; lost: %q\n",
-			r.Kills, r.All, r.Cuts, r.Writes, r.Unknown, r.Reads, r.Lost)
+			r.Kills, r.KillsOfAll, r.Cuts, r.Writes, r.RepeatedWrites, r.Reads, r.Lost)
 	}
 	if len(r.Lost) > 0 {
 		return errRunFailed
--- a/cmd/birchmoor/storefleet.go
+++ b/cmd/birchmoor/storefleet.go
@@ -72,11 +72,11 @@
 	load, stop := context.WithCancel(ctx)
 	clients := f.Load(load, k.Conns, k.Pause)
 	t := fleetlab.Torture{
-		Fleet: f,
-		For:   k.Duration,
-		Every: k.FaultInterval,
-		Seed:  k.Seed,
-		Say:   func(s string) { fmt.Fprintln(c.err, s) },
+		Fleet:         f,
+		Duration:      k.Duration,
+		FaultInterval: k.FaultInterval,
+		Seed:          k.Seed,
+		Progress:      func(s string) { fmt.Fprintln(c.err, s) },
 	}
 	r, err := t.Run(ctx)
 	stop()
@@ -91,14 +91,14 @@
 	} else {
 		fmt.Fprintf(c.out, "%d drains (%d of them undisturbed), %d starts, %d kills, %d times all at once,"+
 			" %d cuts, %d requests\n",
-			r.Drains, r.Judged, r.Starts, r.Kills, r.All, r.Cuts, r.Requests)
+			r.Drains, r.UndisturbedDrains, r.Starts, r.Kills, r.KillsOfAll, r.Cuts, r.Requests)
 		fmt.Fprintf(c.out, "from daemons that knew %d, late %d, never told %d;"+
-			" the last of an undisturbed one came %.0f ms after the word\n", r.Stale, r.Late, r.Never, r.WorstMs)
-		for _, b := range r.Broken {
+			" the last of an undisturbed one came %.0f ms after the word\n", r.Stale, r.Late, r.NeverReported, r.WorstMs)
+		for _, b := range r.Violations {
 			fmt.Fprintln(c.out, b)
 		}
 	}
-	if r.Stale+r.Late+r.Never > 0 {
+	if r.Stale+r.Late+r.NeverReported > 0 {
 		return errRunFailed
 	}
 	return nil
--- a/internal/lab/fleetlab/torture.go
+++ b/internal/lab/fleetlab/torture.go
@@ -22,11 +22,11 @@
 //   - After all daemons have run undisturbed for CalmPeriod, no daemon sends a request to a process that drains,
 //     whatever was killed before.
 type Torture struct {
-	Fleet *Fleet
-	For   time.Duration
-	Every time.Duration // mean interval between two faults
-	Seed  uint64
-	Say   func(string) // called with the progress after each kill; may be nil
+	Fleet         *Fleet
+	Duration      time.Duration
+	FaultInterval time.Duration // mean interval between two faults
+	Seed          uint64
+	Progress      func(string) // called with the progress after each kill; may be nil
 }
 
 // Bounds of the rules that Torture judges.
@@ -37,23 +37,23 @@
 	attemptGrace   = 300 * time.Millisecond // for attempts in flight when a daemon learns of a drain
 )
 
-// Tortured is the result of a Torture.
-type Tortured struct {
-	Drains       int      `json:"drains"`
-	Judged       int      `json:"judged"` // drains reported after calmBefore without a disturbance
-	Starts       int      `json:"starts"` // of servers
-	Kills        int      `json:"kills"`  // of daemons
-	All          int      `json:"all_at_once"`
-	Cuts         int      `json:"cuts"`
-	Requests     int      `json:"requests"`
-	Late         int      `json:"late"`     // requests later than MaxReportDelay, without a disturbance
-	Stale        int      `json:"stale"`    // requests from daemons that had learnt of the drain
-	Never        int      `json:"never"`    // requests after CalmPeriod without a disturbance
-	WorstMs      float64  `json:"worst_ms"` // maximum delay of a request after an undisturbed report
-	Broken       []string `json:"broken"`   // the first violations
-	mu           sync.Mutex
-	drains       map[serverStart]*reportedDrain
-	disturbances []disturbance
+// TortureResult is the result of a Torture.
+type TortureResult struct {
+	Drains            int      `json:"drains"`
+	UndisturbedDrains int      `json:"judged"` // drains reported after calmBefore without a disturbance
+	Starts            int      `json:"starts"` // of servers
+	Kills             int      `json:"kills"`  // of daemons
+	KillsOfAll        int      `json:"all_at_once"`
+	Cuts              int      `json:"cuts"`
+	Requests          int      `json:"requests"`
+	Late              int      `json:"late"`     // requests later than MaxReportDelay, without a disturbance
+	Stale             int      `json:"stale"`    // requests from daemons that had learnt of the drain
+	NeverReported     int      `json:"never"`    // requests after CalmPeriod without a disturbance
+	WorstMs           float64  `json:"worst_ms"` // maximum delay of a request after an undisturbed report
+	Violations        []string `json:"broken"`   // the first violations
+	mu                sync.Mutex
+	drains            map[serverStart]*reportedDrain
+	disturbances      []disturbance
 }
 
 // serverStart identifies a process of a server by its start time, in Unix milliseconds.
@@ -73,9 +73,9 @@
 type disturbance struct{ from, to time.Time }
 
 // Run runs for the duration For. The caller must load the fleet meanwhile.
-func (t *Torture) Run(ctx context.Context) (*Tortured, error) {
-	result := &Tortured{drains: map[serverStart]*reportedDrain{}}
-	ctx, cancel := context.WithTimeout(ctx, t.For)
+func (t *Torture) Run(ctx context.Context) (*TortureResult, error) {
+	result := &TortureResult{drains: map[serverStart]*reportedDrain{}}
+	ctx, cancel := context.WithTimeout(ctx, t.Duration)
 	defer cancel()
 	for _, s := range t.Fleet.Servers {
 		s.mu.Lock()
@@ -98,7 +98,7 @@
 }
 
 // judgeArrival judges a request that reached a server. It is called for each of them, by several goroutines.
-func (r *Tortured) judgeArrival(server int, arrival Arrival) {
+func (r *TortureResult) judgeArrival(server int, arrival Arrival) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Requests++
@@ -109,8 +109,8 @@
 	delay := arrival.At.Sub(drain.reportedAt)
 	addViolation := func(count *int, kind string) {
 		*count++
-		if len(r.Broken) < 20 {
-			r.Broken = append(r.Broken, fmt.Sprintf("%s: daemon %d sent to slot-%d %v after daemon %d heard that it drains",
+		if len(r.Violations) < 20 {
+			r.Violations = append(r.Violations, fmt.Sprintf("%s: daemon %d sent to slot-%d %v after daemon %d heard that it drains",
 				kind, arrival.From, server, delay.Round(time.Millisecond), drain.reporter))
 		}
 	}
@@ -124,19 +124,19 @@
 	case undisturbed && delay > MaxReportDelay:
 		addViolation(&r.Late, "late")
 	case delay > CalmPeriod && r.isUndisturbed(arrival.At.Add(-CalmPeriod), arrival.At):
-		addViolation(&r.Never, "never told")
+		addViolation(&r.NeverReported, "never told")
 	}
 }
 
 // isUndisturbed reports whether no fault was injected in a time. The caller must hold the mutex.
-func (r *Tortured) isUndisturbed(from, to time.Time) bool {
+func (r *TortureResult) isUndisturbed(from, to time.Time) bool {
 	return !slices.ContainsFunc(r.disturbances, func(disturbed disturbance) bool {
 		return disturbed.from.Before(to) && (disturbed.to.IsZero() || disturbed.to.After(from))
 	})
 }
 
 // beginDisturbance records the start of a fault. The function that it returns records the end.
-func (r *Tortured) beginDisturbance() func() {
+func (r *TortureResult) beginDisturbance() func() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.disturbances = append(r.disturbances, disturbance{from: time.Now()})
@@ -149,7 +149,7 @@
 }
 
 // watchKnownDrains polls a daemon for the drains that it knows of, and records when it learns of each.
-func (t *Torture) watchKnownDrains(ctx context.Context, result *Tortured, daemon *Daemon) {
+func (t *Torture) watchKnownDrains(ctx context.Context, result *TortureResult, daemon *Daemon) {
 	numbers := map[string]int{}
 	for _, server := range t.Fleet.Servers {
 		numbers[server.Instance().ID] = server.Number
@@ -175,7 +175,7 @@
 }
 
 // drainAndRestart drains servers at random, reports each drain to one daemon first, and restarts the servers.
-func (t *Torture) drainAndRestart(ctx context.Context, result *Tortured) {
+func (t *Torture) drainAndRestart(ctx context.Context, result *TortureResult) {
 	rng := rand.New(rand.NewPCG(t.Seed, 1))
 	drainEnds := map[int]time.Time{}
 	wait := func(minDelay, maxDelay time.Duration) bool {
@@ -221,7 +221,7 @@
 		}
 		result.Drains++
 		if result.isUndisturbed(now.Add(-calmBefore), now) {
-			result.Judged++
+			result.UndisturbedDrains++
 		}
 		result.mu.Unlock()
 		server.SetInstance(instance)
@@ -241,14 +241,14 @@
 }
 
 // injectFaults kills daemons and cuts replicas off from each other at random.
-func (t *Torture) injectFaults(ctx context.Context, result *Tortured) error {
+func (t *Torture) injectFaults(ctx context.Context, result *TortureResult) error {
 	rng := rand.New(rand.NewPCG(t.Seed, 2))
 	replicas := t.Fleet.Daemons[:t.Fleet.cfg.Replicas]
 	for round := 0; ; round++ {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(t.Every/2 + time.Duration(rng.Int64N(int64(t.Every)))):
+		case <-time.After(t.FaultInterval/2 + time.Duration(rng.Int64N(int64(t.FaultInterval)))):
 		}
 		endDisturbance := result.beginDisturbance()
 		if rng.IntN(3) == 0 {
@@ -298,13 +298,13 @@
 		result.mu.Lock()
 		result.Kills += len(daemons)
 		if killAll {
-			result.All++
+			result.KillsOfAll++
 		}
-		if t.Say != nil {
-			t.Say(fmt.Sprintf(
+		if t.Progress != nil {
+			t.Progress(fmt.Sprintf(
 				"%d kills, %d cuts, %d drains, %d requests, %d stale, %d late, %d never told; worst %.0f ms",
 				result.Kills, result.Cuts, result.Drains, result.Requests,
-				result.Stale, result.Late, result.Never, result.WorstMs))
+				result.Stale, result.Late, result.NeverReported, result.WorstMs))
 		}
 		result.mu.Unlock()
 	}
--- a/internal/lab/storebench/torture.go
+++ b/internal/lab/storebench/torture.go
@@ -25,25 +25,25 @@
 // with SIGKILL, or cuts one off from the messages of the others. It checks that no write that was answered is lost, and
 // that reads are linearizable.
 type Torture struct {
-	Program string   // runs a replica
-	Args    []string // of Program, before the operator file
-	Dir     string   // parent of the temporary folder
-	For     time.Duration
-	Every   time.Duration // mean interval between two faults; 0 for 2 s
-	Writers int           // 0 for 8
-	Seed    uint64
-	Say     func(string) // called with the progress after each kill; may be nil
+	Program       string   // runs a replica
+	Args          []string // of Program, before the operator file
+	Dir           string   // parent of the temporary folder
+	Duration      time.Duration
+	FaultInterval time.Duration // mean interval between two faults; 0 for 2 s
+	Writers       int           // 0 for 8
+	Seed          uint64
+	Progress      func(string) // called with the progress after each kill; may be nil
 }
 
-// Tortured is the result of a Torture.
-type Tortured struct {
-	Kills   int      `json:"kills"` // of processes
-	Cuts    int      `json:"cuts"`  // silent losses of all messages to one replica
-	All     int      `json:"all_at_once"`
-	Writes  int      `json:"writes_answered"`
-	Unknown int      `json:"writes_sent_again"` // attempts without an answer, which were repeated
-	Reads   int      `json:"reads"`
-	Lost    []string `json:"lost"` // answered writes that are missing, stale reads and faults of the lab; the first 20
+// TortureResult is the result of a Torture.
+type TortureResult struct {
+	Kills          int      `json:"kills"` // of processes
+	Cuts           int      `json:"cuts"`  // silent losses of all messages to one replica
+	KillsOfAll     int      `json:"all_at_once"`
+	Writes         int      `json:"writes_answered"`
+	RepeatedWrites int      `json:"writes_sent_again"` // attempts without an answer, which were repeated
+	Reads          int      `json:"reads"`
+	Lost           []string `json:"lost"` // answered writes that are missing, stale reads and faults of the lab; the first 20
 }
 
 // process is a replica and its processes, one after the other.
@@ -76,9 +76,9 @@
 }
 
 // Run starts the replicas, and injects faults for the duration For.
-func (t *Torture) Run(ctx context.Context) (result Tortured, err error) {
-	if t.Every == 0 {
-		t.Every = 2 * time.Second
+func (t *Torture) Run(ctx context.Context) (result TortureResult, err error) {
+	if t.FaultInterval == 0 {
+		t.FaultInterval = 2 * time.Second
 	}
 	if t.Writers == 0 {
 		t.Writers = 8
@@ -162,8 +162,8 @@
 
 // runLoad writes, reads and injects faults for the duration For. Then it checks that every key has the last value whose
 // write was answered.
-func (t *Torture) runLoad(ctx context.Context, processes []*process, result *Tortured) {
-	loadCtx, cancel := context.WithTimeout(ctx, t.For)
+func (t *Torture) runLoad(ctx context.Context, processes []*process, result *TortureResult) {
+	loadCtx, cancel := context.WithTimeout(ctx, t.Duration)
 	defer cancel()
 	var mu sync.Mutex
 	answered := make([]int, t.Writers)
@@ -193,7 +193,7 @@
 						return
 					}
 					mu.Lock()
-					result.Unknown++
+					result.RepeatedWrites++
 					mu.Unlock()
 					time.Sleep(10 * time.Millisecond)
 				}
@@ -234,12 +234,12 @@
 		select {
 		case <-loadCtx.Done():
 			continue
-		case <-time.After(t.Every/2 + rand.N(t.Every)):
+		case <-time.After(t.FaultInterval/2 + rand.N(t.FaultInterval)):
 		}
 		if rng.IntN(3) == 0 {
 			link := processes[rng.IntN(3)].inbound
 			link.Update(func(callCtx *relay.Conditions) { callCtx.BlackHole = true })
-			time.Sleep(t.Every/2 + rand.N(t.Every))
+			time.Sleep(t.FaultInterval/2 + rand.N(t.FaultInterval))
 			link.Update(func(callCtx *relay.Conditions) { callCtx.BlackHole = false })
 			result.Cuts++
 			continue
@@ -247,7 +247,7 @@
 		killed := []int{round % 3}
 		if rng.IntN(4) == 0 {
 			killed = []int{0, 1, 2}
-			result.All++
+			result.KillsOfAll++
 		}
 		for _, number := range killed {
 			if err := processes[number].kill(); err != nil {
@@ -264,9 +264,9 @@
 				addLoss("start: %v", err)
 			}
 		}
-		if t.Say != nil {
+		if t.Progress != nil {
 			mu.Lock()
-			t.Say(fmt.Sprintf("%d kills, %d writes answered, %d reads, %d lost",
+			t.Progress(fmt.Sprintf("%d kills, %d writes answered, %d reads, %d lost",
 				result.Kills, result.Writes, result.Reads, len(result.Lost)))
 			mu.Unlock()
 		}
