--- a/cmd/birchmoor/labbench.go
+++ b/cmd/birchmoor/labbench.go
@@ -46,13 +46,13 @@
 		}
 	}
 	rows, err := bench.Run(ctx, bench.Options{
-		Self:     []string{self, "lab", "bench-peer"},
-		Conns:    k.Conns,
-		Sizes:    k.Servers,
-		For:      k.Duration,
-		Rounds:   max(1, k.Rounds),
-		Profile:  k.Profile,
-		Progress: c.count("bench"),
+		PartyCommand: []string{self, "lab", "bench-peer"},
+		Conns:        k.Conns,
+		Sizes:        k.Servers,
+		Duration:     k.Duration,
+		Rounds:       max(1, k.Rounds),
+		Profile:      k.Profile,
+		Progress:     c.count("bench"),
 	})
 	if err != nil {
 		return err
@@ -69,7 +69,7 @@
 		"CPU µs", "allocs", "bytes", "peak MB", "not 200")
 	for _, r := range rows {
 		fmt.Fprintf(c.out, "%-14s %6d %8d %10.0f %9.0f %9.0f %9.0f %8.1f %8.1f %9.0f %8.1f %8d\n",
-			r.Party, r.Conns, r.Servers, r.Rate, r.P50, r.P99, r.P999, r.CPU, r.Allocs, r.Bytes, r.PeakMB, r.Refused)
+			r.Party, r.Conns, r.Servers, r.Rate, r.P50, r.P99, r.P999, r.CPU, r.Allocs, r.Bytes, r.PeakMB, r.Rejected)
 	}
 	return nil
 }
--- a/cmd/birchmoor/storebench.go
+++ b/cmd/birchmoor/storebench.go
@@ -23,13 +23,13 @@
 
 func (k *storeBench) Run(ctx context.Context, c *console) error {
 	r, err := storebench.Run(ctx, storebench.Options{
-		Dir:     k.Dir,
-		For:     k.Duration,
-		Writers: k.Writers,
-		Bytes:   k.Bytes,
-		CatchUp: k.CatchUp,
-		Million: k.Million,
-		Say:     func(s string) { fmt.Fprintln(c.err, "measuring:", s) },
+		Dir:          k.Dir,
+		Duration:     k.Duration,
+		Writers:      k.Writers,
+		Bytes:        k.Bytes,
+		CatchUp:      k.CatchUp,
+		MemoryWrites: k.Million,
+		Progress:     func(s string) { fmt.Fprintln(c.err, "measuring:", s) },
 	})
 	if err != nil {
 		return err
@@ -40,10 +40,10 @@
 	w := tabwriter.NewWriter(c.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "WHAT\tAT ONCE\tA SECOND\tP50 MS\tP99 MS\tOF BARE BBOLT")
 	for _, x := range r.Rates {
-		fmt.Fprintf(w, "%s\t%d\t%.0f\t%.2f\t%.2f\t%.2f\n", x.What, x.Writers, x.Each, x.P50, x.P99, x.Limit)
+		fmt.Fprintf(w, "%s\t%d\t%.0f\t%.2f\t%.2f\t%.2f\n", x.What, x.Writers, x.PerSecond, x.P50, x.P99, x.OfLimit)
 	}
-	if len(r.Leader) > 0 {
-		fmt.Fprintf(w, "without a leader, ms\t\t%.0f\n", r.Leader[0])
+	if len(r.WithoutLeaderMs) > 0 {
+		fmt.Fprintf(w, "without a leader, ms\t\t%.0f\n", r.WithoutLeaderMs[0])
 	}
 	if r.CatchUp > 0 {
 		fmt.Fprintf(w, "an empty replica takes %.0f MB in, s\t\t%.1f\n", r.CaughtMB, r.CatchUp)
--- a/internal/lab/bench/bench.go
+++ b/internal/lab/bench/bench.go
@@ -28,31 +28,31 @@
 
 // Options of a benchmark.
 type Options struct {
-	Self     []string      // command that runs a party; the role and its configuration are appended
-	Conns    []int         // numbers of connections, each with one request at a time
-	Sizes    []int         // numbers of servers in the endpoint list
-	For      time.Duration // of each measurement
-	Rounds   int
-	Profile  string             // folder for CPU profiles of the sidecar, one a number of connections; "" for none
-	Progress func(done, of int) // called before each measurement; may be nil
+	PartyCommand []string      // command that runs a party; the role and its configuration are appended
+	Conns        []int         // numbers of connections, each with one request at a time
+	Sizes        []int         // numbers of servers in the endpoint list
+	Duration     time.Duration // of each measurement
+	Rounds       int
+	Profile      string             // folder for CPU profiles of the sidecar, one a number of connections; "" for none
+	Progress     func(done, of int) // called before each measurement; may be nil
 }
 
 // Row is one measurement.
 type Row struct {
-	Party    string  `json:"party"` // "direct", "reverse-proxy" or "sidecar"
-	Conns    int     `json:"connections"`
-	Servers  int     `json:"servers"`
-	Requests int     `json:"requests"`
-	Rate     float64 `json:"requests_per_s"`
-	P50      float64 `json:"p50_us"`
-	P99      float64 `json:"p99_us"`
-	P999     float64 `json:"p999_us"`
-	CPU      float64 `json:"cpu_us_per_request"` // processor time of the party's process
-	Allocs   float64 `json:"allocs_per_request"`
-	Bytes    float64 `json:"bytes_per_request"`
-	PeakMB   float64 `json:"peak_mb"` // peak resident memory since the party's start
-	Refused  int     `json:"refused"` // answers that were not 200
-	Broken   int     `json:"broken"`  // connections that failed
+	Party       string  `json:"party"` // "direct", "reverse-proxy" or "sidecar"
+	Conns       int     `json:"connections"`
+	Servers     int     `json:"servers"`
+	Requests    int     `json:"requests"`
+	Rate        float64 `json:"requests_per_s"`
+	P50         float64 `json:"p50_us"`
+	P99         float64 `json:"p99_us"`
+	P999        float64 `json:"p999_us"`
+	CPU         float64 `json:"cpu_us_per_request"` // processor time of the party's process
+	Allocs      float64 `json:"allocs_per_request"`
+	Bytes       float64 `json:"bytes_per_request"`
+	PeakMB      float64 `json:"peak_mb"` // peak resident memory since the party's start
+	Rejected    int     `json:"refused"` // answers that were not 200
+	BrokenConns int     `json:"broken"`  // connections that failed
 }
 
 const (
@@ -164,7 +164,7 @@
 
 // measure starts one party and its servers, and takes one measurement.
 func measure(ctx context.Context, opts *Options, dir, role string, conns, servers int) (*Row, error) {
-	backend, err := startParty(ctx, opts.Self, "servers", strconv.Itoa(servers))
+	backend, err := startParty(ctx, opts.PartyCommand, "servers", strconv.Itoa(servers))
 	if err != nil {
 		return nil, err
 	}
@@ -173,13 +173,13 @@
 	switch role {
 	case "reverse-proxy":
 		text, _ := json.Marshal(backend.addrs)
-		frontend, err = startParty(ctx, opts.Self, role, string(text))
+		frontend, err = startParty(ctx, opts.PartyCommand, role, string(text))
 	case "sidecar":
 		path := filepath.Join(dir, "config.json")
 		if err := writeConfig(path, backend.addrs); err != nil {
 			return nil, err
 		}
-		frontend, err = startParty(ctx, opts.Self, role, path)
+		frontend, err = startParty(ctx, opts.PartyCommand, role, path)
 	}
 	if err != nil {
 		return nil, err
@@ -211,7 +211,7 @@
 		return nil, err
 	}
 	cpuBefore := frontend.cpu()
-	took := generator.run(conns, opts.For)
+	took := generator.run(conns, opts.Duration)
 	cpuAfter := frontend.cpu()
 	memoryAfter, err := frontend.memory()
 	if err != nil {
@@ -223,7 +223,7 @@
 		}
 	}
 	requests := float64(max(1, generator.requests))
-	row.Requests, row.Refused, row.Broken = generator.requests, generator.rejected, generator.brokenConns
+	row.Requests, row.Rejected, row.BrokenConns = generator.requests, generator.rejected, generator.brokenConns
 	row.Rate = float64(generator.requests) / took.Seconds()
 	row.P50, row.P99, row.P999 = quantileMicros(generator.histogram, 50),
 		quantileMicros(generator.histogram, 99), quantileMicros(generator.histogram, 99.9)
--- a/internal/lab/storebench/bench.go
+++ b/internal/lab/storebench/bench.go
@@ -27,35 +27,35 @@
 
 // Options of a run.
 type Options struct {
-	Dir     string        // parent of the temporary folder for the stores
-	For     time.Duration // of each measurement; 0 for 3 s
-	Writers []int         // numbers of concurrent writers; empty for 1, 16 and 256
-	Bytes   int           // of a value; 0 for 100
-	CatchUp int           // megabytes of the store that an empty replica copies; 0 to skip this measurement
-	Million int           // writes after which memory and disk are measured; 0 to skip this measurement
-	Say     func(string)  // called with the progress; may be nil
+	Dir          string        // parent of the temporary folder for the stores
+	Duration     time.Duration // of each measurement; 0 for 3 s
+	Writers      []int         // numbers of concurrent writers; empty for 1, 16 and 256
+	Bytes        int           // of a value; 0 for 100
+	CatchUp      int           // megabytes of the store that an empty replica copies; 0 to skip this measurement
+	MemoryWrites int           // writes after which memory and disk are measured; 0 to skip this measurement
+	Progress     func(string)  // called with the progress; may be nil
 }
 
 // Rate is the measured rate of one operation.
 type Rate struct {
-	What    string  `json:"what"`
-	Writers int     `json:"at_once"`  // concurrent writers or readers
-	Each    float64 `json:"a_second"` // operations a second
-	P50     float64 `json:"p50_ms"`
-	P99     float64 `json:"p99_ms"`
-	Limit   float64 `json:"of_limit,omitempty"` // ratio of Each to that of bare bbolt with one writer
+	What      string  `json:"what"`
+	Writers   int     `json:"at_once"`  // concurrent writers or readers
+	PerSecond float64 `json:"a_second"` // operations a second
+	P50       float64 `json:"p50_ms"`
+	P99       float64 `json:"p99_ms"`
+	OfLimit   float64 `json:"of_limit,omitempty"` // ratio of Each to that of bare bbolt with one writer
 }
 
 // Result is the result of a run.
 type Result struct {
-	CPUs     int       `json:"cpus"`
-	Rates    []Rate    `json:"rates"`
-	Leader   []float64 `json:"without_leader_ms,omitempty"` // from a kill of the leader to the next write
-	CatchUp  float64   `json:"catch_up_s,omitempty"`        // until an empty replica votes
-	CaughtMB float64   `json:"caught_mb,omitempty"`         // size of the store at that time
-	Writes   int       `json:"writes,omitempty"`            // before HeapMB and DiskMB were measured
-	HeapMB   float64   `json:"heap_mb,omitempty"`
-	DiskMB   float64   `json:"disk_mb,omitempty"`
+	CPUs            int       `json:"cpus"`
+	Rates           []Rate    `json:"rates"`
+	WithoutLeaderMs []float64 `json:"without_leader_ms,omitempty"` // from a kill of the leader to the next write
+	CatchUp         float64   `json:"catch_up_s,omitempty"`        // until an empty replica votes
+	CaughtMB        float64   `json:"caught_mb,omitempty"`         // size of the store at that time
+	Writes          int       `json:"writes,omitempty"`            // before HeapMB and DiskMB were measured
+	HeapMB          float64   `json:"heap_mb,omitempty"`
+	DiskMB          float64   `json:"disk_mb,omitempty"`
 }
 
 // measure runs an operation in a number of goroutines for a duration. The operation receives the numbers of the
@@ -86,14 +86,14 @@
 		}
 		merged.Merge(histograms[worker])
 	}
-	return Rate{What: what, Writers: workers, Each: float64(merged.TotalCount()) / took,
+	return Rate{What: what, Writers: workers, PerSecond: float64(merged.TotalCount()) / took,
 		P50: float64(merged.ValueAtQuantile(50)) / 1000, P99: float64(merged.ValueAtQuantile(99)) / 1000}, nil
 }
 
 // Run takes all measurements. Defaults of the options are stated there.
 func Run(ctx context.Context, opts Options) (Result, error) {
-	if opts.For == 0 {
-		opts.For = 3 * time.Second
+	if opts.Duration == 0 {
+		opts.Duration = 3 * time.Second
 	}
 	if len(opts.Writers) == 0 {
 		opts.Writers = []int{1, 16, 256}
@@ -101,8 +101,8 @@
 	if opts.Bytes == 0 {
 		opts.Bytes = 100
 	}
-	if opts.Say == nil {
-		opts.Say = func(string) {}
+	if opts.Progress == nil {
+		opts.Progress = func(string) {}
 	}
 	dir, err := os.MkdirTemp(opts.Dir, "store-bench-")
 	if err != nil {
@@ -119,7 +119,7 @@
 		if ctx.Err() != nil {
 			return result, ctx.Err()
 		}
-		if err := result.measureCopies(ctx, filepath.Join(dir, fmt.Sprint(copies)), copies, limit.Each, opts); err != nil {
+		if err := result.measureCopies(ctx, filepath.Join(dir, fmt.Sprint(copies)), copies, limit.PerSecond, opts); err != nil {
 			return result, err
 		}
 	}
@@ -128,14 +128,14 @@
 
 // measureBareBbolt measures writes to a bbolt file without replication, by one writer.
 func measureBareBbolt(path string, opts Options) (Rate, error) {
-	opts.Say("a bare bbolt file")
+	opts.Progress("a bare bbolt file")
 	db, err := bbolt.Open(path, 0o600, nil)
 	if err != nil {
 		return Rate{}, err
 	}
 	defer db.Close()
 	value := make([]byte, opts.Bytes)
-	return measure("bare bbolt", 1, opts.For, func(_, i int) error {
+	return measure("bare bbolt", 1, opts.Duration, func(_, i int) error {
 		return db.Update(func(tx *bbolt.Tx) error {
 			bucket, err := tx.CreateBucketIfNotExists([]byte("b"))
 			if err != nil {
@@ -234,16 +234,16 @@
 		return err
 	}
 	for _, writers := range opts.Writers {
-		opts.Say(fmt.Sprintf("%d copies, %d writers", copies, writers))
-		rate, err := measure(fmt.Sprintf("writes, %d copies", copies), writers, opts.For, func(worker, i int) error {
+		opts.Progress(fmt.Sprintf("%d copies, %d writers", copies, writers))
+		rate, err := measure(fmt.Sprintf("writes, %d copies", copies), writers, opts.Duration, func(worker, i int) error {
 			return put(c.engines[0], fmt.Sprintf("w%d/%d", worker, i%1000))
 		})
 		if err != nil {
 			return err
 		}
-		rate.Limit = rate.Each / limit
+		rate.OfLimit = rate.PerSecond / limit
 		r.Rates = append(r.Rates, rate)
-		rate, err = measure(fmt.Sprintf("linearizable reads, %d copies", copies), writers, opts.For,
+		rate, err = measure(fmt.Sprintf("linearizable reads, %d copies", copies), writers, opts.Duration,
 			func(worker, i int) error {
 				_, err := c.engines[i%copies].View(ctx, false, func(s *store.State) {
 					s.Get(fmt.Sprintf("w%d/%d", worker, i%1000))
@@ -255,7 +255,7 @@
 		}
 		r.Rates = append(r.Rates, rate)
 	}
-	if opts.Million > 0 && copies == 1 {
+	if opts.MemoryWrites > 0 && copies == 1 {
 		if err := r.measureManyWrites(ctx, c.engines[0], opts, put); err != nil {
 			return err
 		}
@@ -275,13 +275,13 @@
 func (r *Result) measureManyWrites(
 	ctx context.Context, e *engine.Engine, opts Options, put func(*engine.Engine, string) error,
 ) error {
-	opts.Say(fmt.Sprintf("%d writes", opts.Million))
+	opts.Progress(fmt.Sprintf("%d writes", opts.MemoryWrites))
 	var wg sync.WaitGroup
 	const workers = 512
 	errs := make([]error, workers)
 	for worker := range workers {
 		wg.Go(func() {
-			for i := 0; i < opts.Million/workers && errs[worker] == nil; i++ {
+			for i := 0; i < opts.MemoryWrites/workers && errs[worker] == nil; i++ {
 				errs[worker] = put(e, fmt.Sprintf("m%d/%d", worker, i%20))
 			}
 		})
@@ -296,14 +296,14 @@
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	status, err := e.Status(ctx)
-	r.Writes, r.HeapMB, r.DiskMB = opts.Million/workers*workers,
+	r.Writes, r.HeapMB, r.DiskMB = opts.MemoryWrites/workers*workers,
 		float64(stats.HeapAlloc)/(1<<20), float64(status.DiskBytes)/(1<<20)
 	return err
 }
 
 // measureCatchUp measures how long an empty replica takes to copy a store of opts.CatchUp megabytes and to vote.
 func (r *Result) measureCatchUp(ctx context.Context, c *cluster, opts Options) error {
-	opts.Say(fmt.Sprintf("an empty replica at %d MB", opts.CatchUp))
+	opts.Progress(fmt.Sprintf("an empty replica at %d MB", opts.CatchUp))
 	big := make([]byte, 512<<10)
 	for i := range opts.CatchUp * 2 {
 		if _, err := c.engines[0].Do(ctx, store.Command{
@@ -326,7 +326,7 @@
 func (r *Result) measureLeaderLoss(
 	ctx context.Context, c *cluster, opts Options, put func(*engine.Engine, string) error,
 ) error {
-	for len(c.engines) > 2 && len(r.Leader) < 1 {
+	for len(c.engines) > 2 && len(r.WithoutLeaderMs) < 1 {
 		leader := -1
 		for i, e := range c.engines {
 			status, err := e.Status(ctx)
@@ -340,7 +340,7 @@
 		if leader < 0 {
 			continue
 		}
-		opts.Say("without its leader")
+		opts.Progress("without its leader")
 		killedAt := time.Now()
 		killed := c.engines[leader]
 		c.engines = slices.Delete(slices.Clone(c.engines), leader, leader+1)
@@ -350,7 +350,7 @@
 		if err := put(c.engines[0], "after"); err != nil {
 			return err
 		}
-		r.Leader = append(r.Leader, time.Since(killedAt).Seconds()*1000)
+		r.WithoutLeaderMs = append(r.WithoutLeaderMs, time.Since(killedAt).Seconds()*1000)
 	}
 	return nil
 }
