--- a/internal/lab/fleetlab/fleet.go
+++ b/internal/lab/fleetlab/fleet.go
@@ -45,7 +45,7 @@
 	Servers             int
 	ReportStarts        bool // discovery reports the start time of servers
 	Seed                uint64
-	FirstCopyTimeout    time.Duration             // for the first copy of a follower without data on disk; 0 for the default
+	FirstCopyTimeout    time.Duration             // of a follower without data on disk; 0 for the default
 	NoSidecars          bool                      // daemons run no sidecar
 	Handler             http.Handler              // serves the servers' requests; nil to count them and answer at once
 	DaemonEnv           func(daemon int) []string // added to the environment of one daemon; may be nil
@@ -56,9 +56,9 @@
 	DescriptorLimit     int                       // limit on each sidecar's descriptors; 0 to configure none
 
 	Tick              time.Duration // of replicas; 0 for 20 ms
-	NoReplicaSidecars bool          // replicas run no sidecar; followers do, unless Bare is set
-	// KnownInstances returns the endpoint list in a daemon's configuration and of its discovery. If it is nil, the list contains
-	// all servers.
+	NoReplicaSidecars bool          // replicas run no sidecar; followers do, unless NoSidecars is set
+	// KnownInstances returns the endpoint list in a daemon's configuration and of its discovery. If it is nil, the list
+	// contains all servers.
 	KnownInstances func(daemon int) []discovery.Instance
 	// LinkConditions returns the conditions of the link from a daemon to a replica. If it is nil, links have no faults.
 	LinkConditions func(from, to int) relay.Conditions
@@ -547,8 +547,8 @@
 	}
 }
 
-// SetDiskFull makes every write of the process that would extend a file fail, as on a full disk but with EFBIG instead of
-// ENOSPC, or succeed again.
+// SetDiskFull makes every write of the process that would extend a file fail, as on a full disk but with EFBIG instead
+// of ENOSPC, or succeed again. It does nothing if no process runs.
 func (d *Daemon) SetDiskFull(full bool) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -601,7 +601,8 @@
 // ReadCopy returns the content of a follower's copy of the store on disk.
 func (d *Daemon) ReadCopy() ([]byte, error) { return os.ReadFile(filepath.Join(d.Dir(), "copy")) }
 
-// WriteCopy replaces a follower's copy of the store on disk, such as by an older one from Copy. The daemon must not run.
+// WriteCopy replaces a follower's copy of the store on disk, such as by an older one from ReadCopy. The daemon must not
+// run.
 func (d *Daemon) WriteCopy(content []byte) error {
 	return os.WriteFile(filepath.Join(d.Dir(), "copy"), content, 0o600)
 }
@@ -755,11 +756,11 @@
 	b.server.Close()
 }
 
-// Report reports the state of an instance through the daemon's discovery. It is ignored if discovery has reported a later
-// state of the instance, since delayed reports may overtake each other.
+// Report reports the state of an instance through the daemon's discovery. It is ignored if discovery has reported a
+// later state of the instance, since delayed reports may overtake each other.
 func (d *Daemon) Report(instance discovery.Instance) { d.discovery.Report(instance) }
 
-// Report reports the state of an instance; see Daemon.Tell.
+// Report reports the state of an instance; see Daemon.Report.
 func (b *DiscoveryServer) Report(instance discovery.Instance) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/lab/fleetlab/measure.go
+++ b/internal/lab/fleetlab/measure.go
@@ -45,10 +45,12 @@
 	Others   Distribution `json:"others"` // requests of the other daemons
 }
 
-// MeasureReports measures how fast the report of a drain takes effect, for a number of reports. Each reaches one daemon, from
-// its discovery or from an operator ("maint-on"). The caller must load the fleet such that each server receives a
-// request from each daemon every few milliseconds. progress may be nil.
-func (f *Fleet) MeasureReports(ctx context.Context, reports int, operators bool, progress func(string)) (ReportDelays, error) {
+// MeasureReports measures how fast the report of a drain takes effect, for a number of reports. Each report reaches one
+// daemon, from its discovery or from an operator ("maint-on"). The caller must load the fleet such that each server
+// receives a request from each daemon every few milliseconds. progress may be nil.
+func (f *Fleet) MeasureReports(
+	ctx context.Context, reports int, operators bool, progress func(string),
+) (ReportDelays, error) {
 	result := ReportDelays{Source: "discovery's word"}
 	if operators {
 		result.Source = "maint-on"
@@ -131,9 +133,9 @@
 	RestoredServers float64      `json:"recalled"` // servers whose state was restored, on average
 }
 
-// MeasureStarts measures starts of the last daemon, a follower, while two servers drain without a report of its discovery. It
-// starts from no state ("nothing": its disk is empty and no replica can be reached), from its own disk, and with an
-// empty disk from the store of the replicas. progress may be nil.
+// MeasureStarts measures starts of the last daemon, a follower, while two servers drain without a report of its
+// discovery. It starts from no state ("nothing": its disk is empty and no replica can be reached), from its own disk,
+// and with an empty disk from the store of the replicas. progress may be nil.
 func (f *Fleet) MeasureStarts(ctx context.Context, starts int, progress func(string)) ([]StartFigures, error) {
 	follower := f.Daemons[len(f.Daemons)-1]
 	if !follower.follower {
@@ -237,8 +239,8 @@
 	Seconds      float64 `json:"seconds"`
 }
 
-// MeasureWrites counts what the fleet writes during a number of drains and starts of servers, one each interval and reported
-// to all daemons at about the same time.
+// MeasureWrites counts what the fleet writes during a number of drains and starts of servers, one each interval and
+// reported to all daemons at about the same time.
 func (f *Fleet) MeasureWrites(ctx context.Context, changes int, interval time.Duration) (WriteFigures, error) {
 	result := WriteFigures{Daemons: len(f.Daemons)}
 	status := func() (entries, revision uint64, err error) {
@@ -299,8 +301,8 @@
 	return result, err
 }
 
-// CatchUpFigures is how long daemons take from their start until they apply the drains of a number of servers in the store and
-// their sidecar is ready.
+// CatchUpFigures is how long daemons take from their start until they apply the drains of a number of servers in the
+// store and their sidecar is ready.
 type CatchUpFigures struct {
 	Servers  int     `json:"servers"`
 	Bytes    int     `json:"store_bytes"`
@@ -309,8 +311,8 @@
 	Replica  float64 `json:"replica_ms"`  // a replica that was killed
 }
 
-// MeasureCatchUp writes drains of a number of servers that no endpoint list contains into the store, and measures starts of
-// daemons.
+// MeasureCatchUp writes drains of a number of servers that no endpoint list contains into the store, and measures
+// starts of daemons.
 func (f *Fleet) MeasureCatchUp(ctx context.Context, servers int) (CatchUpFigures, error) {
 	result := CatchUpFigures{Servers: servers}
 	daemon, replica := f.Daemons[len(f.Daemons)-1], f.Daemons[1]
@@ -393,8 +395,8 @@
 	return Ratio{ratios[0], ratios[len(ratios)/2], ratios[len(ratios)-1]}
 }
 
-// MeasureCost loads the last daemon alternately as a follower and as the same program without a store, for a duration each,
-// while the endpoint lists of all daemons change four times a second.
+// MeasureCost loads the last daemon alternately as a follower and as the same program without a store, for a duration
+// each, while the endpoint lists of all daemons change four times a second.
 func (f *Fleet) MeasureCost(ctx context.Context, pairs int, duration time.Duration) (Cost, error) {
 	cost := Cost{Pairs: pairs}
 	daemon := f.Daemons[len(f.Daemons)-1]
--- a/internal/lab/fleetlab/torture.go
+++ b/internal/lab/fleetlab/torture.go
@@ -72,7 +72,7 @@
 // disturbance is a time in which a fault was injected; to is zero until its end.
 type disturbance struct{ from, to time.Time }
 
-// Run runs for the duration For. The caller must load the fleet meanwhile.
+// Run runs for t.Duration. The caller must load the fleet meanwhile.
 func (t *Torture) Run(ctx context.Context) (*TortureResult, error) {
 	result := &TortureResult{drains: map[serverStart]*reportedDrain{}}
 	ctx, cancel := context.WithTimeout(ctx, t.Duration)
@@ -110,7 +110,8 @@
 	addViolation := func(count *int, kind string) {
 		*count++
 		if len(r.Violations) < 20 {
-			r.Violations = append(r.Violations, fmt.Sprintf("%s: daemon %d sent to slot-%d %v after daemon %d heard that it drains",
+			r.Violations = append(r.Violations, fmt.Sprintf(
+				"%s: daemon %d sent to slot-%d %v after daemon %d heard that it drains",
 				kind, arrival.From, server, delay.Round(time.Millisecond), drain.reporter))
 		}
 	}
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -33,9 +33,9 @@
 }
 
 const (
-	clockSlackMicros = 50 * 1000        // between an event on a socket and its instant in the lab
-	settleTimeout    = 10 * time.Second // after the last arrival; then the run ends with requests open
-	maxLinks         = 600
+	clockSlackMicros = 50 * 1000              // between an event on a socket and its instant in the lab
+	settleTimeout    = 10 * time.Second       // after the last arrival; then the run ends with requests open
+	maxLinks         = 600                    // between sidecars and servers
 	stopGraceMicros  = 500 * 1000             // after SIGTERM, in which a sidecar still accepts requests
 	maxLateness      = 150 * time.Millisecond // of the lab itself in any event
 	maxLatenessP999  = 25 * time.Millisecond  // of the lab itself in all but one event of a thousand
--- a/internal/lab/soak/judge.go
+++ b/internal/lab/soak/judge.go
@@ -130,8 +130,8 @@
 	if r.outcome == abandoned && e.realTime && len(attempts) > 0 {
 		late := attempts[0].at.Sub(r.endedAt)
 		if late > abandonGrace+arrivalSlack && !anyOverlaps(e.daemons[r.daemon].stopped, r.sentAt, attempts[0].at) {
-			violations = append(violations, describe(ClientGone, fmt.Sprintf("its first attempt came %v after its client had left",
-				late.Round(time.Millisecond))))
+			violations = append(violations, describe(ClientGone,
+				fmt.Sprintf("its first attempt came %v after its client had left", late.Round(time.Millisecond))))
 		}
 	}
 	return violations
--- a/internal/lab/storebench/bench.go
+++ b/internal/lab/storebench/bench.go
@@ -43,7 +43,7 @@
 	PerSecond float64 `json:"a_second"` // operations a second
 	P50       float64 `json:"p50_ms"`
 	P99       float64 `json:"p99_ms"`
-	OfLimit   float64 `json:"of_limit,omitempty"` // ratio of Each to that of bare bbolt with one writer
+	OfLimit   float64 `json:"of_limit,omitempty"` // ratio of PerSecond to that of bare bbolt with one writer
 }
 
 // Result is the result of a run.
@@ -119,7 +119,9 @@
 		if ctx.Err() != nil {
 			return result, ctx.Err()
 		}
-		if err := result.measureCopies(ctx, filepath.Join(dir, fmt.Sprint(copies)), copies, limit.PerSecond, opts); err != nil {
+		if err := result.measureCopies(
+			ctx, filepath.Join(dir, fmt.Sprint(copies)), copies, limit.PerSecond, opts,
+		); err != nil {
 			return result, err
 		}
 	}
@@ -271,7 +273,7 @@
 	return r.measureLeaderLoss(ctx, c, opts, put)
 }
 
-// measureManyWrites measures the use of memory and disk after opts.Million writes.
+// measureManyWrites measures the use of memory and disk after opts.MemoryWrites writes.
 func (r *Result) measureManyWrites(
 	ctx context.Context, e *engine.Engine, opts Options, put func(*engine.Engine, string) error,
 ) error {
--- a/internal/lab/storebench/torture.go
+++ b/internal/lab/storebench/torture.go
@@ -43,7 +43,7 @@
 	Writes         int      `json:"writes_answered"`
 	RepeatedWrites int      `json:"writes_sent_again"` // attempts without an answer, which were repeated
 	Reads          int      `json:"reads"`
-	Lost           []string `json:"lost"` // answered writes that are missing, stale reads and faults of the lab; the first 20
+	Lost           []string `json:"lost"` // missing writes, stale reads and faults of the lab; the first 20
 }
 
 // process is a replica and its processes, one after the other.
@@ -75,7 +75,7 @@
 	return err
 }
 
-// Run starts the replicas, and injects faults for the duration For.
+// Run starts the replicas, and injects faults for t.Duration.
 func (t *Torture) Run(ctx context.Context) (result TortureResult, err error) {
 	if t.FaultInterval == 0 {
 		t.FaultInterval = 2 * time.Second
@@ -160,8 +160,8 @@
 	return fmt.Errorf("replica %d does not vote", number)
 }
 
-// runLoad writes, reads and injects faults for the duration For. Then it checks that every key has the last value whose
-// write was answered.
+// runLoad writes, reads and injects faults for t.Duration. Then it checks that every key has the last value whose write
+// was answered.
 func (t *Torture) runLoad(ctx context.Context, processes []*process, result *TortureResult) {
 	loadCtx, cancel := context.WithTimeout(ctx, t.Duration)
 	defer cancel()
