--- a/cmd/birchmoor/limitrestart_test.go
+++ b/cmd/birchmoor/limitrestart_test.go
@@ -20,8 +20,8 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
 	f := startFleet(ctx, t, fleetlab.Config{
-		Replicas: 3, Follow: 2, Servers: 1, Wait: time.Millisecond,
-		More: "[limits]\nlease = \"1s\"\ntell = \"50ms\"\n",
+		Replicas: 3, Followers: 2, Servers: 1, FirstCopyTimeout: time.Millisecond,
+		ExtraOperatorConfig: "[limits]\nlease = \"1s\"\ntell = \"50ms\"\n",
 	})
 	defer f.End()
 	limits, err := quota.ParseFile("limits.toml", []byte("[limit.look]\nrate = 10.0\npaths = [\"/look\"]\n"))
@@ -50,9 +50,9 @@
 			t.Fatal(err)
 		}
 		for n := range 50 {
-			d.Ask(ctx, client, fmt.Sprintf("%020x", n))
+			d.SendRequest(ctx, client, fmt.Sprintf("%020x", n))
 		}
-		if n := f.Servers[0].Count(d.Number); n > 0 {
+		if n := f.Servers[0].RequestCount(d.Number); n > 0 {
 			t.Errorf("%s restarted alone and admitted %d requests under a limit that admits none without the store\n%s",
 				d.Name(), n, d.Log())
 		}
--- a/cmd/birchmoor/storebench.go
+++ b/cmd/birchmoor/storebench.go
@@ -23,13 +23,13 @@
 
 func (k *storeBench) Run(ctx context.Context, c *console) error {
 	result, err := storebench.Run(ctx, storebench.Options{
-		Dir:     k.Dir,
-		For:     k.Duration,
-		Writers: k.Writers,
-		Bytes:   k.Bytes,
-		CatchUp: k.CatchUp,
-		Million: k.Million,
-		Say:     func(s string) { fmt.Fprintln(c.errOut, "measuring:", s) },
+		Dir:          k.Dir,
+		Duration:     k.Duration,
+		Writers:      k.Writers,
+		Bytes:        k.Bytes,
+		CatchUp:      k.CatchUp,
+		MemoryWrites: k.Million,
+		Progress:     func(s string) { fmt.Fprintln(c.errOut, "measuring:", s) },
 	})
 	if err != nil {
 		return err
@@ -40,10 +40,10 @@
 	w := tabwriter.NewWriter(c.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "WHAT\tAT ONCE\tA SECOND\tP50 MS\tP99 MS\tOF BARE BBOLT")
 	for _, x := range result.Rates {
-		fmt.Fprintf(w, "%s\t%d\t%.0f\t%.2f\t%.2f\t%.2f\n", x.What, x.Writers, x.Each, x.P50, x.P99, x.Limit)
+		fmt.Fprintf(w, "%s\t%d\t%.0f\t%.2f\t%.2f\t%.2f\n", x.What, x.Writers, x.PerSecond, x.P50, x.P99, x.OfLimit)
 	}
-	if len(result.Leader) > 0 {
-		fmt.Fprintf(w, "without a leader, ms\t\t%.0f\n", result.Leader[0])
+	if len(result.WithoutLeaderMs) > 0 {
+		fmt.Fprintf(w, "without a leader, ms\t\t%.0f\n", result.WithoutLeaderMs[0])
 	}
 	if result.CatchUp > 0 {
 		fmt.Fprintf(w, "an empty replica catches up with %.0f MB, s\t\t%.1f\n", result.CaughtMB, result.CatchUp)
@@ -69,14 +69,14 @@
 		return err
 	}
 	torture := storebench.Torture{
-		Program: self,
-		Args:    []string{"run", "--config"},
-		Dir:     k.Dir,
-		For:     k.Duration,
-		Every:   k.KillInterval,
-		Writers: k.Writers,
-		Seed:    k.Seed,
-		Say:     func(s string) { fmt.Fprintln(c.errOut, s) },
+		Program:       self,
+		Args:          []string{"run", "--config"},
+		Dir:           k.Dir,
+		Duration:      k.Duration,
+		FaultInterval: k.KillInterval,
+		Writers:       k.Writers,
+		Seed:          k.Seed,
+		Progress:      func(s string) { fmt.Fprintln(c.errOut, s) },
 	}
 	result, err := torture.Run(ctx)
 	if err != nil {
@@ -88,7 +88,7 @@
 		}
 	} else {
 		fmt.Fprintf(c.out, "%d kills, %d of all at once, %d partitions; %d writes done, %d retried, %d reads; lost: %q\n",
-			result.Kills, result.All, result.Cuts, result.Writes, result.Unknown, result.Reads, result.Lost)
+			result.Kills, result.KillsOfAll, result.Cuts, result.Writes, result.RepeatedWrites, result.Reads, result.Lost)
 	}
 	if len(result.Lost) > 0 {
 		return errRunFailed
--- a/cmd/birchmoor/storefleet.go
+++ b/cmd/birchmoor/storefleet.go
@@ -37,14 +37,14 @@
 			k.Replicas, k.Followers, k.Servers)
 	}
 	return fleetlab.Begin(ctx, fleetlab.Config{
-		Program:  self,
-		Args:     []string{"run", "--config"},
-		Dir:      k.Dir,
-		Replicas: k.Replicas,
-		Follow:   k.Followers,
-		Servers:  k.Servers,
-		Starts:   true,
-		Seed:     k.Seed,
+		Program:      self,
+		Args:         []string{"run", "--config"},
+		Dir:          k.Dir,
+		Replicas:     k.Replicas,
+		Followers:    k.Followers,
+		Servers:      k.Servers,
+		ReportStarts: true,
+		Seed:         k.Seed,
 	})
 }
 
@@ -73,11 +73,11 @@
 	loadCtx, stopLoad := context.WithCancel(ctx)
 	clients := fleet.Load(loadCtx, k.Conns, k.Pause)
 	torture := fleetlab.Torture{
-		Fleet: fleet,
-		For:   k.Duration,
-		Every: k.FaultInterval,
-		Seed:  k.Seed,
-		Say:   func(s string) { fmt.Fprintln(c.errOut, s) },
+		Fleet:         fleet,
+		Duration:      k.Duration,
+		FaultInterval: k.FaultInterval,
+		Seed:          k.Seed,
+		Progress:      func(s string) { fmt.Fprintln(c.errOut, s) },
 	}
 	result, err := torture.Run(ctx)
 	stopLoad()
@@ -92,15 +92,15 @@
 	} else {
 		fmt.Fprintf(c.out, "%d drains (%d of them undisturbed), %d starts, %d kills, %d of all at once,"+
 			" %d partitions, %d requests\n",
-			result.Drains, result.Judged, result.Starts, result.Kills, result.All, result.Cuts, result.Requests)
+			result.Drains, result.UndisturbedDrains, result.Starts, result.Kills, result.KillsOfAll, result.Cuts, result.Requests)
 		fmt.Fprintf(c.out, "from daemons that knew of the drain %d, late %d, from daemons never told %d;"+
 			" the last request in an undisturbed drain came %.0f ms after the report\n",
-			result.Stale, result.Late, result.Never, result.WorstMs)
-		for _, b := range result.Broken {
+			result.Stale, result.Late, result.NeverReported, result.WorstMs)
+		for _, b := range result.Violations {
 			fmt.Fprintln(c.out, b)
 		}
 	}
-	if result.Stale+result.Late+result.Never > 0 {
+	if result.Stale+result.Late+result.NeverReported > 0 {
 		return errRunFailed
 	}
 	return nil
@@ -125,11 +125,11 @@
 
 // fleetMeasurements are the results of store fleet measure, as --json prints them.
 type fleetMeasurements struct {
-	Reports []fleetlab.Told    `json:"words,omitempty"`
-	Starts  []fleetlab.Began   `json:"starts,omitempty"`
-	Writes  []fleetlab.Writing `json:"writes,omitempty"`
-	Caught  *fleetlab.Caught   `json:"caught,omitempty"`
-	Cost    *fleetlab.Cost     `json:"cost,omitempty"`
+	Reports []fleetlab.ReportDelays  `json:"words,omitempty"`
+	Starts  []fleetlab.StartFigures  `json:"starts,omitempty"`
+	Writes  []fleetlab.WriteFigures  `json:"writes,omitempty"`
+	Caught  *fleetlab.CatchUpFigures `json:"caught,omitempty"`
+	Cost    *fleetlab.Cost           `json:"cost,omitempty"`
 }
 
 func (k *fleetMeasure) Run(ctx context.Context, c *console) error {
@@ -157,7 +157,7 @@
 }
 
 // measureWrites counts the store's writes of a fleet of n daemons of its own.
-func (k *fleetMeasure) measureWrites(ctx context.Context, n int) (w fleetlab.Writing, err error) {
+func (k *fleetMeasure) measureWrites(ctx context.Context, n int) (w fleetlab.WriteFigures, err error) {
 	const changes, changeInterval = 60, 500 * time.Millisecond
 	flags := k.fleetFlags
 	flags.Replicas = min(k.Replicas, n)
@@ -167,24 +167,24 @@
 		return w, err
 	}
 	defer f.End()
-	return f.Writes(ctx, changes, changeInterval)
+	return f.MeasureWrites(ctx, changes, changeInterval)
 }
 
 func (m *fleetMeasurements) print(w io.Writer) {
 	for _, x := range m.Reports {
 		const latency = "\t%d\tp50 %.1f ms\tp99 %.1f\tworst %.1f\n"
-		fmt.Fprintf(w, "%s, at the daemon that got it"+latency, x.What, x.Here.N, x.Here.P50, x.Here.P99, x.Here.Worst)
-		fmt.Fprintf(w, "%s, at the other daemons"+latency, x.What, x.Others.N, x.Others.P50, x.Others.P99, x.Others.Worst)
+		fmt.Fprintf(w, "%s, at the daemon that got it"+latency, x.Source, x.Receiver.N, x.Receiver.P50, x.Receiver.P99, x.Receiver.Worst)
+		fmt.Fprintf(w, "%s, at the other daemons"+latency, x.Source, x.Others.N, x.Others.P50, x.Others.P99, x.Others.Worst)
 	}
 	for _, x := range m.Starts {
 		fmt.Fprintf(w, "start with %s\t%d\tp50 %.0f ms\tworst %.0f\tserved in the first second %.3f,"+
 			" sent to drained servers %.1f, servers recalled %.1f\n",
-			x.How, x.N, x.Ready.P50, x.Ready.Worst, x.Served, x.Drained, x.Recalled)
+			x.Source, x.N, x.Ready.P50, x.Ready.Worst, x.Served, x.DrainedRequests, x.RestoredServers)
 	}
 	for _, x := range m.Writes {
 		fmt.Fprintf(w, "%d daemons\t%d changes of lists\t%d reports in the store\t%d log entries\t"+
 			"%d snapshots\tin %.0f s\n",
-			x.Daemons, x.Changes, x.Words, x.Entries, x.Pictures, x.Seconds)
+			x.Daemons, x.Changes, x.StateChanges, x.Entries, x.Snapshots, x.Seconds)
 	}
 	if x := m.Cost; x != nil {
 		fmt.Fprintf(w, "full load, %d pairs\t%.0f requests/s with the store\t%.0f without\t"+
@@ -211,14 +211,14 @@
 		}
 	}
 	if k.Starts > 0 {
-		m.Starts, err = fleet.Starts(ctx, k.Starts, say)
+		m.Starts, err = fleet.MeasureStarts(ctx, k.Starts, say)
 		if err != nil {
 			return err
 		}
 	}
 	if k.CostPairs > 0 {
 		const runDuration = 3 * time.Second
-		cost, err := fleet.Cost(ctx, k.CostPairs, runDuration)
+		cost, err := fleet.MeasureCost(ctx, k.CostPairs, runDuration)
 		if err != nil {
 			return err
 		}
@@ -226,7 +226,7 @@
 		say("cost")
 	}
 	if k.KnownServers > 0 {
-		caught, err := fleet.CatchUp(ctx, k.KnownServers)
+		caught, err := fleet.MeasureCatchUp(ctx, k.KnownServers)
 		if err != nil {
 			return err
 		}
@@ -246,7 +246,7 @@
 	clients := fleet.Load(loadCtx, conns, requestInterval)
 	time.Sleep(warmup)
 	for _, byOperators := range []bool{false, true} {
-		t, err := fleet.Words(ctx, k.Reports, byOperators, say)
+		t, err := fleet.MeasureReports(ctx, k.Reports, byOperators, say)
 		if err != nil {
 			return err
 		}
--- a/cmd/birchmoor/storefollower_test.go
+++ b/cmd/birchmoor/storefollower_test.go
@@ -158,14 +158,14 @@
 func TestFollowerStartsFromReplicaOrOwnDisk(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
-	f := startFleet(ctx, t, fleetlab.Config{Replicas: 1, Follow: 1, Servers: 3, Starts: true, Wait: time.Minute})
+	f := startFleet(ctx, t, fleetlab.Config{Replicas: 1, Followers: 1, Servers: 3, ReportStarts: true, FirstCopyTimeout: time.Minute})
 	defer f.End()
 	replica, follower := f.Daemons[0], f.Daemons[1]
 	s := &followerStarts{ctx: ctx, follower: follower, drained: f.Servers[0]}
-	drain := s.drained.Now()
+	drain := s.drained.Instance()
 	drain.Lifecycle = "draining"
-	s.drained.Set(drain)
-	replica.Tell(drain)
+	s.drained.SetInstance(drain)
+	replica.Report(drain)
 	for known := false; !known; {
 		facts, err := follower.Client.Servers(ctx)
 		if err != nil {
@@ -175,7 +175,7 @@
 			known = known || x.ID == drain.ID && x.Kind == "drains" && x.Committed && x.ReportedBy == "d0"
 		}
 	}
-	follower.Deaf(true)
+	follower.SetDiscoverySilent(true)
 	s.start(t, "an empty disk", "another replica")
 	socket := follower.Socket()
 	if code, out, _ := birchmoor("store", "servers", drain.ID, "--socket", socket); code != 0 ||
@@ -239,11 +239,11 @@
 	ownDisk := from == "own disk"
 	s.follower.Kill()
 	if !ownDisk {
-		if err := s.follower.Lose(); err != nil {
+		if err := s.follower.RemoveData(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	before := s.drained.Count(1)
+	before := s.drained.RequestCount(1)
 	if err := s.follower.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -253,9 +253,9 @@
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	for n := range 100 {
-		s.follower.Ask(s.ctx, client, fmt.Sprintf("%020x", n+before+int(time.Now().UnixNano())))
+		s.follower.SendRequest(s.ctx, client, fmt.Sprintf("%020x", n+before+int(time.Now().UnixNano())))
 	}
-	if n := s.drained.Count(1) - before; n > 0 {
+	if n := s.drained.RequestCount(1) - before; n > 0 {
 		t.Errorf("%s: %d requests to the draining server\n%s", what, n, s.follower.Log())
 	}
 	status, err := s.follower.Client.Status(s.ctx)
--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -101,7 +101,7 @@
 	r.aside(d)
 	at := time.Now()
 	d.Kill()
-	return d.Name() + " was killed", at, fleetlab.Again(d), nil
+	return d.Name() + " was killed", at, fleetlab.Restart(d), nil
 }
 
 // lost kills hollow processes, and has them start again after a while.
@@ -130,7 +130,7 @@
 			faults[i] = err
 		})
 	}
-	again := fleetlab.Again(daemons...)(ctx)
+	again := fleetlab.Restart(daemons...)(ctx)
 	wg.Wait()
 	for _, err := range append(faults, again) {
 		if err != nil {
@@ -176,7 +176,7 @@
 		in := r.w.servers[v][s/r.w.services]
 		tell := func() {
 			for _, h := range r.w.hears(v) {
-				r.boards[h].Tell(in)
+				r.boards[h].Report(in)
 			}
 		}
 		in.Lifecycle = "draining"
@@ -303,7 +303,7 @@
 		return "", time.Time{}, nil, err
 	}
 	d.Kill()
-	if err := d.Lose(); err != nil {
+	if err := d.RemoveData(); err != nil {
 		return "", time.Time{}, nil, err
 	}
 	at := time.Now()
@@ -329,7 +329,7 @@
 	if err := d.Start(); err != nil {
 		return "", at, nil, err
 	}
-	if err := change(admin.ChangeRequest{AddMember: &store.AddMember{Name: d.Name(), Address: d.Peer()}}); err != nil {
+	if err := change(admin.ChangeRequest{AddMember: &store.AddMember{Name: d.Name(), Address: d.PeerAddr()}}); err != nil {
 		return "", at, nil, err
 	}
 	for ctx.Err() == nil {
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -29,10 +29,10 @@
 	w       *world
 	dir     string
 	fleet   *fleetlab.Fleet
-	boards  []*fleetlab.Board  // by service, for hollow sidecars
-	servers []*httptest.Server // that real sidecars send to
-	links   []*process         // by zone
-	at      sync.Mutex         // of hollow
+	boards  []*fleetlab.DiscoveryServer // by service, for hollow sidecars
+	servers []*httptest.Server          // that real sidecars send to
+	links   []*process                  // by zone
+	at      sync.Mutex                  // of hollow
 	hollow  []*process
 	meter   *sampler
 
@@ -110,19 +110,19 @@
 	}
 	r.w = newWorld(o, func(n int) string { return where[n] })
 	for v := range r.w.services {
-		r.boards = append(r.boards, fleetlab.NewBoard(r.w.lists[v]))
+		r.boards = append(r.boards, fleetlab.NewDiscoveryServer(r.w.lists[v]))
 	}
 	zone := r.zoneOfDaemon
 	var err error
-	r.fleet, err = fleetlab.Begin(ctx, fleetlab.Config{Program: o.Program, Args: []string{"run", "--config"}, Env: o.Env, Dir: r.dir, Replicas: o.Replicas, Follow: o.Real,
-		Seed: o.Seed, BareReplicas: true, Tick: 100 * time.Millisecond, More: operatorText, Interest: o.Interest, // the tick of a shipped replica
-		Known: func(d int) []discovery.Instance {
+	r.fleet, err = fleetlab.Begin(ctx, fleetlab.Config{Program: o.Program, Args: []string{"run", "--config"}, Env: o.Env, Dir: r.dir, Replicas: o.Replicas, Followers: o.Real,
+		Seed: o.Seed, NoReplicaSidecars: true, Tick: 100 * time.Millisecond, ExtraOperatorConfig: operatorText, Interest: o.Interest, // the tick of a shipped replica
+		KnownInstances: func(d int) []discovery.Instance {
 			if d < o.Replicas {
 				return nil
 			}
 			return r.w.lists[r.w.serviceOf(d-o.Replicas)]
 		},
-		Between: func(from, to int) relay.Conditions { return relay.Conditions{Delay: delay(zone(from), zone(to))} }})
+		LinkConditions: func(from, to int) relay.Conditions { return relay.Conditions{Delay: delay(zone(from), zone(to))} }})
 	if err != nil {
 		return err
 	}
@@ -139,7 +139,7 @@
 	for z := range zones {
 		spec := Spec{Dir: r.dir}
 		for n, d := range r.replicas() {
-			spec.Links = append(spec.Links, LinkSpec{Name: d.Name(), To: d.Serve(), Delay: delay(z, zone(n)), Seed: o.Seed + uint64(1000*z+n)})
+			spec.Links = append(spec.Links, LinkSpec{Name: d.Name(), To: d.FollowerAddr(), Delay: delay(z, zone(n)), Seed: o.Seed + uint64(1000*z+n)})
 		}
 		p, err := start(ctx, &r.o, r.dir, fmt.Sprintf("links-%d", z), spec, nil)
 		if err != nil {
@@ -430,7 +430,7 @@
 			next := asking(rand.New(rand.NewPCG(r.o.Seed<<20+uint64(n), 2)))
 			for i := 0; ctx.Err() == nil; i++ {
 				pause(ctx, next())
-				d.Ask(ctx, c, fmt.Sprintf("%04x%016x", n, i))
+				d.SendRequest(ctx, c, fmt.Sprintf("%04x%016x", n, i))
 			}
 		})
 	}
--- a/internal/lab/tasklab/faults.go
+++ b/internal/lab/tasklab/faults.go
@@ -20,11 +20,11 @@
 }
 
 func (x *run) after(d time.Duration, f func()) func(context.Context) error {
-	return fleetlab.After(d, f)
+	return fleetlab.EndAfter(d, f)
 }
 
 // at has a blow done to the daemon at which the task is held, for one and a half TTL.
-func at(b fleetlab.Blow) func(x *run) (string, func(context.Context) error) {
+func at(b fleetlab.Fault) func(x *run) (string, func(context.Context) error) {
 	return func(x *run) (string, func(context.Context) error) {
 		a, _ := x.holding()
 		return b(x.fleet, a.d, x.long())
@@ -32,7 +32,7 @@
 }
 
 // lead has a blow done to the store's leader.
-func lead(b fleetlab.Blow) func(x *run) (string, func(context.Context) error) {
+func lead(b fleetlab.Fault) func(x *run) (string, func(context.Context) error) {
 	return func(x *run) (string, func(context.Context) error) { return b(x.fleet, x.fleet.Leader(), x.long()) }
 }
 
@@ -48,11 +48,11 @@
 
 // Faults are all kinds of blows.
 var Faults = []Fault{
-	{"holder-killed", "the daemon at which the task is held is killed", true, at(fleetlab.Killed)},
-	{"holder-stopped", "the daemon at which the task is held is stopped for 1.5 TTL and continued", true, at(fleetlab.Stopped)},
-	{"answers-cut", "the holder's daemon is not heard, and hears", false, at(fleetlab.Mute)},
-	{"renewals-cut", "the holder's daemon is heard, and hears nothing", false, at(fleetlab.Deaf)},
-	{"leader-killed", "the store's leader is killed", false, lead(fleetlab.Killed)},
+	{"holder-killed", "the daemon at which the task is held is killed", true, at(fleetlab.KillDaemon)},
+	{"holder-stopped", "the daemon at which the task is held is stopped for 1.5 TTL and continued", true, at(fleetlab.StopDaemon)},
+	{"answers-cut", "the holder's daemon is not heard, and hears", false, at(fleetlab.LoseSent)},
+	{"renewals-cut", "the holder's daemon is heard, and hears nothing", false, at(fleetlab.LoseReceived)},
+	{"leader-killed", "the store's leader is killed", false, lead(fleetlab.KillDaemon)},
 	{"actor-stopped", "what the lock runs is stopped for 1.5 TTL, with all that keeps it in time, and continued", false, func(x *run) (string, func(context.Context) error) {
 		a, who := x.holding()
 		x.at.mayBeLate(who)
@@ -76,8 +76,8 @@
 		a.signal(syscall.SIGKILL)
 		return who, x.after(0, func() {})
 	}},
-	{"leader-stopped", "the store's leader is stopped for 1.5 TTL and continued", false, lead(fleetlab.Stopped)},
-	{"all-killed", "all daemons are killed", false, at(fleetlab.AllKilled)},
+	{"leader-stopped", "the store's leader is stopped for 1.5 TTL and continued", false, lead(fleetlab.StopDaemon)},
+	{"all-killed", "all daemons are killed", false, at(fleetlab.KillAll)},
 	{"moved", "operators give the task to another host", true, func(x *run) (string, func(context.Context) error) {
 		a, _ := x.holding()
 		to := x.fleet.Daemons[0]
@@ -104,14 +104,14 @@
 	{"pair-cut", "the leader does not hear one other replica, and is heard by it", false, func(x *run) (string, func(context.Context) error) {
 		lead := x.fleet.Leader()
 		other := x.fleet.Daemons[(lead.Number+1)%x.Replicas]
-		other.Between(lead, true)
-		return other.Name() + " to " + lead.Name(), x.after(x.long(), func() { other.Between(lead, false) })
+		other.SetSentLostTo(lead, true)
+		return other.Name() + " to " + lead.Name(), x.after(x.long(), func() { other.SetSentLostTo(lead, false) })
 	}},
 	{"replica-cut", "a replica that followers may follow is cut off from the others, and goes on answering", false, func(x *run) (string, func(context.Context) error) {
 		d := x.fleet.Daemons[x.rng.IntN(x.Replicas)]
-		d.Unheard(true)
-		d.Deafen(true)
-		return d.Name(), x.after(x.long(), func() { d.Unheard(false); d.Deafen(false) })
+		d.SetSentLost(true)
+		d.SetReceivedLost(true)
+		return d.Name(), x.after(x.long(), func() { d.SetSentLost(false); d.SetReceivedLost(false) })
 	}},
 	{"disk-lost", "a follower is killed and starts with an empty disk", false, func(x *run) (string, func(context.Context) error) {
 		d := x.follower()
@@ -119,15 +119,15 @@
 			return "nobody", x.after(0, func() {})
 		}
 		d.Kill()
-		err := d.Lose()
-		return d.Name(), func(ctx context.Context) error { return errors.Join(err, fleetlab.Again(d)(ctx)) }
+		err := d.RemoveData()
+		return d.Name(), func(ctx context.Context) error { return errors.Join(err, fleetlab.Restart(d)(ctx)) }
 	}},
 	{"disk-old", "a follower is killed and starts with its disk as it was", false, func(x *run) (string, func(context.Context) error) {
 		d := x.follower()
 		if d == nil {
 			return "nobody", x.after(0, func() {})
 		}
-		old, err := d.Copy()
+		old, err := d.ReadCopy()
 		if err != nil {
 			return d.Name() + ", which has none", x.after(0, func() {})
 		}
@@ -136,17 +136,17 @@
 			if err := x.after(x.long(), d.Kill)(ctx); err != nil {
 				return err
 			}
-			return errors.Join(d.Put(old), fleetlab.Again(d)(ctx))
+			return errors.Join(d.WriteCopy(old), fleetlab.Restart(d)(ctx))
 		}
 	}},
 	{"disk-full", "the leader's disk has no room for 1.5 TTL, after which it is started again", false, func(x *run) (string, func(context.Context) error) {
 		d := x.fleet.Leader()
-		err := d.Full(true)
+		err := d.SetDiskFull(true)
 		return d.Name(), func(ctx context.Context) error {
 			if err := x.after(x.long(), d.Kill)(ctx); err != nil {
 				return err
 			}
-			return errors.Join(err, fleetlab.Again(d)(ctx))
+			return errors.Join(err, fleetlab.Restart(d)(ctx))
 		}
 	}},
 	{"sync-fails", "the leader's disk fails every sync from now on, after which it is started again; a build for tests alone", false, func(x *run) (string, func(context.Context) error) {
@@ -159,7 +159,7 @@
 			if err := x.after(x.long(), d.Kill)(ctx); err != nil {
 				return err
 			}
-			return fleetlab.Again(d)(ctx)
+			return fleetlab.Restart(d)(ctx)
 		}
 	}},
 	{"old-build", "a daemon is started with the older build, if there is one, which the cluster has left behind, and then with its own", false, func(x *run) (string, func(context.Context) error) {
@@ -168,15 +168,15 @@
 		}
 		d := x.fleet.Daemons[x.rng.IntN(len(x.fleet.Daemons))]
 		d.Kill()
-		d.Build = x.Old
+		d.Program = x.Old
 		err := d.Start()
 		return d.Name(), func(ctx context.Context) error {
 			if err := x.after(x.long(), d.Kill)(ctx); err != nil {
 				return err
 			}
-			d.Build = ""
-			return errors.Join(err, fleetlab.Again(d)(ctx))
+			d.Program = ""
+			return errors.Join(err, fleetlab.Restart(d)(ctx))
 		}
 	}},
-	{"slow", "all links are slow and lossy by stalls for 1.5 TTL", false, at(fleetlab.Slow)},
+	{"slow", "all links are slow and lossy by stalls for 1.5 TTL", false, at(fleetlab.SlowLinks)},
 }
