--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,4 +1,5 @@
-// Package report draws a run as one HTML file that needs nothing else: plots as inline SVG, no scripts, no fonts.
+// Package report renders the result of a run as one self-contained HTML page: plots are inline SVG, and the page loads
+// no scripts, fonts or other files.
 package report
 
 import (
@@ -23,142 +24,152 @@
 	height = 2.6 * vg.Inch
 )
 
-// colours that stay apart for most eyes (after Okabe and Ito).
+// colours can be told apart by most people, also by most with a colour vision deficiency (after Okabe and Ito).
 var colours = []color.RGBA{
-	{0, 114, 178, 255}, {213, 94, 0, 255}, {0, 158, 115, 255}, {204, 121, 167, 255}, {230, 159, 0, 255}, {86, 180, 233, 255},
-	{120, 94, 240, 255}, {90, 90, 90, 255}, {170, 68, 153, 255}, {17, 119, 51, 255}, {136, 34, 85, 255}, {153, 153, 51, 255},
+	{0, 114, 178, 255}, {213, 94, 0, 255}, {0, 158, 115, 255}, {204, 121, 167, 255}, {230, 159, 0, 255},
+	{86, 180, 233, 255},
+	{120, 94, 240, 255}, {90, 90, 90, 255}, {170, 68, 153, 255}, {17, 119, 51, 255}, {136, 34, 85, 255},
+	{153, 153, 51, 255},
 }
 
 var bandColour = color.RGBA{250, 225, 190, 255}
 
-// line is one line of a plot.
+// line is one curve of a plot. A colour beyond the palette is taken again from its start, with a dashed curve.
 type line struct {
 	name   string
 	xs, ys []float64
 	dashed bool
-	colour int
+	colour int // index into colours
 }
 
-// figure is a plot with its heading.
+// figure is a rendered plot with its heading. The page's template refers to the fields by name.
 type figure struct {
 	Title string
 	Note  string
 	SVG   template.HTML
 }
 
-// Write draws a result.
-func Write(w io.Writer, x *figures.Result) error {
-	d := drawer{x: x}
-	s := &x.Series
-	for i := range s.Classes {
-		c := &s.Classes[i]
-		d.draw("Offered and served: "+c.Name, "requests a second", "Offered counts tries; served are those within their aim.", 0,
-			counts("offered", c.Offered, 7, true), counts("served", c.Served, 2, false), counts("late", c.Late, 4, false),
-			counts("refused", c.Refused, 1, false), counts("failed", c.Failed, 3, false))
+// Write renders a result as an HTML page with its tables and plots.
+func Write(w io.Writer, result *figures.Result) error {
+	plots := drawer{result: result}
+	series := &result.Series
+	for i := range series.Classes {
+		c := &series.Classes[i]
+		plots.draw("Offered and served: "+c.Name, "requests a second",
+			"Offered counts tries; served are those within their aim.", 0,
+			countLine("offered", c.Offered, 7, true), countLine("served", c.Served, 2, false),
+			countLine("late", c.Late, 4, false),
+			countLine("refused", c.Refused, 1, false), countLine("failed", c.Failed, 3, false))
 	}
 	var p50, p99 []line
-	for i := range s.Classes {
-		c := &s.Classes[i]
-		p50 = append(p50, line{c.Name + " p50", seconds(len(c.P50)), c.P50, true, i})
-		p99 = append(p99, line{c.Name + " p99", seconds(len(c.P99)), c.P99, false, i})
+	for i := range series.Classes {
+		c := &series.Classes[i]
+		p50 = append(p50, line{c.Name + " p50", secondIndexes(len(c.P50)), c.P50, true, i})
+		p99 = append(p99, line{c.Name + " p99", secondIndexes(len(c.P99)), c.P99, false, i})
 	}
-	d.draw("Latency", "ms", "Of served requests, by the second in which they were answered.", 0, append(p50, p99...)...)
-	var held, queued, warmth, taken []line
-	for i, v := range s.Servers {
-		name := fmt.Sprintf("server %d", v.Server)
-		held = append(held, line{name, v.At, floats(v.Held), false, i})
-		queued = append(queued, line{name, v.At, floats(v.Queued), false, i})
-		warmth = append(warmth, line{name, v.At, v.Warmth, false, i})
-		taken = append(taken, counts(name, v.Taken, i, false))
+	plots.draw("Latency", "ms", "Of served requests, by the second in which they were answered.", 0,
+		append(p50, p99...)...)
+	var inFlight, queued, warmth, accepted []line
+	for i, server := range series.Servers {
+		name := fmt.Sprintf("server %d", server.Server)
+		inFlight = append(inFlight, line{name, server.At, toFloats(server.Held), false, i})
+		queued = append(queued, line{name, server.At, toFloats(server.Queued), false, i})
+		warmth = append(warmth, line{name, server.At, server.Warmth, false, i})
+		accepted = append(accepted, countLine(name, server.Taken, i, false))
 	}
-	d.draw("Load by server", "requests held", "", 0, some(held)...)
-	d.draw("Queue by server", "requests waiting", "", 0, some(queued)...)
-	d.draw("Warmth by server", "share of capacity", "0 while its process does not run.", 1.05, some(warmth)...)
-	d.draw("Attempts taken by server", "attempts a second", "", 0, some(taken)...)
-	d.draw("Attempts", "a second", "", 0, counts("sent", s.Sent, 0, false), counts("turned away", s.Turned, 1, false),
-		counts("into another zone", s.Crossed, 3, false), counts("probes", s.Probed, 7, true))
-	d.draw("Connections to servers", "", "", 0, counts("open", s.Conns, 0, false), counts("opened a second", s.Opened, 1, false))
-	if d.err != nil {
-		return d.err
+	plots.draw("Load by server", "requests held", "", 0, firstLines(inFlight)...)
+	plots.draw("Queue by server", "requests waiting", "", 0, firstLines(queued)...)
+	plots.draw("Warmth by server", "share of capacity", "0 while its process does not run.", 1.05, firstLines(warmth)...)
+	plots.draw("Attempts taken by server", "attempts a second", "", 0, firstLines(accepted)...)
+	plots.draw("Attempts", "a second", "", 0, countLine("sent", series.Sent, 0, false),
+		countLine("turned away", series.Turned, 1, false),
+		countLine("into another zone", series.Crossed, 3, false), countLine("probes", series.Probed, 7, true))
+	plots.draw("Connections to servers", "", "", 0, countLine("open", series.Conns, 0, false),
+		countLine("opened a second", series.Opened, 1, false))
+	if plots.err != nil {
+		return plots.err
 	}
-	return page.Execute(w, map[string]any{"X": x, "Figures": d.figures, "Line": x.Line(), "Passed": x.Passed()})
+	return page.Execute(w, map[string]any{"X": result, "Figures": plots.figures, "Line": result.Line(),
+		"Passed": result.Passed()})
 }
 
-const linesMost = 16
+const maxLines = 16
 
-// some leaves out the lines that would only hide the others.
-func some(lines []line) []line { return lines[:min(len(lines), linesMost)] }
+// firstLines returns at most maxLines curves: more of them would only hide each other.
+func firstLines(lines []line) []line { return lines[:min(len(lines), maxLines)] }
 
-func seconds(n int) []float64 {
-	xs := make([]float64, n)
-	for i := range xs {
-		xs[i] = float64(i)
+func secondIndexes(n int) []float64 {
+	indexes := make([]float64, n)
+	for i := range indexes {
+		indexes[i] = float64(i)
 	}
-	return xs
+	return indexes
 }
 
-func floats(in []int) []float64 {
-	out := make([]float64, len(in))
-	for i, v := range in {
-		out[i] = float64(v)
+func toFloats(values []int) []float64 {
+	converted := make([]float64, len(values))
+	for i, v := range values {
+		converted[i] = float64(v)
 	}
-	return out
+	return converted
 }
 
-func counts(name string, in []int, colour int, dashed bool) line {
-	return line{name, seconds(len(in)), floats(in), dashed, colour}
+func countLine(name string, values []int, colour int, dashed bool) line {
+	return line{name, secondIndexes(len(values)), toFloats(values), dashed, colour}
 }
 
+// drawer collects the plots of a page. After an error it draws nothing more.
 type drawer struct {
-	x       *figures.Result
+	result  *figures.Result
 	figures []figure
 	err     error
 }
 
-// draw adds a plot; top is its least upper end.
-func (d *drawer) draw(title, unit, note string, top float64, lines ...line) {
+// draw adds a plot, with the time of each fault as a band behind the curves. The vertical axis ends at minTop or above.
+func (d *drawer) draw(title, unit, note string, minTop float64, lines ...line) {
 	if d.err != nil {
 		return
 	}
-	p := plot.New()
-	p.X.Label.Text, p.Y.Label.Text = "seconds", unit
-	p.X.Min, p.X.Max, p.Y.Min = 0, max(1, d.x.Length), 0
-	p.Y.Max = max(1, top)
-	p.Legend.Top, p.Legend.Left = true, false
-	p.Legend.TextStyle.Font.Size = 8
-	p.Legend.XOffs = 1.15 * vg.Inch
+	chart := plot.New()
+	chart.X.Label.Text, chart.Y.Label.Text = "seconds", unit
+	chart.X.Min, chart.X.Max, chart.Y.Min = 0, max(1, d.result.Length), 0
+	chart.Y.Max = max(1, minTop)
+	chart.Legend.Top, chart.Legend.Left = true, false
+	chart.Legend.TextStyle.Font.Size = 8
+	chart.Legend.XOffs = 1.15 * vg.Inch
 	for _, l := range lines {
 		for i := range l.ys {
-			p.Y.Max = max(p.Y.Max, l.ys[i]*1.05)
-			p.X.Max = max(p.X.Max, l.xs[i])
+			chart.Y.Max = max(chart.Y.Max, l.ys[i]*1.05)
+			chart.X.Max = max(chart.X.Max, l.xs[i])
 		}
 	}
-	for _, b := range d.x.Series.Faults {
-		to := b.To
-		if to < b.From {
-			to = p.X.Max
+	for _, fault := range d.result.Series.Faults {
+		end := fault.To
+		if end < fault.From {
+			end = chart.X.Max
 		}
-		to = max(to, b.From+p.X.Max/400)
-		band, err := plotter.NewPolygon(plotter.XYs{{X: b.From, Y: 0}, {X: to, Y: 0}, {X: to, Y: p.Y.Max}, {X: b.From, Y: p.Y.Max}})
+		end = max(end, fault.From+chart.X.Max/400)
+		band, err := plotter.NewPolygon(plotter.XYs{{X: fault.From, Y: 0}, {X: end, Y: 0}, {X: end, Y: chart.Y.Max},
+			{X: fault.From, Y: chart.Y.Max}})
 		if err != nil {
 			d.err = err
 			return
 		}
 		band.Color, band.LineStyle.Width = bandColour, 0
-		p.Add(band)
+		chart.Add(band)
 	}
 	grid := plotter.NewGrid()
 	grid.Vertical.Color, grid.Horizontal.Color = color.Gray{225}, color.Gray{225}
-	p.Add(grid)
+	chart.Add(grid)
 	for _, l := range lines {
 		if len(l.ys) == 0 {
 			continue
 		}
-		xy := make(plotter.XYs, len(l.ys))
+		points := make(plotter.XYs, len(l.ys))
 		for i := range l.ys {
-			xy[i] = plotter.XY{X: l.xs[i], Y: l.ys[i]}
+			points[i] = plotter.XY{X: l.xs[i], Y: l.ys[i]}
 		}
-		curve, err := plotter.NewLine(xy)
+		curve, err := plotter.NewLine(points)
 		if err != nil {
 			d.err = fmt.Errorf("%s, %s: %w", title, l.name, err)
 			return
@@ -168,20 +179,20 @@
 		if l.dashed || l.colour >= len(colours) {
 			curve.Dashes = []vg.Length{4, 3}
 		}
-		p.Add(curve)
-		p.Legend.Add(l.name, curve)
+		chart.Add(curve)
+		chart.Legend.Add(l.name, curve)
 	}
-	c := vgsvg.New(width, height)
-	// The legend stands beside the plot, not on it.
-	p.Draw(draw.Crop(draw.New(c), 0, -1.25*vg.Inch, 0, 0))
+	canvas := vgsvg.New(width, height)
+	// Crop the drawing area at its right, so that the legend is placed beside the plot and covers no curve.
+	chart.Draw(draw.Crop(draw.New(canvas), 0, -1.25*vg.Inch, 0, 0))
 	var svg bytes.Buffer
-	if _, err := c.WriteTo(&svg); err != nil {
+	if _, err := canvas.WriteTo(&svg); err != nil {
 		d.err = err
 		return
 	}
 	text := svg.String()
-	if at := strings.Index(text, "<svg"); at > 0 {
-		text = text[at:] // what stands before it belongs to files of their own
+	if start := strings.Index(text, "<svg"); start > 0 {
+		text = text[start:] // an SVG element within HTML has no XML declaration and no doctype
 	}
 	d.figures = append(d.figures, figure{title, note, template.HTML(text)})
 }
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -9,7 +9,8 @@
 	"birchmoor/internal/lab/figures"
 )
 
-// The page names fields of the result in a template, which the compiler does not check.
+// The page's template refers to fields of the result by name, which the compiler does not check: a renamed field would
+// only fail when a page is rendered.
 func TestWriteShowsCountsAndViolations(t *testing.T) {
 	verdict := &checker.Verdict{
 		Counts:          checker.Counts{Requests: 10, Served: 4, Rejected: 3, Failed: 2, Abandoned: 1},
@@ -37,7 +38,7 @@
 		"<td>look</td>",
 	} {
 		if !strings.Contains(page.String(), want) {
-			t.Errorf("the page does not contain %q", want)
+			t.Errorf("the rendered page does not contain %q", want)
 		}
 	}
 }
