--- a/internal/lab/figures/figures.go
+++ b/internal/lab/figures/figures.go
@@ -1,4 +1,9 @@
-// Package figures measures a run from its trace: service, latencies, attempts, crossings, and their course over time.
+// Package figures computes the figures of a run from its trace: service, latencies, attempts, attempts into other
+// zones, the load on servers and discovery, and the course of these over time.
+//
+// A task is what a client wants; it consists of a request and the client's retries, each with a request number of its
+// own. A sidecar makes one or more attempts at each request. Service is the worth of the tasks that were served within
+// their class's latency objective, over the worth of all tasks.
 package figures
 
 import (
@@ -16,7 +21,7 @@
 // Micros is an instant since the start of the run, or a duration, in microseconds.
 type Micros = trace.Micros
 
-// Result is all that a run yields; it is what --json writes.
+// Result is the complete result of a run, as --json writes it. Templates of package report refer to its fields by name.
 type Result struct {
 	Scenario string  `json:"scenario"`
 	About    string  `json:"about"`
@@ -25,25 +30,25 @@
 	Length   float64 `json:"length_s"`
 	Sidecars int     `json:"sidecars"`
 	Servers  int     `json:"servers"`
-	Took     float64 `json:"took_s"`         // real time
-	MemoryMB float64 `json:"memory_mb"`      // of the lab at its highest
-	Void     string  `json:"void,omitempty"` // why the run tells nothing
-	LateP999 float64 `json:"late_p999_ms"`   // by which the lab itself was late
-	LateMost float64 `json:"late_most_ms"`
+	Took     float64 `json:"took_s"`         // wall-clock duration of the run
+	MemoryMB float64 `json:"memory_mb"`      // peak memory of the lab
+	Void     string  `json:"void,omitempty"` // why the run's figures cannot be used, empty if they can
+	LateP999 float64 `json:"late_p999_ms"`   // delay of the lab's own actions, 99.9th percentile
+	LateMost float64 `json:"late_most_ms"`   // and the largest
 
-	Service  float64            `json:"service"` // worth answered within the aim over worth asked for
+	Service  float64            `json:"service"` // worth served within the latency objective over worth asked for
 	Classes  []Class            `json:"classes"`
-	Worst10s float64            `json:"worst_10s"` // service of the worst ten seconds
-	Figures  map[string]float64 `json:"figures"`   // what compare compares
+	Worst10s float64            `json:"worst_10s"` // service of the tasks that began in the worst ten seconds
+	Figures  map[string]float64 `json:"figures"`   // by name; `birchmoor lab compare` compares them
 	Fleet    []Load             `json:"fleet"`
 	Verdict  *checker.Verdict   `json:"verdict"`
-	Missed   []string           `json:"missed"` // figures that the scenario demands
+	Missed   []string           `json:"missed"` // figures that fall short of the scenario's requirements, with both values
 
 	Series Series   `json:"series"`
 	Log    []string `json:"log,omitempty"`
 }
 
-// Class is the figures of a class.
+// Class holds the figures of a class. Latencies are those of served requests.
 type Class struct {
 	Name    string  `json:"name"`
 	Tasks   int     `json:"tasks"`
@@ -54,25 +59,25 @@
 	P999    float64 `json:"p999_ms"`
 }
 
-// Series is the run's course. Everything by second but Gauges.
+// Series is the course of a run. Slices of counts are indexed by the second since the start of the run.
 type Series struct {
 	Classes []ClassSeries  `json:"classes"`
-	Sent    []int          `json:"sent"`
-	Turned  []int          `json:"turned"`
-	Crossed []int          `json:"crossed"`
-	Opened  []int          `json:"opened"`
-	Conns   []int          `json:"conns"` // open at the second's end
+	Sent    []int          `json:"sent"`    // attempts
+	Turned  []int          `json:"turned"`  // attempts that a server rejected
+	Crossed []int          `json:"crossed"` // attempts at a server in another zone
+	Opened  []int          `json:"opened"`  // connections to servers
+	Conns   []int          `json:"conns"`   // connections to servers, open at the end of the second
 	Probed  []int          `json:"probed"`
-	Servers []ServerSeries `json:"servers"`
+	Servers []ServerSeries `json:"servers"` // of the first servers only
 	Faults  []Band         `json:"faults"`
-	Told    []Mark         `json:"told"`
+	Told    []Mark         `json:"told"` // starts, stops and falls of servers, kills of sidecars
 }
 
-// ClassSeries is a class's course.
+// ClassSeries is the course of a class, by second.
 type ClassSeries struct {
 	Name    string    `json:"name"`
-	Offered []int     `json:"offered"` // tries
-	Served  []int     `json:"served"`  // within the aim
+	Offered []int     `json:"offered"` // requests, including clients' retries
+	Served  []int     `json:"served"`  // within the task's latency objective
 	Late    []int     `json:"late"`    // served after it
 	Refused []int     `json:"refused"`
 	Failed  []int     `json:"failed"`
@@ -80,364 +85,370 @@
 	P99     []float64 `json:"p99_ms"`
 }
 
-// ServerSeries is a server's course, at the instants of At.
+// ServerSeries is the course of a server. All slices but Taken hold one element for each instant of At.
 type ServerSeries struct {
 	Server int       `json:"server"`
 	At     []float64 `json:"at_s"`
-	Held   []int     `json:"held"`
-	Queued []int     `json:"queued"`
-	Warmth []float64 `json:"warmth"`
+	Held   []int     `json:"held"`   // requests in flight at the server
+	Queued []int     `json:"queued"` // requests that wait at the server
+	Warmth []float64 `json:"warmth"` // share of the full capacity; 0 while the process does not run
 	Slow   []bool    `json:"slow"`
-	Taken  []int     `json:"taken"` // attempts, by second
+	Taken  []int     `json:"taken"` // attempts that the server accepted, by second
 }
 
-// Band is a fault's time.
+// Band is the time during which a fault was in force. To is -1 if the fault did not end within the run.
 type Band struct {
 	Note string  `json:"note"`
 	From float64 `json:"from_s"`
 	To   float64 `json:"to_s"`
 }
 
-// Mark is an instant of note.
+// Mark is a notable event.
 type Mark struct {
 	At   float64 `json:"at_s"`
 	Note string  `json:"note"`
 }
 
 const (
-	remembered = 40 * 1000 * 1000
-	marksMost  = 400
-	gaugesMost = 64 // servers whose course is kept
+	taskRetentionMicros = 40 * 1000 * 1000
+	maxMarks            = 400
+	maxServerSeries     = 64 // number of servers whose course is recorded
 )
 
-type try struct {
-	task  uint64
-	class uint8
-	retry bool // a client's further one
-	sent  int  // attempts
-	at    Micros
+// request is a client's request that has not ended yet.
+type request struct {
+	task     uint64
+	class    uint8
+	retry    bool // by the client, after the task's first request
+	attempts int  // by the sidecar so far
+	sentAt   Micros
 }
 
+// task is what a client wants, with the sum of its worth, kept for taskRetentionMicros.
 type task struct {
-	class uint8
-	at    Micros
-	worth float64
-	due   Micros // the aim
-	done  bool
+	class        uint8
+	startedAt    Micros
+	worth        float64
+	deadline     Micros // end of the class's latency objective
+	servedInTime bool
 }
 
-type old struct {
-	id uint64
-	at Micros
+type taskRef struct {
+	id        uint64
+	startedAt Micros
 }
 
-// Recorder takes the events of a run. It is not safe for concurrent use.
+// Recorder computes the figures of a run from its events. It is not safe for concurrent use.
 type Recorder struct {
-	s       *scenario.Scenario
-	tries   map[uint64]*try
-	tasks   map[uint64]*task
-	olds    []old
-	asked   []float64 // worth, by second
-	earned  []float64 // by the second in which it was asked
-	byClass []classSums
-	series  Series
-	spans   []*hdrhistogram.Histogram // latencies of served tries, by class
-	second  []*hdrhistogram.Histogram // of the second under way, by class
-	at      int
-	conns   int
-	tasksN  int
-	opened  int
-	sent    int
-	turned  int
-	crossed int
-	probed  int
-	open    map[string]int // bands
-	fleet   fleet
-	ramp    ramp
+	scenario          *scenario.Scenario
+	requests          map[uint64]*request
+	tasks             map[uint64]*task
+	taskOrder         []taskRef // oldest first
+	askedWorth        []float64 // by the second in which the task began
+	earnedWorth       []float64 // by the second in which the task began
+	classTotals       []classTotal
+	series            Series
+	latencies         []*hdrhistogram.Histogram // of served requests, by class
+	secondLatencies   []*hdrhistogram.Histogram // of requests served in the current second, by class
+	currentSecond     int
+	openConns         int
+	taskCount         int
+	openedConns       int
+	attempts          int
+	rejectedAttempts  int
+	crossZoneAttempts int
+	probes            int
+	openBands         map[string]int // indexes into series.Faults, by the fault's note
+	fleet             fleetRecorder
+	ramp              rampRecorder
 }
 
-type classSums struct {
-	tasks         int
-	asked, earned float64
+type classTotal struct {
+	tasks                   int
+	askedWorth, earnedWorth float64
 }
 
-// New returns a recorder for a scenario.
+// New returns a Recorder for a run of the scenario.
 func New(s *scenario.Scenario) *Recorder {
-	r := &Recorder{s: s, tries: map[uint64]*try{}, tasks: map[uint64]*task{}, open: map[string]int{},
-		byClass: make([]classSums, len(s.Classes)), fleet: newFleet(s), ramp: newRamp(s)}
+	r := &Recorder{scenario: s, requests: map[uint64]*request{}, tasks: map[uint64]*task{}, openBands: map[string]int{},
+		classTotals: make([]classTotal, len(s.Classes)), fleet: newFleetRecorder(s), ramp: newRampRecorder(s)}
 	for i := range s.Classes {
 		r.series.Classes = append(r.series.Classes, ClassSeries{Name: s.Classes[i].Name})
-		r.spans = append(r.spans, newHist())
-		r.second = append(r.second, newHist())
+		r.latencies = append(r.latencies, newHistogram())
+		r.secondLatencies = append(r.secondLatencies, newHistogram())
 	}
-	for n := range min(s.Total(), gaugesMost) {
+	for n := range min(s.Total(), maxServerSeries) {
 		r.series.Servers = append(r.series.Servers, ServerSeries{Server: n})
 	}
 	return r
 }
 
-func newHist() *hdrhistogram.Histogram {
+func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 }
 
-func bump(s *[]int, at int) {
-	for len(*s) <= at {
-		*s = append(*s, 0)
+func incrementAt(counts *[]int, index int) {
+	for len(*counts) <= index {
+		*counts = append(*counts, 0)
 	}
-	(*s)[at]++
+	(*counts)[index]++
 }
 
-func grow(s *[]float64, at int) *float64 {
-	for len(*s) <= at {
-		*s = append(*s, 0)
+func elementAt(values *[]float64, index int) *float64 {
+	for len(*values) <= index {
+		*values = append(*values, 0)
 	}
-	return &(*s)[at]
+	return &(*values)[index]
 }
 
-// Take takes the next event.
+// Take processes the next event. Events must arrive in the order of their times.
 func (r *Recorder) Take(e trace.Event) {
-	at := int(max(0, e.At) / 1e6)
-	for r.at < at {
-		r.turn()
+	second := int(max(0, e.At) / 1e6)
+	for r.currentSecond < second {
+		r.endSecond()
 	}
 	r.fleet.take(&e)
-	y := r.tries[e.Request]
-	r.ramp.take(&e, y != nil && y.retry, y != nil && y.sent > 1)
+	pending := r.requests[e.Request]
+	r.ramp.take(&e, pending != nil && pending.retry, pending != nil && pending.attempts > 1)
 	switch e.Kind {
 	case trace.Asked:
-		r.ask(&e, at)
+		r.recordRequest(&e, second)
 	case trace.Answered:
-		r.answer(&e, at)
+		r.recordAnswer(&e, second)
 	case trace.Left, trace.Cut:
-		if y != nil {
-			bump(&r.series.Classes[y.class].Failed, at)
-			delete(r.tries, e.Request)
+		if pending != nil {
+			incrementAt(&r.series.Classes[pending.class].Failed, second)
+			delete(r.requests, e.Request)
 		}
 	case trace.Sent:
-		r.sent++
-		if y != nil {
-			y.sent++
+		r.attempts++
+		if pending != nil {
+			pending.attempts++
 		}
-		bump(&r.series.Sent, at)
+		incrementAt(&r.series.Sent, second)
 		if e.Cross {
-			r.crossed++
-			bump(&r.series.Crossed, at)
+			r.crossZoneAttempts++
+			incrementAt(&r.series.Crossed, second)
 		}
 	case trace.Accepted:
 		if int(e.Server) < len(r.series.Servers) {
-			bump(&r.series.Servers[e.Server].Taken, at)
+			incrementAt(&r.series.Servers[e.Server].Taken, second)
 		}
 	case trace.Turned:
-		r.turned++
-		bump(&r.series.Turned, at)
+		r.rejectedAttempts++
+		incrementAt(&r.series.Turned, second)
 	case trace.Opened:
-		r.opened++
-		r.conns++
-		bump(&r.series.Opened, at)
+		r.openedConns++
+		r.openConns++
+		incrementAt(&r.series.Opened, second)
 	case trace.Closed:
-		r.conns--
+		r.openConns--
 	case trace.Probed:
-		r.probed++
-		bump(&r.series.Probed, at)
+		r.probes++
+		incrementAt(&r.series.Probed, second)
 	case trace.Gauge:
 		if int(e.Server) < len(r.series.Servers) {
-			s := &r.series.Servers[e.Server]
-			s.At = append(s.At, float64(e.At)/1e6)
-			s.Held = append(s.Held, int(e.Held))
-			s.Queued = append(s.Queued, int(e.Queued))
-			s.Warmth = append(s.Warmth, e.Warmth)
-			s.Slow = append(s.Slow, e.Slow)
+			series := &r.series.Servers[e.Server]
+			series.At = append(series.At, float64(e.At)/1e6)
+			series.Held = append(series.Held, int(e.Held))
+			series.Queued = append(series.Queued, int(e.Queued))
+			series.Warmth = append(series.Warmth, e.Warmth)
+			series.Slow = append(series.Slow, e.Slow)
 		}
 	case trace.Began:
-		r.open[e.Note] = len(r.series.Faults)
+		r.openBands[e.Note] = len(r.series.Faults)
 		r.series.Faults = append(r.series.Faults, Band{e.Note, float64(e.At) / 1e6, -1})
 	case trace.Ended:
-		if i, ok := r.open[e.Note]; ok {
+		if i, ok := r.openBands[e.Note]; ok {
 			r.series.Faults[i].To = float64(e.At) / 1e6
 		}
 	case trace.Fell:
-		r.mark(&e, fmt.Sprintf("server %d falls over", e.Server))
+		r.addMark(&e, fmt.Sprintf("server %d falls over", e.Server))
 	case trace.Stopped:
-		r.mark(&e, fmt.Sprintf("server %d ends", e.Server))
+		r.addMark(&e, fmt.Sprintf("server %d ends", e.Server))
 	case trace.Started:
 		if e.At > 0 {
-			r.mark(&e, fmt.Sprintf("server %d starts", e.Server))
+			r.addMark(&e, fmt.Sprintf("server %d starts", e.Server))
 		}
 	case trace.Killed:
-		r.mark(&e, fmt.Sprintf("sidecar %d: %s", e.Sidecar, e.Note))
+		r.addMark(&e, fmt.Sprintf("sidecar %d: %s", e.Sidecar, e.Note))
 	}
 }
 
-func (r *Recorder) mark(e *trace.Event, note string) {
-	if len(r.series.Told) < marksMost {
+func (r *Recorder) addMark(e *trace.Event, note string) {
+	if len(r.series.Told) < maxMarks {
 		r.series.Told = append(r.series.Told, Mark{float64(e.At) / 1e6, note})
 	}
 }
 
-// turn ends a second.
-func (r *Recorder) turn() {
-	for i, h := range r.second {
+// endSecond completes the series of the current second and begins the next one.
+func (r *Recorder) endSecond() {
+	for i, h := range r.secondLatencies {
 		c := &r.series.Classes[i]
-		*grow(&c.P50, r.at) = float64(h.ValueAtQuantile(50)) / 1000
-		*grow(&c.P99, r.at) = float64(h.ValueAtQuantile(99)) / 1000
+		*elementAt(&c.P50, r.currentSecond) = float64(h.ValueAtQuantile(50)) / 1000
+		*elementAt(&c.P99, r.currentSecond) = float64(h.ValueAtQuantile(99)) / 1000
 		h.Reset()
 	}
-	for len(r.series.Conns) <= r.at {
-		r.series.Conns = append(r.series.Conns, r.conns)
+	for len(r.series.Conns) <= r.currentSecond {
+		r.series.Conns = append(r.series.Conns, r.openConns)
 	}
-	r.fleet.turn(r.at)
-	r.at++
+	r.fleet.endSecond(r.currentSecond)
+	r.currentSecond++
 }
 
-func (r *Recorder) ask(e *trace.Event, at int) {
-	r.tries[e.Request] = &try{task: e.Task, class: e.Class, retry: e.Retry, at: e.At}
-	bump(&r.series.Classes[e.Class].Offered, at)
-	c := &r.s.Classes[e.Class]
+func (r *Recorder) recordRequest(e *trace.Event, second int) {
+	r.requests[e.Request] = &request{task: e.Task, class: e.Class, retry: e.Retry, sentAt: e.At}
+	incrementAt(&r.series.Classes[e.Class].Offered, second)
+	c := &r.scenario.Classes[e.Class]
 	if !e.Retry {
 		worth := c.Worth * float64(e.Work)
-		r.tasksN++
-		r.tasks[e.Task] = &task{class: e.Class, at: e.At, worth: worth, due: e.At + c.Aim.Micros()}
-		*grow(&r.asked, at) += worth
-		grow(&r.earned, at)
-		r.byClass[e.Class].tasks++
-		r.byClass[e.Class].asked += worth
-		r.olds = append(r.olds, old{e.Task, e.At})
+		r.taskCount++
+		r.tasks[e.Task] = &task{class: e.Class, startedAt: e.At, worth: worth, deadline: e.At + c.Aim.Micros()}
+		*elementAt(&r.askedWorth, second) += worth
+		elementAt(&r.earnedWorth, second)
+		r.classTotals[e.Class].tasks++
+		r.classTotals[e.Class].askedWorth += worth
+		r.taskOrder = append(r.taskOrder, taskRef{e.Task, e.At})
 	}
-	cut := 0
-	for cut < len(r.olds) && r.olds[cut].at < e.At-remembered {
-		delete(r.tasks, r.olds[cut].id)
-		cut++
+	expired := 0
+	for expired < len(r.taskOrder) && r.taskOrder[expired].startedAt < e.At-taskRetentionMicros {
+		delete(r.tasks, r.taskOrder[expired].id)
+		expired++
 	}
-	r.olds = r.olds[cut:]
+	r.taskOrder = r.taskOrder[expired:]
 }
 
-func (r *Recorder) answer(e *trace.Event, at int) {
-	y, ok := r.tries[e.Request]
+func (r *Recorder) recordAnswer(e *trace.Event, second int) {
+	pending, ok := r.requests[e.Request]
 	if !ok {
 		return
 	}
-	delete(r.tries, e.Request)
-	c := &r.series.Classes[y.class]
+	delete(r.requests, e.Request)
+	series := &r.series.Classes[pending.class]
 	switch e.Verdict {
 	case trace.Served:
-		span := max(1, e.At-y.at)
-		r.spans[y.class].RecordValue(span)
-		r.second[y.class].RecordValue(span)
-		t := r.tasks[y.task]
-		if t != nil && !t.done && e.At <= t.due {
-			t.done = true
-			r.byClass[y.class].earned += t.worth
-			*grow(&r.earned, int(max(0, t.at)/1e6)) += t.worth
-			bump(&c.Served, at)
+		latency := max(1, e.At-pending.sentAt)
+		r.latencies[pending.class].RecordValue(latency)
+		r.secondLatencies[pending.class].RecordValue(latency)
+		t := r.tasks[pending.task]
+		if t != nil && !t.servedInTime && e.At <= t.deadline {
+			t.servedInTime = true
+			r.classTotals[pending.class].earnedWorth += t.worth
+			*elementAt(&r.earnedWorth, int(max(0, t.startedAt)/1e6)) += t.worth
+			incrementAt(&series.Served, second)
 		} else {
-			bump(&c.Late, at)
+			incrementAt(&series.Late, second)
 		}
 	case trace.Refused:
-		bump(&c.Refused, at)
+		incrementAt(&series.Refused, second)
 	default:
-		bump(&c.Failed, at)
+		incrementAt(&series.Failed, second)
 	}
 }
 
-// End returns the result of the run. What the host alone knows is left to it.
-func (r *Recorder) End(v *checker.Verdict) *Result {
-	r.turn()
-	s := r.s
-	x := &Result{Scenario: s.Name, About: s.About, Length: time.Duration(s.Length).Seconds(), Sidecars: s.Fleet.Sidecars,
-		Servers: s.Total(), Verdict: v, Worst10s: 1, Missed: []string{}, Figures: map[string]float64{}}
-	var asked, earned float64
-	all := newHist()
-	for i, c := range r.byClass {
-		asked += c.asked
-		earned += c.earned
-		h := r.spans[i]
-		all.Merge(h)
-		ms := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-		x.Classes = append(x.Classes, Class{s.Classes[i].Name, c.tasks, ratio(c.earned, c.asked), ms(50), ms(90), ms(99), ms(99.9)})
+// End returns the result of the run. The caller fills in what the trace does not contain: host, seed, duration, memory
+// and delays of the lab.
+func (r *Recorder) End(verdict *checker.Verdict) *Result {
+	r.endSecond()
+	s := r.scenario
+	result := &Result{Scenario: s.Name, About: s.About, Length: time.Duration(s.Length).Seconds(),
+		Sidecars: s.Fleet.Sidecars,
+		Servers:  s.Total(), Verdict: verdict, Worst10s: 1, Missed: []string{}, Figures: map[string]float64{}}
+	var askedWorth, earnedWorth float64
+	allLatencies := newHistogram()
+	for i, c := range r.classTotals {
+		askedWorth += c.askedWorth
+		earnedWorth += c.earnedWorth
+		latencies := r.latencies[i]
+		allLatencies.Merge(latencies)
+		quantileMillis := func(q float64) float64 { return float64(latencies.ValueAtQuantile(q)) / 1000 }
+		result.Classes = append(result.Classes, Class{s.Classes[i].Name, c.tasks, ratioOrOne(c.earnedWorth, c.askedWorth),
+			quantileMillis(50), quantileMillis(90), quantileMillis(99), quantileMillis(99.9)})
 	}
-	x.Service = ratio(earned, asked)
-	for from := 0; from+10 <= len(r.asked); from++ {
-		var a, e float64
+	result.Service = ratioOrOne(earnedWorth, askedWorth)
+	for from := 0; from+10 <= len(r.askedWorth); from++ {
+		var windowAsked, windowEarned float64
 		for i := from; i < from+10; i++ {
-			a += r.asked[i]
-			e += r.earned[i]
+			windowAsked += r.askedWorth[i]
+			windowEarned += r.earnedWorth[i]
 		}
-		x.Worst10s = min(x.Worst10s, ratio(e, a))
+		result.Worst10s = min(result.Worst10s, ratioOrOne(windowEarned, windowAsked))
 	}
-	if len(r.asked) < 10 {
-		x.Worst10s = x.Service
+	if len(r.askedWorth) < 10 {
+		result.Worst10s = result.Service
 	}
-	tasks, tries := float64(max(1, r.tasksN)), float64(max(1, v.Counts.Requests))
-	f := x.Figures
-	f["service"], f["worst_10s"] = x.Service, x.Worst10s
-	f["refused"] = float64(v.Counts.Rejected) / tries
-	f["failed"] = float64(v.Counts.Failed+v.Counts.Abandoned) / tries
-	f["attempts_per_task"] = float64(r.sent) / tasks
-	f["tries_per_task"] = tries / tasks
-	f["turned_per_task"] = float64(r.turned) / tasks
-	f["connects_per_task"] = float64(r.opened) / tasks
-	f["crossings"] = ratio0(float64(r.crossed), float64(r.sent))
-	f["probes_per_task"] = float64(r.probed) / tasks
-	f["p50_ms"] = float64(all.ValueAtQuantile(50)) / 1000
-	f["p99_ms"] = float64(all.ValueAtQuantile(99)) / 1000
-	for _, c := range x.Classes {
-		f["service_"+c.Name] = c.Service
+	tasks, requests := float64(max(1, r.taskCount)), float64(max(1, verdict.Counts.Requests))
+	figures := result.Figures
+	figures["service"], figures["worst_10s"] = result.Service, result.Worst10s
+	figures["refused"] = float64(verdict.Counts.Rejected) / requests
+	figures["failed"] = float64(verdict.Counts.Failed+verdict.Counts.Abandoned) / requests
+	figures["attempts_per_task"] = float64(r.attempts) / tasks
+	figures["tries_per_task"] = requests / tasks
+	figures["turned_per_task"] = float64(r.rejectedAttempts) / tasks
+	figures["connects_per_task"] = float64(r.openedConns) / tasks
+	figures["crossings"] = ratioOrZero(float64(r.crossZoneAttempts), float64(r.attempts))
+	figures["probes_per_task"] = float64(r.probes) / tasks
+	figures["p50_ms"] = float64(allLatencies.ValueAtQuantile(50)) / 1000
+	figures["p99_ms"] = float64(allLatencies.ValueAtQuantile(99)) / 1000
+	for _, c := range result.Classes {
+		figures["service_"+c.Name] = c.Service
 	}
-	x.Series = r.series
-	r.fleet.end(x)
-	r.ramp.end(x)
-	x.keep(&s.Keep)
-	return x
+	result.Series = r.series
+	r.fleet.addFigures(result)
+	r.ramp.addFigures(result)
+	result.checkTargets(&s.Keep)
+	return result
 }
 
-func ratio(a, b float64) float64 {
+// ratioOrOne returns a over b, or 1 if b is not positive: without any demand, service is complete.
+func ratioOrOne(a, b float64) float64 {
 	if b <= 0 {
 		return 1
 	}
 	return a / b
 }
 
-func ratio0(a, b float64) float64 {
+func ratioOrZero(a, b float64) float64 {
 	if b <= 0 {
 		return 0
 	}
 	return a / b
 }
 
-// keep notes which of the demanded figures were missed.
-func (x *Result) keep(k *scenario.Keep) {
-	least := func(name string, got, want float64) {
+// checkTargets adds to Missed each figure that falls short of the scenario's requirements.
+func (x *Result) checkTargets(targets *scenario.Keep) {
+	requireMin := func(name string, got, want float64) {
 		if want > 0 && got < want {
 			x.Missed = append(x.Missed, fmt.Sprintf("%s %.3f is under %.3f", name, got, want))
 		}
 	}
-	most := func(name string, got, want float64) {
+	requireMax := func(name string, got, want float64) {
 		if want > 0 && got > want {
 			x.Missed = append(x.Missed, fmt.Sprintf("%s %.3f is over %.3f", name, got, want))
 		}
 	}
-	least("service", x.Service, k.Service)
+	requireMin("service", x.Service, targets.Service)
 	var names []string
-	for name := range k.Class {
+	for name := range targets.Class {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		least("service of "+name, x.Figures["service_"+name], k.Class[name])
+		requireMin("service of "+name, x.Figures["service_"+name], targets.Class[name])
 	}
-	most("attempts a request", x.Figures["attempts_per_task"], k.Attempts)
-	most("share refused", x.Figures["refused"], k.Refused)
-	most("share failed", x.Figures["failed"], k.Failed)
-	most("connections opened a request", x.Figures["connects_per_task"], k.Handshakes)
-	most("share of crossings", x.Figures["crossings"], k.Crossings)
-	most("p99 in ms", x.Figures["p99_ms"], float64(k.P99.Micros())/1000)
-	x.keepFleet(k.Fleet)
+	requireMax("attempts a request", x.Figures["attempts_per_task"], targets.Attempts)
+	requireMax("share refused", x.Figures["refused"], targets.Refused)
+	requireMax("share failed", x.Figures["failed"], targets.Failed)
+	requireMax("connections opened a request", x.Figures["connects_per_task"], targets.Handshakes)
+	requireMax("share of crossings", x.Figures["crossings"], targets.Crossings)
+	requireMax("p99 in ms", x.Figures["p99_ms"], float64(targets.P99.Micros())/1000)
+	x.checkFleetLimits(targets.Fleet)
 }
 
-// Passed says whether the run kept the rules and its figures, and tells something at all.
+// Passed reports whether the run is valid, broke no rule and met the scenario's requirements.
 func (x *Result) Passed() bool { return x.Void == "" && x.Verdict.Passed() && len(x.Missed) == 0 }
 
-// Line is the last line that a run prints.
+// Line returns the summary that is printed as the last line of a run.
 func (x *Result) Line() string {
 	line := fmt.Sprintf("service %.2f, %s", x.Service, x.Verdict)
 	if x.Void != "" {
--- a/internal/lab/figures/fleet.go
+++ b/internal/lab/figures/fleet.go
@@ -9,49 +9,49 @@
 	"birchmoor/internal/lab/trace"
 )
 
-// What each sidecar does alone adds up at the servers and at discovery. A fleet's figures are per server and second, over all
-// sidecars, each as mean and worst; the names are scenario.FleetFigures.
+// The actions of all sidecars add up at the servers and at discovery. The figures of a fleet are taken per server and
+// second over all sidecars, each as mean and worst. scenario.FleetFigures lists their names.
 
-// Load is a figure of a fleet: its mean, and its worst with where and when that was.
+// Load is one figure of a fleet: its mean and its worst sample, with the server and the time of the worst.
 type Load struct {
 	Name   string  `json:"name"`
 	Mean   float64 `json:"mean"`
 	Worst  float64 `json:"worst"`
-	Server int     `json:"server"` // of the worst; -1 where it is not of a server
-	At     float64 `json:"at_s"`
+	Server int     `json:"server"` // number of the server with the worst sample; -1 if the figure is not per server
+	At     float64 `json:"at_s"`   // start of the second of the worst sample, or its instant
 }
 
-// fleet adds them up.
-type fleet struct {
-	caps   []int
-	conns  []int // open now, by server
-	second [3][]int
-	loads  [3]sums // probes, handshakes, shut
-	filled sums    // of the caps
-	cold   sums
-	calls  sums // by second
-	called int
-	waits  sums
-	failed int
+// fleetRecorder adds up the fleet's figures from the events of a run. Slices are indexed by server number.
+type fleetRecorder struct {
+	connCaps        []int
+	openConns       []int      // open at present
+	secondCounts    [3][]int   // events in the current second: probes, handshakes, connections rejected at the cap
+	perSecond       [3]summary // of secondCounts, with the same index
+	connCapShare    summary    // open connections over the server's connection cap, at the end of each second
+	coldLoad        summary    // work sent to a cold server over the work that overloads it
+	callsPerSecond  summary    // calls of discovery
+	callsThisSecond int
+	callWaits       summary // time until discovery answered a call, in milliseconds
+	failedCalls     int
 }
 
-// sums are of samples of one figure.
-type sums struct {
-	n, sum, worst float64
-	server        int
-	at            float64
+// summary summarises the samples of one figure.
+type summary struct {
+	count, sum, worst float64
+	worstServer       int
+	worstAtSeconds    float64
 }
 
-func (s *sums) add(v float64, server int, at float64) {
-	s.n++
+func (s *summary) add(v float64, server int, at float64) {
+	s.count++
 	s.sum += v
-	if s.n == 1 || v > s.worst {
-		s.worst, s.server, s.at = v, server, at
+	if s.count == 1 || v > s.worst {
+		s.worst, s.worstServer, s.worstAtSeconds = v, server, at
 	}
 }
 
-func (s *sums) load(name string) Load {
-	return Load{name, ratio0(s.sum, s.n), s.worst, s.server, s.at}
+func (s *summary) load(name string) Load {
+	return Load{name, ratioOrZero(s.sum, s.count), s.worst, s.worstServer, s.worstAtSeconds}
 }
 
 const (
@@ -60,75 +60,77 @@
 	fleetShut
 )
 
-func newFleet(s *scenario.Scenario) fleet {
-	var f fleet
+func newFleetRecorder(s *scenario.Scenario) fleetRecorder {
+	var f fleetRecorder
 	for i := range s.Servers {
 		for range s.Servers[i].Count {
-			f.caps = append(f.caps, s.Servers[i].ConnCap)
+			f.connCaps = append(f.connCaps, s.Servers[i].ConnCap)
 		}
 	}
-	f.conns = make([]int, len(f.caps))
-	for i := range f.second {
-		f.second[i] = make([]int, len(f.caps))
+	f.openConns = make([]int, len(f.connCaps))
+	for i := range f.secondCounts {
+		f.secondCounts[i] = make([]int, len(f.connCaps))
 	}
 	return f
 }
 
-func (f *fleet) take(e *trace.Event) {
+func (f *fleetRecorder) take(e *trace.Event) {
 	n := int(e.Server)
 	switch e.Kind {
 	case trace.Called:
-		f.called++
-		f.waits.add(float64(e.Work)/1000, -1, float64(e.At)/1e6)
+		f.callsThisSecond++
+		f.callWaits.add(float64(e.Work)/1000, -1, float64(e.At)/1e6)
 		if e.Verdict == trace.Failed {
-			f.failed++
+			f.failedCalls++
 		}
 		return
 	case trace.Opened, trace.Closed, trace.Probed, trace.Shut, trace.Carried, trace.Stopped:
 	default:
 		return
 	}
-	if n < 0 || n >= len(f.conns) {
+	if n < 0 || n >= len(f.openConns) {
 		return
 	}
 	switch e.Kind {
 	case trace.Opened:
-		f.conns[n]++
-		f.second[fleetHandshakes][n]++
+		f.openConns[n]++
+		f.secondCounts[fleetHandshakes][n]++
 	case trace.Closed:
-		f.conns[n] = max(0, f.conns[n]-1)
+		f.openConns[n] = max(0, f.openConns[n]-1)
 	case trace.Stopped:
-		f.conns[n] = 0 // they end with the process, untold
+		f.openConns[n] = 0 // the connections end with the process, without an event for each
 	case trace.Probed:
-		f.second[fleetProbes][n]++
+		f.secondCounts[fleetProbes][n]++
 	case trace.Shut:
-		f.second[fleetShut][n]++
+		f.secondCounts[fleetShut][n]++
 	case trace.Carried:
-		f.cold.add(e.Warmth, n, float64(e.At)/1e6)
+		f.coldLoad.add(e.Warmth, n, float64(e.At)/1e6)
 	}
 }
 
-// turn ends a second, which began at an instant.
-func (f *fleet) turn(at int) {
-	for i := range f.second {
-		for n, v := range f.second[i] {
-			f.loads[i].add(float64(v), n, float64(at))
-			f.second[i][n] = 0
+// endSecond adds the counts of a second, given by its number since the start of the run, as samples and resets them.
+func (f *fleetRecorder) endSecond(second int) {
+	for i := range f.secondCounts {
+		for n, v := range f.secondCounts[i] {
+			f.perSecond[i].add(float64(v), n, float64(second))
+			f.secondCounts[i][n] = 0
 		}
 	}
-	for n, open := range f.conns {
-		if f.caps[n] > 0 {
-			f.filled.add(float64(open)/float64(f.caps[n]), n, float64(at))
+	for n, open := range f.openConns {
+		if f.connCaps[n] > 0 {
+			f.connCapShare.add(float64(open)/float64(f.connCaps[n]), n, float64(second))
 		}
 	}
-	f.calls.add(float64(f.called), -1, float64(at))
-	f.called = 0
+	f.callsPerSecond.add(float64(f.callsThisSecond), -1, float64(second))
+	f.callsThisSecond = 0
 }
 
-// end puts the figures into a result.
-func (f *fleet) end(x *Result) {
-	x.Fleet = []Load{f.loads[fleetProbes].load("probes"), f.loads[fleetHandshakes].load("handshakes"), f.filled.load("connections"),
-		f.loads[fleetShut].load("shut"), f.cold.load("cold"), f.calls.load("calls"), f.waits.load("call_wait_ms")}
+// addFigures adds the fleet's figures to a result.
+func (f *fleetRecorder) addFigures(x *Result) {
+	x.Fleet = []Load{f.perSecond[fleetProbes].load("probes"), f.perSecond[fleetHandshakes].load("handshakes"),
+		f.connCapShare.load("connections"),
+		f.perSecond[fleetShut].load("shut"), f.coldLoad.load("cold"), f.callsPerSecond.load("calls"),
+		f.callWaits.load("call_wait_ms")}
 	for _, l := range x.Fleet {
 		mean, worst := l.Name+"_mean", l.Name+"_worst"
 		if l.Name == "call_wait_ms" {
@@ -136,14 +138,15 @@
 		}
 		x.Figures[mean], x.Figures[worst] = l.Mean, l.Worst
 	}
-	x.Figures["calls_failed"] = ratio0(float64(f.failed), f.waits.n)
+	x.Figures["calls_failed"] = ratioOrZero(float64(f.failedCalls), f.callWaits.count)
 }
 
-// keepFleet notes which of a fleet's bounds were passed.
-func (x *Result) keepFleet(most map[string]float64) {
-	for _, name := range slices.Sorted(maps.Keys(most)) {
-		if got := x.Figures[name]; got > most[name] {
-			x.Missed = append(x.Missed, fmt.Sprintf("%s (%s) %.4g is over %.4g", name, scenario.FleetFigures[name], got, most[name]))
+// checkFleetLimits adds to Missed each fleet figure that exceeds its limit in the scenario.
+func (x *Result) checkFleetLimits(limits map[string]float64) {
+	for _, name := range slices.Sorted(maps.Keys(limits)) {
+		if got := x.Figures[name]; got > limits[name] {
+			x.Missed = append(x.Missed, fmt.Sprintf("%s (%s) %.4g is over %.4g", name, scenario.FleetFigures[name], got,
+				limits[name]))
 		}
 	}
 }
