--- a/internal/lab/dnslab/bench.go
+++ b/internal/lab/dnslab/bench.go
@@ -24,54 +24,54 @@
 	"birchmoor/internal/lab/checker"
 )
 
-// BenchLoad is one measurement.
+// BenchLoad is the load of one measurement.
 type BenchLoad struct {
 	TCP  bool
-	Open int           // queries open at once
-	Wait time.Duration // of the resolvers' answers
+	Open int           // queries in flight
+	Wait time.Duration // delay of the resolvers' answers
 }
 
-// BenchRow is what a party did with a load.
+// BenchRow holds the figures of one party under a load.
 type BenchRow struct {
 	Party   Through `json:"party"`
 	TCP     bool    `json:"tcp"`
 	Open    int     `json:"open"`
 	WaitMs  float64 `json:"wait_ms"`
 	Rate    float64 `json:"queries_per_s"`
-	CPU     float64 `json:"cpu_us_per_query"` // of the party's process; 0 for direct
+	CPU     float64 `json:"cpu_us_per_query"` // of the party's process; 0 for Direct and for loads with a Wait
 	P50     float64 `json:"p50_us"`
 	P99     float64 `json:"p99_us"`
 	P999    float64 `json:"p999_us"`
 	PeakMB  float64 `json:"peak_mb"`
-	NotOK   int     `json:"not_ok"`  // answered otherwise than with the address
-	Missing int     `json:"missing"` // not answered within two seconds
+	NotOK   int     `json:"not_ok"`  // answers with an error code
+	Missing int     `json:"missing"` // queries without an answer after two seconds
 }
 
-// BenchOptions of a benchmark.
+// BenchOptions are the options of a benchmark.
 type BenchOptions struct {
-	Self     []string // command that runs Peer, the role to follow
+	Self     []string // command line that runs Peer; the role and its arguments are appended
 	Loads    []BenchLoad
-	For      time.Duration
-	Rounds   int
-	Profile  string // folder for CPU profiles of the sidecar; empty for none
-	Progress func(done, of int)
+	For      time.Duration      // of each measurement
+	Rounds   int                // measurements of each party and load, of which the one with the highest rate counts
+	Profile  string             // folder for CPU profiles of the sidecar; empty: none are taken
+	Progress func(done, of int) // called after each measurement; may be nil
 }
 
-// Bench measures the parties in turn, each in a process of its own, over the same two resolvers.
+// Bench measures the parties in turn, each in a process of its own, in front of the same two resolvers.
 func Bench(ctx context.Context, o BenchOptions) ([]BenchRow, error) {
 	var rows []BenchRow
 	parties := []Through{Direct, Plain, Sidecar}
 	for _, load := range o.Loads {
-		servers, addrs, err := peer(ctx, o.Self, "resolvers", load.Wait.String())
+		servers, addrs, err := startPeer(ctx, o.Self, "resolvers", load.Wait.String())
 		if err != nil {
 			return nil, err
 		}
 		best := map[Through]BenchRow{}
 		for range o.Rounds {
 			for _, party := range parties {
-				row, err := benchOne(ctx, o, load, party, addrs)
+				row, err := measureParty(ctx, o, load, party, addrs)
 				if err != nil {
-					servers.end()
+					servers.stop()
 					return nil, err
 				}
 				if b, ok := best[party]; !ok || row.Rate > b.Rate {
@@ -82,7 +82,7 @@
 				}
 			}
 		}
-		servers.end()
+		servers.stop()
 		for _, party := range parties {
 			rows = append(rows, best[party])
 		}
@@ -90,52 +90,57 @@
 	return rows, nil
 }
 
-func benchOne(ctx context.Context, o BenchOptions, load BenchLoad, party Through, resolvers []string) (BenchRow, error) {
-	row := BenchRow{Party: party, TCP: load.TCP, Open: load.Open, WaitMs: ms(load.Wait.Microseconds())}
-	at, end := resolvers[0], func() (time.Duration, float64) { return 0, 0 }
+// measureParty measures one party under a load. The resolvers run already.
+func measureParty(
+	ctx context.Context, o BenchOptions, load BenchLoad, party Through, resolvers []string,
+) (BenchRow, error) {
+	row := BenchRow{Party: party, TCP: load.TCP, Open: load.Open, WaitMs: toMillis(load.Wait.Microseconds())}
+	addr, stop := resolvers[0], func() (time.Duration, float64) { return 0, 0 }
 	if party != Direct {
-		p, addrs, err := peer(ctx, o.Self, string(party), strings.Join(resolvers, ","), strconv.Itoa(load.Open), o.profile(load, party))
+		started, addrs, err := startPeer(ctx, o.Self, string(party), strings.Join(resolvers, ","), strconv.Itoa(load.Open),
+			o.profile(load, party))
 		if err != nil {
 			return row, err
 		}
-		at, end = addrs[0], p.end
+		addr, stop = addrs[0], started.stop
 	}
 	latencies := hdrhistogram.New(1, 10_000_000, 3)
 	var mu sync.Mutex
-	var done int
-	callers := min(load.Open, 16)
-	var all sync.WaitGroup
-	var failed error
-	for range callers {
-		all.Go(func() {
-			c, err := closedLoop(at, load, load.Open/callers, o.For)
+	var answered int
+	sockets := min(load.Open, 16)
+	var group sync.WaitGroup
+	var firstErr error
+	for range sockets {
+		group.Go(func() {
+			result, err := runClosedLoop(addr, load, load.Open/sockets, o.For)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				failed = err
+				firstErr = err
 				return
 			}
-			latencies.Merge(c.latencies)
-			done += c.done
-			row.NotOK += c.notOK
-			row.Missing += c.missing
+			latencies.Merge(result.latencies)
+			answered += result.answered
+			row.NotOK += result.notOK
+			row.Missing += result.missing
 		})
 	}
-	all.Wait()
-	cpu, peak := end()
-	if failed != nil {
-		return row, failed
+	group.Wait()
+	cpu, peakMB := stop()
+	if firstErr != nil {
+		return row, firstErr
 	}
-	row.Rate = float64(done) / o.For.Seconds()
-	row.P50, row.P99, row.P999 = float64(latencies.ValueAtQuantile(50)), float64(latencies.ValueAtQuantile(99)), float64(latencies.ValueAtQuantile(99.9))
-	row.PeakMB = peak
-	if done > 0 && load.Wait == 0 { // else much of it went into what was not counted yet
-		row.CPU = float64(cpu.Microseconds()) / float64(done)
+	row.Rate = float64(answered) / o.For.Seconds()
+	row.P50, row.P99, row.P999 = float64(latencies.ValueAtQuantile(50)), float64(latencies.ValueAtQuantile(99)),
+		float64(latencies.ValueAtQuantile(99.9))
+	row.PeakMB = peakMB
+	if answered > 0 && load.Wait == 0 { // with a Wait, much of the CPU time is used before queries are counted
+		row.CPU = float64(cpu.Microseconds()) / float64(answered)
 	}
 	return row, nil
 }
 
-// profile is the file for a party's CPU profile, or empty.
+// profile returns the file for a party's CPU profile, or "" for none.
 func (o *BenchOptions) profile(load BenchLoad, party Through) string {
 	if o.Profile == "" || party != Sidecar {
 		return ""
@@ -143,76 +148,78 @@
 	return fmt.Sprintf("%s/tcp-%v-open-%d.pprof", o.Profile, load.TCP, load.Open)
 }
 
-// rampMost is how long it may take until all queries are open.
-const rampMost = 30 * time.Second
+// rampTimeout bounds the time until all queries of a load are in flight.
+const rampTimeout = 30 * time.Second
 
-type loop struct {
-	latencies            *hdrhistogram.Histogram
-	done, notOK, missing int
+// loopResult holds what one socket has measured.
+type loopResult struct {
+	latencies                *hdrhistogram.Histogram
+	answered, notOK, missing int
 }
 
-// closedLoop keeps so many queries open on one socket, for a time. Where answers take long it begins with few, each answer
-// bringing two more, and counts from when all are open: nobody meets ten thousand clients in one instant.
-func closedLoop(at string, load BenchLoad, open int, span time.Duration) (*loop, error) {
+// runClosedLoop keeps a number of queries in flight on one socket for a duration. If the resolvers delay their answers,
+// it begins with a few queries, sends two for each answer, and counts once all are in flight: a real server does not
+// meet ten thousand clients at the same instant, either.
+func runClosedLoop(addr string, load BenchLoad, inFlight int, duration time.Duration) (*loopResult, error) {
 	network := "udp"
 	if load.TCP {
 		network = "tcp"
 	}
-	c, err := net.Dial(network, at)
+	conn, err := net.Dial(network, addr)
 	if err != nil {
 		return nil, err
 	}
-	defer c.Close()
-	l := &loop{latencies: hdrhistogram.New(1, 10_000_000, 3)}
-	asked := map[uint16]time.Time{}
-	m := new(dns.Msg).SetQuestion("r1.a.example.org.", dns.TypeA)
-	raw, err := m.Pack()
+	defer conn.Close()
+	result := &loopResult{latencies: hdrhistogram.New(1, 10_000_000, 3)}
+	sentAt := map[uint16]time.Time{}
+	msg := new(dns.Msg).SetQuestion("r1.a.example.org.", dns.TypeA)
+	raw, err := msg.Pack()
 	if err != nil {
 		return nil, err
 	}
-	ask := func() error {
+	send := func() error {
 		id := uint16(rand.Uint32())
-		for _, taken := asked[id]; taken; _, taken = asked[id] {
+		for _, inUse := sentAt[id]; inUse; _, inUse = sentAt[id] {
 			id++
 		}
-		asked[id] = time.Now()
+		sentAt[id] = time.Now()
 		raw[0], raw[1] = byte(id>>8), byte(id)
 		text := raw
 		if load.TCP {
-			text = framed(raw)
+			text = withLengthPrefix(raw)
 		}
-		_, err := c.Write(text)
+		_, err := conn.Write(text)
 		return err
 	}
-	most := open
+	targetInFlight := inFlight
 	if load.Wait > 0 {
-		open = min(open, 8)
+		inFlight = min(inFlight, 8)
 	}
-	for range open {
-		if err := ask(); err != nil {
+	for range inFlight {
+		if err := send(); err != nil {
 			return nil, err
 		}
 	}
-	stop := time.Now().Add(span)
-	if open < most {
-		stop = stop.Add(rampMost)
+	end := time.Now().Add(duration)
+	if inFlight < targetInFlight {
+		end = end.Add(rampTimeout)
 	}
-	buf, r := make([]byte, 4096), bufio.NewReaderSize(c, 64<<10)
-	for time.Now().Before(stop) {
-		c.SetReadDeadline(time.Now().Add(2 * time.Second))
-		var b []byte
+	buf, reader := make([]byte, 4096), bufio.NewReaderSize(conn, 64<<10)
+	for time.Now().Before(end) {
+		conn.SetReadDeadline(time.Now().Add(2 * time.Second))
+		var message []byte
 		if load.TCP {
-			b, err = readMessage(r)
+			message, err = readMessage(reader)
 		} else {
 			var n int
-			n, err = c.Read(buf)
-			b = buf[:n]
+			n, err = conn.Read(buf)
+			message = buf[:n]
 		}
-		if os.IsTimeout(err) { // what was open is lost
-			l.missing += len(asked)
-			clear(asked)
-			for range open {
-				if err := ask(); err != nil {
+		if os.IsTimeout(err) { // all queries in flight are lost
+			result.missing += len(sentAt)
+			clear(sentAt)
+			for range inFlight {
+				if err := send(); err != nil {
 					return nil, err
 				}
 			}
@@ -221,101 +228,102 @@
 		if err != nil {
 			return nil, err
 		}
-		id := uint16(b[0])<<8 | uint16(b[1])
-		at, ok := asked[id]
+		id := uint16(message[0])<<8 | uint16(message[1])
+		sent, ok := sentAt[id]
 		if !ok {
 			continue
 		}
-		delete(asked, id)
-		if open < most {
-			if b[3]&0xf == 0 {
-				open++
-				if err := ask(); err != nil {
+		delete(sentAt, id)
+		if inFlight < targetInFlight {
+			if message[3]&0xf == 0 {
+				inFlight++
+				if err := send(); err != nil {
 					return nil, err
 				}
 			}
-			if open == most {
-				stop = time.Now().Add(span)
+			if inFlight == targetInFlight {
+				end = time.Now().Add(duration)
 			}
-			if err := ask(); err != nil {
+			if err := send(); err != nil {
 				return nil, err
 			}
 			continue
 		}
-		l.latencies.RecordValue(max(1, time.Since(at).Microseconds()))
-		if l.done++; b[3]&0xf != 0 {
-			l.notOK++
+		result.latencies.RecordValue(max(1, time.Since(sent).Microseconds()))
+		if result.answered++; message[3]&0xf != 0 {
+			result.notOK++
 		}
-		if err := ask(); err != nil {
+		if err := send(); err != nil {
 			return nil, err
 		}
 	}
-	return l, nil
+	return result, nil
 }
 
-// ---- Peers -----------------------------------------------------------------
-
-// process is a party in a process of its own. It serves until its standard input ends.
-type process struct {
-	cmd *exec.Cmd
-	in  io.WriteCloser
+// peerProcess is a child process that runs Peer. It serves until its standard input ends.
+type peerProcess struct {
+	cmd   *exec.Cmd
+	stdin io.WriteCloser
 }
 
-func peer(ctx context.Context, self []string, args ...string) (*process, []string, error) {
+// startPeer starts a child process with a role and waits until it serves. It returns the process and its addresses.
+func startPeer(ctx context.Context, self []string, args ...string) (*peerProcess, []string, error) {
 	cmd := exec.CommandContext(ctx, self[0], append(self[1:len(self):len(self)], args...)...)
 	cmd.Stderr = os.Stderr
-	in, err := cmd.StdinPipe()
+	stdin, err := cmd.StdinPipe()
 	if err != nil {
 		return nil, nil, err
 	}
-	out, err := cmd.StdoutPipe()
+	stdout, err := cmd.StdoutPipe()
 	if err != nil {
 		return nil, nil, err
 	}
 	if err := cmd.Start(); err != nil {
 		return nil, nil, err
 	}
-	p := &process{cmd, in}
-	line, err := bufio.NewReader(out).ReadString('\n')
+	started := &peerProcess{cmd, stdin}
+	line, err := bufio.NewReader(stdout).ReadString('\n')
 	if err != nil {
-		p.end()
-		return nil, nil, fmt.Errorf("dns bench: %s does not begin: %w", args[0], err)
+		started.stop()
+		return nil, nil, fmt.Errorf("dns bench: process %s printed no addresses: %w", args[0], err)
 	}
-	return p, strings.Split(strings.TrimSpace(line), ","), nil
+	return started, strings.Split(strings.TrimSpace(line), ","), nil
 }
 
-// end stops it, and returns its processor time and the most memory that it had, in MB.
-func (p *process) end() (time.Duration, float64) {
-	p.in.Close()
+// stop ends the process and returns its CPU time and its peak memory in MB.
+func (p *peerProcess) stop() (time.Duration, float64) {
+	p.stdin.Close()
 	p.cmd.Wait()
-	s := p.cmd.ProcessState
-	if s == nil {
+	state := p.cmd.ProcessState
+	if state == nil {
 		return 0, 0
 	}
-	peak := 0.0
-	if u, ok := s.SysUsage().(*syscall.Rusage); ok {
-		peak = float64(u.Maxrss) / 1024
+	peakMB := 0.0
+	if u, ok := state.SysUsage().(*syscall.Rusage); ok {
+		peakMB = float64(u.Maxrss) / 1024
 	}
-	return s.UserTime() + s.SystemTime(), peak
+	return state.UserTime() + state.SystemTime(), peakMB
 }
 
-// Peer is one party of a benchmark: it prints its addresses and serves until in ends.
+// Peer runs one process of a benchmark: it prints its addresses, separated by commas, and serves until in ends. The
+// roles and their arguments are "resolvers" with the delay of answers, and "plain" and "sidecar" with the resolvers'
+// addresses, the number of queries in flight and the file for a CPU profile, which may be empty.
 func Peer(ctx context.Context, role string, args []string, in io.Reader, out io.Writer) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var addrs []string
 	switch {
 	case role == "resolvers" && len(args) == 1:
-		wait, err := time.ParseDuration(args[0])
+		delay, err := time.ParseDuration(args[0])
 		if err != nil {
 			return err
 		}
 		for range 2 {
-			addr, end, err := instant(wait)
+			addr, stop, err := serveInstantResolver(delay)
 			if err != nil {
 				return err
 			}
-			defer end()
+			defer stop()
 			addrs = append(addrs, addr)
 		}
 	case (role == string(Plain) || role == string(Sidecar)) && len(args) == 3:
@@ -330,37 +338,38 @@
 			}
 			defer pprof.StopCPUProfile()
 		}
-		runtime.GOMAXPROCS(2) // as a sidecar beside an application
-		open, err := strconv.Atoi(args[1])
+		runtime.GOMAXPROCS(2) // a sidecar shares its machine with an application
+		maxOpen, err := strconv.Atoi(args[1])
 		if err != nil {
 			return err
 		}
 		var resolvers []*resolver
-		l := &lab{s: &Scenario{Front: Front{Aim: Dur(20 * time.Second), GiveUp: Dur(30 * time.Second), Open: 2 * open, Sockets: max(512, min(2*open, 4096))}}}
-		b := &board{changed: make(chan struct{})}
+		peerLab := &lab{scenario: &Scenario{Front: Front{Aim: Dur(20 * time.Second), GiveUp: Dur(30 * time.Second),
+			Open: 2 * maxOpen, Sockets: max(512, min(2*maxOpen, 4096))}}}
+		disc := &discoveryServer{changed: make(chan struct{})}
 		for i, a := range strings.Split(args[0], ",") {
-			r := &resolver{id: i, addr: a}
-			resolvers = append(resolvers, r)
-			b.put(r, "up", 0)
+			upstream := &resolver{id: i, addr: a}
+			resolvers = append(resolvers, upstream)
+			disc.setInstance(upstream, "up", 0)
 		}
 		if role == string(Plain) {
-			p, err := newPlain(resolvers)
+			forwarder, err := newPlainForwarder(resolvers)
 			if err != nil {
 				return err
 			}
-			defer p.close()
-			addrs = []string{p.addr}
+			defer forwarder.close()
+			addrs = []string{forwarder.addr}
 			break
 		}
-		l.ref = checker.New(checker.Settings{})
-		_, end, err := l.sidecar(ctx, b, Options{Seed: 7, Log: slog.New(slog.DiscardHandler)})
+		peerLab.checker = checker.New(checker.Settings{})
+		_, stop, err := peerLab.startSidecar(ctx, disc, Options{Seed: 7, Log: slog.New(slog.DiscardHandler)})
 		if err != nil {
 			return err
 		}
-		defer end()
-		addrs = []string{l.front}
+		defer stop()
+		addrs = []string{peerLab.frontAddr}
 	default:
-		return fmt.Errorf("dns bench: no such party: %s %v", role, args)
+		return fmt.Errorf("dns bench: unknown role, or wrong number of arguments: %s %v", role, args)
 	}
 	if _, err := fmt.Fprintln(out, strings.Join(addrs, ",")); err != nil {
 		return err
@@ -369,29 +378,30 @@
 	return err
 }
 
-// instant is a resolver that does as little as it can: it turns the query into its answer.
-func instant(wait time.Duration) (string, func(), error) {
-	udp, ln, err := listenBoth()
+// serveInstantResolver starts a resolver with as little work as possible: it turns the bytes of each query into an
+// answer, and sends that after the delay. It returns the resolver's address and a function that ends it.
+func serveInstantResolver(delay time.Duration) (string, func(), error) {
+	udp, listener, err := listenUDPAndTCP()
 	if err != nil {
 		return "", nil, err
 	}
-	after := func(do func()) {
-		if wait > 0 {
-			time.AfterFunc(wait, do)
+	after := func(action func()) {
+		if delay > 0 {
+			time.AfterFunc(delay, action)
 		} else {
-			do()
+			action()
 		}
 	}
-	// The question stands; of what is behind it nothing does.
-	turn := func(b []byte) []byte {
+	// reply keeps the question of a query, drops all that follows it, and appends one address.
+	reply := func(b []byte) []byte {
 		end := 12
 		for end < len(b) && b[end] != 0 {
 			end += int(b[end]) + 1
 		}
-		a := append([]byte(nil), b[:min(len(b), end+5)]...)
-		a[2], a[3] = 0x81, 0x80
-		a[6], a[7], a[8], a[9], a[10], a[11] = 0, 1, 0, 0, 0, 0
-		return append(a, 0xc0, 12, 0, 1, 0, 1, 0, 0, 0, 30, 0, 4, 10, 0, 0, 1)
+		answer := append([]byte(nil), b[:min(len(b), end+5)]...)
+		answer[2], answer[3] = 0x81, 0x80
+		answer[6], answer[7], answer[8], answer[9], answer[10], answer[11] = 0, 1, 0, 0, 0, 0
+		return append(answer, 0xc0, 12, 0, 1, 0, 1, 0, 0, 0, 30, 0, 4, 10, 0, 0, 1)
 	}
 	for range 2 {
 		go func() {
@@ -401,30 +411,30 @@
 				if err != nil {
 					return
 				}
-				a := turn(buf[:n])
-				after(func() { udp.WriteToUDPAddrPort(a, from) })
+				answer := reply(buf[:n])
+				after(func() { udp.WriteToUDPAddrPort(answer, from) })
 			}
 		}()
 	}
 	go func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
-				defer c.Close()
-				r := bufio.NewReaderSize(c, 64<<10)
+				defer conn.Close()
+				r := bufio.NewReaderSize(conn, 64<<10)
 				for {
 					b, err := readMessage(r)
 					if err != nil {
 						return
 					}
-					a := framed(turn(b))
-					after(func() { c.Write(a) })
+					answer := withLengthPrefix(reply(b))
+					after(func() { conn.Write(answer) })
 				}
 			}()
 		}
 	}()
-	return udp.LocalAddr().String(), func() { udp.Close(); ln.Close() }, nil
+	return udp.LocalAddr().String(), func() { udp.Close(); listener.Close() }, nil
 }
--- a/internal/lab/dnslab/beside.go
+++ b/internal/lab/dnslab/beside.go
@@ -15,44 +15,48 @@
 	"github.com/miekg/dns"
 )
 
-// bookings is the HTTP traffic over the same sidecar, and the flood of queries from a party that reads no answers.
-type bookings struct {
-	addr    string
-	front   string
-	server  *http.Server
-	asked   atomic.Int64
-	served  atomic.Int64
-	flooded atomic.Int64
+// httpTraffic sends HTTP bookings through the sidecar under test to a stub HTTP server, and floods the sidecar's DNS
+// front with queries whose answers nobody reads. The counters may be read at any time.
+type httpTraffic struct {
+	addr         string // of the stub HTTP server
+	sidecarURL   string // of the sidecar's HTTP front
+	server       *http.Server
+	requested    atomic.Int64
+	served       atomic.Int64
+	floodQueries atomic.Int64
 }
 
-func newBookings() (*bookings, error) {
+func newHTTPTraffic() (*httpTraffic, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	b := &bookings{addr: ln.Addr().String()}
-	b.server = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	traffic := &httpTraffic{addr: ln.Addr().String()}
+	traffic.server = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
-		time.Sleep(2 * time.Millisecond) // the work of a booking
+		time.Sleep(2 * time.Millisecond) // service time of a booking
 		io.WriteString(w, "booked")
 	})}
-	go b.server.Serve(ln)
-	return b, nil
+	go traffic.server.Serve(ln)
+	return traffic, nil
 }
 
-func (b *bookings) close() { b.server.Close() }
+func (b *httpTraffic) close() { b.server.Close() }
 
-func (b *bookings) share() float64 { return float64(b.served.Load()) / float64(max(1, b.asked.Load())) }
+func (b *httpTraffic) servedShare() float64 {
+	return float64(b.served.Load()) / float64(max(1, b.requested.Load()))
+}
 
-// book asks until ctx ends, and waits for what is open.
-func (b *bookings) book(ctx context.Context, rate float64) {
+// sendRequests sends bookings at the given rate, in requests a second, until ctx ends. It returns when all of them have
+// ended. A rate of 0 sends none.
+func (b *httpTraffic) sendRequests(ctx context.Context, rate float64) {
 	if rate <= 0 {
 		return
 	}
 	client := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	defer client.CloseIdleConnections()
-	var open sync.WaitGroup
-	defer open.Wait()
+	var inFlight sync.WaitGroup
+	defer inFlight.Wait()
 	tick := time.NewTicker(time.Duration(float64(time.Second) / rate))
 	defer tick.Stop()
 	for n := 0; ; n++ {
@@ -61,9 +65,9 @@
 		case <-ctx.Done():
 			return
 		}
-		open.Go(func() {
-			b.asked.Add(1)
-			r, err := http.NewRequest("POST", b.front+"/confirm", strings.NewReader("slot"))
+		inFlight.Go(func() {
+			b.requested.Add(1)
+			r, err := http.NewRequest("POST", b.sidecarURL+"/confirm", strings.NewReader("slot"))
 			if err != nil {
 				return
 			}
@@ -82,20 +86,21 @@
 	}
 }
 
-// flood sends queries from another network than the clients' until ctx ends, at most so many a second.
-func (b *bookings) flood(ctx context.Context, to string, rate float64) {
+// flood sends queries from another address prefix than the clients' until ctx ends, at most rate of them a second. A
+// rate of 0 sends none.
+func (b *httpTraffic) flood(ctx context.Context, address string, rate float64) {
 	if rate <= 0 {
 		return
 	}
-	c, err := (&net.Dialer{LocalAddr: &net.UDPAddr{IP: net.IPv4(127, 9, 9, 9)}}).Dial("udp", to)
+	conn, err := (&net.Dialer{LocalAddr: &net.UDPAddr{IP: net.IPv4(127, 9, 9, 9)}}).Dial("udp", address)
 	if err != nil {
 		return
 	}
-	defer c.Close()
+	defer conn.Close()
 	const batch = 10 * time.Millisecond
 	tick := time.NewTicker(batch)
 	defer tick.Stop()
-	m := new(dns.Msg).SetQuestion("flood.example.org.", dns.TypeA)
+	msg := new(dns.Msg).SetQuestion("flood.example.org.", dns.TypeA)
 	for {
 		select {
 		case <-tick.C:
@@ -103,49 +108,51 @@
 			return
 		}
 		for range int(rate * batch.Seconds()) {
-			m.Id = uint16(rand.Uint32())
-			m.Question[0].Name = fmt.Sprintf("f%d.a.example.org.", rand.Uint32())
-			if raw, err := m.Pack(); err == nil {
-				c.Write(raw)
-				b.flooded.Add(1)
+			msg.Id = uint16(rand.Uint32())
+			msg.Question[0].Name = fmt.Sprintf("f%d.a.example.org.", rand.Uint32())
+			if raw, err := msg.Pack(); err == nil {
+				conn.Write(raw)
+				b.floodQueries.Add(1)
 			}
 		}
 	}
 }
 
-// plain is the forwarder that the front is measured against: the resolvers in turn, once, as they come.
-type plain struct {
+// plainForwarder is the baseline that the sidecar is compared with: it forwards each query once, to the resolvers in
+// turn, and answers SERVFAIL if the resolver does not answer.
+type plainForwarder struct {
 	addr    string
 	servers []*dns.Server
 }
 
-func newPlain(resolvers []*resolver) (*plain, error) {
-	var turn atomic.Uint64
-	handle := dns.HandlerFunc(func(w dns.ResponseWriter, m *dns.Msg) {
+func newPlainForwarder(resolvers []*resolver) (*plainForwarder, error) {
+	var next atomic.Uint64
+	handler := dns.HandlerFunc(func(w dns.ResponseWriter, msg *dns.Msg) {
 		network := "udp"
 		if _, tcp := w.RemoteAddr().(*net.TCPAddr); tcp {
 			network = "tcp"
 		}
-		to := resolvers[turn.Add(1)%uint64(len(resolvers))].addr
-		r, _, err := (&dns.Client{Net: network, Timeout: 2 * time.Second}).Exchange(m, to)
+		resolverAddr := resolvers[next.Add(1)%uint64(len(resolvers))].addr
+		reply, _, err := (&dns.Client{Net: network, Timeout: 2 * time.Second}).Exchange(msg, resolverAddr)
 		if err != nil {
-			r = new(dns.Msg).SetRcode(m, dns.RcodeServerFailure)
+			reply = new(dns.Msg).SetRcode(msg, dns.RcodeServerFailure)
 		}
-		r.Id = m.Id
-		w.WriteMsg(r)
+		reply.Id = msg.Id
+		w.WriteMsg(reply)
 	})
-	udp, tcp, err := listenBoth()
+	udp, tcp, err := listenUDPAndTCP()
 	if err != nil {
 		return nil, err
 	}
-	p := &plain{addr: udp.LocalAddr().String(), servers: []*dns.Server{{PacketConn: udp, Handler: handle}, {Listener: tcp, Handler: handle, MaxTCPQueries: -1}}}
-	for _, s := range p.servers {
+	forwarder := &plainForwarder{addr: udp.LocalAddr().String(),
+		servers: []*dns.Server{{PacketConn: udp, Handler: handler}, {Listener: tcp, Handler: handler, MaxTCPQueries: -1}}}
+	for _, s := range forwarder.servers {
 		go s.ActivateAndServe()
 	}
-	return p, nil
+	return forwarder, nil
 }
 
-func (p *plain) close() {
+func (p *plainForwarder) close() {
 	for _, s := range p.servers {
 		s.Shutdown()
 	}
--- a/internal/lab/dnslab/client.go
+++ b/internal/lab/dnslab/client.go
@@ -11,99 +11,101 @@
 	"birchmoor/internal/lab/trace"
 )
 
-// query is one of a client's.
+// query is a query that a client has sent.
 type query struct {
-	n     uint64
-	raw   []byte
-	asked time.Time
-	done  bool // answered, or given up
+	number uint64
+	raw    []byte
+	sentAt time.Time
+	ended  bool // answered, or given up by the client
 }
 
-// caller is one client socket, over either transport.
-type caller struct {
-	l    *lab
+// clientSocket is a client's socket, over UDP or TCP. Any goroutine may send.
+type clientSocket struct {
+	lab  *lab
 	conn net.Conn
 	tcp  bool
 
-	mu   sync.Mutex
-	ids  uint16
-	open map[uint16]*query // also those that ended of late, so that a second answer is seen
+	mu      sync.Mutex
+	lastID  uint16
+	queries map[uint16]*query // by message id; includes recently ended ones, so that a duplicate answer is detected
 }
 
-func (l *lab) newCaller(tcp bool) (*caller, error) {
+func (l *lab) newClientSocket(tcp bool) (*clientSocket, error) {
 	network := "udp"
 	if tcp {
 		network = "tcp"
 	}
-	c, err := net.Dial(network, l.front)
+	conn, err := net.Dial(network, l.frontAddr)
 	if err != nil {
 		return nil, err
 	}
-	k := &caller{l: l, conn: c, tcp: tcp, open: map[uint16]*query{}, ids: uint16(rand.Uint32())}
-	l.wg.Go(k.read)
-	return k, nil
+	socket := &clientSocket{lab: l, conn: conn, tcp: tcp, queries: map[uint16]*query{}, lastID: uint16(rand.Uint32())}
+	l.wg.Go(socket.read)
+	return socket, nil
 }
 
-// ask sends a query and waits for nothing.
-func (k *caller) ask(n uint64, kind string) {
-	m := new(dns.Msg)
-	m.SetQuestion(nameOf(n, kind), dns.TypeA)
+// send sends a query of a kind: "a", "big" or "update". It does not wait for the answer. The query's retransmission and
+// the client's timeout are scheduled.
+func (k *clientSocket) send(number uint64, kind string) {
+	msg := new(dns.Msg)
+	msg.SetQuestion(queryName(number, kind), dns.TypeA)
 	if kind == "update" {
-		m.Opcode = dns.OpcodeUpdate
-		m.Question[0].Qtype = dns.TypeSOA
+		msg.Opcode = dns.OpcodeUpdate
+		msg.Question[0].Qtype = dns.TypeSOA
 	} else {
-		m.SetEdns0(1232, false)
+		msg.SetEdns0(1232, false)
 	}
 	k.mu.Lock()
-	for k.ids++; k.open[k.ids] != nil; k.ids++ {
+	for k.lastID++; k.queries[k.lastID] != nil; k.lastID++ {
 	}
-	m.Id = k.ids
-	raw, err := m.Pack()
+	msg.Id = k.lastID
+	raw, err := msg.Pack()
 	if err != nil {
-		panic(err) // the names above are wrong
+		panic(err) // a bug: queryName returned no valid name
 	}
 	if k.tcp {
-		raw = framed(raw)
+		raw = withLengthPrefix(raw)
 	}
-	q := &query{n: n, raw: raw, asked: time.Now()}
-	k.open[m.Id] = q
+	sent := &query{number: number, raw: raw, sentAt: time.Now()}
+	k.queries[msg.Id] = sent
 	k.mu.Unlock()
 	class := uint8(0)
 	if kind == "update" {
 		class = 1
 	}
-	k.l.note(trace.Event{Kind: trace.Asked, Request: n, Task: n, Class: class, Work: 1e6})
+	k.lab.report(trace.Event{Kind: trace.Asked, Request: number, Task: number, Class: class, Work: 1e6})
 	k.conn.SetWriteDeadline(time.Now().Add(time.Second))
 	k.conn.Write(raw)
-	k.l.after(time.Duration(k.l.s.Front.GiveUp)+giveUpSlack, func() { k.giveUp(m.Id, q) })
-	if again := time.Duration(k.l.s.Load.Retransmit); again > 0 && !k.tcp {
-		k.l.after(again, func() {
+	k.lab.after(time.Duration(k.lab.scenario.Front.GiveUp)+giveUpSlack, func() { k.giveUp(msg.Id, sent) })
+	if retransmitDelay := time.Duration(k.lab.scenario.Load.Retransmit); retransmitDelay > 0 && !k.tcp {
+		k.lab.after(retransmitDelay, func() {
 			k.mu.Lock()
-			over := q.done
+			ended := sent.ended
 			k.mu.Unlock()
-			if !over {
+			if !ended {
 				k.conn.Write(raw)
 			}
 		})
 	}
 }
 
-func (k *caller) giveUp(id uint16, q *query) {
+// giveUp ends a query that has not been answered. Its id is not used again for another second, to detect late answers.
+func (k *clientSocket) giveUp(id uint16, sent *query) {
 	k.mu.Lock()
-	over := q.done
-	q.done = true
+	ended := sent.ended
+	sent.ended = true
 	k.mu.Unlock()
-	if !over {
-		k.l.note(trace.Event{Kind: trace.Left, Request: q.n})
+	if !ended {
+		k.lab.report(trace.Event{Kind: trace.Left, Request: sent.number})
 	}
-	k.l.after(time.Second, func() {
+	k.lab.after(time.Second, func() {
 		k.mu.Lock()
-		delete(k.open, id)
+		delete(k.queries, id)
 		k.mu.Unlock()
 	})
 }
 
-func (k *caller) read() {
+func (k *clientSocket) read() {
 	buf := make([]byte, dns.MaxMsgSize)
 	for {
 		var raw []byte
@@ -118,51 +120,52 @@
 		if err != nil {
 			return
 		}
-		k.got(raw)
+		k.receive(raw)
 	}
 }
 
-func (k *caller) got(raw []byte) {
-	m := new(dns.Msg)
-	if err := m.Unpack(raw); err != nil {
-		k.l.stray.Add(1)
+// receive checks a message against the query with its id and reports the outcome to the checker.
+func (k *clientSocket) receive(raw []byte) {
+	msg := new(dns.Msg)
+	if err := msg.Unpack(raw); err != nil {
+		k.lab.strayMessages.Add(1)
 		return
 	}
 	k.mu.Lock()
-	q := k.open[m.Id]
-	var took time.Duration
-	if q != nil {
-		took = time.Since(q.asked)
-		q.done = true
+	sent := k.queries[msg.Id]
+	var latency time.Duration
+	if sent != nil {
+		latency = time.Since(sent.sentAt)
+		sent.ended = true
 	}
 	k.mu.Unlock()
-	if q == nil {
-		k.l.stray.Add(1)
+	if sent == nil {
+		k.lab.strayMessages.Add(1)
 		return
 	}
-	if m.Truncated && !k.tcp {
-		k.l.truncated.Add(1)
+	if msg.Truncated && !k.tcp {
+		k.lab.truncatedAnswers.Add(1)
 	}
-	v := trace.Failed
-	switch m.Rcode {
+	verdict := trace.Failed
+	switch msg.Rcode {
 	case dns.RcodeSuccess:
-		v = trace.Served
-		if n, _ := numberOf(m.Question[0].Name); n != q.n {
-			v = trace.Foreign
-		} else if m.Opcode == dns.OpcodeQuery && !m.Truncated {
-			a, ok := (*dns.A)(nil), false
-			if len(m.Answer) > 0 {
-				a, ok = m.Answer[0].(*dns.A)
+		verdict = trace.Served
+		if number, _ := parseName(msg.Question[0].Name); number != sent.number {
+			verdict = trace.Foreign
+		} else if msg.Opcode == dns.OpcodeQuery && !msg.Truncated {
+			record, ok := (*dns.A)(nil), false
+			if len(msg.Answer) > 0 {
+				record, ok = msg.Answer[0].(*dns.A)
 			}
-			if !ok || !a.A.Equal(addressOf(q.n)) {
-				v = trace.Foreign
+			if !ok || !record.A.Equal(addressOf(sent.number)) {
+				verdict = trace.Foreign
 			}
 		}
 	case dns.RcodeRefused:
-		v = trace.Refused
+		verdict = trace.Refused
 	}
-	k.l.note(trace.Event{Kind: trace.Answered, Request: q.n, Verdict: v})
-	if v == trace.Served {
-		k.l.served(took)
+	k.lab.report(trace.Event{Kind: trace.Answered, Request: sent.number, Verdict: verdict})
+	if verdict == trace.Served {
+		k.lab.recordServed(latency)
 	}
 }
--- a/internal/lab/dnslab/dnslab_test.go
+++ b/internal/lab/dnslab/dnslab_test.go
@@ -6,12 +6,13 @@
 	"testing"
 )
 
-// Every scenario keeps the rules, at a quarter of its load, since time is real here and the race detector slows it. Its
-// figures are for lab dns.
+// Every scenario keeps the checker's rules and brings clients no stray message. The load is a quarter of the
+// scenario's, because the run takes place in real time and the race detector slows it. The required figures are checked
+// by lab dns only.
 func TestScenariosKeepTheRules(t *testing.T) {
 	files, err := filepath.Glob("../../../lab/dns/*.toml")
 	if err != nil || len(files) == 0 {
-		t.Fatal("no scenarios", err)
+		t.Fatal("no scenarios in lab/dns:", err)
 	}
 	for _, path := range files {
 		s, err := Read(path)
@@ -30,7 +31,7 @@
 			text, _ := json.Marshal(r)
 			t.Logf("%s", text)
 			if !r.Verdict.Passed() || r.Stray > 0 {
-				t.Errorf("%s, %d stray", r.Verdict, r.Stray)
+				t.Errorf("%s; clients received %d stray messages, want 0", r.Verdict, r.Stray)
 			}
 		})
 	}
--- a/internal/lab/dnslab/lab.go
+++ b/internal/lab/dnslab/lab.go
@@ -30,100 +30,106 @@
 )
 
 const (
-	giveUpSlack = 300 * time.Millisecond // of the referee: for what lies between the front's clock and a client's
-	drainSlack  = 250 * time.Millisecond // with the contract's grace, the half second of the rules
-	readyWait   = 10 * time.Second
-	afterwards  = 500 * time.Millisecond // for second answers
+	// difference between the timeout of the front and of a client, for the time between them
+	giveUpSlack   = 300 * time.Millisecond
+	drainSlack    = 250 * time.Millisecond // with drainGrace, the half second that the rules allow after a drain
+	readyTimeout  = 10 * time.Second
+	duplicateWait = 500 * time.Millisecond // wait for duplicate answers at the end of a run
 )
 
-// Through is what stands between clients and resolvers.
+// Through names the party between clients and resolvers.
 type Through string
 
-// What may.
+// The parties that can be measured.
 const (
 	Sidecar Through = "sidecar"
-	Plain   Through = "plain"  // a forwarder of twenty lines, in turn and once
-	Direct  Through = "direct" // nothing: the resolvers in turn
+	Plain   Through = "plain"  // a minimal forwarder, see plainForwarder
+	Direct  Through = "direct" // no party: clients send to the first resolver
 )
 
-// Result is what a run came to.
+// Result holds the figures of a run. Attempts are queries at resolvers for each query of a client.
 type Result struct {
-	Scenario  string           `json:"scenario"`
-	Through   Through          `json:"through"`
-	Asked     int              `json:"asked"`
-	Service   float64          `json:"service"` // share answered within the aim
-	Served    float64          `json:"served"`  // share answered at all
-	Attempts  float64          `json:"attempts"`
-	P50       float64          `json:"p50_ms"`
-	P99       float64          `json:"p99_ms"`
-	P999      float64          `json:"p999_ms"`
-	Bookings  float64          `json:"bookings"`     // share of HTTP requests that were served; 0 without any
-	LastSent  float64          `json:"last_sent_ms"` // the last query to a resolver after it was told out, 0 for none
+	Scenario string  `json:"scenario"`
+	Through  Through `json:"through"`
+	Asked    int     `json:"asked"`
+	Service  float64 `json:"service"` // share of queries served within the latency objective
+	Served   float64 `json:"served"`  // share of queries served at any time
+	Attempts float64 `json:"attempts"`
+	P50      float64 `json:"p50_ms"`
+	P99      float64 `json:"p99_ms"`
+	P999     float64 `json:"p999_ms"`
+	Bookings float64 `json:"bookings"` // share of HTTP requests that were served; 0 if none were sent
+	// LastSent is the delay of the last query to a resolver after discovery had announced its drain or removal; 0 for
+	// none.
+	LastSent  float64          `json:"last_sent_ms"`
 	Truncated int64            `json:"truncated"`
-	Stray     int64            `json:"stray"` // messages to clients that were no answer to anything
-	Flooded   int64            `json:"flooded"`
+	Stray     int64            `json:"stray"`   // messages to clients that match no query
+	Flooded   int64            `json:"flooded"` // queries of the flood
 	Verdict   *checker.Verdict `json:"verdict"`
-	Missed    []string         `json:"missed"`
+	Missed    []string         `json:"missed"` // requirements that were not met; always empty without the sidecar
 }
 
-// Options of a run.
+// Options are the options of a run.
 type Options struct {
 	Seed    uint64
-	Through Through
-	Log     *slog.Logger
+	Through Through      // empty: Sidecar
+	Log     *slog.Logger // of the sidecar; nil: discarded
 }
 
+// lab is the state of a run.
 type lab struct {
-	s         *Scenario
-	front     string // where clients ask
-	begun     time.Time
-	wg        sync.WaitGroup
-	stray     atomic.Int64
-	truncated atomic.Int64
+	scenario         *Scenario
+	frontAddr        string // address to which clients send queries
+	startedAt        time.Time
+	wg               sync.WaitGroup
+	strayMessages    atomic.Int64
+	truncatedAnswers atomic.Int64
 
-	mu        sync.Mutex
-	ref       *checker.Checker
-	sends     int
-	outAt     map[int32]time.Time // resolvers that were told out
-	lastSent  time.Duration
-	latencies *hdrhistogram.Histogram
-	inTime    int
-	answered  int
-	resolvers []*resolver
+	mu                 sync.Mutex
+	checker            *checker.Checker
+	queriesAtResolvers int
+	withdrawnAt        map[int32]time.Time // by resolver: when discovery announced that it drains or is removed
+	lastSent           time.Duration
+	latencies          *hdrhistogram.Histogram
+	servedInTime       int
+	servedCount        int
+	resolvers          []*resolver
 }
 
-// note passes an event to the referee, in the order in which things happened.
-func (l *lab) note(e trace.Event) {
+// report passes an event to the checker with the present time. Any goroutine may call it; events arrive in the order of
+// their times.
+func (l *lab) report(e trace.Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	e.At = now.Sub(l.begun).Microseconds()
+	e.At = now.Sub(l.startedAt).Microseconds()
 	if e.Kind == trace.Sent {
-		l.sends++
-		if at, out := l.outAt[e.Server]; out {
+		l.queriesAtResolvers++
+		if at, out := l.withdrawnAt[e.Server]; out {
 			l.lastSent = max(l.lastSent, now.Sub(at))
 		}
 	}
-	l.ref.Take(e)
+	l.checker.Take(e)
 }
 
-func (l *lab) served(took time.Duration) {
+// recordServed counts a query that was served.
+func (l *lab) recordServed(latency time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.answered++
-	if took <= time.Duration(l.s.Front.Aim) {
-		l.inTime++
+	l.servedCount++
+	if latency <= time.Duration(l.scenario.Front.Aim) {
+		l.servedInTime++
 	}
-	l.latencies.RecordValue(took.Microseconds())
+	l.latencies.RecordValue(latency.Microseconds())
 }
 
-// after does something later, unless the run has ended by then.
-func (l *lab) after(wait time.Duration, do func()) {
+// after runs an action on another goroutine after a delay. The run does not end before it.
+func (l *lab) after(delay time.Duration, action func()) {
 	l.wg.Add(1)
-	time.AfterFunc(wait, func() { defer l.wg.Done(); do() })
+	time.AfterFunc(delay, func() { defer l.wg.Done(); action() })
 }
 
-// Run plays a scenario.
+// Run runs a scenario in real time and returns its figures with the checker's verdict.
 func Run(ctx context.Context, s *Scenario, o Options) (*Result, error) {
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
@@ -131,18 +137,19 @@
 	if o.Through == "" {
 		o.Through = Sidecar
 	}
-	l := &lab{s: s, begun: time.Now(), outAt: map[int32]time.Time{}, latencies: hdrhistogram.New(1, 60_000_000, 3),
-		ref: checker.New(checker.Settings{NonIdempotent: []bool{false, true}, DrainGrace: grace.Microseconds(),
+	l := &lab{scenario: s, startedAt: time.Now(), withdrawnAt: map[int32]time.Time{},
+		latencies: hdrhistogram.New(1, 60_000_000, 3),
+		checker: checker.New(checker.Settings{NonIdempotent: []bool{false, true}, DrainGrace: drainGrace.Microseconds(),
 			ClockSlack: drainSlack.Microseconds(), OverloadMultiple: fallMultiple, OverloadWindow: overloadFor.Microseconds()})}
-	late := map[int]bool{} // not in the list at the start
+	joinsLater := map[int]bool{} // resolvers that are not in the list at the start
 	for _, f := range s.Faults {
 		if f.Kind == "join" {
 			for id := range f.Resolvers {
-				late[id] = true
+				joinsLater[id] = true
 			}
 		}
 	}
-	board := &board{changed: make(chan struct{})}
+	disc := &discoveryServer{changed: make(chan struct{})}
 	defer func() {
 		for _, r := range l.resolvers {
 			r.close()
@@ -150,316 +157,334 @@
 	}()
 	for _, kind := range s.Resolvers {
 		for range kind.Count {
-			r, err := newResolver(len(l.resolvers), kind, s.Link, o.Seed, l.note)
+			r, err := newResolver(len(l.resolvers), kind, s.Link, o.Seed, l.report)
 			if err != nil {
 				return nil, err
 			}
 			l.resolvers = append(l.resolvers, r)
-			if !late[r.id] {
-				board.put(r, "up", 0)
+			if !joinsLater[r.id] {
+				disc.setInstance(r, "up", 0)
 			}
 		}
 	}
 	run, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var shop *bookings
-	end := func() {}
+	var traffic *httpTraffic
+	stop := func() {}
 	switch o.Through {
 	case Sidecar:
 		var err error
-		if shop, end, err = l.sidecar(run, board, o); err != nil {
+		if traffic, stop, err = l.startSidecar(run, disc, o); err != nil {
 			return nil, err
 		}
 	case Plain:
-		p, err := newPlain(l.resolvers)
+		p, err := newPlainForwarder(l.resolvers)
 		if err != nil {
 			return nil, err
 		}
-		l.front, end = p.addr, p.close
+		l.frontAddr, stop = p.addr, p.close
 	case Direct:
-		l.front = l.resolvers[0].addr
+		l.frontAddr = l.resolvers[0].addr
 	}
-	if err := l.play(ctx, board, shop, o); err != nil {
-		end()
+	if err := l.play(ctx, disc, traffic, o); err != nil {
+		stop()
 		return nil, err
 	}
-	end()
+	stop()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	v := l.ref.Finish(time.Since(l.begun).Microseconds())
-	asked := max(1, v.Counts.Requests)
-	res := &Result{Scenario: s.Name, Through: o.Through, Asked: v.Counts.Requests, Service: float64(l.inTime) / float64(asked),
-		Served: float64(l.answered) / float64(asked), Attempts: float64(l.sends) / float64(asked),
-		P50: ms(l.latencies.ValueAtQuantile(50)), P99: ms(l.latencies.ValueAtQuantile(99)), P999: ms(l.latencies.ValueAtQuantile(99.9)),
-		LastSent: ms(l.lastSent.Microseconds()), Truncated: l.truncated.Load(), Stray: l.stray.Load(), Verdict: v}
-	if shop != nil {
-		res.Bookings, res.Flooded = shop.share(), shop.flooded.Load()
+	verdict := l.checker.Finish(time.Since(l.startedAt).Microseconds())
+	requests := max(1, verdict.Counts.Requests)
+	result := &Result{Scenario: s.Name, Through: o.Through, Asked: verdict.Counts.Requests,
+		Service: float64(l.servedInTime) / float64(requests),
+		Served:  float64(l.servedCount) / float64(requests), Attempts: float64(l.queriesAtResolvers) / float64(requests),
+		P50: toMillis(l.latencies.ValueAtQuantile(50)), P99: toMillis(l.latencies.ValueAtQuantile(99)),
+		P999:     toMillis(l.latencies.ValueAtQuantile(99.9)),
+		LastSent: toMillis(l.lastSent.Microseconds()), Truncated: l.truncatedAnswers.Load(), Stray: l.strayMessages.Load(),
+		Verdict: verdict}
+	if traffic != nil {
+		result.Bookings, result.Flooded = traffic.servedShare(), traffic.floodQueries.Load()
 	}
 	if o.Through == Sidecar {
-		if !v.Passed() {
-			res.Missed = append(res.Missed, v.String())
+		if !verdict.Passed() {
+			result.Missed = append(result.Missed, verdict.String())
 		}
-		if res.Service < s.Keep.Service {
-			res.Missed = append(res.Missed, fmt.Sprintf("service %.3f is under %.3f", res.Service, s.Keep.Service))
+		if result.Service < s.Keep.Service {
+			result.Missed = append(result.Missed, fmt.Sprintf("service %.3f is under %.3f", result.Service, s.Keep.Service))
 		}
-		if s.Keep.Attempts > 0 && res.Attempts > s.Keep.Attempts {
-			res.Missed = append(res.Missed, fmt.Sprintf("attempts %.3f are over %.3f", res.Attempts, s.Keep.Attempts))
+		if s.Keep.Attempts > 0 && result.Attempts > s.Keep.Attempts {
+			result.Missed = append(result.Missed, fmt.Sprintf("attempts %.3f are over %.3f", result.Attempts, s.Keep.Attempts))
 		}
 	}
-	return res, nil
+	return result, nil
 }
 
-func ms(us int64) float64 { return float64(us) / 1000 }
+func toMillis(us int64) float64 { return float64(us) / 1000 }
 
-// play asks, and brings the faults, until the scenario ends and every query has.
-func (l *lab) play(ctx context.Context, b *board, shop *bookings, o Options) error {
-	var udp, tcp []*caller
-	for range l.s.Load.Sockets {
-		k, err := l.newCaller(false)
+// play sends the scenario's traffic and injects its faults. It returns after the scenario's length when every query has
+// ended. disc is the stub discovery server; traffic is nil unless the sidecar is measured.
+func (l *lab) play(ctx context.Context, disc *discoveryServer, traffic *httpTraffic, o Options) error {
+	var udp, tcp []*clientSocket
+	for range l.scenario.Load.Sockets {
+		socket, err := l.newClientSocket(false)
 		if err != nil {
 			return err
 		}
-		udp = append(udp, k)
+		udp = append(udp, socket)
 	}
-	if l.s.Load.TCP > 0 || l.s.Load.Update > 0 {
+	if l.scenario.Load.TCP > 0 || l.scenario.Load.Update > 0 {
 		for range 4 {
-			k, err := l.newCaller(true)
+			socket, err := l.newClientSocket(true)
 			if err != nil {
 				return err
 			}
-			tcp = append(tcp, k)
+			tcp = append(tcp, socket)
 		}
 	}
-	for _, f := range l.s.Faults {
-		l.after(time.Duration(f.At), func() { l.fault(b, f, true) })
+	for _, f := range l.scenario.Faults {
+		l.after(time.Duration(f.At), func() { l.setFault(disc, f, true) })
 		if f.For > 0 {
-			l.after(time.Duration(f.At+f.For), func() { l.fault(b, f, false) })
+			l.after(time.Duration(f.At+f.For), func() { l.setFault(disc, f, false) })
 		}
 	}
-	beside, cancel := context.WithCancel(ctx)
+	trafficCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	if shop != nil {
-		l.wg.Go(func() { shop.book(beside, l.s.Load.Bookings) })
-		l.wg.Go(func() { shop.flood(beside, l.front, l.s.Load.Flood) })
+	if traffic != nil {
+		l.wg.Go(func() { traffic.sendRequests(trafficCtx, l.scenario.Load.Bookings) })
+		l.wg.Go(func() { traffic.flood(trafficCtx, l.frontAddr, l.scenario.Load.Flood) })
 	}
 	rng := rand.New(rand.NewPCG(o.Seed, 0x646e73))
-	var n uint64
-	for begun, next := time.Now(), time.Duration(0); next < time.Duration(l.s.Length); {
-		if wait := time.Until(begun.Add(next)); wait > 0 {
+	var number uint64
+	for startedAt, next := time.Now(), time.Duration(0); next < time.Duration(l.scenario.Length); {
+		if wait := time.Until(startedAt.Add(next)); wait > 0 {
 			select {
 			case <-time.After(wait):
 			case <-ctx.Done():
 				return ctx.Err()
 			}
 		}
-		n++
-		kind, from := "a", udp
-		if rng.Float64() < l.s.Load.Big {
+		number++
+		kind, sockets := "a", udp
+		if rng.Float64() < l.scenario.Load.Big {
 			kind = "big"
 		}
-		if rng.Float64() < l.s.Load.TCP {
-			from = tcp
+		if rng.Float64() < l.scenario.Load.TCP {
+			sockets = tcp
 		}
-		if rng.Float64() < l.s.Load.Update {
-			kind, from = "update", tcp
+		if rng.Float64() < l.scenario.Load.Update {
+			kind, sockets = "update", tcp
 		}
-		from[rng.IntN(len(from))].ask(n, kind)
-		next += time.Duration(rng.ExpFloat64() / l.s.Load.Rate * float64(time.Second))
+		sockets[rng.IntN(len(sockets))].send(number, kind)
+		next += time.Duration(rng.ExpFloat64() / l.scenario.Load.Rate * float64(time.Second))
 	}
 	cancel()
-	time.Sleep(time.Duration(l.s.Front.GiveUp) + giveUpSlack + afterwards)
-	for _, k := range append(udp, tcp...) {
-		k.conn.Close()
+	time.Sleep(time.Duration(l.scenario.Front.GiveUp) + giveUpSlack + duplicateWait)
+	for _, socket := range append(udp, tcp...) {
+		socket.conn.Close()
 	}
 	l.wg.Wait()
 	return nil
 }
 
-// fault begins or ends one.
-func (l *lab) fault(b *board, f Fault, on bool) {
+// setFault begins or ends a fault at the first resolvers.
+func (l *lab) setFault(disc *discoveryServer, f Fault, active bool) {
 	for _, r := range l.resolvers[:f.Resolvers] {
 		switch f.Kind {
 		case "drain", "remove":
 			state, told := "draining", trace.Draining
-			if f.Kind == "remove" || !on {
+			if f.Kind == "remove" || !active {
 				state, told = "removed", trace.Gone
 			}
-			if on {
-				l.note(trace.Event{Kind: trace.Told, Server: int32(r.id), State: told})
+			if active {
+				l.report(trace.Event{Kind: trace.Told, Server: int32(r.id), State: told})
 				l.mu.Lock()
-				l.outAt[int32(r.id)] = time.Now()
+				l.withdrawnAt[int32(r.id)] = time.Now()
 				l.mu.Unlock()
 			}
-			b.put(r, state, 0)
+			disc.setInstance(r, state, 0)
 		case "join":
 			now := time.Now()
-			l.note(trace.Event{Kind: trace.Started, Server: int32(r.id), Capacity: r.kind.Capacity * 1e6, ColdFrom: coldFrom, ColdFor: coldFor.Microseconds()})
-			b.put(r, "up", now.UnixMilli())
+			l.report(trace.Event{Kind: trace.Started, Server: int32(r.id), Capacity: r.kind.Capacity * 1e6, ColdFrom: coldFrom,
+				ColdFor: coldFor.Microseconds()})
+			disc.setInstance(r, "up", now.UnixMilli())
 		default:
-			r.set(f.Kind, on)
+			r.setFault(f.Kind, active)
 		}
 	}
 }
 
-// ---- The sidecar -----------------------------------------------------------
-
 const (
-	grace        = 250 * time.Millisecond
+	drainGrace   = 250 * time.Millisecond
 	fallMultiple = 2.5
 	overloadFor  = 2 * time.Second
 )
 
-// settings are the site's: one class of bookings, and the contract.
-const settings = `{"peers-total":1,"areas":["a"],"skus":["m1"],"discovery":"automatic",
+// sidecarSettings are the settings of the sidecar under test: one class of HTTP requests for bookings, and a contract
+// that agrees with the constants of this package.
+const sidecarSettings = `{"peers-total":1,"areas":["a"],"skus":["m1"],"discovery":"automatic",
 	"classes":[{"name":"confirm","repeat":"side_effect","target":500000,"give-up":1000000,"credit":10.0}],
 	"contract":{"drain-grace":250000,"cold-from":0.2,"ramp-time":10000000,"fall-multiple":2.5,"overload-for":2000000,
 	"ask-within":10000000},
 	"limits":{"cancel":true,"probes":false,"second-copies":true,"retry-after":true,"most-tries":3,"most-held":2000,
 	"max-retry-after":400000,"dial-timeout":1000000,"keepalive":15000000}}`
 
-type given struct{ net.Listener }
+// openListener is a listener that is passed to the sidecar already open.
+type openListener struct{ net.Listener }
 
-// Listen returns it.
-func (g given) Listen() (net.Listener, error) { return g.Listener, nil }
+// Listen returns the listener itself.
+func (g openListener) Listen() (net.Listener, error) { return g.Listener, nil }
 
-type givenPacket struct{ *net.UDPConn }
+// openPacketConn is a UDP socket that is passed to the sidecar already open.
+type openPacketConn struct{ *net.UDPConn }
 
-// ListenPacket returns it.
-func (g givenPacket) ListenPacket() (*net.UDPConn, error) { return g.UDPConn, nil }
+// ListenPacket returns the socket itself.
+func (g openPacketConn) ListenPacket() (*net.UDPConn, error) { return g.UDPConn, nil }
 
-// sidecar starts the real one, with a stand-in for bookings.
-func (l *lab) sidecar(ctx context.Context, b *board, o Options) (*bookings, func(), error) {
-	shop, err := newBookings()
+// startSidecar runs the real sidecar in this process, with a stub HTTP server for bookings, and waits until its DNS
+// front answers. The function that it returns ends both.
+func (l *lab) startSidecar(ctx context.Context, disc *discoveryServer, o Options) (*httpTraffic, func(), error) {
+	traffic, err := newHTTPTraffic()
 	if err != nil {
 		return nil, nil, err
 	}
-	b.list = append(b.list, discovery.Instance{ID: "shop", Addr: shop.addr, Zone: "a", Kind: "m1", Lifecycle: "up", Weight: 1})
-	web, err := net.Listen("tcp", "127.0.0.1:0")
+	disc.instances = append(disc.instances, discovery.Instance{ID: "shop", Addr: traffic.addr, Zone: "a", Kind: "m1",
+		Lifecycle: "up", Weight: 1})
+	discoveryListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, nil, err
 	}
-	go http.Serve(web, b)
-	listen, err := net.Listen("tcp", "127.0.0.1:0")
+	go http.Serve(discoveryListener, disc)
+	httpListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, nil, err
 	}
-	udp, tcp, err := listenBoth()
+	udp, tcp, err := listenUDPAndTCP()
 	if err != nil {
 		return nil, nil, err
 	}
-	l.front = udp.LocalAddr().String()
+	l.frontAddr = udp.LocalAddr().String()
 	dir, err := os.MkdirTemp("", "birchmoor-dns-")
 	if err != nil {
 		return nil, nil, err
 	}
-	b.mu.Lock()
-	text, err := json.Marshal(map[string]any{"name": "n0", "listen": listen.Addr().String(), "discovery": web.Addr().String(),
-		"seed": fmt.Sprintf("%x", o.Seed), "limits": map[string]int{"memory_mb": 512, "sockets": 16384},
-		"known":    discovery.List{Generation: b.generation, Reset: true, Instances: b.list},
-		"settings": json.RawMessage(settings)})
-	b.mu.Unlock()
+	disc.mu.Lock()
+	configText, err := json.Marshal(map[string]any{"name": "n0", "listen": httpListener.Addr().String(),
+		"discovery": discoveryListener.Addr().String(),
+		"seed":      fmt.Sprintf("%x", o.Seed), "limits": map[string]int{"memory_mb": 512, "sockets": 16384},
+		"known":    discovery.List{Generation: disc.generation, Reset: true, Instances: disc.instances},
+		"settings": json.RawMessage(sidecarSettings)})
+	disc.mu.Unlock()
 	if err != nil {
 		return nil, nil, err
 	}
 	path := dir + "/config.json"
-	if err := os.WriteFile(path, text, 0o600); err != nil {
+	if err := os.WriteFile(path, configText, 0o600); err != nil {
 		return nil, nil, err
 	}
-	read := func() (*config.Config, error) {
+	readConfig := func() (*config.Config, error) {
 		return config.Read(func(name string) string { return map[string]string{"ROUTER_CONFIG": path}[name] })
 	}
-	c, err := read()
+	conf, err := readConfig()
 	if err != nil {
 		return nil, nil, err
 	}
-	f := &dnsfront.Front{Settings: l.frontSettings(), Sockets: dnsfront.Sockets{UDP: givenPacket{udp}, TCP: given{tcp}}}
+	front := &dnsfront.Front{Settings: l.frontSettings(), Sockets: dnsfront.Sockets{UDP: openPacketConn{udp},
+		TCP: openListener{tcp}}}
 	run, stop := context.WithCancel(ctx)
 	ended := make(chan error, 1)
 	go func() {
-		ended <- sidecar.Run(run, c, sidecar.Host{Socket: given{listen}, Overrides: maintenance.Discard{}, Protocols: []core.Protocol{f},
-			Reload: make(chan os.Signal), ReadConfig: read, Log: o.Log})
+		ended <- sidecar.Run(run, conf, sidecar.Host{Socket: openListener{httpListener}, Overrides: maintenance.Discard{},
+			Protocols: []core.Protocol{front},
+			Reload:    make(chan os.Signal), ReadConfig: readConfig, Log: o.Log})
 	}()
-	shop.front = "http://" + listen.Addr().String()
+	traffic.sidecarURL = "http://" + httpListener.Addr().String()
 	end := func() {
 		stop()
 		<-ended
-		web.Close()
-		shop.close()
+		discoveryListener.Close()
+		traffic.close()
 		os.RemoveAll(dir)
 	}
-	for until := time.Now().Add(readyWait); ; {
-		m := new(dns.Msg).SetQuestion("ready.invalid.", dns.TypeA) // of no class: refused, but by the front
-		if r, _, err := (&dns.Client{Timeout: 100 * time.Millisecond}).Exchange(m, l.front); err == nil && r.Rcode == dns.RcodeRefused {
-			return shop, end, nil
+	for giveUpAt := time.Now().Add(readyTimeout); ; {
+		msg := new(dns.Msg).SetQuestion("ready.invalid.", dns.TypeA) // belongs to no class: the front itself refuses it
+		if reply, _, err := (&dns.Client{Timeout: 100 * time.Millisecond}).Exchange(msg, l.frontAddr); err == nil &&
+			reply.Rcode == dns.RcodeRefused {
+			return traffic, end, nil
 		}
-		if time.Now().After(until) {
+		if time.Now().After(giveUpAt) {
 			end()
-			return nil, nil, fmt.Errorf("the sidecar does not become ready")
+			return nil, nil, fmt.Errorf("the DNS front of the sidecar did not answer within the timeout")
 		}
 	}
 }
 
 func (l *lab) frontSettings() dnsfront.Settings {
-	or := func(v, fallback int) int {
+	orDefault := func(v, fallback int) int {
 		if v == 0 {
 			return fallback
 		}
 		return v
 	}
-	x := &l.s.Front
-	class := func(name string, ops ...int) dnsfront.Class {
-		return dnsfront.Class{Name: name, LatencyObjective: time.Duration(x.Aim), Timeout: time.Duration(x.GiveUp), PriorityWeight: 1, LatePriorityWeight: 0.5,
-			MaxAttempts: or(x.Attempts, 3), Route: route.Class{Suffixes: []string{"example.org"}, Opcodes: ops}}
-	}
-	open := or(x.Open, 2000)
-	return dnsfront.Settings{MaxSockets: or(x.Sockets, 512), MaxConnsPerServer: 2, MaxClientConns: 64, MaxQueriesPerConn: 256, IdleTimeout: 10 * time.Second,
-		Limit: limit.Settings{MaxOpen: open, MaxOpenPerPrefix: open, UnverifiedShare: 0.9, AnswersPerSecond: float64(or(x.Rate, 100_000)),
-			Burst: float64(or(x.Burst, 100_000)), TruncateEvery: 2, MaxPrefixes: 10_000},
+	front := &l.scenario.Front
+	class := func(name string, opcodes ...int) dnsfront.Class {
+		return dnsfront.Class{Name: name, LatencyObjective: time.Duration(front.Aim), Timeout: time.Duration(front.GiveUp),
+			PriorityWeight: 1, LatePriorityWeight: 0.5,
+			MaxAttempts: orDefault(front.Attempts, 3), Route: route.Class{Suffixes: []string{"example.org"}, Opcodes: opcodes}}
+	}
+	maxOpen := orDefault(front.Open, 2000)
+	return dnsfront.Settings{MaxSockets: orDefault(front.Sockets, 512), MaxConnsPerServer: 2, MaxClientConns: 64,
+		MaxQueriesPerConn: 256, IdleTimeout: 10 * time.Second,
+		Limit: limit.Settings{MaxOpen: maxOpen, MaxOpenPerPrefix: maxOpen, UnverifiedShare: 0.9,
+			AnswersPerSecond: float64(orDefault(front.Rate, 100_000)),
+			Burst:            float64(orDefault(front.Burst, 100_000)), TruncateEvery: 2, MaxPrefixes: 10_000},
 		Classes: []dnsfront.Class{class("lookup"), class("update", dns.OpcodeUpdate)}}
 }
 
-// board is the lab's discovery.
-type board struct {
+// discoveryServer is a stub discovery server that answers watches over HTTP.
+type discoveryServer struct {
 	mu         sync.Mutex
 	generation int64
-	list       []discovery.Instance
-	lines      [][]byte // as told, by generation
-	changed    chan struct{}
+	instances  []discovery.Instance
+	updates    [][]byte      // encoded updates; the first has generation 1
+	changed    chan struct{} // closed and replaced with each update
 }
 
-// put changes an entry, and tells everybody who watches.
-func (b *board) put(r *resolver, lifecycle string, started int64) {
+// setInstance adds or replaces the entry of a resolver and sends the update to all watches. startedMs is the start of
+// its process in Unix milliseconds, or 0 if that was long ago.
+func (b *discoveryServer) setInstance(r *resolver, lifecycle string, startedMs int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	in := discovery.Instance{ID: fmt.Sprintf("dns-%d", r.id), Addr: r.addr, Zone: "a", Kind: "m1", Lifecycle: lifecycle, Weight: 1,
-		StartedMs: started, Protocol: dnsfront.Protocol}
+	instance := discovery.Instance{ID: fmt.Sprintf("dns-%d", r.id), Addr: r.addr, Zone: "a", Kind: "m1",
+		Lifecycle: lifecycle, Weight: 1,
+		StartedMs: startedMs, Protocol: dnsfront.Protocol}
 	b.generation++
-	line, err := json.Marshal(discovery.List{Generation: b.generation, Instances: []discovery.Instance{in}})
+	line, err := json.Marshal(discovery.List{Generation: b.generation, Instances: []discovery.Instance{instance}})
 	if err != nil {
 		panic(err)
 	}
-	b.lines = append(b.lines, line)
-	for i := range b.list {
-		if b.list[i].ID == in.ID {
-			b.list[i] = in
-			in.ID = ""
+	b.updates = append(b.updates, line)
+	for i := range b.instances {
+		if b.instances[i].ID == instance.ID {
+			b.instances[i] = instance
+			instance.ID = ""
 		}
 	}
-	if in.ID != "" {
-		b.list = append(b.list, in)
+	if instance.ID != "" {
+		b.instances = append(b.instances, instance)
 	}
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
 
-// ServeHTTP answers a watch.
-func (b *board) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP answers a watch: it sends the updates after a generation, each on a line, until the client is gone. An
+// empty line each second keeps the watch alive.
+func (b *discoveryServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var after int
 	fmt.Sscan(r.FormValue("after"), &after)
 	for {
 		b.mu.Lock()
-		lines, changed := b.lines[min(max(0, after), len(b.lines)):], b.changed
-		after = len(b.lines)
+		lines, changed := b.updates[min(max(0, after), len(b.updates)):], b.changed
+		after = len(b.updates)
 		b.mu.Unlock()
 		for _, line := range lines {
 			w.Write(append(line, '\n'))
--- a/internal/lab/dnslab/scenario.go
+++ b/internal/lab/dnslab/scenario.go
@@ -1,8 +1,9 @@
-// Package dnslab plays name look-ups through the real sidecar on loopback: scripted resolvers behind lossy, reordering and
-// doubling links, clients that count every answer, a discovery that drains and removes, and the lab's referee over it all.
+// Package dnslab runs DNS queries through the real sidecar on loopback. Stub resolvers with injected faults are behind
+// links that lose, reorder and duplicate datagrams; clients check every answer; a stub discovery server drains and
+// removes resolvers; and the lab's checker verifies the rules over all of it.
 //
-// A request is known to all parties by its number, which its name holds, so that a resolver counts who asked it what and
-// a client sees an answer that is another's.
+// The name in each query contains the request's number. A resolver can thus report which request reached it, and a
+// client notices an answer that belongs to another request.
 package dnslab
 
 import (
@@ -14,17 +15,17 @@
 	"birchmoor/internal/platform/stricttoml"
 )
 
-// Dur is a duration, written as Go does.
+// Dur is a duration, written in scenario files in Go's format, such as "80ms".
 type Dur time.Duration
 
-// UnmarshalText reads one.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Dur) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	*d = Dur(v)
 	return err
 }
 
-// Scenario is a file of lab/dns.
+// Scenario is a scenario file of the folder lab/dns.
 type Scenario struct {
 	Name      string      `toml:"name"`
 	About     string      `toml:"about"`
@@ -37,35 +38,37 @@
 	Keep      Keep        `toml:"keep"`
 }
 
-// Load is what clients ask.
+// Load is the traffic of a scenario.
 type Load struct {
-	Rate       float64 `toml:"rate"`       // queries a second
-	TCP        float64 `toml:"tcp"`        // share that comes over TCP
-	Update     float64 `toml:"update"`     // share that are updates, which must not run twice
-	Big        float64 `toml:"big"`        // share whose answers do not fit into a datagram
-	Retransmit Dur     `toml:"retransmit"` // after which a client asks again with the same id; 0: never. It may cross an answer, and then gets another
-	Bookings   float64 `toml:"bookings"`   // HTTP requests a second beside
-	Flood      float64 `toml:"flood"`      // queries a second from a party that never reads answers
-	Sockets    int     `toml:"sockets"`    // of clients, over UDP
+	Rate   float64 `toml:"rate"`   // queries a second
+	TCP    float64 `toml:"tcp"`    // share of queries over TCP
+	Update float64 `toml:"update"` // share of dynamic updates, which must not run twice
+	Big    float64 `toml:"big"`    // share of queries whose answers do not fit into a datagram
+	// Retransmit is the delay after which a client sends an unanswered query over UDP again with the same id; 0: never. If
+	// the retransmission crosses the answer, the client receives a second answer.
+	Retransmit Dur     `toml:"retransmit"`
+	Bookings   float64 `toml:"bookings"` // HTTP requests a second through the same sidecar
+	Flood      float64 `toml:"flood"`    // queries a second from a source that never reads answers
+	Sockets    int     `toml:"sockets"`  // UDP sockets of clients; 0: 16
 }
 
-// Resolvers are some of a kind.
+// Resolvers is a group of stub resolvers with the same properties.
 type Resolvers struct {
 	Count    int     `toml:"count"`
-	Delay    Dur     `toml:"delay"`    // mean, of an answer
-	Capacity float64 `toml:"capacity"` // queries a second when warm; 0: no bound that counts
-	ServFail float64 `toml:"servfail"` // share of queries
-	Small    bool    `toml:"small"`    // answers over UDP have 512 bytes at most, whatever is asked for
+	Delay    Dur     `toml:"delay"`    // mean delay of an answer
+	Capacity float64 `toml:"capacity"` // queries a second when warm, for the checker's rule on cold servers; 0: unlimited
+	ServFail float64 `toml:"servfail"` // share of queries that are answered with SERVFAIL
+	Small    bool    `toml:"small"`    // ignores EDNS: answers over UDP have at most 512 bytes
 }
 
-// Link is the network between the sidecar and each resolver, each way, for datagrams.
+// Link is the network between the sidecar and each resolver. It applies to datagrams in each direction.
 type Link struct {
-	Loss   float64 `toml:"loss"`
-	Double float64 `toml:"double"`
-	Jitter Dur     `toml:"jitter"` // by which datagrams overtake each other
+	Loss   float64 `toml:"loss"`   // share of lost datagrams
+	Double float64 `toml:"double"` // share of duplicated datagrams, of those that are not lost
+	Jitter Dur     `toml:"jitter"` // mean random delay, by which datagrams overtake each other
 }
 
-// Front is what the sidecar's [dns] is told otherwise.
+// Front overrides settings of the sidecar's DNS front; 0 keeps the lab's default.
 type Front struct {
 	Aim      Dur `toml:"aim"`
 	GiveUp   Dur `toml:"give_up"`
@@ -76,34 +79,34 @@
 	Burst    int `toml:"burst"`
 }
 
-// Fault is what happens to the first resolvers.
+// Fault is a fault that is injected into the first resolvers of the scenario.
 type Fault struct {
 	Kind      string `toml:"kind"`
 	At        Dur    `toml:"at"`
-	For       Dur    `toml:"for"` // 0: to the end
-	Resolvers int    `toml:"resolvers"`
+	For       Dur    `toml:"for"`       // 0: until the end of the run
+	Resolvers int    `toml:"resolvers"` // how many
 }
 
-// The kinds of fault, and what a resolver does meanwhile.
+// faultKinds describes, for each kind of fault, what happens to a resolver while the fault is in force.
 var faultKinds = map[string]string{
-	"drain":    "is told to drain, and removed after it",
+	"drain":    "is draining, and removed from the list when the fault ends",
 	"remove":   "is removed from the list",
-	"join":     "is not in the list before, and starts cold",
-	"silent":   "answers nothing",
+	"join":     "joins the list when the fault begins, and starts cold",
+	"silent":   "answers no query",
 	"tcp-dead": "does not accept connections",
 	"closes":   "closes connections with queries in flight",
-	"foreign":  "answers every query with somebody else's question",
-	"forged":   "is impersonated: each true answer comes behind one with a guessed id, and one with another name",
+	"foreign":  "answers every query with the question of another one",
+	"forged":   "is impersonated: a forged answer with a guessed id and one with another name precede each genuine answer",
 	"servfail": "answers SERVFAIL",
 }
 
-// Keep is what a run must reach.
+// Keep holds the requirements on a run.
 type Keep struct {
-	Service  float64 `toml:"service"`       // share answered within the aim
-	Attempts float64 `toml:"attempts_most"` // queries at resolvers for each of clients
+	Service  float64 `toml:"service"`       // least share of queries served within the latency objective
+	Attempts float64 `toml:"attempts_most"` // most queries that reach resolvers for each query of a client; 0: unlimited
 }
 
-// Read reads a scenario, and names every fault of it.
+// Read reads a scenario and fills in defaults. The error lists all invalid keys.
 func Read(path string) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -113,48 +116,50 @@
 	if err := stricttoml.Decode(path, "DNS scenarios", text, s); err != nil {
 		return nil, err
 	}
-	return s, s.fill(path)
+	return s, s.check(path)
 }
 
-func (s *Scenario) fill(path string) error {
-	var faults []error
-	need := func(ok bool, key, reason string, args ...any) {
+// check validates the scenario that was read from path, and fills in defaults.
+func (s *Scenario) check(path string) error {
+	var errs []error
+	require := func(ok bool, key, reason string, args ...any) {
 		if !ok {
-			faults = append(faults, &stricttoml.Error{Path: path, Key: key, Reason: fmt.Sprintf(reason, args...)})
+			errs = append(errs, &stricttoml.Error{Path: path, Key: key, Reason: fmt.Sprintf(reason, args...)})
 		}
 	}
-	need(s.Name != "", "name", "is missing")
-	need(s.Length > 0 && s.Length <= Dur(10*time.Minute), "length", "is not within 0 and 10m")
-	need(s.Load.Rate > 0 && s.Load.Rate <= 100_000, "load.rate", "%g is not within 0 and 100000", s.Load.Rate)
-	for _, x := range []struct {
+	require(s.Name != "", "name", "is missing")
+	require(s.Length > 0 && s.Length <= Dur(10*time.Minute), "length", "is not within 0 and 10m")
+	require(s.Load.Rate > 0 && s.Load.Rate <= 100_000, "load.rate", "%g is not within 0 and 100000", s.Load.Rate)
+	for _, share := range []struct {
 		key string
 		v   float64
 	}{{"load.tcp", s.Load.TCP}, {"load.update", s.Load.Update}, {"load.big", s.Load.Big}, {"link.loss", s.Link.Loss},
 		{"link.double", s.Link.Double}, {"keep.service", s.Keep.Service}} {
-		need(x.v >= 0 && x.v <= 1, x.key, "%g is not within 0 and 1", x.v)
+		require(share.v >= 0 && share.v <= 1, share.key, "%g is not within 0 and 1", share.v)
 	}
-	total := 0
+	resolverCount := 0
 	for i := range s.Resolvers {
 		r := &s.Resolvers[i]
-		need(r.Count >= 1 && r.Count <= 64, fmt.Sprintf("resolver[%d].count", i), "%d is not within 1 and 64", r.Count)
-		total += r.Count
+		require(r.Count >= 1 && r.Count <= 64, fmt.Sprintf("resolver[%d].count", i), "%d is not within 1 and 64", r.Count)
+		resolverCount += r.Count
 	}
-	need(total > 0, "resolver", "at least one is needed")
+	require(resolverCount > 0, "resolver", "at least one is needed")
 	for i, f := range s.Faults {
-		at := fmt.Sprintf("fault[%d].", i)
-		need(faultKinds[f.Kind] != "", at+"kind", "%q is not known", f.Kind)
-		need(f.Resolvers >= 1 && f.Resolvers <= total, at+"resolvers", "%d is not within 1 and %d", f.Resolvers, total)
-		need(f.At >= 0 && f.At < s.Length, at+"at", "is not within the run")
+		keyPrefix := fmt.Sprintf("fault[%d].", i)
+		require(faultKinds[f.Kind] != "", keyPrefix+"kind", "%q is not known", f.Kind)
+		require(f.Resolvers >= 1 && f.Resolvers <= resolverCount, keyPrefix+"resolvers", "%d is not within 1 and %d",
+			f.Resolvers, resolverCount)
+		require(f.At >= 0 && f.At < s.Length, keyPrefix+"at", "is not within the run")
 	}
-	set := func(v *Dur, to time.Duration) {
+	setDefault := func(v *Dur, to time.Duration) {
 		if *v == 0 {
 			*v = Dur(to)
 		}
 	}
-	set(&s.Front.Aim, 250*time.Millisecond)
-	set(&s.Front.GiveUp, 2*time.Second)
+	setDefault(&s.Front.Aim, 250*time.Millisecond)
+	setDefault(&s.Front.GiveUp, 2*time.Second)
 	if s.Load.Sockets == 0 {
 		s.Load.Sockets = 16
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
