--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -15,35 +15,38 @@
 	"birchmoor/internal/store/replica"
 )
 
-// Fault is one that a run may end with.
+// Fault is a kind of fault that a run can inject after its other phases.
 type Fault struct {
 	Name  string
 	About string
-	// play does it, and returns once all may come to be right again: from when on that counts, and what is put in order afterwards.
-	play func(ctx context.Context, r *run) (what string, at time.Time, after func(context.Context) error, err error)
+	// play injects the fault and returns when the fleet can converge again. The time of convergence counts from endedAt.
+	// restore undoes what remains of the fault after the measurement; it may be nil. play is nil for "start", which
+	// replaces the staggered start of the sidecars.
+	play func(ctx context.Context, r *run) (what string, endedAt time.Time, restore func(context.Context) error, err error)
 }
 
-// Faults are all kinds.
+// Faults lists all kinds of fault.
 var Faults = []Fault{
-	{"start", "all sidecars begin at once, in the place of the slow start", nil},
-	{"leader", "the replica that leads is killed; it starts again once all are right", leaderLost},
-	{"rack", "the sidecars of a rack are lost at once, and back at once", rackLost},
-	{"zone", "a zone is lost with its replica, and back at once", zoneLost},
-	{"restarts", "sidecars and their servers are restarted, one after the other", restarted},
-	{"lag", "half of the sidecars are stopped until they must take the whole copy again", lagged},
-	{"region", "a region is cut off while settings change on the other side", regionCut},
-	{"replica", "a replica's machine is replaced by an empty one", replicaReplaced},
+	{"start", "all sidecars start at once instead of at a rate", nil},
+	{"leader", "the leader is killed; it starts again when the fleet has converged", killLeader},
+	{"rack", "the sidecars of a rack are killed at once, and start again at once", loseRack},
+	{"zone", "the sidecars and replicas of a zone are killed at once, and start again at once", loseZone},
+	{"restarts", "sidecars and their servers are restarted, one after the other", restartSidecars},
+	{"lag", "half of the sidecars are stopped until they need a snapshot to catch up", stopHalf},
+	{"region", "a region is cut off while settings change in the others", cutRegion},
+	{"replica", "a replica loses its disk, is removed and added again", replaceReplica},
 }
 
 const (
-	lostFor    = 10 * time.Second // two sessions
-	cutFor     = 20 * time.Second
-	tailFor    = 12 * time.Second // that are counted behind a fault: who began anew puts its first picture
-	restartsOf = 30               // so many
-	lagBytes   = 64 << 10
+	outageDuration    = 10 * time.Second // twice the TTL of a session
+	partitionDuration = 20 * time.Second
+	// measured after convergence, so that restarted sidecars save their first module snapshot
+	settleDuration = 12 * time.Second
+	restartCount   = 30
+	lagValueBytes  = 64 << 10 // size of each value that is written while sidecars are stopped
 )
 
-// FaultNames lists them.
+// FaultNames returns the names of all kinds of fault.
 func FaultNames() (all []string) {
 	for _, f := range Faults {
 		all = append(all, f.Name)
@@ -51,7 +54,8 @@
 	return all
 }
 
-func faultOf(name string) *Fault {
+// findFault returns the fault with a name, or nil.
+func findFault(name string) *Fault {
 	for i := range Faults {
 		if Faults[i].Name == name {
 			return &Faults[i]
@@ -60,25 +64,26 @@
 	return nil
 }
 
-// fault plays one.
-func (r *run) fault(ctx context.Context, f *Fault, x *Result) error {
-	r.say("fault %s", f.Name)
-	r.meter.begin(ctx)
-	what, at, after, err := f.play(ctx, r)
+// injectFault injects a fault and measures the fleet until it has converged again.
+func (r *run) injectFault(ctx context.Context, f *Fault, result *Result) error {
+	r.progress("injecting fault %s", f.Name)
+	r.sampler.start(ctx)
+	what, faultEndedAt, restore, err := f.play(ctx, r)
 	if err != nil {
-		r.meter.end()
+		r.sampler.stop()
 		return fmt.Errorf("fault %s: %w", f.Name, err)
 	}
-	took, missed := r.right(ctx, at, rightMost)
-	if pause(ctx, tailFor); after != nil { // what comes of it counts, too
-		err = after(ctx)
+	convergence, notConverged := r.waitConverged(ctx, faultEndedAt, convergeTimeout)
+	if sleep(ctx, settleDuration); restore != nil { // the consequences of the fault are measured, too
+		err = restore(ctx)
 	}
-	s := r.meter.end()
-	x.Fault = &FaultResult{Name: f.Name, What: what, Right: took.Seconds(), Copies: s.counts().In["snapshots"], Seconds: s.seconds(), Roles: s.roles()}
-	if missed != nil {
-		x.Fault.Missed = missed.Error()
+	sampled := r.sampler.stop()
+	result.Fault = &FaultResult{Name: f.Name, What: what, Right: convergence.Seconds(),
+		Copies: sampled.counts().In["snapshots"], Seconds: sampled.seconds(), Roles: sampled.roles()}
+	if notConverged != nil {
+		result.Fault.Missed = notConverged.Error()
 	} else {
-		r.say("%s: %s; all are right %.1f s after", f.Name, what, took.Seconds())
+		r.progress("fault %s: %s; all sidecars have converged %.1f s after it", f.Name, what, convergence.Seconds())
 	}
 	if ctx.Err() != nil {
 		return ctx.Err()
@@ -86,122 +91,127 @@
 	return err
 }
 
-// aside has operators ask a replica that a fault does not touch.
-func (r *run) aside(touched ...*fleetlab.Daemon) {
+// avoidForAdmin makes the run send its changes to the first replica that is not in touched, if there is one.
+func (r *run) avoidForAdmin(touched ...*fleetlab.Daemon) {
 	for i, d := range r.replicas() {
 		if !slices.Contains(touched, d) {
-			r.entry.Store(int64(i))
+			r.adminReplica.Store(int64(i))
 			return
 		}
 	}
 }
 
-func leaderLost(ctx context.Context, r *run) (string, time.Time, func(context.Context) error, error) {
+func killLeader(ctx context.Context, r *run) (string, time.Time, func(context.Context) error, error) {
 	d := r.fleet.Leader()
-	r.aside(d)
-	at := time.Now()
+	r.avoidForAdmin(d)
+	killedAt := time.Now()
 	d.Kill()
-	return d.Name() + " was killed", at, fleetlab.Again(d), nil
+	return d.Name() + " was killed", killedAt, fleetlab.Again(d), nil
 }
 
-// lost kills hollow processes, and has them start again after a while.
-func (r *run) lost(ctx context.Context, all []*process, daemons []*fleetlab.Daemon) (at time.Time, err error) {
-	for _, p := range all {
+// loseProcesses kills stub processes and daemons, and starts them again after outageDuration. It returns the time at
+// which it began to start them.
+func (r *run) loseProcesses(
+	ctx context.Context, processes []*process, daemons []*fleetlab.Daemon,
+) (restartedAt time.Time, err error) {
+	for _, p := range processes {
 		p.kill()
 	}
 	for _, d := range daemons {
 		d.Kill()
 	}
-	if pause(ctx, lostFor); ctx.Err() != nil {
-		return at, ctx.Err()
+	if sleep(ctx, outageDuration); ctx.Err() != nil {
+		return restartedAt, ctx.Err()
 	}
-	at = time.Now()
+	restartedAt = time.Now()
 	var wg sync.WaitGroup
-	faults := make([]error, len(all))
-	for i, p := range all {
+	errs := make([]error, len(processes))
+	for i, p := range processes {
 		wg.Go(func() {
-			fresh, err := r.startHollow(ctx, p.name, p.of)
+			replacement, err := r.startStubProcess(ctx, p.name, p.sidecars)
 			if err == nil {
-				r.at.Lock()
-				r.hollow[slices.Index(r.hollow, p)] = fresh
-				r.at.Unlock()
-				_, err = fresh.tell(ctx, order{Do: "begin"})
+				r.stubsMu.Lock()
+				r.stubs[slices.Index(r.stubs, p)] = replacement
+				r.stubsMu.Unlock()
+				_, err = replacement.call(ctx, command{Name: "begin"})
 			}
-			faults[i] = err
+			errs[i] = err
 		})
 	}
-	again := fleetlab.Again(daemons...)(ctx)
+	restartErr := fleetlab.Again(daemons...)(ctx)
 	wg.Wait()
-	for _, err := range append(faults, again) {
+	for _, err := range append(errs, restartErr) {
 		if err != nil {
-			return at, err
+			return restartedAt, err
 		}
 	}
-	return at, nil
+	return restartedAt, nil
 }
 
-func rackLost(ctx context.Context, r *run) (string, time.Time, func(context.Context) error, error) {
-	p := r.hollow[0]
-	at, err := r.lost(ctx, []*process{p}, nil)
-	return fmt.Sprintf("%d sidecars were lost for %v", len(p.of), lostFor), at, nil, err
+func loseRack(ctx context.Context, r *run) (string, time.Time, func(context.Context) error, error) {
+	p := r.stubs[0]
+	restartedAt, err := r.loseProcesses(ctx, []*process{p}, nil)
+	return fmt.Sprintf("%d sidecars were lost for %v", len(p.sidecars), outageDuration), restartedAt, nil, err
 }
 
-func zoneLost(ctx context.Context, r *run) (string, time.Time, func(context.Context) error, error) {
-	zone := replicas[r.o.Replicas-1]
-	var all []*process
+func loseZone(ctx context.Context, r *run) (string, time.Time, func(context.Context) error, error) {
+	zone := replicaZones[r.options.Replicas-1]
+	var processes []*process
 	var daemons []*fleetlab.Daemon
-	n := 0
-	for _, p := range r.hollow {
+	sidecars := 0
+	for _, p := range r.stubs {
 		if p.zone == zone {
-			all = append(all, p)
-			n += len(p.of)
+			processes = append(processes, p)
+			sidecars += len(p.sidecars)
 		}
 	}
 	for i, d := range r.fleet.Daemons {
-		if r.zoneOfDaemon(i) == zone && (i > 0 || r.o.Replicas > 1) {
+		if r.zoneOfDaemon(i) == zone && (i > 0 || r.options.Replicas > 1) {
 			daemons = append(daemons, d)
 		}
 	}
-	r.aside(daemons...)
-	at, err := r.lost(ctx, all, daemons)
-	return fmt.Sprintf("zone %d with %d hollow sidecars and %d daemons was lost for %v", zone, n, len(daemons), lostFor), at, nil, err
+	r.avoidForAdmin(daemons...)
+	restartedAt, err := r.loseProcesses(ctx, processes, daemons)
+	return fmt.Sprintf("zone %d with %d hollow sidecars and %d daemons was lost for %v", zone, sidecars, len(daemons),
+		outageDuration), restartedAt, nil, err
 }
 
-func restarted(ctx context.Context, r *run) (string, time.Time, func(context.Context) error, error) {
-	begun := time.Now()
-	for i := range restartsOf {
-		p := r.hollow[i%len(r.hollow)]
-		s := p.of[i/len(r.hollow)%len(p.of)]
-		v := r.w.serviceOf(s)
-		in := r.w.servers[v][s/r.w.services]
-		tell := func() {
-			for _, h := range r.w.hears(v) {
-				r.boards[h].Tell(in)
+func restartSidecars(ctx context.Context, r *run) (string, time.Time, func(context.Context) error, error) {
+	startedAt := time.Now()
+	for i := range restartCount {
+		p := r.stubs[i%len(r.stubs)]
+		sidecar := p.sidecars[i/len(r.stubs)%len(p.sidecars)]
+		service := r.world.serviceOf(sidecar)
+		instance := r.world.servers[service][sidecar/r.world.services]
+		announce := func() {
+			for _, h := range r.world.callers(service) {
+				r.discoveryServers[h].Tell(instance)
 			}
 		}
-		in.Lifecycle = "draining"
-		tell()
-		if pause(ctx, 500*time.Millisecond); ctx.Err() != nil {
+		instance.Lifecycle = "draining"
+		announce()
+		if sleep(ctx, 500*time.Millisecond); ctx.Err() != nil {
 			return "", time.Time{}, nil, ctx.Err()
 		}
-		if _, err := p.tell(ctx, order{Do: "restart", Of: []int{s}}); err != nil {
+		if _, err := p.call(ctx, command{Name: "restart", Targets: []int{sidecar}}); err != nil {
 			return "", time.Time{}, nil, err
 		}
-		in.Lifecycle, in.StartedMs = "up", time.Now().UnixMilli()
-		r.w.servers[v][s/r.w.services] = in
-		tell()
-		pause(ctx, 500*time.Millisecond)
-	}
-	took := time.Since(begun)
-	return fmt.Sprintf("%d sidecars and their servers were restarted within %v, %.0f times the rate of 130 a day", restartsOf, took.Round(time.Second),
-		restartsOf/took.Hours()*24/130), time.Now(), nil, nil
+		instance.Lifecycle, instance.StartedMs = "up", time.Now().UnixMilli()
+		r.world.servers[service][sidecar/r.world.services] = instance
+		announce()
+		sleep(ctx, 500*time.Millisecond)
+	}
+	took := time.Since(startedAt)
+	return fmt.Sprintf("%d sidecars and their servers were restarted within %v, %.0f times the rate of 130 a day",
+		restartCount, took.Round(time.Second),
+		restartCount/took.Hours()*24/130), time.Now(), nil, nil
 }
 
-func lagged(ctx context.Context, r *run) (string, time.Time, func(context.Context) error, error) {
-	stopped, n := []*process{}, 0
-	for i, p := range r.hollow {
+func stopHalf(ctx context.Context, r *run) (string, time.Time, func(context.Context) error, error) {
+	stopped, sidecars := []*process{}, 0
+	for i, p := range r.stubs {
 		if i%2 == 1 {
-			stopped, n = append(stopped, p), n+len(p.of)
+			stopped, sidecars = append(stopped, p), sidecars+len(p.sidecars)
 		}
 	}
 	signal := func(s syscall.Signal) {
@@ -209,96 +219,102 @@
 			p.signal(s)
 		}
 	}
-	r.meter.passOver(stopped)
-	defer r.meter.passOver(nil)
+	r.sampler.setSkipped(stopped)
+	defer r.sampler.setSkipped(nil)
 	signal(syscall.SIGSTOP)
 	defer signal(syscall.SIGCONT)
-	value, puts := make([]byte, lagBytes), store.DefaultLimits.HistoryBytes/lagBytes*5/4 // more than the replicas keep for watches
-	for i := range puts {
-		wait, cancel := context.WithTimeout(ctx, 30*time.Second)
-		_, err := r.replicas()[int(r.entry.Load())].Client.Change(wait, admin.ChangeRequest{ID: store.RequestID{Client: 1 << 42, Seq: uint64(i + 1)},
-			Txn: &store.Txn{Then: []store.Op{{Key: "lab/lag", Value: value}}}})
+	// The values exceed the history that replicas keep for watches.
+	value, writes := make([]byte, lagValueBytes), store.DefaultLimits.HistoryBytes/lagValueBytes*5/4
+	for i := range writes {
+		callCtx, cancel := context.WithTimeout(ctx, 30*time.Second)
+		_, err := r.replicas()[int(r.adminReplica.Load())].Client.Change(callCtx,
+			admin.ChangeRequest{ID: store.RequestID{Client: 1 << 42, Seq: uint64(i + 1)},
+				Txn: &store.Txn{Then: []store.Op{{Key: "lab/lag", Value: value}}}})
 		cancel()
 		if err != nil {
 			return "", time.Time{}, nil, err
 		}
 	}
-	return fmt.Sprintf("%d sidecars were stopped while %d MB of changes were made", n, puts*lagBytes>>20), time.Now(), nil, nil
+	return fmt.Sprintf("%d sidecars were stopped while %d MB of changes were made", sidecars, writes*lagValueBytes>>20),
+		time.Now(), nil, nil
 }
 
-// cut has nothing pass between a region and the others, or go on.
-func (r *run) cut(ctx context.Context, region int, on bool) error {
-	away := func(zone int) bool { return regionOf[zone] == region }
+// setRegionCut cuts all links between a region and the others, or restores them.
+func (r *run) setRegionCut(ctx context.Context, region int, active bool) error {
+	inRegion := func(zone int) bool { return regionOf[zone] == region }
 	for i, d := range r.fleet.Daemons {
 		for n, to := range r.replicas() {
-			if l := d.Link(to); l != nil && away(r.zoneOfDaemon(i)) != away(replicas[n]) {
-				l.Update(func(c *relay.Conditions) { c.BlackHole = on })
+			if l := d.Link(to); l != nil && inRegion(r.zoneOfDaemon(i)) != inRegion(replicaZones[n]) {
+				l.Update(func(c *relay.Conditions) { c.BlackHole = active })
 			}
 		}
 	}
-	return each(r.links, func(p *process) error {
-		o := order{Do: "mend"}
-		if on {
-			o.Do = "cut"
+	return forEachProcess(r.links, func(p *process) error {
+		cmd := command{Name: "mend"}
+		if active {
+			cmd.Name = "cut"
 		}
 		for n := range r.replicas() {
-			if away(replicas[n]) != away(p.zone) {
-				o.Of = append(o.Of, n)
+			if inRegion(replicaZones[n]) != inRegion(p.zone) {
+				cmd.Targets = append(cmd.Targets, n)
 			}
 		}
-		_, err := p.tell(ctx, o)
+		_, err := p.call(ctx, cmd)
 		return err
 	})
 }
 
-func regionCut(ctx context.Context, r *run) (string, time.Time, func(context.Context) error, error) {
-	region := regionOf[replicas[2%r.o.Replicas]]
-	var there []*fleetlab.Daemon
-	var away []*process
+func cutRegion(ctx context.Context, r *run) (string, time.Time, func(context.Context) error, error) {
+	region := regionOf[replicaZones[2%r.options.Replicas]]
+	var replicasInside []*fleetlab.Daemon
+	var stubsInside []*process
 	for i, d := range r.replicas() {
-		if regionOf[replicas[i]] == region {
-			there = append(there, d)
+		if regionOf[replicaZones[i]] == region {
+			replicasInside = append(replicasInside, d)
 		}
 	}
-	for _, p := range r.hollow {
+	for _, p := range r.stubs {
 		if regionOf[p.zone] == region {
-			away = append(away, p)
+			stubsInside = append(stubsInside, p)
 		}
 	}
-	if r.aside(there...); 2*len(there) >= r.o.Replicas {
-		return "", time.Time{}, nil, fmt.Errorf("with %d replicas region %d has the majority: nothing would be changed", r.o.Replicas, region)
+	if r.avoidForAdmin(replicasInside...); 2*len(replicasInside) >= r.options.Replicas {
+		return "", time.Time{}, nil, fmt.Errorf("with %d replicas region %d has the majority: nothing would be changed",
+			r.options.Replicas, region)
 	}
-	begun := time.Now()
-	if err := r.cut(ctx, region, true); err != nil {
+	startedAt := time.Now()
+	if err := r.setRegionCut(ctx, region, true); err != nil {
 		return "", time.Time{}, nil, err
 	}
-	made, failed, why := 0, 0, ""
-	for time.Since(begun) < cutFor && ctx.Err() == nil {
-		if err := r.change(ctx); err != nil {
-			failed, why = failed+1, err.Error()
+	made, failed, lastErr := 0, 0, ""
+	for time.Since(startedAt) < partitionDuration && ctx.Err() == nil {
+		if err := r.changeSettings(ctx); err != nil {
+			failed, lastErr = failed+1, err.Error()
 		} else {
 			made++
 		}
-		pause(ctx, cutFor/8)
+		sleep(ctx, partitionDuration/8)
 	}
-	l, want, _ := r.lookFor(ctx, order{Do: "look"}, away) // those that do not answer are not fresh
+	// The error can be ignored: sidecars that do not answer do not count as fresh.
+	states, total, _ := r.queryStates(ctx, command{Name: "look"}, stubsInside)
 	what := fmt.Sprintf("region %d was cut off for %v: of its %d hollow sidecars %d held their copy to be fresh at the end, and %d had a session; "+
-		"elsewhere %d changes of the settings were made and %d failed", region, time.Since(begun).Round(time.Second), want, l.Fresh, l.Sessions, made, failed)
-	if why != "" {
-		what += " (" + why + ")"
+		"elsewhere %d changes of the settings were made and %d failed", region, time.Since(startedAt).Round(time.Second),
+		total, states.FreshCopies, states.Sessions, made, failed)
+	if lastErr != "" {
+		what += " (" + lastErr + ")"
 	}
-	at := time.Now()
-	return what, at, nil, r.cut(ctx, region, false)
+	endedAt := time.Now()
+	return what, endedAt, nil, r.setRegionCut(ctx, region, false)
 }
 
-func replicaReplaced(ctx context.Context, r *run) (string, time.Time, func(context.Context) error, error) {
-	d := r.replicas()[r.o.Replicas-1]
+func replaceReplica(ctx context.Context, r *run) (string, time.Time, func(context.Context) error, error) {
+	d := r.replicas()[r.options.Replicas-1]
 	if lead := r.fleet.Leader(); d == lead {
 		d = r.replicas()[0]
 	}
-	r.aside(d)
-	c := r.replicas()[int(r.entry.Load())].Client
-	s, err := c.Status(ctx)
+	r.avoidForAdmin(d)
+	client := r.replicas()[int(r.adminReplica.Load())].Client
+	status, err := client.Status(ctx)
 	if err != nil {
 		return "", time.Time{}, nil, err
 	}
@@ -306,38 +322,40 @@
 	if err := d.Lose(); err != nil {
 		return "", time.Time{}, nil, err
 	}
-	at := time.Now()
+	lostAt := time.Now()
 	seq := uint64(0)
-	change := func(q admin.ChangeRequest) error {
-		for wait := time.Now().Add(time.Minute); ; {
+	change := func(request admin.ChangeRequest) error {
+		for giveUpAt := time.Now().Add(time.Minute); ; {
 			seq++
-			q.ID = store.RequestID{Client: 1<<43 + uint64(d.Number), Seq: seq}
-			_, err := c.Change(ctx, q)
-			if err == nil || ctx.Err() != nil || time.Now().After(wait) {
+			request.ID = store.RequestID{Client: 1<<43 + uint64(d.Number), Seq: seq}
+			_, err := client.Change(ctx, request)
+			if err == nil || ctx.Err() != nil || time.Now().After(giveUpAt) {
 				return err
 			}
-			pause(ctx, 200*time.Millisecond)
+			sleep(ctx, 200*time.Millisecond)
 		}
 	}
-	for _, p := range s.Peers {
+	for _, p := range status.Peers {
 		if p.Name == d.Name() {
 			if err := change(admin.ChangeRequest{RemoveMember: p.ID}); err != nil {
-				return "", at, nil, err
+				return "", lostAt, nil, err
 			}
 		}
 	}
 	if err := d.Start(); err != nil {
-		return "", at, nil, err
+		return "", lostAt, nil, err
 	}
 	if err := change(admin.ChangeRequest{AddMember: &store.AddMember{Name: d.Name(), Address: d.Peer()}}); err != nil {
-		return "", at, nil, err
+		return "", lostAt, nil, err
 	}
 	for ctx.Err() == nil {
-		s, err := c.Status(ctx)
-		if err == nil && s.MembershipStable && len(s.Peers) == r.o.Replicas && !slices.ContainsFunc(s.Peers, func(p replica.PeerStatus) bool { return p.Learner }) {
-			return fmt.Sprintf("%s votes again with an empty disk after %.1f s", d.Name(), time.Since(at).Seconds()), at, nil, nil
+		status, err := client.Status(ctx)
+		if err == nil && status.MembershipStable && len(status.Peers) == r.options.Replicas &&
+			!slices.ContainsFunc(status.Peers, func(p replica.PeerStatus) bool { return p.Learner }) {
+			return fmt.Sprintf("%s votes again with an empty disk after %.1f s", d.Name(), time.Since(lostAt).Seconds()), lostAt,
+				nil, nil
 		}
-		pause(ctx, 50*time.Millisecond)
+		sleep(ctx, 50*time.Millisecond)
 	}
-	return "", at, nil, ctx.Err()
+	return "", lostAt, nil, ctx.Err()
 }
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -2,76 +2,77 @@
 
 import "math"
 
-// fitLeast is how many sizes a fit takes at least.
-const fitLeast = 4
+// minFitSizes is the least number of sizes that a fit needs.
+const minFitSizes = 4
 
-// Fit is how a figure grows with the sidecars, as far as some sizes show.
+// Fit is a model of a figure as a function of the number of sidecars: a line, or a power law if that fits far better.
 type Fit struct {
-	Base  float64 // of the line,
-	Slope float64 // for each sidecar
-	Power float64 // by which it grows: 0 not at all, 1 in proportion, 2 with the square
-	Off   float64 // part by which a size is off the line at most
-	scale float64 // of the power law
-	curve bool    // the power law is the nearer one
+	Base     float64 // value of the line at size 0
+	Slope    float64 // increase of the line for each sidecar
+	Power    float64 // exponent of the power law: 0 constant, 1 proportional, 2 quadratic growth
+	Off      float64 // largest relative error of the model at a measured size
+	factor   float64 // factor of the power law; 0 if there is none
+	powerLaw bool    // Predict uses the power law
 }
 
-// At is what is foretold of a size.
-func (f *Fit) At(size float64) float64 {
-	if f.curve {
-		return f.scale * math.Pow(size, f.Power)
+// Predict returns the figure that the model predicts for a size.
+func (f *Fit) Predict(size float64) float64 {
+	if f.powerLaw {
+		return f.factor * math.Pow(size, f.Power)
 	}
 	return max(0, f.Base+f.Slope*size)
 }
 
-// fit lays a line and a power law through figures by size, and takes the line unless the law is twice as near.
-func fit(sizes, v []float64) (f Fit, ok bool) {
-	if len(sizes) < fitLeast || len(sizes) != len(v) {
+// fit fits a line and a power law to the values at some sizes. It chooses the line unless the largest error of the
+// power law is less than half of the line's. ok is false if there are fewer than minFitSizes sizes.
+func fit(sizes, values []float64) (f Fit, ok bool) {
+	if len(sizes) < minFitSizes || len(sizes) != len(values) {
 		return f, false
 	}
-	f.Base, f.Slope = line(sizes, v)
+	f.Base, f.Slope = leastSquares(sizes, values)
 	var x, y []float64
 	for i, s := range sizes {
-		if v[i] > 0 {
-			x, y = append(x, math.Log(s)), append(y, math.Log(v[i]))
+		if values[i] > 0 {
+			x, y = append(x, math.Log(s)), append(y, math.Log(values[i]))
 		}
 	}
-	if len(x) >= fitLeast {
+	if len(x) >= minFitSizes {
 		var base float64
-		base, f.Power = line(x, y)
-		f.scale = math.Exp(base)
+		base, f.Power = leastSquares(x, y)
+		f.factor = math.Exp(base)
 	}
-	f.Off = f.off(sizes, v)
-	if law := f; f.scale > 0 {
-		law.curve = true
-		if law.Off = law.off(sizes, v); 2*law.Off < f.Off {
-			f = law
+	f.Off = f.maxRelativeError(sizes, values)
+	if powerLaw := f; f.factor > 0 {
+		powerLaw.powerLaw = true
+		if powerLaw.Off = powerLaw.maxRelativeError(sizes, values); 2*powerLaw.Off < f.Off {
+			f = powerLaw
 		}
 	}
 	return f, true
 }
 
-// off is by which part of itself a figure is off at most.
-func (f *Fit) off(sizes, v []float64) (most float64) {
+// maxRelativeError returns the largest error of the model over the measured value. Values of 0 are ignored.
+func (f *Fit) maxRelativeError(sizes, values []float64) (worst float64) {
 	for i, s := range sizes {
-		if v[i] > 0 {
-			most = max(most, math.Abs(f.At(s)-v[i])/v[i])
+		if values[i] > 0 {
+			worst = max(worst, math.Abs(f.Predict(s)-values[i])/values[i])
 		}
 	}
-	return most
+	return worst
 }
 
-// line is that of the least squares.
-func line(x, y []float64) (base, slope float64) {
-	var mx, my, xy, xx float64
+// leastSquares returns the line with the least squared errors.
+func leastSquares(x, y []float64) (base, slope float64) {
+	var meanX, meanY, sumXY, sumXX float64
 	n := float64(len(x))
 	for i := range x {
-		mx, my = mx+x[i]/n, my+y[i]/n
+		meanX, meanY = meanX+x[i]/n, meanY+y[i]/n
 	}
 	for i := range x {
-		xy, xx = xy+(x[i]-mx)*(y[i]-my), xx+(x[i]-mx)*(x[i]-mx)
+		sumXY, sumXX = sumXY+(x[i]-meanX)*(y[i]-meanY), sumXX+(x[i]-meanX)*(x[i]-meanX)
 	}
-	if xx > 0 {
-		slope = xy / xx
+	if sumXX > 0 {
+		slope = sumXY / sumXX
 	}
-	return my - slope*mx, slope
+	return meanY - slope*meanX, slope
 }
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -33,98 +33,111 @@
 	"birchmoor/internal/store/usage"
 )
 
-// Spec is what a process of the run is told in a file: hollow sidecars, or the links of a zone.
+// Spec is the configuration of a child process of the run, in a JSON file: its stub sidecars, or the links of a zone.
 type Spec struct {
-	Dir      string
-	Hollow   []HollowSpec `json:",omitempty"`
-	Links    []LinkSpec   `json:",omitempty"`
-	Settings json.RawMessage
-	Interest string // of the hollow sidecars' copies; "": as is usual
-	Operator string // text of the operator file, behind [store]
+	Dir            string
+	Stubs          []StubSpec `json:"Hollow,omitempty"`
+	Links          []LinkSpec `json:",omitempty"`
+	Settings       json.RawMessage
+	Interest       string // what the copies of the stub sidecars hold; "": the default
+	OperatorConfig string `json:"Operator"` // text of the operator file after its [store] section
 }
 
-// HollowSpec is one hollow sidecar.
-type HollowSpec struct {
+// StubSpec is the configuration of a stub sidecar.
+type StubSpec struct {
 	Number    int
-	Discovery string
+	Discovery string   // address of the discovery server
 	Follow    []string // replicas, NAME=ADDRESS
 	Seed      uint64
 }
 
-// LinkSpec is a link to a replica.
+// LinkSpec is the configuration of a link to a replica.
 type LinkSpec struct {
-	Name, To string
-	Delay    time.Duration
+	Name, To string        // name and address of the replica
+	Delay    time.Duration // in each direction
 	Seed     uint64
 }
 
-// order is what the run tells a process, a line of JSON each. Each is answered by one line.
-type order struct {
+// command is sent to a child process as a line of JSON. The process answers each with a message of the same ID.
+//
+//	begin    start stub sidecars
+//	end      stop stub sidecars
+//	restart  stop and start stub sidecars
+//	look     report the states of the stub sidecars
+//	read     report the usage of the stub sidecars
+//	cut      let nothing pass through links
+//	mend     let links pass traffic again
+type command struct {
 	ID       uint64
-	Do       string        // "begin", "end", "restart", "look", "read", "cut", "mend"
-	Of       []int         `json:",omitempty"` // sidecars or links; none: all
-	Revision uint64        `json:",omitempty"`
-	Mark     int           `json:",omitempty"`
-	Over     time.Duration `json:",omitempty"` // in which they begin, one after the other
+	Name     string `json:"Do"`
+	Targets  []int  `json:"Of,omitempty"` // numbers of stub sidecars or links; none: all stub sidecars
+	Revision uint64 `json:",omitempty"`   // look: revision that a converged sidecar has received
+	// look: version of the settings that a converged sidecar has adopted
+	SettingsVersion int           `json:"Mark,omitempty"`
+	StaggerOver     time.Duration `json:"Over,omitempty"` // begin: time over which the starts are spread
 }
 
-// word is what a process says: an answer, or that settings came in force somewhere.
-type word struct {
-	ID    uint64         `json:",omitempty"` // of the order that it answers
-	Ready []string       `json:",omitempty"` // where links listen
-	Look  *looked        `json:",omitempty"`
-	Read  *usage.Reading `json:",omitempty"` // of all its sidecars together
-	Error string         `json:",omitempty"`
-	Set   *inForce       `json:",omitempty"`
+// message is sent by a child process as a line of JSON: that it is ready, the answer to a command, or that a stub
+// sidecar has adopted settings.
+type message struct {
+	ID        uint64            `json:",omitempty"`      // of the command that it answers; 0: the process is ready
+	LinkAddrs []string          `json:"Ready,omitempty"` // addresses at which links listen
+	State     *stubStates       `json:"Look,omitempty"`
+	Usage     *usage.Reading    `json:"Read,omitempty"` // of all its stub sidecars together
+	Error     string            `json:",omitempty"`
+	Adopted   *settingsAdoption `json:"Set,omitempty"`
 }
 
-// looked is how the hollow sidecars of a process stand.
-type looked struct {
-	Runs     int // that run
-	Right    int // and know all that was asked for, by a copy that a quorum confirmed of late, with a session
-	Sessions int
-	Fresh    int
-	Marked   int
-	Oldest   uint64 // revision
-	Words    uint64 // told by others, so far
-	Wrong    string // one that is not right, and why
+// stubStates counts the stub sidecars of a process by their state.
+type stubStates struct {
+	Running int `json:"Runs"`
+	// have a fresh copy that a quorum confirmed, a session, and the revision and settings of the command
+	Converged       int `json:"Right"`
+	Sessions        int
+	FreshCopies     int    `json:"Fresh"`
+	CurrentSettings int    `json:"Marked"` // have adopted the settings of the command
+	OldestRevision  uint64 `json:"Oldest"`
+	PeerMessages    uint64 `json:"Words"` // drains, starts and module snapshots that other daemons reported so far
+	Unconverged     string `json:"Wrong"` // an example of a sidecar that has not converged, with the reason
 }
 
-// inForce says that a sidecar went over to settings.
-type inForce struct {
-	Sidecar, Mark int
-	At            int64 // Unix time in nanoseconds: all processes are of one host
+// settingsAdoption reports that a stub sidecar has adopted settings.
+type settingsAdoption struct {
+	Sidecar int
+	Version int   `json:"Mark"`
+	AtNanos int64 `json:"At"` // Unix time in nanoseconds; all processes run on one machine
 }
 
-// Plant is what builds for tests do wrong in hollow sidecars; no other sets it.
+// Plant holds the injected defects of stub sidecars. Only builds for tests set them.
 type Plant struct {
 	controlplane.Defects
 	Twice bool // each has a second session
-	All   bool // each puts its picture once more for each daemon that there is
-	Told  bool // each is told of all pictures
-	None  bool // limits are left out
+	All   bool // each saves its module snapshot once more for each daemon of the fleet
+	Told  bool // each subscribes to all module snapshots
+	None  bool // each lacks the component for limits
 }
 
-// Child is the life of a process of the run: it reads what it is told from in until that ends, and answers on out.
-func Child(ctx context.Context, path string, in io.Reader, out io.Writer, log *slog.Logger, plant Plant) error {
+// Child runs a child process of a measurement with the spec in a file. It reads commands from input until that ends,
+// and writes messages to out. It ends all stub sidecars and links before it returns.
+func Child(ctx context.Context, path string, input io.Reader, out io.Writer, log *slog.Logger, plant Plant) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	c := &child{out: json.NewEncoder(out), log: log, plant: plant, ctx: ctx, begun: time.Now()}
-	if err := json.Unmarshal(text, &c.spec); err != nil {
+	host := &stubHost{out: json.NewEncoder(out), log: log, plant: plant, ctx: ctx, startedAt: time.Now()}
+	if err := json.Unmarshal(text, &host.spec); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	defer c.end()
-	if err := c.open(); err != nil {
+	defer host.stop()
+	if err := host.start(); err != nil {
 		return err
 	}
-	var working sync.WaitGroup
-	defer working.Wait()
+	var running sync.WaitGroup
+	defer running.Wait()
 	lines := make(chan []byte)
 	go func() {
 		defer close(lines)
-		s := bufio.NewScanner(in)
+		s := bufio.NewScanner(input)
 		for s.Scan() {
 			lines <- bytes.Clone(s.Bytes())
 		}
@@ -135,62 +148,63 @@
 			return nil
 		case line, more := <-lines:
 			if !more {
-				return nil // whoever started it is gone
+				return nil // the process that started this one has ended
 			}
-			var o order
-			if err := json.Unmarshal(line, &o); err != nil {
+			var cmd command
+			if err := json.Unmarshal(line, &cmd); err != nil {
 				return err
 			}
-			working.Go(func() {
-				w := c.do(o)
-				w.ID = o.ID
-				c.say(w)
+			running.Go(func() {
+				reply := host.execute(cmd)
+				reply.ID = cmd.ID
+				host.send(reply)
 			})
 		}
 	}
 }
 
-type child struct {
-	spec  Spec
-	log   *slog.Logger
-	plant Plant
-	ctx   context.Context
-	begun time.Time
+// stubHost runs the stub sidecars and links of a child process.
+type stubHost struct {
+	spec      Spec
+	log       *slog.Logger
+	plant     Plant
+	ctx       context.Context
+	startedAt time.Time
 
-	mu    sync.Mutex // of out
+	mu    sync.Mutex // guards out
 	out   *json.Encoder
 	links []*relay.Link
-	all   []*hollow
+	stubs []*stubSidecar
 }
 
-func (c *child) say(w word) {
+func (c *stubHost) send(w message) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_ = c.out.Encode(w) // whoever started this is gone if it fails, and its input ends
+	_ = c.out.Encode(w) // fails only if the process that started this one has ended; then the input ends, too
 }
 
-func (c *child) open() error {
-	var ready []string
+func (c *stubHost) start() error {
+	var addrs []string
 	for _, l := range c.spec.Links {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return err
 		}
-		x := relay.New(l.To, l.Seed, relay.Conditions{Delay: l.Delay})
-		x.Listen(ln)
-		c.links, ready = append(c.links, x), append(ready, ln.Addr().String())
+		link := relay.New(l.To, l.Seed, relay.Conditions{Delay: l.Delay})
+		link.Listen(ln)
+		c.links, addrs = append(c.links, link), append(addrs, ln.Addr().String())
 	}
-	for _, h := range c.spec.Hollow {
-		c.all = append(c.all, &hollow{HollowSpec: h, c: c, name: nameOf(h.Number)})
+	for _, h := range c.spec.Stubs {
+		c.stubs = append(c.stubs, &stubSidecar{StubSpec: h, host: c, name: stubName(h.Number)})
 	}
-	c.say(word{Ready: ready})
+	c.send(message{LinkAddrs: addrs})
 	return nil
 }
 
-func (c *child) end() {
+func (c *stubHost) stop() {
 	var wg sync.WaitGroup
-	for _, h := range c.all {
-		wg.Go(h.end)
+	for _, h := range c.stubs {
+		wg.Go(h.stop)
 	}
 	for _, l := range c.links {
 		wg.Go(l.Close)
@@ -198,78 +212,81 @@
 	wg.Wait()
 }
 
-func (c *child) do(o order) word {
-	switch o.Do {
+// execute carries out a command and returns its answer, without the ID.
+func (c *stubHost) execute(cmd command) message {
+	switch cmd.Name {
 	case "begin", "end", "restart":
 		var wg sync.WaitGroup
 		var mu sync.Mutex
-		var faults []error
-		chosen := c.chosen(o.Of)
+		var errs []error
+		chosen := c.selectStubs(cmd.Targets)
 		for n, h := range chosen {
 			wg.Go(func() {
-				if o.Over > 0 {
-					pause(c.ctx, o.Over*time.Duration(n)/time.Duration(len(chosen)))
+				if cmd.StaggerOver > 0 {
+					sleep(c.ctx, cmd.StaggerOver*time.Duration(n)/time.Duration(len(chosen)))
 				}
-				if o.Do != "begin" {
-					h.end()
+				if cmd.Name != "begin" {
+					h.stop()
 				}
-				if o.Do != "end" {
-					if err := h.begin(); err != nil {
+				if cmd.Name != "end" {
+					if err := h.start(); err != nil {
 						mu.Lock()
-						faults = append(faults, fmt.Errorf("%s: %w", h.name, err))
+						errs = append(errs, fmt.Errorf("%s: %w", h.name, err))
 						mu.Unlock()
 					}
 				}
 			})
 		}
 		wg.Wait()
-		if err := errors.Join(faults...); err != nil {
-			return word{Error: err.Error()}
+		if err := errors.Join(errs...); err != nil {
+			return message{Error: err.Error()}
 		}
 	case "look":
-		l := &looked{}
-		for _, h := range c.all {
-			h.look(l, o)
+		states := &stubStates{}
+		for _, h := range c.stubs {
+			h.addState(states, cmd)
 		}
-		return word{Look: l}
+		return message{State: states}
 	case "read":
 		sum := (*usage.Recorder)(nil).Read()
-		sum.Seconds = time.Since(c.begun).Seconds()
-		for _, h := range c.all {
+		sum.Seconds = time.Since(c.startedAt).Seconds()
+		for _, h := range c.stubs {
 			h.mu.Lock()
-			add(&sum, &h.past)
-			if h.parts != nil {
-				now := h.parts.Usage.ReadCounters()
-				add(&sum, &now)
+			addUsage(&sum, &h.pastUsage)
+			if h.components != nil {
+				counters := h.components.Usage.ReadCounters()
+				addUsage(&sum, &counters)
 			}
 			h.mu.Unlock()
 		}
-		return word{Read: &sum}
+		return message{Usage: &sum}
 	case "cut", "mend":
-		for _, n := range o.Of {
-			c.links[n].Update(func(now *relay.Conditions) { now.BlackHole = o.Do == "cut" })
+		for _, n := range cmd.Targets {
+			c.links[n].Update(func(conditions *relay.Conditions) { conditions.BlackHole = cmd.Name == "cut" })
 		}
 	default:
-		return word{Error: fmt.Sprintf("%q is no order", o.Do)}
+		return message{Error: fmt.Sprintf("unknown command %q", cmd.Name)}
 	}
-	return word{}
+	return message{}
 }
 
-func (c *child) chosen(of []int) (all []*hollow) {
-	for _, h := range c.all {
-		if len(of) == 0 {
-			all = append(all, h)
+// selectStubs returns the stub sidecars with the given numbers, or all if there are no numbers.
+func (c *stubHost) selectStubs(numbers []int) (selected []*stubSidecar) {
+	for _, h := range c.stubs {
+		if len(numbers) == 0 {
+			selected = append(selected, h)
 		}
-		for _, n := range of {
+		for _, n := range numbers {
 			if n == h.Number {
-				all = append(all, h)
+				selected = append(selected, h)
 			}
 		}
 	}
-	return all
+	return selected
 }
 
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for a duration or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -278,243 +295,267 @@
 	}
 }
 
-func nameOf(sidecar int) string { return fmt.Sprintf("h%05d", sidecar) }
+func stubName(sidecar int) string { return fmt.Sprintf("h%05d", sidecar) }
 
-// ---- One hollow sidecar ----------------------------------------------------
-
-// hollow is a sidecar without fronts and traffic.
-type hollow struct {
-	HollowSpec
-	c    *child
+// stubSidecar is a sidecar without fronts and requests to forward.
+type stubSidecar struct {
+	StubSpec
+	host *stubHost
 	name string
 
-	mu       sync.Mutex
-	parts    *controlplane.Components // nil while it does not run
-	presence *leasetask.SessionRef
-	cancel   context.CancelFunc
-	working  sync.WaitGroup
-	mark     int
-	words    uint64
-	rng      *rand.Rand
-	list     map[string]discovery.Instance // as discovery tells it
-	past     usage.Reading                 // of its earlier processes
+	mu              sync.Mutex
+	components      *controlplane.Components // nil while the sidecar does not run
+	session         *leasetask.SessionRef    // nil without limits
+	cancel          context.CancelFunc
+	running         sync.WaitGroup // goroutines of the sidecar
+	settingsVersion int            // newest version that the sidecar has adopted
+	peerMessages    uint64
+	rng             *rand.Rand
+	instances       map[string]discovery.Instance // the servers that discovery lists, by ID
+	pastUsage       usage.Reading                 // before the last restart
 }
 
-// begin starts its parts by the function that starts those of a daemon, and gives them what a sidecar would.
-func (h *hollow) begin() error {
-	dir := h.c.spec.Dir
-	text := fmt.Sprintf("[store]\nname = %q\ndir = %q\nsocket = %q\nplain = true\nfollow = [", h.name, h.name, h.name+".sock")
+// start opens the components of the sidecar with the function that opens those of a daemon, and connects them as a
+// sidecar does.
+func (h *stubSidecar) start() error {
+	dir := h.host.spec.Dir
+	storeText := fmt.Sprintf("[store]\nname = %q\ndir = %q\nsocket = %q\nplain = true\nfollow = [", h.name, h.name,
+		h.name+".sock")
 	for i, r := range h.Follow {
 		if i > 0 {
-			text += ", "
+			storeText += ", "
 		}
-		text += strconv.Quote(r)
+		storeText += strconv.Quote(r)
 	}
-	text += "]\n"
-	if h.c.spec.Interest != "" {
-		text += fmt.Sprintf("interest = %q\n", h.c.spec.Interest)
+	storeText += "]\n"
+	if h.host.spec.Interest != "" {
+		storeText += fmt.Sprintf("interest = %q\n", h.host.spec.Interest)
 	}
-	more := h.c.spec.Operator
-	if h.c.plant.None {
-		more = ""
+	operatorTail := h.host.spec.OperatorConfig
+	if h.host.plant.None {
+		operatorTail = ""
 	}
-	path := filepath.Join(dir, h.name+".toml")
-	if err := os.WriteFile(path, []byte(text+more), 0o600); err != nil {
+	operatorPath := filepath.Join(dir, h.name+".toml")
+	if err := os.WriteFile(operatorPath, []byte(storeText+operatorTail), 0o600); err != nil {
 		return err
 	}
-	f, err := operatorconfig.Read(path)
+	operatorConfig, err := operatorconfig.Read(operatorPath)
 	if err != nil {
 		return err
 	}
-	configured := filepath.Join(dir, h.name+".json")
-	own, err := json.Marshal(map[string]any{"name": h.name, "listen": "127.0.0.1:1", "discovery": h.Discovery, "seed": fmt.Sprintf("%016x", h.Seed),
-		"known": discovery.List{Generation: 1, Reset: true}, "settings": h.c.spec.Settings})
+	sidecarConfigPath := filepath.Join(dir, h.name+".json")
+	sidecarConfig, err := json.Marshal(map[string]any{"name": h.name, "listen": "127.0.0.1:1", "discovery": h.Discovery,
+		"seed":  fmt.Sprintf("%016x", h.Seed),
+		"known": discovery.List{Generation: 1, Reset: true}, "settings": h.host.spec.Settings})
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(configured, own, 0o600); err != nil {
+	if err := os.WriteFile(sidecarConfigPath, sidecarConfig, 0o600); err != nil {
 		return err
 	}
-	read := func(settings json.RawMessage) error {
+	checkSettings := func(settings json.RawMessage) error {
 		_, err := config.ReadWithSettings(func(key string) string {
 			if key == "ROUTER_CONFIG" {
-				return configured
+				return sidecarConfigPath
 			}
 			return ""
 		}, settings)
 		return err
 	}
-	log := h.c.log.With("sidecar", h.name)
-	p, err := controlplane.Open(controlplane.Config{File: f, Sidecar: h.name, SettingsCheck: read, Log: log, Defects: h.c.plant.Defects})
+	log := h.host.log.With("sidecar", h.name)
+	components, err := controlplane.Open(controlplane.Config{File: operatorConfig, Sidecar: h.name,
+		SettingsCheck: checkSettings, Log: log, Defects: h.host.plant.Defects})
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	h.mu.Lock()
-	h.parts, h.cancel, h.list, h.rng = p, cancel, map[string]discovery.Instance{}, rand.New(rand.NewPCG(h.Seed, 1))
-	if p.Limits != nil {
-		if h.presence, err = p.Tasks.UseSession(time.Duration(f.Limits.SessionTTL)); err != nil {
-			h.c.log.Error("no session is seen", "error", err)
+	h.components, h.cancel, h.instances, h.rng = components, cancel, map[string]discovery.Instance{},
+		rand.New(rand.NewPCG(h.Seed, 1))
+	if components.Limits != nil {
+		if h.session, err = components.Tasks.UseSession(time.Duration(operatorConfig.Limits.SessionTTL)); err != nil {
+			h.host.log.Error("cannot use the session of the limits", "error", err)
 		}
 	}
-	if h.c.plant.Twice {
-		if _, err := p.Tasks.UseSession(time.Duration(f.Limits.SessionTTL) - time.Millisecond); err != nil {
-			h.c.log.Error("no second session", "error", err)
+	if h.host.plant.Twice {
+		if _, err := components.Tasks.UseSession(
+			time.Duration(operatorConfig.Limits.SessionTTL) - time.Millisecond); err != nil {
+			h.host.log.Error("cannot open a second session", "error", err)
 		}
 	}
 	h.mu.Unlock()
-	heard := func() {
+	countMessage := func() {
 		h.mu.Lock()
-		h.words++
+		h.peerMessages++
 		h.mu.Unlock()
 	}
-	if h.c.plant.Told {
-		p.Servers.SubscribeAll(ctx)
-	}
-	p.Servers.OnDrain(func(context.Context, discovery.Process, bool) error { heard(); return nil })
-	p.Servers.OnStart(func(context.Context, core.ProcessStart) error { heard(); return nil })
-	p.Servers.Subscribe(func(context.Context, string, bool) error { heard(); return nil })
-	w := discovery.NewWatcher(h.Discovery, discovery.NoGeneration, 192, h.told, log)
-	h.working.Go(func() { w.Run(ctx) })
-	h.working.Go(func() { p.Servers.SaveSnapshots(ctx, h.name, "", h.picture, func() bool { return false }) })
-	h.working.Go(func() { h.settings(ctx, p, read) })
-	if p.Limits != nil {
-		h.working.Go(func() { h.ask(ctx, p) })
+	if h.host.plant.Told {
+		components.Servers.SubscribeAll(ctx)
+	}
+	components.Servers.OnDrain(func(context.Context, discovery.Process, bool) error { countMessage(); return nil })
+	components.Servers.OnStart(func(context.Context, core.ProcessStart) error { countMessage(); return nil })
+	components.Servers.Subscribe(func(context.Context, string, bool) error { countMessage(); return nil })
+	watcher := discovery.NewWatcher(h.Discovery, discovery.NoGeneration, 192, h.handleList, log)
+	h.running.Go(func() { watcher.Run(ctx) })
+	h.running.Go(func() {
+		components.Servers.SaveSnapshots(ctx, h.name, "", h.moduleSnapshot, func() bool { return false })
+	})
+	h.running.Go(func() { h.followSettings(ctx, components, checkSettings) })
+	if components.Limits != nil {
+		h.running.Go(func() { h.sendRequests(ctx, components) })
 	}
 	return nil
 }
 
-func (h *hollow) end() {
+func (h *stubSidecar) stop() {
 	h.mu.Lock()
-	p, cancel := h.parts, h.cancel
-	h.parts, h.presence = nil, nil
-	if p != nil {
-		now := p.Usage.ReadCounters()
-		add(&h.past, &now)
+	components, cancel := h.components, h.cancel
+	h.components, h.session = nil, nil
+	if components != nil {
+		counters := components.Usage.ReadCounters()
+		addUsage(&h.pastUsage, &counters)
 	}
 	h.mu.Unlock()
-	if p != nil {
+	if components != nil {
 		cancel()
-		p.Close()
-		h.working.Wait()
+		components.Close()
+		h.running.Wait()
 	}
 }
 
-// add adds what one meter counted to a sum; the process is not theirs.
-func add(sum, r *usage.Reading) {
+// addUsage adds the counters of a reading to a sum. It leaves out those of the process, which belong to all its stub
+// sidecars.
+func addUsage(sum, reading *usage.Reading) {
 	if len(sum.Purposes) == 0 {
-		sum.Purposes, sum.Written = make([]usage.PurposeUsage, len(r.Purposes)), make([]usage.FileUsage, len(r.Written))
+		sum.Purposes, sum.Written = make([]usage.PurposeUsage, len(reading.Purposes)),
+			make([]usage.FileUsage, len(reading.Written))
 	}
-	for i, f := range r.Purposes {
+	for i, counted := range reading.Purposes {
 		s := &sum.Purposes[i]
-		s.Purpose = f.Purpose
-		s.MessagesIn, s.MessagesOut, s.BytesIn, s.BytesOut = s.MessagesIn+f.MessagesIn, s.MessagesOut+f.MessagesOut, s.BytesIn+f.BytesIn, s.BytesOut+f.BytesOut
-		s.Proposed, s.Applied, s.AppliedBytes = s.Proposed+f.Proposed, s.Applied+f.Applied, s.AppliedBytes+f.AppliedBytes
+		s.Purpose = counted.Purpose
+		s.MessagesIn, s.MessagesOut, s.BytesIn, s.BytesOut = s.MessagesIn+counted.MessagesIn,
+			s.MessagesOut+counted.MessagesOut, s.BytesIn+counted.BytesIn, s.BytesOut+counted.BytesOut
+		s.Proposed, s.Applied, s.AppliedBytes = s.Proposed+counted.Proposed, s.Applied+counted.Applied,
+			s.AppliedBytes+counted.AppliedBytes
 	}
-	for i, f := range r.Written {
+	for i, counted := range reading.Written {
 		s := &sum.Written[i]
-		s.File, s.Syncs, s.Bytes = f.File, s.Syncs+f.Syncs, s.Bytes+f.Bytes
+		s.File, s.Syncs, s.Bytes = counted.File, s.Syncs+counted.Syncs, s.Bytes+counted.Bytes
 	}
-	s, c := &sum.Connections, r.Connections
+	s, c := &sum.Connections, reading.Connections
 	s.Opened, s.BytesIn, s.BytesOut = s.Opened+c.Opened, s.BytesIn+c.BytesIn, s.BytesOut+c.BytesOut
 }
 
-// coldFor is how long a server is cold after its start.
+// coldFor is the time that a server is cold after its start.
 const coldFor = 10 * time.Second
 
-// told passes on what discovery says, as a sidecar's loop does.
-func (h *hollow) told(ctx context.Context, l discovery.List) {
+// handleList reports drains and starts in an update from discovery to the other daemons, as a sidecar does.
+func (h *stubSidecar) handleList(ctx context.Context, list discovery.List) {
 	if ctx.Err() != nil {
 		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.parts == nil {
+	if h.components == nil {
 		return
 	}
-	for _, in := range l.Instances {
-		was, known := h.list[in.ID]
-		h.list[in.ID] = in
-		p := discovery.Process{ID: in.ID, Addr: in.Addr, StartedMs: in.StartedMs}
-		drains := in.Lifecycle == "draining"
-		if drains && was.Lifecycle != "draining" || known && was.Lifecycle == "draining" && !drains && was.StartedMs == in.StartedMs {
-			h.parts.Servers.ReportProcessDrain(p, drains)
+	for _, instance := range list.Instances {
+		previous, known := h.instances[instance.ID]
+		h.instances[instance.ID] = instance
+		serverProcess := discovery.Process{ID: instance.ID, Addr: instance.Addr, StartedMs: instance.StartedMs}
+		draining := instance.Lifecycle == "draining"
+		if draining && previous.Lifecycle != "draining" || known && previous.Lifecycle == "draining" && !draining &&
+			previous.StartedMs == instance.StartedMs {
+			h.components.Servers.ReportProcessDrain(serverProcess, draining)
 		}
-		if ago := time.Since(time.UnixMilli(in.StartedMs)); known && was.StartedMs < in.StartedMs && !drains && ago < coldFor {
-			h.parts.Servers.ReportStart(p, max(0, ago), coldFor)
+		if age := time.Since(time.UnixMilli(instance.StartedMs)); known && previous.StartedMs < instance.StartedMs &&
+			!draining && age < coldFor {
+			h.components.Servers.ReportStart(serverProcess, max(0, age), coldFor)
 		}
 	}
 }
 
-// picture is what a decision module would know of its servers: of each about as much as one does that sends them a few requests a second.
-func (h *hollow) picture(ctx context.Context) ([]byte, error) {
+// moduleSnapshot returns a module snapshot about as large as that of a sidecar that sends a few requests a second to
+// its servers. With the defect Plant.All it also saves the snapshot once for each daemon.
+func (h *stubSidecar) moduleSnapshot(ctx context.Context) ([]byte, error) {
 	h.mu.Lock()
-	p := h.parts
+	components := h.components
 	h.mu.Unlock()
-	known, err := h.draw()
-	if err != nil || !h.c.plant.All || p == nil {
-		return known, err
+	data, err := h.randomSnapshot()
+	if err != nil || !h.host.plant.All || components == nil {
+		return data, err
 	}
-	daemons, places := 0, lease.QueuePrefix+daemon.FleetTask+"/" // each has one
-	if _, err := p.Store.View(ctx, true, func(s *store.State) {
-		s.Range(places, store.PrefixEnd(places), func(store.Item) bool { daemons++; return true })
+	daemons, queuePrefix := 0, lease.QueuePrefix+daemon.FleetTask+"/" // each daemon has an entry in the queue
+	if _, err := components.Store.View(ctx, true, func(s *store.State) {
+		s.Range(queuePrefix, store.PrefixEnd(queuePrefix), func(store.Item) bool { daemons++; return true })
 	}); err != nil {
 		return nil, err
 	}
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	slots := make(chan struct{}, 8) // a replica takes 256 changes of followers at once
+	concurrent := make(chan struct{}, 8) // a replica accepts 256 concurrent changes of followers
 	for range daemons {
-		slots <- struct{}{}
+		concurrent <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-slots }()
-			if _, err := p.Store.Do(ctx, store.Command{Txn: serverstate.ModuleSnapshot{ReportedBy: h.name, Data: known}.PutTxn(serverstate.SnapshotKey(h.name, ""))}); err != nil {
-				h.c.log.Error("a picture that is planted is not put", "sidecar", h.name, "error", err)
+			defer func() { <-concurrent }()
+			if _, err := components.Store.Do(ctx, store.Command{Txn: serverstate.ModuleSnapshot{ReportedBy: h.name,
+				Data: data}.PutTxn(serverstate.SnapshotKey(h.name, ""))}); err != nil {
+				h.host.log.Error("the injected defect failed to save a module snapshot", "sidecar", h.name, "error", err)
 			}
 		})
 	}
-	return known, nil
+	return data, nil
 }
 
-func (h *hollow) draw() ([]byte, error) {
+// randomSnapshot draws a module snapshot with random statistics of all listed servers.
+func (h *stubSidecar) randomSnapshot() ([]byte, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	mean := func(v float64) balancer.MeanState {
 		return balancer.MeanState{Value: v * (0.5 + h.rng.Float64()), Samples: 20 * h.rng.Float64()}
 	}
-	micros := func(most int64) balancer.Micros { return h.rng.Int64N(most) }
-	meter := func() balancer.RateState { return balancer.RateState{Sum: 100 * h.rng.Float64(), Age: micros(1e6)} }
-	k := &snapshot.Saved{Sidecar: h.name, Clock: snapshot.ReadClock(), State: &balancer.Snapshot{At: micros(1e9), Random: h.rng.Uint64(), Listed: true, Subscribed: true,
-		Capacity: h.rng.Float64(), WarmEndpoints: h.rng.Float64(), RetryBudget: h.rng.Float64(), ReportTime: h.rng.Float64(), FleetPace: mean(2000), MeanWork: mean(1000), RejectionRate: mean(0.01),
-		LateReports: mean(500), TypicalLoad: mean(2000), ServiceTime: mean(1), Demand: meter(), SentWork: meter(), ApertureSeed: h.rng.Uint64(),
-		Classes: []balancer.ClassState{{Name: "look", InUse: true, PriorityWeight: 1, Work: mean(1000), Demand: meter(), OnTime: mean(1)}}}}
-	n := uint32(0)
-	for _, in := range h.list {
-		n++
-		e := balancer.EndpointState{ID: n, Cell: in.Cell, Weight: 1, StartTime: in.StartedMs * 1000, HasLoad: true, SlowStartBudget: h.rng.Float64(), BudgetRefilled: micros(1e6),
-			LastSend: micros(1e6), SilentSince: micros(1e6), ProbeRound: n, LastProbe: micros(1e6), LastReport: micros(1e6), OthersLoad: h.rng.Float64(), RTT: mean(800), Pace: mean(1),
-			PaceLearned: micros(1e6), Head: micros(1e6), Base: 1000 * h.rng.Float64(), Current: 1000 * h.rng.Float64(), LastForced: micros(1e6)}
-		k.Names, k.Addresses, k.State.Endpoints = append(k.Names, in.ID), append(k.Addresses, in.Addr), append(k.State.Endpoints, e)
-	}
-	return snapshot.Encode(k)
+	micros := func(limit int64) balancer.Micros { return h.rng.Int64N(limit) }
+	rate := func() balancer.RateState { return balancer.RateState{Sum: 100 * h.rng.Float64(), Age: micros(1e6)} }
+	saved := &snapshot.Saved{Sidecar: h.name, Clock: snapshot.ReadClock(),
+		State: &balancer.Snapshot{At: micros(1e9), Random: h.rng.Uint64(), Listed: true, Subscribed: true,
+			Capacity: h.rng.Float64(), WarmEndpoints: h.rng.Float64(), RetryBudget: h.rng.Float64(), ReportTime: h.rng.Float64(),
+			FleetPace: mean(2000), MeanWork: mean(1000), RejectionRate: mean(0.01),
+			LateReports: mean(500), TypicalLoad: mean(2000), ServiceTime: mean(1), Demand: rate(), SentWork: rate(),
+			ApertureSeed: h.rng.Uint64(),
+			Classes: []balancer.ClassState{{Name: "look", InUse: true, PriorityWeight: 1, Work: mean(1000), Demand: rate(),
+				OnTime: mean(1)}}}}
+	number := uint32(0)
+	for _, instance := range h.instances {
+		number++
+		endpoint := balancer.EndpointState{ID: number, Cell: instance.Cell, Weight: 1, StartTime: instance.StartedMs * 1000,
+			HasLoad: true, SlowStartBudget: h.rng.Float64(), BudgetRefilled: micros(1e6),
+			LastSend: micros(1e6), SilentSince: micros(1e6), ProbeRound: number, LastProbe: micros(1e6), LastReport: micros(1e6),
+			OthersLoad: h.rng.Float64(), RTT: mean(800), Pace: mean(1),
+			PaceLearned: micros(1e6), Head: micros(1e6), Base: 1000 * h.rng.Float64(), Current: 1000 * h.rng.Float64(),
+			LastForced: micros(1e6)}
+		saved.Names, saved.Addresses, saved.State.Endpoints = append(saved.Names, instance.ID),
+			append(saved.Addresses, instance.Addr), append(saved.State.Endpoints, endpoint)
+	}
+	return snapshot.Encode(saved)
 }
 
-// Mark is what settings of the run are told apart by.
-const markIn = `"dial-timeout":`
+// versionKey precedes the value in settings that carries the version.
+const versionKey = `"dial-timeout":`
 
-// marked are settings with a mark.
-func marked(settings json.RawMessage, mark int) json.RawMessage {
-	at := bytes.Index(settings, []byte(markIn)) + len(markIn)
-	end := at + bytes.IndexAny(settings[at:], ",}")
-	return json.RawMessage(fmt.Sprintf("%s%d%s", settings[:at], 1_000_000+mark, settings[end:]))
+// withVersion returns settings with a version: their dial timeout is 1 s plus the version in microseconds.
+func withVersion(settings json.RawMessage, version int) json.RawMessage {
+	start := bytes.Index(settings, []byte(versionKey)) + len(versionKey)
+	end := start + bytes.IndexAny(settings[start:], ",}")
+	return json.RawMessage(fmt.Sprintf("%s%d%s", settings[:start], 1_000_000+version, settings[end:]))
 }
 
-func markOf(settings json.RawMessage) int {
-	at := bytes.Index(settings, []byte(markIn))
-	if at < 0 {
+// versionOf returns the version in settings of withVersion, or 0 for other settings.
+func versionOf(settings json.RawMessage) int {
+	start := bytes.Index(settings, []byte(versionKey))
+	if start < 0 {
 		return 0
 	}
-	rest := settings[at+len(markIn):]
+	rest := settings[start+len(versionKey):]
 	n, err := strconv.Atoi(string(rest[:max(0, bytes.IndexAny(rest, ",}"))]))
 	if err != nil {
 		return 0
@@ -522,95 +563,99 @@
 	return n - 1_000_000
 }
 
-// settings goes over to those of the fleet, as a sidecar does that is told of them.
-func (h *hollow) settings(ctx context.Context, p *controlplane.Components, read func(json.RawMessage) error) {
+// followSettings checks new settings of the fleet, as a sidecar does before it adopts them, and reports their version.
+func (h *stubSidecar) followSettings(
+	ctx context.Context, components *controlplane.Components, checkSettings func(json.RawMessage) error,
+) {
 	for first := true; ; first = false {
 		if !first {
 			select {
 			case <-ctx.Done():
 				return
-			case <-p.Settings.Reload():
+			case <-components.Settings.Reload():
 			}
 		}
-		now := p.Settings.Current()
-		if now == nil {
+		current := components.Settings.Current()
+		if current == nil {
 			continue
 		}
-		if err := read(now); err != nil {
-			h.c.log.Error("settings are not taken", "sidecar", h.name, "error", err)
+		if err := checkSettings(current); err != nil {
+			h.host.log.Error("settings were rejected", "sidecar", h.name, "error", err)
 			continue
 		}
-		m := markOf(now)
+		version := versionOf(current)
 		h.mu.Lock()
-		fresh := m > h.mark
-		h.mark = max(m, h.mark)
+		newer := version > h.settingsVersion
+		h.settingsVersion = max(version, h.settingsVersion)
 		h.mu.Unlock()
-		if fresh {
-			h.c.say(word{Set: &inForce{h.Number, m, time.Now().UnixNano()}})
+		if newer {
+			h.host.send(message{Adopted: &settingsAdoption{h.Number, version, time.Now().UnixNano()}})
 		}
 	}
 }
 
-// ask is the demand for limits: it moves by the seed every half minute.
-func (h *hollow) ask(ctx context.Context, p *controlplane.Components) {
+// sendRequests passes requests through the limits, so that the sidecar has a demand. Its rate changes every 15 to 45 s.
+func (h *stubSidecar) sendRequests(ctx context.Context, components *controlplane.Components) {
 	rng := rand.New(rand.NewPCG(h.Seed, 2))
-	none := func(string) string { return "" }
-	for next := asking(rng); ; {
-		if pause(ctx, next()); ctx.Err() != nil {
+	noHeaders := func(string) string { return "" }
+	for next := requestGaps(rng); ; {
+		if sleep(ctx, next()); ctx.Err() != nil {
 			return
 		}
-		if ended, _ := p.Limits.Admit(&core.LimiterRequest{Class: "look", Path: "/look/1", PriorityWeight: 1, Header: none}); ended != nil {
-			ended(true)
+		if done, _ := components.Limits.Admit(&core.LimiterRequest{Class: "look", Path: "/look/1", PriorityWeight: 1,
+			Header: noHeaders}); done != nil {
+			done(true)
 		}
 	}
 }
 
-// demand is how much a sidecar is asked a second, on average.
-const demand = 2.0
+// meanRequestRate is the mean rate of requests of a sidecar, in requests a second.
+const meanRequestRate = 2.0
 
-// asking draws the gaps between requests of one sidecar.
-func asking(rng *rand.Rand) (next func() time.Duration) {
+// requestGaps returns a function that draws the time until the next request of a sidecar.
+func requestGaps(rng *rand.Rand) (next func() time.Duration) {
 	rate, until := 0.0, time.Time{}
 	return func() time.Duration {
 		if now := time.Now(); now.After(until) {
-			rate, until = demand*2*rng.Float64(), now.Add(15*time.Second+time.Duration(rng.Int64N(30e9)))
+			rate, until = meanRequestRate*2*rng.Float64(), now.Add(15*time.Second+time.Duration(rng.Int64N(30e9)))
 		}
 		return time.Duration(rng.ExpFloat64() * float64(time.Second) / max(0.2, rate))
 	}
 }
 
-// look adds how it stands.
-func (h *hollow) look(l *looked, o order) {
+// addState adds the state of the sidecar to states, for the revision and the settings of a command.
+func (h *stubSidecar) addState(states *stubStates, cmd command) {
 	h.mu.Lock()
-	p, presence, mark := h.parts, h.presence, h.mark
-	l.Words += h.words
+	components, sessionRef, settingsVersion := h.components, h.session, h.settingsVersion
+	states.PeerMessages += h.peerMessages
 	h.mu.Unlock()
-	if p == nil {
+	if components == nil {
 		return
 	}
-	l.Runs++
-	s, err := p.Store.Status(context.Background())
-	fresh := err == nil && s.CopyAge.Confirmed && !s.CopyAge.Stale
-	session := true
-	if presence != nil {
-		id, until, _ := presence.Current()
-		session = id != 0 && until > h.c.plant.Clock.Now()
+	states.Running++
+	status, err := components.Store.Status(context.Background())
+	fresh := err == nil && status.CopyAge.Confirmed && !status.CopyAge.Stale
+	hasSession := true
+	if sessionRef != nil {
+		id, validUntil, _ := sessionRef.Current()
+		hasSession = id != 0 && validUntil > h.host.plant.Clock.Now()
 	}
-	if l.Oldest == 0 || s.Revision < l.Oldest {
-		l.Oldest = s.Revision
+	if states.OldestRevision == 0 || status.Revision < states.OldestRevision {
+		states.OldestRevision = status.Revision
 	}
 	if fresh {
-		l.Fresh++
+		states.FreshCopies++
 	}
-	if session {
-		l.Sessions++
+	if hasSession {
+		states.Sessions++
 	}
-	if mark >= o.Mark {
-		l.Marked++
+	if settingsVersion >= cmd.SettingsVersion {
+		states.CurrentSettings++
 	}
-	if fresh && session && mark >= o.Mark && s.Revision >= o.Revision {
-		l.Right++
+	if fresh && hasSession && settingsVersion >= cmd.SettingsVersion && status.Revision >= cmd.Revision {
+		states.Converged++
 	} else {
-		l.Wrong = fmt.Sprintf("%s: fresh %v, session %v, settings %d of %d, revision %d of %d", h.name, fresh, session, mark, o.Mark, s.Revision, o.Revision)
+		states.Unconverged = fmt.Sprintf("%s: fresh %v, session %v, settings %d of %d, revision %d of %d", h.name, fresh,
+			hasSession, settingsVersion, cmd.SettingsVersion, status.Revision, cmd.Revision)
 	}
 }
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -13,86 +13,90 @@
 	"birchmoor/internal/store/usage"
 )
 
-// Roles by which a run counts apart. A replica is leader or voter by who leads at the time; the one that divides limits counts as
-// divider besides. Figures are of one process, and of RoleHollow of one sidecar.
+// Roles of processes, which are measured separately. A replica counts as leader or voter, whichever it is at the time;
+// the process that allocates the shares of limits counts as allocator as well. Figures are for one process, and for one
+// sidecar with RoleStub and RoleDiscovery.
 const (
-	RoleLeader  = "leader"
-	RoleVoter   = "voter"
-	RoleDivider = "divider"
-	RoleReal    = "sidecar (real)"
-	RoleHollow  = "sidecar (hollow)"
-	RoleList    = "discovery"          // the stand-in: of one sidecar
-	RoleLinks   = "links (of the rig)" // a zone's: what they take is the machine's, and no role's of a fleet
+	RoleLeader    = "leader"
+	RoleVoter     = "voter"
+	RoleAllocator = "divider"
+	RoleReal      = "sidecar (real)"
+	RoleStub      = "sidecar (hollow)"
+	RoleDiscovery = "discovery"          // stub discovery servers
+	RoleLinks     = "links (of the rig)" // links of a zone: a cost of the simulation, which a real fleet does not have
 )
 
-// Role is what one role costs: figures by name, such as cpu (part of a core), bytes_in and bytes_in.sessions (a second), heap_mb.
+// Role holds the cost of one role: figures by name, such as cpu (share of a core), bytes_in and bytes_in.sessions (per
+// second) and heap_mb.
 type Role map[string]Spread
 
-// Spread is how a figure lies over processes and seconds.
+// Spread is the distribution of a figure over processes and seconds.
 type Spread struct {
 	Mean  float64 `json:"mean"`
 	P99   float64 `json:"p99"`
 	Worst float64 `json:"worst"`
 }
 
-// levels are figures that stand at an instant; all others are by second.
-var levels = map[string]bool{"resident_mb": true, "heap_mb": true, "descriptors": true, "goroutines": true}
+// instantFigures are the figures that hold at an instant; all others are rates per second.
+var instantFigures = map[string]bool{"resident_mb": true, "heap_mb": true, "descriptors": true, "goroutines": true}
 
-// sampler reads all processes once a second.
+// sampler reads the usage of all processes once a second, between start and stop.
 type sampler struct {
-	r      *run
+	run    *run
 	cancel context.CancelFunc
 	done   chan struct{}
 
-	last    map[string]usage.Reading // by process
-	firsts  map[string]usage.Reading
-	samples map[string]map[string][]sample
-	at      time.Time
-	cpu     [2]uint64 // of the machine, busy and all, at the beginning
-	ended   time.Time
-	now     [2]uint64
-	first   stored
-	stored  stored
-	lead    int
-	divider string
-	sent    uint64
-	sentAt  time.Time
-
-	mu     sync.Mutex // of firsts, last and passed
-	passed []*process // that are stopped, and would answer late
+	latest      map[string]usage.Reading       // by process
+	first       map[string]usage.Reading       // by process
+	samples     map[string]map[string][]sample // by role and figure
+	startedAt   time.Time
+	cpuAtStart  [2]uint64 // see cpuTimes
+	endedAt     time.Time
+	cpuAtEnd    [2]uint64
+	firstStore  storeState // zero until a leader was read
+	latestStore storeState
+	leader      int    // index of the replica that leads; -1 if not known
+	allocator   string // name of the daemon that allocates limits; "" if not known
+	listBytes   uint64 // sent by the stub discovery servers
+	listBytesAt time.Time
+
+	mu      sync.Mutex // guards first, latest and skipped
+	skipped []*process // stopped processes, which would not answer in time
 }
 
-// passOver has processes not be read; nil: all are.
-func (s *sampler) passOver(all []*process) {
+// setSkipped sets the processes that are not read; nil: all are read.
+func (s *sampler) setSkipped(processes []*process) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.passed = all
+	s.skipped = processes
 }
 
-// sample is a figure of a process over some seconds, for so many sidecars.
-type sample struct{ v, weight float64 }
+// sample is the value of a figure between two readings of a process, for one of its sidecars. The weight is their
+// number.
+type sample struct{ value, weight float64 }
 
-// stored is how the store stands.
-type stored struct {
+// storeState is the state of the store at its leader.
+type storeState struct {
 	revision, applied uint64
 	keys, bytes       int
 }
 
-func newSampler(r *run) *sampler { return &sampler{r: r} }
+func newSampler(r *run) *sampler { return &sampler{run: r} }
 
-// begin begins to count; end ends it.
-func (s *sampler) begin(ctx context.Context) {
+// start begins a measurement; stop ends it.
+func (s *sampler) start(ctx context.Context) {
 	ctx, s.cancel = context.WithCancel(ctx)
-	s.done, s.last, s.firsts, s.samples = make(chan struct{}), map[string]usage.Reading{}, map[string]usage.Reading{}, map[string]map[string][]sample{}
-	s.at, s.lead = time.Now(), -1
-	s.cpu, s.first, s.stored = machine(), stored{}, stored{}
-	s.sentAt = time.Time{}
+	s.done, s.latest, s.first, s.samples = make(chan struct{}), map[string]usage.Reading{}, map[string]usage.Reading{},
+		map[string]map[string][]sample{}
+	s.startedAt, s.leader = time.Now(), -1
+	s.cpuAtStart, s.firstStore, s.latestStore = cpuTimes(), storeState{}, storeState{}
+	s.listBytesAt = time.Time{}
 	go func() {
 		defer close(s.done)
 		t := time.NewTicker(time.Second)
 		defer t.Stop()
 		for n := 0; ; n++ {
-			s.look(ctx, n)
+			s.readAll(ctx, n)
 			select {
 			case <-ctx.Done():
 				return
@@ -102,282 +106,292 @@
 	}()
 }
 
-func (s *sampler) end() *sampler {
+func (s *sampler) stop() *sampler {
 	s.cancel()
 	<-s.done
-	s.ended, s.now = time.Now(), machine()
+	s.endedAt, s.cpuAtEnd = time.Now(), cpuTimes()
 	return s
 }
 
-// look reads every process.
-func (s *sampler) look(ctx context.Context, n int) {
-	r := s.r
+// readAll reads the usage of every process and adds the samples. round counts the calls.
+func (s *sampler) readAll(ctx context.Context, round int) {
+	fleetRun := s.run
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	took := map[string]usage.Reading{}
+	readings := map[string]usage.Reading{}
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
-	for i, d := range r.fleet.Daemons {
+	for i, d := range fleetRun.fleet.Daemons {
 		wg.Go(func() {
-			x, err := d.Client.Usage(ctx)
+			reading, err := d.Client.Usage(ctx)
 			if err != nil {
 				return
 			}
 			mu.Lock()
-			took[d.Name()] = x
+			readings[d.Name()] = reading
 			mu.Unlock()
-			if i >= r.o.Replicas {
+			if i >= fleetRun.options.Replicas {
 				return
 			}
-			if st, err := d.Client.Status(ctx); err == nil && st.Leading {
+			if status, err := d.Client.Status(ctx); err == nil && status.Leading {
 				mu.Lock()
-				s.lead, s.stored = i, stored{st.Revision, st.Applied, st.Keys, st.Bytes}
-				if s.first == (stored{}) {
-					s.first = s.stored
+				s.leader, s.latestStore = i, storeState{status.Revision, status.Applied, status.Keys, status.Bytes}
+				if s.firstStore == (storeState{}) {
+					s.firstStore = s.latestStore
 				}
 				mu.Unlock()
 			}
-			if i == int(r.entry.Load()) && n%5 == 0 {
-				if all, err := d.Client.Tasks(ctx, "limits"); err == nil && len(all) > 0 && len(all[0].Queue) > 0 && all[0].Queue[0].Holds {
+			if i == int(fleetRun.adminReplica.Load()) && round%5 == 0 {
+				if tasks, err := d.Client.Tasks(ctx, "limits"); err == nil && len(tasks) > 0 && len(tasks[0].Queue) > 0 &&
+					tasks[0].Queue[0].Holds {
 					mu.Lock()
-					s.divider = all[0].Queue[0].Host
+					s.allocator = tasks[0].Queue[0].Host
 					mu.Unlock()
 				}
 			}
 		})
 	}
-	hollow := r.processes()
-	all := slices.Concat(hollow, r.links)
+	stubs := fleetRun.stubProcesses()
+	processes := slices.Concat(stubs, fleetRun.links)
 	s.mu.Lock()
-	passed := s.passed
+	skipped := s.skipped
 	s.mu.Unlock()
-	for _, p := range all {
-		if !p.runs() || slices.Contains(passed, p) {
+	for _, p := range processes {
+		if !p.running() || slices.Contains(skipped, p) {
 			continue
 		}
 		wg.Go(func() {
-			if w, err := p.tell(ctx, order{Do: "read"}); err == nil && w.Read != nil {
+			if reply, err := p.call(ctx, command{Name: "read"}); err == nil && reply.Usage != nil {
 				mu.Lock()
-				took[p.name] = *w.Read
+				readings[p.name] = *reply.Usage
 				mu.Unlock()
 			}
 		})
 	}
 	wg.Wait()
-	for i, d := range r.fleet.Daemons {
+	for i, d := range fleetRun.fleet.Daemons {
 		role := RoleReal
 		switch {
-		case i < r.o.Replicas && i == s.lead:
+		case i < fleetRun.options.Replicas && i == s.leader:
 			role = RoleLeader
-		case i < r.o.Replicas:
+		case i < fleetRun.options.Replicas:
 			role = RoleVoter
 		}
-		if x, ok := took[d.Name()]; ok {
-			was, before := s.last[d.Name()]
-			s.add(role, was, x, before, 1)
-			if d.Name() == s.divider {
-				s.add(RoleDivider, was, x, before, 1)
+		if reading, ok := readings[d.Name()]; ok {
+			previous, hasPrevious := s.latest[d.Name()]
+			s.addReading(role, previous, reading, hasPrevious, 1)
+			if d.Name() == s.allocator {
+				s.addReading(RoleAllocator, previous, reading, hasPrevious, 1)
 			}
 		}
 	}
-	for _, p := range all {
-		if x, ok := took[p.name]; ok {
-			was, before := s.last[p.name]
-			if len(p.of) > 0 {
-				s.add(RoleHollow, was, x, before, float64(len(p.of)))
+	for _, p := range processes {
+		if reading, ok := readings[p.name]; ok {
+			previous, hasPrevious := s.latest[p.name]
+			if len(p.sidecars) > 0 {
+				s.addReading(RoleStub, previous, reading, hasPrevious, float64(len(p.sidecars)))
 			} else {
-				s.add(RoleLinks, was, x, before, 1)
+				s.addReading(RoleLinks, previous, reading, hasPrevious, 1)
 			}
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for name, x := range took {
-		if _, ok := s.firsts[name]; !ok {
-			s.firsts[name] = x
+	for name, reading := range readings {
+		if _, ok := s.first[name]; !ok {
+			s.first[name] = reading
 		}
-		s.last[name] = x
+		s.latest[name] = reading
 	}
-	var sent uint64
-	for _, b := range r.boards {
-		sent += b.Sent()
+	var listBytes uint64
+	for _, b := range fleetRun.discoveryServers {
+		listBytes += b.Sent()
 	}
 	now := time.Now()
-	if dt := now.Sub(s.sentAt).Seconds(); !s.sentAt.IsZero() && r.o.Sidecars > r.o.Real {
-		s.put(RoleList, "bytes_out.list", float64(sent-s.sent)/dt/float64(r.o.Sidecars-r.o.Real), 1)
+	if dt := now.Sub(s.listBytesAt).Seconds(); !s.listBytesAt.IsZero() &&
+		fleetRun.options.Sidecars > fleetRun.options.Real {
+		s.addSample(RoleDiscovery, "bytes_out.list",
+			float64(listBytes-s.listBytes)/dt/float64(fleetRun.options.Sidecars-fleetRun.options.Real), 1)
 	}
-	s.sent, s.sentAt = sent, now
+	s.listBytes, s.listBytesAt = listBytes, now
 }
 
-func (s *sampler) put(role, name string, v, weight float64) {
+func (s *sampler) addSample(role, name string, v, weight float64) {
 	if s.samples[role] == nil {
 		s.samples[role] = map[string][]sample{}
 	}
 	s.samples[role][name] = append(s.samples[role][name], sample{v, weight})
 }
 
-// add counts what a process did between two readings, for each of so many sidecars.
-func (s *sampler) add(role string, was, now usage.Reading, before bool, of float64) {
+// addReading adds the samples of a process from its previous and present readings, for each of its sidecars. Without a
+// previous reading only figures of an instant are added.
+func (s *sampler) addReading(role string, previous, reading usage.Reading, hasPrevious bool, sidecars float64) {
 	const mb = 1 << 20
-	p := now.Process
-	s.put(role, "resident_mb", float64(p.ResidentBytes)/mb/of, of)
-	s.put(role, "heap_mb", float64(p.HeapBytes)/mb/of, of)
-	s.put(role, "descriptors", float64(p.Descriptors)/of, of)
-	s.put(role, "goroutines", float64(p.Goroutines)/of, of)
-	dt := now.Seconds - was.Seconds
-	if !before || dt < 0.2 { // another process, or a reading that came late
+	usedByProcess := reading.Process
+	s.addSample(role, "resident_mb", float64(usedByProcess.ResidentBytes)/mb/sidecars, sidecars)
+	s.addSample(role, "heap_mb", float64(usedByProcess.HeapBytes)/mb/sidecars, sidecars)
+	s.addSample(role, "descriptors", float64(usedByProcess.Descriptors)/sidecars, sidecars)
+	s.addSample(role, "goroutines", float64(usedByProcess.Goroutines)/sidecars, sidecars)
+	seconds := reading.Seconds - previous.Seconds
+	if !hasPrevious || seconds < 0.2 { // a restarted process, or a delayed reading
 		return
 	}
 	rate := func(name string, a, b uint64) float64 {
-		v := float64(b-min(a, b)) / dt / of
-		s.put(role, name, v, of)
+		v := float64(b-min(a, b)) / seconds / sidecars
+		s.addSample(role, name, v, sidecars)
 		return v
 	}
-	cpu := p.CPUUserSeconds + p.CPUSystemSeconds - was.Process.CPUUserSeconds - was.Process.CPUSystemSeconds
-	s.put(role, "cpu", max(0, cpu)/dt/of, of)
-	rate("bytes_in", was.Connections.BytesIn, now.Connections.BytesIn)
-	rate("bytes_out", was.Connections.BytesOut, now.Connections.BytesOut)
+	cpu := usedByProcess.CPUUserSeconds + usedByProcess.CPUSystemSeconds -
+		previous.Process.CPUUserSeconds - previous.Process.CPUSystemSeconds
+	s.addSample(role, "cpu", max(0, cpu)/seconds/sidecars, sidecars)
+	rate("bytes_in", previous.Connections.BytesIn, reading.Connections.BytesIn)
+	rate("bytes_out", previous.Connections.BytesOut, reading.Connections.BytesOut)
 	var in, out, applied float64
-	for i, f := range now.Purposes {
-		w := was.Purposes[i]
-		in += rate("messages_in."+f.Purpose, w.MessagesIn, f.MessagesIn)
-		out += rate("messages_out."+f.Purpose, w.MessagesOut, f.MessagesOut)
-		rate("bytes_in."+f.Purpose, w.BytesIn, f.BytesIn)
-		rate("bytes_out."+f.Purpose, w.BytesOut, f.BytesOut)
-		applied += rate("entries."+f.Purpose, w.Applied, f.Applied)
+	for i, counted := range reading.Purposes {
+		before := previous.Purposes[i]
+		in += rate("messages_in."+counted.Purpose, before.MessagesIn, counted.MessagesIn)
+		out += rate("messages_out."+counted.Purpose, before.MessagesOut, counted.MessagesOut)
+		rate("bytes_in."+counted.Purpose, before.BytesIn, counted.BytesIn)
+		rate("bytes_out."+counted.Purpose, before.BytesOut, counted.BytesOut)
+		applied += rate("entries."+counted.Purpose, before.Applied, counted.Applied)
 	}
-	s.put(role, "messages_in", in, of)
-	s.put(role, "messages_out", out, of)
-	s.put(role, "entries", applied, of)
+	s.addSample(role, "messages_in", in, sidecars)
+	s.addSample(role, "messages_out", out, sidecars)
+	s.addSample(role, "entries", applied, sidecars)
 	var syncs, bytes float64
-	for i, f := range now.Written {
-		syncs += rate("syncs."+f.File, was.Written[i].Syncs, f.Syncs)
-		bytes += rate("disk."+f.File, was.Written[i].Bytes, f.Bytes)
+	for i, counted := range reading.Written {
+		syncs += rate("syncs."+counted.File, previous.Written[i].Syncs, counted.Syncs)
+		bytes += rate("disk."+counted.File, previous.Written[i].Bytes, counted.Bytes)
 	}
-	s.put(role, "syncs", syncs, of)
-	s.put(role, "disk", bytes, of)
+	s.addSample(role, "syncs", syncs, sidecars)
+	s.addSample(role, "disk", bytes, sidecars)
 }
 
-func (s *sampler) seconds() float64 { return s.ended.Sub(s.at).Seconds() }
+func (s *sampler) seconds() float64 { return s.endedAt.Sub(s.startedAt).Seconds() }
 
-// busy is which part of the machine's processor time was used, by anybody.
+// busy returns the share of the machine's CPU time that was used, by any process.
 func (s *sampler) busy() float64 {
-	if all := s.now[1] - s.cpu[1]; all > 0 {
-		return float64(s.now[0]-s.cpu[0]) / float64(all)
+	if all := s.cpuAtEnd[1] - s.cpuAtStart[1]; all > 0 {
+		return float64(s.cpuAtEnd[0]-s.cpuAtStart[0]) / float64(all)
 	}
 	return 0
 }
 
-// machine is how long its processors were busy, and all.
-func machine() (m [2]uint64) {
+// cpuTimes returns the busy and the total CPU time of the machine since its boot, in ticks. Both are 0 if they cannot
+// be read.
+func cpuTimes() (times [2]uint64) {
 	text, err := os.ReadFile("/proc/stat")
 	if err != nil {
-		return m
+		return times
 	}
 	line, _, _ := strings.Cut(string(text), "\n")
 	for i, f := range strings.Fields(line)[1:] {
-		n, _ := strconv.ParseUint(f, 10, 64) // the system's own text
-		if m[1] += n; i != 3 && i != 4 {
-			m[0] += n
+		n, _ := strconv.ParseUint(f, 10, 64) // the kernel writes numbers only
+		if times[1] += n; i != 3 && i != 4 {
+			times[0] += n
 		}
 	}
-	return m
+	return times
 }
 
-// roles sums the samples up. Figures that are nothing throughout are left out.
+// roles summarises the samples by role. Figures that are always 0 are left out.
 func (s *sampler) roles() map[string]Role {
 	all := map[string]Role{}
 	for role, figures := range s.samples {
 		all[role] = Role{}
 		for name, list := range figures {
-			slices.SortFunc(list, func(a, b sample) int { return cmp.Compare(a.v, b.v) })
+			slices.SortFunc(list, func(a, b sample) int { return cmp.Compare(a.value, b.value) })
 			var sum, weight float64
 			for _, x := range list {
-				sum, weight = sum+x.v*x.weight, weight+x.weight
+				sum, weight = sum+x.value*x.weight, weight+x.weight
 			}
-			if sp := (Spread{sum / weight, list[min(len(list)-1, len(list)*99/100)].v, list[len(list)-1].v}); sp.Worst > 0 {
-				all[role][name] = sp
+			if spread := (Spread{sum / weight, list[min(len(list)-1, len(list)*99/100)].value,
+				list[len(list)-1].value}); spread.Worst > 0 {
+				all[role][name] = spread
 			}
 		}
 	}
 	return all
 }
 
-// counts are what was counted in all, and for how long: at the replica that has applied the most, and at all hollow sidecars together.
+// counts returns totals since start: entries applied by the replica that applied the most of a purpose, and messages
+// and bytes of all stub sidecars together.
 func (s *sampler) counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := Counts{Applied: map[string]uint64{}, In: map[string]uint64{}, Out: map[string]uint64{}, Read: map[string]uint64{}, Sent: map[string]uint64{}, RealOut: map[string]uint64{}}
-	since := func(name string, f func(now, was *usage.PurposeUsage)) (seconds float64) {
-		was, now := s.firsts[name], s.last[name]
-		for i := range was.Purposes {
-			f(&now.Purposes[i], &was.Purposes[i])
+	c := Counts{Applied: map[string]uint64{}, In: map[string]uint64{}, Out: map[string]uint64{}, Read: map[string]uint64{},
+		Sent: map[string]uint64{}, RealOut: map[string]uint64{}}
+	eachPurpose := func(name string, f func(latest, previous *usage.PurposeUsage)) (seconds float64) {
+		previous, latest := s.first[name], s.latest[name]
+		for i := range previous.Purposes {
+			f(&latest.Purposes[i], &previous.Purposes[i])
 		}
-		return now.Seconds - was.Seconds
+		return latest.Seconds - previous.Seconds
 	}
-	for i, d := range s.r.fleet.Daemons {
-		c.Seconds = max(c.Seconds, since(d.Name(), func(now, was *usage.PurposeUsage) {
-			if i < s.r.o.Replicas {
-				c.Applied[now.Purpose] = max(c.Applied[now.Purpose], now.Applied-was.Applied)
+	for i, d := range s.run.fleet.Daemons {
+		c.Seconds = max(c.Seconds, eachPurpose(d.Name(), func(latest, previous *usage.PurposeUsage) {
+			if i < s.run.options.Replicas {
+				c.Applied[latest.Purpose] = max(c.Applied[latest.Purpose], latest.Applied-previous.Applied)
 			} else {
-				c.RealOut[now.Purpose] += now.MessagesOut - was.MessagesOut
+				c.RealOut[latest.Purpose] += latest.MessagesOut - previous.MessagesOut
 			}
 		}))
 	}
-	for _, p := range s.r.processes() {
-		c.Seconds = max(c.Seconds, since(p.name, func(now, was *usage.PurposeUsage) {
-			c.In[now.Purpose] += now.MessagesIn - was.MessagesIn
-			c.Out[now.Purpose] += now.MessagesOut - was.MessagesOut
-			c.Read[now.Purpose] += now.BytesIn - was.BytesIn
-			c.Sent[now.Purpose] += now.BytesOut - was.BytesOut
+	for _, p := range s.run.stubProcesses() {
+		c.Seconds = max(c.Seconds, eachPurpose(p.name, func(latest, previous *usage.PurposeUsage) {
+			c.In[latest.Purpose] += latest.MessagesIn - previous.MessagesIn
+			c.Out[latest.Purpose] += latest.MessagesOut - previous.MessagesOut
+			c.Read[latest.Purpose] += latest.BytesIn - previous.BytesIn
+			c.Sent[latest.Purpose] += latest.BytesOut - previous.BytesOut
 		}))
 	}
 	return c
 }
 
 func (s *sampler) store() Store {
-	d := s.seconds()
-	return Store{Keys: s.stored.keys, Bytes: s.stored.bytes, Entries: float64(s.stored.applied-min(s.stored.applied, s.first.applied)) / d,
-		Revisions: float64(s.stored.revision-min(s.stored.revision, s.first.revision)) / d}
+	seconds := s.seconds()
+	return Store{Keys: s.latestStore.keys, Bytes: s.latestStore.bytes,
+		Entries:   float64(s.latestStore.applied-min(s.latestStore.applied, s.firstStore.applied)) / seconds,
+		Revisions: float64(s.latestStore.revision-min(s.latestStore.revision, s.firstStore.revision)) / seconds}
 }
 
-// Result is one size.
+// Result is the result of a run with one size of fleet.
 type Result struct {
-	Sidecars  int             `json:"sidecars"`
-	Real      int             `json:"real"`
-	Replicas  int             `json:"replicas"`
-	Services  int             `json:"services"`
-	Seed      uint64          `json:"seed"`
-	Processes int             `json:"processes"`
-	Began     float64         `json:"began_s"` // from the first sidecar's start until all were right
-	Seconds   float64         `json:"seconds"` // of the quiet phase
-	Right     int             `json:"right"`   // hollow sidecars, at its end or within a minute of it
-	Busy      float64         `json:"busy"`    // part of the machine, meanwhile
-	Failed    int             `json:"failed"`  // changes of the settings
-	Store     Store           `json:"store"`
-	Roles     map[string]Role `json:"roles"`
-	Counts    Counts          `json:"counts"`
-	Honest    []Pair          `json:"honest,omitempty"`
-	Settings  InForce         `json:"settings"`
-
-	Burst      *InForce        `json:"burst,omitempty"`
+	Sidecars     int             `json:"sidecars"`
+	Real         int             `json:"real"`
+	Replicas     int             `json:"replicas"`
+	Services     int             `json:"services"`
+	Seed         uint64          `json:"seed"`
+	Processes    int             `json:"processes"`
+	Began        float64         `json:"began_s"` // from the start of the first sidecar until the fleet had converged
+	Seconds      float64         `json:"seconds"` // length of the quiet phase
+	Right        int             `json:"right"`   // stub sidecars that had converged at its end or within a minute of it
+	Busy         float64         `json:"busy"`    // share of the machine's CPU time during the quiet phase
+	Failed       int             `json:"failed"`  // changes of the settings that failed
+	Store        Store           `json:"store"`
+	Roles        map[string]Role `json:"roles"`
+	Counts       Counts          `json:"counts"`
+	StubAccuracy []RealStubPair  `json:"honest,omitempty"`
+	Settings     AdoptionDelays  `json:"settings"`
+
+	Burst      *AdoptionDelays `json:"burst,omitempty"`
 	BurstRoles map[string]Role `json:"burst_roles,omitempty"`
 	Fault      *FaultResult    `json:"fault,omitempty"`
 	Took       float64         `json:"took_s"`
 }
 
-// Counts are of the quiet phase, by purpose.
+// Counts holds totals of the quiet phase, by purpose.
 type Counts struct {
 	Seconds float64           `json:"seconds"`
-	Applied map[string]uint64 `json:"applied"`  // entries of the log
-	In      map[string]uint64 `json:"in"`       // messages to all hollow sidecars together
-	Out     map[string]uint64 `json:"out"`      // and from them
-	Read    map[string]uint64 `json:"read"`     // bytes of those to them
-	Sent    map[string]uint64 `json:"sent"`     // and of those from them
-	RealOut map[string]uint64 `json:"real_out"` // messages from all real ones
+	Applied map[string]uint64 `json:"applied"`  // log entries
+	In      map[string]uint64 `json:"in"`       // messages to all stub sidecars together
+	Out     map[string]uint64 `json:"out"`      // messages from all stub sidecars together
+	Read    map[string]uint64 `json:"read"`     // bytes of the messages in In
+	Sent    map[string]uint64 `json:"sent"`     // bytes of the messages in Out
+	RealOut map[string]uint64 `json:"real_out"` // messages from all real sidecars together
 }
 
-// Store is what the store holds, and how its log grows by second.
+// Store holds the size of the store and the growth of its log. Entries and Revisions are per second.
 type Store struct {
 	Keys      int     `json:"keys"`
 	Bytes     int     `json:"bytes"`
@@ -385,129 +399,133 @@
 	Revisions float64 `json:"revisions"`
 }
 
-// FaultResult is what a fault cost.
+// FaultResult holds the cost of a fault.
 type FaultResult struct {
 	Name    string          `json:"name"`
 	What    string          `json:"what"`
-	Right   float64         `json:"right_s"` // from when all could be reached again until all were right
-	Copies  uint64          `json:"copies"`  // whole ones that hollow sidecars took meanwhile
-	Missed  string          `json:"missed,omitempty"`
-	Seconds float64         `json:"seconds"` // that were measured
+	Right   float64         `json:"right_s"`          // from the end of the fault until the fleet had converged
+	Copies  uint64          `json:"copies"`           // snapshots that stub sidecars received during the measurement
+	Missed  string          `json:"missed,omitempty"` // why the fleet did not converge; "" if it did
+	Seconds float64         `json:"seconds"`          // length of the measurement
 	Roles   map[string]Role `json:"roles"`
 }
 
-// Pair is one figure of the real sidecars and of the hollow ones.
-type Pair struct {
+// RealStubPair compares the mean of a figure between the real sidecars and the stub sidecars.
+type RealStubPair struct {
 	Figure string  `json:"figure"`
 	Real   float64 `json:"real"`
-	Hollow float64 `json:"hollow"`
-	Ratio  float64 `json:"ratio"` // hollow by real
+	Stub   float64 `json:"hollow"`
+	Ratio  float64 `json:"ratio"` // stub over real; 0 if the real value is 0
 }
 
-// honest compares means.
-func honest(real, hollow Role) (all []Pair) {
-	if real == nil || hollow == nil {
+// compareRealWithStubs compares the means of the figures that should agree if stub sidecars behave as real ones do.
+func compareRealWithStubs(real, stubs Role) (pairs []RealStubPair) {
+	if real == nil || stubs == nil {
 		return nil
 	}
-	names := []string{"cpu", "heap_mb", "resident_mb", "bytes_in", "bytes_out", "messages_in", "messages_out", "disk", "syncs"}
+	names := []string{"cpu", "heap_mb", "resident_mb", "bytes_in", "bytes_out", "messages_in", "messages_out", "disk",
+		"syncs"}
 	for _, p := range []string{"sessions", "words", "pictures", "settings", "shares", "tasks", "beats", "requests"} {
 		names = append(names, "bytes_in."+p, "bytes_out."+p)
 	}
 	for _, n := range names {
-		a, b := real[n].Mean, hollow[n].Mean
+		a, b := real[n].Mean, stubs[n].Mean
 		if a > 0 || b > 0 {
-			p := Pair{Figure: n, Real: a, Hollow: b}
+			p := RealStubPair{Figure: n, Real: a, Stub: b}
 			if a > 0 {
 				p.Ratio = b / a
 			}
-			all = append(all, p)
+			pairs = append(pairs, p)
 		}
 	}
-	return all
+	return pairs
 }
 
-// ---- Settings --------------------------------------------------------------
-
-// InForce is how long after an operator's word settings were in force at hollow sidecars.
-type InForce struct {
+// AdoptionDelays is the distribution of the time from an operator's change of the settings until a stub sidecar has
+// adopted them, or newer ones.
+type AdoptionDelays struct {
 	Changes int     `json:"changes"`
-	N       int     `json:"n"`
-	Missing int     `json:"missing"` // of sidecars and changes, that had not come
-	Put     float64 `json:"put_s"`   // until the operator was answered, on average
+	N       int     `json:"n"`       // adoptions, over sidecars and changes
+	Missing int     `json:"missing"` // adoptions that had not happened yet
+	Put     float64 `json:"put_s"`   // mean time until the operator's change was answered
 	P50     float64 `json:"p50_s"`
 	P99     float64 `json:"p99_s"`
 	Worst   float64 `json:"worst_s"`
 }
 
-// changes notes when settings were put and came in force. Any goroutine may use it.
-type changes struct {
-	mu    sync.Mutex
-	puts  map[int][2]time.Time // by mark: asked, and answered
-	words map[int][]inForce    // by sidecar
-	from  int                  // the newest mark when it was reset
-	top   int
+// settingsChanges records when settings were changed and when stub sidecars adopted them. Any goroutine may use it.
+type settingsChanges struct {
+	mu            sync.Mutex
+	written       map[int][2]time.Time       // by version: when the change was sent and answered
+	adoptions     map[int][]settingsAdoption // by sidecar
+	baseVersion   int                        // the newest version at the last reset
+	newestVersion int
 }
 
-func newChanges() *changes { return &changes{puts: map[int][2]time.Time{}, words: map[int][]inForce{}} }
+func newSettingsChanges() *settingsChanges {
+	return &settingsChanges{written: map[int][2]time.Time{}, adoptions: map[int][]settingsAdoption{}}
+}
 
-func (c *changes) put(mark int, asked, answered time.Time) {
+func (c *settingsChanges) recordChange(version int, asked, answered time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.puts[mark] = [2]time.Time{asked, answered}
-	c.top = max(c.top, mark)
+	c.written[version] = [2]time.Time{asked, answered}
+	c.newestVersion = max(c.newestVersion, version)
 }
 
-func (c *changes) came(f inForce) {
+func (c *settingsChanges) recordAdoption(f settingsAdoption) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.words[f.Sidecar] = append(c.words[f.Sidecar], f)
+	c.adoptions[f.Sidecar] = append(c.adoptions[f.Sidecar], f)
 }
 
-// newest is the mark of the newest settings that were put.
-func (c *changes) newest() int {
+// newest returns the version of the newest settings.
+func (c *settingsChanges) newest() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.top
+	return c.newestVersion
 }
 
-// reset has what came until now count no more.
-func (c *changes) reset() {
+// reset excludes the changes and adoptions so far from later results.
+func (c *settingsChanges) reset() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.from = c.top
-	clear(c.words)
+	c.baseVersion = c.newestVersion
+	clear(c.adoptions)
 }
 
-// result sums up: settings count as in force with the first that are as new.
-func (c *changes) result(sidecars int) (x InForce) {
+// result summarises the adoptions since the last reset. A sidecar has adopted a change with the first settings that
+// have its version or a newer one.
+func (c *settingsChanges) result(sidecars int) (summary AdoptionDelays) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var all []float64
-	for mark := c.from + 1; mark <= c.top; mark++ {
-		put, ok := c.puts[mark]
+	var delays []float64
+	for version := c.baseVersion + 1; version <= c.newestVersion; version++ {
+		put, ok := c.written[version]
 		if !ok {
 			continue
 		}
-		x.Changes++
-		x.Put += put[1].Sub(put[0]).Seconds()
-		for _, list := range c.words {
-			at := int64(0)
-			for _, f := range list {
-				if f.Mark >= mark && (at == 0 || f.At < at) {
-					at = f.At
+		summary.Changes++
+		summary.Put += put[1].Sub(put[0]).Seconds()
+		for _, ofSidecar := range c.adoptions {
+			adoptedAtNanos := int64(0)
+			for _, adoption := range ofSidecar {
+				if adoption.Version >= version && (adoptedAtNanos == 0 || adoption.AtNanos < adoptedAtNanos) {
+					adoptedAtNanos = adoption.AtNanos
 				}
 			}
-			if at != 0 {
-				all = append(all, float64(at-put[0].UnixNano())/1e9)
+			if adoptedAtNanos != 0 {
+				delays = append(delays, float64(adoptedAtNanos-put[0].UnixNano())/1e9)
 			}
 		}
 	}
-	if x.Changes > 0 {
-		x.Put /= float64(x.Changes)
+	if summary.Changes > 0 {
+		summary.Put /= float64(summary.Changes)
 	}
-	x.N, x.Missing = len(all), x.Changes*sidecars-len(all)
-	if slices.Sort(all); len(all) > 0 {
-		x.P50, x.P99, x.Worst = all[len(all)/2], all[min(len(all)-1, len(all)*99/100)], all[len(all)-1]
+	summary.N, summary.Missing = len(delays), summary.Changes*sidecars-len(delays)
+	if slices.Sort(delays); len(delays) > 0 {
+		summary.P50, summary.P99, summary.Worst = delays[len(delays)/2], delays[min(len(delays)-1, len(delays)*99/100)],
+			delays[len(delays)-1]
 	}
-	return x
+	return summary
 }
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -16,27 +16,32 @@
 	"time"
 )
 
-// process is a child of the run: hollow sidecars, or a zone's links. It is in a process group of its own, and ends with this process.
+// process is a child process with stub sidecars or the links of a zone. It has a process group of its own and is killed
+// when this process ends. Any goroutine may send it commands.
 type process struct {
-	name  string
-	spec  Spec
-	of    []int // hollow sidecars
-	zone  int
-	ready []string // where links listen
+	name      string
+	spec      Spec
+	sidecars  []int // numbers of its stub sidecars
+	zone      int
+	linkAddrs []string // addresses at which its links listen, in the order of spec.Links
 
-	cmd  *exec.Cmd
-	in   io.WriteCloser
-	over chan struct{}
-	next atomic.Uint64
+	cmd    *exec.Cmd
+	stdin  io.WriteCloser
+	ended  chan struct{} // closed when the process has ended
+	lastID atomic.Uint64 // of a command
 
-	mu      sync.Mutex
-	waiting map[uint64]chan word
-	set     func(inForce)
+	mu         sync.Mutex
+	pending    map[uint64]chan message // commands without an answer, by ID; 0 waits for the process to be ready
+	onAdoption func(settingsAdoption)  // nil for links, which report none
 }
 
-// start runs a child and waits until it is ready. What it logs goes to a file beside its spec.
-func start(ctx context.Context, o *Options, dir, name string, spec Spec, set func(inForce)) (p *process, err error) {
-	p = &process{name: name, spec: spec, over: make(chan struct{}), waiting: map[uint64]chan word{}, set: set}
+// startProcess starts a child process and waits until it is ready. Its standard error goes to a log file next to the
+// file with its spec.
+func startProcess(
+	ctx context.Context, o *Options, dir, name string, spec Spec, onAdoption func(settingsAdoption),
+) (started *process, err error) {
+	started = &process{name: name, spec: spec, ended: make(chan struct{}), pending: map[uint64]chan message{},
+		onAdoption: onAdoption}
 	text, err := json.Marshal(spec)
 	if err != nil {
 		return nil, err
@@ -45,124 +50,126 @@
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		return nil, err
 	}
-	log, err := os.OpenFile(p.log(dir), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	logFile, err := os.OpenFile(started.logPath(dir), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	defer log.Close()
-	p.cmd = exec.Command(o.Program, "lab", "hollow", path)
-	p.cmd.Env = append(os.Environ(), o.Env...)
-	if n := len(spec.Hollow); n > 0 { // beyond what is reckoned its heap is collected more often
-		part := o.hollowsMB() * float64(n) / float64(o.Sidecars-o.Real)
-		p.cmd.Env = append(p.cmd.Env, fmt.Sprintf("GOMEMLIMIT=%dMiB", int(part)))
+	defer logFile.Close()
+	started.cmd = exec.Command(o.Program, "lab", "hollow", path)
+	started.cmd.Env = append(os.Environ(), o.Env...)
+	if n := len(spec.Stubs); n > 0 { // above the estimate the heap is collected more often
+		memoryMB := o.stubsMB() * float64(n) / float64(o.Sidecars-o.Real)
+		started.cmd.Env = append(started.cmd.Env, fmt.Sprintf("GOMEMLIMIT=%dMiB", int(memoryMB)))
 	}
-	p.cmd.Stderr = log
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
-	if p.in, err = p.cmd.StdinPipe(); err != nil {
+	started.cmd.Stderr = logFile
+	started.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
+	if started.stdin, err = started.cmd.StdinPipe(); err != nil {
 		return nil, err
 	}
-	out, err := p.cmd.StdoutPipe()
+	out, err := started.cmd.StdoutPipe()
 	if err != nil {
 		return nil, err
 	}
-	if err := p.cmd.Start(); err != nil {
+	if err := started.cmd.Start(); err != nil {
 		return nil, err
 	}
-	ready := make(chan word, 1)
-	p.waiting[0] = ready
-	go p.hear(out)
+	ready := make(chan message, 1)
+	started.pending[0] = ready
+	go started.readMessages(out)
 	select {
-	case w := <-ready:
-		p.ready = w.Ready
-		return p, nil
-	case <-p.over:
-		said, _ := os.ReadFile(p.log(dir)) // which may say why
-		return nil, fmt.Errorf("%s has ended: %s", name, said)
+	case first := <-ready:
+		started.linkAddrs = first.LinkAddrs
+		return started, nil
+	case <-started.ended:
+		logged, _ := os.ReadFile(started.logPath(dir)) // may contain the reason
+		return nil, fmt.Errorf("process %s ended before it was ready: %s", name, logged)
 	case <-ctx.Done():
-		p.kill()
+		started.kill()
 		return nil, ctx.Err()
 	}
 }
 
-func (p *process) log(dir string) string { return filepath.Join(dir, p.name+".log") }
+// logPath returns the file for the standard error of the process.
+func (p *process) logPath(dir string) string { return filepath.Join(dir, p.name+".log") }
 
-func (p *process) hear(out io.Reader) {
+// readMessages passes on the messages of the process until its output ends, and then waits for the process.
+func (p *process) readMessages(out io.Reader) {
 	lines := bufio.NewReaderSize(out, 1<<16)
 	for {
 		line, err := lines.ReadBytes('\n')
 		if err != nil {
 			break
 		}
-		var w word
-		if json.Unmarshal(line, &w) != nil {
-			continue // no word of ours
+		var received message
+		if json.Unmarshal(line, &received) != nil {
+			continue // not a message of the protocol
 		}
-		if w.Set != nil {
-			p.set(*w.Set)
+		if received.Adopted != nil {
+			p.onAdoption(*received.Adopted)
 			continue
 		}
 		p.mu.Lock()
-		to := p.waiting[w.ID]
-		delete(p.waiting, w.ID)
+		waiter := p.pending[received.ID]
+		delete(p.pending, received.ID)
 		p.mu.Unlock()
-		if to != nil {
-			to <- w
+		if waiter != nil {
+			waiter <- received
 		}
 	}
-	_ = p.cmd.Wait() // how it ended shows in its log, or it was killed
-	close(p.over)
+	_ = p.cmd.Wait() // the log shows how it ended, unless it was killed
+	close(p.ended)
 }
 
-var errOver = errors.New("the process has ended")
+var errProcessEnded = errors.New("the process has ended")
 
-// tell gives an order and waits for its answer.
-func (p *process) tell(ctx context.Context, o order) (word, error) {
-	o.ID = p.next.Add(1)
-	answer := make(chan word, 1)
-	text, err := json.Marshal(o)
+// call sends a command and waits for its answer.
+func (p *process) call(ctx context.Context, cmd command) (message, error) {
+	cmd.ID = p.lastID.Add(1)
+	replies := make(chan message, 1)
+	text, err := json.Marshal(cmd)
 	if err != nil {
-		return word{}, err
+		return message{}, err
 	}
 	p.mu.Lock()
-	p.waiting[o.ID] = answer
-	_, err = p.in.Write(append(text, '\n'))
+	p.pending[cmd.ID] = replies
+	_, err = p.stdin.Write(append(text, '\n'))
 	p.mu.Unlock()
 	if err != nil {
-		return word{}, fmt.Errorf("%s: %w", p.name, err)
+		return message{}, fmt.Errorf("%s: %w", p.name, err)
 	}
 	select {
-	case w := <-answer:
-		if w.Error != "" {
-			return w, fmt.Errorf("%s: %s", p.name, w.Error)
+	case reply := <-replies:
+		if reply.Error != "" {
+			return reply, fmt.Errorf("%s: %s", p.name, reply.Error)
 		}
-		return w, nil
-	case <-p.over:
-		return word{}, fmt.Errorf("%s: %w", p.name, errOver)
+		return reply, nil
+	case <-p.ended:
+		return message{}, fmt.Errorf("%s: %w", p.name, errProcessEnded)
 	case <-ctx.Done():
-		return word{}, ctx.Err()
+		return message{}, ctx.Err()
 	}
 }
 
-// runs says whether it does.
-func (p *process) runs() bool {
+// running reports whether the process has not ended yet.
+func (p *process) running() bool {
 	select {
-	case <-p.over:
+	case <-p.ended:
 		return false
 	default:
 		return true
 	}
 }
 
-// signal sends one to the process's group.
-func (p *process) signal(s syscall.Signal) { _ = syscall.Kill(-p.cmd.Process.Pid, s) } // it may have ended
+// signal sends a signal to the process group, unless it has ended.
+func (p *process) signal(s syscall.Signal) { _ = syscall.Kill(-p.cmd.Process.Pid, s) }
 
-// kill ends it with all in its group, and waits.
+// kill kills the process group and waits for the process.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
-	<-p.over
+	<-p.ended
 }
 
-// soon bounds the answer to what costs little.
-func soon(ctx context.Context) (context.Context, context.CancelFunc) {
+// withShortTimeout returns a context for a command or a call that is answered without much work.
+func withShortTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, 5*time.Second)
 }
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -23,31 +23,31 @@
 	"birchmoor/internal/store/admin"
 )
 
-// run is a fleet that runs.
+// run is a running fleet.
 type run struct {
-	o       Options
-	w       *world
-	dir     string
-	fleet   *fleetlab.Fleet
-	boards  []*fleetlab.Board  // by service, for hollow sidecars
-	servers []*httptest.Server // that real sidecars send to
-	links   []*process         // by zone
-	at      sync.Mutex         // of hollow
-	hollow  []*process
-	meter   *sampler
+	options          Options
+	world            *world
+	dir              string
+	fleet            *fleetlab.Fleet
+	discoveryServers []*fleetlab.Board  // by service, for stub sidecars
+	stubServers      []*httptest.Server // servers to which real sidecars forward requests
+	links            []*process         // by zone
+	stubsMu          sync.Mutex         // guards stubs
+	stubs            []*process         // processes of stub sidecars
+	sampler          *sampler
 
-	load    sync.WaitGroup
-	stop    context.CancelFunc
-	entry   atomic.Int64 // the replica that operators ask
-	mark    int          // of the newest settings
-	touched uint64       // changes that tell nothing
-	changes *changes
+	traffic         sync.WaitGroup
+	cancel          context.CancelFunc
+	adminReplica    atomic.Int64 // index of the replica that receives the run's changes
+	settingsVersion int          // of the newest settings
+	touches         uint64       // number of calls of touch
+	changes         *settingsChanges
 }
 
-func (r *run) replicas() []*fleetlab.Daemon { return r.fleet.Daemons[:r.o.Replicas] }
-func (r *run) real() []*fleetlab.Daemon     { return r.fleet.Daemons[r.o.Replicas:] }
+func (r *run) replicas() []*fleetlab.Daemon    { return r.fleet.Daemons[:r.options.Replicas] }
+func (r *run) realDaemons() []*fleetlab.Daemon { return r.fleet.Daemons[r.options.Replicas:] }
 
-// The limits of a run: of all sidecars together, and about what they ask for.
+// limitsText defines the limits of a run: one of each kind, for all sidecars together, at about their demand.
 const limitsText = `[limit.orders]
 rate = %g
 paths = ["/look/"]
@@ -57,10 +57,11 @@
 paths = ["/look/"]
 `
 
-// operatorText is what every daemon has behind [store].
+// operatorText is the part of each daemon's operator file after its [store] section.
 const operatorText = "[limits]\n"
 
-// Run plays one size. Nothing that it started is left, also after a failure or an interrupt.
+// Run measures a fleet of one size. It ends all processes that it started and removes its files, also after a failure
+// and when ctx is canceled.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
@@ -70,367 +71,395 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	ctx, stop := context.WithCancel(ctx)
-	r := &run{o: o, dir: dir, stop: stop, changes: newChanges()}
-	defer r.end()
-	begun := time.Now()
-	if err := r.begin(ctx); err != nil {
+	ctx, cancel := context.WithCancel(ctx)
+	fleetRun := &run{options: o, dir: dir, cancel: cancel, changes: newSettingsChanges()}
+	defer fleetRun.stopAll()
+	startedAt := time.Now()
+	if err := fleetRun.start(ctx); err != nil {
 		return nil, errors.Join(err, ctx.Err())
 	}
-	x := &Result{Sidecars: o.Sidecars, Real: o.Real, Replicas: o.Replicas, Services: r.w.services, Seed: o.Seed, Processes: len(r.hollow) + len(r.links) + len(r.fleet.Daemons)}
-	if err := r.play(ctx, x); err != nil {
+	result := &Result{Sidecars: o.Sidecars, Real: o.Real, Replicas: o.Replicas, Services: fleetRun.world.services,
+		Seed: o.Seed, Processes: len(fleetRun.stubs) + len(fleetRun.links) + len(fleetRun.fleet.Daemons)}
+	if err := fleetRun.play(ctx, result); err != nil {
 		return nil, errors.Join(err, ctx.Err())
 	}
-	x.Took = time.Since(begun).Seconds()
-	return x, nil
+	result.Took = time.Since(startedAt).Seconds()
+	return result, nil
 }
 
-func (r *run) say(format string, args ...any) {
-	if r.o.Say != nil {
-		r.o.Say(fmt.Sprintf("%d sidecars: ", r.o.Sidecars) + fmt.Sprintf(format, args...))
+func (r *run) progress(format string, args ...any) {
+	if r.options.Say != nil {
+		r.options.Say(fmt.Sprintf("%d sidecars: ", r.options.Sidecars) + fmt.Sprintf(format, args...))
 	}
 }
 
-// begin starts replicas, real daemons and the hollow processes, whose sidecars do not run yet.
-func (r *run) begin(ctx context.Context) error {
-	o := r.o
-	where := map[int]string{}
-	plain := newWorld(o, nil)
-	serve := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok")) }) // or the client is gone
-	for i := range o.Real {                                                                                  // the servers that a real one sends to
-		for _, c := range plain.calls[plain.serviceOf(i)] {
-			for n := c; n < o.Sidecars; n += plain.services {
-				if where[n] == "" {
+// start starts the replicas, the real daemons, the links and the stub processes, whose sidecars do not run yet.
+func (r *run) start(ctx context.Context) error {
+	o := r.options
+	serverAddrs := map[int]string{}
+	drawn := newWorld(o, nil)
+	serve := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		_, _ = w.Write([]byte("ok")) // fails only if the client is gone
+	})
+	// A server listens for each callee of a real sidecar.
+	for i := range o.Real {
+		for _, c := range drawn.callees[drawn.serviceOf(i)] {
+			for n := c; n < o.Sidecars; n += drawn.services {
+				if serverAddrs[n] == "" {
 					s := httptest.NewServer(serve)
-					r.servers = append(r.servers, s)
-					where[n] = s.Listener.Addr().String()
+					r.stubServers = append(r.stubServers, s)
+					serverAddrs[n] = s.Listener.Addr().String()
 				}
 			}
 		}
 	}
-	r.w = newWorld(o, func(n int) string { return where[n] })
-	for v := range r.w.services {
-		r.boards = append(r.boards, fleetlab.NewBoard(r.w.lists[v]))
+	r.world = newWorld(o, func(n int) string { return serverAddrs[n] })
+	for v := range r.world.services {
+		r.discoveryServers = append(r.discoveryServers, fleetlab.NewBoard(r.world.calleeServers[v]))
 	}
-	zone := r.zoneOfDaemon
+	daemonZone := r.zoneOfDaemon
 	var err error
-	r.fleet, err = fleetlab.Begin(ctx, fleetlab.Config{Program: o.Program, Args: []string{"run", "--config"}, Env: o.Env, Dir: r.dir, Replicas: o.Replicas, Follow: o.Real,
-		Seed: o.Seed, BareReplicas: true, Tick: 100 * time.Millisecond, More: operatorText, Interest: o.Interest, // the tick of a shipped replica
-		Known: func(d int) []discovery.Instance {
-			if d < o.Replicas {
+	r.fleet, err = fleetlab.Begin(ctx, fleetlab.Config{Program: o.Program, Args: []string{"run", "--config"}, Env: o.Env,
+		Dir: r.dir, Replicas: o.Replicas, Follow: o.Real, Seed: o.Seed, BareReplicas: true,
+		Tick: 100 * time.Millisecond, // the default tick of a replica
+		More: operatorText, Interest: o.Interest,
+		Known: func(daemon int) []discovery.Instance {
+			if daemon < o.Replicas {
 				return nil
 			}
-			return r.w.lists[r.w.serviceOf(d-o.Replicas)]
+			return r.world.calleeServers[r.world.serviceOf(daemon-o.Replicas)]
 		},
-		Between: func(from, to int) relay.Conditions { return relay.Conditions{Delay: delay(zone(from), zone(to))} }})
+		Between: func(from, to int) relay.Conditions {
+			return relay.Conditions{Delay: linkDelay(daemonZone(from), daemonZone(to))}
+		}})
 	if err != nil {
 		return err
 	}
-	conf, err := quota.ParseFile("limits", fmt.Appendf(nil, limitsText, demand*float64(o.Sidecars), 3*demand*float64(o.Sidecars)))
+	limits, err := quota.ParseFile("limits", fmt.Appendf(nil, limitsText, meanRequestRate*float64(o.Sidecars),
+		3*meanRequestRate*float64(o.Sidecars)))
 	if err != nil {
 		return err
 	}
-	if _, err := r.fleet.Daemons[0].Client.PutLimits(ctx, conf); err != nil {
+	if _, err := r.fleet.Daemons[0].Client.PutLimits(ctx, limits); err != nil {
 		return err
 	}
-	if err := r.change(ctx); err != nil {
+	if err := r.changeSettings(ctx); err != nil {
 		return err
 	}
-	for z := range zones {
+	for z := range zoneCount {
 		spec := Spec{Dir: r.dir}
-		for n, d := range r.replicas() {
-			spec.Links = append(spec.Links, LinkSpec{Name: d.Name(), To: d.Serve(), Delay: delay(z, zone(n)), Seed: o.Seed + uint64(1000*z+n)})
+		for n, replica := range r.replicas() {
+			spec.Links = append(spec.Links, LinkSpec{Name: replica.Name(), To: replica.Serve(),
+				Delay: linkDelay(z, daemonZone(n)), Seed: o.Seed + uint64(1000*z+n)})
 		}
-		p, err := start(ctx, &r.o, r.dir, fmt.Sprintf("links-%d", z), spec, nil)
+		started, err := startProcess(ctx, &r.options, r.dir, fmt.Sprintf("links-%d", z), spec, nil)
 		if err != nil {
 			return err
 		}
-		p.zone = z
-		r.links = append(r.links, p)
+		started.zone = z
+		r.links = append(r.links, started)
 	}
-	for n, group := range r.w.groups() {
-		p, err := r.startHollow(ctx, fmt.Sprintf("hollow-%d", n), group)
+	for n, group := range r.world.processGroups() {
+		started, err := r.startStubProcess(ctx, fmt.Sprintf("hollow-%d", n), group)
 		if err != nil {
 			return err
 		}
-		r.hollow = append(r.hollow, p)
+		r.stubs = append(r.stubs, started)
 	}
-	r.meter = newSampler(r)
-	r.say("%d replicas, %d real and %d processes of hollow sidecars", o.Replicas, o.Real, len(r.hollow))
+	r.sampler = newSampler(r)
+	r.progress("started %d replicas, %d real sidecars and %d processes for stub sidecars", o.Replicas, o.Real,
+		len(r.stubs))
 	return nil
 }
 
-// zoneOfDaemon is that of a real one, a replica or a follower.
+// zoneOfDaemon returns the zone of a real daemon, a replica or a sidecar, by its index in fleet.Daemons.
 func (r *run) zoneOfDaemon(n int) int {
-	if n < r.o.Replicas {
-		return replicas[n]
+	if n < r.options.Replicas {
+		return replicaZones[n]
 	}
-	return zoneOf(n - r.o.Replicas)
+	return zoneOf(n - r.options.Replicas)
 }
 
-// processes are those of hollow sidecars now.
-func (r *run) processes() []*process {
-	r.at.Lock()
-	defer r.at.Unlock()
-	return slices.Clone(r.hollow)
+// stubProcesses returns the present processes of stub sidecars.
+func (r *run) stubProcesses() []*process {
+	r.stubsMu.Lock()
+	defer r.stubsMu.Unlock()
+	return slices.Clone(r.stubs)
 }
 
-// startHollow starts a process of hollow sidecars; they do not run yet.
-func (r *run) startHollow(ctx context.Context, name string, group []int) (*process, error) {
-	z := zoneOf(group[0])
-	spec := Spec{Dir: r.dir, Settings: json.RawMessage(fleetlab.Settings()), Interest: r.o.Interest, Operator: operatorText}
+// startStubProcess starts a process with the given stub sidecars, which do not run yet.
+func (r *run) startStubProcess(ctx context.Context, name string, group []int) (*process, error) {
+	zone := zoneOf(group[0])
+	spec := Spec{Dir: r.dir, Settings: json.RawMessage(fleetlab.Settings()), Interest: r.options.Interest,
+		OperatorConfig: operatorText}
 	var follow []string
-	for n, l := range r.links[z].spec.Links {
-		follow = append(follow, l.Name+"="+r.links[z].ready[n])
+	for n, link := range r.links[zone].spec.Links {
+		follow = append(follow, link.Name+"="+r.links[zone].linkAddrs[n])
 	}
 	for _, i := range group {
-		spec.Hollow = append(spec.Hollow, HollowSpec{Number: i, Discovery: r.boards[r.w.serviceOf(i)].Addr(), Follow: follow, Seed: r.o.Seed<<20 + uint64(i)})
+		spec.Stubs = append(spec.Stubs, StubSpec{Number: i, Discovery: r.discoveryServers[r.world.serviceOf(i)].Addr(),
+			Follow: follow, Seed: r.options.Seed<<20 + uint64(i)})
 	}
-	p, err := start(ctx, &r.o, r.dir, name, spec, r.changes.came)
+	started, err := startProcess(ctx, &r.options, r.dir, name, spec, r.changes.recordAdoption)
 	if err == nil {
-		p.of, p.zone = group, z
+		started.sidecars, started.zone = group, zone
 	}
-	return p, err
+	return started, err
 }
 
-// end ends all.
-func (r *run) end() {
-	r.stop()
-	r.load.Wait()
+// stopAll ends all processes and servers of the run and waits for them.
+func (r *run) stopAll() {
+	r.cancel()
+	r.traffic.Wait()
 	var wg sync.WaitGroup
-	for _, p := range append(r.processes(), r.links...) {
+	for _, p := range append(r.stubProcesses(), r.links...) {
 		wg.Go(p.kill)
 	}
 	wg.Wait()
 	if r.fleet != nil {
 		r.fleet.End()
 	}
-	for _, b := range r.boards {
+	for _, b := range r.discoveryServers {
 		b.Close()
 	}
-	for _, s := range r.servers {
+	for _, s := range r.stubServers {
 		s.CloseClientConnections()
 		s.Close()
 	}
 }
 
-// each has all processes of a list do something at once.
-func each(all []*process, f func(*process) error) error {
-	faults := make([]error, len(all))
+// forEachProcess calls f for all processes concurrently and joins the errors.
+func forEachProcess(processes []*process, f func(*process) error) error {
+	errs := make([]error, len(processes))
 	var wg sync.WaitGroup
-	for i, p := range all {
-		wg.Go(func() { faults[i] = f(p) })
+	for i, p := range processes {
+		wg.Go(func() { errs[i] = f(p) })
 	}
 	wg.Wait()
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
-// beginAll has hollow sidecars begin, so many a second over all; 0: all at once.
-func (r *run) beginAll(ctx context.Context, rate float64) error {
-	var over time.Duration
+// startStubs starts all stub sidecars, at a rate in starts a second over all processes; 0: all at once.
+func (r *run) startStubs(ctx context.Context, rate float64) error {
+	var staggerOver time.Duration
 	if rate > 0 {
-		over = time.Duration(float64(r.o.Sidecars-r.o.Real) / rate * float64(time.Second))
+		staggerOver = time.Duration(float64(r.options.Sidecars-r.options.Real) / rate * float64(time.Second))
 	}
-	return each(r.processes(), func(p *process) error {
-		_, err := p.tell(ctx, order{Do: "begin", Over: over})
+	return forEachProcess(r.stubProcesses(), func(p *process) error {
+		_, err := p.call(ctx, command{Name: "begin", StaggerOver: staggerOver})
 		return err
 	})
 }
 
-// play is what is measured, phase by phase.
-func (r *run) play(ctx context.Context, x *Result) error {
-	r.ask(ctx)
-	rate := r.o.Begin
-	if r.o.Fault == "start" {
-		rate = 0
-	}
-	from := time.Now()
-	if rate == 0 {
-		r.meter.begin(ctx)
-	}
-	if err := r.beginAll(ctx, rate); err != nil {
+// play runs the phases of a measurement and adds their results.
+func (r *run) play(ctx context.Context, result *Result) error {
+	r.sendRequests(ctx)
+	startRate := r.options.Begin
+	if r.options.Fault == "start" {
+		startRate = 0
+	}
+	startedAt := time.Now()
+	if startRate == 0 {
+		r.sampler.start(ctx)
+	}
+	if err := r.startStubs(ctx, startRate); err != nil {
 		return err
 	}
-	took, err := r.right(ctx, from, rightMost)
+	convergence, err := r.waitConverged(ctx, startedAt, convergeTimeout)
 	if err != nil {
 		return err
 	}
-	x.Began = took.Seconds()
-	r.say("all are right %.1f s after the first began", x.Began)
-	if rate == 0 {
-		pause(ctx, tailFor)
-		s := r.meter.end()
-		x.Fault = &FaultResult{Name: "start", What: "all sidecars began at once", Right: x.Began, Copies: s.counts().In["snapshots"], Seconds: s.seconds(), Roles: s.roles()}
+	result.Began = convergence.Seconds()
+	r.progress("all sidecars have converged %.1f s after the first start", result.Began)
+	if startRate == 0 {
+		sleep(ctx, settleDuration)
+		sampled := r.sampler.stop()
+		result.Fault = &FaultResult{Name: "start", What: "all sidecars began at once", Right: result.Began,
+			Copies: sampled.counts().In["snapshots"], Seconds: sampled.seconds(), Roles: sampled.roles()}
 	}
-	pause(ctx, r.o.Warm)
-	if err := r.quiet(ctx, x); err != nil {
+	sleep(ctx, r.options.Warm)
+	if err := r.quietPhase(ctx, result); err != nil {
 		return err
 	}
-	if r.o.Burst > 0 {
-		if err := r.burst(ctx, x); err != nil {
+	if r.options.Burst > 0 {
+		if err := r.burstPhase(ctx, result); err != nil {
 			return err
 		}
 	}
-	if f := faultOf(r.o.Fault); f != nil && f.play != nil {
-		return r.fault(ctx, f, x)
+	if f := findFault(r.options.Fault); f != nil && f.play != nil {
+		return r.injectFault(ctx, f, result)
 	}
 	return ctx.Err()
 }
 
-// quiet measures the fleet without faults, with settings changed at their rate.
-func (r *run) quiet(ctx context.Context, x *Result) error {
+// quietPhase measures the fleet without faults, while settings change at the rate of the options.
+func (r *run) quietPhase(ctx context.Context, result *Result) error {
 	r.changes.reset()
-	r.meter.begin(ctx)
-	var gap time.Duration
-	if r.o.Changes > 0 {
-		gap = time.Duration(86400 / r.o.Changes * float64(time.Second))
-	}
-	end := time.Now().Add(r.o.For)
-	for next := time.Now().Add(min(gap, r.o.For) / 2); gap > 0 && next.Before(end); next = next.Add(gap) {
-		if pause(ctx, time.Until(next)); ctx.Err() != nil {
+	r.sampler.start(ctx)
+	var interval time.Duration
+	if r.options.Changes > 0 {
+		interval = time.Duration(86400 / r.options.Changes * float64(time.Second))
+	}
+	end := time.Now().Add(r.options.For)
+	for next := time.Now().Add(min(interval, r.options.For) / 2); interval > 0 &&
+		next.Before(end); next = next.Add(interval) {
+		if sleep(ctx, time.Until(next)); ctx.Err() != nil {
 			break
 		}
-		if err := r.change(ctx); err != nil {
-			r.say("a change of the settings failed: %v", err)
-			x.Failed++
+		if err := r.changeSettings(ctx); err != nil {
+			r.progress("changing the settings failed: %v", err)
+			result.Failed++
 		}
 	}
-	pause(ctx, time.Until(end))
-	for most := time.Now().Add(time.Minute); r.o.Until != nil && !r.o.Until(r.meter.counts()) && time.Now().Before(most) && ctx.Err() == nil; {
-		pause(ctx, 200*time.Millisecond)
+	sleep(ctx, time.Until(end))
+	for giveUpAt := time.Now().Add(time.Minute); r.options.Until != nil && !r.options.Until(r.sampler.counts()) &&
+		time.Now().Before(giveUpAt) && ctx.Err() == nil; {
+		sleep(ctx, 200*time.Millisecond)
 	}
-	s := r.meter.end()
+	sampled := r.sampler.stop()
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	x.Seconds, x.Roles, x.Busy = s.seconds(), s.roles(), s.busy()
-	x.Store, x.Counts = s.store(), s.counts()
-	x.Settings = r.changes.result(r.o.Sidecars - r.o.Real)
-	x.Honest = honest(x.Roles[RoleReal], x.Roles[RoleHollow])
-	for most := time.Now().Add(time.Minute); x.Right < r.o.Sidecars-r.o.Real && time.Now().Before(most) && ctx.Err() == nil; pause(ctx, 100*time.Millisecond) {
-		if l, _, err := r.lookFor(ctx, order{Do: "look", Mark: r.changes.newest()}, r.processes()); err == nil {
-			x.Right = l.Right
+	result.Seconds, result.Roles, result.Busy = sampled.seconds(), sampled.roles(), sampled.busy()
+	result.Store, result.Counts = sampled.store(), sampled.counts()
+	result.Settings = r.changes.result(r.options.Sidecars - r.options.Real)
+	result.StubAccuracy = compareRealWithStubs(result.Roles[RoleReal], result.Roles[RoleStub])
+	for giveUpAt := time.Now().Add(time.Minute); result.Right < r.options.Sidecars-r.options.Real &&
+		time.Now().Before(giveUpAt) && ctx.Err() == nil; sleep(ctx, 100*time.Millisecond) {
+		if states, _, err := r.queryStates(ctx, command{Name: "look", SettingsVersion: r.changes.newest()},
+			r.stubProcesses()); err == nil {
+			result.Right = states.Converged
 		}
 	}
-	r.say("quiet for %.0f s, the machine %.0f%% busy", x.Seconds, 100*x.Busy)
+	r.progress("the quiet phase took %.0f s, the machine was %.0f%% busy", result.Seconds, 100*result.Busy)
 	return nil
 }
 
-// burst measures many changes of the settings within a minute.
-func (r *run) burst(ctx context.Context, x *Result) error {
+// burstPhase measures the fleet while settings change many times within BurstFor.
+func (r *run) burstPhase(ctx context.Context, result *Result) error {
 	r.changes.reset()
-	r.meter.begin(ctx)
-	begun := time.Now()
-	for i := range r.o.Burst {
-		pause(ctx, time.Until(begun.Add(BurstFor*time.Duration(i)/time.Duration(r.o.Burst))))
+	r.sampler.start(ctx)
+	startedAt := time.Now()
+	for i := range r.options.Burst {
+		sleep(ctx, time.Until(startedAt.Add(BurstFor*time.Duration(i)/time.Duration(r.options.Burst))))
 		if ctx.Err() != nil {
 			break
 		}
-		if err := r.change(ctx); err != nil {
-			r.say("a change of the settings failed: %v", err)
-			x.Failed++
+		if err := r.changeSettings(ctx); err != nil {
+			r.progress("changing the settings failed: %v", err)
+			result.Failed++
 		}
 	}
-	pause(ctx, time.Until(begun.Add(BurstFor)))
-	s := r.meter.end()
-	b := r.changes.result(r.o.Sidecars - r.o.Real)
-	x.Burst, x.BurstRoles = &b, s.roles()
+	sleep(ctx, time.Until(startedAt.Add(BurstFor)))
+	sampled := r.sampler.stop()
+	delays := r.changes.result(r.options.Sidecars - r.options.Real)
+	result.Burst, result.BurstRoles = &delays, sampled.roles()
 	return ctx.Err()
 }
 
-// change puts other settings in force.
-func (r *run) change(ctx context.Context) error {
-	r.mark++
-	d := r.replicas()[int(r.entry.Load())]
-	wait, cancel := context.WithTimeout(ctx, 15*time.Second)
+// changeSettings writes the settings with a new version.
+func (r *run) changeSettings(ctx context.Context) error {
+	r.settingsVersion++
+	replica := r.replicas()[int(r.adminReplica.Load())]
+	callCtx, cancel := context.WithTimeout(ctx, 15*time.Second)
 	defer cancel()
-	begun := time.Now()
-	_, err := d.Client.ChangeSettings(wait, adminapi.SettingsRequest{Settings: marked(json.RawMessage(fleetlab.Settings()), r.mark), Note: fmt.Sprintf("change %d", r.mark)})
+	startedAt := time.Now()
+	_, err := replica.Client.ChangeSettings(callCtx,
+		adminapi.SettingsRequest{Settings: withVersion(json.RawMessage(fleetlab.Settings()), r.settingsVersion),
+			Note: fmt.Sprintf("change %d", r.settingsVersion)})
 	if err == nil {
-		r.changes.put(r.mark, begun, time.Now())
+		r.changes.recordChange(r.settingsVersion, startedAt, time.Now())
 	}
 	return err
 }
 
-// rightMost bounds the wait for a fleet to be right.
-const rightMost = 5 * time.Minute
+// convergeTimeout bounds the wait for a fleet to converge.
+const convergeTimeout = 5 * time.Minute
 
-// lookFor asks processes that run how their sidecars stand, and says how many there should be.
-func (r *run) lookFor(ctx context.Context, o order, all []*process) (l looked, want int, err error) {
+// queryStates adds up the states of the stub sidecars in the given processes, and returns how many stubs these
+// processes have. Stubs of processes that have ended are counted in total alone.
+func (r *run) queryStates(
+	ctx context.Context, cmd command, processes []*process,
+) (states stubStates, total int, err error) {
 	var mu sync.Mutex
-	err = each(all, func(p *process) error {
+	err = forEachProcess(processes, func(p *process) error {
 		mu.Lock()
-		want += len(p.of)
+		total += len(p.sidecars)
 		mu.Unlock()
-		if !p.runs() {
+		if !p.running() {
 			return nil
 		}
-		wait, cancel := soon(ctx)
+		callCtx, cancel := withShortTimeout(ctx)
 		defer cancel()
-		w, err := p.tell(wait, o)
+		reply, err := p.call(callCtx, cmd)
 		if err != nil {
 			return err
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		l.Runs, l.Right, l.Sessions, l.Fresh, l.Marked, l.Words = l.Runs+w.Look.Runs, l.Right+w.Look.Right, l.Sessions+w.Look.Sessions, l.Fresh+w.Look.Fresh,
-			l.Marked+w.Look.Marked, l.Words+w.Look.Words
-		if w.Look.Wrong != "" {
-			l.Wrong = w.Look.Wrong
+		states.Running, states.Converged, states.Sessions, states.FreshCopies, states.CurrentSettings,
+			states.PeerMessages = states.Running+reply.State.Running, states.Converged+reply.State.Converged,
+			states.Sessions+reply.State.Sessions, states.FreshCopies+reply.State.FreshCopies,
+			states.CurrentSettings+reply.State.CurrentSettings, states.PeerMessages+reply.State.PeerMessages
+		if reply.State.Unconverged != "" {
+			states.Unconverged = reply.State.Unconverged
 		}
 		return nil
 	})
-	return l, want, err
+	return states, total, err
 }
 
-// touch makes a change that tells nothing, and returns its revision.
+// touch changes a key that no daemon uses, and returns the revision of the change.
 func (r *run) touch(ctx context.Context) (uint64, error) {
-	wait, cancel := soon(ctx)
+	callCtx, cancel := withShortTimeout(ctx)
 	defer cancel()
-	r.touched++
-	c, err := r.replicas()[int(r.entry.Load())].Client.Change(wait, admin.ChangeRequest{ID: store.RequestID{Client: 1 << 41, Seq: r.touched},
-		Txn: &store.Txn{Then: []store.Op{{Key: "lab/touched", Value: fmt.Append(nil, r.touched)}}}})
+	r.touches++
+	c, err := r.replicas()[int(r.adminReplica.Load())].Client.Change(callCtx,
+		admin.ChangeRequest{ID: store.RequestID{Client: 1 << 41, Seq: r.touches},
+			Txn: &store.Txn{Then: []store.Op{{Key: "lab/touched", Value: fmt.Append(nil, r.touches)}}}})
 	return c.Revision, err
 }
 
-// right makes a change and waits until every hollow sidecar has seen it, by a copy that a quorum confirmed of late, runs by
-// the newest settings and has a session. It returns how long that took since an instant.
-func (r *run) right(ctx context.Context, since time.Time, most time.Duration) (time.Duration, error) {
-	ctx, cancel := context.WithTimeout(ctx, most)
+// waitConverged makes a change and waits until every stub sidecar has received it, has a fresh copy that a quorum has
+// confirmed, has adopted the newest settings and has a session. It returns the time from since until then.
+func (r *run) waitConverged(ctx context.Context, since time.Time, timeout time.Duration) (time.Duration, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	var goal order
-	var last error
-	var l looked
+	var query command
+	var lastErr error
+	var states stubStates
 	for ctx.Err() == nil {
-		if goal.Do == "" {
+		if query.Name == "" {
 			rev, err := r.touch(ctx)
 			if err != nil {
-				last = err
+				lastErr = err
 				continue
 			}
-			goal = order{Do: "look", Revision: rev, Mark: r.changes.newest()}
+			query = command{Name: "look", Revision: rev, SettingsVersion: r.changes.newest()}
 		}
-		var want int
+		var total int
 		var err error
-		if l, want, err = r.lookFor(ctx, goal, r.processes()); err == nil && l.Right == want {
+		if states, total, err = r.queryStates(ctx, query, r.stubProcesses()); err == nil && states.Converged == total {
 			return time.Since(since), nil
 		}
-		last = err
-		pause(ctx, 100*time.Millisecond)
+		lastErr = err
+		sleep(ctx, 100*time.Millisecond)
 	}
-	return 0, fmt.Errorf("not all come to be right within %v: %d run, %d are right, such as %s: %w", most, l.Runs, l.Right, l.Wrong, errors.Join(last, context.Cause(ctx)))
+	return 0, fmt.Errorf("not all come to be right within %v: %d run, %d are right, such as %s: %w", timeout,
+		states.Running, states.Converged, states.Unconverged, errors.Join(lastErr, context.Cause(ctx)))
 }
 
-// ask sends a little through each real sidecar, as much as hollow ones count towards limits.
-func (r *run) ask(ctx context.Context) {
-	for n, d := range r.real() {
-		r.load.Go(func() {
-			c := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}, Timeout: 2 * time.Second}
-			defer c.CloseIdleConnections()
-			next := asking(rand.New(rand.NewPCG(r.o.Seed<<20+uint64(n), 2)))
+// sendRequests sends requests through each real sidecar, at the rate at which a stub sidecar counts requests towards
+// limits.
+func (r *run) sendRequests(ctx context.Context) {
+	for n, d := range r.realDaemons() {
+		r.traffic.Go(func() {
+			client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}, Timeout: 2 * time.Second}
+			defer client.CloseIdleConnections()
+			nextGap := requestGaps(rand.New(rand.NewPCG(r.options.Seed<<20+uint64(n), 2)))
 			for i := 0; ctx.Err() == nil; i++ {
-				pause(ctx, next())
-				d.Ask(ctx, c, fmt.Sprintf("%04x%016x", n, i))
+				sleep(ctx, nextGap())
+				d.Ask(ctx, client, fmt.Sprintf("%04x%016x", n, i))
 			}
 		})
 	}
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -11,97 +11,108 @@
 	"birchmoor/internal/lab/fleetlab"
 )
 
-// A fit foretells what grows in proportion and with the square, and says nothing of three sizes.
-func TestFit(t *testing.T) {
+// A fit predicts constant, linear and quadratic growth, and needs more than three sizes.
+func TestFitPredictsLinearAndSquareGrowth(t *testing.T) {
 	sizes := []float64{75, 150, 300, 600}
-	for _, c := range []struct {
+	for _, growth := range []struct {
 		f     func(s float64) float64
 		power float64
-	}{{func(s float64) float64 { return 7 }, 0}, {func(s float64) float64 { return 100 + 3*s }, 0.9}, {func(s float64) float64 { return 0.02 * s * s }, 2}} {
-		var v []float64
+	}{{func(s float64) float64 { return 7 }, 0}, {func(s float64) float64 { return 100 + 3*s }, 0.9},
+		{func(s float64) float64 { return 0.02 * s * s }, 2}} {
+		var values []float64
 		for _, s := range sizes {
-			v = append(v, c.f(s))
+			values = append(values, growth.f(s))
 		}
-		x, ok := fit(sizes, v)
-		if want := c.f(1200); !ok || math.Abs(x.At(1200)-want) > 0.01*want || math.Abs(x.Power-c.power) > 0.1 || x.Off > 0.01 {
-			t.Errorf("1200 is foretold as %g, not %g: %+v", x.At(1200), want, x)
+		fitted, ok := fit(sizes, values)
+		if want := growth.f(1200); !ok || math.Abs(fitted.Predict(1200)-want) > 0.01*want ||
+			math.Abs(fitted.Power-growth.power) > 0.1 || fitted.Off > 0.01 {
+			t.Errorf("predicted value for size 1200 is %g, want %g: %+v", fitted.Predict(1200), want, fitted)
 		}
-		if _, ok := fit(sizes[1:], v[1:]); ok {
-			t.Error("three sizes make a fit")
+		if _, ok := fit(sizes[1:], values[1:]); ok {
+			t.Error("fit accepts three sizes, want at least four")
 		}
 	}
 }
 
-// Each hollow sidecar is in one process, with others of its zone, and a rack is a process of its own. Nobody is told of more than the
-// services that its own calls.
-func TestWorld(t *testing.T) {
-	o := Options{Sidecars: 1200, Real: 8, Replicas: 7, Services: 120, Seed: 3, Each: 100}
-	w := newWorld(o, nil)
-	met := map[int]bool{}
-	for _, g := range w.groups() {
-		for _, i := range g {
-			if met[i] || i < o.Real || zoneOf(i) != zoneOf(g[0]) {
-				t.Fatalf("sidecar %d is not one of process %v", i, g)
+// Each stub sidecar is in exactly one process, with others of its zone, and a rack is a process of its own. Discovery
+// lists only the servers of the services that a sidecar's own service calls. No region has a majority of the replicas.
+func TestWorldGroupsStubsByZoneAndListsCalleesOnly(t *testing.T) {
+	options := Options{Sidecars: 1200, Real: 8, Replicas: 7, Services: 120, Seed: 3, Each: 100}
+	drawn := newWorld(options, nil)
+	grouped := map[int]bool{}
+	for _, group := range drawn.processGroups() {
+		for _, i := range group {
+			if grouped[i] || i < options.Real || zoneOf(i) != zoneOf(group[0]) {
+				t.Fatalf("sidecar %d in process %v: it is a real one, is in two processes, or is in another zone than the first", i,
+					group)
 			}
-			met[i] = true
+			grouped[i] = true
 		}
 	}
-	if len(met) != 1192 || len(w.groups()[0]) != rackOf {
-		t.Errorf("%d hollow sidecars, and a rack of %d", len(met), len(w.groups()[0]))
+	if len(grouped) != 1192 || len(drawn.processGroups()[0]) != rackSize {
+		t.Errorf("%d stub sidecars and a rack of %d, want 1192 and 20", len(grouped), len(drawn.processGroups()[0]))
 	}
-	for v, list := range w.lists {
-		if len(list) != 10*Calls || slices.Contains(w.calls[v], v) || !slices.Contains(w.hears(w.calls[v][0]), v) {
-			t.Errorf("service %d calls %v, and is told of %d servers", v, w.calls[v], len(list))
+	for service, list := range drawn.calleeServers {
+		if len(list) != 10*Calls || slices.Contains(drawn.callees[service], service) ||
+			!slices.Contains(drawn.callers(drawn.callees[service][0]), service) {
+			t.Errorf("service %d calls %v and is listed %d servers; want 4 other services with 10 servers each", service,
+				drawn.callees[service], len(list))
 		}
 	}
-	for n := 3; n <= len(replicas); n += 2 {
-		var in [3]int
-		for _, z := range replicas[:n] {
-			in[regionOf[z]]++
+	for n := 3; n <= len(replicaZones); n += 2 {
+		var inRegion [3]int
+		for _, z := range replicaZones[:n] {
+			inRegion[regionOf[z]]++
 		}
-		if 2*slices.Max(in[:]) > n {
-			t.Errorf("of %d replicas a region has %d", n, slices.Max(in[:]))
+		if 2*slices.Max(inRegion[:]) > n {
+			t.Errorf("of %d replicas a region has %d, which is a majority", n, slices.Max(inRegion[:]))
 		}
 	}
 }
 
-// Settings of a run are told apart by a mark that does not change what they mean to a sidecar.
-func TestMarks(t *testing.T) {
-	s := json.RawMessage(fleetlab.Settings())
-	m := marked(s, 42)
-	if markOf(m) != 42 || markOf(marked(m, 43)) != 43 || markOf(s) != 0 || !json.Valid(m) {
-		t.Errorf("%d, %s", markOf(m), m)
+// Settings carry a version, which is added to the dial timeout in microseconds and hardly changes their effect. It can
+// be read back and replaced, and settings without a version have 0.
+func TestSettingsVersionRoundTrip(t *testing.T) {
+	settings := json.RawMessage(fleetlab.Settings())
+	versioned := withVersion(settings, 42)
+	if versionOf(versioned) != 42 || versionOf(withVersion(versioned, 43)) != 43 || versionOf(settings) != 0 ||
+		!json.Valid(versioned) {
+		t.Errorf("settings with version 42 have version %d: %s", versionOf(versioned), versioned)
 	}
 }
 
-// What came in force counts from the operator's word, and newer settings stand for older ones.
-func TestInForce(t *testing.T) {
-	c, at := newChanges(), time.Now()
-	c.put(1, at, at)
-	c.came(inForce{7, 1, at.Add(time.Second).UnixNano()})
-	c.reset()
-	c.put(2, at, at.Add(time.Second))
-	c.put(3, at.Add(time.Second), at.Add(2*time.Second))
-	c.came(inForce{7, 3, at.Add(3 * time.Second).UnixNano()})
-	if x := c.result(2); x.Changes != 2 || x.N != 2 || x.Missing != 2 || x.Put != 1 || math.Abs(x.P50-3) > 0.01 && math.Abs(x.P50-2) > 0.01 || math.Abs(x.Worst-3) > 0.01 {
-		t.Errorf("%+v", x)
+// The delay of an adoption counts from the operator's change, newer settings count as an adoption of older ones, and
+// changes before a reset do not count.
+func TestAdoptionDelaysCountFromChangeAndAcceptNewerVersions(t *testing.T) {
+	changes, start := newSettingsChanges(), time.Now()
+	changes.recordChange(1, start, start)
+	changes.recordAdoption(settingsAdoption{7, 1, start.Add(time.Second).UnixNano()})
+	changes.reset()
+	changes.recordChange(2, start, start.Add(time.Second))
+	changes.recordChange(3, start.Add(time.Second), start.Add(2*time.Second))
+	changes.recordAdoption(settingsAdoption{7, 3, start.Add(3 * time.Second).UnixNano()})
+	if delays := changes.result(2); delays.Changes != 2 || delays.N != 2 || delays.Missing != 2 || delays.Put != 1 ||
+		math.Abs(delays.P50-3) > 0.01 && math.Abs(delays.P50-2) > 0.01 || math.Abs(delays.Worst-3) > 0.01 {
+		t.Errorf("2 changes, adopted by 1 of 2 sidecars after 3 s and 2 s: got %+v", delays)
 	}
 }
 
-// The page has a row for each figure, foretells from four sizes and says what is not known.
-func TestMarkdown(t *testing.T) {
-	var all []*Result
+// The tables have a row for each figure, predict a size from four smaller ones, and say so if there are too few.
+func TestMarkdownPredictsFromFourSizes(t *testing.T) {
+	var results []*Result
 	for _, n := range []int{10, 20, 40, 80, 160} {
-		all = append(all, &Result{Sidecars: n, Roles: map[string]Role{RoleHollow: {"bytes_in": Spread{float64(n), 0, float64(2 * n)}}}})
+		results = append(results, &Result{Sidecars: n, Roles: map[string]Role{RoleStub: {"bytes_in": Spread{float64(n), 0,
+			float64(2 * n)}}}})
 	}
-	var b strings.Builder
-	Markdown(&b, all, 160)
-	if row := "| bytes_in | B/s | 10 (20) | 20 (40) | 40 (80) | 80 (160) | 160 (320) |"; !strings.Contains(b.String(), row) || !strings.Contains(b.String(), "+ 1·S | 1.00 | 0% | 160 |") {
-		t.Errorf("no %s in\n%s", row, b.String())
+	var page strings.Builder
+	Markdown(&page, results, 160)
+	if row := "| bytes_in | B/s | 10 (20) | 20 (40) | 40 (80) | 80 (160) | 160 (320) |"; !strings.Contains(page.String(),
+		row) || !strings.Contains(page.String(), "+ 1·S | 1.00 | 0% | 160 |") {
+		t.Errorf("the page has no row %s with its prediction:\n%s", row, page.String())
 	}
-	b.Reset()
-	Markdown(&b, all[:3], 160)
-	if !strings.Contains(b.String(), "not known") {
-		t.Error("three sizes foretell")
+	page.Reset()
+	Markdown(&page, results[:3], 160)
+	if !strings.Contains(page.String(), "not known") {
+		t.Error("a figure is predicted from three sizes, want at least four")
 	}
 }
--- a/internal/lab/scale/world.go
+++ b/internal/lab/scale/world.go
@@ -1,7 +1,9 @@
-// Package scale runs a fleet far larger than a machine holds: replicas and some followers as processes of the program that is shipped,
-// and hollow sidecars, about a hundred to a process. A hollow one has all by which a daemon works with others, assembled by the same
-// function (package control), and neither fronts nor traffic; what it would learn of servers is drawn from the seed. What each role
-// costs is counted by second. All of it is on loopback, over relays that delay as far places do.
+// Package scale measures fleets that are far larger than a machine holds. Replicas and a few sidecars are processes of
+// the shipped program; all other sidecars are stubs, about a hundred to a process. A stub sidecar, called hollow in the
+// results and on the command line, has all components by which a daemon communicates with others, opened by the same
+// function (controlplane.Open), but it has no fronts and forwards no requests; what it would learn of servers is drawn
+// from the seed. The cost of each role is sampled every second. All processes run on one machine and communicate
+// through relays that add the delay between distant zones.
 package scale
 
 import (
@@ -19,156 +21,161 @@
 	"golang.org/x/sys/unix"
 )
 
-// Options say what is run.
+// Options are the options of a run.
 type Options struct {
-	Program  string   // that runs daemons and hollow sidecars,
-	Env      []string // with these besides the environment
-	Dir      string   // for a temporary folder
-	Sidecars int      // of the fleet, Real among them
-	Real     int
+	Program  string   // executable of daemons and stub processes
+	Env      []string // environment variables of these, in addition to those of this process
+	Dir      string   // parent of the run's temporary folder; "": the system's
+	Sidecars int      // size of the fleet, with the real sidecars
+	Real     int      // sidecars that are real daemons
 	Replicas int
 	Services int
-	For      time.Duration // of the quiet phase
+	For      time.Duration // length of the quiet phase
 	Seed     uint64
-	Interest string            // of sidecars' copies: operator.InterestOwn or InterestAll; empty: as is usual
-	Fault    string            // after it; empty: none
-	Changes  float64           // of the settings, a day
-	Burst    int               // so many within BurstFor, after the quiet phase; 0: none
-	Each     int               // hollow sidecars of a process, about
-	Warm     time.Duration     // between the start of the last sidecar and the quiet phase
-	Begin    float64           // sidecars begun a second
-	Until    func(Counts) bool // the quiet phase goes on until this, a minute at most; nil: it does not
-	Say      func(string)
+	// what the sidecars' copies hold: operatorconfig.InterestOwn or InterestAll; "": the default
+	Interest string
+	Fault    string            // name of the fault that is injected after the quiet phase; "": none
+	Changes  float64           // changes of the settings a day
+	Burst    int               // changes of the settings within BurstFor, after the quiet phase; 0: no burst
+	Each     int               // most stub sidecars of a process
+	Warm     time.Duration     // time between the convergence of the fleet and the quiet phase
+	Begin    float64           // starts of sidecars a second; 0: all start at once
+	Until    func(Counts) bool // extends the quiet phase until it returns true, by a minute at most; may be nil
+	Say      func(string)      // receives progress messages; may be nil
 }
 
-// BurstFor is in which the changes of a burst come.
+// BurstFor is the time over which the changes of a burst are spread.
 const BurstFor = time.Minute
 
-// Places are three regions with eight zones. A link takes so long each way.
+// The simulated network has three regions with eight zones. Delays are those of one direction.
 var (
-	regionOf = [...]int{0, 0, 0, 1, 1, 1, 2, 2}    // by zone
-	replicas = [...]int{0, 3, 6, 1, 4, 7, 2, 5, 0} // zones of replicas, so that no region has a majority
-	inZone   = 300 * time.Microsecond              // between two of one zone,
-	inRegion = time.Millisecond                    // between zones of a region,
-	apart    = 25 * time.Millisecond               // and between regions
-	zones    = len(regionOf)
+	regionOf            = [...]int{0, 0, 0, 1, 1, 1, 2, 2}    // region of each zone
+	replicaZones        = [...]int{0, 3, 6, 1, 4, 7, 2, 5, 0} // zone of each replica; no region has a majority
+	delayInZone         = 300 * time.Microsecond              // between two processes of a zone
+	delayInRegion       = time.Millisecond                    // between zones of a region
+	delayBetweenRegions = 25 * time.Millisecond               // between zones of different regions
+	zoneCount           = len(regionOf)
 )
 
-// delay is of a link between two zones, each way.
-func delay(a, b int) time.Duration {
+// linkDelay returns the delay of a link between two zones in one direction.
+func linkDelay(a, b int) time.Duration {
 	switch {
 	case a == b:
-		return inZone
+		return delayInZone
 	case regionOf[a] == regionOf[b]:
-		return inRegion
+		return delayInRegion
 	}
-	return apart
+	return delayBetweenRegions
 }
 
-// zoneOf is a sidecar's: they are spread evenly.
-func zoneOf(sidecar int) int { return sidecar % zones }
+// zoneOf returns the zone of a sidecar. Sidecars are spread evenly over the zones.
+func zoneOf(sidecar int) int { return sidecar % zoneCount }
 
-// Calls is how many services a service calls.
+// Calls is the number of services that each service calls.
 const Calls = 4
 
-const rackOf = 20 // sidecars of a rack
+const rackSize = 20 // sidecars in the rack that a fault can take away
 
-// world is a fleet as the seed draws it. Sidecars with the numbers under Real are the real ones.
+// world is the layout of a fleet, drawn from the seed. Sidecars with numbers below Real are the real ones. A service's
+// callees are the services that it calls.
 type world struct {
-	o        Options
-	services int
-	calls    [][]int                // the services that a service calls
-	servers  [][]discovery.Instance // by service
-	lists    [][]discovery.Instance // what discovery tells of a service's callees
+	options       Options
+	services      int
+	callees       [][]int                // services that each service calls
+	servers       [][]discovery.Instance // by service
+	calleeServers [][]discovery.Instance // servers of each service's callees, as discovery lists them
 }
 
 func (w *world) serviceOf(sidecar int) int { return sidecar % w.services }
 
-// newWorld draws one. Servers have addresses at which nobody listens, but for those that at gives.
-func newWorld(o Options, at func(server int) string) *world {
-	w := &world{o: o, services: max(min(Calls+1, o.Sidecars), min(o.Services, o.Sidecars))}
+// newWorld draws the layout of a fleet. serverAddr returns the address of a server that listens, or "". All other
+// servers have addresses at which nothing listens; so do all if serverAddr is nil.
+func newWorld(o Options, serverAddr func(server int) string) *world {
+	w := &world{options: o, services: max(min(Calls+1, o.Sidecars), min(o.Services, o.Sidecars))}
 	rng := rand.New(rand.NewPCG(o.Seed, 0x7363616c65))
 	w.servers = make([][]discovery.Instance, w.services)
-	began := time.Now().Add(-time.Hour).UnixMilli()
+	startedBefore := time.Now().Add(-time.Hour).UnixMilli()
 	for i := range o.Sidecars {
-		v := w.serviceOf(i)
+		service := w.serviceOf(i)
 		addr := fmt.Sprintf("127.%d.%d.%d:8080", 200+i>>16, i>>8&255, i&255)
-		if at != nil {
-			if real := at(i); real != "" {
+		if serverAddr != nil {
+			if real := serverAddr(i); real != "" {
 				addr = real
 			}
 		}
-		w.servers[v] = append(w.servers[v], discovery.Instance{ID: fmt.Sprintf("slot-%05d", i), Addr: addr, Zone: "a", Kind: "m", Cell: uint16(1 + zoneOf(i)),
-			Lifecycle: "up", Weight: 1, StartedMs: began - rng.Int64N(3_600_000)})
+		w.servers[service] = append(w.servers[service], discovery.Instance{ID: fmt.Sprintf("slot-%05d", i), Addr: addr,
+			Zone: "a", Kind: "m", Cell: uint16(1 + zoneOf(i)),
+			Lifecycle: "up", Weight: 1, StartedMs: startedBefore - rng.Int64N(3_600_000)})
 	}
-	for v := range w.services {
-		var calls []int
-		var list []discovery.Instance
-		for _, c := range rng.Perm(w.services) {
-			if c != v && len(calls) < Calls {
-				calls = append(calls, c)
-				list = append(list, w.servers[c]...)
+	for service := range w.services {
+		var called []int
+		var servers []discovery.Instance
+		for _, callee := range rng.Perm(w.services) {
+			if callee != service && len(called) < Calls {
+				called = append(called, callee)
+				servers = append(servers, w.servers[callee]...)
 			}
 		}
-		w.calls, w.lists = append(w.calls, calls), append(w.lists, list)
+		w.callees, w.calleeServers = append(w.callees, called), append(w.calleeServers, servers)
 	}
 	return w
 }
 
-// hears are the services whose sidecars are told of the servers of one.
-func (w *world) hears(service int) (all []int) {
-	for v, calls := range w.calls {
+// callers returns the services that call a service: their sidecars receive its servers from discovery.
+func (w *world) callers(service int) (calling []int) {
+	for v, calls := range w.callees {
 		for _, c := range calls {
 			if c == service {
-				all = append(all, v)
+				calling = append(calling, v)
 			}
 		}
 	}
-	return all
+	return calling
 }
 
-// groups are the hollow sidecars by process: each of one zone, and a rack a process of its own, so that what is lost at once ends as
-// processes do.
-func (w *world) groups() (all [][]int) {
-	byZone := make([][]int, zones)
-	for i := w.o.Real; i < w.o.Sidecars; i++ {
+// processGroups distributes the stub sidecars to processes. The stubs of a process are in one zone, and a rack is a
+// process of its own, so that a fault can take away a zone or a rack by killing processes.
+func (w *world) processGroups() (groups [][]int) {
+	byZone := make([][]int, zoneCount)
+	for i := w.options.Real; i < w.options.Sidecars; i++ {
 		byZone[zoneOf(i)] = append(byZone[zoneOf(i)], i)
 	}
 	for z, list := range byZone {
-		if z == 0 && len(list) > rackOf {
-			all, list = append(all, list[:rackOf]), list[rackOf:]
+		if z == 0 && len(list) > rackSize {
+			groups, list = append(groups, list[:rackSize]), list[rackSize:]
 		}
 		if n := len(list); n > 0 {
-			parts := (n + w.o.Each - 1) / w.o.Each
+			parts := (n + w.options.Each - 1) / w.options.Each
 			for p := range parts {
-				all = append(all, list[n*p/parts:n*(p+1)/parts])
+				groups = append(groups, list[n*p/parts:n*(p+1)/parts])
 			}
 		}
 	}
-	return all
+	return groups
 }
 
-// What a run takes, as measured (docs/design/scale.md). A copy holds what the store does, and the changes of late: those of as many
-// seconds as it has run, up to the store's own bound.
+// Resources that a run needs, see docs/design/scale.md. A copy holds the contents of the store and its recent changes:
+// those of the seconds since it was opened, up to the store's own limit.
 const (
-	realMB      = 50    // resident memory of a real process with its sidecar, without its copy,
-	replicaMB   = 60    // and of a replica, with
-	followerMB  = 0.5   // for each follower
-	hollowMB    = 24    // of a process of hollow sidecars, or of links,
-	sidecarMB   = 1.0   // each of them,
-	pictureMB   = 0.009 // of its copy for each sidecar of the fleet,
-	secondMB    = 0.1   // and for each second
-	historyMB   = 32    // up to this
-	collected   = 1.4   // of what is live is there before it is collected: the run bounds the heap of hollow processes
-	labMB       = 100
-	perSidecar  = 18  // descriptors of a hollow sidecar in its process,
-	perStream   = 24  // and in that of its zone's links
-	spare       = 200 // descriptors of any process
-	portsNeeded = 14  // of a sidecar
+	realProcessMB        = 50    // resident memory of a real daemon with its sidecar, without its copy
+	replicaMB            = 60    // resident memory of a replica without followers
+	replicaMBPerFollower = 0.5   // memory of a replica for each follower
+	processMB            = 24    // memory of a process of stub sidecars or links, without these
+	stubMB               = 1.0   // memory of a stub sidecar, without its copy
+	copyMBPerSidecar     = 0.009 // memory of a copy with InterestAll for each sidecar of the fleet
+	copyMBPerSecond      = 0.1   // memory of a copy's recent changes for each second
+	maxHistoryMB         = 32    // limit of that
+	// heap size before a collection over live memory; the run limits the heap of stub processes
+	heapOverhead       = 1.4
+	labMB              = 100 // memory of the process that runs the measurement
+	descriptorsPerStub = 18  // in the process of the stub sidecar
+	descriptorsPerLink = 24  // for each sidecar, in the process of its zone's links
+	spareDescriptors   = 200 // of any process
+	portsPerSidecar    = 14  // local ports of the connections of a sidecar
 )
 
-// runs is how long sidecars do, about.
-func (o *Options) runs() time.Duration {
+// duration estimates how long the sidecars run.
+func (o *Options) duration() time.Duration {
 	d := o.Warm + o.For
 	if o.Begin > 0 {
 		d += time.Duration(float64(o.Sidecars) / o.Begin * float64(time.Second))
@@ -177,47 +184,50 @@
 		d += BurstFor
 	}
 	if o.Fault != "" {
-		d += cutFor + tailFor + 10*time.Second
+		d += partitionDuration + settleDuration + 10*time.Second
 	}
 	return d
 }
 
-// partMB is the live memory of a copy of what its own daemon needs, whatever the fleet's size (docs/design/interest.md, trials at 20 to 300).
-const partMB = 1.5
+// ownCopyMB is the live memory of a copy with InterestOwn. It does not depend on the size of the fleet, see
+// docs/design/interest.md (trials with 20 to 300 sidecars).
+const ownCopyMB = 1.5
 
-// copyMB is the live memory of a copy at the end of the run.
+// copyMB returns the live memory of a copy at the end of the run.
 func (o *Options) copyMB() float64 {
 	if o.Interest != operatorconfig.InterestAll {
-		return partMB
+		return ownCopyMB
 	}
-	return float64(o.Sidecars)*pictureMB + min(historyMB, o.runs().Seconds()*secondMB)
+	return float64(o.Sidecars)*copyMBPerSidecar + min(maxHistoryMB, o.duration().Seconds()*copyMBPerSecond)
 }
 
-// hollowsMB is what all processes of hollow sidecars may take.
-func (o *Options) hollowsMB() float64 {
+// stubsMB returns the memory that all stub processes together may use.
+func (o *Options) stubsMB() float64 {
 	n := float64(max(0, o.Sidecars-o.Real))
-	return n*(sidecarMB+collected*o.copyMB()) + float64(len((&world{o: *o}).groups()))*hollowMB
+	return n*(stubMB+heapOverhead*o.copyMB()) + float64(len((&world{options: *o}).processGroups()))*processMB
 }
 
-// inMemory says whether files of a folder are.
-func inMemory(dir string) bool {
+// isInMemory reports whether the files of a folder are held in memory.
+func isInMemory(dir string) bool {
 	var s unix.Statfs_t
 	return unix.Statfs(dir, &s) == nil && (s.Type == unix.TMPFS_MAGIC || s.Type == unix.RAMFS_MAGIC)
 }
 
-// MemoryMB is what a run of so many takes, about.
+// MemoryMB estimates the memory that the run needs, in MB.
 func (o *Options) MemoryMB() int {
 	files := 0.0
-	if inMemory(o.Dir) { // each copy is written beside the one before
+	if isInMemory(o.Dir) { // each copy is written to a new file before the previous one is replaced
 		files = float64(o.Replicas) * replicaMB
 		if o.Interest == operatorconfig.InterestAll {
-			files += 2 * float64(o.Sidecars) * float64(o.Sidecars) * pictureMB
+			files += 2 * float64(o.Sidecars) * float64(o.Sidecars) * copyMBPerSidecar
 		}
 	}
-	return int(files + labMB + float64(zones)*hollowMB + float64(o.Real)*(realMB+2*o.copyMB()) + float64(o.Replicas)*(replicaMB+float64(o.Sidecars)*followerMB) + o.hollowsMB())
+	return int(files + labMB + float64(zoneCount)*processMB + float64(o.Real)*(realProcessMB+2*o.copyMB()) +
+		float64(o.Replicas)*(replicaMB+float64(o.Sidecars)*replicaMBPerFollower) + o.stubsMB())
 }
 
-// Check says what of the options makes no sense, or is more than the machine has; nothing is started. Errors name flag and value.
+// Check returns an error that names the flag and its value if an option is invalid or the run needs more than the
+// machine has. It starts nothing.
 func (o *Options) Check() error {
 	switch {
 	case o.Sidecars < Calls+1 || o.Sidecars > 5000:
@@ -226,8 +236,8 @@
 		return fmt.Errorf("--real: %d is not within 0 and 32", o.Real)
 	case o.Real > o.Sidecars:
 		return fmt.Errorf("--real: %d is above --sidecars, %d", o.Real, o.Sidecars)
-	case o.Replicas < 1 || o.Replicas > len(replicas):
-		return fmt.Errorf("--replicas: %d is not within 1 and %d", o.Replicas, len(replicas))
+	case o.Replicas < 1 || o.Replicas > len(replicaZones):
+		return fmt.Errorf("--replicas: %d is not within 1 and %d", o.Replicas, len(replicaZones))
 	case o.Services < Calls+1 || o.Services > o.Sidecars && o.Services > Calls+1:
 		return fmt.Errorf("--services: %d is not within %d and the sidecars, %d", o.Services, Calls+1, o.Sidecars)
 	case o.For < time.Second || o.For > time.Hour:
@@ -239,37 +249,43 @@
 	case o.Each < 1 || o.Each > 400:
 		return fmt.Errorf("--each: %d is not within 1 and 400", o.Each)
 	case o.Interest != "" && o.Interest != operatorconfig.InterestOwn && o.Interest != operatorconfig.InterestAll:
-		return fmt.Errorf("--interest: %q is not %q or %q", o.Interest, operatorconfig.InterestOwn, operatorconfig.InterestAll)
-	case o.Fault != "" && faultOf(o.Fault) == nil:
+		return fmt.Errorf("--interest: %q is not %q or %q", o.Interest, operatorconfig.InterestOwn,
+			operatorconfig.InterestAll)
+	case o.Fault != "" && findFault(o.Fault) == nil:
 		return fmt.Errorf("--fault: %q is none of %s", o.Fault, strings.Join(FaultNames(), ", "))
 	}
-	var all unix.Rlimit
-	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &all); err != nil {
+	var files unix.Rlimit
+	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &files); err != nil {
 		return err
 	}
-	zone := (o.Sidecars + zones - 1) / zones
+	zone := (o.Sidecars + zoneCount - 1) / zoneCount
 	for _, x := range []struct {
 		what string
 		need int
-	}{{"a process of hollow sidecars", spare + o.Each*perSidecar}, {"a zone's links", spare + zone*perStream}, {"the lab", spare + 60*o.Real + 4*o.Sidecars},
-		{"a replica", spare + 4*o.Sidecars}} {
-		if uint64(x.need) > all.Cur {
-			return fmt.Errorf("--sidecars: %d need %d descriptors in %s, and a process may have %d", o.Sidecars, x.need, x.what, all.Cur)
+	}{{"a process of hollow sidecars", spareDescriptors + o.Each*descriptorsPerStub},
+		{"a zone's links", spareDescriptors + zone*descriptorsPerLink},
+		{"the lab", spareDescriptors + 60*o.Real + 4*o.Sidecars},
+		{"a replica", spareDescriptors + 4*o.Sidecars}} {
+		if uint64(x.need) > files.Cur {
+			return fmt.Errorf("--sidecars: %d need %d descriptors in %s, and a process may have %d", o.Sidecars, x.need, x.what,
+				files.Cur)
 		}
 	}
-	if ports, err := localPorts(); err == nil && o.Sidecars*portsNeeded > ports {
-		return fmt.Errorf("--sidecars: %d need %d local ports, and there are %d", o.Sidecars, o.Sidecars*portsNeeded, ports)
+	if ports, err := localPortCount(); err == nil && o.Sidecars*portsPerSidecar > ports {
+		return fmt.Errorf("--sidecars: %d need %d local ports, and there are %d", o.Sidecars, o.Sidecars*portsPerSidecar,
+			ports)
 	}
-	if total, err := memoryMB(); err != nil {
+	if total, err := machineMB(); err != nil {
 		return err
 	} else if need := o.MemoryMB(); need > total/2 {
-		return fmt.Errorf("--sidecars: %d need about %d MB after %v, and half of this machine's memory is %d", o.Sidecars, need, o.runs().Round(time.Second), total/2)
+		return fmt.Errorf("--sidecars: %d need about %d MB after %v, and half of this machine's memory is %d", o.Sidecars,
+			need, o.duration().Round(time.Second), total/2)
 	}
 	return nil
 }
 
-// localPorts is from how many ports connections go out.
-func localPorts() (int, error) {
+// localPortCount returns the number of local ports for outgoing connections.
+func localPortCount() (int, error) {
 	text, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range")
 	if err != nil {
 		return 0, err
@@ -279,8 +295,8 @@
 	return to - from + 1, err
 }
 
-// memoryMB is the machine's.
-func memoryMB() (int, error) {
+// machineMB returns the machine's memory in MB.
+func machineMB() (int, error) {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
 		return 0, err
@@ -291,5 +307,5 @@
 			return kb >> 10, err
 		}
 	}
-	return 0, errors.New("/proc/meminfo does not tell the machine's memory")
+	return 0, errors.New("/proc/meminfo has no line MemTotal")
 }
