--- a/cmd/birchmoor/labscale.go
+++ b/cmd/birchmoor/labscale.go
@@ -155,7 +155,7 @@
 }
 
 // hollowDefects are the injected defects of hollow sidecars. Tests alone set those beyond controlplane.Defects.
-var hollowDefects scale.Plant
+var hollowDefects scale.StubDefects
 
 // hollowCommand is a process of lab scale that runs hollow sidecars, by the specification in a file.
 type hollowCommand struct {
@@ -170,5 +170,5 @@
 		LeaseTable:   leaseTableDefect(),
 		Quota:        processFaults.Limit,
 	}
-	return scale.Child(ctx, k.Spec, os.Stdin, c.out, log, hollowDefects)
+	return scale.RunChild(ctx, k.Spec, os.Stdin, c.out, log, hollowDefects)
 }
--- a/cmd/birchmoor/labscale_test.go
+++ b/cmd/birchmoor/labscale_test.go
@@ -22,13 +22,13 @@
 func readHollowDefect() {
 	switch os.Getenv(hollowDefectEnv) {
 	case "renewed-twice":
-		hollowDefects.Twice = true
+		hollowDefects.SecondSession = true
 	case "picture-for-each":
-		hollowDefects.All = true
+		hollowDefects.SnapshotPerDaemon = true
 	case "part-left-out":
-		hollowDefects.None = true
+		hollowDefects.NoLimits = true
 	case "pictures-to-all":
-		hollowDefects.Told = true
+		hollowDefects.AllSnapshots = true
 	}
 }
 
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -108,23 +108,23 @@
 	AtNanos int64 `json:"At"` // Unix time in nanoseconds; all processes run on one machine
 }
 
-// Plant holds the injected defects of stub sidecars. Only builds for tests set them.
-type Plant struct {
+// StubDefects holds the injected defects of stub sidecars. Only builds for tests set them.
+type StubDefects struct {
 	controlplane.Defects
-	Twice bool // each has a second session
-	All   bool // each saves its module snapshot once more for each daemon of the fleet
-	Told  bool // each subscribes to all module snapshots
-	None  bool // each lacks the component for limits
+	SecondSession     bool // each has a second session
+	SnapshotPerDaemon bool // each saves its module snapshot once more for each daemon of the fleet
+	AllSnapshots      bool // each subscribes to all module snapshots
+	NoLimits          bool // each lacks the component for limits
 }
 
-// Child runs a child process of a measurement with the spec in a file. It reads commands from input until that ends,
+// RunChild runs a child process of a measurement with the spec in a file. It reads commands from input until that ends,
 // and writes messages to out. It ends all stub sidecars and links before it returns.
-func Child(ctx context.Context, path string, input io.Reader, out io.Writer, log *slog.Logger, plant Plant) error {
+func RunChild(ctx context.Context, path string, input io.Reader, out io.Writer, log *slog.Logger, defects StubDefects) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	host := &stubHost{out: json.NewEncoder(out), log: log, plant: plant, ctx: ctx, startedAt: time.Now()}
+	host := &stubHost{out: json.NewEncoder(out), log: log, defects: defects, ctx: ctx, startedAt: time.Now()}
 	if err := json.Unmarshal(text, &host.spec); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
@@ -167,7 +167,7 @@
 type stubHost struct {
 	spec      Spec
 	log       *slog.Logger
-	plant     Plant
+	defects   StubDefects
 	ctx       context.Context
 	startedAt time.Time
 
@@ -332,7 +332,7 @@
 		storeText += fmt.Sprintf("interest = %q\n", h.host.spec.Interest)
 	}
 	operatorTail := h.host.spec.OperatorConfig
-	if h.host.plant.None {
+	if h.host.defects.NoLimits {
 		operatorTail = ""
 	}
 	operatorPath := filepath.Join(dir, h.name+".toml")
@@ -364,7 +364,7 @@
 	}
 	log := h.host.log.With("sidecar", h.name)
 	components, err := controlplane.Open(controlplane.Config{File: operatorConfig, Sidecar: h.name,
-		SettingsCheck: checkSettings, Log: log, Defects: h.host.plant.Defects})
+		SettingsCheck: checkSettings, Log: log, Defects: h.host.defects.Defects})
 	if err != nil {
 		return err
 	}
@@ -377,7 +377,7 @@
 			h.host.log.Error("cannot use the session of the limits", "error", err)
 		}
 	}
-	if h.host.plant.Twice {
+	if h.host.defects.SecondSession {
 		if _, err := components.Tasks.UseSession(
 			time.Duration(operatorConfig.Limits.SessionTTL) - time.Millisecond); err != nil {
 			h.host.log.Error("cannot open a second session", "error", err)
@@ -389,7 +389,7 @@
 		h.peerMessages++
 		h.mu.Unlock()
 	}
-	if h.host.plant.Told {
+	if h.host.defects.AllSnapshots {
 		components.Servers.SubscribeAll(ctx)
 	}
 	components.Servers.OnDrain(func(context.Context, discovery.Process, bool) error { countMessage(); return nil })
@@ -482,7 +482,7 @@
 	components := h.components
 	h.mu.Unlock()
 	data, err := h.randomSnapshot()
-	if err != nil || !h.host.plant.All || components == nil {
+	if err != nil || !h.host.defects.SnapshotPerDaemon || components == nil {
 		return data, err
 	}
 	daemons, queuePrefix := 0, lease.QueuePrefix+daemon.FleetTask+"/" // each daemon has an entry in the queue
@@ -638,7 +638,7 @@
 	hasSession := true
 	if sessionRef != nil {
 		id, validUntil, _ := sessionRef.Current()
-		hasSession = id != 0 && validUntil > h.host.plant.Clock.Now()
+		hasSession = id != 0 && validUntil > h.host.defects.Clock.Now()
 	}
 	if states.OldestRevision == 0 || status.Revision < states.OldestRevision {
 		states.OldestRevision = status.Revision
