--- a/cmd/birchmoor/labscale.go
+++ b/cmd/birchmoor/labscale.go
@@ -75,27 +75,27 @@
 // largest, the largest size of the run, is to --services.
 func (k *scaleCommand) options(size, largest int) (scale.Options, error) {
 	self, err := os.Executable()
-	const minServices = scale.Calls + 1
+	const minServices = scale.CallsPerService + 1
 	services := k.Services
 	if services == 0 {
 		services = max(minServices, largest/sidecarsPerService)
 	}
 	return scale.Options{
-		Program:  self,
-		Dir:      k.Dir,
-		Sidecars: size,
-		Real:     k.Real,
-		Replicas: k.Replicas,
-		Services: max(min(size, minServices), services*size/max(1, largest)),
-		For:      k.Duration,
-		Seed:     k.Seed,
-		Fault:    k.Fault,
-		Interest: k.Interest,
-		Changes:  k.Changes,
-		Burst:    k.Burst,
-		Each:     k.PerProcess,
-		Warm:     k.WarmupDuration,
-		Begin:    k.StartsPerSecond,
+		Program:         self,
+		Dir:             k.Dir,
+		Sidecars:        size,
+		Real:            k.Real,
+		Replicas:        k.Replicas,
+		Services:        max(min(size, minServices), services*size/max(1, largest)),
+		QuietDuration:   k.Duration,
+		Seed:            k.Seed,
+		Fault:           k.Fault,
+		Interest:        k.Interest,
+		ChangesPerDay:   k.Changes,
+		Burst:           k.Burst,
+		StubsPerProcess: k.PerProcess,
+		WarmupDuration:  k.WarmupDuration,
+		StartsPerSecond: k.StartsPerSecond,
 	}, err
 }
 
@@ -116,7 +116,7 @@
 		if err := o.Check(); err != nil {
 			return err
 		}
-		o.Say = func(s string) { fmt.Fprintln(c.errOut, s) }
+		o.Progress = func(s string) { fmt.Fprintln(c.errOut, s) }
 		runs = append(runs, o)
 	}
 	var results []*scale.Result
--- a/cmd/birchmoor/labscale_test.go
+++ b/cmd/birchmoor/labscale_test.go
@@ -52,19 +52,19 @@
 		}
 		wg.Go(func() {
 			results[i], errs[i] = scale.Run(t.Context(), scale.Options{
-				Program:  self,
-				Env:      []string{asProgramEnv + "=1", hollowDefectEnv + "=" + defect},
-				Dir:      dir,
-				Sidecars: n,
-				Real:     1,
-				Replicas: 1,
-				Services: scale.Calls + 1,
-				For:      6 * time.Second,
-				Seed:     1,
-				Changes:  86400 / 6,
-				Each:     100,
-				Begin:    40,
-				Interest: interest,
+				Program:         self,
+				Env:             []string{asProgramEnv + "=1", hollowDefectEnv + "=" + defect},
+				Dir:             dir,
+				Sidecars:        n,
+				Real:            1,
+				Replicas:        1,
+				Services:        scale.CallsPerService + 1,
+				QuietDuration:   6 * time.Second,
+				Seed:            1,
+				ChangesPerDay:   86400 / 6,
+				StubsPerProcess: 100,
+				StartsPerSecond: 40,
+				Interest:        interest,
 				Until: func(c scale.Counts) bool {
 					return c.Applied["pictures"] >= snapshots && c.RealOut["shares"] >= 3 && c.Applied["sessions"] >= uint64(4*n)
 				},
@@ -171,17 +171,17 @@
 	ended := make(chan error, 1)
 	go func() {
 		_, err := scale.Run(ctx, scale.Options{
-			Program:  self,
-			Env:      []string{asProgramEnv + "=1"},
-			Dir:      dir,
-			Sidecars: 6,
-			Real:     1,
-			Replicas: 1,
-			Services: scale.Calls + 1,
-			For:      time.Hour,
-			Seed:     1,
-			Each:     100,
-			Begin:    40,
+			Program:         self,
+			Env:             []string{asProgramEnv + "=1"},
+			Dir:             dir,
+			Sidecars:        6,
+			Real:            1,
+			Replicas:        1,
+			Services:        scale.CallsPerService + 1,
+			QuietDuration:   time.Hour,
+			Seed:            1,
+			StubsPerProcess: 100,
+			StartsPerSecond: 40,
 		})
 		ended <- err
 	}()
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -88,8 +88,8 @@
 }
 
 func (r *run) progress(format string, args ...any) {
-	if r.options.Say != nil {
-		r.options.Say(fmt.Sprintf("%d sidecars: ", r.options.Sidecars) + fmt.Sprintf(format, args...))
+	if r.options.Progress != nil {
+		r.options.Progress(fmt.Sprintf("%d sidecars: ", r.options.Sidecars) + fmt.Sprintf(format, args...))
 	}
 }
 
@@ -254,7 +254,7 @@
 // play runs the phases of a measurement and adds their results.
 func (r *run) play(ctx context.Context, result *Result) error {
 	r.sendRequests(ctx)
-	startRate := r.options.Begin
+	startRate := r.options.StartsPerSecond
 	if r.options.Fault == "start" {
 		startRate = 0
 	}
@@ -277,7 +277,7 @@
 		result.Fault = &FaultResult{Name: "start", What: "all sidecars began at once", Right: result.Began,
 			Copies: sampled.counts().In["snapshots"], Seconds: sampled.seconds(), Roles: sampled.roles()}
 	}
-	sleep(ctx, r.options.Warm)
+	sleep(ctx, r.options.WarmupDuration)
 	if err := r.quietPhase(ctx, result); err != nil {
 		return err
 	}
@@ -297,11 +297,11 @@
 	r.changes.reset()
 	r.sampler.start(ctx)
 	var interval time.Duration
-	if r.options.Changes > 0 {
-		interval = time.Duration(86400 / r.options.Changes * float64(time.Second))
+	if r.options.ChangesPerDay > 0 {
+		interval = time.Duration(86400 / r.options.ChangesPerDay * float64(time.Second))
 	}
-	end := time.Now().Add(r.options.For)
-	for next := time.Now().Add(min(interval, r.options.For) / 2); interval > 0 &&
+	end := time.Now().Add(r.options.QuietDuration)
+	for next := time.Now().Add(min(interval, r.options.QuietDuration) / 2); interval > 0 &&
 		next.Before(end); next = next.Add(interval) {
 		if sleep(ctx, time.Until(next)); ctx.Err() != nil {
 			break
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -37,7 +37,7 @@
 // Each stub sidecar is in exactly one process, with others of its zone, and a rack is a process of its own. Discovery
 // lists only the servers of the services that a sidecar's own service calls. No region has a majority of the replicas.
 func TestWorldGroupsStubsByZoneAndListsCalleesOnly(t *testing.T) {
-	options := Options{Sidecars: 1200, Real: 8, Replicas: 7, Services: 120, Seed: 3, Each: 100}
+	options := Options{Sidecars: 1200, Real: 8, Replicas: 7, Services: 120, Seed: 3, StubsPerProcess: 100}
 	drawn := newWorld(options, nil)
 	grouped := map[int]bool{}
 	for _, group := range drawn.processGroups() {
@@ -53,7 +53,7 @@
 		t.Errorf("%d stub sidecars and a rack of %d, want 1192 and 20", len(grouped), len(drawn.processGroups()[0]))
 	}
 	for service, list := range drawn.calleeServers {
-		if len(list) != 10*Calls || slices.Contains(drawn.callees[service], service) ||
+		if len(list) != 10*CallsPerService || slices.Contains(drawn.callees[service], service) ||
 			!slices.Contains(drawn.callers(drawn.callees[service][0]), service) {
 			t.Errorf("service %d calls %v and is listed %d servers; want 4 other services with 10 servers each", service,
 				drawn.callees[service], len(list))
--- a/internal/lab/scale/world.go
+++ b/internal/lab/scale/world.go
@@ -23,25 +23,25 @@
 
 // Options are the options of a run.
 type Options struct {
-	Program  string   // executable of daemons and stub processes
-	Env      []string // environment variables of these, in addition to those of this process
-	Dir      string   // parent of the run's temporary folder; "": the system's
-	Sidecars int      // size of the fleet, with the real sidecars
-	Real     int      // sidecars that are real daemons
-	Replicas int
-	Services int
-	For      time.Duration // length of the quiet phase
-	Seed     uint64
+	Program       string   // executable of daemons and stub processes
+	Env           []string // environment variables of these, in addition to those of this process
+	Dir           string   // parent of the run's temporary folder; "": the system's
+	Sidecars      int      // size of the fleet, with the real sidecars
+	Real          int      // sidecars that are real daemons
+	Replicas      int
+	Services      int
+	QuietDuration time.Duration // length of the quiet phase
+	Seed          uint64
 	// what the sidecars' copies hold: operatorconfig.InterestOwn or InterestAll; "": the default
-	Interest string
-	Fault    string            // name of the fault that is injected after the quiet phase; "": none
-	Changes  float64           // changes of the settings a day
-	Burst    int               // changes of the settings within BurstFor, after the quiet phase; 0: no burst
-	Each     int               // most stub sidecars of a process
-	Warm     time.Duration     // time between the convergence of the fleet and the quiet phase
-	Begin    float64           // starts of sidecars a second; 0: all start at once
-	Until    func(Counts) bool // extends the quiet phase until it returns true, by a minute at most; may be nil
-	Say      func(string)      // receives progress messages; may be nil
+	Interest        string
+	Fault           string            // name of the fault that is injected after the quiet phase; "": none
+	ChangesPerDay   float64           // changes of the settings a day
+	Burst           int               // changes of the settings within BurstFor, after the quiet phase; 0: no burst
+	StubsPerProcess int               // most stub sidecars of a process
+	WarmupDuration  time.Duration     // time between the convergence of the fleet and the quiet phase
+	StartsPerSecond float64           // starts of sidecars a second; 0: all start at once
+	Until           func(Counts) bool // extends the quiet phase until it returns true, by a minute at most; may be nil
+	Progress        func(string)      // receives progress messages; may be nil
 }
 
 // BurstFor is the time over which the changes of a burst are spread.
@@ -71,8 +71,8 @@
 // zoneOf returns the zone of a sidecar. Sidecars are spread evenly over the zones.
 func zoneOf(sidecar int) int { return sidecar % zoneCount }
 
-// Calls is the number of services that each service calls.
-const Calls = 4
+// CallsPerService is the number of services that each service calls.
+const CallsPerService = 4
 
 const rackSize = 20 // sidecars in the rack that a fault can take away
 
@@ -91,7 +91,7 @@
 // newWorld draws the layout of a fleet. serverAddr returns the address of a server that listens, or "". All other
 // servers have addresses at which nothing listens; so do all if serverAddr is nil.
 func newWorld(o Options, serverAddr func(server int) string) *world {
-	w := &world{options: o, services: max(min(Calls+1, o.Sidecars), min(o.Services, o.Sidecars))}
+	w := &world{options: o, services: max(min(CallsPerService+1, o.Sidecars), min(o.Services, o.Sidecars))}
 	rng := rand.New(rand.NewPCG(o.Seed, 0x7363616c65))
 	w.servers = make([][]discovery.Instance, w.services)
 	startedBefore := time.Now().Add(-time.Hour).UnixMilli()
@@ -111,7 +111,7 @@
 		var called []int
 		var servers []discovery.Instance
 		for _, callee := range rng.Perm(w.services) {
-			if callee != service && len(called) < Calls {
+			if callee != service && len(called) < CallsPerService {
 				called = append(called, callee)
 				servers = append(servers, w.servers[callee]...)
 			}
@@ -145,7 +145,7 @@
 			groups, list = append(groups, list[:rackSize]), list[rackSize:]
 		}
 		if n := len(list); n > 0 {
-			parts := (n + w.options.Each - 1) / w.options.Each
+			parts := (n + w.options.StubsPerProcess - 1) / w.options.StubsPerProcess
 			for p := range parts {
 				groups = append(groups, list[n*p/parts:n*(p+1)/parts])
 			}
@@ -176,9 +176,9 @@
 
 // duration estimates how long the sidecars run.
 func (o *Options) duration() time.Duration {
-	d := o.Warm + o.For
-	if o.Begin > 0 {
-		d += time.Duration(float64(o.Sidecars) / o.Begin * float64(time.Second))
+	d := o.WarmupDuration + o.QuietDuration
+	if o.StartsPerSecond > 0 {
+		d += time.Duration(float64(o.Sidecars) / o.StartsPerSecond * float64(time.Second))
 	}
 	if o.Burst > 0 {
 		d += BurstFor
@@ -230,24 +230,24 @@
 // machine has. It starts nothing.
 func (o *Options) Check() error {
 	switch {
-	case o.Sidecars < Calls+1 || o.Sidecars > 5000:
-		return fmt.Errorf("--sidecars: %d is not within %d and 5000", o.Sidecars, Calls+1)
+	case o.Sidecars < CallsPerService+1 || o.Sidecars > 5000:
+		return fmt.Errorf("--sidecars: %d is not within %d and 5000", o.Sidecars, CallsPerService+1)
 	case o.Real < 0 || o.Real > 32:
 		return fmt.Errorf("--real: %d is not within 0 and 32", o.Real)
 	case o.Real > o.Sidecars:
 		return fmt.Errorf("--real: %d is above --sidecars, %d", o.Real, o.Sidecars)
 	case o.Replicas < 1 || o.Replicas > len(replicaZones):
 		return fmt.Errorf("--replicas: %d is not within 1 and %d", o.Replicas, len(replicaZones))
-	case o.Services < Calls+1 || o.Services > o.Sidecars && o.Services > Calls+1:
-		return fmt.Errorf("--services: %d is not within %d and the sidecars, %d", o.Services, Calls+1, o.Sidecars)
-	case o.For < time.Second || o.For > time.Hour:
-		return fmt.Errorf("--for: %v is not within 1s and 1h", o.For)
-	case o.Changes < 0 || o.Changes > 86400*5:
-		return fmt.Errorf("--changes-per-day: %g is not within 0 and 432000", o.Changes)
+	case o.Services < CallsPerService+1 || o.Services > o.Sidecars && o.Services > CallsPerService+1:
+		return fmt.Errorf("--services: %d is not within %d and the sidecars, %d", o.Services, CallsPerService+1, o.Sidecars)
+	case o.QuietDuration < time.Second || o.QuietDuration > time.Hour:
+		return fmt.Errorf("--for: %v is not within 1s and 1h", o.QuietDuration)
+	case o.ChangesPerDay < 0 || o.ChangesPerDay > 86400*5:
+		return fmt.Errorf("--changes-per-day: %g is not within 0 and 432000", o.ChangesPerDay)
 	case o.Burst < 0 || o.Burst > 600:
 		return fmt.Errorf("--burst: %d is not within 0 and 600", o.Burst)
-	case o.Each < 1 || o.Each > 400:
-		return fmt.Errorf("--each: %d is not within 1 and 400", o.Each)
+	case o.StubsPerProcess < 1 || o.StubsPerProcess > 400:
+		return fmt.Errorf("--each: %d is not within 1 and 400", o.StubsPerProcess)
 	case o.Interest != "" && o.Interest != operatorconfig.InterestOwn && o.Interest != operatorconfig.InterestAll:
 		return fmt.Errorf("--interest: %q is not %q or %q", o.Interest, operatorconfig.InterestOwn,
 			operatorconfig.InterestAll)
@@ -262,7 +262,7 @@
 	for _, x := range []struct {
 		what string
 		need int
-	}{{"a process of hollow sidecars", spareDescriptors + o.Each*descriptorsPerStub},
+	}{{"a process of hollow sidecars", spareDescriptors + o.StubsPerProcess*descriptorsPerStub},
 		{"a zone's links", spareDescriptors + zone*descriptorsPerLink},
 		{"the lab", spareDescriptors + 60*o.Real + 4*o.Sidecars},
 		{"a replica", spareDescriptors + 4*o.Sidecars}} {
