--- a/cmd/birchmoor/labcompare.go
+++ b/cmd/birchmoor/labcompare.go
@@ -129,9 +129,9 @@
 		d := o.Figures[name]
 		outcome := "no difference found"
 		switch {
-		case d.Told && d.Mean > 0:
+		case d.Significant && d.Mean > 0:
 			outcome = "B is higher"
-		case d.Told:
+		case d.Significant:
 			outcome = "B is lower"
 		}
 		interval := fmt.Sprintf("%+.4f to %+.4f", d.Low, d.High)
--- a/cmd/birchmoor/labresult.go
+++ b/cmd/birchmoor/labresult.go
@@ -76,7 +76,7 @@
 	fmt.Fprintf(w, "attempts into other zones %.3f, worst 10 s %.3f, took %.1f s, at most %.0f MB",
 		figureValues["crossings"], result.Worst10s, result.Took, result.MemoryMB)
 	if result.Host == "run" {
-		fmt.Fprintf(w, ", the lab itself late by %.1f ms (p99.9), %.1f ms at most", result.LateP999, result.LateMost)
+		fmt.Fprintf(w, ", the lab itself late by %.1f ms (p99.9), %.1f ms at most", result.LateP999, result.LateMax)
 	}
 	fmt.Fprintln(w)
 	for _, violation := range result.Verdict.Violations {
--- a/cmd/birchmoor/labscale_test.go
+++ b/cmd/birchmoor/labscale_test.go
@@ -120,9 +120,9 @@
 			}
 			for _, x := range results {
 				t.Logf("%d sidecars: %+v", x.Sidecars, x.Counts)
-				if x.Right != x.Sidecars-x.Real || x.Settings.Changes == 0 || x.Settings.N == 0 {
+				if x.Converged != x.Sidecars-x.Real || x.Settings.Changes == 0 || x.Settings.N == 0 {
 					t.Errorf("%d sidecars: %d hollow ones have the right state at the end; settings: %+v",
-						x.Sidecars, x.Right, x.Settings)
+						x.Sidecars, x.Converged, x.Settings)
 				}
 			}
 		})
--- a/cmd/birchmoor/main_test.go
+++ b/cmd/birchmoor/main_test.go
@@ -105,10 +105,10 @@
 	if err := json.Unmarshal([]byte(out), &result); code != 0 || err != nil {
 		t.Fatalf("lab compare: exit %d, %v\n%s", code, err, errs)
 	}
-	if d := result.Figures["p50_ms"]; !d.Told || d.Mean < 20 {
+	if d := result.Figures["p50_ms"]; !d.Significant || d.Mean < 20 {
 		t.Errorf("ten times the work makes no difference: %+v", d)
 	}
-	if d := result.Figures["failed"]; d.Told {
+	if d := result.Figures["failed"]; d.Significant {
 		t.Errorf("no request fails on either side, yet a difference is found: %+v", d)
 	}
 	_, out, _ = birchmoor("lab", "compare", a, a, "--seeds", "4")
--- a/internal/lab/figures/figures.go
+++ b/internal/lab/figures/figures.go
@@ -34,7 +34,7 @@
 	MemoryMB float64 `json:"memory_mb"`      // peak memory of the lab
 	Void     string  `json:"void,omitempty"` // why the run's figures cannot be used, empty if they can
 	LateP999 float64 `json:"late_p999_ms"`   // delay of the lab's own actions, 99.9th percentile
-	LateMost float64 `json:"late_most_ms"`   // and the largest
+	LateMax  float64 `json:"late_most_ms"`   // and the largest
 
 	Service  float64            `json:"service"` // worth served within the latency objective over worth asked for
 	Classes  []Class            `json:"classes"`
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -151,7 +151,7 @@
 	r.close()
 	x := rec.End(ref.Finish(at))
 	x.Host, x.Seed, x.Took, x.MemoryMB = "run", o.Seed, time.Since(began).Seconds(), sim.PeakMB()
-	x.LateP999, x.LateMost = float64(p999)/1000, float64(worst)/1000
+	x.LateP999, x.LateMax = float64(p999)/1000, float64(worst)/1000
 	x.Missed = append(x.Missed, r.crashed...)
 	x.Figures["cpu_ms_per_try"] = r.cpu.Seconds() * 1000 / float64(max(1, r.asked))
 	x.Figures["sidecar_rss_mb"] = float64(r.rss) / 1024
@@ -159,7 +159,7 @@
 	case r.spoiled != "":
 		x.Void = r.spoiled
 	case p999 > lateOften.Microseconds() || worst > lateMost.Microseconds():
-		x.Void = fmt.Sprintf("the lab itself was late: %.1f ms in one event of a thousand, %.1f at most; the machine is too busy", x.LateP999, x.LateMost)
+		x.Void = fmt.Sprintf("the lab itself was late: %.1f ms in one event of a thousand, %.1f at most; the machine is too busy", x.LateP999, x.LateMax)
 	}
 	return x, nil
 }
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -365,7 +365,7 @@
 	Processes    int             `json:"processes"`
 	Began        float64         `json:"began_s"` // from the start of the first sidecar until the fleet had converged
 	Seconds      float64         `json:"seconds"` // length of the quiet phase
-	Right        int             `json:"right"`   // stub sidecars that had converged at its end or within a minute of it
+	Converged    int             `json:"right"`   // stub sidecars that had converged at its end or within a minute of it
 	Busy         float64         `json:"busy"`    // share of the machine's CPU time during the quiet phase
 	Failed       int             `json:"failed"`  // changes of the settings that failed
 	Store        Store           `json:"store"`
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -324,11 +324,11 @@
 	result.Store, result.Counts = sampled.store(), sampled.counts()
 	result.Settings = r.changes.result(r.options.Sidecars - r.options.Real)
 	result.StubAccuracy = compareRealWithStubs(result.Roles[RoleReal], result.Roles[RoleStub])
-	for giveUpAt := time.Now().Add(time.Minute); result.Right < r.options.Sidecars-r.options.Real &&
+	for giveUpAt := time.Now().Add(time.Minute); result.Converged < r.options.Sidecars-r.options.Real &&
 		time.Now().Before(giveUpAt) && ctx.Err() == nil; sleep(ctx, 100*time.Millisecond) {
 		if states, _, err := r.queryStates(ctx, command{Name: "look", SettingsVersion: r.changes.newest()},
 			r.stubProcesses()); err == nil {
-			result.Right = states.Converged
+			result.Converged = states.Converged
 		}
 	}
 	r.progress("the quiet phase took %.0f s, the machine was %.0f%% busy", result.Seconds, 100*result.Busy)
--- a/internal/lab/scale/table.go
+++ b/internal/lab/scale/table.go
@@ -78,7 +78,7 @@
 	fmt.Fprintf(w, "%d sidecars (%d real) of %d services, %d replicas, seed %d: %.0f s, the machine %.0f%% busy\n",
 		result.Sidecars, result.Real, result.Services, result.Replicas, result.Seed, result.Seconds, 100*result.Busy)
 	fmt.Fprintf(w, "all right %.1f s after the first began; at the end of the quiet phase %d of %d hollow ones are\n",
-		result.Began, result.Right, result.Sidecars-result.Real)
+		result.Began, result.Converged, result.Sidecars-result.Real)
 	fmt.Fprintf(w, "store: %d keys, %d bytes, %.1f entries of the log and %.1f revisions a second\n", result.Store.Keys,
 		result.Store.Bytes, result.Store.Entries, result.Store.Revisions)
 	printAdoption(w, "settings", &result.Settings)
@@ -152,7 +152,7 @@
 		{"all right after the first began", "s", func(x *Result) string { return fmt.Sprintf("%.1f", x.Began) }},
 		{"machine busy", "%", func(x *Result) string { return fmt.Sprintf("%.0f", 100*x.Busy) }},
 		{"hollow sidecars that are right at the end", "", func(x *Result) string {
-			return fmt.Sprintf("%d of %d", x.Right, x.Sidecars-x.Real)
+			return fmt.Sprintf("%d of %d", x.Converged, x.Sidecars-x.Real)
 		}},
 		{"keys of the store", "", func(x *Result) string { return fmt.Sprint(x.Store.Keys) }},
 		{"keys and values", "bytes", func(x *Result) string { return formatFigure("", float64(x.Store.Bytes)) }},
--- a/internal/lab/stats/stats.go
+++ b/internal/lab/stats/stats.go
@@ -17,7 +17,7 @@
 	High float64 `json:"high"`
 	N    int     `json:"pairs"`
 	// the difference is significant: there are enough pairs, and the interval does not contain 0
-	Told bool `json:"told_apart"`
+	Significant bool `json:"told_apart"`
 }
 
 const (
@@ -56,6 +56,6 @@
 	slices.Sort(means)
 	difference.Low = means[int(lowerQuantile*resamples)]
 	difference.High = means[int(math.Ceil(upperQuantile*resamples))-1]
-	difference.Told = pairs >= minPairs && (difference.Low > 0 || difference.High < 0)
+	difference.Significant = pairs >= minPairs && (difference.Low > 0 || difference.High < 0)
 	return difference
 }
--- a/internal/lab/stats/stats_test.go
+++ b/internal/lab/stats/stats_test.go
@@ -16,13 +16,13 @@
 }
 
 func TestCompareFindsSignificantDifferences(t *testing.T) {
-	if d := Compare(series(20, 0.1, 0.02, 1)); !d.Told || d.Low > 0.1 || d.High < 0.1 {
+	if d := Compare(series(20, 0.1, 0.02, 1)); !d.Significant || d.Low > 0.1 || d.High < 0.1 {
 		t.Errorf("20 pairs that differ by 0.1: got %+v, want a significant difference with 0.1 in its interval", d)
 	}
-	if d := Compare(series(3, 0.1, 0.0001, 1)); d.Told {
+	if d := Compare(series(3, 0.1, 0.0001, 1)); d.Significant {
 		t.Errorf("3 pairs are reported as significantly different, want at least 4 for that: %+v", d)
 	}
-	if d := Compare(nil, nil); d.Told || d.N != 0 {
+	if d := Compare(nil, nil); d.Significant || d.N != 0 {
 		t.Errorf("two empty series: got %+v, want no pairs and no significant difference", d)
 	}
 	a, b := series(10, 0.1, 0.02, 3)
@@ -35,7 +35,7 @@
 func TestCompareRarelyReportsEqualSeriesAsDifferent(t *testing.T) {
 	falseAlarms := 0
 	for seed := range uint64(300) {
-		if d := Compare(series(12, 0, 0.05, seed)); d.Told {
+		if d := Compare(series(12, 0, 0.05, seed)); d.Significant {
 			falseAlarms++
 		}
 	}
