--- a/cmd/birchmoor/labdns.go
+++ b/cmd/birchmoor/labdns.go
@@ -73,7 +73,7 @@
 		for i := range uint64(k.Seeds) {
 			for _, through := range k.Through {
 				seed := k.Seed + i
-				r, err := dnslab.Run(ctx, s, dnslab.Options{Seed: seed, Through: dnslab.Through(through)})
+				r, err := dnslab.Run(ctx, s, dnslab.Options{Seed: seed, Party: dnslab.Party(through)})
 				if err != nil {
 					return nil, err
 				}
@@ -94,7 +94,7 @@
 // the last query sent to it, the share of HTTP requests that were served, and the missed figures.
 func dnsVerdict(r *dnslab.Result) string {
 	verdict := ""
-	if r.Through == dnslab.Sidecar {
+	if r.Party == dnslab.Sidecar {
 		verdict = r.Verdict.String()
 	}
 	if r.LastSent > 0 {
--- a/internal/lab/dnslab/bench.go
+++ b/internal/lab/dnslab/bench.go
@@ -33,7 +33,7 @@
 
 // BenchRow holds the figures of one party under a load.
 type BenchRow struct {
-	Party   Through `json:"party"`
+	Party   Party   `json:"party"`
 	TCP     bool    `json:"tcp"`
 	Open    int     `json:"open"`
 	WaitMs  float64 `json:"wait_ms"`
@@ -60,13 +60,13 @@
 // Bench measures the parties in turn, each in a process of its own, in front of the same two resolvers.
 func Bench(ctx context.Context, o BenchOptions) ([]BenchRow, error) {
 	var rows []BenchRow
-	parties := []Through{Direct, Plain, Sidecar}
+	parties := []Party{Direct, Plain, Sidecar}
 	for _, load := range o.Loads {
 		servers, addrs, err := startPeer(ctx, o.Self, "resolvers", load.Wait.String())
 		if err != nil {
 			return nil, err
 		}
-		best := map[Through]BenchRow{}
+		best := map[Party]BenchRow{}
 		for range o.Rounds {
 			for _, party := range parties {
 				row, err := measureParty(ctx, o, load, party, addrs)
@@ -92,7 +92,7 @@
 
 // measureParty measures one party under a load. The resolvers run already.
 func measureParty(
-	ctx context.Context, o BenchOptions, load BenchLoad, party Through, resolvers []string,
+	ctx context.Context, o BenchOptions, load BenchLoad, party Party, resolvers []string,
 ) (BenchRow, error) {
 	row := BenchRow{Party: party, TCP: load.TCP, Open: load.Open, WaitMs: toMillis(load.Wait.Microseconds())}
 	addr, stop := resolvers[0], func() (time.Duration, float64) { return 0, 0 }
@@ -141,7 +141,7 @@
 }
 
 // profile returns the file for a party's CPU profile, or "" for none.
-func (o *BenchOptions) profile(load BenchLoad, party Through) string {
+func (o *BenchOptions) profile(load BenchLoad, party Party) string {
 	if o.Profile == "" || party != Sidecar {
 		return ""
 	}
--- a/internal/lab/dnslab/lab.go
+++ b/internal/lab/dnslab/lab.go
@@ -37,20 +37,20 @@
 	duplicateWait = 500 * time.Millisecond // wait for duplicate answers at the end of a run
 )
 
-// Through names the party between clients and resolvers.
-type Through string
+// Party names the party between clients and resolvers.
+type Party string
 
 // The parties that can be measured.
 const (
-	Sidecar Through = "sidecar"
-	Plain   Through = "plain"  // a minimal forwarder, see plainForwarder
-	Direct  Through = "direct" // no party: clients send to the first resolver
+	Sidecar Party = "sidecar"
+	Plain   Party = "plain"  // a minimal forwarder, see plainForwarder
+	Direct  Party = "direct" // no party: clients send to the first resolver
 )
 
 // Result holds the figures of a run. Attempts are queries at resolvers for each query of a client.
 type Result struct {
 	Scenario string  `json:"scenario"`
-	Through  Through `json:"through"`
+	Party    Party   `json:"through"`
 	Asked    int     `json:"asked"`
 	Service  float64 `json:"service"` // share of queries served within the latency objective
 	Served   float64 `json:"served"`  // share of queries served at any time
@@ -71,9 +71,9 @@
 
 // Options are the options of a run.
 type Options struct {
-	Seed    uint64
-	Through Through      // empty: Sidecar
-	Log     *slog.Logger // of the sidecar; nil: discarded
+	Seed  uint64
+	Party Party        // empty: Sidecar
+	Log   *slog.Logger // of the sidecar; nil: discarded
 }
 
 // lab is the state of a run.
@@ -134,8 +134,8 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	if o.Through == "" {
-		o.Through = Sidecar
+	if o.Party == "" {
+		o.Party = Sidecar
 	}
 	l := &lab{scenario: s, startedAt: time.Now(), withdrawnAt: map[int32]time.Time{},
 		latencies: hdrhistogram.New(1, 60_000_000, 3),
@@ -171,7 +171,7 @@
 	defer cancel()
 	var traffic *httpTraffic
 	stop := func() {}
-	switch o.Through {
+	switch o.Party {
 	case Sidecar:
 		var err error
 		if traffic, stop, err = l.startSidecar(run, disc, o); err != nil {
@@ -195,7 +195,7 @@
 	defer l.mu.Unlock()
 	verdict := l.checker.Finish(time.Since(l.startedAt).Microseconds())
 	requests := max(1, verdict.Counts.Requests)
-	result := &Result{Scenario: s.Name, Through: o.Through, Asked: verdict.Counts.Requests,
+	result := &Result{Scenario: s.Name, Party: o.Party, Asked: verdict.Counts.Requests,
 		Service: float64(l.servedInTime) / float64(requests),
 		Served:  float64(l.servedCount) / float64(requests), Attempts: float64(l.queriesAtResolvers) / float64(requests),
 		P50: toMillis(l.latencies.ValueAtQuantile(50)), P99: toMillis(l.latencies.ValueAtQuantile(99)),
@@ -205,7 +205,7 @@
 	if traffic != nil {
 		result.Bookings, result.Flooded = traffic.servedShare(), traffic.floodQueries.Load()
 	}
-	if o.Through == Sidecar {
+	if o.Party == Sidecar {
 		if !verdict.Passed() {
 			result.Missed = append(result.Missed, verdict.String())
 		}
