--- a/internal/lab/dnslab/lab.go
+++ b/internal/lab/dnslab/lab.go
@@ -30,14 +30,14 @@
 )
 
 const (
-	// difference between the timeout of the front and of a client, for the time between them
+	// giveUpSlack is how much later than the front a client gives up, for the time that messages take between them.
 	giveUpSlack   = 300 * time.Millisecond
 	drainSlack    = 250 * time.Millisecond // with drainGrace, the half second that the rules allow after a drain
 	readyTimeout  = 10 * time.Second
 	duplicateWait = 500 * time.Millisecond // wait for duplicate answers at the end of a run
 )
 
-// Party names the party between clients and resolvers.
+// Party is what clients send their queries to: the server between them and the resolvers, if there is one.
 type Party string
 
 // The parties that can be measured.
@@ -59,8 +59,7 @@
 	P99      float64 `json:"p99_ms"`
 	P999     float64 `json:"p999_ms"`
 	Bookings float64 `json:"bookings"` // share of HTTP requests that were served; 0 if none were sent
-	// LastSent is the delay of the last query to a resolver after discovery had announced its drain or removal; 0 for
-	// none.
+	// LastSent is the time from the announcement of a resolver's drain or removal to the last query to it; 0 for none.
 	LastSent  float64          `json:"last_sent_ms"`
 	Truncated int64            `json:"truncated"`
 	Stray     int64            `json:"stray"`   // messages to clients that match no query
--- a/internal/lab/figures/figures_test.go
+++ b/internal/lab/figures/figures_test.go
@@ -140,7 +140,7 @@
 			ColdFor: 1 << 50})
 		recorder.Take(trace.Event{At: 7 * second, Kind: trace.Told, Server: 1, Sidecar: 1, State: trace.Up,
 			Since: 7 * second})
-		// told of an earlier start
+		// Sidecar 2 was told of an earlier start.
 		recorder.Take(trace.Event{At: 7 * second, Kind: trace.Told, Server: 1, Sidecar: 2, State: trace.Up,
 			Since: 5 * second})
 		for i := range informed + uninformed {
--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -40,7 +40,7 @@
 const (
 	outageDuration    = 10 * time.Second // twice the TTL of a session
 	partitionDuration = 20 * time.Second
-	// measured after convergence, so that restarted sidecars save their first module snapshot
+	// settleDuration is measured after convergence, so that restarted sidecars save their first module snapshot.
 	settleDuration = 12 * time.Second
 	restartCount   = 30
 	lagValueBytes  = 64 << 10 // size of each value that is written while sidecars are stopped
@@ -78,7 +78,7 @@
 		err = restore(ctx)
 	}
 	sampled := r.sampler.stop()
-	result.Fault = &FaultResult{Name: f.Name, What: what, Right: convergence.Seconds(),
+	result.Fault = &FaultResult{Name: f.Name, What: what, ConvergenceSeconds: convergence.Seconds(),
 		Copies: sampled.counts().In["snapshots"], Seconds: sampled.seconds(), Roles: sampled.roles()}
 	if notConverged != nil {
 		result.Fault.Missed = notConverged.Error()
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -10,7 +10,7 @@
 	Base     float64 // value of the line at size 0
 	Slope    float64 // increase of the line for each sidecar
 	Power    float64 // exponent of the power law: 0 constant, 1 proportional, 2 quadratic growth
-	Off      float64 // largest relative error of the model at a measured size
+	MaxError float64 // largest relative error of the model at a measured size
 	factor   float64 // factor of the power law; 0 if there is none
 	powerLaw bool    // Predict uses the power law
 }
@@ -41,10 +41,10 @@
 		base, f.Power = leastSquares(x, y)
 		f.factor = math.Exp(base)
 	}
-	f.Off = f.maxRelativeError(sizes, values)
+	f.MaxError = f.maxRelativeError(sizes, values)
 	if powerLaw := f; f.factor > 0 {
 		powerLaw.powerLaw = true
-		if powerLaw.Off = powerLaw.maxRelativeError(sizes, values); 2*powerLaw.Off < f.Off {
+		if powerLaw.MaxError = powerLaw.maxRelativeError(sizes, values); 2*powerLaw.MaxError < f.MaxError {
 			f = powerLaw
 		}
 	}
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -72,7 +72,7 @@
 	Name     string `json:"Do"`
 	Targets  []int  `json:"Of,omitempty"` // numbers of stub sidecars or links; none: all stub sidecars
 	Revision uint64 `json:",omitempty"`   // look: revision that a converged sidecar has received
-	// look: version of the settings that a converged sidecar has adopted
+	// SettingsVersion is that of the settings that a converged sidecar has adopted, for look.
 	SettingsVersion int           `json:"Mark,omitempty"`
 	StaggerOver     time.Duration `json:"Over,omitempty"` // begin: time over which the starts are spread
 }
@@ -91,7 +91,8 @@
 // stubStates counts the stub sidecars of a process by their state.
 type stubStates struct {
 	Running int `json:"Runs"`
-	// have a fresh copy that a quorum confirmed, a session, and the revision and settings of the command
+	// Converged sidecars have a fresh copy that a quorum confirmed, a session, and the revision and settings of the
+	// command.
 	Converged       int `json:"Right"`
 	Sessions        int
 	FreshCopies     int    `json:"Fresh"`
@@ -119,7 +120,9 @@
 
 // RunChild runs a child process of a measurement with the spec in a file. It reads commands from input until that ends,
 // and writes messages to out. It ends all stub sidecars and links before it returns.
-func RunChild(ctx context.Context, path string, input io.Reader, out io.Writer, log *slog.Logger, defects StubDefects) error {
+func RunChild(
+	ctx context.Context, path string, input io.Reader, out io.Writer, log *slog.Logger, defects StubDefects,
+) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
@@ -476,7 +479,7 @@
 }
 
 // moduleSnapshot returns a module snapshot about as large as that of a sidecar that sends a few requests a second to
-// its servers. With the defect Plant.All it also saves the snapshot once for each daemon.
+// its servers. With the defect StubDefects.SnapshotPerDaemon it also saves the snapshot once for each daemon.
 func (h *stubSidecar) moduleSnapshot(ctx context.Context) ([]byte, error) {
 	h.mu.Lock()
 	components := h.components
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -357,22 +357,22 @@
 
 // Result is the result of a run with one size of fleet.
 type Result struct {
-	Sidecars     int             `json:"sidecars"`
-	Real         int             `json:"real"`
-	Replicas     int             `json:"replicas"`
-	Services     int             `json:"services"`
-	Seed         uint64          `json:"seed"`
-	Processes    int             `json:"processes"`
-	Began        float64         `json:"began_s"` // from the start of the first sidecar until the fleet had converged
-	Seconds      float64         `json:"seconds"` // length of the quiet phase
-	Converged    int             `json:"right"`   // stub sidecars that had converged at its end or within a minute of it
-	Busy         float64         `json:"busy"`    // share of the machine's CPU time during the quiet phase
-	Failed       int             `json:"failed"`  // changes of the settings that failed
-	Store        Store           `json:"store"`
-	Roles        map[string]Role `json:"roles"`
-	Counts       Counts          `json:"counts"`
-	StubAccuracy []RealStubPair  `json:"honest,omitempty"`
-	Settings     AdoptionDelays  `json:"settings"`
+	Sidecars       int             `json:"sidecars"`
+	Real           int             `json:"real"`
+	Replicas       int             `json:"replicas"`
+	Services       int             `json:"services"`
+	Seed           uint64          `json:"seed"`
+	Processes      int             `json:"processes"`
+	StartupSeconds float64         `json:"began_s"` // from the start of the first sidecar until the fleet had converged
+	Seconds        float64         `json:"seconds"` // length of the quiet phase
+	Converged      int             `json:"right"`   // stub sidecars that had converged at its end or within a minute of it
+	Busy           float64         `json:"busy"`    // share of the machine's CPU time during the quiet phase
+	FailedChanges  int             `json:"failed"`  // changes of the settings that failed
+	Store          Store           `json:"store"`
+	Roles          map[string]Role `json:"roles"`
+	Counts         Counts          `json:"counts"`
+	StubAccuracy   []RealStubPair  `json:"honest,omitempty"`
+	Settings       AdoptionDelays  `json:"settings"`
 
 	Burst      *AdoptionDelays `json:"burst,omitempty"`
 	BurstRoles map[string]Role `json:"burst_roles,omitempty"`
@@ -401,10 +401,11 @@
 
 // FaultResult holds the cost of a fault.
 type FaultResult struct {
-	Name    string          `json:"name"`
-	What    string          `json:"what"`
-	Right   float64         `json:"right_s"`          // from the end of the fault until the fleet had converged
-	Copies  uint64          `json:"copies"`           // snapshots that stub sidecars received during the measurement
+	Name               string  `json:"name"`
+	What               string  `json:"what"`
+	ConvergenceSeconds float64 `json:"right_s"` // from the end of the fault until the fleet had converged
+	// Copies counts the snapshots that stub sidecars received during the measurement.
+	Copies  uint64          `json:"copies"`
 	Missed  string          `json:"missed,omitempty"` // why the fleet did not converge; "" if it did
 	Seconds float64         `json:"seconds"`          // length of the measurement
 	Roles   map[string]Role `json:"roles"`
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -269,13 +269,14 @@
 	if err != nil {
 		return err
 	}
-	result.Began = convergence.Seconds()
-	r.progress("all sidecars have converged %.1f s after the first start", result.Began)
+	result.StartupSeconds = convergence.Seconds()
+	r.progress("all sidecars have converged %.1f s after the first start", result.StartupSeconds)
 	if startRate == 0 {
 		sleep(ctx, settleDuration)
 		sampled := r.sampler.stop()
-		result.Fault = &FaultResult{Name: "start", What: "all sidecars began at once", Right: result.Began,
-			Copies: sampled.counts().In["snapshots"], Seconds: sampled.seconds(), Roles: sampled.roles()}
+		result.Fault = &FaultResult{Name: "start", What: "all sidecars began at once",
+			ConvergenceSeconds: result.StartupSeconds,
+			Copies:             sampled.counts().In["snapshots"], Seconds: sampled.seconds(), Roles: sampled.roles()}
 	}
 	sleep(ctx, r.options.WarmupDuration)
 	if err := r.quietPhase(ctx, result); err != nil {
@@ -308,7 +309,7 @@
 		}
 		if err := r.changeSettings(ctx); err != nil {
 			r.progress("changing the settings failed: %v", err)
-			result.Failed++
+			result.FailedChanges++
 		}
 	}
 	sleep(ctx, time.Until(end))
@@ -347,7 +348,7 @@
 		}
 		if err := r.changeSettings(ctx); err != nil {
 			r.progress("changing the settings failed: %v", err)
-			result.Failed++
+			result.FailedChanges++
 		}
 	}
 	sleep(ctx, time.Until(startedAt.Add(BurstFor)))
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -25,7 +25,7 @@
 		}
 		fitted, ok := fit(sizes, values)
 		if want := growth.f(1200); !ok || math.Abs(fitted.Predict(1200)-want) > 0.01*want ||
-			math.Abs(fitted.Power-growth.power) > 0.1 || fitted.Off > 0.01 {
+			math.Abs(fitted.Power-growth.power) > 0.1 || fitted.MaxError > 0.01 {
 			t.Errorf("predicted value for size 1200 is %g, want %g: %+v", fitted.Predict(1200), want, fitted)
 		}
 		if _, ok := fit(sizes[1:], values[1:]); ok {
--- a/internal/lab/scale/table.go
+++ b/internal/lab/scale/table.go
@@ -78,7 +78,7 @@
 	fmt.Fprintf(w, "%d sidecars (%d real) of %d services, %d replicas, seed %d: %.0f s, the machine %.0f%% busy\n",
 		result.Sidecars, result.Real, result.Services, result.Replicas, result.Seed, result.Seconds, 100*result.Busy)
 	fmt.Fprintf(w, "all right %.1f s after the first began; at the end of the quiet phase %d of %d hollow ones are\n",
-		result.Began, result.Converged, result.Sidecars-result.Real)
+		result.StartupSeconds, result.Converged, result.Sidecars-result.Real)
 	fmt.Fprintf(w, "store: %d keys, %d bytes, %.1f entries of the log and %.1f revisions a second\n", result.Store.Keys,
 		result.Store.Bytes, result.Store.Entries, result.Store.Revisions)
 	printAdoption(w, "settings", &result.Settings)
@@ -100,7 +100,8 @@
 	}
 	t.Flush()
 	if f := result.Fault; f != nil {
-		fmt.Fprintf(w, "fault %s: %s; all right %.1f s after; %d whole copies were taken\n", f.Name, f.What, f.Right,
+		fmt.Fprintf(w, "fault %s: %s; all right %.1f s after; %d whole copies were taken\n", f.Name, f.What,
+			f.ConvergenceSeconds,
 			f.Copies)
 		if f.Missed != "" {
 			fmt.Fprintln(w, f.Missed)
@@ -149,7 +150,7 @@
 		f        func(x *Result) string
 	}{
 		{"services", "", func(x *Result) string { return fmt.Sprint(x.Services) }},
-		{"all right after the first began", "s", func(x *Result) string { return fmt.Sprintf("%.1f", x.Began) }},
+		{"all right after the first began", "s", func(x *Result) string { return fmt.Sprintf("%.1f", x.StartupSeconds) }},
 		{"machine busy", "%", func(x *Result) string { return fmt.Sprintf("%.0f", 100*x.Busy) }},
 		{"hollow sidecars that are right at the end", "", func(x *Result) string {
 			return fmt.Sprintf("%d of %d", x.Converged, x.Sidecars-x.Real)
@@ -198,7 +199,7 @@
 				if f.powerLaw {
 					formula = fmt.Sprintf("%s·S^%.2f", formatFigure(n, f.factor), f.Power)
 				}
-				cells = append(cells, formula, fmt.Sprintf("%.2f", f.Power), fmt.Sprintf("%.0f%%", 100*f.Off),
+				cells = append(cells, formula, fmt.Sprintf("%.2f", f.Power), fmt.Sprintf("%.0f%%", 100*f.MaxError),
 					formatFigure(n, f.Predict(float64(target))))
 			} else {
 				cells = append(cells, "", "", "", "not known")
@@ -265,7 +266,7 @@
 		if x.Fault == nil {
 			continue
 		}
-		right := fmt.Sprintf("%.1f s", x.Fault.Right)
+		right := fmt.Sprintf("%.1f s", x.Fault.ConvergenceSeconds)
 		if x.Fault.Missed != "" {
 			right = x.Fault.Missed
 		}
--- a/internal/lab/scale/world.go
+++ b/internal/lab/scale/world.go
@@ -32,12 +32,12 @@
 	Services      int
 	QuietDuration time.Duration // length of the quiet phase
 	Seed          uint64
-	// what the sidecars' copies hold: operatorconfig.InterestOwn or InterestAll; "": the default
+	// Interest is what the sidecars' copies hold: operatorconfig.InterestOwn or InterestAll; "": the default.
 	Interest        string
 	Fault           string            // name of the fault that is injected after the quiet phase; "": none
 	ChangesPerDay   float64           // changes of the settings a day
 	Burst           int               // changes of the settings within BurstFor, after the quiet phase; 0: no burst
-	StubsPerProcess int               // most stub sidecars of a process
+	StubsPerProcess int               // most stub sidecars of a process; a rack is one process at any size
 	WarmupDuration  time.Duration     // time between the convergence of the fleet and the quiet phase
 	StartsPerSecond float64           // starts of sidecars a second; 0: all start at once
 	Until           func(Counts) bool // extends the quiet phase until it returns true, by a minute at most; may be nil
@@ -165,7 +165,7 @@
 	copyMBPerSidecar     = 0.009 // memory of a copy with InterestAll for each sidecar of the fleet
 	copyMBPerSecond      = 0.1   // memory of a copy's recent changes for each second
 	maxHistoryMB         = 32    // limit of that
-	// heap size before a collection over live memory; the run limits the heap of stub processes
+	// heapOverhead is the heap size before a collection over live memory; the run limits the heap of stub processes.
 	heapOverhead       = 1.4
 	labMB              = 100 // memory of the process that runs the measurement
 	descriptorsPerStub = 18  // in the process of the stub sidecar
--- a/internal/lab/stats/stats.go
+++ b/internal/lab/stats/stats.go
@@ -16,7 +16,7 @@
 	Low  float64 `json:"low"`
 	High float64 `json:"high"`
 	N    int     `json:"pairs"`
-	// the difference is significant: there are enough pairs, and the interval does not contain 0
+	// Significant says that there are enough pairs and that the interval does not contain 0.
 	Significant bool `json:"told_apart"`
 }
 
