--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -156,7 +156,7 @@
 	result := recorder.End(ruleChecker.Finish(at))
 	result.Host, result.Seed, result.Took, result.MemoryMB =
 		"run", opts.Seed, time.Since(startedAt).Seconds(), sim.PeakMB()
-	result.LateP999, result.LateMost = float64(lateP999)/1000, float64(maxLate)/1000
+	result.LateP999, result.LateMax = float64(lateP999)/1000, float64(maxLate)/1000
 	result.Missed = append(result.Missed, r.incidents...)
 	result.Figures["cpu_ms_per_try"] = r.cpuTime.Seconds() * 1000 / float64(max(1, r.requested))
 	result.Figures["sidecar_rss_mb"] = float64(r.peakRSSKiB) / 1024
@@ -166,7 +166,7 @@
 	case lateP999 > maxLatenessP999.Microseconds() || maxLate > maxLateness.Microseconds():
 		result.Void = fmt.Sprintf(
 			"the lab itself was late: %.1f ms in one event of a thousand, %.1f at most; the machine is too busy",
-			result.LateP999, result.LateMost)
+			result.LateP999, result.LateMax)
 	}
 	return result, nil
 }
