--- a/internal/lab/limitsim/faults.go
+++ b/internal/lab/limitsim/faults.go
@@ -5,29 +5,29 @@
 	"birchmoor/internal/controlplane/quota"
 )
 
-// Fault is one that can be planted.
+// Fault is a defect of the quota or the session code that a run can inject.
 type Fault struct {
 	Name  string
 	Plant Plant
 	About string
 }
 
-// Faults are all of them but two, which unit tests of package limit hold: savings that a share made smaller keeps, and divisions that are
-// not one on the last. Hundreds of seeds did not show them beside the other half that guards against each.
+// Faults lists the injectable defects. quota.KeepTokens and quota.UncheckedRevision are missing: hundreds of seeds did
+// not find them, because a second safeguard covers each, so the unit tests of package quota check them.
 var Faults = []Fault{
-	{"entitled-from-answer", Plant{Session: lease.ValidFromResponse}, "a process counts its time from the answer's arrival"},
-	{"no-rate-margin", Plant{Session: lease.IgnoreSkew}, "clocks are taken to run at one rate"},
-	{"use-after-end", Plant{Limit: quota.UseAfterExpiry}, "shares are used after the session's end"},
-	{"full-at-start", Plant{Limit: quota.StartFull}, "what was spent is forgotten by a start: a new process's shares begin full"},
-	{"refund-twice", Plant{Limit: quota.RefundTwice}, "what never ran is given back twice"},
-	{"aligned-window", Plant{Limit: quota.AlignedWindow}, "windows begin at multiples of their length"},
-	{"open-without-end", Plant{Limit: quota.UnlimitedFallback}, "a process out of reach goes on for as long as it likes"},
-	{"seen-early", Plant{Limit: quota.AcknowledgeEarly}, "a smaller share is told as seen before it is gone by"},
-	{"given-unseen", Plant{Limit: quota.IgnoreUnacknowledged}, "a share made smaller counts as small at once"},
-	{"given-before-end", Plant{Limit: quota.ForgetSilent}, "a process that says nothing for a while counts as gone"},
-	{"nothing-lingers", Plant{Limit: quota.NoLinger}, "what the gone have begun does not count"},
-	{"one-level", Plant{Limit: quota.IgnoreParts}, "the whole is looked at, and its parts are not"},
-	{"not-taken-over", Plant{Limit: quota.IgnorePredecessor}, "who divides next does not count what others gave"},
-	{"age-twice", Plant{Limit: quota.CountAgeTwice}, "an age that is written to the grant of a process that is gone counts twice"},
-	{"rounded-up", Plant{Limit: quota.RoundUp}, "shares are rounded up"},
+	{"entitled-from-answer", Plant{Session: lease.ValidFromResponse}, "a session counts its TTL from the arrival of the response, not from the request"},
+	{"no-rate-margin", Plant{Session: lease.IgnoreSkew}, "a session makes no allowance for clocks that run at different rates"},
+	{"use-after-end", Plant{Limit: quota.UseAfterExpiry}, "a process uses its quotas after its session has ended"},
+	{"full-at-start", Plant{Limit: quota.StartFull}, "a restart forgets what was spent: the limiters of a new process start with a full burst"},
+	{"refund-twice", Plant{Limit: quota.RefundTwice}, "the charge of a cancelled request is refunded twice"},
+	{"aligned-window", Plant{Limit: quota.AlignedWindow}, "windows are fixed and begin at multiples of their length, instead of sliding"},
+	{"open-without-end", Plant{Limit: quota.UnlimitedFallback}, "the fallback of a process that cannot reach the store has no timeout"},
+	{"seen-early", Plant{Limit: quota.AcknowledgeEarly}, "a process acknowledges a reduced quota before it enforces it"},
+	{"given-unseen", Plant{Limit: quota.IgnoreUnacknowledged}, "a reduced quota counts at its new amount before the process acknowledges it"},
+	{"given-before-end", Plant{Limit: quota.ForgetSilent}, "a live process that has not reported for a while counts as departed"},
+	{"nothing-lingers", Plant{Limit: quota.NoLinger}, "requests that departed processes still have in flight do not count"},
+	{"one-level", Plant{Limit: quota.IgnoreParts}, "the capacity of the root is enforced, but not the capacities of the parts"},
+	{"not-taken-over", Plant{Limit: quota.IgnorePredecessor}, "a new allocator does not count the grants of the previous one"},
+	{"age-twice", Plant{Limit: quota.CountAgeTwice}, "the age stored in the grant of a departed process counts twice"},
+	{"rounded-up", Plant{Limit: quota.RoundUp}, "granted quotas are rounded up"},
 }
--- a/internal/lab/limitsim/limitsim.go
+++ b/internal/lab/limitsim/limitsim.go
@@ -1,9 +1,11 @@
-// Package limitsim plays a fleet that shares limits in virtual time: processes with clocks of their own rate, which are stopped, killed
-// and cut one way; a store whose answers are late, lost or come after the fact, whose leader changes and which is away for a while; and
-// dividers that lose their task in the middle. All of it comes from one seed.
+// Package limitsim simulates a fleet that shares limits, in virtual time. Each process has a clock with its own rate,
+// and is stopped, killed or cut off in one or both directions. The store answers late or not at all, applies commands
+// after their senders have timed out, changes its leader and is unavailable for a while. The allocator loses its task
+// in the middle of an allocation. All draws come from one seed.
 //
-// What servers see is judged in true time at each request, by what a limit says alone: so much in any time of any length, in any window,
-// at once, for the whole and each of its parts, also without the store; and that limits are of use again once all is well.
+// A checker per node of each limit sees every admitted request in true time, and checks it against the definition of
+// the limit alone: the rate over intervals of any length, the amount in any window, the amount in flight, for the root
+// and for each part, also while the store cannot be reached. At the end of a run the limits must admit requests again.
 package limitsim
 
 import (
@@ -18,467 +20,480 @@
 	"birchmoor/internal/store"
 )
 
-// Options say what is played.
+// Options are the settings of a run. Zero values stand for the defaults named here.
 type Options struct {
-	Sidecars int     // 8
-	Faults   int     // that are caused, one after the other; 48
-	Gap      int     // milliseconds between two; 200
-	Load     float64 // of what limits let through in all, beside bursts; 3 or 1.5 by the seed
-	Calm     bool    // no faults
-	Busy     bool    // at the end all but one become quiet, and how long it takes until that has four fifths of a limit is measured
-	Even     bool    // what is asked for is spread evenly, and does not move
+	Sidecars int     // default 8
+	Faults   int     // number of injected faults; default 48
+	Gap      int     // milliseconds between two faults; default 200
+	Load     float64 // offered load by what all limits admit, without bursts; default 3 or 1.5, by the seed
+	Calm     bool    // injects no faults
+	Busy     bool    // measures at the end how long a single busy process takes to get four fifths of a limit
+	Even     bool    // all processes have the same load, and it does not shift
 	Plant    Plant
 }
 
-// Plant is a fault that is put in.
+// Plant is a set of injected defects; the zero value has none.
 type Plant struct {
 	Limit   quota.Defect
 	Session lease.Defect
 }
 
-// Result is what came of it.
+// Result is the outcome of a run. Its JSON is part of the output of limit sim.
 type Result struct {
-	Seed     uint64   `json:"seed"`
-	Broken   []string `json:"broken"` // the first of each kind
-	Asked    int      `json:"asked"`
-	Let      int      `json:"let_through"`
-	Entries  int      `json:"entries"` // of the store's log
-	Bytes    int      `json:"bytes"`   // of what limits write in it
-	Turns    int      `json:"divisions"`
-	Dividers int      `json:"dividers"`
-	Lost     int      `json:"sessions_lost"`
-	Kills    int      `json:"kills"`
-	Cuts     int      `json:"cuts"`
-	Stops    int      `json:"stops"`
-	Micros   int64    `json:"virtual_us"`
-	Use      float64  `json:"use"`               // of the rate limit, by what is wanted of it, after the last fault
-	Near     float64  `json:"near"`              // the nearest that servers' counts came to the bound of a limit that is never passed
-	Over     float64  `json:"over"`              // the most by which a fair limit was passed, by its amount
-	BusyMs   int64    `json:"busy_ms,omitempty"` // until the busy one had four fifths; -1: it did not
-	EntriesS float64  `json:"entries_per_s"`
-	BytesS   float64  `json:"bytes_per_s"`
+	Seed         uint64   `json:"seed"`
+	Broken       []string `json:"broken"` // violations found, the first of each kind
+	Asked        int      `json:"asked"`
+	Let          int      `json:"let_through"`
+	Entries      int      `json:"entries"` // entries of the store's log, in the second half of the calm period
+	Bytes        int      `json:"bytes"`   // of keys and values in these entries
+	Allocations  int      `json:"divisions"`
+	Dividers     int      `json:"dividers"`
+	SessionsLost int      `json:"sessions_lost"`
+	Kills        int      `json:"kills"`
+	Cuts         int      `json:"cuts"`
+	Stops        int      `json:"stops"`
+	Micros       int64    `json:"virtual_us"`
+	Use          float64  `json:"use"`               // admitted fraction of what the rate limit allows, once calm
+	Near         float64  `json:"near"`              // largest use of a strict limit, as a fraction of its bound
+	MaxExcess    float64  `json:"over"`              // largest excess over a fair limit, by its capacity
+	BusyMs       int64    `json:"busy_ms,omitempty"` // until measureSingleBusy saw four fifths; -1: never
+	EntriesS     float64  `json:"entries_per_s"`
+	BytesS       float64  `json:"bytes_per_s"`
 }
 
 const (
-	milli   = int64(1000) // µs
-	second  = eventqueue.Second
-	ttl     = 600 // ms of sessions
-	skew    = 0.25
-	calmFor = 6 * second
+	milli        = int64(1000) // in microseconds
+	second       = eventqueue.Second
+	ttlMillis    = 600 // milliseconds of a session
+	maxClockSkew = 0.25
+	calmMicros   = 6 * second
 )
 
 type world struct {
-	o         Options
-	q         *eventqueue.Queue
-	rng       *rand.Rand
-	r         Result
-	kinds     map[string]bool
-	state     *store.State
-	index     uint64
-	pace      float64 // of the leader's clock
-	fast      float64 // the fastest clock, by true time
-	timers    map[uint64]int64
-	away      bool
-	conf      *quota.Config
-	match     *quota.Matcher
-	nodes     []*proc
-	judges    map[string]*judge
-	clean     bool
-	over      bool
-	hot       []float64
-	lull      float64          // part of the load that there is for now
-	open      map[string]int64 // since when a process cannot reach the store, in true time
-	counted   int              // processes, at a revision of the store
-	countedAt uint64
-
-	want int // of the rate limit, since the last fault was over
-	got  int
+	options              Options
+	queue                *eventqueue.Queue
+	rng                  *rand.Rand
+	result               Result
+	reportedKinds        map[string]bool
+	state                *store.State
+	index                uint64
+	leaderClockRate      float64 // rate of the store leader's clock, relative to true time
+	maxClockRate         float64 // rate of the fastest clock, relative to true time; the slowest is its inverse
+	leaseTimers          map[uint64]int64
+	storeDown            bool
+	config               *quota.Config
+	matcher              *quota.Matcher
+	procs                []*proc
+	checkers             map[string]*checker
+	faultsOver           bool
+	finished             bool
+	loadShares           []float64
+	loadFactor           float64          // current fraction of the offered load
+	cutOffSince          map[string]int64 // by name of a process: true time since which it cannot reach the store
+	processCount         int              // processes that the store lists at processCountRevision
+	processCountRevision uint64
+
+	rateRequests int // requests to the rate limit since the last reset
+	rateAdmitted int
 }
 
-// Run plays one seed.
-func Run(seed uint64, o Options) Result {
-	if o.Sidecars == 0 {
-		o.Sidecars = 8
+// Run simulates one seed. It is safe for concurrent use.
+func Run(seed uint64, options Options) Result {
+	if options.Sidecars == 0 {
+		options.Sidecars = 8
 	}
-	if o.Faults == 0 {
-		o.Faults = 48
+	if options.Faults == 0 {
+		options.Faults = 48
 	}
-	if o.Gap == 0 {
-		o.Gap = 200
+	if options.Gap == 0 {
+		options.Gap = 200
 	}
-	if o.Load == 0 {
-		o.Load = []float64{3, 1.5}[seed%2]
+	if options.Load == 0 {
+		options.Load = []float64{3, 1.5}[seed%2]
 	}
 
-	if o.Calm {
-		o.Faults = 0
+	if options.Calm {
+		options.Faults = 0
 	}
-	w := &world{o: o, q: eventqueue.NewVirtual(), rng: rand.New(rand.NewPCG(seed, 0x6c696d697473)), kinds: map[string]bool{}, timers: map[uint64]int64{},
-		judges: map[string]*judge{}, open: map[string]int64{}, pace: 1}
-	w.r.Seed = seed
-	// In half of all runs clocks run at one rate, so that a little over the limit shows; in the others up to a tenth fast or slow.
-	if w.fast = 1; seed/2%2 == 1 {
-		w.fast = 1.1
+	w := &world{options: options, queue: eventqueue.NewVirtual(), rng: rand.New(rand.NewPCG(seed, 0x6c696d697473)), reportedKinds: map[string]bool{}, leaseTimers: map[uint64]int64{},
+		checkers: map[string]*checker{}, cutOffSince: map[string]int64{}, leaderClockRate: 1}
+	w.result.Seed = seed
+	// In half of all runs the clocks run at one rate, so that even a small excess over a limit is found. In the others
+	// they run up to a tenth fast or slow, and the bounds are wider by as much.
+	if w.maxClockRate = 1; seed/2%2 == 1 {
+		w.maxClockRate = 1.1
 	}
 	limits := store.DefaultLimits
-	limits.HistoryEvents = max(4096, 64*o.Sidecars)
+	limits.HistoryEvents = max(4096, 64*options.Sidecars)
 	w.state = store.New(7, limits)
 	w.state.Apply(1, &store.Command{RaiseLevel: &store.RaiseLevel{Level: store.Level}})
 	w.index = 1
-	w.begin()
-	end := second + int64(o.Faults)*int64(o.Gap)*milli
-	for i := range o.Faults {
-		w.q.After(second+int64(i)*int64(o.Gap)*milli+w.rng.Int64N(int64(o.Gap)*milli/2), w.cause)
-	}
-	w.q.After(end, w.heal)
-	w.q.After(end+calmFor/2, func() { w.want, w.got = 0, 0; w.r.Entries, w.r.Bytes = 0, 0 })
-	w.q.After(end+calmFor-1, w.sum)
-	if o.Busy {
-		w.q.After(end+calmFor, w.oneIsBusy)
-		end += 2 * calmFor
-	}
-	w.q.After(end+calmFor, func() { w.over = true })
-	_ = w.q.Run(context.Background(), func() bool { return w.over })
-	w.r.Micros = w.q.Now()
-	if w.r.Use < 0.3 {
-		w.broken("of no use", "%.2f of the rate limit is let through, %d ms after the last fault", w.r.Use, calmFor/2/milli)
-	}
-	for _, j := range w.judges {
-		w.r.Near, w.r.Over = max(w.r.Near, j.near), max(w.r.Over, j.passed)
-	}
-	return w.r
+	w.setUp()
+	end := second + int64(options.Faults)*int64(options.Gap)*milli
+	for i := range options.Faults {
+		w.queue.After(second+int64(i)*int64(options.Gap)*milli+w.rng.Int64N(int64(options.Gap)*milli/2), w.injectFault)
+	}
+	w.queue.After(end, w.endFaults)
+	w.queue.After(end+calmMicros/2, func() { w.rateRequests, w.rateAdmitted = 0, 0; w.result.Entries, w.result.Bytes = 0, 0 })
+	w.queue.After(end+calmMicros-1, w.measure)
+	if options.Busy {
+		w.queue.After(end+calmMicros, w.measureSingleBusy)
+		end += 2 * calmMicros
+	}
+	w.queue.After(end+calmMicros, func() { w.finished = true })
+	_ = w.queue.Run(context.Background(), func() bool { return w.finished })
+	w.result.Micros = w.queue.Now()
+	if w.result.Use < 0.3 {
+		w.reportViolation("of no use", "%.2f of the rate limit is let through, %d ms after the last fault", w.result.Use, calmMicros/2/milli)
+	}
+	for _, j := range w.checkers {
+		w.result.Near, w.result.MaxExcess = max(w.result.Near, j.maxUse), max(w.result.MaxExcess, j.maxExcess)
+	}
+	return w.result
 }
 
-// sum says of what use the rate limit is, and what limits cost the store, of the time before.
-func (w *world) sum() {
-	seconds := float64(calmFor/2) / float64(second)
-	w.r.Use = float64(w.got) / max(1, min(float64(w.want), seconds*float64(w.conf.Limits[0].Nodes[0].Capacity)/float64(quota.AmountUnit)))
-	w.r.EntriesS, w.r.BytesS = float64(w.r.Entries)/seconds, float64(w.r.Bytes)/seconds
+// measure computes the use of the rate limit and the load on the store, from the counts of the second half of the calm
+// period.
+func (w *world) measure() {
+	seconds := float64(calmMicros/2) / float64(second)
+	w.result.Use = float64(w.rateAdmitted) / max(1, min(float64(w.rateRequests), seconds*float64(w.config.Limits[0].Nodes[0].Capacity)/float64(quota.AmountUnit)))
+	w.result.EntriesS, w.result.BytesS = float64(w.result.Entries)/seconds, float64(w.result.Bytes)/seconds
 }
 
-func (w *world) broken(kind, format string, args ...any) {
-	if !w.kinds[kind] {
-		w.kinds[kind] = true
-		w.r.Broken = append(w.r.Broken, kind+": "+fmt.Sprintf(format, args...))
+// reportViolation adds a violation to the result, unless one of its kind is there already.
+func (w *world) reportViolation(kind, format string, args ...any) {
+	if !w.reportedKinds[kind] {
+		w.reportedKinds[kind] = true
+		w.result.Broken = append(w.result.Broken, kind+": "+fmt.Sprintf(format, args...))
 	}
 }
 
-// begin makes limits whose amounts grow with the fleet, and its processes.
-func (w *world) begin() {
-	n := int64(w.o.Sidecars)
-	a := func(of float64) quota.Amount { return quota.Amount(of * float64(n) * float64(quota.AmountUnit)) }
-	w.conf = &quota.Config{Version: 1, Limits: []*quota.Limit{
+// setUp creates the limits, whose capacities grow with the fleet, and starts the processes.
+func (w *world) setUp() {
+	fleetSize := int64(w.options.Sidecars)
+	scaled := func(perSidecar float64) quota.Amount {
+		return quota.Amount(perSidecar * float64(fleetSize) * float64(quota.AmountUnit))
+	}
+	w.config = &quota.Config{Version: 1, Limits: []*quota.Limit{
 		{Name: "rate", Generation: 1, Kind: quota.Rate, Unit: quota.Requests, Window: 100e6, Fallback: quota.Strict, Paths: []string{"/rate"}, PartitionBy: []string{"header:org", "header:agency"},
-			Nodes: []quota.Node{{Capacity: a(60), Weight: 1}, {Path: "a", Capacity: a(30), Guaranteed: a(12), Weight: 2}, {Path: "b", Capacity: a(36), Weight: 1},
-				{Path: "a/x", Parent: 1, Capacity: a(16), Guaranteed: a(3), Weight: 1}}},
-		{Name: "window", Generation: 1, Kind: quota.Window, Unit: quota.Requests, Window: 1500e6, Fallback: quota.Strict, Paths: []string{"/window"}, Nodes: []quota.Node{{Capacity: a(12), Weight: 1}}},
-		{Name: "long", Generation: 1, Kind: quota.Window, Unit: quota.Requests, Window: 5e9, Fallback: quota.Strict, Paths: []string{"/long"}, Nodes: []quota.Node{{Capacity: a(20), Weight: 1}}},
-		{Name: "held", Generation: 1, Kind: quota.Concurrency, Unit: quota.Requests, Window: 150e6, Fallback: quota.Strict, Paths: []string{"/held"}, Nodes: []quota.Node{{Capacity: a(3), Weight: 1}}},
-		{Name: "slow", Generation: 1, Kind: quota.Rate, Unit: quota.Requests, Window: 1e9, Fallback: quota.Strict, Paths: []string{"/slow"}, Nodes: []quota.Node{{Capacity: a(6), Weight: 1}}},
-		{Name: "fair", Generation: 1, Kind: quota.Rate, Unit: quota.Requests, Window: 1e9, Fallback: quota.Fair, FallbackFraction: 0.5, MinProcesses: max(1, w.o.Sidecars/2), Paths: []string{"/fair"}, Nodes: []quota.Node{{Capacity: a(8), Weight: 1}}},
-		{Name: "open", Generation: 1, Kind: quota.Rate, Unit: quota.Requests, Window: 500e6, Fallback: quota.Open, FallbackTimeout: 300e6, Paths: []string{"/open"}, Nodes: []quota.Node{{Capacity: a(6), Weight: 1}}},
+			Nodes: []quota.Node{{Capacity: scaled(60), Weight: 1}, {Path: "a", Capacity: scaled(30), Guaranteed: scaled(12), Weight: 2}, {Path: "b", Capacity: scaled(36), Weight: 1},
+				{Path: "a/x", Parent: 1, Capacity: scaled(16), Guaranteed: scaled(3), Weight: 1}}},
+		{Name: "window", Generation: 1, Kind: quota.Window, Unit: quota.Requests, Window: 1500e6, Fallback: quota.Strict, Paths: []string{"/window"}, Nodes: []quota.Node{{Capacity: scaled(12), Weight: 1}}},
+		{Name: "long", Generation: 1, Kind: quota.Window, Unit: quota.Requests, Window: 5e9, Fallback: quota.Strict, Paths: []string{"/long"}, Nodes: []quota.Node{{Capacity: scaled(20), Weight: 1}}},
+		{Name: "held", Generation: 1, Kind: quota.Concurrency, Unit: quota.Requests, Window: 150e6, Fallback: quota.Strict, Paths: []string{"/held"}, Nodes: []quota.Node{{Capacity: scaled(3), Weight: 1}}},
+		{Name: "slow", Generation: 1, Kind: quota.Rate, Unit: quota.Requests, Window: 1e9, Fallback: quota.Strict, Paths: []string{"/slow"}, Nodes: []quota.Node{{Capacity: scaled(6), Weight: 1}}},
+		{Name: "fair", Generation: 1, Kind: quota.Rate, Unit: quota.Requests, Window: 1e9, Fallback: quota.Fair, FallbackFraction: 0.5, MinProcesses: max(1, w.options.Sidecars/2), Paths: []string{"/fair"}, Nodes: []quota.Node{{Capacity: scaled(8), Weight: 1}}},
+		{Name: "open", Generation: 1, Kind: quota.Rate, Unit: quota.Requests, Window: 500e6, Fallback: quota.Open, FallbackTimeout: 300e6, Paths: []string{"/open"}, Nodes: []quota.Node{{Capacity: scaled(6), Weight: 1}}},
 	}}
-	if err := w.conf.Check(); err != nil {
+	if err := w.config.Check(); err != nil {
 		panic(err)
 	}
-	w.match = quota.NewMatcher(w.conf)
-	for _, l := range w.conf.Limits {
+	w.matcher = quota.NewMatcher(w.config)
+	for _, l := range w.config.Limits {
 		for i := range l.Nodes {
-			w.judges[l.Key(i)] = newJudge(l, i, w.fast, w.o.Sidecars)
+			w.checkers[l.Key(i)] = newChecker(l, i, w.maxClockRate, w.options.Sidecars)
 		}
 	}
-	w.shift()
-	for i := range w.o.Sidecars {
-		p := &proc{w: w, number: i, name: fmt.Sprintf("s%d", i)}
-		w.nodes = append(w.nodes, p)
-		w.q.After(w.rng.Int64N(100*milli), p.start)
+	w.shiftLoad()
+	for i := range w.options.Sidecars {
+		p := &proc{world: w, number: i, name: fmt.Sprintf("s%d", i)}
+		w.procs = append(w.procs, p)
+		w.queue.After(w.rng.Int64N(100*milli), p.start)
 	}
-	w.q.After(10*milli, w.tick)
-	if !w.o.Calm {
-		w.q.After(second, w.burst)
+	w.queue.After(10*milli, w.expireLeases)
+	if !w.options.Calm {
+		w.queue.After(second, w.burst)
 	}
 }
 
-// shift draws who is busy.
-func (w *world) shift() {
-	was := w.hot
-	if w.lull = 1; !w.o.Calm && !w.clean && w.rng.IntN(3) == 0 {
-		w.lull = 0.05
+// shiftLoad draws the processes' shares of the load. It kills or cuts off some that were busy before, so that the
+// quotas they hold have to be taken back.
+func (w *world) shiftLoad() {
+	previous := w.loadShares
+	if w.loadFactor = 1; !w.options.Calm && !w.faultsOver && w.rng.IntN(3) == 0 {
+		w.loadFactor = 0.05
 	}
-	w.hot = make([]float64, w.o.Sidecars)
+	w.loadShares = make([]float64, w.options.Sidecars)
 	sum := 0.0
-	for i := range w.hot {
-		w.hot[i] = 1
-		if !w.o.Even {
-			if w.hot[i] = 0.05; w.lull == 1 && w.rng.IntN(max(4, w.o.Sidecars/3)) == 0 {
-				w.hot[i] = 0.5 + w.rng.Float64()
+	for i := range w.loadShares {
+		w.loadShares[i] = 1
+		if !w.options.Even {
+			if w.loadShares[i] = 0.05; w.loadFactor == 1 && w.rng.IntN(max(4, w.options.Sidecars/3)) == 0 {
+				w.loadShares[i] = 0.5 + w.rng.Float64()
 			}
 		}
-		sum += w.hot[i]
+		sum += w.loadShares[i]
 	}
-	for i := range w.hot {
-		w.hot[i] /= sum
-		if was != nil && !w.clean && !w.o.Calm && was[i] > 2/float64(w.o.Sidecars) && w.rng.IntN(2) == 0 {
+	for i := range w.loadShares {
+		w.loadShares[i] /= sum
+		if previous != nil && !w.faultsOver && !w.options.Calm && previous[i] > 2/float64(w.options.Sidecars) && w.rng.IntN(2) == 0 {
 			if w.rng.IntN(3) == 0 {
-				w.nodes[i].start() // who was busy is killed,
-				w.r.Kills++
+				w.procs[i].start() // the previously busy process is killed,
+				w.result.Kills++
 			} else {
-				w.nodes[i].cut(w.rng.IntN(2) == 0, true, w.rng.Int64N(ttl*milli)) // or hears it late
+				w.procs[i].cutLinks(w.rng.IntN(2) == 0, true, w.rng.Int64N(ttlMillis*milli)) // or learns it late
 			}
 		}
 	}
-	if !w.o.Even {
-		w.q.After(second/4+w.rng.Int64N(second), func() {
-			if !w.clean {
-				w.shift()
+	if !w.options.Even {
+		w.queue.After(second/4+w.rng.Int64N(second), func() {
+			if !w.faultsOver {
+				w.shiftLoad()
 			}
 		})
 	}
 }
 
-// oneIsBusy has all but the last become quiet, and looks for when that has four fifths of a limit.
-func (w *world) oneIsBusy() {
-	for i := range w.hot {
-		w.hot[i] = 1e-6
-	}
-	p := w.nodes[len(w.nodes)-1]
-	w.hot[p.number] = 1
-	l := w.conf.Find("slow")
-	begun := w.q.Now()
-	w.r.BusyMs = -1
-	var look func()
-	look = func() {
-		for _, s := range p.holder.Usage(p.now()) {
+// measureSingleBusy moves all load to the last process, and measures how long it takes to get four fifths of a limit.
+func (w *world) measureSingleBusy() {
+	for i := range w.loadShares {
+		w.loadShares[i] = 1e-6
+	}
+	p := w.procs[len(w.procs)-1]
+	w.loadShares[p.number] = 1
+	l := w.config.Find("slow")
+	startedAt := w.queue.Now()
+	w.result.BusyMs = -1
+	var poll func()
+	poll = func() {
+		for _, s := range p.consumer.Usage(p.now()) {
 			if s.Key == l.Key(0) && s.Amount >= l.Nodes[0].Capacity*4/5 {
-				w.r.BusyMs = (w.q.Now() - begun) / milli
+				w.result.BusyMs = (w.queue.Now() - startedAt) / milli
 				return
 			}
 		}
-		w.q.After(5*milli, look)
+		w.queue.After(5*milli, poll)
 	}
-	look()
+	poll()
 }
 
 // ---- The store -------------------------------------------------------------
 
-// apply does a command, and keeps the time of leases as its leader does.
+// apply applies a command to the store, and restarts the timer of a granted or renewed lease by the leader's clock.
 func (w *world) apply(c *store.Command) store.Result {
 	w.index++
 	c.SinceIndex = 1
 	r := w.state.Apply(w.index, c)
-	w.r.Entries++
+	w.result.Entries++
 	if c.Txn != nil {
 		for _, o := range c.Txn.Then {
-			w.r.Bytes += len(o.Key) + len(o.Value)
+			w.result.Bytes += len(o.Key) + len(o.Value)
 		}
 	}
 	if r.Err == nil && (c.GrantLease != nil || c.RenewLease != nil) {
-		w.timers[r.LeaseID] = w.leaderNow()
+		w.leaseTimers[r.LeaseID] = w.leaderNow()
 	}
 	return r
 }
 
-func (w *world) leaderNow() int64 { return int64(float64(w.q.Now()) * w.pace) }
+func (w *world) leaderNow() int64 { return int64(float64(w.queue.Now()) * w.leaderClockRate) }
 
-// tick ends sessions that fell silent, by the leader's clock.
-func (w *world) tick() {
-	defer w.q.After(10*milli, w.tick)
-	if w.away {
+// expireLeases revokes the leases whose TTL has passed by the leader's clock, every 10 ms.
+func (w *world) expireLeases() {
+	defer w.queue.After(10*milli, w.expireLeases)
+	if w.storeDown {
 		return
 	}
 	for _, l := range w.state.Leases() {
-		if w.leaderNow()-w.timers[l.ID] > int64(l.TTLMillis)*milli {
+		if w.leaderNow()-w.leaseTimers[l.ID] > int64(l.TTLMillis)*milli {
 			w.apply(&store.Command{RevokeLease: &store.RevokeLease{LeaseID: l.ID, Expired: true, Renewals: l.Renewals}})
-			delete(w.timers, l.ID)
+			delete(w.leaseTimers, l.ID)
 		}
 	}
 }
 
-// elect has another leader, who begins the time of all leases anew.
-func (w *world) elect() {
-	w.pace = 1/w.fast + w.rng.Float64()*(w.fast-1/w.fast)
-	for id := range w.timers {
-		w.timers[id] = w.leaderNow()
+// electLeader replaces the store's leader. The new one restarts the timers of all leases, by a clock of another rate.
+func (w *world) electLeader() {
+	w.leaderClockRate = 1/w.maxClockRate + w.rng.Float64()*(w.maxClockRate-1/w.maxClockRate)
+	for id := range w.leaseTimers {
+		w.leaseTimers[id] = w.leaderNow()
 	}
 }
 
 // ---- Faults ----------------------------------------------------------------
 
-func (w *world) cause() {
-	if w.clean {
+// injectFault injects a drawn fault, for up to three session TTLs.
+func (w *world) injectFault() {
+	if w.faultsOver {
 		return
 	}
-	p := w.nodes[w.rng.IntN(len(w.nodes))]
-	for _, x := range w.nodes { // who divides more often than chance has it
-		if x.divides && w.rng.IntN(3) == 0 {
+	p := w.procs[w.rng.IntN(len(w.procs))]
+	for _, x := range w.procs { // hits the allocator more often than the other processes
+		if x.allocates && w.rng.IntN(3) == 0 {
 			p = x
 		}
 	}
-	long := w.rng.Int64N(3 * ttl * milli)
+	duration := w.rng.Int64N(3 * ttlMillis * milli)
 	switch w.rng.IntN(8) {
 	case 0, 1:
-		p.stopped = w.q.Now() + long
-		w.r.Stops++
+		p.stoppedUntil = w.queue.Now() + duration
+		w.result.Stops++
 	case 2:
-		w.r.Kills++
+		w.result.Kills++
 		p.start()
-	case 3: // what it sends is lost
-		p.cut(true, false, long)
-	case 4: // what it is sent is lost
-		p.cut(false, true, long)
-	case 5, 6: // a part of all, sometimes until the others have what it had
+	case 3: // its messages to the store are lost
+		p.cutLinks(true, false, duration)
+	case 4: // the store's messages to it are lost
+		p.cutLinks(false, true, duration)
+	case 5, 6: // cuts off several processes, sometimes until the others have been granted their quotas
 		if w.rng.IntN(3) == 0 {
-			long *= 4
+			duration *= 4
 		}
-		for _, x := range w.nodes {
+		for _, x := range w.procs {
 			if x == p || w.rng.IntN(3) == 0 {
-				x.cut(true, true, long)
+				x.cutLinks(true, true, duration)
 			}
 		}
 	case 7:
 		if w.rng.IntN(2) == 0 {
-			w.away = true
-			w.q.After(long, func() { w.away = false; w.elect() })
+			w.storeDown = true
+			w.queue.After(duration, func() { w.storeDown = false; w.electLeader() })
 			return
 		}
-		w.elect()
+		w.electLeader()
 	}
-	w.r.Cuts++
+	w.result.Cuts++
 }
 
-func (w *world) heal() {
-	w.clean, w.away, w.lull = true, false, 1
-	for _, p := range w.nodes {
-		p.deaf, p.mute = 0, 0
-		delete(w.open, p.name)
+// endFaults ends all faults, and no more are injected.
+func (w *world) endFaults() {
+	w.faultsOver, w.storeDown, w.loadFactor = true, false, 1
+	for _, p := range w.procs {
+		p.receiveCutUntil, p.sendCutUntil = 0, 0
+		delete(w.cutOffSince, p.name)
 	}
 }
 
-// ---- What servers see ------------------------------------------------------
-
-// judge holds one node of a limit against what comes to servers, in true time.
-type judge struct {
-	l      *quota.Limit
-	node   int
-	most   float64
-	near   float64
-	passed float64
-
-	fallback float64 // the fraction that sidecars may admit beside it while all are cut off, by the limit's upper bound
-
-	level, burst, rate float64 // Rate: a bucket that is filled by the fastest clock
-	at                 int64
-	log                []seen // Window
-	sum                float64
-	held               float64
+// ---- Checks ----------------------------------------------------------------
+
+// checker checks the requests that arrive at servers against one node of a limit, in true time.
+type checker struct {
+	limit     *quota.Limit
+	node      int
+	capacity  float64
+	maxUse    float64
+	maxExcess float64
+
+	// fallbackFraction is the fraction of the capacity that cut-off sidecars may admit in addition, by
+	// quota.Limit.UpperBound.
+	fallbackFraction float64
+
+	tokens, burst, refillRate float64 // Rate: a token bucket that is refilled by the fastest clock
+	refilledAt                int64
+	admissions                []admission // Window: those in the current window; Fair: the last one
+	windowAmount              float64
+	outstanding               float64 // Concurrency: amount in flight; Fair: level of the fallback's bucket, at most 0
 }
 
-type seen struct {
-	at int64
-	of float64
+// admission is an admitted request.
+type admission struct {
+	atMicros int64
+	amount   float64
 }
 
-func newJudge(l *quota.Limit, node int, fast float64, sidecars int) *judge {
-	of := float64(l.Nodes[node].Capacity) / float64(quota.AmountUnit)
-	j := &judge{l: l, node: node, most: of, burst: of * float64(l.Window) / 1e9, rate: of * fast}
-	j.level = j.burst
+func newChecker(l *quota.Limit, node int, maxClockRate float64, sidecars int) *checker {
+	capacity := float64(l.Nodes[node].Capacity) / float64(quota.AmountUnit)
+	c := &checker{limit: l, node: node, capacity: capacity, burst: capacity * float64(l.Window) / 1e9, refillRate: capacity * maxClockRate}
+	c.tokens = c.burst
 	if l.Fallback == quota.Fair {
-		within, _ := l.UpperBound(node, l.Window, 0, 0, 0)
-		beyond, _ := l.UpperBound(node, l.Window, 0, 0, sidecars)
-		j.fallback = beyond/within - 1
+		base, _ := l.UpperBound(node, l.Window, 0, 0, 0)
+		withFallback, _ := l.UpperBound(node, l.Window, 0, 0, sidecars)
+		c.fallbackFraction = withFallback/base - 1
 	}
-	return j
+	return c
 }
 
-// seen takes a request, and says what it breaks.
-func (j *judge) seen(now int64, of float64) string {
-	switch j.l.Kind {
+// observe counts an admitted request, and describes the violation if it exceeds the limit; otherwise it returns "".
+func (c *checker) observe(now int64, amount float64) string {
+	switch c.limit.Kind {
 	case quota.Rate:
-		j.level = min(j.burst, j.level+j.rate*float64(now-j.at)/float64(second)) - of
-		j.at = now
-		j.near = max(j.near, 1-j.level/j.burst)
+		c.tokens = min(c.burst, c.tokens+c.refillRate*float64(now-c.refilledAt)/float64(second)) - amount
+		c.refilledAt = now
+		c.maxUse = max(c.maxUse, 1-c.tokens/c.burst)
 		allowed := 0.0
-		if j.l.Fallback == quota.Fair { // a second bucket, of the part
-			allowed = j.fallback
-			if j.level < 0 {
-				j.passed = max(j.passed, -j.level/j.most)
+		if c.limit.Fallback == quota.Fair { // cut-off processes have a bucket of their own, see below
+			allowed = c.fallbackFraction
+			if c.tokens < 0 {
+				c.maxExcess = max(c.maxExcess, -c.tokens/c.capacity)
 			}
-			j.near = 0
+			c.maxUse = 0
 		}
-		if j.l.Fallback == quota.Open {
-			j.near = 0
+		if c.limit.Fallback == quota.Open {
+			c.maxUse = 0
 			return ""
 		}
 		if allowed > 0 {
-			// Over by a part for as long as processes are away: by its own bucket, which begins full.
-			if j.held = min(0, j.held+allowed*j.rate*float64(now-j.log0())/float64(second)); j.level < 0 {
-				j.held += j.level
-				j.level = 0
+			// The excess is charged to the fallback's bucket, which starts full at outstanding = 0.
+			if c.outstanding = min(0, c.outstanding+allowed*c.refillRate*float64(now-c.lastFallbackMicros())/float64(second)); c.tokens < 0 {
+				c.outstanding += c.tokens
+				c.tokens = 0
 			}
-			j.log = append(j.log[:0], seen{at: now})
-			if j.held < -allowed*j.burst-1e-6 {
-				return fmt.Sprintf("%.2f over what %g of it allows", -j.held-allowed*j.burst, allowed)
+			c.admissions = append(c.admissions[:0], admission{atMicros: now})
+			if c.outstanding < -allowed*c.burst-1e-6 {
+				return fmt.Sprintf("%.2f over what %g of it allows", -c.outstanding-allowed*c.burst, allowed)
 			}
 			return ""
 		}
-		if j.level < -1e-6 {
-			return fmt.Sprintf("%.2f more than %g a second and %g at once", -j.level, j.most, j.burst)
+		if c.tokens < -1e-6 {
+			return fmt.Sprintf("%.2f more than %g a second and %g at once", -c.tokens, c.capacity, c.burst)
 		}
 	case quota.Window:
-		j.log, j.sum = append(j.log, seen{now, of}), j.sum+of
-		for j.log[0].at <= now-j.l.Window/1000 {
-			j.sum -= j.log[0].of
-			j.log = j.log[1:]
+		c.admissions, c.windowAmount = append(c.admissions, admission{now, amount}), c.windowAmount+amount
+		for c.admissions[0].atMicros <= now-c.limit.Window/1000 {
+			c.windowAmount -= c.admissions[0].amount
+			c.admissions = c.admissions[1:]
 		}
-		j.near = max(j.near, j.sum/j.most)
-		if j.sum > j.most+1e-6 {
-			return fmt.Sprintf("%g in a window of %g", j.sum, j.most)
+		c.maxUse = max(c.maxUse, c.windowAmount/c.capacity)
+		if c.windowAmount > c.capacity+1e-6 {
+			return fmt.Sprintf("%g in a window of %g", c.windowAmount, c.capacity)
 		}
 	default:
-		j.held += of
-		j.near = max(j.near, j.held/j.most)
-		if j.held > j.most+1e-6 {
-			return fmt.Sprintf("%g of %g at once", j.held, j.most)
+		c.outstanding += amount
+		c.maxUse = max(c.maxUse, c.outstanding/c.capacity)
+		if c.outstanding > c.capacity+1e-6 {
+			return fmt.Sprintf("%g of %g at once", c.outstanding, c.capacity)
 		}
 	}
 	return ""
 }
 
-func (j *judge) log0() int64 {
-	if len(j.log) == 0 {
+// lastFallbackMicros returns the time of the last request to a fair limit, or 0.
+func (c *checker) lastFallbackMicros() int64 {
+	if len(c.admissions) == 0 {
 		return 0
 	}
-	return j.log[0].at
+	return c.admissions[0].atMicros
 }
 
-// come is a request that servers see.
-func (w *world) come(p *proc, c quota.Charge) {
-	of := float64(c.Amount) / float64(quota.AmountUnit)
-	w.r.Let++
-	for at := c.Node; ; at = c.Limit.Nodes[at].Parent {
-		j := w.judges[c.Limit.Key(at)]
-		if what := j.seen(w.q.Now(), of); what != "" {
-			w.broken(c.Limit.Name+" limit passed", "part %q, at %d ms, by %s: %s", c.Limit.Nodes[at].Path, w.q.Now()/milli, p.name, what)
+// checkAdmission checks a request that arrives at a server, against all nodes that it is charged to.
+func (w *world) checkAdmission(p *proc, charge quota.Charge) {
+	amount := float64(charge.Amount) / float64(quota.AmountUnit)
+	w.result.Let++
+	for node := charge.Node; ; node = charge.Limit.Nodes[node].Parent {
+		j := w.checkers[charge.Limit.Key(node)]
+		if violation := j.observe(w.queue.Now(), amount); violation != "" {
+			w.reportViolation(charge.Limit.Name+" limit passed", "part %q, at %d ms, by %s: %s", charge.Limit.Nodes[node].Path, w.queue.Now()/milli, p.name, violation)
 		}
-		if at == 0 {
+		if node == 0 {
 			break
 		}
 	}
-	if since, is := w.open[p.name]; is && c.Limit.Fallback == quota.Open {
-		// Its session and the time for which it may go on are over, by the slowest clock.
-		if over := int64((float64(ttl)*float64(milli) + float64(c.Limit.FallbackTimeout)/1000) * w.fast); w.q.Now()-since > over+milli {
-			w.broken("open without end", "%s lets through %d ms after it was cut off", p.name, (w.q.Now()-since)/milli)
+	if since, isCutOff := w.cutOffSince[p.name]; isCutOff && charge.Limit.Fallback == quota.Open {
+		// The TTL of its session and the fallback timeout have passed, by the slowest clock.
+		if maxOpenMicros := int64((float64(ttlMillis)*float64(milli) + float64(charge.Limit.FallbackTimeout)/1000) * w.maxClockRate); w.queue.Now()-since > maxOpenMicros+milli {
+			w.reportViolation("open without end", "%s lets through %d ms after it was cut off", p.name, (w.queue.Now()-since)/milli)
 		}
 	}
 }
 
-func (w *world) gone(c quota.Charge) {
-	for at := c.Node; ; at = c.Limit.Nodes[at].Parent {
-		w.judges[c.Limit.Key(at)].held -= float64(c.Amount) / float64(quota.AmountUnit)
-		if at == 0 {
+// checkCompletion counts the end of a request to a concurrency limit at the server.
+func (w *world) checkCompletion(charge quota.Charge) {
+	for node := charge.Node; ; node = charge.Limit.Nodes[node].Parent {
+		w.checkers[charge.Limit.Key(node)].outstanding -= float64(charge.Amount) / float64(quota.AmountUnit)
+		if node == 0 {
 			return
 		}
 	}
 }
 
-var errLost = errors.New("no answer")
+var errLost = errors.New("no response from the store")
--- a/internal/lab/limitsim/limitsim_test.go
+++ b/internal/lab/limitsim/limitsim_test.go
@@ -5,46 +5,48 @@
 	"testing"
 )
 
-// Limits hold for what servers see, whatever is stopped, killed, cut or late, and are of use again once all is well.
+// Limits hold for the requests that servers see while processes are stopped, killed and cut off and messages are late,
+// and they admit requests again once all faults are over.
 func TestLimitsHold(t *testing.T) {
-	near, seeds := 0.0, uint64(16)
-	if raced {
+	maxUse, seeds := 0.0, uint64(16)
+	if raceEnabled {
 		seeds = 2
 	}
 	for seed := range seeds {
 		r := Run(seed, Options{})
 		if len(r.Broken) > 0 {
-			t.Errorf("seed %d: %q", seed, r.Broken)
+			t.Errorf("seed %d: limits were violated: %q", seed, r.Broken)
 		}
-		near = max(near, r.Near)
+		maxUse = max(maxUse, r.Near)
 	}
-	if near < 0.9 && !raced {
-		t.Errorf("nothing comes near the bounds: %.2f of them", near)
+	if maxUse < 0.9 && !raceEnabled {
+		t.Errorf("largest use of a strict limit = %.2f of its bound, want at least 0.9: the load does not test the limits", maxUse)
 	}
 }
 
-func TestASeedPlaysTheSameAgain(t *testing.T) {
+func TestSameSeedGivesSameResult(t *testing.T) {
 	if a, b := Run(3, Options{}), Run(3, Options{}); !reflect.DeepEqual(a, b) {
-		t.Errorf("%+v\n%+v", a, b)
+		t.Errorf("two runs of seed 3 differ:\n%+v\n%+v", a, b)
 	}
 }
 
-// Each fault that is planted is found. Those that take many seeds are left to the command: unit tests of package limit hold them.
-func TestPlantedFaultsAreFound(t *testing.T) {
+// Each injected defect is found. The unit tests of package quota check those that take many seeds here; the command
+// limit sim finds them too.
+func TestInjectedDefectsAreFound(t *testing.T) {
 	rare := map[string]bool{"nothing-lingers": true, "given-before-end": true, "not-taken-over": true, "full-at-start": true}
 	for _, f := range Faults {
-		if rare[f.Name] || raced {
+		if rare[f.Name] || raceEnabled {
 			continue
 		}
 		t.Run(f.Name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(40) {
 				if len(Run(seed, Options{Plant: f.Plant}).Broken) > 0 {
-					t.Logf("found by seed %d", seed)
+					t.Logf("found with seed %d", seed)
 					return
 				}
 			}
-			t.Error("not found")
+			t.Error("no seed below 40 found the injected defect")
 		})
 	}
 }
--- a/internal/lab/limitsim/norace_test.go
+++ b/internal/lab/limitsim/norace_test.go
@@ -2,4 +2,4 @@
 
 package limitsim
 
-const raced = false
+const raceEnabled = false
--- a/internal/lab/limitsim/proc.go
+++ b/internal/lab/limitsim/proc.go
@@ -9,307 +9,316 @@
 	"birchmoor/internal/store"
 )
 
-// proc is one sidecar's process, with its daemon.
+// proc is the process of a sidecar and its daemon.
 type proc struct {
-	w       *world
-	number  int
-	name    string
-	pace    float64
-	origin  int64
-	boot    int
-	stopped int64
-	mute    int64 // until when what it sends is lost
-	deaf    int64 // until when what it is sent is lost
-	session *lease.Session
-	table   *lease.Table
-	holder  *quota.Consumer
-	divider *quota.Allocator
-	seen    uint64 // revision of its copy
-	seq     uint64
-	telling bool
-	place   string // in the divider's queue
-	placeOf uint64
-	putAt   int64
-	divides bool
-	busy    bool // a division is under way
+	world                *world
+	number               int
+	name                 string
+	clockRate            float64 // of its clock, relative to true time
+	clockOrigin          int64   // true time at which its clock shows 0
+	boot                 int     // number of starts; steps of an earlier start do nothing
+	stoppedUntil         int64   // true time until which it is stopped
+	sendCutUntil         int64   // true time until which its messages to the store are lost
+	receiveCutUntil      int64   // true time until which the store's messages to it are lost
+	session              *lease.Session
+	table                *lease.Table
+	consumer             *quota.Consumer
+	allocator            *quota.Allocator
+	copyRevision         uint64 // revision of its copy of the store
+	seq                  uint64
+	reportInFlight       bool
+	queueEntry           string // key of its queue entry for the allocator's task; empty: none
+	queueEntryGeneration uint64 // generation of the session of the queue entry
+	queueRetryAt         int64  // true time from which a missing queue entry is proposed again
+	allocates            bool   // it holds the allocator's task
+	allocationInFlight   bool   // a proposed allocation has not been answered
 }
 
 const (
-	divideTask = "limits"
-	replicas   = 3
+	allocatorTask = "limits"
+	replicas      = 3
 )
 
-// processes is how many the store shows.
-func (w *world) processes() int {
-	if at := w.state.Revision(); w.countedAt != at {
-		w.countedAt, w.counted = at, 0
-		w.state.Range(quota.DemandPrefix, store.PrefixEnd(quota.DemandPrefix), func(store.Item) bool { w.counted++; return true })
+// countProcesses returns the number of processes whose demand is in the store.
+func (w *world) countProcesses() int {
+	if revision := w.state.Revision(); w.processCountRevision != revision {
+		w.processCountRevision, w.processCount = revision, 0
+		w.state.Range(quota.DemandPrefix, store.PrefixEnd(quota.DemandPrefix), func(store.Item) bool { w.processCount++; return true })
 	}
-	return w.counted
+	return w.processCount
 }
 
+// start starts the process, or kills it and starts it again.
 func (p *proc) start() {
-	w := p.w
+	w := p.world
 	p.boot++
-	if _, is := w.open[p.name]; is {
-		w.open[p.name] = w.q.Now() // a process counts from its start
+	if _, isCutOff := w.cutOffSince[p.name]; isCutOff {
+		w.cutOffSince[p.name] = w.queue.Now() // the new process may use its fallback from its start
 	}
-	p.pace, p.origin, p.stopped = 1/w.fast+(w.fast-1/w.fast)*w.rng.Float64(), w.q.Now()-w.rng.Int64N(3600*second), 0
-	p.session = lease.NewSession(lease.Rules{TTL: ttl * 1e6, MaxClockSkew: skew, Margin: 2e6}, w.o.Plant.Session)
+	p.clockRate, p.clockOrigin, p.stoppedUntil = 1/w.maxClockRate+(w.maxClockRate-1/w.maxClockRate)*w.rng.Float64(), w.queue.Now()-w.rng.Int64N(3600*second), 0
+	p.session = lease.NewSession(lease.Rules{TTL: ttlMillis * 1e6, MaxClockSkew: maxClockSkew, Margin: 2e6}, w.options.Plant.Session)
 	p.table = lease.NewTable(lease.NoTableDefect)
-	rules := quota.Rules{MaxClockSkew: skew, ReportInterval: 50e6, ReportIntervalPerProcess: 2e6}
-	p.holder, p.divider = quota.NewConsumer(rules, w.o.Plant.Limit), quota.NewAllocator(rules, w.o.Plant.Limit)
-	p.holder.SetConfig(p.now(), w.conf)
-	p.divider.SetConfig(w.conf)
-	p.seen, p.telling, p.place, p.putAt, p.divides, p.busy = 0, false, "", 0, false, false
-	p.step(0, p.renew)
-	p.step(0, p.copy)
-	p.step(0, p.tell)
-	p.step(0, p.divide)
-	p.step(0, p.arrive)
+	rules := quota.Rules{MaxClockSkew: maxClockSkew, ReportInterval: 50e6, ReportIntervalPerProcess: 2e6}
+	p.consumer, p.allocator = quota.NewConsumer(rules, w.options.Plant.Limit), quota.NewAllocator(rules, w.options.Plant.Limit)
+	p.consumer.SetConfig(p.now(), w.config)
+	p.allocator.SetConfig(w.config)
+	p.copyRevision, p.reportInFlight, p.queueEntry, p.queueRetryAt, p.allocates, p.allocationInFlight = 0, false, "", 0, false, false
+	p.schedule(0, p.renew)
+	p.schedule(0, p.copy)
+	p.schedule(0, p.report)
+	p.schedule(0, p.allocate)
+	p.schedule(0, p.generateLoad)
 }
 
-// now is the process's own clock, in nanoseconds.
-func (p *proc) now() int64 { return int64(float64(p.w.q.Now()-p.origin)*p.pace*1000) + 1 }
+// now returns the time of the process's own clock, in nanoseconds.
+func (p *proc) now() int64 {
+	return int64(float64(p.world.queue.Now()-p.clockOrigin)*p.clockRate*1000) + 1
+}
 
-func (p *proc) step(after int64, f func()) {
+// schedule calls f after some microseconds of true time, once the process is not stopped, and not at all if it is
+// killed before.
+func (p *proc) schedule(after int64, f func()) {
 	boot := p.boot
-	p.w.q.After(after, func() {
+	p.world.queue.After(after, func() {
 		switch {
 		case p.boot != boot:
-		case p.w.q.Now() < p.stopped:
-			p.step(p.stopped-p.w.q.Now()+1, f)
+		case p.world.queue.Now() < p.stoppedUntil:
+			p.schedule(p.stoppedUntil-p.world.queue.Now()+1, f)
 		default:
 			f()
 		}
 	})
 }
 
-// cut loses what it sends or is sent for a while.
-func (p *proc) cut(sends, hears bool, long int64) {
-	w := p.w
-	until := w.q.Now() + long
+// cutLinks loses the process's messages to the store, or those from it, or both, for some microseconds.
+func (p *proc) cutLinks(sends, receives bool, duration int64) {
+	w := p.world
+	until := w.queue.Now() + duration
 	if sends {
-		p.mute = max(p.mute, until)
+		p.sendCutUntil = max(p.sendCutUntil, until)
 	}
-	if hears {
-		p.deaf = max(p.deaf, until)
+	if receives {
+		p.receiveCutUntil = max(p.receiveCutUntil, until)
 	}
-	if _, is := w.open[p.name]; sends && !is {
-		w.open[p.name] = w.q.Now() + 100*milli // what was on its way still counts
-		var back func()
-		back = func() {
-			if w.q.Now() < p.mute {
-				w.q.After(p.mute-w.q.Now(), back)
+	if _, isCutOff := w.cutOffSince[p.name]; sends && !isCutOff {
+		w.cutOffSince[p.name] = w.queue.Now() + 100*milli // messages in flight still arrive
+		var reconnect func()
+		reconnect = func() {
+			if w.queue.Now() < p.sendCutUntil {
+				w.queue.After(p.sendCutUntil-w.queue.Now(), reconnect)
 				return
 			}
-			delete(w.open, p.name)
+			delete(w.cutOffSince, p.name)
 		}
-		w.q.After(long, back)
+		w.queue.After(duration, reconnect)
 	}
 }
 
-// send proposes a command; the answer may be lost, and come late.
-func (p *proc) send(c store.Command, f func(store.Result, error)) {
-	w := p.w
+// propose sends a command to the store and calls handle once, with the response or with errLost after half a TTL. The
+// request and the response may be late or lost.
+func (p *proc) propose(c store.Command, handle func(store.Result, error)) {
+	w := p.world
 	p.seq++
 	c.ID = store.RequestID{Client: uint64(p.number+1)<<20 + uint64(p.boot), Seq: p.seq}
 	answered, boot := false, p.boot
-	answer := func(r store.Result, err error) {
+	respond := func(r store.Result, err error) {
 		if !answered && p.boot == boot {
 			answered = true
-			f(r, err)
+			handle(r, err)
 		}
 	}
-	p.step(ttl*milli/2, func() { answer(store.Result{}, errLost) })
-	way := func() int64 {
+	p.schedule(ttlMillis*milli/2, func() { respond(store.Result{}, errLost) })
+	drawDelay := func() int64 {
 		switch n := w.rng.IntN(40); {
-		case w.clean:
-		case n == 0: // it comes long after its sender has given it up
-			return w.rng.Int64N(3 * ttl * milli)
+		case w.faultsOver:
+		case n == 0: // it arrives long after its sender has timed out
+			return w.rng.Int64N(3 * ttlMillis * milli)
 		case n < 5:
-			return w.rng.Int64N(ttl * milli)
+			return w.rng.Int64N(ttlMillis * milli)
 		}
 		return 500 + w.rng.Int64N(4*milli)
 	}
-	if w.q.Now() < p.mute {
+	if w.queue.Now() < p.sendCutUntil {
 		return
 	}
-	w.q.After(way(), func() {
-		if w.away {
+	w.queue.After(drawDelay(), func() {
+		if w.storeDown {
 			return
 		}
 		r := w.apply(&c)
-		if w.q.Now() < p.deaf || !w.clean && w.rng.IntN(20) == 0 {
+		if w.queue.Now() < p.receiveCutUntil || !w.faultsOver && w.rng.IntN(20) == 0 {
 			return
 		}
-		p.step(way(), func() { answer(r, r.Err) })
+		p.schedule(drawDelay(), func() { respond(r, r.Err) })
 	})
 }
 
-// renew is the session's loop.
+// renew runs the loop that grants and renews the session.
 func (p *proc) renew() {
-	ask, due := p.session.Next(p.now())
-	switch ask {
+	request, due := p.session.Next(p.now())
+	switch request {
 	case lease.NoRequest:
-		p.step(max(milli, int64(float64(due-p.now())/p.pace/1000)), p.renew)
+		p.schedule(max(milli, int64(float64(due-p.now())/p.clockRate/1000)), p.renew)
 		return
 	case lease.GrantRequest:
-		p.send(store.Command{GrantLease: &store.GrantLease{TTLMillis: ttl, Owner: p.name}}, p.renewed)
+		p.propose(store.Command{GrantLease: &store.GrantLease{TTLMillis: ttlMillis, Owner: p.name}}, p.handleRenewal)
 	case lease.RenewRequest:
-		p.send(store.Command{RenewLease: &store.RenewLease{LeaseID: p.session.ID(), Owner: p.name}}, p.renewed)
+		p.propose(store.Command{RenewLease: &store.RenewLease{LeaseID: p.session.ID(), Owner: p.name}}, p.handleRenewal)
 	}
 }
 
-func (p *proc) renewed(r store.Result, err error) {
-	o := lease.Succeeded
+func (p *proc) handleRenewal(r store.Result, err error) {
+	outcome := lease.Succeeded
 	switch {
 	case errors.Is(err, store.ErrLeaseNotFound):
-		o = lease.SessionNotFound
-		p.w.r.Lost++
+		outcome = lease.SessionNotFound
+		p.world.result.SessionsLost++
 	case err != nil:
-		o = lease.OutcomeUnknown
+		outcome = lease.OutcomeUnknown
 	}
-	p.session.HandleResponse(p.now(), o, r.LeaseID)
-	p.holder.SetSession(p.now(), p.session.ID(), p.session.ValidUntil())
-	p.step(0, p.renew)
+	p.session.HandleResponse(p.now(), outcome, r.LeaseID)
+	p.consumer.SetSession(p.now(), p.session.ID(), p.session.ValidUntil())
+	p.schedule(0, p.renew)
 }
 
-// copy has the process see the store now and then.
+// copy brings the process's copy of the store up to date, at random intervals.
 func (p *proc) copy() {
-	w := p.w
-	if w.q.Now() >= p.deaf && w.state.Revision() > p.seen {
-		events, _, err := w.state.Changes(nil, "", p.seen, 1<<30)
-		if p.seen == 0 || err != nil {
+	w := p.world
+	if w.queue.Now() >= p.receiveCutUntil && w.state.Revision() > p.copyRevision {
+		events, _, err := w.state.Changes(nil, "", p.copyRevision, 1<<30)
+		if p.copyRevision == 0 || err != nil {
 			if p.number < replicas {
 				p.table.Reset(w.state)
-				p.divider.Reset(p.now(), w.state)
+				p.allocator.Reset(p.now(), w.state)
 			}
-			if me := p.me(); me.Session != 0 {
+			if me := p.process(); me.Session != 0 {
 				if i, ok := w.state.Get(me.GrantKey()); ok {
-					p.granted(i)
+					p.applyGrant(i)
 				}
 			}
 		} else {
-			own := p.me().GrantKey()
+			own := p.process().GrantKey()
 			for _, e := range events {
 				if p.number < replicas {
 					p.table.Event(e)
-					p.divider.Event(p.now(), e)
+					p.allocator.Event(p.now(), e)
 				}
 				if !e.Deleted && e.Item.Key == own {
-					p.granted(e.Item)
+					p.applyGrant(e.Item)
 				}
 			}
 		}
-		p.seen = w.state.Revision()
-		p.holder.SetProcessCount(w.processes())
+		p.copyRevision = w.state.Revision()
+		p.consumer.SetProcessCount(w.countProcesses())
 	}
-	long := 2*milli + w.rng.Int64N(15*milli)
-	if !w.clean && w.rng.IntN(50) == 0 {
-		long += w.rng.Int64N(ttl * milli / 2)
+	delay := 2*milli + w.rng.Int64N(15*milli)
+	if !w.faultsOver && w.rng.IntN(50) == 0 {
+		delay += w.rng.Int64N(ttlMillis * milli / 2)
 	}
-	p.step(long, p.copy)
+	p.schedule(delay, p.copy)
 }
 
-func (p *proc) me() quota.Process { return quota.Process{Host: p.name, Session: p.session.ID()} }
+func (p *proc) process() quota.Process { return quota.Process{Host: p.name, Session: p.session.ID()} }
 
-func (p *proc) granted(i store.Item) {
+func (p *proc) applyGrant(i store.Item) {
 	g, err := quota.DecodeGrant(i.Value)
 	if err != nil {
 		panic(err)
 	}
-	p.holder.ApplyGrant(p.now(), p.session.ID(), i.ModRevision, g)
+	p.consumer.ApplyGrant(p.now(), p.session.ID(), i.ModRevision, g)
 }
 
-// tell says what the process wants and has seen.
-func (p *proc) tell() {
-	defer p.step(10*milli, p.tell)
-	n, due, _ := p.holder.Demand(p.now())
-	if !due || p.telling || p.session.ID() == 0 || p.now() >= p.session.ValidUntil() {
+// report proposes the process's demand, with the quotas that it acknowledges, whenever it is due.
+func (p *proc) report() {
+	defer p.schedule(10*milli, p.report)
+	demand, due, _ := p.consumer.Demand(p.now())
+	if !due || p.reportInFlight || p.session.ID() == 0 || p.now() >= p.session.ValidUntil() {
 		return
 	}
-	p.telling = true
-	p.holder.ReportSent(p.now(), n)
-	me := p.me()
-	p.send(store.Command{Txn: &store.Txn{Owner: p.name, Then: []store.Op{{Key: me.DemandKey(), Value: quota.Encode(n), LeaseID: me.Session}}}}, func(_ store.Result, err error) {
-		if p.telling = false; err != nil {
-			p.holder.ReportFailed()
+	p.reportInFlight = true
+	p.consumer.ReportSent(p.now(), demand)
+	me := p.process()
+	p.propose(store.Command{Txn: &store.Txn{Owner: p.name, Then: []store.Op{{Key: me.DemandKey(), Value: quota.Encode(demand), LeaseID: me.Session}}}}, func(_ store.Result, err error) {
+		if p.reportInFlight = false; err != nil {
+			p.consumer.ReportFailed()
 		}
 	})
 }
 
-// divide is the daemon's part in the task of dividing.
-func (p *proc) divide() {
-	w := p.w
-	defer p.step(20*milli, p.divide)
-	if p.number >= replicas { // the others have no part in it
+// allocate queues for the allocator's task and proposes allocations while the process holds it. Only the daemons with
+// replicas take part.
+func (p *proc) allocate() {
+	w := p.world
+	defer p.schedule(20*milli, p.allocate)
+	if p.number >= replicas { // this daemon has no replica
 		return
 	}
 	live := p.session.ID() != 0 && p.now() < p.session.ValidUntil()
-	if p.place != "" && p.placeOf != p.session.Generation() {
-		p.place = ""
+	if p.queueEntry != "" && p.queueEntryGeneration != p.session.Generation() {
+		p.queueEntry = ""
 	}
 	if !live {
-		p.divides = false
+		p.allocates = false
 		return
 	}
-	_, _, there := p.table.Find(divideTask, p.place)
-	if !there && w.q.Now() > p.putAt { // the answer was lost, or what was to be answered: the same place is put again
-		if p.place == "" {
+	_, _, queued := p.table.Find(allocatorTask, p.queueEntry)
+	if !queued && w.queue.Now() > p.queueRetryAt { // a message was lost: proposes the same entry again
+		if p.queueEntry == "" {
 			p.seq++
-			p.place, p.placeOf = lease.QueueEntryKey(divideTask, p.name, fmt.Sprintf("%d.%d", p.boot, p.seq)), p.session.Generation()
+			p.queueEntry, p.queueEntryGeneration = lease.QueueEntryKey(allocatorTask, p.name, fmt.Sprintf("%d.%d", p.boot, p.seq)), p.session.Generation()
 		}
-		p.putAt = w.q.Now() + ttl*milli/2
+		p.queueRetryAt = w.queue.Now() + ttlMillis*milli/2
 		id := p.session.ID()
-		p.send(store.Command{Txn: &store.Txn{Owner: p.name, If: []store.Compare{{Key: p.place}}, Then: []store.Op{{Key: p.place, Value: fmt.Appendf(nil, `{"session":%d}`, id), LeaseID: id}}}},
+		p.propose(store.Command{Txn: &store.Txn{Owner: p.name, If: []store.Compare{{Key: p.queueEntry}}, Then: []store.Op{{Key: p.queueEntry, Value: fmt.Appendf(nil, `{"session":%d}`, id), LeaseID: id}}}},
 			func(store.Result, error) {})
 		return
 	}
-	token, holds := p.table.Holds(divideTask, p.place)
-	if holds && !p.divides {
-		w.r.Dividers++
+	token, holds := p.table.Holds(allocatorTask, p.queueEntry)
+	if holds && !p.allocates {
+		w.result.Dividers++
 	}
-	if p.divides = holds; !holds || p.busy {
+	if p.allocates = holds; !holds || p.allocationInFlight {
 		return
 	}
-	v := p.divider.Allocate(p.now())
-	if v == nil {
+	allocation := p.allocator.Allocate(p.now())
+	if allocation == nil {
 		return
 	}
-	w.r.Turns++
-	p.busy = true
-	t := &store.Txn{If: append([]store.Compare{{Key: p.place, ModRevision: token}}, v.If...), Then: v.Then}
-	if w.o.Plant.Limit == quota.UncheckedRevision {
-		t.If = nil
+	w.result.Allocations++
+	p.allocationInFlight = true
+	txn := &store.Txn{If: append([]store.Compare{{Key: p.queueEntry, ModRevision: token}}, allocation.If...), Then: allocation.Then}
+	if w.options.Plant.Limit == quota.UncheckedRevision {
+		txn.If = nil
 	}
-	p.send(store.Command{Txn: t}, func(store.Result, error) { p.busy = false })
+	p.propose(store.Command{Txn: txn}, func(store.Result, error) { p.allocationInFlight = false })
 }
 
 var paths = []string{"/rate", "/rate", "/rate", "/rate", "/rate", "/rate", "/rate", "/rate", "/rate", "/rate", "/window", "/window", "/window", "/held", "/held", "/fair", "/fair", "/slow", "/slow", "/slow", "/open", "/long"}
 
-// arrive is what clients ask of this sidecar, one at a time.
-func (p *proc) arrive() {
-	w := p.w
-	rate := w.lull * w.hot[p.number] * float64(w.o.Sidecars) * w.o.Load * 110 // a second, over all limits
-	defer p.step(int64(w.rng.ExpFloat64()/rate*float64(second))+1, p.arrive)
-	p.ask(paths[w.rng.IntN(len(paths))])
+// generateLoad sends the requests of this sidecar's clients, one at a time.
+func (p *proc) generateLoad() {
+	w := p.world
+	// rate is in requests per second.
+	rate := w.loadFactor * w.loadShares[p.number] * float64(w.options.Sidecars) * w.options.Load * 110
+	defer p.schedule(int64(w.rng.ExpFloat64()/rate*float64(second))+1, p.generateLoad)
+	p.request(paths[w.rng.IntN(len(paths))])
 }
 
-// burst is what has waited for a while: more of one limit than there is, at one or at all sidecars.
+// burst sends more requests to one limit than it admits, at one sidecar or at all, as when requests have waited for a
+// while. A sidecar stops after eight rejections in a row.
 func (w *world) burst() {
-	if w.clean {
+	if w.faultsOver {
 		return
 	}
-	defer w.q.After(w.rng.Int64N(second/2), w.burst)
+	defer w.queue.After(w.rng.Int64N(second/2), w.burst)
 	path := []string{"/rate", "/window", "/held", "/fair", "/slow", "/slow", "/open"}[w.rng.IntN(7)]
-	one, all := w.nodes[w.rng.IntN(len(w.nodes))], w.rng.IntN(2) == 0
-	for _, p := range w.nodes {
+	one, all := w.procs[w.rng.IntN(len(w.procs))], w.rng.IntN(2) == 0
+	for _, p := range w.procs {
 		if all || p == one {
-			p.step(w.rng.Int64N(5*milli), func() {
-				for n, no := 0, 0; n < 200 && no < 8; n++ {
-					if no++; p.ask(path) {
-						no = 0
+			p.schedule(w.rng.Int64N(5*milli), func() {
+				for sent, rejected := 0, 0; sent < 200 && rejected < 8; sent++ {
+					if rejected++; p.request(path) {
+						rejected = 0
 					}
 				}
 			})
@@ -317,10 +326,10 @@
 	}
 }
 
-// ask is one request, which is let through or not.
-func (p *proc) ask(path string) bool {
-	w := p.w
-	w.r.Asked++
+// request sends a request through the sidecar, and returns whether it was admitted.
+func (p *proc) request(path string) bool {
+	w := p.world
+	w.result.Asked++
 	r := quota.Request{Path: path}
 	org, agency := []string{"a", "a", "b"}[w.rng.IntN(3)], []string{"x", "x", "y"}[w.rng.IntN(3)]
 	r.Header = func(name string) string {
@@ -329,35 +338,35 @@
 		}
 		return agency
 	}
-	charges := w.match.Match(nil, &r)
-	t, no := p.holder.Reserve(p.now(), charges, 1)
+	charges := w.matcher.Match(nil, &r)
+	reservation, rejection := p.consumer.Reserve(p.now(), charges, 1)
 	if r.Path == "/rate" {
-		if w.want++; no == nil {
-			w.got++
+		if w.rateRequests++; rejection == nil {
+			w.rateAdmitted++
 		}
 	}
-	if no != nil {
-		if no.RetryAfter <= 0 {
-			w.broken("no time to come back", "%+v", no)
+	if rejection != nil {
+		if rejection.RetryAfter <= 0 {
+			w.reportViolation("no time to come back", "%+v", rejection)
 		}
 		return false
 	}
-	if w.rng.IntN(40) == 0 { // it never runs, which is known a while later
-		p.step(w.rng.Int64N(30*milli), func() { p.holder.Cancel(p.now(), t) })
+	if w.rng.IntN(40) == 0 { // the request is cancelled before it is sent, and the sidecar learns it a while later
+		p.schedule(w.rng.Int64N(30*milli), func() { p.consumer.Cancel(p.now(), reservation) })
 		return true
 	}
 	for _, c := range charges {
-		if _, there := w.state.Lease(p.session.ID()); !there && c.Limit.Fallback == quota.Strict {
-			w.broken("used after its end", "%s lets through by a session that the store has ended", p.name)
+		if _, live := w.state.Lease(p.session.ID()); !live && c.Limit.Fallback == quota.Strict {
+			w.reportViolation("used after its end", "%s lets through by a session that the store has ended", p.name)
 		}
-		w.come(p, c)
+		w.checkAdmission(p, c)
 		if c.Limit.Kind == quota.Concurrency {
-			long := c.Limit.Window / 1000 * int64(40+w.rng.IntN(60)) / 100
-			w.q.After(long, func() { w.gone(c) }) // at the server, whatever becomes of the process
-			p.step(long, func() { p.holder.Complete(p.now(), t) })
+			duration := c.Limit.Window / 1000 * int64(40+w.rng.IntN(60)) / 100
+			w.queue.After(duration, func() { w.checkCompletion(c) }) // also if the process is killed
+			p.schedule(duration, func() { p.consumer.Complete(p.now(), reservation) })
 			return true
 		}
 	}
-	p.holder.Complete(p.now(), t)
+	p.consumer.Complete(p.now(), reservation)
 	return true
 }
--- a/internal/lab/limitsim/race_test.go
+++ b/internal/lab/limitsim/race_test.go
@@ -2,6 +2,6 @@
 
 package limitsim
 
-// The race detector makes a run more than ten times as long, and a simulation is one goroutine: here it plays little. .ci/run plays it
-// whole without.
-const raced = true
+// raceEnabled reduces the number of seeds under the race detector, which makes a run more than ten times as long while
+// a simulation has only one goroutine. .ci/run also runs the tests without it, with all seeds.
+const raceEnabled = true
