--- a/internal/lab/storesim/actors.go
+++ b/internal/lab/storesim/actors.go
@@ -13,130 +13,134 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// known says whether an answer tells what became of a request. If not, it is sent again with the same id.
-func known(d replica.Completion) bool { return d.Err == nil }
+// outcomeKnown reports whether a response tells the outcome of a request. If not, it is sent again with the same id.
+func outcomeKnown(d replica.Completion) bool { return d.Err == nil }
 
-// persist sends a command until its outcome is known.
-func (w *world) persist(c store.Command, f func(replica.Completion)) { w.send(c, false, f) }
+// submit sends a command until its outcome is known, and passes it to f.
+func (w *world) submit(c store.Command, f func(replica.Completion)) { w.submitAttempt(c, false, f) }
 
-// send does that; sent says that an earlier try may have been done.
-func (w *world) send(c store.Command, sent bool, f func(replica.Completion)) {
-	h := w.up()
+// submitAttempt makes an attempt of submit. Argument sent says that an earlier attempt may have been applied.
+func (w *world) submitAttempt(c store.Command, sent bool, f func(replica.Completion)) {
+	h := w.randomUpHost()
 	if h == nil {
-		w.q.After(50*milli, func() { w.send(c, sent, f) })
+		w.queue.After(50*milli, func() { w.submitAttempt(c, sent, f) })
 		return
 	}
 	if c.SinceIndex == 0 {
-		c.SinceIndex = max(1, h.index)
+		c.SinceIndex = max(1, h.appliedIndex)
 	}
 	h.propose(c, func(d replica.Completion) {
 		switch {
-		case !known(d):
+		case !outcomeKnown(d):
 			unknown := errors.Is(d.Err, replica.ErrOutcomeUnknown)
 			if unknown {
-				w.r.Unknown++
+				w.result.Unknown++
 			}
-			w.q.After(w.rng.Int64N(60*milli), func() { w.send(c, sent || unknown, f) })
-		case !sent && errors.Is(d.Result.Err, store.ErrRequestExpired): // its beginning was told by a copy that is far behind
+			w.queue.After(w.rng.Int64N(60*milli), func() { w.submitAttempt(c, sent || unknown, f) })
+		case !sent && errors.Is(d.Result.Err, store.ErrRequestExpired): // SinceIndex came from an old copy
 			c.SinceIndex = 0
-			w.q.After(w.rng.Int64N(60*milli), func() { w.send(c, false, f) })
+			w.queue.After(w.rng.Int64N(60*milli), func() { w.submitAttempt(c, false, f) })
 		default:
 			f(d)
 		}
 	})
 }
 
-// client writes and reads a few keys, one request after another.
+// client writes and reads random keys, one request after another.
 type client struct {
-	w        *world
-	id, seq  uint64
-	made     int
-	finished bool
-	mod      map[string]uint64 // last seen
-	history  []porcupine.Operation
+	world         *world
+	id, seq       uint64
+	requests      int // requests so far
+	finished      bool
+	seenRevisions map[string]uint64 // last seen revisions, by key
+	history       []porcupine.Operation
 }
 
 type input struct {
-	kind   byte // 'g'et, 'p'ut, 'c'ompare and put
-	key    string
-	value  string
-	expect uint64
+	kind             byte // 'g'et, 'p'ut, 'c'ompare and put
+	key              string
+	value            string
+	expectedRevision uint64
 }
 
 type output struct {
-	value string
-	mod   uint64
-	held  bool
+	value     string
+	revision  uint64
+	succeeded bool // of kind 'c': the revision was the expected one
 }
 
+// next sends the next request.
 func (c *client) next() {
-	if c.made >= c.w.o.Ops {
+	if c.requests >= c.world.options.Ops {
 		c.finished = true
 		return
 	}
-	c.made++
-	if c.mod == nil {
-		c.mod = map[string]uint64{}
+	c.requests++
+	if c.seenRevisions == nil {
+		c.seenRevisions = map[string]uint64{}
 	}
-	w := c.w
-	key := fmt.Sprintf("k%d", w.rng.IntN(w.o.Keys))
-	at := w.q.Now()
-	after := func(in input, out output) {
-		w.r.Ops++
-		c.mod[key] = out.mod
-		c.history = append(c.history, porcupine.Operation{ClientId: int(c.id), Input: in, Output: out, Call: at, Return: w.q.Now()})
-		fmt.Fprint(w.sum, in, out, at, w.q.Now())
-		w.q.After(w.rng.Int64N(200*milli), c.next)
+	w := c.world
+	key := fmt.Sprintf("k%d", w.rng.IntN(w.options.Keys))
+	calledAt := w.queue.Now()
+	done := func(in input, out output) {
+		w.result.Ops++
+		c.seenRevisions[key] = out.revision
+		c.history = append(c.history, porcupine.Operation{ClientId: int(c.id), Input: in, Output: out, Call: calledAt, Return: w.queue.Now()})
+		fmt.Fprint(w.traceHash, in, out, calledAt, w.queue.Now())
+		w.queue.After(w.rng.Int64N(200*milli), c.next)
 	}
 	switch w.rng.IntN(5) {
 	case 0, 1:
-		c.get(key, after)
+		c.get(key, done)
 	case 2, 3:
-		c.put(input{kind: 'p', key: key, value: fmt.Sprintf("%d.%d", c.id, c.made)}, after)
+		c.put(input{kind: 'p', key: key, value: fmt.Sprintf("%d.%d", c.id, c.requests)}, done)
 	default:
-		c.put(input{kind: 'c', key: key, value: fmt.Sprintf("%d.%d", c.id, c.made), expect: c.mod[key]}, after)
+		c.put(input{kind: 'c', key: key, value: fmt.Sprintf("%d.%d", c.id, c.requests), expectedRevision: c.seenRevisions[key]}, done)
 	}
 }
 
-func (c *client) get(key string, after func(input, output)) {
-	w := c.w
-	again := func() { w.q.After(w.rng.Int64N(60*milli), func() { c.get(key, after) }) }
-	h := w.up()
+// get reads a key until a read succeeds.
+func (c *client) get(key string, done func(input, output)) {
+	w := c.world
+	retry := func() { w.queue.After(w.rng.Int64N(60*milli), func() { c.get(key, done) }) }
+	h := w.randomUpHost()
 	if h == nil {
-		again()
+		retry()
 		return
 	}
 	h.read(func(d replica.Completion) {
 		if d.Err != nil || h.node == nil {
-			again()
+			retry()
 			return
 		}
 		i, _ := h.node.State().Get(key)
-		after(input{kind: 'g', key: key}, output{value: string(i.Value), mod: i.ModRevision})
+		done(input{kind: 'g', key: key}, output{value: string(i.Value), revision: i.ModRevision})
 	})
 }
 
-func (c *client) put(in input, after func(input, output)) {
+// put writes a key, for kind 'c' only if its revision is the expected one.
+func (c *client) put(in input, done func(input, output)) {
 	c.seq++
 	t := &store.Txn{Then: []store.Op{{Key: in.key, Value: []byte(in.value)}}}
 	if in.kind == 'c' {
-		t.If = []store.Compare{{Key: in.key, ModRevision: in.expect}}
+		t.If = []store.Compare{{Key: in.key, ModRevision: in.expectedRevision}}
 	}
-	c.w.persist(store.Command{ID: store.RequestID{Client: c.id, Seq: c.seq}, Txn: t}, func(d replica.Completion) {
+	c.world.submit(store.Command{ID: store.RequestID{Client: c.id, Seq: c.seq}, Txn: t}, func(d replica.Completion) {
 		if d.Result.Err != nil {
-			c.w.broken("refused", "%v", d.Result.Err)
+			c.world.reportViolation("refused", "%v", d.Result.Err)
 		}
-		after(in, output{mod: d.Result.Revision, held: d.Result.Succeeded})
+		done(in, output{revision: d.Result.Revision, succeeded: d.Result.Succeeded})
 	})
 }
 
+// register is the state of a key in registerModel.
 type register struct {
-	value string
-	mod   uint64
+	value    string
+	revision uint64
 }
 
-// model is a key as one copy alone would have it.
-var model = porcupine.Model{
+// registerModel models each key as an atomic register.
+var registerModel = porcupine.Model{
 	Partition: func(all []porcupine.Operation) [][]porcupine.Operation {
 		by := map[string][]porcupine.Operation{}
 		var keys []string
@@ -158,167 +162,171 @@
 		r, i, o := state.(register), in.(input), out.(output)
 		switch {
 		case i.kind == 'g':
-			return o.value == r.value && o.mod == r.mod, r
-		case i.kind == 'c' && !o.held:
-			return r.mod != i.expect, r
-		case i.kind == 'c' && r.mod != i.expect:
+			return o.value == r.value && o.revision == r.revision, r
+		case i.kind == 'c' && !o.succeeded:
+			return r.revision != i.expectedRevision, r
+		case i.kind == 'c' && r.revision != i.expectedRevision:
 			return false, r
 		}
-		return o.mod > r.mod, register{i.value, o.mod}
+		return o.revision > r.revision, register{i.value, o.revision}
 	},
 }
 
-// judge checks what can be told at the end alone.
-func (w *world) judge() {
+// checkResults makes the checks that are possible only at the end: linearizability, and equal states of all replicas.
+func (w *world) checkResults() {
 	var all []porcupine.Operation
-	for _, c := range w.cl {
+	for _, c := range w.clients {
 		all = append(all, c.history...)
 	}
-	switch porcupine.CheckOperationsTimeout(model, all, 20*time.Second) {
+	switch porcupine.CheckOperationsTimeout(registerModel, all, 20*time.Second) {
 	case porcupine.Illegal:
-		w.broken("not linearizable", "%d requests", len(all))
+		w.reportViolation("not linearizable", "%d requests", len(all))
 	case porcupine.Unknown:
-		w.broken("not judged", "the history of %d requests is too hard", len(all))
+		w.reportViolation("not judged", "the history of %d requests is too hard", len(all))
 	}
-	var sum []byte
+	var previous []byte
 	for _, h := range w.hosts {
-		if h.node == nil || h.retired || !w.over {
+		if h.node == nil || h.removed || !w.finished {
 			continue
 		}
 		var b bytes.Buffer
 		if err := h.node.State().Save(&b); err != nil {
 			panic(err)
 		}
-		if sum != nil && !bytes.Equal(sum, b.Bytes()) {
-			w.broken("states differ", "at the end, host %d", h.number)
+		if previous != nil && !bytes.Equal(previous, b.Bytes()) {
+			w.reportViolation("states differ", "at the end, host %d", h.number)
 		}
-		sum = b.Bytes()
+		previous = b.Bytes()
 	}
-	w.sum.Write(sum)
+	w.traceHash.Write(previous)
 }
 
-// leaseUser holds a key by a lease, which it renews more or less in time.
+// leaseUser keeps a key with a lease, which it renews in time or a little late.
 type leaseUser struct {
-	w       *world
-	id, seq uint64
-	lease   uint64
-	key     string
-	safe    int64 // the key may not go before
-	safeKey string
-	ended   bool
+	world          *world
+	id, seq        uint64
+	leaseID        uint64
+	key            string
+	protectedUntil int64 // true time before which protectedKey must not be deleted
+	protectedKey   string
+	ended          bool
 }
 
-const ttl = 400 // milliseconds
+const leaseTTLMillis = 400
 
-func (l *leaseUser) send(c store.Command, f func(replica.Completion)) {
-	h := l.w.up()
+func (l *leaseUser) send(c store.Command, handle func(replica.Completion)) {
+	h := l.world.randomUpHost()
 	if h == nil {
-		l.w.q.After(50*milli, func() { l.send(c, f) })
+		l.world.queue.After(50*milli, func() { l.send(c, handle) })
 		return
 	}
 	l.seq++
 	c.ID = store.RequestID{Client: l.id, Seq: l.seq}
-	h.propose(c, f)
+	h.propose(c, handle)
 }
 
-func (l *leaseUser) begin() {
-	if l.w.clean {
+func (l *leaseUser) grant() {
+	if l.world.faultsOver {
 		return
 	}
-	l.send(store.Command{GrantLease: &store.GrantLease{TTLMillis: ttl}}, func(d replica.Completion) {
+	l.send(store.Command{GrantLease: &store.GrantLease{TTLMillis: leaseTTLMillis}}, func(d replica.Completion) {
 		if d.Err != nil || d.Result.Err != nil {
-			l.w.q.After(100*milli, l.begin)
+			l.world.queue.After(100*milli, l.grant)
 			return
 		}
-		l.lease, l.key = d.Result.LeaseID, fmt.Sprintf("lease/%d/%d", l.id, d.Result.LeaseID)
-		put := store.Op{Key: l.key, Value: []byte("held"), LeaseID: l.lease}
+		l.leaseID, l.key = d.Result.LeaseID, fmt.Sprintf("lease/%d/%d", l.id, d.Result.LeaseID)
+		put := store.Op{Key: l.key, Value: []byte("held"), LeaseID: l.leaseID}
 		l.send(store.Command{Txn: &store.Txn{Then: []store.Op{put}}}, func(replica.Completion) { l.renew() })
 	})
 }
 
 func (l *leaseUser) renew() {
-	if l.w.clean {
+	if l.world.faultsOver {
 		return
 	}
-	at := l.w.q.Now()
-	l.send(store.Command{RenewLease: &store.RenewLease{LeaseID: l.lease}}, func(d replica.Completion) {
+	sentAt := l.world.queue.Now()
+	l.send(store.Command{RenewLease: &store.RenewLease{LeaseID: l.leaseID}}, func(d replica.Completion) {
 		if d.Err == nil && d.Result.Err != nil {
-			l.w.q.After(100*milli, l.begin)
+			l.world.queue.After(100*milli, l.grant)
 			return
 		}
 		if d.Err == nil {
-			l.safeKey, l.safe = l.key, at+ttl*milli*70/100 // clocks run apart by a tenth, and catch up by up to eight ticks
+			// Clock rates differ by a tenth, and a clock catches up by up to eight ticks.
+			l.protectedKey, l.protectedUntil = l.key, sentAt+leaseTTLMillis*milli*70/100
 		}
-		l.w.q.After(l.w.rng.Int64N(ttl*milli*13/10), l.renew)
+		l.world.queue.After(l.world.rng.Int64N(leaseTTLMillis*milli*13/10), l.renew)
 	})
 }
 
-// saw checks a change that some replica applies.
-func (l *leaseUser) saw(e store.Event) {
-	if e.Deleted && e.Item.Key == l.safeKey && l.w.q.Now() < l.safe {
-		l.w.broken("lease", "%s went %d ms too early", e.Item.Key, (l.safe-l.w.q.Now())/milli)
+// checkEvent checks a change that any replica applies.
+func (l *leaseUser) checkEvent(e store.Event) {
+	if e.Deleted && e.Item.Key == l.protectedKey && l.world.queue.Now() < l.protectedUntil {
+		l.world.reportViolation("lease", "%s went %d ms too early", e.Item.Key, (l.protectedUntil-l.world.queue.Now())/milli)
 	}
 }
 
-// outs tells of servers that drain and return.
-type outs struct {
-	w       *world
-	id, seq uint64
-	heard   map[string]hearing
+// drainOperator reports drains of servers and readmits them, through the guards of random hosts.
+type drainOperator struct {
+	world    *world
+	id, seq  uint64
+	observed map[string]observation
 }
 
-type hearing struct {
+// observation is a drain that was reported at a process.
+type observation struct {
 	host, boot int
 	server     string
 }
 
-func (u *outs) next() {
-	w := u.w
-	if w.clean {
+// next reports or ends a drain at a random host.
+func (u *drainOperator) next() {
+	w := u.world
+	if w.faultsOver {
 		return
 	}
-	defer w.q.After(w.rng.Int64N(120*milli), u.next)
-	if u.heard == nil {
-		u.heard = map[string]hearing{}
+	defer w.queue.After(w.rng.Int64N(120*milli), u.next)
+	if u.observed == nil {
+		u.observed = map[string]observation{}
 	}
-	h := w.up()
+	h := w.randomUpHost()
 	if h == nil {
 		return
 	}
 	for _, op := range h.guard.TakeRetries() {
-		u.owed(h, op)
+		u.retry(h, op)
 	}
 	server := fmt.Sprintf("s%d", w.rng.IntN(3))
 	if w.rng.IntN(2) == 0 {
 		op, err := h.guard.Observe(serverstate.Drain, server)
 		if err != nil {
-			w.broken("guard", "%v", err)
+			w.reportViolation("guard", "%v", err)
 			return
 		}
-		u.heard[fmt.Sprintf("%s at %d", server, h.number)] = hearing{h.number, h.boot, server}
+		u.observed[fmt.Sprintf("%s at %d", server, h.number)] = observation{h.number, h.boot, server}
 		if op != nil {
 			u.write(h, *op)
 		}
-		h.look()
+		h.checkExclusions()
 		return
 	}
 	if t, err := h.guard.Readmit(serverstate.Drain, server); err == nil {
 		u.seq++
 		h.propose(store.Command{ID: store.RequestID{Client: u.id, Seq: u.seq}, Txn: t}, func(replica.Completion) {})
-		h.look()
+		h.checkExclusions()
 	}
 }
 
-// owed writes once more what a host's daemon owes the store.
-func (u *outs) owed(h *host, op store.Op) {
+// retry proposes a change again that the host's guard has not seen committed.
+func (u *drainOperator) retry(h *host, op store.Op) {
 	if p, ok := serverstate.ParseProcess(op.Key[len("out/drain/"):]); ok && p.Addr != "" {
-		h.tell(p, op)
+		h.proposeDrain(p, op)
 	} else {
 		u.write(h, op)
 	}
 }
 
-func (u *outs) write(h *host, op store.Op) {
+// write proposes a change of an exclusion, and tells the host's guard the outcome.
+func (u *drainOperator) write(h *host, op store.Op) {
 	u.seq++
 	boot := h.boot
 	h.propose(store.Command{ID: store.RequestID{Client: u.id, Seq: u.seq}, Txn: &store.Txn{Then: []store.Op{op}}}, func(d replica.Completion) {
@@ -328,10 +336,10 @@
 		ok := d.Err == nil && d.Result.Err == nil
 		h.guard.ProposalDone(op.Key, ok)
 		if ok && !h.guard.Pending(op.Key) {
-			for _, x := range u.w.ops {
-				delete(x.heard, fmt.Sprintf("%s at %d", op.Key[len("out/drain/"):], h.number))
+			for _, x := range u.world.drainOperators {
+				delete(x.observed, fmt.Sprintf("%s at %d", op.Key[len("out/drain/"):], h.number))
 			}
 		}
-		h.look()
+		h.checkExclusions()
 	})
 }
--- a/internal/lab/storesim/disk.go
+++ b/internal/lab/storesim/disk.go
@@ -13,73 +13,75 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// disk holds what outlives a process. A write is whole or not at all; one in which the process dies may be either.
+// disk keeps the data that outlives a process. A write is done completely or not at all; one that crashes or fails may
+// be either.
 type disk struct {
-	rng   *rand.Rand
-	saved replica.DiskContents
-	data  []byte // of the snapshot
-
-	dieIn   int  // the process dies in the write after so many, if above 0
-	breakIn int  // the write after so many fails
-	dead    bool // it died: nothing is written any more
-	broke   bool
+	rng          *rand.Rand
+	contents     replica.DiskContents
+	snapshotData []byte // contents of the snapshot
+
+	crashAtWrite int  // the process crashes in the write of this number, counted from 1; 0: in none
+	failAtWrite  int  // the write of this number and all later ones fail; 0: none
+	crashed      bool // the process has crashed: all writes fail
+	failed       bool // a write has failed: all later ones fail
 }
 
 var (
-	errDied   = errors.New("the process died in a write")
-	errBroken = errors.New("the disk could not write")
+	errCrashed     = errors.New("the process died in a write")
+	errWriteFailed = errors.New("the disk could not write")
 )
 
 func newDisk(rng *rand.Rand) *disk {
-	return &disk{rng: rng, saved: replica.DiskContents{Identity: replica.Identity{DiskID: rng.Uint64() | 1}}}
+	return &disk{rng: rng, contents: replica.DiskContents{Identity: replica.Identity{DiskID: rng.Uint64() | 1}}}
 }
 
-// begin counts a start, as the disk of a real replica does when it is opened.
-func (d *disk) begin() {
-	d.dead, d.broke = false, false
-	d.saved.Identity.Boot++
+// open counts a start, as the disk of a real replica does when it is opened.
+func (d *disk) open() {
+	d.crashed, d.failed = false, false
+	d.contents.Identity.Boot++
 }
 
-func (d *disk) end() { d.dieIn, d.breakIn, d.dead = 0, 0, true }
+// closeCrashed fails all writes until open is called.
+func (d *disk) closeCrashed() { d.crashAtWrite, d.failAtWrite, d.crashed = 0, 0, true }
 
-// copy is the disk as it is now.
+// copy returns a copy of the disk's current contents.
 func (d *disk) copy() *disk {
 	c := *d
-	c.saved.Entries = slices.Clone(d.saved.Entries)
+	c.contents.Entries = slices.Clone(d.contents.Entries)
 	return &c
 }
 
-// write does a write, or has a fault happen in it.
+// write performs a write, or injects a fault in it.
 func (d *disk) write(do func()) error {
-	if d.dead {
-		return errDied
+	if d.crashed {
+		return errCrashed
 	}
-	if d.broke {
-		return errBroken
+	if d.failed {
+		return errWriteFailed
 	}
 	count := func(n *int) bool { *n = max(0, *n-1); return *n == 0 }
-	if d.dieIn > 0 && count(&d.dieIn) {
+	if d.crashAtWrite > 0 && count(&d.crashAtWrite) {
 		if d.rng.IntN(2) == 0 {
 			do()
 		}
-		d.dead = true
-		return errDied
+		d.crashed = true
+		return errCrashed
 	}
-	if d.breakIn > 0 && count(&d.breakIn) {
+	if d.failAtWrite > 0 && count(&d.failAtWrite) {
 		if d.rng.IntN(2) == 0 {
 			do()
 		}
-		d.broke = true
-		return errBroken
+		d.failed = true
+		return errWriteFailed
 	}
 	do()
 	return nil
 }
 
 func (d *disk) Load() (replica.DiskContents, error) {
-	s := d.saved
-	s.Entries = make([]*raftpb.Entry, len(d.saved.Entries))
-	for i, e := range d.saved.Entries {
+	s := d.contents
+	s.Entries = make([]*raftpb.Entry, len(d.contents.Entries))
+	for i, e := range d.contents.Entries {
 		s.Entries[i] = proto.Clone(e).(*raftpb.Entry)
 	}
 	if s.HardState != nil {
@@ -89,23 +91,23 @@
 }
 
 func (d *disk) SetIdentity(id replica.Identity) error {
-	return d.write(func() { d.saved.Identity = id })
+	return d.write(func() { d.contents.Identity = id })
 }
 
 func (d *disk) Append(hard *raftpb.HardState, entries []*raftpb.Entry) error {
 	return d.write(func() {
 		if hard != nil {
-			d.saved.HardState = proto.Clone(hard).(*raftpb.HardState)
+			d.contents.HardState = proto.Clone(hard).(*raftpb.HardState)
 		}
 		if len(entries) == 0 {
 			return
 		}
-		at := slices.IndexFunc(d.saved.Entries, func(e *raftpb.Entry) bool { return e.GetIndex() >= entries[0].GetIndex() })
+		at := slices.IndexFunc(d.contents.Entries, func(e *raftpb.Entry) bool { return e.GetIndex() >= entries[0].GetIndex() })
 		if at >= 0 {
-			d.saved.Entries = slices.Clone(d.saved.Entries[:at])
+			d.contents.Entries = slices.Clone(d.contents.Entries[:at])
 		}
 		for _, e := range entries {
-			d.saved.Entries = append(d.saved.Entries, proto.Clone(e).(*raftpb.Entry))
+			d.contents.Entries = append(d.contents.Entries, proto.Clone(e).(*raftpb.Entry))
 		}
 	})
 }
@@ -116,29 +118,29 @@
 		return err
 	}
 	return d.write(func() {
-		if meta.Index > d.saved.Snapshot.Index {
-			d.saved.Snapshot, d.data = meta, b.Bytes()
+		if meta.Index > d.contents.Snapshot.Index {
+			d.contents.Snapshot, d.snapshotData = meta, b.Bytes()
 		}
 	})
 }
 
 func (d *disk) Install(meta replica.SnapshotMeta, hard *raftpb.HardState, data []byte) error {
 	return d.write(func() {
-		d.saved.Snapshot, d.data = meta, bytes.Clone(data)
-		d.saved.Base, d.saved.Entries = replica.SnapshotMeta{Index: meta.Index, Term: meta.Term}, nil
+		d.contents.Snapshot, d.snapshotData = meta, bytes.Clone(data)
+		d.contents.Base, d.contents.Entries = replica.SnapshotMeta{Index: meta.Index, Term: meta.Term}, nil
 		if hard != nil {
-			d.saved.HardState = proto.Clone(hard).(*raftpb.HardState)
+			d.contents.HardState = proto.Clone(hard).(*raftpb.HardState)
 		}
 	})
 }
 
 func (d *disk) Snapshot() (replica.SnapshotMeta, []byte, error) {
-	return d.saved.Snapshot, bytes.Clone(d.data), nil
+	return d.contents.Snapshot, bytes.Clone(d.snapshotData), nil
 }
 
 func (d *disk) Compact(index, term uint64) error {
 	return d.write(func() {
-		d.saved.Base = replica.SnapshotMeta{Index: index, Term: term}
-		d.saved.Entries = slices.DeleteFunc(slices.Clone(d.saved.Entries), func(e *raftpb.Entry) bool { return e.GetIndex() <= index })
+		d.contents.Base = replica.SnapshotMeta{Index: index, Term: term}
+		d.contents.Entries = slices.DeleteFunc(slices.Clone(d.contents.Entries), func(e *raftpb.Entry) bool { return e.GetIndex() <= index })
 	})
 }
--- a/internal/lab/storesim/failed.go
+++ b/internal/lab/storesim/failed.go
@@ -8,169 +8,172 @@
 	"birchmoor/internal/store/replica"
 )
 
-// Once all other faults are over, the disk of one voter of three or more fails for good, in a write. Its process goes on, hears and is
-// greeted, takes requests and says that it has stopped; nobody starts it again for a while. The others are a majority and hear each
-// other: a write that is put to any of them is to be answered in time, whatever the one that failed was about.
+// Once all other faults are over, the disk of one voter out of three or more fails permanently in a write. Its process
+// keeps running: it receives messages, accepts handshakes and requests, and reports that it has stopped. It is not
+// restarted for a while. The other voters are a majority with working links, so each write that is sent to one of them
+// must be answered in time, whatever the failed replica was doing.
 
 const (
-	failedFor   = 3 * second   // until it is started again
-	answeredFor = 2 * second   // a write: an election or two, and a proposal that was lost with the leader
-	failWait    = 4 * second   // for a cluster whose members do not change, else none fails
-	askPause    = 30 * milli   // between two writes put to one host
-	lookEvery   = 50 * milli   // at what is open
-	failedUser  = uint64(6000) // clients of the writes, one for each host
+	failureMicros     = 3 * second   // from the failure to the restart
+	maxResponseMicros = 2 * second   // for a write: one or two elections, and a proposal that was lost with the leader
+	maxSettleMicros   = 4 * second   // for stable membership; after that no disk fails
+	writeInterval     = 30 * milli   // between two writes at one host
+	checkInterval     = 50 * milli   // between two checks of the open writes
+	failureClientBase = uint64(6000) // first client in the request ids of the writes, one per host
 )
 
-// failedDisk has a disk fail, and looks at what the others answer. What it draws is its own, so that the run before it is as it was.
+// failedDisk makes a disk fail and checks that the other replicas answer. It has a random source of its own, so that it
+// does not change the run before it.
 type failedDisk struct {
-	w      *world
-	rng    *rand.Rand
-	victim *host
-	over   bool
-	until  int64           // when it is started again
-	asked  map[*host]int64 // since when a write is open at a host
-	boots  map[*host]int
-	seq    uint64
+	world     *world
+	rng       *rand.Rand
+	victim    *host
+	finished  bool
+	restartAt int64           // true time at which the victim is restarted
+	openSince map[*host]int64 // true time since which a write is open, by host
+	boots     map[*host]int
+	seq       uint64
 }
 
-// begin waits until the members are settled, and does nothing if they are too few.
-func (f *failedDisk) begin() {
-	w := f.w
-	if w.o.Holders > 0 {
-		f.over = true
+// start waits for stable membership with three or more voters, and then injects the failure.
+func (f *failedDisk) start() {
+	w := f.world
+	if w.options.Holders > 0 {
+		f.finished = true
 		return
 	}
-	deadline := w.q.Now() + failWait
+	deadline := w.queue.Now() + maxSettleMicros
 	var try func()
 	try = func() {
 		switch {
-		case !w.changing() && w.voters() >= 3:
-			f.strike()
-		case w.q.Now() > deadline:
-			f.over = true
+		case !w.membershipChanging() && w.voters() >= 3:
+			f.inject()
+		case w.queue.Now() > deadline:
+			f.finished = true
 		default:
-			w.q.After(lookEvery, try)
+			w.queue.After(checkInterval, try)
 		}
 	}
-	w.q.After(f.rng.Int64N(300*milli), try)
+	w.queue.After(f.rng.Int64N(300*milli), try)
 }
 
-// What a replica is about when its disk fails.
-var failures = []string{"leads", "follows", "is handed the lead", "hands the lead over", "votes", "starts", "leads while one joins", "follows while one joins",
+// failureStates are what the victim does when its disk fails, as shown in Result.Failed.
+var failureStates = []string{"leads", "follows", "is handed the lead", "hands the lead over", "votes", "starts", "leads while one joins", "follows while one joins",
 	"leads while one is added that does not come"}
 
-func (f *failedDisk) strike() {
-	w := f.w
-	var lead *host
-	var rest []*host
+// inject makes a disk fail in a drawn state, and starts the writes at the other hosts.
+func (f *failedDisk) inject() {
+	w := f.world
+	var leader *host
+	var followers []*host
 	for _, h := range w.members() {
-		if lead == nil && h.node.Leading() {
-			lead = h
+		if leader == nil && h.node.Leading() {
+			leader = h
 		} else {
-			rest = append(rest, h)
+			followers = append(followers, h)
 		}
 	}
-	if lead == nil {
-		f.over = true
+	if leader == nil {
+		f.finished = true
 		return
 	}
-	f.victim = rest[f.rng.IntN(len(rest))]
-	kind := f.rng.IntN(len(failures))
-	w.r.Failed = failures[kind]
-	within := 1 + f.rng.IntN(3)
-	fail := func() { f.victim.disk.breakIn = within }
+	f.victim = followers[f.rng.IntN(len(followers))]
+	kind := f.rng.IntN(len(failureStates))
+	w.result.Failed = failureStates[kind]
+	failAtWrite := 1 + f.rng.IntN(3)
+	fail := func() { f.victim.disk.failAtWrite = failAtWrite }
 	switch kind {
 	case 0, 6, 8:
-		f.victim = lead
+		f.victim = leader
 		fail()
 	case 1, 7:
 		fail()
 	case 2:
-		within = 1 // its vote for itself
+		failAtWrite = 1 // the write of its vote for itself
 		fail()
-		lead.node.TransferLeadership()
-		lead.drive()
+		leader.node.TransferLeadership()
+		leader.processNode()
 	case 3:
-		f.victim = lead
+		f.victim = leader
 		fail()
-		lead.node.TransferLeadership()
-		lead.drive()
+		leader.node.TransferLeadership()
+		leader.processNode()
 	case 4:
-		within = 1 // its vote for another, or for itself
+		failAtWrite = 1 // the write of its vote, for another or for itself
 		fail()
-		lead.crash()
-		lead.start()
+		leader.crash()
+		leader.start()
 	case 5:
 		f.victim.crash()
 		fail()
 		f.victim.start()
 	}
-	f.asked, f.boots = map[*host]int64{}, map[*host]int{}
+	f.openSince, f.boots = map[*host]int64{}, map[*host]int{}
 	for _, h := range w.members() {
 		if h != f.victim {
 			f.boots[h] = h.boot
-			f.ask(h)
+			f.write(h)
 		}
 	}
 	switch kind {
 	case 6, 7:
-		w.join()
+		w.addMember()
 	case 8:
-		w.joinInVain()
+		w.addAndRemoveMember()
 	}
-	f.until = w.q.Now() + failedFor
-	w.q.After(lookEvery, f.look)
+	f.restartAt = w.queue.Now() + failureMicros
+	w.queue.After(checkInterval, f.check)
 }
 
-// ask puts a write to a host, as a caller does that waits for its outcome there.
-func (f *failedDisk) ask(h *host) {
+// write sends a write to a host, again and again until it has an outcome there, and then the next one.
+func (f *failedDisk) write(h *host) {
 	f.seq++
-	f.asked[h] = f.w.q.Now()
-	c := store.Command{ID: store.RequestID{Client: failedUser + uint64(h.number), Seq: f.seq}, SinceIndex: max(1, h.index),
+	f.openSince[h] = f.world.queue.Now()
+	c := store.Command{ID: store.RequestID{Client: failureClientBase + uint64(h.number), Seq: f.seq}, SinceIndex: max(1, h.appliedIndex),
 		Txn: &store.Txn{Then: []store.Op{{Key: fmt.Sprintf("beside/%d", h.number), Value: fmt.Append(nil, f.seq)}}}}
-	var put func()
-	put = func() {
-		if f.over || h.boot != f.boots[h] {
+	var attempt func()
+	attempt = func() {
+		if f.finished || h.boot != f.boots[h] {
 			return
 		}
 		h.propose(c, func(d replica.Completion) {
-			if f.over || h.boot != f.boots[h] {
+			if f.finished || h.boot != f.boots[h] {
 				return
 			}
 			if d.Err != nil {
-				f.w.q.After(f.rng.Int64N(60*milli), put)
+				f.world.queue.After(f.rng.Int64N(60*milli), attempt)
 				return
 			}
 			if d.Result.Err != nil {
-				f.w.broken("refused", "%v", d.Result.Err)
+				f.world.reportViolation("refused", "%v", d.Result.Err)
 			}
 			if f.victim.node != nil && f.victim.node.Failed() != nil {
-				f.w.r.Beside++
-				f.w.r.Slowest = max(f.w.r.Slowest, f.w.q.Now()-f.asked[h])
+				f.world.result.Beside++
+				f.world.result.Slowest = max(f.world.result.Slowest, f.world.queue.Now()-f.openSince[h])
 			}
-			f.w.q.After(askPause, func() { f.ask(h) })
+			f.world.queue.After(writeInterval, func() { f.write(h) })
 		})
 	}
-	put()
+	attempt()
 }
 
-// look finds a write that got no answer, and ends it all in time.
-func (f *failedDisk) look() {
-	w := f.w
+// check reports writes without an answer, and restarts the victim in the end.
+func (f *failedDisk) check() {
+	w := f.world
 	for _, h := range w.members() {
-		at, asked := f.asked[h]
-		if asked && h.boot == f.boots[h] && w.q.Now()-at > answeredFor {
-			w.broken("no progress", "a write put to host %d got no answer for %d ms; host %d, whose disk failed, %s", h.number,
-				(w.q.Now()-at)/milli, f.victim.number, w.r.Failed)
+		since, isOpen := f.openSince[h]
+		if isOpen && h.boot == f.boots[h] && w.queue.Now()-since > maxResponseMicros {
+			w.reportViolation("no progress", "a write put to host %d got no answer for %d ms; host %d, whose disk failed, %s", h.number,
+				(w.queue.Now()-since)/milli, f.victim.number, w.result.Failed)
 		}
 	}
-	if w.q.Now() < f.until {
-		w.q.After(lookEvery, f.look)
+	if w.queue.Now() < f.restartAt {
+		w.queue.After(checkInterval, f.check)
 		return
 	}
-	f.over = true
+	f.finished = true
 	h := f.victim
-	f.victim, h.disk.breakIn = nil, 0
+	f.victim, h.disk.failAtWrite = nil, 0
 	h.crash()
 	h.start()
 }
--- a/internal/lab/storesim/faults.go
+++ b/internal/lab/storesim/faults.go
@@ -7,78 +7,78 @@
 	"birchmoor/internal/store/replica"
 )
 
-// cause has one fault happen.
-func (w *world) cause() {
-	if w.clean || len(w.hosts) == 0 {
+// injectFault injects a drawn fault.
+func (w *world) injectFault() {
+	if w.faultsOver || len(w.hosts) == 0 {
 		return
 	}
 	h := w.hosts[w.rng.IntN(len(w.hosts))]
 	if w.rng.IntN(3) == 0 {
-		for _, x := range w.hosts { // leaders are hit more often than chance has it
+		for _, x := range w.hosts { // hits the leader more often than the other replicas
 			if x.node != nil && x.node.Leading() {
 				h = x
 			}
 		}
 	}
 	kind := w.rng.IntN(14)
-	fmt.Fprint(w.sum, "fault", kind, h.number)
+	fmt.Fprint(w.traceHash, "fault", kind, h.number)
 	switch kind {
 	case 0, 1:
-		w.kill(h)
+		w.crashAndRestart(h)
 	case 2:
 		for _, x := range w.hosts {
-			w.kill(x)
+			w.crashAndRestart(x)
 		}
 	case 3, 4:
-		h.disk.dieIn = 1 + w.rng.IntN(6)
+		h.disk.crashAtWrite = 1 + w.rng.IntN(6)
 	case 5:
-		h.disk.breakIn = 1 + w.rng.IntN(6)
+		h.disk.failAtWrite = 1 + w.rng.IntN(6)
 	case 6:
-		w.cut()
+		w.partition()
 	case 7:
-		w.r.Cuts++
-		for _, x := range w.hosts { // one way
+		w.result.Cuts++
+		for _, x := range w.hosts { // in one direction
 			if x != h {
 				w.link(h, x).cut = true
 			}
 		}
-		w.q.After(w.rng.Int64N(1500*milli), w.mend)
+		w.queue.After(w.rng.Int64N(1500*milli), w.restoreLinks)
 	case 8:
-		w.net = netFaults{loss: 0.3 * w.rng.Float64(), double: 0.3 * w.rng.Float64(), delayed: 0.5 * w.rng.Float64()}
-		w.q.After(w.rng.Int64N(1500*milli), func() { w.net = netFaults{} })
+		w.net = netFaults{loss: 0.3 * w.rng.Float64(), duplicate: 0.3 * w.rng.Float64(), delayed: 0.5 * w.rng.Float64()}
+		w.queue.After(w.rng.Int64N(1500*milli), func() { w.net = netFaults{} })
 	case 9:
 		if h.node != nil {
 			h.paused = true
-			boot, long := h.boot, w.rng.Int64N(1200*milli)
-			w.q.After(long, func() {
+			boot, duration := h.boot, w.rng.Int64N(1200*milli)
+			w.queue.After(duration, func() {
 				if h.boot == boot && h.node != nil {
 					h.paused = false
-					for range min(int64(w.rng.IntN(8)), long/tick) { // a clock that catches up, and no more than it missed
+					for range min(int64(w.rng.IntN(8)), duration/tickMicros) { // some of the missed ticks
 						if h.node != nil {
 							h.node.Tick()
-							h.drive()
+							h.processNode()
 						}
 					}
 				}
 			})
 		}
 	case 10:
-		h.pace = 0.9 + 0.2*w.rng.Float64()
+		h.clockRate = 0.9 + 0.2*w.rng.Float64()
 		if h.node != nil {
 			h.node.TransferLeadership()
-			h.drive()
+			h.processNode()
 		}
 	case 11:
 		if len(w.members()) < 5 {
-			w.join()
+			w.addMember()
 		}
 	case 12:
-		if !w.changing() && w.voters() > 2 && !h.retired && !h.joining && h.disk.saved.Identity.MemberID != 0 {
-			w.leave(h)
+		if !w.membershipChanging() && w.voters() > 2 && !h.removed && !h.inChange && h.disk.contents.Identity.MemberID != 0 {
+			w.removeMember(h)
 		}
 	case 13:
-		if !w.changing() && w.voters() > 2 && !h.retired && !h.joining {
-			w.replace(h, w.rng.IntN(2) == 0)
+		if !w.membershipChanging() && w.voters() > 2 && !h.removed && !h.inChange {
+			w.replaceDisk(h, w.rng.IntN(2) == 0)
 		}
 	}
 }
@@ -91,9 +91,9 @@
 	return w.links[k]
 }
 
-// cut splits the hosts in two, however uneven.
-func (w *world) cut() {
-	w.r.Cuts++
+// partition cuts all links between two random groups of hosts.
+func (w *world) partition() {
+	w.result.Cuts++
 	side := map[*host]bool{}
 	for _, h := range w.hosts {
 		side[h] = w.rng.IntN(2) == 0
@@ -105,110 +105,111 @@
 			}
 		}
 	}
-	w.q.After(w.rng.Int64N(2000*milli), w.mend)
+	w.queue.After(w.rng.Int64N(2000*milli), w.restoreLinks)
 }
 
-func (w *world) mend() { clear(w.links) }
+func (w *world) restoreLinks() { clear(w.links) }
 
-func (w *world) kill(h *host) {
-	if h.node == nil || h.retired {
+func (w *world) crashAndRestart(h *host) {
+	if h.node == nil || h.removed {
 		return
 	}
 	h.crash()
-	h.again()
+	h.restartLater()
 }
 
-// members are the hosts that belong to the cluster, as far as the operators know.
+// members returns the hosts that belong to the cluster, as far as the operators know.
 func (w *world) members() []*host {
 	var all []*host
 	for _, h := range w.hosts {
-		if !h.retired {
+		if !h.removed {
 			all = append(all, h)
 		}
 	}
 	return all
 }
 
-// voters counts those who vote, and is 0 while members change as any replica sees it, or one is away: losing one for
-// good is safe only if all others have all, the last change of who votes included. Operators are told the same.
+// voters returns the number of voters, and 0 while any replica is down, far behind or sees a membership change. A
+// replica may be lost permanently only if all others have all entries, including the last change of voters; the
+// operators' guide has the same rule.
 func (w *world) voters() int {
-	n, lead := 0, false
+	n, hasLeader := 0, false
 	for _, h := range w.members() {
 		if h.node == nil || h.paused {
 			return 0
 		}
 		st := h.node.Status()
-		if !st.MembershipStable || st.Applied+20 < w.top {
+		if !st.MembershipStable || st.Applied+20 < w.lastIndex {
 			return 0
 		}
-		n, lead = len(st.Peers), lead || st.Leading
+		n, hasLeader = len(st.Peers), hasLeader || st.Leading
 	}
-	if !lead {
+	if !hasLeader {
 		return 0
 	}
 	return n
 }
 
-// changing says whether operators are at work already: they do one thing at a time.
-func (w *world) changing() bool {
+// membershipChanging reports whether operators are changing a member. They make one change at a time.
+func (w *world) membershipChanging() bool {
 	for _, h := range w.hosts {
-		if h.joining && !h.retired {
+		if h.inChange && !h.removed {
 			return true
 		}
 	}
 	return false
 }
 
-var operator = uint64(400)
+var operatorClient = uint64(400) // client in the request ids of operators
 
-// order has operators give a command until it is done; f gets its outcome.
-func (w *world) order(seq uint64, c store.Command, f func(store.Result)) {
-	c.ID = store.RequestID{Client: operator, Seq: seq}
-	w.persist(c, func(d replica.Completion) { f(d.Result) })
+// executeAsOperator has operators send a command until its outcome is known, and passes it to f.
+func (w *world) executeAsOperator(seq uint64, c store.Command, f func(store.Result)) {
+	c.ID = store.RequestID{Client: operatorClient, Seq: seq}
+	w.submit(c, func(d replica.Completion) { f(d.Result) })
 }
 
-// join has a new host become a member.
-func (w *world) join() {
+// addMember adds a new host as a member.
+func (w *world) addMember() {
 	h := w.addHost()
-	h.joining = true
+	h.inChange = true
 	name := fmt.Sprintf("r%d", h.number)
-	w.order(uint64(h.number)*10+1, store.Command{AddMember: &store.AddMember{Name: name, Address: name}}, func(r store.Result) {
+	w.executeAsOperator(uint64(h.number)*10+1, store.Command{AddMember: &store.AddMember{Name: name, Address: name}}, func(r store.Result) {
 		if r.Err != nil {
-			h.retired, h.joining = true, false
+			h.removed, h.inChange = true, false
 			return
 		}
-		w.r.Joined++
-		h.disk.saved.Identity.ClusterID, h.disk.saved.Identity.MemberID = 7, r.MemberID
-		h.joining = false
+		w.result.Joined++
+		h.disk.contents.Identity.ClusterID, h.disk.contents.Identity.MemberID = 7, r.MemberID
+		h.inChange = false
 		h.start()
 	})
 }
 
-// joinInVain has a member added whose host never starts, and removed again.
-func (w *world) joinInVain() {
+// addAndRemoveMember adds a member whose host never starts, and removes it again.
+func (w *world) addAndRemoveMember() {
 	h := w.addHost()
-	h.joining = true
+	h.inChange = true
 	name := fmt.Sprintf("r%d", h.number)
-	w.order(uint64(h.number)*10+1, store.Command{AddMember: &store.AddMember{Name: name, Address: name}}, func(r store.Result) {
-		w.order(uint64(h.number)*10+2, store.Command{RemoveMember: &store.RemoveMember{MemberID: r.MemberID}}, func(store.Result) {
-			h.joining, h.retired = false, true
+	w.executeAsOperator(uint64(h.number)*10+1, store.Command{AddMember: &store.AddMember{Name: name, Address: name}}, func(r store.Result) {
+		w.executeAsOperator(uint64(h.number)*10+2, store.Command{RemoveMember: &store.RemoveMember{MemberID: r.MemberID}}, func(store.Result) {
+			h.inChange, h.removed = false, true
 		})
 	})
 }
 
-// leave has a host's member removed.
-func (w *world) leave(h *host) {
-	h.joining = true
-	w.order(uint64(h.number)*10+2, store.Command{RemoveMember: &store.RemoveMember{MemberID: h.disk.saved.Identity.MemberID}}, func(r store.Result) {
-		h.joining = false
+// removeMember removes the member of a host.
+func (w *world) removeMember(h *host) {
+	h.inChange = true
+	w.executeAsOperator(uint64(h.number)*10+2, store.Command{RemoveMember: &store.RemoveMember{MemberID: h.disk.contents.Identity.MemberID}}, func(r store.Result) {
+		h.inChange = false
 		if r.Err != nil {
 			return
 		}
-		w.r.Left++
-		h.retired = true
-		// It goes on for a while, as one does that was not told.
+		w.result.Left++
+		h.removed = true
+		// Its process runs on for a while, as one does that was not told.
 		boot := h.boot
-		w.q.After(500*milli, func() {
+		w.queue.After(500*milli, func() {
 			if h.boot == boot && h.node != nil {
 				h.crash()
 			}
@@ -216,102 +217,102 @@
 	})
 }
 
-// replace loses a host's disk. The process comes back with an empty one under its old name, or with one as it was a
-// while ago, before operators see to it: they remove the member and add a new one.
-func (w *world) replace(h *host, old bool) {
-	h.joining = true
-	var was *disk
-	if old {
-		was = h.disk.copy()
+// replaceDisk loses a host's disk. The process comes back under its old name with an empty disk, or with the contents
+// of a while ago. Then operators remove the member and add a new one.
+func (w *world) replaceDisk(h *host, useOldDisk bool) {
+	h.inChange = true
+	var oldDisk *disk
+	if useOldDisk {
+		oldDisk = h.disk.copy()
 	}
-	w.q.After(w.rng.Int64N(600*milli), func() {
+	w.queue.After(w.rng.Int64N(600*milli), func() {
 		if h.node != nil {
 			h.crash()
 		}
-		if old {
-			// Between the copy and its return the replica had been started from the disk itself.
-			if h.disk.saved.Identity.Boot <= was.saved.Identity.Boot+1 {
-				was = nil
+		if useOldDisk {
+			// An old copy is used only if the replica was started from the disk itself after the copy was taken.
+			if h.disk.contents.Identity.Boot <= oldDisk.contents.Identity.Boot+1 {
+				oldDisk = nil
 			}
 		}
-		id := h.disk.saved.Identity
+		id := h.disk.contents.Identity
 		member := id.MemberID
-		if was != nil {
-			h.disk = was
+		if oldDisk != nil {
+			h.disk = oldDisk
 		} else {
 			h.disk = newDisk(w.rng)
-			h.disk.saved.Identity.ClusterID, h.disk.saved.Identity.MemberID = id.ClusterID, id.MemberID
+			h.disk.contents.Identity.ClusterID, h.disk.contents.Identity.MemberID = id.ClusterID, id.MemberID
 		}
-		h.acted = map[string]bool{} // what that disk had shown went with it
+		h.shownDrains = map[string]bool{} // the drains were shown by the lost disk
 		h.start()
-		w.order(uint64(h.number)*10+3, store.Command{RemoveMember: &store.RemoveMember{MemberID: member}}, func(r store.Result) {
-			h.joining, h.retired = false, true
+		w.executeAsOperator(uint64(h.number)*10+3, store.Command{RemoveMember: &store.RemoveMember{MemberID: member}}, func(r store.Result) {
+			h.inChange, h.removed = false, true
 			if h.node != nil {
 				h.crash()
 			}
 			if r.Err == nil {
-				w.r.Left++
+				w.result.Left++
 			}
-			w.join()
+			w.addMember()
 		})
 	})
 }
 
-// settleFor is how long after the last fault a run goes on: what is told binds at all by then, with an election and a start on
-// the way, and what is heard has to be told again.
-const settleFor = simKeep + second
+// settleMicros is how long a run continues after the last fault. By then reported drains are in force on all hosts,
+// even after an election and a restart, and every observed drain has been reported again.
+const settleMicros = drainRetentionMicros + second
 
-// heal ends all faults, and the run once nothing is open and all replicas are at the same entry.
-func (w *world) heal() {
-	w.clean, w.net, w.s.healed = true, netFaults{}, w.q.Now()
-	w.mend()
+// endFaults ends all faults, and finishes the run once no request is open and all replicas are at the same index.
+func (w *world) endFaults() {
+	w.faultsOver, w.net, w.servers.faultsOverAt = true, netFaults{}, w.queue.Now()
+	w.restoreLinks()
 	for _, h := range w.hosts {
-		h.disk.dieIn, h.disk.breakIn, h.paused, h.pace = 0, 0, false, 1
-		w.q.After(w.rng.Int64N(150*milli), h.hearAll)
+		h.disk.crashAtWrite, h.disk.failAtWrite, h.paused, h.clockRate = 0, 0, false, 1
+		w.queue.After(w.rng.Int64N(150*milli), h.discoverAll)
 	}
-	if w.o.Mixed {
-		w.step()
+	if w.options.Mixed {
+		w.changeBuild()
 	}
-	w.failed.begin()
+	w.failedDisk.start()
 	var check func()
 	check = func() {
-		same := w.quiet() && !w.changing() && w.q.Now()-w.s.healed > settleFor && w.failed.over && w.q.Now()-w.failed.until > second
+		settled := w.requestsDone() && !w.membershipChanging() && w.queue.Now()-w.servers.faultsOverAt > settleMicros && w.failedDisk.finished && w.queue.Now()-w.failedDisk.restartAt > second
 		for _, h := range w.members() {
-			same = same && h.node != nil && h.index == w.top
+			settled = settled && h.node != nil && h.appliedIndex == w.lastIndex
 		}
-		if same {
-			w.settledServers()
-			w.settledHolders()
-			w.over = true
+		if settled {
+			w.checkDrainsInForce()
+			w.checkTasksActive()
+			w.finished = true
 			return
 		}
-		w.q.After(50*milli, check)
+		w.queue.After(50*milli, check)
 	}
 	check()
 }
 
-// Faults are those that can be planted, by name.
+// Faults lists the defects of replicas and daemons that a run can inject.
 var Faults = []struct {
 	Name  string
 	Fault replica.Defects
 	Watch Watch
 	About string
 }{
-	{"ack-before-sync", replica.AckBeforeSync, WatchNone, "messages go out before the disk has what they promise"},
-	{"vote-forgotten", replica.ForgetVote, WatchNone, "the vote is not written"},
-	{"stale-read", replica.StaleRead, WatchNone, "a read is answered without asking the quorum"},
-	{"apply-twice", replica.ApplyTwice, WatchNone, "after a start the last entries of the snapshot are applied again"},
-	{"results-forgotten", replica.ForgetResults, WatchNone, "a request sent again is done again"},
-	{"blind-lease", replica.RevokeRenewedLease, WatchNone, "a silent lease ends although it was renewed meanwhile"},
-	{"log-cut-too-far", replica.CompactBeyondSnapshot, WatchNone, "the log is cut behind what the snapshot holds"},
-	{"empty-disk-let-in", replica.SkipAdmission, WatchNone, "an empty or old disk is let in under its old name"},
-	{"eager-return", replica.EagerReturn, WatchNone, "a server may serve again at one copy's word"},
-	{"bind-late", 0, BindLate, "the store's word of a drain binds half a second after it came"},
-	{"own-word-undone", 0, Overwrite, "the store's word that a drain ended undoes what a daemon hears itself"},
-	{"end-early", 0, EndEarly, "a drain ends after a quarter of its time"},
-	{"end-alone", 0, EndAlone, "a daemon ends a drain for itself, without the quorum"},
-	{"log-end-forgotten", 0, ForgetDisk, "a start does not know what the log's end says is out"},
-	{"leads-on", replica.LeadAfterFailure, WatchNone, "a leader whose disk failed goes on telling that it leads"},
+	{"ack-before-sync", replica.AckBeforeSync, WatchNone, "messages are sent before the state that they acknowledge is on disk"},
+	{"vote-forgotten", replica.ForgetVote, WatchNone, "the vote is not written to disk"},
+	{"stale-read", replica.StaleRead, WatchNone, "a read is answered without confirmation by a quorum"},
+	{"apply-twice", replica.ApplyTwice, WatchNone, "after a restart the last entries of the snapshot are applied again"},
+	{"results-forgotten", replica.ForgetResults, WatchNone, "a request that is sent again is applied again"},
+	{"blind-lease", replica.RevokeRenewedLease, WatchNone, "a lease without recent renewals is revoked although it was renewed meanwhile"},
+	{"log-cut-too-far", replica.CompactBeyondSnapshot, WatchNone, "the log is compacted beyond the snapshot"},
+	{"empty-disk-let-in", replica.SkipAdmission, WatchNone, "a replica with an empty or old disk is admitted under its old name"},
+	{"eager-return", replica.EagerReturn, WatchNone, "a server is readmitted on the evidence of one copy"},
+	{"bind-late", 0, EnforceLate, "a drain from the store is in force only half a second after it arrived"},
+	{"own-word-undone", 0, OverrideObservation, "the end of a drain in the store overrides the daemon's own observation"},
+	{"end-early", 0, EndDrainEarly, "a drain ends after a quarter of its retention"},
+	{"end-alone", 0, EndDrainLocally, "a daemon ends a drain locally, without a quorum"},
+	{"log-end-forgotten", 0, IgnoreUncommitted, "a restart ignores the exclusions in the uncommitted end of the log"},
+	{"leads-on", replica.LeadAfterFailure, WatchNone, "a leader whose disk failed keeps sending heartbeats"},
 	{"any-level", replica.IgnoreLevel, WatchNone, "a command is sent although a voter does not know its level (with --mixed)"},
-	{"never-renewed", 0, NeverRenew, "nobody tells a drain again"},
+	{"never-renewed", 0, NeverReportAgain, "drains are never reported again"},
 }
--- a/internal/lab/storesim/holders.go
+++ b/internal/lab/storesim/holders.go
@@ -10,313 +10,322 @@
 	"birchmoor/internal/store/replica"
 )
 
-// Holders stand beside the cluster: daemons that want tasks, each with a clock of its own rate, a copy of the store that may be old,
-// requests that are slow, lost or answered late, and a process that is stopped between any two steps, killed and started again. What is
-// checked, in true time and by what a holder itself knows at each instant:
+// Holders are daemons next to the cluster that want tasks. Each has a clock of its own rate, a copy of the store that
+// may be old, and requests that are slow, lost or answered late. Its process is stopped between any two steps, killed
+// and started again. The checks, in true time and by what a holder itself knows at that time:
 //
-//   - no more daemons hold themselves entitled to a task at once than it has slots (a stopped one does until its clock passes the end),
-//   - where tokens are checked no action takes effect after one of a higher token, also over the receiver's restarts,
-//   - where nothing is checked none does either, unless its process was stopped between its look at the clock and the action,
-//   - once all faults are over, each task is acted upon again within a second.
-
-// HolderPlant is a fault of holders, or of what they act upon, that is put in so that a run shows that it is found.
-type HolderPlant struct {
+//   - No more daemons consider themselves entitled to a task at once than it has slots. A stopped daemon counts until
+//     its clock passes the end of its session.
+//   - At a target that checks fencing tokens, no action takes effect after one with a higher token, also across
+//     restarts of the target.
+//   - At a target that does not check them neither, unless the holder's process was stopped between its look at the
+//     clock and the action.
+//   - Once all faults are over, each task is acted on again within a second.
+
+// HolderDefects is a set of injected defects of holders and of the targets of their actions; the zero value has none.
+type HolderDefects struct {
 	Session lease.Defect
 	Table   lease.TableDefect
 	Fence   lease.FenceDefect
-	Own     OwnPlant
+	Own     HolderStepDefect
 }
 
-// OwnPlant is a fault of the holder's steps.
-type OwnPlant int
+// HolderStepDefect is an injected defect in the steps of a holder.
+type HolderStepDefect int
 
-// The faults.
+// The injected defects.
 const (
-	OwnNone      OwnPlant = iota
-	ReleaseEarly          // the place is given up before the action has ended
-	ReleaseOther          // a release takes away whichever place is first
-	AnyLength             // an action is begun that may not end in time
-	NoSweep               // places that nobody has a use for are not swept
+	NoHolderStepDefect  HolderStepDefect = iota
+	ReleaseDuringAction                  // a release removes the queue entry before the action has ended
+	ReleaseAnyEntry                      // a release removes any queue entry of the task, also of other holders
+	IgnoreSessionEnd                     // an action starts although it may not end before the session does
+	KeepUnusedEntries                    // queue entries that the holder does not use are not removed
 )
 
 const (
-	holdSkew   = 0.25 // hosts' and holders' clocks run at 0.9 to 1.1
-	holdMargin = 2 * milli
-	actMost    = 60 * milli
+	holderClockSkew    = 0.25 // clocks of hosts and holders run at 0.9 to 1.1 of true time
+	holderMarginMicros = 2 * milli
+	maxActMicros       = 60 * milli
 )
 
-var holdTasks = []struct {
+var simTasks = []struct {
 	name  string
 	slots int
 }{{"one", 1}, {"two", 2}}
 
-// things are what is acted upon.
-type things struct {
-	fence map[string]*lease.Fence
-	kept  map[string]uint64 // the highest token that took effect where they are checked, by task
-	loose map[string]uint64 // and where they are not
-	last  map[string]int64  // when something did, by task
-	plant lease.FenceDefect
+// actionTargets are the targets of the holders' actions.
+type actionTargets struct {
+	fences         map[string]*lease.Fence
+	fencedTokens   map[string]uint64 // highest token that took effect at the target that checks tokens, by task
+	unfencedTokens map[string]uint64 // highest token at the target that does not check them, by task
+	lastActionAt   map[string]int64  // true time of the last action that took effect, by task
+	defect         lease.FenceDefect
 }
 
-// daemonSim is one holder's process.
-type daemonSim struct {
-	w       *world
-	number  int
-	name    string
-	pace    float64
-	origin  int64
-	boot    int
-	stopped int64 // until when it is stopped; 0: it runs
-	stops   int
-	session *lease.Session
-	table   *lease.Table
-	seen    uint64 // the revision of its copy
-	seq     uint64
-	wants   map[string]*wantSim // by task
-	rng     *rand.Rand
+// holder is the process of a holder.
+type holder struct {
+	world        *world
+	number       int
+	name         string
+	clockRate    float64 // of its clock, relative to true time
+	clockOrigin  int64   // true time at which its clock shows 0
+	boot         int     // number of starts; steps of an earlier start do nothing
+	stoppedUntil int64   // true time until which it is stopped
+	stops        int     // how often it was stopped
+	session      *lease.Session
+	table        *lease.Table
+	copyRevision uint64 // revision of its copy of the store
+	seq          uint64
+	tasks        map[string]*wantedTask // by name
+	rng          *rand.Rand
 }
 
-type wantSim struct {
-	task   string
-	slots  int
-	key    string
-	number uint64
-	held   bool // it knew itself entitled
-	acting int
-	given  bool // up: it is entitled to nothing
+// wantedTask is a holder's part in a task.
+type wantedTask struct {
+	task              string
+	slots             int
+	queueEntry        string // key; empty: none
+	generation        uint64 // generation of the session of the queue entry
+	wasEntitled       bool   // it has been entitled
+	actionsInProgress int
+	released          bool // it has released the task and is not entitled any more
 }
 
-func (w *world) beginHolders(begin int64) {
-	w.acted = &things{fence: map[string]*lease.Fence{}, kept: map[string]uint64{}, loose: map[string]uint64{}, last: map[string]int64{}, plant: w.o.Holder.Fence}
-	for _, t := range holdTasks {
-		w.restartThing(t.name)
+func (w *world) startHolders(startAt int64) {
+	w.targets = &actionTargets{fences: map[string]*lease.Fence{}, fencedTokens: map[string]uint64{}, unfencedTokens: map[string]uint64{}, lastActionAt: map[string]int64{}, defect: w.options.Holder.Fence}
+	for _, t := range simTasks {
+		w.restartTarget(t.name)
 	}
-	for i := range w.o.Holders {
-		d := &daemonSim{w: w, number: i, name: fmt.Sprintf("h%d", i), rng: w.rng}
+	for i := range w.options.Holders {
+		d := &holder{world: w, number: i, name: fmt.Sprintf("h%d", i), rng: w.rng}
 		w.holders = append(w.holders, d)
-		w.q.After(begin+w.rng.Int64N(100*milli), d.start)
+		w.queue.After(startAt+w.rng.Int64N(100*milli), d.start)
 	}
-	if w.o.Holders > 0 && w.o.Faults > 0 {
-		w.q.After(begin, w.troubleHolders)
+	if w.options.Holders > 0 && w.options.Faults > 0 {
+		w.queue.After(startAt, w.injectHolderFault)
 	}
 }
 
-// holdTTL is for how long sessions of holders last.
-func (w *world) holdTTL() int64 { return int64(w.o.HoldTTL) * milli }
+// holderTTL returns the TTL of the holders' sessions in microseconds.
+func (w *world) holderTTL() int64 { return int64(w.options.HoldTTL) * milli }
 
-// restartThing starts what is acted upon anew: what it kept on its disk is there, unless that is the fault.
-func (w *world) restartThing(task string) {
-	f := lease.NewFence(w.acted.plant)
-	w.acted.fence[task] = f
-	if w.acted.plant != lease.ForgetOnRestart && w.acted.kept[task] > 0 {
-		_ = f.Admit(task, w.acted.kept[task])
+// restartTarget restarts the target of a task. It keeps its highest token, except with defect ForgetOnRestart.
+func (w *world) restartTarget(task string) {
+	f := lease.NewFence(w.targets.defect)
+	w.targets.fences[task] = f
+	if w.targets.defect != lease.ForgetOnRestart && w.targets.fencedTokens[task] > 0 {
+		_ = f.Admit(task, w.targets.fencedTokens[task])
 	}
 }
 
-// troubleHolders stops, kills and cuts holders now and then.
-func (w *world) troubleHolders() {
-	if w.clean {
+// injectHolderFault stops or kills a holder or restarts a target, at random intervals.
+func (w *world) injectHolderFault() {
+	if w.faultsOver {
 		return
 	}
-	defer w.q.After(w.rng.Int64N(300*milli), w.troubleHolders)
+	defer w.queue.After(w.rng.Int64N(300*milli), w.injectHolderFault)
 	d := w.holders[w.rng.IntN(len(w.holders))]
 	switch w.rng.IntN(4) {
 	case 0, 1:
-		for _, x := range w.holders { // in the middle of an action more often than chance has it
-			if x.boot > 0 && x.wants[holdTasks[0].name].acting > 0 && w.q.Now() >= x.stopped {
+		for _, x := range w.holders { // prefers a holder in the middle of an action
+			if x.boot > 0 && x.tasks[simTasks[0].name].actionsInProgress > 0 && w.queue.Now() >= x.stoppedUntil {
 				d = x
 			}
 		}
-		d.stopped = w.q.Now() + w.rng.Int64N(3*w.holdTTL())
+		d.stoppedUntil = w.queue.Now() + w.rng.Int64N(3*w.holderTTL())
 		d.stops++
 	case 2:
-		d.start() // killed, and started at once
+		d.start() // kills it and starts it at once
 	case 3:
-		w.restartThing(holdTasks[w.rng.IntN(len(holdTasks))].name)
+		w.restartTarget(simTasks[w.rng.IntN(len(simTasks))].name)
 	}
 }
 
-func (d *daemonSim) start() {
-	w := d.w
+func (d *holder) start() {
+	w := d.world
 	d.boot++
-	d.pace, d.origin, d.stopped = 0.9+0.2*w.rng.Float64(), w.q.Now()-w.rng.Int64N(second), 0
-	d.session = lease.NewSession(lease.Rules{TTL: w.holdTTL(), MaxClockSkew: holdSkew, Margin: holdMargin}, w.o.Holder.Session)
-	d.table, d.seen, d.wants = lease.NewTable(w.o.Holder.Table), 0, map[string]*wantSim{}
-	for _, t := range holdTasks {
-		d.wants[t.name] = &wantSim{task: t.name, slots: t.slots}
+	d.clockRate, d.clockOrigin, d.stoppedUntil = 0.9+0.2*w.rng.Float64(), w.queue.Now()-w.rng.Int64N(second), 0
+	d.session = lease.NewSession(lease.Rules{TTL: w.holderTTL(), MaxClockSkew: holderClockSkew, Margin: holderMarginMicros}, w.options.Holder.Session)
+	d.table, d.copyRevision, d.tasks = lease.NewTable(w.options.Holder.Table), 0, map[string]*wantedTask{}
+	for _, t := range simTasks {
+		d.tasks[t.name] = &wantedTask{task: t.name, slots: t.slots}
 	}
-	d.step(0, d.renew)
-	d.step(0, d.copy)
-	d.step(0, d.work)
+	d.schedule(0, d.renew)
+	d.schedule(0, d.copy)
+	d.schedule(0, d.work)
 }
 
-// now is the daemon's own clock.
-func (d *daemonSim) now() int64 { return int64(float64(d.w.q.Now()-d.origin)*d.pace) + 1 }
+// now returns the time of the daemon's own clock in microseconds.
+func (d *holder) now() int64 {
+	return int64(float64(d.world.queue.Now()-d.clockOrigin)*d.clockRate) + 1
+}
 
-// step has the process do something after a while of true time, and not before it is continued if it is stopped; nothing if it was
-// killed meanwhile.
-func (d *daemonSim) step(after int64, f func()) {
+// schedule calls f after some microseconds of true time, once the process is not stopped, and not at all if it is
+// killed before.
+func (d *holder) schedule(after int64, f func()) {
 	boot := d.boot
-	d.w.q.After(after, func() {
+	d.world.queue.After(after, func() {
 		switch {
-		case d.boot != boot || d.w.holdersOver():
-		case d.w.q.Now() < d.stopped:
-			d.step(d.stopped-d.w.q.Now()+1, f)
+		case d.boot != boot || d.world.holdersFinished():
+		case d.world.queue.Now() < d.stoppedUntil:
+			d.schedule(d.stoppedUntil-d.world.queue.Now()+1, f)
 		default:
 			f()
-			d.judge()
+			d.checkEntitlement()
 		}
 	})
 }
 
-// holdersOver says whether holders do nothing more, so that the run can come to rest.
-func (w *world) holdersOver() bool { return w.clean && w.q.Now()-w.s.healed > 5*second/2 }
+// holdersFinished reports whether the holders do nothing more, so that the run can end.
+func (w *world) holdersFinished() bool {
+	return w.faultsOver && w.queue.Now()-w.servers.faultsOverAt > 5*second/2
+}
 
-// send proposes a command through any host that runs; the answer may be lost, and come late.
-func (d *daemonSim) send(c store.Command, f func(replica.Completion)) {
-	w := d.w
+// send proposes a command through a random running host, and calls handle once, with an unknown outcome after half a
+// TTL. The request and the response may be late, and the response may be lost.
+func (d *holder) send(c store.Command, handle func(replica.Completion)) {
+	w := d.world
 	d.seq++
 	c.ID = store.RequestID{Client: 1<<32 + uint64(d.number)<<16 + uint64(d.boot), Seq: d.seq}
 	answered := false
-	answer := func(x replica.Completion) {
+	respond := func(x replica.Completion) {
 		if !answered {
 			answered = true
-			f(x)
+			handle(x)
 		}
 	}
-	d.step(d.w.holdTTL()/2, func() { answer(replica.Completion{Err: replica.ErrOutcomeUnknown}) })
-	way := func() int64 {
-		if !w.clean && w.rng.IntN(8) == 0 {
-			return w.rng.Int64N(w.holdTTL())
+	d.schedule(d.world.holderTTL()/2, func() { respond(replica.Completion{Err: replica.ErrOutcomeUnknown}) })
+	drawDelay := func() int64 {
+		if !w.faultsOver && w.rng.IntN(8) == 0 {
+			return w.rng.Int64N(w.holderTTL())
 		}
 		return 200 + w.rng.Int64N(3*milli)
 	}
-	lost := !w.clean && w.rng.IntN(10) == 0
-	w.q.After(way(), func() {
-		h := w.up()
+	lost := !w.faultsOver && w.rng.IntN(10) == 0
+	w.queue.After(drawDelay(), func() {
+		h := w.randomUpHost()
 		if h == nil {
 			return
 		}
-		c.SinceIndex = max(1, h.index)
+		c.SinceIndex = max(1, h.appliedIndex)
 		h.propose(c, func(x replica.Completion) {
 			if !lost {
-				d.step(way(), func() { answer(x) })
+				d.schedule(drawDelay(), func() { respond(x) })
 			}
 		})
 	})
 }
 
-// renew is the session's loop.
-func (d *daemonSim) renew() {
-	ask, due := d.session.Next(d.now())
+// renew runs the loop that grants and renews the session.
+func (d *holder) renew() {
+	request, due := d.session.Next(d.now())
 	id := d.session.ID()
-	switch ask {
+	switch request {
 	case lease.NoRequest:
-		d.step(max(milli, int64(float64(due-d.now())/d.pace)), d.renew)
+		d.schedule(max(milli, int64(float64(due-d.now())/d.clockRate)), d.renew)
 		return
 	case lease.GrantRequest:
-		d.send(store.Command{GrantLease: &store.GrantLease{TTLMillis: uint64(d.w.holdTTL() / milli), Owner: d.name}}, d.renewed)
+		d.send(store.Command{GrantLease: &store.GrantLease{TTLMillis: uint64(d.world.holderTTL() / milli), Owner: d.name}}, d.handleRenewal)
 	case lease.RenewRequest:
-		d.send(store.Command{RenewLease: &store.RenewLease{LeaseID: id, Owner: d.name}}, d.renewed)
+		d.send(store.Command{RenewLease: &store.RenewLease{LeaseID: id, Owner: d.name}}, d.handleRenewal)
 	}
 }
 
-func (d *daemonSim) renewed(x replica.Completion) {
-	o := lease.Succeeded
+func (d *holder) handleRenewal(x replica.Completion) {
+	outcome := lease.Succeeded
 	switch {
 	case x.Err == nil && errors.Is(x.Result.Err, store.ErrLeaseNotFound):
-		o = lease.SessionNotFound
+		outcome = lease.SessionNotFound
 	case x.Err != nil || x.Result.Err != nil:
-		o = lease.OutcomeUnknown
+		outcome = lease.OutcomeUnknown
 	}
 	before := d.session.Generation()
-	d.session.HandleResponse(d.now(), o, x.Result.LeaseID)
-	if o == lease.Succeeded && d.session.Generation() == before && d.w.o.Holder.Own != NoSweep {
+	d.session.HandleResponse(d.now(), outcome, x.Result.LeaseID)
+	if outcome == lease.Succeeded && d.session.Generation() == before && d.world.options.Holder.Own != KeepUnusedEntries {
 		for _, p := range d.table.EntriesOf(d.name, d.session.ID()) {
 			used := false
-			for _, x := range d.wants {
-				used = used || x.key == p.Key
+			for _, x := range d.tasks {
+				used = used || x.queueEntry == p.Key
 			}
 			if !used {
 				d.remove(p.Key)
 			}
 		}
 	}
-	d.step(0, d.renew)
+	d.schedule(0, d.renew)
 }
 
-func (d *daemonSim) remove(key string) {
+func (d *holder) remove(key string) {
 	d.send(store.Command{Txn: &store.Txn{Owner: d.name, Then: []store.Op{{Key: key, Delete: true}}}}, func(replica.Completion) {})
 }
 
-// copy has the daemon see a host's state now and then, never one that is older than what it has.
-func (d *daemonSim) copy() {
-	w := d.w
-	if h := w.up(); h != nil && h.node.State().Revision() >= d.seen && (h.node.State().Revision() > d.seen || d.seen == 0) {
+// copy updates the daemon's copy from a random host at random intervals, and never to an older state.
+func (d *holder) copy() {
+	w := d.world
+	if h := w.randomUpHost(); h != nil && h.node.State().Revision() >= d.copyRevision && (h.node.State().Revision() > d.copyRevision || d.copyRevision == 0) {
 		s := h.node.State()
-		events, _, err := s.Changes(nil, lease.Prefix, d.seen, 1<<30)
-		if d.seen == 0 || err != nil {
+		events, _, err := s.Changes(nil, lease.Prefix, d.copyRevision, 1<<30)
+		if d.copyRevision == 0 || err != nil {
 			d.table.Reset(s)
 		}
 		for i := range events {
-			if d.seen > 0 {
+			if d.copyRevision > 0 {
 				d.table.Event(events[i])
 			}
 		}
-		d.seen = s.Revision()
+		d.copyRevision = s.Revision()
 	}
-	d.step(5*milli+w.rng.Int64N(40*milli), d.copy)
+	d.schedule(5*milli+w.rng.Int64N(40*milli), d.copy)
 }
 
-// entitled says whether the daemon holds itself entitled to a task at this instant of true time, stopped or not.
-func (d *daemonSim) entitled(x *wantSim) (token uint64, until int64, ok bool) {
-	if x.key == "" || x.given || x.number != d.session.Generation() || d.now() >= d.session.ValidUntil() {
+// entitled reports whether the daemon considers itself entitled to a task now, whether or not it is stopped.
+func (d *holder) entitled(x *wantedTask) (token uint64, until int64, ok bool) {
+	if x.queueEntry == "" || x.released || x.generation != d.session.Generation() || d.now() >= d.session.ValidUntil() {
 		return 0, 0, false
 	}
-	token, ok = d.table.Holds(x.task, x.key)
+	token, ok = d.table.Holds(x.task, x.queueEntry)
 	return token, d.session.ValidUntil(), ok
 }
 
-// judge counts who is entitled.
-func (d *daemonSim) judge() {
-	w := d.w
-	for _, t := range holdTasks {
-		if x := d.wants[t.name]; x == nil {
+// checkEntitlement checks that no task has more entitled holders than slots.
+func (d *holder) checkEntitlement() {
+	w := d.world
+	for _, t := range simTasks {
+		if x := d.tasks[t.name]; x == nil {
 			continue
 		} else if _, _, ok := d.entitled(x); !ok {
 			continue
 		}
-		var who []string
+		var entitled []string
 		for _, other := range w.holders {
-			if x := other.wants[t.name]; x != nil {
+			if x := other.tasks[t.name]; x != nil {
 				if token, _, ok := other.entitled(x); ok {
-					who = append(who, fmt.Sprintf("%s with %d", other.name, token))
+					entitled = append(entitled, fmt.Sprintf("%s with %d", other.name, token))
 				}
 			}
 		}
-		if len(who) > t.slots {
-			w.broken("two entitled", "task %q of %d slots: %v", t.name, t.slots, who)
+		if len(entitled) > t.slots {
+			w.reportViolation("two entitled", "task %q of %d slots: %v", t.name, t.slots, entitled)
 		}
 	}
 }
 
-// work is the daemon's part in each task: to ask for it, to act, and to give it up now and then.
-func (d *daemonSim) work() {
-	w := d.w
-	for _, t := range holdTasks {
-		x := d.wants[t.name]
+// work queues for each task, acts while the daemon is entitled to it, and releases it from time to time.
+func (d *holder) work() {
+	w := d.world
+	for _, t := range simTasks {
+		x := d.tasks[t.name]
 		switch token, until, ok := d.entitled(x); {
-		case x.key != "" && x.number != d.session.Generation() && x.acting == 0:
-			x.key, x.held, x.given = "", false, false
-		case x.key == "" && d.session.ID() != 0 && d.now() < d.session.ValidUntil():
-			d.put(x)
-		case x.key != "" && !x.held && !ok && !x.given && x.number == d.session.Generation() && d.session.ID() != 0:
-			if _, _, there := d.table.Find(x.task, x.key); !there && w.rng.IntN(20) == 0 {
-				d.put(x) // the answer was lost: the same place is put again
+		case x.queueEntry != "" && x.generation != d.session.Generation() && x.actionsInProgress == 0:
+			x.queueEntry, x.wasEntitled, x.released = "", false, false
+		case x.queueEntry == "" && d.session.ID() != 0 && d.now() < d.session.ValidUntil():
+			d.enqueue(x)
+		case x.queueEntry != "" && !x.wasEntitled && !ok && !x.released && x.generation == d.session.Generation() && d.session.ID() != 0:
+			if _, _, there := d.table.Find(x.task, x.queueEntry); !there && w.rng.IntN(20) == 0 {
+				d.enqueue(x) // the response was lost: proposes the same entry again
 			}
-		case ok && (d.now()+actMost < until || w.o.Holder.Own == AnyLength):
-			x.held = true
+		case ok && (d.now()+maxActMicros < until || w.options.Holder.Own == IgnoreSessionEnd):
+			x.wasEntitled = true
 			if w.rng.IntN(12) == 0 {
 				d.release(x)
 				continue
@@ -324,114 +333,116 @@
 			d.act(x, token)
 		}
 	}
-	d.step(10*milli+w.rng.Int64N(30*milli), d.work)
+	d.schedule(10*milli+w.rng.Int64N(30*milli), d.work)
 }
 
-func (d *daemonSim) put(x *wantSim) {
-	if x.key == "" {
+// enqueue proposes the queue entry of a task.
+func (d *holder) enqueue(x *wantedTask) {
+	if x.queueEntry == "" {
 		d.seq++
-		x.key, x.number, x.held, x.given = lease.QueueEntryKey(x.task, d.name, fmt.Sprintf("%d.%d", d.boot, d.seq)), d.session.Generation(), false, false
+		x.queueEntry, x.generation, x.wasEntitled, x.released = lease.QueueEntryKey(x.task, d.name, fmt.Sprintf("%d.%d", d.boot, d.seq)), d.session.Generation(), false, false
 	}
 	id := d.session.ID()
 	conf := fmt.Sprintf(`{"slots":%d}`, x.slots)
-	d.send(store.Command{Txn: &store.Txn{Owner: d.name, If: []store.Compare{{Key: x.key}}, Then: []store.Op{
-		{Key: x.key, Value: fmt.Appendf(nil, `{"session":%d}`, id), LeaseID: id}, {Key: lease.TaskConfigPrefix + x.task, Value: []byte(conf)}}}}, func(replica.Completion) {})
+	d.send(store.Command{Txn: &store.Txn{Owner: d.name, If: []store.Compare{{Key: x.queueEntry}}, Then: []store.Op{
+		{Key: x.queueEntry, Value: fmt.Appendf(nil, `{"session":%d}`, id), LeaseID: id}, {Key: lease.TaskConfigPrefix + x.task, Value: []byte(conf)}}}}, func(replica.Completion) {})
 }
 
-// act looks at its clock, and a while later its action takes effect.
-func (d *daemonSim) act(x *wantSim, token uint64) {
+// act starts an action that takes effect after up to maxActMicros of the daemon's clock.
+func (d *holder) act(x *wantedTask, token uint64) {
 	stops := d.stops
-	x.acting++
-	long := int64(float64(d.w.rng.Int64N(actMost)) / d.pace)
-	if d.w.o.Holder.Own == AnyLength {
-		long *= 16
+	x.actionsInProgress++
+	duration := int64(float64(d.world.rng.Int64N(maxActMicros)) / d.clockRate)
+	if d.world.options.Holder.Own == IgnoreSessionEnd {
+		duration *= 16
 	}
-	d.step(long, func() {
-		x.acting--
-		d.w.effect(x.task, token, d.stops != stops, d.name)
+	d.schedule(duration, func() {
+		x.actionsInProgress--
+		d.world.applyAction(x.task, token, d.stops != stops, d.name)
 	})
 }
 
-// release gives a task up once nothing is under way.
-func (d *daemonSim) release(x *wantSim) {
-	early := d.w.o.Holder.Own == ReleaseEarly
+// release releases a task once no action is in progress.
+func (d *holder) release(x *wantedTask) {
+	early := d.world.options.Holder.Own == ReleaseDuringAction
 	if !early {
-		x.given = true
+		x.released = true
 	}
-	if x.acting > 0 && !early {
-		d.step(5*milli, func() { d.release(x) })
+	if x.actionsInProgress > 0 && !early {
+		d.schedule(5*milli, func() { d.release(x) })
 		return
 	}
-	key := x.key
-	if d.w.o.Holder.Own == ReleaseOther {
+	key := x.queueEntry
+	if d.world.options.Holder.Own == ReleaseAnyEntry {
 		if all := d.table.Queue(x.task); len(all) > 0 {
-			key = all[d.w.rng.IntN(len(all))].Key
+			key = all[d.world.rng.IntN(len(all))].Key
 		}
 	}
 	d.remove(key)
 	if early {
-		d.step(100*milli, func() { x.key, x.held, x.given = "", false, false })
+		d.schedule(100*milli, func() { x.queueEntry, x.wasEntitled, x.released = "", false, false })
 		return
 	}
-	x.key, x.held, x.given = "", false, false
+	x.queueEntry, x.wasEntitled, x.released = "", false, false
 }
 
-// effect is an action that comes to what it acts upon.
-func (w *world) effect(task string, token uint64, stopped bool, who string) {
-	t := w.acted
-	w.r.Acts++
-	if task != holdTasks[0].name { // of two who hold it at once the tokens are in no order
-		t.last[task] = w.q.Now()
+// applyAction applies an action at its target and checks its token. stopped says that the process was stopped during
+// it.
+func (w *world) applyAction(task string, token uint64, stopped bool, holder string) {
+	t := w.targets
+	w.result.Acts++
+	if task != simTasks[0].name { // tokens of two concurrent holders have no order
+		t.lastActionAt[task] = w.queue.Now()
 		return
 	}
-	if t.fence[task].Admit(task, token) == nil {
-		if token < t.kept[task] {
-			w.broken("token order", "%s acted upon %q with %d after %d", who, task, token, t.kept[task])
+	if t.fences[task].Admit(task, token) == nil {
+		if token < t.fencedTokens[task] {
+			w.reportViolation("token order", "%s acted upon %q with %d after %d", holder, task, token, t.fencedTokens[task])
 		}
-		t.kept[task] = max(t.kept[task], token)
-		t.last[task] = w.q.Now()
+		t.fencedTokens[task] = max(t.fencedTokens[task], token)
+		t.lastActionAt[task] = w.queue.Now()
 	}
 	switch {
-	case token >= t.loose[task]:
+	case token >= t.unfencedTokens[task]:
 	case stopped:
-		w.r.Late++
+		w.result.Late++
 	default:
-		w.broken("acted late", "%s, which was not stopped, acted upon %q with %d after %d", who, task, token, t.loose[task])
+		w.reportViolation("acted late", "%s, which was not stopped, acted upon %q with %d after %d", holder, task, token, t.unfencedTokens[task])
 	}
-	t.loose[task] = max(t.loose[task], token)
+	t.unfencedTokens[task] = max(t.unfencedTokens[task], token)
 }
 
-// settledHolders says whether tasks are acted upon once faults are over.
-func (w *world) settledHolders() {
-	if w.o.Holders == 0 {
+// checkTasksActive checks that holders act on each task again after the faults.
+func (w *world) checkTasksActive() {
+	if w.options.Holders == 0 {
 		return
 	}
-	for _, t := range holdTasks {
-		if w.acted.last[t.name] < w.s.healed+second {
-			w.broken("nobody acts", "upon %q, %d ms after the last fault", t.name, (w.q.Now()-w.s.healed)/milli)
+	for _, t := range simTasks {
+		if w.targets.lastActionAt[t.name] < w.servers.faultsOverAt+second {
+			w.reportViolation("nobody acts", "upon %q, %d ms after the last fault", t.name, (w.queue.Now()-w.servers.faultsOverAt)/milli)
 		}
 	}
 }
 
-// HolderFaults are those that can be planted, by name.
+// HolderFaults lists the defects of holders, targets and replicas that a run with holders can inject.
 var HolderFaults = []struct {
 	Name    string
-	Plant   HolderPlant
+	Plant   HolderDefects
 	Replica replica.Defects
 	About   string
 }{
-	{"entitled-from-answer", HolderPlant{Session: lease.ValidFromResponse}, 0, "a holder counts its time from the answer's arrival"},
-	{"no-rate-margin", HolderPlant{Session: lease.IgnoreSkew}, 0, "clocks are taken to run at one rate"},
-	{"renewal-after-end", HolderPlant{Session: lease.AcceptRejectedRenewal}, 0, "a renewal that the store refused counts"},
-	{"old-leaders-rest", HolderPlant{}, replica.ShortenInheritedLeases, "a new leader ends leases by the time that the old one had left"},
-	{"blind-end", HolderPlant{}, replica.RevokeRenewedLease, "a silent session ends although it was renewed meanwhile"},
-	{"token-counted-anew", HolderPlant{Table: lease.RenumberTokens}, 0, "each process counts tokens for itself"},
-	{"token-not-checked", HolderPlant{Fence: lease.AdmitAllTokens}, 0, "what is acted upon lets lower tokens through"},
-	{"receiver-forgets", HolderPlant{Fence: lease.ForgetOnRestart}, 0, "what is acted upon forgets over its restart what it has seen"},
-	{"release-of-anothers", HolderPlant{Own: ReleaseOther}, 0, "a release takes away another's place"},
-	{"release-before-end", HolderPlant{Own: ReleaseEarly}, 0, "the place is given up while it is acted upon"},
-	{"any-length", HolderPlant{Own: AnyLength}, 0, "an action is begun that may not end in time"},
-	{"permits-at-holder", HolderPlant{Table: lease.CountOwnEntriesOnly}, 0, "permits are counted among the holder's own"},
-	{"order-ignored", HolderPlant{Table: lease.IgnoreQueueOrder}, 0, "whoever has a place may act"},
-	{"places-not-swept", HolderPlant{Own: NoSweep}, 0, "a place whose putting was answered to nobody stays"},
+	{"entitled-from-answer", HolderDefects{Session: lease.ValidFromResponse}, 0, "a session counts its TTL from the arrival of the response, not from the request"},
+	{"no-rate-margin", HolderDefects{Session: lease.IgnoreSkew}, 0, "a session makes no allowance for clocks that run at different rates"},
+	{"renewal-after-end", HolderDefects{Session: lease.AcceptRejectedRenewal}, 0, "a renewal that the store rejected counts"},
+	{"old-leaders-rest", HolderDefects{}, replica.ShortenInheritedLeases, "a new leader ends inherited leases after the remaining time of the old leader"},
+	{"blind-end", HolderDefects{}, replica.RevokeRenewedLease, "a session without recent renewals is revoked although it was renewed meanwhile"},
+	{"token-counted-anew", HolderDefects{Table: lease.RenumberTokens}, 0, "each process numbers tokens itself"},
+	{"token-not-checked", HolderDefects{Fence: lease.AdmitAllTokens}, 0, "the target admits lower tokens"},
+	{"receiver-forgets", HolderDefects{Fence: lease.ForgetOnRestart}, 0, "the target forgets its highest token when it restarts"},
+	{"release-of-anothers", HolderDefects{Own: ReleaseAnyEntry}, 0, "a release removes the queue entry of another holder"},
+	{"release-before-end", HolderDefects{Own: ReleaseDuringAction}, 0, "the queue entry is removed while an action is in progress"},
+	{"any-length", HolderDefects{Own: IgnoreSessionEnd}, 0, "an action starts although it may not end before the session does"},
+	{"permits-at-holder", HolderDefects{Table: lease.CountOwnEntriesOnly}, 0, "slots are counted among the holder's own queue entries"},
+	{"order-ignored", HolderDefects{Table: lease.IgnoreQueueOrder}, 0, "any holder with a queue entry may act"},
+	{"places-not-swept", HolderDefects{Own: KeepUnusedEntries}, 0, "a queue entry whose response was lost is never removed"},
 }
--- a/internal/lab/storesim/race_test.go
+++ b/internal/lab/storesim/race_test.go
@@ -2,6 +2,6 @@
 
 package storesim
 
-// The race detector makes a run more than ten times as long, and a simulation is one goroutine: here it plays little. The
-// whole is played without it (.ci/run).
+// thorough is false under the race detector, which makes a run more than ten times as long while a simulation has only
+// one goroutine. .ci/run also runs the tests without it, with all seeds.
 const thorough = false
--- a/internal/lab/storesim/storesim.go
+++ b/internal/lab/storesim/storesim.go
@@ -1,13 +1,13 @@
-// Package storesim plays clusters of the replicated store in virtual time: replicas, their disks, the network between
-// them, their clocks, clients and operators all come from one seed, and the same seed plays the same run again.
+// Package storesim simulates clusters of the replicated store in virtual time. Replicas, their disks, the network
+// between them, their clocks, clients and operators are all driven by one seed, and the same seed gives the same run.
 //
-// Faults are crashes in any write, writes that fail, pages that are lost with the disk, links that are cut one way,
-// slow, lossy or doubling, clocks that run apart and processes that pause, members that come and go, and disks that
-// come back empty or old. At each step it is checked that a term has one leader, that entries are applied in one order
-// without holes, that equal positions mean equal states, that no server serves that is known to be out, and that a
-// lease that was renewed does not end. At the end the cluster is healed but for one disk that fails for good, beside which
-// the others must answer (failed.go): every request must end, and the history of all must be linearizable (Herlihy and
-// Wing, 1990), which porcupine decides.
+// The faults are crashes in any write, failing writes, disks that lose their data, links that are cut in one direction,
+// slow, lossy or duplicating, clocks of different rates, paused processes, members that are added and removed, and
+// disks that come back empty or with old contents. Each step checks that a term has one leader, that entries are
+// applied in one order without gaps, that equal indexes mean equal states, that a server that is known to be excluded
+// gets no requests, and that a renewed lease does not expire. At the end all faults are over except one disk, which
+// fails permanently; the other replicas must answer meanwhile (failed.go). Then every request must have ended, and the
+// history of all requests must be linearizable (Herlihy and Wing, 1990), which package porcupine checks.
 package storesim
 
 import (
@@ -28,23 +28,25 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Options say what is played. The zero value is a cluster of three that changes its members now and then.
+// Options are the settings of a run. Zero values stand for the defaults named here: a cluster of three replicas that
+// changes its members from time to time.
 type Options struct {
-	Replicas int // at the start; 3
-	Clients  int // 4
-	Keys     int // that clients write; 4
-	Ops      int // requests of each client; 60
-	Faults   int // that are caused, one after another; 24
-	Gap      int // milliseconds between two of them; 300
+	Replicas int // at the start; default 3
+	Clients  int // default 4
+	Keys     int // that clients write; default 4
+	Ops      int // requests of each client; default 60
+	Faults   int // number of injected faults; default 24
+	Gap      int // milliseconds between two faults; default 300
 	Planted  replica.Defects
-	Watch    Watch // a fault of daemons
-	Holders  int   // daemons that hold tasks; none unless it is told
-	HoldTTL  int   // milliseconds of their sessions; 400
-	Calm     bool  // no faults at all
-	Holder   HolderPlant
-	Mixed    bool // hosts begin with a build of level 1 of commands, and go to this one and back in turn
+	Watch    Watch // injected defect of daemons
+	Holders  int   // daemons that hold tasks; 0: none
+	HoldTTL  int   // TTL of their sessions in milliseconds; default 400
+	Calm     bool  // injects no faults
+	Holder   HolderDefects
+	Mixed    bool // hosts start with a build that knows command level 1, and change to this build and back
 }
 
+// fill sets the defaults.
 func (o *Options) fill() {
 	for _, x := range []struct {
 		v *int
@@ -59,448 +61,453 @@
 	}
 }
 
-// Result is what a run came to.
+// Result is the outcome of a run. Its JSON is part of the output of store sim and task sim.
 type Result struct {
-	Seed     uint64   `json:"seed"`
-	Broken   []string `json:"broken"` // what was found, the first of each kind; none means that all held
-	Ops      int      `json:"ops"`
-	Unknown  int      `json:"unknown"` // answers that left the outcome open, after which the request was sent again
-	Crashes  int      `json:"crashes"`
-	Cuts     int      `json:"cuts"`
-	Joined   int      `json:"joined"`
-	Left     int      `json:"left"`
-	Elected  int      `json:"elected"` // terms with a leader
-	Snaps    int      `json:"snapshots"`
-	Installs int      `json:"installs"`    // of a leader's snapshot
-	Refused  int      `json:"refused"`     // greetings
-	Told     int      `json:"drains_told"` // changes of the store that say that a process drains
-	Over     int      `json:"drains_over"`
-	Sent     int      `json:"sent"`       // requests to servers
-	Raised   int64    `json:"raised"`     // when the cluster came to level 2, in virtual ms; 0: never
-	Steps    int      `json:"steps"`      // changes of a host's build
-	Acts     int      `json:"acts"`       // of holders of tasks
-	Late     int      `json:"late"`       // of those, after a higher token, by processes that had been stopped
-	Failed   string   `json:"failed"`     // what the replica did whose disk failed for good at the end; empty: none did
-	Beside   int      `json:"beside"`     // writes that the others answered meanwhile
-	Slowest  int64    `json:"slowest_us"` // of those
-	Entries  uint64   `json:"entries"`
-	Micros   int64    `json:"virtual_us"`
-
-	EntriesPerS float64 `json:"entries_per_s,omitempty"` // of a run without faults, once all have settled
+	Seed              uint64   `json:"seed"`
+	Broken            []string `json:"broken"` // violations found, the first of each kind
+	Ops               int      `json:"ops"`
+	Unknown           int      `json:"unknown"` // responses that left the outcome unknown; each request was sent again
+	Crashes           int      `json:"crashes"`
+	Cuts              int      `json:"cuts"`
+	Joined            int      `json:"joined"`
+	Left              int      `json:"left"`
+	Elected           int      `json:"elected"` // terms with a leader
+	Snapshots         int      `json:"snapshots"`
+	Installs          int      `json:"installs"`    // of snapshots from a leader
+	HandshakesRefused int      `json:"refused"`     // handshakes that failed replica.Node.Admit
+	Told              int      `json:"drains_told"` // changes of the store that report a draining process
+	Over              int      `json:"drains_over"` // changes of the store that end a drain
+	Sent              int      `json:"sent"`        // requests that sidecars sent to servers
+	Raised            int64    `json:"raised"`      // virtual ms until the cluster used command level 2; 0: never
+	Steps             int      `json:"steps"`       // changes of hosts between the two builds
+	Acts              int      `json:"acts"`        // actions of task holders
+	Late              int      `json:"late"`        // actions of stopped processes after one with a higher token
+	Failed            string   `json:"failed"`      // state of the replica whose disk failed at the end; empty: none
+	Beside            int      `json:"beside"`      // writes that the other replicas answered meanwhile
+	Slowest           int64    `json:"slowest_us"`  // longest response time of those writes
+	Entries           uint64   `json:"entries"`
+	Micros            int64    `json:"virtual_us"`
+
+	EntriesPerS float64 `json:"entries_per_s,omitempty"` // in the second half of a run without faults
 	BytesPerS   float64 `json:"bytes_per_s,omitempty"`
 	Events      int     `json:"events"`
-	Trace       uint64  `json:"trace"` // of all that was applied and answered: equal runs have equal ones
+	Trace       uint64  `json:"trace"` // hash of faults, requests, responses and the final state; equal for equal runs
 }
 
 const (
-	milli   = int64(1000)
-	tick    = 10 * milli
-	second  = eventqueue.Second
-	mostRun = 40 * second
+	milli        = int64(1000) // in microseconds
+	tickMicros   = 10 * milli
+	second       = eventqueue.Second
+	maxRunMicros = 40 * second
 
-	mostEvents = 200_000
+	maxEvents = 200_000
 )
 
 type world struct {
-	o       Options
-	q       *eventqueue.Queue
-	rng     *rand.Rand
-	r       Result
-	hosts   []*host
-	log     map[uint64]uint64 // entries applied anywhere, by index
-	top     uint64
-	bytes   int            // of all entries
-	leader  map[uint64]int // of a term
-	states  map[uint64]uint64
-	links   map[[2]int]*link
-	clean   bool // no faults any more
-	net     netFaults
-	cl      []*client
-	ops     []*outs
-	sum     *xxhash.Digest
-	kinds   map[string]bool
-	leases  []*leaseUser
-	over    bool
-	holders []*daemonSim
-	acted   *things
-	s       servers
-	level   uint64 // of commands that the cluster uses, by the log
-	failed  failedDisk
-}
-
-type netFaults struct{ loss, double, delayed float64 }
+	options        Options
+	queue          *eventqueue.Queue
+	rng            *rand.Rand
+	result         Result
+	hosts          []*host
+	entryHashes    map[uint64]uint64 // hashes of the entries that any replica applied, by index
+	lastIndex      uint64            // highest applied index
+	entryBytes     int               // of all applied entries
+	leaders        map[uint64]int    // number of the leading host, by term
+	stateHashes    map[uint64]uint64 // hashes of the state, by index
+	links          map[[2]int]*link  // by numbers of the sending and the receiving host
+	faultsOver     bool              // no more faults are injected
+	net            netFaults
+	clients        []*client
+	drainOperators []*drainOperator
+	traceHash      *xxhash.Digest  // of Result.Trace
+	reportedKinds  map[string]bool // of reported violations
+	leaseUsers     []*leaseUser
+	finished       bool
+	holders        []*holder
+	targets        *actionTargets
+	servers        serverSim
+	commandLevel   uint64 // command level that the cluster uses, by the log
+	failedDisk     failedDisk
+}
+
+// netFaults are the probabilities of faults for a message between replicas.
+type netFaults struct{ loss, duplicate, delayed float64 }
 
 type link struct{ cut bool }
 
-// host is a place where a replica runs: its disk and, unless it crashed, the process.
+// host is a machine with a replica: its disk and, unless it is down, its process.
 type host struct {
-	w       *world
-	number  int
-	disk    *disk
-	node    *replica.Node
-	boot    int // of the host, so that events of an earlier process find it gone
-	pace    float64
-	paused  bool
-	retired bool // its member was removed
-	joining bool
-	guard   *serverstate.Guard
-	index   uint64
-	waits   map[replica.RequestToken]func(replica.Completion)
-	token   replica.RequestToken
-	mirror  map[string]uint64 // servers that are out, as the truth of what this process was told
-
-	watch      *watcher        // nil before the first start
-	acted      map[string]bool // drains that a copy on this disk has shown, and whose end it has not
-	restarting bool
-	settled    bool
-	seq        uint64
-	old        bool // of the earlier build
-}
-
-// Run plays a seed.
-func Run(seed uint64, o Options) Result {
-	o.fill()
-	w := &world{o: o, q: eventqueue.NewVirtual(), rng: rand.New(rand.NewPCG(seed, 0x6269726368)), log: map[uint64]uint64{},
-		leader: map[uint64]int{}, states: map[uint64]uint64{}, links: map[[2]int]*link{}, sum: xxhash.New(),
-		kinds: map[string]bool{}}
-	w.r.Seed = seed
-	w.failed = failedDisk{w: w, rng: rand.New(rand.NewPCG(seed, 0x6661696c))}
-	w.play()
-	w.r.Micros, w.r.Trace = w.q.Now(), w.sum.Sum64()
-	w.r.Elected, w.r.Entries = len(w.leader), w.top
-	return w.r
-}
-
-func (w *world) broken(kind, format string, args ...any) {
-	if !w.kinds[kind] {
-		w.kinds[kind] = true
-		w.r.Broken = append(w.r.Broken, fmt.Sprintf("%s at %d ms: %s", kind, w.q.Now()/milli, fmt.Sprintf(format, args...)))
+	world        *world
+	number       int
+	disk         *disk
+	node         *replica.Node
+	boot         int     // number of starts and crashes; events of an earlier process do nothing
+	clockRate    float64 // of its clock, relative to true time
+	paused       bool
+	removed      bool // its member was removed
+	inChange     bool // operators are adding, removing or replacing its member
+	guard        *serverstate.Guard
+	appliedIndex uint64
+	pending      map[replica.RequestToken]func(replica.Completion) // handlers of open requests
+	lastToken    replica.RequestToken
+	exclusions   map[string]uint64 // revisions of the exclusions that this process was told of, by key
+
+	daemon      *hostDaemon     // nil before the first start
+	shownDrains map[string]bool // keys of drains that a copy on this disk has shown, but not their end
+	restarting  bool
+	caughtUp    bool // the guard was told that the copy is up to date
+	seq         uint64
+	oldBuild    bool // runs the build that knows command level 1 only
+}
+
+// Run simulates one seed. It is safe for concurrent use.
+func Run(seed uint64, options Options) Result {
+	options.fill()
+	w := &world{options: options, queue: eventqueue.NewVirtual(), rng: rand.New(rand.NewPCG(seed, 0x6269726368)), entryHashes: map[uint64]uint64{},
+		leaders: map[uint64]int{}, stateHashes: map[uint64]uint64{}, links: map[[2]int]*link{}, traceHash: xxhash.New(),
+		reportedKinds: map[string]bool{}}
+	w.result.Seed = seed
+	w.failedDisk = failedDisk{world: w, rng: rand.New(rand.NewPCG(seed, 0x6661696c))}
+	w.simulate()
+	w.result.Micros, w.result.Trace = w.queue.Now(), w.traceHash.Sum64()
+	w.result.Elected, w.result.Entries = len(w.leaders), w.lastIndex
+	return w.result
+}
+
+// reportViolation adds a violation to the result, unless one of its kind is there already.
+func (w *world) reportViolation(kind, format string, args ...any) {
+	if !w.reportedKinds[kind] {
+		w.reportedKinds[kind] = true
+		w.result.Broken = append(w.result.Broken, fmt.Sprintf("%s at %d ms: %s", kind, w.queue.Now()/milli, fmt.Sprintf(format, args...)))
 	}
 }
 
 func (w *world) config(h *host) replica.Config {
-	return replica.Config{Rand: rand.New(rand.NewPCG(w.rng.Uint64(), 1)), ElectionTicks: 10, TickMillis: int(tick / milli), RequestTimeoutTicks: 60,
-		SnapshotLogBytes: 2000, RetainedEntries: 8 + w.rng.IntN(40), MaxMessageBytes: 4096, Defects: w.o.Planted,
-		KnownLevel: h.knows(), OnEntry: func(e *raftpb.Entry) { h.observe(e) }}
+	return replica.Config{Rand: rand.New(rand.NewPCG(w.rng.Uint64(), 1)), ElectionTicks: 10, TickMillis: int(tickMicros / milli), RequestTimeoutTicks: 60,
+		SnapshotLogBytes: 2000, RetainedEntries: 8 + w.rng.IntN(40), MaxMessageBytes: 4096, Defects: w.options.Planted,
+		KnownLevel: h.knownLevel(), OnEntry: func(e *raftpb.Entry) { h.checkEntry(e) }}
 }
 
-// observe checks each entry before it is applied.
-func (h *host) observe(e *raftpb.Entry) {
-	w := h.w
+// checkEntry checks each entry before it is applied.
+func (h *host) checkEntry(e *raftpb.Entry) {
+	w := h.world
 	sum := xxhash.Sum64(append([]byte(fmt.Sprintf("%d %d ", e.GetTerm(), e.GetType())), e.Data...))
-	if was, ok := w.log[e.GetIndex()]; ok && was != sum {
-		w.broken("order", "host %d applies another entry %d than was applied before", h.number, e.GetIndex())
+	if previous, ok := w.entryHashes[e.GetIndex()]; ok && previous != sum {
+		w.reportViolation("order", "host %d applies another entry %d than was applied before", h.number, e.GetIndex())
 	}
-	if _, before := w.log[e.GetIndex()]; !before {
-		w.bytes += len(e.Data)
+	if _, before := w.entryHashes[e.GetIndex()]; !before {
+		w.entryBytes += len(e.Data)
 	}
-	w.log[e.GetIndex()] = sum
-	h.level(e)
-	w.top = max(w.top, e.GetIndex())
-	if e.GetIndex() != h.index+1 {
-		w.broken("hole", "host %d applies entry %d after %d", h.number, e.GetIndex(), h.index)
+	w.entryHashes[e.GetIndex()] = sum
+	h.observeLevel(e)
+	w.lastIndex = max(w.lastIndex, e.GetIndex())
+	if e.GetIndex() != h.appliedIndex+1 {
+		w.reportViolation("hole", "host %d applies entry %d after %d", h.number, e.GetIndex(), h.appliedIndex)
 	}
-	h.index = e.GetIndex()
+	h.appliedIndex = e.GetIndex()
 }
 
-func (w *world) play() {
-	begin := int64(w.o.Replicas) * 600 * milli
-	w.beginServers(begin)
+// simulate sets up the cluster, its clients and the faults, and runs them.
+func (w *world) simulate() {
+	startAt := int64(w.options.Replicas) * 600 * milli
+	w.startServers(startAt)
 	first := w.addHost()
-	if err := replica.Bootstrap(first.disk, 7, "r0", "r0", store.Limits{KeyBytes: 64, ValueBytes: 256, TotalBytes: 1 << 20, TxnOps: 16, HistoryEvents: max(200, 4*w.o.Holders),
-		HistoryBytes: 1 << 16, Leases: 64 + 2*w.o.Holders, Results: 20000, Members: 7}); err != nil {
+	if err := replica.Bootstrap(first.disk, 7, "r0", "r0", store.Limits{KeyBytes: 64, ValueBytes: 256, TotalBytes: 1 << 20, TxnOps: 16, HistoryEvents: max(200, 4*w.options.Holders),
+		HistoryBytes: 1 << 16, Leases: 64 + 2*w.options.Holders, Results: 20000, Members: 7}); err != nil {
 		panic(err)
 	}
 	first.start()
-	for i := 1; i < w.o.Replicas; i++ {
-		w.q.After(int64(i)*400*milli, func() { w.join() })
+	for i := 1; i < w.options.Replicas; i++ {
+		w.queue.After(int64(i)*400*milli, func() { w.addMember() })
 	}
-	for i := range w.o.Clients {
-		c := &client{w: w, id: uint64(100 + i)}
-		w.cl = append(w.cl, c)
-		w.q.After(begin+w.rng.Int64N(50*milli), c.next)
+	for i := range w.options.Clients {
+		c := &client{world: w, id: uint64(100 + i)}
+		w.clients = append(w.clients, c)
+		w.queue.After(startAt+w.rng.Int64N(50*milli), c.next)
 	}
 	for i := range 2 {
-		l := &leaseUser{w: w, id: uint64(200 + i)}
-		w.leases = append(w.leases, l)
-		w.q.After(begin, l.begin)
+		l := &leaseUser{world: w, id: uint64(200 + i)}
+		w.leaseUsers = append(w.leaseUsers, l)
+		w.queue.After(startAt, l.grant)
 	}
 	for i := range 2 {
-		u := &outs{w: w, id: uint64(300 + i)}
-		w.ops = append(w.ops, u)
-		w.q.After(begin, u.next)
+		u := &drainOperator{world: w, id: uint64(300 + i)}
+		w.drainOperators = append(w.drainOperators, u)
+		w.queue.After(startAt, u.next)
 	}
-	w.beginHolders(begin)
-	b := &bounds{w: w, id: 500}
-	w.q.After(begin, b.next)
-	if w.o.Mixed {
-		w.q.After(begin, w.step)
+	w.startHolders(startAt)
+	keyLimits := &keyLimitClient{world: w, id: 500}
+	w.queue.After(startAt, keyLimits.next)
+	if w.options.Mixed {
+		w.queue.After(startAt, w.changeBuild)
 	}
-	for i := range w.o.Faults {
-		w.q.After(begin+int64(i+1)*w.gap()+w.rng.Int64N(200*milli), w.cause)
+	for i := range w.options.Faults {
+		w.queue.After(startAt+int64(i+1)*w.gap()+w.rng.Int64N(200*milli), w.injectFault)
 	}
-	if w.o.Calm {
-		w.measure(begin)
+	if w.options.Calm {
+		w.measure(startAt)
 	}
-	w.q.After(begin+int64(w.o.Faults+2)*w.gap(), w.heal)
+	w.queue.After(startAt+int64(w.options.Faults+2)*w.gap(), w.endFaults)
 	w.run()
 }
 
+// run runs all events until endFaults finishes the run, or reports a standstill after maxRunMicros or maxEvents.
 func (w *world) run() {
-	long := 1 + int(int64(w.o.Faults)*w.gap()/mostRun) + w.o.Holders/4
+	scale := 1 + int(int64(w.options.Faults)*w.gap()/maxRunMicros) + w.options.Holders/4
 	done := func() bool {
-		w.r.Events++
-		return w.over || w.q.Now() > mostRun*int64(long) || w.r.Events > mostEvents*long
+		w.result.Events++
+		return w.finished || w.queue.Now() > maxRunMicros*int64(scale) || w.result.Events > maxEvents*scale
 	}
-	_ = w.q.Run(context.Background(), done)
-	if !w.over {
-		w.broken("standstill", "requests are open: %s", w.open())
+	_ = w.queue.Run(context.Background(), done)
+	if !w.finished {
+		w.reportViolation("standstill", "requests are open: %s", w.describeOpen())
 	}
-	w.judge()
+	w.checkResults()
 }
 
-// measure counts what the log takes in the second half of a run without faults, when all have settled.
-func (w *world) measure(begin int64) {
-	var top uint64
-	var bytes int
-	w.q.After(begin+w.gap(), func() { top, bytes = w.top, w.bytes })
-	w.q.After(begin+2*w.gap()-1, func() {
+// measure counts the log's entries and bytes in the second half of a run without faults, when the cluster has settled.
+func (w *world) measure(startAt int64) {
+	var firstIndex uint64
+	var firstBytes int
+	w.queue.After(startAt+w.gap(), func() { firstIndex, firstBytes = w.lastIndex, w.entryBytes })
+	w.queue.After(startAt+2*w.gap()-1, func() {
 		seconds := float64(w.gap()) / float64(second)
-		w.r.EntriesPerS, w.r.BytesPerS = float64(w.top-top)/seconds, float64(w.bytes-bytes)/seconds
+		w.result.EntriesPerS, w.result.BytesPerS = float64(w.lastIndex-firstIndex)/seconds, float64(w.entryBytes-firstBytes)/seconds
 	})
 }
 
-// gap is the time between two faults.
-func (w *world) gap() int64 { return int64(w.o.Gap) * milli }
+// gap returns the microseconds between two faults.
+func (w *world) gap() int64 { return int64(w.options.Gap) * milli }
 
-func (w *world) open() string {
-	n, l := 0, 0
-	for _, c := range w.cl {
+// describeOpen describes the open clients and the replicas, for the report of a standstill.
+func (w *world) describeOpen() string {
+	openClients, leaders := 0, 0
+	for _, c := range w.clients {
 		if !c.finished {
-			n++
+			openClients++
 		}
 	}
 	for _, h := range w.hosts {
 		if h.node != nil && h.node.Leading() {
-			l++
+			leaders++
 		}
 	}
-	s := fmt.Sprintf("%d clients, %d leaders;", n, l)
+	text := fmt.Sprintf("%d clients, %d leaders;", openClients, leaders)
 	for _, h := range w.hosts {
 		switch {
-		case h.retired:
+		case h.removed:
 		case h.node == nil:
-			s += fmt.Sprintf(" %d down", h.number)
+			text += fmt.Sprintf(" %d down", h.number)
 		default:
-			s += fmt.Sprintf(" %d applied %d", h.number, h.index)
+			text += fmt.Sprintf(" %d applied %d", h.number, h.appliedIndex)
 		}
 	}
-	return s
+	return text
 }
 
-// quiet says whether all requests have ended.
-func (w *world) quiet() bool {
-	for _, c := range w.cl {
+// requestsDone reports whether all faults are over and all clients have finished.
+func (w *world) requestsDone() bool {
+	for _, c := range w.clients {
 		if !c.finished {
 			return false
 		}
 	}
-	return w.clean
+	return w.faultsOver
 }
 
 func (w *world) addHost() *host {
-	h := &host{w: w, number: len(w.hosts), disk: newDisk(w.rng), pace: 0.9 + 0.2*w.rng.Float64(), acted: map[string]bool{},
-		old: w.o.Mixed}
+	h := &host{world: w, number: len(w.hosts), disk: newDisk(w.rng), clockRate: 0.9 + 0.2*w.rng.Float64(), shownDrains: map[string]bool{},
+		oldBuild: w.options.Mixed}
 	w.hosts = append(w.hosts, h)
 	return h
 }
 
-// start begins a process on the host's disk.
+// start starts a process on the host's disk.
 func (h *host) start() {
-	w := h.w
+	w := h.world
 	h.boot++
-	h.disk.begin()
-	h.waits, h.paused = map[replica.RequestToken]func(replica.Completion){}, false
+	h.disk.open()
+	h.pending, h.paused = map[replica.RequestToken]func(replica.Completion){}, false
 	n, err := replica.New(w.config(h), h.disk)
 	if err != nil {
-		if h.old && errors.Is(err, store.ErrUnknownCommand) { // as it should: operators start the newer build
-			h.old = false
-			h.again()
+		if h.oldBuild && errors.Is(err, store.ErrUnknownCommand) { // as designed: operators start the newer build
+			h.oldBuild = false
+			h.restartLater()
 			return
 		}
-		w.broken("start", "host %d: %v", h.number, err)
+		w.reportViolation("start", "host %d: %v", h.number, err)
 		return
 	}
-	h.node, h.index = n, n.State().Index()
-	h.guard, h.mirror = serverstate.NewGuard(fmt.Sprint(h.number)), map[string]uint64{}
-	if w.o.Planted&replica.EagerReturn != 0 {
+	h.node, h.appliedIndex = n, n.State().Index()
+	h.guard, h.exclusions = serverstate.NewGuard(fmt.Sprint(h.number)), map[string]uint64{}
+	if w.options.Planted&replica.EagerReturn != 0 {
 		h.guard.InjectEagerReadmission()
 	}
-	h.restarting, h.settled = true, false
-	h.beginWatch()
-	h.adopt()
-	if w.o.Watch != ForgetDisk {
+	h.restarting, h.caughtUp = true, false
+	h.startDaemon()
+	h.resetCopy()
+	if w.options.Watch != IgnoreUncommitted {
 		n.Uncommitted(func(c *store.Command) { h.guard.Uncommitted(c) })
 	}
 	h.restarting = false
 	boot := h.boot
-	var beat func()
-	beat = func() {
-		if h.boot != boot || h.node == nil || w.over {
+	var onTick func()
+	onTick = func() {
+		if h.boot != boot || h.node == nil || w.finished {
 			return
 		}
 		if !h.paused {
 			h.node.Tick()
-			h.drive()
+			h.processNode()
 			if h.boot == boot && h.node != nil {
-				h.beat()
+				h.tickDaemon()
 			}
 		}
-		w.q.After(int64(float64(tick)*h.pace), beat)
+		w.queue.After(int64(float64(tickMicros)*h.clockRate), onTick)
 	}
-	w.q.After(w.rng.Int64N(tick), beat)
+	w.queue.After(w.rng.Int64N(tickMicros), onTick)
 }
 
-// adopt takes a whole state.
-func (h *host) adopt() {
+// resetCopy takes over the whole state, after a start or an installed snapshot.
+func (h *host) resetCopy() {
 	if err := h.guard.Reset(h.node.State()); err != nil {
-		h.w.broken("guard", "host %d: %v", h.number, err)
+		h.world.reportViolation("guard", "host %d: %v", h.number, err)
 	}
-	for s := range h.mirror {
-		delete(h.mirror, s)
+	for s := range h.exclusions {
+		delete(h.exclusions, s)
 	}
 	h.node.State().Range(serverstate.ExclusionPrefix, store.PrefixEnd(serverstate.ExclusionPrefix), func(i store.Item) bool {
-		h.mirror[i.Key] = i.ModRevision
+		h.exclusions[i.Key] = i.ModRevision
 		return true
 	})
-	h.watchAdopt()
-	h.node.State().OnEvent(h.event)
+	h.resetDrains()
+	h.node.State().OnEvent(h.applyEvent)
 }
 
-// event is a change of the state, which this process is told of.
-func (h *host) event(e store.Event) {
+// applyEvent handles a change of the state.
+func (h *host) applyEvent(e store.Event) {
 	h.guard.Apply(e)
 	if e.Deleted {
-		delete(h.mirror, e.Item.Key)
+		delete(h.exclusions, e.Item.Key)
 	} else if len(e.Item.Key) > 4 && e.Item.Key[:4] == serverstate.ExclusionPrefix {
-		h.mirror[e.Item.Key] = e.Revision
+		h.exclusions[e.Item.Key] = e.Revision
 	}
-	h.watchEvent(e)
-	for _, l := range h.w.leases {
-		l.saw(e)
+	h.observeDrainEvent(e)
+	for _, l := range h.world.leaseUsers {
+		l.checkEvent(e)
 	}
 }
 
-// look checks that what is known to be out does not serve here.
-func (h *host) look() {
-	for _, u := range h.w.ops {
-		for key, at := range u.heard {
+// checkExclusions checks that the guard excludes every server that this process knows to be excluded.
+func (h *host) checkExclusions() {
+	for _, u := range h.world.drainOperators {
+		for key, at := range u.observed {
 			if at.host == h.number && at.boot == h.boot && !h.guard.Excluded(at.server) {
-				h.w.broken("stale drain", "host %d lets %s serve, which it heard to be out", h.number, key)
+				h.world.reportViolation("stale drain", "host %d lets %s serve, which it heard to be out", h.number, key)
 			}
 		}
 	}
-	for key := range h.mirror {
+	for key := range h.exclusions {
 		if !h.guard.Excluded(key[len("out/drain/"):]) {
-			h.w.broken("stale drain", "host %d lets serve what its copy says is out: %s", h.number, key)
+			h.world.reportViolation("stale drain", "host %d lets serve what its copy says is out: %s", h.number, key)
 		}
 	}
 }
 
-// crash ends the process; what it had not written is gone.
+// crash ends the process, which loses what it had not written.
 func (h *host) crash() {
 	h.boot++
 	h.node = nil
-	h.w.r.Crashes++
-	h.disk.end()
+	h.world.result.Crashes++
+	h.disk.closeCrashed()
 }
 
-// drive lets the node work, and does what it asks for.
-func (h *host) drive() {
-	n, w := h.node, h.w
+// processNode runs the node's pending work, and handles its output.
+func (h *host) processNode() {
+	n, w := h.node, h.world
 	if n == nil {
 		return
 	}
 	out := n.Process()
 	if n.Leading() && n.Failed() == nil {
 		term := n.Term()
-		if was, ok := w.leader[term]; ok && was != h.number {
-			w.broken("two leaders", "term %d is led by hosts %d and %d", term, was, h.number)
+		if previous, ok := w.leaders[term]; ok && previous != h.number {
+			w.reportViolation("two leaders", "term %d is led by hosts %d and %d", term, previous, h.number)
 		}
-		w.leader[term] = h.number
+		w.leaders[term] = h.number
 	}
 	for _, m := range out.Messages {
 		h.send(m)
 	}
 	if out.StateReplaced {
-		w.r.Installs++
-		h.index = n.State().Index()
-		h.adopt()
+		w.result.Installs++
+		h.appliedIndex = n.State().Index()
+		h.resetCopy()
 	}
-	if !h.settled && n.CaughtUp() {
-		h.settled = true
+	if !h.caughtUp && n.CaughtUp() {
+		h.caughtUp = true
 		h.guard.CaughtUp()
 	}
 	if out.AppliedEntries > 0 || out.StateReplaced {
-		h.look()
-		h.compare()
-		h.boundsHeld()
+		h.checkExclusions()
+		h.compareState()
+		h.checkKeyLimit()
 	}
 	for _, d := range out.Completions {
-		if f := h.waits[d.Token]; f != nil {
-			delete(h.waits, d.Token)
+		if f := h.pending[d.Token]; f != nil {
+			delete(h.pending, d.Token)
 			f(d)
 		}
 	}
 	if j := out.Snapshot; j != nil {
-		w.r.Snaps++
+		w.result.Snapshots++
 		boot := h.boot
-		w.q.After(w.rng.Int64N(60*milli), func() {
+		w.queue.After(w.rng.Int64N(60*milli), func() {
 			if h.boot == boot && h.node != nil {
 				h.node.SnapshotDone(j, j.Run())
-				h.drive()
+				h.processNode()
 			}
 		})
 	}
 	if err := n.Failed(); err != nil && h.node == n {
-		if h.disk.broke && h == w.failed.victim {
-			return // nobody starts it again, for now
+		if h.disk.failed && h == w.failedDisk.victim {
+			return // failedDisk restarts it later
 		}
-		if h.old && errors.Is(err, store.ErrUnknownCommand) {
-			if w.level < store.Level {
-				w.broken("level", "host %d was sent what its build does not know, and the cluster uses level %d: %v", h.number, w.level, err)
+		if h.oldBuild && errors.Is(err, store.ErrUnknownCommand) {
+			if w.commandLevel < store.Level {
+				w.reportViolation("level", "host %d was sent what its build does not know, and the cluster uses level %d: %v", h.number, w.commandLevel, err)
 			}
-			h.old = false // it stopped before it applied what it does not know, and said so: a newer build is started
+			h.oldBuild = false // it stopped before it applied the unknown command, so operators start the newer build
 		}
-		if h.disk.broke || h.disk.dead || h.retired || h.joining || w.o.Mixed && errors.Is(err, store.ErrUnknownCommand) {
-			h.crash() // as its own supervisor would have it; the world starts it again
-			h.again()
+		if h.disk.failed || h.disk.crashed || h.removed || h.inChange || w.options.Mixed && errors.Is(err, store.ErrUnknownCommand) {
+			h.crash() // as its supervisor does, which starts it again
+			h.restartLater()
 			return
 		}
-		if w.o.Planted == 0 {
-			w.broken("stopped", "host %d: %v", h.number, err)
+		if w.options.Planted == 0 {
+			w.reportViolation("stopped", "host %d: %v", h.number, err)
 		}
 		h.crash()
-		h.again()
+		h.restartLater()
 	}
 }
 
-// again starts the process after a while.
-func (h *host) again() {
+// restartLater starts the process after a random delay.
+func (h *host) restartLater() {
 	boot := h.boot
-	after := h.w.rng.Int64N(800 * milli)
-	if h.w.rng.IntN(2) == 0 {
-		after /= 32 // at once, within the election that it voted in
+	after := h.world.rng.Int64N(800 * milli)
+	if h.world.rng.IntN(2) == 0 {
+		after /= 32 // soon, within the election in which it voted
 	}
-	h.w.q.After(after, func() {
-		if h.boot == boot && h.node == nil && !h.retired {
+	h.world.queue.After(after, func() {
+		if h.boot == boot && h.node == nil && !h.removed {
 			h.start()
 		}
 	})
 }
 
-// compare holds the state against that of others at the same entry.
-func (h *host) compare() {
+// compareState compares the state with that of other replicas at the same index.
+func (h *host) compareState() {
 	s := h.node.State()
 	if s.Index()%16 != 0 {
 		return
@@ -510,43 +517,44 @@
 		panic(err)
 	}
 	sum := xxhash.Sum64(b.Bytes())
-	if was, ok := h.w.states[s.Index()]; ok && was != sum {
-		h.w.broken("states differ", "host %d at entry %d", h.number, s.Index())
+	if previous, ok := h.world.stateHashes[s.Index()]; ok && previous != sum {
+		h.world.reportViolation("states differ", "host %d at entry %d", h.number, s.Index())
 	}
-	h.w.states[s.Index()] = sum
+	h.world.stateHashes[s.Index()] = sum
 }
 
-// send takes a message to another host, as its bytes.
+// send sends a message to another host in its encoded form.
 func (h *host) send(m *raftpb.Message) {
-	w := h.w
-	to := w.byMember(m.GetTo())
+	w := h.world
+	to := w.hostOfMember(m.GetTo())
 	if to == nil {
 		return
 	}
-	if m.GetType() == raftpb.MsgVote && !w.clean && w.rng.IntN(6) == 0 {
-		w.deafen(h, to) // one does not hear of an election
+	if m.GetType() == raftpb.MsgVote && !w.faultsOver && w.rng.IntN(6) == 0 {
+		w.cutLinkBriefly(h, to) // the receiver misses the election
 	}
 	l := w.links[[2]int{h.number, to.number}]
 	if l != nil && l.cut || w.rng.Float64() < w.net.loss {
 		if m.GetType() == raftpb.MsgSnap {
-			h.later(func() { h.node.ReportSnapshot(m.GetTo(), false) })
+			h.afterDelay(func() { h.node.ReportSnapshot(m.GetTo(), false) })
 		}
 		return
 	}
-	b, err := proto.Marshal(m)
+	data, err := proto.Marshal(m)
 	if err != nil {
 		panic(err)
 	}
-	if m.GetType() == raftpb.MsgVoteResp && !m.GetReject() && !w.clean && w.rng.IntN(4) == 0 {
-		// It dies right after it voted, and is back while that election goes on; the one elected may not be heard.
+	if m.GetType() == raftpb.MsgVoteResp && !m.GetReject() && !w.faultsOver && w.rng.IntN(4) == 0 {
+		// The voter crashes right after its vote and is back during the same election. The candidate's messages may be
+		// lost.
 		boot := h.boot
 		if w.rng.IntN(2) == 0 {
 			for _, x := range w.hosts {
-				w.deafen(to, x)
+				w.cutLinkBriefly(to, x)
 			}
 		}
-		w.q.After(milli, func() {
-			if h.boot == boot && h.node != nil && !h.retired && !h.joining {
+		w.queue.After(milli, func() {
+			if h.boot == boot && h.node != nil && !h.removed && !h.inChange {
 				h.crash()
 				h.start()
 			}
@@ -554,7 +562,7 @@
 	}
 	hello := h.node.Hello()
 	copies := 1
-	if w.rng.Float64() < w.net.double {
+	if w.rng.Float64() < w.net.duplicate {
 		copies = 2
 	}
 	for range copies {
@@ -562,71 +570,74 @@
 		if w.rng.Float64() < w.net.delayed {
 			delay += w.rng.Int64N(150 * milli)
 		}
-		w.q.After(delay, func() { to.receive(hello, h, b) })
+		w.queue.After(delay, func() { to.receive(hello, h, data) })
 	}
 	if m.GetType() == raftpb.MsgSnap {
-		h.later(func() { h.node.ReportSnapshot(m.GetTo(), true) })
+		h.afterDelay(func() { h.node.ReportSnapshot(m.GetTo(), true) })
 	}
 }
 
-// deafen cuts a link one way for a while.
-func (w *world) deafen(from, to *host) {
+// cutLinkBriefly cuts a link in one direction for 200 to 400 ms.
+func (w *world) cutLinkBriefly(from, to *host) {
 	l := w.link(from, to)
 	l.cut = true
-	w.q.After(200*milli+w.rng.Int64N(200*milli), func() { l.cut = false })
+	w.queue.After(200*milli+w.rng.Int64N(200*milli), func() { l.cut = false })
 }
 
-func (h *host) later(f func()) {
+// afterDelay calls f after 5 ms, unless the process has ended by then.
+func (h *host) afterDelay(f func()) {
 	boot := h.boot
-	h.w.q.After(5*milli, func() {
+	h.world.queue.After(5*milli, func() {
 		if h.boot == boot && h.node != nil {
 			f()
 		}
 	})
 }
 
-func (h *host) receive(hello replica.Hello, from *host, b []byte) {
+// receive handles an encoded message and the sender's handshake at the time it was sent.
+func (h *host) receive(hello replica.Hello, from *host, data []byte) {
 	if h.node == nil || h.paused {
 		return
 	}
 	var m raftpb.Message
-	if err := proto.Unmarshal(b, &m); err != nil {
+	if err := proto.Unmarshal(data, &m); err != nil {
 		panic(err)
 	}
-	// Both sides judge the other's greeting, as they do when a connection comes up. Once links hold, a process greets once: what it
-	// sends is not refused because a later answer of its overtook it.
-	if h.w.clean && from.node != nil && from.node.Hello().Identity == hello.Identity {
+	// Both sides check the other's handshake, as they do when a connection is established. Once faults are over, links
+	// stay up and a process sends one handshake only, so a message is not refused because a later one overtook it.
+	if h.world.faultsOver && from.node != nil && from.node.Hello().Identity == hello.Identity {
 		hello = from.node.Hello()
 	}
 	if err := h.node.Admit(hello); err != nil {
-		h.w.r.Refused++
+		h.world.result.HandshakesRefused++
 		return
 	}
 	if from.node != nil {
 		if err := from.node.Admit(h.node.Hello()); err != nil {
-			h.w.r.Refused++
+			h.world.result.HandshakesRefused++
 			return
 		}
 	}
 	h.node.Step(&m)
-	h.drive()
+	h.processNode()
 }
 
-// byMember finds the host whose disk is a member's. A member's place that an empty disk claims is that host's.
-func (w *world) byMember(id uint64) *host {
+// hostOfMember returns the host whose disk belongs to a member, or nil. A host with an empty disk in place of the
+// member's counts as well.
+func (w *world) hostOfMember(id uint64) *host {
 	for _, h := range slices.Backward(w.hosts) {
-		if h.disk.saved.Identity.MemberID == id && !h.retired {
+		if h.disk.contents.Identity.MemberID == id && !h.removed {
 			return h
 		}
 	}
 	return nil
 }
 
-// up returns a host whose process runs, or nil.
-func (w *world) up() *host {
+// randomUpHost returns a random host whose process runs, or nil.
+func (w *world) randomUpHost() *host {
 	var up []*host
 	for _, h := range w.hosts {
-		if h.node != nil && !h.paused && !h.retired && !h.joining {
+		if h.node != nil && !h.paused && !h.removed && !h.inChange {
 			up = append(up, h)
 		}
 	}
@@ -636,35 +647,37 @@
 	return up[w.rng.IntN(len(up))]
 }
 
-// propose gives a host a command; f is called once, also if the process ends before it answers.
-func (h *host) propose(c store.Command, f func(replica.Completion)) {
-	h.call(func(t replica.RequestToken) { h.node.Propose(t, &c) }, f)
+// propose proposes a command at the host. It calls handle once, also if the process ends before it responds.
+func (h *host) propose(c store.Command, handle func(replica.Completion)) {
+	h.call(func(t replica.RequestToken) { h.node.Propose(t, &c) }, handle)
 }
 
-func (h *host) read(f func(replica.Completion)) {
-	h.call(func(t replica.RequestToken) { h.node.Read(t) }, f)
+// read starts a linearizable read at the host, and calls handle as propose does.
+func (h *host) read(handle func(replica.Completion)) {
+	h.call(func(t replica.RequestToken) { h.node.Read(t) }, handle)
 }
 
-func (h *host) call(do func(replica.RequestToken), f func(replica.Completion)) {
-	h.token++
-	t, boot, answered := h.token, h.boot, false
-	h.waits[t] = func(d replica.Completion) { answered = true; f(d) }
+// call submits a request to the node, and calls handle once, with an unknown outcome if the process ends before.
+func (h *host) call(submit func(replica.RequestToken), handle func(replica.Completion)) {
+	h.lastToken++
+	t, boot, answered := h.lastToken, h.boot, false
+	h.pending[t] = func(d replica.Completion) { answered = true; handle(d) }
 	if h.node == nil {
-		h.w.q.After(1, func() { f(replica.Completion{Token: t, Err: replica.ErrNoLeader}) })
+		h.world.queue.After(1, func() { handle(replica.Completion{Token: t, Err: replica.ErrNoLeader}) })
 		return
 	}
-	do(t)
-	h.drive()
-	// The caller gives up on a process that is gone.
-	var watch func()
-	watch = func() {
+	submit(t)
+	h.processNode()
+	// The caller's connection breaks when the process ends.
+	var checkProcess func()
+	checkProcess = func() {
 		switch {
 		case answered:
 		case h.boot != boot:
-			f(replica.Completion{Token: t, Err: replica.ErrOutcomeUnknown})
+			handle(replica.Completion{Token: t, Err: replica.ErrOutcomeUnknown})
 		default:
-			h.w.q.After(100*milli, watch)
+			h.world.queue.After(100*milli, checkProcess)
 		}
 	}
-	h.w.q.After(100*milli, watch)
+	h.world.queue.After(100*milli, checkProcess)
 }
--- a/internal/lab/storesim/storesim_test.go
+++ b/internal/lab/storesim/storesim_test.go
@@ -10,19 +10,19 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestSeedsKeepAllPromises(t *testing.T) {
+func TestGuaranteesHoldForSeeds(t *testing.T) {
 	seeds := uint64(2)
 	if thorough {
 		seeds = 60
 	}
 	for seed := range seeds {
 		if r := Run(seed, Options{}); len(r.Broken) > 0 {
-			t.Errorf("seed %d: %q", seed, r.Broken)
+			t.Errorf("seed %d: violations %q", seed, r.Broken)
 		}
 	}
 }
 
-// Two builds in one cluster, a step up and back in turn: no promise is broken, and the newer's commands are used in the end.
+// Upgrades and downgrades between two builds break no guarantee of the cluster.
 func TestTwoBuildsInOneCluster(t *testing.T) {
 	seeds := uint64(1)
 	if thorough {
@@ -30,21 +30,21 @@
 	}
 	for seed := range seeds {
 		if r := Run(seed, Options{Mixed: true}); len(r.Broken) > 0 || r.Steps == 0 {
-			t.Errorf("seed %d: %d steps, %q", seed, r.Steps, r.Broken)
+			t.Errorf("seed %d: %d changes of builds, violations %q", seed, r.Steps, r.Broken)
 		}
 	}
 }
 
-func TestASeedPlaysTheSameAgain(t *testing.T) {
+func TestSameSeedGivesSameResult(t *testing.T) {
 	for seed := range uint64(1) {
 		if d := cmp.Diff(Run(seed, Options{}), Run(seed, Options{})); d != "" {
-			t.Errorf("seed %d: %s", seed, d)
+			t.Errorf("two runs of seed %d differ (-first +second):\n%s", seed, d)
 		}
 	}
 }
 
-// Each planted fault is found; the rarest, a forgotten vote, by the seventeenth seed.
-func TestPlantedFaultsAreFound(t *testing.T) {
+// Each injected defect is found. The rarest, a vote that is not written, takes until the seventeenth seed.
+func TestInjectedDefectsAreFound(t *testing.T) {
 	faults := Faults
 	if !thorough {
 		faults = faults[2:3]
@@ -55,14 +55,14 @@
 			found = len(Run(seed, Options{Planted: p.Fault, Watch: p.Watch, Mixed: p.Name == "any-level"}).Broken) > 0
 		}
 		if !found {
-			t.Errorf("%s: not found", p.Name)
+			t.Errorf("%s: no seed below 200 found the injected defect", p.Name)
 		}
 	}
 }
 
-// A disk fails for good under one of three, whatever it is about: the other two answer what is put to them. A leader that goes on
-// telling that it leads would keep them from it, and is found.
-func TestTheOthersAnswerBesideADiskThatFailed(t *testing.T) {
+// The disk of one of three replicas fails permanently, in any state of the replica, and the other two must answer all
+// writes. A leader that keeps sending heartbeats after its disk failed prevents that, and this defect is found.
+func TestMajorityAnswersWhileADiskHasFailed(t *testing.T) {
 	o := Options{Calm: true, Ops: 5, Clients: 1}
 	seeds := uint64(8)
 	if thorough {
@@ -70,7 +70,7 @@
 	}
 	for seed := range seeds {
 		if r := Run(seed, o); len(r.Broken) > 0 || r.Beside == 0 {
-			t.Errorf("seed %d: it %s, %d answers beside it, %q", seed, r.Failed, r.Beside, r.Broken)
+			t.Errorf("seed %d: the replica whose disk failed %s, the others answered %d writes, violations %q", seed, r.Failed, r.Beside, r.Broken)
 		}
 	}
 	o.Planted = replica.LeadAfterFailure
@@ -79,7 +79,7 @@
 	}
 	for seed := uint64(0); !found(seed); seed++ {
 		if seed == 40 {
-			t.Fatal("a leader that leads on is not found")
+			t.Fatal("no seed below 40 found the leader that leads after its disk failed")
 		}
 	}
 }
--- a/internal/lab/storesim/watch.go
+++ b/internal/lab/storesim/watch.go
@@ -10,221 +10,226 @@
 	"birchmoor/internal/store/serverstate"
 )
 
-// Servers that drain and start anew stand beside the cluster, and count. Each host has a daemon, which hears of them from a
-// discovery of its own, late or not at all for a while, and tells the store by the rules that real daemons go by
-// (serverstate.ReportScheduler, serverstate.Guard); and a sidecar, which sends to every server that it holds to serve. What is checked:
+// Servers next to the cluster drain and restart. Each host has a daemon, which learns of them from a discovery of its
+// own, late or not at all for a while, and reports drains to the store by the rules of real daemons
+// (serverstate.ReportScheduler, serverstate.Guard). Each host also has a sidecar, which sends to every server that it
+// considers serving. The checks:
 //
-//   - a copy that a drain has reached by the store sends its process nothing from then on, also after it was killed, and
-//     also on the word of an old list; unless the drain ended by rule,
-//   - what a daemon hears itself is not undone by the store,
-//   - no drain ends before it was left untold for as long as the rule says, nor, without faults, while anyone hears it,
-//   - once all faults are over, every drain that anyone hears binds at all, within a second.
+//   - A host whose copy has shown a drain sends nothing to the draining process from then on, also after a restart and
+//     with an old endpoint list, until the drain has ended by the rules.
+//   - The store does not undo what a daemon has observed itself.
+//   - No drain ends before it has gone unreported for the retention and, without faults, while any daemon observes it.
+//   - Once all faults are over, every drain that a daemon observes is in force on all hosts within a second.
 
-// Watch is a fault of daemons that is put in so that a run shows that it is found.
+// Watch is an injected defect of daemons; the zero value is none.
 type Watch int
 
-// The faults.
+// The injected defects.
 const (
-	WatchNone  Watch = iota
-	BindLate         // the store's word binds in the sidecar half a second after it came
-	Overwrite        // the store's word that a drain ended undoes what the daemon hears itself
-	EndEarly         // a drain ends after a quarter of its time
-	EndAlone         // a daemon ends a drain for itself, without the quorum
-	ForgetDisk       // a start does not know what the log's end says
-	NeverRenew       // nobody tells a drain again
+	WatchNone           Watch = iota
+	EnforceLate               // a drain from the store is in force in the sidecar only half a second after it arrived
+	OverrideObservation       // the end of a drain in the store overrides the daemon's own observation
+	EndDrainEarly             // a drain ends after a quarter of its retention
+	EndDrainLocally           // a daemon ends a drain locally, without a quorum
+	IgnoreUncommitted         // a restart ignores the exclusions in the uncommitted end of the log
+	NeverReportAgain          // drains are never reported again
 )
 
-// The rules' times, shorter than the daemons' so that a run sees many: 200 ms, 4 min and 10 min there.
+// Times of the report rules. Those of real daemons are longer (200 ms, 4 min and 10 min); with these a run has many
+// reports and ends of drains.
 const (
-	simSpread = 60 * milli
-	simRenew  = 1200 * milli
-	simKeep   = 3000 * milli
-	simTidy   = 400 * milli
-	sendEvery = 3 // beats
+	reportSpreadMicros    = 60 * milli
+	reportRenewMicros     = 1200 * milli
+	drainRetentionMicros  = 3000 * milli
+	readmitIntervalMicros = 400 * milli
+	ticksPerSend          = 3 // a sidecar sends every third tick
 )
 
-// process is what stands at a server's address.
-type process struct {
-	version int // of discovery's entry
-	start   int64
-	drains  bool
+// serverProcess is the process at a server's address.
+type serverProcess struct {
+	version  int   // of the entry in discovery
+	start    int64 // identifies the start of the process
+	draining bool
 }
 
-func (w *world) nameOf(server int, start int64) serverstate.Process {
+func (w *world) processOf(server int, start int64) serverstate.Process {
 	return serverstate.Process{ID: fmt.Sprintf("slot-%d", server), Addr: fmt.Sprintf("127.0.0.1:%d", 9000+server), StartedMs: start}
 }
 
-// servers is the truth of them, and what is known of their drains as the world sees it.
-type servers struct {
-	now    []process
-	past   [][]process      // what discovery once told
-	put    map[string]int64 // when a drain was last told to the store, as any copy showed first
-	seen   map[uint64]bool  // revisions that a copy has shown
-	deaf   map[*host]int64  // until when a host's discovery says nothing
-	healed int64            // when all faults were over
+// serverSim is the true state of the servers, and what any copy has shown of their drains.
+type serverSim struct {
+	current            []serverProcess
+	past               [][]serverProcess // earlier contents of discovery
+	reportedAt         map[string]int64  // true time at which a report of a drain was first seen in any copy, by key
+	seenRevisions      map[uint64]bool   // revisions that any copy has shown
+	discoveryDownUntil map[*host]int64   // true time until which a host's discovery is unavailable
+	faultsOverAt       int64             // true time at which the faults ended
 }
 
-const serversMade = 3
+const serverCount = 3
 
-func (w *world) beginServers(begin int64) {
-	w.s = servers{put: map[string]int64{}, seen: map[uint64]bool{}, deaf: map[*host]int64{}}
-	for range serversMade {
-		w.s.now = append(w.s.now, process{start: 1})
+func (w *world) startServers(startAt int64) {
+	w.servers = serverSim{reportedAt: map[string]int64{}, seenRevisions: map[uint64]bool{}, discoveryDownUntil: map[*host]int64{}}
+	for range serverCount {
+		w.servers.current = append(w.servers.current, serverProcess{start: 1})
 	}
-	w.s.past = append(w.s.past, append([]process(nil), w.s.now...))
-	w.q.After(begin, w.turn)
+	w.servers.past = append(w.servers.past, append([]serverProcess(nil), w.servers.current...))
+	w.queue.After(startAt, w.changeServer)
 }
 
-// turn has a server drain, or start anew.
-func (w *world) turn() {
-	if w.clean {
+// changeServer makes a server drain or restart, at random intervals.
+func (w *world) changeServer() {
+	if w.faultsOver {
 		return
 	}
-	i := w.rng.IntN(serversMade)
-	p := &w.s.now[i]
+	i := w.rng.IntN(serverCount)
+	p := &w.servers.current[i]
 	switch {
-	case !p.drains:
-		p.drains = true
-	case w.rng.IntN(4) > 0: // else it drains on
-		p.start, p.drains = p.start+1, false
+	case !p.draining:
+		p.draining = true
+	case w.rng.IntN(4) > 0: // else it keeps draining
+		p.start, p.draining = p.start+1, false
 	}
 	p.version++
-	w.s.past = append(w.s.past, append([]process(nil), w.s.now...))
+	w.servers.past = append(w.servers.past, append([]serverProcess(nil), w.servers.current...))
 	for _, h := range w.hosts {
 		if w.rng.IntN(12) == 0 {
-			w.s.deaf[h] = w.q.Now() + w.rng.Int64N(4000*milli)
+			w.servers.discoveryDownUntil[h] = w.queue.Now() + w.rng.Int64N(4000*milli)
 		}
-		w.q.After(max(0, w.s.deaf[h]-w.q.Now())+w.rng.Int64N(150*milli), func() { h.hearAll() })
+		w.queue.After(max(0, w.servers.discoveryDownUntil[h]-w.queue.Now())+w.rng.Int64N(150*milli), func() { h.discoverAll() })
 	}
-	w.q.After(150*milli+w.rng.Int64N(900*milli), w.turn)
+	w.queue.After(150*milli+w.rng.Int64N(900*milli), w.changeServer)
 }
 
-// watcher is a host's daemon and sidecar, for as long as the process lives.
-type watcher struct {
-	turns *serverstate.ReportScheduler
-	view  []process        // what discovery has told here
-	ears  map[string]bool  // drains that were heard here
-	late  map[string]int64 // with BindLate: since when the store says so
-	alone map[string]bool  // with EndAlone: ended here
-	pace  float64          // of its clock
-	born  int64
-	tidy  int64
-	beats int
+// hostDaemon is the state of a host's daemon and sidecar in one process.
+type hostDaemon struct {
+	reports        *serverstate.ReportScheduler
+	discovered     []serverProcess  // servers as known from discovery
+	observedDrains map[string]bool  // keys of draining processes in discovered
+	shownSince     map[string]int64 // with EnforceLate: true time at which the copy first showed a drain, by key
+	endedLocally   map[string]bool  // with EndDrainLocally: drains that ended here, by key
+	clockRate      float64          // of its clock, relative to true time
+	startedAt      int64            // true time of its start
+	readmittedAt   int64            // true time of the last run of retries and readmissions
+	ticks          int
 }
 
-func (h *host) beginWatch() {
-	w := h.w
-	r := serverstate.ReportSchedule{Spread: simSpread, RenewInterval: simRenew, Retention: simKeep, MaxObserved: 64}
-	switch w.o.Watch {
-	case EndEarly:
-		r.Retention = simKeep / 4
-	case NeverRenew:
+func (h *host) startDaemon() {
+	w := h.world
+	r := serverstate.ReportSchedule{Spread: reportSpreadMicros, RenewInterval: reportRenewMicros, Retention: drainRetentionMicros, MaxObserved: 64}
+	switch w.options.Watch {
+	case EndDrainEarly:
+		r.Retention = drainRetentionMicros / 4
+	case NeverReportAgain:
 		r.RenewInterval = 0
 	}
-	h.watch = &watcher{turns: serverstate.NewReportScheduler(fmt.Sprint(h.number), r), ears: map[string]bool{}, late: map[string]int64{},
-		alone: map[string]bool{}, pace: 0.95 + 0.1*w.rng.Float64(), born: w.q.Now()}
-	if h.alone() {
+	h.daemon = &hostDaemon{reports: serverstate.NewReportScheduler(fmt.Sprint(h.number), r), observedDrains: map[string]bool{}, shownSince: map[string]int64{},
+		endedLocally: map[string]bool{}, clockRate: 0.95 + 0.1*w.rng.Float64(), startedAt: w.queue.Now()}
+	if h.replicaOnly() {
 		return
 	}
-	// It begins with a list of some time ago, and hears discovery a while later.
-	old := w.s.past[max(0, len(w.s.past)-1-w.rng.IntN(6))]
-	for i := range serversMade {
-		h.hear(i, old[i])
+	// The daemon starts with an old endpoint list, and receives the current one a while later.
+	old := w.servers.past[max(0, len(w.servers.past)-1-w.rng.IntN(6))]
+	for i := range serverCount {
+		h.discover(i, old[i])
 	}
 	boot := h.boot
-	w.q.After(max(0, w.s.deaf[h]-w.q.Now())+w.rng.Int64N(500*milli), func() {
+	w.queue.After(max(0, w.servers.discoveryDownUntil[h]-w.queue.Now())+w.rng.Int64N(500*milli), func() {
 		if h.boot == boot {
-			h.hearAll()
+			h.discoverAll()
 		}
 	})
 }
 
-// alone says whether a host runs no sidecar: its replica votes, and its daemon ends what nobody tells.
-func (h *host) alone() bool { return h.number%3 == 2 }
+// replicaOnly reports whether the host runs no sidecar. Its replica votes, and its daemon ends unreported drains.
+func (h *host) replicaOnly() bool { return h.number%3 == 2 }
 
-// own is the daemon's clock.
-func (t *watcher) own(now int64) int64 { return int64(float64(now-t.born)*t.pace) + 1 }
+// clock converts true time to that of the daemon's clock.
+func (t *hostDaemon) clock(trueTime int64) int64 {
+	return int64(float64(trueTime-t.startedAt)*t.clockRate) + 1
+}
 
-func (h *host) hearAll() {
-	if h.alone() || h.node == nil || h.watch == nil || h.w.q.Now() < h.w.s.deaf[h] && !h.w.clean {
+// discoverAll passes the current servers to the daemon, unless its discovery is unavailable.
+func (h *host) discoverAll() {
+	if h.replicaOnly() || h.node == nil || h.daemon == nil || h.world.queue.Now() < h.world.servers.discoveryDownUntil[h] && !h.world.faultsOver {
 		return
 	}
-	for i, p := range h.w.s.now {
-		h.hear(i, p)
+	for i, p := range h.world.servers.current {
+		h.discover(i, p)
 	}
 }
 
-// hear takes an entry of discovery's, unless it is older than what was told.
-func (h *host) hear(server int, p process) {
-	t := h.watch
-	now := t.own(h.w.q.Now())
-	if len(t.view) < serversMade {
-		t.view = append(t.view, process{version: -1})
+// discover passes a server's entry in discovery to the daemon, which ignores an older one than it has.
+func (h *host) discover(server int, p serverProcess) {
+	t := h.daemon
+	now := t.clock(h.world.queue.Now())
+	if len(t.discovered) < serverCount {
+		t.discovered = append(t.discovered, serverProcess{version: -1})
 	}
-	was := t.view[server]
-	if p.version <= was.version {
+	previous := t.discovered[server]
+	if p.version <= previous.version {
 		return
 	}
-	t.view[server] = p
-	if was.drains && (!p.drains || p.start != was.start) {
-		key := serverstate.ExclusionKey(serverstate.Drain, h.w.nameOf(server, was.start).ServerName())
-		t.turns.Withdraw(key)
-		delete(t.ears, key)
+	t.discovered[server] = p
+	if previous.draining && (!p.draining || p.start != previous.start) {
+		key := serverstate.ExclusionKey(serverstate.Drain, h.world.processOf(server, previous.start).ServerName())
+		t.reports.Withdraw(key)
+		delete(t.observedDrains, key)
 	}
-	if p.drains {
-		key := serverstate.ExclusionKey(serverstate.Drain, h.w.nameOf(server, p.start).ServerName())
-		t.ears[key] = true
-		t.turns.Observe(now, key)
+	if p.draining {
+		key := serverstate.ExclusionKey(serverstate.Drain, h.world.processOf(server, p.start).ServerName())
+		t.observedDrains[key] = true
+		t.reports.Observe(now, key)
 	}
 }
 
-// beat is the daemon's and the sidecar's part of a tick.
-func (h *host) beat() {
-	t, w := h.watch, h.w
-	now := t.own(w.q.Now())
-	speak, end := t.turns.Due(now)
-	for _, key := range speak {
+// tickDaemon runs the daemon's and the sidecar's part of a tick.
+func (h *host) tickDaemon() {
+	t, w := h.daemon, h.world
+	now := t.clock(w.queue.Now())
+	due, ended := t.reports.Due(now)
+	for _, key := range due {
 		p, _ := serverstate.ParseProcess(strings.TrimPrefix(key, serverstate.ExclusionKey(serverstate.Drain, "")))
 		if op, err := h.guard.Observe(serverstate.Drain, p.ServerName()); err != nil {
-			w.broken("guard", "%v", err)
+			w.reportViolation("guard", "%v", err)
 		} else if op != nil {
-			h.tell(p, *op)
+			h.proposeDrain(p, *op)
 		}
 	}
-	if w.q.Now()-t.tidy > simTidy {
-		t.tidy = w.q.Now()
+	if w.queue.Now()-t.readmittedAt > readmitIntervalMicros {
+		t.readmittedAt = w.queue.Now()
 		for _, op := range h.guard.TakeRetries() {
-			w.ops[0].owed(h, op)
+			w.drainOperators[0].retry(h, op)
 		}
-		for _, key := range end {
+		for _, key := range ended {
 			server := strings.TrimPrefix(key, serverstate.ExclusionKey(serverstate.Drain, ""))
 			if txn, err := h.guard.Readmit(serverstate.Drain, server); err == nil {
-				if w.o.Watch == EndAlone {
-					t.alone[key] = true
+				if w.options.Watch == EndDrainLocally {
+					t.endedLocally[key] = true
 				}
-				h.propose(store.Command{ID: h.request(), Txn: txn}, func(replica.Completion) {})
+				h.propose(store.Command{ID: h.nextRequestID(), Txn: txn}, func(replica.Completion) {})
 			}
 		}
 	}
-	if t.beats++; t.beats%sendEvery == 0 {
+	if t.ticks++; t.ticks%ticksPerSend == 0 {
 		h.sendAll()
 	}
 }
 
-// request is an id of this start.
-func (h *host) request() store.RequestID {
+// nextRequestID returns a new request id of this host.
+func (h *host) nextRequestID() store.RequestID {
 	h.seq++
 	return store.RequestID{Client: 1000 + uint64(h.number), Seq: h.seq}
 }
 
-// tell proposes a drain unless it was told since, as daemons do.
-func (h *host) tell(p serverstate.Process, op store.Op) {
+// proposeDrain proposes a drain as daemons do, on the condition that no other report of it was committed meanwhile.
+func (h *host) proposeDrain(p serverstate.Process, op store.Op) {
 	if !h.guard.Pending(op.Key) {
 		return
 	}
 	boot := h.boot
 	t := &store.Txn{If: []store.Compare{{Key: op.Key, ModRevision: h.guard.DrainRevision(p)}}, Then: []store.Op{op}}
-	h.propose(store.Command{ID: h.request(), Txn: t}, func(d replica.Completion) {
+	h.propose(store.Command{ID: h.nextRequestID(), Txn: t}, func(d replica.Completion) {
 		if h.boot == boot {
 			ok := d.Err == nil && d.Result.Err == nil
 			h.guard.ProposalDone(op.Key, ok && (d.Result.Succeeded || h.guard.DrainRevision(p) != 0))
@@ -232,123 +237,124 @@
 	})
 }
 
-// watchEvent is a change of a drain that the copy shows.
-func (h *host) watchEvent(e store.Event) {
+// observeDrainEvent handles and checks a change of a drain in the host's copy.
+func (h *host) observeDrainEvent(e store.Event) {
 	p, ok := serverstate.ParseProcess(strings.TrimPrefix(e.Item.Key, serverstate.ExclusionKey(serverstate.Drain, "")))
-	if !ok || p.Addr == "" || h.watch == nil {
+	if !ok || p.Addr == "" || h.daemon == nil {
 		return
 	}
-	t, w, key := h.watch, h.w, e.Item.Key
-	if !w.s.seen[e.Revision] {
-		w.s.seen[e.Revision] = true
+	t, w, key := h.daemon, h.world, e.Item.Key
+	if !w.servers.seenRevisions[e.Revision] {
+		w.servers.seenRevisions[e.Revision] = true
 		if !e.Deleted {
-			w.s.put[key] = w.q.Now()
-			w.r.Told++
+			w.servers.reportedAt[key] = w.queue.Now()
+			w.result.Told++
 		} else {
-			w.r.Over++
-			if quiet := w.q.Now() - w.s.put[key]; quiet < simKeep*85/100 {
-				w.broken("ended too early", "%s after %d ms", key, quiet/milli)
+			w.result.Over++
+			if unreportedFor := w.queue.Now() - w.servers.reportedAt[key]; unreportedFor < drainRetentionMicros*85/100 {
+				w.reportViolation("ended too early", "%s after %d ms", key, unreportedFor/milli)
 			}
-			if w.clean && w.q.Now()-w.s.healed > second {
-				w.endedWhileHeard(key)
+			if w.faultsOver && w.queue.Now()-w.servers.faultsOverAt > second {
+				w.checkEndedWhileObserved(key)
 			}
 		}
 	}
-	t.turns.Committed(t.own(w.q.Now()), key, e.Revision, e.Deleted)
+	t.reports.Committed(t.clock(w.queue.Now()), key, e.Revision, e.Deleted)
 	if e.Deleted {
-		delete(h.acted, key)
-		delete(t.late, key)
-		if w.o.Watch == Overwrite {
-			t.turns.Withdraw(key)
-			for i := range t.view {
-				if t.view[i].drains && serverstate.ExclusionKey(serverstate.Drain, w.nameOf(i, t.view[i].start).ServerName()) == key {
-					t.view[i].drains = false
+		delete(h.shownDrains, key)
+		delete(t.shownSince, key)
+		if w.options.Watch == OverrideObservation {
+			t.reports.Withdraw(key)
+			for i := range t.discovered {
+				if t.discovered[i].draining && serverstate.ExclusionKey(serverstate.Drain, w.processOf(i, t.discovered[i].start).ServerName()) == key {
+					t.discovered[i].draining = false
 				}
 			}
 		}
 		return
 	}
-	if _, ok := t.late[key]; !ok {
-		t.late[key] = w.q.Now()
+	if _, ok := t.shownSince[key]; !ok {
+		t.shownSince[key] = w.queue.Now()
 	}
-	delete(t.alone, key)
-	h.acted[key] = true
+	delete(t.endedLocally, key)
+	h.shownDrains[key] = true
 }
 
-// endedWhileHeard finds a drain that ends although a daemon hears it that nothing keeps from telling it again.
-func (w *world) endedWhileHeard(key string) {
+// checkEndedWhileObserved reports a drain that ends although a running daemon observes it and could have reported it.
+func (w *world) checkEndedWhileObserved(key string) {
 	for _, h := range w.members() {
-		if h.node != nil && h != w.failed.victim && h.watch != nil && h.watch.ears[key] && w.q.Now()-h.watch.born > 2*simRenew {
-			w.broken("ended while heard", "%s, which host %d hears", key, h.number)
+		if h.node != nil && h != w.failedDisk.victim && h.daemon != nil && h.daemon.observedDrains[key] && w.queue.Now()-h.daemon.startedAt > 2*reportRenewMicros {
+			w.reportViolation("ended while heard", "%s, which host %d hears", key, h.number)
 		}
 	}
 }
 
-// watchAdopt takes a whole copy.
-func (h *host) watchAdopt() {
+// resetDrains takes the drains over from a whole copy.
+func (h *host) resetDrains() {
 	now := map[string]uint64{}
 	h.node.State().Range(serverstate.ExclusionKey(serverstate.Drain, "slot-"), store.PrefixEnd(serverstate.ExclusionKey(serverstate.Drain, "slot-")), func(i store.Item) bool {
-		now[i.Key], h.acted[i.Key] = i.ModRevision, true
+		now[i.Key], h.shownDrains[i.Key] = i.ModRevision, true
 		return true
 	})
-	if h.watch != nil {
-		h.watch.turns.Reset(h.watch.own(h.w.q.Now()), now)
+	if h.daemon != nil {
+		h.daemon.reports.Reset(h.daemon.clock(h.world.queue.Now()), now)
 	}
-	if !h.restarting { // of a leader's snapshot: what it lacks has ended
-		for key := range h.acted {
+	if !h.restarting { // an installed snapshot: drains missing in it have ended
+		for key := range h.shownDrains {
 			if _, has := now[key]; !has {
-				delete(h.acted, key)
+				delete(h.shownDrains, key)
 			}
 		}
 	}
 }
 
-// holds says whether the sidecar takes a process to drain, by others' word.
-func (h *host) holds(p serverstate.Process) bool {
-	t, key := h.watch, serverstate.ExclusionKey(serverstate.Drain, p.ServerName())
+// drainInForce reports whether the sidecar treats a process as draining by the store's state.
+func (h *host) drainInForce(p serverstate.Process) bool {
+	t, key := h.daemon, serverstate.ExclusionKey(serverstate.Drain, p.ServerName())
 	switch {
-	case h.w.o.Watch == EndAlone && t.alone[key]:
+	case h.world.options.Watch == EndDrainLocally && t.endedLocally[key]:
 		return false
-	case h.w.o.Watch == BindLate:
-		since, ok := t.late[key]
-		return h.guard.IsDraining(p) && ok && h.w.q.Now()-since > 500*milli
+	case h.world.options.Watch == EnforceLate:
+		since, ok := t.shownSince[key]
+		return h.guard.IsDraining(p) && ok && h.world.queue.Now()-since > 500*milli
 	}
 	return h.guard.IsDraining(p)
 }
 
-// sendAll has the sidecar send to every server that it holds to serve; the servers count.
+// sendAll sends a request to every server that the sidecar considers serving, and checks that none drains.
 func (h *host) sendAll() {
-	t, w := h.watch, h.w
-	for i, v := range t.view {
-		p := w.nameOf(i, v.start)
+	t, w := h.daemon, h.world
+	for i, v := range t.discovered {
+		p := w.processOf(i, v.start)
 		key := serverstate.ExclusionKey(serverstate.Drain, p.ServerName())
-		if v.version < 0 || v.drains || h.holds(p) {
+		if v.version < 0 || v.draining || h.drainInForce(p) {
 			continue
 		}
-		w.r.Sent++
+		w.result.Sent++
 		switch {
-		case h.acted[key]:
-			w.broken("stale drain served", "host %d sends to %s, whose drain its copy had shown", h.number, p.ServerName())
-		case t.ears[key]:
-			w.broken("own word undone", "host %d sends to %s, which it hears to drain", h.number, p.ServerName())
+		case h.shownDrains[key]:
+			w.reportViolation("stale drain served", "host %d sends to %s, whose drain its copy had shown", h.number, p.ServerName())
+		case t.observedDrains[key]:
+			w.reportViolation("own word undone", "host %d sends to %s, which it hears to drain", h.number, p.ServerName())
 		}
 	}
 }
 
-// settledServers says, once faults are over for long enough, whether every drain that anyone hears binds at all.
-func (w *world) settledServers() {
-	if !slices.ContainsFunc(w.members(), func(h *host) bool { return !h.alone() }) {
-		return // the members that are left run no sidecar: nobody hears of servers
+// checkDrainsInForce checks, once faults have been over for long enough, that every observed drain is in force on all
+// hosts.
+func (w *world) checkDrainsInForce() {
+	if !slices.ContainsFunc(w.members(), func(h *host) bool { return !h.replicaOnly() }) {
+		return // no remaining member runs a sidecar, so no daemon learns of servers
 	}
-	for i, p := range w.s.now {
-		if !p.drains {
+	for i, p := range w.servers.current {
+		if !p.draining {
 			continue
 		}
-		name := w.nameOf(i, p.start)
+		name := w.processOf(i, p.start)
 		for _, h := range w.members() {
-			if h.node != nil && h.watch != nil && !h.guard.IsDraining(name) {
-				w.broken("drain not told", "host %d does not know that %s drains, %d ms after the last fault", h.number, name.ServerName(),
-					(w.q.Now()-w.s.healed)/milli)
+			if h.node != nil && h.daemon != nil && !h.guard.IsDraining(name) {
+				w.reportViolation("drain not told", "host %d does not know that %s drains, %d ms after the last fault", h.number, name.ServerName(),
+					(w.queue.Now()-w.servers.faultsOverAt)/milli)
 			}
 		}
 	}
