--- a/internal/lab/leasemodel/model.go
+++ b/internal/lab/leasemodel/model.go
@@ -1,7 +1,8 @@
-// Package leasemodel enumerates all interleavings, up to a depth, of two holders of a lease and the store that grants it: requests and
-// answers that are lost, doubled and late, clocks at the ends of their allowed rates, leaders that change, holders that are stopped and
-// go on, releases that cross renewals. Nothing is drawn. The holders are lease.Session itself; the store and the queue are written here
-// from their definition, apart from the code.
+// Package leasemodel enumerates, up to a depth, all interleavings of two holders of a lease and the store that grants
+// it: requests and responses that are lost, duplicated and late, clocks at the limits of their rates, changes of the
+// store's leader, holders that are stopped and continue, and releases that cross renewals. Nothing is random. The
+// holders use lease.Session itself. The store and the queue are modelled here after their definition, independently of
+// their code.
 package leasemodel
 
 import (
@@ -11,295 +12,302 @@
 	"birchmoor/internal/controlplane/lease"
 )
 
-// Time is in units of a tick's tenth: a slow clock gains 10 a tick, a fast one 12, the rates' bound being a fifth.
+// Times are in tenths of a tick of a slow clock. In a tick a slow clock advances by 10 and a fast one by 12, which is
+// the largest difference of rates that maxClockSkew allows.
 const (
-	slow = 10
-	fast = 12
-	ttl  = 48
-	skew = 0.2
+	slowTick     = 10
+	fastTick     = 12
+	baseTTL      = 48
+	maxClockSkew = 0.2
 )
 
-// Options say what is enumerated.
+// Options are the settings of an enumeration. The zero value of Plant injects no defect.
 type Options struct {
-	Depth int // steps
+	Depth int // largest number of steps
 	Plant lease.Defect
-	Early bool // the store ends a session a tick too early
-	Rest  bool // a new leader goes on with the old one's rest
+	Early bool // injected defect: the store ends sessions a tick too early
+	Rest  bool // injected defect: a new leader keeps the remaining times, without the last renewals
 
-	Store, A, B bool // whose clock is fast
+	Store, A, B bool // whether the clock of the store, holder A and holder B is fast
 }
 
-// Result is what was found.
+// Result is the outcome of an enumeration. Its JSON is part of the output of task check.
 type Result struct {
-	States int      `json:"states"` // that differ
-	Steps  int      `json:"steps"`  // between them
-	Depth  int      `json:"depth"`  // up to which all were seen
-	Broken []string `json:"broken"` // the shortest way to two who are entitled; nil: there is none
+	States int      `json:"states"` // number of different states
+	Steps  int      `json:"steps"`  // number of steps between them
+	Depth  int      `json:"depth"`  // depth up to which all states were enumerated
+	Broken []string `json:"broken"` // shortest sequence of steps after which both holders are entitled; nil: none
 }
 
 const (
-	inFlight = 2 // requests of a holder at once
-	queueMax = 3
+	maxInFlight     = 2 // of a holder
+	maxQueueEntries = 3
 )
 
-type kind uint8
+// requestKind is the kind of a request.
+type requestKind uint8
 
 const (
-	none kind = iota
+	noRequest requestKind = iota
 	grant
 	renew
-	put
-	remove
+	enqueue
+	dequeue
 )
 
-// message is a request on its way.
+// message is a request in flight.
 type message struct {
-	kind  kind
-	try   uint8 // of the holder
-	lease uint8
+	kind    requestKind
+	attempt uint8 // number of the holder's request, which its response repeats
+	lease   uint8
 }
 
-// answer is one on its way back.
-type answer struct {
+// response is a response in flight. Its field names are part of Result.Broken.
+type response struct {
 	there bool
 	try   uint8
 	gone  bool
 	lease uint8
 }
 
-type place struct {
+// queueEntry is an entry of the lease's queue.
+type queueEntry struct {
 	owner uint8 // 1 or 2; 0: none
 	lease uint8
 }
 
+// holder is the state of a holder.
 type holder struct {
-	session lease.Session
-	clock   int64
-	try     uint8
-	asked   message
-	out     [inFlight]message
-	back    answer
-	put     uint8 // the lease of its place; 0: it has none
-	number  uint64
-	given   bool
-	view    [queueMax]place
+	session     lease.Session
+	clock       int64
+	attempts    uint8
+	openRequest message // whose response the holder waits for
+	inFlight    [maxInFlight]message
+	response    response
+	entryLease  uint8                       // lease of its queue entry; 0: it has none
+	generation  uint64                      // generation of the session of its queue entry
+	released    bool                        // it has released the lease
+	queueCopy   [maxQueueEntries]queueEntry // its copy of the queue
 }
 
-type granted struct {
-	owner uint8
-	end   int64 // by the store's clock
+// session is a session in the store. It is free if its owner is 0.
+type session struct {
+	owner  uint8
+	endsAt int64 // time of the store's clock from which it may be revoked
 }
 
-// world is a state. It is comparable.
+// world is a state of the model. It is comparable.
 type world struct {
-	h       [2]holder
-	clock   int64
-	leases  [4]granted // by id less one
-	last    uint8
-	queue   [queueMax]place
-	leaders uint8
+	holders   [2]holder
+	clock     int64
+	leases    [4]session // at index id-1
+	lastLease uint8
+	queue     [maxQueueEntries]queueEntry
+	elections uint8
 }
 
-// node is what may follow a state, and by what step.
-type node struct {
-	w    world
-	step string
+// step is a possible next state, and the step that leads to it.
+type step struct {
+	world world
+	text  string
 }
 
-// Run enumerates. States are told apart by 128 bits of two hashes: that two of them have the same is out of the question.
-func Run(o Options) Result {
-	type way struct {
+// Run enumerates the states. It identifies them by two 64-bit hashes, and neglects collisions of both.
+func Run(options Options) Result {
+	type origin struct {
 		from int32
 		step string
 	}
-	one, two := maphash.MakeSeed(), maphash.MakeSeed()
-	sum := func(w world) [2]uint64 { return [2]uint64{maphash.Comparable(one, w), maphash.Comparable(two, w)} }
-	first := begin(o.Plant)
-	ways, layer, at := []way{{from: -1}}, []world{first}, []int32{0}
-	seen := map[[2]uint64]struct{}{sum(first): {}}
+	seed1, seed2 := maphash.MakeSeed(), maphash.MakeSeed()
+	hash := func(w world) [2]uint64 { return [2]uint64{maphash.Comparable(seed1, w), maphash.Comparable(seed2, w)} }
+	initial := initialWorld(options.Plant)
+	origins, layer, layerOrigins := []origin{{from: -1}}, []world{initial}, []int32{0}
+	seen := map[[2]uint64]struct{}{hash(initial): {}}
 	r := Result{}
-	for depth := 1; depth <= o.Depth; depth++ {
+	for depth := 1; depth <= options.Depth; depth++ {
 		var next []world
-		var nextAt []int32
+		var nextOrigins []int32
 		for i := range layer {
-			for _, n := range layer[i].next(o) {
+			for _, n := range layer[i].nextSteps(options) {
 				r.Steps++
-				s := sum(n.w)
-				if _, known := seen[s]; known {
+				key := hash(n.world)
+				if _, known := seen[key]; known {
 					continue
 				}
-				seen[s] = struct{}{}
-				ways = append(ways, way{at[i], n.step})
-				next, nextAt = append(next, n.w), append(nextAt, int32(len(ways)-1))
-				if n.w.h[0].entitled(1) && n.w.h[1].entitled(2) {
-					for i := len(ways) - 1; i > 0; i = int(ways[i].from) {
-						r.Broken = append([]string{ways[i].step}, r.Broken...)
+				seen[key] = struct{}{}
+				origins = append(origins, origin{layerOrigins[i], n.text})
+				next, nextOrigins = append(next, n.world), append(nextOrigins, int32(len(origins)-1))
+				if n.world.holders[0].entitled(1) && n.world.holders[1].entitled(2) {
+					for i := len(origins) - 1; i > 0; i = int(origins[i].from) {
+						r.Broken = append([]string{origins[i].step}, r.Broken...)
 					}
-					r.States, r.Depth = len(ways), depth
+					r.States, r.Depth = len(origins), depth
 					return r
 				}
 			}
 		}
-		layer, at, r.Depth = next, nextAt, depth
+		layer, layerOrigins, r.Depth = next, nextOrigins, depth
 	}
-	r.States = len(ways)
+	r.States = len(origins)
 	return r
 }
 
-func rate(isFast bool) int64 {
+func tickLength(isFast bool) int64 {
 	if isFast {
-		return fast
+		return fastTick
 	}
-	return slow
+	return slowTick
 }
 
-// ttlOf is for how long a session of a holder's lasts: B's is the longer one, so that fewer steps are its renewals.
-func ttlOf(owner uint8) int64 { return ttl * int64(owner) }
+// sessionTTL returns the TTL of a holder's sessions. B's is longer, so that fewer of the steps are renewals.
+func sessionTTL(owner uint8) int64 { return baseTTL * int64(owner) }
 
-// begin is the state from which all is enumerated: A holds the lease and is to renew it soon, and B waits for it.
-func begin(p lease.Defect) world {
+// initialWorld returns the first state: A holds the lease and has to renew it soon, and B waits for it.
+func initialWorld(defect lease.Defect) world {
 	w := world{clock: 1}
-	for i := range w.h {
-		h, me := &w.h[i], uint8(i+1)
-		h.session, h.clock = *lease.NewSession(lease.Rules{TTL: ttlOf(me), MaxClockSkew: skew}, p), 1000*int64(me) // clocks need not agree
+	for i := range w.holders {
+		h, owner := &w.holders[i], uint8(i+1)
+		// The clocks of the holders are independent of each other and of the store's.
+		h.session, h.clock = *lease.NewSession(lease.Rules{TTL: sessionTTL(owner), MaxClockSkew: maxClockSkew}, defect), 1000*int64(owner)
 		h.session.Next(h.clock)
-		w.take(me, message{kind: grant})
-		h.back = answer{}
-		h.session.HandleResponse(h.clock, lease.Succeeded, uint64(me))
-		h.put, h.number = me, h.session.Generation()
-		w.take(me, message{kind: put, lease: me})
+		w.handle(owner, message{kind: grant})
+		h.response = response{}
+		h.session.HandleResponse(h.clock, lease.Succeeded, uint64(owner))
+		h.entryLease, h.generation = owner, h.session.Generation()
+		w.handle(owner, message{kind: enqueue, lease: owner})
 		if i == 0 {
-			w.clock, h.clock = w.clock+2*slow, h.clock+2*slow
+			w.clock, h.clock = w.clock+2*slowTick, h.clock+2*slowTick
 		}
 	}
-	for i := range w.h {
-		w.h[i].view = w.queue
+	for i := range w.holders {
+		w.holders[i].queueCopy = w.queue
 	}
 	return w
 }
 
-// entitled says whether a holder holds itself entitled, whether or not it runs.
-func (h *holder) entitled(me uint8) bool {
-	return h.put != 0 && !h.given && h.number == h.session.Generation() && h.clock < h.session.ValidUntil() && h.view[0] == place{me, h.put}
+// entitled reports whether a holder considers itself entitled, whether or not it is stopped.
+func (h *holder) entitled(owner uint8) bool {
+	return h.entryLease != 0 && !h.released && h.generation == h.session.Generation() && h.clock < h.session.ValidUntil() && h.queueCopy[0] == queueEntry{owner, h.entryLease}
 }
 
-// next lists what may happen.
-func (w *world) next(o Options) (all []node) {
+// nextSteps returns all steps that are possible in a state.
+func (w *world) nextSteps(options Options) (all []step) {
 	add := func(x world, format string, args ...any) {
-		all = append(all, node{w: x, step: fmt.Sprintf(format, args...)})
+		all = append(all, step{world: x, text: fmt.Sprintf(format, args...)})
 	}
 	x := *w
-	x.clock += rate(o.Store)
-	x.h[0].clock += rate(o.A)
-	x.h[1].clock += rate(o.B)
+	x.clock += tickLength(options.Store)
+	x.holders[0].clock += tickLength(options.A)
+	x.holders[1].clock += tickLength(options.B)
 	add(x, "a tick")
-	for i := range w.h {
-		me := uint8(i + 1)
+	for i := range w.holders {
+		owner := uint8(i + 1)
 		name := string(rune('A' + i))
-		h := &w.h[i]
-		if h.asked.kind == none && h.session.ID() < 3 {
+		h := &w.holders[i]
+		if h.openRequest.kind == noRequest && h.session.ID() < 3 {
 			x := *w
-			y := &x.h[i]
-			if ask, _ := y.session.Next(y.clock); ask != lease.NoRequest {
-				y.try++
-				m := message{kind: grant, try: y.try}
-				if ask == lease.RenewRequest {
-					m = message{kind: renew, try: y.try, lease: uint8(y.session.ID())}
+			y := &x.holders[i]
+			if request, _ := y.session.Next(y.clock); request != lease.NoRequest {
+				y.attempts++
+				m := message{kind: grant, attempt: y.attempts}
+				if request == lease.RenewRequest {
+					m = message{kind: renew, attempt: y.attempts, lease: uint8(y.session.ID())}
 				}
-				y.asked = m
-				if y.post(m) {
+				y.openRequest = m
+				if y.send(m) {
 					add(x, "%s asks: %v", name, m)
 				}
 			}
 		}
-		if h.asked.kind != none {
+		if h.openRequest.kind != noRequest {
 			x := *w
-			x.h[i].asked = message{}
-			x.h[i].session.HandleResponse(x.h[i].clock, lease.OutcomeUnknown, 0)
+			x.holders[i].openRequest = message{}
+			x.holders[i].session.HandleResponse(x.holders[i].clock, lease.OutcomeUnknown, 0)
 			add(x, "%s waits no more for an answer", name)
 		}
-		for k, m := range h.out {
-			if m.kind == none {
+		for k, m := range h.inFlight {
+			if m.kind == noRequest {
 				continue
 			}
 			x := *w
-			x.h[i].out[k] = message{}
+			x.holders[i].inFlight[k] = message{}
 			add(x, "%s's %v is lost", name, m)
 			for _, twice := range []bool{false, true} {
 				x := *w
 				if !twice {
-					x.h[i].out[k] = message{}
+					x.holders[i].inFlight[k] = message{}
 				}
-				x.take(me, m)
+				x.handle(owner, m)
 				add(x, "%s's %v comes, and may come again: %v", name, m, twice)
 			}
 		}
-		if h.back.there {
+		if h.response.there {
 			x := *w
-			x.h[i].back = answer{}
+			x.holders[i].response = response{}
 			add(x, "%s's answer is lost", name)
 			x = *w
-			y := &x.h[i]
-			y.back = answer{}
-			if y.asked.kind != none && y.asked.try == h.back.try { // one to a call that was given up is heard by nobody
-				out := lease.Succeeded
-				if h.back.gone {
-					out = lease.SessionNotFound
+			y := &x.holders[i]
+			y.response = response{}
+			// The response of a timed-out request is ignored.
+			if y.openRequest.kind != noRequest && y.openRequest.attempt == h.response.try {
+				outcome := lease.Succeeded
+				if h.response.gone {
+					outcome = lease.SessionNotFound
 				}
-				y.asked = message{}
-				y.session.HandleResponse(y.clock, out, uint64(h.back.lease))
+				y.openRequest = message{}
+				y.session.HandleResponse(y.clock, outcome, uint64(h.response.lease))
 			}
-			add(x, "%s hears %+v", name, h.back)
+			add(x, "%s hears %+v", name, h.response)
 		}
-		if h.put == 0 && h.session.ID() != 0 && h.clock < h.session.ValidUntil() {
+		if h.entryLease == 0 && h.session.ID() != 0 && h.clock < h.session.ValidUntil() {
 			x := *w
-			y := &x.h[i]
-			y.put, y.number, y.given = uint8(y.session.ID()), y.session.Generation(), false
-			if y.post(message{kind: put, lease: y.put}) {
+			y := &x.holders[i]
+			y.entryLease, y.generation, y.released = uint8(y.session.ID()), y.session.Generation(), false
+			if y.send(message{kind: enqueue, lease: y.entryLease}) {
 				add(x, "%s asks for a place", name)
 			}
 		}
-		if h.put != 0 && h.number != h.session.Generation() {
+		if h.entryLease != 0 && h.generation != h.session.Generation() {
 			x := *w
-			x.h[i].put = 0
+			x.holders[i].entryLease = 0
 			add(x, "%s finds its session gone", name)
 		}
-		if h.entitled(me) {
+		if h.entitled(owner) {
 			x := *w
-			y := &x.h[i]
-			y.given = true
-			if y.post(message{kind: remove, lease: y.put}) {
+			y := &x.holders[i]
+			y.released = true
+			if y.send(message{kind: dequeue, lease: y.entryLease}) {
 				add(x, "%s releases", name)
 			}
 		}
-		if h.view != w.queue {
+		if h.queueCopy != w.queue {
 			x := *w
-			x.h[i].view = w.queue
+			x.holders[i].queueCopy = w.queue
 			add(x, "%s's copy is new", name)
 		}
 	}
 	for id, l := range w.leases {
-		end := l.end
-		if o.Early {
-			end -= fast
+		end := l.endsAt
+		if options.Early {
+			end -= fastTick
 		}
 		if l.owner != 0 && w.clock >= end {
 			x := *w
-			x.end(uint8(id + 1))
+			x.endSession(uint8(id + 1))
 			add(x, "the store ends session %d", id+1)
 		}
 	}
-	if w.leaders < 1 {
+	if w.elections < 1 {
 		x := *w
-		x.leaders++
+		x.elections++
 		for id := range x.leases {
 			if x.leases[id].owner == 0 {
 				continue
 			}
-			if o.Rest { // it never heard of the last renewals
-				x.leases[id].end -= ttlOf(x.leases[id].owner) / 2
+			if options.Rest { // the new leader does not know of the last renewals
+				x.leases[id].endsAt -= sessionTTL(x.leases[id].owner) / 2
 			} else {
-				x.leases[id].end = x.clock + ttlOf(x.leases[id].owner)
+				x.leases[id].endsAt = x.clock + sessionTTL(x.leases[id].owner)
 			}
 		}
 		add(x, "another leads")
@@ -307,66 +315,67 @@
 	return all
 }
 
-// post puts a request on its way, if there is room.
-func (h *holder) post(m message) bool {
-	for k := range h.out {
-		if h.out[k].kind == none {
-			h.out[k] = m
+// send puts a request in flight, and reports whether the holder had fewer than maxInFlight.
+func (h *holder) send(m message) bool {
+	for k := range h.inFlight {
+		if h.inFlight[k].kind == noRequest {
+			h.inFlight[k] = m
 			return true
 		}
 	}
 	return false
 }
 
-// take has the store do a request.
-func (w *world) take(from uint8, m message) {
-	h := &w.h[from-1]
+// handle applies a request at the store.
+func (w *world) handle(from uint8, m message) {
+	h := &w.holders[from-1]
 	switch m.kind {
 	case grant:
-		if int(w.last) == len(w.leases) {
+		if int(w.lastLease) == len(w.leases) {
 			return
 		}
-		w.last++
-		w.leases[w.last-1] = granted{from, w.clock + ttlOf(from)}
-		h.back = answer{there: true, try: m.try, lease: w.last}
+		w.lastLease++
+		w.leases[w.lastLease-1] = session{from, w.clock + sessionTTL(from)}
+		h.response = response{there: true, try: m.attempt, lease: w.lastLease}
 	case renew:
 		l := &w.leases[m.lease-1]
-		h.back = answer{there: true, try: m.try, gone: l.owner != from}
+		h.response = response{there: true, try: m.attempt, gone: l.owner != from}
 		if l.owner == from {
-			l.end = w.clock + ttlOf(from)
+			l.endsAt = w.clock + sessionTTL(from)
 		}
-	case put:
+	case enqueue:
 		if w.leases[m.lease-1].owner != from {
 			return
 		}
 		for k, p := range w.queue {
-			if p == (place{from, m.lease}) {
-				return // it is the same place
+			if p == (queueEntry{from, m.lease}) {
+				return // the request was duplicated
 			}
 			if p.owner == 0 {
-				w.queue[k] = place{from, m.lease}
+				w.queue[k] = queueEntry{from, m.lease}
 				return
 			}
 		}
-	case remove:
-		w.drop(place{from, m.lease})
+	case dequeue:
+		w.removeEntry(queueEntry{from, m.lease})
 	}
 }
 
-// end ends a session with its places.
-func (w *world) end(id uint8) {
+// endSession ends a session and removes its queue entries.
+func (w *world) endSession(id uint8) {
 	owner := w.leases[id-1].owner
-	w.leases[id-1] = granted{}
-	w.drop(place{owner, id})
+	w.leases[id-1] = session{}
+	w.removeEntry(queueEntry{owner, id})
 }
 
-func (w *world) drop(p place) {
-	k := 0
-	var left [queueMax]place
+// removeEntry removes an entry from the queue.
+func (w *world) removeEntry(removed queueEntry) {
+	n := 0
+	var left [maxQueueEntries]queueEntry
 	for _, x := range w.queue {
-		if x != p && x.owner != 0 {
-			left[k] = x
-			k++
+		if x != removed && x.owner != 0 {
+			left[n] = x
+			n++
 		}
 	}
 	w.queue = left
