--- a/internal/lab/limitlab/history.go
+++ b/internal/lab/limitlab/history.go
@@ -18,33 +18,33 @@
 const (
 	maxHistoryLines = 20_000
 	watchRetryPause = 50 * time.Millisecond
-	historyBefore   = 3 * time.Second // that is shown before the interval in which a limit was exceeded
+	historyBefore   = 3 * time.Second // part of the history shown before the interval in which a limit was exceeded
 )
 
-// history is what the store's keys of the limits were changed to during a run, so that an excess can be traced to the
-// sessions, grants and reports behind it.
+// history records the changes of the store's keys of the limits during a run, so that an excess can be traced to the
+// sessions, grants and demands behind it. It is safe for concurrent use.
 type history struct {
 	now func() time.Duration
 
 	mu       sync.Mutex
-	revision uint64 // up to which it has the changes
+	revision uint64 // of the last recorded change
 	lines    []historyLine
 }
 
 type historyLine struct {
-	at   time.Duration // when the lab heard of it: late, if its replica was away
+	at   time.Duration // when the lab received the change; late if its replica was down
 	text string
 }
 
-// record follows one replica after another until ctx ends.
+// record follows the change feed of one replica after another until ctx ends.
 func (h *history) record(ctx context.Context, replicas []*adminapi.Client) {
-	for at := 0; ctx.Err() == nil; at++ {
+	for next := 0; ctx.Err() == nil; next++ {
 		h.mu.Lock()
 		after := h.revision
 		h.mu.Unlock()
 		query := url.Values{"prefix": {quota.Prefix}, "after": {strconv.FormatUint(after, 10)}}
-		// The stream of a replica that is killed ends with an error, and the next one is asked.
-		_ = replicas[at%len(replicas)].Watch(ctx, query, func(e store.Event) error {
+		// The watch of a killed replica ends with an error; the next replica continues it.
+		_ = replicas[next%len(replicas)].Watch(ctx, query, func(e store.Event) error {
 			h.add(e)
 			return nil
 		})
@@ -71,7 +71,7 @@
 	}
 }
 
-// describeEvent says what a grant or a demand was changed to.
+// describeEvent describes a changed grant or demand.
 func describeEvent(e store.Event) string {
 	key := strings.TrimPrefix(e.Item.Key, quota.Prefix)
 	if e.Deleted {
@@ -102,8 +102,8 @@
 	return fmt.Sprintf("%s: seen revision %d, in use %s", key, demand.SeenRevision, strings.Join(used, ", "))
 }
 
-// between returns the changes heard of in a time.
-func (h *history) between(from, to time.Duration) (lines []string) {
+// changesBetween returns the changes received within an interval.
+func (h *history) changesBetween(from, to time.Duration) (lines []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, line := range h.lines {
--- a/internal/lab/limitlab/judge.go
+++ b/internal/lab/limitlab/judge.go
@@ -15,84 +15,89 @@
 
 // Headers of the lab's requests. A sidecar forwards them.
 const (
-	SentHeader   = "X-Sent-Ns" // when the client sent it, in nanoseconds of the judge's clock
-	DaemonHeader = "X-From"    // the daemon that it was sent to
+	SentHeader   = "X-Sent-Ns" // when the client sent the request, in nanoseconds of the judge's clock
+	DaemonHeader = "X-From"    // number of the daemon that the request was sent to
 )
 
 const (
-	rateJudgedFor     = 4 * time.Second       // length of the intervals in which a rate is judged
-	heldFor           = 60 * time.Millisecond // how long servers take for a request of a concurrency limit
-	maxKnownRequests  = 1 << 17               // far more than can be open
+	rateInterval      = 4 * time.Second       // length of the intervals in which a rate is checked
+	holdDuration      = 60 * time.Millisecond // service time of requests of a concurrency limit
+	maxKnownRequests  = 1 << 17               // far more than can be open at once
 	maxStoredExcesses = 1000
-	maxClockSkew      = 0.02 // of the daemons, by their default
+	maxClockSkew      = 0.02 // default of the daemons
 )
 
-// Judge is the servers: it counts what arrives, by limit and part, on one clock, and knows of limits what their file says
-// and the formula of their bound, nothing of how they are enforced. A request counts once, when it first arrives,
-// however often it is tried. It was admitted after its client sent it and before it arrived, so that a request of which
-// both lie within an interval was admitted in it, however late it was. Of a concurrency limit it counts from its first
-// attempt's start to its last one's end; an attempt that its sidecar cancelled, by closing its connection, does not from
-// then on, which a server observes a little later.
+// Judge plays the servers and checks the limits. It counts the requests that arrive, by limit and part, on one clock.
+// Of a limit it knows its configuration and the formula of its bound, and nothing about its enforcement. A request
+// counts once, when its first attempt arrives. It was admitted after its client sent it and before it arrived, so if
+// both times lie within an interval, the request was admitted in that interval, however late it arrived. For a
+// concurrency limit a request counts from the start of its first attempt to the end of its last one. An attempt that
+// the sidecar cancelled by closing the connection does not count from then on, which a server observes a little later.
+//
+// A Judge is safe for concurrent use.
 type Judge struct {
 	startedAt time.Time
 	config    *quota.Config
 	matcher   *quota.Matcher
 	daemons   int
 
-	// maxLateness is the time from a request's admission to its arrival that is assumed; 0: none is. With it, requests
-	// that were sent before an interval count as well, such as those that a stopped sidecar admits when it continues.
+	// maxLateness is the assumed maximum time from a request's admission to its arrival; 0: no assumption. With it,
+	// requests that were sent before an interval count as well, such as those that a stopped sidecar admits when it
+	// continues.
 	maxLateness time.Duration
 
 	mu       sync.Mutex
 	tallies  map[string]*tally // by quota.Limit.Key
 	requests map[string]*request
-	order    []string // of requests, the oldest first
+	order    []string // ids of requests, the oldest first
 	total    int
 	excesses []excess
 }
 
+// request is a request with all its attempts.
 type request struct {
-	daemon    string
-	sentAt    time.Duration
-	arrivedAt time.Duration
-	open      int  // attempts
-	cancelled bool // an attempt of it has ended by its connection's end
+	daemon       string
+	sentAt       time.Duration
+	arrivedAt    time.Duration
+	openAttempts int  // attempts in progress
+	cancelled    bool // the connection of an attempt was closed
 
-	leftAt       time.Duration // when its last attempt ended; 0: it is open
-	answeredAt   time.Duration // when its client had an answer, or gave up; 0: not yet
-	clientStatus int           // of the answer; 0: there was none
+	leftAt       time.Duration // when its last attempt ended; 0: an attempt is in progress
+	answeredAt   time.Duration // when its client received a response or timed out; 0: not yet
+	clientStatus int           // status of the response; 0: none
 }
 
-// String says when what happened to a request.
+// String describes the request with its times, for messages about an excess.
 func (x *request) String() string {
 	ms := func(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
 	return fmt.Sprintf("d%s sent %v, arrived %v, left %v, client %d at %v",
 		x.daemon, ms(x.sentAt), ms(x.arrivedAt), ms(x.leftAt), x.clientStatus, ms(x.answeredAt))
 }
 
-// excess is that more requests were open at once than a limit admits, not counting those that are known to be cancelled.
+// excess records that more requests were open at once than a limit admits, with those that may turn out to be
+// cancelled.
 type excess struct {
 	tally    *tally
 	at       time.Duration
 	requests []*request
 }
 
-// tally is what arrived of one part of one limit.
+// tally counts the requests of one part of a limit.
 type tally struct {
-	limit  *quota.Limit
-	node   int
-	recent []*request        // sent within the length that is judged
-	late   []*request        // arrived within the length that is judged with an assumed lateness
-	open   map[*request]bool // of a concurrency limit
-	count  int
-	most   float64 // in the length that is judged
-	near   float64 // the most, by the bound
-	broken string
-	from   time.Duration // when the interval began in which it was exceeded
-	to     time.Duration
+	limit           *quota.Limit
+	node            int
+	sentRecently    []*request        // sent within the last interval
+	arrivedRecently []*request        // arrived within the last interval; used with maxLateness
+	openRequests    map[*request]bool // requests in progress, of a concurrency limit
+	count           int
+	maxCount        float64       // largest number of requests in an interval, or at once
+	maxUse          float64       // largest number as a fraction of the bound
+	violation       string        // description of the first violation; empty: none
+	from            time.Duration // start of the interval in which the limit was exceeded
+	to              time.Duration // end of that interval
 }
 
-// NewJudge returns servers that have seen no request yet.
+// NewJudge returns a Judge for the limits of a configuration and a fleet with the given number of daemons.
 func NewJudge(config *quota.Config, daemons int) *Judge {
 	j := &Judge{
 		startedAt: time.Now(),
@@ -104,48 +109,48 @@
 	}
 	for _, l := range config.Limits {
 		for i := range l.Nodes {
-			j.tallies[l.Key(i)] = &tally{limit: l, node: i, open: map[*request]bool{}}
+			j.tallies[l.Key(i)] = &tally{limit: l, node: i, openRequests: map[*request]bool{}}
 		}
 	}
 	return j
 }
 
-// Now is the time on the judge's clock.
+// Now returns the time of the judge's clock, which starts at 0 in NewJudge.
 func (j *Judge) Now() time.Duration { return time.Since(j.startedAt) }
 
-// judgedFor is the length of the intervals in which requests are counted: of a window its own.
-func (t *tally) judgedFor() time.Duration {
+// interval returns the length of the intervals in which requests are counted, which for a window is its own length.
+func (t *tally) interval() time.Duration {
 	if t.limit.Kind == quota.Window {
 		return time.Duration(t.limit.Window)
 	}
-	return rateJudgedFor
+	return rateInterval
 }
 
-// bound is the most that may be admitted in such an interval while all daemons are cut off from the store.
+// bound returns the most that may be admitted in such an interval while all daemons are cut off from the store.
 func (t *tally) bound(daemons int) float64 {
-	bound, _ := t.limit.UpperBound(t.node, int64(t.judgedFor()), 0, maxClockSkew, daemons)
+	bound, _ := t.limit.UpperBound(t.node, int64(t.interval()), 0, maxClockSkew, daemons)
 	return bound
 }
 
-// ServeHTTP serves a request as a server does.
+// ServeHTTP counts an attempt and responds to it, after holdDuration if it belongs to the concurrency limit.
 func (j *Judge) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived, held := j.arrive(r)
 	if strings.HasPrefix(r.URL.Path, "/look/held") {
-		ctx, cancel := context.WithTimeout(r.Context(), heldFor)
-		<-ctx.Done() // or the client has gone
+		ctx, cancel := context.WithTimeout(r.Context(), holdDuration)
+		<-ctx.Done() // or until the sidecar closes the connection
 		cancel()
 	}
 	j.leave(arrived, held, r.Context().Err() != nil)
 	_, _ = w.Write([]byte("ok"))
 }
 
-// arrive counts an attempt, and returns its request and the concurrency limits that it counts for.
+// arrive counts an attempt, and returns its request and the tallies of the concurrency limits that it counts for.
 func (j *Judge) arrive(r *http.Request) (arrived *request, held []*tally) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	now := j.Now()
 	arrived, isFirst := j.request(r, now)
-	arrived.open++
+	arrived.openAttempts++
 	query := quota.Request{Class: "look", Path: r.URL.Path, Header: r.Header.Get}
 	for _, charge := range j.matcher.Match(nil, &query) {
 		for node := charge.Node; ; node = charge.Limit.Nodes[node].Parent {
@@ -154,7 +159,7 @@
 				t.count++
 			}
 			if t.limit.Kind == quota.Concurrency {
-				t.open[arrived] = true
+				t.openRequests[arrived] = true
 				held = append(held, t)
 				j.judgeConcurrency(t, now)
 			} else if isFirst {
@@ -171,7 +176,7 @@
 	return arrived, held
 }
 
-// request returns the request of an attempt, and whether it is the first of it. The lock is held.
+// request returns the request of an attempt, and whether the attempt is its first. The lock is held.
 func (j *Judge) request(r *http.Request, now time.Duration) (x *request, isFirst bool) {
 	id := r.Header.Get("X-Trace-Id")
 	if x := j.requests[id]; x != nil {
@@ -191,23 +196,23 @@
 	return x, true
 }
 
-// leave notes the end of an attempt.
+// leave records the end of an attempt.
 func (j *Judge) leave(x *request, held []*tally, cancelled bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	x.cancelled = x.cancelled || cancelled
-	x.open--
-	if x.open > 0 {
+	x.openAttempts--
+	if x.openAttempts > 0 {
 		return
 	}
 	x.leftAt = j.Now()
 	for _, t := range held {
-		delete(t.open, x)
+		delete(t.openRequests, x)
 	}
 }
 
-// ClientEnded notes that the client of a request has an answer of a status, or 0 if it gave up. It counts for nothing,
-// and tells an excess's causes apart.
+// ClientEnded records that the client of a request received a response with a status, or timed out if status is 0. This
+// has no influence on the checks. It helps to find the cause of an excess.
 func (j *Judge) ClientEnded(id string, status int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -219,38 +224,38 @@
 // judgeInterval compares the requests that were sent and arrived within the last interval with their bound. The lock is
 // held.
 func (j *Judge) judgeInterval(t *tally, arrived *request, now time.Duration) {
-	length := t.judgedFor()
+	length := t.interval()
 	bound := t.bound(j.daemons)
-	t.recent = slices.DeleteFunc(append(t.recent, arrived), func(x *request) bool { return x.sentAt <= now-length })
-	n := float64(len(t.recent))
-	t.most = max(t.most, n)
-	t.near = max(t.near, n/bound)
-	if n > bound && t.broken == "" {
+	t.sentRecently = slices.DeleteFunc(append(t.sentRecently, arrived), func(x *request) bool { return x.sentAt <= now-length })
+	n := float64(len(t.sentRecently))
+	t.maxCount = max(t.maxCount, n)
+	t.maxUse = max(t.maxUse, n/bound)
+	if n > bound && t.violation == "" {
 		t.from, t.to = now-length, now
-		t.broken = fmt.Sprintf("%s, part %q: %.0f in %v at %v, and the bound is %.1f; by daemon: %s",
-			t.limit.Name, t.limit.Nodes[t.node].Path, n, length, now.Round(time.Millisecond), bound, describe(t.recent))
+		t.violation = fmt.Sprintf("%s, part %q: %.0f in %v at %v, and the bound is %.1f; by daemon: %s",
+			t.limit.Name, t.limit.Nodes[t.node].Path, n, length, now.Round(time.Millisecond), bound, describe(t.sentRecently))
 	}
 }
 
 // judgeArrivals compares the requests that arrived within an interval with the bound of those that may have been
 // admitted up to maxLateness before it. The lock is held.
 func (j *Judge) judgeArrivals(t *tally, arrived *request, now time.Duration) {
-	length := rateJudgedFor
+	length := rateInterval
 	if t.limit.Kind == quota.Window {
 		length = max(time.Duration(t.limit.Window)-j.maxLateness, j.maxLateness)
 	}
 	bound, _ := t.limit.UpperBound(t.node, int64(length), int64(j.maxLateness), maxClockSkew, j.daemons)
-	t.late = slices.DeleteFunc(append(t.late, arrived), func(x *request) bool { return x.arrivedAt <= now-length })
-	n := float64(len(t.late))
-	if n > bound && t.broken == "" {
+	t.arrivedRecently = slices.DeleteFunc(append(t.arrivedRecently, arrived), func(x *request) bool { return x.arrivedAt <= now-length })
+	n := float64(len(t.arrivedRecently))
+	if n > bound && t.violation == "" {
 		t.from, t.to = now-length, now
-		t.broken = fmt.Sprintf("%s, part %q: %.0f arrived in %v at %v, and the bound is %.1f; by daemon: %s",
-			t.limit.Name, t.limit.Nodes[t.node].Path, n, length, now.Round(time.Millisecond), bound, describe(t.late))
+		t.violation = fmt.Sprintf("%s, part %q: %.0f arrived in %v at %v, and the bound is %.1f; by daemon: %s",
+			t.limit.Name, t.limit.Nodes[t.node].Path, n, length, now.Round(time.Millisecond), bound, describe(t.arrivedRecently))
 	}
 }
 
-// describe says for each daemon how many of the requests were sent to it, from when to when they arrived, and the
-// longest that one took.
+// describe describes for each daemon how many of the requests were sent to it, the interval in which they arrived, and
+// the longest time that one took to arrive.
 func describe(requests []*request) string {
 	byDaemon := map[string][]*request{}
 	for _, x := range requests {
@@ -273,15 +278,15 @@
 // judgeConcurrency compares the open requests with the limit. Whether an excess counts is decided at the end, when all
 // cancelled requests are known. The lock is held.
 func (j *Judge) judgeConcurrency(t *tally, now time.Duration) {
-	n := float64(len(t.open))
+	n := float64(len(t.openRequests))
 	bound := t.bound(j.daemons)
 	if n <= bound {
-		t.most = max(t.most, n)
-		t.near = max(t.near, n/bound)
+		t.maxCount = max(t.maxCount, n)
+		t.maxUse = max(t.maxUse, n/bound)
 		return
 	}
 	e := excess{tally: t, at: now}
-	for x := range t.open {
+	for x := range t.openRequests {
 		e.requests = append(e.requests, x)
 	}
 	if len(j.excesses) < maxStoredExcesses {
@@ -289,36 +294,36 @@
 	}
 }
 
-// firstExcess is the interval in which a limit was first exceeded; ok is false if none was.
+// firstExcess returns the first interval in which a limit was exceeded; ok is false if there is none.
 func (j *Judge) firstExcess() (from, to time.Duration, ok bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, t := range j.tallies {
-		if t.broken != "" && (!ok || t.to < to) {
+		if t.violation != "" && (!ok || t.to < to) {
 			from, to, ok = t.from, t.to, true
 		}
 	}
 	return from, to, ok
 }
 
-// counts are all requests, and those of a whole limit.
+// counts returns the number of all requests and of those of the named limit.
 func (j *Judge) counts(name string) (all, ofLimit int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.total, j.tallies[j.config.Find(name).Key(0)].count
 }
 
-// Seen is what servers saw of a part of a limit.
+// Seen is what the servers counted for a part of a limit. Its JSON is part of the output of limit torture.
 type Seen struct {
 	Limit string  `json:"limit"`
 	Part  string  `json:"part"`
 	Count int     `json:"count"`
-	Most  float64 `json:"most_in_window"`
+	Most  float64 `json:"most_in_window"` // largest number of requests in an interval, or at once
 	Bound float64 `json:"bound"`
-	Near  float64 `json:"near"` // the most, by the bound
+	Near  float64 `json:"near"` // largest number as a fraction of the bound
 }
 
-// Result returns what servers saw of each part of each limit, and what was exceeded.
+// Result returns the counts of each part of each limit, and descriptions of the limits that were exceeded.
 func (j *Judge) Result() (all []Seen, broken []string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -328,16 +333,17 @@
 	for _, l := range j.config.Limits {
 		for i, n := range l.Nodes {
 			t := j.tallies[l.Key(i)]
-			all = append(all, Seen{l.Name, n.Path, t.count, t.most, t.bound(j.daemons), t.near})
-			if t.broken != "" {
-				broken = append(broken, t.broken)
+			all = append(all, Seen{l.Name, n.Path, t.count, t.maxCount, t.bound(j.daemons), t.maxUse})
+			if t.violation != "" {
+				broken = append(broken, t.violation)
 			}
 		}
 	}
 	return all, broken
 }
 
-// judge counts the requests of an excess that were neither cancelled nor longer open than the limit allows for.
+// judge checks an excess again. Requests that were cancelled, or open for longer than the longest time of the limit, do
+// not count.
 func (e *excess) judge() {
 	t := e.tally
 	n := 0
@@ -349,12 +355,12 @@
 		}
 	}
 	bound := float64(t.limit.Nodes[t.node].Capacity) / float64(quota.AmountUnit)
-	t.most = max(t.most, float64(n))
-	t.near = max(t.near, float64(n)/bound)
-	if float64(n) > bound && t.broken == "" {
+	t.maxCount = max(t.maxCount, float64(n))
+	t.maxUse = max(t.maxUse, float64(n)/bound)
+	if float64(n) > bound && t.violation == "" {
 		t.from, t.to = e.at, e.at
 		slices.Sort(counted)
-		t.broken = fmt.Sprintf("%s, part %q: %d at once at %v, and the limit is %.0f: %s",
+		t.violation = fmt.Sprintf("%s, part %q: %d at once at %v, and the limit is %.0f: %s",
 			t.limit.Name, t.limit.Nodes[t.node].Path, n, e.at.Round(time.Millisecond), bound, strings.Join(counted, "; "))
 	}
 }
--- a/internal/lab/limitlab/judge_test.go
+++ b/internal/lab/limitlab/judge_test.go
@@ -13,44 +13,45 @@
 	"birchmoor/internal/controlplane/quota"
 )
 
-// The servers find a limit passed, in the whole or a part; a request that is tried twice counts once, and one that was given up is not there.
-func TestServersJudge(t *testing.T) {
-	conf, err := quota.ParseFile("limits.toml", []byte(Limits))
+// The judge finds an exceeded limit, of the root or of a part. A retried request counts once, and a cancelled one not
+// at all.
+func TestJudgeFindsExceededLimits(t *testing.T) {
+	config, err := quota.ParseFile("limits.toml", []byte(Limits))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, x := range map[string]struct {
-		path, org    string
-		n            int
-		every        time.Duration
-		twice, gives bool
-		broken       string
+		path, org               string
+		requests                int
+		interval                time.Duration
+		isRetried, hasCancelled bool
+		violation               string
 	}{
-		"as many at once as may be":       {"held", "a", 16, 0, false, false, ""},
-		"one more":                        {"held", "a", 17, 0, false, false, "held"},
-		"one more, all tried twice":       {"held", "a", 17, 0, true, false, "held"},
-		"more, of which some are gone":    {"held", "a", 24, 0, false, true, ""},
-		"a window's":                      {"quota", "a", 300, time.Millisecond, false, false, ""},
-		"one more than a window's":        {"quota", "a", 301, time.Millisecond, false, false, "quota"},
-		"a window's, all tried twice":     {"quota", "a", 300, time.Millisecond, true, false, ""},
-		"a part's rate, passed for long":  {"orders", "a", 600, time.Second / 150, false, false, `orders, part "a"`},
-		"the same spread over the whole":  {"orders", "c", 600, time.Second / 150, false, false, ""},
-		"the whole's rate, passed by all": {"orders", "c", 1000, time.Second / 250, false, false, `orders, part ""`},
+		"concurrency at the limit":                             {"held", "a", 16, 0, false, false, ""},
+		"concurrency above the limit":                          {"held", "a", 17, 0, false, false, "held"},
+		"concurrency above the limit, with retries":            {"held", "a", 17, 0, true, false, "held"},
+		"concurrency above the limit, with cancelled requests": {"held", "a", 24, 0, false, true, ""},
+		"window at the limit":                                  {"quota", "a", 300, time.Millisecond, false, false, ""},
+		"window above the limit":                               {"quota", "a", 301, time.Millisecond, false, false, "quota"},
+		"window at the limit, with retries":                    {"quota", "a", 300, time.Millisecond, true, false, ""},
+		"rate above the limit of a part":                       {"orders", "a", 600, time.Second / 150, false, false, `orders, part "a"`},
+		"same rate without a part":                             {"orders", "c", 600, time.Second / 150, false, false, ""},
+		"rate above the limit of the root":                     {"orders", "c", 1000, time.Second / 250, false, false, `orders, part ""`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				j := NewJudge(conf, 8)
-				var asking sync.WaitGroup
-				for i := range x.n {
-					tries := 1
-					if x.twice {
-						tries = 2
+				j := NewJudge(config, 8)
+				var attempts sync.WaitGroup
+				for i := range x.requests {
+					attemptsPerRequest := 1
+					if x.isRetried {
+						attemptsPerRequest = 2
 					}
-					for range tries {
-						asking.Go(func() {
+					for range attemptsPerRequest {
+						attempts.Go(func() {
 							ctx, cancel := context.WithCancel(t.Context())
 							defer cancel()
-							if x.gives && i%3 == 0 {
+							if x.hasCancelled && i%3 == 0 {
 								time.AfterFunc(10*time.Millisecond, cancel)
 							}
 							r := httptest.NewRequestWithContext(ctx, "GET", "/look/"+x.path, nil)
@@ -59,20 +60,20 @@
 							j.ServeHTTP(httptest.NewRecorder(), r)
 						})
 					}
-					time.Sleep(x.every)
+					time.Sleep(x.interval)
 				}
-				asking.Wait()
-				if _, broken := j.Result(); (x.broken == "") != (len(broken) == 0) || x.broken != "" && !strings.Contains(strings.Join(broken, "; "), x.broken) {
-					t.Errorf("broken: %q", broken)
+				attempts.Wait()
+				if _, broken := j.Result(); (x.violation == "") != (len(broken) == 0) || x.violation != "" && !strings.Contains(strings.Join(broken, "; "), x.violation) {
+					t.Errorf("unexpected exceeded limits: %q", broken)
 				}
 			})
 		})
 	}
 }
 
-// A request was admitted at some time between its sending and its arrival: it counts against a window that holds both,
-// and not against one that began after it was sent.
-func TestWindowIsJudgedBySendingAndArrival(t *testing.T) {
+// A request is admitted between its sending and its arrival. It counts in a window that contains both times, and not in
+// one that begins after it was sent.
+func TestWindowCountsBySendingAndArrivalTimes(t *testing.T) {
 	config, err := quota.ParseFile("limits.toml", []byte(Limits))
 	if err != nil {
 		t.Fatal(err)
@@ -102,19 +103,19 @@
 				}
 				_, broken := j.Result()
 				if _, _, exceeded := j.firstExcess(); exceeded != x.isBroken || len(broken) > 0 != x.isBroken {
-					t.Errorf("broken: %q", broken)
+					t.Errorf("unexpected exceeded limits: %q", broken)
 				}
 				if x.isBroken && !strings.Contains(broken[0], "d4 301 from 10s to 10.3s, 500ms old at most") {
-					t.Errorf("the message is %q", broken[0])
+					t.Errorf("message = %q, want the daemon's requests with their times", broken[0])
 				}
 			})
 		})
 	}
 }
 
-// Guards against an excess of requests that were sent before the interval in which they arrive, as by a sidecar that was
-// stopped and continues.
-func TestArrivalsAreJudgedWithAssumedLateness(t *testing.T) {
+// Guards against missing an excess of requests that were sent before the interval in which they arrive, as by a sidecar
+// that was stopped and continues.
+func TestArrivalsAreCheckedWithAssumedLateness(t *testing.T) {
 	config, err := quota.ParseFile("limits.toml", []byte(Limits))
 	if err != nil {
 		t.Fatal(err)
@@ -132,7 +133,7 @@
 				j.ServeHTTP(httptest.NewRecorder(), r)
 			}
 			if _, broken := j.Result(); len(broken) > 0 != (lateness > 0) {
-				t.Errorf("with an assumed lateness of %v: %q", lateness, broken)
+				t.Errorf("exceeded limits with an assumed lateness of %v: %q", lateness, broken)
 			}
 		})
 	}
--- a/internal/lab/limitlab/limitlab.go
+++ b/internal/lab/limitlab/limitlab.go
@@ -1,5 +1,6 @@
-// Package limitlab shares limits among real processes: three replicas and followers, each a sidecar under more load than the limits let
-// through, over servers that count. It kills, stops, cuts and slows them; the servers judge what came by each limit's own formula.
+// Package limitlab runs fault runs of shared limits with real processes: replicas and followers, each a sidecar under
+// more load than the limits admit, in front of servers that count requests. Daemons are killed, stopped, cut off and
+// slowed down, and the servers check the requests against the bound of each limit.
 package limitlab
 
 import (
@@ -20,52 +21,52 @@
 	"birchmoor/internal/lab/fleetlab"
 )
 
-// Torture says what is done.
+// Torture is a fault run: the settings of the fleet and of the faults.
 type Torture struct {
-	Program  string
-	Env      []string
-	Dir      string
-	Replicas int
-	Follow   int
+	Program  string   // path of the program that daemons run
+	Env      []string // added to the environment of daemons
+	Dir      string   // folder for temporary files
+	Replicas int      // daemons with a replica
+	Follow   int      // daemons without one
 	For      time.Duration
-	Blows    int // in place of For: so many of Faults in turn
-	Every    time.Duration
+	Blows    int           // if above 0, used in place of For: number of faults, which are all kinds in turn
+	Every    time.Duration // mean time between two faults
 	Seed     uint64
-	Play     []Blow
-	Until    bool // it ends once a bound was passed
-	Say      func(string)
+	Play     []Blow       // if not nil, the schedule in place of a drawn one
+	Until    bool         // ends the run once a limit was exceeded
+	Say      func(string) // receives progress lines; nil: nobody
 }
 
-// Blow is one of a schedule.
+// Blow is a fault of a schedule. A schedule of an earlier run can be run again.
 type Blow struct {
-	GapMs int64  `json:"gap_ms"`
-	Fault string `json:"fault"`
-	Draw  uint64 `json:"draw"`
-	AtMs  int64  `json:"at_ms,omitempty"`
-	What  string `json:"what,omitempty"`
+	GapMs int64  `json:"gap_ms"`          // after the end of the previous fault
+	Fault string `json:"fault"`           // name in Faults
+	Draw  uint64 `json:"draw"`            // random number that selects the daemon
+	AtMs  int64  `json:"at_ms,omitempty"` // when it was injected, for readers
+	What  string `json:"what,omitempty"`  // the daemons it was injected at, for readers
 }
 
-// Tortured is what came of it.
+// Tortured is the outcome of a fault run. Its JSON is part of the output of limit torture.
 type Tortured struct {
-	Requests int            `json:"requests"` // that servers saw
-	Refused  int            `json:"refused"`  // with 429, by sidecars
-	NoTime   int            `json:"refused_without_time"`
-	Crowds   int            `json:"crowds"` // more at once than a limit, among them tries that had been given up
-	Blows    map[string]int `json:"blows"`
+	Requests int            `json:"requests"`             // that arrived at servers
+	Refused  int            `json:"refused"`              // rejected by sidecars with 429
+	NoTime   int            `json:"refused_without_time"` // rejected without Retry-After
+	Crowds   int            `json:"crowds"`               // excesses of open requests, cancelled ones included
+	Blows    map[string]int `json:"blows"`                // number of injected faults, by name
 	Seen     []Seen         `json:"seen"`
-	Use      float64        `json:"use"` // of the rate limit, once all was calm
-	Broken   []string       `json:"broken"`
-	History  []string       `json:"history,omitempty"` // of the store, around the first excess
+	Use      float64        `json:"use"`               // used fraction of the rate limit after the faults
+	Broken   []string       `json:"broken"`            // limits that were exceeded
+	History  []string       `json:"history,omitempty"` // changes of the store around the first excess
 	Schedule []Blow         `json:"schedule"`
 }
 
-// maxLateness is more than a request's time, after which its sidecar sends it no more.
+// maxLateness is longer than the deadline of a request, after which its sidecar sends no more attempts of it.
 const maxLateness = time.Second
 
-// TTL is that of sidecars' sessions here.
+// TTL is the TTL of the daemons' sessions.
 const TTL = 1500 * time.Millisecond
 
-// Limits are those that are played.
+// Limits is the configuration of the limits, in TOML.
 const Limits = `
 [limit.orders]
 rate = 160.0
@@ -98,187 +99,190 @@
 hosts = 8
 `
 
-// Fault is one kind of blow.
+// Fault is a kind of fault.
 type Fault struct {
-	Name  string
-	About string
-	long  float64 // TTLs
-	blow  fleetlab.Blow
-	lead  bool // the store's leader is meant
+	Name        string
+	About       string
+	sessionTTLs float64 // duration as a multiple of TTL
+	inject      fleetlab.Blow
+	atLeader    bool // injected at the leader of the store, not at a drawn daemon
 }
 
-// Faults are all kinds.
+// Faults lists all kinds of faults.
 var Faults = []Fault{
-	{"killed", "a daemon with its share is killed, and started at once", 0, fleetlab.Killed, false},
-	{"stopped", "a daemon is stopped for three of its sessions, and continued with all that has waited", 3, fleetlab.Stopped, false},
-	{"mute", "a daemon is not heard, and hears", 1.5, fleetlab.Mute, false},
-	{"deaf", "a daemon is heard, and hears nothing", 1.5, fleetlab.Deaf, false},
-	{"cut-off", "a daemon is cut off both ways for three of its sessions", 3, fleetlab.CutOff, false},
+	{"killed", "a daemon is killed with its quotas and started at once", 0, fleetlab.Killed, false},
+	{"stopped", "a daemon is stopped for three session TTLs, and then continues with all waiting requests", 3, fleetlab.Stopped, false},
+	{"mute", "messages from a daemon are lost, and those to it are not", 1.5, fleetlab.Mute, false},
+	{"deaf", "messages to a daemon are lost, and those from it are not", 1.5, fleetlab.Deaf, false},
+	{"cut-off", "a daemon is cut off in both directions for three session TTLs", 3, fleetlab.CutOff, false},
 	{"leader-killed", "the store's leader is killed", 0, fleetlab.Killed, true},
-	{"leader-stopped", "the store's leader is stopped for one and a half of its sessions", 1.5, fleetlab.Stopped, true},
-	{"split", "a third of all daemons is cut off for two and a half sessions", 2.5, split, false},
+	{"leader-stopped", "the store's leader is stopped for one and a half session TTLs", 1.5, fleetlab.Stopped, true},
+	{"split", "a third of all daemons is cut off for two and a half session TTLs", 2.5, cutOffThird, false},
 	{"all-killed", "all daemons are killed", 0, fleetlab.AllKilled, false},
 	{"slow", "all links are slow and lossy", 1.5, fleetlab.Slow, false},
 }
 
-func split(f *fleetlab.Fleet, d *fleetlab.Daemon, long time.Duration) (string, func(context.Context) error) {
-	what, ends := "", []func(context.Context) error{}
-	for _, x := range f.Daemons {
-		if x == d || (x.Number-d.Number+len(f.Daemons))%3 == 0 {
-			name, end := fleetlab.CutOff(f, x, long)
-			what, ends = what+" "+name, append(ends, end)
+// cutOffThird cuts off a third of all daemons in both directions.
+func cutOffThird(f *fleetlab.Fleet, d *fleetlab.Daemon, duration time.Duration) (string, func(context.Context) error) {
+	target, endings := "", []func(context.Context) error{}
+	for _, other := range f.Daemons {
+		if other == d || (other.Number-d.Number+len(f.Daemons))%3 == 0 {
+			name, end := fleetlab.CutOff(f, other, duration)
+			target, endings = target+" "+name, append(endings, end)
 		}
 	}
-	return what, func(ctx context.Context) (err error) {
-		for _, end := range ends { // the first waits for all
+	return target, func(ctx context.Context) (err error) {
+		for _, end := range endings { // the first call waits for the whole duration
 			err = errors.Join(err, end(ctx))
-			long = 0
+			duration = 0
 		}
 		return err
 	}
 }
 
-// blow is the nth of a run, and whether there is one.
-func (t *Torture) blow(n int, run time.Duration) (Blow, bool) {
-	rng := rand.New(rand.NewPCG(t.Seed, uint64(n)))
-	b := Blow{GapMs: t.Every.Milliseconds()/2 + rng.Int64N(max(1, t.Every.Milliseconds())), Fault: Faults[rng.IntN(len(Faults))].Name, Draw: rng.Uint64()}
+// nextFault returns the nth fault of a run that has lasted for some time, and whether there is one.
+func (t *Torture) nextFault(index int, elapsed time.Duration) (Blow, bool) {
+	rng := rand.New(rand.NewPCG(t.Seed, uint64(index)))
+	fault := Blow{GapMs: t.Every.Milliseconds()/2 + rng.Int64N(max(1, t.Every.Milliseconds())), Fault: Faults[rng.IntN(len(Faults))].Name, Draw: rng.Uint64()}
 	switch {
 	case t.Play != nil:
-		if n < len(t.Play) {
-			b = t.Play[n]
+		if index < len(t.Play) {
+			fault = t.Play[index]
 		}
-		return b, n < len(t.Play)
+		return fault, index < len(t.Play)
 	case t.Blows > 0:
-		b.Fault = Faults[n%len(Faults)].Name
-		return b, n < t.Blows
+		fault.Fault = Faults[index%len(Faults)].Name
+		return fault, index < t.Blows
 	}
-	return b, run < t.For
+	return fault, elapsed < t.For
 }
 
-// say passes a line on to whoever follows the run, if anybody does.
-func (t *Torture) say(line string) {
+// report passes a progress line to Say, if it is not nil.
+func (t *Torture) report(line string) {
 	if t.Say != nil {
 		t.Say(line)
 	}
 }
 
+// run is the state of a fault run.
 type run struct {
 	*Torture
-	fleet   *fleetlab.Fleet
-	judge   *Judge
-	refused atomic.Int64
-	noTime  atomic.Int64
-	hot     atomic.Uint64 // who is busy
+	fleet             *fleetlab.Fleet
+	judge             *Judge
+	rejected          atomic.Int64
+	withoutRetryAfter atomic.Int64
+	busyDaemon        atomic.Uint64 // number of the daemon with more load, modulo the number of daemons
 }
 
-// Run tortures.
-func (t *Torture) Run(ctx context.Context) (r *Tortured, err error) {
+// Run starts a fleet, injects the faults under load, and checks the limits. With an error it also returns the outcome
+// up to then, unless the fleet did not start.
+func (t *Torture) Run(ctx context.Context) (result *Tortured, err error) {
 	dir, err := os.MkdirTemp(t.Dir, "limits-")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	conf, err := quota.ParseFile("limits.toml", []byte(Limits))
+	config, err := quota.ParseFile("limits.toml", []byte(Limits))
 	if err != nil {
 		return nil, err
 	}
-	conf.AssignGenerations(&quota.Config{})
-	x := &run{Torture: t, judge: NewJudge(conf, t.Replicas+t.Follow)}
-	x.judge.maxLateness = maxLateness
-	changes := &history{now: x.judge.Now}
-	x.fleet, err = fleetlab.Begin(ctx, fleetlab.Config{Program: t.Program, Args: []string{"run", "--config"}, Env: t.Env, Dir: dir, Replicas: t.Replicas,
-		Follow: t.Follow, Servers: 4, Seed: t.Seed, Handle: x.judge, More: fmt.Sprintf("[limits]\nlease = %q\ntell = \"50ms\"\neach = \"2ms\"\n", TTL)})
+	config.AssignGenerations(&quota.Config{})
+	r := &run{Torture: t, judge: NewJudge(config, t.Replicas+t.Follow)}
+	r.judge.maxLateness = maxLateness
+	changes := &history{now: r.judge.Now}
+	r.fleet, err = fleetlab.Begin(ctx, fleetlab.Config{Program: t.Program, Args: []string{"run", "--config"}, Env: t.Env, Dir: dir, Replicas: t.Replicas,
+		Follow: t.Follow, Servers: 4, Seed: t.Seed, Handle: r.judge, More: fmt.Sprintf("[limits]\nlease = %q\ntell = \"50ms\"\neach = \"2ms\"\n", TTL)})
 	if err != nil {
 		return nil, err
 	}
-	defer x.fleet.End()
-	if err := x.put(ctx, conf); err != nil {
+	defer r.fleet.End()
+	if err := r.applyLimits(ctx, config); err != nil {
 		return nil, err
 	}
-	r = &Tortured{Blows: map[string]int{}}
-	load, stop := context.WithCancel(ctx)
-	var asking sync.WaitGroup
+	result = &Tortured{Blows: map[string]int{}}
+	loadCtx, stop := context.WithCancel(ctx)
+	var background sync.WaitGroup
 	defer func() {
 		stop()
-		asking.Wait()
-		r.Seen, r.Broken = x.judge.Result()
-		r.Requests, _ = x.judge.counts("orders")
-		r.Crowds = len(x.judge.excesses)
-		if from, to, exceeded := x.judge.firstExcess(); exceeded {
-			r.History = changes.between(from-historyBefore, to)
-			for _, line := range r.History {
-				t.say(line)
+		background.Wait()
+		result.Seen, result.Broken = r.judge.Result()
+		result.Requests, _ = r.judge.counts("orders")
+		result.Crowds = len(r.judge.excesses)
+		if from, to, exceeded := r.judge.firstExcess(); exceeded {
+			result.History = changes.changesBetween(from-historyBefore, to)
+			for _, line := range result.History {
+				t.report(line)
 			}
 		}
-		r.Refused, r.NoTime = int(x.refused.Load()), int(x.noTime.Load())
+		result.Refused, result.NoTime = int(r.rejected.Load()), int(r.withoutRetryAfter.Load())
 	}()
-	asking.Go(func() { changes.record(load, x.replicaClients()) })
-	for _, d := range x.fleet.Daemons {
-		for i := range askedPaths {
-			asking.Go(func() { x.ask(load, d, i) })
+	background.Go(func() { changes.record(loadCtx, r.replicaClients()) })
+	for _, daemon := range r.fleet.Daemons {
+		for i := range loadPaths {
+			background.Go(func() { r.generateLoad(loadCtx, daemon, i) })
 		}
 	}
-	if err := x.goesOn(ctx, 100); err != nil {
-		return r, err
+	if err := r.waitForRequests(ctx, 100); err != nil {
+		return result, err
 	}
-	begun := time.Now()
+	startedAt := time.Now()
 	for n := 0; ; n++ {
-		b, more := t.blow(n, time.Since(begun))
-		if _, broken := x.judge.Result(); t.Until && len(broken) > 0 {
-			return r, nil
+		scheduled, ok := t.nextFault(n, time.Since(startedAt))
+		if _, broken := r.judge.Result(); t.Until && len(broken) > 0 {
+			return result, nil
 		}
-		if !more {
+		if !ok {
 			break
 		}
-		at := slices.IndexFunc(Faults, func(f Fault) bool { return f.Name == b.Fault })
-		if at < 0 {
-			return r, fmt.Errorf("%q is not a kind of blow", b.Fault)
+		kind := slices.IndexFunc(Faults, func(fault Fault) bool { return fault.Name == scheduled.Fault })
+		if kind < 0 {
+			return result, fmt.Errorf("schedule names an unknown fault: %q", scheduled.Fault)
 		}
 		select {
 		case <-ctx.Done():
-			return r, ctx.Err()
-		case <-time.After(time.Duration(b.GapMs) * time.Millisecond):
+			return result, ctx.Err()
+		case <-time.After(time.Duration(scheduled.GapMs) * time.Millisecond):
 		}
-		f, d := Faults[at], x.fleet.Daemons[b.Draw%uint64(len(x.fleet.Daemons))]
-		x.hot.Store(b.Draw >> 8)
-		if f.lead {
-			d = x.fleet.Leader()
+		fault, daemon := Faults[kind], r.fleet.Daemons[scheduled.Draw%uint64(len(r.fleet.Daemons))]
+		r.busyDaemon.Store(scheduled.Draw >> 8)
+		if fault.atLeader {
+			daemon = r.fleet.Leader()
 		}
-		before, _ := x.judge.counts("orders")
-		what, end := f.blow(x.fleet, d, time.Duration(f.long*float64(TTL)))
-		r.Blows[f.Name]++
-		b.AtMs, b.What = time.Since(begun).Milliseconds(), what
-		r.Schedule = append(r.Schedule, b)
+		before, _ := r.judge.counts("orders")
+		target, end := fault.inject(r.fleet, daemon, time.Duration(fault.sessionTTLs*float64(TTL)))
+		result.Blows[fault.Name]++
+		scheduled.AtMs, scheduled.What = time.Since(startedAt).Milliseconds(), target
+		result.Schedule = append(result.Schedule, scheduled)
 		if err := end(ctx); err != nil {
-			return r, fmt.Errorf("%s %s: %w", f.Name, what, err)
+			return result, fmt.Errorf("%s %s: %w", fault.Name, target, err)
 		}
-		if err := x.goesOn(ctx, before+100); err != nil {
-			return r, fmt.Errorf("after %s %s: %w", f.Name, what, err)
+		if err := r.waitForRequests(ctx, before+100); err != nil {
+			return result, fmt.Errorf("after %s %s: %w", fault.Name, target, err)
 		}
 		if t.Say != nil {
-			all, _ := x.judge.counts("orders")
-			_, broken := x.judge.Result()
-			t.say(fmt.Sprintf("%v: %s %s; %d requests, %d refused, %d broken", time.Since(begun).Round(time.Second), f.Name, what, all, x.refused.Load(), len(broken)))
+			requests, _ := r.judge.counts("orders")
+			_, broken := r.judge.Result()
+			t.report(fmt.Sprintf("%v: injected %s at %s; %d requests, %d rejected, %d limits exceeded", time.Since(startedAt).Round(time.Second), fault.Name, target, requests, r.rejected.Load(), len(broken)))
 		}
 	}
-	return r, x.calm(ctx, r)
+	return result, r.measureUse(ctx, result)
 }
 
-// put puts the limits in force, and waits until every daemon goes by them.
-func (x *run) put(ctx context.Context, conf *quota.Config) error {
+// applyLimits stores the limits, and waits until every daemon enforces them.
+func (x *run) applyLimits(ctx context.Context, config *quota.Config) error {
 	wait, cancel := context.WithTimeout(ctx, time.Minute)
 	defer cancel()
-	if _, err := x.fleet.Daemons[0].Client.PutLimits(wait, conf); err != nil {
+	if _, err := x.fleet.Daemons[0].Client.PutLimits(wait, config); err != nil {
 		return err
 	}
 	for _, d := range x.fleet.Daemons {
 		for {
 			s, err := d.Client.Limits(wait, "")
-			if err == nil && s.Version == conf.Version && s.Process.Session != 0 {
+			if err == nil && s.Version == config.Version && s.Process.Session != 0 {
 				break
 			}
 			if wait.Err() != nil {
-				return errors.Join(fmt.Errorf("%s does not come to share limits", d.Name()), err, errors.New(d.Log()))
+				return errors.Join(fmt.Errorf("%s does not enforce the new limits within a minute", d.Name()), err, errors.New(d.Log()))
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
@@ -286,40 +290,40 @@
 	return nil
 }
 
-// goesOn waits until servers have seen so many requests.
-func (x *run) goesOn(ctx context.Context, n int) error {
+// waitForRequests waits until n requests have arrived at servers.
+func (x *run) waitForRequests(ctx context.Context, n int) error {
 	ctx, cancel := context.WithTimeout(ctx, time.Minute)
 	defer cancel()
 	for {
-		if all, _ := x.judge.counts("orders"); all >= n {
+		if total, _ := x.judge.counts("orders"); total >= n {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("nothing is let through: %w", ctx.Err())
+			return fmt.Errorf("sidecars admit no requests: %w", ctx.Err())
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
 }
 
-// calm measures the use of the rate limit once nothing is done to anybody.
-func (x *run) calm(ctx context.Context, r *Tortured) error {
-	const long = 3 * time.Second
-	for _, wait := range []time.Duration{2*TTL + time.Second, long} {
+// measureUse measures the use of the rate limit after the faults.
+func (x *run) measureUse(ctx context.Context, r *Tortured) error {
+	const measureDuration = 3 * time.Second
+	for _, wait := range []time.Duration{2*TTL + time.Second, measureDuration} {
 		_, before := x.judge.counts("orders")
-		begun := time.Now()
+		startedAt := time.Now()
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(wait):
 		}
 		_, after := x.judge.counts("orders")
-		r.Use = float64(after-before) / time.Since(begun).Seconds() / (float64(x.judge.config.Find("orders").Nodes[0].Capacity) / float64(quota.AmountUnit))
+		r.Use = float64(after-before) / time.Since(startedAt).Seconds() / (float64(x.judge.config.Find("orders").Nodes[0].Capacity) / float64(quota.AmountUnit))
 	}
 	return nil
 }
 
-// replicaClients are the clients of the daemons with a replica, the first of all.
+// replicaClients returns the clients of the daemons with a replica.
 func (x *run) replicaClients() (clients []*adminapi.Client) {
 	for _, d := range x.fleet.Daemons[:x.Replicas] {
 		clients = append(clients, d.Client)
@@ -327,32 +331,33 @@
 	return clients
 }
 
-// askedPaths are what each daemon is asked for, one by each of its askers.
-var askedPaths = []string{"orders", "quota", "held", "fair", "long"}
+// loadPaths are the paths under load, each by a goroutine per daemon.
+var loadPaths = []string{"orders", "quota", "held", "fair", "long"}
 
-// ask asks one daemon again and again, of one limit; more where it is busy.
-func (x *run) ask(ctx context.Context, d *fleetlab.Daemon, n int) {
-	c := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}, Timeout: 2 * time.Second}
-	defer c.CloseIdleConnections()
-	path := askedPaths[n]
-	rng := rand.New(rand.NewPCG(x.Seed, uint64(d.Number*len(askedPaths)+n)))
-	room := make(chan struct{}, 8)
-	var open sync.WaitGroup
-	defer open.Wait()
+// generateLoad sends requests of one limit to one daemon until ctx ends, and more of them while the daemon is the busy
+// one.
+func (x *run) generateLoad(ctx context.Context, d *fleetlab.Daemon, pathIndex int) {
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}, Timeout: 2 * time.Second}
+	defer client.CloseIdleConnections()
+	path := loadPaths[pathIndex]
+	rng := rand.New(rand.NewPCG(x.Seed, uint64(d.Number*len(loadPaths)+pathIndex)))
+	slots := make(chan struct{}, 8)
+	var inFlight sync.WaitGroup
+	defer inFlight.Wait()
 	for count := 0; ctx.Err() == nil; count++ {
 		select {
-		case room <- struct{}{}:
+		case slots <- struct{}{}:
 		case <-ctx.Done():
 			return
 		}
 		org := []string{"a", "a", "b", "c"}[rng.IntN(4)]
-		id := fmt.Sprintf("%04x%04x%012x", d.Number, n, count)
-		open.Go(func() {
-			defer func() { <-room }()
-			x.one(ctx, c, d, path, org, id)
+		id := fmt.Sprintf("%04x%04x%012x", d.Number, pathIndex, count)
+		inFlight.Go(func() {
+			defer func() { <-slots }()
+			x.sendRequest(ctx, client, d, path, org, id)
 		})
 		pause := 12 * time.Millisecond
-		if x.hot.Load()%uint64(len(x.fleet.Daemons)) == uint64(d.Number) {
+		if x.busyDaemon.Load()%uint64(len(x.fleet.Daemons)) == uint64(d.Number) {
 			pause = 3 * time.Millisecond
 		}
 		select {
@@ -362,7 +367,8 @@
 	}
 }
 
-func (x *run) one(ctx context.Context, c *http.Client, d *fleetlab.Daemon, path, org, id string) {
+// sendRequest sends a request to a daemon, and counts a rejection.
+func (x *run) sendRequest(ctx context.Context, client *http.Client, d *fleetlab.Daemon, path, org, id string) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.Listen()+"/look/"+path, nil)
 	if err != nil {
 		return
@@ -378,16 +384,16 @@
 	} {
 		r.Header.Set(name, value)
 	}
-	resp, err := c.Do(r)
+	resp, err := client.Do(r)
 	if err != nil {
 		x.judge.ClientEnded(id, 0)
-		return // its daemon was killed, or is stopped
+		return // its daemon was killed or is stopped
 	}
 	x.judge.ClientEnded(id, resp.StatusCode)
 	resp.Body.Close()
 	if resp.StatusCode == http.StatusTooManyRequests {
-		if x.refused.Add(1); resp.Header.Get("Retry-After") == "" {
-			x.noTime.Add(1)
+		if x.rejected.Add(1); resp.Header.Get("Retry-After") == "" {
+			x.withoutRetryAfter.Add(1)
 		}
 	}
 }
