--- a/internal/lab/tasklab/faults.go
+++ b/internal/lab/tasklab/faults.go
@@ -11,110 +11,115 @@
 	"birchmoor/internal/lab/fleetlab"
 )
 
-// Fault is one kind of blow.
+// Fault is a kind of fault.
 type Fault struct {
-	Name   string
-	About  string
-	ends   bool // the holder's entitlement, whatever kind of daemon it is at
-	strike func(x *run) (what string, end func(context.Context) error)
+	Name            string
+	About           string
+	endsEntitlement bool // ends the holder's entitlement, at any kind of daemon
+	// inject injects the fault. It returns where, and a function that waits for the end of the fault.
+	inject func(x *run) (what string, end func(context.Context) error)
 }
 
+// after returns a function that waits for some time, and then calls f.
 func (x *run) after(d time.Duration, f func()) func(context.Context) error {
 	return fleetlab.After(d, f)
 }
 
-// at has a blow done to the daemon at which the task is held, for one and a half TTL.
-func at(b fleetlab.Blow) func(x *run) (string, func(context.Context) error) {
+// atHolder injects a fault at the daemon of the task's holder, for 1.5 TTL.
+func atHolder(inject fleetlab.Blow) func(x *run) (string, func(context.Context) error) {
 	return func(x *run) (string, func(context.Context) error) {
-		a, _ := x.holding()
-		return b(x.fleet, a.d, x.long())
+		a, _ := x.currentHolder()
+		return inject(x.fleet, a.daemon, x.faultDuration())
 	}
 }
 
-// lead has a blow done to the store's leader.
-func lead(b fleetlab.Blow) func(x *run) (string, func(context.Context) error) {
-	return func(x *run) (string, func(context.Context) error) { return b(x.fleet, x.fleet.Leader(), x.long()) }
+// atLeader injects a fault at the store's leader, for 1.5 TTL.
+func atLeader(inject fleetlab.Blow) func(x *run) (string, func(context.Context) error) {
+	return func(x *run) (string, func(context.Context) error) {
+		return inject(x.fleet, x.fleet.Leader(), x.faultDuration())
+	}
 }
 
-func (x *run) long() time.Duration { return x.TTL * 3 / 2 }
+// faultDuration returns the duration of faults that last.
+func (x *run) faultDuration() time.Duration { return x.TTL * 3 / 2 }
 
-// follower is one without a replica, nil if there is none.
-func (x *run) follower() *fleetlab.Daemon {
+// randomFollower returns a daemon without a replica, or nil if there is none.
+func (x *run) randomFollower() *fleetlab.Daemon {
 	if x.Follow == 0 {
 		return nil
 	}
 	return x.fleet.Daemons[x.Replicas+x.rng.IntN(x.Follow)]
 }
 
-// Faults are all kinds of blows.
+// Faults lists all kinds of faults.
 var Faults = []Fault{
-	{"holder-killed", "the daemon at which the task is held is killed", true, at(fleetlab.Killed)},
-	{"holder-stopped", "the daemon at which the task is held is stopped for 1.5 TTL and continued", true, at(fleetlab.Stopped)},
-	{"answers-cut", "the holder's daemon is not heard, and hears", false, at(fleetlab.Mute)},
-	{"renewals-cut", "the holder's daemon is heard, and hears nothing", false, at(fleetlab.Deaf)},
-	{"leader-killed", "the store's leader is killed", false, lead(fleetlab.Killed)},
-	{"actor-stopped", "what the lock runs is stopped for 1.5 TTL, with all that keeps it in time, and continued", false, func(x *run) (string, func(context.Context) error) {
-		a, who := x.holding()
-		x.at.mayBeLate(who)
-		pids := below(a.pid())
+	{"holder-killed", "the holder's daemon is killed", true, atHolder(fleetlab.Killed)},
+	{"holder-stopped", "the holder's daemon is stopped for 1.5 TTL and continued", true, atHolder(fleetlab.Stopped)},
+	{"answers-cut", "messages from the holder's daemon are lost, and those to it are not", false, atHolder(fleetlab.Mute)},
+	{"renewals-cut", "messages to the holder's daemon are lost, and those from it are not", false, atHolder(fleetlab.Deaf)},
+	{"leader-killed", "the store's leader is killed", false, atLeader(fleetlab.Killed)},
+	{"actor-stopped", "the lock, its keeper and its actor are stopped for 1.5 TTL and continued", false, func(x *run) (string, func(context.Context) error) {
+		a, who := x.currentHolder()
+		x.target.markStopped(who)
+		pids := processTree(a.pid())
 		for _, pid := range pids {
 			syscall.Kill(pid, syscall.SIGSTOP)
 		}
-		return who, x.after(x.long(), func() {
+		return who, x.after(x.faultDuration(), func() {
 			for _, pid := range pids {
 				syscall.Kill(pid, syscall.SIGCONT)
 			}
 		})
 	}},
-	{"lock-stopped", "the lock is stopped for 1.5 TTL, and its actor is not", false, func(x *run) (string, func(context.Context) error) {
-		a, who := x.holding()
+	{"lock-stopped", "the lock process is stopped for 1.5 TTL, and its actor is not", false, func(x *run) (string, func(context.Context) error) {
+		a, who := x.currentHolder()
 		a.signal(syscall.SIGSTOP)
-		return who, x.after(x.long(), func() { a.signal(syscall.SIGCONT) })
+		return who, x.after(x.faultDuration(), func() { a.signal(syscall.SIGCONT) })
 	}},
-	{"lock-killed", "the lock is killed outright", true, func(x *run) (string, func(context.Context) error) {
-		a, who := x.holding()
+	{"lock-killed", "the lock process is killed", true, func(x *run) (string, func(context.Context) error) {
+		a, who := x.currentHolder()
 		a.signal(syscall.SIGKILL)
 		return who, x.after(0, func() {})
 	}},
-	{"leader-stopped", "the store's leader is stopped for 1.5 TTL and continued", false, lead(fleetlab.Stopped)},
-	{"all-killed", "all daemons are killed", false, at(fleetlab.AllKilled)},
-	{"moved", "operators give the task to another host", true, func(x *run) (string, func(context.Context) error) {
-		a, _ := x.holding()
+	{"leader-stopped", "the store's leader is stopped for 1.5 TTL and continued", false, atLeader(fleetlab.Stopped)},
+	{"all-killed", "all daemons are killed", false, atHolder(fleetlab.AllKilled)},
+	{"moved", "operators move the task to another host", true, func(x *run) (string, func(context.Context) error) {
+		a, _ := x.currentHolder()
 		to := x.fleet.Daemons[0]
 		for _, d := range x.fleet.Daemons {
-			if d != a.d {
+			if d != a.daemon {
 				to = d
 			}
 		}
-		at := x.fleet.Daemons[0] // a replica: followers' operators may not
+		at := x.fleet.Daemons[0] // has a replica; operators cannot override tasks at followers
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
-		held := x.at.top()
+		held := x.target.highestToken()
 		err := at.Client.OverrideTask(ctx, adminapi.OverrideRequest{Task: "task", TaskOverride: lease.TaskOverride{PreferredHost: to.Name(), Operator: "the bench"}})
 		return to.Name(), func(ctx context.Context) error {
 			defer cancel()
 			if err != nil {
 				return err
 			}
-			if err := x.goesOn(ctx, 1, held+1); err != nil {
+			if err := x.waitForActions(ctx, 1, held+1); err != nil {
 				return err
 			}
 			return at.Client.OverrideTask(ctx, adminapi.OverrideRequest{Task: "task"})
 		}
 	}},
-	{"pair-cut", "the leader does not hear one other replica, and is heard by it", false, func(x *run) (string, func(context.Context) error) {
+	{"pair-cut", "messages from one replica to the leader are lost, and those to the replica are not", false, func(x *run) (string, func(context.Context) error) {
 		lead := x.fleet.Leader()
 		other := x.fleet.Daemons[(lead.Number+1)%x.Replicas]
 		other.Between(lead, true)
-		return other.Name() + " to " + lead.Name(), x.after(x.long(), func() { other.Between(lead, false) })
+		return other.Name() + " to " + lead.Name(), x.after(x.faultDuration(), func() { other.Between(lead, false) })
 	}},
-	{"replica-cut", "a replica that followers may follow is cut off from the others, and goes on answering", false, func(x *run) (string, func(context.Context) error) {
+	{"replica-cut", "a replica is cut off from the others, and keeps answering followers", false, func(x *run) (string, func(context.Context) error) {
 		d := x.fleet.Daemons[x.rng.IntN(x.Replicas)]
 		d.Unheard(true)
 		d.Deafen(true)
-		return d.Name(), x.after(x.long(), func() { d.Unheard(false); d.Deafen(false) })
+		return d.Name(), x.after(x.faultDuration(), func() { d.Unheard(false); d.Deafen(false) })
 	}},
-	{"disk-lost", "a follower is killed and starts with an empty disk", false, func(x *run) (string, func(context.Context) error) {
-		d := x.follower()
+	{"disk-lost", "a follower is killed and restarted with an empty disk", false, func(x *run) (string, func(context.Context) error) {
+		d := x.randomFollower()
 		if d == nil {
 			return "nobody", x.after(0, func() {})
 		}
@@ -122,8 +127,8 @@
 		err := d.Lose()
 		return d.Name(), func(ctx context.Context) error { return errors.Join(err, fleetlab.Again(d)(ctx)) }
 	}},
-	{"disk-old", "a follower is killed and starts with its disk as it was", false, func(x *run) (string, func(context.Context) error) {
-		d := x.follower()
+	{"disk-old", "a follower is killed and restarted with an old copy of its disk", false, func(x *run) (string, func(context.Context) error) {
+		d := x.randomFollower()
 		if d == nil {
 			return "nobody", x.after(0, func() {})
 		}
@@ -132,37 +137,37 @@
 			return d.Name() + ", which has none", x.after(0, func() {})
 		}
 		return d.Name(), func(ctx context.Context) error {
-			// Holders come and go meanwhile.
-			if err := x.after(x.long(), d.Kill)(ctx); err != nil {
+			// Holders change meanwhile, so the copy becomes old.
+			if err := x.after(x.faultDuration(), d.Kill)(ctx); err != nil {
 				return err
 			}
 			return errors.Join(d.Put(old), fleetlab.Again(d)(ctx))
 		}
 	}},
-	{"disk-full", "the leader's disk has no room for 1.5 TTL, after which it is started again", false, func(x *run) (string, func(context.Context) error) {
+	{"disk-full", "the leader's disk is full for 1.5 TTL, and then the leader is restarted", false, func(x *run) (string, func(context.Context) error) {
 		d := x.fleet.Leader()
 		err := d.Full(true)
 		return d.Name(), func(ctx context.Context) error {
-			if err := x.after(x.long(), d.Kill)(ctx); err != nil {
+			if err := x.after(x.faultDuration(), d.Kill)(ctx); err != nil {
 				return err
 			}
 			return errors.Join(err, fleetlab.Again(d)(ctx))
 		}
 	}},
-	{"sync-fails", "the leader's disk fails every sync from now on, after which it is started again; a build for tests alone", false, func(x *run) (string, func(context.Context) error) {
+	{"sync-fails", "the leader's disk fails all syncs for 1.5 TTL, and then the leader is restarted; only in builds with injected faults", false, func(x *run) (string, func(context.Context) error) {
 		if !x.Inside {
 			return "nobody", x.after(0, func() {})
 		}
 		d := x.fleet.Leader()
 		d.Signal(syscall.SIGUSR1)
 		return d.Name(), func(ctx context.Context) error {
-			if err := x.after(x.long(), d.Kill)(ctx); err != nil {
+			if err := x.after(x.faultDuration(), d.Kill)(ctx); err != nil {
 				return err
 			}
 			return fleetlab.Again(d)(ctx)
 		}
 	}},
-	{"old-build", "a daemon is started with the older build, if there is one, which the cluster has left behind, and then with its own", false, func(x *run) (string, func(context.Context) error) {
+	{"old-build", "a daemon is restarted with an older build, if one is given, and then with its own again", false, func(x *run) (string, func(context.Context) error) {
 		if x.Old == "" {
 			return "nobody", x.after(0, func() {})
 		}
@@ -171,12 +176,12 @@
 		d.Build = x.Old
 		err := d.Start()
 		return d.Name(), func(ctx context.Context) error {
-			if err := x.after(x.long(), d.Kill)(ctx); err != nil {
+			if err := x.after(x.faultDuration(), d.Kill)(ctx); err != nil {
 				return err
 			}
 			d.Build = ""
 			return errors.Join(err, fleetlab.Again(d)(ctx))
 		}
 	}},
-	{"slow", "all links are slow and lossy by stalls for 1.5 TTL", false, at(fleetlab.Slow)},
+	{"slow", "all links are slow and lossy for 1.5 TTL", false, atHolder(fleetlab.Slow)},
 }
--- a/internal/lab/tasklab/history.go
+++ b/internal/lab/tasklab/history.go
@@ -16,26 +16,27 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Registers are written and read at all daemons, through operators' sockets, while blows come; whether the history of all is one that a
-// single copy could have given is decided by porcupine. A write is asked again, under its own number, until it is answered, so that
-// none is left open but by the end of the run.
+// While faults are injected, clients write and read registers at all daemons through the operators' sockets. Package
+// porcupine checks that the history of all operations is linearizable. A write is sent again with the same request id
+// until it is answered, so only the end of the run leaves writes open.
 const (
-	registers     = 3
-	historyOf     = 4 // clients of each register
-	historyMost   = 600
-	historyEvery  = 30 * time.Millisecond
-	historyAnswer = 2 * time.Second
+	registerCount            = 3
+	clientsPerRegister       = 4
+	maxOperationsPerRegister = 600
+	operationInterval        = 30 * time.Millisecond // mean time between two attempts of a client
+	operationTimeout         = 2 * time.Second
 )
 
+// operation is the input of a read or write of a register.
 type operation struct {
 	register int
-	write    string // or a read
+	write    string // value to write; empty: a read
 }
 
-// register is one as a single copy has it.
-var register = porcupine.Model{
+// registerModel models each register as an atomic one.
+var registerModel = porcupine.Model{
 	Partition: func(all []porcupine.Operation) [][]porcupine.Operation {
-		parts := make([][]porcupine.Operation, registers)
+		parts := make([][]porcupine.Operation, registerCount)
 		for _, o := range all {
 			n := o.Input.(operation).register
 			parts[n] = append(parts[n], o)
@@ -51,59 +52,62 @@
 	},
 }
 
-// history is what clients of the store asked and were answered.
+// history runs the clients of the registers and records their operations.
 type history struct {
-	fleet *fleetlab.Fleet
-	begun time.Time
-	seed  uint64
-	seq   atomic.Uint64
-	wg    sync.WaitGroup
-	stop  context.CancelFunc
+	fleet     *fleetlab.Fleet
+	startedAt time.Time
+	seed      uint64
+	seq       atomic.Uint64
+	wg        sync.WaitGroup
+	stop      context.CancelFunc
 
-	mu  sync.Mutex
-	all []porcupine.Operation
+	mu         sync.Mutex
+	operations []porcupine.Operation
 }
 
-func beginHistory(ctx context.Context, f *fleetlab.Fleet, seed uint64) *history {
-	h := &history{fleet: f, begun: time.Now(), seed: seed}
+// startHistory starts the clients, which run until check is called.
+func startHistory(ctx context.Context, f *fleetlab.Fleet, seed uint64) *history {
+	h := &history{fleet: f, startedAt: time.Now(), seed: seed}
 	ctx, h.stop = context.WithCancel(ctx)
-	for i := range registers * historyOf {
-		h.wg.Go(func() { h.client(ctx, i) })
+	for i := range registerCount * clientsPerRegister {
+		h.wg.Go(func() { h.runClient(ctx, i) })
 	}
 	return h
 }
 
-func (h *history) client(ctx context.Context, n int) {
-	rng := rand.New(rand.NewPCG(h.seed, uint64(n)))
-	key := fmt.Sprintf("bench/%d", n%registers)
-	for count := 0; ctx.Err() == nil && count < historyMost/historyOf; count++ {
-		o := operation{register: n % registers}
+// runClient runs the nth client.
+func (h *history) runClient(ctx context.Context, number int) {
+	rng := rand.New(rand.NewPCG(h.seed, uint64(number)))
+	key := fmt.Sprintf("bench/%d", number%registerCount)
+	for count := 0; ctx.Err() == nil && count < maxOperationsPerRegister/clientsPerRegister; count++ {
+		o := operation{register: number % registerCount}
 		if rng.IntN(2) == 0 {
-			o.write = fmt.Sprintf("%d.%d", n, count)
+			o.write = fmt.Sprintf("%d.%d", number, count)
 		}
-		id := store.RequestID{Client: 1<<42 + uint64(n), Seq: h.seq.Add(1)}
-		call, out, done := time.Since(h.begun), "", false
-		for !done && ctx.Err() == nil {
+		id := store.RequestID{Client: 1<<42 + uint64(number), Seq: h.seq.Add(1)}
+		calledAt, out, known := time.Since(h.startedAt), "", false
+		for !known && ctx.Err() == nil {
 			d := h.fleet.Daemons[rng.IntN(len(h.fleet.Daemons))]
-			out, done = h.ask(ctx, d, id, key, o.write)
-			if !done && o.write == "" {
-				call = time.Since(h.begun) // a read that was not answered is another read
+			out, known = h.attempt(ctx, d, id, key, o.write)
+			if !known && o.write == "" {
+				calledAt = time.Since(h.startedAt) // the next attempt of a read is a new read
 			}
-			pause(ctx, historyEvery/2+time.Duration(rng.Int64N(int64(historyEvery))))
+			pause(ctx, operationInterval/2+time.Duration(rng.Int64N(int64(operationInterval))))
 		}
-		back := time.Since(h.begun)
-		if !done {
+		returnedAt := time.Since(h.startedAt)
+		if !known {
 			if o.write == "" {
 				return
 			}
-			back = 1 << 62 // it may be done at any time
+			returnedAt = 1 << 62 // the write may be applied at any later time
 		}
 		h.mu.Lock()
-		h.all = append(h.all, porcupine.Operation{ClientId: n, Input: o, Output: out, Call: int64(call), Return: int64(back)})
+		h.operations = append(h.operations, porcupine.Operation{ClientId: number, Input: o, Output: out, Call: int64(calledAt), Return: int64(returnedAt)})
 		h.mu.Unlock()
 	}
 }
 
+// pause waits until the time has passed or the context ends.
 func pause(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -111,36 +115,36 @@
 	}
 }
 
-// ask asks one daemon once.
-func (h *history) ask(ctx context.Context, d *fleetlab.Daemon, id store.RequestID, key, write string) (out string, done bool) {
-	ctx, cancel := context.WithTimeout(ctx, historyAnswer)
+// attempt makes an attempt of an operation at one daemon; known is false if its outcome is unknown.
+func (h *history) attempt(ctx context.Context, d *fleetlab.Daemon, id store.RequestID, key, write string) (value string, known bool) {
+	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
 	if write != "" {
-		if d.Follower() { // its operators may change nothing but by its own parts
+		if d.Follower() { // operators cannot change arbitrary keys at a follower
 			return "", false
 		}
 		_, err := d.Client.Change(ctx, admin.ChangeRequest{ID: id, Txn: &store.Txn{Then: []store.Op{{Key: key, Value: []byte(write)}}}})
 		return "", err == nil
 	}
-	i, err := d.Client.Range(ctx, url.Values{"key": {key}})
+	response, err := d.Client.Range(ctx, url.Values{"key": {key}})
 	if err != nil {
 		return "", false
 	}
-	if len(i.Items) == 1 {
-		out = string(i.Items[0].Value)
+	if len(response.Items) == 1 {
+		value = string(response.Items[0].Value)
 	}
-	return out, true
+	return value, true
 }
 
-// judge ends the clients, and says what was broken, of how many operations.
-func (h *history) judge() (n int, broken []string) {
+// check stops the clients, and returns the number of operations and the violations among them.
+func (h *history) check() (n int, broken []string) {
 	h.stop()
 	h.wg.Wait()
-	switch porcupine.CheckOperationsTimeout(register, h.all, 30*time.Second) {
+	switch porcupine.CheckOperationsTimeout(registerModel, h.operations, 30*time.Second) {
 	case porcupine.Illegal:
-		broken = append(broken, fmt.Sprintf("not linearizable: %d operations on %d registers", len(h.all), registers))
+		broken = append(broken, fmt.Sprintf("not linearizable: %d operations on %d registers", len(h.operations), registerCount))
 	case porcupine.Unknown:
-		broken = append(broken, fmt.Sprintf("not judged: the history of %d operations is too hard", len(h.all)))
+		broken = append(broken, fmt.Sprintf("not judged: the history of %d operations is too hard", len(h.operations)))
 	}
-	return len(h.all), broken
+	return len(h.operations), broken
 }
--- a/internal/lab/tasklab/inside.go
+++ b/internal/lab/tasklab/inside.go
@@ -11,68 +11,69 @@
 	"birchmoor/internal/controlplane/quota"
 )
 
-// PaceEnv names the pace of a process's boot clock and ticks, by the host's.
+// PaceEnv is the environment variable with the rate of a process's clock and ticks, relative to the host's clock.
 const PaceEnv = "BIRCHMOOR_BENCH_PACE"
 
-// LimitEnv names a fault of a process's shares of limits, by its number.
+// LimitEnv is the environment variable with the number of an injected defect of a process's quotas, a quota.Defect.
 const LimitEnv = "BIRCHMOOR_BENCH_LIMIT"
 
-// Inside is what the bench does within a process of a build for tests: its clock runs at another pace, and from a SIGUSR1 on its disk
-// fails every sync. No other build reads it.
+// Inside are the faults that a fault run injects within a process: another clock rate, a defect of its quotas and, from
+// a SIGUSR1 on, a disk that fails all syncs. Only builds with the tag planted read them.
 type Inside struct {
-	Pace  float64 // 0: 1
-	File  func(*os.File)
-	Limit quota.Defect // a fault of its shares of limits
+	Pace  float64        // clock rate relative to the host's clock; 0: 1
+	File  func(*os.File) // must be called with each file whose syncs are to fail; safe for concurrent use
+	Limit quota.Defect   // injected defect of its quotas
 }
 
-// ReadInside reads the environment, and heeds the signal. What cannot be read ends the process: a bench that plays nothing shows nothing.
+// ReadInside reads the faults from the environment, and prepares File to wait for the signal. It exits the process if a
+// value is invalid, because a fault run that injects nothing would pass for the wrong reason.
 func ReadInside() Inside {
-	var in Inside
+	var faults Inside
 	if text := os.Getenv(PaceEnv); text != "" {
 		pace, err := strconv.ParseFloat(text, 64)
 		if err != nil || pace < 0.1 || pace > 10 {
-			fmt.Fprintf(os.Stderr, "%s: %q is not a pace\n", PaceEnv, text)
+			fmt.Fprintf(os.Stderr, "%s: %q is not a clock rate within 0.1 and 10\n", PaceEnv, text)
 			os.Exit(2)
 		}
-		in.Pace = pace
+		faults.Pace = pace
 	}
 	if text := os.Getenv(LimitEnv); text != "" {
 		n, err := strconv.Atoi(text)
 		if err != nil {
-			fmt.Fprintf(os.Stderr, "%s: %q is not a fault\n", LimitEnv, text)
+			fmt.Fprintf(os.Stderr, "%s: %q is not the number of a defect\n", LimitEnv, text)
 			os.Exit(2)
 		}
-		in.Limit = quota.Defect(n)
+		faults.Limit = quota.Defect(n)
 	}
 	var mu sync.Mutex
 	var open []*os.File
-	in.File = func(f *os.File) {
+	faults.File = func(f *os.File) {
 		mu.Lock()
 		defer mu.Unlock()
 		if open = append(open, f); len(open) > 1 {
 			return
 		}
-		told := make(chan os.Signal, 1)
-		signal.Notify(told, syscall.SIGUSR1)
+		signals := make(chan os.Signal, 1)
+		signal.Notify(signals, syscall.SIGUSR1)
 		go func() {
-			<-told
+			<-signals
 			mu.Lock()
 			defer mu.Unlock()
 			for _, f := range open {
-				noSync(f)
+				failSyncs(f)
 			}
 		}()
 	}
-	return in
+	return faults
 }
 
-// noSync puts /dev/null in the place of an open file, under the same descriptor: it takes all, keeps nothing, and says so when it is
-// synced (EINVAL).
-func noSync(f *os.File) {
-	null, err := os.OpenFile(os.DevNull, os.O_RDWR, 0)
+// failSyncs replaces an open file by /dev/null under the same descriptor. Writes to it succeed and are lost, and syncs
+// fail with EINVAL.
+func failSyncs(f *os.File) {
+	devNull, err := os.OpenFile(os.DevNull, os.O_RDWR, 0)
 	if err != nil {
 		return
 	}
-	defer null.Close()
-	_ = syscall.Dup3(int(null.Fd()), int(f.Fd()), syscall.O_CLOEXEC) // a file that is closed by now syncs nothing
+	defer devNull.Close()
+	_ = syscall.Dup3(int(devNull.Fd()), int(f.Fd()), syscall.O_CLOEXEC) // fails for a closed file, which needs no sync
 }
--- a/internal/lab/tasklab/standin.go
+++ b/internal/lab/tasklab/standin.go
@@ -13,54 +13,55 @@
 	"birchmoor/internal/controlplane/lease"
 )
 
-// Act is an action as the stand-in saw it.
-type Act struct {
+// Action is an action as the target received it. Its field names are written to history.json of a failed run.
+type Action struct {
 	Who   string
 	Token uint64
-	At    time.Duration // since the stand-in began, when it came
-	Taken bool          // by the half that checks tokens
+	At    time.Duration // arrival, since the start of the target
+	Taken bool          // it took effect at the fenced half
 }
 
-// Standin is the thing acted upon, in two halves that see the same actions: one checks tokens, the other lets all take effect.
-type Standin struct {
+// Target is the target of the actors' actions. It has two halves that receive the same actions: the fenced half checks
+// fencing tokens, and at the unfenced half all actions take effect. It is safe for concurrent use.
+type Target struct {
 	*httptest.Server
-	begun time.Time
-	fence *lease.Fence
-
-	mu      sync.Mutex
-	acts    int
-	high    uint64         // the highest token that took effect at the half that checks nothing,
-	last    time.Duration  // when it last did,
-	pause   time.Duration  // the longest time between two that did, since calm was called
-	holder  string         // and by whom
-	slots   int            // that act at once
-	taken   uint64         // the highest token that took effect at the half that checks
-	stopped map[string]int // how often an actor was stopped by the bench: it may act late
-	late    []Act          // that took effect at the half that checks nothing, after a higher token
-	order   []Act          // that took effect at the half that checks, after a higher token
-	gaps    []time.Duration
-	changes []Change
+	startedAt time.Time
+	fence     *lease.Fence
+
+	mu                sync.Mutex
+	actions           int
+	unfencedToken     uint64        // highest token that took effect at the unfenced half
+	lastActionAt      time.Duration // time of its last action
+	longestPause      time.Duration // longest time between two of its actions since resetPause
+	holder            string        // name of its actor
+	slots             int
+	fencedToken       uint64         // highest token that took effect at the fenced half
+	stoppedActors     map[string]int // how often the fault run stopped an actor, which may then act late
+	lateActions       []Action       // took effect at the unfenced half after a higher token
+	misorderedActions []Action       // took effect at the fenced half after a higher token
+	gaps              []time.Duration
+	changes           []HolderChange
 }
 
-// Change is when one holder's actions end and the next one's begin.
-type Change struct {
+// HolderChange is a change from one holder to the next. Its field names are written to history.json of a failed run.
+type HolderChange struct {
 	From, To uint64
-	Last     time.Duration // action of the one before
-	First    time.Duration // of the next
+	Last     time.Duration // last action of the previous holder
+	First    time.Duration // first action of the next holder
 }
 
-func newStandin(path string, plant lease.FenceDefect) (*Standin, error) {
-	f, err := lease.OpenFence(path, plant)
+func newTarget(path string, defect lease.FenceDefect) (*Target, error) {
+	fence, err := lease.OpenFence(path, defect)
 	if err != nil {
 		return nil, err
 	}
-	s := &Standin{begun: time.Now(), fence: f, stopped: map[string]int{}}
-	s.Server = httptest.NewServer(s)
-	return s, nil
+	target := &Target{startedAt: time.Now(), fence: fence, stoppedActors: map[string]int{}}
+	target.Server = httptest.NewServer(target)
+	return target, nil
 }
 
-// ServeHTTP takes an action. The one who acts hears whether it took effect where tokens are checked.
-func (s *Standin) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP receives an action, and responds with 409 if it did not take effect at the fenced half.
+func (s *Target) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	token, err := strconv.ParseUint(q.Get("token"), 10, 64)
 	if err != nil {
@@ -69,79 +70,79 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a := Act{Who: q.Get("who"), Token: token, At: time.Since(s.begun)}
-	a.Taken = s.fence.Admit("task", token) == nil
-	s.acts++
-	if a.Taken {
-		if token < s.taken {
-			s.order = append(s.order, a)
+	action := Action{Who: q.Get("who"), Token: token, At: time.Since(s.startedAt)}
+	action.Taken = s.fence.Admit("task", token) == nil
+	s.actions++
+	if action.Taken {
+		if token < s.fencedToken {
+			s.misorderedActions = append(s.misorderedActions, action)
 		}
-		s.taken = max(s.taken, token)
+		s.fencedToken = max(s.fencedToken, token)
 	}
 	switch {
-	case token < s.high:
-		s.late = append(s.late, a)
-	case token > s.high:
-		if s.high != 0 {
-			s.gaps = append(s.gaps, a.At-s.last)
-			s.changes = append(s.changes, Change{s.high, token, s.last, a.At})
+	case token < s.unfencedToken:
+		s.lateActions = append(s.lateActions, action)
+	case token > s.unfencedToken:
+		if s.unfencedToken != 0 {
+			s.gaps = append(s.gaps, action.At-s.lastActionAt)
+			s.changes = append(s.changes, HolderChange{s.unfencedToken, token, s.lastActionAt, action.At})
 		}
-		s.high, s.holder = token, a.Who
+		s.unfencedToken, s.holder = token, action.Who
 	}
-	if token == s.high {
-		s.pause = max(s.pause, a.At-s.last)
-		s.last = a.At
+	if token == s.unfencedToken {
+		s.longestPause = max(s.longestPause, action.At-s.lastActionAt)
+		s.lastActionAt = action.At
 	}
-	if !a.Taken {
+	if !action.Taken {
 		w.WriteHeader(http.StatusConflict)
 	}
 }
 
-// mayBeLate notes that the bench stops an actor between any two of its instructions.
-func (s *Standin) mayBeLate(who string) {
+// markStopped records that the fault run stops an actor between any two of its instructions.
+func (s *Target) markStopped(who string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stopped[who]++
+	s.stoppedActors[who]++
 }
 
-// now is the holder of the highest token that acted, and how many acts there were.
-func (s *Standin) now() (holder string, token uint64, acts int) {
+// state returns the actor with the highest token, this token, and the number of all actions.
+func (s *Target) state() (holder string, token uint64, actions int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.holder, s.high, s.acts
+	return s.holder, s.unfencedToken, s.actions
 }
 
-// calm begins to look for the longest time without an action.
-func (s *Standin) calm() {
+// resetPause starts a new measurement of the longest pause between two actions.
+func (s *Target) resetPause() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.pause = 0
+	s.longestPause = 0
 }
 
-// paused is what it found.
-func (s *Standin) paused() time.Duration {
+// pauseSinceReset returns the longest pause since resetPause.
+func (s *Target) pauseSinceReset() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.pause
+	return s.longestPause
 }
 
-// top is the highest token that acted.
-func (s *Standin) top() uint64 {
+// highestToken returns the highest token of all actions.
+func (s *Target) highestToken() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.high
+	return s.unfencedToken
 }
 
-// judge says what was broken, and how many actions came late of those that the bench had stopped, or whose keepers say themselves that their
-// host did not run them in time: no lease can prevent either.
-func (s *Standin) judge(slow map[uint64]bool) (broken []string, late, starved int) {
+// check returns the violations, and how many late actions no lease can prevent: those of actors that the fault run had
+// stopped, and those with the tokens in slow, whose keepers were not run in time by their host.
+func (s *Target) check(slow map[uint64]bool) (broken []string, late, starved int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, a := range s.order {
-		broken = append(broken, fmt.Sprintf("token order: %d of %s took effect at %v, after %d", a.Token, a.Who, a.At.Round(time.Millisecond), s.taken))
+	for _, a := range s.misorderedActions {
+		broken = append(broken, fmt.Sprintf("token order: %d of %s took effect at %v, after %d", a.Token, a.Who, a.At.Round(time.Millisecond), s.fencedToken))
 	}
-	for _, a := range s.late {
-		if s.stopped[a.Who] > 0 {
+	for _, a := range s.lateActions {
+		if s.stoppedActors[a.Who] > 0 {
 			late++
 			continue
 		}
@@ -157,8 +158,8 @@
 	return broken, late, starved
 }
 
-// Gaps are the times without an action from one holder to the next, sorted.
-func (s *Standin) Gaps() []time.Duration {
+// Gaps returns the times without an action from one holder to the next, sorted.
+func (s *Target) Gaps() []time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := slices.Clone(s.gaps)
@@ -166,7 +167,8 @@
 	return all
 }
 
-// Actor acts again and again, as the command that a lock runs, until it is killed. It is a process of its own.
+// Actor sends actions to the target at the address until its process is killed. It is the command that a lock runs, in
+// a process of its own.
 func Actor(to, who, token string, every time.Duration) error {
 	c := http.Client{Timeout: time.Second}
 	q := url.Values{"who": {who}, "token": {token}}
@@ -176,6 +178,6 @@
 			return err
 		}
 		resp.Body.Close()
-		time.Sleep(every) // the pace of its work
+		time.Sleep(every)
 	}
 }
--- a/internal/lab/tasklab/standin_test.go
+++ b/internal/lab/tasklab/standin_test.go
@@ -9,24 +9,25 @@
 	"birchmoor/internal/controlplane/lease"
 )
 
-// The stand-in finds what it is there for: two who act at once, and a fence that lets a lower token through or forgets what it saw.
-func TestStandinJudges(t *testing.T) {
+// The target finds two holders that act at once, and a fence that admits a lower token or forgets the highest one when
+// it restarts.
+func TestTargetFindsViolations(t *testing.T) {
 	for _, tc := range []struct {
-		name    string
-		fence   lease.FenceDefect
-		again   bool // it is started anew before the last action
-		stopped bool
-		broken  string
+		name          string
+		fence         lease.FenceDefect
+		fenceRestarts bool // the fence is restarted before the last action
+		stopped       bool
+		broken        string
 	}{
 		{"two at once", lease.NoFenceDefect, false, false, "two at once"},
-		{"of one that was stopped", lease.NoFenceDefect, false, true, ""},
-		{"an open fence", lease.AdmitAllTokens, false, true, "token order"},
-		{"a start between", lease.NoFenceDefect, true, true, ""},
-		{"a fence that forgets", lease.ForgetOnRestart, true, true, "token order"},
+		{"late action of a stopped actor", lease.NoFenceDefect, false, true, ""},
+		{"fence admits all tokens", lease.AdmitAllTokens, false, true, "token order"},
+		{"fence restarts", lease.NoFenceDefect, true, true, ""},
+		{"fence forgets on restart", lease.ForgetOnRestart, true, true, "token order"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "fence")
-			s, err := newStandin(path, tc.fence)
+			s, err := newTarget(path, tc.fence)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -42,20 +43,20 @@
 			act("a", "5")
 			act("b", "9")
 			if tc.stopped {
-				s.mayBeLate("a")
+				s.markStopped("a")
 			}
-			if tc.again {
+			if tc.fenceRestarts {
 				if s.fence, err = lease.OpenFence(path, tc.fence); err != nil {
 					t.Fatal(err)
 				}
 			}
 			taken := act("a", "5") == http.StatusOK
-			broken, _, _ := s.judge(nil)
+			broken, _, _ := s.check(nil)
 			if text := strings.Join(broken, "; "); (text == "") != (tc.broken == "") || !strings.Contains(text, tc.broken) {
-				t.Errorf("judged %q, want %q", text, tc.broken)
+				t.Errorf("violations = %q, want %q", text, tc.broken)
 			}
 			if want := tc.fence != lease.NoFenceDefect; taken != want {
-				t.Errorf("the late action took effect: %v", taken)
+				t.Errorf("late action took effect at the fenced half = %v", taken)
 			}
 		})
 	}
--- a/internal/lab/tasklab/torture.go
+++ b/internal/lab/tasklab/torture.go
@@ -1,9 +1,11 @@
-// Package tasklab runs holders of a task as processes, each a birchmoor lock around an actor, at daemons that are processes too, and
-// kills, stops and cuts them. A stand-in that the actors act upon judges, in one clock and without knowing how leases work:
+// Package tasklab runs fault runs of task holders with real processes. Each holder is a birchmoor lock around an actor,
+// at one of several daemons. Processes are killed, stopped and cut off. The target of the actors' actions checks, on
+// one clock and without knowing how leases work:
 //
-//   - at its half that checks tokens no action takes effect after one with a higher token, whatever was done to whom;
-//   - at its half that checks nothing none does either, but for actors that the bench stopped itself between two of their
-//     instructions: no lease can prevent that, and they are counted.
+//   - At its fenced half, which checks fencing tokens, no action takes effect after one with a higher token, under any
+//     fault.
+//   - At its unfenced half, which checks nothing, none does either, except actions of actors that the fault run stopped
+//     between two of their instructions. No lease can prevent those, so they are only counted.
 package tasklab
 
 import (
@@ -25,52 +27,52 @@
 	"birchmoor/internal/lab/fleetlab"
 )
 
-// PlantEnv names a fault for programs that were built with the tag "planted".
+// PlantEnv is the environment variable with the name of an injected defect, for programs built with the tag "planted".
 const PlantEnv = "BIRCHMOOR_PLANT"
 
-// Torture says what is done.
+// Torture is a fault run: the settings of the fleet and of the faults.
 type Torture struct {
-	Program  string
-	Env      []string
-	Dir      string
-	Replicas int
-	Follow   int
-	Holders  int // at each daemon, waiting or holding
-	TTL      time.Duration
+	Program  string        // path of the program that daemons and locks run
+	Env      []string      // added to the environment of daemons
+	Dir      string        // folder for temporary files
+	Replicas int           // daemons with a replica
+	Follow   int           // daemons without one
+	Holders  int           // locks at each daemon, waiting or holding
+	TTL      time.Duration // of the locks' sessions
 	For      time.Duration
-	Blows    int           // in place of For: so many of Faults in turn, each once those before it are over
-	Every    time.Duration // between two blows, on average
-	Only     string        // blows of this kind alone, each after a calm in which all that the one before did has ended
+	Blows    int           // if above 0, number of faults in place of For: all kinds in turn, without pauses
+	Every    time.Duration // mean time between two faults
+	Only     string        // if not empty, the only kind of fault, injected after the effects of the last
 	Seed     uint64
 	Fence    lease.FenceDefect
-	Plant    string // a fault of the program, which must be built with the tag "planted"
-	Old      string // an older build of the program, for the blow of that name
-	Inside   bool   // the program heeds Inside: clocks run apart, and disks fail their syncs
-	Play     []Blow // these blows in place of drawn ones
-	Keep     string // a folder for what is known of a run that broke a promise
-	Say      func(string)
+	Plant    string           // name of an injected defect of the program, which must be built with the tag "planted"
+	Old      string           // path of an older build of the program, for the fault old-build; empty: none
+	Inside   bool             // the program reads an Inside: it has clocks of different rates and failing syncs
+	Play     []ScheduledFault // if not nil, the schedule in place of a drawn one
+	Keep     string           // folder for the records of a run with violations; empty: none are kept
+	Say      func(string)     // receives progress lines; nil: nobody
 }
 
-// Tortured is what came of it.
+// Tortured is the outcome of a fault run. Its JSON is part of the output of task torture.
 type Tortured struct {
-	Acts     int            `json:"acts"`
-	Holders  int            `json:"holders"` // that acted, one after the other
-	Late     int            `json:"late"`    // actions after a higher token, of actors that the bench had stopped
-	Starved  int            `json:"starved"` // and of those whose keeper says itself that its host did not run it in time
-	Blows    map[string]int `json:"blows"`
-	History  int            `json:"history"` // reads and writes of the store, judged together
-	Held     float64        `json:"held"`    // part of the time in which somebody acted
-	Broken   []string       `json:"broken"`
-	P50Ms    float64        `json:"gap_p50_ms"` // without an action, from one holder to the next
-	P99Ms    float64        `json:"gap_p99_ms"`
-	WorstMs  float64        `json:"gap_worst_ms"`
-	Schedule []Blow         `json:"schedule"`
-	Kept     string         `json:"kept,omitempty"` // folder with what is known of a run that broke a promise
-	After    []After        `json:"after"`          // by kind of blow
+	Acts     int              `json:"acts"`       // actions of all holders
+	Holders  int              `json:"holders"`    // holders that acted, one after the other
+	Late     int              `json:"late"`       // actions after a higher token, of actors that had been stopped
+	Starved  int              `json:"starved"`    // the same, of actors whose keepers ran too late
+	Blows    map[string]int   `json:"blows"`      // number of injected faults, by name
+	History  int              `json:"history"`    // reads and writes of the store that were checked together
+	Held     float64          `json:"held"`       // fraction of the time in which a holder acted
+	Broken   []string         `json:"broken"`     // violations
+	P50Ms    float64          `json:"gap_p50_ms"` // time without an action from one holder to the next
+	P99Ms    float64          `json:"gap_p99_ms"`
+	WorstMs  float64          `json:"gap_worst_ms"`
+	Schedule []ScheduledFault `json:"schedule"`
+	Kept     string           `json:"kept,omitempty"` // folder with the records of a run with violations
+	After    []After          `json:"after"`          // by kind of fault
 }
 
-// After is how long it took after a blow until a next holder acted or, of blows after which the old one may go on, the longest time
-// in which nobody acted.
+// After has the times without a holder after faults of one kind: until the next holder acted or, for faults after which
+// the same holder may continue, the longest pause between two actions.
 type After struct {
 	Blow    string  `json:"blow"`
 	N       int     `json:"n"`
@@ -79,39 +81,41 @@
 	WorstMs float64 `json:"worst_ms"`
 }
 
-// Blow is one of a schedule.
-type Blow struct {
-	GapMs int64  `json:"gap_ms"` // after the one before was over
+// ScheduledFault is a fault of a schedule. A schedule of an earlier run can be run again.
+type ScheduledFault struct {
+	GapMs int64  `json:"gap_ms"` // after the end of the previous fault
 	Fault string `json:"fault"`
-	Draw  uint64 `json:"draw"` // of what else is chosen
+	Draw  uint64 `json:"draw"` // seed of the other choices
 
-	AtMs int64  `json:"at_ms,omitempty"` // when it came, and to whom: for readers
-	What string `json:"what,omitempty"`
+	AtMs   int64  `json:"at_ms,omitempty"` // when it was injected, for readers
+	Target string `json:"what,omitempty"`  // where it was injected, for readers
 }
 
-// blow is the nth of a run, and whether there is one. Each is drawn for itself: one that is left out changes no other.
-func (t *Torture) blow(n int, run time.Duration) (Blow, bool) {
-	rng := rand.New(rand.NewPCG(t.Seed, uint64(n)))
-	b := Blow{GapMs: t.Every.Milliseconds()/2 + rng.Int64N(max(1, t.Every.Milliseconds())), Fault: Faults[rng.IntN(len(Faults))].Name, Draw: rng.Uint64()}
+// nextFault returns the nth fault of a run that has lasted for some time, and whether there is one. Each is drawn
+// independently, so that leaving one out changes no other.
+func (t *Torture) nextFault(index int, elapsed time.Duration) (ScheduledFault, bool) {
+	rng := rand.New(rand.NewPCG(t.Seed, uint64(index)))
+	fault := ScheduledFault{GapMs: t.Every.Milliseconds()/2 + rng.Int64N(max(1, t.Every.Milliseconds())), Fault: Faults[rng.IntN(len(Faults))].Name, Draw: rng.Uint64()}
 	switch {
 	case t.Play != nil:
-		if n < len(t.Play) {
-			b = t.Play[n]
+		if index < len(t.Play) {
+			fault = t.Play[index]
 		}
-		return b, n < len(t.Play)
+		return fault, index < len(t.Play)
 	case t.Blows > 0:
-		b.GapMs, b.Fault = 0, Faults[n%len(Faults)].Name
-		return b, n < t.Blows
+		fault.GapMs, fault.Fault = 0, Faults[index%len(Faults)].Name
+		return fault, index < t.Blows
 	case t.Only != "":
-		b.Fault = t.Only
+		fault.Fault = t.Only
 	}
-	return b, run < t.For
+	return fault, elapsed < t.For
 }
 
-// Shrink leaves blows out of a schedule for as long as the rest still breaks a promise, each try played up to so many times, and
-// returns the smallest that did (Zeller's ddmin, 1999). Runs of processes differ: what it returns broke one at least once.
-func (t *Torture) Shrink(ctx context.Context, all []Blow, tries int) []Blow {
-	breaks := func(part []Blow) bool {
+// Shrink removes faults from a schedule as long as the rest still causes a violation, and returns the smallest schedule
+// that did (Zeller's ddmin, 1999). It runs each candidate up to the given number of times. Runs of processes differ, so
+// the returned schedule caused a violation at least once, and not always.
+func (t *Torture) Shrink(ctx context.Context, all []ScheduledFault, tries int) []ScheduledFault {
+	fails := func(part []ScheduledFault) bool {
 		for range tries {
 			x := *t
 			x.Play, x.Keep = part, ""
@@ -126,9 +130,9 @@
 		for from := 0; from < len(all) && !smaller; from += size {
 			rest := slices.Delete(slices.Clone(all), from, min(from+size, len(all)))
 			if t.Say != nil {
-				t.Say(fmt.Sprintf("shrinking: %d of %d blows", len(rest), len(all)))
+				t.Say(fmt.Sprintf("shrinking: trying %d of %d faults", len(rest), len(all)))
 			}
-			if smaller = breaks(rest); smaller {
+			if smaller = fails(rest); smaller {
 				all = rest
 			}
 		}
@@ -144,23 +148,23 @@
 	return all
 }
 
-// keep writes the schedule, what the stand-in saw, and the logs of all daemons merged by time.
-func (x *run) keep(r *Tortured) error {
+// save writes the schedule, the records of the target and the logs of all daemons, merged by time, to a new folder.
+func (x *run) save(r *Tortured) error {
 	dir, err := os.MkdirTemp(x.Keep, fmt.Sprintf("broken-%d-", x.Seed))
 	if err != nil {
 		return err
 	}
 	r.Kept = dir
-	x.at.mu.Lock()
-	history := map[string]any{"changes": x.at.changes, "late": x.at.late, "order": x.at.order, "stopped": x.at.stopped, "broken": r.Broken}
-	x.at.mu.Unlock()
+	x.target.mu.Lock()
+	history := map[string]any{"changes": x.target.changes, "late": x.target.lateActions, "order": x.target.misorderedActions, "stopped": x.target.stoppedActors, "broken": r.Broken}
+	x.target.mu.Unlock()
 	var lines []string
 	for _, d := range x.fleet.Daemons {
 		for line := range strings.Lines(d.Log()) {
 			lines = append(lines, fmt.Sprintf("%-30s %s %s", strings.TrimPrefix(strings.SplitN(line+" ", " ", 2)[0], "time="), d.Name(), strings.TrimSuffix(line, "\n")))
 		}
 	}
-	slices.Sort(lines) // times are of one host, in one form
+	slices.Sort(lines) // all times are from one host, in one format
 	for name, v := range map[string]any{"schedule.json": r.Schedule, "history.json": history} {
 		b, err := json.MarshalIndent(v, "", " ")
 		if err == nil {
@@ -173,34 +177,36 @@
 	return os.WriteFile(filepath.Join(dir, "daemons.log"), []byte(strings.Join(lines, "\n")+"\n"), 0o600)
 }
 
-// actor is one lock with what it runs.
+// actor is a lock and the actor that it runs.
 type actor struct {
-	who string
-	d   *fleetlab.Daemon
+	name   string
+	daemon *fleetlab.Daemon
 
 	mu    sync.Mutex
 	cmd   *exec.Cmd
 	log   *os.File
-	over  bool
+	ended bool
 	stops int
 }
 
+// run is the state of a fault run.
 type run struct {
 	*Torture
-	fleet   *fleetlab.Fleet
-	at      *Standin
-	history *history
-	begun   time.Time
-	actors  []*actor
-	wg      sync.WaitGroup
-	r       *Tortured
-	rng     *rand.Rand
-	dir     string
-	waits   map[string][]time.Duration
+	fleet         *fleetlab.Fleet
+	target        *Target
+	history       *history
+	startedAt     time.Time
+	actors        []*actor
+	wg            sync.WaitGroup
+	result        *Tortured
+	rng           *rand.Rand
+	dir           string
+	recoveryTimes map[string][]time.Duration
 }
 
-// Run tortures.
-func (t *Torture) Run(ctx context.Context) (r *Tortured, err error) {
+// Run starts a fleet and the locks, injects the faults, and checks the actions and the store's history. With an error
+// it also returns the outcome up to then, unless the fleet did not start.
+func (t *Torture) Run(ctx context.Context) (result *Tortured, err error) {
 	dir, err := os.MkdirTemp(t.Dir, "tasks-")
 	if err != nil {
 		return nil, err
@@ -209,162 +215,163 @@
 	if t.Plant != "" {
 		t.Env = append(slices.Clone(t.Env), PlantEnv+"="+t.Plant)
 	}
-	x := &run{Torture: t, r: &Tortured{Blows: map[string]int{}}, dir: dir, waits: map[string][]time.Duration{}}
-	if x.at, err = newStandin(filepath.Join(dir, "fence"), t.Fence); err != nil {
+	r := &run{Torture: t, result: &Tortured{Blows: map[string]int{}}, dir: dir, recoveryTimes: map[string][]time.Duration{}}
+	if r.target, err = newTarget(filepath.Join(dir, "fence"), t.Fence); err != nil {
 		return nil, err
 	}
-	defer x.at.Close()
-	c := fleetlab.Config{Program: t.Program, Args: []string{"run", "--config"}, Env: t.Env, Dir: dir, Replicas: t.Replicas,
+	defer r.target.Close()
+	config := fleetlab.Config{Program: t.Program, Args: []string{"run", "--config"}, Env: t.Env, Dir: dir, Replicas: t.Replicas,
 		Follow: t.Follow, Seed: t.Seed, Bare: true}
-	if t.Inside { // hosts in turn are 5% fast and slow, the first leader among the fast
-		c.Skew = 0.12
-		c.EnvOf = func(n int) []string { return []string{fmt.Sprintf("%s=%g", PaceEnv, 1.05-0.1*float64(n%2))} }
+	if t.Inside { // clocks of hosts are 5% fast and slow in turn, and that of the first leader is fast
+		config.Skew = 0.12
+		config.EnvOf = func(n int) []string { return []string{fmt.Sprintf("%s=%g", PaceEnv, 1.05-0.1*float64(n%2))} }
 	}
-	if x.fleet, err = fleetlab.Begin(ctx, c); err != nil {
+	if r.fleet, err = fleetlab.Begin(ctx, config); err != nil {
 		return nil, err
 	}
-	defer x.fleet.End()
-	x.history = beginHistory(ctx, x.fleet, t.Seed)
-	for _, d := range x.fleet.Daemons {
+	defer r.fleet.End()
+	r.history = startHistory(ctx, r.fleet, t.Seed)
+	for _, d := range r.fleet.Daemons {
 		for i := range t.Holders {
-			x.actors = append(x.actors, &actor{who: fmt.Sprintf("%s.%d", d.Name(), i), d: d})
+			r.actors = append(r.actors, &actor{name: fmt.Sprintf("%s.%d", d.Name(), i), daemon: d})
 		}
 	}
-	begun := time.Now()
-	x.begun = begun
+	startedAt := time.Now()
+	r.startedAt = startedAt
 	defer func() {
-		for _, d := range x.fleet.Daemons {
+		for _, d := range r.fleet.Daemons {
 			d.Signal(syscall.SIGCONT)
 		}
-		for _, a := range x.actors {
-			a.end()
+		for _, a := range r.actors {
+			a.stop()
 		}
-		x.wg.Wait()
-		x.tell(r)
-		if r != nil && t.Keep != "" && (len(r.Broken) > 0 || err != nil) {
-			err = errors.Join(err, x.keep(r))
+		r.wg.Wait()
+		r.summarize(result)
+		if result != nil && t.Keep != "" && (len(result.Broken) > 0 || err != nil) {
+			err = errors.Join(err, r.save(result))
 		}
 	}()
-	for _, a := range x.actors {
-		x.wg.Go(func() { x.keepActing(a) })
+	for _, a := range r.actors {
+		r.wg.Go(func() { r.runLocks(a) })
 	}
-	if err := x.goesOn(ctx, 1, 0); err != nil {
-		return x.r, err
+	if err := r.waitForActions(ctx, 1, 0); err != nil {
+		return r.result, err
 	}
 	for n := 0; ; n++ {
-		blow, more := t.blow(n, time.Since(begun))
-		if !more {
-			return x.r, nil
+		scheduled, ok := t.nextFault(n, time.Since(startedAt))
+		if !ok {
+			return r.result, nil
 		}
-		at := slices.IndexFunc(Faults, func(f Fault) bool { return f.Name == blow.Fault })
-		if at < 0 {
-			return x.r, fmt.Errorf("%q is not a kind of blow", blow.Fault)
+		kind := slices.IndexFunc(Faults, func(fault Fault) bool { return fault.Name == scheduled.Fault })
+		if kind < 0 {
+			return r.result, fmt.Errorf("schedule names an unknown fault: %q", scheduled.Fault)
 		}
-		f := Faults[at]
-		x.rng = rand.New(rand.NewPCG(blow.Draw, 0x7461736b))
+		fault := Faults[kind]
+		r.rng = rand.New(rand.NewPCG(scheduled.Draw, 0x7461736b))
 		select {
 		case <-ctx.Done():
-			return x.r, ctx.Err()
-		case <-time.After(time.Duration(blow.GapMs) * time.Millisecond):
+			return r.result, ctx.Err()
+		case <-time.After(time.Duration(scheduled.GapMs) * time.Millisecond):
 		}
 		if t.Only != "" {
-			if err := x.after(t.TTL+4*time.Second, func() {})(ctx); err != nil { // sessions of the dead have ended by then
-				return x.r, err
+			// By then the sessions of killed processes have ended.
+			if err := r.after(t.TTL+4*time.Second, func() {})(ctx); err != nil {
+				return r.result, err
 			}
-			_, _, acts := x.at.now()
-			if err := x.goesOn(ctx, acts+1, 0); err != nil {
-				return x.r, err
+			_, _, acts := r.target.state()
+			if err := r.waitForActions(ctx, acts+1, 0); err != nil {
+				return r.result, err
 			}
 		}
-		_, held, before := x.at.now()
-		struck := time.Since(x.at.begun)
-		x.at.calm()
-		what, end := f.strike(x)
-		x.r.Blows[f.Name]++
-		blow.AtMs, blow.What = time.Since(begun).Milliseconds(), what
-		x.r.Schedule = append(x.r.Schedule, blow)
+		_, token, actionsBefore := r.target.state()
+		injectedAt := time.Since(r.target.startedAt)
+		r.target.resetPause()
+		target, end := fault.inject(r)
+		r.result.Blows[fault.Name]++
+		scheduled.AtMs, scheduled.Target = time.Since(startedAt).Milliseconds(), target
+		r.result.Schedule = append(r.result.Schedule, scheduled)
 		if err := end(ctx); err != nil {
-			return x.r, fmt.Errorf("%s %s: %w", f.Name, what, err)
+			return r.result, fmt.Errorf("%s %s: %w", fault.Name, target, err)
 		}
-		next := uint64(0)
-		if f.ends {
-			next = held + 1
+		minToken := uint64(0)
+		if fault.endsEntitlement {
+			minToken = token + 1
 		}
-		if err := x.goesOn(ctx, before+1, next); err != nil {
-			return x.r, fmt.Errorf("after %s %s: %w", f.Name, what, err)
+		if err := r.waitForActions(ctx, actionsBefore+1, minToken); err != nil {
+			return r.result, fmt.Errorf("after %s %s: %w", fault.Name, target, err)
 		}
-		if f.ends {
-			x.nextAfter(f.Name, held, struck)
+		if fault.endsEntitlement {
+			r.recordTakeover(fault.Name, token, injectedAt)
 		} else {
-			x.waits[f.Name] = append(x.waits[f.Name], x.at.paused())
+			r.recoveryTimes[fault.Name] = append(r.recoveryTimes[fault.Name], r.target.pauseSinceReset())
 		}
 		if t.Say != nil {
-			holder, token, acts := x.at.now()
-			broken, late, _ := x.at.judge(x.starved())
-			t.Say(fmt.Sprintf("%v: %s %s; %d acts, %s holds with %d, %d late of stopped actors, %d broken", time.Since(begun).Round(time.Second), f.Name, what, acts,
+			holder, token, acts := r.target.state()
+			broken, late, _ := r.target.check(r.starvedTokens())
+			t.Say(fmt.Sprintf("%v: injected %s at %s; %d actions, %s holds the task with token %d, %d late actions of stopped actors, %d violations", time.Since(startedAt).Round(time.Second), fault.Name, target, acts,
 				holder, token, late, len(broken)))
 		}
 	}
 }
 
-// nextAfter notes how long it took after a blow until one acted with a higher token.
-func (x *run) nextAfter(blow string, held uint64, struck time.Duration) {
-	x.at.mu.Lock()
-	defer x.at.mu.Unlock()
-	for _, c := range x.at.changes {
-		if c.To > held && c.First > struck {
-			x.waits[blow] = append(x.waits[blow], c.First-struck)
+// recordTakeover records the time from a fault to the first action with a higher token than before.
+func (x *run) recordTakeover(fault string, token uint64, injectedAt time.Duration) {
+	x.target.mu.Lock()
+	defer x.target.mu.Unlock()
+	for _, c := range x.target.changes {
+		if c.To > token && c.First > injectedAt {
+			x.recoveryTimes[fault] = append(x.recoveryTimes[fault], c.First-injectedAt)
 			return
 		}
 	}
 }
 
-// tell sums up.
-func (x *run) tell(r *Tortured) {
-	if r == nil {
+// summarize fills in the outcome.
+func (x *run) summarize(result *Tortured) {
+	if result == nil {
 		return
 	}
-	_, _, r.Acts = x.at.now()
-	r.Broken, r.Late, r.Starved = x.at.judge(x.starved())
-	history, more := x.history.judge()
-	r.History = history
-	r.Broken = append(r.Broken, more...)
-	gaps, without := x.at.Gaps(), time.Duration(0)
+	_, _, result.Acts = x.target.state()
+	result.Broken, result.Late, result.Starved = x.target.check(x.starvedTokens())
+	history, violations := x.history.check()
+	result.History = history
+	result.Broken = append(result.Broken, violations...)
+	gaps, pauses := x.target.Gaps(), time.Duration(0)
 	for _, g := range gaps {
-		without += g
+		pauses += g
 	}
-	r.Held = 1 - without.Seconds()/time.Since(x.begun).Seconds()
-	r.Holders = len(gaps) + 1
-	r.P50Ms, r.P99Ms, r.WorstMs = spread(gaps)
+	result.Held = 1 - pauses.Seconds()/time.Since(x.startedAt).Seconds()
+	result.Holders = len(gaps) + 1
+	result.P50Ms, result.P99Ms, result.WorstMs = percentiles(gaps)
 	for _, f := range Faults {
-		if all := x.waits[f.Name]; len(all) > 0 {
+		if all := x.recoveryTimes[f.Name]; len(all) > 0 {
 			slices.Sort(all)
-			a := After{Blow: f.Name, N: len(all)}
-			a.P50Ms, a.P99Ms, a.WorstMs = spread(all)
-			r.After = append(r.After, a)
+			times := After{Blow: f.Name, N: len(all)}
+			times.P50Ms, times.P99Ms, times.WorstMs = percentiles(all)
+			result.After = append(result.After, times)
 		}
 	}
 }
 
-// starved are the tokens of whose holders a keeper says that it was late.
-func (x *run) starved() map[uint64]bool {
-	all := map[uint64]bool{}
+// starvedTokens returns the tokens whose keepers logged that the command may have run past its time.
+func (x *run) starvedTokens() map[uint64]bool {
+	tokens := map[uint64]bool{}
 	for _, a := range x.actors {
-		text, _ := os.ReadFile(filepath.Join(x.dir, a.who+".log"))
+		text, _ := os.ReadFile(filepath.Join(x.dir, a.name+".log"))
 		for line := range strings.Lines(string(text)) {
 			var token uint64
 			if _, rest, ok := strings.Cut(line, " with token "); ok && strings.Contains(line, "past its time") {
 				if _, err := fmt.Sscan(strings.TrimSuffix(strings.Fields(rest)[0], ":"), &token); err == nil {
-					all[token] = true
+					tokens[token] = true
 				}
 			}
 		}
 	}
-	return all
+	return tokens
 }
 
-// spread is the middle, the 99th of a hundred and the greatest of sorted times, in milliseconds.
-func spread(all []time.Duration) (p50, p99, worst float64) {
+// percentiles returns the median, the 99th percentile and the maximum of sorted times, in milliseconds.
+func percentiles(all []time.Duration) (p50, p99, worst float64) {
 	n := len(all)
 	if n == 0 {
 		return 0, 0, 0
@@ -373,28 +380,28 @@
 	return ms(all[n/2]), ms(all[n*99/100]), ms(all[n-1])
 }
 
-// goesOn waits until there are so many actions, and some of so high a token.
-func (x *run) goesOn(ctx context.Context, acts int, token uint64) error {
+// waitForActions waits until there are so many actions, and one with such a token or a higher one.
+func (x *run) waitForActions(ctx context.Context, actions int, token uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, 60*time.Second)
 	defer cancel()
 	for {
-		if _, high, now := x.at.now(); now >= acts && high >= token {
+		if _, high, total := x.target.state(); total >= actions && high >= token {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Join(errors.New("nobody acts"), ctx.Err(), errors.New(x.logs()))
+			return errors.Join(errors.New("no holder acts on the task"), ctx.Err(), errors.New(x.logTails()))
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
 }
 
-// logs are the ends of what all wrote.
-func (x *run) logs() string {
+// logTails returns the ends of the logs of all actors and daemons.
+func (x *run) logTails() string {
 	var b strings.Builder
 	for _, a := range x.actors {
-		text, _ := os.ReadFile(filepath.Join(x.dir, a.who+".log"))
-		fmt.Fprintf(&b, "%s: %s\n", a.who, tail(string(text)))
+		text, _ := os.ReadFile(filepath.Join(x.dir, a.name+".log"))
+		fmt.Fprintf(&b, "%s: %s\n", a.name, tail(string(text)))
 	}
 	for _, d := range x.fleet.Daemons {
 		fmt.Fprintf(&b, "%s: %s\n", d.Name(), tail(d.Log()))
@@ -404,21 +411,21 @@
 
 func tail(s string) string { return s[max(0, len(s)-800):] }
 
-// keepActing runs one lock after the other, each with an actor.
-func (x *run) keepActing(a *actor) {
-	log, err := os.OpenFile(filepath.Join(x.dir, a.who+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+// runLocks runs one lock after the other, each with an actor, until stop is called.
+func (x *run) runLocks(a *actor) {
+	log, err := os.OpenFile(filepath.Join(x.dir, a.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return
 	}
 	defer log.Close()
 	for n := 0; ; n++ {
-		who := fmt.Sprintf("%s.%d", a.who, n)
-		cmd := exec.Command(x.Program, "lock", "task", "--socket", a.d.Socket(), "--ttl", x.TTL.String(), "--", x.Program, "actor", x.at.URL, who)
-		cmd.Env = append(os.Environ(), a.d.Env...)
+		who := fmt.Sprintf("%s.%d", a.name, n)
+		cmd := exec.Command(x.Program, "lock", "task", "--socket", a.daemon.Socket(), "--ttl", x.TTL.String(), "--", x.Program, "actor", x.target.URL, who)
+		cmd.Env = append(os.Environ(), a.daemon.Env...)
 		cmd.Stdout, cmd.Stderr = log, log
 		cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 		a.mu.Lock()
-		if a.over {
+		if a.ended {
 			a.mu.Unlock()
 			return
 		}
@@ -428,16 +435,16 @@
 		}
 		a.cmd = cmd
 		a.mu.Unlock()
-		_ = cmd.Wait()                    // how it ended shows in its log
-		time.Sleep(20 * time.Millisecond) // a daemon that is away refuses at once
+		_ = cmd.Wait()                    // its log shows how it ended
+		time.Sleep(20 * time.Millisecond) // a daemon that is down refuses the connection at once
 	}
 }
 
-// end ends the lock for good.
-func (a *actor) end() {
+// stop ends the lock, and no other follows.
+func (a *actor) stop() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.over = true
+	a.ended = true
 	if a.cmd != nil {
 		_ = a.cmd.Process.Signal(syscall.SIGCONT)
 		_ = a.cmd.Process.Signal(syscall.SIGTERM)
@@ -453,17 +460,18 @@
 	}
 }
 
-// holding is the actor whose lock holds, and the name by which it acts.
-func (x *run) holding() (*actor, string) {
-	who, _, _ := x.at.now()
+// currentHolder returns the actor that holds the task, and the name under which it acts.
+func (x *run) currentHolder() (*actor, string) {
+	who, _, _ := x.target.state()
 	for _, a := range x.actors {
-		if strings.HasPrefix(who, a.who+".") {
+		if strings.HasPrefix(who, a.name+".") {
 			return a, who
 		}
 	}
 	return x.actors[0], who
 }
 
+// pid returns the process id of the current lock, or 0 before the first.
 func (a *actor) pid() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -473,8 +481,8 @@
 	return a.cmd.Process.Pid
 }
 
-// below lists a process and all below it.
-func below(pid int) []int {
+// processTree returns the ids of a process and all its descendants.
+func processTree(pid int) []int {
 	if pid == 0 {
 		return nil
 	}
