--- a/internal/lab/limitlab/limitlab.go
+++ b/internal/lab/limitlab/limitlab.go
@@ -32,32 +32,32 @@
 	Blows    int           // if above 0, used in place of For: number of faults, which are all kinds in turn
 	Every    time.Duration // mean time between two faults
 	Seed     uint64
-	Play     []Blow       // if not nil, the schedule in place of a drawn one
-	Until    bool         // ends the run once a limit was exceeded
-	Say      func(string) // receives progress lines; nil: nobody
+	Play     []ScheduledFault // if not nil, the schedule in place of a drawn one
+	Until    bool             // ends the run once a limit was exceeded
+	Say      func(string)     // receives progress lines; nil: nobody
 }
 
-// Blow is a fault of a schedule. A schedule of an earlier run can be run again.
-type Blow struct {
-	GapMs int64  `json:"gap_ms"`          // after the end of the previous fault
-	Fault string `json:"fault"`           // name in Faults
-	Draw  uint64 `json:"draw"`            // random number that selects the daemon
-	AtMs  int64  `json:"at_ms,omitempty"` // when it was injected, for readers
-	What  string `json:"what,omitempty"`  // the daemons it was injected at, for readers
+// ScheduledFault is a fault of a schedule. A schedule of an earlier run can be run again.
+type ScheduledFault struct {
+	GapMs  int64  `json:"gap_ms"`          // after the end of the previous fault
+	Fault  string `json:"fault"`           // name in Faults
+	Draw   uint64 `json:"draw"`            // random number that selects the daemon
+	AtMs   int64  `json:"at_ms,omitempty"` // when it was injected, for readers
+	Target string `json:"what,omitempty"`  // the daemons it was injected at, for readers
 }
 
 // Tortured is the outcome of a fault run. Its JSON is part of the output of limit torture.
 type Tortured struct {
-	Requests int            `json:"requests"`             // that arrived at servers
-	Refused  int            `json:"refused"`              // rejected by sidecars with 429
-	NoTime   int            `json:"refused_without_time"` // rejected without Retry-After
-	Crowds   int            `json:"crowds"`               // excesses of open requests, cancelled ones included
-	Blows    map[string]int `json:"blows"`                // number of injected faults, by name
-	Seen     []Seen         `json:"seen"`
-	Use      float64        `json:"use"`               // used fraction of the rate limit after the faults
-	Broken   []string       `json:"broken"`            // limits that were exceeded
-	History  []string       `json:"history,omitempty"` // changes of the store around the first excess
-	Schedule []Blow         `json:"schedule"`
+	Requests int              `json:"requests"`             // that arrived at servers
+	Refused  int              `json:"refused"`              // rejected by sidecars with 429
+	NoTime   int              `json:"refused_without_time"` // rejected without Retry-After
+	Crowds   int              `json:"crowds"`               // excesses of open requests, cancelled ones included
+	Blows    map[string]int   `json:"blows"`                // number of injected faults, by name
+	Seen     []Seen           `json:"seen"`
+	Use      float64          `json:"use"`               // used fraction of the rate limit after the faults
+	Broken   []string         `json:"broken"`            // limits that were exceeded
+	History  []string         `json:"history,omitempty"` // changes of the store around the first excess
+	Schedule []ScheduledFault `json:"schedule"`
 }
 
 // maxLateness is longer than the deadline of a request, after which its sidecar sends no more attempts of it.
@@ -141,9 +141,9 @@
 }
 
 // nextFault returns the nth fault of a run that has lasted for some time, and whether there is one.
-func (t *Torture) nextFault(index int, elapsed time.Duration) (Blow, bool) {
+func (t *Torture) nextFault(index int, elapsed time.Duration) (ScheduledFault, bool) {
 	rng := rand.New(rand.NewPCG(t.Seed, uint64(index)))
-	fault := Blow{GapMs: t.Every.Milliseconds()/2 + rng.Int64N(max(1, t.Every.Milliseconds())), Fault: Faults[rng.IntN(len(Faults))].Name, Draw: rng.Uint64()}
+	fault := ScheduledFault{GapMs: t.Every.Milliseconds()/2 + rng.Int64N(max(1, t.Every.Milliseconds())), Fault: Faults[rng.IntN(len(Faults))].Name, Draw: rng.Uint64()}
 	switch {
 	case t.Play != nil:
 		if index < len(t.Play) {
@@ -251,7 +251,7 @@
 		before, _ := r.judge.counts("orders")
 		target, end := fault.inject(r.fleet, daemon, time.Duration(fault.sessionTTLs*float64(TTL)))
 		result.Blows[fault.Name]++
-		scheduled.AtMs, scheduled.What = time.Since(startedAt).Milliseconds(), target
+		scheduled.AtMs, scheduled.Target = time.Since(startedAt).Milliseconds(), target
 		result.Schedule = append(result.Schedule, scheduled)
 		if err := end(ctx); err != nil {
 			return result, fmt.Errorf("%s %s: %w", fault.Name, target, err)
