--- a/cmd/birchmoor/defects_on.go
+++ b/cmd/birchmoor/defects_on.go
@@ -35,7 +35,7 @@
 	}
 }
 
-func defectEnabled(name string) bool { return os.Getenv(tasklab.PlantEnv) == name }
+func defectEnabled(name string) bool { return os.Getenv(tasklab.DefectEnv) == name }
 
 func leaseTableDefect() lease.TableDefect {
 	if defectEnabled(defectOrderIgnored) {
--- a/cmd/birchmoor/limitsim.go
+++ b/cmd/birchmoor/limitsim.go
@@ -54,7 +54,7 @@
 	case "":
 		return k.runSeeds(ctx, c, options)
 	case listDefects:
-		for _, f := range limitsim.Faults {
+		for _, f := range limitsim.InjectedDefects {
 			fmt.Fprintf(c.out, "%-22s %s\n", f.Name, f.About)
 		}
 		return nil
@@ -65,7 +65,7 @@
 // findDefects injects the defects that --plant names, one after the other, and fails if one is not found.
 func (k *limitSim) findDefects(ctx context.Context, c *console, options limitsim.Options) error {
 	missed, known := false, k.Defect == allDefects
-	for _, f := range limitsim.Faults {
+	for _, f := range limitsim.InjectedDefects {
 		if k.Defect != allDefects && k.Defect != f.Name {
 			continue
 		}
--- a/cmd/birchmoor/limittorture.go
+++ b/cmd/birchmoor/limittorture.go
@@ -51,7 +51,7 @@
 		Say:      func(s string) { fmt.Fprintln(c.err, s) },
 	}
 	if k.Defect != 0 {
-		t.Env = []string{fmt.Sprintf("%s=%d", tasklab.LimitEnv, k.Defect)}
+		t.Env = []string{fmt.Sprintf("%s=%d", tasklab.QuotaDefectEnv, k.Defect)}
 	}
 	if k.Schedule != "" {
 		if err := readJSON(k.Schedule, &t.Play); err != nil {
--- a/cmd/birchmoor/storesim.go
+++ b/cmd/birchmoor/storesim.go
@@ -35,17 +35,17 @@
 	}
 	options := storesim.Options{Replicas: k.Replicas, Ops: k.Ops, Faults: k.Faults, Gap: k.Gap, Mixed: k.Mixed}
 	if k.Defect == listDefects {
-		for _, f := range storesim.Faults {
+		for _, f := range storesim.InjectedDefects {
 			fmt.Fprintf(c.out, "%-18s %s\n", f.Name, f.About)
 		}
 		return nil
 	}
-	for _, f := range storesim.Faults {
+	for _, f := range storesim.InjectedDefects {
 		if f.Name == k.Defect {
 			options.Planted, options.Watch = f.Fault, f.Watch
 		}
 	}
-	if k.Defect != "" && options.Planted == 0 && options.Watch == storesim.WatchNone {
+	if k.Defect != "" && options.Planted == 0 && options.Watch == storesim.NoDaemonDefect {
 		return unknownDefectError(k.Defect)
 	}
 	return k.runSeeds(ctx, c, options)
--- a/cmd/birchmoor/tasksim.go
+++ b/cmd/birchmoor/tasksim.go
@@ -52,7 +52,7 @@
 	case "":
 		return k.runSeeds(ctx, c, options, "")
 	case listDefects:
-		for _, f := range storesim.HolderFaults {
+		for _, f := range storesim.InjectedHolderDefects {
 			fmt.Fprintf(c.out, "%-22s %s\n", f.Name, f.About)
 		}
 		return nil
@@ -63,7 +63,7 @@
 // findDefects injects the defects that --plant names, one after the other, and fails if one is not found.
 func (k *taskSim) findDefects(ctx context.Context, c *console, options storesim.Options) error {
 	missed := false
-	for _, f := range storesim.HolderFaults {
+	for _, f := range storesim.InjectedHolderDefects {
 		if f.Name != k.Defect && k.Defect != allDefects {
 			continue
 		}
--- a/internal/lab/limitsim/limitsim.go
+++ b/internal/lab/limitsim/limitsim.go
@@ -29,11 +29,11 @@
 	Calm     bool    // injects no faults
 	Busy     bool    // measures at the end how long a single busy process takes to get four fifths of a limit
 	Even     bool    // all processes have the same load, and it does not shift
-	Plant    Plant
+	Plant    Defects
 }
 
-// Plant is a set of injected defects; the zero value has none.
-type Plant struct {
+// Defects is a set of injected defects; the zero value has none.
+type Defects struct {
 	Limit   quota.Defect
 	Session lease.Defect
 }
--- a/internal/lab/limitsim/limitsim_test.go
+++ b/internal/lab/limitsim/limitsim_test.go
@@ -34,7 +34,7 @@
 // limit sim finds them too.
 func TestInjectedDefectsAreFound(t *testing.T) {
 	rare := map[string]bool{"nothing-lingers": true, "given-before-end": true, "not-taken-over": true, "full-at-start": true}
-	for _, f := range Faults {
+	for _, f := range InjectedDefects {
 		if rare[f.Name] || raceEnabled {
 			continue
 		}
--- a/internal/lab/soak/defect.go
+++ b/internal/lab/soak/defect.go
@@ -58,7 +58,7 @@
 // Env is the environment that has a process of a build for tests inject the defect.
 func (d Defect) Env() []string {
 	if d.Name == noLinger {
-		return []string{fmt.Sprintf("%s=%d", tasklab.LimitEnv, quota.NoLinger)}
+		return []string{fmt.Sprintf("%s=%d", tasklab.QuotaDefectEnv, quota.NoLinger)}
 	}
 	return []string{defectEnv + "=" + d.Name}
 }
--- a/internal/lab/storesim/faults.go
+++ b/internal/lab/storesim/faults.go
@@ -291,28 +291,28 @@
 	check()
 }
 
-// Faults lists the defects of replicas and daemons that a run can inject.
-var Faults = []struct {
+// InjectedDefects lists the defects of replicas and daemons that a run can inject.
+var InjectedDefects = []struct {
 	Name  string
 	Fault replica.Defects
-	Watch Watch
+	Watch DaemonDefect
 	About string
 }{
-	{"ack-before-sync", replica.AckBeforeSync, WatchNone, "messages are sent before the state that they acknowledge is on disk"},
-	{"vote-forgotten", replica.ForgetVote, WatchNone, "the vote is not written to disk"},
-	{"stale-read", replica.StaleRead, WatchNone, "a read is answered without confirmation by a quorum"},
-	{"apply-twice", replica.ApplyTwice, WatchNone, "after a restart the last entries of the snapshot are applied again"},
-	{"results-forgotten", replica.ForgetResults, WatchNone, "a request that is sent again is applied again"},
-	{"blind-lease", replica.RevokeRenewedLease, WatchNone, "a lease without recent renewals is revoked although it was renewed meanwhile"},
-	{"log-cut-too-far", replica.CompactBeyondSnapshot, WatchNone, "the log is compacted beyond the snapshot"},
-	{"empty-disk-let-in", replica.SkipAdmission, WatchNone, "a replica with an empty or old disk is admitted under its old name"},
-	{"eager-return", replica.EagerReturn, WatchNone, "a server is readmitted on the evidence of one copy"},
+	{"ack-before-sync", replica.AckBeforeSync, NoDaemonDefect, "messages are sent before the state that they acknowledge is on disk"},
+	{"vote-forgotten", replica.ForgetVote, NoDaemonDefect, "the vote is not written to disk"},
+	{"stale-read", replica.StaleRead, NoDaemonDefect, "a read is answered without confirmation by a quorum"},
+	{"apply-twice", replica.ApplyTwice, NoDaemonDefect, "after a restart the last entries of the snapshot are applied again"},
+	{"results-forgotten", replica.ForgetResults, NoDaemonDefect, "a request that is sent again is applied again"},
+	{"blind-lease", replica.RevokeRenewedLease, NoDaemonDefect, "a lease without recent renewals is revoked although it was renewed meanwhile"},
+	{"log-cut-too-far", replica.CompactBeyondSnapshot, NoDaemonDefect, "the log is compacted beyond the snapshot"},
+	{"empty-disk-let-in", replica.SkipAdmission, NoDaemonDefect, "a replica with an empty or old disk is admitted under its old name"},
+	{"eager-return", replica.EagerReturn, NoDaemonDefect, "a server is readmitted on the evidence of one copy"},
 	{"bind-late", 0, EnforceLate, "a drain from the store is in force only half a second after it arrived"},
 	{"own-word-undone", 0, OverrideObservation, "the end of a drain in the store overrides the daemon's own observation"},
 	{"end-early", 0, EndDrainEarly, "a drain ends after a quarter of its retention"},
 	{"end-alone", 0, EndDrainLocally, "a daemon ends a drain locally, without a quorum"},
 	{"log-end-forgotten", 0, IgnoreUncommitted, "a restart ignores the exclusions in the uncommitted end of the log"},
-	{"leads-on", replica.LeadAfterFailure, WatchNone, "a leader whose disk failed keeps sending heartbeats"},
-	{"any-level", replica.IgnoreLevel, WatchNone, "a command is sent although a voter does not know its level (with --mixed)"},
+	{"leads-on", replica.LeadAfterFailure, NoDaemonDefect, "a leader whose disk failed keeps sending heartbeats"},
+	{"any-level", replica.IgnoreLevel, NoDaemonDefect, "a command is sent although a voter does not know its level (with --mixed)"},
 	{"never-renewed", 0, NeverReportAgain, "drains are never reported again"},
 }
--- a/internal/lab/storesim/holders.go
+++ b/internal/lab/storesim/holders.go
@@ -424,8 +424,8 @@
 	}
 }
 
-// HolderFaults lists the defects of holders, targets and replicas that a run with holders can inject.
-var HolderFaults = []struct {
+// InjectedHolderDefects lists the defects of holders, targets and replicas that a run with holders can inject.
+var InjectedHolderDefects = []struct {
 	Name    string
 	Plant   HolderDefects
 	Replica replica.Defects
--- a/internal/lab/storesim/holders_test.go
+++ b/internal/lab/storesim/holders_test.go
@@ -18,7 +18,7 @@
 
 // Each injected defect of holders, targets and replicas is found.
 func TestInjectedHolderDefectsAreFound(t *testing.T) {
-	faults := HolderFaults
+	faults := InjectedHolderDefects
 	if !thorough {
 		faults = faults[11:13]
 	}
--- a/internal/lab/storesim/storesim.go
+++ b/internal/lab/storesim/storesim.go
@@ -38,10 +38,10 @@
 	Faults   int // number of injected faults; default 24
 	Gap      int // milliseconds between two faults; default 300
 	Planted  replica.Defects
-	Watch    Watch // injected defect of daemons
-	Holders  int   // daemons that hold tasks; 0: none
-	HoldTTL  int   // TTL of their sessions in milliseconds; default 400
-	Calm     bool  // injects no faults
+	Watch    DaemonDefect // injected defect of daemons
+	Holders  int          // daemons that hold tasks; 0: none
+	HoldTTL  int          // TTL of their sessions in milliseconds; default 400
+	Calm     bool         // injects no faults
 	Holder   HolderDefects
 	Mixed    bool // hosts start with a build that knows command level 1, and change to this build and back
 }
--- a/internal/lab/storesim/storesim_test.go
+++ b/internal/lab/storesim/storesim_test.go
@@ -45,7 +45,7 @@
 
 // Each injected defect is found. The rarest, a vote that is not written, takes until the seventeenth seed.
 func TestInjectedDefectsAreFound(t *testing.T) {
-	faults := Faults
+	faults := InjectedDefects
 	if !thorough {
 		faults = faults[2:3]
 	}
--- a/internal/lab/storesim/watch.go
+++ b/internal/lab/storesim/watch.go
@@ -21,18 +21,18 @@
 //   - No drain ends before it has gone unreported for the retention and, without faults, while any daemon observes it.
 //   - Once all faults are over, every drain that a daemon observes is in force on all hosts within a second.
 
-// Watch is an injected defect of daemons; the zero value is none.
-type Watch int
+// DaemonDefect is an injected defect of daemons; the zero value is none.
+type DaemonDefect int
 
 // The injected defects.
 const (
-	WatchNone           Watch = iota
-	EnforceLate               // a drain from the store is in force in the sidecar only half a second after it arrived
-	OverrideObservation       // the end of a drain in the store overrides the daemon's own observation
-	EndDrainEarly             // a drain ends after a quarter of its retention
-	EndDrainLocally           // a daemon ends a drain locally, without a quorum
-	IgnoreUncommitted         // a restart ignores the exclusions in the uncommitted end of the log
-	NeverReportAgain          // drains are never reported again
+	NoDaemonDefect      DaemonDefect = iota
+	EnforceLate                      // a drain from the store is in force in the sidecar only half a second after it arrived
+	OverrideObservation              // the end of a drain in the store overrides the daemon's own observation
+	EndDrainEarly                    // a drain ends after a quarter of its retention
+	EndDrainLocally                  // a daemon ends a drain locally, without a quorum
+	IgnoreUncommitted                // a restart ignores the exclusions in the uncommitted end of the log
+	NeverReportAgain                 // drains are never reported again
 )
 
 // Times of the report rules. Those of real daemons are longer (200 ms, 4 min and 10 min); with these a run has many
--- a/internal/lab/tasklab/inside.go
+++ b/internal/lab/tasklab/inside.go
@@ -11,11 +11,11 @@
 	"birchmoor/internal/controlplane/quota"
 )
 
-// PaceEnv is the environment variable with the rate of a process's clock and ticks, relative to the host's clock.
-const PaceEnv = "BIRCHMOOR_BENCH_PACE"
+// ClockRateEnv is the environment variable with the rate of a process's clock and ticks, relative to the host's clock.
+const ClockRateEnv = "BIRCHMOOR_BENCH_PACE"
 
-// LimitEnv is the environment variable with the number of an injected defect of a process's quotas, a quota.Defect.
-const LimitEnv = "BIRCHMOOR_BENCH_LIMIT"
+// QuotaDefectEnv is the environment variable with the number of an injected defect of a process's quotas, a quota.Defect.
+const QuotaDefectEnv = "BIRCHMOOR_BENCH_LIMIT"
 
 // Inside are the faults that a fault run injects within a process: another clock rate, a defect of its quotas and, from
 // a SIGUSR1 on, a disk that fails all syncs. Only builds with the tag planted read them.
@@ -29,18 +29,18 @@
 // value is invalid, because a fault run that injects nothing would pass for the wrong reason.
 func ReadInside() Inside {
 	var faults Inside
-	if text := os.Getenv(PaceEnv); text != "" {
+	if text := os.Getenv(ClockRateEnv); text != "" {
 		pace, err := strconv.ParseFloat(text, 64)
 		if err != nil || pace < 0.1 || pace > 10 {
-			fmt.Fprintf(os.Stderr, "%s: %q is not a clock rate within 0.1 and 10\n", PaceEnv, text)
+			fmt.Fprintf(os.Stderr, "%s: %q is not a clock rate within 0.1 and 10\n", ClockRateEnv, text)
 			os.Exit(2)
 		}
 		faults.Pace = pace
 	}
-	if text := os.Getenv(LimitEnv); text != "" {
+	if text := os.Getenv(QuotaDefectEnv); text != "" {
 		n, err := strconv.Atoi(text)
 		if err != nil {
-			fmt.Fprintf(os.Stderr, "%s: %q is not the number of a defect\n", LimitEnv, text)
+			fmt.Fprintf(os.Stderr, "%s: %q is not the number of a defect\n", QuotaDefectEnv, text)
 			os.Exit(2)
 		}
 		faults.Limit = quota.Defect(n)
--- a/internal/lab/tasklab/torture.go
+++ b/internal/lab/tasklab/torture.go
@@ -27,8 +27,8 @@
 	"birchmoor/internal/lab/fleetlab"
 )
 
-// PlantEnv is the environment variable with the name of an injected defect, for programs built with the tag "planted".
-const PlantEnv = "BIRCHMOOR_PLANT"
+// DefectEnv is the environment variable with the name of an injected defect, for programs built with the tag "planted".
+const DefectEnv = "BIRCHMOOR_PLANT"
 
 // Torture is a fault run: the settings of the fleet and of the faults.
 type Torture struct {
@@ -213,7 +213,7 @@
 	}
 	defer os.RemoveAll(dir)
 	if t.Plant != "" {
-		t.Env = append(slices.Clone(t.Env), PlantEnv+"="+t.Plant)
+		t.Env = append(slices.Clone(t.Env), DefectEnv+"="+t.Plant)
 	}
 	r := &run{Torture: t, result: &Tortured{Blows: map[string]int{}}, dir: dir, recoveryTimes: map[string][]time.Duration{}}
 	if r.target, err = newTarget(filepath.Join(dir, "fence"), t.Fence); err != nil {
@@ -224,7 +224,7 @@
 		Follow: t.Follow, Seed: t.Seed, Bare: true}
 	if t.Inside { // clocks of hosts are 5% fast and slow in turn, and that of the first leader is fast
 		config.Skew = 0.12
-		config.EnvOf = func(n int) []string { return []string{fmt.Sprintf("%s=%g", PaceEnv, 1.05-0.1*float64(n%2))} }
+		config.EnvOf = func(n int) []string { return []string{fmt.Sprintf("%s=%g", ClockRateEnv, 1.05-0.1*float64(n%2))} }
 	}
 	if r.fleet, err = fleetlab.Begin(ctx, config); err != nil {
 		return nil, err
