--- a/cmd/birchmoor/daemon.go
+++ b/cmd/birchmoor/daemon.go
@@ -59,7 +59,7 @@
 
 // processFaults are the faults that torture runs inject into this process; only builds with defects and tests set
 // them.
-var processFaults tasklab.Inside
+var processFaults tasklab.ProcessFaults
 
 // openControlPlane starts the daemon's components, with a replica or a follower of the store and the daemon's
 // socket. stop ends them.
--- a/cmd/birchmoor/defects_on.go
+++ b/cmd/birchmoor/defects_on.go
@@ -29,7 +29,7 @@
 )
 
 func init() {
-	processFaults = tasklab.ReadInside()
+	processFaults = tasklab.ReadProcessFaults()
 	if err := soak.InjectDefect(); err != nil {
 		panic(err)
 	}
--- a/cmd/birchmoor/limit_test.go
+++ b/cmd/birchmoor/limit_test.go
@@ -12,13 +12,13 @@
 )
 
 // runLimitTorture shares limits among processes of this binary under so many kinds of faults.
-func runLimitTorture(t *testing.T, faults int, change func(*limitlab.Torture)) *limitlab.Tortured {
+func runLimitTorture(t *testing.T, faults int, change func(*limitlab.FaultRun)) *limitlab.Result {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := &limitlab.Torture{
+	x := &limitlab.FaultRun{
 		Program:  self,
 		Env:      []string{asProgramEnv + "=1"},
 		Dir:      t.TempDir(),
--- a/cmd/birchmoor/limittorture.go
+++ b/cmd/birchmoor/limittorture.go
@@ -40,7 +40,7 @@
 	if k.Defect != 0 && !isDefectBuild {
 		return errNoDefectBuild
 	}
-	t := limitlab.Torture{
+	t := limitlab.FaultRun{
 		Program:  self,
 		Dir:      k.Dir,
 		Replicas: k.Replicas,
@@ -71,7 +71,7 @@
 }
 
 // print prints the result as JSON or for people.
-func (k *limitTorture) print(c *console, r *limitlab.Tortured) error {
+func (k *limitTorture) print(c *console, r *limitlab.Result) error {
 	if k.JSON {
 		return json.NewEncoder(c.out).Encode(r)
 	}
--- a/cmd/birchmoor/replay_test.go
+++ b/cmd/birchmoor/replay_test.go
@@ -17,7 +17,7 @@
 
 func TestMain(m *testing.M) {
 	if os.Getenv(asProgramEnv) != "" {
-		processFaults = tasklab.ReadInside()
+		processFaults = tasklab.ReadProcessFaults()
 		readHollowDefect()
 		if err := soak.InjectDefect(); err != nil {
 			panic(err)
--- a/cmd/birchmoor/task_test.go
+++ b/cmd/birchmoor/task_test.go
@@ -13,13 +13,13 @@
 )
 
 // runTaskTorture runs locks at daemons as processes of this binary under so many kinds of faults in turn.
-func runTaskTorture(t *testing.T, faults int, change func(*tasklab.Torture)) *tasklab.Tortured {
+func runTaskTorture(t *testing.T, faults int, change func(*tasklab.FaultRun)) *tasklab.Result {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := &tasklab.Torture{
+	x := &tasklab.FaultRun{
 		Program:  self,
 		Env:      []string{asProgramEnv + "=1"},
 		Dir:      t.TempDir(),
--- a/cmd/birchmoor/tasktorture.go
+++ b/cmd/birchmoor/tasktorture.go
@@ -45,7 +45,7 @@
 	if k.Defect != "" && !isDefectBuild {
 		return errNoDefectBuild
 	}
-	t := tasklab.Torture{
+	t := tasklab.FaultRun{
 		Program:  self,
 		Dir:      k.Dir,
 		Replicas: k.Replicas,
@@ -94,7 +94,7 @@
 const shrinkAttempts = 2
 
 // print prints the result as JSON or for people.
-func (k *taskTorture) print(c *console, r *tasklab.Tortured) error {
+func (k *taskTorture) print(c *console, r *tasklab.Result) error {
 	if k.JSON {
 		return json.NewEncoder(c.out).Encode(r)
 	}
--- a/internal/lab/limitlab/limitlab.go
+++ b/internal/lab/limitlab/limitlab.go
@@ -21,8 +21,8 @@
 	"birchmoor/internal/lab/fleetlab"
 )
 
-// Torture is a fault run: the settings of the fleet and of the faults.
-type Torture struct {
+// FaultRun is a fault run: the settings of the fleet and of the faults.
+type FaultRun struct {
 	Program  string   // path of the program that daemons run
 	Env      []string // added to the environment of daemons
 	Dir      string   // folder for temporary files
@@ -46,8 +46,8 @@
 	Target string `json:"what,omitempty"`  // the daemons it was injected at, for readers
 }
 
-// Tortured is the outcome of a fault run. Its JSON is part of the output of limit torture.
-type Tortured struct {
+// Result is the outcome of a fault run. Its JSON is part of the output of limit torture.
+type Result struct {
 	Requests int              `json:"requests"`             // that arrived at servers
 	Refused  int              `json:"refused"`              // rejected by sidecars with 429
 	NoTime   int              `json:"refused_without_time"` // rejected without Retry-After
@@ -141,7 +141,7 @@
 }
 
 // nextFault returns the nth fault of a run that has lasted for some time, and whether there is one.
-func (t *Torture) nextFault(index int, elapsed time.Duration) (ScheduledFault, bool) {
+func (t *FaultRun) nextFault(index int, elapsed time.Duration) (ScheduledFault, bool) {
 	rng := rand.New(rand.NewPCG(t.Seed, uint64(index)))
 	fault := ScheduledFault{GapMs: t.Every.Milliseconds()/2 + rng.Int64N(max(1, t.Every.Milliseconds())), Fault: Faults[rng.IntN(len(Faults))].Name, Draw: rng.Uint64()}
 	switch {
@@ -158,7 +158,7 @@
 }
 
 // report passes a progress line to Say, if it is not nil.
-func (t *Torture) report(line string) {
+func (t *FaultRun) report(line string) {
 	if t.Say != nil {
 		t.Say(line)
 	}
@@ -166,7 +166,7 @@
 
 // run is the state of a fault run.
 type run struct {
-	*Torture
+	*FaultRun
 	fleet             *fleetlab.Fleet
 	judge             *Judge
 	rejected          atomic.Int64
@@ -176,7 +176,7 @@
 
 // Run starts a fleet, injects the faults under load, and checks the limits. With an error it also returns the outcome
 // up to then, unless the fleet did not start.
-func (t *Torture) Run(ctx context.Context) (result *Tortured, err error) {
+func (t *FaultRun) Run(ctx context.Context) (result *Result, err error) {
 	dir, err := os.MkdirTemp(t.Dir, "limits-")
 	if err != nil {
 		return nil, err
@@ -187,7 +187,7 @@
 		return nil, err
 	}
 	config.AssignGenerations(&quota.Config{})
-	r := &run{Torture: t, judge: NewJudge(config, t.Replicas+t.Follow)}
+	r := &run{FaultRun: t, judge: NewJudge(config, t.Replicas+t.Follow)}
 	r.judge.maxLateness = maxLateness
 	changes := &history{now: r.judge.Now}
 	r.fleet, err = fleetlab.Begin(ctx, fleetlab.Config{Program: t.Program, Args: []string{"run", "--config"}, Env: t.Env, Dir: dir, Replicas: t.Replicas,
@@ -199,7 +199,7 @@
 	if err := r.applyLimits(ctx, config); err != nil {
 		return nil, err
 	}
-	result = &Tortured{Blows: map[string]int{}}
+	result = &Result{Blows: map[string]int{}}
 	loadCtx, stop := context.WithCancel(ctx)
 	var background sync.WaitGroup
 	defer func() {
@@ -307,7 +307,7 @@
 }
 
 // measureUse measures the use of the rate limit after the faults.
-func (x *run) measureUse(ctx context.Context, r *Tortured) error {
+func (x *run) measureUse(ctx context.Context, r *Result) error {
 	const measureDuration = 3 * time.Second
 	for _, wait := range []time.Duration{2*TTL + time.Second, measureDuration} {
 		_, before := x.judge.counts("orders")
--- a/internal/lab/tasklab/inside.go
+++ b/internal/lab/tasklab/inside.go
@@ -17,18 +17,18 @@
 // QuotaDefectEnv is the environment variable with the number of an injected defect of a process's quotas, a quota.Defect.
 const QuotaDefectEnv = "BIRCHMOOR_BENCH_LIMIT"
 
-// Inside are the faults that a fault run injects within a process: another clock rate, a defect of its quotas and, from
+// ProcessFaults are the faults that a fault run injects within a process: another clock rate, a defect of its quotas and, from
 // a SIGUSR1 on, a disk that fails all syncs. Only builds with the tag planted read them.
-type Inside struct {
+type ProcessFaults struct {
 	Pace  float64        // clock rate relative to the host's clock; 0: 1
 	File  func(*os.File) // must be called with each file whose syncs are to fail; safe for concurrent use
 	Limit quota.Defect   // injected defect of its quotas
 }
 
-// ReadInside reads the faults from the environment, and prepares File to wait for the signal. It exits the process if a
+// ReadProcessFaults reads the faults from the environment, and prepares File to wait for the signal. It exits the process if a
 // value is invalid, because a fault run that injects nothing would pass for the wrong reason.
-func ReadInside() Inside {
-	var faults Inside
+func ReadProcessFaults() ProcessFaults {
+	var faults ProcessFaults
 	if text := os.Getenv(ClockRateEnv); text != "" {
 		pace, err := strconv.ParseFloat(text, 64)
 		if err != nil || pace < 0.1 || pace > 10 {
--- a/internal/lab/tasklab/torture.go
+++ b/internal/lab/tasklab/torture.go
@@ -30,8 +30,8 @@
 // DefectEnv is the environment variable with the name of an injected defect, for programs built with the tag "planted".
 const DefectEnv = "BIRCHMOOR_PLANT"
 
-// Torture is a fault run: the settings of the fleet and of the faults.
-type Torture struct {
+// FaultRun is a fault run: the settings of the fleet and of the faults.
+type FaultRun struct {
 	Program  string        // path of the program that daemons and locks run
 	Env      []string      // added to the environment of daemons
 	Dir      string        // folder for temporary files
@@ -53,8 +53,8 @@
 	Say      func(string)     // receives progress lines; nil: nobody
 }
 
-// Tortured is the outcome of a fault run. Its JSON is part of the output of task torture.
-type Tortured struct {
+// Result is the outcome of a fault run. Its JSON is part of the output of task torture.
+type Result struct {
 	Acts     int              `json:"acts"`       // actions of all holders
 	Holders  int              `json:"holders"`    // holders that acted, one after the other
 	Late     int              `json:"late"`       // actions after a higher token, of actors that had been stopped
@@ -93,7 +93,7 @@
 
 // nextFault returns the nth fault of a run that has lasted for some time, and whether there is one. Each is drawn
 // independently, so that leaving one out changes no other.
-func (t *Torture) nextFault(index int, elapsed time.Duration) (ScheduledFault, bool) {
+func (t *FaultRun) nextFault(index int, elapsed time.Duration) (ScheduledFault, bool) {
 	rng := rand.New(rand.NewPCG(t.Seed, uint64(index)))
 	fault := ScheduledFault{GapMs: t.Every.Milliseconds()/2 + rng.Int64N(max(1, t.Every.Milliseconds())), Fault: Faults[rng.IntN(len(Faults))].Name, Draw: rng.Uint64()}
 	switch {
@@ -114,7 +114,7 @@
 // Shrink removes faults from a schedule as long as the rest still causes a violation, and returns the smallest schedule
 // that did (Zeller's ddmin, 1999). It runs each candidate up to the given number of times. Runs of processes differ, so
 // the returned schedule caused a violation at least once, and not always.
-func (t *Torture) Shrink(ctx context.Context, all []ScheduledFault, tries int) []ScheduledFault {
+func (t *FaultRun) Shrink(ctx context.Context, all []ScheduledFault, tries int) []ScheduledFault {
 	fails := func(part []ScheduledFault) bool {
 		for range tries {
 			x := *t
@@ -149,7 +149,7 @@
 }
 
 // save writes the schedule, the records of the target and the logs of all daemons, merged by time, to a new folder.
-func (x *run) save(r *Tortured) error {
+func (x *run) save(r *Result) error {
 	dir, err := os.MkdirTemp(x.Keep, fmt.Sprintf("broken-%d-", x.Seed))
 	if err != nil {
 		return err
@@ -191,14 +191,14 @@
 
 // run is the state of a fault run.
 type run struct {
-	*Torture
+	*FaultRun
 	fleet         *fleetlab.Fleet
 	target        *Target
 	history       *history
 	startedAt     time.Time
 	actors        []*actor
 	wg            sync.WaitGroup
-	result        *Tortured
+	result        *Result
 	rng           *rand.Rand
 	dir           string
 	recoveryTimes map[string][]time.Duration
@@ -206,7 +206,7 @@
 
 // Run starts a fleet and the locks, injects the faults, and checks the actions and the store's history. With an error
 // it also returns the outcome up to then, unless the fleet did not start.
-func (t *Torture) Run(ctx context.Context) (result *Tortured, err error) {
+func (t *FaultRun) Run(ctx context.Context) (result *Result, err error) {
 	dir, err := os.MkdirTemp(t.Dir, "tasks-")
 	if err != nil {
 		return nil, err
@@ -215,7 +215,7 @@
 	if t.Plant != "" {
 		t.Env = append(slices.Clone(t.Env), DefectEnv+"="+t.Plant)
 	}
-	r := &run{Torture: t, result: &Tortured{Blows: map[string]int{}}, dir: dir, recoveryTimes: map[string][]time.Duration{}}
+	r := &run{FaultRun: t, result: &Result{Blows: map[string]int{}}, dir: dir, recoveryTimes: map[string][]time.Duration{}}
 	if r.target, err = newTarget(filepath.Join(dir, "fence"), t.Fence); err != nil {
 		return nil, err
 	}
@@ -327,7 +327,7 @@
 }
 
 // summarize fills in the outcome.
-func (x *run) summarize(result *Tortured) {
+func (x *run) summarize(result *Result) {
 	if result == nil {
 		return
 	}
