--- a/cmd/birchmoor/limit_test.go
+++ b/cmd/birchmoor/limit_test.go
@@ -50,11 +50,11 @@
 	if len(r.Broken) > 0 {
 		t.Errorf("%q", r.Broken)
 	}
-	if r.Requests == 0 || r.Refused == 0 || r.NoTime > 0 {
-		t.Errorf("%d let through, %d refused, %d of them without a time", r.Requests, r.Refused, r.NoTime)
+	if r.Requests == 0 || r.Rejected == 0 || r.RejectedWithoutRetryAfter > 0 {
+		t.Errorf("%d let through, %d refused, %d of them without a time", r.Requests, r.Rejected, r.RejectedWithoutRetryAfter)
 	}
-	for _, s := range r.Seen {
-		t.Logf("%s/%s: %d seen, %.0f of %.1f", s.Limit, s.Part, s.Count, s.Most, s.Bound)
+	for _, s := range r.PartCounts {
+		t.Logf("%s/%s: %d seen, %.0f of %.1f", s.Limit, s.Part, s.Count, s.MaxCount, s.Bound)
 	}
 }
 
--- a/cmd/birchmoor/limitsim.go
+++ b/cmd/birchmoor/limitsim.go
@@ -134,8 +134,8 @@
 	fmt.Fprintf(c.err, "%d seeds, %d broken: %d asked, %d let through; %d stops, %d kills, %d cuts, %d dividers;"+
 		" servers saw %.2f of a strict limit at most; once calm %.2f of the rate was used,"+
 		" and the log took %.0f entries and %.0f bytes a second\n",
-		k.Seeds, broken, sum.Asked, sum.Let, sum.Stops, sum.Kills, sum.Cuts, sum.Dividers, sum.Near,
-		sum.Use/n, sum.EntriesS/n, sum.BytesS/n)
+		k.Seeds, broken, sum.Requests, sum.Admitted, sum.Stops, sum.Kills, sum.Cuts, sum.Allocators, sum.MaxUse,
+		sum.Use/n, sum.EntriesPerS/n, sum.BytesPerS/n)
 	if broken > 0 {
 		return errRunFailed
 	}
@@ -144,14 +144,14 @@
 
 // addLimitResult adds the counts and rates of a run to sum; of Near it takes the greater.
 func addLimitResult(sum, r *limitsim.Result) {
-	sum.Asked += r.Asked
-	sum.Let += r.Let
+	sum.Requests += r.Requests
+	sum.Admitted += r.Admitted
 	sum.Stops += r.Stops
 	sum.Kills += r.Kills
 	sum.Cuts += r.Cuts
-	sum.Dividers += r.Dividers
-	sum.Near = max(sum.Near, r.Near)
+	sum.Allocators += r.Allocators
+	sum.MaxUse = max(sum.MaxUse, r.MaxUse)
 	sum.Use += r.Use
-	sum.EntriesS += r.EntriesS
-	sum.BytesS += r.BytesS
+	sum.EntriesPerS += r.EntriesPerS
+	sum.BytesPerS += r.BytesPerS
 }
--- a/cmd/birchmoor/limittorture.go
+++ b/cmd/birchmoor/limittorture.go
@@ -77,14 +77,14 @@
 	}
 	w := tabwriter.NewWriter(c.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "LIMIT\tPART\tSEEN\tMOST IN WINDOW\tBOUND\tNEAR")
-	for _, s := range r.Seen {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%.0f\t%.1f\t%.2f\n", s.Limit, partName(s.Part), s.Count, s.Most, s.Bound, s.Near)
+	for _, s := range r.PartCounts {
+		fmt.Fprintf(w, "%s\t%s\t%d\t%.0f\t%.1f\t%.2f\n", s.Limit, partName(s.Part), s.Count, s.MaxCount, s.Bound, s.MaxUse)
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
 	fmt.Fprintf(c.out, "%d requests, %d refused (%d without a time), blows %v;"+
 		" %.2f of the rate used once calm; broken: %q\n",
-		r.Requests, r.Refused, r.NoTime, r.Blows, r.Use, r.Broken)
+		r.Requests, r.Rejected, r.RejectedWithoutRetryAfter, r.FaultCounts, r.Use, r.Broken)
 	return nil
 }
--- a/cmd/birchmoor/storesim.go
+++ b/cmd/birchmoor/storesim.go
@@ -85,7 +85,7 @@
 		k.Seeds, broken, sum.Ops, sum.Crashes, sum.Cuts, sum.Elected, sum.Joined, sum.Left, sum.Installs)
 	fmt.Fprintf(c.err, "drains: %d changes that tell of one, %d ends; %d requests sent to servers;"+
 		" %d changes of a host's build\n",
-		sum.Told, sum.Over, sum.Sent, sum.Steps)
+		sum.DrainsReported, sum.DrainsEnded, sum.RequestsSent, sum.BuildChanges)
 	if broken > 0 || k.Defect != "" {
 		return errRunFailed
 	}
@@ -98,10 +98,10 @@
 	sum.Crashes += r.Crashes
 	sum.Cuts += r.Cuts
 	sum.Elected += r.Elected
-	sum.Told += r.Told
-	sum.Over += r.Over
-	sum.Sent += r.Sent
-	sum.Steps += r.Steps
+	sum.DrainsReported += r.DrainsReported
+	sum.DrainsEnded += r.DrainsEnded
+	sum.RequestsSent += r.RequestsSent
+	sum.BuildChanges += r.BuildChanges
 	sum.Joined += r.Joined
 	sum.Left += r.Left
 	sum.Installs += r.Installs
--- a/cmd/birchmoor/task_test.go
+++ b/cmd/birchmoor/task_test.go
@@ -53,14 +53,14 @@
 	if len(r.Broken) > 0 {
 		t.Errorf("%q", r.Broken)
 	}
-	if r.Acts == 0 || r.Holders < 4 {
-		t.Errorf("%d acts of %d holders", r.Acts, r.Holders)
+	if r.Actions == 0 || r.Holders < 4 {
+		t.Errorf("%d acts of %d holders", r.Actions, r.Holders)
 	}
-	if r.History < 100 {
-		t.Errorf("the history of the store has %d operations", r.History)
+	if r.StoreOperations < 100 {
+		t.Errorf("the history of the store has %d operations", r.StoreOperations)
 	}
 	t.Logf("%d acts of %d holders, %d late of stopped actors, %d operations of the store",
-		r.Acts, r.Holders, r.Late, r.History)
+		r.Actions, r.Holders, r.LateActions, r.StoreOperations)
 }
 
 // A lock gives its command the token, ends it with all that it started, and exits with different codes by what
--- a/cmd/birchmoor/tasksim.go
+++ b/cmd/birchmoor/tasksim.go
@@ -125,8 +125,8 @@
 
 // addTaskResult adds the counts and rates of a run to sum.
 func addTaskResult(sum, r *storesim.Result) {
-	sum.Acts += r.Acts
-	sum.Late += r.Late
+	sum.Actions += r.Actions
+	sum.LateActions += r.LateActions
 	sum.Crashes += r.Crashes
 	sum.Elected += r.Elected
 	sum.Entries += r.Entries
@@ -139,7 +139,7 @@
 func (k *taskSim) printSum(c *console, sum *storesim.Result, n, broken int) {
 	fmt.Fprintf(c.err, "%d seeds, %d broken: %d acts, %d late by processes that had been stopped;"+
 		" %d crashes of replicas, %d leaders, %d entries in %.0f s of virtual time\n",
-		n, broken, sum.Acts, sum.Late, sum.Crashes, sum.Elected, sum.Entries, float64(sum.Micros)/1e6)
+		n, broken, sum.Actions, sum.LateActions, sum.Crashes, sum.Elected, sum.Entries, float64(sum.Micros)/1e6)
 	if k.Calm && n > 0 {
 		fmt.Fprintf(c.err, "the log took %.1f entries and %.0f bytes a second; by the formula holders take %.1f entries\n",
 			sum.EntriesPerS/float64(n), sum.BytesPerS/float64(n), 3000*float64(k.Holders)/float64(k.TTL))
--- a/cmd/birchmoor/tasktorture.go
+++ b/cmd/birchmoor/tasktorture.go
@@ -68,8 +68,8 @@
 		}
 	}
 	r, err := t.Run(ctx)
-	if r != nil && r.Kept != "" {
-		fmt.Fprintln(c.err, "kept in", r.Kept)
+	if r != nil && r.RecordsDir != "" {
+		fmt.Fprintln(c.err, "kept in", r.RecordsDir)
 	}
 	if k.Shrink && err == nil && len(r.Broken) > 0 {
 		e := json.NewEncoder(c.out)
@@ -101,10 +101,10 @@
 	fmt.Fprintf(c.out, "%d acts of %d holders, %d late of stopped actors, %d of starved ones,"+
 		" %d reads and writes of the store, blows %v; held for %.3f of the time;"+
 		" without an action between two holders p50 %.0f ms, p99 %.0f, worst %.0f; broken: %q\n",
-		r.Acts, r.Holders, r.Late, r.Starved, r.History, r.Blows, r.Held, r.P50Ms, r.P99Ms, r.WorstMs, r.Broken)
-	for _, a := range r.After {
+		r.Actions, r.Holders, r.LateActions, r.StarvedActions, r.StoreOperations, r.FaultCounts, r.HeldFraction, r.GapP50Ms, r.GapP99Ms, r.GapWorstMs, r.Broken)
+	for _, a := range r.TakeoverTimes {
 		fmt.Fprintf(c.out, "after %s (%d): p50 %.0f ms, p99 %.0f, worst %.0f until the next acted, or without an action\n",
-			a.Blow, a.N, a.P50Ms, a.P99Ms, a.WorstMs)
+			a.Fault, a.Count, a.P50Ms, a.P99Ms, a.WorstMs)
 	}
 	return nil
 }
--- a/internal/lab/limitlab/judge.go
+++ b/internal/lab/limitlab/judge.go
@@ -313,18 +313,18 @@
 	return j.total, j.tallies[j.config.Find(name).Key(0)].count
 }
 
-// Seen is what the servers counted for a part of a limit. Its JSON is part of the output of limit torture.
-type Seen struct {
-	Limit string  `json:"limit"`
-	Part  string  `json:"part"`
-	Count int     `json:"count"`
-	Most  float64 `json:"most_in_window"` // largest number of requests in an interval, or at once
-	Bound float64 `json:"bound"`
-	Near  float64 `json:"near"` // largest number as a fraction of the bound
+// PartCount is what the servers counted for a part of a limit. Its JSON is part of the output of limit torture.
+type PartCount struct {
+	Limit    string  `json:"limit"`
+	Part     string  `json:"part"`
+	Count    int     `json:"count"`
+	MaxCount float64 `json:"most_in_window"` // largest number of requests in an interval, or at once
+	Bound    float64 `json:"bound"`
+	MaxUse   float64 `json:"near"` // largest number as a fraction of the bound
 }
 
 // Result returns the counts of each part of each limit, and descriptions of the limits that were exceeded.
-func (j *Judge) Result() (all []Seen, broken []string) {
+func (j *Judge) Result() (all []PartCount, broken []string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, e := range j.excesses {
@@ -333,7 +333,7 @@
 	for _, l := range j.config.Limits {
 		for i, n := range l.Nodes {
 			t := j.tallies[l.Key(i)]
-			all = append(all, Seen{l.Name, n.Path, t.count, t.maxCount, t.bound(j.daemons), t.maxUse})
+			all = append(all, PartCount{l.Name, n.Path, t.count, t.maxCount, t.bound(j.daemons), t.maxUse})
 			if t.violation != "" {
 				broken = append(broken, t.violation)
 			}
--- a/internal/lab/limitlab/limitlab.go
+++ b/internal/lab/limitlab/limitlab.go
@@ -48,16 +48,16 @@
 
 // Result is the outcome of a fault run. Its JSON is part of the output of limit torture.
 type Result struct {
-	Requests int              `json:"requests"`             // that arrived at servers
-	Refused  int              `json:"refused"`              // rejected by sidecars with 429
-	NoTime   int              `json:"refused_without_time"` // rejected without Retry-After
-	Crowds   int              `json:"crowds"`               // excesses of open requests, cancelled ones included
-	Blows    map[string]int   `json:"blows"`                // number of injected faults, by name
-	Seen     []Seen           `json:"seen"`
-	Use      float64          `json:"use"`               // used fraction of the rate limit after the faults
-	Broken   []string         `json:"broken"`            // limits that were exceeded
-	History  []string         `json:"history,omitempty"` // changes of the store around the first excess
-	Schedule []ScheduledFault `json:"schedule"`
+	Requests                  int              `json:"requests"`             // that arrived at servers
+	Rejected                  int              `json:"refused"`              // rejected by sidecars with 429
+	RejectedWithoutRetryAfter int              `json:"refused_without_time"` // rejected without Retry-After
+	ConcurrencyExcesses       int              `json:"crowds"`               // excesses of open requests, cancelled ones included
+	FaultCounts               map[string]int   `json:"blows"`                // number of injected faults, by name
+	PartCounts                []PartCount      `json:"seen"`
+	Use                       float64          `json:"use"`               // used fraction of the rate limit after the faults
+	Broken                    []string         `json:"broken"`            // limits that were exceeded
+	History                   []string         `json:"history,omitempty"` // changes of the store around the first excess
+	Schedule                  []ScheduledFault `json:"schedule"`
 }
 
 // maxLateness is longer than the deadline of a request, after which its sidecar sends no more attempts of it.
@@ -199,22 +199,22 @@
 	if err := r.applyLimits(ctx, config); err != nil {
 		return nil, err
 	}
-	result = &Result{Blows: map[string]int{}}
+	result = &Result{FaultCounts: map[string]int{}}
 	loadCtx, stop := context.WithCancel(ctx)
 	var background sync.WaitGroup
 	defer func() {
 		stop()
 		background.Wait()
-		result.Seen, result.Broken = r.judge.Result()
+		result.PartCounts, result.Broken = r.judge.Result()
 		result.Requests, _ = r.judge.counts("orders")
-		result.Crowds = len(r.judge.excesses)
+		result.ConcurrencyExcesses = len(r.judge.excesses)
 		if from, to, exceeded := r.judge.firstExcess(); exceeded {
 			result.History = changes.changesBetween(from-historyBefore, to)
 			for _, line := range result.History {
 				t.report(line)
 			}
 		}
-		result.Refused, result.NoTime = int(r.rejected.Load()), int(r.withoutRetryAfter.Load())
+		result.Rejected, result.RejectedWithoutRetryAfter = int(r.rejected.Load()), int(r.withoutRetryAfter.Load())
 	}()
 	background.Go(func() { changes.record(loadCtx, r.replicaClients()) })
 	for _, daemon := range r.fleet.Daemons {
@@ -250,7 +250,7 @@
 		}
 		before, _ := r.judge.counts("orders")
 		target, end := fault.inject(r.fleet, daemon, time.Duration(fault.sessionTTLs*float64(TTL)))
-		result.Blows[fault.Name]++
+		result.FaultCounts[fault.Name]++
 		scheduled.AtMs, scheduled.Target = time.Since(startedAt).Milliseconds(), target
 		result.Schedule = append(result.Schedule, scheduled)
 		if err := end(ctx); err != nil {
--- a/internal/lab/limitsim/limitsim.go
+++ b/internal/lab/limitsim/limitsim.go
@@ -42,23 +42,23 @@
 type Result struct {
 	Seed         uint64   `json:"seed"`
 	Broken       []string `json:"broken"` // violations found, the first of each kind
-	Asked        int      `json:"asked"`
-	Let          int      `json:"let_through"`
+	Requests     int      `json:"asked"`
+	Admitted     int      `json:"let_through"`
 	Entries      int      `json:"entries"` // entries of the store's log, in the second half of the calm period
 	Bytes        int      `json:"bytes"`   // of keys and values in these entries
 	Allocations  int      `json:"divisions"`
-	Dividers     int      `json:"dividers"`
+	Allocators   int      `json:"dividers"`
 	SessionsLost int      `json:"sessions_lost"`
 	Kills        int      `json:"kills"`
 	Cuts         int      `json:"cuts"`
 	Stops        int      `json:"stops"`
 	Micros       int64    `json:"virtual_us"`
 	Use          float64  `json:"use"`               // admitted fraction of what the rate limit allows, once calm
-	Near         float64  `json:"near"`              // largest use of a strict limit, as a fraction of its bound
+	MaxUse       float64  `json:"near"`              // largest use of a strict limit, as a fraction of its bound
 	MaxExcess    float64  `json:"over"`              // largest excess over a fair limit, by its capacity
 	BusyMs       int64    `json:"busy_ms,omitempty"` // until measureSingleBusy saw four fifths; -1: never
-	EntriesS     float64  `json:"entries_per_s"`
-	BytesS       float64  `json:"bytes_per_s"`
+	EntriesPerS  float64  `json:"entries_per_s"`
+	BytesPerS    float64  `json:"bytes_per_s"`
 }
 
 const (
@@ -147,7 +147,7 @@
 		w.reportViolation("of no use", "%.2f of the rate limit is let through, %d ms after the last fault", w.result.Use, calmMicros/2/milli)
 	}
 	for _, j := range w.checkers {
-		w.result.Near, w.result.MaxExcess = max(w.result.Near, j.maxUse), max(w.result.MaxExcess, j.maxExcess)
+		w.result.MaxUse, w.result.MaxExcess = max(w.result.MaxUse, j.maxUse), max(w.result.MaxExcess, j.maxExcess)
 	}
 	return w.result
 }
@@ -157,7 +157,7 @@
 func (w *world) measure() {
 	seconds := float64(calmMicros/2) / float64(second)
 	w.result.Use = float64(w.rateAdmitted) / max(1, min(float64(w.rateRequests), seconds*float64(w.config.Limits[0].Nodes[0].Capacity)/float64(quota.AmountUnit)))
-	w.result.EntriesS, w.result.BytesS = float64(w.result.Entries)/seconds, float64(w.result.Bytes)/seconds
+	w.result.EntriesPerS, w.result.BytesPerS = float64(w.result.Entries)/seconds, float64(w.result.Bytes)/seconds
 }
 
 // reportViolation adds a violation to the result, unless one of its kind is there already.
@@ -468,7 +468,7 @@
 // checkAdmission checks a request that arrives at a server, against all nodes that it is charged to.
 func (w *world) checkAdmission(p *proc, charge quota.Charge) {
 	amount := float64(charge.Amount) / float64(quota.AmountUnit)
-	w.result.Let++
+	w.result.Admitted++
 	for node := charge.Node; ; node = charge.Limit.Nodes[node].Parent {
 		j := w.checkers[charge.Limit.Key(node)]
 		if violation := j.observe(w.queue.Now(), amount); violation != "" {
--- a/internal/lab/limitsim/limitsim_test.go
+++ b/internal/lab/limitsim/limitsim_test.go
@@ -17,7 +17,7 @@
 		if len(r.Broken) > 0 {
 			t.Errorf("seed %d: limits were violated: %q", seed, r.Broken)
 		}
-		maxUse = max(maxUse, r.Near)
+		maxUse = max(maxUse, r.MaxUse)
 	}
 	if maxUse < 0.9 && !raceEnabled {
 		t.Errorf("largest use of a strict limit = %.2f of its bound, want at least 0.9: the load does not test the limits", maxUse)
--- a/internal/lab/limitsim/proc.go
+++ b/internal/lab/limitsim/proc.go
@@ -275,7 +275,7 @@
 	}
 	token, holds := p.table.Holds(allocatorTask, p.queueEntry)
 	if holds && !p.allocates {
-		w.result.Dividers++
+		w.result.Allocators++
 	}
 	if p.allocates = holds; !holds || p.allocationInFlight {
 		return
@@ -329,7 +329,7 @@
 // request sends a request through the sidecar, and returns whether it was admitted.
 func (p *proc) request(path string) bool {
 	w := p.world
-	w.result.Asked++
+	w.result.Requests++
 	r := quota.Request{Path: path}
 	org, agency := []string{"a", "a", "b"}[w.rng.IntN(3)], []string{"x", "x", "y"}[w.rng.IntN(3)]
 	r.Header = func(name string) string {
--- a/internal/lab/storesim/failed.go
+++ b/internal/lab/storesim/failed.go
@@ -79,7 +79,7 @@
 	}
 	f.victim = followers[f.rng.IntN(len(followers))]
 	kind := f.rng.IntN(len(failureStates))
-	w.result.Failed = failureStates[kind]
+	w.result.FailureState = failureStates[kind]
 	failAtWrite := 1 + f.rng.IntN(3)
 	fail := func() { f.victim.disk.failAtWrite = failAtWrite }
 	switch kind {
@@ -148,8 +148,8 @@
 				f.world.reportViolation("refused", "%v", d.Result.Err)
 			}
 			if f.victim.node != nil && f.victim.node.Failed() != nil {
-				f.world.result.Beside++
-				f.world.result.Slowest = max(f.world.result.Slowest, f.world.queue.Now()-f.openSince[h])
+				f.world.result.WritesDuringFailure++
+				f.world.result.SlowestWriteMicros = max(f.world.result.SlowestWriteMicros, f.world.queue.Now()-f.openSince[h])
 			}
 			f.world.queue.After(writeInterval, func() { f.write(h) })
 		})
@@ -164,7 +164,7 @@
 		since, isOpen := f.openSince[h]
 		if isOpen && h.boot == f.boots[h] && w.queue.Now()-since > maxResponseMicros {
 			w.reportViolation("no progress", "a write put to host %d got no answer for %d ms; host %d, whose disk failed, %s", h.number,
-				(w.queue.Now()-since)/milli, f.victim.number, w.result.Failed)
+				(w.queue.Now()-since)/milli, f.victim.number, w.result.FailureState)
 		}
 	}
 	if w.queue.Now() < f.restartAt {
--- a/internal/lab/storesim/holders.go
+++ b/internal/lab/storesim/holders.go
@@ -390,7 +390,7 @@
 // it.
 func (w *world) applyAction(task string, token uint64, stopped bool, holder string) {
 	t := w.targets
-	w.result.Acts++
+	w.result.Actions++
 	if task != simTasks[0].name { // tokens of two concurrent holders have no order
 		t.lastActionAt[task] = w.queue.Now()
 		return
@@ -405,7 +405,7 @@
 	switch {
 	case token >= t.unfencedTokens[task]:
 	case stopped:
-		w.result.Late++
+		w.result.LateActions++
 	default:
 		w.reportViolation("acted late", "%s, which was not stopped, acted upon %q with %d after %d", holder, task, token, t.unfencedTokens[task])
 	}
--- a/internal/lab/storesim/holders_test.go
+++ b/internal/lab/storesim/holders_test.go
@@ -10,8 +10,8 @@
 		seeds = 40
 	}
 	for seed := range seeds {
-		if r := Run(seed, Options{Holders: 5, Clients: 1, Ops: 20}); len(r.Broken) > 0 || r.Acts == 0 {
-			t.Errorf("seed %d: %d actions, violations %q", seed, r.Acts, r.Broken)
+		if r := Run(seed, Options{Holders: 5, Clients: 1, Ops: 20}); len(r.Broken) > 0 || r.Actions == 0 {
+			t.Errorf("seed %d: %d actions, violations %q", seed, r.Actions, r.Broken)
 		}
 	}
 }
--- a/internal/lab/storesim/mixed.go
+++ b/internal/lab/storesim/mixed.go
@@ -44,7 +44,7 @@
 		return // most changes are upgrades
 	}
 	h.oldBuild = !h.oldBuild
-	w.result.Steps++
+	w.result.BuildChanges++
 	h.crash()
 	h.restartLater()
 }
--- a/internal/lab/storesim/storesim.go
+++ b/internal/lab/storesim/storesim.go
@@ -63,30 +63,30 @@
 
 // Result is the outcome of a run. Its JSON is part of the output of store sim and task sim.
 type Result struct {
-	Seed              uint64   `json:"seed"`
-	Broken            []string `json:"broken"` // violations found, the first of each kind
-	Ops               int      `json:"ops"`
-	Unknown           int      `json:"unknown"` // responses that left the outcome unknown; each request was sent again
-	Crashes           int      `json:"crashes"`
-	Cuts              int      `json:"cuts"`
-	Joined            int      `json:"joined"`
-	Left              int      `json:"left"`
-	Elected           int      `json:"elected"` // terms with a leader
-	Snapshots         int      `json:"snapshots"`
-	Installs          int      `json:"installs"`    // of snapshots from a leader
-	HandshakesRefused int      `json:"refused"`     // handshakes that failed replica.Node.Admit
-	Told              int      `json:"drains_told"` // changes of the store that report a draining process
-	Over              int      `json:"drains_over"` // changes of the store that end a drain
-	Sent              int      `json:"sent"`        // requests that sidecars sent to servers
-	Raised            int64    `json:"raised"`      // virtual ms until the cluster used command level 2; 0: never
-	Steps             int      `json:"steps"`       // changes of hosts between the two builds
-	Acts              int      `json:"acts"`        // actions of task holders
-	Late              int      `json:"late"`        // actions of stopped processes after one with a higher token
-	Failed            string   `json:"failed"`      // state of the replica whose disk failed at the end; empty: none
-	Beside            int      `json:"beside"`      // writes that the other replicas answered meanwhile
-	Slowest           int64    `json:"slowest_us"`  // longest response time of those writes
-	Entries           uint64   `json:"entries"`
-	Micros            int64    `json:"virtual_us"`
+	Seed                uint64   `json:"seed"`
+	Broken              []string `json:"broken"` // violations found, the first of each kind
+	Ops                 int      `json:"ops"`
+	Unknown             int      `json:"unknown"` // responses that left the outcome unknown; each request was sent again
+	Crashes             int      `json:"crashes"`
+	Cuts                int      `json:"cuts"`
+	Joined              int      `json:"joined"`
+	Left                int      `json:"left"`
+	Elected             int      `json:"elected"` // terms with a leader
+	Snapshots           int      `json:"snapshots"`
+	Installs            int      `json:"installs"`    // of snapshots from a leader
+	HandshakesRefused   int      `json:"refused"`     // handshakes that failed replica.Node.Admit
+	DrainsReported      int      `json:"drains_told"` // changes of the store that report a draining process
+	DrainsEnded         int      `json:"drains_over"` // changes of the store that end a drain
+	RequestsSent        int      `json:"sent"`        // requests that sidecars sent to servers
+	Raised              int64    `json:"raised"`      // virtual ms until the cluster used command level 2; 0: never
+	BuildChanges        int      `json:"steps"`       // changes of hosts between the two builds
+	Actions             int      `json:"acts"`        // actions of task holders
+	LateActions         int      `json:"late"`        // actions of stopped processes after one with a higher token
+	FailureState        string   `json:"failed"`      // state of the replica whose disk failed at the end; empty: none
+	WritesDuringFailure int      `json:"beside"`      // writes that the other replicas answered meanwhile
+	SlowestWriteMicros  int64    `json:"slowest_us"`  // longest response time of those writes
+	Entries             uint64   `json:"entries"`
+	Micros              int64    `json:"virtual_us"`
 
 	EntriesPerS float64 `json:"entries_per_s,omitempty"` // in the second half of a run without faults
 	BytesPerS   float64 `json:"bytes_per_s,omitempty"`
--- a/internal/lab/storesim/storesim_test.go
+++ b/internal/lab/storesim/storesim_test.go
@@ -29,8 +29,8 @@
 		seeds = 20
 	}
 	for seed := range seeds {
-		if r := Run(seed, Options{Mixed: true}); len(r.Broken) > 0 || r.Steps == 0 {
-			t.Errorf("seed %d: %d changes of builds, violations %q", seed, r.Steps, r.Broken)
+		if r := Run(seed, Options{Mixed: true}); len(r.Broken) > 0 || r.BuildChanges == 0 {
+			t.Errorf("seed %d: %d changes of builds, violations %q", seed, r.BuildChanges, r.Broken)
 		}
 	}
 }
@@ -69,8 +69,8 @@
 		seeds = 60
 	}
 	for seed := range seeds {
-		if r := Run(seed, o); len(r.Broken) > 0 || r.Beside == 0 {
-			t.Errorf("seed %d: the replica whose disk failed %s, the others answered %d writes, violations %q", seed, r.Failed, r.Beside, r.Broken)
+		if r := Run(seed, o); len(r.Broken) > 0 || r.WritesDuringFailure == 0 {
+			t.Errorf("seed %d: the replica whose disk failed %s, the others answered %d writes, violations %q", seed, r.FailureState, r.WritesDuringFailure, r.Broken)
 		}
 	}
 	o.Planted = replica.LeadAfterFailure
--- a/internal/lab/storesim/watch.go
+++ b/internal/lab/storesim/watch.go
@@ -248,9 +248,9 @@
 		w.servers.seenRevisions[e.Revision] = true
 		if !e.Deleted {
 			w.servers.reportedAt[key] = w.queue.Now()
-			w.result.Told++
+			w.result.DrainsReported++
 		} else {
-			w.result.Over++
+			w.result.DrainsEnded++
 			if unreportedFor := w.queue.Now() - w.servers.reportedAt[key]; unreportedFor < drainRetentionMicros*85/100 {
 				w.reportViolation("ended too early", "%s after %d ms", key, unreportedFor/milli)
 			}
@@ -330,7 +330,7 @@
 		if v.version < 0 || v.draining || h.drainInForce(p) {
 			continue
 		}
-		w.result.Sent++
+		w.result.RequestsSent++
 		switch {
 		case h.shownDrains[key]:
 			w.reportViolation("stale drain served", "host %d sends to %s, whose drain its copy had shown", h.number, p.ServerName())
--- a/internal/lab/tasklab/torture.go
+++ b/internal/lab/tasklab/torture.go
@@ -55,27 +55,27 @@
 
 // Result is the outcome of a fault run. Its JSON is part of the output of task torture.
 type Result struct {
-	Acts     int              `json:"acts"`       // actions of all holders
-	Holders  int              `json:"holders"`    // holders that acted, one after the other
-	Late     int              `json:"late"`       // actions after a higher token, of actors that had been stopped
-	Starved  int              `json:"starved"`    // the same, of actors whose keepers ran too late
-	Blows    map[string]int   `json:"blows"`      // number of injected faults, by name
-	History  int              `json:"history"`    // reads and writes of the store that were checked together
-	Held     float64          `json:"held"`       // fraction of the time in which a holder acted
-	Broken   []string         `json:"broken"`     // violations
-	P50Ms    float64          `json:"gap_p50_ms"` // time without an action from one holder to the next
-	P99Ms    float64          `json:"gap_p99_ms"`
-	WorstMs  float64          `json:"gap_worst_ms"`
-	Schedule []ScheduledFault `json:"schedule"`
-	Kept     string           `json:"kept,omitempty"` // folder with the records of a run with violations
-	After    []After          `json:"after"`          // by kind of fault
+	Actions         int              `json:"acts"`       // actions of all holders
+	Holders         int              `json:"holders"`    // holders that acted, one after the other
+	LateActions     int              `json:"late"`       // actions after a higher token, of actors that had been stopped
+	StarvedActions  int              `json:"starved"`    // the same, of actors whose keepers ran too late
+	FaultCounts     map[string]int   `json:"blows"`      // number of injected faults, by name
+	StoreOperations int              `json:"history"`    // reads and writes of the store that were checked together
+	HeldFraction    float64          `json:"held"`       // fraction of the time in which a holder acted
+	Broken          []string         `json:"broken"`     // violations
+	GapP50Ms        float64          `json:"gap_p50_ms"` // time without an action from one holder to the next
+	GapP99Ms        float64          `json:"gap_p99_ms"`
+	GapWorstMs      float64          `json:"gap_worst_ms"`
+	Schedule        []ScheduledFault `json:"schedule"`
+	RecordsDir      string           `json:"kept,omitempty"` // folder with the records of a run with violations
+	TakeoverTimes   []TakeoverTimes  `json:"after"`          // by kind of fault
 }
 
-// After has the times without a holder after faults of one kind: until the next holder acted or, for faults after which
+// TakeoverTimes has the times without a holder after faults of one kind: until the next holder acted or, for faults after which
 // the same holder may continue, the longest pause between two actions.
-type After struct {
-	Blow    string  `json:"blow"`
-	N       int     `json:"n"`
+type TakeoverTimes struct {
+	Fault   string  `json:"blow"`
+	Count   int     `json:"n"`
 	P50Ms   float64 `json:"p50_ms"`
 	P99Ms   float64 `json:"p99_ms"`
 	WorstMs float64 `json:"worst_ms"`
@@ -154,7 +154,7 @@
 	if err != nil {
 		return err
 	}
-	r.Kept = dir
+	r.RecordsDir = dir
 	x.target.mu.Lock()
 	history := map[string]any{"changes": x.target.changes, "late": x.target.lateActions, "order": x.target.misorderedActions, "stopped": x.target.stoppedActors, "broken": r.Broken}
 	x.target.mu.Unlock()
@@ -215,7 +215,7 @@
 	if t.Plant != "" {
 		t.Env = append(slices.Clone(t.Env), DefectEnv+"="+t.Plant)
 	}
-	r := &run{FaultRun: t, result: &Result{Blows: map[string]int{}}, dir: dir, recoveryTimes: map[string][]time.Duration{}}
+	r := &run{FaultRun: t, result: &Result{FaultCounts: map[string]int{}}, dir: dir, recoveryTimes: map[string][]time.Duration{}}
 	if r.target, err = newTarget(filepath.Join(dir, "fence"), t.Fence); err != nil {
 		return nil, err
 	}
@@ -287,7 +287,7 @@
 		injectedAt := time.Since(r.target.startedAt)
 		r.target.resetPause()
 		target, end := fault.inject(r)
-		r.result.Blows[fault.Name]++
+		r.result.FaultCounts[fault.Name]++
 		scheduled.AtMs, scheduled.Target = time.Since(startedAt).Milliseconds(), target
 		r.result.Schedule = append(r.result.Schedule, scheduled)
 		if err := end(ctx); err != nil {
@@ -331,24 +331,24 @@
 	if result == nil {
 		return
 	}
-	_, _, result.Acts = x.target.state()
-	result.Broken, result.Late, result.Starved = x.target.check(x.starvedTokens())
+	_, _, result.Actions = x.target.state()
+	result.Broken, result.LateActions, result.StarvedActions = x.target.check(x.starvedTokens())
 	history, violations := x.history.check()
-	result.History = history
+	result.StoreOperations = history
 	result.Broken = append(result.Broken, violations...)
 	gaps, pauses := x.target.Gaps(), time.Duration(0)
 	for _, g := range gaps {
 		pauses += g
 	}
-	result.Held = 1 - pauses.Seconds()/time.Since(x.startedAt).Seconds()
+	result.HeldFraction = 1 - pauses.Seconds()/time.Since(x.startedAt).Seconds()
 	result.Holders = len(gaps) + 1
-	result.P50Ms, result.P99Ms, result.WorstMs = percentiles(gaps)
+	result.GapP50Ms, result.GapP99Ms, result.GapWorstMs = percentiles(gaps)
 	for _, f := range Faults {
 		if all := x.recoveryTimes[f.Name]; len(all) > 0 {
 			slices.Sort(all)
-			times := After{Blow: f.Name, N: len(all)}
+			times := TakeoverTimes{Fault: f.Name, Count: len(all)}
 			times.P50Ms, times.P99Ms, times.WorstMs = percentiles(all)
-			result.After = append(result.After, times)
+			result.TakeoverTimes = append(result.TakeoverTimes, times)
 		}
 	}
 }
