--- a/cmd/birchmoor/daemon.go
+++ b/cmd/birchmoor/daemon.go
@@ -71,12 +71,12 @@
 		Reload: reload,
 		Log:    log,
 		Defects: controlplane.Defects{
-			Clock:         bootclock.Clock{Rate: processFaults.Pace},
+			Clock:         bootclock.Clock{Rate: processFaults.ClockRate},
 			WrapStoreFile: processFaults.File,
 			WrapStore:     storeWithDefect,
 			LeaseSession:  leaseSessionDefect(),
 			LeaseTable:    leaseTableDefect(),
-			Quota:         processFaults.Limit,
+			Quota:         processFaults.QuotaDefect,
 		},
 	}
 	var inEffect atomic.Pointer[config.Config]
--- a/cmd/birchmoor/keeper.go
+++ b/cmd/birchmoor/keeper.go
@@ -29,7 +29,7 @@
 		Env:         os.Environ(),
 		GracePeriod: k.GracePeriod,
 		KillMargin:  k.KillMargin,
-		Clock:       bootclock.Clock{Rate: processFaults.Pace},
+		Clock:       bootclock.Clock{Rate: processFaults.ClockRate},
 		OnOverrun:   reportOverrun,
 	}
 	code, err := command.Run(os.NewFile(deadlineFD, "deadlines"))
--- a/cmd/birchmoor/labscale.go
+++ b/cmd/birchmoor/labscale.go
@@ -163,10 +163,10 @@
 func (k *hollowCommand) Run(ctx context.Context, c *console) error {
 	log := slog.New(slog.NewTextHandler(c.err, nil))
 	hollowDefects.Defects = controlplane.Defects{
-		Clock:        bootclock.Clock{Rate: processFaults.Pace},
+		Clock:        bootclock.Clock{Rate: processFaults.ClockRate},
 		LeaseSession: leaseSessionDefect(),
 		LeaseTable:   leaseTableDefect(),
-		Quota:        processFaults.Limit,
+		Quota:        processFaults.QuotaDefect,
 	}
 	return scale.Child(ctx, k.Spec, os.Stdin, c.out, log, hollowDefects)
 }
--- a/cmd/birchmoor/limit_test.go
+++ b/cmd/birchmoor/limit_test.go
@@ -19,15 +19,15 @@
 		t.Fatal(err)
 	}
 	x := &limitlab.FaultRun{
-		Program:  self,
-		Env:      []string{asProgramEnv + "=1"},
-		Dir:      t.TempDir(),
-		Replicas: 3,
-		Follow:   5,
-		Blows:    faults,
-		Every:    time.Millisecond,
-		Seed:     1,
-		Say:      func(s string) { t.Log(s) },
+		Program:       self,
+		Env:           []string{asProgramEnv + "=1"},
+		Dir:           t.TempDir(),
+		Replicas:      3,
+		Followers:     5,
+		FaultCount:    faults,
+		FaultInterval: time.Millisecond,
+		Seed:          1,
+		Progress:      func(s string) { t.Log(s) },
 	}
 	if change != nil {
 		change(x)
--- a/cmd/birchmoor/limitsim.go
+++ b/cmd/birchmoor/limitsim.go
@@ -70,7 +70,7 @@
 			continue
 		}
 		known = true
-		options.Plant = f.Plant
+		options.Defects = f.Defects
 		broken, err := k.firstBroken(ctx, options)
 		if err != nil {
 			return err
--- a/cmd/birchmoor/limittorture.go
+++ b/cmd/birchmoor/limittorture.go
@@ -41,20 +41,20 @@
 		return errNoDefectBuild
 	}
 	t := limitlab.FaultRun{
-		Program:  self,
-		Dir:      k.Dir,
-		Replicas: k.Replicas,
-		Follow:   k.Followers,
-		For:      k.Duration,
-		Every:    k.FaultInterval,
-		Seed:     k.Seed,
-		Say:      func(s string) { fmt.Fprintln(c.err, s) },
+		Program:       self,
+		Dir:           k.Dir,
+		Replicas:      k.Replicas,
+		Followers:     k.Followers,
+		Duration:      k.Duration,
+		FaultInterval: k.FaultInterval,
+		Seed:          k.Seed,
+		Progress:      func(s string) { fmt.Fprintln(c.err, s) },
 	}
 	if k.Defect != 0 {
 		t.Env = []string{fmt.Sprintf("%s=%d", tasklab.QuotaDefectEnv, k.Defect)}
 	}
 	if k.Schedule != "" {
-		if err := readJSON(k.Schedule, &t.Play); err != nil {
+		if err := readJSON(k.Schedule, &t.Schedule); err != nil {
 			return err
 		}
 	}
--- a/cmd/birchmoor/storesim.go
+++ b/cmd/birchmoor/storesim.go
@@ -42,10 +42,10 @@
 	}
 	for _, f := range storesim.InjectedDefects {
 		if f.Name == k.Defect {
-			options.Planted, options.Watch = f.Fault, f.Watch
+			options.ReplicaDefects, options.DaemonDefect = f.Fault, f.Watch
 		}
 	}
-	if k.Defect != "" && options.Planted == 0 && options.Watch == storesim.NoDaemonDefect {
+	if k.Defect != "" && options.ReplicaDefects == 0 && options.DaemonDefect == storesim.NoDaemonDefect {
 		return unknownDefectError(k.Defect)
 	}
 	return k.runSeeds(ctx, c, options)
--- a/cmd/birchmoor/task_test.go
+++ b/cmd/birchmoor/task_test.go
@@ -20,17 +20,17 @@
 		t.Fatal(err)
 	}
 	x := &tasklab.FaultRun{
-		Program:  self,
-		Env:      []string{asProgramEnv + "=1"},
-		Dir:      t.TempDir(),
-		Replicas: 3,
-		Follow:   1,
-		Holders:  1,
-		TTL:      1500 * time.Millisecond,
-		Inside:   true,
-		Blows:    faults,
-		Seed:     1,
-		Say:      func(s string) { t.Log(s) },
+		Program:          self,
+		Env:              []string{asProgramEnv + "=1"},
+		Dir:              t.TempDir(),
+		Replicas:         3,
+		Followers:        1,
+		Holders:          1,
+		TTL:              1500 * time.Millisecond,
+		HasProcessFaults: true,
+		FaultCount:       faults,
+		Seed:             1,
+		Progress:         func(s string) { t.Log(s) },
 	}
 	if change != nil {
 		change(x)
--- a/cmd/birchmoor/tasksim.go
+++ b/cmd/birchmoor/tasksim.go
@@ -39,14 +39,14 @@
 		return err
 	}
 	options := storesim.Options{
-		Replicas: k.Replicas,
-		Faults:   k.Faults,
-		Gap:      k.Gap,
-		Holders:  k.Holders,
-		Clients:  1,
-		Ops:      20,
-		HoldTTL:  k.TTL,
-		Calm:     k.Calm,
+		Replicas:        k.Replicas,
+		Faults:          k.Faults,
+		Gap:             k.Gap,
+		Holders:         k.Holders,
+		Clients:         1,
+		Ops:             20,
+		HolderTTLMillis: k.TTL,
+		Calm:            k.Calm,
 	}
 	switch k.Defect {
 	case "":
@@ -67,7 +67,7 @@
 		if f.Name != k.Defect && k.Defect != allDefects {
 			continue
 		}
-		options.Holder, options.Planted = f.Plant, f.Replica
+		options.HolderDefects, options.ReplicaDefects = f.Plant, f.Replica
 		err := k.runSeeds(ctx, c, options, f.Name)
 		if err != nil && !errors.Is(err, errRunFailed) {
 			return err
--- a/cmd/birchmoor/tasktorture.go
+++ b/cmd/birchmoor/tasktorture.go
@@ -46,24 +46,24 @@
 		return errNoDefectBuild
 	}
 	t := tasklab.FaultRun{
-		Program:  self,
-		Dir:      k.Dir,
-		Replicas: k.Replicas,
-		Follow:   k.Followers,
-		Holders:  k.Holders,
-		TTL:      k.TTL,
-		For:      k.Duration,
-		Every:    k.FaultInterval,
-		Seed:     k.Seed,
-		Plant:    k.Defect,
-		Only:     k.OnlyFault,
-		Inside:   isDefectBuild,
-		Keep:     k.KeepDir,
-		Old:      k.OldProgram,
-		Say:      func(s string) { fmt.Fprintln(c.err, s) },
+		Program:          self,
+		Dir:              k.Dir,
+		Replicas:         k.Replicas,
+		Followers:        k.Followers,
+		Holders:          k.Holders,
+		TTL:              k.TTL,
+		Duration:         k.Duration,
+		FaultInterval:    k.FaultInterval,
+		Seed:             k.Seed,
+		Defect:           k.Defect,
+		OnlyFault:        k.OnlyFault,
+		HasProcessFaults: isDefectBuild,
+		RecordsDir:       k.KeepDir,
+		OldProgram:       k.OldProgram,
+		Progress:         func(s string) { fmt.Fprintln(c.err, s) },
 	}
 	if k.Schedule != "" {
-		if err := readJSON(k.Schedule, &t.Play); err != nil {
+		if err := readJSON(k.Schedule, &t.Schedule); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/leasemodel/model.go
+++ b/internal/lab/leasemodel/model.go
@@ -23,10 +23,10 @@
 
 // Options are the settings of an enumeration. The zero value of Plant injects no defect.
 type Options struct {
-	Depth int // largest number of steps
-	Plant lease.Defect
-	Early bool // injected defect: the store ends sessions a tick too early
-	Rest  bool // injected defect: a new leader keeps the remaining times, without the last renewals
+	Depth              int // largest number of steps
+	SessionDefect      lease.Defect
+	RevokeEarly        bool // injected defect: the store ends sessions a tick too early
+	KeepRemainingTimes bool // injected defect: a new leader keeps the remaining times, without the last renewals
 
 	Store, A, B bool // whether the clock of the store, holder A and holder B is fast
 }
@@ -120,7 +120,7 @@
 	}
 	seed1, seed2 := maphash.MakeSeed(), maphash.MakeSeed()
 	hash := func(w world) [2]uint64 { return [2]uint64{maphash.Comparable(seed1, w), maphash.Comparable(seed2, w)} }
-	initial := initialWorld(options.Plant)
+	initial := initialWorld(options.SessionDefect)
 	origins, layer, layerOrigins := []origin{{from: -1}}, []world{initial}, []int32{0}
 	seen := map[[2]uint64]struct{}{hash(initial): {}}
 	r := Result{}
@@ -288,7 +288,7 @@
 	}
 	for id, l := range w.leases {
 		end := l.endsAt
-		if options.Early {
+		if options.RevokeEarly {
 			end -= fastTick
 		}
 		if l.owner != 0 && w.clock >= end {
@@ -304,7 +304,7 @@
 			if x.leases[id].owner == 0 {
 				continue
 			}
-			if options.Rest { // the new leader does not know of the last renewals
+			if options.KeepRemainingTimes { // the new leader does not know of the last renewals
 				x.leases[id].endsAt -= sessionTTL(x.leases[id].owner) / 2
 			} else {
 				x.leases[id].endsAt = x.clock + sessionTTL(x.leases[id].owner)
--- a/internal/lab/leasemodel/model_test.go
+++ b/internal/lab/leasemodel/model_test.go
@@ -27,10 +27,10 @@
 // Each injected defect makes both holders entitled, with the right combination of clocks.
 func TestInjectedDefectsAreFound(t *testing.T) {
 	for name, o := range map[string]Options{
-		"TTL counted from the response":    {Plant: lease.ValidFromResponse, Store: true},
-		"no allowance for clock rates":     {Plant: lease.IgnoreSkew, Store: true},
-		"session ended early":              {Early: true, Store: true},
-		"new leader keeps remaining times": {Rest: true},
+		"TTL counted from the response":    {SessionDefect: lease.ValidFromResponse, Store: true},
+		"no allowance for clock rates":     {SessionDefect: lease.IgnoreSkew, Store: true},
+		"session ended early":              {RevokeEarly: true, Store: true},
+		"new leader keeps remaining times": {KeepRemainingTimes: true},
 	} {
 		o.Depth = 10
 		if r := Run(o); r.Broken == nil {
--- a/internal/lab/limitlab/limitlab.go
+++ b/internal/lab/limitlab/limitlab.go
@@ -23,18 +23,18 @@
 
 // FaultRun is a fault run: the settings of the fleet and of the faults.
 type FaultRun struct {
-	Program  string   // path of the program that daemons run
-	Env      []string // added to the environment of daemons
-	Dir      string   // folder for temporary files
-	Replicas int      // daemons with a replica
-	Follow   int      // daemons without one
-	For      time.Duration
-	Blows    int           // if above 0, used in place of For: number of faults, which are all kinds in turn
-	Every    time.Duration // mean time between two faults
-	Seed     uint64
-	Play     []ScheduledFault // if not nil, the schedule in place of a drawn one
-	Until    bool             // ends the run once a limit was exceeded
-	Say      func(string)     // receives progress lines; nil: nobody
+	Program         string   // path of the program that daemons run
+	Env             []string // added to the environment of daemons
+	Dir             string   // folder for temporary files
+	Replicas        int      // daemons with a replica
+	Followers       int      // daemons without one
+	Duration        time.Duration
+	FaultCount      int           // if above 0, used in place of For: number of faults, which are all kinds in turn
+	FaultInterval   time.Duration // mean time between two faults
+	Seed            uint64
+	Schedule        []ScheduledFault // if not nil, the schedule in place of a drawn one
+	StopAtViolation bool             // ends the run once a limit was exceeded
+	Progress        func(string)     // receives progress lines; nil: nobody
 }
 
 // ScheduledFault is a fault of a schedule. A schedule of an earlier run can be run again.
@@ -143,24 +143,24 @@
 // nextFault returns the nth fault of a run that has lasted for some time, and whether there is one.
 func (t *FaultRun) nextFault(index int, elapsed time.Duration) (ScheduledFault, bool) {
 	rng := rand.New(rand.NewPCG(t.Seed, uint64(index)))
-	fault := ScheduledFault{GapMs: t.Every.Milliseconds()/2 + rng.Int64N(max(1, t.Every.Milliseconds())), Fault: Faults[rng.IntN(len(Faults))].Name, Draw: rng.Uint64()}
+	fault := ScheduledFault{GapMs: t.FaultInterval.Milliseconds()/2 + rng.Int64N(max(1, t.FaultInterval.Milliseconds())), Fault: Faults[rng.IntN(len(Faults))].Name, Draw: rng.Uint64()}
 	switch {
-	case t.Play != nil:
-		if index < len(t.Play) {
-			fault = t.Play[index]
+	case t.Schedule != nil:
+		if index < len(t.Schedule) {
+			fault = t.Schedule[index]
 		}
-		return fault, index < len(t.Play)
-	case t.Blows > 0:
+		return fault, index < len(t.Schedule)
+	case t.FaultCount > 0:
 		fault.Fault = Faults[index%len(Faults)].Name
-		return fault, index < t.Blows
+		return fault, index < t.FaultCount
 	}
-	return fault, elapsed < t.For
+	return fault, elapsed < t.Duration
 }
 
 // report passes a progress line to Say, if it is not nil.
 func (t *FaultRun) report(line string) {
-	if t.Say != nil {
-		t.Say(line)
+	if t.Progress != nil {
+		t.Progress(line)
 	}
 }
 
@@ -187,11 +187,11 @@
 		return nil, err
 	}
 	config.AssignGenerations(&quota.Config{})
-	r := &run{FaultRun: t, judge: NewJudge(config, t.Replicas+t.Follow)}
+	r := &run{FaultRun: t, judge: NewJudge(config, t.Replicas+t.Followers)}
 	r.judge.maxLateness = maxLateness
 	changes := &history{now: r.judge.Now}
 	r.fleet, err = fleetlab.Begin(ctx, fleetlab.Config{Program: t.Program, Args: []string{"run", "--config"}, Env: t.Env, Dir: dir, Replicas: t.Replicas,
-		Follow: t.Follow, Servers: 4, Seed: t.Seed, Handle: r.judge, More: fmt.Sprintf("[limits]\nlease = %q\ntell = \"50ms\"\neach = \"2ms\"\n", TTL)})
+		Follow: t.Followers, Servers: 4, Seed: t.Seed, Handle: r.judge, More: fmt.Sprintf("[limits]\nlease = %q\ntell = \"50ms\"\neach = \"2ms\"\n", TTL)})
 	if err != nil {
 		return nil, err
 	}
@@ -228,7 +228,7 @@
 	startedAt := time.Now()
 	for n := 0; ; n++ {
 		scheduled, ok := t.nextFault(n, time.Since(startedAt))
-		if _, broken := r.judge.Result(); t.Until && len(broken) > 0 {
+		if _, broken := r.judge.Result(); t.StopAtViolation && len(broken) > 0 {
 			return result, nil
 		}
 		if !ok {
@@ -259,7 +259,7 @@
 		if err := r.waitForRequests(ctx, before+100); err != nil {
 			return result, fmt.Errorf("after %s %s: %w", fault.Name, target, err)
 		}
-		if t.Say != nil {
+		if t.Progress != nil {
 			requests, _ := r.judge.counts("orders")
 			_, broken := r.judge.Result()
 			t.report(fmt.Sprintf("%v: injected %s at %s; %d requests, %d rejected, %d limits exceeded", time.Since(startedAt).Round(time.Second), fault.Name, target, requests, r.rejected.Load(), len(broken)))
--- a/internal/lab/limitsim/faults.go
+++ b/internal/lab/limitsim/faults.go
@@ -7,9 +7,9 @@
 
 // InjectedDefect is a defect of the quota or the session code that a run can inject.
 type InjectedDefect struct {
-	Name  string
-	Plant Defects
-	About string
+	Name    string
+	Defects Defects
+	About   string
 }
 
 // InjectedDefects lists the injectable defects. quota.KeepTokens and quota.UncheckedRevision are missing: hundreds of seeds did
--- a/internal/lab/limitsim/limitsim.go
+++ b/internal/lab/limitsim/limitsim.go
@@ -29,7 +29,7 @@
 	Calm     bool    // injects no faults
 	Busy     bool    // measures at the end how long a single busy process takes to get four fifths of a limit
 	Even     bool    // all processes have the same load, and it does not shift
-	Plant    Defects
+	Defects  Defects
 }
 
 // Defects is a set of injected defects; the zero value has none.
--- a/internal/lab/limitsim/limitsim_test.go
+++ b/internal/lab/limitsim/limitsim_test.go
@@ -41,7 +41,7 @@
 		t.Run(f.Name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(40) {
-				if len(Run(seed, Options{Plant: f.Plant}).Broken) > 0 {
+				if len(Run(seed, Options{Defects: f.Defects}).Broken) > 0 {
 					t.Logf("found with seed %d", seed)
 					return
 				}
--- a/internal/lab/limitsim/proc.go
+++ b/internal/lab/limitsim/proc.go
@@ -56,10 +56,10 @@
 		w.cutOffSince[p.name] = w.queue.Now() // the new process may use its fallback from its start
 	}
 	p.clockRate, p.clockOrigin, p.stoppedUntil = 1/w.maxClockRate+(w.maxClockRate-1/w.maxClockRate)*w.rng.Float64(), w.queue.Now()-w.rng.Int64N(3600*second), 0
-	p.session = lease.NewSession(lease.Rules{TTL: ttlMillis * 1e6, MaxClockSkew: maxClockSkew, Margin: 2e6}, w.options.Plant.Session)
+	p.session = lease.NewSession(lease.Rules{TTL: ttlMillis * 1e6, MaxClockSkew: maxClockSkew, Margin: 2e6}, w.options.Defects.Session)
 	p.table = lease.NewTable(lease.NoTableDefect)
 	rules := quota.Rules{MaxClockSkew: maxClockSkew, ReportInterval: 50e6, ReportIntervalPerProcess: 2e6}
-	p.consumer, p.allocator = quota.NewConsumer(rules, w.options.Plant.Limit), quota.NewAllocator(rules, w.options.Plant.Limit)
+	p.consumer, p.allocator = quota.NewConsumer(rules, w.options.Defects.Limit), quota.NewAllocator(rules, w.options.Defects.Limit)
 	p.consumer.SetConfig(p.now(), w.config)
 	p.allocator.SetConfig(w.config)
 	p.copyRevision, p.reportInFlight, p.queueEntry, p.queueRetryAt, p.allocates, p.allocationInFlight = 0, false, "", 0, false, false
@@ -287,7 +287,7 @@
 	w.result.Allocations++
 	p.allocationInFlight = true
 	txn := &store.Txn{If: append([]store.Compare{{Key: p.queueEntry, ModRevision: token}}, allocation.If...), Then: allocation.Then}
-	if w.options.Plant.Limit == quota.UncheckedRevision {
+	if w.options.Defects.Limit == quota.UncheckedRevision {
 		txn.If = nil
 	}
 	p.propose(store.Command{Txn: txn}, func(store.Result, error) { p.allocationInFlight = false })
--- a/internal/lab/storesim/holders.go
+++ b/internal/lab/storesim/holders.go
@@ -27,7 +27,7 @@
 	Session lease.Defect
 	Table   lease.TableDefect
 	Fence   lease.FenceDefect
-	Own     HolderStepDefect
+	Step    HolderStepDefect
 }
 
 // HolderStepDefect is an injected defect in the steps of a holder.
@@ -92,7 +92,7 @@
 }
 
 func (w *world) startHolders(startAt int64) {
-	w.targets = &actionTargets{fences: map[string]*lease.Fence{}, fencedTokens: map[string]uint64{}, unfencedTokens: map[string]uint64{}, lastActionAt: map[string]int64{}, defect: w.options.Holder.Fence}
+	w.targets = &actionTargets{fences: map[string]*lease.Fence{}, fencedTokens: map[string]uint64{}, unfencedTokens: map[string]uint64{}, lastActionAt: map[string]int64{}, defect: w.options.HolderDefects.Fence}
 	for _, t := range simTasks {
 		w.restartTarget(t.name)
 	}
@@ -107,7 +107,7 @@
 }
 
 // holderTTL returns the TTL of the holders' sessions in microseconds.
-func (w *world) holderTTL() int64 { return int64(w.options.HoldTTL) * milli }
+func (w *world) holderTTL() int64 { return int64(w.options.HolderTTLMillis) * milli }
 
 // restartTarget restarts the target of a task. It keeps its highest token, except with defect ForgetOnRestart.
 func (w *world) restartTarget(task string) {
@@ -145,8 +145,8 @@
 	w := d.world
 	d.boot++
 	d.clockRate, d.clockOrigin, d.stoppedUntil = 0.9+0.2*w.rng.Float64(), w.queue.Now()-w.rng.Int64N(second), 0
-	d.session = lease.NewSession(lease.Rules{TTL: w.holderTTL(), MaxClockSkew: holderClockSkew, Margin: holderMarginMicros}, w.options.Holder.Session)
-	d.table, d.copyRevision, d.tasks = lease.NewTable(w.options.Holder.Table), 0, map[string]*wantedTask{}
+	d.session = lease.NewSession(lease.Rules{TTL: w.holderTTL(), MaxClockSkew: holderClockSkew, Margin: holderMarginMicros}, w.options.HolderDefects.Session)
+	d.table, d.copyRevision, d.tasks = lease.NewTable(w.options.HolderDefects.Table), 0, map[string]*wantedTask{}
 	for _, t := range simTasks {
 		d.tasks[t.name] = &wantedTask{task: t.name, slots: t.slots}
 	}
@@ -241,7 +241,7 @@
 	}
 	before := d.session.Generation()
 	d.session.HandleResponse(d.now(), outcome, x.Result.LeaseID)
-	if outcome == lease.Succeeded && d.session.Generation() == before && d.world.options.Holder.Own != KeepUnusedEntries {
+	if outcome == lease.Succeeded && d.session.Generation() == before && d.world.options.HolderDefects.Step != KeepUnusedEntries {
 		for _, p := range d.table.EntriesOf(d.name, d.session.ID()) {
 			used := false
 			for _, x := range d.tasks {
@@ -324,7 +324,7 @@
 			if _, _, there := d.table.Find(x.task, x.queueEntry); !there && w.rng.IntN(20) == 0 {
 				d.enqueue(x) // the response was lost: proposes the same entry again
 			}
-		case ok && (d.now()+maxActMicros < until || w.options.Holder.Own == IgnoreSessionEnd):
+		case ok && (d.now()+maxActMicros < until || w.options.HolderDefects.Step == IgnoreSessionEnd):
 			x.wasEntitled = true
 			if w.rng.IntN(12) == 0 {
 				d.release(x)
@@ -353,7 +353,7 @@
 	stops := d.stops
 	x.actionsInProgress++
 	duration := int64(float64(d.world.rng.Int64N(maxActMicros)) / d.clockRate)
-	if d.world.options.Holder.Own == IgnoreSessionEnd {
+	if d.world.options.HolderDefects.Step == IgnoreSessionEnd {
 		duration *= 16
 	}
 	d.schedule(duration, func() {
@@ -364,7 +364,7 @@
 
 // release releases a task once no action is in progress.
 func (d *holder) release(x *wantedTask) {
-	early := d.world.options.Holder.Own == ReleaseDuringAction
+	early := d.world.options.HolderDefects.Step == ReleaseDuringAction
 	if !early {
 		x.released = true
 	}
@@ -373,7 +373,7 @@
 		return
 	}
 	key := x.queueEntry
-	if d.world.options.Holder.Own == ReleaseAnyEntry {
+	if d.world.options.HolderDefects.Step == ReleaseAnyEntry {
 		if all := d.table.Queue(x.task); len(all) > 0 {
 			key = all[d.world.rng.IntN(len(all))].Key
 		}
@@ -439,10 +439,10 @@
 	{"token-counted-anew", HolderDefects{Table: lease.RenumberTokens}, 0, "each process numbers tokens itself"},
 	{"token-not-checked", HolderDefects{Fence: lease.AdmitAllTokens}, 0, "the target admits lower tokens"},
 	{"receiver-forgets", HolderDefects{Fence: lease.ForgetOnRestart}, 0, "the target forgets its highest token when it restarts"},
-	{"release-of-anothers", HolderDefects{Own: ReleaseAnyEntry}, 0, "a release removes the queue entry of another holder"},
-	{"release-before-end", HolderDefects{Own: ReleaseDuringAction}, 0, "the queue entry is removed while an action is in progress"},
-	{"any-length", HolderDefects{Own: IgnoreSessionEnd}, 0, "an action starts although it may not end before the session does"},
+	{"release-of-anothers", HolderDefects{Step: ReleaseAnyEntry}, 0, "a release removes the queue entry of another holder"},
+	{"release-before-end", HolderDefects{Step: ReleaseDuringAction}, 0, "the queue entry is removed while an action is in progress"},
+	{"any-length", HolderDefects{Step: IgnoreSessionEnd}, 0, "an action starts although it may not end before the session does"},
 	{"permits-at-holder", HolderDefects{Table: lease.CountOwnEntriesOnly}, 0, "slots are counted among the holder's own queue entries"},
 	{"order-ignored", HolderDefects{Table: lease.IgnoreQueueOrder}, 0, "any holder with a queue entry may act"},
-	{"places-not-swept", HolderDefects{Own: KeepUnusedEntries}, 0, "a queue entry whose response was lost is never removed"},
+	{"places-not-swept", HolderDefects{Step: KeepUnusedEntries}, 0, "a queue entry whose response was lost is never removed"},
 }
--- a/internal/lab/storesim/storesim.go
+++ b/internal/lab/storesim/storesim.go
@@ -31,19 +31,19 @@
 // Options are the settings of a run. Zero values stand for the defaults named here: a cluster of three replicas that
 // changes its members from time to time.
 type Options struct {
-	Replicas int // at the start; default 3
-	Clients  int // default 4
-	Keys     int // that clients write; default 4
-	Ops      int // requests of each client; default 60
-	Faults   int // number of injected faults; default 24
-	Gap      int // milliseconds between two faults; default 300
-	Planted  replica.Defects
-	Watch    DaemonDefect // injected defect of daemons
-	Holders  int          // daemons that hold tasks; 0: none
-	HoldTTL  int          // TTL of their sessions in milliseconds; default 400
-	Calm     bool         // injects no faults
-	Holder   HolderDefects
-	Mixed    bool // hosts start with a build that knows command level 1, and change to this build and back
+	Replicas        int // at the start; default 3
+	Clients         int // default 4
+	Keys            int // that clients write; default 4
+	Ops             int // requests of each client; default 60
+	Faults          int // number of injected faults; default 24
+	Gap             int // milliseconds between two faults; default 300
+	ReplicaDefects  replica.Defects
+	DaemonDefect    DaemonDefect // injected defect of daemons
+	Holders         int          // daemons that hold tasks; 0: none
+	HolderTTLMillis int          // TTL of their sessions in milliseconds; default 400
+	Calm            bool         // injects no faults
+	HolderDefects   HolderDefects
+	Mixed           bool // hosts start with a build that knows command level 1, and change to this build and back
 }
 
 // fill sets the defaults.
@@ -51,7 +51,7 @@
 	for _, x := range []struct {
 		v *int
 		d int
-	}{{&o.Replicas, 3}, {&o.Clients, 4}, {&o.Keys, 4}, {&o.Ops, 60}, {&o.Faults, 24}, {&o.Gap, 300}, {&o.HoldTTL, 400}} {
+	}{{&o.Replicas, 3}, {&o.Clients, 4}, {&o.Keys, 4}, {&o.Ops, 60}, {&o.Faults, 24}, {&o.Gap, 300}, {&o.HolderTTLMillis, 400}} {
 		if *x.v == 0 {
 			*x.v = x.d
 		}
@@ -184,7 +184,7 @@
 
 func (w *world) config(h *host) replica.Config {
 	return replica.Config{Rand: rand.New(rand.NewPCG(w.rng.Uint64(), 1)), ElectionTicks: 10, TickMillis: int(tickMicros / milli), RequestTimeoutTicks: 60,
-		SnapshotLogBytes: 2000, RetainedEntries: 8 + w.rng.IntN(40), MaxMessageBytes: 4096, Defects: w.options.Planted,
+		SnapshotLogBytes: 2000, RetainedEntries: 8 + w.rng.IntN(40), MaxMessageBytes: 4096, Defects: w.options.ReplicaDefects,
 		KnownLevel: h.knownLevel(), OnEntry: func(e *raftpb.Entry) { h.checkEntry(e) }}
 }
 
@@ -340,13 +340,13 @@
 	}
 	h.node, h.appliedIndex = n, n.State().Index()
 	h.guard, h.exclusions = serverstate.NewGuard(fmt.Sprint(h.number)), map[string]uint64{}
-	if w.options.Planted&replica.EagerReturn != 0 {
+	if w.options.ReplicaDefects&replica.EagerReturn != 0 {
 		h.guard.InjectEagerReadmission()
 	}
 	h.restarting, h.caughtUp = true, false
 	h.startDaemon()
 	h.resetCopy()
-	if w.options.Watch != IgnoreUncommitted {
+	if w.options.DaemonDefect != IgnoreUncommitted {
 		n.Uncommitted(func(c *store.Command) { h.guard.Uncommitted(c) })
 	}
 	h.restarting = false
@@ -484,7 +484,7 @@
 			h.restartLater()
 			return
 		}
-		if w.options.Planted == 0 {
+		if w.options.ReplicaDefects == 0 {
 			w.reportViolation("stopped", "host %d: %v", h.number, err)
 		}
 		h.crash()
--- a/internal/lab/storesim/storesim_test.go
+++ b/internal/lab/storesim/storesim_test.go
@@ -52,7 +52,7 @@
 	for _, p := range faults {
 		found := false
 		for seed := uint64(0); seed < 200 && !found; seed++ {
-			found = len(Run(seed, Options{Planted: p.Fault, Watch: p.Watch, Mixed: p.Name == "any-level"}).Broken) > 0
+			found = len(Run(seed, Options{ReplicaDefects: p.Fault, DaemonDefect: p.Watch, Mixed: p.Name == "any-level"}).Broken) > 0
 		}
 		if !found {
 			t.Errorf("%s: no seed below 200 found the injected defect", p.Name)
@@ -73,7 +73,7 @@
 			t.Errorf("seed %d: the replica whose disk failed %s, the others answered %d writes, violations %q", seed, r.FailureState, r.WritesDuringFailure, r.Broken)
 		}
 	}
-	o.Planted = replica.LeadAfterFailure
+	o.ReplicaDefects = replica.LeadAfterFailure
 	found := func(seed uint64) bool {
 		return slices.ContainsFunc(Run(seed, o).Broken, func(s string) bool { return strings.HasPrefix(s, "no progress") })
 	}
--- a/internal/lab/storesim/watch.go
+++ b/internal/lab/storesim/watch.go
@@ -117,7 +117,7 @@
 func (h *host) startDaemon() {
 	w := h.world
 	r := serverstate.ReportSchedule{Spread: reportSpreadMicros, RenewInterval: reportRenewMicros, Retention: drainRetentionMicros, MaxObserved: 64}
-	switch w.options.Watch {
+	switch w.options.DaemonDefect {
 	case EndDrainEarly:
 		r.Retention = drainRetentionMicros / 4
 	case NeverReportAgain:
@@ -204,7 +204,7 @@
 		for _, key := range ended {
 			server := strings.TrimPrefix(key, serverstate.ExclusionKey(serverstate.Drain, ""))
 			if txn, err := h.guard.Readmit(serverstate.Drain, server); err == nil {
-				if w.options.Watch == EndDrainLocally {
+				if w.options.DaemonDefect == EndDrainLocally {
 					t.endedLocally[key] = true
 				}
 				h.propose(store.Command{ID: h.nextRequestID(), Txn: txn}, func(replica.Completion) {})
@@ -263,7 +263,7 @@
 	if e.Deleted {
 		delete(h.shownDrains, key)
 		delete(t.shownSince, key)
-		if w.options.Watch == OverrideObservation {
+		if w.options.DaemonDefect == OverrideObservation {
 			t.reports.Withdraw(key)
 			for i := range t.discovered {
 				if t.discovered[i].draining && serverstate.ExclusionKey(serverstate.Drain, w.processOf(i, t.discovered[i].start).ServerName()) == key {
@@ -312,9 +312,9 @@
 func (h *host) drainInForce(p serverstate.Process) bool {
 	t, key := h.daemon, serverstate.ExclusionKey(serverstate.Drain, p.ServerName())
 	switch {
-	case h.world.options.Watch == EndDrainLocally && t.endedLocally[key]:
+	case h.world.options.DaemonDefect == EndDrainLocally && t.endedLocally[key]:
 		return false
-	case h.world.options.Watch == EnforceLate:
+	case h.world.options.DaemonDefect == EnforceLate:
 		since, ok := t.shownSince[key]
 		return h.guard.IsDraining(p) && ok && h.world.queue.Now()-since > 500*milli
 	}
--- a/internal/lab/tasklab/faults.go
+++ b/internal/lab/tasklab/faults.go
@@ -45,10 +45,10 @@
 
 // randomFollower returns a daemon without a replica, or nil if there is none.
 func (x *run) randomFollower() *fleetlab.Daemon {
-	if x.Follow == 0 {
+	if x.Followers == 0 {
 		return nil
 	}
-	return x.fleet.Daemons[x.Replicas+x.rng.IntN(x.Follow)]
+	return x.fleet.Daemons[x.Replicas+x.rng.IntN(x.Followers)]
 }
 
 // Faults lists all kinds of faults.
@@ -155,7 +155,7 @@
 		}
 	}},
 	{"sync-fails", "the leader's disk fails all syncs for 1.5 TTL, and then the leader is restarted; only in builds with injected faults", false, func(x *run) (string, func(context.Context) error) {
-		if !x.Inside {
+		if !x.HasProcessFaults {
 			return "nobody", x.after(0, func() {})
 		}
 		d := x.fleet.Leader()
@@ -168,12 +168,12 @@
 		}
 	}},
 	{"old-build", "a daemon is restarted with an older build, if one is given, and then with its own again", false, func(x *run) (string, func(context.Context) error) {
-		if x.Old == "" {
+		if x.OldProgram == "" {
 			return "nobody", x.after(0, func() {})
 		}
 		d := x.fleet.Daemons[x.rng.IntN(len(x.fleet.Daemons))]
 		d.Kill()
-		d.Build = x.Old
+		d.Build = x.OldProgram
 		err := d.Start()
 		return d.Name(), func(ctx context.Context) error {
 			if err := x.after(x.faultDuration(), d.Kill)(ctx); err != nil {
--- a/internal/lab/tasklab/inside.go
+++ b/internal/lab/tasklab/inside.go
@@ -20,9 +20,9 @@
 // ProcessFaults are the faults that a fault run injects within a process: another clock rate, a defect of its quotas and, from
 // a SIGUSR1 on, a disk that fails all syncs. Only builds with the tag planted read them.
 type ProcessFaults struct {
-	Pace  float64        // clock rate relative to the host's clock; 0: 1
-	File  func(*os.File) // must be called with each file whose syncs are to fail; safe for concurrent use
-	Limit quota.Defect   // injected defect of its quotas
+	ClockRate   float64        // clock rate relative to the host's clock; 0: 1
+	File        func(*os.File) // must be called with each file whose syncs are to fail; safe for concurrent use
+	QuotaDefect quota.Defect   // injected defect of its quotas
 }
 
 // ReadProcessFaults reads the faults from the environment, and prepares File to wait for the signal. It exits the process if a
@@ -35,7 +35,7 @@
 			fmt.Fprintf(os.Stderr, "%s: %q is not a clock rate within 0.1 and 10\n", ClockRateEnv, text)
 			os.Exit(2)
 		}
-		faults.Pace = pace
+		faults.ClockRate = pace
 	}
 	if text := os.Getenv(QuotaDefectEnv); text != "" {
 		n, err := strconv.Atoi(text)
@@ -43,7 +43,7 @@
 			fmt.Fprintf(os.Stderr, "%s: %q is not the number of a defect\n", QuotaDefectEnv, text)
 			os.Exit(2)
 		}
-		faults.Limit = quota.Defect(n)
+		faults.QuotaDefect = quota.Defect(n)
 	}
 	var mu sync.Mutex
 	var open []*os.File
--- a/internal/lab/tasklab/torture.go
+++ b/internal/lab/tasklab/torture.go
@@ -32,25 +32,25 @@
 
 // FaultRun is a fault run: the settings of the fleet and of the faults.
 type FaultRun struct {
-	Program  string        // path of the program that daemons and locks run
-	Env      []string      // added to the environment of daemons
-	Dir      string        // folder for temporary files
-	Replicas int           // daemons with a replica
-	Follow   int           // daemons without one
-	Holders  int           // locks at each daemon, waiting or holding
-	TTL      time.Duration // of the locks' sessions
-	For      time.Duration
-	Blows    int           // if above 0, number of faults in place of For: all kinds in turn, without pauses
-	Every    time.Duration // mean time between two faults
-	Only     string        // if not empty, the only kind of fault, injected after the effects of the last
-	Seed     uint64
-	Fence    lease.FenceDefect
-	Plant    string           // name of an injected defect of the program, which must be built with the tag "planted"
-	Old      string           // path of an older build of the program, for the fault old-build; empty: none
-	Inside   bool             // the program reads an Inside: it has clocks of different rates and failing syncs
-	Play     []ScheduledFault // if not nil, the schedule in place of a drawn one
-	Keep     string           // folder for the records of a run with violations; empty: none are kept
-	Say      func(string)     // receives progress lines; nil: nobody
+	Program          string        // path of the program that daemons and locks run
+	Env              []string      // added to the environment of daemons
+	Dir              string        // folder for temporary files
+	Replicas         int           // daemons with a replica
+	Followers        int           // daemons without one
+	Holders          int           // locks at each daemon, waiting or holding
+	TTL              time.Duration // of the locks' sessions
+	Duration         time.Duration
+	FaultCount       int           // if above 0, number of faults in place of For: all kinds in turn, without pauses
+	FaultInterval    time.Duration // mean time between two faults
+	OnlyFault        string        // if not empty, the only kind of fault, injected after the effects of the last
+	Seed             uint64
+	FenceDefect      lease.FenceDefect
+	Defect           string           // name of an injected defect of the program, which must be built with the tag "planted"
+	OldProgram       string           // path of an older build of the program, for the fault old-build; empty: none
+	HasProcessFaults bool             // the program reads an Inside: it has clocks of different rates and failing syncs
+	Schedule         []ScheduledFault // if not nil, the schedule in place of a drawn one
+	RecordsDir       string           // folder for the records of a run with violations; empty: none are kept
+	Progress         func(string)     // receives progress lines; nil: nobody
 }
 
 // Result is the outcome of a fault run. Its JSON is part of the output of task torture.
@@ -95,20 +95,20 @@
 // independently, so that leaving one out changes no other.
 func (t *FaultRun) nextFault(index int, elapsed time.Duration) (ScheduledFault, bool) {
 	rng := rand.New(rand.NewPCG(t.Seed, uint64(index)))
-	fault := ScheduledFault{GapMs: t.Every.Milliseconds()/2 + rng.Int64N(max(1, t.Every.Milliseconds())), Fault: Faults[rng.IntN(len(Faults))].Name, Draw: rng.Uint64()}
+	fault := ScheduledFault{GapMs: t.FaultInterval.Milliseconds()/2 + rng.Int64N(max(1, t.FaultInterval.Milliseconds())), Fault: Faults[rng.IntN(len(Faults))].Name, Draw: rng.Uint64()}
 	switch {
-	case t.Play != nil:
-		if index < len(t.Play) {
-			fault = t.Play[index]
+	case t.Schedule != nil:
+		if index < len(t.Schedule) {
+			fault = t.Schedule[index]
 		}
-		return fault, index < len(t.Play)
-	case t.Blows > 0:
+		return fault, index < len(t.Schedule)
+	case t.FaultCount > 0:
 		fault.GapMs, fault.Fault = 0, Faults[index%len(Faults)].Name
-		return fault, index < t.Blows
-	case t.Only != "":
-		fault.Fault = t.Only
+		return fault, index < t.FaultCount
+	case t.OnlyFault != "":
+		fault.Fault = t.OnlyFault
 	}
-	return fault, elapsed < t.For
+	return fault, elapsed < t.Duration
 }
 
 // Shrink removes faults from a schedule as long as the rest still causes a violation, and returns the smallest schedule
@@ -118,7 +118,7 @@
 	fails := func(part []ScheduledFault) bool {
 		for range tries {
 			x := *t
-			x.Play, x.Keep = part, ""
+			x.Schedule, x.RecordsDir = part, ""
 			if r, err := x.Run(ctx); r != nil && err == nil && len(r.Broken) > 0 {
 				return true
 			}
@@ -129,8 +129,8 @@
 		size, smaller := (len(all)+parts-1)/parts, false
 		for from := 0; from < len(all) && !smaller; from += size {
 			rest := slices.Delete(slices.Clone(all), from, min(from+size, len(all)))
-			if t.Say != nil {
-				t.Say(fmt.Sprintf("shrinking: trying %d of %d faults", len(rest), len(all)))
+			if t.Progress != nil {
+				t.Progress(fmt.Sprintf("shrinking: trying %d of %d faults", len(rest), len(all)))
 			}
 			if smaller = fails(rest); smaller {
 				all = rest
@@ -150,7 +150,7 @@
 
 // save writes the schedule, the records of the target and the logs of all daemons, merged by time, to a new folder.
 func (x *run) save(r *Result) error {
-	dir, err := os.MkdirTemp(x.Keep, fmt.Sprintf("broken-%d-", x.Seed))
+	dir, err := os.MkdirTemp(x.RecordsDir, fmt.Sprintf("broken-%d-", x.Seed))
 	if err != nil {
 		return err
 	}
@@ -212,17 +212,17 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	if t.Plant != "" {
-		t.Env = append(slices.Clone(t.Env), DefectEnv+"="+t.Plant)
+	if t.Defect != "" {
+		t.Env = append(slices.Clone(t.Env), DefectEnv+"="+t.Defect)
 	}
 	r := &run{FaultRun: t, result: &Result{FaultCounts: map[string]int{}}, dir: dir, recoveryTimes: map[string][]time.Duration{}}
-	if r.target, err = newTarget(filepath.Join(dir, "fence"), t.Fence); err != nil {
+	if r.target, err = newTarget(filepath.Join(dir, "fence"), t.FenceDefect); err != nil {
 		return nil, err
 	}
 	defer r.target.Close()
 	config := fleetlab.Config{Program: t.Program, Args: []string{"run", "--config"}, Env: t.Env, Dir: dir, Replicas: t.Replicas,
-		Follow: t.Follow, Seed: t.Seed, Bare: true}
-	if t.Inside { // clocks of hosts are 5% fast and slow in turn, and that of the first leader is fast
+		Follow: t.Followers, Seed: t.Seed, Bare: true}
+	if t.HasProcessFaults { // clocks of hosts are 5% fast and slow in turn, and that of the first leader is fast
 		config.Skew = 0.12
 		config.EnvOf = func(n int) []string { return []string{fmt.Sprintf("%s=%g", ClockRateEnv, 1.05-0.1*float64(n%2))} }
 	}
@@ -247,7 +247,7 @@
 		}
 		r.wg.Wait()
 		r.summarize(result)
-		if result != nil && t.Keep != "" && (len(result.Broken) > 0 || err != nil) {
+		if result != nil && t.RecordsDir != "" && (len(result.Broken) > 0 || err != nil) {
 			err = errors.Join(err, r.save(result))
 		}
 	}()
@@ -273,7 +273,7 @@
 			return r.result, ctx.Err()
 		case <-time.After(time.Duration(scheduled.GapMs) * time.Millisecond):
 		}
-		if t.Only != "" {
+		if t.OnlyFault != "" {
 			// By then the sessions of killed processes have ended.
 			if err := r.after(t.TTL+4*time.Second, func() {})(ctx); err != nil {
 				return r.result, err
@@ -305,10 +305,10 @@
 		} else {
 			r.recoveryTimes[fault.Name] = append(r.recoveryTimes[fault.Name], r.target.pauseSinceReset())
 		}
-		if t.Say != nil {
+		if t.Progress != nil {
 			holder, token, acts := r.target.state()
 			broken, late, _ := r.target.check(r.starvedTokens())
-			t.Say(fmt.Sprintf("%v: injected %s at %s; %d actions, %s holds the task with token %d, %d late actions of stopped actors, %d violations", time.Since(startedAt).Round(time.Second), fault.Name, target, acts,
+			t.Progress(fmt.Sprintf("%v: injected %s at %s; %d actions, %s holds the task with token %d, %d late actions of stopped actors, %d violations", time.Since(startedAt).Round(time.Second), fault.Name, target, acts,
 				holder, token, late, len(broken)))
 		}
 	}
