--- a/internal/lab/leasemodel/model.go
+++ b/internal/lab/leasemodel/model.go
@@ -21,7 +21,7 @@
 	maxClockSkew = 0.2
 )
 
-// Options are the settings of an enumeration. The zero value of Plant injects no defect.
+// Options are the settings of an enumeration. The zero value of SessionDefect injects none.
 type Options struct {
 	Depth              int // largest number of steps
 	SessionDefect      lease.Defect
--- a/internal/lab/limitlab/limitlab.go
+++ b/internal/lab/limitlab/limitlab.go
@@ -21,15 +21,15 @@
 	"birchmoor/internal/lab/fleetlab"
 )
 
-// FaultRun is a fault run: the settings of the fleet and of the faults.
+// FaultRun has the settings of a fault run: the fleet, the faults and their schedule.
 type FaultRun struct {
-	Program         string   // path of the program that daemons run
-	Env             []string // added to the environment of daemons
-	Dir             string   // folder for temporary files
-	Replicas        int      // daemons with a replica
-	Followers       int      // daemons without one
-	Duration        time.Duration
-	FaultCount      int           // if above 0, used in place of For: number of faults, which are all kinds in turn
+	Program         string        // path of the program that daemons run
+	Env             []string      // added to the environment of daemons
+	Dir             string        // folder for temporary files
+	Replicas        int           // daemons with a replica
+	Followers       int           // daemons without one
+	Duration        time.Duration // for how long faults are injected
+	FaultCount      int           // if above 0, number of faults in place of Duration: all kinds in turn
 	FaultInterval   time.Duration // mean time between two faults
 	Seed            uint64
 	Schedule        []ScheduledFault // if not nil, the schedule in place of a drawn one
@@ -48,15 +48,15 @@
 
 // Result is the outcome of a fault run. Its JSON is part of the output of limit torture.
 type Result struct {
-	Requests                  int              `json:"requests"`             // that arrived at servers
-	Rejected                  int              `json:"refused"`              // rejected by sidecars with 429
-	RejectedWithoutRetryAfter int              `json:"refused_without_time"` // rejected without Retry-After
-	ConcurrencyExcesses       int              `json:"crowds"`               // excesses of open requests, cancelled ones included
-	FaultCounts               map[string]int   `json:"blows"`                // number of injected faults, by name
+	Requests                  int              `json:"requests"` // that arrived at servers
+	Rejected                  int              `json:"refused"`  // rejected by sidecars with 429
+	RejectedWithoutRetryAfter int              `json:"refused_without_time"`
+	ConcurrencyExcesses       int              `json:"crowds"` // excesses of open requests, cancelled ones included
+	FaultCounts               map[string]int   `json:"blows"`  // number of injected faults, by name
 	PartCounts                []PartCount      `json:"seen"`
-	Use                       float64          `json:"use"`               // used fraction of the rate limit after the faults
+	Use                       float64          `json:"use"`               // used fraction of the rate after the faults
 	Broken                    []string         `json:"broken"`            // limits that were exceeded
-	History                   []string         `json:"history,omitempty"` // changes of the store around the first excess
+	History                   []string         `json:"history,omitempty"` // changes around the first excess
 	Schedule                  []ScheduledFault `json:"schedule"`
 }
 
@@ -157,7 +157,7 @@
 	return fault, elapsed < t.Duration
 }
 
-// report passes a progress line to Say, if it is not nil.
+// report passes a line to Progress, if it is not nil.
 func (t *FaultRun) report(line string) {
 	if t.Progress != nil {
 		t.Progress(line)
--- a/internal/lab/limitsim/faults.go
+++ b/internal/lab/limitsim/faults.go
@@ -12,8 +12,8 @@
 	About   string
 }
 
-// InjectedDefects lists the injectable defects. quota.KeepTokens and quota.UncheckedRevision are missing: hundreds of seeds did
-// not find them, because a second safeguard covers each, so the unit tests of package quota check them.
+// InjectedDefects lists the injectable defects. quota.KeepTokens and quota.UncheckedRevision are missing: hundreds of
+// seeds did not find them, because a second safeguard covers each, so the unit tests of package quota check them.
 var InjectedDefects = []InjectedDefect{
 	{"entitled-from-answer", Defects{Session: lease.ValidFromResponse}, "a session counts its TTL from the arrival of the response, not from the request"},
 	{"no-rate-margin", Defects{Session: lease.IgnoreSkew}, "a session makes no allowance for clocks that run at different rates"},
--- a/internal/lab/storesim/storesim.go
+++ b/internal/lab/storesim/storesim.go
@@ -38,10 +38,10 @@
 	Faults          int // number of injected faults; default 24
 	Gap             int // milliseconds between two faults; default 300
 	ReplicaDefects  replica.Defects
-	DaemonDefect    DaemonDefect // injected defect of daemons
-	Holders         int          // daemons that hold tasks; 0: none
-	HolderTTLMillis int          // TTL of their sessions in milliseconds; default 400
-	Calm            bool         // injects no faults
+	DaemonDefect    DaemonDefect
+	Holders         int  // daemons that hold tasks; 0: none
+	HolderTTLMillis int  // TTL of their sessions in milliseconds; default 400
+	Calm            bool // injects no faults
 	HolderDefects   HolderDefects
 	Mixed           bool // hosts start with a build that knows command level 1, and change to this build and back
 }
@@ -66,7 +66,7 @@
 	Seed                uint64   `json:"seed"`
 	Broken              []string `json:"broken"` // violations found, the first of each kind
 	Ops                 int      `json:"ops"`
-	Unknown             int      `json:"unknown"` // responses that left the outcome unknown; each request was sent again
+	Unknown             int      `json:"unknown"` // responses with an unknown outcome; the request was sent again
 	Crashes             int      `json:"crashes"`
 	Cuts                int      `json:"cuts"`
 	Joined              int      `json:"joined"`
--- a/internal/lab/storesim/watch.go
+++ b/internal/lab/storesim/watch.go
@@ -27,7 +27,7 @@
 // The injected defects.
 const (
 	NoDaemonDefect      DaemonDefect = iota
-	EnforceLate                      // a drain from the store is in force in the sidecar only half a second after it arrived
+	EnforceLate                      // a drain from the store is in force only half a second after it arrived
 	OverrideObservation              // the end of a drain in the store overrides the daemon's own observation
 	EndDrainEarly                    // a drain ends after a quarter of its retention
 	EndDrainLocally                  // a daemon ends a drain locally, without a quorum
--- a/internal/lab/tasklab/inside.go
+++ b/internal/lab/tasklab/inside.go
@@ -14,19 +14,20 @@
 // ClockRateEnv is the environment variable with the rate of a process's clock and ticks, relative to the host's clock.
 const ClockRateEnv = "BIRCHMOOR_BENCH_PACE"
 
-// QuotaDefectEnv is the environment variable with the number of an injected defect of a process's quotas, a quota.Defect.
+// QuotaDefectEnv is the environment variable with the number of an injected defect of a process's quotas, a
+// quota.Defect.
 const QuotaDefectEnv = "BIRCHMOOR_BENCH_LIMIT"
 
-// ProcessFaults are the faults that a fault run injects within a process: another clock rate, a defect of its quotas and, from
-// a SIGUSR1 on, a disk that fails all syncs. Only builds with the tag planted read them.
+// ProcessFaults are the faults that a fault run injects within a process: another clock rate, a defect of its quotas
+// and, from a SIGUSR1 on, a disk that fails all syncs. Only builds with the tag planted read them.
 type ProcessFaults struct {
 	ClockRate   float64        // clock rate relative to the host's clock; 0: 1
 	File        func(*os.File) // must be called with each file whose syncs are to fail; safe for concurrent use
 	QuotaDefect quota.Defect   // injected defect of its quotas
 }
 
-// ReadProcessFaults reads the faults from the environment, and prepares File to wait for the signal. It exits the process if a
-// value is invalid, because a fault run that injects nothing would pass for the wrong reason.
+// ReadProcessFaults reads the faults from the environment, and prepares File to wait for the signal. It exits the
+// process if a value is invalid, because a fault run that injects nothing would pass for the wrong reason.
 func ReadProcessFaults() ProcessFaults {
 	var faults ProcessFaults
 	if text := os.Getenv(ClockRateEnv); text != "" {
--- a/internal/lab/tasklab/torture.go
+++ b/internal/lab/tasklab/torture.go
@@ -30,7 +30,7 @@
 // DefectEnv is the environment variable with the name of an injected defect, for programs built with the tag "planted".
 const DefectEnv = "BIRCHMOOR_PLANT"
 
-// FaultRun is a fault run: the settings of the fleet and of the faults.
+// FaultRun has the settings of a fault run: the fleet, the locks, the faults and their schedule.
 type FaultRun struct {
 	Program          string        // path of the program that daemons and locks run
 	Env              []string      // added to the environment of daemons
@@ -39,15 +39,15 @@
 	Followers        int           // daemons without one
 	Holders          int           // locks at each daemon, waiting or holding
 	TTL              time.Duration // of the locks' sessions
-	Duration         time.Duration
-	FaultCount       int           // if above 0, number of faults in place of For: all kinds in turn, without pauses
+	Duration         time.Duration // for how long faults are injected
+	FaultCount       int           // if above 0, number of faults in place of Duration: all kinds in turn
 	FaultInterval    time.Duration // mean time between two faults
 	OnlyFault        string        // if not empty, the only kind of fault, injected after the effects of the last
 	Seed             uint64
 	FenceDefect      lease.FenceDefect
-	Defect           string           // name of an injected defect of the program, which must be built with the tag "planted"
+	Defect           string           // injected defect of the program, which must be built with the tag "planted"
 	OldProgram       string           // path of an older build of the program, for the fault old-build; empty: none
-	HasProcessFaults bool             // the program reads an Inside: it has clocks of different rates and failing syncs
+	HasProcessFaults bool             // the program reads ProcessFaults: different clock rates and failing syncs
 	Schedule         []ScheduledFault // if not nil, the schedule in place of a drawn one
 	RecordsDir       string           // folder for the records of a run with violations; empty: none are kept
 	Progress         func(string)     // receives progress lines; nil: nobody
@@ -57,7 +57,7 @@
 type Result struct {
 	Actions         int              `json:"acts"`       // actions of all holders
 	Holders         int              `json:"holders"`    // holders that acted, one after the other
-	LateActions     int              `json:"late"`       // actions after a higher token, of actors that had been stopped
+	LateActions     int              `json:"late"`       // actions of stopped actors after a higher token
 	StarvedActions  int              `json:"starved"`    // the same, of actors whose keepers ran too late
 	FaultCounts     map[string]int   `json:"blows"`      // number of injected faults, by name
 	StoreOperations int              `json:"history"`    // reads and writes of the store that were checked together
@@ -71,8 +71,8 @@
 	TakeoverTimes   []TakeoverTimes  `json:"after"`          // by kind of fault
 }
 
-// TakeoverTimes has the times without a holder after faults of one kind: until the next holder acted or, for faults after which
-// the same holder may continue, the longest pause between two actions.
+// TakeoverTimes has the times without a holder after faults of one kind: until the next holder acted or, for faults
+// after which the same holder may continue, the longest pause between two actions.
 type TakeoverTimes struct {
 	Fault   string  `json:"blow"`
 	Count   int     `json:"n"`
