--- a/cmd/birchmoor/daemon.go
+++ b/cmd/birchmoor/daemon.go
@@ -59,7 +59,7 @@
 
 // processFaults are the faults that torture runs inject into this process. Only tests and builds with the tag planted
 // set them.
-var processFaults tasklab.Inside
+var processFaults tasklab.ProcessFaults
 
 // openControlPlane starts the daemon's control plane: a replica or a follower of the store, the components that use it,
 // and the daemon's socket. It returns what the daemon's sidecar uses of it. stop shuts all of it down.
@@ -71,12 +71,12 @@
 		Reload: reload,
 		Log:    log,
 		Defects: controlplane.Defects{
-			Clock:         bootclock.Clock{Rate: processFaults.Pace},
+			Clock:         bootclock.Clock{Rate: processFaults.ClockRate},
 			WrapStoreFile: processFaults.File,
 			WrapStore:     storeWithDefect,
 			LeaseSession:  leaseSessionDefect(),
 			LeaseTable:    leaseTableDefect(),
-			Quota:         processFaults.Limit,
+			Quota:         processFaults.QuotaDefect,
 		},
 	}
 	var inEffect atomic.Pointer[config.Config]
--- a/cmd/birchmoor/defects_on.go
+++ b/cmd/birchmoor/defects_on.go
@@ -29,13 +29,13 @@
 )
 
 func init() {
-	processFaults = tasklab.ReadInside()
+	processFaults = tasklab.ReadProcessFaults()
 	if err := soak.InjectDefect(); err != nil {
 		panic(err)
 	}
 }
 
-func defectEnabled(name string) bool { return os.Getenv(tasklab.PlantEnv) == name }
+func defectEnabled(name string) bool { return os.Getenv(tasklab.DefectEnv) == name }
 
 func leaseTableDefect() lease.TableDefect {
 	if defectEnabled(defectOrderIgnored) {
--- a/cmd/birchmoor/limit_test.go
+++ b/cmd/birchmoor/limit_test.go
@@ -13,22 +13,22 @@
 
 // runLimitTorture runs limit torture with processes of this binary, and with the first faults kinds of faults, once
 // each. change, unless it is nil, changes the options before the run.
-func runLimitTorture(t *testing.T, faults int, change func(*limitlab.Torture)) *limitlab.Tortured {
+func runLimitTorture(t *testing.T, faults int, change func(*limitlab.FaultRun)) *limitlab.Result {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	torture := &limitlab.Torture{
-		Program:  self,
-		Env:      []string{asProgramEnv + "=1"},
-		Dir:      t.TempDir(),
-		Replicas: 3,
-		Follow:   5,
-		Blows:    faults,
-		Every:    time.Millisecond,
-		Seed:     1,
-		Say:      func(s string) { t.Log(s) },
+	torture := &limitlab.FaultRun{
+		Program:       self,
+		Env:           []string{asProgramEnv + "=1"},
+		Dir:           t.TempDir(),
+		Replicas:      3,
+		Followers:     5,
+		FaultCount:    faults,
+		FaultInterval: time.Millisecond,
+		Seed:          1,
+		Progress:      func(s string) { t.Log(s) },
 	}
 	if change != nil {
 		change(torture)
@@ -51,12 +51,12 @@
 	if len(result.Broken) > 0 {
 		t.Errorf("broken rules: %q", result.Broken)
 	}
-	if result.Requests == 0 || result.Refused == 0 || result.NoTime > 0 {
+	if result.Requests == 0 || result.Rejected == 0 || result.RejectedWithoutRetryAfter > 0 {
 		t.Errorf("%d requests admitted, %d rejected, %d of these without a Retry-After",
-			result.Requests, result.Refused, result.NoTime)
+			result.Requests, result.Rejected, result.RejectedWithoutRetryAfter)
 	}
-	for _, s := range result.Seen {
-		t.Logf("%s/%s: %d requests seen, at most %.0f in a window, bound %.1f", s.Limit, s.Part, s.Count, s.Most, s.Bound)
+	for _, s := range result.PartCounts {
+		t.Logf("%s/%s: %d requests seen, at most %.0f in a window, bound %.1f", s.Limit, s.Part, s.Count, s.MaxCount, s.Bound)
 	}
 }
 
--- a/cmd/birchmoor/limitsim.go
+++ b/cmd/birchmoor/limitsim.go
@@ -56,7 +56,7 @@
 	case "":
 		return k.runSeeds(ctx, c, options)
 	case listDefects:
-		for _, defect := range limitsim.Faults {
+		for _, defect := range limitsim.InjectedDefects {
 			fmt.Fprintf(c.out, "%-22s %s\n", defect.Name, defect.About)
 		}
 		return nil
@@ -68,12 +68,12 @@
 // not found.
 func (k *limitSim) findDefects(ctx context.Context, c *console, options limitsim.Options) error {
 	missed, known := false, k.Defect == allDefects
-	for _, defect := range limitsim.Faults {
+	for _, defect := range limitsim.InjectedDefects {
 		if k.Defect != allDefects && k.Defect != defect.Name {
 			continue
 		}
 		known = true
-		options.Plant = defect.Plant
+		options.Defects = defect.Defects
 		broken, err := k.firstBroken(ctx, options)
 		if err != nil {
 			return err
@@ -138,8 +138,8 @@
 		"%d seeds, %d broken: %d requests, %d admitted; %d stops, %d kills, %d partitions, %d allocators;"+
 			" servers saw at most %.2f of a strict limit; after the faults %.2f of the rate was used,"+
 			" and the log grew by %.0f entries and %.0f bytes per second\n",
-		k.Seeds, broken, sum.Asked, sum.Let, sum.Stops, sum.Kills, sum.Cuts, sum.Dividers, sum.Near,
-		sum.Use/n, sum.EntriesS/n, sum.BytesS/n)
+		k.Seeds, broken, sum.Requests, sum.Admitted, sum.Stops, sum.Kills, sum.Cuts, sum.Allocators, sum.MaxUse,
+		sum.Use/n, sum.EntriesPerS/n, sum.BytesPerS/n)
 	if broken > 0 {
 		return errRunFailed
 	}
@@ -148,14 +148,14 @@
 
 // addLimitResult adds the counts and rates of a run to sum. It sets Near to the maximum.
 func addLimitResult(sum, r *limitsim.Result) {
-	sum.Asked += r.Asked
-	sum.Let += r.Let
+	sum.Requests += r.Requests
+	sum.Admitted += r.Admitted
 	sum.Stops += r.Stops
 	sum.Kills += r.Kills
 	sum.Cuts += r.Cuts
-	sum.Dividers += r.Dividers
-	sum.Near = max(sum.Near, r.Near)
+	sum.Allocators += r.Allocators
+	sum.MaxUse = max(sum.MaxUse, r.MaxUse)
 	sum.Use += r.Use
-	sum.EntriesS += r.EntriesS
-	sum.BytesS += r.BytesS
+	sum.EntriesPerS += r.EntriesPerS
+	sum.BytesPerS += r.BytesPerS
 }
--- a/cmd/birchmoor/limittorture.go
+++ b/cmd/birchmoor/limittorture.go
@@ -41,21 +41,21 @@
 	if k.Defect != 0 && !isDefectBuild {
 		return errNoDefectBuild
 	}
-	torture := limitlab.Torture{
-		Program:  self,
-		Dir:      k.Dir,
-		Replicas: k.Replicas,
-		Follow:   k.Followers,
-		For:      k.Duration,
-		Every:    k.FaultInterval,
-		Seed:     k.Seed,
-		Say:      func(s string) { fmt.Fprintln(c.errOut, s) },
+	torture := limitlab.FaultRun{
+		Program:       self,
+		Dir:           k.Dir,
+		Replicas:      k.Replicas,
+		Followers:     k.Followers,
+		Duration:      k.Duration,
+		FaultInterval: k.FaultInterval,
+		Seed:          k.Seed,
+		Progress:      func(s string) { fmt.Fprintln(c.errOut, s) },
 	}
 	if k.Defect != 0 {
-		torture.Env = []string{fmt.Sprintf("%s=%d", tasklab.LimitEnv, k.Defect)}
+		torture.Env = []string{fmt.Sprintf("%s=%d", tasklab.QuotaDefectEnv, k.Defect)}
 	}
 	if k.Schedule != "" {
-		if err := readJSON(k.Schedule, &torture.Play); err != nil {
+		if err := readJSON(k.Schedule, &torture.Schedule); err != nil {
 			return err
 		}
 	}
@@ -72,20 +72,20 @@
 }
 
 // print prints the result as JSON or as text.
-func (k *limitTorture) print(c *console, result *limitlab.Tortured) error {
+func (k *limitTorture) print(c *console, result *limitlab.Result) error {
 	if k.JSON {
 		return json.NewEncoder(c.out).Encode(result)
 	}
 	w := tabwriter.NewWriter(c.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "LIMIT\tPART\tSEEN\tMOST IN WINDOW\tBOUND\tNEAR")
-	for _, s := range result.Seen {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%.0f\t%.1f\t%.2f\n", s.Limit, partName(s.Part), s.Count, s.Most, s.Bound, s.Near)
+	for _, s := range result.PartCounts {
+		fmt.Fprintf(w, "%s\t%s\t%d\t%.0f\t%.1f\t%.2f\n", s.Limit, partName(s.Part), s.Count, s.MaxCount, s.Bound, s.MaxUse)
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
 	fmt.Fprintf(c.out, "%d requests, %d rejected (%d without a Retry-After), faults %v;"+
 		" %.2f of the rate used after the faults; broken: %q\n",
-		result.Requests, result.Refused, result.NoTime, result.Blows, result.Use, result.Broken)
+		result.Requests, result.Rejected, result.RejectedWithoutRetryAfter, result.FaultCounts, result.Use, result.Broken)
 	return nil
 }
--- a/cmd/birchmoor/storesim.go
+++ b/cmd/birchmoor/storesim.go
@@ -35,17 +35,17 @@
 	}
 	options := storesim.Options{Replicas: k.Replicas, Ops: k.Ops, Faults: k.Faults, Gap: k.Gap, Mixed: k.Mixed}
 	if k.Defect == listDefects {
-		for _, defect := range storesim.Faults {
+		for _, defect := range storesim.InjectedDefects {
 			fmt.Fprintf(c.out, "%-18s %s\n", defect.Name, defect.About)
 		}
 		return nil
 	}
-	for _, defect := range storesim.Faults {
+	for _, defect := range storesim.InjectedDefects {
 		if defect.Name == k.Defect {
-			options.Planted, options.Watch = defect.Fault, defect.Watch
+			options.ReplicaDefects, options.DaemonDefect = defect.Fault, defect.Watch
 		}
 	}
-	if k.Defect != "" && options.Planted == 0 && options.Watch == storesim.WatchNone {
+	if k.Defect != "" && options.ReplicaDefects == 0 && options.DaemonDefect == storesim.NoDaemonDefect {
 		return unknownDefectError(k.Defect)
 	}
 	return k.runSeeds(ctx, c, options)
@@ -85,7 +85,7 @@
 		k.Seeds, broken, sum.Ops, sum.Crashes, sum.Cuts, sum.Elected, sum.Joined, sum.Left, sum.Installs)
 	fmt.Fprintf(c.errOut, "drains: %d reported, %d ended; %d requests sent to servers;"+
 		" %d changes of a host's build\n",
-		sum.Told, sum.Over, sum.Sent, sum.Steps)
+		sum.DrainsReported, sum.DrainsEnded, sum.RequestsSent, sum.BuildChanges)
 	if broken > 0 || k.Defect != "" {
 		return errRunFailed
 	}
@@ -98,10 +98,10 @@
 	sum.Crashes += r.Crashes
 	sum.Cuts += r.Cuts
 	sum.Elected += r.Elected
-	sum.Told += r.Told
-	sum.Over += r.Over
-	sum.Sent += r.Sent
-	sum.Steps += r.Steps
+	sum.DrainsReported += r.DrainsReported
+	sum.DrainsEnded += r.DrainsEnded
+	sum.RequestsSent += r.RequestsSent
+	sum.BuildChanges += r.BuildChanges
 	sum.Joined += r.Joined
 	sum.Left += r.Left
 	sum.Installs += r.Installs
--- a/cmd/birchmoor/task_test.go
+++ b/cmd/birchmoor/task_test.go
@@ -14,24 +14,24 @@
 
 // runTaskTorture runs task torture with processes of this binary, and with the first faults kinds of faults, once each.
 // change, unless it is nil, changes the options before the run.
-func runTaskTorture(t *testing.T, faults int, change func(*tasklab.Torture)) *tasklab.Tortured {
+func runTaskTorture(t *testing.T, faults int, change func(*tasklab.FaultRun)) *tasklab.Result {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	torture := &tasklab.Torture{
-		Program:  self,
-		Env:      []string{asProgramEnv + "=1"},
-		Dir:      t.TempDir(),
-		Replicas: 3,
-		Follow:   1,
-		Holders:  1,
-		TTL:      1500 * time.Millisecond,
-		Inside:   true,
-		Blows:    faults,
-		Seed:     1,
-		Say:      func(s string) { t.Log(s) },
+	torture := &tasklab.FaultRun{
+		Program:          self,
+		Env:              []string{asProgramEnv + "=1"},
+		Dir:              t.TempDir(),
+		Replicas:         3,
+		Followers:        1,
+		Holders:          1,
+		TTL:              1500 * time.Millisecond,
+		HasProcessFaults: true,
+		FaultCount:       faults,
+		Seed:             1,
+		Progress:         func(s string) { t.Log(s) },
 	}
 	if change != nil {
 		change(torture)
@@ -54,14 +54,14 @@
 	if len(result.Broken) > 0 {
 		t.Errorf("broken rules: %q", result.Broken)
 	}
-	if result.Acts == 0 || result.Holders < 4 {
-		t.Errorf("%d actions of %d holders", result.Acts, result.Holders)
+	if result.Actions == 0 || result.Holders < 4 {
+		t.Errorf("%d actions of %d holders", result.Actions, result.Holders)
 	}
-	if result.History < 100 {
-		t.Errorf("the history of the store has %d operations", result.History)
+	if result.StoreOperations < 100 {
+		t.Errorf("the history of the store has %d operations", result.StoreOperations)
 	}
 	t.Logf("%d actions of %d holders, %d late by stopped actors, %d operations of the store",
-		result.Acts, result.Holders, result.Late, result.History)
+		result.Actions, result.Holders, result.LateActions, result.StoreOperations)
 }
 
 // lock passes the token to its command and runs it only while the lock is held. It ends the command with all processes
--- a/cmd/birchmoor/tasksim.go
+++ b/cmd/birchmoor/tasksim.go
@@ -40,20 +40,20 @@
 		return err
 	}
 	options := storesim.Options{
-		Replicas: k.Replicas,
-		Faults:   k.Faults,
-		Gap:      k.Gap,
-		Holders:  k.Holders,
-		Clients:  1,
-		Ops:      20,
-		HoldTTL:  k.TTL,
-		Calm:     k.Calm,
+		Replicas:        k.Replicas,
+		Faults:          k.Faults,
+		Gap:             k.Gap,
+		Holders:         k.Holders,
+		Clients:         1,
+		Ops:             20,
+		HolderTTLMillis: k.TTL,
+		Calm:            k.Calm,
 	}
 	switch k.Defect {
 	case "":
 		return k.runSeeds(ctx, c, options, "")
 	case listDefects:
-		for _, defect := range storesim.HolderFaults {
+		for _, defect := range storesim.InjectedHolderDefects {
 			fmt.Fprintf(c.out, "%-22s %s\n", defect.Name, defect.About)
 		}
 		return nil
@@ -65,11 +65,11 @@
 // not found.
 func (k *taskSim) findDefects(ctx context.Context, c *console, options storesim.Options) error {
 	missed := false
-	for _, defect := range storesim.HolderFaults {
+	for _, defect := range storesim.InjectedHolderDefects {
 		if defect.Name != k.Defect && k.Defect != allDefects {
 			continue
 		}
-		options.Holder, options.Planted = defect.Plant, defect.Replica
+		options.HolderDefects, options.ReplicaDefects = defect.Plant, defect.Replica
 		err := k.runSeeds(ctx, c, options, defect.Name)
 		if err != nil && !errors.Is(err, errRunFailed) {
 			return err
@@ -128,8 +128,8 @@
 
 // addTaskResult adds the printed counts and rates of a run to sum.
 func addTaskResult(sum, r *storesim.Result) {
-	sum.Acts += r.Acts
-	sum.Late += r.Late
+	sum.Actions += r.Actions
+	sum.LateActions += r.LateActions
 	sum.Crashes += r.Crashes
 	sum.Elected += r.Elected
 	sum.Entries += r.Entries
@@ -142,7 +142,7 @@
 func (k *taskSim) printSum(c *console, sum *storesim.Result, n, broken int) {
 	fmt.Fprintf(c.errOut, "%d seeds, %d broken: %d actions, %d late ones by processes that had been stopped;"+
 		" %d crashes of replicas, %d leaders, %d log entries in %.0f s of virtual time\n",
-		n, broken, sum.Acts, sum.Late, sum.Crashes, sum.Elected, sum.Entries, float64(sum.Micros)/1e6)
+		n, broken, sum.Actions, sum.LateActions, sum.Crashes, sum.Elected, sum.Entries, float64(sum.Micros)/1e6)
 	if k.Calm && n > 0 {
 		fmt.Fprintf(c.errOut,
 			"the log grew by %.1f entries and %.0f bytes per second; by the formula holders need %.1f entries per second\n",
--- a/cmd/birchmoor/tasktorture.go
+++ b/cmd/birchmoor/tasktorture.go
@@ -46,31 +46,31 @@
 	if k.Defect != "" && !isDefectBuild {
 		return errNoDefectBuild
 	}
-	torture := tasklab.Torture{
-		Program:  self,
-		Dir:      k.Dir,
-		Replicas: k.Replicas,
-		Follow:   k.Followers,
-		Holders:  k.Holders,
-		TTL:      k.TTL,
-		For:      k.Duration,
-		Every:    k.FaultInterval,
-		Seed:     k.Seed,
-		Plant:    k.Defect,
-		Only:     k.OnlyFault,
-		Inside:   isDefectBuild,
-		Keep:     k.KeepDir,
-		Old:      k.OldProgram,
-		Say:      func(s string) { fmt.Fprintln(c.errOut, s) },
+	torture := tasklab.FaultRun{
+		Program:          self,
+		Dir:              k.Dir,
+		Replicas:         k.Replicas,
+		Followers:        k.Followers,
+		Holders:          k.Holders,
+		TTL:              k.TTL,
+		Duration:         k.Duration,
+		FaultInterval:    k.FaultInterval,
+		Seed:             k.Seed,
+		Defect:           k.Defect,
+		OnlyFault:        k.OnlyFault,
+		HasProcessFaults: isDefectBuild,
+		RecordsDir:       k.KeepDir,
+		OldProgram:       k.OldProgram,
+		Progress:         func(s string) { fmt.Fprintln(c.errOut, s) },
 	}
 	if k.Schedule != "" {
-		if err := readJSON(k.Schedule, &torture.Play); err != nil {
+		if err := readJSON(k.Schedule, &torture.Schedule); err != nil {
 			return err
 		}
 	}
 	result, err := torture.Run(ctx)
-	if result != nil && result.Kept != "" {
-		fmt.Fprintln(c.errOut, "kept in", result.Kept)
+	if result != nil && result.RecordsDir != "" {
+		fmt.Fprintln(c.errOut, "kept in", result.RecordsDir)
 	}
 	if k.Shrink && err == nil && len(result.Broken) > 0 {
 		e := json.NewEncoder(c.out)
@@ -95,19 +95,19 @@
 const shrinkAttempts = 2
 
 // print prints the result as JSON or as text.
-func (k *taskTorture) print(c *console, result *tasklab.Tortured) error {
+func (k *taskTorture) print(c *console, result *tasklab.Result) error {
 	if k.JSON {
 		return json.NewEncoder(c.out).Encode(result)
 	}
 	fmt.Fprintf(c.out, "%d actions of %d holders, %d late by stopped actors, %d by starved ones,"+
 		" %d reads and writes of the store, faults %v; held for %.3f of the time;"+
 		" time between the actions of two holders p50 %.0f ms, p99 %.0f, worst %.0f; broken: %q\n",
-		result.Acts, result.Holders, result.Late, result.Starved, result.History, result.Blows,
-		result.Held, result.P50Ms, result.P99Ms, result.WorstMs, result.Broken)
-	for _, a := range result.After {
+		result.Actions, result.Holders, result.LateActions, result.StarvedActions, result.StoreOperations, result.FaultCounts,
+		result.HeldFraction, result.GapP50Ms, result.GapP99Ms, result.GapWorstMs, result.Broken)
+	for _, a := range result.TakeoverTimes {
 		fmt.Fprintf(c.out,
 			"after %s (%d): p50 %.0f ms, p99 %.0f, worst %.0f until the next holder acted, or without an action\n",
-			a.Blow, a.N, a.P50Ms, a.P99Ms, a.WorstMs)
+			a.Fault, a.Count, a.P50Ms, a.P99Ms, a.WorstMs)
 	}
 	return nil
 }
--- a/internal/lab/soak/defect.go
+++ b/internal/lab/soak/defect.go
@@ -58,7 +58,7 @@
 // Env returns the environment variables that make a process of a test build inject the defect into itself.
 func (d Defect) Env() []string {
 	if d.Name == noLinger {
-		return []string{fmt.Sprintf("%s=%d", tasklab.LimitEnv, quota.NoLinger)}
+		return []string{fmt.Sprintf("%s=%d", tasklab.QuotaDefectEnv, quota.NoLinger)}
 	}
 	return []string{defectEnv + "=" + d.Name}
 }
