--- a/internal/lab/model/discovery.go
+++ b/internal/lab/model/discovery.go
@@ -5,212 +5,223 @@
 	"birchmoor/internal/lab/trace"
 )
 
-// Entry is what discovery lists of a server.
+// Entry is a server's entry in discovery's list.
 type Entry struct {
 	Server  int
 	State   trace.State
-	Started Micros // since the start of the run; 0 for long ago
+	Started Micros // instant of its process's start; 0 for a start before the run
 }
 
-// Update is discovery's word on a watch, or its whole list.
+// Update is a watch event, which lists the changed entries, or the full list.
 type Update struct {
-	Generation int64
-	Reset      bool
+	Generation int64 // version of the list that the receiver has with this update
+	Reset      bool  // Entries is the full list; without Reset, only entries that changed
 	Entries    []Entry
 }
 
-// Discovery is one service for all sidecars. What it lists follows what is true after a while; it works through calls
-// in turn, and may be down.
+// Discovery is the discovery service of all sidecars. Its list follows the servers with a delay, its calls queue for
+// its capacity, and faults take it down.
 type Discovery struct {
-	w          *World
-	draw       randstream.Stream
-	generation int64
-	entries    []Entry // by server; those not listed have State Gone
-	changed    []int64 // generation of an entry's latest change
-	watches    map[int]*watch
-	late       []Micros // by sidecar: by which it hears later than discovery knows
-	order      []int    // of watches, for the same order in every run
-	down       int
-	lag        Micros
-	busyUntil  Micros
+	world              *World
+	stream             randstream.Stream
+	generation         int64
+	entries            []Entry // by server; State is Gone for servers that are not listed
+	changedGenerations []int64 // by server: generation of the entry's latest change
+	watches            map[int]*watch
+	updateDelays       []Micros // by sidecar: delay of its watch events, drawn at the start
+	watchOrder         []int    // sidecars in the order of their first calls, so that all runs of a seed are alike
+	downFaults         int      // faults in force that take discovery down
+	extraLag           Micros   // added to the delay of the list by faults in force
+	busyUntil          Micros   // instant until which accepted calls take all capacity
 }
 
+// watch is the state of a sidecar's watch.
 type watch struct {
-	open  bool
-	after int64
-	calls int
+	open       bool
+	generation int64 // of the list with the latest update that was sent
+	callCount  int   // raised to invalidate earlier calls, and updates on their way
 }
 
+// firstGeneration is the generation of the list at the start of a run.
 const firstGeneration = 7
 
 func newDiscovery(w *World) *Discovery {
-	n := len(w.Servers)
-	d := &Discovery{w: w, draw: w.Seed.Stream("discovery"), generation: firstGeneration, entries: make([]Entry, n),
-		changed: make([]int64, n), watches: map[int]*watch{}, late: make([]Micros, w.S.Fleet.Sidecars)}
-	late := w.Seed.Stream("late")
-	for i := range d.late {
-		d.late[i] = Micros(late.Float64() * float64(w.S.Discovery.Spread.Micros()))
+	servers := len(w.Servers)
+	d := &Discovery{world: w, stream: w.Seed.Stream("discovery"), generation: firstGeneration,
+		entries: make([]Entry, servers), changedGenerations: make([]int64, servers), watches: map[int]*watch{},
+		updateDelays: make([]Micros, w.S.Fleet.Sidecars)}
+	stream := w.Seed.Stream("late")
+	for i := range d.updateDelays {
+		d.updateDelays[i] = Micros(stream.Float64() * float64(w.S.Discovery.Spread.Micros()))
 	}
 	return d
 }
 
-// list enters a server at the start.
-func (d *Discovery) list(server int, longAgo bool) {
-	e := Entry{Server: server, State: trace.Up}
-	if !longAgo {
-		e.Started = max(1, d.w.Q.Now())
+// addInitial adds a server to the list before the run. One that is already warm gets a start before the run.
+func (d *Discovery) addInitial(server int, alreadyWarm bool) {
+	entry := Entry{Server: server, State: trace.Up}
+	if !alreadyWarm {
+		entry.Started = max(1, d.world.Q.Now())
 	}
-	d.entries[server], d.changed[server] = e, d.generation
+	d.entries[server], d.changedGenerations[server] = entry, d.generation
 }
 
-// change lists what has become true, after a while.
-func (d *Discovery) change(server int, state trace.State, started, lag Micros) {
-	lag = Micros(float64(lag)*(0.7+0.6*d.draw.Float64())) + d.lag
-	d.w.Q.After(lag, func() {
+// scheduleChange changes a server's entry after the lag, give or take 30 percent, and any lag that faults add. It sends
+// the change on all open watches. The start is used with state Up only; other states keep the start that was listed.
+func (d *Discovery) scheduleChange(server int, state trace.State, started, lag Micros) {
+	lag = Micros(float64(lag)*(0.7+0.6*d.stream.Float64())) + d.extraLag
+	d.world.Q.After(lag, func() {
 		d.generation++
-		e := Entry{Server: server, State: state, Started: started}
+		entry := Entry{Server: server, State: state, Started: started}
 		if state != trace.Up {
-			e.Started = d.entries[server].Started
+			entry.Started = d.entries[server].Started
 		}
-		d.entries[server], d.changed[server] = e, d.generation
-		if d.down > 0 {
+		d.entries[server], d.changedGenerations[server] = entry, d.generation
+		if d.downFaults > 0 {
 			return
 		}
-		for _, n := range d.order {
-			if o := d.watches[n]; o != nil && o.open {
-				d.send(n, o)
+		for _, sidecar := range d.watchOrder {
+			if sidecarWatch := d.watches[sidecar]; sidecarWatch != nil && sidecarWatch.open {
+				d.sendChanges(sidecar, sidecarWatch)
 			}
 		}
 	})
 }
 
-// send tells a watch what has changed since its last.
-func (d *Discovery) send(sidecar int, o *watch) {
-	u := d.since(sidecar, o.after)
-	if o.after = d.generation; len(u.Entries) == 0 {
+// sendChanges sends a watch the entries that changed since its latest update, after the delay of its sidecar.
+func (d *Discovery) sendChanges(sidecar int, sidecarWatch *watch) {
+	update := d.changesSince(sidecar, sidecarWatch.generation)
+	if sidecarWatch.generation = d.generation; len(update.Entries) == 0 {
 		return
 	}
-	if d.late[sidecar] == 0 {
-		d.tell(sidecar, u)
+	if d.updateDelays[sidecar] == 0 {
+		d.sendUpdate(sidecar, update)
 		return
 	}
-	call := o.calls
-	d.w.Q.After(d.late[sidecar], func() {
-		if o.open && o.calls == call { // what is on its way ends with its watch, and the next one tells it
-			d.tell(sidecar, u)
+	callCount := sidecarWatch.callCount
+	d.world.Q.After(d.updateDelays[sidecar], func() {
+		// An update on its way is lost with its watch; the next watch sends it.
+		if sidecarWatch.open && sidecarWatch.callCount == callCount {
+			d.sendUpdate(sidecar, update)
 		}
 	})
 }
 
-func (d *Discovery) tell(sidecar int, u Update) {
-	d.w.host.Update(sidecar, u, func() { d.told(sidecar, u) })
+func (d *Discovery) sendUpdate(sidecar int, update Update) {
+	d.world.host.Update(sidecar, update, func() { d.recordUpdate(sidecar, update) })
 }
 
-// told notes what a sidecar has been told. A server that a whole list leaves out is gone.
-func (d *Discovery) told(sidecar int, u Update) {
-	now := d.w.Q.Now()
-	e := trace.Event{At: now, Kind: trace.Told, Sidecar: int32(sidecar)}
-	for _, x := range u.Entries {
-		e.Server, e.State, e.Since = int32(x.Server), x.State, x.Started
-		d.w.emit(e)
+// recordUpdate records an update that a sidecar has been sent. It records servers that a full list omits as gone.
+func (d *Discovery) recordUpdate(sidecar int, update Update) {
+	now := d.world.Q.Now()
+	event := trace.Event{At: now, Kind: trace.Told, Sidecar: int32(sidecar)}
+	for _, entry := range update.Entries {
+		event.Server, event.State, event.Since = int32(entry.Server), entry.State, entry.Started
+		d.world.emit(event)
 	}
-	for n := range d.entries {
-		if u.Reset && d.entries[n].State == trace.Gone {
-			e.Server, e.State, e.Since = int32(n), trace.Gone, 0
-			d.w.emit(e)
+	for server := range d.entries {
+		if update.Reset && d.entries[server].State == trace.Gone {
+			event.Server, event.State, event.Since = int32(server), trace.Gone, 0
+			d.world.emit(event)
 		}
 	}
 }
 
-// since returns what changed after a generation; one from before the first, or from the future, gets the whole list.
-func (d *Discovery) since(sidecar int, after int64) Update {
-	u := Update{Generation: d.generation, Reset: after < firstGeneration || after > d.generation}
-	for i, e := range d.entries {
+// changesSince returns the entries that changed after a generation. For one from before the first, or from the future,
+// it returns the full list.
+func (d *Discovery) changesSince(sidecar int, generation int64) Update {
+	update := Update{Generation: d.generation, Reset: generation < firstGeneration || generation > d.generation}
+	for i, entry := range d.entries {
 		switch {
-		case u.Reset && e.State != trace.Gone, !u.Reset && d.changed[i] > after:
-			u.Entries = append(u.Entries, e)
+		case update.Reset && entry.State != trace.Gone, !update.Reset && d.changedGenerations[i] > generation:
+			update.Entries = append(update.Entries, entry)
 		}
 	}
-	if d.w.S.Discovery.Shuffle {
-		s := d.w.Seed.Stream("order", uint64(sidecar))
-		s.Shuffle(len(u.Entries), func(i, j int) { u.Entries[i], u.Entries[j] = u.Entries[j], u.Entries[i] })
+	if d.world.S.Discovery.Shuffle {
+		stream := d.world.Seed.Stream("order", uint64(sidecar))
+		stream.Shuffle(len(update.Entries), func(i, j int) {
+			update.Entries[i], update.Entries[j] = update.Entries[j], update.Entries[i]
+		})
 	}
-	return u
+	return update
 }
 
-// Whole returns the whole list as it is, for a process that starts: it counts as told.
+// Whole returns the full current list, for a process of a sidecar that starts, and records it as sent.
 func (d *Discovery) Whole(sidecar int) Update {
-	u := d.since(sidecar, 0)
-	d.told(sidecar, u)
-	return u
+	update := d.changesSince(sidecar, 0)
+	d.recordUpdate(sidecar, update)
+	return update
 }
 
-// Call is a call for the list (watch false) or for a watch. The host hears Update, then on a watch more of them, or
-// WatchEnded where the call fails. Calls wait in turn; down says that discovery answers nobody.
-func (d *Discovery) Call(sidecar int, after int64, keep bool, answer func(u Update, ok bool)) {
-	now := d.w.Q.Now()
-	each := d.w.S.Discovery.Call.Micros() / Micros(d.w.S.Discovery.Capacity)
-	d.busyUntil = max(d.busyUntil, now) + each
-	wait := d.busyUntil - now + d.w.S.Discovery.Call.Micros() - each
-	told := answer
+// Call makes a call of a sidecar for the changes after a generation, and with keepWatch for a watch, which replaces an
+// earlier one. It calls answer once, with ok false if the call fails. Later updates of the watch go to Host.Update, its
+// end to Host.WatchEnded. Calls queue for discovery's capacity. A call fails if it would have to wait longer than 1 s,
+// if discovery is down, or if a later call for a watch replaces it.
+func (d *Discovery) Call(sidecar int, generation int64, keepWatch bool, answer func(u Update, ok bool)) {
+	now := d.world.Q.Now()
+	interval := d.world.S.Discovery.Call.Micros() / Micros(d.world.S.Discovery.Capacity)
+	d.busyUntil = max(d.busyUntil, now) + interval
+	delay := d.busyUntil - now + d.world.S.Discovery.Call.Micros() - interval
+	deliver := answer
 	answer = func(u Update, ok bool) {
-		e := trace.Event{At: d.w.Q.Now(), Kind: trace.Called, Sidecar: int32(sidecar), Work: d.w.Q.Now() - now}
+		event := trace.Event{At: d.world.Q.Now(), Kind: trace.Called, Sidecar: int32(sidecar), Work: d.world.Q.Now() - now}
 		if !ok {
-			e.Verdict = trace.Failed
+			event.Verdict = trace.Failed
 		}
-		d.w.emit(e)
-		told(u, ok)
+		d.world.emit(event)
+		deliver(u, ok)
 	}
-	o := d.watches[sidecar]
-	if o == nil {
-		o = &watch{}
-		d.watches[sidecar] = o
-		d.order = append(d.order, sidecar)
+	sidecarWatch := d.watches[sidecar]
+	if sidecarWatch == nil {
+		sidecarWatch = &watch{}
+		d.watches[sidecar] = sidecarWatch
+		d.watchOrder = append(d.watchOrder, sidecar)
 	}
-	if keep {
-		o.calls++ // takes the place of an earlier one that is not answered yet
+	if keepWatch {
+		sidecarWatch.callCount++ // replaces an earlier call that is not answered yet
 	}
-	call := o.calls
-	if d.down > 0 || wait > 1_000_000 {
-		d.busyUntil -= each // it is not worked at
-		d.w.Q.After(min(wait, 1_000_000), func() { answer(Update{}, false) })
+	callCount := sidecarWatch.callCount
+	if d.downFaults > 0 || delay > 1_000_000 {
+		d.busyUntil -= interval // the call takes no capacity
+		d.world.Q.After(min(delay, 1_000_000), func() { answer(Update{}, false) })
 		return
 	}
-	d.w.Q.After(wait, func() {
-		if d.down > 0 || keep && o.calls != call {
+	d.world.Q.After(delay, func() {
+		if d.downFaults > 0 || keepWatch && sidecarWatch.callCount != callCount {
 			answer(Update{}, false)
 			return
 		}
-		u := d.since(sidecar, after)
+		u := d.changesSince(sidecar, generation)
 		answer(u, true)
-		d.told(sidecar, u)
-		if keep {
-			o.open, o.after = true, d.generation
+		d.recordUpdate(sidecar, u)
+		if keepWatch {
+			sidecarWatch.open, sidecarWatch.generation = true, d.generation
 		}
 	})
 }
 
-// Unwatch ends a watch from the sidecar's side.
+// Unwatch ends a sidecar's watch, and fails its call for one if that is not answered yet.
 func (d *Discovery) Unwatch(sidecar int) {
-	if o := d.watches[sidecar]; o != nil {
-		o.open = false
-		o.calls++
+	if sidecarWatch := d.watches[sidecar]; sidecarWatch != nil {
+		sidecarWatch.open = false
+		sidecarWatch.callCount++
 	}
 }
 
-// Down says whether discovery answers nobody.
-func (d *Discovery) Down() bool { return d.down > 0 }
+// Down reports whether discovery is down: all calls fail, and no watch is open.
+func (d *Discovery) Down() bool { return d.downFaults > 0 }
 
+// setDown begins or ends an outage. Outages may overlap. All open watches end when one begins.
 func (d *Discovery) setDown(on bool) {
 	if !on {
-		d.down--
+		d.downFaults--
 		return
 	}
-	d.down++
-	for _, n := range d.order {
-		if o := d.watches[n]; o.open {
-			o.open = false
-			d.w.host.WatchEnded(n)
+	d.downFaults++
+	for _, sidecar := range d.watchOrder {
+		if sidecarWatch := d.watches[sidecar]; sidecarWatch.open {
+			sidecarWatch.open = false
+			d.world.host.WatchEnded(sidecar)
 		}
 	}
 }
--- a/internal/lab/model/faults.go
+++ b/internal/lab/model/faults.go
@@ -9,221 +9,227 @@
 	"birchmoor/internal/lab/trace"
 )
 
-// targets returns the numbers of the servers that a fault is about.
-func (w *World) targets(f *scenario.Fault) []int {
-	list := f.Servers
-	if len(list) == 0 {
-		zone := -1
-		for i, z := range w.S.Fleet.Zones {
-			if z == f.Zone {
-				zone = i
+// targets returns the numbers of the servers that a fault affects: the listed ones, or those of its zone, or all. With
+// a share below 1 it draws that share of them, except for the kinds whose share is one of requests.
+func (w *World) targets(fault *scenario.Fault) []int {
+	servers := fault.Servers
+	if len(servers) == 0 {
+		zoneIndex := -1
+		for i, name := range w.S.Fleet.Zones {
+			if name == fault.Zone {
+				zoneIndex = i
 			}
 		}
 		for _, s := range w.Servers {
-			if zone < 0 || s.Zone == zone {
-				list = append(list, s.Number)
+			if zoneIndex < 0 || s.Zone == zoneIndex {
+				servers = append(servers, s.Number)
 			}
 		}
 	}
-	if f.Share > 0 && f.Share < 1 && f.Kind != "gray-errors" && f.Kind != "heavy-tail" {
-		d := w.Seed.Stream("targets", uint64(f.At))
-		list = append([]int(nil), list...)
-		d.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-		list = list[:max(1, int(f.Share*float64(len(list))+0.5))]
+	if fault.Share > 0 && fault.Share < 1 && fault.Kind != "gray-errors" && fault.Kind != "heavy-tail" {
+		stream := w.Seed.Stream("targets", uint64(fault.At))
+		servers = append([]int(nil), servers...)
+		stream.Shuffle(len(servers), func(i, j int) { servers[i], servers[j] = servers[j], servers[i] })
+		servers = servers[:max(1, int(fault.Share*float64(len(servers))+0.5))]
 	}
-	return list
+	return servers
 }
 
-// fault arranges a fault, as often as it repeats.
-func (w *World) fault(f *scenario.Fault, number int) {
-	if f.Kind == "cold" {
-		w.mark(f, number, w.origin, f.For.Micros())
+// scheduleFault schedules all occurrences of a fault, with its lag and a second in between. Faults of kind cold are
+// only recorded here, because Prepare has started their servers cold.
+func (w *World) scheduleFault(fault *scenario.Fault, number int) {
+	if fault.Kind == "cold" {
+		w.recordFault(fault, number, w.scenarioStart, fault.For.Micros())
 		return
 	}
-	at := w.origin + f.At.Micros()
-	for range f.Repeat {
-		w.once(f, number, at)
-		at += f.For.Micros() + f.Lag.Micros() + eventqueue.Second
+	start := w.scenarioStart + fault.At.Micros()
+	for range fault.Repeat {
+		w.scheduleOccurrence(fault, number, start)
+		start += fault.For.Micros() + fault.Lag.Micros() + eventqueue.Second
 	}
 }
 
-// mark puts a fault's beginning and end into the trace.
-func (w *World) mark(f *scenario.Fault, number int, at, length Micros) {
-	note := fmt.Sprintf("%s #%d", f.Kind, number)
-	w.Q.At(at, func() { w.emit(trace.Event{At: w.Q.Now(), Kind: trace.Began, Note: note}) })
-	w.Q.At(at+length, func() { w.emit(trace.Event{At: w.Q.Now(), Kind: trace.Ended, Note: note}) })
+// recordFault records the beginning and the end of a fault's occurrence in the trace.
+func (w *World) recordFault(fault *scenario.Fault, number int, start, length Micros) {
+	note := fmt.Sprintf("%s #%d", fault.Kind, number)
+	w.Q.At(start, func() { w.emit(trace.Event{At: w.Q.Now(), Kind: trace.Began, Note: note}) })
+	w.Q.At(start+length, func() { w.emit(trace.Event{At: w.Q.Now(), Kind: trace.Ended, Note: note}) })
 }
 
 const (
-	stopAfter = 3 * eventqueue.Second // a server that restarts ends this long after it began to drain, unless told
-	outGrace  = eventqueue.Second / 2 // operators restart a server this long after they took it out
+	// Time from the beginning of a drain until the server's process ends, for a restart without lag.
+	defaultStopDelay = 3 * eventqueue.Second
+	// Time, less a second, from an administrative drain until operators restart the server, without lag.
+	restartDelay = eventqueue.Second / 2
 )
 
-func (w *World) once(f *scenario.Fault, number int, at Micros) {
-	length, every := f.For.Micros(), f.Every.Micros()
-	targets := w.targets(f)
-	d := &w.S.Discovery
-	last := Micros(len(targets)-1) * every * share(onServers(f))
-	w.mark(f, number, at, length+last)
-	// toggle has something done at the beginning and undone at the end, for each server.
+// scheduleOccurrence schedules one occurrence of a fault, which begins at start.
+func (w *World) scheduleOccurrence(fault *scenario.Fault, number int, start Micros) {
+	length, interval := fault.For.Micros(), fault.Every.Micros()
+	targets := w.targets(fault)
+	discovery := &w.S.Discovery
+	lastServerDelay := Micros(len(targets)-1) * interval * boolToMicros(actsOnServers(fault))
+	w.recordFault(fault, number, start, length+lastServerDelay)
+	// toggle calls do for each server twice: with on true when the fault begins there, and false when it ends.
 	toggle := func(do func(s *Server, on bool)) {
 		for i, n := range targets {
-			s, from := w.Servers[n], at+Micros(i)*every
-			w.Q.At(from, func() { do(s, true) })
-			w.Q.At(from+length, func() { do(s, false) })
+			s, serverStart := w.Servers[n], start+Micros(i)*interval
+			w.Q.At(serverStart, func() { do(s, true) })
+			w.Q.At(serverStart+length, func() { do(s, false) })
 		}
 	}
-	sign := func(on bool) int { return 2*int(share(on)) - 1 }
-	switch f.Kind {
+	sign := func(on bool) int { return 2*int(boolToMicros(on)) - 1 }
+	switch fault.Kind {
 	case "discovery-down", "asleep":
-		w.Q.At(at, func() { w.Disc.setDown(true) })
-		w.Q.At(at+length, func() { w.Disc.setDown(false) })
+		w.Q.At(start, func() { w.Disc.setDown(true) })
+		w.Q.At(start+length, func() { w.Disc.setDown(false) })
 	case "discovery-stale":
-		w.Q.At(at, func() { w.Disc.lag += f.Lag.Micros() })
-		w.Q.At(at+length, func() { w.Disc.lag -= f.Lag.Micros() })
+		w.Q.At(start, func() { w.Disc.extraLag += fault.Lag.Micros() })
+		w.Q.At(start+length, func() { w.Disc.extraLag -= fault.Lag.Micros() })
 	case "drain":
 		toggle(func(s *Server, on bool) {
 			if on {
-				w.Disc.change(s.Number, trace.Draining, 0, d.Notice.Micros())
+				w.Disc.scheduleChange(s.Number, trace.Draining, 0, discovery.Notice.Micros())
 			} else {
-				w.Disc.change(s.Number, trace.Up, w.startOf(s), d.Add.Micros())
+				w.Disc.scheduleChange(s.Number, trace.Up, w.listedStart(s), discovery.Add.Micros())
 			}
 		})
 	case "restart":
-		stop := f.Lag.Micros()
-		if stop == 0 {
-			stop = stopAfter
+		stopDelay := fault.Lag.Micros()
+		if stopDelay == 0 {
+			stopDelay = defaultStopDelay
 		}
 		toggle(func(s *Server, on bool) {
 			if on {
-				w.Disc.change(s.Number, trace.Draining, 0, d.Notice.Micros()/3)
-				w.Q.After(min(stop, length), s.stop)
+				w.Disc.scheduleChange(s.Number, trace.Draining, 0, discovery.Notice.Micros()/3)
+				w.Q.After(min(stopDelay, length), s.stop)
 			} else {
 				w.restart(s)
-				w.Disc.change(s.Number, trace.Up, w.startOf(s), d.Add.Micros())
+				w.Disc.scheduleChange(s.Number, trace.Up, w.listedStart(s), discovery.Add.Micros())
 			}
 		})
 	case "crash":
 		toggle(func(s *Server, on bool) {
 			if on {
 				s.stop()
-				w.Disc.change(s.Number, trace.Gone, 0, d.Notice.Micros())
+				w.Disc.scheduleChange(s.Number, trace.Gone, 0, discovery.Notice.Micros())
 			} else {
 				w.restart(s)
-				w.Disc.change(s.Number, trace.Up, w.startOf(s), max(d.Add.Micros(), d.Notice.Micros()))
+				w.Disc.scheduleChange(s.Number, trace.Up, w.listedStart(s), max(discovery.Add.Micros(), discovery.Notice.Micros()))
 			}
 		})
 	case "maintain":
-		stop := f.Lag.Micros()
-		if stop == 0 {
-			stop = outGrace + eventqueue.Second
+		stopDelay := fault.Lag.Micros()
+		if stopDelay == 0 {
+			stopDelay = restartDelay + eventqueue.Second
 		}
 		toggle(func(s *Server, on bool) {
 			if on {
 				w.host.Operate(s.Number, true)
-				w.Q.After(min(stop, length/2), func() { w.restart(s) })
-				w.Disc.change(s.Number, trace.Up, w.Q.Now()+min(stop, length/2), min(stop, length/2)+d.Add.Micros())
+				w.Q.After(min(stopDelay, length/2), func() { w.restart(s) })
+				w.Disc.scheduleChange(s.Number, trace.Up, w.Q.Now()+min(stopDelay, length/2),
+					min(stopDelay, length/2)+discovery.Add.Micros())
 			} else {
 				w.host.Operate(s.Number, false)
 			}
 		})
 	case "hang":
-		toggle(func(s *Server, on bool) { s.advance(); s.Hung += sign(on); s.retime() })
+		toggle(func(s *Server, on bool) { s.advance(); s.Hung += sign(on); s.reschedule() })
 	case "slow", "gray-slow":
 		toggle(func(s *Server, on bool) {
 			s.advance()
-			if f.Kind == "gray-slow" {
+			if fault.Kind == "gray-slow" {
 				s.FalseIdle += sign(on)
 			}
 			if on {
-				s.Slower *= f.Factor
+				s.Slower *= fault.Factor
 			} else {
-				s.Slower /= f.Factor
+				s.Slower /= fault.Factor
 			}
-			s.retime()
+			s.reschedule()
 		})
 	case "choke":
-		toggle(func(s *Server, on bool) { s.advance(); s.forceChoke += sign(on); s.retime() })
+		toggle(func(s *Server, on bool) { s.advance(); s.forcedChokes += sign(on); s.reschedule() })
 	case "gray-errors":
 		toggle(func(s *Server, on bool) {
 			if on {
-				s.Gray = append(s.Gray, f)
+				s.Gray = append(s.Gray, fault)
 				return
 			}
 			for i, g := range s.Gray {
-				if g == f {
+				if g == fault {
 					s.Gray = append(s.Gray[:i:i], s.Gray[i+1:]...)
 					break
 				}
 			}
 		})
-	case "burst", "heavy-tail": // drawn with the arrivals
+	case "burst", "heavy-tail": // applied when arrivals are drawn
 	default:
-		w.Q.At(at, func() { w.host.Fault(f, true) })
-		w.Q.At(at+length, func() { w.host.Fault(f, false) })
+		w.Q.At(start, func() { w.host.Fault(fault, true) })
+		w.Q.At(start+length, func() { w.host.Fault(fault, false) })
 	}
 }
 
-// startOf is what discovery is told of a server's start.
-func (w *World) startOf(s *Server) Micros {
+// listedStart returns the instant of a server's start as discovery lists it: 0 for a start before the run.
+func (w *World) listedStart(s *Server) Micros {
 	if s.Since < 0 {
 		return 0
 	}
 	return max(1, s.Since)
 }
 
-// restart ends a server's process and starts a new one, which is cold.
+// restart stops a server's process and starts a new one, which is cold.
 func (w *World) restart(s *Server) {
 	s.stop()
 	s.start(false)
 	w.host.ServerStarted(s.Number)
 }
 
-func share(yes bool) Micros {
+func boolToMicros(yes bool) Micros {
 	if yes {
 		return 1
 	}
 	return 0
 }
 
-// onServers says whether a fault goes from server to server.
-func onServers(f *scenario.Fault) bool {
-	switch f.Kind {
+// actsOnServers reports whether a fault begins at one server after the other, an interval apart.
+func actsOnServers(fault *scenario.Fault) bool {
+	switch fault.Kind {
 	case "drain", "restart", "crash", "maintain", "hang", "slow", "gray-slow", "gray-errors", "choke":
 		return true
 	}
 	return false
 }
 
-// Links lists the links, as pairs of sidecar and server, that a fault of the network is about.
-func (w *World) Links(f *scenario.Fault) (links [][2]int) {
-	sidecars := f.Sidecars
+// Links returns the links that a network fault affects, as pairs of sidecar and server.
+func (w *World) Links(fault *scenario.Fault) (links [][2]int) {
+	sidecars := fault.Sidecars
 	if len(sidecars) == 0 {
 		for n := range w.S.Fleet.Sidecars {
 			sidecars = append(sidecars, n)
 		}
 	}
-	for _, c := range sidecars {
-		for _, s := range w.targets(f) {
-			links = append(links, [2]int{c, s})
+	for _, sidecar := range sidecars {
+		for _, server := range w.targets(fault) {
+			links = append(links, [2]int{sidecar, server})
 		}
 	}
 	return links
 }
 
-// Sidecars lists the sidecars that a fault is about: those that it names, or its share of all, drawn.
-func (w *World) Sidecars(f *scenario.Fault) []int {
-	if len(f.Sidecars) > 0 {
-		return f.Sidecars
+// Sidecars returns the sidecars that a fault affects: the listed ones, or a share drawn from all, in ascending order.
+func (w *World) Sidecars(fault *scenario.Fault) []int {
+	if len(fault.Sidecars) > 0 {
+		return fault.Sidecars
 	}
 	all := make([]int, w.S.Fleet.Sidecars)
 	for i := range all {
 		all[i] = i
 	}
-	if f.Share > 0 && f.Share < 1 {
-		d := w.Seed.Stream("targets", uint64(f.At))
-		d.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-		all = all[:max(1, int(f.Share*float64(len(all))+0.5))]
+	if fault.Share > 0 && fault.Share < 1 {
+		stream := w.Seed.Stream("targets", uint64(fault.At))
+		stream.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+		all = all[:max(1, int(fault.Share*float64(len(all))+0.5))]
 		slices.Sort(all)
 	}
 	return all
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -13,42 +13,41 @@
 // Micros is an instant since the start of the run, or a duration, in microseconds.
 type Micros = eventqueue.Micros
 
-// Outcome is how a server ends an attempt.
+// Outcome is how an attempt ended at its server.
 type Outcome uint8
 
-// The outcomes. NeverRan is a server's word that the attempt was turned away unseen; Broken and Silent have no
-// answer: the connection breaks, or nothing comes.
+// The outcomes.
 const (
-	Good Outcome = iota
-	Bad
-	NeverRan
-	Broken
+	Good     Outcome = iota // the server answered with success
+	Bad                     // the server answered with an error after the work
+	NeverRan                // the server rejected the attempt, and says that it did not run
+	Broken                  // the connection ended without an answer
 )
 
-// Job is work at a server: an attempt, a handshake or a probe. Done is called once, on the queue's goroutine,
-// unless the job is cancelled first.
+// Job is work at a server: an attempt, a handshake or a probe. Done is called once, on the queue's goroutine, unless
+// the job is cancelled first.
 type Job struct {
-	Request uint64 // 0 for what is no attempt
+	Request uint64 // 0 for a handshake or a probe
 	Class   int
 	Sidecar int
 	Work    float64 // microseconds on a core of speed 1
 	Done    func(Outcome)
 
-	server  *Server
-	until   float64 // of the server's service clock, when it is done
-	place   int     // in the heap of those in work; -1 while waiting; -2 once over
-	counted bool
+	server      *Server
+	doneAtClock float64 // reading of the server's service clock at which the job is done
+	heapIndex   int     // index in Server.running; jobWaiting or jobDone outside it
+	counted     bool
 }
 
-// Load is what a server's report says.
+// Load is the content of a server's load report.
 type Load struct {
-	Inflight float64 // requests that it holds
-	Util     float64 // share of its cores in use
-	Served   float64 // requests a second
+	Inflight float64 // requests running and waiting
+	Util     float64 // share of the cores in use
+	Served   float64 // requests served per second
 }
 
-// Server is one slot server: cores shared evenly by the requests in work, a bounded queue before them, and the
-// ways in which real ones slow down, start cold, choke and fail. It belongs to the queue's goroutine.
+// Server is one slot server: cores that the running requests share evenly, behind a bounded queue. Like a real server,
+// it starts cold, slows down with many requests, chokes under overload and fails. It belongs to the queue's goroutine.
 type Server struct {
 	Number int
 	Name   string
@@ -59,44 +58,44 @@
 	Speed  float64
 
 	Running bool
-	Starts  int    // processes so far
-	Since   Micros // start of the present process
-	Cold    float64
-
-	w        *World
-	draw     randstream.Stream
-	working  jobHeap
-	waiting  []*Job
-	clock    float64 // service that each job in work has had, in microseconds at speed 1
-	clockAt  Micros
-	rate     float64 // at which it moves
-	next     *eventqueue.Event
-	conns    int
-	held     []int // connections by sidecar
-	warming  *eventqueue.Event
-	overFrom Micros // since when it holds too many; -1 if it does not
-	chokedAt Micros // -1 if not
-	restFrom Micros
-	fallen   bool
-	intake   window  // work sent to it while cold
-	carried  float64 // the most of that, of what it bears; below 0 where it is not cold, or has been told
-
-	// What faults make of it; each is a count or a product, since faults may overlap.
-	Hung       int
-	Slower     float64
-	Gray       []*scenario.Fault
-	FalseIdle  int
-	forceChoke int
-
-	busy    float64 // core-microseconds used
-	served  float64
-	reports []shown
-	lastAt  Micros
-	last    [2]float64 // busy and served at the last report
+	Starts  int     // processes started so far
+	Since   Micros  // start of the current process; before the run for one that started warm
+	Cold    float64 // warmth of the current process at its start
+
+	world                *World
+	stream               randstream.Stream
+	running              jobHeap
+	waiting              []*Job
+	serviceClock         float64 // service that a job running all along has received, in microseconds at speed 1
+	clockUpdatedAt       Micros
+	clockRate            float64 // service per microsecond
+	finishEvent          *eventqueue.Event
+	connections          int
+	connectionsBySidecar []int // by sidecar
+	warmUpEvent          *eventqueue.Event
+	overloadedSince      Micros // instant since which it holds too many requests to escape choking; -1 if it does not
+	chokedSince          Micros // -1 if overload has not choked it
+	recoveringSince      Micros // while choked, instant since which it has held few requests; -1 if it does not
+	collapsed            bool
+	coldWork             slidingSum // work sent while cold, within Rules.OverloadFor
+	maxColdLoadRatio     float64    // highest ratio of coldWork to its limit; -1 once reported, or if warm
+
+	// Effects of the faults in force. Each is a count, a product or a list, because faults may overlap.
+	Hung         int
+	Slower       float64
+	Gray         []*scenario.Fault
+	FalseIdle    int
+	forcedChokes int
+
+	busyMicros  float64 // core time used
+	servedCount float64
+	reports     []timedLoad
+	baselineAt  Micros
+	baseline    [2]float64 // busyMicros and servedCount at baselineAt, from which reports count
 }
 
-// shown is a report as of an instant.
-type shown struct {
+// timedLoad is a load report and the instant at which it was made.
+type timedLoad struct {
 	at   Micros
 	load Load
 }
@@ -104,14 +103,14 @@
 type jobHeap []*Job
 
 func (h jobHeap) Len() int           { return len(h) }
-func (h jobHeap) Less(i, j int) bool { return h[i].until < h[j].until }
+func (h jobHeap) Less(i, j int) bool { return h[i].doneAtClock < h[j].doneAtClock }
 func (h jobHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].place, h[j].place = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 func (h *jobHeap) Push(x any) {
 	j := x.(*Job)
-	j.place = len(*h)
+	j.heapIndex = len(*h)
 	*h = append(*h, j)
 }
 func (h *jobHeap) Pop() any {
@@ -119,24 +118,27 @@
 	j := (*h)[last]
 	(*h)[last] = nil
 	*h = (*h)[:last]
-	j.place = jobOver
+	j.heapIndex = jobDone
 	return j
 }
 
 const (
-	jobWaiting = -1
-	jobOver    = -2
-	warmStep   = 100 * 1000 // the rate of a warming server is set anew so often
-	pressSlack = 1.25       // on the work that a cold server bears, for chance: 2 roots of its requests and 2, and no more than this
-	pressLeast = 4          // and so many mean works
+	jobWaiting     = -1
+	jobDone        = -2
+	warmUpInterval = 100 * 1000 // microseconds between updates of a warming server's speed
+
+	// A cold server collapses only above a limit with slack for chance, over the N mean requests of work that it can take.
+	// The slack is 2*sqrt(N)+2 mean requests, and at most the excess of maxSlackFactor plus slackMeanWorks mean requests.
+	maxSlackFactor = 1.25
+	slackMeanWorks = 4
 )
 
 func (s *Server) cores() float64 { return float64(s.Spec.Cores) }
 
-// Capacity is what the server can do when warm, in microseconds of work a second.
+// Capacity returns the work that the server does per second when warm, in microseconds.
 func (s *Server) Capacity() float64 { return s.cores() * s.Speed * 1e6 }
 
-// Warmth is the share of it that the server has by now.
+// Warmth returns the share of its capacity that the server has at an instant: it rises linearly from Cold to 1.
 func (s *Server) Warmth(now Micros) float64 {
 	ramp := s.Spec.ColdFor.Micros()
 	if s.Starts <= 1 && s.Since < 0 || ramp <= 0 || now-s.Since >= ramp {
@@ -147,358 +149,373 @@
 
 func (s *Server) isCold(now Micros) bool { return s.Warmth(now) < 1 }
 
-// Start begins a process. One that has long been running is warm.
-func (s *Server) start(longAgo bool) {
-	now := s.w.Q.Now()
+// start starts a process, which is cold unless alreadyWarm.
+func (s *Server) start(alreadyWarm bool) {
+	now := s.world.Q.Now()
 	s.Running, s.Starts, s.Since = true, s.Starts+1, now
-	s.fallen, s.chokedAt, s.overFrom, s.restFrom = false, -1, -1, -1
-	s.Cold = s.draw.Uniform(s.Spec.ColdFrom[0], s.Spec.ColdFrom[len(s.Spec.ColdFrom)-1])
-	s.intake, s.carried = window{}, 0
-	s.reports, s.lastAt = nil, now
-	if longAgo {
+	s.collapsed, s.chokedSince, s.overloadedSince, s.recoveringSince = false, -1, -1, -1
+	s.Cold = s.stream.Uniform(s.Spec.ColdFrom[0], s.Spec.ColdFrom[len(s.Spec.ColdFrom)-1])
+	s.coldWork, s.maxColdLoadRatio = slidingSum{}, 0
+	s.reports, s.baselineAt = nil, now
+	if alreadyWarm {
 		s.Since = -1 << 40
 	}
-	s.clockAt = now
-	s.w.emit(trace.Event{At: now, Kind: trace.Started, Server: int32(s.Number), Capacity: s.Capacity(),
+	s.clockUpdatedAt = now
+	s.world.emit(trace.Event{At: now, Kind: trace.Started, Server: int32(s.Number), Capacity: s.Capacity(),
 		ColdFrom: s.Cold, ColdFor: max(0, s.Since+s.Spec.ColdFor.Micros()-now)})
-	s.retime()
-	s.warm()
+	s.reschedule()
+	s.scheduleWarmUp()
 }
 
-func (s *Server) warm() {
-	s.w.Q.Cancel(s.warming)
-	s.warming = nil
-	if s.Running && s.isCold(s.w.Q.Now()) {
-		s.warming = s.w.Q.After(warmStep, func() { s.retime(); s.warm() })
+// scheduleWarmUp updates the speed of a cold process at intervals until it is warm, and reports its cold load then.
+func (s *Server) scheduleWarmUp() {
+	s.world.Q.Cancel(s.warmUpEvent)
+	s.warmUpEvent = nil
+	if s.Running && s.isCold(s.world.Q.Now()) {
+		s.warmUpEvent = s.world.Q.After(warmUpInterval, func() { s.reschedule(); s.scheduleWarmUp() })
 	} else {
-		s.tellCarried()
+		s.reportColdLoad()
 	}
 }
 
-// tellCarried tells, once a process, how much it was sent while it was cold.
-func (s *Server) tellCarried() {
-	if s.carried > 0 {
-		s.w.emit(trace.Event{At: s.w.Q.Now(), Kind: trace.Carried, Server: int32(s.Number), Warmth: s.carried})
+// reportColdLoad records, once per process, how close to its limit the work came that it was sent while cold.
+func (s *Server) reportColdLoad() {
+	if s.maxColdLoadRatio > 0 {
+		s.world.emit(trace.Event{At: s.world.Q.Now(), Kind: trace.Carried, Server: int32(s.Number),
+			Warmth: s.maxColdLoadRatio})
 	}
-	s.carried = -1
+	s.maxColdLoadRatio = -1
 }
 
-// stop ends the process: what it holds breaks.
+// stop ends the process. The connections of its jobs break, and its other connections are closed.
 func (s *Server) stop() {
 	if !s.Running {
 		return
 	}
 	s.advance()
 	s.Running = false
-	s.tellCarried()
-	s.w.emit(trace.Event{At: s.w.Q.Now(), Kind: trace.Stopped, Server: int32(s.Number)})
-	jobs := append([]*Job(nil), s.working...)
+	s.reportColdLoad()
+	s.world.emit(trace.Event{At: s.world.Q.Now(), Kind: trace.Stopped, Server: int32(s.Number)})
+	jobs := append([]*Job(nil), s.running...)
 	jobs = append(jobs, s.waiting...)
-	s.working, s.waiting = nil, nil
-	for _, j := range jobs {
-		j.place = jobOver
-		j.Done(Broken)
-	}
-	for i := range s.held {
-		s.held[i] = 0
-	}
-	s.conns = 0
-	s.w.Q.Cancel(s.next)
-	s.w.Q.Cancel(s.warming)
-	s.next, s.warming = nil, nil
-	s.w.host.ServerStopped(s.Number)
+	s.running, s.waiting = nil, nil
+	for _, job := range jobs {
+		job.heapIndex = jobDone
+		job.Done(Broken)
+	}
+	for i := range s.connectionsBySidecar {
+		s.connectionsBySidecar[i] = 0
+	}
+	s.connections = 0
+	s.world.Q.Cancel(s.finishEvent)
+	s.world.Q.Cancel(s.warmUpEvent)
+	s.finishEvent, s.warmUpEvent = nil, nil
+	s.world.host.ServerStopped(s.Number)
 }
 
-// speedNow is the service that each of n jobs in work gets a microsecond.
-func (s *Server) speedNow(now Micros) float64 {
-	n := float64(len(s.working))
-	if n == 0 || s.Hung > 0 || !s.Running {
+// jobRate returns the service that each running job receives per microsecond. It falls with more jobs than cores, with
+// thrashing, choking and faults, and while the process is cold; it is 0 for a process that hangs.
+func (s *Server) jobRate(now Micros) float64 {
+	runningJobs := float64(len(s.running))
+	if runningJobs == 0 || s.Hung > 0 || !s.Running {
 		return 0
 	}
-	eff := 1.0
-	if per := n / s.cores(); per > s.Spec.ThrashAt {
-		eff = 1 / (1 + s.Spec.Thrash*(per-s.Spec.ThrashAt)/s.Spec.ThrashAt)
+	efficiency := 1.0
+	if jobsPerCore := runningJobs / s.cores(); jobsPerCore > s.Spec.ThrashAt {
+		efficiency = 1 / (1 + s.Spec.Thrash*(jobsPerCore-s.Spec.ThrashAt)/s.Spec.ThrashAt)
 	}
 	if s.Choked() {
-		if c := s.Spec.Choke; c != nil {
-			eff /= c.Slower
+		if choke := s.Spec.Choke; choke != nil {
+			efficiency /= choke.Slower
 		} else {
-			eff /= 3
+			efficiency /= 3
 		}
 	}
-	return s.Speed * s.Warmth(now) * eff / s.Slower * min(1, s.cores()/n)
+	return s.Speed * s.Warmth(now) * efficiency / s.Slower * min(1, s.cores()/runningJobs)
 }
 
-// Choked says whether the server is choked.
-func (s *Server) Choked() bool { return s.chokedAt >= 0 || s.forceChoke > 0 }
+// Choked reports whether the server runs at its choked speed, after an overload or by a fault.
+func (s *Server) Choked() bool { return s.chokedSince >= 0 || s.forcedChokes > 0 }
 
-// advance brings the service clock up to now.
+// advance moves the service clock to the current instant. It comes before every change of the running jobs.
 func (s *Server) advance() {
-	now := s.w.Q.Now()
-	dt := float64(now - s.clockAt)
-	s.clock += dt * s.rate
-	if n := float64(len(s.working)); s.Running {
-		s.busy += dt * min(n, s.cores())
+	now := s.world.Q.Now()
+	elapsed := float64(now - s.clockUpdatedAt)
+	s.serviceClock += elapsed * s.clockRate
+	if runningJobs := float64(len(s.running)); s.Running {
+		s.busyMicros += elapsed * min(runningJobs, s.cores())
 	}
-	s.clockAt = now
+	s.clockUpdatedAt = now
 }
 
-// retime sets the rate anew and the event at which the next job is done.
-func (s *Server) retime() {
+// reschedule updates the service rate and schedules the end of the next job. It comes after every change of the running
+// jobs or of the server's speed.
+func (s *Server) reschedule() {
 	s.advance()
-	now := s.w.Q.Now()
-	s.rate = s.speedNow(now)
-	s.w.Q.Cancel(s.next)
-	s.next = nil
-	if s.rate > 0 {
-		wait := math.Ceil(max(0, s.working[0].until-s.clock) / s.rate)
-		s.next = s.w.Q.At(now+Micros(min(wait, 1e12)), s.finish)
+	now := s.world.Q.Now()
+	s.clockRate = s.jobRate(now)
+	s.world.Q.Cancel(s.finishEvent)
+	s.finishEvent = nil
+	if s.clockRate > 0 {
+		delay := math.Ceil(max(0, s.running[0].doneAtClock-s.serviceClock) / s.clockRate)
+		s.finishEvent = s.world.Q.At(now+Micros(min(delay, 1e12)), s.finish)
 	}
 }
 
-// finish ends the jobs that are done.
+// finish completes the jobs that are done, and starts waiting ones in their place.
 func (s *Server) finish() {
 	s.advance()
 	var done []*Job
-	for len(s.working) > 0 && s.working[0].until <= s.clock+1e-6+s.rate/2 {
-		done = append(done, heap.Pop(&s.working).(*Job))
+	for len(s.running) > 0 && s.running[0].doneAtClock <= s.serviceClock+1e-6+s.clockRate/2 {
+		done = append(done, heap.Pop(&s.running).(*Job))
 	}
-	s.refill()
-	s.retime()
-	s.pressed()
-	for _, j := range done {
-		s.ended(j)
+	s.startWaiting()
+	s.reschedule()
+	s.updateChoke()
+	for _, job := range done {
+		s.complete(job)
 	}
 }
 
-// ended gives a job that is done its outcome.
-func (s *Server) ended(j *Job) {
-	how := Good
-	if j.Request != 0 {
-		s.served++
-		s.w.emit(trace.Event{At: s.w.Q.Now(), Kind: trace.Finished, Server: int32(s.Number), Request: j.Request, Work: Micros(j.Work)})
-		bad := s.Spec.Errors
-		for _, f := range s.Gray {
-			if s.grayFor(f, j) {
-				bad = 1 - (1-bad)*(1-f.Share)
+// complete ends a job that is done. An attempt fails with the server's error share and that of gray failures.
+func (s *Server) complete(job *Job) {
+	outcome := Good
+	if job.Request != 0 {
+		s.servedCount++
+		s.world.emit(trace.Event{At: s.world.Q.Now(), Kind: trace.Finished, Server: int32(s.Number),
+			Request: job.Request, Work: Micros(job.Work)})
+		errorShare := s.Spec.Errors
+		for _, fault := range s.Gray {
+			if s.hasGrayErrors(fault, job) {
+				errorShare = 1 - (1-errorShare)*(1-fault.Share)
 			}
 		}
-		if bad > 0 && s.draw.Bernoulli(bad) {
-			how = Bad
+		if errorShare > 0 && s.stream.Bernoulli(errorShare) {
+			outcome = Bad
 		}
 	}
-	j.Done(how)
+	job.Done(outcome)
 }
 
-func (s *Server) grayFor(f *scenario.Fault, j *Job) bool {
-	if f.Kind != "gray-errors" || f.Class != "" && f.Class != s.w.S.Classes[j.Class].Name {
+// hasGrayErrors reports whether a fault makes a share of such jobs fail: it is limited by class and sidecars.
+func (s *Server) hasGrayErrors(fault *scenario.Fault, job *Job) bool {
+	if fault.Kind != "gray-errors" || fault.Class != "" && fault.Class != s.world.S.Classes[job.Class].Name {
 		return false
 	}
-	if len(f.Sidecars) == 0 {
+	if len(fault.Sidecars) == 0 {
 		return true
 	}
-	for _, n := range f.Sidecars {
-		if n == j.Sidecar {
+	for _, n := range fault.Sidecars {
+		if n == job.Sidecar {
 			return true
 		}
 	}
 	return false
 }
 
-// refill takes waiting jobs into work.
-func (s *Server) refill() {
-	for len(s.waiting) > 0 && len(s.working) < s.Spec.Slots*s.Spec.Cores {
-		j := s.waiting[0]
+// startWaiting starts waiting jobs while the server has slots free.
+func (s *Server) startWaiting() {
+	for len(s.waiting) > 0 && len(s.running) < s.Spec.Slots*s.Spec.Cores {
+		job := s.waiting[0]
 		s.waiting = s.waiting[1:]
-		s.work(j)
+		s.startJob(job)
 	}
 }
 
-func (s *Server) work(j *Job) {
-	j.until = s.clock + j.Work
-	heap.Push(&s.working, j)
+func (s *Server) startJob(job *Job) {
+	job.doneAtClock = s.serviceClock + job.Work
+	heap.Push(&s.running, job)
 }
 
-// holds is how many requests the server holds.
-func (s *Server) holds() int { return len(s.working) + len(s.waiting) }
+// heldRequests returns how many jobs are running and waiting.
+func (s *Server) heldRequests() int { return len(s.running) + len(s.waiting) }
 
-// Begin takes a job. It says no when the server turns it away unseen.
-func (s *Server) Begin(j *Job) bool {
+// Begin starts a job or queues it. It returns false if the server does not run, or rejects an attempt because slots and
+// queue are full; Done is not called then. A handshake or a probe skips the queue.
+func (s *Server) Begin(job *Job) bool {
 	s.advance()
-	now := s.w.Q.Now()
-	j.server, j.place = s, jobWaiting
-	attempt := j.Request != 0
-	if attempt {
-		s.press(now, j)
+	now := s.world.Q.Now()
+	job.server, job.heapIndex = s, jobWaiting
+	isAttempt := job.Request != 0
+	if isAttempt {
+		s.countColdWork(now, job)
 	}
 	if !s.Running {
 		return false
 	}
-	if attempt && s.Hung == 0 && len(s.working) >= s.Spec.Slots*s.Spec.Cores && len(s.waiting) >= s.Spec.Queue {
-		s.w.emit(trace.Event{At: now, Kind: trace.Turned, Sidecar: int32(j.Sidecar), Server: int32(s.Number),
-			Request: j.Request, Class: uint8(j.Class), Work: Micros(j.Work)})
+	if isAttempt && s.Hung == 0 && len(s.running) >= s.Spec.Slots*s.Spec.Cores && len(s.waiting) >= s.Spec.Queue {
+		s.world.emit(trace.Event{At: now, Kind: trace.Turned, Sidecar: int32(job.Sidecar), Server: int32(s.Number),
+			Request: job.Request, Class: uint8(job.Class), Work: Micros(job.Work)})
 		return false
 	}
-	if attempt {
-		s.w.emit(trace.Event{At: now, Kind: trace.Accepted, Sidecar: int32(j.Sidecar), Server: int32(s.Number),
-			Request: j.Request, Class: uint8(j.Class), Work: Micros(j.Work)})
+	if isAttempt {
+		s.world.emit(trace.Event{At: now, Kind: trace.Accepted, Sidecar: int32(job.Sidecar), Server: int32(s.Number),
+			Request: job.Request, Class: uint8(job.Class), Work: Micros(job.Work)})
 	}
-	if attempt && len(s.working) >= s.Spec.Slots*s.Spec.Cores {
-		s.waiting = append(s.waiting, j)
+	if isAttempt && len(s.running) >= s.Spec.Slots*s.Spec.Cores {
+		s.waiting = append(s.waiting, job)
 	} else {
-		s.work(j)
+		s.startJob(job)
 	}
-	s.pressed()
-	s.retime()
+	s.updateChoke()
+	s.reschedule()
 	return true
 }
 
-// Cancel tells that nobody waits for a job any more, and says whether that freed it. Otherwise Done still comes.
-func (s *Server) Cancel(j *Job) bool {
-	if j.place == jobOver || j.server != s {
+// Cancel tells the server that the job's result is no longer needed. It reports whether the server dropped the job, as
+// its spec allows; otherwise Done is still called.
+func (s *Server) Cancel(job *Job) bool {
+	if job.heapIndex == jobDone || job.server != s {
 		return false
 	}
 	s.advance()
 	switch {
-	case j.place == jobWaiting && s.Spec.Cancel != "none":
-		for i, o := range s.waiting {
-			if o == j {
+	case job.heapIndex == jobWaiting && s.Spec.Cancel != "none":
+		for i, waitingJob := range s.waiting {
+			if waitingJob == job {
 				s.waiting = append(s.waiting[:i], s.waiting[i+1:]...)
 				break
 			}
 		}
-		j.place = jobOver
-	case j.place >= 0 && s.Spec.Cancel == "all":
-		heap.Remove(&s.working, j.place)
-		s.refill()
+		job.heapIndex = jobDone
+	case job.heapIndex >= 0 && s.Spec.Cancel == "all":
+		heap.Remove(&s.running, job.heapIndex)
+		s.startWaiting()
 	default:
 		return false
 	}
-	s.pressed()
-	s.retime()
+	s.updateChoke()
+	s.reschedule()
 	return true
 }
 
-// pressed sees whether the server holds too many for too long, or has rested, and chokes it or lets it go.
-func (s *Server) pressed() {
-	c := s.Spec.Choke
-	if c == nil {
+// updateChoke chokes a server that has held too many requests for too long, and ends the choke after a time with few of
+// them, or after the longest time for it.
+func (s *Server) updateChoke() {
+	choke := s.Spec.Choke
+	if choke == nil {
 		return
 	}
-	now, per := s.w.Q.Now(), float64(s.holds())/s.cores()
-	if s.chokedAt < 0 {
+	now, heldPerCore := s.world.Q.Now(), float64(s.heldRequests())/s.cores()
+	if s.chokedSince < 0 {
 		switch {
-		case per < c.At:
-			s.overFrom = -1
-		case s.overFrom < 0:
-			s.overFrom = now
-			s.w.Q.After(c.Over.Micros(), s.pressed)
-		case now-s.overFrom >= c.Over.Micros():
-			s.chokedAt, s.overFrom, s.restFrom = now, -1, -1
-			s.w.Q.After(c.Most.Micros(), s.pressed)
-			s.retime()
+		case heldPerCore < choke.At:
+			s.overloadedSince = -1
+		case s.overloadedSince < 0:
+			s.overloadedSince = now
+			s.world.Q.After(choke.Over.Micros(), s.updateChoke)
+		case now-s.overloadedSince >= choke.Over.Micros():
+			s.chokedSince, s.overloadedSince, s.recoveringSince = now, -1, -1
+			s.world.Q.After(choke.Most.Micros(), s.updateChoke)
+			s.reschedule()
 		}
 		return
 	}
 	switch {
-	case now-s.chokedAt >= c.Most.Micros():
-	case per > c.Below:
-		s.restFrom = -1
+	case now-s.chokedSince >= choke.Most.Micros():
+	case heldPerCore > choke.Below:
+		s.recoveringSince = -1
 		return
-	case s.restFrom < 0:
-		s.restFrom = now
-		s.w.Q.After(c.Rest.Micros(), s.pressed)
+	case s.recoveringSince < 0:
+		s.recoveringSince = now
+		s.world.Q.After(choke.Rest.Micros(), s.updateChoke)
 		return
-	case now-s.restFrom < c.Rest.Micros():
+	case now-s.recoveringSince < choke.Rest.Micros():
 		return
 	}
-	s.chokedAt, s.restFrom = -1, -1
-	s.retime()
+	s.chokedSince, s.recoveringSince = -1, -1
+	s.reschedule()
 }
 
-// press counts the work that a cold server is sent; one that gets too much for too long falls over.
-func (s *Server) press(now Micros, j *Job) {
-	if !s.isCold(now) || s.fallen {
+// countColdWork counts the work that a cold server is sent. The server's process stops if it exceeds the limit within
+// Rules.OverloadFor.
+func (s *Server) countColdWork(now Micros, job *Job) {
+	if !s.isCold(now) || s.collapsed {
 		return
 	}
-	r := &s.w.S.Rules
-	s.intake.add(now, j.Work, r.OverloadFor.Micros())
-	bears := r.FallMultiple * s.Capacity() * s.Warmth(now) * float64(r.OverloadFor.Micros()) / 1e6
-	mean := s.w.MeanWork()
-	limit := bears + min((pressSlack-1)*bears+pressLeast*mean, mean*(2*math.Sqrt(bears/mean)+2))
-	s.carried = max(s.carried, s.intake.sum/limit)
-	if s.intake.sum > limit && s.Running {
-		s.fallen = true
-		s.w.emit(trace.Event{At: now, Kind: trace.Fell, Server: int32(s.Number)})
-		s.w.Q.After(0, s.stop)
+	rules := &s.world.S.Rules
+	s.coldWork.add(now, job.Work, rules.OverloadFor.Micros())
+	maxWork := rules.FallMultiple * s.Capacity() * s.Warmth(now) * float64(rules.OverloadFor.Micros()) / 1e6
+	meanWork := s.world.MeanWork()
+	limit := maxWork + min((maxSlackFactor-1)*maxWork+slackMeanWorks*meanWork, meanWork*(2*math.Sqrt(maxWork/meanWork)+2))
+	s.maxColdLoadRatio = max(s.maxColdLoadRatio, s.coldWork.sum/limit)
+	if s.coldWork.sum > limit && s.Running {
+		s.collapsed = true
+		s.world.emit(trace.Event{At: now, Kind: trace.Fell, Server: int32(s.Number)})
+		s.world.Q.After(0, s.stop)
 	}
 }
 
-// window sums over the latest stretch of time.
-type window struct {
-	sum  float64
-	adds []struct {
-		at Micros
-		x  float64
+// slidingSum is the sum of the values that were added within a time window.
+type slidingSum struct {
+	sum     float64
+	samples []struct {
+		at    Micros
+		value float64
 	}
 }
 
-func (w *window) add(now Micros, x float64, span Micros) {
-	cut := 0
-	for cut < len(w.adds) && w.adds[cut].at < now-span {
-		w.sum -= w.adds[cut].x
-		cut++
-	}
-	w.adds = append(w.adds[cut:], struct {
-		at Micros
-		x  float64
-	}{now, x})
-	w.sum += x
+// add adds a value and drops those older than length.
+func (s *slidingSum) add(now Micros, value float64, length Micros) {
+	expired := 0
+	for expired < len(s.samples) && s.samples[expired].at < now-length {
+		s.sum -= s.samples[expired].value
+		expired++
+	}
+	s.samples = append(s.samples[expired:], struct {
+		at    Micros
+		value float64
+	}{now, value})
+	s.sum += value
 }
 
-// Open takes a connection of a sidecar. Full says that it is over the cap: what comes on it is turned away.
+// Open accepts a connection of a sidecar. With full, the connection exceeds the server's limit: it isn't counted, and
+// requests on it are rejected.
 func (s *Server) Open(sidecar int) (full bool) {
-	if s.conns >= s.Spec.ConnCap {
-		s.w.emit(trace.Event{At: s.w.Q.Now(), Kind: trace.Shut, Sidecar: int32(sidecar), Server: int32(s.Number)})
+	if s.connections >= s.Spec.ConnCap {
+		s.world.emit(trace.Event{At: s.world.Q.Now(), Kind: trace.Shut, Sidecar: int32(sidecar), Server: int32(s.Number)})
 		return true
 	}
-	s.conns++
-	s.held[sidecar]++
-	s.w.emit(trace.Event{At: s.w.Q.Now(), Kind: trace.Opened, Sidecar: int32(sidecar), Server: int32(s.Number)})
+	s.connections++
+	s.connectionsBySidecar[sidecar]++
+	s.world.emit(trace.Event{At: s.world.Q.Now(), Kind: trace.Opened, Sidecar: int32(sidecar), Server: int32(s.Number)})
 	return false
 }
 
-// Close ends a connection that Open took in the same process.
+// Close ends a connection that Open counted. It does nothing if the process has ended that accepted it: starts is the
+// value of Starts at that time.
 func (s *Server) Close(sidecar, starts int) {
 	if starts != s.Starts || !s.Running {
 		return
 	}
-	s.conns--
-	s.held[sidecar]--
-	s.w.emit(trace.Event{At: s.w.Q.Now(), Kind: trace.Closed, Sidecar: int32(sidecar), Server: int32(s.Number)})
+	s.connections--
+	s.connectionsBySidecar[sidecar]--
+	s.world.emit(trace.Event{At: s.world.Q.Now(), Kind: trace.Closed, Sidecar: int32(sidecar), Server: int32(s.Number)})
 }
 
-// Report returns what the server tells of its load now: refreshed now and then, late, and a little noisy.
+// Report returns the load report that the server sends now. Its spec sets how often a report is made, how old the one
+// that is sent must be, and its noise.
 func (s *Server) Report() Load {
-	now, r := s.w.Q.Now(), &s.Spec.Report
-	if every := r.Every.Micros(); len(s.reports) == 0 || now-s.reports[len(s.reports)-1].at >= every {
+	now, spec := s.world.Q.Now(), &s.Spec.Report
+	if interval := spec.Every.Micros(); len(s.reports) == 0 || now-s.reports[len(s.reports)-1].at >= interval {
 		s.advance()
-		dt := max(1, float64(now-s.lastAt))
-		noise := func() float64 { return 1 + r.Noise*s.draw.NormFloat64() }
-		l := Load{Inflight: float64(s.holds()) * noise(), Util: min(1, (s.busy-s.last[0])/dt/s.cores()) * noise(),
-			Served: (s.served - s.last[1]) / dt * 1e6 * noise()}
-		if now-s.lastAt > 500_000 {
-			s.last, s.lastAt = [2]float64{s.busy, s.served}, now
+		elapsed := max(1, float64(now-s.baselineAt))
+		noise := func() float64 { return 1 + spec.Noise*s.stream.NormFloat64() }
+		load := Load{Inflight: float64(s.heldRequests()) * noise(),
+			Util:   min(1, (s.busyMicros-s.baseline[0])/elapsed/s.cores()) * noise(),
+			Served: (s.servedCount - s.baseline[1]) / elapsed * 1e6 * noise()}
+		if now-s.baselineAt > 500_000 {
+			s.baseline, s.baselineAt = [2]float64{s.busyMicros, s.servedCount}, now
 		}
-		s.reports = append(s.reports, shown{now, l})
+		s.reports = append(s.reports, timedLoad{now, load})
 	}
-	for len(s.reports) > 1 && s.reports[1].at <= now-r.Delay.Micros() {
+	for len(s.reports) > 1 && s.reports[1].at <= now-spec.Delay.Micros() {
 		s.reports = s.reports[1:]
 	}
-	l := s.reports[0].load
+	load := s.reports[0].load
 	if s.FalseIdle > 0 {
-		l.Inflight, l.Util = 0, 0
+		load.Inflight, load.Util = 0, 0
 	}
-	l.Inflight = math.Max(0, math.Round(l.Inflight))
-	return l
+	load.Inflight = math.Max(0, math.Round(load.Inflight))
+	return load
 }
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -1,7 +1,8 @@
-// Package model is the booking system that the lab plays: slot servers, discovery, clients, operators, and what goes
-// wrong with them. It is one model for two hosts: package sim moves it in virtual time, package rig on real sockets.
+// Package model models the booking system of the lab's scenarios: slot servers, discovery, clients, operators, and the
+// faults injected into them. Two hosts share the model: package sim runs it in virtual time, package rig in real time
+// over sockets.
 //
-// All of it runs on the goroutine of its queue of events. It knows of sidecars only what a Host tells.
+// All code of the package runs on the goroutine of the event queue. The model sees sidecars only through a Host.
 package model
 
 import (
@@ -14,22 +15,23 @@
 	"birchmoor/internal/lab/trace"
 )
 
-// Host carries what the world says to sidecars. Its methods are called on the queue's goroutine and must not wait.
+// Host connects the world to the sidecars. Its methods are called on the queue's goroutine and must not block.
 type Host interface {
 	Ask(*Try)                                 // a client sends a request to its sidecar
-	GiveUp(*Try)                              // and does not wait for its answer any more
+	GiveUp(*Try)                              // a client stops waiting for the answer to its request
 	ServerStarted(server int)                 //
-	ServerStopped(server int)                 // its connections are broken
-	Fault(f *scenario.Fault, on bool)         // a fault of links or of sidecars
-	Operate(server int, out bool)             // operators take a server out at all sidecars, or call it back
-	Update(sidecar int, u Update, after Told) // discovery's word goes out on a watch that is open
-	WatchEnded(sidecar int)                   // discovery ends the watch, or the call for it failed
+	ServerStopped(server int)                 // the server's process ended, and its connections are reset
+	Fault(f *scenario.Fault, on bool)         // a fault of links or of sidecars begins or ends
+	Operate(server int, out bool)             // operators begin or end a server's administrative drain, at all sidecars
+	Update(sidecar int, u Update, after Told) // discovery sends an update on an open watch
+	WatchEnded(sidecar int)                   // discovery ends the watch of a sidecar, for an outage
 }
 
-// Told is to be called once an update has gone out to the sidecar.
+// Told is the callback of Host.Update. The host calls it once it has sent the update to the sidecar; the trace records
+// the update at that instant.
 type Told func()
 
-// World is the whole system but the sidecars.
+// World is the whole system except the sidecars. Its state belongs to the queue's goroutine.
 type World struct {
 	Q       *eventqueue.Queue
 	S       *scenario.Scenario
@@ -37,44 +39,45 @@
 	Servers []*Server
 	Disc    *Discovery
 
-	origin  Micros // of the scenario's times
-	host    Host
-	sink    trace.Sink
-	rates   []float64 // of first tries, by sidecar
-	shares  []float64 // of classes, summed up
-	open    int       // tasks without an end
-	callers int       // sidecars whose arrivals go on
-	tasks   uint64
+	scenarioStart    Micros // instant at which the scenario's times begin
+	host             Host
+	sink             trace.Sink
+	requestRates     []float64 // first requests of tasks per second, by sidecar
+	cumulativeShares []float64 // shares of the classes up to each one, in sum
+	openTasks        int       // tasks that have begun and not ended
+	arrivingSidecars int       // sidecars that have arrivals left
+	tasks            uint64
 }
 
-// Try is one request of a client.
+// Try is one request of a client: the first one of its task, or a retry by the client.
 type Try struct {
-	ID      uint64
-	Task    *Task
-	Number  int
-	Asked   Micros // as planned
-	Due     Micros // until when the client waits
-	Patient Micros // how long that is
-	ended   bool
-	timeUp  *eventqueue.Event
+	ID   uint64
+	Task *Task
+	// Number is 0 for the first request of the task and counts the client's retries from there.
+	Number       int
+	Asked        Micros // instant at which the client sends the request
+	Due          Micros // instant at which the client times out
+	Patient      Micros // the client's timeout: Due minus Asked
+	done         bool
+	timeoutEvent *eventqueue.Event
 
-	Host any // the host's own
+	Host any // state of the host; the model does not use it
 }
 
-// Task is what a client wants. All its tries belong to it.
+// Task is an operation that a client wants done. A client sends a request for it, and may send it again.
 type Task struct {
 	ID      uint64
 	Sidecar int
 	Class   int
-	At      Micros
-	Work    Micros
-	Hint    Micros // 0 for none
-	GiveUp  Micros
+	At      Micros // arrival
+	Work    Micros // service time on a core of speed 1
+	Hint    Micros // estimate of Work that the client sends along; 0 for none
+	GiveUp  Micros // deadline of the task
 
-	draw randstream.Stream
+	stream randstream.Stream
 }
 
-// New makes the world of a scenario and a seed. Nothing runs before Begin.
+// New returns the world of a scenario and a seed. Events go to sink. Prepare and then Begin start it.
 func New(q *eventqueue.Queue, s *scenario.Scenario, seed uint64, host Host, sink trace.Sink) *World {
 	w := &World{Q: q, S: s, Seed: randstream.Seed(seed), host: host, sink: sink}
 	zones := len(s.Fleet.Zones)
@@ -82,47 +85,48 @@
 		for range s.Servers[kind].Count {
 			n := len(w.Servers)
 			spec := &s.Servers[kind]
-			d := w.Seed.Stream("server", uint64(n))
-			sv := &Server{Number: n, Name: fmt.Sprintf("s-%04x", n+1), Kind: kind, Cell: n / 4, Spec: spec, w: w,
-				Slower: 1, Speed: d.Uniform(spec.Speed[0], spec.Speed[len(spec.Speed)-1]), draw: d,
-				held: make([]int, s.Fleet.Sidecars), chokedAt: -1, overFrom: -1, restFrom: -1, Zone: n % zones}
-			w.Servers = append(w.Servers, sv)
+			stream := w.Seed.Stream("server", uint64(n))
+			server := &Server{Number: n, Name: fmt.Sprintf("s-%04x", n+1), Kind: kind, Cell: n / 4, Spec: spec, world: w,
+				Slower: 1, Speed: stream.Uniform(spec.Speed[0], spec.Speed[len(spec.Speed)-1]), stream: stream,
+				connectionsBySidecar: make([]int, s.Fleet.Sidecars), chokedSince: -1,
+				overloadedSince: -1, recoveringSince: -1, Zone: n % zones}
+			w.Servers = append(w.Servers, server)
 		}
 	}
 	w.Disc = newDiscovery(w)
-	d := w.Seed.Stream("shares")
+	stream := w.Seed.Stream("shares")
 	var sum float64
 	for range s.Fleet.Sidecars {
-		x := d.Lognormal(1, s.Fleet.Skew)
-		w.rates = append(w.rates, x)
-		sum += x
+		weight := stream.Lognormal(1, s.Fleet.Skew)
+		w.requestRates = append(w.requestRates, weight)
+		sum += weight
 	}
-	for i := range w.rates {
-		w.rates[i] *= s.Load.Rate / sum
+	for i := range w.requestRates {
+		w.requestRates[i] *= s.Load.Rate / sum
 	}
 	sum = 0
 	for i := range s.Classes {
 		sum += s.Classes[i].Share
-		w.shares = append(w.shares, sum)
+		w.cumulativeShares = append(w.cumulativeShares, sum)
 	}
 	return w
 }
 
-// Names of the sidecars' zones: they go round.
+// SidecarZone returns the index of a sidecar's zone. Sidecars are assigned to the zones in turn.
 func (w *World) SidecarZone(n int) int { return n % len(w.S.Fleet.Zones) }
 
-func (w *World) emit(e trace.Event) { w.sink.Take(e) }
+func (w *World) emit(event trace.Event) { w.sink.Take(event) }
 
-// MeanWork is the mean work of a request.
+// MeanWork returns the mean work of a request over all classes, in microseconds on a core of speed 1.
 func (w *World) MeanWork() float64 {
 	var work float64
 	for i := range w.S.Classes {
 		work += w.S.Classes[i].Share * float64(w.S.Classes[i].Work.Micros())
 	}
-	return work / w.shares[len(w.shares)-1]
+	return work / w.cumulativeShares[len(w.cumulativeShares)-1]
 }
 
-// Prepare starts the servers and lists them, as of long ago.
+// Prepare starts the servers and adds them to discovery's list. Servers are warm, except those of a fault of kind cold.
 func (w *World) Prepare() {
 	cold := map[int]bool{}
 	for i := range w.S.Faults {
@@ -134,37 +138,37 @@
 	}
 	for _, s := range w.Servers {
 		s.start(!cold[s.Number])
-		w.Disc.list(s.Number, !cold[s.Number])
+		w.Disc.addInitial(s.Number, !cold[s.Number])
 		w.host.ServerStarted(s.Number)
 	}
 }
 
-// Begin begins the arrivals and the faults.
+// Begin schedules the arrivals and the faults, relative to the current instant.
 func (w *World) Begin() {
-	w.origin = w.Q.Now()
-	for n := range w.rates {
-		w.callers++
-		w.arrivals(n)
+	w.scenarioStart = w.Q.Now()
+	for n := range w.requestRates {
+		w.arrivingSidecars++
+		w.scheduleArrivals(n)
 	}
 	for i := range w.S.Faults {
-		w.fault(&w.S.Faults[i], i)
+		w.scheduleFault(&w.S.Faults[i], i)
 	}
-	w.gauge()
+	w.recordGauges()
 }
 
-// Origin is the instant at which the scenario's times begin.
-func (w *World) Origin() Micros { return w.origin }
+// Origin returns the instant of Begin, from which the scenario's times count.
+func (w *World) Origin() Micros { return w.scenarioStart }
 
-// Done says whether all that was asked has ended.
-func (w *World) Done() bool { return w.callers == 0 && w.open == 0 }
+// Done reports whether no arrivals are left and all tasks have ended.
+func (w *World) Done() bool { return w.arrivingSidecars == 0 && w.openTasks == 0 }
 
-// Open is how many tasks have no end yet.
-func (w *World) Open() int { return w.open }
+// Open returns how many tasks have begun and not ended.
+func (w *World) Open() int { return w.openTasks }
 
-// gauge reports the servers' state now and then.
-func (w *World) gauge() {
+// recordGauges records the state of each server, four times a second for up to 49 servers and less often for more.
+func (w *World) recordGauges() {
 	now := w.Q.Now()
-	if now > w.origin+w.S.Length.Micros()+2*eventqueue.Second {
+	if now > w.scenarioStart+w.S.Length.Micros()+2*eventqueue.Second {
 		return
 	}
 	for _, s := range w.Servers {
@@ -172,38 +176,38 @@
 		if !s.Running {
 			warmth = 0
 		}
-		w.emit(trace.Event{At: now, Kind: trace.Gauge, Server: int32(s.Number), Held: int32(s.holds()),
+		w.emit(trace.Event{At: now, Kind: trace.Gauge, Server: int32(s.Number), Held: int32(s.heldRequests()),
 			Queued: int32(len(s.waiting)), Warmth: warmth, Slow: s.Choked()})
 	}
-	w.Q.At(now+eventqueue.Second/4*Micros(1+len(w.Servers)/50), w.gauge)
+	w.Q.At(now+eventqueue.Second/4*Micros(1+len(w.Servers)/50), w.recordGauges)
 }
 
 // ---- Clients ---------------------------------------------------------------
 
-// arrivals draws the arrivals at a sidecar, one by one, from a stream of its own: they depend on nothing that the
-// program does. They are drawn at the highest rate and thinned to the present one.
-func (w *World) arrivals(sidecar int) {
-	d := w.Seed.Stream("arrivals", uint64(sidecar))
+// scheduleArrivals draws the arrivals at a sidecar, one by one, from a stream of their own, so that they do not depend
+// on what the sidecars do. Arrivals are drawn at the highest rate of the run and thinned to the current one.
+func (w *World) scheduleArrivals(sidecar int) {
+	stream := w.Seed.Stream("arrivals", uint64(sidecar))
 	length := w.S.Length.Micros()
-	most := w.mostFactor()
-	rate := w.rates[sidecar] * most
-	at := 0.0
-	n := uint64(0)
+	maxFactor := w.maxRateFactor()
+	rate := w.requestRates[sidecar] * maxFactor
+	offset := 0.0
+	count := uint64(0)
 	var next func()
 	next = func() {
 		for {
-			at += d.Exponential(1e6 / rate)
-			if at >= float64(length) {
-				w.callers--
+			offset += stream.Exponential(1e6 / rate)
+			if offset >= float64(length) {
+				w.arrivingSidecars--
 				return
 			}
-			now := Micros(at)
-			if d.Bernoulli(w.S.Load.RateAt(at/float64(length)) * w.S.Factor(now) / most) {
-				n++
-				t := w.task(sidecar, n, now)
-				w.Q.At(w.origin+now, func() {
-					w.open++
-					w.ask(t, 0)
+			now := Micros(offset)
+			if stream.Bernoulli(w.S.Load.RateAt(offset/float64(length)) * w.S.Factor(now) / maxFactor) {
+				count++
+				t := w.drawTask(sidecar, count, now)
+				w.Q.At(w.scenarioStart+now, func() {
+					w.openTasks++
+					w.sendRequest(t, 0)
 					next()
 				})
 				return
@@ -213,129 +217,133 @@
 	next()
 }
 
-// mostFactor is by how much the rate may go above the scenario's.
-func (w *World) mostFactor() float64 {
-	most, factor := 1.0, 1.0
+// maxRateFactor returns an upper bound of the arrival rate, as a multiple of the scenario's rate.
+func (w *World) maxRateFactor() float64 {
+	maxShape, burstFactor := 1.0, 1.0
 	for i := range 1001 {
-		most = max(most, w.S.Load.RateAt(float64(i)/1000))
+		maxShape = max(maxShape, w.S.Load.RateAt(float64(i)/1000))
 	}
 	for i := range w.S.Faults {
 		if f := &w.S.Faults[i]; f.Kind == "burst" && f.Factor > 1 {
-			factor *= f.Factor // bursts may overlap
+			burstFactor *= f.Factor // bursts may overlap
 		}
 	}
-	return most * factor
+	return maxShape * burstFactor
 }
 
-// task draws what a client wants; at counts from the origin.
-func (w *World) task(sidecar int, n uint64, at Micros) *Task {
-	d := w.Seed.Stream("task", uint64(sidecar), n)
-	t := &Task{ID: uint64(sidecar)<<32 | n, Sidecar: sidecar, At: w.origin + at, draw: d}
-	pick := d.Float64() * w.shares[len(w.shares)-1]
-	for t.Class < len(w.shares)-1 && pick >= w.shares[t.Class] {
-		t.Class++
+// drawTask draws the task of an arrival, which is the given number of its sidecar. The offset counts from the origin.
+func (w *World) drawTask(sidecar int, number uint64, offset Micros) *Task {
+	stream := w.Seed.Stream("task", uint64(sidecar), number)
+	task := &Task{ID: uint64(sidecar)<<32 | number, Sidecar: sidecar, At: w.scenarioStart + offset, stream: stream}
+	pick := stream.Float64() * w.cumulativeShares[len(w.cumulativeShares)-1]
+	for task.Class < len(w.cumulativeShares)-1 && pick >= w.cumulativeShares[task.Class] {
+		task.Class++
 	}
-	c := &w.S.Classes[t.Class]
-	mean := float64(c.Work.Micros())
+	class := &w.S.Classes[task.Class]
+	mean := float64(class.Work.Micros())
 	work := mean
-	switch c.Dist {
+	switch class.Dist {
 	case "exp":
-		work = d.Exponential(mean)
+		work = stream.Exponential(mean)
 	case "lognormal":
-		work = d.Lognormal(mean, c.CV)
+		work = stream.Lognormal(mean, class.CV)
 	case "pareto":
-		work = d.BoundedPareto(mean)
+		work = stream.BoundedPareto(mean)
 	}
-	heavy := d.Float64()
+	heavyTailDraw := stream.Float64()
 	for i := range w.S.Faults {
-		f := &w.S.Faults[i]
-		if f.Kind == "heavy-tail" && at >= f.At.Micros() && at < f.At.Micros()+f.For.Micros() &&
-			(f.Class == "" || f.Class == c.Name) && heavy < f.Share {
-			work *= f.Factor
+		fault := &w.S.Faults[i]
+		if fault.Kind == "heavy-tail" && offset >= fault.At.Micros() && offset < fault.At.Micros()+fault.For.Micros() &&
+			(fault.Class == "" || fault.Class == class.Name) && heavyTailDraw < fault.Share {
+			work *= fault.Factor
 		}
 	}
-	t.Work = max(1, Micros(work))
+	task.Work = max(1, Micros(work))
 	switch w.S.Load.Hints {
 	case "exact":
-		t.Hint = t.Work
+		task.Hint = task.Work
 	case "rough":
-		t.Hint = max(1, Micros(work*d.Lognormal(1, 0.5)))
+		task.Hint = max(1, Micros(work*stream.Lognormal(1, 0.5)))
 	}
-	t.GiveUp = t.At + c.GiveUp.Micros()
-	return t
+	task.GiveUp = task.At + class.GiveUp.Micros()
+	return task
 }
 
-// TryBits is how many bits of a request's ID count the tries of its task.
+// TryBits is the number of low bits of a request's ID that hold the request's number within its task.
 const TryBits = 4
 
-// ask sends a task's next try.
-func (w *World) ask(t *Task, number int) {
+// sendRequest sends the next request of a task, unless less than half of a request's timeout is left until the task's
+// deadline: the task ends then.
+func (w *World) sendRequest(task *Task, number int) {
 	now := w.Q.Now()
-	c := &w.S.Classes[t.Class]
-	patient := Micros(w.S.Clients.TryShare * float64(c.GiveUp.Micros()))
-	if now >= t.GiveUp-patient/2 {
-		w.open--
-		return // not worth another try
+	class := &w.S.Classes[task.Class]
+	timeout := Micros(w.S.Clients.TryShare * float64(class.GiveUp.Micros()))
+	if now >= task.GiveUp-timeout/2 {
+		w.openTasks--
+		return
 	}
-	y := &Try{ID: t.ID<<TryBits | uint64(number), Task: t, Number: number, Asked: now, Due: now + min(patient, t.GiveUp-now)}
-	y.Patient = y.Due - now
-	w.emit(trace.Event{At: now, Kind: trace.Asked, Request: y.ID, Task: t.ID, Class: uint8(t.Class),
-		Sidecar: int32(t.Sidecar), Work: t.Work, Due: y.Due, Retry: number > 0})
-	y.timeUp = w.Q.At(y.Due+w.slack(), func() {
-		if !y.ended {
-			y.ended = true
-			w.emit(trace.Event{At: w.Q.Now(), Kind: trace.Left, Request: y.ID})
-			w.host.GiveUp(y)
-			w.again(y, trace.Failed, 0)
+	request := &Try{ID: task.ID<<TryBits | uint64(number), Task: task, Number: number, Asked: now,
+		Due: now + min(timeout, task.GiveUp-now)}
+	request.Patient = request.Due - now
+	w.emit(trace.Event{At: now, Kind: trace.Asked, Request: request.ID, Task: task.ID, Class: uint8(task.Class),
+		Sidecar: int32(task.Sidecar), Work: task.Work, Due: request.Due, Retry: number > 0})
+	request.timeoutEvent = w.Q.At(request.Due+w.answerGrace(), func() {
+		if !request.done {
+			request.done = true
+			w.emit(trace.Event{At: w.Q.Now(), Kind: trace.Left, Request: request.ID})
+			w.host.GiveUp(request)
+			w.retryOrEnd(request, trace.Failed, 0)
 		}
 	})
-	w.host.Ask(y)
+	w.host.Ask(request)
 }
 
-// slack is for how long after its due time a client still reads an answer that is on its way.
-func (w *World) slack() Micros { return 70_000 }
+// answerGrace returns how long after its timeout a client still accepts an answer that is on its way.
+func (w *World) answerGrace() Micros { return 70_000 }
 
-// Answer tells that a client has its whole answer.
-func (w *World) Answer(y *Try, at Micros, v trace.Verdict, retryAfter Micros) {
-	if y.ended {
-		// It is a second answer, or came after the client had gone.
-		w.emit(trace.Event{At: at, Kind: trace.Answered, Request: y.ID, Verdict: v})
+// Answer records that a client has received a complete answer. The client retries, or its task ends.
+func (w *World) Answer(request *Try, at Micros, verdict trace.Verdict, retryAfter Micros) {
+	if request.done {
+		// It is a second answer, or arrived after the client had stopped waiting. The trace gets it all the same.
+		w.emit(trace.Event{At: at, Kind: trace.Answered, Request: request.ID, Verdict: verdict})
 		return
 	}
-	y.ended = true
-	w.Q.Cancel(y.timeUp)
-	w.emit(trace.Event{At: at, Kind: trace.Answered, Request: y.ID, Verdict: v})
-	w.again(y, v, retryAfter)
+	request.done = true
+	w.Q.Cancel(request.timeoutEvent)
+	w.emit(trace.Event{At: at, Kind: trace.Answered, Request: request.ID, Verdict: verdict})
+	w.retryOrEnd(request, verdict, retryAfter)
 }
 
-// CutOff tells that the sidecar closed a client's connection with no answer; refused says that it never took the
-// request, so that a retry is harmless.
-func (w *World) CutOff(y *Try, at Micros, unheard bool) {
-	if y.ended {
+// CutOff records that the sidecar closed a client's connection without an answer. With neverAccepted, no sidecar had
+// accepted the request, so that a retry cannot execute it twice.
+func (w *World) CutOff(request *Try, at Micros, neverAccepted bool) {
+	if request.done {
 		return
 	}
-	y.ended = true
-	w.Q.Cancel(y.timeUp)
-	if unheard {
-		w.emit(trace.Event{At: at, Kind: trace.Left, Request: y.ID, Note: "unheard"})
-		w.again(y, trace.Refused, 0)
+	request.done = true
+	w.Q.Cancel(request.timeoutEvent)
+	if neverAccepted {
+		w.emit(trace.Event{At: at, Kind: trace.Left, Request: request.ID, Note: "unheard"})
+		w.retryOrEnd(request, trace.Refused, 0)
 		return
 	}
-	w.emit(trace.Event{At: at, Kind: trace.Cut, Request: y.ID})
-	w.again(y, trace.Failed, 0)
+	w.emit(trace.Event{At: at, Kind: trace.Cut, Request: request.ID})
+	w.retryOrEnd(request, trace.Failed, 0)
 }
 
-// again has the client try again, if it would, or ends its task.
-func (w *World) again(y *Try, v trace.Verdict, retryAfter Micros) {
-	t, c := y.Task, &w.S.Clients
-	unsafe := w.S.Classes[t.Class].Unsafe
-	if v == trace.Served || v == trace.Foreign || y.Number >= c.Retries || v == trace.Failed && unsafe {
-		w.open--
+// retryOrEnd schedules the client's retry after a request that ended with the verdict, or ends the task. There is no
+// retry after the last one, nor after a failure in a class that must not execute twice.
+func (w *World) retryOrEnd(request *Try, verdict trace.Verdict, retryAfter Micros) {
+	task, clients := request.Task, &w.S.Clients
+	unsafe := w.S.Classes[task.Class].Unsafe
+	if verdict == trace.Served || verdict == trace.Foreign || request.Number >= clients.Retries ||
+		verdict == trace.Failed && unsafe {
+		w.openTasks--
 		return
 	}
-	wait := Micros(t.draw.Exponential(float64(c.Backoff.Micros())) * math.Pow(2, float64(y.Number)))
-	if heed := t.draw.Bernoulli(c.Honour); heed && retryAfter > 0 {
-		wait = retryAfter
+	delay := Micros(task.stream.Exponential(float64(clients.Backoff.Micros())) * math.Pow(2, float64(request.Number)))
+	if honoursRetryAfter := task.stream.Bernoulli(clients.Honour); honoursRetryAfter && retryAfter > 0 {
+		delay = retryAfter
 	}
-	w.Q.After(wait, func() { w.ask(t, y.Number+1) })
+	w.Q.After(delay, func() { w.sendRequest(task, request.Number+1) })
 }
