--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -8,178 +8,182 @@
 	"birchmoor/internal/lab/trace"
 )
 
-// node is one process of a sidecar: a decision module, and the little that the real program does around it.
+// node is one process of a sidecar: it hosts a decision module and simulates what the real program does around it. All
+// its methods run on the queue's goroutine.
 type node struct {
-	h        *host
-	number   int
-	zone     int
-	settings balancer.Settings
-	b        balancer.Module
-	draw     randstream.Stream
-	calls    map[uint64]*call
-	last     uint64
-	idle     [][]*conn // by server, the latest last
-	after    int64     // generation of the list
-	asking   bool      // a call of discovery is under way, or the watch is open
-	wait     Micros    // before the next, where discovery is watched for good
-	frozen   Micros    // until when nothing is done
-	dead     bool
-	retired  bool   // takes nothing new
-	untap    func() // ends what records it; nil if nothing does
-	next     *node  // took over from this one
-}
-
-// call is a client's request.
+	host         *host
+	number       int
+	zone         int
+	settings     balancer.Settings
+	module       balancer.Module
+	stream       randstream.Stream
+	calls        map[uint64]*call
+	lastID       uint64
+	idle         [][]*conn // by server, in the order in which they became idle
+	generation   int64     // of the endpoint list that the module has
+	watching     bool      // a call for a watch is under way, or the watch is open
+	watchBackoff Micros    // backoff before the next call for a watch, without Settings.Subscribe
+	frozenUntil  Micros    // instant until which the process does not run
+	dead         bool
+	retired      bool   // drains: it accepts no new requests
+	stopTap      func() // ends the recording of the process; nil if it is not recorded
+	successor    *node  // process that an upgrade started in place of this one, or nil
+}
+
+// call is a client's request at its sidecar.
 type call struct {
-	node     *node
-	try      *model.Try
-	id       uint64
-	deadline Micros
-	attempts []*attempt
-	out      int
-	ended    bool
+	node         *node
+	request      *model.Try
+	id           uint64
+	deadline     Micros
+	attempts     []*attempt
+	openAttempts int
+	ended        bool // the client has its final answer, or has gone
 }
 
-// attempt is one send.
+// attempt is one attempt of a call at a server.
 type attempt struct {
-	call   *call
-	number int
-	server int
-	sent   Micros
-	timeUp *eventqueue.Event
-	done   bool
-	went   bool // its first byte is out
-	conn   *conn
-	job    *model.Job
+	call         *call
+	number       int
+	server       int
+	sent         Micros
+	timeoutEvent *eventqueue.Event
+	done         bool
+	written      bool // its first byte has been written
+	conn         *conn
+	job          *model.Job
 }
 
 // conn is a connection to a server's process.
 type conn struct {
-	server int
-	starts int // of the server's process
-	full   bool
-	ready  bool   // the handshake is done
-	first  func() // waits for that
-	idleAt Micros
-	closed bool
+	server       int
+	serverStarts int    // the server's Starts when the connection was opened, which identifies its process
+	overLimit    bool   // the server rejects all requests on it
+	ready        bool   // the handshake is complete
+	onReady      func() // called once the handshake is complete; may be nil
+	idleSince    Micros
+	closed       bool
 }
 
-const openWait = 100 * 1000
+// minWatchBackoff is the first backoff after a failed watch, in microseconds.
+const minWatchBackoff = 100 * 1000
 
 func (h *host) newNode(number int, settings balancer.Settings) *node {
-	n := &node{h: h, number: number, zone: h.w.SidecarZone(number), settings: settings, calls: map[uint64]*call{},
-		idle: make([][]*conn, len(h.w.Servers)), draw: h.seed.Stream("network", uint64(number), uint64(h.q.Now()))}
-	seed := n.draw.Uint64()
-	begin := func(out balancer.Actions) (*balancer.Balancer, error) { return balancer.New(settings, seed, out) }
-	if h.tap != nil && number == h.tapped {
-		h.starts++
+	process := &node{host: h, number: number, zone: h.world.SidecarZone(number), settings: settings,
+		calls: map[uint64]*call{}, idle: make([][]*conn, len(h.world.Servers)),
+		stream: h.seed.Stream("network", uint64(number), uint64(h.queue.Now()))}
+	seed := process.stream.Uint64()
+	newBalancer := func(out balancer.Actions) (*balancer.Balancer, error) { return balancer.New(settings, seed, out) }
+	if h.tap != nil && number == h.tappedSidecar {
+		h.tappedStarts++
 		var err error
-		if n.b, n.untap, err = h.tap(h.starts, n, begin); err != nil {
-			panic(err) // as below
+		if process.module, process.stopTap, err = h.tap(h.tappedStarts, process, newBalancer); err != nil {
+			panic(err) // the settings were validated when they were made
 		}
-		return n
+		return process
 	}
-	b, err := begin(n)
+	b, err := newBalancer(process)
 	if err != nil {
-		panic(err) // the settings were checked when they were made
+		panic(err) // the settings were validated when they were made
 	}
-	n.b = balancer.Direct{Balancer: b}
-	return n
+	process.module = balancer.Direct{Balancer: b}
+	return process
 }
 
-// start begins the process with the list as it last was, and with the operators' bans.
+// start starts the process with the current endpoint list and the administrative drains in force.
 func (n *node) start() {
-	n.b.Start(n.now())
-	for server := range n.h.w.Servers {
-		if n.h.banned[server] {
-			n.b.DrainEndpoint(n.now(), number(server), n.now())
+	n.module.Start(n.now())
+	for server := range n.host.world.Servers {
+		if n.host.drained[server] {
+			n.module.DrainEndpoint(n.now(), endpointID(server), n.now())
 		}
 	}
-	u := n.h.w.Disc.Whole(n.number)
-	n.after = u.Generation
-	n.b.UpdateEndpoints(n.now(), balancer.ListCached, entries(u, n.h.w))
+	u := n.host.world.Disc.Whole(n.number)
+	n.generation = u.Generation
+	n.module.UpdateEndpoints(n.now(), balancer.ListCached, endpoints(u, n.host.world))
 	if !n.settings.Subscribe {
 		n.Watch(true)
 	}
-	n.h.q.After(Micros(n.draw.Float64()*float64(eventqueue.Second)), func() { n.do(n.sweep) })
-	if n.h.s.Fleet.Recall == "kept" {
-		n.h.q.After(keepEvery, func() { n.do(n.keepUp) })
+	n.host.queue.After(Micros(n.stream.Float64()*float64(eventqueue.Second)), func() { n.whenRunnable(n.closeExpired) })
+	if n.host.scenario.Fleet.Recall == "kept" {
+		n.host.queue.After(snapshotInterval, func() { n.whenRunnable(n.saveSnapshots) })
 	}
 }
 
-// keepEvery is how often a process keeps what it knows, where something of it outlives a kill.
-const keepEvery = 2 * eventqueue.Second
+// snapshotInterval is the time between snapshots of a process, if a snapshot survives a kill.
+const snapshotInterval = 2 * eventqueue.Second
 
-// keepUp keeps what the process knows, again and again.
-func (n *node) keepUp() {
+// saveSnapshots takes snapshots of the module at intervals, until the process drains.
+func (n *node) saveSnapshots() {
 	if !n.retired {
-		n.h.kept[n.number] = n.b.Snapshot(n.now(), false)
-		n.h.q.After(keepEvery, func() { n.do(n.keepUp) })
+		n.host.snapshots[n.number] = n.module.Snapshot(n.now(), false)
+		n.host.queue.After(snapshotInterval, func() { n.whenRunnable(n.saveSnapshots) })
 	}
 }
 
-// recall tells the module what an earlier process knew.
-func (n *node) recall(was *balancer.Snapshot) {
-	if _, err := n.b.Restore(n.now(), was, n.now()-was.At); err != nil {
-		panic(err) // a module's own snapshot
+// restore gives the module the snapshot of an earlier process.
+func (n *node) restore(snapshot *balancer.Snapshot) {
+	if _, err := n.module.Restore(n.now(), snapshot, n.now()-snapshot.At); err != nil {
+		panic(err) // a module accepts every snapshot of its own version
 	}
 }
 
-// tell has the two processes that serve side by side tell each other whom they have ejected.
-func (n *node) tell(other *node) {
+// shareEjections sends the ejections of this process to other and the reverse, ten times a second while both run.
+func (n *node) shareEjections(other *node) {
 	if n.dead || other.dead {
 		return
 	}
 	now := n.now()
-	n.b.Ejections(now, func(id uint32, left Micros) { other.b.PeerEjected(now, id, left) })
-	other.b.Ejections(now, func(id uint32, left Micros) { n.b.PeerEjected(now, id, left) })
-	n.h.q.After(eventqueue.Second/10, func() { n.tell(other) })
+	n.module.Ejections(now, func(id uint32, remaining Micros) { other.module.PeerEjected(now, id, remaining) })
+	other.module.Ejections(now, func(id uint32, remaining Micros) { n.module.PeerEjected(now, id, remaining) })
+	n.host.queue.After(eventqueue.Second/10, func() { n.shareEjections(other) })
 }
 
-func (n *node) now() balancer.Micros { return origin + n.h.q.Now() }
+func (n *node) now() balancer.Micros { return clockOrigin + n.host.queue.Now() }
 
-// do has the process do something, once it gets a processor, if it still lives.
-func (n *node) do(what func()) {
+// whenRunnable runs an action of the process: at once, or when it is no longer frozen. A process that has ended runs
+// nothing.
+func (n *node) whenRunnable(action func()) {
 	if n.dead {
 		return
 	}
-	if n.h.q.Now() < n.frozen {
-		n.h.q.At(n.frozen, func() { n.do(what) })
+	if n.host.queue.Now() < n.frozenUntil {
+		n.host.queue.At(n.frozenUntil, func() { n.whenRunnable(action) })
 		return
 	}
-	what()
+	action()
 }
 
-// die ends the process outright.
-func (n *node) die() {
+// kill ends the process at once. Its clients' connections are closed without an answer, and all its attempts end.
+func (n *node) kill() {
 	n.dead = true
-	n.over()
-	n.h.w.Disc.Unwatch(n.number)
-	for _, c := range sorted(n.calls) {
+	n.endTap()
+	n.host.world.Disc.Unwatch(n.number)
+	for _, c := range callsByID(n.calls) {
 		if !c.ended {
-			try := c.try
-			n.h.q.After(clientTo, func() { n.h.w.CutOff(try, n.h.q.Now(), false) })
+			try := c.request
+			n.host.queue.After(clientDelay, func() { n.host.world.CutOff(try, n.host.queue.Now(), false) })
 		}
 		for _, a := range c.attempts {
 			if !a.done {
-				n.abandon(a)
+				n.closeAttempt(a)
 			}
 		}
 	}
 	n.closeIdle()
 }
 
-// over ends what records the process.
-func (n *node) over() {
-	if n.untap != nil {
-		n.untap()
-		n.untap = nil
+// endTap ends the recording of the process.
+func (n *node) endTap() {
+	if n.stopTap != nil {
+		n.stopTap()
+		n.stopTap = nil
 	}
 }
 
 // closeIdle closes all idle connections, in the order of the servers.
 func (n *node) closeIdle() {
-	for server := range n.h.w.Servers {
+	for server := range n.host.world.Servers {
 		for _, c := range n.idle[server] {
 			n.close(server, c)
 		}
@@ -187,42 +191,44 @@
 	clear(n.idle)
 }
 
-// retire has the process finish what it has; what is new goes to the next one.
+// retire drains the process. After an upgrade, next accepts new requests, and the two share their capacity and
+// ejections until this process ends; nil if no process replaces it.
 func (n *node) retire(next *node) {
-	n.retired, n.next = true, next
+	n.retired, n.successor = true, next
 	if next != nil {
-		n.b.SetCapacityShare(n.now(), 0.5)
-		next.b.SetCapacityShare(n.now(), 0.5)
-		if n.h.s.Fleet.Recall != "none" {
-			n.h.q.After(eventqueue.Second/10, func() { n.tell(next) })
+		n.module.SetCapacityShare(n.now(), 0.5)
+		next.module.SetCapacityShare(n.now(), 0.5)
+		if n.host.scenario.Fleet.Recall != "none" {
+			n.host.queue.After(eventqueue.Second/10, func() { n.shareEjections(next) })
 		}
 	} else {
-		n.h.w.Disc.Unwatch(n.number)
+		n.host.world.Disc.Unwatch(n.number)
 	}
-	n.h.olds = append(n.h.olds, n)
-	n.rest()
+	n.host.retiring = append(n.host.retiring, n)
+	n.endIfIdle()
 }
 
-// rest ends a retired process once it has nothing left.
-func (n *node) rest() {
+// endIfIdle ends a retired process that has no calls left.
+func (n *node) endIfIdle() {
 	if !n.retired || n.dead || len(n.calls) > 0 {
 		return
 	}
 	n.dead = true
-	n.over()
-	if n.next != nil {
-		n.next.b.SetCapacityShare(n.now(), 1)
+	n.endTap()
+	if n.successor != nil {
+		n.successor.module.SetCapacityShare(n.now(), 1)
 	}
 	n.closeIdle()
-	for i, o := range n.h.olds {
-		if o == n {
-			n.h.olds = append(n.h.olds[:i], n.h.olds[i+1:]...)
+	for i, retiring := range n.host.retiring {
+		if retiring == n {
+			n.host.retiring = append(n.host.retiring[:i], n.host.retiring[i+1:]...)
 			break
 		}
 	}
 }
 
-func sorted(calls map[uint64]*call) []*call {
+// callsByID returns the calls in the order of their IDs.
+func callsByID(calls map[uint64]*call) []*call {
 	list := make([]*call, 0, len(calls))
 	for id := uint64(0); len(list) < len(calls); id++ {
 		if c := calls[id]; c != nil {
@@ -234,76 +240,79 @@
 
 // ---- Clients ---------------------------------------------------------------
 
-// arrive takes a client's request.
-func (n *node) arrive(y *model.Try) {
-	if n.retired && n.next != nil && !n.next.dead {
-		n.next.do(func() { n.next.arrive(y) })
+// accept takes a client's request. A retired process passes it on to its successor.
+func (n *node) accept(request *model.Try) {
+	if n.retired && n.successor != nil && !n.successor.dead {
+		n.successor.whenRunnable(func() { n.successor.accept(request) })
 		return
 	}
-	n.last++
-	c := &call{node: n, try: y, id: n.last, deadline: n.h.q.Now() + y.Patient}
-	y.Host = c
-	n.calls[c.id] = c
-	t := y.Task
-	n.b.Request(n.now(), balancer.Request{ID: c.id, Deadline: origin + c.deadline, Hint: t.Hint, HasHint: t.Hint > 0,
-		Retry: n.h.s.Clients.Marks && y.Number > 0, Write: n.h.s.Classes[t.Class].Unsafe, Class: uint8(t.Class)})
-	n.forget(c)
+	n.lastID++
+	accepted := &call{node: n, request: request, id: n.lastID, deadline: n.host.queue.Now() + request.Patient}
+	request.Host = accepted
+	n.calls[accepted.id] = accepted
+	task := request.Task
+	n.module.Request(n.now(), balancer.Request{ID: accepted.id, Deadline: clockOrigin + accepted.deadline,
+		Hint: task.Hint, HasHint: task.Hint > 0, Retry: n.host.scenario.Clients.Marks && request.Number > 0,
+		Write: n.host.scenario.Classes[task.Class].Unsafe, Class: uint8(task.Class)})
+	n.release(accepted)
 }
 
-// left tells that a client has gone.
-func (n *node) left(c *call) {
+// clientLeft tells the module that the client of a call has disconnected.
+func (n *node) clientLeft(c *call) {
 	if !c.ended {
 		c.ended = true
-		n.b.ClientDisconnected(n.now(), c.id)
-		n.forget(c)
+		n.module.ClientDisconnected(n.now(), c.id)
+		n.release(c)
 	}
 }
 
-// answer gives a client its final answer.
-func (n *node) answer(c *call, v trace.Verdict, retryAfter Micros) {
+// answer sends a client its final answer.
+func (n *node) answer(c *call, verdict trace.Verdict, retryAfter Micros) {
 	if c.ended {
 		return
 	}
 	c.ended = true
-	n.h.q.After(clientTo, func() { n.h.w.Answer(c.try, n.h.q.Now(), v, retryAfter) })
+	n.host.queue.After(clientDelay, func() { n.host.world.Answer(c.request, n.host.queue.Now(), verdict, retryAfter) })
 }
 
-func (n *node) forget(c *call) {
-	if c.ended && c.out == 0 {
+// release removes a call that has ended, once none of its attempts is open.
+func (n *node) release(c *call) {
+	if c.ended && c.openAttempts == 0 {
 		delete(n.calls, c.id)
-		n.rest()
+		n.endIfIdle()
 	}
 }
 
-// ---- The module's actions --------------------------------------------------
+// ---- Actions of the module -------------------------------------------------
 
-// Send starts an attempt.
+// Send starts an attempt of a request. It ends with NotSent if the request has ended, is past its deadline or has used
+// up its attempts.
 func (n *node) Send(id uint64, endpoint uint32, timeout balancer.Micros) {
 	c := n.calls[id]
 	if c == nil {
 		return
 	}
-	now := n.h.q.Now()
+	now := n.host.queue.Now()
 	a := &attempt{call: c, number: len(c.attempts), server: int(endpoint) - 1, sent: now}
 	c.attempts = append(c.attempts, a)
-	c.out++
+	c.openAttempts++
 	deadline := c.deadline
 	if timeout > 0 {
 		deadline = min(deadline, now+timeout)
 	}
 	if c.ended || now >= deadline || len(c.attempts) > n.settings.Limits.MaxAttempts {
-		n.h.q.At(now, func() { n.do(func() { n.outcome(a, balancer.NotSent, nil) }) })
+		n.host.queue.At(now, func() { n.whenRunnable(func() { n.reportOutcome(a, balancer.NotSent, nil) }) })
 		return
 	}
-	a.timeUp = n.h.q.At(deadline, func() {
-		n.do(func() {
+	a.timeoutEvent = n.host.queue.At(deadline, func() {
+		n.whenRunnable(func() {
 			status := balancer.Timeout
-			if !a.went {
-				if status = balancer.NotSent; n.h.q.Now()-a.sent >= n.settings.Limits.DialTimeout {
+			if !a.written {
+				if status = balancer.NotSent; n.host.queue.Now()-a.sent >= n.settings.Limits.DialTimeout {
 					status = balancer.ConnectFailed
 				}
 			}
-			n.give(a, status)
+			n.abort(a, status)
 		})
 	})
 	n.connect(a.server, a.sent, func(o *conn, status balancer.Status) {
@@ -314,148 +323,152 @@
 			return
 		}
 		if o == nil {
-			n.outcome(a, status, nil)
+			n.reportOutcome(a, status, nil)
 			return
 		}
 		a.conn = o
-		n.write(a)
+		n.sendAttempt(a)
 	})
 }
 
-// write sends an attempt over its connection.
-func (n *node) write(a *attempt) {
-	now := n.h.q.Now()
-	s := n.h.w.Servers[a.server]
-	y := a.call.try
-	a.went = true
-	n.h.sink.Take(trace.Event{At: now, Kind: trace.Sent, Sidecar: int32(n.number), Server: int32(a.server), Request: y.ID,
-		Class: uint8(y.Task.Class), Cross: s.Zone != n.zone})
-	o := a.conn
-	n.travel(a.server, func(lost bool) {
+// sendAttempt writes an attempt to its connection. The server answers, rejects it, or resets a connection to a process
+// that has ended.
+func (n *node) sendAttempt(a *attempt) {
+	now := n.host.queue.Now()
+	server := n.host.world.Servers[a.server]
+	request := a.call.request
+	a.written = true
+	n.host.sink.Take(trace.Event{At: now, Kind: trace.Sent, Sidecar: int32(n.number), Server: int32(a.server),
+		Request: request.ID, Class: uint8(request.Task.Class), Cross: server.Zone != n.zone})
+	connection := a.conn
+	n.deliver(a.server, func(lost bool) {
 		if lost || a.done {
 			return
 		}
-		if o.starts != s.Starts || !s.Running {
-			n.back(a, balancer.Reset, nil)
+		if connection.serverStarts != server.Starts || !server.Running {
+			n.returnOutcome(a, balancer.Reset, nil)
 			return
 		}
-		if o.full {
-			n.h.sink.Take(trace.Event{At: n.h.q.Now(), Kind: trace.Turned, Sidecar: int32(n.number), Server: int32(a.server),
-				Request: y.ID, Class: uint8(y.Task.Class), Work: y.Task.Work})
-			n.back(a, balancer.Rejected, nil)
+		if connection.overLimit {
+			n.host.sink.Take(trace.Event{At: n.host.queue.Now(), Kind: trace.Turned, Sidecar: int32(n.number),
+				Server: int32(a.server), Request: request.ID, Class: uint8(request.Task.Class), Work: request.Task.Work})
+			n.returnOutcome(a, balancer.Rejected, nil)
 			return
 		}
 		begin := func() {
 			if a.done && a.job == nil {
 				return
 			}
-			a.job = &model.Job{Request: y.ID, Class: y.Task.Class, Sidecar: n.number, Work: float64(y.Task.Work),
-				Done: func(how model.Outcome) { n.finished(a, how) }}
-			if !s.Begin(a.job) {
-				n.back(a, balancer.Rejected, n.report(s))
+			a.job = &model.Job{Request: request.ID, Class: request.Task.Class, Sidecar: n.number,
+				Work: float64(request.Task.Work), Done: func(outcome model.Outcome) { n.jobDone(a, outcome) }}
+			if !server.Begin(a.job) {
+				n.returnOutcome(a, balancer.Rejected, n.loadReport(server))
 			}
 		}
-		if o.ready {
+		if connection.ready {
 			begin()
 		} else {
-			o.first = begin
+			connection.onReady = begin
 		}
 	})
 }
 
-func (n *node) report(s *model.Server) []float32 {
-	l := s.Report()
-	return []float32{float32(l.Inflight), float32(l.Util), float32(l.Served)}
+// loadReport returns a server's load report in the order of the settings' report fields.
+func (n *node) loadReport(server *model.Server) []float32 {
+	load := server.Report()
+	return []float32{float32(load.Inflight), float32(load.Util), float32(load.Served)}
 }
 
-// finished takes a server's word on an attempt.
-func (n *node) finished(a *attempt, how model.Outcome) {
+// jobDone sends the outcome of an attempt at its server back, with the server's load report.
+func (n *node) jobDone(a *attempt, outcome model.Outcome) {
 	status := balancer.OK
-	switch how {
+	switch outcome {
 	case model.Bad:
 		status = balancer.Error
 	case model.Broken:
 		status = balancer.Reset
 	}
-	n.back(a, status, n.report(n.h.w.Servers[a.server]))
+	n.returnOutcome(a, status, n.loadReport(n.host.world.Servers[a.server]))
 }
 
-// back carries an attempt's end from the server to the process.
-func (n *node) back(a *attempt, status balancer.Status, load []float32) {
-	if n.h.s.Limits.Reports != "answers" {
+// returnOutcome delivers an attempt's outcome from the server to the process. The load report is dropped unless reports
+// come with answers.
+func (n *node) returnOutcome(a *attempt, status balancer.Status, load []float32) {
+	if n.host.scenario.Limits.Reports != "answers" {
 		load = nil
 	}
-	n.travel(a.server, func(lost bool) {
+	n.deliver(a.server, func(lost bool) {
 		if !lost {
-			n.do(func() { n.outcome(a, status, load) })
+			n.whenRunnable(func() { n.reportOutcome(a, status, load) })
 		}
 	})
 }
 
-// give ends an attempt by the process's own choice: its connection is closed.
-func (n *node) give(a *attempt, status balancer.Status) {
+// abort ends an attempt by closing its connection, and reports the status to the module.
+func (n *node) abort(a *attempt, status balancer.Status) {
 	if a.done {
 		return
 	}
-	n.abandon(a)
-	n.outcome(a, status, nil)
+	n.closeAttempt(a)
+	n.reportOutcome(a, status, nil)
 }
 
-// abandon closes an attempt's connection; the server hears of it.
-func (n *node) abandon(a *attempt) {
-	if o := a.conn; o != nil {
+// closeAttempt closes an attempt's connection. The server learns of it after the network's delay, and may
+// cancel the job.
+func (n *node) closeAttempt(a *attempt) {
+	if connection := a.conn; connection != nil {
 		a.conn = nil
-		n.travel(a.server, func(lost bool) {
+		n.deliver(a.server, func(lost bool) {
 			if a.job != nil {
-				n.h.w.Servers[a.server].Cancel(a.job)
+				n.host.world.Servers[a.server].Cancel(a.job)
 			}
-			n.close(a.server, o)
+			n.close(a.server, connection)
 		})
 	}
 }
 
-// outcome tells the module how an attempt ended.
-func (n *node) outcome(a *attempt, status balancer.Status, load []float32) {
+// reportOutcome reports the end of an attempt to the module, once. A success answers the client if nothing has.
+func (n *node) reportOutcome(a *attempt, status balancer.Status, load []float32) {
 	if a.done {
 		return
 	}
 	a.done = true
-	n.h.q.Cancel(a.timeUp)
+	n.host.queue.Cancel(a.timeoutEvent)
 	c := a.call
-	c.out--
-	if o := a.conn; o != nil {
+	c.openAttempts--
+	if connection := a.conn; connection != nil {
 		a.conn = nil
 		switch status {
 		case balancer.OK, balancer.Error:
-			n.keepIdle(o)
+			n.keepIdle(connection)
 		default:
-			n.close(a.server, o)
+			n.close(a.server, connection)
 		}
 	}
 	if status == balancer.OK && !c.ended {
 		n.answer(c, trace.Served, 0)
 	}
-	settled := c.ended
-	n.b.Outcome(n.now(), balancer.Outcome{ID: c.id, Attempt: a.number, Endpoint: number(a.server), Status: status,
-		Latency: n.h.q.Now() - a.sent, Answered: settled, Load: load})
-	n.forget(c)
+	answered := c.ended
+	n.module.Outcome(n.now(), balancer.Outcome{ID: c.id, Attempt: a.number, Endpoint: endpointID(a.server), Status: status,
+		Latency: n.host.queue.Now() - a.sent, Answered: answered, Load: load})
+	n.release(c)
 }
 
-// Reject gives the final answer "refused".
+// Reject answers a client that its request was rejected.
 func (n *node) Reject(id uint64, retryAfter balancer.Micros) {
 	if c := n.calls[id]; c != nil {
 		n.answer(c, trace.Refused, retryAfter)
 	}
 }
 
-// Fail gives the final answer "failed".
+// Fail answers a client that its request failed.
 func (n *node) Fail(id uint64) {
 	if c := n.calls[id]; c != nil {
 		n.answer(c, trace.Failed, 0)
 	}
 }
 
-// Cancel stops waiting for an attempt.
+// Cancel aborts an attempt that is still open.
 func (n *node) Cancel(id uint64, attempt int) {
 	c := n.calls[id]
 	if c == nil || attempt < 0 || attempt >= len(c.attempts) || c.attempts[attempt].done {
@@ -463,260 +476,271 @@
 	}
 	a := c.attempts[attempt]
 	status := balancer.Cancelled
-	if !a.went {
+	if !a.written {
 		status = balancer.NotSent
 	}
-	n.h.q.After(0, func() { n.do(func() { n.give(a, status) }) })
+	n.host.queue.After(0, func() { n.whenRunnable(func() { n.abort(a, status) }) })
 }
 
-// Timer asks for a Timer event.
+// Timer calls the module's Timer with the token after a delay.
 func (n *node) Timer(delay balancer.Micros, token uint32) {
-	n.h.q.After(delay, func() { n.do(func() { n.b.Timer(n.now(), token) }) })
+	n.host.queue.After(delay, func() { n.whenRunnable(func() { n.module.Timer(n.now(), token) }) })
 }
 
-// Probe asks a server for its load.
+// Probe requests a server's load report, which the server sends without queueing the probe.
 func (n *node) Probe(endpoint uint32) {
 	server := int(endpoint) - 1
-	sent := n.h.q.Now()
-	over := false
-	end := func(status balancer.Status, load []float32) {
-		if !over {
-			over = true
-			n.do(func() { n.b.ProbeCompleted(n.now(), endpoint, status, n.h.q.Now()-sent, load) })
+	sent := n.host.queue.Now()
+	done := false
+	complete := func(status balancer.Status, load []float32) {
+		if !done {
+			done = true
+			n.whenRunnable(func() { n.module.ProbeCompleted(n.now(), endpoint, status, n.host.queue.Now()-sent, load) })
 		}
 	}
-	wait := n.h.q.After(probeWait, func() { end(balancer.Timeout, nil) })
-	n.connect(server, sent, func(o *conn, status balancer.Status) {
-		if o == nil {
-			n.h.q.Cancel(wait)
-			end(status, nil)
+	timeout := n.host.queue.After(probeTimeout, func() { complete(balancer.Timeout, nil) })
+	n.connect(server, sent, func(connection *conn, status balancer.Status) {
+		if connection == nil {
+			n.host.queue.Cancel(timeout)
+			complete(status, nil)
 			return
 		}
-		n.h.sink.Take(trace.Event{At: n.h.q.Now(), Kind: trace.Probed, Sidecar: int32(n.number), Server: int32(server)})
-		s := n.h.w.Servers[server]
-		n.travel(server, func(lost bool) {
-			if lost || !s.Running || o.starts != s.Starts {
-				return // the time-out ends it
+		n.host.sink.Take(trace.Event{At: n.host.queue.Now(), Kind: trace.Probed, Sidecar: int32(n.number),
+			Server: int32(server)})
+		probed := n.host.world.Servers[server]
+		n.deliver(server, func(lost bool) {
+			if lost || !probed.Running || connection.serverStarts != probed.Starts {
+				return // the probe ends by its timeout
 			}
 			answer := func() {
-				load := n.report(s)
-				n.travel(server, func(lost bool) {
+				load := n.loadReport(probed)
+				n.deliver(server, func(lost bool) {
 					if !lost {
-						n.h.q.Cancel(wait)
-						n.keepIdle(o)
-						end(balancer.OK, load)
+						n.host.queue.Cancel(timeout)
+						n.keepIdle(connection)
+						complete(balancer.OK, load)
 					}
 				})
 			}
 			begin := func() {
-				if work := float64(s.Spec.Probe.Micros()); work > 0 {
-					s.Begin(&model.Job{Sidecar: n.number, Work: work, Done: func(model.Outcome) {}})
+				if work := float64(probed.Spec.Probe.Micros()); work > 0 {
+					probed.Begin(&model.Job{Sidecar: n.number, Work: work, Done: func(model.Outcome) {}})
 				}
-				answer() // beside the queue
+				answer() // the server does not queue probes
 			}
-			if o.ready || o.full {
+			if connection.ready || connection.overLimit {
 				begin()
 			} else {
-				o.first = begin
+				connection.onReady = begin
 			}
 		})
 	})
 }
 
-// Watch asks discovery for a watch, or ends it.
+// Watch calls discovery for a watch, or ends the watch.
 func (n *node) Watch(on bool) {
-	d := n.h.w.Disc
+	discovery := n.host.world.Disc
 	if !on {
-		n.asking = false
-		d.Unwatch(n.number)
+		n.watching = false
+		discovery.Unwatch(n.number)
 		return
 	}
-	if n.asking {
+	if n.watching {
 		return
 	}
-	n.asking = true
-	d.Call(n.number, n.after, true, func(u model.Update, ok bool) {
-		n.do(func() {
+	n.watching = true
+	discovery.Call(n.number, n.generation, true, func(update model.Update, ok bool) {
+		n.whenRunnable(func() {
 			if !ok {
 				n.watchEnded()
 				return
 			}
-			n.wait = 0
-			n.hear(u)
+			n.watchBackoff = 0
+			n.applyUpdate(update)
 		})
 	})
 }
 
-// hear takes discovery's word.
-func (n *node) hear(u model.Update) {
-	n.h.q.After(n.way(-1), func() {
-		n.do(func() {
+// applyUpdate gives the module an update of the endpoint list, after the delay of its way from discovery.
+func (n *node) applyUpdate(update model.Update) {
+	n.host.queue.After(n.drawDelay(-1), func() {
+		n.whenRunnable(func() {
 			kind := balancer.ListDelta
-			if u.Reset {
+			if update.Reset {
 				kind = balancer.ListFull
 			}
-			n.after = max(n.after, u.Generation)
-			n.b.UpdateEndpoints(n.now(), kind, entries(u, n.h.w))
+			n.generation = max(n.generation, update.Generation)
+			n.module.UpdateEndpoints(n.now(), kind, endpoints(update, n.host.world))
 		})
 	})
 }
 
-// watchEnded tells the module, or asks again where discovery is watched for good.
+// watchEnded handles the end of a watch or a failed call for it. A module that subscribes is told; otherwise the node
+// itself calls again after a backoff, as the program does that keeps a watch open all the time.
 func (n *node) watchEnded() {
-	n.do(func() {
-		n.asking = false
+	n.whenRunnable(func() {
+		n.watching = false
 		if n.settings.Subscribe {
-			n.b.UpdateEndpoints(n.now(), balancer.ListFailed, nil)
+			n.module.UpdateEndpoints(n.now(), balancer.ListFailed, nil)
 			return
 		}
-		n.wait = min(eventqueue.Second, max(openWait, 2*n.wait))
-		n.h.q.After(n.wait/2+Micros(n.draw.Float64()*float64(n.wait)), func() { n.do(func() { n.Watch(true) }) })
+		n.watchBackoff = min(eventqueue.Second, max(minWatchBackoff, 2*n.watchBackoff))
+		n.host.queue.After(n.watchBackoff/2+Micros(n.stream.Float64()*float64(n.watchBackoff)), func() {
+			n.whenRunnable(func() { n.Watch(true) })
+		})
 	})
 }
 
-// Log keeps a line of the module's log.
-func (n *node) Log(line string) { n.h.keep(n, line) }
+// Log appends a line to the run's log.
+func (n *node) Log(line string) { n.host.appendLog(n, line) }
 
 // ---- The network -----------------------------------------------------------
 
-// way draws the time of a way to a server, or to discovery (-1).
-func (n *node) way(server int) Micros {
-	mean := n.h.s.Net.Same
-	var more Micros
+// drawDelay draws the one-way delay to or from a server, or discovery for -1.
+func (n *node) drawDelay(server int) Micros {
+	mean := n.host.scenario.Net.Same
+	var extraDelay Micros
 	if server >= 0 {
-		if n.h.w.Servers[server].Zone != n.zone {
-			mean = n.h.s.Net.Cross
+		if n.host.world.Servers[server].Zone != n.zone {
+			mean = n.host.scenario.Net.Cross
 		}
-		if l := n.h.links[[2]int{n.number, server}]; l != nil {
-			more = l.more
+		if affected := n.host.links[[2]int{n.number, server}]; affected != nil {
+			extraDelay = affected.extraDelay
 		}
 	}
-	if net := &n.h.s.Net; net.Stalls > 0 && n.draw.Bernoulli(net.Stalls) {
-		more += Micros(n.draw.Float64() * float64(net.Stall.Micros()))
+	if net := &n.host.scenario.Net; net.Stalls > 0 && n.stream.Bernoulli(net.Stalls) {
+		extraDelay += Micros(n.stream.Float64() * float64(net.Stall.Micros()))
 	}
-	j := n.h.s.Net.Jitter
-	return more + Micros(float64(mean.Micros())*(1+j*(2*n.draw.Float64()-1)))
+	jitter := n.host.scenario.Net.Jitter
+	return extraDelay + Micros(float64(mean.Micros())*(1+jitter*(2*n.stream.Float64()-1)))
 }
 
-// travel does something after a way; lost says that the link lost it, which a black hole does with no word.
-func (n *node) travel(server int, arrive func(lost bool)) {
-	l := n.h.links[[2]int{n.number, server}]
-	if l == nil {
-		n.h.q.After(n.way(server), func() { arrive(false) })
+// deliver calls arrive after the one-way delay between the process and a server. lost reports that a fault of the link
+// lost the message in between, so that the receiver never gets it.
+func (n *node) deliver(server int, arrive func(lost bool)) {
+	affected := n.host.links[[2]int{n.number, server}]
+	if affected == nil {
+		n.host.queue.After(n.drawDelay(server), func() { arrive(false) })
 		return
 	}
-	mark, hole := l.lost, l.hole > 0
-	n.h.q.After(n.way(server), func() { arrive(hole || l.hole > 0 || l.lost != mark) })
+	lossesBefore, blackHoleBefore := affected.lossCount, affected.blackHoles > 0
+	n.host.queue.After(n.drawDelay(server), func() {
+		arrive(blackHoleBefore || affected.blackHoles > 0 || affected.lossCount != lossesBefore)
+	})
 }
 
-// connect finds an idle connection or opens one.
-func (n *node) connect(server int, from Micros, got func(*conn, balancer.Status)) {
-	s := n.h.w.Servers[server]
-	now := n.h.q.Now()
-	for list := n.idle[server]; len(list) > 0; list = n.idle[server] {
-		o := list[len(list)-1]
-		n.idle[server] = list[:len(list)-1]
-		if o.starts == s.Starts && s.Running && now-o.idleAt < n.idleMost(server) {
-			got(o, 0)
+// connect calls connected with an idle connection or a new one, or with a nil connection and ConnectFailed.
+func (n *node) connect(server int, since Micros, connected func(*conn, balancer.Status)) {
+	target := n.host.world.Servers[server]
+	now := n.host.queue.Now()
+	for idle := n.idle[server]; len(idle) > 0; idle = n.idle[server] {
+		connection := idle[len(idle)-1]
+		n.idle[server] = idle[:len(idle)-1]
+		if connection.serverStarts == target.Starts && target.Running && now-connection.idleSince < n.maxIdle(server) {
+			connected(connection, 0)
 			return
 		}
-		n.close(server, o)
+		n.close(server, connection)
 	}
-	over := false
-	limit := n.h.q.After(n.settings.Limits.DialTimeout, func() {
-		if !over {
-			over = true
-			n.do(func() { got(nil, balancer.ConnectFailed) })
+	done := false
+	timeout := n.host.queue.After(n.settings.Limits.DialTimeout, func() {
+		if !done {
+			done = true
+			n.whenRunnable(func() { connected(nil, balancer.ConnectFailed) })
 		}
 	})
-	n.travel(server, func(lost bool) {
+	n.deliver(server, func(lost bool) {
 		if lost {
-			return // the dial's own time ends it
+			return // the dial ends by its timeout
 		}
-		var o *conn
-		if s.Running {
-			o = &conn{server: server, starts: s.Starts, full: s.Open(n.number)}
-			if work := float64(s.Spec.Handshake.Micros()); work > 0 && !o.full {
-				s.Begin(&model.Job{Sidecar: n.number, Work: work, Done: func(model.Outcome) { o.shaken() }})
+		var connection *conn
+		if target.Running {
+			connection = &conn{server: server, serverStarts: target.Starts, overLimit: target.Open(n.number)}
+			if work := float64(target.Spec.Handshake.Micros()); work > 0 && !connection.overLimit {
+				target.Begin(&model.Job{Sidecar: n.number, Work: work, Done: func(model.Outcome) { connection.handshakeDone() }})
 			} else {
-				o.ready = true
+				connection.ready = true
 			}
 		}
-		n.travel(server, func(lost bool) {
-			if lost || over {
-				if o != nil {
-					n.close(server, o)
+		n.deliver(server, func(lost bool) {
+			if lost || done {
+				if connection != nil {
+					n.close(server, connection)
 				}
 				return
 			}
-			over = true
-			n.h.q.Cancel(limit)
-			n.do(func() {
-				if o == nil {
-					got(nil, balancer.ConnectFailed)
+			done = true
+			n.host.queue.Cancel(timeout)
+			n.whenRunnable(func() {
+				if connection == nil {
+					connected(nil, balancer.ConnectFailed)
 				} else {
-					got(o, 0)
+					connected(connection, 0)
 				}
 			})
 		})
 	})
 }
 
-// shaken tells that the handshake is done.
-func (o *conn) shaken() {
-	if o.ready = true; o.first != nil {
-		o.first()
-		o.first = nil
+// handshakeDone marks the connection as ready and sends what waits for the handshake.
+func (o *conn) handshakeDone() {
+	if o.ready = true; o.onReady != nil {
+		o.onReady()
+		o.onReady = nil
 	}
 }
 
-func (n *node) keepIdle(o *conn) {
-	if n.dead || o.full {
-		n.close(o.server, o)
+// keepIdle keeps a connection for reuse, unless the process has ended or the server rejects requests on it.
+func (n *node) keepIdle(connection *conn) {
+	if n.dead || connection.overLimit {
+		n.close(connection.server, connection)
 		return
 	}
-	o.idleAt = n.h.q.Now()
-	n.idle[o.server] = append(n.idle[o.server], o)
+	connection.idleSince = n.host.queue.Now()
+	n.idle[connection.server] = append(n.idle[connection.server], connection)
 }
 
-// idleMost is how long a connection is kept idle: well under the time after which the server closes it.
-func (n *node) idleMost(server int) Micros { return n.h.w.Servers[server].Spec.Idle.Micros() * 2 / 3 }
+// maxIdle returns how long a connection may stay idle: two thirds of the time after which the server closes it, so that
+// no request is sent on a connection that the server is closing.
+func (n *node) maxIdle(server int) Micros {
+	return n.host.world.Servers[server].Spec.Idle.Micros() * 2 / 3
+}
 
-// sweep closes the connections that have been idle for long, once a second as the real program does.
-func (n *node) sweep() {
-	now := n.h.q.Now()
+// closeExpired closes the connections that have been idle for too long, once a second as the real program does.
+func (n *node) closeExpired() {
+	now := n.host.queue.Now()
 	for server, list := range n.idle {
-		cut := 0
-		for cut < len(list) && now-list[cut].idleAt >= n.idleMost(server) {
-			n.close(server, list[cut])
-			cut++
+		expired := 0
+		for expired < len(list) && now-list[expired].idleSince >= n.maxIdle(server) {
+			n.close(server, list[expired])
+			expired++
 		}
-		if cut > 0 {
-			n.idle[server] = append(list[:0], list[cut:]...)
+		if expired > 0 {
+			n.idle[server] = append(list[:0], list[expired:]...)
 		}
 	}
-	n.h.q.After(eventqueue.Second, func() { n.do(n.sweep) })
+	n.host.queue.After(eventqueue.Second, func() { n.whenRunnable(n.closeExpired) })
 }
 
-func (n *node) close(server int, o *conn) {
-	if !o.closed {
-		o.closed = true
-		if !o.full {
-			n.h.w.Servers[server].Close(n.number, o.starts)
+func (n *node) close(server int, connection *conn) {
+	if !connection.closed {
+		connection.closed = true
+		if !connection.overLimit {
+			n.host.world.Servers[server].Close(n.number, connection.serverStarts)
 		}
 	}
 }
 
-// broken breaks all connections to a server.
-func (n *node) broken(server int) {
-	for _, o := range n.idle[server] {
-		n.close(server, o)
+// resetConnections resets all connections to a server, idle ones and those of open attempts.
+func (n *node) resetConnections(server int) {
+	for _, connection := range n.idle[server] {
+		n.close(server, connection)
 	}
 	n.idle[server] = nil
-	for _, c := range sorted(n.calls) {
+	for _, c := range callsByID(n.calls) {
 		for _, a := range c.attempts {
 			if !a.done && a.server == server && a.conn != nil {
-				n.do(func() { n.give(a, balancer.Reset) })
+				n.whenRunnable(func() { n.abort(a, balancer.Reset) })
 			}
 		}
 	}
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -1,5 +1,6 @@
-// Package sim plays a scenario in virtual time. It hosts the decision module directly, one instance a sidecar, for
-// sizes that sockets cannot reach; what the real program does around the module is done here in its simplest form.
+// Package sim runs a scenario in virtual time, for fleets that are too large for processes and sockets. It hosts the
+// decision module directly, one instance per sidecar, and simulates what the real program does around the module in a
+// simple form.
 package sim
 
 import (
@@ -24,109 +25,112 @@
 // Micros is an instant since the start of the run, or a duration, in microseconds.
 type Micros = eventqueue.Micros
 
-// Options of a run.
+// Options are the options of a run.
 type Options struct {
 	Seed     uint64
-	Progress func(second, asked int) // called once a simulated second; may be nil
-	Sinks    []trace.Sink            // get the trace, too
-	Logs     int                     // lines of the modules' logs to keep
-	Tap      Tap                     // stands before the modules of one sidecar's processes; nil for none
-	Tapped   int                     // that sidecar
+	Progress func(second, asked int) // called once per simulated second with the requests so far; may be nil
+	Sinks    []trace.Sink            // get the trace besides the checker and the figures
+	Logs     int                     // maximum number of lines of the modules' logs to return
+	Tap      Tap                     // wraps the modules of one sidecar's processes; nil for none
+	Tapped   int                     // number of that sidecar
 }
 
-// Tap puts something before a process's module; start counts the processes from 1. end is called once it is over.
+// Tap wraps the module of a process, for example to record its events and actions. The start number counts the
+// sidecar's processes from 1. begin makes the module with the actions that it calls; end is called once the process has
+// ended.
 type Tap func(start int, out balancer.Actions, begin func(balancer.Actions) (*balancer.Balancer, error)) (
 	m balancer.Module, end func(), err error)
 
 const (
-	origin    = 1_000_000_000_000_000  // the module's clock at the start of the run
-	lag       = 60 * eventqueue.Second // after the last arrival a run is ended, whatever is open
-	clientTo  = 60                     // from a client to its sidecar, and back
-	probeWait = 250 * 1000
-	headBytes = 200
+	clockOrigin  = 1_000_000_000_000_000  // the module's clock at the start of the run, in microseconds
+	maxRunOff    = 60 * eventqueue.Second // time past the scenario's length at which a run ends even if tasks are open
+	clientDelay  = 60                     // microseconds one way between a client and its sidecar
+	probeTimeout = 250 * 1000             // microseconds
+	headerBytes  = 200
 )
 
-// host carries the world's words to the nodes, and theirs to the world.
+// host connects the world to the nodes. It implements model.Host.
 type host struct {
-	q      *eventqueue.Queue
-	s      *scenario.Scenario
-	w      *model.World
-	sink   trace.Sink
-	seed   randstream.Seed
-	nodes  []*node              // the processes that clients reach, by sidecar; nil while none runs
-	kept   []*balancer.Snapshot // by sidecar: what outlives a kill
-	olds   []*node              // those that finish what they have
-	links  map[[2]int]*link
-	log    []string
-	logs   int
-	asked  int
-	tap    Tap
-	tapped int // a sidecar
-	starts int // of its processes
-	banned map[int]bool
+	queue         *eventqueue.Queue
+	scenario      *scenario.Scenario
+	world         *model.World
+	sink          trace.Sink
+	seed          randstream.Seed
+	nodes         []*node              // by sidecar: the process that accepts clients' requests; nil while none runs
+	snapshots     []*balancer.Snapshot // by sidecar: the latest snapshot, which survives a kill; nil for none
+	retiring      []*node              // processes that drain
+	links         map[[2]int]*link
+	logLines      []string
+	maxLogLines   int
+	requestCount  int
+	tap           Tap
+	tappedSidecar int          // number of the sidecar whose modules tap wraps
+	tappedStarts  int          // processes of that sidecar started so far
+	drained       map[int]bool // servers in administrative drain
 }
 
-// link is what faults make of the way between a sidecar and a server.
+// link holds the effects of the faults in force on the link between a sidecar and a server.
 type link struct {
-	hole  int
-	reset int
-	more  Micros
-	lost  int // of it: raised when what is on its way is lost
+	blackHoles int
+	resets     int
+	extraDelay Micros
+	lossCount  int // raised whenever messages on their way are lost
 }
 
-// Run plays a scenario.
-func Run(ctx context.Context, s *scenario.Scenario, o Options) (*figures.Result, error) {
+// Run runs a scenario and returns its result with the checker's verdict.
+func Run(ctx context.Context, scen *scenario.Scenario, options Options) (*figures.Result, error) {
 	began := time.Now()
-	q := eventqueue.NewVirtual()
-	ref, rec := checker.New(checker.SettingsFrom(s, 0)), figures.New(s)
-	h := &host{q: q, s: s, seed: randstream.Seed(o.Seed), links: map[[2]int]*link{}, logs: o.Logs, tap: o.Tap, tapped: o.Tapped, banned: map[int]bool{}}
-	// Who watches the run works beside it: the order of the events is all that they go by.
-	aside := trace.Beside(trace.Sinks(append([]trace.Sink{ref, rec}, o.Sinks...)...))
-	defer aside.Close()
-	h.sink = aside
-	h.w = model.New(q, s, o.Seed, h, h.sink)
-	h.w.Prepare()
-	for n := range s.Fleet.Sidecars {
-		settings, err := told.Parsed(s, n)
+	queue := eventqueue.NewVirtual()
+	check, recorder := checker.New(checker.SettingsFrom(scen, 0)), figures.New(scen)
+	h := &host{queue: queue, scenario: scen, seed: randstream.Seed(options.Seed), links: map[[2]int]*link{},
+		maxLogLines: options.Logs, tap: options.Tap, tappedSidecar: options.Tapped, drained: map[int]bool{}}
+	// The sinks run on a goroutine of their own, because their results depend on the order of the events alone.
+	async := trace.Beside(trace.Sinks(append([]trace.Sink{check, recorder}, options.Sinks...)...))
+	defer async.Close()
+	h.sink = async
+	h.world = model.New(queue, scen, options.Seed, h, h.sink)
+	h.world.Prepare()
+	for process := range scen.Fleet.Sidecars {
+		settings, err := told.Parsed(scen, process)
 		if err != nil {
 			return nil, err
 		}
-		h.nodes = append(h.nodes, h.newNode(n, settings))
+		h.nodes = append(h.nodes, h.newNode(process, settings))
 	}
-	h.kept = make([]*balancer.Snapshot, len(h.nodes))
-	for _, n := range h.nodes {
-		n.start()
+	h.snapshots = make([]*balancer.Snapshot, len(h.nodes))
+	for _, process := range h.nodes {
+		process.start()
 	}
-	h.w.Begin()
-	if o.Progress != nil {
-		var tick func()
-		second := 0
-		tick = func() {
-			o.Progress(second, h.asked)
-			second++
-			if q.Now() < s.Length.Micros() {
-				q.After(eventqueue.Second, tick)
+	h.world.Begin()
+	if options.Progress != nil {
+		var reportProgress func()
+		seconds := 0
+		reportProgress = func() {
+			options.Progress(seconds, h.requestCount)
+			seconds++
+			if queue.Now() < scen.Length.Micros() {
+				queue.After(eventqueue.Second, reportProgress)
 			}
 		}
-		tick()
+		reportProgress()
 	}
-	end := s.Length.Micros()
-	err := q.Run(ctx, func() bool { return q.Now() >= end && h.w.Done() || q.Now() > end+lag })
-	for _, n := range h.all() {
-		n.over()
+	end := scen.Length.Micros()
+	err := queue.Run(ctx, func() bool { return queue.Now() >= end && h.world.Done() || queue.Now() > end+maxRunOff })
+	for _, process := range h.processes() {
+		process.endTap()
 	}
 	if err != nil {
 		return nil, err
 	}
-	aside.Close()
-	x := rec.End(ref.Finish(q.Now()))
-	x.Host, x.Seed = "sim", o.Seed
-	x.Took, x.MemoryMB = time.Since(began).Seconds(), PeakMB()
-	x.Log = h.log
-	return x, nil
+	async.Close()
+	result := recorder.End(check.Finish(queue.Now()))
+	result.Host, result.Seed = "sim", options.Seed
+	result.Took, result.MemoryMB = time.Since(began).Seconds(), PeakMB()
+	result.Log = h.logLines
+	return result, nil
 }
 
-// PeakMB is this process's highest resident memory so far, or 0 where that cannot be read.
+// PeakMB returns the highest resident memory of this process so far, in MiB, or 0 if it cannot be read.
 func PeakMB() float64 {
 	text, err := os.ReadFile("/proc/self/status")
 	if err != nil {
@@ -141,104 +145,107 @@
 	return 0
 }
 
-// ---- The world's words -----------------------------------------------------
+// ---- Calls of the world ----------------------------------------------------
 
-// Ask brings a client's request to its sidecar.
-func (h *host) Ask(y *model.Try) {
-	h.asked++
-	n := h.nodes[y.Task.Sidecar]
-	if n == nil {
-		h.q.After(clientTo, func() { h.w.CutOff(y, h.q.Now(), true) })
+// Ask delivers a client's request to its sidecar. The client's connection is refused while no process runs.
+func (h *host) Ask(request *model.Try) {
+	h.requestCount++
+	process := h.nodes[request.Task.Sidecar]
+	if process == nil {
+		h.queue.After(clientDelay, func() { h.world.CutOff(request, h.queue.Now(), true) })
 		return
 	}
-	h.q.After(clientTo, func() {
-		// The processes of an upgrade share the listening socket: what the one does not accept any more, the next one does.
-		for n.dead && n.retired && n.next != nil {
-			n = n.next
+	h.queue.After(clientDelay, func() {
+		// The processes of an upgrade share the listening socket: a connection that the old one no longer accepts is
+		// accepted by its successor.
+		for process.dead && process.retired && process.successor != nil {
+			process = process.successor
 		}
-		n.do(func() { n.arrive(y) })
+		process.whenRunnable(func() { process.accept(request) })
 	})
 }
 
-// GiveUp tells a sidecar that its client has gone.
-func (h *host) GiveUp(y *model.Try) {
-	if c, ok := y.Host.(*call); ok {
-		h.q.After(clientTo, func() { c.node.do(func() { c.node.left(c) }) })
+// GiveUp tells a sidecar that the client of a request has disconnected.
+func (h *host) GiveUp(request *model.Try) {
+	if accepted, ok := request.Host.(*call); ok {
+		h.queue.After(clientDelay, func() { accepted.node.whenRunnable(func() { accepted.node.clientLeft(accepted) }) })
 	}
 }
 
-// ServerStarted needs no doing: new connections come up by themselves.
+// ServerStarted does nothing: nodes open connections to the new process when they need them.
 func (h *host) ServerStarted(int) {}
 
-// ServerStopped breaks a server's idle connections; what is under way has been told by the server.
+// ServerStopped drops the idle connections to a server. Its jobs have reported their broken connections themselves.
 func (h *host) ServerStopped(server int) {
-	for _, n := range h.all() {
-		n.idle[server] = nil
+	for _, process := range h.processes() {
+		process.idle[server] = nil
 	}
 }
 
-func (h *host) all() []*node {
-	list := append([]*node(nil), h.olds...)
-	for _, n := range h.nodes {
-		if n != nil {
-			list = append(list, n)
+// processes returns all running processes: those that drain first, then the others by sidecar.
+func (h *host) processes() []*node {
+	list := append([]*node(nil), h.retiring...)
+	for _, process := range h.nodes {
+		if process != nil {
+			list = append(list, process)
 		}
 	}
 	return list
 }
 
-// Operate has operators take a server out at all sidecars, or call it back.
+// Operate begins or ends the administrative drain of a server, at all sidecars.
 func (h *host) Operate(server int, out bool) {
-	h.banned[server] = out
+	h.drained[server] = out
 	state := trace.Released
 	if out {
 		state = trace.Banned
 	}
-	for _, n := range h.all() {
-		n.do(func() {
+	for _, process := range h.processes() {
+		process.whenRunnable(func() {
 			if out {
-				n.b.DrainEndpoint(n.now(), number(server), n.now())
+				process.module.DrainEndpoint(process.now(), endpointID(server), process.now())
 			} else {
-				n.b.UndrainEndpoint(n.now(), number(server), n.now())
+				process.module.UndrainEndpoint(process.now(), endpointID(server), process.now())
 			}
 		})
 	}
 	for i := range h.nodes {
-		h.sink.Take(trace.Event{At: h.q.Now(), Kind: trace.Told, Sidecar: int32(i), Server: int32(server), State: state})
+		h.sink.Take(trace.Event{At: h.queue.Now(), Kind: trace.Told, Sidecar: int32(i), Server: int32(server), State: state})
 	}
 }
 
-// Update brings discovery's word to a sidecar, and to a process of it that finishes.
-func (h *host) Update(sidecar int, u model.Update, told model.Told) {
+// Update sends an update of discovery to all processes of a sidecar, also to those that drain.
+func (h *host) Update(sidecar int, update model.Update, told model.Told) {
 	told()
-	for _, n := range h.all() {
-		if n.number == sidecar {
-			n.hear(u)
+	for _, process := range h.processes() {
+		if process.number == sidecar {
+			process.applyUpdate(update)
 		}
 	}
 }
 
-// WatchEnded tells a sidecar that its watch broke.
+// WatchEnded tells a sidecar's process that discovery ended its watch.
 func (h *host) WatchEnded(sidecar int) {
-	if n := h.nodes[sidecar]; n != nil {
-		n.watchEnded()
+	if process := h.nodes[sidecar]; process != nil {
+		process.watchEnded()
 	}
 }
 
 // Fault begins or ends a fault of links or sidecars.
-func (h *host) Fault(f *scenario.Fault, on bool) {
-	if f.OnLinks() {
-		for _, l := range h.w.Links(f) {
-			h.link(l[0], l[1]).fault(h, l, f, on)
+func (h *host) Fault(fault *scenario.Fault, on bool) {
+	if fault.OnLinks() {
+		for _, ends := range h.world.Links(fault) {
+			h.linkOf(ends[0], ends[1]).apply(h, ends, fault, on)
 		}
 		return
 	}
-	for _, n := range h.w.Sidecars(f) {
-		h.process(n, f, on)
+	for _, sidecar := range h.world.Sidecars(fault) {
+		h.applyProcessFault(sidecar, fault, on)
 	}
 }
 
-func (h *host) link(sidecar, server int) *link {
+// linkOf returns the faults of a link, and creates its entry if there is none.
+func (h *host) linkOf(sidecar, server int) *link {
 	key := [2]int{sidecar, server}
 	l := h.links[key]
 	if l == nil {
@@ -248,115 +255,120 @@
 	return l
 }
 
-func (l *link) fault(h *host, key [2]int, f *scenario.Fault, on bool) {
-	step := -1
+// apply begins or ends a fault of the link, whose ends are the numbers of its sidecar and server.
+func (l *link) apply(h *host, ends [2]int, fault *scenario.Fault, on bool) {
+	change := -1
 	if on {
-		step = 1
+		change = 1
 	}
-	switch f.Kind {
+	switch fault.Kind {
 	case "black-hole":
-		l.hole += step
-		l.lost++
+		l.blackHoles += change
+		l.lossCount++
 	case "delay":
-		l.more += Micros(step) * f.Lag.Micros()
-	case "bandwidth": // a message's own time on the link
-		l.more += Micros(step) * Micros(float64(h.message())/f.Factor*1e6)
+		l.extraDelay += Micros(change) * fault.Lag.Micros()
+	case "bandwidth": // the delay of a message of mean size
+		l.extraDelay += Micros(change) * Micros(float64(h.messageBytes())/fault.Factor*1e6)
 	case "pieces":
-		l.more += Micros(step) * Micros(float64(h.message())/f.Factor) * f.Lag.Micros()
-	case "half-close": // nobody here ends the sending of a connection that goes on
+		l.extraDelay += Micros(change) * Micros(float64(h.messageBytes())/fault.Factor) * fault.Lag.Micros()
+	case "half-close": // has no effect: no simulated connection is half-closed
 	case "reset":
-		l.reset += step
-		every := f.Every.Micros()
-		var again func()
-		again = func() {
-			if l.reset == 0 {
+		l.resets += change
+		interval := fault.Every.Micros()
+		var resetAgain func()
+		resetAgain = func() {
+			if l.resets == 0 {
 				return
 			}
-			l.lost++
-			for _, n := range h.all() {
-				if n.number == key[0] {
-					n.broken(key[1])
+			l.lossCount++
+			for _, process := range h.processes() {
+				if process.number == ends[0] {
+					process.resetConnections(ends[1])
 				}
 			}
-			if every > 0 {
-				h.q.After(every, again)
+			if interval > 0 {
+				h.queue.After(interval, resetAgain)
 			}
 		}
 		if on {
-			again()
+			resetAgain()
 		}
 	}
 }
 
-// message is about how many bytes a request or an answer has on the wire.
-func (h *host) message() int { return headBytes + (h.s.Load.Bodies+h.s.Load.Answer)/2 }
+// messageBytes returns the mean size of a request or an answer on the wire.
+func (h *host) messageBytes() int {
+	return headerBytes + (h.scenario.Load.Bodies+h.scenario.Load.Answer)/2
+}
 
-// process does to a sidecar's process what a fault says.
-func (h *host) process(sidecar int, f *scenario.Fault, on bool) {
-	n := h.nodes[sidecar]
-	now := h.q.Now()
-	note := func(state trace.State) {
-		h.sink.Take(trace.Event{At: now, Kind: trace.Killed, Sidecar: int32(sidecar), State: state, Note: f.Kind})
+// applyProcessFault begins or ends a fault of a sidecar's process.
+func (h *host) applyProcessFault(sidecar int, fault *scenario.Fault, on bool) {
+	process := h.nodes[sidecar]
+	now := h.queue.Now()
+	recordState := func(state trace.State) {
+		h.sink.Take(trace.Event{At: now, Kind: trace.Killed, Sidecar: int32(sidecar), State: state, Note: fault.Kind})
 	}
 	switch {
-	case f.Kind == "upgrade" && on && n != nil:
-		next := h.newNode(sidecar, n.settings)
-		h.nodes[sidecar] = next
-		n.retire(next)
-		next.start()
-		if h.s.Fleet.Recall != "none" {
-			next.recall(n.b.Snapshot(n.now(), false))
+	case fault.Kind == "upgrade" && on && process != nil:
+		successor := h.newNode(sidecar, process.settings)
+		h.nodes[sidecar] = successor
+		process.retire(successor)
+		successor.start()
+		if h.scenario.Fleet.Recall != "none" {
+			successor.restore(process.module.Snapshot(process.now(), false))
 		}
-	case f.Kind == "freeze" && on && n != nil:
-		n.frozen = now + f.For.Micros()
-		note(trace.Gone)
-	case f.Kind == "freeze" && n != nil:
-		h.q.After(eventqueue.Second, func() { note(trace.Up) })
-	case f.Kind == "kill" && on && n != nil:
-		note(trace.Gone)
-		n.die()
+	case fault.Kind == "freeze" && on && process != nil:
+		process.frozenUntil = now + fault.For.Micros()
+		recordState(trace.Gone)
+	case fault.Kind == "freeze" && process != nil:
+		h.queue.After(eventqueue.Second, func() { recordState(trace.Up) })
+	case fault.Kind == "kill" && on && process != nil:
+		recordState(trace.Gone)
+		process.kill()
 		h.nodes[sidecar] = nil
-	case f.Kind == "stop" && on && n != nil:
-		n.retire(nil)
+	case fault.Kind == "stop" && on && process != nil:
+		process.retire(nil)
 		h.nodes[sidecar] = nil
-	case (f.Kind == "kill" || f.Kind == "stop") && !on && n == nil:
-		settings, _ := told.Parsed(h.s, sidecar)
-		next := h.newNode(sidecar, settings)
-		h.nodes[sidecar] = next
-		next.start()
-		if was := h.kept[sidecar]; was != nil {
-			next.recall(was)
+	case (fault.Kind == "kill" || fault.Kind == "stop") && !on && process == nil:
+		settings, _ := told.Parsed(h.scenario, sidecar)
+		successor := h.newNode(sidecar, settings)
+		h.nodes[sidecar] = successor
+		successor.start()
+		if snapshot := h.snapshots[sidecar]; snapshot != nil {
+			successor.restore(snapshot)
 		}
-		if f.Kind == "kill" {
-			note(trace.Up)
+		if fault.Kind == "kill" {
+			recordState(trace.Up)
 		}
 	}
 }
 
-func (h *host) keep(n *node, line string) {
-	if len(h.log) < h.logs {
-		h.log = append(h.log, fmt.Sprintf("%.3f sidecar %d: %s", float64(h.q.Now())/1e6, n.number, line))
+func (h *host) appendLog(process *node, line string) {
+	if len(h.logLines) < h.maxLogLines {
+		h.logLines = append(h.logLines, fmt.Sprintf("%.3f sidecar %d: %s", float64(h.queue.Now())/1e6, process.number, line))
 	}
 }
 
-// number is a server's number at the modules.
-func number(server int) uint32 { return uint32(server) + 1 }
+// endpointID returns the ID that a server has at the modules, which count from 1.
+func endpointID(server int) uint32 { return uint32(server) + 1 }
 
-func entries(u model.Update, w *model.World) []balancer.Endpoint {
-	list := make([]balancer.Endpoint, 0, len(u.Entries))
-	for _, e := range u.Entries {
-		s := w.Servers[e.Server]
-		x := balancer.Endpoint{ID: number(e.Server), Zone: uint8(s.Zone), Kind: uint8(s.Kind), Cell: uint16(s.Cell), Weight: 1}
-		switch e.State {
+// endpoints converts the entries of an update of discovery for a module.
+func endpoints(update model.Update, world *model.World) []balancer.Endpoint {
+	list := make([]balancer.Endpoint, 0, len(update.Entries))
+	for _, entry := range update.Entries {
+		server := world.Servers[entry.Server]
+		endpoint := balancer.Endpoint{ID: endpointID(entry.Server), Zone: uint8(server.Zone), Kind: uint8(server.Kind),
+			Cell: uint16(server.Cell), Weight: 1}
+		switch entry.State {
 		case trace.Draining:
-			x.State = balancer.Draining
+			endpoint.State = balancer.Draining
 		case trace.Gone:
-			x.State = balancer.Removed
+			endpoint.State = balancer.Removed
 		}
-		if e.Started > 0 {
-			x.StartTime = origin + e.Started
+		if entry.Started > 0 {
+			endpoint.StartTime = clockOrigin + entry.Started
 		}
-		list = append(list, x)
+		list = append(list, endpoint)
 	}
 	return list
 }
