--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,7 +1,8 @@
-// Package scenario reads the lab's scenario files: a booking system, its load, what goes wrong, and what must hold.
+// Package scenario reads the lab's scenario files: the servers, sidecars and clients of a booking system, its load, the
+// faults injected into it, and the bounds that the results of a run must meet.
 //
-// Files are TOML and strictly read: an unknown key, a range upside down or a negative rate is an error that names
-// the file, the line and the key, and nothing starts.
+// Files are TOML and read strictly: an unknown key, a range that starts above its end or a negative rate is an error
+// that names the file, the line and the key.
 package scenario
 
 import (
@@ -11,183 +12,188 @@
 	"birchmoor/internal/platform/stricttoml"
 )
 
-// Scenario is a whole file.
+// Scenario is the content of a scenario file.
 type Scenario struct {
 	Name      string    `toml:"name"`
 	About     string    `toml:"about"`
-	Length    Dur       `toml:"length"`    // over which requests arrive
-	Hosts     []string  `toml:"hosts"`     // "run", "sim": where it can be played; empty for both
-	Fleet     Fleet     `toml:"fleet"`     //
-	Servers   []Servers `toml:"servers"`   // by kind
-	Classes   []Class   `toml:"class"`     //
-	Load      Load      `toml:"load"`      //
-	Clients   Clients   `toml:"clients"`   //
-	Net       Net       `toml:"net"`       //
-	Discovery Discovery `toml:"discovery"` //
-	Rules     Rules     `toml:"rules"`     //
-	Limits    Limits    `toml:"limits"`    //
-	Faults    []Fault   `toml:"fault"`     //
-	Keep      Keep      `toml:"keep"`      // the figures that the run must reach
+	Length    Dur       `toml:"length"` // time over which requests arrive
+	Hosts     []string  `toml:"hosts"`  // "run" (real time), "sim" (virtual time): hosts that can run it; empty for both
+	Fleet     Fleet     `toml:"fleet"`
+	Servers   []Servers `toml:"servers"` // one entry per kind
+	Classes   []Class   `toml:"class"`
+	Load      Load      `toml:"load"`
+	Clients   Clients   `toml:"clients"`
+	Net       Net       `toml:"net"`
+	Discovery Discovery `toml:"discovery"`
+	Rules     Rules     `toml:"rules"`
+	Limits    Limits    `toml:"limits"`
+	Faults    []Fault   `toml:"fault"`
+	Keep      Keep      `toml:"keep"` // bounds that the results of a run must meet
 
-	Path    string         `toml:"-"`
-	Overlay map[string]any `toml:"-"` // settings that an experiment tells otherwise
+	Path    string         `toml:"-"` // of the file, for errors
+	Overlay map[string]any `toml:"-"` // settings of sidecars that an experiment overrides; nil for none
 }
 
-// Fleet is the sidecars and where they are.
+// Fleet describes the sidecars and their zones.
 type Fleet struct {
 	Sidecars int      `toml:"sidecars"`
-	Zones    []string `toml:"zones"`
-	Skew     float64  `toml:"skew"` // spread of the sidecars' shares of the load, 0 for even
+	Zones    []string `toml:"zones"` // sidecars and servers are assigned to them in turn
+	Skew     float64  `toml:"skew"`  // coefficient of variation of the sidecars' shares of the load; 0 for equal shares
 	MemoryMB int      `toml:"memory_mb"`
 	Sockets  int      `toml:"sockets"`
-	Told     float64  `toml:"told"`   // of the sidecars, so many are told to each as the fleet's size
-	Recall   string   `toml:"recall"` // what a new process is told of what an old one knew: "none", "handover", or "kept", after a kill too
+	// Told is the fleet size that each sidecar is configured with, as a multiple of the real number of sidecars.
+	Told float64 `toml:"told"`
+	// Recall says which state a new process gets from the old one: "none", "handover" (at an upgrade), or "kept" (also
+	// after a kill).
+	Recall string `toml:"recall"`
 }
 
-// Servers is a kind of slot server. Ranges of two hold one draw a server, from low to high.
+// Servers describes one kind of slot server. A range is one value for all servers, or a low and a high one between
+// which each server's value is drawn.
 type Servers struct {
 	Kind      string    `toml:"kind"`
 	Count     int       `toml:"count"`
 	Cores     int       `toml:"cores"`
-	Speed     []float64 `toml:"speed"`          // of a core; work is told for a core of speed 1
-	Slots     int       `toml:"slots_per_core"` // requests in work side by side
-	Queue     int       `toml:"queue"`          // requests that may wait beyond
-	ConnCap   int       `toml:"conn_cap"`
-	Idle      Dur       `toml:"idle_close"` // an idle connection is closed after this
-	Handshake Dur       `toml:"handshake"`  // work of a new connection
-	Probe     Dur       `toml:"probe"`      // work of a probe
-	Cancel    string    `toml:"cancel"`     // what a cancel frees: "none", "queued", "all"
-	Errors    float64   `toml:"errors"`     // share of requests answered with an error
-	ColdFrom  []float64 `toml:"cold_from"`
-	ColdFor   Dur       `toml:"cold_for"`
-	Thrash    float64   `toml:"thrash"`    // efficiency lost for each further thrash_at requests a core
-	ThrashAt  float64   `toml:"thrash_at"` // requests in work a core
-	Choke     *Choke    `toml:"choke"`
+	Speed     []float64 `toml:"speed"`          // range of the speed of a core; work is stated for a core of speed 1
+	Slots     int       `toml:"slots_per_core"` // requests that a core runs concurrently
+	Queue     int       `toml:"queue"`          // requests that may wait for a slot
+	ConnCap   int       `toml:"conn_cap"`       // connections, beyond which new ones are rejected
+	Idle      Dur       `toml:"idle_close"`     // time after which the server closes an idle connection
+	Handshake Dur       `toml:"handshake"`      // work of a new connection
+	Probe     Dur       `toml:"probe"`          // work of a probe
+	Cancel    string    `toml:"cancel"`         // requests that a cancellation removes: "none", "queued", "all"
+	Errors    float64   `toml:"errors"`         // share of requests answered with an error
+	ColdFrom  []float64 `toml:"cold_from"`      // range of the share of its capacity that a cold server starts with
+	ColdFor   Dur       `toml:"cold_for"`       // time until a cold server has its whole capacity
+	Thrash    float64   `toml:"thrash"`         // slowdown added by each further thrash_at running requests per core
+	ThrashAt  float64   `toml:"thrash_at"`      // running requests per core above which a server slows down
+	Choke     *Choke    `toml:"choke"`          // nil: overload does not choke the server
 	Report    Report    `toml:"report"`
 }
 
-// Choke slows a server down once overdriven.
+// Choke slows a server down that has been overloaded, until it has recovered.
 type Choke struct {
-	At     float64 `toml:"at"`   // requests held a core
-	Over   Dur     `toml:"over"` // for so long
-	Slower float64 `toml:"slower"`
-	Below  float64 `toml:"below"` // let go when it held no more than this a core
-	Rest   Dur     `toml:"rest"`  // for so long,
-	Most   Dur     `toml:"most"`  // or after this at the latest
+	At     float64 `toml:"at"`     // running and waiting requests per core from which the server is overloaded
+	Over   Dur     `toml:"over"`   // duration of the overload after which the server chokes
+	Slower float64 `toml:"slower"` // factor by which a choked server is slower
+	Below  float64 `toml:"below"`  // running and waiting requests per core up to which the server recovers
+	Rest   Dur     `toml:"rest"`   // duration of such a low load after which the choke ends
+	Most   Dur     `toml:"most"`   // longest duration of a choke
 }
 
-// Report is how a server's load report is made.
+// Report describes how a server makes its load reports.
 type Report struct {
-	Every Dur     `toml:"every"`
-	Delay Dur     `toml:"delay"`
-	Noise float64 `toml:"noise"`
+	Every Dur     `toml:"every"` // least time between two reports
+	Delay Dur     `toml:"delay"` // least age of a report that is sent, if there is one so old
+	Noise float64 `toml:"noise"` // relative standard deviation of each figure
 }
 
 // Class is a class of requests.
 type Class struct {
 	Name   string  `toml:"name"`
-	Share  float64 `toml:"share"`
-	Work   Dur     `toml:"work"` // mean, on a core of speed 1
-	Dist   string  `toml:"dist"` // "fixed", "exp", "lognormal", "pareto"
-	CV     float64 `toml:"cv"`
-	Aim    Dur     `toml:"aim"`
-	GiveUp Dur     `toml:"give_up"`
-	Worth  float64 `toml:"worth"`
-	Unsafe bool    `toml:"unsafe"` // must never run twice
+	Share  float64 `toml:"share"`   // weight of the class among all requests
+	Work   Dur     `toml:"work"`    // mean service time on a core of speed 1
+	Dist   string  `toml:"dist"`    // distribution of the work: "fixed", "exp", "lognormal", "pareto"
+	CV     float64 `toml:"cv"`      // coefficient of variation of a lognormal distribution
+	Aim    Dur     `toml:"aim"`     // latency objective
+	GiveUp Dur     `toml:"give_up"` // timeout of a task, with all its client's retries
+	Worth  float64 `toml:"worth"`   // priority weight
+	Unsafe bool    `toml:"unsafe"`  // not idempotent: must not run twice
 }
 
-// Load is the arrivals of first tries, over all sidecars.
+// Load describes the arrivals of tasks, over all sidecars, without clients' retries.
 type Load struct {
-	Rate   float64 `toml:"rate"`    // a second
-	Shape  string  `toml:"shape"`   // "steady", "ramp" (from a third to the full rate), "wave"
-	Swing  float64 `toml:"swing"`   // of a wave
-	Hints  string  `toml:"hints"`   // "none", "rough", "exact"
-	Bodies int     `toml:"bodies"`  // bytes of a write's body
-	Answer int     `toml:"answers"` // bytes of an answer
+	Rate   float64 `toml:"rate"`    // tasks per second
+	Shape  string  `toml:"shape"`   // "steady", "ramp" (up from a third of the rate), "wave" (three sine periods)
+	Swing  float64 `toml:"swing"`   // amplitude of a wave, as a share of the rate
+	Hints  string  `toml:"hints"`   // estimates of a request's work that clients send: "none", "rough", "exact"
+	Bodies int     `toml:"bodies"`  // bytes of the body of a write
+	Answer int     `toml:"answers"` // bytes of the body of an answer
 }
 
-// Clients is how clients behave.
+// Clients describes the behaviour of the clients.
 type Clients struct {
-	Retries  int     `toml:"retries"`
-	Backoff  Dur     `toml:"backoff"`   // mean of the first wait; doubles. 0 is at once
-	Honour   float64 `toml:"honour"`    // share of answers with Retry-After that are heeded
-	TryShare float64 `toml:"try_share"` // of the give-up time, that one try is waited for
-	Marks    bool    `toml:"marks_retry"`
-	Conns    int     `toml:"conns"` // most connections a sidecar's clients hold
+	Retries  int     `toml:"retries"`     // maximum number of retries per task
+	Backoff  Dur     `toml:"backoff"`     // mean delay of the first retry, doubled for each further one; 0 for none
+	Honour   float64 `toml:"honour"`      // share of retries that use the answer's Retry-After in place of the backoff
+	TryShare float64 `toml:"try_share"`   // timeout of one request, as a share of the class's give_up
+	Marks    bool    `toml:"marks_retry"` // clients mark their retries as such
+	Conns    int     `toml:"conns"`       // maximum number of connections between a sidecar and its clients
 }
 
-// Net is the network between the parties, one way.
+// Net describes the network between sidecars, servers and discovery. Its delays are one way.
 type Net struct {
-	Same   Dur     `toml:"same"`
-	Cross  Dur     `toml:"cross"` // between zones
-	Jitter float64 `toml:"jitter"`
-	Stalls float64 `toml:"stalls"` // share of messages that a busy machine or a lost packet holds up,
-	Stall  Dur     `toml:"stall"`  // for up to this
+	Same   Dur     `toml:"same"`   // mean delay within a zone
+	Cross  Dur     `toml:"cross"`  // mean delay between zones
+	Jitter float64 `toml:"jitter"` // largest deviation from the mean delay, as a share of it
+	Stalls float64 `toml:"stalls"` // share of messages that stall, as on a busy machine or after a lost packet
+	Stall  Dur     `toml:"stall"`  // longest stall
 }
 
-// Discovery is how the list of servers comes to the sidecars.
+// Discovery describes the discovery service, from which sidecars get the endpoint list.
 type Discovery struct {
-	Notice   Dur    `toml:"notice"`   // from a drain or an end until it is listed
-	Add      Dur    `toml:"add"`      // from a start until it is listed
-	Capacity int    `toml:"capacity"` // calls at once
-	Call     Dur    `toml:"call"`     // work of a call
-	Spread   Dur    `toml:"spread"`   // each sidecar hears so much later, by a lot of its own from 0 to this
-	Shuffle  bool   `toml:"shuffle"`  // each sidecar is told another order
-	Mode     string `toml:"mode"`     // "watch" (subscribe) or "push"
+	Notice   Dur    `toml:"notice"`   // mean time from the beginning of a drain or the end of a process until it is listed
+	Add      Dur    `toml:"add"`      // mean time from a start until it is listed
+	Capacity int    `toml:"capacity"` // calls served concurrently
+	Call     Dur    `toml:"call"`     // service time of a call
+	Spread   Dur    `toml:"spread"`   // largest extra delay of watch events; each sidecar's is drawn between 0 and this
+	Shuffle  bool   `toml:"shuffle"`  // each sidecar gets the entries in an order of its own
+	Mode     string `toml:"mode"`     // "watch": modules subscribe to changes; "push": their hosts always watch
 }
 
-// Rules holds the figures of the rules, as sidecars are told them.
+// Rules holds the figures of the users' rules. Sidecars are configured with them, and the checker applies them.
 type Rules struct {
-	DrainGrace   Dur     `toml:"drain_grace"`
-	FallMultiple float64 `toml:"fall_multiple"`
-	OverloadFor  Dur     `toml:"overload_for"`
-	ColdFrom     float64 `toml:"cold_from"`
-	RampTime     Dur     `toml:"ramp_time"`
-	AskWithin    Dur     `toml:"ask_within"`
+	DrainGrace   Dur     `toml:"drain_grace"`   // time after the notice of a drain in which attempts may still be sent
+	FallMultiple float64 `toml:"fall_multiple"` // multiple of its capacity above which a cold server collapses
+	OverloadFor  Dur     `toml:"overload_for"`  // time over which that overload is measured
+	ColdFrom     float64 `toml:"cold_from"`     // guaranteed share of its capacity that a cold server has at its start
+	RampTime     Dur     `toml:"ramp_time"`     // time from its start until a server has its whole capacity
+	AskWithin    Dur     `toml:"ask_within"`    // longest time between polls of discovery
 }
 
-// Limits is what the sidecars are allowed.
+// Limits holds the limits of the sidecars and the features that they may use.
 type Limits struct {
-	Attempts      int    `toml:"attempts"`
-	SecondCopies  bool   `toml:"second_copies"`
+	Attempts      int    `toml:"attempts"`      // maximum number of attempts per request
+	SecondCopies  bool   `toml:"second_copies"` // hedged requests
 	Probes        bool   `toml:"probes"`
-	Reports       string `toml:"reports"` // "probe", "answers", "none"
-	RetryAfter    bool   `toml:"retry_after"`
+	Reports       string `toml:"reports"`     // what carries load reports: "probe", "answers", "none"
+	RetryAfter    bool   `toml:"retry_after"` // rejections carry Retry-After
 	MaxRetryAfter Dur    `toml:"max_retry_after"`
-	Dial          Dur    `toml:"dial"`
-	Held          int    `toml:"held"`
+	Dial          Dur    `toml:"dial"` // dial timeout
+	Held          int    `toml:"held"` // maximum number of open requests per sidecar
 }
 
-// Fault is something that goes wrong, or that operators do.
+// Fault is a fault injection, or an action of operators. FaultKinds says which of the fields a kind uses.
 type Fault struct {
 	Kind     string  `toml:"kind"`
-	At       Dur     `toml:"at"`
-	For      Dur     `toml:"for"`
-	Servers  []int   `toml:"servers"` // by number from 0; empty with Zone for that zone's
-	Zone     string  `toml:"zone"`
+	At       Dur     `toml:"at"`       // start, from the start of the scenario
+	For      Dur     `toml:"for"`      // duration
+	Servers  []int   `toml:"servers"`  // numbers from 0; empty for those of Zone, or all
+	Zone     string  `toml:"zone"`     // empty for all
 	Share    float64 `toml:"share"`    // of the servers, of the sidecars, or of a class's requests
-	Sidecars []int   `toml:"sidecars"` // empty for all
-	Class    string  `toml:"class"`
-	Factor   float64 `toml:"factor"`
-	Every    Dur     `toml:"every"` // between one server and the next
-	Lag      Dur     `toml:"lag"`
-	Repeat   int     `toml:"repeat"`
+	Sidecars []int   `toml:"sidecars"` // numbers from 0; empty for all
+	Class    string  `toml:"class"`    // empty for all
+	Factor   float64 `toml:"factor"`   // depends on the kind
+	Every    Dur     `toml:"every"`    // delay between one server and the next, or between resets of a link
+	Lag      Dur     `toml:"lag"`      // depends on the kind
+	Repeat   int     `toml:"repeat"`   // number of occurrences
 }
 
-// Keep is what a run must reach. Zero is no demand.
+// Keep holds the bounds that the results of a run must meet. Zero is no bound.
 type Keep struct {
-	Service    float64            `toml:"service"`
-	Class      map[string]float64 `toml:"class"`
-	Attempts   float64            `toml:"attempts_most"`   // attempts a request
-	Refused    float64            `toml:"refused_most"`    // share of tries
-	Failed     float64            `toml:"failed_most"`     // share of tries
-	Handshakes float64            `toml:"handshakes_most"` // connections opened a request
-	Crossings  float64            `toml:"crossings_most"`  // attempts into other zones, of all
-	P99        Dur                `toml:"p99_most"`        // of served tries
-	Fleet      map[string]float64 `toml:"fleet_most"`      // bounds on fleet figures, by name: FleetFigures
+	Service    float64            `toml:"service"`         // minimum service figure, 0 to 1
+	Class      map[string]float64 `toml:"class"`           // minimum service figure of a class, by its name
+	Attempts   float64            `toml:"attempts_most"`   // maximum of attempts per task
+	Refused    float64            `toml:"refused_most"`    // maximum share of requests that are rejected
+	Failed     float64            `toml:"failed_most"`     // maximum share of requests that fail
+	Handshakes float64            `toml:"handshakes_most"` // maximum of connections opened per task
+	Crossings  float64            `toml:"crossings_most"`  // maximum share of attempts that go to another zone
+	P99        Dur                `toml:"p99_most"`        // maximum 99th percentile of the latency of served requests
+	Fleet      map[string]float64 `toml:"fleet_most"`      // maximum of fleet figures, by their names in FleetFigures
 }
 
-// FleetFigures are those of a whole fleet that a scenario may bound, each with what it counts. All are over all sidecars.
+// FleetFigures maps the names of the figures of a whole fleet that a scenario may bound to their descriptions. Each
+// figure counts over all sidecars.
 var FleetFigures = map[string]string{
 	"probes_mean":        "probes a server and second",
 	"probes_worst":       "probes of a server in its worst second",
@@ -210,26 +216,26 @@
 	"call_wait_worst_ms": "and the longest",
 }
 
-// Dur is a duration, written as Go does: "80ms".
+// Dur is a duration that is written in Go's syntax, such as "80ms".
 type Dur time.Duration
 
-// UnmarshalText reads a duration.
+// UnmarshalText parses a duration in the syntax of time.ParseDuration.
 func (d *Dur) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
-		return fmt.Errorf("%q is no duration such as \"80ms\"", text)
+		return fmt.Errorf("%q is not a duration such as \"80ms\"", text)
 	}
 	*d = Dur(v)
 	return nil
 }
 
-// MarshalText writes it so that it can be read back.
+// MarshalText returns the duration in the syntax that UnmarshalText parses.
 func (d Dur) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// Micros returns it in microseconds.
+// Micros returns the duration in microseconds, rounded towards zero.
 func (d Dur) Micros() int64 { return time.Duration(d).Microseconds() }
 
-// FaultKinds lists the kinds of fault, each with what it does.
+// FaultKinds maps the kinds of fault to their descriptions, in terms of the fields of Fault.
 var FaultKinds = map[string]string{
 	"burst":           "the rate of arrivals is factor times as high",
 	"heavy-tail":      "share of a class's requests cost factor times the work",
@@ -258,12 +264,12 @@
 	"asleep":          "nothing is asked of the sidecars, and discovery is down; then all wake at once",
 }
 
-// onLoad says whether the fault changes the arrivals, which are drawn ahead.
-func (f *Fault) onLoad() bool {
+// affectsArrivals reports whether the fault takes effect when arrivals are drawn.
+func (f *Fault) affectsArrivals() bool {
 	return f.Kind == "burst" || f.Kind == "heavy-tail" || f.Kind == "asleep"
 }
 
-// OnLinks says whether the fault is one of the links between sidecars and servers.
+// OnLinks reports whether the fault affects links between sidecars and servers.
 func (f *Fault) OnLinks() bool {
 	switch f.Kind {
 	case "black-hole", "reset", "delay", "bandwidth", "pieces", "half-close":
@@ -272,5 +278,5 @@
 	return false
 }
 
-// Error is a fault of a file.
+// Error is a mistake in a scenario file, with its place.
 type Error = stricttoml.Error
