--- a/internal/lab/told/told.go
+++ b/internal/lab/told/told.go
@@ -1,5 +1,5 @@
-// Package told makes, from a scenario, what a sidecar is told at its start: the settings as the sockets and the
-// simulator's wire have them.
+// Package told derives the settings of a scenario's sidecars, in the form of their configuration files and of the
+// simulator's wire, and parsed for the decision module.
 package told
 
 import (
@@ -13,91 +13,91 @@
 	"birchmoor/internal/platform/wire"
 )
 
-// fields of a load report.
-var fields = []string{"busy_reqs", "cpu_share", "served_ps"}
+// reportFields are the names of the fields of a load report, in order.
+var reportFields = []string{"busy_reqs", "cpu_share", "served_ps"}
 
-// Settings returns the settings object of the sidecar of this number.
+// Settings returns the settings object of a sidecar, which is identified by its number, with the scenario's overlay.
 func Settings(s *scenario.Scenario, sidecar int) map[string]any {
 	var classes []map[string]any
 	for i := range s.Classes {
-		c := &s.Classes[i]
+		class := &s.Classes[i]
 		repeat := "pure"
-		if c.Unsafe {
+		if class.Unsafe {
 			repeat = "side_effect"
 		}
-		classes = append(classes, map[string]any{"name": c.Name, "repeat": repeat, "target": c.Aim.Micros(),
-			"give-up": c.GiveUp.Micros(), "credit": c.Worth, "late-value": 0.0, "stream": false})
+		classes = append(classes, map[string]any{"name": class.Name, "repeat": repeat, "target": class.Aim.Micros(),
+			"give-up": class.GiveUp.Micros(), "credit": class.Worth, "late-value": 0.0, "stream": false})
 	}
 	var kinds []string
-	var idle int64
+	var minIdle int64
 	for i := range s.Servers {
 		kinds = append(kinds, s.Servers[i].Kind)
-		if d := s.Servers[i].Idle.Micros(); idle == 0 || d < idle {
-			idle = d
+		if d := s.Servers[i].Idle.Micros(); minIdle == 0 || d < minIdle {
+			minIdle = d
 		}
 	}
 	mode := "subscribe"
 	if s.Discovery.Mode == "push" {
 		mode = "automatic"
 	}
-	r, l := &s.Rules, &s.Limits
+	rules, limits := &s.Rules, &s.Limits
 	base := map[string]any{
-		"peers-total": max(1, int(math.Round(s.Fleet.Told*float64(s.Fleet.Sidecars)))), "position": sidecar, "zone": sidecar % len(s.Fleet.Zones),
-		"areas": s.Fleet.Zones, "skus": kinds, "discovery": mode, "tick": 0, "classes": classes,
-		"callers":  map[string]any{"marks-retry": s.Clients.Marks},
+		"peers-total": max(1, int(math.Round(s.Fleet.Told*float64(s.Fleet.Sidecars)))), "position": sidecar,
+		"zone": sidecar % len(s.Fleet.Zones), "areas": s.Fleet.Zones, "skus": kinds, "discovery": mode, "tick": 0,
+		"classes": classes, "callers": map[string]any{"marks-retry": s.Clients.Marks},
 		"value-by": "work",
-		"contract": map[string]any{"drain-grace": r.DrainGrace.Micros(), "cold-from": r.ColdFrom,
-			"ramp-time": r.RampTime.Micros(), "fall-multiple": r.FallMultiple, "overload-for": r.OverloadFor.Micros(),
-			"ask-within": r.AskWithin.Micros(), "answer-slack": 20000},
-		"limits": map[string]any{"cancel": true, "probes": l.Probes, "second-copies": l.SecondCopies,
-			"retry-after": l.RetryAfter, "most-tries": l.Attempts, "most-held": l.Held,
-			"max-retry-after": l.MaxRetryAfter.Micros(), "dial-timeout": l.Dial.Micros(), "keepalive": idle},
-		"reporting": map[string]any{"how": l.Reports, "fields": fields},
+		"contract": map[string]any{"drain-grace": rules.DrainGrace.Micros(), "cold-from": rules.ColdFrom,
+			"ramp-time": rules.RampTime.Micros(), "fall-multiple": rules.FallMultiple,
+			"overload-for": rules.OverloadFor.Micros(), "ask-within": rules.AskWithin.Micros(), "answer-slack": 20000},
+		"limits": map[string]any{"cancel": true, "probes": limits.Probes, "second-copies": limits.SecondCopies,
+			"retry-after": limits.RetryAfter, "most-tries": limits.Attempts, "most-held": limits.Held,
+			"max-retry-after": limits.MaxRetryAfter.Micros(), "dial-timeout": limits.Dial.Micros(), "keepalive": minIdle},
+		"reporting": map[string]any{"how": limits.Reports, "fields": reportFields},
 		"goal":      map[string]any{"whole": 0.75, "worst-window": 0.15, "worst-class": 0.1},
 		"prices":    map[string]any{"cross-zone": 0.03, "probe": 0.0029, "waste": 0.047, "late-fail": 0.025},
 	}
-	overlay(base, s.Overlay)
+	applyOverlay(base, s.Overlay)
 	return base
 }
 
-// overlay puts what an experiment tells otherwise in the place of the scenario's.
-func overlay(base, over map[string]any) {
-	for k, v := range over {
-		if to, ok := base[k].(map[string]any); ok {
-			if from, ok := v.(map[string]any); ok {
-				overlay(to, from)
+// applyOverlay replaces the values of base that overrides has. Tables in both are merged.
+func applyOverlay(base, overrides map[string]any) {
+	for key, value := range overrides {
+		if baseTable, ok := base[key].(map[string]any); ok {
+			if overrideTable, ok := value.(map[string]any); ok {
+				applyOverlay(baseTable, overrideTable)
 				continue
 			}
 		}
-		base[k] = v
+		base[key] = value
 	}
 }
 
-// Foreign returns the keys of an overlay that the settings do not have, as paths.
-func Foreign(s *scenario.Scenario, over map[string]any) []string {
-	plain := *s
-	plain.Overlay = nil
-	var find func(base, over map[string]any, path string) []string
-	find = func(base, over map[string]any, path string) (names []string) {
-		for k, v := range over {
-			has, ok := base[k]
+// Foreign returns the keys of overrides that the scenario's settings lack, as sorted paths.
+func Foreign(s *scenario.Scenario, overrides map[string]any) []string {
+	withoutOverlay := *s
+	withoutOverlay.Overlay = nil
+	var find func(base, overrides map[string]any, path string) []string
+	find = func(base, overrides map[string]any, path string) (unknown []string) {
+		for key, value := range overrides {
+			baseValue, ok := base[key]
 			if !ok {
-				names = append(names, path+k)
+				unknown = append(unknown, path+key)
 				continue
 			}
-			to, inner := has.(map[string]any)
-			if from, ok := v.(map[string]any); ok && inner {
-				names = append(names, find(to, from, path+k+".")...)
+			baseTable, isTable := baseValue.(map[string]any)
+			if overrideTable, ok := value.(map[string]any); ok && isTable {
+				unknown = append(unknown, find(baseTable, overrideTable, path+key+".")...)
 			}
 		}
-		return names
+		return unknown
 	}
-	names := find(Settings(&plain, 0), over, "")
-	sort.Strings(names)
-	return names
+	unknown := find(Settings(&withoutOverlay, 0), overrides, "")
+	sort.Strings(unknown)
+	return unknown
 }
 
-// Parsed returns the same as the decision module takes it.
+// Parsed returns a sidecar's settings parsed and validated for the decision module.
 func Parsed(s *scenario.Scenario, sidecar int) (balancer.Settings, error) {
 	raw, err := json.Marshal(Settings(s, sidecar))
 	if err != nil {
@@ -107,12 +107,12 @@
 	if err != nil {
 		return balancer.Settings{}, err
 	}
-	out, err := wire.ParseSettings(text)
+	settings, err := wire.ParseSettings(text)
 	if err == nil {
-		err = out.Validate()
+		err = settings.Validate()
 	}
 	if err != nil {
-		return out, fmt.Errorf("settings made from the scenario: %w", err)
+		return settings, fmt.Errorf("settings derived from the scenario: %w", err)
 	}
-	return out, nil
+	return settings, nil
 }
--- a/internal/lab/told/told_test.go
+++ b/internal/lab/told/told_test.go
@@ -9,7 +9,7 @@
 	"birchmoor/internal/lab/scenario"
 )
 
-func TestWhatIsTold(t *testing.T) {
+func TestParsedMapsScenarioToSettings(t *testing.T) {
 	s, err := scenario.Read("../../../lab/scenarios/calm.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -18,38 +18,42 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got.Balancers != 3 || got.Position != 1 || got.Zone != 1 || !got.Subscribe || len(got.Classes) != 4 || got.Kinds != 3 {
-		t.Errorf("told: %+v", got)
+	if got.Balancers != 3 || got.Position != 1 || got.Zone != 1 || !got.Subscribe || len(got.Classes) != 4 ||
+		got.Kinds != 3 {
+		t.Errorf("settings of sidecar 1: %+v", got)
 	}
-	want := balancer.Class{Name: "confirm", Idempotency: balancer.NotIdempotent, DedupScope: balancer.DedupCell, LatencyObjective: 600_000, Timeout: 1_500_000, PriorityWeight: 10}
+	want := balancer.Class{Name: "confirm", Idempotency: balancer.NotIdempotent, DedupScope: balancer.DedupCell,
+		LatencyObjective: 600_000, Timeout: 1_500_000, PriorityWeight: 10}
 	if d := cmp.Diff(want, got.Classes[1]); d != "" {
-		t.Errorf("confirm (- want, + got):\n%s", d)
+		t.Errorf("class confirm (- want, + got):\n%s", d)
 	}
-	if d := cmp.Diff([]balancer.Field{balancer.FieldInflight, balancer.FieldUtil, balancer.FieldServed}, got.Fields); d != "" {
-		t.Errorf("fields of a report:\n%s", d)
+	if d := cmp.Diff(
+		[]balancer.Field{balancer.FieldInflight, balancer.FieldUtil, balancer.FieldServed}, got.Fields,
+	); d != "" {
+		t.Errorf("fields of a load report (- want, + got):\n%s", d)
 	}
 }
 
-func TestOverlay(t *testing.T) {
+func TestOverlayReplacesSettingsAndUnknownKeysAreFound(t *testing.T) {
 	s, err := scenario.Read("../../../lab/scenarios/calm.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	over := map[string]any{"limits": map[string]any{"most-tries": 1.0}, "discovery": "automatic"}
 	if names := Foreign(s, over); len(names) != 0 {
-		t.Errorf("foreign: %v", names)
+		t.Errorf("known keys are reported as unknown: %v", names)
 	}
 	s.Overlay = over
 	got, err := Parsed(s, 0)
 	if err != nil || got.Limits.MaxAttempts != 1 || got.Subscribe || !got.Limits.Probes {
-		t.Errorf("%v, %+v", err, got.Limits)
+		t.Errorf("settings with the overlay: error %v, limits %+v", err, got.Limits)
 	}
 	names := Foreign(s, map[string]any{"limits": map[string]any{"x": 1}, "y": 2})
 	if d := cmp.Diff([]string{"limits.x", "y"}, names); d != "" {
-		t.Errorf("foreign keys:\n%s", d)
+		t.Errorf("unknown keys (- want, + got):\n%s", d)
 	}
 	s.Overlay = map[string]any{"limits": map[string]any{"most-tries": 0.0}}
 	if _, err := Parsed(s, 0); err == nil {
-		t.Error("no attempt at all is taken")
+		t.Error("settings with 0 attempts are accepted")
 	}
 }
