--- a/internal/lab/trace/trace.go
+++ b/internal/lab/trace/trace.go
@@ -1,6 +1,8 @@
-// Package trace is what the lab's hosts report of a run, as it went over the sockets or the simulator's network.
+// Package trace defines the events that the lab's hosts report of a run, as they were seen on the sockets or on the
+// simulated network.
 //
-// The referee and the figures see nothing else. Requests, servers, classes and sidecars go by number.
+// The checker and the figures of a run are computed from these events alone. Requests, servers, classes and sidecars
+// are identified by numbers.
 package trace
 
 import "fmt"
@@ -8,40 +10,40 @@
 // Micros is an instant since the start of the run, or a duration, in microseconds.
 type Micros = int64
 
-// Kind says what happened.
+// Kind is the kind of an event.
 type Kind uint8
 
-// The kinds of event. Which fields of an Event each uses is said behind it.
+// The kinds of event, each with the fields of Event that it uses.
 const (
-	Asked    Kind = iota // a client wrote a request's last byte: Request, Task, Class, Sidecar, Work, Due
-	Answered             // a client got a whole answer: Request, Verdict
-	Left                 // a client gave up without one: Request
-	Cut                  // a client's connection was closed by the sidecar with no answer: Request
-	Sent                 // an attempt's first byte came to a server, as of when it was sent: Request, Sidecar, Server
-	Accepted             // a server took an attempt, and it may run: Request, Sidecar, Server, Work
-	Turned               // a server turned an attempt away unseen: Request, Sidecar, Server
+	Asked    Kind = iota // a client wrote a request's last byte: Request, Task, Class, Sidecar, Work, Due, Retry
+	Answered             // a client received a complete answer: Request, Verdict
+	Left                 // a client timed out without an answer: Request, Note
+	Cut                  // the sidecar closed a client's connection without an answer: Request
+	Sent                 // a sidecar sent an attempt's first byte, at At: Request, Sidecar, Server, Class, Cross
+	Accepted             // a server accepted an attempt, which may run: Request, Sidecar, Server, Class, Work
+	Turned               // a server rejected an attempt, which did not run: Request, Sidecar, Server, Class, Work
 	Finished             // a server finished an attempt: Request, Server, Work
-	Told                 // discovery, or an operator, told a sidecar of a server: Sidecar, Server, State, Since
-	Started              // a server started: Server, and its Capacity, ColdFrom and ColdFor; Work is its machine's pace
-	Fell                 // a cold server was pushed over: Server
+	Told                 // discovery or an operator sent a server's state to a sidecar: Sidecar, Server, State, Since
+	Started              // a server's process started: Server, Capacity, ColdFrom, ColdFor; Work is its machine's pace
+	Fell                 // a cold server collapsed under overload: Server
 	Stopped              // a server's process ended: Server
 	Opened               // a connection to a server was opened: Sidecar, Server
-	Closed               // and closed: Sidecar, Server
-	Probed               // a server was asked for its load: Sidecar, Server
-	Killed               // the lab killed a sidecar: what it held is not its fault: Sidecar
+	Closed               // a connection to a server was closed: Sidecar, Server
+	Probed               // a sidecar sent a probe to a server: Sidecar, Server
+	Killed               // the lab killed or froze a sidecar (Gone), or it runs again (Up): Sidecar, State, Note
 	Began                // a fault began: Note
 	Ended                // a fault ended: Note
-	Gauge                // a server's state now and then: Server, Held, Queued, Warmth, Slow
-	Shut                 // a connection over a server's cap was turned away: Sidecar, Server
-	Carried              // a cold server's time ends: Server, and as Warmth the most work it was sent of what it bears
-	Called               // a call of discovery ended: Sidecar, Verdict (Served or Failed), and as Work its wait
+	Gauge                // state of a server, recorded at intervals: Server, Held, Queued, Warmth, Slow
+	Shut                 // a server refused a connection above its limit: Sidecar, Server
+	Carried              // a process is no longer cold: Server; Warmth is the highest ratio of the work sent to the limit
+	Called               // a call of discovery ended: Sidecar, Verdict (Served or Failed); Work is its duration
 )
 
 var kindNames = [...]string{"asked", "answered", "left", "cut", "sent", "accepted", "turned", "finished", "told",
 	"started", "fell", "stopped", "opened", "closed", "probed", "killed", "began", "ended", "gauge",
 	"shut", "carried", "called"}
 
-// String names the kind.
+// String returns the kind's name in reports.
 func (k Kind) String() string {
 	if int(k) < len(kindNames) {
 		return kindNames[k]
@@ -49,21 +51,21 @@
 	return fmt.Sprintf("kind-%d", uint8(k))
 }
 
-// Verdict is how an answer ended a request.
+// Verdict is the kind of an answer to a request.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Served  Verdict = iota // what a server made for this request
-	Refused                // trying again is harmless
-	Failed                 // nothing is promised
-	Foreign                // an answer that no server made for this request
+	Served  Verdict = iota // a server's answer to this request
+	Refused                // rejected: the request did not run, and a retry is safe
+	Failed                 // failed: the request may have run
+	Foreign                // an answer that no server gave to this request
 )
 
-// State is what a list says of a server.
+// State is the state of a server in discovery's list or in the operators' overrides.
 type State uint8
 
-// The states. BannedState and Released are an operator's word.
+// The states. Banned and Released are the beginning and the end of an administrative drain; discovery lists the others.
 const (
 	Up State = iota
 	Draining
@@ -72,7 +74,7 @@
 	Released
 )
 
-// Event is one thing that happened.
+// Event is an event of a run. The comments at the kinds say which fields each of them uses.
 type Event struct {
 	At      Micros
 	Kind    Kind
@@ -80,35 +82,35 @@
 	State   State
 	Class   uint8
 	Cross   bool // Sent: the server is in another zone than the sidecar
-	Retry   bool // Asked: not the task's first try
-	Slow    bool // Gauge: choked
+	Retry   bool // Asked: the request is a client's retry
+	Slow    bool // Gauge: the server is choked
 	Sidecar int32
 	Server  int32
-	Held    int32
-	Queued  int32
-	Request uint64 // one try of a client
-	Task    uint64 // what the client wants: all its tries belong to it
-	Due     Micros // Asked: until when an answer is waited for
-	Work    Micros // on a core of speed 1
-
-	Capacity float64 // work a second, in microseconds, when warm
-	ColdFrom float64 // share of it at the start
-	ColdFor  Micros
-	Since    Micros // Told: the start that discovery names, 0 for long ago
-	Warmth   float64
-	Note     string
+	Held    int32  // Gauge: requests running and waiting
+	Queued  int32  // Gauge: requests waiting
+	Request uint64 // ID of a client's request
+	Task    uint64 // ID of the task, which a request and its retries by the client share
+	Due     Micros // Asked: instant at which the client times out
+	Work    Micros // service time on a core of speed 1, unless the kind says otherwise
+
+	Capacity float64 // Started: work per second when warm, in microseconds
+	ColdFrom float64 // Started: share of its capacity that the process starts with
+	ColdFor  Micros  // Started: time until the process has its whole capacity
+	Since    Micros  // Told: start of the process as discovery lists it; 0 for a start before the run
+	Warmth   float64 // Gauge: share of its capacity that the process has; 0 if none runs
+	Note     string  // Began, Ended: the fault; Left, Killed: a keyword for the cause
 }
 
-// Sink takes events, in the order in which they happened.
+// Sink receives events, in the order in which they happened. Take is never called concurrently.
 type Sink interface{ Take(Event) }
 
-// Func is a function as a Sink.
+// Func is a function that implements Sink.
 type Func func(Event)
 
-// Take calls it.
+// Take calls the function.
 func (f Func) Take(e Event) { f(e) }
 
-// Sinks gives each event to all of them, in order.
+// Sinks returns a Sink that passes each event to all of sinks, in order.
 func Sinks(sinks ...Sink) Sink {
 	return Func(func(e Event) {
 		for _, s := range sinks {
@@ -117,27 +119,27 @@
 	})
 }
 
-// Aside takes events on the caller's goroutine and gives them to a sink on another, in order.
+// Aside passes events to a sink that runs on a goroutine of its own, in order and in batches.
 type Aside struct {
-	batch []Event
-	full  chan []Event
-	free  chan []Event
-	done  chan struct{}
+	batch       []Event      // collected since the last full one
+	fullBatches chan []Event // nil once closed
+	freeBatches chan []Event // for reuse
+	done        chan struct{}
 }
 
 const batchSize = 2048
 
-// Beside returns an Aside for a sink. Close gives it what is left and waits for it.
+// Beside starts and returns an Aside for a sink. Close must be called to stop its goroutine.
 func Beside(sink Sink) *Aside {
-	a := &Aside{full: make(chan []Event, 8), free: make(chan []Event, 10), done: make(chan struct{})}
+	a := &Aside{fullBatches: make(chan []Event, 8), freeBatches: make(chan []Event, 10), done: make(chan struct{})}
 	go func() {
 		defer close(a.done)
-		for batch := range a.full {
+		for batch := range a.fullBatches {
 			for i := range batch {
 				sink.Take(batch[i])
 			}
 			select {
-			case a.free <- batch[:0]:
+			case a.freeBatches <- batch[:0]:
 			default:
 			}
 		}
@@ -145,28 +147,28 @@
 	return a
 }
 
-// Take takes the next event.
+// Take passes on an event. It blocks while the sink is several batches behind.
 func (a *Aside) Take(e Event) {
 	if a.batch == nil {
 		select {
-		case a.batch = <-a.free:
+		case a.batch = <-a.freeBatches:
 		default:
 			a.batch = make([]Event, 0, batchSize)
 		}
 	}
 	if a.batch = append(a.batch, e); len(a.batch) == batchSize {
-		a.full <- a.batch
+		a.fullBatches <- a.batch
 		a.batch = nil
 	}
 }
 
-// Close ends it; it may be called again.
+// Close passes on the remaining events and returns when the sink has received all of them. It may be called again.
 func (a *Aside) Close() {
-	if a.full == nil {
+	if a.fullBatches == nil {
 		return
 	}
-	a.full <- a.batch
-	close(a.full)
+	a.fullBatches <- a.batch
+	close(a.fullBatches)
 	<-a.done
-	a.full = nil
+	a.fullBatches = nil
 }
--- a/internal/lab/trace/trace_test.go
+++ b/internal/lab/trace/trace_test.go
@@ -12,11 +12,11 @@
 	a.Close()
 	a.Close()
 	if len(got) != n {
-		t.Fatalf("%d events of %d came", len(got), n)
+		t.Fatalf("the sink received %d events, want %d", len(got), n)
 	}
 	for i, id := range got {
 		if id != uint64(i) {
-			t.Fatalf("at place %d comes %d", i, id)
+			t.Fatalf("event %d of the sink is event %d", i, id)
 		}
 	}
 }
@@ -24,10 +24,10 @@
 func TestKindsHaveNames(t *testing.T) {
 	for k := Asked; k <= Gauge; k++ {
 		if k.String() == "" || k.String()[:2] == "ki" && k != Killed {
-			t.Errorf("kind %d is called %q", k, k)
+			t.Errorf("the name of kind %d is %q", k, k)
 		}
 	}
 	if got := Kind(200).String(); got != "kind-200" {
-		t.Errorf("an unknown kind is called %q", got)
+		t.Errorf("the name of an unknown kind is %q, want kind-200", got)
 	}
 }
