--- a/internal/lab/sim/ramp_test.go
+++ b/internal/lab/sim/ramp_test.go
@@ -15,8 +15,8 @@
 	"birchmoor/internal/lab/scenario"
 )
 
-// With -ramp.table, TestRampHoldsForTheFleet instead measures the slow start under each trouble at each fleet size, over
-// some seeds, and writes the table of docs/fleet.md.
+// With -ramp.table, TestRampHoldsForTheFleet instead measures the slow start under each trouble at each fleet size,
+// over some seeds, and writes the table of docs/fleet.md.
 var (
 	rampTable    = flag.String("ramp.table", "", "file for a table of all troubles")
 	rampSeeds    = flag.Int("ramp.seeds", 3, "runs of each")
