--- a/internal/lab/chain/chain.go
+++ b/internal/lab/chain/chain.go
@@ -20,75 +20,76 @@
 	"birchmoor/internal/lab/told"
 )
 
-// Bounds on a run.
+// Bounds and timeouts of a run.
 const (
-	mostDepth    = 20
-	mostServers  = 50
-	mostCalls    = 200_000
-	mostRate     = 5000
-	mostAttempts = 10
-	mostOpen     = 256              // calls of the root at once: half of what a sidecar takes of connections
-	rootMs       = 1000             // that the root waits for an answer
-	late         = 10 * time.Second // past a call's time, after which it counts as never answered
+	maxDepth          = 20
+	maxServers        = 50
+	maxCalls          = 200_000
+	maxRate           = 5000
+	maxAttempts       = 10
+	maxOpenCalls      = 256              // concurrent calls of the root: half of the connections that a sidecar accepts
+	rootTimeoutMillis = 1000             // timeout of the root's calls
+	answerGrace       = 10 * time.Second // time past a call's timeout after which it counts as never answered
 )
 
-// Options of a run.
+// Options are the options of a run.
 type Options struct {
-	Bin      string // the sidecar program
-	Dir      string // for a temporary folder
-	Depth    int    // sidecars in the row
-	Servers  int    // that each sidecar knows
-	Rate     float64
-	For      time.Duration
-	Warm     time.Duration // of calls that are made first and not measured, where nothing fails
-	Attempts int           // max_attempts
-	Class    string        // of Classes
-	Fail     How           // of the leaf; empty for none
-	Share    float64       // of what reaches the leaf, that fails
+	Bin      string        // path of the sidecar program; not used by Virtual
+	Dir      string        // in which the temporary folder of the run is made
+	Depth    int           // levels in the row
+	Servers  int           // servers per level
+	Rate     float64       // calls of the root per second
+	For      time.Duration // over which measured calls are made
+	Warm     time.Duration // of calls before the measured ones, to warm up; none if the leaf fails
+	Attempts int           // max_attempts of each sidecar
+	Class    string        // a key of Classes
+	Fail     How           // way in which the leaf fails; empty for none
+	Share    float64       // share of the attempts at the leaf that fail
 	Seed     uint64
-	Say      func(string) // may be nil
+	Say      func(string) // called with the progress; may be nil
 
-	plant plant
+	defect injectedDefect
 }
 
-// plant is what the row does wrong, for tests.
-type plant struct {
-	twice   bool // the application of the first level makes its call twice
-	keepsMs bool // an application passes on the root's time
+// injectedDefect makes the row's applications violate a bound, for tests of the bounds.
+type injectedDefect struct {
+	callsTwice       bool // the application of the first level makes its call twice
+	keepsRootTimeout bool // applications pass on the root's timeout, not the time left
 }
 
-// Calls is how many calls the root makes.
+// Calls returns the number of measured calls that the root makes.
 func (o *Options) Calls() int { return int(o.Rate*o.For.Seconds() + 0.5) }
 
-// Check names the flag and value of the first option that makes no sense.
-func (o *Options) Check() error {
-	_, err := ClassOf(o.Class)
+// Check returns an error for the first invalid option, with its flag and value.
+func (options *Options) Check() error {
+	_, err := ClassOf(options.Class)
 	switch {
-	case o.Depth < 1 || o.Depth > mostDepth:
-		return fmt.Errorf("--depth: %d is not within 1 and %d", o.Depth, mostDepth)
-	case o.Servers < 1 || o.Servers > mostServers:
-		return fmt.Errorf("--servers: %d is not within 1 and %d", o.Servers, mostServers)
-	case !(o.Rate > 0 && o.Rate <= mostRate):
-		return fmt.Errorf("--rate: %v is not above 0 and at most %d", o.Rate, mostRate)
-	case o.For <= 0 || o.For > time.Hour:
-		return fmt.Errorf("--for: %v is not above 0 and at most 1h", o.For)
-	case o.Calls() < 1 || o.Calls() > mostCalls:
-		return fmt.Errorf("--for: %v at --rate %v are %d calls, not within 1 and %d", o.For, o.Rate, o.Calls(), mostCalls)
-	case o.Warm < 0 || o.Warm > time.Minute:
-		return fmt.Errorf("--warm: %v is not within 0 and 1m", o.Warm)
-	case o.Attempts < 1 || o.Attempts > mostAttempts:
-		return fmt.Errorf("--attempts: %d is not within 1 and %d", o.Attempts, mostAttempts)
+	case options.Depth < 1 || options.Depth > maxDepth:
+		return fmt.Errorf("--depth: %d is not within 1 and %d", options.Depth, maxDepth)
+	case options.Servers < 1 || options.Servers > maxServers:
+		return fmt.Errorf("--servers: %d is not within 1 and %d", options.Servers, maxServers)
+	case !(options.Rate > 0 && options.Rate <= maxRate):
+		return fmt.Errorf("--rate: %v is not above 0 and at most %d", options.Rate, maxRate)
+	case options.For <= 0 || options.For > time.Hour:
+		return fmt.Errorf("--for: %v is not above 0 and at most 1h", options.For)
+	case options.Calls() < 1 || options.Calls() > maxCalls:
+		return fmt.Errorf("--for: %v at --rate %v are %d calls, not within 1 and %d", options.For, options.Rate,
+			options.Calls(), maxCalls)
+	case options.Warm < 0 || options.Warm > time.Minute:
+		return fmt.Errorf("--warm: %v is not within 0 and 1m", options.Warm)
+	case options.Attempts < 1 || options.Attempts > maxAttempts:
+		return fmt.Errorf("--attempts: %d is not within 1 and %d", options.Attempts, maxAttempts)
 	case err != nil:
 		return err
-	case o.Fail != "" && !slices.Contains(Hows, o.Fail):
-		return fmt.Errorf("--how: %q is none of %v", string(o.Fail), Hows)
-	case !(o.Share >= 0 && o.Share <= 1):
-		return fmt.Errorf("--share: %v is not within 0 and 1", o.Share)
+	case options.Fail != "" && !slices.Contains(Hows, options.Fail):
+		return fmt.Errorf("--how: %q is none of %v", string(options.Fail), Hows)
+	case !(options.Share >= 0 && options.Share <= 1):
+		return fmt.Errorf("--share: %v is not within 0 and 1", options.Share)
 	}
 	return nil
 }
 
-// Spread is of times in milliseconds.
+// Spread summarizes durations, in milliseconds.
 type Spread struct {
 	P50 float64 `json:"p50_ms"`
 	P99 float64 `json:"p99_ms"`
@@ -96,40 +97,42 @@
 	N   int     `json:"n"`
 }
 
-// spread sorts its nanoseconds.
-func spread(ns []int64) (s Spread) {
-	if s.N = len(ns); s.N == 0 {
-		return s
+// summarize summarizes durations in nanoseconds, which it sorts in place.
+func summarize(nanos []int64) (summary Spread) {
+	if summary.N = len(nanos); summary.N == 0 {
+		return summary
 	}
-	slices.Sort(ns)
-	at := func(q float64) float64 { return float64(ns[min(len(ns)-1, int(q*float64(len(ns))))]) / 1e6 }
-	s.P50, s.P99, s.Max = at(0.5), at(0.99), float64(ns[len(ns)-1])/1e6
-	return s
+	slices.Sort(nanos)
+	quantileMillis := func(quantile float64) float64 {
+		return float64(nanos[min(len(nanos)-1, int(quantile*float64(len(nanos))))]) / 1e6
+	}
+	summary.P50, summary.P99, summary.Max = quantileMillis(0.5), quantileMillis(0.99), float64(nanos[len(nanos)-1])/1e6
+	return summary
 }
 
-// Level is what was seen of one sidecar, and of the servers behind it.
+// Level holds the figures of one level: its sidecar and the servers behind it.
 type Level struct {
-	Attempts uint64  `json:"attempts"` // that reached the servers
-	LeftMin  int64   `json:"left_min_ms"`
+	Attempts uint64  `json:"attempts"`    // attempts that reached the servers
+	LeftMin  int64   `json:"left_min_ms"` // time left that attempts carried
 	LeftMean float64 `json:"left_mean_ms"`
 	LeftMax  int64   `json:"left_max_ms"`
-	Rose     uint64  `json:"left_rose"` // attempts that were told of no less time than the call came with
-	Over     uint64  `json:"left_over"` // attempts that were told of more time than the root still waited for
+	Rose     uint64  `json:"left_rose"` // attempts with no less time left than the call at the level before them
+	Over     uint64  `json:"left_over"` // attempts with more time left than the root was still waiting
 
-	Through Spread `json:"through"` // a call's time beyond its server's, through the sidecar,
-	Direct  Spread `json:"direct"`  // without one,
-	Added   Spread `json:"added"`   // and the difference of the two, pair by pair
+	Through Spread `json:"through"` // latency of calls through the sidecar, less the server's time
+	Direct  Spread `json:"direct"`  // the same without the sidecar
+	Added   Spread `json:"added"`   // difference of the two for each call of the root
 
-	Open     int64   `json:"connections"` // to the servers, at the end
+	Open     int64   `json:"connections"` // open connections to the servers at the end
 	Opened   uint64  `json:"connections_opened"`
 	Probes   float64 `json:"probes_per_s"`
 	ProbeIn  float64 `json:"probe_bytes_to_servers_per_s"`
 	ProbeOut float64 `json:"probe_bytes_from_servers_per_s"`
-	CPU      float64 `json:"cpu_cores"` // of the sidecar's process, probes and all
+	CPU      float64 `json:"cpu_cores"` // cores used by the sidecar's process, with its probes
 	RSS      float64 `json:"rss_mb"`
 }
 
-// Result of a run.
+// Result is the result of a run.
 type Result struct {
 	By       string         `json:"by"` // "processes" or "virtual time"
 	Depth    int            `json:"depth"`
@@ -141,46 +144,46 @@
 	Fail     How            `json:"fail,omitempty"`
 	Share    float64        `json:"share,omitempty"`
 	Took     float64        `json:"took_s"`
-	Load     [2]string      `json:"load_average"` // of the machine, at the beginning and at the end
-	Answers  map[string]int `json:"answers"`      // of calls through the sidecars, by code
-	Broken   uint64         `json:"broken"`       // calls, of root and applications, whose connection ended without an answer
+	Load     [2]string      `json:"load_average"` // of the machine, at the start and at the end
+	Answers  map[string]int `json:"answers"`      // root's calls through sidecars, by status code; 0 for no answer
+	Broken   uint64         `json:"broken"`       // calls of root and applications that failed without an answer
 	Why      map[string]int `json:"broken_by,omitempty"`
-	Surplus  uint64         `json:"surplus"` // answers with something behind them
-	LateRoot uint64         `json:"late"`    // calls of the root that were begun more than 10 ms after their time
+	Surplus  uint64         `json:"surplus"` // answers followed by unexpected bytes
+	LateRoot uint64         `json:"late"`    // calls of the root that began more than 10 ms late
 
-	Row      Spread  `json:"row"`        // what the whole row adds, pair by pair
-	One      Spread  `json:"one"`        // what one level adds, over all levels
-	Whole    Spread  `json:"through"`    // calls of the root through the row,
-	Bare     Spread  `json:"direct"`     // and without a sidecar
-	LeafMost uint64  `json:"leaf_most"`  // attempts at the leaf for one call
-	PerCall  float64 `json:"leaf_mean"`  // likewise, mean
-	Worst    float64 `json:"worst"`      // of one call, by the formula
-	Budgeted float64 `json:"budgeted"`   // of all calls together, with the retry budgets
-	Steady   float64 `json:"steady"`     // of each call in the long run, with the retry budgets
-	LastMs   int64   `json:"last_least"` // the least that the leaf was told of the time left
+	Row      Spread  `json:"row"`        // latency that the whole row adds to a call
+	One      Spread  `json:"one"`        // latency that one level adds to a call, over all levels
+	Whole    Spread  `json:"through"`    // latency of the root's calls through the sidecars
+	Bare     Spread  `json:"direct"`     // latency of the root's calls without sidecars
+	LeafMost uint64  `json:"leaf_most"`  // maximum of attempts at the leaf for one call of the root
+	PerCall  float64 `json:"leaf_mean"`  // mean of the same
+	Worst    float64 `json:"worst"`      // bound on LeafMost, by Worst
+	Budgeted float64 `json:"budgeted"`   // bound on the attempts at the leaf for all calls, by Budgeted
+	Steady   float64 `json:"steady"`     // attempts at the leaf per call in the long run, by Steady
+	LastMs   int64   `json:"last_least"` // minimum of the time left at the leaf
 	Levels   []Level `json:"levels"`
 }
 
-// row is a run.
+// row is a run with processes.
 type row struct {
-	o      Options
-	levels []*level
-	warm   int // calls of the root before those that are measured
-	ids    atomic.Uint64
-	draw   randstream.Seed
-	leaf   []atomic.Uint32 // attempts at the leaf, by call of the root
-	seen   atomic.Uint64   // at the leaf, for the draws
-	failed bool            // the leaf fails: no pairs
+	options      Options
+	levels       []*level
+	warmUpCalls  int // calls of the root before the measured ones
+	lastID       atomic.Uint64
+	seed         randstream.Seed
+	leafAttempts []atomic.Uint32 // attempts at the leaf, by call of the root
+	leafRequests atomic.Uint64   // attempts at the leaf so far, which number the draws of failures
+	leafFails    bool            // the leaf fails, so that calls without sidecars are not made
 
-	broken, surplus, lateRoot atomic.Uint64
-	quit                      chan struct{} // what is silent ends then
-	wg                        sync.WaitGroup
+	broken, excess, lateRootCalls atomic.Uint64
+	stopped                       chan struct{} // closed at the end, to release silent requests
+	wg                            sync.WaitGroup
 
-	mu  sync.Mutex
-	why map[string]int // of what is broken
+	mutex        sync.Mutex
+	brokenCauses map[string]int // number of broken calls by cause
 }
 
-// Run plays one row. Whatever happens, no process and no listener is left when it returns.
+// Run runs a row with processes. No process, listener or goroutine of it is left when it returns, also with an error.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
@@ -190,69 +193,72 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	r := &row{o: o, draw: randstream.Seed(o.Seed), failed: o.Fail != "", quit: make(chan struct{}), why: map[string]int{}}
-	if !r.failed {
-		r.warm = int(o.Rate * o.Warm.Seconds())
+	r := &row{options: o, seed: randstream.Seed(o.Seed), leafFails: o.Fail != "", stopped: make(chan struct{}),
+		brokenCauses: map[string]int{}}
+	if !r.leafFails {
+		r.warmUpCalls = int(o.Rate * o.Warm.Seconds())
 	}
-	r.leaf = make([]atomic.Uint32, r.warm+o.Calls())
+	r.leafAttempts = make([]atomic.Uint32, r.warmUpCalls+o.Calls())
 	defer r.close()
 	for k := range o.Depth {
-		if err := r.build(k, dir); err != nil {
+		if err := r.addLevel(k, dir); err != nil {
 			return nil, err
 		}
 	}
 	for _, l := range r.levels {
-		if err := l.side.ready(ctx); err != nil {
+		if err := l.sidecar.waitReady(ctx); err != nil {
 			return nil, err
 		}
 	}
 	if o.Say != nil {
-		o.Say(fmt.Sprintf("%d sidecars are ready; %d calls", o.Depth, len(r.leaf)))
+		o.Say(fmt.Sprintf("%d sidecars are ready; %d calls", o.Depth, len(r.leafAttempts)))
 	}
-	return r.play(ctx)
+	return r.runCalls(ctx)
 }
 
-// close ends processes, then servers.
+// close stops the sidecars, then the servers, and waits for all goroutines.
 func (r *row) close() {
-	close(r.quit)
-	var ends sync.WaitGroup
-	for _, l := range r.levels {
-		ends.Go(l.side.stop)
+	close(r.stopped)
+	var stopping sync.WaitGroup
+	for _, closing := range r.levels {
+		stopping.Go(closing.sidecar.stop)
 	}
-	ends.Wait()
-	for _, l := range r.levels {
-		l.close()
+	stopping.Wait()
+	for _, closing := range r.levels {
+		closing.close()
 	}
 	r.wg.Wait()
 }
 
-// build starts the servers of a level, and the sidecar before them.
-func (r *row) build(k int, dir string) error {
-	l := &level{r: r, number: k, conns: map[*counted]struct{}{}}
-	l.hops[0], l.hops[1] = make([]int64, len(r.leaf)), make([]int64, len(r.leaf))
-	l.leftMin = rootMs * 10
-	r.levels = append(r.levels, l)
-	for range r.o.Servers {
-		if err := l.listen(); err != nil {
+// addLevel starts the servers of a level and their sidecar.
+func (r *row) addLevel(number int, dir string) error {
+	added := &level{row: r, number: number, conns: map[*countingConn]struct{}{}}
+	added.hopNanos[0], added.hopNanos[1] = make([]int64, len(r.leafAttempts)), make([]int64, len(r.leafAttempts))
+	added.timeLeftMin = rootTimeoutMillis * 10
+	r.levels = append(r.levels, added)
+	for range r.options.Servers {
+		if err := added.listen(); err != nil {
 			return err
 		}
 	}
 	var err error
-	if l.side, err = r.start(k, dir, l.addrs); err != nil {
+	if added.sidecar, err = r.startSidecar(number, dir, added.addrs); err != nil {
 		return err
 	}
-	l.to[through], l.to[direct] = &pool{r: r, addrs: []string{l.side.addr}}, &pool{r: r, addrs: l.addrs}
+	added.pools[pathThrough], added.pools[pathDirect] = &pool{row: r, addrs: []string{added.sidecar.addr}}, &pool{row: r,
+		addrs: added.addrs}
 	return nil
 }
 
-// classNames are in the order of the settings.
+// classNames lists the classes in the order of the settings.
 var classNames = []string{"look", "book", "pay"}
 
 func classIndex(name string) uint8 { return uint8(slices.Index(classNames, name)) }
 
-// scenario is what sidecars are told of, for so many of them before the same servers.
-func (o *Options) scenario(sidecars int) (*scenario.Scenario, error) {
-	s, err := scenario.Parse("chain", []byte(`name = "chain"
+// scenario returns the scenario from which the sidecars' settings are derived, for so many sidecars of the same
+// servers.
+func (options *Options) scenario(sidecars int) (*scenario.Scenario, error) {
+	scen, err := scenario.Parse("chain", []byte(`name = "chain"
 [fleet]
 sidecars = 1
 zones = ["a"]
@@ -268,75 +274,83 @@
 	if err != nil {
 		return nil, err
 	}
-	s.Fleet.Sidecars = sidecars
+	scen.Fleet.Sidecars = sidecars
 	var classes []map[string]any
 	for _, name := range classNames {
-		repeat := map[balancer.Idempotency]string{balancer.Idempotent: "pure", balancer.WithIdempotencyKey: "token", balancer.NotIdempotent: "side_effect"}[Classes[name]]
-		classes = append(classes, map[string]any{"name": name, "repeat": repeat, "group": "cell", "window": 1_000_000, "target": 500_000,
-			"give-up": rootMs * 1000, "credit": 1.0, "late-value": 0.0, "stream": false})
+		idempotency := map[balancer.Idempotency]string{balancer.Idempotent: "pure", balancer.WithIdempotencyKey: "token",
+			balancer.NotIdempotent: "side_effect"}[Classes[name]]
+		classes = append(classes, map[string]any{"name": name, "repeat": idempotency, "group": "cell", "window": 1_000_000,
+			"target":  500_000,
+			"give-up": rootTimeoutMillis * 1000, "credit": 1.0, "late-value": 0.0, "stream": false})
 	}
-	s.Overlay = map[string]any{"limits": map[string]any{"most-tries": o.Attempts}, "classes": classes}
-	return s, nil
+	scen.Overlay = map[string]any{"limits": map[string]any{"most-tries": options.Attempts}, "classes": classes}
+	return scen, nil
 }
 
-// configure writes what a sidecar is told.
-func (r *row) configure(k int, dir, listen string, servers []string) (string, error) {
-	s, err := r.o.scenario(1)
+// writeConfig writes a sidecar's configuration file and returns its path.
+func (r *row) writeConfig(number int, dir, listen string, servers []string) (string, error) {
+	scen, err := r.options.scenario(1)
 	if err != nil {
 		return "", err
 	}
-	var list []map[string]any
-	for i, a := range servers {
-		list = append(list, map[string]any{"instanceId": fmt.Sprintf("s%d", i), "hostPort": a, "zone": "a", "machineType": "kind-0",
-			"cell": 0, "lifecycle": "up", "weight": 1, "startedAtMs": 0})
+	var instances []map[string]any
+	for i, address := range servers {
+		instances = append(instances, map[string]any{"instanceId": fmt.Sprintf("s%d", i), "hostPort": address, "zone": "a",
+			"machineType": "kind-0",
+			"cell":        0, "lifecycle": "up", "weight": 1, "startedAtMs": 0})
 	}
-	text, err := json.Marshal(map[string]any{"name": fmt.Sprintf("n%d", k), "listen": listen, "discovery": "127.0.0.1:1",
-		"seed":   fmt.Sprintf("%016x", r.draw.Stream("sidecar", uint64(k)).Uint64()),
-		"limits": map[string]any{"memory_mb": 192, "sockets": 1024}, "settings": told.Settings(s, 0),
-		"known": map[string]any{"generation": 1, "reset": true, "instances": list}})
+	text, err := json.Marshal(map[string]any{"name": fmt.Sprintf("n%d", number), "listen": listen,
+		"discovery": "127.0.0.1:1",
+		"seed":      fmt.Sprintf("%016x", r.seed.Stream("sidecar", uint64(number)).Uint64()),
+		"limits":    map[string]any{"memory_mb": 192, "sockets": 1024}, "settings": told.Settings(scen, 0),
+		"known": map[string]any{"generation": 1, "reset": true, "instances": instances}})
 	if err != nil {
 		return "", err
 	}
-	path := filepath.Join(dir, fmt.Sprintf("config-%d.json", k))
+	path := filepath.Join(dir, fmt.Sprintf("config-%d.json", number))
 	return path, os.WriteFile(path, text, 0o600)
 }
 
-// result is one before its run, with what the formulas say of a row with so many sidecars at each level.
-func (o *Options) result(sidecars int) *Result {
-	x := &Result{By: "processes", Depth: o.Depth, Servers: o.Servers, Rate: o.Rate, Calls: o.Calls(), Attempts: o.Attempts, Class: o.Class, Fail: o.Fail,
-		Share: o.Share, Answers: map[string]int{}, Worst: 1, Budgeted: float64(o.Calls()), Steady: 1}
-	if repeat := Classes[o.Class]; o.Fail != "" {
-		x.Worst, x.Steady = Worst(repeat, o.Fail, o.Attempts, o.Depth), Steady(repeat, o.Fail, o.Attempts, o.Depth)
-		x.Budgeted = Budgeted(repeat, o.Fail, o.Attempts, o.Depth, o.Calls(), sidecars)
+// newResult returns the result of a run that has not begun, with the bounds by the formulas for so many sidecars per
+// level.
+func (options *Options) newResult(sidecars int) *Result {
+	result := &Result{By: "processes", Depth: options.Depth, Servers: options.Servers, Rate: options.Rate,
+		Calls: options.Calls(), Attempts: options.Attempts, Class: options.Class, Fail: options.Fail,
+		Share: options.Share, Answers: map[string]int{}, Worst: 1, Budgeted: float64(options.Calls()), Steady: 1}
+	if idempotency := Classes[options.Class]; options.Fail != "" {
+		result.Worst, result.Steady = Worst(idempotency, options.Fail, options.Attempts, options.Depth), Steady(idempotency,
+			options.Fail, options.Attempts, options.Depth)
+		result.Budgeted = Budgeted(idempotency, options.Fail, options.Attempts, options.Depth, options.Calls(), sidecars)
 	}
-	return x
+	return result
 }
 
-// leaves adds up the attempts at the leaf.
-func (x *Result) leaves(all iter.Seq[uint64]) {
+// setLeafAttempts sets the maximum and the mean of the attempts at the leaf for each call of the root.
+func (result *Result) setLeafAttempts(counts iter.Seq[uint64]) {
 	sum := uint64(0)
-	for v := range all {
-		sum, x.LeafMost = sum+v, max(x.LeafMost, v)
+	for attempts := range counts {
+		sum, result.LeafMost = sum+attempts, max(result.LeafMost, attempts)
 	}
-	x.PerCall = float64(sum) / float64(x.Calls)
+	result.PerCall = float64(sum) / float64(result.Calls)
 }
 
-// play makes the root's calls, each at its time, and adds up.
-func (r *row) play(ctx context.Context) (*Result, error) {
-	o := r.o
-	x := o.result(1)
-	x.Load[0] = loadAverage()
-	total := [2][]int64{make([]int64, len(r.leaf)), make([]int64, len(r.leaf))}
-	open := make(chan struct{}, mostOpen)
+// runCalls makes the root's calls at their times and returns the result. Unless the leaf fails, each call is made
+// through the sidecars and directly.
+func (r *row) runCalls(ctx context.Context) (*Result, error) {
+	options := r.options
+	result := options.newResult(1)
+	result.Load[0] = loadAverage()
+	durations := [2][]int64{make([]int64, len(r.leafAttempts)), make([]int64, len(r.leafAttempts))}
+	openCalls := make(chan struct{}, maxOpenCalls)
 	var wg sync.WaitGroup
-	var mu sync.Mutex
+	var mutex sync.Mutex
 	began := time.Now()
 	measured := began
 	var before []usage
-	for n := range r.leaf {
-		due := began.Add(time.Duration(float64(n) / o.Rate * float64(time.Second)))
-		if n == r.warm {
-			before, measured = r.usage(), time.Now()
+	for call := range r.leafAttempts {
+		due := began.Add(time.Duration(float64(call) / options.Rate * float64(time.Second)))
+		if call == r.warmUpCalls {
+			before, measured = r.usages(), time.Now()
 		}
 		select {
 		case <-time.After(time.Until(due)):
@@ -345,88 +359,92 @@
 			return nil, ctx.Err()
 		}
 		select {
-		case open <- struct{}{}:
+		case openCalls <- struct{}{}:
 		case <-ctx.Done():
 			wg.Wait()
 			return nil, ctx.Err()
 		}
 		if time.Since(due) > 10*time.Millisecond {
-			r.lateRoot.Add(1)
+			r.lateRootCalls.Add(1)
 		}
 		wg.Go(func() {
-			defer func() { <-open }()
-			for _, mode := range [2]int{n % 2, 1 - n%2} { // which comes first changes from call to call
-				if mode == direct && r.failed {
+			defer func() { <-openCalls }()
+			for _, path := range [2]int{call % 2, 1 - call%2} { // the order of the two alternates from call to call
+				if path == pathDirect && r.leafFails {
 					continue
 				}
-				t := time.Now()
-				code, took := r.levels[0].call(mode, n, rootMs, rootMs, t, 0)
-				all := time.Since(t)
-				if mode == through {
-					mu.Lock()
-					if n >= r.warm {
-						x.Answers[fmt.Sprint(code)]++
+				start := time.Now()
+				code, took := r.levels[0].call(path, call, rootTimeoutMillis, rootTimeoutMillis, start, 0)
+				total := time.Since(start)
+				if path == pathThrough {
+					mutex.Lock()
+					if call >= r.warmUpCalls {
+						result.Answers[fmt.Sprint(code)]++
 					}
-					mu.Unlock()
+					mutex.Unlock()
 				}
 				if code == 200 {
-					total[mode][n], r.levels[0].hops[mode][n] = int64(all), int64(all-took)
+					durations[path][call], r.levels[0].hopNanos[path][call] = int64(total), int64(total-took)
 				}
 			}
 		})
 	}
 	wg.Wait()
 	took := time.Since(measured)
-	after := r.usage()
-	x.Load[1], x.Took = loadAverage(), took.Seconds()
-	x.Broken, x.Surplus, x.LateRoot = r.broken.Load(), r.surplus.Load(), r.lateRoot.Load()
-	r.mu.Lock()
-	x.Why = maps.Clone(r.why)
-	r.mu.Unlock()
-	x.leaves(func(yield func(uint64) bool) {
-		for n := r.warm; n < len(r.leaf) && yield(uint64(r.leaf[n].Load())); n++ {
+	after := r.usages()
+	result.Load[1], result.Took = loadAverage(), took.Seconds()
+	result.Broken, result.Surplus, result.LateRoot = r.broken.Load(), r.excess.Load(), r.lateRootCalls.Load()
+	r.mutex.Lock()
+	result.Why = maps.Clone(r.brokenCauses)
+	r.mutex.Unlock()
+	result.setLeafAttempts(func(yield func(uint64) bool) {
+		for call := r.warmUpCalls; call < len(r.leafAttempts) && yield(uint64(r.leafAttempts[call].Load())); call++ {
 		}
 	})
-	x.Whole, x.Bare, x.Row = pairs(total, r.warm)
-	var ones []int64
-	for k, l := range r.levels {
-		v := l.figures(before[k], after[k], took)
-		v.Through, v.Direct, v.Added = pairs(l.hops, r.warm)
-		ones = append(ones, differences(l.hops, r.warm)...)
-		x.Levels = append(x.Levels, v)
+	result.Whole, result.Bare, result.Row = summarizePairs(durations, r.warmUpCalls)
+	var added []int64
+	for number, l := range r.levels {
+		figures := l.figures(before[number], after[number], took)
+		figures.Through, figures.Direct, figures.Added = summarizePairs(l.hopNanos, r.warmUpCalls)
+		added = append(added, pairDifferences(l.hopNanos, r.warmUpCalls)...)
+		result.Levels = append(result.Levels, figures)
 	}
-	x.One, x.LastMs = spread(ones), x.Levels[o.Depth-1].LeftMin
-	return x, nil
+	result.One, result.LastMs = summarize(added), result.Levels[options.Depth-1].LeftMin
+	return result, nil
 }
 
-// differences are those of the pairs that are whole. An attempt that its sidecar gave up may still end meanwhile.
-func differences(of [2][]int64, from int) (d []int64) {
-	for n := from; n < len(of[0]); n++ {
-		if a, b := atomic.LoadInt64(&of[through][n]), atomic.LoadInt64(&of[direct][n]); a > 0 && b > 0 {
-			d = append(d, a-b)
+// pairDifferences returns the differences between the two paths, for the calls that have both. It loads the durations
+// atomically, because an attempt that a sidecar abandoned may still end meanwhile.
+func pairDifferences(durations [2][]int64, first int) (nanos []int64) {
+	for call := first; call < len(durations[0]); call++ {
+		if throughNanos, directNanos := atomic.LoadInt64(&durations[pathThrough][call]),
+			atomic.LoadInt64(&durations[pathDirect][call]); throughNanos > 0 && directNanos > 0 {
+			nanos = append(nanos, throughNanos-directNanos)
 		}
 	}
-	return d
+	return nanos
 }
 
-// pairs sums up both ways, and their difference.
-func pairs(of [2][]int64, from int) (a, b, d Spread) {
-	some := func(all []int64) (ns []int64) {
-		for n := from; n < len(all); n++ {
+// summarizePairs summarizes the durations of both paths, and their differences, from the first measured call on.
+func summarizePairs(durations [2][]int64, first int) (throughSummary, directSummary, difference Spread) {
+	measured := func(all []int64) (ns []int64) {
+		for n := first; n < len(all); n++ {
 			if v := atomic.LoadInt64(&all[n]); v > 0 {
 				ns = append(ns, v)
 			}
 		}
 		return ns
 	}
-	return spread(some(of[through])), spread(some(of[direct])), spread(differences(of, from))
+	return summarize(measured(durations[pathThrough])), summarize(measured(durations[pathDirect])),
+		summarize(pairDifferences(durations, first))
 }
 
+// loadAverage returns the machine's load average over one minute, or "?".
 func loadAverage() string {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
 		return "?"
 	}
-	f := strings.Fields(string(text))
-	return f[0]
+	fields := strings.Fields(string(text))
+	return fields[0]
 }
--- a/internal/lab/chain/chain_test.go
+++ b/internal/lab/chain/chain_test.go
@@ -14,15 +14,16 @@
 	"go.uber.org/goleak"
 )
 
-var program string // the sidecar, built once
+var sidecarProgram string // path of the sidecar program, which TestMain builds
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "chain-test-")
 	if err != nil {
 		panic(err)
 	}
-	program = filepath.Join(dir, "sidecar")
-	if out, err := exec.Command("go", "build", "-o", program, "birchmoor/cmd/sidecar").CombinedOutput(); err != nil {
+	sidecarProgram = filepath.Join(dir, "sidecar")
+	if out, err := exec.Command("go", "build", "-o", sidecarProgram,
+		"birchmoor/cmd/sidecar").CombinedOutput(); err != nil {
 		fmt.Println(string(out))
 		os.Exit(1)
 	}
@@ -35,104 +36,111 @@
 	os.Exit(code)
 }
 
-// small is a row of three, with few calls.
-func small(t *testing.T, class string, attempts int, fail How) Options {
-	return Options{Bin: program, Dir: t.TempDir(), Depth: 3, Servers: 2, Rate: 40, For: time.Second / 2, Attempts: attempts, Class: class, Fail: fail, Share: 1, Seed: 1}
+// smallOptions returns the options of a row of three levels with few calls, where all attempts at the leaf fail.
+func smallOptions(t *testing.T, class string, attempts int, fail How) Options {
+	return Options{Bin: sidecarProgram, Dir: t.TempDir(), Depth: 3, Servers: 2, Rate: 40, For: time.Second / 2,
+		Attempts: attempts, Class: class, Fail: fail, Share: 1, Seed: 1}
 }
 
-// faults are what a row is never to show, by counts and order alone.
-func faults(x *Result) (all []string) {
-	bad := func(format string, args ...any) { all = append(all, fmt.Sprintf(format, args...)) }
+// violations describes the violated bounds of a result. They hold whatever the speed of the machine.
+func violations(result *Result) (found []string) {
+	add := func(format string, args ...any) { found = append(found, fmt.Sprintf(format, args...)) }
 	answers := 0
-	for code, n := range x.Answers {
+	for code, n := range result.Answers {
 		if answers += n; code == "0" {
-			bad("%d calls had no answer", n)
+			add("%d calls got no answer", n)
 		}
 	}
-	if answers != x.Calls || x.Broken+x.Surplus > 0 {
-		bad("%d answers to %d calls, %d broken, %d with something behind them", answers, x.Calls, x.Broken, x.Surplus)
+	if answers != result.Calls || result.Broken+result.Surplus > 0 {
+		add("%d answers to %d calls, %d calls broken, %d answers followed by more bytes", answers, result.Calls,
+			result.Broken,
+			result.Surplus)
 	}
-	how := x.Fail
-	if how == "" {
-		how = Errors // one that is merely slow may be repeated as well
+	failure := result.Fail
+	if failure == "" {
+		failure = Errors // a sidecar may also retry a call that is merely slow
 	}
-	if most := Worst(Classes[x.Class], how, x.Attempts, x.Depth); float64(x.LeafMost) > most {
-		bad("%d attempts at the leaf for one call, at most %v", x.LeafMost, most)
+	if maxTotal := Worst(Classes[result.Class], failure, result.Attempts,
+		result.Depth); float64(result.LeafMost) > maxTotal {
+		add("%d attempts at the leaf for one call, want at most %v", result.LeafMost, maxTotal)
 	}
 	sidecars := 1
-	if x.By != "processes" {
-		sidecars = x.Servers
+	if result.By != "processes" {
+		sidecars = result.Servers
 	}
-	if most := Budgeted(Classes[x.Class], how, x.Attempts, x.Depth, x.Calls, sidecars); x.PerCall*float64(x.Calls) > most+0.5 {
-		bad("%v attempts at the leaf a call, the budgets leave %v for all", x.PerCall, most)
+	if maxTotal := Budgeted(Classes[result.Class], failure, result.Attempts, result.Depth, result.Calls,
+		sidecars); result.PerCall*float64(result.Calls) > maxTotal+0.5 {
+		add("%v attempts at the leaf per call, the budgets allow %v for all calls", result.PerCall, maxTotal)
 	}
-	for k, l := range x.Levels {
-		if l.Rose > 0 {
-			bad("level %d: %d attempts were told of no less time than the call came with", k+1, l.Rose)
+	for number, figures := range result.Levels {
+		if figures.Rose > 0 {
+			add("level %d: %d attempts had no less time left than the call before them", number+1, figures.Rose)
 		}
-		if k > 0 && l.Attempts > 0 && l.LeftMax >= x.Levels[k-1].LeftMax {
-			bad("level %d was told of up to %d ms, the one before of %d", k+1, l.LeftMax, x.Levels[k-1].LeftMax)
+		if number > 0 && figures.Attempts > 0 && figures.LeftMax >= result.Levels[number-1].LeftMax {
+			add("level %d had up to %d ms left, the one before up to %d ms", number+1, figures.LeftMax,
+				result.Levels[number-1].LeftMax)
 		}
 	}
-	return all
+	return found
 }
 
-// Each call has one answer, no call becomes more attempts than the formulas say, and the time left falls from level to level. An
-// application that calls twice shows, and one that passes on more time than it has.
-func TestRow(t *testing.T) {
+// Each call gets one answer, no call becomes more attempts than the formulas allow, and the time left falls from level
+// to level. An application that calls twice or passes on more time than it has left is found.
+func TestRowKeepsAttemptsAndTimeLeftWithinBounds(t *testing.T) {
 	for _, c := range []struct {
 		class    string
 		attempts int
 		fail     How
-		plant    plant
-		want     string // part of a fault
+		plant    injectedDefect
+		want     string // part of a violation, or empty for none
 	}{
-		{"look", 3, "", plant{}, ""},
-		{"look", 3, Errors, plant{}, ""},
-		{"book", 2, Refuses, plant{}, ""},
-		{"pay", 4, Errors, plant{}, ""},
-		{"pay", 1, "", plant{twice: true}, "attempts at the leaf for one call"},
-		{"book", 1, "", plant{keepsMs: true}, "no less time than the call came with"},
+		{"look", 3, "", injectedDefect{}, ""},
+		{"look", 3, Errors, injectedDefect{}, ""},
+		{"book", 2, Refuses, injectedDefect{}, ""},
+		{"pay", 4, Errors, injectedDefect{}, ""},
+		{"pay", 1, "", injectedDefect{callsTwice: true}, "attempts at the leaf for one call"},
+		{"book", 1, "", injectedDefect{keepsRootTimeout: true}, "no less time left than the call before them"},
 	} {
 		t.Run(fmt.Sprintf("%s,%d,%s,%v", c.class, c.attempts, c.fail, c.plant), func(t *testing.T) {
 			t.Parallel()
-			o := small(t, c.class, c.attempts, c.fail)
-			o.plant = c.plant
-			x, err := Run(t.Context(), o)
+			options := smallOptions(t, c.class, c.attempts, c.fail)
+			options.defect = c.plant
+			result, err := Run(t.Context(), options)
 			if err != nil {
 				t.Fatal(err)
 			}
-			all := strings.Join(faults(x), "\n")
-			if c.want == "" && all != "" || !strings.Contains(all, c.want) {
-				t.Errorf("want a fault of %q, got:\n%s", c.want, all)
+			found := strings.Join(violations(result), "\n")
+			if c.want == "" && found != "" || !strings.Contains(found, c.want) {
+				t.Errorf("violations want %q, got:\n%s", c.want, found)
 			}
-			if x.Levels[0].Attempts == 0 {
-				t.Error("nothing reached the first level")
+			if result.Levels[0].Attempts == 0 {
+				t.Error("no attempt reached the first level")
 			}
-			if left, _ := os.ReadDir(o.Dir); len(left) > 0 {
-				t.Errorf("left behind: %v", left)
+			if left, _ := os.ReadDir(options.Dir); len(left) > 0 {
+				t.Errorf("the run left files behind: %v", left)
 			}
 		})
 	}
 }
 
-// A run that is stopped, or whose program does not start, leaves nothing behind: TestMain looks for goroutines, one a process.
-func TestStopped(t *testing.T) {
+// A run that is stopped, or whose program does not start, leaves no files and no processes. TestMain checks for leaked
+// goroutines, of which each process has one.
+func TestRunLeavesNothingBehindWhenStopped(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	o := small(t, "look", 1, Silent)
-	o.For, o.Say = time.Minute, func(string) { cancel() }
-	if _, err := Run(ctx, o); !errors.Is(err, context.Canceled) {
-		t.Errorf("stopped: %v", err)
+	options := smallOptions(t, "look", 1, Silent)
+	options.For, options.Say = time.Minute, func(string) { cancel() }
+	if _, err := Run(ctx, options); !errors.Is(err, context.Canceled) {
+		t.Errorf("stopped run: error %v, want a canceled context", err)
 	}
-	o.Bin, o.Say = "/no/such/program", nil
-	if _, err := Run(t.Context(), o); err == nil || !strings.Contains(err.Error(), "/no/such/program") {
-		t.Errorf("no program: %v", err)
+	options.Bin, options.Say = "/no/such/program", nil
+	if _, err := Run(t.Context(), options); err == nil || !strings.Contains(err.Error(), "/no/such/program") {
+		t.Errorf("missing program: error %v, want its path", err)
 	}
-	o.Bin = "/bin/false"
-	if _, err := Run(t.Context(), o); err == nil || !strings.Contains(err.Error(), "ended before it was ready") {
-		t.Errorf("a program that ends: %v", err)
+	options.Bin = "/bin/false"
+	if _, err := Run(t.Context(), options); err == nil || !strings.Contains(err.Error(), "ended before it was ready") {
+		t.Errorf("program that exits at once: error %v", err)
 	}
-	if left, _ := os.ReadDir(o.Dir); len(left) > 0 {
-		t.Errorf("left behind: %v", left)
+	if left, _ := os.ReadDir(options.Dir); len(left) > 0 {
+		t.Errorf("the runs left files behind: %v", left)
 	}
 }
--- a/internal/lab/chain/formula.go
+++ b/internal/lab/chain/formula.go
@@ -1,5 +1,6 @@
-// Package chain plays a row of levels, each behind a sidecar of its own: what the row adds to the time of a call, what of the time left
-// reaches each level, and how many attempts one call becomes when the leaf fails.
+// Package chain runs a row of levels, each an application behind a sidecar of its own that calls the next level. It
+// measures what the row adds to the latency of a call, how much of the time left reaches each level, and how many
+// attempts at the leaf, the last level, one call of the root becomes when the leaf fails.
 package chain
 
 import (
@@ -12,73 +13,74 @@
 // How is a way in which the leaf fails.
 type How string
 
-// The ways of failing.
+// The ways in which the leaf fails.
 const (
-	Errors  How = "error"  // it answers 500: it may have run
-	Refuses How = "refuse" // it answers 503 with X-Never-Ran: it did not run
+	Errors  How = "error"  // it answers 500: the request may have run
+	Refuses How = "refuse" // it answers 503 with X-Never-Ran: the request did not run
 	Silent  How = "silent" // it never answers
 )
 
-// Hows are all ways of failing, in the order of their help.
+// Hows lists the ways of failing, in the order of the command's help.
 var Hows = []How{Errors, Refuses, Silent}
 
-// Classes are the names of the row's classes, by how they may be repeated.
-var Classes = map[string]balancer.Idempotency{"look": balancer.Idempotent, "book": balancer.WithIdempotencyKey, "pay": balancer.NotIdempotent}
+// Classes maps the names of the row's classes to their idempotency.
+var Classes = map[string]balancer.Idempotency{"look": balancer.Idempotent, "book": balancer.WithIdempotencyKey,
+	"pay": balancer.NotIdempotent}
 
-// Figures of the retry budget of package balancer: what a sidecar starts with, which is also the most that it saves up, and what each
-// request earns. A retry costs 1.
+// Figures of the retry budget of package balancer, where a retry costs 1.
 const (
-	burst  = 10
-	earned = 0.2
+	budgetBurst      = 10  // initial and maximum balance of a sidecar
+	budgetPerRequest = 0.2 // added by each request
 )
 
-// Repeats says whether a sidecar may send a request again behind an attempt that ended so. A silent attempt of a class that is not safe
-// is waited for until the request's time is up.
-func Repeats(repeat balancer.Idempotency, how How) bool {
-	switch repeat {
+// Repeats reports whether a sidecar may retry a request after an attempt that failed in this way. If the leaf is
+// silent, it retries only idempotent requests; the attempt of any other lasts until the request's deadline.
+func Repeats(idempotency balancer.Idempotency, failure How) bool {
+	switch idempotency {
 	case balancer.Idempotent:
 		return true
 	case balancer.WithIdempotencyKey:
-		return how != Silent
+		return failure != Silent
 	}
-	return how == Refuses
+	return failure == Refuses
 }
 
-// Worst is the most attempts at the leaf that one call at the root can become by the rules of repeats alone: attempts to the power of
-// levels where the class may be repeated behind the outcome, else 1. It is a float64 since it leaves the integers' range.
-func Worst(repeat balancer.Idempotency, how How, attempts, levels int) float64 {
-	if !Repeats(repeat, how) {
+// Worst returns the maximum number of attempts at the leaf for one call of the root, without retry budgets: attempts to
+// the power of levels if a sidecar may retry, else 1. It is a float64 because it can exceed the range of integers.
+func Worst(idempotency balancer.Idempotency, failure How, attempts, levels int) float64 {
+	if !Repeats(idempotency, failure) {
 		return 1
 	}
 	return math.Pow(float64(attempts), float64(levels))
 }
 
-// Budgeted is the most attempts at the leaf that so many calls at the root can become, with the retry budgets besides, in a row with so
-// many sidecars at each level that each begin with a whole budget.
-func Budgeted(repeat balancer.Idempotency, how How, attempts, levels, calls, sidecars int) float64 {
-	n := float64(calls)
-	if !Repeats(repeat, how) {
-		return n
+// Budgeted returns the maximum number of attempts at the leaf for a number of calls of the root, with retry budgets.
+// Each level has this number of sidecars, which start with full budgets.
+func Budgeted(idempotency balancer.Idempotency, failure How, attempts, levels, calls, sidecars int) float64 {
+	total := float64(calls)
+	if !Repeats(idempotency, failure) {
+		return total
 	}
 	for range levels {
-		n = min(n*float64(attempts), n+math.Floor(earned*n+float64(burst*sidecars)))
+		total = min(total*float64(attempts), total+math.Floor(budgetPerRequest*total+float64(budgetBurst*sidecars)))
 	}
-	return n
+	return total
 }
 
-// Steady is the part of Budgeted that stays when calls go on for ever: by how much the attempts at the leaf exceed the calls.
-func Steady(repeat balancer.Idempotency, how How, attempts, levels int) float64 {
-	if !Repeats(repeat, how) {
+// Steady returns the limit of Budgeted per call as the number of calls grows: attempts at the leaf per call of the
+// root.
+func Steady(idempotency balancer.Idempotency, failure How, attempts, levels int) float64 {
+	if !Repeats(idempotency, failure) {
 		return 1
 	}
-	return math.Pow(min(float64(attempts), 1+earned), float64(levels))
+	return math.Pow(min(float64(attempts), 1+budgetPerRequest), float64(levels))
 }
 
-// ClassOf returns how a class of the row may be repeated.
+// ClassOf returns the idempotency of a class of the row. The error names the command's flag.
 func ClassOf(name string) (balancer.Idempotency, error) {
-	r, ok := Classes[name]
-	if !ok {
+	idempotency, known := Classes[name]
+	if !known {
 		return 0, fmt.Errorf("--class: %q is none of look, book and pay", name)
 	}
-	return r, nil
+	return idempotency, nil
 }
--- a/internal/lab/chain/formula_test.go
+++ b/internal/lab/chain/formula_test.go
@@ -7,7 +7,8 @@
 	"birchmoor/balancer"
 )
 
-// One call becomes max_attempts to the power of the levels where its class may be repeated behind the outcome, and stays one elsewhere.
+// One call becomes max_attempts to the power of the levels if sidecars may retry its class after the failure, and stays
+// one otherwise.
 func TestWorst(t *testing.T) {
 	for _, c := range []struct {
 		repeat balancer.Idempotency
@@ -16,38 +17,43 @@
 		levels int
 		want   float64
 	}{
-		{balancer.Idempotent, Errors, 3, 14, 4782969}, {balancer.Idempotent, Refuses, 2, 14, 16384}, {balancer.Idempotent, Silent, 4, 3, 64},
-		{balancer.WithIdempotencyKey, Errors, 3, 3, 27}, {balancer.WithIdempotencyKey, Refuses, 3, 5, 243}, {balancer.WithIdempotencyKey, Silent, 3, 14, 1},
-		{balancer.NotIdempotent, Errors, 4, 14, 1}, {balancer.NotIdempotent, Silent, 4, 14, 1}, {balancer.NotIdempotent, Refuses, 4, 2, 16},
+		{balancer.Idempotent, Errors, 3, 14, 4782969}, {balancer.Idempotent, Refuses, 2, 14, 16384}, {balancer.Idempotent,
+			Silent, 4, 3, 64},
+		{balancer.WithIdempotencyKey, Errors, 3, 3, 27}, {balancer.WithIdempotencyKey, Refuses, 3, 5, 243},
+		{balancer.WithIdempotencyKey, Silent, 3, 14, 1},
+		{balancer.NotIdempotent, Errors, 4, 14, 1}, {balancer.NotIdempotent, Silent, 4, 14, 1}, {balancer.NotIdempotent,
+			Refuses, 4, 2, 16},
 		{balancer.Idempotent, Errors, 1, 14, 1}, {balancer.Idempotent, Errors, 3, 0, 1},
 	} {
 		if got := Worst(c.repeat, c.how, c.most, c.levels); got != c.want {
-			t.Errorf("repeat %d, %s, %d attempts, %d levels: %v, want %v", c.repeat, c.how, c.most, c.levels, got, c.want)
+			t.Errorf("idempotency %d, failure %s, %d attempts, %d levels: %v, want %v", c.repeat, c.how, c.most, c.levels, got,
+				c.want)
 		}
 		for _, calls := range []int{1, 7, 1000} {
 			if b := Budgeted(c.repeat, c.how, c.most, c.levels, calls, 1); b > float64(calls)*c.want || b < float64(calls) {
-				t.Errorf("%+v: the budget bounds %d calls by %v", c, calls, b)
+				t.Errorf("%+v: with budgets, the bound for %d calls is %v", c, calls, b)
 			}
 		}
 	}
 }
 
-// The budget binds once max_attempts asks for more than it has: 1, 3, 9, then 9+11, 20+14, 34+16 and so on; for many calls it is a
-// fifth more at each level.
+// The budgets limit a call once max_attempts allows more: the bounds are 1, 3, 9, then 9+11, 20+14, 34+16. For many
+// calls, each level adds a fifth.
 func TestBudgeted(t *testing.T) {
 	for levels, want := range []float64{1, 3, 9, 20, 34, 50} {
 		if got := Budgeted(balancer.Idempotent, Errors, 3, levels, 1, 1); got != want {
-			t.Errorf("%d levels: %v, want %v", levels, got, want)
+			t.Errorf("%d levels: %v attempts for one call, want %v", levels, got, want)
 		}
 	}
 	if got := Budgeted(balancer.Idempotent, Errors, 3, 3, 1, 10); got != 27 {
-		t.Errorf("with ten sidecars a level: %v", got)
+		t.Errorf("3 levels of ten sidecars each: %v attempts for one call, want 27", got)
 	}
 	per := Budgeted(balancer.Idempotent, Errors, 3, 14, 1e9, 1) / 1e9
-	if steady := Steady(balancer.Idempotent, Errors, 3, 14); math.Abs(per-steady) > 1e-3 || math.Abs(steady-12.839) > 1e-3 {
-		t.Errorf("many calls: %v a call, %v in the long run", per, steady)
+	if steady := Steady(balancer.Idempotent, Errors, 3, 14); math.Abs(per-steady) > 1e-3 ||
+		math.Abs(steady-12.839) > 1e-3 {
+		t.Errorf("14 levels: %v attempts per call for 1e9 calls, Steady returns %v", per, steady)
 	}
 	if Steady(balancer.Idempotent, Errors, 1, 14) != 1 || Steady(balancer.NotIdempotent, Errors, 3, 14) != 1 {
-		t.Error("what is not repeated grows")
+		t.Error("Steady is not 1 where no sidecar may retry")
 	}
 }
--- a/internal/lab/chain/level.go
+++ b/internal/lab/chain/level.go
@@ -14,114 +14,116 @@
 	"time"
 )
 
-// The two ways of a call.
+// The two paths of a call to a level, which index pools and durations.
 const (
-	through = 0 // the level's sidecar
-	direct  = 1 // to one of its servers, in turn
+	pathThrough = 0 // through the level's sidecar
+	pathDirect  = 1 // to the level's servers in turn
 )
 
-// Heads that the lab's applications add; sidecars pass them on.
+// Headers that the row's applications add and sidecars forward.
 const (
-	headDirect = "X-Lab-Direct" // 1 where the whole call goes without sidecars
-	headCame   = "X-Lab-Came"   // milliseconds of the time left that the caller was told of
-	headBegan  = "X-Lab-Began"  // when the root made its call, in Unix nanoseconds
-	headTook   = "X-Lab-Took"   // nanoseconds from a whole request to its answer
+	headerDirect     = "X-Lab-Direct" // 1 if the call takes the direct path at all levels
+	headerCallerLeft = "X-Lab-Came"   // time left of the caller's own request, in milliseconds
+	headerBegan      = "X-Lab-Began"  // time of the root's call, in Unix nanoseconds
+	headerTook       = "X-Lab-Took"   // nanoseconds between a complete request and its answer, at the server
 )
 
-// level is a sidecar, the servers behind it, and the application that they are.
+// level is a sidecar and the servers behind it, which run the application of the level.
 type level struct {
-	r      *row
-	number int
-	addrs  []string
-	lns    []net.Listener
-	side   *sidecar
-	to     [2]*pool   // by way
-	hops   [2][]int64 // nanoseconds of a call beyond its server's, by call of the root; 0 for none
+	row       *row
+	number    int
+	addrs     []string
+	listeners []net.Listener
+	sidecar   *sidecar
+	pools     [2]*pool   // to the sidecar and to the servers, by path
+	hopNanos  [2][]int64 // latency of a call less the server's time, by path and call of the root; 0 for none
 
-	attempts, rose, over    atomic.Uint64
-	opened, probes          atomic.Uint64
-	probeIn, probeOut, open atomic.Int64
+	attempts, notReduced, beyondRoot       atomic.Uint64
+	openedConns, probes                    atomic.Uint64
+	probeBytesIn, probeBytesOut, openConns atomic.Int64
 
-	mu       sync.Mutex
-	conns    map[*counted]struct{}
-	ended    bool
-	leftSum  int64
-	leftMin  int64
-	leftMax  int64
-	leftSeen int64
+	mutex         sync.Mutex
+	conns         map[*countingConn]struct{}
+	closed        bool
+	timeLeftSum   int64 // milliseconds, like the two below
+	timeLeftMin   int64
+	timeLeftMax   int64
+	timeLeftCount int64
 }
 
+// listen starts a server of the level.
 func (l *level) listen() error {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	l.addrs, l.lns = append(l.addrs, ln.Addr().String()), append(l.lns, ln)
-	l.r.wg.Go(func() {
+	l.addrs, l.listeners = append(l.addrs, listener.Addr().String()), append(l.listeners, listener)
+	l.row.wg.Go(func() {
 		for {
-			nc, err := ln.Accept()
+			accepted, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			c := &counted{Conn: nc}
-			l.mu.Lock()
-			if l.ended {
-				nc.Close()
+			conn := &countingConn{Conn: accepted}
+			l.mutex.Lock()
+			if l.closed {
+				accepted.Close()
 			} else {
-				l.conns[c] = struct{}{}
-				l.r.wg.Go(func() { l.serve(c) })
+				l.conns[conn] = struct{}{}
+				l.row.wg.Go(func() { l.serve(conn) })
 			}
-			l.mu.Unlock()
+			l.mutex.Unlock()
 		}
 	})
 	return nil
 }
 
+// close closes the level's listeners and all connections.
 func (l *level) close() {
-	for _, ln := range l.lns {
-		ln.Close()
+	for _, listener := range l.listeners {
+		listener.Close()
 	}
-	l.mu.Lock()
-	l.ended = true
-	for c := range l.conns {
-		c.Close()
+	l.mutex.Lock()
+	l.closed = true
+	for conn := range l.conns {
+		conn.Close()
 	}
-	l.mu.Unlock()
-	for _, p := range l.to {
-		if p != nil {
-			p.close()
+	l.mutex.Unlock()
+	for _, callers := range l.pools {
+		if callers != nil {
+			callers.close()
 		}
 	}
 }
 
-// counted is a connection that counts the bytes which were read.
-type counted struct {
+// countingConn is a connection that counts the bytes that were read from it.
+type countingConn struct {
 	net.Conn
-	in int64
+	bytesRead int64
 }
 
-func (c *counted) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.in += int64(n)
+	c.bytesRead += int64(n)
 	return n, err
 }
 
-// serve answers one connection, of a sidecar or of a call without one.
-func (l *level) serve(c *counted) {
-	bySidecar := false
+// serve answers the requests on a connection from a sidecar or from a caller on the direct path.
+func (l *level) serve(conn *countingConn) {
+	fromSidecar := false
 	defer func() {
-		c.Close()
-		l.mu.Lock()
-		delete(l.conns, c)
-		l.mu.Unlock()
-		if bySidecar {
-			l.open.Add(-1)
+		conn.Close()
+		l.mutex.Lock()
+		delete(l.conns, conn)
+		l.mutex.Unlock()
+		if fromSidecar {
+			l.openConns.Add(-1)
 		}
 	}()
-	in := bufio.NewReader(c)
+	reader := bufio.NewReader(conn)
 	for {
-		from := c.in - int64(in.Buffered())
-		req, err := http.ReadRequest(in)
+		readBefore := conn.bytesRead - int64(reader.Buffered())
+		req, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
@@ -129,157 +131,166 @@
 			return
 		}
 		arrived := time.Now()
-		if !bySidecar && req.Header.Get(headDirect) == "" {
-			bySidecar = true
-			l.opened.Add(1)
-			l.open.Add(1)
+		if !fromSidecar && req.Header.Get(headerDirect) == "" {
+			fromSidecar = true
+			l.openedConns.Add(1)
+			l.openConns.Add(1)
 		}
 		var answer string
 		if req.URL.Path == "/-/load" || req.URL.Path == "/-/healthy" {
-			answer = fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(loaded), loaded)
+			answer = fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(loadReport), loadReport)
 			l.probes.Add(1)
-			l.probeIn.Add(c.in - int64(in.Buffered()) - from)
-			l.probeOut.Add(int64(len(answer)))
+			l.probeBytesIn.Add(conn.bytesRead - int64(reader.Buffered()) - readBefore)
+			l.probeBytesOut.Add(int64(len(answer)))
 		} else if answer = l.handle(req, arrived); answer == "" {
 			return
 		}
-		if _, err := io.WriteString(c, answer); err != nil {
+		if _, err := io.WriteString(conn, answer); err != nil {
 			return
 		}
 	}
 }
 
-const loaded = "TEXT busy_reqs=0, cpu_share=0.1, served_ps=100.00"
+// loadReport is the servers' load report, in answer to probes.
+const loadReport = "TEXT busy_reqs=0, cpu_share=0.1, served_ps=100.00"
 
-// handle is the application: it makes its own call at once, and answers with what comes of it. Empty is no answer.
+// handle is the application of a level. It calls the next level, unless it is the leaf, and returns its answer, or an
+// empty string to close the connection without one.
 func (l *level) handle(req *http.Request, arrived time.Time) string {
 	_, text, _ := strings.Cut(strings.TrimPrefix(req.URL.Path, "/"), "/")
-	n, err := strconv.Atoi(text)
-	left, errLeft := strconv.ParseInt(req.Header.Get("X-Expires-In-Ms"), 10, 64)
-	came, errCame := strconv.ParseInt(req.Header.Get(headCame), 10, 64)
-	nanos, errBegan := strconv.ParseInt(req.Header.Get(headBegan), 10, 64)
-	if err != nil || n < 0 || n >= len(l.r.leaf) || errLeft != nil || errCame != nil || errBegan != nil {
+	call, err := strconv.Atoi(text)
+	timeLeft, errTimeLeft := strconv.ParseInt(req.Header.Get("X-Expires-In-Ms"), 10, 64)
+	callerLeft, errCallerLeft := strconv.ParseInt(req.Header.Get(headerCallerLeft), 10, 64)
+	beganNanos, errBegan := strconv.ParseInt(req.Header.Get(headerBegan), 10, 64)
+	if err != nil || call < 0 || call >= len(l.row.leafAttempts) || errTimeLeft != nil || errCallerLeft != nil ||
+		errBegan != nil {
 		return "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"
 	}
-	began := time.Unix(0, nanos)
-	way := through
-	if req.Header.Get(headDirect) == "1" {
-		way = direct
+	began := time.Unix(0, beganNanos)
+	path := pathThrough
+	if req.Header.Get(headerDirect) == "1" {
+		path = pathDirect
 	}
-	leaf := l.number == l.r.o.Depth-1
-	if way == through && n >= l.r.warm {
-		l.told(left, came, began, arrived)
+	isLeaf := l.number == l.row.options.Depth-1
+	if path == pathThrough && call >= l.row.warmUpCalls {
+		l.recordTimeLeft(timeLeft, callerLeft, began, arrived)
 	}
-	if !leaf {
-		next := l.r.levels[l.number+1]
-		out := left - time.Since(arrived).Milliseconds()
-		if l.r.o.plant.keepsMs {
-			out = rootMs
+	if !isLeaf {
+		next := l.row.levels[l.number+1]
+		passedOn := timeLeft - time.Since(arrived).Milliseconds()
+		if l.row.options.defect.keepsRootTimeout {
+			passedOn = rootTimeoutMillis
 		}
-		t := time.Now()
-		code, took := next.call(way, n, left, out, began, l.number+1)
-		if all := time.Since(t); code == http.StatusOK {
-			atomic.StoreInt64(&next.hops[way][n], int64(all-took))
+		start := time.Now()
+		code, serverTook := next.call(path, call, timeLeft, passedOn, began, l.number+1)
+		if total := time.Since(start); code == http.StatusOK {
+			atomic.StoreInt64(&next.hopNanos[path][call], int64(total-serverTook))
 		}
-		if l.number == 0 && l.r.o.plant.twice {
-			code, _ = next.call(way, n, left, out, began, l.number+1)
+		if l.number == 0 && l.row.options.defect.callsTwice {
+			code, _ = next.call(path, call, timeLeft, passedOn, began, l.number+1)
 		}
 		switch {
 		case code == http.StatusOK:
-		case code == http.StatusServiceUnavailable && l.r.o.Class != "look":
-			// The sidecar says that nothing ran, and this application has done nothing but the call.
+		case code == http.StatusServiceUnavailable && l.row.options.Class != "look":
+			// The sidecar says that the call did not run, and this application has done nothing else.
 			return "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
 		default:
 			return "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 		}
-	} else if way == through {
-		l.r.leaf[n].Add(1)
-		seen := l.r.seen.Add(1)
-		if l.r.failed && l.r.draw.Stream("leaf", seen).Float64() < l.r.o.Share {
-			switch l.r.o.Fail {
+	} else if path == pathThrough {
+		l.row.leafAttempts[call].Add(1)
+		requestNumber := l.row.leafRequests.Add(1)
+		if l.row.leafFails && l.row.seed.Stream("leaf", requestNumber).Float64() < l.row.options.Share {
+			switch l.row.options.Fail {
 			case Errors:
 				return "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 			case Refuses:
 				return "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
 			case Silent:
 				select {
-				case <-l.r.quit:
-				case <-time.After(rootMs*time.Millisecond + late):
+				case <-l.row.stopped:
+				case <-time.After(rootTimeoutMillis*time.Millisecond + answerGrace):
 				}
 				return ""
 			}
 		}
 	}
-	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %d\r\nContent-Length: 16\r\n\r\nserved at once.\n", headTook, time.Since(arrived).Nanoseconds())
+	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %d\r\nContent-Length: 16\r\n\r\nserved at once.\n", headerTook,
+		time.Since(arrived).Nanoseconds())
 }
 
-// told notes what an attempt was told of the time left.
-func (l *level) told(left, came int64, began, arrived time.Time) {
+// recordTimeLeft records the time left that an attempt carries, in milliseconds.
+func (l *level) recordTimeLeft(timeLeft, callerLeft int64, began, arrived time.Time) {
 	l.attempts.Add(1)
-	if left >= came {
-		l.rose.Add(1)
+	if timeLeft >= callerLeft {
+		l.notReduced.Add(1)
 	}
-	if time.Duration(left)*time.Millisecond > began.Add(rootMs*time.Millisecond).Sub(arrived) {
-		l.over.Add(1)
+	if time.Duration(timeLeft)*time.Millisecond > began.Add(rootTimeoutMillis*time.Millisecond).Sub(arrived) {
+		l.beyondRoot.Add(1)
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.leftSum, l.leftSeen = l.leftSum+left, l.leftSeen+1
-	l.leftMin, l.leftMax = min(l.leftMin, left), max(l.leftMax, left)
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.timeLeftSum, l.timeLeftCount = l.timeLeftSum+timeLeft, l.timeLeftCount+1
+	l.timeLeftMin, l.timeLeftMax = min(l.timeLeftMin, timeLeft), max(l.timeLeftMax, timeLeft)
 }
 
-// call makes a call to this level, and returns its code, or 0, and the time that its server took. It is made once, whatever becomes of it.
-func (l *level) call(way, n int, came, left int64, began time.Time, by int) (code int, took time.Duration) {
-	r := l.r
-	method, key, more := http.MethodGet, "", ""
-	id := r.ids.Add(1)
-	if r.o.Class != "look" {
-		method, more = http.MethodPost, "Content-Length: 0\r\n"
+// call makes a call to this level, without retries. It returns the status code and the time that the server took, or
+// zeros if there was no answer. callerLevel is 0 for the root, and timeLeft goes out with the request.
+func (l *level) call(path, call int, callerLeft, timeLeft int64, began time.Time, callerLevel int) (code int,
+	took time.Duration) {
+	r := l.row
+	method, keyHeader, extraHeaders := http.MethodGet, "", ""
+	id := r.lastID.Add(1)
+	if r.options.Class != "look" {
+		method, extraHeaders = http.MethodPost, "Content-Length: 0\r\n"
 	}
-	if r.o.Class == "book" {
-		key = fmt.Sprintf("Idempotency-Key: k%d\r\n", id)
+	if r.options.Class == "book" {
+		keyHeader = fmt.Sprintf("Idempotency-Key: k%d\r\n", id)
 	}
-	if way == direct {
-		more += headDirect + ": 1\r\n"
+	if path == pathDirect {
+		extraHeaders += headerDirect + ": 1\r\n"
 	}
 	text := fmt.Sprintf("%s /%s/%d HTTP/1.1\r\nHost: level%d.svc\r\nX-Trace-Id: %x\r\nX-Qos: %s\r\nX-Expires-In-Ms: %d\r\n%s: %d\r\n%s: %d\r\n%s%s\r\n",
-		method, r.o.Class, n, by+1, id, r.o.Class, left, headCame, came, headBegan, began.UnixNano(), key, more)
-	code, took, err := l.to[way].ask(text, time.Duration(left)*time.Millisecond+late)
+		method, r.options.Class, call, callerLevel+1, id, r.options.Class, timeLeft, headerCallerLeft, callerLeft,
+		headerBegan, began.UnixNano(), keyHeader, extraHeaders)
+	code, took, err := l.pools[path].roundTrip(text, time.Duration(timeLeft)*time.Millisecond+answerGrace)
 	if err != nil {
-		r.broke(err)
+		r.recordBroken(err)
 		return 0, 0
 	}
 	return code, took
 }
 
-// keptFor is how long a connection without a call is used again: a sidecar ends it after 15 s, and a call may cross that.
-const keptFor = 5 * time.Second
+// maxIdle is the longest idle time of a connection that is used again. A sidecar closes idle connections after 15 s,
+// and a call that is sent at that moment would get no answer.
+const maxIdle = 5 * time.Second
 
-// pool is the kept connections of callers to a sidecar, or to servers in turn.
+// pool holds the idle connections of callers to a sidecar, or to servers in turn.
 type pool struct {
-	r     *row
+	row   *row
 	addrs []string
 
-	mu    sync.Mutex
-	turn  int
-	idle  []*line
-	ended bool
+	mutex  sync.Mutex
+	next   int // counts new connections, to choose their addresses in turn
+	idle   []*callerConn
+	closed bool
 }
 
-type line struct {
+// callerConn is a connection of a pool.
+type callerConn struct {
 	net.Conn
-	in   *bufio.Reader
-	used bool      // it has carried an answer,
-	at   time.Time // the last one then
+	reader   *bufio.Reader
+	used     bool      // it has carried an answer
+	lastUsed time.Time // time of the latest answer
 }
 
-// brokenError says where a call ended without an answer.
+// brokenError is the error of a call that ended without an answer.
 type brokenError struct {
-	where string
+	where string // step of the call that failed
 	err   error
 }
 
-// Error leaves out addresses.
+// Error omits network addresses, so that errors with the same cause have the same text.
 func (e *brokenError) Error() string {
 	err := e.err
 	if op := (*net.OpError)(nil); errors.As(err, &op) {
@@ -288,84 +299,86 @@
 	return e.where + ": " + err.Error()
 }
 
-// broke counts a call without an answer, by its cause.
-func (r *row) broke(err error) {
+// recordBroken counts a call without an answer, by its cause.
+func (r *row) recordBroken(err error) {
 	r.broken.Add(1)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.why[err.Error()]++
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.brokenCauses[err.Error()]++
 }
 
+// close closes the idle connections. Those in use close when their calls end.
 func (p *pool) close() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.ended = true
-	for _, c := range p.idle {
-		c.Close()
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.closed = true
+	for _, conn := range p.idle {
+		conn.Close()
 	}
 	p.idle = nil
 }
 
-func (p *pool) get() (*line, error) {
-	p.mu.Lock()
-	for n := len(p.idle); n > 0; n = len(p.idle) {
-		c := p.idle[n-1]
-		p.idle = p.idle[:n-1]
-		if time.Since(c.at) > keptFor {
-			c.Close()
+// get returns an idle connection or opens a new one.
+func (p *pool) get() (*callerConn, error) {
+	p.mutex.Lock()
+	for idleCount := len(p.idle); idleCount > 0; idleCount = len(p.idle) {
+		conn := p.idle[idleCount-1]
+		p.idle = p.idle[:idleCount-1]
+		if time.Since(conn.lastUsed) > maxIdle {
+			conn.Close()
 			continue
 		}
-		p.mu.Unlock()
-		return c, nil
+		p.mutex.Unlock()
+		return conn, nil
 	}
-	p.turn++
-	addr := p.addrs[p.turn%len(p.addrs)]
-	p.mu.Unlock()
-	c, err := net.DialTimeout("tcp", addr, time.Second)
+	p.next++
+	addr := p.addrs[p.next%len(p.addrs)]
+	p.mutex.Unlock()
+	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return nil, &brokenError{"no connection", err}
 	}
-	return &line{Conn: c, in: bufio.NewReader(c)}, nil
+	return &callerConn{Conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
-// ask writes a request once and reads its one answer.
-func (p *pool) ask(text string, most time.Duration) (code int, took time.Duration, err error) {
-	c, err := p.get()
+// roundTrip writes a request once and reads its answer. took is the time that the server reports in the answer.
+func (p *pool) roundTrip(text string, timeout time.Duration) (code int, took time.Duration, err error) {
+	conn, err := p.get()
 	if err != nil {
 		return 0, 0, err
 	}
-	c.SetDeadline(time.Now().Add(most))
-	keep := false
+	conn.SetDeadline(time.Now().Add(timeout))
+	reuse := false
 	defer func() {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		if keep && !p.ended {
-			p.idle = append(p.idle, c)
+		p.mutex.Lock()
+		defer p.mutex.Unlock()
+		if reuse && !p.closed {
+			p.idle = append(p.idle, conn)
 		} else {
-			c.Close()
+			conn.Close()
 		}
 	}()
 	where := "first call of a connection"
-	if c.used {
+	if conn.used {
 		where = "kept connection"
 	}
-	if _, err := io.WriteString(c, text); err != nil {
+	if _, err := io.WriteString(conn, text); err != nil {
 		return 0, 0, &brokenError{where + ", write", err}
 	}
-	resp, err := http.ReadResponse(c.in, nil)
+	resp, err := http.ReadResponse(conn.reader, nil)
 	if err != nil {
 		return 0, 0, &brokenError{where + ", answer", err}
 	}
-	c.used, c.at = true, time.Now()
+	conn.used, conn.lastUsed = true, time.Now()
 	defer resp.Body.Close()
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 		return 0, 0, err
 	}
-	if c.in.Buffered() > 0 {
-		p.r.surplus.Add(1)
+	if conn.reader.Buffered() > 0 {
+		p.row.excess.Add(1)
 		return resp.StatusCode, 0, nil
 	}
-	keep = !resp.Close
-	ns, _ := strconv.ParseInt(resp.Header.Get(headTook), 10, 64)
-	return resp.StatusCode, time.Duration(ns), nil
+	reuse = !resp.Close
+	nanos, _ := strconv.ParseInt(resp.Header.Get(headerTook), 10, 64)
+	return resp.StatusCode, time.Duration(nanos), nil
 }
--- a/internal/lab/chain/process.go
+++ b/internal/lab/chain/process.go
@@ -17,112 +17,114 @@
 )
 
 const (
-	readyMost = 30 * time.Second
-	readyPoll = 20 * time.Millisecond
-	stopMost  = 3 * time.Second // for a process to end when it is asked to
+	readyTimeout      = 30 * time.Second
+	readyPollInterval = 20 * time.Millisecond
+	stopTimeout       = 3 * time.Second // after each signal to stop
 )
 
-// sidecar is a process of the program.
+// sidecar is a process of the sidecar program.
 type sidecar struct {
-	cmd   *exec.Cmd
-	addr  string
-	log   string
-	ended chan struct{}
+	cmd     *exec.Cmd
+	addr    string
+	logFile string
+	ended   chan struct{}
 }
 
-// start runs the program for a level. The kernel ends it with the lab, however that ends.
-func (r *row) start(k int, dir string, servers []string) (*sidecar, error) {
-	// The process inherits its listening socket, so that nobody else takes the port.
+// startSidecar starts the sidecar of a level. The kernel kills the process if the lab's process ends first.
+func (r *row) startSidecar(number int, dir string, servers []string) (*sidecar, error) {
+	// The process inherits its listening socket, so that no other process can take the port.
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	defer ln.Close()
-	socket, err := ln.(*net.TCPListener).File()
+	listener, err := ln.(*net.TCPListener).File()
 	if err != nil {
 		return nil, err
 	}
-	defer socket.Close()
+	defer listener.Close()
 	addr := ln.Addr().String()
-	config, err := r.configure(k, dir, addr, servers)
+	config, err := r.writeConfig(number, dir, addr, servers)
 	if err != nil {
 		return nil, err
 	}
-	tmp := filepath.Join(dir, fmt.Sprintf("tmp-%d", k))
-	if err := os.MkdirAll(tmp, 0o700); err != nil {
+	tempDir := filepath.Join(dir, fmt.Sprintf("tmp-%d", number))
+	if err := os.MkdirAll(tempDir, 0o700); err != nil {
 		return nil, err
 	}
-	p := &sidecar{cmd: exec.Command(r.o.Bin), addr: addr, log: filepath.Join(dir, fmt.Sprintf("log-%d.txt", k)), ended: make(chan struct{})}
-	log, err := os.Create(p.log)
+	process := &sidecar{cmd: exec.Command(r.options.Bin), addr: addr, logFile: filepath.Join(dir, fmt.Sprintf("log-%d.txt",
+		number)), ended: make(chan struct{})}
+	log, err := os.Create(process.logFile)
 	if err != nil {
 		return nil, err
 	}
 	defer log.Close()
-	p.cmd.Stdout, p.cmd.Stderr = log, log
-	for _, e := range os.Environ() {
-		if !strings.HasPrefix(e, "ROUTER_") && !strings.HasPrefix(e, "TMPDIR=") {
-			p.cmd.Env = append(p.cmd.Env, e)
+	process.cmd.Stdout, process.cmd.Stderr = log, log
+	for _, variable := range os.Environ() {
+		if !strings.HasPrefix(variable, "ROUTER_") && !strings.HasPrefix(variable, "TMPDIR=") {
+			process.cmd.Env = append(process.cmd.Env, variable)
 		}
 	}
-	p.cmd.Env = append(p.cmd.Env, "ROUTER_CONFIG="+config, "TMPDIR="+tmp, "ROUTER_FD=3")
-	p.cmd.ExtraFiles = []*os.File{socket}
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	begun := make(chan error, 1)
+	process.cmd.Env = append(process.cmd.Env, "ROUTER_CONFIG="+config, "TMPDIR="+tempDir, "ROUTER_FD=3")
+	process.cmd.ExtraFiles = []*os.File{listener}
+	process.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
+	started := make(chan error, 1)
 	r.wg.Go(func() {
-		// The kernel's signal comes when the thread that started the process ends: this one stays for so long.
+		// The kernel sends Pdeathsig when the thread ends that started the process, so the thread has to outlive it.
 		runtime.LockOSThread()
 		defer runtime.UnlockOSThread()
-		defer close(p.ended)
-		err := p.cmd.Start()
-		begun <- err
+		defer close(process.ended)
+		err := process.cmd.Start()
+		started <- err
 		if err == nil {
-			p.cmd.Wait()
+			process.cmd.Wait()
 		}
 	})
-	if err := <-begun; err != nil {
-		return nil, fmt.Errorf("%s: %w", r.o.Bin, err)
+	if err := <-started; err != nil {
+		return nil, fmt.Errorf("%s: %w", r.options.Bin, err)
 	}
-	return p, nil
+	return process, nil
 }
 
-func (p *sidecar) stop() {
-	if p == nil {
+// stop ends the process and its group, by SIGTERM and then by SIGKILL.
+func (process *sidecar) stop() {
+	if process == nil {
 		return
 	}
-	for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGKILL} {
+	for _, signal := range []syscall.Signal{syscall.SIGTERM, syscall.SIGKILL} {
 		select {
-		case <-p.ended:
+		case <-process.ended:
 			return
 		default:
-			syscall.Kill(-p.cmd.Process.Pid, s)
+			syscall.Kill(-process.cmd.Process.Pid, signal)
 		}
 		select {
-		case <-p.ended:
-		case <-time.After(stopMost):
+		case <-process.ended:
+		case <-time.After(stopTimeout):
 		}
 	}
 }
 
-// ready waits until the program answers that it can serve.
-func (p *sidecar) ready(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyMost)
+// waitReady waits until the process reports that it is ready, or returns an error when it ends or the timeout is over.
+func (process *sidecar) waitReady(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	c := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
+	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
 	for {
-		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.addr+"/-/ready", nil)
+		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+process.addr+"/-/ready", nil)
 		if err != nil {
 			return err
 		}
-		if resp, err := c.Do(req); err == nil {
+		if resp, err := client.Do(req); err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
 				return nil
 			}
 		}
 		select {
-		case <-time.After(readyPoll):
-		case <-p.ended:
-			text, _ := os.ReadFile(p.log)
+		case <-time.After(readyPollInterval):
+		case <-process.ended:
+			text, _ := os.ReadFile(process.logFile)
 			return fmt.Errorf("a sidecar ended before it was ready: %s", strings.TrimSpace(string(text)))
 		case <-ctx.Done():
 			return fmt.Errorf("a sidecar is not ready: %w", ctx.Err())
@@ -130,32 +132,37 @@
 	}
 }
 
-// usage is what a sidecar's process and its probes have cost so far.
+// usage is the cost of a sidecar's process and its probes so far.
 type usage struct {
-	cpu               time.Duration
-	probes            uint64
-	probeIn, probeOut int64
+	cpu                         time.Duration
+	probes                      uint64
+	probeBytesIn, probeBytesOut int64
 }
 
-func (r *row) usage() (all []usage) {
+// usages returns the usage of all levels.
+func (r *row) usages() (all []usage) {
 	for _, l := range r.levels {
-		all = append(all, usage{l.side.cpu(), l.probes.Load(), l.probeIn.Load(), l.probeOut.Load()})
+		all = append(all, usage{l.sidecar.cpu(), l.probes.Load(), l.probeBytesIn.Load(), l.probeBytesOut.Load()})
 	}
 	return all
 }
 
-// figures are a level's between two readings.
-func (l *level) figures(a, b usage, took time.Duration) Level {
-	s := took.Seconds()
-	v := Level{Attempts: l.attempts.Load(), Rose: l.rose.Load(), Over: l.over.Load(), Open: l.open.Load(), Opened: l.opened.Load(),
-		Probes: float64(b.probes-a.probes) / s, ProbeIn: float64(b.probeIn-a.probeIn) / s, ProbeOut: float64(b.probeOut-a.probeOut) / s,
-		CPU: (b.cpu - a.cpu).Seconds() / s, RSS: l.side.rss()}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.leftSeen > 0 {
-		v.LeftMin, v.LeftMax, v.LeftMean = l.leftMin, l.leftMax, float64(l.leftSum)/float64(l.leftSeen)
+// figures returns the figures of a level, with rates between two readings of its usage.
+func (l *level) figures(before, after usage, took time.Duration) Level {
+	seconds := took.Seconds()
+	figures := Level{Attempts: l.attempts.Load(), Rose: l.notReduced.Load(), Over: l.beyondRoot.Load(),
+		Open: l.openConns.Load(), Opened: l.openedConns.Load(),
+		Probes:   float64(after.probes-before.probes) / seconds,
+		ProbeIn:  float64(after.probeBytesIn-before.probeBytesIn) / seconds,
+		ProbeOut: float64(after.probeBytesOut-before.probeBytesOut) / seconds,
+		CPU:      (after.cpu - before.cpu).Seconds() / seconds, RSS: l.sidecar.rss()}
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	if l.timeLeftCount > 0 {
+		figures.LeftMin, figures.LeftMax, figures.LeftMean = l.timeLeftMin, l.timeLeftMax,
+			float64(l.timeLeftSum)/float64(l.timeLeftCount)
 	}
-	return v
+	return figures
 }
 
 func (p *sidecar) cpu() time.Duration { return procfs.CPU(p.cmd.Process.Pid) }
--- a/internal/lab/chain/virtual.go
+++ b/internal/lab/chain/virtual.go
@@ -12,219 +12,234 @@
 	"birchmoor/internal/lab/told"
 )
 
-// Of a row in virtual time, in microseconds.
+// Figures of a row in virtual time; times are in microseconds.
 const (
-	origin   = 1_000_000_000_000_000  // the modules' clock at the start
-	wire     = 50                     // one way between any two
-	serves   = 100                    // the leaf's time for an answer
-	mostSent = 20_000_000             // attempts of a run
-	settle   = 20 * eventqueue.Second // before the first call, for the probes' pace
+	clockOrigin  = 1_000_000_000_000_000  // the modules' clock at the start of the run
+	oneWayMicros = 50                     // delay of the network, one way
+	leafMicros   = 100                    // service time of the leaf
+	maxSent      = 20_000_000             // bound on the attempts of a run
+	settleTime   = 20 * eventqueue.Second // time before the first call, in which the rate of probes settles
 )
 
-// virtual is a row in virtual time: the decision module of each sidecar, and every server has a sidecar of its own.
+// virtual is a run in virtual time, which hosts the decision module of each sidecar. Every server has a sidecar of its
+// own, while a level of a row with processes has one.
 type virtual struct {
-	o     Options
-	q     *eventqueue.Queue
-	x     *Result
-	nodes [][]*node // by level
-	ids   uint64
-	open  int // requests of all sidecars without a final answer
-	sent  int
-	leaf  []uint64
-	sum   []int64
-	fails randstream.Stream
+	options      Options
+	queue        *eventqueue.Queue
+	result       *Result
+	nodes        [][]*node // by level and server
+	lastID       uint64
+	openRequests int // requests at all sidecars without a final answer
+	sentAttempts int
+	leafAttempts []uint64
+	timeLeftSums []int64
+	failures     randstream.Stream
 }
 
-// node is a sidecar: its decision module's host.
+// node is a sidecar: it hosts a decision module and implements balancer.Actions.
 type node struct {
-	v     *virtual
-	level int
-	b     *balancer.Balancer
-	calls map[uint64]*vcall
+	virtual  *virtual
+	level    int
+	balancer *balancer.Balancer
+	calls    map[uint64]*virtualCall
 }
 
-// vcall is a request of a sidecar.
-type vcall struct {
-	root     int
-	deadline eventqueue.Micros
-	came     int64 // milliseconds of the time left that the caller was told of
-	attempts []*vattempt
-	answer   func(code int)
-	ended    bool
+// virtualCall is a request at a sidecar.
+type virtualCall struct {
+	rootCall   int
+	deadline   eventqueue.Micros
+	callerLeft int64 // time left of the request when it arrived, in milliseconds
+	attempts   []*virtualAttempt
+	answer     func(code int)
+	ended      bool
 }
 
-type vattempt struct {
-	done     bool
-	endpoint uint32
-	sent     eventqueue.Micros
-	timeUp   *eventqueue.Event
+// virtualAttempt is an attempt of a request.
+type virtualAttempt struct {
+	done         bool
+	endpoint     uint32
+	sent         eventqueue.Micros
+	timeoutEvent *eventqueue.Event
 }
 
-// Virtual plays a row in virtual time. Its times say nothing of the program; attempts and the time left are by the same decisions.
-func Virtual(ctx context.Context, o Options) (*Result, error) {
-	if err := o.Check(); err != nil {
+// Virtual runs a row in virtual time. Its latencies say nothing about the program, but attempts and the time left
+// result from the same decisions.
+func Virtual(ctx context.Context, options Options) (*Result, error) {
+	if err := options.Check(); err != nil {
 		return nil, err
 	}
-	s, err := o.scenario(o.Servers)
+	scen, err := options.scenario(options.Servers)
 	if err != nil {
 		return nil, err
 	}
-	v := &virtual{o: o, q: eventqueue.NewVirtual(), x: o.result(o.Servers), leaf: make([]uint64, o.Calls()), sum: make([]int64, o.Depth),
-		fails: randstream.Seed(o.Seed).Stream("leaf")}
-	v.x.By = "virtual time"
-	v.x.Levels = make([]Level, o.Depth)
-	for k := range o.Depth {
-		v.x.Levels[k].LeftMin = rootMs * 10
+	run := &virtual{options: options, queue: eventqueue.NewVirtual(), result: options.newResult(options.Servers),
+		leafAttempts: make([]uint64, options.Calls()), timeLeftSums: make([]int64, options.Depth),
+		failures: randstream.Seed(options.Seed).Stream("leaf")}
+	run.result.By = "virtual time"
+	run.result.Levels = make([]Level, options.Depth)
+	for number := range options.Depth {
+		run.result.Levels[number].LeftMin = rootTimeoutMillis * 10
 		var level []*node
-		for i := range o.Servers {
-			n := &node{v: v, level: k, calls: map[uint64]*vcall{}}
-			settings, err := told.Parsed(s, i)
+		for i := range options.Servers {
+			created := &node{virtual: run, level: number, calls: map[uint64]*virtualCall{}}
+			settings, err := told.Parsed(scen, i)
 			if err != nil {
 				return nil, err
 			}
-			if n.b, err = balancer.New(settings, randstream.Seed(o.Seed).Stream("node", uint64(k), uint64(i)).Uint64(), n); err != nil {
+			if created.balancer, err = balancer.New(settings, randstream.Seed(options.Seed).Stream("node", uint64(number),
+				uint64(i)).Uint64(), created); err != nil {
 				return nil, err
 			}
-			var list []balancer.Endpoint
-			for e := range o.Servers {
-				list = append(list, balancer.Endpoint{ID: uint32(e), Weight: 1})
+			var endpoints []balancer.Endpoint
+			for endpoint := range options.Servers {
+				endpoints = append(endpoints, balancer.Endpoint{ID: uint32(endpoint), Weight: 1})
 			}
-			n.b.Start(origin)
-			n.b.UpdateEndpoints(origin, balancer.ListCached, list)
-			n.b.UpdateEndpoints(origin, balancer.ListFull, list)
-			level = append(level, n)
+			created.balancer.Start(clockOrigin)
+			created.balancer.UpdateEndpoints(clockOrigin, balancer.ListCached, endpoints)
+			created.balancer.UpdateEndpoints(clockOrigin, balancer.ListFull, endpoints)
+			level = append(level, created)
 		}
-		v.nodes = append(v.nodes, level)
+		run.nodes = append(run.nodes, level)
 	}
 	answered := 0
-	for c := range v.leaf {
-		v.q.At(settle+int64(float64(c)/o.Rate*float64(eventqueue.Second)), func() {
-			v.nodes[0][c%o.Servers].request(c, rootMs, func(code int) {
+	for call := range run.leafAttempts {
+		run.queue.At(settleTime+int64(float64(call)/options.Rate*float64(eventqueue.Second)), func() {
+			run.nodes[0][call%options.Servers].accept(call, rootTimeoutMillis, func(code int) {
 				answered++
-				v.x.Answers[fmt.Sprint(code)]++
+				run.result.Answers[fmt.Sprint(code)]++
 			})
 		})
 	}
-	end := settle + int64(o.For.Seconds()*float64(eventqueue.Second)) + late.Microseconds()
-	err = v.q.Run(ctx, func() bool { return answered == len(v.leaf) && v.open == 0 || v.sent > mostSent || v.q.Now() > end })
-	if err == nil && v.sent > mostSent {
-		err = fmt.Errorf("over %d attempts: --depth %d, --attempts %d and %d calls are too many for a row in virtual time", mostSent, o.Depth, o.Attempts, o.Calls())
+	end := settleTime + int64(options.For.Seconds()*float64(eventqueue.Second)) + answerGrace.Microseconds()
+	err = run.queue.Run(ctx, func() bool {
+		return answered == len(run.leafAttempts) && run.openRequests == 0 || run.sentAttempts > maxSent ||
+			run.queue.Now() > end
+	})
+	if err == nil && run.sentAttempts > maxSent {
+		err = fmt.Errorf("over %d attempts: --depth %d, --attempts %d and %d calls are too many for a row in virtual time",
+			maxSent, options.Depth, options.Attempts, options.Calls())
 	}
 	if err != nil {
 		return nil, err
 	}
-	if n := len(v.leaf) - answered; n > 0 {
-		v.x.Answers["0"] = n
+	if unanswered := len(run.leafAttempts) - answered; unanswered > 0 {
+		run.result.Answers["0"] = unanswered
 	}
-	v.x.Took = float64(v.q.Now()-settle) / float64(eventqueue.Second)
-	v.x.leaves(slices.Values(v.leaf))
-	for k := range v.x.Levels {
-		l := &v.x.Levels[k]
-		l.Probes /= float64(v.q.Now()) / float64(eventqueue.Second) * float64(o.Servers)
-		if l.Attempts == 0 {
-			l.LeftMin = 0
+	run.result.Took = float64(run.queue.Now()-settleTime) / float64(eventqueue.Second)
+	run.result.setLeafAttempts(slices.Values(run.leafAttempts))
+	for number := range run.result.Levels {
+		figures := &run.result.Levels[number]
+		figures.Probes /= float64(run.queue.Now()) / float64(eventqueue.Second) * float64(options.Servers)
+		if figures.Attempts == 0 {
+			figures.LeftMin = 0
 			continue
 		}
-		l.LeftMean = float64(v.sum[k]) / float64(l.Attempts)
+		figures.LeftMean = float64(run.timeLeftSums[number]) / float64(figures.Attempts)
 	}
-	v.x.LastMs = v.x.Levels[o.Depth-1].LeftMin
-	return v.x, nil
+	run.result.LastMs = run.result.Levels[options.Depth-1].LeftMin
+	return run.result, nil
 }
 
-func (n *node) now() balancer.Micros { return origin + n.v.q.Now() }
+func (n *node) now() balancer.Micros { return clockOrigin + n.virtual.queue.Now() }
 
-// request takes a request that its client waits for so many milliseconds, as the HTTP front does.
-func (n *node) request(root int, left int64, answer func(code int)) {
-	v := n.v
-	v.ids++
-	v.open++
-	id, now, told := v.ids, v.q.Now(), min(left, rootMs)*1000
-	c := &vcall{root: root, came: left, deadline: now + told - httpfront.AnswerMargin(told), answer: answer}
-	n.calls[id] = c
-	n.b.Request(n.now(), balancer.Request{ID: id, Class: classIndex(v.o.Class), Deadline: origin + c.deadline})
+// accept takes a request with this time left, in milliseconds, and sets its deadline as the HTTP front does. It calls
+// answer with the status code.
+func (n *node) accept(rootCall int, timeLeft int64, answer func(code int)) {
+	run := n.virtual
+	run.lastID++
+	run.openRequests++
+	id, now, timeout := run.lastID, run.queue.Now(), min(timeLeft, rootTimeoutMillis)*1000
+	request := &virtualCall{rootCall: rootCall, callerLeft: timeLeft,
+		deadline: now + timeout - httpfront.AnswerMargin(timeout), answer: answer}
+	n.calls[id] = request
+	n.balancer.Request(n.now(), balancer.Request{ID: id, Class: classIndex(run.options.Class),
+		Deadline: clockOrigin + request.deadline})
 }
 
-func (n *node) end(id uint64, code int) {
-	c := n.calls[id]
-	if c == nil || c.ended {
+// answer sends a request's final answer.
+func (n *node) answer(id uint64, code int) {
+	request := n.calls[id]
+	if request == nil || request.ended {
 		return
 	}
-	c.ended = true
-	n.v.open--
-	n.v.q.After(wire, func() { c.answer(code) })
-	n.forget(id, c)
+	request.ended = true
+	n.virtual.openRequests--
+	n.virtual.queue.After(oneWayMicros, func() { request.answer(code) })
+	n.release(id, request)
 }
 
-func (n *node) forget(id uint64, c *vcall) {
-	for _, a := range c.attempts {
-		if !a.done {
+// release removes a request that has ended, once none of its attempts is open.
+func (n *node) release(id uint64, request *virtualCall) {
+	for _, attempt := range request.attempts {
+		if !attempt.done {
 			return
 		}
 	}
-	if c.ended {
+	if request.ended {
 		delete(n.calls, id)
 	}
 }
 
-// outcome tells the module how an attempt ended, once.
-func (n *node) outcome(id uint64, number int, status balancer.Status) {
-	c := n.calls[id]
-	if c == nil || c.attempts[number].done {
+// reportOutcome reports the end of an attempt to the module, once.
+func (n *node) reportOutcome(id uint64, number int, status balancer.Status) {
+	request := n.calls[id]
+	if request == nil || request.attempts[number].done {
 		return
 	}
-	a := c.attempts[number]
-	a.done = true
-	n.v.q.Cancel(a.timeUp)
-	settled := status == balancer.OK && !c.ended
-	if settled {
-		n.end(id, 200)
+	attempt := request.attempts[number]
+	attempt.done = true
+	n.virtual.queue.Cancel(attempt.timeoutEvent)
+	answered := status == balancer.OK && !request.ended
+	if answered {
+		n.answer(id, 200)
 	}
-	n.b.Outcome(n.now(), balancer.Outcome{ID: id, Attempt: number, Endpoint: a.endpoint, Status: status, Latency: n.v.q.Now() - a.sent, Answered: settled})
-	n.forget(id, c)
+	n.balancer.Outcome(n.now(), balancer.Outcome{ID: id, Attempt: number, Endpoint: attempt.endpoint, Status: status,
+		Latency: n.virtual.queue.Now() - attempt.sent, Answered: answered})
+	n.release(id, request)
 }
 
-// Send makes an attempt.
+// Send starts an attempt.
 func (n *node) Send(id uint64, endpoint uint32, timeout balancer.Micros) {
-	c, v := n.calls[id], n.v
-	now := v.q.Now()
-	number, a := len(c.attempts), &vattempt{endpoint: endpoint, sent: now}
-	c.attempts = append(c.attempts, a)
-	deadline := c.deadline
+	request, run := n.calls[id], n.virtual
+	now := run.queue.Now()
+	number, attempt := len(request.attempts), &virtualAttempt{endpoint: endpoint, sent: now}
+	request.attempts = append(request.attempts, attempt)
+	deadline := request.deadline
 	if timeout > 0 {
 		deadline = min(deadline, now+timeout)
 	}
 	if now >= deadline {
-		v.q.After(0, func() { n.outcome(id, number, balancer.NotSent) })
+		run.queue.After(0, func() { n.reportOutcome(id, number, balancer.NotSent) })
 		return
 	}
-	a.timeUp = v.q.At(deadline, func() { n.outcome(id, number, balancer.Timeout) })
-	v.sent++
-	left := (deadline - now + 999) / 1000
-	v.q.After(wire, func() {
-		if a.done {
-			return // its connection was closed
+	attempt.timeoutEvent = run.queue.At(deadline, func() { n.reportOutcome(id, number, balancer.Timeout) })
+	run.sentAttempts++
+	timeLeft := (deadline - now + 999) / 1000
+	run.queue.After(oneWayMicros, func() {
+		if attempt.done {
+			return // its connection has been closed
 		}
-		v.serve(n.level, endpoint, c, left, func(status balancer.Status) {
-			v.q.After(wire, func() { n.outcome(id, number, status) })
+		run.serve(n.level, endpoint, request, timeLeft, func(status balancer.Status) {
+			run.queue.After(oneWayMicros, func() { n.reportOutcome(id, number, status) })
 		})
 	})
 }
 
-// serve is the application behind a sidecar.
-func (v *virtual) serve(level int, server uint32, c *vcall, left int64, answer func(balancer.Status)) {
-	l := &v.x.Levels[level]
-	l.Attempts++
-	v.sum[level] += left
-	l.LeftMin, l.LeftMax = min(l.LeftMin, left), max(l.LeftMax, left)
-	if left >= c.came {
-		l.Rose++
+// serve is the application of a level: it calls the next level, or answers or fails as the leaf.
+func (run *virtual) serve(level int, server uint32, caller *virtualCall, timeLeft int64, answer func(balancer.Status)) {
+	figures := &run.result.Levels[level]
+	figures.Attempts++
+	run.timeLeftSums[level] += timeLeft
+	figures.LeftMin, figures.LeftMax = min(figures.LeftMin, timeLeft), max(figures.LeftMax, timeLeft)
+	if timeLeft >= caller.callerLeft {
+		figures.Rose++
 	}
-	if level < v.o.Depth-1 {
-		v.nodes[level+1][server].request(c.root, left, func(code int) {
+	if level < run.options.Depth-1 {
+		run.nodes[level+1][server].accept(caller.rootCall, timeLeft, func(code int) {
 			switch {
 			case code == 200:
 				answer(balancer.OK)
-			case code == 503 && v.o.Class != "look":
+			case code == 503 && run.options.Class != "look":
 				answer(balancer.Rejected)
 			default:
 				answer(balancer.Error)
@@ -232,10 +247,10 @@
 		})
 		return
 	}
-	v.leaf[c.root]++
+	run.leafAttempts[caller.rootCall]++
 	status := balancer.OK
-	if v.o.Fail != "" && v.fails.Float64() < v.o.Share {
-		switch v.o.Fail {
+	if run.options.Fail != "" && run.failures.Float64() < run.options.Share {
+		switch run.options.Fail {
 		case Errors:
 			status = balancer.Error
 		case Refuses:
@@ -244,35 +259,35 @@
 			return
 		}
 	}
-	v.q.After(serves, func() { answer(status) })
+	run.queue.After(leafMicros, func() { answer(status) })
 }
 
-// Reject is of balancer.Actions.
-func (n *node) Reject(id uint64, _ balancer.Micros) { n.end(id, 503) }
+// Reject answers a request with 503.
+func (n *node) Reject(id uint64, _ balancer.Micros) { n.answer(id, 503) }
 
-// Fail is of balancer.Actions.
-func (n *node) Fail(id uint64) { n.end(id, 502) }
+// Fail answers a request with 502.
+func (n *node) Fail(id uint64) { n.answer(id, 502) }
 
-// Cancel closes an attempt's connection.
+// Cancel ends an attempt by closing its connection.
 func (n *node) Cancel(id uint64, number int) {
-	n.v.q.After(0, func() { n.outcome(id, number, balancer.Cancelled) })
+	n.virtual.queue.After(0, func() { n.reportOutcome(id, number, balancer.Cancelled) })
 }
 
-// Timer is of balancer.Actions.
+// Timer calls the module's Timer with the token after a delay.
 func (n *node) Timer(delay balancer.Micros, token uint32) {
-	n.v.q.After(delay, func() { n.b.Timer(n.now(), token) })
+	n.virtual.queue.After(delay, func() { n.balancer.Timer(n.now(), token) })
 }
 
-// Probe is answered by a server that has nothing to do.
+// Probe answers with the load report of an idle server.
 func (n *node) Probe(endpoint uint32) {
-	n.v.x.Levels[n.level].Probes++ // their number, made a sidecar's rate at the end
-	n.v.q.After(2*wire, func() {
-		n.b.ProbeCompleted(n.now(), endpoint, balancer.OK, 2*wire, []float32{0, 0.1, 100})
+	n.virtual.result.Levels[n.level].Probes++ // a number, which Virtual divides at the end
+	n.virtual.queue.After(2*oneWayMicros, func() {
+		n.balancer.ProbeCompleted(n.now(), endpoint, balancer.OK, 2*oneWayMicros, []float32{0, 0.1, 100})
 	})
 }
 
-// Watch is of balancer.Actions: the list does not change.
+// Watch does nothing, because the endpoint list does not change.
 func (n *node) Watch(bool) {}
 
-// Log is of balancer.Actions.
+// Log discards the module's log.
 func (n *node) Log(string) {}
--- a/internal/lab/chain/virtual_test.go
+++ b/internal/lab/chain/virtual_test.go
@@ -7,68 +7,73 @@
 	"time"
 )
 
-func rowed(t *testing.T, o Options) *Result {
+// runVirtual runs a row of ten sidecars per level in virtual time, and fails the test if a bound is violated.
+func runVirtual(t *testing.T, options Options) *Result {
 	t.Helper()
-	o.Servers, o.Share, o.Seed = 10, 1, 1
-	x, err := Virtual(t.Context(), o)
+	options.Servers, options.Share, options.Seed = 10, 1, 1
+	result, err := Virtual(t.Context(), options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, f := range faults(x) {
-		t.Error(f)
+	for _, violation := range violations(result) {
+		t.Error(violation)
 	}
-	return x
+	return result
 }
 
-// One call whose leaf fails becomes as many attempts there as the formula says, as long as no budget binds; where the class may not be
-// repeated, one.
-func TestAttemptsAtTheLeaf(t *testing.T) {
+// One call whose leaf fails becomes as many attempts there as Worst says, as long as no retry budget limits it; if
+// sidecars may not retry, one.
+func TestLeafAttemptsMatchFormula(t *testing.T) {
 	for _, class := range classNames {
 		for _, how := range []How{Errors, Refuses} {
 			for _, depth := range []int{1, 2, 3} {
 				for attempts := 1; attempts <= 3; attempts++ {
 					t.Run(fmt.Sprint(class, how, depth, attempts), func(t *testing.T) {
-						x := rowed(t, Options{Depth: depth, Rate: 1, For: time.Second, Attempts: attempts, Class: class, Fail: how})
-						if float64(x.LeafMost) != x.Worst || x.Worst != x.Budgeted {
-							t.Errorf("%d attempts, %v by the rules, %v by the budgets", x.LeafMost, x.Worst, x.Budgeted)
+						result := runVirtual(t, Options{Depth: depth, Rate: 1, For: time.Second, Attempts: attempts, Class: class,
+							Fail: how})
+						if float64(result.LeafMost) != result.Worst || result.Worst != result.Budgeted {
+							t.Errorf("%d attempts, want %v by Worst and %v by Budgeted", result.LeafMost, result.Worst, result.Budgeted)
 						}
 					})
 				}
 			}
 		}
 	}
-	// From here on the budgets bind, and may leave some of it to the calls that come.
-	x := rowed(t, Options{Depth: 7, Rate: 1, For: time.Second, Attempts: 3, Class: "look", Fail: Errors})
-	if n := float64(x.LeafMost); n > x.Budgeted || n < 300 || x.Worst != 2187 {
-		t.Errorf("7 levels: %v attempts, %v by the budgets", n, x.Budgeted)
+	// With more levels the budgets limit the attempts, and part of a budget may be left over.
+	result := runVirtual(t, Options{Depth: 7, Rate: 1, For: time.Second, Attempts: 3, Class: "look", Fail: Errors})
+	if leafMost := float64(result.LeafMost); leafMost > result.Budgeted || leafMost < 300 || result.Worst != 2187 {
+		t.Errorf("7 levels: %v attempts, want 300 to %v by the budgets", leafMost, result.Budgeted)
 	}
 }
 
-// The same seed plays the same row.
+// Two runs with the same seed give the same result.
 func TestVirtualIsRepeatable(t *testing.T) {
-	o := Options{Depth: 4, Rate: 50, For: time.Second, Attempts: 3, Class: "book", Fail: Errors}
-	if a, b := rowed(t, o), rowed(t, o); !reflect.DeepEqual(a, b) {
-		t.Errorf("%+v, then %+v", a, b)
+	options := Options{Depth: 4, Rate: 50, For: time.Second, Attempts: 3, Class: "book", Fail: Errors}
+	if a, b := runVirtual(t, options), runVirtual(t, options); !reflect.DeepEqual(a, b) {
+		t.Errorf("the first run gives %+v, the second %+v", a, b)
 	}
 }
 
-// Where nothing fails and nothing is repeated, each level hands on what it was told less a front's margin.
-func TestTimeLeft(t *testing.T) {
-	x := rowed(t, Options{Depth: 14, Rate: 1, For: 3 * time.Second, Attempts: 1, Class: "look"})
-	if x.Answers["200"] != 3 {
-		t.Errorf("answers: %v, want three of 200", x.Answers)
+// Without failures and retries, each level passes on its time left less the margin of the HTTP front.
+func TestTimeLeftFallsByMarginPerLevel(t *testing.T) {
+	result := runVirtual(t, Options{Depth: 14, Rate: 1, For: 3 * time.Second, Attempts: 1, Class: "look"})
+	if result.Answers["200"] != 3 {
+		t.Errorf("answers: %v, want 3 of 200", result.Answers)
 	}
-	for k, l := range x.Levels {
-		if want := int64(rootMs - 5*(k+1)); l.LeftMax != want || l.LeftMin != want || l.Attempts != 3 {
-			t.Errorf("level %d: %d attempts were told of %d to %d ms, want 3 of %d", k+1, l.Attempts, l.LeftMin, l.LeftMax, want)
+	for number, figures := range result.Levels {
+		if want := int64(rootTimeoutMillis - 5*(number+1)); figures.LeftMax != want || figures.LeftMin != want ||
+			figures.Attempts != 3 {
+			t.Errorf("level %d: %d attempts with %d to %d ms left, want 3 with %d ms", number+1, figures.Attempts,
+				figures.LeftMin,
+				figures.LeftMax, want)
 		}
 	}
 }
 
-// A row of safe calls is served to its end, though each sidecar tells the next of no more than it waits for an attempt.
+// A row serves all idempotent calls, though each sidecar passes on no more time than its own timeout of an attempt.
 func TestRowsOfSafeCallsAreServed(t *testing.T) {
-	x := rowed(t, Options{Depth: 14, Rate: 2250, For: time.Second, Attempts: 3, Class: "look"})
-	if x.Answers["200"] != 2250 {
-		t.Errorf("answers: %v, want 2250 of 200", x.Answers)
+	result := runVirtual(t, Options{Depth: 14, Rate: 2250, For: time.Second, Attempts: 3, Class: "look"})
+	if result.Answers["200"] != 2250 {
+		t.Errorf("answers: %v, want 2250 of 200", result.Answers)
 	}
 }
