--- a/internal/lab/rig/process.go
+++ b/internal/lab/rig/process.go
@@ -96,7 +96,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if h.now == nil && h.old == nil && h.r.s.Fleet.Recall != "kept" {
+	if h.now == nil && h.old == nil && h.r.s.Fleet.StateTransfer != "kept" {
 		// The platform gives a process that starts alone an empty folder.
 		if err := os.RemoveAll(h.tmp()); err != nil {
 			return nil, err
--- a/internal/lab/scenario/read.go
+++ b/internal/lab/scenario/read.go
@@ -55,8 +55,8 @@
 func defaults() *Scenario {
 	return &Scenario{
 		Length: Dur(20 * time.Second),
-		Fleet: Fleet{Sidecars: 2, Zones: []string{"petrzalka", "trnava"}, Told: 1, MemoryMB: 192, Sockets: 1024,
-			Recall: "handover"},
+		Fleet: Fleet{Sidecars: 2, Zones: []string{"petrzalka", "trnava"}, BelievedSizeFactor: 1, MemoryMB: 192, Sockets: 1024,
+			StateTransfer: "handover"},
 		Load:      Load{Rate: 100, Shape: "steady", Hints: "rough", Bodies: 64, Answer: 200},
 		Clients:   Clients{Retries: 2, Backoff: millis(60), Honour: 0.75, TryShare: 0.7, Conns: 256},
 		Net:       Net{Same: millis(0.1), Cross: millis(2), Jitter: 0.2},
@@ -252,11 +252,11 @@
 		"%d is not within 1 and %d", fleet.Sidecars, maxSidecars)
 	require(len(fleet.Zones) >= 1 && len(fleet.Zones) <= 250, "fleet.zones", "names no zone, or more than 250")
 	require(fleet.Skew >= 0, "fleet.skew", "%v is negative", fleet.Skew)
-	require(fleet.Told > 0 && fleet.Told <= 1000, "fleet.told", "%v is not above 0 and at most 1000", fleet.Told)
+	require(fleet.BelievedSizeFactor > 0 && fleet.BelievedSizeFactor <= 1000, "fleet.told", "%v is not above 0 and at most 1000", fleet.BelievedSizeFactor)
 	require(fleet.MemoryMB >= 16, "fleet.memory_mb", "%d is under 16", fleet.MemoryMB)
 	require(fleet.Sockets >= 64, "fleet.sockets", "%d is under 64", fleet.Sockets)
-	oneOf("fleet.recall", fleet.Recall, "none", "handover", "kept")
-	require(fleet.Recall != "none" || !slices.Contains(s.Hosts, "run"), "fleet.recall",
+	oneOf("fleet.recall", fleet.StateTransfer, "none", "handover", "kept")
+	require(fleet.StateTransfer != "none" || !slices.Contains(s.Hosts, "run"), "fleet.recall",
 		"none requires hosts = [\"sim\"], because the program always hands over its state")
 	require(len(s.Servers) > 0, "servers", "no [[servers]] is given")
 	total := 0
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -41,11 +41,11 @@
 	Skew     float64  `toml:"skew"`  // coefficient of variation of the sidecars' shares of the load; 0 for equal shares
 	MemoryMB int      `toml:"memory_mb"`
 	Sockets  int      `toml:"sockets"`
-	// Told is the fleet size that each sidecar is configured with, as a multiple of the real number of sidecars.
-	Told float64 `toml:"told"`
-	// Recall says which state a new process gets from the old one: "none", "handover" (at an upgrade), or "kept" (also
+	// BelievedSizeFactor is the fleet size that each sidecar is configured with, as a multiple of the real number of sidecars.
+	BelievedSizeFactor float64 `toml:"told"`
+	// StateTransfer says which state a new process gets from the old one: "none", "handover" (at an upgrade), or "kept" (also
 	// after a kill).
-	Recall string `toml:"recall"`
+	StateTransfer string `toml:"recall"`
 }
 
 // Servers describes one kind of slot server. A range is one value for all servers, or a low and a high one between
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -105,7 +105,7 @@
 		n.Watch(true)
 	}
 	n.host.queue.After(Micros(n.stream.Float64()*float64(eventqueue.Second)), func() { n.whenRunnable(n.closeExpired) })
-	if n.host.scenario.Fleet.Recall == "kept" {
+	if n.host.scenario.Fleet.StateTransfer == "kept" {
 		n.host.queue.After(snapshotInterval, func() { n.whenRunnable(n.saveSnapshots) })
 	}
 }
@@ -198,7 +198,7 @@
 	if next != nil {
 		n.module.SetCapacityShare(n.now(), 0.5)
 		next.module.SetCapacityShare(n.now(), 0.5)
-		if n.host.scenario.Fleet.Recall != "none" {
+		if n.host.scenario.Fleet.StateTransfer != "none" {
 			n.host.queue.After(eventqueue.Second/10, func() { n.shareEjections(next) })
 		}
 	} else {
--- a/internal/lab/sim/ramp_test.go
+++ b/internal/lab/sim/ramp_test.go
@@ -29,7 +29,7 @@
 
 // addRepeatedKills kills a share of the sidecars repeatedly while servers are cold. Their next processes get no state.
 func addRepeatedKills(s *scenario.Scenario, share float64) {
-	s.Fleet.Recall = "none"
+	s.Fleet.StateTransfer = "none"
 	s.Faults = append(s.Faults, scenario.Fault{
 		Kind: "kill", At: seconds(5.5), For: seconds(0.2), Share: share, Repeat: 12, Factor: 1})
 }
@@ -51,18 +51,18 @@
 }{
 	{"as it is", []int{1}, func(s *scenario.Scenario) {}},
 	{"very unequal", nil, func(s *scenario.Scenario) { s.Fleet.Skew = 2.5 }},
-	{"told of one", nil, func(s *scenario.Scenario) { s.Fleet.Told = 1e-3 }},
-	{"told of a fourth", nil, func(s *scenario.Scenario) { s.Fleet.Told = 0.25 }},
-	{"told of four times", nil, func(s *scenario.Scenario) { s.Fleet.Told = 4 }},
+	{"told of one", nil, func(s *scenario.Scenario) { s.Fleet.BelievedSizeFactor = 1e-3 }},
+	{"told of a fourth", nil, func(s *scenario.Scenario) { s.Fleet.BelievedSizeFactor = 0.25 }},
+	{"told of four times", nil, func(s *scenario.Scenario) { s.Fleet.BelievedSizeFactor = 4 }},
 	{"told within 6 s", nil, func(s *scenario.Scenario) { s.Discovery.Spread = seconds(6) }},
 	{"half killed", nil, func(s *scenario.Scenario) { addRepeatedKills(s, 0.5) }},
 	{"all killed", nil, func(s *scenario.Scenario) { addRepeatedKills(s, 1) }},
 	{"retries", []int{30}, addFailuresAndRetries},
 	{"three times the load", []int{20}, func(s *scenario.Scenario) { s.Load.Rate *= 3 }},
-	{"three times, told of one", nil, func(s *scenario.Scenario) { s.Load.Rate *= 3; s.Fleet.Told = 1e-3 }},
+	{"three times, told of one", nil, func(s *scenario.Scenario) { s.Load.Rate *= 3; s.Fleet.BelievedSizeFactor = 1e-3 }},
 	{"all servers cold", nil, func(s *scenario.Scenario) { s.Faults[0].Share = 1 }},
 	{"all of these", []int{30}, func(s *scenario.Scenario) {
-		s.Fleet.Skew, s.Fleet.Told, s.Discovery.Spread = 2.5, 0.25, seconds(3)
+		s.Fleet.Skew, s.Fleet.BelievedSizeFactor, s.Discovery.Spread = 2.5, 0.25, seconds(3)
 		s.Load.Rate *= 2
 		addRepeatedKills(s, 0.5)
 		addFailuresAndRetries(s)
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -314,7 +314,7 @@
 		h.nodes[sidecar] = successor
 		process.retire(successor)
 		successor.start()
-		if h.scenario.Fleet.Recall != "none" {
+		if h.scenario.Fleet.StateTransfer != "none" {
 			successor.restore(process.module.Snapshot(process.now(), false))
 		}
 	case fault.Kind == "freeze" && on && process != nil:
--- a/internal/lab/told/told.go
+++ b/internal/lab/told/told.go
@@ -42,7 +42,7 @@
 	}
 	rules, limits := &s.Rules, &s.Limits
 	base := map[string]any{
-		"peers-total": max(1, int(math.Round(s.Fleet.Told*float64(s.Fleet.Sidecars)))), "position": sidecar,
+		"peers-total": max(1, int(math.Round(s.Fleet.BelievedSizeFactor*float64(s.Fleet.Sidecars)))), "position": sidecar,
 		"zone": sidecar % len(s.Fleet.Zones), "areas": s.Fleet.Zones, "skus": kinds, "discovery": mode, "tick": 0,
 		"classes": classes, "callers": map[string]any{"marks-retry": s.Clients.Marks},
 		"value-by": "work",
