--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -277,7 +277,7 @@
 func (w *World) sendRequest(task *Task, number int) {
 	now := w.Q.Now()
 	class := &w.S.Classes[task.Class]
-	timeout := Micros(w.S.Clients.TryShare * float64(class.GiveUp.Micros()))
+	timeout := Micros(w.S.Clients.RequestTimeoutShare * float64(class.GiveUp.Micros()))
 	if now >= task.GiveUp-timeout/2 {
 		w.openTasks--
 		return
@@ -342,7 +342,7 @@
 		return
 	}
 	delay := Micros(task.stream.Exponential(float64(clients.Backoff.Micros())) * math.Pow(2, float64(request.Number)))
-	if honoursRetryAfter := task.stream.Bernoulli(clients.Honour); honoursRetryAfter && retryAfter > 0 {
+	if honoursRetryAfter := task.stream.Bernoulli(clients.RetryAfterShare); honoursRetryAfter && retryAfter > 0 {
 		delay = retryAfter
 	}
 	w.Q.After(delay, func() { w.sendRequest(task, request.Number+1) })
--- a/internal/lab/rig/client.go
+++ b/internal/lab/rig/client.go
@@ -108,7 +108,7 @@
 	if t.Hint > 0 {
 		fmt.Fprintf(&b, "X-Size-Hint: %d\r\n", t.Hint)
 	}
-	if y.Number > 0 && k.r.s.Clients.Marks {
+	if y.Number > 0 && k.r.s.Clients.MarksRetries {
 		b.WriteString("X-Second-Try: 1\r\n")
 	}
 	if c.Unsafe {
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -190,7 +190,7 @@
 			return err
 		}
 		r.homes = append(r.homes, h)
-		r.clients = append(r.clients, &callers{r: r, sidecar: n, addr: h.addr, most: make(chan struct{}, r.s.Clients.Conns)})
+		r.clients = append(r.clients, &callers{r: r, sidecar: n, addr: h.addr, most: make(chan struct{}, r.s.Clients.MaxConns)})
 		if h.now, err = h.start(); err != nil {
 			return err
 		}
--- a/internal/lab/scenario/read.go
+++ b/internal/lab/scenario/read.go
@@ -58,7 +58,7 @@
 		Fleet: Fleet{Sidecars: 2, Zones: []string{"petrzalka", "trnava"}, BelievedSizeFactor: 1, MemoryMB: 192, Sockets: 1024,
 			StateTransfer: "handover"},
 		Load:      Load{Rate: 100, Shape: "steady", Hints: "rough", Bodies: 64, Answer: 200},
-		Clients:   Clients{Retries: 2, Backoff: millis(60), Honour: 0.75, TryShare: 0.7, Conns: 256},
+		Clients:   Clients{Retries: 2, Backoff: millis(60), RetryAfterShare: 0.75, RequestTimeoutShare: 0.7, MaxConns: 256},
 		Net:       Net{Same: millis(0.1), Cross: millis(2), Jitter: 0.2},
 		Discovery: Discovery{Notice: millis(1500), Add: millis(1000), Capacity: 4, Call: millis(20), Mode: "watch"},
 		Rules: Rules{DrainGrace: millis(500), FallMultiple: 3, OverloadFor: millis(3000), ColdFrom: 0.13,
@@ -324,10 +324,10 @@
 	require(clients.Retries >= 0 && clients.Retries <= 100, "clients.retries",
 		"%d is not within 0 and 100", clients.Retries)
 	nonNegative("clients.backoff", clients.Backoff)
-	fraction("clients.honour", clients.Honour)
-	require(clients.TryShare > 0 && clients.TryShare <= 1, "clients.try_share",
-		"%v is not within 0 and 1", clients.TryShare)
-	require(clients.Conns >= 1, "clients.conns", "%d is not above 0", clients.Conns)
+	fraction("clients.honour", clients.RetryAfterShare)
+	require(clients.RequestTimeoutShare > 0 && clients.RequestTimeoutShare <= 1, "clients.try_share",
+		"%v is not within 0 and 1", clients.RequestTimeoutShare)
+	require(clients.MaxConns >= 1, "clients.conns", "%d is not above 0", clients.MaxConns)
 	nonNegative("net.same", s.Net.Same)
 	nonNegative("net.cross", s.Net.Cross)
 	fraction("net.jitter", s.Net.Jitter)
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -113,12 +113,12 @@
 
 // Clients describes the behaviour of the clients.
 type Clients struct {
-	Retries  int     `toml:"retries"`     // maximum number of retries per task
-	Backoff  Dur     `toml:"backoff"`     // mean delay of the first retry, doubled for each further one; 0 for none
-	Honour   float64 `toml:"honour"`      // share of retries that use the answer's Retry-After in place of the backoff
-	TryShare float64 `toml:"try_share"`   // timeout of one request, as a share of the class's give_up
-	Marks    bool    `toml:"marks_retry"` // clients mark their retries as such
-	Conns    int     `toml:"conns"`       // maximum number of connections between a sidecar and its clients
+	Retries             int     `toml:"retries"`     // maximum number of retries per task
+	Backoff             Dur     `toml:"backoff"`     // mean delay of the first retry, doubled for each further one; 0 for none
+	RetryAfterShare     float64 `toml:"honour"`      // share of retries that use the answer's Retry-After in place of the backoff
+	RequestTimeoutShare float64 `toml:"try_share"`   // timeout of one request, as a share of the class's give_up
+	MarksRetries        bool    `toml:"marks_retry"` // clients mark their retries as such
+	MaxConns            int     `toml:"conns"`       // maximum number of connections between a sidecar and its clients
 }
 
 // Net describes the network between sidecars, servers and discovery. Its delays are one way.
--- a/internal/lab/told/told.go
+++ b/internal/lab/told/told.go
@@ -44,7 +44,7 @@
 	base := map[string]any{
 		"peers-total": max(1, int(math.Round(s.Fleet.BelievedSizeFactor*float64(s.Fleet.Sidecars)))), "position": sidecar,
 		"zone": sidecar % len(s.Fleet.Zones), "areas": s.Fleet.Zones, "skus": kinds, "discovery": mode, "tick": 0,
-		"classes": classes, "callers": map[string]any{"marks-retry": s.Clients.Marks},
+		"classes": classes, "callers": map[string]any{"marks-retry": s.Clients.MarksRetries},
 		"value-by": "work",
 		"contract": map[string]any{"drain-grace": rules.DrainGrace.Micros(), "cold-from": rules.ColdFrom,
 			"ramp-time": rules.RampTime.Micros(), "fall-multiple": rules.FallMultiple,
