--- a/internal/lab/checker/checker.go
+++ b/internal/lab/checker/checker.go
@@ -34,7 +34,7 @@
 		OverloadWindow:   s.Rules.OverloadFor.Micros(),
 	}
 	for i := range s.Classes {
-		settings.NonIdempotent = append(settings.NonIdempotent, s.Classes[i].Unsafe)
+		settings.NonIdempotent = append(settings.NonIdempotent, s.Classes[i].NotIdempotent)
 	}
 	return settings
 }
--- a/internal/lab/figures/figures.go
+++ b/internal/lab/figures/figures.go
@@ -294,9 +294,9 @@
 	bump(&r.series.Classes[e.Class].Offered, at)
 	c := &r.s.Classes[e.Class]
 	if !e.Retry {
-		worth := c.Worth * float64(e.Work)
+		worth := c.PriorityWeight * float64(e.Work)
 		r.tasksN++
-		r.tasks[e.Task] = &task{class: e.Class, at: e.At, worth: worth, due: e.At + c.Aim.Micros()}
+		r.tasks[e.Task] = &task{class: e.Class, at: e.At, worth: worth, due: e.At + c.LatencyObjective.Micros()}
 		*grow(&r.asked, at) += worth
 		grow(&r.earned, at)
 		r.byClass[e.Class].tasks++
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -265,7 +265,7 @@
 	case "rough":
 		task.Hint = max(1, Micros(work*stream.Lognormal(1, 0.5)))
 	}
-	task.GiveUp = task.At + class.GiveUp.Micros()
+	task.GiveUp = task.At + class.Timeout.Micros()
 	return task
 }
 
@@ -277,7 +277,7 @@
 func (w *World) sendRequest(task *Task, number int) {
 	now := w.Q.Now()
 	class := &w.S.Classes[task.Class]
-	timeout := Micros(w.S.Clients.RequestTimeoutShare * float64(class.GiveUp.Micros()))
+	timeout := Micros(w.S.Clients.RequestTimeoutShare * float64(class.Timeout.Micros()))
 	if now >= task.GiveUp-timeout/2 {
 		w.openTasks--
 		return
@@ -335,7 +335,7 @@
 // retry after the last one, nor after a failure in a class that must not execute twice.
 func (w *World) retryOrEnd(request *Try, verdict trace.Verdict, retryAfter Micros) {
 	task, clients := request.Task, &w.S.Clients
-	unsafe := w.S.Classes[task.Class].Unsafe
+	unsafe := w.S.Classes[task.Class].NotIdempotent
 	if verdict == trace.Served || verdict == trace.Foreign || request.Number >= clients.Retries ||
 		verdict == trace.Failed && unsafe {
 		w.openTasks--
--- a/internal/lab/rig/client.go
+++ b/internal/lab/rig/client.go
@@ -100,7 +100,7 @@
 	c := &k.r.s.Classes[t.Class]
 	var b strings.Builder
 	method := "GET"
-	if c.Unsafe {
+	if c.NotIdempotent {
 		method = "POST"
 	}
 	fmt.Fprintf(&b, "%s /%s/%s HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Expires-In-Ms: %d\r\n",
@@ -111,7 +111,7 @@
 	if y.Number > 0 && k.r.s.Clients.MarksRetries {
 		b.WriteString("X-Second-Try: 1\r\n")
 	}
-	if c.Unsafe {
+	if c.NotIdempotent {
 		fmt.Fprintf(&b, "Content-Length: %d\r\n\r\n%s", k.r.s.Load.Bodies, strings.Repeat("b", k.r.s.Load.Bodies))
 	} else {
 		b.WriteString("\r\n")
--- a/internal/lab/rig/process.go
+++ b/internal/lab/rig/process.go
@@ -268,7 +268,7 @@
 	p.signal(syscall.SIGTERM)
 	longest := 3 * time.Second
 	for i := range h.r.s.Classes {
-		longest = max(longest, time.Duration(h.r.s.Classes[i].GiveUp))
+		longest = max(longest, time.Duration(h.r.s.Classes[i].Timeout))
 	}
 	select {
 	case <-p.ended:
--- a/internal/lab/scenario/read.go
+++ b/internal/lab/scenario/read.go
@@ -95,9 +95,9 @@
 		setDefault(&class.Share, 1)
 		setDefault(&class.Work, millis(50))
 		setDefault(&class.Dist, "lognormal")
-		setDefault(&class.Aim, millis(400))
-		setDefault(&class.GiveUp, millis(1200))
-		setDefault(&class.Worth, 1)
+		setDefault(&class.LatencyObjective, millis(400))
+		setDefault(&class.Timeout, millis(1200))
+		setDefault(&class.PriorityWeight, 1)
 	}
 	for i := range s.Faults {
 		setDefault(&s.Faults[i].Factor, 1)
@@ -304,12 +304,12 @@
 		require(!names[class.Name], key("name"), "%q is used twice", class.Name)
 		names[class.Name] = true
 		require(class.Share >= 0, key("share"), "%v is negative", class.Share)
-		require(class.Worth >= 0, key("worth"), "%v is negative", class.Worth)
+		require(class.PriorityWeight >= 0, key("worth"), "%v is negative", class.PriorityWeight)
 		require(class.CV >= 0 && class.CV <= 10, key("cv"), "%v is not within 0 and 10", class.CV)
 		positive(key("work"), class.Work)
-		positive(key("aim"), class.Aim)
-		positive(key("give_up"), class.GiveUp)
-		require(class.Aim <= class.GiveUp, key("aim"), "is over give_up")
+		positive(key("aim"), class.LatencyObjective)
+		positive(key("give_up"), class.Timeout)
+		require(class.LatencyObjective <= class.Timeout, key("aim"), "is over give_up")
 		oneOf(key("dist"), class.Dist, "fixed", "exp", "lognormal", "pareto")
 	}
 	load := &s.Load
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -90,15 +90,15 @@
 
 // Class is a class of requests.
 type Class struct {
-	Name   string  `toml:"name"`
-	Share  float64 `toml:"share"`   // weight of the class among all requests
-	Work   Dur     `toml:"work"`    // mean service time on a core of speed 1
-	Dist   string  `toml:"dist"`    // distribution of the work: "fixed", "exp", "lognormal", "pareto"
-	CV     float64 `toml:"cv"`      // coefficient of variation of a lognormal distribution
-	Aim    Dur     `toml:"aim"`     // latency objective
-	GiveUp Dur     `toml:"give_up"` // timeout of a task, with all its client's retries
-	Worth  float64 `toml:"worth"`   // priority weight
-	Unsafe bool    `toml:"unsafe"`  // not idempotent: must not run twice
+	Name             string  `toml:"name"`
+	Share            float64 `toml:"share"`   // weight of the class among all requests
+	Work             Dur     `toml:"work"`    // mean service time on a core of speed 1
+	Dist             string  `toml:"dist"`    // distribution of the work: "fixed", "exp", "lognormal", "pareto"
+	CV               float64 `toml:"cv"`      // coefficient of variation of a lognormal distribution
+	LatencyObjective Dur     `toml:"aim"`     // latency objective
+	Timeout          Dur     `toml:"give_up"` // timeout of a task, with all its client's retries
+	PriorityWeight   float64 `toml:"worth"`   // priority weight
+	NotIdempotent    bool    `toml:"unsafe"`  // not idempotent: must not run twice
 }
 
 // Load describes the arrivals of tasks, over all sidecars, without clients' retries.
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Total() != 2 || s.Classes[0].Aim != Dur(400*time.Millisecond) || !s.On("run") || !s.On("sim") ||
+	if s.Total() != 2 || s.Classes[0].LatencyObjective != Dur(400*time.Millisecond) || !s.On("run") || !s.On("sim") ||
 		s.Fleet.Sidecars != 2 {
 		t.Errorf("defaults: %+v", s)
 	}
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -253,7 +253,7 @@
 	task := request.Task
 	n.module.Request(n.now(), balancer.Request{ID: accepted.id, Deadline: clockOrigin + accepted.deadline,
 		Hint: task.Hint, HasHint: task.Hint > 0, Retry: n.host.scenario.Clients.MarksRetries && request.Number > 0,
-		Write: n.host.scenario.Classes[task.Class].Unsafe, Class: uint8(task.Class)})
+		Write: n.host.scenario.Classes[task.Class].NotIdempotent, Class: uint8(task.Class)})
 	n.release(accepted)
 }
 
--- a/internal/lab/told/told.go
+++ b/internal/lab/told/told.go
@@ -22,11 +22,11 @@
 	for i := range s.Classes {
 		class := &s.Classes[i]
 		repeat := "pure"
-		if class.Unsafe {
+		if class.NotIdempotent {
 			repeat = "side_effect"
 		}
-		classes = append(classes, map[string]any{"name": class.Name, "repeat": repeat, "target": class.Aim.Micros(),
-			"give-up": class.GiveUp.Micros(), "credit": class.Worth, "late-value": 0.0, "stream": false})
+		classes = append(classes, map[string]any{"name": class.Name, "repeat": repeat, "target": class.LatencyObjective.Micros(),
+			"give-up": class.Timeout.Micros(), "credit": class.PriorityWeight, "late-value": 0.0, "stream": false})
 	}
 	var kinds []string
 	var minIdle int64
