--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -226,7 +226,7 @@
 	}
 	if s.Choked() {
 		if choke := s.Spec.Choke; choke != nil {
-			efficiency /= choke.Slower
+			efficiency /= choke.SlowdownFactor
 		} else {
 			efficiency /= 3
 		}
@@ -399,28 +399,28 @@
 	now, heldPerCore := s.world.Q.Now(), float64(s.heldRequests())/s.cores()
 	if s.chokedSince < 0 {
 		switch {
-		case heldPerCore < choke.At:
+		case heldPerCore < choke.OverloadHeldPerCore:
 			s.overloadedSince = -1
 		case s.overloadedSince < 0:
 			s.overloadedSince = now
-			s.world.Q.After(choke.Over.Micros(), s.updateChoke)
-		case now-s.overloadedSince >= choke.Over.Micros():
+			s.world.Q.After(choke.OverloadDuration.Micros(), s.updateChoke)
+		case now-s.overloadedSince >= choke.OverloadDuration.Micros():
 			s.chokedSince, s.overloadedSince, s.recoveringSince = now, -1, -1
-			s.world.Q.After(choke.Most.Micros(), s.updateChoke)
+			s.world.Q.After(choke.MaxDuration.Micros(), s.updateChoke)
 			s.reschedule()
 		}
 		return
 	}
 	switch {
-	case now-s.chokedSince >= choke.Most.Micros():
-	case heldPerCore > choke.Below:
+	case now-s.chokedSince >= choke.MaxDuration.Micros():
+	case heldPerCore > choke.RecoveryHeldPerCore:
 		s.recoveringSince = -1
 		return
 	case s.recoveringSince < 0:
 		s.recoveringSince = now
-		s.world.Q.After(choke.Rest.Micros(), s.updateChoke)
+		s.world.Q.After(choke.RecoveryDuration.Micros(), s.updateChoke)
 		return
-	case now-s.recoveringSince < choke.Rest.Micros():
+	case now-s.recoveringSince < choke.RecoveryDuration.Micros():
 		return
 	}
 	s.chokedSince, s.recoveringSince = -1, -1
--- a/internal/lab/scenario/read.go
+++ b/internal/lab/scenario/read.go
@@ -283,13 +283,13 @@
 		nonNegative(key("report.delay"), servers.Report.Delay)
 		fraction(key("report.noise"), servers.Report.Noise)
 		if choke := servers.Choke; choke != nil {
-			require(choke.At > 0, key("choke.at"), "%v is not above 0", choke.At)
-			require(choke.Slower >= 1, key("choke.slower"), "%v is under 1", choke.Slower)
-			require(choke.Below >= 0 && choke.Below <= choke.At, key("choke.below"),
-				"%v is not within 0 and choke.at", choke.Below)
-			positive(key("choke.over"), choke.Over)
-			positive(key("choke.rest"), choke.Rest)
-			positive(key("choke.most"), choke.Most)
+			require(choke.OverloadHeldPerCore > 0, key("choke.at"), "%v is not above 0", choke.OverloadHeldPerCore)
+			require(choke.SlowdownFactor >= 1, key("choke.slower"), "%v is under 1", choke.SlowdownFactor)
+			require(choke.RecoveryHeldPerCore >= 0 && choke.RecoveryHeldPerCore <= choke.OverloadHeldPerCore, key("choke.below"),
+				"%v is not within 0 and choke.at", choke.RecoveryHeldPerCore)
+			positive(key("choke.over"), choke.OverloadDuration)
+			positive(key("choke.rest"), choke.RecoveryDuration)
+			positive(key("choke.most"), choke.MaxDuration)
 		}
 	}
 	require(total <= maxServers, "servers", "%d servers are over %d", total, maxServers)
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -73,12 +73,12 @@
 
 // Choke slows a server down that has been overloaded, until it has recovered.
 type Choke struct {
-	At     float64 `toml:"at"`     // running and waiting requests per core from which the server is overloaded
-	Over   Dur     `toml:"over"`   // duration of the overload after which the server chokes
-	Slower float64 `toml:"slower"` // factor by which a choked server is slower
-	Below  float64 `toml:"below"`  // running and waiting requests per core up to which the server recovers
-	Rest   Dur     `toml:"rest"`   // duration of such a low load after which the choke ends
-	Most   Dur     `toml:"most"`   // longest duration of a choke
+	OverloadHeldPerCore float64 `toml:"at"`     // running and waiting requests per core from which the server is overloaded
+	OverloadDuration    Dur     `toml:"over"`   // duration of the overload after which the server chokes
+	SlowdownFactor      float64 `toml:"slower"` // factor by which a choked server is slower
+	RecoveryHeldPerCore float64 `toml:"below"`  // running and waiting requests per core up to which the server recovers
+	RecoveryDuration    Dur     `toml:"rest"`   // duration of such a low load after which the choke ends
+	MaxDuration         Dur     `toml:"most"`   // longest duration of a choke
 }
 
 // Report describes how a server makes its load reports.
