--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -140,7 +140,7 @@
 
 // Warmth returns the share of its capacity that the server has at an instant: it rises linearly from Cold to 1.
 func (s *Server) Warmth(now Micros) float64 {
-	ramp := s.Spec.ColdFor.Micros()
+	ramp := s.Spec.WarmUpDuration.Micros()
 	if s.Starts <= 1 && s.Since < 0 || ramp <= 0 || now-s.Since >= ramp {
 		return 1
 	}
@@ -154,7 +154,7 @@
 	now := s.world.Q.Now()
 	s.Running, s.Starts, s.Since = true, s.Starts+1, now
 	s.collapsed, s.chokedSince, s.overloadedSince, s.recoveringSince = false, -1, -1, -1
-	s.Cold = s.stream.Uniform(s.Spec.ColdFrom[0], s.Spec.ColdFrom[len(s.Spec.ColdFrom)-1])
+	s.Cold = s.stream.Uniform(s.Spec.InitialCapacity[0], s.Spec.InitialCapacity[len(s.Spec.InitialCapacity)-1])
 	s.coldWork, s.maxColdLoadRatio = slidingSum{}, 0
 	s.reports, s.baselineAt = nil, now
 	if alreadyWarm {
@@ -162,7 +162,7 @@
 	}
 	s.clockUpdatedAt = now
 	s.world.emit(trace.Event{At: now, Kind: trace.Started, Server: int32(s.Number), Capacity: s.Capacity(),
-		ColdFrom: s.Cold, ColdFor: max(0, s.Since+s.Spec.ColdFor.Micros()-now)})
+		ColdFrom: s.Cold, ColdFor: max(0, s.Since+s.Spec.WarmUpDuration.Micros()-now)})
 	s.reschedule()
 	s.scheduleWarmUp()
 }
@@ -221,8 +221,8 @@
 		return 0
 	}
 	efficiency := 1.0
-	if jobsPerCore := runningJobs / s.cores(); jobsPerCore > s.Spec.ThrashAt {
-		efficiency = 1 / (1 + s.Spec.Thrash*(jobsPerCore-s.Spec.ThrashAt)/s.Spec.ThrashAt)
+	if jobsPerCore := runningJobs / s.cores(); jobsPerCore > s.Spec.ThrashJobsPerCore {
+		efficiency = 1 / (1 + s.Spec.ThrashSlowdown*(jobsPerCore-s.Spec.ThrashJobsPerCore)/s.Spec.ThrashJobsPerCore)
 	}
 	if s.Choked() {
 		if choke := s.Spec.Choke; choke != nil {
@@ -284,7 +284,7 @@
 		s.servedCount++
 		s.world.emit(trace.Event{At: s.world.Q.Now(), Kind: trace.Finished, Server: int32(s.Number),
 			Request: job.Request, Work: Micros(job.Work)})
-		errorShare := s.Spec.Errors
+		errorShare := s.Spec.ErrorShare
 		for _, fault := range s.Gray {
 			if s.hasGrayErrors(fault, job) {
 				errorShare = 1 - (1-errorShare)*(1-fault.Share)
@@ -315,7 +315,7 @@
 
 // startWaiting starts waiting jobs while the server has slots free.
 func (s *Server) startWaiting() {
-	for len(s.waiting) > 0 && len(s.running) < s.Spec.Slots*s.Spec.Cores {
+	for len(s.waiting) > 0 && len(s.running) < s.Spec.SlotsPerCore*s.Spec.Cores {
 		job := s.waiting[0]
 		s.waiting = s.waiting[1:]
 		s.startJob(job)
@@ -343,7 +343,7 @@
 	if !s.Running {
 		return false
 	}
-	if isAttempt && s.Hung == 0 && len(s.running) >= s.Spec.Slots*s.Spec.Cores && len(s.waiting) >= s.Spec.Queue {
+	if isAttempt && s.Hung == 0 && len(s.running) >= s.Spec.SlotsPerCore*s.Spec.Cores && len(s.waiting) >= s.Spec.Queue {
 		s.world.emit(trace.Event{At: now, Kind: trace.Turned, Sidecar: int32(job.Sidecar), Server: int32(s.Number),
 			Request: job.Request, Class: uint8(job.Class), Work: Micros(job.Work)})
 		return false
@@ -352,7 +352,7 @@
 		s.world.emit(trace.Event{At: now, Kind: trace.Accepted, Sidecar: int32(job.Sidecar), Server: int32(s.Number),
 			Request: job.Request, Class: uint8(job.Class), Work: Micros(job.Work)})
 	}
-	if isAttempt && len(s.running) >= s.Spec.Slots*s.Spec.Cores {
+	if isAttempt && len(s.running) >= s.Spec.SlotsPerCore*s.Spec.Cores {
 		s.waiting = append(s.waiting, job)
 	} else {
 		s.startJob(job)
@@ -497,7 +497,7 @@
 // that is sent must be, and its noise.
 func (s *Server) Report() Load {
 	now, spec := s.world.Q.Now(), &s.Spec.Report
-	if interval := spec.Every.Micros(); len(s.reports) == 0 || now-s.reports[len(s.reports)-1].at >= interval {
+	if interval := spec.Interval.Micros(); len(s.reports) == 0 || now-s.reports[len(s.reports)-1].at >= interval {
 		s.advance()
 		elapsed := max(1, float64(now-s.baselineAt))
 		noise := func() float64 { return 1 + spec.Noise*s.stream.NormFloat64() }
--- a/internal/lab/rig/server.go
+++ b/internal/lab/rig/server.go
@@ -165,7 +165,7 @@
 	case <-r.ctx.Done():
 		return
 	}
-	idle := time.Duration(t.s.Spec.Idle)
+	idle := time.Duration(t.s.Spec.IdleTimeout)
 	for {
 		c.SetReadDeadline(time.Now().Add(idle))
 		if _, err := c.in.Peek(1); err != nil {
--- a/internal/lab/scenario/read.go
+++ b/internal/lab/scenario/read.go
@@ -78,17 +78,17 @@
 		if servers.Speed == nil {
 			servers.Speed = []float64{1}
 		}
-		if servers.ColdFrom == nil {
-			servers.ColdFrom = []float64{0.2}
+		if servers.InitialCapacity == nil {
+			servers.InitialCapacity = []float64{0.2}
 		}
-		setDefault(&servers.Slots, 8)
+		setDefault(&servers.SlotsPerCore, 8)
 		setDefault(&servers.Queue, 6)
 		setDefault(&servers.ConnCap, 1000)
-		setDefault(&servers.Idle, Dur(time.Minute))
+		setDefault(&servers.IdleTimeout, Dur(time.Minute))
 		setDefault(&servers.Cancel, "queued")
-		setDefault(&servers.ColdFor, Dur(15*time.Second))
-		setDefault(&servers.ThrashAt, 4)
-		setDefault(&servers.Report.Every, millis(3))
+		setDefault(&servers.WarmUpDuration, Dur(15*time.Second))
+		setDefault(&servers.ThrashJobsPerCore, 4)
+		setDefault(&servers.Report.Interval, millis(3))
 	}
 	for i := range s.Classes {
 		class := &s.Classes[i]
@@ -267,19 +267,19 @@
 		require(servers.Count >= 1, key("count"), "%d is not above 0", servers.Count)
 		require(servers.Cores >= 1 && servers.Cores <= 1024, key("cores"), "%d is not within 1 and 1024", servers.Cores)
 		numberRange(key("speed"), servers.Speed, 1e-3, 1e6)
-		numberRange(key("cold_from"), servers.ColdFrom, 0.01, 1)
-		require(servers.Slots >= 1, key("slots_per_core"), "%d is not above 0", servers.Slots)
+		numberRange(key("cold_from"), servers.InitialCapacity, 0.01, 1)
+		require(servers.SlotsPerCore >= 1, key("slots_per_core"), "%d is not above 0", servers.SlotsPerCore)
 		require(servers.Queue >= 0, key("queue"), "%d is negative", servers.Queue)
 		require(servers.ConnCap >= 1, key("conn_cap"), "%d is not above 0", servers.ConnCap)
-		positive(key("idle_close"), servers.Idle)
+		positive(key("idle_close"), servers.IdleTimeout)
 		nonNegative(key("handshake"), servers.Handshake)
 		nonNegative(key("probe"), servers.Probe)
-		nonNegative(key("cold_for"), servers.ColdFor)
+		nonNegative(key("cold_for"), servers.WarmUpDuration)
 		oneOf(key("cancel"), servers.Cancel, "none", "queued", "all")
-		fraction(key("errors"), servers.Errors)
-		require(servers.Thrash >= 0, key("thrash"), "%v is negative", servers.Thrash)
-		require(servers.ThrashAt > 0, key("thrash_at"), "%v is not above 0", servers.ThrashAt)
-		positive(key("report.every"), servers.Report.Every)
+		fraction(key("errors"), servers.ErrorShare)
+		require(servers.ThrashSlowdown >= 0, key("thrash"), "%v is negative", servers.ThrashSlowdown)
+		require(servers.ThrashJobsPerCore > 0, key("thrash_at"), "%v is not above 0", servers.ThrashJobsPerCore)
+		positive(key("report.every"), servers.Report.Interval)
 		nonNegative(key("report.delay"), servers.Report.Delay)
 		fraction(key("report.noise"), servers.Report.Noise)
 		if choke := servers.Choke; choke != nil {
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -51,24 +51,24 @@
 // Servers describes one kind of slot server. A range is one value for all servers, or a low and a high one between
 // which each server's value is drawn.
 type Servers struct {
-	Kind      string    `toml:"kind"`
-	Count     int       `toml:"count"`
-	Cores     int       `toml:"cores"`
-	Speed     []float64 `toml:"speed"`          // range of the speed of a core; work is stated for a core of speed 1
-	Slots     int       `toml:"slots_per_core"` // requests that a core runs concurrently
-	Queue     int       `toml:"queue"`          // requests that may wait for a slot
-	ConnCap   int       `toml:"conn_cap"`       // connections, beyond which new ones are rejected
-	Idle      Dur       `toml:"idle_close"`     // time after which the server closes an idle connection
-	Handshake Dur       `toml:"handshake"`      // work of a new connection
-	Probe     Dur       `toml:"probe"`          // work of a probe
-	Cancel    string    `toml:"cancel"`         // requests that a cancellation removes: "none", "queued", "all"
-	Errors    float64   `toml:"errors"`         // share of requests answered with an error
-	ColdFrom  []float64 `toml:"cold_from"`      // range of the share of its capacity that a cold server starts with
-	ColdFor   Dur       `toml:"cold_for"`       // time until a cold server has its whole capacity
-	Thrash    float64   `toml:"thrash"`         // slowdown added by each further thrash_at running requests per core
-	ThrashAt  float64   `toml:"thrash_at"`      // running requests per core above which a server slows down
-	Choke     *Choke    `toml:"choke"`          // nil: overload does not choke the server
-	Report    Report    `toml:"report"`
+	Kind              string    `toml:"kind"`
+	Count             int       `toml:"count"`
+	Cores             int       `toml:"cores"`
+	Speed             []float64 `toml:"speed"`          // range of the speed of a core; work is stated for a core of speed 1
+	SlotsPerCore      int       `toml:"slots_per_core"` // requests that a core runs concurrently
+	Queue             int       `toml:"queue"`          // requests that may wait for a slot
+	ConnCap           int       `toml:"conn_cap"`       // connections, beyond which new ones are rejected
+	IdleTimeout       Dur       `toml:"idle_close"`     // time after which the server closes an idle connection
+	Handshake         Dur       `toml:"handshake"`      // work of a new connection
+	Probe             Dur       `toml:"probe"`          // work of a probe
+	Cancel            string    `toml:"cancel"`         // requests that a cancellation removes: "none", "queued", "all"
+	ErrorShare        float64   `toml:"errors"`         // share of requests answered with an error
+	InitialCapacity   []float64 `toml:"cold_from"`      // range of the share of its capacity that a cold server starts with
+	WarmUpDuration    Dur       `toml:"cold_for"`       // time until a cold server has its whole capacity
+	ThrashSlowdown    float64   `toml:"thrash"`         // slowdown added by each further thrash_at running requests per core
+	ThrashJobsPerCore float64   `toml:"thrash_at"`      // running requests per core above which a server slows down
+	Choke             *Choke    `toml:"choke"`          // nil: overload does not choke the server
+	Report            Report    `toml:"report"`
 }
 
 // Choke slows a server down that has been overloaded, until it has recovered.
@@ -83,9 +83,9 @@
 
 // Report describes how a server makes its load reports.
 type Report struct {
-	Every Dur     `toml:"every"` // least time between two reports
-	Delay Dur     `toml:"delay"` // least age of a report that is sent, if there is one so old
-	Noise float64 `toml:"noise"` // relative standard deviation of each figure
+	Interval Dur     `toml:"every"` // least time between two reports
+	Delay    Dur     `toml:"delay"` // least age of a report that is sent, if there is one so old
+	Noise    float64 `toml:"noise"` // relative standard deviation of each figure
 }
 
 // Class is a class of requests.
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -703,7 +703,7 @@
 // maxIdle returns how long a connection may stay idle: two thirds of the time after which the server closes it, so that
 // no request is sent on a connection that the server is closing.
 func (n *node) maxIdle(server int) Micros {
-	return n.host.world.Servers[server].Spec.Idle.Micros() * 2 / 3
+	return n.host.world.Servers[server].Spec.IdleTimeout.Micros() * 2 / 3
 }
 
 // closeExpired closes the connections that have been idle for too long, once a second as the real program does.
--- a/internal/lab/told/told.go
+++ b/internal/lab/told/told.go
@@ -32,7 +32,7 @@
 	var minIdle int64
 	for i := range s.Servers {
 		kinds = append(kinds, s.Servers[i].Kind)
-		if d := s.Servers[i].Idle.Micros(); minIdle == 0 || d < minIdle {
+		if d := s.Servers[i].IdleTimeout.Micros(); minIdle == 0 || d < minIdle {
 			minIdle = d
 		}
 	}
