--- a/internal/lab/checker/checker.go
+++ b/internal/lab/checker/checker.go
@@ -30,8 +30,8 @@
 	settings := Settings{
 		DrainGrace:       s.Rules.DrainGrace.Micros(),
 		ClockSlack:       clockSlack,
-		OverloadMultiple: s.Rules.FallMultiple,
-		OverloadWindow:   s.Rules.OverloadFor.Micros(),
+		OverloadMultiple: s.Rules.OverloadMultiple,
+		OverloadWindow:   s.Rules.OverloadWindow.Micros(),
 	}
 	for i := range s.Classes {
 		settings.NonIdempotent = append(settings.NonIdempotent, s.Classes[i].NotIdempotent)
--- a/internal/lab/figures/ramp.go
+++ b/internal/lab/figures/ramp.go
@@ -54,7 +54,7 @@
 }
 
 func newRamp(s *scenario.Scenario) ramp {
-	r := ramp{multiple: s.Rules.FallMultiple, span: s.Rules.OverloadFor.Micros()}
+	r := ramp{multiple: s.Rules.OverloadMultiple, span: s.Rules.OverloadWindow.Micros()}
 	var shares, work float64
 	for i := range s.Classes {
 		shares += s.Classes[i].Share
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -434,8 +434,8 @@
 		return
 	}
 	rules := &s.world.S.Rules
-	s.coldWork.add(now, job.Work, rules.OverloadFor.Micros())
-	maxWork := rules.FallMultiple * s.Capacity() * s.Warmth(now) * float64(rules.OverloadFor.Micros()) / 1e6
+	s.coldWork.add(now, job.Work, rules.OverloadWindow.Micros())
+	maxWork := rules.OverloadMultiple * s.Capacity() * s.Warmth(now) * float64(rules.OverloadWindow.Micros()) / 1e6
 	meanWork := s.world.MeanWork()
 	limit := maxWork + min((maxSlackFactor-1)*maxWork+slackMeanWorks*meanWork, meanWork*(2*math.Sqrt(maxWork/meanWork)+2))
 	s.maxColdLoadRatio = max(s.maxColdLoadRatio, s.coldWork.sum/limit)
--- a/internal/lab/scenario/read.go
+++ b/internal/lab/scenario/read.go
@@ -61,8 +61,8 @@
 		Clients:   Clients{Retries: 2, Backoff: millis(60), RetryAfterShare: 0.75, RequestTimeoutShare: 0.7, MaxConns: 256},
 		Net:       Net{Same: millis(0.1), Cross: millis(2), Jitter: 0.2},
 		Discovery: Discovery{Notice: millis(1500), Add: millis(1000), Capacity: 4, Call: millis(20), Mode: "watch"},
-		Rules: Rules{DrainGrace: millis(500), FallMultiple: 3, OverloadFor: millis(3000), ColdFrom: 0.13,
-			RampTime: millis(24000), AskWithin: millis(10000)},
+		Rules: Rules{DrainGrace: millis(500), OverloadMultiple: 3, OverloadWindow: millis(3000), InitialCapacity: 0.13,
+			SlowStartDuration: millis(24000), PollInterval: millis(10000)},
 		Limits: Limits{Attempts: 4, SecondCopies: true, Probes: true, Reports: "probe", RetryAfter: true,
 			MaxRetryAfter: millis(750), Dial: millis(200), Held: 30000},
 	}
@@ -341,11 +341,11 @@
 	oneOf("discovery.mode", s.Discovery.Mode, "watch", "push")
 	rules := &s.Rules
 	positive("rules.drain_grace", rules.DrainGrace)
-	positive("rules.overload_for", rules.OverloadFor)
-	positive("rules.ramp_time", rules.RampTime)
-	positive("rules.ask_within", rules.AskWithin)
-	require(rules.FallMultiple > 0, "rules.fall_multiple", "%v is not above 0", rules.FallMultiple)
-	require(rules.ColdFrom > 0 && rules.ColdFrom <= 1, "rules.cold_from", "%v is not within 0 and 1", rules.ColdFrom)
+	positive("rules.overload_for", rules.OverloadWindow)
+	positive("rules.ramp_time", rules.SlowStartDuration)
+	positive("rules.ask_within", rules.PollInterval)
+	require(rules.OverloadMultiple > 0, "rules.fall_multiple", "%v is not above 0", rules.OverloadMultiple)
+	require(rules.InitialCapacity > 0 && rules.InitialCapacity <= 1, "rules.cold_from", "%v is not within 0 and 1", rules.InitialCapacity)
 	require(s.Limits.Attempts >= 1, "limits.attempts", "%d is not above 0", s.Limits.Attempts)
 	require(s.Limits.Held >= 1, "limits.held", "%d is not above 0", s.Limits.Held)
 	nonNegative("limits.max_retry_after", s.Limits.MaxRetryAfter)
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -143,12 +143,12 @@
 
 // Rules holds the figures of the users' rules. Sidecars are configured with them, and the checker applies them.
 type Rules struct {
-	DrainGrace   Dur     `toml:"drain_grace"`   // time after the notice of a drain in which attempts may still be sent
-	FallMultiple float64 `toml:"fall_multiple"` // multiple of its capacity above which a cold server collapses
-	OverloadFor  Dur     `toml:"overload_for"`  // time over which that overload is measured
-	ColdFrom     float64 `toml:"cold_from"`     // guaranteed share of its capacity that a cold server has at its start
-	RampTime     Dur     `toml:"ramp_time"`     // time from its start until a server has its whole capacity
-	AskWithin    Dur     `toml:"ask_within"`    // longest time between polls of discovery
+	DrainGrace        Dur     `toml:"drain_grace"`   // time after the notice of a drain in which attempts may still be sent
+	OverloadMultiple  float64 `toml:"fall_multiple"` // multiple of its capacity above which a cold server collapses
+	OverloadWindow    Dur     `toml:"overload_for"`  // time over which that overload is measured
+	InitialCapacity   float64 `toml:"cold_from"`     // guaranteed share of its capacity that a cold server has at its start
+	SlowStartDuration Dur     `toml:"ramp_time"`     // time from its start until a server has its whole capacity
+	PollInterval      Dur     `toml:"ask_within"`    // longest time between polls of discovery
 }
 
 // Limits holds the limits of the sidecars and the features that they may use.
