--- a/internal/lab/scenario/read.go
+++ b/internal/lab/scenario/read.go
@@ -63,8 +63,8 @@
 		Discovery: Discovery{Notice: millis(1500), Add: millis(1000), Capacity: 4, Call: millis(20), Mode: "watch"},
 		Rules: Rules{DrainGrace: millis(500), OverloadMultiple: 3, OverloadWindow: millis(3000), InitialCapacity: 0.13,
 			SlowStartDuration: millis(24000), PollInterval: millis(10000)},
-		Limits: Limits{Attempts: 4, SecondCopies: true, Probes: true, Reports: "probe", RetryAfter: true,
-			MaxRetryAfter: millis(750), Dial: millis(200), Held: 30000},
+		Limits: Limits{MaxAttempts: 4, HedgedRequests: true, Probes: true, Reports: "probe", RetryAfter: true,
+			MaxRetryAfter: millis(750), DialTimeout: millis(200), MaxOpen: 30000},
 	}
 }
 
@@ -346,10 +346,10 @@
 	positive("rules.ask_within", rules.PollInterval)
 	require(rules.OverloadMultiple > 0, "rules.fall_multiple", "%v is not above 0", rules.OverloadMultiple)
 	require(rules.InitialCapacity > 0 && rules.InitialCapacity <= 1, "rules.cold_from", "%v is not within 0 and 1", rules.InitialCapacity)
-	require(s.Limits.Attempts >= 1, "limits.attempts", "%d is not above 0", s.Limits.Attempts)
-	require(s.Limits.Held >= 1, "limits.held", "%d is not above 0", s.Limits.Held)
+	require(s.Limits.MaxAttempts >= 1, "limits.attempts", "%d is not above 0", s.Limits.MaxAttempts)
+	require(s.Limits.MaxOpen >= 1, "limits.held", "%d is not above 0", s.Limits.MaxOpen)
 	nonNegative("limits.max_retry_after", s.Limits.MaxRetryAfter)
-	positive("limits.dial", s.Limits.Dial)
+	positive("limits.dial", s.Limits.DialTimeout)
 	oneOf("limits.reports", s.Limits.Reports, "probe", "answers", "none")
 	require(len(s.Faults) <= maxFaults, "fault", "%d faults are over %d", len(s.Faults), maxFaults)
 	for i := range s.Faults {
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -153,14 +153,14 @@
 
 // Limits holds the limits of the sidecars and the features that they may use.
 type Limits struct {
-	Attempts      int    `toml:"attempts"`      // maximum number of attempts per request
-	SecondCopies  bool   `toml:"second_copies"` // hedged requests
-	Probes        bool   `toml:"probes"`
-	Reports       string `toml:"reports"`     // what carries load reports: "probe", "answers", "none"
-	RetryAfter    bool   `toml:"retry_after"` // rejections carry Retry-After
-	MaxRetryAfter Dur    `toml:"max_retry_after"`
-	Dial          Dur    `toml:"dial"` // dial timeout
-	Held          int    `toml:"held"` // maximum number of open requests per sidecar
+	MaxAttempts    int    `toml:"attempts"`      // maximum number of attempts per request
+	HedgedRequests bool   `toml:"second_copies"` // hedged requests
+	Probes         bool   `toml:"probes"`
+	Reports        string `toml:"reports"`     // what carries load reports: "probe", "answers", "none"
+	RetryAfter     bool   `toml:"retry_after"` // rejections carry Retry-After
+	MaxRetryAfter  Dur    `toml:"max_retry_after"`
+	DialTimeout    Dur    `toml:"dial"` // dial timeout
+	MaxOpen        int    `toml:"held"` // maximum number of open requests per sidecar
 }
 
 // Fault is a fault injection, or an action of operators. FaultKinds says which of the fields a kind uses.
--- a/internal/lab/sim/ramp_test.go
+++ b/internal/lab/sim/ramp_test.go
@@ -37,7 +37,7 @@
 // addFailuresAndRetries makes a third of all attempts fail, has clients retry almost at once, and allows many attempts
 // per request.
 func addFailuresAndRetries(s *scenario.Scenario) {
-	s.Clients.Retries, s.Clients.Backoff, s.Clients.RetryAfterShare, s.Limits.Attempts = 10, seconds(0.005), 0, 8
+	s.Clients.Retries, s.Clients.Backoff, s.Clients.RetryAfterShare, s.Limits.MaxAttempts = 10, seconds(0.005), 0, 8
 	s.Faults = append(s.Faults, scenario.Fault{
 		Kind: "gray-errors", At: seconds(4), For: seconds(18), Share: 0.33, Repeat: 1, Factor: 1})
 }
