--- a/internal/lab/rig/server.go
+++ b/internal/lab/rig/server.go
@@ -42,12 +42,12 @@
 			return nil, err
 		}
 		t.inside = append(t.inside, ln)
-		mean := r.s.Net.Same
+		mean := r.s.Net.SameZoneDelay
 		if s.Zone != r.w.SidecarZone(n) {
-			mean = r.s.Net.Cross
+			mean = r.s.Net.CrossZoneDelay
 		}
 		l := relay.New(ln.Addr().String(), uint64(n)<<32|uint64(s.Number),
-			relay.Conditions{Delay: time.Duration(mean), Jitter: r.s.Net.Jitter, StallProbability: r.s.Net.Stalls, MaxStall: time.Duration(r.s.Net.Stall)})
+			relay.Conditions{Delay: time.Duration(mean), Jitter: r.s.Net.Jitter, StallProbability: r.s.Net.StallShare, MaxStall: time.Duration(r.s.Net.MaxStall)})
 		t.links = append(t.links, l)
 		t.addrs = append(t.addrs, address.Next())
 		t.wg.Go(func() { t.accept(ln, n) })
@@ -219,9 +219,9 @@
 			return
 		}
 		delay := t.s.Zone != r.w.SidecarZone(c.sidecar)
-		way := r.s.Net.Same
+		way := r.s.Net.SameZoneDelay
 		if delay {
-			way = r.s.Net.Cross
+			way = r.s.Net.CrossZoneDelay
 		}
 		r.sink.Take(trace.Event{At: r.at(first) - way.Micros(), Kind: trace.Sent, Sidecar: int32(c.sidecar), Server: int32(t.s.Number),
 			Request: id, Class: uint8(y.Task.Class), Cross: delay})
--- a/internal/lab/scenario/read.go
+++ b/internal/lab/scenario/read.go
@@ -59,7 +59,7 @@
 			StateTransfer: "handover"},
 		Load:      Load{Rate: 100, Shape: "steady", Hints: "rough", Bodies: 64, Answer: 200},
 		Clients:   Clients{Retries: 2, Backoff: millis(60), RetryAfterShare: 0.75, RequestTimeoutShare: 0.7, MaxConns: 256},
-		Net:       Net{Same: millis(0.1), Cross: millis(2), Jitter: 0.2},
+		Net:       Net{SameZoneDelay: millis(0.1), CrossZoneDelay: millis(2), Jitter: 0.2},
 		Discovery: Discovery{Notice: millis(1500), Add: millis(1000), Capacity: 4, Call: millis(20), Mode: "watch"},
 		Rules: Rules{DrainGrace: millis(500), OverloadMultiple: 3, OverloadWindow: millis(3000), InitialCapacity: 0.13,
 			SlowStartDuration: millis(24000), PollInterval: millis(10000)},
@@ -328,11 +328,11 @@
 	require(clients.RequestTimeoutShare > 0 && clients.RequestTimeoutShare <= 1, "clients.try_share",
 		"%v is not within 0 and 1", clients.RequestTimeoutShare)
 	require(clients.MaxConns >= 1, "clients.conns", "%d is not above 0", clients.MaxConns)
-	nonNegative("net.same", s.Net.Same)
-	nonNegative("net.cross", s.Net.Cross)
+	nonNegative("net.same", s.Net.SameZoneDelay)
+	nonNegative("net.cross", s.Net.CrossZoneDelay)
 	fraction("net.jitter", s.Net.Jitter)
-	fraction("net.stalls", s.Net.Stalls)
-	nonNegative("net.stall", s.Net.Stall)
+	fraction("net.stalls", s.Net.StallShare)
+	nonNegative("net.stall", s.Net.MaxStall)
 	nonNegative("discovery.notice", s.Discovery.Notice)
 	nonNegative("discovery.add", s.Discovery.Add)
 	nonNegative("discovery.spread", s.Discovery.Spread)
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -123,11 +123,11 @@
 
 // Net describes the network between sidecars, servers and discovery. Its delays are one way.
 type Net struct {
-	Same   Dur     `toml:"same"`   // mean delay within a zone
-	Cross  Dur     `toml:"cross"`  // mean delay between zones
-	Jitter float64 `toml:"jitter"` // largest deviation from the mean delay, as a share of it
-	Stalls float64 `toml:"stalls"` // share of messages that stall, as on a busy machine or after a lost packet
-	Stall  Dur     `toml:"stall"`  // longest stall
+	SameZoneDelay  Dur     `toml:"same"`   // mean delay within a zone
+	CrossZoneDelay Dur     `toml:"cross"`  // mean delay between zones
+	Jitter         float64 `toml:"jitter"` // largest deviation from the mean delay, as a share of it
+	StallShare     float64 `toml:"stalls"` // share of messages that stall, as on a busy machine or after a lost packet
+	MaxStall       Dur     `toml:"stall"`  // longest stall
 }
 
 // Discovery describes the discovery service, from which sidecars get the endpoint list.
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -598,18 +598,18 @@
 
 // drawDelay draws the one-way delay to or from a server, or discovery for -1.
 func (n *node) drawDelay(server int) Micros {
-	mean := n.host.scenario.Net.Same
+	mean := n.host.scenario.Net.SameZoneDelay
 	var extraDelay Micros
 	if server >= 0 {
 		if n.host.world.Servers[server].Zone != n.zone {
-			mean = n.host.scenario.Net.Cross
+			mean = n.host.scenario.Net.CrossZoneDelay
 		}
 		if affected := n.host.links[[2]int{n.number, server}]; affected != nil {
 			extraDelay = affected.extraDelay
 		}
 	}
-	if net := &n.host.scenario.Net; net.Stalls > 0 && n.stream.Bernoulli(net.Stalls) {
-		extraDelay += Micros(n.stream.Float64() * float64(net.Stall.Micros()))
+	if net := &n.host.scenario.Net; net.StallShare > 0 && n.stream.Bernoulli(net.StallShare) {
+		extraDelay += Micros(n.stream.Float64() * float64(net.MaxStall.Micros()))
 	}
 	jitter := n.host.scenario.Net.Jitter
 	return extraDelay + Micros(float64(mean.Micros())*(1+jitter*(2*n.stream.Float64()-1)))
