--- a/internal/lab/model/discovery.go
+++ b/internal/lab/model/discovery.go
@@ -52,7 +52,7 @@
 		updateDelays: make([]Micros, w.S.Fleet.Sidecars)}
 	stream := w.Seed.Stream("late")
 	for i := range d.updateDelays {
-		d.updateDelays[i] = Micros(stream.Float64() * float64(w.S.Discovery.Spread.Micros()))
+		d.updateDelays[i] = Micros(stream.Float64() * float64(w.S.Discovery.MaxUpdateDelay.Micros()))
 	}
 	return d
 }
@@ -159,9 +159,9 @@
 // if discovery is down, or if a later call for a watch replaces it.
 func (d *Discovery) Call(sidecar int, generation int64, keepWatch bool, answer func(u Update, ok bool)) {
 	now := d.world.Q.Now()
-	interval := d.world.S.Discovery.Call.Micros() / Micros(d.world.S.Discovery.Capacity)
+	interval := d.world.S.Discovery.CallTime.Micros() / Micros(d.world.S.Discovery.Capacity)
 	d.busyUntil = max(d.busyUntil, now) + interval
-	delay := d.busyUntil - now + d.world.S.Discovery.Call.Micros() - interval
+	delay := d.busyUntil - now + d.world.S.Discovery.CallTime.Micros() - interval
 	deliver := answer
 	answer = func(u Update, ok bool) {
 		event := trace.Event{At: d.world.Q.Now(), Kind: trace.Called, Sidecar: int32(sidecar), Work: d.world.Q.Now() - now}
--- a/internal/lab/model/faults.go
+++ b/internal/lab/model/faults.go
@@ -89,9 +89,9 @@
 	case "drain":
 		toggle(func(s *Server, on bool) {
 			if on {
-				w.Disc.scheduleChange(s.Number, trace.Draining, 0, discovery.Notice.Micros())
+				w.Disc.scheduleChange(s.Number, trace.Draining, 0, discovery.RemovalDelay.Micros())
 			} else {
-				w.Disc.scheduleChange(s.Number, trace.Up, w.listedStart(s), discovery.Add.Micros())
+				w.Disc.scheduleChange(s.Number, trace.Up, w.listedStart(s), discovery.AddDelay.Micros())
 			}
 		})
 	case "restart":
@@ -101,21 +101,21 @@
 		}
 		toggle(func(s *Server, on bool) {
 			if on {
-				w.Disc.scheduleChange(s.Number, trace.Draining, 0, discovery.Notice.Micros()/3)
+				w.Disc.scheduleChange(s.Number, trace.Draining, 0, discovery.RemovalDelay.Micros()/3)
 				w.Q.After(min(stopDelay, length), s.stop)
 			} else {
 				w.restart(s)
-				w.Disc.scheduleChange(s.Number, trace.Up, w.listedStart(s), discovery.Add.Micros())
+				w.Disc.scheduleChange(s.Number, trace.Up, w.listedStart(s), discovery.AddDelay.Micros())
 			}
 		})
 	case "crash":
 		toggle(func(s *Server, on bool) {
 			if on {
 				s.stop()
-				w.Disc.scheduleChange(s.Number, trace.Gone, 0, discovery.Notice.Micros())
+				w.Disc.scheduleChange(s.Number, trace.Gone, 0, discovery.RemovalDelay.Micros())
 			} else {
 				w.restart(s)
-				w.Disc.scheduleChange(s.Number, trace.Up, w.listedStart(s), max(discovery.Add.Micros(), discovery.Notice.Micros()))
+				w.Disc.scheduleChange(s.Number, trace.Up, w.listedStart(s), max(discovery.AddDelay.Micros(), discovery.RemovalDelay.Micros()))
 			}
 		})
 	case "maintain":
@@ -128,7 +128,7 @@
 				w.host.Operate(s.Number, true)
 				w.Q.After(min(stopDelay, length/2), func() { w.restart(s) })
 				w.Disc.scheduleChange(s.Number, trace.Up, w.Q.Now()+min(stopDelay, length/2),
-					min(stopDelay, length/2)+discovery.Add.Micros())
+					min(stopDelay, length/2)+discovery.AddDelay.Micros())
 			} else {
 				w.host.Operate(s.Number, false)
 			}
--- a/internal/lab/scenario/read.go
+++ b/internal/lab/scenario/read.go
@@ -60,7 +60,7 @@
 		Load:      Load{Rate: 100, Shape: "steady", Hints: "rough", Bodies: 64, Answer: 200},
 		Clients:   Clients{Retries: 2, Backoff: millis(60), RetryAfterShare: 0.75, RequestTimeoutShare: 0.7, MaxConns: 256},
 		Net:       Net{SameZoneDelay: millis(0.1), CrossZoneDelay: millis(2), Jitter: 0.2},
-		Discovery: Discovery{Notice: millis(1500), Add: millis(1000), Capacity: 4, Call: millis(20), Mode: "watch"},
+		Discovery: Discovery{RemovalDelay: millis(1500), AddDelay: millis(1000), Capacity: 4, CallTime: millis(20), Mode: "watch"},
 		Rules: Rules{DrainGrace: millis(500), OverloadMultiple: 3, OverloadWindow: millis(3000), InitialCapacity: 0.13,
 			SlowStartDuration: millis(24000), PollInterval: millis(10000)},
 		Limits: Limits{MaxAttempts: 4, HedgedRequests: true, Probes: true, Reports: "probe", RetryAfter: true,
@@ -333,10 +333,10 @@
 	fraction("net.jitter", s.Net.Jitter)
 	fraction("net.stalls", s.Net.StallShare)
 	nonNegative("net.stall", s.Net.MaxStall)
-	nonNegative("discovery.notice", s.Discovery.Notice)
-	nonNegative("discovery.add", s.Discovery.Add)
-	nonNegative("discovery.spread", s.Discovery.Spread)
-	nonNegative("discovery.call", s.Discovery.Call)
+	nonNegative("discovery.notice", s.Discovery.RemovalDelay)
+	nonNegative("discovery.add", s.Discovery.AddDelay)
+	nonNegative("discovery.spread", s.Discovery.MaxUpdateDelay)
+	nonNegative("discovery.call", s.Discovery.CallTime)
 	require(s.Discovery.Capacity >= 1, "discovery.capacity", "%d is not above 0", s.Discovery.Capacity)
 	oneOf("discovery.mode", s.Discovery.Mode, "watch", "push")
 	rules := &s.Rules
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -132,13 +132,13 @@
 
 // Discovery describes the discovery service, from which sidecars get the endpoint list.
 type Discovery struct {
-	Notice   Dur    `toml:"notice"`   // mean time from the beginning of a drain or the end of a process until it is listed
-	Add      Dur    `toml:"add"`      // mean time from a start until it is listed
-	Capacity int    `toml:"capacity"` // calls served concurrently
-	Call     Dur    `toml:"call"`     // service time of a call
-	Spread   Dur    `toml:"spread"`   // largest extra delay of watch events; each sidecar's is drawn between 0 and this
-	Shuffle  bool   `toml:"shuffle"`  // each sidecar gets the entries in an order of its own
-	Mode     string `toml:"mode"`     // "watch": modules subscribe to changes; "push": their hosts always watch
+	RemovalDelay   Dur    `toml:"notice"`   // mean time from the beginning of a drain or the end of a process until it is listed
+	AddDelay       Dur    `toml:"add"`      // mean time from a start until it is listed
+	Capacity       int    `toml:"capacity"` // calls served concurrently
+	CallTime       Dur    `toml:"call"`     // service time of a call
+	MaxUpdateDelay Dur    `toml:"spread"`   // largest extra delay of watch events; each sidecar's is drawn between 0 and this
+	Shuffle        bool   `toml:"shuffle"`  // each sidecar gets the entries in an order of its own
+	Mode           string `toml:"mode"`     // "watch": modules subscribe to changes; "push": their hosts always watch
 }
 
 // Rules holds the figures of the users' rules. Sidecars are configured with them, and the checker applies them.
--- a/internal/lab/sim/ramp_test.go
+++ b/internal/lab/sim/ramp_test.go
@@ -54,7 +54,7 @@
 	{"told of one", nil, func(s *scenario.Scenario) { s.Fleet.BelievedSizeFactor = 1e-3 }},
 	{"told of a fourth", nil, func(s *scenario.Scenario) { s.Fleet.BelievedSizeFactor = 0.25 }},
 	{"told of four times", nil, func(s *scenario.Scenario) { s.Fleet.BelievedSizeFactor = 4 }},
-	{"told within 6 s", nil, func(s *scenario.Scenario) { s.Discovery.Spread = seconds(6) }},
+	{"told within 6 s", nil, func(s *scenario.Scenario) { s.Discovery.MaxUpdateDelay = seconds(6) }},
 	{"half killed", nil, func(s *scenario.Scenario) { addRepeatedKills(s, 0.5) }},
 	{"all killed", nil, func(s *scenario.Scenario) { addRepeatedKills(s, 1) }},
 	{"retries", []int{30}, addFailuresAndRetries},
@@ -62,7 +62,7 @@
 	{"three times, told of one", nil, func(s *scenario.Scenario) { s.Load.Rate *= 3; s.Fleet.BelievedSizeFactor = 1e-3 }},
 	{"all servers cold", nil, func(s *scenario.Scenario) { s.Faults[0].Share = 1 }},
 	{"all of these", []int{30}, func(s *scenario.Scenario) {
-		s.Fleet.Skew, s.Fleet.BelievedSizeFactor, s.Discovery.Spread = 2.5, 0.25, seconds(3)
+		s.Fleet.Skew, s.Fleet.BelievedSizeFactor, s.Discovery.MaxUpdateDelay = 2.5, 0.25, seconds(3)
 		s.Load.Rate *= 2
 		addRepeatedKills(s, 0.5)
 		addFailuresAndRetries(s)
