--- a/internal/lab/rig/client.go
+++ b/internal/lab/rig/client.go
@@ -112,7 +112,7 @@
 		b.WriteString("X-Second-Try: 1\r\n")
 	}
 	if c.NotIdempotent {
-		fmt.Fprintf(&b, "Content-Length: %d\r\n\r\n%s", k.r.s.Load.Bodies, strings.Repeat("b", k.r.s.Load.Bodies))
+		fmt.Fprintf(&b, "Content-Length: %d\r\n\r\n%s", k.r.s.Load.BodyBytes, strings.Repeat("b", k.r.s.Load.BodyBytes))
 	} else {
 		b.WriteString("\r\n")
 	}
@@ -186,7 +186,7 @@
 	switch resp.StatusCode {
 	case http.StatusOK:
 		verdict = trace.Foreign
-		if string(got) == body(id, r.s.Load.Answer) {
+		if string(got) == body(id, r.s.Load.AnswerBytes) {
 			verdict = trace.Served
 		}
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
--- a/internal/lab/rig/server.go
+++ b/internal/lab/rig/server.go
@@ -264,7 +264,7 @@
 	}
 	switch e.how {
 	case model.Good:
-		err = c.answer(http.StatusOK, r.report(e.load), body(text, r.s.Load.Answer))
+		err = c.answer(http.StatusOK, r.report(e.load), body(text, r.s.Load.AnswerBytes))
 	case model.Bad:
 		err = c.answer(http.StatusInternalServerError, r.report(e.load), "error")
 	case model.NeverRan:
--- a/internal/lab/scenario/read.go
+++ b/internal/lab/scenario/read.go
@@ -57,7 +57,7 @@
 		Length: Dur(20 * time.Second),
 		Fleet: Fleet{Sidecars: 2, Zones: []string{"petrzalka", "trnava"}, BelievedSizeFactor: 1, MemoryMB: 192, Sockets: 1024,
 			StateTransfer: "handover"},
-		Load:      Load{Rate: 100, Shape: "steady", Hints: "rough", Bodies: 64, Answer: 200},
+		Load:      Load{Rate: 100, Shape: "steady", Hints: "rough", BodyBytes: 64, AnswerBytes: 200},
 		Clients:   Clients{Retries: 2, Backoff: millis(60), RetryAfterShare: 0.75, RequestTimeoutShare: 0.7, MaxConns: 256},
 		Net:       Net{SameZoneDelay: millis(0.1), CrossZoneDelay: millis(2), Jitter: 0.2},
 		Discovery: Discovery{RemovalDelay: millis(1500), AddDelay: millis(1000), Capacity: 4, CallTime: millis(20), Mode: "watch"},
@@ -317,9 +317,9 @@
 	require(load.Rate*time.Duration(s.Length).Seconds() <= maxRequests, "load.rate", "makes over %d requests", maxRequests)
 	oneOf("load.shape", load.Shape, "steady", "ramp", "wave")
 	oneOf("load.hints", load.Hints, "none", "rough", "exact")
-	fraction("load.swing", load.Swing)
-	require(load.Bodies >= 0 && load.Bodies <= 32<<20, "load.bodies", "%d is not within 0 and 32 MiB", load.Bodies)
-	require(load.Answer >= 0 && load.Answer <= 32<<20, "load.answers", "%d is not within 0 and 32 MiB", load.Answer)
+	fraction("load.swing", load.WaveAmplitude)
+	require(load.BodyBytes >= 0 && load.BodyBytes <= 32<<20, "load.bodies", "%d is not within 0 and 32 MiB", load.BodyBytes)
+	require(load.AnswerBytes >= 0 && load.AnswerBytes <= 32<<20, "load.answers", "%d is not within 0 and 32 MiB", load.AnswerBytes)
 	clients := &s.Clients
 	require(clients.Retries >= 0 && clients.Retries <= 100, "clients.retries",
 		"%d is not within 0 and 100", clients.Retries)
@@ -396,7 +396,7 @@
 	case "ramp":
 		return 1.0/3 + 2.0/3*elapsed
 	case "wave":
-		return 1 + l.Swing*math.Sin(2*math.Pi*3*elapsed)
+		return 1 + l.WaveAmplitude*math.Sin(2*math.Pi*3*elapsed)
 	}
 	return 1
 }
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -103,12 +103,12 @@
 
 // Load describes the arrivals of tasks, over all sidecars, without clients' retries.
 type Load struct {
-	Rate   float64 `toml:"rate"`    // tasks per second
-	Shape  string  `toml:"shape"`   // "steady", "ramp" (up from a third of the rate), "wave" (three sine periods)
-	Swing  float64 `toml:"swing"`   // amplitude of a wave, as a share of the rate
-	Hints  string  `toml:"hints"`   // estimates of a request's work that clients send: "none", "rough", "exact"
-	Bodies int     `toml:"bodies"`  // bytes of the body of a write
-	Answer int     `toml:"answers"` // bytes of the body of an answer
+	Rate          float64 `toml:"rate"`    // tasks per second
+	Shape         string  `toml:"shape"`   // "steady", "ramp" (up from a third of the rate), "wave" (three sine periods)
+	WaveAmplitude float64 `toml:"swing"`   // amplitude of a wave, as a share of the rate
+	Hints         string  `toml:"hints"`   // estimates of a request's work that clients send: "none", "rough", "exact"
+	BodyBytes     int     `toml:"bodies"`  // bytes of the body of a write
+	AnswerBytes   int     `toml:"answers"` // bytes of the body of an answer
 }
 
 // Clients describes the behaviour of the clients.
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -298,7 +298,7 @@
 
 // messageBytes returns the mean size of a request or an answer on the wire.
 func (h *host) messageBytes() int {
-	return headerBytes + (h.scenario.Load.Bodies+h.scenario.Load.Answer)/2
+	return headerBytes + (h.scenario.Load.BodyBytes+h.scenario.Load.AnswerBytes)/2
 }
 
 // applyProcessFault begins or ends a fault of a sidecar's process.
