--- a/internal/lab/figures/figures.go
+++ b/internal/lab/figures/figures.go
@@ -386,7 +386,7 @@
 	x.Series = r.series
 	r.fleet.end(x)
 	r.ramp.end(x)
-	x.keep(&s.Keep)
+	x.keep(&s.Bounds)
 	return x
 }
 
@@ -405,7 +405,7 @@
 }
 
 // keep notes which of the demanded figures were missed.
-func (x *Result) keep(k *scenario.Keep) {
+func (x *Result) keep(k *scenario.Bounds) {
 	least := func(name string, got, want float64) {
 		if want > 0 && got < want {
 			x.Missed = append(x.Missed, fmt.Sprintf("%s %.3f is under %.3f", name, got, want))
@@ -416,22 +416,22 @@
 			x.Missed = append(x.Missed, fmt.Sprintf("%s %.3f is over %.3f", name, got, want))
 		}
 	}
-	least("service", x.Service, k.Service)
+	least("service", x.Service, k.MinService)
 	var names []string
-	for name := range k.Class {
+	for name := range k.MinClassService {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		least("service of "+name, x.Figures["service_"+name], k.Class[name])
+		least("service of "+name, x.Figures["service_"+name], k.MinClassService[name])
 	}
-	most("attempts a request", x.Figures["attempts_per_task"], k.Attempts)
-	most("share refused", x.Figures["refused"], k.Refused)
-	most("share failed", x.Figures["failed"], k.Failed)
-	most("connections opened a request", x.Figures["connects_per_task"], k.Handshakes)
-	most("share of crossings", x.Figures["crossings"], k.Crossings)
-	most("p99 in ms", x.Figures["p99_ms"], float64(k.P99.Micros())/1000)
-	x.keepFleet(k.Fleet)
+	most("attempts a request", x.Figures["attempts_per_task"], k.MaxAttempts)
+	most("share refused", x.Figures["refused"], k.MaxRejectedShare)
+	most("share failed", x.Figures["failed"], k.MaxFailedShare)
+	most("connections opened a request", x.Figures["connects_per_task"], k.MaxConnects)
+	most("share of crossings", x.Figures["crossings"], k.MaxCrossZoneShare)
+	most("p99 in ms", x.Figures["p99_ms"], float64(k.MaxP99.Micros())/1000)
+	x.keepFleet(k.MaxFleetFigures)
 }
 
 // Passed says whether the run kept the rules and its figures, and tells something at all.
--- a/internal/lab/scenario/read.go
+++ b/internal/lab/scenario/read.go
@@ -375,13 +375,13 @@
 				"%d is not a sidecar's number: there are %d", n, fleet.Sidecars)
 		}
 	}
-	fraction("keep.service", s.Keep.Service)
-	for name, most := range s.Keep.Fleet {
+	fraction("keep.service", s.Bounds.MinService)
+	for name, most := range s.Bounds.MaxFleetFigures {
 		_, known := FleetFigures[name]
 		require(known, "keep.fleet_most", "%q is not a figure of a fleet", name)
 		require(!known || most > 0, "keep.fleet_most", "%s: %v is not above 0", name, most)
 	}
-	for name := range s.Keep.Class {
+	for name := range s.Bounds.MinClassService {
 		require(names[name], "keep.class", "%q is not a class", name)
 	}
 	return errors.Join(errs...)
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -28,7 +28,7 @@
 	Rules     Rules     `toml:"rules"`
 	Limits    Limits    `toml:"limits"`
 	Faults    []Fault   `toml:"fault"`
-	Keep      Keep      `toml:"keep"` // bounds that the results of a run must meet
+	Bounds    Bounds    `toml:"keep"` // bounds that the results of a run must meet
 
 	Path    string         `toml:"-"` // of the file, for errors
 	Overlay map[string]any `toml:"-"` // settings of sidecars that an experiment overrides; nil for none
@@ -179,17 +179,17 @@
 	Repeat   int     `toml:"repeat"`   // number of occurrences
 }
 
-// Keep holds the bounds that the results of a run must meet. Zero is no bound.
-type Keep struct {
-	Service    float64            `toml:"service"`         // minimum service figure, 0 to 1
-	Class      map[string]float64 `toml:"class"`           // minimum service figure of a class, by its name
-	Attempts   float64            `toml:"attempts_most"`   // maximum of attempts per task
-	Refused    float64            `toml:"refused_most"`    // maximum share of requests that are rejected
-	Failed     float64            `toml:"failed_most"`     // maximum share of requests that fail
-	Handshakes float64            `toml:"handshakes_most"` // maximum of connections opened per task
-	Crossings  float64            `toml:"crossings_most"`  // maximum share of attempts that go to another zone
-	P99        Dur                `toml:"p99_most"`        // maximum 99th percentile of the latency of served requests
-	Fleet      map[string]float64 `toml:"fleet_most"`      // maximum of fleet figures, by their names in FleetFigures
+// Bounds holds the bounds that the results of a run must meet. Zero is no bound.
+type Bounds struct {
+	MinService        float64            `toml:"service"`         // minimum service figure, 0 to 1
+	MinClassService   map[string]float64 `toml:"class"`           // minimum service figure of a class, by its name
+	MaxAttempts       float64            `toml:"attempts_most"`   // maximum of attempts per task
+	MaxRejectedShare  float64            `toml:"refused_most"`    // maximum share of requests that are rejected
+	MaxFailedShare    float64            `toml:"failed_most"`     // maximum share of requests that fail
+	MaxConnects       float64            `toml:"handshakes_most"` // maximum of connections opened per task
+	MaxCrossZoneShare float64            `toml:"crossings_most"`  // maximum share of attempts that go to another zone
+	MaxP99            Dur                `toml:"p99_most"`        // maximum 99th percentile of the latency of served requests
+	MaxFleetFigures   map[string]float64 `toml:"fleet_most"`      // maximum of fleet figures, by their names in FleetFigures
 }
 
 // FleetFigures maps the names of the figures of a whole fleet that a scenario may bound to their descriptions. Each
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -82,8 +82,8 @@
 		s, err := Read(f)
 		if err != nil {
 			t.Error(err)
-		} else if s.Name+".toml" != filepath.Base(f) || s.Keep.Service == 0 || s.About == "" {
-			t.Errorf("%s: the name is %q and the bound on service %v, or there is no description", f, s.Name, s.Keep.Service)
+		} else if s.Name+".toml" != filepath.Base(f) || s.Bounds.MinService == 0 || s.About == "" {
+			t.Errorf("%s: the name is %q and the bound on service %v, or there is no description", f, s.Name, s.Bounds.MinService)
 		}
 	}
 }
--- a/internal/lab/sim/ramp_test.go
+++ b/internal/lab/sim/ramp_test.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Keep.Service = 0 // only the bounds on the work of cold servers count
+	s.Bounds.MinService = 0 // only the bounds on the work of cold servers count
 	trouble(s)
 	if err := errors.Join(s.SetServers(servers), s.SetSidecars(sidecars)); err != nil {
 		t.Fatal(err)
