--- a/internal/lab/model/faults.go
+++ b/internal/lab/model/faults.go
@@ -39,13 +39,13 @@
 // only recorded here, because Prepare has started their servers cold.
 func (w *World) scheduleFault(fault *scenario.Fault, number int) {
 	if fault.Kind == "cold" {
-		w.recordFault(fault, number, w.scenarioStart, fault.For.Micros())
+		w.recordFault(fault, number, w.scenarioStart, fault.Duration.Micros())
 		return
 	}
 	start := w.scenarioStart + fault.At.Micros()
 	for range fault.Repeat {
 		w.scheduleOccurrence(fault, number, start)
-		start += fault.For.Micros() + fault.Lag.Micros() + eventqueue.Second
+		start += fault.Duration.Micros() + fault.Lag.Micros() + eventqueue.Second
 	}
 }
 
@@ -65,7 +65,7 @@
 
 // scheduleOccurrence schedules one occurrence of a fault, which begins at start.
 func (w *World) scheduleOccurrence(fault *scenario.Fault, number int, start Micros) {
-	length, interval := fault.For.Micros(), fault.Every.Micros()
+	length, interval := fault.Duration.Micros(), fault.Interval.Micros()
 	targets := w.targets(fault)
 	discovery := &w.S.Discovery
 	lastServerDelay := Micros(len(targets)-1) * interval * boolToMicros(actsOnServers(fault))
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -253,7 +253,7 @@
 	heavyTailDraw := stream.Float64()
 	for i := range w.S.Faults {
 		fault := &w.S.Faults[i]
-		if fault.Kind == "heavy-tail" && offset >= fault.At.Micros() && offset < fault.At.Micros()+fault.For.Micros() &&
+		if fault.Kind == "heavy-tail" && offset >= fault.At.Micros() && offset < fault.At.Micros()+fault.Duration.Micros() &&
 			(fault.Class == "" || fault.Class == class.Name) && heavyTailDraw < fault.Share {
 			work *= fault.Factor
 		}
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -374,7 +374,7 @@
 		if !on {
 			return
 		}
-		end, every := r.q.Now()+f.For.Micros(), f.Every.Micros()
+		end, every := r.q.Now()+f.Duration.Micros(), f.Interval.Micros()
 		var again func()
 		again = func() {
 			l.Reset()
--- a/internal/lab/scenario/read.go
+++ b/internal/lab/scenario/read.go
@@ -358,8 +358,8 @@
 		_, known := FaultKinds[fault.Kind]
 		require(known, key("kind"), "%q is not a kind of fault", fault.Kind)
 		nonNegative(key("at"), fault.At)
-		nonNegative(key("for"), fault.For)
-		nonNegative(key("every"), fault.Every)
+		nonNegative(key("for"), fault.Duration)
+		nonNegative(key("every"), fault.Interval)
 		nonNegative(key("lag"), fault.Lag)
 		require(fault.At <= s.Length, key("at"), "is after the end")
 		require(fault.Factor > 0 && !math.IsInf(fault.Factor, 0), key("factor"), "%v is not above 0", fault.Factor)
@@ -407,7 +407,7 @@
 	factor := 1.0
 	for i := range s.Faults {
 		fault := &s.Faults[i]
-		if start := fault.At.Micros(); fault.affectsArrivals() && offset >= start && offset < start+fault.For.Micros() {
+		if start := fault.At.Micros(); fault.affectsArrivals() && offset >= start && offset < start+fault.Duration.Micros() {
 			switch fault.Kind {
 			case "burst":
 				factor *= fault.Factor
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -167,14 +167,14 @@
 type Fault struct {
 	Kind     string  `toml:"kind"`
 	At       Dur     `toml:"at"`       // start, from the start of the scenario
-	For      Dur     `toml:"for"`      // duration
+	Duration Dur     `toml:"for"`      // duration
 	Servers  []int   `toml:"servers"`  // numbers from 0; empty for those of Zone, or all
 	Zone     string  `toml:"zone"`     // empty for all
 	Share    float64 `toml:"share"`    // of the servers, of the sidecars, or of a class's requests
 	Sidecars []int   `toml:"sidecars"` // numbers from 0; empty for all
 	Class    string  `toml:"class"`    // empty for all
 	Factor   float64 `toml:"factor"`   // depends on the kind
-	Every    Dur     `toml:"every"`    // delay between one server and the next, or between resets of a link
+	Interval Dur     `toml:"every"`    // delay between one server and the next, or between resets of a link
 	Lag      Dur     `toml:"lag"`      // depends on the kind
 	Repeat   int     `toml:"repeat"`   // number of occurrences
 }
--- a/internal/lab/sim/ramp_test.go
+++ b/internal/lab/sim/ramp_test.go
@@ -31,7 +31,7 @@
 func addRepeatedKills(s *scenario.Scenario, share float64) {
 	s.Fleet.StateTransfer = "none"
 	s.Faults = append(s.Faults, scenario.Fault{
-		Kind: "kill", At: seconds(5.5), For: seconds(0.2), Share: share, Repeat: 12, Factor: 1})
+		Kind: "kill", At: seconds(5.5), Duration: seconds(0.2), Share: share, Repeat: 12, Factor: 1})
 }
 
 // addFailuresAndRetries makes a third of all attempts fail, has clients retry almost at once, and allows many attempts
@@ -39,7 +39,7 @@
 func addFailuresAndRetries(s *scenario.Scenario) {
 	s.Clients.Retries, s.Clients.Backoff, s.Clients.RetryAfterShare, s.Limits.MaxAttempts = 10, seconds(0.005), 0, 8
 	s.Faults = append(s.Faults, scenario.Fault{
-		Kind: "gray-errors", At: seconds(4), For: seconds(18), Share: 0.33, Repeat: 1, Factor: 1})
+		Kind: "gray-errors", At: seconds(4), Duration: seconds(18), Share: 0.33, Repeat: 1, Factor: 1})
 }
 
 // rampTroubles are the changes to the ramp scenario under which cold servers must not collapse. The scenario has a
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -274,7 +274,7 @@
 	case "half-close": // has no effect: no simulated connection is half-closed
 	case "reset":
 		l.resets += change
-		interval := fault.Every.Micros()
+		interval := fault.Interval.Micros()
 		var resetAgain func()
 		resetAgain = func() {
 			if l.resets == 0 {
@@ -318,7 +318,7 @@
 			successor.restore(process.module.Snapshot(process.now(), false))
 		}
 	case fault.Kind == "freeze" && on && process != nil:
-		process.frozenUntil = now + fault.For.Micros()
+		process.frozenUntil = now + fault.Duration.Micros()
 		recordState(trace.Gone)
 	case fault.Kind == "freeze" && process != nil:
 		h.queue.After(eventqueue.Second, func() { recordState(trace.Up) })
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -65,8 +65,8 @@
 			t.Fatal(err)
 		}
 		s.Faults = append(s.Faults,
-			scenario.Fault{Kind: "kill", At: s.Length / 3, For: s.Length / 10, Sidecars: []int{1}, Factor: 1, Repeat: 1},
-			scenario.Fault{Kind: "reset", At: s.Length / 2, For: s.Length / 10, Every: s.Length / 50, Factor: 1, Repeat: 1})
+			scenario.Fault{Kind: "kill", At: s.Length / 3, Duration: s.Length / 10, Sidecars: []int{1}, Factor: 1, Repeat: 1},
+			scenario.Fault{Kind: "reset", At: s.Length / 2, Duration: s.Length / 10, Interval: s.Length / 50, Factor: 1, Repeat: 1})
 		var sums [3]uint64
 		var texts [3][]byte
 		for i, seed := range []uint64{5, 5, 6} {
@@ -115,8 +115,8 @@
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
 			s := *base
-			s.Faults = []scenario.Fault{{Kind: kind, At: s.Length / 5, For: s.Length / 5, Factor: 3, Repeat: 1, Share: 0.5,
-				Lag: s.Length / 50, Every: s.Length / 50}}
+			s.Faults = []scenario.Fault{{Kind: kind, At: s.Length / 5, Duration: s.Length / 5, Factor: 3, Repeat: 1, Share: 0.5,
+				Lag: s.Length / 50, Interval: s.Length / 50}}
 			if kind == "bandwidth" || kind == "pieces" {
 				s.Faults[0].Factor, s.Faults[0].Lag = 2000, 1000
 			}
