--- a/cmd/birchmoor/labrun.go
+++ b/cmd/birchmoor/labrun.go
@@ -14,7 +14,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if !s.On(host) {
+	if !s.RunsOn(host) {
 		return nil, fmt.Errorf("%s: can be played by %v only", path, s.Hosts)
 	}
 	return s, nil
--- a/cmd/birchmoor/labsweep.go
+++ b/cmd/birchmoor/labsweep.go
@@ -143,7 +143,7 @@
 	}
 	servers := k.Servers
 	if len(servers) == 0 {
-		servers = []int{base.Total()}
+		servers = []int{base.ServerCount()}
 	}
 	var rows []*sweepRow
 	for _, m := range servers {
--- a/internal/lab/figures/figures.go
+++ b/internal/lab/figures/figures.go
@@ -170,7 +170,7 @@
 		r.spans = append(r.spans, newHist())
 		r.second = append(r.second, newHist())
 	}
-	for n := range min(s.Total(), gaugesMost) {
+	for n := range min(s.ServerCount(), gaugesMost) {
 		r.series.Servers = append(r.series.Servers, ServerSeries{Server: n})
 	}
 	return r
@@ -343,8 +343,8 @@
 func (r *Recorder) End(v *checker.Verdict) *Result {
 	r.turn()
 	s := r.s
-	x := &Result{Scenario: s.Name, About: s.About, Length: time.Duration(s.Length).Seconds(), Sidecars: s.Fleet.Sidecars,
-		Servers: s.Total(), Verdict: v, Worst10s: 1, Missed: []string{}, Figures: map[string]float64{}}
+	x := &Result{Scenario: s.Name, About: s.Description, Length: time.Duration(s.Length).Seconds(), Sidecars: s.Fleet.Sidecars,
+		Servers: s.ServerCount(), Verdict: v, Worst10s: 1, Missed: []string{}, Figures: map[string]float64{}}
 	var asked, earned float64
 	all := newHist()
 	for i, c := range r.byClass {
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -202,7 +202,7 @@
 				return
 			}
 			now := Micros(offset)
-			if stream.Bernoulli(w.S.Load.RateAt(offset/float64(length)) * w.S.Factor(now) / maxFactor) {
+			if stream.Bernoulli(w.S.Load.RateAt(offset/float64(length)) * w.S.ArrivalFactor(now) / maxFactor) {
 				count++
 				t := w.drawTask(sidecar, count, now)
 				w.Q.At(w.scenarioStart+now, func() {
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -69,7 +69,7 @@
 
 // Run plays a scenario. Whatever happens, no process and no listener is left when it returns.
 func Run(ctx context.Context, s *scenario.Scenario, o Options) (*figures.Result, error) {
-	if n := s.Fleet.Sidecars * s.Total(); n > linksMost {
+	if n := s.Fleet.Sidecars * s.ServerCount(); n > linksMost {
 		return nil, fmt.Errorf("%s: %d links of sidecars and servers are more than the %d that sockets can carry: use lab sim", s.Path, n, linksMost)
 	}
 	began := time.Now()
@@ -334,7 +334,7 @@
 
 // Fault begins or ends a fault of links or sidecars.
 func (r *rig) Fault(f *scenario.Fault, on bool) {
-	if f.OnLinks() {
+	if f.AffectsLinks() {
 		for _, l := range r.w.Links(f) {
 			r.linkFault(r.slots[l[1]].links[l[0]], f, on)
 		}
--- a/internal/lab/scenario/read.go
+++ b/internal/lab/scenario/read.go
@@ -177,7 +177,7 @@
 // servers, rounded by largest remainder, and at least one. It is an error if a fault names a server that no longer
 // exists.
 func (s *Scenario) SetServers(servers int) error {
-	total := s.Total()
+	total := s.ServerCount()
 	if servers == total {
 		return nil
 	}
@@ -401,9 +401,9 @@
 	return 1
 }
 
-// Factor returns the factor by which faults change the rate of arrivals at an instant, in microseconds from the start
+// ArrivalFactor returns the factor by which faults change the rate of arrivals at an instant, in microseconds from the start
 // of the scenario: 0 during a fault of kind asleep, and above 1 in a burst.
-func (s *Scenario) Factor(offset int64) float64 {
+func (s *Scenario) ArrivalFactor(offset int64) float64 {
 	factor := 1.0
 	for i := range s.Faults {
 		fault := &s.Faults[i]
@@ -419,8 +419,8 @@
 	return factor
 }
 
-// Total returns the number of servers of all kinds.
-func (s *Scenario) Total() int {
+// ServerCount returns the number of servers of all kinds.
+func (s *Scenario) ServerCount() int {
 	total := 0
 	for i := range s.Servers {
 		total += s.Servers[i].Count
@@ -428,5 +428,5 @@
 	return total
 }
 
-// On reports whether a host, "run" or "sim", can run the scenario.
-func (s *Scenario) On(host string) bool { return slices.Contains(s.Hosts, host) }
+// RunsOn reports whether a host, "run" or "sim", can run the scenario.
+func (s *Scenario) RunsOn(host string) bool { return slices.Contains(s.Hosts, host) }
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -14,21 +14,21 @@
 
 // Scenario is the content of a scenario file.
 type Scenario struct {
-	Name      string    `toml:"name"`
-	About     string    `toml:"about"`
-	Length    Dur       `toml:"length"` // time over which requests arrive
-	Hosts     []string  `toml:"hosts"`  // "run" (real time), "sim" (virtual time): hosts that can run it; empty for both
-	Fleet     Fleet     `toml:"fleet"`
-	Servers   []Servers `toml:"servers"` // one entry per kind
-	Classes   []Class   `toml:"class"`
-	Load      Load      `toml:"load"`
-	Clients   Clients   `toml:"clients"`
-	Net       Net       `toml:"net"`
-	Discovery Discovery `toml:"discovery"`
-	Rules     Rules     `toml:"rules"`
-	Limits    Limits    `toml:"limits"`
-	Faults    []Fault   `toml:"fault"`
-	Bounds    Bounds    `toml:"keep"` // bounds that the results of a run must meet
+	Name        string    `toml:"name"`
+	Description string    `toml:"about"`
+	Length      Dur       `toml:"length"` // time over which requests arrive
+	Hosts       []string  `toml:"hosts"`  // "run" (real time), "sim" (virtual time): hosts that can run it; empty for both
+	Fleet       Fleet     `toml:"fleet"`
+	Servers     []Servers `toml:"servers"` // one entry per kind
+	Classes     []Class   `toml:"class"`
+	Load        Load      `toml:"load"`
+	Clients     Clients   `toml:"clients"`
+	Net         Net       `toml:"net"`
+	Discovery   Discovery `toml:"discovery"`
+	Rules       Rules     `toml:"rules"`
+	Limits      Limits    `toml:"limits"`
+	Faults      []Fault   `toml:"fault"`
+	Bounds      Bounds    `toml:"keep"` // bounds that the results of a run must meet
 
 	Path    string         `toml:"-"` // of the file, for errors
 	Overlay map[string]any `toml:"-"` // settings of sidecars that an experiment overrides; nil for none
@@ -269,8 +269,8 @@
 	return f.Kind == "burst" || f.Kind == "heavy-tail" || f.Kind == "asleep"
 }
 
-// OnLinks reports whether the fault affects links between sidecars and servers.
-func (f *Fault) OnLinks() bool {
+// AffectsLinks reports whether the fault affects links between sidecars and servers.
+func (f *Fault) AffectsLinks() bool {
 	switch f.Kind {
 	case "black-hole", "reset", "delay", "bandwidth", "pieces", "half-close":
 		return true
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Total() != 2 || s.Classes[0].LatencyObjective != Dur(400*time.Millisecond) || !s.On("run") || !s.On("sim") ||
+	if s.ServerCount() != 2 || s.Classes[0].LatencyObjective != Dur(400*time.Millisecond) || !s.RunsOn("run") || !s.RunsOn("sim") ||
 		s.Fleet.Sidecars != 2 {
 		t.Errorf("defaults: %+v", s)
 	}
@@ -82,7 +82,7 @@
 		s, err := Read(f)
 		if err != nil {
 			t.Error(err)
-		} else if s.Name+".toml" != filepath.Base(f) || s.Bounds.MinService == 0 || s.About == "" {
+		} else if s.Name+".toml" != filepath.Base(f) || s.Bounds.MinService == 0 || s.Description == "" {
 			t.Errorf("%s: the name is %q and the bound on service %v, or there is no description", f, s.Name, s.Bounds.MinService)
 		}
 	}
@@ -93,7 +93,7 @@
 	f.Add(valid + "[[fault]]\nkind = \"burst\"\nat = \"1s\"\nfor = \"1s\"\nfactor = 2.0\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		s, err := Parse("x.toml", []byte(text))
-		if err == nil && (s.Load.Rate <= 0 || s.Total() < 1 || s.Length <= 0) {
+		if err == nil && (s.Load.Rate <= 0 || s.ServerCount() < 1 || s.Length <= 0) {
 			t.Errorf("Parse accepted an invalid scenario: %+v", s)
 		}
 	})
@@ -109,12 +109,12 @@
 			t.Fatal(err)
 		}
 		s.Faults = nil // they name servers that smaller numbers do not have
-		each := s.Load.Rate / float64(s.Total())
+		each := s.Load.Rate / float64(s.ServerCount())
 		if err := s.SetServers(n); err != nil {
 			t.Fatal(n, err)
 		}
 		got := [3]int{s.Servers[0].Count, s.Servers[1].Count, s.Servers[2].Count}
-		if s.Total() != n || got != want && n != 11 && n != 7 || math.Abs(s.Load.Rate/float64(n)-each) > 1e-9 {
+		if s.ServerCount() != n || got != want && n != 11 && n != 7 || math.Abs(s.Load.Rate/float64(n)-each) > 1e-9 {
 			t.Errorf("%d servers: %v by kind, %v requests per second and server", n, got, s.Load.Rate/float64(n))
 		}
 	}
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -233,7 +233,7 @@
 
 // Fault begins or ends a fault of links or sidecars.
 func (h *host) Fault(fault *scenario.Fault, on bool) {
-	if fault.OnLinks() {
+	if fault.AffectsLinks() {
 		for _, ends := range h.world.Links(fault) {
 			h.linkOf(ends[0], ends[1]).apply(h, ends, fault, on)
 		}
