--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -13,19 +13,19 @@
 
 // fakeHost is a host without sidecars. It passes clients' requests to answer; without it, requests get no answer.
 type fakeHost struct {
-	answer       func(*Try)
+	answer       func(*Request)
 	updates      []Update
 	endedWatches int
 	abandoned    int
 	faults       []string
 }
 
-func (n *fakeHost) Ask(y *Try) {
+func (n *fakeHost) Ask(y *Request) {
 	if n.answer != nil {
 		n.answer(y)
 	}
 }
-func (n *fakeHost) GiveUp(*Try)       { n.abandoned++ }
+func (n *fakeHost) GiveUp(*Request)   { n.abandoned++ }
 func (n *fakeHost) ServerStarted(int) {}
 func (n *fakeHost) ServerStopped(int) {}
 func (n *fakeHost) Fault(f *scenario.Fault, on bool) {
@@ -309,10 +309,10 @@
 
 // Arrivals depend on the seed alone: not on the outcomes of earlier requests, nor on draws from other streams.
 func TestArrivalsAreOpenLoop(t *testing.T) {
-	arrivals := func(text string, answer func(*World, *Try)) (list []string) {
+	arrivals := func(text string, answer func(*World, *Request)) (list []string) {
 		w, h, events := newWorld(t, twoServers+"[load]\nrate = 50.0\n[fleet]\nsidecars = 2\n"+text)
 		if answer != nil {
-			h.answer = func(request *Try) { answer(w, request) }
+			h.answer = func(request *Request) { answer(w, request) }
 		}
 		w.Begin()
 		runUntil(t, w, 30*eventqueue.Second)
@@ -324,7 +324,7 @@
 		return list
 	}
 	alone := arrivals("", nil)
-	served := arrivals("[net]\nsame = \"1ms\"\n", func(w *World, request *Try) {
+	served := arrivals("[net]\nsame = \"1ms\"\n", func(w *World, request *Request) {
 		w.Q.After(1000, func() { w.Answer(request, w.Q.Now(), trace.Refused, 5000) })
 	})
 	if len(alone) < 800 || len(alone) > 1200 || len(alone) != len(served) {
@@ -344,7 +344,7 @@
 		safe, paid int // requests per task, in a safe class and in an unsafe one
 	}{{trace.Served, 1, 1}, {trace.Refused, 3, 3}, {trace.Failed, 3, 1}} {
 		w, h, list := newWorld(t, twoServers+"[load]\nrate = 20.0\n[clients]\nretries = 2\nbackoff = \"1ms\"\n")
-		h.answer = func(y *Try) { w.Q.After(1000, func() { w.Answer(y, w.Q.Now(), c.v, 0) }) }
+		h.answer = func(y *Request) { w.Q.After(1000, func() { w.Answer(y, w.Q.Now(), c.v, 0) }) }
 		w.Begin()
 		runUntil(t, w, 30*eventqueue.Second)
 		tries := map[uint64]int{}
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -17,8 +17,8 @@
 
 // Host connects the world to the sidecars. Its methods are called on the queue's goroutine and must not block.
 type Host interface {
-	Ask(*Try)                                 // a client sends a request to its sidecar
-	GiveUp(*Try)                              // a client stops waiting for the answer to its request
+	Ask(*Request)                             // a client sends a request to its sidecar
+	GiveUp(*Request)                          // a client stops waiting for the answer to its request
 	ServerStarted(server int)                 //
 	ServerStopped(server int)                 // the server's process ended, and its connections are reset
 	Fault(f *scenario.Fault, on bool)         // a fault of links or of sidecars begins or ends
@@ -49,30 +49,30 @@
 	tasks            uint64
 }
 
-// Try is one request of a client: the first one of its task, or a retry by the client.
-type Try struct {
+// Request is one request of a client: the first one of its task, or a retry by the client.
+type Request struct {
 	ID   uint64
 	Task *Task
 	// Number is 0 for the first request of the task and counts the client's retries from there.
 	Number       int
-	Asked        Micros // instant at which the client sends the request
-	Due          Micros // instant at which the client times out
-	Patient      Micros // the client's timeout: Due minus Asked
+	SentAt       Micros // instant at which the client sends the request
+	Deadline     Micros // instant at which the client times out
+	Timeout      Micros // the client's timeout: Due minus Asked
 	done         bool
 	timeoutEvent *eventqueue.Event
 
-	Host any // state of the host; the model does not use it
+	HostState any // state of the host; the model does not use it
 }
 
 // Task is an operation that a client wants done. A client sends a request for it, and may send it again.
 type Task struct {
-	ID      uint64
-	Sidecar int
-	Class   int
-	At      Micros // arrival
-	Work    Micros // service time on a core of speed 1
-	Hint    Micros // estimate of Work that the client sends along; 0 for none
-	GiveUp  Micros // deadline of the task
+	ID        uint64
+	Sidecar   int
+	Class     int
+	ArrivedAt Micros // arrival
+	Work      Micros // service time on a core of speed 1
+	Hint      Micros // estimate of Work that the client sends along; 0 for none
+	Deadline  Micros // deadline of the task
 
 	stream randstream.Stream
 }
@@ -234,7 +234,7 @@
 // drawTask draws the task of an arrival, which is the given number of its sidecar. The offset counts from the origin.
 func (w *World) drawTask(sidecar int, number uint64, offset Micros) *Task {
 	stream := w.Seed.Stream("task", uint64(sidecar), number)
-	task := &Task{ID: uint64(sidecar)<<32 | number, Sidecar: sidecar, At: w.scenarioStart + offset, stream: stream}
+	task := &Task{ID: uint64(sidecar)<<32 | number, Sidecar: sidecar, ArrivedAt: w.scenarioStart + offset, stream: stream}
 	pick := stream.Float64() * w.cumulativeShares[len(w.cumulativeShares)-1]
 	for task.Class < len(w.cumulativeShares)-1 && pick >= w.cumulativeShares[task.Class] {
 		task.Class++
@@ -265,12 +265,12 @@
 	case "rough":
 		task.Hint = max(1, Micros(work*stream.Lognormal(1, 0.5)))
 	}
-	task.GiveUp = task.At + class.Timeout.Micros()
+	task.Deadline = task.ArrivedAt + class.Timeout.Micros()
 	return task
 }
 
-// TryBits is the number of low bits of a request's ID that hold the request's number within its task.
-const TryBits = 4
+// RequestNumberBits is the number of low bits of a request's ID that hold the request's number within its task.
+const RequestNumberBits = 4
 
 // sendRequest sends the next request of a task, unless less than half of a request's timeout is left until the task's
 // deadline: the task ends then.
@@ -278,16 +278,16 @@
 	now := w.Q.Now()
 	class := &w.S.Classes[task.Class]
 	timeout := Micros(w.S.Clients.RequestTimeoutShare * float64(class.Timeout.Micros()))
-	if now >= task.GiveUp-timeout/2 {
+	if now >= task.Deadline-timeout/2 {
 		w.openTasks--
 		return
 	}
-	request := &Try{ID: task.ID<<TryBits | uint64(number), Task: task, Number: number, Asked: now,
-		Due: now + min(timeout, task.GiveUp-now)}
-	request.Patient = request.Due - now
+	request := &Request{ID: task.ID<<RequestNumberBits | uint64(number), Task: task, Number: number, SentAt: now,
+		Deadline: now + min(timeout, task.Deadline-now)}
+	request.Timeout = request.Deadline - now
 	w.emit(trace.Event{At: now, Kind: trace.Asked, Request: request.ID, Task: task.ID, Class: uint8(task.Class),
-		Sidecar: int32(task.Sidecar), Work: task.Work, Due: request.Due, Retry: number > 0})
-	request.timeoutEvent = w.Q.At(request.Due+w.answerGrace(), func() {
+		Sidecar: int32(task.Sidecar), Work: task.Work, Due: request.Deadline, Retry: number > 0})
+	request.timeoutEvent = w.Q.At(request.Deadline+w.answerGrace(), func() {
 		if !request.done {
 			request.done = true
 			w.emit(trace.Event{At: w.Q.Now(), Kind: trace.Left, Request: request.ID})
@@ -302,7 +302,7 @@
 func (w *World) answerGrace() Micros { return 70_000 }
 
 // Answer records that a client has received a complete answer. The client retries, or its task ends.
-func (w *World) Answer(request *Try, at Micros, verdict trace.Verdict, retryAfter Micros) {
+func (w *World) Answer(request *Request, at Micros, verdict trace.Verdict, retryAfter Micros) {
 	if request.done {
 		// It is a second answer, or arrived after the client had stopped waiting. The trace gets it all the same.
 		w.emit(trace.Event{At: at, Kind: trace.Answered, Request: request.ID, Verdict: verdict})
@@ -314,9 +314,9 @@
 	w.retryOrEnd(request, verdict, retryAfter)
 }
 
-// CutOff records that the sidecar closed a client's connection without an answer. With neverAccepted, no sidecar had
+// ConnectionClosed records that the sidecar closed a client's connection without an answer. With neverAccepted, no sidecar had
 // accepted the request, so that a retry cannot execute it twice.
-func (w *World) CutOff(request *Try, at Micros, neverAccepted bool) {
+func (w *World) ConnectionClosed(request *Request, at Micros, neverAccepted bool) {
 	if request.done {
 		return
 	}
@@ -333,7 +333,7 @@
 
 // retryOrEnd schedules the client's retry after a request that ended with the verdict, or ends the task. There is no
 // retry after the last one, nor after a failure in a class that must not execute twice.
-func (w *World) retryOrEnd(request *Try, verdict trace.Verdict, retryAfter Micros) {
+func (w *World) retryOrEnd(request *Request, verdict trace.Verdict, retryAfter Micros) {
 	task, clients := request.Task, &w.S.Clients
 	unsafe := w.S.Classes[task.Class].NotIdempotent
 	if verdict == trace.Served || verdict == trace.Foreign || request.Number >= clients.Retries ||
--- a/internal/lab/rig/client.go
+++ b/internal/lab/rig/client.go
@@ -95,7 +95,7 @@
 }
 
 // text is a request as it goes over the socket.
-func (k *callers) text(y *model.Try, id string) string {
+func (k *callers) text(y *model.Request, id string) string {
 	t := y.Task
 	c := &k.r.s.Classes[t.Class]
 	var b strings.Builder
@@ -104,7 +104,7 @@
 		method = "POST"
 	}
 	fmt.Fprintf(&b, "%s /%s/%s HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Expires-In-Ms: %d\r\n",
-		method, c.Name, id, id, c.Name, y.Patient/1000)
+		method, c.Name, id, id, c.Name, y.Timeout/1000)
 	if t.Hint > 0 {
 		fmt.Fprintf(&b, "X-Size-Hint: %d\r\n", t.Hint)
 	}
@@ -120,21 +120,21 @@
 }
 
 // ask sends a request and reports what came of it.
-func (k *callers) ask(y *model.Try, f *flight) {
+func (k *callers) ask(y *model.Request, f *flight) {
 	id := fmt.Sprintf("%016x", y.ID)
 	r := k.r
 	stop := context.AfterFunc(r.ctx, f.leave) // a run that ends waits for nobody
 	defer stop()
 	cut := func(unheard bool) {
 		at := time.Now()
-		r.post(func() { r.w.CutOff(y, r.at(at), unheard) })
+		r.post(func() { r.w.ConnectionClosed(y, r.at(at), unheard) })
 	}
 	select {
 	case k.most <- struct{}{}:
 		defer func() { <-k.most }()
 	case <-r.ctx.Done():
 		return
-	case <-time.After(time.Duration(y.Patient) * time.Microsecond):
+	case <-time.After(time.Duration(y.Timeout) * time.Microsecond):
 		return // the client has no connection left; its time-out is told by the model
 	}
 	c, kept, err := k.get()
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -58,7 +58,7 @@
 	wg      sync.WaitGroup
 
 	// Of the queue's goroutine.
-	tries   map[uint64]*model.Try
+	tries   map[uint64]*model.Request
 	asked   int
 	spoiled string
 	crashed []string
@@ -73,7 +73,7 @@
 		return nil, fmt.Errorf("%s: %d links of sidecars and servers are more than the %d that sockets can carry: use lab sim", s.Path, n, linksMost)
 	}
 	began := time.Now()
-	r := &rig{s: s, bin: o.Bin, dir: o.Dir, tries: map[uint64]*model.Try{}}
+	r := &rig{s: s, bin: o.Bin, dir: o.Dir, tries: map[uint64]*model.Request{}}
 	r.ctx, r.cancel = context.WithCancelCause(ctx)
 	if r.dir == "" {
 		dir, err := os.MkdirTemp("", "birchmoor-lab-")
@@ -262,10 +262,10 @@
 // ---- The world's words -----------------------------------------------------
 
 // Ask has a client send its request.
-func (r *rig) Ask(y *model.Try) {
+func (r *rig) Ask(y *model.Request) {
 	r.asked++
 	f := &flight{}
-	y.Host = f
+	y.HostState = f
 	r.tries[y.ID] = y
 	k := r.clients[y.Task.Sidecar]
 	r.wg.Go(func() { k.ask(y, f) })
@@ -273,8 +273,8 @@
 }
 
 // GiveUp has a client close its connection.
-func (r *rig) GiveUp(y *model.Try) {
-	if f, ok := y.Host.(*flight); ok {
+func (r *rig) GiveUp(y *model.Request) {
+	if f, ok := y.HostState.(*flight); ok {
 		f.leave()
 	}
 }
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -33,7 +33,7 @@
 // call is a client's request at its sidecar.
 type call struct {
 	node         *node
-	request      *model.Try
+	request      *model.Request
 	id           uint64
 	deadline     Micros
 	attempts     []*attempt
@@ -162,7 +162,7 @@
 	for _, c := range callsByID(n.calls) {
 		if !c.ended {
 			try := c.request
-			n.host.queue.After(clientDelay, func() { n.host.world.CutOff(try, n.host.queue.Now(), false) })
+			n.host.queue.After(clientDelay, func() { n.host.world.ConnectionClosed(try, n.host.queue.Now(), false) })
 		}
 		for _, a := range c.attempts {
 			if !a.done {
@@ -241,14 +241,14 @@
 // ---- Clients ---------------------------------------------------------------
 
 // accept takes a client's request. A retired process passes it on to its successor.
-func (n *node) accept(request *model.Try) {
+func (n *node) accept(request *model.Request) {
 	if n.retired && n.successor != nil && !n.successor.dead {
 		n.successor.whenRunnable(func() { n.successor.accept(request) })
 		return
 	}
 	n.lastID++
-	accepted := &call{node: n, request: request, id: n.lastID, deadline: n.host.queue.Now() + request.Patient}
-	request.Host = accepted
+	accepted := &call{node: n, request: request, id: n.lastID, deadline: n.host.queue.Now() + request.Timeout}
+	request.HostState = accepted
 	n.calls[accepted.id] = accepted
 	task := request.Task
 	n.module.Request(n.now(), balancer.Request{ID: accepted.id, Deadline: clockOrigin + accepted.deadline,
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -148,11 +148,11 @@
 // ---- Calls of the world ----------------------------------------------------
 
 // Ask delivers a client's request to its sidecar. The client's connection is refused while no process runs.
-func (h *host) Ask(request *model.Try) {
+func (h *host) Ask(request *model.Request) {
 	h.requestCount++
 	process := h.nodes[request.Task.Sidecar]
 	if process == nil {
-		h.queue.After(clientDelay, func() { h.world.CutOff(request, h.queue.Now(), true) })
+		h.queue.After(clientDelay, func() { h.world.ConnectionClosed(request, h.queue.Now(), true) })
 		return
 	}
 	h.queue.After(clientDelay, func() {
@@ -166,8 +166,8 @@
 }
 
 // GiveUp tells a sidecar that the client of a request has disconnected.
-func (h *host) GiveUp(request *model.Try) {
-	if accepted, ok := request.Host.(*call); ok {
+func (h *host) GiveUp(request *model.Request) {
+	if accepted, ok := request.HostState.(*call); ok {
 		h.queue.After(clientDelay, func() { accepted.node.whenRunnable(func() { accepted.node.clientLeft(accepted) }) })
 	}
 }
