--- a/internal/lab/model/discovery.go
+++ b/internal/lab/model/discovery.go
@@ -108,7 +108,7 @@
 }
 
 func (d *Discovery) sendUpdate(sidecar int, update Update) {
-	d.world.host.Update(sidecar, update, func() { d.recordUpdate(sidecar, update) })
+	d.world.host.SendUpdate(sidecar, update, func() { d.recordUpdate(sidecar, update) })
 }
 
 // recordUpdate records an update that a sidecar has been sent. It records servers that a full list omits as gone.
--- a/internal/lab/model/faults.go
+++ b/internal/lab/model/faults.go
@@ -125,12 +125,12 @@
 		}
 		toggle(func(s *Server, on bool) {
 			if on {
-				w.host.Operate(s.Number, true)
+				w.host.SetAdministrativeDrain(s.Number, true)
 				w.Q.After(min(stopDelay, length/2), func() { w.restart(s) })
 				w.Disc.scheduleChange(s.Number, trace.Up, w.Q.Now()+min(stopDelay, length/2),
 					min(stopDelay, length/2)+discovery.AddDelay.Micros())
 			} else {
-				w.host.Operate(s.Number, false)
+				w.host.SetAdministrativeDrain(s.Number, false)
 			}
 		})
 	case "hang":
@@ -165,8 +165,8 @@
 		})
 	case "burst", "heavy-tail": // applied when arrivals are drawn
 	default:
-		w.Q.At(start, func() { w.host.Fault(fault, true) })
-		w.Q.At(start+length, func() { w.host.Fault(fault, false) })
+		w.Q.At(start, func() { w.host.SetFault(fault, true) })
+		w.Q.At(start+length, func() { w.host.SetFault(fault, false) })
 	}
 }
 
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -20,22 +20,25 @@
 	faults       []string
 }
 
-func (n *fakeHost) Ask(y *Request) {
+func (n *fakeHost) SendRequest(y *Request) {
 	if n.answer != nil {
 		n.answer(y)
 	}
 }
-func (n *fakeHost) GiveUp(*Request)   { n.abandoned++ }
-func (n *fakeHost) ServerStarted(int) {}
-func (n *fakeHost) ServerStopped(int) {}
-func (n *fakeHost) Fault(f *scenario.Fault, on bool) {
+func (n *fakeHost) AbandonRequest(*Request) { n.abandoned++ }
+func (n *fakeHost) ServerStarted(int)       {}
+func (n *fakeHost) ServerStopped(int)       {}
+func (n *fakeHost) SetFault(f *scenario.Fault, on bool) {
 	n.faults = append(n.faults, fmt.Sprint(f.Kind, on))
 }
-func (n *fakeHost) Operate(server int, out bool) {
+func (n *fakeHost) SetAdministrativeDrain(server int, out bool) {
 	n.faults = append(n.faults, fmt.Sprint(server, out))
 }
-func (n *fakeHost) Update(_ int, u Update, after Told) { n.updates = append(n.updates, u); after() }
-func (n *fakeHost) WatchEnded(int)                     { n.endedWatches++ }
+func (n *fakeHost) SendUpdate(_ int, u Update, after UpdateSent) {
+	n.updates = append(n.updates, u)
+	after()
+}
+func (n *fakeHost) WatchEnded(int) { n.endedWatches++ }
 func (n *fakeHost) appendTo(list *[]trace.Event) trace.Sink {
 	return trace.Func(func(e trace.Event) { *list = append(*list, e) })
 }
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -17,19 +17,19 @@
 
 // Host connects the world to the sidecars. Its methods are called on the queue's goroutine and must not block.
 type Host interface {
-	Ask(*Request)                             // a client sends a request to its sidecar
-	GiveUp(*Request)                          // a client stops waiting for the answer to its request
-	ServerStarted(server int)                 //
-	ServerStopped(server int)                 // the server's process ended, and its connections are reset
-	Fault(f *scenario.Fault, on bool)         // a fault of links or of sidecars begins or ends
-	Operate(server int, out bool)             // operators begin or end a server's administrative drain, at all sidecars
-	Update(sidecar int, u Update, after Told) // discovery sends an update on an open watch
-	WatchEnded(sidecar int)                   // discovery ends the watch of a sidecar, for an outage
+	SendRequest(*Request)                               // a client sends a request to its sidecar
+	AbandonRequest(*Request)                            // a client stops waiting for the answer to its request
+	ServerStarted(server int)                           //
+	ServerStopped(server int)                           // the server's process ended, and its connections are reset
+	SetFault(f *scenario.Fault, on bool)                // a fault of links or of sidecars begins or ends
+	SetAdministrativeDrain(server int, out bool)        // operators begin or end a server's administrative drain, at all sidecars
+	SendUpdate(sidecar int, u Update, after UpdateSent) // discovery sends an update on an open watch
+	WatchEnded(sidecar int)                             // discovery ends the watch of a sidecar, for an outage
 }
 
-// Told is the callback of Host.Update. The host calls it once it has sent the update to the sidecar; the trace records
+// UpdateSent is the callback of Host.Update. The host calls it once it has sent the update to the sidecar; the trace records
 // the update at that instant.
-type Told func()
+type UpdateSent func()
 
 // World is the whole system except the sidecars. Its state belongs to the queue's goroutine.
 type World struct {
@@ -291,11 +291,11 @@
 		if !request.done {
 			request.done = true
 			w.emit(trace.Event{At: w.Q.Now(), Kind: trace.Left, Request: request.ID})
-			w.host.GiveUp(request)
+			w.host.AbandonRequest(request)
 			w.retryOrEnd(request, trace.Failed, 0)
 		}
 	})
-	w.host.Ask(request)
+	w.host.SendRequest(request)
 }
 
 // answerGrace returns how long after its timeout a client still accepts an answer that is on its way.
--- a/internal/lab/rig/discovery.go
+++ b/internal/lab/rig/discovery.go
@@ -57,7 +57,7 @@
 // word is what goes out on a watch.
 type word struct {
 	u    model.Update
-	told model.Told
+	told model.UpdateSent
 	end  bool
 }
 
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -261,8 +261,8 @@
 
 // ---- The world's words -----------------------------------------------------
 
-// Ask has a client send its request.
-func (r *rig) Ask(y *model.Request) {
+// SendRequest has a client send its request.
+func (r *rig) SendRequest(y *model.Request) {
 	r.asked++
 	f := &flight{}
 	y.HostState = f
@@ -272,8 +272,8 @@
 	r.q.After(60*eventqueue.Second, func() { delete(r.tries, y.ID) })
 }
 
-// GiveUp has a client close its connection.
-func (r *rig) GiveUp(y *model.Request) {
+// AbandonRequest has a client close its connection.
+func (r *rig) AbandonRequest(y *model.Request) {
 	if f, ok := y.HostState.(*flight); ok {
 		f.leave()
 	}
@@ -289,16 +289,16 @@
 // ServerStopped breaks a server's connections.
 func (r *rig) ServerStopped(server int) { r.slots[server].stop() }
 
-// Update sends discovery's word on a watch.
-func (r *rig) Update(sidecar int, u model.Update, told model.Told) {
+// SendUpdate sends discovery's word on a watch.
+func (r *rig) SendUpdate(sidecar int, u model.Update, told model.UpdateSent) {
 	r.desks[sidecar].say(word{u: u, told: told})
 }
 
 // WatchEnded ends a watch.
 func (r *rig) WatchEnded(sidecar int) { r.desks[sidecar].say(word{end: true}) }
 
-// Operate has operators take a server out at all sidecars, or call it back.
-func (r *rig) Operate(server int, out bool) {
+// SetAdministrativeDrain has operators take a server out at all sidecars, or call it back.
+func (r *rig) SetAdministrativeDrain(server int, out bool) {
 	line, state := "maint-off ", trace.Released
 	if out {
 		line, state = "maint-on ", trace.Banned
@@ -332,8 +332,8 @@
 	}
 }
 
-// Fault begins or ends a fault of links or sidecars.
-func (r *rig) Fault(f *scenario.Fault, on bool) {
+// SetFault begins or ends a fault of links or sidecars.
+func (r *rig) SetFault(f *scenario.Fault, on bool) {
 	if f.AffectsLinks() {
 		for _, l := range r.w.Links(f) {
 			r.linkFault(r.slots[l[1]].links[l[0]], f, on)
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -147,8 +147,8 @@
 
 // ---- Calls of the world ----------------------------------------------------
 
-// Ask delivers a client's request to its sidecar. The client's connection is refused while no process runs.
-func (h *host) Ask(request *model.Request) {
+// SendRequest delivers a client's request to its sidecar. The client's connection is refused while no process runs.
+func (h *host) SendRequest(request *model.Request) {
 	h.requestCount++
 	process := h.nodes[request.Task.Sidecar]
 	if process == nil {
@@ -165,8 +165,8 @@
 	})
 }
 
-// GiveUp tells a sidecar that the client of a request has disconnected.
-func (h *host) GiveUp(request *model.Request) {
+// AbandonRequest tells a sidecar that the client of a request has disconnected.
+func (h *host) AbandonRequest(request *model.Request) {
 	if accepted, ok := request.HostState.(*call); ok {
 		h.queue.After(clientDelay, func() { accepted.node.whenRunnable(func() { accepted.node.clientLeft(accepted) }) })
 	}
@@ -193,8 +193,8 @@
 	return list
 }
 
-// Operate begins or ends the administrative drain of a server, at all sidecars.
-func (h *host) Operate(server int, out bool) {
+// SetAdministrativeDrain begins or ends the administrative drain of a server, at all sidecars.
+func (h *host) SetAdministrativeDrain(server int, out bool) {
 	h.drained[server] = out
 	state := trace.Released
 	if out {
@@ -214,8 +214,8 @@
 	}
 }
 
-// Update sends an update of discovery to all processes of a sidecar, also to those that drain.
-func (h *host) Update(sidecar int, update model.Update, told model.Told) {
+// SendUpdate sends an update of discovery to all processes of a sidecar, also to those that drain.
+func (h *host) SendUpdate(sidecar int, update model.Update, told model.UpdateSent) {
 	told()
 	for _, process := range h.processes() {
 		if process.number == sidecar {
@@ -231,8 +231,8 @@
 	}
 }
 
-// Fault begins or ends a fault of links or sidecars.
-func (h *host) Fault(fault *scenario.Fault, on bool) {
+// SetFault begins or ends a fault of links or sidecars.
+func (h *host) SetFault(fault *scenario.Fault, on bool) {
 	if fault.AffectsLinks() {
 		for _, ends := range h.world.Links(fault) {
 			h.linkOf(ends[0], ends[1]).apply(h, ends, fault, on)
