--- a/internal/lab/model/discovery.go
+++ b/internal/lab/model/discovery.go
@@ -49,10 +49,10 @@
 	servers := len(w.Servers)
 	d := &Discovery{world: w, stream: w.Seed.Stream("discovery"), generation: firstGeneration,
 		entries: make([]Entry, servers), changedGenerations: make([]int64, servers), watches: map[int]*watch{},
-		updateDelays: make([]Micros, w.S.Fleet.Sidecars)}
+		updateDelays: make([]Micros, w.Scenario.Fleet.Sidecars)}
 	stream := w.Seed.Stream("late")
 	for i := range d.updateDelays {
-		d.updateDelays[i] = Micros(stream.Float64() * float64(w.S.Discovery.MaxUpdateDelay.Micros()))
+		d.updateDelays[i] = Micros(stream.Float64() * float64(w.Scenario.Discovery.MaxUpdateDelay.Micros()))
 	}
 	return d
 }
@@ -61,7 +61,7 @@
 func (d *Discovery) addInitial(server int, alreadyWarm bool) {
 	entry := Entry{Server: server, State: trace.Up}
 	if !alreadyWarm {
-		entry.Started = max(1, d.world.Q.Now())
+		entry.Started = max(1, d.world.Queue.Now())
 	}
 	d.entries[server], d.changedGenerations[server] = entry, d.generation
 }
@@ -70,7 +70,7 @@
 // the change on all open watches. The start is used with state Up only; other states keep the start that was listed.
 func (d *Discovery) scheduleChange(server int, state trace.State, started, lag Micros) {
 	lag = Micros(float64(lag)*(0.7+0.6*d.stream.Float64())) + d.extraLag
-	d.world.Q.After(lag, func() {
+	d.world.Queue.After(lag, func() {
 		d.generation++
 		entry := Entry{Server: server, State: state, Started: started}
 		if state != trace.Up {
@@ -99,7 +99,7 @@
 		return
 	}
 	callCount := sidecarWatch.callCount
-	d.world.Q.After(d.updateDelays[sidecar], func() {
+	d.world.Queue.After(d.updateDelays[sidecar], func() {
 		// An update on its way is lost with its watch; the next watch sends it.
 		if sidecarWatch.open && sidecarWatch.callCount == callCount {
 			d.sendUpdate(sidecar, update)
@@ -113,7 +113,7 @@
 
 // recordUpdate records an update that a sidecar has been sent. It records servers that a full list omits as gone.
 func (d *Discovery) recordUpdate(sidecar int, update Update) {
-	now := d.world.Q.Now()
+	now := d.world.Queue.Now()
 	event := trace.Event{At: now, Kind: trace.Told, Sidecar: int32(sidecar)}
 	for _, entry := range update.Entries {
 		event.Server, event.State, event.Since = int32(entry.Server), entry.State, entry.Started
@@ -137,7 +137,7 @@
 			update.Entries = append(update.Entries, entry)
 		}
 	}
-	if d.world.S.Discovery.Shuffle {
+	if d.world.Scenario.Discovery.Shuffle {
 		stream := d.world.Seed.Stream("order", uint64(sidecar))
 		stream.Shuffle(len(update.Entries), func(i, j int) {
 			update.Entries[i], update.Entries[j] = update.Entries[j], update.Entries[i]
@@ -158,13 +158,13 @@
 // end to Host.WatchEnded. Calls queue for discovery's capacity. A call fails if it would have to wait longer than 1 s,
 // if discovery is down, or if a later call for a watch replaces it.
 func (d *Discovery) Call(sidecar int, generation int64, keepWatch bool, answer func(u Update, ok bool)) {
-	now := d.world.Q.Now()
-	interval := d.world.S.Discovery.CallTime.Micros() / Micros(d.world.S.Discovery.Capacity)
+	now := d.world.Queue.Now()
+	interval := d.world.Scenario.Discovery.CallTime.Micros() / Micros(d.world.Scenario.Discovery.Capacity)
 	d.busyUntil = max(d.busyUntil, now) + interval
-	delay := d.busyUntil - now + d.world.S.Discovery.CallTime.Micros() - interval
+	delay := d.busyUntil - now + d.world.Scenario.Discovery.CallTime.Micros() - interval
 	deliver := answer
 	answer = func(u Update, ok bool) {
-		event := trace.Event{At: d.world.Q.Now(), Kind: trace.Called, Sidecar: int32(sidecar), Work: d.world.Q.Now() - now}
+		event := trace.Event{At: d.world.Queue.Now(), Kind: trace.Called, Sidecar: int32(sidecar), Work: d.world.Queue.Now() - now}
 		if !ok {
 			event.Verdict = trace.Failed
 		}
@@ -183,10 +183,10 @@
 	callCount := sidecarWatch.callCount
 	if d.downFaults > 0 || delay > 1_000_000 {
 		d.busyUntil -= interval // the call takes no capacity
-		d.world.Q.After(min(delay, 1_000_000), func() { answer(Update{}, false) })
+		d.world.Queue.After(min(delay, 1_000_000), func() { answer(Update{}, false) })
 		return
 	}
-	d.world.Q.After(delay, func() {
+	d.world.Queue.After(delay, func() {
 		if d.downFaults > 0 || keepWatch && sidecarWatch.callCount != callCount {
 			answer(Update{}, false)
 			return
--- a/internal/lab/model/faults.go
+++ b/internal/lab/model/faults.go
@@ -15,7 +15,7 @@
 	servers := fault.Servers
 	if len(servers) == 0 {
 		zoneIndex := -1
-		for i, name := range w.S.Fleet.Zones {
+		for i, name := range w.Scenario.Fleet.Zones {
 			if name == fault.Zone {
 				zoneIndex = i
 			}
@@ -52,8 +52,8 @@
 // recordFault records the beginning and the end of a fault's occurrence in the trace.
 func (w *World) recordFault(fault *scenario.Fault, number int, start, length Micros) {
 	note := fmt.Sprintf("%s #%d", fault.Kind, number)
-	w.Q.At(start, func() { w.emit(trace.Event{At: w.Q.Now(), Kind: trace.Began, Note: note}) })
-	w.Q.At(start+length, func() { w.emit(trace.Event{At: w.Q.Now(), Kind: trace.Ended, Note: note}) })
+	w.Queue.At(start, func() { w.emit(trace.Event{At: w.Queue.Now(), Kind: trace.Began, Note: note}) })
+	w.Queue.At(start+length, func() { w.emit(trace.Event{At: w.Queue.Now(), Kind: trace.Ended, Note: note}) })
 }
 
 const (
@@ -67,31 +67,31 @@
 func (w *World) scheduleOccurrence(fault *scenario.Fault, number int, start Micros) {
 	length, interval := fault.Duration.Micros(), fault.Interval.Micros()
 	targets := w.targets(fault)
-	discovery := &w.S.Discovery
+	discovery := &w.Scenario.Discovery
 	lastServerDelay := Micros(len(targets)-1) * interval * boolToMicros(actsOnServers(fault))
 	w.recordFault(fault, number, start, length+lastServerDelay)
 	// toggle calls do for each server twice: with on true when the fault begins there, and false when it ends.
 	toggle := func(do func(s *Server, on bool)) {
 		for i, n := range targets {
 			s, serverStart := w.Servers[n], start+Micros(i)*interval
-			w.Q.At(serverStart, func() { do(s, true) })
-			w.Q.At(serverStart+length, func() { do(s, false) })
+			w.Queue.At(serverStart, func() { do(s, true) })
+			w.Queue.At(serverStart+length, func() { do(s, false) })
 		}
 	}
 	sign := func(on bool) int { return 2*int(boolToMicros(on)) - 1 }
 	switch fault.Kind {
 	case "discovery-down", "asleep":
-		w.Q.At(start, func() { w.Disc.setDown(true) })
-		w.Q.At(start+length, func() { w.Disc.setDown(false) })
+		w.Queue.At(start, func() { w.Discovery.setDown(true) })
+		w.Queue.At(start+length, func() { w.Discovery.setDown(false) })
 	case "discovery-stale":
-		w.Q.At(start, func() { w.Disc.extraLag += fault.Lag.Micros() })
-		w.Q.At(start+length, func() { w.Disc.extraLag -= fault.Lag.Micros() })
+		w.Queue.At(start, func() { w.Discovery.extraLag += fault.Lag.Micros() })
+		w.Queue.At(start+length, func() { w.Discovery.extraLag -= fault.Lag.Micros() })
 	case "drain":
 		toggle(func(s *Server, on bool) {
 			if on {
-				w.Disc.scheduleChange(s.Number, trace.Draining, 0, discovery.RemovalDelay.Micros())
+				w.Discovery.scheduleChange(s.Number, trace.Draining, 0, discovery.RemovalDelay.Micros())
 			} else {
-				w.Disc.scheduleChange(s.Number, trace.Up, w.listedStart(s), discovery.AddDelay.Micros())
+				w.Discovery.scheduleChange(s.Number, trace.Up, w.listedStart(s), discovery.AddDelay.Micros())
 			}
 		})
 	case "restart":
@@ -101,21 +101,21 @@
 		}
 		toggle(func(s *Server, on bool) {
 			if on {
-				w.Disc.scheduleChange(s.Number, trace.Draining, 0, discovery.RemovalDelay.Micros()/3)
-				w.Q.After(min(stopDelay, length), s.stop)
+				w.Discovery.scheduleChange(s.Number, trace.Draining, 0, discovery.RemovalDelay.Micros()/3)
+				w.Queue.After(min(stopDelay, length), s.stop)
 			} else {
 				w.restart(s)
-				w.Disc.scheduleChange(s.Number, trace.Up, w.listedStart(s), discovery.AddDelay.Micros())
+				w.Discovery.scheduleChange(s.Number, trace.Up, w.listedStart(s), discovery.AddDelay.Micros())
 			}
 		})
 	case "crash":
 		toggle(func(s *Server, on bool) {
 			if on {
 				s.stop()
-				w.Disc.scheduleChange(s.Number, trace.Gone, 0, discovery.RemovalDelay.Micros())
+				w.Discovery.scheduleChange(s.Number, trace.Gone, 0, discovery.RemovalDelay.Micros())
 			} else {
 				w.restart(s)
-				w.Disc.scheduleChange(s.Number, trace.Up, w.listedStart(s), max(discovery.AddDelay.Micros(), discovery.RemovalDelay.Micros()))
+				w.Discovery.scheduleChange(s.Number, trace.Up, w.listedStart(s), max(discovery.AddDelay.Micros(), discovery.RemovalDelay.Micros()))
 			}
 		})
 	case "maintain":
@@ -126,8 +126,8 @@
 		toggle(func(s *Server, on bool) {
 			if on {
 				w.host.SetAdministrativeDrain(s.Number, true)
-				w.Q.After(min(stopDelay, length/2), func() { w.restart(s) })
-				w.Disc.scheduleChange(s.Number, trace.Up, w.Q.Now()+min(stopDelay, length/2),
+				w.Queue.After(min(stopDelay, length/2), func() { w.restart(s) })
+				w.Discovery.scheduleChange(s.Number, trace.Up, w.Queue.Now()+min(stopDelay, length/2),
 					min(stopDelay, length/2)+discovery.AddDelay.Micros())
 			} else {
 				w.host.SetAdministrativeDrain(s.Number, false)
@@ -165,8 +165,8 @@
 		})
 	case "burst", "heavy-tail": // applied when arrivals are drawn
 	default:
-		w.Q.At(start, func() { w.host.SetFault(fault, true) })
-		w.Q.At(start+length, func() { w.host.SetFault(fault, false) })
+		w.Queue.At(start, func() { w.host.SetFault(fault, true) })
+		w.Queue.At(start+length, func() { w.host.SetFault(fault, false) })
 	}
 }
 
@@ -205,7 +205,7 @@
 func (w *World) Links(fault *scenario.Fault) (links [][2]int) {
 	sidecars := fault.Sidecars
 	if len(sidecars) == 0 {
-		for n := range w.S.Fleet.Sidecars {
+		for n := range w.Scenario.Fleet.Sidecars {
 			sidecars = append(sidecars, n)
 		}
 	}
@@ -222,7 +222,7 @@
 	if len(fault.Sidecars) > 0 {
 		return fault.Sidecars
 	}
-	all := make([]int, w.S.Fleet.Sidecars)
+	all := make([]int, w.Scenario.Fleet.Sidecars)
 	for i := range all {
 		all[i] = i
 	}
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -59,8 +59,8 @@
 // runUntil runs the queue until an instant.
 func runUntil(t *testing.T, w *World, until Micros) {
 	t.Helper()
-	w.Q.At(until, func() {})
-	if err := w.Q.Run(context.Background(), func() bool { return w.Q.Now() >= until }); err != nil {
+	w.Queue.At(until, func() {})
+	if err := w.Queue.Run(context.Background(), func() bool { return w.Queue.Now() >= until }); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -73,7 +73,7 @@
 	ends := make([]Micros, n)
 	for i := range n {
 		j := &Job{Request: uint64(i + 1), Work: 100_000}
-		j.Done = func(Outcome) { ends[i] = s.world.Q.Now() }
+		j.Done = func(Outcome) { ends[i] = s.world.Queue.Now() }
 		if !s.Begin(j) {
 			ends[i] = 0
 		}
@@ -106,14 +106,14 @@
 	w, _, list := newWorld(t, fmt.Sprintf(oneServer, ""))
 	s := w.Servers[0]
 	w.restart(s)
-	if got := s.Warmth(w.Q.Now()); got != 0.25 {
+	if got := s.Warmth(w.Queue.Now()); got != 0.25 {
 		t.Fatalf("warmth at the start is %v, want 0.25", got)
 	}
 	ends := beginJobs(s, 1)
 	runUntil(t, w, 10*eventqueue.Second)
 	// The speed after t seconds is 0.25 + 0.075 t. The job ends where 0.1 = 0.25 t + 0.0375 t^2, at t = 0.378.
-	if math.Abs(float64(ends[0]-378_000)) > 10_000 || s.Warmth(w.Q.Now()) != 1 {
-		t.Errorf("100 ms of work took %d µs; warmth after the ramp is %v", ends[0], s.Warmth(w.Q.Now()))
+	if math.Abs(float64(ends[0]-378_000)) > 10_000 || s.Warmth(w.Queue.Now()) != 1 {
+		t.Errorf("100 ms of work took %d µs; warmth after the ramp is %v", ends[0], s.Warmth(w.Queue.Now()))
 	}
 	n := 0
 	for _, e := range *list {
@@ -133,7 +133,7 @@
 	// The cold server does 0.5 s of work per second. It is sent 4 s within 0.8 s: more than three times as much with the
 	// slack of a quarter and four mean requests.
 	for i := range 40 {
-		w.Q.At(Micros(i)*20_000, func() { s.Begin(&Job{Request: uint64(i + 1), Work: 100_000, Done: func(Outcome) {}}) })
+		w.Queue.At(Micros(i)*20_000, func() { s.Begin(&Job{Request: uint64(i + 1), Work: 100_000, Done: func(Outcome) {}}) })
 	}
 	runUntil(t, w, 2*eventqueue.Second)
 	fell := false
@@ -218,13 +218,13 @@
 	var hung, slow Micros
 	how := map[string]Outcome{}
 	begin := func(at Micros, j Job, done func(Outcome)) {
-		w.Q.At(at, func() { j.Request, j.Work, j.Done = 1, 100_000, done; s.Begin(&j) })
+		w.Queue.At(at, func() { j.Request, j.Work, j.Done = 1, 100_000, done; s.Begin(&j) })
 	}
-	begin(1500_000, Job{}, func(Outcome) { hung = w.Q.Now() })
+	begin(1500_000, Job{}, func(Outcome) { hung = w.Queue.Now() })
 	begin(4200_000, Job{Class: 0, Sidecar: 1}, func(o Outcome) { how["other class"] = o })
 	begin(4200_000, Job{Class: 1, Sidecar: 0}, func(o Outcome) { how["other sidecar"] = o })
 	begin(4500_000, Job{Class: 1, Sidecar: 1}, func(o Outcome) { how["both"] = o })
-	begin(6100_000, Job{}, func(Outcome) { slow = w.Q.Now() })
+	begin(6100_000, Job{}, func(Outcome) { slow = w.Queue.Now() })
 	runUntil(t, w, 10*eventqueue.Second)
 	if math.Abs(float64(hung-2100_000)) > 100 || math.Abs(float64(slow-6400_000)) > 100 {
 		t.Errorf("job at the hanging server ended at %d, job at the slow one at %d", hung, slow)
@@ -256,7 +256,7 @@
 
 func TestDiscovery(t *testing.T) {
 	w, h, list := newWorld(t, twoServers+"[discovery]\nnotice = \"1s\"\ncapacity = 1\ncall = \"20ms\"\n")
-	d := w.Disc
+	d := w.Discovery
 	var first Update
 	d.Call(0, 0, true, func(u Update, ok bool) { first = u })
 	runUntil(t, w, 100_000)
@@ -328,7 +328,7 @@
 	}
 	alone := arrivals("", nil)
 	served := arrivals("[net]\nsame = \"1ms\"\n", func(w *World, request *Request) {
-		w.Q.After(1000, func() { w.Answer(request, w.Q.Now(), trace.Refused, 5000) })
+		w.Queue.After(1000, func() { w.Answer(request, w.Queue.Now(), trace.Refused, 5000) })
 	})
 	if len(alone) < 800 || len(alone) > 1200 || len(alone) != len(served) {
 		t.Fatalf("%d and %d arrivals in 20 s at 50 per second, want the same number near 1000", len(alone), len(served))
@@ -347,7 +347,7 @@
 		safe, paid int // requests per task, in a safe class and in an unsafe one
 	}{{trace.Served, 1, 1}, {trace.Refused, 3, 3}, {trace.Failed, 3, 1}} {
 		w, h, list := newWorld(t, twoServers+"[load]\nrate = 20.0\n[clients]\nretries = 2\nbackoff = \"1ms\"\n")
-		h.answer = func(y *Request) { w.Q.After(1000, func() { w.Answer(y, w.Q.Now(), c.v, 0) }) }
+		h.answer = func(y *Request) { w.Queue.After(1000, func() { w.Answer(y, w.Queue.Now(), c.v, 0) }) }
 		w.Begin()
 		runUntil(t, w, 30*eventqueue.Second)
 		tries := map[uint64]int{}
@@ -389,11 +389,11 @@
 func TestReportsAreLate(t *testing.T) {
 	w, _, _ := newWorld(t, fmt.Sprintf(oneServer, "report = { every = \"10ms\", delay = \"50ms\" }"))
 	s := w.Servers[0]
-	w.Q.At(1000, func() { s.Report() })
-	w.Q.At(100_000, func() { beginJobs(s, 2); s.Report() })
+	w.Queue.At(1000, func() { s.Report() })
+	w.Queue.At(100_000, func() { beginJobs(s, 2); s.Report() })
 	var soon, later float64
-	w.Q.At(120_000, func() { soon = s.Report().Inflight })
-	w.Q.At(175_000, func() { later = s.Report().Inflight })
+	w.Queue.At(120_000, func() { soon = s.Report().Inflight })
+	w.Queue.At(175_000, func() { later = s.Report().Inflight })
 	runUntil(t, w, eventqueue.Second)
 	if soon != 0 || later != 2 {
 		t.Errorf("the report counts %v requests 20 ms after two arrived and %v after 75 ms, want 0 and 2", soon, later)
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -151,7 +151,7 @@
 
 // start starts a process, which is cold unless alreadyWarm.
 func (s *Server) start(alreadyWarm bool) {
-	now := s.world.Q.Now()
+	now := s.world.Queue.Now()
 	s.Running, s.Starts, s.Since = true, s.Starts+1, now
 	s.collapsed, s.chokedSince, s.overloadedSince, s.recoveringSince = false, -1, -1, -1
 	s.Cold = s.stream.Uniform(s.Spec.InitialCapacity[0], s.Spec.InitialCapacity[len(s.Spec.InitialCapacity)-1])
@@ -169,10 +169,10 @@
 
 // scheduleWarmUp updates the speed of a cold process at intervals until it is warm, and reports its cold load then.
 func (s *Server) scheduleWarmUp() {
-	s.world.Q.Cancel(s.warmUpEvent)
+	s.world.Queue.Cancel(s.warmUpEvent)
 	s.warmUpEvent = nil
-	if s.Running && s.isCold(s.world.Q.Now()) {
-		s.warmUpEvent = s.world.Q.After(warmUpInterval, func() { s.reschedule(); s.scheduleWarmUp() })
+	if s.Running && s.isCold(s.world.Queue.Now()) {
+		s.warmUpEvent = s.world.Queue.After(warmUpInterval, func() { s.reschedule(); s.scheduleWarmUp() })
 	} else {
 		s.reportColdLoad()
 	}
@@ -181,7 +181,7 @@
 // reportColdLoad records, once per process, how close to its limit the work came that it was sent while cold.
 func (s *Server) reportColdLoad() {
 	if s.maxColdLoadRatio > 0 {
-		s.world.emit(trace.Event{At: s.world.Q.Now(), Kind: trace.Carried, Server: int32(s.Number),
+		s.world.emit(trace.Event{At: s.world.Queue.Now(), Kind: trace.Carried, Server: int32(s.Number),
 			Warmth: s.maxColdLoadRatio})
 	}
 	s.maxColdLoadRatio = -1
@@ -195,7 +195,7 @@
 	s.advance()
 	s.Running = false
 	s.reportColdLoad()
-	s.world.emit(trace.Event{At: s.world.Q.Now(), Kind: trace.Stopped, Server: int32(s.Number)})
+	s.world.emit(trace.Event{At: s.world.Queue.Now(), Kind: trace.Stopped, Server: int32(s.Number)})
 	jobs := append([]*Job(nil), s.running...)
 	jobs = append(jobs, s.waiting...)
 	s.running, s.waiting = nil, nil
@@ -207,8 +207,8 @@
 		s.connectionsBySidecar[i] = 0
 	}
 	s.connections = 0
-	s.world.Q.Cancel(s.finishEvent)
-	s.world.Q.Cancel(s.warmUpEvent)
+	s.world.Queue.Cancel(s.finishEvent)
+	s.world.Queue.Cancel(s.warmUpEvent)
 	s.finishEvent, s.warmUpEvent = nil, nil
 	s.world.host.ServerStopped(s.Number)
 }
@@ -239,7 +239,7 @@
 
 // advance moves the service clock to the current instant. It comes before every change of the running jobs.
 func (s *Server) advance() {
-	now := s.world.Q.Now()
+	now := s.world.Queue.Now()
 	elapsed := float64(now - s.clockUpdatedAt)
 	s.serviceClock += elapsed * s.clockRate
 	if runningJobs := float64(len(s.running)); s.Running {
@@ -252,13 +252,13 @@
 // jobs or of the server's speed.
 func (s *Server) reschedule() {
 	s.advance()
-	now := s.world.Q.Now()
+	now := s.world.Queue.Now()
 	s.clockRate = s.jobRate(now)
-	s.world.Q.Cancel(s.finishEvent)
+	s.world.Queue.Cancel(s.finishEvent)
 	s.finishEvent = nil
 	if s.clockRate > 0 {
 		delay := math.Ceil(max(0, s.running[0].doneAtClock-s.serviceClock) / s.clockRate)
-		s.finishEvent = s.world.Q.At(now+Micros(min(delay, 1e12)), s.finish)
+		s.finishEvent = s.world.Queue.At(now+Micros(min(delay, 1e12)), s.finish)
 	}
 }
 
@@ -282,7 +282,7 @@
 	outcome := Good
 	if job.Request != 0 {
 		s.servedCount++
-		s.world.emit(trace.Event{At: s.world.Q.Now(), Kind: trace.Finished, Server: int32(s.Number),
+		s.world.emit(trace.Event{At: s.world.Queue.Now(), Kind: trace.Finished, Server: int32(s.Number),
 			Request: job.Request, Work: Micros(job.Work)})
 		errorShare := s.Spec.ErrorShare
 		for _, fault := range s.Gray {
@@ -299,7 +299,7 @@
 
 // hasGrayErrors reports whether a fault makes a share of such jobs fail: it is limited by class and sidecars.
 func (s *Server) hasGrayErrors(fault *scenario.Fault, job *Job) bool {
-	if fault.Kind != "gray-errors" || fault.Class != "" && fault.Class != s.world.S.Classes[job.Class].Name {
+	if fault.Kind != "gray-errors" || fault.Class != "" && fault.Class != s.world.Scenario.Classes[job.Class].Name {
 		return false
 	}
 	if len(fault.Sidecars) == 0 {
@@ -334,7 +334,7 @@
 // queue are full; Done is not called then. A handshake or a probe skips the queue.
 func (s *Server) Begin(job *Job) bool {
 	s.advance()
-	now := s.world.Q.Now()
+	now := s.world.Queue.Now()
 	job.server, job.heapIndex = s, jobWaiting
 	isAttempt := job.Request != 0
 	if isAttempt {
@@ -396,17 +396,17 @@
 	if choke == nil {
 		return
 	}
-	now, heldPerCore := s.world.Q.Now(), float64(s.heldRequests())/s.cores()
+	now, heldPerCore := s.world.Queue.Now(), float64(s.heldRequests())/s.cores()
 	if s.chokedSince < 0 {
 		switch {
 		case heldPerCore < choke.OverloadHeldPerCore:
 			s.overloadedSince = -1
 		case s.overloadedSince < 0:
 			s.overloadedSince = now
-			s.world.Q.After(choke.OverloadDuration.Micros(), s.updateChoke)
+			s.world.Queue.After(choke.OverloadDuration.Micros(), s.updateChoke)
 		case now-s.overloadedSince >= choke.OverloadDuration.Micros():
 			s.chokedSince, s.overloadedSince, s.recoveringSince = now, -1, -1
-			s.world.Q.After(choke.MaxDuration.Micros(), s.updateChoke)
+			s.world.Queue.After(choke.MaxDuration.Micros(), s.updateChoke)
 			s.reschedule()
 		}
 		return
@@ -418,7 +418,7 @@
 		return
 	case s.recoveringSince < 0:
 		s.recoveringSince = now
-		s.world.Q.After(choke.RecoveryDuration.Micros(), s.updateChoke)
+		s.world.Queue.After(choke.RecoveryDuration.Micros(), s.updateChoke)
 		return
 	case now-s.recoveringSince < choke.RecoveryDuration.Micros():
 		return
@@ -433,7 +433,7 @@
 	if !s.isCold(now) || s.collapsed {
 		return
 	}
-	rules := &s.world.S.Rules
+	rules := &s.world.Scenario.Rules
 	s.coldWork.add(now, job.Work, rules.OverloadWindow.Micros())
 	maxWork := rules.OverloadMultiple * s.Capacity() * s.Warmth(now) * float64(rules.OverloadWindow.Micros()) / 1e6
 	meanWork := s.world.MeanWork()
@@ -442,7 +442,7 @@
 	if s.coldWork.sum > limit && s.Running {
 		s.collapsed = true
 		s.world.emit(trace.Event{At: now, Kind: trace.Fell, Server: int32(s.Number)})
-		s.world.Q.After(0, s.stop)
+		s.world.Queue.After(0, s.stop)
 	}
 }
 
@@ -473,12 +473,12 @@
 // requests on it are rejected.
 func (s *Server) Open(sidecar int) (full bool) {
 	if s.connections >= s.Spec.ConnCap {
-		s.world.emit(trace.Event{At: s.world.Q.Now(), Kind: trace.Shut, Sidecar: int32(sidecar), Server: int32(s.Number)})
+		s.world.emit(trace.Event{At: s.world.Queue.Now(), Kind: trace.Shut, Sidecar: int32(sidecar), Server: int32(s.Number)})
 		return true
 	}
 	s.connections++
 	s.connectionsBySidecar[sidecar]++
-	s.world.emit(trace.Event{At: s.world.Q.Now(), Kind: trace.Opened, Sidecar: int32(sidecar), Server: int32(s.Number)})
+	s.world.emit(trace.Event{At: s.world.Queue.Now(), Kind: trace.Opened, Sidecar: int32(sidecar), Server: int32(s.Number)})
 	return false
 }
 
@@ -490,13 +490,13 @@
 	}
 	s.connections--
 	s.connectionsBySidecar[sidecar]--
-	s.world.emit(trace.Event{At: s.world.Q.Now(), Kind: trace.Closed, Sidecar: int32(sidecar), Server: int32(s.Number)})
+	s.world.emit(trace.Event{At: s.world.Queue.Now(), Kind: trace.Closed, Sidecar: int32(sidecar), Server: int32(s.Number)})
 }
 
 // Report returns the load report that the server sends now. Its spec sets how often a report is made, how old the one
 // that is sent must be, and its noise.
 func (s *Server) Report() Load {
-	now, spec := s.world.Q.Now(), &s.Spec.Report
+	now, spec := s.world.Queue.Now(), &s.Spec.Report
 	if interval := spec.Interval.Micros(); len(s.reports) == 0 || now-s.reports[len(s.reports)-1].at >= interval {
 		s.advance()
 		elapsed := max(1, float64(now-s.baselineAt))
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -33,11 +33,11 @@
 
 // World is the whole system except the sidecars. Its state belongs to the queue's goroutine.
 type World struct {
-	Q       *eventqueue.Queue
-	S       *scenario.Scenario
-	Seed    randstream.Seed
-	Servers []*Server
-	Disc    *Discovery
+	Queue     *eventqueue.Queue
+	Scenario  *scenario.Scenario
+	Seed      randstream.Seed
+	Servers   []*Server
+	Discovery *Discovery
 
 	scenarioStart    Micros // instant at which the scenario's times begin
 	host             Host
@@ -79,7 +79,7 @@
 
 // New returns the world of a scenario and a seed. Events go to sink. Prepare and then Begin start it.
 func New(q *eventqueue.Queue, s *scenario.Scenario, seed uint64, host Host, sink trace.Sink) *World {
-	w := &World{Q: q, S: s, Seed: randstream.Seed(seed), host: host, sink: sink}
+	w := &World{Queue: q, Scenario: s, Seed: randstream.Seed(seed), host: host, sink: sink}
 	zones := len(s.Fleet.Zones)
 	for kind := range s.Servers {
 		for range s.Servers[kind].Count {
@@ -93,7 +93,7 @@
 			w.Servers = append(w.Servers, server)
 		}
 	}
-	w.Disc = newDiscovery(w)
+	w.Discovery = newDiscovery(w)
 	stream := w.Seed.Stream("shares")
 	var sum float64
 	for range s.Fleet.Sidecars {
@@ -113,15 +113,15 @@
 }
 
 // SidecarZone returns the index of a sidecar's zone. Sidecars are assigned to the zones in turn.
-func (w *World) SidecarZone(n int) int { return n % len(w.S.Fleet.Zones) }
+func (w *World) SidecarZone(n int) int { return n % len(w.Scenario.Fleet.Zones) }
 
 func (w *World) emit(event trace.Event) { w.sink.Take(event) }
 
 // MeanWork returns the mean work of a request over all classes, in microseconds on a core of speed 1.
 func (w *World) MeanWork() float64 {
 	var work float64
-	for i := range w.S.Classes {
-		work += w.S.Classes[i].Share * float64(w.S.Classes[i].Work.Micros())
+	for i := range w.Scenario.Classes {
+		work += w.Scenario.Classes[i].Share * float64(w.Scenario.Classes[i].Work.Micros())
 	}
 	return work / w.cumulativeShares[len(w.cumulativeShares)-1]
 }
@@ -129,8 +129,8 @@
 // Prepare starts the servers and adds them to discovery's list. Servers are warm, except those of a fault of kind cold.
 func (w *World) Prepare() {
 	cold := map[int]bool{}
-	for i := range w.S.Faults {
-		if f := &w.S.Faults[i]; f.Kind == "cold" {
+	for i := range w.Scenario.Faults {
+		if f := &w.Scenario.Faults[i]; f.Kind == "cold" {
 			for _, n := range w.targets(f) {
 				cold[n] = true
 			}
@@ -138,20 +138,20 @@
 	}
 	for _, s := range w.Servers {
 		s.start(!cold[s.Number])
-		w.Disc.addInitial(s.Number, !cold[s.Number])
+		w.Discovery.addInitial(s.Number, !cold[s.Number])
 		w.host.ServerStarted(s.Number)
 	}
 }
 
 // Begin schedules the arrivals and the faults, relative to the current instant.
 func (w *World) Begin() {
-	w.scenarioStart = w.Q.Now()
+	w.scenarioStart = w.Queue.Now()
 	for n := range w.requestRates {
 		w.arrivingSidecars++
 		w.scheduleArrivals(n)
 	}
-	for i := range w.S.Faults {
-		w.scheduleFault(&w.S.Faults[i], i)
+	for i := range w.Scenario.Faults {
+		w.scheduleFault(&w.Scenario.Faults[i], i)
 	}
 	w.recordGauges()
 }
@@ -167,8 +167,8 @@
 
 // recordGauges records the state of each server, four times a second for up to 49 servers and less often for more.
 func (w *World) recordGauges() {
-	now := w.Q.Now()
-	if now > w.scenarioStart+w.S.Length.Micros()+2*eventqueue.Second {
+	now := w.Queue.Now()
+	if now > w.scenarioStart+w.Scenario.Length.Micros()+2*eventqueue.Second {
 		return
 	}
 	for _, s := range w.Servers {
@@ -179,7 +179,7 @@
 		w.emit(trace.Event{At: now, Kind: trace.Gauge, Server: int32(s.Number), Held: int32(s.heldRequests()),
 			Queued: int32(len(s.waiting)), Warmth: warmth, Slow: s.Choked()})
 	}
-	w.Q.At(now+eventqueue.Second/4*Micros(1+len(w.Servers)/50), w.recordGauges)
+	w.Queue.At(now+eventqueue.Second/4*Micros(1+len(w.Servers)/50), w.recordGauges)
 }
 
 // ---- Clients ---------------------------------------------------------------
@@ -188,7 +188,7 @@
 // on what the sidecars do. Arrivals are drawn at the highest rate of the run and thinned to the current one.
 func (w *World) scheduleArrivals(sidecar int) {
 	stream := w.Seed.Stream("arrivals", uint64(sidecar))
-	length := w.S.Length.Micros()
+	length := w.Scenario.Length.Micros()
 	maxFactor := w.maxRateFactor()
 	rate := w.requestRates[sidecar] * maxFactor
 	offset := 0.0
@@ -202,10 +202,10 @@
 				return
 			}
 			now := Micros(offset)
-			if stream.Bernoulli(w.S.Load.RateAt(offset/float64(length)) * w.S.ArrivalFactor(now) / maxFactor) {
+			if stream.Bernoulli(w.Scenario.Load.RateAt(offset/float64(length)) * w.Scenario.ArrivalFactor(now) / maxFactor) {
 				count++
 				t := w.drawTask(sidecar, count, now)
-				w.Q.At(w.scenarioStart+now, func() {
+				w.Queue.At(w.scenarioStart+now, func() {
 					w.openTasks++
 					w.sendRequest(t, 0)
 					next()
@@ -221,10 +221,10 @@
 func (w *World) maxRateFactor() float64 {
 	maxShape, burstFactor := 1.0, 1.0
 	for i := range 1001 {
-		maxShape = max(maxShape, w.S.Load.RateAt(float64(i)/1000))
+		maxShape = max(maxShape, w.Scenario.Load.RateAt(float64(i)/1000))
 	}
-	for i := range w.S.Faults {
-		if f := &w.S.Faults[i]; f.Kind == "burst" && f.Factor > 1 {
+	for i := range w.Scenario.Faults {
+		if f := &w.Scenario.Faults[i]; f.Kind == "burst" && f.Factor > 1 {
 			burstFactor *= f.Factor // bursts may overlap
 		}
 	}
@@ -239,7 +239,7 @@
 	for task.Class < len(w.cumulativeShares)-1 && pick >= w.cumulativeShares[task.Class] {
 		task.Class++
 	}
-	class := &w.S.Classes[task.Class]
+	class := &w.Scenario.Classes[task.Class]
 	mean := float64(class.Work.Micros())
 	work := mean
 	switch class.Dist {
@@ -251,15 +251,15 @@
 		work = stream.BoundedPareto(mean)
 	}
 	heavyTailDraw := stream.Float64()
-	for i := range w.S.Faults {
-		fault := &w.S.Faults[i]
+	for i := range w.Scenario.Faults {
+		fault := &w.Scenario.Faults[i]
 		if fault.Kind == "heavy-tail" && offset >= fault.At.Micros() && offset < fault.At.Micros()+fault.Duration.Micros() &&
 			(fault.Class == "" || fault.Class == class.Name) && heavyTailDraw < fault.Share {
 			work *= fault.Factor
 		}
 	}
 	task.Work = max(1, Micros(work))
-	switch w.S.Load.Hints {
+	switch w.Scenario.Load.Hints {
 	case "exact":
 		task.Hint = task.Work
 	case "rough":
@@ -275,9 +275,9 @@
 // sendRequest sends the next request of a task, unless less than half of a request's timeout is left until the task's
 // deadline: the task ends then.
 func (w *World) sendRequest(task *Task, number int) {
-	now := w.Q.Now()
-	class := &w.S.Classes[task.Class]
-	timeout := Micros(w.S.Clients.RequestTimeoutShare * float64(class.Timeout.Micros()))
+	now := w.Queue.Now()
+	class := &w.Scenario.Classes[task.Class]
+	timeout := Micros(w.Scenario.Clients.RequestTimeoutShare * float64(class.Timeout.Micros()))
 	if now >= task.Deadline-timeout/2 {
 		w.openTasks--
 		return
@@ -287,10 +287,10 @@
 	request.Timeout = request.Deadline - now
 	w.emit(trace.Event{At: now, Kind: trace.Asked, Request: request.ID, Task: task.ID, Class: uint8(task.Class),
 		Sidecar: int32(task.Sidecar), Work: task.Work, Due: request.Deadline, Retry: number > 0})
-	request.timeoutEvent = w.Q.At(request.Deadline+w.answerGrace(), func() {
+	request.timeoutEvent = w.Queue.At(request.Deadline+w.answerGrace(), func() {
 		if !request.done {
 			request.done = true
-			w.emit(trace.Event{At: w.Q.Now(), Kind: trace.Left, Request: request.ID})
+			w.emit(trace.Event{At: w.Queue.Now(), Kind: trace.Left, Request: request.ID})
 			w.host.AbandonRequest(request)
 			w.retryOrEnd(request, trace.Failed, 0)
 		}
@@ -309,7 +309,7 @@
 		return
 	}
 	request.done = true
-	w.Q.Cancel(request.timeoutEvent)
+	w.Queue.Cancel(request.timeoutEvent)
 	w.emit(trace.Event{At: at, Kind: trace.Answered, Request: request.ID, Verdict: verdict})
 	w.retryOrEnd(request, verdict, retryAfter)
 }
@@ -321,7 +321,7 @@
 		return
 	}
 	request.done = true
-	w.Q.Cancel(request.timeoutEvent)
+	w.Queue.Cancel(request.timeoutEvent)
 	if neverAccepted {
 		w.emit(trace.Event{At: at, Kind: trace.Left, Request: request.ID, Note: "unheard"})
 		w.retryOrEnd(request, trace.Refused, 0)
@@ -334,8 +334,8 @@
 // retryOrEnd schedules the client's retry after a request that ended with the verdict, or ends the task. There is no
 // retry after the last one, nor after a failure in a class that must not execute twice.
 func (w *World) retryOrEnd(request *Request, verdict trace.Verdict, retryAfter Micros) {
-	task, clients := request.Task, &w.S.Clients
-	unsafe := w.S.Classes[task.Class].NotIdempotent
+	task, clients := request.Task, &w.Scenario.Clients
+	unsafe := w.Scenario.Classes[task.Class].NotIdempotent
 	if verdict == trace.Served || verdict == trace.Foreign || request.Number >= clients.Retries ||
 		verdict == trace.Failed && unsafe {
 		w.openTasks--
@@ -345,5 +345,5 @@
 	if honoursRetryAfter := task.stream.Bernoulli(clients.RetryAfterShare); honoursRetryAfter && retryAfter > 0 {
 		delay = retryAfter
 	}
-	w.Q.After(delay, func() { w.sendRequest(task, request.Number+1) })
+	w.Queue.After(delay, func() { w.sendRequest(task, request.Number+1) })
 }
--- a/internal/lab/rig/discovery.go
+++ b/internal/lab/rig/discovery.go
@@ -96,7 +96,7 @@
 	first := make(chan list, 1)
 	failed := make(chan struct{}, 1)
 	r.post(func() {
-		r.w.Disc.Call(d.sidecar, after, keep, func(u model.Update, ok bool) {
+		r.w.Discovery.Call(d.sidecar, after, keep, func(u model.Update, ok bool) {
 			if !ok {
 				failed <- struct{}{}
 				return
@@ -113,7 +113,7 @@
 	defer r.post(func() {
 		if d.watch == words {
 			d.watch = nil
-			r.w.Disc.Unwatch(d.sidecar)
+			r.w.Discovery.Unwatch(d.sidecar)
 		}
 	})
 	out := json.NewEncoder(w)
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -98,7 +98,7 @@
 			n.module.DrainEndpoint(n.now(), endpointID(server), n.now())
 		}
 	}
-	u := n.host.world.Disc.Whole(n.number)
+	u := n.host.world.Discovery.Whole(n.number)
 	n.generation = u.Generation
 	n.module.UpdateEndpoints(n.now(), balancer.ListCached, endpoints(u, n.host.world))
 	if !n.settings.Subscribe {
@@ -158,7 +158,7 @@
 func (n *node) kill() {
 	n.dead = true
 	n.endTap()
-	n.host.world.Disc.Unwatch(n.number)
+	n.host.world.Discovery.Unwatch(n.number)
 	for _, c := range callsByID(n.calls) {
 		if !c.ended {
 			try := c.request
@@ -202,7 +202,7 @@
 			n.host.queue.After(eventqueue.Second/10, func() { n.shareEjections(next) })
 		}
 	} else {
-		n.host.world.Disc.Unwatch(n.number)
+		n.host.world.Discovery.Unwatch(n.number)
 	}
 	n.host.retiring = append(n.host.retiring, n)
 	n.endIfIdle()
@@ -539,7 +539,7 @@
 
 // Watch calls discovery for a watch, or ends the watch.
 func (n *node) Watch(on bool) {
-	discovery := n.host.world.Disc
+	discovery := n.host.world.Discovery
 	if !on {
 		n.watching = false
 		discovery.Unwatch(n.number)
