--- a/internal/lab/model/discovery.go
+++ b/internal/lab/model/discovery.go
@@ -146,8 +146,8 @@
 	return update
 }
 
-// Whole returns the full current list, for a process of a sidecar that starts, and records it as sent.
-func (d *Discovery) Whole(sidecar int) Update {
+// FullList returns the full current list, for a process of a sidecar that starts, and records it as sent.
+func (d *Discovery) FullList(sidecar int) Update {
 	update := d.changesSince(sidecar, 0)
 	d.recordUpdate(sidecar, update)
 	return update
--- a/internal/lab/model/faults.go
+++ b/internal/lab/model/faults.go
@@ -134,17 +134,17 @@
 			}
 		})
 	case "hang":
-		toggle(func(s *Server, on bool) { s.advance(); s.Hung += sign(on); s.reschedule() })
+		toggle(func(s *Server, on bool) { s.advance(); s.HangFaults += sign(on); s.reschedule() })
 	case "slow", "gray-slow":
 		toggle(func(s *Server, on bool) {
 			s.advance()
 			if fault.Kind == "gray-slow" {
-				s.FalseIdle += sign(on)
+				s.FalseIdleFaults += sign(on)
 			}
 			if on {
-				s.Slower *= fault.Factor
+				s.SlowdownFactor *= fault.Factor
 			} else {
-				s.Slower /= fault.Factor
+				s.SlowdownFactor /= fault.Factor
 			}
 			s.reschedule()
 		})
@@ -153,12 +153,12 @@
 	case "gray-errors":
 		toggle(func(s *Server, on bool) {
 			if on {
-				s.Gray = append(s.Gray, fault)
+				s.GrayErrorFaults = append(s.GrayErrorFaults, fault)
 				return
 			}
-			for i, g := range s.Gray {
+			for i, g := range s.GrayErrorFaults {
 				if g == fault {
-					s.Gray = append(s.Gray[:i:i], s.Gray[i+1:]...)
+					s.GrayErrorFaults = append(s.GrayErrorFaults[:i:i], s.GrayErrorFaults[i+1:]...)
 					break
 				}
 			}
@@ -172,10 +172,10 @@
 
 // listedStart returns the instant of a server's start as discovery lists it: 0 for a start before the run.
 func (w *World) listedStart(s *Server) Micros {
-	if s.Since < 0 {
+	if s.StartedAt < 0 {
 		return 0
 	}
-	return max(1, s.Since)
+	return max(1, s.StartedAt)
 }
 
 // restart stops a server's process and starts a new one, which is cold.
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -57,10 +57,10 @@
 	Spec   *scenario.Servers
 	Speed  float64
 
-	Running bool
-	Starts  int     // processes started so far
-	Since   Micros  // start of the current process; before the run for one that started warm
-	Cold    float64 // warmth of the current process at its start
+	Running       bool
+	Starts        int     // processes started so far
+	StartedAt     Micros  // start of the current process; before the run for one that started warm
+	InitialWarmth float64 // warmth of the current process at its start
 
 	world                *World
 	stream               randstream.Stream
@@ -81,11 +81,11 @@
 	maxColdLoadRatio     float64    // highest ratio of coldWork to its limit; -1 once reported, or if warm
 
 	// Effects of the faults in force. Each is a count, a product or a list, because faults may overlap.
-	Hung         int
-	Slower       float64
-	Gray         []*scenario.Fault
-	FalseIdle    int
-	forcedChokes int
+	HangFaults      int
+	SlowdownFactor  float64
+	GrayErrorFaults []*scenario.Fault
+	FalseIdleFaults int
+	forcedChokes    int
 
 	busyMicros  float64 // core time used
 	servedCount float64
@@ -141,10 +141,10 @@
 // Warmth returns the share of its capacity that the server has at an instant: it rises linearly from Cold to 1.
 func (s *Server) Warmth(now Micros) float64 {
 	ramp := s.Spec.WarmUpDuration.Micros()
-	if s.Starts <= 1 && s.Since < 0 || ramp <= 0 || now-s.Since >= ramp {
+	if s.Starts <= 1 && s.StartedAt < 0 || ramp <= 0 || now-s.StartedAt >= ramp {
 		return 1
 	}
-	return s.Cold + (1-s.Cold)*float64(now-s.Since)/float64(ramp)
+	return s.InitialWarmth + (1-s.InitialWarmth)*float64(now-s.StartedAt)/float64(ramp)
 }
 
 func (s *Server) isCold(now Micros) bool { return s.Warmth(now) < 1 }
@@ -152,17 +152,17 @@
 // start starts a process, which is cold unless alreadyWarm.
 func (s *Server) start(alreadyWarm bool) {
 	now := s.world.Queue.Now()
-	s.Running, s.Starts, s.Since = true, s.Starts+1, now
+	s.Running, s.Starts, s.StartedAt = true, s.Starts+1, now
 	s.collapsed, s.chokedSince, s.overloadedSince, s.recoveringSince = false, -1, -1, -1
-	s.Cold = s.stream.Uniform(s.Spec.InitialCapacity[0], s.Spec.InitialCapacity[len(s.Spec.InitialCapacity)-1])
+	s.InitialWarmth = s.stream.Uniform(s.Spec.InitialCapacity[0], s.Spec.InitialCapacity[len(s.Spec.InitialCapacity)-1])
 	s.coldWork, s.maxColdLoadRatio = slidingSum{}, 0
 	s.reports, s.baselineAt = nil, now
 	if alreadyWarm {
-		s.Since = -1 << 40
+		s.StartedAt = -1 << 40
 	}
 	s.clockUpdatedAt = now
 	s.world.emit(trace.Event{At: now, Kind: trace.Started, Server: int32(s.Number), Capacity: s.Capacity(),
-		ColdFrom: s.Cold, ColdFor: max(0, s.Since+s.Spec.WarmUpDuration.Micros()-now)})
+		ColdFrom: s.InitialWarmth, ColdFor: max(0, s.StartedAt+s.Spec.WarmUpDuration.Micros()-now)})
 	s.reschedule()
 	s.scheduleWarmUp()
 }
@@ -217,7 +217,7 @@
 // thrashing, choking and faults, and while the process is cold; it is 0 for a process that hangs.
 func (s *Server) jobRate(now Micros) float64 {
 	runningJobs := float64(len(s.running))
-	if runningJobs == 0 || s.Hung > 0 || !s.Running {
+	if runningJobs == 0 || s.HangFaults > 0 || !s.Running {
 		return 0
 	}
 	efficiency := 1.0
@@ -231,7 +231,7 @@
 			efficiency /= 3
 		}
 	}
-	return s.Speed * s.Warmth(now) * efficiency / s.Slower * min(1, s.cores()/runningJobs)
+	return s.Speed * s.Warmth(now) * efficiency / s.SlowdownFactor * min(1, s.cores()/runningJobs)
 }
 
 // Choked reports whether the server runs at its choked speed, after an overload or by a fault.
@@ -285,7 +285,7 @@
 		s.world.emit(trace.Event{At: s.world.Queue.Now(), Kind: trace.Finished, Server: int32(s.Number),
 			Request: job.Request, Work: Micros(job.Work)})
 		errorShare := s.Spec.ErrorShare
-		for _, fault := range s.Gray {
+		for _, fault := range s.GrayErrorFaults {
 			if s.hasGrayErrors(fault, job) {
 				errorShare = 1 - (1-errorShare)*(1-fault.Share)
 			}
@@ -343,7 +343,7 @@
 	if !s.Running {
 		return false
 	}
-	if isAttempt && s.Hung == 0 && len(s.running) >= s.Spec.SlotsPerCore*s.Spec.Cores && len(s.waiting) >= s.Spec.Queue {
+	if isAttempt && s.HangFaults == 0 && len(s.running) >= s.Spec.SlotsPerCore*s.Spec.Cores && len(s.waiting) >= s.Spec.Queue {
 		s.world.emit(trace.Event{At: now, Kind: trace.Turned, Sidecar: int32(job.Sidecar), Server: int32(s.Number),
 			Request: job.Request, Class: uint8(job.Class), Work: Micros(job.Work)})
 		return false
@@ -513,7 +513,7 @@
 		s.reports = s.reports[1:]
 	}
 	load := s.reports[0].load
-	if s.FalseIdle > 0 {
+	if s.FalseIdleFaults > 0 {
 		load.Inflight, load.Util = 0, 0
 	}
 	load.Inflight = math.Max(0, math.Round(load.Inflight))
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -87,7 +87,7 @@
 			spec := &s.Servers[kind]
 			stream := w.Seed.Stream("server", uint64(n))
 			server := &Server{Number: n, Name: fmt.Sprintf("s-%04x", n+1), Kind: kind, Cell: n / 4, Spec: spec, world: w,
-				Slower: 1, Speed: stream.Uniform(spec.Speed[0], spec.Speed[len(spec.Speed)-1]), stream: stream,
+				SlowdownFactor: 1, Speed: stream.Uniform(spec.Speed[0], spec.Speed[len(spec.Speed)-1]), stream: stream,
 				connectionsBySidecar: make([]int, s.Fleet.Sidecars), chokedSince: -1,
 				overloadedSince: -1, recoveringSince: -1, Zone: n % zones}
 			w.Servers = append(w.Servers, server)
--- a/internal/lab/rig/process.go
+++ b/internal/lab/rig/process.go
@@ -76,7 +76,7 @@
 func (h *home) configure(mgmt string) (string, error) {
 	r := h.r
 	h.starts++
-	known := r.list(h.number, r.w.Discovery.Whole(h.number))
+	known := r.list(h.number, r.w.Discovery.FullList(h.number))
 	text, err := json.Marshal(map[string]any{
 		"name": fmt.Sprintf("n%d", h.number), "listen": h.addr, "discovery": r.desks[h.number].ln.Addr().String(),
 		"mgmt": mgmt, "seed": fmt.Sprintf("%016x", r.w.Seed.Stream("sidecar", uint64(h.number), uint64(h.starts)).Uint64()),
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -98,7 +98,7 @@
 			n.module.DrainEndpoint(n.now(), endpointID(server), n.now())
 		}
 	}
-	u := n.host.world.Discovery.Whole(n.number)
+	u := n.host.world.Discovery.FullList(n.number)
 	n.generation = u.Generation
 	n.module.UpdateEndpoints(n.now(), balancer.ListCached, endpoints(u, n.host.world))
 	if !n.settings.Subscribe {
