--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -229,7 +229,7 @@
 	if math.Abs(float64(hung-2100_000)) > 100 || math.Abs(float64(slow-6400_000)) > 100 {
 		t.Errorf("job at the hanging server ended at %d, job at the slow one at %d", hung, slow)
 	}
-	if how["other class"] != Good || how["other sidecar"] != Good || how["both"] != Bad {
+	if how["other class"] != Succeeded || how["other sidecar"] != Succeeded || how["both"] != Errored {
 		t.Errorf("outcomes under gray errors are %v, want only that of both to be an error", how)
 	}
 }
@@ -240,7 +240,7 @@
 	broken := 0
 	for range 5 {
 		s.Begin(&Job{Request: 1, Work: 100_000, Done: func(o Outcome) {
-			if o == Broken {
+			if o == ConnectionBroken {
 				broken++
 			}
 		}})
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -18,10 +18,10 @@
 
 // The outcomes.
 const (
-	Good     Outcome = iota // the server answered with success
-	Bad                     // the server answered with an error after the work
-	NeverRan                // the server rejected the attempt, and says that it did not run
-	Broken                  // the connection ended without an answer
+	Succeeded        Outcome = iota // the server answered with success
+	Errored                         // the server answered with an error after the work
+	NeverRan                        // the server rejected the attempt, and says that it did not run
+	ConnectionBroken                // the connection ended without an answer
 )
 
 // Job is work at a server: an attempt, a handshake or a probe. Done is called once, on the queue's goroutine, unless
@@ -201,7 +201,7 @@
 	s.running, s.waiting = nil, nil
 	for _, job := range jobs {
 		job.heapIndex = jobDone
-		job.Done(Broken)
+		job.Done(ConnectionBroken)
 	}
 	for i := range s.connectionsBySidecar {
 		s.connectionsBySidecar[i] = 0
@@ -279,7 +279,7 @@
 
 // complete ends a job that is done. An attempt fails with the server's error share and that of gray failures.
 func (s *Server) complete(job *Job) {
-	outcome := Good
+	outcome := Succeeded
 	if job.Request != 0 {
 		s.servedCount++
 		s.world.emit(trace.Event{At: s.world.Queue.Now(), Kind: trace.Finished, Server: int32(s.Number),
@@ -291,7 +291,7 @@
 			}
 		}
 		if errorShare > 0 && s.stream.Bernoulli(errorShare) {
-			outcome = Bad
+			outcome = Errored
 		}
 	}
 	job.Done(outcome)
--- a/internal/lab/rig/server.go
+++ b/internal/lab/rig/server.go
@@ -215,7 +215,7 @@
 		y := r.tries[id]
 		if y == nil {
 			r.spoil("a server was sent a request that no client has sent: %s", text)
-			done <- end{how: model.Broken}
+			done <- end{how: model.ConnectionBroken}
 			return
 		}
 		delay := t.s.Zone != r.w.SidecarZone(c.sidecar)
@@ -232,7 +232,7 @@
 			return
 		}
 		if c.starts != t.s.Starts || !t.s.Running {
-			done <- end{how: model.Broken}
+			done <- end{how: model.ConnectionBroken}
 			return
 		}
 		job = &model.Job{Request: id, Class: y.Task.Class, Sidecar: c.sidecar, Work: float64(y.Task.Work),
@@ -263,9 +263,9 @@
 		return false
 	}
 	switch e.how {
-	case model.Good:
+	case model.Succeeded:
 		err = c.answer(http.StatusOK, r.report(e.load), body(text, r.s.Load.AnswerBytes))
-	case model.Bad:
+	case model.Errored:
 		err = c.answer(http.StatusInternalServerError, r.report(e.load), "error")
 	case model.NeverRan:
 		err = c.answer(http.StatusServiceUnavailable, append(r.report(e.load), "X-Never-Ran: 1"), "full")
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -383,9 +383,9 @@
 func (n *node) jobDone(a *attempt, outcome model.Outcome) {
 	status := balancer.OK
 	switch outcome {
-	case model.Bad:
+	case model.Errored:
 		status = balancer.Error
-	case model.Broken:
+	case model.ConnectionBroken:
 		status = balancer.Reset
 	}
 	n.returnOutcome(a, status, n.loadReport(n.host.world.Servers[a.server]))
