--- a/internal/lab/checker/checker.go
+++ b/internal/lab/checker/checker.go
@@ -88,26 +88,26 @@
 // Take takes the next event.
 func (c *Checker) Take(e trace.Event) {
 	switch e.Kind {
-	case trace.Asked:
+	case trace.RequestSent:
 		c.handleRequest(&e)
-	case trace.Answered:
+	case trace.RequestAnswered:
 		c.handleAnswer(&e)
-	case trace.Left, trace.Cut:
+	case trace.RequestAbandoned, trace.ClientCutOff:
 		c.handleUnanswered(&e)
-	case trace.Sent:
+	case trace.AttemptSent:
 		c.verdict.Counts.Attempts++
 		c.checkDrain(&e)
-	case trace.Accepted:
+	case trace.AttemptAccepted:
 		c.verdict.Counts.Executions++
 		c.checkSlowStart(&e)
 		c.countExecution(&e)
-	case trace.Turned:
+	case trace.AttemptRejected:
 		c.checkSlowStart(&e)
-	case trace.Told:
+	case trace.ServerListed:
 		c.handleNotice(&e)
-	case trace.Started:
+	case trace.ServerStarted:
 		c.servers[e.Server] = newSlowStartServer(&e)
-	case trace.Killed:
+	case trace.SidecarStateChanged:
 		c.handleSidecarState(&e)
 	}
 }
--- a/internal/lab/checker/checker_test.go
+++ b/internal/lab/checker/checker_test.go
@@ -39,20 +39,20 @@
 }
 
 func (b *traceBuilder) request(id, task uint64, class uint8) *traceBuilder {
-	return b.add(trace.Event{Kind: trace.Asked, Request: id, Task: task, Class: class, Work: 50 * ms})
+	return b.add(trace.Event{Kind: trace.RequestSent, Request: id, Task: task, Class: class, Work: 50 * ms})
 }
 
 func (b *traceBuilder) execute(id uint64, server int32) *traceBuilder {
-	return b.add(trace.Event{Kind: trace.Sent, Request: id, Server: server}).
-		add(trace.Event{Kind: trace.Accepted, Request: id, Server: server, Work: 50 * ms})
+	return b.add(trace.Event{Kind: trace.AttemptSent, Request: id, Server: server}).
+		add(trace.Event{Kind: trace.AttemptAccepted, Request: id, Server: server, Work: 50 * ms})
 }
 
 func (b *traceBuilder) answer(id uint64, v trace.Verdict) *traceBuilder {
-	return b.add(trace.Event{Kind: trace.Answered, Request: id, Verdict: v})
+	return b.add(trace.Event{Kind: trace.RequestAnswered, Request: id, Verdict: v})
 }
 
 func (b *traceBuilder) notify(server int32, state trace.State) *traceBuilder {
-	return b.add(trace.Event{Kind: trace.Told, Server: server, State: state})
+	return b.add(trace.Event{Kind: trace.ServerListed, Server: server, State: state})
 }
 
 func (b *traceBuilder) check() *Verdict {
@@ -66,7 +66,7 @@
 // injectedViolations builds, for each rule, a trace that violates it once.
 var injectedViolations = map[Rule]func(b *traceBuilder){
 	LostRequests: func(b *traceBuilder) {
-		b.request(1, 1, 0).wait(2000 * ms).add(trace.Event{Kind: trace.Left, Request: 1})
+		b.request(1, 1, 0).wait(2000 * ms).add(trace.Event{Kind: trace.RequestAbandoned, Request: 1})
 	},
 	DuplicateAnswers: func(b *traceBuilder) {
 		b.request(1, 1, 0).execute(1, 0).answer(1, trace.Served).answer(1, trace.Served)
@@ -82,7 +82,7 @@
 		b.notify(0, trace.Draining).wait(551*ms).request(1, 1, 0).execute(1, 0).answer(1, trace.Served)
 	},
 	SlowStartOverload: func(b *traceBuilder) {
-		b.add(trace.Event{Kind: trace.Started, Capacity: 1e6, ColdFrom: 0.2, ColdFor: 20_000 * ms})
+		b.add(trace.Event{Kind: trace.ServerStarted, Capacity: 1e6, ColdFrom: 0.2, ColdFor: 20_000 * ms})
 		for id := uint64(1); id < 58; id++ { // more than 3 x 1.25 x 0.2 s of work a second, over 3 s
 			b.request(id, id, 0).execute(id, 0).wait(10*ms).answer(id, trace.Served)
 		}
@@ -119,11 +119,11 @@
 			b.request(1, 1, 0).execute(1, 3).answer(1, trace.Served)
 		}},
 		"a closed connection": {LostRequests, func(b *traceBuilder) {
-			b.request(1, 1, 0).execute(1, 0).add(trace.Event{Kind: trace.Cut, Request: 1})
+			b.request(1, 1, 0).execute(1, 0).add(trace.Event{Kind: trace.ClientCutOff, Request: 1})
 		}},
 		"a request open at a graceful shutdown": {LostRequests, func(b *traceBuilder) {
-			b.request(1, 1, 0).add(trace.Event{Kind: trace.Killed, State: trace.Draining}).wait(2000 * ms)
-			b.add(trace.Event{Kind: trace.Left, Request: 1})
+			b.request(1, 1, 0).add(trace.Event{Kind: trace.SidecarStateChanged, State: trace.Draining}).wait(2000 * ms)
+			b.add(trace.Event{Kind: trace.RequestAbandoned, Request: 1})
 		}},
 		"a retry of a booking that was executed": {DuplicateExecutions, func(b *traceBuilder) {
 			b.request(1, 1, 1).execute(1, 0).answer(1, trace.Failed)
@@ -151,15 +151,15 @@
 
 func TestCheckerPassesRunWithinRules(t *testing.T) {
 	b := &traceBuilder{}
-	b.add(trace.Event{Kind: trace.Started, Capacity: 4e6, ColdFrom: 0.2, ColdFor: 20_000 * ms})
+	b.add(trace.Event{Kind: trace.ServerStarted, Capacity: 4e6, ColdFrom: 0.2, ColdFor: 20_000 * ms})
 
 	// An idempotent request may be executed twice.
 	b.request(1, 1, 0).execute(1, 0)
-	b.add(trace.Event{Kind: trace.Sent, Request: 1, Server: 1})
-	b.add(trace.Event{Kind: trace.Accepted, Request: 1, Server: 1}).answer(1, trace.Served)
+	b.add(trace.Event{Kind: trace.AttemptSent, Request: 1, Server: 1})
+	b.add(trace.Event{Kind: trace.AttemptAccepted, Request: 1, Server: 1}).answer(1, trace.Served)
 
 	// An attempt that a server rejected was not executed.
-	b.request(2, 2, 1).add(trace.Event{Kind: trace.Sent, Request: 2}).add(trace.Event{Kind: trace.Turned, Request: 2})
+	b.request(2, 2, 1).add(trace.Event{Kind: trace.AttemptSent, Request: 2}).add(trace.Event{Kind: trace.AttemptRejected, Request: 2})
 	b.execute(2, 1).answer(2, trace.Served)
 
 	// A client may retry what was rejected.
@@ -173,11 +173,11 @@
 	b.request(8, 8, 0).execute(8, 1).answer(8, trace.Served)
 
 	// The sidecar is excused for what the lab did to it.
-	b.request(9, 9, 0).add(trace.Event{Kind: trace.Killed, State: trace.Gone})
-	b.add(trace.Event{Kind: trace.Cut, Request: 9})
-	b.request(10, 10, 0).wait(3000 * ms).add(trace.Event{Kind: trace.Left, Request: 10})
-	b.add(trace.Event{Kind: trace.Killed, State: trace.Up})
-	b.request(11, 11, 0).add(trace.Event{Kind: trace.Left, Request: 11, Note: unreadNote})
+	b.request(9, 9, 0).add(trace.Event{Kind: trace.SidecarStateChanged, State: trace.Gone})
+	b.add(trace.Event{Kind: trace.ClientCutOff, Request: 9})
+	b.request(10, 10, 0).wait(3000 * ms).add(trace.Event{Kind: trace.RequestAbandoned, Request: 10})
+	b.add(trace.Event{Kind: trace.SidecarStateChanged, State: trace.Up})
+	b.request(11, 11, 0).add(trace.Event{Kind: trace.RequestAbandoned, Request: 11, Note: unreadNote})
 
 	v := b.check()
 	if !v.Passed() {
--- a/internal/lab/checker/requests.go
+++ b/internal/lab/checker/requests.go
@@ -81,7 +81,7 @@
 	}
 	c.endRequest(e, request)
 	counts := &c.verdict.Counts
-	if e.Kind == trace.Cut {
+	if e.Kind == trace.ClientCutOff {
 		counts.Failed++
 	} else {
 		counts.Abandoned++
--- a/internal/lab/checker/wire_test.go
+++ b/internal/lab/checker/wire_test.go
@@ -12,7 +12,7 @@
 // traceBreakingEveryRule returns a trace that breaks each rule and changes each count.
 func traceBreakingEveryRule() *traceBuilder {
 	b := &traceBuilder{now: 1000 * ms}
-	b.request(1, 1, 0).wait(2000 * ms).add(trace.Event{Kind: trace.Left, Request: 1})
+	b.request(1, 1, 0).wait(2000 * ms).add(trace.Event{Kind: trace.RequestAbandoned, Request: 1})
 	b.request(2, 2, 0).execute(2, 0).answer(2, trace.Served).answer(2, trace.Served)
 	b.request(3, 3, 0).answer(3, trace.Served)
 	b.request(4, 4, 0).execute(4, 0).answer(4, trace.Foreign)
@@ -20,15 +20,15 @@
 	b.request(5, 5, 1).execute(5, 0).execute(5, 2).answer(5, trace.Refused)
 	b.notify(3, trace.Draining).wait(551*ms).request(6, 6, 0).execute(6, 3).answer(6, trace.Served)
 	b.notify(4, trace.Banned).wait(600*ms).request(7, 7, 0).execute(7, 4).answer(7, trace.Served)
-	b.add(trace.Event{Kind: trace.Started, Server: 5, Capacity: 1e6, ColdFrom: 0.2, ColdFor: 20_000 * ms})
+	b.add(trace.Event{Kind: trace.ServerStarted, Server: 5, Capacity: 1e6, ColdFrom: 0.2, ColdFor: 20_000 * ms})
 	for id := uint64(100); id < 160; id++ {
 		b.request(id, id, 0).execute(id, 5).wait(10*ms).answer(id, trace.Served)
 	}
-	b.request(8, 8, 0).add(trace.Event{Kind: trace.Killed, State: trace.Gone})
-	b.add(trace.Event{Kind: trace.Cut, Request: 8}).add(trace.Event{Kind: trace.Killed, State: trace.Up})
-	b.request(9, 9, 0).add(trace.Event{Kind: trace.Left, Request: 9, Note: "unheard"})
+	b.request(8, 8, 0).add(trace.Event{Kind: trace.SidecarStateChanged, State: trace.Gone})
+	b.add(trace.Event{Kind: trace.ClientCutOff, Request: 8}).add(trace.Event{Kind: trace.SidecarStateChanged, State: trace.Up})
+	b.request(9, 9, 0).add(trace.Event{Kind: trace.RequestAbandoned, Request: 9, Note: "unheard"})
 	b.request(10, 10, 0).answer(10, trace.Failed).request(11, 11, 0).execute(11, 0)
-	return b.add(trace.Event{Kind: trace.Cut, Request: 97})
+	return b.add(trace.Event{Kind: trace.ClientCutOff, Request: 97})
 }
 
 // Verdicts are part of stored results, so their keys, the values of Rule and the details keep their form.
--- a/internal/lab/dnslab/client.go
+++ b/internal/lab/dnslab/client.go
@@ -72,7 +72,7 @@
 	if kind == "update" {
 		class = 1
 	}
-	k.l.note(trace.Event{Kind: trace.Asked, Request: n, Task: n, Class: class, Work: 1e6})
+	k.l.note(trace.Event{Kind: trace.RequestSent, Request: n, Task: n, Class: class, Work: 1e6})
 	k.conn.SetWriteDeadline(time.Now().Add(time.Second))
 	k.conn.Write(raw)
 	k.l.after(time.Duration(k.l.s.Front.GiveUp)+giveUpSlack, func() { k.giveUp(m.Id, q) })
@@ -94,7 +94,7 @@
 	q.done = true
 	k.mu.Unlock()
 	if !over {
-		k.l.note(trace.Event{Kind: trace.Left, Request: q.n})
+		k.l.note(trace.Event{Kind: trace.RequestAbandoned, Request: q.n})
 	}
 	k.l.after(time.Second, func() {
 		k.mu.Lock()
@@ -161,7 +161,7 @@
 	case dns.RcodeRefused:
 		v = trace.Refused
 	}
-	k.l.note(trace.Event{Kind: trace.Answered, Request: q.n, Verdict: v})
+	k.l.note(trace.Event{Kind: trace.RequestAnswered, Request: q.n, Verdict: v})
 	if v == trace.Served {
 		k.l.served(took)
 	}
--- a/internal/lab/dnslab/lab.go
+++ b/internal/lab/dnslab/lab.go
@@ -98,7 +98,7 @@
 	defer l.mu.Unlock()
 	now := time.Now()
 	e.At = now.Sub(l.begun).Microseconds()
-	if e.Kind == trace.Sent {
+	if e.Kind == trace.AttemptSent {
 		l.sends++
 		if at, out := l.outAt[e.Server]; out {
 			l.lastSent = max(l.lastSent, now.Sub(at))
@@ -285,7 +285,7 @@
 				state, told = "removed", trace.Gone
 			}
 			if on {
-				l.note(trace.Event{Kind: trace.Told, Server: int32(r.id), State: told})
+				l.note(trace.Event{Kind: trace.ServerListed, Server: int32(r.id), State: told})
 				l.mu.Lock()
 				l.outAt[int32(r.id)] = time.Now()
 				l.mu.Unlock()
@@ -293,7 +293,7 @@
 			b.put(r, state, 0)
 		case "join":
 			now := time.Now()
-			l.note(trace.Event{Kind: trace.Started, Server: int32(r.id), Capacity: r.kind.Capacity * 1e6, ColdFrom: coldFrom, ColdFor: coldFor.Microseconds()})
+			l.note(trace.Event{Kind: trace.ServerStarted, Server: int32(r.id), Capacity: r.kind.Capacity * 1e6, ColdFrom: coldFrom, ColdFor: coldFor.Microseconds()})
 			b.put(r, "up", now.UnixMilli())
 		default:
 			r.set(f.Kind, on)
--- a/internal/lab/dnslab/resolver.go
+++ b/internal/lab/dnslab/resolver.go
@@ -204,13 +204,13 @@
 	}
 	n, kind := numberOf(m.Question[0].Name)
 	if n > 0 { // the flood's have none
-		r.note(trace.Event{Kind: trace.Sent, Request: n, Server: int32(r.id)})
+		r.note(trace.Event{Kind: trace.AttemptSent, Request: n, Server: int32(r.id)})
 	}
 	if r.is("silent") {
 		return nil, 0
 	}
 	if n > 0 {
-		r.note(trace.Event{Kind: trace.Accepted, Request: n, Server: int32(r.id), Work: 1e6})
+		r.note(trace.Event{Kind: trace.AttemptAccepted, Request: n, Server: int32(r.id), Work: 1e6})
 	}
 	a := new(dns.Msg)
 	a.SetReply(m)
--- a/internal/lab/figures/figures.go
+++ b/internal/lab/figures/figures.go
@@ -204,16 +204,16 @@
 	y := r.tries[e.Request]
 	r.ramp.take(&e, y != nil && y.retry, y != nil && y.sent > 1)
 	switch e.Kind {
-	case trace.Asked:
+	case trace.RequestSent:
 		r.ask(&e, at)
-	case trace.Answered:
+	case trace.RequestAnswered:
 		r.answer(&e, at)
-	case trace.Left, trace.Cut:
+	case trace.RequestAbandoned, trace.ClientCutOff:
 		if y != nil {
 			bump(&r.series.Classes[y.class].Failed, at)
 			delete(r.tries, e.Request)
 		}
-	case trace.Sent:
+	case trace.AttemptSent:
 		r.sent++
 		if y != nil {
 			y.sent++
@@ -223,23 +223,23 @@
 			r.crossed++
 			bump(&r.series.Crossed, at)
 		}
-	case trace.Accepted:
+	case trace.AttemptAccepted:
 		if int(e.Server) < len(r.series.Servers) {
 			bump(&r.series.Servers[e.Server].Taken, at)
 		}
-	case trace.Turned:
+	case trace.AttemptRejected:
 		r.turned++
 		bump(&r.series.Turned, at)
-	case trace.Opened:
+	case trace.ConnOpened:
 		r.opened++
 		r.conns++
 		bump(&r.series.Opened, at)
-	case trace.Closed:
+	case trace.ConnClosed:
 		r.conns--
-	case trace.Probed:
+	case trace.ProbeSent:
 		r.probed++
 		bump(&r.series.Probed, at)
-	case trace.Gauge:
+	case trace.ServerGauge:
 		if int(e.Server) < len(r.series.Servers) {
 			s := &r.series.Servers[e.Server]
 			s.At = append(s.At, float64(e.At)/1e6)
@@ -248,22 +248,22 @@
 			s.Warmth = append(s.Warmth, e.Warmth)
 			s.Slow = append(s.Slow, e.Slow)
 		}
-	case trace.Began:
+	case trace.FaultBegan:
 		r.open[e.Note] = len(r.series.Faults)
 		r.series.Faults = append(r.series.Faults, Band{e.Note, float64(e.At) / 1e6, -1})
-	case trace.Ended:
+	case trace.FaultEnded:
 		if i, ok := r.open[e.Note]; ok {
 			r.series.Faults[i].To = float64(e.At) / 1e6
 		}
-	case trace.Fell:
+	case trace.ServerCollapsed:
 		r.mark(&e, fmt.Sprintf("server %d falls over", e.Server))
-	case trace.Stopped:
+	case trace.ServerStopped:
 		r.mark(&e, fmt.Sprintf("server %d ends", e.Server))
-	case trace.Started:
+	case trace.ServerStarted:
 		if e.At > 0 {
 			r.mark(&e, fmt.Sprintf("server %d starts", e.Server))
 		}
-	case trace.Killed:
+	case trace.SidecarStateChanged:
 		r.mark(&e, fmt.Sprintf("sidecar %d: %s", e.Sidecar, e.Note))
 	}
 }
--- a/internal/lab/figures/figures_test.go
+++ b/internal/lab/figures/figures_test.go
@@ -36,14 +36,14 @@
 func TestService(t *testing.T) {
 	r := New(rules(t, "[keep]\nservice = 0.9\nattempts_most = 0.1\n[keep.class]\npay = 0.5\n"))
 	ask := func(at Micros, id, task uint64, class uint8, retry bool) {
-		r.Take(trace.Event{At: at, Kind: trace.Asked, Request: id, Task: task, Class: class, Work: 10, Retry: retry})
+		r.Take(trace.Event{At: at, Kind: trace.RequestSent, Request: id, Task: task, Class: class, Work: 10, Retry: retry})
 	}
 	answer := func(at Micros, id uint64, v trace.Verdict) {
-		r.Take(trace.Event{At: at, Kind: trace.Answered, Request: id, Verdict: v})
+		r.Take(trace.Event{At: at, Kind: trace.RequestAnswered, Request: id, Verdict: v})
 	}
 	ask(0, 1, 1, 0, false) // in time: 1
-	r.Take(trace.Event{At: 1000, Kind: trace.Sent, Cross: true})
-	r.Take(trace.Event{At: 1000, Kind: trace.Sent})
+	r.Take(trace.Event{At: 1000, Kind: trace.AttemptSent, Cross: true})
+	r.Take(trace.Event{At: 1000, Kind: trace.AttemptSent})
 	answer(50_000, 1, trace.Served)
 	ask(1e6, 2, 2, 0, false) // late: 0 of 1
 	answer(1_150_000, 2, trace.Served)
@@ -52,7 +52,7 @@
 	ask(2_020_000, 4, 3, 1, true)
 	answer(2_090_000, 4, trace.Served)
 	ask(15e6, 5, 4, 1, false) // left: 0 of 3
-	r.Take(trace.Event{At: 16e6, Kind: trace.Left, Request: 5})
+	r.Take(trace.Event{At: 16e6, Kind: trace.RequestAbandoned, Request: 5})
 	x := r.End(&checker.Verdict{Counts: checker.Counts{Requests: 5, Served: 3, Rejected: 1, Abandoned: 1}})
 	if want := 4.0 / 8; math.Abs(x.Service-want) > 1e-9 {
 		t.Errorf("service %v, want %v", x.Service, want)
@@ -90,17 +90,17 @@
 			r.Take(trace.Event{At: at, Kind: kind, Server: server, Sidecar: sidecar})
 		}
 	}
-	take(100, trace.Probed, 0, 1, 2)
-	take(200, trace.Probed, 0, 2, 3) // five in one second, of two sidecars
-	take(300, trace.Opened, 1, 1, 4)
-	take(1_200_000, trace.Opened, 1, 2, 2)
-	take(1_300_000, trace.Shut, 1, 3, 1)
-	take(1_400_000, trace.Closed, 1, 1, 1)
-	take(2_100_000, trace.Stopped, 1, 0, 1) // its connections end with it
-	r.Take(trace.Event{At: 2_200_000, Kind: trace.Carried, Server: 1, Warmth: 0.4})
-	r.Take(trace.Event{At: 2_300_000, Kind: trace.Called, Sidecar: 1, Work: 20_000})
-	r.Take(trace.Event{At: 2_400_000, Kind: trace.Called, Sidecar: 2, Work: 40_000, Verdict: trace.Failed})
-	take(3_500_000, trace.Probed, 9, 1, 1) // of no server
+	take(100, trace.ProbeSent, 0, 1, 2)
+	take(200, trace.ProbeSent, 0, 2, 3) // five in one second, of two sidecars
+	take(300, trace.ConnOpened, 1, 1, 4)
+	take(1_200_000, trace.ConnOpened, 1, 2, 2)
+	take(1_300_000, trace.ConnRefused, 1, 3, 1)
+	take(1_400_000, trace.ConnClosed, 1, 1, 1)
+	take(2_100_000, trace.ServerStopped, 1, 0, 1) // its connections end with it
+	r.Take(trace.Event{At: 2_200_000, Kind: trace.ColdLoad, Server: 1, Warmth: 0.4})
+	r.Take(trace.Event{At: 2_300_000, Kind: trace.DiscoveryCalled, Sidecar: 1, Work: 20_000})
+	r.Take(trace.Event{At: 2_400_000, Kind: trace.DiscoveryCalled, Sidecar: 2, Work: 40_000, Verdict: trace.Failed})
+	take(3_500_000, trace.ProbeSent, 9, 1, 1) // of no server
 	x := r.End(&checker.Verdict{})
 	want := map[string]float64{"probes_worst": 5, "probes_mean": 5.0 / 8, "handshakes_worst": 4, "handshakes_mean": 6.0 / 8, "shut_mean": 1.0 / 8,
 		"cold_worst": 0.4, "calls_worst": 2, "calls_mean": 0.5, "calls_failed": 0.5, "call_wait_mean_ms": 30, "call_wait_worst_ms": 40}
@@ -128,20 +128,20 @@
 	// an eighth of that is allowed N = 3 * 2 * 0.125 * 3 / 0.05 = 45 requests at its start.
 	run := func(known, unknown int, apart Micros) map[string]float64 {
 		r := New(rules(t, "[keep.fleet_most]\nramp_worst = 1.0\nramp_falls_told = 0.5\n"))
-		r.Take(trace.Event{At: 7 * second, Kind: trace.Started, Server: 1, Capacity: 2 * second, ColdFrom: 0.125, ColdFor: 1 << 50})
-		r.Take(trace.Event{At: 7 * second, Kind: trace.Told, Server: 1, Sidecar: 1, State: trace.Up, Since: 7 * second})
-		r.Take(trace.Event{At: 7 * second, Kind: trace.Told, Server: 1, Sidecar: 2, State: trace.Up, Since: 5 * second}) // of an earlier start
+		r.Take(trace.Event{At: 7 * second, Kind: trace.ServerStarted, Server: 1, Capacity: 2 * second, ColdFrom: 0.125, ColdFor: 1 << 50})
+		r.Take(trace.Event{At: 7 * second, Kind: trace.ServerListed, Server: 1, Sidecar: 1, State: trace.Up, Since: 7 * second})
+		r.Take(trace.Event{At: 7 * second, Kind: trace.ServerListed, Server: 1, Sidecar: 2, State: trace.Up, Since: 5 * second}) // of an earlier start
 		for i := range known + unknown {
-			e := trace.Event{At: 8*second + Micros(i)*apart, Kind: trace.Accepted, Server: 1, Sidecar: 1, Request: uint64(i), Work: 50_000}
+			e := trace.Event{At: 8*second + Micros(i)*apart, Kind: trace.AttemptAccepted, Server: 1, Sidecar: 1, Request: uint64(i), Work: 50_000}
 			if i%2 == 1 {
-				e.Kind = trace.Turned // counts as well
+				e.Kind = trace.AttemptRejected // counts as well
 			}
 			if i >= known {
 				e.Sidecar = 2
 			}
 			r.Take(e)
 		}
-		r.Take(trace.Event{At: 20 * second, Kind: trace.Probed, Server: 1, Sidecar: 1})
+		r.Take(trace.Event{At: 20 * second, Kind: trace.ProbeSent, Server: 1, Sidecar: 1})
 		x := r.End(&checker.Verdict{})
 		if over := x.Figures["ramp_falls"] > 0; over != (len(x.Missed) > 0) {
 			t.Errorf("%d and %d: %v falls, missed %q", known, unknown, x.Figures["ramp_falls"], x.Missed)
--- a/internal/lab/figures/fleet.go
+++ b/internal/lab/figures/fleet.go
@@ -77,14 +77,14 @@
 func (f *fleet) take(e *trace.Event) {
 	n := int(e.Server)
 	switch e.Kind {
-	case trace.Called:
+	case trace.DiscoveryCalled:
 		f.called++
 		f.waits.add(float64(e.Work)/1000, -1, float64(e.At)/1e6)
 		if e.Verdict == trace.Failed {
 			f.failed++
 		}
 		return
-	case trace.Opened, trace.Closed, trace.Probed, trace.Shut, trace.Carried, trace.Stopped:
+	case trace.ConnOpened, trace.ConnClosed, trace.ProbeSent, trace.ConnRefused, trace.ColdLoad, trace.ServerStopped:
 	default:
 		return
 	}
@@ -92,18 +92,18 @@
 		return
 	}
 	switch e.Kind {
-	case trace.Opened:
+	case trace.ConnOpened:
 		f.conns[n]++
 		f.second[fleetHandshakes][n]++
-	case trace.Closed:
+	case trace.ConnClosed:
 		f.conns[n] = max(0, f.conns[n]-1)
-	case trace.Stopped:
+	case trace.ServerStopped:
 		f.conns[n] = 0 // they end with the process, untold
-	case trace.Probed:
+	case trace.ProbeSent:
 		f.second[fleetProbes][n]++
-	case trace.Shut:
+	case trace.ConnRefused:
 		f.second[fleetShut][n]++
-	case trace.Carried:
+	case trace.ColdLoad:
 		f.cold.add(e.Warmth, n, float64(e.At)/1e6)
 	}
 }
--- a/internal/lab/figures/ramp.go
+++ b/internal/lab/figures/ramp.go
@@ -80,21 +80,21 @@
 	}
 	c := &r.servers[e.Server]
 	switch e.Kind {
-	case trace.Started:
+	case trace.ServerStarted:
 		r.over(e.Server)
 		*c = coldServer{cold: e.ColdFor > 0 && e.ColdFrom < 1, started: e.At, capacity: e.Capacity, from: e.ColdFrom, ramp: e.ColdFor,
 			told: map[int32]bool{}}
-	case trace.Stopped:
+	case trace.ServerStopped:
 		r.over(e.Server)
-	case trace.Told:
+	case trace.ServerListed:
 		if e.State == trace.Released || e.State == trace.Up && e.Since == max(1, c.started) {
 			c.told[e.Sidecar] = true
 		}
-	case trace.Probed:
+	case trace.ProbeSent:
 		if c.isCold(e.At) {
 			r.probes += r.probe[e.Server]
 		}
-	case trace.Accepted, trace.Turned:
+	case trace.AttemptAccepted, trace.AttemptRejected:
 		if c.isCold(e.At) {
 			r.arrive(c, e, retry, further)
 		}
--- a/internal/lab/model/discovery.go
+++ b/internal/lab/model/discovery.go
@@ -114,7 +114,7 @@
 // recordUpdate records an update that a sidecar has been sent. It records servers that a full list omits as gone.
 func (d *Discovery) recordUpdate(sidecar int, update Update) {
 	now := d.world.Queue.Now()
-	event := trace.Event{At: now, Kind: trace.Told, Sidecar: int32(sidecar)}
+	event := trace.Event{At: now, Kind: trace.ServerListed, Sidecar: int32(sidecar)}
 	for _, entry := range update.Entries {
 		event.Server, event.State, event.Since = int32(entry.Server), entry.State, entry.Started
 		d.world.emit(event)
@@ -164,7 +164,7 @@
 	delay := d.busyUntil - now + d.world.Scenario.Discovery.CallTime.Micros() - interval
 	deliver := answer
 	answer = func(u Update, ok bool) {
-		event := trace.Event{At: d.world.Queue.Now(), Kind: trace.Called, Sidecar: int32(sidecar), Work: d.world.Queue.Now() - now}
+		event := trace.Event{At: d.world.Queue.Now(), Kind: trace.DiscoveryCalled, Sidecar: int32(sidecar), Work: d.world.Queue.Now() - now}
 		if !ok {
 			event.Verdict = trace.Failed
 		}
--- a/internal/lab/model/faults.go
+++ b/internal/lab/model/faults.go
@@ -52,8 +52,8 @@
 // recordFault records the beginning and the end of a fault's occurrence in the trace.
 func (w *World) recordFault(fault *scenario.Fault, number int, start, length Micros) {
 	note := fmt.Sprintf("%s #%d", fault.Kind, number)
-	w.Queue.At(start, func() { w.emit(trace.Event{At: w.Queue.Now(), Kind: trace.Began, Note: note}) })
-	w.Queue.At(start+length, func() { w.emit(trace.Event{At: w.Queue.Now(), Kind: trace.Ended, Note: note}) })
+	w.Queue.At(start, func() { w.emit(trace.Event{At: w.Queue.Now(), Kind: trace.FaultBegan, Note: note}) })
+	w.Queue.At(start+length, func() { w.emit(trace.Event{At: w.Queue.Now(), Kind: trace.FaultEnded, Note: note}) })
 }
 
 const (
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -117,7 +117,7 @@
 	}
 	n := 0
 	for _, e := range *list {
-		if e.Kind == trace.Started && e.ColdFrom == 0.25 && e.ColdFor == 10*eventqueue.Second {
+		if e.Kind == trace.ServerStarted && e.ColdFrom == 0.25 && e.ColdFor == 10*eventqueue.Second {
 			n++
 		}
 	}
@@ -138,7 +138,7 @@
 	runUntil(t, w, 2*eventqueue.Second)
 	fell := false
 	for _, e := range *list {
-		fell = fell || e.Kind == trace.Fell
+		fell = fell || e.Kind == trace.ServerCollapsed
 	}
 	if !fell || s.Running {
 		t.Errorf("overloaded cold server: collapse recorded %v, process running %v", fell, s.Running)
@@ -269,7 +269,7 @@
 		t.Fatalf("updates on the watch are %+v, want one with a draining server", h.updates)
 	}
 	told := (*list)[len(*list)-1]
-	if told.Kind != trace.Told || told.Server != 1 || told.At < 700_000 {
+	if told.Kind != trace.ServerListed || told.Server != 1 || told.At < 700_000 {
 		t.Errorf("the last event is %+v, want the delayed update of server 1", told)
 	}
 	// A watch from an earlier generation gets the changes since, one from the future the full list.
@@ -320,7 +320,7 @@
 		w.Begin()
 		runUntil(t, w, 30*eventqueue.Second)
 		for _, e := range *events {
-			if e.Kind == trace.Asked && !e.Retry {
+			if e.Kind == trace.RequestSent && !e.Retry {
 				list = append(list, fmt.Sprint(e.At, e.Task, e.Class, e.Work))
 			}
 		}
@@ -353,7 +353,7 @@
 		tries := map[uint64]int{}
 		class := map[uint64]uint8{}
 		for _, e := range *list {
-			if e.Kind == trace.Asked {
+			if e.Kind == trace.RequestSent {
 				tries[e.Task]++
 				class[e.Task] = e.Class
 			}
@@ -375,8 +375,8 @@
 	runUntil(t, w, 30*eventqueue.Second)
 	asked, left := 0, 0
 	for _, e := range *list {
-		asked += btoi(e.Kind == trace.Asked)
-		left += btoi(e.Kind == trace.Left)
+		asked += btoi(e.Kind == trace.RequestSent)
+		left += btoi(e.Kind == trace.RequestAbandoned)
 	}
 	if !w.Done() || asked != left || h.abandoned != left || left == 0 {
 		t.Errorf("%d requests, %d timeouts recorded, %d reported to the host, %d tasks open",
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -161,7 +161,7 @@
 		s.StartedAt = -1 << 40
 	}
 	s.clockUpdatedAt = now
-	s.world.emit(trace.Event{At: now, Kind: trace.Started, Server: int32(s.Number), Capacity: s.Capacity(),
+	s.world.emit(trace.Event{At: now, Kind: trace.ServerStarted, Server: int32(s.Number), Capacity: s.Capacity(),
 		ColdFrom: s.InitialWarmth, ColdFor: max(0, s.StartedAt+s.Spec.WarmUpDuration.Micros()-now)})
 	s.reschedule()
 	s.scheduleWarmUp()
@@ -181,7 +181,7 @@
 // reportColdLoad records, once per process, how close to its limit the work came that it was sent while cold.
 func (s *Server) reportColdLoad() {
 	if s.maxColdLoadRatio > 0 {
-		s.world.emit(trace.Event{At: s.world.Queue.Now(), Kind: trace.Carried, Server: int32(s.Number),
+		s.world.emit(trace.Event{At: s.world.Queue.Now(), Kind: trace.ColdLoad, Server: int32(s.Number),
 			Warmth: s.maxColdLoadRatio})
 	}
 	s.maxColdLoadRatio = -1
@@ -195,7 +195,7 @@
 	s.advance()
 	s.Running = false
 	s.reportColdLoad()
-	s.world.emit(trace.Event{At: s.world.Queue.Now(), Kind: trace.Stopped, Server: int32(s.Number)})
+	s.world.emit(trace.Event{At: s.world.Queue.Now(), Kind: trace.ServerStopped, Server: int32(s.Number)})
 	jobs := append([]*Job(nil), s.running...)
 	jobs = append(jobs, s.waiting...)
 	s.running, s.waiting = nil, nil
@@ -282,7 +282,7 @@
 	outcome := Succeeded
 	if job.Request != 0 {
 		s.servedCount++
-		s.world.emit(trace.Event{At: s.world.Queue.Now(), Kind: trace.Finished, Server: int32(s.Number),
+		s.world.emit(trace.Event{At: s.world.Queue.Now(), Kind: trace.AttemptFinished, Server: int32(s.Number),
 			Request: job.Request, Work: Micros(job.Work)})
 		errorShare := s.Spec.ErrorShare
 		for _, fault := range s.GrayErrorFaults {
@@ -344,12 +344,12 @@
 		return false
 	}
 	if isAttempt && s.HangFaults == 0 && len(s.running) >= s.Spec.SlotsPerCore*s.Spec.Cores && len(s.waiting) >= s.Spec.Queue {
-		s.world.emit(trace.Event{At: now, Kind: trace.Turned, Sidecar: int32(job.Sidecar), Server: int32(s.Number),
+		s.world.emit(trace.Event{At: now, Kind: trace.AttemptRejected, Sidecar: int32(job.Sidecar), Server: int32(s.Number),
 			Request: job.Request, Class: uint8(job.Class), Work: Micros(job.Work)})
 		return false
 	}
 	if isAttempt {
-		s.world.emit(trace.Event{At: now, Kind: trace.Accepted, Sidecar: int32(job.Sidecar), Server: int32(s.Number),
+		s.world.emit(trace.Event{At: now, Kind: trace.AttemptAccepted, Sidecar: int32(job.Sidecar), Server: int32(s.Number),
 			Request: job.Request, Class: uint8(job.Class), Work: Micros(job.Work)})
 	}
 	if isAttempt && len(s.running) >= s.Spec.SlotsPerCore*s.Spec.Cores {
@@ -441,7 +441,7 @@
 	s.maxColdLoadRatio = max(s.maxColdLoadRatio, s.coldWork.sum/limit)
 	if s.coldWork.sum > limit && s.Running {
 		s.collapsed = true
-		s.world.emit(trace.Event{At: now, Kind: trace.Fell, Server: int32(s.Number)})
+		s.world.emit(trace.Event{At: now, Kind: trace.ServerCollapsed, Server: int32(s.Number)})
 		s.world.Queue.After(0, s.stop)
 	}
 }
@@ -473,12 +473,12 @@
 // requests on it are rejected.
 func (s *Server) Open(sidecar int) (full bool) {
 	if s.connections >= s.Spec.ConnCap {
-		s.world.emit(trace.Event{At: s.world.Queue.Now(), Kind: trace.Shut, Sidecar: int32(sidecar), Server: int32(s.Number)})
+		s.world.emit(trace.Event{At: s.world.Queue.Now(), Kind: trace.ConnRefused, Sidecar: int32(sidecar), Server: int32(s.Number)})
 		return true
 	}
 	s.connections++
 	s.connectionsBySidecar[sidecar]++
-	s.world.emit(trace.Event{At: s.world.Queue.Now(), Kind: trace.Opened, Sidecar: int32(sidecar), Server: int32(s.Number)})
+	s.world.emit(trace.Event{At: s.world.Queue.Now(), Kind: trace.ConnOpened, Sidecar: int32(sidecar), Server: int32(s.Number)})
 	return false
 }
 
@@ -490,7 +490,7 @@
 	}
 	s.connections--
 	s.connectionsBySidecar[sidecar]--
-	s.world.emit(trace.Event{At: s.world.Queue.Now(), Kind: trace.Closed, Sidecar: int32(sidecar), Server: int32(s.Number)})
+	s.world.emit(trace.Event{At: s.world.Queue.Now(), Kind: trace.ConnClosed, Sidecar: int32(sidecar), Server: int32(s.Number)})
 }
 
 // Report returns the load report that the server sends now. Its spec sets how often a report is made, how old the one
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -176,7 +176,7 @@
 		if !s.Running {
 			warmth = 0
 		}
-		w.emit(trace.Event{At: now, Kind: trace.Gauge, Server: int32(s.Number), Held: int32(s.heldRequests()),
+		w.emit(trace.Event{At: now, Kind: trace.ServerGauge, Server: int32(s.Number), Held: int32(s.heldRequests()),
 			Queued: int32(len(s.waiting)), Warmth: warmth, Slow: s.Choked()})
 	}
 	w.Queue.At(now+eventqueue.Second/4*Micros(1+len(w.Servers)/50), w.recordGauges)
@@ -285,12 +285,12 @@
 	request := &Request{ID: task.ID<<RequestNumberBits | uint64(number), Task: task, Number: number, SentAt: now,
 		Deadline: now + min(timeout, task.Deadline-now)}
 	request.Timeout = request.Deadline - now
-	w.emit(trace.Event{At: now, Kind: trace.Asked, Request: request.ID, Task: task.ID, Class: uint8(task.Class),
+	w.emit(trace.Event{At: now, Kind: trace.RequestSent, Request: request.ID, Task: task.ID, Class: uint8(task.Class),
 		Sidecar: int32(task.Sidecar), Work: task.Work, Due: request.Deadline, Retry: number > 0})
 	request.timeoutEvent = w.Queue.At(request.Deadline+w.answerGrace(), func() {
 		if !request.done {
 			request.done = true
-			w.emit(trace.Event{At: w.Queue.Now(), Kind: trace.Left, Request: request.ID})
+			w.emit(trace.Event{At: w.Queue.Now(), Kind: trace.RequestAbandoned, Request: request.ID})
 			w.host.AbandonRequest(request)
 			w.retryOrEnd(request, trace.Failed, 0)
 		}
@@ -305,12 +305,12 @@
 func (w *World) Answer(request *Request, at Micros, verdict trace.Verdict, retryAfter Micros) {
 	if request.done {
 		// It is a second answer, or arrived after the client had stopped waiting. The trace gets it all the same.
-		w.emit(trace.Event{At: at, Kind: trace.Answered, Request: request.ID, Verdict: verdict})
+		w.emit(trace.Event{At: at, Kind: trace.RequestAnswered, Request: request.ID, Verdict: verdict})
 		return
 	}
 	request.done = true
 	w.Queue.Cancel(request.timeoutEvent)
-	w.emit(trace.Event{At: at, Kind: trace.Answered, Request: request.ID, Verdict: verdict})
+	w.emit(trace.Event{At: at, Kind: trace.RequestAnswered, Request: request.ID, Verdict: verdict})
 	w.retryOrEnd(request, verdict, retryAfter)
 }
 
@@ -323,11 +323,11 @@
 	request.done = true
 	w.Queue.Cancel(request.timeoutEvent)
 	if neverAccepted {
-		w.emit(trace.Event{At: at, Kind: trace.Left, Request: request.ID, Note: "unheard"})
+		w.emit(trace.Event{At: at, Kind: trace.RequestAbandoned, Request: request.ID, Note: "unheard"})
 		w.retryOrEnd(request, trace.Refused, 0)
 		return
 	}
-	w.emit(trace.Event{At: at, Kind: trace.Cut, Request: request.ID})
+	w.emit(trace.Event{At: at, Kind: trace.ClientCutOff, Request: request.ID})
 	w.retryOrEnd(request, trace.Failed, 0)
 }
 
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -305,7 +305,7 @@
 	}
 	line += r.w.Servers[server].Name
 	for _, h := range r.homes {
-		e := trace.Event{Kind: trace.Told, Sidecar: int32(h.number), Server: int32(server), State: state}
+		e := trace.Event{Kind: trace.ServerListed, Sidecar: int32(h.number), Server: int32(server), State: state}
 		p := h.now
 		if p == nil {
 			p = h.old
@@ -388,7 +388,7 @@
 
 func (r *rig) processFault(h *home, f *scenario.Fault, on bool) {
 	note := func(state trace.State) {
-		r.sink.Take(trace.Event{At: r.q.Now(), Kind: trace.Killed, Sidecar: int32(h.number), State: state, Note: f.Kind})
+		r.sink.Take(trace.Event{At: r.q.Now(), Kind: trace.SidecarStateChanged, Sidecar: int32(h.number), State: state, Note: f.Kind})
 	}
 	p := h.now
 	switch {
--- a/internal/lab/rig/rig_test.go
+++ b/internal/lab/rig/rig_test.go
@@ -116,7 +116,7 @@
 	var mu sync.Mutex
 	asked := map[uint64]trace.Event{}
 	x := play(t, small(t, "1s", ""), trace.Func(func(e trace.Event) {
-		if e.Kind == trace.Asked && !e.Retry {
+		if e.Kind == trace.RequestSent && !e.Retry {
 			mu.Lock()
 			defer mu.Unlock()
 			asked[e.Task] = e
@@ -164,7 +164,7 @@
 	var once sync.Once
 	_, err := Run(ctx, small(t, "1h", "[[fault]]\nkind = \"upgrade\"\nat = \"100ms\"\nfor = \"1s\"\n"), Options{Bin: program,
 		Sinks: []trace.Sink{trace.Func(func(e trace.Event) {
-			if e.Kind == trace.Answered {
+			if e.Kind == trace.RequestAnswered {
 				once.Do(cancel)
 			}
 		})}})
--- a/internal/lab/rig/server.go
+++ b/internal/lab/rig/server.go
@@ -223,10 +223,10 @@
 		if delay {
 			way = r.s.Net.CrossZoneDelay
 		}
-		r.sink.Take(trace.Event{At: r.at(first) - way.Micros(), Kind: trace.Sent, Sidecar: int32(c.sidecar), Server: int32(t.s.Number),
+		r.sink.Take(trace.Event{At: r.at(first) - way.Micros(), Kind: trace.AttemptSent, Sidecar: int32(c.sidecar), Server: int32(t.s.Number),
 			Request: id, Class: uint8(y.Task.Class), Cross: delay})
 		if c.full {
-			r.sink.Take(trace.Event{At: r.q.Now(), Kind: trace.Turned, Sidecar: int32(c.sidecar), Server: int32(t.s.Number),
+			r.sink.Take(trace.Event{At: r.q.Now(), Kind: trace.AttemptRejected, Sidecar: int32(c.sidecar), Server: int32(t.s.Number),
 				Request: id, Class: uint8(y.Task.Class), Work: y.Task.Work})
 			done <- end{how: model.NeverRan}
 			return
@@ -297,7 +297,7 @@
 	r, t := c.slot.r, c.slot
 	loads := make(chan model.Load, 1)
 	r.post(func() {
-		r.sink.Take(trace.Event{At: r.q.Now(), Kind: trace.Probed, Sidecar: int32(c.sidecar), Server: int32(t.s.Number)})
+		r.sink.Take(trace.Event{At: r.q.Now(), Kind: trace.ProbeSent, Sidecar: int32(c.sidecar), Server: int32(t.s.Number)})
 		if work := float64(t.s.Spec.Probe.Micros()); work > 0 && t.s.Running {
 			t.s.Begin(&model.Job{Sidecar: c.sidecar, Work: work, Done: func(model.Outcome) {}})
 		}
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -338,7 +338,7 @@
 	server := n.host.world.Servers[a.server]
 	request := a.call.request
 	a.written = true
-	n.host.sink.Take(trace.Event{At: now, Kind: trace.Sent, Sidecar: int32(n.number), Server: int32(a.server),
+	n.host.sink.Take(trace.Event{At: now, Kind: trace.AttemptSent, Sidecar: int32(n.number), Server: int32(a.server),
 		Request: request.ID, Class: uint8(request.Task.Class), Cross: server.Zone != n.zone})
 	connection := a.conn
 	n.deliver(a.server, func(lost bool) {
@@ -350,7 +350,7 @@
 			return
 		}
 		if connection.overLimit {
-			n.host.sink.Take(trace.Event{At: n.host.queue.Now(), Kind: trace.Turned, Sidecar: int32(n.number),
+			n.host.sink.Take(trace.Event{At: n.host.queue.Now(), Kind: trace.AttemptRejected, Sidecar: int32(n.number),
 				Server: int32(a.server), Request: request.ID, Class: uint8(request.Task.Class), Work: request.Task.Work})
 			n.returnOutcome(a, balancer.Rejected, nil)
 			return
@@ -505,7 +505,7 @@
 			complete(status, nil)
 			return
 		}
-		n.host.sink.Take(trace.Event{At: n.host.queue.Now(), Kind: trace.Probed, Sidecar: int32(n.number),
+		n.host.sink.Take(trace.Event{At: n.host.queue.Now(), Kind: trace.ProbeSent, Sidecar: int32(n.number),
 			Server: int32(server)})
 		probed := n.host.world.Servers[server]
 		n.deliver(server, func(lost bool) {
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -210,7 +210,7 @@
 		})
 	}
 	for i := range h.nodes {
-		h.sink.Take(trace.Event{At: h.queue.Now(), Kind: trace.Told, Sidecar: int32(i), Server: int32(server), State: state})
+		h.sink.Take(trace.Event{At: h.queue.Now(), Kind: trace.ServerListed, Sidecar: int32(i), Server: int32(server), State: state})
 	}
 }
 
@@ -306,7 +306,7 @@
 	process := h.nodes[sidecar]
 	now := h.queue.Now()
 	recordState := func(state trace.State) {
-		h.sink.Take(trace.Event{At: now, Kind: trace.Killed, Sidecar: int32(sidecar), State: state, Note: fault.Kind})
+		h.sink.Take(trace.Event{At: now, Kind: trace.SidecarStateChanged, Sidecar: int32(sidecar), State: state, Note: fault.Kind})
 	}
 	switch {
 	case fault.Kind == "upgrade" && on && process != nil:
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -122,7 +122,7 @@
 			}
 			began := 0
 			result := runScenario(t, &s, 2, trace.Func(func(e trace.Event) {
-				if e.Kind == trace.Began {
+				if e.Kind == trace.FaultBegan {
 					began++
 				}
 			}))
--- a/internal/lab/trace/trace.go
+++ b/internal/lab/trace/trace.go
@@ -15,28 +15,28 @@
 
 // The kinds of event, each with the fields of Event that it uses.
 const (
-	Asked    Kind = iota // a client wrote a request's last byte: Request, Task, Class, Sidecar, Work, Due, Retry
-	Answered             // a client received a complete answer: Request, Verdict
-	Left                 // a client timed out without an answer: Request, Note
-	Cut                  // the sidecar closed a client's connection without an answer: Request
-	Sent                 // a sidecar sent an attempt's first byte, at At: Request, Sidecar, Server, Class, Cross
-	Accepted             // a server accepted an attempt, which may run: Request, Sidecar, Server, Class, Work
-	Turned               // a server rejected an attempt, which did not run: Request, Sidecar, Server, Class, Work
-	Finished             // a server finished an attempt: Request, Server, Work
-	Told                 // discovery or an operator sent a server's state to a sidecar: Sidecar, Server, State, Since
-	Started              // a server's process started: Server, Capacity, ColdFrom, ColdFor; Work is its machine's pace
-	Fell                 // a cold server collapsed under overload: Server
-	Stopped              // a server's process ended: Server
-	Opened               // a connection to a server was opened: Sidecar, Server
-	Closed               // a connection to a server was closed: Sidecar, Server
-	Probed               // a sidecar sent a probe to a server: Sidecar, Server
-	Killed               // the lab killed or froze a sidecar (Gone), or it runs again (Up): Sidecar, State, Note
-	Began                // a fault began: Note
-	Ended                // a fault ended: Note
-	Gauge                // state of a server, recorded at intervals: Server, Held, Queued, Warmth, Slow
-	Shut                 // a server refused a connection above its limit: Sidecar, Server
-	Carried              // a process is no longer cold: Server; Warmth is the highest ratio of the work sent to the limit
-	Called               // a call of discovery ended: Sidecar, Verdict (Served or Failed); Work is its duration
+	RequestSent         Kind = iota // a client wrote a request's last byte: Request, Task, Class, Sidecar, Work, Due, Retry
+	RequestAnswered                 // a client received a complete answer: Request, Verdict
+	RequestAbandoned                // a client timed out without an answer: Request, Note
+	ClientCutOff                    // the sidecar closed a client's connection without an answer: Request
+	AttemptSent                     // a sidecar sent an attempt's first byte, at At: Request, Sidecar, Server, Class, Cross
+	AttemptAccepted                 // a server accepted an attempt, which may run: Request, Sidecar, Server, Class, Work
+	AttemptRejected                 // a server rejected an attempt, which did not run: Request, Sidecar, Server, Class, Work
+	AttemptFinished                 // a server finished an attempt: Request, Server, Work
+	ServerListed                    // discovery or an operator sent a server's state to a sidecar: Sidecar, Server, State, Since
+	ServerStarted                   // a server's process started: Server, Capacity, ColdFrom, ColdFor; Work is its machine's pace
+	ServerCollapsed                 // a cold server collapsed under overload: Server
+	ServerStopped                   // a server's process ended: Server
+	ConnOpened                      // a connection to a server was opened: Sidecar, Server
+	ConnClosed                      // a connection to a server was closed: Sidecar, Server
+	ProbeSent                       // a sidecar sent a probe to a server: Sidecar, Server
+	SidecarStateChanged             // the lab killed or froze a sidecar (Gone), or it runs again (Up): Sidecar, State, Note
+	FaultBegan                      // a fault began: Note
+	FaultEnded                      // a fault ended: Note
+	ServerGauge                     // state of a server, recorded at intervals: Server, Held, Queued, Warmth, Slow
+	ConnRefused                     // a server refused a connection above its limit: Sidecar, Server
+	ColdLoad                        // a process is no longer cold: Server; Warmth is the highest ratio of the work sent to the limit
+	DiscoveryCalled                 // a call of discovery ended: Sidecar, Verdict (Served or Failed); Work is its duration
 )
 
 var kindNames = [...]string{"asked", "answered", "left", "cut", "sent", "accepted", "turned", "finished", "told",
--- a/internal/lab/trace/trace_test.go
+++ b/internal/lab/trace/trace_test.go
@@ -22,8 +22,8 @@
 }
 
 func TestKindsHaveNames(t *testing.T) {
-	for k := Asked; k <= Gauge; k++ {
-		if k.String() == "" || k.String()[:2] == "ki" && k != Killed {
+	for k := RequestSent; k <= ServerGauge; k++ {
+		if k.String() == "" || k.String()[:2] == "ki" && k != SidecarStateChanged {
 			t.Errorf("the name of kind %d is %q", k, k)
 		}
 	}
