--- a/internal/lab/checker/checker_test.go
+++ b/internal/lab/checker/checker_test.go
@@ -76,7 +76,7 @@
 		b.request(1, 1, 1).execute(1, 0).execute(1, 2).answer(1, trace.Served)
 	},
 	FalseRejections: func(b *traceBuilder) {
-		b.request(1, 1, 1).execute(1, 0).answer(1, trace.Refused)
+		b.request(1, 1, 1).execute(1, 0).answer(1, trace.Rejected)
 	},
 	TrafficAfterDrain: func(b *traceBuilder) {
 		b.notify(0, trace.Draining).wait(551*ms).request(1, 1, 0).execute(1, 0).answer(1, trace.Served)
@@ -108,11 +108,11 @@
 		inject func(b *traceBuilder)
 	}{
 		"a server drained by an operator": {TrafficAfterDrain, func(b *traceBuilder) {
-			b.notify(3, trace.Banned).notify(3, trace.Up).wait(600 * ms)
+			b.notify(3, trace.DrainedByOperator).notify(3, trace.Up).wait(600 * ms)
 			b.request(1, 1, 0).execute(1, 3).answer(1, trace.Served)
 		}},
 		"a server that is no longer listed": {TrafficAfterDrain, func(b *traceBuilder) {
-			b.notify(3, trace.Gone).wait(600*ms).request(1, 1, 0).execute(1, 3).answer(1, trace.Served)
+			b.notify(3, trace.Removed).wait(600*ms).request(1, 1, 0).execute(1, 3).answer(1, trace.Served)
 		}},
 		"a drain reported twice": {TrafficAfterDrain, func(b *traceBuilder) {
 			b.notify(3, trace.Draining).wait(400*ms).notify(3, trace.Draining).wait(200 * ms)
@@ -137,7 +137,7 @@
 			b.answer(9, trace.Served)
 		}},
 		"a rejection after the booking": {FalseRejections, func(b *traceBuilder) {
-			b.request(1, 1, 1).execute(1, 0).wait(10*ms).answer(1, trace.Refused)
+			b.request(1, 1, 1).execute(1, 0).wait(10*ms).answer(1, trace.Rejected)
 		}},
 	} {
 		b := &traceBuilder{now: 1000 * ms}
@@ -163,17 +163,17 @@
 	b.execute(2, 1).answer(2, trace.Served)
 
 	// A client may retry what was rejected.
-	b.request(3, 3, 1).answer(3, trace.Refused).request(4, 3, 1).execute(4, 1).answer(4, trace.Served)
+	b.request(3, 3, 1).answer(3, trace.Rejected).request(4, 3, 1).execute(4, 1).answer(4, trace.Served)
 	b.request(5, 5, 1).execute(5, 1).answer(5, trace.Failed)
 
 	// Attempts are allowed within a drain's grace period, and after its end.
 	b.notify(0, trace.Draining).wait(549*ms).request(6, 6, 0).execute(6, 0).answer(6, trace.Served)
 	b.wait(5000*ms).notify(0, trace.Up).request(7, 7, 0).execute(7, 0).answer(7, trace.Served)
-	b.notify(1, trace.Banned).notify(1, trace.Released).wait(5000 * ms)
+	b.notify(1, trace.DrainedByOperator).notify(1, trace.ReleasedByOperator).wait(5000 * ms)
 	b.request(8, 8, 0).execute(8, 1).answer(8, trace.Served)
 
 	// The sidecar is excused for what the lab did to it.
-	b.request(9, 9, 0).add(trace.Event{Kind: trace.SidecarStateChanged, State: trace.Gone})
+	b.request(9, 9, 0).add(trace.Event{Kind: trace.SidecarStateChanged, State: trace.Removed})
 	b.add(trace.Event{Kind: trace.ClientCutOff, Request: 9})
 	b.request(10, 10, 0).wait(3000 * ms).add(trace.Event{Kind: trace.RequestAbandoned, Request: 10})
 	b.add(trace.Event{Kind: trace.SidecarStateChanged, State: trace.Up})
@@ -230,7 +230,7 @@
 				b.answer(ending, trace.Served)
 				continue
 			}
-			b.answer(ending, rapid.SampledFrom([]trace.Verdict{trace.Refused, trace.Failed}).Draw(t, "verdict"))
+			b.answer(ending, rapid.SampledFrom([]trace.Verdict{trace.Rejected, trace.Failed}).Draw(t, "verdict"))
 		}
 		for _, remaining := range open {
 			b.answer(remaining, trace.Failed)
--- a/internal/lab/checker/drain.go
+++ b/internal/lab/checker/drain.go
@@ -50,11 +50,11 @@
 	switch e.State {
 	case trace.Up:
 		excluded.byDiscovery.end()
-	case trace.Draining, trace.Gone:
+	case trace.Draining, trace.Removed:
 		excluded.byDiscovery.begin(e.At)
-	case trace.Banned:
+	case trace.DrainedByOperator:
 		excluded.byOperator.begin(e.At)
-	case trace.Released:
+	case trace.ReleasedByOperator:
 		excluded.byOperator.end()
 	}
 	c.exclusions[key] = excluded
--- a/internal/lab/checker/requests.go
+++ b/internal/lab/checker/requests.go
@@ -59,7 +59,7 @@
 		if request.executions == 0 {
 			c.addViolation(ForeignAnswers, e, "served, and no server had it")
 		}
-	case trace.Refused:
+	case trace.Rejected:
 		counts.Rejected++
 		if c.isNonIdempotent(request) && request.executions > 0 {
 			c.addViolation(FalseRejections, e, "refused after %d of its attempts had been taken", request.executions)
@@ -128,7 +128,7 @@
 // (trace.Draining) has to answer everything it had accepted.
 func (c *Checker) handleSidecarState(e *trace.Event) {
 	c.stoppedSidecars[e.Sidecar] = e.State != trace.Up
-	if e.State != trace.Gone {
+	if e.State != trace.Removed {
 		return
 	}
 	for _, request := range c.requests {
--- a/internal/lab/dnslab/client.go
+++ b/internal/lab/dnslab/client.go
@@ -159,7 +159,7 @@
 			}
 		}
 	case dns.RcodeRefused:
-		v = trace.Refused
+		v = trace.Rejected
 	}
 	k.l.note(trace.Event{Kind: trace.RequestAnswered, Request: q.n, Verdict: v})
 	if v == trace.Served {
--- a/internal/lab/dnslab/lab.go
+++ b/internal/lab/dnslab/lab.go
@@ -282,7 +282,7 @@
 		case "drain", "remove":
 			state, told := "draining", trace.Draining
 			if f.Kind == "remove" || !on {
-				state, told = "removed", trace.Gone
+				state, told = "removed", trace.Removed
 			}
 			if on {
 				l.note(trace.Event{Kind: trace.ServerListed, Server: int32(r.id), State: told})
--- a/internal/lab/figures/figures.go
+++ b/internal/lab/figures/figures.go
@@ -332,7 +332,7 @@
 		} else {
 			bump(&c.Late, at)
 		}
-	case trace.Refused:
+	case trace.Rejected:
 		bump(&c.Refused, at)
 	default:
 		bump(&c.Failed, at)
--- a/internal/lab/figures/figures_test.go
+++ b/internal/lab/figures/figures_test.go
@@ -48,7 +48,7 @@
 	ask(1e6, 2, 2, 0, false) // late: 0 of 1
 	answer(1_150_000, 2, trace.Served)
 	ask(2e6, 3, 3, 1, false) // refused, then in time: 3
-	answer(2_010_000, 3, trace.Refused)
+	answer(2_010_000, 3, trace.Rejected)
 	ask(2_020_000, 4, 3, 1, true)
 	answer(2_090_000, 4, trace.Served)
 	ask(15e6, 5, 4, 1, false) // left: 0 of 3
--- a/internal/lab/model/discovery.go
+++ b/internal/lab/model/discovery.go
@@ -120,8 +120,8 @@
 		d.world.emit(event)
 	}
 	for server := range d.entries {
-		if update.Reset && d.entries[server].State == trace.Gone {
-			event.Server, event.State, event.Since = int32(server), trace.Gone, 0
+		if update.Reset && d.entries[server].State == trace.Removed {
+			event.Server, event.State, event.Since = int32(server), trace.Removed, 0
 			d.world.emit(event)
 		}
 	}
@@ -133,7 +133,7 @@
 	update := Update{Generation: d.generation, Reset: generation < firstGeneration || generation > d.generation}
 	for i, entry := range d.entries {
 		switch {
-		case update.Reset && entry.State != trace.Gone, !update.Reset && d.changedGenerations[i] > generation:
+		case update.Reset && entry.State != trace.Removed, !update.Reset && d.changedGenerations[i] > generation:
 			update.Entries = append(update.Entries, entry)
 		}
 	}
--- a/internal/lab/model/faults.go
+++ b/internal/lab/model/faults.go
@@ -112,7 +112,7 @@
 		toggle(func(s *Server, on bool) {
 			if on {
 				s.stop()
-				w.Discovery.scheduleChange(s.Number, trace.Gone, 0, discovery.RemovalDelay.Micros())
+				w.Discovery.scheduleChange(s.Number, trace.Removed, 0, discovery.RemovalDelay.Micros())
 			} else {
 				w.restart(s)
 				w.Discovery.scheduleChange(s.Number, trace.Up, w.listedStart(s), max(discovery.AddDelay.Micros(), discovery.RemovalDelay.Micros()))
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -282,7 +282,7 @@
 	d.setDown(true)
 	failed := false
 	d.Call(0, 0, false, func(_ Update, ok bool) { failed = !ok })
-	d.scheduleChange(0, trace.Gone, 0, 0)
+	d.scheduleChange(0, trace.Removed, 0, 0)
 	runUntil(t, w, 4*eventqueue.Second)
 	if h.endedWatches != 1 || !failed || len(h.updates) != 1 {
 		t.Errorf("discovery down: %d watches ended, call failed %v, %d updates; want 1, true, 1",
@@ -292,7 +292,7 @@
 	var back Update
 	d.Call(0, firstGeneration, false, func(u Update, ok bool) { back = u })
 	runUntil(t, w, 5*eventqueue.Second)
-	if len(back.Entries) != 2 || back.Entries[0].State != trace.Gone {
+	if len(back.Entries) != 2 || back.Entries[0].State != trace.Removed {
 		t.Errorf("after the outage, the changes are %+v", back)
 	}
 	// Calls queue for discovery's capacity, and those that would wait too long fail.
@@ -328,7 +328,7 @@
 	}
 	alone := arrivals("", nil)
 	served := arrivals("[net]\nsame = \"1ms\"\n", func(w *World, request *Request) {
-		w.Queue.After(1000, func() { w.Answer(request, w.Queue.Now(), trace.Refused, 5000) })
+		w.Queue.After(1000, func() { w.Answer(request, w.Queue.Now(), trace.Rejected, 5000) })
 	})
 	if len(alone) < 800 || len(alone) > 1200 || len(alone) != len(served) {
 		t.Fatalf("%d and %d arrivals in 20 s at 50 per second, want the same number near 1000", len(alone), len(served))
@@ -345,7 +345,7 @@
 	for _, c := range []struct {
 		v          trace.Verdict
 		safe, paid int // requests per task, in a safe class and in an unsafe one
-	}{{trace.Served, 1, 1}, {trace.Refused, 3, 3}, {trace.Failed, 3, 1}} {
+	}{{trace.Served, 1, 1}, {trace.Rejected, 3, 3}, {trace.Failed, 3, 1}} {
 		w, h, list := newWorld(t, twoServers+"[load]\nrate = 20.0\n[clients]\nretries = 2\nbackoff = \"1ms\"\n")
 		h.answer = func(y *Request) { w.Queue.After(1000, func() { w.Answer(y, w.Queue.Now(), c.v, 0) }) }
 		w.Begin()
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -324,7 +324,7 @@
 	w.Queue.Cancel(request.timeoutEvent)
 	if neverAccepted {
 		w.emit(trace.Event{At: at, Kind: trace.RequestAbandoned, Request: request.ID, Note: "unheard"})
-		w.retryOrEnd(request, trace.Refused, 0)
+		w.retryOrEnd(request, trace.Rejected, 0)
 		return
 	}
 	w.emit(trace.Event{At: at, Kind: trace.ClientCutOff, Request: request.ID})
--- a/internal/lab/rig/client.go
+++ b/internal/lab/rig/client.go
@@ -190,7 +190,7 @@
 			verdict = trace.Served
 		}
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		verdict = trace.Refused
+		verdict = trace.Rejected
 		if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && s >= 0 {
 			after = min(time.Duration(s*float64(time.Second)), time.Minute)
 		}
--- a/internal/lab/rig/discovery.go
+++ b/internal/lab/rig/discovery.go
@@ -43,7 +43,7 @@
 		switch e.State {
 		case trace.Draining:
 			x.Lifecycle = "draining"
-		case trace.Gone:
+		case trace.Removed:
 			x.Lifecycle = "removed"
 		}
 		if e.Started > 0 {
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -299,9 +299,9 @@
 
 // SetAdministrativeDrain has operators take a server out at all sidecars, or call it back.
 func (r *rig) SetAdministrativeDrain(server int, out bool) {
-	line, state := "maint-off ", trace.Released
+	line, state := "maint-off ", trace.ReleasedByOperator
 	if out {
-		line, state = "maint-on ", trace.Banned
+		line, state = "maint-on ", trace.DrainedByOperator
 	}
 	line += r.w.Servers[server].Name
 	for _, h := range r.homes {
@@ -395,13 +395,13 @@
 	case f.Kind == "upgrade" && on:
 		h.upgrade()
 	case f.Kind == "freeze" && on && p != nil:
-		note(trace.Gone)
+		note(trace.Removed)
 		p.signal(syscall.SIGSTOP)
 	case f.Kind == "freeze" && p != nil:
 		p.signal(syscall.SIGCONT)
 		r.q.After(eventqueue.Second, func() { note(trace.Up) })
 	case f.Kind == "kill" && on && p != nil:
-		note(trace.Gone)
+		note(trace.Removed)
 		p.wanted = true
 		h.kills.Add(1)
 		p.signal(syscall.SIGKILL)
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -457,7 +457,7 @@
 // Reject answers a client that its request was rejected.
 func (n *node) Reject(id uint64, retryAfter balancer.Micros) {
 	if c := n.calls[id]; c != nil {
-		n.answer(c, trace.Refused, retryAfter)
+		n.answer(c, trace.Rejected, retryAfter)
 	}
 }
 
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -196,9 +196,9 @@
 // SetAdministrativeDrain begins or ends the administrative drain of a server, at all sidecars.
 func (h *host) SetAdministrativeDrain(server int, out bool) {
 	h.drained[server] = out
-	state := trace.Released
+	state := trace.ReleasedByOperator
 	if out {
-		state = trace.Banned
+		state = trace.DrainedByOperator
 	}
 	for _, process := range h.processes() {
 		process.whenRunnable(func() {
@@ -319,11 +319,11 @@
 		}
 	case fault.Kind == "freeze" && on && process != nil:
 		process.frozenUntil = now + fault.Duration.Micros()
-		recordState(trace.Gone)
+		recordState(trace.Removed)
 	case fault.Kind == "freeze" && process != nil:
 		h.queue.After(eventqueue.Second, func() { recordState(trace.Up) })
 	case fault.Kind == "kill" && on && process != nil:
-		recordState(trace.Gone)
+		recordState(trace.Removed)
 		process.kill()
 		h.nodes[sidecar] = nil
 	case fault.Kind == "stop" && on && process != nil:
@@ -362,7 +362,7 @@
 		switch entry.State {
 		case trace.Draining:
 			endpoint.State = balancer.Draining
-		case trace.Gone:
+		case trace.Removed:
 			endpoint.State = balancer.Removed
 		}
 		if entry.Started > 0 {
--- a/internal/lab/trace/trace.go
+++ b/internal/lab/trace/trace.go
@@ -56,10 +56,10 @@
 
 // The verdicts.
 const (
-	Served  Verdict = iota // a server's answer to this request
-	Refused                // rejected: the request did not run, and a retry is safe
-	Failed                 // failed: the request may have run
-	Foreign                // an answer that no server gave to this request
+	Served   Verdict = iota // a server's answer to this request
+	Rejected                // rejected: the request did not run, and a retry is safe
+	Failed                  // failed: the request may have run
+	Foreign                 // an answer that no server gave to this request
 )
 
 // State is the state of a server in discovery's list or in the operators' overrides.
@@ -69,9 +69,9 @@
 const (
 	Up State = iota
 	Draining
-	Gone
-	Banned
-	Released
+	Removed
+	DrainedByOperator
+	ReleasedByOperator
 )
 
 // Event is an event of a run. The comments at the kinds say which fields each of them uses.
