--- a/internal/lab/figures/figures.go
+++ b/internal/lab/figures/figures.go
@@ -219,7 +219,7 @@
 			y.sent++
 		}
 		bump(&r.series.Sent, at)
-		if e.Cross {
+		if e.CrossZone {
 			r.crossed++
 			bump(&r.series.Crossed, at)
 		}
@@ -246,7 +246,7 @@
 			s.Held = append(s.Held, int(e.Held))
 			s.Queued = append(s.Queued, int(e.Queued))
 			s.Warmth = append(s.Warmth, e.Warmth)
-			s.Slow = append(s.Slow, e.Slow)
+			s.Slow = append(s.Slow, e.Choked)
 		}
 	case trace.FaultBegan:
 		r.open[e.Note] = len(r.series.Faults)
--- a/internal/lab/figures/figures_test.go
+++ b/internal/lab/figures/figures_test.go
@@ -42,7 +42,7 @@
 		r.Take(trace.Event{At: at, Kind: trace.RequestAnswered, Request: id, Verdict: v})
 	}
 	ask(0, 1, 1, 0, false) // in time: 1
-	r.Take(trace.Event{At: 1000, Kind: trace.AttemptSent, Cross: true})
+	r.Take(trace.Event{At: 1000, Kind: trace.AttemptSent, CrossZone: true})
 	r.Take(trace.Event{At: 1000, Kind: trace.AttemptSent})
 	answer(50_000, 1, trace.Served)
 	ask(1e6, 2, 2, 0, false) // late: 0 of 1
@@ -129,8 +129,8 @@
 	run := func(known, unknown int, apart Micros) map[string]float64 {
 		r := New(rules(t, "[keep.fleet_most]\nramp_worst = 1.0\nramp_falls_told = 0.5\n"))
 		r.Take(trace.Event{At: 7 * second, Kind: trace.ServerStarted, Server: 1, Capacity: 2 * second, ColdFrom: 0.125, ColdFor: 1 << 50})
-		r.Take(trace.Event{At: 7 * second, Kind: trace.ServerListed, Server: 1, Sidecar: 1, State: trace.Up, Since: 7 * second})
-		r.Take(trace.Event{At: 7 * second, Kind: trace.ServerListed, Server: 1, Sidecar: 2, State: trace.Up, Since: 5 * second}) // of an earlier start
+		r.Take(trace.Event{At: 7 * second, Kind: trace.ServerListed, Server: 1, Sidecar: 1, State: trace.Up, StartedAt: 7 * second})
+		r.Take(trace.Event{At: 7 * second, Kind: trace.ServerListed, Server: 1, Sidecar: 2, State: trace.Up, StartedAt: 5 * second}) // of an earlier start
 		for i := range known + unknown {
 			e := trace.Event{At: 8*second + Micros(i)*apart, Kind: trace.AttemptAccepted, Server: 1, Sidecar: 1, Request: uint64(i), Work: 50_000}
 			if i%2 == 1 {
--- a/internal/lab/figures/ramp.go
+++ b/internal/lab/figures/ramp.go
@@ -87,7 +87,7 @@
 	case trace.ServerStopped:
 		r.over(e.Server)
 	case trace.ServerListed:
-		if e.State == trace.ReleasedByOperator || e.State == trace.Up && e.Since == max(1, c.started) {
+		if e.State == trace.ReleasedByOperator || e.State == trace.Up && e.StartedAt == max(1, c.started) {
 			c.told[e.Sidecar] = true
 		}
 	case trace.ProbeSent:
--- a/internal/lab/model/discovery.go
+++ b/internal/lab/model/discovery.go
@@ -116,12 +116,12 @@
 	now := d.world.Queue.Now()
 	event := trace.Event{At: now, Kind: trace.ServerListed, Sidecar: int32(sidecar)}
 	for _, entry := range update.Entries {
-		event.Server, event.State, event.Since = int32(entry.Server), entry.State, entry.Started
+		event.Server, event.State, event.StartedAt = int32(entry.Server), entry.State, entry.Started
 		d.world.emit(event)
 	}
 	for server := range d.entries {
 		if update.Reset && d.entries[server].State == trace.Removed {
-			event.Server, event.State, event.Since = int32(server), trace.Removed, 0
+			event.Server, event.State, event.StartedAt = int32(server), trace.Removed, 0
 			d.world.emit(event)
 		}
 	}
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -177,7 +177,7 @@
 			warmth = 0
 		}
 		w.emit(trace.Event{At: now, Kind: trace.ServerGauge, Server: int32(s.Number), Held: int32(s.heldRequests()),
-			Queued: int32(len(s.waiting)), Warmth: warmth, Slow: s.Choked()})
+			Queued: int32(len(s.waiting)), Warmth: warmth, Choked: s.Choked()})
 	}
 	w.Queue.At(now+eventqueue.Second/4*Micros(1+len(w.Servers)/50), w.recordGauges)
 }
@@ -286,7 +286,7 @@
 		Deadline: now + min(timeout, task.Deadline-now)}
 	request.Timeout = request.Deadline - now
 	w.emit(trace.Event{At: now, Kind: trace.RequestSent, Request: request.ID, Task: task.ID, Class: uint8(task.Class),
-		Sidecar: int32(task.Sidecar), Work: task.Work, Due: request.Deadline, Retry: number > 0})
+		Sidecar: int32(task.Sidecar), Work: task.Work, Deadline: request.Deadline, Retry: number > 0})
 	request.timeoutEvent = w.Queue.At(request.Deadline+w.answerGrace(), func() {
 		if !request.done {
 			request.done = true
--- a/internal/lab/rig/server.go
+++ b/internal/lab/rig/server.go
@@ -224,7 +224,7 @@
 			way = r.s.Net.CrossZoneDelay
 		}
 		r.sink.Take(trace.Event{At: r.at(first) - way.Micros(), Kind: trace.AttemptSent, Sidecar: int32(c.sidecar), Server: int32(t.s.Number),
-			Request: id, Class: uint8(y.Task.Class), Cross: delay})
+			Request: id, Class: uint8(y.Task.Class), CrossZone: delay})
 		if c.full {
 			r.sink.Take(trace.Event{At: r.q.Now(), Kind: trace.AttemptRejected, Sidecar: int32(c.sidecar), Server: int32(t.s.Number),
 				Request: id, Class: uint8(y.Task.Class), Work: y.Task.Work})
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -339,7 +339,7 @@
 	request := a.call.request
 	a.written = true
 	n.host.sink.Take(trace.Event{At: now, Kind: trace.AttemptSent, Sidecar: int32(n.number), Server: int32(a.server),
-		Request: request.ID, Class: uint8(request.Task.Class), Cross: server.Zone != n.zone})
+		Request: request.ID, Class: uint8(request.Task.Class), CrossZone: server.Zone != n.zone})
 	connection := a.conn
 	n.deliver(a.server, func(lost bool) {
 		if lost || a.done {
--- a/internal/lab/trace/trace.go
+++ b/internal/lab/trace/trace.go
@@ -76,29 +76,29 @@
 
 // Event is an event of a run. The comments at the kinds say which fields each of them uses.
 type Event struct {
-	At      Micros
-	Kind    Kind
-	Verdict Verdict
-	State   State
-	Class   uint8
-	Cross   bool // Sent: the server is in another zone than the sidecar
-	Retry   bool // Asked: the request is a client's retry
-	Slow    bool // Gauge: the server is choked
-	Sidecar int32
-	Server  int32
-	Held    int32  // Gauge: requests running and waiting
-	Queued  int32  // Gauge: requests waiting
-	Request uint64 // ID of a client's request
-	Task    uint64 // ID of the task, which a request and its retries by the client share
-	Due     Micros // Asked: instant at which the client times out
-	Work    Micros // service time on a core of speed 1, unless the kind says otherwise
-
-	Capacity float64 // Started: work per second when warm, in microseconds
-	ColdFrom float64 // Started: share of its capacity that the process starts with
-	ColdFor  Micros  // Started: time until the process has its whole capacity
-	Since    Micros  // Told: start of the process as discovery lists it; 0 for a start before the run
-	Warmth   float64 // Gauge: share of its capacity that the process has; 0 if none runs
-	Note     string  // Began, Ended: the fault; Left, Killed: a keyword for the cause
+	At        Micros
+	Kind      Kind
+	Verdict   Verdict
+	State     State
+	Class     uint8
+	CrossZone bool // Sent: the server is in another zone than the sidecar
+	Retry     bool // Asked: the request is a client's retry
+	Choked    bool // Gauge: the server is choked
+	Sidecar   int32
+	Server    int32
+	Held      int32  // Gauge: requests running and waiting
+	Queued    int32  // Gauge: requests waiting
+	Request   uint64 // ID of a client's request
+	Task      uint64 // ID of the task, which a request and its retries by the client share
+	Deadline  Micros // Asked: instant at which the client times out
+	Work      Micros // service time on a core of speed 1, unless the kind says otherwise
+
+	Capacity  float64 // Started: work per second when warm, in microseconds
+	ColdFrom  float64 // Started: share of its capacity that the process starts with
+	ColdFor   Micros  // Started: time until the process has its whole capacity
+	StartedAt Micros  // Told: start of the process as discovery lists it; 0 for a start before the run
+	Warmth    float64 // Gauge: share of its capacity that the process has; 0 if none runs
+	Note      string  // Began, Ended: the fault; Left, Killed: a keyword for the cause
 }
 
 // Sink receives events, in the order in which they happened. Take is never called concurrently.
