--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -85,7 +85,7 @@
 	h := &host{queue: queue, scenario: scen, seed: randstream.Seed(options.Seed), links: map[[2]int]*link{},
 		maxLogLines: options.Logs, tap: options.Tap, tappedSidecar: options.Tapped, drained: map[int]bool{}}
 	// The sinks run on a goroutine of their own, because their results depend on the order of the events alone.
-	async := trace.Beside(trace.Sinks(append([]trace.Sink{check, recorder}, options.Sinks...)...))
+	async := trace.NewAsyncSink(trace.MultiSink(append([]trace.Sink{check, recorder}, options.Sinks...)...))
 	defer async.Close()
 	h.sink = async
 	h.world = model.New(queue, scen, options.Seed, h, h.sink)
--- a/internal/lab/trace/trace.go
+++ b/internal/lab/trace/trace.go
@@ -110,8 +110,8 @@
 // Take calls the function.
 func (f Func) Take(e Event) { f(e) }
 
-// Sinks returns a Sink that passes each event to all of sinks, in order.
-func Sinks(sinks ...Sink) Sink {
+// MultiSink returns a Sink that passes each event to all of sinks, in order.
+func MultiSink(sinks ...Sink) Sink {
 	return Func(func(e Event) {
 		for _, s := range sinks {
 			s.Take(e)
@@ -119,8 +119,8 @@
 	})
 }
 
-// Aside passes events to a sink that runs on a goroutine of its own, in order and in batches.
-type Aside struct {
+// AsyncSink passes events to a sink that runs on a goroutine of its own, in order and in batches.
+type AsyncSink struct {
 	batch       []Event      // collected since the last full one
 	fullBatches chan []Event // nil once closed
 	freeBatches chan []Event // for reuse
@@ -129,9 +129,9 @@
 
 const batchSize = 2048
 
-// Beside starts and returns an Aside for a sink. Close must be called to stop its goroutine.
-func Beside(sink Sink) *Aside {
-	a := &Aside{fullBatches: make(chan []Event, 8), freeBatches: make(chan []Event, 10), done: make(chan struct{})}
+// NewAsyncSink starts and returns an Aside for a sink. Close must be called to stop its goroutine.
+func NewAsyncSink(sink Sink) *AsyncSink {
+	a := &AsyncSink{fullBatches: make(chan []Event, 8), freeBatches: make(chan []Event, 10), done: make(chan struct{})}
 	go func() {
 		defer close(a.done)
 		for batch := range a.fullBatches {
@@ -148,7 +148,7 @@
 }
 
 // Take passes on an event. It blocks while the sink is several batches behind.
-func (a *Aside) Take(e Event) {
+func (a *AsyncSink) Take(e Event) {
 	if a.batch == nil {
 		select {
 		case a.batch = <-a.freeBatches:
@@ -163,7 +163,7 @@
 }
 
 // Close passes on the remaining events and returns when the sink has received all of them. It may be called again.
-func (a *Aside) Close() {
+func (a *AsyncSink) Close() {
 	if a.fullBatches == nil {
 		return
 	}
--- a/internal/lab/trace/trace_test.go
+++ b/internal/lab/trace/trace_test.go
@@ -5,7 +5,7 @@
 func TestAsideKeepsOrder(t *testing.T) {
 	const n = 3*batchSize + 17
 	var got []uint64
-	a := Beside(Func(func(e Event) { got = append(got, e.Request) }))
+	a := NewAsyncSink(Func(func(e Event) { got = append(got, e.Request) }))
 	for i := range uint64(n) {
 		a.Take(Event{Request: i})
 	}
