--- a/cmd/birchmoor/labcompare.go
+++ b/cmd/birchmoor/labcompare.go
@@ -219,12 +219,12 @@
 	if err := json.Unmarshal(text, &overlay); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	unknown := told.Foreign(s, overlay)
+	unknown := told.UnknownKeys(s, overlay)
 	if len(unknown) > 0 {
 		return nil, fmt.Errorf("%s: %s: the settings have no such key", path, strings.Join(unknown, ", "))
 	}
 	s.Overlay = overlay
-	if _, err := told.Parsed(s, 0); err != nil {
+	if _, err := told.ModuleSettings(s, 0); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return overlay, nil
--- a/internal/lab/chain/virtual.go
+++ b/internal/lab/chain/virtual.go
@@ -82,7 +82,7 @@
 		var level []*node
 		for i := range options.Servers {
 			created := &node{virtual: run, level: number, calls: map[uint64]*virtualCall{}}
-			settings, err := told.Parsed(scen, i)
+			settings, err := told.ModuleSettings(scen, i)
 			if err != nil {
 				return nil, err
 			}
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -91,7 +91,7 @@
 	h.world = model.New(queue, scen, options.Seed, h, h.sink)
 	h.world.Prepare()
 	for process := range scen.Fleet.Sidecars {
-		settings, err := told.Parsed(scen, process)
+		settings, err := told.ModuleSettings(scen, process)
 		if err != nil {
 			return nil, err
 		}
@@ -330,7 +330,7 @@
 		process.retire(nil)
 		h.nodes[sidecar] = nil
 	case (fault.Kind == "kill" || fault.Kind == "stop") && !on && process == nil:
-		settings, _ := told.Parsed(h.scenario, sidecar)
+		settings, _ := told.ModuleSettings(h.scenario, sidecar)
 		successor := h.newNode(sidecar, settings)
 		h.nodes[sidecar] = successor
 		successor.start()
--- a/internal/lab/told/told.go
+++ b/internal/lab/told/told.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// Foreign returns the keys of overrides that the scenario's settings lack, as sorted paths.
-func Foreign(s *scenario.Scenario, overrides map[string]any) []string {
+// UnknownKeys returns the keys of overrides that the scenario's settings lack, as sorted paths.
+func UnknownKeys(s *scenario.Scenario, overrides map[string]any) []string {
 	withoutOverlay := *s
 	withoutOverlay.Overlay = nil
 	var find func(base, overrides map[string]any, path string) []string
@@ -97,8 +97,8 @@
 	return unknown
 }
 
-// Parsed returns a sidecar's settings parsed and validated for the decision module.
-func Parsed(s *scenario.Scenario, sidecar int) (balancer.Settings, error) {
+// ModuleSettings returns a sidecar's settings parsed and validated for the decision module.
+func ModuleSettings(s *scenario.Scenario, sidecar int) (balancer.Settings, error) {
 	raw, err := json.Marshal(Settings(s, sidecar))
 	if err != nil {
 		return balancer.Settings{}, err
--- a/internal/lab/told/told_test.go
+++ b/internal/lab/told/told_test.go
@@ -14,7 +14,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := Parsed(s, 1)
+	got, err := ModuleSettings(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,20 +40,20 @@
 		t.Fatal(err)
 	}
 	over := map[string]any{"limits": map[string]any{"most-tries": 1.0}, "discovery": "automatic"}
-	if names := Foreign(s, over); len(names) != 0 {
+	if names := UnknownKeys(s, over); len(names) != 0 {
 		t.Errorf("known keys are reported as unknown: %v", names)
 	}
 	s.Overlay = over
-	got, err := Parsed(s, 0)
+	got, err := ModuleSettings(s, 0)
 	if err != nil || got.Limits.MaxAttempts != 1 || got.Subscribe || !got.Limits.Probes {
 		t.Errorf("settings with the overlay: error %v, limits %+v", err, got.Limits)
 	}
-	names := Foreign(s, map[string]any{"limits": map[string]any{"x": 1}, "y": 2})
+	names := UnknownKeys(s, map[string]any{"limits": map[string]any{"x": 1}, "y": 2})
 	if d := cmp.Diff([]string{"limits.x", "y"}, names); d != "" {
 		t.Errorf("unknown keys (- want, + got):\n%s", d)
 	}
 	s.Overlay = map[string]any{"limits": map[string]any{"most-tries": 0.0}}
-	if _, err := Parsed(s, 0); err == nil {
+	if _, err := ModuleSettings(s, 0); err == nil {
 		t.Error("settings with 0 attempts are accepted")
 	}
 }
