--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -27,12 +27,12 @@
 
 // Options are the options of a run.
 type Options struct {
-	Seed     uint64
-	Progress func(second, asked int) // called once per simulated second with the requests so far; may be nil
-	Sinks    []trace.Sink            // get the trace besides the checker and the figures
-	Logs     int                     // maximum number of lines of the modules' logs to return
-	Tap      Tap                     // wraps the modules of one sidecar's processes; nil for none
-	Tapped   int                     // number of that sidecar
+	Seed          uint64
+	Progress      func(second, asked int) // called once per simulated second with the requests so far; may be nil
+	Sinks         []trace.Sink            // get the trace besides the checker and the figures
+	MaxLogLines   int                     // maximum number of lines of the modules' logs to return
+	Tap           Tap                     // wraps the modules of one sidecar's processes; nil for none
+	TappedSidecar int                     // number of that sidecar
 }
 
 // Tap wraps the module of a process, for example to record its events and actions. The start number counts the
@@ -83,7 +83,7 @@
 	queue := eventqueue.NewVirtual()
 	check, recorder := checker.New(checker.SettingsFrom(scen, 0)), figures.New(scen)
 	h := &host{queue: queue, scenario: scen, seed: randstream.Seed(options.Seed), links: map[[2]int]*link{},
-		maxLogLines: options.Logs, tap: options.Tap, tappedSidecar: options.Tapped, drained: map[int]bool{}}
+		maxLogLines: options.MaxLogLines, tap: options.Tap, tappedSidecar: options.TappedSidecar, drained: map[int]bool{}}
 	// The sinks run on a goroutine of their own, because their results depend on the order of the events alone.
 	async := trace.NewAsyncSink(trace.MultiSink(append([]trace.Sink{check, recorder}, options.Sinks...)...))
 	defer async.Close()
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -21,7 +21,7 @@
 
 func runScenario(t testing.TB, s *scenario.Scenario, seed uint64, sinks ...trace.Sink) *figures.Result {
 	t.Helper()
-	result, err := Run(context.Background(), s, Options{Seed: seed, Sinks: sinks, Logs: 1 << 20})
+	result, err := Run(context.Background(), s, Options{Seed: seed, Sinks: sinks, MaxLogLines: 1 << 20})
 	if err != nil {
 		t.Fatal(err)
 	}
