--- a/cmd/birchmoor/labchain.go
+++ b/cmd/birchmoor/labchain.go
@@ -84,23 +84,23 @@
 	for _, ratio := range ratios {
 		for _, attempts := range k.Attempts {
 			o := chain.Options{
-				Bin:      k.Bin,
-				Depth:    k.Depth,
-				Servers:  k.Servers,
-				Rate:     k.Rate,
-				For:      k.Duration,
-				Warm:     k.WarmupDuration,
-				Attempts: attempts,
-				Class:    k.Class,
-				Fail:     chain.How(k.FailureMode),
-				Share:    ratio,
-				Seed:     k.Seed,
+				Bin:          k.Bin,
+				Depth:        k.Depth,
+				Servers:      k.Servers,
+				Rate:         k.Rate,
+				For:          k.Duration,
+				Warm:         k.WarmupDuration,
+				Attempts:     attempts,
+				Class:        k.Class,
+				LeafFailure:  chain.LeafFailure(k.FailureMode),
+				FailureShare: ratio,
+				Seed:         k.Seed,
 			}
 			if err := o.Check(); err != nil {
 				return nil, err
 			}
 			if k.Fail == "" {
-				o.Fail = "" // --how is checked all the same
+				o.LeafFailure = "" // --how is checked all the same
 			}
 			all = append(all, o)
 		}
--- a/internal/lab/chain/chain.go
+++ b/internal/lab/chain/chain.go
@@ -34,19 +34,19 @@
 
 // Options are the options of a run.
 type Options struct {
-	Bin      string        // path of the sidecar program; not used by Virtual
-	Dir      string        // in which the temporary folder of the run is made
-	Depth    int           // levels in the row
-	Servers  int           // servers per level
-	Rate     float64       // calls of the root per second
-	For      time.Duration // over which measured calls are made
-	Warm     time.Duration // of calls before the measured ones, to warm up; none if the leaf fails
-	Attempts int           // max_attempts of each sidecar
-	Class    string        // a key of Classes
-	Fail     How           // way in which the leaf fails; empty for none
-	Share    float64       // share of the attempts at the leaf that fail
-	Seed     uint64
-	Say      func(string) // called with the progress; may be nil
+	Bin          string        // path of the sidecar program; not used by Virtual
+	Dir          string        // in which the temporary folder of the run is made
+	Depth        int           // levels in the row
+	Servers      int           // servers per level
+	Rate         float64       // calls of the root per second
+	For          time.Duration // over which measured calls are made
+	Warm         time.Duration // of calls before the measured ones, to warm up; none if the leaf fails
+	Attempts     int           // max_attempts of each sidecar
+	Class        string        // a key of Classes
+	LeafFailure  LeafFailure   // way in which the leaf fails; empty for none
+	FailureShare float64       // share of the attempts at the leaf that fail
+	Seed         uint64
+	Say          func(string) // called with the progress; may be nil
 
 	defect injectedDefect
 }
@@ -81,10 +81,10 @@
 		return fmt.Errorf("--attempts: %d is not within 1 and %d", options.Attempts, maxAttempts)
 	case err != nil:
 		return err
-	case options.Fail != "" && !slices.Contains(Hows, options.Fail):
-		return fmt.Errorf("--how: %q is none of %v", string(options.Fail), Hows)
-	case !(options.Share >= 0 && options.Share <= 1):
-		return fmt.Errorf("--share: %v is not within 0 and 1", options.Share)
+	case options.LeafFailure != "" && !slices.Contains(LeafFailures, options.LeafFailure):
+		return fmt.Errorf("--how: %q is none of %v", string(options.LeafFailure), LeafFailures)
+	case !(options.FailureShare >= 0 && options.FailureShare <= 1):
+		return fmt.Errorf("--share: %v is not within 0 and 1", options.FailureShare)
 	}
 	return nil
 }
@@ -134,22 +134,22 @@
 
 // Result is the result of a run.
 type Result struct {
-	By       string         `json:"by"` // "processes" or "virtual time"
-	Depth    int            `json:"depth"`
-	Servers  int            `json:"servers"`
-	Rate     float64        `json:"rate"`
-	Calls    int            `json:"calls"`
-	Attempts int            `json:"max_attempts"`
-	Class    string         `json:"class"`
-	Fail     How            `json:"fail,omitempty"`
-	Share    float64        `json:"share,omitempty"`
-	Took     float64        `json:"took_s"`
-	Load     [2]string      `json:"load_average"` // of the machine, at the start and at the end
-	Answers  map[string]int `json:"answers"`      // root's calls through sidecars, by status code; 0 for no answer
-	Broken   uint64         `json:"broken"`       // calls of root and applications that failed without an answer
-	Why      map[string]int `json:"broken_by,omitempty"`
-	Surplus  uint64         `json:"surplus"` // answers followed by unexpected bytes
-	LateRoot uint64         `json:"late"`    // calls of the root that began more than 10 ms late
+	By           string         `json:"by"` // "processes" or "virtual time"
+	Depth        int            `json:"depth"`
+	Servers      int            `json:"servers"`
+	Rate         float64        `json:"rate"`
+	Calls        int            `json:"calls"`
+	Attempts     int            `json:"max_attempts"`
+	Class        string         `json:"class"`
+	LeafFailure  LeafFailure    `json:"fail,omitempty"`
+	FailureShare float64        `json:"share,omitempty"`
+	Took         float64        `json:"took_s"`
+	Load         [2]string      `json:"load_average"` // of the machine, at the start and at the end
+	Answers      map[string]int `json:"answers"`      // root's calls through sidecars, by status code; 0 for no answer
+	Broken       uint64         `json:"broken"`       // calls of root and applications that failed without an answer
+	Why          map[string]int `json:"broken_by,omitempty"`
+	Surplus      uint64         `json:"surplus"` // answers followed by unexpected bytes
+	LateRoot     uint64         `json:"late"`    // calls of the root that began more than 10 ms late
 
 	Row      Spread  `json:"row"`        // latency that the whole row adds to a call
 	One      Spread  `json:"one"`        // latency that one level adds to a call, over all levels
@@ -193,7 +193,7 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	r := &row{options: o, seed: randstream.Seed(o.Seed), leafFails: o.Fail != "", stopped: make(chan struct{}),
+	r := &row{options: o, seed: randstream.Seed(o.Seed), leafFails: o.LeafFailure != "", stopped: make(chan struct{}),
 		brokenCauses: map[string]int{}}
 	if !r.leafFails {
 		r.warmUpCalls = int(o.Rate * o.Warm.Seconds())
@@ -315,12 +315,12 @@
 // level.
 func (options *Options) newResult(sidecars int) *Result {
 	result := &Result{By: "processes", Depth: options.Depth, Servers: options.Servers, Rate: options.Rate,
-		Calls: options.Calls(), Attempts: options.Attempts, Class: options.Class, Fail: options.Fail,
-		Share: options.Share, Answers: map[string]int{}, Worst: 1, Budgeted: float64(options.Calls()), Steady: 1}
-	if idempotency := Classes[options.Class]; options.Fail != "" {
-		result.Worst, result.Steady = Worst(idempotency, options.Fail, options.Attempts, options.Depth), Steady(idempotency,
-			options.Fail, options.Attempts, options.Depth)
-		result.Budgeted = Budgeted(idempotency, options.Fail, options.Attempts, options.Depth, options.Calls(), sidecars)
+		Calls: options.Calls(), Attempts: options.Attempts, Class: options.Class, LeafFailure: options.LeafFailure,
+		FailureShare: options.FailureShare, Answers: map[string]int{}, Worst: 1, Budgeted: float64(options.Calls()), Steady: 1}
+	if idempotency := Classes[options.Class]; options.LeafFailure != "" {
+		result.Worst, result.Steady = Worst(idempotency, options.LeafFailure, options.Attempts, options.Depth), Steady(idempotency,
+			options.LeafFailure, options.Attempts, options.Depth)
+		result.Budgeted = Budgeted(idempotency, options.LeafFailure, options.Attempts, options.Depth, options.Calls(), sidecars)
 	}
 	return result
 }
--- a/internal/lab/chain/chain_test.go
+++ b/internal/lab/chain/chain_test.go
@@ -37,9 +37,9 @@
 }
 
 // smallOptions returns the options of a row of three levels with few calls, where all attempts at the leaf fail.
-func smallOptions(t *testing.T, class string, attempts int, fail How) Options {
+func smallOptions(t *testing.T, class string, attempts int, fail LeafFailure) Options {
 	return Options{Bin: sidecarProgram, Dir: t.TempDir(), Depth: 3, Servers: 2, Rate: 40, For: time.Second / 2,
-		Attempts: attempts, Class: class, Fail: fail, Share: 1, Seed: 1}
+		Attempts: attempts, Class: class, LeafFailure: fail, FailureShare: 1, Seed: 1}
 }
 
 // violations describes the violated bounds of a result. They hold whatever the speed of the machine.
@@ -56,9 +56,9 @@
 			result.Broken,
 			result.Surplus)
 	}
-	failure := result.Fail
+	failure := result.LeafFailure
 	if failure == "" {
-		failure = Errors // a sidecar may also retry a call that is merely slow
+		failure = LeafErrors // a sidecar may also retry a call that is merely slow
 	}
 	if maxTotal := Worst(Classes[result.Class], failure, result.Attempts,
 		result.Depth); float64(result.LeafMost) > maxTotal {
@@ -90,14 +90,14 @@
 	for _, c := range []struct {
 		class    string
 		attempts int
-		fail     How
+		fail     LeafFailure
 		plant    injectedDefect
 		want     string // part of a violation, or empty for none
 	}{
 		{"look", 3, "", injectedDefect{}, ""},
-		{"look", 3, Errors, injectedDefect{}, ""},
-		{"book", 2, Refuses, injectedDefect{}, ""},
-		{"pay", 4, Errors, injectedDefect{}, ""},
+		{"look", 3, LeafErrors, injectedDefect{}, ""},
+		{"book", 2, LeafRejects, injectedDefect{}, ""},
+		{"pay", 4, LeafErrors, injectedDefect{}, ""},
 		{"pay", 1, "", injectedDefect{callsTwice: true}, "attempts at the leaf for one call"},
 		{"book", 1, "", injectedDefect{keepsRootTimeout: true}, "no less time left than the call before them"},
 	} {
@@ -127,7 +127,7 @@
 // goroutines, of which each process has one.
 func TestRunLeavesNothingBehindWhenStopped(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	options := smallOptions(t, "look", 1, Silent)
+	options := smallOptions(t, "look", 1, LeafSilent)
 	options.For, options.Say = time.Minute, func(string) { cancel() }
 	if _, err := Run(ctx, options); !errors.Is(err, context.Canceled) {
 		t.Errorf("stopped run: error %v, want a canceled context", err)
--- a/internal/lab/chain/formula.go
+++ b/internal/lab/chain/formula.go
@@ -10,18 +10,18 @@
 	"birchmoor/balancer"
 )
 
-// How is a way in which the leaf fails.
-type How string
+// LeafFailure is a way in which the leaf fails.
+type LeafFailure string
 
 // The ways in which the leaf fails.
 const (
-	Errors  How = "error"  // it answers 500: the request may have run
-	Refuses How = "refuse" // it answers 503 with X-Never-Ran: the request did not run
-	Silent  How = "silent" // it never answers
+	LeafErrors  LeafFailure = "error"  // it answers 500: the request may have run
+	LeafRejects LeafFailure = "refuse" // it answers 503 with X-Never-Ran: the request did not run
+	LeafSilent  LeafFailure = "silent" // it never answers
 )
 
-// Hows lists the ways of failing, in the order of the command's help.
-var Hows = []How{Errors, Refuses, Silent}
+// LeafFailures lists the ways of failing, in the order of the command's help.
+var LeafFailures = []LeafFailure{LeafErrors, LeafRejects, LeafSilent}
 
 // Classes maps the names of the row's classes to their idempotency.
 var Classes = map[string]balancer.Idempotency{"look": balancer.Idempotent, "book": balancer.WithIdempotencyKey,
@@ -35,19 +35,19 @@
 
 // Repeats reports whether a sidecar may retry a request after an attempt that failed in this way. If the leaf is
 // silent, it retries only idempotent requests; the attempt of any other lasts until the request's deadline.
-func Repeats(idempotency balancer.Idempotency, failure How) bool {
+func Repeats(idempotency balancer.Idempotency, failure LeafFailure) bool {
 	switch idempotency {
 	case balancer.Idempotent:
 		return true
 	case balancer.WithIdempotencyKey:
-		return failure != Silent
+		return failure != LeafSilent
 	}
-	return failure == Refuses
+	return failure == LeafRejects
 }
 
 // Worst returns the maximum number of attempts at the leaf for one call of the root, without retry budgets: attempts to
 // the power of levels if a sidecar may retry, else 1. It is a float64 because it can exceed the range of integers.
-func Worst(idempotency balancer.Idempotency, failure How, attempts, levels int) float64 {
+func Worst(idempotency balancer.Idempotency, failure LeafFailure, attempts, levels int) float64 {
 	if !Repeats(idempotency, failure) {
 		return 1
 	}
@@ -56,7 +56,7 @@
 
 // Budgeted returns the maximum number of attempts at the leaf for a number of calls of the root, with retry budgets.
 // Each level has this number of sidecars, which start with full budgets.
-func Budgeted(idempotency balancer.Idempotency, failure How, attempts, levels, calls, sidecars int) float64 {
+func Budgeted(idempotency balancer.Idempotency, failure LeafFailure, attempts, levels, calls, sidecars int) float64 {
 	total := float64(calls)
 	if !Repeats(idempotency, failure) {
 		return total
@@ -69,7 +69,7 @@
 
 // Steady returns the limit of Budgeted per call as the number of calls grows: attempts at the leaf per call of the
 // root.
-func Steady(idempotency balancer.Idempotency, failure How, attempts, levels int) float64 {
+func Steady(idempotency balancer.Idempotency, failure LeafFailure, attempts, levels int) float64 {
 	if !Repeats(idempotency, failure) {
 		return 1
 	}
--- a/internal/lab/chain/formula_test.go
+++ b/internal/lab/chain/formula_test.go
@@ -12,18 +12,18 @@
 func TestWorst(t *testing.T) {
 	for _, c := range []struct {
 		repeat balancer.Idempotency
-		how    How
+		how    LeafFailure
 		most   int
 		levels int
 		want   float64
 	}{
-		{balancer.Idempotent, Errors, 3, 14, 4782969}, {balancer.Idempotent, Refuses, 2, 14, 16384}, {balancer.Idempotent,
-			Silent, 4, 3, 64},
-		{balancer.WithIdempotencyKey, Errors, 3, 3, 27}, {balancer.WithIdempotencyKey, Refuses, 3, 5, 243},
-		{balancer.WithIdempotencyKey, Silent, 3, 14, 1},
-		{balancer.NotIdempotent, Errors, 4, 14, 1}, {balancer.NotIdempotent, Silent, 4, 14, 1}, {balancer.NotIdempotent,
-			Refuses, 4, 2, 16},
-		{balancer.Idempotent, Errors, 1, 14, 1}, {balancer.Idempotent, Errors, 3, 0, 1},
+		{balancer.Idempotent, LeafErrors, 3, 14, 4782969}, {balancer.Idempotent, LeafRejects, 2, 14, 16384}, {balancer.Idempotent,
+			LeafSilent, 4, 3, 64},
+		{balancer.WithIdempotencyKey, LeafErrors, 3, 3, 27}, {balancer.WithIdempotencyKey, LeafRejects, 3, 5, 243},
+		{balancer.WithIdempotencyKey, LeafSilent, 3, 14, 1},
+		{balancer.NotIdempotent, LeafErrors, 4, 14, 1}, {balancer.NotIdempotent, LeafSilent, 4, 14, 1}, {balancer.NotIdempotent,
+			LeafRejects, 4, 2, 16},
+		{balancer.Idempotent, LeafErrors, 1, 14, 1}, {balancer.Idempotent, LeafErrors, 3, 0, 1},
 	} {
 		if got := Worst(c.repeat, c.how, c.most, c.levels); got != c.want {
 			t.Errorf("idempotency %d, failure %s, %d attempts, %d levels: %v, want %v", c.repeat, c.how, c.most, c.levels, got,
@@ -41,19 +41,19 @@
 // calls, each level adds a fifth.
 func TestBudgeted(t *testing.T) {
 	for levels, want := range []float64{1, 3, 9, 20, 34, 50} {
-		if got := Budgeted(balancer.Idempotent, Errors, 3, levels, 1, 1); got != want {
+		if got := Budgeted(balancer.Idempotent, LeafErrors, 3, levels, 1, 1); got != want {
 			t.Errorf("%d levels: %v attempts for one call, want %v", levels, got, want)
 		}
 	}
-	if got := Budgeted(balancer.Idempotent, Errors, 3, 3, 1, 10); got != 27 {
+	if got := Budgeted(balancer.Idempotent, LeafErrors, 3, 3, 1, 10); got != 27 {
 		t.Errorf("3 levels of ten sidecars each: %v attempts for one call, want 27", got)
 	}
-	per := Budgeted(balancer.Idempotent, Errors, 3, 14, 1e9, 1) / 1e9
-	if steady := Steady(balancer.Idempotent, Errors, 3, 14); math.Abs(per-steady) > 1e-3 ||
+	per := Budgeted(balancer.Idempotent, LeafErrors, 3, 14, 1e9, 1) / 1e9
+	if steady := Steady(balancer.Idempotent, LeafErrors, 3, 14); math.Abs(per-steady) > 1e-3 ||
 		math.Abs(steady-12.839) > 1e-3 {
 		t.Errorf("14 levels: %v attempts per call for 1e9 calls, Steady returns %v", per, steady)
 	}
-	if Steady(balancer.Idempotent, Errors, 1, 14) != 1 || Steady(balancer.NotIdempotent, Errors, 3, 14) != 1 {
+	if Steady(balancer.Idempotent, LeafErrors, 1, 14) != 1 || Steady(balancer.NotIdempotent, LeafErrors, 3, 14) != 1 {
 		t.Error("Steady is not 1 where no sidecar may retry")
 	}
 }
--- a/internal/lab/chain/level.go
+++ b/internal/lab/chain/level.go
@@ -200,13 +200,13 @@
 	} else if path == pathThrough {
 		l.row.leafAttempts[call].Add(1)
 		requestNumber := l.row.leafRequests.Add(1)
-		if l.row.leafFails && l.row.seed.Stream("leaf", requestNumber).Float64() < l.row.options.Share {
-			switch l.row.options.Fail {
-			case Errors:
+		if l.row.leafFails && l.row.seed.Stream("leaf", requestNumber).Float64() < l.row.options.FailureShare {
+			switch l.row.options.LeafFailure {
+			case LeafErrors:
 				return "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
-			case Refuses:
+			case LeafRejects:
 				return "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
-			case Silent:
+			case LeafSilent:
 				select {
 				case <-l.row.stopped:
 				case <-time.After(rootTimeoutMillis*time.Millisecond + answerGrace):
--- a/internal/lab/chain/show.go
+++ b/internal/lab/chain/show.go
@@ -22,10 +22,10 @@
 	for _, why := range slices.Sorted(maps.Keys(result.Why)) {
 		fmt.Fprintf(w, "broken, %d: %s\n", result.Why[why], why)
 	}
-	if result.Fail != "" {
+	if result.LeafFailure != "" {
 		fmt.Fprintf(w,
 			"the leaf fails %v of its attempts (%s): %.2f attempts there a call, %d at most; by the rules %.6g, by the budgets %.2f a call, %.2f for ever\n",
-			result.Share, result.Fail, result.PerCall, result.LeafMost, result.Worst, result.Budgeted/float64(result.Calls),
+			result.FailureShare, result.LeafFailure, result.PerCall, result.LeafMost, result.Worst, result.Budgeted/float64(result.Calls),
 			result.Steady)
 	} else {
 		fmt.Fprintf(w,
@@ -66,7 +66,7 @@
 // table of attempts for the runs in which the leaf fails.
 func Markdown(w io.Writer, results []*Result) {
 	for _, result := range results {
-		if result.Fail != "" {
+		if result.LeafFailure != "" {
 			continue
 		}
 		fmt.Fprintf(w,
@@ -99,7 +99,7 @@
 	}
 	headWritten := false
 	for _, result := range results {
-		if result.Fail == "" {
+		if result.LeafFailure == "" {
 			continue
 		}
 		if !headWritten {
@@ -110,7 +110,7 @@
 			headWritten = true
 		}
 		fmt.Fprintf(w, "| %s | %d | %d | %s | %s | %v | %d | %d | %.2f | %d | %.6g | %.2f | %.2f | %s | %s |\n", result.By,
-			result.Depth, result.Servers, result.Class, result.Fail, result.Share, result.Attempts, result.Calls,
+			result.Depth, result.Servers, result.Class, result.LeafFailure, result.FailureShare, result.Attempts, result.Calls,
 			result.PerCall, result.LeafMost, result.Worst, result.Budgeted/float64(result.Calls), result.Steady,
 			answerCodes(result), loadAverages(result))
 	}
--- a/internal/lab/chain/virtual.go
+++ b/internal/lab/chain/virtual.go
@@ -249,13 +249,13 @@
 	}
 	run.leafAttempts[caller.rootCall]++
 	status := balancer.OK
-	if run.options.Fail != "" && run.failures.Float64() < run.options.Share {
-		switch run.options.Fail {
-		case Errors:
+	if run.options.LeafFailure != "" && run.failures.Float64() < run.options.FailureShare {
+		switch run.options.LeafFailure {
+		case LeafErrors:
 			status = balancer.Error
-		case Refuses:
+		case LeafRejects:
 			status = balancer.Rejected
-		case Silent:
+		case LeafSilent:
 			return
 		}
 	}
--- a/internal/lab/chain/virtual_test.go
+++ b/internal/lab/chain/virtual_test.go
@@ -10,7 +10,7 @@
 // runVirtual runs a row of ten sidecars per level in virtual time, and fails the test if a bound is violated.
 func runVirtual(t *testing.T, options Options) *Result {
 	t.Helper()
-	options.Servers, options.Share, options.Seed = 10, 1, 1
+	options.Servers, options.FailureShare, options.Seed = 10, 1, 1
 	result, err := Virtual(t.Context(), options)
 	if err != nil {
 		t.Fatal(err)
@@ -25,12 +25,12 @@
 // sidecars may not retry, one.
 func TestLeafAttemptsMatchFormula(t *testing.T) {
 	for _, class := range classNames {
-		for _, how := range []How{Errors, Refuses} {
+		for _, how := range []LeafFailure{LeafErrors, LeafRejects} {
 			for _, depth := range []int{1, 2, 3} {
 				for attempts := 1; attempts <= 3; attempts++ {
 					t.Run(fmt.Sprint(class, how, depth, attempts), func(t *testing.T) {
 						result := runVirtual(t, Options{Depth: depth, Rate: 1, For: time.Second, Attempts: attempts, Class: class,
-							Fail: how})
+							LeafFailure: how})
 						if float64(result.LeafMost) != result.Worst || result.Worst != result.Budgeted {
 							t.Errorf("%d attempts, want %v by Worst and %v by Budgeted", result.LeafMost, result.Worst, result.Budgeted)
 						}
@@ -40,7 +40,7 @@
 		}
 	}
 	// With more levels the budgets limit the attempts, and part of a budget may be left over.
-	result := runVirtual(t, Options{Depth: 7, Rate: 1, For: time.Second, Attempts: 3, Class: "look", Fail: Errors})
+	result := runVirtual(t, Options{Depth: 7, Rate: 1, For: time.Second, Attempts: 3, Class: "look", LeafFailure: LeafErrors})
 	if leafMost := float64(result.LeafMost); leafMost > result.Budgeted || leafMost < 300 || result.Worst != 2187 {
 		t.Errorf("7 levels: %v attempts, want 300 to %v by the budgets", leafMost, result.Budgeted)
 	}
@@ -48,7 +48,7 @@
 
 // Two runs with the same seed give the same result.
 func TestVirtualIsRepeatable(t *testing.T) {
-	options := Options{Depth: 4, Rate: 50, For: time.Second, Attempts: 3, Class: "book", Fail: Errors}
+	options := Options{Depth: 4, Rate: 50, For: time.Second, Attempts: 3, Class: "book", LeafFailure: LeafErrors}
 	if a, b := runVirtual(t, options), runVirtual(t, options); !reflect.DeepEqual(a, b) {
 		t.Errorf("the first run gives %+v, the second %+v", a, b)
 	}
