--- a/internal/lab/chain/chain.go
+++ b/internal/lab/chain/chain.go
@@ -62,7 +62,7 @@
 
 // Check returns an error for the first invalid option, with its flag and value.
 func (options *Options) Check() error {
-	_, err := ClassOf(options.Class)
+	_, err := ClassIdempotency(options.Class)
 	switch {
 	case options.Depth < 1 || options.Depth > maxDepth:
 		return fmt.Errorf("--depth: %d is not within 1 and %d", options.Depth, maxDepth)
@@ -151,17 +151,17 @@
 	Surplus      uint64         `json:"surplus"` // answers followed by unexpected bytes
 	LateRoot     uint64         `json:"late"`    // calls of the root that began more than 10 ms late
 
-	Row      Spread  `json:"row"`        // latency that the whole row adds to a call
-	One      Spread  `json:"one"`        // latency that one level adds to a call, over all levels
-	Whole    Spread  `json:"through"`    // latency of the root's calls through the sidecars
-	Bare     Spread  `json:"direct"`     // latency of the root's calls without sidecars
-	LeafMost uint64  `json:"leaf_most"`  // maximum of attempts at the leaf for one call of the root
-	PerCall  float64 `json:"leaf_mean"`  // mean of the same
-	Worst    float64 `json:"worst"`      // bound on LeafMost, by Worst
-	Budgeted float64 `json:"budgeted"`   // bound on the attempts at the leaf for all calls, by Budgeted
-	Steady   float64 `json:"steady"`     // attempts at the leaf per call in the long run, by Steady
-	LastMs   int64   `json:"last_least"` // minimum of the time left at the leaf
-	Levels   []Level `json:"levels"`
+	Row                  Spread  `json:"row"`        // latency that the whole row adds to a call
+	One                  Spread  `json:"one"`        // latency that one level adds to a call, over all levels
+	Whole                Spread  `json:"through"`    // latency of the root's calls through the sidecars
+	Bare                 Spread  `json:"direct"`     // latency of the root's calls without sidecars
+	MaxLeafAttempts      uint64  `json:"leaf_most"`  // maximum of attempts at the leaf for one call of the root
+	MeanLeafAttempts     float64 `json:"leaf_mean"`  // mean of the same
+	LeafAttemptsBound    float64 `json:"worst"`      // bound on LeafMost, by Worst
+	BudgetedLeafAttempts float64 `json:"budgeted"`   // bound on the attempts at the leaf for all calls, by Budgeted
+	SteadyLeafAttempts   float64 `json:"steady"`     // attempts at the leaf per call in the long run, by Steady
+	LastMs               int64   `json:"last_least"` // minimum of the time left at the leaf
+	Levels               []Level `json:"levels"`
 }
 
 // row is a run with processes.
@@ -316,11 +316,11 @@
 func (options *Options) newResult(sidecars int) *Result {
 	result := &Result{By: "processes", Depth: options.Depth, Servers: options.Servers, Rate: options.Rate,
 		Calls: options.Calls(), Attempts: options.Attempts, Class: options.Class, LeafFailure: options.LeafFailure,
-		FailureShare: options.FailureShare, Answers: map[string]int{}, Worst: 1, Budgeted: float64(options.Calls()), Steady: 1}
+		FailureShare: options.FailureShare, Answers: map[string]int{}, LeafAttemptsBound: 1, BudgetedLeafAttempts: float64(options.Calls()), SteadyLeafAttempts: 1}
 	if idempotency := Classes[options.Class]; options.LeafFailure != "" {
-		result.Worst, result.Steady = Worst(idempotency, options.LeafFailure, options.Attempts, options.Depth), Steady(idempotency,
+		result.LeafAttemptsBound, result.SteadyLeafAttempts = MaxLeafAttempts(idempotency, options.LeafFailure, options.Attempts, options.Depth), SteadyLeafAttempts(idempotency,
 			options.LeafFailure, options.Attempts, options.Depth)
-		result.Budgeted = Budgeted(idempotency, options.LeafFailure, options.Attempts, options.Depth, options.Calls(), sidecars)
+		result.BudgetedLeafAttempts = BudgetedLeafAttempts(idempotency, options.LeafFailure, options.Attempts, options.Depth, options.Calls(), sidecars)
 	}
 	return result
 }
@@ -329,9 +329,9 @@
 func (result *Result) setLeafAttempts(counts iter.Seq[uint64]) {
 	sum := uint64(0)
 	for attempts := range counts {
-		sum, result.LeafMost = sum+attempts, max(result.LeafMost, attempts)
+		sum, result.MaxLeafAttempts = sum+attempts, max(result.MaxLeafAttempts, attempts)
 	}
-	result.PerCall = float64(sum) / float64(result.Calls)
+	result.MeanLeafAttempts = float64(sum) / float64(result.Calls)
 }
 
 // runCalls makes the root's calls at their times and returns the result. Unless the leaf fails, each call is made
--- a/internal/lab/chain/chain_test.go
+++ b/internal/lab/chain/chain_test.go
@@ -60,17 +60,17 @@
 	if failure == "" {
 		failure = LeafErrors // a sidecar may also retry a call that is merely slow
 	}
-	if maxTotal := Worst(Classes[result.Class], failure, result.Attempts,
-		result.Depth); float64(result.LeafMost) > maxTotal {
-		add("%d attempts at the leaf for one call, want at most %v", result.LeafMost, maxTotal)
+	if maxTotal := MaxLeafAttempts(Classes[result.Class], failure, result.Attempts,
+		result.Depth); float64(result.MaxLeafAttempts) > maxTotal {
+		add("%d attempts at the leaf for one call, want at most %v", result.MaxLeafAttempts, maxTotal)
 	}
 	sidecars := 1
 	if result.By != "processes" {
 		sidecars = result.Servers
 	}
-	if maxTotal := Budgeted(Classes[result.Class], failure, result.Attempts, result.Depth, result.Calls,
-		sidecars); result.PerCall*float64(result.Calls) > maxTotal+0.5 {
-		add("%v attempts at the leaf per call, the budgets allow %v for all calls", result.PerCall, maxTotal)
+	if maxTotal := BudgetedLeafAttempts(Classes[result.Class], failure, result.Attempts, result.Depth, result.Calls,
+		sidecars); result.MeanLeafAttempts*float64(result.Calls) > maxTotal+0.5 {
+		add("%v attempts at the leaf per call, the budgets allow %v for all calls", result.MeanLeafAttempts, maxTotal)
 	}
 	for number, figures := range result.Levels {
 		if figures.Rose > 0 {
--- a/internal/lab/chain/formula.go
+++ b/internal/lab/chain/formula.go
@@ -33,9 +33,9 @@
 	budgetPerRequest = 0.2 // added by each request
 )
 
-// Repeats reports whether a sidecar may retry a request after an attempt that failed in this way. If the leaf is
+// MayRetry reports whether a sidecar may retry a request after an attempt that failed in this way. If the leaf is
 // silent, it retries only idempotent requests; the attempt of any other lasts until the request's deadline.
-func Repeats(idempotency balancer.Idempotency, failure LeafFailure) bool {
+func MayRetry(idempotency balancer.Idempotency, failure LeafFailure) bool {
 	switch idempotency {
 	case balancer.Idempotent:
 		return true
@@ -45,20 +45,20 @@
 	return failure == LeafRejects
 }
 
-// Worst returns the maximum number of attempts at the leaf for one call of the root, without retry budgets: attempts to
+// MaxLeafAttempts returns the maximum number of attempts at the leaf for one call of the root, without retry budgets: attempts to
 // the power of levels if a sidecar may retry, else 1. It is a float64 because it can exceed the range of integers.
-func Worst(idempotency balancer.Idempotency, failure LeafFailure, attempts, levels int) float64 {
-	if !Repeats(idempotency, failure) {
+func MaxLeafAttempts(idempotency balancer.Idempotency, failure LeafFailure, attempts, levels int) float64 {
+	if !MayRetry(idempotency, failure) {
 		return 1
 	}
 	return math.Pow(float64(attempts), float64(levels))
 }
 
-// Budgeted returns the maximum number of attempts at the leaf for a number of calls of the root, with retry budgets.
+// BudgetedLeafAttempts returns the maximum number of attempts at the leaf for a number of calls of the root, with retry budgets.
 // Each level has this number of sidecars, which start with full budgets.
-func Budgeted(idempotency balancer.Idempotency, failure LeafFailure, attempts, levels, calls, sidecars int) float64 {
+func BudgetedLeafAttempts(idempotency balancer.Idempotency, failure LeafFailure, attempts, levels, calls, sidecars int) float64 {
 	total := float64(calls)
-	if !Repeats(idempotency, failure) {
+	if !MayRetry(idempotency, failure) {
 		return total
 	}
 	for range levels {
@@ -67,17 +67,17 @@
 	return total
 }
 
-// Steady returns the limit of Budgeted per call as the number of calls grows: attempts at the leaf per call of the
+// SteadyLeafAttempts returns the limit of Budgeted per call as the number of calls grows: attempts at the leaf per call of the
 // root.
-func Steady(idempotency balancer.Idempotency, failure LeafFailure, attempts, levels int) float64 {
-	if !Repeats(idempotency, failure) {
+func SteadyLeafAttempts(idempotency balancer.Idempotency, failure LeafFailure, attempts, levels int) float64 {
+	if !MayRetry(idempotency, failure) {
 		return 1
 	}
 	return math.Pow(min(float64(attempts), 1+budgetPerRequest), float64(levels))
 }
 
-// ClassOf returns the idempotency of a class of the row. The error names the command's flag.
-func ClassOf(name string) (balancer.Idempotency, error) {
+// ClassIdempotency returns the idempotency of a class of the row. The error names the command's flag.
+func ClassIdempotency(name string) (balancer.Idempotency, error) {
 	idempotency, known := Classes[name]
 	if !known {
 		return 0, fmt.Errorf("--class: %q is none of look, book and pay", name)
--- a/internal/lab/chain/formula_test.go
+++ b/internal/lab/chain/formula_test.go
@@ -25,12 +25,12 @@
 			LeafRejects, 4, 2, 16},
 		{balancer.Idempotent, LeafErrors, 1, 14, 1}, {balancer.Idempotent, LeafErrors, 3, 0, 1},
 	} {
-		if got := Worst(c.repeat, c.how, c.most, c.levels); got != c.want {
+		if got := MaxLeafAttempts(c.repeat, c.how, c.most, c.levels); got != c.want {
 			t.Errorf("idempotency %d, failure %s, %d attempts, %d levels: %v, want %v", c.repeat, c.how, c.most, c.levels, got,
 				c.want)
 		}
 		for _, calls := range []int{1, 7, 1000} {
-			if b := Budgeted(c.repeat, c.how, c.most, c.levels, calls, 1); b > float64(calls)*c.want || b < float64(calls) {
+			if b := BudgetedLeafAttempts(c.repeat, c.how, c.most, c.levels, calls, 1); b > float64(calls)*c.want || b < float64(calls) {
 				t.Errorf("%+v: with budgets, the bound for %d calls is %v", c, calls, b)
 			}
 		}
@@ -41,19 +41,19 @@
 // calls, each level adds a fifth.
 func TestBudgeted(t *testing.T) {
 	for levels, want := range []float64{1, 3, 9, 20, 34, 50} {
-		if got := Budgeted(balancer.Idempotent, LeafErrors, 3, levels, 1, 1); got != want {
+		if got := BudgetedLeafAttempts(balancer.Idempotent, LeafErrors, 3, levels, 1, 1); got != want {
 			t.Errorf("%d levels: %v attempts for one call, want %v", levels, got, want)
 		}
 	}
-	if got := Budgeted(balancer.Idempotent, LeafErrors, 3, 3, 1, 10); got != 27 {
+	if got := BudgetedLeafAttempts(balancer.Idempotent, LeafErrors, 3, 3, 1, 10); got != 27 {
 		t.Errorf("3 levels of ten sidecars each: %v attempts for one call, want 27", got)
 	}
-	per := Budgeted(balancer.Idempotent, LeafErrors, 3, 14, 1e9, 1) / 1e9
-	if steady := Steady(balancer.Idempotent, LeafErrors, 3, 14); math.Abs(per-steady) > 1e-3 ||
+	per := BudgetedLeafAttempts(balancer.Idempotent, LeafErrors, 3, 14, 1e9, 1) / 1e9
+	if steady := SteadyLeafAttempts(balancer.Idempotent, LeafErrors, 3, 14); math.Abs(per-steady) > 1e-3 ||
 		math.Abs(steady-12.839) > 1e-3 {
 		t.Errorf("14 levels: %v attempts per call for 1e9 calls, Steady returns %v", per, steady)
 	}
-	if Steady(balancer.Idempotent, LeafErrors, 1, 14) != 1 || Steady(balancer.NotIdempotent, LeafErrors, 3, 14) != 1 {
+	if SteadyLeafAttempts(balancer.Idempotent, LeafErrors, 1, 14) != 1 || SteadyLeafAttempts(balancer.NotIdempotent, LeafErrors, 3, 14) != 1 {
 		t.Error("Steady is not 1 where no sidecar may retry")
 	}
 }
--- a/internal/lab/chain/show.go
+++ b/internal/lab/chain/show.go
@@ -25,8 +25,8 @@
 	if result.LeafFailure != "" {
 		fmt.Fprintf(w,
 			"the leaf fails %v of its attempts (%s): %.2f attempts there a call, %d at most; by the rules %.6g, by the budgets %.2f a call, %.2f for ever\n",
-			result.FailureShare, result.LeafFailure, result.PerCall, result.LeafMost, result.Worst, result.Budgeted/float64(result.Calls),
-			result.Steady)
+			result.FailureShare, result.LeafFailure, result.MeanLeafAttempts, result.MaxLeafAttempts, result.LeafAttemptsBound, result.BudgetedLeafAttempts/float64(result.Calls),
+			result.SteadyLeafAttempts)
 	} else {
 		fmt.Fprintf(w,
 			"added by one level: p50 %.3f ms, p99 %.3f ms; by the row: p50 %.3f ms, p99 %.3f ms; the budget is %v ms\n",
@@ -111,7 +111,7 @@
 		}
 		fmt.Fprintf(w, "| %s | %d | %d | %s | %s | %v | %d | %d | %.2f | %d | %.6g | %.2f | %.2f | %s | %s |\n", result.By,
 			result.Depth, result.Servers, result.Class, result.LeafFailure, result.FailureShare, result.Attempts, result.Calls,
-			result.PerCall, result.LeafMost, result.Worst, result.Budgeted/float64(result.Calls), result.Steady,
+			result.MeanLeafAttempts, result.MaxLeafAttempts, result.LeafAttemptsBound, result.BudgetedLeafAttempts/float64(result.Calls), result.SteadyLeafAttempts,
 			answerCodes(result), loadAverages(result))
 	}
 }
--- a/internal/lab/chain/virtual_test.go
+++ b/internal/lab/chain/virtual_test.go
@@ -31,8 +31,8 @@
 					t.Run(fmt.Sprint(class, how, depth, attempts), func(t *testing.T) {
 						result := runVirtual(t, Options{Depth: depth, Rate: 1, For: time.Second, Attempts: attempts, Class: class,
 							LeafFailure: how})
-						if float64(result.LeafMost) != result.Worst || result.Worst != result.Budgeted {
-							t.Errorf("%d attempts, want %v by Worst and %v by Budgeted", result.LeafMost, result.Worst, result.Budgeted)
+						if float64(result.MaxLeafAttempts) != result.LeafAttemptsBound || result.LeafAttemptsBound != result.BudgetedLeafAttempts {
+							t.Errorf("%d attempts, want %v by Worst and %v by Budgeted", result.MaxLeafAttempts, result.LeafAttemptsBound, result.BudgetedLeafAttempts)
 						}
 					})
 				}
@@ -41,8 +41,8 @@
 	}
 	// With more levels the budgets limit the attempts, and part of a budget may be left over.
 	result := runVirtual(t, Options{Depth: 7, Rate: 1, For: time.Second, Attempts: 3, Class: "look", LeafFailure: LeafErrors})
-	if leafMost := float64(result.LeafMost); leafMost > result.Budgeted || leafMost < 300 || result.Worst != 2187 {
-		t.Errorf("7 levels: %v attempts, want 300 to %v by the budgets", leafMost, result.Budgeted)
+	if leafMost := float64(result.MaxLeafAttempts); leafMost > result.BudgetedLeafAttempts || leafMost < 300 || result.LeafAttemptsBound != 2187 {
+		t.Errorf("7 levels: %v attempts, want 300 to %v by the budgets", leafMost, result.BudgetedLeafAttempts)
 	}
 }
 
