--- a/cmd/birchmoor/labchain.go
+++ b/cmd/birchmoor/labchain.go
@@ -55,7 +55,7 @@
 	}
 	var results []*chain.Result
 	for i, o := range runs {
-		o.Say = func(s string) { fmt.Fprintf(c.err, "run %d of %d: %s\n", i+1, len(runs), s) }
+		o.Progress = func(s string) { fmt.Fprintf(c.err, "run %d of %d: %s\n", i+1, len(runs), s) }
 		x, err := runChain(ctx, o)
 		if err != nil {
 			return err
@@ -84,12 +84,12 @@
 	for _, ratio := range ratios {
 		for _, attempts := range k.Attempts {
 			o := chain.Options{
-				Bin:          k.Bin,
+				Program:      k.Bin,
 				Depth:        k.Depth,
 				Servers:      k.Servers,
 				Rate:         k.Rate,
-				For:          k.Duration,
-				Warm:         k.WarmupDuration,
+				Duration:     k.Duration,
+				WarmUp:       k.WarmupDuration,
 				Attempts:     attempts,
 				Class:        k.Class,
 				LeafFailure:  chain.LeafFailure(k.FailureMode),
@@ -113,7 +113,7 @@
 		return nil, err
 	}
 	for i := range all {
-		all[i].Bin = bin
+		all[i].Program = bin
 	}
 	return all, nil
 }
--- a/internal/lab/chain/chain.go
+++ b/internal/lab/chain/chain.go
@@ -34,19 +34,19 @@
 
 // Options are the options of a run.
 type Options struct {
-	Bin          string        // path of the sidecar program; not used by Virtual
+	Program      string        // path of the sidecar program; not used by Virtual
 	Dir          string        // in which the temporary folder of the run is made
 	Depth        int           // levels in the row
 	Servers      int           // servers per level
 	Rate         float64       // calls of the root per second
-	For          time.Duration // over which measured calls are made
-	Warm         time.Duration // of calls before the measured ones, to warm up; none if the leaf fails
+	Duration     time.Duration // over which measured calls are made
+	WarmUp       time.Duration // of calls before the measured ones, to warm up; none if the leaf fails
 	Attempts     int           // max_attempts of each sidecar
 	Class        string        // a key of Classes
 	LeafFailure  LeafFailure   // way in which the leaf fails; empty for none
 	FailureShare float64       // share of the attempts at the leaf that fail
 	Seed         uint64
-	Say          func(string) // called with the progress; may be nil
+	Progress     func(string) // called with the progress; may be nil
 
 	defect injectedDefect
 }
@@ -58,7 +58,7 @@
 }
 
 // Calls returns the number of measured calls that the root makes.
-func (o *Options) Calls() int { return int(o.Rate*o.For.Seconds() + 0.5) }
+func (o *Options) Calls() int { return int(o.Rate*o.Duration.Seconds() + 0.5) }
 
 // Check returns an error for the first invalid option, with its flag and value.
 func (options *Options) Check() error {
@@ -70,13 +70,13 @@
 		return fmt.Errorf("--servers: %d is not within 1 and %d", options.Servers, maxServers)
 	case !(options.Rate > 0 && options.Rate <= maxRate):
 		return fmt.Errorf("--rate: %v is not above 0 and at most %d", options.Rate, maxRate)
-	case options.For <= 0 || options.For > time.Hour:
-		return fmt.Errorf("--for: %v is not above 0 and at most 1h", options.For)
+	case options.Duration <= 0 || options.Duration > time.Hour:
+		return fmt.Errorf("--for: %v is not above 0 and at most 1h", options.Duration)
 	case options.Calls() < 1 || options.Calls() > maxCalls:
-		return fmt.Errorf("--for: %v at --rate %v are %d calls, not within 1 and %d", options.For, options.Rate,
+		return fmt.Errorf("--for: %v at --rate %v are %d calls, not within 1 and %d", options.Duration, options.Rate,
 			options.Calls(), maxCalls)
-	case options.Warm < 0 || options.Warm > time.Minute:
-		return fmt.Errorf("--warm: %v is not within 0 and 1m", options.Warm)
+	case options.WarmUp < 0 || options.WarmUp > time.Minute:
+		return fmt.Errorf("--warm: %v is not within 0 and 1m", options.WarmUp)
 	case options.Attempts < 1 || options.Attempts > maxAttempts:
 		return fmt.Errorf("--attempts: %d is not within 1 and %d", options.Attempts, maxAttempts)
 	case err != nil:
@@ -89,8 +89,8 @@
 	return nil
 }
 
-// Spread summarizes durations, in milliseconds.
-type Spread struct {
+// Summary summarizes durations, in milliseconds.
+type Summary struct {
 	P50 float64 `json:"p50_ms"`
 	P99 float64 `json:"p99_ms"`
 	Max float64 `json:"max_ms"`
@@ -98,7 +98,7 @@
 }
 
 // summarize summarizes durations in nanoseconds, which it sorts in place.
-func summarize(nanos []int64) (summary Spread) {
+func summarize(nanos []int64) (summary Summary) {
 	if summary.N = len(nanos); summary.N == 0 {
 		return summary
 	}
@@ -112,16 +112,16 @@
 
 // Level holds the figures of one level: its sidecar and the servers behind it.
 type Level struct {
-	Attempts uint64  `json:"attempts"`    // attempts that reached the servers
-	LeftMin  int64   `json:"left_min_ms"` // time left that attempts carried
-	LeftMean float64 `json:"left_mean_ms"`
-	LeftMax  int64   `json:"left_max_ms"`
-	Rose     uint64  `json:"left_rose"` // attempts with no less time left than the call at the level before them
-	Over     uint64  `json:"left_over"` // attempts with more time left than the root was still waiting
+	Attempts     uint64  `json:"attempts"`    // attempts that reached the servers
+	TimeLeftMin  int64   `json:"left_min_ms"` // time left that attempts carried
+	TimeLeftMean float64 `json:"left_mean_ms"`
+	TimeLeftMax  int64   `json:"left_max_ms"`
+	NotReduced   uint64  `json:"left_rose"` // attempts with no less time left than the call at the level before them
+	BeyondRoot   uint64  `json:"left_over"` // attempts with more time left than the root was still waiting
 
-	Through Spread `json:"through"` // latency of calls through the sidecar, less the server's time
-	Direct  Spread `json:"direct"`  // the same without the sidecar
-	Added   Spread `json:"added"`   // difference of the two for each call of the root
+	Through Summary `json:"through"` // latency of calls through the sidecar, less the server's time
+	Direct  Summary `json:"direct"`  // the same without the sidecar
+	Added   Summary `json:"added"`   // difference of the two for each call of the root
 
 	Open     int64   `json:"connections"` // open connections to the servers at the end
 	Opened   uint64  `json:"connections_opened"`
@@ -134,33 +134,33 @@
 
 // Result is the result of a run.
 type Result struct {
-	By           string         `json:"by"` // "processes" or "virtual time"
-	Depth        int            `json:"depth"`
-	Servers      int            `json:"servers"`
-	Rate         float64        `json:"rate"`
-	Calls        int            `json:"calls"`
-	Attempts     int            `json:"max_attempts"`
-	Class        string         `json:"class"`
-	LeafFailure  LeafFailure    `json:"fail,omitempty"`
-	FailureShare float64        `json:"share,omitempty"`
-	Took         float64        `json:"took_s"`
-	Load         [2]string      `json:"load_average"` // of the machine, at the start and at the end
-	Answers      map[string]int `json:"answers"`      // root's calls through sidecars, by status code; 0 for no answer
-	Broken       uint64         `json:"broken"`       // calls of root and applications that failed without an answer
-	Why          map[string]int `json:"broken_by,omitempty"`
-	Surplus      uint64         `json:"surplus"` // answers followed by unexpected bytes
-	LateRoot     uint64         `json:"late"`    // calls of the root that began more than 10 ms late
+	Clock         string         `json:"by"` // "processes" or "virtual time"
+	Depth         int            `json:"depth"`
+	Servers       int            `json:"servers"`
+	Rate          float64        `json:"rate"`
+	Calls         int            `json:"calls"`
+	Attempts      int            `json:"max_attempts"`
+	Class         string         `json:"class"`
+	LeafFailure   LeafFailure    `json:"fail,omitempty"`
+	FailureShare  float64        `json:"share,omitempty"`
+	Took          float64        `json:"took_s"`
+	Load          [2]string      `json:"load_average"` // of the machine, at the start and at the end
+	Answers       map[string]int `json:"answers"`      // root's calls through sidecars, by status code; 0 for no answer
+	Broken        uint64         `json:"broken"`       // calls of root and applications that failed without an answer
+	BrokenCauses  map[string]int `json:"broken_by,omitempty"`
+	ExcessAnswers uint64         `json:"surplus"` // answers followed by unexpected bytes
+	LateCalls     uint64         `json:"late"`    // calls of the root that began more than 10 ms late
 
-	Row                  Spread  `json:"row"`        // latency that the whole row adds to a call
-	One                  Spread  `json:"one"`        // latency that one level adds to a call, over all levels
-	Whole                Spread  `json:"through"`    // latency of the root's calls through the sidecars
-	Bare                 Spread  `json:"direct"`     // latency of the root's calls without sidecars
+	AddedByRow           Summary `json:"row"`        // latency that the whole row adds to a call
+	AddedPerLevel        Summary `json:"one"`        // latency that one level adds to a call, over all levels
+	Through              Summary `json:"through"`    // latency of the root's calls through the sidecars
+	Direct               Summary `json:"direct"`     // latency of the root's calls without sidecars
 	MaxLeafAttempts      uint64  `json:"leaf_most"`  // maximum of attempts at the leaf for one call of the root
 	MeanLeafAttempts     float64 `json:"leaf_mean"`  // mean of the same
 	LeafAttemptsBound    float64 `json:"worst"`      // bound on LeafMost, by Worst
 	BudgetedLeafAttempts float64 `json:"budgeted"`   // bound on the attempts at the leaf for all calls, by Budgeted
 	SteadyLeafAttempts   float64 `json:"steady"`     // attempts at the leaf per call in the long run, by Steady
-	LastMs               int64   `json:"last_least"` // minimum of the time left at the leaf
+	LeafTimeLeftMin      int64   `json:"last_least"` // minimum of the time left at the leaf
 	Levels               []Level `json:"levels"`
 }
 
@@ -196,7 +196,7 @@
 	r := &row{options: o, seed: randstream.Seed(o.Seed), leafFails: o.LeafFailure != "", stopped: make(chan struct{}),
 		brokenCauses: map[string]int{}}
 	if !r.leafFails {
-		r.warmUpCalls = int(o.Rate * o.Warm.Seconds())
+		r.warmUpCalls = int(o.Rate * o.WarmUp.Seconds())
 	}
 	r.leafAttempts = make([]atomic.Uint32, r.warmUpCalls+o.Calls())
 	defer r.close()
@@ -210,8 +210,8 @@
 			return nil, err
 		}
 	}
-	if o.Say != nil {
-		o.Say(fmt.Sprintf("%d sidecars are ready; %d calls", o.Depth, len(r.leafAttempts)))
+	if o.Progress != nil {
+		o.Progress(fmt.Sprintf("%d sidecars are ready; %d calls", o.Depth, len(r.leafAttempts)))
 	}
 	return r.runCalls(ctx)
 }
@@ -314,7 +314,7 @@
 // newResult returns the result of a run that has not begun, with the bounds by the formulas for so many sidecars per
 // level.
 func (options *Options) newResult(sidecars int) *Result {
-	result := &Result{By: "processes", Depth: options.Depth, Servers: options.Servers, Rate: options.Rate,
+	result := &Result{Clock: "processes", Depth: options.Depth, Servers: options.Servers, Rate: options.Rate,
 		Calls: options.Calls(), Attempts: options.Attempts, Class: options.Class, LeafFailure: options.LeafFailure,
 		FailureShare: options.FailureShare, Answers: map[string]int{}, LeafAttemptsBound: 1, BudgetedLeafAttempts: float64(options.Calls()), SteadyLeafAttempts: 1}
 	if idempotency := Classes[options.Class]; options.LeafFailure != "" {
@@ -393,15 +393,15 @@
 	took := time.Since(measured)
 	after := r.usages()
 	result.Load[1], result.Took = loadAverage(), took.Seconds()
-	result.Broken, result.Surplus, result.LateRoot = r.broken.Load(), r.excess.Load(), r.lateRootCalls.Load()
+	result.Broken, result.ExcessAnswers, result.LateCalls = r.broken.Load(), r.excess.Load(), r.lateRootCalls.Load()
 	r.mutex.Lock()
-	result.Why = maps.Clone(r.brokenCauses)
+	result.BrokenCauses = maps.Clone(r.brokenCauses)
 	r.mutex.Unlock()
 	result.setLeafAttempts(func(yield func(uint64) bool) {
 		for call := r.warmUpCalls; call < len(r.leafAttempts) && yield(uint64(r.leafAttempts[call].Load())); call++ {
 		}
 	})
-	result.Whole, result.Bare, result.Row = summarizePairs(durations, r.warmUpCalls)
+	result.Through, result.Direct, result.AddedByRow = summarizePairs(durations, r.warmUpCalls)
 	var added []int64
 	for number, l := range r.levels {
 		figures := l.figures(before[number], after[number], took)
@@ -409,7 +409,7 @@
 		added = append(added, pairDifferences(l.hopNanos, r.warmUpCalls)...)
 		result.Levels = append(result.Levels, figures)
 	}
-	result.One, result.LastMs = summarize(added), result.Levels[options.Depth-1].LeftMin
+	result.AddedPerLevel, result.LeafTimeLeftMin = summarize(added), result.Levels[options.Depth-1].TimeLeftMin
 	return result, nil
 }
 
@@ -426,7 +426,7 @@
 }
 
 // summarizePairs summarizes the durations of both paths, and their differences, from the first measured call on.
-func summarizePairs(durations [2][]int64, first int) (throughSummary, directSummary, difference Spread) {
+func summarizePairs(durations [2][]int64, first int) (throughSummary, directSummary, difference Summary) {
 	measured := func(all []int64) (ns []int64) {
 		for n := first; n < len(all); n++ {
 			if v := atomic.LoadInt64(&all[n]); v > 0 {
--- a/internal/lab/chain/chain_test.go
+++ b/internal/lab/chain/chain_test.go
@@ -38,7 +38,7 @@
 
 // smallOptions returns the options of a row of three levels with few calls, where all attempts at the leaf fail.
 func smallOptions(t *testing.T, class string, attempts int, fail LeafFailure) Options {
-	return Options{Bin: sidecarProgram, Dir: t.TempDir(), Depth: 3, Servers: 2, Rate: 40, For: time.Second / 2,
+	return Options{Program: sidecarProgram, Dir: t.TempDir(), Depth: 3, Servers: 2, Rate: 40, Duration: time.Second / 2,
 		Attempts: attempts, Class: class, LeafFailure: fail, FailureShare: 1, Seed: 1}
 }
 
@@ -51,10 +51,10 @@
 			add("%d calls got no answer", n)
 		}
 	}
-	if answers != result.Calls || result.Broken+result.Surplus > 0 {
+	if answers != result.Calls || result.Broken+result.ExcessAnswers > 0 {
 		add("%d answers to %d calls, %d calls broken, %d answers followed by more bytes", answers, result.Calls,
 			result.Broken,
-			result.Surplus)
+			result.ExcessAnswers)
 	}
 	failure := result.LeafFailure
 	if failure == "" {
@@ -65,7 +65,7 @@
 		add("%d attempts at the leaf for one call, want at most %v", result.MaxLeafAttempts, maxTotal)
 	}
 	sidecars := 1
-	if result.By != "processes" {
+	if result.Clock != "processes" {
 		sidecars = result.Servers
 	}
 	if maxTotal := BudgetedLeafAttempts(Classes[result.Class], failure, result.Attempts, result.Depth, result.Calls,
@@ -73,12 +73,12 @@
 		add("%v attempts at the leaf per call, the budgets allow %v for all calls", result.MeanLeafAttempts, maxTotal)
 	}
 	for number, figures := range result.Levels {
-		if figures.Rose > 0 {
-			add("level %d: %d attempts had no less time left than the call before them", number+1, figures.Rose)
+		if figures.NotReduced > 0 {
+			add("level %d: %d attempts had no less time left than the call before them", number+1, figures.NotReduced)
 		}
-		if number > 0 && figures.Attempts > 0 && figures.LeftMax >= result.Levels[number-1].LeftMax {
-			add("level %d had up to %d ms left, the one before up to %d ms", number+1, figures.LeftMax,
-				result.Levels[number-1].LeftMax)
+		if number > 0 && figures.Attempts > 0 && figures.TimeLeftMax >= result.Levels[number-1].TimeLeftMax {
+			add("level %d had up to %d ms left, the one before up to %d ms", number+1, figures.TimeLeftMax,
+				result.Levels[number-1].TimeLeftMax)
 		}
 	}
 	return found
@@ -128,15 +128,15 @@
 func TestRunLeavesNothingBehindWhenStopped(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	options := smallOptions(t, "look", 1, LeafSilent)
-	options.For, options.Say = time.Minute, func(string) { cancel() }
+	options.Duration, options.Progress = time.Minute, func(string) { cancel() }
 	if _, err := Run(ctx, options); !errors.Is(err, context.Canceled) {
 		t.Errorf("stopped run: error %v, want a canceled context", err)
 	}
-	options.Bin, options.Say = "/no/such/program", nil
+	options.Program, options.Progress = "/no/such/program", nil
 	if _, err := Run(t.Context(), options); err == nil || !strings.Contains(err.Error(), "/no/such/program") {
 		t.Errorf("missing program: error %v, want its path", err)
 	}
-	options.Bin = "/bin/false"
+	options.Program = "/bin/false"
 	if _, err := Run(t.Context(), options); err == nil || !strings.Contains(err.Error(), "ended before it was ready") {
 		t.Errorf("program that exits at once: error %v", err)
 	}
--- a/internal/lab/chain/process.go
+++ b/internal/lab/chain/process.go
@@ -52,7 +52,7 @@
 	if err := os.MkdirAll(tempDir, 0o700); err != nil {
 		return nil, err
 	}
-	process := &sidecar{cmd: exec.Command(r.options.Bin), addr: addr, logFile: filepath.Join(dir, fmt.Sprintf("log-%d.txt",
+	process := &sidecar{cmd: exec.Command(r.options.Program), addr: addr, logFile: filepath.Join(dir, fmt.Sprintf("log-%d.txt",
 		number)), ended: make(chan struct{})}
 	log, err := os.Create(process.logFile)
 	if err != nil {
@@ -81,7 +81,7 @@
 		}
 	})
 	if err := <-started; err != nil {
-		return nil, fmt.Errorf("%s: %w", r.options.Bin, err)
+		return nil, fmt.Errorf("%s: %w", r.options.Program, err)
 	}
 	return process, nil
 }
@@ -150,7 +150,7 @@
 // figures returns the figures of a level, with rates between two readings of its usage.
 func (l *level) figures(before, after usage, took time.Duration) Level {
 	seconds := took.Seconds()
-	figures := Level{Attempts: l.attempts.Load(), Rose: l.notReduced.Load(), Over: l.beyondRoot.Load(),
+	figures := Level{Attempts: l.attempts.Load(), NotReduced: l.notReduced.Load(), BeyondRoot: l.beyondRoot.Load(),
 		Open: l.openConns.Load(), Opened: l.openedConns.Load(),
 		Probes:   float64(after.probes-before.probes) / seconds,
 		ProbeIn:  float64(after.probeBytesIn-before.probeBytesIn) / seconds,
@@ -159,7 +159,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.timeLeftCount > 0 {
-		figures.LeftMin, figures.LeftMax, figures.LeftMean = l.timeLeftMin, l.timeLeftMax,
+		figures.TimeLeftMin, figures.TimeLeftMax, figures.TimeLeftMean = l.timeLeftMin, l.timeLeftMax,
 			float64(l.timeLeftSum)/float64(l.timeLeftCount)
 	}
 	return figures
--- a/internal/lab/chain/show.go
+++ b/internal/lab/chain/show.go
@@ -8,19 +8,19 @@
 	"strings"
 )
 
-// Budget is the latency that the users allow a sidecar to add to a call, in milliseconds, as a 99th percentile.
-const Budget = 1.8
+// AddedLatencyBudgetMillis is the latency that the users allow a sidecar to add to a call, in milliseconds, as a 99th percentile.
+const AddedLatencyBudgetMillis = 1.8
 
 // Print writes a result as text.
 func Print(w io.Writer, result *Result) {
 	fmt.Fprintf(w,
 		"%d sidecars in a row, %d servers each, %s, max_attempts %d, %.0f calls a second, %d calls, by %s; load average %s\n",
-		result.Depth, result.Servers, result.Class, result.Attempts, result.Rate, result.Calls, result.By,
+		result.Depth, result.Servers, result.Class, result.Attempts, result.Rate, result.Calls, result.Clock,
 		loadAverages(result))
 	fmt.Fprintf(w, "answers: %s; %d broken, %d with something behind them, %d begun over 10 ms late\n",
-		answerCodes(result), result.Broken, result.Surplus, result.LateRoot)
-	for _, why := range slices.Sorted(maps.Keys(result.Why)) {
-		fmt.Fprintf(w, "broken, %d: %s\n", result.Why[why], why)
+		answerCodes(result), result.Broken, result.ExcessAnswers, result.LateCalls)
+	for _, why := range slices.Sorted(maps.Keys(result.BrokenCauses)) {
+		fmt.Fprintf(w, "broken, %d: %s\n", result.BrokenCauses[why], why)
 	}
 	if result.LeafFailure != "" {
 		fmt.Fprintf(w,
@@ -30,9 +30,9 @@
 	} else {
 		fmt.Fprintf(w,
 			"added by one level: p50 %.3f ms, p99 %.3f ms; by the row: p50 %.3f ms, p99 %.3f ms; the budget is %v ms\n",
-			result.One.P50, result.One.P99, result.Row.P50, result.Row.P99, Budget)
+			result.AddedPerLevel.P50, result.AddedPerLevel.P99, result.AddedByRow.P50, result.AddedByRow.P99, AddedLatencyBudgetMillis)
 		fmt.Fprintf(w, "the whole call: p50 %.3f ms, p99 %.3f ms; without sidecars p50 %.3f ms, p99 %.3f ms\n",
-			result.Whole.P50, result.Whole.P99, result.Bare.P50, result.Bare.P99)
+			result.Through.P50, result.Through.P99, result.Direct.P50, result.Direct.P99)
 	}
 	fmt.Fprintf(w, "%5s %9s %9s %9s %9s %9s %6s %6s %6s %5s %7s %8s %9s %9s %7s %7s\n", "level", "attempts", "added p50",
 		"added p99", "thr. p99", "dir. p99",
@@ -40,7 +40,7 @@
 	for number, figures := range result.Levels {
 		fmt.Fprintf(w, "%5d %9d %9.3f %9.3f %9.3f %9.3f %6d %6.0f %6d %5d %7d %8.1f %9.0f %9.0f %7.3f %7.1f\n", number+1,
 			figures.Attempts, figures.Added.P50, figures.Added.P99,
-			figures.Through.P99, figures.Direct.P99, figures.LeftMax, figures.LeftMean, figures.LeftMin, figures.Over,
+			figures.Through.P99, figures.Direct.P99, figures.TimeLeftMax, figures.TimeLeftMean, figures.TimeLeftMin, figures.BeyondRoot,
 			figures.Open, figures.Probes, figures.ProbeIn, figures.ProbeOut, figures.CPU, figures.RSS)
 	}
 }
@@ -74,25 +74,25 @@
 			result.Depth,
 			result.Servers, result.Class, result.Rate, result.Calls, loadAverages(result), answerCodes(result))
 		fmt.Fprintf(w,
-			"| ms | p50 | p99 | worst | pairs | of the budget of %v |\n| --- | ---: | ---: | ---: | ---: | ---: |\n", Budget)
+			"| ms | p50 | p99 | worst | pairs | of the budget of %v |\n| --- | ---: | ---: | ---: | ---: | ---: |\n", AddedLatencyBudgetMillis)
 		for _, added := range []struct {
 			name string
-			of   Spread
-		}{{"added by one level", result.One}, {fmt.Sprintf("added by %d in a row", result.Depth), result.Row}} {
+			of   Summary
+		}{{"added by one level", result.AddedPerLevel}, {fmt.Sprintf("added by %d in a row", result.Depth), result.AddedByRow}} {
 			fmt.Fprintf(w, "| %s | %.3f | %.3f | %.1f | %d | %.2f |\n", added.name, added.of.P50, added.of.P99, added.of.Max,
-				added.of.N, added.of.P99/Budget)
+				added.of.N, added.of.P99/AddedLatencyBudgetMillis)
 		}
-		fmt.Fprintf(w, "| the whole call through the row | %.3f | %.3f | %.1f | %d | |\n", result.Whole.P50, result.Whole.P99,
-			result.Whole.Max, result.Whole.N)
-		fmt.Fprintf(w, "| without sidecars | %.3f | %.3f | %.1f | %d | |\n\n", result.Bare.P50, result.Bare.P99,
-			result.Bare.Max, result.Bare.N)
+		fmt.Fprintf(w, "| the whole call through the row | %.3f | %.3f | %.1f | %d | |\n", result.Through.P50, result.Through.P99,
+			result.Through.Max, result.Through.N)
+		fmt.Fprintf(w, "| without sidecars | %.3f | %.3f | %.1f | %d | |\n\n", result.Direct.P50, result.Direct.P99,
+			result.Direct.Max, result.Direct.N)
 		fmt.Fprint(w,
 			"| level | added p50 ms | added p99 ms | time left told, most | mean | least | told more than there was | connections | probes/s | "+
 				"probe bytes/s out | in | core | MB |\n| ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: |\n")
 		for number, figures := range result.Levels {
 			fmt.Fprintf(w, "| %d | %.3f | %.3f | %d | %.0f | %d | %d of %d | %d | %.1f | %.0f | %.0f | %.3f | %.1f |\n",
 				number+1, figures.Added.P50, figures.Added.P99,
-				figures.LeftMax, figures.LeftMean, figures.LeftMin, figures.Over, figures.Attempts, figures.Open, figures.Probes,
+				figures.TimeLeftMax, figures.TimeLeftMean, figures.TimeLeftMin, figures.BeyondRoot, figures.Attempts, figures.Open, figures.Probes,
 				figures.ProbeIn, figures.ProbeOut, figures.CPU, figures.RSS)
 		}
 		fmt.Fprintln(w)
@@ -109,7 +109,7 @@
 					"| --- | ---: | ---: | --- | --- | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | --- | --- |\n")
 			headWritten = true
 		}
-		fmt.Fprintf(w, "| %s | %d | %d | %s | %s | %v | %d | %d | %.2f | %d | %.6g | %.2f | %.2f | %s | %s |\n", result.By,
+		fmt.Fprintf(w, "| %s | %d | %d | %s | %s | %v | %d | %d | %.2f | %d | %.6g | %.2f | %.2f | %s | %s |\n", result.Clock,
 			result.Depth, result.Servers, result.Class, result.LeafFailure, result.FailureShare, result.Attempts, result.Calls,
 			result.MeanLeafAttempts, result.MaxLeafAttempts, result.LeafAttemptsBound, result.BudgetedLeafAttempts/float64(result.Calls), result.SteadyLeafAttempts,
 			answerCodes(result), loadAverages(result))
--- a/internal/lab/chain/virtual.go
+++ b/internal/lab/chain/virtual.go
@@ -75,10 +75,10 @@
 	run := &virtual{options: options, queue: eventqueue.NewVirtual(), result: options.newResult(options.Servers),
 		leafAttempts: make([]uint64, options.Calls()), timeLeftSums: make([]int64, options.Depth),
 		failures: randstream.Seed(options.Seed).Stream("leaf")}
-	run.result.By = "virtual time"
+	run.result.Clock = "virtual time"
 	run.result.Levels = make([]Level, options.Depth)
 	for number := range options.Depth {
-		run.result.Levels[number].LeftMin = rootTimeoutMillis * 10
+		run.result.Levels[number].TimeLeftMin = rootTimeoutMillis * 10
 		var level []*node
 		for i := range options.Servers {
 			created := &node{virtual: run, level: number, calls: map[uint64]*virtualCall{}}
@@ -110,7 +110,7 @@
 			})
 		})
 	}
-	end := settleTime + int64(options.For.Seconds()*float64(eventqueue.Second)) + answerGrace.Microseconds()
+	end := settleTime + int64(options.Duration.Seconds()*float64(eventqueue.Second)) + answerGrace.Microseconds()
 	err = run.queue.Run(ctx, func() bool {
 		return answered == len(run.leafAttempts) && run.openRequests == 0 || run.sentAttempts > maxSent ||
 			run.queue.Now() > end
@@ -131,12 +131,12 @@
 		figures := &run.result.Levels[number]
 		figures.Probes /= float64(run.queue.Now()) / float64(eventqueue.Second) * float64(options.Servers)
 		if figures.Attempts == 0 {
-			figures.LeftMin = 0
+			figures.TimeLeftMin = 0
 			continue
 		}
-		figures.LeftMean = float64(run.timeLeftSums[number]) / float64(figures.Attempts)
+		figures.TimeLeftMean = float64(run.timeLeftSums[number]) / float64(figures.Attempts)
 	}
-	run.result.LastMs = run.result.Levels[options.Depth-1].LeftMin
+	run.result.LeafTimeLeftMin = run.result.Levels[options.Depth-1].TimeLeftMin
 	return run.result, nil
 }
 
@@ -230,9 +230,9 @@
 	figures := &run.result.Levels[level]
 	figures.Attempts++
 	run.timeLeftSums[level] += timeLeft
-	figures.LeftMin, figures.LeftMax = min(figures.LeftMin, timeLeft), max(figures.LeftMax, timeLeft)
+	figures.TimeLeftMin, figures.TimeLeftMax = min(figures.TimeLeftMin, timeLeft), max(figures.TimeLeftMax, timeLeft)
 	if timeLeft >= caller.callerLeft {
-		figures.Rose++
+		figures.NotReduced++
 	}
 	if level < run.options.Depth-1 {
 		run.nodes[level+1][server].accept(caller.rootCall, timeLeft, func(code int) {
--- a/internal/lab/chain/virtual_test.go
+++ b/internal/lab/chain/virtual_test.go
@@ -29,7 +29,7 @@
 			for _, depth := range []int{1, 2, 3} {
 				for attempts := 1; attempts <= 3; attempts++ {
 					t.Run(fmt.Sprint(class, how, depth, attempts), func(t *testing.T) {
-						result := runVirtual(t, Options{Depth: depth, Rate: 1, For: time.Second, Attempts: attempts, Class: class,
+						result := runVirtual(t, Options{Depth: depth, Rate: 1, Duration: time.Second, Attempts: attempts, Class: class,
 							LeafFailure: how})
 						if float64(result.MaxLeafAttempts) != result.LeafAttemptsBound || result.LeafAttemptsBound != result.BudgetedLeafAttempts {
 							t.Errorf("%d attempts, want %v by Worst and %v by Budgeted", result.MaxLeafAttempts, result.LeafAttemptsBound, result.BudgetedLeafAttempts)
@@ -40,7 +40,7 @@
 		}
 	}
 	// With more levels the budgets limit the attempts, and part of a budget may be left over.
-	result := runVirtual(t, Options{Depth: 7, Rate: 1, For: time.Second, Attempts: 3, Class: "look", LeafFailure: LeafErrors})
+	result := runVirtual(t, Options{Depth: 7, Rate: 1, Duration: time.Second, Attempts: 3, Class: "look", LeafFailure: LeafErrors})
 	if leafMost := float64(result.MaxLeafAttempts); leafMost > result.BudgetedLeafAttempts || leafMost < 300 || result.LeafAttemptsBound != 2187 {
 		t.Errorf("7 levels: %v attempts, want 300 to %v by the budgets", leafMost, result.BudgetedLeafAttempts)
 	}
@@ -48,7 +48,7 @@
 
 // Two runs with the same seed give the same result.
 func TestVirtualIsRepeatable(t *testing.T) {
-	options := Options{Depth: 4, Rate: 50, For: time.Second, Attempts: 3, Class: "book", LeafFailure: LeafErrors}
+	options := Options{Depth: 4, Rate: 50, Duration: time.Second, Attempts: 3, Class: "book", LeafFailure: LeafErrors}
 	if a, b := runVirtual(t, options), runVirtual(t, options); !reflect.DeepEqual(a, b) {
 		t.Errorf("the first run gives %+v, the second %+v", a, b)
 	}
@@ -56,23 +56,23 @@
 
 // Without failures and retries, each level passes on its time left less the margin of the HTTP front.
 func TestTimeLeftFallsByMarginPerLevel(t *testing.T) {
-	result := runVirtual(t, Options{Depth: 14, Rate: 1, For: 3 * time.Second, Attempts: 1, Class: "look"})
+	result := runVirtual(t, Options{Depth: 14, Rate: 1, Duration: 3 * time.Second, Attempts: 1, Class: "look"})
 	if result.Answers["200"] != 3 {
 		t.Errorf("answers: %v, want 3 of 200", result.Answers)
 	}
 	for number, figures := range result.Levels {
-		if want := int64(rootTimeoutMillis - 5*(number+1)); figures.LeftMax != want || figures.LeftMin != want ||
+		if want := int64(rootTimeoutMillis - 5*(number+1)); figures.TimeLeftMax != want || figures.TimeLeftMin != want ||
 			figures.Attempts != 3 {
 			t.Errorf("level %d: %d attempts with %d to %d ms left, want 3 with %d ms", number+1, figures.Attempts,
-				figures.LeftMin,
-				figures.LeftMax, want)
+				figures.TimeLeftMin,
+				figures.TimeLeftMax, want)
 		}
 	}
 }
 
 // A row serves all idempotent calls, though each sidecar passes on no more time than its own timeout of an attempt.
 func TestRowsOfSafeCallsAreServed(t *testing.T) {
-	result := runVirtual(t, Options{Depth: 14, Rate: 2250, For: time.Second, Attempts: 3, Class: "look"})
+	result := runVirtual(t, Options{Depth: 14, Rate: 2250, Duration: time.Second, Attempts: 3, Class: "look"})
 	if result.Answers["200"] != 2250 {
 		t.Errorf("answers: %v, want 2250 of 200", result.Answers)
 	}
