--- a/internal/lab/chain/chain.go
+++ b/internal/lab/chain/chain.go
@@ -157,9 +157,9 @@
 	Direct               Summary `json:"direct"`     // latency of the root's calls without sidecars
 	MaxLeafAttempts      uint64  `json:"leaf_most"`  // maximum of attempts at the leaf for one call of the root
 	MeanLeafAttempts     float64 `json:"leaf_mean"`  // mean of the same
-	LeafAttemptsBound    float64 `json:"worst"`      // bound on LeafMost, by Worst
-	BudgetedLeafAttempts float64 `json:"budgeted"`   // bound on the attempts at the leaf for all calls, by Budgeted
-	SteadyLeafAttempts   float64 `json:"steady"`     // attempts at the leaf per call in the long run, by Steady
+	LeafAttemptsBound    float64 `json:"worst"`      // bound on MaxLeafAttempts, without retry budgets
+	BudgetedLeafAttempts float64 `json:"budgeted"`   // bound on the attempts at the leaf for all calls
+	SteadyLeafAttempts   float64 `json:"steady"`     // limit of the attempts at the leaf per call
 	LeafTimeLeftMin      int64   `json:"last_least"` // minimum of the time left at the leaf
 	Levels               []Level `json:"levels"`
 }
@@ -316,11 +316,14 @@
 func (options *Options) newResult(sidecars int) *Result {
 	result := &Result{Clock: "processes", Depth: options.Depth, Servers: options.Servers, Rate: options.Rate,
 		Calls: options.Calls(), Attempts: options.Attempts, Class: options.Class, LeafFailure: options.LeafFailure,
-		FailureShare: options.FailureShare, Answers: map[string]int{}, LeafAttemptsBound: 1, BudgetedLeafAttempts: float64(options.Calls()), SteadyLeafAttempts: 1}
+		FailureShare: options.FailureShare, Answers: map[string]int{}, LeafAttemptsBound: 1,
+		BudgetedLeafAttempts: float64(options.Calls()), SteadyLeafAttempts: 1}
 	if idempotency := Classes[options.Class]; options.LeafFailure != "" {
-		result.LeafAttemptsBound, result.SteadyLeafAttempts = MaxLeafAttempts(idempotency, options.LeafFailure, options.Attempts, options.Depth), SteadyLeafAttempts(idempotency,
+		result.LeafAttemptsBound, result.SteadyLeafAttempts = MaxLeafAttempts(idempotency, options.LeafFailure,
+			options.Attempts, options.Depth), SteadyLeafAttempts(idempotency,
 			options.LeafFailure, options.Attempts, options.Depth)
-		result.BudgetedLeafAttempts = BudgetedLeafAttempts(idempotency, options.LeafFailure, options.Attempts, options.Depth, options.Calls(), sidecars)
+		result.BudgetedLeafAttempts = BudgetedLeafAttempts(idempotency, options.LeafFailure, options.Attempts, options.Depth,
+			options.Calls(), sidecars)
 	}
 	return result
 }
--- a/internal/lab/chain/formula.go
+++ b/internal/lab/chain/formula.go
@@ -45,8 +45,9 @@
 	return failure == LeafRejects
 }
 
-// MaxLeafAttempts returns the maximum number of attempts at the leaf for one call of the root, without retry budgets: attempts to
-// the power of levels if a sidecar may retry, else 1. It is a float64 because it can exceed the range of integers.
+// MaxLeafAttempts returns the maximum number of attempts at the leaf for one call of the root, without retry budgets:
+// attempts to the power of levels if a sidecar may retry, else 1. It is a float64 because it can exceed the range of
+// integers.
 func MaxLeafAttempts(idempotency balancer.Idempotency, failure LeafFailure, attempts, levels int) float64 {
 	if !MayRetry(idempotency, failure) {
 		return 1
@@ -54,9 +55,10 @@
 	return math.Pow(float64(attempts), float64(levels))
 }
 
-// BudgetedLeafAttempts returns the maximum number of attempts at the leaf for a number of calls of the root, with retry budgets.
-// Each level has this number of sidecars, which start with full budgets.
-func BudgetedLeafAttempts(idempotency balancer.Idempotency, failure LeafFailure, attempts, levels, calls, sidecars int) float64 {
+// BudgetedLeafAttempts returns the maximum number of attempts at the leaf for a number of calls of the root, with retry
+// budgets. Each level has this number of sidecars, which start with full budgets.
+func BudgetedLeafAttempts(idempotency balancer.Idempotency, failure LeafFailure, attempts, levels, calls,
+	sidecars int) float64 {
 	total := float64(calls)
 	if !MayRetry(idempotency, failure) {
 		return total
@@ -67,8 +69,8 @@
 	return total
 }
 
-// SteadyLeafAttempts returns the limit of Budgeted per call as the number of calls grows: attempts at the leaf per call of the
-// root.
+// SteadyLeafAttempts returns the limit of BudgetedLeafAttempts per call as the number of calls grows: attempts at the
+// leaf per call of the root.
 func SteadyLeafAttempts(idempotency balancer.Idempotency, failure LeafFailure, attempts, levels int) float64 {
 	if !MayRetry(idempotency, failure) {
 		return 1
--- a/internal/lab/chain/formula_test.go
+++ b/internal/lab/chain/formula_test.go
@@ -17,11 +17,13 @@
 		levels int
 		want   float64
 	}{
-		{balancer.Idempotent, LeafErrors, 3, 14, 4782969}, {balancer.Idempotent, LeafRejects, 2, 14, 16384}, {balancer.Idempotent,
+		{balancer.Idempotent, LeafErrors, 3, 14, 4782969}, {balancer.Idempotent, LeafRejects, 2, 14, 16384},
+		{balancer.Idempotent,
 			LeafSilent, 4, 3, 64},
 		{balancer.WithIdempotencyKey, LeafErrors, 3, 3, 27}, {balancer.WithIdempotencyKey, LeafRejects, 3, 5, 243},
 		{balancer.WithIdempotencyKey, LeafSilent, 3, 14, 1},
-		{balancer.NotIdempotent, LeafErrors, 4, 14, 1}, {balancer.NotIdempotent, LeafSilent, 4, 14, 1}, {balancer.NotIdempotent,
+		{balancer.NotIdempotent, LeafErrors, 4, 14, 1}, {balancer.NotIdempotent, LeafSilent, 4, 14, 1},
+		{balancer.NotIdempotent,
 			LeafRejects, 4, 2, 16},
 		{balancer.Idempotent, LeafErrors, 1, 14, 1}, {balancer.Idempotent, LeafErrors, 3, 0, 1},
 	} {
@@ -30,7 +32,8 @@
 				c.want)
 		}
 		for _, calls := range []int{1, 7, 1000} {
-			if b := BudgetedLeafAttempts(c.repeat, c.how, c.most, c.levels, calls, 1); b > float64(calls)*c.want || b < float64(calls) {
+			if b := BudgetedLeafAttempts(c.repeat, c.how, c.most, c.levels, calls, 1); b > float64(calls)*c.want ||
+				b < float64(calls) {
 				t.Errorf("%+v: with budgets, the bound for %d calls is %v", c, calls, b)
 			}
 		}
@@ -51,9 +54,10 @@
 	per := BudgetedLeafAttempts(balancer.Idempotent, LeafErrors, 3, 14, 1e9, 1) / 1e9
 	if steady := SteadyLeafAttempts(balancer.Idempotent, LeafErrors, 3, 14); math.Abs(per-steady) > 1e-3 ||
 		math.Abs(steady-12.839) > 1e-3 {
-		t.Errorf("14 levels: %v attempts per call for 1e9 calls, Steady returns %v", per, steady)
+		t.Errorf("14 levels: %v attempts per call for 1e9 calls, SteadyLeafAttempts returns %v", per, steady)
 	}
-	if SteadyLeafAttempts(balancer.Idempotent, LeafErrors, 1, 14) != 1 || SteadyLeafAttempts(balancer.NotIdempotent, LeafErrors, 3, 14) != 1 {
-		t.Error("Steady is not 1 where no sidecar may retry")
+	if SteadyLeafAttempts(balancer.Idempotent, LeafErrors, 1, 14) != 1 || SteadyLeafAttempts(balancer.NotIdempotent,
+		LeafErrors, 3, 14) != 1 {
+		t.Error("SteadyLeafAttempts is not 1 where no sidecar may retry")
 	}
 }
--- a/internal/lab/chain/process.go
+++ b/internal/lab/chain/process.go
@@ -52,8 +52,9 @@
 	if err := os.MkdirAll(tempDir, 0o700); err != nil {
 		return nil, err
 	}
-	process := &sidecar{cmd: exec.Command(r.options.Program), addr: addr, logFile: filepath.Join(dir, fmt.Sprintf("log-%d.txt",
-		number)), ended: make(chan struct{})}
+	process := &sidecar{cmd: exec.Command(r.options.Program), addr: addr, logFile: filepath.Join(dir,
+		fmt.Sprintf("log-%d.txt",
+			number)), ended: make(chan struct{})}
 	log, err := os.Create(process.logFile)
 	if err != nil {
 		return nil, err
--- a/internal/lab/chain/virtual_test.go
+++ b/internal/lab/chain/virtual_test.go
@@ -21,8 +21,8 @@
 	return result
 }
 
-// One call whose leaf fails becomes as many attempts there as Worst says, as long as no retry budget limits it; if
-// sidecars may not retry, one.
+// One call whose leaf fails becomes as many attempts there as MaxLeafAttempts says, as long as no retry budget limits
+// it; if sidecars may not retry, one.
 func TestLeafAttemptsMatchFormula(t *testing.T) {
 	for _, class := range classNames {
 		for _, how := range []LeafFailure{LeafErrors, LeafRejects} {
@@ -31,8 +31,10 @@
 					t.Run(fmt.Sprint(class, how, depth, attempts), func(t *testing.T) {
 						result := runVirtual(t, Options{Depth: depth, Rate: 1, Duration: time.Second, Attempts: attempts, Class: class,
 							LeafFailure: how})
-						if float64(result.MaxLeafAttempts) != result.LeafAttemptsBound || result.LeafAttemptsBound != result.BudgetedLeafAttempts {
-							t.Errorf("%d attempts, want %v by Worst and %v by Budgeted", result.MaxLeafAttempts, result.LeafAttemptsBound, result.BudgetedLeafAttempts)
+						if float64(result.MaxLeafAttempts) != result.LeafAttemptsBound ||
+							result.LeafAttemptsBound != result.BudgetedLeafAttempts {
+							t.Errorf("%d attempts, want %v by MaxLeafAttempts and %v by BudgetedLeafAttempts", result.MaxLeafAttempts,
+								result.LeafAttemptsBound, result.BudgetedLeafAttempts)
 						}
 					})
 				}
@@ -40,8 +42,10 @@
 		}
 	}
 	// With more levels the budgets limit the attempts, and part of a budget may be left over.
-	result := runVirtual(t, Options{Depth: 7, Rate: 1, Duration: time.Second, Attempts: 3, Class: "look", LeafFailure: LeafErrors})
-	if leafMost := float64(result.MaxLeafAttempts); leafMost > result.BudgetedLeafAttempts || leafMost < 300 || result.LeafAttemptsBound != 2187 {
+	result := runVirtual(t, Options{Depth: 7, Rate: 1, Duration: time.Second, Attempts: 3, Class: "look",
+		LeafFailure: LeafErrors})
+	if leafMost := float64(result.MaxLeafAttempts); leafMost > result.BudgetedLeafAttempts || leafMost < 300 ||
+		result.LeafAttemptsBound != 2187 {
 		t.Errorf("7 levels: %v attempts, want 300 to %v by the budgets", leafMost, result.BudgetedLeafAttempts)
 	}
 }
--- a/internal/lab/model/discovery.go
+++ b/internal/lab/model/discovery.go
@@ -25,7 +25,7 @@
 	world              *World
 	stream             randstream.Stream
 	generation         int64
-	entries            []Entry // by server; State is Gone for servers that are not listed
+	entries            []Entry // by server; State is Removed for servers that are not listed
 	changedGenerations []int64 // by server: generation of the entry's latest change
 	watches            map[int]*watch
 	updateDelays       []Micros // by sidecar: delay of its watch events, drawn at the start
@@ -111,7 +111,7 @@
 	d.world.host.SendUpdate(sidecar, update, func() { d.recordUpdate(sidecar, update) })
 }
 
-// recordUpdate records an update that a sidecar has been sent. It records servers that a full list omits as gone.
+// recordUpdate records an update that a sidecar has been sent. It records servers that a full list omits as removed.
 func (d *Discovery) recordUpdate(sidecar int, update Update) {
 	now := d.world.Queue.Now()
 	event := trace.Event{At: now, Kind: trace.ServerListed, Sidecar: int32(sidecar)}
@@ -154,9 +154,9 @@
 }
 
 // Call makes a call of a sidecar for the changes after a generation, and with keepWatch for a watch, which replaces an
-// earlier one. It calls answer once, with ok false if the call fails. Later updates of the watch go to Host.Update, its
-// end to Host.WatchEnded. Calls queue for discovery's capacity. A call fails if it would have to wait longer than 1 s,
-// if discovery is down, or if a later call for a watch replaces it.
+// earlier one. It calls answer once, with ok false if the call fails. Later updates of the watch go to Host.SendUpdate,
+// its end to Host.WatchEnded. Calls queue for discovery's capacity. A call fails if it would have to wait longer than 1
+// s, if discovery is down, or if a later call for a watch replaces it.
 func (d *Discovery) Call(sidecar int, generation int64, keepWatch bool, answer func(u Update, ok bool)) {
 	now := d.world.Queue.Now()
 	interval := d.world.Scenario.Discovery.CallTime.Micros() / Micros(d.world.Scenario.Discovery.Capacity)
@@ -164,7 +164,8 @@
 	delay := d.busyUntil - now + d.world.Scenario.Discovery.CallTime.Micros() - interval
 	deliver := answer
 	answer = func(u Update, ok bool) {
-		event := trace.Event{At: d.world.Queue.Now(), Kind: trace.DiscoveryCalled, Sidecar: int32(sidecar), Work: d.world.Queue.Now() - now}
+		event := trace.Event{At: d.world.Queue.Now(), Kind: trace.DiscoveryCalled, Sidecar: int32(sidecar),
+			Work: d.world.Queue.Now() - now}
 		if !ok {
 			event.Verdict = trace.Failed
 		}
--- a/internal/lab/model/faults.go
+++ b/internal/lab/model/faults.go
@@ -115,7 +115,8 @@
 				w.Discovery.scheduleChange(s.Number, trace.Removed, 0, discovery.RemovalDelay.Micros())
 			} else {
 				w.restart(s)
-				w.Discovery.scheduleChange(s.Number, trace.Up, w.listedStart(s), max(discovery.AddDelay.Micros(), discovery.RemovalDelay.Micros()))
+				w.Discovery.scheduleChange(s.Number, trace.Up, w.listedStart(s), max(discovery.AddDelay.Micros(),
+					discovery.RemovalDelay.Micros()))
 			}
 		})
 	case "maintain":
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -20,9 +20,9 @@
 	faults       []string
 }
 
-func (n *fakeHost) SendRequest(y *Request) {
+func (n *fakeHost) SendRequest(request *Request) {
 	if n.answer != nil {
-		n.answer(y)
+		n.answer(request)
 	}
 }
 func (n *fakeHost) AbandonRequest(*Request) { n.abandoned++ }
@@ -34,9 +34,9 @@
 func (n *fakeHost) SetAdministrativeDrain(server int, out bool) {
 	n.faults = append(n.faults, fmt.Sprint(server, out))
 }
-func (n *fakeHost) SendUpdate(_ int, u Update, after UpdateSent) {
+func (n *fakeHost) SendUpdate(_ int, u Update, sent UpdateSent) {
 	n.updates = append(n.updates, u)
-	after()
+	sent()
 }
 func (n *fakeHost) WatchEnded(int) { n.endedWatches++ }
 func (n *fakeHost) appendTo(list *[]trace.Event) trace.Sink {
@@ -136,12 +136,12 @@
 		w.Queue.At(Micros(i)*20_000, func() { s.Begin(&Job{Request: uint64(i + 1), Work: 100_000, Done: func(Outcome) {}}) })
 	}
 	runUntil(t, w, 2*eventqueue.Second)
-	fell := false
+	collapsed := false
 	for _, e := range *list {
-		fell = fell || e.Kind == trace.ServerCollapsed
+		collapsed = collapsed || e.Kind == trace.ServerCollapsed
 	}
-	if !fell || s.Running {
-		t.Errorf("overloaded cold server: collapse recorded %v, process running %v", fell, s.Running)
+	if !collapsed || s.Running {
+		t.Errorf("overloaded cold server: collapse recorded %v, process running %v", collapsed, s.Running)
 	}
 }
 
@@ -216,21 +216,21 @@
 	w.Begin()
 	s := w.Servers[0]
 	var hung, slow Micros
-	how := map[string]Outcome{}
+	outcomes := map[string]Outcome{}
 	begin := func(at Micros, j Job, done func(Outcome)) {
 		w.Queue.At(at, func() { j.Request, j.Work, j.Done = 1, 100_000, done; s.Begin(&j) })
 	}
 	begin(1500_000, Job{}, func(Outcome) { hung = w.Queue.Now() })
-	begin(4200_000, Job{Class: 0, Sidecar: 1}, func(o Outcome) { how["other class"] = o })
-	begin(4200_000, Job{Class: 1, Sidecar: 0}, func(o Outcome) { how["other sidecar"] = o })
-	begin(4500_000, Job{Class: 1, Sidecar: 1}, func(o Outcome) { how["both"] = o })
+	begin(4200_000, Job{Class: 0, Sidecar: 1}, func(o Outcome) { outcomes["other class"] = o })
+	begin(4200_000, Job{Class: 1, Sidecar: 0}, func(o Outcome) { outcomes["other sidecar"] = o })
+	begin(4500_000, Job{Class: 1, Sidecar: 1}, func(o Outcome) { outcomes["both"] = o })
 	begin(6100_000, Job{}, func(Outcome) { slow = w.Queue.Now() })
 	runUntil(t, w, 10*eventqueue.Second)
 	if math.Abs(float64(hung-2100_000)) > 100 || math.Abs(float64(slow-6400_000)) > 100 {
 		t.Errorf("job at the hanging server ended at %d, job at the slow one at %d", hung, slow)
 	}
-	if how["other class"] != Succeeded || how["other sidecar"] != Succeeded || how["both"] != Errored {
-		t.Errorf("outcomes under gray errors are %v, want only that of both to be an error", how)
+	if outcomes["other class"] != Succeeded || outcomes["other sidecar"] != Succeeded || outcomes["both"] != Errored {
+		t.Errorf("outcomes under gray errors are %v, want only that of both to be an error", outcomes)
 	}
 }
 
@@ -268,9 +268,9 @@
 	if len(h.updates) != 1 || h.updates[0].Reset || h.updates[0].Entries[0].State != trace.Draining {
 		t.Fatalf("updates on the watch are %+v, want one with a draining server", h.updates)
 	}
-	told := (*list)[len(*list)-1]
-	if told.Kind != trace.ServerListed || told.Server != 1 || told.At < 700_000 {
-		t.Errorf("the last event is %+v, want the delayed update of server 1", told)
+	lastEvent := (*list)[len(*list)-1]
+	if lastEvent.Kind != trace.ServerListed || lastEvent.Server != 1 || lastEvent.At < 700_000 {
+		t.Errorf("the last event is %+v, want the delayed update of server 1", lastEvent)
 	}
 	// A watch from an earlier generation gets the changes since, one from the future the full list.
 	if u := d.changesSince(0, firstGeneration); u.Reset || len(u.Entries) != 1 {
@@ -289,11 +289,11 @@
 			h.endedWatches, failed, len(h.updates))
 	}
 	d.setDown(false)
-	var back Update
-	d.Call(0, firstGeneration, false, func(u Update, ok bool) { back = u })
+	var afterOutage Update
+	d.Call(0, firstGeneration, false, func(u Update, ok bool) { afterOutage = u })
 	runUntil(t, w, 5*eventqueue.Second)
-	if len(back.Entries) != 2 || back.Entries[0].State != trace.Removed {
-		t.Errorf("after the outage, the changes are %+v", back)
+	if len(afterOutage.Entries) != 2 || afterOutage.Entries[0].State != trace.Removed {
+		t.Errorf("after the outage, the changes are %+v", afterOutage)
 	}
 	// Calls queue for discovery's capacity, and those that would wait too long fail.
 	slow := 0
@@ -350,15 +350,15 @@
 		h.answer = func(y *Request) { w.Queue.After(1000, func() { w.Answer(y, w.Queue.Now(), c.v, 0) }) }
 		w.Begin()
 		runUntil(t, w, 30*eventqueue.Second)
-		tries := map[uint64]int{}
+		requests := map[uint64]int{}
 		class := map[uint64]uint8{}
 		for _, e := range *list {
 			if e.Kind == trace.RequestSent {
-				tries[e.Task]++
+				requests[e.Task]++
 				class[e.Task] = e.Class
 			}
 		}
-		for id, n := range tries {
+		for id, n := range requests {
 			if want := []int{c.safe, c.paid}[class[id]]; n != want {
 				t.Errorf("verdict %d, class %d: %d requests for a task, want %d", c.v, class[id], n, want)
 			}
@@ -373,14 +373,14 @@
 	w, h, list := newWorld(t, twoServers+"[load]\nrate = 20.0\n")
 	w.Begin() // requests get no answer
 	runUntil(t, w, 30*eventqueue.Second)
-	asked, left := 0, 0
+	sent, abandoned := 0, 0
 	for _, e := range *list {
-		asked += btoi(e.Kind == trace.RequestSent)
-		left += btoi(e.Kind == trace.RequestAbandoned)
+		sent += btoi(e.Kind == trace.RequestSent)
+		abandoned += btoi(e.Kind == trace.RequestAbandoned)
 	}
-	if !w.Done() || asked != left || h.abandoned != left || left == 0 {
+	if !w.Done() || sent != abandoned || h.abandoned != abandoned || abandoned == 0 {
 		t.Errorf("%d requests, %d timeouts recorded, %d reported to the host, %d tasks open",
-			asked, left, h.abandoned, w.Open())
+			sent, abandoned, h.abandoned, w.Open())
 	}
 }
 
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -49,13 +49,13 @@
 // Server is one slot server: cores that the running requests share evenly, behind a bounded queue. Like a real server,
 // it starts cold, slows down with many requests, chokes under overload and fails. It belongs to the queue's goroutine.
 type Server struct {
-	Number int
+	Number int // from 0, in the order of the scenario's kinds
 	Name   string
-	Zone   int
-	Kind   int
+	Zone   int // index in the scenario's zones
+	Kind   int // index in the scenario's kinds of servers
 	Cell   int
 	Spec   *scenario.Servers
-	Speed  float64
+	Speed  float64 // of a core
 
 	Running       bool
 	Starts        int     // processes started so far
@@ -71,7 +71,7 @@
 	clockRate            float64 // service per microsecond
 	finishEvent          *eventqueue.Event
 	connections          int
-	connectionsBySidecar []int // by sidecar
+	connectionsBySidecar []int
 	warmUpEvent          *eventqueue.Event
 	overloadedSince      Micros // instant since which it holds too many requests to escape choking; -1 if it does not
 	chokedSince          Micros // -1 if overload has not choked it
@@ -81,11 +81,11 @@
 	maxColdLoadRatio     float64    // highest ratio of coldWork to its limit; -1 once reported, or if warm
 
 	// Effects of the faults in force. Each is a count, a product or a list, because faults may overlap.
-	HangFaults      int
-	SlowdownFactor  float64
-	GrayErrorFaults []*scenario.Fault
-	FalseIdleFaults int
-	forcedChokes    int
+	HangFaults      int               // the server accepts requests and answers none
+	SlowdownFactor  float64           // 1 without faults
+	GrayErrorFaults []*scenario.Fault // a share of the attempts fails
+	FalseIdleFaults int               // load reports look idle
+	forcedChokes    int               // the server is choked as if overloaded
 
 	busyMicros  float64 // core time used
 	servedCount float64
@@ -100,6 +100,7 @@
 	load Load
 }
 
+// jobHeap is a heap of running jobs, ordered by their ends.
 type jobHeap []*Job
 
 func (h jobHeap) Len() int           { return len(h) }
@@ -138,7 +139,7 @@
 // Capacity returns the work that the server does per second when warm, in microseconds.
 func (s *Server) Capacity() float64 { return s.cores() * s.Speed * 1e6 }
 
-// Warmth returns the share of its capacity that the server has at an instant: it rises linearly from Cold to 1.
+// Warmth returns the share of its capacity that the server has at an instant: it rises linearly from InitialWarmth to 1.
 func (s *Server) Warmth(now Micros) float64 {
 	ramp := s.Spec.WarmUpDuration.Micros()
 	if s.Starts <= 1 && s.StartedAt < 0 || ramp <= 0 || now-s.StartedAt >= ramp {
@@ -343,7 +344,8 @@
 	if !s.Running {
 		return false
 	}
-	if isAttempt && s.HangFaults == 0 && len(s.running) >= s.Spec.SlotsPerCore*s.Spec.Cores && len(s.waiting) >= s.Spec.Queue {
+	if isAttempt && s.HangFaults == 0 && len(s.running) >= s.Spec.SlotsPerCore*s.Spec.Cores &&
+		len(s.waiting) >= s.Spec.Queue {
 		s.world.emit(trace.Event{At: now, Kind: trace.AttemptRejected, Sidecar: int32(job.Sidecar), Server: int32(s.Number),
 			Request: job.Request, Class: uint8(job.Class), Work: Micros(job.Work)})
 		return false
@@ -473,12 +475,14 @@
 // requests on it are rejected.
 func (s *Server) Open(sidecar int) (full bool) {
 	if s.connections >= s.Spec.ConnCap {
-		s.world.emit(trace.Event{At: s.world.Queue.Now(), Kind: trace.ConnRefused, Sidecar: int32(sidecar), Server: int32(s.Number)})
+		s.world.emit(trace.Event{At: s.world.Queue.Now(), Kind: trace.ConnRefused, Sidecar: int32(sidecar),
+			Server: int32(s.Number)})
 		return true
 	}
 	s.connections++
 	s.connectionsBySidecar[sidecar]++
-	s.world.emit(trace.Event{At: s.world.Queue.Now(), Kind: trace.ConnOpened, Sidecar: int32(sidecar), Server: int32(s.Number)})
+	s.world.emit(trace.Event{At: s.world.Queue.Now(), Kind: trace.ConnOpened, Sidecar: int32(sidecar),
+		Server: int32(s.Number)})
 	return false
 }
 
@@ -490,7 +494,8 @@
 	}
 	s.connections--
 	s.connectionsBySidecar[sidecar]--
-	s.world.emit(trace.Event{At: s.world.Queue.Now(), Kind: trace.ConnClosed, Sidecar: int32(sidecar), Server: int32(s.Number)})
+	s.world.emit(trace.Event{At: s.world.Queue.Now(), Kind: trace.ConnClosed, Sidecar: int32(sidecar),
+		Server: int32(s.Number)})
 }
 
 // Report returns the load report that the server sends now. Its spec sets how often a report is made, how old the one
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -17,18 +17,19 @@
 
 // Host connects the world to the sidecars. Its methods are called on the queue's goroutine and must not block.
 type Host interface {
-	SendRequest(*Request)                               // a client sends a request to its sidecar
-	AbandonRequest(*Request)                            // a client stops waiting for the answer to its request
-	ServerStarted(server int)                           //
-	ServerStopped(server int)                           // the server's process ended, and its connections are reset
-	SetFault(f *scenario.Fault, on bool)                // a fault of links or of sidecars begins or ends
-	SetAdministrativeDrain(server int, out bool)        // operators begin or end a server's administrative drain, at all sidecars
-	SendUpdate(sidecar int, u Update, after UpdateSent) // discovery sends an update on an open watch
-	WatchEnded(sidecar int)                             // discovery ends the watch of a sidecar, for an outage
+	SendRequest(*Request)                // a client sends a request to its sidecar
+	AbandonRequest(*Request)             // a client stops waiting for the answer to its request
+	ServerStarted(server int)            //
+	ServerStopped(server int)            // the server's process ended, and its connections are reset
+	SetFault(f *scenario.Fault, on bool) // a fault of links or of sidecars begins or ends
+	SetAdministrativeDrain(server int,
+		out bool) // operators begin or end a server's administrative drain, at all sidecars
+	SendUpdate(sidecar int, u Update, sent UpdateSent) // discovery sends an update on an open watch
+	WatchEnded(sidecar int)                            // discovery ends the watch of a sidecar, for an outage
 }
 
-// UpdateSent is the callback of Host.Update. The host calls it once it has sent the update to the sidecar; the trace records
-// the update at that instant.
+// UpdateSent is the callback of Host.SendUpdate. The host calls it once it has sent the update to the sidecar; the
+// trace records the update at that instant.
 type UpdateSent func()
 
 // World is the whole system except the sidecars. Its state belongs to the queue's goroutine.
@@ -57,7 +58,7 @@
 	Number       int
 	SentAt       Micros // instant at which the client sends the request
 	Deadline     Micros // instant at which the client times out
-	Timeout      Micros // the client's timeout: Due minus Asked
+	Timeout      Micros // the client's timeout: Deadline minus SentAt
 	done         bool
 	timeoutEvent *eventqueue.Event
 
@@ -314,8 +315,8 @@
 	w.retryOrEnd(request, verdict, retryAfter)
 }
 
-// ConnectionClosed records that the sidecar closed a client's connection without an answer. With neverAccepted, no sidecar had
-// accepted the request, so that a retry cannot execute it twice.
+// ConnectionClosed records that the sidecar closed a client's connection without an answer. With neverAccepted, no
+// sidecar had accepted the request, so that a retry cannot execute it twice.
 func (w *World) ConnectionClosed(request *Request, at Micros, neverAccepted bool) {
 	if request.done {
 		return
--- a/internal/lab/scenario/read.go
+++ b/internal/lab/scenario/read.go
@@ -57,10 +57,11 @@
 		Length: Dur(20 * time.Second),
 		Fleet: Fleet{Sidecars: 2, Zones: []string{"petrzalka", "trnava"}, BelievedSizeFactor: 1, MemoryMB: 192, Sockets: 1024,
 			StateTransfer: "handover"},
-		Load:      Load{Rate: 100, Shape: "steady", Hints: "rough", BodyBytes: 64, AnswerBytes: 200},
-		Clients:   Clients{Retries: 2, Backoff: millis(60), RetryAfterShare: 0.75, RequestTimeoutShare: 0.7, MaxConns: 256},
-		Net:       Net{SameZoneDelay: millis(0.1), CrossZoneDelay: millis(2), Jitter: 0.2},
-		Discovery: Discovery{RemovalDelay: millis(1500), AddDelay: millis(1000), Capacity: 4, CallTime: millis(20), Mode: "watch"},
+		Load:    Load{Rate: 100, Shape: "steady", Hints: "rough", BodyBytes: 64, AnswerBytes: 200},
+		Clients: Clients{Retries: 2, Backoff: millis(60), RetryAfterShare: 0.75, RequestTimeoutShare: 0.7, MaxConns: 256},
+		Net:     Net{SameZoneDelay: millis(0.1), CrossZoneDelay: millis(2), Jitter: 0.2},
+		Discovery: Discovery{RemovalDelay: millis(1500), AddDelay: millis(1000), Capacity: 4, CallTime: millis(20),
+			Mode: "watch"},
 		Rules: Rules{DrainGrace: millis(500), OverloadMultiple: 3, OverloadWindow: millis(3000), InitialCapacity: 0.13,
 			SlowStartDuration: millis(24000), PollInterval: millis(10000)},
 		Limits: Limits{MaxAttempts: 4, HedgedRequests: true, Probes: true, Reports: "probe", RetryAfter: true,
@@ -252,7 +253,8 @@
 		"%d is not within 1 and %d", fleet.Sidecars, maxSidecars)
 	require(len(fleet.Zones) >= 1 && len(fleet.Zones) <= 250, "fleet.zones", "names no zone, or more than 250")
 	require(fleet.Skew >= 0, "fleet.skew", "%v is negative", fleet.Skew)
-	require(fleet.BelievedSizeFactor > 0 && fleet.BelievedSizeFactor <= 1000, "fleet.told", "%v is not above 0 and at most 1000", fleet.BelievedSizeFactor)
+	require(fleet.BelievedSizeFactor > 0 && fleet.BelievedSizeFactor <= 1000, "fleet.told",
+		"%v is not above 0 and at most 1000", fleet.BelievedSizeFactor)
 	require(fleet.MemoryMB >= 16, "fleet.memory_mb", "%d is under 16", fleet.MemoryMB)
 	require(fleet.Sockets >= 64, "fleet.sockets", "%d is under 64", fleet.Sockets)
 	oneOf("fleet.recall", fleet.StateTransfer, "none", "handover", "kept")
@@ -318,8 +320,10 @@
 	oneOf("load.shape", load.Shape, "steady", "ramp", "wave")
 	oneOf("load.hints", load.Hints, "none", "rough", "exact")
 	fraction("load.swing", load.WaveAmplitude)
-	require(load.BodyBytes >= 0 && load.BodyBytes <= 32<<20, "load.bodies", "%d is not within 0 and 32 MiB", load.BodyBytes)
-	require(load.AnswerBytes >= 0 && load.AnswerBytes <= 32<<20, "load.answers", "%d is not within 0 and 32 MiB", load.AnswerBytes)
+	require(load.BodyBytes >= 0 && load.BodyBytes <= 32<<20, "load.bodies", "%d is not within 0 and 32 MiB",
+		load.BodyBytes)
+	require(load.AnswerBytes >= 0 && load.AnswerBytes <= 32<<20, "load.answers", "%d is not within 0 and 32 MiB",
+		load.AnswerBytes)
 	clients := &s.Clients
 	require(clients.Retries >= 0 && clients.Retries <= 100, "clients.retries",
 		"%d is not within 0 and 100", clients.Retries)
@@ -345,7 +349,8 @@
 	positive("rules.ramp_time", rules.SlowStartDuration)
 	positive("rules.ask_within", rules.PollInterval)
 	require(rules.OverloadMultiple > 0, "rules.fall_multiple", "%v is not above 0", rules.OverloadMultiple)
-	require(rules.InitialCapacity > 0 && rules.InitialCapacity <= 1, "rules.cold_from", "%v is not within 0 and 1", rules.InitialCapacity)
+	require(rules.InitialCapacity > 0 && rules.InitialCapacity <= 1, "rules.cold_from", "%v is not within 0 and 1",
+		rules.InitialCapacity)
 	require(s.Limits.MaxAttempts >= 1, "limits.attempts", "%d is not above 0", s.Limits.MaxAttempts)
 	require(s.Limits.MaxOpen >= 1, "limits.held", "%d is not above 0", s.Limits.MaxOpen)
 	nonNegative("limits.max_retry_after", s.Limits.MaxRetryAfter)
@@ -401,8 +406,8 @@
 	return 1
 }
 
-// ArrivalFactor returns the factor by which faults change the rate of arrivals at an instant, in microseconds from the start
-// of the scenario: 0 during a fault of kind asleep, and above 1 in a burst.
+// ArrivalFactor returns the factor by which faults change the rate of arrivals at an instant, in microseconds from the
+// start of the scenario: 0 during a fault of kind asleep, and above 1 in a burst.
 func (s *Scenario) ArrivalFactor(offset int64) float64 {
 	factor := 1.0
 	for i := range s.Faults {
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -41,10 +41,11 @@
 	Skew     float64  `toml:"skew"`  // coefficient of variation of the sidecars' shares of the load; 0 for equal shares
 	MemoryMB int      `toml:"memory_mb"`
 	Sockets  int      `toml:"sockets"`
-	// BelievedSizeFactor is the fleet size that each sidecar is configured with, as a multiple of the real number of sidecars.
+	// BelievedSizeFactor is the fleet size that each sidecar is configured with, as a multiple of the real number of
+	// sidecars.
 	BelievedSizeFactor float64 `toml:"told"`
-	// StateTransfer says which state a new process gets from the old one: "none", "handover" (at an upgrade), or "kept" (also
-	// after a kill).
+	// StateTransfer says which state a new process gets from the old one: "none", "handover" (at an upgrade), or "kept"
+	// (also after a kill).
 	StateTransfer string `toml:"recall"`
 }
 
@@ -54,7 +55,7 @@
 	Kind              string    `toml:"kind"`
 	Count             int       `toml:"count"`
 	Cores             int       `toml:"cores"`
-	Speed             []float64 `toml:"speed"`          // range of the speed of a core; work is stated for a core of speed 1
+	Speed             []float64 `toml:"speed"`          // range of a core's speed; work is stated for speed 1
 	SlotsPerCore      int       `toml:"slots_per_core"` // requests that a core runs concurrently
 	Queue             int       `toml:"queue"`          // requests that may wait for a slot
 	ConnCap           int       `toml:"conn_cap"`       // connections, beyond which new ones are rejected
@@ -63,9 +64,9 @@
 	Probe             Dur       `toml:"probe"`          // work of a probe
 	Cancel            string    `toml:"cancel"`         // requests that a cancellation removes: "none", "queued", "all"
 	ErrorShare        float64   `toml:"errors"`         // share of requests answered with an error
-	InitialCapacity   []float64 `toml:"cold_from"`      // range of the share of its capacity that a cold server starts with
+	InitialCapacity   []float64 `toml:"cold_from"`      // range of the share of its capacity that a cold server has
 	WarmUpDuration    Dur       `toml:"cold_for"`       // time until a cold server has its whole capacity
-	ThrashSlowdown    float64   `toml:"thrash"`         // slowdown added by each further thrash_at running requests per core
+	ThrashSlowdown    float64   `toml:"thrash"`         // slowdown added by each further thrash_at running requests
 	ThrashJobsPerCore float64   `toml:"thrash_at"`      // running requests per core above which a server slows down
 	Choke             *Choke    `toml:"choke"`          // nil: overload does not choke the server
 	Report            Report    `toml:"report"`
@@ -73,7 +74,7 @@
 
 // Choke slows a server down that has been overloaded, until it has recovered.
 type Choke struct {
-	OverloadHeldPerCore float64 `toml:"at"`     // running and waiting requests per core from which the server is overloaded
+	OverloadHeldPerCore float64 `toml:"at"`     // running and waiting requests per core that are an overload
 	OverloadDuration    Dur     `toml:"over"`   // duration of the overload after which the server chokes
 	SlowdownFactor      float64 `toml:"slower"` // factor by which a choked server is slower
 	RecoveryHeldPerCore float64 `toml:"below"`  // running and waiting requests per core up to which the server recovers
@@ -114,8 +115,8 @@
 // Clients describes the behaviour of the clients.
 type Clients struct {
 	Retries             int     `toml:"retries"`     // maximum number of retries per task
-	Backoff             Dur     `toml:"backoff"`     // mean delay of the first retry, doubled for each further one; 0 for none
-	RetryAfterShare     float64 `toml:"honour"`      // share of retries that use the answer's Retry-After in place of the backoff
+	Backoff             Dur     `toml:"backoff"`     // mean delay of the first retry, doubled for each further one
+	RetryAfterShare     float64 `toml:"honour"`      // share of retries that wait for Retry-After, not the backoff
 	RequestTimeoutShare float64 `toml:"try_share"`   // timeout of one request, as a share of the class's give_up
 	MarksRetries        bool    `toml:"marks_retry"` // clients mark their retries as such
 	MaxConns            int     `toml:"conns"`       // maximum number of connections between a sidecar and its clients
@@ -132,21 +133,21 @@
 
 // Discovery describes the discovery service, from which sidecars get the endpoint list.
 type Discovery struct {
-	RemovalDelay   Dur    `toml:"notice"`   // mean time from the beginning of a drain or the end of a process until it is listed
+	RemovalDelay   Dur    `toml:"notice"`   // mean time from a drain or the end of a process until it is listed
 	AddDelay       Dur    `toml:"add"`      // mean time from a start until it is listed
 	Capacity       int    `toml:"capacity"` // calls served concurrently
 	CallTime       Dur    `toml:"call"`     // service time of a call
-	MaxUpdateDelay Dur    `toml:"spread"`   // largest extra delay of watch events; each sidecar's is drawn between 0 and this
+	MaxUpdateDelay Dur    `toml:"spread"`   // maximum of the sidecars' extra delays of watch events
 	Shuffle        bool   `toml:"shuffle"`  // each sidecar gets the entries in an order of its own
 	Mode           string `toml:"mode"`     // "watch": modules subscribe to changes; "push": their hosts always watch
 }
 
 // Rules holds the figures of the users' rules. Sidecars are configured with them, and the checker applies them.
 type Rules struct {
-	DrainGrace        Dur     `toml:"drain_grace"`   // time after the notice of a drain in which attempts may still be sent
+	DrainGrace        Dur     `toml:"drain_grace"`   // time after the notice of a drain for further attempts
 	OverloadMultiple  float64 `toml:"fall_multiple"` // multiple of its capacity above which a cold server collapses
 	OverloadWindow    Dur     `toml:"overload_for"`  // time over which that overload is measured
-	InitialCapacity   float64 `toml:"cold_from"`     // guaranteed share of its capacity that a cold server has at its start
+	InitialCapacity   float64 `toml:"cold_from"`     // least share of its capacity that a cold server starts with
 	SlowStartDuration Dur     `toml:"ramp_time"`     // time from its start until a server has its whole capacity
 	PollInterval      Dur     `toml:"ask_within"`    // longest time between polls of discovery
 }
@@ -188,8 +189,8 @@
 	MaxFailedShare    float64            `toml:"failed_most"`     // maximum share of requests that fail
 	MaxConnects       float64            `toml:"handshakes_most"` // maximum of connections opened per task
 	MaxCrossZoneShare float64            `toml:"crossings_most"`  // maximum share of attempts that go to another zone
-	MaxP99            Dur                `toml:"p99_most"`        // maximum 99th percentile of the latency of served requests
-	MaxFleetFigures   map[string]float64 `toml:"fleet_most"`      // maximum of fleet figures, by their names in FleetFigures
+	MaxP99            Dur                `toml:"p99_most"`        // maximum p99 latency of served requests
+	MaxFleetFigures   map[string]float64 `toml:"fleet_most"`      // maximum of fleet figures, by the names in FleetFigures
 }
 
 // FleetFigures maps the names of the figures of a whole fleet that a scenario may bound to their descriptions. Each
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -26,7 +26,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.ServerCount() != 2 || s.Classes[0].LatencyObjective != Dur(400*time.Millisecond) || !s.RunsOn("run") || !s.RunsOn("sim") ||
+	if s.ServerCount() != 2 || s.Classes[0].LatencyObjective != Dur(400*time.Millisecond) || !s.RunsOn("run") ||
+		!s.RunsOn("sim") ||
 		s.Fleet.Sidecars != 2 {
 		t.Errorf("defaults: %+v", s)
 	}
@@ -83,7 +84,8 @@
 		if err != nil {
 			t.Error(err)
 		} else if s.Name+".toml" != filepath.Base(f) || s.Bounds.MinService == 0 || s.Description == "" {
-			t.Errorf("%s: the name is %q and the bound on service %v, or there is no description", f, s.Name, s.Bounds.MinService)
+			t.Errorf("%s: the name is %q and the bound on service %v, or there is no description", f, s.Name,
+				s.Bounds.MinService)
 		}
 	}
 }
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -210,13 +210,14 @@
 		})
 	}
 	for i := range h.nodes {
-		h.sink.Take(trace.Event{At: h.queue.Now(), Kind: trace.ServerListed, Sidecar: int32(i), Server: int32(server), State: state})
+		h.sink.Take(trace.Event{At: h.queue.Now(), Kind: trace.ServerListed, Sidecar: int32(i), Server: int32(server),
+			State: state})
 	}
 }
 
 // SendUpdate sends an update of discovery to all processes of a sidecar, also to those that drain.
-func (h *host) SendUpdate(sidecar int, update model.Update, told model.UpdateSent) {
-	told()
+func (h *host) SendUpdate(sidecar int, update model.Update, sent model.UpdateSent) {
+	sent()
 	for _, process := range h.processes() {
 		if process.number == sidecar {
 			process.applyUpdate(update)
@@ -306,7 +307,8 @@
 	process := h.nodes[sidecar]
 	now := h.queue.Now()
 	recordState := func(state trace.State) {
-		h.sink.Take(trace.Event{At: now, Kind: trace.SidecarStateChanged, Sidecar: int32(sidecar), State: state, Note: fault.Kind})
+		h.sink.Take(trace.Event{At: now, Kind: trace.SidecarStateChanged, Sidecar: int32(sidecar), State: state,
+			Note: fault.Kind})
 	}
 	switch {
 	case fault.Kind == "upgrade" && on && process != nil:
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -66,7 +66,8 @@
 		}
 		s.Faults = append(s.Faults,
 			scenario.Fault{Kind: "kill", At: s.Length / 3, Duration: s.Length / 10, Sidecars: []int{1}, Factor: 1, Repeat: 1},
-			scenario.Fault{Kind: "reset", At: s.Length / 2, Duration: s.Length / 10, Interval: s.Length / 50, Factor: 1, Repeat: 1})
+			scenario.Fault{Kind: "reset", At: s.Length / 2, Duration: s.Length / 10, Interval: s.Length / 50, Factor: 1,
+				Repeat: 1})
 		var sums [3]uint64
 		var texts [3][]byte
 		for i, seed := range []uint64{5, 5, 6} {
--- a/internal/lab/told/told.go
+++ b/internal/lab/told/told.go
@@ -25,7 +25,8 @@
 		if class.NotIdempotent {
 			repeat = "side_effect"
 		}
-		classes = append(classes, map[string]any{"name": class.Name, "repeat": repeat, "target": class.LatencyObjective.Micros(),
+		classes = append(classes, map[string]any{"name": class.Name, "repeat": repeat,
+			"target":  class.LatencyObjective.Micros(),
 			"give-up": class.Timeout.Micros(), "credit": class.PriorityWeight, "late-value": 0.0, "stream": false})
 	}
 	var kinds []string
--- a/internal/lab/trace/trace.go
+++ b/internal/lab/trace/trace.go
@@ -15,28 +15,29 @@
 
 // The kinds of event, each with the fields of Event that it uses.
 const (
-	RequestSent         Kind = iota // a client wrote a request's last byte: Request, Task, Class, Sidecar, Work, Due, Retry
-	RequestAnswered                 // a client received a complete answer: Request, Verdict
-	RequestAbandoned                // a client timed out without an answer: Request, Note
-	ClientCutOff                    // the sidecar closed a client's connection without an answer: Request
-	AttemptSent                     // a sidecar sent an attempt's first byte, at At: Request, Sidecar, Server, Class, Cross
-	AttemptAccepted                 // a server accepted an attempt, which may run: Request, Sidecar, Server, Class, Work
-	AttemptRejected                 // a server rejected an attempt, which did not run: Request, Sidecar, Server, Class, Work
-	AttemptFinished                 // a server finished an attempt: Request, Server, Work
-	ServerListed                    // discovery or an operator sent a server's state to a sidecar: Sidecar, Server, State, Since
-	ServerStarted                   // a server's process started: Server, Capacity, ColdFrom, ColdFor; Work is its machine's pace
-	ServerCollapsed                 // a cold server collapsed under overload: Server
-	ServerStopped                   // a server's process ended: Server
-	ConnOpened                      // a connection to a server was opened: Sidecar, Server
-	ConnClosed                      // a connection to a server was closed: Sidecar, Server
-	ProbeSent                       // a sidecar sent a probe to a server: Sidecar, Server
-	SidecarStateChanged             // the lab killed or froze a sidecar (Gone), or it runs again (Up): Sidecar, State, Note
-	FaultBegan                      // a fault began: Note
-	FaultEnded                      // a fault ended: Note
-	ServerGauge                     // state of a server, recorded at intervals: Server, Held, Queued, Warmth, Slow
-	ConnRefused                     // a server refused a connection above its limit: Sidecar, Server
-	ColdLoad                        // a process is no longer cold: Server; Warmth is the highest ratio of the work sent to the limit
-	DiscoveryCalled                 // a call of discovery ended: Sidecar, Verdict (Served or Failed); Work is its duration
+	// A client sent a request's last byte: Request, Task, Class, Sidecar, Work, Deadline, Retry.
+	RequestSent         Kind = iota
+	RequestAnswered          // a client received a complete answer: Request, Verdict
+	RequestAbandoned         // a client timed out without an answer: Request, Note
+	ClientCutOff             // the sidecar closed a client's connection without an answer: Request
+	AttemptSent              // a sidecar sent an attempt at At: Request, Sidecar, Server, Class, CrossZone
+	AttemptAccepted          // a server accepted an attempt, which may run: Request, Sidecar, Server, Class, Work
+	AttemptRejected          // a server rejected an attempt unrun: Request, Sidecar, Server, Class, Work
+	AttemptFinished          // a server finished an attempt: Request, Server, Work
+	ServerListed             // discovery or operators sent a state: Sidecar, Server, State, StartedAt
+	ServerStarted            // a process started: Server, Capacity, ColdFrom, ColdFor; Work is its machine's pace
+	ServerCollapsed          // a cold server collapsed under overload: Server
+	ServerStopped            // a server's process ended: Server
+	ConnOpened               // a connection to a server was opened: Sidecar, Server
+	ConnClosed               // a connection to a server was closed: Sidecar, Server
+	ProbeSent                // a sidecar sent a probe to a server: Sidecar, Server
+	SidecarStateChanged      // a sidecar was killed or frozen (Removed), or runs again (Up): Sidecar, State, Note
+	FaultBegan               // a fault began: Note
+	FaultEnded               // a fault ended: Note
+	ServerGauge              // state of a server, recorded at intervals: Server, Held, Queued, Warmth, Choked
+	ConnRefused              // a server refused a connection above its limit: Sidecar, Server
+	ColdLoad                 // a process is no longer cold: Server; Warmth is the highest ratio of work sent to its limit
+	DiscoveryCalled          // a call of discovery ended: Sidecar, Verdict (Served or Failed); Work is its duration
 )
 
 var kindNames = [...]string{"asked", "answered", "left", "cut", "sent", "accepted", "turned", "finished", "told",
@@ -65,7 +66,8 @@
 // State is the state of a server in discovery's list or in the operators' overrides.
 type State uint8
 
-// The states. Banned and Released are the beginning and the end of an administrative drain; discovery lists the others.
+// The states. DrainedByOperator and ReleasedByOperator are the beginning and the end of an administrative drain;
+// discovery lists the others.
 const (
 	Up State = iota
 	Draining
@@ -81,27 +83,27 @@
 	Verdict   Verdict
 	State     State
 	Class     uint8
-	CrossZone bool // Sent: the server is in another zone than the sidecar
-	Retry     bool // Asked: the request is a client's retry
-	Choked    bool // Gauge: the server is choked
+	CrossZone bool // AttemptSent: the server is in another zone than the sidecar
+	Retry     bool // RequestSent: the request is a client's retry
+	Choked    bool // ServerGauge: the server is choked
 	Sidecar   int32
 	Server    int32
-	Held      int32  // Gauge: requests running and waiting
-	Queued    int32  // Gauge: requests waiting
+	Held      int32  // ServerGauge: requests running and waiting
+	Queued    int32  // ServerGauge: requests waiting
 	Request   uint64 // ID of a client's request
 	Task      uint64 // ID of the task, which a request and its retries by the client share
-	Deadline  Micros // Asked: instant at which the client times out
+	Deadline  Micros // RequestSent: instant at which the client times out
 	Work      Micros // service time on a core of speed 1, unless the kind says otherwise
 
-	Capacity  float64 // Started: work per second when warm, in microseconds
-	ColdFrom  float64 // Started: share of its capacity that the process starts with
-	ColdFor   Micros  // Started: time until the process has its whole capacity
-	StartedAt Micros  // Told: start of the process as discovery lists it; 0 for a start before the run
-	Warmth    float64 // Gauge: share of its capacity that the process has; 0 if none runs
-	Note      string  // Began, Ended: the fault; Left, Killed: a keyword for the cause
+	Capacity  float64 // ServerStarted: work per second when warm, in microseconds
+	ColdFrom  float64 // ServerStarted: share of its capacity that the process starts with
+	ColdFor   Micros  // ServerStarted: time until the process has its whole capacity
+	StartedAt Micros  // ServerListed: start of the process as discovery lists it; 0 for a start before the run
+	Warmth    float64 // ServerGauge: share of its capacity that the process has; 0 if none runs
+	Note      string  // FaultBegan, FaultEnded: the fault; RequestAbandoned, SidecarStateChanged: the cause
 }
 
-// Sink receives events, in the order in which they happened. Take is never called concurrently.
+// Sink receives events, in the order in which they happened.
 type Sink interface{ Take(Event) }
 
 // Func is a function that implements Sink.
@@ -129,7 +131,7 @@
 
 const batchSize = 2048
 
-// NewAsyncSink starts and returns an Aside for a sink. Close must be called to stop its goroutine.
+// NewAsyncSink starts and returns an AsyncSink for a sink. Close must be called to stop its goroutine.
 func NewAsyncSink(sink Sink) *AsyncSink {
 	a := &AsyncSink{fullBatches: make(chan []Event, 8), freeBatches: make(chan []Event, 10), done: make(chan struct{})}
 	go func() {
