--- a/internal/lab/chain/chain.go
+++ b/internal/lab/chain/chain.go
@@ -220,12 +220,12 @@
 func (r *row) close() {
 	close(r.stopped)
 	var stopping sync.WaitGroup
-	for _, closing := range r.levels {
-		stopping.Go(closing.sidecar.stop)
+	for _, l := range r.levels {
+		stopping.Go(l.sidecar.stop)
 	}
 	stopping.Wait()
-	for _, closing := range r.levels {
-		closing.close()
+	for _, l := range r.levels {
+		l.close()
 	}
 	r.wg.Wait()
 }
--- a/internal/lab/chain/virtual_test.go
+++ b/internal/lab/chain/virtual_test.go
@@ -25,12 +25,12 @@
 // it; if sidecars may not retry, one.
 func TestLeafAttemptsMatchFormula(t *testing.T) {
 	for _, class := range classNames {
-		for _, how := range []LeafFailure{LeafErrors, LeafRejects} {
+		for _, failure := range []LeafFailure{LeafErrors, LeafRejects} {
 			for _, depth := range []int{1, 2, 3} {
 				for attempts := 1; attempts <= 3; attempts++ {
-					t.Run(fmt.Sprint(class, how, depth, attempts), func(t *testing.T) {
+					t.Run(fmt.Sprint(class, failure, depth, attempts), func(t *testing.T) {
 						result := runVirtual(t, Options{Depth: depth, Rate: 1, Duration: time.Second, Attempts: attempts, Class: class,
-							LeafFailure: how})
+							LeafFailure: failure})
 						if float64(result.MaxLeafAttempts) != result.LeafAttemptsBound ||
 							result.LeafAttemptsBound != result.BudgetedLeafAttempts {
 							t.Errorf("%d attempts, want %v by MaxLeafAttempts and %v by BudgetedLeafAttempts", result.MaxLeafAttempts,
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -77,7 +77,7 @@
 	chokedSince          Micros // -1 if overload has not choked it
 	recoveringSince      Micros // while choked, instant since which it has held few requests; -1 if it does not
 	collapsed            bool
-	coldWork             slidingSum // work sent while cold, within Rules.OverloadFor
+	coldWork             slidingSum // work sent while cold, within Rules.OverloadWindow
 	maxColdLoadRatio     float64    // highest ratio of coldWork to its limit; -1 once reported, or if warm
 
 	// Effects of the faults in force. Each is a count, a product or a list, because faults may overlap.
@@ -430,7 +430,7 @@
 }
 
 // countColdWork counts the work that a cold server is sent. The server's process stops if it exceeds the limit within
-// Rules.OverloadFor.
+// Rules.OverloadWindow.
 func (s *Server) countColdWork(now Micros, job *Job) {
 	if !s.isCold(now) || s.collapsed {
 		return
--- a/internal/lab/scenario/read.go
+++ b/internal/lab/scenario/read.go
@@ -233,13 +233,15 @@
 	oneOf := func(key, v string, allowed ...string) {
 		require(slices.Contains(allowed, v), key, "%q is none of %s", v, strings.Join(allowed, ", "))
 	}
-	numberRange := func(key string, v []float64, lo, hi float64) {
-		if require(len(v) == 1 || len(v) == 2, key, "takes one number or two, not %d", len(v)); len(v) != 1 && len(v) != 2 {
+	numberRange := func(key string, values []float64, low, high float64) {
+		if require(len(values) == 1 || len(values) == 2, key, "takes one number or two, not %d",
+			len(values)); len(values) != 1 && len(values) != 2 {
 			return
 		}
-		require(v[0] <= v[len(v)-1], key, "the range %v to %v starts above its end", v[0], v[len(v)-1])
-		for _, fault := range v {
-			require(fault >= lo && fault <= hi, key, "%v is not within %v and %v", fault, lo, hi)
+		require(values[0] <= values[len(values)-1], key, "the range %v to %v starts above its end", values[0],
+			values[len(values)-1])
+		for _, value := range values {
+			require(value >= low && value <= high, key, "%v is not within %v and %v", value, low, high)
 		}
 	}
 	require(s.Name != "", "name", "is missing")
@@ -381,10 +383,10 @@
 		}
 	}
 	fraction("keep.service", s.Bounds.MinService)
-	for name, most := range s.Bounds.MaxFleetFigures {
+	for name, limit := range s.Bounds.MaxFleetFigures {
 		_, known := FleetFigures[name]
 		require(known, "keep.fleet_most", "%q is not a figure of a fleet", name)
-		require(!known || most > 0, "keep.fleet_most", "%s: %v is not above 0", name, most)
+		require(!known || limit > 0, "keep.fleet_most", "%s: %v is not above 0", name, limit)
 	}
 	for name := range s.Bounds.MinClassService {
 		require(names[name], "keep.class", "%q is not a class", name)
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -68,6 +68,7 @@
 // minWatchBackoff is the first backoff after a failed watch, in microseconds.
 const minWatchBackoff = 100 * 1000
 
+// newNode returns a new process of a sidecar, which runs once its start method is called.
 func (h *host) newNode(number int, settings balancer.Settings) *node {
 	process := &node{host: h, number: number, zone: h.world.SidecarZone(number), settings: settings,
 		calls: map[uint64]*call{}, idle: make([][]*conn, len(h.world.Servers)),
@@ -315,18 +316,18 @@
 			n.abort(a, status)
 		})
 	})
-	n.connect(a.server, a.sent, func(o *conn, status balancer.Status) {
+	n.connect(a.server, a.sent, func(connection *conn, status balancer.Status) {
 		if a.done {
-			if o != nil {
-				n.keepIdle(o)
+			if connection != nil {
+				n.keepIdle(connection)
 			}
 			return
 		}
-		if o == nil {
+		if connection == nil {
 			n.reportOutcome(a, status, nil)
 			return
 		}
-		a.conn = o
+		a.conn = connection
 		n.sendAttempt(a)
 	})
 }
@@ -507,13 +508,13 @@
 		}
 		n.host.sink.Take(trace.Event{At: n.host.queue.Now(), Kind: trace.ProbeSent, Sidecar: int32(n.number),
 			Server: int32(server)})
-		probed := n.host.world.Servers[server]
+		target := n.host.world.Servers[server]
 		n.deliver(server, func(lost bool) {
-			if lost || !probed.Running || connection.serverStarts != probed.Starts {
+			if lost || !target.Running || connection.serverStarts != target.Starts {
 				return // the probe ends by its timeout
 			}
 			answer := func() {
-				load := n.loadReport(probed)
+				load := n.loadReport(target)
 				n.deliver(server, func(lost bool) {
 					if !lost {
 						n.host.queue.Cancel(timeout)
@@ -523,8 +524,8 @@
 				})
 			}
 			begin := func() {
-				if work := float64(probed.Spec.Probe.Micros()); work > 0 {
-					probed.Begin(&model.Job{Sidecar: n.number, Work: work, Done: func(model.Outcome) {}})
+				if work := float64(target.Spec.Probe.Micros()); work > 0 {
+					target.Begin(&model.Job{Sidecar: n.number, Work: work, Done: func(model.Outcome) {}})
 				}
 				answer() // the server does not queue probes
 			}
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -90,12 +90,12 @@
 	h.sink = async
 	h.world = model.New(queue, scen, options.Seed, h, h.sink)
 	h.world.Prepare()
-	for process := range scen.Fleet.Sidecars {
-		settings, err := told.ModuleSettings(scen, process)
+	for sidecar := range scen.Fleet.Sidecars {
+		settings, err := told.ModuleSettings(scen, sidecar)
 		if err != nil {
 			return nil, err
 		}
-		h.nodes = append(h.nodes, h.newNode(process, settings))
+		h.nodes = append(h.nodes, h.newNode(sidecar, settings))
 	}
 	h.snapshots = make([]*balancer.Snapshot, len(h.nodes))
 	for _, process := range h.nodes {
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -121,14 +121,14 @@
 			if kind == "bandwidth" || kind == "pieces" {
 				s.Faults[0].Factor, s.Faults[0].Lag = 2000, 1000
 			}
-			began := 0
+			faultsBegun := 0
 			result := runScenario(t, &s, 2, trace.Func(func(e trace.Event) {
 				if e.Kind == trace.FaultBegan {
-					began++
+					faultsBegun++
 				}
 			}))
-			if began != 1 {
-				t.Errorf("the fault began %d times, want 1", began)
+			if faultsBegun != 1 {
+				t.Errorf("the fault began %d times, want 1", faultsBegun)
 			}
 			if !result.Verdict.Passed() {
 				t.Errorf("%s: %v", result.Verdict, result.Verdict.Violations)
@@ -199,12 +199,12 @@
 // The bounds on a fleet's figures can fail. Sidecars that are each configured as the only one use all servers, and
 // their connections exceed the servers' limits. Sidecars configured for four times their number keep every bound.
 func TestFleetBoundsCanFail(t *testing.T) {
-	for told, want := range map[int][]string{1: {"connections_mean", "shut_mean"}, 320: nil} {
+	for believedSize, want := range map[int][]string{1: {"connections_mean", "shut_mean"}, 320: nil} {
 		s, err := scenario.Read("../../../lab/scenarios/herd.toml")
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Overlay = map[string]any{"peers-total": told}
+		s.Overlay = map[string]any{"peers-total": believedSize}
 		result, err := Run(t.Context(), s, Options{Seed: 1})
 		if err != nil {
 			t.Fatal(err)
@@ -212,11 +212,11 @@
 		missed := strings.Join(result.Missed, "; ")
 		for _, name := range want {
 			if !strings.Contains(missed, name) {
-				t.Errorf("configured for %d sidecars: the bound on %s holds; missed: %s", told, name, missed)
+				t.Errorf("configured for %d sidecars: the bound on %s holds; missed: %s", believedSize, name, missed)
 			}
 		}
 		if len(want) == 0 && missed != "" || !result.Verdict.Passed() {
-			t.Errorf("configured for %d sidecars: missed %q, verdict %v", told, missed, result.Verdict)
+			t.Errorf("configured for %d sidecars: missed %q, verdict %v", believedSize, missed, result.Verdict)
 		}
 	}
 }
