--- a/cmd/birchmoor/labchain.go
+++ b/cmd/birchmoor/labchain.go
@@ -56,7 +56,7 @@
 	}
 	var results []*chain.Result
 	for i, o := range runs {
-		o.Say = func(s string) { fmt.Fprintf(c.errOut, "run %d of %d: %s\n", i+1, len(runs), s) }
+		o.Progress = func(s string) { fmt.Fprintf(c.errOut, "run %d of %d: %s\n", i+1, len(runs), s) }
 		result, err := runChain(ctx, o)
 		if err != nil {
 			return err
@@ -85,23 +85,23 @@
 	for _, ratio := range ratios {
 		for _, attempts := range k.Attempts {
 			o := chain.Options{
-				Bin:      k.Bin,
-				Depth:    k.Depth,
-				Servers:  k.Servers,
-				Rate:     k.Rate,
-				For:      k.Duration,
-				Warm:     k.WarmupDuration,
-				Attempts: attempts,
-				Class:    k.Class,
-				Fail:     chain.How(k.FailureMode),
-				Share:    ratio,
-				Seed:     k.Seed,
+				Program:      k.Bin,
+				Depth:        k.Depth,
+				Servers:      k.Servers,
+				Rate:         k.Rate,
+				Duration:     k.Duration,
+				WarmUp:       k.WarmupDuration,
+				Attempts:     attempts,
+				Class:        k.Class,
+				LeafFailure:  chain.LeafFailure(k.FailureMode),
+				FailureShare: ratio,
+				Seed:         k.Seed,
 			}
 			if err := o.Check(); err != nil {
 				return nil, err
 			}
 			if k.Fail == "" {
-				o.Fail = "" // set until here, so that Check validates --how
+				o.LeafFailure = "" // set until here, so that Check validates --how
 			}
 			options = append(options, o)
 		}
@@ -114,7 +114,7 @@
 		return nil, err
 	}
 	for i := range options {
-		options[i].Bin = bin
+		options[i].Program = bin
 	}
 	return options, nil
 }
--- a/cmd/birchmoor/labrun.go
+++ b/cmd/birchmoor/labrun.go
@@ -15,7 +15,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if !s.On(host) {
+	if !s.RunsOn(host) {
 		return nil, fmt.Errorf("%s: supports only the hosts %v", path, s.Hosts)
 	}
 	return s, nil
--- a/internal/lab/dnslab/client.go
+++ b/internal/lab/dnslab/client.go
@@ -73,7 +73,7 @@
 	if kind == "update" {
 		class = 1
 	}
-	k.lab.report(trace.Event{Kind: trace.Asked, Request: number, Task: number, Class: class, Work: 1e6})
+	k.lab.report(trace.Event{Kind: trace.RequestSent, Request: number, Task: number, Class: class, Work: 1e6})
 	k.conn.SetWriteDeadline(time.Now().Add(time.Second))
 	k.conn.Write(raw)
 	k.lab.after(time.Duration(k.lab.scenario.Front.GiveUp)+giveUpSlack, func() { k.giveUp(msg.Id, sent) })
@@ -96,7 +96,7 @@
 	sent.ended = true
 	k.mu.Unlock()
 	if !ended {
-		k.lab.report(trace.Event{Kind: trace.Left, Request: sent.number})
+		k.lab.report(trace.Event{Kind: trace.RequestAbandoned, Request: sent.number})
 	}
 	k.lab.after(time.Second, func() {
 		k.mu.Lock()
@@ -162,9 +162,9 @@
 			}
 		}
 	case dns.RcodeRefused:
-		verdict = trace.Refused
+		verdict = trace.Rejected
 	}
-	k.lab.report(trace.Event{Kind: trace.Answered, Request: sent.number, Verdict: verdict})
+	k.lab.report(trace.Event{Kind: trace.RequestAnswered, Request: sent.number, Verdict: verdict})
 	if verdict == trace.Served {
 		k.lab.recordServed(latency)
 	}
--- a/internal/lab/dnslab/lab.go
+++ b/internal/lab/dnslab/lab.go
@@ -102,7 +102,7 @@
 	defer l.mu.Unlock()
 	now := time.Now()
 	e.At = now.Sub(l.startedAt).Microseconds()
-	if e.Kind == trace.Sent {
+	if e.Kind == trace.AttemptSent {
 		l.queriesAtResolvers++
 		if at, out := l.withdrawnAt[e.Server]; out {
 			l.lastSent = max(l.lastSent, now.Sub(at))
@@ -292,10 +292,10 @@
 		case "drain", "remove":
 			state, told := "draining", trace.Draining
 			if f.Kind == "remove" || !active {
-				state, told = "removed", trace.Gone
+				state, told = "removed", trace.Removed
 			}
 			if active {
-				l.report(trace.Event{Kind: trace.Told, Server: int32(r.id), State: told})
+				l.report(trace.Event{Kind: trace.ServerListed, Server: int32(r.id), State: told})
 				l.mu.Lock()
 				l.withdrawnAt[int32(r.id)] = time.Now()
 				l.mu.Unlock()
@@ -303,7 +303,7 @@
 			disc.setInstance(r, state, 0)
 		case "join":
 			now := time.Now()
-			l.report(trace.Event{Kind: trace.Started, Server: int32(r.id), Capacity: r.kind.Capacity * 1e6, ColdFrom: coldFrom,
+			l.report(trace.Event{Kind: trace.ServerStarted, Server: int32(r.id), Capacity: r.kind.Capacity * 1e6, ColdFrom: coldFrom,
 				ColdFor: coldFor.Microseconds()})
 			disc.setInstance(r, "up", now.UnixMilli())
 		default:
--- a/internal/lab/dnslab/resolver.go
+++ b/internal/lab/dnslab/resolver.go
@@ -213,13 +213,13 @@
 	}
 	number, kind := parseName(msg.Question[0].Name)
 	if number > 0 { // queries of the flood have no number
-		r.report(trace.Event{Kind: trace.Sent, Request: number, Server: int32(r.id)})
+		r.report(trace.Event{Kind: trace.AttemptSent, Request: number, Server: int32(r.id)})
 	}
 	if r.hasFault("silent") {
 		return nil, 0
 	}
 	if number > 0 {
-		r.report(trace.Event{Kind: trace.Accepted, Request: number, Server: int32(r.id), Work: 1e6})
+		r.report(trace.Event{Kind: trace.AttemptAccepted, Request: number, Server: int32(r.id), Work: 1e6})
 	}
 	reply := new(dns.Msg)
 	reply.SetReply(msg)
--- a/internal/lab/figures/figures.go
+++ b/internal/lab/figures/figures.go
@@ -177,7 +177,7 @@
 		r.latencies = append(r.latencies, newHistogram())
 		r.secondLatencies = append(r.secondLatencies, newHistogram())
 	}
-	for n := range min(s.Total(), maxServerSeries) {
+	for n := range min(s.ServerCount(), maxServerSeries) {
 		r.series.Servers = append(r.series.Servers, ServerSeries{Server: n})
 	}
 	return r
@@ -211,66 +211,66 @@
 	pending := r.requests[e.Request]
 	r.ramp.take(&e, pending != nil && pending.retry, pending != nil && pending.attempts > 1)
 	switch e.Kind {
-	case trace.Asked:
+	case trace.RequestSent:
 		r.recordRequest(&e, second)
-	case trace.Answered:
+	case trace.RequestAnswered:
 		r.recordAnswer(&e, second)
-	case trace.Left, trace.Cut:
+	case trace.RequestAbandoned, trace.ClientCutOff:
 		if pending != nil {
 			incrementAt(&r.series.Classes[pending.class].Failed, second)
 			delete(r.requests, e.Request)
 		}
-	case trace.Sent:
+	case trace.AttemptSent:
 		r.attempts++
 		if pending != nil {
 			pending.attempts++
 		}
 		incrementAt(&r.series.Sent, second)
-		if e.Cross {
+		if e.CrossZone {
 			r.crossZoneAttempts++
 			incrementAt(&r.series.Crossed, second)
 		}
-	case trace.Accepted:
+	case trace.AttemptAccepted:
 		if int(e.Server) < len(r.series.Servers) {
 			incrementAt(&r.series.Servers[e.Server].Taken, second)
 		}
-	case trace.Turned:
+	case trace.AttemptRejected:
 		r.rejectedAttempts++
 		incrementAt(&r.series.Turned, second)
-	case trace.Opened:
+	case trace.ConnOpened:
 		r.openedConns++
 		r.openConns++
 		incrementAt(&r.series.Opened, second)
-	case trace.Closed:
+	case trace.ConnClosed:
 		r.openConns--
-	case trace.Probed:
+	case trace.ProbeSent:
 		r.probes++
 		incrementAt(&r.series.Probed, second)
-	case trace.Gauge:
+	case trace.ServerGauge:
 		if int(e.Server) < len(r.series.Servers) {
 			series := &r.series.Servers[e.Server]
 			series.At = append(series.At, float64(e.At)/1e6)
 			series.Held = append(series.Held, int(e.Held))
 			series.Queued = append(series.Queued, int(e.Queued))
 			series.Warmth = append(series.Warmth, e.Warmth)
-			series.Slow = append(series.Slow, e.Slow)
+			series.Slow = append(series.Slow, e.Choked)
 		}
-	case trace.Began:
+	case trace.FaultBegan:
 		r.openBands[e.Note] = len(r.series.Faults)
 		r.series.Faults = append(r.series.Faults, Band{e.Note, float64(e.At) / 1e6, -1})
-	case trace.Ended:
+	case trace.FaultEnded:
 		if i, ok := r.openBands[e.Note]; ok {
 			r.series.Faults[i].To = float64(e.At) / 1e6
 		}
-	case trace.Fell:
+	case trace.ServerCollapsed:
 		r.addMark(&e, fmt.Sprintf("server %d falls over", e.Server))
-	case trace.Stopped:
+	case trace.ServerStopped:
 		r.addMark(&e, fmt.Sprintf("server %d ends", e.Server))
-	case trace.Started:
+	case trace.ServerStarted:
 		if e.At > 0 {
 			r.addMark(&e, fmt.Sprintf("server %d starts", e.Server))
 		}
-	case trace.Killed:
+	case trace.SidecarStateChanged:
 		r.addMark(&e, fmt.Sprintf("sidecar %d: %s", e.Sidecar, e.Note))
 	}
 }
@@ -301,9 +301,9 @@
 	incrementAt(&r.series.Classes[e.Class].Offered, second)
 	c := &r.scenario.Classes[e.Class]
 	if !e.Retry {
-		worth := c.Worth * float64(e.Work)
+		worth := c.PriorityWeight * float64(e.Work)
 		r.taskCount++
-		r.tasks[e.Task] = &task{class: e.Class, startedAt: e.At, worth: worth, deadline: e.At + c.Aim.Micros()}
+		r.tasks[e.Task] = &task{class: e.Class, startedAt: e.At, worth: worth, deadline: e.At + c.LatencyObjective.Micros()}
 		*elementAt(&r.askedWorth, second) += worth
 		elementAt(&r.earnedWorth, second)
 		r.classTotals[e.Class].tasks++
@@ -339,7 +339,7 @@
 		} else {
 			incrementAt(&series.Late, second)
 		}
-	case trace.Refused:
+	case trace.Rejected:
 		incrementAt(&series.Refused, second)
 	default:
 		incrementAt(&series.Failed, second)
@@ -351,9 +351,9 @@
 func (r *Recorder) End(verdict *checker.Verdict) *Result {
 	r.endSecond()
 	s := r.scenario
-	result := &Result{Scenario: s.Name, About: s.About, Length: time.Duration(s.Length).Seconds(),
+	result := &Result{Scenario: s.Name, About: s.Description, Length: time.Duration(s.Length).Seconds(),
 		Sidecars: s.Fleet.Sidecars,
-		Servers:  s.Total(), Verdict: verdict, Worst10s: 1, Missed: []string{}, Figures: map[string]float64{}}
+		Servers:  s.ServerCount(), Verdict: verdict, Worst10s: 1, Missed: []string{}, Figures: map[string]float64{}}
 	var askedWorth, earnedWorth float64
 	allLatencies := newHistogram()
 	for i, c := range r.classTotals {
@@ -396,7 +396,7 @@
 	result.Series = r.series
 	r.fleet.addFigures(result)
 	r.ramp.addFigures(result)
-	result.checkTargets(&s.Keep)
+	result.checkTargets(&s.Bounds)
 	return result
 }
 
@@ -416,7 +416,7 @@
 }
 
 // checkTargets adds to Missed each figure that falls short of the scenario's requirements.
-func (x *Result) checkTargets(targets *scenario.Keep) {
+func (x *Result) checkTargets(targets *scenario.Bounds) {
 	requireMin := func(name string, got, want float64) {
 		if want > 0 && got < want {
 			x.Missed = append(x.Missed, fmt.Sprintf("%s %.3f is under %.3f", name, got, want))
@@ -427,22 +427,22 @@
 			x.Missed = append(x.Missed, fmt.Sprintf("%s %.3f is over %.3f", name, got, want))
 		}
 	}
-	requireMin("service", x.Service, targets.Service)
+	requireMin("service", x.Service, targets.MinService)
 	var names []string
-	for name := range targets.Class {
+	for name := range targets.MinClassService {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		requireMin("service of "+name, x.Figures["service_"+name], targets.Class[name])
+		requireMin("service of "+name, x.Figures["service_"+name], targets.MinClassService[name])
 	}
-	requireMax("attempts a request", x.Figures["attempts_per_task"], targets.Attempts)
-	requireMax("share refused", x.Figures["refused"], targets.Refused)
-	requireMax("share failed", x.Figures["failed"], targets.Failed)
-	requireMax("connections opened a request", x.Figures["connects_per_task"], targets.Handshakes)
-	requireMax("share of crossings", x.Figures["crossings"], targets.Crossings)
-	requireMax("p99 in ms", x.Figures["p99_ms"], float64(targets.P99.Micros())/1000)
-	x.checkFleetLimits(targets.Fleet)
+	requireMax("attempts a request", x.Figures["attempts_per_task"], targets.MaxAttempts)
+	requireMax("share refused", x.Figures["refused"], targets.MaxRejectedShare)
+	requireMax("share failed", x.Figures["failed"], targets.MaxFailedShare)
+	requireMax("connections opened a request", x.Figures["connects_per_task"], targets.MaxConnects)
+	requireMax("share of crossings", x.Figures["crossings"], targets.MaxCrossZoneShare)
+	requireMax("p99 in ms", x.Figures["p99_ms"], float64(targets.MaxP99.Micros())/1000)
+	x.checkFleetLimits(targets.MaxFleetFigures)
 }
 
 // Passed reports whether the run is valid, broke no rule and met the scenario's requirements.
--- a/internal/lab/figures/figures_test.go
+++ b/internal/lab/figures/figures_test.go
@@ -37,23 +37,23 @@
 func TestServiceCountsWorthOncePerTaskWithinObjective(t *testing.T) {
 	recorder := New(parseScenario(t, "[keep]\nservice = 0.9\nattempts_most = 0.1\n[keep.class]\npay = 0.5\n"))
 	ask := func(at Micros, id, task uint64, class uint8, retry bool) {
-		recorder.Take(trace.Event{At: at, Kind: trace.Asked, Request: id, Task: task, Class: class, Work: 10, Retry: retry})
+		recorder.Take(trace.Event{At: at, Kind: trace.RequestSent, Request: id, Task: task, Class: class, Work: 10, Retry: retry})
 	}
 	answer := func(at Micros, id uint64, v trace.Verdict) {
-		recorder.Take(trace.Event{At: at, Kind: trace.Answered, Request: id, Verdict: v})
+		recorder.Take(trace.Event{At: at, Kind: trace.RequestAnswered, Request: id, Verdict: v})
 	}
 	ask(0, 1, 1, 0, false) // served in time: earns 1 of 1
-	recorder.Take(trace.Event{At: 1000, Kind: trace.Sent, Cross: true})
-	recorder.Take(trace.Event{At: 1000, Kind: trace.Sent})
+	recorder.Take(trace.Event{At: 1000, Kind: trace.AttemptSent, CrossZone: true})
+	recorder.Take(trace.Event{At: 1000, Kind: trace.AttemptSent})
 	answer(50_000, 1, trace.Served)
 	ask(1e6, 2, 2, 0, false) // served late: earns 0 of 1
 	answer(1_150_000, 2, trace.Served)
 	ask(2e6, 3, 3, 1, false) // rejected, then served in time: earns 3 of 3
-	answer(2_010_000, 3, trace.Refused)
+	answer(2_010_000, 3, trace.Rejected)
 	ask(2_020_000, 4, 3, 1, true)
 	answer(2_090_000, 4, trace.Served)
 	ask(15e6, 5, 4, 1, false) // the client gives up: earns 0 of 3
-	recorder.Take(trace.Event{At: 16e6, Kind: trace.Left, Request: 5})
+	recorder.Take(trace.Event{At: 16e6, Kind: trace.RequestAbandoned, Request: 5})
 	result := recorder.End(&checker.Verdict{Counts: checker.Counts{Requests: 5, Served: 3, Rejected: 1, Abandoned: 1}})
 	if want := 4.0 / 8; math.Abs(result.Service-want) > 1e-9 {
 		t.Errorf("service %v, want %v", result.Service, want)
@@ -93,17 +93,17 @@
 			recorder.Take(trace.Event{At: at, Kind: kind, Server: server, Sidecar: sidecar})
 		}
 	}
-	take(100, trace.Probed, 0, 1, 2)
-	take(200, trace.Probed, 0, 2, 3) // 5 probes in one second, by two sidecars
-	take(300, trace.Opened, 1, 1, 4)
-	take(1_200_000, trace.Opened, 1, 2, 2)
-	take(1_300_000, trace.Shut, 1, 3, 1)
-	take(1_400_000, trace.Closed, 1, 1, 1)
-	take(2_100_000, trace.Stopped, 1, 0, 1) // its connections end with the process
-	recorder.Take(trace.Event{At: 2_200_000, Kind: trace.Carried, Server: 1, Warmth: 0.4})
-	recorder.Take(trace.Event{At: 2_300_000, Kind: trace.Called, Sidecar: 1, Work: 20_000})
-	recorder.Take(trace.Event{At: 2_400_000, Kind: trace.Called, Sidecar: 2, Work: 40_000, Verdict: trace.Failed})
-	take(3_500_000, trace.Probed, 9, 1, 1) // no such server: is ignored
+	take(100, trace.ProbeSent, 0, 1, 2)
+	take(200, trace.ProbeSent, 0, 2, 3) // 5 probes in one second, by two sidecars
+	take(300, trace.ConnOpened, 1, 1, 4)
+	take(1_200_000, trace.ConnOpened, 1, 2, 2)
+	take(1_300_000, trace.ConnRefused, 1, 3, 1)
+	take(1_400_000, trace.ConnClosed, 1, 1, 1)
+	take(2_100_000, trace.ServerStopped, 1, 0, 1) // its connections end with the process
+	recorder.Take(trace.Event{At: 2_200_000, Kind: trace.ColdLoad, Server: 1, Warmth: 0.4})
+	recorder.Take(trace.Event{At: 2_300_000, Kind: trace.DiscoveryCalled, Sidecar: 1, Work: 20_000})
+	recorder.Take(trace.Event{At: 2_400_000, Kind: trace.DiscoveryCalled, Sidecar: 2, Work: 40_000, Verdict: trace.Failed})
+	take(3_500_000, trace.ProbeSent, 9, 1, 1) // no such server: is ignored
 	result := recorder.End(&checker.Verdict{})
 	want := map[string]float64{"probes_worst": 5, "probes_mean": 5.0 / 8, "handshakes_worst": 4,
 		"handshakes_mean": 6.0 / 8, "shut_mean": 1.0 / 8,
@@ -136,25 +136,25 @@
 	// and starts at an eighth of that is allowed N = 3 * 2 * 0.125 * 3 / 0.05 = 45 requests at its start.
 	run := func(informed, uninformed int, interval Micros) map[string]float64 {
 		recorder := New(parseScenario(t, "[keep.fleet_most]\nramp_worst = 1.0\nramp_falls_told = 0.5\n"))
-		recorder.Take(trace.Event{At: 7 * second, Kind: trace.Started, Server: 1, Capacity: 2 * second, ColdFrom: 0.125,
+		recorder.Take(trace.Event{At: 7 * second, Kind: trace.ServerStarted, Server: 1, Capacity: 2 * second, ColdFrom: 0.125,
 			ColdFor: 1 << 50})
-		recorder.Take(trace.Event{At: 7 * second, Kind: trace.Told, Server: 1, Sidecar: 1, State: trace.Up,
-			Since: 7 * second})
+		recorder.Take(trace.Event{At: 7 * second, Kind: trace.ServerListed, Server: 1, Sidecar: 1, State: trace.Up,
+			StartedAt: 7 * second})
 		// Sidecar 2 was told of an earlier start.
-		recorder.Take(trace.Event{At: 7 * second, Kind: trace.Told, Server: 1, Sidecar: 2, State: trace.Up,
-			Since: 5 * second})
+		recorder.Take(trace.Event{At: 7 * second, Kind: trace.ServerListed, Server: 1, Sidecar: 2, State: trace.Up,
+			StartedAt: 5 * second})
 		for i := range informed + uninformed {
-			e := trace.Event{At: 8*second + Micros(i)*interval, Kind: trace.Accepted, Server: 1, Sidecar: 1, Request: uint64(i),
+			e := trace.Event{At: 8*second + Micros(i)*interval, Kind: trace.AttemptAccepted, Server: 1, Sidecar: 1, Request: uint64(i),
 				Work: 50_000}
 			if i%2 == 1 {
-				e.Kind = trace.Turned // rejected arrivals count, too
+				e.Kind = trace.AttemptRejected // rejected arrivals count, too
 			}
 			if i >= informed {
 				e.Sidecar = 2
 			}
 			recorder.Take(e)
 		}
-		recorder.Take(trace.Event{At: 20 * second, Kind: trace.Probed, Server: 1, Sidecar: 1})
+		recorder.Take(trace.Event{At: 20 * second, Kind: trace.ProbeSent, Server: 1, Sidecar: 1})
 		result := recorder.End(&checker.Verdict{})
 		if over := result.Figures["ramp_falls"] > 0; over != (len(result.Missed) > 0) {
 			t.Errorf("%d arrivals from informed sidecars and %d from others: %v falls, but missed requirements %q", informed,
--- a/internal/lab/figures/fleet.go
+++ b/internal/lab/figures/fleet.go
@@ -77,14 +77,14 @@
 func (f *fleetRecorder) take(e *trace.Event) {
 	n := int(e.Server)
 	switch e.Kind {
-	case trace.Called:
+	case trace.DiscoveryCalled:
 		f.callsThisSecond++
 		f.callWaits.add(float64(e.Work)/1000, -1, float64(e.At)/1e6)
 		if e.Verdict == trace.Failed {
 			f.failedCalls++
 		}
 		return
-	case trace.Opened, trace.Closed, trace.Probed, trace.Shut, trace.Carried, trace.Stopped:
+	case trace.ConnOpened, trace.ConnClosed, trace.ProbeSent, trace.ConnRefused, trace.ColdLoad, trace.ServerStopped:
 	default:
 		return
 	}
@@ -92,18 +92,18 @@
 		return
 	}
 	switch e.Kind {
-	case trace.Opened:
+	case trace.ConnOpened:
 		f.openConns[n]++
 		f.secondCounts[fleetHandshakes][n]++
-	case trace.Closed:
+	case trace.ConnClosed:
 		f.openConns[n] = max(0, f.openConns[n]-1)
-	case trace.Stopped:
+	case trace.ServerStopped:
 		f.openConns[n] = 0 // the connections end with the process, without an event for each
-	case trace.Probed:
+	case trace.ProbeSent:
 		f.secondCounts[fleetProbes][n]++
-	case trace.Shut:
+	case trace.ConnRefused:
 		f.secondCounts[fleetShut][n]++
-	case trace.Carried:
+	case trace.ColdLoad:
 		f.coldLoad.add(e.Warmth, n, float64(e.At)/1e6)
 	}
 }
--- a/internal/lab/figures/ramp.go
+++ b/internal/lab/figures/ramp.go
@@ -57,7 +57,7 @@
 }
 
 func newRampRecorder(s *scenario.Scenario) rampRecorder {
-	r := rampRecorder{fallMultiple: s.Rules.FallMultiple, overloadWindow: s.Rules.OverloadFor.Micros()}
+	r := rampRecorder{fallMultiple: s.Rules.OverloadMultiple, overloadWindow: s.Rules.OverloadWindow.Micros()}
 	var shares, work float64
 	for i := range s.Classes {
 		shares += s.Classes[i].Share
@@ -85,22 +85,22 @@
 	}
 	c := &r.servers[e.Server]
 	switch e.Kind {
-	case trace.Started:
+	case trace.ServerStarted:
 		r.endColdTime(e.Server)
 		*c = coldServer{cold: e.ColdFor > 0 && e.ColdFrom < 1, startedAt: e.At, capacity: e.Capacity, coldFrom: e.ColdFrom,
 			coldFor:  e.ColdFor,
 			informed: map[int32]bool{}}
-	case trace.Stopped:
+	case trace.ServerStopped:
 		r.endColdTime(e.Server)
-	case trace.Told:
-		if e.State == trace.Released || e.State == trace.Up && e.Since == max(1, c.startedAt) {
+	case trace.ServerListed:
+		if e.State == trace.ReleasedByOperator || e.State == trace.Up && e.StartedAt == max(1, c.startedAt) {
 			c.informed[e.Sidecar] = true
 		}
-	case trace.Probed:
+	case trace.ProbeSent:
 		if c.isCold(e.At) {
 			r.coldProbeWork += r.probeWork[e.Server]
 		}
-	case trace.Accepted, trace.Turned:
+	case trace.AttemptAccepted, trace.AttemptRejected:
 		if c.isCold(e.At) {
 			r.recordArrival(c, e, retry, further)
 		}
--- a/internal/lab/rig/client.go
+++ b/internal/lab/rig/client.go
@@ -97,25 +97,25 @@
 }
 
 // requestText returns a request as it is written to the connection.
-func (p *clientPool) requestText(try *model.Try, id string) string {
+func (p *clientPool) requestText(try *model.Request, id string) string {
 	task := try.Task
 	class := &p.rig.scenario.Classes[task.Class]
 	var b strings.Builder
 	method := "GET"
-	if class.Unsafe {
+	if class.NotIdempotent {
 		method = "POST"
 	}
 	fmt.Fprintf(&b, "%s /%s/%s HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Expires-In-Ms: %d\r\n",
-		method, class.Name, id, id, class.Name, try.Patient/1000)
+		method, class.Name, id, id, class.Name, try.Timeout/1000)
 	if task.Hint > 0 {
 		fmt.Fprintf(&b, "X-Size-Hint: %d\r\n", task.Hint)
 	}
-	if try.Number > 0 && p.rig.scenario.Clients.Marks {
+	if try.Number > 0 && p.rig.scenario.Clients.MarksRetries {
 		b.WriteString("X-Second-Try: 1\r\n")
 	}
-	if class.Unsafe {
+	if class.NotIdempotent {
 		fmt.Fprintf(&b, "Content-Length: %d\r\n\r\n%s",
-			p.rig.scenario.Load.Bodies, strings.Repeat("b", p.rig.scenario.Load.Bodies))
+			p.rig.scenario.Load.BodyBytes, strings.Repeat("b", p.rig.scenario.Load.BodyBytes))
 	} else {
 		b.WriteString("\r\n")
 	}
@@ -124,21 +124,21 @@
 
 // send sends a request, waits for its answer and reports the outcome to the world. The world reports a request that
 // timed out or was abandoned by itself.
-func (p *clientPool) send(try *model.Try, request *clientRequest) {
+func (p *clientPool) send(try *model.Request, request *clientRequest) {
 	id := fmt.Sprintf("%016x", try.ID)
 	r := p.rig
 	stop := context.AfterFunc(r.ctx, request.abandon) // the end of the run must not wait for answers
 	defer stop()
 	reportCut := func(unread bool) {
 		endedAt := time.Now()
-		r.post(func() { r.world.CutOff(try, r.queueTime(endedAt), unread) })
+		r.post(func() { r.world.ConnectionClosed(try, r.queueTime(endedAt), unread) })
 	}
 	select {
 	case p.connSemaphore <- struct{}{}:
 		defer func() { <-p.connSemaphore }()
 	case <-r.ctx.Done():
 		return
-	case <-time.After(time.Duration(try.Patient) * time.Microsecond):
+	case <-time.After(time.Duration(try.Timeout) * time.Microsecond):
 		return // all connections are in use until the request times out, which the model reports
 	}
 	conn, reused, err := p.get()
@@ -190,11 +190,11 @@
 	switch response.StatusCode {
 	case http.StatusOK:
 		verdict = trace.Foreign
-		if string(received) == answerBody(id, r.scenario.Load.Answer) {
+		if string(received) == answerBody(id, r.scenario.Load.AnswerBytes) {
 			verdict = trace.Served
 		}
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		verdict = trace.Refused
+		verdict = trace.Rejected
 		if seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); err == nil && seconds >= 0 {
 			retryAfter = min(time.Duration(seconds*float64(time.Second)), time.Minute)
 		}
--- a/internal/lab/rig/discovery.go
+++ b/internal/lab/rig/discovery.go
@@ -53,7 +53,7 @@
 		switch entry.State {
 		case trace.Draining:
 			listed.Lifecycle = "draining"
-		case trace.Gone:
+		case trace.Removed:
 			listed.Lifecycle = "removed"
 		}
 		if entry.Started > 0 {
@@ -67,7 +67,7 @@
 // watchEvent is an update to send on a watch, or the end of the watch.
 type watchEvent struct {
 	update    model.Update
-	onSent    model.Told // called on the queue's goroutine once the update has been sent
+	onSent    model.UpdateSent // called on the queue's goroutine once the update has been sent
 	endsWatch bool
 }
 
@@ -108,7 +108,7 @@
 	firstList := make(chan instanceList, 1)
 	failed := make(chan struct{}, 1)
 	r.post(func() {
-		r.world.Disc.Call(d.sidecar, afterGeneration, isWatch, func(update model.Update, ok bool) {
+		r.world.Discovery.Call(d.sidecar, afterGeneration, isWatch, func(update model.Update, ok bool) {
 			if !ok {
 				failed <- struct{}{}
 				return
@@ -125,7 +125,7 @@
 	defer r.post(func() {
 		if d.watch == events {
 			d.watch = nil
-			r.world.Disc.Unwatch(d.sidecar)
+			r.world.Discovery.Unwatch(d.sidecar)
 		}
 	})
 	encoder := json.NewEncoder(w)
--- a/internal/lab/rig/process.go
+++ b/internal/lab/rig/process.go
@@ -77,7 +77,7 @@
 func (h *sidecarHost) writeConfig(mgmt string) (string, error) {
 	r := h.rig
 	h.starts++
-	known := r.discoveryList(h.number, r.world.Disc.Whole(h.number))
+	known := r.discoveryList(h.number, r.world.Discovery.FullList(h.number))
 	text, err := json.Marshal(map[string]any{
 		"name":      fmt.Sprintf("n%d", h.number),
 		"listen":    h.addr,
@@ -107,7 +107,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if h.current == nil && h.previous == nil && h.rig.scenario.Fleet.Recall != "kept" {
+	if h.current == nil && h.previous == nil && h.rig.scenario.Fleet.StateTransfer != "kept" {
 		// The platform gives a process an empty folder, unless it starts while another one runs.
 		if err := os.RemoveAll(h.tempDir()); err != nil {
 			return nil, err
@@ -287,7 +287,7 @@
 	p.signal(syscall.SIGTERM)
 	longest := 3 * time.Second
 	for i := range h.rig.scenario.Classes {
-		longest = max(longest, time.Duration(h.rig.scenario.Classes[i].GiveUp))
+		longest = max(longest, time.Duration(h.rig.scenario.Classes[i].Timeout))
 	}
 	select {
 	case <-p.ended:
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -59,7 +59,7 @@
 	wg          sync.WaitGroup
 
 	// The fields below are used only on the queue's goroutine.
-	tries       map[uint64]*model.Try
+	tries       map[uint64]*model.Request
 	requested   int
 	voidReason  string
 	incidents   []string
@@ -71,12 +71,12 @@
 // Run runs a scenario and returns its result. Its error is a fault of the lab or of its context. All processes and
 // listeners have ended when it returns.
 func Run(ctx context.Context, sc *scenario.Scenario, opts Options) (*figures.Result, error) {
-	if links := sc.Fleet.Sidecars * sc.Total(); links > maxLinks {
+	if links := sc.Fleet.Sidecars * sc.ServerCount(); links > maxLinks {
 		return nil, fmt.Errorf("%s: %d links from sidecars to servers exceed the maximum of %d on sockets: use lab sim",
 			sc.Path, links, maxLinks)
 	}
 	startedAt := time.Now()
-	r := &rig{scenario: sc, bin: opts.Bin, dir: opts.Dir, tries: map[uint64]*model.Try{}}
+	r := &rig{scenario: sc, bin: opts.Bin, dir: opts.Dir, tries: map[uint64]*model.Request{}}
 	r.ctx, r.cancel = context.WithCancelCause(ctx)
 	if r.dir == "" {
 		dir, err := os.MkdirTemp("", "birchmoor-lab-")
@@ -202,7 +202,7 @@
 			rig:           r,
 			sidecar:       n,
 			addr:          host.addr,
-			connSemaphore: make(chan struct{}, r.scenario.Clients.Conns),
+			connSemaphore: make(chan struct{}, r.scenario.Clients.MaxConns),
 		})
 		if host.current, err = host.start(); err != nil {
 			return err
@@ -274,20 +274,20 @@
 
 // ---- Actions of the world, as model.Host -----------------------------------
 
-// Ask sends a client's request.
-func (r *rig) Ask(try *model.Try) {
+// SendRequest sends a client's request.
+func (r *rig) SendRequest(try *model.Request) {
 	r.requested++
 	request := &clientRequest{}
-	try.Host = request
+	try.HostState = request
 	r.tries[try.ID] = try
 	pool := r.clients[try.Task.Sidecar]
 	r.wg.Go(func() { pool.send(try, request) })
 	r.queue.After(60*eventqueue.Second, func() { delete(r.tries, try.ID) })
 }
 
-// GiveUp closes the connection of a client that no longer waits for its answer.
-func (r *rig) GiveUp(try *model.Try) {
-	if request, ok := try.Host.(*clientRequest); ok {
+// AbandonRequest closes the connection of a client that no longer waits for its answer.
+func (r *rig) AbandonRequest(try *model.Request) {
+	if request, ok := try.HostState.(*clientRequest); ok {
 		request.abandon()
 	}
 }
@@ -302,23 +302,23 @@
 // ServerStopped resets a server's connections and refuses new ones.
 func (r *rig) ServerStopped(server int) { r.servers[server].stop() }
 
-// Update sends an update of discovery on a sidecar's watch.
-func (r *rig) Update(sidecar int, update model.Update, onSent model.Told) {
+// SendUpdate sends an update of discovery on a sidecar's watch.
+func (r *rig) SendUpdate(sidecar int, update model.Update, onSent model.UpdateSent) {
 	r.discoveries[sidecar].sendEvent(watchEvent{update: update, onSent: onSent})
 }
 
 // WatchEnded ends a sidecar's watch.
 func (r *rig) WatchEnded(sidecar int) { r.discoveries[sidecar].sendEvent(watchEvent{endsWatch: true}) }
 
-// Operate sets an operator's drain of a server at all sidecars, or ends it.
-func (r *rig) Operate(server int, excluded bool) {
-	line, state := "maint-off ", trace.Released
+// SetAdministrativeDrain sets an operator's drain of a server at all sidecars, or ends it.
+func (r *rig) SetAdministrativeDrain(server int, excluded bool) {
+	line, state := "maint-off ", trace.ReleasedByOperator
 	if excluded {
-		line, state = "maint-on ", trace.Banned
+		line, state = "maint-on ", trace.DrainedByOperator
 	}
 	line += r.world.Servers[server].Name
 	for _, host := range r.sidecars {
-		event := trace.Event{Kind: trace.Told, Sidecar: int32(host.number), Server: int32(server), State: state}
+		event := trace.Event{Kind: trace.ServerListed, Sidecar: int32(host.number), Server: int32(server), State: state}
 		p := host.current
 		if p == nil {
 			p = host.previous
@@ -345,9 +345,9 @@
 	}
 }
 
-// Fault begins or ends the injection of a fault on links or sidecars.
-func (r *rig) Fault(fault *scenario.Fault, active bool) {
-	if fault.OnLinks() {
+// SetFault begins or ends the injection of a fault on links or sidecars.
+func (r *rig) SetFault(fault *scenario.Fault, active bool) {
+	if fault.AffectsLinks() {
 		for _, link := range r.world.Links(fault) {
 			r.linkFault(r.servers[link[1]].links[link[0]], fault, active)
 		}
@@ -387,7 +387,7 @@
 		if !active {
 			return
 		}
-		end, interval := r.queue.Now()+fault.For.Micros(), fault.Every.Micros()
+		end, interval := r.queue.Now()+fault.Duration.Micros(), fault.Interval.Micros()
 		var resetRepeatedly func()
 		resetRepeatedly = func() {
 			link.Reset()
@@ -403,7 +403,7 @@
 	recordState := func(state trace.State) {
 		r.sink.Take(trace.Event{
 			At:      r.queue.Now(),
-			Kind:    trace.Killed,
+			Kind:    trace.SidecarStateChanged,
 			Sidecar: int32(host.number),
 			State:   state,
 			Note:    fault.Kind,
@@ -414,13 +414,13 @@
 	case fault.Kind == "upgrade" && active:
 		host.upgrade()
 	case fault.Kind == "freeze" && active && p != nil:
-		recordState(trace.Gone)
+		recordState(trace.Removed)
 		p.signal(syscall.SIGSTOP)
 	case fault.Kind == "freeze" && p != nil:
 		p.signal(syscall.SIGCONT)
 		r.queue.After(eventqueue.Second, func() { recordState(trace.Up) })
 	case fault.Kind == "kill" && active && p != nil:
-		recordState(trace.Gone)
+		recordState(trace.Removed)
 		p.endExpected = true
 		host.kills.Add(1)
 		p.signal(syscall.SIGKILL)
--- a/internal/lab/rig/rig_test.go
+++ b/internal/lab/rig/rig_test.go
@@ -119,7 +119,7 @@
 	var mu sync.Mutex
 	requested := map[uint64]trace.Event{}
 	result := runScenario(t, parseSmallScenario(t, "1s", ""), trace.Func(func(e trace.Event) {
-		if e.Kind == trace.Asked && !e.Retry {
+		if e.Kind == trace.RequestSent && !e.Retry {
 			mu.Lock()
 			defer mu.Unlock()
 			requested[e.Task] = e
@@ -171,7 +171,7 @@
 		parseSmallScenario(t, "1h", "[[fault]]\nkind = \"upgrade\"\nat = \"100ms\"\nfor = \"1s\"\n"), Options{
 			Bin: program,
 			Sinks: []trace.Sink{trace.Func(func(e trace.Event) {
-				if e.Kind == trace.Answered {
+				if e.Kind == trace.RequestAnswered {
 					once.Do(cancel)
 				}
 			})}})
--- a/internal/lab/rig/server.go
+++ b/internal/lab/rig/server.go
@@ -44,16 +44,16 @@
 			return nil, err
 		}
 		created.innerListeners = append(created.innerListeners, listener)
-		meanDelay := r.scenario.Net.Same
+		meanDelay := r.scenario.Net.SameZoneDelay
 		if server.Zone != r.world.SidecarZone(sidecar) {
-			meanDelay = r.scenario.Net.Cross
+			meanDelay = r.scenario.Net.CrossZoneDelay
 		}
 		link := relay.New(listener.Addr().String(), uint64(sidecar)<<32|uint64(server.Number),
 			relay.Conditions{
 				Delay:            time.Duration(meanDelay),
 				Jitter:           r.scenario.Net.Jitter,
-				StallProbability: r.scenario.Net.Stalls,
-				MaxStall:         time.Duration(r.scenario.Net.Stall),
+				StallProbability: r.scenario.Net.StallShare,
+				MaxStall:         time.Duration(r.scenario.Net.MaxStall),
 			})
 		created.links = append(created.links, link)
 		created.addrs = append(created.addrs, address.Next())
@@ -178,7 +178,7 @@
 	case <-r.ctx.Done():
 		return
 	}
-	idleTimeout := time.Duration(server.model.Spec.Idle)
+	idleTimeout := time.Duration(server.model.Spec.IdleTimeout)
 	for {
 		c.SetReadDeadline(time.Now().Add(idleTimeout))
 		if _, err := c.reader.Peek(1); err != nil {
@@ -229,27 +229,27 @@
 		try := r.tries[id]
 		if try == nil {
 			r.voidRun("a server was sent a request that no client has sent: %s", idText)
-			done <- jobResult{outcome: model.Broken}
+			done <- jobResult{outcome: model.ConnectionBroken}
 			return
 		}
 		crossZone := server.model.Zone != r.world.SidecarZone(c.sidecar)
-		oneWayDelay := r.scenario.Net.Same
+		oneWayDelay := r.scenario.Net.SameZoneDelay
 		if crossZone {
-			oneWayDelay = r.scenario.Net.Cross
+			oneWayDelay = r.scenario.Net.CrossZoneDelay
 		}
 		r.sink.Take(trace.Event{
-			At:      r.queueTime(firstByteAt) - oneWayDelay.Micros(),
-			Kind:    trace.Sent,
-			Sidecar: int32(c.sidecar),
-			Server:  int32(server.model.Number),
-			Request: id,
-			Class:   uint8(try.Task.Class),
-			Cross:   crossZone,
+			At:        r.queueTime(firstByteAt) - oneWayDelay.Micros(),
+			Kind:      trace.AttemptSent,
+			Sidecar:   int32(c.sidecar),
+			Server:    int32(server.model.Number),
+			Request:   id,
+			Class:     uint8(try.Task.Class),
+			CrossZone: crossZone,
 		})
 		if c.overCap {
 			r.sink.Take(trace.Event{
 				At:      r.queue.Now(),
-				Kind:    trace.Turned,
+				Kind:    trace.AttemptRejected,
 				Sidecar: int32(c.sidecar),
 				Server:  int32(server.model.Number),
 				Request: id,
@@ -260,7 +260,7 @@
 			return
 		}
 		if c.serverStarts != server.model.Starts || !server.model.Running {
-			done <- jobResult{outcome: model.Broken}
+			done <- jobResult{outcome: model.ConnectionBroken}
 			return
 		}
 		job = &model.Job{Request: id, Class: try.Task.Class, Sidecar: c.sidecar, Work: float64(try.Task.Work),
@@ -291,9 +291,9 @@
 		return false
 	}
 	switch result.outcome {
-	case model.Good:
-		err = c.answer(http.StatusOK, r.loadReportHeader(result.load), answerBody(idText, r.scenario.Load.Answer))
-	case model.Bad:
+	case model.Succeeded:
+		err = c.answer(http.StatusOK, r.loadReportHeader(result.load), answerBody(idText, r.scenario.Load.AnswerBytes))
+	case model.Errored:
 		err = c.answer(http.StatusInternalServerError, r.loadReportHeader(result.load), "error")
 	case model.NeverRan:
 		err = c.answer(http.StatusServiceUnavailable, append(r.loadReportHeader(result.load), "X-Never-Ran: 1"), "full")
@@ -329,7 +329,7 @@
 	r.post(func() {
 		r.sink.Take(trace.Event{
 			At:      r.queue.Now(),
-			Kind:    trace.Probed,
+			Kind:    trace.ProbeSent,
 			Sidecar: int32(c.sidecar),
 			Server:  int32(server.model.Number),
 		})
