--- a/cmd/birchmoor/storebench.go
+++ b/cmd/birchmoor/storebench.go
@@ -68,7 +68,7 @@
 	if err != nil {
 		return err
 	}
-	torture := storebench.Torture{
+	torture := storebench.FaultRun{
 		Program:       self,
 		Args:          []string{"run", "--config"},
 		Dir:           k.Dir,
--- a/cmd/birchmoor/storefleet.go
+++ b/cmd/birchmoor/storefleet.go
@@ -72,7 +72,7 @@
 	defer fleet.End()
 	loadCtx, stopLoad := context.WithCancel(ctx)
 	clients := fleet.Load(loadCtx, k.Conns, k.Pause)
-	torture := fleetlab.Torture{
+	torture := fleetlab.FaultRun{
 		Fleet:         fleet,
 		Duration:      k.Duration,
 		FaultInterval: k.FaultInterval,
--- a/internal/lab/fleetlab/torture.go
+++ b/internal/lab/fleetlab/torture.go
@@ -11,7 +11,7 @@
 	"birchmoor/internal/lab/relay"
 )
 
-// Torture drains and restarts servers under load, while daemons are killed with SIGKILL, one or all at once, and
+// FaultRun drains and restarts servers under load, while daemons are killed with SIGKILL, one or all at once, and
 // replicas are cut off from each other. It judges three rules by the requests that reach the servers:
 //
 //   - A daemon that is known to have learnt of a drain sends no more requests to the draining process, even after the
@@ -21,7 +21,7 @@
 //     the report.
 //   - After all daemons have run undisturbed for CalmPeriod, no daemon sends a request to a process that drains,
 //     whatever was killed before.
-type Torture struct {
+type FaultRun struct {
 	Fleet         *Fleet
 	Duration      time.Duration
 	FaultInterval time.Duration // mean interval between two faults
@@ -37,8 +37,8 @@
 	attemptGrace   = 300 * time.Millisecond // for attempts in flight when a daemon learns of a drain
 )
 
-// TortureResult is the result of a Torture.
-type TortureResult struct {
+// FaultRunResult is the result of a Torture.
+type FaultRunResult struct {
 	Drains            int      `json:"drains"`
 	UndisturbedDrains int      `json:"judged"` // drains reported after calmBefore without a disturbance
 	Starts            int      `json:"starts"` // of servers
@@ -73,8 +73,8 @@
 type disturbance struct{ from, to time.Time }
 
 // Run runs for t.Duration. The caller must load the fleet meanwhile.
-func (t *Torture) Run(ctx context.Context) (*TortureResult, error) {
-	result := &TortureResult{drains: map[serverStart]*reportedDrain{}}
+func (t *FaultRun) Run(ctx context.Context) (*FaultRunResult, error) {
+	result := &FaultRunResult{drains: map[serverStart]*reportedDrain{}}
 	ctx, cancel := context.WithTimeout(ctx, t.Duration)
 	defer cancel()
 	for _, s := range t.Fleet.Servers {
@@ -98,7 +98,7 @@
 }
 
 // judgeArrival judges a request that reached a server. It is called for each of them, by several goroutines.
-func (r *TortureResult) judgeArrival(server int, arrival Arrival) {
+func (r *FaultRunResult) judgeArrival(server int, arrival Arrival) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Requests++
@@ -130,14 +130,14 @@
 }
 
 // isUndisturbed reports whether no fault was injected in a time. The caller must hold the mutex.
-func (r *TortureResult) isUndisturbed(from, to time.Time) bool {
+func (r *FaultRunResult) isUndisturbed(from, to time.Time) bool {
 	return !slices.ContainsFunc(r.disturbances, func(disturbed disturbance) bool {
 		return disturbed.from.Before(to) && (disturbed.to.IsZero() || disturbed.to.After(from))
 	})
 }
 
 // beginDisturbance records the start of a fault. The function that it returns records the end.
-func (r *TortureResult) beginDisturbance() func() {
+func (r *FaultRunResult) beginDisturbance() func() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.disturbances = append(r.disturbances, disturbance{from: time.Now()})
@@ -150,7 +150,7 @@
 }
 
 // watchKnownDrains polls a daemon for the drains that it knows of, and records when it learns of each.
-func (t *Torture) watchKnownDrains(ctx context.Context, result *TortureResult, daemon *Daemon) {
+func (t *FaultRun) watchKnownDrains(ctx context.Context, result *FaultRunResult, daemon *Daemon) {
 	numbers := map[string]int{}
 	for _, server := range t.Fleet.Servers {
 		numbers[server.Instance().ID] = server.Number
@@ -176,7 +176,7 @@
 }
 
 // drainAndRestart drains servers at random, reports each drain to one daemon first, and restarts the servers.
-func (t *Torture) drainAndRestart(ctx context.Context, result *TortureResult) {
+func (t *FaultRun) drainAndRestart(ctx context.Context, result *FaultRunResult) {
 	rng := rand.New(rand.NewPCG(t.Seed, 1))
 	drainEnds := map[int]time.Time{}
 	wait := func(minDelay, maxDelay time.Duration) bool {
@@ -242,7 +242,7 @@
 }
 
 // injectFaults kills daemons and cuts replicas off from each other at random.
-func (t *Torture) injectFaults(ctx context.Context, result *TortureResult) error {
+func (t *FaultRun) injectFaults(ctx context.Context, result *FaultRunResult) error {
 	rng := rand.New(rand.NewPCG(t.Seed, 2))
 	replicas := t.Fleet.Daemons[:t.Fleet.cfg.Replicas]
 	for round := 0; ; round++ {
--- a/internal/lab/storebench/torture.go
+++ b/internal/lab/storebench/torture.go
@@ -21,10 +21,10 @@
 	"birchmoor/internal/store/admin"
 )
 
-// Torture runs three replicas as processes under concurrent writers and readers. Meanwhile it kills one replica or all
+// FaultRun runs three replicas as processes under concurrent writers and readers. Meanwhile it kills one replica or all
 // with SIGKILL, or cuts one off from the messages of the others. It checks that no write that was answered is lost, and
 // that reads are linearizable.
-type Torture struct {
+type FaultRun struct {
 	Program       string   // runs a replica
 	Args          []string // of Program, before the operator file
 	Dir           string   // parent of the temporary folder
@@ -35,8 +35,8 @@
 	Progress      func(string) // called with the progress after each kill; may be nil
 }
 
-// TortureResult is the result of a Torture.
-type TortureResult struct {
+// FaultRunResult is the result of a Torture.
+type FaultRunResult struct {
 	Kills          int      `json:"kills"` // of processes
 	Cuts           int      `json:"cuts"`  // silent losses of all messages to one replica
 	KillsOfAll     int      `json:"all_at_once"`
@@ -56,7 +56,7 @@
 
 func (p *process) socket() string { return filepath.Join(p.dir, "s.sock") }
 
-func (t *Torture) start(p *process) error {
+func (t *FaultRun) start(p *process) error {
 	logFile, err := os.OpenFile(filepath.Join(p.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
@@ -76,7 +76,7 @@
 }
 
 // Run starts the replicas, and injects faults for t.Duration.
-func (t *Torture) Run(ctx context.Context) (result TortureResult, err error) {
+func (t *FaultRun) Run(ctx context.Context) (result FaultRunResult, err error) {
 	if t.FaultInterval == 0 {
 		t.FaultInterval = 2 * time.Second
 	}
@@ -116,7 +116,7 @@
 }
 
 // prepare writes the keys and the operator file of a replica, and returns it with its address for other replicas.
-func (t *Torture) prepare(dir string, number int) (*process, string, error) {
+func (t *FaultRun) prepare(dir string, number int) (*process, string, error) {
 	p := &process{name: fmt.Sprintf("r%d", number), dir: filepath.Join(dir, fmt.Sprintf("r%d", number))}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -139,7 +139,7 @@
 }
 
 // addReplica adds a started replica to the cluster, and waits until it votes.
-func (t *Torture) addReplica(ctx context.Context, processes []*process, number int, addr string) error {
+func (t *FaultRun) addReplica(ctx context.Context, processes []*process, number int, addr string) error {
 	ctx, cancel := context.WithTimeout(ctx, 30*time.Second)
 	defer cancel()
 	added := number == 0
@@ -162,7 +162,7 @@
 
 // runLoad writes, reads and injects faults for t.Duration. Then it checks that every key has the last value whose write
 // was answered.
-func (t *Torture) runLoad(ctx context.Context, processes []*process, result *TortureResult) {
+func (t *FaultRun) runLoad(ctx context.Context, processes []*process, result *FaultRunResult) {
 	loadCtx, cancel := context.WithTimeout(ctx, t.Duration)
 	defer cancel()
 	var mu sync.Mutex
