--- a/internal/lab/chain/chain.go
+++ b/internal/lab/chain/chain.go
@@ -61,30 +61,30 @@
 func (o *Options) Calls() int { return int(o.Rate*o.Duration.Seconds() + 0.5) }
 
 // Check returns an error for the first invalid option, with its flag and value.
-func (options *Options) Check() error {
-	_, err := ClassIdempotency(options.Class)
+func (o *Options) Check() error {
+	_, err := ClassIdempotency(o.Class)
 	switch {
-	case options.Depth < 1 || options.Depth > maxDepth:
-		return fmt.Errorf("--depth: %d is not within 1 and %d", options.Depth, maxDepth)
-	case options.Servers < 1 || options.Servers > maxServers:
-		return fmt.Errorf("--servers: %d is not within 1 and %d", options.Servers, maxServers)
-	case !(options.Rate > 0 && options.Rate <= maxRate):
-		return fmt.Errorf("--rate: %v is not above 0 and at most %d", options.Rate, maxRate)
-	case options.Duration <= 0 || options.Duration > time.Hour:
-		return fmt.Errorf("--for: %v is not above 0 and at most 1h", options.Duration)
-	case options.Calls() < 1 || options.Calls() > maxCalls:
-		return fmt.Errorf("--for: %v at --rate %v are %d calls, not within 1 and %d", options.Duration, options.Rate,
-			options.Calls(), maxCalls)
-	case options.WarmUp < 0 || options.WarmUp > time.Minute:
-		return fmt.Errorf("--warm: %v is not within 0 and 1m", options.WarmUp)
-	case options.Attempts < 1 || options.Attempts > maxAttempts:
-		return fmt.Errorf("--attempts: %d is not within 1 and %d", options.Attempts, maxAttempts)
+	case o.Depth < 1 || o.Depth > maxDepth:
+		return fmt.Errorf("--depth: %d is not within 1 and %d", o.Depth, maxDepth)
+	case o.Servers < 1 || o.Servers > maxServers:
+		return fmt.Errorf("--servers: %d is not within 1 and %d", o.Servers, maxServers)
+	case !(o.Rate > 0 && o.Rate <= maxRate):
+		return fmt.Errorf("--rate: %v is not above 0 and at most %d", o.Rate, maxRate)
+	case o.Duration <= 0 || o.Duration > time.Hour:
+		return fmt.Errorf("--for: %v is not above 0 and at most 1h", o.Duration)
+	case o.Calls() < 1 || o.Calls() > maxCalls:
+		return fmt.Errorf("--for: %v at --rate %v are %d calls, not within 1 and %d", o.Duration, o.Rate,
+			o.Calls(), maxCalls)
+	case o.WarmUp < 0 || o.WarmUp > time.Minute:
+		return fmt.Errorf("--warm: %v is not within 0 and 1m", o.WarmUp)
+	case o.Attempts < 1 || o.Attempts > maxAttempts:
+		return fmt.Errorf("--attempts: %d is not within 1 and %d", o.Attempts, maxAttempts)
 	case err != nil:
 		return err
-	case options.LeafFailure != "" && !slices.Contains(LeafFailures, options.LeafFailure):
-		return fmt.Errorf("--how: %q is none of %v", string(options.LeafFailure), LeafFailures)
-	case !(options.FailureShare >= 0 && options.FailureShare <= 1):
-		return fmt.Errorf("--share: %v is not within 0 and 1", options.FailureShare)
+	case o.LeafFailure != "" && !slices.Contains(LeafFailures, o.LeafFailure):
+		return fmt.Errorf("--how: %q is none of %v", string(o.LeafFailure), LeafFailures)
+	case !(o.FailureShare >= 0 && o.FailureShare <= 1):
+		return fmt.Errorf("--share: %v is not within 0 and 1", o.FailureShare)
 	}
 	return nil
 }
@@ -257,7 +257,7 @@
 
 // scenario returns the scenario from which the sidecars' settings are derived, for so many sidecars of the same
 // servers.
-func (options *Options) scenario(sidecars int) (*scenario.Scenario, error) {
+func (o *Options) scenario(sidecars int) (*scenario.Scenario, error) {
 	scen, err := scenario.Parse("chain", []byte(`name = "chain"
 [fleet]
 sidecars = 1
@@ -283,7 +283,7 @@
 			"target":  500_000,
 			"give-up": rootTimeoutMillis * 1000, "credit": 1.0, "late-value": 0.0, "stream": false})
 	}
-	scen.Overlay = map[string]any{"limits": map[string]any{"most-tries": options.Attempts}, "classes": classes}
+	scen.Overlay = map[string]any{"limits": map[string]any{"most-tries": o.Attempts}, "classes": classes}
 	return scen, nil
 }
 
@@ -313,28 +313,28 @@
 
 // newResult returns the result of a run that has not begun, with the bounds by the formulas for so many sidecars per
 // level.
-func (options *Options) newResult(sidecars int) *Result {
-	result := &Result{Clock: "processes", Depth: options.Depth, Servers: options.Servers, Rate: options.Rate,
-		Calls: options.Calls(), Attempts: options.Attempts, Class: options.Class, LeafFailure: options.LeafFailure,
-		FailureShare: options.FailureShare, Answers: map[string]int{}, LeafAttemptsBound: 1,
-		BudgetedLeafAttempts: float64(options.Calls()), SteadyLeafAttempts: 1}
-	if idempotency := Classes[options.Class]; options.LeafFailure != "" {
-		result.LeafAttemptsBound, result.SteadyLeafAttempts = MaxLeafAttempts(idempotency, options.LeafFailure,
-			options.Attempts, options.Depth), SteadyLeafAttempts(idempotency,
-			options.LeafFailure, options.Attempts, options.Depth)
-		result.BudgetedLeafAttempts = BudgetedLeafAttempts(idempotency, options.LeafFailure, options.Attempts, options.Depth,
-			options.Calls(), sidecars)
+func (o *Options) newResult(sidecars int) *Result {
+	result := &Result{Clock: "processes", Depth: o.Depth, Servers: o.Servers, Rate: o.Rate,
+		Calls: o.Calls(), Attempts: o.Attempts, Class: o.Class, LeafFailure: o.LeafFailure,
+		FailureShare: o.FailureShare, Answers: map[string]int{}, LeafAttemptsBound: 1,
+		BudgetedLeafAttempts: float64(o.Calls()), SteadyLeafAttempts: 1}
+	if idempotency := Classes[o.Class]; o.LeafFailure != "" {
+		result.LeafAttemptsBound, result.SteadyLeafAttempts = MaxLeafAttempts(idempotency, o.LeafFailure,
+			o.Attempts, o.Depth), SteadyLeafAttempts(idempotency,
+			o.LeafFailure, o.Attempts, o.Depth)
+		result.BudgetedLeafAttempts = BudgetedLeafAttempts(idempotency, o.LeafFailure, o.Attempts, o.Depth,
+			o.Calls(), sidecars)
 	}
 	return result
 }
 
 // setLeafAttempts sets the maximum and the mean of the attempts at the leaf for each call of the root.
-func (result *Result) setLeafAttempts(counts iter.Seq[uint64]) {
+func (r *Result) setLeafAttempts(counts iter.Seq[uint64]) {
 	sum := uint64(0)
 	for attempts := range counts {
-		sum, result.MaxLeafAttempts = sum+attempts, max(result.MaxLeafAttempts, attempts)
+		sum, r.MaxLeafAttempts = sum+attempts, max(r.MaxLeafAttempts, attempts)
 	}
-	result.MeanLeafAttempts = float64(sum) / float64(result.Calls)
+	r.MeanLeafAttempts = float64(sum) / float64(r.Calls)
 }
 
 // runCalls makes the root's calls at their times and returns the result. Unless the leaf fails, each call is made
--- a/internal/lab/chain/process.go
+++ b/internal/lab/chain/process.go
@@ -88,31 +88,31 @@
 }
 
 // stop ends the process and its group, by SIGTERM and then by SIGKILL.
-func (process *sidecar) stop() {
-	if process == nil {
+func (s *sidecar) stop() {
+	if s == nil {
 		return
 	}
 	for _, signal := range []syscall.Signal{syscall.SIGTERM, syscall.SIGKILL} {
 		select {
-		case <-process.ended:
+		case <-s.ended:
 			return
 		default:
-			syscall.Kill(-process.cmd.Process.Pid, signal)
+			syscall.Kill(-s.cmd.Process.Pid, signal)
 		}
 		select {
-		case <-process.ended:
+		case <-s.ended:
 		case <-time.After(stopTimeout):
 		}
 	}
 }
 
 // waitReady waits until the process reports that it is ready, or returns an error when it ends or the timeout is over.
-func (process *sidecar) waitReady(ctx context.Context) error {
+func (s *sidecar) waitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
 	for {
-		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+process.addr+"/-/ready", nil)
+		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.addr+"/-/ready", nil)
 		if err != nil {
 			return err
 		}
@@ -124,8 +124,8 @@
 		}
 		select {
 		case <-time.After(readyPollInterval):
-		case <-process.ended:
-			text, _ := os.ReadFile(process.logFile)
+		case <-s.ended:
+			text, _ := os.ReadFile(s.logFile)
 			return fmt.Errorf("a sidecar ended before it was ready: %s", strings.TrimSpace(string(text)))
 		case <-ctx.Done():
 			return fmt.Errorf("a sidecar is not ready: %w", ctx.Err())
@@ -166,6 +166,6 @@
 	return figures
 }
 
-func (p *sidecar) cpu() time.Duration { return procfs.CPU(p.cmd.Process.Pid) }
+func (s *sidecar) cpu() time.Duration { return procfs.CPU(s.cmd.Process.Pid) }
 
-func (p *sidecar) rss() float64 { return procfs.MB(p.cmd.Process.Pid, "VmRSS") }
+func (s *sidecar) rss() float64 { return procfs.MB(s.cmd.Process.Pid, "VmRSS") }
--- a/internal/lab/chain/virtual.go
+++ b/internal/lab/chain/virtual.go
@@ -226,20 +226,20 @@
 }
 
 // serve is the application of a level: it calls the next level, or answers or fails as the leaf.
-func (run *virtual) serve(level int, server uint32, caller *virtualCall, timeLeft int64, answer func(balancer.Status)) {
-	figures := &run.result.Levels[level]
+func (v *virtual) serve(level int, server uint32, caller *virtualCall, timeLeft int64, answer func(balancer.Status)) {
+	figures := &v.result.Levels[level]
 	figures.Attempts++
-	run.timeLeftSums[level] += timeLeft
+	v.timeLeftSums[level] += timeLeft
 	figures.TimeLeftMin, figures.TimeLeftMax = min(figures.TimeLeftMin, timeLeft), max(figures.TimeLeftMax, timeLeft)
 	if timeLeft >= caller.callerLeft {
 		figures.NotReduced++
 	}
-	if level < run.options.Depth-1 {
-		run.nodes[level+1][server].accept(caller.rootCall, timeLeft, func(code int) {
+	if level < v.options.Depth-1 {
+		v.nodes[level+1][server].accept(caller.rootCall, timeLeft, func(code int) {
 			switch {
 			case code == 200:
 				answer(balancer.OK)
-			case code == 503 && run.options.Class != "look":
+			case code == 503 && v.options.Class != "look":
 				answer(balancer.Rejected)
 			default:
 				answer(balancer.Error)
@@ -247,10 +247,10 @@
 		})
 		return
 	}
-	run.leafAttempts[caller.rootCall]++
+	v.leafAttempts[caller.rootCall]++
 	status := balancer.OK
-	if run.options.LeafFailure != "" && run.failures.Float64() < run.options.FailureShare {
-		switch run.options.LeafFailure {
+	if v.options.LeafFailure != "" && v.failures.Float64() < v.options.FailureShare {
+		switch v.options.LeafFailure {
 		case LeafErrors:
 			status = balancer.Error
 		case LeafRejects:
@@ -259,7 +259,7 @@
 			return
 		}
 	}
-	run.queue.After(leafMicros, func() { answer(status) })
+	v.queue.After(leafMicros, func() { answer(status) })
 }
 
 // Reject answers a request with 503.
