--- a/cmd/birchmoor/dnsquery.go
+++ b/cmd/birchmoor/dnsquery.go
@@ -134,7 +134,8 @@
 	}
 	for _, option := range opt.Option {
 		if extendedError, ok := option.(*dns.EDNS0_EDE); ok {
-			answer.Extended = append(answer.Extended, fmt.Sprintf("%d %s", extendedError.InfoCode, extendedError.ExtraText))
+			answer.Extended = append(answer.Extended,
+				fmt.Sprintf("%d %s", extendedError.InfoCode, extendedError.ExtraText))
 		}
 	}
 	return answer
--- a/cmd/birchmoor/drain_test.go
+++ b/cmd/birchmoor/drain_test.go
@@ -205,7 +205,8 @@
 			}
 			d.sendRequests(t, 100)
 			if got := drained.count(d.name); got != before[d.name] {
-				t.Errorf("%s: %s sent %d requests to the draining server\n%s", when, d.name, got-before[d.name], d.log.String())
+				t.Errorf("%s: %s sent %d requests to the draining server\n%s", when, d.name, got-before[d.name],
+					d.log.String())
 			}
 		}
 	}
--- a/cmd/birchmoor/keys.go
+++ b/cmd/birchmoor/keys.go
@@ -86,7 +86,8 @@
 		if !info.Trusted {
 			trusted = info.Reason
 		}
-		fmt.Fprintf(w, "%s\t%v\t%s\t%s\t%s\n", info.Name, info.CA, info.NotAfter.Format(time.DateTime), trusted, info.File)
+		fmt.Fprintf(w, "%s\t%v\t%s\t%s\t%s\n", info.Name, info.CA, info.NotAfter.Format(time.DateTime), trusted,
+			info.File)
 	}
 	return w.Flush()
 }
--- a/cmd/birchmoor/labresult.go
+++ b/cmd/birchmoor/labresult.go
@@ -81,7 +81,8 @@
 	fmt.Fprintln(w)
 	for _, violation := range result.Verdict.Violations {
 		fmt.Fprintf(w, "broken at %.3f s: %s: request %x, sidecar %d, server %d: %s\n",
-			float64(violation.At)/1e6, violation.Rule, violation.Request, violation.Sidecar, violation.Server, violation.Detail)
+			float64(violation.At)/1e6, violation.Rule, violation.Request, violation.Sidecar, violation.Server,
+			violation.Detail)
 	}
 	for _, m := range result.Missed {
 		fmt.Fprintln(w, "missed:", m)
--- a/cmd/birchmoor/labscale_test.go
+++ b/cmd/birchmoor/labscale_test.go
@@ -66,7 +66,8 @@
 				StartsPerSecond: 40,
 				Interest:        interest,
 				Until: func(c scale.Counts) bool {
-					return c.Applied["pictures"] >= snapshots && c.RealOut["shares"] >= 3 && c.Applied["sessions"] >= uint64(4*n)
+					return c.Applied["pictures"] >= snapshots && c.RealOut["shares"] >= 3 &&
+						c.Applied["sessions"] >= uint64(4*n)
 				},
 			})
 		})
@@ -197,7 +198,8 @@
 		}
 		return n
 	}
-	processtest.Until(t, "replicas, links and hollow sidecars are running", func() bool { return processes() >= 1+1+8+5 })
+	processtest.Until(t, "replicas, links and hollow sidecars are running",
+		func() bool { return processes() >= 1+1+8+5 })
 	cancel()
 	if err := <-ended; err == nil {
 		t.Error("the canceled run returned no error")
--- a/cmd/birchmoor/labsim.go
+++ b/cmd/birchmoor/labsim.go
@@ -41,7 +41,8 @@
 		}
 		defer pprof.StopCPUProfile()
 	}
-	options := sim.Options{Seed: k.Seed, Progress: c.progress(s.Name), MaxLogLines: k.LogLines, TappedSidecar: k.CapturedSidecar}
+	options := sim.Options{Seed: k.Seed, Progress: c.progress(s.Name), MaxLogLines: k.LogLines,
+		TappedSidecar: k.CapturedSidecar}
 	if k.Capture != "" {
 		options.Tap = simTap(k.Capture, s, k.CapturedSidecar)
 	}
--- a/cmd/birchmoor/labsoak.go
+++ b/cmd/birchmoor/labsoak.go
@@ -105,8 +105,8 @@
 // unless the schedule came from a file.
 func (k *soakCommand) report(c *console, schedule *soak.Schedule, result *soak.Result) error {
 	fmt.Fprintf(c.out, "seed %d: %d requests, %d answered, %d served; %d actions, %d restarts,"+
-		" the slowest ready after %d ms; the lab %d ms late\n", result.Seed, result.Requests, result.Answered, result.Served,
-		result.ActionsDone, result.Restarts, result.SlowestReady, result.LabLateMs)
+		" the slowest ready after %d ms; the lab %d ms late\n", result.Seed, result.Requests, result.Answered,
+		result.Served, result.ActionsDone, result.Restarts, result.SlowestReady, result.LabLateMs)
 	for _, rule := range slices.Sorted(maps.Keys(result.Counts)) {
 		fmt.Fprintf(c.out, "  broken: %s, %d times\n", rule, result.Counts[rule])
 	}
--- a/cmd/birchmoor/limit_test.go
+++ b/cmd/birchmoor/limit_test.go
@@ -56,7 +56,8 @@
 			result.Requests, result.Rejected, result.RejectedWithoutRetryAfter)
 	}
 	for _, s := range result.PartCounts {
-		t.Logf("%s/%s: %d requests seen, at most %.0f in a window, bound %.1f", s.Limit, s.Part, s.Count, s.MaxCount, s.Bound)
+		t.Logf("%s/%s: %d requests seen, at most %.0f in a window, bound %.1f", s.Limit, s.Part, s.Count, s.MaxCount,
+			s.Bound)
 	}
 }
 
--- a/cmd/birchmoor/limittorture.go
+++ b/cmd/birchmoor/limittorture.go
@@ -79,13 +79,15 @@
 	w := tabwriter.NewWriter(c.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "LIMIT\tPART\tSEEN\tMOST IN WINDOW\tBOUND\tNEAR")
 	for _, s := range result.PartCounts {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%.0f\t%.1f\t%.2f\n", s.Limit, partName(s.Part), s.Count, s.MaxCount, s.Bound, s.MaxUse)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%.0f\t%.1f\t%.2f\n", s.Limit, partName(s.Part), s.Count, s.MaxCount, s.Bound,
+			s.MaxUse)
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
 	fmt.Fprintf(c.out, "%d requests, %d rejected (%d without a Retry-After), faults %v;"+
 		" %.2f of the rate used after the faults; broken: %q\n",
-		result.Requests, result.Rejected, result.RejectedWithoutRetryAfter, result.FaultCounts, result.Use, result.Broken)
+		result.Requests, result.Rejected, result.RejectedWithoutRetryAfter, result.FaultCounts, result.Use,
+		result.Broken)
 	return nil
 }
--- a/cmd/birchmoor/replayagainst.go
+++ b/cmd/birchmoor/replayagainst.go
@@ -79,8 +79,9 @@
 	for i := range max(len(ownLines), len(otherLines)) {
 		ownLine, otherLine := lineOrEnd(ownLines, i), lineOrEnd(otherLines, i)
 		if ownLine != otherLine {
-			fmt.Fprintf(c.out, "the builds differ first at decision %d (open loop: later differences may follow from it)\n"+
-				"  this  %s\n  other %s\n", i+1, ownLine, otherLine)
+			fmt.Fprintf(c.out,
+				"the builds differ first at decision %d (open loop: later differences may follow from it)\n"+
+					"  this  %s\n  other %s\n", i+1, ownLine, otherLine)
 			return errRunFailed
 		}
 	}
--- a/cmd/birchmoor/storebench.go
+++ b/cmd/birchmoor/storebench.go
@@ -87,8 +87,10 @@
 			return err
 		}
 	} else {
-		fmt.Fprintf(c.out, "%d kills, %d of all at once, %d partitions; %d writes done, %d retried, %d reads; lost: %q\n",
-			result.Kills, result.KillsOfAll, result.Cuts, result.Writes, result.RepeatedWrites, result.Reads, result.Lost)
+		fmt.Fprintf(c.out,
+			"%d kills, %d of all at once, %d partitions; %d writes done, %d retried, %d reads; lost: %q\n",
+			result.Kills, result.KillsOfAll, result.Cuts, result.Writes, result.RepeatedWrites, result.Reads,
+			result.Lost)
 	}
 	if len(result.Lost) > 0 {
 		return errRunFailed
--- a/cmd/birchmoor/storefleet.go
+++ b/cmd/birchmoor/storefleet.go
@@ -33,7 +33,8 @@
 		return nil, err
 	}
 	if k.Replicas < 1 || k.Replicas > 9 || k.Followers < 0 || k.Followers > 400 || k.Servers < 2 || k.Servers > 1000 {
-		return nil, fmt.Errorf("1 to 9 replicas, up to 400 followers and 2 to 1000 servers are possible, not %d, %d and %d",
+		return nil, fmt.Errorf(
+			"1 to 9 replicas, up to 400 followers and 2 to 1000 servers are possible, not %d, %d and %d",
 			k.Replicas, k.Followers, k.Servers)
 	}
 	return fleetlab.Begin(ctx, fleetlab.Config{
@@ -92,7 +93,8 @@
 	} else {
 		fmt.Fprintf(c.out, "%d drains (%d of them undisturbed), %d starts, %d kills, %d of all at once,"+
 			" %d partitions, %d requests\n",
-			result.Drains, result.UndisturbedDrains, result.Starts, result.Kills, result.KillsOfAll, result.Cuts, result.Requests)
+			result.Drains, result.UndisturbedDrains, result.Starts, result.Kills, result.KillsOfAll, result.Cuts,
+			result.Requests)
 		fmt.Fprintf(c.out, "from daemons that knew of the drain %d, late %d, from daemons never told %d;"+
 			" the last request in an undisturbed drain came %.0f ms after the report\n",
 			result.Stale, result.Late, result.NeverReported, result.WorstMs)
@@ -173,8 +175,10 @@
 func (m *fleetMeasurements) print(w io.Writer) {
 	for _, x := range m.Reports {
 		const latency = "\t%d\tp50 %.1f ms\tp99 %.1f\tworst %.1f\n"
-		fmt.Fprintf(w, "%s, at the daemon that got it"+latency, x.Source, x.Receiver.N, x.Receiver.P50, x.Receiver.P99, x.Receiver.Worst)
-		fmt.Fprintf(w, "%s, at the other daemons"+latency, x.Source, x.Others.N, x.Others.P50, x.Others.P99, x.Others.Worst)
+		fmt.Fprintf(w, "%s, at the daemon that got it"+latency, x.Source, x.Receiver.N, x.Receiver.P50, x.Receiver.P99,
+			x.Receiver.Worst)
+		fmt.Fprintf(w, "%s, at the other daemons"+latency, x.Source, x.Others.N, x.Others.P50, x.Others.P99,
+			x.Others.Worst)
 	}
 	for _, x := range m.Starts {
 		fmt.Fprintf(w, "start with %s\t%d\tp50 %.0f ms\tworst %.0f\tserved in the first second %.3f,"+
--- a/cmd/birchmoor/storefollower_test.go
+++ b/cmd/birchmoor/storefollower_test.go
@@ -158,7 +158,8 @@
 func TestFollowerStartsFromReplicaOrOwnDisk(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
-	f := startFleet(ctx, t, fleetlab.Config{Replicas: 1, Followers: 1, Servers: 3, ReportStarts: true, FirstCopyTimeout: time.Minute})
+	f := startFleet(ctx, t, fleetlab.Config{Replicas: 1, Followers: 1, Servers: 3, ReportStarts: true,
+		FirstCopyTimeout: time.Minute})
 	defer f.End()
 	replica, follower := f.Daemons[0], f.Daemons[1]
 	s := &followerStarts{ctx: ctx, follower: follower, drained: f.Servers[0]}
--- a/cmd/birchmoor/storemembers.go
+++ b/cmd/birchmoor/storemembers.go
@@ -33,7 +33,8 @@
 				if peer.MatchIndex > 0 {
 					match = strconv.FormatUint(peer.MatchIndex, 10)
 				}
-				fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%d\t%d\t%s\n", peer.ID, peer.Name, peer.Address, role, peer.Level, peer.Boot, match)
+				fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%d\t%d\t%s\n", peer.ID, peer.Name, peer.Address, role, peer.Level,
+					peer.Boot, match)
 			}
 		})
 	})
--- a/cmd/birchmoor/storeservers.go
+++ b/cmd/birchmoor/storeservers.go
@@ -25,7 +25,8 @@
 			fmt.Fprintln(w, "SERVER\tWHY\tBY\tAGE\tAGREED")
 			for _, exclusion := range exclusions {
 				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%v\n",
-					exclusion.Server, exclusion.Kind, exclusion.ReportedBy, formatAge(exclusion.AgeMillis), exclusion.Committed)
+					exclusion.Server, exclusion.Kind, exclusion.ReportedBy, formatAge(exclusion.AgeMillis),
+					exclusion.Committed)
 			}
 		})
 	})
--- a/cmd/birchmoor/tasktorture.go
+++ b/cmd/birchmoor/tasktorture.go
@@ -102,8 +102,8 @@
 	fmt.Fprintf(c.out, "%d actions of %d holders, %d late by stopped actors, %d by starved ones,"+
 		" %d reads and writes of the store, faults %v; held for %.3f of the time;"+
 		" time between the actions of two holders p50 %.0f ms, p99 %.0f, worst %.0f; broken: %q\n",
-		result.Actions, result.Holders, result.LateActions, result.StarvedActions, result.StoreOperations, result.FaultCounts,
-		result.HeldFraction, result.GapP50Ms, result.GapP99Ms, result.GapWorstMs, result.Broken)
+		result.Actions, result.Holders, result.LateActions, result.StarvedActions, result.StoreOperations,
+		result.FaultCounts, result.HeldFraction, result.GapP50Ms, result.GapP99Ms, result.GapWorstMs, result.Broken)
 	for _, a := range result.TakeoverTimes {
 		fmt.Fprintf(c.out,
 			"after %s (%d): p50 %.0f ms, p99 %.0f, worst %.0f until the next holder acted, or without an action\n",
--- a/cmd/sidecar/crowd_test.go
+++ b/cmd/sidecar/crowd_test.go
@@ -101,7 +101,8 @@
 			addr, management, log := processtest.Address(t), processtest.Address(t), &processtest.Log{}
 			text := strings.NewReplacer(
 				`"discovery":"127.0.0.1:1"`,
-				fmt.Sprintf(`"discovery":"%s","mgmt":"%s","limits":{"sockets":%d}`, discoveryAddr, management, tc.maxDescriptors),
+				fmt.Sprintf(`"discovery":"%s","mgmt":"%s","limits":{"sockets":%d}`, discoveryAddr, management,
+					tc.maxDescriptors),
 				`"127.0.0.1:1","lifecycle"`, `"`+endpointOne+`","lifecycle"`,
 				`"cancel":true`, `"cancel":true,"probes":true`).Replace(validConfig)
 			file := filepath.Join(t.TempDir(), "config.json")
--- a/cmd/sidecar/ready_test.go
+++ b/cmd/sidecar/ready_test.go
@@ -91,7 +91,8 @@
 	for _, p := range sidecars {
 		processtest.Until(t, "readiness",
 			func() bool { return responseBody(p.addr, "/-/ready") == "ready\n" }, p.log.String)
-		processtest.Until(t, "a response", func() bool { return responseBody(p.addr, "/look") == "served" }, p.log.String)
+		processtest.Until(t, "a response", func() bool { return responseBody(p.addr, "/look") == "served" },
+			p.log.String)
 	}
 	<-calls // at least one call reached a discovery
 }
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -86,7 +86,8 @@
 		offset += 5 + int(binary.BigEndian.Uint32(reply[offset+1:]))
 	}
 	if int(binary.BigEndian.Uint32(reply[8:])) != len(codes) {
-		t.Fatalf("a reply with %d records has the count %d in its header", len(codes), binary.BigEndian.Uint32(reply[8:]))
+		t.Fatalf("a reply with %d records has the count %d in its header", len(codes),
+			binary.BigEndian.Uint32(reply[8:]))
 	}
 	return binary.BigEndian.Uint32(reply), codes
 }
@@ -202,7 +203,8 @@
 }
 
 func TestUnknownEventIsReportedOnce(t *testing.T) {
-	_, stderr, err := runBatches(t, batch(1, 1000, record(99, uint32(1)), record(99), selectInstance(3), start(settings)))
+	_, stderr, err := runBatches(t, batch(1, 1000, record(99, uint32(1)), record(99), selectInstance(3),
+		start(settings)))
 	if err != nil || strings.Count(stderr, "\n") != 1 || !strings.Contains(stderr, "event 99") {
 		t.Errorf("standard error %q, error %v, want one line that names event 99", stderr, err)
 	}
--- a/internal/controlplane/adminapi/lock.go
+++ b/internal/controlplane/adminapi/lock.go
@@ -22,11 +22,13 @@
 // LockStatus is sent to the client of a lock at each change. While the client waits for the lock, the status is also
 // sent every lockHeartbeat, so that the daemon notices a client that has disconnected.
 type LockStatus struct {
-	Position   *int   `json:"before,omitempty"` // while waiting: number of queue entries ahead; -1: there is no entry yet
-	Reason     string `json:"why,omitempty"`    // why the client waits, or why the lock has ended
-	Token      uint64 `json:"token,omitempty"`  // while held: the fencing token
-	ValidUntil int64  `json:"until,omitempty"`  // while held: end of the lease in nanoseconds of the host's boot clock
-	Ended      bool   `json:"over,omitempty"`   // the client must stop its work at once, and by ValidUntil at the latest
+	// while waiting: number of queue entries ahead; -1: there is no entry yet
+	Position   *int   `json:"before,omitempty"`
+	Reason     string `json:"why,omitempty"`   // why the client waits, or why the lock has ended
+	Token      uint64 `json:"token,omitempty"` // while held: the fencing token
+	ValidUntil int64  `json:"until,omitempty"` // while held: end of the lease in nanoseconds of the host's boot clock
+	// the client must stop its work at once, and by ValidUntil at the latest
+	Ended bool `json:"over,omitempty"`
 }
 
 // lockTable limits the number of locks of the socket and tracks those that are held. It is safe for concurrent use.
@@ -93,7 +95,8 @@
 func (s *server) lock(w http.ResponseWriter, r *http.Request) {
 	releaseSlot, ok := s.locks.acquireSlot()
 	if !ok {
-		admin.WriteError(w, fmt.Errorf("clients already hold or wait for the maximum of %d locks at this daemon", maxLocks))
+		admin.WriteError(w, fmt.Errorf("clients already hold or wait for the maximum of %d locks at this daemon",
+			maxLocks))
 		return
 	}
 	defer releaseSlot()
--- a/internal/controlplane/daemon/component.go
+++ b/internal/controlplane/daemon/component.go
@@ -60,8 +60,8 @@
 	// f reads keys that a partial copy does not hold, View calls f again with the state of a replica; f must start
 	// over.
 	View(ctx context.Context, stale bool, f func(*store.State)) (engine.CopyAge, error)
-	// NextChanges waits for changes of keys with a prefix after a revision. It returns up to limit of them, but never a part
-	// of a revision, and the revision after which the next call continues.
+	// NextChanges waits for changes of keys with a prefix after a revision. It returns up to limit of them, but never a
+	// part of a revision, and the revision after which the next call continues.
 	NextChanges(ctx context.Context, prefix string, after uint64, limit int) ([]store.Event, uint64, error)
 }
 
--- a/internal/controlplane/daemon/stored_test.go
+++ b/internal/controlplane/daemon/stored_test.go
@@ -223,11 +223,11 @@
 	at := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	restored := RestoredState{Protocol: "dns", Source: "the store: x", Snapshots: 2, Servers: 3, Age: 4 * time.Second}
 	return []any{
-		&ServerFact{ID: "s", Addr: "a:1", StartedMs: 5, Kind: "cold", ReportedBy: "h", Sidecars: 2, AgeMs: 3, RemainingMs: 4,
-			Committed: true, Partial: true},
+		&ServerFact{ID: "s", Addr: "a:1", StartedMs: 5, Kind: "cold", ReportedBy: "h", Sidecars: 2, AgeMs: 3,
+			RemainingMs: 4, Committed: true, Partial: true},
 		&ServerFact{},
-		&StartupState{Source: "own disk", Revision: 9, Exclusions: 1, Starts: 2, Snapshots: 3, Settings: true, Age: "1s",
-			Restored: []RestoredState{restored, {}}},
+		&StartupState{Source: "own disk", Revision: 9, Exclusions: 1, Starts: 2, Snapshots: 3, Settings: true,
+			Age: "1s", Restored: []RestoredState{restored, {}}},
 		&StartupState{},
 		&Counts{Exclusions: 1, Starts: 2, Snapshots: 3, SnapshotBytes: 4, PendingWrites: 5},
 		&Version{Version: 3, Settings: json.RawMessage(`{"x":1}`), PutBy: "h", Note: "n", PutAt: at, Revision: 8},
--- a/internal/controlplane/leasetask/leasetask_test.go
+++ b/internal/controlplane/leasetask/leasetask_test.go
@@ -119,7 +119,8 @@
 	acquired := make(chan *Lease, 1)
 	aheadCounts := make(chan int, 100)
 	go func() {
-		l, err := runners[2].Acquire(t.Context(), newClaim("restarts", 2), func(ahead int, _ error) { aheadCounts <- ahead })
+		l, err := runners[2].Acquire(t.Context(), newClaim("restarts", 2),
+			func(ahead int, _ error) { aheadCounts <- ahead })
 		if err != nil {
 			t.Error(err)
 		}
@@ -133,7 +134,8 @@
 	if len(acquired) != 0 {
 		t.Error("the third claim was granted while two leases hold both slots")
 	}
-	if _, err := runners[0].Acquire(t.Context(), newClaim("restarts", 3), nil); !errors.Is(err, lease.ErrSlotsMismatch) {
+	if _, err := runners[0].Acquire(t.Context(), newClaim("restarts", 3),
+		nil); !errors.Is(err, lease.ErrSlotsMismatch) {
 		t.Errorf("claim with a different number of slots: error %v, want ErrSlotsMismatch", err)
 	}
 	first.Release()
--- a/internal/controlplane/leasetask/session.go
+++ b/internal/controlplane/leasetask/session.go
@@ -49,7 +49,8 @@
 		return nil, ErrTooManySessions
 	}
 	nanos := millis * int64(time.Millisecond)
-	rules := lease.Rules{TTL: nanos, MaxClockSkew: r.cfg.MaxClockSkew, Margin: max(nanos/marginDivisor, int64(minMargin))}
+	rules := lease.Rules{TTL: nanos, MaxClockSkew: r.cfg.MaxClockSkew,
+		Margin: max(nanos/marginDivisor, int64(minMargin))}
 	s := &session{state: lease.NewSession(rules, r.cfg.SessionDefect), ttl: ttl, wake: make(chan struct{}, 1)}
 	r.sessions[millis] = s
 	r.wg.Go(func() { r.renewSession(s) })
--- a/internal/controlplane/leasetask/task.go
+++ b/internal/controlplane/leasetask/task.go
@@ -53,7 +53,8 @@
 func (t *Task) check() error {
 	if t.Interval <= 0 || t.Timeout <= 0 || t.ProgressTimeout < t.Interval || t.Do == nil {
 		return fmt.Errorf(
-			"%s: want an action, a positive interval and timeout, and a progress timeout of at least the interval", t.Task)
+			"%s: want an action, a positive interval and timeout, and a progress timeout of at least the interval",
+			t.Task)
 	}
 	return t.Claim.check()
 }
--- a/internal/controlplane/quota/allocator_test.go
+++ b/internal/controlplane/quota/allocator_test.go
@@ -336,7 +336,8 @@
 	f.apply(&store.Command{Txn: &store.Txn{Then: []store.Op{{Key: a.GrantKey(), Value: []byte("newer")}}}})
 	allocator := f.newAllocator(NoDefect)
 	if f.allocate(allocator, 1) || allocator.Fault() == "" {
-		t.Errorf("allocated despite a grant that cannot be decoded, or without a fault; the fault is %q", allocator.Fault())
+		t.Errorf("allocated despite a grant that cannot be decoded, or without a fault; the fault is %q",
+			allocator.Fault())
 	}
 	f.apply(&store.Command{Txn: &store.Txn{Then: []store.Op{{Key: a.GrantKey(), Delete: true}}}})
 	if !f.allocate(allocator, 2*sec) || allocator.Fault() != "" {
--- a/internal/controlplane/quota/departure_test.go
+++ b/internal/controlplane/quota/departure_test.go
@@ -194,7 +194,8 @@
 			grant, _ := d.grant(d.successor)
 			for _, l := range []*Limit{rate, short} {
 				if amount := grant.Quotas[l.Key(0)].Amount; amount != l.Nodes[0].Capacity {
-					t.Fatalf("%v after the departure, the next allocator left the successor %s of limit %s, want all of it",
+					t.Fatalf(
+						"%v after the departure, the next allocator left the successor %s of limit %s, want all of it",
 						time.Duration(now-departedAt), FormatAmount(amount), l.Name)
 				}
 			}
--- a/internal/controlplane/quota/distribute.go
+++ b/internal/controlplane/quota/distribute.go
@@ -22,7 +22,8 @@
 	committed     []Amount // by node, including its parts
 	rotation      int64    // number of the current turn, for processes that take turns
 
-	// increasesBlocked is set while a process may still use quotas of another generation. No quota is raised until then.
+	// increasesBlocked is set while a process may still use quotas of another generation. No quota is raised until
+	// then.
 	increasesBlocked bool
 }
 
--- a/internal/controlplane/quota/file.go
+++ b/internal/controlplane/quota/file.go
@@ -194,7 +194,8 @@
 		}
 		parent, ok := indexOf[parentPath]
 		if !ok || path == "" || strings.Contains(path, "//") {
-			return nil, invalidField(fmt.Sprintf("parts.%q", path), "has the parent %q, which is not a part", parentPath)
+			return nil, invalidField(fmt.Sprintf("parts.%q", path), "has the parent %q, which is not a part",
+				parentPath)
 		}
 		n := Node{
 			Path:       path,
--- a/internal/controlplane/quota/limit.go
+++ b/internal/controlplane/quota/limit.go
@@ -77,7 +77,8 @@
 	FallbackFraction float64      `json:"part,omitempty"`
 	// FallbackTimeout is after how many nanoseconds a Fair or Open fallback becomes Strict; 0 means never.
 	FallbackTimeout int64 `json:"for,omitempty"`
-	// MinProcesses is the divisor of a Fair fallback: the smallest number of processes that the fleet is expected to have.
+	// MinProcesses is the divisor of a Fair fallback: the smallest number of processes that the fleet is expected to
+	// have.
 	MinProcesses int `json:"hosts,omitempty"`
 	// ReserveFraction is the fraction of each quota that a request of the lowest priority weight must leave free.
 	ReserveFraction float64 `json:"reserve,omitempty"`
--- a/internal/controlplane/quotasync/manager.go
+++ b/internal/controlplane/quotasync/manager.go
@@ -187,7 +187,8 @@
 func (m *Manager) applyGrant(item store.Item) {
 	grant, err := quota.DecodeGrant(item.Value)
 	if err != nil {
-		m.cfg.Log.Error("cannot decode the grant of quotas; those not decoded are set to zero", "key", item.Key, "error", err)
+		m.cfg.Log.Error("cannot decode the grant of quotas; those not decoded are set to zero", "key", item.Key,
+			"error", err)
 	}
 	m.consumer.ApplyGrant(m.now(), m.process.Session, item.ModRevision, grant)
 	m.wakeReporter()
--- a/internal/controlplane/quotasync/manager_test.go
+++ b/internal/controlplane/quotasync/manager_test.go
@@ -132,7 +132,8 @@
 			}
 			m.CaughtUp()
 			if got := rejectedBy(); got != test.wantOnceCaughtUp {
-				t.Errorf("after catching up, the limit that rejects requests is %q, want %q", got, test.wantOnceCaughtUp)
+				t.Errorf("after catching up, the limit that rejects requests is %q, want %q", got,
+					test.wantOnceCaughtUp)
 			}
 		})
 	}
@@ -180,7 +181,8 @@
 		close(failing.calls)
 		n := strings.Count(log.String(), "cannot report the demand for quotas")
 		if n != 1 || !strings.Contains(log.String(), "no replica") {
-			t.Errorf("consecutive failures were logged %d times, want once with the store's error:\n%s", n, log.String())
+			t.Errorf("consecutive failures were logged %d times, want once with the store's error:\n%s", n,
+				log.String())
 		}
 	})
 }
--- a/internal/controlplane/quotasync/status.go
+++ b/internal/controlplane/quotasync/status.go
@@ -115,7 +115,8 @@
 	}
 	fault := m.configFault
 	if replicaErr != nil {
-		fault = fmt.Sprintf("no replica tells of the others: the status covers only this daemon's quotas: %v", replicaErr)
+		fault = fmt.Sprintf("no replica tells of the others: the status covers only this daemon's quotas: %v",
+			replicaErr)
 	}
 	if allocatorFault := allocator.Fault(); fault == "" && allocatorFault != "" {
 		fault = "quotas cannot be allocated from this copy of the store: " + allocatorFault
--- a/internal/dataplane/capture/capture_test.go
+++ b/internal/dataplane/capture/capture_test.go
@@ -37,7 +37,9 @@
 func newTestRecorder(tb testing.TB, sink Sink, segmentInterval balancer.Micros) *Recorder {
 	tb.Helper()
 	name := func(id uint32) string { return fmt.Sprint("s-", id) }
-	newBalancer := func(out balancer.Actions) (*balancer.Balancer, error) { return balancer.New(testSettings(), 7, out) }
+	newBalancer := func(out balancer.Actions) (*balancer.Balancer, error) {
+		return balancer.New(testSettings(), 7, out)
+	}
 	options := Options{Sidecar: "n0", SegmentInterval: segmentInterval, Sink: sink, EndpointName: name}
 	r, err := New(options, balancer.NoActions{}, newBalancer)
 	if err != nil {
@@ -122,7 +124,8 @@
 	counts := kindsOf(list)
 	if counts[KindRequest] != 40 || counts[KindOutcome] != 120 || counts[KindSend] != 40 || counts[KindSnapshot] < 2 ||
 		counts[KindUpdateEndpoints] != 1 || counts[KindGap] != 0 {
-		t.Errorf("recorded kinds %v; want 40 requests, 120 outcomes, 40 sends, snapshots, 1 endpoint list and no gap", counts)
+		t.Errorf("recorded kinds %v; want 40 requests, 120 outcomes, 40 sends, snapshots, 1 endpoint list and no gap",
+			counts)
 	}
 	if list[0].Kind != KindSnapshot || list[0].Flag {
 		t.Errorf("the capture begins with %v, want a snapshot that continues nothing", list[0].String())
@@ -214,7 +217,8 @@
 		}
 	}
 	// A file ends with a complete segment, so that it may exceed its limit by one.
-	if created := w.Counts.Files.Load(); created < 10 || len(files) >= int(created) || total > c.MaxBytes+c.MaxFileBytes {
+	if created := w.Counts.Files.Load(); created < 10 || len(files) >= int(created) ||
+		total > c.MaxBytes+c.MaxFileBytes {
 		t.Errorf("%d files created, %d kept with %d bytes; want 10 or more, fewer, and a total within the budget",
 			created, len(files), total)
 	}
--- a/internal/dataplane/capture/writer.go
+++ b/internal/dataplane/capture/writer.go
@@ -203,7 +203,8 @@
 		return
 	}
 	if b.gap != nil {
-		w.cfg.Log.Warn("capture: records are missing before a new segment", "records", b.gap.Count, "reason", b.gap.Line)
+		w.cfg.Log.Warn("capture: records are missing before a new segment", "records", b.gap.Count,
+			"reason", b.gap.Line)
 	}
 	w.Counts.Segments.Add(1)
 	w.unreportedLoss = 0
@@ -269,7 +270,8 @@
 	if err := w.removeOldFiles(); err != nil {
 		return err
 	}
-	path := filepath.Join(w.cfg.Dir, fmt.Sprintf("%s-%020d-%06d%s", w.cfg.Name, b.base, w.Counts.Files.Load(), fileSuffix))
+	path := filepath.Join(w.cfg.Dir, fmt.Sprintf("%s-%020d-%06d%s", w.cfg.Name, b.base, w.Counts.Files.Load(),
+		fileSuffix))
 	f, err := w.cfg.create(path)
 	if err != nil {
 		return err
--- a/internal/dataplane/core/deadline_test.go
+++ b/internal/dataplane/core/deadline_test.go
@@ -15,7 +15,8 @@
 func submitAndWait(t *testing.T, class uint8, send func(ctx context.Context, a Attempt) Reply) (
 	answer Answer, took time.Duration) {
 	t.Helper()
-	loop := newLoop(t, sidecartest.Configure(t, anyAddr, endpoints(1)), stubTransport{send: send}, sidecartest.DiscardLog)
+	loop := newLoop(t, sidecartest.Configure(t, anyAddr, endpoints(1)), stubTransport{send: send},
+		sidecartest.DiscardLog)
 	defer runLoop(t, loop)()
 	request := newRequest(loop, "1", class)
 	request.Input.Key = 7
@@ -52,7 +53,8 @@
 				return Reply{Status: status}
 			})
 			if answer.Disposition == Served || took > clientTimeoutMicros*time.Microsecond/2 {
-				t.Errorf("attempt ended with %v: disposition %v after %v, want an unserved request to be answered within 450 ms",
+				t.Errorf(
+					"attempt ended with %v: disposition %v after %v, want an unserved request to be answered within 450 ms",
 					status, answer.Disposition, took)
 			}
 		})
--- a/internal/dataplane/core/endpoints.go
+++ b/internal/dataplane/core/endpoints.go
@@ -118,11 +118,13 @@
 	state, known := discovery.LifecycleStates[instance.Lifecycle]
 	if !known {
 		state = balancer.Draining
-		faults = append(faults, fmt.Sprintf("%q: unknown lifecycle %q, treated as draining", instance.ID, instance.Lifecycle))
+		faults = append(faults, fmt.Sprintf("%q: unknown lifecycle %q, treated as draining", instance.ID,
+			instance.Lifecycle))
 	}
 	_, _, err := net.SplitHostPort(instance.Addr)
 	if instance.ID == "" || err != nil && state == balancer.Ready {
-		fault := fmt.Sprintf("%q: entry ignored: its ID is empty or its address %q is invalid", instance.ID, instance.Addr)
+		fault := fmt.Sprintf("%q: entry ignored: its ID is empty or its address %q is invalid", instance.ID,
+			instance.Addr)
 		return state, append(faults, fault), false
 	}
 	return state, faults, true
--- a/internal/dataplane/core/latereply_test.go
+++ b/internal/dataplane/core/latereply_test.go
@@ -73,7 +73,8 @@
 				wantAttempt = 0
 			}
 			if answer.Reply.At != wantAttempt {
-				t.Errorf("accepts late replies %v: answered by the reply of attempt %d after %v, want the other attempt's",
+				t.Errorf(
+					"accepts late replies %v: answered by the reply of attempt %d after %v, want the other attempt's",
 					late, answer.Reply.At, took)
 			}
 			if late && took != replyDelays[0] {
@@ -81,7 +82,8 @@
 			}
 			synctest.Wait()
 			if n := upstream.cancelled.Load(); n != 1 || len(loop.requests) != 0 || len(request.Answer) != 0 {
-				t.Errorf("accepts late replies %v: %d attempts cancelled, want 1; %d requests left, want 0; or a second answer",
+				t.Errorf(
+					"accepts late replies %v: %d attempts cancelled, want 1; %d requests left, want 0; or a second answer",
 					late, n, len(loop.requests))
 			}
 		})
--- a/internal/dataplane/core/overrides.go
+++ b/internal/dataplane/core/overrides.go
@@ -11,7 +11,9 @@
 // with maintenance.ErrUnknownEndpoint if the endpoint's ID was not listed recently, unless force is set.
 func (l *EventLoop) ApplyOverride(ctx context.Context, override maintenance.Override, force bool) error {
 	var rejected error
-	if err := l.runUrgent(ctx, func(now balancer.Micros) { rejected = l.setOverride(now, override, force) }); err != nil {
+	if err := l.runUrgent(ctx, func(now balancer.Micros) {
+		rejected = l.setOverride(now, override, force)
+	}); err != nil {
 		return err
 	}
 	return rejected
@@ -45,7 +47,8 @@
 		number = endpoint.number
 		endpoint.adminDrained = true
 		endpoint.stopAt.Store(stoppedLongAgo)
-		// This closes the idle connections, which will not be used, and attempts that wait for one find the target closed.
+		// This closes the idle connections, which will not be used, and attempts that wait for one find the target
+		// closed.
 		endpoint.target.Close()
 		endpoint.target = l.upstream.Target(endpoint.addr)
 	}
--- a/internal/dataplane/core/races_test.go
+++ b/internal/dataplane/core/races_test.go
@@ -103,12 +103,14 @@
 		for payload, want := range map[string]Disposition{"is sent": Failed, "dials": Rejected} {
 			answer := <-open[payload].Answer
 			if took := time.Since(start); answer.Disposition != want || took != delay {
-				t.Errorf("request that %s: disposition %v after %v, want %v after 3s", payload, answer.Disposition, took, want)
+				t.Errorf("request that %s: disposition %v after %v, want %v after 3s", payload, answer.Disposition,
+					took, want)
 			}
 		}
 		afterwards := <-submit(loop, "late", classPay).Answer
 		if afterwards.Disposition != Rejected || attempts.Load() != 2 || time.Since(start) != delay {
-			t.Errorf("request after the close: disposition %v, want it rejected; %d attempts in all, want 2; answered after %v",
+			t.Errorf(
+				"request after the close: disposition %v, want it rejected; %d attempts in all, want 2; answered after %v",
 				afterwards.Disposition, attempts.Load(), time.Since(start))
 		}
 	})
@@ -230,7 +232,8 @@
 			time.Sleep(60 * time.Millisecond) // past the timeout of the first attempt, but not of the second
 			synctest.Wait()
 			if got := attempts.Load(); got != tc.want {
-				t.Errorf("hedging %s: %d attempts before the first connection is closed, want %d", tc.hedging, got, tc.want)
+				t.Errorf("hedging %s: %d attempts before the first connection is closed, want %d", tc.hedging, got,
+					tc.want)
 			}
 			close(connectionClosed)
 			answer := <-request.Answer
--- a/internal/dataplane/core/restore_test.go
+++ b/internal/dataplane/core/restore_test.go
@@ -23,7 +23,8 @@
 	t.Helper()
 	mustRun(t, loop, func(now balancer.Micros) {
 		for name, roundTrip := range roundTrips {
-			loop.balancer.ProbeCompleted(now, loop.endpointsByName[name].number, balancer.OK, roundTrip, []float32{0, 0, 0})
+			loop.balancer.ProbeCompleted(now, loop.endpointsByName[name].number, balancer.OK, roundTrip,
+				[]float32{0, 0, 0})
 		}
 	})
 }
@@ -44,7 +45,8 @@
 // A process must restore the state of an endpoint by the endpoint's name: its number differs from that in the earlier
 // process. State of another sidecar must be ignored.
 func TestRestoreMatchesEndpointsByName(t *testing.T) {
-	old := startIdleLoop(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), endpoints(3)), sidecartest.DiscardLog)
+	old := startIdleLoop(t, sidecartest.Configure(t, sidecartest.ClosedAddress(t), endpoints(3)),
+		sidecartest.DiscardLog)
 	answerProbes(t, old, map[string]balancer.Micros{"s-1": 1000, "s-2": 2000, "s-3": 3000})
 	data, err := old.Snapshot(t.Context())
 	if err != nil {
@@ -92,7 +94,8 @@
 	if len(ejections) != 1 || ejections[0].ID != "s-2" || ejections[0].RemainingMicros <= 0 {
 		t.Fatalf("reported ejections %+v, want one of s-2", ejections)
 	}
-	unknown, ended := handover.Ejection{ID: "s-1", RemainingMicros: 1_000_000}, handover.Ejection{ID: "s-3", RemainingMicros: -1}
+	unknown, ended := handover.Ejection{ID: "s-1", RemainingMicros: 1_000_000},
+		handover.Ejection{ID: "s-3", RemainingMicros: -1}
 	other.ApplyEjections(append(ejections, unknown, ended))
 	mustRun(t, other, func(balancer.Micros) {}) // returns once the loop has started; it may overtake the ejections
 	for end := time.Now().Add(sidecartest.WaitTimeout); ; {
--- a/internal/dataplane/discovery/delay_test.go
+++ b/internal/dataplane/discovery/delay_test.go
@@ -262,9 +262,11 @@
 					runs++
 					var delay time.Duration
 					synctest.Test(t, func(t *testing.T) {
-						delay = changeDelay(t, mode.polled, mode.pollInterval, move, faultBefore, faultOfNextCall, runs%4)
+						delay = changeDelay(t, mode.polled, mode.pollInterval, move, faultBefore, faultOfNextCall,
+							runs%4)
 					})
-					if maxDelay[mode.name] = max(maxDelay[mode.name], delay); delay > discovery.MaxChangeDelay-delayMargin {
+					if maxDelay[mode.name] = max(maxDelay[mode.name],
+						delay); delay > discovery.MaxChangeDelay-delayMargin {
 						t.Errorf("%s: %sfault %q before the change, %q at the next call: known after %v",
 							mode.name, move, faultBefore, faultOfNextCall, delay)
 					}
--- a/internal/dataplane/dnsfront/counters.go
+++ b/internal/dataplane/dnsfront/counters.go
@@ -19,8 +19,9 @@
 	Truncated     *metrics.Counter // truncated answers over UDP
 	SocketsShared *metrics.Counter // queries that shared a UDP socket with others
 	UnknownID     *metrics.Counter // messages without an open query of their ID: late or forged
-	Mismatched    *metrics.Counter // messages that are no valid answer to the open query with their ID, and those too short
-	Duplicate     *metrics.Counter // further answers to an open query
+	// messages that are no valid answer to the open query with their ID, and those too short
+	Mismatched *metrics.Counter
+	Duplicate  *metrics.Counter // further answers to an open query
 }
 
 // newCounters returns counters that registry exports under the names given here.
--- a/internal/dataplane/dnsfront/front_test.go
+++ b/internal/dataplane/dnsfront/front_test.go
@@ -349,7 +349,8 @@
 	close(stop)
 	clients.Wait()
 	if sent.Load() < sentBefore+100 || failed.Load() > 0 || unserved.Load() > sent.Load()/2 {
-		t.Errorf("%d of %d queries had no answer, %d were answered with an error; %d were sent before the handover ended",
+		t.Errorf(
+			"%d of %d queries had no answer, %d were answered with an error; %d were sent before the handover ended",
 			failed.Load(), sent.Load(), unserved.Load(), sentBefore)
 	}
 	next.stop()
--- a/internal/dataplane/dnsfront/limit/limit_test.go
+++ b/internal/dataplane/dnsfront/limit/limit_test.go
@@ -41,7 +41,8 @@
 		t.Errorf("numbers of Admit, Shed, Truncate and Drop for the flood: %v, want 29, 0, 323 and 648", counts)
 	}
 	for i := range 60 { // unverified clients may use only half of the capacity
-		decision := admission.Decide(2_000_000, netip.PrefixFrom(netip.AddrFrom4([4]byte{10, 0, byte(i), 0}), 24), false)
+		decision := admission.Decide(2_000_000, netip.PrefixFrom(netip.AddrFrom4([4]byte{10, 0, byte(i), 0}), 24),
+			false)
 		if want := i < 50; (decision == Admit) != want {
 			t.Fatalf("query of unverified client %d: decision %v, want Admit for the first 50 only", i, decision)
 		}
@@ -52,8 +53,8 @@
 }
 
 // For random sequences of queries, Admission must agree with a simple model on the open queries: no query is admitted
-// without capacity, and none is shed and each verified one is admitted with capacity. The number of stored prefixes must
-// be bounded.
+// without capacity, and none is shed and each verified one is admitted with capacity. The number of stored prefixes
+// must be bounded.
 func TestAdmissionAgreesWithModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := Settings{
--- a/internal/dataplane/dnsfront/target.go
+++ b/internal/dataplane/dnsfront/target.go
@@ -62,8 +62,8 @@
 
 // exchange sends a query and returns the encoded answer. It sends the query again if the server requires its new
 // cookie, and over TCP if the answer is truncated. It calls begin before the query is sent first, and mayContinue
-// before each further sending. If begin returns false, or mayContinue before the query with a new cookie or over TCP, the
-// status is NotSent.
+// before each further sending. If begin returns false, or mayContinue before the query with a new cookie or over TCP,
+// the status is NotSent.
 func (t *serverTarget) exchange(
 	ctx context.Context, outgoing *upstreamQuery, begin, mayContinue permission,
 ) ([]byte, balancer.Status) {
--- a/internal/dataplane/httpfront/exchange.go
+++ b/internal/dataplane/httpfront/exchange.go
@@ -132,8 +132,8 @@
 		case answer := <-req.Answer:
 			return x.answered(answer)
 		case <-x.leftDuringUpload:
-			// The client left before the end of its body. It is treated as if it had left after that, and the body is not
-			// read any more.
+			// The client left before the end of its body. It is treated as if it had left after that, and the body is
+			// not read any more.
 			s.loop.ClientDisconnected(req)
 			return s.answerEarly(x.client, req, x.awaitAnswer())
 		case err := <-x.clientWatch:
--- a/internal/dataplane/httpfront/stop_test.go
+++ b/internal/dataplane/httpfront/stop_test.go
@@ -83,7 +83,8 @@
 		if _, err := sidecartest.ReadRequest(r); err != nil {
 			return
 		}
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", length, strings.Repeat("x", MaxBufferedBodyBytes))
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", length,
+			strings.Repeat("x", MaxBufferedBodyBytes))
 		<-rest
 		_, _ = io.WriteString(c, strings.Repeat("y", length-MaxBufferedBodyBytes))
 		_, _ = io.Copy(io.Discard, r)
--- a/internal/dataplane/httpfront/upstream.go
+++ b/internal/dataplane/httpfront/upstream.go
@@ -41,7 +41,8 @@
 // NewUpstream returns an Upstream without connections. It counts the attempts that were written completely in sends.
 func NewUpstream(c *config.Config, clk core.Clock, sends *metrics.Counter, log *slog.Logger) *Upstream {
 	u := &Upstream{clock: clk, log: log, sends: sends, answerBudget: bytebudget.New(c.MaxBufferedBytes(1)),
-		// Idle connections expire well before the endpoint closes them: a request that is written at that moment is lost.
+		// Idle connections expire well before the endpoint closes them: a request that is written at that moment is
+		// lost.
 		maxIdle: c.KeepAliveTimeout * 2 / 3, maxConns: c.MaxUpstreamConns(1), idle: map[*target]struct{}{}}
 	u.SetConfig(c)
 	u.pause = func(ctx context.Context, d time.Duration) {
@@ -278,8 +279,8 @@
 	probeTimeout           = 250 * time.Millisecond
 	sweepInterval          = time.Second
 
-	// Between hosts of a site, connecting takes one round trip, less than a millisecond. If it takes many times as long,
-	// the host is down or unreachable. Dialling ends after a fraction of the configured timeout, so that another
+	// Between hosts of a site, connecting takes one round trip, less than a millisecond. If it takes many times as
+	// long, the host is down or unreachable. Dialling ends after a fraction of the configured timeout, so that another
 	// endpoint can still answer the request, which never ran, in time.
 	dialTimeoutDivisor = 4
 )
--- a/internal/dataplane/httpfront/upstream_test.go
+++ b/internal/dataplane/httpfront/upstream_test.go
@@ -223,7 +223,8 @@
 		})
 		// The attempt's own timeout is far longer, so that Reset shows that the stall was detected first.
 		u := newTestUpstream(t)
-		if r := u.sendAttemptWithin(sidecartest.WaitTimeout, keyedPost("x"), newTarget(addr)); r.Status != balancer.Reset {
+		if r := u.sendAttemptWithin(sidecartest.WaitTimeout, keyedPost("x"),
+			newTarget(addr)); r.Status != balancer.Reset {
 			t.Errorf("%q: status %v, want Reset before the attempt's timeout", answer, r.Status)
 		}
 		if u.conns != 0 {
@@ -263,7 +264,8 @@
 	for i := range 4 {
 		m := plainGet()
 		m.header.Set("X-Trace-Id", fmt.Sprint(i))
-		if r := u.sendAttempt(m, dst); r.Status != balancer.OK || string(r.Content.(*upstreamAnswer).body) != fmt.Sprint(i) {
+		if r := u.sendAttempt(m, dst); r.Status != balancer.OK ||
+			string(r.Content.(*upstreamAnswer).body) != fmt.Sprint(i) {
 			t.Errorf("request %d: status %v, answer %q; want OK and its own ID", i, r.Status, r.Content)
 		}
 	}
--- a/internal/dataplane/replay/explain.go
+++ b/internal/dataplane/replay/explain.go
@@ -51,7 +51,8 @@
 	}
 	explanation := Explanation{At: p.event.At, Input: p.event.String(), Decisions: decisions}
 	for _, c := range before.Explain(p.event.At, req) {
-		explanation.Candidates = append(explanation.Candidates, NamedCandidate{Server: p.names[c.Endpoint], Candidate: c})
+		explanation.Candidates = append(explanation.Candidates,
+			NamedCandidate{Server: p.names[c.Endpoint], Candidate: c})
 	}
 	p.report.Explanations = append(p.report.Explanations, explanation)
 }
--- a/internal/dataplane/replay/replay_test.go
+++ b/internal/dataplane/replay/replay_test.go
@@ -52,7 +52,8 @@
 			var log bytes.Buffer
 			r := play(t, captureFiles(t, name), Options{Log: &log})
 			if r.Differences > 0 || len(r.Faults) > 0 || r.Gaps > 0 || r.Decisions < 4000 {
-				t.Errorf("replay reported %+v, first difference %+v; want none, and at least 4000 decisions", r, r.First)
+				t.Errorf("replay reported %+v, first difference %+v; want none, and at least 4000 decisions", r,
+					r.First)
 			}
 			for _, text := range expectedTexts {
 				if !strings.Contains(log.String(), text) {
@@ -203,7 +204,8 @@
 	r := play(t, append([]string{truncated}, paths[1:]...), Options{})
 	if len(r.Faults) != 1 || !strings.Contains(r.Faults[0], "cut") || r.Differences > 0 ||
 		r.Decisions >= complete.Decisions || r.Decisions < complete.Decisions*3/4 {
-		t.Errorf("replay of the truncated capture reported %+v, the complete one has %d decisions", r, complete.Decisions)
+		t.Errorf("replay of the truncated capture reported %+v, the complete one has %d decisions", r,
+			complete.Decisions)
 	}
 }
 
--- a/internal/dataplane/sidecar/handover.go
+++ b/internal/dataplane/sidecar/handover.go
@@ -141,7 +141,8 @@
 	if n.host.HandoverPath != "" {
 		unlock, err := handover.Lock(ctx, n.host.HandoverPath)
 		if err != nil {
-			n.log.Error("cannot lock the handover: a process that starts together with this one may not find it", "error", err)
+			n.log.Error("cannot lock the handover: a process that starts together with this one may not find it",
+				"error", err)
 		} else {
 			defer unlock()
 		}
--- a/internal/dataplane/sidecar/limits_test.go
+++ b/internal/dataplane/sidecar/limits_test.go
@@ -79,7 +79,8 @@
 	for range 3 {
 		if resp, _ := sidecar.doOnConn(t, busy, sidecartest.IdempotentRequest(900)); resp.StatusCode != http.StatusOK ||
 			resp.Close {
-			t.Fatalf("request while other connections are idle: %s, close %v, want 200 without close", resp.Status, resp.Close)
+			t.Fatalf("request while other connections are idle: %s, close %v, want 200 without close", resp.Status,
+				resp.Close)
 		}
 	}
 	first := idle[0]
--- a/internal/dataplane/sidecar/maintenance_test.go
+++ b/internal/dataplane/sidecar/maintenance_test.go
@@ -160,7 +160,8 @@
 	sidecar = startSidecarIn(t, cfg, dir)
 	resp, _ := sidecar.do(t, sidecartest.IdempotentRequest(900))
 	if resp.StatusCode != http.StatusServiceUnavailable || sent.Load() > 0 {
-		t.Errorf("request to the drained endpoint: %s and %d attempts, want 503 without an attempt", resp.Status, sent.Load())
+		t.Errorf("request to the drained endpoint: %s and %d attempts, want 503 without an attempt", resp.Status,
+			sent.Load())
 	}
 	sidecar.wantReply(t, "maint-off s-1", "YES")
 	sidecar.wantMetric(t, "cluster_unhealthy", 0)
--- a/internal/dataplane/sidecar/reload_test.go
+++ b/internal/dataplane/sidecar/reload_test.go
@@ -141,7 +141,8 @@
 	sidecar.wantMetric(t, `answered_total{group="pay"}`, 1)
 	sidecar.wantMetric(t, `answered_total{group="sell"}`, 1)
 	reload(nil, "conf_invalid_total", 1)
-	if resp, _ := sidecar.do(t, sidecartest.Request("GET", "/sell", "sell", 900, "")); resp.StatusCode != http.StatusOK {
+	if resp, _ := sidecar.do(t, sidecartest.Request("GET", "/sell", "sell",
+		900, "")); resp.StatusCode != http.StatusOK {
 		t.Errorf("request after an invalid file: %s, want 200", resp.Status)
 	}
 }
@@ -179,7 +180,9 @@
 		if text == string(good) {
 			t.Fatalf("case %s: the valid file lacks %q", tc.key, tc.old)
 		}
-		r.readConfig = func() (*config.Config, error) { return config.Parse([]byte(text), func(string) string { return "" }) }
+		r.readConfig = func() (*config.Config, error) {
+			return config.Parse([]byte(text), func(string) string { return "" })
+		}
 		err := r.reload(t.Context())
 		if bad := (*config.Error)(nil); !errors.As(err, &bad) || bad.Key != tc.key {
 			t.Errorf("file with %q: got %v, want an error for key %s", tc.new, err, tc.key)
--- a/internal/dataplane/sidecar/requests_test.go
+++ b/internal/dataplane/sidecar/requests_test.go
@@ -69,7 +69,8 @@
 		}
 		// The endpoint receives the timeout of this attempt, not that of the client.
 		if ms, err := strconv.Atoi(forwarded.r.Header.Get("X-Expires-In-Ms")); err != nil || ms >= 480 || ms < 1 {
-			t.Errorf("the endpoint received X-Expires-In-Ms %q, want from 1 to 479", forwarded.r.Header.Get("X-Expires-In-Ms"))
+			t.Errorf("the endpoint received X-Expires-In-Ms %q, want from 1 to 479",
+				forwarded.r.Header.Get("X-Expires-In-Ms"))
 		}
 		if len(forwarded.r.Header["Accept-Encoding"]) != 0 {
 			t.Error("the endpoint received Accept-Encoding, which the client did not send")
@@ -157,7 +158,8 @@
 		setReadDeadline(t, conn, httpfront.RequestTimeout/2)
 		if got, err := io.ReadAll(conn); err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 "+tc.want+" ") ||
 			strings.Count(string(got), "HTTP/1.1") != 1 {
-			t.Errorf("request with %s: received %q, error %v, want one answer %s and the end", tc.name, got, err, tc.want)
+			t.Errorf("request with %s: received %q, error %v, want one answer %s and the end", tc.name, got, err,
+				tc.want)
 		}
 		conn.Close()
 	}
--- a/internal/dataplane/sidecar/retries_test.go
+++ b/internal/dataplane/sidecar/retries_test.go
@@ -62,7 +62,8 @@
 			}
 			retryAfter, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 			if tc.rejected != (err == nil && retryAfter > 0) {
-				t.Errorf("Retry-After %q, want a delay if and only if the request is rejected", resp.Header.Get("Retry-After"))
+				t.Errorf("Retry-After %q, want a delay if and only if the request is rejected",
+					resp.Header.Get("Retry-After"))
 			}
 		})
 	}
@@ -185,7 +186,8 @@
 				w.Header().Set("X-Never-Ran", "1")
 				w.WriteHeader(http.StatusServiceUnavailable)
 			},
-			func() *http.Request { return sidecartest.IdempotentRequest(900) }}, // of the same class, but another tenant
+			// of the same class, but another tenant
+			func() *http.Request { return sidecartest.IdempotentRequest(900) }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var failed, served atomic.Int32
--- a/internal/dataplane/sidecar/sidecar.go
+++ b/internal/dataplane/sidecar/sidecar.go
@@ -139,7 +139,8 @@
 		httpConfig.MaxDescriptors -= protocol.Descriptors()
 	}
 	if httpConfig.MaxDescriptors < config.MinDescriptors {
-		return nil, fmt.Errorf("protocols other than HTTP leave %d of %d file descriptors for HTTP: at least %d are needed",
+		return nil, fmt.Errorf(
+			"protocols other than HTTP leave %d of %d file descriptors for HTTP: at least %d are needed",
 			httpConfig.MaxDescriptors, cfg.MaxDescriptors, config.MinDescriptors)
 	}
 	if allowed := descriptorLimit(); allowed < httpConfig.MaxDescriptors {
--- a/internal/dataplane/sidecar/stop_test.go
+++ b/internal/dataplane/sidecar/stop_test.go
@@ -34,7 +34,8 @@
 	openRequest.Go(func() {
 		resp, _ := sidecar.do(t, sidecartest.Request("POST", "/pay", "pay", 1000, "x"))
 		if resp.StatusCode != http.StatusOK || !resp.Close {
-			t.Errorf("request that was open at the stop signal: %s, close %v, want 200 and close", resp.Status, resp.Close)
+			t.Errorf("request that was open at the stop signal: %s, close %v, want 200 and close", resp.Status,
+				resp.Close)
 		}
 	})
 	sidecartest.Receive(t, received, "attempt")
@@ -54,7 +55,8 @@
 			break
 		}
 		if resp.StatusCode != http.StatusOK && resp.Header.Get("Retry-After") == "" || !resp.Close {
-			t.Fatalf("request after the stop signal: %s, close %v, want 200 or a rejection, and close", resp.Status, resp.Close)
+			t.Fatalf("request after the stop signal: %s, close %v, want 200 or a rejection, and close", resp.Status,
+				resp.Close)
 		}
 		if n == 3 {
 			resp, err := sidecar.tryDo(sidecartest.Request("GET", "/-/ready", "", 900, ""))
--- a/internal/dataplane/sidecar/streaming_test.go
+++ b/internal/dataplane/sidecar/streaming_test.go
@@ -44,7 +44,8 @@
 			case "length":
 				fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(longText), longText)
 			case "chunks":
-				fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\nX-Sum: 1\r\n\r\n",
+				fmt.Fprintf(conn,
+					"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\nX-Sum: 1\r\n\r\n",
 					len(longText), longText)
 			case "end":
 				_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+longText)
@@ -81,7 +82,8 @@
 				t.Errorf("answer %s with %d bytes, want 200 with the endpoint's body", resp.Status, len(text))
 			}
 			if body := sidecartest.Receive(t, got, "body"); body != tc.body {
-				t.Errorf("the endpoint received a body of %d bytes, want the client's %d bytes", len(body), len(tc.body))
+				t.Errorf("the endpoint received a body of %d bytes, want the client's %d bytes", len(body),
+					len(tc.body))
 			}
 		})
 	}
@@ -143,7 +145,8 @@
 	conn := sidecar.dial(t)
 	// The body is longer than all socket buffers, so that the reset comes before the whole body is sent.
 	request := sidecartest.Request("POST", "/pay", "pay", 900, "x")
-	request.ContentLength, request.Body = httpfront.MaxBodyBytes, io.NopCloser(io.LimitReader(zeros{}, httpfront.MaxBodyBytes))
+	request.ContentLength, request.Body = httpfront.MaxBodyBytes,
+		io.NopCloser(io.LimitReader(zeros{}, httpfront.MaxBodyBytes))
 	go func() { _ = request.Write(conn) }() // fails when the connection is closed
 	setReadDeadline(t, conn, sidecartest.WaitTimeout)
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
--- a/internal/lab/bench/peer.go
+++ b/internal/lab/bench/peer.go
@@ -84,7 +84,8 @@
 
 var (
 	okResponse         = []byte("HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\nserved at once.\n")
-	loadReportResponse = []byte("HTTP/1.1 200 OK\r\nContent-Length: 49\r\n\r\nTEXT busy_reqs=0, cpu_share=0.1, served_ps=100.00")
+	loadReportResponse = []byte(
+		"HTTP/1.1 200 OK\r\nContent-Length: 49\r\n\r\nTEXT busy_reqs=0, cpu_share=0.1, served_ps=100.00")
 )
 
 // startServers starts a number of servers, which answer at once and with as little work as possible, and returns their
--- a/internal/lab/chain/chain.go
+++ b/internal/lab/chain/chain.go
@@ -245,8 +245,8 @@
 	if added.sidecar, err = r.startSidecar(number, dir, added.addrs); err != nil {
 		return err
 	}
-	added.pools[pathThrough], added.pools[pathDirect] = &pool{row: r, addrs: []string{added.sidecar.addr}}, &pool{row: r,
-		addrs: added.addrs}
+	added.pools[pathThrough], added.pools[pathDirect] = &pool{row: r, addrs: []string{added.sidecar.addr}},
+		&pool{row: r, addrs: added.addrs}
 	return nil
 }
 
@@ -277,10 +277,10 @@
 	scen.Fleet.Sidecars = sidecars
 	var classes []map[string]any
 	for _, name := range classNames {
-		idempotency := map[balancer.Idempotency]string{balancer.Idempotent: "pure", balancer.WithIdempotencyKey: "token",
-			balancer.NotIdempotent: "side_effect"}[Classes[name]]
-		classes = append(classes, map[string]any{"name": name, "repeat": idempotency, "group": "cell", "window": 1_000_000,
-			"target":  500_000,
+		idempotency := map[balancer.Idempotency]string{balancer.Idempotent: "pure",
+			balancer.WithIdempotencyKey: "token", balancer.NotIdempotent: "side_effect"}[Classes[name]]
+		classes = append(classes, map[string]any{"name": name, "repeat": idempotency, "group": "cell",
+			"window": 1_000_000, "target": 500_000,
 			"give-up": rootTimeoutMillis * 1000, "credit": 1.0, "late-value": 0.0, "stream": false})
 	}
 	scen.Overlay = map[string]any{"limits": map[string]any{"most-tries": o.Attempts}, "classes": classes}
@@ -295,9 +295,9 @@
 	}
 	var instances []map[string]any
 	for i, address := range servers {
-		instances = append(instances, map[string]any{"instanceId": fmt.Sprintf("s%d", i), "hostPort": address, "zone": "a",
-			"machineType": "kind-0",
-			"cell":        0, "lifecycle": "up", "weight": 1, "startedAtMs": 0})
+		instances = append(instances, map[string]any{"instanceId": fmt.Sprintf("s%d", i), "hostPort": address,
+			"zone": "a", "machineType": "kind-0",
+			"cell": 0, "lifecycle": "up", "weight": 1, "startedAtMs": 0})
 	}
 	text, err := json.Marshal(map[string]any{"name": fmt.Sprintf("n%d", number), "listen": listen,
 		"discovery": "127.0.0.1:1",
--- a/internal/lab/chain/formula_test.go
+++ b/internal/lab/chain/formula_test.go
@@ -26,11 +26,12 @@
 		{balancer.Idempotent, LeafErrors, 1, 14, 1}, {balancer.Idempotent, LeafErrors, 3, 0, 1},
 	} {
 		if got := MaxLeafAttempts(c.idempotency, c.failure, c.attempts, c.levels); got != c.want {
-			t.Errorf("idempotency %d, failure %s, %d attempts, %d levels: %v, want %v", c.idempotency, c.failure, c.attempts,
-				c.levels, got, c.want)
+			t.Errorf("idempotency %d, failure %s, %d attempts, %d levels: %v, want %v", c.idempotency, c.failure,
+				c.attempts, c.levels, got, c.want)
 		}
 		for _, calls := range []int{1, 7, 1000} {
-			if b := BudgetedLeafAttempts(c.idempotency, c.failure, c.attempts, c.levels, calls, 1); b > float64(calls)*c.want ||
+			if b := BudgetedLeafAttempts(c.idempotency, c.failure, c.attempts, c.levels,
+				calls, 1); b > float64(calls)*c.want ||
 				b < float64(calls) {
 				t.Errorf("%+v: with budgets, the bound for %d calls is %v", c, calls, b)
 			}
--- a/internal/lab/chain/show.go
+++ b/internal/lab/chain/show.go
@@ -26,8 +26,8 @@
 	if result.LeafFailure != "" {
 		fmt.Fprintf(w,
 			"the leaf fails %v of its attempts (%s): %.2f attempts there a call, %d at most; by the rules %.6g, by the budgets %.2f a call, %.2f for ever\n",
-			result.FailureShare, result.LeafFailure, result.MeanLeafAttempts, result.MaxLeafAttempts, result.LeafAttemptsBound,
-			result.BudgetedLeafAttempts/float64(result.Calls),
+			result.FailureShare, result.LeafFailure, result.MeanLeafAttempts, result.MaxLeafAttempts,
+			result.LeafAttemptsBound, result.BudgetedLeafAttempts/float64(result.Calls),
 			result.SteadyLeafAttempts)
 	} else {
 		fmt.Fprintf(w,
@@ -37,12 +37,12 @@
 		fmt.Fprintf(w, "the whole call: p50 %.3f ms, p99 %.3f ms; without sidecars p50 %.3f ms, p99 %.3f ms\n",
 			result.Through.P50, result.Through.P99, result.Direct.P50, result.Direct.P99)
 	}
-	fmt.Fprintf(w, "%5s %9s %9s %9s %9s %9s %6s %6s %6s %5s %7s %8s %9s %9s %7s %7s\n", "level", "attempts", "added p50",
-		"added p99", "thr. p99", "dir. p99",
+	fmt.Fprintf(w, "%5s %9s %9s %9s %9s %9s %6s %6s %6s %5s %7s %8s %9s %9s %7s %7s\n", "level", "attempts",
+		"added p50", "added p99", "thr. p99", "dir. p99",
 		"left", "mean", "least", "over", "conns", "probes/s", "bytes to", "bytes fro", "cores", "MB")
 	for number, figures := range result.Levels {
-		fmt.Fprintf(w, "%5d %9d %9.3f %9.3f %9.3f %9.3f %6d %6.0f %6d %5d %7d %8.1f %9.0f %9.0f %7.3f %7.1f\n", number+1,
-			figures.Attempts, figures.Added.P50, figures.Added.P99,
+		fmt.Fprintf(w, "%5d %9d %9.3f %9.3f %9.3f %9.3f %6d %6.0f %6d %5d %7d %8.1f %9.0f %9.0f %7.3f %7.1f\n",
+			number+1, figures.Attempts, figures.Added.P50, figures.Added.P99,
 			figures.Through.P99, figures.Direct.P99, figures.TimeLeftMax, figures.TimeLeftMean, figures.TimeLeftMin,
 			figures.BeyondRoot,
 			figures.Open, figures.Probes, figures.ProbeIn, figures.ProbeOut, figures.CPU, figures.RSS)
@@ -85,8 +85,8 @@
 			of   Summary
 		}{{"added by one level", result.AddedPerLevel}, {fmt.Sprintf("added by %d in a row", result.Depth),
 			result.AddedByRow}} {
-			fmt.Fprintf(w, "| %s | %.3f | %.3f | %.1f | %d | %.2f |\n", added.name, added.of.P50, added.of.P99, added.of.Max,
-				added.of.N, added.of.P99/AddedLatencyBudgetMillis)
+			fmt.Fprintf(w, "| %s | %.3f | %.3f | %.1f | %d | %.2f |\n", added.name, added.of.P50, added.of.P99,
+				added.of.Max, added.of.N, added.of.P99/AddedLatencyBudgetMillis)
 		}
 		fmt.Fprintf(w, "| the whole call through the row | %.3f | %.3f | %.1f | %d | |\n", result.Through.P50,
 			result.Through.P99,
@@ -99,8 +99,8 @@
 		for number, figures := range result.Levels {
 			fmt.Fprintf(w, "| %d | %.3f | %.3f | %d | %.0f | %d | %d of %d | %d | %.1f | %.0f | %.0f | %.3f | %.1f |\n",
 				number+1, figures.Added.P50, figures.Added.P99,
-				figures.TimeLeftMax, figures.TimeLeftMean, figures.TimeLeftMin, figures.BeyondRoot, figures.Attempts, figures.Open,
-				figures.Probes,
+				figures.TimeLeftMax, figures.TimeLeftMean, figures.TimeLeftMin, figures.BeyondRoot, figures.Attempts,
+				figures.Open, figures.Probes,
 				figures.ProbeIn, figures.ProbeOut, figures.CPU, figures.RSS)
 		}
 		fmt.Fprintln(w)
@@ -117,9 +117,9 @@
 					"| --- | ---: | ---: | --- | --- | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | --- | --- |\n")
 			headWritten = true
 		}
-		fmt.Fprintf(w, "| %s | %d | %d | %s | %s | %v | %d | %d | %.2f | %d | %.6g | %.2f | %.2f | %s | %s |\n", result.Clock,
-			result.Depth, result.Servers, result.Class, result.LeafFailure, result.FailureShare, result.Attempts, result.Calls,
-			result.MeanLeafAttempts, result.MaxLeafAttempts, result.LeafAttemptsBound,
+		fmt.Fprintf(w, "| %s | %d | %d | %s | %s | %v | %d | %d | %.2f | %d | %.6g | %.2f | %.2f | %s | %s |\n",
+			result.Clock, result.Depth, result.Servers, result.Class, result.LeafFailure, result.FailureShare,
+			result.Attempts, result.Calls, result.MeanLeafAttempts, result.MaxLeafAttempts, result.LeafAttemptsBound,
 			result.BudgetedLeafAttempts/float64(result.Calls), result.SteadyLeafAttempts,
 			answerCodes(result), loadAverages(result))
 	}
--- a/internal/lab/chain/virtual.go
+++ b/internal/lab/chain/virtual.go
@@ -86,8 +86,8 @@
 			if err != nil {
 				return nil, err
 			}
-			if created.balancer, err = balancer.New(settings, randstream.Seed(options.Seed).Stream("node", uint64(number),
-				uint64(i)).Uint64(), created); err != nil {
+			if created.balancer, err = balancer.New(settings,
+				randstream.Seed(options.Seed).Stream("node", uint64(number), uint64(i)).Uint64(), created); err != nil {
 				return nil, err
 			}
 			var endpoints []balancer.Endpoint
@@ -116,7 +116,8 @@
 			run.queue.Now() > end
 	})
 	if err == nil && run.sentAttempts > maxSent {
-		err = fmt.Errorf("over %d attempts: --depth %d, --attempts %d and %d calls are too many for a row in virtual time",
+		err = fmt.Errorf(
+			"over %d attempts: --depth %d, --attempts %d and %d calls are too many for a row in virtual time",
 			maxSent, options.Depth, options.Attempts, options.Calls())
 	}
 	if err != nil {
--- a/internal/lab/chain/virtual_test.go
+++ b/internal/lab/chain/virtual_test.go
@@ -29,12 +29,12 @@
 			for _, depth := range []int{1, 2, 3} {
 				for attempts := 1; attempts <= 3; attempts++ {
 					t.Run(fmt.Sprint(class, failure, depth, attempts), func(t *testing.T) {
-						result := runVirtual(t, Options{Depth: depth, Rate: 1, Duration: time.Second, Attempts: attempts, Class: class,
-							LeafFailure: failure})
+						result := runVirtual(t, Options{Depth: depth, Rate: 1, Duration: time.Second,
+							Attempts: attempts, Class: class, LeafFailure: failure})
 						if float64(result.MaxLeafAttempts) != result.LeafAttemptsBound ||
 							result.LeafAttemptsBound != result.BudgetedLeafAttempts {
-							t.Errorf("%d attempts, want %v by MaxLeafAttempts and %v by BudgetedLeafAttempts", result.MaxLeafAttempts,
-								result.LeafAttemptsBound, result.BudgetedLeafAttempts)
+							t.Errorf("%d attempts, want %v by MaxLeafAttempts and %v by BudgetedLeafAttempts",
+								result.MaxLeafAttempts, result.LeafAttemptsBound, result.BudgetedLeafAttempts)
 						}
 					})
 				}
@@ -65,7 +65,8 @@
 		t.Errorf("answers: %v, want 3 of 200", result.Answers)
 	}
 	for number, figures := range result.Levels {
-		if want := int64(rootTimeoutMillis - 5*(number+1)); figures.TimeLeftMax != want || figures.TimeLeftMin != want ||
+		if want := int64(rootTimeoutMillis - 5*(number+1)); figures.TimeLeftMax != want ||
+			figures.TimeLeftMin != want ||
 			figures.Attempts != 3 {
 			t.Errorf("level %d: %d attempts with %d to %d ms left, want 3 with %d ms", number+1, figures.Attempts,
 				figures.TimeLeftMin,
--- a/internal/lab/checker/checker_test.go
+++ b/internal/lab/checker/checker_test.go
@@ -122,7 +122,8 @@
 			b.request(1, 1, 0).execute(1, 0).add(trace.Event{Kind: trace.ClientCutOff, Request: 1})
 		}},
 		"a request open at a graceful shutdown": {LostRequests, func(b *traceBuilder) {
-			b.request(1, 1, 0).add(trace.Event{Kind: trace.SidecarStateChanged, State: trace.Draining}).wait(2000 * millisecond)
+			b.request(1, 1, 0).add(trace.Event{Kind: trace.SidecarStateChanged,
+				State: trace.Draining}).wait(2000 * millisecond)
 			b.add(trace.Event{Kind: trace.RequestAbandoned, Request: 1})
 		}},
 		"a retry of a booking that was executed": {DuplicateExecutions, func(b *traceBuilder) {
@@ -159,7 +160,8 @@
 	b.add(trace.Event{Kind: trace.AttemptAccepted, Request: 1, Server: 1}).answer(1, trace.Served)
 
 	// An attempt that a server rejected was not executed.
-	b.request(2, 2, 1).add(trace.Event{Kind: trace.AttemptSent, Request: 2}).add(trace.Event{Kind: trace.AttemptRejected, Request: 2})
+	b.request(2, 2, 1).add(trace.Event{Kind: trace.AttemptSent,
+		Request: 2}).add(trace.Event{Kind: trace.AttemptRejected, Request: 2})
 	b.execute(2, 1).answer(2, trace.Served)
 
 	// A client may retry what was rejected.
--- a/internal/lab/checker/wire_test.go
+++ b/internal/lab/checker/wire_test.go
@@ -20,12 +20,14 @@
 	b.request(5, 5, 1).execute(5, 0).execute(5, 2).answer(5, trace.Rejected)
 	b.notify(3, trace.Draining).wait(551*millisecond).request(6, 6, 0).execute(6, 3).answer(6, trace.Served)
 	b.notify(4, trace.DrainedByOperator).wait(600*millisecond).request(7, 7, 0).execute(7, 4).answer(7, trace.Served)
-	b.add(trace.Event{Kind: trace.ServerStarted, Server: 5, Capacity: 1e6, ColdFrom: 0.2, ColdFor: 20_000 * millisecond})
+	b.add(trace.Event{Kind: trace.ServerStarted, Server: 5, Capacity: 1e6, ColdFrom: 0.2,
+		ColdFor: 20_000 * millisecond})
 	for id := uint64(100); id < 160; id++ {
 		b.request(id, id, 0).execute(id, 5).wait(10*millisecond).answer(id, trace.Served)
 	}
 	b.request(8, 8, 0).add(trace.Event{Kind: trace.SidecarStateChanged, State: trace.Removed})
-	b.add(trace.Event{Kind: trace.ClientCutOff, Request: 8}).add(trace.Event{Kind: trace.SidecarStateChanged, State: trace.Up})
+	b.add(trace.Event{Kind: trace.ClientCutOff, Request: 8}).add(trace.Event{Kind: trace.SidecarStateChanged,
+		State: trace.Up})
 	b.request(9, 9, 0).add(trace.Event{Kind: trace.RequestAbandoned, Request: 9, Note: "unheard"})
 	b.request(10, 10, 0).answer(10, trace.Failed).request(11, 11, 0).execute(11, 0)
 	return b.add(trace.Event{Kind: trace.ClientCutOff, Request: 97})
--- a/internal/lab/dnslab/bench.go
+++ b/internal/lab/dnslab/bench.go
@@ -97,8 +97,8 @@
 	row := BenchRow{Party: party, TCP: load.TCP, Open: load.Open, WaitMs: toMillis(load.Wait.Microseconds())}
 	addr, stop := resolvers[0], func() (time.Duration, float64) { return 0, 0 }
 	if party != Direct {
-		started, addrs, err := startPeer(ctx, o.Self, string(party), strings.Join(resolvers, ","), strconv.Itoa(load.Open),
-			o.profile(load, party))
+		started, addrs, err := startPeer(ctx, o.Self, string(party), strings.Join(resolvers, ","),
+			strconv.Itoa(load.Open), o.profile(load, party))
 		if err != nil {
 			return row, err
 		}
--- a/internal/lab/dnslab/beside.go
+++ b/internal/lab/dnslab/beside.go
@@ -145,7 +145,8 @@
 		return nil, err
 	}
 	forwarder := &plainForwarder{addr: udp.LocalAddr().String(),
-		servers: []*dns.Server{{PacketConn: udp, Handler: handler}, {Listener: tcp, Handler: handler, MaxTCPQueries: -1}}}
+		servers: []*dns.Server{{PacketConn: udp, Handler: handler},
+			{Listener: tcp, Handler: handler, MaxTCPQueries: -1}}}
 	for _, s := range forwarder.servers {
 		go s.ActivateAndServe()
 	}
--- a/internal/lab/dnslab/lab.go
+++ b/internal/lab/dnslab/lab.go
@@ -195,12 +195,12 @@
 	verdict := l.checker.Finish(time.Since(l.startedAt).Microseconds())
 	requests := max(1, verdict.Counts.Requests)
 	result := &Result{Scenario: s.Name, Party: o.Party, Asked: verdict.Counts.Requests,
-		Service: float64(l.servedInTime) / float64(requests),
-		Served:  float64(l.servedCount) / float64(requests), Attempts: float64(l.queriesAtResolvers) / float64(requests),
-		P50: toMillis(l.latencies.ValueAtQuantile(50)), P99: toMillis(l.latencies.ValueAtQuantile(99)),
-		P999:     toMillis(l.latencies.ValueAtQuantile(99.9)),
-		LastSent: toMillis(l.lastSent.Microseconds()), Truncated: l.truncatedAnswers.Load(), Stray: l.strayMessages.Load(),
-		Verdict: verdict}
+		Service:  float64(l.servedInTime) / float64(requests),
+		Served:   float64(l.servedCount) / float64(requests),
+		Attempts: float64(l.queriesAtResolvers) / float64(requests), P50: toMillis(l.latencies.ValueAtQuantile(50)),
+		P99: toMillis(l.latencies.ValueAtQuantile(99)), P999: toMillis(l.latencies.ValueAtQuantile(99.9)),
+		LastSent: toMillis(l.lastSent.Microseconds()), Truncated: l.truncatedAnswers.Load(),
+		Stray: l.strayMessages.Load(), Verdict: verdict}
 	if traffic != nil {
 		result.Bookings, result.Flooded = traffic.servedShare(), traffic.floodQueries.Load()
 	}
@@ -209,10 +209,12 @@
 			result.Missed = append(result.Missed, verdict.String())
 		}
 		if result.Service < s.Keep.Service {
-			result.Missed = append(result.Missed, fmt.Sprintf("service %.3f is under %.3f", result.Service, s.Keep.Service))
+			result.Missed = append(result.Missed, fmt.Sprintf("service %.3f is under %.3f", result.Service,
+				s.Keep.Service))
 		}
 		if s.Keep.Attempts > 0 && result.Attempts > s.Keep.Attempts {
-			result.Missed = append(result.Missed, fmt.Sprintf("attempts %.3f are over %.3f", result.Attempts, s.Keep.Attempts))
+			result.Missed = append(result.Missed, fmt.Sprintf("attempts %.3f are over %.3f", result.Attempts,
+				s.Keep.Attempts))
 		}
 	}
 	return result, nil
@@ -303,8 +305,8 @@
 			disc.setInstance(r, state, 0)
 		case "join":
 			now := time.Now()
-			l.report(trace.Event{Kind: trace.ServerStarted, Server: int32(r.id), Capacity: r.kind.Capacity * 1e6, ColdFrom: coldFrom,
-				ColdFor: coldFor.Microseconds()})
+			l.report(trace.Event{Kind: trace.ServerStarted, Server: int32(r.id), Capacity: r.kind.Capacity * 1e6,
+				ColdFrom: coldFrom, ColdFor: coldFor.Microseconds()})
 			disc.setInstance(r, "up", now.UnixMilli())
 		default:
 			r.setFault(f.Kind, active)
@@ -392,9 +394,9 @@
 	run, stop := context.WithCancel(ctx)
 	ended := make(chan error, 1)
 	go func() {
-		ended <- sidecar.Run(run, conf, sidecar.Host{Socket: openListener{httpListener}, Overrides: maintenance.Discard{},
-			Protocols: []core.Protocol{front},
-			Reload:    make(chan os.Signal), ReadConfig: readConfig, Log: o.Log})
+		ended <- sidecar.Run(run, conf, sidecar.Host{Socket: openListener{httpListener},
+			Overrides: maintenance.Discard{}, Protocols: []core.Protocol{front},
+			Reload: make(chan os.Signal), ReadConfig: readConfig, Log: o.Log})
 	}()
 	traffic.sidecarURL = "http://" + httpListener.Addr().String()
 	end := func() {
@@ -426,9 +428,10 @@
 	}
 	front := &l.scenario.Front
 	class := func(name string, opcodes ...int) dnsfront.Class {
-		return dnsfront.Class{Name: name, LatencyObjective: time.Duration(front.Aim), Timeout: time.Duration(front.GiveUp),
-			PriorityWeight: 1, LatePriorityWeight: 0.5,
-			MaxAttempts: orDefault(front.Attempts, 3), Route: route.Class{Suffixes: []string{"example.org"}, Opcodes: opcodes}}
+		return dnsfront.Class{Name: name, LatencyObjective: time.Duration(front.Aim),
+			Timeout: time.Duration(front.GiveUp), PriorityWeight: 1, LatePriorityWeight: 0.5,
+			MaxAttempts: orDefault(front.Attempts, 3),
+			Route:       route.Class{Suffixes: []string{"example.org"}, Opcodes: opcodes}}
 	}
 	maxOpen := orDefault(front.Open, 2000)
 	return dnsfront.Settings{MaxSockets: orDefault(front.Sockets, 512), MaxConnsPerServer: 2, MaxClientConns: 64,
--- a/internal/lab/dnslab/scenario.go
+++ b/internal/lab/dnslab/scenario.go
@@ -44,8 +44,8 @@
 	TCP    float64 `toml:"tcp"`    // share of queries over TCP
 	Update float64 `toml:"update"` // share of dynamic updates, which must not run twice
 	Big    float64 `toml:"big"`    // share of queries whose answers do not fit into a datagram
-	// Retransmit is the delay after which a client sends an unanswered query over UDP again with the same id; 0: never. If
-	// the retransmission crosses the answer, the client receives a second answer.
+	// Retransmit is the delay after which a client sends an unanswered query over UDP again with the same id; 0: never.
+	// If the retransmission crosses the answer, the client receives a second answer.
 	Retransmit Dur     `toml:"retransmit"`
 	Bookings   float64 `toml:"bookings"` // HTTP requests a second through the same sidecar
 	Flood      float64 `toml:"flood"`    // queries a second from a source that never reads answers
@@ -54,9 +54,10 @@
 
 // Resolvers is a group of stub resolvers with the same properties.
 type Resolvers struct {
-	Count    int     `toml:"count"`
-	Delay    Dur     `toml:"delay"`    // mean delay of an answer
-	Capacity float64 `toml:"capacity"` // queries a second when warm, for the checker's rule on cold servers; 0: unlimited
+	Count int `toml:"count"`
+	Delay Dur `toml:"delay"` // mean delay of an answer
+	// queries a second when warm, for the checker's rule on cold servers; 0: unlimited
+	Capacity float64 `toml:"capacity"`
 	ServFail float64 `toml:"servfail"` // share of queries that are answered with SERVFAIL
 	Small    bool    `toml:"small"`    // ignores EDNS: answers over UDP have at most 512 bytes
 }
@@ -102,8 +103,9 @@
 
 // Keep holds the requirements on a run.
 type Keep struct {
-	Service  float64 `toml:"service"`       // least share of queries served within the latency objective
-	Attempts float64 `toml:"attempts_most"` // most queries that reach resolvers for each query of a client; 0: unlimited
+	Service float64 `toml:"service"` // least share of queries served within the latency objective
+	// most queries that reach resolvers for each query of a client; 0: unlimited
+	Attempts float64 `toml:"attempts_most"`
 }
 
 // Read reads a scenario and fills in defaults. The error lists all invalid keys.
@@ -140,7 +142,8 @@
 	resolverCount := 0
 	for i := range s.Resolvers {
 		r := &s.Resolvers[i]
-		require(r.Count >= 1 && r.Count <= 64, fmt.Sprintf("resolver[%d].count", i), "%d is not within 1 and 64", r.Count)
+		require(r.Count >= 1 && r.Count <= 64, fmt.Sprintf("resolver[%d].count", i), "%d is not within 1 and 64",
+			r.Count)
 		resolverCount += r.Count
 	}
 	require(resolverCount > 0, "resolver", "at least one is needed")
--- a/internal/lab/figures/figures.go
+++ b/internal/lab/figures/figures.go
@@ -42,7 +42,8 @@
 	Figures  map[string]float64 `json:"figures"`   // by name; `birchmoor lab compare` compares them
 	Fleet    []Load             `json:"fleet"`
 	Verdict  *checker.Verdict   `json:"verdict"`
-	Missed   []string           `json:"missed"` // figures that fall short of the scenario's requirements, with both values
+	// figures that fall short of the scenario's requirements, with both values
+	Missed []string `json:"missed"`
 
 	Series Series   `json:"series"`
 	Log    []string `json:"log,omitempty"`
@@ -303,7 +304,8 @@
 	if !e.Retry {
 		worth := c.PriorityWeight * float64(e.Work)
 		r.taskCount++
-		r.tasks[e.Task] = &task{class: e.Class, startedAt: e.At, worth: worth, deadline: e.At + c.LatencyObjective.Micros()}
+		r.tasks[e.Task] = &task{class: e.Class, startedAt: e.At, worth: worth,
+			deadline: e.At + c.LatencyObjective.Micros()}
 		*elementAt(&r.askedWorth, second) += worth
 		elementAt(&r.earnedWorth, second)
 		r.classTotals[e.Class].tasks++
@@ -362,8 +364,9 @@
 		latencies := r.latencies[i]
 		allLatencies.Merge(latencies)
 		quantileMillis := func(q float64) float64 { return float64(latencies.ValueAtQuantile(q)) / 1000 }
-		result.Classes = append(result.Classes, Class{s.Classes[i].Name, c.tasks, ratioOrOne(c.earnedWorth, c.askedWorth),
-			quantileMillis(50), quantileMillis(90), quantileMillis(99), quantileMillis(99.9)})
+		result.Classes = append(result.Classes, Class{s.Classes[i].Name, c.tasks,
+			ratioOrOne(c.earnedWorth, c.askedWorth), quantileMillis(50), quantileMillis(90), quantileMillis(99),
+			quantileMillis(99.9)})
 	}
 	result.Service = ratioOrOne(earnedWorth, askedWorth)
 	for from := 0; from+10 <= len(r.askedWorth); from++ {
--- a/internal/lab/figures/figures_test.go
+++ b/internal/lab/figures/figures_test.go
@@ -37,7 +37,8 @@
 func TestServiceCountsWorthOncePerTaskWithinObjective(t *testing.T) {
 	recorder := New(parseScenario(t, "[keep]\nservice = 0.9\nattempts_most = 0.1\n[keep.class]\npay = 0.5\n"))
 	ask := func(at Micros, id, task uint64, class uint8, retry bool) {
-		recorder.Take(trace.Event{At: at, Kind: trace.RequestSent, Request: id, Task: task, Class: class, Work: 10, Retry: retry})
+		recorder.Take(trace.Event{At: at, Kind: trace.RequestSent, Request: id, Task: task, Class: class, Work: 10,
+			Retry: retry})
 	}
 	answer := func(at Micros, id uint64, v trace.Verdict) {
 		recorder.Take(trace.Event{At: at, Kind: trace.RequestAnswered, Request: id, Verdict: v})
@@ -71,7 +72,8 @@
 		t.Errorf("missed requirements %q, want service and attempts a request", text)
 	}
 	if c := result.Series.Classes[1]; c.Offered[2] != 2 || c.Served[2] != 1 || c.Refused[2] != 1 || c.Failed[16] != 1 {
-		t.Errorf("series of class pay %+v, want 2 offered, 1 served and 1 refused in second 2, and 1 failed in second 16", c)
+		t.Errorf(
+			"series of class pay %+v, want 2 offered, 1 served and 1 refused in second 2, and 1 failed in second 16", c)
 	}
 }
 
@@ -102,7 +104,8 @@
 	take(2_100_000, trace.ServerStopped, 1, 0, 1) // its connections end with the process
 	recorder.Take(trace.Event{At: 2_200_000, Kind: trace.ColdLoad, Server: 1, Warmth: 0.4})
 	recorder.Take(trace.Event{At: 2_300_000, Kind: trace.DiscoveryCalled, Sidecar: 1, Work: 20_000})
-	recorder.Take(trace.Event{At: 2_400_000, Kind: trace.DiscoveryCalled, Sidecar: 2, Work: 40_000, Verdict: trace.Failed})
+	recorder.Take(trace.Event{At: 2_400_000, Kind: trace.DiscoveryCalled, Sidecar: 2, Work: 40_000,
+		Verdict: trace.Failed})
 	take(3_500_000, trace.ProbeSent, 9, 1, 1) // no such server: is ignored
 	result := recorder.End(&checker.Verdict{})
 	want := map[string]float64{"probes_worst": 5, "probes_mean": 5.0 / 8, "handshakes_worst": 4,
@@ -132,20 +135,20 @@
 // told of the start.
 func TestRampCountsAllArrivalsAndBlamesInformedSidecars(t *testing.T) {
 	const second = 1_000_000
-	// The defaults are a multiple of 3 for 3 s, and 50 ms of work a request. A server that does 2 seconds of work a second
-	// and starts at an eighth of that is allowed N = 3 * 2 * 0.125 * 3 / 0.05 = 45 requests at its start.
+	// The defaults are a multiple of 3 for 3 s, and 50 ms of work a request. A server that does 2 seconds of work a
+	// second and starts at an eighth of that is allowed N = 3 * 2 * 0.125 * 3 / 0.05 = 45 requests at its start.
 	run := func(informed, uninformed int, interval Micros) map[string]float64 {
 		recorder := New(parseScenario(t, "[keep.fleet_most]\nramp_worst = 1.0\nramp_falls_told = 0.5\n"))
-		recorder.Take(trace.Event{At: 7 * second, Kind: trace.ServerStarted, Server: 1, Capacity: 2 * second, ColdFrom: 0.125,
-			ColdFor: 1 << 50})
+		recorder.Take(trace.Event{At: 7 * second, Kind: trace.ServerStarted, Server: 1, Capacity: 2 * second,
+			ColdFrom: 0.125, ColdFor: 1 << 50})
 		recorder.Take(trace.Event{At: 7 * second, Kind: trace.ServerListed, Server: 1, Sidecar: 1, State: trace.Up,
 			StartedAt: 7 * second})
 		// Sidecar 2 was told of an earlier start.
 		recorder.Take(trace.Event{At: 7 * second, Kind: trace.ServerListed, Server: 1, Sidecar: 2, State: trace.Up,
 			StartedAt: 5 * second})
 		for i := range informed + uninformed {
-			e := trace.Event{At: 8*second + Micros(i)*interval, Kind: trace.AttemptAccepted, Server: 1, Sidecar: 1, Request: uint64(i),
-				Work: 50_000}
+			e := trace.Event{At: 8*second + Micros(i)*interval, Kind: trace.AttemptAccepted, Server: 1, Sidecar: 1,
+				Request: uint64(i), Work: 50_000}
 			if i%2 == 1 {
 				e.Kind = trace.AttemptRejected // rejected arrivals count, too
 			}
@@ -157,8 +160,8 @@
 		recorder.Take(trace.Event{At: 20 * second, Kind: trace.ProbeSent, Server: 1, Sidecar: 1})
 		result := recorder.End(&checker.Verdict{})
 		if over := result.Figures["ramp_falls"] > 0; over != (len(result.Missed) > 0) {
-			t.Errorf("%d arrivals from informed sidecars and %d from others: %v falls, but missed requirements %q", informed,
-				uninformed, result.Figures["ramp_falls"], result.Missed)
+			t.Errorf("%d arrivals from informed sidecars and %d from others: %v falls, but missed requirements %q",
+				informed, uninformed, result.Figures["ramp_falls"], result.Missed)
 		}
 		return result.Figures
 	}
@@ -180,8 +183,8 @@
 		if math.Abs(got["ramp_worst"]-result.ratio) > 1e-3 || got["ramp_falls"] != result.falls ||
 			got["ramp_falls_told"] != result.told ||
 			math.Abs(got["ramp_untold"]-float64(result.unknown)/float64(result.known+result.unknown)) > 1e-9 {
-			t.Errorf("%+v: got %v of the limit, %v falls, %v of them by informed sidecars, %v of the work by others", result,
-				got["ramp_worst"], got["ramp_falls"], got["ramp_falls_told"], got["ramp_untold"])
+			t.Errorf("%+v: got %v of the limit, %v falls, %v of them by informed sidecars, %v of the work by others",
+				result, got["ramp_worst"], got["ramp_falls"], got["ramp_falls_told"], got["ramp_untold"])
 		}
 	}
 }
--- a/internal/lab/figures/ramp.go
+++ b/internal/lab/figures/ramp.go
@@ -87,8 +87,8 @@
 	switch e.Kind {
 	case trace.ServerStarted:
 		r.endColdTime(e.Server)
-		*c = coldServer{cold: e.ColdFor > 0 && e.ColdFrom < 1, startedAt: e.At, capacity: e.Capacity, coldFrom: e.ColdFrom,
-			coldFor:  e.ColdFor,
+		*c = coldServer{cold: e.ColdFor > 0 && e.ColdFrom < 1, startedAt: e.At, capacity: e.Capacity,
+			coldFrom: e.ColdFrom, coldFor: e.ColdFor,
 			informed: map[int32]bool{}}
 	case trace.ServerStopped:
 		r.endColdTime(e.Server)
@@ -153,7 +153,8 @@
 	figures := x.Figures
 	figures["ramp_mean"], figures["ramp_worst"] = ratioOrZero(r.limitShare.sum, r.limitShare.count), r.limitShare.worst
 	figures["ramp_falls"], figures["ramp_falls_told"] = float64(r.falls), float64(r.informedFalls)
-	figures["ramp_untold"], figures["ramp_retries"], figures["ramp_further"] = ratioOrZero(r.uninformedWork, r.coldWork),
+	figures["ramp_untold"], figures["ramp_retries"], figures["ramp_further"] = ratioOrZero(r.uninformedWork,
+		r.coldWork),
 		ratioOrZero(r.retryWork, r.coldWork), ratioOrZero(r.furtherAttemptWork, r.coldWork)
 	figures["ramp_probes"] = ratioOrZero(r.coldProbeWork, r.coldWork)
 }
--- a/internal/lab/fleetlab/fleet.go
+++ b/internal/lab/fleetlab/fleet.go
@@ -205,7 +205,8 @@
 	}()
 	var instances []discovery.Instance
 	for i := range cfg.Servers {
-		server := &Server{Number: i, handler: cfg.Handler, lastRequests: map[int]time.Time{}, requestCounts: map[int]int{}}
+		server := &Server{Number: i, handler: cfg.Handler, lastRequests: map[int]time.Time{},
+			requestCounts: map[int]int{}}
 		server.Server = httptest.NewServer(server)
 		server.instance = discovery.Instance{
 			ID:        fmt.Sprintf("slot-%d", i),
@@ -644,7 +645,8 @@
 	for ctx.Err() == nil {
 		client := f.Daemons[0].Client
 		if !added {
-			_, lastErr = client.Change(ctx, admin.ChangeRequest{ID: store.RequestID{Client: 1 << 40, Seq: uint64(number)},
+			_, lastErr = client.Change(ctx, admin.ChangeRequest{
+				ID:        store.RequestID{Client: 1 << 40, Seq: uint64(number)},
 				AddMember: &store.AddMember{Name: f.Daemons[number].name, Address: f.Daemons[number].peerAddr}})
 			added = lastErr == nil
 		}
@@ -654,7 +656,8 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	return fmt.Errorf("replica %d does not vote: %w\n%s", number, errors.Join(lastErr, ctx.Err()), f.Daemons[number].Log())
+	return fmt.Errorf("replica %d does not vote: %w\n%s", number, errors.Join(lastErr, ctx.Err()),
+		f.Daemons[number].Log())
 }
 
 // ClientAddr returns the address of the sidecar for clients.
@@ -742,7 +745,8 @@
 
 // NewDiscoveryServer starts a discovery server on loopback with an endpoint list, which it copies. Close ends it.
 func NewDiscoveryServer(list []discovery.Instance) *DiscoveryServer {
-	b := &DiscoveryServer{instances: append([]discovery.Instance(nil), list...), version: 1, changed: make(chan struct{})}
+	b := &DiscoveryServer{instances: append([]discovery.Instance(nil), list...), version: 1,
+		changed: make(chan struct{})}
 	b.server = httptest.NewServer(b)
 	return b
 }
--- a/internal/lab/fleetlab/measure.go
+++ b/internal/lab/fleetlab/measure.go
@@ -101,7 +101,8 @@
 			server, reporter := f.Servers[i], (done+i)%len(f.Daemons)
 			instance := server.Instance()
 			if operators {
-				if reply, err := f.Daemons[reporter].CallOperator("maint-off " + instance.ID); err != nil || reply != "YES\n" {
+				if reply, err := f.Daemons[reporter].CallOperator("maint-off " + instance.ID); err != nil ||
+					reply != "YES\n" {
 					return result, fmt.Errorf("maint-off %s: %q, %v", instance.ID, reply, err)
 				}
 				server.SetInstance(instance)
@@ -465,7 +466,8 @@
 			var connLatencies []time.Duration
 			for n := 0; ctx.Err() == nil; n++ {
 				sentAt := time.Now()
-				if d.SendRequest(ctx, client, fmt.Sprintf("%02x%06x%012x", conn, d.Number, time.Now().UnixNano()&0xffffffffffff)) {
+				if d.SendRequest(ctx, client, fmt.Sprintf("%02x%06x%012x", conn, d.Number,
+					time.Now().UnixNano()&0xffffffffffff)) {
 					connLatencies = append(connLatencies, time.Since(sentAt))
 				}
 			}
--- a/internal/lab/leasemodel/model.go
+++ b/internal/lab/leasemodel/model.go
@@ -168,7 +168,8 @@
 	for i := range w.holders {
 		h, owner := &w.holders[i], uint8(i+1)
 		// The clocks of the holders are independent of each other and of the store's.
-		h.session, h.clock = *lease.NewSession(lease.Rules{TTL: sessionTTL(owner), MaxClockSkew: maxClockSkew}, defect), 1000*int64(owner)
+		h.session, h.clock = *lease.NewSession(lease.Rules{TTL: sessionTTL(owner), MaxClockSkew: maxClockSkew}, defect),
+			1000*int64(owner)
 		h.session.Next(h.clock)
 		w.handle(owner, message{kind: grant})
 		h.response = response{}
@@ -187,7 +188,8 @@
 
 // entitled reports whether a holder considers itself entitled, whether or not it is stopped.
 func (h *holder) entitled(owner uint8) bool {
-	return h.entryLease != 0 && !h.released && h.generation == h.session.Generation() && h.clock < h.session.ValidUntil() && h.queueCopy[0] == queueEntry{owner, h.entryLease}
+	return h.entryLease != 0 && !h.released && h.generation == h.session.Generation() &&
+		h.clock < h.session.ValidUntil() && h.queueCopy[0] == queueEntry{owner, h.entryLease}
 }
 
 // nextSteps returns all steps that are possible in a state.
--- a/internal/lab/leasemodel/model_test.go
+++ b/internal/lab/leasemodel/model_test.go
@@ -19,7 +19,8 @@
 	const depth = 8
 	forEachClockChoice(Options{Depth: depth}, func(o Options) {
 		if r := Run(o); r.Broken != nil || r.Depth != depth {
-			t.Errorf("options %+v: %d states up to depth %d, both holders entitled after %q", o, r.States, r.Depth, r.Broken)
+			t.Errorf("options %+v: %d states up to depth %d, both holders entitled after %q", o, r.States, r.Depth,
+				r.Broken)
 		}
 	})
 }
--- a/internal/lab/limitlab/judge.go
+++ b/internal/lab/limitlab/judge.go
@@ -226,14 +226,16 @@
 func (j *Judge) judgeInterval(t *tally, arrived *request, now time.Duration) {
 	length := t.interval()
 	bound := t.bound(j.daemons)
-	t.sentRecently = slices.DeleteFunc(append(t.sentRecently, arrived), func(x *request) bool { return x.sentAt <= now-length })
+	t.sentRecently = slices.DeleteFunc(append(t.sentRecently, arrived),
+		func(x *request) bool { return x.sentAt <= now-length })
 	n := float64(len(t.sentRecently))
 	t.maxCount = max(t.maxCount, n)
 	t.maxUse = max(t.maxUse, n/bound)
 	if n > bound && t.violation == "" {
 		t.from, t.to = now-length, now
 		t.violation = fmt.Sprintf("%s, part %q: %.0f in %v at %v, and the bound is %.1f; by daemon: %s",
-			t.limit.Name, t.limit.Nodes[t.node].Path, n, length, now.Round(time.Millisecond), bound, describe(t.sentRecently))
+			t.limit.Name, t.limit.Nodes[t.node].Path, n, length, now.Round(time.Millisecond), bound,
+			describe(t.sentRecently))
 	}
 }
 
@@ -245,12 +247,14 @@
 		length = max(time.Duration(t.limit.Window)-j.maxLateness, j.maxLateness)
 	}
 	bound, _ := t.limit.UpperBound(t.node, int64(length), int64(j.maxLateness), maxClockSkew, j.daemons)
-	t.arrivedRecently = slices.DeleteFunc(append(t.arrivedRecently, arrived), func(x *request) bool { return x.arrivedAt <= now-length })
+	t.arrivedRecently = slices.DeleteFunc(append(t.arrivedRecently, arrived),
+		func(x *request) bool { return x.arrivedAt <= now-length })
 	n := float64(len(t.arrivedRecently))
 	if n > bound && t.violation == "" {
 		t.from, t.to = now-length, now
 		t.violation = fmt.Sprintf("%s, part %q: %.0f arrived in %v at %v, and the bound is %.1f; by daemon: %s",
-			t.limit.Name, t.limit.Nodes[t.node].Path, n, length, now.Round(time.Millisecond), bound, describe(t.arrivedRecently))
+			t.limit.Name, t.limit.Nodes[t.node].Path, n, length, now.Round(time.Millisecond), bound,
+			describe(t.arrivedRecently))
 	}
 }
 
--- a/internal/lab/limitlab/judge_test.go
+++ b/internal/lab/limitlab/judge_test.go
@@ -63,7 +63,8 @@
 					time.Sleep(x.interval)
 				}
 				attempts.Wait()
-				if _, broken := j.Result(); (x.violation == "") != (len(broken) == 0) || x.violation != "" && !strings.Contains(strings.Join(broken, "; "), x.violation) {
+				if _, broken := j.Result(); (x.violation == "") != (len(broken) == 0) ||
+					x.violation != "" && !strings.Contains(strings.Join(broken, "; "), x.violation) {
 					t.Errorf("unexpected exceeded limits: %q", broken)
 				}
 			})
--- a/internal/lab/limitlab/limitlab.go
+++ b/internal/lab/limitlab/limitlab.go
@@ -111,7 +111,8 @@
 // Faults lists all kinds of faults.
 var Faults = []Fault{
 	{"killed", "a daemon is killed with its quotas and started at once", 0, fleetlab.KillDaemon, false},
-	{"stopped", "a daemon is stopped for three session TTLs, and then continues with all waiting requests", 3, fleetlab.StopDaemon, false},
+	{"stopped", "a daemon is stopped for three session TTLs, and then continues with all waiting requests", 3,
+		fleetlab.StopDaemon, false},
 	{"mute", "messages from a daemon are lost, and those to it are not", 1.5, fleetlab.LoseSent, false},
 	{"deaf", "messages to a daemon are lost, and those from it are not", 1.5, fleetlab.LoseReceived, false},
 	{"cut-off", "a daemon is cut off in both directions for three session TTLs", 3, fleetlab.Isolate, false},
@@ -143,7 +144,9 @@
 // nextFault returns the nth fault of a run that has lasted for some time, and whether there is one.
 func (t *FaultRun) nextFault(index int, elapsed time.Duration) (ScheduledFault, bool) {
 	rng := rand.New(rand.NewPCG(t.Seed, uint64(index)))
-	fault := ScheduledFault{GapMs: t.FaultInterval.Milliseconds()/2 + rng.Int64N(max(1, t.FaultInterval.Milliseconds())), Fault: Faults[rng.IntN(len(Faults))].Name, Draw: rng.Uint64()}
+	fault := ScheduledFault{GapMs: t.FaultInterval.Milliseconds()/2 +
+		rng.Int64N(max(1, t.FaultInterval.Milliseconds())), Fault: Faults[rng.IntN(len(Faults))].Name,
+		Draw: rng.Uint64()}
 	switch {
 	case t.Schedule != nil:
 		if index < len(t.Schedule) {
@@ -190,8 +193,10 @@
 	r := &run{FaultRun: t, judge: NewJudge(config, t.Replicas+t.Followers)}
 	r.judge.maxLateness = maxLateness
 	changes := &history{now: r.judge.Now}
-	r.fleet, err = fleetlab.Begin(ctx, fleetlab.Config{Program: t.Program, Args: []string{"run", "--config"}, Env: t.Env, Dir: dir, Replicas: t.Replicas,
-		Followers: t.Followers, Servers: 4, Seed: t.Seed, Handler: r.judge, ExtraOperatorConfig: fmt.Sprintf("[limits]\nlease = %q\ntell = \"50ms\"\neach = \"2ms\"\n", TTL)})
+	r.fleet, err = fleetlab.Begin(ctx, fleetlab.Config{Program: t.Program, Args: []string{"run", "--config"},
+		Env: t.Env, Dir: dir, Replicas: t.Replicas,
+		Followers: t.Followers, Servers: 4, Seed: t.Seed, Handler: r.judge,
+		ExtraOperatorConfig: fmt.Sprintf("[limits]\nlease = %q\ntell = \"50ms\"\neach = \"2ms\"\n", TTL)})
 	if err != nil {
 		return nil, err
 	}
@@ -262,7 +267,8 @@
 		if t.Progress != nil {
 			requests, _ := r.judge.counts("orders")
 			_, broken := r.judge.Result()
-			t.report(fmt.Sprintf("%v: injected %s at %s; %d requests, %d rejected, %d limits exceeded", time.Since(startedAt).Round(time.Second), fault.Name, target, requests, r.rejected.Load(), len(broken)))
+			t.report(fmt.Sprintf("%v: injected %s at %s; %d requests, %d rejected, %d limits exceeded",
+				time.Since(startedAt).Round(time.Second), fault.Name, target, requests, r.rejected.Load(), len(broken)))
 		}
 	}
 	return result, r.measureUse(ctx, result)
@@ -282,7 +288,8 @@
 				break
 			}
 			if wait.Err() != nil {
-				return errors.Join(fmt.Errorf("%s does not enforce the new limits within a minute", d.Name()), err, errors.New(d.Log()))
+				return errors.Join(fmt.Errorf("%s does not enforce the new limits within a minute", d.Name()), err,
+					errors.New(d.Log()))
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
@@ -318,7 +325,8 @@
 		case <-time.After(wait):
 		}
 		_, after := x.judge.counts("orders")
-		r.Use = float64(after-before) / time.Since(startedAt).Seconds() / (float64(x.judge.config.Find("orders").Nodes[0].Capacity) / float64(quota.AmountUnit))
+		r.Use = float64(after-before) / time.Since(startedAt).Seconds() /
+			(float64(x.judge.config.Find("orders").Nodes[0].Capacity) / float64(quota.AmountUnit))
 	}
 	return nil
 }
--- a/internal/lab/limitsim/limitsim.go
+++ b/internal/lab/limitsim/limitsim.go
@@ -115,8 +115,9 @@
 	if options.Calm {
 		options.Faults = 0
 	}
-	w := &world{options: options, queue: eventqueue.NewVirtual(), rng: rand.New(rand.NewPCG(seed, 0x6c696d697473)), reportedKinds: map[string]bool{}, leaseTimers: map[uint64]int64{},
-		checkers: map[string]*checker{}, cutOffSince: map[string]int64{}, leaderClockRate: 1}
+	w := &world{options: options, queue: eventqueue.NewVirtual(), rng: rand.New(rand.NewPCG(seed, 0x6c696d697473)),
+		reportedKinds: map[string]bool{}, leaseTimers: map[uint64]int64{}, checkers: map[string]*checker{},
+		cutOffSince: map[string]int64{}, leaderClockRate: 1}
 	w.result.Seed = seed
 	// In half of all runs the clocks run at one rate, so that even a small excess over a limit is found. In the others
 	// they run up to a tenth fast or slow, and the bounds are wider by as much.
@@ -134,7 +135,8 @@
 		w.queue.After(second+int64(i)*int64(options.Gap)*milli+w.rng.Int64N(int64(options.Gap)*milli/2), w.injectFault)
 	}
 	w.queue.After(end, w.endFaults)
-	w.queue.After(end+calmMicros/2, func() { w.rateRequests, w.rateAdmitted = 0, 0; w.result.Entries, w.result.Bytes = 0, 0 })
+	w.queue.After(end+calmMicros/2,
+		func() { w.rateRequests, w.rateAdmitted = 0, 0; w.result.Entries, w.result.Bytes = 0, 0 })
 	w.queue.After(end+calmMicros-1, w.measure)
 	if options.Busy {
 		w.queue.After(end+calmMicros, w.measureSingleBusy)
@@ -144,7 +146,8 @@
 	_ = w.queue.Run(context.Background(), func() bool { return w.finished })
 	w.result.Micros = w.queue.Now()
 	if w.result.Use < 0.3 {
-		w.reportViolation("of no use", "%.2f of the rate limit is let through, %d ms after the last fault", w.result.Use, calmMicros/2/milli)
+		w.reportViolation("of no use", "%.2f of the rate limit is let through, %d ms after the last fault",
+			w.result.Use, calmMicros/2/milli)
 	}
 	for _, j := range w.checkers {
 		w.result.MaxUse, w.result.MaxExcess = max(w.result.MaxUse, j.maxUse), max(w.result.MaxExcess, j.maxExcess)
@@ -156,7 +159,8 @@
 // period.
 func (w *world) measure() {
 	seconds := float64(calmMicros/2) / float64(second)
-	w.result.Use = float64(w.rateAdmitted) / max(1, min(float64(w.rateRequests), seconds*float64(w.config.Limits[0].Nodes[0].Capacity)/float64(quota.AmountUnit)))
+	w.result.Use = float64(w.rateAdmitted) / max(1,
+		min(float64(w.rateRequests), seconds*float64(w.config.Limits[0].Nodes[0].Capacity)/float64(quota.AmountUnit)))
 	w.result.EntriesPerS, w.result.BytesPerS = float64(w.result.Entries)/seconds, float64(w.result.Bytes)/seconds
 }
 
@@ -176,14 +180,23 @@
 	}
 	w.config = &quota.Config{Version: 1, Limits: []*quota.Limit{
 		{Name: "rate", Generation: 1, Kind: quota.Rate, Unit: quota.Requests, Window: 100e6, Fallback: quota.Strict, Paths: []string{"/rate"}, PartitionBy: []string{"header:org", "header:agency"},
-			Nodes: []quota.Node{{Capacity: scaled(60), Weight: 1}, {Path: "a", Capacity: scaled(30), Guaranteed: scaled(12), Weight: 2}, {Path: "b", Capacity: scaled(36), Weight: 1},
+			Nodes: []quota.Node{{Capacity: scaled(60), Weight: 1},
+				{Path: "a", Capacity: scaled(30), Guaranteed: scaled(12), Weight: 2},
+				{Path: "b", Capacity: scaled(36), Weight: 1},
 				{Path: "a/x", Parent: 1, Capacity: scaled(16), Guaranteed: scaled(3), Weight: 1}}},
-		{Name: "window", Generation: 1, Kind: quota.Window, Unit: quota.Requests, Window: 1500e6, Fallback: quota.Strict, Paths: []string{"/window"}, Nodes: []quota.Node{{Capacity: scaled(12), Weight: 1}}},
-		{Name: "long", Generation: 1, Kind: quota.Window, Unit: quota.Requests, Window: 5e9, Fallback: quota.Strict, Paths: []string{"/long"}, Nodes: []quota.Node{{Capacity: scaled(20), Weight: 1}}},
-		{Name: "held", Generation: 1, Kind: quota.Concurrency, Unit: quota.Requests, Window: 150e6, Fallback: quota.Strict, Paths: []string{"/held"}, Nodes: []quota.Node{{Capacity: scaled(3), Weight: 1}}},
-		{Name: "slow", Generation: 1, Kind: quota.Rate, Unit: quota.Requests, Window: 1e9, Fallback: quota.Strict, Paths: []string{"/slow"}, Nodes: []quota.Node{{Capacity: scaled(6), Weight: 1}}},
-		{Name: "fair", Generation: 1, Kind: quota.Rate, Unit: quota.Requests, Window: 1e9, Fallback: quota.Fair, FallbackFraction: 0.5, MinProcesses: max(1, w.options.Sidecars/2), Paths: []string{"/fair"}, Nodes: []quota.Node{{Capacity: scaled(8), Weight: 1}}},
-		{Name: "open", Generation: 1, Kind: quota.Rate, Unit: quota.Requests, Window: 500e6, Fallback: quota.Open, FallbackTimeout: 300e6, Paths: []string{"/open"}, Nodes: []quota.Node{{Capacity: scaled(6), Weight: 1}}},
+		{Name: "window", Generation: 1, Kind: quota.Window, Unit: quota.Requests, Window: 1500e6,
+			Fallback: quota.Strict, Paths: []string{"/window"}, Nodes: []quota.Node{{Capacity: scaled(12), Weight: 1}}},
+		{Name: "long", Generation: 1, Kind: quota.Window, Unit: quota.Requests, Window: 5e9, Fallback: quota.Strict,
+			Paths: []string{"/long"}, Nodes: []quota.Node{{Capacity: scaled(20), Weight: 1}}},
+		{Name: "held", Generation: 1, Kind: quota.Concurrency, Unit: quota.Requests, Window: 150e6,
+			Fallback: quota.Strict, Paths: []string{"/held"}, Nodes: []quota.Node{{Capacity: scaled(3), Weight: 1}}},
+		{Name: "slow", Generation: 1, Kind: quota.Rate, Unit: quota.Requests, Window: 1e9, Fallback: quota.Strict,
+			Paths: []string{"/slow"}, Nodes: []quota.Node{{Capacity: scaled(6), Weight: 1}}},
+		{Name: "fair", Generation: 1, Kind: quota.Rate, Unit: quota.Requests, Window: 1e9, Fallback: quota.Fair,
+			FallbackFraction: 0.5, MinProcesses: max(1, w.options.Sidecars/2), Paths: []string{"/fair"},
+			Nodes: []quota.Node{{Capacity: scaled(8), Weight: 1}}},
+		{Name: "open", Generation: 1, Kind: quota.Rate, Unit: quota.Requests, Window: 500e6, Fallback: quota.Open,
+			FallbackTimeout: 300e6, Paths: []string{"/open"}, Nodes: []quota.Node{{Capacity: scaled(6), Weight: 1}}},
 	}}
 	if err := w.config.Check(); err != nil {
 		panic(err)
@@ -226,7 +239,8 @@
 	}
 	for i := range w.loadShares {
 		w.loadShares[i] /= sum
-		if previous != nil && !w.faultsOver && !w.options.Calm && previous[i] > 2/float64(w.options.Sidecars) && w.rng.IntN(2) == 0 {
+		if previous != nil && !w.faultsOver && !w.options.Calm && previous[i] > 2/float64(w.options.Sidecars) &&
+			w.rng.IntN(2) == 0 {
 			if w.rng.IntN(3) == 0 {
 				w.procs[i].start() // the previously busy process is killed,
 				w.result.Kills++
@@ -393,7 +407,8 @@
 
 func newChecker(l *quota.Limit, node int, maxClockRate float64, sidecars int) *checker {
 	capacity := float64(l.Nodes[node].Capacity) / float64(quota.AmountUnit)
-	c := &checker{limit: l, node: node, capacity: capacity, burst: capacity * float64(l.Window) / 1e9, refillRate: capacity * maxClockRate}
+	c := &checker{limit: l, node: node, capacity: capacity, burst: capacity * float64(l.Window) / 1e9,
+		refillRate: capacity * maxClockRate}
 	c.tokens = c.burst
 	if l.Fallback == quota.Fair {
 		base, _ := l.UpperBound(node, l.Window, 0, 0, 0)
@@ -424,7 +439,8 @@
 		}
 		if allowed > 0 {
 			// The excess is charged to the fallback's bucket, which starts full at outstanding = 0.
-			if c.outstanding = min(0, c.outstanding+allowed*c.refillRate*float64(now-c.lastFallbackMicros())/float64(second)); c.tokens < 0 {
+			if c.outstanding = min(0, c.outstanding+
+				allowed*c.refillRate*float64(now-c.lastFallbackMicros())/float64(second)); c.tokens < 0 {
 				c.outstanding += c.tokens
 				c.tokens = 0
 			}
@@ -472,7 +488,8 @@
 	for node := charge.Node; ; node = charge.Limit.Nodes[node].Parent {
 		j := w.checkers[charge.Limit.Key(node)]
 		if violation := j.observe(w.queue.Now(), amount); violation != "" {
-			w.reportViolation(charge.Limit.Name+" limit passed", "part %q, at %d ms, by %s: %s", charge.Limit.Nodes[node].Path, w.queue.Now()/milli, p.name, violation)
+			w.reportViolation(charge.Limit.Name+" limit passed", "part %q, at %d ms, by %s: %s",
+				charge.Limit.Nodes[node].Path, w.queue.Now()/milli, p.name, violation)
 		}
 		if node == 0 {
 			break
@@ -480,8 +497,10 @@
 	}
 	if since, isCutOff := w.cutOffSince[p.name]; isCutOff && charge.Limit.Fallback == quota.Open {
 		// The TTL of its session and the fallback timeout have passed, by the slowest clock.
-		if maxOpenMicros := int64((float64(ttlMillis)*float64(milli) + float64(charge.Limit.FallbackTimeout)/1000) * w.maxClockRate); w.queue.Now()-since > maxOpenMicros+milli {
-			w.reportViolation("open without end", "%s lets through %d ms after it was cut off", p.name, (w.queue.Now()-since)/milli)
+		if maxOpenMicros := int64((float64(ttlMillis)*float64(milli) +
+			float64(charge.Limit.FallbackTimeout)/1000) * w.maxClockRate); w.queue.Now()-since > maxOpenMicros+milli {
+			w.reportViolation("open without end", "%s lets through %d ms after it was cut off", p.name,
+				(w.queue.Now()-since)/milli)
 		}
 	}
 }
--- a/internal/lab/limitsim/limitsim_test.go
+++ b/internal/lab/limitsim/limitsim_test.go
@@ -20,7 +20,9 @@
 		maxUse = max(maxUse, r.MaxUse)
 	}
 	if maxUse < 0.9 && !raceEnabled {
-		t.Errorf("largest use of a strict limit = %.2f of its bound, want at least 0.9: the load does not test the limits", maxUse)
+		t.Errorf(
+			"largest use of a strict limit = %.2f of its bound, want at least 0.9: the load does not test the limits",
+			maxUse)
 	}
 }
 
--- a/internal/lab/limitsim/proc.go
+++ b/internal/lab/limitsim/proc.go
@@ -43,7 +43,8 @@
 func (w *world) countProcesses() int {
 	if revision := w.state.Revision(); w.processCountRevision != revision {
 		w.processCountRevision, w.processCount = revision, 0
-		w.state.Range(quota.DemandPrefix, store.PrefixEnd(quota.DemandPrefix), func(store.Item) bool { w.processCount++; return true })
+		w.state.Range(quota.DemandPrefix, store.PrefixEnd(quota.DemandPrefix),
+			func(store.Item) bool { w.processCount++; return true })
 	}
 	return w.processCount
 }
@@ -55,14 +56,18 @@
 	if _, isCutOff := w.cutOffSince[p.name]; isCutOff {
 		w.cutOffSince[p.name] = w.queue.Now() // the new process may use its fallback from its start
 	}
-	p.clockRate, p.clockOrigin, p.stoppedUntil = 1/w.maxClockRate+(w.maxClockRate-1/w.maxClockRate)*w.rng.Float64(), w.queue.Now()-w.rng.Int64N(3600*second), 0
-	p.session = lease.NewSession(lease.Rules{TTL: ttlMillis * 1e6, MaxClockSkew: maxClockSkew, Margin: 2e6}, w.options.Defects.Session)
+	p.clockRate, p.clockOrigin, p.stoppedUntil = 1/w.maxClockRate+(w.maxClockRate-1/w.maxClockRate)*w.rng.Float64(),
+		w.queue.Now()-w.rng.Int64N(3600*second), 0
+	p.session = lease.NewSession(lease.Rules{TTL: ttlMillis * 1e6, MaxClockSkew: maxClockSkew, Margin: 2e6},
+		w.options.Defects.Session)
 	p.table = lease.NewTable(lease.NoTableDefect)
 	rules := quota.Rules{MaxClockSkew: maxClockSkew, ReportInterval: 50e6, ReportIntervalPerProcess: 2e6}
-	p.consumer, p.allocator = quota.NewConsumer(rules, w.options.Defects.Limit), quota.NewAllocator(rules, w.options.Defects.Limit)
+	p.consumer, p.allocator = quota.NewConsumer(rules, w.options.Defects.Limit),
+		quota.NewAllocator(rules, w.options.Defects.Limit)
 	p.consumer.SetConfig(p.now(), w.config)
 	p.allocator.SetConfig(w.config)
-	p.copyRevision, p.reportInFlight, p.queueEntry, p.queueRetryAt, p.allocates, p.allocationInFlight = 0, false, "", 0, false, false
+	p.copyRevision, p.reportInFlight, p.queueEntry, p.queueRetryAt, p.allocates, p.allocationInFlight = 0, false, "", 0,
+		false, false
 	p.schedule(0, p.renew)
 	p.schedule(0, p.copy)
 	p.schedule(0, p.report)
@@ -238,11 +243,13 @@
 	p.reportInFlight = true
 	p.consumer.ReportSent(p.now(), demand)
 	me := p.process()
-	p.propose(store.Command{Txn: &store.Txn{Owner: p.name, Then: []store.Op{{Key: me.DemandKey(), Value: quota.Encode(demand), LeaseID: me.Session}}}}, func(_ store.Result, err error) {
-		if p.reportInFlight = false; err != nil {
-			p.consumer.ReportFailed()
-		}
-	})
+	p.propose(store.Command{Txn: &store.Txn{Owner: p.name,
+		Then: []store.Op{{Key: me.DemandKey(), Value: quota.Encode(demand), LeaseID: me.Session}}}},
+		func(_ store.Result, err error) {
+			if p.reportInFlight = false; err != nil {
+				p.consumer.ReportFailed()
+			}
+		})
 }
 
 // allocate queues for the allocator's task and proposes allocations while the process holds it. Only the daemons with
@@ -265,11 +272,13 @@
 	if !queued && w.queue.Now() > p.queueRetryAt { // a message was lost: proposes the same entry again
 		if p.queueEntry == "" {
 			p.seq++
-			p.queueEntry, p.queueEntryGeneration = lease.QueueEntryKey(allocatorTask, p.name, fmt.Sprintf("%d.%d", p.boot, p.seq)), p.session.Generation()
+			p.queueEntry, p.queueEntryGeneration = lease.QueueEntryKey(allocatorTask, p.name,
+				fmt.Sprintf("%d.%d", p.boot, p.seq)), p.session.Generation()
 		}
 		p.queueRetryAt = w.queue.Now() + ttlMillis*milli/2
 		id := p.session.ID()
-		p.propose(store.Command{Txn: &store.Txn{Owner: p.name, If: []store.Compare{{Key: p.queueEntry}}, Then: []store.Op{{Key: p.queueEntry, Value: fmt.Appendf(nil, `{"session":%d}`, id), LeaseID: id}}}},
+		p.propose(store.Command{Txn: &store.Txn{Owner: p.name, If: []store.Compare{{Key: p.queueEntry}},
+			Then: []store.Op{{Key: p.queueEntry, Value: fmt.Appendf(nil, `{"session":%d}`, id), LeaseID: id}}}},
 			func(store.Result, error) {})
 		return
 	}
@@ -286,7 +295,8 @@
 	}
 	w.result.Allocations++
 	p.allocationInFlight = true
-	txn := &store.Txn{If: append([]store.Compare{{Key: p.queueEntry, ModRevision: token}}, allocation.If...), Then: allocation.Then}
+	txn := &store.Txn{If: append([]store.Compare{{Key: p.queueEntry, ModRevision: token}}, allocation.If...),
+		Then: allocation.Then}
 	if w.options.Defects.Limit == quota.UncheckedRevision {
 		txn.If = nil
 	}
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -130,10 +130,11 @@
 	w, _, list := newWorld(t, fmt.Sprintf(oneServer, "")+"[rules]\noverload_for = \"1s\"\n")
 	s := w.Servers[0]
 	w.restart(s)
-	// The cold server does 0.5 s of work per second. It is sent 4 s within 0.8 s: more than three times as much with the
-	// slack of a quarter and four mean requests.
+	// The cold server does 0.5 s of work per second. It is sent 4 s within 0.8 s: more than three times as much with
+	// the slack of a quarter and four mean requests.
 	for i := range 40 {
-		w.Queue.At(Micros(i)*20_000, func() { s.Begin(&Job{Request: uint64(i + 1), Work: 100_000, Done: func(Outcome) {}}) })
+		w.Queue.At(Micros(i)*20_000,
+			func() { s.Begin(&Job{Request: uint64(i + 1), Work: 100_000, Done: func(Outcome) {}}) })
 	}
 	runUntil(t, w, 2*eventqueue.Second)
 	collapsed := false
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -128,8 +128,10 @@
 	jobDone        = -2
 	warmUpInterval = 100 * 1000 // microseconds between updates of a warming server's speed
 
-	// A cold server collapses only above a limit with slack for chance, over the N mean requests of work that it can take.
-	// The slack is 2*sqrt(N)+2 mean requests, and at most the excess of maxSlackFactor plus slackMeanWorks mean requests.
+	// A cold server collapses only above a limit with slack for chance, over the N mean requests of work that it can
+	// take.
+	// The slack is 2*sqrt(N)+2 mean requests, and at most the excess of maxSlackFactor plus slackMeanWorks mean
+	// requests.
 	maxSlackFactor = 1.25
 	slackMeanWorks = 4
 )
@@ -139,7 +141,8 @@
 // Capacity returns the work that the server does per second when warm, in microseconds.
 func (s *Server) Capacity() float64 { return s.cores() * s.Speed * 1e6 }
 
-// Warmth returns the share of its capacity that the server has at an instant: it rises linearly from InitialWarmth to 1.
+// Warmth returns the share of its capacity that the server has at an instant: it rises linearly from InitialWarmth to
+// 1.
 func (s *Server) Warmth(now Micros) float64 {
 	ramp := s.Spec.WarmUpDuration.Micros()
 	if s.Starts <= 1 && s.StartedAt < 0 || ramp <= 0 || now-s.StartedAt >= ramp {
@@ -346,13 +349,13 @@
 	}
 	if isAttempt && s.HangFaults == 0 && len(s.running) >= s.Spec.SlotsPerCore*s.Spec.Cores &&
 		len(s.waiting) >= s.Spec.Queue {
-		s.world.emit(trace.Event{At: now, Kind: trace.AttemptRejected, Sidecar: int32(job.Sidecar), Server: int32(s.Number),
-			Request: job.Request, Class: uint8(job.Class), Work: Micros(job.Work)})
+		s.world.emit(trace.Event{At: now, Kind: trace.AttemptRejected, Sidecar: int32(job.Sidecar),
+			Server: int32(s.Number), Request: job.Request, Class: uint8(job.Class), Work: Micros(job.Work)})
 		return false
 	}
 	if isAttempt {
-		s.world.emit(trace.Event{At: now, Kind: trace.AttemptAccepted, Sidecar: int32(job.Sidecar), Server: int32(s.Number),
-			Request: job.Request, Class: uint8(job.Class), Work: Micros(job.Work)})
+		s.world.emit(trace.Event{At: now, Kind: trace.AttemptAccepted, Sidecar: int32(job.Sidecar),
+			Server: int32(s.Number), Request: job.Request, Class: uint8(job.Class), Work: Micros(job.Work)})
 	}
 	if isAttempt && len(s.running) >= s.Spec.SlotsPerCore*s.Spec.Cores {
 		s.waiting = append(s.waiting, job)
@@ -439,7 +442,8 @@
 	s.coldWork.add(now, job.Work, rules.OverloadWindow.Micros())
 	maxWork := rules.OverloadMultiple * s.Capacity() * s.Warmth(now) * float64(rules.OverloadWindow.Micros()) / 1e6
 	meanWork := s.world.MeanWork()
-	limit := maxWork + min((maxSlackFactor-1)*maxWork+slackMeanWorks*meanWork, meanWork*(2*math.Sqrt(maxWork/meanWork)+2))
+	limit := maxWork + min((maxSlackFactor-1)*maxWork+slackMeanWorks*meanWork,
+		meanWork*(2*math.Sqrt(maxWork/meanWork)+2))
 	s.maxColdLoadRatio = max(s.maxColdLoadRatio, s.coldWork.sum/limit)
 	if s.coldWork.sum > limit && s.Running {
 		s.collapsed = true
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -87,9 +87,9 @@
 			n := len(w.Servers)
 			spec := &s.Servers[kind]
 			stream := w.Seed.Stream("server", uint64(n))
-			server := &Server{Number: n, Name: fmt.Sprintf("s-%04x", n+1), Kind: kind, Cell: n / 4, Spec: spec, world: w,
-				SlowdownFactor: 1, Speed: stream.Uniform(spec.Speed[0], spec.Speed[len(spec.Speed)-1]), stream: stream,
-				connectionsBySidecar: make([]int, s.Fleet.Sidecars), chokedSince: -1,
+			server := &Server{Number: n, Name: fmt.Sprintf("s-%04x", n+1), Kind: kind, Cell: n / 4, Spec: spec,
+				world: w, SlowdownFactor: 1, Speed: stream.Uniform(spec.Speed[0], spec.Speed[len(spec.Speed)-1]),
+				stream: stream, connectionsBySidecar: make([]int, s.Fleet.Sidecars), chokedSince: -1,
 				overloadedSince: -1, recoveringSince: -1, Zone: n % zones}
 			w.Servers = append(w.Servers, server)
 		}
@@ -203,7 +203,8 @@
 				return
 			}
 			now := Micros(offset)
-			if stream.Bernoulli(w.Scenario.Load.RateAt(offset/float64(length)) * w.Scenario.ArrivalFactor(now) / maxFactor) {
+			if stream.Bernoulli(w.Scenario.Load.RateAt(offset/float64(length)) * w.Scenario.ArrivalFactor(now) /
+				maxFactor) {
 				count++
 				t := w.drawTask(sidecar, count, now)
 				w.Queue.At(w.scenarioStart+now, func() {
@@ -235,7 +236,8 @@
 // drawTask draws the task of an arrival, which is the given number of its sidecar. The offset counts from the origin.
 func (w *World) drawTask(sidecar int, number uint64, offset Micros) *Task {
 	stream := w.Seed.Stream("task", uint64(sidecar), number)
-	task := &Task{ID: uint64(sidecar)<<32 | number, Sidecar: sidecar, ArrivedAt: w.scenarioStart + offset, stream: stream}
+	task := &Task{ID: uint64(sidecar)<<32 | number, Sidecar: sidecar, ArrivedAt: w.scenarioStart + offset,
+		stream: stream}
 	pick := stream.Float64() * w.cumulativeShares[len(w.cumulativeShares)-1]
 	for task.Class < len(w.cumulativeShares)-1 && pick >= w.cumulativeShares[task.Class] {
 		task.Class++
@@ -254,7 +256,8 @@
 	heavyTailDraw := stream.Float64()
 	for i := range w.Scenario.Faults {
 		fault := &w.Scenario.Faults[i]
-		if fault.Kind == "heavy-tail" && offset >= fault.At.Micros() && offset < fault.At.Micros()+fault.Duration.Micros() &&
+		if fault.Kind == "heavy-tail" && offset >= fault.At.Micros() &&
+			offset < fault.At.Micros()+fault.Duration.Micros() &&
 			(fault.Class == "" || fault.Class == class.Name) && heavyTailDraw < fault.Share {
 			work *= fault.Factor
 		}
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -79,7 +79,8 @@
 	}
 	plots.draw("Load by server", "requests held", "", 0, firstLines(inFlight)...)
 	plots.draw("Queue by server", "requests waiting", "", 0, firstLines(queued)...)
-	plots.draw("Warmth by server", "share of capacity", "0 while its process does not run.", 1.05, firstLines(warmth)...)
+	plots.draw("Warmth by server", "share of capacity", "0 while its process does not run.", 1.05,
+		firstLines(warmth)...)
 	plots.draw("Attempts taken by server", "attempts a second", "", 0, firstLines(accepted)...)
 	plots.draw("Attempts", "a second", "", 0, countLine("sent", series.Sent, 0, false),
 		countLine("turned away", series.Turned, 1, false),
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -332,7 +332,9 @@
 		}
 		r.wg.Go(func() {
 			if _, err := callOperator(r.ctx, p.mgmt, line); errors.Is(err, errNotYes) {
-				r.post(func() { r.incidents = append(r.incidents, fmt.Sprintf("sidecar %d: %s: %v", host.number, line, err)) })
+				r.post(func() {
+					r.incidents = append(r.incidents, fmt.Sprintf("sidecar %d: %s: %v", host.number, line, err))
+				})
 			}
 			// The drain binds the sidecar from the reply on, or from the call's timeout if there was none.
 			if excluded {
--- a/internal/lab/rig/server.go
+++ b/internal/lab/rig/server.go
@@ -160,7 +160,8 @@
 			close(c.handshakeDone)
 			return
 		}
-		server.model.Begin(&model.Job{Sidecar: c.sidecar, Work: work, Done: func(model.Outcome) { close(c.handshakeDone) }})
+		server.model.Begin(&model.Job{Sidecar: c.sidecar, Work: work,
+			Done: func(model.Outcome) { close(c.handshakeDone) }})
 	})
 	defer func() {
 		c.Close()
--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -19,10 +19,11 @@
 type Fault struct {
 	Name  string
 	About string
-	// play injects the fault and returns when the fleet can converge again. The time of convergence counts from endedAt.
-	// restore undoes what remains of the fault after the measurement; it may be nil. play is nil for "start", which
-	// replaces the staggered start of the sidecars.
-	play func(ctx context.Context, r *run) (what string, endedAt time.Time, restore func(context.Context) error, err error)
+	// play injects the fault and returns when the fleet can converge again. The time of convergence counts from
+	// endedAt. restore undoes what remains of the fault after the measurement; it may be nil. play is nil for "start",
+	// which replaces the staggered start of the sidecars.
+	play func(ctx context.Context, r *run) (what string, endedAt time.Time, restore func(context.Context) error,
+		err error)
 }
 
 // Faults lists all kinds of fault.
@@ -298,8 +299,8 @@
 	// The error can be ignored: sidecars that do not answer do not count as fresh.
 	states, total, _ := r.queryStates(ctx, command{Name: "look"}, stubsInside)
 	what := fmt.Sprintf("region %d was cut off for %v: of its %d hollow sidecars %d held their copy to be fresh at the end, and %d had a session; "+
-		"elsewhere %d changes of the settings were made and %d failed", region, time.Since(startedAt).Round(time.Second),
-		total, states.FreshCopies, states.Sessions, made, failed)
+		"elsewhere %d changes of the settings were made and %d failed", region,
+		time.Since(startedAt).Round(time.Second), total, states.FreshCopies, states.Sessions, made, failed)
 	if lastErr != "" {
 		what += " (" + lastErr + ")"
 	}
@@ -345,14 +346,16 @@
 	if err := d.Start(); err != nil {
 		return "", lostAt, nil, err
 	}
-	if err := change(admin.ChangeRequest{AddMember: &store.AddMember{Name: d.Name(), Address: d.PeerAddr()}}); err != nil {
+	if err := change(admin.ChangeRequest{AddMember: &store.AddMember{Name: d.Name(),
+		Address: d.PeerAddr()}}); err != nil {
 		return "", lostAt, nil, err
 	}
 	for ctx.Err() == nil {
 		status, err := client.Status(ctx)
 		if err == nil && status.MembershipStable && len(status.Peers) == r.options.Replicas &&
 			!slices.ContainsFunc(status.Peers, func(p replica.PeerStatus) bool { return p.Learner }) {
-			return fmt.Sprintf("%s votes again with an empty disk after %.1f s", d.Name(), time.Since(lostAt).Seconds()), lostAt,
+			return fmt.Sprintf("%s votes again with an empty disk after %.1f s", d.Name(),
+					time.Since(lostAt).Seconds()), lostAt,
 				nil, nil
 		}
 		sleep(ctx, 50*time.Millisecond)
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -503,7 +503,8 @@
 			defer func() { <-concurrent }()
 			if _, err := components.Store.Do(ctx, store.Command{Txn: serverstate.ModuleSnapshot{ReportedBy: h.name,
 				Data: data}.PutTxn(serverstate.SnapshotKey(h.name, ""))}); err != nil {
-				h.host.log.Error("the injected defect failed to save a module snapshot", "sidecar", h.name, "error", err)
+				h.host.log.Error("the injected defect failed to save a module snapshot", "sidecar", h.name,
+					"error", err)
 			}
 		})
 	}
@@ -521,19 +522,19 @@
 	rate := func() balancer.RateState { return balancer.RateState{Sum: 100 * h.rng.Float64(), Age: micros(1e6)} }
 	saved := &snapshot.Saved{Sidecar: h.name, Clock: snapshot.ReadClock(),
 		State: &balancer.Snapshot{At: micros(1e9), Random: h.rng.Uint64(), Listed: true, Subscribed: true,
-			Capacity: h.rng.Float64(), WarmEndpoints: h.rng.Float64(), RetryBudget: h.rng.Float64(), ReportTime: h.rng.Float64(),
-			FleetPace: mean(2000), MeanWork: mean(1000), RejectionRate: mean(0.01),
+			Capacity: h.rng.Float64(), WarmEndpoints: h.rng.Float64(), RetryBudget: h.rng.Float64(),
+			ReportTime: h.rng.Float64(), FleetPace: mean(2000), MeanWork: mean(1000), RejectionRate: mean(0.01),
 			LateReports: mean(500), TypicalLoad: mean(2000), ServiceTime: mean(1), Demand: rate(), SentWork: rate(),
 			ApertureSeed: h.rng.Uint64(),
-			Classes: []balancer.ClassState{{Name: "look", InUse: true, PriorityWeight: 1, Work: mean(1000), Demand: rate(),
-				OnTime: mean(1)}}}}
+			Classes: []balancer.ClassState{{Name: "look", InUse: true, PriorityWeight: 1, Work: mean(1000),
+				Demand: rate(), OnTime: mean(1)}}}}
 	number := uint32(0)
 	for _, instance := range h.instances {
 		number++
-		endpoint := balancer.EndpointState{ID: number, Cell: instance.Cell, Weight: 1, StartTime: instance.StartedMs * 1000,
-			HasLoad: true, SlowStartBudget: h.rng.Float64(), BudgetRefilled: micros(1e6),
-			LastSend: micros(1e6), SilentSince: micros(1e6), ProbeRound: number, LastProbe: micros(1e6), LastReport: micros(1e6),
-			OthersLoad: h.rng.Float64(), RTT: mean(800), Pace: mean(1),
+		endpoint := balancer.EndpointState{ID: number, Cell: instance.Cell, Weight: 1,
+			StartTime: instance.StartedMs * 1000, HasLoad: true, SlowStartBudget: h.rng.Float64(),
+			BudgetRefilled: micros(1e6), LastSend: micros(1e6), SilentSince: micros(1e6), ProbeRound: number,
+			LastProbe: micros(1e6), LastReport: micros(1e6), OthersLoad: h.rng.Float64(), RTT: mean(800), Pace: mean(1),
 			PaceLearned: micros(1e6), Head: micros(1e6), Base: 1000 * h.rng.Float64(), Current: 1000 * h.rng.Float64(),
 			LastForced: micros(1e6)}
 		saved.Names, saved.Addresses, saved.State.Endpoints = append(saved.Names, instance.ID),
@@ -658,7 +659,7 @@
 	if fresh && hasSession && settingsVersion >= cmd.SettingsVersion && status.Revision >= cmd.Revision {
 		states.Converged++
 	} else {
-		states.Unconverged = fmt.Sprintf("%s: fresh %v, session %v, settings %d of %d, revision %d of %d", h.name, fresh,
-			hasSession, settingsVersion, cmd.SettingsVersion, status.Revision, cmd.Revision)
+		states.Unconverged = fmt.Sprintf("%s: fresh %v, session %v, settings %d of %d, revision %d of %d", h.name,
+			fresh, hasSession, settingsVersion, cmd.SettingsVersion, status.Revision, cmd.Revision)
 	}
 }
--- a/internal/lab/scale/judge.go
+++ b/internal/lab/scale/judge.go
@@ -13,7 +13,8 @@
 	sessionTTL         = 5 * time.Second
 	snapshotInterval   = 10 * time.Second
 	tolerance          = 1.3
-	maxGrowth          = 2.5 // largest ratio of a count per sidecar and second between the largest and the smallest size
+	// largest ratio of a count per sidecar and second between the largest and the smallest size
+	maxGrowth = 2.5
 
 	// quota messages to a sidecar for each that it sends: the answer, its need, and grants, which others' needs change,
 	// too
@@ -37,9 +38,9 @@
 			tolerance*daemons*(1+renewalsPerSession*c.Seconds/sessionTTL.Seconds()))
 		checkMax(x, "entries of pictures", float64(c.Applied["pictures"]),
 			tolerance*float64(x.Sidecars)*(1+c.Seconds/snapshotInterval.Seconds()))
-		// A sidecar receives the changes of its own module snapshot, need and grant, and the answers to its changes. The one
-		// sidecar at a time that holds the task of removing others' snapshots receives all changes. A snapshot or a need that
-		// was written before the count began may be delivered during it.
+		// A sidecar receives the changes of its own module snapshot, need and grant, and the answers to its changes.
+		// The one sidecar at a time that holds the task of removing others' snapshots receives all changes. A snapshot
+		// or a need that was written before the count began may be delivered during it.
 		saved := float64(c.Out["pictures"]) + stubs
 		checkMax(x, "messages of pictures to sidecars", float64(c.In["pictures"]),
 			tolerance*(2*saved+float64(c.Applied["pictures"])))
@@ -52,8 +53,9 @@
 			maxQuotaMessages*(float64(c.Out["shares"])+stubs))
 		for _, purpose := range []string{"sessions", "pictures", "shares"} {
 			if c.RealOut[purpose] >= 3 && c.Out[purpose] == 0 {
-				broken = append(broken, fmt.Sprintf("%d sidecars: real ones sent %d messages of %s, and hollow ones none",
-					x.Sidecars, c.RealOut[purpose], purpose))
+				broken = append(broken,
+					fmt.Sprintf("%d sidecars: real ones sent %d messages of %s, and hollow ones none",
+						x.Sidecars, c.RealOut[purpose], purpose))
 			}
 		}
 	}
@@ -78,10 +80,13 @@
 		"bytes of shares":      func(x *Result) float64 { return float64(x.Counts.Read["shares"]) },
 		"messages of pictures": func(x *Result) float64 { return float64(x.Counts.In["pictures"]) },
 	} {
-		perSidecar := func(x *Result) float64 { return counts(x) / float64(x.Sidecars-x.Real) / max(1, x.Counts.Seconds) }
+		perSidecar := func(x *Result) float64 {
+			return counts(x) / float64(x.Sidecars-x.Real) / max(1, x.Counts.Seconds)
+		}
 		if small, large := perSidecar(smallest), perSidecar(largest); small > 0 && large > maxGrowth*small {
-			broken = append(broken, fmt.Sprintf("%s to each sidecar and second grow from %.3f with %d sidecars to %.3f with %d",
-				name, small, smallest.Sidecars, large, largest.Sidecars))
+			broken = append(broken,
+				fmt.Sprintf("%s to each sidecar and second grow from %.3f with %d sidecars to %.3f with %d",
+					name, small, smallest.Sidecars, large, largest.Sidecars))
 		}
 	}
 	return broken
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -142,7 +142,8 @@
 				mu.Unlock()
 			}
 			if i == int(fleetRun.adminReplica.Load()) && round%5 == 0 {
-				if tasks, err := d.Client.Tasks(ctx, "limits"); err == nil && len(tasks) > 0 && len(tasks[0].Queue) > 0 &&
+				if tasks, err := d.Client.Tasks(ctx, "limits"); err == nil && len(tasks) > 0 &&
+					len(tasks[0].Queue) > 0 &&
 					tasks[0].Queue[0].Holds {
 					mu.Lock()
 					s.allocator = tasks[0].Queue[0].Host
@@ -319,8 +320,8 @@
 func (s *sampler) counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := Counts{Applied: map[string]uint64{}, In: map[string]uint64{}, Out: map[string]uint64{}, Read: map[string]uint64{},
-		Sent: map[string]uint64{}, RealOut: map[string]uint64{}}
+	c := Counts{Applied: map[string]uint64{}, In: map[string]uint64{}, Out: map[string]uint64{},
+		Read: map[string]uint64{}, Sent: map[string]uint64{}, RealOut: map[string]uint64{}}
 	eachPurpose := func(name string, f func(latest, previous *usage.PurposeUsage)) (seconds float64) {
 		previous, latest := s.first[name], s.latest[name]
 		for i := range previous.Purposes {
@@ -357,22 +358,23 @@
 
 // Result is the result of a run with one size of fleet.
 type Result struct {
-	Sidecars       int             `json:"sidecars"`
-	Real           int             `json:"real"`
-	Replicas       int             `json:"replicas"`
-	Services       int             `json:"services"`
-	Seed           uint64          `json:"seed"`
-	Processes      int             `json:"processes"`
-	StartupSeconds float64         `json:"began_s"` // from the start of the first sidecar until the fleet had converged
-	Seconds        float64         `json:"seconds"` // length of the quiet phase
-	Converged      int             `json:"right"`   // stub sidecars that had converged at its end or within a minute of it
-	Busy           float64         `json:"busy"`    // share of the machine's CPU time during the quiet phase
-	FailedChanges  int             `json:"failed"`  // changes of the settings that failed
-	Store          Store           `json:"store"`
-	Roles          map[string]Role `json:"roles"`
-	Counts         Counts          `json:"counts"`
-	StubAccuracy   []RealStubPair  `json:"honest,omitempty"`
-	Settings       AdoptionDelays  `json:"settings"`
+	Sidecars       int     `json:"sidecars"`
+	Real           int     `json:"real"`
+	Replicas       int     `json:"replicas"`
+	Services       int     `json:"services"`
+	Seed           uint64  `json:"seed"`
+	Processes      int     `json:"processes"`
+	StartupSeconds float64 `json:"began_s"` // from the start of the first sidecar until the fleet had converged
+	Seconds        float64 `json:"seconds"` // length of the quiet phase
+	// stub sidecars that had converged at its end or within a minute of it
+	Converged     int             `json:"right"`
+	Busy          float64         `json:"busy"`   // share of the machine's CPU time during the quiet phase
+	FailedChanges int             `json:"failed"` // changes of the settings that failed
+	Store         Store           `json:"store"`
+	Roles         map[string]Role `json:"roles"`
+	Counts        Counts          `json:"counts"`
+	StubAccuracy  []RealStubPair  `json:"honest,omitempty"`
+	Settings      AdoptionDelays  `json:"settings"`
 
 	Burst      *AdoptionDelays `json:"burst,omitempty"`
 	BurstRoles map[string]Role `json:"burst_roles,omitempty"`
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -119,8 +119,8 @@
 	}
 	daemonZone := r.zoneOfDaemon
 	var err error
-	r.fleet, err = fleetlab.Begin(ctx, fleetlab.Config{Program: o.Program, Args: []string{"run", "--config"}, Env: o.Env,
-		Dir: r.dir, Replicas: o.Replicas, Followers: o.Real, Seed: o.Seed, NoReplicaSidecars: true,
+	r.fleet, err = fleetlab.Begin(ctx, fleetlab.Config{Program: o.Program, Args: []string{"run", "--config"},
+		Env: o.Env, Dir: r.dir, Replicas: o.Replicas, Followers: o.Real, Seed: o.Seed, NoReplicaSidecars: true,
 		Tick:                100 * time.Millisecond, // the default tick of a replica
 		ExtraOperatorConfig: operatorText, Interest: o.Interest,
 		KnownInstances: func(daemon int) []discovery.Instance {
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -43,8 +43,9 @@
 	for _, group := range drawn.processGroups() {
 		for _, i := range group {
 			if grouped[i] || i < options.Real || zoneOf(i) != zoneOf(group[0]) {
-				t.Fatalf("sidecar %d in process %v: it is a real one, is in two processes, or is in another zone than the first", i,
-					group)
+				t.Fatalf(
+					"sidecar %d in process %v: it is a real one, is in two processes, or is in another zone than the first",
+					i, group)
 			}
 			grouped[i] = true
 		}
@@ -55,8 +56,8 @@
 	for service, list := range drawn.calleeServers {
 		if len(list) != 10*CallsPerService || slices.Contains(drawn.callees[service], service) ||
 			!slices.Contains(drawn.callers(drawn.callees[service][0]), service) {
-			t.Errorf("service %d calls %v and is listed %d servers; want 4 other services with 10 servers each", service,
-				drawn.callees[service], len(list))
+			t.Errorf("service %d calls %v and is listed %d servers; want 4 other services with 10 servers each",
+				service, drawn.callees[service], len(list))
 		}
 	}
 	for n := 3; n <= len(replicaZones); n += 2 {
@@ -101,13 +102,13 @@
 func TestMarkdownPredictsFromFourSizes(t *testing.T) {
 	var results []*Result
 	for _, n := range []int{10, 20, 40, 80, 160} {
-		results = append(results, &Result{Sidecars: n, Roles: map[string]Role{RoleStub: {"bytes_in": Spread{float64(n), 0,
-			float64(2 * n)}}}})
+		results = append(results, &Result{Sidecars: n,
+			Roles: map[string]Role{RoleStub: {"bytes_in": Spread{float64(n), 0, float64(2 * n)}}}})
 	}
 	var page strings.Builder
 	Markdown(&page, results, 160)
-	if row := "| bytes_in | B/s | 10 (20) | 20 (40) | 40 (80) | 80 (160) | 160 (320) |"; !strings.Contains(page.String(),
-		row) || !strings.Contains(page.String(), "+ 1·S | 1.00 | 0% | 160 |") {
+	if row := "| bytes_in | B/s | 10 (20) | 20 (40) | 40 (80) | 80 (160) | 160 (320) |"; !strings.Contains(
+		page.String(), row) || !strings.Contains(page.String(), "+ 1·S | 1.00 | 0% | 160 |") {
 		t.Errorf("the page has no row %s with its prediction:\n%s", row, page.String())
 	}
 	page.Reset()
--- a/internal/lab/scale/table.go
+++ b/internal/lab/scale/table.go
@@ -90,8 +90,8 @@
 		r := result.Roles[role]
 		for _, n := range figureNames(r) {
 			s := r[n]
-			fmt.Fprintf(t, "%s\t%s\t%s\tp99 %s\tworst %s\t%s\n", role, n, formatFigure(n, s.Mean), formatFigure(n, s.P99),
-				formatFigure(n, s.Worst), unitOf(n))
+			fmt.Fprintf(t, "%s\t%s\t%s\tp99 %s\tworst %s\t%s\n", role, n, formatFigure(n, s.Mean),
+				formatFigure(n, s.P99), formatFigure(n, s.Worst), unitOf(n))
 		}
 	}
 	for _, p := range result.StubAccuracy {
@@ -110,7 +110,8 @@
 }
 
 func printAdoption(w io.Writer, what string, s *AdoptionDelays) {
-	fmt.Fprintf(w, "%s: %d changes, put in %.2f s; in force p50 %.2f s, p99 %.2f, worst %.2f (of %d; %d had not come)\n",
+	fmt.Fprintf(w,
+		"%s: %d changes, put in %.2f s; in force p50 %.2f s, p99 %.2f, worst %.2f (of %d; %d had not come)\n",
 		what, s.Changes, s.Put, s.P50, s.P99, s.Worst, s.N, s.Missing)
 }
 
@@ -128,7 +129,8 @@
 		}
 		fmt.Fprintf(w, "%d sidecars for %.0f s", x.Sidecars, x.Seconds)
 	}
-	fmt.Fprintf(w, "; %d of them real, %d replicas. Figures are means by second, of one process or one sidecar, the worst second in brackets.\n",
+	fmt.Fprintf(w,
+		"; %d of them real, %d replicas. Figures are means by second, of one process or one sidecar, the worst second in brackets.\n",
 		results[0].Real, results[0].Replicas)
 	fmt.Fprintf(w, "A fit is through the sizes under %d; beyond the largest that was run it is extrapolated. `power` is by which a figure grows with the sidecars.\n", target)
 	row := func(cells ...string) { fmt.Fprintf(w, "| %s |\n", strings.Join(cells, " | ")) }
@@ -150,7 +152,8 @@
 		f        func(x *Result) string
 	}{
 		{"services", "", func(x *Result) string { return fmt.Sprint(x.Services) }},
-		{"all right after the first began", "s", func(x *Result) string { return fmt.Sprintf("%.1f", x.StartupSeconds) }},
+		{"all right after the first began", "s",
+			func(x *Result) string { return fmt.Sprintf("%.1f", x.StartupSeconds) }},
 		{"machine busy", "%", func(x *Result) string { return fmt.Sprintf("%.0f", 100*x.Busy) }},
 		{"hollow sidecars that are right at the end", "", func(x *Result) string {
 			return fmt.Sprintf("%d of %d", x.Converged, x.Sidecars-x.Real)
--- a/internal/lab/scale/world.go
+++ b/internal/lab/scale/world.go
@@ -239,7 +239,8 @@
 	case o.Replicas < 1 || o.Replicas > len(replicaZones):
 		return fmt.Errorf("--replicas: %d is not within 1 and %d", o.Replicas, len(replicaZones))
 	case o.Services < CallsPerService+1 || o.Services > o.Sidecars && o.Services > CallsPerService+1:
-		return fmt.Errorf("--services: %d is not within %d and the sidecars, %d", o.Services, CallsPerService+1, o.Sidecars)
+		return fmt.Errorf("--services: %d is not within %d and the sidecars, %d", o.Services, CallsPerService+1,
+			o.Sidecars)
 	case o.QuietDuration < time.Second || o.QuietDuration > time.Hour:
 		return fmt.Errorf("--for: %v is not within 1s and 1h", o.QuietDuration)
 	case o.ChangesPerDay < 0 || o.ChangesPerDay > 86400*5:
@@ -267,19 +268,19 @@
 		{"the lab", spareDescriptors + 60*o.Real + 4*o.Sidecars},
 		{"a replica", spareDescriptors + 4*o.Sidecars}} {
 		if uint64(x.need) > files.Cur {
-			return fmt.Errorf("--sidecars: %d need %d descriptors in %s, and a process may have %d", o.Sidecars, x.need, x.what,
-				files.Cur)
+			return fmt.Errorf("--sidecars: %d need %d descriptors in %s, and a process may have %d", o.Sidecars, x.need,
+				x.what, files.Cur)
 		}
 	}
 	if ports, err := localPortCount(); err == nil && o.Sidecars*portsPerSidecar > ports {
-		return fmt.Errorf("--sidecars: %d need %d local ports, and there are %d", o.Sidecars, o.Sidecars*portsPerSidecar,
-			ports)
+		return fmt.Errorf("--sidecars: %d need %d local ports, and there are %d", o.Sidecars,
+			o.Sidecars*portsPerSidecar, ports)
 	}
 	if total, err := machineMB(); err != nil {
 		return err
 	} else if need := o.MemoryMB(); need > total/2 {
-		return fmt.Errorf("--sidecars: %d need about %d MB after %v, and half of this machine's memory is %d", o.Sidecars,
-			need, o.duration().Round(time.Second), total/2)
+		return fmt.Errorf("--sidecars: %d need about %d MB after %v, and half of this machine's memory is %d",
+			o.Sidecars, need, o.duration().Round(time.Second), total/2)
 	}
 	return nil
 }
--- a/internal/lab/scenario/read.go
+++ b/internal/lab/scenario/read.go
@@ -55,11 +55,12 @@
 func defaults() *Scenario {
 	return &Scenario{
 		Length: Dur(20 * time.Second),
-		Fleet: Fleet{Sidecars: 2, Zones: []string{"petrzalka", "trnava"}, BelievedSizeFactor: 1, MemoryMB: 192, Sockets: 1024,
-			StateTransfer: "handover"},
-		Load:    Load{Rate: 100, Shape: "steady", Hints: "rough", BodyBytes: 64, AnswerBytes: 200},
-		Clients: Clients{Retries: 2, Backoff: millis(60), RetryAfterShare: 0.75, RequestTimeoutShare: 0.7, MaxConns: 256},
-		Net:     Net{SameZoneDelay: millis(0.1), CrossZoneDelay: millis(2), Jitter: 0.2},
+		Fleet: Fleet{Sidecars: 2, Zones: []string{"petrzalka", "trnava"}, BelievedSizeFactor: 1, MemoryMB: 192,
+			Sockets: 1024, StateTransfer: "handover"},
+		Load: Load{Rate: 100, Shape: "steady", Hints: "rough", BodyBytes: 64, AnswerBytes: 200},
+		Clients: Clients{Retries: 2, Backoff: millis(60), RetryAfterShare: 0.75, RequestTimeoutShare: 0.7,
+			MaxConns: 256},
+		Net: Net{SameZoneDelay: millis(0.1), CrossZoneDelay: millis(2), Jitter: 0.2},
 		Discovery: Discovery{RemovalDelay: millis(1500), AddDelay: millis(1000), Capacity: 4, CallTime: millis(20),
 			Mode: "watch"},
 		Rules: Rules{DrainGrace: millis(500), OverloadMultiple: 3, OverloadWindow: millis(3000), InitialCapacity: 0.13,
@@ -224,7 +225,8 @@
 	var errs []error
 	require := func(ok bool, key, reason string, args ...any) {
 		if !ok && len(errs) < 50 {
-			errs = append(errs, &Error{Path: s.Path, Line: lines.line(key), Key: key, Reason: fmt.Sprintf(reason, args...)})
+			errs = append(errs, &Error{Path: s.Path, Line: lines.line(key), Key: key,
+				Reason: fmt.Sprintf(reason, args...)})
 		}
 	}
 	positive := func(key string, d Dur) { require(d > 0, key, "%v is not above 0", time.Duration(d)) }
@@ -289,8 +291,8 @@
 		if choke := servers.Choke; choke != nil {
 			require(choke.OverloadHeldPerCore > 0, key("choke.at"), "%v is not above 0", choke.OverloadHeldPerCore)
 			require(choke.SlowdownFactor >= 1, key("choke.slower"), "%v is under 1", choke.SlowdownFactor)
-			require(choke.RecoveryHeldPerCore >= 0 && choke.RecoveryHeldPerCore <= choke.OverloadHeldPerCore, key("choke.below"),
-				"%v is not within 0 and choke.at", choke.RecoveryHeldPerCore)
+			require(choke.RecoveryHeldPerCore >= 0 && choke.RecoveryHeldPerCore <= choke.OverloadHeldPerCore,
+				key("choke.below"), "%v is not within 0 and choke.at", choke.RecoveryHeldPerCore)
 			positive(key("choke.over"), choke.OverloadDuration)
 			positive(key("choke.rest"), choke.RecoveryDuration)
 			positive(key("choke.most"), choke.MaxDuration)
@@ -318,7 +320,8 @@
 	}
 	load := &s.Load
 	require(load.Rate > 0, "load.rate", "%v is not above 0", load.Rate)
-	require(load.Rate*time.Duration(s.Length).Seconds() <= maxRequests, "load.rate", "makes over %d requests", maxRequests)
+	require(load.Rate*time.Duration(s.Length).Seconds() <= maxRequests, "load.rate", "makes over %d requests",
+		maxRequests)
 	oneOf("load.shape", load.Shape, "steady", "ramp", "wave")
 	oneOf("load.hints", load.Hints, "none", "rough", "exact")
 	fraction("load.swing", load.WaveAmplitude)
@@ -372,7 +375,8 @@
 		require(fault.Factor > 0 && !math.IsInf(fault.Factor, 0), key("factor"), "%v is not above 0", fault.Factor)
 		require(fault.Repeat >= 1 && fault.Repeat <= 1000, key("repeat"), "%d is not within 1 and 1000", fault.Repeat)
 		fraction(key("share"), fault.Share)
-		require(fault.Zone == "" || slices.Contains(fleet.Zones, fault.Zone), key("zone"), "%q is not a zone", fault.Zone)
+		require(fault.Zone == "" || slices.Contains(fleet.Zones, fault.Zone), key("zone"), "%q is not a zone",
+			fault.Zone)
 		require(fault.Class == "" || names[fault.Class], key("class"), "%q is not a class", fault.Class)
 		for _, n := range fault.Servers {
 			require(n >= 0 && n < total, key("servers"), "%d is not a server's number: there are %d", n, total)
@@ -414,7 +418,8 @@
 	factor := 1.0
 	for i := range s.Faults {
 		fault := &s.Faults[i]
-		if start := fault.At.Micros(); fault.affectsArrivals() && offset >= start && offset < start+fault.Duration.Micros() {
+		if start := fault.At.Micros(); fault.affectsArrivals() && offset >= start &&
+			offset < start+fault.Duration.Micros() {
 			switch fault.Kind {
 			case "burst":
 				factor *= fault.Factor
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -14,21 +14,22 @@
 
 // Scenario is the content of a scenario file.
 type Scenario struct {
-	Name        string    `toml:"name"`
-	Description string    `toml:"about"`
-	Length      Dur       `toml:"length"` // time over which requests arrive
-	Hosts       []string  `toml:"hosts"`  // "run" (real time), "sim" (virtual time): hosts that can run it; empty for both
-	Fleet       Fleet     `toml:"fleet"`
-	Servers     []Servers `toml:"servers"` // one entry per kind
-	Classes     []Class   `toml:"class"`
-	Load        Load      `toml:"load"`
-	Clients     Clients   `toml:"clients"`
-	Net         Net       `toml:"net"`
-	Discovery   Discovery `toml:"discovery"`
-	Rules       Rules     `toml:"rules"`
-	Limits      Limits    `toml:"limits"`
-	Faults      []Fault   `toml:"fault"`
-	Bounds      Bounds    `toml:"keep"` // bounds that the results of a run must meet
+	Name        string `toml:"name"`
+	Description string `toml:"about"`
+	Length      Dur    `toml:"length"` // time over which requests arrive
+	// "run" (real time), "sim" (virtual time): hosts that can run it; empty for both
+	Hosts     []string  `toml:"hosts"`
+	Fleet     Fleet     `toml:"fleet"`
+	Servers   []Servers `toml:"servers"` // one entry per kind
+	Classes   []Class   `toml:"class"`
+	Load      Load      `toml:"load"`
+	Clients   Clients   `toml:"clients"`
+	Net       Net       `toml:"net"`
+	Discovery Discovery `toml:"discovery"`
+	Rules     Rules     `toml:"rules"`
+	Limits    Limits    `toml:"limits"`
+	Faults    []Fault   `toml:"fault"`
+	Bounds    Bounds    `toml:"keep"` // bounds that the results of a run must meet
 
 	Path    string         `toml:"-"` // of the file, for errors
 	Overlay map[string]any `toml:"-"` // settings of sidecars that an experiment overrides; nil for none
@@ -104,8 +105,9 @@
 
 // Load describes the arrivals of tasks, over all sidecars, without clients' retries.
 type Load struct {
-	Rate          float64 `toml:"rate"`    // tasks per second
-	Shape         string  `toml:"shape"`   // "steady", "ramp" (up from a third of the rate), "wave" (three sine periods)
+	Rate float64 `toml:"rate"` // tasks per second
+	// "steady", "ramp" (up from a third of the rate), "wave" (three sine periods)
+	Shape         string  `toml:"shape"`
 	WaveAmplitude float64 `toml:"swing"`   // amplitude of a wave, as a share of the rate
 	Hints         string  `toml:"hints"`   // estimates of a request's work that clients send: "none", "rough", "exact"
 	BodyBytes     int     `toml:"bodies"`  // bytes of the body of a write
@@ -190,7 +192,8 @@
 	MaxConnects       float64            `toml:"handshakes_most"` // maximum of connections opened per task
 	MaxCrossZoneShare float64            `toml:"crossings_most"`  // maximum share of attempts that go to another zone
 	MaxP99            Dur                `toml:"p99_most"`        // maximum p99 latency of served requests
-	MaxFleetFigures   map[string]float64 `toml:"fleet_most"`      // maximum of fleet figures, by the names in FleetFigures
+	// maximum of fleet figures, by the names in FleetFigures
+	MaxFleetFigures map[string]float64 `toml:"fleet_most"`
 }
 
 // FleetFigures maps the names of the figures of a whole fleet that a scenario may bound to their descriptions. Each
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -352,7 +352,8 @@
 		}
 		if connection.overLimit {
 			n.host.sink.Take(trace.Event{At: n.host.queue.Now(), Kind: trace.AttemptRejected, Sidecar: int32(n.number),
-				Server: int32(a.server), Request: request.ID, Class: uint8(request.Task.Class), Work: request.Task.Work})
+				Server: int32(a.server), Request: request.ID, Class: uint8(request.Task.Class),
+				Work: request.Task.Work})
 			n.returnOutcome(a, balancer.Rejected, nil)
 			return
 		}
@@ -450,8 +451,8 @@
 		n.answer(c, trace.Served, 0)
 	}
 	answered := c.ended
-	n.module.Outcome(n.now(), balancer.Outcome{ID: c.id, Attempt: a.number, Endpoint: endpointID(a.server), Status: status,
-		Latency: n.host.queue.Now() - a.sent, Answered: answered, Load: load})
+	n.module.Outcome(n.now(), balancer.Outcome{ID: c.id, Attempt: a.number, Endpoint: endpointID(a.server),
+		Status: status, Latency: n.host.queue.Now() - a.sent, Answered: answered, Load: load})
 	n.release(c)
 }
 
@@ -658,7 +659,8 @@
 		if target.Running {
 			connection = &conn{server: server, serverStarts: target.Starts, overLimit: target.Open(n.number)}
 			if work := float64(target.Spec.Handshake.Micros()); work > 0 && !connection.overLimit {
-				target.Begin(&model.Job{Sidecar: n.number, Work: work, Done: func(model.Outcome) { connection.handshakeDone() }})
+				target.Begin(&model.Job{Sidecar: n.number, Work: work,
+					Done: func(model.Outcome) { connection.handshakeDone() }})
 			} else {
 				connection.ready = true
 			}
--- a/internal/lab/sim/ramp_test.go
+++ b/internal/lab/sim/ramp_test.go
@@ -130,7 +130,8 @@
 			for seed := range uint64(*rampSeeds) {
 				result := runRamp(t, n, *rampServers, seed+1, trouble.make)
 				if !result.Passed() {
-					t.Errorf("%s, %d sidecars, seed %d: %s; missed %v", trouble.name, n, seed+1, result.Line(), result.Missed)
+					t.Errorf("%s, %d sidecars, seed %d: %s; missed %v", trouble.name, n, seed+1, result.Line(),
+						result.Missed)
 				}
 				for name, v := range result.Figures {
 					sum[name] += v
@@ -140,8 +141,9 @@
 			mean := func(name string) float64 { return sum[name] / float64(*rampSeeds) }
 			fmt.Fprintf(writer,
 				"| %s\t| %d\t| %.2f\t| %.2f\t| %.0f\t| %.0f\t| %.2f\t| %.2f\t| %.2f\t| %.3f\t| %.2f\t| %.2f\t|\n",
-				trouble.name, n, mean("ramp_mean"), worst, sum["ramp_falls"], sum["ramp_falls_told"], mean("ramp_untold"),
-				mean("ramp_retries"), mean("ramp_further"), mean("ramp_probes"), mean("service"), mean("refused"))
+				trouble.name, n, mean("ramp_mean"), worst, sum["ramp_falls"], sum["ramp_falls_told"],
+				mean("ramp_untold"), mean("ramp_retries"), mean("ramp_further"), mean("ramp_probes"), mean("service"),
+				mean("refused"))
 		}
 	}
 	writer.Flush()
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -83,7 +83,8 @@
 	queue := eventqueue.NewVirtual()
 	check, recorder := checker.New(checker.SettingsFrom(scen, 0)), figures.New(scen)
 	h := &host{queue: queue, scenario: scen, seed: randstream.Seed(options.Seed), links: map[[2]int]*link{},
-		maxLogLines: options.MaxLogLines, tap: options.Tap, tappedSidecar: options.TappedSidecar, drained: map[int]bool{}}
+		maxLogLines: options.MaxLogLines, tap: options.Tap, tappedSidecar: options.TappedSidecar,
+		drained: map[int]bool{}}
 	// The sinks run on a goroutine of their own, because their results depend on the order of the events alone.
 	async := trace.NewAsyncSink(trace.MultiSink(append([]trace.Sink{check, recorder}, options.Sinks...)...))
 	defer async.Close()
@@ -347,7 +348,8 @@
 
 func (h *host) appendLog(process *node, line string) {
 	if len(h.logLines) < h.maxLogLines {
-		h.logLines = append(h.logLines, fmt.Sprintf("%.3f sidecar %d: %s", float64(h.queue.Now())/1e6, process.number, line))
+		h.logLines = append(h.logLines, fmt.Sprintf("%.3f sidecar %d: %s", float64(h.queue.Now())/1e6, process.number,
+			line))
 	}
 }
 
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -65,7 +65,8 @@
 			t.Fatal(err)
 		}
 		s.Faults = append(s.Faults,
-			scenario.Fault{Kind: "kill", At: s.Length / 3, Duration: s.Length / 10, Sidecars: []int{1}, Factor: 1, Repeat: 1},
+			scenario.Fault{Kind: "kill", At: s.Length / 3, Duration: s.Length / 10, Sidecars: []int{1}, Factor: 1,
+				Repeat: 1},
 			scenario.Fault{Kind: "reset", At: s.Length / 2, Duration: s.Length / 10, Interval: s.Length / 50, Factor: 1,
 				Repeat: 1})
 		var sums [3]uint64
@@ -116,8 +117,8 @@
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
 			s := *base
-			s.Faults = []scenario.Fault{{Kind: kind, At: s.Length / 5, Duration: s.Length / 5, Factor: 3, Repeat: 1, Share: 0.5,
-				Lag: s.Length / 50, Interval: s.Length / 50}}
+			s.Faults = []scenario.Fault{{Kind: kind, At: s.Length / 5, Duration: s.Length / 5, Factor: 3, Repeat: 1,
+				Share: 0.5, Lag: s.Length / 50, Interval: s.Length / 50}}
 			if kind == "bandwidth" || kind == "pieces" {
 				s.Faults[0].Factor, s.Faults[0].Lag = 2000, 1000
 			}
@@ -144,7 +145,8 @@
 // or overload there are few retries and rejections, though messages stall.
 func TestHealthyFleetsServeAcrossRanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		workMicros := rapid.SampledFrom([]int{20, 50, 100, 300, 1000, 10_000, 100_000, 1_000_000, 20_000_000}).Draw(t, "work")
+		workMicros := rapid.SampledFrom([]int{20, 50, 100, 300, 1000, 10_000, 100_000, 1_000_000, 20_000_000}).Draw(t,
+			"work")
 		servers := rapid.SampledFrom([]int{1, 2, 4, 10, 100, 1000}).Draw(t, "servers")
 		load := rapid.SampledFrom([]float64{0.02, 0.2}).Draw(t, "load")
 		sidecars := rapid.SampledFrom([]int{1, 3, 20}).Draw(t, "sidecars")
@@ -175,7 +177,8 @@
 		counts := result.Verdict.Counts
 		if !result.Verdict.Passed() || counts.Requests >= 20 && (result.Service < 0.9 ||
 			result.Figures["attempts_per_task"] > 1.1 || result.Figures["refused"] > 0.05) {
-			t.Fatalf("work %d µs, %d servers, %d sidecars, %.2f requests per second, hints %s, reports %s: %s (%+v, %v)",
+			t.Fatalf(
+				"work %d µs, %d servers, %d sidecars, %.2f requests per second, hints %s, reports %s: %s (%+v, %v)",
 				workMicros, servers, sidecars, rate, hints, reports, result.Line(), counts, result.Figures)
 		}
 	})
--- a/internal/lab/soak/actions.go
+++ b/internal/lab/soak/actions.go
@@ -145,7 +145,9 @@
 		}
 	}
 	err := r.restart(ctx, number)
-	r.updateHistory(number, func(h *daemonHistory) { h.terminated = append(h.terminated, period{startedAt, time.Now()}) })
+	r.updateHistory(number, func(h *daemonHistory) {
+		h.terminated = append(h.terminated, period{startedAt, time.Now()})
+	})
 	return err
 }
 
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -216,7 +216,8 @@
 			if conns[i] != nil {
 				_ = conns[i].Close()
 			}
-			conns[i], _ = dialer.DialContext(ctx, "tcp", r.fleet.Daemons[daemon].ClientAddr()) // nil if the daemon refuses it
+			// nil if the daemon refuses it
+			conns[i], _ = dialer.DialContext(ctx, "tcp", r.fleet.Daemons[daemon].ClientAddr())
 		}
 		pause(ctx, idleCheckInterval)
 	}
--- a/internal/lab/soak/judge.go
+++ b/internal/lab/soak/judge.go
@@ -192,7 +192,8 @@
 		for _, attempt := range attempts {
 			for _, drained := range e.drains {
 				late := attempt.at.Sub(drained.from)
-				isLate := attempt.server == drained.server && late > drainGrace+arrivalSlack && !attempt.at.After(drained.to)
+				isLate := attempt.server == drained.server && late > drainGrace+arrivalSlack &&
+					!attempt.at.After(drained.to)
 				if !isLate || e.interrupted(attempt.daemon, drained.from, attempt.at) {
 					continue
 				}
--- a/internal/lab/storebench/bench.go
+++ b/internal/lab/storebench/bench.go
@@ -237,9 +237,10 @@
 	}
 	for _, writers := range opts.Writers {
 		opts.Progress(fmt.Sprintf("%d copies, %d writers", copies, writers))
-		rate, err := measure(fmt.Sprintf("writes, %d copies", copies), writers, opts.Duration, func(worker, i int) error {
-			return put(c.engines[0], fmt.Sprintf("w%d/%d", worker, i%1000))
-		})
+		rate, err := measure(fmt.Sprintf("writes, %d copies", copies), writers, opts.Duration,
+			func(worker, i int) error {
+				return put(c.engines[0], fmt.Sprintf("w%d/%d", worker, i%1000))
+			})
 		if err != nil {
 			return err
 		}
--- a/internal/lab/storebench/torture.go
+++ b/internal/lab/storebench/torture.go
@@ -129,7 +129,8 @@
 	p.inbound = relay.New(listener.Addr().String(), t.Seed+uint64(number), relay.Conditions{})
 	p.inbound.Listen(inbound)
 	addr := inbound.Addr().String()
-	operatorFile := fmt.Sprintf("[store]\nname = %q\ndir = \"db\"\nsocket = \"s.sock\"\nlisten = %q\naddress = %q\nkeys = \"../keys\"\njoin = %v\n",
+	operatorFile := fmt.Sprintf(
+		"[store]\nname = %q\ndir = \"db\"\nsocket = \"s.sock\"\nlisten = %q\naddress = %q\nkeys = \"../keys\"\njoin = %v\n",
 		p.name, listener.Addr(), addr, number > 0)
 	return p, addr, errors.Join(
 		listener.Close(),
@@ -180,8 +181,9 @@
 		key := fmt.Sprintf("w%d", writer)
 		wg.Go(func() { // repeats each request until it is answered, so that values increase without gaps
 			for n := 1; loadCtx.Err() == nil; n++ {
-				request := admin.ChangeRequest{ID: store.RequestID{Client: uint64(writer + 1), Seq: uint64(n)}, Txn: &store.Txn{
-					Then: []store.Op{{Key: key, Value: strconv.AppendInt(nil, int64(n), 10)}}}}
+				request := admin.ChangeRequest{
+					ID: store.RequestID{Client: uint64(writer + 1), Seq: uint64(n)}, Txn: &store.Txn{
+						Then: []store.Op{{Key: key, Value: strconv.AppendInt(nil, int64(n), 10)}}}}
 				for attempt := writer; ; attempt++ {
 					callCtx, cancelCall := context.WithTimeout(ctx, 3*time.Second)
 					_, err := clientOf(attempt).Change(callCtx, request)
--- a/internal/lab/storesim/actors.go
+++ b/internal/lab/storesim/actors.go
@@ -85,7 +85,8 @@
 	done := func(in input, out output) {
 		w.result.Ops++
 		c.seenRevisions[key] = out.revision
-		c.history = append(c.history, porcupine.Operation{ClientId: int(c.id), Input: in, Output: out, Call: calledAt, Return: w.queue.Now()})
+		c.history = append(c.history, porcupine.Operation{ClientId: int(c.id), Input: in, Output: out, Call: calledAt,
+			Return: w.queue.Now()})
 		fmt.Fprint(w.traceHash, in, out, calledAt, w.queue.Now())
 		w.queue.After(w.rng.Int64N(200*milli), c.next)
 	}
@@ -95,7 +96,8 @@
 	case 2, 3:
 		c.put(input{kind: 'p', key: key, value: fmt.Sprintf("%d.%d", c.id, c.requests)}, done)
 	default:
-		c.put(input{kind: 'c', key: key, value: fmt.Sprintf("%d.%d", c.id, c.requests), expectedRevision: c.seenRevisions[key]}, done)
+		c.put(input{kind: 'c', key: key, value: fmt.Sprintf("%d.%d", c.id, c.requests),
+			expectedRevision: c.seenRevisions[key]}, done)
 	}
 }
 
@@ -261,7 +263,8 @@
 // checkEvent checks a change that any replica applies.
 func (l *leaseUser) checkEvent(e store.Event) {
 	if e.Deleted && e.Item.Key == l.protectedKey && l.world.queue.Now() < l.protectedUntil {
-		l.world.reportViolation("lease", "%s went %d ms too early", e.Item.Key, (l.protectedUntil-l.world.queue.Now())/milli)
+		l.world.reportViolation("lease", "%s went %d ms too early", e.Item.Key,
+			(l.protectedUntil-l.world.queue.Now())/milli)
 	}
 }
 
--- a/internal/lab/storesim/disk.go
+++ b/internal/lab/storesim/disk.go
@@ -102,7 +102,8 @@
 		if len(entries) == 0 {
 			return
 		}
-		at := slices.IndexFunc(d.contents.Entries, func(e *raftpb.Entry) bool { return e.GetIndex() >= entries[0].GetIndex() })
+		at := slices.IndexFunc(d.contents.Entries,
+			func(e *raftpb.Entry) bool { return e.GetIndex() >= entries[0].GetIndex() })
 		if at >= 0 {
 			d.contents.Entries = slices.Clone(d.contents.Entries[:at])
 		}
@@ -141,6 +142,7 @@
 func (d *disk) Compact(index, term uint64) error {
 	return d.write(func() {
 		d.contents.Base = replica.SnapshotMeta{Index: index, Term: term}
-		d.contents.Entries = slices.DeleteFunc(slices.Clone(d.contents.Entries), func(e *raftpb.Entry) bool { return e.GetIndex() <= index })
+		d.contents.Entries = slices.DeleteFunc(slices.Clone(d.contents.Entries),
+			func(e *raftpb.Entry) bool { return e.GetIndex() <= index })
 	})
 }
--- a/internal/lab/storesim/failed.go
+++ b/internal/lab/storesim/failed.go
@@ -58,8 +58,8 @@
 }
 
 // failureStates are what the victim does when its disk fails, as shown in Result.Failed.
-var failureStates = []string{"leads", "follows", "is handed the lead", "hands the lead over", "votes", "starts", "leads while one joins", "follows while one joins",
-	"leads while one is added that does not come"}
+var failureStates = []string{"leads", "follows", "is handed the lead", "hands the lead over", "votes", "starts",
+	"leads while one joins", "follows while one joins", "leads while one is added that does not come"}
 
 // inject makes a disk fail in a drawn state, and starts the writes at the other hosts.
 func (f *failedDisk) inject() {
@@ -129,8 +129,9 @@
 func (f *failedDisk) write(h *host) {
 	f.seq++
 	f.openSince[h] = f.world.queue.Now()
-	c := store.Command{ID: store.RequestID{Client: failureClientBase + uint64(h.number), Seq: f.seq}, SinceIndex: max(1, h.appliedIndex),
-		Txn: &store.Txn{Then: []store.Op{{Key: fmt.Sprintf("beside/%d", h.number), Value: fmt.Append(nil, f.seq)}}}}
+	c := store.Command{ID: store.RequestID{Client: failureClientBase + uint64(h.number), Seq: f.seq},
+		SinceIndex: max(1, h.appliedIndex), Txn: &store.Txn{Then: []store.Op{{Key: fmt.Sprintf("beside/%d", h.number),
+			Value: fmt.Append(nil, f.seq)}}}}
 	var attempt func()
 	attempt = func() {
 		if f.finished || h.boot != f.boots[h] {
@@ -149,7 +150,8 @@
 			}
 			if f.victim.node != nil && f.victim.node.Failed() != nil {
 				f.world.result.WritesDuringFailure++
-				f.world.result.SlowestWriteMicros = max(f.world.result.SlowestWriteMicros, f.world.queue.Now()-f.openSince[h])
+				f.world.result.SlowestWriteMicros = max(f.world.result.SlowestWriteMicros,
+					f.world.queue.Now()-f.openSince[h])
 			}
 			f.world.queue.After(writeInterval, func() { f.write(h) })
 		})
@@ -163,7 +165,8 @@
 	for _, h := range w.members() {
 		since, isOpen := f.openSince[h]
 		if isOpen && h.boot == f.boots[h] && w.queue.Now()-since > maxResponseMicros {
-			w.reportViolation("no progress", "a write put to host %d got no answer for %d ms; host %d, whose disk failed, %s", h.number,
+			w.reportViolation("no progress",
+				"a write put to host %d got no answer for %d ms; host %d, whose disk failed, %s", h.number,
 				(w.queue.Now()-since)/milli, f.victim.number, w.result.FailureState)
 		}
 	}
--- a/internal/lab/storesim/faults.go
+++ b/internal/lab/storesim/faults.go
@@ -73,7 +73,8 @@
 			w.addMember()
 		}
 	case 12:
-		if !w.membershipChanging() && w.voters() > 2 && !h.removed && !h.inChange && h.disk.contents.Identity.MemberID != 0 {
+		if !w.membershipChanging() && w.voters() > 2 && !h.removed && !h.inChange &&
+			h.disk.contents.Identity.MemberID != 0 {
 			w.removeMember(h)
 		}
 	case 13:
@@ -173,7 +174,8 @@
 	h := w.addHost()
 	h.inChange = true
 	name := fmt.Sprintf("r%d", h.number)
-	w.executeAsOperator(uint64(h.number)*10+1, store.Command{AddMember: &store.AddMember{Name: name, Address: name}}, func(r store.Result) {
+	w.executeAsOperator(uint64(h.number)*10+1, store.Command{AddMember: &store.AddMember{Name: name,
+		Address: name}}, func(r store.Result) {
 		if r.Err != nil {
 			h.removed, h.inChange = true, false
 			return
@@ -190,31 +192,35 @@
 	h := w.addHost()
 	h.inChange = true
 	name := fmt.Sprintf("r%d", h.number)
-	w.executeAsOperator(uint64(h.number)*10+1, store.Command{AddMember: &store.AddMember{Name: name, Address: name}}, func(r store.Result) {
-		w.executeAsOperator(uint64(h.number)*10+2, store.Command{RemoveMember: &store.RemoveMember{MemberID: r.MemberID}}, func(store.Result) {
-			h.inChange, h.removed = false, true
-		})
+	w.executeAsOperator(uint64(h.number)*10+1, store.Command{AddMember: &store.AddMember{Name: name,
+		Address: name}}, func(r store.Result) {
+		w.executeAsOperator(uint64(h.number)*10+2,
+			store.Command{RemoveMember: &store.RemoveMember{MemberID: r.MemberID}}, func(store.Result) {
+				h.inChange, h.removed = false, true
+			})
 	})
 }
 
 // removeMember removes the member of a host.
 func (w *world) removeMember(h *host) {
 	h.inChange = true
-	w.executeAsOperator(uint64(h.number)*10+2, store.Command{RemoveMember: &store.RemoveMember{MemberID: h.disk.contents.Identity.MemberID}}, func(r store.Result) {
-		h.inChange = false
-		if r.Err != nil {
-			return
-		}
-		w.result.Left++
-		h.removed = true
-		// Its process runs on for a while, as one does that was not told.
-		boot := h.boot
-		w.queue.After(500*milli, func() {
-			if h.boot == boot && h.node != nil {
-				h.crash()
+	w.executeAsOperator(uint64(h.number)*10+2,
+		store.Command{RemoveMember: &store.RemoveMember{MemberID: h.disk.contents.Identity.MemberID}},
+		func(r store.Result) {
+			h.inChange = false
+			if r.Err != nil {
+				return
 			}
+			w.result.Left++
+			h.removed = true
+			// Its process runs on for a while, as one does that was not told.
+			boot := h.boot
+			w.queue.After(500*milli, func() {
+				if h.boot == boot && h.node != nil {
+					h.crash()
+				}
+			})
 		})
-	})
 }
 
 // replaceDisk loses a host's disk. The process comes back under its old name with an empty disk, or with the contents
@@ -245,16 +251,17 @@
 		}
 		h.shownDrains = map[string]bool{} // the drains were shown by the lost disk
 		h.start()
-		w.executeAsOperator(uint64(h.number)*10+3, store.Command{RemoveMember: &store.RemoveMember{MemberID: member}}, func(r store.Result) {
-			h.inChange, h.removed = false, true
-			if h.node != nil {
-				h.crash()
-			}
-			if r.Err == nil {
-				w.result.Left++
-			}
-			w.addMember()
-		})
+		w.executeAsOperator(uint64(h.number)*10+3, store.Command{RemoveMember: &store.RemoveMember{MemberID: member}},
+			func(r store.Result) {
+				h.inChange, h.removed = false, true
+				if h.node != nil {
+					h.crash()
+				}
+				if r.Err == nil {
+					w.result.Left++
+				}
+				w.addMember()
+			})
 	})
 }
 
@@ -276,7 +283,8 @@
 	w.failedDisk.start()
 	var check func()
 	check = func() {
-		settled := w.requestsDone() && !w.membershipChanging() && w.queue.Now()-w.servers.faultsOverAt > settleMicros && w.failedDisk.finished && w.queue.Now()-w.failedDisk.restartAt > second
+		settled := w.requestsDone() && !w.membershipChanging() && w.queue.Now()-w.servers.faultsOverAt > settleMicros &&
+			w.failedDisk.finished && w.queue.Now()-w.failedDisk.restartAt > second
 		for _, h := range w.members() {
 			settled = settled && h.node != nil && h.appliedIndex == w.lastIndex
 		}
@@ -298,21 +306,27 @@
 	Watch DaemonDefect
 	About string
 }{
-	{"ack-before-sync", replica.AckBeforeSync, NoDaemonDefect, "messages are sent before the state that they acknowledge is on disk"},
+	{"ack-before-sync", replica.AckBeforeSync, NoDaemonDefect,
+		"messages are sent before the state that they acknowledge is on disk"},
 	{"vote-forgotten", replica.ForgetVote, NoDaemonDefect, "the vote is not written to disk"},
 	{"stale-read", replica.StaleRead, NoDaemonDefect, "a read is answered without confirmation by a quorum"},
-	{"apply-twice", replica.ApplyTwice, NoDaemonDefect, "after a restart the last entries of the snapshot are applied again"},
+	{"apply-twice", replica.ApplyTwice, NoDaemonDefect,
+		"after a restart the last entries of the snapshot are applied again"},
 	{"results-forgotten", replica.ForgetResults, NoDaemonDefect, "a request that is sent again is applied again"},
-	{"blind-lease", replica.RevokeRenewedLease, NoDaemonDefect, "a lease without recent renewals is revoked although it was renewed meanwhile"},
+	{"blind-lease", replica.RevokeRenewedLease, NoDaemonDefect,
+		"a lease without recent renewals is revoked although it was renewed meanwhile"},
 	{"log-cut-too-far", replica.CompactBeyondSnapshot, NoDaemonDefect, "the log is compacted beyond the snapshot"},
-	{"empty-disk-let-in", replica.SkipAdmission, NoDaemonDefect, "a replica with an empty or old disk is admitted under its old name"},
+	{"empty-disk-let-in", replica.SkipAdmission, NoDaemonDefect,
+		"a replica with an empty or old disk is admitted under its old name"},
 	{"eager-return", replica.EagerReturn, NoDaemonDefect, "a server is readmitted on the evidence of one copy"},
 	{"bind-late", 0, EnforceLate, "a drain from the store is in force only half a second after it arrived"},
-	{"own-word-undone", 0, OverrideObservation, "the end of a drain in the store overrides the daemon's own observation"},
+	{"own-word-undone", 0, OverrideObservation,
+		"the end of a drain in the store overrides the daemon's own observation"},
 	{"end-early", 0, EndDrainEarly, "a drain ends after a quarter of its retention"},
 	{"end-alone", 0, EndDrainLocally, "a daemon ends a drain locally, without a quorum"},
 	{"log-end-forgotten", 0, IgnoreUncommitted, "a restart ignores the exclusions in the uncommitted end of the log"},
 	{"leads-on", replica.LeadAfterFailure, NoDaemonDefect, "a leader whose disk failed keeps sending heartbeats"},
-	{"any-level", replica.IgnoreLevel, NoDaemonDefect, "a command is sent although a voter does not know its level (with --mixed)"},
+	{"any-level", replica.IgnoreLevel, NoDaemonDefect,
+		"a command is sent although a voter does not know its level (with --mixed)"},
 	{"never-renewed", 0, NeverReportAgain, "drains are never reported again"},
 }
--- a/internal/lab/storesim/holders.go
+++ b/internal/lab/storesim/holders.go
@@ -92,7 +92,8 @@
 }
 
 func (w *world) startHolders(startAt int64) {
-	w.targets = &actionTargets{fences: map[string]*lease.Fence{}, fencedTokens: map[string]uint64{}, unfencedTokens: map[string]uint64{}, lastActionAt: map[string]int64{}, defect: w.options.HolderDefects.Fence}
+	w.targets = &actionTargets{fences: map[string]*lease.Fence{}, fencedTokens: map[string]uint64{},
+		unfencedTokens: map[string]uint64{}, lastActionAt: map[string]int64{}, defect: w.options.HolderDefects.Fence}
 	for _, t := range simTasks {
 		w.restartTarget(t.name)
 	}
@@ -145,7 +146,8 @@
 	w := d.world
 	d.boot++
 	d.clockRate, d.clockOrigin, d.stoppedUntil = 0.9+0.2*w.rng.Float64(), w.queue.Now()-w.rng.Int64N(second), 0
-	d.session = lease.NewSession(lease.Rules{TTL: w.holderTTL(), MaxClockSkew: holderClockSkew, Margin: holderMarginMicros}, w.options.HolderDefects.Session)
+	d.session = lease.NewSession(lease.Rules{TTL: w.holderTTL(), MaxClockSkew: holderClockSkew,
+		Margin: holderMarginMicros}, w.options.HolderDefects.Session)
 	d.table, d.copyRevision, d.tasks = lease.NewTable(w.options.HolderDefects.Table), 0, map[string]*wantedTask{}
 	for _, t := range simTasks {
 		d.tasks[t.name] = &wantedTask{task: t.name, slots: t.slots}
@@ -225,7 +227,8 @@
 		d.schedule(max(milli, int64(float64(due-d.now())/d.clockRate)), d.renew)
 		return
 	case lease.GrantRequest:
-		d.send(store.Command{GrantLease: &store.GrantLease{TTLMillis: uint64(d.world.holderTTL() / milli), Owner: d.name}}, d.handleRenewal)
+		d.send(store.Command{GrantLease: &store.GrantLease{TTLMillis: uint64(d.world.holderTTL() / milli),
+			Owner: d.name}}, d.handleRenewal)
 	case lease.RenewRequest:
 		d.send(store.Command{RenewLease: &store.RenewLease{LeaseID: id, Owner: d.name}}, d.handleRenewal)
 	}
@@ -241,7 +244,8 @@
 	}
 	before := d.session.Generation()
 	d.session.HandleResponse(d.now(), outcome, x.Result.LeaseID)
-	if outcome == lease.Succeeded && d.session.Generation() == before && d.world.options.HolderDefects.Step != KeepUnusedEntries {
+	if outcome == lease.Succeeded && d.session.Generation() == before &&
+		d.world.options.HolderDefects.Step != KeepUnusedEntries {
 		for _, p := range d.table.EntriesOf(d.name, d.session.ID()) {
 			used := false
 			for _, x := range d.tasks {
@@ -262,7 +266,8 @@
 // copy updates the daemon's copy from a random host at random intervals, and never to an older state.
 func (d *holder) copy() {
 	w := d.world
-	if h := w.randomUpHost(); h != nil && h.node.State().Revision() >= d.copyRevision && (h.node.State().Revision() > d.copyRevision || d.copyRevision == 0) {
+	if h := w.randomUpHost(); h != nil && h.node.State().Revision() >= d.copyRevision &&
+		(h.node.State().Revision() > d.copyRevision || d.copyRevision == 0) {
 		s := h.node.State()
 		events, _, err := s.Changes(nil, lease.Prefix, d.copyRevision, 1<<30)
 		if d.copyRevision == 0 || err != nil {
@@ -320,7 +325,8 @@
 			x.queueEntry, x.wasEntitled, x.released = "", false, false
 		case x.queueEntry == "" && d.session.ID() != 0 && d.now() < d.session.ValidUntil():
 			d.enqueue(x)
-		case x.queueEntry != "" && !x.wasEntitled && !ok && !x.released && x.generation == d.session.Generation() && d.session.ID() != 0:
+		case x.queueEntry != "" && !x.wasEntitled && !ok && !x.released && x.generation == d.session.Generation() &&
+			d.session.ID() != 0:
 			if _, _, there := d.table.Find(x.task, x.queueEntry); !there && w.rng.IntN(20) == 0 {
 				d.enqueue(x) // the response was lost: proposes the same entry again
 			}
@@ -340,12 +346,14 @@
 func (d *holder) enqueue(x *wantedTask) {
 	if x.queueEntry == "" {
 		d.seq++
-		x.queueEntry, x.generation, x.wasEntitled, x.released = lease.QueueEntryKey(x.task, d.name, fmt.Sprintf("%d.%d", d.boot, d.seq)), d.session.Generation(), false, false
+		x.queueEntry, x.generation, x.wasEntitled, x.released = lease.QueueEntryKey(x.task, d.name,
+			fmt.Sprintf("%d.%d", d.boot, d.seq)), d.session.Generation(), false, false
 	}
 	id := d.session.ID()
 	conf := fmt.Sprintf(`{"slots":%d}`, x.slots)
 	d.send(store.Command{Txn: &store.Txn{Owner: d.name, If: []store.Compare{{Key: x.queueEntry}}, Then: []store.Op{
-		{Key: x.queueEntry, Value: fmt.Appendf(nil, `{"session":%d}`, id), LeaseID: id}, {Key: lease.TaskConfigPrefix + x.task, Value: []byte(conf)}}}}, func(replica.Completion) {})
+		{Key: x.queueEntry, Value: fmt.Appendf(nil, `{"session":%d}`, id), LeaseID: id},
+		{Key: lease.TaskConfigPrefix + x.task, Value: []byte(conf)}}}}, func(replica.Completion) {})
 }
 
 // act starts an action that takes effect after up to maxActMicros of the daemon's clock.
@@ -397,7 +405,8 @@
 	}
 	if t.fences[task].Admit(task, token) == nil {
 		if token < t.fencedTokens[task] {
-			w.reportViolation("token order", "%s acted upon %q with %d after %d", holder, task, token, t.fencedTokens[task])
+			w.reportViolation("token order", "%s acted upon %q with %d after %d", holder, task, token,
+				t.fencedTokens[task])
 		}
 		t.fencedTokens[task] = max(t.fencedTokens[task], token)
 		t.lastActionAt[task] = w.queue.Now()
@@ -407,7 +416,8 @@
 	case stopped:
 		w.result.LateActions++
 	default:
-		w.reportViolation("acted late", "%s, which was not stopped, acted upon %q with %d after %d", holder, task, token, t.unfencedTokens[task])
+		w.reportViolation("acted late", "%s, which was not stopped, acted upon %q with %d after %d", holder, task,
+			token, t.unfencedTokens[task])
 	}
 	t.unfencedTokens[task] = max(t.unfencedTokens[task], token)
 }
@@ -419,7 +429,8 @@
 	}
 	for _, t := range simTasks {
 		if w.targets.lastActionAt[t.name] < w.servers.faultsOverAt+second {
-			w.reportViolation("nobody acts", "upon %q, %d ms after the last fault", t.name, (w.queue.Now()-w.servers.faultsOverAt)/milli)
+			w.reportViolation("nobody acts", "upon %q, %d ms after the last fault", t.name,
+				(w.queue.Now()-w.servers.faultsOverAt)/milli)
 		}
 	}
 }
@@ -431,18 +442,29 @@
 	Replica replica.Defects
 	About   string
 }{
-	{"entitled-from-answer", HolderDefects{Session: lease.ValidFromResponse}, 0, "a session counts its TTL from the arrival of the response, not from the request"},
-	{"no-rate-margin", HolderDefects{Session: lease.IgnoreSkew}, 0, "a session makes no allowance for clocks that run at different rates"},
-	{"renewal-after-end", HolderDefects{Session: lease.AcceptRejectedRenewal}, 0, "a renewal that the store rejected counts"},
-	{"old-leaders-rest", HolderDefects{}, replica.ShortenInheritedLeases, "a new leader ends inherited leases after the remaining time of the old leader"},
-	{"blind-end", HolderDefects{}, replica.RevokeRenewedLease, "a session without recent renewals is revoked although it was renewed meanwhile"},
+	{"entitled-from-answer", HolderDefects{Session: lease.ValidFromResponse}, 0,
+		"a session counts its TTL from the arrival of the response, not from the request"},
+	{"no-rate-margin", HolderDefects{Session: lease.IgnoreSkew}, 0,
+		"a session makes no allowance for clocks that run at different rates"},
+	{"renewal-after-end", HolderDefects{Session: lease.AcceptRejectedRenewal}, 0,
+		"a renewal that the store rejected counts"},
+	{"old-leaders-rest", HolderDefects{}, replica.ShortenInheritedLeases,
+		"a new leader ends inherited leases after the remaining time of the old leader"},
+	{"blind-end", HolderDefects{}, replica.RevokeRenewedLease,
+		"a session without recent renewals is revoked although it was renewed meanwhile"},
 	{"token-counted-anew", HolderDefects{Table: lease.RenumberTokens}, 0, "each process numbers tokens itself"},
 	{"token-not-checked", HolderDefects{Fence: lease.AdmitAllTokens}, 0, "the target admits lower tokens"},
-	{"receiver-forgets", HolderDefects{Fence: lease.ForgetOnRestart}, 0, "the target forgets its highest token when it restarts"},
-	{"release-of-anothers", HolderDefects{Step: ReleaseAnyEntry}, 0, "a release removes the queue entry of another holder"},
-	{"release-before-end", HolderDefects{Step: ReleaseDuringAction}, 0, "the queue entry is removed while an action is in progress"},
-	{"any-length", HolderDefects{Step: IgnoreSessionEnd}, 0, "an action starts although it may not end before the session does"},
-	{"permits-at-holder", HolderDefects{Table: lease.CountOwnEntriesOnly}, 0, "slots are counted among the holder's own queue entries"},
+	{"receiver-forgets", HolderDefects{Fence: lease.ForgetOnRestart}, 0,
+		"the target forgets its highest token when it restarts"},
+	{"release-of-anothers", HolderDefects{Step: ReleaseAnyEntry}, 0,
+		"a release removes the queue entry of another holder"},
+	{"release-before-end", HolderDefects{Step: ReleaseDuringAction}, 0,
+		"the queue entry is removed while an action is in progress"},
+	{"any-length", HolderDefects{Step: IgnoreSessionEnd}, 0,
+		"an action starts although it may not end before the session does"},
+	{"permits-at-holder", HolderDefects{Table: lease.CountOwnEntriesOnly}, 0,
+		"slots are counted among the holder's own queue entries"},
 	{"order-ignored", HolderDefects{Table: lease.IgnoreQueueOrder}, 0, "any holder with a queue entry may act"},
-	{"places-not-swept", HolderDefects{Step: KeepUnusedEntries}, 0, "a queue entry whose response was lost is never removed"},
+	{"places-not-swept", HolderDefects{Step: KeepUnusedEntries}, 0,
+		"a queue entry whose response was lost is never removed"},
 }
--- a/internal/lab/storesim/holders_test.go
+++ b/internal/lab/storesim/holders_test.go
@@ -29,7 +29,8 @@
 		}
 		found := false
 		for seed := uint64(0); seed < 40 && !found; seed++ {
-			found = len(Run(seed, Options{Holders: 5, Clients: 1, Ops: 20, HolderDefects: p.Plant, ReplicaDefects: p.Replica}).Broken) > 0
+			found = len(Run(seed, Options{Holders: 5, Clients: 1, Ops: 20, HolderDefects: p.Plant,
+				ReplicaDefects: p.Replica}).Broken) > 0
 		}
 		if !found {
 			t.Errorf("%s: no seed below 40 found the injected defect", p.Name)
--- a/internal/lab/storesim/storesim.go
+++ b/internal/lab/storesim/storesim.go
@@ -51,7 +51,8 @@
 	for _, x := range []struct {
 		v *int
 		d int
-	}{{&o.Replicas, 3}, {&o.Clients, 4}, {&o.Keys, 4}, {&o.Ops, 60}, {&o.Faults, 24}, {&o.Gap, 300}, {&o.HolderTTLMillis, 400}} {
+	}{{&o.Replicas, 3}, {&o.Clients, 4}, {&o.Keys, 4}, {&o.Ops, 60}, {&o.Faults, 24}, {&o.Gap, 300},
+		{&o.HolderTTLMillis, 400}} {
 		if *x.v == 0 {
 			*x.v = x.d
 		}
@@ -163,9 +164,9 @@
 // Run simulates one seed. It is safe for concurrent use.
 func Run(seed uint64, options Options) Result {
 	options.fill()
-	w := &world{options: options, queue: eventqueue.NewVirtual(), rng: rand.New(rand.NewPCG(seed, 0x6269726368)), entryHashes: map[uint64]uint64{},
-		leaders: map[uint64]int{}, stateHashes: map[uint64]uint64{}, links: map[[2]int]*link{}, traceHash: xxhash.New(),
-		reportedKinds: map[string]bool{}}
+	w := &world{options: options, queue: eventqueue.NewVirtual(), rng: rand.New(rand.NewPCG(seed, 0x6269726368)),
+		entryHashes: map[uint64]uint64{}, leaders: map[uint64]int{}, stateHashes: map[uint64]uint64{},
+		links: map[[2]int]*link{}, traceHash: xxhash.New(), reportedKinds: map[string]bool{}}
 	w.result.Seed = seed
 	w.failedDisk = failedDisk{world: w, rng: rand.New(rand.NewPCG(seed, 0x6661696c))}
 	w.simulate()
@@ -178,14 +179,17 @@
 func (w *world) reportViolation(kind, format string, args ...any) {
 	if !w.reportedKinds[kind] {
 		w.reportedKinds[kind] = true
-		w.result.Broken = append(w.result.Broken, fmt.Sprintf("%s at %d ms: %s", kind, w.queue.Now()/milli, fmt.Sprintf(format, args...)))
+		w.result.Broken = append(w.result.Broken,
+			fmt.Sprintf("%s at %d ms: %s", kind, w.queue.Now()/milli, fmt.Sprintf(format, args...)))
 	}
 }
 
 func (w *world) config(h *host) replica.Config {
-	return replica.Config{Rand: rand.New(rand.NewPCG(w.rng.Uint64(), 1)), ElectionTicks: 10, TickMillis: int(tickMicros / milli), RequestTimeoutTicks: 60,
-		SnapshotLogBytes: 2000, RetainedEntries: 8 + w.rng.IntN(40), MaxMessageBytes: 4096, Defects: w.options.ReplicaDefects,
-		KnownLevel: h.knownLevel(), OnEntry: func(e *raftpb.Entry) { h.checkEntry(e) }}
+	return replica.Config{Rand: rand.New(rand.NewPCG(w.rng.Uint64(), 1)), ElectionTicks: 10,
+		TickMillis: int(tickMicros / milli), RequestTimeoutTicks: 60, SnapshotLogBytes: 2000,
+		RetainedEntries: 8 + w.rng.IntN(40), MaxMessageBytes: 4096,
+		Defects: w.options.ReplicaDefects, KnownLevel: h.knownLevel(),
+		OnEntry: func(e *raftpb.Entry) { h.checkEntry(e) }}
 }
 
 // checkEntry checks each entry before it is applied.
@@ -212,8 +216,10 @@
 	startAt := int64(w.options.Replicas) * 600 * milli
 	w.startServers(startAt)
 	first := w.addHost()
-	if err := replica.Bootstrap(first.disk, 7, "r0", "r0", store.Limits{KeyBytes: 64, ValueBytes: 256, TotalBytes: 1 << 20, TxnOps: 16, HistoryEvents: max(200, 4*w.options.Holders),
-		HistoryBytes: 1 << 16, Leases: 64 + 2*w.options.Holders, Results: 20000, Members: 7}); err != nil {
+	if err := replica.Bootstrap(first.disk, 7, "r0", "r0",
+		store.Limits{KeyBytes: 64, ValueBytes: 256, TotalBytes: 1 << 20, TxnOps: 16,
+			HistoryEvents: max(200, 4*w.options.Holders),
+			HistoryBytes:  1 << 16, Leases: 64 + 2*w.options.Holders, Results: 20000, Members: 7}); err != nil {
 		panic(err)
 	}
 	first.start()
@@ -272,7 +278,8 @@
 	w.queue.After(startAt+w.gap(), func() { firstIndex, firstBytes = w.lastIndex, w.entryBytes })
 	w.queue.After(startAt+2*w.gap()-1, func() {
 		seconds := float64(w.gap()) / float64(second)
-		w.result.EntriesPerS, w.result.BytesPerS = float64(w.lastIndex-firstIndex)/seconds, float64(w.entryBytes-firstBytes)/seconds
+		w.result.EntriesPerS, w.result.BytesPerS = float64(w.lastIndex-firstIndex)/seconds,
+			float64(w.entryBytes-firstBytes)/seconds
 	})
 }
 
@@ -316,8 +323,8 @@
 }
 
 func (w *world) addHost() *host {
-	h := &host{world: w, number: len(w.hosts), disk: newDisk(w.rng), clockRate: 0.9 + 0.2*w.rng.Float64(), shownDrains: map[string]bool{},
-		oldBuild: w.options.Mixed}
+	h := &host{world: w, number: len(w.hosts), disk: newDisk(w.rng), clockRate: 0.9 + 0.2*w.rng.Float64(),
+		shownDrains: map[string]bool{}, oldBuild: w.options.Mixed}
 	w.hosts = append(w.hosts, h)
 	return h
 }
@@ -475,11 +482,14 @@
 		}
 		if h.oldBuild && errors.Is(err, store.ErrUnknownCommand) {
 			if w.commandLevel < store.Level {
-				w.reportViolation("level", "host %d was sent what its build does not know, and the cluster uses level %d: %v", h.number, w.commandLevel, err)
+				w.reportViolation("level",
+					"host %d was sent what its build does not know, and the cluster uses level %d: %v", h.number,
+					w.commandLevel, err)
 			}
 			h.oldBuild = false // it stopped before it applied the unknown command, so operators start the newer build
 		}
-		if h.disk.failed || h.disk.crashed || h.removed || h.inChange || w.options.Mixed && errors.Is(err, store.ErrUnknownCommand) {
+		if h.disk.failed || h.disk.crashed || h.removed || h.inChange ||
+			w.options.Mixed && errors.Is(err, store.ErrUnknownCommand) {
 			h.crash() // as its supervisor does, which starts it again
 			h.restartLater()
 			return
--- a/internal/lab/storesim/storesim_test.go
+++ b/internal/lab/storesim/storesim_test.go
@@ -52,7 +52,8 @@
 	for _, p := range faults {
 		found := false
 		for seed := uint64(0); seed < 200 && !found; seed++ {
-			found = len(Run(seed, Options{ReplicaDefects: p.Fault, DaemonDefect: p.Watch, Mixed: p.Name == "any-level"}).Broken) > 0
+			found = len(Run(seed, Options{ReplicaDefects: p.Fault, DaemonDefect: p.Watch,
+				Mixed: p.Name == "any-level"}).Broken) > 0
 		}
 		if !found {
 			t.Errorf("%s: no seed below 200 found the injected defect", p.Name)
@@ -70,7 +71,8 @@
 	}
 	for seed := range seeds {
 		if r := Run(seed, o); len(r.Broken) > 0 || r.WritesDuringFailure == 0 {
-			t.Errorf("seed %d: the replica whose disk failed %s, the others answered %d writes, violations %q", seed, r.FailureState, r.WritesDuringFailure, r.Broken)
+			t.Errorf("seed %d: the replica whose disk failed %s, the others answered %d writes, violations %q", seed,
+				r.FailureState, r.WritesDuringFailure, r.Broken)
 		}
 	}
 	o.ReplicaDefects = replica.LeadAfterFailure
--- a/internal/lab/storesim/watch.go
+++ b/internal/lab/storesim/watch.go
@@ -69,7 +69,8 @@
 const serverCount = 3
 
 func (w *world) startServers(startAt int64) {
-	w.servers = serverSim{reportedAt: map[string]int64{}, seenRevisions: map[uint64]bool{}, discoveryDownUntil: map[*host]int64{}}
+	w.servers = serverSim{reportedAt: map[string]int64{}, seenRevisions: map[uint64]bool{},
+		discoveryDownUntil: map[*host]int64{}}
 	for range serverCount {
 		w.servers.current = append(w.servers.current, serverProcess{start: 1})
 	}
@@ -96,7 +97,8 @@
 		if w.rng.IntN(12) == 0 {
 			w.servers.discoveryDownUntil[h] = w.queue.Now() + w.rng.Int64N(4000*milli)
 		}
-		w.queue.After(max(0, w.servers.discoveryDownUntil[h]-w.queue.Now())+w.rng.Int64N(150*milli), func() { h.discoverAll() })
+		w.queue.After(max(0, w.servers.discoveryDownUntil[h]-w.queue.Now())+w.rng.Int64N(150*milli),
+			func() { h.discoverAll() })
 	}
 	w.queue.After(150*milli+w.rng.Int64N(900*milli), w.changeServer)
 }
@@ -116,15 +118,17 @@
 
 func (h *host) startDaemon() {
 	w := h.world
-	r := serverstate.ReportSchedule{Spread: reportSpreadMicros, RenewInterval: reportRenewMicros, Retention: drainRetentionMicros, MaxObserved: 64}
+	r := serverstate.ReportSchedule{Spread: reportSpreadMicros, RenewInterval: reportRenewMicros,
+		Retention: drainRetentionMicros, MaxObserved: 64}
 	switch w.options.DaemonDefect {
 	case EndDrainEarly:
 		r.Retention = drainRetentionMicros / 4
 	case NeverReportAgain:
 		r.RenewInterval = 0
 	}
-	h.daemon = &hostDaemon{reports: serverstate.NewReportScheduler(fmt.Sprint(h.number), r), observedDrains: map[string]bool{}, shownSince: map[string]int64{},
-		endedLocally: map[string]bool{}, clockRate: 0.95 + 0.1*w.rng.Float64(), startedAt: w.queue.Now()}
+	h.daemon = &hostDaemon{reports: serverstate.NewReportScheduler(fmt.Sprint(h.number), r),
+		observedDrains: map[string]bool{}, shownSince: map[string]int64{}, endedLocally: map[string]bool{},
+		clockRate: 0.95 + 0.1*w.rng.Float64(), startedAt: w.queue.Now()}
 	if h.replicaOnly() {
 		return
 	}
@@ -151,7 +155,8 @@
 
 // discoverAll passes the current servers to the daemon, unless its discovery is unavailable.
 func (h *host) discoverAll() {
-	if h.replicaOnly() || h.node == nil || h.daemon == nil || h.world.queue.Now() < h.world.servers.discoveryDownUntil[h] && !h.world.faultsOver {
+	if h.replicaOnly() || h.node == nil || h.daemon == nil ||
+		h.world.queue.Now() < h.world.servers.discoveryDownUntil[h] && !h.world.faultsOver {
 		return
 	}
 	for i, p := range h.world.servers.current {
@@ -266,7 +271,8 @@
 		if w.options.DaemonDefect == OverrideObservation {
 			t.reports.Withdraw(key)
 			for i := range t.discovered {
-				if t.discovered[i].draining && serverstate.ExclusionKey(serverstate.Drain, w.processOf(i, t.discovered[i].start).ServerName()) == key {
+				if t.discovered[i].draining && serverstate.ExclusionKey(serverstate.Drain,
+					w.processOf(i, t.discovered[i].start).ServerName()) == key {
 					t.discovered[i].draining = false
 				}
 			}
@@ -283,7 +289,8 @@
 // checkEndedWhileObserved reports a drain that ends although a running daemon observes it and could have reported it.
 func (w *world) checkEndedWhileObserved(key string) {
 	for _, h := range w.members() {
-		if h.node != nil && h != w.failedDisk.victim && h.daemon != nil && h.daemon.observedDrains[key] && w.queue.Now()-h.daemon.startedAt > 2*reportRenewMicros {
+		if h.node != nil && h != w.failedDisk.victim && h.daemon != nil && h.daemon.observedDrains[key] &&
+			w.queue.Now()-h.daemon.startedAt > 2*reportRenewMicros {
 			w.reportViolation("ended while heard", "%s, which host %d hears", key, h.number)
 		}
 	}
@@ -333,9 +340,11 @@
 		w.result.RequestsSent++
 		switch {
 		case h.shownDrains[key]:
-			w.reportViolation("stale drain served", "host %d sends to %s, whose drain its copy had shown", h.number, p.ServerName())
+			w.reportViolation("stale drain served", "host %d sends to %s, whose drain its copy had shown", h.number,
+				p.ServerName())
 		case t.observedDrains[key]:
-			w.reportViolation("own word undone", "host %d sends to %s, which it hears to drain", h.number, p.ServerName())
+			w.reportViolation("own word undone", "host %d sends to %s, which it hears to drain", h.number,
+				p.ServerName())
 		}
 	}
 }
@@ -353,8 +362,8 @@
 		name := w.processOf(i, p.start)
 		for _, h := range w.members() {
 			if h.node != nil && h.daemon != nil && !h.guard.IsDraining(name) {
-				w.reportViolation("drain not told", "host %d does not know that %s drains, %d ms after the last fault", h.number, name.ServerName(),
-					(w.queue.Now()-w.servers.faultsOverAt)/milli)
+				w.reportViolation("drain not told", "host %d does not know that %s drains, %d ms after the last fault",
+					h.number, name.ServerName(), (w.queue.Now()-w.servers.faultsOverAt)/milli)
 			}
 		}
 	}
--- a/internal/lab/tasklab/history.go
+++ b/internal/lab/tasklab/history.go
@@ -102,7 +102,8 @@
 			returnedAt = 1 << 62 // the write may be applied at any later time
 		}
 		h.mu.Lock()
-		h.operations = append(h.operations, porcupine.Operation{ClientId: number, Input: o, Output: out, Call: int64(calledAt), Return: int64(returnedAt)})
+		h.operations = append(h.operations, porcupine.Operation{ClientId: number, Input: o, Output: out,
+			Call: int64(calledAt), Return: int64(returnedAt)})
 		h.mu.Unlock()
 	}
 }
@@ -116,7 +117,8 @@
 }
 
 // attempt makes an attempt of an operation at one daemon; known is false if its outcome is unknown.
-func (h *history) attempt(ctx context.Context, d *fleetlab.Daemon, id store.RequestID, key, write string) (value string, known bool) {
+func (h *history) attempt(ctx context.Context, d *fleetlab.Daemon, id store.RequestID,
+	key, write string) (value string, known bool) {
 	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
 	if write != "" {
@@ -142,7 +144,8 @@
 	h.wg.Wait()
 	switch porcupine.CheckOperationsTimeout(registerModel, h.operations, 30*time.Second) {
 	case porcupine.Illegal:
-		broken = append(broken, fmt.Sprintf("not linearizable: %d operations on %d registers", len(h.operations), registerCount))
+		broken = append(broken, fmt.Sprintf("not linearizable: %d operations on %d registers", len(h.operations),
+			registerCount))
 	case porcupine.Unknown:
 		broken = append(broken, fmt.Sprintf("not judged: the history of %d operations is too hard", len(h.operations)))
 	}
--- a/internal/lab/tasklab/standin.go
+++ b/internal/lab/tasklab/standin.go
@@ -139,7 +139,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, a := range s.misorderedActions {
-		broken = append(broken, fmt.Sprintf("token order: %d of %s took effect at %v, after %d", a.Token, a.Who, a.At.Round(time.Millisecond), s.fencedToken))
+		broken = append(broken, fmt.Sprintf("token order: %d of %s took effect at %v, after %d", a.Token, a.Who,
+			a.At.Round(time.Millisecond), s.fencedToken))
 	}
 	for _, a := range s.lateActions {
 		if s.stoppedActors[a.Who] > 0 {
--- a/internal/lab/tasklab/torture.go
+++ b/internal/lab/tasklab/torture.go
@@ -95,7 +95,9 @@
 // independently, so that leaving one out changes no other.
 func (t *FaultRun) nextFault(index int, elapsed time.Duration) (ScheduledFault, bool) {
 	rng := rand.New(rand.NewPCG(t.Seed, uint64(index)))
-	fault := ScheduledFault{GapMs: t.FaultInterval.Milliseconds()/2 + rng.Int64N(max(1, t.FaultInterval.Milliseconds())), Fault: Faults[rng.IntN(len(Faults))].Name, Draw: rng.Uint64()}
+	fault := ScheduledFault{GapMs: t.FaultInterval.Milliseconds()/2 +
+		rng.Int64N(max(1, t.FaultInterval.Milliseconds())), Fault: Faults[rng.IntN(len(Faults))].Name,
+		Draw: rng.Uint64()}
 	switch {
 	case t.Schedule != nil:
 		if index < len(t.Schedule) {
@@ -156,7 +158,8 @@
 	}
 	r.RecordsDir = dir
 	x.target.mu.Lock()
-	history := map[string]any{"changes": x.target.changes, "late": x.target.lateActions, "order": x.target.misorderedActions, "stopped": x.target.stoppedActors, "broken": r.Broken}
+	history := map[string]any{"changes": x.target.changes, "late": x.target.lateActions,
+		"order": x.target.misorderedActions, "stopped": x.target.stoppedActors, "broken": r.Broken}
 	x.target.mu.Unlock()
 	var lines []string
 	for _, d := range x.fleet.Daemons {
@@ -215,16 +218,19 @@
 	if t.Defect != "" {
 		t.Env = append(slices.Clone(t.Env), DefectEnv+"="+t.Defect)
 	}
-	r := &run{FaultRun: t, result: &Result{FaultCounts: map[string]int{}}, dir: dir, recoveryTimes: map[string][]time.Duration{}}
+	r := &run{FaultRun: t, result: &Result{FaultCounts: map[string]int{}}, dir: dir,
+		recoveryTimes: map[string][]time.Duration{}}
 	if r.target, err = newTarget(filepath.Join(dir, "fence"), t.FenceDefect); err != nil {
 		return nil, err
 	}
 	defer r.target.Close()
-	config := fleetlab.Config{Program: t.Program, Args: []string{"run", "--config"}, Env: t.Env, Dir: dir, Replicas: t.Replicas,
-		Followers: t.Followers, Seed: t.Seed, NoSidecars: true}
+	config := fleetlab.Config{Program: t.Program, Args: []string{"run", "--config"}, Env: t.Env, Dir: dir,
+		Replicas: t.Replicas, Followers: t.Followers, Seed: t.Seed, NoSidecars: true}
 	if t.HasProcessFaults { // clocks of hosts are 5% fast and slow in turn, and that of the first leader is fast
 		config.Skew = 0.12
-		config.DaemonEnv = func(n int) []string { return []string{fmt.Sprintf("%s=%g", ClockRateEnv, 1.05-0.1*float64(n%2))} }
+		config.DaemonEnv = func(n int) []string {
+			return []string{fmt.Sprintf("%s=%g", ClockRateEnv, 1.05-0.1*float64(n%2))}
+		}
 	}
 	if r.fleet, err = fleetlab.Begin(ctx, config); err != nil {
 		return nil, err
@@ -308,8 +314,9 @@
 		if t.Progress != nil {
 			holder, token, acts := r.target.state()
 			broken, late, _ := r.target.check(r.starvedTokens())
-			t.Progress(fmt.Sprintf("%v: injected %s at %s; %d actions, %s holds the task with token %d, %d late actions of stopped actors, %d violations", time.Since(startedAt).Round(time.Second), fault.Name, target, acts,
-				holder, token, late, len(broken)))
+			t.Progress(fmt.Sprintf(
+				"%v: injected %s at %s; %d actions, %s holds the task with token %d, %d late actions of stopped actors, %d violations",
+				time.Since(startedAt).Round(time.Second), fault.Name, target, acts, holder, token, late, len(broken)))
 		}
 	}
 }
@@ -420,7 +427,8 @@
 	defer log.Close()
 	for n := 0; ; n++ {
 		who := fmt.Sprintf("%s.%d", a.name, n)
-		cmd := exec.Command(x.Program, "lock", "task", "--socket", a.daemon.Socket(), "--ttl", x.TTL.String(), "--", x.Program, "actor", x.target.URL, who)
+		cmd := exec.Command(x.Program, "lock", "task", "--socket", a.daemon.Socket(), "--ttl", x.TTL.String(), "--",
+			x.Program, "actor", x.target.URL, who)
 		cmd.Env = append(os.Environ(), a.daemon.Env...)
 		cmd.Stdout, cmd.Stderr = log, log
 		cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
--- a/internal/lab/trace/trace.go
+++ b/internal/lab/trace/trace.go
@@ -36,8 +36,9 @@
 	FaultEnded               // a fault ended: Note
 	ServerGauge              // state of a server, recorded at intervals: Server, Held, Queued, Warmth, Choked
 	ConnRefused              // a server refused a connection above its limit: Sidecar, Server
-	ColdLoad                 // a process is no longer cold: Server; Warmth is the highest ratio of work sent to its limit
-	DiscoveryCalled          // a call of discovery ended: Sidecar, Verdict (Served or Failed); Work is its duration
+	// a process is no longer cold: Server; Warmth is the highest ratio of work sent to its limit
+	ColdLoad
+	DiscoveryCalled // a call of discovery ended: Sidecar, Verdict (Served or Failed); Work is its duration
 )
 
 var kindNames = [...]string{"asked", "answered", "left", "cut", "sent", "accepted", "turned", "finished", "told",
--- a/internal/platform/keys/keys.go
+++ b/internal/platform/keys/keys.go
@@ -35,7 +35,8 @@
 // CheckName returns an error if name is not valid for a replica: it must be a DNS label in lower case, and not "ca".
 func CheckName(name string) error {
 	if !replicaName.MatchString(name) || name == authorityName {
-		return fmt.Errorf("%q is not a valid replica name: lower-case letters, digits and inner hyphens, at most 63", name)
+		return fmt.Errorf("%q is not a valid replica name: lower-case letters, digits and inner hyphens, at most 63",
+			name)
 	}
 	return nil
 }
--- a/internal/platform/wire/decoder.go
+++ b/internal/platform/wire/decoder.go
@@ -133,7 +133,8 @@
 	size := int(binary.BigEndian.Uint32(d.frame[d.nextOffset+1:]))
 	if size > remaining-recordHeaderBytes {
 		d.offset = 1
-		d.fail(fmt.Sprintf("fields of %d bytes overrun the frame, which has %d left", size, remaining-recordHeaderBytes))
+		d.fail(fmt.Sprintf("fields of %d bytes overrun the frame, which has %d left", size,
+			remaining-recordHeaderBytes))
 		return d.err
 	}
 	d.record = d.frame[d.nextOffset : d.nextOffset+recordHeaderBytes+size]
--- a/internal/platform/wire/wire_test.go
+++ b/internal/platform/wire/wire_test.go
@@ -289,7 +289,8 @@
 	if _, err := balancer.New(s, 1, nil); err != nil {
 		t.Errorf("balancer.New rejected valid settings: %v", err)
 	}
-	if s, err = ParseSettings(strings.Replace(validSettings, "how=probe", "how=none", 1)); err != nil || s.Fields != nil {
+	if s, err = ParseSettings(strings.Replace(validSettings, "how=probe", "how=none", 1)); err != nil ||
+		s.Fields != nil {
 		t.Errorf("settings without load reports: fields %v, error %v, want none", s.Fields, err)
 	}
 }
--- a/internal/store/admin/call.go
+++ b/internal/store/admin/call.go
@@ -56,7 +56,8 @@
 	}
 	timeout, err := time.ParseDuration(text)
 	if err != nil || timeout <= 0 || timeout > maxTimeout {
-		return 0, fmt.Errorf("%w: timeout: %q is not a positive duration of at most %v", ErrBadRequest, text, maxTimeout)
+		return 0, fmt.Errorf("%w: timeout: %q is not a positive duration of at most %v", ErrBadRequest, text,
+			maxTimeout)
 	}
 	return timeout, nil
 }
--- a/internal/store/admin/followermessages.go
+++ b/internal/store/admin/followermessages.go
@@ -30,8 +30,9 @@
 )
 
 const (
-	maxSizePrefixes = 4      // in one request
-	placeholderKey  = "\x00" // a key that is never put; represents an empty interest, because no parameters mean all keys
+	maxSizePrefixes = 4 // in one request
+	// a key that is never put; represents an empty interest, because no parameters mean all keys
+	placeholderKey = "\x00"
 )
 
 // StreamLine is a line of a follower's stream. Either one of its fields is set, or Events and Through. In a stream of
--- a/internal/store/admin/wire_test.go
+++ b/internal/store/admin/wire_test.go
@@ -114,7 +114,8 @@
 			wantRetryAfter = "1"
 		}
 		if retryAfter := w.Header().Get("Retry-After"); w.Code != test.status || retryAfter != wantRetryAfter {
-			t.Errorf("%v: status %d, Retry-After %q; want %d, %q", test.err, w.Code, retryAfter, test.status, wantRetryAfter)
+			t.Errorf("%v: status %d, Retry-After %q; want %d, %q", test.err, w.Code, retryAfter, test.status,
+				wantRetryAfter)
 		}
 		var fields map[string]json.RawMessage
 		if err := json.Unmarshal(w.Body.Bytes(), &fields); err != nil {
--- a/internal/store/changefeed/sender.go
+++ b/internal/store/changefeed/sender.go
@@ -20,7 +20,8 @@
 // interest means all keys. The caller must pass the sender's Stream to Unsubscribe.
 func (f *Feed) NewSender(interest *store.Interest, after uint64) *Sender {
 	stream, start := f.Subscribe(interest)
-	return &Sender{Stream: stream, streamStart: start, initialRevision: after, sentThrough: after, announcedThrough: after}
+	return &Sender{Stream: stream, streamStart: start, initialRevision: after, sentThrough: after,
+		announcedThrough: after}
 }
 
 // CatchUp returns the next changes between the follower's revision and the start of the stream, from the history of the
--- a/internal/store/follower/follower.go
+++ b/internal/store/follower/follower.go
@@ -128,7 +128,8 @@
 	f.ctx, f.cancel = context.WithCancel(context.Background())
 	restored, err := f.restore()
 	if err != nil {
-		cfg.Log.Error("loading the saved copy of the store failed; starting without it", "file", f.copyPath(), "error", err)
+		cfg.Log.Error("loading the saved copy of the store failed; starting without it", "file", f.copyPath(),
+			"error", err)
 	}
 	f.background.Go(f.run)
 	f.background.Go(f.saveLoop)
--- a/internal/store/follower/follower_test.go
+++ b/internal/store/follower/follower_test.go
@@ -28,7 +28,8 @@
 		value = string(item.Value)
 	})
 	if err != nil || value != "v" || resets != 1 || !age.Stale {
-		t.Errorf("stale read: value %q, error %v, age %+v, %d resets; want \"v\", nil, stale, 1", value, err, age, resets)
+		t.Errorf("stale read: value %q, error %v, age %+v, %d resets; want \"v\", nil, stale, 1", value, err, age,
+			resets)
 	}
 	checkCallsFail(t, f)
 	if err := f.Close(); err != nil {
--- a/internal/store/follower/frozen_test.go
+++ b/internal/store/follower/frozen_test.go
@@ -67,7 +67,8 @@
 				t.Fatal(err)
 			}
 			if copied.Cluster() != 7 || copied.Revision() != 2 {
-				t.Errorf("got revision %d of cluster %x, want revision 2 of cluster 7", copied.Revision(), copied.Cluster())
+				t.Errorf("got revision %d of cluster %x, want revision 2 of cluster 7", copied.Revision(),
+					copied.Cluster())
 			}
 			wantInterest := partialInterest
 			if name == "copy all" {
--- a/internal/store/follower/read.go
+++ b/internal/store/follower/read.go
@@ -17,8 +17,9 @@
 )
 
 const (
-	maxFreshAge        = 3 * time.Second // age beyond which the copy is stale; equals the limit for a replica's own copy
-	maxIncompleteReads = 4               // states fetched for one View that lack a key it reads; then it fails
+	// age beyond which the copy is stale; equals the limit for a replica's own copy
+	maxFreshAge        = 3 * time.Second
+	maxIncompleteReads = 4 // states fetched for one View that lack a key it reads; then it fails
 )
 
 // View calls read with the copy; see engine.Engine. Unless allowStale is set, it waits until the copy includes the
--- a/internal/store/follower/usage_test.go
+++ b/internal/store/follower/usage_test.go
@@ -75,7 +75,8 @@
 		messageBytes += purpose.BytesOut
 	}
 	if connections := replicaUsage.Read().Connections; connections.Opened == 0 || connections.BytesOut <= messageBytes {
-		t.Errorf("connections %+v; want at least one, and more bytes than the %d of messages", connections, messageBytes)
+		t.Errorf("connections %+v; want at least one, and more bytes than the %d of messages", connections,
+			messageBytes)
 	}
 }
 
@@ -130,7 +131,8 @@
 			sameBytes := followerCounts.BytesIn == replicaCounts.BytesOut &&
 				followerCounts.BytesOut == replicaCounts.BytesIn
 			if !sameMessages || !sameBytes {
-				difference = fmt.Sprintf("the follower counted %+v\nits replica counted %+v", followerCounts, replicaCounts)
+				difference = fmt.Sprintf("the follower counted %+v\nits replica counted %+v", followerCounts,
+					replicaCounts)
 			}
 		}
 		return difference == "" && follower.Purposes[usage.Heartbeats].MessagesIn > 0
@@ -145,7 +147,8 @@
 		usage.Settings:             {},
 	} {
 		followerCounts, replicaCounts := follower.Purposes[purpose], replica.Purposes[purpose]
-		got := counts{followerCounts.MessagesIn, followerCounts.MessagesOut, replicaCounts.Proposed, replicaCounts.Applied}
+		got := counts{followerCounts.MessagesIn, followerCounts.MessagesOut, replicaCounts.Proposed,
+			replicaCounts.Applied}
 		if got != want || (followerCounts.BytesIn > 0) != (want.in > 0) ||
 			(replicaCounts.AppliedBytes > 0) != (want.applied > 0) {
 			t.Errorf("purpose %v: got %+v, want %+v; the follower counted %+v, the replica %+v",
--- a/internal/store/peer/hello.go
+++ b/internal/store/peer/hello.go
@@ -42,7 +42,8 @@
 		return hello, false
 	}
 	rejection := t.admit(hello, certifiedName)
-	reply := HelloReply{From: t.host.Hello(), Name: t.name} // built after admit, which may assign this replica's identity
+	// built after admit, which may assign this replica's identity
+	reply := HelloReply{From: t.host.Hello(), Name: t.name}
 	if rejection != nil {
 		reply.Rejection = rejection.Error()
 		t.Stats.HellosRejected.Add(1)
