--- a/internal/store/peer/peer.go
+++ b/internal/store/peer/peer.go
@@ -40,8 +40,8 @@
 type Host interface {
 	// Hello returns the hello of this replica. ClusterID and MemberID are 0 if the disk belongs to no cluster yet.
 	Hello() replica.Hello
-	// Admit returns why the sender of a hello, or of the reply to one, is rejected, or nil. The text of an error is sent
-	// to the sender of a hello.
+	// Admit returns why the sender of a hello, or of the reply to one, is rejected, or nil. The text of an error is
+	// sent to the sender of a hello.
 	Admit(hello Hello) error
 	// Deliver handles a received message. It may block, until ctx ends, which slows down the sender.
 	Deliver(ctx context.Context, message *raftpb.Message)
--- a/internal/store/peer/receive.go
+++ b/internal/store/peer/receive.go
@@ -68,7 +68,8 @@
 		tlsConn := tls.Server(conn, t.keys.Server())
 		if err := tlsConn.HandshakeContext(t.ctx); err != nil {
 			t.Stats.ConnectionsRejected.Add(1)
-			t.log.Warn("TLS handshake with a store peer failed, connection rejected", "from", conn.RemoteAddr(), "error", err)
+			t.log.Warn("TLS handshake with a store peer failed, connection rejected", "from", conn.RemoteAddr(),
+				"error", err)
 			return
 		}
 		certifiedName, conn = keys.PeerNames(tlsConn.ConnectionState()), tlsConn
--- a/internal/store/peer/send.go
+++ b/internal/store/peer/send.go
@@ -139,7 +139,8 @@
 		if l.ctx.Err() != nil {
 			return
 		}
-		l.transport.log.Debug("cannot send to a store peer, dropping queued messages", "peer", l.peer.Name, "error", err)
+		l.transport.log.Debug("cannot send to a store peer, dropping queued messages", "peer", l.peer.Name,
+			"error", err)
 		l.dropQueued(queue)
 		select {
 		case <-l.ctx.Done():
--- a/internal/store/replica/apply.go
+++ b/internal/store/replica/apply.go
@@ -58,8 +58,8 @@
 	}
 	// This replica may have been restarted with an older build after a newer one had registered the level it knows.
 	if command.RaiseLevel != nil && command.RaiseLevel.Level > knownLevel {
-		return fmt.Errorf("%w: the command raises the cluster to level %d, and this build knows %d", store.ErrUnknownCommand,
-			command.RaiseLevel.Level, knownLevel)
+		return fmt.Errorf("%w: the command raises the cluster to level %d, and this build knows %d",
+			store.ErrUnknownCommand, command.RaiseLevel.Level, knownLevel)
 	}
 	if n.cfg.OnApplied != nil {
 		n.cfg.OnApplied(command, len(data))
--- a/internal/store/replica/config.go
+++ b/internal/store/replica/config.go
@@ -37,18 +37,19 @@
 
 // The defects that can be injected. Each makes a replica violate one guarantee.
 const (
-	AckBeforeSync          Defects = 1 << iota // messages are sent before what they promise is on disk
-	ForgetVote                                 // the vote is not written to disk
-	StaleRead                                  // a read is completed without asking a quorum
-	ApplyTwice                                 // after a start, the last entries in the snapshot are applied again
-	ForgetResults                              // a retried request is applied again
-	RevokeRenewedLease                         // an expired lease is revoked although it was renewed in the meantime
-	CompactBeyondSnapshot                      // the log is compacted beyond the snapshot
-	SkipAdmission                              // a replica with an empty disk is admitted under its old name
-	EagerReturn                                // a daemon readmits a server before a quorum has committed that
-	IgnoreLevel                                // a command is proposed although a voter may not know its level
-	ShortenInheritedLeases                     // a new leader assumes that leases were last renewed long before its term
-	LeadAfterFailure                           // a leader whose disk failed continues to send heartbeats
+	AckBeforeSync         Defects = 1 << iota // messages are sent before what they promise is on disk
+	ForgetVote                                // the vote is not written to disk
+	StaleRead                                 // a read is completed without asking a quorum
+	ApplyTwice                                // after a start, the last entries in the snapshot are applied again
+	ForgetResults                             // a retried request is applied again
+	RevokeRenewedLease                        // an expired lease is revoked although it was renewed in the meantime
+	CompactBeyondSnapshot                     // the log is compacted beyond the snapshot
+	SkipAdmission                             // a replica with an empty disk is admitted under its old name
+	EagerReturn                               // a daemon readmits a server before a quorum has committed that
+	IgnoreLevel                               // a command is proposed although a voter may not know its level
+	// a new leader assumes that leases were last renewed long before its term
+	ShortenInheritedLeases
+	LeadAfterFailure // a leader whose disk failed continues to send heartbeats
 )
 
 // has reports whether a defect, or any of several, is injected.
--- a/internal/store/replica/disk.go
+++ b/internal/store/replica/disk.go
@@ -39,12 +39,13 @@
 	Load() (DiskContents, error)
 	// SetIdentity writes the identity. It is called once, when the disk is assigned to a member.
 	SetIdentity(id Identity) error
-	// Append writes the hard state, unless it is nil, and appends entries to the log. They replace the log's entries from
-	// the index of the first one on.
+	// Append writes the hard state, unless it is nil, and appends entries to the log. They replace the log's entries
+	// from the index of the first one on.
 	Append(hard *raftpb.HardState, entries []*raftpb.Entry) error
 	// SaveSnapshot atomically replaces the snapshot by one whose data write produces.
 	SaveSnapshot(meta SnapshotMeta, write func(io.Writer) error) error
-	// Install atomically replaces the snapshot by one from the leader, and the log by an empty one that begins after it.
+	// Install atomically replaces the snapshot by one from the leader, and the log by an empty one that begins after
+	// it.
 	Install(meta SnapshotMeta, hard *raftpb.HardState, data []byte) error
 	// Snapshot returns the snapshot, with its checksums verified.
 	Snapshot() (SnapshotMeta, []byte, error)
--- a/internal/store/replica/frozen_test.go
+++ b/internal/store/replica/frozen_test.go
@@ -83,7 +83,8 @@
 		{"status", "json", Status{
 			Self: self, Name: "two", LeaderID: 1, Leading: true, Term: 4, Commit: 11, Applied: 10, Revision: 8,
 			Keys: 7, Bytes: 600, Level: 3, MembershipStable: true, PendingRequests: 5,
-			Peers:  []PeerStatus{{Member: members[0], Leader: true, MatchIndex: 12, Active: true}, {Member: members[1]}},
+			Peers: []PeerStatus{{Member: members[0], Leader: true, MatchIndex: 12, Active: true},
+				{Member: members[1]}},
 			Failed: "stopped",
 		}, new(Status)},
 	}
--- a/internal/store/replica/status.go
+++ b/internal/store/replica/status.go
@@ -10,25 +10,27 @@
 // PeerStatus is the status of a member as the reporting replica sees it.
 type PeerStatus struct {
 	store.Member
-	Leader     bool   `json:"leads,omitempty"`
-	MatchIndex uint64 `json:"match,omitempty"`  // index of the last entry that it is known to have; set by the leader only
+	Leader bool `json:"leads,omitempty"`
+	// index of the last entry that it is known to have; set by the leader only
+	MatchIndex uint64 `json:"match,omitempty"`
 	Active     bool   `json:"active,omitempty"` // the member sent a message recently; set by the leader only
 }
 
 // Status is the status of a replica at one time, for operators.
 type Status struct {
-	Self             Identity     `json:"self"`
-	Name             string       `json:"name"`
-	LeaderID         uint64       `json:"lead"` // 0 if no leader is known
-	Leading          bool         `json:"leading"`
-	Term             uint64       `json:"term"`
-	Commit           uint64       `json:"commit"`  // index of the last entry that is known to be committed
-	Applied          uint64       `json:"applied"` // index of the last entry that is applied
-	Revision         uint64       `json:"revision"`
-	Keys             int          `json:"keys"`
-	Bytes            int          `json:"bytes"`            // size of the keys and values
-	Level            uint64       `json:"level"`            // level of commands that the cluster uses
-	MembershipStable bool         `json:"settled"`          // no change of the members is in progress, and all are voters
+	Self     Identity `json:"self"`
+	Name     string   `json:"name"`
+	LeaderID uint64   `json:"lead"` // 0 if no leader is known
+	Leading  bool     `json:"leading"`
+	Term     uint64   `json:"term"`
+	Commit   uint64   `json:"commit"`  // index of the last entry that is known to be committed
+	Applied  uint64   `json:"applied"` // index of the last entry that is applied
+	Revision uint64   `json:"revision"`
+	Keys     int      `json:"keys"`
+	Bytes    int      `json:"bytes"` // size of the keys and values
+	Level    uint64   `json:"level"` // level of commands that the cluster uses
+	// no change of the members is in progress, and all are voters
+	MembershipStable bool         `json:"settled"`
 	PendingRequests  int          `json:"waiting"`          // number of pending proposals
 	Peers            []PeerStatus `json:"peers"`            // all members, including this one, ordered by ID
 	Failed           string       `json:"failed,omitempty"` // why the replica has stopped; empty while it works
--- a/internal/store/serverstate/guard.go
+++ b/internal/store/serverstate/guard.go
@@ -20,9 +20,10 @@
 
 // Guard tracks which servers are excluded. NewGuard creates one. It is not safe for concurrent use.
 type Guard struct {
-	daemon        string                                       // name under which it reports
-	exclusions    map[string]*exclusionState                   // by key
-	actedRevision uint64                                       // highest revision of the store that the guard has acted on
+	daemon     string                     // name under which it reports
+	exclusions map[string]*exclusionState // by key
+	// highest revision of the store that the guard has acted on
+	actedRevision uint64
 	covers        func(kind ExclusionKind, server string) bool // nil: all servers
 
 	eagerReadmission bool // injected defect of InjectEagerReadmission
