--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -80,10 +80,10 @@
 	}
 }
 
-func (run *failureRun) startTrial(now Micros) {
-	if run.ejectionDuration > 0 {
-		run.ejectedUntil = max(run.ejectedUntil, now+run.ejectionDuration)
-		run.onTrial = true
+func (f *failureRun) startTrial(now Micros) {
+	if f.ejectionDuration > 0 {
+		f.ejectedUntil = max(f.ejectedUntil, now+f.ejectionDuration)
+		f.onTrial = true
 	}
 }
 
--- a/internal/dataplane/dnsfront/clientconns.go
+++ b/internal/dataplane/dnsfront/clientconns.go
@@ -17,70 +17,70 @@
 	return &clientConns{maxConns: maxConns, idle: list.New()}
 }
 
-func (conns *clientConns) len() int { return conns.busyConns + conns.idle.Len() }
+func (c *clientConns) len() int { return c.busyConns + c.idle.Len() }
 
 // add adds a connection, and reports whether there was capacity. At the limit it closes the longest idle connection, if
 // there is one.
-func (conns *clientConns) add(conn *clientConn) bool {
-	if conns.len() >= conns.maxConns && !conns.evict() {
+func (c *clientConns) add(conn *clientConn) bool {
+	if c.len() >= c.maxConns && !c.evict() {
 		return false
 	}
-	conns.setIdle(conn)
+	c.setIdle(conn)
 	return true
 }
 
 // evict closes the longest idle connection, and reports whether there was one.
-func (conns *clientConns) evict() bool {
-	first := conns.idle.Front()
+func (c *clientConns) evict() bool {
+	first := c.idle.Front()
 	if first == nil {
 		return false
 	}
-	conns.remove(first.Value.(*clientConn))
+	c.remove(first.Value.(*clientConn))
 	return true
 }
 
 // closeIdleFor closes all connections that have been idle for at least age.
-func (conns *clientConns) closeIdleFor(age time.Duration) {
+func (c *clientConns) closeIdleFor(age time.Duration) {
 	for {
-		first := conns.idle.Front()
+		first := c.idle.Front()
 		if first == nil || time.Since(first.Value.(*clientConn).idleSince) < age {
 			return
 		}
-		conns.evict()
+		c.evict()
 	}
 }
 
 // remove closes a connection. Its reader then ends its open queries. Further calls do nothing.
-func (conns *clientConns) remove(conn *clientConn) {
+func (c *clientConns) remove(conn *clientConn) {
 	if conn.closed {
 		return
 	}
 	conn.closed = true
 	if conn.idleElement != nil {
-		conns.idle.Remove(conn.idleElement)
+		c.idle.Remove(conn.idleElement)
 		conn.idleElement = nil
 	} else {
-		conns.busyConns--
+		c.busyConns--
 	}
 	conn.Close()
 }
 
 // beginQuery adds an open query to a connection. It returns false if the connection was closed.
-func (conns *clientConns) beginQuery(conn *clientConn, open *openQuery) bool {
+func (c *clientConns) beginQuery(conn *clientConn, open *openQuery) bool {
 	if conn.closed {
 		return false
 	}
 	if conn.idleElement != nil {
-		conns.idle.Remove(conn.idleElement)
+		c.idle.Remove(conn.idleElement)
 		conn.idleElement = nil
-		conns.busyConns++
+		c.busyConns++
 	}
 	conn.openQueries[open] = struct{}{}
 	return true
 }
 
 // endQuery removes an open query from its connection. Further calls do nothing.
-func (conns *clientConns) endQuery(conn *clientConn, open *openQuery) {
+func (c *clientConns) endQuery(conn *clientConn, open *openQuery) {
 	if _, ok := conn.openQueries[open]; !ok {
 		return
 	}
@@ -89,16 +89,16 @@
 	if len(conn.openQueries) > 0 || conn.closed {
 		return
 	}
-	conns.busyConns--
-	conns.setIdle(conn)
-	if conns.closing {
+	c.busyConns--
+	c.setIdle(conn)
+	if c.closing {
 		// The connection must stay open for a moment, since the answer to its last query is still to be sent.
 		_ = conn.SetReadDeadline(time.Now().Add(closingIdleTimeout))
 	}
 }
 
 // setIdle makes a connection the most recently idle one.
-func (conns *clientConns) setIdle(conn *clientConn) {
+func (c *clientConns) setIdle(conn *clientConn) {
 	conn.idleSince = time.Now()
-	conn.idleElement = conns.idle.PushBack(conn)
+	conn.idleElement = c.idle.PushBack(conn)
 }
--- a/internal/lab/fleetlab/torture.go
+++ b/internal/lab/fleetlab/torture.go
@@ -29,7 +29,7 @@
 	Progress      func(string) // called with the progress after each kill; may be nil
 }
 
-// Bounds of the rules that Torture judges.
+// Bounds of the rules that FaultRun judges.
 const (
 	MaxReportDelay = 500 * time.Millisecond
 	calmBefore     = 1500 * time.Millisecond // an election and the return of connections take that long
@@ -37,7 +37,7 @@
 	attemptGrace   = 300 * time.Millisecond // for attempts in flight when a daemon learns of a drain
 )
 
-// FaultRunResult is the result of a Torture.
+// FaultRunResult is the result of a FaultRun.
 type FaultRunResult struct {
 	Drains            int      `json:"drains"`
 	UndisturbedDrains int      `json:"judged"` // drains reported after calmBefore without a disturbance
--- a/internal/lab/storebench/torture.go
+++ b/internal/lab/storebench/torture.go
@@ -35,7 +35,7 @@
 	Progress      func(string) // called with the progress after each kill; may be nil
 }
 
-// FaultRunResult is the result of a Torture.
+// FaultRunResult is the result of a FaultRun.
 type FaultRunResult struct {
 	Kills          int      `json:"kills"` // of processes
 	Cuts           int      `json:"cuts"`  // silent losses of all messages to one replica
