--- a/balancer/aperture_test.go
+++ b/balancer/aperture_test.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// The slow-start budget of an endpoint is divided among the balancers that have it in their aperture, so that other
+// The slow-start budget of an endpoint is divided among the balancers that have it in their aperture, so other
 // balancers must send it nothing while it warms up.
 func TestSlowStartOnlyWithinTheAperture(t *testing.T) {
 	b, r := startFleetBalancer(t, 1, 80, 60)
--- a/balancer/waiting.go
+++ b/balancer/waiting.go
@@ -2,7 +2,7 @@
 
 const (
 	waitCostShare       = 0.03 // share of the result that probes for waiting requests may cost
-	maxProbesPerWait    = 3.0  // probes that a request starts
+	maxProbesPerWait    = 3.0  // maximum number of probes that a request starts
 	maxWaitDivisor      = 10   // a request waits for its latency objective divided by this, at most
 	recentWorks         = 2.0  // time in which a report counts as recent, in mean works
 	minRecentSpanMicros = 2e4  // shortest such time: a probe must not cost more time than it saves
--- a/internal/controlplane/daemon/servers.go
+++ b/internal/controlplane/daemon/servers.go
@@ -89,10 +89,10 @@
 }
 
 // RecordStartup records and logs what this daemon knew when it started: the source and the revision of its copy, and
-// whether that holds settings. written is the time of the last write of its disk, zero if there was none.
-func (s *Servers) RecordStartup(from string, revision uint64, written time.Time, settings bool) {
+// whether that holds settings. written is the time of the last write to its disk, zero if there was none.
+func (s *Servers) RecordStartup(source string, revision uint64, written time.Time, settings bool) {
 	state := StartupState{
-		Source:     from,
+		Source:     source,
 		Revision:   revision,
 		Exclusions: len(s.Exclusions()),
 		Starts:     s.startCount(),
@@ -105,7 +105,7 @@
 	s.mu.Lock()
 	s.startup = state
 	s.mu.Unlock()
-	s.log.Info("opened the copy of the store", "from", from, "revision", revision, "exclusions", state.Exclusions,
+	s.log.Info("opened the copy of the store", "from", source, "revision", revision, "exclusions", state.Exclusions,
 		"starts", state.Starts, "snapshots", state.Snapshots, "age", state.Age)
 }
 
--- a/internal/controlplane/daemon/starts_test.go
+++ b/internal/controlplane/daemon/starts_test.go
@@ -87,7 +87,7 @@
 		return snapshot.Encode(&snapshot.Saved{Sidecar: "other", Clock: clockAhead, State: module.Snapshot(1e9, false)})
 	}
 	key := serverstate.SnapshotKey("other", "")
-	// until all replicas support the commands
+	// The save fails until all replicas support the commands.
 	for err = store.ErrUnsupportedLevel; errors.Is(err, store.ErrUnsupportedLevel); {
 		err = daemons[0].servers.save(testContext(t), key, take)
 	}
--- a/internal/lab/chain/chain.go
+++ b/internal/lab/chain/chain.go
@@ -151,7 +151,7 @@
 	ExcessAnswers uint64         `json:"surplus"` // answers followed by unexpected bytes
 	LateCalls     uint64         `json:"late"`    // calls of the root that began more than 10 ms late
 
-	AddedByRow           Summary `json:"row"`        // latency that the whole row adds to a call
+	AddedByRow           Summary `json:"row"`        // latency that all levels together add to a call
 	AddedPerLevel        Summary `json:"one"`        // latency that one level adds to a call, over all levels
 	Through              Summary `json:"through"`    // latency of the root's calls through the sidecars
 	Direct               Summary `json:"direct"`     // latency of the root's calls without sidecars
@@ -159,8 +159,8 @@
 	MeanLeafAttempts     float64 `json:"leaf_mean"`  // mean of the same
 	LeafAttemptsBound    float64 `json:"worst"`      // bound on MaxLeafAttempts, without retry budgets
 	BudgetedLeafAttempts float64 `json:"budgeted"`   // bound on the attempts at the leaf for all calls
-	SteadyLeafAttempts   float64 `json:"steady"`     // limit of the attempts at the leaf per call
-	LeafTimeLeftMin      int64   `json:"last_least"` // minimum of the time left at the leaf
+	SteadyLeafAttempts   float64 `json:"steady"`     // limit of BudgetedLeafAttempts per call, for many calls
+	LeafTimeLeftMin      int64   `json:"last_least"` // least time left to the leaf
 	Levels               []Level `json:"levels"`
 }
 
@@ -311,8 +311,8 @@
 	return path, os.WriteFile(path, text, 0o600)
 }
 
-// newResult returns the result of a run that has not begun, with the bounds by the formulas for so many sidecars per
-// level.
+// newResult returns the result of a run that has not begun, with the bounds that the formulas give for the given
+// number of sidecars per level.
 func (o *Options) newResult(sidecars int) *Result {
 	result := &Result{Clock: "processes", Depth: o.Depth, Servers: o.Servers, Rate: o.Rate,
 		Calls: o.Calls(), Attempts: o.Attempts, Class: o.Class, LeafFailure: o.LeafFailure,
--- a/internal/lab/chain/formula.go
+++ b/internal/lab/chain/formula.go
@@ -34,7 +34,7 @@
 )
 
 // MayRetry reports whether a sidecar may retry a request after an attempt that failed in this way. If the leaf is
-// silent, it retries only idempotent requests; the attempt of any other lasts until the request's deadline.
+// silent, it retries only idempotent requests; an attempt of any other request lasts until the request's deadline.
 func MayRetry(idempotency balancer.Idempotency, failure LeafFailure) bool {
 	switch idempotency {
 	case balancer.Idempotent:
--- a/internal/lab/chain/virtual.go
+++ b/internal/lab/chain/virtual.go
@@ -226,7 +226,7 @@
 	})
 }
 
-// serve is the application of a level: it calls the next level, or answers or fails as the leaf.
+// serve handles a call as the application of a level: it calls the next level, or at the leaf it answers or fails.
 func (v *virtual) serve(level int, server uint32, caller *virtualCall, timeLeft int64, answer func(balancer.Status)) {
 	figures := &v.result.Levels[level]
 	figures.Attempts++
--- a/internal/lab/checker/wire_test.go
+++ b/internal/lab/checker/wire_test.go
@@ -33,8 +33,8 @@
 	return b.add(trace.Event{Kind: trace.ClientCutOff, Request: 97})
 }
 
-// Verdicts are part of stored results, so their keys, the values of Rule and the details keep their form.
-// testdata/verdict.json was written by 7105f7a.
+// Verdicts are part of stored results, so their keys, the values of Rule and the details must not change.
+// testdata/verdict.json was written by commit 7105f7a.
 func TestVerdictJSONIsUnchanged(t *testing.T) {
 	want, err := os.ReadFile("testdata/verdict.json")
 	if err != nil {
--- a/internal/lab/fleetlab/fleet.go
+++ b/internal/lab/fleetlab/fleet.go
@@ -592,7 +592,7 @@
 	}
 }
 
-// SetSentLostTo loses everything that the daemon sends to one other replica while active.
+// SetSentLostTo sets whether everything that the daemon sends to one other replica is lost.
 func (d *Daemon) SetSentLostTo(to *Daemon, active bool) {
 	if link := d.links[to.name]; link != nil {
 		link.Update(func(c *relay.Conditions) { c.BlackHoleToTarget = active })
@@ -760,8 +760,8 @@
 	b.server.Close()
 }
 
-// Report reports the state of an instance through the daemon's discovery. It is ignored if discovery has reported a
-// later state of the instance, since delayed reports may overtake each other.
+// Report reports the state of an instance through the daemon's discovery. The report is ignored if discovery has
+// reported a later state of the instance, since delayed reports may overtake each other.
 func (d *Daemon) Report(instance discovery.Instance) { d.discovery.Report(instance) }
 
 // Report reports the state of an instance; see Daemon.Report.
--- a/internal/lab/fleetlab/measure.go
+++ b/internal/lab/fleetlab/measure.go
@@ -302,7 +302,7 @@
 	return result, err
 }
 
-// CatchUpFigures is how long daemons take from their start until they apply the drains of a number of servers in the
+// CatchUpFigures holds how long daemons take from their start until they apply the drains of a number of servers in the
 // store and their sidecar is ready.
 type CatchUpFigures struct {
 	Servers  int     `json:"servers"`
--- a/internal/lab/leasemodel/model.go
+++ b/internal/lab/leasemodel/model.go
@@ -26,7 +26,7 @@
 	Depth              int // largest number of steps
 	SessionDefect      lease.Defect
 	RevokeEarly        bool // injected defect: the store ends sessions a tick too early
-	KeepRemainingTimes bool // injected defect: a new leader keeps the remaining times, without the last renewals
+	KeepRemainingTimes bool // injected defect: a new leader keeps the remaining times, but lacks the last renewals
 
 	Store, A, B bool // whether the clock of the store, holder A and holder B is fast
 }
--- a/internal/lab/relay/relay_test.go
+++ b/internal/lab/relay/relay_test.go
@@ -81,7 +81,7 @@
 	return string(buf)
 }
 
-// Checks that all bytes arrive in order, followed by the end of sending, under all conditions that lose nothing.
+// All bytes must arrive in order, followed by the end of sending, under all conditions that lose nothing.
 func TestLinkDeliversAllBytesInOrder(t *testing.T) {
 	sent := bytes.Repeat([]byte("all of it, in order. "), 8000)
 	for name, c := range map[string]Conditions{
--- a/internal/lab/rig/client.go
+++ b/internal/lab/rig/client.go
@@ -122,14 +122,14 @@
 	return b.String()
 }
 
-// send sends a request, waits for its answer and reports the outcome to the world. The world reports a request that
-// timed out or was abandoned by itself.
+// send sends a request, waits for its answer and reports the outcome to the world. The world itself reports a request
+// that timed out or was abandoned.
 func (p *clientPool) send(try *model.Request, request *clientRequest) {
 	id := fmt.Sprintf("%016x", try.ID)
 	r := p.rig
 	stop := context.AfterFunc(r.ctx, request.abandon) // the end of the run must not wait for answers
 	defer stop()
-	reportCut := func(unread bool) {
+	reportClosed := func(unread bool) {
 		endedAt := time.Now()
 		r.post(func() { r.world.ConnectionClosed(try, r.queueTime(endedAt), unread) })
 	}
@@ -143,7 +143,7 @@
 	}
 	conn, reused, err := p.get()
 	if err != nil {
-		reportCut(true)
+		reportClosed(true)
 		return
 	}
 	text := p.requestText(try, id)
@@ -163,7 +163,7 @@
 		}
 		conn.Close()
 		if !reused || r.sidecars[p.sidecar].kills.Load() != killsBefore {
-			reportCut(false)
+			reportClosed(false)
 			return
 		}
 		// The sidecar closed the idle connection before it read the request, so it is sent once more on a new one.
@@ -171,7 +171,7 @@
 			return
 		}
 		if conn, err = p.dial(); err != nil {
-			reportCut(true)
+			reportClosed(true)
 			return
 		}
 	}
@@ -183,7 +183,7 @@
 	endedAt := time.Now()
 	if err != nil {
 		conn.Close()
-		reportCut(false)
+		reportClosed(false)
 		return
 	}
 	verdict, retryAfter := trace.Failed, time.Duration(0)
--- a/internal/lab/rig/discovery.go
+++ b/internal/lab/rig/discovery.go
@@ -71,7 +71,7 @@
 	endsWatch bool
 }
 
-// maxQueuedEvents is the number of events that a watch may lag behind before it is ended.
+// maxQueuedEvents is the maximum number of unsent events of a watch. A watch that has more is ended.
 const maxQueuedEvents = 256
 
 // discoveryServer serves the polls and watches of one sidecar.
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -429,7 +429,8 @@
 	}
 }
 
-// reportOutcome reports the end of an attempt to the module, once. A success answers the client if nothing has.
+// reportOutcome reports the end of an attempt to the module, once. If the attempt succeeded and the client
+// has no answer yet, it also answers the client.
 func (n *node) reportOutcome(a *attempt, status balancer.Status, load []float32) {
 	if a.done {
 		return
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -74,7 +74,7 @@
 	blackHoles int
 	resets     int
 	extraDelay Micros
-	lossCount  int // raised whenever messages on their way are lost
+	lossCount  int // raised whenever messages in transit are lost
 }
 
 // Run runs a scenario and returns its result with the checker's verdict.
--- a/internal/lab/soak/judge.go
+++ b/internal/lab/soak/judge.go
@@ -28,7 +28,7 @@
 	connectGrace    = 400 * time.Millisecond // after SIGTERM, in which a process still accepts connections
 	crossingSlack   = 50 * time.Millisecond  // between a signal and its record in the lab
 	readyTimeout    = 10 * time.Second
-	minRestarts     = 10  // with fewer restarts the share of late ones says nothing
+	minRestarts     = 10  // with fewer restarts the share of late ones is not judged: it says too little
 	maxLateRestarts = 0.1 // share of all restarts
 	maxExamples     = 5   // violations of a rule that a result lists
 )
--- a/internal/lab/storebench/bench.go
+++ b/internal/lab/storebench/bench.go
@@ -169,7 +169,7 @@
 	if err != nil {
 		return err
 	}
-	opened, err := engine.Open(engine.Config{
+	newEngine, err := engine.Open(engine.Config{
 		Name:     name,
 		Dir:      filepath.Join(c.dir, name),
 		Join:     join,
@@ -179,7 +179,7 @@
 	if err != nil {
 		return err
 	}
-	c.engines, c.addrs = append(c.engines, opened), append(c.addrs, listener.Addr().String())
+	c.engines, c.addrs = append(c.engines, newEngine), append(c.addrs, listener.Addr().String())
 	return nil
 }
 
