--- a/cmd/birchmoor/lock.go
+++ b/cmd/birchmoor/lock.go
@@ -273,7 +273,8 @@
 	s.showJSON(status)
 }
 
-// unlock releases the lock. If that fails, the lock ends with its TTL. After the connection has failed it does nothing.
+// unlock releases the lock. If that fails, the lock ends with its TTL. It does nothing once runCommand
+// has received the error that ended the connection.
 func (s *lockSession) unlock(ctx context.Context, token uint64) {
 	if s.failed == nil {
 		return
--- a/internal/lab/chain/chain.go
+++ b/internal/lab/chain/chain.go
@@ -255,8 +255,8 @@
 
 func classIndex(name string) uint8 { return uint8(slices.Index(classNames, name)) }
 
-// scenario returns the scenario from which the sidecars' settings are derived, for so many sidecars of the same
-// servers.
+// scenario returns the scenario from which the sidecars' settings are derived, for the given number of sidecars
+// with the same servers.
 func (o *Options) scenario(sidecars int) (*scenario.Scenario, error) {
 	scen, err := scenario.Parse("chain", []byte(`name = "chain"
 [fleet]
--- a/internal/lab/dnslab/lab.go
+++ b/internal/lab/dnslab/lab.go
@@ -222,8 +222,8 @@
 
 func toMillis(us int64) float64 { return float64(us) / 1000 }
 
-// play sends the scenario's traffic and injects its faults. It returns after the scenario's length when every query has
-// ended. disc is the stub discovery server; traffic is nil unless the sidecar is measured.
+// play sends the scenario's traffic and injects its faults. It returns once the scenario's length has passed and every
+// query must have ended. disc is the stub discovery server; traffic is nil unless the sidecar is measured.
 func (l *lab) play(ctx context.Context, disc *discoveryServer, traffic *httpTraffic, o Options) error {
 	var udp, tcp []*clientSocket
 	for range l.scenario.Load.Sockets {
--- a/internal/lab/figures/figures.go
+++ b/internal/lab/figures/figures.go
@@ -34,7 +34,7 @@
 	MemoryMB float64 `json:"memory_mb"`      // peak memory of the lab
 	Void     string  `json:"void,omitempty"` // why the run's figures cannot be used, empty if they can
 	LateP999 float64 `json:"late_p999_ms"`   // delay of the lab's own actions, 99.9th percentile
-	LateMax  float64 `json:"late_most_ms"`   // and the largest
+	LateMax  float64 `json:"late_most_ms"`   // largest delay of the lab's own actions
 
 	Service  float64            `json:"service"` // worth served within the latency objective over worth asked for
 	Classes  []Class            `json:"classes"`
@@ -120,12 +120,12 @@
 type request struct {
 	task     uint64
 	class    uint8
-	retry    bool // by the client, after the task's first request
-	attempts int  // by the sidecar so far
+	retry    bool // the client sent it after the task's first request
+	attempts int  // attempts that the sidecar has sent so far
 	sentAt   Micros
 }
 
-// task is what a client wants, with the sum of its worth, kept for taskRetentionMicros.
+// task is a task of a client, which its request and the retries of that share. It is kept for taskRetentionMicros.
 type task struct {
 	class        uint8
 	startedAt    Micros
--- a/internal/lab/soak/judge_test.go
+++ b/internal/lab/soak/judge_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Checks that each rule reports its violation, and excuses requests that an injected fault explains.
+// Each rule must report its violation, and excuse requests that an injected fault explains.
 func TestJudgeReportsViolationsAndExcusesFaults(t *testing.T) {
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
--- a/internal/lab/storesim/faults.go
+++ b/internal/lab/storesim/faults.go
@@ -163,7 +163,7 @@
 
 var operatorClient = uint64(400) // client in the request ids of operators
 
-// executeAsOperator has operators send a command until its outcome is known, and passes it to f.
+// executeAsOperator has operators send a command until its outcome is known, and passes the outcome to f.
 func (w *world) executeAsOperator(seq uint64, c store.Command, f func(store.Result)) {
 	c.ID = store.RequestID{Client: operatorClient, Seq: seq}
 	w.submit(c, func(d replica.Completion) { f(d.Result) })
--- a/internal/lab/storesim/watch.go
+++ b/internal/lab/storesim/watch.go
@@ -164,7 +164,7 @@
 	}
 }
 
-// discover passes a server's entry in discovery to the daemon, which ignores an older one than it has.
+// discover passes a server's entry in discovery to the daemon, which ignores an entry that is not newer than its own.
 func (h *host) discover(server int, p serverProcess) {
 	t := h.daemon
 	now := t.clock(h.world.queue.Now())
--- a/internal/lab/tasklab/faults.go
+++ b/internal/lab/tasklab/faults.go
@@ -16,7 +16,7 @@
 	Name            string
 	About           string
 	endsEntitlement bool // ends the holder's entitlement, at any kind of daemon
-	// inject injects the fault. It returns where, and a function that waits for the end of the fault.
+	// inject injects the fault. It returns what it acted on, and a function that waits for the end of the fault.
 	inject func(x *run) (what string, end func(context.Context) error)
 }
 
--- a/internal/lab/trace/trace.go
+++ b/internal/lab/trace/trace.go
@@ -86,7 +86,7 @@
 	Class     uint8
 	CrossZone bool // AttemptSent: the server is in another zone than the sidecar
 	Retry     bool // RequestSent: the request is a client's retry
-	Choked    bool // ServerGauge: the server is choked
+	Choked    bool // ServerGauge: the server runs at its choked speed
 	Sidecar   int32
 	Server    int32
 	Held      int32  // ServerGauge: requests running and waiting
