--- a/balancer/priority.go
+++ b/balancer/priority.go
@@ -7,7 +7,7 @@
 	minClassShare        = 0.05 // least share of all work that is assumed for the worst class
 	worstClassSpread     = 0.1  // distance from the lowest on-time share over which that gain falls by e
 	minTenantSampleShare = 0.05 // share of all allowances that a balancer must see to judge quotas
-	quotaSlack           = 1.25 // up to a fifth of requests rejected, none counts as beyond a quota
+	quotaSlack           = 1.25 // while up to a fifth of the requests is rejected, none counts as beyond a quota
 )
 
 // priority returns r's priority, from 0 to 1. It is computed once per instant, since it is the same for all endpoints
--- a/balancer/restore.go
+++ b/balancer/restore.go
@@ -7,7 +7,7 @@
 
 const (
 	maxRestoreAge          = 300 * second  // an older snapshot tells less than the first second of traffic
-	confidenceTimeConstant = breakerWindow // of the confidence in conditions that pass, such as failures
+	confidenceTimeConstant = breakerWindow // time constant of the confidence in temporary conditions, such as failures
 )
 
 // Restore takes over what is still valid from the snapshot of an earlier process, which was taken age ago, and returns
@@ -53,7 +53,8 @@
 	return 2*failing > len(b.endpoints)
 }
 
-// restoreAverages takes over the averages of all traffic. confidence, from 0 to 1, is that in passing conditions.
+// restoreAverages takes over the averages of all traffic. confidence, from 0 to 1, is that in temporary
+// conditions.
 func (b *Balancer) restoreAverages(old *Balancer, confidence float64) {
 	b.fleetPace = old.fleetPace
 	b.meanWork = old.meanWork
--- a/internal/controlplane/quotasync/manager_test.go
+++ b/internal/controlplane/quotasync/manager_test.go
@@ -81,8 +81,8 @@
 
 var _ daemon.LogTailObserver = (*Manager)(nil)
 
-// Guards against a replica that admits all requests after it was killed just after limits took effect and starts
-// without a quorum: it does not know that the last entry of its log was committed.
+// This test guards against a replica that admits all requests after it was killed just after limits took effect and
+// starts without a quorum: it does not know that the last entry of its log was committed.
 func TestLimitsOfLogTailAreInForceUntilCaughtUp(t *testing.T) {
 	encodedConfig := func(name string) []byte {
 		config := &quota.Config{Limits: []*quota.Limit{{
--- a/internal/dataplane/httpfront/leaving_test.go
+++ b/internal/dataplane/httpfront/leaving_test.go
@@ -152,9 +152,9 @@
 	return r.RawConn.Read(func(fd uintptr) bool { return !r.listener.neverReadable.Load() && f(fd) })
 }
 
-// TestNoAttemptBeginsAfterClientHasLeft has a client leave while its request waits for something, and suppresses every
-// notification of that. No attempt may begin, since each attempt checks the connection of its client right before its
-// first byte.
+// TestNoAttemptBeginsAfterClientHasLeft has a client leave while its request waits, and suppresses every notification
+// that the client has left. No attempt may begin, since each attempt checks the connection of its client right
+// before its first byte.
 func TestNoAttemptBeginsAfterClientHasLeft(t *testing.T) {
 	const ms = 900_000
 	leaves := map[string]func(c *net.TCPConn){
--- a/internal/dataplane/httpfront/pool.go
+++ b/internal/dataplane/httpfront/pool.go
@@ -151,7 +151,7 @@
 	return c
 }
 
-// evictLocked closes the connection of any target that has been idle for longest, and reports whether there was one.
+// evictLocked closes the connection that has been idle longest, of all targets, and reports whether there was one.
 func (u *Upstream) evictLocked() bool {
 	var oldest *target
 	for dst := range u.idle {
--- a/internal/lab/figures/figures.go
+++ b/internal/lab/figures/figures.go
@@ -125,7 +125,7 @@
 	sentAt   Micros
 }
 
-// task is a task of a client, which its request and the retries of that share. It is kept for taskRetentionMicros.
+// task is a task of a client: its first request and the client's retries of it. It is kept for taskRetentionMicros.
 type task struct {
 	class        uint8
 	startedAt    Micros
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -97,7 +97,7 @@
 	baseline    []int        // descriptors of each daemon before the load
 }
 
-// Run carries out a schedule and judges it. Its error is a fault of the lab, or a daemon that does not start.
+// Run carries out a schedule and judges it. It returns an error if the lab fails or a daemon does not start.
 func Run(ctx context.Context, opts Options) (*Result, error) {
 	dir, err := os.MkdirTemp(opts.Dir, "soak-")
 	if err != nil {
--- a/internal/lab/storesim/faults.go
+++ b/internal/lab/storesim/faults.go
@@ -223,8 +223,8 @@
 		})
 }
 
-// replaceDisk loses a host's disk. The process comes back under its old name with an empty disk, or with the contents
-// of a while ago. Then operators remove the member and add a new one.
+// replaceDisk loses a host's disk. The process restarts under its old name with an empty disk, or with earlier
+// contents of the disk. Then operators remove the member and add a new one.
 func (w *world) replaceDisk(h *host, useOldDisk bool) {
 	h.inChange = true
 	var oldDisk *disk
