--- a/internal/lab/checker/checker.go
+++ b/internal/lab/checker/checker.go
@@ -22,7 +22,8 @@
 	DrainGrace       Micros // after a drain was reported to a sidecar, until it must send no further attempts
 	ClockSlack       Micros // added to DrainGrace for the difference between a sidecar's clock and the lab's
 	OverloadMultiple float64
-	OverloadWindow   Micros // a server collapses when it gets OverloadMultiple times its capacity for this long
+	// A server that is warming up is overloaded if it gets more than OverloadMultiple times its capacity for this long.
+	OverloadWindow Micros
 }
 
 // SettingsFrom returns the settings of a scenario.
