--- a/internal/lab/storesim/faults.go
+++ b/internal/lab/storesim/faults.go
@@ -163,7 +163,7 @@
 
 var operatorClient = uint64(400) // client in the request ids of operators
 
-// executeAsOperator has operators send a command until its outcome is known, and passes it to f.
+// executeAsOperator has operators send a command until its outcome is known, and passes the outcome to f.
 func (w *world) executeAsOperator(seq uint64, c store.Command, f func(store.Result)) {
 	c.ID = store.RequestID{Client: operatorClient, Seq: seq}
 	w.submit(c, func(d replica.Completion) { f(d.Result) })
@@ -223,8 +223,8 @@
 		})
 }
 
-// replaceDisk loses a host's disk. The process comes back under its old name with an empty disk, or with the contents
-// of a while ago. Then operators remove the member and add a new one.
+// replaceDisk loses a host's disk. The process restarts under its old name with an empty disk, or with earlier
+// contents of the disk. Then operators remove the member and add a new one.
 func (w *world) replaceDisk(h *host, useOldDisk bool) {
 	h.inChange = true
 	var oldDisk *disk
